--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 
 # Days in virtual time and orders of messages are played by one goroutine: the race detector finds nothing there, and takes ten
 # times as long.
-ALONE := /internal/(rehearsal/(dryrun|fleet)|mesh/(boxoffice|callboard|company|promptbook|understudy|wings))$$
+ALONE := /internal/(rehearsal/(dryrun|fleet)|mesh/(control/(consensus|lease|ratelimit)|discovery|discovery/membership|dataplane/admission))$$
 
 # The files that decide, all together bounded in length; and those at the root that decide nothing.
 POLICY := $(shell sed -n 's/^policy = \[\(.*\)\]$$/\1/p' deploy/balancer.toml | tr -d '",')
@@ -33,5 +33,5 @@
 # The long plays, a few minutes: more random mornings, more crashes of the store, 50 kills amid bookings.
 soak:
 	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m . ./internal/rehearsal/dryrun ./internal/files/store ./internal/modules/recall
-	SOAK=1 go test -count=1 -timeout 30m ./internal/rehearsal/fleet ./internal/network/gossip ./internal/mesh/promptbook
+	SOAK=1 go test -count=1 -timeout 30m ./internal/rehearsal/fleet ./internal/network/gossip ./internal/mesh/control/consensus
 	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m -run 'Killed|RandomFaults' ./cmd/quincegap
--- /dev/null
+++ b/cmd/controlplane/main.go
@@ -0,0 +1,25 @@
+// Command controlplane is the mesh's core process: it keeps the operator's word on disk with its peers, and takes it to every part.
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/alecthomas/kong"
+
+	"gingerlead/internal/mesh/assembly"
+	"gingerlead/internal/mesh/operations/settings"
+)
+
+var line struct {
+	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
+}
+
+func main() {
+	kong.Parse(&line, kong.Name("controlplane"), kong.Description("The mesh's core process, which keeps the configuration."),
+		kong.Vars{"variable": settings.Variable})
+	if err := assembly.Core(line.Settings); err != nil {
+		fmt.Fprintln(os.Stderr, "controlplane:", err)
+		os.Exit(1)
+	}
+}
--- a/cmd/herald/main.go
+++ b/cmd/eventlog/main.go
@@ -1,4 +1,4 @@
-// Command herald follows the mesh's events, keeps them on disk and serves them to other tools.
+// Command eventlog follows the mesh's events, keeps them on disk and serves them to other tools.
 package main
 
 import (
@@ -16,9 +16,9 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/feed"
-	"gingerlead/internal/mesh/herald"
-	"gingerlead/internal/mesh/trunk"
+	"gingerlead/internal/mesh/control/storage"
+	"gingerlead/internal/mesh/operations/eventfeed"
+	"gingerlead/internal/mesh/operations/eventlog"
 )
 
 type line struct {
@@ -29,12 +29,12 @@
 }
 
 func (l *line) Run() error {
-	store, err := trunk.Open(l.Folder)
+	store, err := storage.Open(l.Folder)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", l.Folder)
 	}
 	defer store.Close()
-	log, err := herald.OpenLog(store, l.Keep, rand.Uint64()|1)
+	log, err := eventlog.OpenLog(store, l.Keep, rand.Uint64()|1)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", l.Folder)
 	}
@@ -50,11 +50,11 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	mux := http.NewServeMux()
-	mux.Handle("/events", feed.Handler(log))
+	mux.Handle("/events", eventfeed.Handler(log))
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 32 << 10}
 	failed := make(chan error, 1)
 	go func() { failed <- s.Serve(n) }()
-	go herald.Follow(ctx, log, l.Core, logrus.StandardLogger())
+	go eventlog.Follow(ctx, log, l.Core, logrus.StandardLogger())
 	select {
 	case <-ctx.Done():
 		return nil
@@ -65,9 +65,9 @@
 
 func main() {
 	var l line
-	k := kong.Parse(&l, kong.Name("herald"), kong.Description("Follows the mesh's events, keeps them, and serves them to other tools."))
+	k := kong.Parse(&l, kong.Name("eventlog"), kong.Description("Follows the mesh's events, keeps them, and serves them to other tools."))
 	if err := k.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "herald:", trace.UserMessage(err))
+		fmt.Fprintln(os.Stderr, "eventlog:", trace.UserMessage(err))
 		os.Exit(1)
 	}
 }
--- /dev/null
+++ b/cmd/sidecar/main.go
@@ -0,0 +1,26 @@
+// Command sidecar is the mesh's sidecar on an access machine: it takes the requests of the clients and of the endpoint there, and
+// lets others' requests on to that endpoint.
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/alecthomas/kong"
+
+	"gingerlead/internal/mesh/assembly"
+	"gingerlead/internal/mesh/operations/settings"
+)
+
+var line struct {
+	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
+}
+
+func main() {
+	kong.Parse(&line, kong.Name("sidecar"), kong.Description("The mesh's sidecar beside an endpoint."),
+		kong.Vars{"variable": settings.Variable})
+	if err := assembly.Access(line.Settings); err != nil {
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
+		os.Exit(1)
+	}
+}
--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -19,7 +19,7 @@
 	{"cmd", ""},
 	{"internal/tool", "."},
 	{"internal/product", "."},
-	{"internal/mesh", "house callboy | backstage foyer prompter herald | stagedoor feed | cue trunk callsheet logbook | marquee boxoffice callboard company promptbook understudy wings | curtain playbill script"},
+	{"internal/mesh", "assembly operations/meshctl | agent dataplane/outbound control/controlplane operations/eventlog | dataplane/inbound operations/eventfeed | transport control/storage operations/settings operations/logging | operations/events control/ratelimit discovery discovery/membership control/consensus control/lease dataplane/admission | dataplane/outcome control/configuration transport/codec"},
 	{"internal/rehearsal", "rehearse report | experiment fleet | dryrun | morning | emulator audit"},
 	{"internal/sidecar", "."},
 	{"internal/wire", "."},
@@ -36,10 +36,10 @@
 // flow of time is an argument.
 var (
 	pure   = []string{"", "internal/structures", "internal/modules", "internal/config", "internal/rehearsal", "internal/mesh"}
-	impure = []string{"internal/rehearsal/rehearse", "internal/mesh/house", "internal/mesh/backstage", "internal/mesh/foyer",
-		"internal/mesh/prompter", "internal/mesh/stagedoor", "internal/mesh/cue", "internal/mesh/trunk",
-		"internal/mesh/callsheet", "internal/mesh/herald", "internal/mesh/feed",
-		"internal/mesh/callboy"}
+	impure = []string{"internal/rehearsal/rehearse", "internal/mesh/assembly", "internal/mesh/agent", "internal/mesh/dataplane/outbound",
+		"internal/mesh/control/controlplane", "internal/mesh/dataplane/inbound", "internal/mesh/transport", "internal/mesh/control/storage",
+		"internal/mesh/operations/settings", "internal/mesh/operations/eventlog", "internal/mesh/operations/eventfeed",
+		"internal/mesh/operations/meshctl"}
 	forbidden = []string{"os", "net/http", "os/exec", "os/signal", "syscall", "log", "path/filepath"}
 )
 
--- a/internal/mesh/backstage/crew.go
+++ b/internal/mesh/agent/agent.go
@@ -1,7 +1,7 @@
-// Package backstage is the control plane that every process of the system takes part in: who is there, which endpoints there
-// are, which configuration is in force. What decides in it is pure (company, callboard, promptbook); this is its clock, its
+// Package agent is the control plane that every process of the system takes part in: who is there, which endpoints there
+// are, which configuration is in force. What decides in it is pure (membership, discovery, consensus); this is its clock, its
 // messages and its one lock.
-package backstage
+package agent
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/boxoffice"
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/callsheet"
-	"gingerlead/internal/mesh/company"
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/ratelimit"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 const (
@@ -29,34 +29,34 @@
 	fetchMost  = 300 * time.Millisecond
 )
 
-// Options are what a crew is made of.
+// Options are what a agent is made of.
 type Options struct {
-	Sheet *callsheet.Sheet
-	Hub   *cue.Hub
-	Role  company.Role
-	Log   *logrus.Logger
-	Seed  uint64
+	Settings *settings.Settings
+	Hub      *transport.Hub
+	Role     membership.Role
+	Log      *logrus.Logger
+	Seed     uint64
 	// Configure is called with each newer configuration, one after the other.
-	Configure func(c *playbill.Config)
+	Configure func(c *configuration.Config)
 	// Told is called with all that is known of a service's endpoints when something has changed.
-	Told func(service string, all []callboard.Endpoint)
+	Told func(service string, all []discovery.Endpoint)
 	// Sidecars is called when the number of sidecars that take requests has changed.
 	Sidecars func(n int)
 	// Found is called when others know of an endpoint at this machine's address that this process has not heard of.
-	Found func(e callboard.Endpoint)
+	Found func(e discovery.Endpoint)
 }
 
 // Crew is this process's part in the control plane.
-type Crew struct {
+type Agent struct {
 	o           Options
 	mu          sync.Mutex
-	view        *company.View
-	board       *callboard.Board
-	publisher   *callboard.Publisher
-	subscribed  *callboard.Subscription
-	subscribers *callboard.Subscribers
+	view        *membership.View
+	registry    *discovery.Registry
+	publisher   *discovery.Publisher
+	subscribed  *discovery.Subscription
+	subscribers *discovery.Subscribers
 	services    []string // that this process wants to hear of
-	conf        configuration
+	conf        configurationText
 	fetching    uint64 // version that is being fetched,
 	fetchUntil  time.Duration
 	rng         *rand.Rand
@@ -66,40 +66,40 @@
 	placed      uint64            // changes of the view when place last worked, and one; 0 if it is to
 	life        map[string]uint64 // of homes that were told
 	settings    sync.Mutex        // one configuration after the other
-	limits      atomic.Pointer[map[string]boxoffice.Limit]
-	events      *events // of core processes; nil elsewhere
+	limits      atomic.Pointer[map[string]ratelimit.Limit]
+	events      *eventRecorder // of core processes; nil elsewhere
 }
 
-// New makes a crew and declares its calls.
-func New(o Options) *Crew {
+// New makes a agent and declares its calls.
+func New(o Options) *Agent {
 	h := o.Hub.Self()
-	self := company.Member{Life: h.Life, Address: h.Address, Zone: o.Sheet.Zone, Region: o.Sheet.Region, Role: o.Role,
-		Service: o.Sheet.Service, App: o.Sheet.App}
-	c := &Crew{o: o, view: company.New(self, company.Bounds{}, rand.New(rand.NewPCG(o.Seed, h.Life))),
-		board: callboard.New(callboard.Bounds{}), publisher: callboard.NewPublisher(callboard.Bounds{}),
-		subscribed: callboard.NewSubscription(callboard.Bounds{}), subscribers: callboard.NewSubscribers(callboard.Bounds{}),
+	self := membership.Member{Life: h.Life, Address: h.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
+		Service: o.Settings.Service, App: o.Settings.App}
+	c := &Agent{o: o, view: membership.New(self, membership.Bounds{}, rand.New(rand.NewPCG(o.Seed, h.Life))),
+		registry: discovery.New(discovery.Bounds{}), publisher: discovery.NewPublisher(discovery.Bounds{}),
+		subscribed: discovery.NewSubscription(discovery.Bounds{}), subscribers: discovery.NewSubscribers(discovery.Bounds{}),
 		changed: map[string]bool{}, life: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
-	for zone, region := range o.Sheet.Regions {
+	for zone, region := range o.Settings.Regions {
 		c.view.Place(zone, region)
 	}
-	c.view.Seeds(0, o.Sheet.SeedPeers())
-	if o.Role == company.Access {
-		c.services = []string{o.Sheet.Service}
+	c.view.Seeds(0, o.Settings.SeedPeers())
+	if o.Role == membership.Access {
+		c.services = []string{o.Settings.Service}
 	} else {
 		c.events = newEvents(h.Life)
 	}
-	cue.Handle(o.Hub, methodShuffle, c.shuffled)
-	cue.Handle(o.Hub, methodPost, c.posted)
-	cue.Handle(o.Hub, methodSubscribe, c.wished)
-	cue.Handle(o.Hub, methodNews, c.news)
-	cue.Handle(o.Hub, methodNotice, c.noticed)
-	cue.Handle(o.Hub, methodConfig, c.asked)
+	transport.Handle(o.Hub, methodShuffle, c.shuffled)
+	transport.Handle(o.Hub, methodPost, c.posted)
+	transport.Handle(o.Hub, methodSubscribe, c.wished)
+	transport.Handle(o.Hub, methodNews, c.news)
+	transport.Handle(o.Hub, methodNotice, c.noticed)
+	transport.Handle(o.Hub, methodConfig, c.asked)
 	o.Hub.OnLost(c.lost)
 	return c
 }
 
 // Run lets time pass until ctx ends.
-func (c *Crew) Run(ctx context.Context) {
+func (c *Agent) Run(ctx context.Context) {
 	t := time.NewTicker(tick)
 	defer t.Stop()
 	for {
@@ -112,17 +112,17 @@
 	}
 }
 
-func (c *Crew) random() uint64 { return c.rng.Uint64() }
+func (c *Agent) random() uint64 { return c.rng.Uint64() }
 
 // Seeds names the seeds as the settings have them now.
-func (c *Crew) Seeds(addresses []string) {
+func (c *Agent) Seeds(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.Seeds(c.o.Hub.Now(), addresses)
 }
 
 // step does what is due.
-func (c *Crew) step() {
+func (c *Agent) step() {
 	now := c.o.Hub.Now()
 	c.mu.Lock()
 	to, s := c.view.Tick(now)
@@ -134,7 +134,7 @@
 	asks := c.subscribed.Tick(now)
 	if now >= c.expire {
 		c.expire = now + expireEach
-		for _, e := range c.board.Expire(now) {
+		for _, e := range c.registry.Expire(now) {
 			c.changed[e.Service] = true
 		}
 	}
@@ -142,8 +142,8 @@
 	c.mu.Unlock()
 	for _, address := range to {
 		c.send(address, methodShuffle, s, func(body []byte) {
-			var reply company.Shuffle
-			if script.Read(body, &reply) == nil {
+			var reply membership.Shuffle
+			if codec.Read(body, &reply) == nil {
 				c.take(&reply)
 			}
 		})
@@ -156,7 +156,7 @@
 		}
 		c.send(p.To, methodPost, &posted{Endpoint: p.Endpoint}, func(body []byte) {
 			var answer posted
-			if script.Read(body, &answer) == nil && answer.Taken {
+			if codec.Read(body, &answer) == nil && answer.Taken {
 				c.acked(p)
 			}
 		})
@@ -164,14 +164,14 @@
 	for _, a := range asks {
 		if a.To == self {
 			c.mu.Lock()
-			c.subscribed.Got(now, callboard.Home{Address: self, Life: a.Life}, a.Service, 0)
+			c.subscribed.Got(now, discovery.Home{Address: self, Life: a.Life}, a.Service, 0)
 			c.mu.Unlock()
 			continue
 		}
 		c.send(a.To, methodSubscribe, &wish{Who: self, Service: a.Service, Since: a.Since, Life: a.Life}, func(body []byte) {
 			var l listing
-			if len(body) > 0 && script.Read(body, &l) == nil {
-				c.listed(callboard.Home{Address: a.To, Life: l.Life}, &l)
+			if len(body) > 0 && codec.Read(body, &l) == nil {
+				c.listed(discovery.Home{Address: a.To, Life: l.Life}, &l)
 			}
 		})
 	}
@@ -179,8 +179,8 @@
 }
 
 // send asks an address and hands the answer over, if one comes.
-func (c *Crew) send(address string, method uint64, m script.Message, got func(body []byte)) {
-	c.o.Hub.Send(address, method, script.Write(nil, m), 0, func(body []byte, err error) {
+func (c *Agent) send(address string, method uint64, m codec.Message, got func(body []byte)) {
+	c.o.Hub.Send(address, method, codec.Write(nil, m), 0, func(body []byte, err error) {
 		if err == nil && got != nil {
 			got(body)
 		}
@@ -188,15 +188,15 @@
 }
 
 // place follows the view: which homes are told and asked, and how many sidecars there are. The lock is held.
-func (c *Crew) place(now time.Duration) {
+func (c *Agent) place(now time.Duration) {
 	if c.placed == c.view.Changes()+1 {
 		return
 	}
 	c.placed = c.view.Changes() + 1
-	if c.o.Role == company.Access && c.o.Sheet.Service != "" {
+	if c.o.Role == membership.Access && c.o.Settings.Service != "" {
 		var homes []string
 		for _, zone := range c.view.Zones() {
-			for _, m := range c.view.Homes(c.o.Sheet.Service, zone, homesEach) {
+			for _, m := range c.view.Homes(c.o.Settings.Service, zone, homesEach) {
 				homes = append(homes, m.Address)
 				if c.life[m.Address] != m.Life {
 					c.life[m.Address] = m.Life
@@ -207,15 +207,15 @@
 		c.publisher.Targets(now, homes)
 	}
 	for _, service := range c.services {
-		var homes []callboard.Home
-		for _, m := range c.view.Homes(service, c.o.Sheet.Zone, homesEach+1) {
-			homes = append(homes, callboard.Home{Address: m.Address, Life: m.Life})
+		var homes []discovery.Home
+		for _, m := range c.view.Homes(service, c.o.Settings.Zone, homesEach+1) {
+			homes = append(homes, discovery.Home{Address: m.Address, Life: m.Life})
 		}
 		c.subscribed.Want(now, service, homes)
 	}
 	n := 0
 	for _, m := range c.view.Members() {
-		if m.Role == company.Access {
+		if m.Role == membership.Access {
 			n++
 		}
 	}
@@ -226,17 +226,17 @@
 }
 
 // flush tells of services whose endpoints have changed, here and to those who want to hear of them.
-func (c *Crew) flush() {
+func (c *Agent) flush() {
 	now := c.o.Hub.Now()
 	type due struct {
 		service string
-		all     []callboard.Endpoint
+		all     []discovery.Endpoint
 		to      []string
 	}
 	var out []due
 	c.mu.Lock()
 	for service := range c.changed {
-		out = append(out, due{service, c.board.List(now, service), c.subscribers.Notify(now, service)})
+		out = append(out, due{service, c.registry.List(now, service), c.subscribers.Notify(now, service)})
 	}
 	clear(c.changed)
 	c.mu.Unlock()
@@ -256,21 +256,21 @@
 
 // find looks for an endpoint at this machine's address that this process knows nothing of: it has just started, and others
 // remember.
-func (c *Crew) find(all []callboard.Endpoint) {
+func (c *Agent) find(all []discovery.Endpoint) {
 	if c.o.Found == nil {
 		return
 	}
 	for _, e := range all {
-		if e.App == c.o.Sheet.App && e.State < callboard.Crashed && e.HostLife != c.o.Hub.Self().Life {
+		if e.App == c.o.Settings.App && e.State < discovery.Crashed && e.HostLife != c.o.Hub.Self().Life {
 			c.o.Found(e)
 		}
 	}
 }
 
 // tell takes a record; home tells that those who want to hear of it hear it from here.
-func (c *Crew) tell(e callboard.Endpoint, home bool) {
+func (c *Agent) tell(e discovery.Endpoint, home bool) {
 	c.mu.Lock()
-	if c.board.Tell(c.o.Hub.Now(), e) {
+	if c.registry.Apply(c.o.Hub.Now(), e) {
 		c.changed[e.Service] = true
 	}
 	c.mu.Unlock()
@@ -279,14 +279,14 @@
 	}
 }
 
-func (c *Crew) acked(s callboard.Send) {
+func (c *Agent) acked(s discovery.Send) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.publisher.Acked(c.o.Hub.Now(), s.To, s.Endpoint.ID, s.Endpoint.Edition)
 }
 
 // Publish tells homes of the endpoint beside this process as it is now.
-func (c *Crew) Publish(e callboard.Endpoint) {
+func (c *Agent) Publish(e discovery.Endpoint) {
 	h := c.o.Hub.Self()
 	e.Host, e.HostLife = h.Address, h.Life
 	c.mu.Lock()
@@ -296,7 +296,7 @@
 }
 
 // Ended tells homes that a life of the endpoint beside this process has ended.
-func (c *Crew) Ended(id string, s callboard.State) {
+func (c *Agent) Ended(id string, s discovery.State) {
 	c.mu.Lock()
 	c.publisher.End(c.o.Hub.Now(), id, s)
 	c.mu.Unlock()
@@ -304,7 +304,7 @@
 }
 
 // PassOn spreads a record that this process was told on behalf of the endpoint's own sidecar, which could not be reached.
-func (c *Crew) PassOn(e callboard.Endpoint) {
+func (c *Agent) PassOn(e discovery.Endpoint) {
 	c.mu.Lock()
 	to := map[string]bool{}
 	for _, zone := range c.view.Zones() {
@@ -322,24 +322,24 @@
 }
 
 // At is the newest member at an IP.
-func (c *Crew) At(ip string) (company.Member, bool) {
+func (c *Agent) At(ip string) (membership.Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.At(ip)
 }
 
 // Members are those who are there, as far as this process knows.
-func (c *Crew) Members() []company.Member {
+func (c *Agent) Members() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Members()
 }
 
 // Refresh asks the homes of a service anew.
-func (c *Crew) Refresh(service string) {
+func (c *Agent) Refresh(service string) {
 	c.mu.Lock()
 	var to []string
-	for _, m := range c.view.Homes(service, c.o.Sheet.Zone, homesEach) {
+	for _, m := range c.view.Homes(service, c.o.Settings.Zone, homesEach) {
 		to = append(to, m.Address)
 	}
 	c.mu.Unlock()
@@ -347,8 +347,8 @@
 		if address != c.o.Hub.Self().Address {
 			c.send(address, methodSubscribe, &wish{Who: c.o.Hub.Self().Address, Service: service}, func(body []byte) {
 				var l listing
-				if len(body) > 0 && script.Read(body, &l) == nil {
-					c.listed(callboard.Home{Address: address, Life: l.Life}, &l)
+				if len(body) > 0 && codec.Read(body, &l) == nil {
+					c.listed(discovery.Home{Address: address, Life: l.Life}, &l)
 				}
 			})
 		}
@@ -356,7 +356,7 @@
 }
 
 // lost hears that a link has ended.
-func (c *Crew) lost(address, why string) {
+func (c *Agent) lost(address, why string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.o.Hub.Now()
@@ -367,15 +367,15 @@
 
 // The calls.
 
-func (c *Crew) shuffled(_ context.Context, _ *cue.Hello, s *company.Shuffle) *company.Shuffle {
+func (c *Agent) shuffled(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
 	reply := c.take(s)
 	if reply == nil {
-		reply = &company.Shuffle{Reply: true}
+		reply = &membership.Shuffle{Reply: true}
 	}
 	return reply
 }
 
-func (c *Crew) take(s *company.Shuffle) *company.Shuffle {
+func (c *Agent) take(s *membership.Shuffle) *membership.Shuffle {
 	if s.From.Life == 0 {
 		return nil
 	}
@@ -389,12 +389,12 @@
 	return reply
 }
 
-func (c *Crew) posted(_ context.Context, _ *cue.Hello, p *posted) *posted {
+func (c *Agent) posted(_ context.Context, _ *transport.Hello, p *posted) *posted {
 	c.tell(p.Endpoint, true)
 	return &posted{Taken: true}
 }
 
-func (c *Crew) wished(_ context.Context, _ *cue.Hello, w *wish) *listing {
+func (c *Agent) wished(_ context.Context, _ *transport.Hello, w *wish) *listing {
 	now := c.o.Hub.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -403,15 +403,15 @@
 	if w.Life != life {
 		since = 0 // versions are of one life
 	}
-	all, version, _ := c.board.Since(now, w.Service, since)
+	all, version, _ := c.registry.Since(now, w.Service, since)
 	return &listing{Service: w.Service, Version: version, Endpoints: all, Life: life}
 }
 
-func (c *Crew) listed(from callboard.Home, l *listing) {
+func (c *Agent) listed(from discovery.Home, l *listing) {
 	c.mu.Lock()
 	now := c.o.Hub.Now()
 	for _, e := range l.Endpoints {
-		if c.board.Tell(now, e) {
+		if c.registry.Apply(now, e) {
 			c.changed[e.Service] = true
 		}
 	}
@@ -420,7 +420,7 @@
 	c.flush()
 }
 
-func (c *Crew) news(_ context.Context, _ *cue.Hello, l *listing) *taken {
+func (c *Agent) news(_ context.Context, _ *transport.Hello, l *listing) *taken {
 	for _, e := range l.Endpoints {
 		c.tell(e, false)
 	}
--- a/internal/mesh/backstage/hollow_test.go
+++ b/internal/mesh/agent/hollow_test.go
@@ -1,4 +1,4 @@
-package backstage
+package agent
 
 import (
 	"context"
@@ -15,17 +15,17 @@
 
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/callsheet"
-	"gingerlead/internal/mesh/company"
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/playbill"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
 )
 
 // hollow is a fleet of sidecars without clients and of core processes without disks, in one process.
 type hollow struct {
-	all      []*Crew
-	hubs     []*cue.Hub
+	all      []*Agent
+	hubs     []*transport.Hub
 	closers  []func()
 	applied  atomic.Int64
 	drained  atomic.Int64 // callers that know of it
@@ -33,43 +33,43 @@
 	draining atomic.Pointer[string]
 }
 
-func (h *hollow) start(i, n, core, zones, services int, seeds []string) *Crew {
+func (h *hollow) start(i, n, core, zones, services int, seeds []string) *Agent {
 	ip := fmt.Sprintf("127.7.%d.%d", i/250, i%250+1)
-	sheet := &callsheet.Sheet{Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", Ports: [2]int{7301, 7301},
+	own := &settings.Settings{Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", Ports: [2]int{7301, 7301},
 		Seeds: seeds, Control: ip + ":7302"}
-	role := company.Core
+	role := membership.Core
 	if i >= core {
-		role = company.Access
-		sheet.App, sheet.Service = ip+":8080", fmt.Sprintf("service-%d", i%services)
+		role = membership.Access
+		own.App, own.Service = ip+":8080", fmt.Sprintf("service-%d", i%services)
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	hub := cue.NewHub(cue.Hello{Life: uint64(i + 1), Address: sheet.Internal(), Zone: sheet.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.Internal(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	var known atomic.Bool
-	o := Options{Sheet: sheet, Hub: hub, Role: role, Log: log, Seed: uint64(i),
-		Configure: func(c *playbill.Config) {
-			if role == company.Access && uint64(c.Version) == h.version.Load() {
+	o := Options{Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
+		Configure: func(c *configuration.Config) {
+			if role == membership.Access && uint64(c.Version) == h.version.Load() {
 				h.applied.Add(1)
 			}
 		},
-		Told: func(_ string, all []callboard.Endpoint) {
-			if id := h.draining.Load(); role == company.Access && id != nil {
+		Told: func(_ string, all []discovery.Endpoint) {
+			if id := h.draining.Load(); role == membership.Access && id != nil {
 				for _, e := range all {
-					if e.ID == *id && e.State == callboard.Draining && !known.Swap(true) {
+					if e.ID == *id && e.State == discovery.Draining && !known.Swap(true) {
 						h.drained.Add(1)
 					}
 				}
 			}
 		}}
 	c := New(o)
-	l, err := net.Listen("tcp4", sheet.Internal())
+	l, err := net.Listen("tcp4", own.Internal())
 	if err != nil {
 		panic(err)
 	}
 	go func() { _ = hub.Listen(l) }()
 	ctx, stop := context.WithCancel(context.Background())
-	if role == company.Access {
-		go c.Tickets().Run(ctx)
+	if role == membership.Access {
+		go c.QuotaClient().Run(ctx)
 	}
 	go c.Run(ctx)
 	h.all, h.hubs = append(h.all, c), append(h.hubs, hub)
@@ -141,19 +141,19 @@
 	runtime.GC()
 	runtime.ReadMemStats(&heap0)
 	seeds := []string{"127.7.0.1:7302", "127.7.0.2:7302", "127.7.0.3:7302"}
-	var last *Crew
-	var publish []func(callboard.State)
+	var last *Agent
+	var publish []func(discovery.State)
 	for i := range core + sidecars {
 		c := h.start(i, sidecars, core, zones, services, seeds)
 		if i >= core {
 			last = c
 			sequence := uint64(0)
-			publish = append(publish, func(s callboard.State) {
+			publish = append(publish, func(s discovery.State) {
 				sequence++
-				c.Publish(callboard.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.o.Sheet.Service, App: c.o.Sheet.App,
-					Zone: c.o.Sheet.Zone, Slots: 8, Sequence: sequence, State: s})
+				c.Publish(discovery.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.o.Settings.Service, App: c.o.Settings.App,
+					Zone: c.o.Settings.Zone, Slots: 8, Sequence: sequence, State: s})
 			})
-			publish[len(publish)-1](callboard.Serving)
+			publish[len(publish)-1](discovery.Serving)
 		}
 	}
 	_ = last
@@ -168,9 +168,9 @@
 	time.Sleep(12 * time.Second)
 	runtime.GC()
 	runtime.ReadMemStats(&heap1)
-	var before, after cue.Traffic
+	var before, after transport.Traffic
 	links := 0
-	sum := func(to *cue.Traffic) {
+	sum := func(to *transport.Traffic) {
 		for _, hub := range h.hubs[core:] {
 			t := hub.Traffic()
 			to.SentBytes += t.SentBytes
@@ -183,7 +183,7 @@
 	const span = 6 * time.Second
 	for time.Since(began) < span { // each endpoint beats
 		for _, p := range publish {
-			p(callboard.Serving)
+			p(discovery.Serving)
 		}
 		time.Sleep(1500 * time.Millisecond)
 	}
@@ -202,6 +202,6 @@
 	b.ReportMetric(float64(commit(2).Milliseconds()), "ms/commit")
 	id := fmt.Sprintf("life-%d", core)
 	h.draining.Store(&id)
-	publish[0](callboard.Draining)
+	publish[0](discovery.Draining)
 	b.ReportMetric(float64(until(b, "draining", &h.drained, sidecars).Milliseconds()), "ms/drain")
 }
--- a/internal/mesh/backstage/beat.go
+++ b/internal/mesh/agent/keepalive.go
@@ -1,4 +1,4 @@
-package backstage
+package agent
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 	"github.com/tidwall/gjson"
 
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/cue"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/transport"
 )
 
 const (
@@ -23,12 +23,12 @@
 // Stage is the endpoint beside this process, as beats tell of it.
 type Stage interface {
 	// Beat takes a beat, or a deregistration (State Gone); false if it is not of the endpoint beside this process.
-	Beat(e callboard.Endpoint) bool
+	Keepalive(e discovery.Endpoint) bool
 }
 
 // ReadBeat reads a beat's body. The error names each field that can't be used.
-func ReadBeat(id string, body []byte) (callboard.Endpoint, error) {
-	e := callboard.Endpoint{ID: id}
+func ParseKeepalive(id string, body []byte) (discovery.Endpoint, error) {
+	e := discovery.Endpoint{ID: id}
 	if !gjson.ValidBytes(body) {
 		return e, trace.BadParameter("not JSON")
 	}
@@ -56,7 +56,7 @@
 	switch state := text("state"); state {
 	case "in_service":
 	case "draining":
-		e.State = callboard.Draining
+		e.State = discovery.Draining
 	default:
 		faults = append(faults, "state: wanted in_service or draining")
 	}
@@ -74,7 +74,7 @@
 }
 
 // Beats serves the calls of endpoints. stage is the endpoint beside this process; nil where there is none.
-func (c *Crew) Beats(stage Stage) http.Handler {
+func (c *Agent) KeepaliveHandler(stage Stage) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, beatMost))
@@ -82,29 +82,29 @@
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
-		e, err := ReadBeat(q.PathValue("id"), body)
+		e, err := ParseKeepalive(q.PathValue("id"), body)
 		if err != nil {
-			c.o.Log.WithField("peer", q.RemoteAddr).Warn("backstage: beat: " + err.Error())
+			c.o.Log.WithField("peer", q.RemoteAddr).Warn("agent: beat: " + err.Error())
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		c.answerBeat(w, q.Context(), stage, e)
+		c.answerKeepalive(w, q.Context(), stage, e)
 	})
 	mux.HandleFunc("POST /endpoints/{id}/deregister", func(w http.ResponseWriter, q *http.Request) {
-		c.answerBeat(w, q.Context(), stage, callboard.Endpoint{ID: q.PathValue("id"), State: callboard.Gone})
+		c.answerKeepalive(w, q.Context(), stage, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
 	})
 	if stage != nil {
-		cue.Handle(c.o.Hub, methodBeat, func(_ context.Context, _ *cue.Hello, p *posted) *posted {
-			return &posted{Taken: stage.Beat(p.Endpoint)}
+		transport.Handle(c.o.Hub, methodBeat, func(_ context.Context, _ *transport.Hello, p *posted) *posted {
+			return &posted{Taken: stage.Keepalive(p.Endpoint)}
 		})
 	}
 	return mux
 }
 
-func (c *Crew) answerBeat(w http.ResponseWriter, ctx context.Context, stage Stage, e callboard.Endpoint) {
+func (c *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, stage Stage, e discovery.Endpoint) {
 	target := ""
-	if stage == nil || !stage.Beat(e) {
-		target = c.bringOn(ctx, e)
+	if stage == nil || !stage.Keepalive(e) {
+		target = c.forwardKeepalive(ctx, e)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if target != "" {
@@ -116,10 +116,10 @@
 
 // bringOn brings a beat that this process has taken to the endpoint's own sidecar and to the service's homes. It gives the
 // address at which later beats are better off, if the own sidecar has it.
-func (c *Crew) bringOn(ctx context.Context, e callboard.Endpoint) (target string) {
+func (c *Agent) forwardKeepalive(ctx context.Context, e discovery.Endpoint) (target string) {
 	if e.App == "" { // deregistered: only its id is known
 		c.mu.Lock()
-		for _, x := range c.board.All(c.o.Hub.Now()) {
+		for _, x := range c.registry.All(c.o.Hub.Now()) {
 			if x.ID == e.ID {
 				state := e.State
 				e, e.State = x, state
@@ -131,15 +131,15 @@
 	if err != nil {
 		return ""
 	}
-	e.Host, e.Lease = c.o.Sheet.Peer(ip), 9*time.Second
+	e.Host, e.Lease = c.o.Settings.Peer(ip), 9*time.Second
 	if m, ok := c.At(ip); ok {
 		e.Host, e.HostLife = m.Address, m.Life
 	}
 	ctx, cancel := context.WithTimeout(ctx, passOnMost)
 	defer cancel()
-	a, err := cue.Request[posted](ctx, c.o.Hub, e.Host, methodBeat, &posted{Endpoint: e})
+	a, err := transport.Request[posted](ctx, c.o.Hub, e.Host, methodBeat, &posted{Endpoint: e})
 	if err == nil && a.Taken {
-		_, port, _ := net.SplitHostPort(c.o.Sheet.Control)
+		_, port, _ := net.SplitHostPort(c.o.Settings.Control)
 		return net.JoinHostPort(ip, port)
 	}
 	c.PassOn(e)
--- a/internal/mesh/backstage/message.go
+++ b/internal/mesh/agent/message.go
@@ -1,14 +1,14 @@
-package backstage
+package agent
 
 import (
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Methods of the control plane between processes. Their numbers never change.
 const (
-	methodShuffle   = 10 // company.Shuffle; answered by one
-	methodPost      = 11 // a teller's record of its endpoint, for a home
+	methodShuffle   = 10 // membership.Shuffle; answered by one
+	methodPost      = 11 // an allocator's record of its endpoint, for a home
 	methodSubscribe = 12 // a caller's wish to hear of a service, for a home; answered by a listing
 	methodNews      = 13 // what has changed, from a home to a subscriber
 	methodNotice    = 14 // a version of the configuration is there
@@ -19,11 +19,11 @@
 
 // posted is a record on its way to a home, and its acknowledgement.
 type posted struct {
-	Endpoint callboard.Endpoint
+	Endpoint discovery.Endpoint
 	Taken    bool
 }
 
-func (p *posted) Fields(v *script.Visitor) {
+func (p *posted) Fields(v *codec.Visitor) {
 	v.Message(1, &p.Endpoint)
 	v.Bool(2, &p.Taken)
 }
@@ -36,7 +36,7 @@
 	Life    uint64 // of the home that Since is of
 }
 
-func (w *wish) Fields(v *script.Visitor) {
+func (w *wish) Fields(v *codec.Visitor) {
 	v.Text(1, &w.Who)
 	v.Text(2, &w.Service)
 	v.Uint(3, &w.Since)
@@ -47,29 +47,29 @@
 type listing struct {
 	Service   string
 	Version   uint64 // of the home's board; 0 in news
-	Endpoints []callboard.Endpoint
+	Endpoints []discovery.Endpoint
 	Life      uint64 // of the home
 }
 
-func (l *listing) Fields(v *script.Visitor) {
+func (l *listing) Fields(v *codec.Visitor) {
 	v.Text(1, &l.Service)
 	v.Uint(2, &l.Version)
-	script.Messages(v, 3, &l.Endpoints)
+	codec.Messages(v, 3, &l.Endpoints)
 	v.Fixed(4, &l.Life)
 }
 
 // notice says which version its sender holds.
 type notice struct{ Version uint64 }
 
-func (n *notice) Fields(v *script.Visitor) { v.Uint(1, &n.Version) }
+func (n *notice) Fields(v *codec.Visitor) { v.Uint(1, &n.Version) }
 
 // configuration is the newest that its sender knows to be committed, with its text if it is newer than the asker's.
-type configuration struct {
+type configurationText struct {
 	Version uint64
 	Text    []byte
 }
 
-func (c *configuration) Fields(v *script.Visitor) {
+func (c *configurationText) Fields(v *codec.Visitor) {
 	v.Uint(1, &c.Version)
 	v.Bytes(2, &c.Text)
 }
@@ -77,9 +77,9 @@
 // bytes carries what another package has written.
 type bytes struct{ Body []byte }
 
-func (b *bytes) Fields(v *script.Visitor) { v.Bytes(1, &b.Body) }
+func (b *bytes) Fields(v *codec.Visitor) { v.Bytes(1, &b.Body) }
 
 // taken acknowledges.
 type taken struct{ Taken bool }
 
-func (t *taken) Fields(v *script.Visitor) { v.Bool(1, &t.Taken) }
+func (t *taken) Fields(v *codec.Visitor) { v.Bool(1, &t.Taken) }
--- a/internal/mesh/backstage/state.go
+++ b/internal/mesh/agent/state.go
@@ -1,13 +1,13 @@
-package backstage
+package agent
 
 import (
 	"encoding/json"
 	"net/http"
 	"time"
 
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/company"
-	"gingerlead/internal/mesh/playbill"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/discovery/membership"
 )
 
 // State is what a core process holds of the mesh, for operators: facts with their age and who vouches for them.
@@ -48,30 +48,30 @@
 	LeaseMs int64  `json:"leaseMs"`
 }
 
-var stateNames = map[callboard.State]string{callboard.Serving: "in_service", callboard.Draining: "draining",
-	callboard.Crashed: "crashed", callboard.Gone: "gone"}
+var stateNames = map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
+	discovery.Crashed: "crashed", discovery.Gone: "gone"}
 
 // State gathers what this core process holds.
 func (d *Duties) State() State {
-	c := d.crew
+	c := d.agent
 	now := c.o.Hub.Now()
-	s := State{Node: c.o.Sheet.Name, Voters: d.voters.Electorate().Voters}
+	s := State{Node: c.o.Settings.Name, Voters: d.voters.Membership().Voters}
 	d.mu.Lock()
-	duty := DutyState{Name: dutyTeller, Holder: d.teller.Holder(now)}
-	duty.Epoch, _ = d.teller.Holds(now)
+	duty := DutyState{Name: dutyTeller, Holder: d.allocatorLease.Holder(now)}
+	duty.Epoch, _ = d.allocatorLease.Holds(now)
 	d.mu.Unlock()
 	s.Duties = []DutyState{duty}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Version = playbill.Version(c.conf.Version).String()
+	s.Version = configuration.Version(c.conf.Version).String()
 	for _, m := range c.view.Members() {
 		role := "access"
-		if m.Role == company.Core {
+		if m.Role == membership.Core {
 			role = "core"
 		}
 		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.Age.Milliseconds()})
 	}
-	for _, e := range c.board.All(now) {
+	for _, e := range c.registry.All(now) {
 		s.Endpoints = append(s.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.App, e.Host, e.Slots,
 			e.Lease.Round(time.Millisecond).Milliseconds()})
 	}
--- /dev/null
+++ b/internal/mesh/assembly/access.go
@@ -0,0 +1,174 @@
+package assembly
+
+import (
+	"context"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"gingerlead/internal/mesh/agent"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/dataplane/admission"
+	"gingerlead/internal/mesh/dataplane/inbound"
+	"gingerlead/internal/mesh/dataplane/outbound"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+)
+
+// How a sidecar ends: it goes on serving until clients have had the time to turn elsewhere, and until what it took is answered.
+const (
+	endNotice = 2400 * time.Millisecond // two looks at readiness, and more
+	endMargin = 500 * time.Millisecond  // before SIGKILL
+
+	pastLives   = 16       // of the endpoint, that are remembered
+	bodyShare   = 0.3      // of the machine's memory, for clients' bodies
+	bodiesLeast = 68 << 20 // bytes: the largest body there may be
+)
+
+// Access runs the sidecar beside an endpoint until it is told to end.
+func Access(path string) error {
+	p, err := begin(path)
+	if err != nil {
+		return err
+	}
+	a := &access{process: p}
+	a.inbound = inbound.New(p.settings.App, p.hub.Now, p.log, func(life string) { a.agent.Ended(life, discovery.Crashed) })
+	var tickets *agent.QuotaClient
+	a.outbound = outbound.New(outbound.Options{Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
+		Seed: p.seed, Bodies: max(int64(bodyShare*float64(p.settings.MemoryMB<<20)), bodiesLeast), Refresh: func(s string) { a.agent.Refresh(s) },
+		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { tickets.Take(t, done) }})
+	a.agent = agent.New(agent.Options{Settings: p.settings, Hub: p.hub, Role: membership.Access, Log: p.log, Seed: p.seed,
+		Configure: func(c *configuration.Config) { a.outbound.Configure(c) }, Told: a.outbound.Told, Sidecars: a.outbound.Sidecars, Found: a.found})
+	a.inbound.Serve(p.hub)
+	tickets = a.agent.QuotaClient()
+	if err := p.link(); err != nil {
+		return err
+	}
+	clients := a.outbound.Server()
+	if err := p.serve(small(a.agent.KeepaliveHandler(a)), p.settings.Control); err != nil {
+		return err
+	}
+	if err := p.serve(small(http.HandlerFunc(a.readiness)), p.settings.Readiness); err != nil {
+		return err
+	}
+	if err := p.serve(clients, p.settings.Outbound); err != nil {
+		return err
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	go a.agent.Run(ctx)
+	go tickets.Run(ctx)
+	if err := p.wait(ctx, func(s *settings.Settings) { a.agent.Seeds(s.SeedPeers()) }); err != nil {
+		return err
+	}
+	a.end(clients)
+	return nil
+}
+
+type access struct {
+	*process
+	inbound  *inbound.Proxy
+	outbound *outbound.Proxy
+	agent    *agent.Agent
+	mu       sync.Mutex
+	seq      uint64   // callSequence of the newest beat, of the life at the door
+	past     []string // lives that are over, the oldest first
+	gone     bool     // this process is about to end
+}
+
+// Beat takes a beat of the endpoint beside this process (agent.Stage).
+func (a *access) Keepalive(e discovery.Endpoint) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	life, _ := a.inbound.Life()
+	if e.State == discovery.Gone {
+		if e.ID != life.ID {
+			return e.App == a.settings.App // of an earlier life
+		}
+		a.over(e.ID)
+		a.inbound.Tell(life, admission.Gone)
+		a.agent.Ended(e.ID, discovery.Gone)
+		return true
+	}
+	if e.App != a.settings.App {
+		return false
+	}
+	if e.ID == life.ID && e.Sequence < a.seq && e.State == discovery.Serving {
+		return true // late, and nothing that matters
+	}
+	if slices.Contains(a.past, e.ID) {
+		return true // late, of a life that is over
+	}
+	if e.ID != life.ID {
+		a.over(life.ID)
+		a.seq = 0
+	}
+	a.seq = max(a.seq, e.Sequence)
+	state := admission.Serving
+	if e.State == discovery.Draining {
+		state = admission.Draining
+	}
+	a.inbound.Tell(admission.Life{ID: e.ID, Service: e.Service, Slots: e.Slots}, state)
+	if !a.gone {
+		e.Zone = a.settings.Zone
+		a.agent.Publish(e)
+	}
+	return true
+}
+
+// over remembers that a life is over: a beat of it may still come, late, and must not bring it back. The lock is held.
+func (a *access) over(life string) {
+	if life == "" || slices.Contains(a.past, life) {
+		return
+	}
+	if a.past = append(a.past, life); len(a.past) > pastLives {
+		a.past = a.past[1:]
+	}
+}
+
+// found takes what others remember of the endpoint beside this process, which has just started.
+func (a *access) found(e discovery.Endpoint) {
+	if _, state := a.inbound.Life(); state == admission.Unknown {
+		a.Keepalive(e)
+	}
+}
+
+// readiness answers the platform.
+func (a *access) readiness(w http.ResponseWriter, _ *http.Request) {
+	a.mu.Lock()
+	gone := a.gone
+	a.mu.Unlock()
+	if gone || a.outbound.Config() == nil {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// end has this process leave in order.
+func (a *access) end(clients *http.Server) {
+	began := time.Now()
+	a.mu.Lock()
+	a.gone = true
+	a.mu.Unlock()
+	if life, _ := a.inbound.Life(); life.ID != "" {
+		a.agent.Ended(life.ID, discovery.Crashed)
+	}
+	last := a.settings.Bounds.Grace - endMargin
+	for time.Since(began) < last {
+		if time.Since(began) > endNotice {
+			a.outbound.End() // who comes now is told to come back, so that all that was taken is answered in time
+			if life, state := a.inbound.Life(); life.ID != "" && state != admission.Gone {
+				a.inbound.Tell(life, admission.Gone)
+			}
+			if a.outbound.Open() == 0 && a.inbound.Busy() == 0 {
+				break
+			}
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), max(last-time.Since(began), 50*time.Millisecond))
+	defer cancel()
+	_ = clients.Shutdown(ctx)
+	a.hub.Close()
+}
--- a/internal/mesh/house/house.go
+++ b/internal/mesh/assembly/assembly.go
@@ -1,5 +1,5 @@
-// Package house puts the planes together: it is all that the programs share, from the settings file to the signals.
-package house
+// Package assembly puts the planes together: it is all that the programs share, from the settings file to the signals.
+package assembly
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/callsheet"
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/logbook"
+	"gingerlead/internal/mesh/operations/logging"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
 )
 
 const (
@@ -30,28 +30,28 @@
 
 // process is what both programs have.
 type process struct {
-	sheet  *callsheet.Sheet
-	path   string
-	hub    *cue.Hub
-	log    *logrus.Logger
-	book   *logbook.Book
-	seed   uint64
-	errors chan error
+	settings *settings.Settings
+	path     string
+	hub      *transport.Hub
+	log      *logrus.Logger
+	book     *logging.Book
+	seed     uint64
+	errors   chan error
 }
 
 // begin reads the settings and opens the internal listener.
 func begin(path string) (*process, error) {
-	sheet, err := callsheet.Load(path)
+	loaded, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapShare * float64(sheet.MemoryMB<<20)))
-	log, book := logbook.New(os.Stderr)
-	p := &process{sheet: sheet, path: path, log: log, book: book, seed: rand.Uint64(), errors: make(chan error, 8)}
-	p.hub = cue.NewHub(cue.Hello{Life: rand.Uint64() | 1, Address: sheet.Internal(), Name: sheet.Name, Zone: sheet.Zone,
-		Service: sheet.Service}, time.Now(), askMost, log)
-	p.hub.Shape(sheet.LinkMbps * 1e6)
+	debug.SetMemoryLimit(int64(heapShare * float64(loaded.MemoryMB<<20)))
+	log, book := logging.New(os.Stderr)
+	p := &process{settings: loaded, path: path, log: log, book: book, seed: rand.Uint64(), errors: make(chan error, 8)}
+	p.hub = transport.NewHub(transport.Hello{Life: rand.Uint64() | 1, Address: loaded.Internal(), Name: loaded.Name, Zone: loaded.Zone,
+		Service: loaded.Service}, time.Now(), askMost, log)
+	p.hub.Shape(loaded.LinkMbps * 1e6)
 	return p, nil
 }
 
@@ -81,7 +81,7 @@
 }
 
 func (p *process) link() error {
-	l, err := listen(p.sheet.Internal())
+	l, err := listen(p.settings.Internal())
 	if err != nil {
 		return err
 	}
@@ -94,15 +94,15 @@
 }
 
 // wait waits for the signal to end, or a server's failure; SIGHUP and a clock have the settings read again.
-func (p *process) wait(ctx context.Context, reload func(*callsheet.Sheet)) error {
+func (p *process) wait(ctx context.Context, reload func(*settings.Settings)) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	defer signal.Stop(signals)
 	every := time.NewTicker(5 * time.Second)
 	defer every.Stop()
 	again := func() {
-		if s, err := callsheet.Load(p.path); err != nil {
-			p.log.Warn("house: settings are kept as they were: " + err.Error())
+		if s, err := settings.Load(p.path); err != nil {
+			p.log.Warn("assembly: settings are kept as they were: " + err.Error())
 		} else {
 			reload(s)
 		}
--- a/internal/mesh/house/house_test.go
+++ b/internal/mesh/assembly/assembly_test.go
@@ -1,4 +1,4 @@
-package house
+package assembly
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"gingerlead/internal/mesh/callsheet"
+	"gingerlead/internal/mesh/operations/settings"
 	"gingerlead/internal/standin/application"
 )
 
@@ -27,7 +27,7 @@
 	if run == nil {
 		os.Exit(m.Run())
 	}
-	if err := run(os.Getenv(callsheet.Variable)); err != nil {
+	if err := run(os.Getenv(settings.Variable)); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -106,7 +106,7 @@
 		m.net, m.net, m.net, x.ip, x.ip, x.ip)
 	m.Assert(os.WriteFile(path, []byte(text), 0o644), qt.IsNil)
 	x.cmd = exec.Command(os.Args[0])
-	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, callsheet.Variable+"="+path)
+	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.Variable+"="+path)
 	x.cmd.Stderr = os.Stderr
 	m.Assert(x.cmd.Start(), qt.IsNil)
 	x.initial = false
--- /dev/null
+++ b/internal/mesh/assembly/core.go
@@ -0,0 +1,70 @@
+package assembly
+
+import (
+	"context"
+	"net/http"
+	"strings"
+
+	"gingerlead/internal/mesh/agent"
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/control/controlplane"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+)
+
+// Core runs a process that holds the configuration until it is told to end.
+func Core(path string) error {
+	p, err := begin(path)
+	if err != nil {
+		return err
+	}
+	var server *controlplane.Server
+	ready := make(chan struct{})
+	controlAgent := agent.New(agent.Options{Settings: p.settings, Hub: p.hub, Role: membership.Core, Log: p.log, Seed: p.seed})
+	controlAgent.ServeConsensus(func(ctx context.Context, request []byte) ([]byte, error) {
+		select {
+		case <-ready:
+			return server.Serve(ctx, request)
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	})
+	if err := p.link(); err != nil {
+		return err
+	}
+	server, err = controlplane.Open(controlplane.Options{Self: p.settings.Control, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
+		Folder: p.settings.Folder, Transport: controlAgent.ConsensusTransport(), Tolerated: p.settings.Tolerated, Cores: controlAgent.Cores, Log: p.log, Seed: p.seed,
+		OnCommit: func(w consensus.Value) { controlAgent.Committed(uint64(w.Version), w.Body) }})
+	if err != nil {
+		return err
+	}
+	duties := controlAgent.Duties(server, p.settings.InitialStart)
+	close(ready)
+	beats, operator, events, state := controlAgent.KeepaliveHandler(nil), server.Handler(), controlAgent.Events(), duties.Handler()
+	err = p.serve(small(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		switch {
+		case strings.HasPrefix(q.URL.Path, "/configuration/"):
+			operator.ServeHTTP(w, q)
+		case q.URL.Path == "/events":
+			events.ServeHTTP(w, q)
+		case strings.HasPrefix(q.URL.Path, "/mesh/"):
+			state.ServeHTTP(w, q)
+		default:
+			beats.ServeHTTP(w, q)
+		}
+	})), p.settings.Control)
+	if err != nil {
+		return err
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	go controlAgent.Run(ctx)
+	go duties.Run(ctx)
+	err = p.wait(ctx, func(s *settings.Settings) {
+		controlAgent.Seeds(s.SeedPeers())
+		server.Seeds(s.Seeds)
+	})
+	server.Close()
+	p.hub.Close()
+	return err
+}
--- a/internal/mesh/playbill/playbill.go
+++ b/internal/mesh/control/configuration/configuration.go
@@ -1,6 +1,6 @@
-// Package playbill is the configuration that operators send: it is read from JSON once, checked, and looked up for every
+// Package configuration is the configuration that operators send: it is read from JSON once, checked, and looked up for every
 // request.
-package playbill
+package configuration
 
 import (
 	"strconv"
@@ -186,7 +186,7 @@
 }
 
 // Holder is the tenant that holds a key, nil if no one does.
-func (c *Config) Holder(key string) *Tenant { return c.holders[key] }
+func (c *Config) TenantByKey(key string) *Tenant { return c.holders[key] }
 
 // Draw picks a service by the weights, for x from 0 up to but not including 1.
 func (r *Route) Draw(x float64) string {
--- a/internal/mesh/playbill/playbill_test.go
+++ b/internal/mesh/control/configuration/configuration_test.go
@@ -1,4 +1,4 @@
-package playbill
+package configuration
 
 import (
 	"strings"
@@ -25,8 +25,8 @@
 	c.Assert(cfg.Match("jepu9.example", "/lepu270"), qt.IsNil)
 	c.Assert(cfg.Match("hulo84.example", "/xapu221/ny95/"), qt.Equals, &cfg.Routes[1])
 	c.Assert(cfg.Match("other.example", "/lepu270/2f"), qt.IsNil)
-	c.Assert(cfg.Holder("kcuyj8pjbvk9m68k7b2e").Name, qt.Equals, "bozi300")
-	c.Assert(cfg.Holder(""), qt.IsNil)
+	c.Assert(cfg.TenantByKey("kcuyj8pjbvk9m68k7b2e").Name, qt.Equals, "bozi300")
+	c.Assert(cfg.TenantByKey(""), qt.IsNil)
 	c.Assert([]string{cfg.Routes[0].Draw(0.899), cfg.Routes[0].Draw(0.9), cfg.Routes[1].Draw(0.9)}, qt.DeepEquals,
 		[]string{"huvo11a", "kafi81c", "wuno96b"})
 }
--- a/internal/mesh/playbill/read.go
+++ b/internal/mesh/control/configuration/read.go
@@ -1,4 +1,4 @@
-package playbill
+package configuration
 
 import (
 	"fmt"
--- a/internal/mesh/promptbook/electorate.go
+++ b/internal/mesh/control/consensus/membership.go
@@ -1,12 +1,12 @@
-package promptbook
+package consensus
 
 import (
 	"slices"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
-// Electorate is the list of voters. It is a part of the register's word, and changes as the word does, by compare-and-set on
+// Membership is the list of voters. It is a part of the register's word, and changes as the word does, by compare-and-set on
 // its Epoch; one voter is added or removed at a time. An epoch is decided once a word that has it was chosen; its list is L(k).
 // A word whose epoch is 0 doesn't hold the list, which is that of the system's first start and stands in each voter's record.
 //
@@ -51,40 +51,40 @@
 // on, and a voter that lost its disk would have to read from majorities of lists that are gone, which a second lost disk
 // makes impossible (four voters while growing to five, two lost: three of the remaining two). With both majorities, who
 // recovers need only ask L(k). The proof above holds for lists of any kind; single steps are kept as they cost no more, and
-// leases that voters grant rest on them (package understudy).
+// leases that voters grant rest on them (package lease).
 //
 // # Who joins
 //
 // A voter must remember what it promised. A process that is no voter becomes fit for it by a round with a ballot of its own,
-// begun after its start and ended under an epoch k whose list it's not in: it writes the word as hearsay, with k as decided,
+// begun after its start and ended under an epoch k whose list it's not in: it writes the word as learned, with k as decided,
 // and only then may be added. If it was a voter before and lost its disk, what it forgot are rounds below k, which it refuses
 // from then on, and that for the change to k+1 itself, of which a majority of L(k), without it, knows as well; the lists
 // differing by this one voter, it is met by every majority of L(k+1) without it.
-type Electorate struct {
-	Epoch   uint64
-	Voters  []string
-	Former  []string // of the epoch before
-	Retired []string // who isn't to be added again
+type Membership struct {
+	Epoch    uint64
+	Voters   []string
+	Previous []string // of the epoch before
+	Retired  []string // who isn't to be added again
 }
 
-// Fields implements script.Message.
-func (e *Electorate) Fields(v *script.Visitor) {
+// Fields implements codec.Message.
+func (e *Membership) Fields(v *codec.Visitor) {
 	v.Uint(1, &e.Epoch)
 	v.Texts(2, &e.Voters)
-	v.Texts(3, &e.Former)
+	v.Texts(3, &e.Previous)
 	v.Texts(4, &e.Retired)
 }
 
 // Has tells whether a node votes.
-func (e *Electorate) Has(node string) bool { return slices.Contains(e.Voters, node) }
+func (e *Membership) Has(node string) bool { return slices.Contains(e.Voters, node) }
 
 // before is the list of the epoch before, which is decided.
-func (e *Electorate) before() Electorate {
-	return Electorate{Epoch: e.Epoch - 1, Voters: e.Former, Retired: e.Retired}
+func (e *Membership) previous() Membership {
+	return Membership{Epoch: e.Epoch - 1, Voters: e.Previous, Retired: e.Retired}
 }
 
 // Move is one change of the list.
-type Move struct {
+type MembershipChange struct {
 	Add, Remove string // one of them
 	Retire      bool   // who is removed isn't to be added again
 }
@@ -92,9 +92,9 @@
 // retiredMax is how many names are remembered.
 const retiredMax = 64
 
-// NewMove makes a change of an electorate; nil if there is nothing to change.
-func NewMove(base Electorate, m Move) *Change {
-	next := Electorate{Epoch: base.Epoch + 1, Former: base.Voters, Voters: slices.Clone(base.Voters), Retired: base.Retired}
+// NewMove makes a change of an membership; nil if there is nothing to change.
+func NewMembershipChange(base Membership, m MembershipChange) *Change {
+	next := Membership{Epoch: base.Epoch + 1, Previous: base.Voters, Voters: slices.Clone(base.Voters), Retired: base.Retired}
 	switch {
 	case m.Add != "" && !base.Has(m.Add):
 		next.Voters = append(next.Voters, m.Add)
@@ -102,7 +102,7 @@
 	case m.Remove != "" && base.Has(m.Remove) && len(base.Voters) > 1:
 		next.Voters = slices.DeleteFunc(next.Voters, func(s string) bool { return s == m.Remove })
 		if m.Retire {
-			next.Retired = append(last(base.Retired, retiredMax-1), m.Remove)
+			next.Retired = append(lastN(base.Retired, retiredMax-1), m.Remove)
 		}
 	default:
 		return nil
@@ -112,15 +112,15 @@
 }
 
 // move decides on a change of the list when w is the newest word; its epoch is that of the round.
-func (c *Change) move(w *Word) (Verdict, *Word) {
-	e := &w.Electorate
-	if c.next.Epoch != e.Epoch+1 || e.Epoch > 0 && !slices.Equal(e.Voters, c.next.Former) {
-		if w.Electorate.Epoch == c.next.Epoch && slices.Equal(w.Electorate.Voters, c.next.Voters) {
-			return Taken, w
+func (c *Change) judgeMembership(w *Value) (Verdict, *Value) {
+	e := &w.Membership
+	if c.next.Epoch != e.Epoch+1 || e.Epoch > 0 && !slices.Equal(e.Voters, c.next.Previous) {
+		if w.Membership.Epoch == c.next.Epoch && slices.Equal(w.Membership.Voters, c.next.Voters) {
+			return Applied, w
 		}
-		return Lost, w
+		return Conflict, w
 	}
 	next := *w
-	next.Electorate = *c.next
-	return Taken, &next
+	next.Membership = *c.next
+	return Applied, &next
 }
--- /dev/null
+++ b/internal/mesh/control/consensus/message.go
@@ -0,0 +1,130 @@
+package consensus
+
+import (
+	"maps"
+	"slices"
+
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+// Kind is what a request asks for.
+type RequestKind uint8
+
+// Kinds of requests.
+const (
+	ReadVote RequestKind = 1 + iota // what was accepted
+	Prepare                         // a promise for Ballot
+	Accept                          // acceptance of Word under Ballot
+	Recover                         // what a replica that lost its disk Node needs, which starts Life
+	Describe                        // the voters' list; from any process that knows it
+	Commit                          // the news that what was accepted under Ballot is committed; no answer is needed
+)
+
+// Request is what a proposer, or a replica that lost its disk, asks.
+type Request struct {
+	Kind        RequestKind
+	Ballot      Ballot
+	Known       Ballot // the asker has the word of this ballot, and the answer need not hold it
+	Value       Value
+	Node        string
+	Incarnation uint64
+	Epoch       uint64 // of Ask, Prepare and Accept: the proposer's list
+}
+
+// Fields implements codec.Message.
+func (q *Request) Fields(v *codec.Visitor) {
+	kind := uint64(q.Kind)
+	v.Uint(1, &kind)
+	q.Kind = RequestKind(kind)
+	v.Message(2, &q.Ballot)
+	v.Message(3, &q.Known)
+	v.Message(4, &q.Value)
+	v.Text(5, &q.Node)
+	v.Uint(6, &q.Incarnation)
+	v.Uint(7, &q.Epoch)
+}
+
+// Outcome is how a request was answered.
+type ReplyKind uint8
+
+// Outcomes.
+const (
+	NotReady ReplyKind = iota // not a voter, or one that has to recover first
+	Reported                  // to Ask, Recover and Introduce
+	Promise
+	Accepted
+	Rejected   // Promised is higher; to Recover: a higher Life was seen
+	StaleEpoch // a newer epoch is decided: Membership
+)
+
+// Reply is the answer to a request. Ballot is that of the request, Promised and Vote are the voter's own. Membership is the
+// newest that the voter knows as decided; it is told where it matters.
+type Reply struct {
+	Kind         ReplyKind
+	Ballot       Ballot
+	Incarnation  uint64
+	Incarnations Incarnations
+	Promised     Ballot
+	Vote         Vote
+
+	Membership Membership
+	Ready      bool // to Introduce: may be made a voter
+	Blank      bool // Unfit because there was nothing on its disk at all
+}
+
+// Fields implements codec.Message.
+func (r *Reply) Fields(v *codec.Visitor) {
+	outcome := uint64(r.Kind)
+	v.Uint(1, &outcome)
+	r.Kind = ReplyKind(outcome)
+	v.Message(2, &r.Ballot)
+	v.Uint(3, &r.Incarnation)
+	r.Incarnations.fields(v)
+	v.Message(5, &r.Promised)
+	v.Message(6, &r.Vote)
+	v.Message(8, &r.Membership)
+	v.Bool(9, &r.Ready)
+	v.Bool(10, &r.Blank)
+}
+
+// Vote is a word that was accepted under a ballot. Learned was not accepted by the voter that has it, but learned from
+// another one by a voter that lost its disk: it may not be forgotten, and doesn't count towards a majority.
+type Vote struct {
+	Ballot  Ballot
+	Value   Value
+	Learned bool
+}
+
+// Fields implements codec.Message.
+func (o *Vote) Fields(v *codec.Visitor) {
+	v.Message(1, &o.Ballot)
+	v.Message(2, &o.Value)
+	v.Bool(3, &o.Learned)
+}
+
+// Lives are the lives of voters that lost their disks, by the newest that a voter was told.
+type Incarnations map[string]uint64
+
+type incarnation struct {
+	node string
+	n    uint64
+}
+
+func (l *incarnation) Fields(v *codec.Visitor) {
+	v.Text(1, &l.node)
+	v.Uint(2, &l.n)
+}
+
+func (l *Incarnations) fields(v *codec.Visitor) {
+	var list []incarnation
+	for _, node := range slices.Sorted(maps.Keys(*l)) {
+		list = append(list, incarnation{node, (*l)[node]})
+	}
+	codec.Messages(v, 4, &list)
+	if v.Reading() && len(list) > 0 {
+		*l = Incarnations{}
+		for _, one := range list {
+			(*l)[one.node] = one.n
+		}
+	}
+}
--- /dev/null
+++ b/internal/mesh/control/consensus/message_test.go
@@ -0,0 +1,51 @@
+package consensus
+
+import (
+	"testing"
+
+	"gingerlead/internal/mesh/transport/codec"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func TestWrittenIsRead(t *testing.T) {
+	c := qt.New(t)
+	mark := VersionDigest{7, Digest{1, 2, 31: 3}}
+	b := Ballot{3, "a#1"}
+	e := Membership{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
+	word := Value{7, []byte("body"), []VersionDigest{{1, Digest{}}, mark}, []VersionDigest{mark}, e}
+	q, q2 := Request{Accept, b, Ballot{2, "b"}, word, "x", 4, 5}, Request{}
+	c.Assert(codec.Read(codec.Write(nil, &q), &q2), qt.IsNil)
+	c.Assert(q2, qt.DeepEquals, q)
+	r, r2 := Reply{Rejected, b, 5, Incarnations{"x": 2, "y": 3}, b, Vote{b, word, true}, e, true, true}, Reply{}
+	c.Assert(codec.Read(codec.Write(nil, &r), &r2), qt.IsNil)
+	c.Assert(r2, qt.DeepEquals, r)
+	s, s2 := ReplicaState{e, true, 2, Incarnations{"y": 1}, b}, ReplicaState{}
+	c.Assert(codec.Read(codec.Write(nil, &s), &s2), qt.IsNil)
+	c.Assert(s2, qt.DeepEquals, s)
+}
+
+// A record written before voters could change has the list of the first start.
+func TestOldRecord(t *testing.T) {
+	c := qt.New(t)
+	old := oldStanding{[]string{"x", "y"}, true, 2, Incarnations{"y": 1}, Ballot{3, "a#1"}}
+	var s ReplicaState
+	c.Assert(codec.Read(codec.Write(nil, &old), &s), qt.IsNil)
+	c.Assert(s, qt.DeepEquals, ReplicaState{Membership{Voters: []string{"x", "y"}}, true, 2, Incarnations{"y": 1}, Ballot{3, "a#1"}})
+}
+
+type oldStanding struct {
+	voters   []string
+	fit      bool
+	life     uint64
+	lives    Incarnations
+	promised Ballot
+}
+
+func (s *oldStanding) Fields(v *codec.Visitor) {
+	v.Texts(1, &s.voters)
+	v.Bool(2, &s.fit)
+	v.Uint(3, &s.life)
+	s.lives.fields(v)
+	v.Message(5, &s.promised)
+}
--- a/internal/mesh/promptbook/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -1,4 +1,4 @@
-package promptbook
+package consensus
 
 import "slices"
 
@@ -7,13 +7,13 @@
 
 // States of a round.
 const (
-	Asking    State = iota // for what a majority accepted, without a ballot
-	Divided                // asking wasn't enough: there is no majority for one word. A round with a ballot is needed
-	Preparing              // waiting for promises
-	Accepting              // waiting until a majority accepted
-	Done                   // Word is committed, and Verdict holds
-	Outbid                 // a majority can't be had any more. Another round with a higher ballot is needed
-	Stale                  // a newer list of voters is decided: Newer. Another round under it is needed
+	Reading      State = iota // for what a majority accepted, without a ballot
+	Inconclusive              // asking wasn't enough: there is no majority for one word. A round with a ballot is needed
+	Preparing                 // waiting for promises
+	Accepting                 // waiting until a majority accepted
+	Done                      // Word is committed, and Verdict holds
+	Preempted                 // a majority can't be had any more. Another round with a higher ballot is needed
+	Stale                     // a newer list of voters is decided: Newer. Another round under it is needed
 )
 
 // Round is one proposer's attempt to learn the newest word, or to change it. Requests go to all voters; the replies come in
@@ -25,44 +25,44 @@
 // newer one was committed before the asking began: a majority would have accepted that under a higher ballot, and one of
 // them is among those asked. So a read writes nothing unless the votes differ; then it commits the newest word again under
 // a ballot of its own. The same holds for promises: with one ballot at a majority the word needs no further acceptance, and
-// a change that is taken already, or lost, is answered after one exchange. A hearsay vote doesn't count in this, as who has it
+// a change that is taken already, or lost, is answered after one exchange. A learned vote doesn't count in this, as who has it
 // may have promised a higher ballot before.
 type Round struct {
-	State   State
-	Verdict Verdict    // once Done
-	Word    Word       // once Done: the newest committed
-	Highest Ballot     // of all that were seen
-	Newer   Electorate // once Stale, or Done by a change of the voters
+	State           State
+	Verdict         Verdict    // once Done
+	Value           Value      // once Done: the newest committed
+	Highest         Ballot     // of all that were seen
+	NewerMembership Membership // once Stale, or Done by a change of the voters
 
-	electorate Electorate
+	membership Membership
 	joint      []string // the list of a word of the next epoch, whose majority is needed as well
 	ballot     Ballot
 	change     *Change
 	known      Vote
 	verdict    Verdict
-	word       Word // that is to be accepted
+	value      Value // that is to be accepted
 	replies    map[string]*Reply
 }
 
 // NewReading starts a round that only asks. Known is a vote whose word the asker has.
-func NewReading(e Electorate, known Vote) (*Round, *Request) {
-	r := &Round{State: Asking, electorate: e, known: known, replies: map[string]*Reply{}}
-	return r, &Request{Kind: Ask, Known: known.Ballot, Epoch: e.Epoch}
+func NewReadRound(e Membership, known Vote) (*Round, *Request) {
+	r := &Round{State: Reading, membership: e, known: known, replies: map[string]*Reply{}}
+	return r, &Request{Kind: ReadVote, Known: known.Ballot, Epoch: e.Epoch}
 }
 
 // NewRound starts a round under a ballot that was never used. Without a change it commits the newest word again.
-func NewRound(e Electorate, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
-	r := &Round{State: Preparing, electorate: e, ballot: ballot, change: change, known: known,
+func NewRound(e Membership, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
+	r := &Round{State: Preparing, membership: e, ballot: ballot, change: change, known: known,
 		replies: map[string]*Reply{}}
 	return r, &Request{Kind: Prepare, Ballot: ballot, Known: known.Ballot, Epoch: e.Epoch}
 }
 
-// Electorate is the list under which the round is played.
-func (r *Round) Electorate() Electorate { return r.electorate }
+// Membership is the list under which the round is played.
+func (r *Round) Membership() Membership { return r.membership }
 
 // Nodes are those to whom the round's requests go.
 func (r *Round) Nodes() []string {
-	nodes := slices.Clone(r.electorate.Voters)
+	nodes := slices.Clone(r.membership.Voters)
 	for _, v := range r.joint {
 		if !slices.Contains(nodes, v) {
 			nodes = append(nodes, v)
@@ -74,7 +74,7 @@
 func majority(n int) int { return n/2 + 1 }
 
 // most tells whether so many of a list are enough for a majority.
-func most(list []string, has func(node string) bool) bool {
+func hasMajority(list []string, has func(node string) bool) bool {
 	n := 0
 	for _, v := range list {
 		if has(v) {
@@ -85,30 +85,30 @@
 }
 
 // agreed tells whether replies hold majorities of all lists that are needed.
-func (r *Round) agreed(replies map[string]*Reply) bool {
+func (r *Round) hasQuorum(replies map[string]*Reply) bool {
 	has := func(node string) bool { return replies[node] != nil }
-	return most(r.electorate.Voters, has) && (r.joint == nil || most(r.joint, has))
+	return hasMajority(r.membership.Voters, has) && (r.joint == nil || hasMajority(r.joint, has))
 }
 
 // refused tells whether majorities of all lists can't be had any more.
 func (r *Round) refused() bool {
-	open := func(node string) bool { return r.replies[node] == nil || r.replies[node].Outcome != Nack }
-	return !most(r.electorate.Voters, open) || r.joint != nil && !most(r.joint, open)
+	open := func(node string) bool { return r.replies[node] == nil || r.replies[node].Kind != Rejected }
+	return !hasMajority(r.membership.Voters, open) || r.joint != nil && !hasMajority(r.joint, open)
 }
 
 // Over tells whether the round has ended.
 func (r *Round) Over() bool {
-	return r.State == Done || r.State == Outbid || r.State == Divided || r.State == Stale
+	return r.State == Done || r.State == Preempted || r.State == Inconclusive || r.State == Stale
 }
 
 // GiveUp ends the wait for further replies: a reading that has a majority's is Divided, and any other round Outbid.
 func (r *Round) GiveUp() {
 	switch {
 	case r.Over():
-	case r.State == Asking && r.agreed(r.valid()):
-		r.State = Divided
+	case r.State == Reading && r.hasQuorum(r.valid()):
+		r.State = Inconclusive
 	default:
-		r.State = Outbid
+		r.State = Preempted
 	}
 }
 
@@ -117,38 +117,38 @@
 
 // Step takes a voter's reply. What it returns, if anything, is to be sent to all Nodes.
 func (r *Round) Step(node string, reply *Reply) *Request {
-	want := map[State]Outcome{Asking: Told, Preparing: Promise, Accepting: Accepted}
+	want := map[State]ReplyKind{Reading: Reported, Preparing: Promise, Accepting: Accepted}
 	if r.Over() || reply.Ballot != r.ballot || r.replies[node] != nil || !slices.Contains(r.Nodes(), node) {
 		return nil
 	}
 	if reply.Promised.Compare(r.Highest) > 0 {
 		r.Highest = reply.Promised
 	}
-	switch reply.Outcome {
+	switch reply.Kind {
 	case want[r.State]:
-	case Outdated:
-		r.stale(reply.Electorate)
+	case StaleEpoch:
+		r.stale(reply.Membership)
 		return nil
-	case Nack:
-		if r.State == Asking {
+	case Rejected:
+		if r.State == Reading {
 			return nil
 		}
 	default:
 		return nil
 	}
 	r.replies[node] = reply
-	if reply.Outcome == Nack {
+	if reply.Kind == Rejected {
 		if r.refused() {
-			r.State = Outbid
+			r.State = Preempted
 		}
 		return nil
 	}
-	if e := &reply.Vote.Word.Electorate; e.Epoch > r.electorate.Epoch+1 {
-		r.stale(e.before())
+	if e := &reply.Vote.Value.Membership; e.Epoch > r.membership.Epoch+1 {
+		r.stale(e.previous())
 		return nil
 	}
 	valid := r.valid()
-	if !r.agreed(valid) {
+	if !r.hasQuorum(valid) {
 		return nil
 	}
 	if r.State == Accepting {
@@ -156,29 +156,29 @@
 		return nil
 	}
 	newest, committed := r.newest(valid)
-	epoch := newest.Word.Electorate.Epoch
+	epoch := newest.Value.Membership.Epoch
 	switch {
-	case epoch < r.electorate.Epoch:
-		r.State = Outbid // it can't be
+	case epoch < r.membership.Epoch:
+		r.State = Preempted // it can't be
 		return nil
-	case r.State == Asking && epoch > r.electorate.Epoch:
-		r.State = Divided
+	case r.State == Reading && epoch > r.membership.Epoch:
+		r.State = Inconclusive
 		return nil
-	case r.State == Asking && committed:
+	case r.State == Reading && committed:
 		r.done(newest)
 		return nil
-	case r.State == Asking:
-		if len(r.replies) == len(r.electorate.Voters) || !r.canAgree(valid) {
-			r.State = Divided
+	case r.State == Reading:
+		if len(r.replies) == len(r.membership.Voters) || !r.canAgree(valid) {
+			r.State = Inconclusive
 		}
 		return nil
-	case epoch > r.electorate.Epoch && !slices.Equal(r.joint, newest.Word.Electorate.Voters):
+	case epoch > r.membership.Epoch && !slices.Equal(r.joint, newest.Value.Membership.Voters):
 		// Its list has to promise, too. Who has answered answers again, and nothing else by it.
-		r.joint = newest.Word.Electorate.Voters
-		if !r.agreed(valid) {
-			return &Request{Kind: Prepare, Ballot: r.ballot, Known: r.known.Ballot, Epoch: r.electorate.Epoch}
+		r.joint = newest.Value.Membership.Voters
+		if !r.hasQuorum(valid) {
+			return &Request{Kind: Prepare, Ballot: r.ballot, Known: r.known.Ballot, Epoch: r.membership.Epoch}
 		}
-	case epoch == r.electorate.Epoch:
+	case epoch == r.membership.Epoch:
 		r.joint = nil
 	}
 	return r.propose(newest, committed)
@@ -186,16 +186,16 @@
 
 // propose goes on once there are all promises.
 func (r *Round) propose(newest Vote, committed bool) *Request {
-	r.word = newest.Word
+	r.value = newest.Value
 	if r.joint != nil {
 		r.change, committed = nil, false // the word stays as it is, until its list is in force
 	}
 	if r.change != nil {
-		verdict, next := r.change.judge(&newest.Word)
-		r.verdict, r.word = verdict, *next
-		committed = committed && next == &newest.Word
-		if next.Electorate.Epoch > r.electorate.Epoch {
-			r.joint = next.Electorate.Voters
+		verdict, next := r.change.judge(&newest.Value)
+		r.verdict, r.value = verdict, *next
+		committed = committed && next == &newest.Value
+		if next.Membership.Epoch > r.membership.Epoch {
+			r.joint = next.Membership.Voters
 		}
 	}
 	if committed {
@@ -203,38 +203,38 @@
 		return nil
 	}
 	r.State, r.replies = Accepting, map[string]*Reply{}
-	return &Request{Kind: Accept, Ballot: r.ballot, Word: r.word, Epoch: r.electorate.Epoch}
+	return &Request{Kind: Accept, Ballot: r.ballot, Value: r.value, Epoch: r.membership.Epoch}
 }
 
 // accepted ends a round whose word has its majorities.
 func (r *Round) accepted() {
-	vote := Vote{Ballot: r.ballot, Word: r.word}
+	vote := Vote{Ballot: r.ballot, Value: r.value}
 	if r.joint == nil {
 		r.done(vote)
 		return
 	}
-	if r.Newer = r.word.Electorate; r.change != nil {
+	if r.NewerMembership = r.value.Membership; r.change != nil {
 		r.done(vote)
 		return
 	}
 	r.State, r.known = Stale, vote
 }
 
-func (r *Round) stale(e Electorate) {
-	if e.Epoch > r.electorate.Epoch {
-		r.State, r.Newer = Stale, e
+func (r *Round) stale(e Membership) {
+	if e.Epoch > r.membership.Epoch {
+		r.State, r.NewerMembership = Stale, e
 	}
 }
 
-func (r *Round) done(v Vote) { r.State, r.Verdict, r.Word, r.known = Done, r.verdict, v.Word, v }
+func (r *Round) done(v Vote) { r.State, r.Verdict, r.Value, r.known = Done, r.verdict, v.Value, v }
 
 // valid are the replies that count: no other voter knows that the replier lost its disk since.
 func (r *Round) valid() map[string]*Reply {
 	valid := map[string]*Reply{}
 	for node, reply := range r.replies {
-		ok := reply.Outcome != Nack
+		ok := reply.Kind != Rejected
 		for _, other := range r.replies {
-			ok = ok && other.Lives[node] <= reply.Life
+			ok = ok && other.Incarnations[node] <= reply.Incarnation
 		}
 		if ok {
 			valid[node] = reply
@@ -252,16 +252,16 @@
 		}
 	}
 	if newest.Ballot == r.known.Ballot {
-		newest.Word = r.known.Word
+		newest.Value = r.known.Value
 	}
-	newest.Hearsay = false
-	return newest, r.holders(valid, newest.Ballot) >= majority(len(r.electorate.Voters))
+	newest.Learned = false
+	return newest, r.holders(valid, newest.Ballot) >= majority(len(r.membership.Voters))
 }
 
 func (r *Round) holders(valid map[string]*Reply, b Ballot) int {
 	n := 0
-	for _, v := range r.electorate.Voters {
-		if reply := valid[v]; reply != nil && reply.Vote.Ballot == b && !reply.Vote.Hearsay {
+	for _, v := range r.membership.Voters {
+		if reply := valid[v]; reply != nil && reply.Vote.Ballot == b && !reply.Vote.Learned {
 			n++
 		}
 	}
@@ -271,6 +271,6 @@
 // canAgree tells whether the replies that are still missing could make a majority for the newest word.
 func (r *Round) canAgree(valid map[string]*Reply) bool {
 	newest, _ := r.newest(valid)
-	n := len(r.electorate.Voters)
+	n := len(r.membership.Voters)
 	return r.holders(valid, newest.Ballot)+n-len(r.replies) >= majority(n)
 }
--- a/internal/mesh/promptbook/orders_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -1,4 +1,4 @@
-package promptbook
+package consensus
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 
 	qt "github.com/frankban/quicktest"
 )
@@ -23,7 +23,7 @@
 // record is on disk has lost the request, after that the reply.
 type world struct {
 	voters  []string // all who have a record; those of first vote at first
-	first   Electorate
+	first   Membership
 	moved   map[string]bool // voters that are not like the others
 	records []Record        // what is on disk
 	codes   []uint64        // of records
@@ -42,7 +42,7 @@
 	before   int // conclusions when the round began
 	n        uint64
 	heard    [8]uint64 // codes of the replies of this phase, by voter, and of the word that is to be accepted
-	known    Electorate
+	known    Membership
 }
 
 type message struct {
@@ -56,23 +56,23 @@
 	prop    int
 	before  int // conclusions when its round began
 	verdict Verdict
-	word    Word
+	word    Value
 	code    uint64
 }
 
 var seed = maphash.MakeSeed()
 
 // code tells what messages hold.
-func code(list ...script.Message) uint64 {
+func code(list ...codec.Message) uint64 {
 	var b []byte
 	for _, m := range list {
-		b = append(script.Write(b, m), 255)
+		b = append(codec.Write(b, m), 255)
 	}
 	return maphash.Bytes(seed, b)
 }
 
 func (w *world) record(v int, r Record) {
-	w.records[v], w.codes[v] = r, code(&r.Standing, &r.Vote)
+	w.records[v], w.codes[v] = r, code(&r.State, &r.Vote)
 }
 
 func newWorld(voters, losses int, attempts []int, changes ...*Change) *world {
@@ -92,14 +92,14 @@
 	for i, v := range w.voters {
 		w.record(i, FirstRecord(v, w.first.Voters))
 		if i >= voters {
-			w.record(i, FitRecord(w.first, Vote{}, 1))
+			w.record(i, ReadyRecord(w.first, Vote{}, 1))
 		}
 	}
 	for i, c := range changes {
 		w.props = append(w.props, proposer{change: c, attempts: attempts[i], known: w.first})
 		if c != nil && c.next != nil {
 			for _, v := range w.voters {
-				w.moved[v] = w.moved[v] || slices.Contains(c.next.Voters, v) != slices.Contains(c.next.Former, v)
+				w.moved[v] = w.moved[v] || slices.Contains(c.next.Voters, v) != slices.Contains(c.next.Previous, v)
 			}
 		}
 	}
@@ -152,12 +152,12 @@
 	if p.attempts--; p.round != nil {
 		p.n = max(p.n, p.round.Highest.N)
 	}
-	if p.round != nil && p.round.Newer.Epoch > p.known.Epoch {
-		p.known = p.round.Newer
+	if p.round != nil && p.round.NewerMembership.Epoch > p.known.Epoch {
+		p.known = p.round.NewerMembership
 	}
 	p.n++
 	var q *Request
-	if p.round, q = NewReading(p.known, Vote{}); p.change != nil || p.attempts%2 == 1 {
+	if p.round, q = NewReadRound(p.known, Vote{}); p.change != nil || p.attempts%2 == 1 {
 		p.round, q = NewRound(p.known, Ballot{p.n, fmt.Sprint("p", i)}, p.change, Vote{})
 	}
 	p.before, p.heard = len(w.ends), [8]uint64{}
@@ -168,7 +168,7 @@
 func (w *world) send(prop int, q *Request, to []string) {
 	for v, name := range w.voters {
 		if prop != -v-1 && slices.Contains(to, name) {
-			code := string(script.Write([]byte{byte(prop)}, q))
+			code := string(codec.Write([]byte{byte(prop)}, q))
 			w.flight = append(w.flight, message{prop, v, q, code})
 		}
 	}
@@ -219,16 +219,16 @@
 	}
 	if q != nil {
 		if q.Kind == Accept {
-			p.heard = [8]uint64{7: code(&r.word)}
+			p.heard = [8]uint64{7: code(&r.value)}
 		}
 		w.send(m.prop, q, r.Nodes())
 	}
 	switch {
 	case r.State == Done:
-		w.ends = append(w.ends, conclusion{m.prop, p.before, r.Verdict, r.Word, code(&r.Word)})
+		w.ends = append(w.ends, conclusion{m.prop, p.before, r.Verdict, r.Value, code(&r.Value)})
 	case r.State == Stale && r.Vote().Ballot == r.ballot:
-		word := r.Vote().Word
-		w.ends = append(w.ends, conclusion{m.prop, p.before, Unclear, word, code(&word)})
+		word := r.Vote().Value
+		w.ends = append(w.ends, conclusion{m.prop, p.before, Unknown, word, code(&word)})
 	}
 	return true
 }
@@ -269,7 +269,7 @@
 		maphash.WriteComparable(&h, [3]int{p.attempts, p.before, int(p.n)})
 		if p.round != nil {
 			maphash.WriteComparable(&h, p.heard[7])
-			maphash.WriteComparable(&h, [2]uint64{p.known.Epoch, p.round.Newer.Epoch})
+			maphash.WriteComparable(&h, [2]uint64{p.known.Epoch, p.round.NewerMembership.Epoch})
 			h.WriteString(strings.Join(p.round.joint, "+"))
 			maphash.WriteComparable(&h, [2]int{int(p.round.State), int(p.round.Highest.N)})
 		}
@@ -283,18 +283,18 @@
 }
 
 // extends tells whether b is a or was made from it.
-func extends(a, b *Word) bool {
-	return len(a.Past) <= len(b.Past) && slices.Equal(a.Past, b.Past[:len(a.Past)]) &&
-		a.Electorate.Epoch <= b.Electorate.Epoch &&
-		(a.Electorate.Epoch < b.Electorate.Epoch || slices.Equal(a.Electorate.Voters, b.Electorate.Voters))
+func extends(a, b *Value) bool {
+	return len(a.History) <= len(b.History) && slices.Equal(a.History, b.History[:len(a.History)]) &&
+		a.Membership.Epoch <= b.Membership.Epoch &&
+		(a.Membership.Epoch < b.Membership.Epoch || slices.Equal(a.Membership.Voters, b.Membership.Voters))
 }
 
-func (w *world) holds(word *Word, prop int) bool {
+func (w *world) holds(word *Value, prop int) bool {
 	c := w.props[prop].change
 	if c != nil && c.next != nil {
-		return word.Electorate.Epoch == c.next.Epoch && slices.Equal(word.Electorate.Voters, c.next.Voters)
+		return word.Membership.Epoch == c.next.Epoch && slices.Equal(word.Membership.Voters, c.next.Voters)
 	}
-	return c != nil && slices.Contains(word.Past, Past{uint64(c.Version), c.sum})
+	return c != nil && slices.Contains(word.History, VersionDigest{uint64(c.Version), c.digest})
 }
 
 // rivals tells whether no more than one of two changes may be acknowledged.
@@ -302,21 +302,21 @@
 	if a.next != nil && b.next != nil {
 		return a.next.Epoch == b.next.Epoch && !slices.Equal(a.next.Voters, b.next.Voters)
 	}
-	return a.next == nil && b.next == nil && a.Base == b.Base && a.sum != b.sum
+	return a.next == nil && b.next == nil && a.Base == b.Base && a.digest != b.digest
 }
 
 // fault is what is wrong with the world: two conclusions that don't fit, or a read, from any majority, that doesn't show what
 // was acknowledged or shows what was refused.
 func (w *world) fault() string {
 	for i, e := range w.ends {
-		if e.verdict == Taken && !w.holds(&e.word, e.prop) {
+		if e.verdict == Applied && !w.holds(&e.word, e.prop) {
 			return "acknowledged, and not in the word"
 		}
 		for j, o := range w.ends[:i] {
 			if !extends(&o.word, &e.word) && (j < e.before || !extends(&e.word, &o.word)) {
 				return "two conclusions don't fit"
 			}
-			if o.verdict == Taken && e.verdict == Taken && rivals(w.props[o.prop].change, w.props[e.prop].change) {
+			if o.verdict == Applied && e.verdict == Applied && rivals(w.props[o.prop].change, w.props[e.prop].change) {
 				return "two changes on a base were acknowledged"
 			}
 		}
@@ -329,7 +329,7 @@
 		if plain := len(w.voters) == len(w.first.Voters); n < len(w.first.Voters)/2 || plain && n != majority(len(w.voters)) {
 			continue
 		}
-		for _, word := range []*Word{w.read(set, false), w.read(set, true)} {
+		for _, word := range []*Value{w.read(set, false), w.read(set, true)} {
 			if word == nil {
 				continue
 			}
@@ -337,7 +337,7 @@
 				if !extends(&e.word, word) {
 					return "a read misses what was committed"
 				}
-				if e.verdict == Lost && w.holds(word, e.prop) {
+				if e.verdict == Conflict && w.holds(word, e.prop) {
 					return "a read shows what was refused"
 				}
 			}
@@ -348,11 +348,11 @@
 
 // read reads from a set of voters at once: with a ballot, or asking only. It leaves the world as it is. It starts with the first
 // list, and goes on with a newer one as a proposer would.
-func (w *world) read(set int, ballot bool) *Word {
+func (w *world) read(set int, ballot bool) *Value {
 	records := slices.Clone(w.records)
 	known := w.first
 	for n := uint64(1000); ; n++ {
-		r, q := NewReading(known, Vote{})
+		r, q := NewReadRound(known, Vote{})
 		if ballot {
 			r, q = NewRound(known, Ballot{n, "reader"}, nil, Vote{})
 		}
@@ -372,11 +372,11 @@
 		}
 		switch {
 		case r.State == Done:
-			return &r.Word
-		case r.State != Stale || r.Newer.Epoch <= known.Epoch:
+			return &r.Value
+		case r.State != Stale || r.NewerMembership.Epoch <= known.Epoch:
 			return nil
 		}
-		known = r.Newer
+		known = r.NewerMembership
 	}
 }
 
@@ -434,7 +434,7 @@
 }
 
 // list makes a list of voters v0, v1 and so on.
-func list(n int) (e Electorate) {
+func list(n int) (e Membership) {
 	for i := range n {
 		e.Voters = append(e.Voters, fmt.Sprint("v", i))
 	}
@@ -442,10 +442,10 @@
 }
 
 // follow makes further moves of a list.
-func follow(e Electorate, moves ...Move) *Change {
+func follow(e Membership, moves ...MembershipChange) *Change {
 	var c *Change
 	for _, m := range moves {
-		c = NewMove(e, m)
+		c = NewMembershipChange(e, m)
 		e = *c.next
 	}
 	return c
@@ -499,18 +499,18 @@
 	w.step(2 * at)
 }
 
-// hearsay is a world in which the disk that will be lost gets back a vote below what it promised.
-func hearsay() *world {
+// learned is a world in which the disk that will be lost gets back a vote below what it promised.
+func learned() *world {
 	w := newWorld(3, 1, []int{1, 1, 1}, one, two, nil).promised(0, 0, 1)
 	w.hear(0, 0)
 	return w.promised(1, 1, 2)
 }
 
 var (
-	addV3       = follow(list(3), Move{Add: "v3"})
-	addV4       = follow(list(3), Move{Add: "v3"}, Move{Add: "v4"})
-	dropV2      = follow(list(3), Move{Remove: "v2"})
-	addV3dropV0 = follow(list(3), Move{Add: "v3"}, Move{Remove: "v0"})
+	addV3       = follow(list(3), MembershipChange{Add: "v3"})
+	addV4       = follow(list(3), MembershipChange{Add: "v3"}, MembershipChange{Add: "v4"})
+	dropV2      = follow(list(3), MembershipChange{Remove: "v2"})
+	addV3dropV0 = follow(list(3), MembershipChange{Add: "v3"}, MembershipChange{Remove: "v0"})
 )
 
 // outOfDate is a world in which v3 was added and v0 removed, of which v0 and v1 know the half, or nothing: a proposer that only
@@ -525,7 +525,7 @@
 
 // comesBack is a world in which v3 was removed without hearing of it, and proposes with its old list.
 func comesBack() *world {
-	drop := follow(list(4), Move{Remove: "v3"})
+	drop := follow(list(4), MembershipChange{Remove: "v3"})
 	w := newLists(4, 4, 0, []int{1, 2, 1}, drop, one, two).played(0, 0, 1, 2).without()
 	w.props[2].known = *drop.next
 	return w
@@ -534,8 +534,8 @@
 // rivalList is a world in which one voter accepted a list that was not chosen, and a proposer saw that; then another list was
 // chosen without that voter, of which a majority meets no majority of the first one.
 func rivalList() *world {
-	drop := follow(list(4), Move{Remove: "v3"})
-	w := newLists(4, 5, 0, []int{1, 1, 1, 2}, follow(list(4), Move{Add: "v4"}), drop, one, two).promised(0, 1, 2)
+	drop := follow(list(4), MembershipChange{Remove: "v3"})
+	w := newLists(4, 5, 0, []int{1, 1, 1, 2}, follow(list(4), MembershipChange{Add: "v4"}), drop, one, two).promised(0, 1, 2)
 	w.hear(0, 3)
 	w.hear(0, 3)
 	w.props[3].n = 1
@@ -548,7 +548,7 @@
 
 // lostWhileAdded is a world in which a voter's disk may be lost when another is being added.
 func lostWhileAdded() *world {
-	w := newLists(3, 4, 1, []int{1, 1, 1}, follow(list(3), Move{Add: "v3"}), one, two)
+	w := newLists(3, 4, 1, []int{1, 1, 1}, follow(list(3), MembershipChange{Add: "v3"}), one, two)
 	w.propose(0)
 	w.hear(0, 0)
 	w.hear(0, 1)
@@ -564,7 +564,7 @@
 		"two changes on a base":     {newWorld(3, 0, []int{1, 1}, one, two), 100},
 		"one tries again":           {newWorld(3, 0, []int{2, 1}, one, two), 10},
 		"a lost disk":               {newWorld(3, 1, []int{1, 1}, one, two).promised(0, 0, 1), 9},
-		"a lost disk, and a reader": {hearsay(), 7},
+		"a lost disk, and a reader": {learned(), 7},
 
 		"a voter is added":               {newLists(3, 4, 0, []int{1, 1}, one, addV3), 8},
 		"a voter is removed":             {newLists(3, 3, 0, []int{1, 1}, one, dropV2), 9},
@@ -605,19 +605,19 @@
 		plays = 3000
 	}
 	many := []int{4, 4, 4, 4, 4}
-	drop := func(n int, node string) *Change { return follow(list(n), Move{Remove: node}) }
+	drop := func(n int, node string) *Change { return follow(list(n), MembershipChange{Remove: node}) }
 	for name, w := range map[string]*world{
 		"three become five":            newLists(3, 5, 0, many, one, addV3, addV4, two, three),
 		"three become five, a disk":    newLists(3, 5, 0, many, one, addV3, addV4, two, three).mayLose(0, 2),
 		"voters are exchanged":         newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three),
 		"voters are exchanged, a disk": newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
-		"rivals of four":               newLists(4, 5, 0, many, follow(list(4), Move{Add: "v4"}), drop(4, "v3"), one, two, three),
-		"rivals of four, a disk": newLists(4, 5, 0, many, follow(list(4), Move{Add: "v4"}), drop(4, "v3"), one, two, three).
+		"rivals of four":               newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three),
+		"rivals of four, a disk": newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three).
 			mayLose(0, 2),
-		"five become two": newLists(5, 5, 0, many, drop(5, "v4"), follow(list(5), Move{Remove: "v4"}, Move{Remove: "v3"}),
-			follow(list(5), Move{Remove: "v4"}, Move{Remove: "v3"}, Move{Remove: "v2"}), one, two),
-		"rivals grow and shrink": newLists(4, 6, 0, many, follow(list(4), Move{Add: "v4"}), drop(4, "v3"),
-			follow(list(4), Move{Add: "v4"}, Move{Add: "v5"}), follow(list(4), Move{Remove: "v3"}, Move{Remove: "v2"}), one),
+		"five become two": newLists(5, 5, 0, many, drop(5, "v4"), follow(list(5), MembershipChange{Remove: "v4"}, MembershipChange{Remove: "v3"}),
+			follow(list(5), MembershipChange{Remove: "v4"}, MembershipChange{Remove: "v3"}, MembershipChange{Remove: "v2"}), one, two),
+		"rivals grow and shrink": newLists(4, 6, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"),
+			follow(list(4), MembershipChange{Add: "v4"}, MembershipChange{Add: "v5"}), follow(list(4), MembershipChange{Remove: "v3"}, MembershipChange{Remove: "v2"}), one),
 	} {
 		t.Run(name, func(t *testing.T) {
 			ends, epochs := 0, map[uint64]int{}
@@ -632,7 +632,7 @@
 				ends += len(w.ends)
 				newest := uint64(0)
 				for _, e := range w.ends {
-					newest = max(newest, e.word.Electorate.Epoch)
+					newest = max(newest, e.word.Membership.Epoch)
 				}
 				epochs[newest]++
 			}
--- a/internal/mesh/promptbook/word.go
+++ b/internal/mesh/control/consensus/value.go
@@ -1,4 +1,4 @@
-// Package promptbook is the agreement of the core on the operator's word: one register, whose value only changes by
+// Package consensus is the agreement of the core on the operator's word: one register, whose value only changes by
 // proposals that read it first (CASPaxos). A few voters hold it, any process of the core may propose, and there is no
 // leader. Nothing here does I/O or knows the time.
 //
@@ -23,16 +23,16 @@
 //
 // # The voters, and lost disks
 //
-// See Electorate and Recovery.
-package promptbook
+// See Membership and Recovery.
+package consensus
 
 import (
 	"cmp"
 	"crypto/sha256"
 	"slices"
 
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Ballot orders attempts. No two attempts have the same one: Node names a proposer and its life, N grows within it.
@@ -46,65 +46,65 @@
 	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.Node, o.Node))
 }
 
-// Fields implements script.Message.
-func (b *Ballot) Fields(v *script.Visitor) {
+// Fields implements codec.Message.
+func (b *Ballot) Fields(v *codec.Visitor) {
 	v.Uint(1, &b.N)
 	v.Text(2, &b.Node)
 }
 
 // Sum is the SHA-256 of a body.
-type Sum = [sha256.Size]byte
+type Digest = [sha256.Size]byte
 
 // Past is a version that was in force, or still is.
-type Past struct {
+type VersionDigest struct {
 	Version uint64
-	Sum     Sum
+	Digest  Digest
 }
 
-// Fields implements script.Message.
-func (p *Past) Fields(v *script.Visitor) {
+// Fields implements codec.Message.
+func (p *VersionDigest) Fields(v *codec.Visitor) {
 	v.Uint(1, &p.Version)
-	sum := p.Sum[:]
+	sum := p.Digest[:]
 	v.Bytes(2, &sum)
 	if v.Reading() {
-		copy(p.Sum[:], sum)
+		copy(p.Digest[:], sum)
 	}
 }
 
 // pastMax is how many versions a word remembers, itself the last.
-const pastMax = 64
+const historyMax = 64
 
 // Word is what the operator said: the newest configuration, and the sums of those before it. The zero Word is that of an
 // empty register.
-type Word struct {
-	Version playbill.Version
+type Value struct {
+	Version configuration.Version
 	Body    []byte
-	Past    []Past // the last versions that were accepted, this one the last
-	Barred  []Past // changes that were refused although their base may still come
+	History []VersionDigest // the last versions that were accepted, this one the last
+	Refused []VersionDigest // changes that were refused although their base may still come
 
-	Electorate Electorate
+	Membership Membership
 }
 
-// Fields implements script.Message.
-func (w *Word) Fields(v *script.Visitor) {
+// Fields implements codec.Message.
+func (w *Value) Fields(v *codec.Visitor) {
 	v.Uint(1, (*uint64)(&w.Version))
 	v.Bytes(2, &w.Body)
-	script.Messages(v, 3, &w.Past)
-	script.Messages(v, 4, &w.Barred)
-	v.Message(5, &w.Electorate)
+	codec.Messages(v, 3, &w.History)
+	codec.Messages(v, 4, &w.Refused)
+	v.Message(5, &w.Membership)
 }
 
 // Change is what an operator wants: Body in place of version Base.
 type Change struct {
-	Base, Version playbill.Version
+	Base, Version configuration.Version
 	Body          []byte
-	sum           Sum
-	next          *Electorate // it is a change of the voters instead
+	digest        Digest
+	next          *Membership // it is a change of the voters instead
 }
 
 // NewChange makes a change.
-func NewChange(base, version playbill.Version, body []byte) *Change {
-	return &Change{Base: base, Version: version, Body: body, sum: sha256.Sum256(body)}
+func NewChange(base, version configuration.Version, body []byte) *Change {
+	return &Change{Base: base, Version: version, Body: body, digest: sha256.Sum256(body)}
 }
 
 // Verdict is what became of a change.
@@ -112,36 +112,36 @@
 
 // Verdicts. Unclear: the change may come in force later, or not.
 const (
-	Unclear Verdict = iota
-	Taken
-	Lost
+	Unknown Verdict = iota
+	Applied
+	Conflict
 )
 
 func (v Verdict) String() string { return [...]string{"unclear", "taken", "lost"}[v] }
 
 // judge decides on a change when w is the newest word, and tells the word that has to be committed before the verdict
 // holds: w itself, or another.
-func (c *Change) judge(w *Word) (Verdict, *Word) {
+func (c *Change) judge(w *Value) (Verdict, *Value) {
 	if c.next != nil {
-		return c.move(w)
+		return c.judgeMembership(w)
 	}
-	mark := Past{uint64(c.Version), c.sum}
+	mark := VersionDigest{uint64(c.Version), c.digest}
 	switch {
-	case slices.Contains(w.Past, mark):
-		return Taken, w
-	case slices.Contains(w.Barred, mark):
-		return Lost, w
+	case slices.Contains(w.History, mark):
+		return Applied, w
+	case slices.Contains(w.Refused, mark):
+		return Conflict, w
 	case c.Version <= w.Version || c.Base < w.Version || c.Version <= c.Base:
-		return Lost, w
+		return Conflict, w
 	case c.Base > w.Version:
 		next := *w
-		next.Barred = append(last(w.Barred, pastMax-1), mark)
-		return Lost, &next
+		next.Refused = append(lastN(w.Refused, historyMax-1), mark)
+		return Conflict, &next
 	}
-	next := Word{Version: c.Version, Body: c.Body, Barred: w.Barred, Electorate: w.Electorate}
-	next.Past = append(last(w.Past, pastMax-1), mark)
-	return Taken, &next
+	next := Value{Version: c.Version, Body: c.Body, Refused: w.Refused, Membership: w.Membership}
+	next.History = append(lastN(w.History, historyMax-1), mark)
+	return Applied, &next
 }
 
 // last copies the last n elements.
-func last[T any](list []T, n int) []T { return append([]T{}, list[max(0, len(list)-n):]...) }
+func lastN[T any](list []T, n int) []T { return append([]T{}, list[max(0, len(list)-n):]...) }
--- a/internal/mesh/prompter/prompter_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -1,4 +1,4 @@
-package prompter
+package controlplane
 
 import (
 	"context"
@@ -13,24 +13,24 @@
 	"testing/synctest"
 	"time"
 
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/promptbook"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/consensus"
 
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 )
 
-// core is a few desks in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
+// core is a few servers in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
 type core struct {
-	c     *qt.C
-	seeds []string
-	mu    sync.Mutex
-	desks map[string]*Desk
-	disks map[string]*memory
-	cut   map[string]bool
-	told  map[string][]playbill.Version // by OnCommit
-	bears int                           // losses; 0: the voters stay as they are
+	c       *qt.C
+	seeds   []string
+	mu      sync.Mutex
+	servers map[string]*Server
+	disks   map[string]*memory
+	cut     map[string]bool
+	told    map[string][]configuration.Version // by OnCommit
+	bears   int                                // losses; 0: the voters stay as they are
 
 	rng  *rand.Rand
 	late float64 // of requests and replies, at most
@@ -92,7 +92,7 @@
 
 func (l link) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
 	l.core.mu.Lock()
-	d := l.core.desks[node]
+	d := l.core.servers[node]
 	lost := d == nil || l.core.cut[node] || l.core.cut[l.from]
 	l.core.mu.Unlock()
 	if !lost && l.passes() {
@@ -115,11 +115,11 @@
 
 func node(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// play runs a test in a bubble, with n desks of which the first three are voters.
+// play runs a test in a bubble, with n servers of which the first three are voters.
 func play(t *testing.T, n int, test func(co *core, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
-		co := &core{c: qt.New(t), desks: map[string]*Desk{}, disks: map[string]*memory{}, cut: map[string]bool{},
-			told: map[string][]playbill.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)}}
+		co := &core{c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memory{}, cut: map[string]bool{},
+			told: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)}}
 		for i := range n {
 			co.start(i, true)
 		}
@@ -127,7 +127,7 @@
 		defer cancel()
 		defer func() {
 			for i := range 9 {
-				if co.desk(i) != nil {
+				if co.server(i) != nil {
 					co.stop(i)
 				}
 			}
@@ -152,26 +152,26 @@
 		cores = func() []string { return co.cores(self) }
 	}
 	d, err := Open(Options{Self: self, Seeds: co.seeds, Tolerated: co.bears, Cores: cores, InitialStart: first, Transport: link{co, self}, Log: log, Seed: 1,
-		OnCommit: func(w promptbook.Word) {
+		OnCommit: func(w consensus.Value) {
 			co.mu.Lock()
 			defer co.mu.Unlock()
 			co.told[self] = append(co.told[self], w.Version)
 		},
 		open: func(string) (disk, error) { return kept, nil }})
 	co.c.Assert(err, qt.IsNil)
-	co.desks[self] = d
+	co.servers[self] = d
 }
 
-// stop ends a desk as a kill would: what is on disk stays.
+// stop ends a server as a kill would: what is on disk stays.
 func (co *core) stop(i int) {
 	co.mu.Lock()
-	d := co.desks[node(i)]
-	delete(co.desks, node(i))
+	d := co.servers[node(i)]
+	delete(co.servers, node(i))
 	co.mu.Unlock()
 	d.Close()
 }
 
-func (co *core) desk(i int) *Desk { return co.desks[node(i)] }
+func (co *core) server(i int) *Server { return co.servers[node(i)] }
 
 func (co *core) isolate(i int, cut bool) {
 	co.mu.Lock()
@@ -179,45 +179,45 @@
 	co.cut[node(i)] = cut
 }
 
-func config(v playbill.Version, more string) []byte {
+func config(v configuration.Version, more string) []byte {
 	return []byte(fmt.Sprintf(`{"configVersion":"%v","routeTable":[],"x":%q}`, v, more))
 }
 
-func (co *core) replace(ctx context.Context, i int, base, v playbill.Version) Outcome {
-	return co.desk(i).Replace(ctx, base, config(v, "")).Outcome
+func (co *core) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
+	return co.server(i).Replace(ctx, base, config(v, "")).Outcome
 }
 
-func (co *core) newest(ctx context.Context, i int) playbill.Version {
-	w, err := co.desk(i).Newest(ctx)
+func (co *core) newest(ctx context.Context, i int) configuration.Version {
+	w, err := co.server(i).Newest(ctx)
 	co.c.Assert(err, qt.IsNil)
 	return w.Version
 }
 
 func TestChangesAreTakenOnce(t *testing.T) {
 	play(t, 4, func(co *core, ctx context.Context) {
-		co.c.Assert(co.newest(ctx, 3), qt.Equals, playbill.Version(0))
+		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(0))
 		for i, x := range []struct {
-			base, v playbill.Version
+			base, v configuration.Version
 			outcome Outcome
-		}{{0, 3, Taken}, {0, 3, Taken}, {0, 4, Lost}, {3, 3, Taken}, {3, 2, Lost}, {3, 4, Taken}, {3, 5, Lost}, {0, 3, Taken},
-			{9, 10, Lost}, {4, 10, Lost}, {4, 11, Taken}} {
+		}{{0, 3, Applied}, {0, 3, Applied}, {0, 4, Conflict}, {3, 3, Applied}, {3, 2, Conflict}, {3, 4, Applied}, {3, 5, Conflict}, {0, 3, Applied},
+			{9, 10, Conflict}, {4, 10, Conflict}, {4, 11, Applied}} {
 			co.c.Assert(co.replace(ctx, i%4, x.base, x.v), qt.Equals, x.outcome, qt.Commentf("%v", x))
 		}
-		co.c.Assert(co.desk(1).Replace(ctx, 11, config(11, "other")).Outcome, qt.Equals, Lost)
-		co.c.Assert(co.desk(1).Replace(ctx, 11, []byte("{")).Outcome, qt.Equals, Invalid)
-		co.c.Assert(co.newest(ctx, 3), qt.Equals, playbill.Version(11))
+		co.c.Assert(co.server(1).Replace(ctx, 11, config(11, "other")).Outcome, qt.Equals, Conflict)
+		co.c.Assert(co.server(1).Replace(ctx, 11, []byte("{")).Outcome, qt.Equals, Invalid)
+		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(11))
 		synctest.Wait()
 		for i := range 3 { // the voters hear of it
-			w, ok := co.desk(i).Committed()
+			w, ok := co.server(i).Committed()
 			co.c.Assert(ok && w.Version == 11, qt.IsTrue)
 		}
-		co.desk(2).Learn(promptbook.Word{Version: 7})
+		co.server(2).Learn(consensus.Value{Version: 7})
 		synctest.Wait()
-		co.c.Assert(co.told[node(2)][len(co.told[node(2)])-1], qt.Equals, playbill.Version(11))
+		co.c.Assert(co.told[node(2)][len(co.told[node(2)])-1], qt.Equals, configuration.Version(11))
 	})
 }
 
-// Of changes that are sent at the same time, on the same base, to all desks, one is taken, and no more when requests and
+// Of changes that are sent at the same time, on the same base, to all servers, one is taken, and no more when requests and
 // replies are late or lost.
 func TestOneOfManyWins(t *testing.T) {
 	for _, loss := range []float64{0, 0.2} {
@@ -233,21 +233,21 @@
 				var wg sync.WaitGroup
 				for i := range outcomes {
 					wg.Go(func() {
-						outcomes[i] = co.desk(i).Replace(short, base, config(base+1+playbill.Version(i%2), fmt.Sprint(i))).Outcome
+						outcomes[i] = co.server(i).Replace(short, base, config(base+1+configuration.Version(i%2), fmt.Sprint(i))).Outcome
 					})
 				}
 				wg.Wait()
 				cancel()
-				w, err := co.desk(3).Newest(ctx)
+				w, err := co.server(3).Newest(ctx)
 				co.c.Assert(err, qt.IsNil)
 				taken := 0
 				for i, o := range outcomes {
 					counts[o]++
 					in := strings.Contains(string(w.Body), fmt.Sprintf(`"x":"%d"`, i))
-					if o == Taken {
+					if o == Applied {
 						taken++
 					}
-					co.c.Assert(o == Taken && in || o == Lost && !in || o == Unclear, qt.IsTrue, qt.Commentf("%v %s", o, w.Body))
+					co.c.Assert(o == Applied && in || o == Conflict && !in || o == Unknown, qt.IsTrue, qt.Commentf("%v %s", o, w.Body))
 				}
 				co.c.Assert(taken == 1 || loss > 0 && taken == 0, qt.IsTrue)
 			}
@@ -275,26 +275,26 @@
 		t.Run(name, func(t *testing.T) {
 			play(t, 4, func(co *core, ctx context.Context) {
 				co.newest(ctx, 0)
-				time.Sleep(time.Second) // of the bubble's time: the first records are written, that of desk 3, too
+				time.Sleep(time.Second) // of the bubble's time: the first records are written, that of server 3, too
 				for _, m := range co.disks {
 					m.set(func() { m.slow = 50 * time.Millisecond })
 				}
 				began := time.Now()
-				co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Taken)
+				co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 				co.c.Assert(time.Since(began), qt.Equals, 100*time.Millisecond) // a promise and a vote
 				trouble.begin(co, 2, co.disks[node(2)])
-				co.c.Assert(co.replace(ctx, 3, 1, 2), qt.Equals, Taken)
-				co.c.Assert(co.newest(ctx, 3), qt.Equals, playbill.Version(2))
+				co.c.Assert(co.replace(ctx, 3, 1, 2), qt.Equals, Applied)
+				co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(2))
 
 				co.isolate(1, true)
 				short, cancel := context.WithTimeout(ctx, callTime)
-				co.c.Assert(co.replace(short, 3, 2, 3), qt.Equals, Unclear)
+				co.c.Assert(co.replace(short, 3, 2, 3), qt.Equals, Unknown)
 				cancel()
 				trouble.end(co, 2, co.disks[node(2)])
-				co.c.Assert(co.replace(ctx, 3, 2, 3), qt.Equals, Taken)
+				co.c.Assert(co.replace(ctx, 3, 2, 3), qt.Equals, Applied)
 				co.isolate(1, false)
 				co.isolate(0, true)
-				co.c.Assert(co.newest(ctx, 1), qt.Equals, playbill.Version(3))
+				co.c.Assert(co.newest(ctx, 1), qt.Equals, configuration.Version(3))
 			})
 		})
 	}
@@ -306,7 +306,7 @@
 		away, part := mode%2, []string{"", standingKey, voteKey}[mode/2]
 		play(t, 4, func(co *core, ctx context.Context) {
 			co.isolate(1-away, true)
-			co.c.Assert(co.replace(ctx, 3, 0, 5), qt.Equals, Taken) // by two voters, of whom one loses its disk
+			co.c.Assert(co.replace(ctx, 3, 0, 5), qt.Equals, Applied) // by two voters, of whom one loses its disk
 			co.isolate(1-away, false)
 			for i := range 4 {
 				co.stop(i)
@@ -315,35 +315,35 @@
 			if co.disks[node(2)].records[part] = []byte("spoilt"); part == "" {
 				co.disks[node(2)] = nil
 			}
-			co.told = map[string][]playbill.Version{}
+			co.told = map[string][]configuration.Version{}
 			for i := range 4 {
 				co.start(i, false)
 			}
 			time.Sleep(5 * time.Second) // of the bubble's time: long enough for all pauses
 			synctest.Wait()
 			for i := range 4 {
-				co.c.Assert(co.told[node(i)], qt.DeepEquals, []playbill.Version{5}, qt.Commentf("desk %d", i))
+				co.c.Assert(co.told[node(i)], qt.DeepEquals, []configuration.Version{5}, qt.Commentf("server %d", i))
 			}
 			co.isolate(away, true)
-			co.c.Assert(co.newest(ctx, 2), qt.Equals, playbill.Version(5))
-			co.c.Assert(co.replace(ctx, 2, 5, 6), qt.Equals, Taken)
+			co.c.Assert(co.newest(ctx, 2), qt.Equals, configuration.Version(5))
+			co.c.Assert(co.replace(ctx, 2, 5, 6), qt.Equals, Applied)
 		})
 	}
 }
 
-// An amnesiac doesn't vote while it can't read from both others.
+// A replica that lost its disk doesn't vote while it can't read from both others.
 func TestAmnesiacIsUnfit(t *testing.T) {
 	play(t, 3, func(co *core, ctx context.Context) {
-		co.c.Assert(co.replace(ctx, 0, 0, 5), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 0, 0, 5), qt.Equals, Applied)
 		co.stop(2)
 		co.disks[node(2)] = nil
 		co.isolate(0, true)
 		co.start(2, false)
 		short, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		co.c.Assert(co.replace(short, 1, 5, 6), qt.Equals, Unclear)
+		co.c.Assert(co.replace(short, 1, 5, 6), qt.Equals, Unknown)
 		co.isolate(0, false)
-		co.c.Assert(co.replace(ctx, 1, 5, 6), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 1, 5, 6), qt.Equals, Applied)
 	})
 }
 
@@ -353,17 +353,17 @@
 		co.stop(0)
 		co.seeds, co.disks[node(0)] = co.seeds[:1], nil
 		co.start(0, true)
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		m := co.disks[node(0)]
 		m.set(func() { m.fault, m.only, m.torn = io.ErrShortWrite, voteKey, true })
 		short, cancel := context.WithTimeout(ctx, callTime)
 		defer cancel()
-		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unclear)
+		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unknown)
 		m.set(func() { m.fault = nil })
-		co.c.Assert(co.newest(ctx, 0), qt.Equals, playbill.Version(2))
+		co.c.Assert(co.newest(ctx, 0), qt.Equals, configuration.Version(2))
 		co.stop(0)
 		co.start(0, false)
-		co.c.Assert(co.newest(ctx, 0), qt.Equals, playbill.Version(2))
+		co.c.Assert(co.newest(ctx, 0), qt.Equals, configuration.Version(2))
 	})
 }
 
@@ -373,20 +373,20 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	folder := t.TempDir()
-	for v := range playbill.Version(5) {
+	for v := range configuration.Version(5) {
 		d, err := Open(Options{Self: "a", Seeds: []string{"a"}, InitialStart: v == 0, Folder: folder, Transport: link{}, Log: log})
 		c.Assert(err, qt.IsNil)
 		w, err := d.Newest(t.Context())
 		c.Assert(err, qt.IsNil)
 		c.Assert(w.Version, qt.Equals, v)
-		c.Assert(d.Replace(t.Context(), v, config(v+1, "")).Outcome, qt.Equals, Taken)
+		c.Assert(d.Replace(t.Context(), v, config(v+1, "")).Outcome, qt.Equals, Applied)
 		d.Close()
 	}
 }
 
 func TestOperatorsCalls(t *testing.T) {
 	play(t, 3, func(co *core, ctx context.Context) {
-		h := co.desk(0).Handler()
+		h := co.server(0).Handler()
 		call := func(method, path, base string, body io.Reader) *httptest.ResponseRecorder {
 			r := httptest.NewRequest(method, path, body)
 			if base != "" {
--- a/internal/mesh/prompter/http.go
+++ b/internal/mesh/control/controlplane/http.go
@@ -1,4 +1,4 @@
-package prompter
+package controlplane
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"gingerlead/internal/mesh/playbill"
+	"gingerlead/internal/mesh/control/configuration"
 
 	"github.com/gravitational/trace"
 )
@@ -22,11 +22,11 @@
 // call is one of the operator's calls.
 type call struct {
 	pattern string
-	serve   func(d *Desk, w http.ResponseWriter, r *http.Request)
+	serve   func(d *Server, w http.ResponseWriter, r *http.Request)
 }
 
 // Handler serves the operator's calls.
-func (d *Desk) Handler() http.Handler {
+func (d *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, c := range []call{replaceCall, retrieveCall} {
 		mux.HandleFunc(c.pattern, func(w http.ResponseWriter, r *http.Request) { c.serve(d, w, r) })
@@ -34,43 +34,43 @@
 	return mux
 }
 
-var replaceCall = call{"POST /configuration/replace", (*Desk).serveReplace}
+var replaceCall = call{"POST /configuration/replace", (*Server).serveReplace}
 
-func (d *Desk) serveReplace(w http.ResponseWriter, r *http.Request) {
-	base, err := playbill.ParseVersion(r.Header.Get("Base-Version"))
+func (d *Server) serveReplace(w http.ResponseWriter, r *http.Request) {
+	base, err := configuration.ParseVersion(r.Header.Get("Base-Version"))
 	if err != nil {
-		tell(w, http.StatusBadRequest, trace.Wrap(err, "Base-Version"))
+		writeError(w, http.StatusBadRequest, trace.Wrap(err, "Base-Version"))
 		return
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMax))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		tell(w, http.StatusRequestEntityTooLarge, trace.LimitExceeded("the body: expected %d bytes at most", large.Limit))
+		writeError(w, http.StatusRequestEntityTooLarge, trace.LimitExceeded("the body: expected %d bytes at most", large.Limit))
 		return
 	case err != nil:
-		tell(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a link's fault, not the configuration's
+		writeError(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a link's fault, not the configuration's
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTime)
 	defer cancel()
 	v := d.Replace(ctx, base, raw)
 	d.o.Log.WithField("outcome", v.Outcome).WithField("base", base).WithField("reason", v.Reason).Info("configuration sent")
-	tell(w, map[Outcome]int{Taken: http.StatusOK, Lost: http.StatusPreconditionFailed, Invalid: http.StatusBadRequest,
-		Unclear: http.StatusServiceUnavailable}[v.Outcome], v.Reason)
+	writeError(w, map[Outcome]int{Applied: http.StatusOK, Conflict: http.StatusPreconditionFailed, Invalid: http.StatusBadRequest,
+		Unknown: http.StatusServiceUnavailable}[v.Outcome], v.Reason)
 }
 
-var retrieveCall = call{"GET /configuration/retrieve", (*Desk).serveRetrieve}
+var retrieveCall = call{"GET /configuration/retrieve", (*Server).serveRetrieve}
 
-func (d *Desk) serveRetrieve(w http.ResponseWriter, r *http.Request) {
+func (d *Server) serveRetrieve(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTime)
 	defer cancel()
 	word, err := d.Newest(ctx)
 	switch {
 	case err != nil:
-		tell(w, http.StatusServiceUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, err)
 	case word.Version == 0:
-		tell(w, http.StatusNotFound, trace.NotFound("no configuration was accepted yet"))
+		writeError(w, http.StatusNotFound, trace.NotFound("no configuration was accepted yet"))
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(word.Body) // who asked may have gone
@@ -78,7 +78,7 @@
 }
 
 // tell answers with a status and, if there is one, the reason.
-func tell(w http.ResponseWriter, status int, reason error) {
+func writeError(w http.ResponseWriter, status int, reason error) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryIn)
--- a/internal/mesh/prompter/steward.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -1,18 +1,18 @@
-package prompter
+package controlplane
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/promptbook"
+	"gingerlead/internal/mesh/control/consensus"
 
 	"github.com/gravitational/trace"
 )
 
 const (
-	attendEach = time.Second
-	moveTime   = 2 * time.Second // for one change of the voters
+	reconfigureInterval = time.Second
+	reconfigureTimeout  = 2 * time.Second // for one change of the voters
 )
 
 // presence is since when a core process is here, or away.
@@ -23,12 +23,12 @@
 
 // attend keeps up with the voters' list, and sees to it that there are enough voters. Every core process does: the first of
 // those that are there acts at once, the next ones only if the need stays, and two that act at once race.
-func (d *Desk) attend() {
-	tick := time.NewTicker(attendEach)
+func (d *Server) reconfigureLoop() {
+	tick := time.NewTicker(reconfigureInterval)
 	defer tick.Stop()
 	core := map[string]presence{}
 	var named []string // by any seeds so far
-	var need promptbook.Move
+	var need consensus.MembershipChange
 	var since time.Time
 	for {
 		select {
@@ -36,7 +36,7 @@
 		case <-d.ctx.Done():
 			return
 		}
-		d.keepUp()
+		d.followChanges()
 		if d.o.Cores == nil {
 			continue
 		}
@@ -51,18 +51,18 @@
 				named = append(named, s)
 			}
 		}
-		e := d.Electorate()
-		look(core, here, e.Voters, now)
-		move := promptbook.Steward(e, present(core, seeds, named, now), d.o.Tolerated)
+		e := d.Membership()
+		updatePresence(core, here, e.Voters, now)
+		move := consensus.PlanMembership(e, presenceList(core, seeds, named, now), d.o.Tolerated)
 		if move != need {
 			need, since = move, now
 		}
 		rank, _ := slices.BinarySearch(slices.Compact(here), d.o.Self)
-		if move == (promptbook.Move{}) || len(e.Voters) == 0 || now.Sub(since) < time.Duration(rank)*2*attendEach {
+		if move == (consensus.MembershipChange{}) || len(e.Voters) == 0 || now.Sub(since) < time.Duration(rank)*2*reconfigureInterval {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(d.ctx, moveTime)
-		if err := d.move(ctx, e, move); err != nil {
+		ctx, cancel := context.WithTimeout(d.ctx, reconfigureTimeout)
+		if err := d.changeMembership(ctx, e, move); err != nil {
 			d.o.Log.WithError(err).WithField("add", move.Add).WithField("remove", move.Remove).Warn("voters can't be changed")
 		}
 		cancel()
@@ -70,7 +70,7 @@
 }
 
 // look notes who is here and who isn't.
-func look(core map[string]presence, here, voters []string, now time.Time) {
+func updatePresence(core map[string]presence, here, voters []string, now time.Time) {
 	for _, node := range append(slices.Clone(here), voters...) {
 		if _, ok := core[node]; !ok {
 			core[node] = presence{since: now}
@@ -87,18 +87,18 @@
 	}
 }
 
-func present(core map[string]presence, seeds, named []string, now time.Time) (list []promptbook.Presence) {
+func presenceList(core map[string]presence, seeds, named []string, now time.Time) (list []consensus.Presence) {
 	for node, p := range core {
-		list = append(list, promptbook.Presence{Node: node, Here: p.here, For: now.Sub(p.since),
+		list = append(list, consensus.Presence{Node: node, Alive: p.here, For: now.Sub(p.since),
 			Dropped: slices.Contains(named, node) && !slices.Contains(seeds, node)})
 	}
 	return list
 }
 
 // keepUp writes down the newest list, and asks one peer whether it knows a newer one.
-func (d *Desk) keepUp() {
+func (d *Server) followChanges() {
 	d.mu.Lock()
-	e, behind := d.voters, d.voters.Epoch > d.kept && d.fit
+	e, behind := d.voters, d.voters.Epoch > d.kept && d.ready
 	i := int(d.rng.Uint32())
 	d.mu.Unlock()
 	if behind {
@@ -110,33 +110,33 @@
 	if len(peers) == 0 || len(e.Voters) == 0 {
 		return
 	}
-	answers := d.broadcast([]string{peers[i%len(peers)]}, &promptbook.Request{Kind: promptbook.Introduce})
+	answers := d.broadcast([]string{peers[i%len(peers)]}, &consensus.Request{Kind: consensus.Describe})
 	go func() {
 		if a := <-answers; a.reply != nil {
-			d.setVoters(a.reply.Electorate)
+			d.adoptMembership(a.reply.Membership)
 		}
 	}()
 }
 
 // Seeds tells that the operator's settings name other seeds now.
-func (d *Desk) Seeds(seeds []string) {
+func (d *Server) Seeds(seeds []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seeds = slices.Clone(seeds)
 }
 
 // move changes the voters by one.
-func (d *Desk) move(ctx context.Context, e promptbook.Electorate, m promptbook.Move) error {
+func (d *Server) changeMembership(ctx context.Context, e consensus.Membership, m consensus.MembershipChange) error {
 	if m.Add != "" {
-		reply, err := d.introduction(ctx, m.Add)
+		reply, err := d.describe(ctx, m.Add)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if !reply.Fit {
+		if !reply.Ready {
 			return trace.CompareFailed("%s isn't ready to vote", m.Add)
 		}
 	}
-	change := promptbook.NewMove(e, m)
+	change := consensus.NewMembershipChange(e, m)
 	if change == nil {
 		return nil
 	}
@@ -144,15 +144,15 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if r.Verdict != promptbook.Taken {
+	if r.Verdict != consensus.Applied {
 		return trace.CompareFailed("the voters have changed")
 	}
 	return nil
 }
 
-func (d *Desk) introduction(ctx context.Context, node string) (*promptbook.Reply, error) {
+func (d *Server) describe(ctx context.Context, node string) (*consensus.Reply, error) {
 	select {
-	case a := <-d.broadcast([]string{node}, &promptbook.Request{Kind: promptbook.Introduce}):
+	case a := <-d.broadcast([]string{node}, &consensus.Request{Kind: consensus.Describe}):
 		if a.reply != nil {
 			return a.reply, nil
 		}
@@ -163,28 +163,28 @@
 }
 
 // Add makes a core process a voter.
-func (d *Desk) Add(ctx context.Context, node string) error {
-	return trace.Wrap(d.insist(ctx, promptbook.Move{Add: node}, func(e promptbook.Electorate) bool { return e.Has(node) }))
+func (d *Server) Add(ctx context.Context, node string) error {
+	return trace.Wrap(d.applyMembershipChange(ctx, consensus.MembershipChange{Add: node}, func(e consensus.Membership) bool { return e.Has(node) }))
 }
 
 // Retire takes a voter out for good, unless it is added by Add again. Another takes its place in a while, if there is one.
-func (d *Desk) Retire(ctx context.Context, node string) error {
-	return trace.Wrap(d.insist(ctx, promptbook.Move{Remove: node, Retire: true},
-		func(e promptbook.Electorate) bool { return !e.Has(node) }))
+func (d *Server) Retire(ctx context.Context, node string) error {
+	return trace.Wrap(d.applyMembershipChange(ctx, consensus.MembershipChange{Remove: node, Retire: true},
+		func(e consensus.Membership) bool { return !e.Has(node) }))
 }
 
 // insist makes a move again, on the newest list, until it is made.
-func (d *Desk) insist(ctx context.Context, m promptbook.Move, made func(promptbook.Electorate) bool) error {
+func (d *Server) applyMembershipChange(ctx context.Context, m consensus.MembershipChange, made func(consensus.Membership) bool) error {
 	pause := pauseMin
 	for {
 		if _, err := d.Newest(ctx); err != nil {
 			return trace.Wrap(err)
 		}
-		e := d.Electorate()
+		e := d.Membership()
 		if made(e) {
 			return nil
 		}
-		err := d.move(ctx, e, m)
+		err := d.changeMembership(ctx, e, m)
 		if ctx.Err() != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/mesh/prompter/steward_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -1,4 +1,4 @@
-package prompter
+package controlplane
 
 import (
 	"context"
@@ -7,18 +7,18 @@
 	"testing/synctest"
 	"time"
 
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/promptbook"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/transport/codec"
 
 	qt "github.com/frankban/quicktest"
 )
 
-// cores are the desks that one of them can reach.
+// cores are the servers that one of them can reach.
 func (co *core) cores(self string) (list []string) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	for node := range co.desks {
+	for node := range co.servers {
 		if !co.cut[node] && !co.cut[self] {
 			list = append(list, node)
 		}
@@ -26,7 +26,7 @@
 	return list
 }
 
-// grown runs a test with n desks that bear f losses, once there are so many voters.
+// grown runs a test with n servers that bear f losses, once there are so many voters.
 func grown(t *testing.T, n, f, voters int, test func(co *core, ctx context.Context)) {
 	play(t, 0, func(co *core, ctx context.Context) {
 		co.bears = f
@@ -38,9 +38,9 @@
 	})
 }
 
-// everyone tells whether all desks know of so many voters.
+// everyone tells whether all servers know of so many voters.
 func (co *core) everyone(voters int) bool {
-	for _, d := range co.desks {
+	for _, d := range co.servers {
 		if len(d.Voters()) != voters {
 			return false
 		}
@@ -73,7 +73,7 @@
 						co.isolate(i, true)
 					}
 				}
-				co.c.Assert(co.replace(ctx, lost[0], 0, 5), qt.Equals, Taken)
+				co.c.Assert(co.replace(ctx, lost[0], 0, 5), qt.Equals, Applied)
 				for _, i := range lost {
 					co.lose(i)
 				}
@@ -87,8 +87,8 @@
 					}
 					at = lost[1]
 				}
-				co.c.Assert(co.newest(ctx, at), qt.Equals, playbill.Version(5))
-				co.c.Assert(co.replace(ctx, at, 5, 6), qt.Equals, Taken)
+				co.c.Assert(co.newest(ctx, at), qt.Equals, configuration.Version(5))
+				co.c.Assert(co.replace(ctx, at, 5, 6), qt.Equals, Applied)
 				if dead {
 					for _, i := range lost {
 						co.start(i, false)
@@ -97,17 +97,17 @@
 				time.Sleep(5 * time.Second) // they recover
 				co.isolate(away[0], true)
 				co.isolate(away[1], true)
-				co.c.Assert(co.newest(ctx, lost[0]), qt.Equals, playbill.Version(6))
-				co.c.Assert(co.replace(ctx, lost[1], 6, 7), qt.Equals, Taken)
+				co.c.Assert(co.newest(ctx, lost[0]), qt.Equals, configuration.Version(6))
+				co.c.Assert(co.replace(ctx, lost[1], 6, 7), qt.Equals, Applied)
 			})
 		}
 	}
 }
 
-// All disks but those of two survive when every desk is killed right after an acknowledgement.
+// All disks but those of two survive when every server is killed right after an acknowledgement.
 func TestAllAreKilledAndTwoDisksLost(t *testing.T) {
 	grown(t, 5, 2, 5, func(co *core, ctx context.Context) {
-		co.c.Assert(co.replace(ctx, 1, 0, 5), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 1, 0, 5), qt.Equals, Applied)
 		for i := range 5 {
 			co.stop(i)
 		}
@@ -115,8 +115,8 @@
 		for i := range 5 {
 			co.start(i, false)
 		}
-		co.c.Assert(co.newest(ctx, 1), qt.Equals, playbill.Version(5))
-		co.c.Assert(co.replace(ctx, 2, 5, 6), qt.Equals, Taken)
+		co.c.Assert(co.newest(ctx, 1), qt.Equals, configuration.Version(5))
+		co.c.Assert(co.replace(ctx, 2, 5, 6), qt.Equals, Applied)
 		co.c.Assert(co.everyone(5), qt.IsTrue)
 	})
 }
@@ -128,17 +128,17 @@
 		for i := range 5 {
 			co.start(i, true)
 		}
-		base, unclear := playbill.Version(0), 0
+		base, unclear := configuration.Version(0), 0
 		began := time.Now()
-		for v := playbill.Version(1); time.Since(began) < 20*time.Second; v++ {
+		for v := configuration.Version(1); time.Since(began) < 20*time.Second; v++ {
 			short, cancel := context.WithTimeout(ctx, callTime)
-			o := co.desk(int(v)%5).Replace(short, base, config(v, "")).Outcome
+			o := co.server(int(v)%5).Replace(short, base, config(v, "")).Outcome
 			cancel()
-			co.c.Assert(o == Taken || o == Unclear, qt.IsTrue, qt.Commentf("%v on %v: %v", v, base, o))
+			co.c.Assert(o == Applied || o == Unknown, qt.IsTrue, qt.Commentf("%v on %v: %v", v, base, o))
 			if newest := co.newest(ctx, int(v+1)%5); newest == v {
 				base = v
 			} else {
-				co.c.Assert(o, qt.Equals, Unclear)
+				co.c.Assert(o, qt.Equals, Unknown)
 				co.c.Assert(newest, qt.Equals, base)
 				unclear++
 			}
@@ -156,30 +156,30 @@
 // and isn't taken in again. Added again, it votes.
 func TestRetiredComesBack(t *testing.T) {
 	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
-		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 		co.stop(0)
-		co.c.Assert(co.desk(1).Retire(ctx, node(0)), qt.IsNil)
+		co.c.Assert(co.server(1).Retire(ctx, node(0)), qt.IsNil)
 		co.await(10*time.Second, func() bool { return co.everyone(3) })
-		co.c.Assert(slices.Contains(co.desk(1).Voters(), node(3)), qt.IsTrue)
-		co.c.Assert(co.replace(ctx, 1, 1, 2), qt.Equals, Taken)
+		co.c.Assert(slices.Contains(co.server(1).Voters(), node(3)), qt.IsTrue)
+		co.c.Assert(co.replace(ctx, 1, 1, 2), qt.Equals, Applied)
 		time.Sleep(3 * time.Hour)
 		co.seeds = []string{node(0), node(1), node(2)}
 		co.start(0, false)
 		co.isolate(3, true) // of the old voters all are here, of the new ones two
-		co.c.Assert(co.replace(ctx, 0, 1, 3), qt.Equals, Lost)
-		co.c.Assert(co.newest(ctx, 0), qt.Equals, playbill.Version(2))
+		co.c.Assert(co.replace(ctx, 0, 1, 3), qt.Equals, Conflict)
+		co.c.Assert(co.newest(ctx, 0), qt.Equals, configuration.Version(2))
 		co.isolate(3, false)
 		time.Sleep(10 * time.Second)
-		co.c.Assert(slices.Contains(co.desk(0).Voters(), node(0)), qt.IsFalse)
-		co.c.Assert(co.desk(0).Voters(), qt.DeepEquals, co.desk(1).Voters())
-		reply, err := co.desk(0).serve(ctx, &promptbook.Request{Kind: promptbook.Prepare, Ballot: promptbook.Ballot{N: 99, Node: "x"}})
+		co.c.Assert(slices.Contains(co.server(0).Voters(), node(0)), qt.IsFalse)
+		co.c.Assert(co.server(0).Voters(), qt.DeepEquals, co.server(1).Voters())
+		reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: consensus.Prepare, Ballot: consensus.Ballot{N: 99, Node: "x"}})
 		co.c.Assert(err, qt.IsNil)
-		co.c.Assert(reply.Outcome, qt.Equals, promptbook.Outdated)
+		co.c.Assert(reply.Kind, qt.Equals, consensus.StaleEpoch)
 
-		co.c.Assert(co.desk(1).Add(ctx, node(0)), qt.IsNil)
+		co.c.Assert(co.server(1).Add(ctx, node(0)), qt.IsNil)
 		co.isolate(2, true)
-		co.c.Assert(co.replace(ctx, 0, 2, 4), qt.Equals, Taken)
-		co.c.Assert(co.newest(ctx, 3), qt.Equals, playbill.Version(4))
+		co.c.Assert(co.replace(ctx, 0, 2, 4), qt.Equals, Applied)
+		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(4))
 	})
 }
 
@@ -188,26 +188,26 @@
 	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
 		co.lose(0)
 		time.Sleep(50 * time.Minute)
-		co.c.Assert(slices.Contains(co.desk(1).Voters(), node(0)), qt.IsTrue)
-		co.await(20*time.Minute, func() bool { return !slices.Contains(co.desk(1).Voters(), node(0)) })
-		co.c.Assert(len(co.desk(1).Voters()), qt.Equals, 3)
-		co.c.Assert(co.replace(ctx, 3, 0, 1), qt.Equals, Taken)
+		co.c.Assert(slices.Contains(co.server(1).Voters(), node(0)), qt.IsTrue)
+		co.await(20*time.Minute, func() bool { return !slices.Contains(co.server(1).Voters(), node(0)) })
+		co.c.Assert(len(co.server(1).Voters()), qt.Equals, 3)
+		co.c.Assert(co.replace(ctx, 3, 0, 1), qt.Equals, Applied)
 		co.start(0, false)
 		time.Sleep(10 * time.Second)
-		co.c.Assert(co.newest(ctx, 0), qt.Equals, playbill.Version(1))
-		co.c.Assert(len(co.desk(0).Voters()), qt.Equals, 3)
+		co.c.Assert(co.newest(ctx, 0), qt.Equals, configuration.Version(1))
+		co.c.Assert(len(co.server(0).Voters()), qt.Equals, 3)
 	})
 }
 
 // Core machines are exchanged one by one, until no first voter is left; the seeds still name the first ones.
 func TestExchangedOneByOne(t *testing.T) {
 	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
-		version := playbill.Version(0)
+		version := configuration.Version(0)
 		for i := range 3 {
-			co.c.Assert(co.desk(3).Retire(ctx, node(i)), qt.IsNil)
+			co.c.Assert(co.server(3).Retire(ctx, node(i)), qt.IsNil)
 			co.await(10*time.Second, func() bool { return co.everyone(3) })
 			co.stop(i)
-			co.c.Assert(co.replace(ctx, 3, version, version+1), qt.Equals, Taken)
+			co.c.Assert(co.replace(ctx, 3, version, version+1), qt.Equals, Applied)
 			version++
 			if i < 2 {
 				co.start(4+i, false) // an empty machine
@@ -235,21 +235,21 @@
 		for i := 1; i < 3; i++ {
 			co.start(i, false)
 		}
-		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 	})
 }
 
 // With anything accepted, or an answer missing, blank voters wait.
 func TestBlankVotersWait(t *testing.T) {
 	play(t, 3, func(co *core, ctx context.Context) {
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
 			co.start(i, false)
 		}
 		short, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unclear)
+		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unknown)
 	})
 	play(t, 3, func(co *core, ctx context.Context) {
 		co.newest(ctx, 0)
@@ -259,9 +259,9 @@
 		co.start(1, false)
 		short, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		co.c.Assert(co.replace(short, 0, 0, 1), qt.Equals, Unclear)
+		co.c.Assert(co.replace(short, 0, 0, 1), qt.Equals, Unknown)
 		co.start(2, false)
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Taken)
+		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 	})
 }
 
@@ -269,21 +269,21 @@
 func TestFolderOfTheVersionBefore(t *testing.T) {
 	play(t, 0, func(co *core, ctx context.Context) {
 		co.bears = 2
-		vote := promptbook.Vote{Ballot: promptbook.Ballot{N: 7, Node: "x"}, Word: promptbook.Word{Version: 5, Body: config(5, ""),
-			Past: []promptbook.Past{{Version: 5}}}}
+		vote := consensus.Vote{Ballot: consensus.Ballot{N: 7, Node: "x"}, Value: consensus.Value{Version: 5, Body: config(5, ""),
+			History: []consensus.VersionDigest{{Version: 5}}}}
 		for i := range 5 {
 			old := oldStanding{voters: co.seeds, fit: i < 3, life: 1}
-			m := &memory{records: map[string][]byte{standingKey: script.Write(nil, &old)}}
+			m := &memory{records: map[string][]byte{standingKey: codec.Write(nil, &old)}}
 			if i < 2 {
-				m.records[voteKey] = script.Write(nil, &vote)
+				m.records[voteKey] = codec.Write(nil, &vote)
 			}
 			co.disks[node(i)] = m
 			co.start(i, false)
 		}
-		co.c.Assert(co.newest(ctx, 4), qt.Equals, playbill.Version(5))
-		co.c.Assert(co.replace(ctx, 4, 5, 6), qt.Equals, Taken)
+		co.c.Assert(co.newest(ctx, 4), qt.Equals, configuration.Version(5))
+		co.c.Assert(co.replace(ctx, 4, 5, 6), qt.Equals, Applied)
 		co.await(10*time.Second, func() bool { return co.everyone(5) })
-		co.c.Assert(co.desk(0).Electorate().Epoch, qt.Equals, uint64(2))
+		co.c.Assert(co.server(0).Membership().Epoch, qt.Equals, uint64(2))
 		synctest.Wait()
 	})
 }
@@ -295,7 +295,7 @@
 	life   uint64
 }
 
-func (s *oldStanding) Fields(v *script.Visitor) {
+func (s *oldStanding) Fields(v *codec.Visitor) {
 	v.Texts(1, &s.voters)
 	v.Bool(2, &s.fit)
 	v.Uint(3, &s.life)
--- a/internal/mesh/prompter/keeper.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -1,13 +1,13 @@
-package prompter
+package controlplane
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/promptbook"
-	"gingerlead/internal/mesh/script"
-	"gingerlead/internal/mesh/trunk"
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/control/storage"
+	"gingerlead/internal/mesh/transport/codec"
 
 	"github.com/gravitational/trace"
 )
@@ -19,8 +19,8 @@
 	Close() error
 }
 
-func openTrunk(folder string) (disk, error) {
-	t, err := trunk.Open(folder)
+func openStorage(folder string) (disk, error) {
+	t, err := storage.Open(folder)
 	return t, trace.Wrap(err)
 }
 
@@ -30,23 +30,23 @@
 	voteKey     = "vote"
 )
 
-// job is something for the keeper: a request, a record that an amnesiac got back or with which a process gets fit to vote, or
+// job is something for the keeper: a request, a record that a replica that lost its disk got back or with which a process gets fit to vote, or
 // a list of voters that is decided.
 type job struct {
 	ctx     context.Context
-	request *promptbook.Request
-	record  *promptbook.Record
-	decided *promptbook.Electorate
+	request *consensus.Request
+	record  *consensus.Record
+	decided *consensus.Membership
 	done    chan result
 }
 
 type result struct {
-	reply *promptbook.Reply
+	reply *consensus.Reply
 	err   error
 }
 
 // do hands a job to the keeper and waits for it.
-func (d *Desk) do(ctx context.Context, j *job) (*promptbook.Reply, error) {
+func (d *Server) do(ctx context.Context, j *job) (*consensus.Reply, error) {
 	j.ctx, j.done = ctx, make(chan result, 1)
 	select {
 	case d.jobs <- j:
@@ -69,17 +69,17 @@
 // failed the disk may hold the old part or the new one. To go on with the old one in memory would be wrong: if the voter
 // promised a higher ballot without telling of a vote that is on disk, and found that vote at its next start, a reader
 // could take it for committed. So both parts are read again, and written again, before anything else is answered.
-type keeper struct {
-	d      *Desk
-	disk   disk
-	loaded bool // record is what is on disk
-	record promptbook.Record
-	lost   bool   // it must not vote: an amnesiac, or one that never voted
-	blank  bool   // when it was lost there was nothing on the disk
-	life   uint64 // of the attempt to recover
+type replica struct {
+	d           *Server
+	disk        disk
+	loaded      bool // record is what is on disk
+	record      consensus.Record
+	lost        bool   // it must not vote: a replica that lost its disk, or one that never voted
+	blank       bool   // when it was lost there was nothing on the disk
+	incarnation uint64 // of the attempt to recover
 }
 
-func (k *keeper) run() {
+func (k *replica) run() {
 	defer func() {
 		if k.disk != nil {
 			_ = k.disk.Close() // all that counts was written through
@@ -108,7 +108,7 @@
 	}
 }
 
-func (k *keeper) handle(j *job) (*promptbook.Reply, error) {
+func (k *replica) handle(j *job) (*consensus.Reply, error) {
 	if !k.loaded {
 		if err := k.load(); err != nil {
 			return nil, trace.Wrap(err)
@@ -130,100 +130,100 @@
 		if k.lost || !changed.Any() {
 			return nil, nil
 		}
-		return nil, trace.Wrap(k.keep(next, changed))
+		return nil, trace.Wrap(k.persist(next, changed))
 	}
 	if k.lost {
-		return &promptbook.Reply{Outcome: promptbook.Unfit, Ballot: j.request.Ballot, Blank: k.blank, Life: k.life}, nil
+		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, Blank: k.blank, Incarnation: k.incarnation}, nil
 	}
-	if j.request.Kind == promptbook.Commit {
+	if j.request.Kind == consensus.Commit {
 		if v := k.record.Vote; v.Ballot == j.request.Ballot {
 			k.d.learn(v)
-			next, changed := k.record.Learn(v.Word.Electorate)
-			if err := k.keep(next, changed); err != nil {
+			next, changed := k.record.Learn(v.Value.Membership)
+			if err := k.persist(next, changed); err != nil {
 				return nil, trace.Wrap(err)
 			}
 		}
-		return &promptbook.Reply{Outcome: promptbook.Told}, nil
+		return &consensus.Reply{Kind: consensus.Reported}, nil
 	}
 	reply, next, changed := k.record.Handle(j.request)
-	if err := k.keep(next, changed); err != nil {
+	if err := k.persist(next, changed); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &reply, nil
 }
 
 // keep writes what changed of a record, and goes on with it.
-func (k *keeper) keep(next promptbook.Record, changed promptbook.Changed) error {
+func (k *replica) persist(next consensus.Record, changed consensus.Changed) error {
 	if !changed.Any() {
 		return nil
 	}
 	if err := k.save(&next, changed); err != nil {
 		return trace.Wrap(err)
 	}
-	k.hold(next)
+	k.setRecord(next)
 	return nil
 }
 
 // hold goes on with a record that is on disk.
-func (k *keeper) hold(r promptbook.Record) {
+func (k *replica) setRecord(r consensus.Record) {
 	k.record, k.loaded = r, true
 	k.d.mu.Lock()
 	defer k.d.mu.Unlock()
-	k.d.kept, k.d.accepted, k.d.fit = r.Decided().Epoch, r.Vote.Word.Electorate.Epoch, r.Standing.Fit
+	k.d.kept, k.d.accepted, k.d.ready = r.Decided().Epoch, r.Vote.Value.Membership.Epoch, r.State.Ready
 }
 
 // adopt takes a record that is on disk.
-func (k *keeper) adopt(r promptbook.Record) {
-	k.hold(r)
-	k.d.setVoters(r.Decided())
-	k.d.see(r.Standing.Promised)
-	k.d.see(r.Vote.Ballot)
+func (k *replica) adopt(r consensus.Record) {
+	k.setRecord(r)
+	k.d.adoptMembership(r.Decided())
+	k.d.observeBallot(r.State.Promised)
+	k.d.observeBallot(r.Vote.Ballot)
 }
 
-func (k *keeper) put(key string, m script.Message) error {
-	if err := k.disk.Put(key, script.Write(nil, m)); err != nil {
+func (k *replica) put(key string, m codec.Message) error {
+	if err := k.disk.Put(key, codec.Write(nil, m)); err != nil {
 		k.loaded = false // and what is on disk may be either
 		return trace.Wrap(err)
 	}
 	return nil
 }
 
-func (k *keeper) save(r *promptbook.Record, changed promptbook.Changed) error {
+func (k *replica) save(r *consensus.Record, changed consensus.Changed) error {
 	if changed.Vote {
 		if err := k.put(voteKey, &r.Vote); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	if changed.Standing {
-		return trace.Wrap(k.put(standingKey, &r.Standing))
+	if changed.State {
+		return trace.Wrap(k.put(standingKey, &r.State))
 	}
 	return nil
 }
 
 // replace writes a whole record over whatever is left of an old one. Until it is whole it isn't fit.
-func (k *keeper) replace(r *promptbook.Record) error {
-	unfit := r.Standing
-	unfit.Fit = false
+func (k *replica) replace(r *consensus.Record) error {
+	unfit := r.State
+	unfit.Ready = false
 	if err := k.put(standingKey, &unfit); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(k.save(r, promptbook.Changed{Vote: true, Standing: true}))
+	return trace.Wrap(k.save(r, consensus.Changed{Vote: true, State: true}))
 }
 
-func (k *keeper) get(key string, m script.Message) error {
+func (k *replica) get(key string, m codec.Message) error {
 	data, err := k.disk.Get(key)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := script.Read(data, m); err != nil {
+	if err := codec.Read(data, m); err != nil {
 		return trace.CompareFailed("record %q: %v", key, err)
 	}
 	return nil
 }
 
 // load reads the record, and writes it again: after a failed write what is read need not be on the disk itself. A record
-// that is missing or spoilt makes an amnesiac, except at the first start.
-func (k *keeper) load() error {
+// that is missing or spoilt makes a replica that lost its disk, except at the first start.
+func (k *replica) load() error {
 	if k.disk == nil {
 		disk, err := k.d.o.open(k.d.o.Folder)
 		if err != nil {
@@ -232,8 +232,8 @@
 		}
 		k.disk = disk
 	}
-	var r promptbook.Record
-	standing, vote := k.get(standingKey, &r.Standing), k.get(voteKey, &r.Vote)
+	var r consensus.Record
+	standing, vote := k.get(standingKey, &r.State), k.get(voteKey, &r.Vote)
 	for _, err := range []error{standing, vote} {
 		if err != nil && !trace.IsNotFound(err) && !trace.IsCompareFailed(err) {
 			return trace.Wrap(err)
@@ -242,24 +242,24 @@
 	fresh := trace.IsNotFound(standing) && trace.IsNotFound(vote)
 	switch {
 	case fresh && k.d.o.InitialStart && !k.lost:
-		first := promptbook.FirstRecord(k.d.o.Self, k.d.firstVoters())
-		if !first.Standing.Fit {
-			k.d.setVoters(first.Standing.Electorate)
-			k.lose(false)
+		first := consensus.FirstRecord(k.d.o.Self, k.d.firstVoters())
+		if !first.State.Ready {
+			k.d.adoptMembership(first.State.Membership)
+			k.startRecovery(false)
 			return nil
 		}
-		if err := k.save(&first, promptbook.Changed{Standing: true}); err != nil {
+		if err := k.save(&first, consensus.Changed{State: true}); err != nil {
 			return trace.Wrap(err)
 		}
 		k.adopt(first)
-	case standing != nil || trace.IsCompareFailed(vote) || !r.Standing.Fit:
+	case standing != nil || trace.IsCompareFailed(vote) || !r.State.Ready:
 		if !k.lost {
 			k.d.o.Log.WithField("standing", standing).WithField("vote", vote).Warn("there is no voter's record")
 		}
-		k.d.setVoters(r.Decided())
-		k.lose(fresh)
+		k.d.adoptMembership(r.Decided())
+		k.startRecovery(fresh)
 	default:
-		if err := k.save(&r, promptbook.Changed{Vote: true, Standing: true}); err != nil {
+		if err := k.save(&r, consensus.Changed{Vote: true, State: true}); err != nil {
 			return trace.Wrap(err)
 		}
 		k.adopt(r)
@@ -268,57 +268,57 @@
 }
 
 // lose has the record made anew, or, for a process that never voted, made for the first time.
-func (k *keeper) lose(blank bool) {
+func (k *replica) startRecovery(blank bool) {
 	k.loaded = true // as far as there is anything
 	if k.lost {
 		return
 	}
 	k.lost, k.blank = true, blank
 	life := uint64(time.Now().UnixNano())
-	k.life = life
+	k.incarnation = life
 	k.d.wg.Go(func() { k.d.recover(life, blank) })
 }
 
 // recover makes the record of a process that has none: the list of voters comes from any peer; then a voter gets back what the
 // others promised and accepted, and any other process gets fit to become one.
-func (d *Desk) recover(life uint64, blank bool) {
+func (d *Server) recover(life uint64, blank bool) {
 	pause := recoverDelay
 	for ; d.ctx.Err() == nil; _ = d.pause(d.ctx, &pause) {
-		e := d.Electorate()
-		var record promptbook.Record
+		e := d.Membership()
+		var record consensus.Record
 		ok := false
 		switch {
 		case len(e.Voters) == 0:
-			d.introduce()
+			d.findMembership()
 		case e.Has(d.o.Self):
-			record, ok, life = d.gather(e, life, blank)
+			record, ok, life = d.recoverReplica(e, life, blank)
 		default:
-			record, ok = d.prepareToVote(life)
+			record, ok = d.becomeReady(life)
 		}
 		if !ok {
 			continue
 		}
 		if _, err := d.do(d.ctx, &job{record: &record}); err == nil || trace.IsAlreadyExists(err) {
-			d.o.Log.WithField("life", record.Standing.Life).Info("the voter's record is made")
+			d.o.Log.WithField("life", record.State.Incarnation).Info("the voter's record is made")
 			return
 		}
 	}
 }
 
-// prepareToVote makes a process that isn't a voter fit to become one (promptbook.Electorate says why this is enough).
-func (d *Desk) prepareToVote(life uint64) (promptbook.Record, bool) {
+// prepareToVote makes a process that isn't a voter fit to become one (consensus.Membership says why this is enough).
+func (d *Server) becomeReady(life uint64) (consensus.Record, bool) {
 	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
 	defer cancel()
 	r, err := d.rounds(ctx, false, nil)
 	if err != nil {
-		return promptbook.Record{}, false
+		return consensus.Record{}, false
 	}
-	e := r.Electorate()
-	return promptbook.FitRecord(e, r.Vote(), life), !e.Has(d.o.Self)
+	e := r.Membership()
+	return consensus.ReadyRecord(e, r.Vote(), life), !e.Has(d.o.Self)
 }
 
 // peers are the seeds and the core processes that are there, without this one.
-func (d *Desk) peers() []string {
+func (d *Server) peers() []string {
 	d.mu.Lock()
 	peers := slices.Clone(d.seeds)
 	d.mu.Unlock()
@@ -330,14 +330,14 @@
 }
 
 // introduce asks all for the voters' list.
-func (d *Desk) introduce() {
+func (d *Server) findMembership() {
 	peers := d.peers()
-	answers := d.broadcast(peers, &promptbook.Request{Kind: promptbook.Introduce})
+	answers := d.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
 	for range peers {
 		select {
 		case a := <-answers:
-			if a.reply != nil && len(a.reply.Electorate.Voters) > 0 {
-				d.setVoters(a.reply.Electorate)
+			if a.reply != nil && len(a.reply.Membership.Voters) > 0 {
+				d.adoptMembership(a.reply.Membership)
 				return
 			}
 		case <-d.ctx.Done():
@@ -347,8 +347,8 @@
 }
 
 // gather is one attempt to recover; it tells the life for another one.
-func (d *Desk) gather(e promptbook.Electorate, life uint64, blank bool) (promptbook.Record, bool, uint64) {
-	y, q := promptbook.NewRecovery(d.o.Self, e, life, blank)
+func (d *Server) recoverReplica(e consensus.Membership, life uint64, blank bool) (consensus.Record, bool, uint64) {
+	y, q := consensus.NewRecovery(d.o.Self, e, life, blank)
 	timer := time.NewTimer(askTimeout)
 	defer timer.Stop()
 	answers := make(chan answer, 64)
@@ -363,7 +363,7 @@
 			}
 		}
 		if left == 0 {
-			return promptbook.Record{}, false, y.NextLife()
+			return consensus.Record{}, false, y.NextIncarnation()
 		}
 		select {
 		case a := <-answers:
@@ -374,7 +374,7 @@
 				return record, true, 0
 			}
 		case <-timer.C:
-			return promptbook.Record{}, false, y.NextLife()
+			return consensus.Record{}, false, y.NextIncarnation()
 		}
 	}
 }
--- a/internal/mesh/prompter/desk.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -1,6 +1,6 @@
-// Package prompter is a core process's part in the agreement on the operator's word: a voter's record on disk, if it is a
+// Package controlplane is a core process's part in the agreement on the operator's word: a voter's record on disk, if it is a
 // voter, proposals and reads, and the operator's calls over HTTP.
-package prompter
+package controlplane
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/promptbook"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/transport/codec"
 
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
@@ -34,9 +34,9 @@
 	Transport    Transport
 	Log          *logrus.Logger
 	Seed         uint64
-	OnCommit     func(w promptbook.Word) // called by one goroutine, with newer words only
+	OnCommit     func(w consensus.Value) // called by one goroutine, with newer words only
 
-	open func(folder string) (disk, error) // a trunk, except in tests
+	open func(folder string) (disk, error) // a storage, except in tests
 }
 
 const (
@@ -51,7 +51,7 @@
 )
 
 // Desk takes part in the agreement.
-type Desk struct {
+type Server struct {
 	o      Options
 	ctx    context.Context
 	end    context.CancelFunc
@@ -63,44 +63,44 @@
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	voters    promptbook.Electorate // without voters while not known
-	kept      uint64                // epoch of the list on disk
-	accepted  uint64                // epoch of the vote on disk
-	fit       bool                  // knows what it promised
-	seeds     []string              // by now
-	highest   uint64                // of all ballots that were seen
-	known     promptbook.Vote       // newest whose ballot and word are known to be committed
-	committed promptbook.Word
+	voters    consensus.Membership // without voters while not known
+	kept      uint64               // epoch of the list on disk
+	accepted  uint64               // epoch of the vote on disk
+	ready     bool                 // knows what it promised
+	seeds     []string             // by now
+	highest   uint64               // of all ballots that were seen
+	known     consensus.Vote       // newest whose ballot and word are known to be committed
+	committed consensus.Value
 }
 
 // Open starts a Desk. The disk is opened in the background, however long it takes.
-func Open(o Options) (*Desk, error) {
+func Open(o Options) (*Server, error) {
 	if o.Self == "" || o.Transport == nil || o.Log == nil {
-		return nil, trace.BadParameter("a desk needs its own name, a transport and a log")
+		return nil, trace.BadParameter("a server needs its own name, a transport and a log")
 	}
 	if o.open == nil {
-		o.open = openTrunk
+		o.open = openStorage
 	}
-	d := &Desk{o: o, seeds: o.Seeds, jobs: make(chan *job, 64), writer: make(chan struct{}, 1), news: make(chan struct{}, 1)}
+	d := &Server{o: o, seeds: o.Seeds, jobs: make(chan *job, 64), writer: make(chan struct{}, 1), news: make(chan struct{}, 1)}
 	d.ctx, d.end = context.WithCancel(context.Background())
 	life := uint64(time.Now().UnixNano())
 	d.rng = rand.New(rand.NewPCG(o.Seed, life))
 	d.node = fmt.Sprintf("%s#%x", o.Self, d.rng.Uint64())
-	k := &keeper{d: d}
-	for _, f := range []func(){k.run, d.announce, d.settle, d.attend} {
+	k := &replica{d: d}
+	for _, f := range []func(){k.run, d.announce, d.logNewest, d.reconfigureLoop} {
 		d.wg.Go(f)
 	}
 	return d, nil
 }
 
 // Close ends the Desk's goroutines; it waits for the disk.
-func (d *Desk) Close() {
+func (d *Server) Close() {
 	d.end()
 	d.wg.Wait()
 }
 
 // firstVoters are the voters at the first start.
-func (d *Desk) firstVoters() []string {
+func (d *Server) firstVoters() []string {
 	seeds := slices.Clone(d.o.Seeds)
 	slices.Sort(seeds)
 	seeds = slices.Compact(seeds)
@@ -108,30 +108,30 @@
 }
 
 // Voters are the processes that vote, by their control addresses; none while this process does not know.
-func (d *Desk) Voters() []string { return d.Electorate().Voters }
+func (d *Server) Voters() []string { return d.Membership().Voters }
 
-// Electorate is the newest list of voters that this process knows as decided.
-func (d *Desk) Electorate() promptbook.Electorate {
+// Membership is the newest list of voters that this process knows as decided.
+func (d *Server) Membership() consensus.Membership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.voters
 }
 
 // Accepted is the epoch of the newest vote of this process.
-func (d *Desk) Accepted() uint64 {
+func (d *Server) Accepted() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.accepted
 }
 
-func (d *Desk) setVoters(e promptbook.Electorate) {
+func (d *Server) adoptMembership(e consensus.Membership) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elect(e)
 }
 
 // elect notes a list that is decided. The lock is held.
-func (d *Desk) elect(e promptbook.Electorate) {
+func (d *Server) elect(e consensus.Membership) {
 	if len(e.Voters) == 0 || len(d.voters.Voters) > 0 && e.Epoch <= d.voters.Epoch {
 		return
 	}
@@ -142,45 +142,45 @@
 }
 
 // see notes a ballot, so that the next one of this process is above it.
-func (d *Desk) see(b promptbook.Ballot) {
+func (d *Server) observeBallot(b consensus.Ballot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.highest = max(d.highest, b.N)
 }
 
-func (d *Desk) nextBallot() promptbook.Ballot {
+func (d *Server) nextBallot() consensus.Ballot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.highest++
-	return promptbook.Ballot{N: d.highest, Node: d.node}
+	return consensus.Ballot{N: d.highest, Node: d.node}
 }
 
-func (d *Desk) knownVote() promptbook.Vote {
+func (d *Server) knownVote() consensus.Vote {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.known
 }
 
 // Committed is the newest word that this process knows is committed, if there is any.
-func (d *Desk) Committed() (promptbook.Word, bool) {
+func (d *Server) Committed() (consensus.Value, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.committed, d.committed.Version > 0
 }
 
 // Learn is told by another process that a word is committed.
-func (d *Desk) Learn(w promptbook.Word) { d.learn(promptbook.Vote{Word: w}) }
+func (d *Server) Learn(w consensus.Value) { d.learn(consensus.Vote{Value: w}) }
 
-func (d *Desk) learn(v promptbook.Vote) {
+func (d *Server) learn(v consensus.Vote) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if v.Ballot.Compare(d.known.Ballot) > 0 {
-		v.Hearsay = false
+		v.Learned = false
 		d.known = v
 	}
-	d.elect(v.Word.Electorate)
-	if v.Word.Version > d.committed.Version {
-		d.committed = v.Word
+	d.elect(v.Value.Membership)
+	if v.Value.Version > d.committed.Version {
+		d.committed = v.Value
 		select {
 		case d.news <- struct{}{}:
 		default: // it is told already, and takes the newest
@@ -189,8 +189,8 @@
 }
 
 // announce calls OnCommit.
-func (d *Desk) announce() {
-	var told playbill.Version
+func (d *Server) announce() {
+	var told configuration.Version
 	for {
 		select {
 		case <-d.ctx.Done():
@@ -206,30 +206,30 @@
 }
 
 // Serve answers a request of a peer.
-func (d *Desk) Serve(ctx context.Context, request []byte) ([]byte, error) {
-	var q promptbook.Request
-	if err := script.Read(request, &q); err != nil {
+func (d *Server) Serve(ctx context.Context, request []byte) ([]byte, error) {
+	var q consensus.Request
+	if err := codec.Read(request, &q); err != nil {
 		return nil, trace.BadParameter("request: %v", err)
 	}
 	reply, err := d.serve(ctx, &q)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return script.Write(nil, reply), nil
+	return codec.Write(nil, reply), nil
 }
 
-func (d *Desk) serve(ctx context.Context, q *promptbook.Request) (*promptbook.Reply, error) {
-	d.see(q.Ballot)
-	if q.Kind == promptbook.Introduce {
+func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
+	d.observeBallot(q.Ballot)
+	if q.Kind == consensus.Describe {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return &promptbook.Reply{Outcome: promptbook.Told, Electorate: d.voters, Fit: d.fit}, nil
+		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready}, nil
 	}
 	return d.do(ctx, &job{request: q})
 }
 
 // ask asks a voter, which may be this process; raw is the request as it is sent.
-func (d *Desk) ask(ctx context.Context, node string, q promptbook.Request, raw []byte) (*promptbook.Reply, error) {
+func (d *Server) ask(ctx context.Context, node string, q consensus.Request, raw []byte) (*consensus.Reply, error) {
 	if node == d.o.Self {
 		return d.serve(ctx, &q)
 	}
@@ -237,8 +237,8 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	var reply promptbook.Reply
-	if err := script.Read(raw, &reply); err != nil {
+	var reply consensus.Reply
+	if err := codec.Read(raw, &reply); err != nil {
 		return nil, trace.BadParameter("reply of %s: %v", node, err)
 	}
 	return &reply, nil
@@ -246,16 +246,16 @@
 
 type answer struct {
 	node  string
-	reply *promptbook.Reply // nil: none came
+	reply *consensus.Reply // nil: none came
 }
 
 // broadcast asks all nodes; each of them answers once, sooner or later. What was sent stays on its way when the asker has
 // enough answers, so that the others learn of it too.
-func (d *Desk) broadcast(nodes []string, q *promptbook.Request) <-chan answer {
+func (d *Server) broadcast(nodes []string, q *consensus.Request) <-chan answer {
 	answers := make(chan answer, len(nodes))
-	raw, one := script.Write(nil, q), *q
+	raw, one := codec.Write(nil, q), *q
 	for _, node := range nodes {
-		go func() { // ends with the desk
+		go func() { // ends with the server
 			ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
 			defer cancel()
 			reply, err := d.ask(ctx, node, one, raw)
@@ -269,7 +269,7 @@
 }
 
 // drive plays a round until it is over. Each phase waits for patience, and less after a nack.
-func (d *Desk) drive(ctx context.Context, r *promptbook.Round, q *promptbook.Request, patience time.Duration) {
+func (d *Server) drive(ctx context.Context, r *consensus.Round, q *consensus.Request, patience time.Duration) {
 	for q != nil {
 		nodes := r.Nodes()
 		answers, left := d.broadcast(nodes, q), len(nodes)
@@ -284,7 +284,7 @@
 					continue
 				}
 				q = r.Step(a.node, a.reply)
-				if a.reply.Outcome == promptbook.Nack && !hurried {
+				if a.reply.Kind == consensus.Rejected && !hurried {
 					hurried = true
 					timer.Reset(min(patience, 2*time.Since(began)+afterNack))
 				}
@@ -297,30 +297,30 @@
 		timer.Stop()
 	}
 	r.GiveUp()
-	d.see(r.Highest)
-	if r.State == promptbook.Done || r.State == promptbook.Stale {
+	d.observeBallot(r.Highest)
+	if r.State == consensus.Done || r.State == consensus.Stale {
 		d.learn(r.Vote())
-		d.setVoters(r.Newer)
+		d.adoptMembership(r.NewerMembership)
 	}
 }
 
 // rounds plays rounds until one is done or the context ends. A read asks first, and needs a ballot only if the answers
 // differ.
-func (d *Desk) rounds(ctx context.Context, reading bool, change *promptbook.Change) (*promptbook.Round, error) {
+func (d *Server) rounds(ctx context.Context, reading bool, change *consensus.Change) (*consensus.Round, error) {
 	pause, patience := pauseMin, phaseMin
 	asks := reading
 	for ; ; patience = min(patience*3/2, phaseMax) {
-		if e := d.Electorate(); len(e.Voters) > 0 {
+		if e := d.Membership(); len(e.Voters) > 0 {
 			r, err := d.round(ctx, e, asks, change, patience)
 			switch {
 			case err != nil:
 				return nil, trace.Wrap(err)
-			case r.State == promptbook.Done:
+			case r.State == consensus.Done:
 				return r, nil
-			case r.State == promptbook.Divided:
+			case r.State == consensus.Inconclusive:
 				asks = false
 				continue
-			case r.State == promptbook.Stale && d.Electorate().Epoch > e.Epoch:
+			case r.State == consensus.Stale && d.Membership().Epoch > e.Epoch:
 				continue
 			}
 			asks = reading
@@ -331,10 +331,10 @@
 	}
 }
 
-func (d *Desk) round(ctx context.Context, e promptbook.Electorate, asks bool, change *promptbook.Change, patience time.Duration) (*promptbook.Round, error) {
+func (d *Server) round(ctx context.Context, e consensus.Membership, asks bool, change *consensus.Change, patience time.Duration) (*consensus.Round, error) {
 	known := d.knownVote()
 	if asks {
-		r, q := promptbook.NewReading(e, known)
+		r, q := consensus.NewReadRound(e, known)
 		d.drive(ctx, r, q, patience)
 		return r, nil
 	}
@@ -344,16 +344,16 @@
 	case <-ctx.Done():
 		return nil, trace.Wrap(ctx.Err())
 	}
-	r, q := promptbook.NewRound(e, d.nextBallot(), change, known)
+	r, q := consensus.NewRound(e, d.nextBallot(), change, known)
 	d.drive(ctx, r, q, patience)
-	if v := r.Vote(); r.State == promptbook.Done || r.State == promptbook.Stale {
-		d.broadcast(r.Nodes(), &promptbook.Request{Kind: promptbook.Commit, Ballot: v.Ballot})
+	if v := r.Vote(); r.State == consensus.Done || r.State == consensus.Stale {
+		d.broadcast(r.Nodes(), &consensus.Request{Kind: consensus.Commit, Ballot: v.Ballot})
 	}
 	return r, nil
 }
 
 // pause waits for a random time, which grows.
-func (d *Desk) pause(ctx context.Context, pause *time.Duration) error {
+func (d *Server) pause(ctx context.Context, pause *time.Duration) error {
 	d.mu.Lock()
 	wait := *pause/4 + time.Duration(d.rng.Int64N(int64(*pause)))
 	d.mu.Unlock()
@@ -371,12 +371,12 @@
 }
 
 // Newest is the newest word that was committed when it was called, or a newer one.
-func (d *Desk) Newest(ctx context.Context) (promptbook.Word, error) {
+func (d *Server) Newest(ctx context.Context) (consensus.Value, error) {
 	r, err := d.rounds(ctx, true, nil)
 	if err != nil {
-		return promptbook.Word{}, trace.Wrap(err)
+		return consensus.Value{}, trace.Wrap(err)
 	}
-	return r.Word, nil
+	return r.Value, nil
 }
 
 // Outcome is what became of an operator's change.
@@ -384,9 +384,9 @@
 
 // Outcomes. What is Lost or Invalid never comes in force; what is Unclear may.
 const (
-	Unclear Outcome = iota
-	Taken
-	Lost
+	Unknown Outcome = iota
+	Applied
+	Conflict
 	Invalid
 )
 
@@ -399,23 +399,23 @@
 }
 
 // Replace puts a configuration in place of version base.
-func (d *Desk) Replace(ctx context.Context, base playbill.Version, raw []byte) Verdict {
-	config, err := playbill.Read(raw)
+func (d *Server) Replace(ctx context.Context, base configuration.Version, raw []byte) Verdict {
+	config, err := configuration.Read(raw)
 	if err != nil {
 		return Verdict{Invalid, trace.Wrap(err)}
 	}
-	r, err := d.rounds(ctx, false, promptbook.NewChange(base, config.Version, raw))
+	r, err := d.rounds(ctx, false, consensus.NewChange(base, config.Version, raw))
 	switch {
 	case err != nil:
-		return Verdict{Unclear, trace.Wrap(err)}
-	case r.Verdict == promptbook.Taken:
-		return Verdict{Outcome: Taken}
+		return Verdict{Unknown, trace.Wrap(err)}
+	case r.Verdict == consensus.Applied:
+		return Verdict{Outcome: Applied}
 	}
-	return Verdict{Lost, trace.CompareFailed("%v on %v: %v is in place", config.Version, base, r.Word.Version)}
+	return Verdict{Conflict, trace.CompareFailed("%v on %v: %v is in place", config.Version, base, r.Value.Version)}
 }
 
 // settle finds out which word is committed when the process starts.
-func (d *Desk) settle() {
+func (d *Server) logNewest() {
 	w, err := d.Newest(d.ctx)
 	if err == nil {
 		d.o.Log.WithField("version", w.Version).Info("newest configuration known")
--- a/internal/mesh/understudy/understudy.go
+++ b/internal/mesh/control/lease/lease.go
@@ -1,16 +1,16 @@
-// Package understudy has duties done by one process at a time: who does a duty holds a lease that a majority of the voters
+// Package lease has duties done by one process at a time: who does a duty holds a lease that a majority of the voters
 // granted, and stops before it ends. It does no I/O; time is an argument, on each process's own steady clock.
 //
 // Why two never hold one duty: a voter counts a lease from when it grants it, the holder from when it asked, which is earlier,
 // and stops a driftShare before its end; so while clocks run alike to within that share, the holder has stopped before any of
 // the voters that granted it grants it to another. Two majorities share a voter. What voters granted is not kept on a disk: one
 // that has started again grants nothing until the longest lease it may have granted has ended.
-package understudy
+package lease
 
 import (
 	"time"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Lease is how long a grant lasts.
@@ -22,22 +22,22 @@
 )
 
 // Ask is a process's wish to do duties, or to go on doing them; all of one process's duties are asked for together.
-type Ask struct {
-	Holder string // its address
-	Life   uint64
-	Duties []Duty
-	List   uint64 // the epoch of the voters' list
+type Request struct {
+	Holder          string // its address
+	Incarnation     uint64
+	Duties          []Duty
+	MembershipEpoch uint64 // the epoch of the voters' list
 }
 
 // Duty is one of them, with the fencing number under which it is to be done.
 type Duty struct {
-	Name  string
-	Epoch uint64
-	Let   bool // it is given up
+	Name    string
+	Epoch   uint64
+	Release bool // it is given up
 }
 
 // Answer is a voter's.
-type Answer struct {
+type Reply struct {
 	Duties []Grant
 }
 
@@ -51,25 +51,25 @@
 }
 
 // Fields names them.
-func (a *Ask) Fields(v *script.Visitor) {
+func (a *Request) Fields(v *codec.Visitor) {
 	v.Text(1, &a.Holder)
-	v.Fixed(2, &a.Life)
-	script.Messages(v, 3, &a.Duties)
-	v.Uint(4, &a.List)
+	v.Fixed(2, &a.Incarnation)
+	codec.Messages(v, 3, &a.Duties)
+	v.Uint(4, &a.MembershipEpoch)
 }
 
 // Fields names them.
-func (d *Duty) Fields(v *script.Visitor) {
+func (d *Duty) Fields(v *codec.Visitor) {
 	v.Text(1, &d.Name)
 	v.Uint(2, &d.Epoch)
-	v.Bool(3, &d.Let)
+	v.Bool(3, &d.Release)
 }
 
 // Fields names them.
-func (a *Answer) Fields(v *script.Visitor) { script.Messages(v, 1, &a.Duties) }
+func (a *Reply) Fields(v *codec.Visitor) { codec.Messages(v, 1, &a.Duties) }
 
 // Fields names them.
-func (g *Grant) Fields(v *script.Visitor) {
+func (g *Grant) Fields(v *codec.Visitor) {
 	v.Text(1, &g.Name)
 	v.Bool(2, &g.Given)
 	v.Uint(3, &g.Epoch)
@@ -81,12 +81,12 @@
 
 // Voter grants leases.
 type Voter struct {
-	from  time.Duration // it grants nothing before
-	given map[string]*given
-	list  uint64 // the newest epoch of a list that it accepted
+	from            time.Duration // it grants nothing before
+	leases          map[string]*heldLease
+	membershipEpoch uint64 // the newest epoch of a list that it accepted
 }
 
-type given struct {
+type heldLease struct {
 	holder string
 	life   uint64
 	epoch  uint64
@@ -96,7 +96,7 @@
 // NewVoter makes a voter that starts now. first tells that the whole system starts for the first time: nothing was granted
 // before.
 func NewVoter(now time.Duration, first bool) *Voter {
-	v := &Voter{from: now + Lease, given: map[string]*given{}}
+	v := &Voter{from: now + Lease, leases: map[string]*heldLease{}}
 	if first {
 		v.from = now
 	}
@@ -104,29 +104,29 @@
 }
 
 // Accepted tells the epoch of the newest list that this voter accepted.
-func (v *Voter) Accepted(epoch uint64) { v.list = max(v.list, epoch) }
+func (v *Voter) Accepted(epoch uint64) { v.membershipEpoch = max(v.membershipEpoch, epoch) }
 
 // Take is the one function that changes what a voter has granted.
-func (v *Voter) Take(now time.Duration, a *Ask) *Answer {
-	var out Answer
+func (v *Voter) Take(now time.Duration, a *Request) *Reply {
+	var out Reply
 	for _, d := range a.Duties {
-		g := v.given[d.Name]
+		g := v.leases[d.Name]
 		if g == nil {
-			if len(v.given) >= dutiesMost {
+			if len(v.leases) >= dutiesMost {
 				continue
 			}
-			g = &given{}
-			v.given[d.Name] = g
+			g = &heldLease{}
+			v.leases[d.Name] = g
 		}
-		mine := g.life == a.Life && g.holder == a.Holder
+		mine := g.life == a.Incarnation && g.holder == a.Holder
 		switch {
-		case d.Let:
+		case d.Release:
 			if mine {
 				g.until = now
 			}
-		case now < v.from, a.List+1 < v.list:
+		case now < v.from, a.MembershipEpoch+1 < v.membershipEpoch:
 		case mine && d.Epoch >= g.epoch, now >= g.until && d.Epoch > g.epoch:
-			*g = given{holder: a.Holder, life: a.Life, epoch: d.Epoch, until: now + Lease}
+			*g = heldLease{holder: a.Holder, life: a.Incarnation, epoch: d.Epoch, until: now + Lease}
 			out.Duties = append(out.Duties, Grant{Name: d.Name, Given: true, Epoch: d.Epoch})
 			continue
 		}
@@ -151,29 +151,29 @@
 
 // Candidate is a process that would do one duty.
 type Candidate struct {
-	self   string
-	life   uint64
-	name   string
-	state  State
-	epoch  uint64 // that it asks under, or holds
-	seen   uint64 // highest that any voter told of
-	asked  time.Duration
-	next   time.Duration
-	until  time.Duration // it holds, and not a moment longer
-	votes  map[string]bool
-	voters int
-	holder string // another that has it
-	jitter func() float64
-	need   int
-	no     int  // voters that have granted the duty to others, of those asked
-	let    bool // what was granted is to be given up: there is no majority in it
-	list   uint64
-	rank   int // its place among those that would do the duty: the later, the longer it waits
+	self            string
+	incarnation     uint64
+	name            string
+	state           State
+	epoch           uint64 // that it asks under, or holds
+	seen            uint64 // highest that any voter told of
+	asked           time.Duration
+	next            time.Duration
+	until           time.Duration // it holds, and not a moment longer
+	votes           map[string]bool
+	voters          int
+	holder          string // another that has it
+	jitter          func() float64
+	need            int
+	no              int  // voters that have granted the duty to others, of those asked
+	release         bool // what was granted is to be given up: there is no majority in it
+	membershipEpoch uint64
+	rank            int // its place among those that would do the duty: the later, the longer it waits
 }
 
 // NewCandidate makes one that holds nothing. jitter gives numbers from 0 to 1.
 func NewCandidate(self string, life uint64, duty string, jitter func() float64) *Candidate {
-	return &Candidate{self: self, life: life, name: duty, jitter: jitter}
+	return &Candidate{self: self, incarnation: life, name: duty, jitter: jitter}
 }
 
 // shift is the one function by which a candidate's state changes.
@@ -202,16 +202,16 @@
 func (c *Candidate) Rank(n int) { c.rank = n }
 
 // Tick gives what is to be asked of all voters now; nil for nothing. list is the epoch of their list.
-func (c *Candidate) Tick(now time.Duration, voters int, list uint64) *Ask {
-	if c.let {
-		c.let = false
-		return &Ask{Holder: c.self, Life: c.life, Duties: []Duty{{Name: c.name, Epoch: c.epoch, Let: true}}}
+func (c *Candidate) Tick(now time.Duration, voters int, list uint64) *Request {
+	if c.release {
+		c.release = false
+		return &Request{Holder: c.self, Incarnation: c.incarnation, Duties: []Duty{{Name: c.name, Epoch: c.epoch, Release: true}}}
 	}
 	if c.state == Holding && now >= c.until {
 		c.shift(Idle, now+retryLeast)
 	}
-	if list != c.list {
-		c.list = list
+	if list != c.membershipEpoch {
+		c.membershipEpoch = list
 		if c.state != Holding {
 			c.shift(Idle, now+Lease+time.Duration(driftShare*float64(Lease)))
 		}
@@ -229,7 +229,7 @@
 	if c.state == Asking {
 		c.next = now + c.pause()
 	}
-	return &Ask{Holder: c.self, Life: c.life, Duties: []Duty{{Name: c.name, Epoch: c.epoch}}, List: list}
+	return &Request{Holder: c.self, Incarnation: c.incarnation, Duties: []Duty{{Name: c.name, Epoch: c.epoch}}, MembershipEpoch: list}
 }
 
 func (c *Candidate) pause() time.Duration {
@@ -237,7 +237,7 @@
 }
 
 // Take takes a voter's answer to what was asked at a time. It says whether the duty came to this process just now.
-func (c *Candidate) Take(now, asked time.Duration, voter string, a *Answer) (came bool) {
+func (c *Candidate) Take(now, asked time.Duration, voter string, a *Reply) (came bool) {
 	for _, g := range a.Duties {
 		if g.Name != c.name {
 			continue
@@ -252,7 +252,7 @@
 				c.next = max(c.next, now+min(g.Left, Lease)/2+c.pause())
 			}
 			if c.no++; c.state == Asking && c.no > c.voters-c.need && len(c.votes) > 0 {
-				c.let = true
+				c.release = true
 				c.shift(Idle, max(c.next, now+c.pause()))
 			}
 			continue
--- a/internal/mesh/understudy/understudy_test.go
+++ b/internal/mesh/control/lease/lease_test.go
@@ -1,4 +1,4 @@
-package understudy
+package lease
 
 import (
 	"math/rand/v2"
@@ -22,8 +22,8 @@
 		type mail struct {
 			from, voter int
 			asked       time.Duration
-			ask         *Ask
-			answer      *Answer
+			ask         *Request
+			answer      *Reply
 		}
 		var post []mail
 		for _, step := range path {
@@ -95,11 +95,11 @@
 	c.Assert(ok, qt.IsTrue)
 	_, ok = a.Holds(Lease)
 	c.Assert(ok, qt.IsFalse)
-	other := &Ask{Holder: "b", Life: 2, Duties: []Duty{{Name: "d", Epoch: first + 1}}}
+	other := &Request{Holder: "b", Incarnation: 2, Duties: []Duty{{Name: "d", Epoch: first + 1}}}
 	c.Assert(v.Take(Lease, other).Duties[0].Given, qt.IsFalse)
 	c.Assert(v.Take(Lease+time.Millisecond, other).Duties[0].Given, qt.IsTrue)
 	// The first one's number is of the past now.
-	c.Assert(v.Take(3*Lease, &Ask{Holder: "a", Life: 1, Duties: []Duty{{Name: "d", Epoch: first}}}).Duties[0].Given, qt.IsFalse)
+	c.Assert(v.Take(3*Lease, &Request{Holder: "a", Incarnation: 1, Duties: []Duty{{Name: "d", Epoch: first}}}).Duties[0].Given, qt.IsFalse)
 	// A voter that has started again waits.
 	v = NewVoter(4*Lease, false)
 	c.Assert(v.Take(5*Lease-1, other).Duties[0].Given, qt.IsFalse)
--- a/internal/mesh/boxoffice/teller.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -1,4 +1,4 @@
-package boxoffice
+package ratelimit
 
 import (
 	"maps"
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// A tenant's limit is a bucket that one process, the teller, holds under a lease (understudy). Sidecars draw tokens from it,
+// A tenant's limit is a bucket that one process, the allocator, holds under a lease (lease). Sidecars draw tokens from it,
 // which are good for a moment only, and hold a standing share of the rate beside, under a lease of its own, by which they let
-// requests in while they can't reach a teller. The teller takes the shares of those that it has not heard of out of what it
+// requests in while they can't reach an allocator. The allocator takes the shares of those that it has not heard of out of what it
 // gives; so what is let in never adds up to more than the limit, whoever is cut off.
 const (
 	valid     = 450 * time.Millisecond // of tokens, from when they were asked for, by the sidecar's clock
-	silent    = 300 * time.Millisecond // without a word: the teller counts the sidecar as on its own
+	silent    = 300 * time.Millisecond // without a word: the allocator counts the sidecar as on its own
 	shareFor  = 10 * time.Second       // lease of a standing share
 	forget    = 2 * shareFor
 	evenShare = 0.2 // of the rate, that is divided evenly; the rest goes by demand
@@ -25,22 +25,22 @@
 	Spare       float64 // requests
 }
 
-// spareFirst is the part of what may pass beyond a limit that a new teller begins with, as if it were saved up: two may come
+// spareFirst is the part of what may pass beyond a limit that a new allocator begins with, as if it were saved up: two may come
 // within a window.
 const spareFirst = 0.25
 
-// Teller holds the buckets of all tenants while this process has the duty.
-type Teller struct {
+// Allocator holds the buckets of all tenants while this process has the duty.
+type Allocator struct {
 	began   time.Duration
 	fresh   bool // nothing was granted before it began: the system starts for the first time
 	limits  func(tenant string) (Limit, bool)
 	books   map[string]*book
-	buyers  map[string]*buyer // by address
-	missing int               // sidecars that are there and have not told of their shares yet
+	buyers  map[string]*sidecarShare // by address
+	missing int                      // sidecars that are there and have not told of their shares yet
 	swept   time.Duration
 }
 
-// book is what the teller keeps of one tenant. Its sums are made anew every sumEach and kept up in between, so that a wish costs
+// book is what the allocator keeps of one tenant. Its sums are made anew every sumEach and kept up in between, so that a wish costs
 // the same whatever the number of sidecars.
 type book struct {
 	level   float64 // of the bucket
@@ -48,12 +48,12 @@
 	holders map[string]*share
 	demand  float64 // of all,
 	given   float64 // shares of all,
-	quiet   float64 // and of those that the teller has not heard of
+	quiet   float64 // and of those that the allocator has not heard of
 	summed  time.Duration
 	ever    bool
 }
 
-type buyer struct {
+type sidecarShare struct {
 	life  uint64
 	heard time.Duration
 }
@@ -67,12 +67,12 @@
 const sumEach = 100 * time.Millisecond
 
 // NewTeller begins the duty. The buckets start nearly empty: who had it before may have emptied them the moment before.
-func NewTeller(now time.Duration, fresh bool, limits func(string) (Limit, bool)) *Teller {
-	return &Teller{began: now, fresh: fresh, limits: limits, books: map[string]*book{}, buyers: map[string]*buyer{}}
+func NewAllocator(now time.Duration, fresh bool, limits func(string) (Limit, bool)) *Allocator {
+	return &Allocator{began: now, fresh: fresh, limits: limits, books: map[string]*book{}, buyers: map[string]*sidecarShare{}}
 }
 
 // Sidecars says which sidecars are there: those that have not told yet what share they hold may hold any.
-func (t *Teller) Sidecars(addresses []string) {
+func (t *Allocator) Sidecars(addresses []string) {
 	t.missing = 0
 	for _, a := range addresses {
 		if t.buyers[a] == nil {
@@ -82,19 +82,19 @@
 }
 
 // Take is the one function that changes what has been sold.
-func (t *Teller) Take(now time.Duration, w *Wishes) []Ticket {
+func (t *Allocator) Take(now time.Duration, w *TokenRequests) []TokenGrant {
 	b := t.buyers[w.Who]
 	if b == nil {
 		if len(t.buyers) >= buyersMax {
 			return nil
 		}
-		b = &buyer{}
+		b = &sidecarShare{}
 		t.buyers[w.Who] = b
 		t.missing = max(t.missing-1, 0)
 	}
 	b.life, b.heard = w.Life, now
 	t.sweep(now)
-	var out []Ticket
+	var out []TokenGrant
 	for _, x := range w.Wishes {
 		limit, ok := t.limits(x.Tenant)
 		if !ok || limit.Rate <= 0 {
@@ -106,7 +106,7 @@
 }
 
 // sweep forgets sidecars that have been silent for long, and tenants that are gone.
-func (t *Teller) sweep(now time.Duration) {
+func (t *Allocator) sweep(now time.Duration) {
 	if now-t.swept < time.Second {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // sell takes one wish: tokens out of the tenant's bucket, and a standing share.
-func (t *Teller) sell(now time.Duration, w *Wishes, x Wish, limit Limit) Ticket {
+func (t *Allocator) sell(now time.Duration, w *TokenRequests, x TokenRequest, limit Limit) TokenGrant {
 	k := t.books[x.Tenant]
 	if k == nil {
 		k = &book{at: t.began, level: min(limit.Burst, spareFirst*limit.Spare), holders: map[string]*share{}}
@@ -153,7 +153,7 @@
 }
 
 // sum makes the sums of a book anew.
-func (k *book) sum(now time.Duration, buyers map[string]*buyer) {
+func (k *book) sum(now time.Duration, buyers map[string]*sidecarShare) {
 	if k.ever && now-k.summed < sumEach {
 		return
 	}
@@ -180,7 +180,7 @@
 }
 
 // tokens gives tokens out of a tenant's bucket.
-func (t *Teller) tokens(now time.Duration, k *book, x Wish, limit Limit) Ticket {
+func (t *Allocator) tokens(now time.Duration, k *book, x TokenRequest, limit Limit) TokenGrant {
 	reserved := k.quiet
 	if !t.fresh && now-t.began < shareFor && (t.missing > 0 || now-t.began < time.Second) {
 		reserved += max(limit.Rate-k.given, 0) // shares that were granted before its time
@@ -188,7 +188,7 @@
 	rate := max(limit.Rate-reserved, 0)
 	k.level = min(k.level+rate*(now-k.at).Seconds()+min(max(x.Unused, 0), limit.Burst), max(limit.Burst, 1))
 	k.at = now
-	tk := Ticket{Tenant: x.Tenant}
+	tk := TokenGrant{Tenant: x.Tenant}
 	switch {
 	case x.Tokens <= 0:
 	case k.level >= x.Tokens:
@@ -207,7 +207,7 @@
 }
 
 // allot is the standing share that a sidecar may have: by demand, and no more than the others leave.
-func (t *Teller) allot(now time.Duration, k *book, mine *share, limit Limit) float64 {
+func (t *Allocator) allot(now time.Duration, k *book, mine *share, limit Limit) float64 {
 	if !t.fresh && now-t.began < shareFor && t.missing > 0 {
 		return min(mine.rate, limit.Rate) // what the missing hold is not known yet
 	}
--- a/internal/mesh/boxoffice/teller_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -1,38 +1,38 @@
-package boxoffice
+package ratelimit
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
-// BenchmarkTeller is the teller's own work for one message of a sidecar, without the link: each sidecar says something each
+// BenchmarkTeller is the allocator's own work for one message of a sidecar, without the link: each sidecar says something each
 // 200 ms, and has a wish for each of some tenants. A second of the duty is as many messages as sidecars times five.
 func BenchmarkTeller(b *testing.B) {
 	for _, sidecars := range []int{20, 200, 2000} {
 		for _, wishes := range []int{1, 8} {
 			b.Run(fmt.Sprintf("sidecars-%d/wishes-%d", sidecars, wishes), func(b *testing.B) {
-				t := NewTeller(0, true, func(string) (Limit, bool) { return Limit{Rate: 1e5, Burst: 1e5, Spare: 100}, true })
-				all := make([]Wishes, sidecars)
+				t := NewAllocator(0, true, func(string) (Limit, bool) { return Limit{Rate: 1e5, Burst: 1e5, Spare: 100}, true })
+				all := make([]TokenRequests, sidecars)
 				for i := range all {
-					all[i] = Wishes{Who: fmt.Sprintf("10.%d.%d.%d:7301", i/62500, i/250%250, i%250+1), Life: uint64(i + 1)}
+					all[i] = TokenRequests{Who: fmt.Sprintf("10.%d.%d.%d:7301", i/62500, i/250%250, i%250+1), Life: uint64(i + 1)}
 					for j := range wishes {
-						all[i].Wishes = append(all[i].Wishes, Wish{Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
+						all[i].Wishes = append(all[i].Wishes, TokenRequest{Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
 							Share: 1.25, Left: 9 * time.Second})
 					}
 				}
 				now, each := time.Second, beat/time.Duration(sidecars)
 				sizes, sent, got := 0, 0, 0
-				round := func(w *Wishes) {
+				round := func(w *TokenRequests) {
 					now += each
-					a := Tickets{Granted: true, Epoch: 3, Teller: "10.0.0.1:7301", Tickets: t.Take(now, w)}
+					a := TokenGrants{Granted: true, Epoch: 3, Allocator: "10.0.0.1:7301", Tickets: t.Take(now, w)}
 					if len(a.Tickets) != wishes {
 						b.Fatalf("%d tickets for %d wishes", len(a.Tickets), wishes)
 					}
 					if sizes++; sizes <= sidecars {
-						sent, got = sent+len(script.Write(nil, w)), got+len(script.Write(nil, &a))
+						sent, got = sent+len(codec.Write(nil, w)), got+len(codec.Write(nil, &a))
 					}
 				}
 				for i := range all {
--- a/internal/mesh/boxoffice/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -1,13 +1,13 @@
-package boxoffice
+package ratelimit
 
 import (
 	"time"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
-// Wish is what a sidecar wants of the teller for one tenant.
-type Wish struct {
+// Wish is what a sidecar wants of the allocator for one tenant.
+type TokenRequest struct {
 	Tenant string
 	Tokens float64       // for requests that wait, and those of the next moments
 	Demand float64       // requests a second of late
@@ -17,15 +17,15 @@
 }
 
 // Wishes are all of a sidecar's; sent often enough that silence tells something.
-type Wishes struct {
+type TokenRequests struct {
 	Who     string // address of the sidecar that wants them; another one may bring them on
 	Life    uint64
-	Wishes  []Wish
+	Wishes  []TokenRequest
 	Brought bool // by another
 }
 
 // Ticket is what is granted to one of them.
-type Ticket struct {
+type TokenGrant struct {
 	Tenant string
 	Tokens float64       // good until valid after the wish was sent
 	Share  float64       // requests a second while nobody can be reached,
@@ -33,16 +33,16 @@
 	Back   time.Duration // if tokens are short: when there will be one
 }
 
-// Tickets are the teller's answer.
-type Tickets struct {
-	Granted bool // false: this process is not the teller
-	Epoch   uint64
-	Teller  string // who is, as far as it knows
-	Tickets []Ticket
+// Tickets are the allocator's answer.
+type TokenGrants struct {
+	Granted   bool // false: this process is not the allocator
+	Epoch     uint64
+	Allocator string // who is, as far as it knows
+	Tickets   []TokenGrant
 }
 
 // Fields names them.
-func (w *Wish) Fields(v *script.Visitor) {
+func (w *TokenRequest) Fields(v *codec.Visitor) {
 	v.Text(1, &w.Tenant)
 	v.Float(2, &w.Tokens)
 	v.Float(3, &w.Demand)
@@ -52,15 +52,15 @@
 }
 
 // Fields names them.
-func (w *Wishes) Fields(v *script.Visitor) {
+func (w *TokenRequests) Fields(v *codec.Visitor) {
 	v.Text(1, &w.Who)
 	v.Fixed(2, &w.Life)
-	script.Messages(v, 3, &w.Wishes)
+	codec.Messages(v, 3, &w.Wishes)
 	v.Bool(4, &w.Brought)
 }
 
 // Fields names them.
-func (t *Ticket) Fields(v *script.Visitor) {
+func (t *TokenGrant) Fields(v *codec.Visitor) {
 	v.Text(1, &t.Tenant)
 	v.Float(2, &t.Tokens)
 	v.Float(3, &t.Share)
@@ -69,9 +69,9 @@
 }
 
 // Fields names them.
-func (t *Tickets) Fields(v *script.Visitor) {
+func (t *TokenGrants) Fields(v *codec.Visitor) {
 	v.Bool(1, &t.Granted)
 	v.Uint(2, &t.Epoch)
-	v.Text(3, &t.Teller)
-	script.Messages(v, 4, &t.Tickets)
+	v.Text(3, &t.Allocator)
+	codec.Messages(v, 4, &t.Tickets)
 }
--- a/internal/mesh/boxoffice/boxoffice.go
+++ b/internal/mesh/control/ratelimit/ratelimit.go
@@ -1,7 +1,7 @@
-// Package boxoffice holds the sums that must hold over all sidecars together: tenants' quotas and the budget of repeats. Each
+// Package ratelimit holds the sums that must hold over all sidecars together: tenants' quotas and the budget of repeats. Each
 // sidecar keeps to its own part, so that no message is needed for a request, and a part that is cut off can't add to more than
 // the whole. It does no I/O; time is an argument.
-package boxoffice
+package ratelimit
 
 import "time"
 
--- a/internal/mesh/boxoffice/boxoffice_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package boxoffice
+package ratelimit
 
 import (
 	"math/rand/v2"
@@ -11,7 +11,7 @@
 )
 
 // A tenant asks for many times its limit at ten sidecars while any of them are cut off and come back, wishes and answers are
-// late or lost, and the duty moves to another teller that knows nothing: in no window of five seconds is more let in than the
+// late or lost, and the duty moves to another allocator that knows nothing: in no window of five seconds is more let in than the
 // rules allow, and while all are in touch and the duty stays, no less than the rate.
 func TestLimitHoldsWhoeverIsCutOff(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 100, Spare: 80}
@@ -19,24 +19,24 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const n, over = 10, 40 * time.Second
 		limits := func(string) (Limit, bool) { return limit, true }
-		teller := NewTeller(0, true, limits)
+		allocator := NewAllocator(0, true, limits)
 		var names []string
 		for i := range n {
 			names = append(names, strconv.Itoa(i))
 		}
-		teller.Sidecars(names)
+		allocator.Sidecars(names)
 		type mail struct {
 			at, sent time.Duration
-			to       int // sidecar; -1 teller
+			to       int // sidecar; -1 allocator
 			from     int
-			wishes   *Wishes
-			tickets  *Tickets
+			wishes   *TokenRequests
+			tickets  *TokenGrants
 		}
 		var post []mail
-		purses := make([]*Purse, n)
+		purses := make([]*TokenCache, n)
 		cut := make([]time.Duration, n)
 		for i := range purses {
-			purses[i] = NewPurse()
+			purses[i] = NewTokenCache()
 		}
 		var let []time.Duration
 		trouble, away := seed%4 != 0, time.Duration(0)
@@ -47,8 +47,8 @@
 			// The duty moves: its holder has stopped before, and a lease lasts a second and a half.
 			if trouble && rng.IntN(1000) == 0 && now > away+1500*time.Millisecond {
 				away = now + time.Duration(100+rng.IntN(2000))*time.Millisecond
-				teller = NewTeller(away, false, limits)
-				teller.Sidecars(names)
+				allocator = NewAllocator(away, false, limits)
+				allocator.Sidecars(names)
 			}
 			slices.SortStableFunc(post, func(a, b mail) int { return int(a.at - b.at) })
 			for len(post) > 0 && post[0].at <= now {
@@ -59,7 +59,7 @@
 				case m.to < 0 && now < away:
 				case m.to < 0:
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: m.sent, to: m.from,
-						from: m.from, tickets: &Tickets{Granted: true, Tickets: teller.Take(now, m.wishes)}})
+						from: m.from, tickets: &TokenGrants{Granted: true, Tickets: allocator.Take(now, m.wishes)}})
 				default:
 					purses[m.to].Got(now, m.sent, m.tickets)
 				}
@@ -74,7 +74,7 @@
 				}
 				if w, due := p.Tick(now); due {
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: now, to: -1, from: i,
-						wishes: &Wishes{Who: names[i], Life: 1, Wishes: w}})
+						wishes: &TokenRequests{Who: names[i], Life: 1, Wishes: w}})
 				}
 				if now-p.sent > waitMost*2 && p.out {
 					p.Failed(now)
--- a/internal/mesh/boxoffice/purse.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -1,10 +1,10 @@
-package boxoffice
+package ratelimit
 
 import "time"
 
-// Tunables of a sidecar's purse.
+// Tunables of a sidecar's tokenCache.
 const (
-	beat       = 200 * time.Millisecond // between two wishes, so that the teller knows that it is there
+	beat       = 200 * time.Millisecond // between two wishes, so that the allocator knows that it is there
 	urgent     = 15 * time.Millisecond  // the same while requests wait
 	ahead      = 300 * time.Millisecond // of demand, that tokens are drawn for beforehand
 	demandOver = time.Second            // that demand is smoothed over, for tokens,
@@ -15,15 +15,15 @@
 	backMost   = 2 * time.Second
 	backAlone  = 250 * time.Millisecond
 	backLeast  = 30 * time.Millisecond
-	waitFirst  = 250 * time.Millisecond // the same where no teller has been reached yet
+	waitFirst  = 250 * time.Millisecond // the same where no allocator has been reached yet
 	waitersMax = 1024                   // of one tenant
 	savedMost  = 2.0                    // requests that a sidecar on its own may save up, where its share is small
-	firstShare = 0.08                   // of a tenant's rate, at most, that a sidecar takes which has never reached a teller
+	firstShare = 0.08                   // of a tenant's rate, at most, that a sidecar takes which has never reached an allocator
 )
 
-// Purse is what one sidecar holds of the tenants' limits.
-type Purse struct {
-	tenants  map[string]*pocket
+// TokenCache is what one sidecar holds of the tenants' limits.
+type TokenCache struct {
+	tenants  map[string]*tenantTokens
 	got      time.Duration // the last tickets
 	met      bool
 	sent     time.Duration
@@ -32,9 +32,9 @@
 }
 
 // Sidecars says how many sidecars are there.
-func (p *Purse) Sidecars(n int) { p.sidecars = n }
+func (p *TokenCache) Sidecars(n int) { p.sidecars = n }
 
-type pocket struct {
+type tenantTokens struct {
 	limit   Limit
 	demand  float64
 	usual   float64       // demand, over longer
@@ -45,7 +45,7 @@
 	shareTo time.Duration
 	level   float64 // of what it may let in on its own
 	levelAt time.Duration
-	denied  time.Duration // the teller has nothing before
+	denied  time.Duration // the allocator has nothing before
 	waiting []func(ok bool, back time.Duration)
 	since   time.Duration // the oldest of those
 	asked   int           // of those, the first, that the wishes under way speak for
@@ -54,21 +54,21 @@
 }
 
 // NewPurse makes an empty one.
-func NewPurse() *Purse { return &Purse{tenants: map[string]*pocket{}} }
+func NewTokenCache() *TokenCache { return &TokenCache{tenants: map[string]*tenantTokens{}} }
 
-// Reached tells whether a teller has been heard of within what its tokens are good for.
-func (p *Purse) Reached(now time.Duration) bool { return p.met && now-p.got < valid }
+// Reached tells whether an allocator has been heard of within what its tokens are good for.
+func (p *TokenCache) Reached(now time.Duration) bool { return p.met && now-p.got < valid }
 
 // Take takes a request of a tenant in: done is called once, now or later, with whether it may go on, and if not, when to come
 // back.
-func (p *Purse) Take(now time.Duration, tenant string, limit Limit, done func(ok bool, back time.Duration)) {
+func (p *TokenCache) Take(now time.Duration, tenant string, limit Limit, done func(ok bool, back time.Duration)) {
 	if limit.Rate <= 0 {
 		done(true, 0)
 		return
 	}
 	k := p.tenants[tenant]
 	if k == nil {
-		k = &pocket{at: now, levelAt: now, level: 1}
+		k = &tenantTokens{at: now, levelAt: now, level: 1}
 		p.tenants[tenant] = k
 	}
 	k.limit = limit
@@ -92,12 +92,12 @@
 	}
 }
 
-func (p *Purse) back(k *pocket, d time.Duration) time.Duration {
+func (p *TokenCache) back(k *tenantTokens, d time.Duration) time.Duration {
 	return min(max(d, backLeast), backMost)
 }
 
 // lapse puts tokens aside that have run out.
-func (k *pocket) lapse(now time.Duration) {
+func (k *tenantTokens) lapse(now time.Duration) {
 	if now >= k.until && k.tokens > 0 {
 		k.unused += k.tokens
 		k.tokens = 0
@@ -105,22 +105,22 @@
 }
 
 // count takes requests into the demand.
-func (k *pocket) count(now time.Duration, n float64) {
+func (k *tenantTokens) count(now time.Duration, n float64) {
 	dt := float64(now - k.at)
 	k.demand = k.demand/(1+dt/float64(demandOver)) + n/demandOver.Seconds()
 	k.usual = k.usual/(1+dt/float64(shareOver)) + n/shareOver.Seconds()
 	k.at = now
 }
 
-func (k *pocket) rate(now time.Duration) float64 {
+func (k *tenantTokens) rate(now time.Duration) float64 {
 	return k.demand / (1 + float64(now-k.at)/float64(demandOver))
 }
 
-// alone lets a request in by the standing share. Whoever has none, having never reached a teller or not for longer than the
-// share's lease, takes a small even one for itself: with no teller at all, as after a restart of all or with the core gone for
+// alone lets a request in by the standing share. Whoever has none, having never reached an allocator or not for longer than the
+// share's lease, takes a small even one for itself: with no allocator at all, as after a restart of all or with the core gone for
 // long, these add up to no more than the limit; of a few that alone can't reach one, even through others, the sum stays within
 // what the rules leave.
-func (k *pocket) alone(now time.Duration, p *Purse) (bool, time.Duration) {
+func (k *tenantTokens) alone(now time.Duration, p *TokenCache) (bool, time.Duration) {
 	if now >= k.shareTo {
 		k.share = k.limit.Rate * min(firstShare, 1/float64(max(p.sidecars, 1)))
 	}
@@ -131,14 +131,14 @@
 		if k.share <= 0 {
 			return false, backMost
 		}
-		return false, min(time.Duration((1-k.level)/k.share*float64(time.Second)), backAlone) // a teller may be back by then
+		return false, min(time.Duration((1-k.level)/k.share*float64(time.Second)), backAlone) // an allocator may be back by then
 	}
 	k.level--
 	return true, 0
 }
 
 // Tick gives the wishes that are due, and turns to its own share whoever has waited too long.
-func (p *Purse) Tick(now time.Duration) (w []Wish, due bool) {
+func (p *TokenCache) Tick(now time.Duration) (w []TokenRequest, due bool) {
 	pressing := false
 	for name, k := range p.tenants {
 		most := waitMost
@@ -169,7 +169,7 @@
 			continue
 		}
 		k.renew = now + renewEach
-		x := Wish{Tenant: name, Demand: k.usual / (1 + float64(now-k.at)/float64(shareOver)), Share: k.share, Left: max(k.shareTo-now, 0), Unused: k.unused}
+		x := TokenRequest{Tenant: name, Demand: k.usual / (1 + float64(now-k.at)/float64(shareOver)), Share: k.share, Left: max(k.shareTo-now, 0), Unused: k.unused}
 		k.unused = 0
 		k.asked = len(k.waiting)
 		x.Tokens = float64(k.asked)
@@ -187,7 +187,7 @@
 }
 
 // short tells whether tokens are about to run out.
-func (k *pocket) short(now time.Duration) bool {
+func (k *tenantTokens) short(now time.Duration) bool {
 	next := k.rate(now) * ahead.Seconds()
 	if next < 1 || now < k.denied {
 		return false
@@ -196,7 +196,7 @@
 }
 
 // Got takes the answer to the wishes that were sent at a time.
-func (p *Purse) Got(now, sent time.Duration, t *Tickets) {
+func (p *TokenCache) Got(now, sent time.Duration, t *TokenGrants) {
 	p.out = false
 	if !t.Granted {
 		return
@@ -222,7 +222,7 @@
 
 // settle lets waiting requests in by the tokens that are there. Those that the wishes spoke for and that got none are told to
 // come back; who came later waits for the next answer.
-func (k *pocket) settle(now, back time.Duration) {
+func (k *tenantTokens) settle(now, back time.Duration) {
 	i := 0
 	for ; i < len(k.waiting) && now < k.until && k.tokens >= 1; i++ {
 		k.tokens--
@@ -235,7 +235,7 @@
 }
 
 // Waiting tells whether requests wait for tokens.
-func (p *Purse) Waiting() bool {
+func (p *TokenCache) Waiting() bool {
 	for _, k := range p.tenants {
 		if len(k.waiting) > 0 {
 			return true
@@ -244,10 +244,10 @@
 	return false
 }
 
-// Failed says that the wishes reached no teller.
-func (p *Purse) Failed(time.Duration) { p.out = false }
+// Failed says that the wishes reached no allocator.
+func (p *TokenCache) Failed(time.Duration) { p.out = false }
 
-func (k *pocket) release(now time.Duration, take func() (bool, time.Duration)) {
+func (k *tenantTokens) release(now time.Duration, take func() (bool, time.Duration)) {
 	all := k.waiting
 	k.waiting = nil
 	for _, done := range all {
--- a/internal/mesh/trunk/trunk.go
+++ b/internal/mesh/control/storage/storage.go
@@ -1,6 +1,6 @@
-// Package trunk keeps a few records on disk, each under its key and written through before Put returns. What a record holds
+// Package storage keeps a few records on disk, each under its key and written through before Put returns. What a record holds
 // is checked when it is read. All calls wait for the disk, as long as it takes: the caller makes them on one goroutine.
-package trunk
+package storage
 
 import (
 	"encoding/binary"
@@ -23,7 +23,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Trunk is a folder of records.
-type Trunk struct {
+type Store struct {
 	folder string
 	db     *leveldb.DB // nil after an error, until the next call
 }
@@ -42,12 +42,12 @@
 }
 
 // Open opens a folder, which it creates. A lock that a killed process left, and a last write that was torn, don't matter.
-func Open(folder string) (*Trunk, error) {
-	t := &Trunk{folder: folder}
+func Open(folder string) (*Store, error) {
+	t := &Store{folder: folder}
 	return t, trace.Wrap(t.open())
 }
 
-func (t *Trunk) open() error {
+func (t *Store) open() error {
 	if t.db != nil {
 		return nil
 	}
@@ -66,7 +66,7 @@
 }
 
 // drop closes the database after an error: its journal may be broken, and is read anew before the next write.
-func (t *Trunk) drop() {
+func (t *Store) drop() {
 	if t.db != nil {
 		_ = t.db.Close() // has nothing to add to the error
 		t.db = nil
@@ -74,7 +74,7 @@
 }
 
 // Get reads a record: trace.NotFound if there is none, trace.CompareFailed if it isn't what was written.
-func (t *Trunk) Get(key string) ([]byte, error) {
+func (t *Store) Get(key string) ([]byte, error) {
 	if err := t.open(); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -93,7 +93,7 @@
 }
 
 // Put writes a record through to the disk.
-func (t *Trunk) Put(key string, data []byte) error {
+func (t *Store) Put(key string, data []byte) error {
 	if err := t.open(); err != nil {
 		return trace.Wrap(err)
 	}
@@ -105,7 +105,7 @@
 }
 
 // Check reads all records, and names those that aren't what was written.
-func (t *Trunk) Check() error {
+func (t *Store) Check() error {
 	if err := t.open(); err != nil {
 		return trace.Wrap(err)
 	}
@@ -121,7 +121,7 @@
 }
 
 // Close ends the use of the folder.
-func (t *Trunk) Close() error {
+func (t *Store) Close() error {
 	if t.db == nil {
 		return nil
 	}
--- a/internal/mesh/trunk/trunk_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -1,4 +1,4 @@
-package trunk
+package storage
 
 import (
 	"bytes"
@@ -54,7 +54,7 @@
 	return x
 }
 
-func open(t *testing.T, folder string) *Trunk {
+func open(t *testing.T, folder string) *Store {
 	k, err := Open(folder)
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = k.Close() })
