--- a/internal/mesh/wings/wings.go
+++ b/internal/mesh/dataplane/admission/admission.go
@@ -1,13 +1,13 @@
-// Package wings decides who goes on to an endpoint, and when: requests wait in the wings of the endpoint's own sidecar, past
+// Package admission decides who goes on to an endpoint, and when: requests wait in the admission of the endpoint's own sidecar, past
 // which no request goes. It alone knows the endpoint's life, its slots and its drain mark, so what it turns away has surely
 // not run. It does no I/O; time is an argument.
-package wings
+package admission
 
 import (
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/curtain"
+	"gingerlead/internal/mesh/dataplane/outcome"
 )
 
 // Tunables.
@@ -58,10 +58,10 @@
 // Step is what is to be done with a request: Kind 0 to let it on, else what it ended as.
 type Step struct {
 	Token uint64
-	Kind  curtain.Kind
+	Kind  outcome.Kind
 }
 
-// Gate keeps the wings of one endpoint.
+// Gate keeps the admission of one endpoint.
 type Gate struct {
 	life    Life
 	state   State
@@ -93,7 +93,7 @@
 	g.steps = nil
 	switch {
 	case life.ID != g.life.ID:
-		g.refuseAll(curtain.Mistaken)
+		g.refuseAll(outcome.Mistaken)
 		g.life, g.state, g.marked = life, state, now
 		g.running = map[uint64]time.Duration{}
 	case state < g.state:
@@ -104,13 +104,13 @@
 		g.life, g.state = life, state
 	}
 	if g.state == Gone {
-		g.refuseAll(curtain.Mistaken)
+		g.refuseAll(outcome.Mistaken)
 	}
 	g.pull(now)
 	return g.steps
 }
 
-func (g *Gate) refuseAll(k curtain.Kind) {
+func (g *Gate) refuseAll(k outcome.Kind) {
 	for _, w := range g.queue {
 		g.steps = append(g.steps, Step{w.Token, k})
 	}
@@ -118,12 +118,12 @@
 }
 
 // closed is why nothing more goes on; 0 while it does.
-func (g *Gate) closed(now time.Duration) curtain.Kind {
+func (g *Gate) closed(now time.Duration) outcome.Kind {
 	switch {
 	case g.state == Unknown || g.state == Gone:
-		return curtain.Mistaken
+		return outcome.Mistaken
 	case g.state == Draining && now-g.marked > drainGrace:
-		return curtain.Leaving
+		return outcome.Leaving
 	}
 	return 0
 }
@@ -135,9 +135,9 @@
 	case k != 0:
 		g.steps = append(g.steps, Step{a.Token, k})
 	case a.Endpoint != "" && a.Endpoint != g.life.ID, a.Service != "" && a.Service != g.life.Service:
-		g.steps = append(g.steps, Step{a.Token, curtain.Mistaken})
+		g.steps = append(g.steps, Step{a.Token, outcome.Mistaken})
 	case now+lateGrace >= a.Deadline:
-		g.steps = append(g.steps, Step{a.Token, curtain.Late})
+		g.steps = append(g.steps, Step{a.Token, outcome.Late})
 	default:
 		g.insert(waiting{a, now})
 		g.pull(now)
@@ -175,7 +175,7 @@
 		w := g.queue[0]
 		g.queue = slices.Delete(g.queue, 0, 1)
 		if now+lateGrace >= w.Deadline {
-			g.steps = append(g.steps, Step{w.Token, curtain.Late})
+			g.steps = append(g.steps, Step{w.Token, outcome.Late})
 			continue
 		}
 		g.running[w.Token] = now
@@ -195,7 +195,7 @@
 		left := w.Aim - w.at - g.work
 		may := max(time.Duration(waitShare*float64(left)), waitLeast)
 		if expected > may || i >= queueMost {
-			g.steps = append(g.steps, Step{w.Token, curtain.Full})
+			g.steps = append(g.steps, Step{w.Token, outcome.Full})
 			g.queue = slices.Delete(g.queue, i, i+1)
 			continue
 		}
@@ -234,7 +234,7 @@
 	}
 	for i := 0; i < len(g.queue); {
 		if w := &g.queue[i]; now+lateGrace+g.work/2 >= w.Deadline {
-			g.steps = append(g.steps, Step{w.Token, curtain.Late})
+			g.steps = append(g.steps, Step{w.Token, outcome.Late})
 			g.queue = slices.Delete(g.queue, i, i+1)
 			continue
 		}
--- a/internal/mesh/wings/wings_test.go
+++ b/internal/mesh/dataplane/admission/admission_test.go
@@ -1,4 +1,4 @@
-package wings
+package admission
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"gingerlead/internal/mesh/curtain"
+	"gingerlead/internal/mesh/dataplane/outcome"
 )
 
 // Beat, drain, end, a new life at the same address, arrivals for either life, their ends, withdrawals and time, in all orders:
@@ -139,7 +139,7 @@
 	full := 0
 	for i := range uint64(100) {
 		for _, s := range g.Arrive(0, Arrival{Token: i, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second}) {
-			if s.Kind == curtain.Full {
+			if s.Kind == outcome.Full {
 				full++
 			}
 		}
--- a/internal/mesh/stagedoor/endpoint.go
+++ b/internal/mesh/dataplane/inbound/endpoint.go
@@ -1,4 +1,4 @@
-package stagedoor
+package inbound
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"gingerlead/internal/mesh/curtain"
+	"gingerlead/internal/mesh/dataplane/outcome"
 )
 
 // Bounds of one exchange with the endpoint.
@@ -59,7 +59,7 @@
 }
 
 // appendRequest writes a request as the endpoint wants it.
-func appendRequest(buf []byte, p *Perform, left time.Duration) []byte {
+func appendRequest(buf []byte, p *ForwardRequest, left time.Duration) []byte {
 	buf = fmt.Appendf(buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", p.Method, p.URI, p.Host)
 	for i := 0; i+1 < len(p.Header); i += 2 {
 		buf = append(append(append(append(buf, p.Header[i]...), ": "...), p.Header[i+1]...), "\r\n"...)
@@ -82,19 +82,19 @@
 
 // exchange sends a request on a connection and reads its answer. An answer is taken only if it is whole and bears the
 // request's id: surplus ones come late, in the place of the next.
-func exchange(c *connection, p *Perform, head []byte, now func() time.Duration) (o Outcome) {
+func exchange(c *connection, p *ForwardRequest, head []byte, now func() time.Duration) (o Outcome) {
 	began := now()
 	o.Arrived = true
 	if _, err := c.Write(head); err != nil {
-		o.Kind = curtain.Broken
+		o.Kind = outcome.Broken
 		return o
 	}
 	for range strangers {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: p.Method})
 		if err != nil {
-			o.Kind = curtain.Broken
+			o.Kind = outcome.Broken
 			if !isBroken(err) {
-				o.Kind = curtain.Spoilt
+				o.Kind = outcome.Spoilt
 			}
 			return o
 		}
@@ -104,13 +104,13 @@
 		}
 		body, err := readBody(resp)
 		if err != nil {
-			o.Kind = curtain.Spoilt
+			o.Kind = outcome.Spoilt
 			return o
 		}
 		if id := resp.Header.Get("Attempt-Id"); id != p.Attempt {
 			c.broken = true // no telling what else comes
 			if id == "" && resp.Header.Get("Not-Executed") == "" && resp.StatusCode != http.StatusMisdirectedRequest {
-				o.Kind = curtain.Spoilt
+				o.Kind = outcome.Spoilt
 				return o
 			}
 			if id != "" {
@@ -122,7 +122,7 @@
 		c.keep(resp, now())
 		return o
 	}
-	o.Kind = curtain.Spoilt
+	o.Kind = outcome.Spoilt
 	return o
 }
 
@@ -159,20 +159,20 @@
 	o.Status = resp.StatusCode
 	switch {
 	case h.Get("Not-Executed") != "":
-		o.Kind = curtain.TurnedAway
+		o.Kind = outcome.TurnedAway
 		o.Back = retryAfter(h.Get("Retry-After"))
 		return
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		o.Kind = curtain.Mistaken
+		o.Kind = outcome.Mistaken
 		return
 	case resp.StatusCode/100 == 2 && (h.Get("Endpoint-Seal") == "" || h.Get("Content-Encoding") != ""):
-		o.Kind = curtain.Spoilt
+		o.Kind = outcome.Spoilt
 		return
 	case resp.StatusCode == 429 || resp.StatusCode == 503 || resp.StatusCode == 408:
-		o.Kind = curtain.Spoilt // without Not-Executed it may have run, and the status would promise that it has not
+		o.Kind = outcome.Spoilt // without Not-Executed it may have run, and the status would promise that it has not
 		return
 	}
-	o.Kind, o.Body = curtain.Answered, body
+	o.Kind, o.Body = outcome.Answered, body
 	for name, values := range h {
 		if HopHeaders[name] {
 			continue
--- a/internal/mesh/stagedoor/stagedoor.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -1,6 +1,6 @@
-// Package stagedoor is the way to the endpoint beside a sidecar: every request to it comes here, waits in its wings, and goes
+// Package inbound is the way to the endpoint beside a sidecar: every request to it comes here, waits in its admission, and goes
 // out on a connection that carries one request at a time. What may have run and what has surely not is told apart here.
-package stagedoor
+package inbound
 
 import (
 	"bufio"
@@ -11,21 +11,21 @@
 	"github.com/gammazero/deque"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/script"
-	"gingerlead/internal/mesh/wings"
+	"gingerlead/internal/mesh/dataplane/admission"
+	"gingerlead/internal/mesh/dataplane/outcome"
+	"gingerlead/internal/mesh/transport"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 const lookEvery = 20 * time.Millisecond // while somebody waits
 
 // Door serves one endpoint.
-type Door struct {
+type Proxy struct {
 	address string
 	now     func() time.Duration
 	log     *logrus.Logger
 	mu      sync.Mutex
-	gate    *wings.Gate
+	gate    *admission.Gate
 	next    uint64
 	jobs    map[uint64]*job
 	idle    deque.Deque[*connection] // the longest idle first
@@ -46,7 +46,7 @@
 // job is one request from its arrival to its outcome.
 type job struct {
 	token    uint64
-	p        *Perform
+	p        *ForwardRequest
 	deadline time.Duration
 	done     func(*Outcome)
 	conn     *connection
@@ -55,14 +55,14 @@
 	large    float64 // bytes expected of its answer, if they wait for their turn
 }
 
-// New makes the door to an endpoint's address. dead is called, without locks, when the endpoint refuses connections.
-func New(address string, now func() time.Duration, log *logrus.Logger, dead func(life string)) *Door {
-	return &Door{address: address, now: now, log: log, gate: wings.New(), jobs: map[uint64]*job{}, dead: dead,
+// New makes the proxy to an endpoint's address. dead is called, without locks, when the endpoint refuses connections.
+func New(address string, now func() time.Duration, log *logrus.Logger, dead func(life string)) *Proxy {
+	return &Proxy{address: address, now: now, log: log, gate: admission.New(), jobs: map[uint64]*job{}, dead: dead,
 		sizes: map[string]float64{}}
 }
 
 // Tell says what is known of the endpoint.
-func (d *Door) Tell(life wings.Life, state wings.State) {
+func (d *Proxy) Tell(life admission.Life, state admission.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if life.ID != d.gate.Life().ID {
@@ -72,32 +72,32 @@
 }
 
 // Life is the endpoint's life and state.
-func (d *Door) Life() (wings.Life, wings.State) {
+func (d *Proxy) Life() (admission.Life, admission.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gate.Life(), d.gate.State()
 }
 
 // Busy is how many requests run or wait.
-func (d *Door) Busy() int {
+func (d *Proxy) Busy() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.jobs)
 }
 
-func (d *Door) drop() {
+func (d *Proxy) drop() {
 	for d.idle.Len() > 0 {
 		d.idle.PopFront().Close()
 	}
 }
 
 // Perform takes a request; done is called once, on another goroutine. What it returns withdraws the request.
-func (d *Door) Perform(p *Perform, aim, deadline time.Duration, done func(*Outcome)) (withdraw func()) {
-	return d.perform(p, aim, deadline, false, done)
+func (d *Proxy) Forward(p *ForwardRequest, aim, deadline time.Duration, done func(*Outcome)) (withdraw func()) {
+	return d.forward(p, aim, deadline, false, done)
 }
 
 // perform is Perform; afar tells that the answer goes back over the machine's link, which may be the narrowest place.
-func (d *Door) perform(p *Perform, aim, deadline time.Duration, afar bool, done func(*Outcome)) (withdraw func()) {
+func (d *Proxy) forward(p *ForwardRequest, aim, deadline time.Duration, afar bool, done func(*Outcome)) (withdraw func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.next++
@@ -108,7 +108,7 @@
 		aim, deadline = aim-back, deadline-back
 	}
 	if large > 0 && d.now()+d.gate.Work() > aim { // late ones would only keep the link from others
-		o := &Outcome{Kind: curtain.Full, Slots: d.gate.Life().Slots}
+		o := &Outcome{Kind: outcome.Full, Slots: d.gate.Life().Slots}
 		o.Running, o.Waiting = d.gate.Load()
 		go done(o)
 		return func() {}
@@ -116,14 +116,14 @@
 	d.under += large
 	j := &job{token: d.next, p: p, deadline: deadline, done: done, large: large}
 	d.jobs[j.token] = j
-	d.act(d.gate.Arrive(d.now(), wings.Arrival{Token: j.token, Endpoint: p.Endpoint, Service: p.Service,
+	d.act(d.gate.Arrive(d.now(), admission.Arrival{Token: j.token, Endpoint: p.Endpoint, Service: p.Service,
 		Priority: p.Priority, Inner: p.Inner, Aim: aim, Deadline: deadline}))
 	d.watch()
 	return func() { d.withdraw(j) }
 }
 
 // act does what the gate has decided; the lock is held.
-func (d *Door) act(steps []wings.Step) {
+func (d *Proxy) act(steps []admission.Step) {
 	for _, s := range steps {
 		j := d.jobs[s.Token]
 		if j == nil {
@@ -139,7 +139,7 @@
 }
 
 // end gives a request its outcome; the lock is held.
-func (d *Door) end(j *job, o *Outcome) {
+func (d *Proxy) end(j *job, o *Outcome) {
 	if d.jobs[j.token] != j {
 		return
 	}
@@ -150,7 +150,7 @@
 	go j.done(o)
 }
 
-func (d *Door) withdraw(j *job) {
+func (d *Proxy) withdraw(j *job) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.jobs[j.token] != j || j.quit {
@@ -159,7 +159,7 @@
 	j.quit = true
 	if !j.running {
 		d.gate.Withdraw(d.now(), j.token)
-		d.end(j, &Outcome{Kind: curtain.Withdrawn})
+		d.end(j, &Outcome{Kind: outcome.Withdrawn})
 		return
 	}
 	if j.conn != nil {
@@ -168,7 +168,7 @@
 }
 
 // watch lets time pass for those who wait.
-func (d *Door) watch() {
+func (d *Proxy) watch() {
 	if _, waiting := d.gate.Load(); d.looking || waiting == 0 {
 		return
 	}
@@ -183,21 +183,21 @@
 }
 
 // run brings a request to the endpoint and its outcome back.
-func (d *Door) run(j *job) {
+func (d *Proxy) run(j *job) {
 	o := d.attempt(j)
-	if o.Kind == curtain.Broken && j.quit {
-		o.Kind = curtain.Silent
+	if o.Kind == outcome.Broken && j.quit {
+		o.Kind = outcome.Silent
 	}
 	d.mu.Lock()
 	if c := j.conn; c != nil {
-		if j.conn = nil; c.broken || o.Kind == curtain.Broken || o.Kind == curtain.Spoilt || o.Kind == curtain.Silent || j.quit {
+		if j.conn = nil; c.broken || o.Kind == outcome.Broken || o.Kind == outcome.Spoilt || o.Kind == outcome.Silent || j.quit {
 			c.Close()
 		} else {
 			_ = c.SetDeadline(time.Time{})
 			d.idle.PushBack(c)
 		}
 	}
-	if o.Kind == curtain.Answered {
+	if o.Kind == outcome.Answered {
 		if size, ok := d.sizes[j.p.Route]; ok || len(d.sizes) < sizesMost {
 			if !ok {
 				size = float64(len(o.Body))
@@ -210,9 +210,9 @@
 	d.act(steps)
 	dead := ""
 	if d.refused >= 2 {
-		if life := d.gate.Life(); d.gate.State() != wings.Gone && life.ID == j.p.Endpoint {
+		if life := d.gate.Life(); d.gate.State() != admission.Gone && life.ID == j.p.Endpoint {
 			dead = life.ID
-			d.act(d.gate.Tell(d.now(), life, wings.Gone))
+			d.act(d.gate.Tell(d.now(), life, admission.Gone))
 		}
 	}
 	d.mu.Unlock()
@@ -221,30 +221,30 @@
 	}
 }
 
-func (d *Door) attempt(j *job) Outcome {
+func (d *Proxy) attempt(j *job) Outcome {
 	c, kind := d.connection(j)
 	if kind != 0 {
 		return Outcome{Kind: kind}
 	}
 	left := j.deadline - d.now()
 	if left <= 0 {
-		return Outcome{Kind: curtain.Late}
+		return Outcome{Kind: outcome.Late}
 	}
 	_ = c.SetDeadline(time.Now().Add(left))
 	o := exchange(c, j.p, appendRequest(nil, j.p, left), d.now)
-	if o.Kind == curtain.Broken && d.now() >= j.deadline-time.Millisecond {
-		o.Kind = curtain.Silent
+	if o.Kind == outcome.Broken && d.now() >= j.deadline-time.Millisecond {
+		o.Kind = outcome.Silent
 	}
 	return o
 }
 
 // connection is an idle one that is fresh, or a new one.
-func (d *Door) connection(j *job) (*connection, curtain.Kind) {
+func (d *Proxy) connection(j *job) (*connection, outcome.Kind) {
 	for {
 		d.mu.Lock()
 		if j.quit {
 			d.mu.Unlock()
-			return nil, curtain.Withdrawn
+			return nil, outcome.Withdrawn
 		}
 		if d.idle.Len() == 0 {
 			d.mu.Unlock()
@@ -263,33 +263,33 @@
 	}
 	dial := net.Dialer{Timeout: min(connectMost, j.deadline-d.now()), KeepAlive: -1}
 	if dial.Timeout <= 0 {
-		return nil, curtain.Late
+		return nil, outcome.Late
 	}
 	conn, err := dial.Dial("tcp4", d.address)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
 		d.refused++
-		return nil, curtain.Unreachable
+		return nil, outcome.Unreachable
 	}
 	d.refused = 0
 	c := &connection{Conn: conn, r: bufio.NewReaderSize(conn, 4<<10)}
 	if j.quit {
 		conn.Close()
-		return nil, curtain.Withdrawn
+		return nil, outcome.Withdrawn
 	}
 	j.conn = c
 	return c, 0
 }
 
 // Serve declares the ask that brings requests from other sidecars.
-func (d *Door) Serve(h *cue.Hub) {
+func (d *Proxy) Serve(h *transport.Hub) {
 	d.way = h.Backlog
-	h.Serve(MethodPerform, func(c *cue.Call) {
-		var p Perform
-		if err := script.Read(c.Body, &p); err != nil {
-			d.log.WithField("peer", c.From.Name).Warn("stagedoor: " + err.Error())
-			c.Answer(&Outcome{Kind: curtain.Malformed})
+	h.Serve(MethodForward, func(c *transport.IncomingCall) {
+		var p ForwardRequest
+		if err := codec.Read(c.Body, &p); err != nil {
+			d.log.WithField("peer", c.From.Name).Warn("inbound: " + err.Error())
+			c.Answer(&Outcome{Kind: outcome.Malformed})
 			return
 		}
 		now := d.now()
@@ -298,7 +298,7 @@
 			deadline = min(deadline, c.Expires)
 		}
 		aim := deadline - p.Left + p.Aim
-		withdraw := d.perform(&p, aim, deadline, true, func(o *Outcome) { c.Answer(o) })
+		withdraw := d.forward(&p, aim, deadline, true, func(o *Outcome) { c.Answer(o) })
 		c.OnWithdrawn(withdraw)
 	})
 }
--- a/internal/mesh/stagedoor/stagedoor_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -1,4 +1,4 @@
-package stagedoor
+package inbound
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/wings"
+	"gingerlead/internal/mesh/dataplane/admission"
+	"gingerlead/internal/mesh/dataplane/outcome"
 )
 
 // endpoint answers each request by what a function writes; it hears which attempt it is, counted from 0 on a connection.
@@ -45,17 +45,17 @@
 	return l.Addr().String()
 }
 
-func door(address string) *Door {
+func newProxy(address string) *Proxy {
 	start := time.Now()
 	d := New(address, func() time.Duration { return time.Since(start) }, logrus.New(), nil)
-	d.Tell(wings.Life{ID: "i-1", Service: "s", Slots: 4}, wings.Serving)
+	d.Tell(admission.Life{ID: "i-1", Service: "s", Slots: 4}, admission.Serving)
 	return d
 }
 
-func perform(d *Door, attempt string, left time.Duration) *Outcome {
+func perform(d *Proxy, attempt string, left time.Duration) *Outcome {
 	got := make(chan *Outcome, 1)
-	p := &Perform{Endpoint: "i-1", Service: "s", Method: "GET", URI: "/a?b=c", Host: "h", Attempt: attempt, Caller: "from"}
-	d.Perform(p, d.now()+left, d.now()+left, func(o *Outcome) { got <- o })
+	p := &ForwardRequest{Endpoint: "i-1", Service: "s", Method: "GET", URI: "/a?b=c", Host: "h", Attempt: attempt, Caller: "from"}
+	d.Forward(p, d.now()+left, d.now()+left, func(o *Outcome) { got <- o })
 	return <-got
 }
 
@@ -68,27 +68,27 @@
 	for name, x := range map[string]struct {
 		bytes string // ID stands for the attempt's id
 		end   bool   // the connection is closed after them
-		kind  curtain.Kind
+		kind  outcome.Kind
 	}{
-		"whole":                       {whole("ID", "body"), false, curtain.Answered},
-		"in chunks":                   {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", false, curtain.Answered},
-		"after an interim one":        {"HTTP/1.1 102 Processing\r\n\r\n" + whole("ID", "body"), false, curtain.Answered},
-		"after another's":             {whole("other", "theirs") + whole("ID", "body"), false, curtain.Answered},
-		"and a surplus one":           {whole("ID", "body") + whole("ID", "again"), false, curtain.Answered},
-		"its own failure":             {fmt.Sprintf(head, "500 Oops"), false, curtain.Answered},
-		"turned away":                 {"HTTP/1.1 503 Full\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", false, curtain.TurnedAway},
-		"another life":                {"HTTP/1.1 421 Misdirected\r\nAnswering-Endpoint: i-2\r\nContent-Length: 0\r\n\r\n", false, curtain.Mistaken},
-		"a promise that is none":      {fmt.Sprintf(head, "503 Full"), false, curtain.Spoilt},
-		"no seal":                     {strings.Replace(whole("ID", "body"), "Endpoint-Seal", "X", 1), false, curtain.Spoilt},
-		"encoded":                     {strings.Replace(whole("ID", "body"), "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1), false, curtain.Spoilt},
-		"another's alone, then ended": {whole("other", "theirs"), true, curtain.Broken},
-		"cut short":                   {whole("ID", "body")[:len(whole("ID", "body"))-2], true, curtain.Spoilt},
-		"a chunk cut short":           {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbo", true, curtain.Spoilt},
-		"an end that can't be told":   {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\n\r\nbody", true, curtain.Spoilt},
-		"no answer in the protocol":   {"\x00\x01 garbage\r\n\r\n", true, curtain.Spoilt},
-		"no id":                       {strings.Replace(whole("ID", "body"), "Attempt-Id", "X", 1), false, curtain.Spoilt},
-		"nothing, then ended":         {"", true, curtain.Broken},
-		"nothing":                     {"", false, curtain.Silent},
+		"whole":                       {whole("ID", "body"), false, outcome.Answered},
+		"in chunks":                   {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", false, outcome.Answered},
+		"after an interim one":        {"HTTP/1.1 102 Processing\r\n\r\n" + whole("ID", "body"), false, outcome.Answered},
+		"after another's":             {whole("other", "theirs") + whole("ID", "body"), false, outcome.Answered},
+		"and a surplus one":           {whole("ID", "body") + whole("ID", "again"), false, outcome.Answered},
+		"its own failure":             {fmt.Sprintf(head, "500 Oops"), false, outcome.Answered},
+		"turned away":                 {"HTTP/1.1 503 Full\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", false, outcome.TurnedAway},
+		"another life":                {"HTTP/1.1 421 Misdirected\r\nAnswering-Endpoint: i-2\r\nContent-Length: 0\r\n\r\n", false, outcome.Mistaken},
+		"a promise that is none":      {fmt.Sprintf(head, "503 Full"), false, outcome.Spoilt},
+		"no seal":                     {strings.Replace(whole("ID", "body"), "Endpoint-Seal", "X", 1), false, outcome.Spoilt},
+		"encoded":                     {strings.Replace(whole("ID", "body"), "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1), false, outcome.Spoilt},
+		"another's alone, then ended": {whole("other", "theirs"), true, outcome.Broken},
+		"cut short":                   {whole("ID", "body")[:len(whole("ID", "body"))-2], true, outcome.Spoilt},
+		"a chunk cut short":           {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbo", true, outcome.Spoilt},
+		"an end that can't be told":   {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\n\r\nbody", true, outcome.Spoilt},
+		"no answer in the protocol":   {"\x00\x01 garbage\r\n\r\n", true, outcome.Spoilt},
+		"no id":                       {strings.Replace(whole("ID", "body"), "Attempt-Id", "X", 1), false, outcome.Spoilt},
+		"nothing, then ended":         {"", true, outcome.Broken},
+		"nothing":                     {"", false, outcome.Silent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -103,19 +103,19 @@
 					conn.Close()
 				}
 			})
-			d := door(address)
+			d := newProxy(address)
 			left := 10 * time.Second
-			if x.kind == curtain.Silent {
+			if x.kind == outcome.Silent {
 				left = 100 * time.Millisecond
 			}
 			o := perform(d, "first", left)
 			c.Assert(o.Kind, qt.Equals, x.kind)
 			c.Assert(o.Arrived, qt.IsTrue)
-			if o.Kind == curtain.Answered && o.Status == 200 {
+			if o.Kind == outcome.Answered && o.Status == 200 {
 				c.Assert(string(o.Body), qt.Equals, "body")
 			}
 			next := perform(d, "next", 10*time.Second)
-			c.Assert(next.Kind, qt.Equals, curtain.Answered)
+			c.Assert(next.Kind, qt.Equals, outcome.Answered)
 			c.Assert(string(next.Body), qt.Equals, "next")
 		})
 	}
@@ -127,15 +127,15 @@
 	c.Assert(err, qt.IsNil)
 	l.Close()
 	dead := make(chan string, 1)
-	d := door(l.Addr().String())
+	d := newProxy(l.Addr().String())
 	d.dead = func(life string) { dead <- life }
 	for range 2 {
 		o := perform(d, "a", 10*time.Second)
-		c.Assert(o.Kind, qt.Equals, curtain.Unreachable)
+		c.Assert(o.Kind, qt.Equals, outcome.Unreachable)
 		c.Assert(o.Arrived, qt.IsFalse)
 	}
 	c.Assert(<-dead, qt.Equals, "i-1")
-	c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, curtain.Mistaken)
+	c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.Mistaken)
 }
 
 // Slots are held: what waits and is given up never reaches the endpoint, what runs is cut off.
@@ -143,7 +143,7 @@
 	c := qt.New(t)
 	came := make(chan string, 8)
 	hold := make(chan struct{})
-	d := door(endpoint(t, func(conn net.Conn, q *http.Request, n int) {
+	d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) {
 		came <- q.Header.Get("Attempt-Id")
 		<-hold
 	}))
@@ -151,16 +151,16 @@
 	got := make(chan *Outcome, 8)
 	var withdraw []func()
 	for i := range 5 {
-		p := &Perform{Endpoint: "i-1", Service: "s", Method: "GET", URI: "/", Host: "h", Attempt: fmt.Sprint(i)}
-		withdraw = append(withdraw, d.Perform(p, d.now()+20*time.Second, d.now()+20*time.Second, func(o *Outcome) { got <- o }))
+		p := &ForwardRequest{Endpoint: "i-1", Service: "s", Method: "GET", URI: "/", Host: "h", Attempt: fmt.Sprint(i)}
+		withdraw = append(withdraw, d.Forward(p, d.now()+20*time.Second, d.now()+20*time.Second, func(o *Outcome) { got <- o }))
 		if i < 4 {
 			<-came
 		}
 	}
 	withdraw[4]()
-	c.Assert((<-got).Kind, qt.Equals, curtain.Withdrawn)
+	c.Assert((<-got).Kind, qt.Equals, outcome.Withdrawn)
 	withdraw[0]()
-	c.Assert((<-got).Kind, qt.Equals, curtain.Silent)
+	c.Assert((<-got).Kind, qt.Equals, outcome.Silent)
 	c.Assert(came, qt.HasLen, 0)
 	c.Assert(d.Busy(), qt.Equals, 3)
 }
--- a/internal/mesh/stagedoor/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -1,17 +1,17 @@
-package stagedoor
+package inbound
 
 import (
 	"time"
 
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/dataplane/outcome"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // MethodPerform is the ask that brings a request to the sidecar beside its endpoint.
-const MethodPerform = 1
+const MethodForward = 1
 
 // Perform is a request on its way from the sidecar beside the client to the one beside the endpoint.
-type Perform struct {
+type ForwardRequest struct {
 	Endpoint   string // the life that was chosen
 	Service    string
 	Method     string
@@ -32,7 +32,7 @@
 }
 
 // Fields names the fields of a Perform.
-func (p *Perform) Fields(v *script.Visitor) {
+func (p *ForwardRequest) Fields(v *codec.Visitor) {
 	v.Text(1, &p.Endpoint)
 	v.Text(2, &p.Service)
 	v.Text(3, &p.Method)
@@ -54,7 +54,7 @@
 
 // Outcome is how a Perform ended.
 type Outcome struct {
-	Kind    curtain.Kind
+	Kind    outcome.Kind
 	Status  int
 	Header  []string // names and values in turn, as the endpoint gave them, without those of one connection
 	Body    []byte
@@ -67,7 +67,7 @@
 }
 
 // Fields names the fields of an Outcome.
-func (o *Outcome) Fields(v *script.Visitor) {
+func (o *Outcome) Fields(v *codec.Visitor) {
 	v.Uint(1, (*uint64)(&o.Kind))
 	v.Small(2, &o.Status)
 	v.Texts(3, &o.Header)
--- a/internal/mesh/foyer/cast.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -1,16 +1,16 @@
-package foyer
+package outbound
 
 import (
 	"strconv"
 	"time"
 
 	"gingerlead"
-	"gingerlead/internal/mesh/boxoffice"
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/script"
-	"gingerlead/internal/mesh/stagedoor"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/ratelimit"
+	"gingerlead/internal/mesh/dataplane/inbound"
+	"gingerlead/internal/mesh/dataplane/outcome"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Settings of the decision module that are the mesh's, not the operator's.
@@ -28,35 +28,35 @@
 )
 
 // player is one endpoint as this sidecar calls it.
-type player struct {
+type knownEndpoint struct {
 	number gingerlead.EndpointID
-	callboard.Endpoint
+	discovery.Endpoint
 }
 
 // classKey is what makes requests alike for the module.
 type classKey struct {
-	kind            playbill.Kind
+	kind            configuration.Kind
 	target, timeout time.Duration
 }
 
 // cast is one service's endpoints with the balancer that picks among them. It is the balancer's host.
-type cast struct {
-	desk     *Desk
-	service  string
-	balancer *gingerlead.Balancer
-	players  map[gingerlead.EndpointID]*player
-	byID     map[string]*player
-	last     gingerlead.EndpointID
-	classes  map[classKey]int
-	requests map[gingerlead.RequestID]*request
-	repeats  *boxoffice.Repeats
-	version  uint64
+type serviceBalancer struct {
+	proxy     *Proxy
+	service   string
+	balancer  *gingerlead.Balancer
+	endpoints map[gingerlead.EndpointID]*knownEndpoint
+	byID      map[string]*knownEndpoint
+	last      gingerlead.EndpointID
+	classes   map[classKey]int
+	requests  map[gingerlead.RequestID]*request
+	repeats   *ratelimit.Repeats
+	version   uint64
 }
 
-func newCast(d *Desk, service string, seed uint64) (*cast, error) {
-	c := &cast{desk: d, service: service, players: map[gingerlead.EndpointID]*player{}, byID: map[string]*player{},
+func newServiceBalancer(d *Proxy, service string, seed uint64) (*serviceBalancer, error) {
+	c := &serviceBalancer{proxy: d, service: service, endpoints: map[gingerlead.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
 		classes: map[classKey]int{}, requests: map[gingerlead.RequestID]*request{},
-		repeats: boxoffice.NewRepeats(d.o.Bounds.BudgetWindow)}
+		repeats: ratelimit.NewRepeats(d.o.Bounds.BudgetWindow)}
 	b, err := gingerlead.New(gingerlead.Settings{
 		Instances: 1, Tiers: 1, Quantum: quantum, GoalWhole: 1, MayCancel: true, MaxRetryAfter: backMost,
 		ConnectTimeout: connectTime, ColdFrom: coldFrom, Cold: cold, TipMultiple: tipMultiple, Fall: window,
@@ -68,7 +68,7 @@
 }
 
 // class is the number of a route's class; where there are too many, routes share the last.
-func (c *cast) class(r *playbill.Route) int {
+func (c *serviceBalancer) class(r *configuration.Route) int {
 	key := classKey{r.Kind, r.Target, r.Timeout}
 	if n, ok := c.classes[key]; ok {
 		return n
@@ -87,31 +87,31 @@
 	n, err := c.balancer.AddClass(gingerlead.Class{Name: strconv.Itoa(len(c.classes)), Aim: target, Deadline: r.Timeout,
 		Worth: 1, LateWorth: 0.2, Effect: effect})
 	if err != nil {
-		c.desk.o.Log.Warn("foyer: " + err.Error())
+		c.proxy.o.Log.Warn("outbound: " + err.Error())
 		return 0
 	}
 	c.classes[key] = n
 	return n
 }
 
-// told takes what the callboard says of the service's endpoints, all of them.
-func (c *cast) told(now time.Duration, all []callboard.Endpoint) {
+// told takes what the discovery says of the service's endpoints, all of them.
+func (c *serviceBalancer) told(now time.Duration, all []discovery.Endpoint) {
 	c.version++
 	l := gingerlead.List{Kind: gingerlead.Whole, Version: c.version}
 	seen := map[string]bool{}
 	for _, e := range all {
 		p := c.byID[e.ID]
-		if e.State >= callboard.Crashed {
+		if e.State >= discovery.Crashed {
 			continue
 		}
 		if p == nil {
 			c.last++
-			p = &player{number: c.last}
-			c.byID[e.ID], c.players[p.number] = p, p
+			p = &knownEndpoint{number: c.last}
+			c.byID[e.ID], c.endpoints[p.number] = p, p
 		}
 		p.Endpoint, seen[e.ID] = e, true
-		entry := gingerlead.Entry{Endpoint: p.number, Zone: c.desk.zone(e.Zone), Weight: 1}
-		if e.State == callboard.Draining {
+		entry := gingerlead.Entry{Endpoint: p.number, Zone: c.proxy.zone(e.Zone), Weight: 1}
+		if e.State == discovery.Draining {
 			entry.State = gingerlead.Draining
 		}
 		if e.Cold > 0 {
@@ -122,78 +122,78 @@
 	for id, p := range c.byID {
 		if !seen[id] {
 			delete(c.byID, id)
-			delete(c.players, p.number)
+			delete(c.endpoints, p.number)
 		}
 	}
 	c.balancer.Targets(now, l)
 }
 
 // Send makes an attempt (gingerlead.Host).
-func (c *cast) Send(id gingerlead.RequestID, to gingerlead.EndpointID, _ time.Duration) {
-	r, p := c.requests[id], c.players[to]
+func (c *serviceBalancer) Send(id gingerlead.RequestID, to gingerlead.EndpointID, _ time.Duration) {
+	r, p := c.requests[id], c.endpoints[to]
 	if r == nil {
 		return
 	}
-	now := c.desk.Now()
+	now := c.proxy.Now()
 	a := &attempt{request: r, to: to, number: r.attempts, at: now}
 	r.attempts++
 	r.out = a
 	if p == nil { // it left between two events
-		c.desk.later(func(now time.Duration) { c.ended(now, a, &stagedoor.Outcome{Kind: curtain.Mistaken}) })
+		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Mistaken}) })
 		return
 	}
 	perform := r.perform
 	perform.Endpoint, perform.Left, perform.Aim = p.ID, r.deadline-now, r.aim-now
-	done := func(o *stagedoor.Outcome) {
-		c.desk.do(func(now time.Duration) { c.ended(now, a, o) })
+	done := func(o *inbound.Outcome) {
+		c.proxy.do(func(now time.Duration) { c.ended(now, a, o) })
 	}
-	if p.Host == c.desk.o.Hub.Self().Address {
-		a.withdraw = c.desk.o.Door.Perform(&perform, r.aim, r.deadline, done)
+	if p.Host == c.proxy.o.Hub.Self().Address {
+		a.withdraw = c.proxy.o.Inbound.Forward(&perform, r.aim, r.deadline, done)
 		return
 	}
-	ask := c.desk.o.Hub.Send(p.Host, stagedoor.MethodPerform, script.Write(nil, &perform), r.deadline,
-		func(body []byte, err error) { done(outcome(body, err)) })
+	ask := c.proxy.o.Hub.Send(p.Host, inbound.MethodForward, codec.Write(nil, &perform), r.deadline,
+		func(body []byte, err error) { done(parseOutcome(body, err)) })
 	a.withdraw = ask.Withdraw
 }
 
 // outcome is what an ask's end says of the attempt.
-func outcome(body []byte, err error) *stagedoor.Outcome {
+func parseOutcome(body []byte, err error) *inbound.Outcome {
 	if lost, ok := asLost(err); ok {
 		if lost.Sent {
-			return &stagedoor.Outcome{Kind: curtain.Lost, Arrived: true}
+			return &inbound.Outcome{Kind: outcome.Lost, Arrived: true}
 		}
-		return &stagedoor.Outcome{Kind: curtain.Unreachable}
+		return &inbound.Outcome{Kind: outcome.Unreachable}
 	}
 	if len(body) == 0 { // it has no room for it, or does not know the call: not run
-		return &stagedoor.Outcome{Kind: curtain.Full}
+		return &inbound.Outcome{Kind: outcome.Full}
 	}
-	o := &stagedoor.Outcome{}
-	if err := script.Read(body, o); err != nil || o.Kind == 0 {
-		return &stagedoor.Outcome{Kind: curtain.Spoilt, Arrived: true}
+	o := &inbound.Outcome{}
+	if err := codec.Read(body, o); err != nil || o.Kind == 0 {
+		return &inbound.Outcome{Kind: outcome.Spoilt, Arrived: true}
 	}
 	return o
 }
 
 // status is what an outcome is to the module.
-func status(o *stagedoor.Outcome, quit bool) gingerlead.Status {
+func status(o *inbound.Outcome, quit bool) gingerlead.Status {
 	switch o.Kind {
-	case curtain.Answered:
+	case outcome.Answered:
 		if o.Status >= 500 {
 			return gingerlead.Error
 		}
 		return gingerlead.OK
-	case curtain.Full, curtain.TurnedAway, curtain.Leaving, curtain.Late, curtain.Overloaded:
+	case outcome.Full, outcome.TurnedAway, outcome.Leaving, outcome.Late, outcome.Overloaded:
 		return gingerlead.Full
-	case curtain.Mistaken, curtain.Unreachable:
+	case outcome.Mistaken, outcome.Unreachable:
 		if quit {
 			return gingerlead.Moot
 		}
 		return gingerlead.ConnectFailed
-	case curtain.Withdrawn:
+	case outcome.Withdrawn:
 		return gingerlead.Moot
-	case curtain.Lost:
+	case outcome.Lost:
 		return gingerlead.Reset
-	case curtain.Spoilt, curtain.Broken: // of one connection; the endpoint's own sidecar says if it is down
+	case outcome.Spoilt, outcome.Broken: // of one connection; the endpoint's own sidecar says if it is down
 		return gingerlead.Spoilt
 	}
 	if quit {
@@ -203,7 +203,7 @@
 }
 
 // ended takes the end of an attempt.
-func (c *cast) ended(now time.Duration, a *attempt, o *stagedoor.Outcome) {
+func (c *serviceBalancer) ended(now time.Duration, a *attempt, o *inbound.Outcome) {
 	r := a.request
 	if r.out == a {
 		r.out = nil
@@ -214,24 +214,24 @@
 	if o.Arrived {
 		r.arrivals++
 	}
-	if o.Kind != curtain.Withdrawn {
+	if o.Kind != outcome.Withdrawn {
 		r.last = o
 	}
 	st := status(o, a.quit)
 	final := r.done
-	if !final && (st == gingerlead.OK || o.Kind == curtain.Answered && !r.route.Kind.Repeatable()) {
+	if !final && (st == gingerlead.OK || o.Kind == outcome.Answered && !r.route.Kind.Repeatable()) {
 		final = true
-		c.desk.answer(r, result{kind: curtain.Answered, outcome: o})
+		c.proxy.answer(r, result{kind: outcome.Answered, outcome: o})
 	}
 	if r.lapsed && !r.done {
-		c.desk.close(r)
+		c.proxy.close(r)
 	}
 	last := false
 	if !final && st != gingerlead.OK {
 		last = r.attempts >= triesMost
 		if o.Arrived && !last { // another one would be a further arrival at the service
-			last = r.arrivals >= max(r.route.MaxAttempts, 1) || !c.repeats.Take(now, c.desk.o.Bounds.BudgetRatio,
-				c.desk.o.Bounds.BudgetSlack, c.desk.sidecars)
+			last = r.arrivals >= max(r.route.MaxAttempts, 1) || !c.repeats.Take(now, c.proxy.o.Bounds.BudgetRatio,
+				c.proxy.o.Bounds.BudgetSlack, c.proxy.sidecars)
 		}
 	}
 	c.balancer.Outcome(now, gingerlead.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Final: final,
@@ -242,39 +242,41 @@
 }
 
 // Refuse is the module's final answer: nobody serves it (gingerlead.Host).
-func (c *cast) Refuse(id gingerlead.RequestID, retryAfter time.Duration) { c.finish(id, retryAfter) }
+func (c *serviceBalancer) Refuse(id gingerlead.RequestID, retryAfter time.Duration) {
+	c.finish(id, retryAfter)
+}
 
 // Fail is its final answer, promising nothing (gingerlead.Host).
-func (c *cast) Fail(id gingerlead.RequestID) { c.finish(id, 0) }
+func (c *serviceBalancer) Fail(id gingerlead.RequestID) { c.finish(id, 0) }
 
 // finish answers by what is known of the request's attempts: the module's word alone is no promise.
-func (c *cast) finish(id gingerlead.RequestID, back time.Duration) {
+func (c *serviceBalancer) finish(id gingerlead.RequestID, back time.Duration) {
 	r := c.requests[id]
 	if r == nil || r.done {
 		return
 	}
-	res := result{kind: curtain.Overloaded, back: back}
+	res := result{kind: outcome.Overloaded, back: back}
 	switch {
-	case r.last != nil && r.last.Kind == curtain.Answered:
-		res = result{kind: curtain.Answered, outcome: r.last}
+	case r.last != nil && r.last.Kind == outcome.Answered:
+		res = result{kind: outcome.Answered, outcome: r.last}
 	case r.mayRun && r.last != nil && !r.last.Kind.NotRun():
 		res.kind = r.last.Kind
 	case r.mayRun || r.out != nil:
-		res.kind = curtain.Silent
+		res.kind = outcome.Silent
 	case r.last != nil:
 		res.kind = r.last.Kind
 	}
 	if res.kind.NotRun() {
 		res.back = max(res.back, res.kind.Back())
 	}
-	c.desk.answer(r, res)
+	c.proxy.answer(r, res)
 	if r.out == nil {
 		delete(c.requests, id)
 	}
 }
 
 // Cancel withdraws an attempt (gingerlead.Host).
-func (c *cast) Cancel(id gingerlead.RequestID, number int) {
+func (c *serviceBalancer) Cancel(id gingerlead.RequestID, number int) {
 	r := c.requests[id]
 	if r == nil || r.out == nil || r.out.number != number {
 		return
@@ -282,37 +284,37 @@
 	a := r.out
 	a.quit = true
 	if a.withdraw != nil {
-		c.desk.later(func(time.Duration) { a.withdraw() })
+		c.proxy.later(func(time.Duration) { a.withdraw() })
 	}
 }
 
 // SetTimer (gingerlead.Host).
-func (c *cast) SetTimer(token uint64, after time.Duration) {
+func (c *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
-		c.desk.do(func(now time.Duration) { c.balancer.Timer(now, token) })
+		c.proxy.do(func(now time.Duration) { c.balancer.Timer(now, token) })
 	})
 }
 
 // Fetch asks the homes anew (gingerlead.Host).
-func (c *cast) Fetch() {
-	if f := c.desk.o.Refresh; f != nil {
+func (c *serviceBalancer) Fetch() {
+	if f := c.proxy.o.Refresh; f != nil {
 		go f(c.service)
 	}
 }
 
 // Log (gingerlead.Host).
-func (c *cast) Log(text string) {
-	c.desk.o.Log.WithField("service", c.service).Info("balancer: " + text)
+func (c *serviceBalancer) Log(text string) {
+	c.proxy.o.Log.WithField("service", c.service).Info("balancer: " + text)
 }
 
 // Probe (gingerlead.Host): endpoints' own sidecars vouch for them, so nobody probes.
-func (c *cast) Probe(gingerlead.EndpointID) {}
+func (c *serviceBalancer) Probe(gingerlead.EndpointID) {}
 
 // Tell (gingerlead.Host): not used by the module.
-func (c *cast) Tell(int, []byte) {}
+func (c *serviceBalancer) Tell(int, []byte) {}
 
 // Watch (gingerlead.Host): lists are pushed.
-func (c *cast) Watch(bool) {}
+func (c *serviceBalancer) Watch(bool) {}
 
 // CloseIdle (gingerlead.Host): the endpoint's own sidecar has its connections.
-func (c *cast) CloseIdle(gingerlead.EndpointID) {}
+func (c *serviceBalancer) CloseIdle(gingerlead.EndpointID) {}
--- a/internal/mesh/foyer/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -1,4 +1,4 @@
-package foyer_test
+package outbound_test
 
 import (
 	"fmt"
@@ -15,12 +15,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/foyer"
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/stagedoor"
-	"gingerlead/internal/mesh/wings"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/dataplane/admission"
+	"gingerlead/internal/mesh/dataplane/inbound"
+	"gingerlead/internal/mesh/dataplane/outbound"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/transport"
 )
 
 const callConfig = `{"configVersion":"r1","routeTable":[{"name":"read","hostName":"shop.example","pathPrefix":"/p/",
@@ -39,14 +39,14 @@
 }
 
 // listenHub is a hub that takes links on loopback.
-func listenHub(b *testing.B, log *logrus.Logger, life uint64) (*cue.Hub, func(d *stagedoor.Door), string) {
+func listenHub(b *testing.B, log *logrus.Logger, life uint64) (*transport.Hub, func(d *inbound.Proxy), string) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	hub := cue.NewHub(cue.Hello{Life: life, Address: l.Addr().String(), Zone: "zone-0"}, time.Now().Add(-time.Hour), 8<<20, log)
+	hub := transport.NewHub(transport.Hello{Life: life, Address: l.Addr().String(), Zone: "zone-0"}, time.Now().Add(-time.Hour), 8<<20, log)
 	b.Cleanup(func() { hub.Close(); l.Close() })
-	return hub, func(d *stagedoor.Door) {
+	return hub, func(d *inbound.Proxy) {
 		if d != nil {
 			d.Serve(hub)
 		}
@@ -135,32 +135,32 @@
 	log.SetLevel(logrus.ErrorLevel)
 	near, listen, _ := listenHub(b, log, 1)
 	listen(nil)
-	conf, err := playbill.Read([]byte(callConfig))
+	conf, err := configuration.Read([]byte(callConfig))
 	if err != nil {
 		b.Fatal(err)
 	}
-	desk := foyer.New(foyer.Options{Hub: near, Service: "client", Log: log, Seed: 1, Bodies: 64 << 20})
-	desk.Configure(conf)
-	var endpoints []callboard.Endpoint
+	proxy := outbound.New(outbound.Options{Hub: near, Service: "client", Log: log, Seed: 1, Bodies: 64 << 20})
+	proxy.Configure(conf)
+	var endpoints []discovery.Endpoint
 	direct := ""
 	for i := range neighbours {
 		app := httptest.NewServer(http.HandlerFunc(answerCall))
 		b.Cleanup(app.Close)
 		direct = app.URL
 		hub, listen, address := listenHub(b, log, uint64(i+2))
-		door := stagedoor.New(app.Listener.Addr().String(), hub.Now, log, nil)
+		inboundProxy := inbound.New(app.Listener.Addr().String(), hub.Now, log, nil)
 		life := fmt.Sprintf("i-%d", i)
-		door.Tell(wings.Life{ID: life, Service: "shop", Slots: 8}, wings.Serving)
-		listen(door)
-		endpoints = append(endpoints, callboard.Endpoint{ID: life, Service: "shop", App: app.Listener.Addr().String(),
-			Host: address, Zone: "zone-0", State: callboard.Serving, Slots: 8, Lease: time.Hour})
+		inboundProxy.Tell(admission.Life{ID: life, Service: "shop", Slots: 8}, admission.Serving)
+		listen(inboundProxy)
+		endpoints = append(endpoints, discovery.Endpoint{ID: life, Service: "shop", App: app.Listener.Addr().String(),
+			Host: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, Lease: time.Hour})
 	}
-	desk.Told("shop", endpoints)
+	proxy.Told("shop", endpoints)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	server := desk.Server()
+	server := proxy.Server()
 	go func() { _ = server.Serve(l) }()
 	b.Cleanup(func() { server.Close() })
 
--- a/internal/mesh/foyer/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -1,4 +1,4 @@
-package foyer
+package outbound
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/stagedoor"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/dataplane/inbound"
+	"gingerlead/internal/mesh/dataplane/outcome"
 )
 
 // Bounds of what clients may do beyond those of the configuration.
@@ -26,7 +26,7 @@
 )
 
 // Server is the clients' server.
-func (d *Desk) Server() *http.Server {
+func (d *Proxy) Server() *http.Server {
 	return &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headTime, IdleTimeout: restTime,
 		MaxHeaderBytes: headMost, ConnState: d.state, ErrorLog: log.New(io.Discard, "", 0)}
 }
@@ -36,16 +36,16 @@
 	"Subscriber-Id": true, "Calling-Service": true, "Host": true, "Base-Version": true, "Not-Executed": true}
 
 // serve takes one request from its head to its answer.
-func (d *Desk) serve(w http.ResponseWriter, q *http.Request) {
+func (d *Proxy) serve(w http.ResponseWriter, q *http.Request) {
 	d.open.Add(1)
 	defer d.open.Add(-1)
 	conf := d.conf.Load()
 	if conf == nil {
-		d.end(w, result{kind: curtain.Unready})
+		d.end(w, result{kind: outcome.Unready})
 		return
 	}
 	if d.ending.Load() {
-		d.end(w, result{kind: curtain.Ending})
+		d.end(w, result{kind: outcome.Ending})
 		return
 	}
 	r, kind := d.admit(conf, q)
@@ -80,40 +80,40 @@
 }
 
 // admit finds a request's route, tenant and service; the kind says why it is turned away, 0 for not at all.
-func (d *Desk) admit(conf *playbill.Config, q *http.Request) (*request, curtain.Kind) {
+func (d *Proxy) admit(conf *configuration.Config, q *http.Request) (*request, outcome.Kind) {
 	now := d.Now()
 	r := &request{answered: make(chan result, 1)}
 	if headBytes(q) > conf.Limits.HeaderMax {
-		return r, curtain.HeadTooLarge
+		return r, outcome.HeadTooLarge
 	}
 	if q.RequestURI == "" || q.RequestURI[0] != '/' || q.Method == http.MethodConnect {
-		return r, curtain.Malformed
+		return r, outcome.Malformed
 	}
 	if r.route = conf.Match(q.Host, q.URL.EscapedPath()); r.route == nil {
-		return r, curtain.NoRoute
+		return r, outcome.NoRoute
 	}
 	p := &r.perform
 	p.Priority, p.Route = r.route.Priority, r.route.Name
 	keys := q.Header["Key"]
 	if conf.Keyed {
-		var tenant *playbill.Tenant
+		var tenant *configuration.Tenant
 		if len(keys) == 1 {
-			tenant = conf.Holder(keys[0])
+			tenant = conf.TenantByKey(keys[0])
 		}
 		switch {
 		case tenant != nil:
 			p.Subscriber, p.Priority = tenant.Name, tenant.Priority
 			if back := d.quota(tenant); back > 0 {
 				r.deadline = back // for Retry-After
-				return r, curtain.Quota
+				return r, outcome.Quota
 			}
 		case !r.route.Public:
-			return r, curtain.NoKey
+			return r, outcome.NoKey
 		}
 	}
 	ids := q.Header["Attempt-Id"]
 	if len(ids) != 1 || ids[0] == "" {
-		return r, curtain.Malformed
+		return r, outcome.Malformed
 	}
 	p.Attempt, p.Method, p.URI, p.Host = ids[0], q.Method, q.RequestURI, q.Host
 	p.Caller, p.Repeatable, p.Inner = d.o.Service, r.route.Kind.Repeatable(), conf.Keyed && len(keys) == 0
@@ -141,7 +141,7 @@
 		}
 	}
 	for name, values := range q.Header {
-		if own[name] || hop[name] || stagedoor.HopHeaders[name] {
+		if own[name] || hop[name] || inbound.HopHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -152,7 +152,7 @@
 }
 
 // quota takes a request out of a tenant's limit; if it is not there it says when to come back.
-func (d *Desk) quota(t *playbill.Tenant) (back time.Duration) {
+func (d *Proxy) quota(t *configuration.Tenant) (back time.Duration) {
 	if d.o.Take == nil || t.Rate <= 0 {
 		return 0
 	}
@@ -167,8 +167,8 @@
 	return <-ch
 }
 
-func (d *Desk) back(r *request, k curtain.Kind) time.Duration {
-	if k == curtain.Quota {
+func (d *Proxy) back(r *request, k outcome.Kind) time.Duration {
+	if k == outcome.Quota {
 		return max(r.deadline, 50*time.Millisecond)
 	}
 	return k.Back()
@@ -185,14 +185,14 @@
 }
 
 // body reads a request's body whole: only then can it go to an endpoint, and to another one after that.
-func (d *Desk) body(conf *playbill.Config, w http.ResponseWriter, q *http.Request, r *request) curtain.Kind {
+func (d *Proxy) body(conf *configuration.Config, w http.ResponseWriter, q *http.Request, r *request) outcome.Kind {
 	p := &r.perform
 	p.HasBody = q.ContentLength > 0 || len(q.TransferEncoding) > 0 || q.ContentLength == 0 && len(q.Header["Content-Length"]) > 0
 	if q.Body == nil || q.Body == http.NoBody {
 		return 0
 	}
 	if q.ContentLength > conf.Limits.BodyMax {
-		return curtain.TooLarge
+		return outcome.TooLarge
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(r.deadline - d.Now()))
 	if q.ContentLength >= 0 {
@@ -206,13 +206,13 @@
 	var timeout net.Error
 	switch {
 	case errors.Is(err, errNoRoom):
-		return curtain.Overloaded
+		return outcome.Overloaded
 	case errors.As(err, &large):
-		return curtain.TooLarge
+		return outcome.TooLarge
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return curtain.Slow
+		return outcome.Slow
 	case err != nil:
-		return curtain.Malformed
+		return outcome.Malformed
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	p.Body = body
@@ -242,14 +242,14 @@
 }
 
 // end writes the answer, by the table alone.
-func (d *Desk) end(w http.ResponseWriter, res result) {
+func (d *Proxy) end(w http.ResponseWriter, res result) {
 	h := w.Header()
 	if d.ending.Load() {
 		h.Set("Connection", "close")
 	} else {
 		d.keep(h)
 	}
-	if res.kind == curtain.Answered {
+	if res.kind == outcome.Answered {
 		o := res.outcome
 		h["Content-Type"], h["Date"] = nil, nil
 		for i := 0; i+1 < len(o.Header); i += 2 {
--- a/internal/mesh/foyer/idle.go
+++ b/internal/mesh/dataplane/outbound/idle.go
@@ -1,4 +1,4 @@
-package foyer
+package outbound
 
 import (
 	"net"
@@ -21,7 +21,7 @@
 }
 
 // idle is how long a client's connection may stand idle, by the configuration in force.
-func (d *Desk) idle() time.Duration {
+func (d *Proxy) idle() time.Duration {
 	if conf := d.conf.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
 		return min(conf.Limits.IdleTimeout, restTime)
 	}
@@ -29,7 +29,7 @@
 }
 
 // state follows a connection (http.Server.ConnState).
-func (d *Desk) state(c net.Conn, s http.ConnState) {
+func (d *Proxy) state(c net.Conn, s http.ConnState) {
 	d.idlers.mu.Lock()
 	defer d.idlers.mu.Unlock()
 	switch s {
@@ -46,7 +46,7 @@
 
 // sweep closes connections that have stood idle for longer than they may. A request that comes in that moment has not been read,
 // and its client may send it again.
-func (d *Desk) sweep() {
+func (d *Proxy) sweep() {
 	d.idlers.mu.Lock()
 	defer d.idlers.mu.Unlock()
 	now := time.Now()
@@ -60,7 +60,7 @@
 }
 
 // keep tells the client how long it may keep its connection idle.
-func (d *Desk) keep(h http.Header) {
+func (d *Proxy) keep(h http.Header) {
 	if s := int((d.idle() - idleMargin) / time.Second); s > 0 {
 		h["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(s)}
 	}
--- a/internal/mesh/foyer/foyer.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -1,7 +1,7 @@
-// Package foyer is where clients come in: it takes their requests, finds the route, the tenant and the service by the
+// Package outbound is where clients come in: it takes their requests, finds the route, the tenant and the service by the
 // configuration in force, and has the decision module pick the endpoint. One lock holds all of a sidecar's choices; nothing
 // that blocks is done under it.
-package foyer
+package outbound
 
 import (
 	"errors"
@@ -12,56 +12,56 @@
 	"github.com/sirupsen/logrus"
 
 	"gingerlead"
-	"gingerlead/internal/mesh/callboard"
-	"gingerlead/internal/mesh/callsheet"
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/playbill"
-	"gingerlead/internal/mesh/stagedoor"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/dataplane/inbound"
+	"gingerlead/internal/mesh/dataplane/outcome"
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
 )
 
-// Options are what a desk is made of.
+// Options are what a proxy is made of.
 type Options struct {
-	Hub     *cue.Hub
-	Door    *stagedoor.Door // to the endpoint on this machine
-	Bounds  callsheet.Bounds
+	Hub     *transport.Hub
+	Inbound *inbound.Proxy // to the endpoint on this machine
+	Bounds  settings.Bounds
 	Service string // of the endpoint on this machine: where requests begin
 	Log     *logrus.Logger
 	Seed    uint64
 	Bodies  int64                // bytes of clients' bodies that there is room for
 	Refresh func(service string) // asks for the endpoints of a service anew
 	// Take takes a request out of a tenant's limit; done is called once, with when to come back if it is not there.
-	Take func(t *playbill.Tenant, done func(ok bool, back time.Duration))
+	Take func(t *configuration.Tenant, done func(ok bool, back time.Duration))
 }
 
 // Desk takes clients' requests.
-type Desk struct {
-	o        Options
-	conf     atomic.Pointer[playbill.Config]
-	mu       sync.Mutex
-	casts    map[string]*cast
-	zones    map[string]int
-	queue    []func(now time.Duration)
-	next     uint64
-	sidecars int
-	open     atomic.Int64 // requests under way
-	bodies   atomic.Int64 // bytes of their bodies
-	ending   atomic.Bool
-	idlers   idlers
+type Proxy struct {
+	o         Options
+	conf      atomic.Pointer[configuration.Config]
+	mu        sync.Mutex
+	balancers map[string]*serviceBalancer
+	zones     map[string]int
+	queue     []func(now time.Duration)
+	next      uint64
+	sidecars  int
+	open      atomic.Int64 // requests under way
+	bodies    atomic.Int64 // bytes of their bodies
+	ending    atomic.Bool
+	idlers    idlers
 }
 
 // request is one client's request.
 type request struct {
 	id       gingerlead.RequestID
-	route    *playbill.Route
-	cast     *cast
-	perform  stagedoor.Perform
+	route    *configuration.Route
+	cast     *serviceBalancer
+	perform  inbound.ForwardRequest
 	aim      time.Duration
 	deadline time.Duration
 	attempts int
 	arrivals int
 	out      *attempt
-	last     *stagedoor.Outcome
+	last     *inbound.Outcome
 	mayRun   bool
 	done     bool
 	lapsed   bool  // given up; what is out is being withdrawn
@@ -81,21 +81,21 @@
 
 // result is what a client is answered.
 type result struct {
-	kind    curtain.Kind
-	outcome *stagedoor.Outcome // of Answered
+	kind    outcome.Kind
+	outcome *inbound.Outcome // of Answered
 	back    time.Duration
 }
 
-// New makes a desk that knows no configuration yet.
-func New(o Options) *Desk {
-	return &Desk{o: o, casts: map[string]*cast{}, zones: map[string]int{}, sidecars: 1}
+// New makes a proxy that knows no configuration yet.
+func New(o Options) *Proxy {
+	return &Proxy{o: o, balancers: map[string]*serviceBalancer{}, zones: map[string]int{}, sidecars: 1}
 }
 
 // Now is the steady clock.
-func (d *Desk) Now() time.Duration { return d.o.Hub.Now() }
+func (d *Proxy) Now() time.Duration { return d.o.Hub.Now() }
 
 // do runs f with the lock held, and then what it has put off.
-func (d *Desk) do(f func(now time.Duration)) {
+func (d *Proxy) do(f func(now time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.Now())
@@ -106,9 +106,9 @@
 	}
 }
 
-func (d *Desk) later(f func(now time.Duration)) { d.queue = append(d.queue, f) }
+func (d *Proxy) later(f func(now time.Duration)) { d.queue = append(d.queue, f) }
 
-func (d *Desk) zone(name string) int {
+func (d *Proxy) zone(name string) int {
 	n, ok := d.zones[name]
 	if !ok {
 		n = len(d.zones)
@@ -117,21 +117,21 @@
 	return n
 }
 
-func (d *Desk) cast(service string) *cast {
-	c := d.casts[service]
+func (d *Proxy) balancer(service string) *serviceBalancer {
+	c := d.balancers[service]
 	if c == nil {
 		var err error
-		if c, err = newCast(d, service, d.o.Seed+uint64(len(d.casts))); err != nil {
-			d.o.Log.Error("foyer: " + err.Error())
+		if c, err = newServiceBalancer(d, service, d.o.Seed+uint64(len(d.balancers))); err != nil {
+			d.o.Log.Error("outbound: " + err.Error())
 			return nil
 		}
-		d.casts[service] = c
+		d.balancers[service] = c
 	}
 	return c
 }
 
 // Configure puts a configuration in force; an older one than the one in force changes nothing.
-func (d *Desk) Configure(c *playbill.Config) {
+func (d *Proxy) Configure(c *configuration.Config) {
 	d.do(func(time.Duration) {
 		if now := d.conf.Load(); now != nil && now.Version >= c.Version {
 			return
@@ -141,38 +141,38 @@
 }
 
 // Config is the configuration in force; nil for none.
-func (d *Desk) Config() *playbill.Config { return d.conf.Load() }
+func (d *Proxy) Config() *configuration.Config { return d.conf.Load() }
 
 // Told takes what is known of a service's endpoints, all of them.
-func (d *Desk) Told(service string, all []callboard.Endpoint) {
+func (d *Proxy) Told(service string, all []discovery.Endpoint) {
 	d.do(func(now time.Duration) {
-		if c := d.cast(service); c != nil {
+		if c := d.balancer(service); c != nil {
 			c.told(now, all)
 		}
 	})
 }
 
 // Sidecars says how many sidecars share what the fleet may do.
-func (d *Desk) Sidecars(n int) {
+func (d *Proxy) Sidecars(n int) {
 	d.do(func(time.Duration) { d.sidecars = max(n, 1) })
 }
 
 // Open is how many requests are under way.
-func (d *Desk) Open() int { return int(d.open.Load()) }
+func (d *Proxy) Open() int { return int(d.open.Load()) }
 
 // End has connections closed after their answers from now on.
-func (d *Desk) End() { d.ending.Store(true) }
+func (d *Proxy) End() { d.ending.Store(true) }
 
 // submit has a request served; its result comes once on the channel.
-func (d *Desk) submit(r *request, priority int) {
+func (d *Proxy) submit(r *request, priority int) {
 	times := 1 / float64(int(1)<<min(max(priority, 0), 16))
 	if r.perform.Inner { // a slot waits for it, and what ran already is lost without it
 		times = innerTimes
 	}
 	d.do(func(now time.Duration) {
-		c := d.cast(r.perform.Service)
+		c := d.balancer(r.perform.Service)
 		if c == nil {
-			r.answered <- result{kind: curtain.Overloaded}
+			r.answered <- result{kind: outcome.Overloaded}
 			return
 		}
 		d.next++
@@ -185,7 +185,7 @@
 }
 
 // answer gives a request its result, once; the lock is held.
-func (d *Desk) answer(r *request, res result) {
+func (d *Proxy) answer(r *request, res result) {
 	if !r.done {
 		r.done = true
 		r.answered <- res
@@ -194,7 +194,7 @@
 
 // lapse gives a request up: its client has gone, or its time is nearly up. An attempt that is out is withdrawn, and its end says
 // how far it had come.
-func (d *Desk) lapse(r *request) {
+func (d *Proxy) lapse(r *request) {
 	d.do(func(now time.Duration) {
 		c := r.cast
 		if c == nil || r.done || r.lapsed {
@@ -214,7 +214,7 @@
 }
 
 // abandon ends a request that was given up and whose attempt has not said how far it came.
-func (d *Desk) abandon(r *request) {
+func (d *Proxy) abandon(r *request) {
 	d.do(func(time.Duration) {
 		if r.cast != nil && !r.done {
 			d.close(r)
@@ -223,13 +223,13 @@
 }
 
 // close answers a request that was given up, by what is known of its attempts; the lock is held.
-func (d *Desk) close(r *request) {
-	res := result{kind: curtain.Late}
+func (d *Proxy) close(r *request) {
+	res := result{kind: outcome.Late}
 	switch {
-	case r.out == nil && r.last != nil && r.last.Kind == curtain.Answered:
-		res = result{kind: curtain.Answered, outcome: r.last}
+	case r.out == nil && r.last != nil && r.last.Kind == outcome.Answered:
+		res = result{kind: outcome.Answered, outcome: r.last}
 	case r.mayRun || r.out != nil:
-		res.kind = curtain.Silent
+		res.kind = outcome.Silent
 	}
 	res.back = res.kind.Back()
 	d.answer(r, res)
@@ -238,13 +238,13 @@
 	}
 }
 
-func asLost(err error) (*cue.ErrLost, bool) {
-	var lost *cue.ErrLost
+func asLost(err error) (*transport.ConnectionError, bool) {
+	var lost *transport.ConnectionError
 	if errors.As(err, &lost) {
 		return lost, true
 	}
 	if err != nil {
-		return &cue.ErrLost{Sent: true}, true
+		return &transport.ConnectionError{Sent: true}, true
 	}
 	return nil, false
 }
--- a/internal/mesh/foyer/foyer_test.go
+++ b/internal/mesh/dataplane/outbound/outbound_test.go
@@ -1,4 +1,4 @@
-package foyer
+package outbound
 
 import (
 	"errors"
@@ -7,20 +7,20 @@
 	qt "github.com/frankban/quicktest"
 
 	"gingerlead"
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/curtain"
-	"gingerlead/internal/mesh/script"
-	"gingerlead/internal/mesh/stagedoor"
+	"gingerlead/internal/mesh/dataplane/inbound"
+	"gingerlead/internal/mesh/dataplane/outcome"
+	"gingerlead/internal/mesh/transport"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // What has surely not run is that to the module too, whether or not it was withdrawn, and only a lost link or nobody there blames
 // the endpoint: its own sidecar vouches for it.
 func TestEveryEndIsToldToTheModule(t *testing.T) {
 	c := qt.New(t)
-	for k := curtain.Answered; k <= curtain.Broken; k++ {
+	for k := outcome.Answered; k <= outcome.Broken; k++ {
 		for _, quit := range []bool{false, true} {
-			st := status(&stagedoor.Outcome{Kind: k, Status: 200}, quit)
-			attempt := k < curtain.Quota && k != curtain.Answered || k == curtain.Lost || k == curtain.Spoilt || k == curtain.Silent || k == curtain.Broken
+			st := status(&inbound.Outcome{Kind: k, Status: 200}, quit)
+			attempt := k < outcome.Quota && k != outcome.Answered || k == outcome.Lost || k == outcome.Spoilt || k == outcome.Silent || k == outcome.Broken
 			if attempt {
 				c.Check(st.NeverRan(), qt.Equals, k.NotRun(), qt.Commentf("%s, withdrawn %v", k, quit))
 			}
@@ -30,32 +30,32 @@
 			}
 		}
 	}
-	c.Assert(status(&stagedoor.Outcome{Kind: curtain.Answered, Status: 500}, false), qt.Equals, gingerlead.Error)
+	c.Assert(status(&inbound.Outcome{Kind: outcome.Answered, Status: 500}, false), qt.Equals, gingerlead.Error)
 }
 
 func TestOutcomeOfAnAsk(t *testing.T) {
 	c := qt.New(t)
-	whole := script.Write(nil, &stagedoor.Outcome{Kind: curtain.Leaving})
+	whole := codec.Write(nil, &inbound.Outcome{Kind: outcome.Leaving})
 	for _, x := range []struct {
 		body []byte
 		err  error
-		kind curtain.Kind
+		kind outcome.Kind
 	}{
-		{whole, nil, curtain.Leaving},
-		{nil, nil, curtain.Full},
-		{[]byte{0xff}, nil, curtain.Spoilt},
-		{nil, &cue.ErrLost{Sent: true}, curtain.Lost},
-		{nil, &cue.ErrLost{}, curtain.Unreachable},
-		{nil, errors.New("anything else"), curtain.Lost},
+		{whole, nil, outcome.Leaving},
+		{nil, nil, outcome.Full},
+		{[]byte{0xff}, nil, outcome.Spoilt},
+		{nil, &transport.ConnectionError{Sent: true}, outcome.Lost},
+		{nil, &transport.ConnectionError{}, outcome.Unreachable},
+		{nil, errors.New("anything else"), outcome.Lost},
 	} {
-		c.Check(outcome(x.body, x.err).Kind, qt.Equals, x.kind)
+		c.Check(parseOutcome(x.body, x.err).Kind, qt.Equals, x.kind)
 	}
 }
 
 // The table has a line for every kind; only what has surely not run is promised so, and a promise says when to come back.
 func TestTableIsWhole(t *testing.T) {
 	c := qt.New(t)
-	for k := curtain.Answered; k <= curtain.Broken; k++ {
+	for k := outcome.Answered; k <= outcome.Broken; k++ {
 		e := k.Entry()
 		c.Check(e.Name, qt.Not(qt.Equals), "unknown", qt.Commentf("%d", k))
 		promises := e.Status == 429 || e.Status == 503 || e.Status == 408 || e.Status == 421
@@ -66,5 +66,5 @@
 			c.Check(e.Back > 0, qt.IsTrue, qt.Commentf("%s", k))
 		}
 	}
-	c.Assert(curtain.Kind(999).NotRun(), qt.IsFalse)
+	c.Assert(outcome.Kind(999).NotRun(), qt.IsFalse)
 }
--- a/internal/mesh/foyer/small.go
+++ b/internal/mesh/dataplane/outbound/small.go
@@ -1,4 +1,4 @@
-package foyer
+package outbound
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 36) }
 
-func (d *Desk) random() float64 { return rand.Float64() }
+func (d *Proxy) random() float64 { return rand.Float64() }
 
 func splitComma(s string) (out []string) {
 	for _, x := range strings.Split(s, ",") {
--- a/internal/mesh/curtain/curtain.go
+++ b/internal/mesh/dataplane/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package curtain holds the closed list of how a request can end, and the table from each to its answer. Every part of the
+// Package outcome holds the closed list of how a request can end, and the table from each to its answer. Every part of the
 // system names an end by one of these, and the sidecar beside the client answers by the table alone.
-package curtain
+package outcome
 
 import "time"
 
--- a/internal/mesh/company/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -1,4 +1,4 @@
-package company
+package membership
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 	"gingerlead/internal/structures/rendezvous"
 )
 
@@ -169,7 +169,7 @@
 }
 
 func (f *fleet) send(from *node, address string, s *Shuffle) {
-	size := len(script.Write(nil, s))
+	size := len(codec.Write(nil, s))
 	f.messages++
 	f.bytes += size
 	to := f.nodes[address]
--- a/internal/mesh/company/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -1,11 +1,11 @@
-// Package company is who is there: each process keeps a partial view of the others and shuffles it with neighbours. It does no
+// Package membership is who is there: each process keeps a partial view of the others and shuffles it with neighbours. It does no
 // I/O: time, randomness and messages are handed in, on a steady clock with any start.
-package company
+package membership
 
 import (
 	"time"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Role is what a member does.
@@ -19,20 +19,20 @@
 
 // Member is one life of one process.
 type Member struct {
-	Life    uint64 // random, new at each start
-	Address string // ip:port where its peers reach it
-	Zone    string
-	Region  string
-	Role    Role
-	Service string // of the endpoint beside it
-	App     string // that endpoint's address
-	Beat    uint64 // its own counter, which it raises at each pace
-	Seed    bool
-	Age     time.Duration // how long ago its beat was new, as far as the teller knows
+	Life      uint64 // random, new at each start
+	Address   string // ip:port where its peers reach it
+	Zone      string
+	Region    string
+	Role      Role
+	Service   string // of the endpoint beside it
+	App       string // that endpoint's address
+	Heartbeat uint64 // its own counter, which it raises at each pace
+	Seed      bool
+	Age       time.Duration // how long ago its beat was new, as far as the allocator knows
 }
 
 // Fields names them.
-func (m *Member) Fields(v *script.Visitor) {
+func (m *Member) Fields(v *codec.Visitor) {
 	v.Fixed(1, &m.Life)
 	v.Text(2, &m.Address)
 	v.Text(3, &m.Zone)
@@ -42,7 +42,7 @@
 	m.Role = Role(role)
 	v.Text(6, &m.Service)
 	v.Text(7, &m.App)
-	v.Uint(8, &m.Beat)
+	v.Uint(8, &m.Heartbeat)
 	v.Bool(9, &m.Seed)
 	age := uint64((max(m.Age, 0) + time.Millisecond - 1) / time.Millisecond)
 	v.Uint(10, &age)
@@ -53,22 +53,22 @@
 
 // alike tells whether two records of a life say the same, but for what is newer.
 func alike(a, b Member) bool {
-	a.Beat, a.Age = b.Beat, b.Age
+	a.Heartbeat, a.Age = b.Heartbeat, b.Age
 	return a == b
 }
 
 // Gone says that a life ended; it is believed while no beat beyond this one is known.
 type Gone struct {
-	Life    uint64
-	Address string
-	Beat    uint64
+	Life      uint64
+	Address   string
+	Heartbeat uint64
 }
 
 // Fields names them.
-func (g *Gone) Fields(v *script.Visitor) {
+func (g *Gone) Fields(v *codec.Visitor) {
 	v.Fixed(1, &g.Life)
 	v.Text(2, &g.Address)
-	v.Uint(3, &g.Beat)
+	v.Uint(3, &g.Heartbeat)
 }
 
 // Shuffle is a part of one member's view, for a neighbour.
@@ -86,16 +86,16 @@
 }
 
 // Fields names them.
-func (s *Shuffle) Fields(v *script.Visitor) {
+func (s *Shuffle) Fields(v *codec.Visitor) {
 	v.Message(1, &s.From)
-	script.Messages(v, 2, &s.Members)
-	script.Messages(v, 3, &s.Gone)
+	codec.Messages(v, 2, &s.Members)
+	codec.Messages(v, 3, &s.Gone)
 	v.Bool(4, &s.Reply)
 	v.Uint(5, &s.Version)
 	v.Fixed(6, &s.Own)
 	v.Fixed(7, &s.All)
 	v.Bytes(8, &s.Ages)
-	script.Messages(v, 9, &s.Doubts)
+	codec.Messages(v, 9, &s.Doubts)
 	v.Bool(10, &s.Anew)
 }
 
--- a/internal/mesh/company/quiet.go
+++ b/internal/mesh/discovery/membership/quiet.go
@@ -1,4 +1,4 @@
-package company
+package membership
 
 import (
 	"slices"
@@ -164,7 +164,7 @@
 func (v *View) doubts() (out []Gone) {
 	for _, e := range v.all {
 		if e.state == missed && len(out) < v.bounds.Told {
-			out = append(out, Gone{Life: e.Life, Address: e.Address, Beat: e.Beat})
+			out = append(out, Gone{Life: e.Life, Address: e.Address, Heartbeat: e.Heartbeat})
 		}
 	}
 	return out
@@ -173,7 +173,7 @@
 // doubt hears that another can't reach a life: it is asked, and what it says is news for that one.
 func (v *View) doubt(_ time.Duration, who *Member, d *Gone) {
 	if d.Life == v.self.Life {
-		v.self.Beat = max(v.self.Beat, d.Beat+1)
+		v.self.Heartbeat = max(v.self.Heartbeat, d.Heartbeat+1)
 		return
 	}
 	e := v.members[d.Life]
@@ -181,10 +181,10 @@
 		return
 	}
 	switch {
-	case e.Beat > d.Beat:
+	case e.Heartbeat > d.Heartbeat:
 		e.told = 0
-	case e.doubt < d.Beat:
-		e.doubt, e.doubted, e.awaited = d.Beat, true, true
+	case e.doubt < d.Heartbeat:
+		e.doubt, e.doubted, e.awaited = d.Heartbeat, true, true
 	}
 	if w := v.members[who.Life]; w != nil {
 		w.asked = -time.Hour
--- a/internal/mesh/company/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -1,4 +1,4 @@
-package company
+package membership
 
 import (
 	"cmp"
@@ -85,7 +85,7 @@
 func New(self Member, bounds Bounds, rng *rand.Rand) *View {
 	v := &View{bounds: bounds.Filled(), rng: rng, self: self, members: map[uint64]*entry{}, at: map[string]*entry{},
 		dead: map[uint64]ended{}, regions: map[string]string{}, quiet: newQuiet(), ended: -time.Hour}
-	v.self.Beat = max(v.self.Beat, 1)
+	v.self.Heartbeat = max(v.self.Heartbeat, 1)
 	v.ring = []*entry{{Member: v.self, mix: rendezvous.Mix(self.Life)}}
 	v.Place(self.Zone, self.Region)
 	return v
@@ -122,7 +122,7 @@
 	if now >= v.next {
 		v.next = now + v.pace(now)*time.Duration(85+v.rng.IntN(31))/100
 		v.paced = now
-		v.self.Beat++
+		v.self.Heartbeat++
 		if first = v.first(now); first != nil {
 			to = v.ask(now, to, first)
 		}
@@ -196,14 +196,14 @@
 		switch {
 		case e.state == missed && now-e.since >= v.bounds.Grace:
 			v.drop(e)
-			v.bury(now, e.Life, ended{beat: e.Beat + v.beats(e), address: e.Address})
+			v.bury(now, e.Life, ended{beat: e.Heartbeat + v.beats(e), address: e.Address})
 			v.ended = now
 			v.stir(now, &v.news)
 		case e.state == missed:
 		case age >= v.patience(&e.Member):
 			v.drop(e)
 			if e.Zone == v.self.Zone && v.many() { // else each finds out by itself
-				v.bury(now, e.Life, ended{beat: e.Beat, address: e.Address})
+				v.bury(now, e.Life, ended{beat: e.Heartbeat, address: e.Address})
 			}
 		case age >= v.patience(&e.Member)*v.bounds.Suspect/v.bounds.Drop:
 			e.shift(now, suspected)
@@ -280,7 +280,7 @@
 // hurry is how many more neighbours are asked: some while there are new members, and more at the own start.
 func (v *View) hurry(now time.Duration) int {
 	switch {
-	case v.self.Beat <= 4:
+	case v.self.Heartbeat <= 4:
 		return 2
 	case now-v.ended < 2*v.bounds.Pace:
 		return 3
@@ -398,7 +398,7 @@
 		d := v.dead[life]
 		d.told++
 		v.dead[life] = d
-		out = append(out, Gone{Life: life, Address: d.address, Beat: d.beat})
+		out = append(out, Gone{Life: life, Address: d.address, Heartbeat: d.beat})
 	}
 	return out
 }
@@ -418,15 +418,15 @@
 		v.doubt(now, &s.From, &s.Doubts[i])
 	}
 	if s.Anew && !s.Reply {
-		v.self.Beat++
+		v.self.Heartbeat++
 	}
 	agrees := v.compare(now, s)
 	if !s.Reply && s.From.Life != v.self.Life {
-		reply = v.shuffle(now, s.From.Zone, !known && s.From.Beat < 8, agrees)
+		reply = v.shuffle(now, s.From.Zone, !known && s.From.Heartbeat < 8, agrees)
 		reply.Reply = true
 	}
 	if d, ok := v.dead[s.From.Life]; ok && v.members[s.From.Life] == nil { // it hears so, to beat beyond
-		g := Gone{Life: s.From.Life, Address: s.From.Address, Beat: d.beat}
+		g := Gone{Life: s.From.Life, Address: s.From.Address, Heartbeat: d.beat}
 		if reply != nil {
 			reply.Gone = append(reply.Gone, g)
 		} else if len(v.risen) < v.bounds.Told {
@@ -439,20 +439,20 @@
 // told hears that a life ended.
 func (v *View) told(now time.Duration, g Gone) bool {
 	if g.Life == v.self.Life {
-		if v.self.Beat <= g.Beat {
-			v.self.Beat = g.Beat + 1
+		if v.self.Heartbeat <= g.Heartbeat {
+			v.self.Heartbeat = g.Heartbeat + 1
 			v.stir(now, &v.news)
 		}
 		return false
 	}
 	e := v.members[g.Life]
-	if e != nil && e.Beat > g.Beat {
-		if e.doubt < g.Beat && e.state == fresh { // one of the two has old news
-			e.doubt, e.doubted, e.awaited = g.Beat, true, false
+	if e != nil && e.Heartbeat > g.Heartbeat {
+		if e.doubt < g.Heartbeat && e.state == fresh { // one of the two has old news
+			e.doubt, e.doubted, e.awaited = g.Heartbeat, true, false
 		}
 		return false
 	}
-	v.bury(now, g.Life, ended{beat: g.Beat, address: g.Address})
+	v.bury(now, g.Life, ended{beat: g.Heartbeat, address: g.Address})
 	if e != nil {
 		v.drop(e)
 		v.ended = now
@@ -472,16 +472,16 @@
 	}
 	m.Age = 0
 	seen := now - age
-	if d, dead := v.dead[m.Life]; dead && (m.Beat <= d.beat || d.replaced && !direct && seen < d.at+v.bounds.Drop) {
+	if d, dead := v.dead[m.Life]; dead && (m.Heartbeat <= d.beat || d.replaced && !direct && seen < d.at+v.bounds.Drop) {
 		return false
 	}
 	if e := v.members[m.Life]; e != nil {
 		switch {
-		case m.Beat == e.Beat && direct:
+		case m.Heartbeat == e.Heartbeat && direct:
 			e.seen = now
-		case m.Beat == e.Beat:
+		case m.Heartbeat == e.Heartbeat:
 			e.seen = min(e.seen, seen)
-		case m.Beat > e.Beat:
+		case m.Heartbeat > e.Heartbeat:
 			changed = !alike(e.Member, m)
 			if e.Address != m.Address {
 				return false // a life has one address
@@ -489,7 +489,7 @@
 			if changed {
 				v.shifted()
 			}
-			if e.awaited && e.doubt < m.Beat {
+			if e.awaited && e.doubt < m.Heartbeat {
 				e.awaited, e.told = false, 0
 				v.stir(now, &v.news)
 			}
@@ -503,7 +503,7 @@
 			return false
 		}
 		v.remove(o)
-		d := ended{beat: o.Beat, address: o.Address, replaced: true}
+		d := ended{beat: o.Heartbeat, address: o.Address, replaced: true}
 		if direct {
 			d.beat += surely
 		}
@@ -572,7 +572,7 @@
 		return
 	}
 	v.remove(e)
-	v.bury(now, e.Life, ended{beat: e.Beat, address: address, replaced: true})
+	v.bury(now, e.Life, ended{beat: e.Heartbeat, address: address, replaced: true})
 }
 
 // Members are the live ones, this one among them, by address.
--- a/internal/mesh/company/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -1,4 +1,4 @@
-package company
+package membership
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 const ms = time.Millisecond
 
 func member(life uint64, address, zone string, beat uint64) Member {
-	return Member{Life: life, Address: address, Zone: zone, Region: "r", Beat: beat}
+	return Member{Life: life, Address: address, Zone: zone, Region: "r", Heartbeat: beat}
 }
 
 func view(bounds Bounds) *View {
@@ -45,7 +45,7 @@
 }
 
 // A process restarts at its address. In all orders of what is heard of its two lives, with any one message twice, the new
-// life is known in the end and the old one is not, and a life that another one replaced does not come back by hearsay.
+// life is known in the end and the old one is not, and a life that another one replaced does not come back by learned.
 func TestRestartInAllOrders(t *testing.T) {
 	c := qt.New(t)
 	const at = "10.0.0.9:1"
@@ -55,7 +55,7 @@
 		of(aged(old, 2*time.Second)),
 		of(aged(member(8, at, "z", 1), 500*ms)),
 		from(young),
-		from(member(1, "10.0.0.2:1", "z", 1), Gone{Life: 7, Address: at, Beat: 40}),
+		from(member(1, "10.0.0.2:1", "z", 1), Gone{Life: 7, Address: at, Heartbeat: 40}),
 	}
 	play := func(order []int) {
 		v, replaced := view(Bounds{}), false
@@ -120,9 +120,9 @@
 	v.Take(0, of(member(7, "10.0.0.7:1", "z", 6)))
 	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("it beat after all"))
 	reply, _ := v.Take(0, &Shuffle{From: member(1, "10.0.0.2:1", "z", 3), Gone: []Gone{{1000, "10.0.0.1:1", 30}}})
-	c.Assert(reply.From.Beat, qt.Equals, uint64(31), qt.Commentf("this one is not gone"))
+	c.Assert(reply.From.Heartbeat, qt.Equals, uint64(31), qt.Commentf("this one is not gone"))
 	var read Shuffle
-	c.Assert(script.Read(script.Write(nil, reply), &read), qt.IsNil)
+	c.Assert(codec.Read(codec.Write(nil, reply), &read), qt.IsNil)
 	c.Assert(&read, qt.DeepEquals, reply)
 }
 
--- a/internal/mesh/callboard/publish.go
+++ b/internal/mesh/discovery/publish.go
@@ -1,4 +1,4 @@
-package callboard
+package discovery
 
 import (
 	"slices"
@@ -15,12 +15,12 @@
 type Publisher struct {
 	bounds  Bounds
 	edition uint64
-	own     []*told // in the order of their lives
+	own     []*publication // in the order of their lives
 	targets []string
 }
 
 // told is one life that is told of.
-type told struct {
+type publication struct {
 	Endpoint
 	set     time.Duration // when it was last set
 	cold    time.Duration // its end
@@ -42,7 +42,7 @@
 
 // Set is the endpoint as its newest beat has it, or as it ended. Editions are given here. A new life ends the ones before.
 func (p *Publisher) Set(now time.Duration, e Endpoint) {
-	var t *told
+	var t *publication
 	for _, o := range p.own {
 		if o.ID == e.ID {
 			t = o
@@ -52,7 +52,7 @@
 		for _, o := range p.own {
 			p.shift(now, o, Gone)
 		}
-		t = &told{Endpoint: e, set: now, cold: now + e.Cold, drained: e.State == Draining, to: map[string]*target{}}
+		t = &publication{Endpoint: e, set: now, cold: now + e.Cold, drained: e.State == Draining, to: map[string]*target{}}
 		p.own = append(p.own, t)
 		p.edition++
 		t.Edition = p.edition
@@ -84,7 +84,7 @@
 }
 
 // shift changes the state of a life.
-func (p *Publisher) shift(now time.Duration, t *told, to State) {
+func (p *Publisher) shift(now time.Duration, t *publication, to State) {
 	t.drained = t.drained || to == Draining
 	if to == Serving && t.drained {
 		to = Draining
@@ -119,7 +119,7 @@
 
 // Tick gives what is due: changes and new homes at once, what was not acknowledged again, and renewals.
 func (p *Publisher) Tick(now time.Duration) (due []Send) {
-	p.own = slices.DeleteFunc(p.own, func(t *told) bool {
+	p.own = slices.DeleteFunc(p.own, func(t *publication) bool {
 		return t.State >= Crashed && (now-t.set >= p.bounds.Tombstone || t.State == Gone && p.acknowledged(t))
 	})
 	for _, t := range p.own {
@@ -141,7 +141,7 @@
 	return due
 }
 
-func (p *Publisher) due(now time.Duration, t *told, g *target) bool {
+func (p *Publisher) due(now time.Duration, t *publication, g *target) bool {
 	switch {
 	case !g.tried || g.version != t.Edition: // never sent so
 		return true
@@ -152,7 +152,7 @@
 	}
 }
 
-func (p *Publisher) acknowledged(t *told) bool {
+func (p *Publisher) acknowledged(t *publication) bool {
 	for _, home := range p.targets {
 		if g := t.to[home]; g == nil || g.edition != t.Edition {
 			return false
--- a/internal/mesh/callboard/board.go
+++ b/internal/mesh/discovery/registry.go
@@ -1,13 +1,13 @@
-// Package callboard is the directory of endpoints: soft state under leases, alike at those who tell, at the homes of a service
+// Package discovery is the directory of endpoints: soft state under leases, alike at those who tell, at the homes of a service
 // and at its callers. It does no I/O: time is handed in, on a steady clock with any start.
-package callboard
+package discovery
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // State of an endpoint, the worse the higher.
@@ -33,12 +33,12 @@
 	State    State
 	Cold     time.Duration // left at the time of telling
 	Sequence uint64        // callSequence of the newest beat that this rests on
-	Edition  uint64        // raised by its teller at each change beyond Sequence, over all the lives it tells of
+	Edition  uint64        // raised by its allocator at each change beyond Sequence, over all the lives it tells of
 	Lease    time.Duration // left at the time of telling
 }
 
 // Fields names them.
-func (e *Endpoint) Fields(v *script.Visitor) {
+func (e *Endpoint) Fields(v *codec.Visitor) {
 	v.Text(1, &e.ID)
 	v.Text(2, &e.Service)
 	v.Text(3, &e.Host)
@@ -90,7 +90,7 @@
 }
 
 // post is a record on the board.
-type post struct {
+type record struct {
 	Endpoint
 	lease, cold time.Duration // their ends
 	renewed     time.Duration
@@ -103,7 +103,7 @@
 }
 
 // shown is the state to the outside.
-func (p *post) shown() State {
+func (p *record) shown() State {
 	switch {
 	case p.gone:
 		return Gone
@@ -115,35 +115,35 @@
 	return p.State
 }
 
-func (p *post) told(now time.Duration) Endpoint {
+func (p *record) told(now time.Duration) Endpoint {
 	e := p.Endpoint
 	e.State, e.Lease, e.Cold = p.shown(), max(p.lease-now, 0), max(p.cold-now, 0)
 	return e
 }
 
 // Board is what one process knows of endpoints.
-type Board struct {
+type Registry struct {
 	bounds  Bounds
-	posts   map[string]*post
-	apps    map[string][]*post
-	service map[string][]*post // by id
+	records map[string]*record
+	apps    map[string][]*record
+	service map[string][]*record // by id
 	version uint64
 	expired time.Duration     // last time
 	floor   map[string]uint64 // by service: what was forgotten had this version at most
-	tombs   []*post           // those that ended, the oldest first, and some that came back
+	tombs   []*record         // those that ended, the oldest first, and some that came back
 }
 
 // New makes an empty board.
-func New(bounds Bounds) *Board {
-	return &Board{bounds: bounds.Filled(), posts: map[string]*post{}, apps: map[string][]*post{}, service: map[string][]*post{}, floor: map[string]uint64{}}
+func New(bounds Bounds) *Registry {
+	return &Registry{bounds: bounds.Filled(), records: map[string]*record{}, apps: map[string][]*record{}, service: map[string][]*record{}, floor: map[string]uint64{}}
 }
 
 // Tell merges a record; changed tells whether more than its lease, its sequence and its cold time did.
-func (b *Board) Tell(now time.Duration, e Endpoint) (changed bool) {
+func (b *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
 	if e.ID == "" {
 		return false
 	}
-	p, took := b.posts[e.ID], true
+	p, took := b.records[e.ID], true
 	if p == nil {
 		p = b.add(now, e)
 		changed = true
@@ -159,19 +159,19 @@
 	return b.supersede(now, p.App) || changed
 }
 
-func (b *Board) add(now time.Duration, e Endpoint) *post {
-	p := &post{Endpoint: e, lease: now + e.Lease, cold: now + e.Cold, renewed: now, drained: e.State == Draining, gone: e.State == Gone}
-	b.posts[p.ID] = p
+func (b *Registry) add(now time.Duration, e Endpoint) *record {
+	p := &record{Endpoint: e, lease: now + e.Lease, cold: now + e.Cold, renewed: now, drained: e.State == Draining, gone: e.State == Gone}
+	b.records[p.ID] = p
 	b.apps[p.App] = append(b.apps[p.App], p)
 	i, _ := slices.BinarySearchFunc(b.service[p.Service], p.ID, byID)
 	b.service[p.Service] = slices.Insert(b.service[p.Service], i, p)
 	return p
 }
 
-func byID(p *post, id string) int { return cmp.Compare(p.ID, id) }
+func byID(p *record, id string) int { return cmp.Compare(p.ID, id) }
 
 // merge is the one place where what is told changes a post. It tells whether it took anything.
-func (p *post) merge(now time.Duration, e Endpoint) (took bool) {
+func (p *record) merge(now time.Duration, e Endpoint) (took bool) {
 	e.App, e.Service = p.App, p.Service // of one life they stay
 	p.drained, p.gone = p.drained || e.State == Draining, p.gone || e.State == Gone
 	order := cmp.Or(cmp.Compare(e.Sequence, p.Sequence), cmp.Compare(e.Edition, p.Edition), cmp.Compare(e.State, p.State))
@@ -184,7 +184,7 @@
 	return took || order > 0
 }
 
-func (b *Board) touch(now time.Duration, p *post, changed bool) {
+func (b *Registry) touch(now time.Duration, p *record, changed bool) {
 	b.version++
 	p.version = b.version
 	if !changed {
@@ -203,28 +203,28 @@
 }
 
 // bury forgets the oldest of the ended.
-func (b *Board) bury() {
+func (b *Registry) bury() {
 	p := b.tombs[0]
 	b.tombs, p.tomb = b.tombs[1:], false
 	if p.shown() < Crashed {
 		return // it came back
 	}
-	delete(b.posts, p.ID)
+	delete(b.records, p.ID)
 	b.floor[p.Service] = max(b.floor[p.Service], p.version)
 	without(b.apps, p.App, p)
 	without(b.service, p.Service, p)
 }
 
-func without(in map[string][]*post, key string, p *post) {
-	if rest := slices.DeleteFunc(in[key], func(o *post) bool { return o == p }); len(rest) > 0 {
+func without(in map[string][]*record, key string, p *record) {
+	if rest := slices.DeleteFunc(in[key], func(o *record) bool { return o == p }); len(rest) > 0 {
 		in[key] = rest
 	} else {
 		delete(in, key)
 	}
 }
 
-// supersede ends those at an address whose own teller has told of a later life there.
-func (b *Board) supersede(now time.Duration, app string) (changed bool) {
+// supersede ends those at an address whose own allocator has told of a later life there.
+func (b *Registry) supersede(now time.Duration, app string) (changed bool) {
 	at := b.apps[app]
 	for _, p := range at {
 		for _, q := range at {
@@ -239,15 +239,15 @@
 
 // Expire ends leases that ran out, lets lives yield to renewed ones at their address, and forgets what ended long ago. It
 // returns those that changed. It is called at least each second: a gap counts as this process's own silence.
-func (b *Board) Expire(now time.Duration) (changed []Endpoint) {
+func (b *Registry) Expire(now time.Duration) (changed []Endpoint) {
 	if woken := now-b.expired > b.bounds.Wake; woken { // renewals may lie unread
-		for _, p := range b.posts {
+		for _, p := range b.records {
 			p.lease, p.renewed = max(p.lease, now+b.bounds.Quiet), max(p.renewed, now)
 		}
 	}
 	b.expired = now
 	for _, id := range b.ids() {
-		p := b.posts[id]
+		p := b.records[id]
 		if p.shown() >= Crashed {
 			continue
 		}
@@ -267,15 +267,15 @@
 	return changed
 }
 
-func (b *Board) outlived(now time.Duration, p *post) bool {
-	return now-p.renewed >= b.bounds.Quiet && slices.ContainsFunc(b.apps[p.App], func(q *post) bool {
+func (b *Registry) outlived(now time.Duration, p *record) bool {
+	return now-p.renewed >= b.bounds.Quiet && slices.ContainsFunc(b.apps[p.App], func(q *record) bool {
 		return q != p && q.shown() < Crashed && now-q.renewed < b.bounds.Quiet
 	})
 }
 
-func (b *Board) ids() []string {
-	ids := make([]string, 0, len(b.posts))
-	for id := range b.posts {
+func (b *Registry) ids() []string {
+	ids := make([]string, 0, len(b.records))
+	for id := range b.records {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -284,11 +284,11 @@
 
 // List is what is known of a service's endpoints, those that ended too while they are remembered, with leases and cold times
 // as left now.
-func (b *Board) List(now time.Duration, service string) (out []Endpoint) {
+func (b *Registry) List(now time.Duration, service string) (out []Endpoint) {
 	return b.after(now, service, 0)
 }
 
-func (b *Board) after(now time.Duration, service string, version uint64) (out []Endpoint) {
+func (b *Registry) after(now time.Duration, service string, version uint64) (out []Endpoint) {
 	for _, p := range b.service[service] {
 		if p.version > version {
 			out = append(out, p.told(now))
@@ -298,16 +298,16 @@
 }
 
 // All is what is known of all.
-func (b *Board) All(now time.Duration) (out []Endpoint) {
+func (b *Registry) All(now time.Duration) (out []Endpoint) {
 	for _, id := range b.ids() {
-		out = append(out, b.posts[id].told(now))
+		out = append(out, b.records[id].told(now))
 	}
 	return out
 }
 
 // Since is what of a service changed or was renewed after a version of this board, and the version now. If ok is false, what
 // was forgotten in between matters, and this is the whole list.
-func (b *Board) Since(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
+func (b *Registry) Since(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
 	if version < b.floor[service] || version > b.version {
 		return b.List(now, service), b.version, false
 	}
@@ -315,12 +315,12 @@
 }
 
 // At is the endpoint at an address: of several the best, then the one renewed last.
-func (b *Board) At(now time.Duration, app string) (Endpoint, bool) {
+func (b *Registry) At(now time.Duration, app string) (Endpoint, bool) {
 	at := b.apps[app]
 	if len(at) == 0 {
 		return Endpoint{}, false
 	}
-	best := slices.MinFunc(at, func(p, q *post) int {
+	best := slices.MinFunc(at, func(p, q *record) int {
 		return cmp.Or(cmp.Compare(p.shown()/Crashed, q.shown()/Crashed), cmp.Compare(q.renewed, p.renewed), cmp.Compare(p.ID, q.ID))
 	})
 	return best.told(now), true
--- a/internal/mesh/callboard/board_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -1,4 +1,4 @@
-package callboard
+package discovery
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 const lease = 9 * time.Second
 
-func record(id string, s State, sequence, edition uint64) Endpoint {
+func newRecord(id string, s State, sequence, edition uint64) Endpoint {
 	return Endpoint{ID: id, Service: "s", Host: "h:1", HostLife: 7, App: "a:1", Zone: "z", Slots: 4, State: s,
 		Sequence: sequence, Edition: edition, Lease: lease}
 }
@@ -36,7 +36,7 @@
 }
 
 // essence is what boards must agree on.
-func essence(b *Board) (out []string) {
+func essence(b *Registry) (out []string) {
 	for _, e := range b.All(0) {
 		out = append(out, fmt.Sprintf("%s %d %d.%d %d", e.ID, e.State, e.Sequence, e.Edition, e.Slots))
 	}
@@ -46,13 +46,13 @@
 // All orders of a life's messages, each of them twice at any place, on one board; and the same once on another: they agree in
 // the end, and neither shows an endpoint as serving after its draining mark, or anything after its end.
 func TestBoardsAgreeInAllOrders(t *testing.T) {
-	beat, slots := record("x", Serving, 1, 1), record("x", Serving, 1, 2)
+	beat, slots := newRecord("x", Serving, 1, 1), newRecord("x", Serving, 1, 2)
 	slots.Slots = 9
 	for name, told := range map[string][]Endpoint{
-		"drain, end, new life": {beat, record("x", Draining, 2, 3), record("x", Serving, 3, 3), record("x", Gone, 3, 4), record("y", Serving, 1, 5)},
-		"crash, late beat":     {beat, slots, record("x", Draining, 2, 3), record("x", Crashed, 2, 4), record("x", Serving, 3, 4)},
-		"crash, new life":      {beat, slots, record("x", Crashed, 1, 3), record("y", Serving, 1, 4), record("y", Draining, 2, 5)},
-		"three lives":          {beat, record("x", Serving, 9, 1), record("y", Serving, 1, 2), record("y", Crashed, 1, 3), record("z", Serving, 1, 4)},
+		"drain, end, new life": {beat, newRecord("x", Draining, 2, 3), newRecord("x", Serving, 3, 3), newRecord("x", Gone, 3, 4), newRecord("y", Serving, 1, 5)},
+		"crash, late beat":     {beat, slots, newRecord("x", Draining, 2, 3), newRecord("x", Crashed, 2, 4), newRecord("x", Serving, 3, 4)},
+		"crash, new life":      {beat, slots, newRecord("x", Crashed, 1, 3), newRecord("y", Serving, 1, 4), newRecord("y", Draining, 2, 5)},
+		"three lives":          {beat, newRecord("x", Serving, 9, 1), newRecord("y", Serving, 1, 2), newRecord("y", Crashed, 1, 3), newRecord("z", Serving, 1, 4)},
 	} {
 		c := qt.New(t)
 		var want []string
@@ -60,7 +60,7 @@
 		play := func(order []int) {
 			b, worst := New(Bounds{}), map[string]State{}
 			for _, i := range order {
-				b.Tell(0, told[i])
+				b.Apply(0, told[i])
 				for _, e := range b.All(0) {
 					w := worst[e.ID]
 					if w == Draining && e.State == Serving || w == Gone && e.State != Gone {
@@ -90,7 +90,7 @@
 }
 
 // expire plays time up to now, second by second, and returns what changed in it.
-func expire(b *Board, from, now time.Duration) (changed []Endpoint) {
+func expire(b *Registry, from, now time.Duration) (changed []Endpoint) {
 	for at := from; at <= now; at += time.Second {
 		changed = append(changed, b.Expire(at)...)
 	}
@@ -100,18 +100,18 @@
 func TestLeases(t *testing.T) {
 	c := qt.New(t)
 	b := New(Bounds{})
-	old, young := record("x", Serving, 1, 1), record("y", Serving, 1, 1)
+	old, young := newRecord("x", Serving, 1, 1), newRecord("y", Serving, 1, 1)
 	young.HostLife = 8 // told by another life of the sidecar, which never knew of x
-	c.Assert(b.Tell(0, old), qt.IsTrue)
-	c.Assert(b.Tell(0, old), qt.IsFalse)
+	c.Assert(b.Apply(0, old), qt.IsTrue)
+	c.Assert(b.Apply(0, old), qt.IsFalse)
 	c.Assert(expire(b, 0, 4*time.Second), qt.HasLen, 0)
-	b.Tell(4*time.Second, young)
+	b.Apply(4*time.Second, young)
 	c.Assert(b.Expire(4*time.Second), qt.HasLen, 0)
 	c.Assert(b.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that is not renewed yields"))
 	at, _ := b.At(5*time.Second, "a:1")
 	c.Assert(at.ID, qt.Equals, "y")
 	old.Sequence++
-	c.Assert(b.Tell(6*time.Second, old), qt.IsTrue, qt.Commentf("it was alive after all"))
+	c.Assert(b.Apply(6*time.Second, old), qt.IsTrue, qt.Commentf("it was alive after all"))
 	c.Assert(expire(b, 6*time.Second, 9*time.Second), qt.HasLen, 1, qt.Commentf("now the other one yields"))
 	c.Assert(expire(b, 10*time.Second, 14*time.Second), qt.HasLen, 0)
 	c.Assert(b.Expire(15*time.Second), qt.HasLen, 1)
@@ -131,7 +131,7 @@
 func TestFrozenBoardEndsNobody(t *testing.T) {
 	c := qt.New(t)
 	b := New(Bounds{})
-	b.Tell(0, record("x", Serving, 1, 1))
+	b.Apply(0, newRecord("x", Serving, 1, 1))
 	c.Assert(expire(b, 0, time.Second), qt.HasLen, 0)
 	c.Assert(expire(b, 20*time.Second, 24*time.Second), qt.HasLen, 0)
 	c.Assert(b.Expire(25*time.Second), qt.HasLen, 1)
@@ -142,27 +142,27 @@
 	c := qt.New(t)
 	b := New(Bounds{Tombs: 10})
 	for i := range 100 {
-		e := record(fmt.Sprint(i), Serving, 1, 1)
+		e := newRecord(fmt.Sprint(i), Serving, 1, 1)
 		e.App, e.HostLife = fmt.Sprint(i), uint64(i)
-		b.Tell(0, e)
+		b.Apply(0, e)
 		for range 3 { // crash and come back
 			e.Sequence, e.State = e.Sequence+1, Crashed
-			b.Tell(0, e)
+			b.Apply(0, e)
 			e.Sequence, e.State = e.Sequence+1, Serving
-			b.Tell(0, e)
+			b.Apply(0, e)
 		}
 		e.State = Gone
-		b.Tell(0, e)
+		b.Apply(0, e)
 	}
-	c.Assert(len(b.posts) <= 10 && len(b.tombs) <= 10, qt.IsTrue, qt.Commentf("%d posts, %d tombs", len(b.posts), len(b.tombs)))
+	c.Assert(len(b.records) <= 10 && len(b.tombs) <= 10, qt.IsTrue, qt.Commentf("%d posts, %d tombs", len(b.records), len(b.tombs)))
 	b.Expire(time.Hour)
-	c.Assert(len(b.posts)+len(b.apps)+len(b.service)+len(b.tombs), qt.Equals, 0)
+	c.Assert(len(b.records)+len(b.apps)+len(b.service)+len(b.tombs), qt.Equals, 0)
 }
 
 // A subscriber that takes what changed since its version has what the home has, whatever happens in between.
 func TestSinceIsEnough(t *testing.T) {
 	c := qt.New(t)
-	told := []Endpoint{record("x", Serving, 1, 1), record("x", Draining, 2, 2), record("x", Gone, 2, 3), record("y", Serving, 1, 4)}
+	told := []Endpoint{newRecord("x", Serving, 1, 1), newRecord("x", Draining, 2, 2), newRecord("x", Gone, 2, 3), newRecord("y", Serving, 1, 4)}
 	orders(len(told), func(order []int) {
 		for asks := range 1 << len(order) {
 			home, here, version := New(Bounds{}), New(Bounds{}), uint64(0)
@@ -171,13 +171,13 @@
 				news, version, _ = home.Since(0, "s", version)
 				for _, e := range news {
 					var read Endpoint
-					c.Assert(script.Read(script.Write(nil, &e), &read), qt.IsNil)
+					c.Assert(codec.Read(codec.Write(nil, &e), &read), qt.IsNil)
 					c.Assert(read, qt.DeepEquals, e)
-					here.Tell(0, read)
+					here.Apply(0, read)
 				}
 			}
 			for i, m := range order {
-				home.Tell(0, told[m])
+				home.Apply(0, told[m])
 				if asks>>i&1 == 1 {
 					ask()
 				}
--- a/internal/mesh/callboard/subscribe.go
+++ b/internal/mesh/discovery/subscribe.go
@@ -1,4 +1,4 @@
-package callboard
+package discovery
 
 import (
 	"slices"
--- a/internal/mesh/feed/feed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -1,5 +1,5 @@
-// Package feed serves a feed of events over HTTP: JSON lines, or server-sent events where they are asked for.
-package feed
+// Package eventfeed serves a feed of events over HTTP: JSON lines, or server-sent events where they are asked for.
+package eventfeed
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead/internal/mesh/marquee"
+	"gingerlead/internal/mesh/operations/events"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // Source is what keeps events; more is closed when there are newer ones.
 type Source interface {
-	After(c marquee.Cursor, most int, f marquee.Filter) (out []marquee.Event, next marquee.Cursor, more <-chan struct{}, err error)
+	After(c events.Cursor, most int, f events.Filter) (out []events.Event, next events.Cursor, more <-chan struct{}, err error)
 }
 
 // Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with what is there, and waits
@@ -38,7 +38,7 @@
 		if id := q.Header.Get("Last-Event-ID"); id != "" {
 			after = id
 		}
-		cursor, err := marquee.ParseCursor(after)
+		cursor, err := events.ParseCursor(after)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -52,7 +52,7 @@
 		follow, _ := strconv.ParseBool(query.Get("follow"))
 		r := reader{w: w, out: http.NewResponseController(w), stream: q.Header.Get("Accept") == "text/event-stream"}
 		w.Header().Set("Content-Type", map[bool]string{true: "text/event-stream", false: "application/x-ndjson"}[r.stream])
-		filter := marquee.Filter{Service: query.Get("service"), Tenant: query.Get("tenant"), Zone: query.Get("zone")}
+		filter := events.Filter{Service: query.Get("service"), Tenant: query.Get("tenant"), Zone: query.Get("zone")}
 		for end := time.After(waitMost); ; {
 			got, next, more, err := source.After(cursor, most, filter)
 			if err != nil {
@@ -86,7 +86,7 @@
 	stream bool
 }
 
-func (r *reader) write(all []marquee.Event) error {
+func (r *reader) write(all []events.Event) error {
 	_ = r.out.SetWriteDeadline(time.Now().Add(waitMost)) // one that does not read is left
 	for _, e := range all {
 		text, err := json.Marshal(e)
--- a/internal/mesh/herald/herald.go
+++ b/internal/mesh/operations/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package herald follows the mesh's feed of events for other tools, and keeps its own copy of it on disk: a tool's cursor outlives
-// restarts of the tool, of the herald and of the core process that it follows. What can't be known is told as a gap.
-package herald
+// Package eventlog follows the mesh's feed of events for other tools, and keeps its own copy of it on disk: a tool's cursor outlives
+// restarts of the tool, of the eventlog and of the core process that it follows. What can't be known is told as a gap.
+package eventlog
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/marquee"
+	"gingerlead/internal/mesh/operations/events"
 )
 
 const (
@@ -27,7 +27,7 @@
 	headKey    = "head"
 )
 
-// Store is where events are kept: a few records, each under its key (trunk.Trunk).
+// Store is where events are kept: a few records, each under its key (storage.Trunk).
 type Store interface {
 	Get(key string) ([]byte, error)
 	Put(key string, data []byte) error
@@ -69,11 +69,11 @@
 
 // Add keeps an event that came from a core process, whose cursor was then core. The event is on disk before the head says so; one
 // that was kept and not noted is kept once more after a crash, under the same number.
-func (l *Log) Add(e marquee.Event, from, core string) error {
+func (l *Log) Add(e events.Event, from, core string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.head
-	e.Cursor = marquee.Cursor{Life: h.Life, Number: h.Next}.String()
+	e.Cursor = events.Cursor{Life: h.Life, Number: h.Next}.String()
 	text, err := json.Marshal(e)
 	if err != nil {
 		return trace.Wrap(err)
@@ -104,17 +104,17 @@
 
 // After gives up to most events after a cursor that the filter lets through, the cursor to go on from, and what is closed when
 // there is more.
-func (l *Log) After(c marquee.Cursor, most int, filter marquee.Filter) ([]marquee.Event, marquee.Cursor, <-chan struct{}, error) {
+func (l *Log) After(c events.Cursor, most int, filter events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := uint64(1)
 	if l.head.Next > l.most {
 		first = l.head.Next - l.most
 	}
-	var out []marquee.Event
+	var out []events.Event
 	at, gap := c.Number+1, ""
 	switch {
-	case c == marquee.Cursor{}:
+	case c == events.Cursor{}:
 		at = first
 	case c.Life != l.head.Life:
 		gap, at = "the cursor is of another log, or of one whose disk was lost", first
@@ -124,14 +124,14 @@
 		gap, at = fmt.Sprintf("%d events are no longer kept", first-at), first
 	}
 	if gap != "" {
-		out = append(out, marquee.Event{Cursor: marquee.Cursor{Life: l.head.Life, Number: at - 1}.String(), Kind: marquee.Gap, Detail: gap})
+		out = append(out, events.Event{Cursor: events.Cursor{Life: l.head.Life, Number: at - 1}.String(), Kind: events.Gap, Detail: gap})
 	}
 	for ; at < l.head.Next && len(out) < most; at++ {
 		data, err := l.store.Get(l.slot(at))
 		if err != nil {
 			return out, c, l.news, trace.Wrap(err)
 		}
-		var e marquee.Event
+		var e events.Event
 		if err := json.Unmarshal(data, &e); err != nil {
 			return out, c, l.news, trace.BadParameter("record %q: %v", l.slot(at), err)
 		}
@@ -139,7 +139,7 @@
 			out = append(out, e)
 		}
 	}
-	return out, marquee.Cursor{Life: l.head.Life, Number: at - 1}, l.news, nil
+	return out, events.Cursor{Life: l.head.Life, Number: at - 1}, l.news, nil
 }
 
 // Follow follows the feeds of core processes, one at a time, until ctx ends.
@@ -154,14 +154,14 @@
 		if core != from && from != "" {
 			// Another process has seen other events in another order: what lies between is not known here.
 			cursor = ""
-			if err := l.Add(marquee.Event{Kind: marquee.Gap, Node: core, Time: time.Now().UTC().Format(time.RFC3339Nano),
+			if err := l.Add(events.Event{Kind: events.Gap, Node: core, Time: time.Now().UTC().Format(time.RFC3339Nano),
 				Detail: "another core process is followed now; what it kept comes next"}, core, ""); err != nil {
-				log.Warn("herald: " + err.Error())
+				log.Warn("eventlog: " + err.Error())
 			}
 		}
 		n, err := follow(ctx, l, core, cursor)
 		if err != nil && ctx.Err() == nil {
-			log.WithField("core", core).Warn("herald: " + err.Error())
+			log.WithField("core", core).Warn("eventlog: " + err.Error())
 		}
 		if pause = min(2*pause, retryMost); n > 0 {
 			pause = retryLeast
@@ -199,7 +199,7 @@
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var e marquee.Event
+		var e events.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			return n, trace.BadParameter("%s: line %d: %v", core, n+1, err)
 		}
--- a/internal/mesh/herald/herald_test.go
+++ b/internal/mesh/operations/eventlog/eventlog_test.go
@@ -1,4 +1,4 @@
-package herald
+package eventlog
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/marquee"
+	"gingerlead/internal/mesh/operations/events"
 )
 
 // shelf is a store in memory that a test can have fail after so many writes.
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// The disk fails, or the herald dies, at any write: opened again it has every event that it said it had, once and in order.
+// The disk fails, or the eventlog dies, at any write: opened again it has every event that it said it had, once and in order.
 func TestEventsOutliveAnyWrite(t *testing.T) {
 	c := qt.New(t)
 	for crash := range 24 {
@@ -46,7 +46,7 @@
 			l, err := OpenLog(s, 8, 1)
 			c.Assert(err, qt.IsNil)
 			for i := kept; i < 10; i++ {
-				if l.Add(marquee.Event{Kind: marquee.QuotaHit, Detail: fmt.Sprint(i)}, "core", fmt.Sprint(i)) != nil {
+				if l.Add(events.Event{Kind: events.QuotaHit, Detail: fmt.Sprint(i)}, "core", fmt.Sprint(i)) != nil {
 					break
 				}
 				kept++
@@ -58,7 +58,7 @@
 		c.Assert(err, qt.IsNil)
 		from, cursor := l.Followed()
 		c.Assert([]string{from, cursor}, qt.DeepEquals, []string{"core", "9"})
-		out, next, _, err := l.After(marquee.Cursor{Life: 1, Number: 1}, 99, marquee.Filter{})
+		out, next, _, err := l.After(events.Cursor{Life: 1, Number: 1}, 99, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(out[0].Detail, qt.Equals, "1 events are no longer kept")
 		for i, e := range out[1:] {
@@ -86,10 +86,10 @@
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
 	go Follow(ctx, l, []string{one.Listener.Addr().String(), two.Listener.Addr().String()}, log)
-	cursor := marquee.Cursor{}
+	cursor := events.Cursor{}
 	var got []string
 	for len(got) < 3 {
-		out, next, news, err := l.After(cursor, 9, marquee.Filter{})
+		out, next, news, err := l.After(cursor, 9, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		for _, e := range out {
 			got = append(got, e.Kind+" "+strings.TrimPrefix(e.Node, "127"))
--- a/internal/mesh/marquee/marquee.go
+++ b/internal/mesh/operations/events/events.go
@@ -1,6 +1,6 @@
-// Package marquee is the feed of events: what changed in the mesh, in order, for tools beside it. A reader holds a cursor; what it
+// Package events is the feed of events: what changed in the mesh, in order, for tools beside it. A reader holds a cursor; what it
 // has missed beyond what is kept is told as a gap, never skipped. It does no I/O.
-package marquee
+package events
 
 import (
 	"fmt"
--- a/internal/mesh/marquee/marquee_test.go
+++ b/internal/mesh/operations/events/events_test.go
@@ -1,4 +1,4 @@
-package marquee
+package events
 
 import (
 	"fmt"
--- a/internal/mesh/logbook/logbook.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logbook keeps a process's log in a ring in memory, and writes it out when something has gone wrong: then the moments
+// Package logging keeps a process's log in a ring in memory, and writes it out when something has gone wrong: then the moments
 // before the fault are there, and little else is ever written. Keys and bodies are never logged.
-package logbook
+package logging
 
 import (
 	"fmt"
--- a/internal/mesh/logbook/logbook_test.go
+++ b/internal/mesh/operations/logging/logging_test.go
@@ -1,4 +1,4 @@
-package logbook
+package logging
 
 import (
 	"fmt"
--- a/internal/mesh/callboy/callboy.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -1,6 +1,6 @@
-// Package callboy is the operators' client: what the mesh holds, and changes of its configuration that are checked and shown
+// Package meshctl is the operators' client: what the mesh holds, and changes of its configuration that are checked and shown
 // before they go out. Verbs are declared beside the calls that serve them.
-package callboy
+package meshctl
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/backstage"
-	"gingerlead/internal/mesh/playbill"
+	"gingerlead/internal/mesh/agent"
+	"gingerlead/internal/mesh/control/configuration"
 )
 
 // Exit codes that scripts can rely on, beside 0 for done and 1 for everything else.
@@ -100,7 +100,7 @@
 	return 0, nil, unclear{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(faults, "; "))}
 }
 
-func (c *Client) state() (s backstage.State, err error) {
+func (c *Client) state() (s agent.State, err error) {
 	_, text, err := c.ask(http.MethodGet, "/mesh/state", nil, nil)
 	if err != nil {
 		return s, err
@@ -109,7 +109,7 @@
 }
 
 // newest is the configuration as the core has it now; nil for none.
-func (c *Client) newest() (*playbill.Config, error) {
+func (c *Client) newest() (*configuration.Config, error) {
 	status, text, err := c.ask(http.MethodGet, "/configuration/retrieve", nil, nil)
 	switch {
 	case err != nil:
@@ -119,7 +119,7 @@
 	case status != http.StatusOK:
 		return nil, unclear{trace.ConnectionProblem(nil, "status %d %s", status, text)}
 	}
-	conf, err := playbill.Read(text)
+	conf, err := configuration.Read(text)
 	return conf, trace.Wrap(err)
 }
 
@@ -166,7 +166,7 @@
 		return err
 	}
 	var rows [][]string
-	all := slices.DeleteFunc(s.Endpoints, func(e backstage.EndpointState) bool { return l.Service != "" && e.Service != l.Service })
+	all := slices.DeleteFunc(s.Endpoints, func(e agent.EndpointState) bool { return l.Service != "" && e.Service != l.Service })
 	for _, e := range all {
 		rows = append(rows, []string{e.ID, e.Service, e.Zone, e.State, fmt.Sprint(e.Slots), e.Witness,
 			time.Duration(e.LeaseMs * 1e6).String()})
@@ -222,7 +222,7 @@
 	}
 	say("route %s: %s%s, timeout %v, aim %v, at most %d endpoints", r.Name, r.Host, r.Prefix, r.Timeout, r.Target, r.MaxAttempts)
 	if conf.Keyed {
-		t := conf.Holder(l.Key)
+		t := conf.TenantByKey(l.Key)
 		switch {
 		case t == nil && !r.Public:
 			say("401: the key is not known")
@@ -293,12 +293,12 @@
 	return err
 }
 
-func read(file string) (*playbill.Config, error) {
+func read(file string) (*configuration.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	conf, err := playbill.Read(text)
+	conf, err := configuration.Read(text)
 	return conf, trace.Wrap(err, "%s", file)
 }
 
@@ -339,13 +339,13 @@
 	if err != nil {
 		return err
 	}
-	current := playbill.Version(0)
+	current := configuration.Version(0)
 	if now != nil {
 		current = now.Version
 	}
 	base := current
 	if l.Base != "" {
-		if base, err = playbill.ParseVersion(l.Base); err != nil {
+		if base, err = configuration.ParseVersion(l.Base); err != nil {
 			return trace.BadParameter("--base %s: wanted a version like r12", l.Base)
 		}
 	}
@@ -372,19 +372,19 @@
 }
 
 // Diff is what one configuration changes against another, which may be nil; keys are told as changed, never printed.
-func Diff(from, to *playbill.Config) (out []string) {
+func Diff(from, to *configuration.Config) (out []string) {
 	if from == nil {
-		from = &playbill.Config{}
+		from = &configuration.Config{}
 	}
 	if from.Version != to.Version {
 		out = append(out, fmt.Sprintf("version %s -> %s", from.Version, to.Version))
 	}
-	name := func(r playbill.Route) string { return "route " + r.Host + r.Prefix }
-	out = append(out, changes(from.Routes, to.Routes, name, func(r playbill.Route) string { return fmt.Sprintf("%+v", r) })...)
-	out = append(out, changes(from.Services, to.Services, func(s playbill.Service) string { return "service " + s.Name },
-		func(s playbill.Service) string { return fmt.Sprintf("%+v", s) })...)
-	out = append(out, changes(from.Tenants, to.Tenants, func(t playbill.Tenant) string { return "tenant " + t.Name },
-		func(t playbill.Tenant) string {
+	name := func(r configuration.Route) string { return "route " + r.Host + r.Prefix }
+	out = append(out, changes(from.Routes, to.Routes, name, func(r configuration.Route) string { return fmt.Sprintf("%+v", r) })...)
+	out = append(out, changes(from.Services, to.Services, func(s configuration.Service) string { return "service " + s.Name },
+		func(s configuration.Service) string { return fmt.Sprintf("%+v", s) })...)
+	out = append(out, changes(from.Tenants, to.Tenants, func(t configuration.Tenant) string { return "tenant " + t.Name },
+		func(t configuration.Tenant) string {
 			return fmt.Sprintf("rank %d, rate %v, burst %v", t.Priority, t.Rate, t.Burst)
 		})...)
 	keys := map[string][]string{}
--- a/internal/mesh/callboy/callboy_test.go
+++ b/internal/mesh/operations/meshctl/meshctl_test.go
@@ -1,4 +1,4 @@
-package callboy
+package meshctl
 
 import (
 	"io"
--- a/internal/mesh/callsheet/callsheet.go
+++ b/internal/mesh/operations/settings/settings.go
@@ -1,6 +1,6 @@
-// Package callsheet reads what the platform tells a process at its start: the settings file, whose path is in
+// Package settings reads what the platform tells a process at its start: the settings file, whose path is in
 // QUINCEGAP_NODE_FILE. Fields are read by their gjson paths; fields that it does not know are passed over.
-package callsheet
+package settings
 
 import (
 	"encoding/json"
@@ -20,7 +20,7 @@
 const Variable = "QUINCEGAP_NODE_FILE"
 
 // Sheet is what a process is told.
-type Sheet struct {
+type Settings struct {
 	Name, Role, Class     string
 	IP, Zone, Region      string
 	InitialStart          bool
@@ -47,13 +47,13 @@
 }
 
 // Internal is the address at which this process's peers reach it.
-func (s *Sheet) Internal() string { return s.Peer(s.IP) }
+func (s *Settings) Internal() string { return s.Peer(s.IP) }
 
 // Peer is the internal address of the process at an IP: all machines have the same ports.
-func (s *Sheet) Peer(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0])) }
+func (s *Settings) Peer(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0])) }
 
 // SeedPeers are the seeds' internal addresses.
-func (s *Sheet) SeedPeers() []string {
+func (s *Settings) SeedPeers() []string {
 	var out []string
 	for _, a := range s.Seeds {
 		if host, _, err := net.SplitHostPort(a); err == nil {
@@ -64,7 +64,7 @@
 }
 
 // Load reads a settings file. The error names the file, and each field that can't be used.
-func Load(path string) (*Sheet, error) {
+func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -74,7 +74,7 @@
 }
 
 // Read reads settings.
-func Read(data []byte) (*Sheet, error) {
+func Read(data []byte) (*Settings, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
 		return nil, trace.BadParameter("not TOML: %v", err)
@@ -84,7 +84,7 @@
 		return nil, trace.BadParameter("%v", err)
 	}
 	r := reader{root: gjson.ParseBytes(text)}
-	s := &Sheet{
+	s := &Settings{
 		Name: r.text("ownNode.nodeName", true), Role: r.text("ownNode.role", false),
 		Class: r.text("ownNode.machineClass", false), IP: r.text("ownNode.ipAddress", true),
 		Zone: r.text("ownNode.zone", true), Region: r.text("ownNode.region", false),
--- a/internal/mesh/script/script.go
+++ b/internal/mesh/transport/codec/codec.go
@@ -1,7 +1,7 @@
-// Package script is how messages between processes of the system are written: the protocol buffers wire format, field by
+// Package codec is how messages between processes of the system are written: the protocol buffers wire format, field by
 // field. A message names its fields once, in Fields, for writing and for reading alike. Fields that a reader does not know
 // are passed over, and those that are missing keep their zero value, so that two versions can talk.
-package script
+package codec
 
 import (
 	"fmt"
--- a/internal/mesh/script/script_test.go
+++ b/internal/mesh/transport/codec/codec_test.go
@@ -1,4 +1,4 @@
-package script
+package codec
 
 import (
 	"math"
--- a/internal/mesh/cue/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -1,7 +1,7 @@
-// Package cue carries messages between the system's own processes: one TCP connection to a neighbour holds many asks at
+// Package transport carries messages between the system's own processes: one TCP connection to a neighbour holds many asks at
 // once, each answered once. Frames are a length of four bytes and a protobuf envelope; what is longer than a piece goes out
 // piece by piece, in turn with all else, so that a large answer does not hold up a small one.
-package cue
+package transport
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Bounds of what one connection may hold.
@@ -46,7 +46,7 @@
 	body    []byte
 }
 
-func (e *envelope) Fields(v *script.Visitor) {
+func (e *envelope) Fields(v *codec.Visitor) {
 	v.Uint(1, &e.kind)
 	v.Uint(2, &e.stream)
 	v.Uint(3, &e.method)
@@ -67,7 +67,7 @@
 }
 
 // Fields names the fields of a Hello.
-func (h *Hello) Fields(v *script.Visitor) {
+func (h *Hello) Fields(v *codec.Visitor) {
 	v.Uint(1, &h.Version)
 	v.Fixed(2, &h.Life)
 	v.Text(3, &h.Address)
@@ -78,7 +78,7 @@
 
 func appendFrame(buf []byte, e *envelope) []byte {
 	at := len(buf)
-	buf = script.Write(append(buf, 0, 0, 0, 0), e)
+	buf = codec.Write(append(buf, 0, 0, 0, 0), e)
 	binary.BigEndian.PutUint32(buf[at:], uint32(len(buf)-at-4))
 	return buf
 }
@@ -98,5 +98,5 @@
 		return trace.Wrap(err, "half a frame")
 	}
 	*e = envelope{}
-	return trace.Wrap(script.Read(data, e), "frame")
+	return trace.Wrap(codec.Read(data, e), "frame")
 }
--- a/internal/mesh/cue/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -1,4 +1,4 @@
-package cue
+package transport
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Hub holds a process's links: those that it dialled, by address, and those that it accepted.
@@ -24,7 +24,7 @@
 	mu      sync.Mutex
 	links   map[string]*Link
 	taken   map[*Link]bool
-	serve   map[uint64]func(*Call)
+	serve   map[uint64]func(*IncomingCall)
 	lost    func(address, why string)
 	closing bool
 
@@ -50,7 +50,7 @@
 func NewHub(self Hello, start time.Time, most int, log *logrus.Logger) *Hub {
 	self.Version = version
 	h := &Hub{Log: log, self: self, start: start, most: most, links: map[string]*Link{}, taken: map[*Link]bool{},
-		serve: map[uint64]func(*Call){}}
+		serve: map[uint64]func(*IncomingCall){}}
 	go h.watch()
 	return h
 }
@@ -67,21 +67,21 @@
 func (h *Hub) OnLost(f func(address, why string)) { h.lost = f }
 
 // Serve has f called for each ask of a method, on the link's reader: it must not block.
-func (h *Hub) Serve(method uint64, f func(*Call)) { h.serve[method] = f }
+func (h *Hub) Serve(method uint64, f func(*IncomingCall)) { h.serve[method] = f }
 
 // Handle declares a method by its function; the function may block. A message that can't be read ends the link, with its
 // cause in the log.
 func Handle[Q, A any, PQ interface {
 	*Q
-	script.Message
+	codec.Message
 }, PA interface {
 	*A
-	script.Message
+	codec.Message
 }](h *Hub, method uint64, f func(ctx context.Context, from *Hello, q *Q) *A) {
-	h.Serve(method, func(c *Call) {
+	h.Serve(method, func(c *IncomingCall) {
 		var q Q
-		if err := script.Read(c.Body, PQ(&q)); err != nil {
-			h.Log.WithField("peer", c.link.peer).WithField("method", method).Warn("cue: " + err.Error())
+		if err := codec.Read(c.Body, PQ(&q)); err != nil {
+			h.Log.WithField("peer", c.link.peer).WithField("method", method).Warn("transport: " + err.Error())
 			c.link.fail(err.Error())
 			return
 		}
@@ -100,8 +100,8 @@
 // Send asks an address; done is called once, never before Send returns. expire is on this process's clock, 0 for never: the
 // other side does not begin later.
 func (h *Hub) Send(address string, method uint64, body []byte, expire time.Duration,
-	done func(body []byte, err error)) *Ask {
-	a := &Ask{method: method, body: body, expire: expire, done: done}
+	done func(body []byte, err error)) *PendingCall {
+	a := &PendingCall{method: method, body: body, expire: expire, done: done}
 	for !h.link(address).ask(a) { // it was closed as idle just now
 	}
 	return a
@@ -110,21 +110,21 @@
 // Request asks an address and waits for the answer.
 func Request[A any, PA interface {
 	*A
-	script.Message
-}](ctx context.Context, h *Hub, address string, method uint64, q script.Message) (*A, error) {
+	codec.Message
+}](ctx context.Context, h *Hub, address string, method uint64, q codec.Message) (*A, error) {
 	type result struct {
 		body []byte
 		err  error
 	}
 	ch := make(chan result, 1)
-	a := h.Send(address, method, script.Write(nil, q), 0, func(body []byte, err error) { ch <- result{body, err} })
+	a := h.Send(address, method, codec.Write(nil, q), 0, func(body []byte, err error) { ch <- result{body, err} })
 	select {
 	case r := <-ch:
 		if r.err != nil {
 			return nil, r.err
 		}
 		var m A
-		if err := script.Read(r.body, PA(&m)); err != nil {
+		if err := codec.Read(r.body, PA(&m)); err != nil {
 			return nil, trace.Wrap(err, "answer of %s to method %d", address, method)
 		}
 		return &m, nil
@@ -164,7 +164,7 @@
 	}
 	l.mu.Lock()
 	l.conn = conn
-	l.urgent.PushFront(envelope{kind: uint64(hello), body: script.Write(nil, &h.self)})
+	l.urgent.PushFront(envelope{kind: uint64(hello), body: codec.Write(nil, &h.self)})
 	l.heard = h.Now()
 	dead := l.dead
 	l.mu.Unlock()
@@ -230,7 +230,7 @@
 	return idle
 }
 
-func (h *Hub) handle(c *Call) {
+func (h *Hub) handle(c *IncomingCall) {
 	if f := h.serve[c.method]; f != nil {
 		f(c)
 		return
--- a/internal/mesh/cue/link.go
+++ b/internal/mesh/transport/link.go
@@ -1,4 +1,4 @@
-package cue
+package transport
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"github.com/gammazero/deque"
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 // Times of a link.
@@ -29,16 +29,16 @@
 
 // ErrLost says that a link ended before the answer. Sent tells whether the whole of the ask may have reached the other side,
 // which begins nothing before.
-type ErrLost struct {
+type ConnectionError struct {
 	Peer string
 	Why  string
 	Sent bool
 }
 
-func (e *ErrLost) Error() string { return "link to " + e.Peer + " lost: " + e.Why }
+func (e *ConnectionError) Error() string { return "link to " + e.Peer + " lost: " + e.Why }
 
 // Ask is one question on its way. Its answer comes once.
-type Ask struct {
+type PendingCall struct {
 	link   *Link
 	stream uint64
 	method uint64
@@ -54,7 +54,7 @@
 }
 
 // Call is an ask as the one who is asked has it.
-type Call struct {
+type IncomingCall struct {
 	link    *Link
 	stream  uint64
 	From    *Hello
@@ -68,13 +68,13 @@
 }
 
 // let lets go of what is counted for its body.
-func (c *Call) let() {
+func (c *IncomingCall) let() {
 	c.link.hub.held.Add(-int64(c.held))
 	c.held = 0
 }
 
 // OnWithdrawn has f called, once, when the asker has given up or is gone; at once if that is so already.
-func (c *Call) OnWithdrawn(f func()) {
+func (c *IncomingCall) OnWithdrawn(f func()) {
 	c.link.mu.Lock()
 	c.quit = f
 	over := c.over
@@ -85,7 +85,7 @@
 }
 
 // withdrawn is to be called without the lock.
-func (c *Call) withdrawn() {
+func (c *IncomingCall) withdrawn() {
 	c.link.mu.Lock()
 	f, again := c.quit, c.over
 	c.over = true
@@ -117,9 +117,9 @@
 	why    string
 	from   Hello
 	next   uint64
-	asks   map[uint64]*Ask
-	calls  map[uint64]*Call
-	parts  map[uint64]*Call // not whole yet
+	asks   map[uint64]*PendingCall
+	calls  map[uint64]*IncomingCall
+	parts  map[uint64]*IncomingCall // not whole yet
 
 	urgent deque.Deque[envelope]
 	small  deque.Deque[any] // *Ask and *reply that fit into one piece,
@@ -133,8 +133,8 @@
 }
 
 func newLink(h *Hub, peer string) *Link {
-	return &Link{hub: h, peer: peer, wake: make(chan struct{}, 1), asks: map[uint64]*Ask{}, calls: map[uint64]*Call{},
-		parts: map[uint64]*Call{}, heard: h.Now(), looked: h.Now()}
+	return &Link{hub: h, peer: peer, wake: make(chan struct{}, 1), asks: map[uint64]*PendingCall{}, calls: map[uint64]*IncomingCall{},
+		parts: map[uint64]*IncomingCall{}, heard: h.Now(), looked: h.Now()}
 }
 
 func (l *Link) rouse() {
@@ -145,7 +145,7 @@
 }
 
 // ask puts a question in line; false if the link was closed as idle. Called with no lock of the link's held.
-func (l *Link) ask(a *Ask) bool {
+func (l *Link) ask(a *PendingCall) bool {
 	l.mu.Lock()
 	if l.rested {
 		l.mu.Unlock()
@@ -158,7 +158,7 @@
 			why = "too many asks at once"
 		}
 		l.mu.Unlock()
-		go a.done(nil, &ErrLost{Peer: l.peer, Why: why})
+		go a.done(nil, &ConnectionError{Peer: l.peer, Why: why})
 		return true
 	}
 	l.next++
@@ -175,7 +175,7 @@
 
 // Withdraw gives an ask up: what has not gone out never will, and its answer says so; of what has, the other side tells how
 // far it came.
-func (a *Ask) Withdraw() {
+func (a *PendingCall) Withdraw() {
 	l := a.link
 	if l == nil {
 		return
@@ -193,7 +193,7 @@
 		delete(l.asks, a.stream)
 		l.mu.Unlock()
 		l.rouse()
-		go a.done(nil, &ErrLost{Peer: l.peer, Why: "withdrawn"})
+		go a.done(nil, &ConnectionError{Peer: l.peer, Why: "withdrawn"})
 		return
 	}
 	l.mu.Unlock()
@@ -201,10 +201,10 @@
 }
 
 // Answer answers a call. The second answer to a call, and one to a caller that is gone, goes nowhere.
-func (c *Call) Answer(m script.Message) { c.AnswerBytes(script.Write(nil, m)) }
+func (c *IncomingCall) Answer(m codec.Message) { c.AnswerBytes(codec.Write(nil, m)) }
 
 // AnswerBytes is Answer for what is written already.
-func (c *Call) AnswerBytes(body []byte) {
+func (c *IncomingCall) AnswerBytes(body []byte) {
 	l := c.link
 	l.mu.Lock()
 	if l.dead || l.calls[c.stream] != c {
@@ -236,7 +236,7 @@
 	for _, a := range asks {
 		l.hub.held.Add(-int64(a.held))
 	}
-	l.asks, l.calls, l.parts = map[uint64]*Ask{}, map[uint64]*Call{}, map[uint64]*Call{}
+	l.asks, l.calls, l.parts = map[uint64]*PendingCall{}, map[uint64]*IncomingCall{}, map[uint64]*IncomingCall{}
 	l.small.Clear()
 	l.drain()
 	l.urgent.Clear()
@@ -254,7 +254,7 @@
 		c.withdrawn()
 	}
 	for _, a := range asks {
-		a.done(nil, &ErrLost{Peer: l.peer, Why: why, Sent: a.sent})
+		a.done(nil, &ConnectionError{Peer: l.peer, Why: why, Sent: a.sent})
 	}
 }
 
@@ -271,8 +271,8 @@
 // turner is a message that may be large.
 type turner interface{ slot() **turn }
 
-func (a *Ask) slot() **turn   { return &a.turn }
-func (r *reply) slot() **turn { return &r.turn }
+func (a *PendingCall) slot() **turn { return &a.turn }
+func (r *reply) slot() **turn       { return &r.turn }
 
 // drain takes all large messages out of the line.
 func (l *Link) drain() {
@@ -361,7 +361,7 @@
 	var off *int
 	x := from.PopFront()
 	switch m := x.(type) {
-	case *Ask:
+	case *PendingCall:
 		if m.quit && !m.sent {
 			if m.turn != nil {
 				m.turn.left = 0
@@ -405,14 +405,14 @@
 		if err := readFrame(r, &e); err != nil {
 			var n net.Error
 			if !errors.Is(err, io.EOF) && !errors.As(err, &n) { // not a connection's end: the peer is not one of ours
-				l.hub.Log.WithField("peer", l.peer).WithField("name", l.from.Name).Warn("cue: " + err.Error())
+				l.hub.Log.WithField("peer", l.peer).WithField("name", l.from.Name).Warn("transport: " + err.Error())
 			}
 			l.fail(err.Error())
 			return
 		}
 		l.hub.receivedFrames.Add(1)
 		if err := l.take(&e); err != nil {
-			l.hub.Log.WithField("peer", l.peer).WithField("name", l.from.Name).Warn("cue: " + err.Error())
+			l.hub.Log.WithField("peer", l.peer).WithField("name", l.from.Name).Warn("transport: " + err.Error())
 			l.fail(err.Error())
 			return
 		}
@@ -433,7 +433,7 @@
 		if l.up {
 			return trace.BadParameter("a second hello")
 		}
-		if err := script.Read(e.body, &l.from); err != nil {
+		if err := codec.Read(e.body, &l.from); err != nil {
 			return trace.Wrap(err, "hello")
 		}
 		if l.from.Version != version {
@@ -499,7 +499,7 @@
 			l.mu.Unlock()
 			return trace.LimitExceeded("over %d asks at once", asksMost)
 		}
-		c = &Call{link: l, stream: e.stream, From: &l.from, method: e.method}
+		c = &IncomingCall{link: l, stream: e.stream, From: &l.from, method: e.method}
 		if e.expires != 0 {
 			c.Expires = e.expires + l.offset
 		}
--- a/internal/mesh/cue/link_bench_test.go
+++ b/internal/mesh/transport/link_bench_test.go
@@ -1,4 +1,4 @@
-package cue_test
+package transport_test
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/cue"
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 type word struct{ Text string }
 
-func (w *word) Fields(v *script.Visitor) { v.Text(1, &w.Text) }
+func (w *word) Fields(v *codec.Visitor) { v.Text(1, &w.Text) }
 
 func processor() time.Duration {
 	var u syscall.Rusage
@@ -44,21 +44,21 @@
 				b.Fatal(err)
 			}
 			to := l.Addr().String()
-			center := cue.NewHub(cue.Hello{Life: 1, Address: to}, time.Now(), 8<<20, log)
-			cue.Handle(center, 1, func(_ context.Context, _ *cue.Hello, w *word) *word { return w })
+			center := transport.NewHub(transport.Hello{Life: 1, Address: to}, time.Now(), 8<<20, log)
+			transport.Handle(center, 1, func(_ context.Context, _ *transport.Hello, w *word) *word { return w })
 			go func() { _ = center.Listen(l) }()
 			b.Cleanup(func() { center.Close(); l.Close() })
-			var hubs []*cue.Hub
+			var hubs []*transport.Hub
 			for i := range n {
-				h := cue.NewHub(cue.Hello{Life: uint64(i + 2), Address: fmt.Sprint(i)}, time.Now(), 8<<20, log)
+				h := transport.NewHub(transport.Hello{Life: uint64(i + 2), Address: fmt.Sprint(i)}, time.Now(), 8<<20, log)
 				b.Cleanup(h.Close)
 				hubs = append(hubs, h)
 			}
 			text := &word{string(make([]byte, 100))}
-			ask := func(h *cue.Hub) {
+			ask := func(h *transport.Hub) {
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				defer cancel()
-				if _, err := cue.Request[word](ctx, h, to, 1, text); err != nil {
+				if _, err := transport.Request[word](ctx, h, to, 1, text); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/mesh/cue/shape.go
+++ b/internal/mesh/transport/shape.go
@@ -1,4 +1,4 @@
-package cue
+package transport
 
 import (
 	"slices"
--- a/internal/mesh/cue/cue_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -1,4 +1,4 @@
-package cue
+package transport
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/script"
+	"gingerlead/internal/mesh/transport/codec"
 )
 
 type line struct{ Text string }
 
-func (l *line) Fields(v *script.Visitor) { v.Text(1, &l.Text) }
+func (l *line) Fields(v *codec.Visitor) { v.Text(1, &l.Text) }
 
 type logged struct {
 	mu   sync.Mutex
@@ -60,15 +60,15 @@
 	c := qt.New(t)
 	far, address, _ := hub(t, "far", 8<<20)
 	near, _, _ := hub(t, "near", 8<<20)
-	held := make(chan *Call, 1)
+	held := make(chan *IncomingCall, 1)
 	Handle(far, 1, func(_ context.Context, from *Hello, l *line) *line { return &line{from.Name + " " + l.Text} })
-	far.Serve(2, func(c *Call) { held <- c })
+	far.Serve(2, func(c *IncomingCall) { held <- c })
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	// A large one is under way, and one that nobody answers yet: others pass.
 	large := strings.Repeat("x", 3<<20)
 	got := make(chan int, 1)
-	near.Send(address, 1, script.Write(nil, &line{large}), 0, func(body []byte, err error) { got <- len(body) })
+	near.Send(address, 1, codec.Write(nil, &line{large}), 0, func(body []byte, err error) { got <- len(body) })
 	waits := make(chan error, 1)
 	a := near.Send(address, 2, nil, 0, func(_ []byte, err error) { waits <- err })
 	for range 50 {
@@ -95,13 +95,13 @@
 	c := qt.New(t)
 	far, address, _ := hub(t, "far", 8<<20)
 	near, _, _ := hub(t, "near", 8<<20)
-	held := make(chan *Call, 1)
-	far.Serve(2, func(c *Call) { held <- c })
+	held := make(chan *IncomingCall, 1)
+	far.Serve(2, func(c *IncomingCall) { held <- c })
 	errs := make(chan error, 2)
 	near.Send(address, 2, nil, 0, func(_ []byte, err error) { errs <- err })
 	<-held
 	far.Close()
-	var lost *ErrLost
+	var lost *ConnectionError
 	c.Assert(errors.As(<-errs, &lost), qt.IsTrue)
 	c.Assert(lost.Sent, qt.IsTrue)
 	// Nobody listens there: nothing went out.
@@ -113,14 +113,14 @@
 // What no peer of ours sends ends its link, is logged with who sent it, and harms nobody else.
 func TestBadPeersAreToldApart(t *testing.T) {
 	frame := func(e envelope) []byte { return appendFrame(nil, &e) }
-	greet := frame(envelope{kind: uint64(hello), body: script.Write(nil, &Hello{Version: version, Name: "bad"})})
+	greet := frame(envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: version, Name: "bad"})})
 	huge := make([]byte, 4)
 	binary.BigEndian.PutUint32(huge, 2<<30-1)
 	for name, bytes := range map[string][]byte{
 		"a frame of 2 GB":        huge,
 		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(ask), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
 		"a second hello":         append(append([]byte{}, greet...), greet...),
-		"another version's peer": frame(envelope{kind: uint64(hello), body: script.Write(nil, &Hello{Version: 9})}),
+		"another version's peer": frame(envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: 9})}),
 		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(ask), stream: 1, method: 1, body: make([]byte, 2048)})...),
 		"half a frame":           greet[:7],
 		"no protobuf":            {0, 0, 0, 2, 0xff, 0xff},
