--- /dev/null
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -0,0 +1,111 @@
+package controlplane
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"gingerlead/internal/mesh/control/consensus"
+
+	"github.com/gravitational/trace"
+)
+
+// recover makes the record of a process that has none: the list of voters comes from any peer; then a voter gets back what the
+// others promised and accepted, and any other process gets fit to become one.
+func (d *Server) recover(life uint64, blank bool) {
+	pause := recoverDelay
+	for ; d.ctx.Err() == nil; _ = d.pause(d.ctx, &pause) {
+		e := d.Membership()
+		var record consensus.Record
+		ok := false
+		switch {
+		case len(e.Voters) == 0:
+			d.findMembership()
+		case e.Has(d.o.Self):
+			record, ok, life = d.recoverReplica(e, life, blank)
+		default:
+			record, ok = d.becomeReady(life)
+		}
+		if !ok {
+			continue
+		}
+		if _, err := d.do(d.ctx, &job{record: &record}); err == nil || trace.IsAlreadyExists(err) {
+			d.o.Log.WithField("life", record.State.Incarnation).Info("the voter's record is made")
+			return
+		}
+	}
+}
+
+// prepareToVote makes a process that isn't a voter fit to become one (consensus.Membership says why this is enough).
+func (d *Server) becomeReady(life uint64) (consensus.Record, bool) {
+	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+	defer cancel()
+	r, err := d.rounds(ctx, false, nil)
+	if err != nil {
+		return consensus.Record{}, false
+	}
+	e := r.Membership()
+	return consensus.ReadyRecord(e, r.Vote(), life), !e.Has(d.o.Self)
+}
+
+// peers are the seeds and the core processes that are there, without this one.
+func (d *Server) peers() []string {
+	d.mu.Lock()
+	peers := slices.Clone(d.seeds)
+	d.mu.Unlock()
+	if d.o.Cores != nil {
+		peers = append(peers, d.o.Cores()...)
+	}
+	slices.Sort(peers)
+	return slices.DeleteFunc(slices.Compact(peers), func(s string) bool { return s == d.o.Self })
+}
+
+// introduce asks all for the voters' list.
+func (d *Server) findMembership() {
+	peers := d.peers()
+	answers := d.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
+	for range peers {
+		select {
+		case a := <-answers:
+			if a.reply != nil && len(a.reply.Membership.Voters) > 0 {
+				d.adoptMembership(a.reply.Membership)
+				return
+			}
+		case <-d.ctx.Done():
+			return
+		}
+	}
+}
+
+// gather is one attempt to recover; it tells the life for another one.
+func (d *Server) recoverReplica(e consensus.Membership, life uint64, blank bool) (consensus.Record, bool, uint64) {
+	y, q := consensus.NewRecovery(d.o.Self, e, life, blank)
+	timer := time.NewTimer(askTimeout)
+	defer timer.Stop()
+	answers := make(chan answer, 64)
+	asked := map[string]bool{}
+	for left := 0; ; left-- {
+		for _, node := range y.Nodes() { // which may grow with each answer
+			if !asked[node] && len(asked) < cap(answers) {
+				asked[node] = true
+				left++
+				one := d.broadcast([]string{node}, q)
+				go func() { answers <- <-one }()
+			}
+		}
+		if left == 0 {
+			return consensus.Record{}, false, y.NextIncarnation()
+		}
+		select {
+		case a := <-answers:
+			if a.reply == nil {
+				continue
+			}
+			if record, ok := y.Step(a.node, a.reply); ok {
+				return record, true, 0
+			}
+		case <-timer.C:
+			return consensus.Record{}, false, y.NextIncarnation()
+		}
+	}
+}
--- /dev/null
+++ b/internal/mesh/control/controlplane/transport.go
@@ -0,0 +1,78 @@
+package controlplane
+
+import (
+	"context"
+
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/transport/codec"
+
+	"github.com/gravitational/trace"
+)
+
+// Transport asks another core process; node is as in the voters' list. There, Serve answers.
+type Transport interface {
+	Ask(ctx context.Context, node string, request []byte) ([]byte, error)
+}
+
+// Serve answers a request of a peer.
+func (d *Server) Serve(ctx context.Context, request []byte) ([]byte, error) {
+	var q consensus.Request
+	if err := codec.Read(request, &q); err != nil {
+		return nil, trace.BadParameter("request: %v", err)
+	}
+	reply, err := d.serve(ctx, &q)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	return codec.Write(nil, reply), nil
+}
+
+func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
+	d.observeBallot(q.Ballot)
+	if q.Kind == consensus.Describe {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready}, nil
+	}
+	return d.do(ctx, &job{request: q})
+}
+
+// ask asks a voter, which may be this process; raw is the request as it is sent.
+func (d *Server) ask(ctx context.Context, node string, q consensus.Request, raw []byte) (*consensus.Reply, error) {
+	if node == d.o.Self {
+		return d.serve(ctx, &q)
+	}
+	raw, err := d.o.Transport.Ask(ctx, node, raw)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	var reply consensus.Reply
+	if err := codec.Read(raw, &reply); err != nil {
+		return nil, trace.BadParameter("reply of %s: %v", node, err)
+	}
+	return &reply, nil
+}
+
+type answer struct {
+	node  string
+	reply *consensus.Reply // nil: none came
+}
+
+// broadcast asks all nodes; each of them answers once, sooner or later. What was sent stays on its way when the asker has
+// enough answers, so that the others learn of it too.
+func (d *Server) broadcast(nodes []string, q *consensus.Request) <-chan answer {
+	answers := make(chan answer, len(nodes))
+	raw, one := codec.Write(nil, q), *q
+	for _, node := range nodes {
+		go func() { // ends with the server
+			ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+			defer cancel()
+			reply, err := d.ask(ctx, node, one, raw)
+			if err != nil {
+				d.o.Log.WithError(err).WithField("node", node).Debug("no answer")
+			}
+			answers <- answer{node, reply}
+		}()
+	}
+	return answers
+}
