--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -168,6 +168,9 @@
 	return &Change{Base: base, Version: version, Body: body, digest: Digest(sum[:len(Digest{})])}
 }
 
+// entry is what a value remembers of the change.
+func (c *Change) entry() VersionDigest { return VersionDigest{uint64(c.Version), c.digest} }
+
 // Verdict is what became of a change.
 type Verdict uint8
 
@@ -186,7 +189,7 @@
 	if c.next != nil {
 		return c.judgeMembership(w)
 	}
-	entry := VersionDigest{uint64(c.Version), c.digest}
+	entry := c.entry()
 	switch {
 	case slices.Contains(w.History, entry):
 		return Applied, w
