--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -41,12 +41,6 @@
 	return r
 }
 
-// FitRecord is that of a process that isn't a voter and has read the newest vote by a round under an membership; see there.
-func ReadyRecord(e Membership, v Vote, life uint64) Record {
-	v.Learned = v.Ballot != Ballot{}
-	return Record{State: ReplicaState{Membership: e, Ready: true, Incarnation: life, Promised: v.Ballot}, Vote: v}
-}
-
 // Decided is the newest list that the record shows to be decided.
 func (r *Record) Decided() Membership {
 	if e := &r.Vote.Value.Membership; e.Epoch > r.State.Epoch+1 {
@@ -57,7 +51,7 @@
 
 // Learn notes that a list is decided.
 func (r Record) Learn(e Membership) (Record, Changed) {
-	if d := r.Decided(); e.Epoch <= d.Epoch {
+	if d := r.Decided(); e.Epoch <= d.Epoch || len(e.Voters) == 0 {
 		return r, Changed{}
 	}
 	r.State.Membership = e
@@ -73,17 +67,20 @@
 // Handle answers a request. If parts of the record changed, the new record must be on disk before the answer leaves and
 // before it answers anything else; if that fails the record has to be read again. The old record stays as it is.
 func (r Record) Handle(q *Request) (Reply, Record, Changed) {
-	decided := r.Decided()
 	if q.Kind == Describe {
-		return Reply{Kind: Reported, Membership: decided, Ready: r.State.Ready}, r, Changed{}
+		return Reply{Kind: Reported, Membership: r.Decided(), Ready: r.State.Ready}, r, Changed{}
 	}
 	if !r.State.Ready {
 		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, Changed{}
 	}
+	r, changed := r.Learn(q.Membership)
+	decided := r.Decided()
+	if decided.contradicts(&q.Membership) {
+		return Reply{Kind: OtherList, Ballot: q.Ballot, Membership: decided}, r, changed
+	}
 	if q.Epoch < decided.Epoch && q.Kind != Recover {
-		return Reply{Kind: StaleEpoch, Ballot: q.Ballot, Membership: decided}, r, Changed{}
+		return Reply{Kind: StaleEpoch, Ballot: q.Ballot, Membership: decided}, r, changed
 	}
-	var changed Changed
 	outcome := Reported
 	switch q.Kind {
 	case ReadVote:
@@ -93,7 +90,7 @@
 			break
 		}
 		outcome = Promise // the same again, if a round asks twice: its ballot is no one else's
-		changed.State = r.State.Promised != q.Ballot
+		changed.State = changed.State || r.State.Promised != q.Ballot
 		r.State.Promised = q.Ballot
 	case Accept:
 		if q.Ballot.Compare(r.promised()) < 0 {
@@ -117,7 +114,7 @@
 		r.State.Incarnations[q.Node] = q.Incarnation
 		changed.State = true
 	default:
-		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, Changed{}
+		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, changed
 	}
 	reply := Reply{Kind: outcome, Ballot: q.Ballot, Incarnation: r.State.Incarnation, Incarnations: r.State.Incarnations,
 		Promised: r.promised()}
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -28,7 +28,8 @@
 	Value       Value
 	Node        string
 	Incarnation uint64
-	Epoch       uint64 // of Ask, Prepare and Accept: the proposer's list
+	Epoch       uint64     // of ReadVote, Prepare and Accept: the proposer's list
+	Membership  Membership // the newest list that the sender knows as decided
 }
 
 // Fields implements codec.Message.
@@ -42,6 +43,7 @@
 	v.Text(5, &q.Node)
 	v.Uint(6, &q.Incarnation)
 	v.Uint(7, &q.Epoch)
+	v.Message(8, &q.Membership)
 }
 
 // Outcome is how a request was answered.
@@ -55,6 +57,7 @@
 	Accepted
 	Rejected   // Promised is higher; to Recover: a higher Life was seen
 	StaleEpoch // a newer epoch is decided: Membership
+	OtherList  // the request names another list for an epoch whose list is known here: Membership
 )
 
 // Reply is the answer to a request. Ballot is that of the request, Promised and Vote are the voter's own. Membership is the
@@ -68,8 +71,9 @@
 	Vote         Vote
 
 	Membership Membership
-	Ready      bool // to Introduce: may be made a voter
-	Blank      bool // Unfit because there was nothing on its disk at all
+	Ready      bool     // to Describe: may be made a voter
+	Blank      bool     // Unfit because there was nothing on its disk at all
+	Silent     []string // to Describe: voters that have not answered this one for ReplaceDelay
 }
 
 // Fields implements codec.Message.
@@ -85,6 +89,7 @@
 	v.Message(8, &r.Membership)
 	v.Bool(9, &r.Ready)
 	v.Bool(10, &r.Blank)
+	v.Texts(11, &r.Silent)
 }
 
 // Vote is a word that was accepted under a ballot. Learned was not accepted by the voter that has it, but learned from
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -14,10 +14,10 @@
 	b := Ballot{3, "a#1"}
 	e := Membership{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
 	word := Value{7, []byte("body"), []VersionDigest{{1, Digest{}}, mark}, []VersionDigest{mark}, e}
-	q, q2 := Request{Accept, b, Ballot{2, "b"}, word, "x", 4, 5}, Request{}
+	q, q2 := Request{Accept, b, Ballot{2, "b"}, word, "x", 4, 5, e}, Request{}
 	c.Assert(codec.Read(codec.Write(nil, &q), &q2), qt.IsNil)
 	c.Assert(q2, qt.DeepEquals, q)
-	r, r2 := Reply{Rejected, b, 5, Incarnations{"x": 2, "y": 3}, b, Vote{b, word, true}, e, true, true}, Reply{}
+	r, r2 := Reply{Rejected, b, 5, Incarnations{"x": 2, "y": 3}, b, Vote{b, word, true}, e, true, true, []string{"w"}}, Reply{}
 	c.Assert(codec.Read(codec.Write(nil, &r), &r2), qt.IsNil)
 	c.Assert(r2, qt.DeepEquals, r)
 	s, s2 := ReplicaState{e, true, 2, Incarnations{"y": 1}, b}, ReplicaState{}
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -5,60 +5,20 @@
 	"slices"
 )
 
-// Recovery is how a voter that lost its disk, a replica that lost its disk, gets its record back. It doesn't know what it promised or
-// accepted, so it answers nobody until it has read from r = n-m+1 of the other voters (m is a majority of n), none of them
-// replica without its disk, and has written down the highest promise and the newest vote of these.
+// Recovery gives a replica a record when it has none: a voter that lost its disk, or a process that is to become a voter. It
+// does not know what it promised or accepted in an earlier incarnation, so it answers nobody until it has read from enough
+// voters and has written down the highest promise and the newest vote that they told. Enough is n-m+1 of the others (m is a
+// majority of n) if it is in the list itself, and a majority if it is not. If the newest vote that it is told has a list that may
+// be decided, enough voters of that list have to answer, too.
 //
-// It starts a new Life, which every voter that it reads from writes down before it answers, and tells in all its answers
-// from then on. A proposer that hears of a newer life of X passes over answers of X's former lives (Round.valid).
+// It starts a new incarnation, which every voter that it reads from writes down before it answers, and tells in all its answers
+// from then on; a proposer that hears of a newer incarnation of a voter passes over that voter's former answers (Round.valid).
 //
-// # Why the count is enough
+// A blank voter, whose disk had nothing at all, may have been killed at the system's first start before its first record was
+// written. It also starts anew if all others of the first list answer and each has accepted nothing or is blank too.
 //
-// Say X was in the majority Q that promised, or accepted, ballot b. The m-1 others of Q are among the n-1 other voters, and
-// so are the r that X reads from: as (m-1)+r = n > n-1, one voter A is in both.
-//
-//	n=3: m=2, r=2; of 2 others, Q has 1 and X reads from 2
-//	n=4: m=3, r=2; of 3 others, Q has 2 and X reads from 2
-//	n=5: m=3, r=3; of 4 others, Q has 2 and X reads from 3
-//
-// Either A answered the proposer first: then X reads a promise, or a vote, of b or above from A, and takes it on. Or X read
-// from A first: then A's answer to the proposer tells of X's new life, and X's former answer doesn't count; Q was no
-// majority. The first case alone would not do: a count without lives lets a proposer add a promise from before the loss to
-// one from after the recovery, and miss what was accepted in between.
-//
-// A may lose its own disk between. Then it reads lives as well as promises from r others, and two sets of r among n-1
-// meet, as 2r > n-1 (n=3: 4>2, n=4: 4>3, n=5: 6>4); the set of X counts with X itself in place of A. So A knows of X's life
-// again before it answers. For the same reason a life that completed is known to every later recovery of X, whose life is
-// above it.
-//
-// # While the voters change
-//
-// See Membership for rounds under an epoch, L(k) and D(k). X reads from r of L(k), where k is the newest epoch that it or one
-// of those replies knows as decided, and, if the newest vote it was told is of epoch k+1, from r of that list as well.
-//
-//   - Rounds under k need majorities of L(k) in both phases, and so X's answer to them is covered as above, whether X itself is
-//     in L(k) or only in a list that was proposed.
-//   - Had X answered a round under k+1, D(k+1) had been accepted before by a majority of L(k): one of those that X read from
-//     told of it, and the newest vote has the list L(k+1), of which X then read from r, too. The same goes for k+2.
-//   - A round under j < k with ballot b: from then on X refuses all rounds under j. If b < d(k), rounds under k and later have
-//     higher ballots, and that X forgot b makes no difference. If b > d(k), then with j = k-1 it proposes only with promises of
-//     a majority of L(k) (it was told of D(k)), and is covered; with a lower j it proposes nothing.
-//   - Lives told before D(k+1) matter only to rounds under k or below, which who recovers later, under k+1, refuses.
-//
-// # Blank voters
-//
-// A process that is killed at the system's first start, before its first record is written, comes back with an empty disk, and
-// can't be told from one that lost it. With as many of these as leave fewer than r others, no recovery would end. So a blank
-// replica without its disk, whose disk had nothing at all, may also start anew if all others in L(0) answer, under epoch 0, and each has accepted
-// nothing or is a blank replica without its disk too; it takes on the highest promise. It rests on the bound below which nothing is kept anyway:
-// that fewer than a majority of disks are lost at once. Then of any majority Q with an answer of X's former life one, A, still
-// has its record. If A answered before X asked, X reads A's promise, and a vote ends the attempt; if after, A tells of X's
-// life. Blank ones tell each other's lives too, as each has read the other's before it answers a proposer. When no one at all knows L(0), since all were killed so early, nothing is done: a
-// blank process can't tell a first start from its being one of several new machines that the seeds name, and must not make a
-// second register.
-//
-// What X takes on from A was not accepted by X: the ballot of the vote may be below what X promises. It is Learned, which
-// a proposer must respect as the newest vote, and which doesn't count towards a majority for its ballot.
+// What is taken over was not accepted by this replica: the vote is Learned, which a proposer must respect as the newest vote,
+// and which does not count towards a majority for its ballot. docs/consensus-proof.md shows why this is enough.
 type Recovery struct {
 	self        string
 	membership  Membership // the newest known to be decided
@@ -68,11 +28,11 @@
 	pending     []string // a list that may be decided
 }
 
-// NewRecovery starts an attempt under a life above all that were told so far. Requests go to Nodes. Blank tells that there
-// was nothing on the disk.
+// NewRecovery starts an attempt under an incarnation above all that were told so far. Requests go to Nodes. blank tells that
+// there was nothing on the disk.
 func NewRecovery(self string, e Membership, life uint64, blank bool) (*Recovery, *Request) {
 	return &Recovery{self: self, membership: e, blank: blank, incarnation: life, replies: map[string]*Reply{}},
-		&Request{Kind: Recover, Node: self, Incarnation: life}
+		&Request{Kind: Recover, Node: self, Incarnation: life, Membership: e}
 }
 
 // Nodes are those that have to be asked, as far as is known; the others asked so far answer only once.
@@ -85,8 +45,8 @@
 	return nodes
 }
 
-// Step takes a voter's reply, and tells the record once there are enough; it is then to be written through. NextLife is the
-// life for another attempt, if this one fails.
+// Step takes a voter's reply, and tells the record once there are enough; it is then to be written through. NextIncarnation is
+// for another attempt, if this one fails.
 func (y *Recovery) Step(node string, reply *Reply) (Record, bool) {
 	if node == y.self || y.replies[node] != nil || reply.Kind == NotReady && !reply.Blank {
 		return Record{}, false
@@ -130,7 +90,8 @@
 	return r, enough || y.neverUsed()
 }
 
-// enough tells whether r voters of a list have answered.
+// enough tells whether so many voters of a list have answered that every majority of it with this replica's answer has one of
+// them.
 func (y *Recovery) enough(list []string) bool {
 	n := 0
 	for _, v := range list {
@@ -138,10 +99,13 @@
 			n++
 		}
 	}
+	if !slices.Contains(list, y.self) {
+		return n >= majority(len(list))
+	}
 	return n >= len(list)-majority(len(list))+1
 }
 
-// nobodyEver tells whether nobody has accepted anything yet.
+// neverUsed tells whether nobody has accepted anything yet.
 func (y *Recovery) neverUsed() bool {
 	if !y.blank || y.membership.Epoch > 0 || !y.membership.Has(y.self) {
 		return false
@@ -155,7 +119,7 @@
 	return true
 }
 
-// NextLife is a life above this one and all that were told.
+// NextIncarnation is one above this one and all that were told.
 func (y *Recovery) NextIncarnation() uint64 {
 	life := y.incarnation
 	for _, reply := range y.replies {
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -47,14 +47,14 @@
 // NewReading starts a round that only asks. Known is a vote whose word the asker has.
 func NewReadRound(e Membership, known Vote) (*Round, *Request) {
 	r := &Round{State: Reading, membership: e, known: known, replies: map[string]*Reply{}}
-	return r, &Request{Kind: ReadVote, Known: known.Ballot, Epoch: e.Epoch}
+	return r, &Request{Kind: ReadVote, Known: known.Ballot, Epoch: e.Epoch, Membership: e}
 }
 
 // NewRound starts a round under a ballot that was never used. Without a change it commits the newest word again.
 func NewRound(e Membership, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
 	r := &Round{State: Preparing, membership: e, ballot: ballot, change: change, known: known,
 		replies: map[string]*Reply{}}
-	return r, &Request{Kind: Prepare, Ballot: ballot, Known: known.Ballot, Epoch: e.Epoch}
+	return r, &Request{Kind: Prepare, Ballot: ballot, Known: known.Ballot, Epoch: e.Epoch, Membership: e}
 }
 
 // Membership is the list under which the round is played.
@@ -176,7 +176,8 @@
 		// Its list has to promise, too. Who has answered answers again, and nothing else by it.
 		r.joint = newest.Value.Membership.Voters
 		if !r.hasQuorum(valid) {
-			return &Request{Kind: Prepare, Ballot: r.ballot, Known: r.known.Ballot, Epoch: r.membership.Epoch}
+			return &Request{Kind: Prepare, Ballot: r.ballot, Known: r.known.Ballot, Epoch: r.membership.Epoch,
+				Membership: r.membership}
 		}
 	case epoch == r.membership.Epoch:
 		r.joint = nil
@@ -203,7 +204,7 @@
 		return nil
 	}
 	r.State, r.replies = Accepting, map[string]*Reply{}
-	return &Request{Kind: Accept, Ballot: r.ballot, Value: r.value, Epoch: r.membership.Epoch}
+	return &Request{Kind: Accept, Ballot: r.ballot, Value: r.value, Epoch: r.membership.Epoch, Membership: r.membership}
 }
 
 // accepted ends a round whose word has its majorities.
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -92,7 +92,7 @@
 	for i, v := range w.voters {
 		w.record(i, FirstRecord(v, w.first.Voters))
 		if i >= voters {
-			w.record(i, ReadyRecord(w.first, Vote{}, 1))
+			w.record(i, Record{State: ReplicaState{Membership: w.first, Ready: true, Incarnation: 1}})
 		}
 	}
 	for i, c := range changes {
@@ -510,6 +510,8 @@
 	addV3       = follow(list(3), MembershipChange{Add: "v3"})
 	addV4       = follow(list(3), MembershipChange{Add: "v3"}, MembershipChange{Add: "v4"})
 	dropV2      = follow(list(3), MembershipChange{Remove: "v2"})
+	swapV0      = follow(list(3), MembershipChange{Add: "v3", Remove: "v0"})
+	swapV1      = follow(list(3), MembershipChange{Add: "v3", Remove: "v1"})
 	addV3dropV0 = follow(list(3), MembershipChange{Add: "v3"}, MembershipChange{Remove: "v0"})
 )
 
@@ -556,6 +558,28 @@
 	return w
 }
 
+// exchanging is a world in which v0 is being exchanged for v3; two of the others have promised, and one voter's disk may be lost.
+func exchanging(loser, a, b int) *world {
+	w := newLists(3, 4, 0, []int{1, 1, 1}, swapV0, one, two).mayLose(loser, 1)
+	w.promised(0, 1, 2)
+	w.hear(0, a)
+	w.hear(0, b)
+	return w
+}
+
+// rivalExchange is a world in which v1 accepted a list with v3 in place of v0 that was not chosen, and one with v3 in place of v2
+// is about to be: v3 accepted it and may lose its disk then. A majority of either list without v3 need not meet those who chose.
+func rivalExchange() *world {
+	w := newLists(3, 4, 0, []int{1, 1, 1, 1}, follow(list(3), MembershipChange{Add: "v3", Remove: "v0"}),
+		follow(list(3), MembershipChange{Add: "v3", Remove: "v2"}), one, two).mayLose(3, 1)
+	w.promised(0, 0, 1)
+	w.hear(0, 1)
+	w.props[1].n = 1
+	w.promised(1, 0, 2)
+	w.hear(1, 3)
+	return w
+}
+
 func TestAllOrders(t *testing.T) {
 	for name, x := range map[string]struct {
 		w     *world
@@ -574,6 +598,13 @@
 		"a removed voter comes back":     {comesBack(), 7},
 		"a rival list that one has":      {rivalList(), 8},
 		"a lost disk while one is added": {lostWhileAdded(), 6},
+
+		"a voter is exchanged":              {newLists(3, 4, 0, []int{1, 1}, one, swapV0), 8},
+		"two exchanges race":                {newLists(3, 4, 0, []int{1, 1}, swapV0, swapV1), 8},
+		"who joins loses its disk":          {exchanging(3, 1, 3), 6},
+		"who joins loses its disk, rival":   {rivalExchange(), 6},
+		"who stays loses its disk":          {exchanging(1, 1, 3), 6},
+		"who was exchanged, and knows less": {newLists(3, 4, 0, []int{1, 2, 1}, swapV0, one, two).played(0, 1, 2, 3).without(), 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			states := explore(t, x.w, x.depth)
@@ -607,11 +638,15 @@
 	many := []int{4, 4, 4, 4, 4}
 	drop := func(n int, node string) *Change { return follow(list(n), MembershipChange{Remove: node}) }
 	for name, w := range map[string]*world{
-		"three become five":            newLists(3, 5, 0, many, one, addV3, addV4, two, three),
-		"three become five, a disk":    newLists(3, 5, 0, many, one, addV3, addV4, two, three).mayLose(0, 2),
-		"voters are exchanged":         newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three),
-		"voters are exchanged, a disk": newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
-		"rivals of four":               newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three),
+		"three become five":             newLists(3, 5, 0, many, one, addV3, addV4, two, three),
+		"three become five, a disk":     newLists(3, 5, 0, many, one, addV3, addV4, two, three).mayLose(0, 2),
+		"voters are exchanged":          newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three),
+		"voters are exchanged, a disk":  newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
+		"exchanged in one step":         newLists(3, 4, 0, many, one, swapV0, swapV1, two, three),
+		"exchanged, who joins, a disk":  newLists(3, 4, 0, many, one, swapV0, swapV1, two, three).mayLose(3, 2),
+		"exchanged, who stays, a disk":  newLists(3, 4, 0, many, one, swapV0, follow(list(3), MembershipChange{Add: "v3", Remove: "v0"}, MembershipChange{Add: "v0", Remove: "v1"}), two, three).mayLose(2, 2),
+		"exchanged, who leaves, a disk": newLists(3, 4, 0, many, one, swapV0, follow(list(3), MembershipChange{Add: "v3", Remove: "v0"}, MembershipChange{Add: "v0", Remove: "v1"}), two, three).mayLose(0, 2),
+		"rivals of four":                newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three),
 		"rivals of four, a disk": newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three).
 			mayLose(0, 2),
 		"five become two": newLists(5, 5, 0, many, drop(5, "v4"), follow(list(5), MembershipChange{Remove: "v4"}, MembershipChange{Remove: "v3"}),
