--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -25,8 +25,6 @@
 	tick       = 100 * time.Millisecond
 	expireEach = time.Second
 	homesEach  = 2 // of a service and zone
-	noticesTo  = 4 // others that hear of a new version at once; the rest hear from them, and by shuffles
-	fetchMost  = 300 * time.Millisecond
 )
 
 // Options are what a agent is made of.
@@ -57,6 +55,7 @@
 	subscribers *discovery.Subscribers
 	services    []string // that this process wants to hear of
 	conf        configurationText
+	survey      survey // while no configuration is held
 	fetching    uint64 // version that is being fetched,
 	fetchUntil  time.Duration
 	rng         *rand.Rand
@@ -65,7 +64,7 @@
 	sidecars    int
 	placed      uint64            // changes of the view when place last worked, and one; 0 if it is to
 	life        map[string]uint64 // of homes that were told
-	settings    sync.Mutex        // one configuration after the other
+	configuring sync.Mutex        // one configuration after the other
 	limits      atomic.Pointer[map[string]ratelimit.Limit]
 	events      *eventRecorder // of core processes; nil elsewhere
 }
@@ -89,11 +88,11 @@
 		c.events = newEvents(h.Life)
 	}
 	transport.Handle(o.Hub, methodShuffle, c.shuffled)
-	transport.Handle(o.Hub, methodPost, c.posted)
+	transport.Handle(o.Hub, methodPublish, c.posted)
 	transport.Handle(o.Hub, methodSubscribe, c.wished)
-	transport.Handle(o.Hub, methodNews, c.news)
+	transport.Handle(o.Hub, methodUpdate, c.news)
 	transport.Handle(o.Hub, methodNotice, c.noticed)
-	transport.Handle(o.Hub, methodConfig, c.asked)
+	transport.Handle(o.Hub, methodConfig, c.giveConfiguration)
 	o.Hub.OnLost(c.lost)
 	return c
 }
@@ -123,6 +122,7 @@
 
 // step does what is due.
 func (c *Agent) step() {
+	c.endSurvey()
 	now := c.o.Hub.Now()
 	c.mu.Lock()
 	to, s := c.view.Tick(now)
@@ -154,8 +154,8 @@
 			c.acked(p)
 			continue
 		}
-		c.send(p.To, methodPost, &posted{Endpoint: p.Endpoint}, func(body []byte) {
-			var answer posted
+		c.send(p.To, methodPublish, &published{Endpoint: p.Endpoint}, func(body []byte) {
+			var answer published
 			if codec.Read(body, &answer) == nil && answer.Taken {
 				c.acked(p)
 			}
@@ -168,7 +168,7 @@
 			c.mu.Unlock()
 			continue
 		}
-		c.send(a.To, methodSubscribe, &wish{Who: self, Service: a.Service, Since: a.Since, Life: a.Life}, func(body []byte) {
+		c.send(a.To, methodSubscribe, &subscription{Who: self, Service: a.Service, Since: a.Since, Life: a.Life}, func(body []byte) {
 			var l listing
 			if len(body) > 0 && codec.Read(body, &l) == nil {
 				c.listed(discovery.Home{Address: a.To, Life: l.Life}, &l)
@@ -242,7 +242,7 @@
 	c.mu.Unlock()
 	for _, d := range out {
 		for _, who := range d.to {
-			c.send(who, methodNews, &listing{Service: d.service, Endpoints: d.all}, nil)
+			c.send(who, methodUpdate, &listing{Service: d.service, Endpoints: d.all}, nil)
 		}
 		if c.o.Told != nil {
 			c.o.Told(d.service, d.all)
@@ -316,7 +316,7 @@
 	c.tell(e, true)
 	for address := range to {
 		if address != c.o.Hub.Self().Address {
-			c.send(address, methodPost, &posted{Endpoint: e}, nil)
+			c.send(address, methodPublish, &published{Endpoint: e}, nil)
 		}
 	}
 }
@@ -345,7 +345,7 @@
 	c.mu.Unlock()
 	for _, address := range to {
 		if address != c.o.Hub.Self().Address {
-			c.send(address, methodSubscribe, &wish{Who: c.o.Hub.Self().Address, Service: service}, func(body []byte) {
+			c.send(address, methodSubscribe, &subscription{Who: c.o.Hub.Self().Address, Service: service}, func(body []byte) {
 				var l listing
 				if len(body) > 0 && codec.Read(body, &l) == nil {
 					c.listed(discovery.Home{Address: address, Life: l.Life}, &l)
@@ -389,12 +389,12 @@
 	return reply
 }
 
-func (c *Agent) posted(_ context.Context, _ *transport.Hello, p *posted) *posted {
+func (c *Agent) posted(_ context.Context, _ *transport.Hello, p *published) *published {
 	c.tell(p.Endpoint, true)
-	return &posted{Taken: true}
+	return &published{Taken: true}
 }
 
-func (c *Agent) wished(_ context.Context, _ *transport.Hello, w *wish) *listing {
+func (c *Agent) wished(_ context.Context, _ *transport.Hello, w *subscription) *listing {
 	now := c.o.Hub.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -420,10 +420,10 @@
 	c.flush()
 }
 
-func (c *Agent) news(_ context.Context, _ *transport.Hello, l *listing) *taken {
+func (c *Agent) news(_ context.Context, _ *transport.Hello, l *listing) *acknowledgement {
 	for _, e := range l.Endpoints {
 		c.tell(e, false)
 	}
 	c.flush()
-	return &taken{true}
+	return &acknowledgement{true}
 }
--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -15,12 +15,12 @@
 
 // Book declares the call by which other core processes reach serve.
 func (c *Agent) ServeConsensus(serve func(ctx context.Context, request []byte) ([]byte, error)) {
-	transport.Handle(c.o.Hub, methodBook, func(ctx context.Context, _ *transport.Hello, q *bytes) *bytes {
+	transport.Handle(c.o.Hub, methodConsensus, func(ctx context.Context, _ *transport.Hello, q *opaque) *opaque {
 		body, err := serve(ctx, q.Body)
 		if err != nil {
 			return nil
 		}
-		return &bytes{Body: body}
+		return &opaque{Body: body}
 	})
 }
 
@@ -33,7 +33,7 @@
 	if peer == "" {
 		return nil, trace.BadParameter("node %q is no address", node)
 	}
-	a, err := transport.Request[bytes](ctx, b.agent.o.Hub, peer, methodBook, &bytes{Body: request})
+	a, err := transport.Request[opaque](ctx, b.agent.o.Hub, peer, methodConsensus, &opaque{Body: request})
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/mesh/agent/duties.go
@@ -0,0 +1,271 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/control/lease"
+	"gingerlead/internal/mesh/control/ratelimit"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/events"
+	"gingerlead/internal/mesh/transport"
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+const (
+	dutyAllocator = "allocator" // grants tokens of tenants' limits
+
+	dutyInterval      = 50 * time.Millisecond  // between two looks at the leases
+	memberInterval    = 300 * time.Millisecond // between two looks at the members
+	followTimeout     = time.Second            // for a read of the newest list of voters
+	initialStartGrace = 6 * time.Second        // after the system's first start no earlier allocator has granted anything
+)
+
+// Voters is the register whose voters grant leases too.
+type Voters interface {
+	// Membership is the newest list of voters, by control addresses, that this process knows as decided.
+	Membership() consensus.Membership
+	// Accepted is the epoch of this process's newest vote; ready is false while its record isn't known.
+	Accepted() (epoch uint64, ready bool)
+	// Newest reads the register from a majority, and learns of a newer list of voters by that.
+	Newest(ctx context.Context) (consensus.Value, error)
+}
+
+// Duties are what core processes do one at a time, under leases that their voters grant.
+type Duties struct {
+	agent        *Agent
+	voters       Voters
+	initialStart bool
+
+	mu             sync.Mutex
+	voter          *lease.Voter
+	allocatorLease *lease.Candidate
+	allocator      *ratelimit.Allocator // nil while this process doesn't hold the lease
+	sightings      ratelimit.Sightings
+	membersAt      time.Duration // the last look at the members
+	following      bool          // the newest list of voters is being read
+}
+
+// Duties makes a core process's part in the duties and registers its calls.
+func (c *Agent) Duties(voters Voters, initialStart bool) *Duties {
+	self := c.o.Hub.Self()
+	d := &Duties{agent: c, voters: voters, initialStart: initialStart, voter: lease.NewVoter(c.o.Hub.Now(), initialStart),
+		allocatorLease: lease.NewCandidate(self.Address, self.Life, dutyAllocator, c.randomShare)}
+	transport.Handle(c.o.Hub, methodLease, func(_ context.Context, _ *transport.Hello, q *lease.Request) *lease.Reply {
+		return d.vote(q)
+	})
+	transport.Handle(c.o.Hub, methodTokens, d.grantTokens)
+	return d
+}
+
+// randomShare is a random number from 0 to 1.
+func (c *Agent) randomShare() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rng.Float64()
+}
+
+// vote answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
+func (d *Duties) vote(q *lease.Request) *lease.Reply {
+	accepted, ready := d.voters.Accepted()
+	standing := lease.Standing{Ready: ready, Epoch: max(accepted, d.voters.Membership().Epoch)}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.agent.o.Hub.Now()
+	for _, duty := range q.Duties {
+		if duty.Release && duty.Name == dutyAllocator {
+			d.allocatorLease.Released(now, q.Holder)
+		}
+	}
+	return d.voter.Take(now, standing, q)
+}
+
+// Run asks for duties, and does them, until ctx ends.
+func (d *Duties) Run(ctx context.Context) {
+	tick := time.NewTicker(dutyInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			d.step()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (d *Duties) step() {
+	voters := d.voters.Membership()
+	now := d.agent.o.Hub.Now()
+	d.lookAtMembers(now)
+	d.mu.Lock()
+	request := d.allocatorLease.Tick(now, len(voters.Voters), voters.Epoch)
+	if _, ok := d.allocatorLease.Holds(now); !ok {
+		d.stopAllocator()
+	}
+	d.mu.Unlock()
+	if request != nil {
+		d.askVoters(now, voters, request)
+	}
+}
+
+// lookAtMembers takes note of who is there, now and then.
+func (d *Duties) lookAtMembers(now time.Duration) {
+	d.mu.Lock()
+	due := now >= d.membersAt+memberInterval
+	d.mu.Unlock()
+	if !due {
+		return
+	}
+	members := d.agent.Members()
+	d.agent.events.members(members)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.membersAt = now
+	d.allocatorLease.Rank(d.agent.coreRank(members))
+	recent := d.sightings.Note(now, accessAddresses(members))
+	if d.allocator != nil {
+		d.allocator.Sidecars(recent)
+	}
+}
+
+// coreRank is this process's place among the core processes that it knows of.
+func (c *Agent) coreRank(members []membership.Member) (n int) {
+	self := c.o.Hub.Self().Address
+	for _, m := range members {
+		if m.Role == membership.Core && m.Address < self {
+			n++
+		}
+	}
+	return n
+}
+
+func accessAddresses(members []membership.Member) (addresses []string) {
+	for _, m := range members {
+		if m.Role == membership.Access {
+			addresses = append(addresses, m.Address)
+		}
+	}
+	return addresses
+}
+
+// askVoters sends a request for leases to all voters.
+func (d *Duties) askVoters(asked time.Duration, voters consensus.Membership, q *lease.Request) {
+	for _, v := range voters.Voters {
+		if v == d.agent.o.Settings.Control {
+			d.takeReply(asked, voters.Epoch, v, d.vote(q))
+			continue
+		}
+		d.agent.send(d.agent.peer(v), methodLease, q, func(body []byte) {
+			var reply lease.Reply
+			if len(body) > 0 && codec.Read(body, &reply) == nil {
+				d.takeReply(asked, voters.Epoch, v, &reply)
+			}
+		})
+	}
+}
+
+// takeReply takes a voter's reply to a request that was made at a time, under a list of voters.
+func (d *Duties) takeReply(asked time.Duration, epoch uint64, voter string, reply *lease.Reply) {
+	if reply.MembershipEpoch > epoch {
+		d.follow()
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.agent.o.Hub.Now()
+	if d.allocatorLease.Take(now, asked, voter, reply) {
+		d.startAllocator(now)
+	}
+}
+
+// follow learns of a newer list of voters at once: a holder that goes on under the old one would lose its lease.
+func (d *Duties) follow() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.following {
+		return
+	}
+	d.following = true
+	go func() { // ends by its timeout
+		ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
+		defer cancel()
+		if _, err := d.voters.Newest(ctx); err != nil {
+			d.agent.o.Log.WithError(err).Debug("agent: the newest list of voters can't be read")
+		}
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.following = false
+	}()
+}
+
+// startAllocator begins the duty. The lock is held.
+func (d *Duties) startAllocator(now time.Duration) {
+	number, _ := d.allocatorLease.Holds(now)
+	d.agent.events.add(events.Event{Kind: events.DutyCame, Node: d.agent.o.Hub.Self().Address,
+		Detail: fmt.Sprintf("%s, under number %d", dutyAllocator, number)})
+	d.allocator = ratelimit.NewAllocator(now, d.initialStart && now < initialStartGrace, d.agent.limit)
+	d.allocator.Sidecars(d.sightings.Note(now, accessAddresses(d.agent.Members())))
+}
+
+// stopAllocator ends the duty, if this process has it. The lock is held.
+func (d *Duties) stopAllocator() {
+	if d.allocator == nil {
+		return
+	}
+	d.allocator = nil
+	d.agent.events.add(events.Event{Kind: events.DutyWent, Node: d.agent.o.Hub.Self().Address, Detail: dutyAllocator})
+}
+
+// Release gives up all leases for good, tells the voters and the other core processes, and waits for their answers until ctx
+// ends, so that the next holder can start at once. It is for a process that is about to end.
+func (d *Duties) Release(ctx context.Context) {
+	d.mu.Lock()
+	request := d.allocatorLease.Resign()
+	d.stopAllocator()
+	d.mu.Unlock()
+	if request == nil {
+		return
+	}
+	d.vote(request)
+	told := map[string]bool{d.agent.o.Settings.Control: true}
+	var wg sync.WaitGroup
+	for _, node := range append(d.voters.Membership().Voters, d.agent.Cores()...) {
+		if told[node] {
+			continue
+		}
+		told[node] = true
+		wg.Go(func() {
+			_, _ = transport.Request[lease.Reply](ctx, d.agent.o.Hub, d.agent.peer(node), methodLease, request) // it may be away
+		})
+	}
+	wg.Wait()
+}
+
+// limit is a tenant's limit by the newest configuration.
+func (c *Agent) limit(tenant string) (ratelimit.Limit, bool) {
+	l, ok := (*c.limits.Load())[tenant]
+	return l, ok
+}
+
+// grantTokens answers a sidecar's requests for tokens, if this process is the allocator.
+func (d *Duties) grantTokens(_ context.Context, _ *transport.Hello, q *ratelimit.TokenRequests) *ratelimit.TokenGrants {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.agent.o.Hub.Now()
+	d.allocatorLease.Observe(now, q.Newest)
+	number, ok := d.allocatorLease.Holds(now)
+	if !ok || d.allocator == nil || d.agent.limits.Load() == nil || number < q.Newest {
+		return &ratelimit.TokenGrants{Allocator: d.allocatorLease.Holder(now)}
+	}
+	grants := &ratelimit.TokenGrants{Granted: true, Epoch: number, Allocator: d.agent.o.Hub.Self().Address,
+		Grants: d.allocator.Take(now, q)}
+	for i := range grants.Grants {
+		if grants.Grants[i].Back > 0 {
+			d.agent.events.hit(now, grants.Grants[i].Tenant)
+		}
+	}
+	return grants
+}
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -94,8 +94,8 @@
 		c.answerKeepalive(w, q.Context(), stage, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
 	})
 	if stage != nil {
-		transport.Handle(c.o.Hub, methodBeat, func(_ context.Context, _ *transport.Hello, p *posted) *posted {
-			return &posted{Taken: stage.Keepalive(p.Endpoint)}
+		transport.Handle(c.o.Hub, methodKeepalive, func(_ context.Context, _ *transport.Hello, p *published) *published {
+			return &published{Taken: stage.Keepalive(p.Endpoint)}
 		})
 	}
 	return mux
@@ -137,7 +137,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, passOnMost)
 	defer cancel()
-	a, err := transport.Request[posted](ctx, c.o.Hub, e.Host, methodBeat, &posted{Endpoint: e})
+	a, err := transport.Request[published](ctx, c.o.Hub, e.Host, methodKeepalive, &published{Endpoint: e})
 	if err == nil && a.Taken {
 		_, port, _ := net.SplitHostPort(c.o.Settings.Control)
 		return net.JoinHostPort(ip, port)
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -8,45 +8,47 @@
 // Methods of the control plane between processes. Their numbers never change.
 const (
 	methodShuffle   = 10 // membership.Shuffle; answered by one
-	methodPost      = 11 // an allocator's record of its endpoint, for a home
-	methodSubscribe = 12 // a caller's wish to hear of a service, for a home; answered by a listing
-	methodNews      = 13 // what has changed, from a home to a subscriber
-	methodNotice    = 14 // a version of the configuration is there
-	methodConfig    = 15 // wants the newest configuration
-	methodBook      = 16 // between core processes: the register of the operator's word
-	methodBeat      = 17 // a beat that another process took, for the endpoint's own sidecar
+	methodPublish   = 11 // published: a sidecar's record of its endpoint, for a home
+	methodSubscribe = 12 // subscription: a request to hear of a service, for a home; answered by a listing
+	methodUpdate    = 13 // listing: what has changed, from a home to a subscriber
+	methodNotice    = 14 // notice: the sender holds a version of the configuration
+	methodConfig    = 15 // configurationText: a request for the newest configuration, answered by another
+	methodConsensus = 16 // opaque: a request to another core process's consensus.Replica, and its reply
+	methodKeepalive = 17 // published: a keepalive that another process received, for the endpoint's own sidecar
+	methodLease     = 18 // lease.Request to a core process, answered by lease.Reply
+	methodTokens    = 19 // ratelimit.TokenRequests to the allocator, or to a sidecar that forwards them
 )
 
-// posted is a record on its way to a home, and its acknowledgement.
-type posted struct {
+// published is a record on its way to a home, and the home's acknowledgement.
+type published struct {
 	Endpoint discovery.Endpoint
 	Taken    bool
 }
 
-func (p *posted) Fields(v *codec.Visitor) {
+func (p *published) Fields(v *codec.Visitor) {
 	v.Message(1, &p.Endpoint)
 	v.Bool(2, &p.Taken)
 }
 
-// wish is a subscriber's.
-type wish struct {
-	Who     string // its address
+// subscription is a subscriber's request to hear of a service.
+type subscription struct {
+	Who     string // the subscriber's address
 	Service string
-	Since   uint64
+	Since   uint64 // version of the home's registry up to which the subscriber knows the service
 	Life    uint64 // of the home that Since is of
 }
 
-func (w *wish) Fields(v *codec.Visitor) {
-	v.Text(1, &w.Who)
-	v.Text(2, &w.Service)
-	v.Uint(3, &w.Since)
-	v.Fixed(4, &w.Life)
+func (s *subscription) Fields(v *codec.Visitor) {
+	v.Text(1, &s.Who)
+	v.Text(2, &s.Service)
+	v.Uint(3, &s.Since)
+	v.Fixed(4, &s.Life)
 }
 
 // listing is what a home knows of a service, or what of it has changed.
 type listing struct {
 	Service   string
-	Version   uint64 // of the home's board; 0 in news
+	Version   uint64 // of the home's registry; 0 in an update
 	Endpoints []discovery.Endpoint
 	Life      uint64 // of the home
 }
@@ -63,7 +65,7 @@
 
 func (n *notice) Fields(v *codec.Visitor) { v.Uint(1, &n.Version) }
 
-// configuration is the newest that its sender knows to be committed, with its text if it is newer than the asker's.
+// configurationText is the newest configuration that its sender knows to be committed, with its text if it is newer than the asker's.
 type configurationText struct {
 	Version uint64
 	Text    []byte
@@ -74,12 +76,12 @@
 	v.Bytes(2, &c.Text)
 }
 
-// bytes carries what another package has written.
-type bytes struct{ Body []byte }
+// opaque carries what another package has encoded.
+type opaque struct{ Body []byte }
 
-func (b *bytes) Fields(v *codec.Visitor) { v.Bytes(1, &b.Body) }
+func (o *opaque) Fields(v *codec.Visitor) { v.Bytes(1, &o.Body) }
 
-// taken acknowledges.
-type taken struct{ Taken bool }
+// acknowledgement says that a message was taken.
+type acknowledgement struct{ Taken bool }
 
-func (t *taken) Fields(v *codec.Visitor) { v.Bool(1, &t.Taken) }
+func (a *acknowledgement) Fields(v *codec.Visitor) { v.Bool(1, &a.Taken) }
--- /dev/null
+++ b/internal/mesh/agent/quota_client.go
@@ -0,0 +1,174 @@
+package agent
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/ratelimit"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/transport"
+)
+
+const (
+	tokenInterval       = 40 * time.Millisecond  // between two looks at what is to be requested
+	tokenTimeout        = 120 * time.Millisecond // until requests without an answer go to another process
+	directRetryInterval = time.Second            // while a neighbour forwards requests: the allocator itself is tried again
+)
+
+// QuotaClient is a sidecar's way to tenants' tokens: it requests them from the allocator, directly or through a neighbour.
+type QuotaClient struct {
+	agent   *Agent
+	pending chan struct{} // requests wait for tokens
+
+	mu         sync.Mutex
+	tokenCache *ratelimit.TokenCache
+	allocator  string // that answered last
+	forwarder  string // the neighbour that forwards requests; empty for none
+	directAt   time.Duration
+	failures   int // in a row
+}
+
+// QuotaClient makes a sidecar's way to the allocator, and registers the call by which it forwards neighbours' requests.
+func (c *Agent) QuotaClient() *QuotaClient {
+	t := &QuotaClient{agent: c, tokenCache: ratelimit.NewTokenCache(), pending: make(chan struct{}, 1)}
+	transport.Handle(c.o.Hub, methodTokens, t.forward)
+	return t
+}
+
+// forward passes a neighbour's requests on to the allocator, once.
+func (t *QuotaClient) forward(ctx context.Context, _ *transport.Hello, q *ratelimit.TokenRequests) *ratelimit.TokenGrants {
+	t.mu.Lock()
+	allocator := t.allocator
+	t.mu.Unlock()
+	if q.Forwarded || allocator == "" {
+		return &ratelimit.TokenGrants{}
+	}
+	q.Forwarded = true
+	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
+	defer cancel()
+	grants, err := transport.Request[ratelimit.TokenGrants](ctx, t.agent.o.Hub, allocator, methodTokens, q)
+	if err != nil {
+		return &ratelimit.TokenGrants{}
+	}
+	return grants
+}
+
+// Take admits a tenant's request or refuses it; done is called once, soon, with when to come back after a refusal.
+func (t *QuotaClient) Take(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
+	waits := true
+	t.mu.Lock()
+	t.tokenCache.Take(t.agent.o.Hub.Now(), tenant.Name, t.agent.limitOf(tenant),
+		func(ok bool, back time.Duration) {
+			waits = false
+			done(ok, back)
+		})
+	t.mu.Unlock()
+	if waits {
+		t.wake()
+	}
+}
+
+// wake has Run look at once.
+func (t *QuotaClient) wake() {
+	select {
+	case t.pending <- struct{}{}:
+	default:
+	}
+}
+
+// Run requests tokens until ctx ends.
+func (t *QuotaClient) Run(ctx context.Context) {
+	tick := time.NewTicker(tokenInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-t.pending:
+		case <-tick.C:
+		case <-ctx.Done():
+			return
+		}
+		t.step()
+	}
+}
+
+func (t *QuotaClient) step() {
+	now := t.agent.o.Hub.Now()
+	t.agent.mu.Lock()
+	sidecars := t.agent.sidecars
+	t.agent.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.tokenCache.Sidecars(sidecars)
+	requests, due := t.tokenCache.Tick(now)
+	if !due {
+		return
+	}
+	self := t.agent.o.Hub.Self()
+	go t.request(now, t.target(now), &ratelimit.TokenRequests{Who: self.Address, Life: self.Life, Requests: requests,
+		Newest: t.tokenCache.Newest()})
+}
+
+// target is the process to ask: the one that answered last; else a core process, in turn with a neighbour. The lock is held.
+func (t *QuotaClient) target(now time.Duration) string {
+	if t.forwarder != "" && now < t.directAt {
+		return t.forwarder
+	}
+	t.directAt = now + directRetryInterval
+	if t.allocator != "" && t.failures == 0 {
+		return t.allocator
+	}
+	role := membership.Core
+	if t.failures%2 == 1 {
+		role = membership.Access
+	}
+	members := slices.DeleteFunc(t.agent.Members(), func(m membership.Member) bool {
+		return m.Role != role || m.Address == t.agent.o.Hub.Self().Address
+	})
+	if len(members) == 0 {
+		return t.allocator
+	}
+	t.agent.mu.Lock()
+	defer t.agent.mu.Unlock()
+	return members[t.agent.random()%uint64(len(members))].Address
+}
+
+// request sends requests for tokens and takes the answer.
+func (t *QuotaClient) request(sent time.Duration, to string, q *ratelimit.TokenRequests) {
+	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
+	defer cancel()
+	var grants *ratelimit.TokenGrants
+	if to != "" {
+		grants, _ = transport.Request[ratelimit.TokenGrants](ctx, t.agent.o.Hub, to, methodTokens, q)
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.agent.o.Hub.Now()
+	if grants == nil || !t.tokenCache.Got(now, sent, grants) {
+		t.fail(now, to, grants)
+		return
+	}
+	t.forwarder = ""
+	if grants.Allocator != to {
+		t.forwarder = to
+	}
+	t.allocator, t.failures = grants.Allocator, 0
+	if t.tokenCache.Waiting() {
+		t.wake()
+	}
+}
+
+// fail notes that a process granted nothing; it may have named the allocator. The lock is held.
+func (t *QuotaClient) fail(now time.Duration, asked string, grants *ratelimit.TokenGrants) {
+	t.failures++
+	t.tokenCache.Failed(now)
+	if asked == t.forwarder {
+		t.forwarder = ""
+	}
+	if grants != nil && !grants.Granted && grants.Allocator != "" && grants.Allocator != asked {
+		t.allocator, t.failures, t.forwarder = grants.Allocator, 0, ""
+		t.wake()
+	}
+}
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"time"
@@ -10,10 +11,14 @@
 	"gingerlead/internal/mesh/discovery/membership"
 )
 
+// confirmTimeout is how long a page of state waits for a majority of the voters.
+const confirmTimeout = 500 * time.Millisecond
+
 // State is what a core process holds of the mesh, for operators: facts with their age and who vouches for them.
 type State struct {
 	Node      string          `json:"node"`
 	Version   string          `json:"configVersion"`
+	Confirmed bool            `json:"confirmed"` // a majority of the voters was reached: the version is the newest there is
 	Voters    []string        `json:"voters"`
 	Duties    []DutyState     `json:"duties"`
 	Members   []MemberState   `json:"members"`
@@ -24,7 +29,8 @@
 type DutyState struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
-	Epoch  uint64 `json:"epoch,omitempty"` // known to the holder alone
+	Epoch  uint64 `json:"epoch,omitempty"`  // fencing number; known to the holder alone
+	LeftMs int64  `json:"leftMs,omitempty"` // of the lease, if it isn't renewed; known to the holder alone
 }
 
 // MemberState is a process that is there.
@@ -51,19 +57,24 @@
 var stateNames = map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
 	discovery.Crashed: "crashed", discovery.Gone: "gone"}
 
-// State gathers what this core process holds.
-func (d *Duties) State() State {
+// State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
+// what it holds is the newest, and says so.
+func (d *Duties) State(ctx context.Context) State {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	defer cancel()
+	newest, err := d.voters.Newest(ctx)
 	c := d.agent
 	now := c.o.Hub.Now()
-	s := State{Node: c.o.Settings.Name, Voters: d.voters.Membership().Voters}
+	s := State{Node: c.o.Settings.Name, Voters: d.voters.Membership().Voters, Confirmed: err == nil}
 	d.mu.Lock()
-	duty := DutyState{Name: dutyTeller, Holder: d.allocatorLease.Holder(now)}
+	duty := DutyState{Name: dutyAllocator, Holder: d.allocatorLease.Holder(now)}
 	duty.Epoch, _ = d.allocatorLease.Holds(now)
+	duty.LeftMs = d.allocatorLease.Left(now).Milliseconds()
 	d.mu.Unlock()
 	s.Duties = []DutyState{duty}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Version = configuration.Version(c.conf.Version).String()
+	s.Version = max(configuration.Version(c.conf.Version), newest.Version).String()
 	for _, m := range c.view.Members() {
 		role := "access"
 		if m.Role == membership.Core {
@@ -86,6 +97,6 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(d.State())
+		_ = json.NewEncoder(w).Encode(d.State(q.Context()))
 	})
 }
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -117,11 +117,11 @@
 	return d.voters
 }
 
-// Accepted is the epoch of the newest vote of this process.
-func (d *Server) Accepted() uint64 {
+// Accepted is the epoch of the newest vote of this process; ready is false while its record isn't read from disk, or is lost.
+func (d *Server) Accepted() (epoch uint64, ready bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.accepted
+	return d.accepted, d.ready
 }
 
 func (d *Server) adoptMembership(e consensus.Membership) {
--- /dev/null
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -0,0 +1,282 @@
+package lease
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// exchangeRun is one random schedule: three candidates, lists of three voters that are exchanged one by one, messages that are
+// late, lost or doubled, steady clocks that differ by up to 5%, voters that restart, and lists that are learnt late.
+type exchangeRun struct {
+	rng        *rand.Rand
+	now        time.Duration // real time
+	lists      [][]int       // by epoch
+	voters     []*exchangeVoter
+	candidates []*exchangeCandidate
+	messages   []exchangeMessage
+	came       int
+	carried    int // held on from one list into the next
+	newest     uint64
+}
+
+type exchangeVoter struct {
+	*Voter
+	rate     float64 // of its clock
+	accepted uint64  // epoch, on disk
+	ready    time.Duration
+}
+
+type exchangeCandidate struct {
+	*Candidate
+	rate  float64
+	known uint64
+	under uint64 // epoch of the list under which it asked last while it held
+}
+
+type exchangeMessage struct {
+	at        time.Duration
+	candidate int
+	voter     int
+	asked     time.Duration // by the candidate's clock
+	request   *Request
+	reply     *Reply
+}
+
+func local(now time.Duration, rate float64) time.Duration { return time.Duration(float64(now) * rate) }
+
+func newExchangeRun(seed uint64) *exchangeRun {
+	x := &exchangeRun{rng: rand.New(rand.NewPCG(seed, 44)), lists: [][]int{{0, 1, 2}}}
+	rate := func() float64 { return 1 + 0.049*x.rng.Float64() }
+	for range 5 {
+		x.voters = append(x.voters, &exchangeVoter{Voter: NewVoter(0, true), rate: rate()})
+	}
+	for i := range 3 {
+		c := NewCandidate(fmt.Sprint(i), uint64(i)+1, "d", x.rng.Float64)
+		c.Rank(i)
+		x.candidates = append(x.candidates, &exchangeCandidate{Candidate: c, rate: rate()})
+	}
+	return x
+}
+
+// exchange puts one process in the place of one voter: majorities of both lists accept it, then it is chosen.
+func (x *exchangeRun) exchange() {
+	old := x.lists[len(x.lists)-1]
+	next := slices.Clone(old)
+	for fresh := x.rng.IntN(5); ; fresh = (fresh + 1) % 5 {
+		if !slices.Contains(old, fresh) {
+			next[x.rng.IntN(3)] = fresh
+			break
+		}
+	}
+	epoch := uint64(len(x.lists))
+	for _, list := range [][]int{old, next} {
+		for _, i := range x.rng.Perm(3)[:2+x.rng.IntN(2)] {
+			x.voters[list[i]].accepted = epoch
+		}
+	}
+	x.lists = append(x.lists, next)
+}
+
+func (x *exchangeRun) send(m exchangeMessage) {
+	for range 1 + x.rng.IntN(10)/9 { // some arrive twice
+		if x.rng.IntN(12) == 0 {
+			continue
+		}
+		m.at = x.now + time.Duration(x.rng.Int64N(int64(10*time.Millisecond)))
+		if x.rng.IntN(8) == 0 {
+			m.at += time.Duration(x.rng.Int64N(int64(Lease)))
+		}
+		x.messages = append(x.messages, m)
+	}
+}
+
+func (x *exchangeRun) deliver() {
+	due := x.messages
+	x.messages = nil
+	for _, m := range due {
+		switch v, c := x.voters[m.voter], x.candidates[m.candidate]; {
+		case m.at > x.now:
+			x.messages = append(x.messages, m)
+		case m.reply == nil:
+			var standing Standing // nothing, while the disk is not read
+			if x.now >= v.ready {
+				standing = Standing{Ready: true, Epoch: v.accepted}
+			}
+			m.reply = v.Take(local(x.now, v.rate), standing, m.request)
+			x.send(m)
+		case c.Take(local(x.now, c.rate), m.asked, fmt.Sprint(m.voter), m.reply):
+			x.came++
+		}
+	}
+}
+
+// step lets 20 ms pass.
+func (x *exchangeRun) step() {
+	x.now += 20 * time.Millisecond
+	if x.rng.IntN(120) == 0 {
+		x.exchange()
+	}
+	if x.rng.IntN(250) == 0 { // a voter restarts: its grants are forgotten, its disk stays, and is read late
+		v := x.voters[x.rng.IntN(5)]
+		v.Voter = NewVoter(local(x.now, v.rate), false)
+		v.ready = x.now + time.Duration(x.rng.Int64N(int64(2*Lease)))
+	}
+	x.deliver()
+	for i, c := range x.candidates {
+		if x.rng.IntN(10) == 0 {
+			c.known = max(c.known, uint64(x.rng.IntN(len(x.lists))))
+		}
+		now := local(x.now, c.rate)
+		if x.rng.IntN(500) == 0 {
+			c.Observe(now, x.newest)
+		}
+		request := c.Tick(now, 3, c.known)
+		if request == nil {
+			continue
+		}
+		if _, ok := c.Holds(now); ok && c.known > c.under {
+			x.carried++
+		}
+		c.under = c.known
+		for _, v := range x.lists[c.known] {
+			x.send(exchangeMessage{candidate: i, voter: v, asked: now, request: request})
+		}
+	}
+}
+
+func (x *exchangeRun) holders() (holders []string) {
+	for _, c := range x.candidates {
+		if number, ok := c.Holds(local(x.now, c.rate)); ok {
+			holders = append(holders, fmt.Sprintf("%s under %d", c.self, number))
+			x.newest = max(x.newest, number)
+		}
+	}
+	return holders
+}
+
+// Never do two hold the lease while voters are exchanged, and it keeps being held.
+func TestOneHoldsWhileVotersAreExchanged(t *testing.T) {
+	runs, came, carried := 500, 0, 0
+	if os.Getenv("SOAK") != "" {
+		runs = 40000
+	}
+	for seed := range uint64(runs) {
+		x := newExchangeRun(seed)
+		for x.now < 40*time.Second {
+			x.step()
+			if holders := x.holders(); len(holders) > 1 {
+				t.Fatalf("seed %d, %v: %v hold the lease, lists %v", seed, x.now, holders, x.lists)
+			}
+		}
+		came += x.came
+		carried += x.carried
+	}
+	t.Logf("%d runs: the lease came to a process %d times, and was held on into a newer list %d times", runs, came, carried)
+	qt.Assert(t, came > runs*5, qt.IsTrue)
+	qt.Assert(t, carried > 3*runs, qt.IsTrue)
+}
+
+// A holder whose duty is asked for under disjoint majorities: the old list's {a, b} renewed it just before the new list was
+// chosen by b, c and d; c and d never heard of the holder. A candidate that knows the new list gets the lease only after the
+// holder has stopped, and so does the holder itself, if it loses the lease before that.
+func TestDisjointMajorities(t *testing.T) {
+	c := qt.New(t)
+	zero := func() float64 { return 0 }
+	voters := map[string]*Voter{}
+	for _, name := range []string{"a", "b", "c", "d"} {
+		voters[name] = NewVoter(0, true)
+	}
+	oldList, newList := []string{"a", "b", "c"}, []string{"b", "c", "d"}
+	accepted := map[string]Standing{"a": firstList, "b": firstList, "c": firstList, "d": firstList}
+	ask := func(x *Candidate, now time.Duration, list uint64, among []string, reach ...string) bool {
+		q := x.Tick(now, len(among), list)
+		came := false
+		for _, name := range reach {
+			if q != nil {
+				came = x.Take(now, now, name, voters[name].Take(now, accepted[name], q)) || came
+			}
+		}
+		return came
+	}
+	holder, other := NewCandidate("h", 1, "d", zero), NewCandidate("o", 2, "d", zero)
+	c.Assert(ask(holder, 0, 0, oldList, "a", "b"), qt.IsTrue)
+	first, _ := holder.Holds(0)
+
+	chosen := time.Millisecond
+	for _, name := range newList {
+		accepted[name] = Standing{Ready: true, Epoch: 1}
+	}
+	c.Assert(ask(holder, renewInterval, 0, oldList, "a", "b"), qt.IsFalse) // b refuses the old list
+	c.Assert(ask(other, chosen, 1, newList, "c", "d"), qt.IsFalse)         // too early to ask
+	_, ok := holder.Holds(holdTime - 1)
+	c.Assert(ok, qt.IsTrue)
+	c.Assert(ask(other, holdTime, 1, newList, "c", "d"), qt.IsFalse)
+	c.Assert(ask(other, chosen+listDelay, 1, newList, "c", "d"), qt.IsTrue)
+	second, _ := other.Holds(chosen + listDelay)
+	c.Assert(second > first, qt.IsTrue)
+	_, ok = holder.Holds(chosen + listDelay)
+	c.Assert(ok, qt.IsFalse)
+
+	// The holder learns of the new list while it holds the lease, can't renew it, and waits like any other candidate.
+	holder = NewCandidate("h", 3, "e", zero)
+	c.Assert(ask(holder, 0, 0, oldList), qt.IsFalse)
+	holder.Take(0, 0, "a", &Reply{Duties: []Grant{{Name: "e", Given: true, Epoch: 1}}})
+	c.Assert(holder.Take(0, 0, "b", &Reply{Duties: []Grant{{Name: "e", Given: true, Epoch: 1}}}), qt.IsTrue)
+	c.Assert(holder.Tick(holdTime-1, 3, 1), qt.IsNotNil) // renews under the new list
+	for now := holdTime; now < holdTime-1+listDelay; now += retryPause {
+		c.Assert(holder.Tick(now, 3, 1), qt.IsNil)
+	}
+	c.Assert(holder.Tick(holdTime-1+listDelay, 3, 1), qt.IsNotNil)
+}
+
+// A late release of an earlier number leaves a newer grant alone; a release in time lets the next candidate in at once.
+func TestRelease(t *testing.T) {
+	c := qt.New(t)
+	zero := func() float64 { return 0 }
+	v := NewVoter(0, true)
+	a, b := NewCandidate("a", 1, "d", zero), NewCandidate("b", 2, "d", zero)
+	c.Assert(a.Take(0, 0, "v", v.Take(0, firstList, a.Tick(0, 1, 0))), qt.IsTrue)
+	late := a.releaseRequest()
+	a.Observe(0, 7) // numbers were used that the voter forgot
+	c.Assert(a.Take(0, 0, "v", v.Take(0, firstList, a.Tick(0, 1, 0))), qt.IsFalse)
+	number, _ := a.Holds(0)
+	c.Assert(number > 7, qt.IsTrue)
+	v.Take(0, firstList, late)
+	b.Observe(0, number)
+	b.Take(0, 0, "v", v.Take(0, firstList, b.Tick(0, 1, 0)))
+	_, ok := b.Holds(0)
+	c.Assert(ok, qt.IsFalse)
+
+	now := 10 * time.Millisecond
+	release := a.Resign()
+	_, ok = a.Holds(now)
+	c.Assert(ok, qt.IsFalse)
+	v.Take(now, firstList, release)
+	b.Released(now, "a")
+	c.Assert(b.Take(now, now, "v", v.Take(now, firstList, b.Tick(now, 1, 0))), qt.IsTrue)
+	next, _ := b.Holds(now)
+	c.Assert(next > number, qt.IsTrue)
+	c.Assert(a.Tick(Lease*5, 1, 0), qt.IsNil)
+}
+
+// A voter grants nothing under a list older than the one it accepted, or while it can't say which that is, and tells the epoch.
+func TestVoterRefusesOldLists(t *testing.T) {
+	c := qt.New(t)
+	v := NewVoter(0, true)
+	q := &Request{Holder: "a", Incarnation: 1, MembershipEpoch: 4, Duties: []Duty{{Name: "d", Epoch: 1}}}
+	for _, x := range []struct {
+		standing Standing
+		given    bool
+	}{{Standing{Ready: true, Epoch: 5}, false}, {Standing{Ready: false, Epoch: 4}, false}, {Standing{Ready: true, Epoch: 4}, true},
+		{Standing{Ready: true, Epoch: 3}, true}} {
+		r := v.Take(0, x.standing, q)
+		c.Assert(r.Duties[0].Given, qt.Equals, x.given)
+		c.Assert(r.MembershipEpoch, qt.Equals, x.standing.Epoch)
+	}
+}
--- a/internal/mesh/control/lease/lease_test.go
+++ b/internal/mesh/control/lease/lease_test.go
@@ -8,6 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// firstList is the standing of a voter that knows the first list of voters.
+var firstList = Standing{Ready: true}
+
 // Two candidates and three voters, of which one starts again: in every order of delivering or losing each message, at paces
 // that let leases run out in between, never do two hold the duty at one time.
 func TestOneHolds(t *testing.T) {
@@ -33,7 +36,7 @@
 				m := post[step]
 				post = append(append([]mail{}, post[:step]...), post[step+1:]...)
 				if m.answer == nil {
-					m.answer = voters[m.voter].Take(now, m.ask)
+					m.answer = voters[m.voter].Take(now, firstList, m.ask)
 					post = append(post, m)
 				} else {
 					cs[m.from].Take(now, m.asked, string(rune('0'+m.voter)), m.answer)
@@ -90,19 +93,19 @@
 	v := NewVoter(0, true)
 	a := NewCandidate("a", 1, "d", func() float64 { return 0 })
 	ask := a.Tick(0, 1, 0)
-	c.Assert(a.Take(time.Millisecond, 0, "v", v.Take(time.Millisecond, ask)), qt.IsTrue)
+	c.Assert(a.Take(time.Millisecond, 0, "v", v.Take(time.Millisecond, firstList, ask)), qt.IsTrue)
 	first, ok := a.Holds(Lease / 2)
 	c.Assert(ok, qt.IsTrue)
 	_, ok = a.Holds(Lease)
 	c.Assert(ok, qt.IsFalse)
 	other := &Request{Holder: "b", Incarnation: 2, Duties: []Duty{{Name: "d", Epoch: first + 1}}}
-	c.Assert(v.Take(Lease, other).Duties[0].Given, qt.IsFalse)
-	c.Assert(v.Take(Lease+time.Millisecond, other).Duties[0].Given, qt.IsTrue)
+	c.Assert(v.Take(Lease, firstList, other).Duties[0].Given, qt.IsFalse)
+	c.Assert(v.Take(Lease+time.Millisecond, firstList, other).Duties[0].Given, qt.IsTrue)
 	// The first one's number is of the past now.
-	c.Assert(v.Take(3*Lease, &Request{Holder: "a", Incarnation: 1, Duties: []Duty{{Name: "d", Epoch: first}}}).Duties[0].Given, qt.IsFalse)
+	c.Assert(v.Take(3*Lease, firstList, &Request{Holder: "a", Incarnation: 1, Duties: []Duty{{Name: "d", Epoch: first}}}).Duties[0].Given, qt.IsFalse)
 	// A voter that has started again waits.
 	v = NewVoter(4*Lease, false)
-	c.Assert(v.Take(5*Lease-1, other).Duties[0].Given, qt.IsFalse)
+	c.Assert(v.Take(5*Lease-1, firstList, other).Duties[0].Given, qt.IsFalse)
 }
 
 // While the voters' list goes from three to five, one by one, and each candidate and voter learns of it at any time, never do two
@@ -140,8 +143,8 @@
 				continue
 			}
 			for _, v := range rng.Perm(n)[:n/2+1+rng.IntN(n/2)] {
-				voters[v].Accepted(accepted[v])
-				if cs[i].Take(now, now, string(rune('0'+v)), voters[v].Take(now, ask)) {
+				standing := Standing{Ready: true, Epoch: accepted[v]}
+				if cs[i].Take(now, now, string(rune('0'+v)), voters[v].Take(now, standing, ask)) {
 					came++
 				}
 			}
--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -95,7 +95,7 @@
 	b.life, b.heard = w.Life, now
 	t.sweep(now)
 	var out []TokenGrant
-	for _, x := range w.Wishes {
+	for _, x := range w.Requests {
 		limit, ok := t.limits(x.Tenant)
 		if !ok || limit.Rate <= 0 {
 			continue
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -19,7 +19,7 @@
 				for i := range all {
 					all[i] = TokenRequests{Who: fmt.Sprintf("10.%d.%d.%d:7301", i/62500, i/250%250, i%250+1), Life: uint64(i + 1)}
 					for j := range wishes {
-						all[i].Wishes = append(all[i].Wishes, TokenRequest{Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
+						all[i].Requests = append(all[i].Requests, TokenRequest{Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
 							Share: 1.25, Left: 9 * time.Second})
 					}
 				}
@@ -27,9 +27,9 @@
 				sizes, sent, got := 0, 0, 0
 				round := func(w *TokenRequests) {
 					now += each
-					a := TokenGrants{Granted: true, Epoch: 3, Allocator: "10.0.0.1:7301", Tickets: t.Take(now, w)}
-					if len(a.Tickets) != wishes {
-						b.Fatalf("%d tickets for %d wishes", len(a.Tickets), wishes)
+					a := TokenGrants{Granted: true, Epoch: 3, Allocator: "10.0.0.1:7301", Grants: t.Take(now, w)}
+					if len(a.Grants) != wishes {
+						b.Fatalf("%d tickets for %d wishes", len(a.Grants), wishes)
 					}
 					if sizes++; sizes <= sidecars {
 						sent, got = sent+len(codec.Write(nil, w)), got+len(codec.Write(nil, &a))
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -16,12 +16,13 @@
 	Unused float64       // tokens that ran out unspent since the last wish: they go back
 }
 
-// Wishes are all of a sidecar's; sent often enough that silence tells something.
+// Requests are all of a sidecar's; sent often enough that silence tells something.
 type TokenRequests struct {
-	Who     string // address of the sidecar that wants them; another one may bring them on
-	Life    uint64
-	Wishes  []TokenRequest
-	Brought bool // by another
+	Who       string // address of the sidecar that wants them; another one may bring them on
+	Life      uint64
+	Requests  []TokenRequest
+	Forwarded bool   // by another
+	Newest    uint64 // highest fencing number of an allocator that the sidecar has received grants under
 }
 
 // Ticket is what is granted to one of them.
@@ -33,12 +34,12 @@
 	Back   time.Duration // if tokens are short: when there will be one
 }
 
-// Tickets are the allocator's answer.
+// Grants are the allocator's answer.
 type TokenGrants struct {
 	Granted   bool // false: this process is not the allocator
 	Epoch     uint64
 	Allocator string // who is, as far as it knows
-	Tickets   []TokenGrant
+	Grants    []TokenGrant
 }
 
 // Fields names them.
@@ -55,8 +56,9 @@
 func (w *TokenRequests) Fields(v *codec.Visitor) {
 	v.Text(1, &w.Who)
 	v.Fixed(2, &w.Life)
-	codec.Messages(v, 3, &w.Wishes)
-	v.Bool(4, &w.Brought)
+	codec.Messages(v, 3, &w.Requests)
+	v.Bool(4, &w.Forwarded)
+	v.Uint(5, &w.Newest)
 }
 
 // Fields names them.
@@ -73,5 +75,5 @@
 	v.Bool(1, &t.Granted)
 	v.Uint(2, &t.Epoch)
 	v.Text(3, &t.Allocator)
-	codec.Messages(v, 4, &t.Tickets)
+	codec.Messages(v, 4, &t.Grants)
 }
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -59,7 +59,7 @@
 				case m.to < 0 && now < away:
 				case m.to < 0:
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: m.sent, to: m.from,
-						from: m.from, tickets: &TokenGrants{Granted: true, Tickets: allocator.Take(now, m.wishes)}})
+						from: m.from, tickets: &TokenGrants{Granted: true, Grants: allocator.Take(now, m.wishes)}})
 				default:
 					purses[m.to].Got(now, m.sent, m.tickets)
 				}
@@ -74,7 +74,7 @@
 				}
 				if w, due := p.Tick(now); due {
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: now, to: -1, from: i,
-						wishes: &TokenRequests{Who: names[i], Life: 1, Wishes: w}})
+						wishes: &TokenRequests{Who: names[i], Life: 1, Requests: w}})
 				}
 				if now-p.sent > waitMost*2 && p.out {
 					p.Failed(now)
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -28,7 +28,8 @@
 	met      bool
 	sent     time.Duration
 	out      bool
-	sidecars int // that are there, as far as is known
+	newest   uint64 // highest fencing number of an allocator that grants were received under
+	sidecars int    // that are there, as far as is known
 }
 
 // Sidecars says how many sidecars are there.
@@ -195,14 +196,19 @@
 	return now+ahead/4 >= k.until || k.tokens < next/3
 }
 
-// Got takes the answer to the wishes that were sent at a time.
-func (p *TokenCache) Got(now, sent time.Duration, t *TokenGrants) {
+// Newest is the highest fencing number of an allocator that grants were received under.
+func (p *TokenCache) Newest() uint64 { return p.newest }
+
+// Got takes the answer to the requests that were sent at a time. It refuses grants of an allocator whose fencing number is below
+// that of another one it has heard of: the former's lease has ended, and the newer one does not count what it granted.
+func (p *TokenCache) Got(now, sent time.Duration, t *TokenGrants) (taken bool) {
 	p.out = false
-	if !t.Granted {
-		return
+	if !t.Granted || t.Epoch < p.newest {
+		return false
 	}
+	p.newest = t.Epoch
 	p.met, p.got = true, max(p.got, sent)
-	for _, x := range t.Tickets {
+	for _, x := range t.Grants {
 		k := p.tenants[x.Tenant]
 		if k == nil {
 			continue
@@ -218,6 +224,7 @@
 		}
 		k.settle(now, p.back(k, x.Back))
 	}
+	return true
 }
 
 // settle lets waiting requests in by the tokens that are there. Those that the wishes spoke for and that got none are told to
