--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 
@@ -230,18 +231,22 @@
 		return
 	}
 	d.vote(request)
-	told := map[string]bool{d.agent.o.Settings.Control: true}
-	var wg sync.WaitGroup
-	for _, node := range append(d.voters.Membership().Voters, d.agent.Cores()...) {
-		if told[node] {
-			continue
-		}
-		told[node] = true
-		wg.Go(func() {
-			_, _ = transport.Request[lease.Reply](ctx, d.agent.o.Hub, d.agent.peer(node), methodLease, request) // it may be away
+	nodes := append(slices.Clone(d.voters.Membership().Voters), d.agent.Cores()...)
+	slices.Sort(nodes)
+	nodes = slices.DeleteFunc(slices.Compact(nodes), func(node string) bool { return node == d.agent.o.Settings.Control })
+	answered := make(chan struct{}, len(nodes))
+	for _, node := range nodes {
+		d.agent.o.Hub.Send(d.agent.peer(node), methodLease, codec.Write(nil, request), 0, func([]byte, error) {
+			answered <- struct{}{} // one that is away counts too
 		})
 	}
-	wg.Wait()
+	for range nodes {
+		select {
+		case <-answered:
+		case <-ctx.Done():
+			return
+		}
+	}
 }
 
 // limit is a tenant's limit by the newest configuration.
--- /dev/null
+++ b/internal/mesh/agent/duties_test.go
@@ -0,0 +1,132 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
+)
+
+// register stands in for the register of one core process: what it knows as decided, and what all have accepted.
+type register struct {
+	mu       sync.Mutex
+	known    consensus.Membership
+	accepted uint64
+	newest   *consensus.Membership // that a read finds
+}
+
+func (r *register) Membership() consensus.Membership {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.known
+}
+
+func (r *register) Accepted() (uint64, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.accepted, true
+}
+
+func (r *register) Newest(context.Context) (consensus.Value, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.newest != nil {
+		r.known = *r.newest
+	}
+	return consensus.Value{Membership: r.known}, nil
+}
+
+// dutyCore is a few core processes on loopback, without disks.
+type dutyCore struct {
+	*qt.C
+	registers []*register
+	duties    []*Duties
+}
+
+func newDutyCore(t *testing.T, n int) *dutyCore {
+	d := &dutyCore{C: qt.New(t)}
+	var voters []string
+	for i := range n {
+		voters = append(voters, fmt.Sprintf("127.9.0.%d:7402", i+1))
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	for i := range n {
+		ip := fmt.Sprintf("127.9.0.%d", i+1)
+		own := &settings.Settings{Name: ip, IP: ip, Zone: "z", Region: "r", Ports: [2]int{7401, 7401}, Seeds: voters, Control: voters[i]}
+		hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.Internal(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+		a := New(Options{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: uint64(i)})
+		r := &register{known: consensus.Membership{Voters: voters[:3]}}
+		duties := a.Duties(r, true)
+		listener, err := net.Listen("tcp4", own.Internal())
+		d.Assert(err, qt.IsNil)
+		go func() { _ = hub.Listen(listener) }() // ends with the listener
+		ctx, stop := context.WithCancel(t.Context())
+		go a.Run(ctx)
+		go duties.Run(ctx)
+		t.Cleanup(func() { stop(); hub.Close(); listener.Close() })
+		d.registers, d.duties = append(d.registers, r), append(d.duties, duties)
+	}
+	return d
+}
+
+// holder waits until one of them is the allocator, and gives its place and fencing number.
+func (d *dutyCore) holder() (i int, number uint64) {
+	for began := time.Now(); time.Since(began) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
+		for i, x := range d.duties {
+			x.mu.Lock()
+			number, ok := x.allocatorLease.Holds(x.agent.o.Hub.Now())
+			x.mu.Unlock()
+			if ok {
+				return i, number
+			}
+		}
+	}
+	d.Fatal("nobody holds the lease after 20 s")
+	return 0, 0
+}
+
+// A holder that releases its lease is followed by another one, under a higher number, and asks no more.
+func TestDutyIsReleased(t *testing.T) {
+	d := newDutyCore(t, 4)
+	first, number := d.holder()
+	began := time.Now()
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer cancel()
+	d.duties[first].Release(ctx)
+	next, higher := d.holder()
+	t.Logf("the next holder came %v after the release", time.Since(began).Round(time.Millisecond))
+	d.Assert(next != first, qt.IsTrue)
+	d.Assert(higher > number, qt.IsTrue)
+	d.duties[first].Release(ctx) // once more changes nothing
+}
+
+// Voters that accepted a newer list refuse the holder's request, and by that it learns of the list and renews under it.
+func TestHolderLearnsOfNewVoters(t *testing.T) {
+	d := newDutyCore(t, 4)
+	first, number := d.holder()
+	list := d.registers[0].Membership()
+	next := consensus.Membership{Epoch: 1, Previous: list.Voters, Voters: append(list.Voters[1:3:3], d.duties[3].agent.o.Settings.Control)}
+	for _, r := range d.registers {
+		r.mu.Lock()
+		r.accepted, r.newest = 1, &next
+		r.mu.Unlock()
+	}
+	for began := time.Now(); d.registers[first].Membership().Epoch == 0; time.Sleep(5 * time.Millisecond) {
+		d.Assert(time.Since(began) < 20*time.Second, qt.IsTrue)
+	}
+	again, higher := d.holder()
+	t.Logf("process %d under %d, then %d under %d", first, number, again, higher)
+	d.Assert(higher >= number, qt.IsTrue)
+}
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -188,7 +188,8 @@
 		return false
 	}
 	came = c.state != Holding
-	c.state, c.epoch, c.until, c.holder = Holding, c.asking, until, ""
+	c.epoch, c.until, c.holder = c.asking, until, ""
+	c.shift(Holding, c.asked+renewInterval) // whatever a voter that refused had it wait for
 	return came
 }
 
--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -280,3 +280,16 @@
 		c.Assert(r.MembershipEpoch, qt.Equals, x.standing.Epoch)
 	}
 }
+
+// A candidate that one voter refused, and a majority granted the lease, renews it in time.
+func TestHolderRenewsAfterARefusal(t *testing.T) {
+	c := qt.New(t)
+	x := NewCandidate("x", 1, "d", func() float64 { return 1 })
+	x.Rank(4)
+	c.Assert(x.Tick(0, 3, 0), qt.IsNotNil)
+	x.Take(0, 0, "a", &Reply{Duties: []Grant{{Name: "d", Epoch: 1, Holder: "y", Left: Lease}}})
+	given := &Reply{Duties: []Grant{{Name: "d", Given: true, Epoch: 1}}}
+	x.Take(0, 0, "b", given)
+	c.Assert(x.Take(0, 0, "c", given), qt.IsTrue)
+	c.Assert(x.Tick(renewInterval, 3, 0), qt.IsNotNil)
+}
