--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -34,6 +34,7 @@
 	bytes    int
 	across   int // bytes between zones
 	changes  int
+	took     func(from, to *node) // a shuffle has arrived
 }
 
 type node struct {
@@ -196,6 +197,9 @@
 			if changed {
 				f.changes++
 			}
+			if f.took != nil {
+				f.took(from, to)
+			}
 			if reply != nil {
 				f.send(to, from.self.Address, reply)
 			}
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -101,23 +101,25 @@
 
 // Bounds are the settings; what is zero has its default.
 type Bounds struct {
-	Pace    time.Duration // between two shuffles that are begun here
-	Slow    time.Duration // the same when there has been no news for long and neighbours agree
-	Settle  time.Duration // without news, until shuffles carry no more than digests
-	Far     time.Duration // between two tries of a seed or of one that was dropped
-	Suspect time.Duration // age of a beat from which its member is suspected,
-	Drop    time.Duration // and dropped, if it is of the own zone or there are few others;
-	DropFar time.Duration // when there are many or it is quiet, news of other zones takes longer, and their own members tell who is gone
-	Grace   time.Duration // from a broken connection until it is dropped, unless its beat advances
-	Wake    time.Duration // a tick that comes so late means that this process was frozen
-	Own     int           // members kept of the own zone,
-	Other   int           // of each other zone,
-	Cores   int           // and core members
-	Carry   int           // members in a shuffle
-	Told    int           // Gone in a shuffle
-	Dead    int           // lives remembered as ended
-	Watch   int           // members that this one keeps a connection to, in its zone and once more among all
-	Small   int           // fewer others than this: seeds are asked at each pace
+	Pace      time.Duration // between two shuffles that are begun here
+	Slow      time.Duration // the same when there has been no news for long and neighbours agree
+	Settle    time.Duration // without news, until shuffles carry no more than digests
+	Far       time.Duration // between two tries of a seed or of one that was dropped, however long ago
+	Rejoin    time.Duration // the same of one that was dropped within RejoinFor
+	RejoinFor time.Duration
+	Suspect   time.Duration // age of a beat from which its member is suspected,
+	Drop      time.Duration // and dropped, if it is of the own zone or there are few others;
+	DropFar   time.Duration // when there are many or it is quiet, news of other zones takes longer, and their own members tell who is gone
+	Grace     time.Duration // from a broken connection until it is dropped, unless its beat advances
+	Wake      time.Duration // a tick that comes so late means that this process was frozen
+	Own       int           // members kept of the own zone,
+	Other     int           // of each other zone,
+	Cores     int           // and core members
+	Carry     int           // members in a shuffle
+	Told      int           // Gone in a shuffle
+	Dead      int           // lives remembered as ended
+	Watch     int           // members that this one keeps a connection to, in its zone and once more among all
+	Small     int           // fewer others than this: seeds are asked at each pace
 }
 
 // Filled are the bounds with their defaults.
@@ -126,6 +128,8 @@
 	fill(&b.Slow, time.Second)
 	fill(&b.Settle, 3*time.Second)
 	fill(&b.Far, 5*time.Second)
+	fill(&b.Rejoin, time.Second)
+	fill(&b.RejoinFor, 2*time.Minute)
 	fill(&b.Suspect, 6*time.Second)
 	fill(&b.Drop, 10*time.Second)
 	fill(&b.DropFar, 6*b.Drop)
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -65,15 +65,16 @@
 	dead    map[uint64]ended
 	deadAge []uint64 // lives in dead, the oldest first
 	risen   []Gone   // lives that spoke after their end was told
-	former  []string // addresses of those dropped
+	former  []former // dropped members, the newest last
 	seeds   []string
 	regions map[string]string // of each zone ever heard of
 	joined  bool              // seeds were asked
 	next    time.Duration     // pace
 	paced   time.Duration     // the last time
-	far     time.Duration
-	last    time.Duration // tick
-	woken   time.Duration // ages are judged from here
+	far     time.Duration     // the next try of a seed or of any former member
+	rejoin  time.Duration     // the next try of one that was dropped of late
+	last    time.Duration     // tick
+	woken   time.Duration     // ages are judged from here
 	ticked  bool
 	arrived uint64
 	news    time.Duration // last arrival or end
@@ -120,7 +121,7 @@
 	v.expire(now)
 	var first *entry
 	if now >= v.next {
-		v.next = now + v.pace(now)*time.Duration(85+v.rng.IntN(31))/100
+		v.next = now + v.vary(v.pace(now))
 		v.paced = now
 		v.self.Heartbeat++
 		if first = v.first(now); first != nil {
@@ -136,17 +137,13 @@
 		}
 		switch {
 		case !v.joined:
-			to, v.joined, v.far = append(to, v.others(v.seeds)...), true, now
+			to, v.joined, v.far = append(to, v.others(v.seeds)...), true, now+v.vary(v.bounds.Far)
 		case len(v.members) < v.bounds.Small && len(v.seeds) > 0:
 			to = append(to, v.others([]string{v.seeds[v.rng.IntN(len(v.seeds))]})...)
 		}
-		if now-v.far >= v.bounds.Far*v.pace(now)/v.bounds.Pace {
-			v.far = now
-			if from := slices.Concat(v.former, v.seeds); len(from) > 0 {
-				to = append(to, v.others([]string{from[v.rng.IntN(len(from))]})...)
-			}
-		}
+		to = append(to, v.tryFar(now)...)
 	}
+	to = append(to, v.tryFormer(now)...)
 	for i := range v.risen {
 		to = append(to, v.risen[i].Address)
 	}
@@ -195,13 +192,13 @@
 		age := now - max(v.seen(e), v.woken)
 		switch {
 		case e.state == missed && now-e.since >= v.bounds.Grace:
-			v.drop(e)
+			v.drop(now, e)
 			v.bury(now, e.Life, ended{beat: e.Heartbeat + v.beats(e), address: e.Address})
 			v.ended = now
 			v.stir(now, &v.news)
 		case e.state == missed:
 		case age >= v.patience(&e.Member):
-			v.drop(e)
+			v.drop(now, e)
 			if e.Zone == v.self.Zone && v.many() { // else each finds out by itself
 				v.bury(now, e.Life, ended{beat: e.Heartbeat, address: e.Address})
 			}
@@ -224,17 +221,6 @@
 	return v.bounds.Drop
 }
 
-// drop forgets an entry; its address is tried again now and then.
-func (v *View) drop(e *entry) {
-	v.remove(e)
-	if !slices.Contains(v.former, e.Address) {
-		v.former = append(v.former, e.Address)
-		if len(v.former) > v.bounds.Dead {
-			v.former = slices.Delete(v.former, 0, 1)
-		}
-	}
-}
-
 func (v *View) remove(e *entry) {
 	delete(v.members, e.Life)
 	v.shifted()
@@ -454,7 +440,7 @@
 	}
 	v.bury(now, g.Life, ended{beat: g.Heartbeat, address: g.Address})
 	if e != nil {
-		v.drop(e)
+		v.drop(now, e)
 		v.ended = now
 		v.stir(now, &v.news)
 	}
@@ -522,7 +508,7 @@
 	i, _ = slices.BinarySearchFunc(v.ring, e, before)
 	v.ring = slices.Insert(v.ring, i, e)
 	v.Place(m.Zone, m.Region)
-	v.former = slices.DeleteFunc(v.former, func(a string) bool { return a == m.Address })
+	v.former = slices.DeleteFunc(v.former, func(f former) bool { return f.address == m.Address })
 	return true
 }
 
