--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -4,6 +4,7 @@
 	"context"
 	"net/http"
 	"strings"
+	"time"
 
 	"gingerlead/internal/mesh/agent"
 	"gingerlead/internal/mesh/control/consensus"
@@ -12,6 +13,9 @@
 	"gingerlead/internal/mesh/operations/settings"
 )
 
+// handOverMost is how long a process that ends may take to give its place among the voters to another.
+const handOverMost = 2500 * time.Millisecond
+
 // Core runs a process that holds the configuration until it is told to end.
 func Core(path string) error {
 	p, err := begin(path)
@@ -64,7 +68,19 @@
 		controlAgent.Seeds(s.SeedPeers())
 		server.Seeds(s.Seeds)
 	})
+	if err == nil {
+		handOver(p, server)
+	}
 	server.Close()
 	p.hub.Close()
 	return err
 }
+
+// handOver gives this process's place among the voters to another before it ends. It answers as before meanwhile.
+func handOver(p *process, server *controlplane.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), min(handOverMost, p.settings.Bounds.Grace/2))
+	defer cancel()
+	if err := server.HandOver(ctx); err != nil {
+		p.log.WithError(err).Warn("assembly: this process ends as a voter")
+	}
+}
--- /dev/null
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -0,0 +1,254 @@
+package controlplane
+
+import (
+	"context"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"testing"
+	"time"
+
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/consensus"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// catchUp is the shortest time that the pages give a successor until the next loss.
+const catchUp = 4 * time.Second
+
+// second is a loss right after another, or amid what follows on it.
+type second struct {
+	name string
+	wipe bool // it may only come once the successor has had its time
+	do   func(co *core, victim int, running []int)
+}
+
+var seconds = []second{
+	{"wiped", true, func(co *core, victim int, _ []int) {
+		co.lose(victim)
+		co.start(victim, false)
+	}},
+	{"wiped, power off for all", true, func(co *core, victim int, running []int) {
+		for _, i := range running {
+			co.stop(i)
+		}
+		co.disks[node(victim)] = nil
+		for _, i := range running {
+			co.start(i, false)
+		}
+	}},
+	{"gone", true, func(co *core, victim int, _ []int) { co.lose(victim) }},
+	{"killed", false, func(co *core, victim int, _ []int) {
+		co.stop(victim)
+		co.start(victim, false)
+	}},
+	{"power off for all", false, func(co *core, _ int, running []int) {
+		for _, i := range running {
+			co.stop(i)
+		}
+		for _, i := range running {
+			co.start(i, false)
+		}
+	}},
+	{"cut off", false, func(co *core, victim int, _ []int) {
+		co.isolate(victim, true)
+		time.Sleep(3 * time.Second)
+		co.isolate(victim, false)
+	}},
+}
+
+// A voter is gone for good and an empty machine comes at another address. Then another one is lost, at every step of what
+// follows as far as the pages allow it: what was acknowledged is there, and the next change is taken.
+func TestSecondLossAfterReplacement(t *testing.T) {
+	for _, s := range seconds {
+		t.Run(s.name, func(t *testing.T) {
+			for at := time.Duration(0); at <= catchUp; at += 500 * time.Millisecond {
+				if s.wipe {
+					at = catchUp
+				}
+				for victim := 1; victim <= 3; victim++ {
+					secondLoss(t, s, victim, at)
+				}
+			}
+		})
+	}
+}
+
+// secondLoss exchanges node 0 for the empty node 3, and loses another one so long after that.
+func secondLoss(t *testing.T, s second, victim int, at time.Duration) {
+	play(t, 0, func(co *core, ctx context.Context) {
+		co.bears = 1
+		for i := range 3 {
+			co.start(i, true)
+		}
+		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		co.lose(0)
+		co.start(3, false)
+		time.Sleep(at)
+		version := configuration.Version(1)
+		if s.wipe {
+			co.c.Assert(co.server(2).Voters(), qt.DeepEquals, []string{node(1), node(2), node(3)})
+			co.c.Assert(co.replace(ctx, 1, 1, 2), qt.Equals, Applied)
+			version = 2
+		}
+		s.do(co, victim, []int{1, 2, 3})
+		at := victim%3 + 1
+		co.c.Assert(co.newest(ctx, at), qt.Equals, version, qt.Commentf("%v, node %d", at, victim))
+		co.c.Assert(co.replace(ctx, at, version, version+1), qt.Equals, Applied)
+		co.await(2*catchUp, func() bool { return slices.Contains(co.server(at).Voters(), node(3)) })
+	})
+}
+
+// A voter that is about to end gives its place to a process that is ready, and may be switched off at once: the next loss,
+// of a disk, loses nothing.
+func TestHandOver(t *testing.T) {
+	for leaving := range 3 {
+		for victim := range 4 {
+			if victim == leaving {
+				continue
+			}
+			grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+				time.Sleep(2 * time.Second) // they know of each other
+				other := (leaving + 1) % 3
+				co.isolate(other, true) // so that the one that leaves holds what one other holds
+				co.c.Assert(co.replace(ctx, leaving, 0, 1), qt.Equals, Applied)
+				co.isolate(other, false)
+				began := time.Now()
+				co.c.Assert(co.server(leaving).HandOver(ctx), qt.IsNil)
+				co.c.Assert(time.Since(began) < time.Second, qt.IsTrue)
+				co.c.Assert(slices.Contains(co.server(leaving).Voters(), node(3)), qt.IsTrue)
+				co.lose(leaving)
+				co.lose(victim)
+				co.start(victim, false)
+				ctx, cancel := context.WithTimeout(ctx, time.Minute)
+				defer cancel()
+				co.c.Assert(co.newest(ctx, victim), qt.Equals, configuration.Version(1), qt.Commentf("%d leaves, %d is lost", leaving, victim))
+				co.c.Assert(co.replace(ctx, victim, 1, 2), qt.Equals, Applied)
+				co.c.Assert(len(co.server(victim).Voters()), qt.Equals, 3)
+				co.c.Assert(slices.Contains(co.server(victim).Voters(), node(leaving)), qt.IsFalse)
+			})
+		}
+	}
+}
+
+// Without another that could take its place a voter that ends stays one, and doesn't wait. One that is alone ends, too.
+func TestHandOverToNobody(t *testing.T) {
+	grown(t, 3, 1, 3, func(co *core, ctx context.Context) {
+		began := time.Now()
+		co.c.Assert(co.server(0).HandOver(ctx), qt.IsNil)
+		co.c.Assert(time.Since(began) < 100*time.Millisecond, qt.IsTrue)
+		co.c.Assert(len(co.server(1).Voters()), qt.Equals, 3)
+		co.c.Assert(co.server(1).Membership().Epoch, qt.Equals, uint64(0))
+
+		co.isolate(0, true)
+		short, cancel := context.WithTimeout(ctx, time.Second)
+		defer cancel()
+		co.c.Assert(co.server(0).HandOver(short), qt.IsNotNil)
+	})
+}
+
+// A voter that one process can't reach, but the others can, stays; and one process alone replaces nobody.
+func TestOneProcessCantReplace(t *testing.T) {
+	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+		co.mu.Lock()
+		co.blocked = map[[2]string]bool{{node(1), node(0)}: true}
+		co.mu.Unlock()
+		time.Sleep(time.Minute)
+		co.c.Assert(co.server(1).Membership().Epoch, qt.Equals, uint64(0))
+		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+
+		co.isolate(0, true)
+		co.isolate(1, true)
+		co.isolate(2, true)
+		time.Sleep(time.Minute)
+		for i := range 4 {
+			co.c.Assert(co.server(i).Membership().Epoch, qt.Equals, uint64(0))
+		}
+	})
+}
+
+// However voters fall silent, no more are replaced in a while than may be lost at once.
+func TestReplacementsAreBounded(t *testing.T) {
+	grown(t, 9, 2, 5, func(co *core, ctx context.Context) {
+		first := co.server(0).Membership().Epoch
+		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		rng := rand.New(rand.NewPCG(7, 7))
+		began := time.Now()
+		for time.Since(began) < time.Minute {
+			a, b := rng.IntN(9), rng.IntN(9)
+			co.isolate(a, true)
+			co.isolate(b, true)
+			time.Sleep(2500 * time.Millisecond)
+			co.isolate(a, false)
+			co.isolate(b, false)
+			time.Sleep(500 * time.Millisecond)
+		}
+		time.Sleep(catchUp)
+		epochs := co.server(0).Membership().Epoch - first
+		t.Logf("%d changes of the voters in a minute", epochs)
+		co.c.Assert(epochs <= uint64(2*time.Minute/replaceWindow)+1, qt.IsTrue, qt.Commentf("%d", epochs))
+		co.c.Assert(len(co.server(0).Voters()), qt.Equals, 5)
+		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(1))
+	})
+}
+
+// From a voter's loss to a full list again, with messages that are late and lost: against the time after which the pages allow
+// the next loss.
+func TestTimeToReplace(t *testing.T) {
+	runs := 10
+	if os.Getenv("SOAK") != "" {
+		runs = 100
+	}
+	var took []time.Duration
+	for run := range runs {
+		play(t, 0, func(co *core, ctx context.Context) {
+			co.bears, co.late, co.loss = 1, float64(10*time.Millisecond), 0.02
+			co.rng = rand.New(rand.NewPCG(uint64(run), 3))
+			for i := range 3 {
+				co.start(i, true)
+			}
+			co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+			time.Sleep(time.Duration(co.rng.IntN(1000)) * time.Millisecond)
+			victim := run % 3
+			co.lose(victim)
+			time.Sleep(time.Second)
+			co.start(3, false)
+			began := time.Now()
+			at := (victim + 1) % 3
+			co.await(catchUp, func() bool { return slices.Contains(co.server(at).Voters(), node(3)) })
+			co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(1))
+			took = append(took, time.Since(began))
+		})
+	}
+	slices.Sort(took)
+	t.Logf("from the successor's start to a list with it, %d runs: p50 %v, max %v", runs, took[runs/2], took[runs-1])
+}
+
+func TestPeerTable(t *testing.T) {
+	c := qt.New(t)
+	start := time.Unix(1000, 0)
+	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+	var table peerTable
+	table.track(at(0), []string{"a", "b"})
+	c.Assert(table.due(), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(table.due(), qt.HasLen, 0)
+	table.answered(at(10), "a", &consensus.Reply{Ready: true, Silent: []string{"b"}})
+	table.answered(at(1000), "b", nil)
+	c.Assert(table.due(), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(table.silent(at(1999), []string{"a", "b"}), qt.HasLen, 0)
+	table.answered(at(1900), "a", &consensus.Reply{Ready: true, Silent: []string{"b"}})
+	c.Assert(table.silent(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
+	never := func(string) bool { return false }
+	list := table.presence(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
+	c.Assert(list, qt.DeepEquals, []consensus.Presence{
+		{Node: "a", Alive: true, For: 1990 * time.Millisecond, Ready: true},
+		{Node: "b", For: 2 * time.Second, SilentAt: 2}})
+	table.wake(at(60000)) // it stood still: nobody is silent yet
+	c.Assert(table.silent(at(61000), []string{"a", "b"}), qt.HasLen, 0)
+	table.answered(at(61000), "b", &consensus.Reply{})
+	c.Assert(table.silent(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
+	table.track(at(62000), []string{"b"})
+	table.answered(at(62000), "a", &consensus.Reply{}) // of no interest any more
+	c.Assert(len(table.presence(at(62000), nil, nil, never)), qt.Equals, 1)
+}
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -3,119 +3,200 @@
 import (
 	"context"
 	"slices"
+	"strings"
 	"time"
 
 	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/transport/codec"
 
 	"github.com/gravitational/trace"
 )
 
 const (
-	reconfigureInterval = time.Second
-	reconfigureTimeout  = 2 * time.Second // for one change of the voters
+	reconfigureInterval = 250 * time.Millisecond
+	probeTicks          = 2                      // of the interval, between two probes of a process
+	probeTimeout        = time.Second            // for an answer to a probe
+	rankDelay           = 500 * time.Millisecond // by which each next process of the core waits longer before it acts
+	wakeAfter           = time.Second            // a tick that comes so late means that this process stood still
+	reconfigureTimeout  = 2 * time.Second        // for one change of the voters
+	spareWait           = 2 * time.Second        // a leaving voter waits for a process that is about to be ready
 )
 
-// presence is since when a core process is here, or away.
-type presence struct {
-	here  bool
-	since time.Time
+func compareNodes(a, b string) int { return strings.Compare(a, b) }
+
+// reconfigurer follows the list of voters and sees to it that there are enough of them. Every process of the core has one: the
+// first of those that are there acts at once, the next ones only if the need stays; two that act at once race.
+type reconfigurer struct {
+	server   *Server
+	table    peerTable
+	made     replacements
+	answers  chan answer
+	finished chan struct{} // a change that was begun is over
+	changing bool
+	named    []string // by any seeds so far
+	last     time.Time
+	ticks    int
+	need     consensus.MembershipChange
+	since    time.Time // of need
 }
 
-// attend keeps up with the voters' list, and sees to it that there are enough voters. Every core process does: the first of
-// those that are there acts at once, the next ones only if the need stays, and two that act at once race.
 func (d *Server) reconfigureLoop() {
+	r := &reconfigurer{server: d, answers: make(chan answer, 64), finished: make(chan struct{}, 1), last: time.Now()}
 	tick := time.NewTicker(reconfigureInterval)
 	defer tick.Stop()
-	core := map[string]presence{}
-	var named []string // by any seeds so far
-	var need consensus.MembershipChange
-	var since time.Time
 	for {
 		select {
+		case a := <-r.answers:
+			r.table.answered(time.Now(), a.node, a.reply)
+		case <-r.finished:
+			r.changing = false
 		case <-tick.C:
+			r.step(time.Now())
 		case <-d.ctx.Done():
 			return
 		}
-		d.followChanges()
-		if d.o.Cores == nil {
-			continue
-		}
-		now := time.Now()
-		here := append(slices.Clone(d.o.Cores()), d.o.Self)
-		slices.Sort(here)
-		d.mu.Lock()
-		seeds := d.seeds
-		d.mu.Unlock()
-		for _, s := range seeds {
-			if !slices.Contains(named, s) {
-				named = append(named, s)
-			}
-		}
-		e := d.Membership()
-		updatePresence(core, here, e.Voters, now)
-		move := consensus.PlanMembership(e, presenceList(core, seeds, named, now), d.o.Tolerated)
-		if move != need {
-			need, since = move, now
-		}
-		rank, _ := slices.BinarySearch(slices.Compact(here), d.o.Self)
-		if move == (consensus.MembershipChange{}) || len(e.Voters) == 0 || now.Sub(since) < time.Duration(rank)*2*reconfigureInterval {
-			continue
-		}
+	}
+}
+
+// step is one turn: probe, tell what was found, plan, act.
+func (r *reconfigurer) step(now time.Time) {
+	d := r.server
+	if now.Sub(r.last) > wakeAfter {
+		r.table.wake(now)
+	}
+	r.last = now
+	e := d.Membership()
+	r.table.track(now, r.others(e))
+	r.made.observe(now, e)
+	if r.ticks++; r.ticks%probeTicks == 0 {
+		r.probe()
+		d.persistMembership(e)
+	}
+	if d.o.Cores == nil {
+		return
+	}
+	presence := r.presence(now, e)
+	change := r.plan(now, e, presence)
+	if change == (consensus.MembershipChange{}) || r.changing || now.Sub(r.since) < rankDelay*time.Duration(rank(d.o.Self, presence)) {
+		return
+	}
+	r.changing = true
+	d.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(d.ctx, reconfigureTimeout)
-		if err := d.changeMembership(ctx, e, move); err != nil {
-			d.o.Log.WithError(err).WithField("add", move.Add).WithField("remove", move.Remove).Warn("voters can't be changed")
+		defer cancel()
+		if err := d.changeMembership(ctx, e, change); err != nil {
+			d.o.Log.WithError(err).WithField("add", change.Add).WithField("remove", change.Remove).Warn("voters can't be changed")
 		}
-		cancel()
+		r.finished <- struct{}{}
+	})
+}
+
+// others are the processes whose answers matter: voters, and all that are there.
+func (r *reconfigurer) others(e consensus.Membership) []string {
+	nodes := append(r.server.peersThere(), e.Voters...)
+	slices.Sort(nodes)
+	return slices.DeleteFunc(slices.Compact(nodes), func(s string) bool { return s == r.server.o.Self })
+}
+
+// probe asks the others what they know. It also brings newer lists of voters.
+func (r *reconfigurer) probe() {
+	d := r.server
+	for _, node := range r.table.due() {
+		d.wg.Go(func() {
+			ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
+			defer cancel()
+			reply, err := d.describe(ctx, node)
+			if err == nil {
+				d.adoptMembership(reply.Membership)
+			}
+			select {
+			case r.answers <- answer{node, reply}:
+			case <-d.ctx.Done():
+			}
+		})
 	}
 }
 
-// look notes who is here and who isn't.
-func updatePresence(core map[string]presence, here, voters []string, now time.Time) {
-	for _, node := range append(slices.Clone(here), voters...) {
-		if _, ok := core[node]; !ok {
-			core[node] = presence{since: now}
+// presence is what is known of the others now. It is also what this process tells them.
+func (r *reconfigurer) presence(now time.Time, e consensus.Membership) []consensus.Presence {
+	d := r.server
+	silent := r.table.silent(now, e.Voters)
+	d.mu.Lock()
+	seeds := d.seeds
+	d.silent = silent
+	d.mu.Unlock()
+	for _, s := range seeds {
+		if !slices.Contains(r.named, s) {
+			r.named = append(r.named, s)
 		}
 	}
-	for node, p := range core {
-		is := slices.Contains(here, node)
-		if p.here != is {
-			core[node] = presence{here: is, since: now}
-		}
-		if !is && !slices.Contains(voters, node) {
-			delete(core, node)
+	own := silent
+	if !e.Has(d.o.Self) {
+		own = nil
+	}
+	presence := r.table.presence(now, e.Voters, own, func(node string) bool {
+		return slices.Contains(r.named, node) && !slices.Contains(seeds, node)
+	})
+	d.mu.Lock()
+	d.presence = presence
+	if !e.Has(d.o.Self) && d.ready {
+		presence = append(slices.Clone(presence), consensus.Presence{Node: d.o.Self, Alive: true, For: now.Sub(d.readySince), Ready: true,
+			Dropped: slices.Contains(r.named, d.o.Self) && !slices.Contains(seeds, d.o.Self)})
+	}
+	d.mu.Unlock()
+	return presence
+}
+
+// plan is the change that is needed, if it may be made yet.
+func (r *reconfigurer) plan(now time.Time, e consensus.Membership, presence []consensus.Presence) consensus.MembershipChange {
+	var change consensus.MembershipChange
+	if len(e.Voters) > 0 {
+		change = consensus.PlanMembership(e, presence, r.server.o.Tolerated)
+	}
+	if change.Remove != "" && !r.made.allowed(now, r.server.o.Tolerated) {
+		change = consensus.MembershipChange{}
+	}
+	if change != r.need {
+		r.need, r.since = change, now
+	}
+	return change
+}
+
+// rank is the place of a process among those that are there.
+func rank(self string, presence []consensus.Presence) (n int) {
+	for _, p := range presence {
+		if p.Alive && p.Node < self {
+			n++
 		}
 	}
+	return n
 }
 
-func presenceList(core map[string]presence, seeds, named []string, now time.Time) (list []consensus.Presence) {
-	for node, p := range core {
-		list = append(list, consensus.Presence{Node: node, Alive: p.here, For: now.Sub(p.since),
-			Dropped: slices.Contains(named, node) && !slices.Contains(seeds, node)})
+// peersThere are the processes of the core that are there, as far as members tell each other.
+func (d *Server) peersThere() []string {
+	if d.o.Cores == nil {
+		return nil
 	}
-	return list
+	return slices.Clone(d.o.Cores())
 }
 
-// keepUp writes down the newest list, and asks one peer whether it knows a newer one.
-func (d *Server) followChanges() {
+// persistMembership writes down the newest list, if the record on disk has an older one.
+func (d *Server) persistMembership(e consensus.Membership) {
 	d.mu.Lock()
-	e, behind := d.voters, d.voters.Epoch > d.kept && d.ready
-	i := int(d.rng.Uint32())
+	behind := e.Epoch > d.kept && d.ready && !d.persisting
+	d.persisting = d.persisting || behind
 	d.mu.Unlock()
-	if behind {
-		ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
-		_, _ = d.do(ctx, &job{decided: &e}) // again at the next tick
-		cancel()
-	}
-	peers := d.peers()
-	if len(peers) == 0 || len(e.Voters) == 0 {
+	if !behind {
 		return
 	}
-	answers := d.broadcast([]string{peers[i%len(peers)]}, &consensus.Request{Kind: consensus.Describe})
-	go func() {
-		if a := <-answers; a.reply != nil {
-			d.adoptMembership(a.reply.Membership)
-		}
-	}()
+	d.wg.Go(func() {
+		ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+		defer cancel()
+		_, _ = d.do(ctx, &job{decided: &e}) // again at a later tick
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.persisting = false
+	})
 }
 
 // Seeds tells that the operator's settings name other seeds now.
@@ -125,7 +206,8 @@
 	d.seeds = slices.Clone(seeds)
 }
 
-// move changes the voters by one.
+// changeMembership makes one change of the voters. When it returns without an error a majority of the new list has the list and
+// the newest value on disk, so that a removed voter may be switched off.
 func (d *Server) changeMembership(ctx context.Context, e consensus.Membership, m consensus.MembershipChange) error {
 	if m.Add != "" {
 		reply, err := d.describe(ctx, m.Add)
@@ -147,44 +229,80 @@
 	if r.Verdict != consensus.Applied {
 		return trace.CompareFailed("the voters have changed")
 	}
-	return nil
+	_, err = d.Newest(ctx)
+	return trace.Wrap(err)
 }
 
+// describe asks a process for the list that it knows, and for its own state.
 func (d *Server) describe(ctx context.Context, node string) (*consensus.Reply, error) {
-	select {
-	case a := <-d.broadcast([]string{node}, &consensus.Request{Kind: consensus.Describe}):
-		if a.reply != nil {
-			return a.reply, nil
-		}
-		return nil, trace.ConnectionProblem(nil, "%s doesn't answer", node)
-	case <-ctx.Done():
-		return nil, trace.Wrap(ctx.Err())
-	}
+	q := consensus.Request{Kind: consensus.Describe, Membership: d.Membership()}
+	return d.ask(ctx, node, q, codec.Write(nil, &q))
 }
 
 // Add makes a core process a voter.
 func (d *Server) Add(ctx context.Context, node string) error {
-	return trace.Wrap(d.applyMembershipChange(ctx, consensus.MembershipChange{Add: node}, func(e consensus.Membership) bool { return e.Has(node) }))
+	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
+		if e.Has(node) {
+			return consensus.MembershipChange{}
+		}
+		return consensus.MembershipChange{Add: node}
+	}))
 }
 
-// Retire takes a voter out for good, unless it is added by Add again. Another takes its place in a while, if there is one.
+// Retire takes a voter out for good, unless it is added by Add again. Another takes its place in the same step if there is one,
+// and else as soon as there is.
 func (d *Server) Retire(ctx context.Context, node string) error {
-	return trace.Wrap(d.applyMembershipChange(ctx, consensus.MembershipChange{Remove: node, Retire: true},
-		func(e consensus.Membership) bool { return !e.Has(node) }))
+	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
+		if !e.Has(node) {
+			return consensus.MembershipChange{}
+		}
+		return consensus.MembershipChange{Add: consensus.PlanHandover(e, d.knownPresence(), node).Add, Remove: node, Retire: true}
+	}))
+}
+
+// HandOver gives this process's place among the voters to another one before it ends. Without one that is ready, or will be
+// soon, it stays a voter, as one that is only restarted does.
+func (d *Server) HandOver(ctx context.Context) error {
+	began := time.Now()
+	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
+		for ctx.Err() == nil && e.Has(d.o.Self) {
+			presence := d.knownPresence()
+			if change := consensus.PlanHandover(e, presence, d.o.Self); change != (consensus.MembershipChange{}) {
+				return change
+			}
+			joining := slices.ContainsFunc(presence, func(p consensus.Presence) bool {
+				return p.Alive && !e.Has(p.Node) && !slices.Contains(e.Retired, p.Node)
+			})
+			if !joining || time.Since(began) > spareWait {
+				break
+			}
+			pause := pauseMin
+			_ = d.pause(ctx, &pause) // a presence comes with the next probe
+		}
+		return consensus.MembershipChange{}
+	}))
+}
+
+// knownPresence is what the last turn of the reconfigurer found.
+func (d *Server) knownPresence() []consensus.Presence {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.presence)
 }
 
-// insist makes a move again, on the newest list, until it is made.
-func (d *Server) applyMembershipChange(ctx context.Context, m consensus.MembershipChange, made func(consensus.Membership) bool) error {
+// applyMembershipChange makes the change that is wanted on the newest list, again until none is.
+func (d *Server) applyMembershipChange(ctx context.Context, wanted func(consensus.Membership) consensus.MembershipChange) error {
 	pause := pauseMin
 	for {
 		if _, err := d.Newest(ctx); err != nil {
 			return trace.Wrap(err)
 		}
 		e := d.Membership()
-		if made(e) {
+		change := wanted(e)
+		if change == (consensus.MembershipChange{}) {
 			return nil
 		}
-		err := d.changeMembership(ctx, e, m)
+		err := d.changeMembership(ctx, e, change)
 		if ctx.Err() != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"context"
 	"slices"
 	"time"
 
@@ -10,8 +9,8 @@
 	"github.com/gravitational/trace"
 )
 
-// recover makes the record of a process that has none: the list of voters comes from any peer; then a voter gets back what the
-// others promised and accepted, and any other process gets fit to become one.
+// recover makes the record of a process that has none: the list of voters comes from any peer, and what the voters promised and
+// accepted from enough of them. A process outside the list may become a voter from then on.
 func (d *Server) recover(life uint64, blank bool) {
 	pause := recoverDelay
 	for ; d.ctx.Err() == nil; _ = d.pause(d.ctx, &pause) {
@@ -21,10 +20,8 @@
 		switch {
 		case len(e.Voters) == 0:
 			d.findMembership()
-		case e.Has(d.o.Self):
-			record, ok, life = d.recoverReplica(e, life, blank)
 		default:
-			record, ok = d.becomeReady(life)
+			record, ok, life = d.recoverReplica(e, life, blank)
 		}
 		if !ok {
 			continue
@@ -36,18 +33,6 @@
 	}
 }
 
-// prepareToVote makes a process that isn't a voter fit to become one (consensus.Membership says why this is enough).
-func (d *Server) becomeReady(life uint64) (consensus.Record, bool) {
-	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
-	defer cancel()
-	r, err := d.rounds(ctx, false, nil)
-	if err != nil {
-		return consensus.Record{}, false
-	}
-	e := r.Membership()
-	return consensus.ReadyRecord(e, r.Vote(), life), !e.Has(d.o.Self)
-}
-
 // peers are the seeds and the core processes that are there, without this one.
 func (d *Server) peers() []string {
 	d.mu.Lock()
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -142,6 +142,10 @@
 				return nil, trace.Wrap(err)
 			}
 		}
+		next, changed := k.record.Learn(j.request.Membership)
+		if err := k.persist(next, changed); err != nil {
+			return nil, trace.Wrap(err)
+		}
 		return &consensus.Reply{Kind: consensus.Reported}, nil
 	}
 	reply, next, changed := k.record.Handle(j.request)
@@ -168,6 +172,9 @@
 	k.record, k.loaded = r, true
 	k.d.mu.Lock()
 	defer k.d.mu.Unlock()
+	if r.State.Ready && !k.d.ready {
+		k.d.readySince = time.Now()
+	}
 	k.d.kept, k.d.accepted, k.d.ready = r.Decided().Epoch, r.Vote.Value.Membership.Epoch, r.State.Ready
 }
 
--- a/internal/mesh/control/controlplane/rounds.go
+++ b/internal/mesh/control/controlplane/rounds.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"gingerlead/internal/mesh/control/consensus"
@@ -88,7 +89,7 @@
 	r, q := consensus.NewRound(e, d.nextBallot(), change, known)
 	d.drive(ctx, r, q, patience)
 	if v := r.Vote(); r.State == consensus.Done || r.State == consensus.Stale {
-		d.broadcast(r.Nodes(), &consensus.Request{Kind: consensus.Commit, Ballot: v.Ballot})
+		d.announceCommit(r, v.Ballot)
 	}
 	return r, nil
 }
@@ -110,3 +111,16 @@
 		return trace.Wrap(d.ctx.Err())
 	}
 }
+
+// announceCommit tells those who took part in a round that its value is committed; of a new list of voters it tells all processes
+// of the core.
+func (d *Server) announceCommit(r *consensus.Round, ballot consensus.Ballot) {
+	nodes := r.Nodes()
+	e := d.Membership()
+	if e.Epoch > r.Membership().Epoch {
+		nodes = append(nodes, d.peersThere()...)
+		slices.Sort(nodes)
+		nodes = slices.Compact(nodes)
+	}
+	d.broadcast(nodes, &consensus.Request{Kind: consensus.Commit, Ballot: ballot, Membership: e})
+}
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -65,6 +65,11 @@
 	highest   uint64               // of all ballots that were seen
 	known     consensus.Vote       // newest whose ballot and word are known to be committed
 	committed consensus.Value
+
+	readySince time.Time            // since when this process may vote
+	persisting bool                 // a newer list is being written
+	silent     []string             // voters that don't answer this process
+	presence   []consensus.Presence // of the other processes of the core
 }
 
 // Open starts a Desk. The disk is opened in the background, however long it takes.
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -29,10 +29,11 @@
 
 func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
 	d.observeBallot(q.Ballot)
+	d.adoptMembership(q.Membership)
 	if q.Kind == consensus.Describe {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready}, nil
+		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready, Silent: d.silent}, nil
 	}
 	return d.do(ctx, &job{request: q})
 }
