--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -13,8 +13,11 @@
 	"gingerlead/internal/mesh/operations/settings"
 )
 
-// handOverMost is how long a process that ends may take to give its place among the voters to another.
-const handOverMost = 2500 * time.Millisecond
+// Times that a process that ends may take.
+const (
+	releaseMost  = 300 * time.Millisecond  // to give its duties to another
+	handOverMost = 2500 * time.Millisecond // to give its place among the voters to another
+)
 
 // Core runs a process that holds the configuration until it is told to end.
 func Core(path string) error {
@@ -69,16 +72,21 @@
 		server.Seeds(s.Seeds)
 	})
 	if err == nil {
-		handOver(p, server)
+		leave(p, server, duties)
 	}
 	server.Close()
 	p.hub.Close()
 	return err
 }
 
-// handOver gives this process's place among the voters to another before it ends. It answers as before meanwhile.
-func handOver(p *process, server *controlplane.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(handOverMost, p.settings.Bounds.Grace/2))
+// leave gives this process's duties and then its place among the voters to others before it ends. In this order the next holder
+// has a duty at once: after a change of the voters nobody asks for one for the time of a lease. The process answers as before
+// meanwhile.
+func leave(p *process, server *controlplane.Server, duties *agent.Duties) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseMost)
+	duties.Release(ctx)
+	cancel()
+	ctx, cancel = context.WithTimeout(context.Background(), min(handOverMost, p.settings.Bounds.Grace/2))
 	defer cancel()
 	if err := server.HandOver(ctx); err != nil {
 		p.log.WithError(err).Warn("assembly: this process ends as a voter")
