--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -7,6 +7,8 @@
 	"sync"
 	"time"
 
+	"github.com/gravitational/trace"
+
 	"gingerlead/internal/mesh/agent"
 	"gingerlead/internal/mesh/control/configuration"
 	"gingerlead/internal/mesh/dataplane/admission"
@@ -17,11 +19,7 @@
 	"gingerlead/internal/mesh/operations/settings"
 )
 
-// How a sidecar ends: it goes on serving until clients have had the time to turn elsewhere, and until what it took is answered.
 const (
-	endNotice = 2400 * time.Millisecond // two looks at readiness, and more
-	endMargin = 500 * time.Millisecond  // before SIGKILL
-
 	pastLives   = 16       // of the endpoint, that are remembered
 	bodyShare   = 0.3      // of the machine's memory, for clients' bodies
 	bodiesLeast = 68 << 20 // bytes: the largest body there may be
@@ -46,16 +44,21 @@
 	if err := p.link(); err != nil {
 		return err
 	}
-	clients := a.outbound.Server()
-	if err := p.serve(small(a.agent.KeepaliveHandler(a)), p.settings.Control); err != nil {
+	clients, err := listen(p.settings.Outbound)
+	if err != nil {
 		return err
 	}
-	if err := p.serve(small(http.HandlerFunc(a.readiness)), p.settings.Readiness); err != nil {
+	if err := p.serve(small(a.agent.KeepaliveHandler(a)), p.settings.Control); err != nil {
 		return err
 	}
-	if err := p.serve(clients, p.settings.Outbound); err != nil {
+	if err := p.serve(small(http.HandlerFunc(a.readiness)), p.settings.Readiness); err != nil {
 		return err
 	}
+	go func() {
+		if err := a.outbound.Server().Serve(clients); err != nil {
+			p.errors <- trace.Wrap(err, "serve %s", p.settings.Outbound)
+		}
+	}()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go a.agent.Run(ctx)
@@ -63,7 +66,7 @@
 	if err := p.wait(ctx, func(s *settings.Settings) { a.agent.Seeds(s.SeedPeers()) }); err != nil {
 		return err
 	}
-	a.end(clients)
+	a.shutDown(clients)
 	return nil
 }
 
@@ -144,31 +147,3 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
-
-// end has this process leave in order.
-func (a *access) end(clients *http.Server) {
-	began := time.Now()
-	a.mu.Lock()
-	a.gone = true
-	a.mu.Unlock()
-	if life, _ := a.inbound.Life(); life.ID != "" {
-		a.agent.Ended(life.ID, discovery.Crashed)
-	}
-	last := a.settings.Bounds.Grace - endMargin
-	for time.Since(began) < last {
-		if time.Since(began) > endNotice {
-			a.outbound.End() // who comes now is told to come back, so that all that was taken is answered in time
-			if life, state := a.inbound.Life(); life.ID != "" && state != admission.Gone {
-				a.inbound.Tell(life, admission.Gone)
-			}
-			if a.outbound.Open() == 0 && a.inbound.Busy() == 0 {
-				break
-			}
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), max(last-time.Since(began), 50*time.Millisecond))
-	defer cancel()
-	_ = clients.Shutdown(ctx)
-	a.hub.Close()
-}
--- a/internal/mesh/assembly/assembly_test.go
+++ b/internal/mesh/assembly/assembly_test.go
@@ -40,6 +40,8 @@
 	net      string // the first three numbers of its addresses
 	machines map[string]*machine
 	apps     map[string]*application.Endpoint
+	limits   string // further lines of limitSet
+	bounds   string // lines of boundSet
 	n        int
 	mu       sync.Mutex
 }
@@ -51,9 +53,13 @@
 }
 
 // newMesh starts one; its addresses are of this test process alone, so that several may run on a machine.
-func newMesh(t *testing.T, n int) *mesh {
+func newMesh(t *testing.T, n int) *mesh { return newMeshWith(t, n, "", "") }
+
+// newMeshWith is newMesh with further lines of the settings' limitSet and boundSet.
+func newMeshWith(t *testing.T, n int, limits, bounds string) *mesh {
 	net := fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, os.Getpid()/200%80*3+n)
-	m := &mesh{C: qt.New(t), folder: t.TempDir(), net: net, machines: map[string]*machine{}, apps: map[string]*application.Endpoint{}}
+	m := &mesh{C: qt.New(t), folder: t.TempDir(), net: net, machines: map[string]*machine{}, apps: map[string]*application.Endpoint{},
+		limits: limits, bounds: bounds}
 	t.Cleanup(func() {
 		for _, x := range m.machines {
 			m.kill(x)
@@ -101,9 +107,9 @@
 	if x.role == "access" {
 		text += fmt.Sprintf("applicationAddr = \"%s:8103\"\nserviceName = %q\n", x.ip, x.service)
 	}
-	text += fmt.Sprintf("[ownNode.limitSet]\nmemoryMb = 280\n[network]\ninternalPorts = [7640, 7655]\nseedNodes = [\"%s.1:8105\", \"%s.2:8105\", \"%s.3:8105\"]\n"+
-		"[network.listenAddresses]\ncontrol = \"%s:8105\"\noutbound = \"%s:8106\"\nreadiness = \"%s:8100\"\n[network.zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n",
-		m.net, m.net, m.net, x.ip, x.ip, x.ip)
+	text += fmt.Sprintf("[ownNode.limitSet]\nmemoryMb = 280\n%s[network]\ninternalPorts = [7640, 7655]\nseedNodes = [\"%s.1:8105\", \"%s.2:8105\", \"%s.3:8105\"]\n"+
+		"[network.listenAddresses]\ncontrol = \"%s:8105\"\noutbound = \"%s:8106\"\nreadiness = \"%s:8100\"\n[network.zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[termTable.boundSet]\n%s",
+		m.limits, m.net, m.net, m.net, x.ip, x.ip, x.ip, m.bounds)
 	m.Assert(os.WriteFile(path, []byte(text), 0o644), qt.IsNil)
 	x.cmd = exec.Command(os.Args[0])
 	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.Variable+"="+path)
--- /dev/null
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -0,0 +1,195 @@
+package assembly
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func TestShutdownPlanKeepsItsOrder(t *testing.T) {
+	c := qt.New(t)
+	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second, time.Minute} {
+		p := planShutdown(time.Hour, grace)
+		c.Check(time.Hour < p.refuse && p.refuse < p.lastAnswer && p.lastAnswer < p.exit && p.exit < time.Hour+grace, qt.IsTrue,
+			qt.Commentf("%v: %+v", grace, p))
+	}
+}
+
+// exchange is what became of one request of a client.
+type exchange struct {
+	id, path string
+	answered bool // a complete answer came
+	status   int
+	began    bool // some bytes of an answer came
+	held     time.Duration
+	err      error
+}
+
+// client sends requests on one connection, and dials anew where it was closed.
+type client struct {
+	m       *mesh
+	machine string
+	keep    bool // the connection is kept after an answer
+	conn    net.Conn
+	r       *bufio.Reader
+}
+
+func (c *client) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// do sends a request and reads its answer; refused tells that no connection came about.
+func (c *client) do(method, path string) (x exchange, refused bool) {
+	c.m.mu.Lock()
+	c.m.n++
+	x.id, x.path = fmt.Sprintf("%016x", c.m.n), path
+	c.m.mu.Unlock()
+	if c.conn == nil {
+		conn, err := net.Dial("tcp4", c.m.machines[c.machine].ip+":8106")
+		if err != nil {
+			return x, true
+		}
+		c.conn, c.r = conn, bufio.NewReader(conn)
+	}
+	_ = c.conn.SetDeadline(time.Now().Add(20 * time.Second))
+	began := time.Now()
+	_, _ = fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: %s\r\nKey: k1\r\nTime-Remaining: 15000\r\n\r\n", method, path, x.id)
+	_, x.err = c.r.Peek(1)
+	x.began = x.err == nil
+	if x.began {
+		x.status, x.err = c.read(method, x.id)
+		x.answered = x.err == nil
+	}
+	x.held = time.Since(began)
+	if !x.answered || !c.keep {
+		c.close()
+	}
+	return x, false
+}
+
+// read reads a whole answer, and checks that it is the request's.
+func (c *client) read(method, id string) (status int, err error) {
+	r, err := http.ReadResponse(c.r, &http.Request{Method: method})
+	if err != nil {
+		return 0, err
+	}
+	defer r.Body.Close()
+	if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		return r.StatusCode, err
+	}
+	if r.StatusCode == http.StatusOK && r.Header.Get("Attempt-Id") != id {
+		return r.StatusCode, fmt.Errorf("the answer to %q", r.Header.Get("Attempt-Id"))
+	}
+	if r.Close {
+		c.close()
+	}
+	return r.StatusCode, nil
+}
+
+// A sidecar gets SIGTERM under load: each request that it has read has a whole answer before the process ends, also one that its
+// endpoint never answers and whose deadline is long after the end; what has not run is refused as such. Answers of the
+// endpoint beside it reach their callers over a slow link to the last byte.
+func TestEveryRequestReadIsAnsweredAtTheEnd(t *testing.T) {
+	m := newMeshWith(t, 4, "linkMbps = 18.0\n", "grace = \"3s\"\n")
+	m.until("the first configuration", func() bool {
+		return m.put(0, m.config(1, `,{"name":"long","hostName":"shop.example","pathPrefix":"/book/long/","routeKind":"non_idempotent",`+
+			`"timeout":"15000ms","target":"300ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}`, "k1")) == 200
+	})
+	for _, name := range []string{"access-0", "access-2"} {
+		for _, path := range []string{"/read/x", "/book/x"} {
+			m.until(name+" serves "+path, func() bool { a, _ := m.ask(name, "GET", path, "k1", nil); return a.status == 200 })
+		}
+	}
+	releaseOne, releaseOther := m.apps["access-0"].Hold(), m.apps["access-1"].Hold()
+	defer releaseOne()
+	defer releaseOther()
+
+	var mu sync.Mutex
+	var ending, others []exchange // by the sidecar that ends, and by another
+	var load sync.WaitGroup
+	stop := make(chan struct{})
+	run := func(c *client, method, path string, into *[]exchange, once bool) {
+		load.Go(func() {
+			defer c.close()
+			for refusals := 0; refusals < 100; {
+				x, refused := c.do(method, path)
+				if refused {
+					return
+				}
+				mu.Lock()
+				*into = append(*into, x)
+				mu.Unlock()
+				if x.status == http.StatusServiceUnavailable {
+					refusals++
+				}
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				if once {
+					return
+				}
+			}
+		})
+	}
+	before := len(m.apps["access-0"].Runs()) + len(m.apps["access-1"].Runs())
+	for range 2 {
+		run(&client{m: m, machine: "access-2"}, "POST", "/book/long/x", &ending, true)
+	}
+	m.until("requests are held", func() bool {
+		return len(m.apps["access-0"].Runs())+len(m.apps["access-1"].Runs()) == before+2
+	})
+	for i := range 3 {
+		run(&client{m: m, machine: "access-2", keep: i > 0}, "GET", "/read/x?bytes=20000", &ending, false)
+		run(&client{m: m, machine: "access-0", keep: i > 0}, "GET", "/read/x?bytes=150000", &others, false)
+	}
+	m.until("the load runs", func() bool { mu.Lock(); defer mu.Unlock(); return len(ending) > 5 && len(others) > 5 })
+	x := m.machines["access-2"]
+	m.Assert(x.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
+	began := time.Now()
+	ended := make(chan error, 1)
+	go func() { ended <- x.cmd.Wait() }()
+	select {
+	case err := <-ended:
+		m.Assert(err, qt.IsNil)
+	case <-time.After(20 * time.Second):
+		t.Fatal("it has not ended")
+	}
+	took := time.Since(began)
+	x.cmd = nil
+	close(stop)
+	load.Wait()
+
+	ran := map[string]bool{}
+	for _, a := range m.apps {
+		for id := range a.Runs() {
+			ran[id] = true
+		}
+	}
+	count := map[int]int{}
+	for _, x := range ending {
+		count[x.status]++
+		m.Check(x.answered || !x.began && !ran[x.id] && x.held < time.Second, qt.IsTrue, qt.Commentf("%+v, ran %v", x, ran[x.id]))
+		if x.status == 503 || x.status == 429 {
+			m.Check(ran[x.id], qt.IsFalse, qt.Commentf("refused and run: %+v", x))
+		}
+	}
+	for _, x := range others {
+		m.Check(x.answered && (x.status == 200 || x.status == 503 || x.status == 429), qt.IsTrue, qt.Commentf("another sidecar's: %+v", x))
+	}
+	t.Logf("ended after %v; %d requests: %v; %d of another sidecar", took, len(ending), count, len(others))
+	m.Assert(count[200] > 0 && count[503] > 0, qt.IsTrue, qt.Commentf("%v", count))
+	m.Assert(count[504], qt.Equals, 2, qt.Commentf("%v", count))
+}
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -0,0 +1,120 @@
+package outbound
+
+import (
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+)
+
+const (
+	sweepInterval    = 500 * time.Millisecond
+	idleMargin       = time.Second // a client is told an idle timeout that is this much shorter than the one kept
+	defaultIdleLimit = 15 * time.Second
+)
+
+// clientConnection is what is known of one connection of a client.
+type clientConnection struct {
+	state     http.ConnState
+	idleUntil time.Time // it is kept open so long without a request
+}
+
+// ended tells whether a connection is to be closed now: it has no request under way, and none is awaited any more.
+func (c clientConnection) ended(now time.Time, phase closingPhase) bool {
+	switch c.state {
+	case http.StateNew:
+		return phase == closingAll || now.After(c.idleUntil)
+	case http.StateIdle:
+		return phase >= closingIdle || now.After(c.idleUntil)
+	}
+	return false
+}
+
+// closingPhase is which connections are closed because the process ends.
+type closingPhase int
+
+const (
+	closingNone closingPhase = iota
+	closingIdle              // those that have had a request; a new one is still read, and refused
+	closingAll               // new ones too
+)
+
+// clientConnections tracks the clients' open connections.
+type clientConnections struct {
+	mu       sync.Mutex
+	open     map[net.Conn]clientConnection
+	sweeping bool
+	phase    closingPhase
+}
+
+// idle is how long a client's connection may stay idle, by the configuration in force.
+func (d *Proxy) idle() time.Duration {
+	if conf := d.conf.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
+		return min(conf.Limits.IdleTimeout, restTime)
+	}
+	return defaultIdleLimit
+}
+
+// connectionState follows a connection (http.Server.ConnState).
+func (d *Proxy) connectionState(c net.Conn, s http.ConnState) {
+	t := &d.connections
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s == http.StateClosed || s == http.StateHijacked {
+		delete(t.open, c)
+		return
+	}
+	if t.open == nil {
+		t.open = map[net.Conn]clientConnection{}
+	}
+	t.open[c] = clientConnection{state: s, idleUntil: time.Now().Add(d.idle())}
+	if !t.sweeping {
+		t.sweeping = true
+		time.AfterFunc(sweepInterval, d.sweep)
+	}
+}
+
+// sweep ends connections that have been idle for too long, or all idle ones if the process is about to end. It does so by a read
+// deadline in the past, not by Close: the server's own reader then either has the whole of a request, and answers it, or has
+// not, and closes. So a request that was read is never dropped.
+func (d *Proxy) sweep() {
+	t := &d.connections
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	for c, known := range t.open {
+		if known.ended(now, t.phase) {
+			_ = c.SetReadDeadline(now.Add(-time.Second))
+		}
+	}
+	interval := sweepInterval
+	if t.phase != closingNone {
+		interval = closeInterval
+	}
+	if t.sweeping = len(t.open) > 0; t.sweeping {
+		time.AfterFunc(interval, d.sweep)
+	}
+}
+
+// closeConnections ends connections once they have no request under way, from now on.
+func (d *Proxy) closeConnections(phase closingPhase) {
+	d.connections.mu.Lock()
+	d.connections.phase = phase
+	d.connections.mu.Unlock()
+	d.sweep()
+}
+
+// Connections is how many connections of clients are open.
+func (d *Proxy) Connections() int {
+	d.connections.mu.Lock()
+	defer d.connections.mu.Unlock()
+	return len(d.connections.open)
+}
+
+// tellIdleLimit tells the client how long it may keep its connection idle.
+func (d *Proxy) tellIdleLimit(h http.Header) {
+	if s := int((d.idle() - idleMargin) / time.Second); s > 0 {
+		h["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(s)}
+	}
+}
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -28,7 +28,7 @@
 // Server is the clients' server.
 func (d *Proxy) Server() *http.Server {
 	return &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headTime, IdleTimeout: restTime,
-		MaxHeaderBytes: headMost, ConnState: d.state, ErrorLog: log.New(io.Discard, "", 0)}
+		MaxHeaderBytes: headMost, ConnState: d.connectionState, ErrorLog: log.New(io.Discard, "", 0)}
 }
 
 // own are headers that the system alone sets, whatever a client sent.
@@ -58,25 +58,30 @@
 		return
 	}
 	d.submit(r, r.perform.Priority)
+	d.end(w, d.await(r, q.Context().Done()))
+}
+
+// await returns a request's result: as it comes, or what is known of it when its time is up, its client has gone or this process
+// ends. There is always one: a client that has closed only its sending half still reads it.
+func (d *Proxy) await(r *request, clientGone <-chan struct{}) result {
 	timer := time.NewTimer(r.deadline - d.Now() - lapseMargin)
 	defer timer.Stop()
 	select {
 	case res := <-r.answered:
-		d.end(w, res)
+		return res
+	case <-timer.C:
+	case <-d.lastAnswer:
+	case <-clientGone:
+	}
+	d.lapse(r)
+	timer.Reset(lapseWait)
+	select {
+	case res := <-r.answered:
+		return res
 	case <-timer.C:
-		d.lapse(r)
-		timer.Reset(lapseWait)
-		select {
-		case res := <-r.answered:
-			d.end(w, res)
-		case <-timer.C:
-			d.abandon(r)
-			d.end(w, <-r.answered)
-		}
-	case <-q.Context().Done():
-		d.lapse(r)
-		d.abandon(r)
 	}
+	d.abandon(r)
+	return <-r.answered
 }
 
 // admit finds a request's route, tenant and service; the kind says why it is turned away, 0 for not at all.
@@ -93,34 +98,55 @@
 		return r, outcome.NoRoute
 	}
 	p := &r.perform
+	p.Inner = conf.Keyed && len(q.Header["Key"]) == 0
+	r.setTimes(now, q.Header.Get("Time-Remaining"))
+	if kind := d.fitBeforeEnd(r, now); kind != 0 {
+		return r, kind
+	}
 	p.Priority, p.Route = r.route.Priority, r.route.Name
-	keys := q.Header["Key"]
-	if conf.Keyed {
-		var tenant *configuration.Tenant
-		if len(keys) == 1 {
-			tenant = conf.TenantByKey(keys[0])
-		}
-		switch {
-		case tenant != nil:
-			p.Subscriber, p.Priority = tenant.Name, tenant.Priority
-			if back := d.quota(tenant); back > 0 {
-				r.deadline = back // for Retry-After
-				return r, outcome.Quota
-			}
-		case !r.route.Public:
-			return r, outcome.NoKey
-		}
+	tenant, kind := findTenant(conf, r.route, q.Header["Key"])
+	if kind != 0 {
+		return r, kind
 	}
 	ids := q.Header["Attempt-Id"]
 	if len(ids) != 1 || ids[0] == "" {
 		return r, outcome.Malformed
 	}
+	if tenant != nil {
+		p.Subscriber, p.Priority = tenant.Name, tenant.Priority
+		if r.retryAfter = d.quota(tenant); r.retryAfter > 0 {
+			return r, outcome.Quota
+		}
+	}
 	p.Attempt, p.Method, p.URI, p.Host = ids[0], q.Method, q.RequestURI, q.Host
-	p.Caller, p.Repeatable, p.Inner = d.o.Service, r.route.Kind.Repeatable(), conf.Keyed && len(keys) == 0
+	p.Caller, p.Repeatable = d.o.Service, r.route.Kind.Repeatable()
+	p.Service = r.route.Draw(d.random())
+	p.Header = forwardedHeader(q.Header)
+	return r, 0
+}
+
+// findTenant returns the tenant that holds a request's key; nil where the request needs none.
+func findTenant(conf *configuration.Config, route *configuration.Route, keys []string) (*configuration.Tenant, outcome.Kind) {
+	if !conf.Keyed {
+		return nil, 0
+	}
+	if len(keys) == 1 {
+		if tenant := conf.TenantByKey(keys[0]); tenant != nil {
+			return tenant, 0
+		}
+	}
+	if route.Public {
+		return nil, 0
+	}
+	return nil, outcome.NoKey
+}
+
+// setTimes sets a request's deadline and aim by its route and by what the client says that it has left, in milliseconds.
+func (r *request) setTimes(now time.Duration, remaining string) {
 	left, spent := r.route.Timeout, time.Duration(0)
-	if ms, err := strconv.ParseFloat(q.Header.Get("Time-Remaining"), 64); err == nil && ms >= 0 && ms < 1e9 {
+	if ms, err := strconv.ParseFloat(remaining, 64); err == nil && ms >= 0 && ms < 1e9 {
 		left = min(left, time.Duration(ms*float64(time.Millisecond)))
-		if !p.Inner { // a client that comes again has less left, and its aim counts from its first try
+		if !r.perform.Inner { // a client that comes again has less left, and its aim counts from its first try
 			spent = r.route.Timeout - left
 		}
 	}
@@ -133,22 +159,25 @@
 	default: // it is late already: it may wait, but not as long as those that can still be in time
 		r.aim = min(r.deadline, now+target/2)
 	}
-	p.Service = r.route.Draw(d.random())
+}
+
+// forwardedHeader returns the header fields that go on to the endpoint, names and values in turn.
+func forwardedHeader(h http.Header) (out []string) {
 	hop := map[string]bool{}
-	for _, v := range q.Header["Connection"] {
+	for _, v := range h["Connection"] {
 		for _, name := range splitComma(v) {
 			hop[textproto.CanonicalMIMEHeaderKey(name)] = true
 		}
 	}
-	for name, values := range q.Header {
+	for name, values := range h {
 		if own[name] || hop[name] || inbound.HopHeaders[name] {
 			continue
 		}
 		for _, v := range values {
-			p.Header = append(p.Header, name, v)
+			out = append(out, name, v)
 		}
 	}
-	return r, 0
+	return out
 }
 
 // quota takes a request out of a tenant's limit; if it is not there it says when to come back.
@@ -169,7 +198,7 @@
 
 func (d *Proxy) back(r *request, k outcome.Kind) time.Duration {
 	if k == outcome.Quota {
-		return max(r.deadline, 50*time.Millisecond)
+		return max(r.retryAfter, 50*time.Millisecond)
 	}
 	return k.Back()
 }
@@ -247,7 +276,7 @@
 	if d.ending.Load() {
 		h.Set("Connection", "close")
 	} else {
-		d.keep(h)
+		d.tellIdleLimit(h)
 	}
 	if res.kind == outcome.Answered {
 		o := res.outcome
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -36,37 +36,40 @@
 
 // Desk takes clients' requests.
 type Proxy struct {
-	o         Options
-	conf      atomic.Pointer[configuration.Config]
-	mu        sync.Mutex
-	balancers map[string]*serviceBalancer
-	zones     map[string]int
-	queue     []func(now time.Duration)
-	next      uint64
-	sidecars  int
-	open      atomic.Int64 // requests under way
-	bodies    atomic.Int64 // bytes of their bodies
-	ending    atomic.Bool
-	idlers    idlers
+	o           Options
+	conf        atomic.Pointer[configuration.Config]
+	mu          sync.Mutex
+	balancers   map[string]*serviceBalancer
+	zones       map[string]int
+	queue       []func(now time.Duration)
+	next        uint64
+	sidecars    int
+	open        atomic.Int64 // requests under way
+	bodies      atomic.Int64 // bytes of their bodies
+	ending      atomic.Bool  // nothing new is taken
+	shutdown    atomic.Pointer[shutdownPlan]
+	lastAnswer  chan struct{} // closed when the time of the shutdown plan has come
+	connections clientConnections
 }
 
 // request is one client's request.
 type request struct {
-	id       gingerlead.RequestID
-	route    *configuration.Route
-	cast     *serviceBalancer
-	perform  inbound.ForwardRequest
-	aim      time.Duration
-	deadline time.Duration
-	attempts int
-	arrivals int
-	out      *attempt
-	last     *inbound.Outcome
-	mayRun   bool
-	done     bool
-	lapsed   bool  // given up; what is out is being withdrawn
-	held     int64 // bytes of its body that are counted
-	answered chan result
+	id         gingerlead.RequestID
+	route      *configuration.Route
+	cast       *serviceBalancer
+	perform    inbound.ForwardRequest
+	aim        time.Duration
+	deadline   time.Duration
+	attempts   int
+	arrivals   int
+	out        *attempt
+	last       *inbound.Outcome
+	mayRun     bool
+	done       bool
+	lapsed     bool          // given up; what is out is being withdrawn
+	held       int64         // bytes of its body that are counted
+	retryAfter time.Duration // of a request beyond its tenant's limit
+	answered   chan result
 }
 
 // attempt is one sending of a request.
@@ -88,7 +91,8 @@
 
 // New makes a proxy that knows no configuration yet.
 func New(o Options) *Proxy {
-	return &Proxy{o: o, balancers: map[string]*serviceBalancer{}, zones: map[string]int{}, sidecars: 1}
+	return &Proxy{o: o, balancers: map[string]*serviceBalancer{}, zones: map[string]int{}, sidecars: 1,
+		lastAnswer: make(chan struct{})}
 }
 
 // Now is the steady clock.
@@ -160,9 +164,6 @@
 // Open is how many requests are under way.
 func (d *Proxy) Open() int { return int(d.open.Load()) }
 
-// End has connections closed after their answers from now on.
-func (d *Proxy) End() { d.ending.Store(true) }
-
 // submit has a request served; its result comes once on the channel.
 func (d *Proxy) submit(r *request, priority int) {
 	times := 1 / float64(int(1)<<min(max(priority, 0), 16))
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -13,6 +13,8 @@
 	"gingerlead/internal/mesh/transport/codec"
 )
 
+const drainInterval = 10 * time.Millisecond // between two looks at links that end
+
 // Hub holds a process's links: those that it dialled, by address, and those that it accepted.
 type Hub struct {
 	Log     *logrus.Logger
@@ -243,13 +245,7 @@
 	for range time.Tick(lookEvery) {
 		now := h.Now()
 		h.mu.Lock()
-		all := make([]*Link, 0, len(h.links)+len(h.taken))
-		for _, l := range h.links {
-			all = append(all, l)
-		}
-		for l := range h.taken {
-			all = append(all, l)
-		}
+		all := h.every()
 		closing := h.closing
 		h.mu.Unlock()
 		if closing {
@@ -263,17 +259,45 @@
 	}
 }
 
-// Close ends all links.
-func (h *Hub) Close() {
+// Drain closes all links once what they have to say has gone out, at the given time at the latest. A peer learns of the end after
+// the last byte, so that no answer is lost to it.
+func (h *Hub) Drain(until time.Duration) {
+	for h.Now() < until && !h.finish() {
+		time.Sleep(drainInterval)
+	}
+	h.Close()
+}
+
+// finish has each link end after its last answer, and tells whether all have ended.
+func (h *Hub) finish() (ended bool) {
 	h.mu.Lock()
 	h.closing = true
-	all := make([]*Link, 0, len(h.links)+len(h.taken))
+	links := h.every()
+	h.mu.Unlock()
+	ended = true
+	for _, l := range links {
+		ended = l.finish() && ended
+	}
+	return ended
+}
+
+// every is all links; the lock is held.
+func (h *Hub) every() []*Link {
+	out := make([]*Link, 0, len(h.links)+len(h.taken))
 	for _, l := range h.links {
-		all = append(all, l)
+		out = append(out, l)
 	}
 	for l := range h.taken {
-		all = append(all, l)
+		out = append(out, l)
 	}
+	return out
+}
+
+// Close ends all links.
+func (h *Hub) Close() {
+	h.mu.Lock()
+	h.closing = true
+	all := h.every()
 	h.mu.Unlock()
 	for _, l := range all {
 		l.fail("closed")
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -114,12 +114,16 @@
 	rested bool
 	used   time.Duration // the last ask
 	up     bool
-	why    string
-	from   Hello
-	next   uint64
-	asks   map[uint64]*PendingCall
-	calls  map[uint64]*IncomingCall
-	parts  map[uint64]*IncomingCall // not whole yet
+	// the writer has bytes that it has not handed to the connection yet
+	writing bool
+	// the sending half is closed, after the last answer
+	finished bool
+	why      string
+	from     Hello
+	next     uint64
+	asks     map[uint64]*PendingCall
+	calls    map[uint64]*IncomingCall
+	parts    map[uint64]*IncomingCall // not whole yet
 
 	urgent deque.Deque[envelope]
 	small  deque.Deque[any] // *Ask and *reply that fit into one piece,
@@ -258,6 +262,27 @@
 	}
 }
 
+// finish closes the sending half of a link once every call has its answer and all answers have gone out, and tells whether the
+// link has ended. The peer then reads the last answer before the end, and closes the link.
+func (l *Link) finish() (ended bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.dead || l.conn == nil {
+		return true
+	}
+	waiting := len(l.calls) + l.small.Len() + l.large.Len() + l.urgent.Len()
+	if l.finished || l.writing || waiting > 0 {
+		return false
+	}
+	l.finished = true
+	if half, ok := l.conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite()
+	} else {
+		l.conn.Close()
+	}
+	return false
+}
+
 // line puts a message in line; the lock is held.
 func (l *Link) line(m any, size int) {
 	if size <= pieceMost {
@@ -352,6 +377,7 @@
 			defer l.hub.shape.end(*t)
 		}
 	}
+	l.writing = len(buf) > 0
 	return buf, wait
 }
 
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -198,3 +198,27 @@
 	rate := float64(bytes) / now.Seconds()
 	c.Assert(rate < 1.01*s.rate && rate > 0.9*s.rate, qt.IsTrue, qt.Commentf("%v of %v", rate, s.rate))
 }
+
+// A process that ends has its large answer go out whole over its slow link before the link closes; the caller gets it, not a
+// lost connection.
+func TestDrainLosesNoAnswer(t *testing.T) {
+	c := qt.New(t)
+	far, address, _ := hub(t, "far", 8<<20)
+	near, _, _ := hub(t, "near", 8<<20)
+	far.Shape(18e6)
+	held := make(chan *IncomingCall, 1)
+	far.Serve(2, func(c *IncomingCall) { held <- c })
+	type end struct {
+		body []byte
+		err  error
+	}
+	got := make(chan end, 1)
+	near.Send(address, 2, nil, 0, func(body []byte, err error) { got <- end{body, err} })
+	(<-held).AnswerBytes(make([]byte, 300_000))
+	far.Drain(far.Now() + 20*time.Second)
+	dialled, accepted := far.Links()
+	c.Assert(dialled+accepted, qt.Equals, 0)
+	x := <-got
+	c.Assert(x.err, qt.IsNil)
+	c.Assert(x.body, qt.HasLen, 300_000)
+}
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -9,6 +9,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"sync"
 	"time"
 )
@@ -84,10 +85,18 @@
 		time.Sleep(e.o.Work)
 	}
 	w.Header().Set("Endpoint-Seal", e.o.ID+"."+id)
+	defer writePadding(w, q.URL.Query().Get("bytes"))
 	fmt.Fprintf(w, "%s %s %s %s from %s for %q: %d bytes", e.o.ID, e.o.Service, q.Method, q.RequestURI,
 		q.Header.Get("Calling-Service"), q.Header.Get("Subscriber-Id"), len(body))
 }
 
+// writePadding makes an answer longer by as many bytes as a request's query asks for.
+func writePadding(w io.Writer, bytes string) {
+	if n, err := strconv.Atoi(bytes); err == nil && n > 0 {
+		_, _ = w.Write(make([]byte, n))
+	}
+}
+
 // Hold has requests that come from now on wait until the function that it returns is called.
 func (e *Endpoint) Hold() (release func()) {
 	hold := make(chan struct{})
