--- a/internal/mesh/dataplane/inbound/endpoint.go
+++ b/internal/mesh/dataplane/inbound/endpoint.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"net/textproto"
+	"slices"
 	"strconv"
 	"strings"
 	"syscall"
@@ -23,6 +24,7 @@
 	idleMost    = 4 * time.Second // that a connection stays idle where the endpoint does not say how long it may
 	idleMargin  = 1500 * time.Millisecond
 	strangers   = 4 // answers to other requests that are passed over before a connection is given up
+	refusedMost = 8 // requests that one connection turned away before it is given up
 )
 
 // HopHeaders concern one connection only, or are set by the system; they are not passed on. In canonical form.
@@ -35,16 +37,26 @@
 	net.Conn
 	r      *bufio.Reader
 	until  time.Duration // idle no longer than that
-	used   bool
-	broken bool
+	used   bool          // it has carried a request
+	broken bool          // it is not to carry another one
+	// ids of the requests that the endpoint turned away on it. Such an answer may come twice, the second time in the place of the
+	// next one; so the same request never goes out on this connection again.
+	refused []string
 }
 
+// mayCarry tells whether an answer on the connection can only be the answer to this sending of a request.
+func (c *connection) mayCarry(attempt string) bool { return !slices.Contains(c.refused, attempt) }
+
 // fresh tells whether an idle connection may carry one more request: nothing has come on it, and it is not closed.
 func (c *connection) fresh(now time.Duration) bool {
 	if now >= c.until || c.r.Buffered() > 0 {
 		return false
 	}
-	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	socket, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -80,50 +92,68 @@
 	return append(append(buf, "\r\n"...), p.Body...)
 }
 
-// exchange sends a request on a connection and reads its answer. An answer is taken only if it is whole and bears the
-// request's id: surplus ones come late, in the place of the next.
-func exchange(c *connection, p *ForwardRequest, head []byte, now func() time.Duration) (o Outcome) {
+// exchange sends a request on a connection and reads its answer. An answer is taken only if it is whole and bears the request's id:
+// surplus ones come late, in the place of the next.
+func exchange(c *connection, p *ForwardRequest, head []byte, now func() time.Duration) Outcome {
 	began := now()
-	o.Arrived = true
-	if _, err := c.Write(head); err != nil {
-		o.Kind = outcome.Broken
+	if n, err := c.Write(head); err != nil {
+		if n == 0 { // nothing of it has gone out
+			return Outcome{Kind: outcome.Unreachable}
+		}
+		return Outcome{Kind: outcome.Broken, Arrived: true}
+	}
+	o := Outcome{Arrived: true}
+	resp, body, kind := readAnswer(c, p)
+	if kind != 0 {
+		o.Kind = kind
 		return o
 	}
+	o.Work = now() - began
+	judge(&o, p, resp, body)
+	if o.Kind.NotRun() {
+		c.refused = append(c.refused, p.Attempt)
+	}
+	c.keep(resp, now())
+	return o
+}
+
+// readAnswer reads the answer to a request, past interim ones and those to other requests; the kind says why there is none.
+func readAnswer(c *connection, p *ForwardRequest) (*http.Response, []byte, outcome.Kind) {
+	alone := !c.used // no answer to an earlier request can come on it
 	for range strangers {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: p.Method})
-		if err != nil {
-			o.Kind = outcome.Broken
-			if !isBroken(err) {
-				o.Kind = outcome.Spoilt
-			}
-			return o
-		}
-		if resp.StatusCode < 200 {
+		switch {
+		case err != nil && isBroken(err):
+			return nil, nil, outcome.Broken
+		case err != nil:
+			return nil, nil, outcome.Spoilt
+		case resp.StatusCode < 200:
 			resp.Body.Close()
 			continue
 		}
-		body, err := readBody(resp)
+		body, err := readBody(resp, p.Method)
 		if err != nil {
-			o.Kind = outcome.Spoilt
-			return o
+			return nil, nil, outcome.Spoilt
 		}
-		if id := resp.Header.Get("Attempt-Id"); id != p.Attempt {
-			c.broken = true // no telling what else comes
-			if id == "" && resp.Header.Get("Not-Executed") == "" && resp.StatusCode != http.StatusMisdirectedRequest {
-				o.Kind = outcome.Spoilt
-				return o
-			}
-			if id != "" {
-				continue // the answer to another request
+		id := resp.Header.Get("Attempt-Id")
+		if id == p.Attempt {
+			return resp, body, 0
+		}
+		c.broken = true // no telling what else comes
+		if id == "" {
+			if alone && saysNotRun(resp) {
+				return resp, body, 0
 			}
+			return nil, nil, outcome.Spoilt
 		}
-		o.Work = now() - began
-		judge(&o, resp, body)
-		c.keep(resp, now())
-		return o
+		alone = false
 	}
-	o.Kind = outcome.Spoilt
-	return o
+	return nil, nil, outcome.Spoilt
+}
+
+// saysNotRun tells whether an answer says that the endpoint has not run the request.
+func saysNotRun(resp *http.Response) bool {
+	return resp.Header.Get("Not-Executed") != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
 // isBroken tells a connection that broke from bytes that are no answer.
@@ -133,8 +163,12 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
 }
 
-func readBody(resp *http.Response) ([]byte, error) {
+// readBody reads an answer's body whole.
+func readBody(resp *http.Response, method string) ([]byte, error) {
 	defer resp.Body.Close()
+	if method == http.MethodHead {
+		return nil, nil
+	}
 	if resp.ContentLength > answerMost {
 		return nil, errors.New("too large")
 	}
@@ -154,7 +188,7 @@
 }
 
 // judge says what an answer means.
-func judge(o *Outcome, resp *http.Response, body []byte) {
+func judge(o *Outcome, p *ForwardRequest, resp *http.Response, body []byte) {
 	h := resp.Header
 	o.Status = resp.StatusCode
 	switch {
@@ -174,7 +208,7 @@
 	}
 	o.Kind, o.Body = outcome.Answered, body
 	for name, values := range h {
-		if HopHeaders[name] {
+		if HopHeaders[name] && (name != "Content-Length" || p.Method != http.MethodHead) {
 			continue
 		}
 		for _, x := range values {
@@ -193,7 +227,7 @@
 
 // keep notes how long a connection may be kept after an answer.
 func (c *connection) keep(resp *http.Response, now time.Duration) {
-	if resp.Close || c.r.Buffered() > 0 {
+	if resp.Close || c.r.Buffered() > 0 || len(c.refused) > refusedMost {
 		c.broken = true
 		return
 	}
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -30,10 +30,11 @@
 	jobs    map[uint64]*job
 	idle    deque.Deque[*connection] // the longest idle first
 	looking bool
-	dead    func(life string)                // the endpoint refuses connections
-	refused int                              // connections in a row
-	sizes   map[string]float64               // mean bytes of an answer, by route
-	under   float64                          // expected bytes of the answers to come, of those that are large
+	dead    func(life string)  // the endpoint refuses connections
+	refused int                // connections in a row
+	sizes   map[string]float64 // mean bytes of an answer, by route
+	under   float64            // expected bytes of the answers to come, of those that are large
+	dialer  func(address string, timeout time.Duration) (net.Conn, error)
 	way     func(more float64) time.Duration // back: how long what is in line, and more bytes, take; nil for no time
 }
 
@@ -58,9 +59,17 @@
 // New makes the proxy to an endpoint's address. dead is called, without locks, when the endpoint refuses connections.
 func New(address string, now func() time.Duration, log *logrus.Logger, dead func(life string)) *Proxy {
 	return &Proxy{address: address, now: now, log: log, gate: admission.New(), jobs: map[uint64]*job{}, dead: dead,
-		sizes: map[string]float64{}}
+		sizes: map[string]float64{}, dialer: dialTCP}
 }
 
+func dialTCP(address string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	return d.Dial("tcp4", address)
+}
+
+// DialBy has connections to the endpoint dialled by f in place of TCP. It is called before the first request.
+func (d *Proxy) DialBy(f func(address string, timeout time.Duration) (net.Conn, error)) { d.dialer = f }
+
 // Tell says what is known of the endpoint.
 func (d *Proxy) Tell(life admission.Life, state admission.State) {
 	d.mu.Lock()
@@ -190,7 +199,7 @@
 	}
 	d.mu.Lock()
 	if c := j.conn; c != nil {
-		if j.conn = nil; c.broken || o.Kind == outcome.Broken || o.Kind == outcome.Spoilt || o.Kind == outcome.Silent || j.quit {
+		if j.conn = nil; c.broken || !o.Arrived || o.Kind == outcome.Broken || o.Kind == outcome.Spoilt || o.Kind == outcome.Silent || j.quit {
 			c.Close()
 		} else {
 			_ = c.SetDeadline(time.Time{})
@@ -221,21 +230,40 @@
 	}
 }
 
+// attempt sends a request out, once: a connection that took nothing of it gives way to another.
 func (d *Proxy) attempt(j *job) Outcome {
-	c, kind := d.connection(j)
-	if kind != 0 {
-		return Outcome{Kind: kind}
-	}
-	left := j.deadline - d.now()
-	if left <= 0 {
-		return Outcome{Kind: outcome.Late}
-	}
-	_ = c.SetDeadline(time.Now().Add(left))
-	o := exchange(c, j.p, appendRequest(nil, j.p, left), d.now)
-	if o.Kind == outcome.Broken && d.now() >= j.deadline-time.Millisecond {
-		o.Kind = outcome.Silent
+	for {
+		c, kind := d.connection(j)
+		if kind != 0 {
+			return Outcome{Kind: kind}
+		}
+		left := j.deadline - d.now()
+		if left <= 0 {
+			return Outcome{Kind: outcome.Late}
+		}
+		_ = c.SetDeadline(time.Now().Add(left))
+		used := c.used
+		o := exchange(c, j.p, appendRequest(nil, j.p, left), d.now)
+		c.used = true
+		switch {
+		case !o.Arrived && used:
+			d.give(j)
+			continue
+		case !o.Arrived: // accepted, and reset before it took anything: an endpoint that is full does so
+			o.Kind = outcome.Full
+		case o.Kind == outcome.Broken && d.now() >= j.deadline-time.Millisecond:
+			o.Kind = outcome.Silent
+		}
+		return o
 	}
-	return o
+}
+
+// give closes a request's connection.
+func (d *Proxy) give(j *job) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	j.conn.Close()
+	j.conn = nil
 }
 
 // connection is an idle one that is fresh, or a new one.
@@ -246,11 +274,11 @@
 			d.mu.Unlock()
 			return nil, outcome.Withdrawn
 		}
-		if d.idle.Len() == 0 {
+		c := d.takeIdle(j.p.Attempt)
+		if c == nil {
 			d.mu.Unlock()
 			break
 		}
-		c := d.idle.PopBack()
 		j.conn = c
 		d.mu.Unlock()
 		if c.fresh(d.now()) {
@@ -261,11 +289,11 @@
 		j.conn = nil
 		d.mu.Unlock()
 	}
-	dial := net.Dialer{Timeout: min(connectMost, j.deadline-d.now()), KeepAlive: -1}
-	if dial.Timeout <= 0 {
+	timeout := min(connectMost, j.deadline-d.now())
+	if timeout <= 0 {
 		return nil, outcome.Late
 	}
-	conn, err := dial.Dial("tcp4", d.address)
+	conn, err := d.dialer(d.address, timeout)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
@@ -282,6 +310,17 @@
 	return c, 0
 }
 
+// takeIdle takes the idle connection that was used last, of those that may carry an attempt; nil for none. The lock is held.
+func (d *Proxy) takeIdle(attempt string) *connection {
+	for i := d.idle.Len() - 1; i >= 0; i-- {
+		if c := d.idle.At(i); c.mayCarry(attempt) {
+			d.idle.Remove(i)
+			return c
+		}
+	}
+	return nil
+}
+
 // Serve declares the ask that brings requests from other sidecars.
 func (d *Proxy) Serve(h *transport.Hub) {
 	d.way = h.Backlog
--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -6,6 +6,8 @@
 	"net"
 	"net/http"
 	"strings"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -53,8 +55,12 @@
 }
 
 func perform(d *Proxy, attempt string, left time.Duration) *Outcome {
+	return performMethod(d, "GET", attempt, left)
+}
+
+func performMethod(d *Proxy, method, attempt string, left time.Duration) *Outcome {
 	got := make(chan *Outcome, 1)
-	p := &ForwardRequest{Endpoint: "i-1", Service: "s", Method: "GET", URI: "/a?b=c", Host: "h", Attempt: attempt, Caller: "from"}
+	p := &ForwardRequest{Endpoint: "i-1", Service: "s", Method: method, URI: "/a?b=c", Host: "h", Attempt: attempt, Caller: "from"}
 	d.Forward(p, d.now()+left, d.now()+left, func(o *Outcome) { got <- o })
 	return <-got
 }
@@ -121,6 +127,96 @@
 	}
 }
 
+// An endpoint's word that it turned a request away is taken only where it can't belong to another sending: with no id on a
+// connection that carried something before it may be of any request, and with the request's own id it may be of an earlier sending.
+func TestARefusalOfAnEarlierSendingIsNotTaken(t *testing.T) {
+	turnedAway := "HTTP/1.1 503 Full\r\n%sNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	answer := "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
+	t.Run("the same id", func(t *testing.T) {
+		c := qt.New(t)
+		var first atomic.Bool
+		d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) {
+			id := q.Header.Get("Attempt-Id")
+			if !first.Swap(true) || n > 0 { // on the same connection: the surplus one comes late, while the request runs
+				fmt.Fprintf(conn, turnedAway, "Attempt-Id: "+id+"\r\n")
+				return
+			}
+			fmt.Fprintf(conn, answer, id)
+		}))
+		c.Assert(perform(d, "x", 10*time.Second).Kind, qt.Equals, outcome.TurnedAway)
+		c.Assert(perform(d, "x", 10*time.Second).Kind, qt.Equals, outcome.Answered)
+	})
+	t.Run("no id", func(t *testing.T) {
+		c := qt.New(t)
+		d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) {
+			if n > 0 {
+				fmt.Fprintf(conn, turnedAway, "")
+				return
+			}
+			fmt.Fprintf(conn, answer, q.Header.Get("Attempt-Id"))
+		}))
+		c.Assert(perform(d, "a", 10*time.Second).Kind, qt.Equals, outcome.Answered)
+		c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.Spoilt)
+	})
+	t.Run("no id, the first on its connection", func(t *testing.T) {
+		c := qt.New(t)
+		d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) { fmt.Fprintf(conn, turnedAway, "") }))
+		c.Assert(perform(d, "a", 10*time.Second).Kind, qt.Equals, outcome.TurnedAway)
+	})
+}
+
+// The answer to HEAD has the length of a body that does not come.
+func TestAnswerToHead(t *testing.T) {
+	c := qt.New(t)
+	d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) {
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 400\r\n\r\n", q.Header.Get("Attempt-Id"))
+	}))
+	for _, id := range []string{"a", "b"} {
+		o := performMethod(d, "HEAD", id, 10*time.Second)
+		c.Assert(o.Kind, qt.Equals, outcome.Answered)
+		c.Assert(o.Body, qt.HasLen, 0)
+		c.Assert(strings.Join(o.Header, " "), qt.Contains, "Content-Length 400")
+	}
+}
+
+// A connection that takes nothing of a request has not run it: the request goes on to another one, and if there is none either it
+// has surely not run.
+func TestARequestThatDidNotGoOutHasNotRun(t *testing.T) {
+	c := qt.New(t)
+	address := endpoint(t, func(conn net.Conn, q *http.Request, n int) {
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 0\r\n\r\n", q.Header.Get("Attempt-Id"))
+	})
+	d := newProxy(address)
+	deaf := false
+	var conns []*refusingConn
+	d.DialBy(func(address string, timeout time.Duration) (net.Conn, error) {
+		conn, err := net.DialTimeout("tcp4", address, timeout)
+		conns = append(conns, &refusingConn{Conn: conn, deaf: deaf})
+		return conns[len(conns)-1], err
+	})
+	c.Assert(perform(d, "a", 10*time.Second).Kind, qt.Equals, outcome.Answered)
+	conns[0].deaf = true
+	c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.Answered)
+	c.Assert(conns, qt.HasLen, 2)
+	conns[1].deaf, deaf = true, true
+	o := perform(d, "c", 10*time.Second)
+	c.Assert(o.Kind, qt.Equals, outcome.Full)
+	c.Assert(o.Arrived, qt.IsFalse)
+}
+
+// refusingConn takes nothing once it is deaf.
+type refusingConn struct {
+	net.Conn
+	deaf bool
+}
+
+func (r *refusingConn) Write(b []byte) (int, error) {
+	if r.deaf {
+		return 0, syscall.ECONNRESET
+	}
+	return r.Conn.Write(b)
+}
+
 func TestNobodyThereIsNotRun(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -284,7 +284,8 @@
 		for i := 0; i+1 < len(o.Header); i += 2 {
 			h[o.Header[i]] = append(h[o.Header[i]], o.Header[i+1])
 		}
-		if o.Status != http.StatusNoContent && o.Status != http.StatusNotModified {
+		bodiless := o.Status == http.StatusNoContent || o.Status == http.StatusNotModified
+		if !bodiless && h["Content-Length"] == nil { // that of an answer to HEAD is the endpoint's
 			h["Content-Length"] = []string{strconv.Itoa(len(o.Body))}
 		}
 		w.WriteHeader(o.Status)
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -28,6 +28,7 @@
 	taken   map[*Link]bool
 	serve   map[uint64]func(*IncomingCall)
 	lost    func(address, why string)
+	dialer  func(address string) (net.Conn, error)
 	closing bool
 
 	sentBytes, sentFrames, receivedBytes, receivedFrames atomic.Uint64
@@ -52,7 +53,7 @@
 func NewHub(self Hello, start time.Time, most int, log *logrus.Logger) *Hub {
 	self.Version = version
 	h := &Hub{Log: log, self: self, start: start, most: most, links: map[string]*Link{}, taken: map[*Link]bool{},
-		serve: map[uint64]func(*IncomingCall){}}
+		serve: map[uint64]func(*IncomingCall){}, dialer: dialTCP}
 	go h.watch()
 	return h
 }
@@ -68,6 +69,9 @@
 // OnLost has f called, without locks, when a link that this process dialled ends, unless it was closed here as idle.
 func (h *Hub) OnLost(f func(address, why string)) { h.lost = f }
 
+// DialBy has links dialled by f in place of TCP. It is called before the hub sends anything.
+func (h *Hub) DialBy(f func(address string) (net.Conn, error)) { h.dialer = f }
+
 // Serve has f called for each ask of a method, on the link's reader: it must not block.
 func (h *Hub) Serve(method uint64, f func(*IncomingCall)) { h.serve[method] = f }
 
@@ -144,14 +148,19 @@
 		return l
 	}
 	l := newLink(h, address)
+	l.dialled = true
 	h.links[address] = l
 	go h.dial(l)
 	return l
 }
 
-func (h *Hub) dial(l *Link) {
+func dialTCP(address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialMost, KeepAlive: -1}
-	conn, err := d.Dial("tcp4", l.peer)
+	return d.Dial("tcp4", address)
+}
+
+func (h *Hub) dial(l *Link) {
+	conn, err := h.dialer(l.peer)
 	if err != nil {
 		l.fail(err.Error())
 		return
@@ -167,7 +176,7 @@
 	l.mu.Lock()
 	l.conn = conn
 	l.urgent.PushFront(envelope{kind: uint64(hello), body: codec.Write(nil, &h.self)})
-	l.heard = h.Now()
+	l.heard, l.connected = h.Now(), h.Now()
 	dead := l.dead
 	l.mu.Unlock()
 	if dead {
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -20,6 +20,7 @@
 	quietMost   = 300 * time.Millisecond  // without a word, while something is awaited: a ping goes out
 	restMost    = 2 * time.Second         // the same while nothing is
 	idleMost    = 30 * time.Second        // without an ask: whoever dialled closes it
+	helloMost   = 1000 * time.Millisecond // until the peer has greeted on a new connection
 	silentMost  = 1000 * time.Millisecond // after a ping without a word: the link is dead
 	wokenAfter  = 500 * time.Millisecond  // between two looks that should be closer: this process stood still
 	lookEvery   = 100 * time.Millisecond
@@ -110,6 +111,9 @@
 	mu   sync.Mutex
 	wake chan struct{}
 	dead bool
+	// this process dialled it: it sends calls, once the peer has greeted
+	dialled   bool
+	connected time.Duration
 	// closed here as idle, after the last answer
 	rested bool
 	used   time.Duration // the last ask
@@ -339,6 +343,10 @@
 	}
 }
 
+// greeted tells whether calls may go out. A process that does not run may have a connection that its kernel accepted: until its
+// hello has come, no call goes there, so none can begin when it wakes, and each surely has not run. The lock is held.
+func (l *Link) greeted() bool { return l.up || !l.dialled }
+
 // fill gathers what is to be written next: what is small first, then pieces of what is large as far as this process's share of
 // the machine's link allows. A wait says when there is more; nil that the link is dead.
 func (l *Link) fill(buf []byte) (_ []byte, wait time.Duration) {
@@ -357,6 +365,10 @@
 		buf = appendFrame(buf, &e)
 		l.hub.sentFrames.Add(1)
 	}
+	if !l.greeted() {
+		l.writing = len(buf) > 0
+		return buf, 0
+	}
 	for l.small.Len() > 0 && len(buf) < 4*pieceMost {
 		buf = l.piece(buf, now, &l.small, pieceMost)
 	}
@@ -455,6 +467,7 @@
 	}
 	switch kind(e.kind) {
 	case hello:
+		defer l.rouse() // calls may go out
 		defer l.mu.Unlock()
 		if l.up {
 			return trace.BadParameter("a second hello")
@@ -573,6 +586,9 @@
 	switch {
 	case l.dead || l.conn == nil:
 		l.mu.Unlock()
+	case !l.greeted() && !woken && now-l.connected > helloMost:
+		l.mu.Unlock()
+		l.fail("no hello")
 	case l.pinged != 0 && now-l.pinged > silentMost:
 		l.mu.Unlock()
 		l.fail("silent")
