--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -328,7 +328,7 @@
 		var p ForwardRequest
 		if err := codec.Read(c.Body, &p); err != nil {
 			d.log.WithField("peer", c.From.Name).Warn("inbound: " + err.Error())
-			c.Answer(&Outcome{Kind: outcome.Malformed})
+			c.Answer(&Outcome{Kind: outcome.Mistaken}) // it can't serve this caller
 			return
 		}
 		now := d.now()
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -142,6 +142,11 @@
 		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Mistaken}) })
 		return
 	}
+	if r.mayRun && !r.route.Kind.Repeatable() { // the module does not ask for it; if it ever did, it is not done
+		c.proxy.o.Log.WithField("attempt", r.perform.Attempt).Error("outbound: a request that may have run is not sent again")
+		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Withdrawn}) })
+		return
+	}
 	perform := r.perform
 	perform.Endpoint, perform.Left, perform.Aim = p.ID, r.deadline-now, r.aim-now
 	done := func(o *inbound.Outcome) {
@@ -168,7 +173,7 @@
 		return &inbound.Outcome{Kind: outcome.Full}
 	}
 	o := &inbound.Outcome{}
-	if err := codec.Read(body, o); err != nil || o.Kind == 0 {
+	if err := codec.Read(body, o); err != nil || o.Kind == 0 || !o.Kind.Entry().Attempt {
 		return &inbound.Outcome{Kind: outcome.Spoilt, Arrived: true}
 	}
 	return o
@@ -208,39 +213,48 @@
 	if r.out == a {
 		r.out = nil
 	}
-	if !o.Kind.NotRun() {
-		r.mayRun = true
-	}
-	if o.Arrived {
-		r.arrivals++
-	}
-	if o.Kind != outcome.Withdrawn {
-		r.last = o
-	}
-	st := status(o, a.quit)
-	final := r.done
-	if !final && (st == gingerlead.OK || o.Kind == outcome.Answered && !r.route.Kind.Repeatable()) {
-		final = true
+	r.note(o)
+	repeatable := r.route.Kind.Repeatable()
+	next := o.Kind.Next(o.Status, repeatable)
+	final := r.done || next == outcome.Deliver
+	if next == outcome.Deliver {
 		c.proxy.answer(r, result{kind: outcome.Answered, outcome: o})
 	}
 	if r.lapsed && !r.done {
 		c.proxy.close(r)
 	}
-	last := false
-	if !final && st != gingerlead.OK {
-		last = r.attempts >= triesMost
-		if o.Arrived && !last { // another one would be a further arrival at the service
-			last = r.arrivals >= max(r.route.MaxAttempts, 1) || !c.repeats.Take(now, c.proxy.o.Bounds.BudgetRatio,
-				c.proxy.o.Bounds.BudgetSlack, c.proxy.sidecars)
-		}
+	last := r.lapsed || next == outcome.Stop || r.mayRun && !repeatable
+	if !final && !last {
+		last = r.attempts >= triesMost || o.Arrived && !c.mayArriveAgain(now, r)
 	}
 	c.balancer.Outcome(now, gingerlead.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Final: final,
-		Elapsed: now - a.at, Status: st, Last: last || r.lapsed})
+		Elapsed: now - a.at, Status: status(o, a.quit), Last: last})
 	if r.done && r.out == nil {
 		delete(c.requests, r.id)
 	}
 }
 
+// note remembers what an attempt's end says of its request.
+func (r *request) note(o *inbound.Outcome) {
+	if !o.Kind.NotRun() {
+		r.mayRun = true
+	}
+	if o.Arrived {
+		r.arrivals++
+	}
+	if o.Kind != outcome.Withdrawn {
+		r.last = o
+	}
+}
+
+// mayArriveAgain tells whether a request that has reached an endpoint may be sent to one more: by its route, and by the fleet's budget
+// of repeats, out of which it takes one.
+func (c *serviceBalancer) mayArriveAgain(now time.Duration, r *request) bool {
+	bounds := &c.proxy.o.Bounds
+	return r.arrivals < max(r.route.MaxAttempts, 1) &&
+		c.repeats.Take(now, bounds.BudgetRatio, bounds.BudgetSlack, c.proxy.sidecars)
+}
+
 // Refuse is the module's final answer: nobody serves it (gingerlead.Host).
 func (c *serviceBalancer) Refuse(id gingerlead.RequestID, retryAfter time.Duration) {
 	c.finish(id, retryAfter)
