--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"os"
 	"strings"
 	"sync"
@@ -21,6 +23,7 @@
 	"gingerlead/internal/mesh/dataplane/admission"
 	"gingerlead/internal/mesh/dataplane/inbound"
 	"gingerlead/internal/mesh/dataplane/outbound"
+	"gingerlead/internal/mesh/dataplane/outcome"
 	"gingerlead/internal/mesh/discovery"
 	"gingerlead/internal/mesh/operations/settings"
 	"gingerlead/internal/mesh/transport"
@@ -424,3 +427,199 @@
 		t.Errorf("some end of a request was not brought about: %v", total)
 	}
 }
+
+// pair is a caller's sidecar a, and sidecar b with an endpoint that has no flaws, on a network without faults.
+type pair struct {
+	n        *network
+	a, b     *sidecar
+	endpoint *flawedEndpoint
+}
+
+func startPair(t *testing.T) *pair {
+	p := &pair{n: newNetwork(1, false)}
+	p.a, p.b = startSidecar(t, p.n, "a", 1), startSidecar(t, p.n, "b", 2)
+	e, l := startEndpoint(p.n, "b:9", "i-b", false)
+	p.endpoint = e
+	p.b.closers = append(p.b.closers, l)
+	p.b.inbound.Tell(admission.Life{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
+	p.a.outbound.Told("s", []discovery.Endpoint{{ID: "i-b", Service: "s", Host: "b:7", Zone: "z", State: discovery.Serving, Slots: 3}})
+	return p
+}
+
+func (p *pair) close() {
+	p.a.close()
+	p.b.close()
+	p.endpoint.close()
+	time.Sleep(time.Second)
+}
+
+// connect opens a client's connection to sidecar a.
+func (p *pair) connect() net.Conn {
+	near, far := net.Pipe()
+	p.n.listeners["a:8"].come <- far
+	return near
+}
+
+// ask sends a request and returns the status of its answer.
+func (p *pair) ask(t *testing.T, method, id string, left time.Duration) int {
+	conn := p.connect()
+	defer conn.Close()
+	go fmt.Fprintf(conn, "%s /non_idempotent/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Remaining: %d\r\n\r\n", method, id, left.Milliseconds())
+	a, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
+	qt.Assert(t, err, qt.IsNil)
+	_, err = io.Copy(io.Discard, a.Body)
+	qt.Assert(t, err, qt.IsNil)
+	return a.StatusCode
+}
+
+func (p *pair) ran(id string) int {
+	p.endpoint.mu.Lock()
+	defer p.endpoint.mu.Unlock()
+	return p.endpoint.runs[id]
+}
+
+// The kernel of a process that stands still takes connections: a call goes out only once the process itself has greeted, so what
+// was meant for it has not run and is refused as such, and nothing begins when it wakes.
+func TestNoCallGoesToAProcessThatStandsStill(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		p := startPair(t)
+		defer p.close()
+		p.n.node("b").freeze(4 * time.Second)
+		c.Assert(p.ask(t, "POST", "one", 2*time.Second), qt.Equals, 503)
+		time.Sleep(5 * time.Second)
+		c.Assert(p.ran("one"), qt.Equals, 0)
+		c.Assert(p.ask(t, "POST", "two", 2*time.Second), qt.Equals, 200)
+		c.Assert(p.ran("two"), qt.Equals, 1)
+	})
+}
+
+// A process that stands still with calls in its buffers begins none of them when it wakes, if their time is up. The caller could
+// not know, and promises nothing.
+func TestAFrozenProcessBeginsNothingLate(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		p := startPair(t)
+		defer p.close()
+		c.Assert(p.ask(t, "POST", "first", 2*time.Second), qt.Equals, 200)
+		p.n.node("b").freeze(900 * time.Millisecond)
+		c.Assert(p.ask(t, "POST", "late", 400*time.Millisecond), qt.Equals, 504)
+		time.Sleep(5 * time.Second)
+		c.Assert(p.ran("late"), qt.Equals, 0)
+	})
+}
+
+// The answer to HEAD is taken without its body, also from an endpoint that sends one: those bytes are no other request's answer.
+func TestHeadGoesThrough(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := startPair(t)
+		defer p.close()
+		qt.Assert(t, p.ask(t, "HEAD", "head", 2*time.Second), qt.Equals, 200)
+		qt.Assert(t, p.ask(t, "GET", "next", 2*time.Second), qt.Equals, 200)
+	})
+}
+
+// A client that closes its sending half, or goes, gets what is known of its request, never an answer that nobody gave.
+func TestAClientThatHasGoneGetsNoEmptySuccess(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		p := startPair(t)
+		defer p.close()
+		p.n.node("b").freeze(2 * time.Second)
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		q := httptest.NewRequestWithContext(ctx, "POST", "/non_idempotent/x", nil)
+		q.Host = "h"
+		q.Header.Set("Attempt-Id", "gone")
+		w := httptest.NewRecorder()
+		p.a.server.Handler.ServeHTTP(w, q)
+		c.Assert(w.Code, qt.Equals, 503)
+		time.Sleep(3 * time.Second)
+		c.Assert(p.ran("gone"), qt.Equals, 0)
+	})
+}
+
+// A process that is about to end takes a request only if it can be served by then, and gives up what is not.
+func TestRequestsNearTheEnd(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		p := startPair(t)
+		defer p.close()
+		c.Assert(p.ask(t, "POST", "before", 2*time.Second), qt.Equals, 200)
+		end := p.a.hub.Now() + 1200*time.Millisecond
+		p.a.outbound.EndBy(end)
+		c.Assert(p.ask(t, "POST", "fits", 2*time.Second), qt.Equals, 200) // twice its target of 500 ms
+		p.n.node("b").freeze(5 * time.Second)
+		c.Assert(p.ask(t, "POST", "held", 2*time.Second), qt.Equals, 504)
+		c.Assert(p.a.hub.Now() <= end, qt.IsTrue, qt.Commentf("%v", p.a.hub.Now()))
+		c.Assert(p.ask(t, "POST", "after", 2*time.Second), qt.Equals, 503)
+		time.Sleep(6 * time.Second)
+		c.Assert(p.ran("held")+p.ran("after"), qt.Equals, 0)
+	})
+}
+
+// Each end of an attempt, by each kind of request, through the proxies: how often the request is sent, and what its client is
+// answered.
+func TestEachEndOfAnAttemptByKindOfRequest(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		for kind := outcome.Answered; kind <= outcome.Broken; kind++ {
+			for _, route := range []string{"idempotent", "downlink", "non_idempotent"} {
+				if !kind.Entry().Attempt {
+					continue
+				}
+				status := 200
+				if kind == outcome.Answered {
+					status = 500
+				}
+				sent, got := endOnce(t, kind, status, route)
+				name := qt.Commentf("%s, %s", kind, route)
+				switch next := kind.Next(status, route != "non_idempotent"); next {
+				case outcome.Deliver:
+					c.Check([]int{sent, got}, qt.DeepEquals, []int{1, 500}, name)
+				case outcome.SendAgain, outcome.Repeat:
+					c.Check([]int{sent, got}, qt.DeepEquals, []int{2, 200}, name)
+				default:
+					c.Check([]int{sent, got}, qt.DeepEquals, []int{1, kind.Entry().Status}, name)
+				}
+			}
+		}
+	})
+}
+
+// endOnce has the first attempt of a request end as given, and others be served; it returns how many there were, and the status that
+// the client got.
+func endOnce(t *testing.T, kind outcome.Kind, status int, route string) (sent, got int) {
+	n := newNetwork(1, false)
+	a := startSidecar(t, n, "a", 1)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	far := transport.NewHub(transport.Hello{Life: 2, Address: "b:7"}, time.Now(), 1<<20, log)
+	links := n.listen("b:7")
+	go far.Listen(links)
+	defer func() {
+		a.close()
+		far.Close()
+		links.Close()
+		time.Sleep(time.Second)
+	}()
+	far.Serve(inbound.MethodForward, func(call *transport.IncomingCall) {
+		if sent++; sent == 1 {
+			call.Answer(&inbound.Outcome{Kind: kind, Status: status, Arrived: !kind.NotRun()})
+			return
+		}
+		call.Answer(&inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true})
+	})
+	var known []discovery.Endpoint
+	for _, id := range []string{"i-1", "i-2", "i-3"} {
+		known = append(known, discovery.Endpoint{ID: id, Service: "s", Host: "b:7", Zone: "z", State: discovery.Serving, Slots: 3})
+	}
+	a.outbound.Told("s", known)
+	p := &pair{n: n}
+	conn := p.connect()
+	defer conn.Close()
+	go fmt.Fprintf(conn, "POST /%s/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: x\r\nTime-Remaining: 1500\r\nContent-Length: 0\r\n\r\n", route)
+	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	qt.Assert(t, err, qt.IsNil)
+	return sent, answer.StatusCode
+}
