--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -553,12 +553,18 @@
 		synctest.Wait()
 		end := p.a.hub.Now() + 1200*time.Millisecond
 		p.a.outbound.EndBy(end)
-		c.Assert(p.ask(t, "POST", "held", 2*time.Second), qt.Equals, 504)
+		held := make(chan int, 1)
+		go func() { held <- p.ask(t, "POST", "held", 2*time.Second) }()
+		time.Sleep(300 * time.Millisecond)
+		asked := p.a.hub.Now()
+		c.Assert(p.ask(t, "POST", "does not fit", 2*time.Second), qt.Equals, 503)
+		c.Assert(p.a.hub.Now()-asked < 10*time.Millisecond, qt.IsTrue)
+		c.Assert(<-held, qt.Equals, 504)
 		c.Assert(<-before, qt.Equals, 504)
 		c.Assert(p.a.hub.Now() <= end, qt.IsTrue, qt.Commentf("%v", p.a.hub.Now()))
 		c.Assert(p.ask(t, "POST", "after", 2*time.Second), qt.Equals, 503)
 		time.Sleep(6 * time.Second)
-		c.Assert(p.ran("taken before")+p.ran("held")+p.ran("after"), qt.Equals, 0)
+		c.Assert(p.ran("taken before")+p.ran("held")+p.ran("does not fit")+p.ran("after"), qt.Equals, 0)
 	})
 }
 
