--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -7,24 +7,24 @@
 
 // States of a round.
 const (
-	Reading      State = iota // for what a majority accepted, without a ballot
-	Inconclusive              // asking wasn't enough: there is no majority for one word. A round with a ballot is needed
-	Preparing                 // waiting for promises
-	Accepting                 // waiting until a majority accepted
-	Done                      // Word is committed, and Verdict holds
-	Preempted                 // a majority can't be had any more. Another round with a higher ballot is needed
-	Stale                     // a newer list of voters is decided: Newer. Another round under it is needed
+	Reading      State = iota // which value a majority accepted; no ballot is used
+	Inconclusive              // no majority holds one vote: a round with a ballot is needed
+	Preparing                 // waits for promises
+	Accepting                 // waits until a majority has accepted
+	Done                      // Value is committed, and Verdict holds
+	Preempted                 // no majority can be had: another round with a higher ballot is needed
+	Stale                     // a newer list of voters is decided (NewerMembership): another round under it is needed
 )
 
-// Round is one proposer's attempt to learn the newest word, or to change it. Requests go to all voters; the replies come in
+// Round is one proposer's attempt to learn the newest value, or to change it. Requests go to all voters; the replies come in
 // by Step, in any order, late, or never.
 //
-// # Why asking may be enough
+// # Why a read may do without a ballot
 //
-// If a majority tells of one ballot b as their newest vote, its word was committed, as they all accepted it under b. And no
-// newer one was committed before the asking began: a majority would have accepted that under a higher ballot, and one of
-// them is among those asked. So a read writes nothing unless the votes differ; then it commits the newest word again under
-// a ballot of its own. The same holds for promises: with one ballot at a majority the word needs no further acceptance, and
+// If a majority reports one ballot b as its newest vote, its value was committed, as they all accepted it under b. And no
+// newer one was committed before the read began: a majority would have accepted that under a higher ballot, and one of
+// them is among those asked. So a read writes nothing unless the votes differ; then it commits the newest value again under
+// a ballot of its own. The same holds for promises: with one ballot at a majority the value needs no further acceptance, and
 // a change that is taken already, or lost, is answered after one exchange. A learned vote doesn't count in this, as who has it
 // may have promised a higher ballot before.
 type Round struct {
@@ -35,22 +35,22 @@
 	NewerMembership Membership // once Stale, or Done by a change of the voters
 
 	membership Membership
-	joint      []string // the list of a word of the next epoch, whose majority is needed as well
+	joint      []string // the voters of a value of the next epoch, whose majority is needed as well
 	ballot     Ballot
 	change     *Change
 	known      Vote
 	verdict    Verdict
-	value      Value // that is to be accepted
+	value      Value // to be accepted
 	replies    map[string]*Reply
 }
 
-// NewReading starts a round that only asks. Known is a vote whose word the asker has.
+// NewReadRound starts a round that only reads. known is a vote whose value the reader has.
 func NewReadRound(e Membership, known Vote) (*Round, *Request) {
 	r := &Round{State: Reading, membership: e, known: known, replies: map[string]*Reply{}}
 	return r, &Request{Kind: ReadVote, Known: known.Ballot, Epoch: e.Epoch, Membership: e}
 }
 
-// NewRound starts a round under a ballot that was never used. Without a change it commits the newest word again.
+// NewRound starts a round under a ballot that was never used. Without a change it commits the newest value again.
 func NewRound(e Membership, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
 	r := &Round{State: Preparing, membership: e, ballot: ballot, change: change, known: known,
 		replies: map[string]*Reply{}}
@@ -73,7 +73,7 @@
 
 func majority(n int) int { return n/2 + 1 }
 
-// most tells whether so many of a list are enough for a majority.
+// hasMajority tells whether those of a list for which has holds are a majority of it.
 func hasMajority(list []string, has func(node string) bool) bool {
 	n := 0
 	for _, v := range list {
@@ -84,7 +84,7 @@
 	return n >= majority(len(list))
 }
 
-// agreed tells whether replies hold majorities of all lists that are needed.
+// hasQuorum tells whether replies hold majorities of all lists that are needed.
 func (r *Round) hasQuorum(replies map[string]*Reply) bool {
 	has := func(node string) bool { return replies[node] != nil }
 	return hasMajority(r.membership.Voters, has) && (r.joint == nil || hasMajority(r.joint, has))
@@ -101,7 +101,7 @@
 	return r.State == Done || r.State == Preempted || r.State == Inconclusive || r.State == Stale
 }
 
-// GiveUp ends the wait for further replies: a reading that has a majority's is Divided, and any other round Outbid.
+// GiveUp ends the wait for further replies: a read that has a majority's is Inconclusive, and any other round Preempted.
 func (r *Round) GiveUp() {
 	switch {
 	case r.Over():
@@ -117,31 +117,26 @@
 
 // Step takes a voter's reply. What it returns, if anything, is to be sent to all Nodes.
 func (r *Round) Step(node string, reply *Reply) *Request {
-	want := map[State]ReplyKind{Reading: Reported, Preparing: Promise, Accepting: Accepted}
 	if r.Over() || reply.Ballot != r.ballot || r.replies[node] != nil || !slices.Contains(r.Nodes(), node) {
 		return nil
 	}
 	if reply.Promised.Compare(r.Highest) > 0 {
 		r.Highest = reply.Promised
 	}
-	switch reply.Kind {
-	case want[r.State]:
-	case StaleEpoch:
+	switch {
+	case reply.Kind == wanted[r.State]:
+		r.replies[node] = reply
+	case reply.Kind == StaleEpoch:
 		r.stale(reply.Membership)
 		return nil
-	case Rejected:
-		if r.State == Reading {
-			return nil
-		}
-	default:
-		return nil
-	}
-	r.replies[node] = reply
-	if reply.Kind == Rejected {
+	case reply.Kind == Rejected && r.State != Reading:
+		r.replies[node] = reply
 		if r.refused() {
 			r.State = Preempted
 		}
 		return nil
+	default:
+		return nil
 	}
 	if e := &reply.Vote.Value.Membership; e.Epoch > r.membership.Epoch+1 {
 		r.stale(e.previous())
@@ -151,36 +146,52 @@
 	if !r.hasQuorum(valid) {
 		return nil
 	}
-	if r.State == Accepting {
-		r.accepted()
+	switch r.State {
+	case Reading:
+		r.read(valid)
 		return nil
+	case Preparing:
+		return r.prepared(valid)
 	}
+	r.accepted()
+	return nil
+}
+
+// wanted is the reply that takes a round further, by its state.
+var wanted = map[State]ReplyKind{Reading: Reported, Preparing: Promise, Accepting: Accepted}
+
+// read decides on a read of which a majority has answered.
+func (r *Round) read(valid map[string]*Reply) {
 	newest, committed := r.newest(valid)
-	epoch := newest.Value.Membership.Epoch
-	switch {
+	switch epoch := newest.Value.Membership.Epoch; {
 	case epoch < r.membership.Epoch:
-		r.State = Preempted // it can't be
-		return nil
-	case r.State == Reading && epoch > r.membership.Epoch:
-		r.State = Inconclusive
-		return nil
-	case r.State == Reading && committed:
+		r.State = Preempted // can't be: a majority of this list has accepted a value of its epoch
+	case epoch > r.membership.Epoch:
+		r.State = Inconclusive // the newer list may be decided, or not
+	case committed:
 		r.done(newest)
+	case len(r.replies) == len(r.membership.Voters) || !r.canAgree(valid):
+		r.State = Inconclusive
+	}
+}
+
+// prepared decides on what is proposed, of which a majority of the list has promised. If the newest vote has a newer list, that
+// list has to promise as well: those who have answered answer the same again.
+func (r *Round) prepared(valid map[string]*Reply) *Request {
+	newest, committed := r.newest(valid)
+	next := &newest.Value.Membership
+	switch {
+	case next.Epoch < r.membership.Epoch:
+		r.State = Preempted // can't be, as in read
 		return nil
-	case r.State == Reading:
-		if len(r.replies) == len(r.membership.Voters) || !r.canAgree(valid) {
-			r.State = Inconclusive
-		}
-		return nil
-	case epoch > r.membership.Epoch && !slices.Equal(r.joint, newest.Value.Membership.Voters):
-		// Its list has to promise, too. Who has answered answers again, and nothing else by it.
-		r.joint = newest.Value.Membership.Voters
+	case next.Epoch == r.membership.Epoch:
+		r.joint = nil
+	case !slices.Equal(r.joint, next.Voters):
+		r.joint = next.Voters
 		if !r.hasQuorum(valid) {
 			return &Request{Kind: Prepare, Ballot: r.ballot, Known: r.known.Ballot, Epoch: r.membership.Epoch,
 				Membership: r.membership}
 		}
-	case epoch == r.membership.Epoch:
-		r.joint = nil
 	}
 	return r.propose(newest, committed)
 }
@@ -189,7 +200,7 @@
 func (r *Round) propose(newest Vote, committed bool) *Request {
 	r.value = newest.Value
 	if r.joint != nil {
-		r.change, committed = nil, false // the word stays as it is, until its list is in force
+		r.change, committed = nil, false // the value stays as it is until its list is decided
 	}
 	if r.change != nil {
 		verdict, next := r.change.judge(&newest.Value)
@@ -207,7 +218,7 @@
 	return &Request{Kind: Accept, Ballot: r.ballot, Value: r.value, Epoch: r.membership.Epoch, Membership: r.membership}
 }
 
-// accepted ends a round whose word has its majorities.
+// accepted ends a round whose value has its majorities.
 func (r *Round) accepted() {
 	vote := Vote{Ballot: r.ballot, Value: r.value}
 	if r.joint == nil {
@@ -269,7 +280,7 @@
 	return n
 }
 
-// canAgree tells whether the replies that are still missing could make a majority for the newest word.
+// canAgree tells whether the replies that are still missing could make a majority for the newest value.
 func (r *Round) canAgree(valid map[string]*Reply) bool {
 	newest, _ := r.newest(valid)
 	n := len(r.membership.Voters)
