--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 
 	"gingerlead/internal/mesh/transport/codec"
 )
@@ -112,6 +113,9 @@
 			r.State.Incarnations = Incarnations{}
 		}
 		r.State.Incarnations[q.Node] = q.Incarnation
+		r.State.Incarnations.bound(func(node string) bool {
+			return node == q.Node || decided.Has(node) || slices.Contains(decided.Previous, node) || r.Vote.Value.Membership.Has(node)
+		})
 		changed.State = true
 	default:
 		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, changed
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -110,6 +110,26 @@
 // Incarnations are, by voter, the newest incarnation that a replica was told of. A voter begins one when it lost its disk.
 type Incarnations map[string]uint64
 
+// incarnationsMax bounds how many a replica remembers. An entry matters to rounds under the epoch in which it was told, and the
+// one after: so many machines are not replaced within two epochs.
+const incarnationsMax = 128
+
+// bound drops the lowest, which as a rule are the oldest, of those that need not be kept.
+func (l Incarnations) bound(keep func(node string) bool) {
+	for len(l) > incarnationsMax {
+		drop := ""
+		for node, incarnation := range l {
+			if !keep(node) && (drop == "" || incarnation < l[drop] || incarnation == l[drop] && node < drop) {
+				drop = node
+			}
+		}
+		if drop == "" {
+			return
+		}
+		delete(l, drop)
+	}
+}
+
 type incarnation struct {
 	node string
 	n    uint64
--- a/internal/mesh/control/consensus/plan_test.go
+++ b/internal/mesh/control/consensus/plan_test.go
@@ -74,3 +74,18 @@
 	qt.Assert(t, PlanHandover(list(3), alive(4), "v3"), qt.Equals, MembershipChange{})
 	qt.Assert(t, PlanHandover(e, alive(4), "v1"), qt.Equals, MembershipChange{})
 }
+
+// Whatever peers ask, a replica remembers a bounded number of incarnations, and those of voters.
+func TestIncarnationsAreBounded(t *testing.T) {
+	r := FirstRecord("v0", list(3).Voters)
+	for i := range 3 * incarnationsMax {
+		node := fmt.Sprint("x", i)
+		if i == 5 {
+			node = "v1"
+		}
+		_, r, _ = r.Handle(&Request{Kind: Recover, Node: node, Incarnation: uint64(10 + i)})
+	}
+	qt.Assert(t, len(r.State.Incarnations), qt.Equals, incarnationsMax)
+	qt.Assert(t, r.State.Incarnations["v1"], qt.Equals, uint64(15))
+	qt.Assert(t, r.State.Incarnations[fmt.Sprint("x", 3*incarnationsMax-1)] > 0, qt.IsTrue)
+}
