--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -9,17 +9,18 @@
 	"github.com/gravitational/trace"
 )
 
-// recover makes the record of a process that has none. It learns the membership from any peer, and what the voters promised
-// and accepted from enough of them.
+// recover makes the record of a process that has none: the list of voters comes from any peer, and what the voters promised and
+// accepted from enough of them. A process outside the list may become a voter from then on.
 func (d *Server) recover(life uint64, blank bool) {
 	pause := recoverDelay
 	for ; d.ctx.Err() == nil; _ = d.pause(d.ctx, &pause) {
 		e := d.Membership()
 		var record consensus.Record
 		ok := false
-		if len(e.Voters) == 0 {
+		switch {
+		case len(e.Voters) == 0:
 			d.findMembership()
-		} else {
+		default:
 			record, ok, life = d.recoverReplica(e, life, blank)
 		}
 		if !ok {
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -65,6 +65,11 @@
 	highest   uint64               // of all ballots that were seen
 	known     consensus.Vote       // newest whose ballot and word are known to be committed
 	committed consensus.Value
+
+	readySince time.Time            // since when this process may vote
+	persisting bool                 // a newer list is being written
+	silent     []string             // voters that don't answer this process
+	presence   []consensus.Presence // of the other processes of the core
 }
 
 // Open starts a Desk. The disk is opened in the background, however long it takes.
@@ -111,11 +116,11 @@
 	return d.voters
 }
 
-// Accepted is the epoch of the newest vote of this process.
-func (d *Server) Accepted() uint64 {
+// Accepted is the epoch of the newest vote of this process; ready is false while its record isn't read from disk, or is lost.
+func (d *Server) Accepted() (epoch uint64, ready bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.accepted
+	return d.accepted, d.ready
 }
 
 func (d *Server) adoptMembership(e consensus.Membership) {
