--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -10,7 +10,7 @@
 
 func TestWrittenIsRead(t *testing.T) {
 	c := qt.New(t)
-	mark := VersionDigest{7, Digest{1, 2, 15: 3}}
+	mark := VersionDigest{7, Digest{1, 2, 7: 3}}
 	b := Ballot{3, "a#1"}
 	e := Membership{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
 	value := Value{7, []byte("body"), []VersionDigest{{2, Digest{}}, mark}, 1, []VersionDigest{mark}, e}
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -27,6 +27,8 @@
 	steps    int
 	healed   bool // no more faults
 	encoded  bool // all that is sent or synced goes through the codec
+	slow     int  // of 100 parcels
+	losses   int  // of disks, in 1000 steps at most
 	counts   map[string]int
 }
 
@@ -96,6 +98,7 @@
 // newModel makes a core of so many voters and spares; old tells that its register is prefilled.
 func newModel(seed uint64, voters, spares int, old bool) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 3)), counts: map[string]int{}, encoded: seed%8 == 0}
+	m.slow, m.losses = pick(m.rng, []int{3, 10, 25}), pick(m.rng, []int{2, 4, 12})
 	m.spec = specification{refused: map[VersionDigest]bool{}, voters: map[uint64][]string{}}
 	first := list(voters)
 	var value Value
@@ -257,7 +260,7 @@
 
 // post puts a parcel on the wire; some are slow, so that a process may be killed and recover before they arrive.
 func (m *model) post(x *parcel) {
-	if x.due = m.steps; m.chance(10) {
+	if x.due = m.steps; m.chance(m.slow) {
 		x.due += m.rng.IntN(modelSlow)
 	}
 	m.wire = append(m.wire, x)
@@ -507,7 +510,7 @@
 		for _, o := range m.replicas {
 			m.stop(o)
 		}
-	case n < 907:
+	case n < 903+m.losses:
 		m.wipe(p)
 	case !p.up:
 	case n < 940:
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -64,8 +64,9 @@
 	v.Text(2, &b.Node)
 }
 
-// Digest is the first half of the SHA-256 of a body.
-type Digest = [sha256.Size / 2]byte
+// Digest is the first 8 bytes of the SHA-256 of a body. It tells apart the few bodies that are sent under one version, and is
+// short as every message with a value holds hundreds.
+type Digest = [8]byte
 
 // VersionDigest names one change: the version that it makes, and its body.
 type VersionDigest struct {
@@ -73,7 +74,7 @@
 	Digest  Digest
 }
 
-// Fields implements codec.Message. Older records hold the whole SHA-256, of which the first half is read.
+// Fields implements codec.Message. Older records hold the whole SHA-256.
 func (d *VersionDigest) Fields(v *codec.Visitor) {
 	v.Uint(1, &d.Version)
 	sum := d.Digest[:]
@@ -84,7 +85,7 @@
 }
 
 const (
-	historyMax = 512 // versions that a value remembers, its own among them
+	historyMax = 256 // versions that a value remembers, its own among them
 	refusedMax = 64  // refused changes whose base may still come
 )
 
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -98,7 +98,7 @@
 // The bytes that a value needs beside its body stop growing with the number of changes.
 func TestHistoryStaysSmall(t *testing.T) {
 	c := qt.New(t)
-	for _, x := range []struct{ orders, most int }{{10, 200}, {100, 1750}, {1000, 8800}, {3000, 8800}} {
+	for _, x := range []struct{ orders, most int }{{10, 150}, {100, 1000}, {1000, 2400}, {3000, 2400}} {
 		w := dayOf(c, x.orders)
 		w.Body = nil
 		size := len(codec.Write(nil, w))
