--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -1,5 +1,5 @@
-// Package membership is who is there: each process keeps a partial view of the others and shuffles it with neighbours. It does no
-// I/O: time, randomness and messages are handed in, on a steady clock with any start.
+// Package membership is the view that each process keeps of the others: partial in large systems, and shuffled with neighbours.
+// It does no I/O; time, randomness and messages are arguments, and time is that of a steady clock with any start.
 package membership
 
 import (
@@ -28,7 +28,7 @@
 	App       string // that endpoint's address
 	Heartbeat uint64 // its own counter, which it raises at each pace
 	Seed      bool
-	Age       time.Duration // how long ago its beat was new, as far as the allocator knows
+	Age       time.Duration // how long ago its heartbeat was new, as far as the sender knows
 }
 
 // Fields names them.
@@ -57,7 +57,7 @@
 	return a == b
 }
 
-// Gone says that a life ended; it is believed while no beat beyond this one is known.
+// Gone reports that a life ended; it holds while no heartbeat above this one is known.
 type Gone struct {
 	Life      uint64
 	Address   string
@@ -77,12 +77,12 @@
 	Members []Member
 	Gone    []Gone
 	Reply   bool
-	Version uint64 // newest configuration that the sender holds; only carried here
+	Version uint64 // newest configuration that the sender holds; this package only carries it
 	Own     uint64 // digest of the sender's zone
 	All     uint64 // and of those that every view is to hold
-	Ages    []byte // of each zone in order, how long ago one who agreed was heard there, in halves of a second
-	Doubts  []Gone // lives that the sender can't reach: whoever can, has them beat
-	Anew    bool   // the one who is asked raises its beat
+	Ages    []byte // for each zone in order, how long ago a member there agreed on its members, in halves of a second
+	Doubts  []Gone // lives that the sender can't reach; a receiver that can has them raise their heartbeats
+	Anew    bool   // the receiver raises its heartbeat
 }
 
 // Fields names them.
@@ -107,11 +107,11 @@
 	Far       time.Duration // between two tries of a seed or of one that was dropped, however long ago
 	Rejoin    time.Duration // the same of one that was dropped within RejoinFor
 	RejoinFor time.Duration
-	Suspect   time.Duration // age of a beat from which its member is suspected,
+	Suspect   time.Duration // age of a heartbeat from which its member is suspected,
 	Drop      time.Duration // and dropped, if it is of the own zone or there are few others;
 	DropFar   time.Duration // when there are many or it is quiet, news of other zones takes longer, and their own members tell who is gone
-	Grace     time.Duration // from a broken connection until it is dropped, unless its beat advances
-	Wake      time.Duration // a tick that comes so late means that this process was frozen
+	Grace     time.Duration // from a broken connection until the member is dropped, unless its heartbeat advances
+	Wake      time.Duration // a call of Tick that comes so late means that this process was frozen
 	Own       int           // members kept of the own zone,
 	Other     int           // of each other zone,
 	Cores     int           // and core members
--- a/internal/mesh/discovery/membership/quiet.go
+++ b/internal/mesh/discovery/membership/quiet.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// While nothing happens, neighbours compare digests of the lives that they know, and say no more. Who agrees with a member of
-// a zone takes that zone's members for alive: they are watched by some others each, by connections that are kept, and whoever
-// loses one asks around and then tells its end as news.
+// While there is no news, neighbours compare digests of the lives that they know, and send nothing else. A process that agrees
+// with a member of a zone takes that zone's members for alive: each of them is watched by a few others over connections that are
+// kept, and one that loses such a connection asks other members, and then spreads the end as news.
 
-// surely is added to the beat of a life that the one after it, by its own word, has ended.
-const surely = 1 << 20
+// replacedMargin is added to the heartbeat of a life when the life that replaced it at its address has sent a message itself.
+const replacedMargin = 1 << 20
 
 // quiet is what a view knows of agreement.
 type quiet struct {
@@ -27,21 +27,21 @@
 
 func newQuiet() quiet { return quiet{confirmed: map[string]time.Duration{}, differed: -time.Hour} }
 
-// stir notes news at a time of the view; the first after a while goes out at once.
-func (v *View) stir(now time.Duration, what *time.Duration) {
+// noteNews notes news at one of the view's times; the first news after a while is sent at once.
+func (v *View) noteNews(now time.Duration, what *time.Duration) {
 	if v.calm(now) || what == &v.news && now-v.news > v.bounds.Pace && now-v.paced > v.bounds.Pace/4 {
 		v.next = min(v.next, now)
 	}
 	*what = now
 }
 
-// calm tells whether there was nothing to tell for a while.
+// calm tells whether there has been no news for a while.
 func (v *View) calm(now time.Duration) bool {
 	return v.quiet.agreed != 0 && now-v.quiet.agreed < v.bounds.Drop && now-max(v.news, v.quiet.differed) >= v.bounds.Settle &&
 		!slices.ContainsFunc(v.all, func(e *entry) bool { return e.state == missed })
 }
 
-// pace slows down as the last news lies back.
+// pace is the time between two shuffles; it grows with the time since the last news.
 func (v *View) pace(now time.Duration) time.Duration {
 	if !v.calm(now) {
 		return v.bounds.Pace
@@ -49,10 +49,10 @@
 	return max(v.bounds.Pace, min(v.bounds.Slow, (now-max(v.news, v.quiet.differed))/4))
 }
 
-// first is whom to ask first: in calm, those that are watched in turn with all others.
+// first is the member to shuffle with first: while calm, watched members in turn with all others.
 func (v *View) first(now time.Duration) *entry {
 	if v.calm(now) {
-		v.learn()
+		v.derive()
 		if v.quiet.turn++; v.quiet.turn%2 == 0 && len(v.quiet.watched) > 0 {
 			return v.quiet.watched[v.quiet.turn/2%len(v.quiet.watched)]
 		}
@@ -60,8 +60,8 @@
 	return v.neighbour(fresh)
 }
 
-// learn works out what depends on who is there.
-func (v *View) learn() {
+// derive works out what depends on who is there.
+func (v *View) derive() {
 	q := &v.quiet
 	if q.known {
 		return
@@ -91,8 +91,8 @@
 	v.watch(all)
 }
 
-// shifted has what depends on the members worked out anew.
-func (v *View) shifted() {
+// invalidate has what depends on the members worked out anew.
+func (v *View) invalidate() {
 	v.ranked, v.quiet.known = nil, false
 	v.quiet.changes++
 }
@@ -109,11 +109,11 @@
 
 // digests are sums over lives: of the own zone, and of those that every view is to hold.
 func (v *View) digests() (own, all uint64) {
-	v.learn()
+	v.derive()
 	return v.quiet.own, v.quiet.all
 }
 
-// seen is when a member was last known to be alive, by its beat or by agreement in its zone.
+// seen is when a member was last known to be alive, by its heartbeat or by agreement in its zone.
 func (v *View) seen(e *entry) time.Duration {
 	if at, ok := v.quiet.confirmed[e.Zone]; ok && e.state != missed {
 		return max(e.seen, at)
@@ -123,7 +123,7 @@
 
 // ages are of the zones in order; at 255 it is not known.
 func (v *View) ages(now time.Duration) []byte {
-	v.learn()
+	v.derive()
 	out := make([]byte, len(v.quiet.zones))
 	for i, zone := range v.quiet.zones {
 		out[i] = 255
@@ -134,14 +134,14 @@
 	return out
 }
 
-// compare tells whether a neighbour knows the same lives, which are then taken for alive.
+// compare tells whether a neighbour knows the same lives; these are then taken for alive.
 func (v *View) compare(now time.Duration, s *Shuffle) bool {
 	own, all := v.digests()
 	if s.All != all || s.From.Zone == v.self.Zone && s.Own != own {
 		if e := v.members[s.From.Life]; e != nil && s.Reply && v.calm(now) {
 			e.asked = -time.Hour // what was sent was brief: it is told next what it lacks
 		}
-		v.stir(now, &v.quiet.differed)
+		v.noteNews(now, &v.quiet.differed)
 		return false
 	}
 	q := &v.quiet
@@ -170,7 +170,7 @@
 	return out
 }
 
-// doubt hears that another can't reach a life: it is asked, and what it says is news for that one.
+// doubt takes note that another member can't reach a life: the life is asked, and its answer is news for that member.
 func (v *View) doubt(_ time.Duration, who *Member, d *Gone) {
 	if d.Life == v.self.Life {
 		v.self.Heartbeat = max(v.self.Heartbeat, d.Heartbeat+1)
@@ -182,7 +182,7 @@
 	}
 	switch {
 	case e.Heartbeat > d.Heartbeat:
-		e.told = 0
+		e.timesSent = 0
 	case e.doubt < d.Heartbeat:
 		e.doubt, e.doubted, e.awaited = d.Heartbeat, true, true
 	}
@@ -191,6 +191,8 @@
 	}
 }
 
-// beats is more often than one that was lost may have beaten, unheard of here, before: who heard so believes its end as well.
-// If it lives, it beats beyond that as soon as it hears of it.
-func (v *View) beats(e *entry) uint64 { return uint64(8 * max(e.since-e.seen, 0) / v.bounds.Pace) }
+// possibleHeartbeats is more than a lost member can have raised its heartbeat by, unheard of here, before it was lost: members
+// that heard so take its end too. If it is alive, it raises its heartbeat above that as soon as it hears of its end.
+func (v *View) possibleHeartbeats(e *entry) uint64 {
+	return uint64(8 * max(e.since-e.seen, 0) / v.bounds.Pace)
+}
--- a/internal/mesh/discovery/publish.go
+++ b/internal/mesh/discovery/publish.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Send is a record that is due at a home.
+// Send is a record that is to be sent to a home.
 type Send struct {
 	To       string
 	Endpoint Endpoint
 }
 
-// Publisher tells homes of the endpoint beside this process, and of its earlier lives until all know that they ended.
+// Publisher sends the record of the endpoint beside this process to homes, and those of its earlier lives until all homes know that
+// they ended.
 type Publisher struct {
 	bounds  Bounds
 	edition uint64
@@ -19,7 +20,7 @@
 	targets []string
 }
 
-// told is one life that is told of.
+// publication is one life that is published.
 type publication struct {
 	Endpoint
 	set     time.Duration // when it was last set
@@ -28,19 +29,19 @@
 	to      map[string]*target
 }
 
-// target is what one home has of one life.
+// target is what one home was sent of one life.
 type target struct {
 	sent    time.Duration
 	tried   bool
-	version uint64        // edition sent last
-	edition uint64        // acknowledged
-	renewed time.Duration // sending of the last one that was acknowledged
+	version uint64        // the edition sent last
+	edition uint64        // the edition acknowledged last
+	renewed time.Duration // when that one was sent
 }
 
-// NewPublisher makes one that has nothing to tell.
+// NewPublisher makes a publisher without endpoints.
 func NewPublisher(bounds Bounds) *Publisher { return &Publisher{bounds: bounds.Filled()} }
 
-// Set is the endpoint as its newest beat has it, or as it ended. Editions are given here. A new life ends the ones before.
+// Set takes the endpoint as its newest keepalive has it, or as it ended, and gives it its edition. A new life ends the earlier ones.
 func (p *Publisher) Set(now time.Duration, e Endpoint) {
 	var t *publication
 	for _, o := range p.own {
@@ -74,7 +75,7 @@
 	t.Endpoint, t.set, t.cold = e, now, now+e.Cold
 }
 
-// End says that a life deregistered or crashed.
+// End reports that a life deregistered or crashed.
 func (p *Publisher) End(now time.Duration, id string, s State) {
 	for _, t := range p.own {
 		if t.ID == id {
@@ -96,7 +97,7 @@
 	t.State, t.Edition, t.set = to, p.edition, now
 }
 
-// Targets names the homes as they are now.
+// Targets sets the homes as they are now.
 func (p *Publisher) Targets(_ time.Duration, homes []string) {
 	p.targets = slices.Clone(homes)
 	slices.Sort(p.targets)
@@ -110,14 +111,14 @@
 	}
 }
 
-// Forget makes a home be told anew: it has another life, or the connection to it broke.
+// Forget has everything sent to a home again: it has restarted, or the connection to it broke.
 func (p *Publisher) Forget(home string) {
 	for _, t := range p.own {
 		delete(t.to, home)
 	}
 }
 
-// Tick gives what is due: changes and new homes at once, what was not acknowledged again, and renewals.
+// Tick gives what is to be sent now: changes and records for new homes at once, what was not acknowledged again, and renewals.
 func (p *Publisher) Tick(now time.Duration) (due []Send) {
 	p.own = slices.DeleteFunc(p.own, func(t *publication) bool {
 		return t.State >= Crashed && (now-t.set >= p.bounds.Tombstone || t.State == Gone && p.acknowledged(t))
@@ -143,9 +144,9 @@
 
 func (p *Publisher) due(now time.Duration, t *publication, g *target) bool {
 	switch {
-	case !g.tried || g.version != t.Edition: // never sent so
+	case !g.tried || g.version != t.Edition: // it was never sent
 		return true
-	case g.edition != t.Edition || g.renewed != g.sent: // sent, not acknowledged
+	case g.edition != t.Edition || g.renewed != g.sent: // it was sent, and not acknowledged
 		return now-g.sent >= p.bounds.Retry
 	default:
 		return t.State < Crashed && now-g.sent >= p.bounds.Lease/3
@@ -161,7 +162,7 @@
 	return len(p.targets) > 0
 }
 
-// Acked says that a home has an edition of a life.
+// Acked reports that a home has an edition of a life.
 func (p *Publisher) Acked(_ time.Duration, home, id string, edition uint64) {
 	for _, t := range p.own {
 		if g := t.to[home]; t.ID == id && g != nil && edition == g.version {
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -1,95 +1,12 @@
-// Package discovery is the directory of endpoints: soft state under leases, alike at those who tell, at the homes of a service
-// and at its callers. It does no I/O: time is handed in, on a steady clock with any start.
 package discovery
 
 import (
 	"cmp"
 	"slices"
 	"time"
-
-	"gingerlead/internal/mesh/transport/codec"
-)
-
-// State of an endpoint, the worse the higher.
-type State uint8
-
-// The states.
-const (
-	Serving State = iota
-	Draining
-	Crashed // ended without a word
-	Gone    // deregistered, ended in order, or replaced
 )
 
-// Endpoint is one life of an endpoint, as it is told.
-type Endpoint struct {
-	ID       string
-	Service  string
-	Host     string // where the sidecar beside it is reached
-	HostLife uint64
-	App      string // its own address
-	Zone     string
-	Slots    int
-	State    State
-	Cold     time.Duration // left at the time of telling
-	Sequence uint64        // callSequence of the newest beat that this rests on
-	Edition  uint64        // raised by its allocator at each change beyond Sequence, over all the lives it tells of
-	Lease    time.Duration // left at the time of telling
-}
-
-// Fields names them.
-func (e *Endpoint) Fields(v *codec.Visitor) {
-	v.Text(1, &e.ID)
-	v.Text(2, &e.Service)
-	v.Text(3, &e.Host)
-	v.Fixed(4, &e.HostLife)
-	v.Text(5, &e.App)
-	v.Text(6, &e.Zone)
-	v.Small(7, &e.Slots)
-	state := uint64(e.State)
-	v.Uint(8, &state)
-	e.State = State(min(state, uint64(Gone)))
-	v.Time(9, &e.Cold)
-	v.Uint(10, &e.Sequence)
-	v.Uint(11, &e.Edition)
-	v.Time(12, &e.Lease)
-}
-
-// Bounds are the settings; what is zero has its default.
-type Bounds struct {
-	Lease     time.Duration // of a record
-	Tombstone time.Duration // how long an ended life is remembered
-	Tombs     int           // and how many
-	Quiet     time.Duration // a life that is not renewed for so long yields to another one at its address
-	Wake      time.Duration // an Expire that comes so late after the last means that this process was frozen
-	Retry     time.Duration // what was not acknowledged is told again
-	Ask       time.Duration // between two asks of a subscriber
-	Hold      time.Duration // how long an ask holds at the home
-	Width     int           // homes asked for each service
-}
-
-// Filled are the bounds with their defaults.
-func (b Bounds) Filled() Bounds {
-	fill(&b.Lease, 9*time.Second)
-	fill(&b.Tombstone, time.Minute)
-	fill(&b.Tombs, 4096)
-	fill(&b.Quiet, b.Lease/2)
-	fill(&b.Wake, 3*time.Second)
-	fill(&b.Retry, 300*time.Millisecond)
-	fill(&b.Ask, 2*time.Second)
-	fill(&b.Hold, 6*time.Second)
-	fill(&b.Width, 2)
-	return b
-}
-
-func fill[T comparable](x *T, to T) {
-	var zero T
-	if *x == zero {
-		*x = to
-	}
-}
-
-// post is a record on the board.
+// record is what a registry holds of one life.
 type record struct {
 	Endpoint
 	lease, cold time.Duration // their ends
@@ -99,10 +16,10 @@
 	gone        bool          // and its end
 	tomb        bool          // it is in tombs
 	absent      bool          // its lease ran out here, or another life at its address is renewed and it is not
-	version     uint64        // of the board at its last change or renewal
+	version     uint64        // of the registry at its last change or renewal
 }
 
-// shown is the state to the outside.
+// shown is the state that others see.
 func (p *record) shown() State {
 	switch {
 	case p.gone:
@@ -115,13 +32,14 @@
 	return p.State
 }
 
-func (p *record) told(now time.Duration) Endpoint {
+// current is the record as it is sent now.
+func (p *record) current(now time.Duration) Endpoint {
 	e := p.Endpoint
 	e.State, e.Lease, e.Cold = p.shown(), max(p.lease-now, 0), max(p.cold-now, 0)
 	return e
 }
 
-// Board is what one process knows of endpoints.
+// Registry is what one process knows of endpoints.
 type Registry struct {
 	bounds  Bounds
 	records map[string]*record
@@ -133,19 +51,19 @@
 	tombs   []*record         // those that ended, the oldest first, and some that came back
 }
 
-// New makes an empty board.
+// New makes an empty registry.
 func New(bounds Bounds) *Registry {
 	return &Registry{bounds: bounds.Filled(), records: map[string]*record{}, apps: map[string][]*record{}, service: map[string][]*record{}, floor: map[string]uint64{}}
 }
 
-// Tell merges a record; changed tells whether more than its lease, its sequence and its cold time did.
-func (b *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
+// Apply merges a record; changed tells whether more than its lease, its sequence and its cold time did.
+func (r *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
 	if e.ID == "" {
 		return false
 	}
-	p, took := b.records[e.ID], true
+	p, took := r.records[e.ID], true
 	if p == nil {
-		p = b.add(now, e)
+		p = r.add(now, e)
 		changed = true
 	} else {
 		was, before := p.shown(), p.Endpoint
@@ -154,23 +72,23 @@
 			before.Host != p.Host
 	}
 	if took || changed {
-		b.touch(now, p, changed)
+		r.touch(now, p, changed)
 	}
-	return b.supersede(now, p.App) || changed
+	return r.supersede(now, p.App) || changed
 }
 
-func (b *Registry) add(now time.Duration, e Endpoint) *record {
+func (r *Registry) add(now time.Duration, e Endpoint) *record {
 	p := &record{Endpoint: e, lease: now + e.Lease, cold: now + e.Cold, renewed: now, drained: e.State == Draining, gone: e.State == Gone}
-	b.records[p.ID] = p
-	b.apps[p.App] = append(b.apps[p.App], p)
-	i, _ := slices.BinarySearchFunc(b.service[p.Service], p.ID, byID)
-	b.service[p.Service] = slices.Insert(b.service[p.Service], i, p)
+	r.records[p.ID] = p
+	r.apps[p.App] = append(r.apps[p.App], p)
+	i, _ := slices.BinarySearchFunc(r.service[p.Service], p.ID, byID)
+	r.service[p.Service] = slices.Insert(r.service[p.Service], i, p)
 	return p
 }
 
 func byID(p *record, id string) int { return cmp.Compare(p.ID, id) }
 
-// merge is the one place where what is told changes a post. It tells whether it took anything.
+// merge is the only place where a record that was sent changes one held here. It tells whether anything was taken.
 func (p *record) merge(now time.Duration, e Endpoint) (took bool) {
 	e.App, e.Service = p.App, p.Service // of one life they stay
 	p.drained, p.gone = p.drained || e.State == Draining, p.gone || e.State == Gone
@@ -184,9 +102,10 @@
 	return took || order > 0
 }
 
-func (b *Registry) touch(now time.Duration, p *record, changed bool) {
-	b.version++
-	p.version = b.version
+// touch gives a record the next version of the registry.
+func (r *Registry) touch(now time.Duration, p *record, changed bool) {
+	r.version++
+	p.version = r.version
 	if !changed {
 		return
 	}
@@ -194,25 +113,25 @@
 		p.ended = now
 		if !p.tomb {
 			p.tomb = true
-			b.tombs = append(b.tombs, p)
+			r.tombs = append(r.tombs, p)
 		}
 	}
-	for len(b.tombs) > b.bounds.Tombs {
-		b.bury()
+	for len(r.tombs) > r.bounds.Tombs {
+		r.forgetOldest()
 	}
 }
 
-// bury forgets the oldest of the ended.
-func (b *Registry) bury() {
-	p := b.tombs[0]
-	b.tombs, p.tomb = b.tombs[1:], false
+// forgetOldest forgets the life that ended first.
+func (r *Registry) forgetOldest() {
+	p := r.tombs[0]
+	r.tombs, p.tomb = r.tombs[1:], false
 	if p.shown() < Crashed {
 		return // it came back
 	}
-	delete(b.records, p.ID)
-	b.floor[p.Service] = max(b.floor[p.Service], p.version)
-	without(b.apps, p.App, p)
-	without(b.service, p.Service, p)
+	delete(r.records, p.ID)
+	r.floor[p.Service] = max(r.floor[p.Service], p.version)
+	without(r.apps, p.App, p)
+	without(r.service, p.Service, p)
 }
 
 func without(in map[string][]*record, key string, p *record) {
@@ -223,14 +142,14 @@
 	}
 }
 
-// supersede ends those at an address whose own allocator has told of a later life there.
-func (b *Registry) supersede(now time.Duration, app string) (changed bool) {
-	at := b.apps[app]
+// supersede ends lives at an address whose own publisher has sent a later life there.
+func (r *Registry) supersede(now time.Duration, app string) (changed bool) {
+	at := r.apps[app]
 	for _, p := range at {
 		for _, q := range at {
 			if !p.gone && p.HostLife != 0 && p.HostLife == q.HostLife && p.Edition < q.Edition {
 				p.gone, changed = true, true
-				b.touch(now, p, true)
+				r.touch(now, p, true)
 			}
 		}
 	}
@@ -239,43 +158,44 @@
 
 // Expire ends leases that ran out, lets lives yield to renewed ones at their address, and forgets what ended long ago. It
 // returns those that changed. It is called at least each second: a gap counts as this process's own silence.
-func (b *Registry) Expire(now time.Duration) (changed []Endpoint) {
-	if woken := now-b.expired > b.bounds.Wake; woken { // renewals may lie unread
-		for _, p := range b.records {
-			p.lease, p.renewed = max(p.lease, now+b.bounds.Quiet), max(p.renewed, now)
+func (r *Registry) Expire(now time.Duration) (changed []Endpoint) {
+	if woken := now-r.expired > r.bounds.Wake; woken { // renewals may lie unread
+		for _, p := range r.records {
+			p.lease, p.renewed = max(p.lease, now+r.bounds.Quiet), max(p.renewed, now)
 		}
 	}
-	b.expired = now
-	for _, id := range b.ids() {
-		p := b.records[id]
+	r.expired = now
+	for _, id := range r.ids() {
+		p := r.records[id]
 		if p.shown() >= Crashed {
 			continue
 		}
-		if now < p.lease && !b.outlived(now, p) {
+		if now < p.lease && !r.outlived(now, p) {
 			continue
 		}
 		p.absent = true
-		b.touch(now, p, true)
-		changed = append(changed, p.told(now))
+		r.touch(now, p, true)
+		changed = append(changed, p.current(now))
 	}
-	for len(b.tombs) > 0 {
-		if p := b.tombs[0]; p.shown() >= Crashed && now-p.ended < b.bounds.Tombstone {
+	for len(r.tombs) > 0 {
+		if p := r.tombs[0]; p.shown() >= Crashed && now-p.ended < r.bounds.Tombstone {
 			break
 		}
-		b.bury()
+		r.forgetOldest()
 	}
 	return changed
 }
 
-func (b *Registry) outlived(now time.Duration, p *record) bool {
-	return now-p.renewed >= b.bounds.Quiet && slices.ContainsFunc(b.apps[p.App], func(q *record) bool {
-		return q != p && q.shown() < Crashed && now-q.renewed < b.bounds.Quiet
+// outlived tells whether another life at a record's address is renewed and the record is not.
+func (r *Registry) outlived(now time.Duration, p *record) bool {
+	return now-p.renewed >= r.bounds.Quiet && slices.ContainsFunc(r.apps[p.App], func(q *record) bool {
+		return q != p && q.shown() < Crashed && now-q.renewed < r.bounds.Quiet
 	})
 }
 
-func (b *Registry) ids() []string {
-	ids := make([]string, 0, len(b.records))
-	for id := range b.records {
+func (r *Registry) ids() []string {
+	ids := make([]string, 0, len(r.records))
+	for id := range r.records {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -284,44 +204,44 @@
 
 // List is what is known of a service's endpoints, those that ended too while they are remembered, with leases and cold times
 // as left now.
-func (b *Registry) List(now time.Duration, service string) (out []Endpoint) {
-	return b.after(now, service, 0)
+func (r *Registry) List(now time.Duration, service string) (out []Endpoint) {
+	return r.after(now, service, 0)
 }
 
-func (b *Registry) after(now time.Duration, service string, version uint64) (out []Endpoint) {
-	for _, p := range b.service[service] {
+func (r *Registry) after(now time.Duration, service string, version uint64) (out []Endpoint) {
+	for _, p := range r.service[service] {
 		if p.version > version {
-			out = append(out, p.told(now))
+			out = append(out, p.current(now))
 		}
 	}
 	return out
 }
 
 // All is what is known of all.
-func (b *Registry) All(now time.Duration) (out []Endpoint) {
-	for _, id := range b.ids() {
-		out = append(out, b.records[id].told(now))
+func (r *Registry) All(now time.Duration) (out []Endpoint) {
+	for _, id := range r.ids() {
+		out = append(out, r.records[id].current(now))
 	}
 	return out
 }
 
-// Since is what of a service changed or was renewed after a version of this board, and the version now. If ok is false, what
+// Since is what of a service changed or was renewed after a version of this registry, and the version now. If ok is false, what
 // was forgotten in between matters, and this is the whole list.
-func (b *Registry) Since(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
-	if version < b.floor[service] || version > b.version {
-		return b.List(now, service), b.version, false
+func (r *Registry) Since(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
+	if version < r.floor[service] || version > r.version {
+		return r.List(now, service), r.version, false
 	}
-	return b.after(now, service, version), b.version, true
+	return r.after(now, service, version), r.version, true
 }
 
 // At is the endpoint at an address: of several the best, then the one renewed last.
-func (b *Registry) At(now time.Duration, app string) (Endpoint, bool) {
-	at := b.apps[app]
+func (r *Registry) At(now time.Duration, app string) (Endpoint, bool) {
+	at := r.apps[app]
 	if len(at) == 0 {
 		return Endpoint{}, false
 	}
 	best := slices.MinFunc(at, func(p, q *record) int {
 		return cmp.Or(cmp.Compare(p.shown()/Crashed, q.shown()/Crashed), cmp.Compare(q.renewed, p.renewed), cmp.Compare(p.ID, q.ID))
 	})
-	return best.told(now), true
+	return best.current(now), true
 }
--- a/internal/mesh/discovery/subscribe.go
+++ b/internal/mesh/discovery/subscribe.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Home is a process that knows a service's endpoints, in one of its lives: versions are of one life.
+// Home is a process that holds a service's endpoints, in one of its lives: versions of a registry count within one life.
 type Home struct {
 	Address string
 	Life    uint64
 }
 
-// Ask is due at a home: what changed of a service since a version of its board. It renews the subscription as well.
+// Ask is a request to a home for what changed of a service since a version of its registry. It renews the subscription as well.
 type Ask struct {
 	To      string
 	Life    uint64 // of the home that Since is of: for another life it is 0
@@ -19,7 +19,7 @@
 	Since   uint64
 }
 
-// Subscription asks the homes of the services that a caller wants.
+// Subscription is a caller's side: it asks the homes of the services that the caller wants.
 type Subscription struct {
 	bounds   Bounds
 	services map[string][]*source
@@ -32,7 +32,7 @@
 	step    step
 	version uint64
 	got     time.Duration
-	next    time.Duration // ask
+	next    time.Duration // request
 }
 
 type step uint8
@@ -48,13 +48,13 @@
 	s.step, s.next = to, now+next
 }
 
-// NewSubscription makes one that wants nothing.
+// NewSubscription makes a subscription to nothing.
 func NewSubscription(bounds Bounds) *Subscription {
 	return &Subscription{bounds: bounds.Filled(), services: map[string][]*source{}}
 }
 
-// Want names the homes of a service as they are now, the first ones first; none: it is not wanted any more. The first Width
-// that are not broken are asked.
+// Want sets the homes of a service as they are now, the preferred ones first; none ends the subscription to it. The first Width
+// homes that are not broken are asked.
 func (s *Subscription) Want(_ time.Duration, service string, homes []Home) {
 	var now []*source
 	for _, h := range homes {
@@ -76,7 +76,7 @@
 	slices.Sort(s.order)
 }
 
-// Tick gives what is to be asked: new homes at once, the others again and again.
+// Tick gives the requests that are due: to new homes at once, to the others at intervals.
 func (s *Subscription) Tick(now time.Duration) (due []Ask) {
 	for _, service := range s.order {
 		width := s.bounds.Width
@@ -108,7 +108,7 @@
 	return due
 }
 
-// Got says that a home, in one of its lives, answered or told up to a version of its board.
+// Got reports that a home, in one of its lives, sent what it holds up to a version of its registry.
 func (s *Subscription) Got(now time.Duration, from Home, service string, version uint64) {
 	for _, h := range s.services[service] {
 		if h.Home == from {
@@ -120,7 +120,7 @@
 	}
 }
 
-// Lost says that the connection to a home broke: the others are asked at once.
+// Lost reports that the connection to a home broke: the others are asked at once.
 func (s *Subscription) Lost(now time.Duration, address string) {
 	for _, homes := range s.services {
 		if !slices.ContainsFunc(homes, func(h *source) bool { return h.Address == address }) {
@@ -136,18 +136,18 @@
 	}
 }
 
-// Subscribers are those who want to hear of services, at their home.
+// Subscribers is a home's side: who is to be notified of which services.
 type Subscribers struct {
 	bounds Bounds
 	until  map[string]map[string]time.Duration
 }
 
-// NewSubscribers makes an empty list.
+// NewSubscribers makes an empty list of subscribers.
 func NewSubscribers(bounds Bounds) *Subscribers {
 	return &Subscribers{bounds: bounds.Filled(), until: map[string]map[string]time.Duration{}}
 }
 
-// Hold is an ask of one of them.
+// Hold takes a request of a subscriber, which renews its subscription.
 func (s *Subscribers) Hold(now time.Duration, service, who string) {
 	if s.until[service] == nil {
 		s.until[service] = map[string]time.Duration{}
@@ -155,7 +155,7 @@
 	s.until[service][who] = now + s.bounds.Hold
 }
 
-// Lost says that the connection to one of them broke.
+// Lost reports that the connection to a subscriber broke.
 func (s *Subscribers) Lost(who string) {
 	for service := range s.until {
 		s.end(service, who)
@@ -169,7 +169,7 @@
 	}
 }
 
-// Notify are those who want to hear of a service now.
+// Notify gives the subscribers of a service now.
 func (s *Subscribers) Notify(now time.Duration, service string) (to []string) {
 	for who, until := range s.until[service] {
 		if now >= until {
