--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -10,12 +10,13 @@
 	"gingerlead/internal/mesh/transport"
 )
 
-// Book carries the core's agreement between its processes. Nodes are named by their control addresses, as in the settings.
+// ConsensusTransport carries requests of the agreement between core processes, which are named by their control addresses, as in
+// the settings.
 type ConsensusTransport struct{ agent *Agent }
 
-// Book declares the call by which other core processes reach serve.
-func (c *Agent) ServeConsensus(serve func(ctx context.Context, request []byte) ([]byte, error)) {
-	transport.Handle(c.o.Hub, methodConsensus, func(ctx context.Context, _ *transport.Hello, q *opaque) *opaque {
+// ServeConsensus registers the call by which other core processes reach serve.
+func (a *Agent) ServeConsensus(serve func(ctx context.Context, request []byte) ([]byte, error)) {
+	transport.Handle(a.o.Hub, methodConsensus, func(ctx context.Context, _ *transport.Hello, q *opaque) *opaque {
 		body, err := serve(ctx, q.Body)
 		if err != nil {
 			return nil
@@ -24,45 +25,45 @@
 	})
 }
 
-// Transport is the way to other core processes.
-func (c *Agent) ConsensusTransport() ConsensusTransport { return ConsensusTransport{c} }
+// ConsensusTransport is the way to other core processes.
+func (a *Agent) ConsensusTransport() ConsensusTransport { return ConsensusTransport{a} }
 
-// Ask asks one of them.
-func (b ConsensusTransport) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
-	peer := b.agent.peer(node)
+// Ask sends a request to a core process and waits for its reply.
+func (t ConsensusTransport) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
+	peer := t.agent.peer(node)
 	if peer == "" {
 		return nil, trace.BadParameter("node %q is no address", node)
 	}
-	a, err := transport.Request[opaque](ctx, b.agent.o.Hub, peer, methodConsensus, &opaque{Body: request})
+	reply, err := transport.Request[opaque](ctx, t.agent.o.Hub, peer, methodConsensus, &opaque{Body: request})
 	if err != nil {
 		return nil, err
 	}
-	if len(a.Body) == 0 {
+	if len(reply.Body) == 0 {
 		return nil, trace.ConnectionProblem(nil, "%s can't say", node)
 	}
-	return a.Body, nil
+	return reply.Body, nil
 }
 
-// peer is the internal address of the process with a control address; empty if it is no address.
-func (c *Agent) peer(control string) string {
+// peer is the internal address of the process with a control address; empty if that is no address.
+func (a *Agent) peer(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
 		return ""
 	}
-	return c.o.Settings.Peer(host)
+	return a.o.Settings.Peer(host)
 }
 
-// Cores are the control addresses of the core processes that are there, this one among them: all machines of a day have the
+// Cores are the control addresses of the core processes that are there, this one among them if it is one: all machines have the
 // same ports.
-func (c *Agent) Cores() (list []string) {
-	_, port, err := net.SplitHostPort(c.o.Settings.Control)
+func (a *Agent) Cores() (addresses []string) {
+	_, port, err := net.SplitHostPort(a.o.Settings.Control)
 	if err != nil {
 		return nil
 	}
-	for _, m := range c.Members() {
+	for _, m := range a.Members() {
 		if host, _, err := net.SplitHostPort(m.Address); err == nil && m.Role == membership.Core {
-			list = append(list, net.JoinHostPort(host, port))
+			addresses = append(addresses, net.JoinHostPort(host, port))
 		}
 	}
-	return list
+	return addresses
 }
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -51,22 +51,22 @@
 }
 
 // Duties makes a core process's part in the duties and registers its calls.
-func (c *Agent) Duties(voters Voters, initialStart bool) *Duties {
-	self := c.o.Hub.Self()
-	d := &Duties{agent: c, voters: voters, initialStart: initialStart, voter: lease.NewVoter(c.o.Hub.Now(), initialStart),
-		allocatorLease: lease.NewCandidate(self.Address, self.Life, dutyAllocator, c.randomShare)}
-	transport.Handle(c.o.Hub, methodLease, func(_ context.Context, _ *transport.Hello, q *lease.Request) *lease.Reply {
+func (a *Agent) Duties(voters Voters, initialStart bool) *Duties {
+	self := a.o.Hub.Self()
+	d := &Duties{agent: a, voters: voters, initialStart: initialStart, voter: lease.NewVoter(a.o.Hub.Now(), initialStart),
+		allocatorLease: lease.NewCandidate(self.Address, self.Life, dutyAllocator, a.randomShare)}
+	transport.Handle(a.o.Hub, methodLease, func(_ context.Context, _ *transport.Hello, q *lease.Request) *lease.Reply {
 		return d.vote(q)
 	})
-	transport.Handle(c.o.Hub, methodTokens, d.grantTokens)
+	transport.Handle(a.o.Hub, methodTokens, d.grantTokens)
 	return d
 }
 
 // randomShare is a random number from 0 to 1.
-func (c *Agent) randomShare() float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.rng.Float64()
+func (a *Agent) randomShare() float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.rng.Float64()
 }
 
 // vote answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
@@ -134,8 +134,8 @@
 }
 
 // coreRank is this process's place among the core processes that it knows of.
-func (c *Agent) coreRank(members []membership.Member) (n int) {
-	self := c.o.Hub.Self().Address
+func (a *Agent) coreRank(members []membership.Member) (n int) {
+	self := a.o.Hub.Self().Address
 	for _, m := range members {
 		if m.Role == membership.Core && m.Address < self {
 			n++
@@ -250,8 +250,8 @@
 }
 
 // limit is a tenant's limit by the newest configuration.
-func (c *Agent) limit(tenant string) (ratelimit.Limit, bool) {
-	l, ok := (*c.limits.Load())[tenant]
+func (a *Agent) limit(tenant string) (ratelimit.Limit, bool) {
+	l, ok := (*a.limits.Load())[tenant]
 	return l, ok
 }
 
--- /dev/null
+++ b/internal/mesh/agent/endpoints.go
@@ -0,0 +1,215 @@
+package agent
+
+import (
+	"context"
+	"time"
+
+	"gingerlead/internal/mesh/discovery"
+	"gingerlead/internal/mesh/transport"
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+const expireInterval = time.Second // between two looks at leases of endpoints
+
+// Publish publishes the endpoint beside this process as it is now.
+func (a *Agent) Publish(e discovery.Endpoint) {
+	self := a.o.Hub.Self()
+	e.Host, e.HostLife = self.Address, self.Life
+	a.mu.Lock()
+	a.publisher.Set(a.o.Hub.Now(), e)
+	a.mu.Unlock()
+	a.step()
+}
+
+// Ended publishes that a life of the endpoint beside this process has ended.
+func (a *Agent) Ended(id string, s discovery.State) {
+	a.mu.Lock()
+	a.publisher.End(a.o.Hub.Now(), id, s)
+	a.mu.Unlock()
+	a.step()
+}
+
+// PassOn publishes a record that this process received in place of the endpoint's own sidecar, which could not be reached.
+func (a *Agent) PassOn(e discovery.Endpoint) {
+	a.mu.Lock()
+	to := map[string]bool{}
+	for _, m := range a.homesOf(e.Service) {
+		to[m.Address] = true
+	}
+	a.mu.Unlock()
+	delete(to, a.o.Hub.Self().Address)
+	a.applyAsHome(e)
+	for address := range to {
+		a.send(address, methodPublish, &published{Endpoint: e}, nil)
+	}
+}
+
+// publish sends records to homes, of which this process may be one.
+func (a *Agent) publish(records []discovery.Send) {
+	for _, r := range records {
+		if r.To == a.o.Hub.Self().Address {
+			a.applyAsHome(r.Endpoint)
+			a.acknowledged(r)
+			continue
+		}
+		a.send(r.To, methodPublish, &published{Endpoint: r.Endpoint}, func(body []byte) {
+			var answer published
+			if codec.Read(body, &answer) == nil && answer.Taken {
+				a.acknowledged(r)
+			}
+		})
+	}
+}
+
+func (a *Agent) acknowledged(r discovery.Send) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.publisher.Acked(a.o.Hub.Now(), r.To, r.Endpoint.ID, r.Endpoint.Edition)
+}
+
+func (a *Agent) takePublished(_ context.Context, _ *transport.Hello, p *published) *published {
+	a.applyAsHome(p.Endpoint)
+	return &published{Taken: true}
+}
+
+// applyAsHome takes a record as a home: subscribers are notified.
+func (a *Agent) applyAsHome(e discovery.Endpoint) {
+	a.apply(e)
+	a.flush()
+}
+
+// apply takes records into the registry.
+func (a *Agent) apply(records ...discovery.Endpoint) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.applyLocked(records)
+}
+
+func (a *Agent) applyLocked(records []discovery.Endpoint) {
+	now := a.o.Hub.Now()
+	for _, e := range records {
+		if a.registry.Apply(now, e) {
+			a.changed[e.Service] = true
+		}
+	}
+}
+
+// expire ends leases that have run out, now and then. The lock is held.
+func (a *Agent) expire(now time.Duration) {
+	if now < a.expireAt {
+		return
+	}
+	a.expireAt = now + expireInterval
+	for _, e := range a.registry.Expire(now) {
+		a.changed[e.Service] = true
+	}
+}
+
+// subscribe sends requests of this process's subscriptions; where it is the home itself, it has the records already.
+func (a *Agent) subscribe(asks []discovery.Ask) {
+	self := a.o.Hub.Self().Address
+	for _, ask := range asks {
+		home := discovery.Home{Address: ask.To, Life: ask.Life}
+		if ask.To == self {
+			a.mu.Lock()
+			a.subscribed.Got(a.o.Hub.Now(), home, ask.Service, 0)
+			a.mu.Unlock()
+			continue
+		}
+		a.askHome(ask.To, &subscription{Who: self, Service: ask.Service, Since: ask.Since, Life: ask.Life})
+	}
+}
+
+// Refresh asks the homes of a service for all that they hold of it.
+func (a *Agent) Refresh(service string) {
+	a.mu.Lock()
+	homes := a.view.Homes(service, a.o.Settings.Zone, homesPerZone)
+	a.mu.Unlock()
+	self := a.o.Hub.Self().Address
+	for _, m := range homes {
+		if m.Address != self {
+			a.askHome(m.Address, &subscription{Who: self, Service: service})
+		}
+	}
+}
+
+// askHome sends one request to a home and takes its listing.
+func (a *Agent) askHome(address string, s *subscription) {
+	a.send(address, methodSubscribe, s, func(body []byte) {
+		var l listing
+		if len(body) > 0 && codec.Read(body, &l) == nil {
+			a.takeListing(discovery.Home{Address: address, Life: l.Life}, &l)
+		}
+	})
+}
+
+func (a *Agent) takeSubscription(_ context.Context, _ *transport.Hello, s *subscription) *listing {
+	now := a.o.Hub.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.subscribers.Hold(now, s.Service, s.Who)
+	life, since := a.o.Hub.Self().Life, s.Since
+	if s.Life != life {
+		since = 0 // versions count within one life
+	}
+	endpoints, version, _ := a.registry.Since(now, s.Service, since)
+	return &listing{Service: s.Service, Version: version, Endpoints: endpoints, Life: life}
+}
+
+func (a *Agent) takeListing(from discovery.Home, l *listing) {
+	a.mu.Lock()
+	a.applyLocked(l.Endpoints)
+	a.subscribed.Got(a.o.Hub.Now(), from, l.Service, l.Version)
+	a.mu.Unlock()
+	a.flush()
+}
+
+func (a *Agent) takeUpdate(_ context.Context, _ *transport.Hello, l *listing) *acknowledgement {
+	a.apply(l.Endpoints...)
+	a.flush()
+	return &acknowledgement{true}
+}
+
+// change is what has changed of one service.
+type change struct {
+	service     string
+	endpoints   []discovery.Endpoint // all that is known of it
+	subscribers []string
+}
+
+// flush tells of services whose endpoints have changed: to this process, and to subscribers.
+func (a *Agent) flush() {
+	now := a.o.Hub.Now()
+	var changes []change
+	a.mu.Lock()
+	for service := range a.changed {
+		changes = append(changes, change{service, a.registry.List(now, service), a.subscribers.Notify(now, service)})
+	}
+	clear(a.changed)
+	a.mu.Unlock()
+	for _, c := range changes {
+		for _, subscriber := range c.subscribers {
+			a.send(subscriber, methodUpdate, &listing{Service: c.service, Endpoints: c.endpoints}, nil)
+		}
+		if a.o.Told != nil {
+			a.o.Told(c.service, c.endpoints)
+		}
+		if a.events != nil {
+			a.events.endpoints(c.endpoints)
+		}
+		a.findOwn(c.endpoints)
+	}
+}
+
+// findOwn looks for an endpoint at this machine's address that this process knows nothing of: it has just started, and others
+// remember the endpoint.
+func (a *Agent) findOwn(endpoints []discovery.Endpoint) {
+	if a.o.Found == nil {
+		return
+	}
+	for _, e := range endpoints {
+		if e.App == a.o.Settings.App && e.State < discovery.Crashed && e.HostLife != a.o.Hub.Self().Life {
+			a.o.Found(e)
+		}
+	}
+}
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	beatMost   = 16 << 10 // bytes of a beat
-	passOnMost = 250 * time.Millisecond
+	keepaliveMax   = 16 << 10 // bytes of a body
+	forwardTimeout = 250 * time.Millisecond
+	forwardedLease = 9 * time.Second // of a record made from a keepalive that another process received
 )
 
-// Stage is the endpoint beside this process, as beats tell of it.
+// Stage is the endpoint beside this process.
 type Stage interface {
-	// Beat takes a beat, or a deregistration (State Gone); false if it is not of the endpoint beside this process.
+	// Keepalive takes a keepalive, or a deregistration (State Gone); false if it is not of the endpoint beside this process.
 	Keepalive(e discovery.Endpoint) bool
 }
 
-// ReadBeat reads a beat's body. The error names each field that can't be used.
+// ParseKeepalive reads the body of a keepalive. The error names each field that can't be used.
 func ParseKeepalive(id string, body []byte) (discovery.Endpoint, error) {
 	e := discovery.Endpoint{ID: id}
 	if !gjson.ValidBytes(body) {
@@ -73,38 +74,38 @@
 	return e, nil
 }
 
-// Beats serves the calls of endpoints. stage is the endpoint beside this process; nil where there is none.
-func (c *Agent) KeepaliveHandler(stage Stage) http.Handler {
+// KeepaliveHandler serves the calls of endpoints. stage is the endpoint beside this process; nil where there is none.
+func (a *Agent) KeepaliveHandler(stage Stage) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", func(w http.ResponseWriter, q *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, beatMost))
+		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, keepaliveMax))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
 		e, err := ParseKeepalive(q.PathValue("id"), body)
 		if err != nil {
-			c.o.Log.WithField("peer", q.RemoteAddr).Warn("agent: beat: " + err.Error())
+			a.o.Log.WithField("peer", q.RemoteAddr).WithError(err).Warn("agent: a keepalive can't be used")
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		c.answerKeepalive(w, q.Context(), stage, e)
+		a.answerKeepalive(w, q.Context(), stage, e)
 	})
 	mux.HandleFunc("POST /endpoints/{id}/deregister", func(w http.ResponseWriter, q *http.Request) {
-		c.answerKeepalive(w, q.Context(), stage, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
+		a.answerKeepalive(w, q.Context(), stage, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
 	})
 	if stage != nil {
-		transport.Handle(c.o.Hub, methodKeepalive, func(_ context.Context, _ *transport.Hello, p *published) *published {
+		transport.Handle(a.o.Hub, methodKeepalive, func(_ context.Context, _ *transport.Hello, p *published) *published {
 			return &published{Taken: stage.Keepalive(p.Endpoint)}
 		})
 	}
 	return mux
 }
 
-func (c *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, stage Stage, e discovery.Endpoint) {
+func (a *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, stage Stage, e discovery.Endpoint) {
 	target := ""
 	if stage == nil || !stage.Keepalive(e) {
-		target = c.forwardKeepalive(ctx, e)
+		target = a.forwardKeepalive(ctx, e)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if target != "" {
@@ -114,34 +115,40 @@
 	_, _ = io.WriteString(w, "{}")
 }
 
-// bringOn brings a beat that this process has taken to the endpoint's own sidecar and to the service's homes. It gives the
-// address at which later beats are better off, if the own sidecar has it.
-func (c *Agent) forwardKeepalive(ctx context.Context, e discovery.Endpoint) (target string) {
+// forwardKeepalive passes a keepalive that this process received on to the endpoint's own sidecar, or, if that can't be reached,
+// to the homes of the service. It gives the own sidecar's address for later keepalives, if that has taken this one.
+func (a *Agent) forwardKeepalive(ctx context.Context, e discovery.Endpoint) (target string) {
 	if e.App == "" { // deregistered: only its id is known
-		c.mu.Lock()
-		for _, x := range c.registry.All(c.o.Hub.Now()) {
-			if x.ID == e.ID {
-				state := e.State
-				e, e.State = x, state
-			}
-		}
-		c.mu.Unlock()
+		e = a.knownEndpoint(e)
 	}
 	ip, _, err := net.SplitHostPort(e.App)
 	if err != nil {
 		return ""
 	}
-	e.Host, e.Lease = c.o.Settings.Peer(ip), 9*time.Second
-	if m, ok := c.At(ip); ok {
+	e.Host, e.Lease = a.o.Settings.Peer(ip), forwardedLease
+	if m, ok := a.At(ip); ok {
 		e.Host, e.HostLife = m.Address, m.Life
 	}
-	ctx, cancel := context.WithTimeout(ctx, passOnMost)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	a, err := transport.Request[published](ctx, c.o.Hub, e.Host, methodKeepalive, &published{Endpoint: e})
-	if err == nil && a.Taken {
-		_, port, _ := net.SplitHostPort(c.o.Settings.Control)
+	answer, err := transport.Request[published](ctx, a.o.Hub, e.Host, methodKeepalive, &published{Endpoint: e})
+	if err == nil && answer.Taken {
+		_, port, _ := net.SplitHostPort(a.o.Settings.Control)
 		return net.JoinHostPort(ip, port)
 	}
-	c.PassOn(e)
+	a.PassOn(e)
 	return ""
 }
+
+// knownEndpoint completes a deregistration with what is known of its endpoint.
+func (a *Agent) knownEndpoint(e discovery.Endpoint) discovery.Endpoint {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, known := range a.registry.All(a.o.Hub.Now()) {
+		if known.ID == e.ID {
+			known.State = e.State
+			return known
+		}
+	}
+	return e
+}
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -32,9 +32,9 @@
 }
 
 // QuotaClient makes a sidecar's way to the allocator, and registers the call by which it forwards neighbours' requests.
-func (c *Agent) QuotaClient() *QuotaClient {
-	t := &QuotaClient{agent: c, tokenCache: ratelimit.NewTokenCache(), pending: make(chan struct{}, 1)}
-	transport.Handle(c.o.Hub, methodTokens, t.forward)
+func (a *Agent) QuotaClient() *QuotaClient {
+	t := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), pending: make(chan struct{}, 1)}
+	transport.Handle(a.o.Hub, methodTokens, t.forward)
 	return t
 }
 
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -63,26 +63,26 @@
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	newest, err := d.voters.Newest(ctx)
-	c := d.agent
-	now := c.o.Hub.Now()
-	s := State{Node: c.o.Settings.Name, Voters: d.voters.Membership().Voters, Confirmed: err == nil}
+	a := d.agent
+	now := a.o.Hub.Now()
+	s := State{Node: a.o.Settings.Name, Voters: d.voters.Membership().Voters, Confirmed: err == nil}
 	d.mu.Lock()
 	duty := DutyState{Name: dutyAllocator, Holder: d.allocatorLease.Holder(now)}
 	duty.Epoch, _ = d.allocatorLease.Holds(now)
 	duty.LeftMs = d.allocatorLease.Left(now).Milliseconds()
 	d.mu.Unlock()
 	s.Duties = []DutyState{duty}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s.Version = max(configuration.Version(c.conf.Version), newest.Version).String()
-	for _, m := range c.view.Members() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	s.Version = max(configuration.Version(a.conf.Version), newest.Version).String()
+	for _, m := range a.view.Members() {
 		role := "access"
 		if m.Role == membership.Core {
 			role = "core"
 		}
 		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.Age.Milliseconds()})
 	}
-	for _, e := range c.registry.All(now) {
+	for _, e := range a.registry.All(now) {
 		s.Endpoints = append(s.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.App, e.Host, e.Slots,
 			e.Lease.Round(time.Millisecond).Milliseconds()})
 	}
