--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -6,215 +6,223 @@
 	"time"
 )
 
-// A tenant's limit is a bucket that one process, the allocator, holds under a lease (lease). Sidecars draw tokens from it,
-// which are good for a moment only, and hold a standing share of the rate beside, under a lease of its own, by which they let
-// requests in while they can't reach an allocator. The allocator takes the shares of those that it has not heard of out of what it
-// gives; so what is let in never adds up to more than the limit, whoever is cut off.
+// A tenant's limit is a token bucket that one process, the allocator, holds under a lease (package lease). Sidecars draw tokens,
+// which are good for a moment only. Each also holds a standing share of the rate under a lease of its own, by which it admits
+// requests while it can't reach an allocator. The allocator takes the shares of sidecars that it has not heard from out of what
+// it grants, so that the sum of what is admitted stays within the limit, whoever is cut off.
 const (
-	valid     = 450 * time.Millisecond // of tokens, from when they were asked for, by the sidecar's clock
-	silent    = 300 * time.Millisecond // without a word: the allocator counts the sidecar as on its own
-	shareFor  = 10 * time.Second       // lease of a standing share
-	forget    = 2 * shareFor
-	evenShare = 0.2 // of the rate, that is divided evenly; the rest goes by demand
-	buyersMax = 8192
+	tokenValidity = 450 * time.Millisecond // from when the tokens were requested, by the sidecar's clock
+	silentAfter   = 300 * time.Millisecond // without a message the allocator takes a sidecar to use its share
+	shareLease    = 10 * time.Second
+	forgetAfter   = 2 * shareLease // without a message
+	evenShare     = 0.2            // part of the rate that is divided evenly; the rest is divided by demand
+	sumInterval   = 100 * time.Millisecond
+	sweepInterval = time.Second
+	sidecarsMax   = 8192
+
+	// initialSpare is the part of Limit.Spare that a new allocator's buckets start with: two allocators may follow one another
+	// within a window.
+	initialSpare = 0.25
 )
 
-// Limit is a tenant's, as the configuration has it, and what the rules let pass beyond it in a window.
+// Limit is a tenant's limit in requests a second, as the configuration has it.
 type Limit struct {
 	Rate, Burst float64
-	Spare       float64 // requests
+	Spare       float64 // requests that may pass beyond it in a window
 }
 
-// spareFirst is the part of what may pass beyond a limit that a new allocator begins with, as if it were saved up: two may come
-// within a window.
-const spareFirst = 0.25
-
 // Allocator holds the buckets of all tenants while this process has the duty.
 type Allocator struct {
-	began   time.Duration
-	fresh   bool // nothing was granted before it began: the system starts for the first time
-	limits  func(tenant string) (Limit, bool)
-	books   map[string]*book
-	buyers  map[string]*sidecarShare // by address
-	missing int                      // sidecars that are there and have not told of their shares yet
-	swept   time.Duration
+	began    time.Duration
+	fresh    bool // nothing was granted before it began: the system starts for the first time
+	limits   func(tenant string) (Limit, bool)
+	buckets  map[string]*bucket    // by tenant
+	sidecars map[string]*requester // by address
+	missing  int                   // sidecars whose shares are not known yet
+	swept    time.Duration
 }
 
-// book is what the allocator keeps of one tenant. Its sums are made anew every sumEach and kept up in between, so that a wish costs
-// the same whatever the number of sidecars.
-type book struct {
-	level   float64 // of the bucket
-	at      time.Duration
-	holders map[string]*share
-	demand  float64 // of all,
-	given   float64 // shares of all,
-	quiet   float64 // and of those that the allocator has not heard of
-	summed  time.Duration
-	ever    bool
+// bucket is what the allocator holds of one tenant. Its sums are made anew every sumInterval and kept up in between, so that a
+// request costs the same whatever the number of sidecars.
+type bucket struct {
+	level  float64 // tokens
+	at     time.Duration
+	shares map[string]*share // by the sidecar's address
+	demand float64           // of all sidecars
+	given  float64           // shares of all sidecars
+	silent float64           // shares of those that were not heard from
+	summed time.Duration
+	ready  bool // the sums were made once
 }
 
-type sidecarShare struct {
+// requester is a sidecar that requests tokens.
+type requester struct {
 	life  uint64
 	heard time.Duration
 }
 
+// share is the standing share of one sidecar in one tenant's limit, in requests a second.
 type share struct {
 	life         uint64
 	rate, demand float64
 	until        time.Duration
 }
 
-const sumEach = 100 * time.Millisecond
-
-// NewTeller begins the duty. The buckets start nearly empty: who had it before may have emptied them the moment before.
+// NewAllocator begins the duty. Buckets start nearly empty: the allocator before may have granted all there was just now.
 func NewAllocator(now time.Duration, fresh bool, limits func(string) (Limit, bool)) *Allocator {
-	return &Allocator{began: now, fresh: fresh, limits: limits, books: map[string]*book{}, buyers: map[string]*sidecarShare{}}
+	return &Allocator{began: now, fresh: fresh, limits: limits, buckets: map[string]*bucket{}, sidecars: map[string]*requester{}}
 }
 
-// Sidecars says which sidecars are there: those that have not told yet what share they hold may hold any.
-func (t *Allocator) Sidecars(addresses []string) {
-	t.missing = 0
-	for _, a := range addresses {
-		if t.buyers[a] == nil {
-			t.missing++
+// Sidecars sets the sidecars that are there or were of late: those that have not told yet which shares they hold may hold any.
+func (a *Allocator) Sidecars(addresses []string) {
+	a.missing = 0
+	for _, address := range addresses {
+		if a.sidecars[address] == nil {
+			a.missing++
 		}
 	}
 }
 
-// Take is the one function that changes what has been sold.
-func (t *Allocator) Take(now time.Duration, w *TokenRequests) []TokenGrant {
-	b := t.buyers[w.Who]
-	if b == nil {
-		if len(t.buyers) >= buyersMax {
+// Take answers the requests of a sidecar. It is the only method that changes what has been granted.
+func (a *Allocator) Take(now time.Duration, q *TokenRequests) []TokenGrant {
+	r := a.sidecars[q.Who]
+	if r == nil {
+		if len(a.sidecars) >= sidecarsMax {
 			return nil
 		}
-		b = &sidecarShare{}
-		t.buyers[w.Who] = b
-		t.missing = max(t.missing-1, 0)
-	}
-	b.life, b.heard = w.Life, now
-	t.sweep(now)
-	var out []TokenGrant
-	for _, x := range w.Requests {
-		limit, ok := t.limits(x.Tenant)
+		r = &requester{}
+		a.sidecars[q.Who] = r
+		a.missing = max(a.missing-1, 0)
+	}
+	r.life, r.heard = q.Life, now
+	a.sweep(now)
+	var grants []TokenGrant
+	for _, request := range q.Requests {
+		limit, ok := a.limits(request.Tenant)
 		if !ok || limit.Rate <= 0 {
 			continue
 		}
-		out = append(out, t.sell(now, w, x, limit))
+		grants = append(grants, a.grant(now, q, request, limit))
 	}
-	return out
+	return grants
 }
 
 // sweep forgets sidecars that have been silent for long, and tenants that are gone.
-func (t *Allocator) sweep(now time.Duration) {
-	if now-t.swept < time.Second {
+func (a *Allocator) sweep(now time.Duration) {
+	if now-a.swept < sweepInterval {
 		return
 	}
-	t.swept = now
-	for who, o := range t.buyers {
-		if now-o.heard > forget {
-			delete(t.buyers, who)
+	a.swept = now
+	for address, r := range a.sidecars {
+		if now-r.heard > forgetAfter {
+			delete(a.sidecars, address)
 		}
 	}
-	for name := range t.books {
-		if _, ok := t.limits(name); !ok {
-			delete(t.books, name)
+	for tenant := range a.buckets {
+		if _, ok := a.limits(tenant); !ok {
+			delete(a.buckets, tenant)
 		}
 	}
 }
 
-// sell takes one wish: tokens out of the tenant's bucket, and a standing share.
-func (t *Allocator) sell(now time.Duration, w *TokenRequests, x TokenRequest, limit Limit) TokenGrant {
-	k := t.books[x.Tenant]
-	if k == nil {
-		k = &book{at: t.began, level: min(limit.Burst, spareFirst*limit.Spare), holders: map[string]*share{}}
-		if t.fresh {
-			k.level = limit.Burst
-		}
-		t.books[x.Tenant] = k
-	}
-	k.sum(now, t.buyers)
-	s := k.holders[w.Who]
+// grant answers one request: tokens out of the tenant's bucket, and a standing share.
+func (a *Allocator) grant(now time.Duration, q *TokenRequests, request TokenRequest, limit Limit) TokenGrant {
+	b := a.bucket(request.Tenant, limit)
+	b.sum(now, a.sidecars)
+	s := b.shares[q.Who]
 	if s == nil {
 		s = &share{}
-		k.holders[w.Who] = s
-	}
-	told := 0.0 // what it holds by its own word, which is the truth
-	if x.Left > 0 {
-		told = max(x.Share, 0)
-	}
-	s.life = w.Life
-	k.set(s, told, max(x.Demand, 0))
-	tk := t.tokens(now, k, x, limit)
-	tk.Share, tk.Left = t.allot(now, k, s, limit), shareFor
-	k.set(s, max(told, tk.Share), s.demand) // until it says that it has the new one
-	s.until = now + shareFor
-	return tk
+		b.shares[q.Who] = s
+	}
+	told := 0.0 // what the sidecar holds by its own word, which is the truth
+	if request.Left > 0 {
+		told = max(request.Share, 0)
+	}
+	s.life = q.Life
+	b.set(s, told, max(request.Demand, 0))
+	grant := a.tokens(now, b, request, limit)
+	grant.Share, grant.Left = a.allot(now, b, s, limit), shareLease
+	b.set(s, max(told, grant.Share), s.demand) // until it tells that it has the new one
+	s.until = now + shareLease
+	return grant
+}
+
+func (a *Allocator) bucket(tenant string, limit Limit) *bucket {
+	b := a.buckets[tenant]
+	if b == nil {
+		b = &bucket{at: a.began, level: min(limit.Burst, initialSpare*limit.Spare), shares: map[string]*share{}}
+		if a.fresh {
+			b.level = limit.Burst
+		}
+		a.buckets[tenant] = b
+	}
+	return b
 }
 
-// sum makes the sums of a book anew.
-func (k *book) sum(now time.Duration, buyers map[string]*sidecarShare) {
-	if k.ever && now-k.summed < sumEach {
+// sum makes the sums of a bucket anew, if they are due.
+func (b *bucket) sum(now time.Duration, sidecars map[string]*requester) {
+	if b.ready && now-b.summed < sumInterval {
 		return
 	}
-	k.ever, k.summed = true, now
-	k.demand, k.given, k.quiet = 0, 0, 0
-	for _, who := range slices.Sorted(maps.Keys(k.holders)) {
-		s, b := k.holders[who], buyers[who]
-		if now >= s.until || b != nil && b.life != s.life { // another life of it holds nothing of this one's
-			delete(k.holders, who)
+	b.ready, b.summed = true, now
+	b.demand, b.given, b.silent = 0, 0, 0
+	for _, address := range slices.Sorted(maps.Keys(b.shares)) {
+		s, r := b.shares[address], sidecars[address]
+		if now >= s.until || r != nil && r.life != s.life { // a sidecar that restarted holds nothing of before
+			delete(b.shares, address)
 			continue
 		}
-		k.demand += s.demand
-		k.given += s.rate
-		if b == nil || now-b.heard > silent {
-			k.quiet += s.rate
+		b.demand += s.demand
+		b.given += s.rate
+		if r == nil || now-r.heard > silentAfter {
+			b.silent += s.rate
 		}
 	}
 }
 
-func (k *book) set(s *share, rate, demand float64) {
-	k.given += rate - s.rate
-	k.demand += demand - s.demand
+// set changes a share and keeps up the sums.
+func (b *bucket) set(s *share, rate, demand float64) {
+	b.given += rate - s.rate
+	b.demand += demand - s.demand
 	s.rate, s.demand = rate, demand
 }
 
-// tokens gives tokens out of a tenant's bucket.
-func (t *Allocator) tokens(now time.Duration, k *book, x TokenRequest, limit Limit) TokenGrant {
-	reserved := k.quiet
-	if !t.fresh && now-t.began < shareFor && (t.missing > 0 || now-t.began < time.Second) {
-		reserved += max(limit.Rate-k.given, 0) // shares that were granted before its time
+// tokens grants tokens out of a tenant's bucket.
+func (a *Allocator) tokens(now time.Duration, b *bucket, request TokenRequest, limit Limit) TokenGrant {
+	reserved := b.silent
+	if !a.fresh && now-a.began < shareLease && (a.missing > 0 || now-a.began < time.Second) {
+		reserved += max(limit.Rate-b.given, 0) // shares that were granted before its time
 	}
 	rate := max(limit.Rate-reserved, 0)
-	k.level = min(k.level+rate*(now-k.at).Seconds()+min(max(x.Unused, 0), limit.Burst), max(limit.Burst, 1))
-	k.at = now
-	tk := TokenGrant{Tenant: x.Tenant}
+	refill := rate*(now-b.at).Seconds() + min(max(request.Unused, 0), limit.Burst)
+	b.level, b.at = min(b.level+refill, max(limit.Burst, 1)), now
+	grant := TokenGrant{Tenant: request.Tenant}
 	switch {
-	case x.Tokens <= 0:
-	case k.level >= x.Tokens:
-		tk.Tokens = x.Tokens
-	case k.level >= 1:
-		tk.Tokens = float64(int(k.level))
-	}
-	k.level -= tk.Tokens
-	if tk.Tokens < x.Tokens {
-		tk.Back = shareFor
+	case request.Tokens <= 0:
+	case b.level >= request.Tokens:
+		grant.Tokens = request.Tokens
+	case b.level >= 1:
+		grant.Tokens = float64(int(b.level))
+	}
+	b.level -= grant.Tokens
+	if lacking := request.Tokens - grant.Tokens; lacking > 0 {
+		grant.Back = shareLease
 		if rate > 0 {
-			tk.Back = min(time.Duration((1-min(k.level, 1)+x.Tokens-tk.Tokens)/rate*float64(time.Second)), shareFor)
+			grant.Back = min(time.Duration((1-min(b.level, 1)+lacking)/rate*float64(time.Second)), shareLease)
 		}
 	}
-	return tk
+	return grant
 }
 
 // allot is the standing share that a sidecar may have: by demand, and no more than the others leave.
-func (t *Allocator) allot(now time.Duration, k *book, mine *share, limit Limit) float64 {
-	if !t.fresh && now-t.began < shareFor && t.missing > 0 {
-		return min(mine.rate, limit.Rate) // what the missing hold is not known yet
+func (a *Allocator) allot(now time.Duration, b *bucket, mine *share, limit Limit) float64 {
+	if !a.fresh && now-a.began < shareLease && a.missing > 0 {
+		return min(mine.rate, limit.Rate) // what the missing ones hold is not known yet
 	}
-	even := limit.Rate / float64(max(len(t.buyers)+t.missing, 1))
+	even := limit.Rate / float64(max(len(a.sidecars)+a.missing, 1))
 	want := even
-	if k.demand > 0 {
-		want = evenShare*even + (1-evenShare)*limit.Rate*mine.demand/k.demand
+	if b.demand > 0 {
+		want = evenShare*even + (1-evenShare)*limit.Rate*mine.demand/b.demand
 	}
-	return max(min(want, limit.Rate-(k.given-mine.rate)), 0)
+	return max(min(want, limit.Rate-(b.given-mine.rate)), 0)
 }
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -8,28 +8,28 @@
 	"gingerlead/internal/mesh/transport/codec"
 )
 
-// BenchmarkTeller is the allocator's own work for one message of a sidecar, without the link: each sidecar says something each
-// 200 ms, and has a wish for each of some tenants. A second of the duty is as many messages as sidecars times five.
-func BenchmarkTeller(b *testing.B) {
+// BenchmarkAllocator is the allocator's own work for one message of a sidecar, without the link: each sidecar sends one each
+// 200 ms, with a request for each of some tenants. A second of the duty is as many messages as sidecars times five.
+func BenchmarkAllocator(b *testing.B) {
 	for _, sidecars := range []int{20, 200, 2000} {
-		for _, wishes := range []int{1, 8} {
-			b.Run(fmt.Sprintf("sidecars-%d/wishes-%d", sidecars, wishes), func(b *testing.B) {
+		for _, requests := range []int{1, 8} {
+			b.Run(fmt.Sprintf("sidecars-%d/requests-%d", sidecars, requests), func(b *testing.B) {
 				t := NewAllocator(0, true, func(string) (Limit, bool) { return Limit{Rate: 1e5, Burst: 1e5, Spare: 100}, true })
 				all := make([]TokenRequests, sidecars)
 				for i := range all {
 					all[i] = TokenRequests{Who: fmt.Sprintf("10.%d.%d.%d:7301", i/62500, i/250%250, i%250+1), Life: uint64(i + 1)}
-					for j := range wishes {
+					for j := range requests {
 						all[i].Requests = append(all[i].Requests, TokenRequest{Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
 							Share: 1.25, Left: 9 * time.Second})
 					}
 				}
-				now, each := time.Second, beat/time.Duration(sidecars)
+				now, each := time.Second, heartbeatInterval/time.Duration(sidecars)
 				sizes, sent, got := 0, 0, 0
 				round := func(w *TokenRequests) {
 					now += each
 					a := TokenGrants{Granted: true, Epoch: 3, Allocator: "10.0.0.1:7301", Grants: t.Take(now, w)}
-					if len(a.Grants) != wishes {
-						b.Fatalf("%d tickets for %d wishes", len(a.Grants), wishes)
+					if len(a.Grants) != requests {
+						b.Fatalf("%d grants for %d requests", len(a.Grants), requests)
 					}
 					if sizes++; sizes <= sidecars {
 						sent, got = sent+len(codec.Write(nil, w)), got+len(codec.Write(nil, &a))
@@ -43,8 +43,8 @@
 					round(&all[i%sidecars])
 					i++
 				}
-				b.ReportMetric(float64(sent)/float64(sidecars), "B-wishes")
-				b.ReportMetric(float64(got)/float64(sidecars), "B-tickets")
+				b.ReportMetric(float64(sent)/float64(sidecars), "B-requests")
+				b.ReportMetric(float64(got)/float64(sidecars), "B-grants")
 			})
 		}
 	}
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -15,7 +15,7 @@
 	cache := NewTokenCache()
 	cache.Take(0, "t", limit, func(bool, time.Duration) {})
 	grants := func(number uint64, share float64) *TokenGrants {
-		return &TokenGrants{Granted: true, Epoch: number, Grants: []TokenGrant{{Tenant: "t", Tokens: 5, Share: share, Left: shareFor}}}
+		return &TokenGrants{Granted: true, Epoch: number, Grants: []TokenGrant{{Tenant: "t", Tokens: 5, Share: share, Left: shareLease}}}
 	}
 	c.Assert(cache.Got(0, 0, grants(7, 1)), qt.IsTrue)
 	c.Assert(cache.Got(0, 0, grants(8, 2)), qt.IsTrue)
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -6,74 +6,74 @@
 	"gingerlead/internal/mesh/transport/codec"
 )
 
-// Wish is what a sidecar wants of the allocator for one tenant.
+// TokenRequest is a sidecar's request for the tokens of one tenant.
 type TokenRequest struct {
 	Tenant string
 	Tokens float64       // for requests that wait, and those of the next moments
 	Demand float64       // requests a second of late
-	Share  float64       // requests a second that it may let in on its own, as last granted,
-	Left   time.Duration // and for how long yet
-	Unused float64       // tokens that ran out unspent since the last wish: they go back
+	Share  float64       // the standing share that it holds, in requests a second
+	Left   time.Duration // of the share's lease
+	Unused float64       // tokens that ran out unspent since the last request; they go back
 }
 
-// Requests are all of a sidecar's; sent often enough that silence tells something.
+// TokenRequests are all requests of a sidecar. They are sent often enough for silence to mean something.
 type TokenRequests struct {
-	Who       string // address of the sidecar that wants them; another one may bring them on
-	Life      uint64
+	Who       string // address of the sidecar
+	Life      uint64 // of the sidecar
 	Requests  []TokenRequest
-	Forwarded bool   // by another
-	Newest    uint64 // highest fencing number of an allocator that the sidecar has received grants under
+	Forwarded bool   // by another sidecar
+	Newest    uint64 // highest fencing number of an allocator that the sidecar has taken grants of
 }
 
-// Ticket is what is granted to one of them.
+// TokenGrant answers a TokenRequest.
 type TokenGrant struct {
 	Tenant string
-	Tokens float64       // good until valid after the wish was sent
-	Share  float64       // requests a second while nobody can be reached,
-	Left   time.Duration // for so long after the wish was sent
-	Back   time.Duration // if tokens are short: when there will be one
+	Tokens float64       // good for tokenValidity from when they were requested
+	Share  float64       // standing share, in requests a second
+	Left   time.Duration // lease of the share, from when it was requested
+	Back   time.Duration // if tokens are short: when there will be some
 }
 
-// Grants are the allocator's answer.
+// TokenGrants answers TokenRequests.
 type TokenGrants struct {
-	Granted   bool // false: this process is not the allocator
-	Epoch     uint64
-	Allocator string // who is, as far as it knows
+	Granted   bool   // false: this process is not the allocator
+	Epoch     uint64 // fencing number of the allocator's lease
+	Allocator string // its address, as far as the answering process knows
 	Grants    []TokenGrant
 }
 
-// Fields names them.
-func (w *TokenRequest) Fields(v *codec.Visitor) {
-	v.Text(1, &w.Tenant)
-	v.Float(2, &w.Tokens)
-	v.Float(3, &w.Demand)
-	v.Float(4, &w.Share)
-	v.Time(5, &w.Left)
-	v.Float(6, &w.Unused)
+// Fields implements codec.Message.
+func (q *TokenRequest) Fields(v *codec.Visitor) {
+	v.Text(1, &q.Tenant)
+	v.Float(2, &q.Tokens)
+	v.Float(3, &q.Demand)
+	v.Float(4, &q.Share)
+	v.Time(5, &q.Left)
+	v.Float(6, &q.Unused)
 }
 
-// Fields names them.
-func (w *TokenRequests) Fields(v *codec.Visitor) {
-	v.Text(1, &w.Who)
-	v.Fixed(2, &w.Life)
-	codec.Messages(v, 3, &w.Requests)
-	v.Bool(4, &w.Forwarded)
-	v.Uint(5, &w.Newest)
+// Fields implements codec.Message.
+func (q *TokenRequests) Fields(v *codec.Visitor) {
+	v.Text(1, &q.Who)
+	v.Fixed(2, &q.Life)
+	codec.Messages(v, 3, &q.Requests)
+	v.Bool(4, &q.Forwarded)
+	v.Uint(5, &q.Newest)
 }
 
-// Fields names them.
-func (t *TokenGrant) Fields(v *codec.Visitor) {
-	v.Text(1, &t.Tenant)
-	v.Float(2, &t.Tokens)
-	v.Float(3, &t.Share)
-	v.Time(4, &t.Left)
-	v.Time(5, &t.Back)
+// Fields implements codec.Message.
+func (g *TokenGrant) Fields(v *codec.Visitor) {
+	v.Text(1, &g.Tenant)
+	v.Float(2, &g.Tokens)
+	v.Float(3, &g.Share)
+	v.Time(4, &g.Left)
+	v.Time(5, &g.Back)
 }
 
-// Fields names them.
-func (t *TokenGrants) Fields(v *codec.Visitor) {
-	v.Bool(1, &t.Granted)
-	v.Uint(2, &t.Epoch)
-	v.Text(3, &t.Allocator)
-	codec.Messages(v, 4, &t.Grants)
+// Fields implements codec.Message.
+func (g *TokenGrants) Fields(v *codec.Visitor) {
+	v.Bool(1, &g.Granted)
+	v.Uint(2, &g.Epoch)
+	v.Text(3, &g.Allocator)
+	codec.Messages(v, 4, &g.Grants)
 }
--- a/internal/mesh/control/ratelimit/ratelimit.go
+++ b/internal/mesh/control/ratelimit/ratelimit.go
@@ -1,6 +1,6 @@
-// Package ratelimit holds the sums that must hold over all sidecars together: tenants' quotas and the budget of repeats. Each
-// sidecar keeps to its own part, so that no message is needed for a request, and a part that is cut off can't add to more than
-// the whole. It does no I/O; time is an argument.
+// Package ratelimit keeps the limits that hold over all sidecars together: tenants' quotas, and the budget of further tries. Each
+// sidecar keeps to a part of its own, so that a request needs no message, and sidecars that are cut off never exceed the whole. The
+// package does no I/O; time is an argument.
 package ratelimit
 
 import "time"
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A tenant asks for many times its limit at ten sidecars while any of them are cut off and come back, wishes and answers are
+// A tenant asks for many times its limit at ten sidecars while any of them are cut off and come back, requests and answers are
 // late or lost, and the duty moves to another allocator that knows nothing: in no window of five seconds is more let in than the
 // rules allow, and while all are in touch and the duty stays, no less than the rate.
 func TestLimitHoldsWhoeverIsCutOff(t *testing.T) {
@@ -29,14 +29,14 @@
 			at, sent time.Duration
 			to       int // sidecar; -1 allocator
 			from     int
-			wishes   *TokenRequests
-			tickets  *TokenGrants
+			requests *TokenRequests
+			grants   *TokenGrants
 		}
 		var post []mail
-		purses := make([]*TokenCache, n)
+		caches := make([]*TokenCache, n)
 		cut := make([]time.Duration, n)
-		for i := range purses {
-			purses[i] = NewTokenCache()
+		for i := range caches {
+			caches[i] = NewTokenCache()
 		}
 		var let []time.Duration
 		trouble, away := seed%4 != 0, time.Duration(0)
@@ -59,12 +59,12 @@
 				case m.to < 0 && now < away:
 				case m.to < 0:
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: m.sent, to: m.from,
-						from: m.from, tickets: &TokenGrants{Granted: true, Grants: allocator.Take(now, m.wishes)}})
+						from: m.from, grants: &TokenGrants{Granted: true, Grants: allocator.Take(now, m.requests)}})
 				default:
-					purses[m.to].Got(now, m.sent, m.tickets)
+					caches[m.to].Got(now, m.sent, m.grants)
 				}
 			}
-			for i, p := range purses {
+			for i, p := range caches {
 				if rng.Float64() < 0.4 { // 80 a second at each
 					p.Take(now, "t", limit, func(ok bool, _ time.Duration) {
 						if ok {
@@ -74,9 +74,9 @@
 				}
 				if w, due := p.Tick(now); due {
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: now, to: -1, from: i,
-						wishes: &TokenRequests{Who: names[i], Life: 1, Requests: w}})
+						requests: &TokenRequests{Who: names[i], Life: 1, Requests: w}})
 				}
-				if now-p.sent > waitMost*2 && p.out {
+				if now-p.sent > replyTimeout*2 && p.out {
 					p.Failed(now)
 				}
 			}
--- a/internal/mesh/control/ratelimit/sightings.go
+++ b/internal/mesh/control/ratelimit/sightings.go
@@ -21,7 +21,7 @@
 		s.last[a] = now
 	}
 	for a, at := range s.last {
-		if now-at > shareFor {
+		if now-at > shareLease {
 			delete(s.last, a)
 			continue
 		}
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -2,262 +2,143 @@
 
 import "time"
 
-// Tunables of a sidecar's tokenCache.
+// When a sidecar requests tokens, and how long requests of its clients wait for them.
 const (
-	beat       = 200 * time.Millisecond // between two wishes, so that the allocator knows that it is there
-	urgent     = 15 * time.Millisecond  // the same while requests wait
-	ahead      = 300 * time.Millisecond // of demand, that tokens are drawn for beforehand
-	demandOver = time.Second            // that demand is smoothed over, for tokens,
-	shareOver  = 8 * time.Second        // and for the standing share: many tenants ask less than once a second
-	renewEach  = 2 * time.Second        // between two wishes for one tenant where nothing is wanted
-	idleAfter  = 10 * time.Second       // a tenant without requests is not asked for
-	waitMost   = 60 * time.Millisecond  // that a request waits for a token
-	backMost   = 2 * time.Second
-	backAlone  = 250 * time.Millisecond
-	backLeast  = 30 * time.Millisecond
-	waitFirst  = 250 * time.Millisecond // the same where no allocator has been reached yet
-	waitersMax = 1024                   // of one tenant
-	savedMost  = 2.0                    // requests that a sidecar on its own may save up, where its share is small
-	firstShare = 0.08                   // of a tenant's rate, at most, that a sidecar takes which has never reached an allocator
+	heartbeatInterval = 200 * time.Millisecond // between two messages, so that the allocator knows that the sidecar is there
+	urgentInterval    = 15 * time.Millisecond  // the same while requests wait
+	renewInterval     = 2 * time.Second        // between two requests for one tenant where no tokens are wanted
+	idleAfter         = 10 * time.Second       // a tenant without requests is left out
+	replyTimeout      = 60 * time.Millisecond  // until a message without an answer counts as lost
+	waitTimeout       = 60 * time.Millisecond  // that a client's request waits for a token
+	firstWaitTimeout  = 250 * time.Millisecond // the same where no allocator has been reached yet
+	waitersMax        = 1024                   // of one tenant
+	backMin           = 30 * time.Millisecond  // bounds of when a refused client is to come back
+	backMax           = 2 * time.Second
+	deniedMax         = 100 * time.Millisecond // for so long the allocator isn't asked again after it had no tokens
 )
 
 // TokenCache is what one sidecar holds of the tenants' limits.
 type TokenCache struct {
 	tenants  map[string]*tenantTokens
-	got      time.Duration // the last tickets
-	met      bool
-	sent     time.Duration
-	out      bool
-	newest   uint64 // highest fencing number of an allocator that grants were received under
-	sidecars int    // that are there, as far as is known
+	reached  bool          // an allocator has answered at least once
+	got      time.Duration // when the requests were sent that were answered last
+	sent     time.Duration // the last message
+	out      bool          // a message is under way
+	newest   uint64        // highest fencing number of an allocator that grants were taken of
+	sidecars int           // that are there, as far as is known
 }
 
-// Sidecars says how many sidecars are there.
-func (p *TokenCache) Sidecars(n int) { p.sidecars = n }
+// NewTokenCache makes an empty cache.
+func NewTokenCache() *TokenCache { return &TokenCache{tenants: map[string]*tenantTokens{}} }
 
-type tenantTokens struct {
-	limit   Limit
-	demand  float64
-	usual   float64       // demand, over longer
-	at      time.Duration // of both
-	tokens  float64
-	until   time.Duration
-	share   float64
-	shareTo time.Duration
-	level   float64 // of what it may let in on its own
-	levelAt time.Duration
-	denied  time.Duration // the allocator has nothing before
-	waiting []func(ok bool, back time.Duration)
-	since   time.Duration // the oldest of those
-	asked   int           // of those, the first, that the wishes under way speak for
-	unused  float64       // tokens that ran out
-	renew   time.Duration // when its share is to be told and renewed
-}
+// Sidecars sets how many sidecars there are.
+func (c *TokenCache) Sidecars(n int) { c.sidecars = n }
 
-// NewPurse makes an empty one.
-func NewTokenCache() *TokenCache { return &TokenCache{tenants: map[string]*tenantTokens{}} }
+// Newest is the highest fencing number of an allocator that grants were taken of.
+func (c *TokenCache) Newest() uint64 { return c.newest }
 
-// Reached tells whether an allocator has been heard of within what its tokens are good for.
-func (p *TokenCache) Reached(now time.Duration) bool { return p.met && now-p.got < valid }
+// Reached tells whether an allocator has been reached within the validity of its tokens.
+func (c *TokenCache) Reached(now time.Duration) bool { return c.reached && now-c.got < tokenValidity }
 
-// Take takes a request of a tenant in: done is called once, now or later, with whether it may go on, and if not, when to come
-// back.
-func (p *TokenCache) Take(now time.Duration, tenant string, limit Limit, done func(ok bool, back time.Duration)) {
+// Take admits a request of a tenant or refuses it. done is called once, now or later, with whether the request may go on, and if
+// not, when to come back.
+func (c *TokenCache) Take(now time.Duration, tenant string, limit Limit, done func(ok bool, back time.Duration)) {
 	if limit.Rate <= 0 {
 		done(true, 0)
 		return
 	}
-	k := p.tenants[tenant]
-	if k == nil {
-		k = &tenantTokens{at: now, levelAt: now, level: 1}
-		p.tenants[tenant] = k
+	t := c.tenants[tenant]
+	if t == nil {
+		t = &tenantTokens{at: now, levelAt: now, level: 1}
+		c.tenants[tenant] = t
 	}
-	k.limit = limit
-	k.count(now, 1)
-	k.lapse(now)
+	t.limit = limit
+	t.count(now, 1)
+	t.lapse(now)
 	switch {
-	case now < k.until && k.tokens >= 1:
-		k.tokens--
+	case t.spend(now):
 		done(true, 0)
-	case !p.Reached(now) && p.met:
-		done(k.alone(now, p))
-	case now < k.denied:
-		done(false, p.back(k, k.denied-now))
-	case len(k.waiting) >= waitersMax:
-		done(false, backMost)
+	case !c.Reached(now) && c.reached:
+		done(t.admitAlone(now, c.sidecars))
+	case now < t.denied:
+		done(false, clampBack(t.denied-now))
+	case len(t.waiting) >= waitersMax:
+		done(false, backMax)
 	default:
-		if len(k.waiting) == 0 {
-			k.since = now
+		if len(t.waiting) == 0 {
+			t.since = now
 		}
-		k.waiting = append(k.waiting, done)
+		t.waiting = append(t.waiting, done)
 	}
 }
 
-func (p *TokenCache) back(k *tenantTokens, d time.Duration) time.Duration {
-	return min(max(d, backLeast), backMost)
-}
+func clampBack(d time.Duration) time.Duration { return min(max(d, backMin), backMax) }
 
-// lapse puts tokens aside that have run out.
-func (k *tenantTokens) lapse(now time.Duration) {
-	if now >= k.until && k.tokens > 0 {
-		k.unused += k.tokens
-		k.tokens = 0
+// Tick gives the requests that are due, and has requests that waited too long use the standing share.
+func (c *TokenCache) Tick(now time.Duration) (requests []TokenRequest, due bool) {
+	interval := heartbeatInterval
+	if c.endWaits(now) {
+		interval = urgentInterval
 	}
-}
-
-// count takes requests into the demand.
-func (k *tenantTokens) count(now time.Duration, n float64) {
-	dt := float64(now - k.at)
-	k.demand = k.demand/(1+dt/float64(demandOver)) + n/demandOver.Seconds()
-	k.usual = k.usual/(1+dt/float64(shareOver)) + n/shareOver.Seconds()
-	k.at = now
-}
-
-func (k *tenantTokens) rate(now time.Duration) float64 {
-	return k.demand / (1 + float64(now-k.at)/float64(demandOver))
-}
-
-// alone lets a request in by the standing share. Whoever has none, having never reached an allocator or not for longer than the
-// share's lease, takes a small even one for itself: with no allocator at all, as after a restart of all or with the core gone for
-// long, these add up to no more than the limit; of a few that alone can't reach one, even through others, the sum stays within
-// what the rules leave.
-func (k *tenantTokens) alone(now time.Duration, p *TokenCache) (bool, time.Duration) {
-	if now >= k.shareTo {
-		k.share = k.limit.Rate * min(firstShare, 1/float64(max(p.sidecars, 1)))
+	if now-c.sent < interval || c.out && now-c.sent < replyTimeout {
+		return nil, false
 	}
-	part := (k.limit.Spare + k.limit.Burst) / float64(max(p.sidecars, 1)) // what may be saved up, over all sidecars
-	k.level = min(k.level+k.share*(now-k.levelAt).Seconds(), max(k.share*ahead.Seconds(), min(part, savedMost), 1))
-	k.levelAt = now
-	if k.level < 1 {
-		if k.share <= 0 {
-			return false, backMost
+	for name, t := range c.tenants {
+		t.lapse(now)
+		if len(t.waiting) == 0 && !t.short(now) && t.unused < 1 && now < t.renew {
+			continue
 		}
-		return false, min(time.Duration((1-k.level)/k.share*float64(time.Second)), backAlone) // an allocator may be back by then
+		requests = append(requests, t.request(now, name))
 	}
-	k.level--
-	return true, 0
+	c.sent, c.out = now, true
+	return requests, true
 }
 
-// Tick gives the wishes that are due, and turns to its own share whoever has waited too long.
-func (p *TokenCache) Tick(now time.Duration) (w []TokenRequest, due bool) {
-	pressing := false
-	for name, k := range p.tenants {
-		most := waitMost
-		if !p.met {
-			most = waitFirst
-		}
-		if len(k.waiting) > 0 && now-k.since > most {
-			k.release(now, func() (bool, time.Duration) { return k.alone(now, p) })
-		}
-		if now-k.at > idleAfter && now >= k.shareTo {
-			delete(p.tenants, name)
-			continue
-		}
-		if len(k.waiting) > 0 || k.short(now) {
-			pressing = true
-		}
+// endWaits ends waits that are too long, drops idle tenants, and tells whether tokens are wanted soon.
+func (c *TokenCache) endWaits(now time.Duration) (urgent bool) {
+	timeout := waitTimeout
+	if !c.reached {
+		timeout = firstWaitTimeout
 	}
-	pace := beat
-	if pressing {
-		pace = urgent
-	}
-	if now-p.sent < pace || p.out && now-p.sent < waitMost {
-		return nil, false
-	}
-	for name, k := range p.tenants {
-		k.lapse(now)
-		if len(k.waiting) == 0 && !k.short(now) && k.unused < 1 && now < k.renew {
-			continue
+	for name, t := range c.tenants {
+		if len(t.waiting) > 0 && now-t.since > timeout {
+			t.release(func() (bool, time.Duration) { return t.admitAlone(now, c.sidecars) })
 		}
-		k.renew = now + renewEach
-		x := TokenRequest{Tenant: name, Demand: k.usual / (1 + float64(now-k.at)/float64(shareOver)), Share: k.share, Left: max(k.shareTo-now, 0), Unused: k.unused}
-		k.unused = 0
-		k.asked = len(k.waiting)
-		x.Tokens = float64(k.asked)
-		if next := k.rate(now) * ahead.Seconds(); next >= 1 {
-			x.Tokens += next
-			if now < k.until {
-				x.Tokens -= k.tokens
-			}
+		if now-t.at > idleAfter && now >= t.shareUntil {
+			delete(c.tenants, name)
+			continue
 		}
-		x.Tokens = max(x.Tokens, 0)
-		w = append(w, x)
+		urgent = urgent || len(t.waiting) > 0 || t.short(now)
 	}
-	p.sent, p.out = now, true
-	return w, true
+	return urgent
 }
 
-// short tells whether tokens are about to run out.
-func (k *tenantTokens) short(now time.Duration) bool {
-	next := k.rate(now) * ahead.Seconds()
-	if next < 1 || now < k.denied {
-		return false
-	}
-	return now+ahead/4 >= k.until || k.tokens < next/3
-}
-
-// Newest is the highest fencing number of an allocator that grants were received under.
-func (p *TokenCache) Newest() uint64 { return p.newest }
-
 // Got takes the answer to the requests that were sent at a time. It refuses grants of an allocator whose fencing number is below
-// that of another one it has heard of: the former's lease has ended, and the newer one does not count what it granted.
-func (p *TokenCache) Got(now, sent time.Duration, t *TokenGrants) (taken bool) {
-	p.out = false
-	if !t.Granted || t.Epoch < p.newest {
+// that of another one it has heard from: the former's lease has ended, and the newer one does not count what it granted.
+func (c *TokenCache) Got(now, sent time.Duration, g *TokenGrants) (taken bool) {
+	c.out = false
+	if !g.Granted || g.Epoch < c.newest {
 		return false
 	}
-	p.newest = t.Epoch
-	p.met, p.got = true, max(p.got, sent)
-	for _, x := range t.Grants {
-		k := p.tenants[x.Tenant]
-		if k == nil {
-			continue
+	c.newest = g.Epoch
+	c.reached, c.got = true, max(c.got, sent)
+	for i := range g.Grants {
+		if t := c.tenants[g.Grants[i].Tenant]; t != nil {
+			t.take(now, sent, &g.Grants[i])
 		}
-		k.lapse(now)
-		if sent+valid > now {
-			k.tokens += x.Tokens
-			k.until = sent + valid
-		}
-		k.share, k.shareTo = x.Share, sent+x.Left
-		if x.Back > 0 {
-			k.denied = now + min(x.Back, 100*time.Millisecond)
-		}
-		k.settle(now, p.back(k, x.Back))
 	}
 	return true
 }
 
-// settle lets waiting requests in by the tokens that are there. Those that the wishes spoke for and that got none are told to
-// come back; who came later waits for the next answer.
-func (k *tenantTokens) settle(now, back time.Duration) {
-	i := 0
-	for ; i < len(k.waiting) && now < k.until && k.tokens >= 1; i++ {
-		k.tokens--
-		k.waiting[i](true, 0)
-	}
-	for ; i < len(k.waiting) && i < k.asked; i++ {
-		k.waiting[i](false, back)
-	}
-	k.waiting, k.asked, k.since = k.waiting[i:], 0, now
-}
+// Failed reports that the requests reached no allocator.
+func (c *TokenCache) Failed(time.Duration) { c.out = false }
 
 // Waiting tells whether requests wait for tokens.
-func (p *TokenCache) Waiting() bool {
-	for _, k := range p.tenants {
-		if len(k.waiting) > 0 {
+func (c *TokenCache) Waiting() bool {
+	for _, t := range c.tenants {
+		if len(t.waiting) > 0 {
 			return true
 		}
 	}
 	return false
 }
-
-// Failed says that the wishes reached no allocator.
-func (p *TokenCache) Failed(time.Duration) { p.out = false }
-
-func (k *tenantTokens) release(now time.Duration, take func() (bool, time.Duration)) {
-	all := k.waiting
-	k.waiting = nil
-	for _, done := range all {
-		done(take())
-	}
-}
