--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"os"
 	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -132,6 +133,51 @@
 	}
 }
 
+// Two of five are gone for good at the same time, or end at the same time, and two empty machines come. Once these have had their
+// time two of the disks that are left are lost, of any two machines.
+func TestTwoReplacedThenTwoLost(t *testing.T) {
+	for _, ends := range []bool{false, true} {
+		for _, victims := range [][2]int{{2, 3}, {3, 4}, {2, 5}, {5, 6}, {4, 6}} {
+			grown(t, 5, 2, 5, func(co *core, ctx context.Context) {
+				co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+				if ends {
+					co.start(5, false)
+					co.start(6, false)
+					time.Sleep(time.Second)
+					var both sync.WaitGroup
+					for i := range 2 {
+						d := co.server(i)
+						both.Go(func() {
+							short, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
+							defer cancel()
+							co.c.Check(d.HandOver(short), qt.IsNil)
+						})
+					}
+					both.Wait()
+				}
+				co.lose(0)
+				co.lose(1)
+				if !ends {
+					time.Sleep(time.Second)
+					co.start(5, false)
+					co.start(6, false)
+				}
+				time.Sleep(catchUp)
+				co.c.Assert(co.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
+				co.c.Assert(co.replace(ctx, 4, 1, 2), qt.Equals, Applied)
+				for _, v := range victims {
+					co.lose(v)
+				}
+				for _, v := range victims {
+					co.start(v, false)
+				}
+				co.c.Assert(co.newest(ctx, victims[0]), qt.Equals, configuration.Version(2))
+				co.c.Assert(co.replace(ctx, victims[1], 2, 3), qt.Equals, Applied)
+			})
+		}
+	}
+}
+
 // Without another that could take its place a voter that ends stays one, and doesn't wait. One that is alone ends, too.
 func TestHandOverToNobody(t *testing.T) {
 	grown(t, 3, 1, 3, func(co *core, ctx context.Context) {
