--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -14,6 +14,7 @@
 	Incarnation  uint64       // grows each time the disk is lost
 	Incarnations Incarnations // the others'
 	Promised     Ballot
+	System       System
 }
 
 // Fields implements codec.Message. A record without an epoch is from before voters could change, and has the first membership.
@@ -26,6 +27,7 @@
 	v.Uint(6, &s.Epoch)
 	v.Texts(7, &s.Previous)
 	v.Texts(8, &s.Retired)
+	v.Fixed(9, (*uint64)(&s.System))
 }
 
 // Record is all that a replica remembers. Both parts are written on their own: if the vote is there without the state that
@@ -37,7 +39,7 @@
 
 // FirstRecord is that of a process at the first start of the whole system.
 func FirstRecord(self string, voters []string) Record {
-	r := Record{State: ReplicaState{Membership: Membership{Voters: voters}, Incarnation: 1}}
+	r := Record{State: ReplicaState{Membership: Membership{Voters: voters}, Incarnation: 1, System: NewSystem(voters)}}
 	r.State.Ready = r.State.Has(self)
 	return r
 }
@@ -74,6 +76,9 @@
 	if !r.State.Ready {
 		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, Changed{}
 	}
+	if !r.State.System.Admits(q.System) {
+		return Reply{Kind: OtherSystem, Ballot: q.Ballot, System: r.State.System}, r, Changed{}
+	}
 	r, changed := r.Learn(q.Membership)
 	decided := r.Decided()
 	if decided.contradicts(&q.Membership) {
@@ -129,7 +134,7 @@
 		}
 	}
 	if q.Kind == Recover {
-		reply.Membership = decided
+		reply.Membership, reply.System = decided, r.State.System
 	}
 	return reply, r, changed
 }
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -30,6 +30,8 @@
 	Incarnation uint64
 	Epoch       uint64     // of ReadVote, Prepare and Accept: of the proposer's membership
 	Membership  Membership // the newest one that the sender knows as decided
+	System      System     // of the sender
+	Sender      string     // its name, for logs
 }
 
 // Fields implements codec.Message.
@@ -44,6 +46,8 @@
 	v.Uint(6, &q.Incarnation)
 	v.Uint(7, &q.Epoch)
 	v.Message(8, &q.Membership)
+	v.Fixed(9, (*uint64)(&q.System))
+	v.Text(10, &q.Sender)
 }
 
 // ReplyKind is how a request was answered.
@@ -55,9 +59,10 @@
 	Reported                  // to ReadVote, Recover, Describe and Commit
 	Promise
 	Accepted
-	Rejected   // Promised is higher; to Recover: an incarnation as high was seen
-	StaleEpoch // a newer epoch is decided: Membership
-	OtherList  // the request names another list for an epoch whose list is known here: Membership
+	Rejected    // Promised is higher; to Recover: an incarnation as high was seen
+	StaleEpoch  // a newer epoch is decided: Membership
+	OtherList   // the request names another list for an epoch whose list is known here: Membership
+	OtherSystem // the sender belongs to another system: System
 )
 
 // Reply is the answer to a request. Ballot is that of the request, Promised and Vote are the voter's own. Membership is the
@@ -71,8 +76,9 @@
 	Vote         Vote
 
 	Membership Membership
-	Ready      bool     // to Describe: may be made a voter
-	Blank      bool     // NotReady because there was nothing on its disk at all
+	Ready      bool // to Describe: may be made a voter
+	Blank      bool // NotReady because there was nothing on its disk at all
+	System     System
 	Silent     []string // to Describe: voters that have not answered this one for ReplaceDelay
 }
 
@@ -90,6 +96,7 @@
 	v.Bool(9, &r.Ready)
 	v.Bool(10, &r.Blank)
 	v.Texts(11, &r.Silent)
+	v.Fixed(12, (*uint64)(&r.System))
 }
 
 // Vote is a value that was accepted under a ballot. A Learned one was not accepted by the voter that has it: that voter lost
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -14,13 +14,13 @@
 	b := Ballot{3, "a#1"}
 	e := Membership{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
 	value := Value{7, []byte("body"), []VersionDigest{{2, Digest{}}, mark}, 1, []VersionDigest{mark}, e}
-	q, q2 := Request{Accept, b, Ballot{2, "b"}, value, "x", 4, 5, e}, Request{}
+	q, q2 := Request{Accept, b, Ballot{2, "b"}, value, "x", 4, 5, e, 6, "y"}, Request{}
 	c.Assert(codec.Read(codec.Write(nil, &q), &q2), qt.IsNil)
 	c.Assert(q2, qt.DeepEquals, q)
-	r, r2 := Reply{Rejected, b, 5, Incarnations{"x": 2, "y": 3}, b, Vote{b, value, true}, e, true, true, []string{"w"}}, Reply{}
+	r, r2 := Reply{Rejected, b, 5, Incarnations{"x": 2, "y": 3}, b, Vote{b, value, true}, e, true, true, 7, []string{"w"}}, Reply{}
 	c.Assert(codec.Read(codec.Write(nil, &r), &r2), qt.IsNil)
 	c.Assert(r2, qt.DeepEquals, r)
-	s, s2 := ReplicaState{e, true, 2, Incarnations{"y": 1}, b}, ReplicaState{}
+	s, s2 := ReplicaState{e, true, 2, Incarnations{"y": 1}, b, 8}, ReplicaState{}
 	c.Assert(codec.Read(codec.Write(nil, &s), &s2), qt.IsNil)
 	c.Assert(s2, qt.DeepEquals, s)
 }
@@ -31,7 +31,7 @@
 	old := oldStanding{[]string{"x", "y"}, true, 2, Incarnations{"y": 1}, Ballot{3, "a#1"}}
 	var s ReplicaState
 	c.Assert(codec.Read(codec.Write(nil, &old), &s), qt.IsNil)
-	c.Assert(s, qt.DeepEquals, ReplicaState{Membership{Voters: []string{"x", "y"}}, true, 2, Incarnations{"y": 1}, Ballot{3, "a#1"}})
+	c.Assert(s, qt.DeepEquals, ReplicaState{Membership{Voters: []string{"x", "y"}}, true, 2, Incarnations{"y": 1}, Ballot{3, "a#1"}, 0})
 }
 
 type oldStanding struct {
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -48,7 +48,7 @@
 // Step takes a voter's reply, and tells the record once there are enough; it is then to be written through. NextIncarnation is
 // for another attempt, if this one fails.
 func (y *Recovery) Step(node string, reply *Reply) (Record, bool) {
-	if node == y.self || y.replies[node] != nil || reply.Kind == NotReady && !reply.Blank {
+	if node == y.self || y.replies[node] != nil || reply.Kind == NotReady && !reply.Blank || reply.Kind == OtherSystem {
 		return Record{}, false
 	}
 	y.replies[node] = reply
@@ -67,6 +67,9 @@
 		if reply.Kind != Reported {
 			continue
 		}
+		if reply.System != 0 {
+			r.State.System = reply.System
+		}
 		if reply.Promised.Compare(r.State.Promised) > 0 {
 			r.State.Promised = reply.Promised
 		}
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -105,6 +105,7 @@
 		d.wg.Go(func() {
 			reply, err := d.describe(d.ctx, node)
 			if err == nil {
+				d.adoptSystem(reply.System)
 				d.adoptMembership(reply.Membership)
 			}
 			select {
@@ -235,7 +236,7 @@
 func (d *Server) describe(ctx context.Context, node string) (*consensus.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	q := consensus.Request{Kind: consensus.Describe, Membership: d.Membership()}
+	q := d.sign(consensus.Request{Kind: consensus.Describe, Membership: d.Membership()})
 	return d.ask(ctx, node, q, codec.Write(nil, &q))
 }
 
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -53,6 +53,7 @@
 		select {
 		case a := <-answers:
 			if a.reply != nil && len(a.reply.Membership.Voters) > 0 {
+				d.adoptSystem(a.reply.System)
 				d.adoptMembership(a.reply.Membership)
 				return
 			}
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -181,6 +181,7 @@
 // adopt takes a record that is on disk.
 func (k *replica) adopt(r consensus.Record) {
 	k.setRecord(r)
+	k.d.adoptSystem(r.State.System)
 	k.d.adoptMembership(r.Decided())
 	k.d.observeBallot(r.State.Promised)
 	k.d.observeBallot(r.Vote.Ballot)
@@ -250,6 +251,7 @@
 	case fresh && k.d.o.InitialStart && !k.lost:
 		first := consensus.FirstRecord(k.d.o.Self, k.d.firstVoters())
 		if !first.State.Ready {
+			k.d.adoptSystem(first.State.System)
 			k.d.adoptMembership(first.State.Membership)
 			k.startRecovery(false)
 			return nil
@@ -265,6 +267,9 @@
 		k.d.adoptMembership(r.Decided())
 		k.startRecovery(fresh)
 	default:
+		if r.State.System == 0 && r.Decided().Epoch == 0 { // written by a version that had none
+			r.State.System = consensus.NewSystem(r.State.Voters)
+		}
 		if err := k.save(&r, consensus.Changed{Vote: true, State: true}); err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -68,6 +68,7 @@
 	known     consensus.Vote       // newest whose ballot and word are known to be committed
 	committed consensus.Value
 
+	system     consensus.System     // 0 while not known
 	readySince time.Time            // since when this process may vote
 	persisting bool                 // a newer list is being written
 	silent     []string             // voters that don't answer this process
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -28,14 +28,45 @@
 }
 
 func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
+	if own := d.knownSystem(); !own.Admits(q.System) {
+		d.o.Log.WithField("peer", q.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
+		return &consensus.Reply{Kind: consensus.OtherSystem, Ballot: q.Ballot, System: own}, nil
+	}
 	d.observeBallot(q.Ballot)
 	d.adoptMembership(q.Membership)
 	if q.Kind == consensus.Describe {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready, Silent: d.silent}, nil
+		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready, Silent: d.silent, System: d.system}, nil
+	}
+	reply, err := d.do(ctx, &job{request: q})
+	if err == nil && reply.Kind == consensus.OtherList {
+		d.o.Log.WithField("peer", q.Sender).WithField("epoch", q.Membership.Epoch).WithField("voters", q.Membership.Voters).
+			WithField("own", reply.Membership.Voters).Error("controlplane: a request under another list of voters for the same epoch is refused")
+	}
+	return reply, trace.Wrap(err)
+}
+
+// knownSystem is the system that this process belongs to, as far as it knows yet.
+func (d *Server) knownSystem() consensus.System {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.system
+}
+
+// adoptSystem notes the system once it is known.
+func (d *Server) adoptSystem(s consensus.System) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.system == 0 {
+		d.system = s
 	}
-	return d.do(ctx, &job{request: q})
+}
+
+// sign completes a request of this process.
+func (d *Server) sign(q consensus.Request) consensus.Request {
+	q.System, q.Sender = d.knownSystem(), d.o.Self
+	return q
 }
 
 // ask asks a voter, which may be this process; raw is the request as it is sent.
@@ -51,6 +82,10 @@
 	if err := codec.Read(raw, &reply); err != nil {
 		return nil, trace.BadParameter("reply of %s: %v", node, err)
 	}
+	if reply.Kind == consensus.OtherSystem || !d.knownSystem().Admits(reply.System) {
+		d.o.Log.WithField("peer", node).Error("controlplane: the process at this address belongs to another system")
+		return nil, trace.BadParameter("%s belongs to another system", node)
+	}
 	return &reply, nil
 }
 
@@ -63,7 +98,8 @@
 // enough answers, so that the others learn of it too.
 func (d *Server) broadcast(nodes []string, q *consensus.Request) <-chan answer {
 	answers := make(chan answer, len(nodes))
-	raw, one := codec.Write(nil, q), *q
+	one := d.sign(*q)
+	raw := codec.Write(nil, &one)
 	for _, node := range nodes {
 		go func() { // ends with the server
 			ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
