--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -42,6 +42,8 @@
 	pauseMax     = 500 * time.Millisecond
 	askTimeout   = 2 * time.Second
 	recoverDelay = 20 * time.Millisecond
+
+	recoverTimeout = 600 * time.Millisecond // for one attempt to read a record from others
 )
 
 // Desk takes part in the agreement.
@@ -66,6 +68,7 @@
 	known     consensus.Vote       // newest whose ballot and word are known to be committed
 	committed consensus.Value
 
+	system     consensus.System     // 0 while not known
 	readySince time.Time            // since when this process may vote
 	persisting bool                 // a newer list is being written
 	silent     []string             // voters that don't answer this process
