--- a/internal/mesh/control/storage/storage.go
+++ b/internal/mesh/control/storage/storage.go
@@ -7,24 +7,30 @@
 	"errors"
 	"hash/crc32"
 	"os"
+	"path/filepath"
+	"syscall"
 
 	"github.com/gravitational/trace"
 	"github.com/syndtr/goleveldb/leveldb"
 	lerrors "github.com/syndtr/goleveldb/leveldb/errors"
 	"github.com/syndtr/goleveldb/leveldb/opt"
+	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// A record is magic, the CRC32C of what follows, then the data.
+// A record is the format's number, the CRC32C of what follows, then the data. Formats up to formatMax keep this header.
 const (
-	magic  = 0x71 // and the version of the format
-	header = 1 + 4
+	format    = 0x71
+	formatMax = 0x7f
+	header    = 1 + 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Trunk is a folder of records.
+// Store is a folder of records.
 type Store struct {
 	folder string
+	opened func(folder string) (lstorage.Storage, error) // gives the folder's files
+	files  lstorage.Storage
 	db     *leveldb.DB // nil after an error, until the next call
 }
 
@@ -41,9 +47,10 @@
 	}
 }
 
-// Open opens a folder, which it creates. A lock that a killed process left, and a last write that was torn, don't matter.
+// Open opens a folder, which it creates. A lock that a killed process left, and a last write that was torn, don't matter. The
+// error names the folder; a folder that another process has open is trace.AlreadyExists.
 func Open(folder string) (*Store, error) {
-	t := &Store{folder: folder}
+	t := &Store{folder: folder, opened: openFiles}
 	return t, trace.Wrap(t.open())
 }
 
@@ -51,29 +58,91 @@
 	if t.db != nil {
 		return nil
 	}
-	if err := os.MkdirAll(t.folder, 0o700); err != nil {
-		return trace.ConvertSystemError(err)
+	if err := makeFolder(t.folder); err != nil {
+		return trace.Wrap(err, "folder %s", t.folder)
 	}
-	db, err := leveldb.OpenFile(t.folder, options())
-	if lerrors.IsCorrupted(err) {
-		db, err = leveldb.RecoverFile(t.folder, options())
+	files, err := t.opened(t.folder)
+	if errors.Is(err, syscall.EWOULDBLOCK) {
+		return trace.AlreadyExists("folder %s is in use by another process", t.folder)
 	}
 	if err != nil {
 		return trace.Wrap(err, "folder %s", t.folder)
 	}
-	t.db = db
+	db, err := openDatabase(files)
+	if err != nil {
+		_ = files.Close() // has nothing to add to the error
+		return trace.Wrap(err, "folder %s", t.folder)
+	}
+	t.db, t.files = db, files
 	return nil
 }
 
-// drop closes the database after an error: its journal may be broken, and is read anew before the next write.
-func (t *Store) drop() {
-	if t.db != nil {
-		_ = t.db.Close() // has nothing to add to the error
-		t.db = nil
+// openDatabase opens the database in a folder's files, and makes its list of files anew if that is spoilt or gone.
+func openDatabase(files lstorage.Storage) (*leveldb.DB, error) {
+	if _, err := files.GetMeta(); errors.Is(err, os.ErrNotExist) {
+		if left, err := files.List(lstorage.TypeTable | lstorage.TypeJournal); err != nil || len(left) > 0 {
+			return leveldb.Recover(files, options())
+		}
+	}
+	db, err := leveldb.Open(files, options())
+	if lerrors.IsCorrupted(err) {
+		return leveldb.Recover(files, options())
+	}
+	return db, err
+}
+
+// makeFolder makes a folder, and syncs the one that it is in: else a loss of power could take it away with all that it holds.
+func makeFolder(folder string) error {
+	if _, err := os.Stat(folder); err == nil {
+		return nil
+	}
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return trace.ConvertSystemError(err)
 	}
+	return syncFolder(filepath.Dir(folder))
 }
 
-// Get reads a record: trace.NotFound if there is none, trace.CompareFailed if it isn't what was written.
+func syncFolder(folder string) error {
+	f, err := os.Open(folder)
+	if err != nil {
+		return trace.ConvertSystemError(err)
+	}
+	defer f.Close()
+	return trace.ConvertSystemError(f.Sync())
+}
+
+func openFiles(folder string) (lstorage.Storage, error) {
+	files, err := lstorage.OpenFile(folder, false)
+	if err != nil {
+		return nil, err
+	}
+	return syncedJournals{files, func() error { return syncFolder(folder) }}, nil
+}
+
+// syncedJournals syncs the folder when a journal was made in it. goleveldb syncs a journal's content with each write, but its
+// name in the folder only once the journal before it is compacted; a loss of power in between could take away the whole file.
+type syncedJournals struct {
+	lstorage.Storage
+	syncFolder func() error
+}
+
+func (s syncedJournals) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
+	w, err := s.Storage.Create(fd)
+	if err != nil || fd.Type != lstorage.TypeJournal {
+		return w, err
+	}
+	if err := s.syncFolder(); err != nil {
+		_ = w.Close() // has nothing to add to the error
+		return nil, err
+	}
+	return w, nil
+}
+
+// drop closes the database after an error: its journal may be broken, and is read anew before the next write.
+func (t *Store) drop() { _ = t.Close() }
+
+// Get reads a record: trace.NotFound if there is none, trace.CompareFailed if it isn't what was written, trace.NotImplemented
+// if a later version of this program wrote it. The error names the folder and the record.
 func (t *Store) Get(key string) ([]byte, error) {
 	if err := t.open(); err != nil {
 		return nil, trace.Wrap(err)
@@ -81,25 +150,26 @@
 	record, err := t.db.Get([]byte(key), nil)
 	switch {
 	case errors.Is(err, leveldb.ErrNotFound):
-		return nil, trace.NotFound("record %q", key)
+		return nil, trace.NotFound("folder %s, record %q", t.folder, key)
 	case lerrors.IsCorrupted(err):
-		return nil, trace.CompareFailed("record %q: %v", key, err)
+		return nil, trace.CompareFailed("folder %s, record %q: %v", t.folder, key, err)
 	case err != nil:
 		t.drop()
-		return nil, trace.Wrap(err, "record %q", key)
+		return nil, trace.Wrap(err, "folder %s, record %q", t.folder, key)
 	}
 	data, err := unwrap(record)
-	return data, trace.Wrap(err, "record %q", key)
+	return data, trace.Wrap(err, "folder %s, record %q", t.folder, key)
 }
 
-// Put writes a record through to the disk.
+// Put writes a record through to the disk. A spoilt table is an error that names it, for good: to go on without it could bring an
+// older record back. Without the folder, the caller starts as one that lost its disk.
 func (t *Store) Put(key string, data []byte) error {
 	if err := t.open(); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := t.db.Put([]byte(key), wrap(data), &opt.WriteOptions{Sync: true}); err != nil {
 		t.drop()
-		return trace.Wrap(err, "record %q", key)
+		return trace.Wrap(err, "folder %s, record %q", t.folder, key)
 	}
 	return nil
 }
@@ -114,7 +184,7 @@
 	defer it.Release()
 	for it.Next() {
 		if _, err := unwrap(it.Value()); err != nil {
-			faults = append(faults, trace.Wrap(err, "record %q", it.Key()))
+			faults = append(faults, trace.Wrap(err, "folder %s, record %q", t.folder, it.Key()))
 		}
 	}
 	return trace.NewAggregate(append(faults, it.Error())...)
@@ -125,25 +195,31 @@
 	if t.db == nil {
 		return nil
 	}
-	err := t.db.Close()
-	t.db = nil
-	return trace.Wrap(err)
+	err := trace.NewAggregate(t.db.Close(), t.files.Close())
+	t.db, t.files = nil, nil
+	return err
 }
 
 func wrap(data []byte) []byte {
 	record := make([]byte, header, header+len(data))
-	record[0] = magic
+	record[0] = format
 	binary.LittleEndian.PutUint32(record[1:], crc32.Checksum(data, castagnoli))
 	return append(record, data...)
 }
 
 func unwrap(record []byte) ([]byte, error) {
-	if len(record) < header || record[0] != magic {
-		return nil, trace.CompareFailed("not of this format")
+	if len(record) < header {
+		return nil, trace.CompareFailed("%d bytes, expected %d at least", len(record), header)
 	}
 	data := record[header:]
-	if crc32.Checksum(data, castagnoli) != binary.LittleEndian.Uint32(record[1:]) {
-		return nil, trace.CompareFailed("checksum doesn't fit")
+	sum, want := crc32.Checksum(data, castagnoli), binary.LittleEndian.Uint32(record[1:])
+	switch number := record[0]; {
+	case number > format && number <= formatMax && sum == want:
+		return nil, trace.NotImplemented("format %#x, this program reads %#x", number, format)
+	case number != format:
+		return nil, trace.CompareFailed("format %#x, expected %#x", number, format)
+	case sum != want:
+		return nil, trace.CompareFailed("checksum %#x, expected %#x", sum, want)
 	}
 	return data, nil
 }
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -8,11 +8,13 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"sync"
 	"testing"
 	"time"
 
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
+	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
 // killed is a folder as it is left when the process that has it open is killed: all files as they were at one moment, while
@@ -120,7 +122,7 @@
 	c.Assert(k.Put("good", []byte("x")), qt.IsNil)
 	spoilt := wrap([]byte("data"))
 	spoilt[len(spoilt)-1] ^= 1
-	for key, record := range map[string][]byte{"spoilt": spoilt, "short": {magic}, "other": append([]byte{1}, wrap(nil)[1:]...)} {
+	for key, record := range map[string][]byte{"spoilt": spoilt, "short": {format}, "other": append([]byte{1}, wrap(nil)[1:]...)} {
 		c.Assert(k.db.Put([]byte(key), record, nil), qt.IsNil)
 		_, err := k.Get(key)
 		c.Assert(trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("%v", err))
@@ -151,3 +153,196 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(data), qt.Equals, "3")
 }
+
+// volatileFiles are a folder's files at a machine that may lose power: what is written stands in memory until it is synced, and a
+// file's name until the folder is. While gate is open no table is written, so that no compaction syncs the folder meanwhile.
+type volatileFiles struct {
+	lstorage.Storage
+	mu      sync.Mutex
+	unnamed map[lstorage.FileDesc]bool // names that aren't synced
+	gated   bool                       // from now on a new journal opens the gate
+	gate    chan struct{}
+}
+
+type volatileFile struct {
+	lstorage.Writer
+	files *volatileFiles
+	fd    lstorage.FileDesc
+	held  []byte
+}
+
+func (s *volatileFiles) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
+	s.mu.Lock()
+	gate := s.gate
+	s.mu.Unlock()
+	if gate != nil && fd.Type == lstorage.TypeTable {
+		<-gate
+	}
+	w, err := s.Storage.Create(fd)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unnamed[fd] = true
+	if s.gated && fd.Type == lstorage.TypeJournal {
+		s.gate = make(chan struct{})
+	}
+	return &volatileFile{Writer: w, files: s, fd: fd}, err
+}
+
+func (s *volatileFiles) SetMeta(fd lstorage.FileDesc) error {
+	s.syncFolder()
+	return s.Storage.SetMeta(fd)
+}
+
+func (s *volatileFiles) syncFolder() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.unnamed)
+}
+
+func (s *volatileFiles) closeGate() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.gate != nil {
+		close(s.gate)
+		s.gate = nil
+	}
+}
+
+func (f *volatileFile) Write(data []byte) (int, error) {
+	f.held = append(f.held, data...)
+	return len(data), nil
+}
+
+func (f *volatileFile) Sync() error {
+	_, err := f.Writer.Write(f.held)
+	f.held = nil
+	if f.fd.Type == lstorage.TypeManifest {
+		f.files.syncFolder()
+	}
+	return err
+}
+
+// powerLost is the folder as it is after a loss of power that takes all that may be lost.
+func (s *volatileFiles) powerLost(t *testing.T, folder string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	left := t.TempDir()
+	qt.Assert(t, os.CopyFS(left, os.DirFS(folder)), qt.IsNil)
+	for fd := range s.unnamed {
+		if err := os.Remove(filepath.Join(left, fd.String())); err != nil {
+			qt.Assert(t, errors.Is(err, fs.ErrNotExist), qt.IsTrue)
+		}
+	}
+	return left
+}
+
+// After a loss of power every record that Put has written is there, also those in a journal that was only just begun.
+func TestSyncedRecordsSurviveLossOfPower(t *testing.T) {
+	c := qt.New(t)
+	folder := t.TempDir()
+	var files *volatileFiles
+	k := &Store{folder: folder, opened: func(folder string) (lstorage.Storage, error) {
+		real, err := lstorage.OpenFile(folder, false)
+		files = &volatileFiles{Storage: real, unnamed: map[lstorage.FileDesc]bool{}}
+		return syncedJournals{files, func() error { files.syncFolder(); return nil }}, err
+	}}
+	c.Assert(k.open(), qt.IsNil)
+	defer k.Close()
+	files.mu.Lock()
+	files.gated = true
+	files.mu.Unlock()
+	journals, body := map[string]bool{}, bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
+	for i := range 20 {
+		c.Assert(k.Put("vote", append(body, byte(i))), qt.IsNil)
+		left := files.powerLost(t, folder)
+		files.closeGate()
+		for _, name := range must(filepath.Glob(filepath.Join(folder, "*.log"))) {
+			journals[name] = true
+		}
+		again := open(t, left)
+		data, err := again.Get("vote")
+		c.Assert(err, qt.IsNil)
+		c.Assert(len(data) > 0 && data[len(data)-1] == byte(i), qt.IsTrue, qt.Commentf("record %d is lost", i))
+		c.Assert(again.Close(), qt.IsNil)
+	}
+	c.Assert(len(journals) > 2, qt.IsTrue)
+}
+
+// A record of a later format is told apart from a spoilt one, and stays as it is.
+func TestRecordOfALaterFormat(t *testing.T) {
+	c := qt.New(t)
+	folder := t.TempDir()
+	k := open(t, folder)
+	later := wrap([]byte("data"))
+	later[0] = format + 1
+	c.Assert(k.db.Put([]byte("vote"), later, nil), qt.IsNil)
+	_, err := k.Get("vote")
+	c.Assert(trace.IsNotImplemented(err), qt.IsTrue, qt.Commentf("%v", err))
+	c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*format 0x72, this program reads 0x71.*`)
+	c.Assert(must(k.db.Get([]byte("vote"), nil)), qt.DeepEquals, later)
+	later[len(later)-1] ^= 1
+	c.Assert(k.db.Put([]byte("vote"), later, nil), qt.IsNil)
+	_, err = k.Get("vote")
+	c.Assert(trace.IsCompareFailed(err), qt.IsTrue)
+}
+
+// Of two processes with one folder the second gets an error that names it, and the first goes on.
+func TestFolderInUse(t *testing.T) {
+	c := qt.New(t)
+	folder := t.TempDir()
+	first := open(t, folder)
+	_, err := Open(folder)
+	c.Assert(trace.IsAlreadyExists(err), qt.IsTrue, qt.Commentf("%v", err))
+	c.Assert(err, qt.ErrorMatches, "(?s).*folder "+folder+" is in use by another process.*")
+	c.Assert(first.Put("vote", []byte("1")), qt.IsNil)
+	c.Assert(first.Close(), qt.IsNil)
+	data, err := open(t, folder).Get("vote")
+	c.Assert(err, qt.IsNil)
+	c.Assert(string(data), qt.Equals, "1")
+}
+
+// A folder of which files are cut short or gone gives the newest record, or an error that names the folder. Nothing older comes back.
+func TestTruncatedFolder(t *testing.T) {
+	c := qt.New(t)
+	folder := t.TempDir()
+	k := open(t, folder)
+	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
+	for i := range 8 {
+		c.Assert(k.Put("vote", append(large, byte(i))), qt.IsNil)
+	}
+	c.Assert(k.Close(), qt.IsNil)
+	for name, size := range files(t, folder) {
+		for _, keep := range []int64{-1, 0, size / 2} { // gone, empty, cut in two
+			torn := t.TempDir()
+			c.Assert(os.CopyFS(torn, os.DirFS(folder)), qt.IsNil)
+			if keep < 0 {
+				c.Assert(os.Remove(filepath.Join(torn, name)), qt.IsNil)
+			} else {
+				c.Assert(os.Truncate(filepath.Join(torn, name), keep), qt.IsNil)
+			}
+			label := qt.Commentf("%s of %d bytes, cut to %d", name, size, keep)
+			again, err := Open(torn)
+			if err != nil {
+				c.Assert(err, qt.ErrorMatches, "(?s).*folder "+torn+".*", label)
+				continue
+			}
+			data, err := again.Get("vote")
+			if err == nil {
+				c.Assert(len(data) == len(large)+1 && bytes.Equal(data[:len(large)], large), qt.IsTrue, label)
+			} else {
+				c.Assert(trace.IsNotFound(err) || trace.IsCompareFailed(err), qt.IsTrue, label)
+				c.Assert(err, qt.ErrorMatches, `(?s).*folder `+torn+`, record "vote".*`, label)
+			}
+			if name == "CURRENT" {
+				c.Assert(err, qt.IsNil, label) // it only names the list of files
+			}
+			if err == nil && filepath.Ext(name) != ".log" { // a journal's end is where a torn write would be
+				c.Assert(data[len(large)], qt.Equals, byte(7), label)
+			}
+			if err := again.Put("vote", []byte("next")); err != nil {
+				c.Assert(err, qt.ErrorMatches, `(?s).*folder `+torn+`, record "vote".*file=`+name+`.*`, label)
+			}
+			c.Assert(again.Close(), qt.IsNil, label)
+		}
+	}
+}
