--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -25,17 +25,17 @@
 
 // The records on disk.
 const (
-	standingKey = "standing"
-	voteKey     = "vote"
+	standingKey = "standing" // consensus.ReplicaState
+	voteKey     = "vote"     // consensus.Vote
+	ownerKey    = "owner"    // the process whose records these are
 )
 
-// job is something for the keeper: a request, a record that a replica that lost its disk got back or with which a process gets fit to vote, or
-// a list of voters that is decided.
+// job is something for the replica: one of request, record and decided.
 type job struct {
 	ctx     context.Context
 	request *consensus.Request
-	record  *consensus.Record
-	decided *consensus.Membership
+	record  *consensus.Record     // that was made anew by a recovery
+	decided *consensus.Membership // is known as decided
 	done    chan result
 }
 
@@ -44,7 +44,7 @@
 	err   error
 }
 
-// do hands a job to the keeper and waits for it.
+// do hands a job to the replica and waits for it.
 func (d *Server) do(ctx context.Context, j *job) (*consensus.Reply, error) {
 	j.ctx, j.done = ctx, make(chan result, 1)
 	select {
@@ -62,18 +62,19 @@
 	}
 }
 
-// keeper has the record, and is alone with the disk.
+// replica has the record, and alone uses the disk. One goroutine runs it.
 //
-// Standing and vote are written on their own, as a promise would otherwise write the whole configuration. After a write that
-// failed the disk may hold the old part or the new one. To go on with the old one in memory would be wrong: if the voter
+// State and vote are written on their own, as a promise would otherwise write the whole configuration. After a write that
+// failed the disk may hold the old part or the new one. To go on with the old one in memory would be wrong: if the replica
 // promised a higher ballot without telling of a vote that is on disk, and found that vote at its next start, a reader
 // could take it for committed. So both parts are read again, and written again, before anything else is answered.
 type replica struct {
 	d           *Server
 	disk        disk
+	started     bool // the record was there once, so that an empty disk is a lost one
 	loaded      bool // record is what is on disk
 	record      consensus.Record
-	lost        bool   // it must not vote: a replica that lost its disk, or one that never voted
+	lost        bool   // it must not vote: its record is gone, or was never made
 	blank       bool   // when it was lost there was nothing on the disk
 	incarnation uint64 // of the attempt to recover
 }
@@ -84,11 +85,8 @@
 			_ = k.disk.Close() // all that counts was written through
 		}
 	}()
-	pause := pauseMin
-	for k.load() != nil {
-		if k.d.pause(k.d.ctx, &pause) != nil {
-			return
-		}
+	if !k.begin() {
+		return
 	}
 	for {
 		select {
@@ -107,55 +105,83 @@
 	}
 }
 
+// begin loads the record for the first time, however long it takes. It logs why it can't, once for each reason. It returns false
+// if the server ends before.
+func (k *replica) begin() bool {
+	pause, logged := pauseMin, ""
+	for {
+		err := k.load()
+		if err == nil {
+			return true
+		}
+		if reason := err.Error(); reason != logged {
+			k.d.o.Log.WithError(err).Warn("the replica's record can't be read")
+			logged = reason
+		}
+		if k.d.pause(k.d.ctx, &pause) != nil {
+			return false
+		}
+	}
+}
+
 func (k *replica) handle(j *job) (*consensus.Reply, error) {
 	if !k.loaded {
 		if err := k.load(); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	if j.record != nil {
-		if !k.lost {
-			return nil, trace.AlreadyExists("the record is here")
-		}
-		if err := k.replace(j.record); err != nil {
-			return nil, trace.Wrap(err)
-		}
-		k.lost = false
-		k.adopt(*j.record)
+	switch {
+	case j.record != nil:
+		return nil, trace.Wrap(k.recovered(j.record))
+	case k.lost && j.decided != nil:
 		return nil, nil
+	case k.lost:
+		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, Blank: k.blank, Incarnation: k.incarnation}, nil
+	case j.decided != nil:
+		return nil, trace.Wrap(k.learnMembership(*j.decided))
+	case j.request.Kind == consensus.Commit:
+		return k.committed(j.request)
 	}
-	if j.decided != nil {
-		next, changed := k.record.Learn(*j.decided)
-		if k.lost || !changed.Any() {
-			return nil, nil
-		}
-		return nil, trace.Wrap(k.persist(next, changed))
+	reply, next, changed := k.record.Handle(j.request)
+	if err := k.persist(next, changed); err != nil {
+		return nil, trace.Wrap(err)
 	}
-	if k.lost {
-		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, Blank: k.blank, Incarnation: k.incarnation}, nil
+	return &reply, nil
+}
+
+// recovered goes on with a record that was made anew.
+func (k *replica) recovered(r *consensus.Record) error {
+	if !k.lost {
+		return trace.AlreadyExists("the record is here")
 	}
-	if j.request.Kind == consensus.Commit {
-		if v := k.record.Vote; v.Ballot == j.request.Ballot {
-			k.d.learn(v)
-			next, changed := k.record.Learn(v.Value.Membership)
-			if err := k.persist(next, changed); err != nil {
-				return nil, trace.Wrap(err)
-			}
-		}
-		next, changed := k.record.Learn(j.request.Membership)
-		if err := k.persist(next, changed); err != nil {
+	if err := k.replace(r); err != nil {
+		return trace.Wrap(err)
+	}
+	k.lost = false
+	k.adopt(*r)
+	return nil
+}
+
+// committed takes the news that a value is committed, and which membership is decided.
+func (k *replica) committed(q *consensus.Request) (*consensus.Reply, error) {
+	if v := k.record.Vote; v.Ballot == q.Ballot {
+		k.d.learn(v)
+		if err := k.learnMembership(v.Value.Membership); err != nil {
 			return nil, trace.Wrap(err)
 		}
-		return &consensus.Reply{Kind: consensus.Reported}, nil
 	}
-	reply, next, changed := k.record.Handle(j.request)
-	if err := k.persist(next, changed); err != nil {
+	if err := k.learnMembership(q.Membership); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &reply, nil
+	return &consensus.Reply{Kind: consensus.Reported}, nil
+}
+
+func (k *replica) learnMembership(e consensus.Membership) error {
+	next, changed := k.record.Learn(e)
+	return trace.Wrap(k.persist(next, changed))
 }
 
-// keep writes what changed of a record, and goes on with it.
+// persist writes what changed of a record, and goes on with it.
 func (k *replica) persist(next consensus.Record, changed consensus.Changed) error {
 	if !changed.Any() {
 		return nil
@@ -167,9 +193,9 @@
 	return nil
 }
 
-// hold goes on with a record that is on disk.
+// setRecord goes on with a record that is on disk.
 func (k *replica) setRecord(r consensus.Record) {
-	k.record, k.loaded = r, true
+	k.record, k.loaded, k.started = r, true, true
 	k.d.mu.Lock()
 	defer k.d.mu.Unlock()
 	if r.State.Ready && !k.d.ready {
@@ -207,11 +233,11 @@
 	return nil
 }
 
-// replace writes a whole record over whatever is left of an old one. Until it is whole it isn't fit.
+// replace writes a whole record over whatever is left of an old one. Until it is whole it isn't ready.
 func (k *replica) replace(r *consensus.Record) error {
-	unfit := r.State
-	unfit.Ready = false
-	if err := k.put(standingKey, &unfit); err != nil {
+	unready := r.State
+	unready.Ready = false
+	if err := k.put(standingKey, &unready); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(k.save(r, consensus.Changed{Vote: true, State: true}))
@@ -223,22 +249,25 @@
 		return trace.Wrap(err)
 	}
 	if err := codec.Read(data, m); err != nil {
-		return trace.CompareFailed("record %q: %v", key, err)
+		return trace.CompareFailed("folder %s, record %q: %v", k.d.o.Folder, key, err)
 	}
 	return nil
 }
 
-// load reads the record, and writes it again: after a failed write what is read need not be on the disk itself. A record
-// that is missing or spoilt makes a replica that lost its disk, except at the first start.
+// load reads the record, and writes it again: after a failed write what is read need not be on the disk itself. A record that is
+// missing or spoilt makes a replica that lost its disk, except at the first start. A record of a later format, and a folder of
+// another process, are errors: nothing is written there.
 func (k *replica) load() error {
 	if k.disk == nil {
 		disk, err := k.d.o.open(k.d.o.Folder)
 		if err != nil {
-			k.d.o.Log.WithError(err).Warn("the disk can't be opened")
 			return trace.Wrap(err)
 		}
 		k.disk = disk
 	}
+	if err := k.own(); err != nil {
+		return trace.Wrap(err)
+	}
 	var r consensus.Record
 	standing, vote := k.get(standingKey, &r.State), k.get(voteKey, &r.Vote)
 	for _, err := range []error{standing, vote} {
@@ -248,7 +277,7 @@
 	}
 	fresh := trace.IsNotFound(standing) && trace.IsNotFound(vote)
 	switch {
-	case fresh && k.d.o.InitialStart && !k.lost:
+	case fresh && k.d.o.InitialStart && !k.started && !k.lost:
 		first := consensus.FirstRecord(k.d.o.Self, k.d.firstVoters())
 		if !first.State.Ready {
 			k.d.adoptSystem(first.State.System)
@@ -278,14 +307,29 @@
 	return nil
 }
 
-// lose has the record made anew, or, for a process that never voted, made for the first time.
+// own notes on the disk which process its records belong to. A folder of another process is an error, and stays as it is: to vote
+// with its records would count that process's votes twice.
+func (k *replica) own() error {
+	owner, err := k.disk.Get(ownerKey)
+	switch {
+	case trace.IsNotFound(err) || trace.IsCompareFailed(err):
+		return trace.Wrap(k.disk.Put(ownerKey, []byte(k.d.o.Self)))
+	case err != nil:
+		return trace.Wrap(err)
+	case string(owner) != k.d.o.Self:
+		return trace.BadParameter("folder %s, record %q: the folder belongs to %s, this process is %s", k.d.o.Folder, ownerKey, owner, k.d.o.Self)
+	}
+	return nil
+}
+
+// startRecovery has the record made anew, or, for a process that never voted, made for the first time.
 func (k *replica) startRecovery(blank bool) {
 	k.loaded = true // as far as there is anything
 	if k.lost {
 		return
 	}
 	k.lost, k.blank = true, blank
-	life := uint64(time.Now().UnixNano())
-	k.incarnation = life
-	k.d.wg.Go(func() { k.d.recover(life, blank) })
+	k.incarnation = uint64(time.Now().UnixNano())
+	incarnation := k.incarnation
+	k.d.wg.Go(func() { k.d.recover(incarnation, blank) })
 }
