--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -76,7 +76,9 @@
 fault "a recovery reads from one voter too few" consensus/recovery.go 's/(n >= len\(list\)-majority\(len\(list\)\))\+1/\1/'
 fault "a recovery forgets the promises it is told" consensus/recovery.go 's/r\.State\.Promised = reply\.Promised/_ = 0/'
 fault "a recovered vote is not marked as learned" consensus/recovery.go 's/r\.Vote\.Learned = .*/_ = 0/'
-fault "a wiped replica answers at once" controlplane/replica.go 's/fresh && k\.d\.o\.InitialStart && !k\.lost/fresh/'
+fault "a wiped replica answers at once" controlplane/replica.go 's/fresh && k\.d\.o\.InitialStart && !k\.started/fresh/'
+fault "a folder emptied under a running voter is a first start" controlplane/replica.go 's/InitialStart && !k\.started/InitialStart/'
+fault "a folder of another process is used" controlplane/replica.go 's/case string\(owner\) != k\.d\.o\.Self:/case false:/'
 
 # Operators' orders.
 fault "a refused order is not remembered" consensus/value.go 's/next\.Refused = append\(slices\.Clone.*/_ = entry/'
@@ -98,8 +100,10 @@
 
 # The disk.
 fault "a write is not synced" storage/storage.go 's/Sync: true/Sync: false/'
-fault "a checksum is not held against its data" storage/storage.go 's/if crc32\.Checksum\(data, castagnoli\) != .*/if false {/'
-fault "a newer format is read as ours" storage/storage.go 's/ \|\| record\[0\] != magic//'
+fault "a checksum is not held against its data" storage/storage.go 's/case sum != want:/case false:/'
+fault "a later format counts as spoilt" storage/storage.go 's/case number > format.*/case false:/'
+fault "a new journal's name is not synced" storage/storage.go 's/fd\.Type != lstorage\.TypeJournal/true/'
+fault "without CURRENT an empty database is made" storage/storage.go 's/errors\.Is\(err, os\.ErrNotExist\)/false/'
 
 # Leases.
 fault "a lease is granted while another holds it" lease/lease.go 's/now >= g\.until && d\.Epoch > g\.epoch/d.Epoch > g.epoch/'
