--- a/internal/mesh/control/controlplane/http.go
+++ b/internal/mesh/control/controlplane/http.go
@@ -16,16 +16,17 @@
 const (
 	bodyMax  = 32 << 20
 	callTime = 900 * time.Millisecond // callers wait for a second
-	retryIn  = "0.2"
+	retryIn  = "0.2"                  // seconds, for Retry-After
 )
 
-// call is one of the operator's calls.
+// call is one of the operators' calls.
 type call struct {
 	pattern string
 	serve   func(d *Server, w http.ResponseWriter, r *http.Request)
 }
 
-// Handler serves the operator's calls.
+// Handler serves the operators' calls. 200, 400, 404, 412 and 413 are final; 503 says that nothing is known, and when to call
+// again.
 func (d *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, c := range []call{replaceCall, retrieveCall} {
@@ -34,6 +35,7 @@
 	return mux
 }
 
+// replaceCall is answered 200 for a change that is or was in force, and 412 or 400 for one that never was and never will be.
 var replaceCall = call{"POST /configuration/replace", (*Server).serveReplace}
 
 func (d *Server) serveReplace(w http.ResponseWriter, r *http.Request) {
@@ -60,24 +62,25 @@
 		Unknown: http.StatusServiceUnavailable}[v.Outcome], v.Reason)
 }
 
+// retrieveCall is answered with the newest configuration that was committed when the call came, or a newer one.
 var retrieveCall = call{"GET /configuration/retrieve", (*Server).serveRetrieve}
 
 func (d *Server) serveRetrieve(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTime)
 	defer cancel()
-	word, err := d.Newest(ctx)
+	value, err := d.Newest(ctx)
 	switch {
 	case err != nil:
 		writeError(w, http.StatusServiceUnavailable, err)
-	case word.Version == 0:
+	case value.Version == 0:
 		writeError(w, http.StatusNotFound, trace.NotFound("no configuration was accepted yet"))
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(word.Body) // who asked may have gone
+		_, _ = w.Write(value.Body) // who asked may have gone
 	}
 }
 
-// tell answers with a status and, if there is one, the reason.
+// writeError answers with a status and, if there is one, the reason.
 func writeError(w http.ResponseWriter, status int, reason error) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -45,7 +45,7 @@
 	return slices.DeleteFunc(slices.Compact(peers), func(s string) bool { return s == d.o.Self })
 }
 
-// introduce asks all for the voters' list.
+// findMembership asks all for the voters' list.
 func (d *Server) findMembership() {
 	peers := d.peers()
 	answers := d.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
@@ -63,7 +63,7 @@
 	}
 }
 
-// gather is one attempt to recover; it tells the life for another one.
+// recoverReplica is one attempt to recover; it returns the incarnation for another one.
 func (d *Server) recoverReplica(e consensus.Membership, life uint64, blank bool) (consensus.Record, bool, uint64) {
 	y, q := consensus.NewRecovery(d.o.Self, e, life, blank)
 	timer := time.NewTimer(recoverTimeout)
--- a/internal/mesh/control/controlplane/rounds.go
+++ b/internal/mesh/control/controlplane/rounds.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// drive plays a round until it is over. Each phase waits for patience, and less after a nack.
+// drive plays a round until it is over. Each phase waits for replies as long as patience, and less after a rejection.
 func (d *Server) drive(ctx context.Context, r *consensus.Round, q *consensus.Request, patience time.Duration) {
 	for q != nil {
 		nodes := r.Nodes()
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -1,5 +1,5 @@
-// Package controlplane is a core process's part in the agreement on the operator's word: a voter's record on disk, if it is a
-// voter, proposals and reads, and the operator's calls over HTTP.
+// Package controlplane is a core process's part in the agreement on the configuration: a replica with its record on disk, rounds
+// of proposals and reads, the recovery of a lost disk, changes of the voters, and the operators' calls over HTTP.
 package controlplane
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Options are what a Desk is opened with.
+// Options are what a Server is opened with.
 type Options struct {
 	Self         string          // this process, as in the list of seeds
 	Seeds        []string        // of the settings: at the first start of the whole system they become the voters
@@ -28,7 +28,7 @@
 	Transport    Transport
 	Log          *logrus.Logger
 	Seed         uint64
-	OnCommit     func(w consensus.Value) // called by one goroutine, with newer words only
+	OnCommit     func(w consensus.Value) // called by one goroutine, with newer values only
 
 	open func(folder string) (disk, error) // a storage, except in tests
 }
@@ -46,26 +46,26 @@
 	recoverTimeout = 600 * time.Millisecond // for one attempt to read a record from others
 )
 
-// Desk takes part in the agreement.
+// Server takes part in the agreement. Its replica's goroutine alone uses the disk; rounds run in the callers' goroutines.
 type Server struct {
 	o      Options
 	ctx    context.Context
 	end    context.CancelFunc
 	wg     sync.WaitGroup
 	jobs   chan *job
-	node   string        // for ballots: this process in this life
+	node   string        // for ballots: this process since its start
 	writer chan struct{} // held by the one round of this process that may have a ballot
-	news   chan struct{} // a newer word is committed
+	news   chan struct{} // a newer value is committed
 
 	mu        sync.Mutex
 	rng       *rand.Rand
 	voters    consensus.Membership // without voters while not known
-	kept      uint64               // epoch of the list on disk
+	kept      uint64               // epoch of the membership on disk
 	accepted  uint64               // epoch of the vote on disk
 	ready     bool                 // knows what it promised
-	seeds     []string             // by now
+	seeds     []string             // as the settings are now
 	highest   uint64               // of all ballots that were seen
-	known     consensus.Vote       // newest whose ballot and word are known to be committed
+	known     consensus.Vote       // newest whose ballot and value are known to be committed
 	committed consensus.Value
 
 	system     consensus.System     // 0 while not known
@@ -75,7 +75,7 @@
 	presence   []consensus.Presence // of the other processes of the core
 }
 
-// Open starts a Desk. The disk is opened in the background, however long it takes.
+// Open starts a Server. The disk is opened in the background, however long it takes.
 func Open(o Options) (*Server, error) {
 	if o.Self == "" || o.Transport == nil || o.Log == nil {
 		return nil, trace.BadParameter("a server needs its own name, a transport and a log")
@@ -95,7 +95,7 @@
 	return d, nil
 }
 
-// Close ends the Desk's goroutines; it waits for the disk.
+// Close ends the server's goroutines; it waits for the disk.
 func (d *Server) Close() {
 	d.end()
 	d.wg.Wait()
@@ -132,7 +132,7 @@
 	d.elect(e)
 }
 
-// elect notes a list that is decided. The lock is held.
+// elect notes a membership that is decided. The lock is held.
 func (d *Server) elect(e consensus.Membership) {
 	if len(e.Voters) == 0 || len(d.voters.Voters) > 0 && e.Epoch <= d.voters.Epoch {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// see notes a ballot, so that the next one of this process is above it.
+// observeBallot notes a ballot, so that the next one of this process is above it.
 func (d *Server) observeBallot(b consensus.Ballot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,14 +163,14 @@
 	return d.known
 }
 
-// Committed is the newest word that this process knows is committed, if there is any.
+// Committed is the newest value that this process knows is committed, if there is any. Newer ones may be committed already.
 func (d *Server) Committed() (consensus.Value, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.committed, d.committed.Version > 0
 }
 
-// Learn is told by another process that a word is committed.
+// Learn is told by another process that a value is committed.
 func (d *Server) Learn(w consensus.Value) { d.learn(consensus.Vote{Value: w}) }
 
 func (d *Server) learn(v consensus.Vote) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// announce calls OnCommit.
+// announce calls OnCommit with newer versions only.
 func (d *Server) announce() {
 	var told configuration.Version
 	for {
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Transport asks another core process; node is as in the voters' list. There, Serve answers.
+// Transport asks another core process; node is its name in the membership. There, Serve answers.
 type Transport interface {
 	Ask(ctx context.Context, node string, request []byte) ([]byte, error)
 }
