--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -20,6 +20,7 @@
 	Version   string          `json:"configVersion"`
 	Confirmed bool            `json:"confirmed"` // a majority of the voters was reached: the version is the newest there is
 	Voters    []string        `json:"voters"`
+	Ready     bool            `json:"ready"` // this process has its record, and votes if it is in the list
 	Duties    []DutyState     `json:"duties"`
 	Members   []MemberState   `json:"members"`
 	Endpoints []EndpointState `json:"endpoints"`
@@ -66,6 +67,7 @@
 	a := d.agent
 	now := a.o.Hub.Now()
 	s := State{Node: a.o.Settings.Name, Voters: d.voters.Membership().Voters, Confirmed: err == nil}
+	_, s.Ready = d.voters.Accepted()
 	d.mu.Lock()
 	duty := DutyState{Name: dutyAllocator, Holder: d.allocatorLease.Holder(now)}
 	duty.Epoch, _ = d.allocatorLease.Holds(now)
