--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	most       = 256 // events in one answer, or one write of a stream
-	waitMost   = 25 * time.Second
-	readersMax = 32 // at once
+	eventsMax  = 256              // in one answer, or one write of a stream
+	waitMax    = 25 * time.Second // for an event, and for a reader to read
+	readersMax = 32               // at once
 )
 
 // Source is what keeps events; more is closed when there are newer ones.
@@ -24,8 +24,8 @@
 	After(c events.Cursor, most int, f events.Filter) (out []events.Event, next events.Cursor, more <-chan struct{}, err error)
 }
 
-// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with what is there, and waits
-// a while if there is nothing. A reader that is slow misses nothing but what is no longer kept, which it is told.
+// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events there are,
+// and waits up to waitMax if there are none. A slow reader misses only events that are no longer kept, and gets a gap for these.
 func Handler(source Source) http.Handler {
 	var readers atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -53,8 +53,8 @@
 		r := reader{w: w, out: http.NewResponseController(w), stream: q.Header.Get("Accept") == "text/event-stream"}
 		w.Header().Set("Content-Type", map[bool]string{true: "text/event-stream", false: "application/x-ndjson"}[r.stream])
 		filter := events.Filter{Service: query.Get("service"), Tenant: query.Get("tenant"), Zone: query.Get("zone")}
-		for end := time.After(waitMost); ; {
-			got, next, more, err := source.After(cursor, most, filter)
+		for end := time.After(waitMax); ; {
+			got, next, more, err := source.After(cursor, eventsMax, filter)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return
@@ -70,10 +70,10 @@
 			case <-q.Context().Done():
 				return
 			case <-end:
-				if !follow || r.breathe() != nil {
+				if !follow || r.keepAlive() != nil {
 					return
 				}
-				end = time.After(waitMost)
+				end = time.After(waitMax)
 			}
 		}
 	})
@@ -87,7 +87,7 @@
 }
 
 func (r *reader) write(all []events.Event) error {
-	_ = r.out.SetWriteDeadline(time.Now().Add(waitMost)) // one that does not read is left
+	_ = r.out.SetWriteDeadline(time.Now().Add(waitMax)) // the stream of a reader that does not read ends
 	for _, e := range all {
 		text, err := json.Marshal(e)
 		if err != nil {
@@ -105,9 +105,9 @@
 	return r.out.Flush()
 }
 
-// breathe says that the stream is still there.
-func (r *reader) breathe() error {
-	_ = r.out.SetWriteDeadline(time.Now().Add(waitMost))
+// keepAlive writes something, so that the reader knows that the stream is there.
+func (r *reader) keepAlive() error {
+	_ = r.out.SetWriteDeadline(time.Now().Add(waitMax))
 	text := "\n"
 	if r.stream {
 		text = ": still here\n\n"
--- a/internal/mesh/operations/eventlog/eventlog.go
+++ b/internal/mesh/operations/eventlog/eventlog.go
@@ -1,5 +1,5 @@
 // Package eventlog follows the mesh's feed of events for other tools, and keeps its own copy of it on disk: a tool's cursor outlives
-// restarts of the tool, of the eventlog and of the core process that it follows. What can't be known is told as a gap.
+// restarts of the tool, of the eventlog and of the core process that it follows. A gap stands where events may be missing.
 package eventlog
 
 import (
@@ -20,14 +20,14 @@
 )
 
 const (
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 5 * time.Second
-	silentMost = 40 * time.Second // without a line: the stream says something every 25 s
-	lineMost   = 64 << 10
+	retryMin   = 200 * time.Millisecond // between two attempts to follow
+	retryMax   = 5 * time.Second
+	silenceMax = 40 * time.Second // without a line; a stream sends one every 25 s
+	lineMax    = 64 << 10         // bytes
 	headKey    = "head"
 )
 
-// Store is where events are kept: a few records, each under its key (storage.Trunk).
+// Store is where events are kept: a few records, each under its key (storage.Store).
 type Store interface {
 	Get(key string) ([]byte, error)
 	Put(key string, data []byte) error
@@ -39,7 +39,7 @@
 	store Store
 	most  uint64
 	head  head
-	news  chan struct{}
+	added chan struct{} // closed when an event has been added
 }
 
 // head is the first record: what the log holds, and how far it had come with the core.
@@ -52,7 +52,7 @@
 
 // OpenLog reads a log; life is what a new one is called.
 func OpenLog(s Store, most uint64, life uint64) (*Log, error) {
-	l := &Log{store: s, most: max(most, 1), head: head{Life: life, Next: 1}, news: make(chan struct{})}
+	l := &Log{store: s, most: max(most, 1), head: head{Life: life, Next: 1}, added: make(chan struct{})}
 	data, err := s.Get(headKey)
 	if err != nil && !trace.IsNotFound(err) {
 		return nil, trace.Wrap(err)
@@ -67,8 +67,8 @@
 
 func (l *Log) slot(n uint64) string { return "event/" + strconv.FormatUint(n%l.most, 10) }
 
-// Add keeps an event that came from a core process, whose cursor was then core. The event is on disk before the head says so; one
-// that was kept and not noted is kept once more after a crash, under the same number.
+// Add keeps an event that a core process sent, with the cursor at that process. The event is on disk before the head counts it; one
+// that was written and not counted is written again after a crash, under the same number.
 func (l *Log) Add(e events.Event, from, core string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,12 +90,12 @@
 		return trace.Wrap(err)
 	}
 	l.head = h
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.added)
+	l.added = make(chan struct{})
 	return nil
 }
 
-// Followed is where the log stands at the core.
+// Followed is the core process that the log follows, and its cursor there.
 func (l *Log) Followed() (from, cursor string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,27 +129,27 @@
 	for ; at < l.head.Next && len(out) < most; at++ {
 		data, err := l.store.Get(l.slot(at))
 		if err != nil {
-			return out, c, l.news, trace.Wrap(err)
+			return out, c, l.added, trace.Wrap(err)
 		}
 		var e events.Event
 		if err := json.Unmarshal(data, &e); err != nil {
-			return out, c, l.news, trace.BadParameter("record %q: %v", l.slot(at), err)
+			return out, c, l.added, trace.BadParameter("record %q: %v", l.slot(at), err)
 		}
 		if filter.Passes(&e) {
 			out = append(out, e)
 		}
 	}
-	return out, events.Cursor{Life: l.head.Life, Number: at - 1}, l.news, nil
+	return out, events.Cursor{Life: l.head.Life, Number: at - 1}, l.added, nil
 }
 
 // Follow follows the feeds of core processes, one at a time, until ctx ends.
 func Follow(ctx context.Context, l *Log, cores []string, log *logrus.Logger) {
-	pause := retryLeast
+	pause := retryMin
 	for i := 0; ctx.Err() == nil; i++ {
 		from, cursor := l.Followed()
 		core := cores[i%len(cores)]
 		if i == 0 && from != "" {
-			core = from // where the cursor means something
+			core = from // the cursor is of this process
 		}
 		if core != from && from != "" {
 			// Another process has seen other events in another order: what lies between is not known here.
@@ -163,9 +163,9 @@
 		if err != nil && ctx.Err() == nil {
 			log.WithField("core", core).Warn("eventlog: " + err.Error())
 		}
-		if pause = min(2*pause, retryMost); n > 0 {
-			pause = retryLeast
-			i-- // the same once more: it may only have started again
+		if pause = min(2*pause, retryMax); n > 0 {
+			pause = retryMin
+			i-- // the same one again: it may only have restarted
 		}
 		select {
 		case <-time.After(pause):
@@ -174,7 +174,7 @@
 	}
 }
 
-// follow reads one stream to its end; it says how many events came.
+// follow reads one stream to its end, and gives the number of events that it brought.
 func follow(ctx context.Context, l *Log, core, cursor string) (n int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -182,7 +182,7 @@
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	alarm := time.AfterFunc(silentMost, cancel)
+	alarm := time.AfterFunc(silenceMax, cancel)
 	defer alarm.Stop()
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
@@ -193,9 +193,9 @@
 		return 0, trace.BadParameter("%s answers %s", core, r.Status)
 	}
 	lines := bufio.NewScanner(r.Body)
-	lines.Buffer(make([]byte, 4<<10), lineMost)
+	lines.Buffer(make([]byte, 4<<10), lineMax)
 	for lines.Scan() {
-		alarm.Reset(silentMost)
+		alarm.Reset(silenceMax)
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
--- a/internal/mesh/operations/events/events.go
+++ b/internal/mesh/operations/events/events.go
@@ -1,5 +1,5 @@
-// Package events is the feed of events: what changed in the mesh, in order, for tools beside it. A reader holds a cursor; what it
-// has missed beyond what is kept is told as a gap, never skipped. It does no I/O.
+// Package events is a feed of what changed in the mesh, in order, for other tools. A reader holds a cursor; where it missed events
+// that are no longer kept it gets a gap, so that nothing is skipped in silence. The package does no I/O.
 package events
 
 import (
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// Kinds of events; the list is closed, and readers pass over those of later versions.
+// Kinds of events. Readers ignore kinds that they don't know, which later versions may add.
 const (
 	EndpointServes    = "endpoint_serves"
 	EndpointDrains    = "endpoint_drains"
 	EndpointLeft      = "endpoint_left"    // in order
-	EndpointCrashed   = "endpoint_crashed" // or nobody vouches for it any more
+	EndpointCrashed   = "endpoint_crashed" // or its lease ran out
 	ConfigInForce     = "configuration_in_force"
 	DutyCame          = "duty_came"
 	DutyWent          = "duty_went"
@@ -37,16 +37,16 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// Filter lets events through that agree with all of its fields that are not empty; gaps always pass.
+// Filter passes events that match all of its fields that are not empty, and all gaps.
 type Filter struct{ Service, Tenant, Zone string }
 
-// Passes tells whether an event is let through.
+// Passes tells whether an event matches.
 func (f Filter) Passes(e *Event) bool {
 	return e.Kind == Gap || (f.Service == "" || f.Service == e.Service) && (f.Tenant == "" || f.Tenant == e.Tenant) &&
 		(f.Zone == "" || f.Zone == e.Zone)
 }
 
-// Cursor is a place in a feed: after the event of that number, of one life of its keeper.
+// Cursor is a place in a feed: after the event of that number, in one life of the process that keeps the feed.
 type Cursor struct {
 	Life   uint64
 	Number uint64
@@ -57,7 +57,7 @@
 	return strconv.FormatUint(c.Life, 36) + "-" + strconv.FormatUint(c.Number, 10)
 }
 
-// ParseCursor reads one; an empty text is the beginning of what is kept.
+// ParseCursor reads a cursor; an empty text is the oldest event that is kept.
 func ParseCursor(s string) (Cursor, error) {
 	if s == "" {
 		return Cursor{}, nil
@@ -81,7 +81,7 @@
 // New makes a feed that keeps so many events.
 func New(life uint64, most int) *Feed { return &Feed{life: life, next: 1, ring: make([]Event, most)} }
 
-// Add takes an event in and gives it its cursor.
+// Add adds an event and gives it its cursor.
 func (f *Feed) Add(e Event) Event {
 	e.Cursor = Cursor{f.life, f.next}.String()
 	f.ring[f.next%uint64(len(f.ring))] = e
@@ -89,8 +89,8 @@
 	return e
 }
 
-// After gives up to most events after a cursor that the filter lets through, and the cursor to go on from. What the reader has
-// missed comes first, as a gap.
+// After gives up to most events after a cursor that pass the filter, and the cursor to go on from. A gap comes first if the reader
+// missed events.
 func (f *Feed) After(c Cursor, most int, filter Filter) (out []Event, next Cursor) {
 	first := uint64(1)
 	if n := uint64(len(f.ring)); f.next > n {
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging keeps a process's log in a ring in memory, and writes it out when something has gone wrong: then the moments
-// before the fault are there, and little else is ever written. Keys and bodies are never logged.
+// Package logging keeps a process's log in a ring in memory, and writes it out when something has gone wrong, so that the moments
+// before the fault can be read and little else is written. Keys and bodies are never logged.
 package logging
 
 import (
@@ -12,9 +12,9 @@
 )
 
 const (
-	kept       = 1024             // entries
-	againLeast = 10 * time.Second // between two writings, but for those that are asked for
-	textMost   = 512              // bytes of one message or field
+	entriesMax    = 1024             // kept in memory
+	writeInterval = 10 * time.Second // between two writings because of warnings
+	textMax       = 512              // bytes of one message
 )
 
 // Book is a logrus hook; the logger's own output is to be discarded.
@@ -23,14 +23,14 @@
 	out    io.Writer
 	ring   []*logrus.Entry
 	next   int
-	last   time.Time // writing
-	missed int       // faults since, that were not written out at once
+	last   time.Time // when the ring was last written out because of a warning
+	missed int       // warnings since then that were not written out at once
 	format logrus.TextFormatter
 }
 
 // New makes a logger whose entries go into a ring; from a warning on the ring is written to out, at most every ten seconds.
 func New(out io.Writer) (*logrus.Logger, *Book) {
-	b := &Book{out: out, ring: make([]*logrus.Entry, 0, kept),
+	b := &Book{out: out, ring: make([]*logrus.Entry, 0, entriesMax),
 		format: logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano}}
 	l := logrus.New()
 	l.SetOutput(io.Discard)
@@ -54,16 +54,16 @@
 	c.Message = cut(c.Message)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.ring) < kept {
+	if len(b.ring) < entriesMax {
 		b.ring = append(b.ring, &c)
 	} else {
 		b.ring[b.next] = &c
 	}
-	b.next = (b.next + 1) % kept
+	b.next = (b.next + 1) % entriesMax
 	if e.Level > logrus.WarnLevel {
 		return nil
 	}
-	if !b.last.IsZero() && e.Time.Sub(b.last) < againLeast && e.Level > logrus.ErrorLevel {
+	if !b.last.IsZero() && e.Time.Sub(b.last) < writeInterval && e.Level > logrus.ErrorLevel {
 		b.missed++
 		return nil
 	}
@@ -73,20 +73,20 @@
 }
 
 func cut(s string) string {
-	if len(s) > textMost {
-		return s[:textMost] + "..."
+	if len(s) > textMax {
+		return s[:textMax] + "..."
 	}
 	return s
 }
 
-// Write writes the ring out, because someone has asked for it.
+// Write writes the ring out on request; why is written before it.
 func (b *Book) Write(why string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.write(why)
 }
 
-// write empties the ring onto out, the oldest first; what was written once is not written again.
+// write empties the ring into out, the oldest entry first.
 func (b *Book) write(why string) {
 	if why != "" {
 		fmt.Fprintf(b.out, "-- log written out: %s\n", why)
@@ -96,7 +96,7 @@
 		b.missed = 0
 	}
 	from := 0
-	if len(b.ring) == kept {
+	if len(b.ring) == entriesMax {
 		from = b.next
 	}
 	for i := range b.ring {
--- a/internal/mesh/operations/logging/logging_test.go
+++ b/internal/mesh/operations/logging/logging_test.go
@@ -18,9 +18,9 @@
 	c.Assert(out.String(), qt.Equals, "")
 	log.WithField("peer", "x").Warn("fault")
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	c.Assert(lines, qt.HasLen, kept)
-	c.Assert(lines[kept-1], qt.Contains, "fault")
-	c.Assert(lines[0], qt.Contains, fmt.Sprintf("step %d", 3000-kept+1))
+	c.Assert(lines, qt.HasLen, entriesMax)
+	c.Assert(lines[entriesMax-1], qt.Contains, "fault")
+	c.Assert(lines[0], qt.Contains, fmt.Sprintf("step %d", 3000-entriesMax+1))
 	// A crowd of faults is written once in a while, and counted; an error at once.
 	out.Reset()
 	for range 50 {
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -22,9 +22,9 @@
 
 // Exit codes that scripts can rely on, beside 0 for done and 1 for everything else.
 const (
-	ExitInvalid = 2 // the configuration, or a flag, can't be used
-	ExitLost    = 3 // another change was there first
-	ExitUnclear = 4 // nobody answered, or nobody can say: the same may be tried again
+	ExitInvalid  = 2 // the configuration, or a flag, can't be used
+	ExitConflict = 3 // another change was there first
+	ExitUnclear  = 4 // nobody answered, or nobody can say: the same may be tried again
 )
 
 // Line is the command line.
@@ -52,21 +52,21 @@
 	return &Client{Cores: l.Core, JSON: l.JSON, Out: out, HTTP: http.Client{Timeout: 3 * time.Second}}
 }
 
-// unclear says that nobody could say.
-type unclear struct{ error }
+// unclearError: no core process gave a clear answer.
+type unclearError struct{ error }
 
-// lost says that another change was there first.
-type lost struct{ error }
+// conflictError: another change was there first.
+type conflictError struct{ error }
 
 // Code is the exit code of an error.
 func Code(err error) int {
 	switch trace.Unwrap(err).(type) {
 	case nil:
 		return 0
-	case unclear:
+	case unclearError:
 		return ExitUnclear
-	case lost:
-		return ExitLost
+	case conflictError:
+		return ExitConflict
 	}
 	if trace.IsBadParameter(err) {
 		return ExitInvalid
@@ -97,7 +97,7 @@
 		}
 		faults = append(faults, fmt.Sprintf("%s: %s %s", core, r.Status, strings.TrimSpace(string(text))))
 	}
-	return 0, nil, unclear{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(faults, "; "))}
+	return 0, nil, unclearError{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(faults, "; "))}
 }
 
 func (c *Client) state() (s agent.State, err error) {
@@ -105,7 +105,13 @@
 	if err != nil {
 		return s, err
 	}
-	return s, trace.Wrap(json.Unmarshal(text, &s), "answer")
+	if err := json.Unmarshal(text, &s); err != nil {
+		return s, trace.Wrap(err, "answer")
+	}
+	if !s.Confirmed && !c.JSON {
+		fmt.Fprintf(c.Out, "%s reaches no majority of the voters: what follows may be out of date\n", s.Node)
+	}
+	return s, nil
 }
 
 // newest is the configuration as the core has it now; nil for none.
@@ -117,7 +123,7 @@
 	case status == http.StatusNotFound:
 		return nil, nil
 	case status != http.StatusOK:
-		return nil, unclear{trace.ConnectionProblem(nil, "status %d %s", status, text)}
+		return nil, unclearError{trace.ConnectionProblem(nil, "status %d %s", status, text)}
 	}
 	conf, err := configuration.Read(text)
 	return conf, trace.Wrap(err)
@@ -362,13 +368,13 @@
 			fmt.Fprintf(c.Out, "%s is on a majority of disks\n", conf.Version)
 			return nil
 		case status == http.StatusPreconditionFailed:
-			return lost{trace.CompareFailed("%s builds on %s, and another version is in place (%s when last read): %s", conf.Version, base,
+			return conflictError{trace.CompareFailed("%s builds on %s, and another version is in place (%s when last read): %s", conf.Version, base,
 				current, strings.TrimSpace(string(text)))}
 		default:
 			return trace.BadParameter("refused with %d: %s", status, strings.TrimSpace(string(text)))
 		}
 	}
-	return unclear{trace.ConnectionProblem(nil, "no clear answer: %s may be in force or not; apply it once more", conf.Version)}
+	return unclearError{trace.ConnectionProblem(nil, "no clear answer: %s may be in force or not; apply it once more", conf.Version)}
 }
 
 // Diff is what one configuration changes against another, which may be nil; keys are told as changed, never printed.
--- a/internal/mesh/operations/meshctl/meshctl_test.go
+++ b/internal/mesh/operations/meshctl/meshctl_test.go
@@ -21,7 +21,7 @@
 		case "/configuration/retrieve":
 			io.WriteString(w, before)
 		case "/mesh/state":
-			io.WriteString(w, `{"endpoints":[{"id":"i","service":"s","state":"in_service"}]}`)
+			io.WriteString(w, `{"node":"core-1","confirmed":true,"endpoints":[{"id":"i","service":"s","state":"in_service"}]}`)
 		default:
 			body, _ := io.ReadAll(q.Body)
 			w.WriteHeader(replace(q.Header.Get("Base-Version"), string(body)))
@@ -40,7 +40,7 @@
 		code       int
 	}{
 		"taken":          {after, "", 200, 0},
-		"lost its race":  {after, "r2", 412, ExitLost},
+		"lost its race":  {after, "r2", 412, ExitConflict},
 		"no clear word":  {after, "", 503, ExitUnclear},
 		"can't be used":  {strings.Replace(after, `"2s"`, `"0s"`, 1), "", 200, ExitInvalid},
 		"refused":        {after, "", 400, ExitInvalid},
@@ -80,3 +80,19 @@
 	c.Assert(WhyLine{Host: "h", Path: "/a/x", Key: "wrong"}.Run(client), qt.IsNil)
 	c.Assert(client.Out.(*strings.Builder).String(), qt.Contains, "401")
 }
+
+// A core process that reaches no majority says so, and people are told; programs find it in the JSON.
+func TestUnconfirmedState(t *testing.T) {
+	c := qt.New(t)
+	for confirmed, told := range map[string]bool{"true": false, "false": true} {
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			io.WriteString(w, `{"node":"core-1","confirmed":`+confirmed+`,"members":[{"address":"10.0.0.1:1"}]}`)
+		}))
+		defer s.Close()
+		out := &strings.Builder{}
+		client := (&Line{Core: []string{s.Listener.Addr().String()}}).Client(out)
+		c.Assert(MembersLine{}.Run(client), qt.IsNil)
+		c.Assert(strings.Contains(out.String(), "core-1 reaches no majority"), qt.Equals, told)
+		c.Assert(out.String(), qt.Contains, "10.0.0.1:1")
+	}
+}
--- a/internal/mesh/operations/settings/settings.go
+++ b/internal/mesh/operations/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what the platform tells a process at its start: the settings file, whose path is in
-// QUINCEGAP_NODE_FILE. Fields are read by their gjson paths; fields that it does not know are passed over.
+// Package settings reads the settings file that the platform writes for each process; its path is in QUINCEGAP_NODE_FILE. Fields are
+// read by their gjson paths; unknown ones are ignored.
 package settings
 
 import (
@@ -19,7 +19,7 @@
 // Variable names the environment variable that holds the file's path.
 const Variable = "QUINCEGAP_NODE_FILE"
 
-// Sheet is what a process is told.
+// Settings are those of one process.
 type Settings struct {
 	Name, Role, Class     string
 	IP, Zone, Region      string
@@ -28,7 +28,7 @@
 	App, Service          string // the endpoint beside it, and its service; empty on machines without one
 	MemoryMB, Descriptors int
 	LinkMbps              float64
-	Ports                 [2]int // the first and last of those free for what processes say to each other
+	Ports                 [2]int // the first and last port for connections between processes
 	Seeds                 []string
 	Inbound, Outbound     string
 	Readiness, Control    string
@@ -38,7 +38,7 @@
 	Bounds                Bounds
 }
 
-// Bounds are the figures of the rules that the system has to keep.
+// Bounds are the limits that the system has to keep, times and counts.
 type Bounds struct {
 	Contact, Drain, Grace, ConfigApply, Ack time.Duration
 	BudgetRatio, BudgetSlack                float64
@@ -129,7 +129,7 @@
 	return s, nil
 }
 
-// reader gathers every fault.
+// reader reads fields and collects every fault.
 type reader struct {
 	root   gjson.Result
 	faults []string
