--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -65,7 +65,7 @@
 fault "a recovery's incarnation is not written down" consensus/acceptor.go '/case Recover:/,/default:/s/changed\.State = true/_ = 0/'
 
 # A proposer's count.
-fault "a value is committed without a majority" consensus/round.go 's/^func majority.*/func majority(n int) int { return (n + 1) \/ 2 - 1 + n%2*0 }/'
+fault "a value is committed without a majority" consensus/round.go 's/^func majority.*/func majority(n int) int { return n \/ 2 }/'
 fault "a majority is counted on the old list only" consensus/round.go 's/ && \(r\.joint == nil \|\| hasMajority\(r\.joint, has\)\)//'
 fault "a learned vote counts" consensus/round.go 's/ && !reply\.Vote\.Learned//'
 fault "an answer of an old incarnation counts" consensus/round.go 's/ok = ok && other\.Incarnations\[node\] <= reply\.Incarnation/_ = other/'
