--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -250,12 +250,13 @@
 	for run := range runs {
 		play(t, 0, func(co *core, ctx context.Context) {
 			co.bears, co.late, co.loss = 1, float64(10*time.Millisecond), 0.02
+			rng := rand.New(rand.NewPCG(uint64(run), 4))
 			co.rng = rand.New(rand.NewPCG(uint64(run), 3))
 			for i := range 3 {
 				co.start(i, true)
 			}
 			co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
-			time.Sleep(time.Duration(co.rng.IntN(1000)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 			victim := run % 3
 			co.lose(victim)
 			time.Sleep(time.Second)
