--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -194,10 +194,10 @@
 // run brings a request to the endpoint and its outcome back.
 func (d *Proxy) run(j *job) {
 	o := d.attempt(j)
+	d.mu.Lock()
 	if o.Kind == outcome.Broken && j.quit {
 		o.Kind = outcome.Silent
 	}
-	d.mu.Lock()
 	if c := j.conn; c != nil {
 		if j.conn = nil; c.broken || !o.Arrived || o.Kind == outcome.Broken || o.Kind == outcome.Spoilt || o.Kind == outcome.Silent || j.quit {
 			c.Close()
