--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -32,12 +32,12 @@
 	Seed     uint64
 	// Configure is called with each newer configuration, one after the other.
 	Configure func(c *configuration.Config)
-	// Told is called with all that is known of a service's endpoints when something has changed.
-	Told func(service string, all []discovery.Endpoint)
-	// Sidecars is called when the number of sidecars that take requests has changed.
-	Sidecars func(n int)
-	// Found is called when others know of an endpoint at this machine's address that this process has not heard of.
-	Found func(e discovery.Endpoint)
+	// EndpointsChanged is called with all that is known of a service's endpoints when something of it has changed.
+	EndpointsChanged func(service string, all []discovery.Endpoint)
+	// SidecarsChanged is called when the number of sidecars has changed.
+	SidecarsChanged func(n int)
+	// EndpointFound is called when others know of an endpoint at this machine's address that this process has not heard of.
+	EndpointFound func(e discovery.Endpoint)
 }
 
 // Agent is one process's part in the control plane.
--- a/internal/mesh/agent/endpoints.go
+++ b/internal/mesh/agent/endpoints.go
@@ -191,8 +191,8 @@
 		for _, subscriber := range c.subscribers {
 			a.send(subscriber, methodUpdate, &listing{Service: c.service, Endpoints: c.endpoints}, nil)
 		}
-		if a.o.Told != nil {
-			a.o.Told(c.service, c.endpoints)
+		if a.o.EndpointsChanged != nil {
+			a.o.EndpointsChanged(c.service, c.endpoints)
 		}
 		if a.events != nil {
 			a.events.endpoints(c.endpoints)
@@ -204,12 +204,12 @@
 // findOwn looks for an endpoint at this machine's address that this process knows nothing of: it has just started, and others
 // remember the endpoint.
 func (a *Agent) findOwn(endpoints []discovery.Endpoint) {
-	if a.o.Found == nil {
+	if a.o.EndpointFound == nil {
 		return
 	}
 	for _, e := range endpoints {
 		if e.App == a.o.Settings.App && e.State < discovery.Crashed && e.HostLife != a.o.Hub.Self().Life {
-			a.o.Found(e)
+			a.o.EndpointFound(e)
 		}
 	}
 }
--- a/internal/mesh/agent/hollow_test.go
+++ b/internal/mesh/agent/hollow_test.go
@@ -52,7 +52,7 @@
 				h.applied.Add(1)
 			}
 		},
-		Told: func(_ string, all []discovery.Endpoint) {
+		EndpointsChanged: func(_ string, all []discovery.Endpoint) {
 			if id := h.draining.Load(); role == membership.Access && id != nil {
 				for _, e := range all {
 					if e.ID == *id && e.State == discovery.Draining && !known.Swap(true) {
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -21,8 +21,8 @@
 	forwardedLease = 9 * time.Second // of a record made from a keepalive that another process received
 )
 
-// Stage is the endpoint beside this process.
-type Stage interface {
+// LocalEndpoint is the endpoint beside this process.
+type LocalEndpoint interface {
 	// Keepalive takes a keepalive, or a deregistration (State Gone); false if it is not of the endpoint beside this process.
 	Keepalive(e discovery.Endpoint) bool
 }
@@ -74,8 +74,8 @@
 	return e, nil
 }
 
-// KeepaliveHandler serves the calls of endpoints. stage is the endpoint beside this process; nil where there is none.
-func (a *Agent) KeepaliveHandler(stage Stage) http.Handler {
+// KeepaliveHandler serves the calls of endpoints. local is the endpoint beside this process; nil where there is none.
+func (a *Agent) KeepaliveHandler(local LocalEndpoint) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, keepaliveMax))
@@ -89,22 +89,22 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		a.answerKeepalive(w, q.Context(), stage, e)
+		a.answerKeepalive(w, q.Context(), local, e)
 	})
 	mux.HandleFunc("POST /endpoints/{id}/deregister", func(w http.ResponseWriter, q *http.Request) {
-		a.answerKeepalive(w, q.Context(), stage, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
+		a.answerKeepalive(w, q.Context(), local, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
 	})
-	if stage != nil {
+	if local != nil {
 		transport.Handle(a.o.Hub, methodKeepalive, func(_ context.Context, _ *transport.Hello, p *published) *published {
-			return &published{Taken: stage.Keepalive(p.Endpoint)}
+			return &published{Taken: local.Keepalive(p.Endpoint)}
 		})
 	}
 	return mux
 }
 
-func (a *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, stage Stage, e discovery.Endpoint) {
+func (a *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, local LocalEndpoint, e discovery.Endpoint) {
 	target := ""
-	if stage == nil || !stage.Keepalive(e) {
+	if local == nil || !local.Keepalive(e) {
 		target = a.forwardKeepalive(ctx, e)
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -87,9 +87,9 @@
 		a.subscribed.Want(now, service, homes)
 	}
 	sidecars := len(accessAddresses(a.view.Members()))
-	if sidecars != a.sidecars && a.o.Sidecars != nil {
+	if sidecars != a.sidecars && a.o.SidecarsChanged != nil {
 		a.sidecars = sidecars
-		a.o.Sidecars(sidecars)
+		a.o.SidecarsChanged(sidecars)
 	}
 }
 
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -38,7 +38,8 @@
 		Seed: p.seed, Bodies: max(int64(bodyShare*float64(p.settings.MemoryMB<<20)), bodiesLeast), Refresh: func(s string) { a.agent.Refresh(s) },
 		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { tickets.Take(t, done) }})
 	a.agent = agent.New(agent.Options{Settings: p.settings, Hub: p.hub, Role: membership.Access, Log: p.log, Seed: p.seed,
-		Configure: func(c *configuration.Config) { a.outbound.Configure(c) }, Told: a.outbound.Told, Sidecars: a.outbound.Sidecars, Found: a.found})
+		Configure: func(c *configuration.Config) { a.outbound.Configure(c) }, EndpointsChanged: a.outbound.Told,
+		SidecarsChanged: a.outbound.Sidecars, EndpointFound: a.found})
 	a.inbound.Serve(p.hub)
 	tickets = a.agent.QuotaClient()
 	if err := p.link(); err != nil {
@@ -81,7 +82,7 @@
 	gone     bool     // this process is about to end
 }
 
-// Beat takes a beat of the endpoint beside this process (agent.Stage).
+// Beat takes a beat of the endpoint beside this process (agent.LocalEndpoint).
 func (a *access) Keepalive(e discovery.Endpoint) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
