--- a/internal/mesh/control/storage/storage.go
+++ b/internal/mesh/control/storage/storage.go
@@ -190,14 +190,15 @@
 	return trace.NewAggregate(append(faults, it.Error())...)
 }
 
-// Close ends the use of the folder.
+// Close ends the use of the folder. An error tells of a file that could not be read or written since, also in the background;
+// what Put returned without an error is on disk all the same.
 func (t *Store) Close() error {
 	if t.db == nil {
 		return nil
 	}
 	err := trace.NewAggregate(t.db.Close(), t.files.Close())
 	t.db, t.files = nil, nil
-	return err
+	return trace.Wrap(err, "folder %s", t.folder)
 }
 
 func wrap(data []byte) []byte {
