--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -50,7 +50,9 @@
 func newProxy(address string) *Proxy {
 	start := time.Now()
 	d := New(address, func() time.Duration { return time.Since(start) }, logrus.New(), nil)
-	d.DialBy(func(address string, _ time.Duration) (net.Conn, error) { return net.DialTimeout("tcp4", address, 20*time.Second) })
+	d.DialBy(func(address string, _ time.Duration) (net.Conn, error) {
+		return net.DialTimeout("tcp4", address, 20*time.Second)
+	})
 	d.Tell(admission.Life{ID: "i-1", Service: "s", Slots: 4}, admission.Serving)
 	return d
 }
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -33,6 +33,7 @@
 	withdraw      // the asker has given up; the answer says how far it had come
 	ping          // wants a pong; sent when nothing has been heard
 	pong
+	leaving // the sender is about to end: what is under way is answered, nothing new is to come on this connection
 )
 
 // envelope is one frame.
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -25,11 +25,13 @@
 	held    atomic.Int64 // bytes of asks that are not answered, and of answers that are not whole
 	mu      sync.Mutex
 	links   map[string]*Link
-	taken   map[*Link]bool
+	taken   map[*Link]bool // accepted, and those that were dialled and are retired
+	serveMu sync.RWMutex   // methods may be declared while links are up
 	serve   map[uint64]func(*IncomingCall)
 	lost    func(address, why string)
 	dialer  func(address string) (net.Conn, error)
 	closing bool
+	accept  []net.Listener
 
 	sentBytes, sentFrames, receivedBytes, receivedFrames atomic.Uint64
 }
@@ -73,7 +75,11 @@
 func (h *Hub) DialBy(f func(address string) (net.Conn, error)) { h.dialer = f }
 
 // Serve has f called for each ask of a method, on the link's reader: it must not block.
-func (h *Hub) Serve(method uint64, f func(*IncomingCall)) { h.serve[method] = f }
+func (h *Hub) Serve(method uint64, f func(*IncomingCall)) {
+	h.serveMu.Lock()
+	defer h.serveMu.Unlock()
+	h.serve[method] = f
+}
 
 // Handle declares a method by its function; the function may block. A message that can't be read ends the link, with its
 // cause in the log.
@@ -190,6 +196,9 @@
 
 // Listen takes links from others until the listener is closed.
 func (h *Hub) Listen(n net.Listener) error {
+	h.mu.Lock()
+	h.accept = append(h.accept, n)
+	h.mu.Unlock()
 	for {
 		conn, err := n.Accept()
 		if err != nil {
@@ -242,7 +251,10 @@
 }
 
 func (h *Hub) handle(c *IncomingCall) {
-	if f := h.serve[c.method]; f != nil {
+	h.serveMu.RLock()
+	f := h.serve[c.method]
+	h.serveMu.RUnlock()
+	if f != nil {
 		f(c)
 		return
 	}
@@ -268,26 +280,52 @@
 	}
 }
 
-// Drain closes all links once what they have to say has gone out, at the given time at the latest. A peer learns of the end after
-// the last byte, so that no answer is lost to it.
+// Drain ends all links in order, at the given time at the latest: it takes no more links, tells each peer that this process leaves, and
+// waits until the peers have their answers and have closed their links. So no call is lost on its way here.
 func (h *Hub) Drain(until time.Duration) {
-	for h.Now() < until && !h.finish() {
+	h.mu.Lock()
+	h.closing = true
+	for _, n := range h.accept {
+		n.Close()
+	}
+	h.mu.Unlock()
+	for h.Now() < until && !h.drained() {
 		time.Sleep(drainInterval)
 	}
 	h.Close()
 }
 
-// finish has each link end after its last answer, and tells whether all have ended.
-func (h *Hub) finish() (ended bool) {
+// drained has each link that was accepted end after its last answer, and tells whether all have ended.
+func (h *Hub) drained() bool {
 	h.mu.Lock()
-	h.closing = true
 	links := h.every()
 	h.mu.Unlock()
-	ended = true
+	left := 0
 	for _, l := range links {
-		ended = l.finish() && ended
+		if !l.dialled && !l.drain(h.Now()) {
+			left++
+		}
+	}
+	return left == 0
+}
+
+// retire keeps a dialled link for the calls that are under way on it only: its peer is about to end.
+func (h *Hub) retire(l *Link) {
+	h.mu.Lock()
+	l.mu.Lock()
+	mine := h.links[l.peer] == l && !l.dead
+	if mine {
+		delete(h.links, l.peer)
+		h.taken[l] = true
+		l.rested = true
+	}
+	closing := h.closing
+	l.mu.Unlock()
+	h.mu.Unlock()
+	if mine && !closing && h.lost != nil {
+		h.lost(l.peer, "leaving")
 	}
-	return ended
+	l.endIfRetired()
 }
 
 // every is all links; the lock is held.
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -23,6 +23,7 @@
 	helloMost   = 1000 * time.Millisecond // until the peer has greeted on a new connection
 	silentMost  = 1000 * time.Millisecond // after a ping without a word: the link is dead
 	wokenAfter  = 500 * time.Millisecond  // between two looks that should be closer: this process stood still
+	leaveMost   = 300 * time.Millisecond  // until a peer has closed the link of a process that leaves
 	lookEvery   = 100 * time.Millisecond
 	readBuffer  = 4 << 10
 	bufferBytes = 128 << 10 // of a socket: what is in it can't be overtaken
@@ -114,13 +115,14 @@
 	// this process dialled it: it sends calls, once the peer has greeted
 	dialled   bool
 	connected time.Duration
-	// closed here as idle, after the last answer
+	// closed as idle, or its peer leaves: new calls need another link
 	rested bool
 	used   time.Duration // the last ask
 	up     bool
 	// the writer has bytes that it has not handed to the connection yet
 	writing bool
-	// the sending half is closed, after the last answer
+	// this side leaves: since when its peer has been told, and whether the sending half is closed
+	leftAt   time.Duration
 	finished bool
 	why      string
 	from     Hello
@@ -246,7 +248,7 @@
 	}
 	l.asks, l.calls, l.parts = map[uint64]*PendingCall{}, map[uint64]*IncomingCall{}, map[uint64]*IncomingCall{}
 	l.small.Clear()
-	l.drain()
+	l.clearLarge()
 	l.urgent.Clear()
 	up := l.up
 	l.mu.Unlock()
@@ -266,27 +268,40 @@
 	}
 }
 
-// finish closes the sending half of a link once every call has its answer and all answers have gone out, and tells whether the
-// link has ended. The peer then reads the last answer before the end, and closes the link.
-func (l *Link) finish() (ended bool) {
+// drain tells the peer of an accepted link that this process leaves, and whether the link has ended. The peer closes it once it has all its
+// answers; with one that does not, this side closes its sending half after the last answer.
+func (l *Link) drain(now time.Duration) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dead || l.conn == nil {
+	switch {
+	case l.dead || l.conn == nil:
 		return true
-	}
-	waiting := len(l.calls) + l.small.Len() + l.large.Len() + l.urgent.Len()
-	if l.finished || l.writing || waiting > 0 {
-		return false
-	}
-	l.finished = true
-	if half, ok := l.conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
-	} else {
-		l.conn.Close()
+	case l.leftAt == 0:
+		l.leftAt = now
+		l.urgent.PushBack(envelope{kind: uint64(leaving)})
+		l.rouse()
+	case l.finished || now-l.leftAt < leaveMost || l.writing || len(l.calls)+l.small.Len()+l.large.Len()+l.urgent.Len() > 0:
+	default:
+		l.finished = true
+		if half, ok := l.conn.(interface{ CloseWrite() error }); ok {
+			_ = half.CloseWrite()
+		} else {
+			l.conn.Close()
+		}
 	}
 	return false
 }
 
+// endIfRetired ends a link whose peer leaves, once nothing is under way on it.
+func (l *Link) endIfRetired() {
+	l.mu.Lock()
+	over := l.rested && !l.dead && len(l.asks) == 0
+	l.mu.Unlock()
+	if over {
+		l.fail("leaving")
+	}
+}
+
 // line puts a message in line; the lock is held.
 func (l *Link) line(m any, size int) {
 	if size <= pieceMost {
@@ -303,8 +318,8 @@
 func (a *PendingCall) slot() **turn { return &a.turn }
 func (r *reply) slot() **turn       { return &r.turn }
 
-// drain takes all large messages out of the line.
-func (l *Link) drain() {
+// clearLarge takes all large messages out of the line.
+func (l *Link) clearLarge() {
 	for l.large.Len() > 0 {
 		l.hub.shape.end(*l.large.PopFront().(turner).slot())
 	}
@@ -487,6 +502,9 @@
 		l.mu.Unlock()
 	case ask:
 		return l.asked(e)
+	case leaving:
+		l.mu.Unlock()
+		l.hub.retire(l)
 	case withdraw:
 		c := l.calls[e.stream]
 		if p := l.parts[e.stream]; p != nil {
@@ -523,6 +541,7 @@
 		l.mu.Unlock()
 		if e.last {
 			a.done(a.in, nil)
+			l.endIfRetired()
 		}
 	default:
 		l.mu.Unlock() // of a later version
@@ -573,6 +592,7 @@
 
 // look sees to a link's silence; called every lookEvery.
 func (l *Link) look(now time.Duration) {
+	l.endIfRetired()
 	l.mu.Lock()
 	woken := now-l.looked > wokenAfter
 	l.looked = now
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -222,3 +222,42 @@
 	c.Assert(x.err, qt.IsNil)
 	c.Assert(x.body, qt.HasLen, 300_000)
 }
+
+// While a process ends, calls that are on their way to it are answered, and later ones have surely not gone out. A peer that does not
+// know of leaving is let go all the same.
+func TestDrainLosesNoCall(t *testing.T) {
+	c := qt.New(t)
+	far, address, _ := hub(t, "far", 8<<20)
+	near, _, _ := hub(t, "near", 8<<20)
+	old, err := net.Dial("tcp4", address)
+	c.Assert(err, qt.IsNil)
+	defer old.Close()
+	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: version, Name: "old"})}))
+	c.Assert(err, qt.IsNil)
+	go func() { // it closes when the other side has
+		_, _ = io.Copy(io.Discard, old)
+		old.Close()
+	}()
+	Handle(far, 1, func(_ context.Context, _ *Hello, l *line) *line { return l })
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	_, err = Request[line](ctx, near, address, 1, &line{"up"})
+	c.Assert(err, qt.IsNil)
+	drained := make(chan struct{})
+	go func() {
+		far.Drain(far.Now() + 20*time.Second)
+		close(drained)
+	}()
+	answered := 0
+	for {
+		_, err := Request[line](ctx, near, address, 1, &line{"still"})
+		if err != nil {
+			var lost *ConnectionError
+			c.Assert(errors.As(err, &lost), qt.IsTrue)
+			c.Assert(lost.Sent, qt.IsFalse, qt.Commentf("after %d answers: %v", answered, err))
+			break
+		}
+		answered++
+	}
+	<-drained
+}
