--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -1,4 +1,4 @@
-// Package transport carries messages between the system's own processes: one TCP connection to a neighbour holds many asks at
+// Package transport carries messages between the system's own processes: one TCP connection to a neighbour carries many calls at
 // once, each answered once. Frames are a length of four bytes and a protobuf envelope; what is longer than a piece goes out
 // piece by piece, in turn with all else, so that a large answer does not hold up a small one.
 package transport
@@ -19,7 +19,7 @@
 	pieceMost   = 16 << 10        // bytes of a message in one frame
 	frameMost   = pieceMost + 256 // and with its envelope
 	messageMost = 72 << 20        // bytes of one message, the largest body of a request and its head
-	asksMost    = 4096            // asks of one neighbour at once
+	callsMost   = 4096            // calls of one neighbour at once
 	version     = 1               // of this protocol; a higher one in Hello is fine, another major is not spoken
 )
 
@@ -27,13 +27,13 @@
 type kind uint64
 
 const (
-	hello    kind = 1 + iota
-	ask           // a message that wants an answer
-	answer        // to an ask, by its stream
-	withdraw      // the asker has given up; the answer says how far it had come
-	ping          // wants a pong; sent when nothing has been heard
-	pong
-	leaving // the sender is about to end: what is under way is answered, nothing new is to come on this connection
+	helloFrame    kind = 1 + iota
+	callFrame          // a piece of a call
+	replyFrame         // a piece of the reply to a call, by its stream
+	withdrawFrame      // the caller has given the call up; the reply says how far it had come
+	pingFrame          // wants a pong; sent when nothing has been heard
+	pongFrame
+	leavingFrame // the sender is about to end: what is under way is answered, nothing new is to come on this connection
 )
 
 // envelope is one frame.
@@ -43,7 +43,7 @@
 	method  uint64
 	last    bool
 	clock   time.Duration // the sender's, when it was written
-	expires time.Duration // of an ask, on the sender's clock; 0 for never
+	expires time.Duration // of a call, on the sender's clock; 0 for never
 	body    []byte
 }
 
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -20,9 +20,9 @@
 	Log     *logrus.Logger
 	self    Hello
 	start   time.Time
-	most    int // bytes of asks that this process has room for
+	most    int // bytes of calls that this process has room for
 	shape   shaper
-	held    atomic.Int64 // bytes of asks that are not answered, and of answers that are not whole
+	held    atomic.Int64 // bytes of calls that are not answered, and of replies that are not whole
 	mu      sync.Mutex
 	links   map[string]*Link
 	taken   map[*Link]bool // accepted, and those that were dialled and are retired
@@ -51,7 +51,7 @@
 	return len(h.links), len(h.taken)
 }
 
-// NewHub makes a hub. most bounds the bytes of the asks that it takes, one or all together.
+// NewHub makes a hub. most bounds the bytes of the calls that it takes, one or all together.
 func NewHub(self Hello, start time.Time, most int, log *logrus.Logger) *Hub {
 	self.Version = version
 	h := &Hub{Log: log, self: self, start: start, most: most, links: map[string]*Link{}, taken: map[*Link]bool{},
@@ -74,7 +74,7 @@
 // DialBy has links dialled by f in place of TCP. It is called before the hub sends anything.
 func (h *Hub) DialBy(f func(address string) (net.Conn, error)) { h.dialer = f }
 
-// Serve has f called for each ask of a method, on the link's reader: it must not block.
+// Serve has f called for each call of a method, on the link's reader: it must not block.
 func (h *Hub) Serve(method uint64, f func(*IncomingCall)) {
 	h.serveMu.Lock()
 	defer h.serveMu.Unlock()
@@ -109,17 +109,17 @@
 	})
 }
 
-// Send asks an address; done is called once, never before Send returns. expire is on this process's clock, 0 for never: the
+// Send calls a method of the process at an address; done is called once, never before Send returns. expire is on this process's clock, 0 for never: the
 // other side does not begin later.
 func (h *Hub) Send(address string, method uint64, body []byte, expire time.Duration,
 	done func(body []byte, err error)) *PendingCall {
 	a := &PendingCall{method: method, body: body, expire: expire, done: done}
-	for !h.link(address).ask(a) { // it was closed as idle just now
+	for !h.link(address).call(a) { // it was closed as idle just now
 	}
 	return a
 }
 
-// Request asks an address and waits for the answer.
+// Request calls a method of the process at an address and waits for the reply.
 func Request[A any, PA interface {
 	*A
 	codec.Message
@@ -181,7 +181,7 @@
 	}
 	l.mu.Lock()
 	l.conn = conn
-	l.urgent.PushFront(envelope{kind: uint64(hello), body: codec.Write(nil, &h.self)})
+	l.urgent.PushFront(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &h.self)})
 	l.heard, l.connected = h.Now(), h.Now()
 	dead := l.dead
 	l.mu.Unlock()
@@ -189,7 +189,7 @@
 		conn.Close()
 		return
 	}
-	l.rouse()
+	l.wakeWriter()
 	go l.write()
 	l.read()
 }
@@ -218,7 +218,7 @@
 	}
 }
 
-func (h *Hub) gone(l *Link, why string, up bool) {
+func (h *Hub) gone(l *Link, why string) {
 	h.mu.Lock()
 	mine := h.links[l.peer] == l
 	if mine {
@@ -232,20 +232,20 @@
 	}
 }
 
-// rest closes a dialled link that nobody has used for long. Whoever asks next dials anew.
+// rest closes a dialled link that nobody has used for long. The next call dials anew.
 func (h *Hub) rest(l *Link, now time.Duration) bool {
 	h.mu.Lock()
 	l.mu.Lock()
-	idle := h.links[l.peer] == l && l.up && !l.dead && len(l.asks) == 0 && now-l.used > idleMost
+	idle := h.links[l.peer] == l && l.peerGreeted && !l.dead && len(l.pending) == 0 && now-l.used > idleMost
 	if idle {
 		delete(h.links, l.peer)
-		l.dead, l.rested, l.why = true, true, "idle"
+		l.dead, l.retired, l.why = true, true, "idle"
 	}
 	l.mu.Unlock()
 	h.mu.Unlock()
 	if idle {
 		l.conn.Close()
-		l.rouse()
+		l.wakeWriter()
 	}
 	return idle
 }
@@ -263,7 +263,7 @@
 
 // watch looks after the silence of all links.
 func (h *Hub) watch() {
-	for range time.Tick(lookEvery) {
+	for range time.Tick(checkInterval) {
 		now := h.Now()
 		h.mu.Lock()
 		all := h.every()
@@ -274,7 +274,7 @@
 		}
 		for _, l := range all {
 			if !h.rest(l, now) {
-				l.look(now)
+				l.checkSilence(now)
 			}
 		}
 	}
@@ -317,7 +317,7 @@
 	if mine {
 		delete(h.links, l.peer)
 		h.taken[l] = true
-		l.rested = true
+		l.retired = true
 	}
 	closing := h.closing
 	l.mu.Unlock()
--- a/internal/mesh/transport/shape.go
+++ b/internal/mesh/transport/shape.go
@@ -104,7 +104,7 @@
 	}
 	s.mu.Unlock()
 	if next != nil {
-		next.rouse()
+		next.wakeWriter()
 	}
 }
 
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -113,15 +113,15 @@
 // What no peer of ours sends ends its link, is logged with who sent it, and harms nobody else.
 func TestBadPeersAreToldApart(t *testing.T) {
 	frame := func(e envelope) []byte { return appendFrame(nil, &e) }
-	greet := frame(envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: version, Name: "bad"})})
+	greet := frame(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: version, Name: "bad"})})
 	huge := make([]byte, 4)
 	binary.BigEndian.PutUint32(huge, 2<<30-1)
 	for name, bytes := range map[string][]byte{
 		"a frame of 2 GB":        huge,
-		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(ask), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
+		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
 		"a second hello":         append(append([]byte{}, greet...), greet...),
-		"another version's peer": frame(envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: 9})}),
-		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(ask), stream: 1, method: 1, body: make([]byte, 2048)})...),
+		"another version's peer": frame(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: 9})}),
+		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, body: make([]byte, 2048)})...),
 		"half a frame":           greet[:7],
 		"no protobuf":            {0, 0, 0, 2, 0xff, 0xff},
 	} {
@@ -165,7 +165,7 @@
 	s := shaper{rate: shapeShare * 8e6 / 8}
 	var line []*turn
 	for range 8 {
-		line = append(line, s.begin(&Link{wake: make(chan struct{}, 1)}, 2_000_000))
+		line = append(line, s.begin(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
 	}
 	now, small, ends := time.Duration(0), 0, []int{}
 	for len(ends) < len(line) {
@@ -232,7 +232,7 @@
 	old, err := net.Dial("tcp4", address)
 	c.Assert(err, qt.IsNil)
 	defer old.Close()
-	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: version, Name: "old"})}))
+	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: version, Name: "old"})}))
 	c.Assert(err, qt.IsNil)
 	go func() { // it closes when the other side has
 		_, _ = io.Copy(io.Discard, old)
