--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -33,14 +33,14 @@
 	}
 	a := &access{process: p}
 	a.inbound = inbound.New(p.settings.App, p.hub.Now, p.log, func(life string) { a.agent.Ended(life, discovery.Crashed) })
-	var tickets *agent.QuotaClient
+	var quota *agent.QuotaClient
 	a.outbound = outbound.New(outbound.Options{Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
 		Seed: p.seed, Bodies: max(int64(bodyShare*float64(p.settings.MemoryMB<<20)), bodiesLeast), Refresh: func(s string) { a.agent.Refresh(s) },
-		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { tickets.Take(t, done) }})
+		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { quota.Take(t, done) }})
 	a.agent = agent.New(agent.Options{Settings: p.settings, Hub: p.hub, Role: membership.Access, Log: p.log, Seed: p.seed,
 		Configure: func(c *configuration.Config) { a.outbound.Configure(c) }, Told: a.outbound.Told, Sidecars: a.outbound.Sidecars, Found: a.found})
 	a.inbound.Serve(p.hub)
-	tickets = a.agent.QuotaClient()
+	quota = a.agent.QuotaClient()
 	if err := p.link(); err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go a.agent.Run(ctx)
-	go tickets.Run(ctx)
+	go quota.Run(ctx)
 	if err := p.wait(ctx, func(s *settings.Settings) { a.agent.Seeds(s.SeedPeers()) }); err != nil {
 		return err
 	}
@@ -76,12 +76,12 @@
 	outbound *outbound.Proxy
 	agent    *agent.Agent
 	mu       sync.Mutex
-	seq      uint64   // callSequence of the newest beat, of the life at the door
+	seq      uint64   // callSequence of the newest keepalive of the endpoint's present life
 	past     []string // lives that are over, the oldest first
 	gone     bool     // this process is about to end
 }
 
-// Beat takes a beat of the endpoint beside this process (agent.Stage).
+// Keepalive takes a keepalive of the endpoint beside this process (agent.Stage).
 func (a *access) Keepalive(e discovery.Endpoint) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mesh/assembly/assembly.go
+++ b/internal/mesh/assembly/assembly.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	askMost    = 68 << 20 // bytes of asks at once: the largest body, and its head
+	callsMost  = 68 << 20 // bytes of calls at once: the largest body, and its head
 	gcPercent  = 150
 	heapShare  = 0.6 // of the machine's memory that the runtime keeps to
 	listenMost = 2 * time.Second
@@ -50,7 +50,7 @@
 	log, book := logging.New(os.Stderr)
 	p := &process{settings: loaded, path: path, log: log, book: book, seed: rand.Uint64(), errors: make(chan error, 8)}
 	p.hub = transport.NewHub(transport.Hello{Life: rand.Uint64() | 1, Address: loaded.Internal(), Name: loaded.Name, Zone: loaded.Zone,
-		Service: loaded.Service}, time.Now(), askMost, log)
+		Service: loaded.Service}, time.Now(), callsMost, log)
 	p.hub.Shape(loaded.LinkMbps * 1e6)
 	return p, nil
 }
--- a/internal/mesh/dataplane/admission/admission.go
+++ b/internal/mesh/dataplane/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides who goes on to an endpoint, and when: requests wait in the admission of the endpoint's own sidecar, past
-// which no request goes. It alone knows the endpoint's life, its slots and its drain mark, so what it turns away has surely
+// Package admission decides which requests go on to an endpoint, and when: they wait at the endpoint's own sidecar, and none reaches
+// the endpoint without passing it. It alone knows the endpoint's life, its slots and its drain mark, so what it turns away has surely
 // not run. It does no I/O; time is an argument.
 package admission
 
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -1,4 +1,4 @@
-// Package inbound is the way to the endpoint beside a sidecar: every request to it comes here, waits in its admission, and goes
+// Package inbound is the way to the endpoint beside a sidecar: every request to it comes here, waits until it is admitted, and goes
 // out on a connection that carries one request at a time. What may have run and what has surely not is told apart here.
 package inbound
 
@@ -19,7 +19,7 @@
 
 const lookEvery = 20 * time.Millisecond // while somebody waits
 
-// Door serves one endpoint.
+// Proxy is the way to one endpoint.
 type Proxy struct {
 	address string
 	now     func() time.Duration
@@ -100,12 +100,12 @@
 	}
 }
 
-// Perform takes a request; done is called once, on another goroutine. What it returns withdraws the request.
+// Forward takes a request; done is called once, on another goroutine. What it returns withdraws the request.
 func (d *Proxy) Forward(p *ForwardRequest, aim, deadline time.Duration, done func(*Outcome)) (withdraw func()) {
 	return d.forward(p, aim, deadline, false, done)
 }
 
-// perform is Perform; afar tells that the answer goes back over the machine's link, which may be the narrowest place.
+// forward is Forward; afar tells that the answer goes back over the machine's link, which may be the narrowest place.
 func (d *Proxy) forward(p *ForwardRequest, aim, deadline time.Duration, afar bool, done func(*Outcome)) (withdraw func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -321,7 +321,7 @@
 	return nil
 }
 
-// Serve declares the ask that brings requests from other sidecars.
+// Serve declares the method by which other sidecars bring requests.
 func (d *Proxy) Serve(h *transport.Hub) {
 	d.way = h.Backlog
 	h.Serve(MethodForward, func(c *transport.IncomingCall) {
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -7,10 +7,10 @@
 	"gingerlead/internal/mesh/transport/codec"
 )
 
-// MethodPerform is the ask that brings a request to the sidecar beside its endpoint.
+// MethodForward is the call that brings a request to the sidecar beside its endpoint.
 const MethodForward = 1
 
-// Perform is a request on its way from the sidecar beside the client to the one beside the endpoint.
+// ForwardRequest is a request on its way from the sidecar beside the client to the one beside the endpoint.
 type ForwardRequest struct {
 	Endpoint   string // the life that was chosen
 	Service    string
@@ -31,7 +31,7 @@
 	Route      string        // its name: requests of one route are taken to be alike
 }
 
-// Fields names the fields of a Perform.
+// Fields names the fields of a ForwardRequest.
 func (p *ForwardRequest) Fields(v *codec.Visitor) {
 	v.Text(1, &p.Endpoint)
 	v.Text(2, &p.Service)
@@ -52,7 +52,7 @@
 	v.Text(17, &p.Route)
 }
 
-// Outcome is how a Perform ended.
+// Outcome is how a ForwardRequest ended.
 type Outcome struct {
 	Kind    outcome.Kind
 	Status  int
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -27,7 +27,7 @@
 	triesMost   = 8 // of one request, those that surely did not run among them
 )
 
-// player is one endpoint as this sidecar calls it.
+// knownEndpoint is one endpoint as the decision module knows it, by a number.
 type knownEndpoint struct {
 	number gingerlead.EndpointID
 	discovery.Endpoint
@@ -39,7 +39,7 @@
 	target, timeout time.Duration
 }
 
-// cast is one service's endpoints with the balancer that picks among them. It is the balancer's host.
+// serviceBalancer is one service's endpoints with the decision module that picks among them. It is the module's host.
 type serviceBalancer struct {
 	proxy     *Proxy
 	service   string
@@ -94,7 +94,7 @@
 	return n
 }
 
-// told takes what the discovery says of the service's endpoints, all of them.
+// told takes the list of the service's endpoints, all of them.
 func (c *serviceBalancer) told(now time.Duration, all []discovery.Endpoint) {
 	c.version++
 	l := gingerlead.List{Kind: gingerlead.Whole, Version: c.version}
@@ -142,26 +142,26 @@
 		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Mistaken}) })
 		return
 	}
-	if r.mayRun && !r.route.Kind.Repeatable() { // the module does not ask for it; if it ever did, it is not done
-		c.proxy.o.Log.WithField("attempt", r.perform.Attempt).Error("outbound: a request that may have run is not sent again")
+	if r.mayRun && !r.route.Kind.Repeatable() { // the module never does so; this guards against a fault of it
+		c.proxy.o.Log.WithField("attempt", r.forward.Attempt).Error("outbound: a request that may have run is not sent again")
 		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Withdrawn}) })
 		return
 	}
-	perform := r.perform
-	perform.Endpoint, perform.Left, perform.Aim = p.ID, r.deadline-now, r.aim-now
+	forward := r.forward
+	forward.Endpoint, forward.Left, forward.Aim = p.ID, r.deadline-now, r.aim-now
 	done := func(o *inbound.Outcome) {
 		c.proxy.do(func(now time.Duration) { c.ended(now, a, o) })
 	}
 	if p.Host == c.proxy.o.Hub.Self().Address {
-		a.withdraw = c.proxy.o.Inbound.Forward(&perform, r.aim, r.deadline, done)
+		a.withdraw = c.proxy.o.Inbound.Forward(&forward, r.aim, r.deadline, done)
 		return
 	}
-	ask := c.proxy.o.Hub.Send(p.Host, inbound.MethodForward, codec.Write(nil, &perform), r.deadline,
+	call := c.proxy.o.Hub.Send(p.Host, inbound.MethodForward, codec.Write(nil, &forward), r.deadline,
 		func(body []byte, err error) { done(parseOutcome(body, err)) })
-	a.withdraw = ask.Withdraw
+	a.withdraw = call.Withdraw
 }
 
-// outcome is what an ask's end says of the attempt.
+// parseOutcome is what the end of a call to the endpoint's sidecar says of the attempt.
 func parseOutcome(body []byte, err error) *inbound.Outcome {
 	if lost, ok := asLost(err); ok {
 		if lost.Sent {
@@ -179,7 +179,7 @@
 	return o
 }
 
-// status is what an outcome is to the module.
+// status is what an outcome is to the decision module. quit tells that the attempt was withdrawn.
 func status(o *inbound.Outcome, quit bool) gingerlead.Status {
 	switch o.Kind {
 	case outcome.Answered:
@@ -309,7 +309,7 @@
 	})
 }
 
-// Fetch asks the homes anew (gingerlead.Host).
+// Fetch gets the list of endpoints anew from the service's homes (gingerlead.Host).
 func (c *serviceBalancer) Fetch() {
 	if f := c.proxy.o.Refresh; f != nil {
 		go f(c.service)
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -57,7 +57,7 @@
 		d.end(w, result{kind: kind, back: d.back(r, kind)})
 		return
 	}
-	d.submit(r, r.perform.Priority)
+	d.submit(r, r.forward.Priority)
 	d.end(w, d.await(r, q.Context().Done()))
 }
 
@@ -97,7 +97,7 @@
 	if r.route = conf.Match(q.Host, q.URL.EscapedPath()); r.route == nil {
 		return r, outcome.NoRoute
 	}
-	p := &r.perform
+	p := &r.forward
 	p.Inner = conf.Keyed && len(q.Header["Key"]) == 0
 	r.setTimes(now, q.Header.Get("Time-Remaining"))
 	if kind := d.fitBeforeEnd(r, now); kind != 0 {
@@ -146,7 +146,7 @@
 	left, spent := r.route.Timeout, time.Duration(0)
 	if ms, err := strconv.ParseFloat(remaining, 64); err == nil && ms >= 0 && ms < 1e9 {
 		left = min(left, time.Duration(ms*float64(time.Millisecond)))
-		if !r.perform.Inner { // a client that comes again has less left, and its aim counts from its first try
+		if !r.forward.Inner { // a client that comes again has less left, and its aim counts from its first try
 			spent = r.route.Timeout - left
 		}
 	}
@@ -215,7 +215,7 @@
 
 // body reads a request's body whole: only then can it go to an endpoint, and to another one after that.
 func (d *Proxy) body(conf *configuration.Config, w http.ResponseWriter, q *http.Request, r *request) outcome.Kind {
-	p := &r.perform
+	p := &r.forward
 	p.HasBody = q.ContentLength > 0 || len(q.TransferEncoding) > 0 || q.ContentLength == 0 && len(q.Header["Content-Length"]) > 0
 	if q.Body == nil || q.Body == http.NoBody {
 		return 0
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -29,12 +29,12 @@
 	Log     *logrus.Logger
 	Seed    uint64
 	Bodies  int64                // bytes of clients' bodies that there is room for
-	Refresh func(service string) // asks for the endpoints of a service anew
+	Refresh func(service string) // fetches the endpoints of a service anew
 	// Take takes a request out of a tenant's limit; done is called once, with when to come back if it is not there.
 	Take func(t *configuration.Tenant, done func(ok bool, back time.Duration))
 }
 
-// Desk takes clients' requests.
+// Proxy takes clients' requests.
 type Proxy struct {
 	o           Options
 	conf        atomic.Pointer[configuration.Config]
@@ -56,19 +56,19 @@
 type request struct {
 	id         gingerlead.RequestID
 	route      *configuration.Route
-	cast       *serviceBalancer
-	perform    inbound.ForwardRequest
+	balancer   *serviceBalancer
+	forward    inbound.ForwardRequest // what every attempt sends
 	aim        time.Duration
 	deadline   time.Duration
-	attempts   int
-	arrivals   int
-	out        *attempt
-	last       *inbound.Outcome
-	mayRun     bool
-	done       bool
-	lapsed     bool          // given up; what is out is being withdrawn
-	held       int64         // bytes of its body that are counted
-	retryAfter time.Duration // of a request beyond its tenant's limit
+	attempts   int              // sent, whether or not they reached an endpoint
+	arrivals   int              // those that reached one
+	out        *attempt         // the one under way; nil for none
+	last       *inbound.Outcome // of the attempt that ended last, but for withdrawn ones
+	mayRun     bool             // some attempt ran or may have run
+	done       bool             // it is answered
+	lapsed     bool             // given up; what is out is being withdrawn
+	held       int64            // bytes of its body that are counted
+	retryAfter time.Duration    // of a request beyond its tenant's limit
 	answered   chan result
 }
 
@@ -78,7 +78,7 @@
 	to       gingerlead.EndpointID
 	number   int
 	at       time.Duration
-	quit     bool
+	quit     bool // withdrawn
 	withdraw func()
 }
 
@@ -147,7 +147,7 @@
 // Config is the configuration in force; nil for none.
 func (d *Proxy) Config() *configuration.Config { return d.conf.Load() }
 
-// Told takes what is known of a service's endpoints, all of them.
+// Told takes the list of a service's endpoints, all of them.
 func (d *Proxy) Told(service string, all []discovery.Endpoint) {
 	d.do(func(now time.Duration) {
 		if c := d.balancer(service); c != nil {
@@ -167,17 +167,17 @@
 // submit has a request served; its result comes once on the channel.
 func (d *Proxy) submit(r *request, priority int) {
 	times := 1 / float64(int(1)<<min(max(priority, 0), 16))
-	if r.perform.Inner { // a slot waits for it, and what ran already is lost without it
+	if r.forward.Inner { // a slot waits for it, and what ran already is lost without it
 		times = innerTimes
 	}
 	d.do(func(now time.Duration) {
-		c := d.balancer(r.perform.Service)
+		c := d.balancer(r.forward.Service)
 		if c == nil {
 			r.answered <- result{kind: outcome.Overloaded}
 			return
 		}
 		d.next++
-		r.id, r.cast = gingerlead.RequestID(itoa(d.next)), c
+		r.id, r.balancer = gingerlead.RequestID(itoa(d.next)), c
 		c.requests[r.id] = r
 		c.repeats.Request(now)
 		c.balancer.Request(now, gingerlead.Request{ID: r.id, Class: c.class(r.route), Left: r.deadline - now,
@@ -197,7 +197,7 @@
 // how far it had come.
 func (d *Proxy) lapse(r *request) {
 	d.do(func(now time.Duration) {
-		c := r.cast
+		c := r.balancer
 		if c == nil || r.done || r.lapsed {
 			return
 		}
@@ -217,7 +217,7 @@
 // abandon ends a request that was given up and whose attempt has not said how far it came.
 func (d *Proxy) abandon(r *request) {
 	d.do(func(time.Duration) {
-		if r.cast != nil && !r.done {
+		if r.balancer != nil && !r.done {
 			d.close(r)
 		}
 	})
@@ -235,7 +235,7 @@
 	res.back = res.kind.Back()
 	d.answer(r, res)
 	if r.out == nil {
-		delete(r.cast.requests, r.id)
+		delete(r.balancer.requests, r.id)
 	}
 }
 
