--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -597,9 +597,26 @@
 	})
 }
 
+// An endpoint's own failure is the answer to a request of which no later attempt is served: it is not hidden behind one of ours.
+func TestAnEndpointsFailureIsNotReplaced(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		for _, later := range []outcome.Kind{outcome.Full, outcome.Lost, outcome.Silent, outcome.Spoilt} {
+			_, got := endAs(t, "idempotent", &inbound.Outcome{Kind: outcome.Answered, Status: 500, Arrived: true},
+				&inbound.Outcome{Kind: later, Arrived: !later.NotRun()})
+			qt.Check(t, got, qt.Equals, 500, qt.Commentf("%s", later))
+		}
+	})
+}
+
 // endOnce has the first attempt of a request end as given, and others be served; it returns how many there were, and the status that
 // the client got.
 func endOnce(t *testing.T, kind outcome.Kind, status int, route string) (sent, got int) {
+	return endAs(t, route, &inbound.Outcome{Kind: kind, Status: status, Arrived: !kind.NotRun()},
+		&inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true})
+}
+
+// endAs has the first attempt of a request end in one way, and others in another.
+func endAs(t *testing.T, route string, first, others *inbound.Outcome) (sent, got int) {
 	n := newNetwork(1, false)
 	a := startSidecar(t, n, "a", 1)
 	log := logrus.New()
@@ -615,10 +632,10 @@
 	}()
 	far.Serve(inbound.MethodForward, func(call *transport.IncomingCall) {
 		if sent++; sent == 1 {
-			call.Answer(&inbound.Outcome{Kind: kind, Status: status, Arrived: !kind.NotRun()})
+			call.Answer(first)
 			return
 		}
-		call.Answer(&inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true})
+		call.Answer(others)
 	})
 	var known []discovery.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -245,6 +245,9 @@
 	if o.Kind != outcome.Withdrawn {
 		r.last = o
 	}
+	if o.Kind == outcome.Answered {
+		r.failure = o
+	}
 }
 
 // mayArriveAgain tells whether a request that has reached an endpoint may be sent to one more: by its route, and by the fleet's budget
@@ -271,8 +274,8 @@
 	}
 	res := result{kind: outcome.Overloaded, back: back}
 	switch {
-	case r.last != nil && r.last.Kind == outcome.Answered:
-		res = result{kind: outcome.Answered, outcome: r.last}
+	case r.failure != nil:
+		res = result{kind: outcome.Answered, outcome: r.failure}
 	case r.mayRun && r.last != nil && !r.last.Kind.NotRun():
 		res.kind = r.last.Kind
 	case r.mayRun || r.out != nil:
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -64,6 +64,7 @@
 	arrivals   int              // those that reached one
 	out        *attempt         // the one under way; nil for none
 	last       *inbound.Outcome // of the attempt that ended last, but for withdrawn ones
+	failure    *inbound.Outcome // an endpoint's own failure: the answer, unless a later attempt is served
 	mayRun     bool             // some attempt ran or may have run
 	done       bool             // it is answered
 	lapsed     bool             // given up; what is out is being withdrawn
@@ -227,8 +228,8 @@
 func (d *Proxy) close(r *request) {
 	res := result{kind: outcome.Late}
 	switch {
-	case r.out == nil && r.last != nil && r.last.Kind == outcome.Answered:
-		res = result{kind: outcome.Answered, outcome: r.last}
+	case r.failure != nil:
+		res = result{kind: outcome.Answered, outcome: r.failure}
 	case r.mayRun || r.out != nil:
 		res.kind = outcome.Silent
 	}
