--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -113,15 +113,15 @@
 // What no peer of ours sends ends its link, is logged with who sent it, and harms nobody else.
 func TestBadPeersAreToldApart(t *testing.T) {
 	frame := func(e envelope) []byte { return appendFrame(nil, &e) }
-	greet := frame(envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: version, Name: "bad"})})
+	greet := frame(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: version, Name: "bad"})})
 	huge := make([]byte, 4)
 	binary.BigEndian.PutUint32(huge, 2<<30-1)
 	for name, bytes := range map[string][]byte{
 		"a frame of 2 GB":        huge,
-		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(ask), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
+		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
 		"a second hello":         append(append([]byte{}, greet...), greet...),
-		"another version's peer": frame(envelope{kind: uint64(hello), body: codec.Write(nil, &Hello{Version: 9})}),
-		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(ask), stream: 1, method: 1, body: make([]byte, 2048)})...),
+		"another version's peer": frame(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: 9})}),
+		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, body: make([]byte, 2048)})...),
 		"half a frame":           greet[:7],
 		"no protobuf":            {0, 0, 0, 2, 0xff, 0xff},
 	} {
@@ -165,7 +165,7 @@
 	s := shaper{rate: shapeShare * 8e6 / 8}
 	var line []*turn
 	for range 8 {
-		line = append(line, s.begin(&Link{wake: make(chan struct{}, 1)}, 2_000_000))
+		line = append(line, s.begin(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
 	}
 	now, small, ends := time.Duration(0), 0, []int{}
 	for len(ends) < len(line) {
@@ -222,3 +222,42 @@
 	c.Assert(x.err, qt.IsNil)
 	c.Assert(x.body, qt.HasLen, 300_000)
 }
+
+// While a process ends, calls that are on their way to it are answered, and later ones have surely not gone out. A peer that does not
+// know of leaving is let go all the same.
+func TestDrainLosesNoCall(t *testing.T) {
+	c := qt.New(t)
+	far, address, _ := hub(t, "far", 8<<20)
+	near, _, _ := hub(t, "near", 8<<20)
+	old, err := net.Dial("tcp4", address)
+	c.Assert(err, qt.IsNil)
+	defer old.Close()
+	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: version, Name: "old"})}))
+	c.Assert(err, qt.IsNil)
+	go func() { // it closes when the other side has
+		_, _ = io.Copy(io.Discard, old)
+		old.Close()
+	}()
+	Handle(far, 1, func(_ context.Context, _ *Hello, l *line) *line { return l })
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	_, err = Request[line](ctx, near, address, 1, &line{"up"})
+	c.Assert(err, qt.IsNil)
+	drained := make(chan struct{})
+	go func() {
+		far.Drain(far.Now() + 20*time.Second)
+		close(drained)
+	}()
+	answered := 0
+	for {
+		_, err := Request[line](ctx, near, address, 1, &line{"still"})
+		if err != nil {
+			var lost *ConnectionError
+			c.Assert(errors.As(err, &lost), qt.IsTrue)
+			c.Assert(lost.Sent, qt.IsFalse, qt.Commentf("after %d answers: %v", answered, err))
+			break
+		}
+		answered++
+	}
+	<-drained
+}
