--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -14,7 +14,7 @@
 // confirmTimeout is how long a page of state waits for a majority of the voters.
 const confirmTimeout = 500 * time.Millisecond
 
-// State is what a core process holds of the mesh, for operators: facts with their age and who vouches for them.
+// State is what a core process holds of the mesh, for operators: with ages, and the process that each fact comes from.
 type State struct {
 	Node      string          `json:"node"`
 	Version   string          `json:"configVersion"`
@@ -50,7 +50,7 @@
 	Zone    string `json:"zone"`
 	State   string `json:"state"`
 	Address string `json:"address"`
-	Witness string `json:"witness"` // the sidecar that vouches for it
+	Witness string `json:"witness"` // the sidecar that it comes from
 	Slots   int    `json:"slots"`
 	LeaseMs int64  `json:"leaseMs"`
 }
--- a/internal/mesh/control/configuration/configuration.go
+++ b/internal/mesh/control/configuration/configuration.go
@@ -37,7 +37,7 @@
 	return "r" + strconv.FormatUint(uint64(v), 10)
 }
 
-// Kind tells whether the requests of a route may run more than once.
+// Kind reports whether the requests of a route may run more than once.
 type Kind uint8
 
 // The kinds of routes. One that we don't know counts as NonIdempotent, which allows the least.
@@ -47,7 +47,7 @@
 	Downlink
 )
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (k Kind) Repeatable() bool { return k == Idempotent || k == Downlink }
 
 // Share is a service's part of a route's requests.
--- a/internal/mesh/control/configuration/read.go
+++ b/internal/mesh/control/configuration/read.go
@@ -19,11 +19,11 @@
 	idleTimeout   = 15 * time.Second
 )
 
-// faultsMax bounds how many faults are told.
+// faultsMax bounds how many faults an error lists.
 const faultsMax = 100
 
 // Read reads a configuration. The error is a trace.BadParameter that lists every fault by its path, with what was expected.
-// Fields we don't know are passed over, and of those we know only what can't be used is a fault: an operator whose valid
+// Unknown fields are ignored, and a known one is a fault only if it can't be used: an operator whose valid
 // configuration is refused gives it up.
 func Read(raw []byte) (*Config, error) {
 	if tooDeep(raw) || !gjson.ValidBytes(raw) {
@@ -46,7 +46,7 @@
 	return c, nil
 }
 
-// tooDeep tells whether lists and objects may lie so deep within each other that a parser's stack would overflow, which would
+// tooDeep reports whether lists and objects may lie so deep within each other that a parser's stack would overflow, which would
 // end the process. What we know lies five deep.
 func tooDeep(raw []byte) bool {
 	depth, text := 0, false
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -48,7 +48,7 @@
 	c.state, c.next = to, next
 }
 
-// Holds tells whether this process has the lease now, and under which fencing number.
+// Holds reports whether this process has the lease now, and under which fencing number.
 func (c *Candidate) Holds(now time.Duration) (epoch uint64, ok bool) {
 	if c.state == Holding && now < c.until {
 		return c.epoch, true
@@ -159,7 +159,7 @@
 	return retryPause*time.Duration(1+c.rank) + time.Duration(c.jitter()*float64(retryPause))
 }
 
-// Take takes a voter's reply to the request that was made at a time. It tells whether this process obtained the lease just now.
+// Take takes a voter's reply to the request that was made at a time. It reports whether this process obtained the lease just now.
 func (c *Candidate) Take(now, asked time.Duration, voter string, r *Reply) (came bool) {
 	for _, g := range r.Duties {
 		if g.Name != c.name || c.state == Resigned {
--- a/internal/mesh/control/ratelimit/tenant_tokens.go
+++ b/internal/mesh/control/ratelimit/tenant_tokens.go
@@ -64,7 +64,7 @@
 	return t.demand / (1 + float64(now-t.at)/float64(demandSpan)) * drawAhead.Seconds()
 }
 
-// short tells whether tokens are about to run out.
+// short reports whether tokens are about to run out.
 func (t *tenantTokens) short(now time.Duration) bool {
 	ahead := t.ahead(now)
 	if ahead < 1 || now < t.denied {
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -37,7 +37,7 @@
 // Newest is the highest fencing number of an allocator that grants were taken of.
 func (c *TokenCache) Newest() uint64 { return c.newest }
 
-// Reached tells whether an allocator has been reached within the validity of its tokens.
+// Reached reports whether an allocator has been reached within the validity of its tokens.
 func (c *TokenCache) Reached(now time.Duration) bool { return c.reached && now-c.got < tokenValidity }
 
 // Take admits a request of a tenant or refuses it. done is called once, now or later, with whether the request may go on, and if
@@ -94,7 +94,7 @@
 	return requests, true
 }
 
-// endWaits ends waits that are too long, drops idle tenants, and tells whether tokens are wanted soon.
+// endWaits ends waits that are too long, drops idle tenants, and reports whether tokens are wanted soon.
 func (c *TokenCache) endWaits(now time.Duration) (urgent bool) {
 	timeout := waitTimeout
 	if !c.reached {
@@ -133,7 +133,7 @@
 // Failed reports that the requests reached no allocator.
 func (c *TokenCache) Failed(time.Duration) { c.out = false }
 
-// Waiting tells whether requests wait for tokens.
+// Waiting reports whether requests wait for tokens.
 func (c *TokenCache) Waiting() bool {
 	for _, t := range c.tenants {
 		if len(t.waiting) > 0 {
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -222,7 +222,7 @@
 	return out
 }
 
-// settled tells whether everybody knows their zone exactly, nobody dead, and all name the same homes for services in zones.
+// settled reports whether everybody knows their zone exactly, nobody dead, and all name the same homes for services in zones.
 func (f *fleet) settled(zones, services []string) bool {
 	want := map[string][]uint64{}
 	for _, zone := range zones {
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// alike tells whether two records of a life say the same, but for what is newer.
+// alike reports whether two records of a life say the same, but for what is newer.
 func alike(a, b Member) bool {
 	a.Heartbeat, a.Age = b.Heartbeat, b.Age
 	return a == b
--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -7,7 +7,7 @@
 	"gingerlead/internal/structures/rendezvous"
 )
 
-// Take merges a shuffle. There is a reply to one that is not itself a reply; changed tells whether Members would differ in more
+// Take merges a shuffle. There is a reply to one that is not itself a reply; changed reports whether Members would differ in more
 // than heartbeats.
 func (v *View) Take(now time.Duration, s *Shuffle) (reply *Shuffle, changed bool) {
 	known := v.members[s.From.Life] != nil
@@ -105,7 +105,7 @@
 	return true
 }
 
-// room tells whether there is room for a new member; in another zone the last one by before gives way to one that precedes it.
+// room reports whether there is room for a new member; in another zone the last one by before gives way to one that precedes it.
 func (v *View) room(m *Member) bool {
 	n, last := 0, (*entry)(nil)
 	for _, e := range v.all {
--- a/internal/mesh/discovery/membership/quiet.go
+++ b/internal/mesh/discovery/membership/quiet.go
@@ -35,7 +35,7 @@
 	*what = now
 }
 
-// calm tells whether there has been no news for a while.
+// calm reports whether there has been no news for a while.
 func (v *View) calm(now time.Duration) bool {
 	return v.quiet.agreed != 0 && now-v.quiet.agreed < v.bounds.Drop && now-max(v.news, v.quiet.differed) >= v.bounds.Settle &&
 		!slices.ContainsFunc(v.all, func(e *entry) bool { return e.state == missed })
@@ -134,7 +134,7 @@
 	return out
 }
 
-// compare tells whether a neighbour knows the same lives; these are then taken for alive.
+// compare reports whether a neighbour knows the same lives; these are then taken for alive.
 func (v *View) compare(now time.Duration, s *Shuffle) bool {
 	own, all := v.digests()
 	if s.All != all || s.From.Zone == v.self.Zone && s.Own != own {
--- a/internal/mesh/discovery/membership/tick.go
+++ b/internal/mesh/discovery/membership/tick.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// many tells whether there are more members than a shuffle carries twice.
+// many reports whether there are more members than a shuffle carries twice.
 func (v *View) many() bool { return len(v.all) > 2*v.bounds.Carry }
 
 // patience is the age at which a member is dropped.
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -56,7 +56,7 @@
 	return &Registry{bounds: bounds.Filled(), records: map[string]*record{}, apps: map[string][]*record{}, service: map[string][]*record{}, floor: map[string]uint64{}}
 }
 
-// Apply merges a record; changed tells whether more than its lease, its sequence and its cold time did.
+// Apply merges a record; changed reports whether more than its lease, its sequence and its cold time did.
 func (r *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
 	if e.ID == "" {
 		return false
@@ -88,7 +88,7 @@
 
 func byID(p *record, id string) int { return cmp.Compare(p.ID, id) }
 
-// merge is the only place where a record that was sent changes one held here. It tells whether anything was taken.
+// merge is the only place where a record that was sent changes one held here. It reports whether anything was taken.
 func (p *record) merge(now time.Duration, e Endpoint) (took bool) {
 	e.App, e.Service = p.App, p.Service // of one life they stay
 	p.drained, p.gone = p.drained || e.State == Draining, p.gone || e.State == Gone
@@ -186,7 +186,7 @@
 	return changed
 }
 
-// outlived tells whether another life at a record's address is renewed and the record is not.
+// outlived reports whether another life at a record's address is renewed and the record is not.
 func (r *Registry) outlived(now time.Duration, p *record) bool {
 	return now-p.renewed >= r.bounds.Quiet && slices.ContainsFunc(r.apps[p.App], func(q *record) bool {
 		return q != p && q.shown() < Crashed && now-q.renewed < r.bounds.Quiet
--- a/internal/mesh/operations/events/events.go
+++ b/internal/mesh/operations/events/events.go
@@ -40,7 +40,7 @@
 // Filter passes events that match all of its fields that are not empty, and all gaps.
 type Filter struct{ Service, Tenant, Zone string }
 
-// Passes tells whether an event matches.
+// Passes reports whether an event matches.
 func (f Filter) Passes(e *Event) bool {
 	return e.Kind == Gap || (f.Service == "" || f.Service == e.Service) && (f.Tenant == "" || f.Tenant == e.Tenant) &&
 		(f.Zone == "" || f.Zone == e.Zone)
