--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -12,7 +12,8 @@
 )
 
 // exchangeRun is one random schedule: three candidates, lists of three voters that are exchanged one by one, messages that are
-// late, lost or doubled, steady clocks that differ by up to 5%, voters that restart, and lists that are learnt late.
+// late, lost or doubled, candidates that are cut off, steady clocks that differ by up to 5%, voters that restart, and lists that
+// are learnt late.
 type exchangeRun struct {
 	rng        *rand.Rand
 	now        time.Duration // real time
@@ -35,6 +36,7 @@
 type exchangeCandidate struct {
 	*Candidate
 	rate  float64
+	cut   time.Duration // it is cut off before
 	known uint64
 	under uint64 // epoch of the list under which it asked last while it held
 }
@@ -85,7 +87,7 @@
 
 func (x *exchangeRun) send(m exchangeMessage) {
 	for range 1 + x.rng.IntN(10)/9 { // some arrive twice
-		if x.rng.IntN(12) == 0 {
+		if x.rng.IntN(12) == 0 || x.now < x.candidates[m.candidate].cut {
 			continue
 		}
 		m.at = x.now + time.Duration(x.rng.Int64N(int64(10*time.Millisecond)))
@@ -127,6 +129,9 @@
 		v.Voter = NewVoter(local(x.now, v.rate), false)
 		v.ready = x.now + time.Duration(x.rng.Int64N(int64(2*Lease)))
 	}
+	if x.rng.IntN(100) == 0 {
+		x.candidates[x.rng.IntN(3)].cut = x.now + time.Duration(x.rng.Int64N(int64(3*Lease)))
+	}
 	x.deliver()
 	for i, c := range x.candidates {
 		if x.rng.IntN(10) == 0 {
@@ -293,3 +298,19 @@
 	c.Assert(x.Take(0, 0, "c", given), qt.IsTrue)
 	c.Assert(x.Tick(renewInterval, 3, 0), qt.IsNotNil)
 }
+
+// A holder whose clock is slow by 4.9% against the voters' has stopped before they grant the lease to another.
+func TestDriftingClocks(t *testing.T) {
+	const fast = 1.049
+	voter := NewVoter(0, true)
+	holder := NewCandidate("h", 1, "d", func() float64 { return 0 })
+	qt.Assert(t, holder.Take(0, 0, "v", voter.Take(0, firstList, holder.Tick(0, 1, 0))), qt.IsTrue)
+	for now := time.Duration(0); ; now += time.Millisecond {
+		other := &Request{Holder: "o", Incarnation: 2, Duties: []Duty{{Name: "d", Epoch: 2}}}
+		if voter.Take(local(now, fast), firstList, other).Duties[0].Given {
+			_, holds := holder.Holds(now)
+			qt.Assert(t, holds, qt.IsFalse, qt.Commentf("%v after the request", now))
+			return
+		}
+	}
+}
--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -116,6 +116,7 @@
 fault "a voter whose record isn't read grants leases" lease/voter.go 's/ && standing\.Ready//'
 fault "a late release ends a newer grant" lease/voter.go 's/if mine && d\.Epoch >= g\.epoch/if mine/'
 fault "a lease lasts as long for its holder as for the voter" lease/candidate.go 's/until := c\.asked \+ holdTime/until := now + Lease/'
+fault "a holder leaves nothing for clocks that differ" lease/lease.go 's/holdTime = Lease - .*/holdTime = Lease/'
 fault "a duty needs half of the voters" lease/candidate.go 's/return c\.voters\/2 \+ 1/return c.voters \/ 2/'
 fault "a candidate asks at once under a new list" lease/candidate.go 's/c\.list, c\.notUntil = list, now\+listDelay/c.list, c.notUntil = list, now/'
 fault "a holder that lost its lease asks at once under a new list" lease/candidate.go 's/max\(now\+retryPause, c\.notUntil\)/now + retryPause/'
