--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -13,6 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/control/ratelimit"
 	"gingerlead/internal/mesh/discovery/membership"
 	"gingerlead/internal/mesh/operations/settings"
 	"gingerlead/internal/mesh/transport"
@@ -130,3 +131,27 @@
 	t.Logf("process %d under %d, then %d under %d", first, number, again, higher)
 	d.Assert(higher >= number, qt.IsTrue)
 }
+
+// A holder whose fencing number is below one that a sidecar knows, as all voters have forgotten it, grants nothing until it has
+// raised its own, and goes on as the holder.
+func TestAllocatorRaisesItsNumber(t *testing.T) {
+	d := newDutyCore(t, 3)
+	for _, x := range d.duties {
+		x.agent.Committed(1, []byte(`{"configVersion":"r1","routeTable":[],"tenantTable":[{"name":"t","accessKeys":["k"],"ratePerS":5,"burstSize":5}]}`))
+	}
+	first, number := d.holder()
+	request := func(newest uint64) *ratelimit.TokenGrants {
+		return d.duties[first].grantTokens(t.Context(), nil, &ratelimit.TokenRequests{Who: "127.9.0.9:7401", Life: 9, Newest: newest,
+			Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}})
+	}
+	d.Assert(request(number).Granted, qt.IsTrue)
+	d.Assert(request(number+10).Granted, qt.IsFalse)
+	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+		if grants := request(number + 10); grants.Granted {
+			d.Assert(grants.Epoch > number+10, qt.IsTrue)
+			t.Logf("granted again after %v", time.Since(began).Round(time.Millisecond))
+			return
+		}
+		d.Assert(time.Since(began) < 20*time.Second, qt.IsTrue)
+	}
+}
