--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -133,4 +133,18 @@
 fault "the first peer's version is taken" ../agent/survey.go 's/if version > s\.newest/if s.newest == 0/'
 fault "members that were lost are not tried" ../discovery/membership/former.go 's/now-f\.at < v\.bounds\.RejoinFor/false/'
 
+# Voters that are replaced.
+fault "exchange: who joins reads from one voter" consensus/recovery.go 's/return n >= majority\(len\(list\)\)$/return n >= 1/'
+fault "exchange: a proposed list is not read from" consensus/recovery.go 's/enough = enough \&\& y\.enough\(y\.pending\)/_ = enough/'
+fault "exchange: the list of a request is not written down" consensus/acceptor.go 's/r, changed := r\.Learn\(q\.Membership\)/var changed Changed/'
+fault "exchange: a list that contradicts the own one is taken" consensus/acceptor.go 's/if decided\.contradicts\(\&q\.Membership\)/if false/'
+fault "exchange: one process's word replaces a voter" consensus/plan.go 's/p\.SilentAt >= majority\(voters\)/p.SilentAt >= 1/'
+fault "exchange: who isn't ready is added" consensus/plan.go 's/p\.Alive \&\& p\.Ready/p.Alive/'
+fault "exchange: a moment's silence is enough" consensus/plan.go 's/!p\.Alive \&\& p\.For >= ReplaceDelay/true/'
+fault "exchange: a change returns before the new list has it" controlplane/reconfigure.go 's/_, err = d\.Newest\(ctx\)/_ = ctx/'
+fault "exchange: replacements are not bounded" controlplane/presence.go 's/return n == 0 .*/return n >= 0/'
+fault "exchange: who stood still takes others for silent" controlplane/reconfigure.go 's/r\.table\.wake\(now\)/_ = now/'
+fault "exchange: a process that ends hands nothing over" ../assembly/core.go 's/err := server\.HandOver\(ctx\)/err := ctx.Err()/'
+fault "exchange: a request of another system is taken" controlplane/transport.go 's/if own := d\.knownSystem\(\); !own\.Admits\(q\.System\)/if own := d.knownSystem(); false/'
+
 exit $failed
