--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -55,45 +55,64 @@
 		return false
 	}
 	if e := v.members[m.Life]; e != nil {
-		switch {
-		case m.Heartbeat == e.Heartbeat && direct:
-			e.seen = now
-		case m.Heartbeat == e.Heartbeat:
-			e.seen = min(e.seen, seen)
-		case m.Heartbeat > e.Heartbeat:
-			changed = !alike(e.Member, m)
-			if e.Address != m.Address {
-				return false // a life has one address
-			}
-			if changed {
-				v.invalidate()
-			}
-			if e.awaited && e.doubt < m.Heartbeat {
-				e.awaited, e.timesSent = false, 0
-				v.noteNews(now, &v.news)
-			}
-			e.Member, e.seen = m, max(e.seen, seen)
-			e.shift(now, fresh)
-		}
-		return changed
+		return v.update(now, seen, e, m, direct)
 	}
-	if o := v.at[m.Address]; o != nil {
-		if !direct && seen < o.seen+v.bounds.Pace { // ages arrive too low by the time under way, so that a life that ended may seem newer
+	if old := v.at[m.Address]; old != nil {
+		// Ages arrive too low by the time under way, so that a life that ended may seem a little newer.
+		if !direct && seen < old.seen+v.bounds.Pace {
 			return false
 		}
-		v.remove(o)
-		d := ended{heartbeat: o.Heartbeat, address: o.Address, replaced: true}
-		if direct {
-			d.heartbeat += replacedMargin
-		}
-		v.rememberEnd(now, o.Life, d)
+		v.replace(now, old, direct)
 	} else if !v.room(&m) {
 		return false
 	}
+	v.insert(now, seen, m)
+	return true
+}
+
+// update merges a record of a member that is known.
+func (v *View) update(now, seen time.Duration, e *entry, m Member, direct bool) (changed bool) {
+	switch {
+	case m.Heartbeat < e.Heartbeat:
+		return false
+	case m.Heartbeat == e.Heartbeat && direct:
+		e.seen = now
+		return false
+	case m.Heartbeat == e.Heartbeat:
+		e.seen = min(e.seen, seen)
+		return false
+	case e.Address != m.Address:
+		return false // a life has one address
+	}
+	if changed = !alike(e.Member, m); changed {
+		v.invalidate()
+	}
+	if e.awaited && e.doubt < m.Heartbeat {
+		e.awaited, e.timesSent = false, 0
+		v.noteNews(now, &v.news)
+	}
+	e.Member, e.seen = m, max(e.seen, seen)
+	e.shift(now, fresh)
+	return changed
+}
+
+// replace drops a life because another one is at its address.
+func (v *View) replace(now time.Duration, old *entry, direct bool) {
+	v.remove(old)
+	d := ended{heartbeat: old.Heartbeat, address: old.Address, replaced: true}
+	if direct {
+		d.heartbeat += replacedMargin
+	}
+	v.rememberEnd(now, old.Life, d)
+}
+
+// insert adds a new member.
+func (v *View) insert(now, seen time.Duration, m Member) {
 	v.forgetEnd(m.Life)
 	v.arrived++
 	v.noteNews(now, &v.news)
-	e := &entry{Member: m, mix: rendezvous.Mix(m.Life), seen: seen, order: v.arrived, asked: -time.Hour + time.Duration(v.rng.IntN(int(time.Minute)))}
+	asked := -time.Hour + time.Duration(v.rng.IntN(int(time.Minute))) // long ago, in random order
+	e := &entry{Member: m, mix: rendezvous.Mix(m.Life), seen: seen, order: v.arrived, asked: asked}
 	v.members[m.Life], v.at[m.Address] = e, e
 	i, _ := slices.BinarySearchFunc(v.all, m.Life, byLife)
 	v.all = slices.Insert(v.all, i, e)
@@ -102,7 +121,6 @@
 	v.ring = slices.Insert(v.ring, i, e)
 	v.Place(m.Zone, m.Region)
 	v.former = slices.DeleteFunc(v.former, func(f former) bool { return f.address == m.Address })
-	return true
 }
 
 // room reports whether there is room for a new member; in another zone the last one by before gives way to one that precedes it.
