--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -20,16 +20,18 @@
 	Log     *logrus.Logger
 	self    Hello
 	start   time.Time
-	most    int // bytes of asks that this process has room for
+	most    int // bytes of calls that this process has room for
 	shape   shaper
-	held    atomic.Int64 // bytes of asks that are not answered, and of answers that are not whole
+	held    atomic.Int64 // bytes of calls that are not answered, and of replies that are not whole
 	mu      sync.Mutex
 	links   map[string]*Link
-	taken   map[*Link]bool
+	taken   map[*Link]bool // accepted, and those that were dialled and are retired
+	serveMu sync.RWMutex   // methods may be declared while links are up
 	serve   map[uint64]func(*IncomingCall)
 	lost    func(address, why string)
 	dialer  func(address string) (net.Conn, error)
 	closing bool
+	accept  []net.Listener
 
 	sentBytes, sentFrames, receivedBytes, receivedFrames atomic.Uint64
 }
@@ -49,7 +51,7 @@
 	return len(h.links), len(h.taken)
 }
 
-// NewHub makes a hub. most bounds the bytes of the asks that it takes, one or all together.
+// NewHub makes a hub. most bounds the bytes of the calls that it takes, one or all together.
 func NewHub(self Hello, start time.Time, most int, log *logrus.Logger) *Hub {
 	self.Version = version
 	h := &Hub{Log: log, self: self, start: start, most: most, links: map[string]*Link{}, taken: map[*Link]bool{},
@@ -72,8 +74,12 @@
 // DialBy has links dialled by f in place of TCP. It is called before the hub sends anything.
 func (h *Hub) DialBy(f func(address string) (net.Conn, error)) { h.dialer = f }
 
-// Serve has f called for each ask of a method, on the link's reader: it must not block.
-func (h *Hub) Serve(method uint64, f func(*IncomingCall)) { h.serve[method] = f }
+// Serve has f called for each call of a method, on the link's reader: it must not block.
+func (h *Hub) Serve(method uint64, f func(*IncomingCall)) {
+	h.serveMu.Lock()
+	defer h.serveMu.Unlock()
+	h.serve[method] = f
+}
 
 // Handle declares a method by its function; the function may block. A message that can't be read ends the link, with its
 // cause in the log.
@@ -103,17 +109,17 @@
 	})
 }
 
-// Send asks an address; done is called once, never before Send returns. expire is on this process's clock, 0 for never: the
+// Send calls a method of the process at an address; done is called once, never before Send returns. expire is on this process's clock, 0 for never: the
 // other side does not begin later.
 func (h *Hub) Send(address string, method uint64, body []byte, expire time.Duration,
 	done func(body []byte, err error)) *PendingCall {
 	a := &PendingCall{method: method, body: body, expire: expire, done: done}
-	for !h.link(address).ask(a) { // it was closed as idle just now
+	for !h.link(address).call(a) { // it was closed as idle just now
 	}
 	return a
 }
 
-// Request asks an address and waits for the answer.
+// Request calls a method of the process at an address and waits for the reply.
 func Request[A any, PA interface {
 	*A
 	codec.Message
@@ -175,7 +181,7 @@
 	}
 	l.mu.Lock()
 	l.conn = conn
-	l.urgent.PushFront(envelope{kind: uint64(hello), body: codec.Write(nil, &h.self)})
+	l.urgent.PushFront(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &h.self)})
 	l.heard, l.connected = h.Now(), h.Now()
 	dead := l.dead
 	l.mu.Unlock()
@@ -183,13 +189,16 @@
 		conn.Close()
 		return
 	}
-	l.rouse()
+	l.wakeWriter()
 	go l.write()
 	l.read()
 }
 
 // Listen takes links from others until the listener is closed.
 func (h *Hub) Listen(n net.Listener) error {
+	h.mu.Lock()
+	h.accept = append(h.accept, n)
+	h.mu.Unlock()
 	for {
 		conn, err := n.Accept()
 		if err != nil {
@@ -209,7 +218,7 @@
 	}
 }
 
-func (h *Hub) gone(l *Link, why string, up bool) {
+func (h *Hub) gone(l *Link, why string) {
 	h.mu.Lock()
 	mine := h.links[l.peer] == l
 	if mine {
@@ -223,26 +232,29 @@
 	}
 }
 
-// rest closes a dialled link that nobody has used for long. Whoever asks next dials anew.
+// rest closes a dialled link that nobody has used for long. The next call dials anew.
 func (h *Hub) rest(l *Link, now time.Duration) bool {
 	h.mu.Lock()
 	l.mu.Lock()
-	idle := h.links[l.peer] == l && l.up && !l.dead && len(l.asks) == 0 && now-l.used > idleMost
+	idle := h.links[l.peer] == l && l.peerGreeted && !l.dead && len(l.pending) == 0 && now-l.used > idleMost
 	if idle {
 		delete(h.links, l.peer)
-		l.dead, l.rested, l.why = true, true, "idle"
+		l.dead, l.retired, l.why = true, true, "idle"
 	}
 	l.mu.Unlock()
 	h.mu.Unlock()
 	if idle {
 		l.conn.Close()
-		l.rouse()
+		l.wakeWriter()
 	}
 	return idle
 }
 
 func (h *Hub) handle(c *IncomingCall) {
-	if f := h.serve[c.method]; f != nil {
+	h.serveMu.RLock()
+	f := h.serve[c.method]
+	h.serveMu.RUnlock()
+	if f != nil {
 		f(c)
 		return
 	}
@@ -251,7 +263,7 @@
 
 // watch looks after the silence of all links.
 func (h *Hub) watch() {
-	for range time.Tick(lookEvery) {
+	for range time.Tick(checkInterval) {
 		now := h.Now()
 		h.mu.Lock()
 		all := h.every()
@@ -262,32 +274,58 @@
 		}
 		for _, l := range all {
 			if !h.rest(l, now) {
-				l.look(now)
+				l.checkSilence(now)
 			}
 		}
 	}
 }
 
-// Drain closes all links once what they have to say has gone out, at the given time at the latest. A peer learns of the end after
-// the last byte, so that no answer is lost to it.
+// Drain ends all links in order, at the given time at the latest: it takes no more links, tells each peer that this process leaves, and
+// waits until the peers have their answers and have closed their links. So no call is lost on its way here.
 func (h *Hub) Drain(until time.Duration) {
-	for h.Now() < until && !h.finish() {
+	h.mu.Lock()
+	h.closing = true
+	for _, n := range h.accept {
+		n.Close()
+	}
+	h.mu.Unlock()
+	for h.Now() < until && !h.drained() {
 		time.Sleep(drainInterval)
 	}
 	h.Close()
 }
 
-// finish has each link end after its last answer, and tells whether all have ended.
-func (h *Hub) finish() (ended bool) {
+// drained has each link that was accepted end after its last answer, and tells whether all have ended.
+func (h *Hub) drained() bool {
 	h.mu.Lock()
-	h.closing = true
 	links := h.every()
 	h.mu.Unlock()
-	ended = true
+	left := 0
 	for _, l := range links {
-		ended = l.finish() && ended
+		if !l.dialled && !l.drain(h.Now()) {
+			left++
+		}
+	}
+	return left == 0
+}
+
+// retire keeps a dialled link for the calls that are under way on it only: its peer is about to end.
+func (h *Hub) retire(l *Link) {
+	h.mu.Lock()
+	l.mu.Lock()
+	mine := h.links[l.peer] == l && !l.dead
+	if mine {
+		delete(h.links, l.peer)
+		h.taken[l] = true
+		l.retired = true
+	}
+	closing := h.closing
+	l.mu.Unlock()
+	h.mu.Unlock()
+	if mine && !closing && h.lost != nil {
+		h.lost(l.peer, "leaving")
 	}
-	return ended
+	l.endIfRetired()
 }
 
 // every is all links; the lock is held.
