--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -58,13 +58,14 @@
 
 // Take admits a tenant's request or refuses it; done is called once, soon, with when to come back after a refusal.
 func (t *QuotaClient) Take(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
-	waits := true
+	answered := false // guarded by t.mu, as done may be called later
 	t.mu.Lock()
 	t.tokenCache.Take(t.agent.o.Hub.Now(), tenant.Name, t.agent.limitOf(tenant),
 		func(ok bool, back time.Duration) {
-			waits = false
+			answered = true
 			done(ok, back)
 		})
+	waits := !answered
 	t.mu.Unlock()
 	if waits {
 		t.wake()
--- /dev/null
+++ b/internal/mesh/agent/quota_client_test.go
@@ -0,0 +1,55 @@
+package agent
+
+import (
+	"io"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/ratelimit"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
+)
+
+// Requests are answered once each, by tokens that come while others are being taken in; the race detector looks on.
+func TestTakeWhileTokensCome(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.9.2.1:7401"}, time.Now(), 1<<20, log)
+	defer hub.Close()
+	client := New(Options{Settings: &settings.Settings{}, Hub: hub, Role: membership.Access, Log: log}).QuotaClient()
+	tenant := &configuration.Tenant{Name: "t", Rate: 1000, Burst: 1000}
+	var all sync.WaitGroup
+	stop := make(chan struct{})
+	var granting sync.WaitGroup
+	granting.Go(func() {
+		for {
+			select {
+			case <-stop:
+				return
+			default:
+			}
+			client.mu.Lock()
+			now := hub.Now()
+			client.tokenCache.Tick(now)
+			client.tokenCache.Got(now, now, &ratelimit.TokenGrants{Granted: true, Grants: []ratelimit.TokenGrant{{Tenant: "t", Tokens: 3}}})
+			client.mu.Unlock()
+		}
+	})
+	for range 4 {
+		all.Go(func() {
+			for range 200 {
+				answered := make(chan struct{})
+				client.Take(tenant, func(bool, time.Duration) { close(answered) }) // a second answer would panic
+				<-answered
+			}
+		})
+	}
+	all.Wait()
+	close(stop)
+	granting.Wait()
+}
