--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -105,7 +105,7 @@
 fault "a checksum is not held against its data" storage/storage.go 's/case sum != want:/case false:/'
 fault "a later format counts as spoilt" storage/storage.go 's/case number > format.*/case false:/'
 fault "a new journal's name is not synced" storage/storage.go 's/fd\.Type != lstorage\.TypeJournal/true/'
-fault "without CURRENT an empty database is made" storage/storage.go 's/errors\.Is\(err, os\.ErrNotExist\)/err == nil \&\& errors.Is(err, os.ErrNotExist)/'
+fault "a spoilt list of files is an error for good" storage/storage.go 's/if lerrors\.IsCorrupted\(err\) \{/if false {/'
 
 # Leases.
 fault "a lease is granted while another holds it" lease/voter.go 's/now >= g\.until && d\.Epoch > g\.epoch/d.Epoch > g.epoch/'
--- a/internal/mesh/control/storage/storage.go
+++ b/internal/mesh/control/storage/storage.go
@@ -77,13 +77,8 @@
 	return nil
 }
 
-// openDatabase opens the database in a folder's files, and makes its list of files anew if that is spoilt or gone.
+// openDatabase opens the database in a folder's files, and makes its list of files anew if that is spoilt, or gone beside files.
 func openDatabase(files lstorage.Storage) (*leveldb.DB, error) {
-	if _, err := files.GetMeta(); errors.Is(err, os.ErrNotExist) {
-		if left, err := files.List(lstorage.TypeTable | lstorage.TypeJournal); err != nil || len(left) > 0 {
-			return leveldb.Recover(files, options())
-		}
-	}
 	db, err := leveldb.Open(files, options())
 	if lerrors.IsCorrupted(err) {
 		return leveldb.Recover(files, options())
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -348,3 +348,21 @@
 		}
 	}
 }
+
+// Without the files that name the list of files, the list is made anew from the tables.
+func TestListOfFilesIsGone(t *testing.T) {
+	c := qt.New(t)
+	folder := t.TempDir()
+	k := open(t, folder)
+	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
+	for i := range 4 {
+		c.Assert(k.Put("vote", append(large, byte(i))), qt.IsNil)
+	}
+	c.Assert(k.Close(), qt.IsNil)
+	for _, name := range must(filepath.Glob(filepath.Join(folder, "CURRENT*"))) {
+		c.Assert(os.Remove(name), qt.IsNil)
+	}
+	data, err := open(t, folder).Get("vote")
+	c.Assert(err, qt.IsNil)
+	c.Assert(data[len(large)], qt.Equals, byte(3))
+}
