--- a/internal/mesh/control/storage/storage.go
+++ b/internal/mesh/control/storage/storage.go
@@ -185,7 +185,8 @@
 	return trace.NewAggregate(append(faults, it.Error())...)
 }
 
-// Close ends the use of the folder.
+// Close ends the use of the folder. An error tells of a file that could not be read or written since, also in the background;
+// what Put returned without an error is on disk all the same.
 func (t *Store) Close() error {
 	if t.db == nil {
 		return nil
