--- a/internal/mesh/assembly/replacement_test.go
+++ b/internal/mesh/assembly/replacement_test.go
@@ -85,8 +85,10 @@
 	m.Assert(a.cmd.Wait(), qt.IsNil)
 	m.Check(time.Since(began) < 5*time.Second, qt.IsTrue)
 	a.cmd = nil
-	m.votes(b, d, true)
-	m.votes(b, a, false)
+	s, ok := m.state(b) // it has handed its place over before it ended
+	m.Assert(ok && s.Confirmed, qt.IsTrue)
+	m.Check(slices.Contains(s.Voters, a.ip+":8105"), qt.IsFalse)
+	m.Check(slices.Contains(s.Voters, d.ip+":8105"), qt.IsTrue)
 	m.wipe(c)
 	m.until("a change", func() bool { return m.put(1, m.config(2, "", "k2")) == http.StatusOK })
 	m.until("it is read back", func() bool { return bytes.Equal(m.retrieve(c), m.config(2, "", "k2")) })
--- a/internal/mesh/control/consensus/plan_test.go
+++ b/internal/mesh/control/consensus/plan_test.go
@@ -89,3 +89,58 @@
 	qt.Assert(t, r.State.Incarnations["v1"], qt.Equals, uint64(15))
 	qt.Assert(t, r.State.Incarnations[fmt.Sprint("x", 3*incarnationsMax-1)] > 0, qt.IsTrue)
 }
+
+// A replica without a record needs answers of n-m+1 others of a list that it is in, and of a majority of one that it isn't in;
+// of a list that is only proposed it needs them as well.
+func TestRecoveryReadsFromEnough(t *testing.T) {
+	told := func(v Vote) *Reply { return &Reply{Kind: Reported, Incarnation: 1, Vote: v} }
+	for _, x := range []struct {
+		voters int
+		inside bool
+		enough int
+	}{{3, true, 2}, {4, true, 2}, {5, true, 3}, {7, true, 4}, {1, false, 1}, {3, false, 2}, {4, false, 3}, {5, false, 3}, {7, false, 4}} {
+		self := "x"
+		if x.inside {
+			self = "v0"
+		}
+		y, _ := NewRecovery(self, list(x.voters), 9, false)
+		answered := 0
+		for i, node := range y.Nodes() {
+			answered++
+			if _, ok := y.Step(node, told(Vote{})); ok {
+				break
+			}
+			qt.Assert(t, i < x.voters, qt.IsTrue)
+		}
+		qt.Assert(t, answered, qt.Equals, x.enough, qt.Commentf("%+v", x))
+	}
+	proposed := *NewMembershipChange(list(3), MembershipChange{Add: "x", Remove: "v0"}).next
+	y, _ := NewRecovery("x", list(3), 9, false)
+	_, ok := y.Step("v0", told(Vote{Ballot: Ballot{1, "p"}, Value: Value{Membership: proposed}}))
+	qt.Assert(t, ok, qt.IsFalse)
+	_, ok = y.Step("v1", told(Vote{}))
+	qt.Assert(t, ok, qt.IsFalse, qt.Commentf("of v1, v2, x both others are needed"))
+	r, ok := y.Step("v2", told(Vote{}))
+	qt.Assert(t, ok, qt.IsTrue)
+	qt.Assert(t, r.Vote.Learned, qt.IsTrue)
+}
+
+// A voter writes the newer list of a request down before it answers, and refuses one that contradicts its own.
+func TestListsComeWithRequests(t *testing.T) {
+	r := FirstRecord("v0", list(3).Voters)
+	newer := *NewMembershipChange(list(3), MembershipChange{Add: "v3", Remove: "v2"}).next
+	for _, kind := range []RequestKind{ReadVote, Prepare, Accept, Recover} {
+		q := &Request{Kind: kind, Ballot: Ballot{5, "p"}, Epoch: 1, Membership: newer, Node: "x", Incarnation: 7}
+		reply, next, changed := r.Handle(q)
+		qt.Assert(t, reply.Kind != StaleEpoch && reply.Kind != OtherList, qt.IsTrue)
+		qt.Assert(t, changed.State, qt.IsTrue)
+		qt.Assert(t, next.Decided().Voters, qt.DeepEquals, newer.Voters)
+		other := newer
+		other.Voters = []string{"v0", "v1", "v9"}
+		q.Membership = other
+		reply, after, changed := next.Handle(q)
+		qt.Assert(t, reply.Kind, qt.Equals, OtherList)
+		qt.Assert(t, changed.Any(), qt.IsFalse)
+		qt.Assert(t, after.Decided().Voters, qt.DeepEquals, newer.Voters)
+	}
+}
--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -15,6 +15,7 @@
 
 	"gingerlead/internal/mesh/control/configuration"
 	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/transport/codec"
 
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
@@ -37,6 +38,7 @@
 	loss float64 // how many of them are lost
 
 	blocked map[[2]string]bool // ways between two nodes, by their names, on which nothing passes
+	drops   consensus.RequestKind
 }
 
 // memory is a disk whose writes may be slow, blocked, or fail, before or after they are done.
@@ -96,6 +98,8 @@
 	l.core.mu.Lock()
 	d := l.core.servers[node]
 	lost := d == nil || l.core.cut[node] || l.core.cut[l.from] || l.core.blocked[[2]string{l.from, node}] || l.core.blocked[[2]string{node, l.from}]
+	var q consensus.Request
+	lost = lost || l.core.drops != 0 && codec.Read(request, &q) == nil && q.Kind == l.core.drops
 	l.core.mu.Unlock()
 	if !lost && l.passes() {
 		if reply, err := d.Serve(ctx, request); l.passes() {
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -300,3 +300,67 @@
 	table.answered(at(62000), "a", &consensus.Reply{}) // of no interest any more
 	c.Assert(len(table.presence(at(62000), nil, nil, never)), qt.Equals, 1)
 }
+
+// When a change of the voters returns, a majority of the new list has the list on disk, also if nobody was told that it is decided.
+func TestChangeReturnsWithTheListOnDisk(t *testing.T) {
+	grownAfter(t, func(co *core, ctx context.Context) {
+		co.mu.Lock()
+		co.drops = consensus.Commit
+		co.mu.Unlock()
+		e := co.server(0).Membership()
+		co.c.Assert(co.server(0).changeMembership(ctx, e, consensus.MembershipChange{Add: node(3), Remove: node(0)}), qt.IsNil)
+		have := 0
+		for i := 1; i <= 3; i++ {
+			d := co.server(i)
+			d.mu.Lock()
+			if d.kept == e.Epoch+1 {
+				have++
+			}
+			d.mu.Unlock()
+		}
+		co.c.Assert(have >= 2, qt.IsTrue, qt.Commentf("%d have it", have))
+	})
+}
+
+// A process that stood still itself takes nobody for silent, and plans nothing.
+func TestStandingStillIsNoSilence(t *testing.T) {
+	grownAfter(t, func(co *core, _ context.Context) {
+		d := co.server(1)
+		r := &reconfigurer{server: d, answers: make(chan answer, 64), finished: make(chan struct{}, 1), last: time.Now()}
+		now := time.Now()
+		for range 4 {
+			r.step(now)
+			now = now.Add(reconfigureInterval)
+		}
+		for _, node := range []string{node(0), node(2), node(3)} {
+			r.table.answered(now, node, &consensus.Reply{Ready: true, Silent: []string{"nobody"}})
+		}
+		r.step(now.Add(time.Minute))
+		co.c.Assert(r.table.silent(now.Add(time.Minute), d.Voters()), qt.HasLen, 0)
+		co.c.Assert(r.need, qt.Equals, consensus.MembershipChange{})
+	})
+}
+
+func TestReplacementsAllowed(t *testing.T) {
+	c := qt.New(t)
+	start := time.Unix(1000, 0)
+	at := func(d time.Duration) time.Time { return start.Add(d) }
+	list := func(epoch uint64, voters ...string) consensus.Membership {
+		return consensus.Membership{Epoch: epoch, Voters: voters}
+	}
+	for _, tolerated := range []int{0, 1, 2} {
+		var r replacements
+		r.observe(start, list(4, "a", "b", "c"))
+		c.Assert(r.allowed(start, tolerated), qt.IsTrue)
+		r.observe(start, list(5, "a", "b", "c", "d")) // nobody was replaced
+		c.Assert(r.allowed(start, tolerated), qt.IsTrue)
+		r.observe(start, list(6, "a", "b", "d"))
+		c.Assert(r.allowed(at(replacePause-1), tolerated), qt.IsFalse)
+		c.Assert(r.allowed(at(replacePause), tolerated), qt.Equals, tolerated == 2)
+		r.observe(at(replacePause), list(7, "a", "d", "e"))
+		r.observe(at(replaceWindow-1), list(7, "a", "d", "e"))
+		c.Assert(r.allowed(at(replaceWindow-1), tolerated), qt.IsFalse)
+		r.observe(at(replaceWindow+replacePause), list(7, "a", "d", "e"))
+		c.Assert(r.allowed(at(replaceWindow+replacePause), tolerated), qt.IsTrue)
+	}
+}
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -267,12 +267,11 @@
 	began := time.Now()
 	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
 		for ctx.Err() == nil && e.Has(d.o.Self) {
-			presence := d.knownPresence()
-			if change := consensus.PlanHandover(e, presence, d.o.Self); change != (consensus.MembershipChange{}) {
+			if change := consensus.PlanHandover(e, d.knownPresence(), d.o.Self); change != (consensus.MembershipChange{}) {
 				return change
 			}
-			joining := slices.ContainsFunc(presence, func(p consensus.Presence) bool {
-				return p.Alive && !e.Has(p.Node) && !slices.Contains(e.Retired, p.Node)
+			joining := slices.ContainsFunc(d.peersThere(), func(node string) bool {
+				return node != d.o.Self && !e.Has(node) && !slices.Contains(e.Retired, node)
 			})
 			if !joining || time.Since(began) > spareWait {
 				break
