--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -53,8 +53,8 @@
 	viewed      uint64 // changes of the view when followView last worked, and one; 0: it is to work again
 	sidecars    int    // that are there
 	registry    *discovery.Registry
-	changed     map[string]bool // services whose endpoints have changed
-	expireAt    time.Duration   // when leases are looked at next
+	changed     map[string]uint64 // services whose endpoints have changed, with the registry's version before the first change
+	expireAt    time.Duration     // when leases are looked at next
 	publisher   *discovery.Publisher
 	homeLives   map[string]uint64 // of homes that endpoints are published to, by address
 	subscribed  *discovery.Subscription
@@ -74,7 +74,7 @@
 	a := &Agent{o: o, view: membership.New(self, membership.Bounds{}, rand.New(rand.NewPCG(o.Seed, hello.Life))),
 		registry: discovery.New(discovery.Bounds{}), publisher: discovery.NewPublisher(discovery.Bounds{}),
 		subscribed: discovery.NewSubscription(discovery.Bounds{}), subscribers: discovery.NewSubscribers(discovery.Bounds{}),
-		changed: map[string]bool{}, homeLives: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
+		changed: map[string]uint64{}, homeLives: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
 	for zone, region := range o.Settings.Regions {
 		a.view.Place(zone, region)
 	}
--- a/internal/mesh/agent/endpoints.go
+++ b/internal/mesh/agent/endpoints.go
@@ -88,20 +88,29 @@
 func (a *Agent) applyLocked(records []discovery.Endpoint) {
 	now := a.o.Hub.Now()
 	for _, e := range records {
+		before := a.registry.Version()
 		if a.registry.Apply(now, e) {
-			a.changed[e.Service] = true
+			a.noteChange(e.Service, before)
 		}
 	}
 }
 
+// noteChange has a service's subscribers notified of what changed after a version of the registry. The lock is held.
+func (a *Agent) noteChange(service string, before uint64) {
+	if _, ok := a.changed[service]; !ok {
+		a.changed[service] = before
+	}
+}
+
 // expire ends leases that have run out, now and then. The lock is held.
 func (a *Agent) expire(now time.Duration) {
 	if now < a.expireAt {
 		return
 	}
 	a.expireAt = now + expireInterval
+	before := a.registry.Version()
 	for _, e := range a.registry.Expire(now) {
-		a.changed[e.Service] = true
+		a.noteChange(e.Service, before)
 	}
 }
 
@@ -174,22 +183,28 @@
 type change struct {
 	service     string
 	endpoints   []discovery.Endpoint // all that is known of it
+	update      []discovery.Endpoint // what has changed, for subscribers: the whole list to each would fill a home's link
 	subscribers []string
 }
 
-// flush tells of services whose endpoints have changed: to this process, and to subscribers.
-func (a *Agent) flush() {
+// takeChanges returns what is to be told since the last time.
+func (a *Agent) takeChanges() (changes []change) {
 	now := a.o.Hub.Now()
-	var changes []change
 	a.mu.Lock()
-	for service := range a.changed {
-		changes = append(changes, change{service, a.registry.List(now, service), a.subscribers.Notify(now, service)})
+	defer a.mu.Unlock()
+	for service, before := range a.changed {
+		update, _, _ := a.registry.Since(now, service, before)
+		changes = append(changes, change{service, a.registry.List(now, service), update, a.subscribers.Notify(now, service)})
 	}
 	clear(a.changed)
-	a.mu.Unlock()
-	for _, c := range changes {
+	return changes
+}
+
+// flush tells of services whose endpoints have changed: to this process, and to subscribers.
+func (a *Agent) flush() {
+	for _, c := range a.takeChanges() {
 		for _, subscriber := range c.subscribers {
-			a.send(subscriber, methodUpdate, &listing{Service: c.service, Endpoints: c.endpoints}, nil)
+			a.send(subscriber, methodUpdate, &listing{Service: c.service, Endpoints: c.update}, nil)
 		}
 		if a.o.EndpointsChanged != nil {
 			a.o.EndpointsChanged(c.service, c.endpoints)
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -225,6 +225,9 @@
 	return out
 }
 
+// Version is that of the last change or renewal.
+func (r *Registry) Version() uint64 { return r.version }
+
 // Since is what of a service changed or was renewed after a version of this registry, and the version now. If ok is false, what
 // was forgotten in between matters, and this is the whole list.
 func (r *Registry) Since(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
