--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -65,8 +65,9 @@
 			waits = false
 			done(ok, back)
 		})
+	unanswered := waits // later it is written by whoever holds the lock
 	t.mu.Unlock()
-	if waits {
+	if unanswered {
 		t.wake()
 	}
 }
