--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -105,7 +105,7 @@
 fault "a checksum is not held against its data" storage/storage.go 's/case sum != want:/case false:/'
 fault "a later format counts as spoilt" storage/storage.go 's/case number > format.*/case false:/'
 fault "a new journal's name is not synced" storage/storage.go 's/fd\.Type != lstorage\.TypeJournal/true/'
-fault "without CURRENT an empty database is made" storage/storage.go 's/errors\.Is\(err, os\.ErrNotExist\)/false/'
+fault "a spoilt list of files is an error for good" storage/storage.go 's/if lerrors\.IsCorrupted\(err\) \{/if false {/'
 
 # Leases.
 fault "a lease is granted while another holds it" lease/voter.go 's/now >= g\.until && d\.Epoch > g\.epoch/d.Epoch > g.epoch/'
@@ -116,6 +116,7 @@
 fault "a voter whose record isn't read grants leases" lease/voter.go 's/ && standing\.Ready//'
 fault "a late release ends a newer grant" lease/voter.go 's/if mine && d\.Epoch >= g\.epoch/if mine/'
 fault "a lease lasts as long for its holder as for the voter" lease/candidate.go 's/until := c\.asked \+ holdTime/until := now + Lease/'
+fault "a holder leaves nothing for clocks that differ" lease/lease.go 's/holdTime = Lease - .*/holdTime = Lease/'
 fault "a duty needs half of the voters" lease/candidate.go 's/return c\.voters\/2 \+ 1/return c.voters \/ 2/'
 fault "a candidate asks at once under a new list" lease/candidate.go 's/c\.list, c\.notUntil = list, now\+listDelay/c.list, c.notUntil = list, now/'
 fault "a holder that lost its lease asks at once under a new list" lease/candidate.go 's/max\(now\+retryPause, c\.notUntil\)/now + retryPause/'
@@ -132,4 +133,18 @@
 fault "the first peer's version is taken" ../agent/survey.go 's/if version > s\.newest/if s.newest == 0/'
 fault "members that were lost are not tried" ../discovery/membership/former.go 's/now-f\.at < v\.bounds\.RejoinFor/false/'
 
+# Voters that are replaced.
+fault "exchange: who joins reads from one voter" consensus/recovery.go 's/return n >= majority\(len\(list\)\)$/return n >= 1/'
+fault "exchange: a proposed list is not read from" consensus/recovery.go 's/enough = enough \&\& y\.enough\(y\.pending\)/_ = enough/'
+fault "exchange: the list of a request is not written down" consensus/acceptor.go 's/r, changed := r\.Learn\(q\.Membership\)/var changed Changed/'
+fault "exchange: a list that contradicts the own one is taken" consensus/acceptor.go 's/if decided\.contradicts\(\&q\.Membership\)/if false/'
+fault "exchange: one process's word replaces a voter" consensus/plan.go 's/p\.SilentAt >= majority\(voters\)/p.SilentAt >= 1/'
+fault "exchange: who isn't ready is added" consensus/plan.go 's/p\.Alive \&\& p\.Ready/p.Alive/'
+fault "exchange: a moment's silence is enough" consensus/plan.go 's/!p\.Alive \&\& p\.For >= ReplaceDelay/true/'
+fault "exchange: a change returns before the new list has it" controlplane/reconfigure.go 's/_, err = d\.Newest\(ctx\)/_ = ctx/'
+fault "exchange: replacements are not bounded" controlplane/presence.go 's/return n == 0 .*/return n >= 0/'
+fault "exchange: who stood still takes others for silent" controlplane/reconfigure.go 's/r\.table\.wake\(now\)/_ = now/'
+fault "exchange: a process that ends hands nothing over" ../assembly/core.go 's/err := server\.HandOver\(ctx\)/err := ctx.Err()/'
+fault "exchange: a request of another system is taken" controlplane/transport.go 's/if own := d\.knownSystem\(\); !own\.Admits\(q\.System\)/if own := d.knownSystem(); false/'
+
 exit $failed
