--- /dev/null
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -0,0 +1,205 @@
+package consensus
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/transport/codec"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// goldenMessage is a message and the name of the golden file that holds its encoding.
+type goldenMessage struct {
+	name  string
+	value codec.Message
+	empty codec.Message // of the same type, to decode into
+}
+
+func goldenMessages() []goldenMessage {
+	ballot := Ballot{N: 300, Node: "core-1#7"}
+	older := Ballot{N: 299, Node: "core-2#1"}
+	voters := Membership{Epoch: 5, Voters: []string{"core-1", "core-2", "core-4"}, Previous: []string{"core-1", "core-2", "core-3"},
+		Retired: []string{"core-3", "core-0"}}
+	first := VersionDigest{Version: 6, Digest: Digest{1, 2, 3, 4, 5, 6, 7, 8}}
+	second := VersionDigest{Version: 700, Digest: Digest{0xff, 0xfe, 0xfd, 0, 0, 0, 0, 1}}
+	refused := VersionDigest{Version: 900, Digest: Digest{9, 9, 9, 9, 9, 9, 9, 9}}
+	value := Value{Version: 700, Body: []byte("body of 700\n"), History: []VersionDigest{first, second}, Forgotten: 5,
+		Refused: []VersionDigest{refused}, Membership: voters}
+	vote := Vote{Ballot: ballot, Value: value, Learned: true}
+	incarnations := Incarnations{"core-1": 2, "core-2": 1700000000000, "core-4": 1}
+	system := NewSystem([]string{"core-1", "core-2", "core-3"})
+	request := Request{Kind: Accept, Ballot: ballot, Known: older, Value: value, Node: "core-4", Incarnation: 1700000000001, Epoch: 5,
+		Membership: voters, System: system, Sender: "core-2"}
+	reply := Reply{Kind: OtherSystem, Ballot: ballot, Incarnation: 3, Incarnations: incarnations, Promised: older, Vote: vote,
+		Membership: voters, Ready: true, Blank: true, System: system, Silent: []string{"core-1", "core-4"}}
+	state := ReplicaState{Membership: voters, Ready: true, Incarnation: 3, Incarnations: incarnations, Promised: ballot, System: system}
+	return []goldenMessage{
+		{"ballot", &ballot, &Ballot{}},
+		{"membership", &voters, &Membership{}},
+		{"version-digest", &second, &VersionDigest{}},
+		{"value", &value, &Value{}},
+		{"vote", &vote, &Vote{}},
+		{"request", &request, &Request{}},
+		{"reply", &reply, &Reply{}},
+		{"replica-state", &state, &ReplicaState{}},
+		{"incarnation", &incarnation{node: "core-2", n: 1700000000000}, &incarnation{}},
+	}
+}
+
+// Messages are encoded as other versions encode them, and theirs are read.
+func TestGoldenMessages(t *testing.T) {
+	for _, m := range goldenMessages() {
+		t.Run(m.name, func(t *testing.T) {
+			file := "message-" + m.name + ".hex"
+			golden.Hex(t, file, codec.Write(nil, m.value))
+			qt.Assert(t, codec.Read(golden.Read(t, file), m.empty), qt.IsNil)
+			qt.Assert(t, fmt.Sprintf("%+v", m.empty), qt.Equals, fmt.Sprintf("%+v", m.value))
+			qt.Assert(t, codec.Write(nil, m.empty), qt.DeepEquals, codec.Write(nil, m.value))
+		})
+	}
+}
+
+// Records of earlier versions are read: one from before voters could change, and a value that remembered 64 versions by whole
+// digests.
+func TestGoldenOldRecords(t *testing.T) {
+	c := qt.New(t)
+	state := oldStanding{[]string{"core-1", "core-2"}, true, 2, Incarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
+	golden.Hex(t, "old-replica-state.hex", codec.Write(nil, &state))
+	var s ReplicaState
+	c.Assert(codec.Read(golden.Read(t, "old-replica-state.hex"), &s), qt.IsNil)
+	c.Assert(s, qt.DeepEquals, ReplicaState{Membership: Membership{Voters: []string{"core-1", "core-2"}}, Ready: true, Incarnation: 2,
+		Incarnations: Incarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"}})
+
+	old := oldValue{version: 9, body: []byte("body 9")}
+	for n := 8; n <= 9; n++ {
+		old.history = append(old.history, oldDigest{uint64(n), sha256.Sum256(order(n).Body)})
+	}
+	refused := NewChange(20, 21, []byte("ahead"))
+	old.refused = []oldDigest{{21, sha256.Sum256(refused.Body)}}
+	golden.Hex(t, "old-value.hex", codec.Write(nil, &old))
+	var w Value
+	c.Assert(codec.Read(golden.Read(t, "old-value.hex"), &w), qt.IsNil)
+	c.Assert(w, qt.DeepEquals, Value{Version: 9, Body: []byte("body 9"), History: []VersionDigest{order(8).entry(), order(9).entry()},
+		Forgotten: 7, Refused: []VersionDigest{refused.entry()}})
+}
+
+// The numbers of kinds go over the wire, and those of verdicts and states stand in other packages' answers.
+func TestNumbersOfKinds(t *testing.T) {
+	qt.Check(t, numbers([]RequestKind{ReadVote, Prepare, Accept, Recover, Describe, Commit}), qt.Equals, "1 2 3 4 5 6")
+	qt.Check(t, numbers([]ReplyKind{NotReady, Reported, Promise, Accepted, Rejected, StaleEpoch, OtherList, OtherSystem}),
+		qt.Equals, "0 1 2 3 4 5 6 7")
+	qt.Check(t, numbers([]Verdict{Unknown, Applied, Conflict}), qt.Equals, "0 1 2")
+	qt.Check(t, []string{Unknown.String(), Applied.String(), Conflict.String()}, qt.DeepEquals, []string{"unknown", "applied", "conflict"})
+	qt.Check(t, numbers([]State{Reading, Inconclusive, Preparing, Accepting, Done, Preempted, Stale}), qt.Equals, "0 1 2 3 4 5 6")
+}
+
+func numbers[T ~uint8](list []T) string {
+	var texts []string
+	for _, n := range list {
+		texts = append(texts, fmt.Sprint(uint8(n)))
+	}
+	return strings.Join(texts, " ")
+}
+
+// What two versions must agree on beside the form of messages.
+func TestSharedValues(t *testing.T) {
+	c := qt.New(t)
+	c.Check(uint64(NewSystem([]string{"core-1", "core-2", "core-3"})), qt.Equals, uint64(0x69e7195655d432f9))
+	c.Check(NewChange(1, 2, []byte("body")).entry(), qt.Equals,
+		VersionDigest{Version: 2, Digest: Digest{0x23, 0x0d, 0x83, 0x58, 0xdc, 0x8e, 0x88, 0x90}})
+	c.Check([]int{historyMax, refusedMax, retiredMax, incarnationsMax, votersLeast, votersMost}, qt.DeepEquals, []int{256, 64, 64, 128, 3, 9})
+	c.Check([]time.Duration{joinDelay, ReplaceDelay}, qt.DeepEquals, []time.Duration{500 * time.Millisecond, 2 * time.Second})
+	c.Check([]int{VotersWanted(0), VotersWanted(1), VotersWanted(2), VotersWanted(7)}, qt.DeepEquals, []int{3, 3, 5, 9})
+}
+
+// digestOf is a short hash of messages' encodings.
+func digestOf(messages ...codec.Message) string {
+	h := sha256.New()
+	for _, m := range messages {
+		data := codec.Write(nil, m)
+		fmt.Fprintf(h, "%d:", len(data))
+		h.Write(data)
+	}
+	return hex.EncodeToString(h.Sum(nil)[:8])
+}
+
+// The same seed gives the same run of the model: its records, its counts, its history, and the number that is drawn next.
+func TestGoldenModelRuns(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(24) {
+		m := newModel(seed, []int{3, 3, 3, 4, 5}[seed%5], 1+int(seed/5%2), seed%4 == 3)
+		m.digest = sha256.New()
+		for n := 0; n < modelSteps && m.spec.fault == ""; n++ {
+			m.step()
+		}
+		m.settle()
+		qt.Assert(t, m.spec.fault, qt.Equals, "", qt.Commentf("seed %d", seed))
+		fmt.Fprintf(&text, "seed %d: messages %x, %d steps, %d versions, epoch %d, next draw %d\n", seed, m.digest.Sum(nil)[:8], m.steps,
+			len(m.spec.chain), m.spec.epoch, m.rng.Uint64())
+		for _, what := range slices.Sorted(maps.Keys(m.counts)) {
+			fmt.Fprintf(&text, "  %s: %d\n", what, m.counts[what])
+		}
+		for _, p := range m.replicas {
+			fmt.Fprintf(&text, "  %s: record %s, known %s, highest ballot %d, started %d times\n", p.name,
+				digestOf(&p.disk.State, &p.disk.Vote), digestOf(&p.known), p.highest, p.boot)
+		}
+	}
+	golden.Text(t, "model-runs.txt", []byte(text.String()))
+}
+
+// The same seed gives the same schedule of the worlds in which every request is in sight.
+func TestGoldenSchedules(t *testing.T) {
+	worlds := map[string]*world{
+		"two changes on a base":        newWorld(3, 0, []int{2, 2}, one, two),
+		"a lost disk":                  newWorld(3, 2, []int{3, 3, 3}, one, two, nil),
+		"three become five":            newLists(3, 5, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV4, two, three),
+		"voters are exchanged, a disk": newLists(3, 4, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
+		"exchanged in one step":        newLists(3, 4, 0, []int{4, 4, 4, 4, 4}, one, swapV0, swapV1, two, three),
+	}
+	var text strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(worlds)) {
+		for seed := range uint64(8) {
+			rng := rand.New(rand.NewPCG(seed, 6))
+			w := worlds[name].clone()
+			for n := 0; n < 150 && w.stroll(rng); n++ {
+			}
+			qt.Assert(t, w.fault(), qt.Equals, "")
+			fmt.Fprintf(&text, "%s, seed %d: %d in flight, next draw %d\n", name, seed, len(w.flight), rng.Uint64())
+			for _, e := range w.ends {
+				fmt.Fprintf(&text, "  proposer %d: %v %s\n", e.prop, e.verdict, digestOf(&e.word))
+			}
+			for v := range w.records {
+				fmt.Fprintf(&text, "  %s: %s\n", w.voters[v], digestOf(&w.records[v].State, &w.records[v].Vote))
+			}
+		}
+	}
+	golden.Text(t, "schedules.txt", []byte(text.String()))
+}
+
+// The number of states that all orders of a few steps lead to.
+func TestGoldenStates(t *testing.T) {
+	var text strings.Builder
+	for _, x := range []struct {
+		name  string
+		w     *world
+		depth int
+	}{
+		{"two changes on a base", newWorld(3, 0, []int{1, 1}, one, two), 6},
+		{"a lost disk", newWorld(3, 1, []int{1, 1}, one, two).promised(0, 0, 1), 5},
+		{"a voter is added", newLists(3, 4, 0, []int{1, 1}, one, addV3), 5},
+		{"a voter is exchanged", newLists(3, 4, 0, []int{1, 1}, one, swapV0), 5},
+		{"a rival list that one has", rivalList(), 4},
+	} {
+		fmt.Fprintf(&text, "%s, %d steps: %d states\n", x.name, x.depth, explore(t, x.w, x.depth))
+	}
+	golden.Text(t, "states.txt", []byte(text.String()))
+}
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"hash"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -30,6 +31,7 @@
 	slow     int  // of 100 parcels
 	losses   int  // of disks, in 1000 steps at most
 	counts   map[string]int
+	digest   hash.Hash // of all replies, unless nil
 }
 
 // modelReplica is one process, a voter or not.
@@ -244,6 +246,9 @@
 		return Reply{Kind: Reported}, m.persist(p, next, changed)
 	}
 	reply, next, changed := p.record.Handle(q)
+	if m.digest != nil {
+		m.digest.Write(codec.Write(codec.Write(nil, q), &reply))
+	}
 	return reply, m.persist(p, next, changed)
 }
 
--- /dev/null
+++ b/internal/mesh/control/lease/golden_test.go
@@ -0,0 +1,70 @@
+package lease
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/transport/codec"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// Messages are encoded as other versions encode them, and theirs are read.
+func TestGoldenMessages(t *testing.T) {
+	request := Request{Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, MembershipEpoch: 4,
+		Duties: []Duty{{Name: "quota", Epoch: 4_000_001, Release: true}, {Name: "config", Epoch: 4_000_300}}}
+	reply := Reply{MembershipEpoch: 5, Duties: []Grant{{Name: "quota", Given: true, Epoch: 4_000_001},
+		{Name: "config", Epoch: 4_000_300, Holder: "10.0.0.2:7401", Left: 750 * time.Millisecond}}}
+	for _, m := range []struct {
+		name         string
+		value, empty codec.Message
+	}{
+		{"request", &request, &Request{}},
+		{"duty", &request.Duties[0], &Duty{}},
+		{"reply", &reply, &Reply{}},
+		{"grant", &Grant{Name: "quota", Given: true, Epoch: 4_000_001, Holder: "10.0.0.2:7401", Left: time.Second}, &Grant{}},
+	} {
+		t.Run(m.name, func(t *testing.T) {
+			file := "message-" + m.name + ".hex"
+			golden.Hex(t, file, codec.Write(nil, m.value))
+			qt.Assert(t, codec.Read(golden.Read(t, file), m.empty), qt.IsNil)
+			qt.Assert(t, m.empty, qt.DeepEquals, m.value)
+		})
+	}
+}
+
+// What voters and candidates of two versions must agree on.
+func TestSharedValues(t *testing.T) {
+	c := qt.New(t)
+	c.Check([]time.Duration{Lease, holdTime, listDelay, renewInterval, retryPause, releaseGap}, qt.DeepEquals, []time.Duration{
+		time.Second, 950 * time.Millisecond, 1050 * time.Millisecond, 250 * time.Millisecond, 150 * time.Millisecond, 50 * time.Millisecond})
+	c.Check([]int{numbersPerList, dutiesMax}, qt.DeepEquals, []int{1_000_000, 4096})
+	c.Check([]State{Idle, Asking, Holding, Resigned}, qt.DeepEquals, []State{0, 1, 2, 3})
+}
+
+// The same seed gives the same run: who holds the lease when, and under which fencing number.
+func TestGoldenRuns(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(12) {
+		x := newExchangeRun(seed)
+		digest := sha256.New()
+		for x.now < 20*time.Second {
+			x.step()
+			fmt.Fprintln(digest, x.now, x.holders(), len(x.messages))
+			for i, c := range x.candidates {
+				now := local(x.now, c.rate)
+				fmt.Fprintln(digest, i, c.Holder(now), c.Left(now))
+			}
+		}
+		fmt.Fprintf(&text, "seed %d: holders %x, came %d times, held on %d times, %d lists, highest number %d, next draw %d\n", seed,
+			digest.Sum(nil)[:8], x.came, x.carried, len(x.lists), x.newest, x.rng.Uint64())
+	}
+	for seed := range uint64(12) {
+		fmt.Fprintf(&text, "seed %d: nobody holds for %v after a cut, %v after a release\n", seed, takeover(seed, false), takeover(seed, true))
+	}
+	golden.Text(t, "runs.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -0,0 +1,199 @@
+package ratelimit
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/transport/codec"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// Messages are encoded as other versions encode them, and theirs are read.
+func TestGoldenMessages(t *testing.T) {
+	request := TokenRequest{Tenant: "tenant-1", Tokens: 12.5, Demand: 40.25, Share: 3.75, Left: 9 * time.Second, Unused: 1.5}
+	requests := TokenRequests{Who: "10.0.0.3:7301", Life: 0xfedcba9876543210, Requests: []TokenRequest{request, {Tenant: "tenant-2"}},
+		Forwarded: true, Newest: 4_000_001}
+	grant := TokenGrant{Tenant: "tenant-1", Tokens: 12, Share: 4.5, Left: 10 * time.Second, Back: 120 * time.Millisecond}
+	grants := TokenGrants{Granted: true, Epoch: 4_000_002, Allocator: "10.0.0.1:7401", Grants: []TokenGrant{grant, {Tenant: "tenant-2"}}}
+	for _, m := range []struct {
+		name         string
+		value, empty codec.Message
+	}{
+		{"token-request", &request, &TokenRequest{}},
+		{"token-requests", &requests, &TokenRequests{}},
+		{"token-grant", &grant, &TokenGrant{}},
+		{"token-grants", &grants, &TokenGrants{}},
+	} {
+		t.Run(m.name, func(t *testing.T) {
+			file := "message-" + m.name + ".hex"
+			golden.Hex(t, file, codec.Write(nil, m.value))
+			qt.Assert(t, codec.Read(golden.Read(t, file), m.empty), qt.IsNil)
+			qt.Assert(t, m.empty, qt.DeepEquals, m.value)
+		})
+	}
+}
+
+// What allocators and sidecars of two versions must agree on.
+func TestSharedValues(t *testing.T) {
+	c := qt.New(t)
+	c.Check([]time.Duration{tokenValidity, silentAfter, shareLease, forgetAfter, sumInterval, sweepInterval}, qt.DeepEquals, []time.Duration{
+		450 * time.Millisecond, 300 * time.Millisecond, 10 * time.Second, 20 * time.Second, 100 * time.Millisecond, time.Second})
+	c.Check([]time.Duration{heartbeatInterval, urgentInterval, renewInterval, idleAfter, replyTimeout, waitTimeout, firstWaitTimeout, backMin,
+		backMax, deniedMax}, qt.DeepEquals, []time.Duration{200 * time.Millisecond, 15 * time.Millisecond, 2 * time.Second, 10 * time.Second,
+		60 * time.Millisecond, 60 * time.Millisecond, 250 * time.Millisecond, 30 * time.Millisecond, 2 * time.Second, 100 * time.Millisecond})
+	c.Check([]time.Duration{drawAhead, demandSpan, shareSpan, backAlone}, qt.DeepEquals, []time.Duration{300 * time.Millisecond, time.Second,
+		8 * time.Second, 250 * time.Millisecond})
+	c.Check([]float64{evenShare, initialSpare, savedMax, firstShare, ratioPart, slackPart}, qt.DeepEquals, []float64{0.2, 0.25, 2, 0.08, 0.4, 0.6})
+	c.Check([]int{sidecarsMax, waitersMax, parts}, qt.DeepEquals, []int{8192, 1024, 20})
+}
+
+// goldenRun is a run of three sidecars that draw tokens of two tenants, whose messages are late or lost, while the allocator is away
+// for a time and another follows it. It digests each decision and each message, with numbers to six places.
+type goldenRun struct {
+	rng       *rand.Rand
+	now       time.Duration
+	allocator *Allocator
+	recent    Sightings
+	caches    []*TokenCache
+	messages  []goldenRunMessage
+	decisions []string
+	admitted  int
+	refused   int
+}
+
+type goldenRunMessage struct {
+	at, sent time.Duration
+	sidecar  int
+	requests *TokenRequests
+	grants   *TokenGrants
+}
+
+var goldenLimits = map[string]Limit{"even": {Rate: 60, Burst: 20, Spare: 30}, "slow": {Rate: 2, Burst: 4, Spare: 1}}
+
+func goldenLimit(tenant string) (Limit, bool) {
+	limit, ok := goldenLimits[tenant]
+	return limit, ok
+}
+
+func newGoldenRun(seed uint64) *goldenRun {
+	x := &goldenRun{rng: rand.New(rand.NewPCG(seed, 7)), allocator: NewAllocator(0, seed%2 == 0, goldenLimit)}
+	for range 3 {
+		cache := NewTokenCache()
+		cache.Sidecars(3)
+		x.caches = append(x.caches, cache)
+	}
+	return x
+}
+
+func (x *goldenRun) note(format string, args ...any) {
+	x.decisions = append(x.decisions, fmt.Sprintf(format, args...))
+}
+
+func (x *goldenRun) request(i int, tenant string) {
+	x.caches[i].Take(x.now, tenant, goldenLimits[tenant], func(ok bool, back time.Duration) {
+		if ok {
+			x.admitted++
+		} else {
+			x.refused++
+		}
+		x.note("%d %s %v %v", i, tenant, ok, back.Round(time.Microsecond))
+	})
+}
+
+func (x *goldenRun) post(m goldenRunMessage) {
+	if x.rng.IntN(20) == 0 {
+		return
+	}
+	m.at = x.now + time.Duration(x.rng.IntN(20))*time.Millisecond
+	x.messages = append(x.messages, m)
+}
+
+func (x *goldenRun) deliver() {
+	due := x.messages
+	x.messages = nil
+	for _, m := range due {
+		switch {
+		case m.at > x.now:
+			x.messages = append(x.messages, m)
+		case m.grants != nil:
+			x.note("%d took %v", m.sidecar, x.caches[m.sidecar].Got(x.now, m.sent, m.grants))
+		case x.now >= 4*time.Second && x.now < 6*time.Second: // no allocator
+			x.caches[m.sidecar].Failed(x.now)
+		default:
+			m.grants = &TokenGrants{Granted: true, Epoch: 1 + uint64(x.now/(6*time.Second)), Grants: x.allocator.Take(x.now, m.requests)}
+			for _, g := range m.grants.Grants {
+				x.note("%d %s granted %.6f %.6f %v %v", m.sidecar, g.Tenant, g.Tokens, g.Share, g.Left, g.Back.Round(time.Microsecond))
+			}
+			x.post(m)
+		}
+	}
+}
+
+// step lets 5 ms pass. Where the order among tenants is by chance, the notes of a step are sorted.
+func (x *goldenRun) step() {
+	x.now += 5 * time.Millisecond
+	if x.now == 6*time.Second {
+		x.allocator = NewAllocator(x.now, false, goldenLimit)
+	}
+	there := []string{"0", "1", "2"}
+	if x.now >= 5*time.Second && x.now < 8*time.Second {
+		there = there[1:]
+	}
+	recent := x.recent.Note(x.now, there)
+	x.allocator.Sidecars(recent)
+	x.deliver()
+	for i, cache := range x.caches {
+		if x.rng.IntN(7) == 0 {
+			x.request(i, "even")
+		}
+		if x.rng.IntN(100) == 0 {
+			x.request(i, "slow")
+		}
+		if requests, due := cache.Tick(x.now); due {
+			slices.SortFunc(requests, func(a, b TokenRequest) int { return strings.Compare(a.Tenant, b.Tenant) })
+			for _, q := range requests {
+				x.note("%d %s wants %.6f %.6f %.6f %.6f %v", i, q.Tenant, q.Tokens, q.Demand, q.Share, q.Unused, q.Left)
+			}
+			x.post(goldenRunMessage{sent: x.now, sidecar: i, requests: &TokenRequests{Who: fmt.Sprint(i), Life: 1, Requests: requests}})
+		}
+		x.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(x.now), cache.Waiting(), cache.Newest(), recent)
+	}
+}
+
+// The same seed gives the same run of caches and allocators, and the same budget of repeats.
+func TestGoldenRuns(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(8) {
+		x, digest := newGoldenRun(seed), sha256.New()
+		for x.now < 20*time.Second {
+			x.step()
+			slices.Sort(x.decisions)
+			fmt.Fprintln(digest, x.now, strings.Join(x.decisions, "\n"))
+			x.decisions = nil
+		}
+		fmt.Fprintf(&text, "seed %d: decisions %x, %d admitted, %d refused, next draw %d\n", seed, digest.Sum(nil)[:8], x.admitted, x.refused,
+			x.rng.Uint64())
+	}
+	for seed := range uint64(4) {
+		rng, budget, taken, digest := rand.New(rand.NewPCG(seed, 8)), NewRepeats(10*time.Second), 0, sha256.New()
+		for now := time.Duration(0); now < 40*time.Second; now += 10 * time.Millisecond {
+			if rng.IntN(3) > 0 {
+				budget.Request(now)
+			}
+			ok := budget.Take(now, 0.2, 20, 14)
+			if ok {
+				taken++
+			}
+			fmt.Fprintln(digest, now, ok)
+		}
+		fmt.Fprintf(&text, "seed %d: repeats %x, %d taken\n", seed, digest.Sum(nil)[:8], taken)
+	}
+	golden.Text(t, "runs.txt", []byte(text.String()))
+}
