--- a/internal/mesh/control/configuration/configuration.go
+++ b/internal/mesh/control/configuration/configuration.go
@@ -15,10 +15,10 @@
 
 // ParseVersion reads "r12", and "0" or "r0" for none.
 func ParseVersion(s string) (Version, error) {
-	if s == "0" {
+	if s == versionNone {
 		return 0, nil
 	}
-	number, ok := strings.CutPrefix(s, "r")
+	number, ok := strings.CutPrefix(s, versionPrefix)
 	if !ok {
 		return 0, trace.BadParameter("version %q: expected r and a number", s)
 	}
@@ -32,9 +32,9 @@
 // String writes the version as ParseVersion reads it.
 func (v Version) String() string {
 	if v == 0 {
-		return "0"
+		return versionNone
 	}
-	return "r" + strconv.FormatUint(uint64(v), 10)
+	return versionPrefix + strconv.FormatUint(uint64(v), 10)
 }
 
 // Kind reports whether the requests of a route may run more than once.
--- a/internal/mesh/control/configuration/read.go
+++ b/internal/mesh/control/configuration/read.go
@@ -35,11 +35,11 @@
 	}
 	r := reader{names: map[string]string{}, fields: fields{}}
 	c := &Config{Raw: raw, hosts: map[string]*branch{}, holders: map[string]*Tenant{}}
-	c.Version = r.version(root.Get("configVersion"))
-	r.services(c, root.Get("serviceTable"))
-	r.routes(c, root.Get("routeTable"))
-	r.limits(c, root.Get("limitSet"))
-	r.tenants(c, root.Get("tenantTable"))
+	c.Version = r.version(root.Get(fieldConfigVersion))
+	r.services(c, root.Get(fieldServiceTable))
+	r.routes(c, root.Get(fieldRouteTable))
+	r.limits(c, root.Get(fieldLimitSet))
+	r.tenants(c, root.Get(fieldTenantTable))
 	if len(r.faults) > 0 {
 		return nil, trace.BadParameter("%s", strings.Join(r.faults, "; "))
 	}
@@ -95,7 +95,7 @@
 func (r *reader) version(v gjson.Result) Version {
 	version, err := ParseVersion(v.Str)
 	if v.Type != gjson.String || err != nil || version == 0 {
-		r.fault("configVersion", "r and a number above 0, not %s", found(v))
+		r.fault(fieldConfigVersion, "r and a number above 0, not %s", found(v))
 	}
 	return version
 }
@@ -185,10 +185,10 @@
 
 func parseSpan(s string) (time.Duration, bool) {
 	unit := float64(time.Second)
-	number, ok := strings.CutSuffix(s, "ms")
+	number, ok := strings.CutSuffix(s, unitMilliseconds)
 	if ok {
 		unit = float64(time.Millisecond)
-	} else if number, ok = strings.CutSuffix(s, "s"); !ok {
+	} else if number, ok = strings.CutSuffix(s, unitSeconds); !ok {
 		return 0, false
 	}
 	x, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
@@ -206,14 +206,14 @@
 }
 
 func (r *reader) services(c *Config, table gjson.Result) {
-	r.objects("serviceTable", table, func(path string, v gjson.Result) {
+	r.objects(fieldServiceTable, table, func(path string, v gjson.Result) {
 		s := Service{
-			Name:          r.name(path+".name", v.Get("name")),
-			HealthPath:    "/health",
-			ConnectionCap: max(0, r.whole(path+".connectionCap", v.Get("connectionCap"), 0)),
+			Name:          r.name(path+"."+fieldName, v.Get(fieldName)),
+			HealthPath:    defaultHealthPath,
+			ConnectionCap: max(0, r.whole(path+"."+fieldConnectionCap, v.Get(fieldConnectionCap), 0)),
 		}
-		if p := v.Get("healthPath"); there(p) {
-			s.HealthPath = r.text(path+".healthPath", p)
+		if p := v.Get(fieldHealthPath); there(p) {
+			s.HealthPath = r.text(path+"."+fieldHealthPath, p)
 		}
 		c.Services = append(c.Services, s)
 	})
@@ -221,14 +221,14 @@
 
 func (r *reader) routes(c *Config, table gjson.Result) {
 	if !table.Exists() {
-		r.fault("routeTable", "a list, not nothing")
+		r.fault(fieldRouteTable, "a list, not nothing")
 	}
 	known := map[string]bool{}
 	for i := range c.Services {
 		known[c.Services[i].Name] = true
 	}
 	var paths []string
-	r.objects("routeTable", table, func(path string, v gjson.Result) {
+	r.objects(fieldRouteTable, table, func(path string, v gjson.Result) {
 		c.Routes = append(c.Routes, r.route(path, v, known))
 		paths = append(paths, path)
 	})
@@ -255,25 +255,25 @@
 		return true
 	})
 	route := Route{
-		Host:        r.name(path+".hostName", v.Get("hostName")),
-		Prefix:      r.text(path+".pathPrefix", v.Get("pathPrefix")),
-		Timeout:     r.span(path+".timeout", v.Get("timeout"), 0),
-		Target:      r.span(path+".target", v.Get("target"), 0),
-		Priority:    r.whole(path+".priority", v.Get("priority"), 0),
-		MaxAttempts: max(1, r.whole(path+".maxAttempts", v.Get("maxAttempts"), 1)),
-		Public:      r.flag(path+".publicAccess", v.Get("publicAccess")),
-	}
-	if name := v.Get("name"); there(name) {
-		route.Name = r.text(path+".name", name)
-	}
-	switch v.Get("routeKind").String() {
-	case "idempotent":
+		Host:        r.name(path+"."+fieldHostName, v.Get(fieldHostName)),
+		Prefix:      r.text(path+"."+fieldPathPrefix, v.Get(fieldPathPrefix)),
+		Timeout:     r.span(path+"."+fieldTimeout, v.Get(fieldTimeout), 0),
+		Target:      r.span(path+"."+fieldTarget, v.Get(fieldTarget), 0),
+		Priority:    r.whole(path+"."+fieldPriority, v.Get(fieldPriority), 0),
+		MaxAttempts: max(1, r.whole(path+"."+fieldMaxAttempts, v.Get(fieldMaxAttempts), 1)),
+		Public:      r.flag(path+"."+fieldPublicAccess, v.Get(fieldPublicAccess)),
+	}
+	if name := v.Get(fieldName); there(name) {
+		route.Name = r.text(path+"."+fieldName, name)
+	}
+	switch v.Get(fieldRouteKind).String() {
+	case kindIdempotent:
 		route.Kind = Idempotent
-	case "downlink":
+	case kindDownlink:
 		route.Kind = Downlink
 	}
 	if route.Timeout <= 0 {
-		r.fault(path+".timeout", "a time above 0, not %s", found(v.Get("timeout")))
+		r.fault(path+"."+fieldTimeout, "a time above 0, not %s", found(v.Get(fieldTimeout)))
 	}
 	refer := func(path string, v gjson.Result) string {
 		s := r.name(path, v)
@@ -283,26 +283,26 @@
 		return s
 	}
 	var sum float64
-	r.objects(path+".trafficSplit", v.Get("trafficSplit"), func(path string, v gjson.Result) {
-		s := Share{Service: refer(path+".serviceName", v.Get("serviceName")),
-			Weight: r.number(path+".weight", v.Get("weight"), 0)}
+	r.objects(path+"."+fieldTrafficSplit, v.Get(fieldTrafficSplit), func(path string, v gjson.Result) {
+		s := Share{Service: refer(path+"."+fieldServiceName, v.Get(fieldServiceName)),
+			Weight: r.number(path+"."+fieldWeight, v.Get(fieldWeight), 0)}
 		if s.Weight < 0 {
-			r.fault(path+".weight", "0 or more, not %s", found(v.Get("weight")))
+			r.fault(path+"."+fieldWeight, "0 or more, not %s", found(v.Get(fieldWeight)))
 		}
 		sum += s.Weight
 		route.Split = append(route.Split, s)
 	})
-	service := v.Get("serviceName")
+	service := v.Get(fieldServiceName)
 	switch {
 	case there(service):
-		if s := refer(path+".serviceName", service); len(route.Split) == 0 {
+		if s := refer(path+"."+fieldServiceName, service); len(route.Split) == 0 {
 			route.Split = []Share{{Service: s, Weight: 1}}
 		}
 	case len(route.Split) == 0:
 		r.fault(path, "a serviceName or a trafficSplit")
 	}
 	if len(route.Split) > 0 && sum <= 0 && !there(service) {
-		r.fault(path+".trafficSplit", "a weight above 0")
+		r.fault(path+"."+fieldTrafficSplit, "a weight above 0")
 	} else if sum <= 0 && there(service) {
 		route.Split = []Share{{Service: r.keep(service.Str), Weight: 1}}
 	}
@@ -311,39 +311,39 @@
 
 func (r *reader) limits(c *Config, v gjson.Result) {
 	if there(v) && !v.IsObject() {
-		r.fault("limitSet", "an object, not %s", found(v))
+		r.fault(fieldLimitSet, "an object, not %s", found(v))
 		return
 	}
 	size := func(name string, missing int64) int64 {
-		if n := r.number("limitSet."+name, v.Get(name), 0); n >= 1 {
+		if n := r.number(fieldLimitSet+"."+name, v.Get(name), 0); n >= 1 {
 			return int64(min(n, 1<<62))
 		}
 		return missing
 	}
 	span := func(name string, missing time.Duration) time.Duration {
-		if d := r.span("limitSet."+name, v.Get(name), 0); d > 0 {
+		if d := r.span(fieldLimitSet+"."+name, v.Get(name), 0); d > 0 {
 			return d
 		}
 		return missing
 	}
 	c.Limits = Limits{
-		HeaderMax: size("headerMaxBytes", headerMax), BodyMax: size("bodyMaxBytes", bodyMax),
-		HeaderTimeout: span("headerTimeout", headerTimeout), IdleTimeout: span("idleTimeout", idleTimeout),
+		HeaderMax: size(fieldHeaderMaxBytes, headerMax), BodyMax: size(fieldBodyMaxBytes, bodyMax),
+		HeaderTimeout: span(fieldHeaderTimeout, headerTimeout), IdleTimeout: span(fieldIdleTimeout, idleTimeout),
 	}
 }
 
 func (r *reader) tenants(c *Config, table gjson.Result) {
 	c.Keyed = there(table)
 	holders := map[string]int{}
-	r.objects("tenantTable", table, func(path string, v gjson.Result) {
+	r.objects(fieldTenantTable, table, func(path string, v gjson.Result) {
 		t := Tenant{
-			Name:     r.name(path+".name", v.Get("name")),
-			Priority: r.whole(path+".priority", v.Get("priority"), 0),
-			Rate:     max(0, r.number(path+".ratePerS", v.Get("ratePerS"), 0)),
-			Burst:    max(0, r.number(path+".burstSize", v.Get("burstSize"), 0)),
+			Name:     r.name(path+"."+fieldName, v.Get(fieldName)),
+			Priority: r.whole(path+"."+fieldPriority, v.Get(fieldPriority), 0),
+			Rate:     max(0, r.number(path+"."+fieldRatePerS, v.Get(fieldRatePerS), 0)),
+			Burst:    max(0, r.number(path+"."+fieldBurstSize, v.Get(fieldBurstSize), 0)),
 		}
 		at := len(c.Tenants)
-		r.each(path+".accessKeys", v.Get("accessKeys"), func(path string, v gjson.Result) {
+		r.each(path+"."+fieldAccessKeys, v.Get(fieldAccessKeys), func(path string, v gjson.Result) {
 			key := r.name(path, v)
 			if key == "" {
 				return
--- a/internal/mesh/control/controlplane/http.go
+++ b/internal/mesh/control/controlplane/http.go
@@ -19,6 +19,13 @@
 	retryIn  = "0.2"                  // seconds, for Retry-After
 )
 
+// The operators' calls, and the header that names the version which a change is based on.
+const (
+	replacePattern    = "POST /configuration/replace"
+	retrievePattern   = "GET /configuration/retrieve"
+	baseVersionHeader = "Base-Version"
+)
+
 // call is one of the operators' calls.
 type call struct {
 	pattern string
@@ -36,7 +43,7 @@
 }
 
 // replaceCall is answered 200 for a change that is or was in force, and 412 or 400 for one that never was and never will be.
-var replaceCall = call{"POST /configuration/replace", (*Server).serveReplace}
+var replaceCall = call{replacePattern, (*Server).serveReplace}
 
 func (d *Server) serveReplace(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMax))
@@ -49,9 +56,9 @@
 		writeError(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a link's fault, not the configuration's
 		return
 	}
-	base, err := configuration.ParseVersion(r.Header.Get("Base-Version"))
+	base, err := configuration.ParseVersion(r.Header.Get(baseVersionHeader))
 	if err != nil { // told once the body has been read: a connection that is closed before may take the answer along
-		writeError(w, http.StatusBadRequest, trace.Wrap(err, "Base-Version"))
+		writeError(w, http.StatusBadRequest, trace.Wrap(err, baseVersionHeader))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTime)
@@ -63,7 +70,7 @@
 }
 
 // retrieveCall is answered with the newest configuration that was committed when the call came, or a newer one.
-var retrieveCall = call{"GET /configuration/retrieve", (*Server).serveRetrieve}
+var retrieveCall = call{retrievePattern, (*Server).serveRetrieve}
 
 func (d *Server) serveRetrieve(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTime)
