--- /dev/null
+++ b/internal/mesh/control/configuration/golden_test.go
@@ -0,0 +1,183 @@
+package configuration
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"gingerlead/internal/golden"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/gravitational/trace"
+)
+
+// canonical writes down all that was read of a configuration, a field on a line.
+func canonical(c *Config) []byte {
+	var text bytes.Buffer
+	line := func(path string, value any) { fmt.Fprintf(&text, "%s = %v\n", path, value) }
+	line("version", c.Version)
+	for i := range c.Routes {
+		r, path := &c.Routes[i], fmt.Sprintf("route %d ", i)
+		line(path+"name", fmt.Sprintf("%q", r.Name))
+		line(path+"host", fmt.Sprintf("%q", r.Host))
+		line(path+"prefix", fmt.Sprintf("%q", r.Prefix))
+		line(path+"kind", uint8(r.Kind))
+		line(path+"may run more than once", r.Kind.Repeatable())
+		line(path+"timeout", r.Timeout)
+		line(path+"target", r.Target)
+		line(path+"priority", r.Priority)
+		line(path+"attempts", r.MaxAttempts)
+		line(path+"public", r.Public)
+		for _, s := range r.Split {
+			line(path+"split "+s.Service, s.Weight)
+		}
+		for _, x := range []float64{0, 0.25, 0.5, 0.99, 0.999999} {
+			line(path+fmt.Sprintf("draw %v", x), r.Draw(x))
+		}
+	}
+	for i, s := range c.Services {
+		line(fmt.Sprintf("service %d", i), fmt.Sprintf("%q %q %d", s.Name, s.HealthPath, s.ConnectionCap))
+	}
+	line("limits", fmt.Sprintf("%+v", []any{c.Limits.HeaderMax, c.Limits.BodyMax, c.Limits.HeaderTimeout, c.Limits.IdleTimeout}))
+	line("keyed", c.Keyed)
+	for i, t := range c.Tenants {
+		line(fmt.Sprintf("tenant %d", i), fmt.Sprintf("%q %q %d %v %v", t.Name, t.Keys, t.Priority, t.Rate, t.Burst))
+	}
+	for _, key := range []string{"", "k1", "k2", "k3", "k4"} {
+		if t := c.TenantByKey(key); t != nil {
+			line("holder of "+key, t.Name)
+		}
+	}
+	for _, host := range []string{"one.example", "ONE.example:99", "[::1]", "[::1]:5", "two.example", ""} {
+		for _, path := range []string{"/", "/a", "/a/", "/a/b", "/a/bcd", "/a/b/c", ""} {
+			if r := c.Match(host, path); r != nil {
+				line("match "+host+path, fmt.Sprintf("%q %q", r.Host, r.Prefix))
+			}
+		}
+	}
+	return text.Bytes()
+}
+
+// A configuration is read as it always was.
+func TestGoldenConfigurations(t *testing.T) {
+	for _, name := range []string{"every-field", "least", "example"} {
+		t.Run(name, func(t *testing.T) {
+			raw := []byte(example)
+			if name != "example" {
+				var err error
+				raw, err = os.ReadFile(filepath.Join("testdata", "golden", name+".json"))
+				qt.Assert(t, err, qt.IsNil)
+			}
+			cfg, err := Read(raw)
+			qt.Assert(t, err, qt.IsNil)
+			qt.Assert(t, string(cfg.Raw), qt.Equals, string(raw))
+			golden.Text(t, name+".txt", canonical(cfg))
+		})
+	}
+}
+
+// goldenFaults are edits of the example that leave it invalid.
+var goldenFaults = []struct{ name, old, new string }{
+	{"no body", example, ``},
+	{"half a body", example, example[:len(example)-1]},
+	{"more than a body", example, example + "x"},
+	{"a list", example, `[]`},
+	{"a text", example, `"r7"`},
+	{"null", example, `null`},
+	{"an empty object", example, `{}`},
+	{"too deep", example, strings.Repeat("[", 1001) + strings.Repeat("]", 1001)},
+	{"no version", `"configVersion":"r7",`, ``},
+	{"version without its letter", `"r7"`, `"7"`},
+	{"version 0", `"r7"`, `"r0"`},
+	{"version too large", `"r7"`, `"r18446744073709551616"`},
+	{"version a number", `"r7"`, `7`},
+	{"version a long object", `"r7"`, `{"a":"` + strings.Repeat("x", 100) + `"}`},
+	{"no routes", `"routeTable":[`, `"routes":[`},
+	{"routes an object", `"routeTable":[`, `"routeTable":{},"x":[`},
+	{"route a number", `"routeTable":[{`, `"routeTable":[7,{`},
+	{"no host", `"hostName":"jepu9.example",`, ``},
+	{"empty host", `"hostName":"jepu9.example"`, `"hostName":""`},
+	{"host null", `"hostName":"jepu9.example"`, `"hostName":null`},
+	{"no prefix", `"pathPrefix":"/lepu270/",`, ``},
+	{"prefix a number", `"pathPrefix":"/lepu270/"`, `"pathPrefix":7`},
+	{"name a number", `"name":"r-6sz9frg"`, `"name":7`},
+	{"no timeout", `"timeout":"2500ms",`, ``},
+	{"timeout 0", `"timeout":"2500ms"`, `"timeout":"0ms"`},
+	{"timeout below 0", `"timeout":"2500ms"`, `"timeout":"-1s"`},
+	{"timeout without a unit", `"timeout":"2500ms"`, `"timeout":"2500"`},
+	{"timeout a number", `"timeout":"2500ms"`, `"timeout":2500`},
+	{"timeout infinite", `"timeout":"2500ms"`, `"timeout":"Inf s"`},
+	{"timeout no number", `"timeout":"2500ms"`, `"timeout":"NaNms"`},
+	{"target a number", `"target":"600ms"`, `"target":600`},
+	{"priority a text", `"priority":2`, `"priority":"2"`},
+	{"priority too large", `"priority":2`, `"priority":1e999`},
+	{"attempts a text", `"maxAttempts":2`, `"maxAttempts":"2"`},
+	{"public a text", `"publicAccess":false`, `"publicAccess":"false"`},
+	{"split an object", `"trafficSplit":[`, `"trafficSplit":{},"x":[`},
+	{"split of numbers", `"trafficSplit":[`, `"trafficSplit":[1,`},
+	{"share without a service", `"serviceName":"kafi81c",`, ``},
+	{"share of no service", `"serviceName":"kafi81c"`, `"serviceName":"none"`},
+	{"weight below 0", `"weight":10`, `"weight":-1`},
+	{"weight a text", `"weight":10`, `"weight":"10"`},
+	{"no weight above 0", `"weight":90},{"serviceName":"kafi81c","weight":10}`, `"weight":0}`},
+	{"no service", `"serviceName":"wuno96b",`, ``},
+	{"a service that is not there", `"serviceName":"wuno96b"`, `"serviceName":"none"`},
+	{"two routes in one place", `"hostName":"hulo84.example","pathPrefix":"/xapu221/ny95/"`, `"hostName":"JEPU9.example:80","pathPrefix":"/lepu270/"`},
+	{"two routes with one tail", `"pathPrefix":"/lepu270/"`, `"pathPrefix":"/t","serviceName":"huvo11a","timeout":"1s"},{"hostName":"jepu9.example","timeout":"1s","serviceName":"huvo11a","pathPrefix":"/t"`},
+	{"services an object", `"serviceTable":[`, `"serviceTable":{},"x":[`},
+	{"service without a name", `{"name":"huvo11a",`, `{`},
+	{"health path a number", `"healthPath":"/health"`, `"healthPath":1`},
+	{"cap a text", `"connectionCap":120`, `"connectionCap":"120"`},
+	{"limits a list", `"limitSet":{`, `"limitSet":[],"x":{`},
+	{"limit a text", `"headerMaxBytes":16384`, `"headerMaxBytes":"16384"`},
+	{"limit's time a number", `"headerTimeout":"3000ms"`, `"headerTimeout":3000`},
+	{"tenants an object", `"tenantTable":[`, `"tenantTable":{},"x":[`},
+	{"tenant a text", `"tenantTable":[`, `"tenantTable":["x",`},
+	{"tenant without a name", `{"name":"bozi300",`, `{`},
+	{"keys a text", `"accessKeys":[`, `"accessKeys":"x","x":[`},
+	{"key a number", `"accessKeys":[`, `"accessKeys":[7,`},
+	{"key empty", `"accessKeys":[`, `"accessKeys":["",`},
+	{"key held twice", `"accessKeys":["89anu6wsjnbanfqasnmg"`, `"accessKeys":["a"]},{"name":"b","accessKeys":["a"`},
+	{"rate a text", `"ratePerS":53`, `"ratePerS":"53"`},
+	{"burst a text", `"burstSize":53`, `"burstSize":"53"`},
+	{"more faults than are listed", `"routeTable":[`, `"routeTable":[` + strings.Repeat("1,", 200)},
+	{"two faults", `"r7","routeTable":[{`, `"7","routeTable":[{"publicAccess":1,`},
+}
+
+// A bad configuration is refused with an error of the same kind, which names the same fields in the same order.
+func TestGoldenFaults(t *testing.T) {
+	var text bytes.Buffer
+	for _, x := range goldenFaults {
+		raw := strings.Replace(example, x.old, x.new, 1)
+		qt.Assert(t, raw != example, qt.IsTrue, qt.Commentf("%s", x.name))
+		_, err := Read([]byte(raw))
+		qt.Assert(t, trace.IsBadParameter(err), qt.IsTrue, qt.Commentf("%s: %v", x.name, err))
+		fmt.Fprintf(&text, "%s: BadParameter\n", x.name)
+		for _, fault := range strings.Split(err.Error(), "; ") {
+			path, _, ok := strings.Cut(fault, ": expected ")
+			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("%q", fault))
+			fmt.Fprintf(&text, "\t%s\n", path)
+		}
+	}
+	golden.Text(t, "faults.txt", text.Bytes())
+}
+
+// A version is written and read in one form.
+func TestGoldenVersions(t *testing.T) {
+	var text bytes.Buffer
+	for _, v := range []Version{0, 1, 12, 1<<64 - 1} {
+		fmt.Fprintln(&text, v)
+		back, err := ParseVersion(v.String())
+		qt.Assert(t, err, qt.IsNil)
+		qt.Assert(t, back, qt.Equals, v)
+	}
+	for _, s := range []string{"", "r", "12", "r-1", "r+1", "R1", "r1 ", "r18446744073709551616"} {
+		_, err := ParseVersion(s)
+		qt.Assert(t, trace.IsBadParameter(err), qt.IsTrue, qt.Commentf("%q", s))
+		fmt.Fprintf(&text, "%q: BadParameter\n", s)
+	}
+	golden.Text(t, "versions.txt", text.Bytes())
+}
--- /dev/null
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -0,0 +1,286 @@
+package controlplane
+
+import (
+	"bytes"
+	"context"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"maps"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"testing/iotest"
+	"time"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/control/storage"
+	"gingerlead/internal/mesh/transport/codec"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+)
+
+// What earlier versions of the program have written and answered.
+const (
+	goldenStanding = "standing.hex"       // a voter's state with every field
+	goldenVote     = "vote.hex"           // a vote with every field
+	goldenFolder   = "core-folder"        // of a process that ran, and was restarted
+	goldenRecords  = "core-folder.txt"    // the same, by its keys
+	goldenCalls    = "operator-calls.txt" // the operators' calls and their answers
+)
+
+const goldenSelf = "10.0.0.1:7001"
+
+// goldenRecord is a record with every field, in a system whose only voter is goldenSelf.
+func goldenRecord() consensus.Record {
+	const former = "10.0.0.2:7001"
+	list := consensus.Membership{Epoch: 3, Voters: []string{goldenSelf}, Previous: []string{goldenSelf, former}, Retired: []string{former}}
+	return consensus.Record{
+		State: consensus.ReplicaState{
+			Membership: list, Ready: true, Incarnation: 7, Incarnations: consensus.Incarnations{former: 5, "10.0.0.3:7001": 6},
+			Promised: consensus.Ballot{N: 12, Node: goldenSelf + "#ab"}, System: consensus.NewSystem([]string{goldenSelf, former}),
+		},
+		Vote: consensus.Vote{Ballot: consensus.Ballot{N: 11, Node: goldenSelf + "#ab"}, Learned: true, Value: consensus.Value{
+			Version: 5, Body: config(5, "golden"), Membership: list, Forgotten: 2,
+			History: []consensus.VersionDigest{{Version: 3, Digest: consensus.Digest{1, 2, 3}}, {Version: 5, Digest: consensus.Digest{4, 5, 6, 7, 8, 9, 10, 11}}},
+			Refused: []consensus.VersionDigest{{Version: 900, Digest: consensus.Digest{12}}},
+		}},
+	}
+}
+
+func TestGoldenRecords(t *testing.T) {
+	c := qt.New(t)
+	want := goldenRecord()
+	m := &memory{records: map[string][]byte{}}
+	k := &replica{d: &Server{o: Options{Self: goldenSelf}}, disk: m}
+	c.Assert(k.save(&want, consensus.Changed{State: true, Vote: true}), qt.IsNil)
+	golden.Hex(t, goldenStanding, m.records[standingKey])
+	golden.Hex(t, goldenVote, m.records[voteKey])
+	c.Assert(m.records, qt.HasLen, 2)
+
+	m.records = map[string][]byte{standingKey: golden.Read(t, goldenStanding), voteKey: golden.Read(t, goldenVote)}
+	var got consensus.Record
+	c.Assert(k.get(standingKey, &got.State), qt.IsNil)
+	c.Assert(k.get(voteKey, &got.Vote), qt.IsNil)
+	c.Assert(got, qt.DeepEquals, want)
+}
+
+// openAlone runs a process on a folder that needs no other one.
+func openAlone(c *qt.C, folder string) *Server {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	d, err := Open(Options{Self: goldenSelf, Seeds: []string{goldenSelf}, Folder: folder, Transport: link{}, Log: log, Seed: 1})
+	c.Assert(err, qt.IsNil)
+	return d
+}
+
+// writeGoldenFolder has a process start twice on a folder with the golden record.
+func writeGoldenFolder(c *qt.C, folder string) {
+	store, err := storage.Open(folder)
+	c.Assert(err, qt.IsNil)
+	record := goldenRecord()
+	c.Assert(store.Put(standingKey, codec.Write(nil, &record.State)), qt.IsNil)
+	c.Assert(store.Put(voteKey, codec.Write(nil, &record.Vote)), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	for v := configuration.Version(5); v < 7; v++ {
+		d := openAlone(c, folder)
+		c.Assert(d.Replace(c.Context(), v, config(v+1, "golden")).Outcome, qt.Equals, Applied)
+		d.Close()
+	}
+}
+
+// dump is the records of a folder by their keys, in hexadecimal.
+func dump(c *qt.C, folder string) (text []byte, records map[string][]byte) {
+	store, err := storage.Open(folder)
+	c.Assert(err, qt.IsNil)
+	records = map[string][]byte{}
+	for _, key := range []string{ownerKey, standingKey, voteKey} {
+		records[key], err = store.Get(key)
+		c.Assert(err, qt.IsNil)
+		text = fmt.Appendf(text, "%s %x\n", key, records[key])
+	}
+	c.Assert(store.Check(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
+	return text, records
+}
+
+// The folder of a core process that an earlier version has written is read as what it was, and a process goes on with it.
+func TestGoldenFolder(t *testing.T) {
+	c := qt.New(t)
+	source := filepath.Join("testdata", "golden", goldenFolder)
+	if flag.Lookup("update-golden").Value.String() == "true" {
+		c.Assert(os.RemoveAll(source), qt.IsNil)
+		writeGoldenFolder(c, source)
+	}
+	folder := c.TempDir()
+	c.Assert(os.CopyFS(folder, os.DirFS(source)), qt.IsNil)
+	text, records := dump(c, folder)
+	golden.Text(t, goldenRecords, text)
+
+	var got consensus.Record
+	c.Assert(string(records[ownerKey]), qt.Equals, goldenSelf)
+	c.Assert(codec.Read(records[standingKey], &got.State), qt.IsNil)
+	c.Assert(codec.Read(records[voteKey], &got.Vote), qt.IsNil)
+	c.Assert(codec.Write(nil, &got.State), qt.DeepEquals, records[standingKey])
+	c.Assert(codec.Write(nil, &got.Vote), qt.DeepEquals, records[voteKey])
+	want := goldenRecord()
+	c.Assert(got.State.Promised, qt.Equals, got.Vote.Ballot)
+	c.Assert(got.State.Promised.N > want.State.Promised.N, qt.IsTrue)
+	c.Assert(got.State.Promised.Node, qt.Matches, goldenSelf+`#[0-9a-f]{1,16}`)
+	got.State.Promised = want.State.Promised
+	c.Assert(got.State, qt.DeepEquals, want.State)
+	c.Assert(got.Vote.Learned, qt.IsFalse)
+	value := got.Vote.Value
+	c.Assert(value.Version, qt.Equals, configuration.Version(7))
+	c.Assert(string(value.Body), qt.Equals, string(config(7, "golden")))
+	c.Assert(value.Membership, qt.DeepEquals, want.State.Membership)
+	c.Assert(value.History[:2], qt.DeepEquals, want.Vote.Value.History)
+	c.Assert(value.History, qt.HasLen, 4)
+	c.Assert(value.Forgotten, qt.Equals, uint64(2))
+	c.Assert(value.Refused, qt.DeepEquals, want.Vote.Value.Refused)
+
+	d := openAlone(c, folder)
+	newest, err := d.Newest(c.Context())
+	c.Assert(err, qt.IsNil)
+	c.Assert(newest, qt.DeepEquals, value)
+	c.Assert(d.Membership(), qt.DeepEquals, want.State.Membership)
+	epoch, ready := d.Accepted()
+	c.Assert(epoch == 3 && ready, qt.IsTrue)
+	c.Assert(d.knownSystem(), qt.Equals, want.State.System)
+	c.Assert(d.Replace(c.Context(), 5, config(6, "golden")).Outcome, qt.Equals, Applied) // a repeat, which the history tells
+	c.Assert(d.Replace(c.Context(), 1, config(2, "golden")).Outcome, qt.Equals, Unknown)
+	c.Assert(d.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Applied)
+	d.Close()
+	_, again := dump(c, folder)
+	c.Assert(codec.Read(again[voteKey], &got.Vote), qt.IsNil)
+	c.Assert(got.Vote.Value.Version, qt.Equals, configuration.Version(8))
+}
+
+// goldenCall is one of the operators' calls.
+type goldenCall struct {
+	name         string
+	method, path string
+	base         []string // values of the header; nil: none
+	body         string
+	broken       bool // the body can't be read
+}
+
+func replaceGolden(name, base, body string) goldenCall {
+	return goldenCall{name: name, method: "POST", path: "/configuration/replace", base: []string{base}, body: body}
+}
+
+func retrieveGolden(name string) goldenCall {
+	return goldenCall{name: name, method: "GET", path: "/configuration/retrieve"}
+}
+
+// answers calls a server and writes down what it says.
+func (x goldenCall) answer(text io.Writer, d *Server) {
+	var body io.Reader = strings.NewReader(x.body)
+	if x.broken {
+		body = iotest.ErrReader(errors.New("the link broke"))
+	}
+	r := httptest.NewRequest(x.method, x.path, body)
+	if x.base != nil {
+		r.Header["Base-Version"] = x.base
+	}
+	w := httptest.NewRecorder()
+	d.Handler().ServeHTTP(w, r)
+	answer := w.Result()
+	defer answer.Body.Close()
+	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", x.name, x.method, x.path, x.base, answer.StatusCode)
+	for _, name := range slices.Sorted(maps.Keys(answer.Header)) {
+		fmt.Fprintf(text, "%s: %s\n", name, strings.Join(answer.Header[name], ", "))
+	}
+	content, _ := io.ReadAll(answer.Body)
+	fmt.Fprintf(text, "%q\n\n", content)
+}
+
+var goldenDecided = []goldenCall{
+	retrieveGolden("nothing was accepted yet"),
+	{name: "no base", method: "POST", path: "/configuration/replace", body: string(config(1, ""))},
+	replaceGolden("a base without its letter", "5", string(config(1, ""))),
+	replaceGolden("an empty base", "", string(config(1, ""))),
+	replaceGolden("a base that is too large", "r18446744073709551616", string(config(1, ""))),
+	replaceGolden("half a body", "0", `{"configVersion":"r1"`),
+	replaceGolden("no body", "0", ``),
+	replaceGolden("a list", "0", `[]`),
+	replaceGolden("faults", "0", `{"configVersion":"1","routeTable":[{"hostName":""},7],"tenantTable":{}}`),
+	replaceGolden("a body that is too large", "0", strings.Repeat(" ", bodyMax+1)),
+	{name: "a body that breaks off", method: "POST", path: "/configuration/replace", base: []string{"0"}, broken: true},
+	replaceGolden("the first one", "0", string(config(3, ""))),
+	replaceGolden("the same again", "0", string(config(3, ""))),
+	replaceGolden("another under the same version", "0", string(config(3, "other"))),
+	replaceGolden("another base", "r2", string(config(4, ""))),
+	replaceGolden("a version that does not rise", "r3", string(config(3, "other"))),
+	replaceGolden("a base that may still come", "r9", string(config(10, ""))),
+	replaceGolden("the next one", "r3", string(config(4, "a < b & c"))),
+	replaceGolden("one of two bases", "r4", string(config(5, ""))),
+	retrieveGolden("the newest"),
+	{name: "another method", method: "GET", path: "/configuration/replace"},
+	{name: "another method", method: "DELETE", path: "/configuration/retrieve"},
+	{name: "without a body", method: "HEAD", path: "/configuration/retrieve"},
+	{name: "another path", method: "GET", path: "/configuration/other"},
+	{name: "a longer path", method: "GET", path: "/configuration/retrieve/"},
+}
+
+var goldenUndecided = []goldenCall{
+	replaceGolden("no majority", "r5", string(config(6, ""))),
+	retrieveGolden("no majority"),
+	replaceGolden("no majority, and a fault", "r5", `{}`),
+	replaceGolden("no majority, and no base", "x", string(config(6, ""))),
+}
+
+// The operators' calls, good and bad, are answered as they always were.
+func TestGoldenOperatorsCalls(t *testing.T) {
+	var text bytes.Buffer
+	play(t, 3, func(co *core, ctx context.Context) {
+		for _, x := range goldenDecided {
+			x.answer(&text, co.server(0))
+		}
+		co.isolate(0, true)
+		for _, x := range goldenUndecided {
+			x.answer(&text, co.server(0))
+		}
+	})
+	play(t, 0, func(co *core, ctx context.Context) { // versions that are forgotten
+		record := goldenRecord()
+		record.State.Voters, record.State.Epoch, record.Vote.Value.Membership = []string{node(0)}, 0, consensus.Membership{}
+		co.disks[node(0)] = &memory{records: map[string][]byte{standingKey: codec.Write(nil, &record.State), voteKey: codec.Write(nil, &record.Vote)}}
+		co.start(0, false)
+		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(&text, co.server(0))
+	})
+	play(t, 0, func(co *core, ctx context.Context) { // more voters are expected
+		co.bears = 2
+		for i := range 3 {
+			co.start(i, true)
+		}
+		replaceGolden("too few voters yet", "0", string(config(1, ""))).answer(&text, co.server(0))
+		time.Sleep(growthLeast)
+		replaceGolden("too few voters, and no more come", "0", string(config(1, ""))).answer(&text, co.server(0))
+	})
+	golden.Text(t, goldenCalls, text.Bytes())
+}
+
+// A request or a record that can't be read is an error that names it.
+func TestGoldenBadRequest(t *testing.T) {
+	c := qt.New(t)
+	_, err := (&Server{}).Serve(t.Context(), []byte{0xff})
+	c.Assert(err, qt.ErrorMatches, `request: .*`)
+	k := &replica{d: &Server{o: Options{Folder: "f"}}, disk: &memory{records: map[string][]byte{voteKey: must(hex.DecodeString("0a"))}}}
+	c.Assert(k.get(voteKey, &consensus.Vote{}), qt.ErrorMatches, `(?s).*folder f, record "vote": .*`)
+}
+
+func must[T any](x T, err error) T {
+	if err != nil {
+		panic(err)
+	}
+	return x
+}
