--- a/internal/mesh/control/configuration/golden_test.go
+++ b/internal/mesh/control/configuration/golden_test.go
@@ -165,6 +165,15 @@
 	golden.Text(t, "faults.txt", text.Bytes())
 }
 
+// meshctl prints routes, services and limits with the names of their fields when it shows what a configuration changes.
+func TestGoldenFieldNames(t *testing.T) {
+	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "every-field.json"))
+	qt.Assert(t, err, qt.IsNil)
+	cfg, err := Read(raw)
+	qt.Assert(t, err, qt.IsNil)
+	golden.Text(t, "printed.txt", fmt.Appendf(nil, "%+v\n%+v\n%+v\n", cfg.Routes[0], cfg.Services[0], cfg.Limits))
+}
+
 // A version is written and read in one form.
 func TestGoldenVersions(t *testing.T) {
 	var text bytes.Buffer
