--- /dev/null
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -0,0 +1,103 @@
+package eventfeed
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/gravitational/trace"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/operations/events"
+)
+
+// goldenSource gives the events of a feed; nothing comes later.
+type goldenSource struct{ feed *events.Feed }
+
+func (s goldenSource) After(c events.Cursor, most int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	out, next := s.feed.After(c, most, f)
+	return out, next, nil, nil
+}
+
+// brokenSource can't be read.
+type brokenSource struct{}
+
+func (brokenSource) After(c events.Cursor, _ int, _ events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	return nil, c, nil, trace.NotFound("record %q", "event/3")
+}
+
+func goldenFeed() *events.Feed {
+	feed := events.New(36, 4)
+	for i, service := range []string{"orders", "orders", "carts", "orders", "carts"} {
+		feed.Add(events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointServes, Service: service, Zone: "south-b",
+			Tenant: "north", Node: "10.1.0.40:7640", Endpoint: fmt.Sprintf("ep-%d", i)})
+	}
+	return feed
+}
+
+// The answers of GET /events: JSON lines, server-sent events, gaps, and what is refused.
+func TestGoldenAnswers(t *testing.T) {
+	var lines strings.Builder
+	for _, call := range []struct {
+		what, method, path string
+		header             http.Header
+		source             Source
+	}{
+		{"all there are", "GET", "/events", nil, goldenSource{goldenFeed()}},
+		{"after a cursor", "GET", "/events?after=10-4", nil, goldenSource{goldenFeed()}},
+		{"after a cursor that is no longer kept", "GET", "/events?after=10-0", nil, goldenSource{goldenFeed()}},
+		{"after a cursor of another process", "GET", "/events?after=11-3", nil, goldenSource{goldenFeed()}},
+		{"one service", "GET", "/events?service=carts", nil, goldenSource{goldenFeed()}},
+		{"another zone, after a gap", "GET", "/events?zone=north-b&after=11-1", nil, goldenSource{goldenFeed()}},
+		{"a tenant", "GET", "/events?tenant=north&after=10-3", nil, goldenSource{goldenFeed()}},
+		{"server-sent events", "GET", "/events?after=10-3", http.Header{"Accept": {"text/event-stream"}}, goldenSource{goldenFeed()}},
+		{"the last id counts more", "GET", "/events?after=10-1", http.Header{"Last-Event-Id": {"10-4"}}, goldenSource{goldenFeed()}},
+		{"no cursor", "GET", "/events?after=x", nil, goldenSource{goldenFeed()}},
+		{"another method", "POST", "/events", nil, goldenSource{goldenFeed()}},
+		{"a source that fails", "GET", "/events", nil, brokenSource{}},
+	} {
+		w := httptest.NewRecorder()
+		q := httptest.NewRequest(call.method, call.path, nil)
+		if call.header != nil {
+			q.Header = call.header
+		}
+		Handler(call.source).ServeHTTP(w, q)
+		fmt.Fprintf(&lines, "# %s: %s %s\n%d %s\n%s", call.what, call.method, call.path, w.Code, w.Header().Get("Content-Type"), w.Body)
+	}
+	golden.Text(t, "answers.txt", []byte(lines.String()))
+}
+
+// A stream goes on until its reader leaves; one reader too many is sent away.
+func TestGoldenStreams(t *testing.T) {
+	c := qt.New(t)
+	handler := Handler(goldenSource{goldenFeed()})
+	ctx, leave := context.WithCancel(t.Context())
+	done := make(chan *httptest.ResponseRecorder, readersMax)
+	for range readersMax {
+		go func() {
+			w := httptest.NewRecorder()
+			handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/events?follow=1&after=10-3", nil).WithContext(ctx))
+			done <- w
+		}()
+	}
+	var refused *httptest.ResponseRecorder
+	for end := time.Now().Add(20 * time.Second); refused == nil || refused.Code == http.StatusOK; time.Sleep(5 * time.Millisecond) {
+		c.Assert(time.Now().Before(end), qt.IsTrue)
+		refused = httptest.NewRecorder()
+		handler.ServeHTTP(refused, httptest.NewRequest(http.MethodGet, "/events", nil))
+	}
+	leave()
+	var lines strings.Builder
+	fmt.Fprintf(&lines, "%d, retry after %s\n%s", refused.Code, refused.Header().Get("Retry-After"), refused.Body)
+	for range readersMax {
+		if w := <-done; lines.Len() < 200 {
+			fmt.Fprintf(&lines, "%d %s\n%s", w.Code, w.Header().Get("Content-Type"), w.Body)
+		}
+	}
+	golden.Text(t, "streams.txt", []byte(lines.String()))
+}
--- /dev/null
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -0,0 +1,102 @@
+package eventlog
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/control/storage"
+	"gingerlead/internal/mesh/operations/events"
+)
+
+// goldenFolder holds the files of a log as a program that ended in order has left them. It is written anew with the other golden files,
+// if UPDATE_GOLDEN_FOLDER is set too.
+const goldenFolder = "testdata/golden/folder"
+
+func goldenEvents() []events.Event {
+	var all []events.Event
+	for i := range 5 {
+		all = append(all, events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointDrains, Node: "10.1.0.40:7640", Zone: "south-b",
+			Service: "orders", Endpoint: fmt.Sprintf("ep-%d", i), Tenant: "north", Version: "r12", Detail: fmt.Sprint(i)})
+	}
+	return all
+}
+
+func addGolden(t *testing.T, s Store) {
+	t.Helper()
+	l, err := OpenLog(s, 3, 36)
+	qt.Assert(t, err, qt.IsNil)
+	for i, e := range goldenEvents() {
+		qt.Assert(t, l.Add(e, "10.1.0.44:8105", events.Cursor{Life: 7, Number: uint64(i + 1)}.String()), qt.IsNil)
+	}
+}
+
+// The records that a log keeps, by key.
+func TestGoldenRecords(t *testing.T) {
+	s := &shelf{records: map[string][]byte{}, left: 100}
+	addGolden(t, s)
+	var lines strings.Builder
+	for _, key := range []string{"head", "event/0", "event/1", "event/2"} {
+		fmt.Fprintf(&lines, "%s: %s\n", key, s.records[key])
+	}
+	qt.Assert(t, s.records, qt.HasLen, 4)
+	golden.Text(t, "records.txt", []byte(lines.String()))
+}
+
+// A folder that an earlier program has left is read, and gone on with.
+func TestGoldenFolder(t *testing.T) {
+	c := qt.New(t)
+	if os.Getenv("UPDATE_GOLDEN_FOLDER") != "" {
+		c.Assert(os.RemoveAll(goldenFolder), qt.IsNil)
+		store, err := storage.Open(goldenFolder)
+		c.Assert(err, qt.IsNil)
+		addGolden(t, store)
+		c.Assert(store.Close(), qt.IsNil)
+	}
+	folder := filepath.Join(t.TempDir(), "folder")
+	c.Assert(os.CopyFS(folder, os.DirFS(goldenFolder)), qt.IsNil)
+	store, err := storage.Open(folder)
+	c.Assert(err, qt.IsNil)
+	defer store.Close()
+	l, err := OpenLog(store, 3, 99)
+	c.Assert(err, qt.IsNil)
+	from, cursor := l.Followed()
+	c.Assert([]string{from, cursor}, qt.DeepEquals, []string{"10.1.0.44:8105", "7-5"})
+	c.Assert(l.Add(events.Event{Kind: events.Gap, Detail: "later"}, "10.2.0.35:8105", "8-1"), qt.IsNil)
+	var lines strings.Builder
+	for _, after := range []events.Cursor{{}, {Life: 36, Number: 4}, {Life: 36, Number: 1}, {Life: 99, Number: 1}, {Life: 36, Number: 7}} {
+		out, next, _, err := l.After(after, 9, events.Filter{})
+		c.Assert(err, qt.IsNil)
+		fmt.Fprintf(&lines, "after %s, next %s\n", after, next)
+		for _, e := range out {
+			text, err := json.Marshal(e)
+			c.Assert(err, qt.IsNil)
+			fmt.Fprintf(&lines, "%s\n", text)
+		}
+	}
+	golden.Text(t, "folder.txt", []byte(lines.String()))
+}
+
+// Records that can't be read are named.
+func TestGoldenSpoiltRecords(t *testing.T) {
+	var lines strings.Builder
+	_, err := OpenLog(&shelf{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
+	fmt.Fprintf(&lines, "%v\n", err)
+	s := &shelf{records: map[string][]byte{}, left: 100}
+	addGolden(t, s)
+	l, err := OpenLog(s, 3, 36)
+	qt.Assert(t, err, qt.IsNil)
+	s.records["event/0"] = []byte("x")
+	_, next, _, err := l.After(events.Cursor{}, 9, events.Filter{})
+	fmt.Fprintf(&lines, "%s %v\n", next, err)
+	delete(s.records, "event/0")
+	_, next, _, err = l.After(events.Cursor{}, 9, events.Filter{})
+	fmt.Fprintf(&lines, "%s %v\n", next, err)
+	golden.Text(t, "spoilt.txt", []byte(lines.String()))
+}
--- /dev/null
+++ b/internal/mesh/operations/events/golden_test.go
@@ -0,0 +1,62 @@
+package events
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"gingerlead/internal/golden"
+)
+
+// goldenEvent is an event with a value in each field.
+func goldenEvent() Event {
+	return Event{Cursor: "1a2b-17", Time: "2026-01-02T03:04:05.6Z", Kind: ConfigInForce, Node: "10.1.0.44:7640", Zone: "north-a", Service: "orders",
+		Endpoint: "ep-1", Tenant: "north", Version: "r12", Detail: "why"}
+}
+
+func TestGoldenEvent(t *testing.T) {
+	c := qt.New(t)
+	full := goldenEvent()
+	text, err := json.Marshal(full)
+	c.Assert(err, qt.IsNil)
+	golden.Text(t, "event.json", append(text, '\n'))
+	var read Event
+	c.Assert(json.Unmarshal(text, &read), qt.IsNil)
+	c.Assert(read, qt.DeepEquals, full)
+	empty, err := json.Marshal(Event{})
+	c.Assert(err, qt.IsNil)
+	c.Assert(string(empty), qt.Equals, `{"cursor":"","kind":""}`)
+}
+
+func TestGoldenKinds(t *testing.T) {
+	kinds := []string{EndpointServes, EndpointDrains, EndpointLeft, EndpointCrashed, ConfigInForce, DutyCame, DutyWent, QuotaHit, MachineInTouch,
+		MachineOutOfTouch, Gap}
+	golden.Text(t, "kinds.txt", []byte(strings.Join(kinds, "\n")+"\n"))
+}
+
+// Cursors and gaps as readers see them: their texts, and what can't be read.
+func TestGoldenCursors(t *testing.T) {
+	var lines strings.Builder
+	for _, text := range []string{"", "1a2b-17", "3w5e11264sgsf-18446744073709551615", "0-0", "x", "-", "1-", "-1", "1--1", "1-x", "zzzzzzzzzzzzzz-1",
+		"1-99999999999999999999", "A-1"} {
+		cursor, err := ParseCursor(text)
+		fmt.Fprintf(&lines, "%q: %d %d %v\n", text, cursor.Life, cursor.Number, err)
+		if err == nil {
+			fmt.Fprintf(&lines, "  %s\n", cursor)
+		}
+	}
+	f := New(36, 3)
+	for i := range 5 {
+		f.Add(Event{Kind: QuotaHit, Detail: fmt.Sprint(i)})
+	}
+	for _, cursor := range []Cursor{{}, {36, 1}, {36, 2}, {36, 5}, {36, 6}, {37, 4}} {
+		out, next := f.After(cursor, 9, Filter{})
+		text, err := json.Marshal(out)
+		qt.Assert(t, err, qt.IsNil)
+		fmt.Fprintf(&lines, "after %s: %s, next %s\n", cursor, text, next)
+	}
+	golden.Text(t, "cursors.txt", []byte(lines.String()))
+}
--- /dev/null
+++ b/internal/mesh/operations/logging/golden_test.go
@@ -0,0 +1,29 @@
+package logging
+
+import (
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
+	"gingerlead/internal/golden"
+)
+
+var timeOfEntry = regexp.MustCompile(`time="[^"]*"`)
+
+// What is written when something goes wrong, when that goes on, and on request.
+func TestGoldenLog(t *testing.T) {
+	var out strings.Builder
+	log, ring := New(&out)
+	log.WithField("peer", "10.1.0.44:7640").Debug("before")
+	log.Info(strings.Repeat("x", textMax+1))
+	log.WithFields(logrus.Fields{"version": 12, "service": "orders"}).Warn("fault")
+	log.Warn("again")
+	log.Warn("and again")
+	log.Error("worse")
+	log.Info("later")
+	ring.Write("SIGUSR1")
+	ring.Write("SIGUSR1")
+	golden.Text(t, "log.txt", []byte(timeOfEntry.ReplaceAllString(out.String(), "time=TIME")))
+}
