--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -145,9 +145,9 @@
 		out = append(out, fmt.Sprintf("version %s -> %s", from.Version, to.Version))
 	}
 	name := func(r configuration.Route) string { return "route " + r.Host + r.Prefix }
-	out = append(out, changes(from.Routes, to.Routes, name, func(r configuration.Route) string { return fmt.Sprintf("%+v", r) })...)
+	out = append(out, changes(from.Routes, to.Routes, name, routeText)...)
 	out = append(out, changes(from.Services, to.Services, func(s configuration.Service) string { return "service " + s.Name },
-		func(s configuration.Service) string { return fmt.Sprintf("%+v", s) })...)
+		serviceText)...)
 	out = append(out, changes(from.Tenants, to.Tenants, func(t configuration.Tenant) string { return "tenant " + t.Name },
 		func(t configuration.Tenant) string {
 			return fmt.Sprintf("rank %d, rate %v, burst %v", t.Priority, t.Rate, t.Burst)
@@ -162,11 +162,30 @@
 		}
 	}
 	if from.Limits != to.Limits {
-		out = append(out, fmt.Sprintf("limits %+v -> %+v", from.Limits, to.Limits))
+		out = append(out, fmt.Sprintf("limits %s -> %s", limitsText(from.Limits), limitsText(to.Limits)))
 	}
 	return out
 }
 
+// routeText, serviceText and limitsText are what a person reads of a change. The names in them are part of the output, whatever the
+// fields are called.
+func routeText(r configuration.Route) string {
+	split := make([]string, len(r.Split))
+	for i, x := range r.Split {
+		split[i] = fmt.Sprintf("{Service:%s Weight:%v}", x.Service, x.Weight)
+	}
+	return fmt.Sprintf("{Name:%s Host:%s Prefix:%s Kind:%d Timeout:%v Target:%v Priority:%d MaxAttempts:%d Split:[%s] Public:%t}", r.Name, r.Host, r.Prefix,
+		r.Kind, r.Timeout, r.Target, r.Priority, r.MaxAttempts, strings.Join(split, " "), r.Public)
+}
+
+func serviceText(s configuration.Service) string {
+	return fmt.Sprintf("{Name:%s HealthPath:%s ConnectionCap:%d}", s.Name, s.HealthPath, s.ConnectionCap)
+}
+
+func limitsText(l configuration.Limits) string {
+	return fmt.Sprintf("{HeaderMax:%d BodyMax:%d HeaderTimeout:%v IdleTimeout:%v}", l.HeaderMax, l.BodyMax, l.HeaderTimeout, l.IdleTimeout)
+}
+
 func changes[T any](from, to []T, name, text func(T) string) (out []string) {
 	old := map[string]string{}
 	for _, x := range from {
