--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -150,7 +150,7 @@
 	c.Assert(read, qt.DeepEquals, full)
 	c.Assert(stateNames, qt.DeepEquals, map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
 		discovery.Crashed: "crashed", discovery.Gone: "gone"})
-	c.Assert(dutyAllocator, qt.Equals, "allocator")
+	c.Assert([]string{dutyAllocator, StatePath, RoleAccess, RoleCore}, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
 }
 
 // goldenCore is a core process without links, whose sidecars and endpoints are known to it.
@@ -231,6 +231,12 @@
 	golden.Text(t, "keepalives.txt", []byte(lines.String()))
 }
 
+func TestGoldenKeepaliveFields(t *testing.T) {
+	fields := []string{fieldService, fieldAddress, fieldZone, fieldSlots, fieldSequence, fieldState, fieldCold, fieldKeepaliveTarget}
+	qt.Assert(t, fields, qt.DeepEquals, []string{"serviceName", "address", "zone", "slotCount", "callSequence", "state", "coldRemaining",
+		"keepaliveTarget"})
+}
+
 // What a core process records as events, and how its feed gives them.
 func TestGoldenEvents(t *testing.T) {
 	a := goldenCore(t)
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -21,6 +21,18 @@
 	forwardedLease = 9 * time.Second // of a record made from a keepalive that another process received
 )
 
+// Fields of a keepalive's body, and of its answer.
+const (
+	fieldService         = "serviceName"
+	fieldAddress         = "address"
+	fieldZone            = "zone"
+	fieldSlots           = "slotCount"
+	fieldSequence        = "callSequence"
+	fieldState           = "state"
+	fieldCold            = "coldRemaining"
+	fieldKeepaliveTarget = "keepaliveTarget"
+)
+
 // LocalEndpoint is the endpoint beside this process.
 type LocalEndpoint interface {
 	// Keepalive takes a keepalive, or a deregistration (State Gone); false if it is not of the endpoint beside this process.
@@ -49,22 +61,22 @@
 		}
 		return x.Int()
 	}
-	e.Service, e.App, e.Zone = text("serviceName"), text("address"), root.Get("zone").String()
-	e.Slots, e.Sequence = int(min(number("slotCount"), 1<<20)), uint64(number("callSequence"))
+	e.Service, e.App, e.Zone = text(fieldService), text(fieldAddress), root.Get(fieldZone).String()
+	e.Slots, e.Sequence = int(min(number(fieldSlots), 1<<20)), uint64(number(fieldSequence))
 	if _, _, err := net.SplitHostPort(e.App); err != nil {
-		faults = append(faults, "address: wanted one like 10.0.0.4:8080")
+		faults = append(faults, fieldAddress+": wanted one like 10.0.0.4:8080")
 	}
-	switch state := text("state"); state {
-	case "in_service":
-	case "draining":
+	switch state := text(fieldState); state {
+	case StateInService:
+	case StateDraining:
 		e.State = discovery.Draining
 	default:
-		faults = append(faults, "state: wanted in_service or draining")
+		faults = append(faults, fieldState+": wanted "+StateInService+" or "+StateDraining)
 	}
-	if cold := root.Get("coldRemaining"); cold.Exists() {
+	if cold := root.Get(fieldCold); cold.Exists() {
 		d, err := time.ParseDuration(cold.String())
 		if err != nil || d < 0 {
-			faults = append(faults, "coldRemaining: wanted a time like 1500ms")
+			faults = append(faults, fieldCold+": wanted a time like 1500ms")
 		}
 		e.Cold = min(d, time.Hour)
 	}
@@ -127,7 +139,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if target != "" {
-		_, _ = io.WriteString(w, `{"keepaliveTarget":"`+target+`"}`)
+		_, _ = io.WriteString(w, `{"`+fieldKeepaliveTarget+`":"`+target+`"}`)
 		return
 	}
 	_, _ = io.WriteString(w, "{}")
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -55,8 +55,25 @@
 	LeaseMs int64  `json:"leaseMs"`
 }
 
-var stateNames = map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
-	discovery.Crashed: "crashed", discovery.Gone: "gone"}
+// StatePath is the path of State over HTTP.
+const StatePath = "/mesh/state"
+
+// Names of the states of endpoints, in keepalives and in State.
+const (
+	StateInService = "in_service"
+	StateDraining  = "draining"
+	StateCrashed   = "crashed"
+	StateGone      = "gone"
+)
+
+// Names of the roles of processes in State.
+const (
+	RoleAccess = "access"
+	RoleCore   = "core"
+)
+
+var stateNames = map[discovery.State]string{discovery.Serving: StateInService, discovery.Draining: StateDraining,
+	discovery.Crashed: StateCrashed, discovery.Gone: StateGone}
 
 // State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
 // what it holds is the newest, and says so.
@@ -78,9 +95,9 @@
 	defer a.mu.Unlock()
 	s.Version = max(configuration.Version(a.conf.Version), newest.Version).String()
 	for _, m := range a.view.Members() {
-		role := "access"
+		role := RoleAccess
 		if m.Role == membership.Core {
-			role = "core"
+			role = RoleCore
 		}
 		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.Age.Milliseconds()})
 	}
@@ -94,8 +111,8 @@
 // Handler serves GET /mesh/state to operators.
 func (d *Duties) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.Method != http.MethodGet || q.URL.Path != "/mesh/state" {
-			http.Error(w, "GET /mesh/state only", http.StatusNotFound)
+		if q.Method != http.MethodGet || q.URL.Path != StatePath {
+			http.Error(w, "GET "+StatePath+" only", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/mesh/operations/eventlog/eventlog.go
+++ b/internal/mesh/operations/eventlog/eventlog.go
@@ -24,7 +24,12 @@
 	retryMax   = 5 * time.Second
 	silenceMax = 40 * time.Second // without a line; a stream sends one every 25 s
 	lineMax    = 64 << 10         // bytes
-	headKey    = "head"
+)
+
+// Keys of records: the head, and the prefix of an event's.
+const (
+	headKey        = "head"
+	eventKeyPrefix = "event/"
 )
 
 // Store is where events are kept: a few records, each under its key (storage.Store).
@@ -65,7 +70,7 @@
 	return l, nil
 }
 
-func (l *Log) slot(n uint64) string { return "event/" + strconv.FormatUint(n%l.most, 10) }
+func (l *Log) slot(n uint64) string { return eventKeyPrefix + strconv.FormatUint(n%l.most, 10) }
 
 // Add keeps an event that a core process sent, with the cursor at that process. The event is on disk before the head counts it; one
 // that was written and not counted is written again after a crash, under the same number.
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -46,6 +46,7 @@
 		fmt.Fprintf(&lines, "%s: %s\n", key, s.records[key])
 	}
 	qt.Assert(t, s.records, qt.HasLen, 4)
+	qt.Assert(t, []string{headKey, eventKeyPrefix}, qt.DeepEquals, []string{"head", "event/"})
 	golden.Text(t, "records.txt", []byte(lines.String()))
 }
 
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -99,7 +99,7 @@
 }
 
 func (c *Client) state() (s agent.State, err error) {
-	_, text, err := c.ask(http.MethodGet, "/mesh/state", nil, nil)
+	_, text, err := c.ask(http.MethodGet, agent.StatePath, nil, nil)
 	if err != nil {
 		return s, err
 	}
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -111,9 +111,9 @@
 		serve, leave := 0, 0
 		for _, e := range s.Endpoints {
 			switch {
-			case e.Service == x.Service && e.State == "in_service":
+			case e.Service == x.Service && e.State == agent.StateInService:
 				serve++
-			case e.Service == x.Service && e.State == "draining":
+			case e.Service == x.Service && e.State == agent.StateDraining:
 				leave++
 			}
 		}
