--- /dev/null
+++ b/golden_test.go
@@ -0,0 +1,434 @@
+package gingerlead_test
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead"
+	"gingerlead/internal/golden"
+)
+
+// The golden files of this package hold what a balancer commanded over random but reproducible events. The same seed has to give
+// the same commands in the same order: replayed simulations depend on it. A changed order of random draws, of a walk over a map
+// or of a sum of floating-point numbers shows as another digest.
+
+// command is one call of a Host, as a line of the trace.
+type command struct {
+	name string
+	text string
+}
+
+// call is an attempt that is in flight.
+type call struct {
+	id      gingerlead.RequestID
+	to      gingerlead.EndpointID
+	attempt int
+	sentAt  time.Duration
+	timeout time.Duration // 0 for none
+	endsAt  time.Duration
+	status  gingerlead.Status
+}
+
+// trace is a Host that writes each command into a digest, and keeps the calls that are in flight.
+type trace struct {
+	now      time.Duration
+	digest   hash.Hash
+	counts   map[string]int
+	first    []string // the first commands, for people
+	open     []call
+	rng      *rand.Rand // of the fleet, not of the balancer
+	attempts map[gingerlead.RequestID]int
+	timers   map[uint64]time.Duration
+	final    map[gingerlead.RequestID]bool
+}
+
+// firstCommands is how many commands of a scenario the golden file shows in full.
+const firstCommands = 12
+
+func newTrace(seed uint64) *trace {
+	return &trace{rng: rand.New(rand.NewPCG(seed, 11)), now: 100 * time.Second, digest: sha256.New(), counts: map[string]int{}, attempts: map[gingerlead.RequestID]int{},
+		timers: map[uint64]time.Duration{}, final: map[gingerlead.RequestID]bool{}}
+}
+
+func (h *trace) note(name string, values ...any) {
+	line := fmt.Sprintln(append([]any{int64(h.now), name}, values...)...)
+	h.counts[name]++
+	if len(h.first) < firstCommands {
+		h.first = append(h.first, line)
+	}
+	h.digest.Write([]byte(line))
+}
+
+func (h *trace) Send(id gingerlead.RequestID, to gingerlead.EndpointID, timeout time.Duration) {
+	h.note("send", id, to, int64(timeout))
+	h.open = append(h.open, h.outcome(call{id: id, to: to, attempt: h.attempts[id], sentAt: h.now, timeout: timeout}))
+	h.attempts[id]++
+}
+
+// outcome draws when and how a call ends. Some endpoints are slower than others, some fail more often, all are slow at times.
+func (h *trace) outcome(c call) call {
+	took := time.Duration((0.2 + h.rng.ExpFloat64()) * float64(1+c.to%3) * float64(5*time.Millisecond))
+	if h.now/time.Second%4 == 2 {
+		took *= 8
+	}
+	switch {
+	case h.rng.IntN(40) == 0:
+		c.status = gingerlead.Status(h.rng.IntN(int(gingerlead.Spoilt) + 1))
+	case c.to%17 == 3 && h.rng.IntN(3) == 0:
+		c.status = gingerlead.Error
+	case h.rng.IntN(200) == 0:
+		took = time.Minute // the call is lost
+	}
+	if c.timeout > 0 && took > c.timeout {
+		took, c.status = c.timeout, gingerlead.Timeout
+	}
+	if most := 2 * time.Second; took > most {
+		took, c.status = most, gingerlead.Timeout
+	}
+	c.endsAt = h.now + max(took, time.Millisecond)
+	return c
+}
+
+func (h *trace) Refuse(id gingerlead.RequestID, retryAfter time.Duration) {
+	h.note("refuse", id, int64(retryAfter))
+	h.final[id] = true
+}
+
+func (h *trace) Fail(id gingerlead.RequestID) {
+	h.note("fail", id)
+	h.final[id] = true
+}
+
+func (h *trace) Cancel(id gingerlead.RequestID, attempt int) {
+	h.note("cancel", id, attempt)
+	for i := range h.open {
+		if c := &h.open[i]; c.id == id && c.attempt == attempt {
+			c.endsAt, c.status = h.now+2*time.Millisecond, gingerlead.Cancelled
+		}
+	}
+}
+
+func (h *trace) SetTimer(token uint64, after time.Duration) {
+	h.note("timer", token, int64(after))
+	h.timers[token] = h.now + after
+}
+
+func (h *trace) Probe(to gingerlead.EndpointID)     { h.note("probe", to) }
+func (h *trace) Tell(peer int, data []byte)         { h.note("tell", peer, data) }
+func (h *trace) Watch(on bool)                      { h.note("watch", on) }
+func (h *trace) Fetch()                             { h.note("fetch") }
+func (h *trace) CloseIdle(to gingerlead.EndpointID) { h.note("closeIdle", to) }
+func (h *trace) Log(text string)                    { h.note("log", text) }
+
+// scenario is a fleet and what happens in it.
+type scenario struct {
+	name      string
+	endpoints int
+	perSecond int // requests
+	change    func(*gingerlead.Settings)
+	weighted  bool // the listed weights differ
+	reports   bool // endpoints report their load
+	regroups  bool
+	leaves    bool // the instance ends near the end of the events
+}
+
+var scenarios = []scenario{
+	{name: "small", endpoints: 8, perSecond: 900, change: func(*gingerlead.Settings) {}},
+	{name: "one-by-one", endpoints: 24, perSecond: 1500, weighted: true, reports: true, change: func(s *gingerlead.Settings) {
+		s.MustAsk, s.MarksRetry, s.GoalWorstClass = true, true, 0.3
+	}},
+	{name: "tiles", endpoints: 40, perSecond: 500, weighted: true, regroups: true, change: func(s *gingerlead.Settings) {
+		s.Instances, s.Ordinal = 20, 3
+		s.Tenants = []gingerlead.Tenant{{Name: "a", QuotaPerS: 4000}, {Name: "b", QuotaPerS: 1000}}
+	}},
+	{name: "pools", endpoints: 300, perSecond: 3000, reports: true, change: func(s *gingerlead.Settings) {
+		s.WorthByWork = true
+	}},
+	{name: "ids", endpoints: 400, perSecond: 1500, weighted: true, regroups: true, change: func(s *gingerlead.Settings) {
+		s.Instances, s.Ordinal = 15, 4
+	}},
+	{name: "bounded", endpoints: 500, perSecond: 2000, regroups: true, change: func(s *gingerlead.Settings) {
+		s.Instances, s.Ordinal, s.SubsetMost = 5, 1, 80
+	}},
+	{name: "strained", endpoints: 3, perSecond: 60, change: func(s *gingerlead.Settings) {
+		s.Instances, s.Ordinal = 30, 29
+	}},
+	{name: "inner-tier", endpoints: 12, perSecond: 1200, reports: true, change: func(s *gingerlead.Settings) {
+		s.Stage, s.Tiers, s.MayCancel, s.SecondCopies, s.MaxAttempts = 1, 3, false, true, 0
+	}},
+	{name: "leaving", endpoints: 6, perSecond: 500, leaves: true, change: func(s *gingerlead.Settings) {
+		s.MaxRetryAfter = 5 * time.Second
+	}},
+}
+
+func goldenSettings(change func(*gingerlead.Settings)) gingerlead.Settings {
+	class := func(name string, effect gingerlead.Effect, scope gingerlead.Scope, worth float64) gingerlead.Class {
+		return gingerlead.Class{Name: name, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: worth, LateWorth: 0.2 * worth,
+			Effect: effect, Scope: scope, Window: 3 * time.Second}
+	}
+	read, zoned := class("read", gingerlead.Safe, "", 1), class("zoned", gingerlead.Keyed, gingerlead.ScopeZone, 2)
+	read.LateWorth, read.Stream = 0, true
+	s := gingerlead.Settings{
+		Instances: 1, Quantum: 2 * time.Millisecond, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond,
+		MaxRetryAfter: 3 * time.Second, ColdFrom: 0.2, Cold: 4 * time.Second, TipMultiple: 3, Fall: time.Second, AskEvery: 5 * time.Second,
+		GoalWhole: 1,
+		Classes: []gingerlead.Class{read, class("pay", gingerlead.Unsafe, "", 5), class("book", gingerlead.Keyed, gingerlead.ScopeCell, 2),
+			zoned, class("anywhere", gingerlead.Keyed, gingerlead.ScopeAll, 1)},
+	}
+	change(&s)
+	return s
+}
+
+// player brings random events to a balancer.
+type player struct {
+	*trace
+	scenario
+	t   *testing.T
+	b   *gingerlead.Balancer
+	set gingerlead.Settings
+	n   int // requests so far
+}
+
+func (p *player) entry(id int) gingerlead.Entry {
+	e := gingerlead.Entry{Endpoint: gingerlead.EndpointID(id), Zone: id % 3, Kind: id % 4, Cell: id / 2, Weight: 1}
+	if p.weighted {
+		e.Weight = float64(1 + id%5)
+	}
+	return e
+}
+
+func (p *player) list(kind gingerlead.ListKind) {
+	l := gingerlead.List{Kind: kind, Version: uint64(p.n)}
+	for id := 1; id <= p.endpoints; id++ {
+		l.Entries = append(l.Entries, p.entry(id))
+	}
+	p.b.Targets(p.now, l)
+}
+
+func (p *player) delta() {
+	l := gingerlead.List{Kind: gingerlead.Delta, Version: uint64(p.n)}
+	for range 1 + p.rng.IntN(4) {
+		e := p.entry(1 + p.rng.IntN(p.endpoints))
+		e.State = []gingerlead.State{gingerlead.Ready, gingerlead.Ready, gingerlead.Ready, gingerlead.Draining, gingerlead.Gone}[p.rng.IntN(5)]
+		if p.rng.IntN(2) == 0 {
+			e.Started = p.now - time.Duration(p.rng.IntN(5000))*time.Millisecond
+		}
+		l.Entries = append(l.Entries, e)
+	}
+	p.b.Targets(p.now, l)
+}
+
+func (p *player) request() {
+	p.n++
+	q := gingerlead.Request{ID: gingerlead.RequestID(fmt.Sprint("r", p.n)), Class: p.rng.IntN(len(p.set.Classes)), Left: 2 * time.Second,
+		Idle: p.rng.IntN(6), Times: float64(p.rng.IntN(3))}
+	if len(p.set.Tenants) > 0 {
+		q.Tenant = p.rng.IntN(len(p.set.Tenants))
+	}
+	switch p.rng.IntN(12) {
+	case 0:
+		q.Repeat, q.Left = true, time.Duration(1+p.rng.IntN(2000))*time.Millisecond
+	case 1:
+		other := gingerlead.EndpointID(1 + p.rng.IntN(p.endpoints))
+		q.Not, q.Attempts, q.Each = &other, 2, 300*time.Millisecond
+	case 2:
+		id := 1 + p.rng.IntN(p.endpoints)
+		q.Earlier = gingerlead.Earlier{MayRun: true, Zone: id % 3, Cell: id / 2, At: p.now - time.Second}
+	}
+	p.b.Request(p.now, q)
+}
+
+// end brings the outcomes of the calls that have ended by now, in the order in which they were sent.
+func (p *player) end() {
+	for i := 0; i < len(p.open); {
+		if p.open[i].endsAt > p.now {
+			i++
+			continue
+		}
+		c := p.open[i]
+		p.open = slices.Delete(p.open, i, i+1)
+		o := gingerlead.Outcome{ID: c.id, Endpoint: c.to, Attempt: c.attempt, Elapsed: p.now - c.sentAt, Status: c.status,
+			Final: c.status == gingerlead.OK || p.final[c.id], Last: p.rng.IntN(40) == 0}
+		if p.rng.IntN(20) == 0 {
+			o.Pause = time.Duration(p.rng.IntN(100)) * time.Millisecond
+		}
+		if p.reports && p.rng.IntN(2) == 0 {
+			o.Load = &gingerlead.Load{InFlight: -1, Queue: -1, Util: -1, Service: time.Duration(1+p.rng.IntN(8)*int(1+c.to%4)) * time.Millisecond}
+		}
+		p.b.Outcome(p.now, o)
+	}
+}
+
+func (p *player) rare() {
+	switch p.rng.IntN(8) {
+	case 0, 1, 2:
+		p.delta()
+	case 3:
+		p.list([]gingerlead.ListKind{gingerlead.Whole, gingerlead.Cached}[p.rng.IntN(2)])
+	case 4:
+		p.b.Targets(p.now, gingerlead.List{Kind: gingerlead.Failed})
+		p.b.Probed(p.now, gingerlead.Probed{Endpoint: 1})
+		p.b.Told(p.now, 0, []byte("x"))
+	case 5:
+		if len(p.open) > 0 {
+			c := p.open[p.rng.IntN(len(p.open))]
+			p.b.Begun(p.now, c.id, c.attempt, c.to)
+		}
+	case 6:
+		if len(p.open) > 0 {
+			p.b.Lapsed(p.now, p.open[p.rng.IntN(len(p.open))].id)
+		}
+	case 7:
+		if p.regroups {
+			p.regroup()
+		}
+	}
+}
+
+func (p *player) regroup() {
+	g := gingerlead.Group{Instances: max(2, p.set.Instances-2+p.rng.IntN(5))}
+	g.Ordinal, g.Sharing = p.rng.IntN(g.Instances), p.rng.IntN(2*g.Instances)
+	if p.rng.IntN(2) == 0 {
+		for i := range g.Instances {
+			g.Members = append(g.Members, uint64(1000*i))
+		}
+		g.Self = g.Members[g.Ordinal]
+	}
+	if err := p.b.Regroup(p.now, g); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// fire brings the timers that are due, lowest token first.
+func (p *player) fire() {
+	for token := range uint64(2) {
+		if at, ok := p.timers[token]; ok && at <= p.now {
+			delete(p.timers, token)
+			p.b.Timer(p.now, token)
+		}
+	}
+}
+
+// play runs the scenario over some milliseconds.
+func (p *player) play(steps int) {
+	owed := 0.0 // requests
+	for step := range steps {
+		for owed += p.rng.ExpFloat64() * float64(p.perSecond) / 1000; owed >= 1; owed-- {
+			p.request()
+		}
+		p.end()
+		if p.rng.IntN(60) == 0 {
+			p.rare()
+		}
+		if step == steps/3 {
+			if _, err := p.b.AddClass(p.set.Classes[0]); err != nil {
+				p.t.Fatal(err)
+			}
+			p.set.Classes = append(slices.Clone(p.set.Classes), p.set.Classes[0])
+		}
+		if p.leaves && step == steps*4/5 {
+			p.b.Leave(p.now, p.now+time.Duration(steps/6)*time.Millisecond)
+		}
+		p.now += time.Millisecond
+		p.fire()
+	}
+	for id, part := range p.b.Subset() {
+		p.note("subset", id, part, p.b.Isolated(id))
+	}
+}
+
+func TestGoldenDecisions(t *testing.T) {
+	for _, s := range scenarios {
+		t.Run(s.name, func(t *testing.T) {
+			var text strings.Builder
+			for seed := range uint64(3) {
+				p := &player{trace: newTrace(seed), scenario: s, t: t, set: goldenSettings(s.change)}
+				b, err := gingerlead.New(p.set, seed, p.trace)
+				if err != nil {
+					t.Fatal(err)
+				}
+				p.b = b
+				p.list(gingerlead.Cached)
+				p.play(8000)
+				fmt.Fprintf(&text, "seed %d: %d requests, %v\n%x\n", seed, p.n, p.counts, p.digest.Sum(nil))
+				text.WriteString(strings.Join(p.first, ""))
+			}
+			golden.Text(t, "decisions-"+s.name+".txt", []byte(text.String()))
+		})
+	}
+}
+
+// silent is a Host that notes the endpoint of the last send alone, without an allocation.
+type silent struct{ to gingerlead.EndpointID }
+
+func (h *silent) Send(_ gingerlead.RequestID, to gingerlead.EndpointID, _ time.Duration) { h.to = to }
+func (h *silent) Refuse(gingerlead.RequestID, time.Duration)                             {}
+func (h *silent) Fail(gingerlead.RequestID)                                              {}
+func (h *silent) Cancel(gingerlead.RequestID, int)                                       {}
+func (h *silent) SetTimer(uint64, time.Duration)                                         {}
+func (h *silent) Probe(gingerlead.EndpointID)                                            {}
+func (h *silent) Tell(int, []byte)                                                       {}
+func (h *silent) Watch(bool)                                                             {}
+func (h *silent) Fetch()                                                                 {}
+func (h *silent) CloseIdle(gingerlead.EndpointID)                                        {}
+func (h *silent) Log(string)                                                             {}
+
+// A decision, from a request to its outcome, allocates no more than it did when these bounds were measured.
+func TestDecisionAllocations(t *testing.T) {
+	for _, c := range []struct {
+		endpoints int
+		most      float64 // allocations a decision
+	}{{10, 1}, {100, 1}, {1000, 1}} {
+		t.Run(fmt.Sprint(c.endpoints), func(t *testing.T) {
+			host := &silent{}
+			b, err := gingerlead.New(goldenSettings(func(*gingerlead.Settings) {}), 7, host)
+			if err != nil {
+				t.Fatal(err)
+			}
+			l := gingerlead.List{Kind: gingerlead.Whole, Version: 1}
+			for id := range c.endpoints {
+				l.Entries = append(l.Entries, gingerlead.Entry{Endpoint: gingerlead.EndpointID(id + 1), Cell: id / 2, Weight: 1})
+			}
+			now := time.Second
+			b.Targets(now, l)
+			decide := func() {
+				b.Request(now, gingerlead.Request{ID: "r", Left: 2 * time.Second})
+				b.Outcome(now+time.Millisecond, gingerlead.Outcome{ID: "r", Endpoint: host.to, Final: true, Elapsed: 20 * time.Millisecond})
+				now += time.Millisecond
+				b.Timer(now, 0)
+			}
+			for range 1000 {
+				decide() // buffers grow
+			}
+			if got := testing.AllocsPerRun(2000, decide); got > c.most {
+				t.Errorf("%v allocations a decision, at most %v", got, c.most)
+			} else {
+				t.Logf("%v allocations a decision", got)
+			}
+		})
+	}
+}
+
+// Values that settings files, the simulator's wire and people's tools go by.
+func TestValuesAreData(t *testing.T) {
+	for got, want := range map[any]any{
+		gingerlead.Safe: gingerlead.Effect("safe"), gingerlead.Keyed: gingerlead.Effect("keyed"), gingerlead.Unsafe: gingerlead.Effect("unsafe"),
+		gingerlead.ScopeAll: gingerlead.Scope("all"), gingerlead.ScopeZone: gingerlead.Scope("zone"), gingerlead.ScopeCell: gingerlead.Scope("cell"),
+		gingerlead.OK: gingerlead.Status(0), gingerlead.Error: gingerlead.Status(1), gingerlead.Full: gingerlead.Status(2),
+		gingerlead.Timeout: gingerlead.Status(3), gingerlead.ConnectFailed: gingerlead.Status(4), gingerlead.Reset: gingerlead.Status(5),
+		gingerlead.Cancelled: gingerlead.Status(6), gingerlead.Moot: gingerlead.Status(7), gingerlead.Spoilt: gingerlead.Status(8),
+		gingerlead.Ready: gingerlead.State(0), gingerlead.Draining: gingerlead.State(1), gingerlead.Gone: gingerlead.State(2),
+		gingerlead.Delta: gingerlead.ListKind(0), gingerlead.Whole: gingerlead.ListKind(1),
+		gingerlead.Cached: gingerlead.ListKind(2), gingerlead.Failed: gingerlead.ListKind(3),
+	} {
+		if got != want {
+			t.Errorf("%v, want %v", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/modules/reach/golden_test.go
@@ -0,0 +1,45 @@
+package reach
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+)
+
+// What is tried, and for how long it is not, over random events.
+func TestGoldenCourse(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(3) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		m := Memory{Settings: Settings{Pause: 10 * time.Second, Longest: time.Minute}}
+		var now time.Duration
+		h, tried := sha256.New(), 0
+		for range 3000 {
+			now += time.Duration(rng.IntN(int(2 * time.Second)))
+			address := fmt.Sprint("host", rng.IntN(20))
+			if !m.Try(now, address) {
+				fmt.Fprintln(h, address, "not now")
+				continue
+			}
+			tried++
+			switch rng.IntN(8) {
+			case 0:
+				m.Worked(address)
+			case 1:
+				m.Undecided(address)
+			case 2:
+				m.Forget(address)
+			default:
+				pause, news := m.Failed(now, address)
+				fmt.Fprintln(h, address, pause, news)
+			}
+		}
+		fmt.Fprintf(&text, "seed %d: %d of 3000 tried\n%x\n", seed, tried, h.Sum(nil))
+	}
+	golden.Text(t, "course.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/modules/recall/golden_test.go
@@ -0,0 +1,50 @@
+package recall
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+)
+
+// Entries and their ids are kept on disk: what was written by any version has to be found and read by the next one.
+func TestGoldenEntry(t *testing.T) {
+	e := Entry{Class: "book", Group: Group{Zone: "north", Cell: -3, Endpoint: "box-1"}, Served: true, Keep: 95 * time.Second}
+	golden.Hex(t, "entry.hex", e.Encode())
+	got, err := Decode(golden.Read(t, "entry.hex"), time.Hour, 20*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := e
+	want.At = time.Hour - 75*time.Second
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+
+	small := Entry{Class: "read", Keep: time.Millisecond}
+	golden.Hex(t, "entry-small.hex", small.Encode())
+	got, err = Decode(golden.Read(t, "entry-small.hex"), 0, time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, small) {
+		t.Errorf("got %+v, want %+v", got, small)
+	}
+}
+
+func TestGoldenIDs(t *testing.T) {
+	for _, c := range []struct {
+		file string
+		id   ID
+	}{
+		{"id-keyed.hex", KeyedID("book", "3f9c")},
+		{"id-request.hex", RequestID("pay", "r-17")},
+		{"id-empty.hex", KeyedID("", "")},
+	} {
+		golden.Hex(t, c.file, c.id[:])
+		if got := ID(golden.Read(t, c.file)); got != c.id {
+			t.Errorf("%s: %x, want %x", c.file, got, c.id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/modules/turns/golden_test.go
@@ -0,0 +1,41 @@
+package turns
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+)
+
+// Whose turn it is when, is agreed on by processes of all versions that tell one another nothing.
+func TestGoldenTurns(t *testing.T) {
+	members := []uint64{1, 1 << 20, 99, 12345, 1<<64 - 1}
+	var text strings.Builder
+	for _, c := range []struct {
+		name  string
+		order *Order
+	}{
+		{"named, one actor", New(99, members, 2*time.Second, 1)},
+		{"named, two actors", New(1, members, time.Second, 2)},
+		{"numbered", Numbered(3, 8, 500*time.Millisecond, 1)},
+	} {
+		h := sha256.New()
+		var first []time.Duration
+		for what := range uint64(40) {
+			for at := -3 * time.Second; at < 30*time.Second; at += 370 * time.Millisecond {
+				next, ok := c.order.Next(what, at)
+				fmt.Fprintln(h, c.order.Mine(what, at), next, ok)
+			}
+			next, _ := c.order.Next(what, 0)
+			if len(first) < 6 {
+				first = append(first, next)
+			}
+			fmt.Fprintln(h, c.order.Offset(what, time.Minute))
+		}
+		fmt.Fprintf(&text, "%s: first turns %v\n%x\n", c.name, first, h.Sum(nil))
+	}
+	golden.Text(t, "turns.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/structures/arcs/golden_test.go
@@ -0,0 +1,42 @@
+package arcs
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"strings"
+	"testing"
+
+	"gingerlead/internal/golden"
+)
+
+// Which owner has which item is agreed on by instances that do not talk to one another: it must be the same in every version.
+func TestGoldenShares(t *testing.T) {
+	members := []uint64{0, 7, 1 << 20, 1 << 40, 99, 1<<64 - 1}
+	var text strings.Builder
+	for _, c := range []struct {
+		name  string
+		share Share
+	}{
+		{"first of 10, 3 copies", Share{Owner: 0, Owners: 10, Copies: 3}},
+		{"last of 10, 3 copies", Share{Owner: 9, Owners: 10, Copies: 3}},
+		{"third of 7, 2.5 copies", Share{Owner: 2, Owners: 7, Copies: 2.5}},
+		{"third of 7, 2.5 copies, twice as wide", Share{Owner: 2, Owners: 7, Copies: 2.5, Wide: 2}},
+		{"all", Share{Owner: 1, Owners: 3, Copies: 3}},
+		{"group", Share{Owners: 6, Copies: 2, Group: NewGroup(99, members)}},
+		{"group, parts of copies, wide", Share{Owners: 6, Copies: 1.5, Wide: 2, Group: NewGroup(7, members)}},
+		{"group without itself", Share{Owners: 6, Copies: 1, Group: NewGroup(8, members)}},
+	} {
+		h, n := sha256.New(), 0
+		var first []uint32
+		for id := range uint32(5000) {
+			if c.share.Has(id) {
+				fmt.Fprintln(h, id)
+				if n++; n <= 8 {
+					first = append(first, id)
+				}
+			}
+		}
+		fmt.Fprintf(&text, "%s: %d of 5000, first %v\n%x\n", c.name, n, first, h.Sum(nil))
+	}
+	golden.Text(t, "shares.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/structures/rendezvous/golden_test.go
@@ -0,0 +1,28 @@
+package rendezvous
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"strings"
+	"testing"
+
+	"gingerlead/internal/golden"
+)
+
+// The order of members for an item is agreed on by processes of all versions.
+func TestGoldenOrder(t *testing.T) {
+	var text strings.Builder
+	for _, x := range []uint64{0, 1, 2, 1 << 32, 1<<64 - 1} {
+		fmt.Fprintf(&text, "mix %d: %d\n", x, Mix(x))
+	}
+	members := []uint64{5, 3, 3, 1 << 50, 77, 0}
+	for _, self := range []uint64{5, 77, 78} {
+		r := New(self, members)
+		h := sha256.New()
+		for item := range uint64(2000) {
+			fmt.Fprintln(h, r.Place(Mix(item)), r.Among(Mix(item), 2))
+		}
+		fmt.Fprintf(&text, "member %d of %d\n%x\n", self, r.Len(), h.Sum(nil))
+	}
+	golden.Text(t, "order.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/structures/throttle/golden_test.go
@@ -0,0 +1,37 @@
+package throttle
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerlead/internal/golden"
+)
+
+// When attempts are allowed over random events.
+func TestGoldenCourse(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(3) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		var x Throttle
+		var now time.Duration
+		h, open := sha256.New(), 0
+		for range 3000 {
+			now += time.Duration(rng.IntN(int(time.Second)))
+			x.Bound(now, rng.Float64(), 4, 1+10*rng.Float64())
+			if x.Open() {
+				open++
+				x.Sent()
+			}
+			if rng.IntN(3) == 0 {
+				x.Ran(rng.Float64())
+			}
+			fmt.Fprintln(h, x.Open())
+		}
+		fmt.Fprintf(&text, "seed %d: %d of 3000 allowed\n%x\n", seed, open, h.Sum(nil))
+	}
+	golden.Text(t, "course.txt", []byte(text.String()))
+}
