--- a/golden_test.go
+++ b/golden_test.go
@@ -346,6 +346,7 @@
 func TestGoldenDecisions(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
+			t.Parallel()
 			var text strings.Builder
 			for seed := range uint64(3) {
 				p := &player{trace: newTrace(seed), scenario: s, t: t, set: goldenSettings(s.change)}
