--- /dev/null
+++ b/internal/mesh/assembly/golden_test.go
@@ -0,0 +1,246 @@
+package assembly
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/agent"
+	"gingerlead/internal/mesh/control/configuration"
+	"gingerlead/internal/mesh/control/consensus"
+	"gingerlead/internal/mesh/control/controlplane"
+	"gingerlead/internal/mesh/discovery/membership"
+	"gingerlead/internal/mesh/operations/settings"
+	"gingerlead/internal/mesh/transport"
+)
+
+// httpCall is a call of a platform, an operator, an endpoint or a tool.
+type httpCall struct {
+	method, path string
+	headers      []string // "Name: value"
+	body         string
+}
+
+// answersTo notes each call and its answer: the status, the headers that callers read, and the body.
+func answersTo(h http.Handler, calls ...httpCall) []byte {
+	var text bytes.Buffer
+	for _, x := range calls {
+		fmt.Fprintf(&text, "> %s %s\n", x.method, x.path)
+		q := httptest.NewRequest(x.method, x.path, strings.NewReader(x.body))
+		for _, header := range x.headers {
+			fmt.Fprintf(&text, "> %s\n", header)
+			name, value, _ := strings.Cut(header, ": ")
+			q.Header.Set(name, value)
+		}
+		switch {
+		case len(x.body) > 4<<10:
+			fmt.Fprintf(&text, "> (%d bytes)\n", len(x.body))
+		case x.body != "":
+			fmt.Fprintf(&text, "> %s\n", x.body)
+		}
+		w := httptest.NewRecorder()
+		h.ServeHTTP(w, q)
+		fmt.Fprintf(&text, "< %d\n", w.Code)
+		for _, name := range []string{"Allow", "Content-Type", "Retry-After"} {
+			if value := w.Header().Get(name); value != "" {
+				fmt.Fprintf(&text, "< %s: %s\n", name, value)
+			}
+		}
+		if body := strings.TrimSuffix(w.Body.String(), "\n"); body != "" {
+			fmt.Fprintf(&text, "< %s\n", strings.ReplaceAll(body, "\n", "\n< "))
+		}
+		text.WriteByte('\n')
+	}
+	return text.Bytes()
+}
+
+const (
+	// goldenConfig is a configuration with one service, one route and one tenant.
+	goldenConfig = `{"configVersion":"r1","routeTable":[{"name":"read","hostName":"shop.example","pathPrefix":"/read/","routeKind":"idempotent",` +
+		`"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}],` +
+		`"serviceTable":[{"name":"desk","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],` +
+		`"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":100000,"headerTimeout":"3000ms","idleTimeout":"15000ms"},` +
+		`"tenantTable":[{"name":"north","accessKeys":["k1"],"priority":1,"ratePerS":500,"burstSize":500}]}`
+	goldenKeepalive = `{"serviceName":"s","address":"127.9.1.1:8103","zone":"z","slotCount":4,"state":"in_service","callSequence":1}`
+)
+
+func TestGoldenReadiness(t *testing.T) {
+	a := startAccess(t)
+	call := httpCall{method: "GET", path: "/readiness"}
+	h := http.HandlerFunc(a.readiness)
+	text := append([]byte("without a configuration\n"), answersTo(h, call)...)
+	conf, err := configuration.Read([]byte(goldenConfig))
+	qt.Assert(t, err, qt.IsNil)
+	a.outbound.Configure(conf)
+	text = append(append(text, "with a configuration\n"...), answersTo(h, call, httpCall{method: "HEAD", path: "/"}, httpCall{method: "POST", path: "/other"})...)
+	a.mu.Lock()
+	a.gone = true
+	a.mu.Unlock()
+	text = append(append(text, "about to end\n"...), answersTo(h, call)...)
+	golden.Text(t, "readiness.txt", text)
+}
+
+// What the control address of a sidecar answers to the endpoint beside it, and to bad input.
+func TestGoldenAccessControl(t *testing.T) {
+	a := startAccess(t)
+	post := func(path, body string) httpCall { return httpCall{method: "POST", path: path, body: body} }
+	golden.Text(t, "access-control.txt", answersTo(a.agent.KeepaliveHandler(a),
+		post("/endpoints/i-1/keepalive", goldenKeepalive),
+		post("/endpoints/i-1/keepalive", strings.Replace(goldenKeepalive, "8103", "9999", 1)),
+		post("/endpoints/i-1/keepalive", `{"serviceName":"","address":"nowhere","slotCount":-1,"state":"elsewhere","coldRemaining":"long"}`),
+		post("/endpoints/i-1/keepalive", `{`),
+		post("/endpoints/i-1/keepalive", strings.Repeat(" ", 16<<10+1)),
+		post("/endpoints/i-1/other", ""),
+		httpCall{method: "GET", path: "/endpoints/i-1/keepalive"},
+		httpCall{method: "GET", path: "/mesh/state"},
+	))
+}
+
+// startCore is a core process that is the only voter, as Core starts it, without the addresses that it would listen on.
+func startCore(t *testing.T) *core {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	own := &settings.Settings{Name: "core-a", IP: "127.9.2.1", Zone: "z", Ports: [2]int{7401, 7401}, Control: "127.9.2.1:8105",
+		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, Folder: t.TempDir()}
+	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.Internal(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	t.Cleanup(hub.Close)
+	c := &core{process: &process{settings: own, hub: hub, log: log}, ready: make(chan struct{})}
+	c.agent = agent.New(agent.Options{Settings: own, Hub: hub, Role: membership.Core, Log: log})
+	c.agent.ServeConsensus(c.serveConsensus)
+	var err error
+	c.server, err = controlplane.Open(controlplane.Options{Self: own.Control, Seeds: own.Seeds, InitialStart: true, Folder: own.Folder,
+		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.Committed(uint64(w.Version), w.Body) }})
+	qt.Assert(t, err, qt.IsNil)
+	t.Cleanup(c.server.Close)
+	c.duties = c.agent.Duties(c.server, true)
+	close(c.ready)
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	go c.agent.Run(ctx)
+	go c.duties.Run(ctx)
+	return c
+}
+
+// awaitState waits until a core process has confirmed its state, holds the singleton lease and has a version of the configuration.
+func awaitState(t *testing.T, h http.Handler, version string) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		w := httptest.NewRecorder()
+		h.ServeHTTP(w, httptest.NewRequest("GET", "/mesh/state", nil))
+		var s agent.State
+		qt.Assert(t, json.Unmarshal(w.Body.Bytes(), &s), qt.IsNil)
+		if s.Confirmed && s.Ready && s.Version == version && len(s.Duties) == 1 && s.Duties[0].Epoch > 0 {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("not within twenty seconds: %s", w.Body)
+		}
+	}
+}
+
+// awaitEvent waits until a core process has an event of a kind in its feed.
+func awaitEvent(t *testing.T, h http.Handler, kind string) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		w := httptest.NewRecorder()
+		h.ServeHTTP(w, httptest.NewRequest("GET", "/events", nil))
+		if strings.Contains(w.Body.String(), `"kind":"`+kind+`"`) {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("no %s within twenty seconds: %s", kind, w.Body)
+		}
+	}
+}
+
+// varying are the parts of answers that no two runs share: ages, what is left of a lease, epochs and times of day.
+var varying = regexp.MustCompile(`("(?:ageMs|leftMs|epoch)":)\d+|("time":)"[^"]*"`)
+
+func withoutVarying(text []byte) []byte { return varying.ReplaceAll(text, []byte(`${1}${2}"varies"`)) }
+
+// What the control address of a core process answers to operators, endpoints and tools, and to bad input.
+func TestGoldenCoreControl(t *testing.T) {
+	c := startCore(t)
+	streams, end := context.WithCancel(context.Background())
+	defer end()
+	h := c.handler(streams)
+	awaitState(t, h, "0")
+	replace := func(base, body string) httpCall {
+		return httpCall{method: "POST", path: "/configuration/replace", headers: []string{"Base-Version: " + base}, body: body}
+	}
+	get := func(path string) httpCall { return httpCall{method: "GET", path: path} }
+	text := answersTo(h,
+		get("/configuration/retrieve"),
+		replace("", goldenConfig),
+		replace("1", goldenConfig),
+		replace("r0", `{`),
+		replace("r0", `{"configVersion":"r0"}`),
+		replace("r0", strings.Replace(goldenConfig, `"desk","maxAttempts"`, `"board","maxAttempts"`, 1)),
+		replace("r0", goldenConfig),
+		replace("r0", goldenConfig),
+		replace("r0", strings.Replace(goldenConfig, `"r1"`, `"r2"`, 1)),
+	)
+	awaitState(t, h, "r1")
+	awaitEvent(t, h, "configuration_in_force")
+	text = append(text, answersTo(h,
+		get("/configuration/retrieve"),
+		get("/configuration/replace"),
+		httpCall{method: "POST", path: "/configuration/retrieve"},
+		get("/configuration/other"),
+		get("/mesh/other"),
+		httpCall{method: "POST", path: "/mesh/state"},
+		httpCall{method: "POST", path: "/events"},
+		get("/events?after=nothing"),
+		get("/events"),
+		httpCall{method: "GET", path: "/events?service=none", headers: []string{"Last-Event-ID: 0-x"}},
+		httpCall{method: "POST", path: "/endpoints/i-9/keepalive", body: `{`},
+		httpCall{method: "POST", path: "/endpoints/i-9/deregister"},
+		get("/other"),
+	)...)
+	golden.Text(t, "core-control.txt", withoutVarying(text))
+}
+
+// The page of state of a core process; tools read it by these names.
+func TestGoldenState(t *testing.T) {
+	const file = "mesh-state.json"
+	state := agent.State{Node: "core-a", Version: "r7", Confirmed: true, Voters: []string{"127.0.0.1:8105"}, Ready: true,
+		Duties:  []agent.DutyState{{Name: "allocator", Holder: "127.0.0.1:7640", Epoch: 3, LeftMs: 1500}, {Name: "idle"}},
+		Members: []agent.MemberState{{Address: "127.0.0.1:7640", Zone: "a", Role: "access", Service: "desk", AgeMs: 20}, {Role: "core"}},
+		Endpoints: []agent.EndpointState{{ID: "i-1", Service: "desk", Zone: "a", State: "in_service", Address: "127.0.0.1:8103",
+			Witness: "127.0.0.1:7640", Slots: 4, LeaseMs: 9000}}}
+	text, err := json.MarshalIndent(state, "", "\t")
+	qt.Assert(t, err, qt.IsNil)
+	golden.Text(t, file, append(text, '\n'))
+	written, err := os.ReadFile(filepath.Join("testdata", "golden", file))
+	qt.Assert(t, err, qt.IsNil)
+	var got agent.State
+	qt.Assert(t, json.Unmarshal(written, &got), qt.IsNil)
+	qt.Assert(t, got, qt.DeepEquals, state)
+}
+
+// The sizes and times by which a process bounds itself; other processes and the platform see their effect.
+func TestBoundsOfAProcess(t *testing.T) {
+	qt.Assert(t, []int{callsMost, bodiesLeast, gcPercent, pastLives}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
+	qt.Assert(t, []float64{bodyShare, heapShare}, qt.DeepEquals, []float64{0.3, 0.6})
+	times := []time.Duration{listenMost, reloadInterval, releaseMost, handOverMost, answerMost, closeMost, drainMost, readinessNotice, answerMargin,
+		exitMargin, shutdownTick}
+	qt.Assert(t, times, qt.DeepEquals, slices.Concat([]time.Duration{2 * time.Second, 5 * time.Second},
+		[]time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, time.Second, 500 * time.Millisecond, 400 * time.Millisecond},
+		[]time.Duration{2400 * time.Millisecond, 900 * time.Millisecond, 250 * time.Millisecond, 20 * time.Millisecond}))
+}
--- /dev/null
+++ b/internal/mesh/transport/golden_test.go
@@ -0,0 +1,220 @@
+package transport
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/binary"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+// goldenClock is the sender's clock in golden frames.
+const goldenClock = 1500 * time.Millisecond
+
+var goldenHello = Hello{Version: version, Life: 0x0102030405060708, Address: "127.0.0.1:7640", Name: "access-0", Zone: "a", Service: "desk"}
+
+func TestNumbersOfFrames(t *testing.T) {
+	numbers := map[string]kind{"hello": helloFrame, "call": callFrame, "reply": replyFrame, "withdraw": withdrawFrame, "ping": pingFrame,
+		"pong": pongFrame, "leaving": leavingFrame}
+	qt.Assert(t, numbers, qt.DeepEquals,
+		map[string]kind{"hello": 1, "call": 2, "reply": 3, "withdraw": 4, "ping": 5, "pong": 6, "leaving": 7})
+	qt.Assert(t, version, qt.Equals, 1)
+	qt.Assert(t, []int{pieceMost, frameMost, messageMost, callsMost}, qt.DeepEquals, []int{16384, 16640, 75497472, 4096})
+}
+
+func TestGoldenFrames(t *testing.T) {
+	for _, x := range []struct {
+		name  string
+		frame envelope
+	}{
+		{"empty.hex", envelope{}},
+		{"every-field.hex", envelope{kind: uint64(callFrame), stream: 300, method: 17, last: true, clock: goldenClock, expires: 3 * time.Second,
+			body: []byte("body")}},
+		{"negative-times.hex", envelope{kind: uint64(callFrame), stream: 1, method: 1, clock: -goldenClock, expires: -time.Second}},
+		{"hello.hex", envelope{kind: uint64(helloFrame), clock: goldenClock, body: codec.Write(nil, &goldenHello)}},
+		{"call.hex", envelope{kind: uint64(callFrame), stream: 1, method: 10, last: true, clock: goldenClock, expires: 2 * time.Second,
+			body: []byte("question")}},
+		{"call-part.hex", envelope{kind: uint64(callFrame), stream: 2, method: 1, clock: goldenClock, body: bytes.Repeat([]byte{0xab}, 300)}},
+		{"reply.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, clock: goldenClock, body: []byte("answer")}},
+		{"reply-empty.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, clock: goldenClock}},
+		{"withdraw.hex", envelope{kind: uint64(withdrawFrame), stream: 2, clock: goldenClock}},
+		{"ping.hex", envelope{kind: uint64(pingFrame), clock: goldenClock}},
+		{"pong.hex", envelope{kind: uint64(pongFrame), clock: goldenClock}},
+		{"leaving.hex", envelope{kind: uint64(leavingFrame), clock: goldenClock}},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			golden.Hex(t, x.name, appendFrame(nil, &x.frame))
+			var got envelope
+			r := bufio.NewReader(bytes.NewReader(golden.Read(t, x.name)))
+			qt.Assert(t, readFrame(r, &got), qt.IsNil)
+			_, err := r.ReadByte()
+			qt.Assert(t, err, qt.Equals, io.EOF)
+			qt.Assert(t, got.body, qt.DeepEquals, x.frame.body)
+			got.body = x.frame.body
+			qt.Assert(t, sameFrame(got, x.frame), qt.IsTrue, qt.Commentf("%+v, wanted %+v", got, x.frame))
+		})
+	}
+}
+
+func sameFrame(a, b envelope) bool {
+	return a.kind == b.kind && a.stream == b.stream && a.method == b.method && a.last == b.last && a.clock == b.clock &&
+		a.expires == b.expires && bytes.Equal(a.body, b.body)
+}
+
+func TestGoldenHello(t *testing.T) {
+	for _, x := range []struct {
+		name  string
+		hello Hello
+	}{{"message-hello.hex", goldenHello}, {"message-hello-least.hex", Hello{Version: version, Life: 1, Address: "127.0.0.1:7640"}}} {
+		t.Run(x.name, func(t *testing.T) {
+			golden.Hex(t, x.name, codec.Write(nil, &x.hello))
+			var got Hello
+			qt.Assert(t, codec.Read(golden.Read(t, x.name), &got), qt.IsNil)
+			qt.Assert(t, got, qt.Equals, x.hello)
+		})
+	}
+}
+
+// rawPeer is the other end of a link, byte by byte. It notes what it reads, with each frame's clock at goldenClock; all else is as it
+// came over TCP.
+type rawPeer struct {
+	*qt.C
+	conn net.Conn
+	r    *bufio.Reader
+	read []byte
+}
+
+func newRawPeer(t *testing.T, conn net.Conn) *rawPeer {
+	t.Helper()
+	t.Cleanup(func() { conn.Close() })
+	qt.Assert(t, conn.SetDeadline(time.Now().Add(20*time.Second)), qt.IsNil)
+	return &rawPeer{C: qt.New(t), conn: conn, r: bufio.NewReader(conn)}
+}
+
+func (p *rawPeer) send(data []byte) {
+	p.Helper()
+	_, err := p.conn.Write(data)
+	p.Assert(err, qt.IsNil)
+}
+
+// next reads a frame, other than the pings of a slow machine, and notes it.
+func (p *rawPeer) next() envelope {
+	p.Helper()
+	for {
+		var head [4]byte
+		_, err := io.ReadFull(p.r, head[:])
+		p.Assert(err, qt.IsNil)
+		data := append(head[:], make([]byte, binary.BigEndian.Uint32(head[:]))...)
+		_, err = io.ReadFull(p.r, data[4:])
+		p.Assert(err, qt.IsNil)
+		var e envelope
+		p.Assert(codec.Read(data[4:], &e), qt.IsNil)
+		p.Assert(appendFrame(nil, &e), qt.DeepEquals, data)
+		if e.kind == uint64(pingFrame) {
+			continue
+		}
+		e.clock = goldenClock
+		p.read = appendFrame(p.read, &e)
+		return e
+	}
+}
+
+// goldenHub is one that greets with goldenHello.
+func goldenHub(t *testing.T) *Hub {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	h := NewHub(goldenHello, time.Now(), 8<<20, log)
+	t.Cleanup(h.Close)
+	return h
+}
+
+// What a hub that was dialled sends on its connection: its greeting, replies, a pong, and that it leaves.
+func TestGoldenAcceptedLink(t *testing.T) {
+	far := goldenHub(t)
+	n, err := net.Listen("tcp4", "127.0.0.1:0")
+	qt.Assert(t, err, qt.IsNil)
+	go far.Listen(n)
+	Handle(far, 1, func(_ context.Context, from *Hello, l *line) *line { return &line{from.Name + " " + l.Text} })
+	withdrawn := make(chan struct{})
+	far.Serve(2, func(c *IncomingCall) {
+		c.OnWithdrawn(func() {
+			c.AnswerBytes([]byte("withdrawn"))
+			close(withdrawn)
+		})
+	})
+	conn, err := net.Dial("tcp4", n.Addr().String())
+	qt.Assert(t, err, qt.IsNil)
+	p := newRawPeer(t, conn)
+	p.send(golden.Read(t, "hello.hex"))
+	p.next()
+	question := codec.Write(nil, &line{"question"})
+	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, body: question[:3]}))
+	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: question[3:]}))
+	p.next()
+	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 2, method: 2, last: true}))
+	p.send(golden.Read(t, "withdraw.hex"))
+	p.next()
+	<-withdrawn
+	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 3, method: 99, last: true}))
+	p.next()
+	p.send(golden.Read(t, "ping.hex"))
+	p.next()
+	p.send(appendFrame(nil, &envelope{kind: 99, stream: 4})) // of a later version: passed over
+	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 5, method: 1, last: true, body: codec.Write(nil, &line{"again"})}))
+	p.next()
+	drained := make(chan struct{})
+	go func() {
+		defer close(drained)
+		far.Drain(far.Now() + 20*time.Second)
+	}()
+	p.next()
+	p.conn.Close()
+	<-drained
+	golden.Hex(t, "accepted-link.hex", p.read)
+}
+
+// What a hub that dials sends: its greeting, calls in one frame and in several, and that it gives one up.
+func TestGoldenDialledLink(t *testing.T) {
+	near := goldenHub(t)
+	n, err := net.Listen("tcp4", "127.0.0.1:0")
+	qt.Assert(t, err, qt.IsNil)
+	defer n.Close()
+	type result struct {
+		body []byte
+		err  error
+	}
+	ends := make(chan result, 2)
+	done := func(body []byte, err error) { ends <- result{body, err} }
+	near.Send(n.Addr().String(), 10, []byte("question"), 2*time.Second, done)
+	conn, err := n.Accept()
+	qt.Assert(t, err, qt.IsNil)
+	p := newRawPeer(t, conn)
+	p.next() // no call goes out before the peer has greeted
+	p.send(golden.Read(t, "hello.hex"))
+	p.next()
+	p.send(golden.Read(t, "reply.hex"))
+	first := <-ends
+	p.Assert(first.err, qt.IsNil)
+	p.Assert(string(first.body), qt.Equals, "answer")
+	call := near.Send(n.Addr().String(), 1, bytes.Repeat([]byte{0xab}, pieceMost+100), 0, done)
+	p.Assert(p.next().body, qt.HasLen, pieceMost)
+	p.Assert(p.next().body, qt.HasLen, 100)
+	call.Withdraw()
+	p.next()
+	p.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, body: []byte("half")}))
+	p.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, last: true, body: []byte(" and half")}))
+	second := <-ends
+	p.Assert(second.err, qt.IsNil)
+	p.Assert(string(second.body), qt.Equals, "half and half")
+	golden.Hex(t, "dialled-link.hex", p.read)
+}
