--- a/internal/mesh/dataplane/inbound/endpoint.go
+++ b/internal/mesh/dataplane/inbound/endpoint.go
@@ -81,11 +81,11 @@
 			buf = append(append(append(append(buf, name...), ": "...), value...), "\r\n"...)
 		}
 	}
-	add("Attempt-Id", p.Attempt)
-	add("Target-Endpoint", p.Endpoint)
-	add("Calling-Service", p.Caller)
-	add("Subscriber-Id", p.Subscriber)
-	buf = fmt.Appendf(buf, "Time-Remaining: %d\r\n", max(left.Milliseconds(), 1))
+	add(HeaderAttemptID, p.Attempt)
+	add(HeaderTargetEndpoint, p.Endpoint)
+	add(HeaderCallingService, p.Caller)
+	add(HeaderSubscriberID, p.Subscriber)
+	buf = fmt.Appendf(buf, HeaderTimeRemaining+": %d\r\n", max(left.Milliseconds(), 1))
 	if p.HasBody || len(p.Body) > 0 {
 		buf = fmt.Appendf(buf, "Content-Length: %d\r\n", len(p.Body))
 	}
@@ -135,7 +135,7 @@
 		if err != nil {
 			return nil, nil, outcome.Spoilt
 		}
-		id := resp.Header.Get("Attempt-Id")
+		id := resp.Header.Get(HeaderAttemptID)
 		if id == p.Attempt {
 			return resp, body, 0
 		}
@@ -153,7 +153,7 @@
 
 // saysNotRun tells whether an answer says that the endpoint has not run the request.
 func saysNotRun(resp *http.Response) bool {
-	return resp.Header.Get("Not-Executed") != "" || resp.StatusCode == http.StatusMisdirectedRequest
+	return resp.Header.Get(HeaderNotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
 // isBroken tells a connection that broke from bytes that are no answer.
@@ -190,14 +190,14 @@
 	h := resp.Header
 	o.Status = resp.StatusCode
 	switch {
-	case h.Get("Not-Executed") != "":
+	case h.Get(HeaderNotExecuted) != "":
 		o.Kind = outcome.TurnedAway
 		o.Back = retryAfter(h.Get("Retry-After"))
 		return
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		o.Kind = outcome.Mistaken
 		return
-	case resp.StatusCode/100 == 2 && (h.Get("Endpoint-Seal") == "" || h.Get("Content-Encoding") != ""):
+	case resp.StatusCode/100 == 2 && (h.Get(HeaderEndpointSeal) == "" || h.Get("Content-Encoding") != ""):
 		o.Kind = outcome.Spoilt
 		return
 	case resp.StatusCode == 429 || resp.StatusCode == 503 || resp.StatusCode == 408:
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -30,8 +30,9 @@
 }
 
 // own are headers that the system alone sets, whatever a client sent.
-var own = map[string]bool{"Key": true, "Attempt-Id": true, "Time-Remaining": true, "Target-Endpoint": true,
-	"Subscriber-Id": true, "Calling-Service": true, "Host": true, "Base-Version": true, "Not-Executed": true}
+var own = map[string]bool{inbound.HeaderKey: true, inbound.HeaderAttemptID: true, inbound.HeaderTimeRemaining: true,
+	inbound.HeaderTargetEndpoint: true, inbound.HeaderSubscriberID: true, inbound.HeaderCallingService: true, "Host": true,
+	inbound.HeaderBaseVersion: true, inbound.HeaderNotExecuted: true}
 
 // serve takes one request from its head to its answer, and what comes of its body after that.
 func (d *Proxy) serve(w http.ResponseWriter, q *http.Request) {
@@ -118,16 +119,16 @@
 	}
 	p := &r.forward
 	p.Inner = isCall(conf, q)
-	r.setTimes(now, q.Header.Get("Time-Remaining"))
+	r.setTimes(now, q.Header.Get(inbound.HeaderTimeRemaining))
 	if kind := d.fitBeforeEnd(r, now); kind != 0 {
 		return r, kind
 	}
 	p.Priority, p.Route = r.route.Priority, r.route.Name
-	tenant, kind := findTenant(conf, r.route, q.Header["Key"])
+	tenant, kind := findTenant(conf, r.route, q.Header[inbound.HeaderKey])
 	if kind != 0 {
 		return r, kind
 	}
-	ids := q.Header["Attempt-Id"]
+	ids := q.Header[inbound.HeaderAttemptID]
 	if len(ids) != 1 || ids[0] == "" {
 		return r, outcome.Malformed
 	}
@@ -146,7 +147,7 @@
 
 // isCall tells whether a request is a call of an endpoint, amid a request that it works on: those carry no tenant's key.
 func isCall(conf *configuration.Config, q *http.Request) bool {
-	return conf.Keyed && len(q.Header["Key"]) == 0
+	return conf.Keyed && len(q.Header[inbound.HeaderKey]) == 0
 }
 
 // findTenant returns the tenant that holds a request's key; nil where the request needs none.
