--- /dev/null
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -0,0 +1,161 @@
+package inbound
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/dataplane/outcome"
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+func goldenRequest() ForwardRequest {
+	return ForwardRequest{Endpoint: "shop-3.7f", Service: "shop", Method: "POST", URI: "/p/item?x=1&y=%20", Host: "shop.example",
+		Header: []string{"Accept", "text/plain", "X-Empty", "", "Accept", "*/*"}, Body: []byte{0, 1, 'b', 0xff}, HasBody: true,
+		Attempt: "a-1", Caller: "front", Subscriber: "north", Priority: -2, Inner: true, Repeatable: true,
+		Aim: 450 * time.Millisecond, Left: 1999999999, Route: "read"}
+}
+
+func goldenOutcome() Outcome {
+	return Outcome{Kind: outcome.TurnedAway, Status: 503, Header: []string{"Content-Type", "text/plain", "X-Empty", ""},
+		Body: []byte("full\x00\xfe"), Work: 12345678, Slots: 8, Running: 7, Waiting: 3, Back: 250 * time.Millisecond, Arrived: true}
+}
+
+// Both messages, each of their fields set, written and read back.
+func TestGoldenMessages(t *testing.T) {
+	request, out := goldenRequest(), goldenOutcome()
+	golden.Hex(t, "forward_request.hex", codec.Write(nil, &request))
+	golden.Hex(t, "outcome.hex", codec.Write(nil, &out))
+	golden.Hex(t, "forward_request_zero.hex", codec.Write(nil, &ForwardRequest{}))
+	golden.Hex(t, "outcome_zero.hex", codec.Write(nil, &Outcome{}))
+
+	var readRequest ForwardRequest
+	qt.Assert(t, codec.Read(golden.Read(t, "forward_request.hex"), &readRequest), qt.IsNil)
+	qt.Check(t, readRequest, qt.DeepEquals, request)
+	var readOutcome Outcome
+	qt.Assert(t, codec.Read(golden.Read(t, "outcome.hex"), &readOutcome), qt.IsNil)
+	qt.Check(t, readOutcome, qt.DeepEquals, out)
+}
+
+// Names and numbers that other processes rely on.
+func TestGoldenNames(t *testing.T) {
+	qt.Check(t, MethodForward, qt.Equals, 1)
+	qt.Check(t, []string{HeaderAttemptID, HeaderTargetEndpoint, HeaderCallingService, HeaderSubscriberID, HeaderTimeRemaining,
+		HeaderNotExecuted, HeaderEndpointSeal, HeaderAnsweringEndpoint, HeaderKey, HeaderBaseVersion}, qt.DeepEquals,
+		[]string{"Attempt-Id", "Target-Endpoint", "Calling-Service", "Subscriber-Id", "Time-Remaining",
+			"Not-Executed", "Endpoint-Seal", "Answering-Endpoint", "Key", "Base-Version"})
+	var hop []string
+	for name, is := range HopHeaders {
+		qt.Check(t, is, qt.IsTrue)
+		hop = append(hop, name)
+	}
+	slices.Sort(hop)
+	golden.Text(t, "hop_headers.txt", []byte(strings.Join(hop, "\n")+"\n"))
+}
+
+// What goes out to an endpoint, byte by byte; net/http reads the same.
+func TestGoldenRequestToTheEndpoint(t *testing.T) {
+	full := goldenRequest()
+	bare := ForwardRequest{Endpoint: "e", Method: "GET", URI: "/", Host: "h", Attempt: "a", HasBody: true}
+	bodiless := ForwardRequest{Method: "GET", URI: "/", Host: "h", Attempt: "a", Header: []string{"odd"}}
+	golden.Hex(t, "endpoint_request.hex", appendRequest(nil, &full, 1234567*time.Microsecond))
+	golden.Hex(t, "endpoint_request_empty_body.hex", appendRequest([]byte("before "), &bare, 0))
+	golden.Hex(t, "endpoint_request_no_body.hex", appendRequest(nil, &bodiless, time.Minute))
+	q, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(appendRequest(nil, &full, time.Second))))
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, q.Header.Get(HeaderAttemptID), qt.Equals, full.Attempt)
+	qt.Check(t, q.Header["Accept"], qt.DeepEquals, []string{"text/plain", "*/*"})
+	qt.Check(t, q.ContentLength, qt.Equals, int64(4))
+}
+
+// What each answer of an endpoint is taken for.
+func TestGoldenJudgements(t *testing.T) {
+	const seal = "Attempt-Id: a-1\r\nEndpoint-Seal: s\r\n"
+	var text strings.Builder
+	for _, method := range []string{"GET", "HEAD"} {
+		for _, answer := range []string{
+			"200 OK\r\n" + seal + "Content-Length: 2\r\nX-B: 2\r\nConnection: keep-alive\r\nKeep-Alive: timeout=5\r\n",
+			"200 OK\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"204 No Content\r\n" + seal,
+			"206 Partial Content\r\n" + seal + "Content-Encoding: gzip\r\nContent-Length: 2\r\n",
+			"302 Found\r\nAttempt-Id: a-1\r\nLocation: /x\r\nContent-Length: 2\r\n",
+			"404 Not Found\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"408 Late\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"421 Misdirected\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"429 Many\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"429 Many\r\nAttempt-Id: a-1\r\nNot-Executed: 1\r\nRetry-After: 1.5\r\nContent-Length: 2\r\n",
+			"500 Oops\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"503 Full\r\nAttempt-Id: a-1\r\nContent-Length: 2\r\n",
+			"503 Full\r\nAttempt-Id: a-1\r\nNot-Executed: 1\r\nRetry-After: soon\r\nContent-Length: 2\r\n",
+			"503 Full\r\nNot-Executed: 1\r\nRetry-After: 3601\r\nContent-Length: 2\r\n",
+			"200 OK\r\nEndpoint-Seal: s\r\nContent-Length: 2\r\n",
+			"200 OK\r\nAttempt-Id: other\r\nEndpoint-Seal: s\r\nContent-Length: 2\r\n",
+		} {
+			raw := "HTTP/1.1 " + answer + "\r\n"
+			if method == "GET" && !strings.HasPrefix(answer, "204") {
+				raw += "ok"
+			}
+			c := &connection{r: bufio.NewReader(strings.NewReader(raw))}
+			request := ForwardRequest{Method: method, Attempt: "a-1"}
+			status, _, _ := strings.Cut(answer, "\r\n")
+			resp, body, kind := readAnswer(c, &request)
+			if kind != 0 {
+				fmt.Fprintf(&text, "%s %s: %s\n", method, status, kind)
+				continue
+			}
+			var o Outcome
+			judge(&o, &request, resp, body)
+			c.keep(resp, time.Second)
+			var header []string
+			for i := 0; i < len(o.Header); i += 2 {
+				header = append(header, o.Header[i]+": "+o.Header[i+1])
+			}
+			slices.Sort(header)
+			fmt.Fprintf(&text, "%s %s: %s, status %d, back %v, body %q, header %q, kept until %v, closes %t\n", method, status, o.Kind, o.Status,
+				o.Back, o.Body, header, c.until, c.broken)
+		}
+	}
+	golden.Text(t, "judgements.txt", []byte(text.String()))
+}
+
+// The allocations of writing a request to an endpoint, and of both messages between sidecars. The race detector
+// empties the pools of fmt at random, so it adds some to the first.
+func TestAllocations(t *testing.T) {
+	request, out := goldenRequest(), goldenOutcome()
+	room := make([]byte, 0, 1024)
+	requestBytes, outBytes := codec.Write(nil, &request), codec.Write(nil, &out)
+	for _, x := range []struct {
+		name       string
+		most, race float64
+		f          func()
+	}{
+		{"request to the endpoint", 7, 12, func() { appendRequest(nil, &request, time.Second) }},
+		{"request to the endpoint, with room", 4, 9, func() { appendRequest(room, &request, time.Second) }},
+		{"writes a forward request", 18, 18, func() { codec.Write(nil, &request) }},
+		{"writes an outcome", 12, 12, func() { codec.Write(nil, &out) }},
+		{"reads a forward request", 33, 33, func() {
+			var p ForwardRequest
+			_ = codec.Read(requestBytes, &p)
+		}},
+		{"reads an outcome", 17, 17, func() {
+			var o Outcome
+			_ = codec.Read(outBytes, &o)
+		}},
+	} {
+		most := x.most
+		if raceDetector {
+			most = x.race
+		}
+		if n := testing.AllocsPerRun(1000, x.f); n > most {
+			t.Errorf("%s: %v allocations, want %v at most", x.name, n, most)
+		}
+	}
+}
--- /dev/null
+++ b/internal/mesh/dataplane/inbound/race_test.go
@@ -0,0 +1,5 @@
+//go:build race
+
+package inbound
+
+const raceDetector = true
