--- /dev/null
+++ b/internal/mesh/discovery/golden_test.go
@@ -0,0 +1,209 @@
+package discovery
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+// An endpoint, all of whose fields are set, is the bytes that other versions send, in both directions.
+func TestGoldenEndpoint(t *testing.T) {
+	for name, value := range map[string]Endpoint{
+		"endpoint.hex": {
+			ID: "checkout-7", Service: "checkout", Host: "10.1.2.3:7400", HostLife: 0x0123456789abcdef, App: "10.1.2.3:8080",
+			Zone: "zone-a", Slots: 12, State: Crashed, Cold: 2500 * time.Millisecond, Sequence: 4711, Edition: 12, Lease: 9*time.Second + 1,
+		},
+		"endpoint-empty.hex": {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			golden.Hex(t, name, codec.Write(nil, &value))
+			var read Endpoint
+			qt.Assert(t, codec.Read(golden.Read(t, name), &read), qt.IsNil)
+			qt.Check(t, read, qt.DeepEquals, value)
+		})
+	}
+}
+
+// The states are numbers on the wire; one that a newer version may add is read as the worst.
+func TestGoldenStates(t *testing.T) {
+	qt.Check(t, []State{Serving, Draining, Crashed, Gone}, qt.DeepEquals, []State{0, 1, 2, 3})
+	read := Endpoint{}
+	qt.Assert(t, codec.Read(codec.Write(nil, &Endpoint{State: Gone}), &read), qt.IsNil)
+	qt.Check(t, read.State, qt.Equals, Gone)
+	qt.Assert(t, codec.Read([]byte{8 << 3, 100}, &read), qt.IsNil)
+	qt.Check(t, read.State, qt.Equals, Gone)
+}
+
+// schedule plays a publisher for each of three sidecars, a registry at each of three homes and a subscriber, on drawn events, and
+// takes a digest of all that they give, in order.
+type schedule struct {
+	rng         *rand.Rand
+	now         time.Duration
+	sum         hash.Hash
+	homes       []string
+	registries  map[string]*Registry
+	subscribers map[string]*Subscribers
+	here        *Registry
+	asks        *Subscription
+	publishers  []*Publisher
+	newest      []Endpoint
+	pausedUntil []time.Duration // no publisher sends before its time
+	sends       int
+	changes     int
+}
+
+const scheduleService = "s"
+
+func newSchedule(seed uint64) *schedule {
+	s := &schedule{
+		rng: rand.New(rand.NewPCG(seed, 7)), sum: sha256.New(), homes: []string{"home-a", "home-b", "home-c"},
+		registries: map[string]*Registry{}, subscribers: map[string]*Subscribers{}, here: New(Bounds{}), asks: NewSubscription(Bounds{}),
+	}
+	var homes []Home
+	for i, h := range s.homes {
+		s.registries[h], s.subscribers[h] = New(Bounds{Tombs: 20}), NewSubscribers(Bounds{})
+		homes = append(homes, Home{Address: h, Life: uint64(i + 1)})
+	}
+	s.asks.Want(0, scheduleService, homes)
+	for i := range 3 {
+		s.publishers = append(s.publishers, NewPublisher(Bounds{}))
+		s.newest = append(s.newest, Endpoint{})
+		s.pausedUntil = append(s.pausedUntil, 0)
+		s.publishers[i].Targets(0, s.homes[:2])
+		s.restart(i)
+	}
+	return s
+}
+
+func (s *schedule) note(what string, values ...any) { fmt.Fprintln(s.sum, s.now, what, values) }
+
+func (s *schedule) noteEndpoints(what string, all []Endpoint) {
+	for i := range all {
+		s.note(what, codec.Write(nil, &all[i]))
+	}
+}
+
+// restart begins a new life of an endpoint.
+func (s *schedule) restart(i int) {
+	s.newest[i] = Endpoint{
+		ID: fmt.Sprintf("%d-%x", i, s.rng.Uint64()), Service: scheduleService, Host: fmt.Sprintf("10.0.0.%d:1", i), HostLife: uint64(i / 2),
+		App: fmt.Sprintf("10.0.0.%d:8080", i/2), Zone: "z", Slots: 1 + s.rng.IntN(8), Cold: time.Duration(s.rng.IntN(3000)) * time.Millisecond,
+		Sequence: 1,
+	}
+	s.publishers[i].Set(s.now, s.newest[i])
+}
+
+// event draws what happens to one sidecar.
+func (s *schedule) event() {
+	i := s.rng.IntN(len(s.publishers))
+	p, e := s.publishers[i], &s.newest[i]
+	home := s.homes[s.rng.IntN(len(s.homes))]
+	switch s.rng.IntN(16) {
+	case 0:
+		s.restart(i)
+	case 1:
+		p.End(s.now, e.ID, Crashed)
+	case 2:
+		p.End(s.now, e.ID, Gone)
+	case 3:
+		e.Sequence++
+		e.State = Draining
+		p.Set(s.now, *e)
+	case 4:
+		p.Forget(home)
+		s.asks.Lost(s.now, home)
+		s.subscribers[home].Lost("caller")
+	case 5:
+		p.Targets(s.now, s.homes[:1+s.rng.IntN(3)])
+	case 6:
+		s.now += time.Duration(s.rng.IntN(12)) * time.Second
+	case 7:
+		s.pausedUntil[i] = s.now + time.Duration(s.rng.IntN(20))*time.Second
+	default:
+		e.Sequence++
+		e.State, e.Slots = Serving, 1+s.rng.IntN(2)
+		p.Set(s.now, *e)
+	}
+}
+
+// deliver sends what is due, loses some of it and some of the answers.
+func (s *schedule) deliver() {
+	for i, p := range s.publishers {
+		if s.now < s.pausedUntil[i] {
+			continue
+		}
+		for _, due := range p.Tick(s.now) {
+			s.sends++
+			s.noteEndpoints("send "+due.To, []Endpoint{due.Endpoint})
+			if s.rng.IntN(4) == 0 {
+				continue
+			}
+			s.note("apply", s.registries[due.To].Apply(s.now, due.Endpoint), s.registries[due.To].Version())
+			if s.rng.IntN(4) > 0 {
+				p.Acked(s.now, due.To, due.Endpoint.ID, due.Endpoint.Edition)
+			}
+			s.note("confirmed", p.Confirmed(due.Endpoint.ID, s.homes[0]))
+		}
+	}
+	for _, ask := range s.asks.Tick(s.now) {
+		s.note("ask", ask.To, ask.Life, ask.Service, ask.Since)
+		if s.rng.IntN(4) == 0 {
+			continue
+		}
+		s.subscribers[ask.To].Hold(s.now, ask.Service, "caller")
+		changed, version, ok := s.registries[ask.To].Since(s.now, ask.Service, ask.Since)
+		s.note("since", version, ok)
+		s.noteEndpoints("changed", changed)
+		for _, e := range changed {
+			s.note("take", s.here.Apply(s.now, e))
+		}
+		s.asks.Got(s.now, Home{Address: ask.To, Life: ask.Life}, ask.Service, version)
+	}
+}
+
+// step plays half a second.
+func (s *schedule) step() {
+	s.now += 500 * time.Millisecond
+	if s.rng.IntN(3) == 0 {
+		s.event()
+	}
+	s.deliver()
+	for _, home := range s.homes {
+		changed := s.registries[home].Expire(s.now)
+		s.changes += len(changed)
+		s.noteEndpoints("expired at "+home, changed)
+		s.note("notify", s.subscribers[home].Notify(s.now, scheduleService))
+	}
+	s.noteEndpoints("expired here", s.here.Expire(s.now))
+	s.noteEndpoints("list", s.here.List(s.now, scheduleService))
+	s.noteEndpoints("all", s.here.All(s.now))
+	for i := range s.newest {
+		e, ok := s.here.At(s.now, s.newest[i].App)
+		s.note("at", codec.Write(nil, &e), ok)
+	}
+}
+
+// The same seed gives the same run: what is sent, asked, merged and expired, in the same order.
+func TestGoldenSchedules(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(4) {
+		s := newSchedule(seed)
+		for i := range 400 {
+			s.step()
+			if i%80 == 79 {
+				fmt.Fprintf(&text, "seed %d at %v: %d sent, %d expired, version %d, %x\n", seed, s.now, s.sends, s.changes, s.here.Version(),
+					s.sum.Sum(nil)[:12])
+			}
+		}
+	}
+	golden.Text(t, "schedules.txt", []byte(text.String()))
+}
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -35,6 +35,7 @@
 	across   int // bytes between zones
 	changes  int
 	took     func(from, to *node) // a shuffle has arrived
+	sent     func(from *node, address string, data []byte)
 }
 
 type node struct {
@@ -170,7 +171,11 @@
 }
 
 func (f *fleet) send(from *node, address string, s *Shuffle) {
-	size := len(codec.Write(nil, s))
+	data := codec.Write(nil, s)
+	size := len(data)
+	if f.sent != nil {
+		f.sent(from, address, data)
+	}
 	f.messages++
 	f.bytes += size
 	to := f.nodes[address]
--- /dev/null
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -0,0 +1,143 @@
+package membership
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"strings"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"gingerlead/internal/golden"
+	"gingerlead/internal/mesh/transport/codec"
+)
+
+// frame holds a message, all of whose fields are set, to the bytes that other versions send, in both directions.
+func frame[T any, P interface {
+	*T
+	codec.Message
+}](t *testing.T, name string, value T,
+) {
+	t.Helper()
+	golden.Hex(t, name, codec.Write(nil, P(&value)))
+	var read T
+	qt.Assert(t, codec.Read(golden.Read(t, name), P(&read)), qt.IsNil)
+	qt.Check(t, read, qt.DeepEquals, value)
+}
+
+func goldenMember() Member {
+	return Member{
+		Life: 0x0123456789abcdef, Address: "10.1.2.3:7400", Zone: "zone-a", Region: "north", Role: Core, Service: "checkout",
+		App: "10.1.2.3:8080", Heartbeat: 4711, Seed: true, Age: 2345 * time.Millisecond,
+	}
+}
+
+func goldenShuffle() Shuffle {
+	other := Member{
+		Life: 0xfedcba9876543210, Address: "10.1.2.4:7400", Zone: "zone-b", Region: "south", Role: Access, Service: "basket",
+		App: "10.1.2.4:8080", Heartbeat: 3, Age: time.Millisecond,
+	}
+	return Shuffle{
+		From: goldenMember(), Members: []Member{other, goldenMember()},
+		Gone:  []Gone{{Life: 5, Address: "10.1.2.5:7400", Heartbeat: 60}, {Life: 6, Address: "10.1.2.6:7400", Heartbeat: 1 << 20}},
+		Reply: true, Version: 1234567, Own: 0x1122334455667788, All: 0x8877665544332211, Ages: []byte{0, 1, 254, 255},
+		Doubts: []Gone{{Life: 7, Address: "10.1.2.7:7400", Heartbeat: 99}}, Anew: true,
+	}
+}
+
+func TestGoldenFrames(t *testing.T) {
+	t.Run("member", func(t *testing.T) { frame(t, "member.hex", goldenMember()) })
+	t.Run("gone", func(t *testing.T) { frame(t, "gone.hex", goldenShuffle().Gone[1]) })
+	t.Run("shuffle", func(t *testing.T) { frame(t, "shuffle.hex", goldenShuffle()) })
+	t.Run("empty shuffle", func(t *testing.T) { frame(t, "shuffle-empty.hex", Shuffle{}) })
+}
+
+// An age is sent in whole milliseconds, rounded up, and one of more than an hour is read as an hour.
+func TestGoldenAges(t *testing.T) {
+	var text strings.Builder
+	for _, age := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, time.Minute, time.Hour, 2 * time.Hour} {
+		data, read := codec.Write(nil, &Member{Life: 1, Age: age}), Member{}
+		qt.Assert(t, codec.Read(data, &read), qt.IsNil)
+		fmt.Fprintf(&text, "%v %x %v\n", age, data, read.Age)
+	}
+	golden.Text(t, "ages.txt", []byte(text.String()))
+}
+
+func TestGoldenRoles(t *testing.T) {
+	qt.Check(t, []Role{Access, Core}, qt.DeepEquals, []Role{0, 1})
+}
+
+// fingerprint is a digest of all frames sent and of all that views say, in order.
+type fingerprint struct {
+	f    *fleet
+	sum  hash.Hash
+	text strings.Builder
+}
+
+// step writes a line with the digest up to here: the first line that differs is where a run took another course.
+func (p *fingerprint) step(seed uint64, what string, services []string) {
+	for _, n := range p.f.order {
+		zones := n.Zones()
+		fmt.Fprintln(p.sum, n.dead, n.Changes(), n.Next(), zones)
+		for _, m := range n.Members() {
+			p.sum.Write(codec.Write(nil, &m))
+		}
+		for _, zone := range append(zones, "unknown") {
+			for _, service := range services {
+				for _, m := range n.Homes(service, zone, 3) {
+					fmt.Fprint(p.sum, m.Life, " ")
+				}
+			}
+		}
+	}
+	fmt.Fprintf(&p.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n", seed, what, p.f.now, p.f.messages, p.f.bytes, p.sum.Sum(nil)[:12])
+}
+
+// The same seed gives the same run: the same random draws, members, order of messages and bytes in them.
+func TestGoldenFleet(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(3) {
+		text.WriteString(goldenFleet(t, seed, 20+35*int(seed)))
+	}
+	golden.Text(t, "fleet.txt", []byte(text.String()))
+}
+
+func goldenFleet(t *testing.T, seed uint64, members int) string {
+	t.Helper()
+	f := newFleet(t, seed)
+	p := &fingerprint{f: f, sum: sha256.New()}
+	f.sent = func(from *node, address string, data []byte) {
+		fmt.Fprintln(p.sum, f.now, from.self.Address, address, len(data))
+		p.sum.Write(data)
+	}
+	f.seeds = []string{"10.0.0.0:1", "10.0.0.1:1"}
+	services := []string{"service-0", "service-1"}
+	for i := range members {
+		role := Access
+		if i < 3 {
+			role = Core
+		}
+		f.start(fmt.Sprintf("10.0.%d.%d:1", i/256, i%256), fmt.Sprintf("zone-%d", i%3), role)
+	}
+	f.run(6*time.Second, nil)
+	p.step(seed, "joined", services)
+	f.run(8*time.Second, nil)
+	p.step(seed, "quiet", services)
+	f.kill(f.order[members/2])
+	f.freeze(f.order[members/3])
+	f.run(6*time.Second, nil)
+	p.step(seed, "one killed, one frozen", services)
+	f.order[members/3].frozen = false
+	f.start(f.order[members/4].self.Address, f.order[members/4].self.Zone, Access)
+	f.run(4*time.Second, nil)
+	p.step(seed, "one thawed, one restarted", services)
+	f.cut, f.cutAt = func(a, b *node) bool { return (a.self.Zone == "zone-0") != (b.self.Zone == "zone-0") }, f.now
+	f.run(12*time.Second, nil)
+	p.step(seed, "a zone cut off", services)
+	f.cut = func(_, _ *node) bool { return false }
+	f.run(6*time.Second, nil)
+	p.step(seed, "healed", services)
+	return p.text.String()
+}
