--- a/cmd/gingerlead-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,4 +1,4 @@
-// Command gingerlead-sim runs Balancer instances on the simulator's wire, from
+// Command balancer-sim runs Balancer instances on the simulator's wire, from
 // standard input to standard output.
 package main
 
@@ -6,12 +6,12 @@
 	"fmt"
 	"os"
 
-	"gingerlead/internal/wire"
+	"quincegap/internal/wire"
 )
 
 func main() {
 	if err := wire.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "gingerlead-sim: "+err.Error())
+		fmt.Fprintln(os.Stderr, "balancer-sim: "+err.Error())
 		os.Exit(1)
 	}
 }
--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/standin/consul"
+	"quincegap/internal/standin/consul"
 )
 
 const help = `orders, one a line:
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -7,9 +7,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"gingerlead/internal/lifecycle"
-	"gingerlead/internal/mesh/assembly"
-	"gingerlead/internal/mesh/operations/settings"
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/mesh/assembly"
+	"quincegap/internal/mesh/operations/settings"
 )
 
 var line struct {
--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -14,10 +14,10 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/lifecycle"
-	"gingerlead/internal/mesh/control/storage"
-	"gingerlead/internal/mesh/operations/eventfeed"
-	"gingerlead/internal/mesh/operations/eventlog"
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/mesh/control/storage"
+	"quincegap/internal/mesh/operations/eventfeed"
+	"quincegap/internal/mesh/operations/eventlog"
 )
 
 const shutdownMost = 3 * time.Second // to answer the calls that were read
--- a/cmd/meshctl/main.go
+++ b/cmd/meshctl/main.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/operations/meshctl"
+	"quincegap/internal/mesh/operations/meshctl"
 )
 
 func main() {
--- a/cmd/quincegap/main.go
+++ b/cmd/quincegap/main.go
@@ -8,9 +8,9 @@
 	"log"
 	"os"
 
-	"gingerlead/internal/lifecycle"
-	"gingerlead/internal/product"
-	"gingerlead/internal/sidecar"
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/product"
+	"quincegap/internal/sidecar"
 )
 
 func main() {
--- a/cmd/quincegapctl/main.go
+++ b/cmd/quincegapctl/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"gingerlead/internal/tool"
+	"quincegap/internal/tool"
 )
 
 func main() { os.Exit(tool.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/admission.go
+++ b/internal/balancer/admission.go
@@ -1,4 +1,4 @@
-package gingerlead
+package balancer
 
 import (
 	"math"
--- a/api.go
+++ b/internal/balancer/api.go
@@ -1,4 +1,4 @@
-// Package gingerlead makes the decisions of a load balancer for services that
+// Package balancer makes the decisions of a load balancer for services that
 // call services: which endpoint gets a call, when a call is tried again, held,
 // refused or failed, and how the endpoint list is followed.
 //
@@ -10,7 +10,7 @@
 // reads no clock and starts no goroutine: the program that embeds it hands over
 // each event with the time, counted from an arbitrary start, and carries out the
 // actions in the order they are asked for.
-package gingerlead
+package balancer
 
 import (
 	"fmt"
--- a/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-package gingerlead
+package balancer
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/structures/throttle"
+	"quincegap/internal/structures/throttle"
 )
 
 // This file takes each event in and acts on it. What to do is decided in admission.go, limits.go, pick.go,
--- a/fleet.go
+++ b/internal/balancer/fleet.go
@@ -1,4 +1,4 @@
-package gingerlead
+package balancer
 
 import (
 	"cmp"
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/structures/arcs"
-	"gingerlead/internal/structures/due"
-	"gingerlead/internal/structures/odds"
-	"gingerlead/internal/structures/ring"
+	"quincegap/internal/structures/arcs"
+	"quincegap/internal/structures/due"
+	"quincegap/internal/structures/odds"
+	"quincegap/internal/structures/ring"
 )
 
 // This file keeps the listed endpoints where decisions find them without a walk over the list; it decides nothing.
--- a/internal/config/apps/addresses.go
+++ b/internal/config/apps/addresses.go
@@ -5,8 +5,8 @@
 	"net"
 	"strings"
 
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/config/schema"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
 )
 
 // use is one address that a file names: where a sidecar takes connections, or where it asks.
--- a/internal/config/apps/apps.go
+++ b/internal/config/apps/apps.go
@@ -8,10 +8,10 @@
 import (
 	"slices"
 
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/config/schema"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
 )
 
 const (
--- a/internal/config/apps/written.go
+++ b/internal/config/apps/written.go
@@ -9,10 +9,10 @@
 	"slices"
 	"strings"
 
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/config/schema"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
 )
 
 // The header and the trailer of a written file. Their lines are comments to everybody else.
--- a/internal/config/doc/doc.go
+++ b/internal/config/doc/doc.go
@@ -9,7 +9,7 @@
 	"strings"
 	"unicode/utf8"
 
-	"gingerlead/internal/config/finding"
+	"quincegap/internal/config/finding"
 )
 
 // Kind is what a value is.
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -6,7 +6,7 @@
 	"errors"
 	"io"
 
-	"gingerlead/internal/config/finding"
+	"quincegap/internal/config/finding"
 )
 
 // ReadJSON reads a text of at most a number of bytes that holds one object. It is nil where it cannot be
--- a/internal/config/doc/toml.go
+++ b/internal/config/doc/toml.go
@@ -7,7 +7,7 @@
 
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"gingerlead/internal/config/finding"
+	"quincegap/internal/config/finding"
 )
 
 const (
--- a/internal/config/schema/keys.go
+++ b/internal/config/schema/keys.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/config/finding"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
 )
 
 // Bounds are a number's default and range. A key without a default may be left out, and is 0 then, unless it
--- a/internal/config/schema/render.go
+++ b/internal/config/schema/render.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"gingerlead/internal/config/doc"
+	"quincegap/internal/config/doc"
 )
 
 // Reference is the reference page of all tables, in Markdown.
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -20,8 +20,8 @@
 	"slices"
 	"strings"
 
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/config/finding"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
 )
 
 // Change tells when a key's value takes effect.
--- a/internal/config/settings/load.go
+++ b/internal/config/settings/load.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gingerlead"
+	"quincegap/internal/balancer"
 )
 
 // mostLoad is more than any figure of a load report can be.
@@ -14,8 +14,8 @@
 
 // ParseLoad reads a load report, pairs of a name of feedback.fields and a figure, divided by commas. The
 // sockets and the simulator's wire differ in what stands between the two.
-func ParseLoad(text, between string) (*gingerlead.Load, error) {
-	l := &gingerlead.Load{InFlight: -1, Queue: -1, Util: -1, Service: -1}
+func ParseLoad(text, between string) (*balancer.Load, error) {
+	l := &balancer.Load{InFlight: -1, Queue: -1, Util: -1, Service: -1}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), between)
 		v, err := strconv.ParseFloat(figure, 64)
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"gingerlead"
+	"quincegap/internal/balancer"
 )
 
 // config mirrors the JSON object that starts an instance. Keys that are not
@@ -82,17 +82,17 @@
 // effects and scopes translate the wire's words; an unknown word is handed on
 // as it is, for the Balancer to reject by name.
 var (
-	effects = map[string]gingerlead.Effect{
-		"read_like": gingerlead.Safe, "idempotency_key": gingerlead.Keyed, "non_idempotent": gingerlead.Unsafe,
+	effects = map[string]balancer.Effect{
+		"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
 	}
-	scopes = map[string]gingerlead.Scope{
-		"all": gingerlead.ScopeAll, "zone": gingerlead.ScopeZone, "cell": gingerlead.ScopeCell,
+	scopes = map[string]balancer.Scope{
+		"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 	}
 )
 
 // Settings is what a Balancer is started with, and what only the program round it needs.
 type Settings struct {
-	gingerlead.Settings
+	balancer.Settings
 	Zones         []string // names; the Balancer knows their indexes
 	Models        []string
 	ConnIdle      time.Duration // an endpoint closes a connection that stood idle so long; 0 if not told
@@ -123,7 +123,7 @@
 	}
 	s = Settings{Zones: c.Zones, Models: c.Models, ConnIdle: Micros(c.Allowed.ConnIdle),
 		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap}
-	s.Settings = gingerlead.Settings{
+	s.Settings = balancer.Settings{
 		Instances: c.Instances, Ordinal: c.Ordinal, Stage: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
 		OverShareWorth: c.OverShareWorth, WorthByWork: c.WorthBy == "work",
 		GoalWhole: c.Goal.Whole, GoalWorstClass: c.Goal.WorstClass,
@@ -140,14 +140,14 @@
 		s.MaxRetryAfter = Micros(c.Allowed.MaxRetryAfter)
 	}
 	for _, v := range c.Services {
-		s.Classes = append(s.Classes, gingerlead.Class{
+		s.Classes = append(s.Classes, balancer.Class{
 			Name: v.Name, Aim: Micros(v.Aim), Deadline: Micros(v.Deadline), Worth: v.Gain,
 			LateWorth: v.LateValue, Effect: translate(effects, v.Effect), Scope: translate(scopes, v.KeyScope),
 			Window: Micros(v.Window), Stream: v.Streamed,
 		})
 	}
 	for _, v := range c.Tenants {
-		s.Tenants = append(s.Tenants, gingerlead.Tenant{Name: v.Name, QuotaPerS: v.QuotaPerS})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerS: v.QuotaPerS})
 	}
 	return s, unknown, nil
 }
--- a/internal/files/certfile/certfile.go
+++ b/internal/files/certfile/certfile.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/files/secretfile"
+	"quincegap/internal/files/secretfile"
 )
 
 // mostBytes bounds a file with certificates.
--- a/internal/files/store/fs.go
+++ b/internal/files/store/fs.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"gingerlead/internal/files/atomicfile"
+	"quincegap/internal/files/atomicfile"
 )
 
 // FS is a directory, as a store uses it. Names have no folders. Tests put one in its place that fails.
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -12,13 +12,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/control/ratelimit"
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/operations/settings"
-	"gingerlead/internal/mesh/transport"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 const stepInterval = 100 * time.Millisecond
--- a/internal/mesh/agent/config.go
+++ b/internal/mesh/agent/config.go
@@ -7,12 +7,12 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/control/ratelimit"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/operations/events"
-	"gingerlead/internal/mesh/transport"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/events"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 const (
--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -6,8 +6,8 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/transport"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/transport"
 )
 
 // ConsensusTransport carries requests of the agreement between core processes, which are named by their control addresses, as in
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/mesh/control/consensus"
-	"gingerlead/internal/mesh/control/lease"
-	"gingerlead/internal/mesh/control/ratelimit"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/operations/events"
-	"gingerlead/internal/mesh/transport"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/lease"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/events"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 const (
--- a/internal/mesh/agent/endpoints.go
+++ b/internal/mesh/agent/endpoints.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/transport"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 const (
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/operations/eventfeed"
-	"gingerlead/internal/mesh/operations/events"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/eventfeed"
+	"quincegap/internal/mesh/operations/events"
 )
 
 const (
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 	"github.com/tidwall/gjson"
 
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/transport"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/transport"
 )
 
 const (
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/transport"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // homesPerZone is how many homes a service has in each zone.
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -1,8 +1,8 @@
 package agent
 
 import (
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Methods of the control plane between processes. Their numbers never change.
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/control/ratelimit"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/transport"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/transport"
 )
 
 const (
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
 )
 
 // confirmTimeout is how long a page of state waits for a majority of the voters.
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -8,14 +8,14 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/lifecycle"
-	"gingerlead/internal/mesh/agent"
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/dataplane/inbound"
-	"gingerlead/internal/mesh/dataplane/outbound"
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/operations/settings"
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/mesh/agent"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outbound"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
 )
 
 const (
--- a/internal/mesh/assembly/assembly.go
+++ b/internal/mesh/assembly/assembly.go
@@ -14,10 +14,10 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/lifecycle"
-	"gingerlead/internal/mesh/operations/logging"
-	"gingerlead/internal/mesh/operations/settings"
-	"gingerlead/internal/mesh/transport"
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/mesh/operations/logging"
+	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/transport"
 )
 
 const (
--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -6,12 +6,12 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/lifecycle"
-	"gingerlead/internal/mesh/agent"
-	"gingerlead/internal/mesh/control/consensus"
-	"gingerlead/internal/mesh/control/controlplane"
-	"gingerlead/internal/mesh/discovery/membership"
-	"gingerlead/internal/mesh/operations/settings"
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/mesh/agent"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/controlplane"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
 )
 
 // Times that a process that ends may take, one after the other; each at most a part of the grace time.
--- a/internal/mesh/assembly/endpoint.go
+++ b/internal/mesh/assembly/endpoint.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"gingerlead/internal/mesh/dataplane/admission"
-	"gingerlead/internal/mesh/discovery"
+	"quincegap/internal/mesh/dataplane/admission"
+	"quincegap/internal/mesh/discovery"
 )
 
 const pastLives = 16 // lives of the endpoint that are over and remembered
--- a/internal/mesh/assembly/shutdown.go
+++ b/internal/mesh/assembly/shutdown.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"gingerlead/internal/mesh/dataplane/admission"
-	"gingerlead/internal/mesh/discovery"
+	"quincegap/internal/mesh/dataplane/admission"
+	"quincegap/internal/mesh/discovery"
 )
 
 // How long before SIGKILL a sidecar has done what, and how long it goes on taking requests after SIGTERM.
--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // ReplicaState is the part of a replica's record that changes with every promise.
--- a/internal/mesh/control/consensus/membership.go
+++ b/internal/mesh/control/consensus/membership.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Membership is the list of voters. It is a part of the register's value and changes as the value does, by compare-and-set on
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // RequestKind is what a request asks for.
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -43,8 +43,8 @@
 	"encoding/binary"
 	"slices"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Ballot orders attempts. No two attempts have the same one: Node names a proposer and its incarnation, N grows within it.
--- a/internal/mesh/control/controlplane/api.go
+++ b/internal/mesh/control/controlplane/api.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/consensus"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/consensus"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/controlplane/http.go
+++ b/internal/mesh/control/controlplane/http.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/configuration"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/controlplane/presence.go
+++ b/internal/mesh/control/controlplane/presence.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/consensus"
 )
 
 // peer is what this process knows of another one of the core by its answers to Describe.
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/mesh/control/consensus"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/transport/codec"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/consensus"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"gingerlead/internal/mesh/control/consensus"
-	"gingerlead/internal/mesh/control/storage"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/storage"
+	"quincegap/internal/mesh/transport/codec"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/consensus"
 
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"gingerlead/internal/mesh/control/consensus"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/transport/codec"
 
 	"github.com/gravitational/trace"
 )
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Request asks a voter for the leases of one process: to obtain, to renew or to release them.
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // TokenRequest is a sidecar's request for the tokens of one tenant.
--- a/internal/mesh/dataplane/admission/admission.go
+++ b/internal/mesh/dataplane/admission/admission.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/dataplane/outcome"
 )
 
 // Tunables.
--- a/internal/mesh/dataplane/inbound/endpoint.go
+++ b/internal/mesh/dataplane/inbound/endpoint.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"gingerlead/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/dataplane/outcome"
 )
 
 // Bounds of one exchange with the endpoint.
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -11,10 +11,10 @@
 	"github.com/gammazero/deque"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/dataplane/admission"
-	"gingerlead/internal/mesh/dataplane/outcome"
-	"gingerlead/internal/mesh/transport"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/dataplane/admission"
+	"quincegap/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 const lookEvery = 20 * time.Millisecond // while somebody waits
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"gingerlead/internal/mesh/dataplane/outcome"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // MethodForward is the call that brings a request to the sidecar beside its endpoint.
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -4,16 +4,16 @@
 	"slices"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/mesh/dataplane/inbound"
-	"gingerlead/internal/mesh/dataplane/outcome"
+	"quincegap/internal/balancer"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outcome"
 )
 
 // attempt is one sending of a request. The decision module knows one at a time; one that it has withdrawn in favour of another is
 // superseded: it goes on until one of them is answered, as its endpoint may be at work.
 type attempt struct {
 	request    *request
-	to         gingerlead.EndpointID
+	to         balancer.EndpointID
 	number     int
 	at         time.Duration
 	superseded bool
@@ -43,8 +43,8 @@
 	c.proxy.later(func(time.Duration) { a.withdraw() })
 }
 
-// Cancel gives an attempt up, of a request that the module wants to send elsewhere or that has no client any more (gingerlead.Host).
-func (c *serviceBalancer) Cancel(id gingerlead.RequestID, number int) {
+// Cancel gives an attempt up, of a request that the module wants to send elsewhere or that has no client any more (balancer.Host).
+func (c *serviceBalancer) Cancel(id balancer.RequestID, number int) {
 	r := c.requests[id]
 	if r == nil || r.out == nil || r.out.number != number {
 		return
@@ -67,7 +67,7 @@
 	a.superseded, r.out = true, nil
 	r.superseded = append(r.superseded, a)
 	c.proxy.later(func(now time.Duration) {
-		c.balancer.Outcome(now, gingerlead.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Elapsed: now - a.at, Status: gingerlead.Cancelled})
+		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Elapsed: now - a.at, Status: balancer.Cancelled})
 	})
 }
 
@@ -91,7 +91,7 @@
 	case a.superseded:
 		c.endedSuperseded(now, r)
 	default:
-		c.balancer.Outcome(now, gingerlead.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Final: final,
+		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Final: final,
 			Elapsed: now - a.at, Status: status(o, a.quit), Last: c.isLast(now, r, o, next, final)})
 	}
 	if r.done {
@@ -147,16 +147,16 @@
 		c.repeats.Take(now, bounds.BudgetRatio, bounds.BudgetSlack, c.proxy.sidecars)
 }
 
-// Refuse is the module's final answer: nobody serves it (gingerlead.Host).
-func (c *serviceBalancer) Refuse(id gingerlead.RequestID, retryAfter time.Duration) {
+// Refuse is the module's final answer: nobody serves it (balancer.Host).
+func (c *serviceBalancer) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	c.conclude(id, retryAfter)
 }
 
-// Fail is its final answer, promising nothing (gingerlead.Host).
-func (c *serviceBalancer) Fail(id gingerlead.RequestID) { c.conclude(id, 0) }
+// Fail is its final answer, promising nothing (balancer.Host).
+func (c *serviceBalancer) Fail(id balancer.RequestID) { c.conclude(id, 0) }
 
 // conclude takes the module's final answer. While a superseded attempt is out, its endpoint may still answer.
-func (c *serviceBalancer) conclude(id gingerlead.RequestID, back time.Duration) {
+func (c *serviceBalancer) conclude(id balancer.RequestID, back time.Duration) {
 	r := c.requests[id]
 	if r == nil || r.done {
 		return
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -5,13 +5,13 @@
 	"strconv"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/control/ratelimit"
-	"gingerlead/internal/mesh/dataplane/inbound"
-	"gingerlead/internal/mesh/dataplane/outcome"
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/balancer"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Settings of the decision module that are the mesh's, not the operator's.
@@ -32,7 +32,7 @@
 
 // knownEndpoint is one endpoint as the decision module knows it, by a number.
 type knownEndpoint struct {
-	number gingerlead.EndpointID
+	number balancer.EndpointID
 	discovery.Endpoint
 }
 
@@ -46,25 +46,25 @@
 type serviceBalancer struct {
 	proxy     *Proxy
 	service   string
-	balancer  *gingerlead.Balancer
-	endpoints map[gingerlead.EndpointID]*knownEndpoint
+	balancer  *balancer.Balancer
+	endpoints map[balancer.EndpointID]*knownEndpoint
 	byID      map[string]*knownEndpoint
-	last      gingerlead.EndpointID
+	last      balancer.EndpointID
 	classes   map[classKey]int
-	requests  map[gingerlead.RequestID]*request
+	requests  map[balancer.RequestID]*request
 	repeats   *ratelimit.Repeats
 	version   uint64
 }
 
 func newServiceBalancer(d *Proxy, service string, seed uint64) (*serviceBalancer, error) {
-	c := &serviceBalancer{proxy: d, service: service, endpoints: map[gingerlead.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
-		classes: map[classKey]int{}, requests: map[gingerlead.RequestID]*request{},
+	c := &serviceBalancer{proxy: d, service: service, endpoints: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
+		classes: map[classKey]int{}, requests: map[balancer.RequestID]*request{},
 		repeats: ratelimit.NewRepeats(d.o.Bounds.BudgetWindow)}
-	b, err := gingerlead.New(gingerlead.Settings{
+	b, err := balancer.New(balancer.Settings{
 		Instances: 1, Tiers: 1, Quantum: quantum, GoalWhole: 1, MayCancel: true, MaxRetryAfter: backMost,
 		ConnectTimeout: connectTime, ColdFrom: coldFrom, Cold: cold, TipMultiple: tipMultiple, Fall: window,
-		Classes: []gingerlead.Class{{Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.2,
-			Effect: gingerlead.Unsafe}},
+		Classes: []balancer.Class{{Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.2,
+			Effect: balancer.Unsafe}},
 	}, seed, c)
 	c.balancer = b
 	return c, err
@@ -80,15 +80,15 @@
 	if len(c.classes) >= classesMost {
 		return c.nearestClass(key)
 	}
-	effect := gingerlead.Safe
+	effect := balancer.Safe
 	if !r.Kind.Repeatable() {
-		effect = gingerlead.Unsafe
+		effect = balancer.Unsafe
 	}
 	target := r.Target
 	if target <= 0 {
 		target = r.Timeout / 2
 	}
-	n, err := c.balancer.AddClass(gingerlead.Class{Name: strconv.Itoa(len(c.classes)), Aim: target, Deadline: r.Timeout,
+	n, err := c.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(c.classes)), Aim: target, Deadline: r.Timeout,
 		Worth: 1, LateWorth: 0.2, Effect: effect})
 	if err != nil {
 		c.proxy.o.Log.Warn("outbound: " + err.Error())
@@ -114,7 +114,7 @@
 // told takes the list of the service's endpoints, all of them.
 func (c *serviceBalancer) told(now time.Duration, all []discovery.Endpoint) {
 	c.version++
-	l := gingerlead.List{Kind: gingerlead.Whole, Version: c.version}
+	l := balancer.List{Kind: balancer.Whole, Version: c.version}
 	seen := map[string]bool{}
 	for _, e := range all {
 		p := c.byID[e.ID]
@@ -127,9 +127,9 @@
 			c.byID[e.ID], c.endpoints[p.number] = p, p
 		}
 		p.Endpoint, seen[e.ID] = e, true
-		entry := gingerlead.Entry{Endpoint: p.number, Zone: c.proxy.zone(e.Zone), Weight: 1}
+		entry := balancer.Entry{Endpoint: p.number, Zone: c.proxy.zone(e.Zone), Weight: 1}
 		if e.State == discovery.Draining {
-			entry.State = gingerlead.Draining
+			entry.State = balancer.Draining
 		}
 		if e.Cold > 0 {
 			entry.Started = now + e.Cold - cold
@@ -145,8 +145,8 @@
 	c.balancer.Targets(now, l)
 }
 
-// Send makes an attempt (gingerlead.Host).
-func (c *serviceBalancer) Send(id gingerlead.RequestID, to gingerlead.EndpointID, _ time.Duration) {
+// Send makes an attempt (balancer.Host).
+func (c *serviceBalancer) Send(id balancer.RequestID, to balancer.EndpointID, _ time.Duration) {
 	r, p := c.requests[id], c.endpoints[to]
 	if r == nil {
 		return
@@ -198,60 +198,60 @@
 }
 
 // status is what an outcome is to the decision module. quit tells that the attempt was withdrawn.
-func status(o *inbound.Outcome, quit bool) gingerlead.Status {
+func status(o *inbound.Outcome, quit bool) balancer.Status {
 	switch o.Kind {
 	case outcome.Answered:
 		if o.Status >= 500 {
-			return gingerlead.Error
+			return balancer.Error
 		}
-		return gingerlead.OK
+		return balancer.OK
 	case outcome.Full, outcome.TurnedAway, outcome.Leaving, outcome.Late, outcome.Overloaded:
-		return gingerlead.Full
+		return balancer.Full
 	case outcome.Mistaken, outcome.Unreachable:
 		if quit {
-			return gingerlead.Moot
+			return balancer.Moot
 		}
-		return gingerlead.ConnectFailed
+		return balancer.ConnectFailed
 	case outcome.Withdrawn:
-		return gingerlead.Moot
+		return balancer.Moot
 	case outcome.Lost:
-		return gingerlead.Reset
+		return balancer.Reset
 	case outcome.Spoilt, outcome.Broken: // of one connection; the endpoint's own sidecar says if it is down
-		return gingerlead.Spoilt
+		return balancer.Spoilt
 	}
 	if quit {
-		return gingerlead.Cancelled
+		return balancer.Cancelled
 	}
-	return gingerlead.Timeout
+	return balancer.Timeout
 }
 
-// SetTimer (gingerlead.Host).
+// SetTimer (balancer.Host).
 func (c *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		c.proxy.do(func(now time.Duration) { c.balancer.Timer(now, token) })
 	})
 }
 
-// Fetch gets the list of endpoints anew from the service's homes (gingerlead.Host).
+// Fetch gets the list of endpoints anew from the service's homes (balancer.Host).
 func (c *serviceBalancer) Fetch() {
 	if f := c.proxy.o.Refresh; f != nil {
 		go f(c.service)
 	}
 }
 
-// Log (gingerlead.Host).
+// Log (balancer.Host).
 func (c *serviceBalancer) Log(text string) {
 	c.proxy.o.Log.WithField("service", c.service).Info("balancer: " + text)
 }
 
-// Probe (gingerlead.Host): endpoints' own sidecars vouch for them, so nobody probes.
-func (c *serviceBalancer) Probe(gingerlead.EndpointID) {}
+// Probe (balancer.Host): endpoints' own sidecars vouch for them, so nobody probes.
+func (c *serviceBalancer) Probe(balancer.EndpointID) {}
 
-// Tell (gingerlead.Host): not used by the module.
+// Tell (balancer.Host): not used by the module.
 func (c *serviceBalancer) Tell(int, []byte) {}
 
-// Watch (gingerlead.Host): lists are pushed.
+// Watch (balancer.Host): lists are pushed.
 func (c *serviceBalancer) Watch(bool) {}
 
-// CloseIdle (gingerlead.Host): the endpoint's own sidecar has its connections.
-func (c *serviceBalancer) CloseIdle(gingerlead.EndpointID) {}
+// CloseIdle (balancer.Host): the endpoint's own sidecar has its connections.
+func (c *serviceBalancer) CloseIdle(balancer.EndpointID) {}
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/outcome"
 )
 
 // Bounds of the bodies of clients' requests beyond those of the configuration.
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/dataplane/inbound"
-	"gingerlead/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outcome"
 )
 
 // Bounds of what clients may do beyond those of the configuration.
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -12,13 +12,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"gingerlead"
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/dataplane/inbound"
-	"gingerlead/internal/mesh/dataplane/outcome"
-	"gingerlead/internal/mesh/discovery"
-	"gingerlead/internal/mesh/operations/settings"
-	"gingerlead/internal/mesh/transport"
+	"quincegap/internal/balancer"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/transport"
 )
 
 // Options are what a proxy is made of.
@@ -57,7 +57,7 @@
 
 // request is one client's request.
 type request struct {
-	id         gingerlead.RequestID
+	id         balancer.RequestID
 	route      *configuration.Route
 	balancer   *serviceBalancer
 	forward    inbound.ForwardRequest // what every attempt sends
@@ -175,10 +175,10 @@
 			return
 		}
 		d.next++
-		r.id, r.balancer = gingerlead.RequestID(strconv.FormatUint(d.next, 36)), c
+		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(d.next, 36)), c
 		c.requests[r.id] = r
 		c.repeats.Request(now)
-		c.balancer.Request(now, gingerlead.Request{ID: r.id, Class: c.class(r.route), Left: r.deadline - now,
+		c.balancer.Request(now, balancer.Request{ID: r.id, Class: c.class(r.route), Left: r.deadline - now,
 			Times: times})
 	})
 }
--- a/internal/mesh/dataplane/outbound/shutdown.go
+++ b/internal/mesh/dataplane/outbound/shutdown.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"gingerlead/internal/mesh/control/configuration"
-	"gingerlead/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/outcome"
 )
 
 const (
--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"sync"
 
-	"gingerlead/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/configuration"
 )
 
 // goldenStep is the fractional part of the golden ratio: multiples of it, taken modulo one, are spread evenly over any number of steps.
--- a/internal/mesh/discovery/endpoint.go
+++ b/internal/mesh/discovery/endpoint.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // State of an endpoint; a worse one is higher.
--- a/internal/mesh/discovery/membership/homes.go
+++ b/internal/mesh/discovery/membership/homes.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"slices"
 
-	"gingerlead/internal/structures/rendezvous"
+	"quincegap/internal/structures/rendezvous"
 )
 
 // Homes are the first members of a zone, by rendezvous hash of service and life; if the zone has none, those of its region,
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Role is what a member does.
--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/structures/rendezvous"
+	"quincegap/internal/structures/rendezvous"
 )
 
 // Take merges a shuffle. There is a reply to one that is not itself a reply; changed reports whether Members would differ in more
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/structures/rendezvous"
+	"quincegap/internal/structures/rendezvous"
 )
 
 // View is what one process knows of the other members.
--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead/internal/mesh/operations/events"
+	"quincegap/internal/mesh/operations/events"
 )
 
 const (
--- a/internal/mesh/operations/eventlog/eventlog.go
+++ b/internal/mesh/operations/eventlog/eventlog.go
@@ -16,7 +16,7 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/operations/events"
+	"quincegap/internal/mesh/operations/events"
 )
 
 const (
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -9,7 +9,7 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/configuration"
 )
 
 // ConfigLine holds the verbs of the configuration.
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -14,8 +14,8 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/agent"
-	"gingerlead/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/agent"
+	"quincegap/internal/mesh/control/configuration"
 )
 
 // Exit codes that scripts can rely on, beside 0 for done and 1 for everything else.
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gingerlead/internal/mesh/agent"
+	"quincegap/internal/mesh/agent"
 )
 
 // MembersLine shows processes.
--- a/internal/mesh/transport/call.go
+++ b/internal/mesh/transport/call.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // ConnectionError says that a link ended before the reply. Sent tells whether the whole of the call may have reached the peer, which
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -11,7 +11,7 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // Bounds of what one connection may hold.
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 const (
--- a/internal/mesh/transport/read.go
+++ b/internal/mesh/transport/read.go
@@ -9,7 +9,7 @@
 
 	"github.com/gravitational/trace"
 
-	"gingerlead/internal/mesh/transport/codec"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // counted counts what is read.
--- a/internal/modules/membership/sift.go
+++ b/internal/modules/membership/sift.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"net"
 
-	"gingerlead"
+	"quincegap/internal/balancer"
 )
 
 // mostNames bounds the zones, and the models, that sources may bring: the decision module keeps something for
@@ -40,7 +40,7 @@
 		return false
 	}
 	_, _, err := net.SplitHostPort(e.Address)
-	return err == nil || e.State != gingerlead.Ready
+	return err == nil || e.State != balancer.Ready
 }
 
 // usable tells whether the decision module can be told of an endpoint.
--- a/internal/modules/recall/recall.go
+++ b/internal/modules/recall/recall.go
@@ -11,8 +11,8 @@
 	"fmt"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/structures/due"
+	"quincegap/internal/balancer"
+	"quincegap/internal/structures/due"
 )
 
 // ID names a request over its repeats: what its Idempotency-Key, or for want of one its own id, comes to. Keys may
@@ -23,7 +23,7 @@
 func KeyedID(class, key string) ID { return digest('k', class, key) }
 
 // RequestID is the ID of a request that has no key: it comes again only where somebody sends the very same again.
-func RequestID(class string, id gingerlead.RequestID) ID { return digest('r', class, string(id)) }
+func RequestID(class string, id balancer.RequestID) ID { return digest('r', class, string(id)) }
 
 func digest(sort byte, class, text string) (id ID) {
 	h := sha256.New()
@@ -62,8 +62,8 @@
 
 // Keep is how long a request of a class is remembered: as long as clients come again with it, and, where it has a
 // key, from the end of the window on in which repeats of its last attempt are dropped.
-func Keep(c *gingerlead.Class) time.Duration {
-	if c.Effect == gingerlead.Keyed {
+func Keep(c *balancer.Class) time.Duration {
+	if c.Effect == balancer.Keyed {
 		return c.Window + c.Deadline
 	}
 	return 2 * c.Deadline
@@ -152,14 +152,14 @@
 
 // After notes how an attempt ended; answered tells that its answer goes to the client. What changes need not be
 // waited for: until it is kept, more is taken to have run than has. Moved is the entry's ID.
-func (t *Table) After(now time.Duration, id ID, status gingerlead.Status, answered bool) (e Entry, c Change) {
+func (t *Table) After(now time.Duration, id ID, status balancer.Status, answered bool) (e Entry, c Change) {
 	x := t.entries[id]
 	if x == nil || x.out == 0 {
 		return Entry{}, Nothing
 	}
 	x.out--
 	switch {
-	case status == gingerlead.OK && answered && !x.Served:
+	case status == balancer.OK && answered && !x.Served:
 		x.Served, x.ran = true, true
 		return *x, Put
 	case !status.NeverRan():
--- a/internal/modules/route/limits.go
+++ b/internal/modules/route/limits.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gingerlead"
+	"quincegap/internal/balancer"
 )
 
 // Settings are what a route sets for its requests. Zero values set nothing.
@@ -95,13 +95,13 @@
 // outcomes are the words for how an attempt ended without an answer.
 var outcomes = []struct {
 	word string
-	of   []gingerlead.Status
+	of   []balancer.Status
 }{
-	{"turned-away", []gingerlead.Status{gingerlead.Full}},
-	{"unconnected", []gingerlead.Status{gingerlead.ConnectFailed, gingerlead.Moot}},
-	{"failed", []gingerlead.Status{gingerlead.Error, gingerlead.Spoilt}},
-	{"broken", []gingerlead.Status{gingerlead.Reset}},
-	{"late", []gingerlead.Status{gingerlead.Timeout, gingerlead.Cancelled}},
+	{"turned-away", []balancer.Status{balancer.Full}},
+	{"unconnected", []balancer.Status{balancer.ConnectFailed, balancer.Moot}},
+	{"failed", []balancer.Status{balancer.Error, balancer.Spoilt}},
+	{"broken", []balancer.Status{balancer.Reset}},
+	{"late", []balancer.Status{balancer.Timeout, balancer.Cancelled}},
 }
 
 // readOutcomes reads words with commas between.
@@ -130,7 +130,7 @@
 }
 
 // Allows tells whether the route allows another attempt after an outcome. Whether the class does is not its to say.
-func (s *Settings) Allows(status gingerlead.Status) bool {
+func (s *Settings) Allows(status balancer.Status) bool {
 	return s.outcomes == 0 || s.outcomes&(1<<status) > 0
 }
 
--- a/internal/modules/turns/turns.go
+++ b/internal/modules/turns/turns.go
@@ -19,7 +19,7 @@
 import (
 	"time"
 
-	"gingerlead/internal/structures/rendezvous"
+	"quincegap/internal/structures/rendezvous"
 )
 
 // Order is one member's knowledge of who takes turns. All but the member itself is the same at members that agree.
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/modules/membership"
-	"gingerlead/internal/modules/peers"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/peers"
 )
 
 // Settings says where it listens.
--- a/internal/network/consul/doubt.go
+++ b/internal/network/consul/doubt.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/modules/membership"
+	"quincegap/internal/modules/membership"
 )
 
 // doubtLasts bounds how long the catalogue is followed for the sake of one answer. By then membership has made up
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"strconv"
 
-	"gingerlead/internal/modules/membership"
+	"quincegap/internal/modules/membership"
 )
 
 // mostFound bounds the addresses of one search.
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/modules/membership"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/membership"
 )
 
 // Consistency is how a read is answered (Consul's API, Consistency Modes).
--- a/internal/network/consul/watch.go
+++ b/internal/network/consul/watch.go
@@ -20,9 +20,9 @@
 
 	"github.com/hashicorp/consul/api"
 
-	"gingerlead/internal/files/certfile"
-	"gingerlead/internal/files/secretfile"
-	"gingerlead/internal/modules/membership"
+	"quincegap/internal/files/certfile"
+	"quincegap/internal/files/secretfile"
+	"quincegap/internal/modules/membership"
 )
 
 const (
--- a/internal/network/exchange/exchange.go
+++ b/internal/network/exchange/exchange.go
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/config/settings"
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/settings"
 )
 
 // MaxBody bounds the body of one request and of one answer, in bytes.
@@ -49,7 +49,7 @@
 
 // Endpoint is one start of an endpoint at one address. When either changes, another takes its place.
 type Endpoint struct {
-	ID      gingerlead.EndpointID
+	ID      balancer.EndpointID
 	UID     string
 	Address string
 	BootMS  int64
@@ -69,47 +69,47 @@
 }
 
 // Unsent is the status of an attempt whose last byte was certainly not written.
-func (a *Attempt) Unsent() gingerlead.Status {
+func (a *Attempt) Unsent() balancer.Status {
 	// A dialer keeps the context's deadline by a timer of its own, which may fire before the context's does.
 	// Taken for a failed connection, a request's own deadline would isolate a sound endpoint.
 	if deadline, _ := a.Context.Deadline(); a.Context.Err() != nil || !time.Now().Before(deadline) {
-		return gingerlead.Moot
+		return balancer.Moot
 	}
-	return gingerlead.ConnectFailed
+	return balancer.ConnectFailed
 }
 
 // Broken is the status of an attempt whose answer did not come whole; broken says that its connection is why,
 // and not what the answer says.
-func (a *Attempt) Broken(broken bool) gingerlead.Status {
+func (a *Attempt) Broken(broken bool) balancer.Status {
 	switch {
 	case errors.Is(a.Context.Err(), context.DeadlineExceeded):
-		return gingerlead.Timeout
+		return balancer.Timeout
 	case a.Context.Err() != nil:
-		return gingerlead.Cancelled
+		return balancer.Cancelled
 	case broken:
-		return gingerlead.Reset
+		return balancer.Reset
 	}
 	// The endpoint has run it and is well, but what it says cannot be used.
-	return gingerlead.Spoilt
+	return balancer.Spoilt
 }
 
 // Answered is the outcome of an attempt by the answer to it.
 func Answered(code int, header http.Header, body []byte) Result {
-	res := Result{Status: gingerlead.Error}
+	res := Result{Status: balancer.Error}
 	if report := header.Get("X-Pressure"); report != "" {
 		res.Load, _ = settings.ParseLoad(report, "=") // a report that cannot be read is none
 	}
 	switch {
 	case code == http.StatusOK:
-		res.Status = gingerlead.OK
+		res.Status = balancer.OK
 		RemoveHopByHop(header)
 		res.Response = &Response{Header: header, Body: body}
 	case code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout:
 		if header.Get("X-Turned-Away") == "1" {
-			res.Status = gingerlead.Full
+			res.Status = balancer.Full
 		}
 	case code < http.StatusInternalServerError:
-		res.Status = gingerlead.Spoilt // the request is at fault, not the endpoint
+		res.Status = balancer.Spoilt // the request is at fault, not the endpoint
 	}
 	return res
 }
@@ -119,10 +119,10 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Status   gingerlead.Status
+	Status   balancer.Status
 	Took     time.Duration
 	Response *Response // nil unless served
-	Load     *gingerlead.Load
+	Load     *balancer.Load
 	Conn     Conn // nil unless it can carry another attempt
 	// Elsewhere says that nothing was sent for want of a way to speak this protocol with the endpoint: the
 	// same attempt may be made by another one.
--- a/internal/network/gossip/gossip.go
+++ b/internal/network/gossip/gossip.go
@@ -22,8 +22,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/modules/peers"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/modules/peers"
 )
 
 // Config is what a Group is made of.
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/modules/peers"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/peers"
 )
 
 // Settings is [peers].
--- a/internal/network/gossip/wire.go
+++ b/internal/network/gossip/wire.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"gingerlead/internal/modules/peers"
+	"quincegap/internal/modules/peers"
 )
 
 // What members send one another, in the wire format of Protocol Buffers (protobuf.dev, Encoding):
--- a/internal/network/http1/front.go
+++ b/internal/network/http1/front.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/network/exchange"
 )
 
 const excessSockets = exchange.ExcessSockets
--- a/internal/network/http1/transport.go
+++ b/internal/network/http1/transport.go
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/balancer"
+	"quincegap/internal/network/exchange"
 )
 
 const (
@@ -253,7 +253,7 @@
 		}
 	}
 	res = a.over(c)
-	if res.Status == gingerlead.Reset {
+	if res.Status == balancer.Reset {
 		a.whatBroke(&res, connectTimeout)
 	}
 	return res
@@ -279,11 +279,11 @@
 func (a *attempt) whatBroke(res *exchange.Result, connectTimeout time.Duration) {
 	time.Sleep(resetsSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
-		res.Status = gingerlead.Spoilt
+		res.Status = balancer.Spoilt
 		return
 	}
 	if c, err := a.dial(connectTimeout); err == nil {
-		res.Status, res.Conn = gingerlead.Spoilt, c
+		res.Status, res.Conn = balancer.Spoilt, c
 	}
 }
 
@@ -303,7 +303,7 @@
 	text := encode(a.Request, time.Until(deadline))
 	// The dial may have outlasted the endpoint's welcome.
 	if !a.Endpoint.Open.Load() || a.Context.Err() != nil {
-		return exchange.Result{Status: gingerlead.Moot}
+		return exchange.Result{Status: balancer.Moot}
 	}
 	if n, err := c.Write(text); err != nil && n < len(text) {
 		return exchange.Result{Status: a.Unsent()}
@@ -433,24 +433,24 @@
 }
 
 // Probe asks an endpoint for its health on a connection of its own.
-func Probe(e *exchange.Endpoint, timeout time.Duration) gingerlead.Status {
+func Probe(e *exchange.Endpoint, timeout time.Duration) balancer.Status {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	transport := &http.Transport{DisableKeepAlives: true}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Address+"/health", nil)
 	if err != nil {
-		return gingerlead.Moot
+		return balancer.Moot
 	}
 	res, err := transport.RoundTrip(r)
 	switch {
 	case ctx.Err() != nil:
-		return gingerlead.Timeout
+		return balancer.Timeout
 	case err != nil:
-		return gingerlead.ConnectFailed
+		return balancer.ConnectFailed
 	}
 	res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return gingerlead.Error
+		return balancer.Error
 	}
-	return gingerlead.OK
+	return balancer.OK
 }
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -17,7 +17,7 @@
 	"github.com/quic-go/quic-go"
 	"github.com/quic-go/quic-go/http3"
 
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/network/exchange"
 )
 
 // Front takes callers' requests over HTTP/3 (RFC 9114).
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/schema"
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/schema"
 )
 
 // EarlyData is what becomes of requests that come in early data (RFC 8470).
@@ -82,7 +82,7 @@
 // noneSafe tells whether a file has classes, and none that may run any number of times.
 func noneSafe(f *schema.File) bool {
 	classes := appfile.ClassTable.All(f)
-	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Effect == gingerlead.Safe })
+	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Effect == balancer.Safe })
 }
 
 // Endpoints is the transport's part.
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/sidecar"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/sidecar"
 )
 
 // MostPlatformBytes bounds the platform's JSON configuration, its list of endpoints included.
--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"gingerlead/internal/rehearsal/dryrun"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/dryrun"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // Design is what is to be played: each morning at each load with each seed.
--- a/internal/rehearsal/fleet/days.go
+++ b/internal/rehearsal/fleet/days.go
@@ -12,10 +12,10 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/dryrun"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/dryrun"
+	"quincegap/internal/rehearsal/morning"
 )
 
 //go:embed days/*.morning
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/structures/rendezvous"
+	"quincegap/internal/balancer"
+	"quincegap/internal/structures/rendezvous"
 )
 
 // A scheme shares endpoints out among instances. Its endpoints are all alike.
@@ -47,30 +47,30 @@
 
 // modules are instances of the decision module.
 type modules struct {
-	all []*gingerlead.Balancer
+	all []*balancer.Balancer
 	now time.Duration
 }
 
 // quiet is a host that does nothing.
 type quiet struct{}
 
-func (quiet) Send(gingerlead.RequestID, gingerlead.EndpointID, time.Duration) {}
-func (quiet) Refuse(gingerlead.RequestID, time.Duration)                      {}
-func (quiet) Fail(gingerlead.RequestID)                                       {}
-func (quiet) Cancel(gingerlead.RequestID, int)                                {}
-func (quiet) SetTimer(uint64, time.Duration)                                  {}
-func (quiet) Probe(gingerlead.EndpointID)                                     {}
-func (quiet) Tell(int, []byte)                                                {}
-func (quiet) Watch(bool)                                                      {}
-func (quiet) Fetch()                                                          {}
-func (quiet) CloseIdle(gingerlead.EndpointID)                                 {}
-func (quiet) Log(string)                                                      {}
+func (quiet) Send(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (quiet) Refuse(balancer.RequestID, time.Duration)                    {}
+func (quiet) Fail(balancer.RequestID)                                     {}
+func (quiet) Cancel(balancer.RequestID, int)                              {}
+func (quiet) SetTimer(uint64, time.Duration)                              {}
+func (quiet) Probe(balancer.EndpointID)                                   {}
+func (quiet) Tell(int, []byte)                                            {}
+func (quiet) Watch(bool)                                                  {}
+func (quiet) Fetch()                                                      {}
+func (quiet) CloseIdle(balancer.EndpointID)                               {}
+func (quiet) Log(string)                                                  {}
 
 func newModules(instances int) (*modules, error) {
 	m := &modules{now: time.Hour}
 	for i := range instances {
-		b, err := gingerlead.New(gingerlead.Settings{Instances: instances, Ordinal: i,
-			Classes: []gingerlead.Class{{Name: "a", Effect: gingerlead.Safe, Aim: time.Second, Deadline: time.Second}}}, uint64(i), quiet{})
+		b, err := balancer.New(balancer.Settings{Instances: instances, Ordinal: i,
+			Classes: []balancer.Class{{Name: "a", Effect: balancer.Safe, Aim: time.Second, Deadline: time.Second}}}, uint64(i), quiet{})
 		if err != nil {
 			return nil, err
 		}
@@ -80,12 +80,12 @@
 }
 
 func (m *modules) take(gone, come []uint32) {
-	var l gingerlead.List
+	var l balancer.List
 	for _, id := range gone {
-		l.Entries = append(l.Entries, gingerlead.Entry{Endpoint: gingerlead.EndpointID(id), State: gingerlead.Gone})
+		l.Entries = append(l.Entries, balancer.Entry{Endpoint: balancer.EndpointID(id), State: balancer.Gone})
 	}
 	for _, id := range come {
-		l.Entries = append(l.Entries, gingerlead.Entry{Endpoint: gingerlead.EndpointID(id), Weight: 1})
+		l.Entries = append(l.Entries, balancer.Entry{Endpoint: balancer.EndpointID(id), Weight: 1})
 	}
 	m.now += time.Second
 	for _, b := range m.all {
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/dryrun"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/dryrun"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // Wave is a restart of much of a fleet at once: 64 boxes whose cold capacity is a little over a third, and so many
--- a/internal/rehearsal/morning/grammar.go
+++ b/internal/rehearsal/morning/grammar.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"gingerlead/internal/config/finding"
+	"quincegap/internal/config/finding"
 )
 
 // A script is read line by line, so that one line that cannot be read hides no other.
--- a/internal/rehearsal/morning/plan.go
+++ b/internal/rehearsal/morning/plan.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/rehearsal/emulator"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/rehearsal/emulator"
 )
 
 // Plan is a whole morning, drawn ahead.
--- a/internal/rehearsal/rehearse/box.go
+++ b/internal/rehearsal/rehearse/box.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/emulator"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/standin/h3"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/emulator"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/standin/h3"
 )
 
 // box is one server on a socket, on top of its model.
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"sync"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/standin/consul"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/standin/consul"
 )
 
 // agency is a stand-in Consul agent on the machine of one sidecar. What an answer told is noted when it has been
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/standin/booking"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/standin/booking"
 )
 
 // news is what discovery knows of the boxes of one tier.
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -11,9 +11,9 @@
 
 	qh3 "github.com/quic-go/quic-go/http3"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/standin/authority"
-	"gingerlead/internal/standin/h3"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/standin/authority"
+	"quincegap/internal/standin/h3"
 )
 
 // boxName is in the certificates of boxes that speak HTTP/3.
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/modules/peers"
-	"gingerlead/internal/network/admin"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/standin/relay"
+	"quincegap/internal/modules/peers"
+	"quincegap/internal/network/admin"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/standin/relay"
 )
 
 const peersFile = `[sidecar]
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // mostSidecars are played on sockets, each a process.
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // sidecar is a process of the program that is rehearsed, with its files and its discovery.
--- a/internal/rehearsal/rehearse/world.go
+++ b/internal/rehearsal/rehearse/world.go
@@ -16,10 +16,10 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/emulator"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/standin/relay"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/emulator"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/standin/relay"
 )
 
 // port is that of all addresses of a rehearsal.
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"gingerlead/internal/rehearsal/experiment"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/experiment"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // short is the name of a morning's file.
--- a/internal/rehearsal/report/marks.go
+++ b/internal/rehearsal/report/marks.go
@@ -3,7 +3,7 @@
 import (
 	"image/color"
 
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // stepMarks are the steps that are marked on the chart of their box, by colour.
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"gingerlead/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/audit"
 )
 
 // The colours of the charts: those of Okabe and Ito, which people who see few colours can tell apart.
--- a/internal/rehearsal/report/screen.go
+++ b/internal/rehearsal/report/screen.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
 )
 
 // Play is one playing of a morning.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -15,15 +15,15 @@
 	"strconv"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/config/settings"
-	"gingerlead/internal/files/secretfile"
-	"gingerlead/internal/files/store"
-	"gingerlead/internal/modules/membership"
-	"gingerlead/internal/modules/peers"
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/config/settings"
+	"quincegap/internal/files/secretfile"
+	"quincegap/internal/files/store"
+	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/peers"
 )
 
 // Config is what a sidecar is told at its start.
@@ -185,7 +185,7 @@
 func CheckPlatform(text []byte) error {
 	c, err := parsePlatform(text, func(string) string { return "" }, false)
 	if err == nil {
-		_, err = gingerlead.New(c.Settings.Settings, c.Seed, nil)
+		_, err = balancer.New(c.Settings.Settings, c.Seed, nil)
 	}
 	return err
 }
@@ -278,7 +278,7 @@
 	}
 	s := &c.Settings
 	s.GraceToAnswer = standaloneGrace
-	s.Settings = gingerlead.Settings{
+	s.Settings = balancer.Settings{
 		Instances: who.Instances, Ordinal: who.Ordinal, Tiers: 1, Quantum: standaloneQuantum, GoalWhole: standaloneWhole,
 		MayCancel: attempts.Cancel, MayProbe: attempts.Probes, MaxAttempts: attempts.Most, SecondCopies: attempts.Copies,
 		MaxRetryAfter: attempts.MaxRetryAfter, ConnectTimeout: attempts.ConnectTimeout,
@@ -289,11 +289,11 @@
 		s.Tiers = 2 // a call may wait at the applications behind this one too
 	}
 	for _, v := range appfile.ClassTable.All(f) {
-		s.Classes = append(s.Classes, gingerlead.Class{Name: v.Name, Aim: v.Value.Aim, Deadline: v.Value.Deadline, Worth: v.Value.Worth,
+		s.Classes = append(s.Classes, balancer.Class{Name: v.Name, Aim: v.Value.Aim, Deadline: v.Value.Deadline, Worth: v.Value.Worth,
 			LateWorth: v.Value.LateWorth, Effect: v.Value.Effect, Scope: v.Value.KeyScope, Window: v.Value.KeyWindow})
 	}
 	for _, v := range appfile.TenantTable.All(f) {
-		s.Tenants = append(s.Tenants, gingerlead.Tenant{Name: v.Name, QuotaPerS: v.Value.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerS: v.Value.Quota})
 	}
 	c.noDiscovery = found.Address == "" && membership.Table.In(f).Mode == membership.Consul
 	return c, c.check()
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/balancer"
+	"quincegap/internal/network/exchange"
 )
 
 // A second copy of a request is a request of its own to the Balancer, which says where it goes and holds it down like
@@ -23,7 +23,7 @@
 // copies tells whether second copies may be made of a request. Unsafe ones never are: each attempt has an effect.
 func (c *Config) copies(r *request) bool {
 	return c.Settings.SecondCopies && r.route != nil && r.route.Settings.CopyAfter > 0 &&
-		c.Settings.Classes[r.Class].Effect != gingerlead.Unsafe && least(r.route.Settings.Attempts, c.Settings.MaxAttempts) != 1
+		c.Settings.Classes[r.Class].Effect != balancer.Unsafe && least(r.route.Settings.Attempts, c.Settings.MaxAttempts) != 1
 }
 
 // least is the least of the bounds that are set; 0 for none.
@@ -55,9 +55,9 @@
 	c := &request{Request: r.Request, Inbound: r.Inbound, deadline: r.deadline, answer: make(chan answer, 1), pair: pair{of: r}}
 	c.ID += "\x00copy" // no caller's: those are header values
 	c.Left, c.Attempts, c.Not = time.Until(r.deadline), 1, &a.Endpoint.ID
-	if l.config.Settings.Classes[r.Class].Effect == gingerlead.Keyed {
+	if l.config.Settings.Classes[r.Class].Effect == balancer.Keyed {
 		// Its effect happens once only where its first attempt is known.
-		c.Earlier = gingerlead.Earlier{MayRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
+		c.Earlier = balancer.Earlier{MayRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
 			At: l.now() - time.Since(r.pair.since)}
 	}
 	r.pair.copy = c
@@ -92,8 +92,8 @@
 
 // merged is what a request came to whose copy went out and had no answer either: nothing may be promised of it but
 // where any number of repeats is harmless.
-func (p *pair) merged(effect gingerlead.Effect) answer {
-	if p.sent && effect != gingerlead.Safe {
+func (p *pair) merged(effect balancer.Effect) answer {
+	if p.sent && effect != balancer.Safe {
 		return answer{}
 	}
 	return *p.verdict
@@ -117,7 +117,7 @@
 
 // timed notes how long a first attempt took, for when the next copies are made.
 func (l *loop) timed(a *attempt, res exchange.Result) {
-	if r := a.request; r.route != nil && r.pair.of == nil && res.Status == gingerlead.OK && !r.answered {
+	if r := a.request; r.route != nil && r.pair.of == nil && res.Status == balancer.OK && !r.answered {
 		r.route.Took(res.Took)
 	}
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,9 +18,9 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/modules/membership"
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/balancer"
+	"quincegap/internal/modules/membership"
+	"quincegap/internal/network/exchange"
 )
 
 const (
@@ -51,18 +51,18 @@
 	BootMS  int64   `json:"boot_ms"`
 }
 
-var states = map[string]gingerlead.State{
-	"Ready": gingerlead.Ready, "Terminating": gingerlead.Draining, "Gone": gingerlead.Gone,
+var states = map[string]balancer.State{
+	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone,
 }
 
 // judged puts a list into the terms of those who judge it.
 func (l endpointList) judged(from membership.Origin) membership.List {
-	list := membership.List{Kind: gingerlead.Delta, Version: l.Rev}
+	list := membership.List{Kind: balancer.Delta, Version: l.Rev}
 	switch {
 	case from == membership.FromCache:
-		list.Kind = gingerlead.Cached
+		list.Kind = balancer.Cached
 	case l.All:
-		list.Kind = gingerlead.Whole
+		list.Kind = balancer.Whole
 	}
 	for _, x := range l.Targets {
 		e := membership.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
@@ -90,8 +90,8 @@
 // still out to it holds on to its endpoint, that is open to nothing new. The loop owns the table.
 type endpoints struct {
 	origin time.Time // zero of the event clock
-	byID   map[gingerlead.EndpointID]*exchange.Endpoint
-	ids    map[string]gingerlead.EndpointID
+	byID   map[balancer.EndpointID]*exchange.Endpoint
+	ids    map[string]balancer.EndpointID
 	zones  names
 	models names
 }
@@ -109,8 +109,8 @@
 }
 
 func newEndpoints(zones, models []string, origin time.Time) *endpoints {
-	t := &endpoints{origin: origin, byID: map[gingerlead.EndpointID]*exchange.Endpoint{},
-		ids: map[string]gingerlead.EndpointID{}, zones: names{}, models: names{}}
+	t := &endpoints{origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
+		ids: map[string]balancer.EndpointID{}, zones: names{}, models: names{}}
 	for _, z := range zones {
 		t.zones.index(z)
 	}
@@ -123,7 +123,7 @@
 // id numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
 // same at every sidecar, and no two share it. Others are hashed, and where two would share a number, the
 // later one moves on.
-func (t *endpoints) id(uid string) gingerlead.EndpointID {
+func (t *endpoints) id(uid string) balancer.EndpointID {
 	if id, ok := t.ids[uid]; ok {
 		return id
 	}
@@ -133,7 +133,7 @@
 		io.WriteString(h, uid)
 		n = uint64(h.Sum32())
 	}
-	id := gingerlead.EndpointID(n)
+	id := balancer.EndpointID(n)
 	for t.byID[id] != nil {
 		id++
 	}
@@ -154,14 +154,14 @@
 
 // update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
 // are of no more use.
-func (t *endpoints) update(l membership.List) (entries []gingerlead.Entry, retired []*exchange.Endpoint) {
-	listed := map[gingerlead.EndpointID]bool{}
+func (t *endpoints) update(l membership.List) (entries []balancer.Entry, retired []*exchange.Endpoint) {
+	listed := map[balancer.EndpointID]bool{}
 	for _, x := range l.Endpoints {
 		state := x.State
 		id := t.id(x.UID)
 		listed[id] = true
 		e := t.byID[id]
-		if e == nil || state == gingerlead.Ready && (e.Address != x.Address || e.BootMS != x.BootMS) {
+		if e == nil || state == balancer.Ready && (e.Address != x.Address || e.BootMS != x.BootMS) {
 			if e != nil {
 				e.Open.Store(false)
 				retired = append(retired, e)
@@ -170,17 +170,17 @@
 			t.put(e)
 		}
 		e.Zone, e.Cell = x.Zone, x.Cell
-		e.Open.Store(state == gingerlead.Ready)
-		if state != gingerlead.Ready {
+		e.Open.Store(state == balancer.Ready)
+		if state != balancer.Ready {
 			retired = append(retired, e)
 		}
-		if state == gingerlead.Gone {
+		if state == balancer.Gone {
 			t.forget(e)
 		}
-		entries = append(entries, gingerlead.Entry{Endpoint: id, Zone: t.zones.index(x.Zone), Kind: t.models.index(x.Model), Cell: x.Cell, State: state,
+		entries = append(entries, balancer.Entry{Endpoint: id, Zone: t.zones.index(x.Zone), Kind: t.models.index(x.Model), Cell: x.Cell, State: state,
 			Weight: x.Weight, Started: t.started(x.BootMS)})
 	}
-	if l.Kind != gingerlead.Delta {
+	if l.Kind != balancer.Delta {
 		for id, e := range t.byID {
 			if !listed[id] {
 				t.forget(e)
--- a/internal/sidecar/group.go
+++ b/internal/sidecar/group.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/files/store"
-	"gingerlead/internal/modules/peers"
+	"quincegap/internal/balancer"
+	"quincegap/internal/files/store"
+	"quincegap/internal/modules/peers"
 )
 
 // Peers is this sidecar among the others of its application.
@@ -76,8 +76,8 @@
 }
 
 // groupOf is a share as the Balancer takes it: members are numbers that all have alike.
-func groupOf(s *peers.Share) gingerlead.Group {
-	g := gingerlead.Group{Instances: s.Instances, Ordinal: s.Ordinal, Sharing: s.Sharing}
+func groupOf(s *peers.Share) balancer.Group {
+	g := balancer.Group{Instances: s.Instances, Ordinal: s.Ordinal, Sharing: s.Sharing}
 	for _, name := range s.Names {
 		h := fnv.New64a()
 		h.Write([]byte(name))
--- a/internal/sidecar/http3.go
+++ b/internal/sidecar/http3.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"gingerlead/internal/files/certfile"
-	"gingerlead/internal/files/secretfile"
-	"gingerlead/internal/network/http1"
-	"gingerlead/internal/network/http3"
+	"quincegap/internal/files/certfile"
+	"quincegap/internal/files/secretfile"
+	"quincegap/internal/network/http1"
+	"quincegap/internal/network/http3"
 )
 
 // openHTTP3 opens the front for HTTP/3; nil where none is set.
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/modules/membership"
-	"gingerlead/internal/modules/reach"
-	"gingerlead/internal/modules/route"
-	"gingerlead/internal/network/exchange"
-	"gingerlead/internal/network/http1"
+	"quincegap/internal/balancer"
+	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/reach"
+	"quincegap/internal/modules/route"
+	"quincegap/internal/network/exchange"
+	"quincegap/internal/network/http1"
 )
 
 const (
@@ -37,8 +37,8 @@
 	members   *membership.Members
 	due       time.Duration // when members are next looked at; 0 for never
 	unfollow  context.CancelFunc
-	balancer  *gingerlead.Balancer
-	requests  map[gingerlead.RequestID]*request
+	balancer  *balancer.Balancer
+	requests  map[balancer.RequestID]*request
 	past      past
 	endpoints *endpoints
 	http1     *http1.Transport // the usual one of ways
@@ -50,7 +50,7 @@
 
 // request is one request from its arrival until it is answered and its last attempt has ended.
 type request struct {
-	gingerlead.Request
+	balancer.Request
 	exchange.Inbound
 
 	deadline time.Time // when its attempts end, so that the last byte of its answer is out in time
@@ -73,7 +73,7 @@
 func newLoop(c *Config) (*loop, error) {
 	l := &loop{
 		events: make(chan func(), eventQueue), origin: time.Now().Add(-clockStart), config: c,
-		requests: map[gingerlead.RequestID]*request{},
+		requests: map[balancer.RequestID]*request{},
 		feed:     membership.Feed{MustAsk: c.Settings.MustAsk}, members: membership.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
 		unfollow: func() {},
 	}
@@ -95,7 +95,7 @@
 	}
 	settings := c.Settings.Settings
 	settings.SubsetMost = c.tuning.endpoints.SubsetMost
-	l.balancer, err = gingerlead.New(settings, c.Seed, l)
+	l.balancer, err = balancer.New(settings, c.Seed, l)
 	return l, err
 }
 
@@ -258,21 +258,21 @@
 	l.timed(a, res)
 	final := r.answered
 	if l.memory != nil {
-		mayRun := l.memory.after(l.now(), a, res.Status, res.Status == gingerlead.OK && !r.answered)
+		mayRun := l.memory.after(l.now(), a, res.Status, res.Status == balancer.OK && !r.answered)
 		if a.stopped && !r.answered {
 			final = true
 			l.finish(r, answer{refused: !mayRun, retryAfter: time.Second})
 		}
 	}
 	last, pause := false, time.Duration(0)
-	if r.route != nil && !final && res.Status != gingerlead.OK {
+	if r.route != nil && !final && res.Status != balancer.OK {
 		if r.route.Settings.Allows(res.Status) {
 			r.credit = r.credit || r.route.Repeat()
 		}
 		last = !r.credit
 		pause = r.route.Settings.PauseAfter(r.attempts, rand.Float64())
 	}
-	if res.Status == gingerlead.OK && !r.answered {
+	if res.Status == balancer.OK && !r.answered {
 		if final = true; r.route != nil {
 			r.route.Answered()
 		}
@@ -281,12 +281,12 @@
 	} else {
 		l.discard(res.Response)
 	}
-	l.balancer.Outcome(l.now(), gingerlead.Outcome{
+	l.balancer.Outcome(l.now(), balancer.Outcome{
 		ID: r.ID, Endpoint: a.Endpoint.ID, Attempt: a.number, Final: final,
 		Elapsed: res.Took, Status: res.Status, Load: res.Load, Last: last, Pause: pause,
 	})
 	l.forget(r)
-	if res.Status == gingerlead.ConnectFailed && l.members.Doubts() {
+	if res.Status == balancer.ConnectFailed && l.members.Doubts() {
 		l.told(l.members.Failed(l.now(), a.Endpoint.UID))
 	}
 }
@@ -328,13 +328,13 @@
 // past holds the ids of requests that have ended a short while ago. An id is new with every request: one that
 // comes again is another's, and endpoints may run it twice or turn it away.
 type past struct {
-	at  map[gingerlead.RequestID]time.Duration
-	ids []gingerlead.RequestID // in the order in which they ended
+	at  map[balancer.RequestID]time.Duration
+	ids []balancer.RequestID // in the order in which they ended
 }
 
-func (p *past) add(id gingerlead.RequestID, now time.Duration) {
+func (p *past) add(id balancer.RequestID, now time.Duration) {
 	if p.at == nil {
-		p.at = map[gingerlead.RequestID]time.Duration{}
+		p.at = map[balancer.RequestID]time.Duration{}
 	}
 	for len(p.ids) > 0 && (len(p.ids) >= pastMost || now-p.at[p.ids[0]] > pastFor) {
 		delete(p.at, p.ids[0])
@@ -344,14 +344,14 @@
 	p.ids = append(p.ids, id)
 }
 
-func (p *past) has(id gingerlead.RequestID, now time.Duration) bool {
+func (p *past) has(id balancer.RequestID, now time.Duration) bool {
 	at, ok := p.at[id]
 	return ok && now-at <= pastFor
 }
 
 // The methods below are the Host. They never block and never call the Balancer.
 
-func (l *loop) Send(id gingerlead.RequestID, to gingerlead.EndpointID, timeout time.Duration) {
+func (l *loop) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	r := l.requests[id]
 	a := newAttempt(r, l.endpoints.byID[to], timeout, &l.bodies)
 	r.attempts++
@@ -374,7 +374,7 @@
 	}
 	a.by, a.acquired, a.holds = by, c, ok
 	go func() {
-		res := exchange.Result{Status: gingerlead.Moot}
+		res := exchange.Result{Status: balancer.Moot}
 		switch {
 		case !ok:
 		case !a.gate.pass(a.Context):
@@ -390,20 +390,20 @@
 	}()
 }
 
-func (l *loop) Refuse(id gingerlead.RequestID, retryAfter time.Duration) {
+func (l *loop) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	l.end(id, answer{refused: true, retryAfter: retryAfter})
 }
 
-func (l *loop) Fail(id gingerlead.RequestID) { l.end(id, answer{}) }
+func (l *loop) Fail(id balancer.RequestID) { l.end(id, answer{}) }
 
-func (l *loop) end(id gingerlead.RequestID, a answer) {
+func (l *loop) end(id balancer.RequestID, a answer) {
 	if r := l.requests[id]; r != nil {
 		l.finish(r, a)
 		l.forget(r)
 	}
 }
 
-func (l *loop) Cancel(id gingerlead.RequestID, number int) {
+func (l *loop) Cancel(id balancer.RequestID, number int) {
 	if r := l.requests[id]; r != nil && r.out != nil && r.out.number == number {
 		r.out.cancel()
 	}
@@ -415,7 +415,7 @@
 	})
 }
 
-func (l *loop) Probe(to gingerlead.EndpointID) {
+func (l *loop) Probe(to balancer.EndpointID) {
 	e := l.endpoints.byID[to]
 	if e == nil {
 		return
@@ -424,7 +424,7 @@
 	go func() {
 		status := http1.Probe(e, l.config.Settings.ConnectTimeout)
 		l.post(func() {
-			l.balancer.Probed(l.now(), gingerlead.Probed{Endpoint: to, Status: status, Elapsed: time.Since(sent)})
+			l.balancer.Probed(l.now(), balancer.Probed{Endpoint: to, Status: status, Elapsed: time.Since(sent)})
 		})
 	}()
 }
@@ -445,7 +445,7 @@
 	}
 }
 
-func (l *loop) CloseIdle(to gingerlead.EndpointID) { l.ways.closeIdle(l.endpoints.byID[to]) }
+func (l *loop) CloseIdle(to balancer.EndpointID) { l.ways.closeIdle(l.endpoints.byID[to]) }
 
 func (l *loop) Log(text string) { log.Print(text) }
 
@@ -460,7 +460,7 @@
 	}
 	l.watcher.fetch()
 	if l.config.Settings.MustAsk {
-		l.balancer.Targets(l.now(), gingerlead.List{Kind: gingerlead.Failed}) // it watches in its own time
+		l.balancer.Targets(l.now(), balancer.List{Kind: balancer.Failed}) // it watches in its own time
 		return
 	}
 	l.watcher.start(nil)
@@ -500,11 +500,11 @@
 				l.ways.forget(e)
 			}
 		}
-		l.balancer.Targets(l.now(), gingerlead.List{Kind: list.Kind, Version: list.Version, Entries: entries})
+		l.balancer.Targets(l.now(), balancer.List{Kind: list.Kind, Version: list.Version, Entries: entries})
 		if l.memory != nil {
 			l.memory.listed(l.now(), list, l.endpoints.byID)
 		}
-		if list.Kind != gingerlead.Cached || len(entries) > 0 {
+		if list.Kind != balancer.Cached || len(entries) > 0 {
 			l.ready.Store(true)
 		}
 	}
@@ -570,5 +570,5 @@
 
 func (l *loop) listFailed(err error) {
 	log.Printf("discovery: %v", err)
-	l.balancer.Targets(l.now(), gingerlead.List{Kind: gingerlead.Failed})
+	l.balancer.Targets(l.now(), balancer.List{Kind: balancer.Failed})
 }
--- a/internal/sidecar/memory.go
+++ b/internal/sidecar/memory.go
@@ -12,13 +12,13 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/files/store"
-	"gingerlead/internal/modules/membership"
-	"gingerlead/internal/modules/recall"
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/files/store"
+	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/recall"
+	"quincegap/internal/network/exchange"
 )
 
 // Memory says what is remembered across a death, and where.
@@ -66,7 +66,7 @@
 	table    *recall.Table
 	store    *store.Store
 	goOn     []bool // by class: whether it goes on where nothing can be remembered
-	classes  []gingerlead.Class
+	classes  []balancer.Class
 	zones    names           // of the endpoints
 	kept     map[string]bool // uids of the list that is kept: the loop never reads the disk
 	listedAt time.Duration
@@ -153,7 +153,7 @@
 	if !ok || m.set.ListKeep == 0 {
 		return l, 0, false
 	}
-	l.Kind = gingerlead.Cached
+	l.Kind = balancer.Cached
 	if err := m.store.All(func(key, value []byte, _ time.Duration) bool {
 		var e membership.Endpoint
 		if key[0] == endpointMark && json.Unmarshal(value, &e) == nil {
@@ -168,12 +168,12 @@
 }
 
 // listed keeps what was told of endpoints.
-func (m *memory) listed(now time.Duration, l membership.List, all map[gingerlead.EndpointID]*exchange.Endpoint) {
-	if m.set.ListKeep == 0 || l.Kind == gingerlead.Cached {
+func (m *memory) listed(now time.Duration, l membership.List, all map[balancer.EndpointID]*exchange.Endpoint) {
+	if m.set.ListKeep == 0 || l.Kind == balancer.Cached {
 		return
 	}
 	var b store.Batch
-	if l.Kind == gingerlead.Whole {
+	if l.Kind == balancer.Whole {
 		there := map[string]bool{}
 		for _, e := range all {
 			there[e.UID] = true
@@ -187,7 +187,7 @@
 	}
 	for _, e := range l.Endpoints {
 		key := append([]byte{endpointMark}, e.UID...)
-		if text, err := json.Marshal(e); e.State == gingerlead.Gone {
+		if text, err := json.Marshal(e); e.State == balancer.Gone {
 			delete(m.kept, e.UID)
 			b.Delete(key)
 		} else if err == nil && len(key) <= store.MostKey && len(all) <= maxKept {
@@ -232,7 +232,7 @@
 
 // refuses tells whether a request has to be turned away because it could not be remembered.
 func (m *memory) refuses(now time.Duration, class int) bool {
-	if !m.ill.Load() || m.goOn[class] || m.classes[class].Effect == gingerlead.Safe {
+	if !m.ill.Load() || m.goOn[class] || m.classes[class].Effect == balancer.Safe {
 		return false
 	}
 	if now-m.triedAt >= time.Second { // nothing else may be written that could tell that the disk is well
@@ -247,9 +247,9 @@
 // id is what a request is remembered by; false for one that may run any number of times.
 func (m *memory) id(r *request) (id recall.ID, ok bool) {
 	switch c := &m.classes[r.Class]; c.Effect {
-	case gingerlead.Keyed:
+	case balancer.Keyed:
 		return recall.KeyedID(c.Name, r.Header.Get("Idempotency-Key")), true
-	case gingerlead.Unsafe:
+	case balancer.Unsafe:
 		return recall.RequestID(c.Name, r.ID), true
 	}
 	return id, false
@@ -262,7 +262,7 @@
 		return
 	}
 	if e, ok := m.table.Look(now, id); ok {
-		r.Earlier = gingerlead.Earlier{MayRun: true, Served: e.Served, Zone: m.zones.index(e.Zone), Cell: e.Cell, At: e.At}
+		r.Earlier = balancer.Earlier{MayRun: true, Served: e.Served, Zone: m.zones.index(e.Zone), Cell: e.Cell, At: e.At}
 	}
 }
 
@@ -334,7 +334,7 @@
 }
 
 // after notes how an attempt ended; it tells whether the request may have run.
-func (m *memory) after(now time.Duration, a *attempt, status gingerlead.Status, answered bool) (mayRun bool) {
+func (m *memory) after(now time.Duration, a *attempt, status balancer.Status, answered bool) (mayRun bool) {
 	id, ok := m.id(a.request)
 	if !ok {
 		return false
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/modules/route"
-	"gingerlead/internal/network/exchange"
-	"gingerlead/internal/network/http1"
+	"quincegap/internal/balancer"
+	"quincegap/internal/modules/route"
+	"quincegap/internal/network/exchange"
+	"quincegap/internal/network/http1"
 )
 
 const (
@@ -125,7 +125,7 @@
 		return
 	}
 	received := time.Now()
-	safe := s.config.Settings.Classes[req.Class].Effect == gingerlead.Safe
+	safe := s.config.Settings.Classes[req.Class].Effect == balancer.Safe
 	if c.Early() {
 		if !safe {
 			// Whoever recorded this can send it again, to this sidecar or another: it reaches nobody before the
@@ -175,7 +175,7 @@
 	if req, fault = s.read(r); fault != "" {
 		return nil, http.StatusBadRequest, fault
 	}
-	if s.tuning.Load().callers.TooEarly && r.Header.Get("Early-Data") == "1" && s.config.Settings.Classes[req.Class].Effect != gingerlead.Safe {
+	if s.tuning.Load().callers.TooEarly && r.Header.Get("Early-Data") == "1" && s.config.Settings.Classes[req.Class].Effect != balancer.Safe {
 		// A proxy in front took it before its caller had proved to be there: a replay of it would run twice.
 		return nil, http.StatusTooEarly, "too early: send it again when the handshake is complete"
 	}
@@ -192,7 +192,7 @@
 		}
 	}
 	req = &request{answer: make(chan answer, 1)}
-	req.ID = gingerlead.RequestID(r.Header.Get("X-Txn"))
+	req.ID = balancer.RequestID(r.Header.Get("X-Txn"))
 	if req.ID == "" || len(req.ID) > maxName {
 		return nil, "X-Txn: missing or too long"
 	}
@@ -216,10 +216,10 @@
 	if fault := s.takeRoute(r, req); fault != "" {
 		return nil, fault
 	}
-	if class.Effect == gingerlead.Keyed && r.Header.Get("Idempotency-Key") == "" {
+	if class.Effect == balancer.Keyed && r.Header.Get("Idempotency-Key") == "" {
 		return nil, "Idempotency-Key: missing" // endpoints could not drop a repeat
 	}
-	if (class.Effect == gingerlead.Safe) != (r.Method == http.MethodGet) || r.Method != http.MethodGet && r.Method != http.MethodPost {
+	if (class.Effect == balancer.Safe) != (r.Method == http.MethodGet) || r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return nil, r.Method + ": not the method of this class"
 	}
 	if cookie, err := r.Cookie("obj"); err == nil {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/modules/membership"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/membership"
 )
 
 // memoryShare is the part of the memory limit at which the collector works harder; the rest is for stacks
--- a/internal/sidecar/tables.go
+++ b/internal/sidecar/tables.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/modules/membership"
-	"gingerlead/internal/modules/route"
-	"gingerlead/internal/network/exchange"
-	"gingerlead/internal/network/http3"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/route"
+	"quincegap/internal/network/exchange"
+	"quincegap/internal/network/http3"
 )
 
 // Callers bounds what callers may do.
--- a/internal/sidecar/transports.go
+++ b/internal/sidecar/transports.go
@@ -4,9 +4,9 @@
 	"log"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/modules/reach"
-	"gingerlead/internal/network/exchange"
+	"quincegap/internal/balancer"
+	"quincegap/internal/modules/reach"
+	"quincegap/internal/network/exchange"
 )
 
 // transports are the ways to endpoints. The loop owns them.
@@ -38,7 +38,7 @@
 		if res.Elsewhere {
 			return t.usual
 		}
-	case res.Status == gingerlead.Moot:
+	case res.Status == balancer.Moot:
 		t.reach.Undecided(a.Endpoint.Address)
 	default:
 		t.reach.Worked(a.Endpoint.Address)
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -13,7 +13,7 @@
 	"sync"
 	"syscall"
 
-	"gingerlead/internal/files/store"
+	"quincegap/internal/files/store"
 )
 
 // ErrDead is what all calls fail with after the power has gone.
--- a/internal/structures/arcs/arcs.go
+++ b/internal/structures/arcs/arcs.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"gingerlead/internal/structures/rendezvous"
+	"quincegap/internal/structures/rendezvous"
 )
 
 // Share is an owner's: of each item as many owners as Copies have it, whatever the ids. The items are shared out in
