--- a/internal/tool/commands.go
+++ b/internal/tool/commands.go
@@ -9,12 +9,12 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/config/apps"
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/files/atomicfile"
-	"gingerlead/internal/product"
+	"quincegap/internal/config/apps"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/files/atomicfile"
+	"quincegap/internal/product"
 )
 
 //go:embed apps.toml
--- a/internal/tool/demo.go
+++ b/internal/tool/demo.go
@@ -17,9 +17,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/config/doc"
-	"gingerlead/internal/files/atomicfile"
-	"gingerlead/internal/standin/booking"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/files/atomicfile"
+	"quincegap/internal/standin/booking"
 )
 
 const (
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/rehearsal/experiment"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/rehearsal/report"
+	"quincegap/internal/rehearsal/experiment"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/report"
 )
 
 // loadSteps is at how many loads a range is played.
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/rehearsal/audit"
-	"gingerlead/internal/rehearsal/fleet"
-	"gingerlead/internal/rehearsal/report"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/fleet"
+	"quincegap/internal/rehearsal/report"
 )
 
 type fleetOptions struct {
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/network/admin"
-	"gingerlead/internal/product"
+	"quincegap/internal/network/admin"
+	"quincegap/internal/product"
 )
 
 const mostDump = 64 << 20
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/modules/peers"
-	"gingerlead/internal/network/admin"
+	"quincegap/internal/modules/peers"
+	"quincegap/internal/network/admin"
 )
 
 func (c *command) peers() *cobra.Command {
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -15,12 +15,12 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/product"
-	"gingerlead/internal/rehearsal/dryrun"
-	"gingerlead/internal/rehearsal/morning"
-	"gingerlead/internal/rehearsal/rehearse"
-	"gingerlead/internal/rehearsal/report"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/product"
+	"quincegap/internal/rehearsal/dryrun"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/rehearse"
+	"quincegap/internal/rehearsal/report"
 )
 
 // Voided is the exit code of a rehearsal that says nothing: the emulator itself was too slow.
--- a/internal/tool/route.go
+++ b/internal/tool/route.go
@@ -10,11 +10,11 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/config/appfile"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/config/schema"
-	"gingerlead/internal/modules/route"
-	"gingerlead/internal/product"
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/route"
+	"quincegap/internal/product"
 )
 
 func (c *command) route() *cobra.Command {
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/files/store"
-	"gingerlead/internal/modules/recall"
+	"quincegap/internal/files/store"
+	"quincegap/internal/modules/recall"
 )
 
 func (c *command) store() *cobra.Command {
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
-	"gingerlead/internal/config/apps"
-	"gingerlead/internal/config/finding"
-	"gingerlead/internal/files/atomicfile"
-	"gingerlead/internal/product"
+	"quincegap/internal/config/apps"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/files/atomicfile"
+	"quincegap/internal/product"
 )
 
 // The exit codes.
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/config/settings"
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/settings"
 )
 
 // fields takes the values off a line one by one. The first that is missing or
@@ -103,16 +103,16 @@
 
 func (f *fields) time(field string) time.Duration { return settings.Micros(f.number(field)) }
 
-func (f *fields) id(field string) gingerlead.RequestID {
-	return gingerlead.RequestID(f.value(field))
+func (f *fields) id(field string) balancer.RequestID {
+	return balancer.RequestID(f.value(field))
 }
 
-func (f *fields) endpoint() gingerlead.EndpointID {
+func (f *fields) endpoint() balancer.EndpointID {
 	n := f.number("endpoint")
 	if f.err == nil && (n < 0 || n > math.MaxUint32) {
 		f.fail("endpoint", "out of range")
 	}
-	return gingerlead.EndpointID(n)
+	return balancer.EndpointID(n)
 }
 
 func (f *fields) flag(field string) bool {
@@ -123,46 +123,46 @@
 	return n == 1
 }
 
-func (f *fields) status() gingerlead.Status {
+func (f *fields) status() balancer.Status {
 	switch n := f.number("ending"); n {
 	case 100:
-		return gingerlead.OK
+		return balancer.OK
 	case 301:
-		return gingerlead.Error
+		return balancer.Error
 	case 302:
-		return gingerlead.Full
+		return balancer.Full
 	case 303:
-		return gingerlead.Timeout
+		return balancer.Timeout
 	case 304:
-		return gingerlead.ConnectFailed
+		return balancer.ConnectFailed
 	case 305:
-		return gingerlead.Reset
+		return balancer.Reset
 	case 306:
-		return gingerlead.Cancelled
+		return balancer.Cancelled
 	case 307:
-		return gingerlead.Moot
+		return balancer.Moot
 	default:
 		f.fail("ending", fmt.Sprintf("unknown outcome %d", n))
-		return gingerlead.Error
+		return balancer.Error
 	}
 }
 
-func (f *fields) state() gingerlead.State {
+func (f *fields) state() balancer.State {
 	switch n := f.number("mode"); n {
 	case 2:
-		return gingerlead.Ready
+		return balancer.Ready
 	case 0:
-		return gingerlead.Draining
+		return balancer.Draining
 	case 1:
-		return gingerlead.Gone
+		return balancer.Gone
 	default:
 		f.fail("mode", fmt.Sprintf("unknown state %d", n))
-		return gingerlead.Gone
+		return balancer.Gone
 	}
 }
 
 // load reads a load report; nil where there is none.
-func (f *fields) load() *gingerlead.Load {
+func (f *fields) load() *balancer.Load {
 	p := f.part()
 	if len(p) == 0 {
 		f.fail("pressure", "missing")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
-	"gingerlead"
-	"gingerlead/internal/config/settings"
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/settings"
 )
 
 // maxLists is how many numbered lists the protocol has.
@@ -28,20 +28,18 @@
 	line      int
 	now       time.Duration
 	instances map[int64]*instance
-	lists     [maxLists][]gingerlead.Entry
+	lists     [maxLists][]balancer.Entry
 	listed    [maxLists]bool
 	noted     map[string]bool
 	buf       []byte // the line being read
 	scratch   []byte // the action being written
 }
 
-type balancer = gingerlead.Balancer
-
 // instance is one sidecar's Balancer and its Host.
 type instance struct {
 	s       *server
 	number  int64
-	b       *balancer
+	b       *balancer.Balancer
 	classes int
 }
 
@@ -133,7 +131,7 @@
 func (s *server) noteOnce(text string) {
 	if !s.noted[text] {
 		s.noted[text] = true
-		fmt.Fprintln(s.notes, "gingerlead-sim: "+text)
+		fmt.Fprintln(s.notes, "balancer-sim: "+text)
 	}
 }
 
@@ -170,14 +168,14 @@
 }
 
 // decode reads an event's fields and returns its delivery to a Balancer.
-func (s *server) decode(f *fields, in *instance) func(*balancer) {
+func (s *server) decode(f *fields, in *instance) func(*balancer.Balancer) {
 	now := s.now
 	switch f.name {
 	case "targets":
 		l := s.list(f)
-		return func(b *balancer) { b.Targets(now, l) }
+		return func(b *balancer.Balancer) { b.Targets(now, l) }
 	case "knock":
-		r := gingerlead.Request{ID: f.id("corr"), Class: int(f.number("type")),
+		r := balancer.Request{ID: f.id("corr"), Class: int(f.number("type")),
 			Tenant: int(f.optional("userGroup")), Key: f.optionalText(), Left: f.time("left"),
 			Hint: settings.Micros(f.optional("workHint"))}
 		bits := f.optional("attrs")
@@ -188,29 +186,29 @@
 			r.Hint = 0
 		}
 		r.Repeat, r.Write = bits&2 != 0, bits&4 != 0
-		return func(b *balancer) { b.Request(now, r) }
+		return func(b *balancer.Balancer) { b.Request(now, r) }
 	case "begun":
 		id, n := f.id("corr"), int(f.number("n"))
 		ep := f.endpoint()
 		f.time("elapsed")
-		return func(b *balancer) { b.Begun(now, id, n, ep) }
+		return func(b *balancer.Balancer) { b.Begun(now, id, n, ep) }
 	case "closed_attempt":
-		o := gingerlead.Outcome{ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
+		o := balancer.Outcome{ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
 			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load()}
-		return func(b *balancer) { b.Outcome(now, o) }
+		return func(b *balancer.Balancer) { b.Outcome(now, o) }
 	case "lapsed":
 		id := f.id("corr")
-		return func(b *balancer) { b.Lapsed(now, id) }
+		return func(b *balancer.Balancer) { b.Lapsed(now, id) }
 	case "wake":
 		token := uint64(f.number("label"))
-		return func(b *balancer) { b.Timer(now, token) }
+		return func(b *balancer.Balancer) { b.Timer(now, token) }
 	case "echo":
-		p := gingerlead.Probed{Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
+		p := balancer.Probed{Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
 			Load: f.load()}
-		return func(b *balancer) { b.Probed(now, p) }
+		return func(b *balancer.Balancer) { b.Probed(now, p) }
 	default: // inbox
 		from, data := int(f.number("by")), f.bytes()
-		return func(b *balancer) { b.Told(now, from, data) }
+		return func(b *balancer.Balancer) { b.Told(now, from, data) }
 	}
 }
 
@@ -231,7 +229,7 @@
 		s.noteOnce("unknown settings key " + k + " passed over")
 	}
 	in := &instance{s: s, number: n, classes: len(config.Classes)}
-	in.b, err = gingerlead.New(config.Settings, uint64(seed), in)
+	in.b, err = balancer.New(config.Settings, uint64(seed), in)
 	if err != nil {
 		return s.malformed(f.name, "config", err.Error())
 	}
@@ -241,7 +239,7 @@
 
 // guard delivers an event and reports a panic of the module on the wire; the
 // instance it struck gets no further events.
-func (in *instance) guard(deliver func(*balancer)) {
+func (in *instance) guard(deliver func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := bytes.Map(func(r rune) rune {
@@ -259,11 +257,11 @@
 	}
 }
 
-var listKinds = []gingerlead.ListKind{gingerlead.Delta, gingerlead.Whole, gingerlead.Cached, gingerlead.Failed}
+var listKinds = []balancer.ListKind{balancer.Delta, balancer.Whole, balancer.Cached, balancer.Failed}
 
 // list reads the fields of a targets event and resolves its list number.
-func (s *server) list(f *fields) gingerlead.List {
-	var l gingerlead.List
+func (s *server) list(f *fields) balancer.List {
+	var l balancer.List
 	kind := f.number("kind")
 	if f.err == nil && (kind < 0 || kind >= int64(len(listKinds))) {
 		f.fail("kind", "unknown list kind")
@@ -274,7 +272,7 @@
 	l.Kind = listKinds[kind]
 	buffer := f.optional("buffer")
 	l.Version = uint64(f.optional("version"))
-	if l.Kind == gingerlead.Failed || f.err != nil {
+	if l.Kind == balancer.Failed || f.err != nil {
 		return l
 	}
 	if buffer < 0 || buffer >= maxLists || !s.listed[buffer] {
@@ -297,7 +295,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	var entries []gingerlead.Entry // a fresh one: a Balancer may still hold the old
+	var entries []balancer.Entry // a fresh one: a Balancer may still hold the old
 	for i := int64(0); i < rows; i++ {
 		item, err := s.next()
 		if errors.Is(err, io.EOF) || err == nil && item.name != "item" {
@@ -306,7 +304,7 @@
 		if err != nil {
 			return err
 		}
-		entries = append(entries, gingerlead.Entry{Endpoint: item.endpoint(), Zone: int(item.number("area")),
+		entries = append(entries, balancer.Entry{Endpoint: item.endpoint(), Zone: int(item.number("area")),
 			Kind: int(item.number("kind")), Cell: int(item.number("stripe")), State: item.state(),
 			Weight: item.float("units"), Started: settings.Micros(item.optional("cameUp"))})
 		if item.err != nil {
@@ -337,17 +335,17 @@
 
 // The methods below are the Host.
 
-func (in *instance) Send(id gingerlead.RequestID, to gingerlead.EndpointID, timeout time.Duration) {
+func (in *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	in.action("dispatch", string(id), int64(to), timeout.Microseconds())
 }
 
-func (in *instance) Refuse(id gingerlead.RequestID, retryAfter time.Duration) {
+func (in *instance) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	in.action("overload_reply", string(id), retryAfter.Microseconds())
 }
 
-func (in *instance) Fail(id gingerlead.RequestID) { in.action("end_failed", string(id)) }
+func (in *instance) Fail(id balancer.RequestID) { in.action("end_failed", string(id)) }
 
-func (in *instance) Cancel(id gingerlead.RequestID, attempt int) {
+func (in *instance) Cancel(id balancer.RequestID, attempt int) {
 	in.action("retract", string(id), int64(attempt))
 }
 
@@ -355,7 +353,7 @@
 	in.action("remind", "", int64(token), after.Microseconds())
 }
 
-func (in *instance) Probe(to gingerlead.EndpointID) { in.action("check", "", int64(to)) }
+func (in *instance) Probe(to balancer.EndpointID) { in.action("check", "", int64(to)) }
 
 func (in *instance) Tell(peer int, data []byte) {
 	text := "-"
@@ -375,7 +373,7 @@
 
 func (in *instance) Fetch() { in.action("query_all", "") }
 
-func (in *instance) CloseIdle(to gingerlead.EndpointID) { in.action("release", "", int64(to)) }
+func (in *instance) CloseIdle(to balancer.EndpointID) { in.action("release", "", int64(to)) }
 
 func (in *instance) Log(text string) {
 	fmt.Fprintf(in.s.out, "trace %d %s\n", in.number, text)
