--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,7 @@
 
 # The long plays, a few minutes: more random mornings, more crashes of the store, 50 kills amid bookings.
 soak:
-	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m ./internal/balancer ./internal/rehearsal/dryrun ./internal/files/store ./internal/modules/recall
+	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m ./internal/balancer ./internal/rehearsal/dryrun ./internal/files/store ./internal/modules/idempotency
 	SOAK=1 go test -count=1 -timeout 30m ./internal/rehearsal/fleet ./internal/network/gossip ./internal/mesh/control/consensus \
 		./internal/mesh/control/storage ./internal/mesh/control/lease ./internal/mesh/control/controlplane ./internal/mesh/dataplane/outbound
 	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m -run 'Killed|RandomFaults' ./cmd/quincegap
--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"quincegap/internal/wire"
+	"quincegap/internal/simadapter"
 )
 
 func main() {
-	if err := wire.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "balancer-sim: "+err.Error())
 		os.Exit(1)
 	}
--- a/cmd/quincegap/main.go
+++ b/cmd/quincegap/main.go
@@ -10,7 +10,7 @@
 
 	"quincegap/internal/lifecycle"
 	"quincegap/internal/product"
-	"quincegap/internal/sidecar"
+	"quincegap/internal/standalone"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 	config, err := product.Sidecar(*file, os.Getenv)
 	if err == nil {
-		err = sidecar.Run(config, signals.Terminate, signals.Reload)
+		err = standalone.Run(config, signals.Terminate, signals.Reload)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "quincegap: "+err.Error())
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"quincegap/internal/structures/arcs"
-	"quincegap/internal/structures/due"
-	"quincegap/internal/structures/odds"
-	"quincegap/internal/structures/ring"
+	"quincegap/internal/structures/deadlinequeue"
+	"quincegap/internal/structures/hashring"
+	"quincegap/internal/structures/weightedring"
+	"quincegap/internal/structures/weightedsample"
 )
 
 // This file keeps the listed endpoints where decisions find them without a walk over the list; it decides nothing.
@@ -41,31 +41,31 @@
 
 // fleet is the standing order of the endpoints that a request may go to.
 type fleet struct {
-	ring     ring.Ring[*endpoint] // those that do not leave, with the weights that the subsets go by
-	mine     []*endpoint          // those with a part in the subset, unless
-	whole    bool                 // it holds all there are
-	stale    bool                 // the subset is to be worked out again
+	ring     weightedring.Ring[*endpoint] // those that do not leave, with the weights that the subsets go by
+	mine     []*endpoint                  // those with a part in the subset, unless
+	whole    bool                         // it holds all there are
+	stale    bool                         // the subset is to be worked out again
 	cells    map[int][]*endpoint
 	zones    map[int]int // how many are in each
-	pools    [pools]odds.Pool[*endpoint]
-	warmSum  float64              // of the odds in warmPool, as they were settled
-	ramps    due.Queue[*endpoint] // ramping ones, by when their bound is to be looked at
-	trials   due.Queue[*endpoint] // isolated ones without a call, by when a trial is due
-	weights  map[float64]int      // listed weights, and how many have each
-	slack    float64              // at least 1
-	looks    int                  // at the slack, by answers
-	everyone []*endpoint          // room for a list of all
-	resting  due.Queue[*request]  // to be held when their pause is over
-	short    bool                 // instances together do not reach all
-	arced    bool                 // the subset is by ids,
-	arc      arcs.Share           // those that this has
-	few      int                  // endpoints that are looked at one by one
-	sharing  float64              // instances that what all together may do is divided by
-	group    *arcs.Group          // what the subsets by ids go by; nil for ordinals
-	dry      [2]bool              // a look at the subset, and one at all, was in vain
-	freed    *endpoint            // that the latest answer since came from
-	news     []*endpoint          // those that the list which is taken in names first
-	left     []*endpoint          // those that had a part before the subset was worked out again
+	pools    [pools]weightedsample.Pool[*endpoint]
+	warmSum  float64                        // of the odds in warmPool, as they were settled
+	ramps    deadlinequeue.Queue[*endpoint] // ramping ones, by when their bound is to be looked at
+	trials   deadlinequeue.Queue[*endpoint] // isolated ones without a call, by when a trial is due
+	weights  map[float64]int                // listed weights, and how many have each
+	slack    float64                        // at least 1
+	looks    int                            // at the slack, by answers
+	everyone []*endpoint                    // room for a list of all
+	resting  deadlinequeue.Queue[*request]  // to be held when their pause is over
+	short    bool                           // instances together do not reach all
+	arced    bool                           // the subset is by ids,
+	arc      hashring.Share                 // those that this has
+	few      int                            // endpoints that are looked at one by one
+	sharing  float64                        // instances that what all together may do is divided by
+	group    *hashring.Group                // what the subsets by ids go by; nil for ordinals
+	dry      [2]bool                        // a look at the subset, and one at all, was in vain
+	freed    *endpoint                      // that the latest answer since came from
+	news     []*endpoint                    // those that the list which is taken in names first
+	left     []*endpoint                    // those that had a part before the subset was worked out again
 }
 
 // place is where the fleet has an endpoint.
@@ -371,7 +371,7 @@
 
 // drawOne draws one endpoint from the pools, by the bounds of the odds, and takes it with the probability that
 // makes that a draw by the odds.
-func (b *Balancer) drawOne(now time.Duration, pools []odds.Pool[*endpoint]) (*endpoint, bool) {
+func (b *Balancer) drawOne(now time.Duration, pools []weightedsample.Pool[*endpoint]) (*endpoint, bool) {
 	total := 0.0
 	for i := range pools {
 		total += pools[i].Total()
@@ -482,12 +482,12 @@
 // arcs is this instance's share at a width. Where a bound makes it smaller than its tier's, the owners that an endpoint
 // has go by the length of the list, which moves all arcs; so they are rounded down to powers of the fourth root of 2,
 // and stay as they are through most changes.
-func (b *Balancer) arcs(wide float64) arcs.Share {
+func (b *Balancer) arcs(wide float64) hashring.Share {
 	copies := float64(callers)
 	if c := b.seats * float64(b.set.Instances) / float64(b.ring.Len()); c < copies-1e-9 {
 		copies = min(copies, math.Exp2(math.Floor(4*math.Log2(c)+1e-9)/4))
 	}
-	return arcs.Share{Owner: b.set.Ordinal, Owners: b.set.Instances, Copies: copies, Wide: wide, Group: b.group}
+	return hashring.Share{Owner: b.set.Ordinal, Owners: b.set.Instances, Copies: copies, Wide: wide, Group: b.group}
 }
 
 // Regroup takes which instances there are by now, in place of Settings.Instances and Ordinal. Endpoints that the subset
@@ -502,7 +502,7 @@
 	b.sharing = float64(max(g.Sharing, g.Instances))
 	b.group = nil
 	if len(g.Members) > 0 {
-		b.group = arcs.NewGroup(g.Self, g.Members)
+		b.group = hashring.NewGroup(g.Self, g.Members)
 	}
 	if b.tenants != nil && b.sharing != was {
 		for i := range b.tenants {
--- a/internal/modules/membership/feed.go
+++ b/internal/modules/endpointsource/feed.go
@@ -1,4 +1,4 @@
-package membership
+package endpointsource
 
 // Origin is where a list of the platform's came from.
 type Origin int
--- a/internal/modules/membership/membership.go
+++ b/internal/modules/endpointsource/membership.go
@@ -1,10 +1,10 @@
-// Package membership judges what sources of endpoints say: the platform's
+// Package endpointsource judges what sources of endpoints say: the platform's
 // watch, Consul, the last known list. It makes the one list that the decision
 // module is told. It does no I/O and reads no clock: each event comes with the
 // time, counted from an arbitrary start.
 //
 // docs/consul-design.md states the rules; each stands here once.
-package membership
+package endpointsource
 
 import (
 	"cmp"
--- a/internal/modules/recall/recall.go
+++ b/internal/modules/idempotency/recall.go
@@ -1,8 +1,8 @@
-// Package recall remembers which requests may have run, so that what a sidecar
+// Package idempotency remembers which requests may have run, so that what a sidecar
 // knew when it died still binds the one that follows it. It does no I/O: it
 // says what is to be kept before an attempt goes out and after it has ended, and
 // is told at a start what was kept.
-package recall
+package idempotency
 
 import (
 	"crypto/sha256"
@@ -12,7 +12,7 @@
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/structures/due"
+	"quincegap/internal/structures/deadlinequeue"
 )
 
 // ID names a request over its repeats: what its Idempotency-Key, or for want of one its own id, comes to. Keys may
@@ -76,7 +76,7 @@
 type Table struct {
 	most    int
 	entries map[ID]*Entry
-	ends    due.Queue[ID]
+	ends    deadlinequeue.Queue[ID]
 }
 
 // NewTable makes one with a bound on its entries.
--- a/internal/modules/recall/recall_test.go
+++ b/internal/modules/idempotency/recall_test.go
@@ -1,4 +1,4 @@
-package recall
+package idempotency
 
 import (
 	"math/rand/v2"
--- a/internal/modules/reach/golden_test.go
+++ b/internal/modules/protocolfallback/golden_test.go
@@ -1,4 +1,4 @@
-package reach
+package protocolfallback
 
 import (
 	"crypto/sha256"
--- a/internal/modules/reach/reach.go
+++ b/internal/modules/protocolfallback/reach.go
@@ -1,8 +1,8 @@
-// Package reach remembers by which protocol an endpoint can be reached. HTTP/3
+// Package protocolfallback remembers by which protocol an endpoint can be reached. HTTP/3
 // runs over UDP, which networks block more often than TCP, and in silence; a
 // sidecar that tried it anew with each attempt would lose a handshake's patience
 // each time. The package does no I/O and takes the time as an argument.
-package reach
+package protocolfallback
 
 import "time"
 
--- a/internal/modules/reach/reach_test.go
+++ b/internal/modules/protocolfallback/reach_test.go
@@ -1,4 +1,4 @@
-package reach
+package protocolfallback
 
 import (
 	"fmt"
--- a/internal/modules/turns/turns.go
+++ b/internal/modules/timeslot/turns.go
@@ -1,4 +1,4 @@
-// Package turns says whose turn it is, among members that tell one another nothing, to do what is needed once and not once a
+// Package timeslot says whose turn it is, among members that tell one another nothing, to do what is needed once and not once a
 // member: a trial call at an isolated endpoint, a warm-up, asking for a list. It does no I/O and reads no clock.
 //
 // Time is cut into slots by each member's own clock. In each slot the members stand in an order of its own, by rendezvous hash of
@@ -14,7 +14,7 @@
 //
 // It needs no message. It does harm where the members that are known have little to do with those that there are: with a number
 // far too high nobody may have a turn for long.
-package turns
+package timeslot
 
 import (
 	"time"
--- a/internal/modules/turns/turns_test.go
+++ b/internal/modules/timeslot/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package timeslot
 
 import (
 	"math"
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"quincegap/internal/config/schema"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/modules/peers"
 )
 
@@ -52,9 +52,9 @@
 
 // Members is what the view shows.
 type Members struct {
-	Name      string           `json:"name"`
-	Source    string           `json:"source"`
-	Endpoints []membership.Row `json:"endpoints"`
+	Name      string               `json:"name"`
+	Source    string               `json:"source"`
+	Endpoints []endpointsource.Row `json:"endpoints"`
 }
 
 // Views are what is served. Those that are nil are not found.
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -12,13 +12,13 @@
 
 	"go.uber.org/goleak"
 
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func look() (Members, bool) {
-	return Members{Name: "front", Source: "consul", Endpoints: []membership.Row{{UID: "a", State: "ready", Weight: 1}}}, true
+	return Members{Name: "front", Source: "consul", Endpoints: []endpointsource.Row{{UID: "a", State: "ready", Weight: 1}}}, true
 }
 
 func TestServeAndAsk(t *testing.T) {
--- a/internal/network/consul/consul_test.go
+++ b/internal/network/consul/consul_test.go
@@ -23,7 +23,7 @@
 	"go.uber.org/goleak"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	standin "quincegap/internal/standin/consul"
 )
 
@@ -59,7 +59,7 @@
 		for _, x := range c.checks {
 			i.Checks = append(i.Checks, struct{ CheckID, Status string }(x))
 		}
-		var e membership.Endpoint
+		var e endpointsource.Endpoint
 		new(Settings).health(&i, &e)
 		if e.State != c.state || e.Weight != c.weight || e.Share != c.share || e.Maintenance != c.maintenance || e.Why != c.why {
 			t.Errorf("%v: got %+v", c.checks, e)
@@ -112,8 +112,8 @@
 	t       *testing.T
 	agents  []*standin.Server
 	events  chan func()
-	known   map[string]membership.Endpoint
-	answers []membership.Answer
+	known   map[string]endpointsource.Endpoint
+	answers []endpointsource.Answer
 	heard   int
 	stop    func()
 }
@@ -131,13 +131,13 @@
 	if change != nil {
 		change(&s)
 	}
-	w, err := New(s, membership.Consul, func(p string) string { return p })
+	w, err := New(s, endpointsource.Consul, func(p string) string { return p })
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.back = 50 * time.Millisecond
-	r := &rig{t: t, agents: agents, events: make(chan func(), 1000), known: map[string]membership.Endpoint{}}
-	w.Tell = func(a membership.Answer) {
+	r := &rig{t: t, agents: agents, events: make(chan func(), 1000), known: map[string]endpointsource.Endpoint{}}
+	w.Tell = func(a endpointsource.Answer) {
 		r.events <- func() {
 			r.answers = append(r.answers, a)
 			for _, e := range a.Changed {
@@ -545,7 +545,7 @@
 	}
 	s := *Table.Default()
 	s.Agents, s.TLS, s.CAFile = "127.0.0.1:1", true, filepath.Join(t.TempDir(), "none")
-	if _, err := New(s, membership.Consul, func(p string) string { return p }); err == nil {
+	if _, err := New(s, endpointsource.Consul, func(p string) string { return p }); err == nil {
 		t.Error("a missing CA passes")
 	}
 }
@@ -596,7 +596,7 @@
 	f.Add([]byte(`[{"Service":{"ID":"x","Address":"h","Port":65536}},{"Service":null},null]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := Table.Default()
-		by, faults, n := map[string]membership.Endpoint{}, []string(nil), 0
+		by, faults, n := map[string]endpointsource.Endpoint{}, []string(nil), 0
 		err := each(bytes.NewReader(text), 20, func(i *instance) {
 			n++
 			faults = s.add(by, i, true, faults)
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"strconv"
 
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 // mostFound bounds the addresses of one search.
@@ -18,7 +18,7 @@
 // answers tells. s.Service and s.Tag are not used.
 func Find(ctx context.Context, s Settings, service string, resolve func(string) string) (addresses []string, err error) {
 	s.Service, s.Tag = service, ""
-	w, err := New(s, membership.Consul, resolve)
+	w, err := New(s, endpointsource.Consul, resolve)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/network/consul/read.go
+++ b/internal/network/consul/read.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 // Bounds on what an answer may make grow.
@@ -62,7 +62,7 @@
 }
 
 // endpoint maps an instance, or says why it cannot be used.
-func (s *Settings) endpoint(i *instance, qualified bool) (e membership.Endpoint, fault string) {
+func (s *Settings) endpoint(i *instance, qualified bool) (e endpointsource.Endpoint, fault string) {
 	e.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
 	host := cmp.Or(i.Service.Address, i.Node.Address)
 	switch {
@@ -97,7 +97,7 @@
 
 // health sets the state and the weight: the worst of all checks, the node's and the service's. Maintenance
 // modes are checks with names of their own (Consul's API, Agent, "Enable Maintenance Mode").
-func (s *Settings) health(i *instance, e *membership.Endpoint) {
+func (s *Settings) health(i *instance, e *endpointsource.Endpoint) {
 	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), mostWeight)
 	warning := min(max(i.Service.Weights.Warning, 0), mostWeight)
 	e.Weight, e.Share = float64(passing), 1
@@ -132,7 +132,7 @@
 }
 
 // add maps an instance into an answer. Faults tell what was passed over.
-func (s *Settings) add(by map[string]membership.Endpoint, i *instance, qualified bool, faults []string) []string {
+func (s *Settings) add(by map[string]endpointsource.Endpoint, i *instance, qualified bool, faults []string) []string {
 	const mostFaults = 10
 	e, fault := s.endpoint(i, qualified)
 	if fault != "" {
@@ -148,7 +148,7 @@
 }
 
 // diff is what one answer changes of the one before.
-func diff(before, after map[string]membership.Endpoint) (a membership.Answer) {
+func diff(before, after map[string]endpointsource.Endpoint) (a endpointsource.Answer) {
 	a.Known = len(before)
 	n := 0
 	for uid, e := range after {
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -8,7 +8,7 @@
 
 	"quincegap/internal/config/appfile"
 	"quincegap/internal/config/schema"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 // Consistency is how a read is answered (Consul's API, Consistency Modes).
@@ -102,11 +102,11 @@
 	schema.String("uid_meta", func(s *Settings) *string { return &s.UIDMeta }, schema.Text{Example: "uid"}, schema.OnReload,
 		"The field with the name that discovery has for it; its service ID where it is left out."),
 ).Check(func(f *schema.File, _ string, s *Settings, report schema.Reporter) {
-	source := membership.Table.In(f).Mode
+	source := endpointsource.Table.In(f).Mode
 	switch {
-	case source != membership.Platform && s.Agents == "":
+	case source != endpointsource.Platform && s.Agents == "":
 		report("agents", "missing: membership.source is %s (%s)", source, f.Place("membership", "source"))
-	case source != membership.Platform && s.Service == "":
+	case source != endpointsource.Platform && s.Service == "":
 		report("service", "missing: membership.source is %s (%s)", source, f.Place("membership", "source"))
 	case (s.CertFile == "") != (s.KeyFile == ""):
 		report("tls_cert_file", "a certificate and its key go together: tls_cert_file and tls_key_file")
--- a/internal/network/consul/watch.go
+++ b/internal/network/consul/watch.go
@@ -22,7 +22,7 @@
 
 	"quincegap/internal/files/certfile"
 	"quincegap/internal/files/secretfile"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 const (
@@ -49,10 +49,10 @@
 	transports []*http.Transport
 	// Tell takes what an answer changes, Heard that one came that changes nothing. They must not block for long:
 	// the next question waits for them.
-	Tell  func(membership.Answer)
+	Tell  func(endpointsource.Answer)
 	Heard func()
 
-	before   map[string]membership.Endpoint
+	before   map[string]endpointsource.Endpoint
 	doubt    doubt
 	sayMu    sync.Mutex
 	logged   map[string]time.Time // guarded by sayMu
@@ -63,9 +63,9 @@
 
 // New makes a watcher; resolve turns a path of the settings into one to open. Files are read when they are
 // needed, but for those of TLS.
-func New(s Settings, mode membership.Mode, resolve func(string) string) (*Watcher, error) {
-	w := &Watcher{set: s, resolve: resolve, qualified: mode == membership.Consul, agents: s.agents(),
-		before: map[string]membership.Endpoint{}, logged: map[string]time.Time{}, back: returnAfter}
+func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
+	w := &Watcher{set: s, resolve: resolve, qualified: mode == endpointsource.Consul, agents: s.agents(),
+		before: map[string]endpointsource.Endpoint{}, logged: map[string]time.Time{}, back: returnAfter}
 	w.doubt.w = w
 	var conf *tls.Config
 	scheme := "http"
@@ -266,7 +266,7 @@
 		if w.leader && mode == Stale {
 			mode = Default
 		}
-		after, faults := map[string]membership.Endpoint{}, []string(nil)
+		after, faults := map[string]endpointsource.Endpoint{}, []string(nil)
 		wait := w.set.Wait - rand.N(w.set.Wait/8+1)
 		path := "/v1/health/service/" + url.PathEscape(w.set.Service)
 		m, err := w.ask(ctx, agent, path, "Service.Tags", index, hash, wait, mode, func(body io.Reader) error {
@@ -308,7 +308,7 @@
 
 // take reads an answer and tells what it changes. What it tells waits for nothing: an answer that lacks too
 // many may hold the word that another one is critical.
-func (w *Watcher) take(agent int, after map[string]membership.Endpoint, faults []string, m meta) {
+func (w *Watcher) take(agent int, after map[string]endpointsource.Endpoint, faults []string, m meta) {
 	for _, f := range faults {
 		w.say(f, "consul: %s", f)
 	}
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -8,7 +8,7 @@
 
 	"quincegap/internal/config/doc"
 	"quincegap/internal/config/finding"
-	"quincegap/internal/sidecar"
+	"quincegap/internal/standalone"
 )
 
 // MostPlatformBytes bounds the platform's JSON configuration, its list of endpoints included.
@@ -140,7 +140,7 @@
 		return
 	}
 	// What only the programs judge: they name a key, whose line is looked up.
-	if err := sidecar.CheckPlatform(content); err != nil {
+	if err := standalone.CheckPlatform(content); err != nil {
 		report(locate(d, err.Error()), "%s", platformWords.Replace(err.Error()))
 	}
 }
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -22,19 +22,19 @@
 	"quincegap/internal/config/schema"
 	"quincegap/internal/files/certfile"
 	"quincegap/internal/files/secretfile"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/modules/peers"
 	"quincegap/internal/modules/route"
 	"quincegap/internal/network/admin"
 	"quincegap/internal/network/consul"
 	"quincegap/internal/network/gossip"
 	"quincegap/internal/network/http3"
-	"quincegap/internal/sidecar"
+	"quincegap/internal/standalone"
 )
 
 // Schema is the product's file: the tables that say what a sidecar is, and those of its parts.
-var Schema = schema.New(slices.Concat(appfile.Tables(), sidecar.Tables(),
-	[]*schema.Table{membership.Table.Table, route.Rules.Table, consul.Table.Table, gossip.Table.Table, admin.Table.Table})...)
+var Schema = schema.New(slices.Concat(appfile.Tables(), standalone.Tables(),
+	[]*schema.Table{endpointsource.Table.Table, route.Rules.Table, consul.Table.Table, gossip.Table.Table, admin.Table.Table})...)
 
 // Read reads a file of at most a number of bytes. Anything but a regular file is refused: a pipe would hold
 // its reader up for good.
@@ -155,13 +155,13 @@
 }
 
 // Sidecar is a sidecar's configuration: the product's file, if one is given, under what the platform tells.
-func Sidecar(path string, getenv func(string) string) (*sidecar.Config, error) {
+func Sidecar(path string, getenv func(string) string) (*standalone.Config, error) {
 	if path == "" {
-		return sidecar.LoadConfig(getenv)
+		return standalone.LoadConfig(getenv)
 	}
 	overlay := getenv("BALANCER_CONFIG") != ""
 	resolve := func(named string) string { return Resolve(path, named) }
-	return sidecar.LoadWith(getenv, sidecar.Product{
+	return standalone.LoadWith(getenv, standalone.Product{
 		Load: func() (*schema.File, error) {
 			var found finding.List
 			f := Load(path, overlay, &found)
@@ -171,23 +171,23 @@
 			return f, nil
 		},
 		Resolve: resolve,
-		Follow:  func(f *schema.File) (sidecar.Follower, error) { return follow(f, resolve) },
+		Follow:  func(f *schema.File) (standalone.Follower, error) { return follow(f, resolve) },
 		Admin:   view,
-		Among:   func(f *schema.File) (sidecar.Among, error) { return among(f, resolve) },
+		Among:   func(f *schema.File) (standalone.Among, error) { return among(f, resolve) },
 	})
 }
 
 // follow is the source that a file asks for beside discovery, nil for none.
-func follow(f *schema.File, resolve func(string) string) (sidecar.Follower, error) {
-	mode := membership.Table.In(f).Mode
-	if mode == membership.Platform {
+func follow(f *schema.File, resolve func(string) string) (standalone.Follower, error) {
+	mode := endpointsource.Table.In(f).Mode
+	if mode == endpointsource.Platform {
 		return nil, nil
 	}
 	set := *consul.Table.In(f)
 	if _, err := consul.New(set, mode, resolve); err != nil {
 		return nil, err
 	}
-	return func(ctx context.Context, tell func(membership.Answer), heard func()) {
+	return func(ctx context.Context, tell func(endpointsource.Answer), heard func()) {
 		w, err := consul.New(set, mode, resolve)
 		if err != nil { // it went a moment ago: a file has been taken away
 			log.Printf("consul: %v", err)
@@ -199,12 +199,12 @@
 }
 
 // view serves the view that a file asks for, nil for none.
-func view(f *schema.File, name string) sidecar.Admin {
+func view(f *schema.File, name string) standalone.Admin {
 	address := admin.Table.In(f).Listen
 	if address == "" {
 		return nil
 	}
-	return func(look func() (string, []membership.Row, bool), others func(bool) (peers.Fleet, bool)) (func(), error) {
+	return func(look func() (string, []endpointsource.Row, bool), others func(bool) (peers.Fleet, bool)) (func(), error) {
 		return admin.Serve(address, admin.Views{Members: func() (admin.Members, bool) {
 			source, rows, ok := look()
 			return admin.Members{Name: name, Source: source, Endpoints: rows}, ok
@@ -213,7 +213,7 @@
 }
 
 // among opens the view of the other sidecars that a file asks for, nil for none.
-func among(f *schema.File, resolve func(string) string) (sidecar.Among, error) {
+func among(f *schema.File, resolve func(string) string) (standalone.Among, error) {
 	set := *gossip.Table.In(f)
 	if set.Listen == "" {
 		return nil, nil
@@ -243,7 +243,7 @@
 	if _, err := keys(); err != nil {
 		return nil, err
 	}
-	return func(in sidecar.PeersIn) (sidecar.Peers, error) {
+	return func(in standalone.PeersIn) (standalone.Peers, error) {
 		first, err := keys()
 		if err != nil {
 			return nil, err
--- a/internal/rehearsal/rehearse/liar_test.go
+++ b/internal/rehearsal/rehearse/liar_test.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"quincegap/internal/product"
-	real "quincegap/internal/sidecar"
+	real "quincegap/internal/standalone"
 	"quincegap/internal/standin/booking"
 )
 
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,7 +1,7 @@
-// Package wire speaks the simulator's text protocol: it reads batches of
+// Package simadapter speaks the simulator's text protocol: it reads batches of
 // events, hands each to the Balancer instance it concerns, and writes the
 // actions those take. It makes no decisions.
-package wire
+package simadapter
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/sidecar/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 // fleetLoop is a loop, that is not run, with a list of n endpoints, numbered from 0.
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.targets(fleetList(1, 0, n), membership.FromFetch)
+	l.targets(fleetList(1, 0, n), endpointsource.FromFetch)
 	return l
 }
 
@@ -45,8 +45,8 @@
 	}
 	next := fleetList(2, n/2, n) // half of them gone, and as many new
 	next.Targets[0].State = "Terminating"
-	l.targets(next, membership.FromWatch)
-	l.targets(endpointList{Rev: 3, Targets: []target{{UID: next.Targets[n-1].UID, State: "Gone"}}}, membership.FromWatch)
+	l.targets(next, endpointsource.FromWatch)
+	l.targets(endpointList{Rev: 3, Targets: []target{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
 	if l.backlog.ready() == nil {
 		t.Fatal("all was taken in at once")
 	}
@@ -101,9 +101,9 @@
 			for i := 0; b.Loop(); i++ {
 				rev++
 				lists[i%2].Rev = rev
-				d := lists[i%2].digest(membership.FromWatch) // beside the loop
+				d := lists[i%2].digest(endpointsource.FromWatch) // beside the loop
 				began := time.Now()
-				l.take(d, membership.FromWatch)
+				l.take(d, endpointsource.FromWatch)
 				worst = max(worst, time.Since(began))
 				for l.backlog.ready() != nil {
 					began := time.Now()
--- a/internal/sidecar/config.go
+++ b/internal/standalone/config.go
@@ -1,7 +1,7 @@
-// Package sidecar runs a Balancer on real sockets: callers come in over
+// Package standalone runs a Balancer on real sockets: callers come in over
 // HTTP/1.1, attempts go out to endpoints, and discovery tells which those are.
 // It makes no decisions; they are the Balancer's.
-package sidecar
+package standalone
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 	"quincegap/internal/config/settings"
 	"quincegap/internal/files/secretfile"
 	"quincegap/internal/files/store"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/modules/peers"
 )
 
@@ -67,7 +67,7 @@
 }
 
 // Admin serves a view for people until stop is called: of the endpoints, and of the other sidecars.
-type Admin func(view func() (source string, rows []membership.Row, ok bool), others func(all bool) (peers.Fleet, bool)) (stop func(), err error)
+type Admin func(view func() (source string, rows []endpointsource.Row, ok bool), others func(all bool) (peers.Fleet, bool)) (stop func(), err error)
 
 // Limits are those of the machine the sidecar runs on.
 type Limits struct {
@@ -153,7 +153,7 @@
 	if file == nil {
 		return fresh, nil
 	}
-	if fresh.tuning.membership.Mode == membership.Consul {
+	if fresh.tuning.membership.Mode == endpointsource.Consul {
 		fresh.Settings.MustAsk = false // discovery is not asked for what counts
 	}
 	if fresh.follower, err = c.product.Follow(file); err != nil {
@@ -295,7 +295,7 @@
 	for _, v := range appfile.TenantTable.All(f) {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerS: v.Value.Quota})
 	}
-	c.noDiscovery = found.Address == "" && membership.Table.In(f).Mode == membership.Consul
+	c.noDiscovery = found.Address == "" && endpointsource.Table.In(f).Mode == endpointsource.Consul
 	return c, c.check()
 }
 
--- a/internal/sidecar/copies.go
+++ b/internal/standalone/copies.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"time"
--- a/internal/sidecar/discovery.go
+++ b/internal/standalone/discovery.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/network/exchange"
 )
 
@@ -56,19 +56,19 @@
 }
 
 // judged puts a list into the terms of those who judge it.
-func (l endpointList) judged(from membership.Origin) membership.List {
-	list := membership.List{Kind: balancer.Delta, Version: l.Rev}
+func (l endpointList) judged(from endpointsource.Origin) endpointsource.List {
+	list := endpointsource.List{Kind: balancer.Delta, Version: l.Rev}
 	switch {
-	case from == membership.FromCache:
+	case from == endpointsource.FromCache:
 		list.Kind = balancer.Cached
 	case l.All:
 		list.Kind = balancer.Whole
 	}
 	for _, x := range l.Targets {
-		e := membership.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
+		e := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
 		var ok bool
 		if e.State, ok = states[x.State]; !ok {
-			e.State, e.Why = membership.Unknown, x.State
+			e.State, e.Why = endpointsource.Unknown, x.State
 		}
 		list.Endpoints = append(list.Endpoints, e)
 	}
@@ -77,13 +77,13 @@
 
 // listDigest is a list that was sorted out by who read it, so that the loop does not have to.
 type listDigest struct {
-	membership.Digest
+	endpointsource.Digest
 	rev uint64
 	all bool
 }
 
-func (l endpointList) digest(from membership.Origin) listDigest {
-	return listDigest{membership.NewDigest(l.judged(from), partMost), l.Rev, l.All}
+func (l endpointList) digest(from endpointsource.Origin) listDigest {
+	return listDigest{endpointsource.NewDigest(l.judged(from), partMost), l.Rev, l.All}
 }
 
 // endpoints is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
@@ -154,7 +154,7 @@
 
 // update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
 // are of no more use.
-func (t *endpoints) update(l membership.List) (entries []balancer.Entry, retired []*exchange.Endpoint) {
+func (t *endpoints) update(l endpointsource.List) (entries []balancer.Entry, retired []*exchange.Endpoint) {
 	listed := map[balancer.EndpointID]bool{}
 	for _, x := range l.Endpoints {
 		state := x.State
@@ -310,8 +310,8 @@
 			return nil, got, fmt.Errorf("watch: %w", err)
 		}
 		got, since = true, &l.Rev
-		d := l.digest(membership.FromWatch)
-		w.post(ctx, func() { w.loop.take(d, membership.FromWatch) })
+		d := l.digest(endpointsource.FromWatch)
+		w.post(ctx, func() { w.loop.take(d, endpointsource.FromWatch) })
 	}
 	if err := lines.Err(); err != nil {
 		return since, got, fmt.Errorf("watch: %w", err)
@@ -328,7 +328,7 @@
 	w.fetching = true
 	go func() {
 		got, err := w.whole()
-		d := got.digest(membership.FromFetch)
+		d := got.digest(endpointsource.FromFetch)
 		w.loop.post(func() {
 			w.fetching = false
 			switch {
@@ -337,7 +337,7 @@
 				w.loop.listFailed(err)
 			default:
 				w.heardAt.Store(int64(w.loop.now()))
-				w.loop.take(d, membership.FromFetch)
+				w.loop.take(d, endpointsource.FromFetch)
 			}
 		})
 	}()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/network/exchange"
 )
 
@@ -56,7 +56,7 @@
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
 	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
 	x := ready("s-1", 0)
-	entries, _ := e.update(endpointList{All: true, Targets: []target{x, ready("s-2", 0)}}.judged(membership.FromWatch))
+	entries, _ := e.update(endpointList{All: true, Targets: []target{x, ready("s-2", 0)}}.judged(endpointsource.FromWatch))
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].Kind != 0 {
 		t.Fatalf("entries %+v", entries)
 	}
@@ -67,7 +67,7 @@
 	} {
 		change()
 		old := e.byID[1]
-		entries, retired := e.update(endpointList{Targets: []target{x}}.judged(membership.FromWatch))
+		entries, retired := e.update(endpointList{Targets: []target{x}}.judged(endpointsource.FromWatch))
 		if len(retired) != 1 || retired[0] != old || old.Open.Load() || !e.byID[1].Open.Load() || e.byID[1].Address != x.Address {
 			t.Errorf("after a change: %+v", e.byID[1])
 		}
@@ -78,7 +78,7 @@
 	if first.Open.Load() || !e.byID[2].Open.Load() {
 		t.Error("a delta closed what it does not name, or left the old address open")
 	}
-	e.update(endpointList{All: true, Targets: []target{x}}.judged(membership.FromWatch))
+	e.update(endpointList{All: true, Targets: []target{x}}.judged(endpointsource.FromWatch))
 	if e.byID[2] != nil || len(e.ids) != 1 {
 		t.Error("an endpoint that left the whole list is open")
 	}
@@ -91,13 +91,13 @@
 	draining := ready("s-1", 0)
 	draining.State = "Terminating"
 	rg.inLoop(func() {
-		l.targets(endpointList{Rev: 5, Targets: []target{draining}}, membership.FromWatch)
-		l.targets(endpointList{Rev: 4, All: true, Targets: []target{ready("s-1", 0)}}, membership.FromFetch)
-		l.targets(endpointList{Rev: 5, Targets: []target{ready("s-1", 0)}}, membership.FromWatch)
+		l.targets(endpointList{Rev: 5, Targets: []target{draining}}, endpointsource.FromWatch)
+		l.targets(endpointList{Rev: 4, All: true, Targets: []target{ready("s-1", 0)}}, endpointsource.FromFetch)
+		l.targets(endpointList{Rev: 5, Targets: []target{ready("s-1", 0)}}, endpointsource.FromWatch)
 		if l.endpoints.byID[1].Open.Load() || !l.endpoints.byID[2].Open.Load() || l.feed.Rev != 5 {
 			t.Error("an older list undid a drain")
 		}
-		l.targets(endpointList{Rev: 6, All: true, Targets: []target{ready("s-1", 0)}}, membership.FromFetch)
+		l.targets(endpointList{Rev: 6, All: true, Targets: []target{ready("s-1", 0)}}, endpointsource.FromFetch)
 		if !l.endpoints.byID[1].Open.Load() || l.endpoints.byID[2] != nil {
 			t.Error("a newer list is not followed")
 		}
--- a/internal/sidecar/group_test.go
+++ b/internal/standalone/group_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"slices"
@@ -7,8 +7,8 @@
 
 	"quincegap/internal/balancer"
 	"quincegap/internal/files/store"
+	"quincegap/internal/modules/idempotency"
 	"quincegap/internal/modules/peers"
-	"quincegap/internal/modules/recall"
 )
 
 // The group that was settled last is there in the next life, and no group is where none was kept.
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &memory{table: recall.NewTable(10), store: s, zones: names{}, triedAt: time.Hour}
+		return &memory{table: idempotency.NewTable(10), store: s, zones: names{}, triedAt: time.Hour}
 	}
 	m := open()
 	if names, addresses := m.group(); names != nil || addresses != nil {
--- a/internal/sidecar/loop.go
+++ b/internal/standalone/loop.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/membership"
-	"quincegap/internal/modules/reach"
+	"quincegap/internal/modules/endpointsource"
+	"quincegap/internal/modules/protocolfallback"
 	"quincegap/internal/modules/route"
 	"quincegap/internal/network/exchange"
 	"quincegap/internal/network/http1"
@@ -33,8 +33,8 @@
 
 	config    *Config
 	endsAt    time.Time // when all must be answered; zero unless this sidecar was told to stop
-	feed      membership.Feed
-	members   *membership.Members
+	feed      endpointsource.Feed
+	members   *endpointsource.Members
 	due       time.Duration // when members are next looked at; 0 for never
 	unfollow  context.CancelFunc
 	balancer  *balancer.Balancer
@@ -74,7 +74,7 @@
 	l := &loop{
 		events: make(chan func(), eventQueue), origin: time.Now().Add(-clockStart), config: c,
 		requests: map[balancer.RequestID]*request{},
-		feed:     membership.Feed{MustAsk: c.Settings.MustAsk}, members: membership.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
+		feed:     endpointsource.Feed{MustAsk: c.Settings.MustAsk}, members: endpointsource.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
 		unfollow: func() {},
 	}
 	l.endpoints = newEndpoints(c.Settings.Zones, c.Settings.Models, l.origin)
@@ -85,7 +85,7 @@
 		return nil, err
 	} else if to != nil {
 		l.ways.first = to
-		l.ways.reach.Settings = reach.Settings{Pause: c.tuning.http3to.Pause, Longest: c.tuning.http3to.Longest}
+		l.ways.reach.Settings = protocolfallback.Settings{Pause: c.tuning.http3to.Pause, Longest: c.tuning.http3to.Longest}
 	}
 	l.bodies.Give(int(c.tuning.callers.BodyShare * float64(c.Limits.MemoryMB<<20)))
 	l.watcher = newWatcher(c.Discovery, c.token, l)
@@ -137,7 +137,7 @@
 			return
 		}
 	}
-	l.targets(l.config.Known, membership.FromCache)
+	l.targets(l.config.Known, endpointsource.FromCache)
 }
 
 // arrive takes a request from its handler.
@@ -467,10 +467,10 @@
 }
 
 // targets takes a list of the platform's in.
-func (l *loop) targets(got endpointList, from membership.Origin) { l.take(got.digest(from), from) }
+func (l *loop) targets(got endpointList, from endpointsource.Origin) { l.take(got.digest(from), from) }
 
 // take takes one in that was sorted out ahead.
-func (l *loop) take(got listDigest, from membership.Origin) {
+func (l *loop) take(got listDigest, from endpointsource.Origin) {
 	takes, rewatch := l.feed.Take(from, got.rev, got.all)
 	if rewatch {
 		l.watcher.stop()
@@ -488,7 +488,7 @@
 
 // told passes on what the members were judged to be, first into the table of endpoints, so that what the
 // Balancer then sends finds its address.
-func (l *loop) told(list membership.List, news bool) {
+func (l *loop) told(list endpointsource.List, news bool) {
 	for _, line := range l.members.Logs() {
 		log.Print(line)
 	}
@@ -522,7 +522,7 @@
 }
 
 // Follower follows a source of endpoints beside discovery until its context ends.
-type Follower func(ctx context.Context, tell func(membership.Answer), heard func())
+type Follower func(ctx context.Context, tell func(endpointsource.Answer), heard func())
 
 // followBeside follows another source in place of the one before; nil for none. Nothing that the old one
 // still says is heard.
@@ -542,7 +542,7 @@
 			}
 		})
 	}
-	go follow(ctx, func(a membership.Answer) {
+	go follow(ctx, func(a endpointsource.Answer) {
 		wanted(func() { l.told(l.members.FromConsul(l.now(), a)) })
 	}, func() {
 		wanted(func() { l.told(l.members.Heard(l.now())) })
@@ -550,7 +550,7 @@
 }
 
 // view is what the endpoints are, for people; false where the loop does not answer in time.
-func (l *loop) view() (source string, rows []membership.Row, ok bool) {
+func (l *loop) view() (source string, rows []endpointsource.Row, ok bool) {
 	const patience = 2 * time.Second
 	late := time.NewTimer(patience)
 	defer late.Stop()
--- a/internal/sidecar/memory.go
+++ b/internal/standalone/memory.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"quincegap/internal/config/appfile"
 	"quincegap/internal/config/schema"
 	"quincegap/internal/files/store"
-	"quincegap/internal/modules/membership"
-	"quincegap/internal/modules/recall"
+	"quincegap/internal/modules/endpointsource"
+	"quincegap/internal/modules/idempotency"
 	"quincegap/internal/network/exchange"
 )
 
@@ -63,7 +63,7 @@
 // The loop owns it, but for the store, which does its work in goroutines of its own.
 type memory struct {
 	set      Memory
-	table    *recall.Table
+	table    *idempotency.Table
 	store    *store.Store
 	goOn     []bool // by class: whether it goes on where nothing can be remembered
 	classes  []balancer.Class
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("memory.memory_dir: %s: %w", set.Dir, err)
 	}
-	m := &memory{set: set, table: recall.NewTable(set.Most), store: s, classes: c.Settings.Classes, zones: zones, kept: map[string]bool{}}
+	m := &memory{set: set, table: idempotency.NewTable(set.Most), store: s, classes: c.Settings.Classes, zones: zones, kept: map[string]bool{}}
 	for _, class := range c.Settings.Classes {
 		of := appfile.ClassTable.Get(c.file, class.Name)
 		m.goOn = append(m.goOn, of == nil || of.WithoutMemory == appfile.GoOn)
@@ -119,15 +119,15 @@
 		if key[0] == endpointMark {
 			m.kept[string(key[1:])] = true
 		}
-		if key[0] != requestMark || len(key) != 1+len(recall.ID{}) {
+		if key[0] != requestMark || len(key) != 1+len(idempotency.ID{}) {
 			return true
 		}
-		e, fault := recall.Decode(value, now, left)
+		e, fault := idempotency.Decode(value, now, left)
 		if fault != nil {
 			bad++
 			return true
 		}
-		err = m.table.Restore(recall.ID(key[1:]), e)
+		err = m.table.Restore(idempotency.ID(key[1:]), e)
 		return err == nil
 	}); fault != nil {
 		log.Printf("memory: %v", fault)
@@ -145,7 +145,7 @@
 }
 
 // list is the last list of endpoints, as it was told; false where none is kept or it is too old.
-func (m *memory) list() (l membership.List, age time.Duration, ok bool) {
+func (m *memory) list() (l endpointsource.List, age time.Duration, ok bool) {
 	_, left, ok, err := m.store.Get([]byte{listedMark})
 	if err != nil {
 		log.Printf("memory: %v", err)
@@ -155,7 +155,7 @@
 	}
 	l.Kind = balancer.Cached
 	if err := m.store.All(func(key, value []byte, _ time.Duration) bool {
-		var e membership.Endpoint
+		var e endpointsource.Endpoint
 		if key[0] == endpointMark && json.Unmarshal(value, &e) == nil {
 			l.Endpoints = append(l.Endpoints, e)
 		}
@@ -163,12 +163,12 @@
 	}); err != nil {
 		log.Printf("memory: %v", err)
 	}
-	slices.SortFunc(l.Endpoints, func(a, b membership.Endpoint) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(l.Endpoints, func(a, b endpointsource.Endpoint) int { return strings.Compare(a.UID, b.UID) })
 	return l, m.set.ListKeep - left, len(l.Endpoints) > 0
 }
 
 // listed keeps what was told of endpoints.
-func (m *memory) listed(now time.Duration, l membership.List, all map[balancer.EndpointID]*exchange.Endpoint) {
+func (m *memory) listed(now time.Duration, l endpointsource.List, all map[balancer.EndpointID]*exchange.Endpoint) {
 	if m.set.ListKeep == 0 || l.Kind == balancer.Cached {
 		return
 	}
@@ -245,12 +245,12 @@
 }
 
 // id is what a request is remembered by; false for one that may run any number of times.
-func (m *memory) id(r *request) (id recall.ID, ok bool) {
+func (m *memory) id(r *request) (id idempotency.ID, ok bool) {
 	switch c := &m.classes[r.Class]; c.Effect {
 	case balancer.Keyed:
-		return recall.KeyedID(c.Name, r.Header.Get("Idempotency-Key")), true
+		return idempotency.KeyedID(c.Name, r.Header.Get("Idempotency-Key")), true
 	case balancer.Unsafe:
-		return recall.RequestID(c.Name, r.ID), true
+		return idempotency.RequestID(c.Name, r.ID), true
 	}
 	return id, false
 }
@@ -309,7 +309,7 @@
 		return nil
 	}
 	c := &m.classes[r.Class]
-	e, changed, err := m.table.Before(now, id, c.Name, recall.Keep(c), recall.Group{Zone: to.Zone, Cell: to.Cell, Endpoint: to.UID})
+	e, changed, err := m.table.Before(now, id, c.Name, idempotency.Keep(c), idempotency.Group{Zone: to.Zone, Cell: to.Cell, Endpoint: to.UID})
 	g := &gate{err: err, wait: m.set.Wait, late: m.told, goOn: m.goOn[r.Class]}
 	if err != nil {
 		m.told(err)
@@ -326,7 +326,7 @@
 	return g
 }
 
-func (m *memory) keep(id recall.ID, e *recall.Entry, left, idle time.Duration, done func(error)) {
+func (m *memory) keep(id idempotency.ID, e *idempotency.Entry, left, idle time.Duration, done func(error)) {
 	var b store.Batch
 	b.Idle(idle)
 	b.Put(append([]byte{requestMark}, id[:]...), e.Encode(), max(left, time.Millisecond))
@@ -343,9 +343,9 @@
 		m.table.Kept(id)
 	}
 	switch e, change := m.table.After(now, id, status, answered); change {
-	case recall.Put:
+	case idempotency.Put:
 		m.keep(id, &e, e.At+e.Keep-now, afterIdle, m.told)
-	case recall.Delete:
+	case idempotency.Delete:
 		var b store.Batch
 		b.Idle(afterIdle)
 		b.Delete(append([]byte{requestMark}, id[:]...))
--- a/internal/sidecar/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"quincegap/internal/balancer"
 	"quincegap/internal/files/store"
-	"quincegap/internal/modules/recall"
+	"quincegap/internal/modules/idempotency"
 	"quincegap/internal/network/exchange"
 )
 
@@ -21,12 +21,12 @@
 	}
 	defer s.Close()
 	pay := balancer.Class{Name: "pay", Effect: balancer.Unsafe, Deadline: time.Minute}
-	m := &memory{table: recall.NewTable(10), store: s, goOn: []bool{false}, classes: []balancer.Class{pay}, zones: names{}, triedAt: time.Hour}
+	m := &memory{table: idempotency.NewTable(10), store: s, goOn: []bool{false}, classes: []balancer.Class{pay}, zones: names{}, triedAt: time.Hour}
 	of := func(id string) *request {
 		return &request{Request: balancer.Request{ID: balancer.RequestID(id)}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	}
 	id, _ := m.id(of("ran"))
-	if err := m.table.Restore(id, recall.Entry{At: time.Hour, Keep: time.Hour}); err != nil {
+	if err := m.table.Restore(id, idempotency.Entry{At: time.Hour, Keep: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	if m.turnsAway(time.Hour, of("new")) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -1,4 +1,4 @@
-package sidecar
+package standalone
 
 import (
 	"log"
@@ -11,7 +11,7 @@
 	"strings"
 
 	"quincegap/internal/config/schema"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 )
 
 // memoryShare is the part of the memory limit at which the collector works harder; the rest is for stacks
@@ -92,7 +92,7 @@
 	c.tuning.routes.Keep(s.tuning.Load().routes)
 	s.tuning.Store(c.tuning)
 	refollow := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, c.file), func(x *schema.Setting) bool {
-		return x.Path[0] == "consul" || x.Path[0] == membership.Table.Name && x.Key.Name == "source"
+		return x.Path[0] == "consul" || x.Path[0] == endpointsource.Table.Name && x.Key.Name == "source"
 	})
 	s.loop.post(func() {
 		s.loop.http1.SetMaxIdle(s.config.maxIdle(c.tuning))
--- a/internal/sidecar/tables.go
+++ b/internal/standalone/tables.go
@@ -1,10 +1,10 @@
-package sidecar
+package standalone
 
 import (
 	"time"
 
 	"quincegap/internal/config/schema"
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/modules/route"
 	"quincegap/internal/network/exchange"
 	"quincegap/internal/network/http3"
@@ -109,7 +109,7 @@
 
 // tuning is what these tables say.
 type tuning struct {
-	membership membership.Settings
+	membership endpointsource.Settings
 	callers    Callers
 	endpoints  Endpoints
 	stop       Stop
@@ -122,8 +122,8 @@
 // tuningOf reads a file; nil stands for one that sets nothing.
 func tuningOf(f *schema.File) *tuning {
 	if f == nil {
-		return &tuning{*membership.Table.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
+		return &tuning{*endpointsource.Table.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
 			*http3.CallersTable.Default(), *http3.EndpointsTable.Default(), *MemoryTable.Default(), nil}
 	}
-	return &tuning{*membership.Table.In(f), *CallersTable.In(f), *EndpointsTable.In(f), *StopTable.In(f), *http3.CallersTable.In(f), *http3.EndpointsTable.In(f), *MemoryTable.In(f), route.Compile(f)}
+	return &tuning{*endpointsource.Table.In(f), *CallersTable.In(f), *EndpointsTable.In(f), *StopTable.In(f), *http3.CallersTable.In(f), *http3.EndpointsTable.In(f), *MemoryTable.In(f), route.Compile(f)}
 }
--- a/internal/sidecar/transports.go
+++ b/internal/standalone/transports.go
@@ -1,11 +1,11 @@
-package sidecar
+package standalone
 
 import (
 	"log"
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/modules/reach"
+	"quincegap/internal/modules/protocolfallback"
 	"quincegap/internal/network/exchange"
 )
 
@@ -13,7 +13,7 @@
 type transports struct {
 	usual exchange.Transport // it reaches every endpoint
 	first exchange.Transport // it is tried before, where reach says so; nil for none
-	reach reach.Memory
+	reach protocolfallback.Memory
 }
 
 // choose gives the way for an attempt.
--- a/internal/structures/due/due.go
+++ b/internal/structures/deadlinequeue/due.go
@@ -1,6 +1,6 @@
-// Package due keeps items in the order of the times at which they are due. It
+// Package deadlinequeue keeps items in the order of the times at which they are due. It
 // decides nothing and reads no clock.
-package due
+package deadlinequeue
 
 import "time"
 
--- a/internal/structures/due/due_test.go
+++ b/internal/structures/deadlinequeue/due_test.go
@@ -1,4 +1,4 @@
-package due
+package deadlinequeue
 
 import (
 	"fmt"
--- a/internal/structures/due/golden_test.go
+++ b/internal/structures/deadlinequeue/golden_test.go
@@ -1,4 +1,4 @@
-package due
+package deadlinequeue
 
 import (
 	"crypto/sha256"
--- a/internal/structures/arcs/arcs.go
+++ b/internal/structures/hashring/arcs.go
@@ -1,7 +1,7 @@
-// Package arcs shares items out among numbered owners by the items' ids alone:
+// Package hashring shares items out among numbered owners by the items' ids alone:
 // whether an owner has an item hangs on nothing else, so that an item that comes
 // or goes moves no other. It decides nothing.
-package arcs
+package hashring
 
 import (
 	"math"
--- a/internal/structures/arcs/arcs_test.go
+++ b/internal/structures/hashring/arcs_test.go
@@ -1,4 +1,4 @@
-package arcs
+package hashring
 
 import (
 	"math"
--- a/internal/structures/ring/ring.go
+++ b/internal/structures/weightedring/ring.go
@@ -1,7 +1,7 @@
-// Package ring keeps items in the order of their keys, each with a weight, and
+// Package weightedring keeps items in the order of their keys, each with a weight, and
 // finds which of them a running sum of the weights falls on. It decides
 // nothing.
-package ring
+package weightedring
 
 import (
 	"iter"
--- a/internal/structures/ring/ring_test.go
+++ b/internal/structures/weightedring/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package weightedring
 
 import (
 	"math"
--- a/internal/structures/odds/odds.go
+++ b/internal/structures/weightedsample/odds.go
@@ -1,7 +1,7 @@
-// Package odds draws items at random, each by its odds, without a walk over
+// Package weightedsample draws items at random, each by its odds, without a walk over
 // all of them. It decides nothing: who calls it says what the odds are, and
 // what may be drawn.
-package odds
+package weightedsample
 
 // Sampler holds items by slot, each with odds. Slots are small numbers; those that were taken out are used
 // again. Setting odds and drawing take time that grows with the logarithm of the number of slots. The zero
--- a/internal/structures/odds/odds_test.go
+++ b/internal/structures/weightedsample/odds_test.go
@@ -1,4 +1,4 @@
-package odds
+package weightedsample
 
 import (
 	"fmt"
--- a/internal/tool/members_test.go
+++ b/internal/tool/members_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"quincegap/internal/modules/membership"
+	"quincegap/internal/modules/endpointsource"
 	"quincegap/internal/network/admin"
 )
 
@@ -14,7 +14,7 @@
 	dir := t.TempDir()
 	address := "unix:" + filepath.Join(dir, "s")
 	stop, err := admin.Serve(address, admin.Views{Members: func() (admin.Members, bool) {
-		return admin.Members{Name: "front", Source: "overlay", Endpoints: []membership.Row{
+		return admin.Members{Name: "front", Source: "overlay", Endpoints: []endpointsource.Row{
 			{UID: "a", Address: "h:1", State: "ready", Weight: 2, Platform: "ready", Consul: "ready", Why: "the platform says so", AgoMS: 61500},
 			{UID: "b", Address: "h:2", State: "draining", Platform: "ready", Consul: "draining", Why: `check "http" is critical`, AgoMS: 300},
 		}}, true
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"quincegap/internal/files/store"
-	"quincegap/internal/modules/recall"
+	"quincegap/internal/modules/idempotency"
 )
 
 func (c *command) store() *cobra.Command {
@@ -103,20 +103,20 @@
 // readable is a record as people read it.
 func readable(r store.Record) any {
 	line := struct {
-		Seq     uint64          `json:"seq"`
-		File    string          `json:"file"`
-		Left    string          `json:"left,omitempty"`
-		Kind    string          `json:"kind"`
-		Key     string          `json:"key"`
-		Request *recall.Entry   `json:"request,omitempty"`
-		Value   json.RawMessage `json:"value,omitempty"`
+		Seq     uint64             `json:"seq"`
+		File    string             `json:"file"`
+		Left    string             `json:"left,omitempty"`
+		Kind    string             `json:"kind"`
+		Key     string             `json:"key"`
+		Request *idempotency.Entry `json:"request,omitempty"`
+		Value   json.RawMessage    `json:"value,omitempty"`
 	}{Seq: r.Seq, File: r.File, Kind: "other", Key: fmt.Sprintf("%x", r.Key)}
 	if r.Left >= 0 {
 		line.Left = r.Left.Round(time.Millisecond).String()
 	}
 	switch r.Key[0] {
 	case 'r':
-		if e, err := recall.Decode(r.Value, r.Left, r.Left); err == nil {
+		if e, err := idempotency.Decode(r.Value, r.Left, r.Left); err == nil {
 			line.Kind, line.Request = "request", &e
 		}
 	case 'e':
--- a/internal/tool/store_test.go
+++ b/internal/tool/store_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"quincegap/internal/files/store"
-	"quincegap/internal/modules/recall"
+	"quincegap/internal/modules/idempotency"
 )
 
 // A store is verified, dumped, compacted and repaired; what is open is read and not changed, and what is damaged is
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		e := recall.Entry{Class: "book-trip", Group: recall.Group{Zone: "north", Cell: 2, Endpoint: "box-1"}, Keep: time.Hour}
-		id := recall.KeyedID("book-trip", fmt.Sprint(i%10))
+		e := idempotency.Entry{Class: "book-trip", Group: idempotency.Group{Zone: "north", Cell: 2, Endpoint: "box-1"}, Keep: time.Hour}
+		id := idempotency.KeyedID("book-trip", fmt.Sprint(i%10))
 		if err := s.Put(append([]byte{'r'}, id[:]...), e.Encode(), time.Hour); err != nil {
 			t.Fatal(err)
 		}
