--- a/internal/mesh/agent/config.go
+++ b/internal/mesh/agent/config.go
@@ -200,5 +200,5 @@
 func (a *Agent) limitOf(t *configuration.Tenant) ratelimit.Limit {
 	b := a.o.Settings.Bounds
 	return ratelimit.Limit{Rate: t.Rate, Burst: t.Burst,
-		Spare: b.QuotaOverage*(t.Rate*b.QuotaWindow.Seconds()+t.Burst) + b.QuotaSlack}
+		Overage: b.QuotaOverage*(t.Rate*b.QuotaWindow.Seconds()+t.Burst) + b.QuotaSlack}
 }
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -28,7 +28,7 @@
 // Voters is the register whose voters grant leases too.
 type Voters interface {
 	// Membership is the newest list of voters, by control addresses, that this process knows as decided.
-	Membership() consensus.Membership
+	Membership() consensus.VoterSet
 	// Accepted is the epoch of this process's newest vote; ready is false while its record isn't known.
 	Accepted() (epoch uint64, ready bool)
 	// Newest reads the register from a majority, and learns of a newer list of voters by that.
@@ -45,7 +45,7 @@
 	voter          *lease.Voter
 	allocatorLease *lease.Candidate
 	allocator      *ratelimit.Allocator // nil while this process doesn't hold the lease
-	sightings      ratelimit.Sightings
+	sightings      ratelimit.LastSeen
 	membersAt      time.Duration // the last look at the members
 	following      bool          // the newest list of voters is being read
 }
@@ -72,16 +72,16 @@
 // vote answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
 func (d *Duties) vote(q *lease.Request) *lease.Reply {
 	accepted, ready := d.voters.Accepted()
-	standing := lease.Standing{Ready: ready, Epoch: max(accepted, d.voters.Membership().Epoch)}
+	standing := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, d.voters.Membership().Epoch)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.agent.o.Hub.Now()
-	for _, duty := range q.Duties {
-		if duty.Release && duty.Name == dutyAllocator {
-			d.allocatorLease.Released(now, q.Holder)
+	for _, duty := range q.Roles {
+		if duty.Release && duty.Role == dutyAllocator {
+			d.allocatorLease.HolderReleased(now, q.Holder)
 		}
 	}
-	return d.voter.Take(now, standing, q)
+	return d.voter.Handle(now, standing, q)
 }
 
 // Run asks for duties, and does them, until ctx ends.
@@ -126,10 +126,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.membersAt = now
-	d.allocatorLease.Rank(d.agent.coreRank(members))
-	recent := d.sightings.Note(now, accessAddresses(members))
+	d.allocatorLease.SetRank(d.agent.coreRank(members))
+	recent := d.sightings.Update(now, accessAddresses(members))
 	if d.allocator != nil {
-		d.allocator.Sidecars(recent)
+		d.allocator.SetSidecars(recent)
 	}
 }
 
@@ -154,7 +154,7 @@
 }
 
 // askVoters sends a request for leases to all voters.
-func (d *Duties) askVoters(asked time.Duration, voters consensus.Membership, q *lease.Request) {
+func (d *Duties) askVoters(asked time.Duration, voters consensus.VoterSet, q *lease.Request) {
 	for _, v := range voters.Voters {
 		if v == d.agent.o.Settings.Control {
 			d.takeReply(asked, voters.Epoch, v, d.vote(q))
@@ -171,13 +171,13 @@
 
 // takeReply takes a voter's reply to a request that was made at a time, under a list of voters.
 func (d *Duties) takeReply(asked time.Duration, epoch uint64, voter string, reply *lease.Reply) {
-	if reply.MembershipEpoch > epoch {
+	if reply.VoterSetEpoch > epoch {
 		d.follow()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.agent.o.Hub.Now()
-	if d.allocatorLease.Take(now, asked, voter, reply) {
+	if d.allocatorLease.HandleReply(now, asked, voter, reply) {
 		d.startAllocator(now)
 	}
 }
@@ -208,7 +208,7 @@
 	d.agent.events.add(events.Event{Kind: events.DutyCame, Node: d.agent.o.Hub.Self().Address,
 		Detail: fmt.Sprintf("%s, under number %d", dutyAllocator, number)})
 	d.allocator = ratelimit.NewAllocator(now, d.initialStart && now < initialStartGrace, d.agent.limit)
-	d.allocator.Sidecars(d.sightings.Note(now, accessAddresses(d.agent.Members())))
+	d.allocator.SetSidecars(d.sightings.Update(now, accessAddresses(d.agent.Members())))
 }
 
 // stopAllocator ends the duty, if this process has it. The lock is held.
@@ -256,19 +256,19 @@
 }
 
 // grantTokens answers a sidecar's requests for tokens, if this process is the allocator.
-func (d *Duties) grantTokens(_ context.Context, _ *transport.Hello, q *ratelimit.TokenRequests) *ratelimit.TokenGrants {
+func (d *Duties) grantTokens(_ context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.agent.o.Hub.Now()
-	d.allocatorLease.Observe(now, q.Newest)
+	d.allocatorLease.ObserveToken(now, q.HighestFencingToken)
 	number, ok := d.allocatorLease.Holds(now)
-	if !ok || d.allocator == nil || d.agent.limits.Load() == nil || number < q.Newest {
-		return &ratelimit.TokenGrants{Allocator: d.allocatorLease.Holder(now)}
+	if !ok || d.allocator == nil || d.agent.limits.Load() == nil || number < q.HighestFencingToken {
+		return &ratelimit.AllocationReply{Allocator: d.allocatorLease.Holder(now)}
 	}
-	grants := &ratelimit.TokenGrants{Granted: true, Epoch: number, Allocator: d.agent.o.Hub.Self().Address,
-		Grants: d.allocator.Take(now, q)}
+	grants := &ratelimit.AllocationReply{Granted: true, FencingToken: number, Allocator: d.agent.o.Hub.Self().Address,
+		Grants: d.allocator.Allocate(now, q)}
 	for i := range grants.Grants {
-		if grants.Grants[i].Back > 0 {
+		if grants.Grants[i].RetryAfter > 0 {
 			d.agent.events.hit(now, grants.Grants[i].Tenant)
 		}
 	}
--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -22,12 +22,12 @@
 // register stands in for the register of one core process: what it knows as decided, and what all have accepted.
 type register struct {
 	mu       sync.Mutex
-	known    consensus.Membership
+	known    consensus.VoterSet
 	accepted uint64
-	newest   *consensus.Membership // that a read finds
+	newest   *consensus.VoterSet // that a read finds
 }
 
-func (r *register) Membership() consensus.Membership {
+func (r *register) Membership() consensus.VoterSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
@@ -45,7 +45,7 @@
 	if r.newest != nil {
 		r.known = *r.newest
 	}
-	return consensus.Value{Membership: r.known}, nil
+	return consensus.Value{VoterSet: r.known}, nil
 }
 
 // dutyCore is a few core processes on loopback, without disks.
@@ -68,7 +68,7 @@
 		own := &settings.Settings{Name: ip, IP: ip, Zone: "z", Region: "r", Ports: [2]int{7401, 7401}, Seeds: voters, Control: voters[i]}
 		hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.Internal(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 		a := New(Options{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: uint64(i)})
-		r := &register{known: consensus.Membership{Voters: voters[:3]}}
+		r := &register{known: consensus.VoterSet{Voters: voters[:3]}}
 		duties := a.Duties(r, true)
 		listener, err := net.Listen("tcp4", own.Internal())
 		d.Assert(err, qt.IsNil)
@@ -118,7 +118,7 @@
 	d := newDutyCore(t, 4)
 	first, number := d.holder()
 	list := d.registers[0].Membership()
-	next := consensus.Membership{Epoch: 1, Previous: list.Voters, Voters: append(list.Voters[1:3:3], d.duties[3].agent.o.Settings.Control)}
+	next := consensus.VoterSet{Epoch: 1, Previous: list.Voters, Voters: append(list.Voters[1:3:3], d.duties[3].agent.o.Settings.Control)}
 	for _, r := range d.registers {
 		r.mu.Lock()
 		r.accepted, r.newest = 1, &next
@@ -140,15 +140,15 @@
 		x.agent.Committed(1, []byte(`{"configVersion":"r1","routeTable":[],"tenantTable":[{"name":"t","accessKeys":["k"],"ratePerS":5,"burstSize":5}]}`))
 	}
 	first, number := d.holder()
-	request := func(newest uint64) *ratelimit.TokenGrants {
-		return d.duties[first].grantTokens(t.Context(), nil, &ratelimit.TokenRequests{Who: "127.9.0.9:7401", Life: 9, Newest: newest,
+	request := func(newest uint64) *ratelimit.AllocationReply {
+		return d.duties[first].grantTokens(t.Context(), nil, &ratelimit.AllocationRequest{Sidecar: "127.9.0.9:7401", Incarnation: 9, HighestFencingToken: newest,
 			Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}})
 	}
 	d.Assert(request(number).Granted, qt.IsTrue)
 	d.Assert(request(number+10).Granted, qt.IsFalse)
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		if grants := request(number + 10); grants.Granted {
-			d.Assert(grants.Epoch > number+10, qt.IsTrue)
+			d.Assert(grants.FencingToken > number+10, qt.IsTrue)
 			t.Logf("granted again after %v", time.Since(began).Round(time.Millisecond))
 			return
 		}
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -75,10 +75,10 @@
 	defer hub.Close()
 	a := New(Options{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
 	a.Committed(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
-	duties := a.Duties(&register{known: consensus.Membership{Voters: []string{own.Control}}, accepted: 3}, true)
+	duties := a.Duties(&register{known: consensus.VoterSet{Voters: []string{own.Control}}, accepted: 3}, true)
 	asked := hub.Now() + time.Minute // another process holds the lease that is asked for
 	c.Assert(duties.allocatorLease.Tick(asked, 1, 0), qt.IsNotNil)
-	duties.takeReply(asked, 0, own.Control, &lease.Reply{Duties: []lease.Grant{{Name: "allocator", Epoch: 4, Holder: "127.9.30.3:7401", Left: time.Hour}}})
+	duties.takeReply(asked, 0, own.Control, &lease.Reply{Grants: []lease.Grant{{Role: "allocator", FencingToken: 4, Holder: "127.9.30.3:7401", Remaining: time.Hour}}})
 	a.ServeConsensus(func(_ context.Context, request []byte) ([]byte, error) { return append([]byte("re:"), request...), nil })
 	a.KeepaliveHandler(goldenLocal{})
 	listener, err := net.Listen("tcp4", own.Internal())
@@ -98,8 +98,8 @@
 		15: &configurationText{},
 		16: &opaque{Body: []byte("ballot")},
 		17: &published{Endpoint: discovery.Endpoint{ID: "own"}},
-		18: &lease.Request{Holder: "127.9.30.2:7401", Incarnation: 8, Duties: []lease.Duty{{Name: "allocator", Epoch: 4}}},
-		19: &ratelimit.TokenRequests{Who: "127.9.30.2:7401", Life: 8, Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}},
+		18: &lease.Request{Holder: "127.9.30.2:7401", Incarnation: 8, Roles: []lease.RoleRequest{{Role: "allocator", FencingToken: 4}}},
+		19: &ratelimit.AllocationRequest{Sidecar: "127.9.30.2:7401", Incarnation: 8, Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}},
 	}
 	var lines strings.Builder
 	for method := uint64(9); method <= 20; method++ {
@@ -169,7 +169,7 @@
 	a := goldenCore(t)
 	e := goldenEndpoint()
 	a.apply(e)
-	handler := a.Duties(&register{known: consensus.Membership{Voters: []string{"127.9.31.1:7402"}}, accepted: 3}, true).Handler()
+	handler := a.Duties(&register{known: consensus.VoterSet{Voters: []string{"127.9.31.1:7402"}}, accepted: 3}, true).Handler()
 	var lines strings.Builder
 	for _, call := range []string{"GET /mesh/state", "POST /mesh/state", "GET /mesh/other"} {
 		method, path, _ := strings.Cut(call, " ")
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -39,19 +39,19 @@
 }
 
 // forward passes a neighbour's requests on to the allocator, once.
-func (t *QuotaClient) forward(ctx context.Context, _ *transport.Hello, q *ratelimit.TokenRequests) *ratelimit.TokenGrants {
+func (t *QuotaClient) forward(ctx context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
 	t.mu.Lock()
 	allocator := t.allocator
 	t.mu.Unlock()
 	if q.Forwarded || allocator == "" {
-		return &ratelimit.TokenGrants{}
+		return &ratelimit.AllocationReply{}
 	}
 	q.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
-	grants, err := transport.Request[ratelimit.TokenGrants](ctx, t.agent.o.Hub, allocator, methodTokens, q)
+	grants, err := transport.Request[ratelimit.AllocationReply](ctx, t.agent.o.Hub, allocator, methodTokens, q)
 	if err != nil {
-		return &ratelimit.TokenGrants{}
+		return &ratelimit.AllocationReply{}
 	}
 	return grants
 }
@@ -60,7 +60,7 @@
 func (t *QuotaClient) Take(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
 	answered := false // guarded by t.mu, as done may be called later
 	t.mu.Lock()
-	t.tokenCache.Take(t.agent.o.Hub.Now(), tenant.Name, t.agent.limitOf(tenant),
+	t.tokenCache.Admit(t.agent.o.Hub.Now(), tenant.Name, t.agent.limitOf(tenant),
 		func(ok bool, back time.Duration) {
 			answered = true
 			done(ok, back)
@@ -102,14 +102,14 @@
 	t.agent.mu.Unlock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tokenCache.Sidecars(sidecars)
+	t.tokenCache.SetSidecars(sidecars)
 	requests, due := t.tokenCache.Tick(now)
 	if !due {
 		return
 	}
 	self := t.agent.o.Hub.Self()
-	go t.request(now, t.target(now), &ratelimit.TokenRequests{Who: self.Address, Life: self.Life, Requests: requests,
-		Newest: t.tokenCache.Newest()})
+	go t.request(now, t.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Life, Requests: requests,
+		HighestFencingToken: t.tokenCache.HighestFencingToken()})
 }
 
 // target is the process to ask: the one that answered last; else a core process, in turn with a neighbour. The lock is held.
@@ -137,17 +137,17 @@
 }
 
 // request sends requests for tokens and takes the answer.
-func (t *QuotaClient) request(sent time.Duration, to string, q *ratelimit.TokenRequests) {
+func (t *QuotaClient) request(sent time.Duration, to string, q *ratelimit.AllocationRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
 	defer cancel()
-	var grants *ratelimit.TokenGrants
+	var grants *ratelimit.AllocationReply
 	if to != "" {
-		grants, _ = transport.Request[ratelimit.TokenGrants](ctx, t.agent.o.Hub, to, methodTokens, q)
+		grants, _ = transport.Request[ratelimit.AllocationReply](ctx, t.agent.o.Hub, to, methodTokens, q)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.agent.o.Hub.Now()
-	if grants == nil || !t.tokenCache.Got(now, sent, grants) {
+	if grants == nil || !t.tokenCache.HandleReply(now, sent, grants) {
 		t.fail(now, to, grants)
 		return
 	}
@@ -156,15 +156,15 @@
 		t.forwarder = to
 	}
 	t.allocator, t.failures = grants.Allocator, 0
-	if t.tokenCache.Waiting() {
+	if t.tokenCache.HasWaiters() {
 		t.wake()
 	}
 }
 
 // fail notes that a process granted nothing; it may have named the allocator. The lock is held.
-func (t *QuotaClient) fail(now time.Duration, asked string, grants *ratelimit.TokenGrants) {
+func (t *QuotaClient) fail(now time.Duration, asked string, grants *ratelimit.AllocationReply) {
 	t.failures++
-	t.tokenCache.Failed(now)
+	t.tokenCache.HandleFailure(now)
 	if asked == t.forwarder {
 		t.forwarder = ""
 	}
--- a/internal/mesh/agent/quota_client_test.go
+++ b/internal/mesh/agent/quota_client_test.go
@@ -36,7 +36,7 @@
 			client.mu.Lock()
 			now := hub.Now()
 			client.tokenCache.Tick(now)
-			client.tokenCache.Got(now, now, &ratelimit.TokenGrants{Granted: true, Grants: []ratelimit.TokenGrant{{Tenant: "t", Tokens: 3}}})
+			client.tokenCache.HandleReply(now, now, &ratelimit.AllocationReply{Granted: true, Grants: []ratelimit.TokenGrant{{Tenant: "t", Tokens: 3}}})
 			client.mu.Unlock()
 		}
 	})
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -88,7 +88,7 @@
 	d.mu.Lock()
 	duty := DutyState{Name: dutyAllocator, Holder: d.allocatorLease.Holder(now)}
 	duty.Epoch, _ = d.allocatorLease.Holds(now)
-	duty.LeftMs = d.allocatorLease.Left(now).Milliseconds()
+	duty.LeftMs = d.allocatorLease.Remaining(now).Milliseconds()
 	d.mu.Unlock()
 	s.Duties = []DutyState{duty}
 	a.mu.Lock()
--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -9,20 +9,20 @@
 
 // ReplicaState is the part of a replica's record that changes with every promise.
 type ReplicaState struct {
-	Membership                // the newest that is known to be decided
-	Ready        bool         // knows what it promised, if it is or becomes a voter
-	Incarnation  uint64       // grows each time the disk is lost
-	Incarnations Incarnations // the others'
-	Promised     Ballot
-	System       System
+	VoterSet                          // the newest that is known to be decided
+	Ready            bool             // knows what it promised, if it is or becomes a voter
+	DiskIncarnation  uint64           // grows each time the disk is lost
+	DiskIncarnations DiskIncarnations // the others'
+	Promised         Ballot
+	System           SystemID
 }
 
 // Fields implements codec.Message. A record without an epoch is from before voters could change, and has the first membership.
 func (s *ReplicaState) Fields(v *codec.Visitor) {
 	v.Texts(1, &s.Voters)
 	v.Bool(2, &s.Ready)
-	v.Uint(3, &s.Incarnation)
-	s.Incarnations.fields(v)
+	v.Uint(3, &s.DiskIncarnation)
+	s.DiskIncarnations.fields(v)
 	v.Message(5, &s.Promised)
 	v.Uint(6, &s.Epoch)
 	v.Texts(7, &s.Previous)
@@ -37,55 +37,55 @@
 	Vote  Vote
 }
 
-// FirstRecord is that of a process at the first start of the whole system.
-func FirstRecord(self string, voters []string) Record {
-	r := Record{State: ReplicaState{Membership: Membership{Voters: voters}, Incarnation: 1, System: NewSystem(voters)}}
-	r.State.Ready = r.State.Has(self)
+// InitialRecord is that of a process at the first start of the whole system.
+func InitialRecord(self string, voters []string) Record {
+	r := Record{State: ReplicaState{VoterSet: VoterSet{Voters: voters}, DiskIncarnation: 1, System: NewSystemID(voters)}}
+	r.State.Ready = r.State.Contains(self)
 	return r
 }
 
-// Decided is the newest membership that the record shows to be decided.
-func (r *Record) Decided() Membership {
-	if e := &r.Vote.Value.Membership; e.Epoch > r.State.Epoch+1 {
-		return e.previous()
+// DecidedVoters is the newest membership that the record shows to be decided.
+func (r *Record) DecidedVoters() VoterSet {
+	if e := &r.Vote.Value.VoterSet; e.Epoch > r.State.Epoch+1 {
+		return e.previousSet()
 	}
-	return r.State.Membership
+	return r.State.VoterSet
 }
 
-// Learn notes that a membership is decided.
-func (r Record) Learn(e Membership) (Record, Changed) {
-	if d := r.Decided(); e.Epoch <= d.Epoch || len(e.Voters) == 0 {
-		return r, Changed{}
+// LearnVoters notes that a membership is decided.
+func (r Record) LearnVoters(e VoterSet) (Record, Unsynced) {
+	if d := r.DecidedVoters(); e.Epoch <= d.Epoch || len(e.Voters) == 0 {
+		return r, Unsynced{}
 	}
-	r.State.Membership = e
-	return r, Changed{State: true}
+	r.State.VoterSet = e
+	return r, Unsynced{State: true}
 }
 
-// Changed tells which parts of a record have to be synced before the answer leaves.
-type Changed struct{ State, Vote bool }
+// Unsynced tells which parts of a record have to be synced before the answer leaves.
+type Unsynced struct{ State, Vote bool }
 
 // Any tells whether there is something to write.
-func (c Changed) Any() bool { return c.State || c.Vote }
+func (c Unsynced) Any() bool { return c.State || c.Vote }
 
 // Handle answers a request. If parts of the record changed, the new record must be on disk before the answer leaves and
 // before the replica answers anything else; if the write fails the record has to be read again. r itself stays as it is.
-func (r Record) Handle(q *Request) (Reply, Record, Changed) {
+func (r Record) Handle(q *Request) (Reply, Record, Unsynced) {
 	if q.Kind == Describe {
-		return Reply{Kind: Reported, Membership: r.Decided(), Ready: r.State.Ready}, r, Changed{}
+		return Reply{Kind: Reported, VoterSet: r.DecidedVoters(), Ready: r.State.Ready}, r, Unsynced{}
 	}
 	if !r.State.Ready {
-		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, Changed{}
+		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, Unsynced{}
 	}
-	if !r.State.System.Admits(q.System) {
-		return Reply{Kind: OtherSystem, Ballot: q.Ballot, System: r.State.System}, r, Changed{}
+	if !r.State.System.Matches(q.System) {
+		return Reply{Kind: ForeignSystem, Ballot: q.Ballot, System: r.State.System}, r, Unsynced{}
 	}
-	r, changed := r.Learn(q.Membership)
-	decided := r.Decided()
-	if decided.contradicts(&q.Membership) {
-		return Reply{Kind: OtherList, Ballot: q.Ballot, Membership: decided}, r, changed
+	r, changed := r.LearnVoters(q.VoterSet)
+	decided := r.DecidedVoters()
+	if decided.conflictsWith(&q.VoterSet) {
+		return Reply{Kind: ConflictingVoters, Ballot: q.Ballot, VoterSet: decided}, r, changed
 	}
 	if q.Epoch < decided.Epoch && q.Kind != Recover {
-		return Reply{Kind: StaleEpoch, Ballot: q.Ballot, Membership: decided}, r, changed
+		return Reply{Kind: StaleEpoch, Ballot: q.Ballot, VoterSet: decided}, r, changed
 	}
 	kind := Reported
 	switch q.Kind {
@@ -109,32 +109,32 @@
 			changed.Vote = true
 		}
 	case Recover:
-		if q.Incarnation <= r.State.Incarnations[q.Node] {
+		if q.DiskIncarnation <= r.State.DiskIncarnations[q.Node] {
 			kind = Rejected
 			break
 		}
-		r.State.Incarnations = maps.Clone(r.State.Incarnations)
-		if r.State.Incarnations == nil {
-			r.State.Incarnations = Incarnations{}
+		r.State.DiskIncarnations = maps.Clone(r.State.DiskIncarnations)
+		if r.State.DiskIncarnations == nil {
+			r.State.DiskIncarnations = DiskIncarnations{}
 		}
-		r.State.Incarnations[q.Node] = q.Incarnation
-		r.State.Incarnations.bound(func(node string) bool {
-			return node == q.Node || decided.Has(node) || slices.Contains(decided.Previous, node) || r.Vote.Value.Membership.Has(node)
+		r.State.DiskIncarnations[q.Node] = q.DiskIncarnation
+		r.State.DiskIncarnations.prune(func(node string) bool {
+			return node == q.Node || decided.Contains(node) || slices.Contains(decided.Previous, node) || r.Vote.Value.VoterSet.Contains(node)
 		})
 		changed.State = true
 	default:
 		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, changed
 	}
-	reply := Reply{Kind: kind, Ballot: q.Ballot, Incarnation: r.State.Incarnation, Incarnations: r.State.Incarnations,
+	reply := Reply{Kind: kind, Ballot: q.Ballot, DiskIncarnation: r.State.DiskIncarnation, DiskIncarnations: r.State.DiskIncarnations,
 		Promised: r.promised()}
 	if kind == Reported || kind == Promise {
 		reply.Vote = r.Vote
-		if q.Known == r.Vote.Ballot {
+		if q.KnownBallot == r.Vote.Ballot {
 			reply.Vote.Value = Value{}
 		}
 	}
 	if q.Kind == Recover {
-		reply.Membership, reply.System = decided, r.State.System
+		reply.VoterSet, reply.System = decided, r.State.System
 	}
 	return reply, r, changed
 }
--- a/internal/mesh/control/consensus/closing_test.go
+++ b/internal/mesh/control/consensus/closing_test.go
@@ -54,7 +54,7 @@
 
 // tolerance is how many disks the voters that were decided last may lose at once.
 func (m *model) tolerance() int {
-	var newest Membership
+	var newest VoterSet
 	for _, p := range m.replicas {
 		if len(p.membership.Voters) > 0 && (len(newest.Voters) == 0 || p.membership.Epoch > newest.Epoch) {
 			newest = p.membership
--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -25,33 +25,33 @@
 }
 
 func goldenMessages() []goldenMessage {
-	ballot := Ballot{N: 300, Node: "core-1#7"}
-	older := Ballot{N: 299, Node: "core-2#1"}
-	voters := Membership{Epoch: 5, Voters: []string{"core-1", "core-2", "core-4"}, Previous: []string{"core-1", "core-2", "core-3"},
+	ballot := Ballot{Number: 300, Proposer: "core-1#7"}
+	older := Ballot{Number: 299, Proposer: "core-2#1"}
+	voters := VoterSet{Epoch: 5, Voters: []string{"core-1", "core-2", "core-4"}, Previous: []string{"core-1", "core-2", "core-3"},
 		Retired: []string{"core-3", "core-0"}}
 	first := VersionDigest{Version: 6, Digest: Digest{1, 2, 3, 4, 5, 6, 7, 8}}
 	second := VersionDigest{Version: 700, Digest: Digest{0xff, 0xfe, 0xfd, 0, 0, 0, 0, 1}}
 	refused := VersionDigest{Version: 900, Digest: Digest{9, 9, 9, 9, 9, 9, 9, 9}}
-	value := Value{Version: 700, Body: []byte("body of 700\n"), History: []VersionDigest{first, second}, Forgotten: 5,
-		Refused: []VersionDigest{refused}, Membership: voters}
+	value := Value{Version: 700, Body: []byte("body of 700\n"), History: []VersionDigest{first, second}, TruncatedVersion: 5,
+		Refused: []VersionDigest{refused}, VoterSet: voters}
 	vote := Vote{Ballot: ballot, Value: value, Learned: true}
-	incarnations := Incarnations{"core-1": 2, "core-2": 1700000000000, "core-4": 1}
-	system := NewSystem([]string{"core-1", "core-2", "core-3"})
-	request := Request{Kind: Accept, Ballot: ballot, Known: older, Value: value, Node: "core-4", Incarnation: 1700000000001, Epoch: 5,
-		Membership: voters, System: system, Sender: "core-2"}
-	reply := Reply{Kind: OtherSystem, Ballot: ballot, Incarnation: 3, Incarnations: incarnations, Promised: older, Vote: vote,
-		Membership: voters, Ready: true, Blank: true, System: system, Silent: []string{"core-1", "core-4"}}
-	state := ReplicaState{Membership: voters, Ready: true, Incarnation: 3, Incarnations: incarnations, Promised: ballot, System: system}
+	incarnations := DiskIncarnations{"core-1": 2, "core-2": 1700000000000, "core-4": 1}
+	system := NewSystemID([]string{"core-1", "core-2", "core-3"})
+	request := Request{Kind: Accept, Ballot: ballot, KnownBallot: older, Value: value, Node: "core-4", DiskIncarnation: 1700000000001, Epoch: 5,
+		VoterSet: voters, System: system, Sender: "core-2"}
+	reply := Reply{Kind: ForeignSystem, Ballot: ballot, DiskIncarnation: 3, DiskIncarnations: incarnations, Promised: older, Vote: vote,
+		VoterSet: voters, Ready: true, BlankDisk: true, System: system, Unresponsive: []string{"core-1", "core-4"}}
+	state := ReplicaState{VoterSet: voters, Ready: true, DiskIncarnation: 3, DiskIncarnations: incarnations, Promised: ballot, System: system}
 	return []goldenMessage{
 		{"ballot", &ballot, &Ballot{}},
-		{"membership", &voters, &Membership{}},
+		{"membership", &voters, &VoterSet{}},
 		{"version-digest", &second, &VersionDigest{}},
 		{"value", &value, &Value{}},
 		{"vote", &vote, &Vote{}},
 		{"request", &request, &Request{}},
 		{"reply", &reply, &Reply{}},
 		{"replica-state", &state, &ReplicaState{}},
-		{"incarnation", &incarnation{node: "core-2", n: 1700000000000}, &incarnation{}},
+		{"incarnation", &diskIncarnation{node: "core-2", number: 1700000000000}, &diskIncarnation{}},
 	}
 }
 
@@ -72,12 +72,12 @@
 // digests.
 func TestGoldenOldRecords(t *testing.T) {
 	c := qt.New(t)
-	state := oldStanding{[]string{"core-1", "core-2"}, true, 2, Incarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
+	state := oldStanding{[]string{"core-1", "core-2"}, true, 2, DiskIncarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
 	golden.Hex(t, "old-replica-state.hex", codec.Write(nil, &state))
 	var s ReplicaState
 	c.Assert(codec.Read(golden.Read(t, "old-replica-state.hex"), &s), qt.IsNil)
-	c.Assert(s, qt.DeepEquals, ReplicaState{Membership: Membership{Voters: []string{"core-1", "core-2"}}, Ready: true, Incarnation: 2,
-		Incarnations: Incarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"}})
+	c.Assert(s, qt.DeepEquals, ReplicaState{VoterSet: VoterSet{Voters: []string{"core-1", "core-2"}}, Ready: true, DiskIncarnation: 2,
+		DiskIncarnations: DiskIncarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"}})
 
 	old := oldValue{version: 9, body: []byte("body 9")}
 	for n := 8; n <= 9; n++ {
@@ -89,17 +89,17 @@
 	var w Value
 	c.Assert(codec.Read(golden.Read(t, "old-value.hex"), &w), qt.IsNil)
 	c.Assert(w, qt.DeepEquals, Value{Version: 9, Body: []byte("body 9"), History: []VersionDigest{order(8).entry(), order(9).entry()},
-		Forgotten: 7, Refused: []VersionDigest{refused.entry()}})
+		TruncatedVersion: 7, Refused: []VersionDigest{refused.entry()}})
 }
 
 // The numbers of kinds go over the wire, and those of verdicts and states stand in other packages' answers.
 func TestNumbersOfKinds(t *testing.T) {
 	qt.Check(t, numbers([]RequestKind{ReadVote, Prepare, Accept, Recover, Describe, Commit}), qt.Equals, "1 2 3 4 5 6")
-	qt.Check(t, numbers([]ReplyKind{NotReady, Reported, Promise, Accepted, Rejected, StaleEpoch, OtherList, OtherSystem}),
+	qt.Check(t, numbers([]ReplyKind{NotReady, Reported, Promise, Accepted, Rejected, StaleEpoch, ConflictingVoters, ForeignSystem}),
 		qt.Equals, "0 1 2 3 4 5 6 7")
 	qt.Check(t, numbers([]Verdict{Unknown, Applied, Conflict}), qt.Equals, "0 1 2")
 	qt.Check(t, []string{Unknown.String(), Applied.String(), Conflict.String()}, qt.DeepEquals, []string{"unknown", "applied", "conflict"})
-	qt.Check(t, numbers([]State{Reading, Inconclusive, Preparing, Accepting, Done, Preempted, Stale}), qt.Equals, "0 1 2 3 4 5 6")
+	qt.Check(t, numbers([]RoundState{Reading, Inconclusive, Preparing, Accepting, Done, Preempted, Stale}), qt.Equals, "0 1 2 3 4 5 6")
 }
 
 func numbers[T ~uint8](list []T) string {
@@ -113,12 +113,12 @@
 // What two versions must agree on beside the form of messages.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
-	c.Check(uint64(NewSystem([]string{"core-1", "core-2", "core-3"})), qt.Equals, uint64(0x69e7195655d432f9))
+	c.Check(uint64(NewSystemID([]string{"core-1", "core-2", "core-3"})), qt.Equals, uint64(0x69e7195655d432f9))
 	c.Check(NewChange(1, 2, []byte("body")).entry(), qt.Equals,
 		VersionDigest{Version: 2, Digest: Digest{0x23, 0x0d, 0x83, 0x58, 0xdc, 0x8e, 0x88, 0x90}})
-	c.Check([]int{historyMax, refusedMax, retiredMax, incarnationsMax, votersLeast, votersMost}, qt.DeepEquals, []int{256, 64, 64, 128, 3, 9})
+	c.Check([]int{maxHistory, maxRefused, maxRetired, maxDiskIncarnations, minVoters, maxVoters}, qt.DeepEquals, []int{256, 64, 64, 128, 3, 9})
 	c.Check([]time.Duration{joinDelay, ReplaceDelay}, qt.DeepEquals, []time.Duration{500 * time.Millisecond, 2 * time.Second})
-	c.Check([]int{VotersWanted(0), VotersWanted(1), VotersWanted(2), VotersWanted(7)}, qt.DeepEquals, []int{3, 3, 5, 9})
+	c.Check([]int{TargetVoters(0), TargetVoters(1), TargetVoters(2), TargetVoters(7)}, qt.DeepEquals, []int{3, 3, 5, 9})
 }
 
 // digestOf is a short hash of messages' encodings.
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -22,16 +22,16 @@
 
 // Request is what a proposer asks, or a replica that lost its disk.
 type Request struct {
-	Kind        RequestKind
-	Ballot      Ballot
-	Known       Ballot // the asker has the value of this ballot, and the answer need not hold it
-	Value       Value
-	Node        string
-	Incarnation uint64
-	Epoch       uint64     // of ReadVote, Prepare and Accept: of the proposer's membership
-	Membership  Membership // the newest one that the sender knows as decided
-	System      System     // of the sender
-	Sender      string     // its name, for logs
+	Kind            RequestKind
+	Ballot          Ballot
+	KnownBallot     Ballot // the asker has the value of this ballot, and the answer need not hold it
+	Value           Value
+	Node            string
+	DiskIncarnation uint64
+	Epoch           uint64   // of ReadVote, Prepare and Accept: of the proposer's membership
+	VoterSet        VoterSet // the newest one that the sender knows as decided
+	System          SystemID // of the sender
+	Sender          string   // its name, for logs
 }
 
 // Fields implements codec.Message.
@@ -40,12 +40,12 @@
 	v.Uint(1, &kind)
 	q.Kind = RequestKind(kind)
 	v.Message(2, &q.Ballot)
-	v.Message(3, &q.Known)
+	v.Message(3, &q.KnownBallot)
 	v.Message(4, &q.Value)
 	v.Text(5, &q.Node)
-	v.Uint(6, &q.Incarnation)
+	v.Uint(6, &q.DiskIncarnation)
 	v.Uint(7, &q.Epoch)
-	v.Message(8, &q.Membership)
+	v.Message(8, &q.VoterSet)
 	v.Fixed(9, (*uint64)(&q.System))
 	v.Text(10, &q.Sender)
 }
@@ -59,27 +59,27 @@
 	Reported                  // to ReadVote, Recover, Describe and Commit
 	Promise
 	Accepted
-	Rejected    // Promised is higher; to Recover: an incarnation as high was seen
-	StaleEpoch  // a newer epoch is decided: Membership
-	OtherList   // the request names another list for an epoch whose list is known here: Membership
-	OtherSystem // the sender belongs to another system: System
+	Rejected          // Promised is higher; to Recover: an incarnation as high was seen
+	StaleEpoch        // a newer epoch is decided: Membership
+	ConflictingVoters // the request names another list for an epoch whose list is known here: Membership
+	ForeignSystem     // the sender belongs to another system: System
 )
 
 // Reply is the answer to a request. Ballot is that of the request, Promised and Vote are the voter's own. Membership is the
 // newest that the voter knows as decided; it is told where it matters.
 type Reply struct {
-	Kind         ReplyKind
-	Ballot       Ballot
-	Incarnation  uint64
-	Incarnations Incarnations
-	Promised     Ballot
-	Vote         Vote
-
-	Membership Membership
-	Ready      bool // to Describe: may be made a voter
-	Blank      bool // NotReady because there was nothing on its disk at all
-	System     System
-	Silent     []string // to Describe: voters that have not answered this one for ReplaceDelay
+	Kind             ReplyKind
+	Ballot           Ballot
+	DiskIncarnation  uint64
+	DiskIncarnations DiskIncarnations
+	Promised         Ballot
+	Vote             Vote
+
+	VoterSet     VoterSet
+	Ready        bool // to Describe: may be made a voter
+	BlankDisk    bool // NotReady because there was nothing on its disk at all
+	System       SystemID
+	Unresponsive []string // to Describe: voters that have not answered this one for ReplaceDelay
 }
 
 // Fields implements codec.Message.
@@ -88,18 +88,18 @@
 	v.Uint(1, &kind)
 	r.Kind = ReplyKind(kind)
 	v.Message(2, &r.Ballot)
-	v.Uint(3, &r.Incarnation)
-	r.Incarnations.fields(v)
+	v.Uint(3, &r.DiskIncarnation)
+	r.DiskIncarnations.fields(v)
 	v.Message(5, &r.Promised)
 	v.Message(6, &r.Vote)
-	v.Message(8, &r.Membership)
+	v.Message(8, &r.VoterSet)
 	v.Bool(9, &r.Ready)
-	v.Bool(10, &r.Blank)
-	v.Texts(11, &r.Silent)
+	v.Bool(10, &r.BlankDisk)
+	v.Texts(11, &r.Unresponsive)
 	v.Fixed(12, (*uint64)(&r.System))
 }
 
-// Vote is a value that was accepted under a ballot. A Learned one was not accepted by the voter that has it: that voter lost
+// CommittedVote is a value that was accepted under a ballot. A Learned one was not accepted by the voter that has it: that voter lost
 // its disk, or is new, and read it from others. It may not be forgotten, and does not count towards a majority.
 type Vote struct {
 	Ballot  Ballot
@@ -114,16 +114,16 @@
 	v.Bool(3, &o.Learned)
 }
 
-// Incarnations are, by voter, the newest incarnation that a replica was told of. A voter begins one when it lost its disk.
-type Incarnations map[string]uint64
+// DiskIncarnations are, by voter, the newest incarnation that a replica was told of. A voter begins one when it lost its disk.
+type DiskIncarnations map[string]uint64
 
-// incarnationsMax bounds how many a replica remembers. An entry matters to rounds under the epoch in which it was told, and the
+// maxDiskIncarnations bounds how many a replica remembers. An entry matters to rounds under the epoch in which it was told, and the
 // one after: so many machines are not replaced within two epochs.
-const incarnationsMax = 128
+const maxDiskIncarnations = 128
 
-// bound drops the lowest, which as a rule are the oldest, of those that need not be kept.
-func (l Incarnations) bound(keep func(node string) bool) {
-	for len(l) > incarnationsMax {
+// prune drops the lowest, which as a rule are the oldest, of those that need not be kept.
+func (l DiskIncarnations) prune(keep func(node string) bool) {
+	for len(l) > maxDiskIncarnations {
 		drop := ""
 		for node, incarnation := range l {
 			if !keep(node) && (drop == "" || incarnation < l[drop] || incarnation == l[drop] && node < drop) {
@@ -137,26 +137,26 @@
 	}
 }
 
-type incarnation struct {
-	node string
-	n    uint64
+type diskIncarnation struct {
+	node   string
+	number uint64
 }
 
-func (l *incarnation) Fields(v *codec.Visitor) {
+func (l *diskIncarnation) Fields(v *codec.Visitor) {
 	v.Text(1, &l.node)
-	v.Uint(2, &l.n)
+	v.Uint(2, &l.number)
 }
 
-func (l *Incarnations) fields(v *codec.Visitor) {
-	var list []incarnation
+func (l *DiskIncarnations) fields(v *codec.Visitor) {
+	var list []diskIncarnation
 	for _, node := range slices.Sorted(maps.Keys(*l)) {
-		list = append(list, incarnation{node, (*l)[node]})
+		list = append(list, diskIncarnation{node, (*l)[node]})
 	}
 	codec.Messages(v, 4, &list)
 	if v.Reading() && len(list) > 0 {
-		*l = Incarnations{}
+		*l = DiskIncarnations{}
 		for _, one := range list {
-			(*l)[one.node] = one.n
+			(*l)[one.node] = one.number
 		}
 	}
 }
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -46,7 +46,7 @@
 	lost        bool // the record has to be made
 	incarnation uint64
 	recovery    *Recovery
-	membership  Membership // without voters while not known
+	membership  VoterSet // without voters while not known
 	known       Vote
 	highest     uint64
 	calls       []*modelCall
@@ -82,7 +82,7 @@
 	modelAttempts  = 8    // rounds of a call
 	modelSlow      = 300  // steps that a slow parcel is under way, at most
 	modelExchanges = true // one voter is exchanged for another in one step
-	modelPrefilled = historyMax + 40
+	modelPrefilled = maxHistory + 40
 )
 
 // prefilled are the orders that a register has seen which has forgotten some of them, and the value that they left.
@@ -91,7 +91,7 @@
 	var value Value
 	for n := 1; n <= modelPrefilled; n++ {
 		change := NewChange(configuration.Version(n-1), configuration.Version(n), fmt.Appendf(nil, "prefilled %d", n))
-		_, next := change.judge(&value)
+		_, next := change.evaluate(&value)
 		orders, value = append(orders, change), *next
 	}
 	return orders, value
@@ -114,7 +114,7 @@
 	m.spec.version = value.Version
 	for i := range voters + spares {
 		p := &modelReplica{name: fmt.Sprint("v", i)}
-		p.disk = FirstRecord(p.name, first.Voters)
+		p.disk = InitialRecord(p.name, first.Voters)
 		if value.Version > 0 && p.disk.State.Ready {
 			p.disk.Vote = Vote{Ballot: Ballot{1, "prefilled"}, Value: value}
 		}
@@ -135,7 +135,7 @@
 // start starts a process with what its disk holds (controlplane's replica.load).
 func (m *model) start(p *modelReplica) {
 	*p = modelReplica{name: p.name, disk: p.disk, wiped: p.wiped, up: true, boot: p.boot + 1, record: p.disk}
-	p.adopt(p.record.Decided())
+	p.adopt(p.record.DecidedVoters())
 	if p.lost = !p.disk.State.Ready; p.lost {
 		p.incarnation = 1 + m.rng.Uint64N(1000) // by a clock that may have been set back
 		return
@@ -147,9 +147,9 @@
 // stop kills a process: what is synced stays.
 func (m *model) stop(p *modelReplica) { p.up, p.calls, p.writer, p.recovery = false, nil, nil, nil }
 
-func (p *modelReplica) observe(b Ballot) { p.highest = max(p.highest, b.N) }
+func (p *modelReplica) observe(b Ballot) { p.highest = max(p.highest, b.Number) }
 
-func (p *modelReplica) adopt(e Membership) {
+func (p *modelReplica) adopt(e VoterSet) {
 	if len(e.Voters) > 0 && (len(p.membership.Voters) == 0 || e.Epoch > p.membership.Epoch) {
 		p.membership = e
 	}
@@ -162,12 +162,12 @@
 		p.known = v
 		m.spec.observe(&v.Value)
 	}
-	p.adopt(v.Value.Membership)
+	p.adopt(v.Value.VoterSet)
 }
 
 // persist syncs what changed of a record, the vote first; if the power goes, a part may be there or nothing, and the process
 // is gone.
-func (m *model) persist(p *modelReplica, next Record, changed Changed) bool {
+func (m *model) persist(p *modelReplica, next Record, changed Unsynced) bool {
 	if !changed.Any() {
 		return true
 	}
@@ -209,7 +209,7 @@
 		return
 	}
 	p.record, p.lost, p.wiped, p.recovery = r, false, false, nil
-	p.adopt(r.Decided())
+	p.adopt(r.DecidedVoters())
 	p.observe(r.State.Promised)
 	p.observe(r.Vote.Ballot)
 	m.counts["records made"]++
@@ -234,7 +234,7 @@
 func (m *model) serve(p *modelReplica, q *Request) (Reply, bool) {
 	p.observe(q.Ballot)
 	if p.lost {
-		return Reply{Kind: NotReady, Ballot: q.Ballot, Incarnation: p.incarnation}, true
+		return Reply{Kind: NotReady, Ballot: q.Ballot, DiskIncarnation: p.incarnation}, true
 	}
 	if q.Kind == Commit {
 		vote := p.record.Vote
@@ -242,7 +242,7 @@
 			return Reply{Kind: Reported}, true
 		}
 		m.learn(p, vote)
-		next, changed := p.record.Learn(vote.Value.Membership)
+		next, changed := p.record.LearnVoters(vote.Value.VoterSet)
 		return Reply{Kind: Reported}, m.persist(p, next, changed)
 	}
 	reply, next, changed := p.record.Handle(q)
@@ -309,9 +309,9 @@
 	case x.call != nil && x.call.round != nil && x.phase == x.call.phase && slices.Contains(p.calls, x.call):
 		if q := x.call.round.Step(x.to.name, x.reply); q != nil {
 			x.call.phase++
-			m.send(p, x.call.round.Nodes(), q, x.call, nil)
+			m.send(p, x.call.round.Recipients(), q, x.call, nil)
 		}
-		if x.call.round.Over() {
+		if x.call.round.Finished() {
 			m.over(p, x.call)
 		}
 	}
@@ -335,7 +335,7 @@
 		c.round, q = NewRound(p.membership, Ballot{p.highest, fmt.Sprint(p.name, "#", p.boot)}, c.change, p.known)
 	}
 	c.phase++
-	m.send(p, c.round.Nodes(), q, c, nil)
+	m.send(p, c.round.Recipients(), q, c, nil)
 }
 
 func (m *model) drop(p *modelReplica, c *modelCall) {
@@ -348,12 +348,12 @@
 // over goes on after a round.
 func (m *model) over(p *modelReplica, c *modelCall) {
 	r := c.round
-	p.observe(r.Highest)
+	p.observe(r.HighestBallot)
 	if r.State == Done || r.State == Stale {
-		m.learn(p, r.Vote())
-		p.adopt(r.NewerMembership)
+		m.learn(p, r.CommittedVote())
+		p.adopt(r.NewerVoters)
 		if p.writer == c {
-			m.send(p, r.Nodes(), &Request{Kind: Commit, Ballot: r.Vote().Ballot}, nil, nil)
+			m.send(p, r.Recipients(), &Request{Kind: Commit, Ballot: r.CommittedVote().Ballot}, nil, nil)
 		}
 	}
 	if p.writer == c {
@@ -367,7 +367,7 @@
 	case r.State == Inconclusive:
 		c.asks = false
 		m.begin(p, c)
-	case r.State == Stale && p.membership.Epoch > r.Membership().Epoch:
+	case r.State == Stale && p.membership.Epoch > r.VoterSet().Epoch:
 		m.begin(p, c)
 	default:
 		c.asks = c.reading
@@ -379,7 +379,7 @@
 	switch {
 	case c.change == nil:
 		m.counts["reads"]++
-	case c.change.next == nil:
+	case c.change.nextVoters == nil:
 		m.counts[r.Verdict.String()]++
 	}
 	m.spec.done(c, r)
@@ -398,21 +398,21 @@
 		return
 	}
 	if p.recovery != nil {
-		p.incarnation = p.recovery.NextIncarnation()
+		p.incarnation = p.recovery.NextDiskIncarnation()
 	}
 	var q *Request
 	p.recovery, q = NewRecovery(p.name, p.membership, p.incarnation, false)
-	m.send(p, p.recovery.Nodes(), q, nil, p.recovery)
+	m.send(p, p.recovery.Recipients(), q, nil, p.recovery)
 }
 
 // recovered takes a reply to a recovery.
 func (m *model) recovered(p *modelReplica, x *parcel) {
-	before := p.recovery.Nodes()
+	before := p.recovery.Recipients()
 	if r, ok := p.recovery.Step(x.to.name, x.reply); ok {
 		m.replace(p, r)
 		return
 	}
-	for _, node := range p.recovery.Nodes() {
+	for _, node := range p.recovery.Recipients() {
 		if !slices.Contains(before, node) {
 			m.send(p, []string{node}, x.request, nil, p.recovery)
 		}
@@ -424,7 +424,7 @@
 	if len(m.orders) > 0 && m.chance(50) {
 		recent := m.orders[max(0, len(m.orders)-8):]
 		if m.chance(20) { // may be older than what is remembered
-			recent = m.orders[:min(len(m.orders), 2*(modelPrefilled-historyMax))]
+			recent = m.orders[:min(len(m.orders), 2*(modelPrefilled-maxHistory))]
 		}
 		m.call(p, &modelCall{change: pick(m.rng, recent)})
 		return
@@ -449,18 +449,18 @@
 	}
 	var spares []string
 	for _, o := range m.replicas {
-		if o.up && !o.lost && o.record.State.Ready && !e.Has(o.name) {
+		if o.up && !o.lost && o.record.State.Ready && !e.Contains(o.name) {
 			spares = append(spares, o.name)
 		}
 	}
 	var change *Change
 	switch voters := len(e.Voters); {
 	case modelExchanges && len(spares) > 0 && m.chance(60):
-		change = NewMembershipChange(e, MembershipChange{Add: pick(m.rng, spares), Remove: pick(m.rng, e.Voters)})
+		change = NewVoterChange(e, VoterChange{Add: pick(m.rng, spares), Remove: pick(m.rng, e.Voters)})
 	case len(spares) > 0 && (voters <= 3 || voters < 5 && m.chance(50)):
-		change = NewMembershipChange(e, MembershipChange{Add: pick(m.rng, spares)})
+		change = NewVoterChange(e, VoterChange{Add: pick(m.rng, spares)})
 	case voters > 3:
-		change = NewMembershipChange(e, MembershipChange{Remove: pick(m.rng, e.Voters)})
+		change = NewVoterChange(e, VoterChange{Remove: pick(m.rng, e.Voters)})
 	}
 	if change != nil {
 		m.call(p, &modelCall{change: change})
@@ -472,7 +472,7 @@
 	if o := pick(m.rng, m.replicas); o.up {
 		p.adopt(o.membership)
 	}
-	if next, changed := p.record.Learn(p.membership); !p.lost {
+	if next, changed := p.record.LearnVoters(p.membership); !p.lost {
 		m.persist(p, next, changed)
 	}
 }
@@ -542,7 +542,7 @@
 		m.begin(p, c)
 		return
 	}
-	c.round.GiveUp()
+	c.round.StopWaiting()
 	m.over(p, c)
 }
 
@@ -622,11 +622,11 @@
 	if w.Version > 0 {
 		s.extend(w.History)
 		at := slices.Index(s.chain, w.History[0])
-		if at > 0 && w.Forgotten != s.chain[at-1].Version || at == 0 && w.Forgotten != 0 {
-			s.fail("%v forgot up to %d, and starts with %v", w.Version, w.Forgotten, w.History[0])
+		if at > 0 && w.TruncatedVersion != s.chain[at-1].Version || at == 0 && w.TruncatedVersion != 0 {
+			s.fail("%v forgot up to %d, and starts with %v", w.Version, w.TruncatedVersion, w.History[0])
 		}
 	}
-	e := &w.Membership
+	e := &w.VoterSet
 	if voters, ok := s.voters[e.Epoch]; ok && !slices.Equal(voters, e.Voters) {
 		s.fail("two lists of voters for epoch %d: %v and %v", e.Epoch, voters, e.Voters)
 	}
@@ -664,15 +664,15 @@
 	}
 }
 
-// done takes the end of a call.
+// becomeDone takes the end of a call.
 func (s *specification) done(c *modelCall, r *Round) {
 	w := &r.Value
 	s.observe(w)
-	if w.Version < c.version || w.Membership.Epoch < c.epoch {
-		s.fail("a call that began at version %v, epoch %d ended at %v, epoch %d", c.version, c.epoch, w.Version, w.Membership.Epoch)
+	if w.Version < c.version || w.VoterSet.Epoch < c.epoch {
+		s.fail("a call that began at version %v, epoch %d ended at %v, epoch %d", c.version, c.epoch, w.Version, w.VoterSet.Epoch)
 	}
-	s.version, s.epoch = max(s.version, w.Version), max(s.epoch, w.Membership.Epoch)
-	if c.change != nil && c.change.next == nil {
+	s.version, s.epoch = max(s.version, w.Version), max(s.epoch, w.VoterSet.Epoch)
+	if c.change != nil && c.change.nextVoters == nil {
 		s.judged(c.change, r.Verdict, w)
 	}
 }
@@ -697,7 +697,7 @@
 		}
 		s.refused[entry] = true
 	default:
-		if entry.Version > w.Forgotten && (c.Base <= w.Version || len(w.Refused) < refusedMax) {
+		if entry.Version > w.TruncatedVersion && (c.Base <= w.Version || len(w.Refused) < maxRefused) {
 			s.fail("%v on %v has no clear answer at %v", c.Version, c.Base, w.Version)
 		}
 	}
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -20,24 +20,24 @@
 // What is taken over was not accepted by this replica: the vote is Learned, which a proposer must respect as the newest vote,
 // and which does not count towards a majority for its ballot. docs/consensus-proof.md shows why this is enough.
 type Recovery struct {
-	self        string
-	membership  Membership // the newest known to be decided
-	blank       bool
-	incarnation uint64
-	replies     map[string]*Reply
-	pending     []string // a list that may be decided
+	self            string
+	voterSet        VoterSet // the newest known to be decided
+	blankDisk       bool
+	diskIncarnation uint64
+	replies         map[string]*Reply
+	pendingVoters   []string // a list that may be decided
 }
 
 // NewRecovery starts an attempt under an incarnation above all that were told so far. Requests go to Nodes. blank tells that
 // there was nothing on the disk.
-func NewRecovery(self string, e Membership, life uint64, blank bool) (*Recovery, *Request) {
-	return &Recovery{self: self, membership: e, blank: blank, incarnation: life, replies: map[string]*Reply{}},
-		&Request{Kind: Recover, Node: self, Incarnation: life, Membership: e}
+func NewRecovery(self string, e VoterSet, life uint64, blank bool) (*Recovery, *Request) {
+	return &Recovery{self: self, voterSet: e, blankDisk: blank, diskIncarnation: life, replies: map[string]*Reply{}},
+		&Request{Kind: Recover, Node: self, DiskIncarnation: life, VoterSet: e}
 }
 
-// Nodes are those that have to be asked, as far as is known; the others asked so far answer only once.
-func (y *Recovery) Nodes() (nodes []string) {
-	for _, v := range append(slices.Clone(y.membership.Voters), y.pending...) {
+// Recipients are those that have to be asked, as far as is known; the others asked so far answer only once.
+func (y *Recovery) Recipients() (nodes []string) {
+	for _, v := range append(slices.Clone(y.voterSet.Voters), y.pendingVoters...) {
 		if v != y.self && !slices.Contains(nodes, v) {
 			nodes = append(nodes, v)
 		}
@@ -45,23 +45,23 @@
 	return nodes
 }
 
-// Step takes a voter's reply, and tells the record once there are enough; it is then to be written through. NextIncarnation is
+// Step takes a voter's reply, and tells the record once there are enough; it is then to be written through. NextDiskIncarnation is
 // for another attempt, if this one fails.
 func (y *Recovery) Step(node string, reply *Reply) (Record, bool) {
-	if node == y.self || y.replies[node] != nil || reply.Kind == NotReady && !reply.Blank || reply.Kind == OtherSystem {
+	if node == y.self || y.replies[node] != nil || reply.Kind == NotReady && !reply.BlankDisk || reply.Kind == ForeignSystem {
 		return Record{}, false
 	}
 	y.replies[node] = reply
-	r := Record{State: ReplicaState{Ready: true, Incarnation: y.incarnation, Incarnations: Incarnations{}}}
+	r := Record{State: ReplicaState{Ready: true, DiskIncarnation: y.diskIncarnation, DiskIncarnations: DiskIncarnations{}}}
 	for v, reply := range y.replies {
-		lives := maps.Clone(reply.Incarnations)
+		lives := maps.Clone(reply.DiskIncarnations)
 		if lives == nil {
-			lives = Incarnations{}
+			lives = DiskIncarnations{}
 		}
-		lives[v] = max(lives[v], reply.Incarnation)
+		lives[v] = max(lives[v], reply.DiskIncarnation)
 		for node, life := range lives {
 			if node != y.self {
-				r.State.Incarnations[node] = max(r.State.Incarnations[node], life)
+				r.State.DiskIncarnations[node] = max(r.State.DiskIncarnations[node], life)
 			}
 		}
 		if reply.Kind != Reported {
@@ -76,26 +76,26 @@
 		if reply.Vote.Ballot.Compare(r.Vote.Ballot) > 0 {
 			r.Vote = reply.Vote
 		}
-		if e := reply.Membership; e.Epoch > y.membership.Epoch {
-			y.membership = e
+		if e := reply.VoterSet; e.Epoch > y.voterSet.Epoch {
+			y.voterSet = e
 		}
-		if e := reply.Vote.Value.Membership; e.Epoch > y.membership.Epoch+1 {
-			y.membership = e.previous()
+		if e := reply.Vote.Value.VoterSet; e.Epoch > y.voterSet.Epoch+1 {
+			y.voterSet = e.previousSet()
 		}
 	}
-	enough := y.enough(y.membership.Voters)
-	if y.pending = nil; r.Vote.Value.Membership.Epoch > y.membership.Epoch {
-		y.pending = r.Vote.Value.Membership.Voters
-		enough = enough && y.enough(y.pending)
+	enough := y.hasEnough(y.voterSet.Voters)
+	if y.pendingVoters = nil; r.Vote.Value.VoterSet.Epoch > y.voterSet.Epoch {
+		y.pendingVoters = r.Vote.Value.VoterSet.Voters
+		enough = enough && y.hasEnough(y.pendingVoters)
 	}
-	r.State.Membership = y.membership
+	r.State.VoterSet = y.voterSet
 	r.Vote.Learned = r.Vote.Ballot != Ballot{}
-	return r, enough || y.neverUsed()
+	return r, enough || y.registerUnused()
 }
 
-// enough tells whether so many voters of a list have answered that every majority of it with this replica's answer has one of
+// hasEnough tells whether so many voters of a list have answered that every majority of it with this replica's answer has one of
 // them.
-func (y *Recovery) enough(list []string) bool {
+func (y *Recovery) hasEnough(list []string) bool {
 	n := 0
 	for _, v := range list {
 		if reply := y.replies[v]; v != y.self && reply != nil && reply.Kind == Reported {
@@ -108,12 +108,12 @@
 	return n >= len(list)-majority(len(list))+1
 }
 
-// neverUsed tells whether nobody has accepted anything yet.
-func (y *Recovery) neverUsed() bool {
-	if !y.blank || y.membership.Epoch > 0 || !y.membership.Has(y.self) {
+// registerUnused tells whether nobody has accepted anything yet.
+func (y *Recovery) registerUnused() bool {
+	if !y.blankDisk || y.voterSet.Epoch > 0 || !y.voterSet.Contains(y.self) {
 		return false
 	}
-	for _, v := range y.membership.Voters {
+	for _, v := range y.voterSet.Voters {
 		reply := y.replies[v]
 		if v != y.self && (reply == nil || reply.Kind == Rejected || reply.Vote.Ballot != Ballot{}) {
 			return false
@@ -122,11 +122,11 @@
 	return true
 }
 
-// NextIncarnation is one above this one and all that were told.
-func (y *Recovery) NextIncarnation() uint64 {
-	life := y.incarnation
+// NextDiskIncarnation is one above this one and all that were told.
+func (y *Recovery) NextDiskIncarnation() uint64 {
+	life := y.diskIncarnation
 	for _, reply := range y.replies {
-		life = max(life, reply.Incarnations[y.self])
+		life = max(life, reply.DiskIncarnations[y.self])
 	}
 	return life + 1
 }
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -23,7 +23,7 @@
 // record is on disk has lost the request, after that the reply.
 type world struct {
 	voters  []string // all who have a record; those of first vote at first
-	first   Membership
+	first   VoterSet
 	moved   map[string]bool // voters that are not like the others
 	records []Record        // what is on disk
 	codes   []uint64        // of records
@@ -42,7 +42,7 @@
 	before   int // conclusions when the round began
 	n        uint64
 	heard    [8]uint64 // codes of the replies of this phase, by voter, and of the word that is to be accepted
-	known    Membership
+	known    VoterSet
 }
 
 type message struct {
@@ -90,16 +90,16 @@
 	w.moved[w.voters[all-1]] = losses > 0
 	w.first.Voters = w.voters[:voters:voters]
 	for i, v := range w.voters {
-		w.record(i, FirstRecord(v, w.first.Voters))
+		w.record(i, InitialRecord(v, w.first.Voters))
 		if i >= voters {
-			w.record(i, Record{State: ReplicaState{Membership: w.first, Ready: true, Incarnation: 1}})
+			w.record(i, Record{State: ReplicaState{VoterSet: w.first, Ready: true, DiskIncarnation: 1}})
 		}
 	}
 	for i, c := range changes {
 		w.props = append(w.props, proposer{change: c, attempts: attempts[i], known: w.first})
-		if c != nil && c.next != nil {
+		if c != nil && c.nextVoters != nil {
 			for _, v := range w.voters {
-				w.moved[v] = w.moved[v] || slices.Contains(c.next.Voters, v) != slices.Contains(c.next.Previous, v)
+				w.moved[v] = w.moved[v] || slices.Contains(c.nextVoters.Voters, v) != slices.Contains(c.nextVoters.Previous, v)
 			}
 		}
 	}
@@ -150,10 +150,10 @@
 		return false
 	}
 	if p.attempts--; p.round != nil {
-		p.n = max(p.n, p.round.Highest.N)
+		p.n = max(p.n, p.round.HighestBallot.Number)
 	}
-	if p.round != nil && p.round.NewerMembership.Epoch > p.known.Epoch {
-		p.known = p.round.NewerMembership
+	if p.round != nil && p.round.NewerVoters.Epoch > p.known.Epoch {
+		p.known = p.round.NewerVoters
 	}
 	p.n++
 	var q *Request
@@ -161,7 +161,7 @@
 		p.round, q = NewRound(p.known, Ballot{p.n, fmt.Sprint("p", i)}, p.change, Vote{})
 	}
 	p.before, p.heard = len(w.ends), [8]uint64{}
-	w.send(i, q, p.round.Nodes())
+	w.send(i, q, p.round.Recipients())
 	return true
 }
 
@@ -180,7 +180,7 @@
 	w.record(v, Record{})
 	var q *Request
 	w.lost[v], q = NewRecovery(w.voters[v], w.first, uint64(10-w.losses), false) // a life of its own, found by trying otherwise
-	w.send(-v-1, q, w.lost[v].Nodes())
+	w.send(-v-1, q, w.lost[v].Recipients())
 	return true
 }
 
@@ -196,13 +196,13 @@
 	}
 	if m.prop < 0 {
 		if v := -m.prop - 1; w.lost[v] != nil {
-			before := w.lost[v].Nodes()
+			before := w.lost[v].Recipients()
 			if r, ok := w.lost[v].Step(name, &reply); ok {
 				w.record(v, r)
 				w.lost[v] = nil
 				return true
 			}
-			w.send(m.prop, m.q, slices.DeleteFunc(w.lost[v].Nodes(), func(s string) bool {
+			w.send(m.prop, m.q, slices.DeleteFunc(w.lost[v].Recipients(), func(s string) bool {
 				return slices.Contains(before, s) || w.lost[v].replies[s] != nil
 			}))
 		}
@@ -210,7 +210,7 @@
 	}
 	p := &w.props[m.prop]
 	r := p.round
-	if r.Over() || r.ballot != m.q.Ballot {
+	if r.Finished() || r.ballot != m.q.Ballot {
 		return changed.Any()
 	}
 	q := r.Step(name, &reply)
@@ -219,15 +219,15 @@
 	}
 	if q != nil {
 		if q.Kind == Accept {
-			p.heard = [8]uint64{7: code(&r.value)}
+			p.heard = [8]uint64{7: code(&r.proposal)}
 		}
-		w.send(m.prop, q, r.Nodes())
+		w.send(m.prop, q, r.Recipients())
 	}
 	switch {
 	case r.State == Done:
 		w.ends = append(w.ends, conclusion{m.prop, p.before, r.Verdict, r.Value, code(&r.Value)})
-	case r.State == Stale && r.Vote().Ballot == r.ballot:
-		word := r.Vote().Value
+	case r.State == Stale && r.CommittedVote().Ballot == r.ballot:
+		word := r.CommittedVote().Value
 		w.ends = append(w.ends, conclusion{m.prop, p.before, Unknown, word, code(&word)})
 	}
 	return true
@@ -269,9 +269,9 @@
 		maphash.WriteComparable(&h, [3]int{p.attempts, p.before, int(p.n)})
 		if p.round != nil {
 			maphash.WriteComparable(&h, p.heard[7])
-			maphash.WriteComparable(&h, [2]uint64{p.known.Epoch, p.round.NewerMembership.Epoch})
-			h.WriteString(strings.Join(p.round.joint, "+"))
-			maphash.WriteComparable(&h, [2]int{int(p.round.State), int(p.round.Highest.N)})
+			maphash.WriteComparable(&h, [2]uint64{p.known.Epoch, p.round.NewerVoters.Epoch})
+			h.WriteString(strings.Join(p.round.jointVoters, "+"))
+			maphash.WriteComparable(&h, [2]int{int(p.round.State), int(p.round.HighestBallot.Number)})
 		}
 	}
 	for _, e := range w.ends {
@@ -285,24 +285,24 @@
 // extends tells whether b is a or was made from it.
 func extends(a, b *Value) bool {
 	return len(a.History) <= len(b.History) && slices.Equal(a.History, b.History[:len(a.History)]) &&
-		a.Membership.Epoch <= b.Membership.Epoch &&
-		(a.Membership.Epoch < b.Membership.Epoch || slices.Equal(a.Membership.Voters, b.Membership.Voters))
+		a.VoterSet.Epoch <= b.VoterSet.Epoch &&
+		(a.VoterSet.Epoch < b.VoterSet.Epoch || slices.Equal(a.VoterSet.Voters, b.VoterSet.Voters))
 }
 
 func (w *world) holds(word *Value, prop int) bool {
 	c := w.props[prop].change
-	if c != nil && c.next != nil {
-		return word.Membership.Epoch == c.next.Epoch && slices.Equal(word.Membership.Voters, c.next.Voters)
+	if c != nil && c.nextVoters != nil {
+		return word.VoterSet.Epoch == c.nextVoters.Epoch && slices.Equal(word.VoterSet.Voters, c.nextVoters.Voters)
 	}
 	return c != nil && slices.Contains(word.History, VersionDigest{uint64(c.Version), c.digest})
 }
 
 // rivals tells whether no more than one of two changes may be acknowledged.
 func rivals(a, b *Change) bool {
-	if a.next != nil && b.next != nil {
-		return a.next.Epoch == b.next.Epoch && !slices.Equal(a.next.Voters, b.next.Voters)
+	if a.nextVoters != nil && b.nextVoters != nil {
+		return a.nextVoters.Epoch == b.nextVoters.Epoch && !slices.Equal(a.nextVoters.Voters, b.nextVoters.Voters)
 	}
-	return a.next == nil && b.next == nil && a.Base == b.Base && a.digest != b.digest
+	return a.nextVoters == nil && b.nextVoters == nil && a.Base == b.Base && a.digest != b.digest
 }
 
 // fault is what is wrong with the world: two conclusions that don't fit, or a read, from any majority, that doesn't show what
@@ -346,7 +346,7 @@
 	return ""
 }
 
-// read reads from a set of voters at once: with a ballot, or asking only. It leaves the world as it is. It starts with the first
+// concludeRead reads from a set of voters at once: with a ballot, or asking only. It leaves the world as it is. It starts with the first
 // list, and goes on with a newer one as a proposer would.
 func (w *world) read(set int, ballot bool) *Value {
 	records := slices.Clone(w.records)
@@ -358,7 +358,7 @@
 		}
 		for q != nil {
 			var next *Request
-			for _, name := range r.Nodes() {
+			for _, name := range r.Recipients() {
 				v := slices.Index(w.voters, name)
 				if set&(1<<v) != 0 {
 					reply, record, _ := records[v].Handle(q)
@@ -373,10 +373,10 @@
 		switch {
 		case r.State == Done:
 			return &r.Value
-		case r.State != Stale || r.NewerMembership.Epoch <= known.Epoch:
+		case r.State != Stale || r.NewerVoters.Epoch <= known.Epoch:
 			return nil
 		}
-		known = r.NewerMembership
+		known = r.NewerVoters
 	}
 }
 
@@ -434,7 +434,7 @@
 }
 
 // list makes a list of voters v0, v1 and so on.
-func list(n int) (e Membership) {
+func list(n int) (e VoterSet) {
 	for i := range n {
 		e.Voters = append(e.Voters, fmt.Sprint("v", i))
 	}
@@ -442,11 +442,11 @@
 }
 
 // follow makes further moves of a list.
-func follow(e Membership, moves ...MembershipChange) *Change {
+func follow(e VoterSet, moves ...VoterChange) *Change {
 	var c *Change
 	for _, m := range moves {
-		c = NewMembershipChange(e, m)
-		e = *c.next
+		c = NewVoterChange(e, m)
+		e = *c.nextVoters
 	}
 	return c
 }
@@ -507,50 +507,50 @@
 }
 
 var (
-	addV3       = follow(list(3), MembershipChange{Add: "v3"})
-	addV4       = follow(list(3), MembershipChange{Add: "v3"}, MembershipChange{Add: "v4"})
-	dropV2      = follow(list(3), MembershipChange{Remove: "v2"})
-	swapV0      = follow(list(3), MembershipChange{Add: "v3", Remove: "v0"})
-	swapV1      = follow(list(3), MembershipChange{Add: "v3", Remove: "v1"})
-	addV3dropV0 = follow(list(3), MembershipChange{Add: "v3"}, MembershipChange{Remove: "v0"})
+	addV3       = follow(list(3), VoterChange{Add: "v3"})
+	addV4       = follow(list(3), VoterChange{Add: "v3"}, VoterChange{Add: "v4"})
+	dropV2      = follow(list(3), VoterChange{Remove: "v2"})
+	swapV0      = follow(list(3), VoterChange{Add: "v3", Remove: "v0"})
+	swapV1      = follow(list(3), VoterChange{Add: "v3", Remove: "v1"})
+	addV3dropV0 = follow(list(3), VoterChange{Add: "v3"}, VoterChange{Remove: "v0"})
 )
 
 // outOfDate is a world in which v3 was added and v0 removed, of which v0 and v1 know the half, or nothing: a proposer that only
 // knows the first list races with one that knows the last.
 func outOfDate() *world {
 	w := newLists(3, 4, 0, []int{1, 1, 2, 1}, addV3, addV3dropV0, one, two).played(0, 1, 2, 3).without()
-	w.props[1].known = *addV3.next
+	w.props[1].known = *addV3.nextVoters
 	w.played(1, 1, 2, 3).without()
-	w.props[3].known = *addV3dropV0.next
+	w.props[3].known = *addV3dropV0.nextVoters
 	return w
 }
 
 // comesBack is a world in which v3 was removed without hearing of it, and proposes with its old list.
 func comesBack() *world {
-	drop := follow(list(4), MembershipChange{Remove: "v3"})
+	drop := follow(list(4), VoterChange{Remove: "v3"})
 	w := newLists(4, 4, 0, []int{1, 2, 1}, drop, one, two).played(0, 0, 1, 2).without()
-	w.props[2].known = *drop.next
+	w.props[2].known = *drop.nextVoters
 	return w
 }
 
 // rivalList is a world in which one voter accepted a list that was not chosen, and a proposer saw that; then another list was
 // chosen without that voter, of which a majority meets no majority of the first one.
 func rivalList() *world {
-	drop := follow(list(4), MembershipChange{Remove: "v3"})
-	w := newLists(4, 5, 0, []int{1, 1, 1, 2}, follow(list(4), MembershipChange{Add: "v4"}), drop, one, two).promised(0, 1, 2)
+	drop := follow(list(4), VoterChange{Remove: "v3"})
+	w := newLists(4, 5, 0, []int{1, 1, 1, 2}, follow(list(4), VoterChange{Add: "v4"}), drop, one, two).promised(0, 1, 2)
 	w.hear(0, 3)
 	w.hear(0, 3)
 	w.props[3].n = 1
 	w.promised(3, 1, 2).hear(3, 3)
 	w.props[1].n = 2
 	w.played(1, 0, 1, 2).without()
-	w.props[2].known, w.props[2].n, w.props[3].n = *drop.next, 3, 4
+	w.props[2].known, w.props[2].n, w.props[3].n = *drop.nextVoters, 3, 4
 	return w
 }
 
 // lostWhileAdded is a world in which a voter's disk may be lost when another is being added.
 func lostWhileAdded() *world {
-	w := newLists(3, 4, 1, []int{1, 1, 1}, follow(list(3), MembershipChange{Add: "v3"}), one, two)
+	w := newLists(3, 4, 1, []int{1, 1, 1}, follow(list(3), VoterChange{Add: "v3"}), one, two)
 	w.propose(0)
 	w.hear(0, 0)
 	w.hear(0, 1)
@@ -570,8 +570,8 @@
 // rivalExchange is a world in which v1 accepted a list with v3 in place of v0 that was not chosen, and one with v3 in place of v2
 // is about to be: v3 accepted it and may lose its disk then. A majority of either list without v3 need not meet those who chose.
 func rivalExchange() *world {
-	w := newLists(3, 4, 0, []int{1, 1, 1, 1}, follow(list(3), MembershipChange{Add: "v3", Remove: "v0"}),
-		follow(list(3), MembershipChange{Add: "v3", Remove: "v2"}), one, two).mayLose(3, 1)
+	w := newLists(3, 4, 0, []int{1, 1, 1, 1}, follow(list(3), VoterChange{Add: "v3", Remove: "v0"}),
+		follow(list(3), VoterChange{Add: "v3", Remove: "v2"}), one, two).mayLose(3, 1)
 	w.promised(0, 0, 1)
 	w.hear(0, 1)
 	w.props[1].n = 1
@@ -636,7 +636,7 @@
 		plays = 3000
 	}
 	many := []int{4, 4, 4, 4, 4}
-	drop := func(n int, node string) *Change { return follow(list(n), MembershipChange{Remove: node}) }
+	drop := func(n int, node string) *Change { return follow(list(n), VoterChange{Remove: node}) }
 	for name, w := range map[string]*world{
 		"three become five":             newLists(3, 5, 0, many, one, addV3, addV4, two, three),
 		"three become five, a disk":     newLists(3, 5, 0, many, one, addV3, addV4, two, three).mayLose(0, 2),
@@ -644,15 +644,15 @@
 		"voters are exchanged, a disk":  newLists(3, 4, 0, many, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
 		"exchanged in one step":         newLists(3, 4, 0, many, one, swapV0, swapV1, two, three),
 		"exchanged, who joins, a disk":  newLists(3, 4, 0, many, one, swapV0, swapV1, two, three).mayLose(3, 2),
-		"exchanged, who stays, a disk":  newLists(3, 4, 0, many, one, swapV0, follow(list(3), MembershipChange{Add: "v3", Remove: "v0"}, MembershipChange{Add: "v0", Remove: "v1"}), two, three).mayLose(2, 2),
-		"exchanged, who leaves, a disk": newLists(3, 4, 0, many, one, swapV0, follow(list(3), MembershipChange{Add: "v3", Remove: "v0"}, MembershipChange{Add: "v0", Remove: "v1"}), two, three).mayLose(0, 2),
-		"rivals of four":                newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three),
-		"rivals of four, a disk": newLists(4, 5, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"), one, two, three).
+		"exchanged, who stays, a disk":  newLists(3, 4, 0, many, one, swapV0, follow(list(3), VoterChange{Add: "v3", Remove: "v0"}, VoterChange{Add: "v0", Remove: "v1"}), two, three).mayLose(2, 2),
+		"exchanged, who leaves, a disk": newLists(3, 4, 0, many, one, swapV0, follow(list(3), VoterChange{Add: "v3", Remove: "v0"}, VoterChange{Add: "v0", Remove: "v1"}), two, three).mayLose(0, 2),
+		"rivals of four":                newLists(4, 5, 0, many, follow(list(4), VoterChange{Add: "v4"}), drop(4, "v3"), one, two, three),
+		"rivals of four, a disk": newLists(4, 5, 0, many, follow(list(4), VoterChange{Add: "v4"}), drop(4, "v3"), one, two, three).
 			mayLose(0, 2),
-		"five become two": newLists(5, 5, 0, many, drop(5, "v4"), follow(list(5), MembershipChange{Remove: "v4"}, MembershipChange{Remove: "v3"}),
-			follow(list(5), MembershipChange{Remove: "v4"}, MembershipChange{Remove: "v3"}, MembershipChange{Remove: "v2"}), one, two),
-		"rivals grow and shrink": newLists(4, 6, 0, many, follow(list(4), MembershipChange{Add: "v4"}), drop(4, "v3"),
-			follow(list(4), MembershipChange{Add: "v4"}, MembershipChange{Add: "v5"}), follow(list(4), MembershipChange{Remove: "v3"}, MembershipChange{Remove: "v2"}), one),
+		"five become two": newLists(5, 5, 0, many, drop(5, "v4"), follow(list(5), VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"}),
+			follow(list(5), VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"}), one, two),
+		"rivals grow and shrink": newLists(4, 6, 0, many, follow(list(4), VoterChange{Add: "v4"}), drop(4, "v3"),
+			follow(list(4), VoterChange{Add: "v4"}, VoterChange{Add: "v5"}), follow(list(4), VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"}), one),
 	} {
 		t.Run(name, func(t *testing.T) {
 			ends, epochs := 0, map[uint64]int{}
@@ -667,7 +667,7 @@
 				ends += len(w.ends)
 				newest := uint64(0)
 				for _, e := range w.ends {
-					newest = max(newest, e.word.Membership.Epoch)
+					newest = max(newest, e.word.VoterSet.Epoch)
 				}
 				epochs[newest]++
 			}
@@ -702,7 +702,7 @@
 			return true
 		case r < 97:
 			i := rng.IntN(len(w.props))
-			if p := &w.props[i]; (p.round == nil || p.round.Over() || rng.IntN(4) == 0) && w.propose(i) {
+			if p := &w.props[i]; (p.round == nil || p.round.Finished() || rng.IntN(4) == 0) && w.propose(i) {
 				return true
 			}
 		case w.losses > 0 && w.lost[w.loser] == nil:
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -27,7 +27,7 @@
 //
 // # What a bounded history gives up
 //
-// A value remembers its last historyMax versions, and the newest that it dropped (Forgotten). A change whose version is at
+// A value remembers its last maxHistory versions, and the newest that it dropped (Forgotten). A change whose version is at
 // or below Forgotten and that is in neither list may have been taken long ago or never: its verdict is Unknown, for good. A
 // change with a base above the current version is Unknown as well while Refused is full, as the refusal could not be
 // remembered. A change on the current version is always decided.
@@ -49,19 +49,19 @@
 
 // Ballot orders attempts. No two attempts have the same one: Node names a proposer and its incarnation, N grows within it.
 type Ballot struct {
-	N    uint64
-	Node string
+	Number   uint64
+	Proposer string
 }
 
 // Compare orders ballots.
 func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.Node, o.Node))
+	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Proposer, o.Proposer))
 }
 
 // Fields implements codec.Message.
 func (b *Ballot) Fields(v *codec.Visitor) {
-	v.Uint(1, &b.N)
-	v.Text(2, &b.Node)
+	v.Uint(1, &b.Number)
+	v.Text(2, &b.Proposer)
 }
 
 // Digest is the first 8 bytes of the SHA-256 of a body. It tells apart the few bodies that are sent under one version, and is
@@ -85,20 +85,20 @@
 }
 
 const (
-	historyMax = 256 // versions that a value remembers, its own among them
-	refusedMax = 64  // refused changes whose base may still come
+	maxHistory = 256 // versions that a value remembers, its own among them
+	maxRefused = 64  // refused changes whose base may still come
 )
 
 // Value is the register's content: the newest configuration, what is remembered of earlier changes, and the voters. The zero
 // Value is that of a register in which nothing was ever chosen.
 type Value struct {
-	Version   configuration.Version
-	Body      []byte
-	History   []VersionDigest // the last versions that were in force, oldest first, this one the last
-	Forgotten uint64          // the newest version that History may lack; 0: it is complete
-	Refused   []VersionDigest // changes that were refused although their base may still come
+	Version          configuration.Version
+	Body             []byte
+	History          []VersionDigest // the last versions that were in force, oldest first, this one the last
+	TruncatedVersion uint64          // the newest version that History may lack; 0: it is complete
+	Refused          []VersionDigest // changes that were refused although their base may still come
 
-	Membership Membership
+	VoterSet VoterSet
 }
 
 // Fields implements codec.Message.
@@ -106,20 +106,20 @@
 	v.Uint(1, (*uint64)(&w.Version))
 	v.Bytes(2, &w.Body)
 	if v.Reading() {
-		w.readOldHistory(v)
+		w.decodeLegacyHistory(v)
 	}
 	codec.Messages(v, 4, &w.Refused)
-	v.Message(5, &w.Membership)
+	v.Message(5, &w.VoterSet)
 	w.historyField(v)
-	v.Uint(7, &w.Forgotten)
+	v.Uint(7, &w.TruncatedVersion)
 }
 
-// readOldHistory reads the history as records hold it that were written when 64 versions were remembered, without a note
+// decodeLegacyHistory reads the history as records hold it that were written when 64 versions were remembered, without a note
 // of what was dropped.
-func (w *Value) readOldHistory(v *codec.Visitor) {
+func (w *Value) decodeLegacyHistory(v *codec.Visitor) {
 	codec.Messages(v, 3, &w.History)
 	if len(w.History) > 0 {
-		w.Forgotten = w.History[0].Version - 1
+		w.TruncatedVersion = w.History[0].Version - 1
 	}
 }
 
@@ -160,7 +160,7 @@
 	Base, Version configuration.Version
 	Body          []byte
 	digest        Digest
-	next          *Membership // it is a change of the voters instead
+	nextVoters    *VoterSet // it is a change of the voters instead
 }
 
 // NewChange makes a change.
@@ -184,11 +184,11 @@
 
 func (v Verdict) String() string { return [...]string{"unknown", "applied", "conflict"}[v] }
 
-// judge decides on a change when w is the newest value, and returns the value that has to be committed before the verdict
+// evaluate decides on a change when w is the newest value, and returns the value that has to be committed before the verdict
 // holds: w itself, or another.
-func (c *Change) judge(w *Value) (Verdict, *Value) {
-	if c.next != nil {
-		return c.judgeMembership(w)
+func (c *Change) evaluate(w *Value) (Verdict, *Value) {
+	if c.nextVoters != nil {
+		return c.evaluateVoterChange(w)
 	}
 	entry := c.entry()
 	switch {
@@ -198,19 +198,19 @@
 		return Conflict, w
 	case c.Version <= c.Base:
 		return Conflict, w
-	case entry.Version <= w.Forgotten:
+	case entry.Version <= w.TruncatedVersion:
 		return Unknown, w
 	case c.Version <= w.Version || c.Base < w.Version:
 		return Conflict, w
 	case c.Base > w.Version:
-		return w.refuse(entry)
+		return w.recordRefusal(entry)
 	}
 	return Applied, w.successor(c.Body, entry)
 }
 
-// refuse remembers a refusal that w.Version alone doesn't rule out, if there is room.
-func (w *Value) refuse(entry VersionDigest) (Verdict, *Value) {
-	if len(w.Refused) >= refusedMax {
+// recordRefusal remembers a refusal that w.Version alone doesn't rule out, if there is room.
+func (w *Value) recordRefusal(entry VersionDigest) (Verdict, *Value) {
+	if len(w.Refused) >= maxRefused {
 		return Unknown, w
 	}
 	next := *w
@@ -220,19 +220,19 @@
 
 // successor is the value in which a change on w is in force.
 func (w *Value) successor(body []byte, entry VersionDigest) *Value {
-	next := Value{Version: configuration.Version(entry.Version), Body: body, Forgotten: w.Forgotten, Membership: w.Membership}
+	next := Value{Version: configuration.Version(entry.Version), Body: body, TruncatedVersion: w.TruncatedVersion, VoterSet: w.VoterSet}
 	for _, refused := range w.Refused {
 		if refused.Version > entry.Version {
 			next.Refused = append(next.Refused, refused)
 		}
 	}
-	kept := lastN(w.History, historyMax-1)
+	kept := lastEntries(w.History, maxHistory-1)
 	if dropped := len(w.History) - len(kept); dropped > 0 {
-		next.Forgotten = w.History[dropped-1].Version
+		next.TruncatedVersion = w.History[dropped-1].Version
 	}
 	next.History = append(kept, entry)
 	return &next
 }
 
-// lastN copies the last n elements.
-func lastN[T any](list []T, n int) []T { return append([]T{}, list[max(0, len(list)-n):]...) }
+// lastEntries copies the last n elements.
+func lastEntries[T any](list []T, n int) []T { return append([]T{}, list[max(0, len(list)-n):]...) }
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -19,9 +19,9 @@
 
 // dayOf is the value after so many orders.
 func dayOf(c *qt.C, orders int) *Value {
-	w := &Value{Membership: list(3)}
+	w := &Value{VoterSet: list(3)}
 	for n := 1; n <= orders; n++ {
-		verdict, next := order(n).judge(w)
+		verdict, next := order(n).evaluate(w)
 		c.Assert(verdict, qt.Equals, Applied)
 		w = next
 	}
@@ -33,12 +33,12 @@
 	c := qt.New(t)
 	const orders = 1000
 	w := dayOf(c, orders)
-	c.Assert(len(w.History), qt.Equals, historyMax)
-	c.Assert(w.Forgotten, qt.Equals, uint64(orders-historyMax))
+	c.Assert(len(w.History), qt.Equals, maxHistory)
+	c.Assert(w.TruncatedVersion, qt.Equals, uint64(orders-maxHistory))
 	for n := 1; n <= orders; n++ {
-		verdict, next := order(n).judge(w)
+		verdict, next := order(n).evaluate(w)
 		want := Applied
-		if n <= orders-historyMax {
+		if n <= orders-maxHistory {
 			want = Unknown
 		}
 		c.Assert(verdict, qt.Equals, want, qt.Commentf("order %d", n))
@@ -55,11 +55,11 @@
 		"on an older version":                    {orders - 1, orders + 1, Conflict},
 		"on a forgotten version, above the rest": {3, orders + 1, Conflict},
 		"a remembered number with another body":  {orders - 2, orders - 1, Conflict},
-		"the oldest remembered number":           {3, orders - historyMax + 1, Conflict},
-		"a forgotten number":                     {3, orders - historyMax, Unknown},
+		"the oldest remembered number":           {3, orders - maxHistory + 1, Conflict},
+		"a forgotten number":                     {3, orders - maxHistory, Unknown},
 		"a forgotten number, not above its base": {4, 3, Conflict},
 	} {
-		verdict, _ := NewChange(x.base, x.version, body).judge(w)
+		verdict, _ := NewChange(x.base, x.version, body).evaluate(w)
 		c.Assert(verdict, qt.Equals, x.verdict, qt.Commentf(name))
 	}
 }
@@ -69,28 +69,28 @@
 	c := qt.New(t)
 	w := dayOf(c, 1)
 	ahead := func(i int) *Change { return NewChange(50, configuration.Version(100+i), []byte("ahead")) }
-	for i := range refusedMax {
-		verdict, next := ahead(i).judge(w)
+	for i := range maxRefused {
+		verdict, next := ahead(i).evaluate(w)
 		c.Assert(verdict, qt.Equals, Conflict)
 		w = next
 	}
-	verdict, same := ahead(refusedMax).judge(w)
+	verdict, same := ahead(maxRefused).evaluate(w)
 	c.Assert(verdict, qt.Equals, Unknown)
 	c.Assert(same, qt.Equals, w)
 	for n := 2; n <= 50; n++ {
-		verdict, w = order(n).judge(w)
+		verdict, w = order(n).evaluate(w)
 		c.Assert(verdict, qt.Equals, Applied)
 	}
-	for i := range refusedMax { // their base is here now
-		verdict, same = ahead(i).judge(w)
+	for i := range maxRefused { // their base is here now
+		verdict, same = ahead(i).evaluate(w)
 		c.Assert(verdict, qt.Equals, Conflict, qt.Commentf("%d", i))
 		c.Assert(same, qt.Equals, w)
 	}
-	verdict, w = ahead(refusedMax).judge(w)
+	verdict, w = ahead(maxRefused).evaluate(w)
 	c.Assert(verdict, qt.Equals, Applied) // it was never refused
 	c.Assert(w.Refused, qt.HasLen, 0)     // version 164 rules out all of them
-	for i := range refusedMax {
-		verdict, _ = ahead(i).judge(w)
+	for i := range maxRefused {
+		verdict, _ = ahead(i).evaluate(w)
 		c.Assert(verdict, qt.Equals, Conflict)
 	}
 }
@@ -145,15 +145,15 @@
 	var w Value
 	c.Assert(codec.Read(codec.Write(nil, &old), &w), qt.IsNil)
 	for n, want := range map[int]Verdict{3: Unknown, 4: Unknown, 5: Applied, 9: Applied, 10: Applied} {
-		verdict, next := order(n).judge(&w)
+		verdict, next := order(n).evaluate(&w)
 		c.Assert(verdict, qt.Equals, want, qt.Commentf("order %d", n))
 		var again Value
 		c.Assert(codec.Read(codec.Write(nil, next), &again), qt.IsNil)
 		c.Assert(again, qt.DeepEquals, *next)
 	}
-	verdict, _ := ahead.judge(&w)
+	verdict, _ := ahead.evaluate(&w)
 	c.Assert(verdict, qt.Equals, Conflict)
-	verdict, _ = NewChange(4, 5, []byte("other")).judge(&w)
+	verdict, _ = NewChange(4, 5, []byte("other")).evaluate(&w)
 	c.Assert(verdict, qt.Equals, Conflict)
 }
 
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -201,7 +201,7 @@
 	body := []byte(strings.Repeat("x", 200<<10))
 	most := int64(0)
 	for i := range changes {
-		state := consensus.ReplicaState{Promised: consensus.Ballot{N: uint64(i)}}
+		state := consensus.ReplicaState{Promised: consensus.Ballot{Number: uint64(i)}}
 		c.Assert(store.Put(standingKey, codec.Write(nil, &state)), qt.IsNil)
 		copy(body, fmt.Sprint(i))
 		vote := consensus.Vote{Ballot: state.Promised, Value: consensus.Value{Version: configuration.Version(i), Body: body}}
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -281,17 +281,17 @@
 	table.track(at(0), []string{"a", "b"})
 	c.Assert(table.due(), qt.DeepEquals, []string{"a", "b"})
 	c.Assert(table.due(), qt.HasLen, 0)
-	table.answered(at(10), "a", &consensus.Reply{Ready: true, Silent: []string{"b"}})
+	table.answered(at(10), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
 	table.answered(at(1000), "b", nil)
 	c.Assert(table.due(), qt.DeepEquals, []string{"a", "b"})
 	c.Assert(table.silent(at(1999), []string{"a", "b"}), qt.HasLen, 0)
-	table.answered(at(1900), "a", &consensus.Reply{Ready: true, Silent: []string{"b"}})
+	table.answered(at(1900), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
 	c.Assert(table.silent(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
 	never := func(string) bool { return false }
 	list := table.presence(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
-	c.Assert(list, qt.DeepEquals, []consensus.Presence{
-		{Node: "a", Alive: true, For: 1990 * time.Millisecond, Ready: true},
-		{Node: "b", For: 2 * time.Second, SilentAt: 2}})
+	c.Assert(list, qt.DeepEquals, []consensus.PeerStatus{
+		{Node: "a", Responsive: true, StateDuration: 1990 * time.Millisecond, Ready: true},
+		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2}})
 	table.wake(at(60000)) // it stood still: nobody is silent yet
 	c.Assert(table.silent(at(61000), []string{"a", "b"}), qt.HasLen, 0)
 	table.answered(at(61000), "b", &consensus.Reply{})
@@ -308,7 +308,7 @@
 		co.drops = consensus.Commit
 		co.mu.Unlock()
 		e := co.server(0).Membership()
-		co.c.Assert(co.server(0).changeMembership(ctx, e, consensus.MembershipChange{Add: node(3), Remove: node(0)}), qt.IsNil)
+		co.c.Assert(co.server(0).changeMembership(ctx, e, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
 		have := 0
 		for i := 1; i <= 3; i++ {
 			d := co.server(i)
@@ -333,11 +333,11 @@
 			now = now.Add(reconfigureInterval)
 		}
 		for _, node := range []string{node(0), node(2), node(3)} {
-			r.table.answered(now, node, &consensus.Reply{Ready: true, Silent: []string{"nobody"}})
+			r.table.answered(now, node, &consensus.Reply{Ready: true, Unresponsive: []string{"nobody"}})
 		}
 		r.step(now.Add(time.Minute))
 		co.c.Assert(r.table.silent(now.Add(time.Minute), d.Voters()), qt.HasLen, 0)
-		co.c.Assert(r.need, qt.Equals, consensus.MembershipChange{})
+		co.c.Assert(r.need, qt.Equals, consensus.VoterChange{})
 	})
 }
 
@@ -345,8 +345,8 @@
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
-	list := func(epoch uint64, voters ...string) consensus.Membership {
-		return consensus.Membership{Epoch: epoch, Voters: voters}
+	list := func(epoch uint64, voters ...string) consensus.VoterSet {
+		return consensus.VoterSet{Epoch: epoch, Voters: voters}
 	}
 	for _, tolerated := range []int{0, 1, 2} {
 		var r replacements
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -42,14 +42,14 @@
 // goldenRecord is a record with every field, in a system whose only voter is goldenSelf.
 func goldenRecord() consensus.Record {
 	const former = "10.0.0.2:7001"
-	list := consensus.Membership{Epoch: 3, Voters: []string{goldenSelf}, Previous: []string{goldenSelf, former}, Retired: []string{former}}
+	list := consensus.VoterSet{Epoch: 3, Voters: []string{goldenSelf}, Previous: []string{goldenSelf, former}, Retired: []string{former}}
 	return consensus.Record{
 		State: consensus.ReplicaState{
-			Membership: list, Ready: true, Incarnation: 7, Incarnations: consensus.Incarnations{former: 5, "10.0.0.3:7001": 6},
-			Promised: consensus.Ballot{N: 12, Node: goldenSelf + "#ab"}, System: consensus.NewSystem([]string{goldenSelf, former}),
+			VoterSet: list, Ready: true, DiskIncarnation: 7, DiskIncarnations: consensus.DiskIncarnations{former: 5, "10.0.0.3:7001": 6},
+			Promised: consensus.Ballot{Number: 12, Proposer: goldenSelf + "#ab"}, System: consensus.NewSystemID([]string{goldenSelf, former}),
 		},
-		Vote: consensus.Vote{Ballot: consensus.Ballot{N: 11, Node: goldenSelf + "#ab"}, Learned: true, Value: consensus.Value{
-			Version: 5, Body: config(5, "golden"), Membership: list, Forgotten: 2,
+		Vote: consensus.Vote{Ballot: consensus.Ballot{Number: 11, Proposer: goldenSelf + "#ab"}, Learned: true, Value: consensus.Value{
+			Version: 5, Body: config(5, "golden"), VoterSet: list, TruncatedVersion: 2,
 			History: []consensus.VersionDigest{{Version: 3, Digest: consensus.Digest{1, 2, 3}}, {Version: 5, Digest: consensus.Digest{4, 5, 6, 7, 8, 9, 10, 11}}},
 			Refused: []consensus.VersionDigest{{Version: 900, Digest: consensus.Digest{12}}},
 		}},
@@ -61,7 +61,7 @@
 	want := goldenRecord()
 	m := &memory{records: map[string][]byte{}}
 	k := &replica{d: &Server{o: Options{Self: goldenSelf}}, disk: m}
-	c.Assert(k.save(&want, consensus.Changed{State: true, Vote: true}), qt.IsNil)
+	c.Assert(k.save(&want, consensus.Unsynced{State: true, Vote: true}), qt.IsNil)
 	golden.Hex(t, goldenStanding, m.records[standingKey])
 	golden.Hex(t, goldenVote, m.records[voteKey])
 	c.Assert(m.records, qt.HasLen, 2)
@@ -133,25 +133,25 @@
 	c.Assert(codec.Write(nil, &got.Vote), qt.DeepEquals, records[voteKey])
 	want := goldenRecord()
 	c.Assert(got.State.Promised, qt.Equals, got.Vote.Ballot)
-	c.Assert(got.State.Promised.N > want.State.Promised.N, qt.IsTrue)
-	c.Assert(got.State.Promised.Node, qt.Matches, goldenSelf+`#[0-9a-f]{1,16}`)
+	c.Assert(got.State.Promised.Number > want.State.Promised.Number, qt.IsTrue)
+	c.Assert(got.State.Promised.Proposer, qt.Matches, goldenSelf+`#[0-9a-f]{1,16}`)
 	got.State.Promised = want.State.Promised
 	c.Assert(got.State, qt.DeepEquals, want.State)
 	c.Assert(got.Vote.Learned, qt.IsFalse)
 	value := got.Vote.Value
 	c.Assert(value.Version, qt.Equals, configuration.Version(7))
 	c.Assert(string(value.Body), qt.Equals, string(config(7, "golden")))
-	c.Assert(value.Membership, qt.DeepEquals, want.State.Membership)
+	c.Assert(value.VoterSet, qt.DeepEquals, want.State.VoterSet)
 	c.Assert(value.History[:2], qt.DeepEquals, want.Vote.Value.History)
 	c.Assert(value.History, qt.HasLen, 4)
-	c.Assert(value.Forgotten, qt.Equals, uint64(2))
+	c.Assert(value.TruncatedVersion, qt.Equals, uint64(2))
 	c.Assert(value.Refused, qt.DeepEquals, want.Vote.Value.Refused)
 
 	d := openAlone(c, folder)
 	newest, err := d.Newest(c.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(newest, qt.DeepEquals, value)
-	c.Assert(d.Membership(), qt.DeepEquals, want.State.Membership)
+	c.Assert(d.Membership(), qt.DeepEquals, want.State.VoterSet)
 	epoch, ready := d.Accepted()
 	c.Assert(epoch == 3 && ready, qt.IsTrue)
 	c.Assert(d.knownSystem(), qt.Equals, want.State.System)
@@ -252,7 +252,7 @@
 	})
 	play(t, 0, func(co *core, ctx context.Context) { // versions that are forgotten
 		record := goldenRecord()
-		record.State.Voters, record.State.Epoch, record.Vote.Value.Membership = []string{node(0)}, 0, consensus.Membership{}
+		record.State.Voters, record.State.Epoch, record.Vote.Value.VoterSet = []string{node(0)}, 0, consensus.VoterSet{}
 		co.disks[node(0)] = &memory{records: map[string][]byte{standingKey: codec.Write(nil, &record.State), voteKey: codec.Write(nil, &record.Vote)}}
 		co.start(0, false)
 		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(&text, co.server(0))
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -38,11 +38,11 @@
 // growing tells whether there are fewer voters than wanted, and there may soon be more.
 func (d *Server) growing() bool {
 	e, age := d.Membership(), time.Since(d.began)
-	if len(e.Voters) >= consensus.VotersWanted(d.o.Tolerated) || age >= growthMost {
+	if len(e.Voters) >= consensus.TargetVoters(d.o.Tolerated) || age >= growthMost {
 		return false
 	}
 	joining := slices.ContainsFunc(d.peersThere(), func(node string) bool {
-		return !e.Has(node) && !slices.Contains(e.Retired, node)
+		return !e.Contains(node) && !slices.Contains(e.Retired, node)
 	})
 	return joining || age < growthLeast
 }
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -133,7 +133,7 @@
 		co.stop(3)
 		time.Sleep(time.Millisecond) // of the bubble's time
 		co.start(3, false)
-		co.c.Assert(co.server(3).nextBallot().Node, qt.Not(qt.Equals), before.Node)
+		co.c.Assert(co.server(3).nextBallot().Proposer, qt.Not(qt.Equals), before.Proposer)
 	})
 }
 
--- a/internal/mesh/control/controlplane/presence.go
+++ b/internal/mesh/control/controlplane/presence.go
@@ -75,7 +75,7 @@
 	if p.silence(now) >= consensus.ReplaceDelay || p.heard.IsZero() {
 		p.alive = now
 	}
-	p.heard, p.ready, p.silent = now, reply.Ready, reply.Silent
+	p.heard, p.ready, p.silent = now, reply.Ready, reply.Unresponsive
 }
 
 // silence is how long a peer has not answered.
@@ -97,23 +97,23 @@
 }
 
 // presence is what the planner is told: own are the voters that are silent here, if this process votes.
-func (t *peerTable) presence(now time.Time, voters, own []string, dropped func(node string) bool) (list []consensus.Presence) {
+func (t *peerTable) presence(now time.Time, voters, own []string, dropped func(node string) bool) (list []consensus.PeerStatus) {
 	for node, p := range t.peers {
-		one := consensus.Presence{Node: node, Ready: p.ready, Dropped: dropped(node), For: p.silence(now)}
-		if !p.heard.IsZero() && one.For < consensus.ReplaceDelay {
-			one.Alive, one.For = true, now.Sub(p.alive)
+		one := consensus.PeerStatus{Node: node, Ready: p.ready, RemovedFromSeeds: dropped(node), StateDuration: p.silence(now)}
+		if !p.heard.IsZero() && one.StateDuration < consensus.ReplaceDelay {
+			one.Responsive, one.StateDuration = true, now.Sub(p.alive)
 		}
 		if slices.Contains(own, node) {
-			one.SilentAt++
+			one.UnresponsiveReports++
 		}
 		for _, v := range voters {
 			if other := t.peers[v]; other != nil && other.silence(now) < consensus.ReplaceDelay && slices.Contains(other.silent, node) {
-				one.SilentAt++
+				one.UnresponsiveReports++
 			}
 		}
 		list = append(list, one)
 	}
-	slices.SortFunc(list, func(a, b consensus.Presence) int { return compareNodes(a.Node, b.Node) })
+	slices.SortFunc(list, func(a, b consensus.PeerStatus) int { return compareNodes(a.Node, b.Node) })
 	return list
 }
 
@@ -130,10 +130,10 @@
 )
 
 // observe notes the newest membership.
-func (r *replacements) observe(now time.Time, e consensus.Membership) {
+func (r *replacements) observe(now time.Time, e consensus.VoterSet) {
 	if e.Epoch > r.epoch && len(r.voters) > 0 {
 		for _, v := range r.voters {
-			if !e.Has(v) {
+			if !e.Contains(v) {
 				r.made = append(r.made, now)
 				break
 			}
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -36,7 +36,7 @@
 	named    []string // by any seeds so far
 	last     time.Time
 	ticks    int
-	need     consensus.MembershipChange
+	need     consensus.VoterChange
 	since    time.Time // of need
 }
 
@@ -77,7 +77,7 @@
 	}
 	presence := r.presence(now, e)
 	change := r.plan(now, e, presence)
-	if change == (consensus.MembershipChange{}) || r.changing || now.Sub(r.since) < rankDelay*time.Duration(rank(d.o.Self, presence)) {
+	if change == (consensus.VoterChange{}) || r.changing || now.Sub(r.since) < rankDelay*time.Duration(rank(d.o.Self, presence)) {
 		return
 	}
 	r.changing = true
@@ -92,7 +92,7 @@
 }
 
 // others are the processes whose answers matter: voters, and all that are there.
-func (r *reconfigurer) others(e consensus.Membership) []string {
+func (r *reconfigurer) others(e consensus.VoterSet) []string {
 	nodes := append(r.server.peersThere(), e.Voters...)
 	slices.Sort(nodes)
 	return slices.DeleteFunc(slices.Compact(nodes), func(s string) bool { return s == r.server.o.Self })
@@ -106,7 +106,7 @@
 			reply, err := d.describe(d.ctx, node)
 			if err == nil {
 				d.adoptSystem(reply.System)
-				d.adoptMembership(reply.Membership)
+				d.adoptMembership(reply.VoterSet)
 			}
 			select {
 			case r.answers <- answer{node, reply}:
@@ -117,7 +117,7 @@
 }
 
 // presence is what is known of the others now. It is also what this process tells them.
-func (r *reconfigurer) presence(now time.Time, e consensus.Membership) []consensus.Presence {
+func (r *reconfigurer) presence(now time.Time, e consensus.VoterSet) []consensus.PeerStatus {
 	d := r.server
 	silent := r.table.silent(now, e.Voters)
 	d.mu.Lock()
@@ -130,7 +130,7 @@
 		}
 	}
 	own := silent
-	if !e.Has(d.o.Self) {
+	if !e.Contains(d.o.Self) {
 		own = nil
 	}
 	presence := r.table.presence(now, e.Voters, own, func(node string) bool {
@@ -138,22 +138,22 @@
 	})
 	d.mu.Lock()
 	d.presence = presence
-	if !e.Has(d.o.Self) && d.ready {
-		presence = append(slices.Clone(presence), consensus.Presence{Node: d.o.Self, Alive: true, For: now.Sub(d.readySince), Ready: true,
-			Dropped: slices.Contains(r.named, d.o.Self) && !slices.Contains(seeds, d.o.Self)})
+	if !e.Contains(d.o.Self) && d.ready {
+		presence = append(slices.Clone(presence), consensus.PeerStatus{Node: d.o.Self, Responsive: true, StateDuration: now.Sub(d.readySince), Ready: true,
+			RemovedFromSeeds: slices.Contains(r.named, d.o.Self) && !slices.Contains(seeds, d.o.Self)})
 	}
 	d.mu.Unlock()
 	return presence
 }
 
 // plan is the change that is needed, if it may be made yet.
-func (r *reconfigurer) plan(now time.Time, e consensus.Membership, presence []consensus.Presence) consensus.MembershipChange {
-	var change consensus.MembershipChange
+func (r *reconfigurer) plan(now time.Time, e consensus.VoterSet, presence []consensus.PeerStatus) consensus.VoterChange {
+	var change consensus.VoterChange
 	if len(e.Voters) > 0 {
-		change = consensus.PlanMembership(e, presence, r.server.o.Tolerated)
+		change = consensus.PlanVoterChange(e, presence, r.server.o.Tolerated)
 	}
 	if change.Remove != "" && !r.made.allowed(now, r.server.o.Tolerated) {
-		change = consensus.MembershipChange{}
+		change = consensus.VoterChange{}
 	}
 	if change != r.need {
 		r.need, r.since = change, now
@@ -162,9 +162,9 @@
 }
 
 // rank is the place of a process among those that are there.
-func rank(self string, presence []consensus.Presence) (n int) {
+func rank(self string, presence []consensus.PeerStatus) (n int) {
 	for _, p := range presence {
-		if p.Alive && p.Node < self {
+		if p.Responsive && p.Node < self {
 			n++
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 // persistMembership writes down the newest list, if the record on disk has an older one.
-func (d *Server) persistMembership(e consensus.Membership) {
+func (d *Server) persistMembership(e consensus.VoterSet) {
 	d.mu.Lock()
 	behind := e.Epoch > d.kept && d.ready && !d.persisting
 	d.persisting = d.persisting || behind
@@ -207,7 +207,7 @@
 
 // changeMembership makes one change of the voters. When it returns without an error a majority of the new list has the list and
 // the newest value on disk, so that a removed voter may be switched off.
-func (d *Server) changeMembership(ctx context.Context, e consensus.Membership, m consensus.MembershipChange) error {
+func (d *Server) changeMembership(ctx context.Context, e consensus.VoterSet, m consensus.VoterChange) error {
 	if m.Add != "" {
 		reply, err := d.describe(ctx, m.Add)
 		if err != nil {
@@ -217,7 +217,7 @@
 			return trace.CompareFailed("%s isn't ready to vote", m.Add)
 		}
 	}
-	change := consensus.NewMembershipChange(e, m)
+	change := consensus.NewVoterChange(e, m)
 	if change == nil {
 		return nil
 	}
@@ -236,28 +236,28 @@
 func (d *Server) describe(ctx context.Context, node string) (*consensus.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	q := d.sign(consensus.Request{Kind: consensus.Describe, Membership: d.Membership()})
+	q := d.sign(consensus.Request{Kind: consensus.Describe, VoterSet: d.Membership()})
 	return d.ask(ctx, node, q, codec.Write(nil, &q))
 }
 
 // Add makes a core process a voter.
 func (d *Server) Add(ctx context.Context, node string) error {
-	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
-		if e.Has(node) {
-			return consensus.MembershipChange{}
+	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.VoterSet) consensus.VoterChange {
+		if e.Contains(node) {
+			return consensus.VoterChange{}
 		}
-		return consensus.MembershipChange{Add: node}
+		return consensus.VoterChange{Add: node}
 	}))
 }
 
 // Retire takes a voter out for good, unless it is added by Add again. Another takes its place in the same step if there is one,
 // and else as soon as there is.
 func (d *Server) Retire(ctx context.Context, node string) error {
-	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
-		if !e.Has(node) {
-			return consensus.MembershipChange{}
+	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.VoterSet) consensus.VoterChange {
+		if !e.Contains(node) {
+			return consensus.VoterChange{}
 		}
-		return consensus.MembershipChange{Add: consensus.PlanHandover(e, d.knownPresence(), node).Add, Remove: node, Retire: true}
+		return consensus.VoterChange{Add: consensus.PlanHandover(e, d.knownPresence(), node).Add, Remove: node, Retire: true}
 	}))
 }
 
@@ -265,13 +265,13 @@
 // soon, it stays a voter, as one that is only restarted does.
 func (d *Server) HandOver(ctx context.Context) error {
 	began := time.Now()
-	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.Membership) consensus.MembershipChange {
-		for ctx.Err() == nil && e.Has(d.o.Self) {
-			if change := consensus.PlanHandover(e, d.knownPresence(), d.o.Self); change != (consensus.MembershipChange{}) {
+	return trace.Wrap(d.applyMembershipChange(ctx, func(e consensus.VoterSet) consensus.VoterChange {
+		for ctx.Err() == nil && e.Contains(d.o.Self) {
+			if change := consensus.PlanHandover(e, d.knownPresence(), d.o.Self); change != (consensus.VoterChange{}) {
 				return change
 			}
 			joining := slices.ContainsFunc(d.peersThere(), func(node string) bool {
-				return node != d.o.Self && !e.Has(node) && !slices.Contains(e.Retired, node)
+				return node != d.o.Self && !e.Contains(node) && !slices.Contains(e.Retired, node)
 			})
 			if !joining || time.Since(began) > spareWait {
 				break
@@ -279,19 +279,19 @@
 			pause := pauseMin
 			_ = d.pause(ctx, &pause) // a presence comes with the next probe
 		}
-		return consensus.MembershipChange{}
+		return consensus.VoterChange{}
 	}))
 }
 
 // knownPresence is what the last turn of the reconfigurer found.
-func (d *Server) knownPresence() []consensus.Presence {
+func (d *Server) knownPresence() []consensus.PeerStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.presence)
 }
 
 // applyMembershipChange makes the change that is wanted on the newest list, again until none is.
-func (d *Server) applyMembershipChange(ctx context.Context, wanted func(consensus.Membership) consensus.MembershipChange) error {
+func (d *Server) applyMembershipChange(ctx context.Context, wanted func(consensus.VoterSet) consensus.VoterChange) error {
 	pause := pauseMin
 	for {
 		if _, err := d.Newest(ctx); err != nil {
@@ -299,7 +299,7 @@
 		}
 		e := d.Membership()
 		change := wanted(e)
-		if change == (consensus.MembershipChange{}) {
+		if change == (consensus.VoterChange{}) {
 			return nil
 		}
 		err := d.changeMembership(ctx, e, change)
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -172,7 +172,7 @@
 		time.Sleep(10 * time.Second)
 		co.c.Assert(slices.Contains(co.server(0).Voters(), node(0)), qt.IsFalse)
 		co.c.Assert(co.server(0).Voters(), qt.DeepEquals, co.server(1).Voters())
-		reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: consensus.Prepare, Ballot: consensus.Ballot{N: 99, Node: "x"}})
+		reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: consensus.Prepare, Ballot: consensus.Ballot{Number: 99, Proposer: "x"}})
 		co.c.Assert(err, qt.IsNil)
 		co.c.Assert(reply.Kind, qt.Equals, consensus.StaleEpoch)
 
@@ -279,7 +279,7 @@
 func TestFolderOfTheVersionBefore(t *testing.T) {
 	play(t, 0, func(co *core, ctx context.Context) {
 		co.bears = 2
-		vote := consensus.Vote{Ballot: consensus.Ballot{N: 7, Node: "x"}, Value: consensus.Value{Version: 5, Body: config(5, ""),
+		vote := consensus.Vote{Ballot: consensus.Ballot{Number: 7, Proposer: "x"}, Value: consensus.Value{Version: 5, Body: config(5, ""),
 			History: []consensus.VersionDigest{{Version: 5}}}}
 		for i := range 5 {
 			old := oldStanding{voters: co.seeds, fit: i < 3, life: 1}
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		if _, err := d.do(d.ctx, &job{record: &record}); err == nil || trace.IsAlreadyExists(err) {
-			d.o.Log.WithField("life", record.State.Incarnation).Info("the voter's record is made")
+			d.o.Log.WithField("life", record.State.DiskIncarnation).Info("the voter's record is made")
 			return
 		}
 	}
@@ -52,9 +52,9 @@
 	for range peers {
 		select {
 		case a := <-answers:
-			if a.reply != nil && len(a.reply.Membership.Voters) > 0 {
+			if a.reply != nil && len(a.reply.VoterSet.Voters) > 0 {
 				d.adoptSystem(a.reply.System)
-				d.adoptMembership(a.reply.Membership)
+				d.adoptMembership(a.reply.VoterSet)
 				return
 			}
 		case <-d.ctx.Done():
@@ -64,14 +64,14 @@
 }
 
 // recoverReplica is one attempt to recover; it returns the incarnation for another one.
-func (d *Server) recoverReplica(e consensus.Membership, life uint64, blank bool) (consensus.Record, bool, uint64) {
+func (d *Server) recoverReplica(e consensus.VoterSet, life uint64, blank bool) (consensus.Record, bool, uint64) {
 	y, q := consensus.NewRecovery(d.o.Self, e, life, blank)
 	timer := time.NewTimer(recoverTimeout)
 	defer timer.Stop()
 	answers := make(chan answer, 64)
 	asked := map[string]bool{}
 	for left := 0; ; left-- {
-		for _, node := range y.Nodes() { // which may grow with each answer
+		for _, node := range y.Recipients() { // which may grow with each answer
 			if !asked[node] && len(asked) < cap(answers) {
 				asked[node] = true
 				left++
@@ -80,7 +80,7 @@
 			}
 		}
 		if left == 0 {
-			return consensus.Record{}, false, y.NextIncarnation()
+			return consensus.Record{}, false, y.NextDiskIncarnation()
 		}
 		select {
 		case a := <-answers:
@@ -91,7 +91,7 @@
 				return record, true, 0
 			}
 		case <-timer.C:
-			return consensus.Record{}, false, y.NextIncarnation()
+			return consensus.Record{}, false, y.NextDiskIncarnation()
 		}
 	}
 }
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -34,8 +34,8 @@
 type job struct {
 	ctx     context.Context
 	request *consensus.Request
-	record  *consensus.Record     // that was made anew by a recovery
-	decided *consensus.Membership // is known as decided
+	record  *consensus.Record   // that was made anew by a recovery
+	decided *consensus.VoterSet // is known as decided
 	done    chan result
 }
 
@@ -136,7 +136,7 @@
 	case k.lost && j.decided != nil:
 		return nil, nil
 	case k.lost:
-		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, Blank: k.blank, Incarnation: k.incarnation}, nil
+		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, BlankDisk: k.blank, DiskIncarnation: k.incarnation}, nil
 	case j.decided != nil:
 		return nil, trace.Wrap(k.learnMembership(*j.decided))
 	case j.request.Kind == consensus.Commit:
@@ -166,23 +166,23 @@
 func (k *replica) committed(q *consensus.Request) (*consensus.Reply, error) {
 	if v := k.record.Vote; v.Ballot == q.Ballot {
 		k.d.learn(v)
-		if err := k.learnMembership(v.Value.Membership); err != nil {
+		if err := k.learnMembership(v.Value.VoterSet); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	if err := k.learnMembership(q.Membership); err != nil {
+	if err := k.learnMembership(q.VoterSet); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &consensus.Reply{Kind: consensus.Reported}, nil
 }
 
-func (k *replica) learnMembership(e consensus.Membership) error {
-	next, changed := k.record.Learn(e)
+func (k *replica) learnMembership(e consensus.VoterSet) error {
+	next, changed := k.record.LearnVoters(e)
 	return trace.Wrap(k.persist(next, changed))
 }
 
 // persist writes what changed of a record, and goes on with it.
-func (k *replica) persist(next consensus.Record, changed consensus.Changed) error {
+func (k *replica) persist(next consensus.Record, changed consensus.Unsynced) error {
 	if !changed.Any() {
 		return nil
 	}
@@ -201,14 +201,14 @@
 	if r.State.Ready && !k.d.ready {
 		k.d.readySince = time.Now()
 	}
-	k.d.kept, k.d.accepted, k.d.ready = r.Decided().Epoch, r.Vote.Value.Membership.Epoch, r.State.Ready
+	k.d.kept, k.d.accepted, k.d.ready = r.DecidedVoters().Epoch, r.Vote.Value.VoterSet.Epoch, r.State.Ready
 }
 
 // adopt takes a record that is on disk.
 func (k *replica) adopt(r consensus.Record) {
 	k.setRecord(r)
 	k.d.adoptSystem(r.State.System)
-	k.d.adoptMembership(r.Decided())
+	k.d.adoptMembership(r.DecidedVoters())
 	k.d.observeBallot(r.State.Promised)
 	k.d.observeBallot(r.Vote.Ballot)
 }
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (k *replica) save(r *consensus.Record, changed consensus.Changed) error {
+func (k *replica) save(r *consensus.Record, changed consensus.Unsynced) error {
 	if changed.Vote {
 		if err := k.put(voteKey, &r.Vote); err != nil {
 			return trace.Wrap(err)
@@ -240,7 +240,7 @@
 	if err := k.put(standingKey, &unready); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(k.save(r, consensus.Changed{Vote: true, State: true}))
+	return trace.Wrap(k.save(r, consensus.Unsynced{Vote: true, State: true}))
 }
 
 func (k *replica) get(key string, m codec.Message) error {
@@ -278,14 +278,14 @@
 	fresh := trace.IsNotFound(standing) && trace.IsNotFound(vote)
 	switch {
 	case fresh && k.d.o.InitialStart && !k.started && !k.lost:
-		first := consensus.FirstRecord(k.d.o.Self, k.d.firstVoters())
+		first := consensus.InitialRecord(k.d.o.Self, k.d.firstVoters())
 		if !first.State.Ready {
 			k.d.adoptSystem(first.State.System)
-			k.d.adoptMembership(first.State.Membership)
+			k.d.adoptMembership(first.State.VoterSet)
 			k.startRecovery(false)
 			return nil
 		}
-		if err := k.save(&first, consensus.Changed{State: true}); err != nil {
+		if err := k.save(&first, consensus.Unsynced{State: true}); err != nil {
 			return trace.Wrap(err)
 		}
 		k.adopt(first)
@@ -293,13 +293,13 @@
 		if !k.lost {
 			k.d.o.Log.WithField("standing", standing).WithField("vote", vote).Warn("there is no voter's record")
 		}
-		k.d.adoptMembership(r.Decided())
+		k.d.adoptMembership(r.DecidedVoters())
 		k.startRecovery(fresh)
 	default:
-		if r.State.System == 0 && r.Decided().Epoch == 0 { // written by a version that had none
-			r.State.System = consensus.NewSystem(r.State.Voters)
+		if r.State.System == 0 && r.DecidedVoters().Epoch == 0 { // written by a version that had none
+			r.State.System = consensus.NewSystemID(r.State.Voters)
 		}
-		if err := k.save(&r, consensus.Changed{Vote: true, State: true}); err != nil {
+		if err := k.save(&r, consensus.Unsynced{Vote: true, State: true}); err != nil {
 			return trace.Wrap(err)
 		}
 		k.adopt(r)
--- a/internal/mesh/control/controlplane/rounds.go
+++ b/internal/mesh/control/controlplane/rounds.go
@@ -13,12 +13,12 @@
 // drive plays a round until it is over. Each phase waits for replies as long as patience, and less after a rejection.
 func (d *Server) drive(ctx context.Context, r *consensus.Round, q *consensus.Request, patience time.Duration) {
 	for q != nil {
-		nodes := r.Nodes()
+		nodes := r.Recipients()
 		answers, left := d.broadcast(nodes, q), len(nodes)
 		began := time.Now()
 		timer := time.NewTimer(patience)
 		hurried := false
-		for q = nil; q == nil && left > 0 && !r.Over(); {
+		for q = nil; q == nil && left > 0 && !r.Finished(); {
 			select {
 			case a := <-answers:
 				left--
@@ -38,11 +38,11 @@
 		}
 		timer.Stop()
 	}
-	r.GiveUp()
-	d.observeBallot(r.Highest)
+	r.StopWaiting()
+	d.observeBallot(r.HighestBallot)
 	if r.State == consensus.Done || r.State == consensus.Stale {
-		d.learn(r.Vote())
-		d.adoptMembership(r.NewerMembership)
+		d.learn(r.CommittedVote())
+		d.adoptMembership(r.NewerVoters)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-func (d *Server) round(ctx context.Context, e consensus.Membership, asks bool, change *consensus.Change, patience time.Duration) (*consensus.Round, error) {
+func (d *Server) round(ctx context.Context, e consensus.VoterSet, asks bool, change *consensus.Change, patience time.Duration) (*consensus.Round, error) {
 	known := d.knownVote()
 	if asks {
 		r, q := consensus.NewReadRound(e, known)
@@ -88,7 +88,7 @@
 	}
 	r, q := consensus.NewRound(e, d.nextBallot(), change, known)
 	d.drive(ctx, r, q, patience)
-	if v := r.Vote(); r.State == consensus.Done || r.State == consensus.Stale {
+	if v := r.CommittedVote(); r.State == consensus.Done || r.State == consensus.Stale {
 		d.announceCommit(r, v.Ballot)
 	}
 	return r, nil
@@ -115,12 +115,12 @@
 // announceCommit tells those who took part in a round that its value is committed; of a new list of voters it tells all processes
 // of the core.
 func (d *Server) announceCommit(r *consensus.Round, ballot consensus.Ballot) {
-	nodes := r.Nodes()
+	nodes := r.Recipients()
 	e := d.Membership()
-	if e.Epoch > r.Membership().Epoch {
+	if e.Epoch > r.VoterSet().Epoch {
 		nodes = append(nodes, d.peersThere()...)
 		slices.Sort(nodes)
 		nodes = slices.Compact(nodes)
 	}
-	d.broadcast(nodes, &consensus.Request{Kind: consensus.Commit, Ballot: ballot, Membership: e})
+	d.broadcast(nodes, &consensus.Request{Kind: consensus.Commit, Ballot: ballot, VoterSet: e})
 }
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -60,20 +60,20 @@
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	voters    consensus.Membership // without voters while not known
-	kept      uint64               // epoch of the membership on disk
-	accepted  uint64               // epoch of the vote on disk
-	ready     bool                 // knows what it promised
-	seeds     []string             // as the settings are now
-	highest   uint64               // of all ballots that were seen
-	known     consensus.Vote       // newest whose ballot and value are known to be committed
+	voters    consensus.VoterSet // without voters while not known
+	kept      uint64             // epoch of the membership on disk
+	accepted  uint64             // epoch of the vote on disk
+	ready     bool               // knows what it promised
+	seeds     []string           // as the settings are now
+	highest   uint64             // of all ballots that were seen
+	known     consensus.Vote     // newest whose ballot and value are known to be committed
 	committed consensus.Value
 
-	system     consensus.System     // 0 while not known
-	readySince time.Time            // since when this process may vote
-	persisting bool                 // a newer list is being written
-	silent     []string             // voters that don't answer this process
-	presence   []consensus.Presence // of the other processes of the core
+	system     consensus.SystemID     // 0 while not known
+	readySince time.Time              // since when this process may vote
+	persisting bool                   // a newer list is being written
+	silent     []string               // voters that don't answer this process
+	presence   []consensus.PeerStatus // of the other processes of the core
 }
 
 // Open starts a Server. The disk is opened in the background, however long it takes.
@@ -114,7 +114,7 @@
 func (d *Server) Voters() []string { return d.Membership().Voters }
 
 // Membership is the newest list of voters that this process knows as decided.
-func (d *Server) Membership() consensus.Membership {
+func (d *Server) Membership() consensus.VoterSet {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.voters
@@ -127,14 +127,14 @@
 	return d.accepted, d.ready
 }
 
-func (d *Server) adoptMembership(e consensus.Membership) {
+func (d *Server) adoptMembership(e consensus.VoterSet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elect(e)
 }
 
 // elect notes a membership that is decided. The lock is held.
-func (d *Server) elect(e consensus.Membership) {
+func (d *Server) elect(e consensus.VoterSet) {
 	if len(e.Voters) == 0 || len(d.voters.Voters) > 0 && e.Epoch <= d.voters.Epoch {
 		return
 	}
@@ -148,14 +148,14 @@
 func (d *Server) observeBallot(b consensus.Ballot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.highest = max(d.highest, b.N)
+	d.highest = max(d.highest, b.Number)
 }
 
 func (d *Server) nextBallot() consensus.Ballot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.highest++
-	return consensus.Ballot{N: d.highest, Node: d.node}
+	return consensus.Ballot{Number: d.highest, Proposer: d.node}
 }
 
 func (d *Server) knownVote() consensus.Vote {
@@ -181,7 +181,7 @@
 		v.Learned = false
 		d.known = v
 	}
-	d.elect(v.Value.Membership)
+	d.elect(v.Value.VoterSet)
 	if v.Value.Version > d.committed.Version {
 		d.committed = v.Value
 		select {
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -16,9 +16,9 @@
 // takes the other's list, value or votes, and its folder stays as it is.
 func TestFolderOfAnotherSystem(t *testing.T) {
 	grownAfter(t, func(co *core, ctx context.Context) {
-		foreign := consensus.FirstRecord(node(4), []string{node(4), node(5), node(6)})
-		foreign.State.Membership = consensus.Membership{Epoch: 9, Voters: []string{node(4), node(5), node(6)}}
-		foreign.Vote = consensus.Vote{Ballot: consensus.Ballot{N: 99, Node: "x"}, Value: consensus.Value{Version: 7, Body: config(7, ""), Membership: foreign.State.Membership}}
+		foreign := consensus.InitialRecord(node(4), []string{node(4), node(5), node(6)})
+		foreign.State.VoterSet = consensus.VoterSet{Epoch: 9, Voters: []string{node(4), node(5), node(6)}}
+		foreign.Vote = consensus.Vote{Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, Value: consensus.Value{Version: 7, Body: config(7, ""), VoterSet: foreign.State.VoterSet}}
 		co.disks[node(4)] = &memory{records: map[string][]byte{standingKey: codec.Write(nil, &foreign.State), voteKey: codec.Write(nil, &foreign.Vote)}}
 		co.start(4, false)
 		time.Sleep(time.Minute)
@@ -26,9 +26,9 @@
 		co.c.Assert(co.server(4).Membership().Epoch, qt.Equals, uint64(9))
 		co.c.Assert(co.replace(ctx, 0, 1, 2), qt.Equals, Applied)
 		co.c.Assert(co.newest(ctx, 2), qt.Equals, configuration.Version(2))
-		reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: consensus.ReadVote, Epoch: 9, Membership: foreign.State.Membership, System: foreign.State.System})
+		reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: consensus.ReadVote, Epoch: 9, VoterSet: foreign.State.VoterSet, System: foreign.State.System})
 		co.c.Assert(err, qt.IsNil)
-		co.c.Assert(reply.Kind, qt.Equals, consensus.OtherSystem)
+		co.c.Assert(reply.Kind, qt.Equals, consensus.ForeignSystem)
 		var kept consensus.ReplicaState
 		co.c.Assert(codec.Read(co.disks[node(4)].records[standingKey], &kept), qt.IsNil)
 		co.c.Assert(kept.System, qt.Equals, foreign.State.System)
@@ -38,11 +38,11 @@
 // A request under another list for an epoch that is known here is refused, and changes nothing.
 func TestRequestUnderAnotherList(t *testing.T) {
 	grownAfter(t, func(co *core, ctx context.Context) {
-		other := consensus.Membership{Voters: []string{node(0), node(7), node(8)}}
+		other := consensus.VoterSet{Voters: []string{node(0), node(7), node(8)}}
 		for _, kind := range []consensus.RequestKind{consensus.ReadVote, consensus.Prepare, consensus.Accept, consensus.Recover} {
-			reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: kind, Ballot: consensus.Ballot{N: 99, Node: "x"}, Membership: other, Node: "x", Incarnation: 9})
+			reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: kind, Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, VoterSet: other, Node: "x", DiskIncarnation: 9})
 			co.c.Assert(err, qt.IsNil)
-			co.c.Assert(reply.Kind, qt.Equals, consensus.OtherList)
+			co.c.Assert(reply.Kind, qt.Equals, consensus.ConflictingVoters)
 		}
 		co.c.Assert(co.server(0).Voters(), qt.DeepEquals, []string{node(0), node(1), node(2)})
 		co.c.Assert(co.replace(ctx, 0, 1, 2), qt.Equals, Applied)
@@ -52,7 +52,7 @@
 // A record of a version that had no system takes that of its first list, and one that joins learns it.
 func TestSystemIsLearnt(t *testing.T) {
 	grownAfter(t, func(co *core, ctx context.Context) {
-		want := consensus.NewSystem([]string{node(0), node(1), node(2)})
+		want := consensus.NewSystemID([]string{node(0), node(1), node(2)})
 		for i := range 4 {
 			co.c.Assert(co.server(i).knownSystem(), qt.Equals, want)
 		}
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -28,34 +28,34 @@
 }
 
 func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
-	if own := d.knownSystem(); !own.Admits(q.System) {
+	if own := d.knownSystem(); !own.Matches(q.System) {
 		d.o.Log.WithField("peer", q.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
-		return &consensus.Reply{Kind: consensus.OtherSystem, Ballot: q.Ballot, System: own}, nil
+		return &consensus.Reply{Kind: consensus.ForeignSystem, Ballot: q.Ballot, System: own}, nil
 	}
 	d.observeBallot(q.Ballot)
-	d.adoptMembership(q.Membership)
+	d.adoptMembership(q.VoterSet)
 	if q.Kind == consensus.Describe {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return &consensus.Reply{Kind: consensus.Reported, Membership: d.voters, Ready: d.ready, Silent: d.silent, System: d.system}, nil
+		return &consensus.Reply{Kind: consensus.Reported, VoterSet: d.voters, Ready: d.ready, Unresponsive: d.silent, System: d.system}, nil
 	}
 	reply, err := d.do(ctx, &job{request: q})
-	if err == nil && reply.Kind == consensus.OtherList {
-		d.o.Log.WithField("peer", q.Sender).WithField("epoch", q.Membership.Epoch).WithField("voters", q.Membership.Voters).
-			WithField("own", reply.Membership.Voters).Error("controlplane: a request under another list of voters for the same epoch is refused")
+	if err == nil && reply.Kind == consensus.ConflictingVoters {
+		d.o.Log.WithField("peer", q.Sender).WithField("epoch", q.VoterSet.Epoch).WithField("voters", q.VoterSet.Voters).
+			WithField("own", reply.VoterSet.Voters).Error("controlplane: a request under another list of voters for the same epoch is refused")
 	}
 	return reply, trace.Wrap(err)
 }
 
 // knownSystem is the system that this process belongs to, as far as it knows yet.
-func (d *Server) knownSystem() consensus.System {
+func (d *Server) knownSystem() consensus.SystemID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.system
 }
 
 // adoptSystem notes the system once it is known.
-func (d *Server) adoptSystem(s consensus.System) {
+func (d *Server) adoptSystem(s consensus.SystemID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.system == 0 {
@@ -82,7 +82,7 @@
 	if err := codec.Read(raw, &reply); err != nil {
 		return nil, trace.BadParameter("reply of %s: %v", node, err)
 	}
-	if reply.Kind == consensus.OtherSystem || !d.knownSystem().Admits(reply.System) {
+	if reply.Kind == consensus.ForeignSystem || !d.knownSystem().Matches(reply.System) {
 		d.o.Log.WithField("peer", node).Error("controlplane: the process at this address belongs to another system")
 		return nil, trace.BadParameter("%s belongs to another system", node)
 	}
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -7,61 +7,61 @@
 
 // The states of a candidate.
 const (
-	Idle     State = iota // waits until it may ask
-	Asking                // has asked, and holds nothing
-	Holding               // has the lease
-	Resigned              // has given up for good
+	Idle       State = iota // waits until it may ask
+	Requesting              // has asked, and holds nothing
+	Holding                 // has the lease
+	Resigned                // has given up for good
 )
 
 // Candidate is a process that would do one duty.
 type Candidate struct {
 	self        string
 	incarnation uint64
-	name        string
+	role        string
 	jitter      func() float64
 	rank        int
 
-	state    State
-	next     time.Duration // when it may ask or renew
-	epoch    uint64        // fencing number of the lease it holds
-	asking   uint64        // fencing number of the newest request
-	seen     uint64        // highest fencing number it knows of
-	until    time.Duration // it holds the lease, and not a moment longer
-	holder   string        // another process that has the lease
-	gaveUp   bool          // what was granted is to be released: there was no majority
-	list     uint64        // epoch of the newest list of voters
-	notUntil time.Duration // it asks nobody before, as the list is new
+	state          State
+	nextRequest    time.Duration // when it may ask or renew
+	fencingToken   uint64        // fencing number of the lease it holds
+	requestedToken uint64        // fencing number of the newest request
+	highestToken   uint64        // highest fencing number it knows of
+	heldUntil      time.Duration // it holds the lease, and not a moment longer
+	otherHolder    string        // another process that has the lease
+	releasePending bool          // what was granted is to be released: there was no majority
+	voterSetEpoch  uint64        // epoch of the newest list of voters
+	quietUntil     time.Duration // it asks nobody before, as the list is new
 
-	asked   time.Duration // time of the newest request
-	voters  int
-	granted map[string]bool
-	refused int
+	requestedAt time.Duration // time of the newest request
+	voterCount  int
+	grantedBy   map[string]bool
+	rejections  int
 }
 
 // NewCandidate makes a candidate that holds nothing. jitter gives numbers from 0 to 1.
 func NewCandidate(self string, incarnation uint64, duty string, jitter func() float64) *Candidate {
-	return &Candidate{self: self, incarnation: incarnation, name: duty, jitter: jitter}
+	return &Candidate{self: self, incarnation: incarnation, role: duty, jitter: jitter}
 }
 
-// shift is the only method that changes a candidate's state.
-func (c *Candidate) shift(to State, next time.Duration) {
-	c.state, c.next = to, next
+// setState is the only method that changes a candidate's state.
+func (c *Candidate) setState(to State, next time.Duration) {
+	c.state, c.nextRequest = to, next
 }
 
 // Holds reports whether this process has the lease now, and under which fencing number.
 func (c *Candidate) Holds(now time.Duration) (epoch uint64, ok bool) {
-	if c.state == Holding && now < c.until {
-		return c.epoch, true
+	if c.state == Holding && now < c.heldUntil {
+		return c.fencingToken, true
 	}
 	return 0, false
 }
 
-// Left is how long this process still has the lease if it can't be renewed.
-func (c *Candidate) Left(now time.Duration) time.Duration {
+// Remaining is how long this process still has the lease if it can't be renewed.
+func (c *Candidate) Remaining(now time.Duration) time.Duration {
 	if _, ok := c.Holds(now); !ok {
 		return 0
 	}
-	return c.until - now
+	return c.heldUntil - now
 }
 
 // Holder is the process that has the lease, as far as is known; empty for none. It may be out of date, and serves as a hint.
@@ -69,33 +69,33 @@
 	if _, ok := c.Holds(now); ok {
 		return c.self
 	}
-	return c.holder
+	return c.otherHolder
 }
 
-// Rank sets this process's place among the candidates, from 0, so that they don't all ask at once and split the votes.
-func (c *Candidate) Rank(n int) { c.rank = n }
+// SetRank sets this process's place among the candidates, from 0, so that they don't all ask at once and split the votes.
+func (c *Candidate) SetRank(n int) { c.rank = n }
 
-// Observe tells of a fencing number that was used. A holder whose own is lower renews under a higher one at once.
-func (c *Candidate) Observe(now time.Duration, epoch uint64) {
-	c.seen = max(c.seen, epoch)
-	if c.state == Holding && c.seen > c.epoch {
-		c.next = min(c.next, now)
+// ObserveToken tells of a fencing number that was used. A holder whose own is lower renews under a higher one at once.
+func (c *Candidate) ObserveToken(now time.Duration, epoch uint64) {
+	c.highestToken = max(c.highestToken, epoch)
+	if c.state == Holding && c.highestToken > c.fencingToken {
+		c.nextRequest = min(c.nextRequest, now)
 	}
 }
 
-// Released tells that another process has given the lease up: candidates ask at once, in the order of their ranks.
-func (c *Candidate) Released(now time.Duration, holder string) {
-	if c.state != Idle && c.state != Asking || c.holder != "" && c.holder != holder {
+// HolderReleased tells that another process has given the lease up: candidates ask at once, in the order of their ranks.
+func (c *Candidate) HolderReleased(now time.Duration, holder string) {
+	if c.state != Idle && c.state != Requesting || c.otherHolder != "" && c.otherHolder != holder {
 		return
 	}
-	c.holder = ""
-	c.next = max(min(c.next, now+time.Duration(c.rank)*releaseGap), c.notUntil)
+	c.otherHolder = ""
+	c.nextRequest = max(min(c.nextRequest, now+time.Duration(c.rank)*releaseStagger), c.quietUntil)
 }
 
 // Resign gives the lease up for good. The request, if there is one, is to be sent to all voters.
 func (c *Candidate) Resign() *Request {
-	had := c.state == Holding || c.state == Asking
-	c.shift(Resigned, 0)
+	had := c.state == Holding || c.state == Requesting
+	c.setState(Resigned, 0)
 	if !had {
 		return nil
 	}
@@ -103,8 +103,8 @@
 }
 
 func (c *Candidate) releaseRequest() *Request {
-	return &Request{Holder: c.self, Incarnation: c.incarnation, MembershipEpoch: c.list,
-		Duties: []Duty{{Name: c.name, Epoch: c.asking, Release: true}}}
+	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
+		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken, Release: true}}}
 }
 
 // Tick gives the request that is to be sent to all voters now; nil for none. list is the epoch of their list.
@@ -112,101 +112,101 @@
 	if c.state == Resigned {
 		return nil
 	}
-	if c.gaveUp {
-		c.gaveUp = false
+	if c.releasePending {
+		c.releasePending = false
 		return c.releaseRequest()
 	}
-	if c.state == Holding && now >= c.until {
-		c.shift(Idle, max(now+retryPause, c.notUntil))
+	if c.state == Holding && now >= c.heldUntil {
+		c.setState(Idle, max(now+retryDelay, c.quietUntil))
 	}
-	if list > c.list {
-		c.follow(now, list)
+	if list > c.voterSetEpoch {
+		c.adoptVoterSet(now, list)
 	}
-	if now < c.next || voters == 0 || list < c.list {
+	if now < c.nextRequest || voters == 0 || list < c.voterSetEpoch {
 		return nil
 	}
-	return c.ask(now, voters)
+	return c.newRequest(now, voters)
 }
 
-// follow takes note of a new list of voters.
-func (c *Candidate) follow(now time.Duration, list uint64) {
-	c.list, c.notUntil = list, now+listDelay
+// adoptVoterSet takes note of a new list of voters.
+func (c *Candidate) adoptVoterSet(now time.Duration, list uint64) {
+	c.voterSetEpoch, c.quietUntil = list, now+voterChangeDelay
 	if c.state == Holding {
-		c.next = now // renewed by the new voters before the old ones' grants end
+		c.nextRequest = now // renewed by the new voters before the old ones' grants end
 		return
 	}
-	c.shift(Idle, c.notUntil)
+	c.setState(Idle, c.quietUntil)
 }
 
-func (c *Candidate) ask(now time.Duration, voters int) *Request {
+func (c *Candidate) newRequest(now time.Duration, voters int) *Request {
 	switch {
 	case c.state != Holding:
-		c.asking = max(c.seen, c.list*numbersPerList) + 1
-		c.shift(Asking, now+c.pause())
-	case c.seen > c.epoch:
-		c.asking = c.seen + 1
-		c.next = now + renewInterval
+		c.requestedToken = max(c.highestToken, c.voterSetEpoch*tokensPerVoterSet) + 1
+		c.setState(Requesting, now+c.jitteredDelay())
+	case c.highestToken > c.fencingToken:
+		c.requestedToken = c.highestToken + 1
+		c.nextRequest = now + renewInterval
 	default:
-		c.next = now + renewInterval
+		c.nextRequest = now + renewInterval
 	}
-	c.seen = max(c.seen, c.asking)
-	c.asked, c.voters, c.granted, c.refused = now, voters, map[string]bool{}, 0
-	return &Request{Holder: c.self, Incarnation: c.incarnation, MembershipEpoch: c.list,
-		Duties: []Duty{{Name: c.name, Epoch: c.asking}}}
+	c.highestToken = max(c.highestToken, c.requestedToken)
+	c.requestedAt, c.voterCount, c.grantedBy, c.rejections = now, voters, map[string]bool{}, 0
+	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
+		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken}}}
 }
 
-func (c *Candidate) pause() time.Duration {
-	return retryPause*time.Duration(1+c.rank) + time.Duration(c.jitter()*float64(retryPause))
+func (c *Candidate) jitteredDelay() time.Duration {
+	return retryDelay*time.Duration(1+c.rank) + time.Duration(c.jitter()*float64(retryDelay))
 }
 
-// Take takes a voter's reply to the request that was made at a time. It reports whether this process obtained the lease just now.
-func (c *Candidate) Take(now, asked time.Duration, voter string, r *Reply) (came bool) {
-	for _, g := range r.Duties {
-		if g.Name != c.name || c.state == Resigned {
+// Handle takes a voter's reply to the request that was made at a time. It reports whether this process obtained the lease just now.
+func (c *Candidate) HandleReply(now, asked time.Duration, voter string, r *Reply) (came bool) {
+	for _, g := range r.Grants {
+		if g.Role != c.role || c.state == Resigned {
 			continue
 		}
-		c.seen = max(c.seen, g.Epoch)
+		c.highestToken = max(c.highestToken, g.FencingToken)
 		switch {
-		case asked != c.asked:
-		case g.Given:
-			came = c.grant(now, voter, g.Epoch) || came
+		case asked != c.requestedAt:
+		case g.Granted:
+			came = c.countGrant(now, voter, g.FencingToken) || came
 		default:
-			c.refuse(now, &g)
+			c.countRejection(now, &g)
 		}
 	}
 	return came
 }
 
-// grant counts a voter's grant.
-func (c *Candidate) grant(now time.Duration, voter string, epoch uint64) (came bool) {
-	if c.state == Idle || epoch != c.asking {
+// countGrant counts a voter's grant.
+func (c *Candidate) countGrant(now time.Duration, voter string, epoch uint64) (came bool) {
+	if c.state == Idle || epoch != c.requestedToken {
 		return false
 	}
-	c.granted[voter] = true
-	until := c.asked + holdTime
-	if len(c.granted) < c.majority() || now >= until {
+	c.grantedBy[voter] = true
+	until := c.requestedAt + holderDuration
+	if len(c.grantedBy) < c.majority() || now >= until {
 		return false
 	}
 	came = c.state != Holding
-	c.epoch, c.until, c.holder = c.asking, until, ""
-	c.shift(Holding, c.asked+renewInterval) // whatever a voter that refused had it wait for
+	c.fencingToken, c.heldUntil, c.otherHolder = c.requestedToken, until, ""
+	c.setState(Holding, c.requestedAt+renewInterval) // whatever a voter that refused had it wait for
 	return came
 }
 
-// refuse counts a voter's refusal.
-func (c *Candidate) refuse(now time.Duration, g *Grant) {
+// countRejection counts a voter's refusal.
+func (c *Candidate) countRejection(now time.Duration, g *Grant) {
 	if c.state == Holding {
 		return
 	}
 	if g.Holder != "" {
-		c.holder = g.Holder
-		c.next = max(c.next, now+min(g.Left, Lease)/2+c.pause())
+		c.otherHolder = g.Holder
+		c.nextRequest = max(c.nextRequest, now+min(g.Remaining, Duration)/2+c.jitteredDelay())
 	}
-	c.refused++
-	if c.state == Asking && c.refused > c.voters-c.majority() && len(c.granted) > 0 {
-		c.gaveUp = true
-		c.shift(Idle, max(c.next, now+c.pause()))
+	c.rejections++
+	if c.state == Requesting && c.rejections > c.voterCount-c.majority() && len(c.grantedBy) > 0 {
+		c.releasePending = true
+		c.setState(Idle, max(c.nextRequest, now+c.jitteredDelay()))
 	}
 }
 
-func (c *Candidate) majority() int { return c.voters/2 + 1 }
+func (c *Candidate) majority() int { return c.voterCount/2 + 1 }
--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -60,7 +60,7 @@
 	}
 	for i := range 3 {
 		c := NewCandidate(fmt.Sprint(i), uint64(i)+1, "d", x.rng.Float64)
-		c.Rank(i)
+		c.SetRank(i)
 		x.candidates = append(x.candidates, &exchangeCandidate{Candidate: c, rate: rate()})
 	}
 	return x
@@ -92,7 +92,7 @@
 		}
 		m.at = x.now + time.Duration(x.rng.Int64N(int64(10*time.Millisecond)))
 		if x.rng.IntN(8) == 0 {
-			m.at += time.Duration(x.rng.Int64N(int64(Lease)))
+			m.at += time.Duration(x.rng.Int64N(int64(Duration)))
 		}
 		x.messages = append(x.messages, m)
 	}
@@ -106,13 +106,13 @@
 		case m.at > x.now:
 			x.messages = append(x.messages, m)
 		case m.reply == nil:
-			var standing Standing // nothing, while the disk is not read
+			var standing VoterStatus // nothing, while the disk is not read
 			if x.now >= v.ready {
-				standing = Standing{Ready: true, Epoch: v.accepted}
+				standing = VoterStatus{Ready: true, VoterSetEpoch: v.accepted}
 			}
-			m.reply = v.Take(local(x.now, v.rate), standing, m.request)
+			m.reply = v.Handle(local(x.now, v.rate), standing, m.request)
 			x.send(m)
-		case c.Take(local(x.now, c.rate), m.asked, fmt.Sprint(m.voter), m.reply):
+		case c.HandleReply(local(x.now, c.rate), m.asked, fmt.Sprint(m.voter), m.reply):
 			x.came++
 		}
 	}
@@ -127,10 +127,10 @@
 	if x.rng.IntN(250) == 0 { // a voter restarts: its grants are forgotten, its disk stays, and is read late
 		v := x.voters[x.rng.IntN(5)]
 		v.Voter = NewVoter(local(x.now, v.rate), false)
-		v.ready = x.now + time.Duration(x.rng.Int64N(int64(2*Lease)))
+		v.ready = x.now + time.Duration(x.rng.Int64N(int64(2*Duration)))
 	}
 	if x.rng.IntN(100) == 0 {
-		x.candidates[x.rng.IntN(3)].cut = x.now + time.Duration(x.rng.Int64N(int64(3*Lease)))
+		x.candidates[x.rng.IntN(3)].cut = x.now + time.Duration(x.rng.Int64N(int64(3*Duration)))
 	}
 	x.deliver()
 	for i, c := range x.candidates {
@@ -139,7 +139,7 @@
 		}
 		now := local(x.now, c.rate)
 		if x.rng.IntN(500) == 0 {
-			c.Observe(now, x.newest)
+			c.ObserveToken(now, x.newest)
 		}
 		request := c.Tick(now, 3, c.known)
 		if request == nil {
@@ -198,13 +198,13 @@
 		voters[name] = NewVoter(0, true)
 	}
 	oldList, newList := []string{"a", "b", "c"}, []string{"b", "c", "d"}
-	accepted := map[string]Standing{"a": firstList, "b": firstList, "c": firstList, "d": firstList}
+	accepted := map[string]VoterStatus{"a": firstList, "b": firstList, "c": firstList, "d": firstList}
 	ask := func(x *Candidate, now time.Duration, list uint64, among []string, reach ...string) bool {
 		q := x.Tick(now, len(among), list)
 		came := false
 		for _, name := range reach {
 			if q != nil {
-				came = x.Take(now, now, name, voters[name].Take(now, accepted[name], q)) || came
+				came = x.HandleReply(now, now, name, voters[name].Handle(now, accepted[name], q)) || came
 			}
 		}
 		return came
@@ -215,29 +215,29 @@
 
 	chosen := time.Millisecond
 	for _, name := range newList {
-		accepted[name] = Standing{Ready: true, Epoch: 1}
+		accepted[name] = VoterStatus{Ready: true, VoterSetEpoch: 1}
 	}
 	c.Assert(ask(holder, renewInterval, 0, oldList, "a", "b"), qt.IsFalse) // b refuses the old list
 	c.Assert(ask(other, chosen, 1, newList, "c", "d"), qt.IsFalse)         // too early to ask
-	_, ok := holder.Holds(holdTime - 1)
+	_, ok := holder.Holds(holderDuration - 1)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(ask(other, holdTime, 1, newList, "c", "d"), qt.IsFalse)
-	c.Assert(ask(other, chosen+listDelay, 1, newList, "c", "d"), qt.IsTrue)
-	second, _ := other.Holds(chosen + listDelay)
+	c.Assert(ask(other, holderDuration, 1, newList, "c", "d"), qt.IsFalse)
+	c.Assert(ask(other, chosen+voterChangeDelay, 1, newList, "c", "d"), qt.IsTrue)
+	second, _ := other.Holds(chosen + voterChangeDelay)
 	c.Assert(second > first, qt.IsTrue)
-	_, ok = holder.Holds(chosen + listDelay)
+	_, ok = holder.Holds(chosen + voterChangeDelay)
 	c.Assert(ok, qt.IsFalse)
 
 	// The holder learns of the new list while it holds the lease, can't renew it, and waits like any other candidate.
 	holder = NewCandidate("h", 3, "e", zero)
 	c.Assert(ask(holder, 0, 0, oldList), qt.IsFalse)
-	holder.Take(0, 0, "a", &Reply{Duties: []Grant{{Name: "e", Given: true, Epoch: 1}}})
-	c.Assert(holder.Take(0, 0, "b", &Reply{Duties: []Grant{{Name: "e", Given: true, Epoch: 1}}}), qt.IsTrue)
-	c.Assert(holder.Tick(holdTime-1, 3, 1), qt.IsNotNil) // renews under the new list
-	for now := holdTime; now < holdTime-1+listDelay; now += retryPause {
+	holder.HandleReply(0, 0, "a", &Reply{Grants: []Grant{{Role: "e", Granted: true, FencingToken: 1}}})
+	c.Assert(holder.HandleReply(0, 0, "b", &Reply{Grants: []Grant{{Role: "e", Granted: true, FencingToken: 1}}}), qt.IsTrue)
+	c.Assert(holder.Tick(holderDuration-1, 3, 1), qt.IsNotNil) // renews under the new list
+	for now := holderDuration; now < holderDuration-1+voterChangeDelay; now += retryDelay {
 		c.Assert(holder.Tick(now, 3, 1), qt.IsNil)
 	}
-	c.Assert(holder.Tick(holdTime-1+listDelay, 3, 1), qt.IsNotNil)
+	c.Assert(holder.Tick(holderDuration-1+voterChangeDelay, 3, 1), qt.IsNotNil)
 }
 
 // A late release of an earlier number leaves a newer grant alone; a release in time lets the next candidate in at once.
@@ -246,15 +246,15 @@
 	zero := func() float64 { return 0 }
 	v := NewVoter(0, true)
 	a, b := NewCandidate("a", 1, "d", zero), NewCandidate("b", 2, "d", zero)
-	c.Assert(a.Take(0, 0, "v", v.Take(0, firstList, a.Tick(0, 1, 0))), qt.IsTrue)
+	c.Assert(a.HandleReply(0, 0, "v", v.Handle(0, firstList, a.Tick(0, 1, 0))), qt.IsTrue)
 	late := a.releaseRequest()
-	a.Observe(0, 7) // numbers were used that the voter forgot
-	c.Assert(a.Take(0, 0, "v", v.Take(0, firstList, a.Tick(0, 1, 0))), qt.IsFalse)
+	a.ObserveToken(0, 7) // numbers were used that the voter forgot
+	c.Assert(a.HandleReply(0, 0, "v", v.Handle(0, firstList, a.Tick(0, 1, 0))), qt.IsFalse)
 	number, _ := a.Holds(0)
 	c.Assert(number > 7, qt.IsTrue)
-	v.Take(0, firstList, late)
-	b.Observe(0, number)
-	b.Take(0, 0, "v", v.Take(0, firstList, b.Tick(0, 1, 0)))
+	v.Handle(0, firstList, late)
+	b.ObserveToken(0, number)
+	b.HandleReply(0, 0, "v", v.Handle(0, firstList, b.Tick(0, 1, 0)))
 	_, ok := b.Holds(0)
 	c.Assert(ok, qt.IsFalse)
 
@@ -262,27 +262,27 @@
 	release := a.Resign()
 	_, ok = a.Holds(now)
 	c.Assert(ok, qt.IsFalse)
-	v.Take(now, firstList, release)
-	b.Released(now, "a")
-	c.Assert(b.Take(now, now, "v", v.Take(now, firstList, b.Tick(now, 1, 0))), qt.IsTrue)
+	v.Handle(now, firstList, release)
+	b.HolderReleased(now, "a")
+	c.Assert(b.HandleReply(now, now, "v", v.Handle(now, firstList, b.Tick(now, 1, 0))), qt.IsTrue)
 	next, _ := b.Holds(now)
 	c.Assert(next > number, qt.IsTrue)
-	c.Assert(a.Tick(Lease*5, 1, 0), qt.IsNil)
+	c.Assert(a.Tick(Duration*5, 1, 0), qt.IsNil)
 }
 
 // A voter grants nothing under a list older than the one it accepted, or while it can't say which that is, and tells the epoch.
 func TestVoterRefusesOldLists(t *testing.T) {
 	c := qt.New(t)
 	v := NewVoter(0, true)
-	q := &Request{Holder: "a", Incarnation: 1, MembershipEpoch: 4, Duties: []Duty{{Name: "d", Epoch: 1}}}
+	q := &Request{Holder: "a", Incarnation: 1, VoterSetEpoch: 4, Roles: []RoleRequest{{Role: "d", FencingToken: 1}}}
 	for _, x := range []struct {
-		standing Standing
+		standing VoterStatus
 		given    bool
-	}{{Standing{Ready: true, Epoch: 5}, false}, {Standing{Ready: false, Epoch: 4}, false}, {Standing{Ready: true, Epoch: 4}, true},
-		{Standing{Ready: true, Epoch: 3}, true}} {
-		r := v.Take(0, x.standing, q)
-		c.Assert(r.Duties[0].Given, qt.Equals, x.given)
-		c.Assert(r.MembershipEpoch, qt.Equals, x.standing.Epoch)
+	}{{VoterStatus{Ready: true, VoterSetEpoch: 5}, false}, {VoterStatus{Ready: false, VoterSetEpoch: 4}, false}, {VoterStatus{Ready: true, VoterSetEpoch: 4}, true},
+		{VoterStatus{Ready: true, VoterSetEpoch: 3}, true}} {
+		r := v.Handle(0, x.standing, q)
+		c.Assert(r.Grants[0].Granted, qt.Equals, x.given)
+		c.Assert(r.VoterSetEpoch, qt.Equals, x.standing.VoterSetEpoch)
 	}
 }
 
@@ -290,12 +290,12 @@
 func TestHolderRenewsAfterARefusal(t *testing.T) {
 	c := qt.New(t)
 	x := NewCandidate("x", 1, "d", func() float64 { return 1 })
-	x.Rank(4)
+	x.SetRank(4)
 	c.Assert(x.Tick(0, 3, 0), qt.IsNotNil)
-	x.Take(0, 0, "a", &Reply{Duties: []Grant{{Name: "d", Epoch: 1, Holder: "y", Left: Lease}}})
-	given := &Reply{Duties: []Grant{{Name: "d", Given: true, Epoch: 1}}}
-	x.Take(0, 0, "b", given)
-	c.Assert(x.Take(0, 0, "c", given), qt.IsTrue)
+	x.HandleReply(0, 0, "a", &Reply{Grants: []Grant{{Role: "d", FencingToken: 1, Holder: "y", Remaining: Duration}}})
+	given := &Reply{Grants: []Grant{{Role: "d", Granted: true, FencingToken: 1}}}
+	x.HandleReply(0, 0, "b", given)
+	c.Assert(x.HandleReply(0, 0, "c", given), qt.IsTrue)
 	c.Assert(x.Tick(renewInterval, 3, 0), qt.IsNotNil)
 }
 
@@ -304,10 +304,10 @@
 	const fast = 1.049
 	voter := NewVoter(0, true)
 	holder := NewCandidate("h", 1, "d", func() float64 { return 0 })
-	qt.Assert(t, holder.Take(0, 0, "v", voter.Take(0, firstList, holder.Tick(0, 1, 0))), qt.IsTrue)
+	qt.Assert(t, holder.HandleReply(0, 0, "v", voter.Handle(0, firstList, holder.Tick(0, 1, 0))), qt.IsTrue)
 	for now := time.Duration(0); ; now += time.Millisecond {
-		other := &Request{Holder: "o", Incarnation: 2, Duties: []Duty{{Name: "d", Epoch: 2}}}
-		if voter.Take(local(now, fast), firstList, other).Duties[0].Given {
+		other := &Request{Holder: "o", Incarnation: 2, Roles: []RoleRequest{{Role: "d", FencingToken: 2}}}
+		if voter.Handle(local(now, fast), firstList, other).Grants[0].Granted {
 			_, holds := holder.Holds(now)
 			qt.Assert(t, holds, qt.IsFalse, qt.Commentf("%v after the request", now))
 			return
--- a/internal/mesh/control/lease/golden_test.go
+++ b/internal/mesh/control/lease/golden_test.go
@@ -15,18 +15,18 @@
 
 // Messages are encoded as other versions encode them, and theirs are read.
 func TestGoldenMessages(t *testing.T) {
-	request := Request{Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, MembershipEpoch: 4,
-		Duties: []Duty{{Name: "quota", Epoch: 4_000_001, Release: true}, {Name: "config", Epoch: 4_000_300}}}
-	reply := Reply{MembershipEpoch: 5, Duties: []Grant{{Name: "quota", Given: true, Epoch: 4_000_001},
-		{Name: "config", Epoch: 4_000_300, Holder: "10.0.0.2:7401", Left: 750 * time.Millisecond}}}
+	request := Request{Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, VoterSetEpoch: 4,
+		Roles: []RoleRequest{{Role: "quota", FencingToken: 4_000_001, Release: true}, {Role: "config", FencingToken: 4_000_300}}}
+	reply := Reply{VoterSetEpoch: 5, Grants: []Grant{{Role: "quota", Granted: true, FencingToken: 4_000_001},
+		{Role: "config", FencingToken: 4_000_300, Holder: "10.0.0.2:7401", Remaining: 750 * time.Millisecond}}}
 	for _, m := range []struct {
 		name         string
 		value, empty codec.Message
 	}{
 		{"request", &request, &Request{}},
-		{"duty", &request.Duties[0], &Duty{}},
+		{"duty", &request.Roles[0], &RoleRequest{}},
 		{"reply", &reply, &Reply{}},
-		{"grant", &Grant{Name: "quota", Given: true, Epoch: 4_000_001, Holder: "10.0.0.2:7401", Left: time.Second}, &Grant{}},
+		{"grant", &Grant{Role: "quota", Granted: true, FencingToken: 4_000_001, Holder: "10.0.0.2:7401", Remaining: time.Second}, &Grant{}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			file := "message-" + m.name + ".hex"
@@ -40,10 +40,10 @@
 // What voters and candidates of two versions must agree on.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
-	c.Check([]time.Duration{Lease, holdTime, listDelay, renewInterval, retryPause, releaseGap}, qt.DeepEquals, []time.Duration{
+	c.Check([]time.Duration{Duration, holderDuration, voterChangeDelay, renewInterval, retryDelay, releaseStagger}, qt.DeepEquals, []time.Duration{
 		time.Second, 950 * time.Millisecond, 1050 * time.Millisecond, 250 * time.Millisecond, 150 * time.Millisecond, 50 * time.Millisecond})
-	c.Check([]int{numbersPerList, dutiesMax}, qt.DeepEquals, []int{1_000_000, 4096})
-	c.Check([]State{Idle, Asking, Holding, Resigned}, qt.DeepEquals, []State{0, 1, 2, 3})
+	c.Check([]int{tokensPerVoterSet, maxRoles}, qt.DeepEquals, []int{1_000_000, 4096})
+	c.Check([]State{Idle, Requesting, Holding, Resigned}, qt.DeepEquals, []State{0, 1, 2, 3})
 }
 
 // The same seed gives the same run: who holds the lease when, and under which fencing number.
@@ -57,7 +57,7 @@
 			fmt.Fprintln(digest, x.now, x.holders(), len(x.messages))
 			for i, c := range x.candidates {
 				now := local(x.now, c.rate)
-				fmt.Fprintln(digest, i, c.Holder(now), c.Left(now))
+				fmt.Fprintln(digest, i, c.Holder(now), c.Remaining(now))
 			}
 		}
 		fmt.Fprintf(&text, "seed %d: holders %x, came %d times, held on %d times, %d lists, highest number %d, next draw %d\n", seed,
--- a/internal/mesh/control/lease/lease_test.go
+++ b/internal/mesh/control/lease/lease_test.go
@@ -9,7 +9,7 @@
 )
 
 // firstList is the standing of a voter that knows the first list of voters.
-var firstList = Standing{Ready: true}
+var firstList = VoterStatus{Ready: true}
 
 // Two candidates and three voters, of which one starts again: in every order of delivering or losing each message, at paces
 // that let leases run out in between, never do two hold the duty at one time.
@@ -36,15 +36,15 @@
 				m := post[step]
 				post = append(append([]mail{}, post[:step]...), post[step+1:]...)
 				if m.answer == nil {
-					m.answer = voters[m.voter].Take(now, firstList, m.ask)
+					m.answer = voters[m.voter].Handle(now, firstList, m.ask)
 					post = append(post, m)
 				} else {
-					cs[m.from].Take(now, m.asked, string(rune('0'+m.voter)), m.answer)
+					cs[m.from].HandleReply(now, m.asked, string(rune('0'+m.voter)), m.answer)
 				}
 			case step == 3 && len(post) > 0:
 				post = post[1:]
 			case step == 4:
-				now += Lease/2 - 10*time.Millisecond
+				now += Duration/2 - 10*time.Millisecond
 				for i, c := range cs {
 					if a := c.Tick(now, 3, 0); a != nil {
 						for v := range voters {
@@ -93,19 +93,19 @@
 	v := NewVoter(0, true)
 	a := NewCandidate("a", 1, "d", func() float64 { return 0 })
 	ask := a.Tick(0, 1, 0)
-	c.Assert(a.Take(time.Millisecond, 0, "v", v.Take(time.Millisecond, firstList, ask)), qt.IsTrue)
-	first, ok := a.Holds(Lease / 2)
+	c.Assert(a.HandleReply(time.Millisecond, 0, "v", v.Handle(time.Millisecond, firstList, ask)), qt.IsTrue)
+	first, ok := a.Holds(Duration / 2)
 	c.Assert(ok, qt.IsTrue)
-	_, ok = a.Holds(Lease)
+	_, ok = a.Holds(Duration)
 	c.Assert(ok, qt.IsFalse)
-	other := &Request{Holder: "b", Incarnation: 2, Duties: []Duty{{Name: "d", Epoch: first + 1}}}
-	c.Assert(v.Take(Lease, firstList, other).Duties[0].Given, qt.IsFalse)
-	c.Assert(v.Take(Lease+time.Millisecond, firstList, other).Duties[0].Given, qt.IsTrue)
+	other := &Request{Holder: "b", Incarnation: 2, Roles: []RoleRequest{{Role: "d", FencingToken: first + 1}}}
+	c.Assert(v.Handle(Duration, firstList, other).Grants[0].Granted, qt.IsFalse)
+	c.Assert(v.Handle(Duration+time.Millisecond, firstList, other).Grants[0].Granted, qt.IsTrue)
 	// The first one's number is of the past now.
-	c.Assert(v.Take(3*Lease, firstList, &Request{Holder: "a", Incarnation: 1, Duties: []Duty{{Name: "d", Epoch: first}}}).Duties[0].Given, qt.IsFalse)
+	c.Assert(v.Handle(3*Duration, firstList, &Request{Holder: "a", Incarnation: 1, Roles: []RoleRequest{{Role: "d", FencingToken: first}}}).Grants[0].Granted, qt.IsFalse)
 	// A voter that has started again waits.
-	v = NewVoter(4*Lease, false)
-	c.Assert(v.Take(5*Lease-1, firstList, other).Duties[0].Given, qt.IsFalse)
+	v = NewVoter(4*Duration, false)
+	c.Assert(v.Handle(5*Duration-1, firstList, other).Grants[0].Granted, qt.IsFalse)
 }
 
 // While the voters' list goes from three to five, one by one, and each candidate and voter learns of it at any time, never do two
@@ -124,7 +124,7 @@
 		cs := []*Candidate{NewCandidate("a", 1, "d", half), NewCandidate("b", 2, "d", half)}
 		known := make([]uint64, 2)
 		for range 80 {
-			now += time.Duration(rng.Int64N(int64(Lease / 3)))
+			now += time.Duration(rng.Int64N(int64(Duration / 3)))
 			if decided < 2 && rng.IntN(8) == 0 { // a majority of the list so far accepts the next one
 				n := int(decided) + 3
 				decided++
@@ -143,8 +143,8 @@
 				continue
 			}
 			for _, v := range rng.Perm(n)[:n/2+1+rng.IntN(n/2)] {
-				standing := Standing{Ready: true, Epoch: accepted[v]}
-				if cs[i].Take(now, now, string(rune('0'+v)), voters[v].Take(now, standing, ask)) {
+				standing := VoterStatus{Ready: true, VoterSetEpoch: accepted[v]}
+				if cs[i].HandleReply(now, now, string(rune('0'+v)), voters[v].Handle(now, standing, ask)) {
 					came++
 				}
 			}
--- a/internal/mesh/control/lease/takeover_test.go
+++ b/internal/mesh/control/lease/takeover_test.go
@@ -28,7 +28,7 @@
 	}
 	for i := range 5 {
 		c := NewCandidate(fmt.Sprint(i), uint64(i)+1, "d", rng.Float64)
-		c.Rank(i)
+		c.SetRank(i)
 		candidates = append(candidates, c)
 	}
 	var gone *Candidate
@@ -51,10 +51,10 @@
 				if release {
 					q := c.Resign()
 					for _, v := range voters {
-						send(func() { v.Take(now, firstList, q) })
+						send(func() { v.Handle(now, firstList, q) })
 					}
 					for _, other := range candidates {
-						send(func() { other.Released(now, c.self) })
+						send(func() { other.HolderReleased(now, c.self) })
 					}
 				}
 			}
@@ -65,8 +65,8 @@
 				for i, v := range voters {
 					asked := now
 					send(func() {
-						reply := v.Take(now, firstList, q)
-						send(func() { c.Take(now, asked, fmt.Sprint(i), reply) })
+						reply := v.Handle(now, firstList, q)
+						send(func() { c.HandleReply(now, asked, fmt.Sprint(i), reply) })
 					})
 				}
 			}
--- a/internal/mesh/control/lease/voter.go
+++ b/internal/mesh/control/lease/voter.go
@@ -4,72 +4,72 @@
 
 // Voter grants leases.
 type Voter struct {
-	from   time.Duration // it grants nothing before
-	grants map[string]*heldLease
+	grantsFrom time.Duration // it grants nothing before
+	grants     map[string]*heldLease
 }
 
 // heldLease is the newest grant of one duty; the zero value was never granted.
 type heldLease struct {
-	holder      string
-	incarnation uint64
-	epoch       uint64 // fencing number
-	until       time.Duration
+	holder       string
+	incarnation  uint64
+	fencingToken uint64 // fencing number
+	expiresAt    time.Duration
 }
 
-func (g *heldLease) isOf(q *Request) bool {
+func (g *heldLease) isHeldBy(q *Request) bool {
 	return g.incarnation == q.Incarnation && g.holder == q.Holder
 }
 
 // NewVoter makes a voter that starts now. first tells that the whole system starts for the first time: nothing was granted
 // before.
 func NewVoter(now time.Duration, first bool) *Voter {
-	v := &Voter{from: now + Lease, grants: map[string]*heldLease{}}
+	v := &Voter{grantsFrom: now + Duration, grants: map[string]*heldLease{}}
 	if first {
-		v.from = now
+		v.grantsFrom = now
 	}
 	return v
 }
 
-// Standing is what a voter knows about the list of voters when it answers.
-type Standing struct {
-	Ready bool   // its record is whole; if not, it may have forgotten a list that it accepted
-	Epoch uint64 // of the newest list that it accepted or knows as decided
+// VoterStatus is what a voter knows about the list of voters when it answers.
+type VoterStatus struct {
+	Ready         bool   // its record is whole; if not, it may have forgotten a list that it accepted
+	VoterSetEpoch uint64 // of the newest list that it accepted or knows as decided
 }
 
-// Take answers a request. It is the only method that changes what has been granted.
-func (v *Voter) Take(now time.Duration, standing Standing, q *Request) *Reply {
-	reply := &Reply{MembershipEpoch: standing.Epoch}
-	mayGrant := now >= v.from && standing.Ready && q.MembershipEpoch >= standing.Epoch
-	for _, d := range q.Duties {
-		g := v.grants[d.Name]
+// Handle answers a request. It is the only method that changes what has been granted.
+func (v *Voter) Handle(now time.Duration, standing VoterStatus, q *Request) *Reply {
+	reply := &Reply{VoterSetEpoch: standing.VoterSetEpoch}
+	mayGrant := now >= v.grantsFrom && standing.Ready && q.VoterSetEpoch >= standing.VoterSetEpoch
+	for _, d := range q.Roles {
+		g := v.grants[d.Role]
 		if g == nil {
-			if len(v.grants) >= dutiesMax {
+			if len(v.grants) >= maxRoles {
 				continue
 			}
 			g = &heldLease{}
-			v.grants[d.Name] = g
+			v.grants[d.Role] = g
 		}
-		reply.Duties = append(reply.Duties, g.take(now, mayGrant, q, &d))
+		reply.Grants = append(reply.Grants, g.answer(now, mayGrant, q, &d))
 	}
 	return reply
 }
 
-// take answers for one duty.
-func (g *heldLease) take(now time.Duration, mayGrant bool, q *Request, d *Duty) Grant {
-	mine := g.isOf(q)
-	free := mine && d.Epoch >= g.epoch || now >= g.until && d.Epoch > g.epoch
+// answer answers for one duty.
+func (g *heldLease) answer(now time.Duration, mayGrant bool, q *Request, d *RoleRequest) Grant {
+	mine := g.isHeldBy(q)
+	free := mine && d.FencingToken >= g.fencingToken || now >= g.expiresAt && d.FencingToken > g.fencingToken
 	switch {
 	case d.Release:
-		if mine && d.Epoch >= g.epoch { // a late release of an earlier number leaves this one alone
-			g.until = now
+		if mine && d.FencingToken >= g.fencingToken { // a late release of an earlier number leaves this one alone
+			g.expiresAt = now
 		}
 	case mayGrant && free:
-		*g = heldLease{holder: q.Holder, incarnation: q.Incarnation, epoch: d.Epoch, until: now + Lease}
-		return Grant{Name: d.Name, Given: true, Epoch: d.Epoch}
+		*g = heldLease{holder: q.Holder, incarnation: q.Incarnation, fencingToken: d.FencingToken, expiresAt: now + Duration}
+		return Grant{Role: d.Role, Granted: true, FencingToken: d.FencingToken}
 	}
-	refusal := Grant{Name: d.Name, Epoch: g.epoch}
-	if now < g.until && !mine {
-		refusal.Holder, refusal.Left = g.holder, g.until-now
+	refusal := Grant{Role: d.Role, FencingToken: g.fencingToken}
+	if now < g.expiresAt && !mine {
+		refusal.Holder, refusal.Remaining = g.holder, g.expiresAt-now
 	}
 	return refusal
 }
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -13,25 +13,25 @@
 	c := qt.New(t)
 	limit := Limit{Rate: 10, Burst: 10}
 	cache := NewTokenCache()
-	cache.Take(0, "t", limit, func(bool, time.Duration) {})
-	grants := func(number uint64, share float64) *TokenGrants {
-		return &TokenGrants{Granted: true, Epoch: number, Grants: []TokenGrant{{Tenant: "t", Tokens: 5, Share: share, Left: shareLease}}}
+	cache.Admit(0, "t", limit, func(bool, time.Duration) {})
+	grants := func(number uint64, share float64) *AllocationReply {
+		return &AllocationReply{Granted: true, FencingToken: number, Grants: []TokenGrant{{Tenant: "t", Tokens: 5, FallbackShare: share, ShareRemaining: shareLease}}}
 	}
-	c.Assert(cache.Got(0, 0, grants(7, 1)), qt.IsTrue)
-	c.Assert(cache.Got(0, 0, grants(8, 2)), qt.IsTrue)
+	c.Assert(cache.HandleReply(0, 0, grants(7, 1)), qt.IsTrue)
+	c.Assert(cache.HandleReply(0, 0, grants(8, 2)), qt.IsTrue)
 	tokens := cache.tenants["t"].tokens
-	c.Assert(cache.Got(0, 0, grants(7, 10)), qt.IsFalse)
-	c.Assert(cache.tenants["t"].share, qt.Equals, 2.0)
+	c.Assert(cache.HandleReply(0, 0, grants(7, 10)), qt.IsFalse)
+	c.Assert(cache.tenants["t"].fallbackShare, qt.Equals, 2.0)
 	c.Assert(cache.tenants["t"].tokens, qt.Equals, tokens)
-	c.Assert(cache.Newest(), qt.Equals, uint64(8))
-	c.Assert(cache.Got(0, 0, grants(8, 3)), qt.IsTrue) // its own go on
+	c.Assert(cache.HighestFencingToken(), qt.Equals, uint64(8))
+	c.Assert(cache.HandleReply(0, 0, grants(8, 3)), qt.IsTrue) // its own go on
 }
 
 // Sidecars of a zone are cut off with the allocator, hold most of the shares, and drop out of the new allocator's view after two
 // seconds. What both parts let in together stays within the limit until the shares have ended.
 func TestSharesOfACutOffZoneAreReserved(t *testing.T) {
 	const n, over = 9, 16 * time.Second
-	limit := Limit{Rate: 60, Burst: 20, Spare: 30}
+	limit := Limit{Rate: 60, Burst: 20, Overage: 30}
 	limits := func(string) (Limit, bool) { return limit, true }
 	var names, near []string
 	for i := range n {
@@ -41,11 +41,11 @@
 		}
 	}
 	for cut := 2 * time.Second; cut <= 10*time.Second; cut += 2 * time.Second {
-		allocator, sightings := NewAllocator(0, true, limits), &Sightings{}
+		allocator, sightings := NewAllocator(0, true, limits), &LastSeen{}
 		caches := make([]*TokenCache, n)
 		for i := range caches {
 			caches[i] = NewTokenCache()
-			caches[i].Sidecars(n)
+			caches[i].SetSidecars(n)
 		}
 		var admitted []time.Duration
 		for now := time.Duration(0); now < over; now += 5 * time.Millisecond {
@@ -57,9 +57,9 @@
 			if now >= cut+2*time.Second {
 				there = near
 			}
-			allocator.Sidecars(sightings.Note(now, there))
+			allocator.SetSidecars(sightings.Update(now, there))
 			for i, cache := range caches {
-				cache.Take(now, "t", limit, func(ok bool, _ time.Duration) {
+				cache.Admit(now, "t", limit, func(ok bool, _ time.Duration) {
 					if ok {
 						admitted = append(admitted, now)
 					}
@@ -68,10 +68,10 @@
 				switch {
 				case !due:
 				case away || now >= cut && i < n/2:
-					cache.Failed(now)
+					cache.HandleFailure(now)
 				default:
-					request := &TokenRequests{Who: names[i], Life: 1, Requests: requests}
-					cache.Got(now, now, &TokenGrants{Granted: true, Grants: allocator.Take(now, request)})
+					request := &AllocationRequest{Sidecar: names[i], Incarnation: 1, Requests: requests}
+					cache.HandleReply(now, now, &AllocationReply{Granted: true, Grants: allocator.Allocate(now, request)})
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 			}
 			most = max(most, i-first+1)
 		}
-		bound := limit.Rate*5 + limit.Burst + limit.Spare
+		bound := limit.Rate*5 + limit.Burst + limit.Overage
 		t.Logf("cut at %v: %d within five seconds, %v allowed", cut, most, bound)
 		qt.Check(t, float64(most) <= bound, qt.IsTrue)
 	}
--- a/internal/mesh/control/ratelimit/golden_test.go
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -17,19 +17,19 @@
 
 // Messages are encoded as other versions encode them, and theirs are read.
 func TestGoldenMessages(t *testing.T) {
-	request := TokenRequest{Tenant: "tenant-1", Tokens: 12.5, Demand: 40.25, Share: 3.75, Left: 9 * time.Second, Unused: 1.5}
-	requests := TokenRequests{Who: "10.0.0.3:7301", Life: 0xfedcba9876543210, Requests: []TokenRequest{request, {Tenant: "tenant-2"}},
-		Forwarded: true, Newest: 4_000_001}
-	grant := TokenGrant{Tenant: "tenant-1", Tokens: 12, Share: 4.5, Left: 10 * time.Second, Back: 120 * time.Millisecond}
-	grants := TokenGrants{Granted: true, Epoch: 4_000_002, Allocator: "10.0.0.1:7401", Grants: []TokenGrant{grant, {Tenant: "tenant-2"}}}
+	request := TokenRequest{Tenant: "tenant-1", Tokens: 12.5, Demand: 40.25, FallbackShare: 3.75, ShareRemaining: 9 * time.Second, UnusedTokens: 1.5}
+	requests := AllocationRequest{Sidecar: "10.0.0.3:7301", Incarnation: 0xfedcba9876543210, Requests: []TokenRequest{request, {Tenant: "tenant-2"}},
+		Forwarded: true, HighestFencingToken: 4_000_001}
+	grant := TokenGrant{Tenant: "tenant-1", Tokens: 12, FallbackShare: 4.5, ShareRemaining: 10 * time.Second, RetryAfter: 120 * time.Millisecond}
+	grants := AllocationReply{Granted: true, FencingToken: 4_000_002, Allocator: "10.0.0.1:7401", Grants: []TokenGrant{grant, {Tenant: "tenant-2"}}}
 	for _, m := range []struct {
 		name         string
 		value, empty codec.Message
 	}{
 		{"token-request", &request, &TokenRequest{}},
-		{"token-requests", &requests, &TokenRequests{}},
+		{"token-requests", &requests, &AllocationRequest{}},
 		{"token-grant", &grant, &TokenGrant{}},
-		{"token-grants", &grants, &TokenGrants{}},
+		{"token-grants", &grants, &AllocationReply{}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			file := "message-" + m.name + ".hex"
@@ -43,15 +43,15 @@
 // What allocators and sidecars of two versions must agree on.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
-	c.Check([]time.Duration{tokenValidity, silentAfter, shareLease, forgetAfter, sumInterval, sweepInterval}, qt.DeepEquals, []time.Duration{
+	c.Check([]time.Duration{tokenValidity, unresponsiveAfter, shareLease, forgetAfter, sumInterval, sweepInterval}, qt.DeepEquals, []time.Duration{
 		450 * time.Millisecond, 300 * time.Millisecond, 10 * time.Second, 20 * time.Second, 100 * time.Millisecond, time.Second})
-	c.Check([]time.Duration{heartbeatInterval, urgentInterval, renewInterval, idleAfter, replyTimeout, waitTimeout, firstWaitTimeout, backMin,
-		backMax, deniedMax}, qt.DeepEquals, []time.Duration{200 * time.Millisecond, 15 * time.Millisecond, 2 * time.Second, 10 * time.Second,
+	c.Check([]time.Duration{heartbeatInterval, urgentInterval, renewInterval, idleTimeout, replyTimeout, waitTimeout, firstWaitTimeout, minRetryAfter,
+		maxRetryAfter, maxDenial}, qt.DeepEquals, []time.Duration{200 * time.Millisecond, 15 * time.Millisecond, 2 * time.Second, 10 * time.Second,
 		60 * time.Millisecond, 60 * time.Millisecond, 250 * time.Millisecond, 30 * time.Millisecond, 2 * time.Second, 100 * time.Millisecond})
-	c.Check([]time.Duration{drawAhead, demandSpan, shareSpan, backAlone}, qt.DeepEquals, []time.Duration{300 * time.Millisecond, time.Second,
+	c.Check([]time.Duration{prefetchSpan, demandSpan, longTermSpan, maxFallbackRetryAfter}, qt.DeepEquals, []time.Duration{300 * time.Millisecond, time.Second,
 		8 * time.Second, 250 * time.Millisecond})
-	c.Check([]float64{evenShare, initialSpare, savedMax, firstShare, ratioPart, slackPart}, qt.DeepEquals, []float64{0.2, 0.25, 2, 0.08, 0.4, 0.6})
-	c.Check([]int{sidecarsMax, waitersMax, parts}, qt.DeepEquals, []int{8192, 1024, 20})
+	c.Check([]float64{evenFraction, initialOverageFraction, maxFallbackTokens, initialShareFraction, ratioFraction, slackFraction}, qt.DeepEquals, []float64{0.2, 0.25, 2, 0.08, 0.4, 0.6})
+	c.Check([]int{maxSidecars, maxWaiters, windowSlots}, qt.DeepEquals, []int{8192, 1024, 20})
 }
 
 // goldenRun is a run of three sidecars that draw tokens of two tenants, whose messages are late or lost, while the allocator is away
@@ -60,7 +60,7 @@
 	rng       *rand.Rand
 	now       time.Duration
 	allocator *Allocator
-	recent    Sightings
+	recent    LastSeen
 	caches    []*TokenCache
 	messages  []goldenRunMessage
 	decisions []string
@@ -71,11 +71,11 @@
 type goldenRunMessage struct {
 	at, sent time.Duration
 	sidecar  int
-	requests *TokenRequests
-	grants   *TokenGrants
+	requests *AllocationRequest
+	grants   *AllocationReply
 }
 
-var goldenLimits = map[string]Limit{"even": {Rate: 60, Burst: 20, Spare: 30}, "slow": {Rate: 2, Burst: 4, Spare: 1}}
+var goldenLimits = map[string]Limit{"even": {Rate: 60, Burst: 20, Overage: 30}, "slow": {Rate: 2, Burst: 4, Overage: 1}}
 
 func goldenLimit(tenant string) (Limit, bool) {
 	limit, ok := goldenLimits[tenant]
@@ -86,7 +86,7 @@
 	x := &goldenRun{rng: rand.New(rand.NewPCG(seed, 7)), allocator: NewAllocator(0, seed%2 == 0, goldenLimit)}
 	for range 3 {
 		cache := NewTokenCache()
-		cache.Sidecars(3)
+		cache.SetSidecars(3)
 		x.caches = append(x.caches, cache)
 	}
 	return x
@@ -97,7 +97,7 @@
 }
 
 func (x *goldenRun) request(i int, tenant string) {
-	x.caches[i].Take(x.now, tenant, goldenLimits[tenant], func(ok bool, back time.Duration) {
+	x.caches[i].Admit(x.now, tenant, goldenLimits[tenant], func(ok bool, back time.Duration) {
 		if ok {
 			x.admitted++
 		} else {
@@ -123,13 +123,13 @@
 		case m.at > x.now:
 			x.messages = append(x.messages, m)
 		case m.grants != nil:
-			x.note("%d took %v", m.sidecar, x.caches[m.sidecar].Got(x.now, m.sent, m.grants))
+			x.note("%d took %v", m.sidecar, x.caches[m.sidecar].HandleReply(x.now, m.sent, m.grants))
 		case x.now >= 4*time.Second && x.now < 6*time.Second: // no allocator
-			x.caches[m.sidecar].Failed(x.now)
+			x.caches[m.sidecar].HandleFailure(x.now)
 		default:
-			m.grants = &TokenGrants{Granted: true, Epoch: 1 + uint64(x.now/(6*time.Second)), Grants: x.allocator.Take(x.now, m.requests)}
+			m.grants = &AllocationReply{Granted: true, FencingToken: 1 + uint64(x.now/(6*time.Second)), Grants: x.allocator.Allocate(x.now, m.requests)}
 			for _, g := range m.grants.Grants {
-				x.note("%d %s granted %.6f %.6f %v %v", m.sidecar, g.Tenant, g.Tokens, g.Share, g.Left, g.Back.Round(time.Microsecond))
+				x.note("%d %s granted %.6f %.6f %v %v", m.sidecar, g.Tenant, g.Tokens, g.FallbackShare, g.ShareRemaining, g.RetryAfter.Round(time.Microsecond))
 			}
 			x.post(m)
 		}
@@ -146,8 +146,8 @@
 	if x.now >= 5*time.Second && x.now < 8*time.Second {
 		there = there[1:]
 	}
-	recent := x.recent.Note(x.now, there)
-	x.allocator.Sidecars(recent)
+	recent := x.recent.Update(x.now, there)
+	x.allocator.SetSidecars(recent)
 	x.deliver()
 	for i, cache := range x.caches {
 		if x.rng.IntN(7) == 0 {
@@ -159,11 +159,11 @@
 		if requests, due := cache.Tick(x.now); due {
 			slices.SortFunc(requests, func(a, b TokenRequest) int { return strings.Compare(a.Tenant, b.Tenant) })
 			for _, q := range requests {
-				x.note("%d %s wants %.6f %.6f %.6f %.6f %v", i, q.Tenant, q.Tokens, q.Demand, q.Share, q.Unused, q.Left)
+				x.note("%d %s wants %.6f %.6f %.6f %.6f %v", i, q.Tenant, q.Tokens, q.Demand, q.FallbackShare, q.UnusedTokens, q.ShareRemaining)
 			}
-			x.post(goldenRunMessage{sent: x.now, sidecar: i, requests: &TokenRequests{Who: fmt.Sprint(i), Life: 1, Requests: requests}})
+			x.post(goldenRunMessage{sent: x.now, sidecar: i, requests: &AllocationRequest{Sidecar: fmt.Sprint(i), Incarnation: 1, Requests: requests}})
 		}
-		x.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(x.now), cache.Waiting(), cache.Newest(), recent)
+		x.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(x.now), cache.HasWaiters(), cache.HighestFencingToken(), recent)
 	}
 }
 
@@ -182,12 +182,12 @@
 			x.rng.Uint64())
 	}
 	for seed := range uint64(4) {
-		rng, budget, taken, digest := rand.New(rand.NewPCG(seed, 8)), NewRepeats(10*time.Second), 0, sha256.New()
+		rng, budget, taken, digest := rand.New(rand.NewPCG(seed, 8)), NewRetryBudget(10*time.Second), 0, sha256.New()
 		for now := time.Duration(0); now < 40*time.Second; now += 10 * time.Millisecond {
 			if rng.IntN(3) > 0 {
-				budget.Request(now)
+				budget.CountRequest(now)
 			}
-			ok := budget.Take(now, 0.2, 20, 14)
+			ok := budget.Acquire(now, 0.2, 20, 14)
 			if ok {
 				taken++
 			}
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -8,38 +8,38 @@
 
 // TokenRequest is a sidecar's request for the tokens of one tenant.
 type TokenRequest struct {
-	Tenant string
-	Tokens float64       // for requests that wait, and those of the next moments
-	Demand float64       // requests a second of late
-	Share  float64       // the standing share that it holds, in requests a second
-	Left   time.Duration // of the share's lease
-	Unused float64       // tokens that ran out unspent since the last request; they go back
+	Tenant         string
+	Tokens         float64       // for requests that wait, and those of the next moments
+	Demand         float64       // requests a second of late
+	FallbackShare  float64       // the standing share that it holds, in requests a second
+	ShareRemaining time.Duration // of the share's lease
+	UnusedTokens   float64       // tokens that ran out unspent since the last request; they go back
 }
 
-// TokenRequests are all requests of a sidecar. They are sent often enough for silence to mean something.
-type TokenRequests struct {
-	Who       string // address of the sidecar
-	Life      uint64 // of the sidecar
-	Requests  []TokenRequest
-	Forwarded bool   // by another sidecar
-	Newest    uint64 // highest fencing number of an allocator that the sidecar has taken grants of
+// AllocationRequest are all requests of a sidecar. They are sent often enough for silence to mean something.
+type AllocationRequest struct {
+	Sidecar             string // address of the sidecar
+	Incarnation         uint64 // of the sidecar
+	Requests            []TokenRequest
+	Forwarded           bool   // by another sidecar
+	HighestFencingToken uint64 // highest fencing number of an allocator that the sidecar has taken grants of
 }
 
 // TokenGrant answers a TokenRequest.
 type TokenGrant struct {
-	Tenant string
-	Tokens float64       // good for tokenValidity from when they were requested
-	Share  float64       // standing share, in requests a second
-	Left   time.Duration // lease of the share, from when it was requested
-	Back   time.Duration // if tokens are short: when there will be some
+	Tenant         string
+	Tokens         float64       // good for tokenValidity from when they were requested
+	FallbackShare  float64       // standing share, in requests a second
+	ShareRemaining time.Duration // lease of the share, from when it was requested
+	RetryAfter     time.Duration // if tokens are short: when there will be some
 }
 
-// TokenGrants answers TokenRequests.
-type TokenGrants struct {
-	Granted   bool   // false: this process is not the allocator
-	Epoch     uint64 // fencing number of the allocator's lease
-	Allocator string // its address, as far as the answering process knows
-	Grants    []TokenGrant
+// AllocationReply answers AllocationRequest.
+type AllocationReply struct {
+	Granted      bool   // false: this process is not the allocator
+	FencingToken uint64 // fencing number of the allocator's lease
+	Allocator    string // its address, as far as the answering process knows
+	Grants       []TokenGrant
 }
 
 // Fields implements codec.Message.
@@ -47,33 +47,33 @@
 	v.Text(1, &q.Tenant)
 	v.Float(2, &q.Tokens)
 	v.Float(3, &q.Demand)
-	v.Float(4, &q.Share)
-	v.Time(5, &q.Left)
-	v.Float(6, &q.Unused)
+	v.Float(4, &q.FallbackShare)
+	v.Time(5, &q.ShareRemaining)
+	v.Float(6, &q.UnusedTokens)
 }
 
 // Fields implements codec.Message.
-func (q *TokenRequests) Fields(v *codec.Visitor) {
-	v.Text(1, &q.Who)
-	v.Fixed(2, &q.Life)
+func (q *AllocationRequest) Fields(v *codec.Visitor) {
+	v.Text(1, &q.Sidecar)
+	v.Fixed(2, &q.Incarnation)
 	codec.Messages(v, 3, &q.Requests)
 	v.Bool(4, &q.Forwarded)
-	v.Uint(5, &q.Newest)
+	v.Uint(5, &q.HighestFencingToken)
 }
 
 // Fields implements codec.Message.
 func (g *TokenGrant) Fields(v *codec.Visitor) {
 	v.Text(1, &g.Tenant)
 	v.Float(2, &g.Tokens)
-	v.Float(3, &g.Share)
-	v.Time(4, &g.Left)
-	v.Time(5, &g.Back)
+	v.Float(3, &g.FallbackShare)
+	v.Time(4, &g.ShareRemaining)
+	v.Time(5, &g.RetryAfter)
 }
 
 // Fields implements codec.Message.
-func (g *TokenGrants) Fields(v *codec.Visitor) {
+func (g *AllocationReply) Fields(v *codec.Visitor) {
 	v.Bool(1, &g.Granted)
-	v.Uint(2, &g.Epoch)
+	v.Uint(2, &g.FencingToken)
 	v.Text(3, &g.Allocator)
 	codec.Messages(v, 4, &g.Grants)
 }
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -14,7 +14,7 @@
 // late or lost, and the duty moves to another allocator that knows nothing: in no window of five seconds is more let in than the
 // rules allow, and while all are in touch and the duty stays, no less than the rate.
 func TestLimitHoldsWhoeverIsCutOff(t *testing.T) {
-	limit := Limit{Rate: 100, Burst: 100, Spare: 80}
+	limit := Limit{Rate: 100, Burst: 100, Overage: 80}
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const n, over = 10, 40 * time.Second
@@ -24,13 +24,13 @@
 		for i := range n {
 			names = append(names, strconv.Itoa(i))
 		}
-		allocator.Sidecars(names)
+		allocator.SetSidecars(names)
 		type mail struct {
 			at, sent time.Duration
 			to       int // sidecar; -1 allocator
 			from     int
-			requests *TokenRequests
-			grants   *TokenGrants
+			requests *AllocationRequest
+			grants   *AllocationReply
 		}
 		var post []mail
 		caches := make([]*TokenCache, n)
@@ -48,7 +48,7 @@
 			if trouble && rng.IntN(1000) == 0 && now > away+1500*time.Millisecond {
 				away = now + time.Duration(100+rng.IntN(2000))*time.Millisecond
 				allocator = NewAllocator(away, false, limits)
-				allocator.Sidecars(names)
+				allocator.SetSidecars(names)
 			}
 			slices.SortStableFunc(post, func(a, b mail) int { return int(a.at - b.at) })
 			for len(post) > 0 && post[0].at <= now {
@@ -59,14 +59,14 @@
 				case m.to < 0 && now < away:
 				case m.to < 0:
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: m.sent, to: m.from,
-						from: m.from, grants: &TokenGrants{Granted: true, Grants: allocator.Take(now, m.requests)}})
+						from: m.from, grants: &AllocationReply{Granted: true, Grants: allocator.Allocate(now, m.requests)}})
 				default:
-					caches[m.to].Got(now, m.sent, m.grants)
+					caches[m.to].HandleReply(now, m.sent, m.grants)
 				}
 			}
 			for i, p := range caches {
 				if rng.Float64() < 0.4 { // 80 a second at each
-					p.Take(now, "t", limit, func(ok bool, _ time.Duration) {
+					p.Admit(now, "t", limit, func(ok bool, _ time.Duration) {
 						if ok {
 							let = append(let, now)
 						}
@@ -74,10 +74,10 @@
 				}
 				if w, due := p.Tick(now); due {
 					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: now, to: -1, from: i,
-						requests: &TokenRequests{Who: names[i], Life: 1, Requests: w}})
+						requests: &AllocationRequest{Sidecar: names[i], Incarnation: 1, Requests: w}})
 				}
-				if now-p.sent > replyTimeout*2 && p.out {
-					p.Failed(now)
+				if now-p.lastSent > replyTimeout*2 && p.inFlight {
+					p.HandleFailure(now)
 				}
 			}
 		}
@@ -99,16 +99,16 @@
 
 func TestRepeatsKeepToTheirPart(t *testing.T) {
 	c := qt.New(t)
-	r := NewRepeats(10 * time.Second)
+	r := NewRetryBudget(10 * time.Second)
 	took := 0
 	for i := range 1000 {
 		now := time.Duration(i) * 10 * time.Millisecond
-		r.Request(now)
-		if r.Take(now, 0.2, 58, 14) {
+		r.CountRequest(now)
+		if r.Acquire(now, 0.2, 58, 14) {
 			took++
 		}
 	}
 	c.Assert(took <= 1000/5, qt.IsTrue)
 	c.Assert(took >= 60, qt.IsTrue)
-	c.Assert(r.Take(time.Minute, 0.2, 58, 14), qt.IsTrue) // a part of the slack is always there
+	c.Assert(r.Acquire(time.Minute, 0.2, 58, 14), qt.IsTrue) // a part of the slack is always there
 }
--- a/internal/mesh/control/ratelimit/tenant_tokens.go
+++ b/internal/mesh/control/ratelimit/tenant_tokens.go
@@ -3,110 +3,110 @@
 import "time"
 
 const (
-	drawAhead  = 300 * time.Millisecond // of demand, that tokens are requested for beforehand
-	demandSpan = time.Second            // over which demand is smoothed, for tokens,
-	shareSpan  = 8 * time.Second        // and for the standing share: many tenants have less than one request a second
-	savedMax   = 2.0                    // requests that a sidecar without an allocator may save up, where its share is small
-	firstShare = 0.08                   // of a tenant's rate, at most, that a sidecar without a share takes
-	backAlone  = 250 * time.Millisecond // a client refused without an allocator is to come back then at the latest
+	prefetchSpan          = 300 * time.Millisecond // of demand, that tokens are requested for beforehand
+	demandSpan            = time.Second            // over which demand is smoothed, for tokens,
+	longTermSpan          = 8 * time.Second        // and for the standing share: many tenants have less than one request a second
+	maxFallbackTokens     = 2.0                    // requests that a sidecar without an allocator may save up, where its share is small
+	initialShareFraction  = 0.08                   // of a tenant's rate, at most, that a sidecar without a share takes
+	maxFallbackRetryAfter = 250 * time.Millisecond // a client refused without an allocator is to come back then at the latest
 )
 
 // tenantTokens is what a sidecar holds of one tenant's limit.
 type tenantTokens struct {
-	limit  Limit
-	demand float64       // requests a second, smoothed over demandSpan,
-	usual  float64       // and over shareSpan
-	at     time.Duration // of both
-
-	tokens float64
-	until  time.Duration // the tokens are good
-	unused float64       // tokens that ran out
-	denied time.Duration // the allocator has no tokens before
-
-	share      float64       // standing share, in requests a second
-	shareUntil time.Duration // its lease
-	renew      time.Duration // when it is to be told and renewed
-	level      float64       // requests that it may admit now
-	levelAt    time.Duration
-
-	waiting []func(ok bool, back time.Duration)
-	since   time.Duration // the first of those has waited
-	asked   int           // so many of those, the first, are in the request under way
+	limit          Limit
+	demand         float64       // requests a second, smoothed over demandSpan,
+	longTermDemand float64       // and over longTermSpan
+	demandAt       time.Duration // of both
+
+	tokens        float64
+	tokensUntil   time.Duration // the tokens are good
+	expiredTokens float64       // tokens that ran out
+	deniedUntil   time.Duration // the allocator has no tokens before
+
+	fallbackShare      float64       // standing share, in requests a second
+	shareUntil         time.Duration // its lease
+	renewAt            time.Duration // when it is to be told and renewed
+	fallbackTokens     float64       // requests that it may admit now
+	fallbackRefilledAt time.Duration
+
+	waiters          []func(ok bool, back time.Duration)
+	waitingSince     time.Duration // the first of those has waited
+	requestedWaiters int           // so many of those, the first, are in the request under way
 }
 
-// spend takes one token, if there is one.
-func (t *tenantTokens) spend(now time.Duration) bool {
-	if now >= t.until || t.tokens < 1 {
+// takeToken takes one token, if there is one.
+func (t *tenantTokens) takeToken(now time.Duration) bool {
+	if now >= t.tokensUntil || t.tokens < 1 {
 		return false
 	}
 	t.tokens--
 	return true
 }
 
-// lapse puts tokens aside that have run out.
-func (t *tenantTokens) lapse(now time.Duration) {
-	if now >= t.until && t.tokens > 0 {
-		t.unused += t.tokens
+// expireTokens puts tokens aside that have run out.
+func (t *tenantTokens) expireTokens(now time.Duration) {
+	if now >= t.tokensUntil && t.tokens > 0 {
+		t.expiredTokens += t.tokens
 		t.tokens = 0
 	}
 }
 
-// count adds requests to the demand.
-func (t *tenantTokens) count(now time.Duration, n float64) {
-	dt := float64(now - t.at)
+// recordDemand adds requests to the demand.
+func (t *tenantTokens) recordDemand(now time.Duration, n float64) {
+	dt := float64(now - t.demandAt)
 	t.demand = t.demand/(1+dt/float64(demandSpan)) + n/demandSpan.Seconds()
-	t.usual = t.usual/(1+dt/float64(shareSpan)) + n/shareSpan.Seconds()
-	t.at = now
+	t.longTermDemand = t.longTermDemand/(1+dt/float64(longTermSpan)) + n/longTermSpan.Seconds()
+	t.demandAt = now
 }
 
-// ahead is the demand of the time for which tokens are requested beforehand, in requests.
-func (t *tenantTokens) ahead(now time.Duration) float64 {
-	return t.demand / (1 + float64(now-t.at)/float64(demandSpan)) * drawAhead.Seconds()
+// prefetchDemand is the demand of the time for which tokens are requested beforehand, in requests.
+func (t *tenantTokens) prefetchDemand(now time.Duration) float64 {
+	return t.demand / (1 + float64(now-t.demandAt)/float64(demandSpan)) * prefetchSpan.Seconds()
 }
 
-// short reports whether tokens are about to run out.
-func (t *tenantTokens) short(now time.Duration) bool {
-	ahead := t.ahead(now)
-	if ahead < 1 || now < t.denied {
+// runningLow reports whether tokens are about to run out.
+func (t *tenantTokens) runningLow(now time.Duration) bool {
+	ahead := t.prefetchDemand(now)
+	if ahead < 1 || now < t.deniedUntil {
 		return false
 	}
-	return now+drawAhead/4 >= t.until || t.tokens < ahead/3
+	return now+prefetchSpan/4 >= t.tokensUntil || t.tokens < ahead/3
 }
 
-// admitAlone admits a request by the standing share. A sidecar that has none, having never reached an allocator or not within the
+// admitByFallbackShare admits a request by the standing share. A sidecar that has none, having never reached an allocator or not within the
 // lease of its share, takes a small even one: with no allocator at all, as after a restart of all processes or with the core
 // away for long, these add up to no more than the limit; where a few sidecars alone reach none, even through others, the sum
 // stays within what the rules leave.
-func (t *tenantTokens) admitAlone(now time.Duration, sidecars int) (ok bool, back time.Duration) {
+func (t *tenantTokens) admitByFallbackShare(now time.Duration, sidecars int) (ok bool, back time.Duration) {
 	sidecars = max(sidecars, 1)
 	if now >= t.shareUntil {
-		t.share = t.limit.Rate * min(firstShare, 1/float64(sidecars))
+		t.fallbackShare = t.limit.Rate * min(initialShareFraction, 1/float64(sidecars))
 	}
-	saved := (t.limit.Spare + t.limit.Burst) / float64(sidecars) // what may be saved up, divided among all
-	most := max(t.share*drawAhead.Seconds(), min(saved, savedMax), 1)
-	t.level = min(t.level+t.share*(now-t.levelAt).Seconds(), most)
-	t.levelAt = now
-	if t.level >= 1 {
-		t.level--
+	saved := (t.limit.Overage + t.limit.Burst) / float64(sidecars) // what may be saved up, divided among all
+	most := max(t.fallbackShare*prefetchSpan.Seconds(), min(saved, maxFallbackTokens), 1)
+	t.fallbackTokens = min(t.fallbackTokens+t.fallbackShare*(now-t.fallbackRefilledAt).Seconds(), most)
+	t.fallbackRefilledAt = now
+	if t.fallbackTokens >= 1 {
+		t.fallbackTokens--
 		return true, 0
 	}
-	if t.share <= 0 {
-		return false, backMax
+	if t.fallbackShare <= 0 {
+		return false, maxRetryAfter
 	}
-	return false, min(time.Duration((1-t.level)/t.share*float64(time.Second)), backAlone) // an allocator may be back by then
+	return false, min(time.Duration((1-t.fallbackTokens)/t.fallbackShare*float64(time.Second)), maxFallbackRetryAfter) // an allocator may be back by then
 }
 
-// request makes the tenant's request for tokens.
-func (t *tenantTokens) request(now time.Duration, tenant string) TokenRequest {
-	t.renew = now + renewInterval
-	q := TokenRequest{Tenant: tenant, Demand: t.usual / (1 + float64(now-t.at)/float64(shareSpan)), Share: t.share,
-		Left: max(t.shareUntil-now, 0), Unused: t.unused}
-	t.unused = 0
-	t.asked = len(t.waiting)
-	q.Tokens = float64(t.asked)
-	if ahead := t.ahead(now); ahead >= 1 {
+// newRequest makes the tenant's request for tokens.
+func (t *tenantTokens) newRequest(now time.Duration, tenant string) TokenRequest {
+	t.renewAt = now + renewInterval
+	q := TokenRequest{Tenant: tenant, Demand: t.longTermDemand / (1 + float64(now-t.demandAt)/float64(longTermSpan)), FallbackShare: t.fallbackShare,
+		ShareRemaining: max(t.shareUntil-now, 0), UnusedTokens: t.expiredTokens}
+	t.expiredTokens = 0
+	t.requestedWaiters = len(t.waiters)
+	q.Tokens = float64(t.requestedWaiters)
+	if ahead := t.prefetchDemand(now); ahead >= 1 {
 		q.Tokens += ahead
-		if now < t.until {
+		if now < t.tokensUntil {
 			q.Tokens -= t.tokens
 		}
 	}
@@ -114,37 +114,37 @@
 	return q
 }
 
-// take takes the grant to a request that was sent at a time.
-func (t *tenantTokens) take(now, sent time.Duration, g *TokenGrant) {
-	t.lapse(now)
+// applyGrant takes the grant to a request that was sent at a time.
+func (t *tenantTokens) applyGrant(now, sent time.Duration, g *TokenGrant) {
+	t.expireTokens(now)
 	if sent+tokenValidity > now {
 		t.tokens += g.Tokens
-		t.until = sent + tokenValidity
+		t.tokensUntil = sent + tokenValidity
 	}
-	t.share, t.shareUntil = g.Share, sent+g.Left
-	if g.Back > 0 {
-		t.denied = now + min(g.Back, deniedMax)
+	t.fallbackShare, t.shareUntil = g.FallbackShare, sent+g.ShareRemaining
+	if g.RetryAfter > 0 {
+		t.deniedUntil = now + min(g.RetryAfter, maxDenial)
 	}
-	t.settle(now, clampBack(g.Back))
+	t.serveWaiters(now, clampRetryAfter(g.RetryAfter))
 }
 
-// settle admits waiting requests by the tokens that are there. Those that were in the request and got none are told to come
+// serveWaiters admits waiting requests by the tokens that are there. Those that were in the request and got none are told to come
 // back; those that came later wait for the next answer.
-func (t *tenantTokens) settle(now, back time.Duration) {
+func (t *tenantTokens) serveWaiters(now, back time.Duration) {
 	i := 0
-	for ; i < len(t.waiting) && t.spend(now); i++ {
-		t.waiting[i](true, 0)
+	for ; i < len(t.waiters) && t.takeToken(now); i++ {
+		t.waiters[i](true, 0)
 	}
-	for ; i < len(t.waiting) && i < t.asked; i++ {
-		t.waiting[i](false, back)
+	for ; i < len(t.waiters) && i < t.requestedWaiters; i++ {
+		t.waiters[i](false, back)
 	}
-	t.waiting, t.asked, t.since = t.waiting[i:], 0, now
+	t.waiters, t.requestedWaiters, t.waitingSince = t.waiters[i:], 0, now
 }
 
-// release answers all waiting requests.
-func (t *tenantTokens) release(admit func() (bool, time.Duration)) {
-	waiting := t.waiting
-	t.waiting = nil
+// answerWaiters answers all waiting requests.
+func (t *tenantTokens) answerWaiters(admit func() (bool, time.Duration)) {
+	waiting := t.waiters
+	t.waiters = nil
 	for _, done := range waiting {
 		done(admit())
 	}
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -52,14 +52,14 @@
 	last      balancer.EndpointID
 	classes   map[classKey]int
 	requests  map[balancer.RequestID]*request
-	repeats   *ratelimit.Repeats
+	repeats   *ratelimit.RetryBudget
 	version   uint64
 }
 
 func newServiceBalancer(d *Proxy, service string, seed uint64) (*serviceBalancer, error) {
 	c := &serviceBalancer{proxy: d, service: service, endpoints: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
 		classes: map[classKey]int{}, requests: map[balancer.RequestID]*request{},
-		repeats: ratelimit.NewRepeats(d.o.Bounds.BudgetWindow)}
+		repeats: ratelimit.NewRetryBudget(d.o.Bounds.BudgetWindow)}
 	b, err := balancer.New(balancer.Settings{
 		Instances: 1, Tiers: 1, Quantum: quantum, GoalWhole: 1, MayCancel: true, MaxRetryAfter: backMost,
 		ConnectTimeout: connectTime, ColdFrom: coldFrom, Cold: cold, TipMultiple: tipMultiple, Fall: window,
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -177,7 +177,7 @@
 		d.next++
 		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(d.next, 36)), c
 		c.requests[r.id] = r
-		c.repeats.Request(now)
+		c.repeats.CountRequest(now)
 		c.balancer.Request(now, balancer.Request{ID: r.id, Class: c.class(r.route), Left: r.deadline - now,
 			Times: times})
 	})
