--- a/internal/mesh/agent/config.go
+++ b/internal/mesh/agent/config.go
@@ -52,7 +52,7 @@
 }
 
 func readVersion(version uint64, text []byte) (*configuration.Config, error) {
-	conf, err := configuration.Read(text)
+	conf, err := configuration.Parse(text)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -27,12 +27,12 @@
 
 // Voters is the register whose voters grant leases too.
 type Voters interface {
-	// Membership is the newest list of voters, by control addresses, that this process knows as decided.
-	Membership() consensus.VoterSet
+	// VoterSet is the newest list of voters, by control addresses, that this process knows as decided.
+	VoterSet() consensus.VoterSet
 	// Accepted is the epoch of this process's newest vote; ready is false while its record isn't known.
 	Accepted() (epoch uint64, ready bool)
-	// Newest reads the register from a majority, and learns of a newer list of voters by that.
-	Newest(ctx context.Context) (consensus.Value, error)
+	// ReadLatest reads the register from a majority, and learns of a newer list of voters by that.
+	ReadLatest(ctx context.Context) (consensus.Value, error)
 }
 
 // Duties are what core processes do one at a time, under leases that their voters grant.
@@ -72,7 +72,7 @@
 // vote answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
 func (d *Duties) vote(q *lease.Request) *lease.Reply {
 	accepted, ready := d.voters.Accepted()
-	standing := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, d.voters.Membership().Epoch)}
+	standing := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, d.voters.VoterSet().Epoch)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.agent.o.Hub.Now()
@@ -99,7 +99,7 @@
 }
 
 func (d *Duties) step() {
-	voters := d.voters.Membership()
+	voters := d.voters.VoterSet()
 	now := d.agent.o.Hub.Now()
 	d.lookAtMembers(now)
 	d.mu.Lock()
@@ -193,7 +193,7 @@
 	go func() { // ends by its timeout
 		ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
 		defer cancel()
-		if _, err := d.voters.Newest(ctx); err != nil {
+		if _, err := d.voters.ReadLatest(ctx); err != nil {
 			d.agent.o.Log.WithError(err).Debug("agent: the newest list of voters can't be read")
 		}
 		d.mu.Lock()
@@ -231,7 +231,7 @@
 		return
 	}
 	d.vote(request)
-	nodes := append(slices.Clone(d.voters.Membership().Voters), d.agent.Cores()...)
+	nodes := append(slices.Clone(d.voters.VoterSet().Voters), d.agent.Cores()...)
 	slices.Sort(nodes)
 	nodes = slices.DeleteFunc(slices.Compact(nodes), func(node string) bool { return node == d.agent.o.Settings.Control })
 	answered := make(chan struct{}, len(nodes))
--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -27,7 +27,7 @@
 	newest   *consensus.VoterSet // that a read finds
 }
 
-func (r *register) Membership() consensus.VoterSet {
+func (r *register) VoterSet() consensus.VoterSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
@@ -39,7 +39,7 @@
 	return r.accepted, true
 }
 
-func (r *register) Newest(context.Context) (consensus.Value, error) {
+func (r *register) ReadLatest(context.Context) (consensus.Value, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.newest != nil {
@@ -117,14 +117,14 @@
 func TestHolderLearnsOfNewVoters(t *testing.T) {
 	d := newDutyCore(t, 4)
 	first, number := d.holder()
-	list := d.registers[0].Membership()
+	list := d.registers[0].VoterSet()
 	next := consensus.VoterSet{Epoch: 1, Previous: list.Voters, Voters: append(list.Voters[1:3:3], d.duties[3].agent.o.Settings.Control)}
 	for _, r := range d.registers {
 		r.mu.Lock()
 		r.accepted, r.newest = 1, &next
 		r.mu.Unlock()
 	}
-	for began := time.Now(); d.registers[first].Membership().Epoch == 0; time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); d.registers[first].VoterSet().Epoch == 0; time.Sleep(5 * time.Millisecond) {
 		d.Assert(time.Since(began) < 20*time.Second, qt.IsTrue)
 	}
 	again, higher := d.holder()
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -80,10 +80,10 @@
 func (d *Duties) State(ctx context.Context) State {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	newest, err := d.voters.Newest(ctx)
+	newest, err := d.voters.ReadLatest(ctx)
 	a := d.agent
 	now := a.o.Hub.Now()
-	s := State{Node: a.o.Settings.Name, Voters: d.voters.Membership().Voters, Confirmed: err == nil}
+	s := State{Node: a.o.Settings.Name, Voters: d.voters.VoterSet().Voters, Confirmed: err == nil}
 	_, s.Ready = d.voters.Accepted()
 	d.mu.Lock()
 	duty := DutyState{Name: dutyAllocator, Holder: d.allocatorLease.Holder(now)}
--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -48,7 +48,7 @@
 	close(c.ready)
 	go p.follow(func(s *settings.Settings) {
 		c.agent.Seeds(s.SeedPeers())
-		c.server.Seeds(s.Seeds)
+		c.server.SetSeeds(s.Seeds)
 	})
 	streams, endStreams := context.WithCancel(context.Background())
 	defer endStreams()
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -84,7 +84,7 @@
 	call := httpCall{method: "GET", path: "/readiness"}
 	h := http.HandlerFunc(a.readiness)
 	text := append([]byte("without a configuration\n"), answersTo(h, call)...)
-	conf, err := configuration.Read([]byte(goldenConfig))
+	conf, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
 	a.outbound.Configure(conf)
 	text = append(append(text, "with a configuration\n"...), answersTo(h, call, httpCall{method: "HEAD", path: "/"}, httpCall{method: "POST", path: "/other"})...)
--- a/internal/mesh/control/configuration/configuration.go
+++ b/internal/mesh/control/configuration/configuration.go
@@ -37,21 +37,21 @@
 	return versionPrefix + strconv.FormatUint(uint64(v), 10)
 }
 
-// Kind reports whether the requests of a route may run more than once.
-type Kind uint8
+// RouteKind reports whether the requests of a route may run more than once.
+type RouteKind uint8
 
 // The kinds of routes. One that we don't know counts as NonIdempotent, which allows the least.
 const (
-	NonIdempotent Kind = iota
+	NonIdempotent RouteKind = iota
 	Idempotent
 	Downlink
 )
 
-// Repeatable reports whether a request may run more than once.
-func (k Kind) Repeatable() bool { return k == Idempotent || k == Downlink }
+// IsIdempotent reports whether a request may run more than once.
+func (k RouteKind) IsIdempotent() bool { return k == Idempotent || k == Downlink }
 
-// Share is a service's part of a route's requests.
-type Share struct {
+// WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -59,10 +59,10 @@
 // Route is where requests for a host and a prefix go. Split has at least one share of a weight above 0.
 type Route struct {
 	Name, Host, Prefix    string
-	Kind                  Kind
+	Kind                  RouteKind
 	Timeout, Target       time.Duration
 	Priority, MaxAttempts int
-	Split                 []Share
+	Split                 []WeightedService
 	Public                bool
 }
 
@@ -88,41 +88,41 @@
 
 // Config is a configuration as it was read. It does not change.
 type Config struct {
-	Version  Version
-	Routes   []Route
-	Services []Service
-	Limits   Limits
-	Tenants  []Tenant
-	Keyed    bool   // there is a tenantTable
-	Raw      []byte // as it came
-
-	hosts   map[string]*branch
-	holders map[string]*Tenant
+	Version        Version
+	Routes         []Route
+	Services       []Service
+	Limits         Limits
+	Tenants        []Tenant
+	HasTenantTable bool   // there is a tenantTable
+	Raw            []byte // as it came
+
+	routesByHost map[string]*prefixNode
+	tenantsByKey map[string]*Tenant
 }
 
-// branch is a part of a host's prefixes, which are cut after each slash: "/", "a/", "b/".
-type branch struct {
-	route *Route
-	next  map[string]*branch
-	tails []*Route // whose last piece, the tail, has no slash; longest first
-	depth int      // bytes of the prefix so far
+// prefixNode is a part of a host's prefixes, which are cut after each slash: "/", "a/", "b/".
+type prefixNode struct {
+	route         *Route
+	children      map[string]*prefixNode
+	partialRoutes []*Route // whose last piece, the tail, has no slash; longest first
+	prefixBytes   int      // bytes of the prefix so far
 }
 
-// hostOf is a host as routes are compared: without port, in lower case.
-func hostOf(host string) string {
+// canonicalHost is a host as routes are compared: without port, in lower case.
+func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && i > strings.LastIndexByte(host, ']') {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// plant puts a route into the index, and tells the one that has its place already.
-func (c *Config) plant(r *Route) *Route {
-	host := hostOf(r.Host)
-	b := c.hosts[host]
+// addToIndex puts a route into the index, and tells the one that has its place already.
+func (c *Config) addToIndex(r *Route) *Route {
+	host := canonicalHost(r.Host)
+	b := c.routesByHost[host]
 	if b == nil {
-		b = &branch{}
-		c.hosts[host] = b
+		b = &prefixNode{}
+		c.routesByHost[host] = b
 	}
 	rest := r.Prefix
 	for {
@@ -131,13 +131,13 @@
 			break
 		}
 		piece := rest[:i+1]
-		next := b.next[piece]
+		next := b.children[piece]
 		if next == nil {
-			if b.next == nil {
-				b.next = map[string]*branch{}
+			if b.children == nil {
+				b.children = map[string]*prefixNode{}
 			}
-			next = &branch{depth: b.depth + len(piece)}
-			b.next[piece] = next
+			next = &prefixNode{prefixBytes: b.prefixBytes + len(piece)}
+			b.children[piece] = next
 		}
 		b, rest = next, rest[i+1:]
 	}
@@ -149,29 +149,29 @@
 		return nil
 	}
 	at := 0
-	for ; at < len(b.tails) && len(b.tails[at].Prefix) >= len(r.Prefix); at++ {
-		if b.tails[at].Prefix == r.Prefix {
-			return b.tails[at]
+	for ; at < len(b.partialRoutes) && len(b.partialRoutes[at].Prefix) >= len(r.Prefix); at++ {
+		if b.partialRoutes[at].Prefix == r.Prefix {
+			return b.partialRoutes[at]
 		}
 	}
-	b.tails = append(b.tails, nil)
-	copy(b.tails[at+1:], b.tails[at:])
-	b.tails[at] = r
+	b.partialRoutes = append(b.partialRoutes, nil)
+	copy(b.partialRoutes[at+1:], b.partialRoutes[at:])
+	b.partialRoutes[at] = r
 	return nil
 }
 
 // Match finds the route for a host and a path: among the host's routes the one with the longest prefix that begins the
 // path, nil if there is none. What it costs depends on the path's length only.
 func (c *Config) Match(host, path string) *Route {
-	b := c.hosts[hostOf(host)]
+	b := c.routesByHost[canonicalHost(host)]
 	var best *Route
 	for b != nil {
 		if b.route != nil {
 			best = b.route
 		}
-		rest := path[b.depth:]
-		for _, r := range b.tails {
-			if strings.HasPrefix(rest, r.Prefix[b.depth:]) {
+		rest := path[b.prefixBytes:]
+		for _, r := range b.partialRoutes {
+			if strings.HasPrefix(rest, r.Prefix[b.prefixBytes:]) {
 				best = r
 				break
 			}
@@ -180,16 +180,16 @@
 		if i < 0 {
 			break
 		}
-		b = b.next[rest[:i+1]]
+		b = b.children[rest[:i+1]]
 	}
 	return best
 }
 
 // Holder is the tenant that holds a key, nil if no one does.
-func (c *Config) TenantByKey(key string) *Tenant { return c.holders[key] }
+func (c *Config) TenantByKey(key string) *Tenant { return c.tenantsByKey[key] }
 
-// Draw picks a service by the weights, for x from 0 up to but not including 1.
-func (r *Route) Draw(x float64) string {
+// PickService picks a service by the weights, for x from 0 up to but not including 1.
+func (r *Route) PickService(x float64) string {
 	var sum float64
 	for i := range r.Split {
 		sum += r.Split[i].Weight
--- a/internal/mesh/control/configuration/configuration_test.go
+++ b/internal/mesh/control/configuration/configuration_test.go
@@ -13,21 +13,21 @@
 
 func TestTheExampleIsTaken(t *testing.T) {
 	c := qt.New(t)
-	cfg, err := Read([]byte(example))
+	cfg, err := Parse([]byte(example))
 	c.Assert(err, qt.IsNil)
 	c.Assert(cfg.Version, qt.Equals, Version(7))
-	c.Assert(cfg.Keyed, qt.IsTrue)
+	c.Assert(cfg.HasTenantTable, qt.IsTrue)
 	c.Assert(cfg.Limits, qt.Equals, Limits{16384, 64 << 20, 3 * time.Second, 15 * time.Second})
 	c.Assert(cfg.Routes[0], qt.DeepEquals, Route{Name: "r-6sz9frg", Host: "jepu9.example", Prefix: "/lepu270/",
 		Kind: Idempotent, Timeout: 2500 * time.Millisecond, Target: 600 * time.Millisecond, Priority: 2, MaxAttempts: 2,
-		Split: []Share{{"huvo11a", 90}, {"kafi81c", 10}}})
+		Split: []WeightedService{{"huvo11a", 90}, {"kafi81c", 10}}})
 	c.Assert(cfg.Match("JEPU9.example:80", "/lepu270/2f"), qt.Equals, &cfg.Routes[0])
 	c.Assert(cfg.Match("jepu9.example", "/lepu270"), qt.IsNil)
 	c.Assert(cfg.Match("hulo84.example", "/xapu221/ny95/"), qt.Equals, &cfg.Routes[1])
 	c.Assert(cfg.Match("other.example", "/lepu270/2f"), qt.IsNil)
 	c.Assert(cfg.TenantByKey("kcuyj8pjbvk9m68k7b2e").Name, qt.Equals, "bozi300")
 	c.Assert(cfg.TenantByKey(""), qt.IsNil)
-	c.Assert([]string{cfg.Routes[0].Draw(0.899), cfg.Routes[0].Draw(0.9), cfg.Routes[1].Draw(0.9)}, qt.DeepEquals,
+	c.Assert([]string{cfg.Routes[0].PickService(0.899), cfg.Routes[0].PickService(0.9), cfg.Routes[1].PickService(0.9)}, qt.DeepEquals,
 		[]string{"huvo11a", "kafi81c", "wuno96b"})
 }
 
@@ -68,7 +68,7 @@
 	} {
 		raw := strings.Replace(example, x.old, x.new, 1)
 		qt.Assert(t, raw != example, qt.IsTrue, qt.Commentf("%s", x.old))
-		_, err := Read([]byte(raw))
+		_, err := Parse([]byte(raw))
 		if x.fault == "" {
 			qt.Check(t, err, qt.IsNil, qt.Commentf("%s", x.new))
 			continue
@@ -90,7 +90,7 @@
 		b.WriteString(`{"hostName":"h","serviceName":"s","timeout":"1s","pathPrefix":"` + p + `"}`)
 	}
 	b.WriteString(`]}`)
-	cfg, err := Read([]byte(b.String()))
+	cfg, err := Parse([]byte(b.String()))
 	qt.Assert(t, err, qt.IsNil)
 	pieces := []string{"", "/", "a", "b", "/c", "//"}
 	var paths func(path string, n int)
--- a/internal/mesh/control/configuration/golden_test.go
+++ b/internal/mesh/control/configuration/golden_test.go
@@ -25,7 +25,7 @@
 		line(path+"host", fmt.Sprintf("%q", r.Host))
 		line(path+"prefix", fmt.Sprintf("%q", r.Prefix))
 		line(path+"kind", uint8(r.Kind))
-		line(path+"may run more than once", r.Kind.Repeatable())
+		line(path+"may run more than once", r.Kind.IsIdempotent())
 		line(path+"timeout", r.Timeout)
 		line(path+"target", r.Target)
 		line(path+"priority", r.Priority)
@@ -35,14 +35,14 @@
 			line(path+"split "+s.Service, s.Weight)
 		}
 		for _, x := range []float64{0, 0.25, 0.5, 0.99, 0.999999} {
-			line(path+fmt.Sprintf("draw %v", x), r.Draw(x))
+			line(path+fmt.Sprintf("draw %v", x), r.PickService(x))
 		}
 	}
 	for i, s := range c.Services {
 		line(fmt.Sprintf("service %d", i), fmt.Sprintf("%q %q %d", s.Name, s.HealthPath, s.ConnectionCap))
 	}
 	line("limits", fmt.Sprintf("%+v", []any{c.Limits.HeaderMax, c.Limits.BodyMax, c.Limits.HeaderTimeout, c.Limits.IdleTimeout}))
-	line("keyed", c.Keyed)
+	line("keyed", c.HasTenantTable)
 	for i, t := range c.Tenants {
 		line(fmt.Sprintf("tenant %d", i), fmt.Sprintf("%q %q %d %v %v", t.Name, t.Keys, t.Priority, t.Rate, t.Burst))
 	}
@@ -71,7 +71,7 @@
 				raw, err = os.ReadFile(filepath.Join("testdata", "golden", name+".json"))
 				qt.Assert(t, err, qt.IsNil)
 			}
-			cfg, err := Read(raw)
+			cfg, err := Parse(raw)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, string(cfg.Raw), qt.Equals, string(raw))
 			golden.Text(t, name+".txt", canonical(cfg))
@@ -153,7 +153,7 @@
 	for _, x := range goldenFaults {
 		raw := strings.Replace(example, x.old, x.new, 1)
 		qt.Assert(t, raw != example, qt.IsTrue, qt.Commentf("%s", x.name))
-		_, err := Read([]byte(raw))
+		_, err := Parse([]byte(raw))
 		qt.Assert(t, trace.IsBadParameter(err), qt.IsTrue, qt.Commentf("%s: %v", x.name, err))
 		fmt.Fprintf(&text, "%s: BadParameter\n", x.name)
 		for _, fault := range strings.Split(err.Error(), "; ") {
@@ -169,7 +169,7 @@
 func TestGoldenFieldNames(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "every-field.json"))
 	qt.Assert(t, err, qt.IsNil)
-	cfg, err := Read(raw)
+	cfg, err := Parse(raw)
 	qt.Assert(t, err, qt.IsNil)
 	golden.Text(t, "printed.txt", fmt.Appendf(nil, "%+v\n%+v\n%+v\n", cfg.Routes[0], cfg.Services[0], cfg.Limits))
 }
--- a/internal/mesh/control/configuration/read.go
+++ b/internal/mesh/control/configuration/read.go
@@ -13,28 +13,28 @@
 
 // The limits of a configuration that doesn't give them.
 const (
-	headerMax     = 16 << 10
-	bodyMax       = 64 << 20
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 15 * time.Second
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 64 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
 )
 
-// faultsMax bounds how many faults an error lists.
-const faultsMax = 100
+// maxFaults bounds how many faults an error lists.
+const maxFaults = 100
 
-// Read reads a configuration. The error is a trace.BadParameter that lists every fault by its path, with what was expected.
+// Parse reads a configuration. The error is a trace.BadParameter that lists every fault by its path, with what was expected.
 // Unknown fields are ignored, and a known one is a fault only if it can't be used: an operator whose valid
 // configuration is refused gives it up.
-func Read(raw []byte) (*Config, error) {
-	if tooDeep(raw) || !gjson.ValidBytes(raw) {
+func Parse(raw []byte) (*Config, error) {
+	if exceedsMaxDepth(raw) || !gjson.ValidBytes(raw) {
 		return nil, trace.BadParameter("the body: expected one whole JSON object")
 	}
 	root := gjson.ParseBytes(raw)
 	if !root.IsObject() {
 		return nil, trace.BadParameter("the body: expected one whole JSON object")
 	}
-	r := reader{names: map[string]string{}, fields: fields{}}
-	c := &Config{Raw: raw, hosts: map[string]*branch{}, holders: map[string]*Tenant{}}
+	r := parser{interned: map[string]string{}, fields: fieldSet{}}
+	c := &Config{Raw: raw, routesByHost: map[string]*prefixNode{}, tenantsByKey: map[string]*Tenant{}}
 	c.Version = r.version(root.Get(fieldConfigVersion))
 	r.services(c, root.Get(fieldServiceTable))
 	r.routes(c, root.Get(fieldRouteTable))
@@ -46,9 +46,9 @@
 	return c, nil
 }
 
-// tooDeep reports whether lists and objects may lie so deep within each other that a parser's stack would overflow, which would
+// exceedsMaxDepth reports whether lists and objects may lie so deep within each other that a parser's stack would overflow, which would
 // end the process. What we know lies five deep.
-func tooDeep(raw []byte) bool {
+func exceedsMaxDepth(raw []byte) bool {
 	depth, text := 0, false
 	for i := 0; i < len(raw); i++ {
 		switch c := raw[i]; {
@@ -68,40 +68,40 @@
 	return false
 }
 
-// reader gathers the faults.
-type reader struct {
-	faults []string
-	fields fields            // of the route that is being read
-	names  map[string]string // texts that are kept, each once, and not as a part of the whole body
+// parser gathers the faults.
+type parser struct {
+	faults   []string
+	fields   fieldSet          // of the route that is being read
+	interned map[string]string // texts that are kept, each once, and not as a part of the whole body
 }
 
-func (r *reader) fault(path, expected string, args ...any) {
-	if len(r.faults) < faultsMax {
+func (r *parser) addFault(path, expected string, args ...any) {
+	if len(r.faults) < maxFaults {
 		r.faults = append(r.faults, path+": expected "+fmt.Sprintf(expected, args...))
 	}
 }
 
-func (r *reader) keep(s string) string {
-	k, ok := r.names[s]
+func (r *parser) intern(s string) string {
+	k, ok := r.interned[s]
 	if !ok {
 		k = strings.Clone(s)
-		r.names[k] = k
+		r.interned[k] = k
 	}
 	return k
 }
 
-func there(v gjson.Result) bool { return v.Exists() && v.Type != gjson.Null }
+func isPresent(v gjson.Result) bool { return v.Exists() && v.Type != gjson.Null }
 
-func (r *reader) version(v gjson.Result) Version {
+func (r *parser) version(v gjson.Result) Version {
 	version, err := ParseVersion(v.Str)
 	if v.Type != gjson.String || err != nil || version == 0 {
-		r.fault(fieldConfigVersion, "r and a number above 0, not %s", found(v))
+		r.addFault(fieldConfigVersion, "r and a number above 0, not %s", describe(v))
 	}
 	return version
 }
 
-// found is what is there in place of what was expected.
-func found(v gjson.Result) string {
+// describe is what is there in place of what was expected.
+func describe(v gjson.Result) string {
 	switch {
 	case !v.Exists():
 		return "nothing"
@@ -111,13 +111,13 @@
 	return v.Raw
 }
 
-// each calls f for the elements of a list; what isn't there is an empty one.
-func (r *reader) each(path string, list gjson.Result, f func(path string, v gjson.Result)) {
-	if !there(list) {
+// forEach calls f for the elements of a list; what isn't there is an empty one.
+func (r *parser) forEach(path string, list gjson.Result, f func(path string, v gjson.Result)) {
+	if !isPresent(list) {
 		return
 	}
 	if !list.IsArray() {
-		r.fault(path, "a list, not %s", found(list))
+		r.addFault(path, "a list, not %s", describe(list))
 		return
 	}
 	i := 0
@@ -128,62 +128,62 @@
 	})
 }
 
-// objects is each for a list of objects.
-func (r *reader) objects(path string, list gjson.Result, f func(path string, v gjson.Result)) {
-	r.each(path, list, func(path string, v gjson.Result) {
+// forEachObject is each for a list of objects.
+func (r *parser) forEachObject(path string, list gjson.Result, f func(path string, v gjson.Result)) {
+	r.forEach(path, list, func(path string, v gjson.Result) {
 		if !v.IsObject() {
-			r.fault(path, "an object, not %s", found(v))
+			r.addFault(path, "an object, not %s", describe(v))
 			return
 		}
 		f(path, v)
 	})
 }
 
-func (r *reader) text(path string, v gjson.Result) string {
+func (r *parser) text(path string, v gjson.Result) string {
 	if v.Type != gjson.String {
-		r.fault(path, "a text, not %s", found(v))
+		r.addFault(path, "a text, not %s", describe(v))
 		return ""
 	}
-	return r.keep(v.Str)
+	return r.intern(v.Str)
 }
 
-func (r *reader) name(path string, v gjson.Result) string {
+func (r *parser) name(path string, v gjson.Result) string {
 	s := r.text(path, v)
 	if s == "" && v.Type == gjson.String {
-		r.fault(path, "a text that isn't empty")
+		r.addFault(path, "a text that isn't empty")
 	}
 	return s
 }
 
-func (r *reader) number(path string, v gjson.Result, missing float64) float64 {
-	if !there(v) {
+func (r *parser) number(path string, v gjson.Result, missing float64) float64 {
+	if !isPresent(v) {
 		return missing
 	}
 	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || math.IsNaN(v.Num) {
-		r.fault(path, "a number, not %s", found(v))
+		r.addFault(path, "a number, not %s", describe(v))
 		return missing
 	}
 	return v.Num
 }
 
-// whole is a number without its fraction, within what an int32 holds.
-func (r *reader) whole(path string, v gjson.Result, missing int) int {
+// integer is a number without its fraction, within what an int32 holds.
+func (r *parser) integer(path string, v gjson.Result, missing int) int {
 	return int(max(math.MinInt32, min(math.MaxInt32, r.number(path, v, float64(missing)))))
 }
 
-// span reads a time: a number and its unit, ms or s.
-func (r *reader) span(path string, v gjson.Result, missing time.Duration) time.Duration {
-	if !there(v) {
+// duration reads a time: a number and its unit, ms or s.
+func (r *parser) duration(path string, v gjson.Result, missing time.Duration) time.Duration {
+	if !isPresent(v) {
 		return missing
 	}
-	d, ok := parseSpan(v.Str)
+	d, ok := parseDuration(v.Str)
 	if v.Type != gjson.String || !ok {
-		r.fault(path, "a number with its unit, ms or s, not %s", found(v))
+		r.addFault(path, "a number with its unit, ms or s, not %s", describe(v))
 	}
 	return d
 }
 
-func parseSpan(s string) (time.Duration, bool) {
+func parseDuration(s string) (time.Duration, bool) {
 	unit := float64(time.Second)
 	number, ok := strings.CutSuffix(s, unitMilliseconds)
 	if ok {
@@ -198,54 +198,54 @@
 	return time.Duration(max(-1<<62, min(1<<62, math.Round(x*unit)))), true
 }
 
-func (r *reader) flag(path string, v gjson.Result) bool {
-	if there(v) && !v.IsBool() {
-		r.fault(path, "true or false, not %s", found(v))
+func (r *parser) boolean(path string, v gjson.Result) bool {
+	if isPresent(v) && !v.IsBool() {
+		r.addFault(path, "true or false, not %s", describe(v))
 	}
 	return v.Type == gjson.True
 }
 
-func (r *reader) services(c *Config, table gjson.Result) {
-	r.objects(fieldServiceTable, table, func(path string, v gjson.Result) {
+func (r *parser) services(c *Config, table gjson.Result) {
+	r.forEachObject(fieldServiceTable, table, func(path string, v gjson.Result) {
 		s := Service{
 			Name:          r.name(path+"."+fieldName, v.Get(fieldName)),
 			HealthPath:    defaultHealthPath,
-			ConnectionCap: max(0, r.whole(path+"."+fieldConnectionCap, v.Get(fieldConnectionCap), 0)),
+			ConnectionCap: max(0, r.integer(path+"."+fieldConnectionCap, v.Get(fieldConnectionCap), 0)),
 		}
-		if p := v.Get(fieldHealthPath); there(p) {
+		if p := v.Get(fieldHealthPath); isPresent(p) {
 			s.HealthPath = r.text(path+"."+fieldHealthPath, p)
 		}
 		c.Services = append(c.Services, s)
 	})
 }
 
-func (r *reader) routes(c *Config, table gjson.Result) {
+func (r *parser) routes(c *Config, table gjson.Result) {
 	if !table.Exists() {
-		r.fault(fieldRouteTable, "a list, not nothing")
+		r.addFault(fieldRouteTable, "a list, not nothing")
 	}
 	known := map[string]bool{}
 	for i := range c.Services {
 		known[c.Services[i].Name] = true
 	}
 	var paths []string
-	r.objects(fieldRouteTable, table, func(path string, v gjson.Result) {
+	r.forEachObject(fieldRouteTable, table, func(path string, v gjson.Result) {
 		c.Routes = append(c.Routes, r.route(path, v, known))
 		paths = append(paths, path)
 	})
 	for i := range c.Routes { // which don't move any more
-		if other := c.plant(&c.Routes[i]); other != nil {
-			r.fault(paths[i], "a host and a prefix of its own, not those of %q: %q %q", other.Name, other.Host, other.Prefix)
+		if other := c.addToIndex(&c.Routes[i]); other != nil {
+			r.addFault(paths[i], "a host and a prefix of its own, not those of %q: %q %q", other.Name, other.Host, other.Prefix)
 		}
 	}
 }
 
-// fields are the fields of a route by their names. Of a field that is there twice the first one counts, as in gjson's paths,
+// fieldSet are the fields of a route by their names. Of a field that is there twice the first one counts, as in gjson's paths,
 // which would go through the route once for each.
-type fields map[string]gjson.Result
+type fieldSet map[string]gjson.Result
 
-func (f fields) Get(name string) gjson.Result { return f[name] }
+func (f fieldSet) Get(name string) gjson.Result { return f[name] }
 
-func (r *reader) route(path string, object gjson.Result, known map[string]bool) Route {
+func (r *parser) route(path string, object gjson.Result, known map[string]bool) Route {
 	v := r.fields
 	clear(v)
 	object.ForEach(func(key, value gjson.Result) bool {
@@ -257,13 +257,13 @@
 	route := Route{
 		Host:        r.name(path+"."+fieldHostName, v.Get(fieldHostName)),
 		Prefix:      r.text(path+"."+fieldPathPrefix, v.Get(fieldPathPrefix)),
-		Timeout:     r.span(path+"."+fieldTimeout, v.Get(fieldTimeout), 0),
-		Target:      r.span(path+"."+fieldTarget, v.Get(fieldTarget), 0),
-		Priority:    r.whole(path+"."+fieldPriority, v.Get(fieldPriority), 0),
-		MaxAttempts: max(1, r.whole(path+"."+fieldMaxAttempts, v.Get(fieldMaxAttempts), 1)),
-		Public:      r.flag(path+"."+fieldPublicAccess, v.Get(fieldPublicAccess)),
+		Timeout:     r.duration(path+"."+fieldTimeout, v.Get(fieldTimeout), 0),
+		Target:      r.duration(path+"."+fieldTarget, v.Get(fieldTarget), 0),
+		Priority:    r.integer(path+"."+fieldPriority, v.Get(fieldPriority), 0),
+		MaxAttempts: max(1, r.integer(path+"."+fieldMaxAttempts, v.Get(fieldMaxAttempts), 1)),
+		Public:      r.boolean(path+"."+fieldPublicAccess, v.Get(fieldPublicAccess)),
 	}
-	if name := v.Get(fieldName); there(name) {
+	if name := v.Get(fieldName); isPresent(name) {
 		route.Name = r.text(path+"."+fieldName, name)
 	}
 	switch v.Get(fieldRouteKind).String() {
@@ -273,45 +273,45 @@
 		route.Kind = Downlink
 	}
 	if route.Timeout <= 0 {
-		r.fault(path+"."+fieldTimeout, "a time above 0, not %s", found(v.Get(fieldTimeout)))
+		r.addFault(path+"."+fieldTimeout, "a time above 0, not %s", describe(v.Get(fieldTimeout)))
 	}
 	refer := func(path string, v gjson.Result) string {
 		s := r.name(path, v)
 		if s != "" && !known[s] {
-			r.fault(path, "a service of serviceTable, not %q", s)
+			r.addFault(path, "a service of serviceTable, not %q", s)
 		}
 		return s
 	}
 	var sum float64
-	r.objects(path+"."+fieldTrafficSplit, v.Get(fieldTrafficSplit), func(path string, v gjson.Result) {
-		s := Share{Service: refer(path+"."+fieldServiceName, v.Get(fieldServiceName)),
+	r.forEachObject(path+"."+fieldTrafficSplit, v.Get(fieldTrafficSplit), func(path string, v gjson.Result) {
+		s := WeightedService{Service: refer(path+"."+fieldServiceName, v.Get(fieldServiceName)),
 			Weight: r.number(path+"."+fieldWeight, v.Get(fieldWeight), 0)}
 		if s.Weight < 0 {
-			r.fault(path+"."+fieldWeight, "0 or more, not %s", found(v.Get(fieldWeight)))
+			r.addFault(path+"."+fieldWeight, "0 or more, not %s", describe(v.Get(fieldWeight)))
 		}
 		sum += s.Weight
 		route.Split = append(route.Split, s)
 	})
 	service := v.Get(fieldServiceName)
 	switch {
-	case there(service):
+	case isPresent(service):
 		if s := refer(path+"."+fieldServiceName, service); len(route.Split) == 0 {
-			route.Split = []Share{{Service: s, Weight: 1}}
+			route.Split = []WeightedService{{Service: s, Weight: 1}}
 		}
 	case len(route.Split) == 0:
-		r.fault(path, "a serviceName or a trafficSplit")
+		r.addFault(path, "a serviceName or a trafficSplit")
 	}
-	if len(route.Split) > 0 && sum <= 0 && !there(service) {
-		r.fault(path+"."+fieldTrafficSplit, "a weight above 0")
-	} else if sum <= 0 && there(service) {
-		route.Split = []Share{{Service: r.keep(service.Str), Weight: 1}}
+	if len(route.Split) > 0 && sum <= 0 && !isPresent(service) {
+		r.addFault(path+"."+fieldTrafficSplit, "a weight above 0")
+	} else if sum <= 0 && isPresent(service) {
+		route.Split = []WeightedService{{Service: r.intern(service.Str), Weight: 1}}
 	}
 	return route
 }
 
-func (r *reader) limits(c *Config, v gjson.Result) {
-	if there(v) && !v.IsObject() {
-		r.fault(fieldLimitSet, "an object, not %s", found(v))
+func (r *parser) limits(c *Config, v gjson.Result) {
+	if isPresent(v) && !v.IsObject() {
+		r.addFault(fieldLimitSet, "an object, not %s", describe(v))
 		return
 	}
 	size := func(name string, missing int64) int64 {
@@ -321,29 +321,29 @@
 		return missing
 	}
 	span := func(name string, missing time.Duration) time.Duration {
-		if d := r.span(fieldLimitSet+"."+name, v.Get(name), 0); d > 0 {
+		if d := r.duration(fieldLimitSet+"."+name, v.Get(name), 0); d > 0 {
 			return d
 		}
 		return missing
 	}
 	c.Limits = Limits{
-		HeaderMax: size(fieldHeaderMaxBytes, headerMax), BodyMax: size(fieldBodyMaxBytes, bodyMax),
-		HeaderTimeout: span(fieldHeaderTimeout, headerTimeout), IdleTimeout: span(fieldIdleTimeout, idleTimeout),
+		HeaderMax: size(fieldHeaderMaxBytes, defaultMaxHeaderBytes), BodyMax: size(fieldBodyMaxBytes, defaultMaxBodyBytes),
+		HeaderTimeout: span(fieldHeaderTimeout, defaultHeaderTimeout), IdleTimeout: span(fieldIdleTimeout, defaultIdleTimeout),
 	}
 }
 
-func (r *reader) tenants(c *Config, table gjson.Result) {
-	c.Keyed = there(table)
+func (r *parser) tenants(c *Config, table gjson.Result) {
+	c.HasTenantTable = isPresent(table)
 	holders := map[string]int{}
-	r.objects(fieldTenantTable, table, func(path string, v gjson.Result) {
+	r.forEachObject(fieldTenantTable, table, func(path string, v gjson.Result) {
 		t := Tenant{
 			Name:     r.name(path+"."+fieldName, v.Get(fieldName)),
-			Priority: r.whole(path+"."+fieldPriority, v.Get(fieldPriority), 0),
+			Priority: r.integer(path+"."+fieldPriority, v.Get(fieldPriority), 0),
 			Rate:     max(0, r.number(path+"."+fieldRatePerS, v.Get(fieldRatePerS), 0)),
 			Burst:    max(0, r.number(path+"."+fieldBurstSize, v.Get(fieldBurstSize), 0)),
 		}
 		at := len(c.Tenants)
-		r.each(path+"."+fieldAccessKeys, v.Get(fieldAccessKeys), func(path string, v gjson.Result) {
+		r.forEach(path+"."+fieldAccessKeys, v.Get(fieldAccessKeys), func(path string, v gjson.Result) {
 			key := r.name(path, v)
 			if key == "" {
 				return
@@ -353,12 +353,12 @@
 				holders[key] = at
 				t.Keys = append(t.Keys, key)
 			case holder != at:
-				r.fault(path, "a key of its own, not one of tenant %q", c.Tenants[holder].Name)
+				r.addFault(path, "a key of its own, not one of tenant %q", c.Tenants[holder].Name)
 			}
 		})
 		c.Tenants = append(c.Tenants, t)
 	})
 	for key, at := range holders {
-		c.holders[key] = &c.Tenants[at]
+		c.tenantsByKey[key] = &c.Tenants[at]
 	}
 }
--- a/internal/mesh/control/controlplane/api.go
+++ b/internal/mesh/control/controlplane/api.go
@@ -9,10 +9,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Newest is the newest value that was committed when it was called, or a newer one. It is in contact with a majority of the
+// ReadLatest is the newest value that was committed when it was called, or a newer one. It is in contact with a majority of the
 // voters after the call began, and fails when ctx ends before that.
-func (d *Server) Newest(ctx context.Context) (consensus.Value, error) {
-	r, err := d.rounds(ctx, true, nil)
+func (d *Server) ReadLatest(ctx context.Context) (consensus.Value, error) {
+	r, err := d.runRounds(ctx, true, nil)
 	if err != nil {
 		return consensus.Value{}, trace.Wrap(err)
 	}
@@ -32,8 +32,8 @@
 
 func (o Outcome) String() string { return [...]string{"unknown", "applied", "conflict", "invalid"}[o] }
 
-// Verdict is an outcome, with the reason if it isn't Applied.
-type Verdict struct {
+// ReplaceResult is an outcome, with the reason if it isn't Applied.
+type ReplaceResult struct {
 	Outcome Outcome
 	Reason  error
 }
@@ -41,31 +41,31 @@
 // Replace puts a configuration in place of version base. The same call may be made again, at any process and any number of
 // times. The outcome is Unknown if there is no contact with a majority before ctx ends, and for a repeat that is older than
 // what the register remembers.
-func (d *Server) Replace(ctx context.Context, base configuration.Version, raw []byte) Verdict {
-	config, err := configuration.Read(raw)
+func (d *Server) Replace(ctx context.Context, base configuration.Version, raw []byte) ReplaceResult {
+	config, err := configuration.Parse(raw)
 	if err != nil {
-		return Verdict{Invalid, trace.Wrap(err)}
+		return ReplaceResult{Invalid, trace.Wrap(err)}
 	}
-	r, err := d.rounds(ctx, false, consensus.NewChange(base, config.Version, raw))
+	r, err := d.runRounds(ctx, false, consensus.NewChange(base, config.Version, raw))
 	switch {
 	case err != nil:
-		return Verdict{Unknown, trace.Wrap(err)}
+		return ReplaceResult{Unknown, trace.Wrap(err)}
 	case r.Verdict == consensus.Applied:
-		if err := d.awaitGrowth(ctx); err != nil {
-			return Verdict{Unknown, trace.Wrap(err, "%v is in force, but too few voters hold it yet", config.Version)}
+		if err := d.awaitVoters(ctx); err != nil {
+			return ReplaceResult{Unknown, trace.Wrap(err, "%v is in force, but too few voters hold it yet", config.Version)}
 		}
-		return Verdict{Outcome: Applied}
+		return ReplaceResult{Outcome: Applied}
 	case r.Verdict == consensus.Conflict:
-		return Verdict{Conflict, trace.CompareFailed("%v on %v: %v is in place", config.Version, base, r.Value.Version)}
+		return ReplaceResult{Conflict, trace.CompareFailed("%v on %v: %v is in place", config.Version, base, r.Value.Version)}
 	}
-	return Verdict{Unknown, trace.LimitExceeded("%v on %v: %v is in place, and what is remembered doesn't tell whether the change was ever in force",
+	return ReplaceResult{Unknown, trace.LimitExceeded("%v on %v: %v is in place, and what is remembered doesn't tell whether the change was ever in force",
 		config.Version, base, r.Value.Version)}
 }
 
-// logNewest finds out which value is committed when the process starts.
-func (d *Server) logNewest() {
-	w, err := d.Newest(d.ctx)
+// logLatest finds out which value is committed when the process starts.
+func (d *Server) logLatest() {
+	w, err := d.ReadLatest(d.ctx)
 	if err == nil {
-		d.o.Log.WithField("version", w.Version).Info("newest configuration known")
+		d.options.Log.WithField("version", w.Version).Info("newest configuration known")
 	}
 }
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -21,25 +21,25 @@
 const bodyBytes = 2 << 10
 
 // change puts the next version in force, at one server.
-func (x *network) change(ctx context.Context, i int, version configuration.Version, body string) {
+func (x *testNetwork) change(ctx context.Context, i int, version configuration.Version, body string) {
 	outcome := x.server(i).Replace(ctx, version-1, config(version, body)).Outcome
 	x.c.Assert(outcome, qt.Equals, Applied, qt.Commentf("%v", version))
 }
 
 // traffic is what was sent and synced since.
-func (x *network) traffic(i int) (messages, bytes, syncs int) {
+func (x *testNetwork) traffic(i int) (messages, bytes, syncs int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.messages, x.bytes[node(i)], x.syncs
 }
 
 // voteOnDisk is the version that a server's disk holds, and the length of its records.
-func (x *network) voteOnDisk(i int) (version configuration.Version, bytes int) {
-	x.core.mu.Lock()
+func (x *testNetwork) voteOnDisk(i int) (version configuration.Version, bytes int) {
+	x.testCore.mu.Lock()
 	m := x.disks[node(i)]
-	x.core.mu.Unlock()
+	x.testCore.mu.Unlock()
 	var vote consensus.Vote
-	m.set(func() {
+	m.configure(func() {
 		for _, record := range m.records {
 			bytes += len(record)
 		}
@@ -49,24 +49,24 @@
 }
 
 // forget drops what came in force at a server so far.
-func (x *network) forget(i int) {
-	x.core.mu.Lock()
-	defer x.core.mu.Unlock()
-	x.told[node(i)] = nil
+func (x *testNetwork) forget(i int) {
+	x.testCore.mu.Lock()
+	defer x.testCore.mu.Unlock()
+	x.notified[node(i)] = nil
 }
 
 // inForceSince checks that nothing older came in force at a server since.
-func (x *network) inForceSince(i int, oldest configuration.Version) {
-	x.core.mu.Lock()
-	defer x.core.mu.Unlock()
-	for _, v := range x.told[node(i)] {
+func (x *testNetwork) inForceSince(i int, oldest configuration.Version) {
+	x.testCore.mu.Lock()
+	defer x.testCore.mu.Unlock()
+	for _, v := range x.notified[node(i)] {
 		x.c.Assert(v >= oldest, qt.IsTrue, qt.Commentf("%v came in force after the restart", v))
 	}
 }
 
 // catchUp starts voter 2 again after a number of changes and has it take part in two more, the second with one other voter only.
 // It gives the bytes that the voter sent and received.
-func (x *network) catchUp(ctx context.Context, newest configuration.Version, body, label string) (bytes int) {
+func (x *testNetwork) catchUp(ctx context.Context, newest configuration.Version, body, label string) (bytes int) {
 	time.Sleep(time.Second) // of the bubble's time: nothing is under way
 	x.forget(2)
 	_, before, _ := x.traffic(2)
@@ -99,10 +99,10 @@
 // receives and writes until then does not grow with the number of changes.
 func TestCatchUpIsFlat(t *testing.T) {
 	body := strings.Repeat("x", bodyBytes)
-	playNetwork(t, 3, 1, func(x *network, ctx context.Context) {
-		x.core.mu.Lock()
-		x.late = float64(2 * time.Millisecond)
-		x.core.mu.Unlock()
+	runNetwork(t, 3, 1, func(x *testNetwork, ctx context.Context) {
+		x.testCore.mu.Lock()
+		x.maxDelay = float64(2 * time.Millisecond)
+		x.testCore.mu.Unlock()
 		newest := configuration.Version(1)
 		x.change(ctx, 0, newest, body)
 		var sums []int
@@ -127,7 +127,7 @@
 
 // A member that held an old version answers nothing from it, while the others are away: its folder is of no use alone.
 func TestOldFolderAloneSaysNothing(t *testing.T) {
-	playNetwork(t, 3, 1, func(x *network, ctx context.Context) {
+	runNetwork(t, 3, 1, func(x *testNetwork, ctx context.Context) {
 		x.change(ctx, 0, 1, "")
 		time.Sleep(time.Second)
 		x.stop(2)
@@ -138,9 +138,9 @@
 		x.stop(1)
 		x.forget(2)
 		x.open(2, false)
-		short, cancel := context.WithTimeout(ctx, 10*callTime)
+		short, cancel := context.WithTimeout(ctx, 10*callTimeout)
 		defer cancel()
-		_, err := x.server(2).Newest(short)
+		_, err := x.server(2).ReadLatest(short)
 		x.c.Assert(err, qt.IsNotNil)
 		x.c.Assert(x.server(2).Replace(short, 1, config(2, "another")).Outcome, qt.Equals, Unknown)
 		x.open(0, false) // a majority, of which one member is old
@@ -158,17 +158,17 @@
 	const trip, sync = 10 * time.Millisecond, 3 * time.Millisecond // to and fro, on average; of a disk
 	body := strings.Repeat("x", bodyBytes)
 	for _, changes := range []configuration.Version{10, 300} {
-		playNetwork(t, 3, 1, func(x *network, ctx context.Context) {
+		runNetwork(t, 3, 1, func(x *testNetwork, ctx context.Context) {
 			for v := configuration.Version(1); v <= changes; v++ {
 				x.change(ctx, 0, v, "")
 			}
 			time.Sleep(time.Second)
 			for _, m := range x.disks {
-				m.set(func() { m.slow = sync })
+				m.configure(func() { m.slow = sync })
 			}
-			x.core.mu.Lock()
-			x.late = float64(trip)
-			x.core.mu.Unlock()
+			x.testCore.mu.Lock()
+			x.maxDelay = float64(trip)
+			x.testCore.mu.Unlock()
 			const counted = 20
 			messages, bytes, syncs := x.traffic(0)
 			began := time.Now()
@@ -202,7 +202,7 @@
 	most := int64(0)
 	for i := range changes {
 		state := consensus.ReplicaState{Promised: consensus.Ballot{Number: uint64(i)}}
-		c.Assert(store.Put(standingKey, codec.Write(nil, &state)), qt.IsNil)
+		c.Assert(store.Put(stateKey, codec.Write(nil, &state)), qt.IsNil)
 		copy(body, fmt.Sprint(i))
 		vote := consensus.Vote{Ballot: state.Promised, Value: consensus.Value{Version: configuration.Version(i), Body: body}}
 		c.Assert(store.Put(voteKey, codec.Write(nil, &vote)), qt.IsNil)
--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -22,27 +22,27 @@
 	"github.com/sirupsen/logrus"
 )
 
-// core is a few servers in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
-type core struct {
-	c       *qt.C
-	seeds   []string
-	mu      sync.Mutex
-	servers map[string]*Server
-	disks   map[string]*memory
-	cut     map[string]bool
-	told    map[string][]configuration.Version // by OnCommit
-	bears   int                                // losses; 0: the voters stay as they are
-
-	rng  *rand.Rand
-	late float64 // of requests and replies, at most
-	loss float64 // how many of them are lost
+// testCore is a few servers in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
+type testCore struct {
+	c         *qt.C
+	seeds     []string
+	mu        sync.Mutex
+	servers   map[string]*Server
+	disks     map[string]*memoryStore
+	isolated  map[string]bool
+	notified  map[string][]configuration.Version // by OnCommit
+	tolerated int                                // losses; 0: the voters stay as they are
+
+	rng      *rand.Rand
+	maxDelay float64 // of requests and replies, at most
+	lossRate float64 // how many of them are lost
 
 	blocked map[[2]string]bool // ways between two nodes, by their names, on which nothing passes
 	drops   consensus.RequestKind
 }
 
-// memory is a disk whose writes may be slow, blocked, or fail, before or after they are done.
-type memory struct {
+// memoryStore is a disk whose writes may be slow, blocked, or fail, before or after they are done.
+type memoryStore struct {
 	mu      sync.Mutex
 	records map[string][]byte
 	gate    chan struct{}
@@ -52,13 +52,13 @@
 	torn    bool
 }
 
-func (m *memory) set(f func()) {
+func (m *memoryStore) configure(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-func (m *memory) Get(key string) ([]byte, error) {
+func (m *memoryStore) Get(key string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if data, ok := m.records[key]; ok {
@@ -67,10 +67,10 @@
 	return nil, trace.NotFound("record %q", key)
 }
 
-func (m *memory) Put(key string, data []byte) error {
+func (m *memoryStore) Put(key string, data []byte) error {
 	var gate chan struct{}
 	var slow time.Duration
-	m.set(func() { gate, slow = m.gate, m.slow })
+	m.configure(func() { gate, slow = m.gate, m.slow })
 	if gate != nil {
 		<-gate
 	}
@@ -87,17 +87,17 @@
 	return nil
 }
 
-func (m *memory) Close() error { return nil }
+func (m *memoryStore) Close() error { return nil }
 
 type link struct {
-	core *core
+	core *testCore
 	from string
 }
 
 func (l link) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
 	l.core.mu.Lock()
 	d := l.core.servers[node]
-	lost := d == nil || l.core.cut[node] || l.core.cut[l.from] || l.core.blocked[[2]string{l.from, node}] || l.core.blocked[[2]string{node, l.from}]
+	lost := d == nil || l.core.isolated[node] || l.core.isolated[l.from] || l.core.blocked[[2]string{l.from, node}] || l.core.blocked[[2]string{node, l.from}]
 	var q consensus.Request
 	lost = lost || l.core.drops != 0 && codec.Read(request, &q) == nil && q.Kind == l.core.drops
 	l.core.mu.Unlock()
@@ -112,8 +112,8 @@
 
 func (l link) passes() bool {
 	l.core.mu.Lock()
-	late := time.Duration(l.core.late * l.core.rng.Float64())
-	lost := l.core.rng.Float64() < l.core.loss
+	late := time.Duration(l.core.maxDelay * l.core.rng.Float64())
+	lost := l.core.rng.Float64() < l.core.lossRate
 	l.core.mu.Unlock()
 	time.Sleep(late) // of the bubble's time
 	return !lost
@@ -121,11 +121,11 @@
 
 func node(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// play runs a test in a bubble, with n servers of which the first three are voters.
-func play(t *testing.T, n int, test func(co *core, ctx context.Context)) {
+// runCore runs a test in a bubble, with n servers of which the first three are voters.
+func runCore(t *testing.T, n int, test func(co *testCore, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
-		co := &core{c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memory{}, cut: map[string]bool{},
-			told: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)}}
+		co := &testCore{c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memoryStore{}, isolated: map[string]bool{},
+			notified: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)}}
 		for i := range n {
 			co.start(i, true)
 		}
@@ -137,39 +137,39 @@
 					co.stop(i)
 				}
 			}
-			time.Sleep(askTimeout) // of the bubble's time: what was on its way has come
+			time.Sleep(requestTimeout) // of the bubble's time: what was on its way has come
 		}()
 		test(co, ctx)
 	})
 }
 
-func (co *core) start(i int, first bool) {
+func (co *testCore) start(i int, first bool) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	self := node(i)
 	if co.disks[self] == nil {
-		co.disks[self] = &memory{records: map[string][]byte{}}
+		co.disks[self] = &memoryStore{records: map[string][]byte{}}
 	}
 	kept := co.disks[self]
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var cores func() []string
-	if co.bears > 0 {
+	if co.tolerated > 0 {
 		cores = func() []string { return co.cores(self) }
 	}
-	d, err := Open(Options{Self: self, Seeds: co.seeds, Tolerated: co.bears, Cores: cores, InitialStart: first, Transport: link{co, self}, Log: log, Seed: 1,
+	d, err := Open(Options{Self: self, Seeds: co.seeds, Tolerated: co.tolerated, Cores: cores, InitialStart: first, Transport: link{co, self}, Log: log, Seed: 1,
 		OnCommit: func(w consensus.Value) {
 			co.mu.Lock()
 			defer co.mu.Unlock()
-			co.told[self] = append(co.told[self], w.Version)
+			co.notified[self] = append(co.notified[self], w.Version)
 		},
-		open: func(string) (disk, error) { return kept, nil }})
+		openStore: func(string) (recordStore, error) { return kept, nil }})
 	co.c.Assert(err, qt.IsNil)
 	co.servers[self] = d
 }
 
 // stop ends a server as a kill would: what is on disk stays.
-func (co *core) stop(i int) {
+func (co *testCore) stop(i int) {
 	co.mu.Lock()
 	d := co.servers[node(i)]
 	delete(co.servers, node(i))
@@ -177,30 +177,30 @@
 	d.Close()
 }
 
-func (co *core) server(i int) *Server { return co.servers[node(i)] }
+func (co *testCore) server(i int) *Server { return co.servers[node(i)] }
 
-func (co *core) isolate(i int, cut bool) {
+func (co *testCore) isolate(i int, cut bool) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	co.cut[node(i)] = cut
+	co.isolated[node(i)] = cut
 }
 
 func config(v configuration.Version, more string) []byte {
 	return []byte(fmt.Sprintf(`{"configVersion":"%v","routeTable":[],"x":%q}`, v, more))
 }
 
-func (co *core) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
+func (co *testCore) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
 	return co.server(i).Replace(ctx, base, config(v, "")).Outcome
 }
 
-func (co *core) newest(ctx context.Context, i int) configuration.Version {
-	w, err := co.server(i).Newest(ctx)
+func (co *testCore) newest(ctx context.Context, i int) configuration.Version {
+	w, err := co.server(i).ReadLatest(ctx)
 	co.c.Assert(err, qt.IsNil)
 	return w.Version
 }
 
 func TestChangesAreTakenOnce(t *testing.T) {
-	play(t, 4, func(co *core, ctx context.Context) {
+	runCore(t, 4, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(0))
 		for i, x := range []struct {
 			base, v configuration.Version
@@ -217,9 +217,9 @@
 			w, ok := co.server(i).Committed()
 			co.c.Assert(ok && w.Version == 11, qt.IsTrue)
 		}
-		co.server(2).Learn(consensus.Value{Version: 7})
+		co.server(2).LearnCommitted(consensus.Value{Version: 7})
 		synctest.Wait()
-		co.c.Assert(co.told[node(2)][len(co.told[node(2)])-1], qt.Equals, configuration.Version(11))
+		co.c.Assert(co.notified[node(2)][len(co.notified[node(2)])-1], qt.Equals, configuration.Version(11))
 		w, _ := co.server(2).Committed()
 		co.c.Assert(w.Version, qt.Equals, configuration.Version(11))
 	})
@@ -229,15 +229,15 @@
 // replies are late or lost.
 func TestOneOfManyWins(t *testing.T) {
 	for _, loss := range []float64{0, 0.2} {
-		play(t, 4, func(co *core, ctx context.Context) {
+		runCore(t, 4, func(co *testCore, ctx context.Context) {
 			co.mu.Lock()
-			co.late, co.loss = float64(30*time.Millisecond), loss
+			co.maxDelay, co.lossRate = float64(30*time.Millisecond), loss
 			co.mu.Unlock()
 			counts := map[Outcome]int{}
 			for range 100 {
 				base := co.newest(ctx, 3)
 				outcomes := make([]Outcome, 4)
-				short, cancel := context.WithTimeout(ctx, callTime)
+				short, cancel := context.WithTimeout(ctx, callTimeout)
 				var wg sync.WaitGroup
 				for i := range outcomes {
 					wg.Go(func() {
@@ -246,7 +246,7 @@
 				}
 				wg.Wait()
 				cancel()
-				w, err := co.server(3).Newest(ctx)
+				w, err := co.server(3).ReadLatest(ctx)
 				co.c.Assert(err, qt.IsNil)
 				taken := 0
 				for i, o := range outcomes {
@@ -269,23 +269,28 @@
 func TestVotersInTrouble(t *testing.T) {
 	gate := make(chan struct{})
 	for name, trouble := range map[string]struct {
-		begin, end func(co *core, i int, m *memory)
+		begin, end func(co *testCore, i int, m *memoryStore)
 	}{
-		"cut": {func(co *core, i int, m *memory) { co.isolate(i, true) },
-			func(co *core, i int, m *memory) { co.isolate(i, false) }},
-		"stalled": {func(co *core, i int, m *memory) { gate = make(chan struct{}); m.set(func() { m.gate = gate }) },
-			func(co *core, i int, m *memory) { m.set(func() { m.gate = nil }); close(gate) }},
-		"full": {func(co *core, i int, m *memory) { m.set(func() { m.fault = io.ErrShortWrite }) },
-			func(co *core, i int, m *memory) { m.set(func() { m.fault = nil }) }},
-		"failing late": {func(co *core, i int, m *memory) { m.set(func() { m.fault, m.torn = io.ErrShortWrite, true }) },
-			func(co *core, i int, m *memory) { m.set(func() { m.fault = nil }) }},
+		"cut": {func(co *testCore, i int, m *memoryStore) { co.isolate(i, true) },
+			func(co *testCore, i int, m *memoryStore) { co.isolate(i, false) }},
+		"stalled": {func(co *testCore, i int, m *memoryStore) {
+			gate = make(chan struct{})
+			m.configure(func() { m.gate = gate })
+		},
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.gate = nil }); close(gate) }},
+		"full": {func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = io.ErrShortWrite }) },
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = nil }) }},
+		"failing late": {func(co *testCore, i int, m *memoryStore) {
+			m.configure(func() { m.fault, m.torn = io.ErrShortWrite, true })
+		},
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = nil }) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 4, func(co *core, ctx context.Context) {
+			runCore(t, 4, func(co *testCore, ctx context.Context) {
 				co.newest(ctx, 0)
 				time.Sleep(time.Second) // of the bubble's time: the first records are written, that of server 3, too
 				for _, m := range co.disks {
-					m.set(func() { m.slow = 50 * time.Millisecond })
+					m.configure(func() { m.slow = 50 * time.Millisecond })
 				}
 				began := time.Now()
 				co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
@@ -295,7 +300,7 @@
 				co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(2))
 
 				co.isolate(1, true)
-				short, cancel := context.WithTimeout(ctx, callTime)
+				short, cancel := context.WithTimeout(ctx, callTimeout)
 				co.c.Assert(co.replace(short, 3, 2, 3), qt.Equals, Unknown)
 				cancel()
 				trouble.end(co, 2, co.disks[node(2)])
@@ -311,8 +316,8 @@
 // After an acknowledgement all are killed, and one loses its disk as well, or a part of it; then another one is away.
 func TestLostDisk(t *testing.T) {
 	for mode := range 6 {
-		away, part := mode%2, []string{"", standingKey, voteKey}[mode/2]
-		play(t, 4, func(co *core, ctx context.Context) {
+		away, part := mode%2, []string{"", stateKey, voteKey}[mode/2]
+		runCore(t, 4, func(co *testCore, ctx context.Context) {
 			co.isolate(1-away, true)
 			co.c.Assert(co.replace(ctx, 3, 0, 5), qt.Equals, Applied) // by two voters, of whom one loses its disk
 			co.isolate(1-away, false)
@@ -323,14 +328,14 @@
 			if co.disks[node(2)].records[part] = []byte("spoilt"); part == "" {
 				co.disks[node(2)] = nil
 			}
-			co.told = map[string][]configuration.Version{}
+			co.notified = map[string][]configuration.Version{}
 			for i := range 4 {
 				co.start(i, false)
 			}
 			time.Sleep(5 * time.Second) // of the bubble's time: long enough for all pauses
 			synctest.Wait()
 			for i := range 4 {
-				co.c.Assert(co.told[node(i)], qt.DeepEquals, []configuration.Version{5}, qt.Commentf("server %d", i))
+				co.c.Assert(co.notified[node(i)], qt.DeepEquals, []configuration.Version{5}, qt.Commentf("server %d", i))
 			}
 			co.isolate(away, true)
 			co.c.Assert(co.newest(ctx, 2), qt.Equals, configuration.Version(5))
@@ -341,7 +346,7 @@
 
 // A replica that lost its disk doesn't vote while it can't read from both others.
 func TestAmnesiacIsUnfit(t *testing.T) {
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.replace(ctx, 0, 0, 5), qt.Equals, Applied)
 		co.stop(2)
 		co.disks[node(2)] = nil
@@ -357,17 +362,17 @@
 
 // A vote that was written although the disk said it failed counts from then on, not only after the next start.
 func TestFailedWriteIsReadAgain(t *testing.T) {
-	play(t, 1, func(co *core, ctx context.Context) {
+	runCore(t, 1, func(co *testCore, ctx context.Context) {
 		co.stop(0)
 		co.seeds, co.disks[node(0)] = co.seeds[:1], nil
 		co.start(0, true)
 		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		m := co.disks[node(0)]
-		m.set(func() { m.fault, m.only, m.torn = io.ErrShortWrite, voteKey, true })
-		short, cancel := context.WithTimeout(ctx, callTime)
+		m.configure(func() { m.fault, m.only, m.torn = io.ErrShortWrite, voteKey, true })
+		short, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unknown)
-		m.set(func() { m.fault = nil })
+		m.configure(func() { m.fault = nil })
 		co.c.Assert(co.newest(ctx, 0), qt.Equals, configuration.Version(2))
 		co.stop(0)
 		co.start(0, false)
@@ -384,7 +389,7 @@
 	for v := range configuration.Version(5) {
 		d, err := Open(Options{Self: "a", Seeds: []string{"a"}, InitialStart: v == 0, Folder: folder, Transport: link{}, Log: log})
 		c.Assert(err, qt.IsNil)
-		w, err := d.Newest(t.Context())
+		w, err := d.ReadLatest(t.Context())
 		c.Assert(err, qt.IsNil)
 		c.Assert(w.Version, qt.Equals, v)
 		c.Assert(d.Replace(t.Context(), v, config(v+1, "")).Outcome, qt.Equals, Applied)
@@ -393,7 +398,7 @@
 }
 
 func TestOperatorsCalls(t *testing.T) {
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		h := co.server(0).Handler()
 		call := func(method, path, base string, body io.Reader) *httptest.ResponseRecorder {
 			r := httptest.NewRequest(method, path, body)
@@ -412,7 +417,7 @@
 		co.c.Assert(replace("", one), qt.Equals, http.StatusBadRequest)
 		co.c.Assert(replace("5", one), qt.Equals, http.StatusBadRequest)
 		co.c.Assert(replace("0", one[1:]), qt.Equals, http.StatusBadRequest)
-		co.c.Assert(replace("0", strings.Repeat(" ", bodyMax+1)), qt.Equals, http.StatusRequestEntityTooLarge)
+		co.c.Assert(replace("0", strings.Repeat(" ", maxBodyBytes+1)), qt.Equals, http.StatusRequestEntityTooLarge)
 		co.c.Assert(replace("0", one), qt.Equals, http.StatusOK)
 		co.c.Assert(replace("0", string(config(2, ""))), qt.Equals, http.StatusPreconditionFailed)
 		w := call("GET", "/configuration/retrieve", "", nil)
--- a/internal/mesh/control/controlplane/cutoff_test.go
+++ b/internal/mesh/control/controlplane/cutoff_test.go
@@ -19,9 +19,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// network is a core whose messages may be cut one way, and are counted.
-type network struct {
-	*core
+// testNetwork is a core whose messages may be cut one way, and are counted.
+type testNetwork struct {
+	*testCore
 	mu       sync.Mutex
 	severed  map[[2]string]bool // from, to
 	messages int
@@ -31,15 +31,15 @@
 
 // oneWayLink carries requests of one server.
 type oneWayLink struct {
-	network *network
+	network *testNetwork
 	from    string
 }
 
 func (l oneWayLink) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
 	x := l.network
-	x.core.mu.Lock()
+	x.testCore.mu.Lock()
 	d := x.servers[node]
-	x.core.mu.Unlock()
+	x.testCore.mu.Unlock()
 	if d != nil && x.passes(l.from, node, len(request)) {
 		if reply, err := d.Serve(ctx, request); x.passes(node, l.from, len(reply)) {
 			return reply, err
@@ -50,8 +50,8 @@
 }
 
 // passes counts a message and tells whether it arrives, after its delay.
-func (x *network) passes(from, to string, bytes int) bool {
-	if !(link{x.core, from}).passes() {
+func (x *testNetwork) passes(from, to string, bytes int) bool {
+	if !(link{x.testCore, from}).passes() {
 		return false
 	}
 	x.mu.Lock()
@@ -65,24 +65,24 @@
 	return true
 }
 
-// countingDisk counts writes that are synced.
-type countingDisk struct {
-	*memory
-	network *network
+// countingStore counts writes that are synced.
+type countingStore struct {
+	*memoryStore
+	network *testNetwork
 }
 
-func (d countingDisk) Put(key string, data []byte) error {
+func (d countingStore) Put(key string, data []byte) error {
 	d.network.mu.Lock()
 	d.network.syncs++
 	d.network.mu.Unlock()
-	return d.memory.Put(key, data)
+	return d.memoryStore.Put(key, data)
 }
 
-// playNetwork runs a test in a bubble, with n servers of which the first three are voters.
-func playNetwork(t *testing.T, n int, seed uint64, test func(x *network, ctx context.Context)) {
-	play(t, 0, func(co *core, ctx context.Context) {
+// runNetwork runs a test in a bubble, with n servers of which the first three are voters.
+func runNetwork(t *testing.T, n int, seed uint64, test func(x *testNetwork, ctx context.Context)) {
+	runCore(t, 0, func(co *testCore, ctx context.Context) {
 		co.rng = rand.New(rand.NewPCG(seed, 3))
-		x := &network{core: co, severed: map[[2]string]bool{}, bytes: map[string]int{}}
+		x := &testNetwork{testCore: co, severed: map[[2]string]bool{}, bytes: map[string]int{}}
 		for i := range n {
 			x.open(i, true)
 		}
@@ -90,30 +90,30 @@
 	})
 }
 
-// open starts a server on its disk.
-func (x *network) open(i int, first bool) {
-	x.core.mu.Lock()
-	defer x.core.mu.Unlock()
+// openStore starts a server on its disk.
+func (x *testNetwork) open(i int, first bool) {
+	x.testCore.mu.Lock()
+	defer x.testCore.mu.Unlock()
 	self := node(i)
 	if x.disks[self] == nil {
-		x.disks[self] = &memory{records: map[string][]byte{}}
+		x.disks[self] = &memoryStore{records: map[string][]byte{}}
 	}
-	kept := countingDisk{x.disks[self], x}
+	kept := countingStore{x.disks[self], x}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d, err := Open(Options{Self: self, Seeds: x.seeds, InitialStart: first, Transport: oneWayLink{x, self}, Log: log, Seed: uint64(i),
 		OnCommit: func(w consensus.Value) {
-			x.core.mu.Lock()
-			defer x.core.mu.Unlock()
-			x.told[self] = append(x.told[self], w.Version)
+			x.testCore.mu.Lock()
+			defer x.testCore.mu.Unlock()
+			x.notified[self] = append(x.notified[self], w.Version)
 		},
-		open: func(string) (disk, error) { return kept, nil }})
+		openStore: func(string) (recordStore, error) { return kept, nil }})
 	x.c.Assert(err, qt.IsNil)
 	x.servers[self] = d
 }
 
 // sever cuts what one server sends or receives.
-func (x *network) sever(i, n int, sends, receives, cut bool) {
+func (x *testNetwork) sever(i, n int, sends, receives, cut bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for j := range n {
@@ -141,7 +141,7 @@
 }
 
 // operate sends one order on the newest version that the operator knows, as often as it takes to get an answer, at most thrice.
-func (h *history) operate(x *network, ctx context.Context, rng *rand.Rand, servers int, cutOff func() int) {
+func (h *history) operate(x *testNetwork, ctx context.Context, rng *rand.Rand, servers int, cutOff func() int) {
 	h.mu.Lock()
 	base := h.acknowledged
 	h.next += 1 + configuration.Version(rng.IntN(3))
@@ -151,7 +151,7 @@
 	h.mu.Unlock()
 	for range 3 {
 		i, before := rng.IntN(servers), cutOff()
-		short, cancel := context.WithTimeout(ctx, callTime)
+		short, cancel := context.WithTimeout(ctx, callTimeout)
 		outcome := x.server(i).Replace(short, base, body).Outcome
 		cancel()
 		h.mu.Lock()
@@ -183,13 +183,13 @@
 }
 
 // read reads at one server, and checks that the answer is no older than what was acknowledged when it began.
-func (h *history) read(x *network, ctx context.Context, i int) (configuration.Version, bool) {
+func (h *history) read(x *testNetwork, ctx context.Context, i int) (configuration.Version, bool) {
 	h.mu.Lock()
 	least := h.acknowledged
 	h.mu.Unlock()
-	short, cancel := context.WithTimeout(ctx, callTime)
+	short, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	value, err := x.server(i).Newest(short)
+	value, err := x.server(i).ReadLatest(short)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
@@ -222,10 +222,10 @@
 	answers, slowest := map[string]int{}, time.Duration(0)
 	for seed := range uint64(seeds) {
 		const servers = 4
-		playNetwork(t, servers, seed, func(x *network, ctx context.Context) {
-			x.core.mu.Lock()
-			x.late, x.loss = float64(20*time.Millisecond), 0.05*float64(seed%2)
-			x.core.mu.Unlock()
+		runNetwork(t, servers, seed, func(x *testNetwork, ctx context.Context) {
+			x.testCore.mu.Lock()
+			x.maxDelay, x.lossRate = float64(20*time.Millisecond), 0.05*float64(seed%2)
+			x.testCore.mu.Unlock()
 			h := &history{sent: map[string]configuration.Version{}, refused: map[string]bool{},
 				bases: map[configuration.Version]string{}, answers: map[string]int{}}
 			var cut sync.Mutex
@@ -265,7 +265,7 @@
 				time.Sleep(time.Duration(rng.Int64N(int64(3 * time.Second))))
 				i, way := rng.IntN(servers), rng.IntN(3)
 				x.sever(i, servers, way != 1, way != 2, true)
-				time.Sleep(callTime) // what was under way has come or has been given up
+				time.Sleep(callTimeout) // what was under way has come or has been given up
 				setAway(i)
 				time.Sleep(time.Duration(rng.Int64N(int64(20 * time.Second))))
 				setAway(-1)
@@ -282,7 +282,7 @@
 				t.Errorf("seed %d: %s", seed, fault)
 			}
 			for i := range servers { // versions never go back where they come in force
-				told := x.told[node(i)]
+				told := x.notified[node(i)]
 				for j := range told {
 					x.c.Assert(j == 0 || told[j] > told[j-1], qt.IsTrue, qt.Commentf("%v", told))
 				}
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -22,15 +22,15 @@
 type second struct {
 	name string
 	wipe bool // it may only come once the successor has had its time
-	do   func(co *core, victim int, running []int)
+	do   func(co *testCore, victim int, running []int)
 }
 
 var seconds = []second{
-	{"wiped", true, func(co *core, victim int, _ []int) {
+	{"wiped", true, func(co *testCore, victim int, _ []int) {
 		co.lose(victim)
 		co.start(victim, false)
 	}},
-	{"wiped, power off for all", true, func(co *core, victim int, running []int) {
+	{"wiped, power off for all", true, func(co *testCore, victim int, running []int) {
 		for _, i := range running {
 			co.stop(i)
 		}
@@ -39,12 +39,12 @@
 			co.start(i, false)
 		}
 	}},
-	{"gone", true, func(co *core, victim int, _ []int) { co.lose(victim) }},
-	{"killed", false, func(co *core, victim int, _ []int) {
+	{"gone", true, func(co *testCore, victim int, _ []int) { co.lose(victim) }},
+	{"killed", false, func(co *testCore, victim int, _ []int) {
 		co.stop(victim)
 		co.start(victim, false)
 	}},
-	{"power off for all", false, func(co *core, _ int, running []int) {
+	{"power off for all", false, func(co *testCore, _ int, running []int) {
 		for _, i := range running {
 			co.stop(i)
 		}
@@ -52,7 +52,7 @@
 			co.start(i, false)
 		}
 	}},
-	{"cut off", false, func(co *core, victim int, _ []int) {
+	{"cut off", false, func(co *testCore, victim int, _ []int) {
 		co.isolate(victim, true)
 		time.Sleep(3 * time.Second)
 		co.isolate(victim, false)
@@ -78,8 +78,8 @@
 
 // secondLoss exchanges node 0 for the empty node 3, and loses another one so long after that.
 func secondLoss(t *testing.T, s second, victim int, at time.Duration) {
-	play(t, 0, func(co *core, ctx context.Context) {
-		co.bears = 1
+	runCore(t, 0, func(co *testCore, ctx context.Context) {
+		co.tolerated = 1
 		for i := range 3 {
 			co.start(i, true)
 		}
@@ -109,7 +109,7 @@
 			if victim == leaving {
 				continue
 			}
-			grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+			grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
 				time.Sleep(2 * time.Second) // they know of each other
 				other := (leaving + 1) % 3
 				co.isolate(other, true) // so that the one that leaves holds what one other holds
@@ -138,7 +138,7 @@
 func TestTwoReplacedThenTwoLost(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		for _, victims := range [][2]int{{2, 3}, {3, 4}, {2, 5}, {5, 6}, {4, 6}} {
-			grown(t, 5, 2, 5, func(co *core, ctx context.Context) {
+			grown(t, 5, 2, 5, func(co *testCore, ctx context.Context) {
 				co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 				if ends {
 					co.start(5, false)
@@ -180,12 +180,12 @@
 
 // Without another that could take its place a voter that ends stays one, and doesn't wait. One that is alone ends, too.
 func TestHandOverToNobody(t *testing.T) {
-	grown(t, 3, 1, 3, func(co *core, ctx context.Context) {
+	grown(t, 3, 1, 3, func(co *testCore, ctx context.Context) {
 		began := time.Now()
 		co.c.Assert(co.server(0).HandOver(ctx), qt.IsNil)
 		co.c.Assert(time.Since(began) < 100*time.Millisecond, qt.IsTrue)
 		co.c.Assert(len(co.server(1).Voters()), qt.Equals, 3)
-		co.c.Assert(co.server(1).Membership().Epoch, qt.Equals, uint64(0))
+		co.c.Assert(co.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
 
 		co.isolate(0, true)
 		short, cancel := context.WithTimeout(ctx, time.Second)
@@ -196,12 +196,12 @@
 
 // A voter that one process can't reach, but the others can, stays; and one process alone replaces nobody.
 func TestOneProcessCantReplace(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
 		co.mu.Lock()
 		co.blocked = map[[2]string]bool{{node(1), node(0)}: true}
 		co.mu.Unlock()
 		time.Sleep(time.Minute)
-		co.c.Assert(co.server(1).Membership().Epoch, qt.Equals, uint64(0))
+		co.c.Assert(co.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
 		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 
 		co.isolate(0, true)
@@ -209,15 +209,15 @@
 		co.isolate(2, true)
 		time.Sleep(time.Minute)
 		for i := range 4 {
-			co.c.Assert(co.server(i).Membership().Epoch, qt.Equals, uint64(0))
+			co.c.Assert(co.server(i).VoterSet().Epoch, qt.Equals, uint64(0))
 		}
 	})
 }
 
 // However voters fall silent, no more are replaced in a while than may be lost at once.
 func TestReplacementsAreBounded(t *testing.T) {
-	grown(t, 9, 2, 5, func(co *core, ctx context.Context) {
-		first := co.server(0).Membership().Epoch
+	grown(t, 9, 2, 5, func(co *testCore, ctx context.Context) {
+		first := co.server(0).VoterSet().Epoch
 		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		rng := rand.New(rand.NewPCG(7, 7))
 		began := time.Now()
@@ -231,7 +231,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(catchUp)
-		epochs := co.server(0).Membership().Epoch - first
+		epochs := co.server(0).VoterSet().Epoch - first
 		t.Logf("%d changes of the voters in a minute", epochs)
 		co.c.Assert(epochs <= uint64(2*time.Minute/replaceWindow)+1, qt.IsTrue, qt.Commentf("%d", epochs))
 		co.c.Assert(len(co.server(0).Voters()), qt.Equals, 5)
@@ -248,8 +248,8 @@
 	}
 	var took []time.Duration
 	for run := range runs {
-		play(t, 0, func(co *core, ctx context.Context) {
-			co.bears, co.late, co.loss = 1, float64(10*time.Millisecond), 0.02
+		runCore(t, 0, func(co *testCore, ctx context.Context) {
+			co.tolerated, co.maxDelay, co.lossRate = 1, float64(10*time.Millisecond), 0.02
 			rng := rand.New(rand.NewPCG(uint64(run), 4))
 			co.rng = rand.New(rand.NewPCG(uint64(run), 3))
 			for i := range 3 {
@@ -277,43 +277,43 @@
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var table peerTable
+	var table failureDetector
 	table.track(at(0), []string{"a", "b"})
-	c.Assert(table.due(), qt.DeepEquals, []string{"a", "b"})
-	c.Assert(table.due(), qt.HasLen, 0)
-	table.answered(at(10), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
-	table.answered(at(1000), "b", nil)
-	c.Assert(table.due(), qt.DeepEquals, []string{"a", "b"})
-	c.Assert(table.silent(at(1999), []string{"a", "b"}), qt.HasLen, 0)
-	table.answered(at(1900), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
-	c.Assert(table.silent(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
+	c.Assert(table.startProbes(), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(table.startProbes(), qt.HasLen, 0)
+	table.observeReply(at(10), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
+	table.observeReply(at(1000), "b", nil)
+	c.Assert(table.startProbes(), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(table.unresponsive(at(1999), []string{"a", "b"}), qt.HasLen, 0)
+	table.observeReply(at(1900), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
+	c.Assert(table.unresponsive(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
 	never := func(string) bool { return false }
-	list := table.presence(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
+	list := table.peerStatuses(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
 	c.Assert(list, qt.DeepEquals, []consensus.PeerStatus{
 		{Node: "a", Responsive: true, StateDuration: 1990 * time.Millisecond, Ready: true},
 		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2}})
-	table.wake(at(60000)) // it stood still: nobody is silent yet
-	c.Assert(table.silent(at(61000), []string{"a", "b"}), qt.HasLen, 0)
-	table.answered(at(61000), "b", &consensus.Reply{})
-	c.Assert(table.silent(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
+	table.resetTimeouts(at(60000)) // it stood still: nobody is silent yet
+	c.Assert(table.unresponsive(at(61000), []string{"a", "b"}), qt.HasLen, 0)
+	table.observeReply(at(61000), "b", &consensus.Reply{})
+	c.Assert(table.unresponsive(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
 	table.track(at(62000), []string{"b"})
-	table.answered(at(62000), "a", &consensus.Reply{}) // of no interest any more
-	c.Assert(len(table.presence(at(62000), nil, nil, never)), qt.Equals, 1)
+	table.observeReply(at(62000), "a", &consensus.Reply{}) // of no interest any more
+	c.Assert(len(table.peerStatuses(at(62000), nil, nil, never)), qt.Equals, 1)
 }
 
 // When a change of the voters returns, a majority of the new list has the list on disk, also if nobody was told that it is decided.
 func TestChangeReturnsWithTheListOnDisk(t *testing.T) {
-	grownAfter(t, func(co *core, ctx context.Context) {
+	grownAfter(t, func(co *testCore, ctx context.Context) {
 		co.mu.Lock()
 		co.drops = consensus.Commit
 		co.mu.Unlock()
-		e := co.server(0).Membership()
-		co.c.Assert(co.server(0).changeMembership(ctx, e, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
+		e := co.server(0).VoterSet()
+		co.c.Assert(co.server(0).changeVoters(ctx, e, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
 		have := 0
 		for i := 1; i <= 3; i++ {
 			d := co.server(i)
 			d.mu.Lock()
-			if d.kept == e.Epoch+1 {
+			if d.persistedEpoch == e.Epoch+1 {
 				have++
 			}
 			d.mu.Unlock()
@@ -324,20 +324,20 @@
 
 // A process that stood still itself takes nobody for silent, and plans nothing.
 func TestStandingStillIsNoSilence(t *testing.T) {
-	grownAfter(t, func(co *core, _ context.Context) {
+	grownAfter(t, func(co *testCore, _ context.Context) {
 		d := co.server(1)
-		r := &reconfigurer{server: d, answers: make(chan answer, 64), finished: make(chan struct{}, 1), last: time.Now()}
+		r := &voterManager{server: d, replies: make(chan peerReply, 64), changeDone: make(chan struct{}, 1), lastTick: time.Now()}
 		now := time.Now()
 		for range 4 {
-			r.step(now)
+			r.tick(now)
 			now = now.Add(reconfigureInterval)
 		}
 		for _, node := range []string{node(0), node(2), node(3)} {
-			r.table.answered(now, node, &consensus.Reply{Ready: true, Unresponsive: []string{"nobody"}})
+			r.detector.observeReply(now, node, &consensus.Reply{Ready: true, Unresponsive: []string{"nobody"}})
 		}
-		r.step(now.Add(time.Minute))
-		co.c.Assert(r.table.silent(now.Add(time.Minute), d.Voters()), qt.HasLen, 0)
-		co.c.Assert(r.need, qt.Equals, consensus.VoterChange{})
+		r.tick(now.Add(time.Minute))
+		co.c.Assert(r.detector.unresponsive(now.Add(time.Minute), d.Voters()), qt.HasLen, 0)
+		co.c.Assert(r.planned, qt.Equals, consensus.VoterChange{})
 	})
 }
 
@@ -349,18 +349,18 @@
 		return consensus.VoterSet{Epoch: epoch, Voters: voters}
 	}
 	for _, tolerated := range []int{0, 1, 2} {
-		var r replacements
+		var r replacementLimiter
 		r.observe(start, list(4, "a", "b", "c"))
-		c.Assert(r.allowed(start, tolerated), qt.IsTrue)
+		c.Assert(r.allows(start, tolerated), qt.IsTrue)
 		r.observe(start, list(5, "a", "b", "c", "d")) // nobody was replaced
-		c.Assert(r.allowed(start, tolerated), qt.IsTrue)
+		c.Assert(r.allows(start, tolerated), qt.IsTrue)
 		r.observe(start, list(6, "a", "b", "d"))
-		c.Assert(r.allowed(at(replacePause-1), tolerated), qt.IsFalse)
-		c.Assert(r.allowed(at(replacePause), tolerated), qt.Equals, tolerated == 2)
-		r.observe(at(replacePause), list(7, "a", "d", "e"))
+		c.Assert(r.allows(at(minReplaceInterval-1), tolerated), qt.IsFalse)
+		c.Assert(r.allows(at(minReplaceInterval), tolerated), qt.Equals, tolerated == 2)
+		r.observe(at(minReplaceInterval), list(7, "a", "d", "e"))
 		r.observe(at(replaceWindow-1), list(7, "a", "d", "e"))
-		c.Assert(r.allowed(at(replaceWindow-1), tolerated), qt.IsFalse)
-		r.observe(at(replaceWindow+replacePause), list(7, "a", "d", "e"))
-		c.Assert(r.allowed(at(replaceWindow+replacePause), tolerated), qt.IsTrue)
+		c.Assert(r.allows(at(replaceWindow-1), tolerated), qt.IsFalse)
+		r.observe(at(replaceWindow+minReplaceInterval), list(7, "a", "d", "e"))
+		c.Assert(r.allows(at(replaceWindow+minReplaceInterval), tolerated), qt.IsTrue)
 	}
 }
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -59,16 +59,16 @@
 func TestGoldenRecords(t *testing.T) {
 	c := qt.New(t)
 	want := goldenRecord()
-	m := &memory{records: map[string][]byte{}}
-	k := &replica{d: &Server{o: Options{Self: goldenSelf}}, disk: m}
+	m := &memoryStore{records: map[string][]byte{}}
+	k := &acceptor{server: &Server{options: Options{Self: goldenSelf}}, store: m}
 	c.Assert(k.save(&want, consensus.Unsynced{State: true, Vote: true}), qt.IsNil)
-	golden.Hex(t, goldenStanding, m.records[standingKey])
+	golden.Hex(t, goldenStanding, m.records[stateKey])
 	golden.Hex(t, goldenVote, m.records[voteKey])
 	c.Assert(m.records, qt.HasLen, 2)
 
-	m.records = map[string][]byte{standingKey: golden.Read(t, goldenStanding), voteKey: golden.Read(t, goldenVote)}
+	m.records = map[string][]byte{stateKey: golden.Read(t, goldenStanding), voteKey: golden.Read(t, goldenVote)}
 	var got consensus.Record
-	c.Assert(k.get(standingKey, &got.State), qt.IsNil)
+	c.Assert(k.get(stateKey, &got.State), qt.IsNil)
 	c.Assert(k.get(voteKey, &got.Vote), qt.IsNil)
 	c.Assert(got, qt.DeepEquals, want)
 }
@@ -87,7 +87,7 @@
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
 	record := goldenRecord()
-	c.Assert(store.Put(standingKey, codec.Write(nil, &record.State)), qt.IsNil)
+	c.Assert(store.Put(stateKey, codec.Write(nil, &record.State)), qt.IsNil)
 	c.Assert(store.Put(voteKey, codec.Write(nil, &record.Vote)), qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
 	for v := configuration.Version(5); v < 7; v++ {
@@ -102,7 +102,7 @@
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
 	records = map[string][]byte{}
-	for _, key := range []string{ownerKey, standingKey, voteKey} {
+	for _, key := range []string{ownerKey, stateKey, voteKey} {
 		records[key], err = store.Get(key)
 		c.Assert(err, qt.IsNil)
 		text = fmt.Appendf(text, "%s %x\n", key, records[key])
@@ -127,9 +127,9 @@
 
 	var got consensus.Record
 	c.Assert(string(records[ownerKey]), qt.Equals, goldenSelf)
-	c.Assert(codec.Read(records[standingKey], &got.State), qt.IsNil)
+	c.Assert(codec.Read(records[stateKey], &got.State), qt.IsNil)
 	c.Assert(codec.Read(records[voteKey], &got.Vote), qt.IsNil)
-	c.Assert(codec.Write(nil, &got.State), qt.DeepEquals, records[standingKey])
+	c.Assert(codec.Write(nil, &got.State), qt.DeepEquals, records[stateKey])
 	c.Assert(codec.Write(nil, &got.Vote), qt.DeepEquals, records[voteKey])
 	want := goldenRecord()
 	c.Assert(got.State.Promised, qt.Equals, got.Vote.Ballot)
@@ -148,13 +148,13 @@
 	c.Assert(value.Refused, qt.DeepEquals, want.Vote.Value.Refused)
 
 	d := openAlone(c, folder)
-	newest, err := d.Newest(c.Context())
+	newest, err := d.ReadLatest(c.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(newest, qt.DeepEquals, value)
-	c.Assert(d.Membership(), qt.DeepEquals, want.State.VoterSet)
+	c.Assert(d.VoterSet(), qt.DeepEquals, want.State.VoterSet)
 	epoch, ready := d.Accepted()
 	c.Assert(epoch == 3 && ready, qt.IsTrue)
-	c.Assert(d.knownSystem(), qt.Equals, want.State.System)
+	c.Assert(d.knownSystemID(), qt.Equals, want.State.System)
 	c.Assert(d.Replace(c.Context(), 5, config(6, "golden")).Outcome, qt.Equals, Applied) // a repeat, which the history tells
 	c.Assert(d.Replace(c.Context(), 1, config(2, "golden")).Outcome, qt.Equals, Unknown)
 	c.Assert(d.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Applied)
@@ -213,7 +213,7 @@
 	replaceGolden("no body", "0", ``),
 	replaceGolden("a list", "0", `[]`),
 	replaceGolden("faults", "0", `{"configVersion":"1","routeTable":[{"hostName":""},7],"tenantTable":{}}`),
-	replaceGolden("a body that is too large", "0", strings.Repeat(" ", bodyMax+1)),
+	replaceGolden("a body that is too large", "0", strings.Repeat(" ", maxBodyBytes+1)),
 	{name: "a body that breaks off", method: "POST", path: "/configuration/replace", base: []string{"0"}, broken: true},
 	replaceGolden("the first one", "0", string(config(3, ""))),
 	replaceGolden("the same again", "0", string(config(3, ""))),
@@ -241,7 +241,7 @@
 // The operators' calls, good and bad, are answered as they always were.
 func TestGoldenOperatorsCalls(t *testing.T) {
 	var text bytes.Buffer
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		for _, x := range goldenDecided {
 			x.answer(&text, co.server(0))
 		}
@@ -250,20 +250,20 @@
 			x.answer(&text, co.server(0))
 		}
 	})
-	play(t, 0, func(co *core, ctx context.Context) { // versions that are forgotten
+	runCore(t, 0, func(co *testCore, ctx context.Context) { // versions that are forgotten
 		record := goldenRecord()
 		record.State.Voters, record.State.Epoch, record.Vote.Value.VoterSet = []string{node(0)}, 0, consensus.VoterSet{}
-		co.disks[node(0)] = &memory{records: map[string][]byte{standingKey: codec.Write(nil, &record.State), voteKey: codec.Write(nil, &record.Vote)}}
+		co.disks[node(0)] = &memoryStore{records: map[string][]byte{stateKey: codec.Write(nil, &record.State), voteKey: codec.Write(nil, &record.Vote)}}
 		co.start(0, false)
 		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(&text, co.server(0))
 	})
-	play(t, 0, func(co *core, ctx context.Context) { // more voters are expected
-		co.bears = 2
+	runCore(t, 0, func(co *testCore, ctx context.Context) { // more voters are expected
+		co.tolerated = 2
 		for i := range 3 {
 			co.start(i, true)
 		}
 		replaceGolden("too few voters yet", "0", string(config(1, ""))).answer(&text, co.server(0))
-		time.Sleep(growthLeast)
+		time.Sleep(discoveryTime)
 		replaceGolden("too few voters, and no more come", "0", string(config(1, ""))).answer(&text, co.server(0))
 	})
 	golden.Text(t, goldenCalls, text.Bytes())
@@ -274,7 +274,7 @@
 	c := qt.New(t)
 	_, err := (&Server{}).Serve(t.Context(), []byte{0xff})
 	c.Assert(err, qt.ErrorMatches, `request: .*`)
-	k := &replica{d: &Server{o: Options{Folder: "f"}}, disk: &memory{records: map[string][]byte{voteKey: must(hex.DecodeString("0a"))}}}
+	k := &acceptor{server: &Server{options: Options{Folder: "f"}}, store: &memoryStore{records: map[string][]byte{voteKey: must(hex.DecodeString("0a"))}}}
 	c.Assert(k.get(voteKey, &consensus.Vote{}), qt.ErrorMatches, `(?s).*folder f, record "vote": .*`)
 }
 
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -12,37 +12,37 @@
 
 // How long after its start a process expects the list of voters to grow.
 const (
-	growthLeast = time.Second     // until then processes that it does not know of yet may be there
-	growthMost  = 5 * time.Second // who has not become a voter by then is not waited for
+	discoveryTime = time.Second     // until then processes that it does not know of yet may be there
+	maxGrowthWait = 5 * time.Second // who has not become a voter by then is not waited for
 )
 
-// awaitGrowth waits until the list of voters bears as many lost disks as it is to bear. At the system's first start it can't: all are
+// awaitVoters waits until the list of voters bears as many lost disks as it is to bear. At the system's first start it can't: all are
 // told of the same three processes, whose majority is two, and a change that these two alone hold must not be acknowledged where two
 // disks may be lost. Once it returns without an error, a majority of the whole list has the newest value and the list itself on disk.
 // It does not wait for processes that are not there, nor long after this process's start.
-func (d *Server) awaitGrowth(ctx context.Context) error {
-	first := d.o.InitialStart && time.Since(d.began) < growthMost
-	if d.o.Cores == nil || !first && !d.growing() {
+func (d *Server) awaitVoters(ctx context.Context) error {
+	first := d.options.InitialStart && time.Since(d.startedAt) < maxGrowthWait
+	if d.options.Cores == nil || !first && !d.expectsMoreVoters() {
 		return nil
 	}
-	for d.growing() {
-		pause := pauseMin
-		if err := d.pause(ctx, &pause); err != nil {
+	for d.expectsMoreVoters() {
+		pause := minBackoff
+		if err := d.backOff(ctx, &pause); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	_, err := d.Newest(ctx) // a round under the list that there is now
+	_, err := d.ReadLatest(ctx) // a round under the list that there is now
 	return trace.Wrap(err)
 }
 
-// growing tells whether there are fewer voters than wanted, and there may soon be more.
-func (d *Server) growing() bool {
-	e, age := d.Membership(), time.Since(d.began)
-	if len(e.Voters) >= consensus.TargetVoters(d.o.Tolerated) || age >= growthMost {
+// expectsMoreVoters tells whether there are fewer voters than wanted, and there may soon be more.
+func (d *Server) expectsMoreVoters() bool {
+	e, age := d.VoterSet(), time.Since(d.startedAt)
+	if len(e.Voters) >= consensus.TargetVoters(d.options.Tolerated) || age >= maxGrowthWait {
 		return false
 	}
-	joining := slices.ContainsFunc(d.peersThere(), func(node string) bool {
+	joining := slices.ContainsFunc(d.runningCores(), func(node string) bool {
 		return !e.Contains(node) && !slices.Contains(e.Retired, node)
 	})
-	return joining || age < growthLeast
+	return joining || age < discoveryTime
 }
--- a/internal/mesh/control/controlplane/growth_test.go
+++ b/internal/mesh/control/controlplane/growth_test.go
@@ -18,8 +18,8 @@
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 1500 * time.Millisecond} {
 			name := fmt.Sprintf("%v after %v", lost, after)
 			t.Run(name, func(t *testing.T) {
-				play(t, 0, func(co *core, ctx context.Context) {
-					co.bears = 2
+				runCore(t, 0, func(co *testCore, ctx context.Context) {
+					co.tolerated = 2
 					for i := range 5 {
 						co.start(i, true)
 					}
@@ -46,21 +46,21 @@
 
 // Where no more processes come than are there, nobody waits for them for long.
 func TestAChangeIsTakenWithFewerProcessesThanWanted(t *testing.T) {
-	play(t, 0, func(co *core, ctx context.Context) {
-		co.bears = 2
+	runCore(t, 0, func(co *testCore, ctx context.Context) {
+		co.tolerated = 2
 		for i := range 3 {
 			co.start(i, true)
 		}
 		began := time.Now()
 		co.c.Assert(co.insistOn(ctx, 0, 0, 5, 10*time.Second), qt.Equals, Applied)
-		co.c.Check(time.Since(began) < 2*growthLeast, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+		co.c.Check(time.Since(began) < 2*discoveryTime, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 	})
 }
 
 // insistOn sends a change again and again, as operators do, until there is a clear outcome.
-func (co *core) insistOn(ctx context.Context, i int, base, version configuration.Version, most time.Duration) (outcome Outcome) {
+func (co *testCore) insistOn(ctx context.Context, i int, base, version configuration.Version, most time.Duration) (outcome Outcome) {
 	for began := time.Now(); outcome == Unknown && time.Since(began) < most; {
-		call, cancel := context.WithTimeout(ctx, callTime)
+		call, cancel := context.WithTimeout(ctx, callTimeout)
 		outcome = co.replace(call, i, base, version)
 		cancel()
 	}
--- a/internal/mesh/control/controlplane/halves_test.go
+++ b/internal/mesh/control/controlplane/halves_test.go
@@ -20,7 +20,7 @@
 			if size := bits.OnesCount(uint(half)); size != x.n/2 && size != (x.n+1)/2 {
 				continue
 			}
-			grown(t, x.n, x.bears, x.voters, func(co *core, ctx context.Context) {
+			grown(t, x.n, x.bears, x.voters, func(co *testCore, ctx context.Context) {
 				co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 				newest := cutIntoHalves(co, ctx, x.n, half)
 				for i := range x.n {
@@ -43,7 +43,7 @@
 }
 
 // cutIntoHalves cuts the servers of a set from the others for some seconds; it returns the newest version that was acknowledged.
-func cutIntoHalves(co *core, ctx context.Context, n, half int) configuration.Version {
+func cutIntoHalves(co *testCore, ctx context.Context, n, half int) configuration.Version {
 	in := func(i int) bool { return half>>i&1 == 1 }
 	blocked := map[[2]string]bool{}
 	for i := range n {
@@ -73,7 +73,7 @@
 			cancel()
 			for j := range n {
 				short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-				if w, err := co.server(j).Newest(short); err == nil {
+				if w, err := co.server(j).ReadLatest(short); err == nil {
 					co.c.Assert(w.Version >= acknowledged, qt.IsTrue, qt.Commentf("%d tells %v, %v was acknowledged, half %b", j, w.Version, acknowledged, half))
 					acknowledged = w.Version // a change without an answer may be in force
 				}
--- a/internal/mesh/control/controlplane/http.go
+++ b/internal/mesh/control/controlplane/http.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	bodyMax  = 32 << 20
-	callTime = 900 * time.Millisecond // callers wait for a second
-	retryIn  = "0.2"                  // seconds, for Retry-After
+	maxBodyBytes      = 32 << 20
+	callTimeout       = 900 * time.Millisecond // callers wait for a second
+	retryAfterSeconds = "0.2"                  // seconds, for Retry-After
 )
 
 // The operators' calls, and the header that names the version which a change is based on.
@@ -26,27 +26,27 @@
 	baseVersionHeader = "Base-Version"
 )
 
-// call is one of the operators' calls.
-type call struct {
+// operatorCall is one of the operators' calls.
+type operatorCall struct {
 	pattern string
-	serve   func(d *Server, w http.ResponseWriter, r *http.Request)
+	handle  func(d *Server, w http.ResponseWriter, r *http.Request)
 }
 
 // Handler serves the operators' calls. 200, 400, 404, 412 and 413 are final; 503 says that nothing is known, and when to call
 // again.
 func (d *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	for _, c := range []call{replaceCall, retrieveCall} {
-		mux.HandleFunc(c.pattern, func(w http.ResponseWriter, r *http.Request) { c.serve(d, w, r) })
+	for _, c := range []operatorCall{replaceCall, retrieveCall} {
+		mux.HandleFunc(c.pattern, func(w http.ResponseWriter, r *http.Request) { c.handle(d, w, r) })
 	}
 	return mux
 }
 
 // replaceCall is answered 200 for a change that is or was in force, and 412 or 400 for one that never was and never will be.
-var replaceCall = call{replacePattern, (*Server).serveReplace}
+var replaceCall = operatorCall{replacePattern, (*Server).serveReplace}
 
 func (d *Server) serveReplace(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMax))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
@@ -61,21 +61,21 @@
 		writeError(w, http.StatusBadRequest, trace.Wrap(err, baseVersionHeader))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), callTime)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	v := d.Replace(ctx, base, raw)
-	d.o.Log.WithField("outcome", v.Outcome).WithField("base", base).WithField("reason", v.Reason).Info("configuration sent")
+	d.options.Log.WithField("outcome", v.Outcome).WithField("base", base).WithField("reason", v.Reason).Info("configuration sent")
 	writeError(w, map[Outcome]int{Applied: http.StatusOK, Conflict: http.StatusPreconditionFailed, Invalid: http.StatusBadRequest,
 		Unknown: http.StatusServiceUnavailable}[v.Outcome], v.Reason)
 }
 
 // retrieveCall is answered with the newest configuration that was committed when the call came, or a newer one.
-var retrieveCall = call{retrievePattern, (*Server).serveRetrieve}
+var retrieveCall = operatorCall{retrievePattern, (*Server).serveRetrieve}
 
 func (d *Server) serveRetrieve(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), callTime)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	value, err := d.Newest(ctx)
+	value, err := d.ReadLatest(ctx)
 	switch {
 	case err != nil:
 		writeError(w, http.StatusServiceUnavailable, err)
@@ -91,7 +91,7 @@
 func writeError(w http.ResponseWriter, status int, reason error) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryIn)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
 	body := struct {
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -23,19 +23,19 @@
 }
 
 // send sends an order once, and gives the status.
-func (co *core) send(i int, o order) int {
+func (co *testCore) send(i int, o order) int {
 	r := httptest.NewRequest("POST", "/configuration/replace", strings.NewReader(o.body))
 	r.Header.Set("Base-Version", o.base.String())
 	w := httptest.NewRecorder()
 	co.server(i).Handler().ServeHTTP(w, r)
 	if w.Code == http.StatusServiceUnavailable {
-		co.c.Assert(w.Header().Get("Retry-After"), qt.Equals, retryIn)
+		co.c.Assert(w.Header().Get("Retry-After"), qt.Equals, retryAfterSeconds)
 	}
 	return w.Code
 }
 
 // insist sends an order to one server after the other until it is answered 200 or 412; the first answers are lost.
-func (co *core) insist(from int, o order, lost int) int {
+func (co *testCore) insist(from int, o order, lost int) int {
 	for n := 0; ; n++ {
 		status := co.send((from+n)%4, o)
 		if n >= lost && status != http.StatusServiceUnavailable {
@@ -45,7 +45,7 @@
 }
 
 // everywhere wants one answer to an order from all servers.
-func (co *core) everywhere(status int, orders ...order) {
+func (co *testCore) everywhere(status int, orders ...order) {
 	for _, o := range orders {
 		for i := range 4 {
 			co.c.Assert(co.insist(i, o, 0), qt.Equals, status, qt.Commentf("server %d, %.40s", i, o.body))
@@ -58,9 +58,9 @@
 // voters, after all were killed, and after later changes.
 func TestOneNumberTwoBodies(t *testing.T) {
 	for seed := range 6 {
-		play(t, 4, func(co *core, ctx context.Context) {
+		runCore(t, 4, func(co *testCore, ctx context.Context) {
 			co.mu.Lock()
-			co.late, co.loss = float64(20*time.Millisecond), 0.15
+			co.maxDelay, co.lossRate = float64(20*time.Millisecond), 0.15
 			co.mu.Unlock()
 			orders := []order{{0, string(config(7, "one"))}, {0, string(config(7, "two"))}}
 			var status [2]int
@@ -80,10 +80,10 @@
 			}
 			check()
 			co.mu.Lock()
-			co.loss = 0
+			co.lossRate = 0
 			co.mu.Unlock()
-			co.c.Assert(co.server(0).Add(ctx, node(3)), qt.IsNil)
-			co.c.Assert(co.server(3).Retire(ctx, node(seed%3)), qt.IsNil)
+			co.c.Assert(co.server(0).AddVoter(ctx, node(3)), qt.IsNil)
+			co.c.Assert(co.server(3).RetireVoter(ctx, node(seed%3)), qt.IsNil)
 			check()
 			for i := range 4 {
 				co.stop(i)
@@ -103,7 +103,7 @@
 // that surely never were, and those on the newest version, are answered as ever.
 func TestOrdersOfAnyAge(t *testing.T) {
 	const changes = 300
-	play(t, 4, func(co *core, ctx context.Context) {
+	runCore(t, 4, func(co *testCore, ctx context.Context) {
 		var orders []order
 		for v := range configuration.Version(changes) {
 			orders = append(orders, order{v, string(config(v+1, ""))})
@@ -128,7 +128,7 @@
 
 // A process that starts again never uses a ballot of its last start.
 func TestBallotsOfAStartAreItsOwn(t *testing.T) {
-	play(t, 4, func(co *core, ctx context.Context) {
+	runCore(t, 4, func(co *testCore, ctx context.Context) {
 		before := co.server(3).nextBallot()
 		co.stop(3)
 		time.Sleep(time.Millisecond) // of the bubble's time
@@ -139,7 +139,7 @@
 
 // A server with another's folder doesn't vote, and changes nothing in it.
 func TestSwappedFolders(t *testing.T) {
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.replace(ctx, 2, 0, 1), qt.Equals, Applied)
 		time.Sleep(time.Second) // of the bubble's time: all have it
 		for i := range 2 {
@@ -174,46 +174,46 @@
 		fault error
 		match string
 	}{
-		ownerKey:    {"b", nil, `folder f, record "owner": the folder belongs to b, this process is a`},
-		voteKey:     {"a", trace.NotImplemented(`folder f, record "vote": format 0x72`), `folder f, record "vote": format 0x72`},
-		standingKey: {"a", trace.NotImplemented(`folder f, record "standing": format 0x72`), `folder f, record "standing": format 0x72`},
+		ownerKey: {"b", nil, `folder f, record "owner": the folder belongs to b, this process is a`},
+		voteKey:  {"a", trace.NotImplemented(`folder f, record "vote": format 0x72`), `folder f, record "vote": format 0x72`},
+		stateKey: {"a", trace.NotImplemented(`folder f, record "standing": format 0x72`), `folder f, record "standing": format 0x72`},
 	} {
-		m := &memory{records: map[string][]byte{ownerKey: []byte(x.owner)}}
-		d := &Server{o: Options{Self: "a", Folder: "f", open: func(string) (disk, error) { return unreadable{m, key, x.fault}, nil }}}
-		c.Assert((&replica{d: d}).load(), qt.ErrorMatches, "(?s).*"+x.match+".*")
+		m := &memoryStore{records: map[string][]byte{ownerKey: []byte(x.owner)}}
+		d := &Server{options: Options{Self: "a", Folder: "f", openStore: func(string) (recordStore, error) { return unreadableStore{m, key, x.fault}, nil }}}
+		c.Assert((&acceptor{server: d}).load(), qt.ErrorMatches, "(?s).*"+x.match+".*")
 		c.Assert(m.records, qt.HasLen, 1)
 	}
-	m := &memory{records: map[string][]byte{voteKey: {0xff}}}
-	d := &Server{o: Options{Self: "a", Folder: "f"}}
-	c.Assert((&replica{d: d, disk: m}).get(voteKey, nil), qt.ErrorMatches, `(?s).*folder f, record "vote": byte 0.*`)
+	m := &memoryStore{records: map[string][]byte{voteKey: {0xff}}}
+	d := &Server{options: Options{Self: "a", Folder: "f"}}
+	c.Assert((&acceptor{server: d, store: m}).get(voteKey, nil), qt.ErrorMatches, `(?s).*folder f, record "vote": byte 0.*`)
 }
 
-// unreadable is a disk one of whose records can't be read.
-type unreadable struct {
-	*memory
+// unreadableStore is a disk one of whose records can't be read.
+type unreadableStore struct {
+	*memoryStore
 	key   string
 	fault error
 }
 
-func (u unreadable) Get(key string) ([]byte, error) {
+func (u unreadableStore) Get(key string) ([]byte, error) {
 	if key == u.key && u.fault != nil {
 		return nil, u.fault
 	}
-	return u.memory.Get(key)
+	return u.memoryStore.Get(key)
 }
 
 // A folder that is emptied under a running voter is a lost disk, also at the system's first start.
 func TestEmptiedFolderIsNoFirstStart(t *testing.T) {
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.replace(ctx, 1, 0, 5), qt.Equals, Applied)
 		time.Sleep(time.Second) // of the bubble's time: all have it
 		m := co.disks[node(2)]
-		m.set(func() { clear(m.records); m.fault = io.ErrShortWrite })
+		m.configure(func() { clear(m.records); m.fault = io.ErrShortWrite })
 		short, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		co.c.Assert(co.replace(short, 1, 5, 6), qt.Equals, Applied)
 		co.isolate(0, true)
-		m.set(func() { m.fault = nil })
+		m.configure(func() { m.fault = nil })
 		short, cancel = context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
 		co.c.Assert(co.replace(short, 1, 6, 7), qt.Equals, Unknown)
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -15,11 +15,11 @@
 )
 
 // cores are the servers that one of them can reach.
-func (co *core) cores(self string) (list []string) {
+func (co *testCore) cores(self string) (list []string) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	for node := range co.servers {
-		if !co.cut[node] && !co.cut[self] {
+		if !co.isolated[node] && !co.isolated[self] {
 			list = append(list, node)
 		}
 	}
@@ -27,9 +27,9 @@
 }
 
 // grown runs a test with n servers that bear f losses, once there are so many voters.
-func grown(t *testing.T, n, f, voters int, test func(co *core, ctx context.Context)) {
-	play(t, 0, func(co *core, ctx context.Context) {
-		co.bears = f
+func grown(t *testing.T, n, f, voters int, test func(co *testCore, ctx context.Context)) {
+	runCore(t, 0, func(co *testCore, ctx context.Context) {
+		co.tolerated = f
 		for i := range n {
 			co.start(i, true)
 		}
@@ -39,7 +39,7 @@
 }
 
 // everyone tells whether all servers know of so many voters.
-func (co *core) everyone(voters int) bool {
+func (co *testCore) everyone(voters int) bool {
 	for _, d := range co.servers {
 		if len(d.Voters()) != voters {
 			return false
@@ -49,13 +49,13 @@
 }
 
 // await waits for something, of the bubble's time.
-func (co *core) await(most time.Duration, done func() bool) {
+func (co *testCore) await(most time.Duration, done func() bool) {
 	for began := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
 		co.c.Assert(time.Since(began) < most, qt.IsTrue, qt.Commentf("not after %v", most))
 	}
 }
 
-func (co *core) lose(i int) {
+func (co *testCore) lose(i int) {
 	co.stop(i)
 	co.disks[node(i)] = nil
 }
@@ -65,7 +65,7 @@
 func TestTwoOfFiveAreLost(t *testing.T) {
 	for _, lost := range [][2]int{{0, 1}, {1, 2}, {2, 3}, {3, 4}, {0, 4}} {
 		for _, dead := range []bool{false, true} {
-			grown(t, 5, 2, 5, func(co *core, ctx context.Context) {
+			grown(t, 5, 2, 5, func(co *testCore, ctx context.Context) {
 				var away []int
 				for i := range 5 {
 					if i != lost[0] && i != lost[1] && len(away) < 2 {
@@ -106,7 +106,7 @@
 
 // All disks but those of two survive when every server is killed right after an acknowledgement.
 func TestAllAreKilledAndTwoDisksLost(t *testing.T) {
-	grown(t, 5, 2, 5, func(co *core, ctx context.Context) {
+	grown(t, 5, 2, 5, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.replace(ctx, 1, 0, 5), qt.Equals, Applied)
 		for i := range 5 {
 			co.stop(i)
@@ -123,15 +123,15 @@
 
 // While voters come and go, with messages late and lost, changes are taken or unclear, and none is lost or forgotten.
 func TestChangesWhileVotersChange(t *testing.T) {
-	play(t, 0, func(co *core, ctx context.Context) {
-		co.bears, co.late, co.loss = 2, float64(30*time.Millisecond), 0.1
+	runCore(t, 0, func(co *testCore, ctx context.Context) {
+		co.tolerated, co.maxDelay, co.lossRate = 2, float64(30*time.Millisecond), 0.1
 		for i := range 5 {
 			co.start(i, true)
 		}
 		base, unclear := configuration.Version(0), 0
 		began := time.Now()
 		for v := configuration.Version(1); time.Since(began) < 20*time.Second; v++ {
-			short, cancel := context.WithTimeout(ctx, callTime)
+			short, cancel := context.WithTimeout(ctx, callTimeout)
 			o := co.server(int(v)%5).Replace(short, base, config(v, "")).Outcome
 			cancel()
 			co.c.Assert(o == Applied || o == Unknown, qt.IsTrue, qt.Commentf("%v on %v: %v", v, base, o))
@@ -146,7 +146,7 @@
 		}
 		t.Logf("to %v, %d unclear and not in force", base, unclear)
 		co.mu.Lock()
-		co.late, co.loss = 0, 0
+		co.maxDelay, co.lossRate = 0, 0
 		co.mu.Unlock()
 		co.await(5*time.Second, func() bool { return co.everyone(5) })
 	})
@@ -155,10 +155,10 @@
 // A voter is taken out while it is away, and comes back hours later, with its old list: it harms nobody, learns that it's out,
 // and isn't taken in again. Added again, it votes.
 func TestRetiredComesBack(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 		co.stop(0)
-		co.c.Assert(co.server(1).Retire(ctx, node(0)), qt.IsNil)
+		co.c.Assert(co.server(1).RetireVoter(ctx, node(0)), qt.IsNil)
 		co.await(10*time.Second, func() bool { return co.everyone(3) })
 		co.c.Assert(slices.Contains(co.server(1).Voters(), node(3)), qt.IsTrue)
 		co.c.Assert(co.replace(ctx, 1, 1, 2), qt.Equals, Applied)
@@ -176,7 +176,7 @@
 		co.c.Assert(err, qt.IsNil)
 		co.c.Assert(reply.Kind, qt.Equals, consensus.StaleEpoch)
 
-		co.c.Assert(co.server(1).Add(ctx, node(0)), qt.IsNil)
+		co.c.Assert(co.server(1).AddVoter(ctx, node(0)), qt.IsNil)
 		co.isolate(2, true)
 		co.c.Assert(co.replace(ctx, 0, 2, 4), qt.Equals, Applied)
 		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(4))
@@ -186,7 +186,7 @@
 // A short silence leaves the voters as they are. After a longer one another takes the place of the voter that is silent; without
 // another the voter stays, also after hours.
 func TestSilentVoterIsReplaced(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
 		co.isolate(0, true)
 		time.Sleep(consensus.ReplaceDelay - probeTicks*reconfigureInterval)
 		co.isolate(0, false)
@@ -211,10 +211,10 @@
 
 // Core machines are exchanged one by one, until no first voter is left; the seeds still name the first ones.
 func TestExchangedOneByOne(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
 		version := configuration.Version(0)
 		for i := range 3 {
-			co.c.Assert(co.server(3).Retire(ctx, node(i)), qt.IsNil)
+			co.c.Assert(co.server(3).RetireVoter(ctx, node(i)), qt.IsNil)
 			co.await(10*time.Second, func() bool { return co.everyone(3) })
 			co.stop(i)
 			co.c.Assert(co.replace(ctx, 3, version, version+1), qt.Equals, Applied)
@@ -237,7 +237,7 @@
 
 // Two of three were killed at the first start before they wrote anything. They find that nobody can have promised anything.
 func TestKilledBeforeTheFirstRecord(t *testing.T) {
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		co.newest(ctx, 0)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
@@ -251,7 +251,7 @@
 
 // With anything accepted, or an answer missing, blank voters wait.
 func TestBlankVotersWait(t *testing.T) {
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
@@ -261,7 +261,7 @@
 		defer cancel()
 		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unknown)
 	})
-	play(t, 3, func(co *core, ctx context.Context) {
+	runCore(t, 3, func(co *testCore, ctx context.Context) {
 		co.newest(ctx, 0)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
@@ -277,13 +277,13 @@
 
 // A folder from before voters could change opens, and its voters go on and grow.
 func TestFolderOfTheVersionBefore(t *testing.T) {
-	play(t, 0, func(co *core, ctx context.Context) {
-		co.bears = 2
+	runCore(t, 0, func(co *testCore, ctx context.Context) {
+		co.tolerated = 2
 		vote := consensus.Vote{Ballot: consensus.Ballot{Number: 7, Proposer: "x"}, Value: consensus.Value{Version: 5, Body: config(5, ""),
 			History: []consensus.VersionDigest{{Version: 5}}}}
 		for i := range 5 {
 			old := oldStanding{voters: co.seeds, fit: i < 3, life: 1}
-			m := &memory{records: map[string][]byte{standingKey: codec.Write(nil, &old)}}
+			m := &memoryStore{records: map[string][]byte{stateKey: codec.Write(nil, &old)}}
 			if i < 2 {
 				m.records[voteKey] = codec.Write(nil, &vote)
 			}
@@ -293,7 +293,7 @@
 		co.c.Assert(co.newest(ctx, 4), qt.Equals, configuration.Version(5))
 		co.c.Assert(co.replace(ctx, 4, 5, 6), qt.Equals, Applied)
 		co.await(10*time.Second, func() bool { return co.everyone(5) })
-		co.c.Assert(co.server(0).Membership().Epoch, qt.Equals, uint64(2))
+		co.c.Assert(co.server(0).VoterSet().Epoch, qt.Equals, uint64(2))
 		synctest.Wait()
 	})
 }
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -15,29 +15,29 @@
 // A machine with a folder of another system, whose list of voters is newer, is started at an address of this one: neither side
 // takes the other's list, value or votes, and its folder stays as it is.
 func TestFolderOfAnotherSystem(t *testing.T) {
-	grownAfter(t, func(co *core, ctx context.Context) {
+	grownAfter(t, func(co *testCore, ctx context.Context) {
 		foreign := consensus.InitialRecord(node(4), []string{node(4), node(5), node(6)})
 		foreign.State.VoterSet = consensus.VoterSet{Epoch: 9, Voters: []string{node(4), node(5), node(6)}}
 		foreign.Vote = consensus.Vote{Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, Value: consensus.Value{Version: 7, Body: config(7, ""), VoterSet: foreign.State.VoterSet}}
-		co.disks[node(4)] = &memory{records: map[string][]byte{standingKey: codec.Write(nil, &foreign.State), voteKey: codec.Write(nil, &foreign.Vote)}}
+		co.disks[node(4)] = &memoryStore{records: map[string][]byte{stateKey: codec.Write(nil, &foreign.State), voteKey: codec.Write(nil, &foreign.Vote)}}
 		co.start(4, false)
 		time.Sleep(time.Minute)
-		co.c.Assert(co.server(0).Membership().Epoch, qt.Equals, uint64(0))
-		co.c.Assert(co.server(4).Membership().Epoch, qt.Equals, uint64(9))
+		co.c.Assert(co.server(0).VoterSet().Epoch, qt.Equals, uint64(0))
+		co.c.Assert(co.server(4).VoterSet().Epoch, qt.Equals, uint64(9))
 		co.c.Assert(co.replace(ctx, 0, 1, 2), qt.Equals, Applied)
 		co.c.Assert(co.newest(ctx, 2), qt.Equals, configuration.Version(2))
 		reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: consensus.ReadVote, Epoch: 9, VoterSet: foreign.State.VoterSet, System: foreign.State.System})
 		co.c.Assert(err, qt.IsNil)
 		co.c.Assert(reply.Kind, qt.Equals, consensus.ForeignSystem)
 		var kept consensus.ReplicaState
-		co.c.Assert(codec.Read(co.disks[node(4)].records[standingKey], &kept), qt.IsNil)
+		co.c.Assert(codec.Read(co.disks[node(4)].records[stateKey], &kept), qt.IsNil)
 		co.c.Assert(kept.System, qt.Equals, foreign.State.System)
 	})
 }
 
 // A request under another list for an epoch that is known here is refused, and changes nothing.
 func TestRequestUnderAnotherList(t *testing.T) {
-	grownAfter(t, func(co *core, ctx context.Context) {
+	grownAfter(t, func(co *testCore, ctx context.Context) {
 		other := consensus.VoterSet{Voters: []string{node(0), node(7), node(8)}}
 		for _, kind := range []consensus.RequestKind{consensus.ReadVote, consensus.Prepare, consensus.Accept, consensus.Recover} {
 			reply, err := co.server(0).serve(ctx, &consensus.Request{Kind: kind, Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, VoterSet: other, Node: "x", DiskIncarnation: 9})
@@ -51,28 +51,28 @@
 
 // A record of a version that had no system takes that of its first list, and one that joins learns it.
 func TestSystemIsLearnt(t *testing.T) {
-	grownAfter(t, func(co *core, ctx context.Context) {
+	grownAfter(t, func(co *testCore, ctx context.Context) {
 		want := consensus.NewSystemID([]string{node(0), node(1), node(2)})
 		for i := range 4 {
-			co.c.Assert(co.server(i).knownSystem(), qt.Equals, want)
+			co.c.Assert(co.server(i).knownSystemID(), qt.Equals, want)
 		}
 		var s consensus.ReplicaState
-		co.c.Assert(codec.Read(co.disks[node(1)].records[standingKey], &s), qt.IsNil)
+		co.c.Assert(codec.Read(co.disks[node(1)].records[stateKey], &s), qt.IsNil)
 		s.System = 0
 		co.stop(1)
-		co.disks[node(1)].records[standingKey] = codec.Write(nil, &s)
+		co.disks[node(1)].records[stateKey] = codec.Write(nil, &s)
 		co.start(1, false)
 		co.c.Assert(co.newest(ctx, 1), qt.Equals, configuration.Version(1))
-		co.c.Assert(co.server(1).knownSystem(), qt.Equals, want)
+		co.c.Assert(co.server(1).knownSystemID(), qt.Equals, want)
 		co.start(5, false)
 		time.Sleep(5 * time.Second)
-		co.c.Assert(co.server(5).knownSystem(), qt.Equals, want)
+		co.c.Assert(co.server(5).knownSystemID(), qt.Equals, want)
 	})
 }
 
 // grownAfter is grown with four servers, after a first change.
-func grownAfter(t *testing.T, test func(co *core, ctx context.Context)) {
-	grown(t, 4, 1, 3, func(co *core, ctx context.Context) {
+func grownAfter(t *testing.T, test func(co *testCore, ctx context.Context)) {
+	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
 		time.Sleep(2 * time.Second)
 		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		test(co, ctx)
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -28,53 +28,53 @@
 }
 
 func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
-	if own := d.knownSystem(); !own.Matches(q.System) {
-		d.o.Log.WithField("peer", q.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
+	if own := d.knownSystemID(); !own.Matches(q.System) {
+		d.options.Log.WithField("peer", q.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
 		return &consensus.Reply{Kind: consensus.ForeignSystem, Ballot: q.Ballot, System: own}, nil
 	}
 	d.observeBallot(q.Ballot)
-	d.adoptMembership(q.VoterSet)
+	d.adoptVoterSet(q.VoterSet)
 	if q.Kind == consensus.Describe {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return &consensus.Reply{Kind: consensus.Reported, VoterSet: d.voters, Ready: d.ready, Unresponsive: d.silent, System: d.system}, nil
+		return &consensus.Reply{Kind: consensus.Reported, VoterSet: d.voterSet, Ready: d.ready, Unresponsive: d.unresponsive, System: d.systemID}, nil
 	}
-	reply, err := d.do(ctx, &job{request: q})
+	reply, err := d.submit(ctx, &acceptorJob{request: q})
 	if err == nil && reply.Kind == consensus.ConflictingVoters {
-		d.o.Log.WithField("peer", q.Sender).WithField("epoch", q.VoterSet.Epoch).WithField("voters", q.VoterSet.Voters).
+		d.options.Log.WithField("peer", q.Sender).WithField("epoch", q.VoterSet.Epoch).WithField("voters", q.VoterSet.Voters).
 			WithField("own", reply.VoterSet.Voters).Error("controlplane: a request under another list of voters for the same epoch is refused")
 	}
 	return reply, trace.Wrap(err)
 }
 
-// knownSystem is the system that this process belongs to, as far as it knows yet.
-func (d *Server) knownSystem() consensus.SystemID {
+// knownSystemID is the system that this process belongs to, as far as it knows yet.
+func (d *Server) knownSystemID() consensus.SystemID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.system
+	return d.systemID
 }
 
-// adoptSystem notes the system once it is known.
-func (d *Server) adoptSystem(s consensus.SystemID) {
+// adoptSystemID notes the system once it is known.
+func (d *Server) adoptSystemID(s consensus.SystemID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.system == 0 {
-		d.system = s
+	if d.systemID == 0 {
+		d.systemID = s
 	}
 }
 
 // sign completes a request of this process.
 func (d *Server) sign(q consensus.Request) consensus.Request {
-	q.System, q.Sender = d.knownSystem(), d.o.Self
+	q.System, q.Sender = d.knownSystemID(), d.options.Self
 	return q
 }
 
 // ask asks a voter, which may be this process; raw is the request as it is sent.
 func (d *Server) ask(ctx context.Context, node string, q consensus.Request, raw []byte) (*consensus.Reply, error) {
-	if node == d.o.Self {
+	if node == d.options.Self {
 		return d.serve(ctx, &q)
 	}
-	raw, err := d.o.Transport.Ask(ctx, node, raw)
+	raw, err := d.options.Transport.Ask(ctx, node, raw)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -82,33 +82,33 @@
 	if err := codec.Read(raw, &reply); err != nil {
 		return nil, trace.BadParameter("reply of %s: %v", node, err)
 	}
-	if reply.Kind == consensus.ForeignSystem || !d.knownSystem().Matches(reply.System) {
-		d.o.Log.WithField("peer", node).Error("controlplane: the process at this address belongs to another system")
+	if reply.Kind == consensus.ForeignSystem || !d.knownSystemID().Matches(reply.System) {
+		d.options.Log.WithField("peer", node).Error("controlplane: the process at this address belongs to another system")
 		return nil, trace.BadParameter("%s belongs to another system", node)
 	}
 	return &reply, nil
 }
 
-type answer struct {
+type peerReply struct {
 	node  string
 	reply *consensus.Reply // nil: none came
 }
 
 // broadcast asks all nodes; each of them answers once, sooner or later. What was sent stays on its way when the asker has
 // enough answers, so that the others learn of it too.
-func (d *Server) broadcast(nodes []string, q *consensus.Request) <-chan answer {
-	answers := make(chan answer, len(nodes))
+func (d *Server) broadcast(nodes []string, q *consensus.Request) <-chan peerReply {
+	answers := make(chan peerReply, len(nodes))
 	one := d.sign(*q)
 	raw := codec.Write(nil, &one)
 	for _, node := range nodes {
 		go func() { // ends with the server
-			ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(d.ctx, requestTimeout)
 			defer cancel()
 			reply, err := d.ask(ctx, node, one, raw)
 			if err != nil {
-				d.o.Log.WithError(err).WithField("node", node).Debug("no answer")
+				d.options.Log.WithError(err).WithField("node", node).Debug("no answer")
 			}
-			answers <- answer{node, reply}
+			answers <- peerReply{node, reply}
 		}()
 	}
 	return answers
--- a/internal/mesh/control/storage/files.go
+++ b/internal/mesh/control/storage/files.go
@@ -19,11 +19,11 @@
 	lstorage.Storage
 	syncFolder func() error
 
-	mu        sync.Mutex
-	manifests map[lstorage.FileDesc]lstorage.Writer // open ones
-	deferring bool                                  // until recovered: nothing that is on disk is given up
-	meta      lstorage.FileDesc                     // deferred; zero for none
-	removed   []lstorage.FileDesc                   // deferred
+	mu               sync.Mutex
+	manifests        map[lstorage.FileDesc]lstorage.Writer // open ones
+	deferring        bool                                  // until recovered: nothing that is on disk is given up
+	deferredMeta     lstorage.FileDesc                     // deferred; zero for none
+	deferredRemovals []lstorage.FileDesc                   // deferred
 }
 
 func newDurableFiles(files lstorage.Storage, syncFolder func() error) *durableFiles {
@@ -43,12 +43,12 @@
 			return nil, err
 		}
 	case lstorage.TypeTable:
-		return &durableTable{w, d.syncFolder}, nil
+		return &tableWriter{w, d.syncFolder}, nil
 	case lstorage.TypeManifest:
 		d.mu.Lock()
 		d.manifests[fd] = w
 		d.mu.Unlock()
-		return &openManifest{w, d, fd}, nil
+		return &manifestWriter{w, d, fd}, nil
 	}
 	return w, nil
 }
@@ -63,7 +63,7 @@
 		}
 	}
 	if d.deferring {
-		d.meta = fd
+		d.deferredMeta = fd
 		return nil
 	}
 	return d.Storage.SetMeta(fd)
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.deferring {
-		d.removed = append(d.removed, fd)
+		d.deferredRemovals = append(d.deferredRemovals, fd)
 		return nil
 	}
 	return d.Storage.Remove(fd)
@@ -87,44 +87,44 @@
 	d.deferring = true
 }
 
-// recovered puts the list that was made anew in use, and then removes what it does not need.
-func (d *durableFiles) recovered() error {
+// applyDeferred puts the list that was made anew in use, and then removes what it does not need.
+func (d *durableFiles) applyDeferred() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deferring = false
-	if !d.meta.Zero() {
-		if err := d.Storage.SetMeta(d.meta); err != nil {
+	if !d.deferredMeta.Zero() {
+		if err := d.Storage.SetMeta(d.deferredMeta); err != nil {
 			return trace.ConvertSystemError(err)
 		}
 	}
-	for _, fd := range d.removed {
+	for _, fd := range d.deferredRemovals {
 		_ = d.Storage.Remove(fd) // one that stays is found, and removed, at the next start
 	}
-	d.removed = nil
+	d.deferredRemovals = nil
 	return nil
 }
 
-// durableTable syncs the folder with a table's content: from then on a list may name the table.
-type durableTable struct {
+// tableWriter syncs the folder with a table's content: from then on a list may name the table.
+type tableWriter struct {
 	lstorage.Writer
 	syncFolder func() error
 }
 
-func (t *durableTable) Sync() error {
+func (t *tableWriter) Sync() error {
 	if err := t.Writer.Sync(); err != nil {
 		return err
 	}
 	return t.syncFolder()
 }
 
-// openManifest is a list of files that is being written.
-type openManifest struct {
+// manifestWriter is a list of files that is being written.
+type manifestWriter struct {
 	lstorage.Writer
 	files *durableFiles
 	fd    lstorage.FileDesc
 }
 
-func (m *openManifest) Close() error {
+func (m *manifestWriter) Close() error {
 	m.files.mu.Lock()
 	delete(m.files.manifests, m.fd)
 	m.files.mu.Unlock()
--- a/internal/mesh/control/storage/golden_test.go
+++ b/internal/mesh/control/storage/golden_test.go
@@ -91,6 +91,6 @@
 // The header of a record on disk.
 func TestHeaderIsAFormat(t *testing.T) {
 	c := qt.New(t)
-	c.Assert([]int{format, formatMax, header}, qt.DeepEquals, []int{0x71, 0x7f, 5})
-	c.Assert(fmt.Sprintf("%x", wrap([]byte("data"))), qt.Equals, "71"+"d17dd8ae"+"64617461")
+	c.Assert([]int{recordFormat, maxRecordFormat, headerBytes}, qt.DeepEquals, []int{0x71, 0x7f, 5})
+	c.Assert(fmt.Sprintf("%x", encodeRecord([]byte("data"))), qt.Equals, "71"+"d17dd8ae"+"64617461")
 }
--- a/internal/mesh/control/storage/power_test.go
+++ b/internal/mesh/control/storage/power_test.go
@@ -231,7 +231,7 @@
 var errOlder = errors.New("not the newest record")
 
 func (l *powerLife) live(disk *powerDisk, records int) error {
-	k := &Store{folder: "folder", opened: func(string) (*durableFiles, error) {
+	k := &Store{folder: "folder", openFiles: func(string) (*durableFiles, error) {
 		return newDurableFiles(disk, disk.syncFolder), nil
 	}}
 	defer func() { _ = k.Close() }()
--- a/internal/mesh/control/storage/storage.go
+++ b/internal/mesh/control/storage/storage.go
@@ -17,25 +17,25 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// A record is the format's number, the CRC32C of what follows, then the data. Formats up to formatMax keep this header.
+// A record is the format's number, the CRC32C of what follows, then the data. Formats up to maxRecordFormat keep this header.
 const (
-	format    = 0x71
-	formatMax = 0x7f
-	header    = 1 + 4
+	recordFormat    = 0x71
+	maxRecordFormat = 0x7f
+	headerBytes     = 1 + 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Store is a folder of records.
 type Store struct {
-	folder string
-	opened func(folder string) (*durableFiles, error) // gives the folder's files
-	files  *durableFiles
-	db     *leveldb.DB // nil after an error, until the next call
+	folder    string
+	openFiles func(folder string) (*durableFiles, error) // gives the folder's files
+	files     *durableFiles
+	db        *leveldb.DB // nil after an error, until the next call
 }
 
-// options keep the memory of the database small: it holds few records.
-func options() *opt.Options {
+// databaseOptions keep the memory of the database small: it holds few records.
+func databaseOptions() *opt.Options {
 	return &opt.Options{
 		WriteBuffer:                  256 * opt.KiB,
 		DisableBlockCache:            true,
@@ -50,7 +50,7 @@
 // Open opens a folder, which it creates. A lock that a killed process left, and a last write that was torn, don't matter. The
 // error names the folder; a folder that another process has open is trace.AlreadyExists.
 func Open(folder string) (*Store, error) {
-	t := &Store{folder: folder, opened: openFiles}
+	t := &Store{folder: folder, openFiles: openFiles}
 	return t, trace.Wrap(t.open())
 }
 
@@ -58,10 +58,10 @@
 	if t.db != nil {
 		return nil
 	}
-	if err := makeFolder(t.folder); err != nil {
+	if err := createFolder(t.folder); err != nil {
 		return trace.Wrap(err, "folder %s", t.folder)
 	}
-	files, err := t.opened(t.folder)
+	files, err := t.openFiles(t.folder)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return trace.AlreadyExists("folder %s is in use by another process", t.folder)
 	}
@@ -79,23 +79,23 @@
 
 // openDatabase opens the database in a folder's files, and makes its list of files anew if that is spoilt, or gone beside files.
 func openDatabase(files *durableFiles) (*leveldb.DB, error) {
-	db, err := leveldb.Open(files, options())
+	db, err := leveldb.Open(files, databaseOptions())
 	if !lerrors.IsCorrupted(err) {
 		return db, err
 	}
 	files.deferChanges()
-	if db, err = leveldb.Recover(files, options()); err != nil {
+	if db, err = leveldb.Recover(files, databaseOptions()); err != nil {
 		return nil, err
 	}
-	if err := files.recovered(); err != nil {
+	if err := files.applyDeferred(); err != nil {
 		_ = db.Close() // has nothing to add to the error
 		return nil, err
 	}
 	return db, nil
 }
 
-// makeFolder makes a folder, and syncs the one that it is in: else a loss of power could take it away with all that it holds.
-func makeFolder(folder string) error {
+// createFolder makes a folder, and syncs the one that it is in: else a loss of power could take it away with all that it holds.
+func createFolder(folder string) error {
 	if _, err := os.Stat(folder); err == nil {
 		return nil
 	}
@@ -122,8 +122,8 @@
 	return newDurableFiles(files, func() error { return syncFolder(folder) }), nil
 }
 
-// drop closes the database after an error: its journal may be broken, and is read anew before the next write.
-func (t *Store) drop() { _ = t.Close() }
+// discard closes the database after an error: its journal may be broken, and is read anew before the next write.
+func (t *Store) discard() { _ = t.Close() }
 
 // Get reads a record: trace.NotFound if there is none, trace.CompareFailed if it isn't what was written, trace.NotImplemented
 // if a later version of this program wrote it. The error names the folder and the record.
@@ -138,10 +138,10 @@
 	case lerrors.IsCorrupted(err):
 		return nil, trace.CompareFailed("folder %s, record %q: %v", t.folder, key, err)
 	case err != nil:
-		t.drop()
+		t.discard()
 		return nil, trace.Wrap(err, "folder %s, record %q", t.folder, key)
 	}
-	data, err := unwrap(record)
+	data, err := decodeRecord(record)
 	return data, trace.Wrap(err, "folder %s, record %q", t.folder, key)
 }
 
@@ -151,8 +151,8 @@
 	if err := t.open(); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := t.db.Put([]byte(key), wrap(data), &opt.WriteOptions{Sync: true}); err != nil {
-		t.drop()
+	if err := t.db.Put([]byte(key), encodeRecord(data), &opt.WriteOptions{Sync: true}); err != nil {
+		t.discard()
 		return trace.Wrap(err, "folder %s, record %q", t.folder, key)
 	}
 	return nil
@@ -167,7 +167,7 @@
 	it := t.db.NewIterator(nil, &opt.ReadOptions{DontFillCache: true})
 	defer it.Release()
 	for it.Next() {
-		if _, err := unwrap(it.Value()); err != nil {
+		if _, err := decodeRecord(it.Value()); err != nil {
 			faults = append(faults, trace.Wrap(err, "folder %s, record %q", t.folder, it.Key()))
 		}
 	}
@@ -185,24 +185,24 @@
 	return trace.Wrap(err, "folder %s", t.folder)
 }
 
-func wrap(data []byte) []byte {
-	record := make([]byte, header, header+len(data))
-	record[0] = format
+func encodeRecord(data []byte) []byte {
+	record := make([]byte, headerBytes, headerBytes+len(data))
+	record[0] = recordFormat
 	binary.LittleEndian.PutUint32(record[1:], crc32.Checksum(data, castagnoli))
 	return append(record, data...)
 }
 
-func unwrap(record []byte) ([]byte, error) {
-	if len(record) < header {
-		return nil, trace.CompareFailed("%d bytes, expected %d at least", len(record), header)
+func decodeRecord(record []byte) ([]byte, error) {
+	if len(record) < headerBytes {
+		return nil, trace.CompareFailed("%d bytes, expected %d at least", len(record), headerBytes)
 	}
-	data := record[header:]
+	data := record[headerBytes:]
 	sum, want := crc32.Checksum(data, castagnoli), binary.LittleEndian.Uint32(record[1:])
 	switch number := record[0]; {
-	case number > format && number <= formatMax && sum == want:
-		return nil, trace.NotImplemented("format %#x, this program reads %#x", number, format)
-	case number != format:
-		return nil, trace.CompareFailed("format %#x, expected %#x", number, format)
+	case number > recordFormat && number <= maxRecordFormat && sum == want:
+		return nil, trace.NotImplemented("format %#x, this program reads %#x", number, recordFormat)
+	case number != recordFormat:
+		return nil, trace.CompareFailed("format %#x, expected %#x", number, recordFormat)
 	case sum != want:
 		return nil, trace.CompareFailed("checksum %#x, expected %#x", sum, want)
 	}
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -120,9 +120,9 @@
 	c := qt.New(t)
 	k := open(t, t.TempDir())
 	c.Assert(k.Put("good", []byte("x")), qt.IsNil)
-	spoilt := wrap([]byte("data"))
+	spoilt := encodeRecord([]byte("data"))
 	spoilt[len(spoilt)-1] ^= 1
-	for key, record := range map[string][]byte{"spoilt": spoilt, "short": {format}, "other": append([]byte{1}, wrap(nil)[1:]...)} {
+	for key, record := range map[string][]byte{"spoilt": spoilt, "short": {recordFormat}, "other": append([]byte{1}, encodeRecord(nil)[1:]...)} {
 		c.Assert(k.db.Put([]byte(key), record, nil), qt.IsNil)
 		_, err := k.Get(key)
 		c.Assert(trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("%v", err))
@@ -241,7 +241,7 @@
 	c := qt.New(t)
 	folder := t.TempDir()
 	var files *volatileFiles
-	k := &Store{folder: folder, opened: func(folder string) (*durableFiles, error) {
+	k := &Store{folder: folder, openFiles: func(folder string) (*durableFiles, error) {
 		real, err := lstorage.OpenFile(folder, false)
 		files = &volatileFiles{Storage: real, unnamed: map[lstorage.FileDesc]bool{}}
 		return newDurableFiles(files, func() error { files.syncFolder(); return nil }), err
@@ -273,8 +273,8 @@
 	c := qt.New(t)
 	folder := t.TempDir()
 	k := open(t, folder)
-	later := wrap([]byte("data"))
-	later[0] = format + 1
+	later := encodeRecord([]byte("data"))
+	later[0] = recordFormat + 1
 	c.Assert(k.db.Put([]byte("vote"), later, nil), qt.IsNil)
 	_, err := k.Get("vote")
 	c.Assert(trace.IsNotImplemented(err), qt.IsTrue, qt.Commentf("%v", err))
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -79,7 +79,7 @@
 	}
 	r.superseded = slices.DeleteFunc(r.superseded, func(x *attempt) bool { return x == a })
 	r.note(o)
-	next := o.Kind.Next(o.Status, r.route.Kind.Repeatable())
+	next := o.Kind.Next(o.Status, r.route.Kind.IsIdempotent())
 	final := r.done || next == outcome.Deliver
 	if next == outcome.Deliver {
 		c.proxy.answer(r, result{kind: outcome.Answered, outcome: o})
@@ -103,7 +103,7 @@
 // isLast tells whether no further attempt may follow one that ended so.
 func (c *serviceBalancer) isLast(now time.Duration, r *request, o *inbound.Outcome, next outcome.Next, final bool) bool {
 	switch {
-	case r.lapsed || next == outcome.Stop || r.mayRun && !r.route.Kind.Repeatable():
+	case r.lapsed || next == outcome.Stop || r.mayRun && !r.route.Kind.IsIdempotent():
 		return true
 	case final:
 		return false
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -38,7 +38,7 @@
 
 // classKey is what makes requests alike for the module.
 type classKey struct {
-	kind            configuration.Kind
+	kind            configuration.RouteKind
 	target, timeout time.Duration
 }
 
@@ -81,7 +81,7 @@
 		return c.nearestClass(key)
 	}
 	effect := balancer.Safe
-	if !r.Kind.Repeatable() {
+	if !r.Kind.IsIdempotent() {
 		effect = balancer.Unsafe
 	}
 	target := r.Target
@@ -159,7 +159,7 @@
 		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Mistaken}) })
 		return
 	}
-	if r.mayRun && !r.route.Kind.Repeatable() { // the module never does so; this guards against a fault of it
+	if r.mayRun && !r.route.Kind.IsIdempotent() { // the module never does so; this guards against a fault of it
 		c.proxy.o.Log.WithField("attempt", r.forward.Attempt).Error("outbound: a request that may have run is not sent again")
 		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Withdrawn}) })
 		return
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -135,7 +135,7 @@
 	log.SetLevel(logrus.ErrorLevel)
 	near, listen, _ := listenHub(b, log, 1)
 	listen(nil)
-	conf, err := configuration.Read([]byte(callConfig))
+	conf, err := configuration.Parse([]byte(callConfig))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -74,7 +74,7 @@
 
 // A process ends while a body is still coming: its request is answered in time, and the client hears when to come back.
 func TestARequestWhoseBodyIsStillComingIsAnsweredAtTheEnd(t *testing.T) {
-	conf, err := configuration.Read([]byte(`{"configVersion":"r1","routeTable":[{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent",
+	conf, err := configuration.Parse([]byte(`{"configVersion":"r1","routeTable":[{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent",
 		"timeout":"9000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":1,"publicAccess":true}],
 		"serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 		"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}`))
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -51,7 +51,7 @@
 
 func startGolden(t *testing.T, configure bool) *goldenSidecar {
 	t.Helper()
-	conf, err := configuration.Read([]byte(goldenConfig))
+	conf, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -139,7 +139,7 @@
 		}
 	}
 	p.Attempt, p.Method, p.URI, p.Host = ids[0], q.Method, q.RequestURI, q.Host
-	p.Caller, p.Repeatable = d.o.Service, r.route.Kind.Repeatable()
+	p.Caller, p.Repeatable = d.o.Service, r.route.Kind.IsIdempotent()
 	p.Service = d.splits.part(r.route)
 	p.Header = forwardedHeader(q.Header)
 	return r, 0
@@ -147,12 +147,12 @@
 
 // isCall tells whether a request is a call of an endpoint, amid a request that it works on: those carry no tenant's key.
 func isCall(conf *configuration.Config, q *http.Request) bool {
-	return conf.Keyed && len(q.Header[inbound.HeaderKey]) == 0
+	return conf.HasTenantTable && len(q.Header[inbound.HeaderKey]) == 0
 }
 
 // findTenant returns the tenant that holds a request's key; nil where the request needs none.
 func findTenant(conf *configuration.Config, route *configuration.Route, keys []string) (*configuration.Tenant, outcome.Kind) {
-	if !conf.Keyed {
+	if !conf.HasTenantTable {
 		return nil, 0
 	}
 	if len(keys) == 1 {
--- a/internal/mesh/dataplane/outbound/outbound_test.go
+++ b/internal/mesh/dataplane/outbound/outbound_test.go
@@ -80,12 +80,12 @@
 	c := qt.New(t)
 	b, err := newServiceBalancer(New(Options{}), "s", 1)
 	c.Assert(err, qt.IsNil)
-	route := func(kind configuration.Kind, change int) *configuration.Route {
+	route := func(kind configuration.RouteKind, change int) *configuration.Route {
 		return &configuration.Route{Kind: kind, Target: 300 * time.Millisecond, Timeout: 2*time.Second + time.Duration(change)*time.Millisecond}
 	}
 	used := map[int]classKey{}
 	for change := range 3 * classesMost {
-		for _, kind := range []configuration.Kind{configuration.Idempotent, configuration.NonIdempotent} {
+		for _, kind := range []configuration.RouteKind{configuration.Idempotent, configuration.NonIdempotent} {
 			r := route(kind, change)
 			n := b.class(r)
 			first, ok := used[n]
--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -22,9 +22,9 @@
 // part is the service that a request of a route goes to.
 func (s *splitSequences) part(r *configuration.Route) string {
 	if len(r.Split) < 2 {
-		return r.Draw(0)
+		return r.PickService(0)
 	}
-	return r.Draw(s.next(r.Name))
+	return r.PickService(s.next(r.Name))
 }
 
 func (s *splitSequences) next(route string) float64 {
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -13,7 +13,7 @@
 // hundred; and of each hundred of one sidecar, within three requests.
 func TestPartsOfARouteGetTheirShares(t *testing.T) {
 	c := qt.New(t)
-	route := &configuration.Route{Name: "r", Split: []configuration.Share{{Service: "a", Weight: 70}, {Service: "b", Weight: 20},
+	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 20},
 		{Service: "c", Weight: 10}, {Service: "none", Weight: 0}}}
 	for range 50 {
 		sidecars := make([]splitSequences, 12)
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	conf, err := configuration.Read(text)
+	conf, err := configuration.Parse(text)
 	return conf, trace.Wrap(err, "%s", file)
 }
 
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -123,7 +123,7 @@
 	case status != http.StatusOK:
 		return nil, unclearError{trace.ConnectionProblem(nil, "status %d %s", status, text)}
 	}
-	conf, err := configuration.Read(text)
+	conf, err := configuration.Parse(text)
 	return conf, trace.Wrap(err)
 }
 
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -91,7 +91,7 @@
 		return nil
 	}
 	say("route %s: %s%s, timeout %v, aim %v, at most %d endpoints", r.Name, r.Host, r.Prefix, r.Timeout, r.Target, r.MaxAttempts)
-	if conf.Keyed {
+	if conf.HasTenantTable {
 		t := conf.TenantByKey(l.Key)
 		switch {
 		case t == nil && !r.Public:
