--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -19,7 +19,7 @@
 func main() {
 	signals := lifecycle.Catch()
 	kong.Parse(&line, kong.Name("controlplane"), kong.Description("The mesh's core process, which keeps the configuration."),
-		kong.Vars{"variable": settings.Variable})
+		kong.Vars{"variable": settings.EnvironmentVariable})
 	if err := assembly.Core(line.Settings, signals); err != nil {
 		fmt.Fprintln(os.Stderr, "controlplane:", err)
 		os.Exit(1)
--- a/cmd/eventlog/golden_test.go
+++ b/cmd/eventlog/golden_test.go
@@ -12,7 +12,7 @@
 // The flags, and what they are if they are left out.
 func TestGoldenUsage(t *testing.T) {
 	t.Setenv("COLUMNS", "80") // the width that kong writes for
-	var l line
+	var l options
 	var usage strings.Builder
 	k, err := kong.New(&l, kong.Name("eventlog"), kong.Writers(&usage, &usage), kong.Exit(func(int) {}))
 	if err != nil {
--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -20,16 +20,16 @@
 	"quincegap/internal/mesh/operations/eventlog"
 )
 
-const shutdownMost = 3 * time.Second // to answer the calls that were read
+const shutdownTimeout = 3 * time.Second // to answer the calls that were read
 
-type line struct {
+type options struct {
 	Core   []string `help:"Control addresses of core processes, the first one first." required:"" sep:","`
 	Listen string   `help:"Where tools read: GET /events?after=CURSOR&follow=1." default:"127.0.0.1:8170"`
 	Folder string   `help:"Where events are kept." required:"" type:"path"`
 	Keep   uint64   `help:"How many events are kept." default:"100000"`
 }
 
-func (l *line) Run(signals lifecycle.Signals) error {
+func (l *options) Run(signals lifecycle.Signals) error {
 	store, err := storage.Open(l.Folder)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", l.Folder)
@@ -66,14 +66,14 @@
 	}
 	stop()
 	<-followed // it writes to the store, which is closed after it
-	ending, cancel := context.WithTimeout(context.Background(), shutdownMost)
+	ending, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	return trace.NewAggregate(err, s.Shutdown(ending))
 }
 
 func main() {
 	signals := lifecycle.Catch()
-	var l line
+	var l options
 	k := kong.Parse(&l, kong.Name("eventlog"), kong.Description("Follows the mesh's events, keeps them, and serves them to other tools."))
 	if err := k.Run(signals); err != nil {
 		fmt.Fprintln(os.Stderr, "eventlog:", trace.UserMessage(err))
--- a/cmd/meshctl/main.go
+++ b/cmd/meshctl/main.go
@@ -12,10 +12,10 @@
 )
 
 func main() {
-	var l meshctl.Line
+	var l meshctl.CommandLine
 	k := kong.Parse(&l, kong.Name("meshctl"), kong.Description("The operators' client of the mesh."))
 	if err := k.Run(l.Client(os.Stdout)); err != nil {
 		fmt.Fprintln(os.Stderr, "meshctl:", trace.UserMessage(err))
-		os.Exit(meshctl.Code(err))
+		os.Exit(meshctl.ExitCode(err))
 	}
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -20,7 +20,7 @@
 func main() {
 	signals := lifecycle.Catch()
 	kong.Parse(&line, kong.Name("sidecar"), kong.Description("The mesh's sidecar beside an endpoint."),
-		kong.Vars{"variable": settings.Variable})
+		kong.Vars{"variable": settings.EnvironmentVariable})
 	if err := assembly.Access(line.Settings, signals); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -21,93 +21,93 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-const stepInterval = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
-// Options are what an Agent is made of.
-type Options struct {
+// Config are what an Agent is made of.
+type Config struct {
 	Settings *settings.Settings
 	Hub      *transport.Hub
 	Role     membership.Role
 	Log      *logrus.Logger
 	Seed     uint64
-	// Configure is called with each newer configuration, one after the other.
-	Configure func(c *configuration.Config)
-	// EndpointsChanged is called with all that is known of a service's endpoints when something of it has changed.
-	EndpointsChanged func(service string, all []discovery.Endpoint)
-	// SidecarsChanged is called when the number of sidecars has changed.
-	SidecarsChanged func(n int)
-	// EndpointLeaves is called, without locks, when others know that an endpoint at this machine's address drains or has deregistered: it
+	// OnConfiguration is called with each newer configuration, one after the other.
+	OnConfiguration func(c *configuration.Config)
+	// OnEndpointsChanged is called with all that is known of a service's endpoints when something of it has changed.
+	OnEndpointsChanged func(service string, all []discovery.Endpoint)
+	// OnSidecarCount is called when the number of sidecars has changed.
+	OnSidecarCount func(n int)
+	// OnEndpointLeaving is called, without locks, when others know that an endpoint at this machine's address drains or has deregistered: it
 	// may have told them, or an earlier life of this process. It may be of any life that was at that address.
-	EndpointLeaves func(e discovery.Endpoint)
+	OnEndpointLeaving func(e discovery.Endpoint)
 }
 
 // Agent is one process's part in the control plane.
 type Agent struct {
-	o           Options
-	configuring sync.Mutex    // one configuration after the other
-	due         chan struct{} // something is to be sent before the next tick
-	limits      atomic.Pointer[map[string]ratelimit.Limit]
-	events      *eventRecorder // of core processes; nil elsewhere
+	config       Config
+	applyMu      sync.Mutex    // one configuration after the other
+	wakeup       chan struct{} // something is to be sent before the next tick
+	tenantLimits atomic.Pointer[map[string]ratelimit.Limit]
+	events       *eventRecorder // of core processes; nil elsewhere
 
-	mu          sync.Mutex
-	rng         *rand.Rand
-	view        *membership.View
-	viewed      uint64                   // changes of the view when followView last worked, and one; 0: it is to work again
-	sidecars    int                      // that are there
-	zonesSeen   map[string]time.Duration // when zones last had members
-	registry    *discovery.Registry
-	changed     map[string]uint64 // services whose endpoints have changed, with the registry's version before the first change
-	expireAt    time.Duration     // when leases are looked at next
-	publisher   *discovery.Publisher
-	confirmed   chan struct{}     // closed when a home has acknowledged a record
-	homeLives   map[string]uint64 // of homes that endpoints are published to, by address
-	subscribed  *discovery.Subscription
-	subscribers *discovery.Subscribers
-	services    []string // whose endpoints this process wants to know
-	conf        configurationText
-	survey      survey // while no configuration is held
-	fetching    uint64 // version that is being fetched
-	fetchUntil  time.Duration
+	mu                  sync.Mutex
+	rng                 *rand.Rand
+	view                *membership.View
+	handledViewChanges  uint64                   // changes of the view when updateFromView last worked, and one; 0: it is to work again
+	sidecarCount        int                      // that are there
+	zoneLastSeen        map[string]time.Duration // when zones last had members
+	registry            *discovery.Registry
+	changedServices     map[string]uint64 // services whose endpoints have changed, with the registry's version before the first change
+	nextExpiry          time.Duration     // when leases are looked at next
+	publisher           *discovery.Publisher
+	acknowledgedRecords chan struct{}     // closed when a home has acknowledged a record
+	ownerIncarnations   map[string]uint64 // of homes that endpoints are published to, by address
+	subscriptions       *discovery.Subscription
+	subscribers         *discovery.Subscribers
+	wantedServices      []string // whose endpoints this process wants to know
+	current             configurationText
+	versionPoll         versionPoll // while no configuration is held
+	fetchingVersion     uint64      // version that is being fetched
+	fetchDeadline       time.Duration
 }
 
 // New makes an Agent and registers its calls.
-func New(o Options) *Agent {
+func New(o Config) *Agent {
 	hello := o.Hub.Self()
 	self := membership.Member{Life: hello.Life, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
-		Service: o.Settings.Service, App: o.Settings.App}
-	a := &Agent{o: o, view: membership.New(self, membership.Bounds{}, rand.New(rand.NewPCG(o.Seed, hello.Life))),
+		Service: o.Settings.Service, App: o.Settings.ApplicationAddress}
+	a := &Agent{config: o, view: membership.New(self, membership.Bounds{}, rand.New(rand.NewPCG(o.Seed, hello.Life))),
 		registry: discovery.New(discovery.Bounds{}), publisher: discovery.NewPublisher(discovery.Bounds{}),
-		due: make(chan struct{}, 1), confirmed: make(chan struct{}),
-		subscribed: discovery.NewSubscription(discovery.Bounds{}), subscribers: discovery.NewSubscribers(discovery.Bounds{}),
-		zonesSeen: map[string]time.Duration{}, changed: map[string]uint64{}, homeLives: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
-	for zone, region := range o.Settings.Regions {
+		wakeup: make(chan struct{}, 1), acknowledgedRecords: make(chan struct{}),
+		subscriptions: discovery.NewSubscription(discovery.Bounds{}), subscribers: discovery.NewSubscribers(discovery.Bounds{}),
+		zoneLastSeen: map[string]time.Duration{}, changedServices: map[string]uint64{}, ownerIncarnations: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
+	for zone, region := range o.Settings.RegionOfZone {
 		a.view.Place(zone, region)
 	}
-	a.view.Seeds(0, o.Settings.SeedPeers())
+	a.view.Seeds(0, o.Settings.SeedAddresses())
 	if o.Role == membership.Access {
-		a.services = []string{o.Settings.Service}
+		a.wantedServices = []string{o.Settings.Service}
 	} else {
-		a.events = newEvents(hello.Life)
+		a.events = newEventRecorder(hello.Life)
 	}
-	transport.Handle(o.Hub, methodShuffle, a.takeShuffle)
-	transport.Handle(o.Hub, methodPublish, a.takePublished)
-	transport.Handle(o.Hub, methodSubscribe, a.takeSubscription)
-	transport.Handle(o.Hub, methodUpdate, a.takeUpdate)
-	transport.Handle(o.Hub, methodNotice, a.noticed)
-	transport.Handle(o.Hub, methodConfig, a.giveConfiguration)
-	o.Hub.OnLost(a.lost)
+	transport.Handle(o.Hub, methodShuffle, a.handleShuffle)
+	transport.Handle(o.Hub, methodPublish, a.handlePublish)
+	transport.Handle(o.Hub, methodSubscribe, a.handleSubscribe)
+	transport.Handle(o.Hub, methodUpdate, a.handleUpdate)
+	transport.Handle(o.Hub, methodVersionNotice, a.handleVersionNotice)
+	transport.Handle(o.Hub, methodConfiguration, a.handleConfigurationRequest)
+	o.Hub.OnLost(a.handleLinkLost)
 	return a
 }
 
 // Run does what is due until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	tick := time.NewTicker(stepInterval)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		a.step()
+		a.sendDue()
 		select {
 		case <-tick.C:
-		case <-a.due:
+		case <-a.wakeup:
 		case <-ctx.Done():
 			return
 		}
@@ -117,50 +117,50 @@
 // wake has Run take a step at once, on its own goroutine.
 func (a *Agent) wake() {
 	select {
-	case a.due <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default: // it is to take one anyway
 	}
 }
 
-// step sends what is due: shuffles, records of endpoints and subscriptions.
-func (a *Agent) step() {
-	a.endSurvey()
-	now := a.o.Hub.Now()
+// sendRequests sends what is due: shuffles, records of endpoints and subscriptions.
+func (a *Agent) sendDue() {
+	a.finishPoll()
+	now := a.config.Hub.Now()
 	a.mu.Lock()
 	neighbours, shuffle := a.view.Tick(now)
 	if shuffle != nil {
-		shuffle.Version = a.conf.Version
+		shuffle.Version = a.current.Version
 	}
-	a.noteZones(now)
-	a.followView(now)
+	a.recordZones(now)
+	a.updateFromView(now)
 	records := a.publisher.Tick(now)
-	asks := a.subscribed.Tick(now)
+	asks := a.subscriptions.Tick(now)
 	a.expire(now)
 	a.mu.Unlock()
 	a.shuffleWith(neighbours, shuffle)
 	a.publish(records)
 	a.subscribe(asks)
-	a.flush()
+	a.notifyChanges()
 }
 
 // send sends a message to an address, and hands over the answer if one comes.
 func (a *Agent) send(address string, method uint64, m codec.Message, got func(body []byte)) {
-	a.o.Hub.Send(address, method, codec.Write(nil, m), 0, func(body []byte, err error) {
+	a.config.Hub.Send(address, method, codec.Write(nil, m), 0, func(body []byte, err error) {
 		if err == nil && got != nil {
 			got(body)
 		}
 	})
 }
 
-// random is a random number. The lock is held.
-func (a *Agent) random() uint64 { return a.rng.Uint64() }
+// randomUint64 is a random number. The lock is held.
+func (a *Agent) randomUint64() uint64 { return a.rng.Uint64() }
 
-// lost takes note that a link to an address has ended.
-func (a *Agent) lost(address, _ string) {
+// handleLinkLost takes note that a link to an address has ended.
+func (a *Agent) handleLinkLost(address, _ string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.o.Hub.Now()
+	now := a.config.Hub.Now()
 	a.view.Lost(now, address)
-	a.subscribed.Lost(now, address)
+	a.subscriptions.Lost(now, address)
 	a.publisher.Forget(address)
 }
--- a/internal/mesh/agent/config_test.go
+++ b/internal/mesh/agent/config_test.go
@@ -25,8 +25,8 @@
 	for seed := range uint64(20) {
 		hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.9.1.1:7401"}, time.Now(), 1<<20, log)
 		var inForce []configuration.Version
-		a := New(Options{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.Access, Log: log, Seed: seed,
-			Configure: func(c *configuration.Config) { inForce = append(inForce, c.Version) }}) // one at a time
+		a := New(Config{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.Access, Log: log, Seed: seed,
+			OnConfiguration: func(c *configuration.Config) { inForce = append(inForce, c.Version) }}) // one at a time
 		var wg sync.WaitGroup
 		for i := range 4 {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
@@ -34,10 +34,10 @@
 				for range 30 {
 					version := 1 + rng.Uint64N(50)
 					text := func(v uint64) []byte { return []byte(fmt.Sprintf(`{"configVersion":"r%d","routeTable":[]}`, v)) }
-					a.Committed(version, text(version))
-					a.Committed(100+version, text(version)) // sent under another version
+					a.ApplyCommitted(version, text(version))
+					a.ApplyCommitted(100+version, text(version)) // sent under another version
 				}
-				a.Committed(50, []byte(`{"configVersion":"r50","routeTable":[]}`))
+				a.ApplyCommitted(50, []byte(`{"configVersion":"r50","routeTable":[]}`))
 			})
 		}
 		wg.Wait()
--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -16,12 +16,12 @@
 
 // ServeConsensus registers the call by which other core processes reach serve.
 func (a *Agent) ServeConsensus(serve func(ctx context.Context, request []byte) ([]byte, error)) {
-	transport.Handle(a.o.Hub, methodConsensus, func(ctx context.Context, _ *transport.Hello, q *opaque) *opaque {
+	transport.Handle(a.config.Hub, methodConsensus, func(ctx context.Context, _ *transport.Hello, q *opaqueMessage) *opaqueMessage {
 		body, err := serve(ctx, q.Body)
 		if err != nil {
 			return nil
 		}
-		return &opaque{Body: body}
+		return &opaqueMessage{Body: body}
 	})
 }
 
@@ -30,11 +30,11 @@
 
 // Ask sends a request to a core process and waits for its reply.
 func (t ConsensusTransport) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
-	peer := t.agent.peer(node)
+	peer := t.agent.peerAddress(node)
 	if peer == "" {
 		return nil, trace.BadParameter("node %q is no address", node)
 	}
-	reply, err := transport.Request[opaque](ctx, t.agent.o.Hub, peer, methodConsensus, &opaque{Body: request})
+	reply, err := transport.Request[opaqueMessage](ctx, t.agent.config.Hub, peer, methodConsensus, &opaqueMessage{Body: request})
 	if err != nil {
 		return nil, err
 	}
@@ -44,19 +44,19 @@
 	return reply.Body, nil
 }
 
-// peer is the internal address of the process with a control address; empty if that is no address.
-func (a *Agent) peer(control string) string {
+// newestPeer is the internal address of the process with a control address; empty if that is no address.
+func (a *Agent) peerAddress(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
 		return ""
 	}
-	return a.o.Settings.Peer(host)
+	return a.config.Settings.PeerAddress(host)
 }
 
-// Cores are the control addresses of the core processes that are there, this one among them if it is one: all machines have the
+// CoreAddresses are the control addresses of the core processes that are there, this one among them if it is one: all machines have the
 // same ports.
-func (a *Agent) Cores() (addresses []string) {
-	_, port, err := net.SplitHostPort(a.o.Settings.Control)
+func (a *Agent) CoreAddresses() (addresses []string) {
+	_, port, err := net.SplitHostPort(a.config.Settings.ControlAddress)
 	if err != nil {
 		return nil
 	}
--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -19,27 +19,27 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// register stands in for the register of one core process: what it knows as decided, and what all have accepted.
-type register struct {
+// fakeRegister stands in for the register of one core process: what it knows as decided, and what all have accepted.
+type fakeRegister struct {
 	mu       sync.Mutex
 	known    consensus.VoterSet
 	accepted uint64
 	newest   *consensus.VoterSet // that a read finds
 }
 
-func (r *register) VoterSet() consensus.VoterSet {
+func (r *fakeRegister) VoterSet() consensus.VoterSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
-func (r *register) Accepted() (uint64, bool) {
+func (r *fakeRegister) Accepted() (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted, true
 }
 
-func (r *register) ReadLatest(context.Context) (consensus.Value, error) {
+func (r *fakeRegister) ReadLatest(context.Context) (consensus.Value, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.newest != nil {
@@ -48,15 +48,15 @@
 	return consensus.Value{VoterSet: r.known}, nil
 }
 
-// dutyCore is a few core processes on loopback, without disks.
-type dutyCore struct {
+// testCore is a few core processes on loopback, without disks.
+type testCore struct {
 	*qt.C
-	registers []*register
-	duties    []*Duties
+	registers []*fakeRegister
+	roles     []*SingletonRoles
 }
 
-func newDutyCore(t *testing.T, n int) *dutyCore {
-	d := &dutyCore{C: qt.New(t)}
+func newTestCore(t *testing.T, n int) *testCore {
+	d := &testCore{C: qt.New(t)}
 	var voters []string
 	for i := range n {
 		voters = append(voters, fmt.Sprintf("127.9.0.%d:7402", i+1))
@@ -65,29 +65,29 @@
 	log.SetOutput(io.Discard)
 	for i := range n {
 		ip := fmt.Sprintf("127.9.0.%d", i+1)
-		own := &settings.Settings{Name: ip, IP: ip, Zone: "z", Region: "r", Ports: [2]int{7401, 7401}, Seeds: voters, Control: voters[i]}
-		hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.Internal(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
-		a := New(Options{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: uint64(i)})
-		r := &register{known: consensus.VoterSet{Voters: voters[:3]}}
-		duties := a.Duties(r, true)
-		listener, err := net.Listen("tcp4", own.Internal())
+		own := &settings.Settings{Name: ip, IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, Seeds: voters, ControlAddress: voters[i]}
+		hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+		a := New(Config{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: uint64(i)})
+		r := &fakeRegister{known: consensus.VoterSet{Voters: voters[:3]}}
+		duties := a.NewSingletonRoles(r, true)
+		listener, err := net.Listen("tcp4", own.InternalAddress())
 		d.Assert(err, qt.IsNil)
 		go func() { _ = hub.Listen(listener) }() // ends with the listener
 		ctx, stop := context.WithCancel(t.Context())
 		go a.Run(ctx)
 		go duties.Run(ctx)
 		t.Cleanup(func() { stop(); hub.Close(); listener.Close() })
-		d.registers, d.duties = append(d.registers, r), append(d.duties, duties)
+		d.registers, d.roles = append(d.registers, r), append(d.roles, duties)
 	}
 	return d
 }
 
 // holder waits until one of them is the allocator, and gives its place and fencing number.
-func (d *dutyCore) holder() (i int, number uint64) {
+func (d *testCore) holder() (i int, number uint64) {
 	for began := time.Now(); time.Since(began) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
-		for i, x := range d.duties {
+		for i, x := range d.roles {
 			x.mu.Lock()
-			number, ok := x.allocatorLease.Holds(x.agent.o.Hub.Now())
+			number, ok := x.allocatorLease.Holds(x.agent.config.Hub.Now())
 			x.mu.Unlock()
 			if ok {
 				return i, number
@@ -99,26 +99,26 @@
 }
 
 // A holder that releases its lease is followed by another one, under a higher number, and asks no more.
-func TestDutyIsReleased(t *testing.T) {
-	d := newDutyCore(t, 4)
+func TestSingletonRoleIsReleased(t *testing.T) {
+	d := newTestCore(t, 4)
 	first, number := d.holder()
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	d.duties[first].Release(ctx)
+	d.roles[first].Release(ctx)
 	next, higher := d.holder()
 	t.Logf("the next holder came %v after the release", time.Since(began).Round(time.Millisecond))
 	d.Assert(next != first, qt.IsTrue)
 	d.Assert(higher > number, qt.IsTrue)
-	d.duties[first].Release(ctx) // once more changes nothing
+	d.roles[first].Release(ctx) // once more changes nothing
 }
 
 // Voters that accepted a newer list refuse the holder's request, and by that it learns of the list and renews under it.
 func TestHolderLearnsOfNewVoters(t *testing.T) {
-	d := newDutyCore(t, 4)
+	d := newTestCore(t, 4)
 	first, number := d.holder()
 	list := d.registers[0].VoterSet()
-	next := consensus.VoterSet{Epoch: 1, Previous: list.Voters, Voters: append(list.Voters[1:3:3], d.duties[3].agent.o.Settings.Control)}
+	next := consensus.VoterSet{Epoch: 1, Previous: list.Voters, Voters: append(list.Voters[1:3:3], d.roles[3].agent.config.Settings.ControlAddress)}
 	for _, r := range d.registers {
 		r.mu.Lock()
 		r.accepted, r.newest = 1, &next
@@ -135,13 +135,13 @@
 // A holder whose fencing number is below one that a sidecar knows, as all voters have forgotten it, grants nothing until it has
 // raised its own, and goes on as the holder.
 func TestAllocatorRaisesItsNumber(t *testing.T) {
-	d := newDutyCore(t, 3)
-	for _, x := range d.duties {
-		x.agent.Committed(1, []byte(`{"configVersion":"r1","routeTable":[],"tenantTable":[{"name":"t","accessKeys":["k"],"ratePerS":5,"burstSize":5}]}`))
+	d := newTestCore(t, 3)
+	for _, x := range d.roles {
+		x.agent.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[],"tenantTable":[{"name":"t","accessKeys":["k"],"ratePerS":5,"burstSize":5}]}`))
 	}
 	first, number := d.holder()
 	request := func(newest uint64) *ratelimit.AllocationReply {
-		return d.duties[first].grantTokens(t.Context(), nil, &ratelimit.AllocationRequest{Sidecar: "127.9.0.9:7401", Incarnation: 9, HighestFencingToken: newest,
+		return d.roles[first].grantTokens(t.Context(), nil, &ratelimit.AllocationRequest{Sidecar: "127.9.0.9:7401", Incarnation: 9, HighestFencingToken: newest,
 			Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}})
 	}
 	d.Assert(request(number).Granted, qt.IsTrue)
--- a/internal/mesh/agent/endpoints_test.go
+++ b/internal/mesh/agent/endpoints_test.go
@@ -17,13 +17,13 @@
 
 // A home tells its subscribers what has changed, not all that it holds: when many endpoints of a large service change at once, whole
 // lists to all subscribers would fill its link for seconds.
-func TestSubscribersAreToldWhatHasChanged(t *testing.T) {
+func TestSubscribersAreNotifiedOfChanges(t *testing.T) {
 	c := qt.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.9.1.2:7401"}, time.Now(), 1<<20, log)
 	defer hub.Close()
-	a := New(Options{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.Access, Log: log, Seed: 1})
+	a := New(Config{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.Access, Log: log, Seed: 1})
 	endpoint := func(i int, sequence uint64, state discovery.State) discovery.Endpoint {
 		return discovery.Endpoint{ID: fmt.Sprintf("i-%d", i), Service: "s", App: fmt.Sprintf("10.0.0.%d:1", i), State: state,
 			Sequence: sequence, Edition: sequence, Lease: time.Minute}
@@ -31,14 +31,14 @@
 	for i := range 48 {
 		a.apply(endpoint(i, 1, discovery.Serving))
 	}
-	first := a.takeChanges()
+	first := a.drainChanges()
 	c.Assert(first, qt.HasLen, 1)
 	c.Assert(first[0].update, qt.HasLen, 48)
 	a.apply(endpoint(7, 2, discovery.Draining))
 	a.apply(endpoint(9, 2, discovery.Crashed))
-	then := a.takeChanges()
+	then := a.drainChanges()
 	c.Assert(then, qt.HasLen, 1)
 	c.Assert(then[0].update, qt.HasLen, 2)
 	c.Assert(then[0].endpoints, qt.HasLen, 48)
-	c.Assert(a.takeChanges(), qt.HasLen, 0)
+	c.Assert(a.drainChanges(), qt.HasLen, 0)
 }
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	eventsMax        = 4096
+	maxEvents        = 4096
 	quotaHitInterval = 10 * time.Second
 )
 
 // eventRecorder keeps what a core process has seen, for tools.
 type eventRecorder struct {
-	mu    sync.Mutex
-	feed  *events.Feed
-	added chan struct{}                // closed when an event has been added
-	shown map[string]discovery.State   // of endpoints, as last told
-	there map[uint64]membership.Member // by life, as last told
-	hits  map[string]time.Duration     // of tenants' quotas, as last told
+	mu             sync.Mutex
+	feed           *events.Feed
+	added          chan struct{}                // closed when an event has been added
+	endpointStates map[string]discovery.State   // of endpoints, as last told
+	knownMembers   map[uint64]membership.Member // by life, as last told
+	lastQuotaHit   map[string]time.Duration     // of tenants' quotas, as last told
 }
 
-func newEvents(life uint64) *eventRecorder {
-	return &eventRecorder{feed: events.New(life, eventsMax), added: make(chan struct{}), shown: map[string]discovery.State{},
-		there: map[uint64]membership.Member{}, hits: map[string]time.Duration{}}
+func newEventRecorder(life uint64) *eventRecorder {
+	return &eventRecorder{feed: events.NewFeed(life, maxEvents), added: make(chan struct{}), endpointStates: map[string]discovery.State{},
+		knownMembers: map[uint64]membership.Member{}, lastQuotaHit: map[string]time.Duration{}}
 }
 
 func (r *eventRecorder) add(e events.Event) {
@@ -40,58 +40,58 @@
 	r.added = make(chan struct{})
 }
 
-// endpoints adds what has changed of a service's endpoints.
-func (r *eventRecorder) endpoints(all []discovery.Endpoint) {
+// recordEndpoints adds what has changed of a service's endpoints.
+func (r *eventRecorder) recordEndpoints(all []discovery.Endpoint) {
 	for _, e := range all {
 		r.mu.Lock()
-		was, known := r.shown[e.ID]
-		r.shown[e.ID] = e.State
+		was, known := r.endpointStates[e.ID]
+		r.endpointStates[e.ID] = e.State
 		if e.State == discovery.Gone {
-			delete(r.shown, e.ID)
+			delete(r.endpointStates, e.ID)
 		}
 		r.mu.Unlock()
 		if known && was == e.State || !known && e.State >= discovery.Crashed {
 			continue
 		}
-		kind := map[discovery.State]string{discovery.Serving: events.EndpointServes, discovery.Draining: events.EndpointDrains,
-			discovery.Crashed: events.EndpointCrashed, discovery.Gone: events.EndpointLeft}[e.State]
+		kind := map[discovery.State]string{discovery.Serving: events.EndpointServing, discovery.Draining: events.EndpointDraining,
+			discovery.Crashed: events.EndpointCrashed, discovery.Gone: events.EndpointGone}[e.State]
 		r.add(events.Event{Kind: kind, Service: e.Service, Endpoint: e.ID, Zone: e.Zone, Node: e.Host})
 	}
 }
 
-// members adds who has come and gone.
-func (r *eventRecorder) members(all []membership.Member) {
+// recordMembers adds who has come and gone.
+func (r *eventRecorder) recordMembers(all []membership.Member) {
 	now := map[uint64]membership.Member{}
 	for _, m := range all {
 		now[m.Life] = m
 	}
 	r.mu.Lock()
-	was := r.there
-	r.there = now
+	was := r.knownMembers
+	r.knownMembers = now
 	r.mu.Unlock()
 	for life, m := range now {
 		if _, ok := was[life]; !ok {
-			r.add(events.Event{Kind: events.MachineInTouch, Node: m.Address, Zone: m.Zone, Service: m.Service})
+			r.add(events.Event{Kind: events.MemberReachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
 		}
 	}
 	for life, m := range was {
 		if _, ok := now[life]; !ok {
-			r.add(events.Event{Kind: events.MachineOutOfTouch, Node: m.Address, Zone: m.Zone, Service: m.Service})
+			r.add(events.Event{Kind: events.MemberUnreachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
 		}
 	}
 }
 
-// hit adds that a tenant's tokens are used up, once in a quotaHitInterval.
-func (r *eventRecorder) hit(now time.Duration, tenant string) {
+// recordQuotaHit adds that a tenant's tokens are used up, once in a quotaHitInterval.
+func (r *eventRecorder) recordQuotaHit(now time.Duration, tenant string) {
 	r.mu.Lock()
-	last, ok := r.hits[tenant]
+	last, ok := r.lastQuotaHit[tenant]
 	if ok && now-last < quotaHitInterval {
 		r.mu.Unlock()
 		return
 	}
-	r.hits[tenant] = now
+	r.lastQuotaHit[tenant] = now
 	r.mu.Unlock()
-	r.add(events.Event{Kind: events.QuotaHit, Tenant: tenant})
+	r.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
 }
 
 // After gives events to a reader (eventfeed.Source).
@@ -102,5 +102,5 @@
 	return got, next, r.added, nil
 }
 
-// Events serves the feed to tools.
-func (a *Agent) Events() http.Handler { return eventfeed.Handler(a.events) }
+// EventsHandler serves the feed to tools.
+func (a *Agent) EventsHandler() http.Handler { return eventfeed.Handler(a.events) }
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -50,14 +50,14 @@
 func TestGoldenMessages(t *testing.T) {
 	second := goldenEndpoint()
 	second.ID, second.State = "ep-2", discovery.Gone
-	testGoldenMessage(t, "published", published{Endpoint: goldenEndpoint(), Taken: true})
-	testGoldenMessage(t, "subscription", subscription{Who: "10.1.0.41:7640", Service: "orders", Since: 300, Life: 0xfffefdfcfbfaf9f8})
-	testGoldenMessage(t, "listing", listing{Service: "orders", Version: 301, Endpoints: []discovery.Endpoint{goldenEndpoint(), second},
-		Life: 0x1122334455667788})
-	testGoldenMessage(t, "notice", notice{Version: 1 << 40})
+	testGoldenMessage(t, "published", publishRequest{Endpoint: goldenEndpoint(), Accepted: true})
+	testGoldenMessage(t, "subscription", subscribeRequest{Subscriber: "10.1.0.41:7640", Service: "orders", Since: 300, OwnerIncarnation: 0xfffefdfcfbfaf9f8})
+	testGoldenMessage(t, "listing", endpointList{Service: "orders", Version: 301, Endpoints: []discovery.Endpoint{goldenEndpoint(), second},
+		OwnerIncarnation: 0x1122334455667788})
+	testGoldenMessage(t, "notice", versionNotice{Version: 1 << 40})
 	testGoldenMessage(t, "configuration", configurationText{Version: 12, Text: []byte(`{"configVersion":"r12"}`)})
-	testGoldenMessage(t, "opaque", opaque{Body: []byte{0, 1, 0xfe, 0xff}})
-	testGoldenMessage(t, "acknowledgement", acknowledgement{Taken: true})
+	testGoldenMessage(t, "opaque", opaqueMessage{Body: []byte{0, 1, 0xfe, 0xff}})
+	testGoldenMessage(t, "acknowledgement", acknowledgement{Accepted: true})
 }
 
 // goldenLocal is an endpoint beside a process that takes what has its id.
@@ -70,18 +70,18 @@
 	c := qt.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &settings.Settings{Name: "core-1", IP: "127.9.30.1", Zone: "z", Region: "r", Ports: [2]int{7401, 7401}, Control: "127.9.30.1:7402"}
-	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.Internal(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+	own := &settings.Settings{Name: "core-1", IP: "127.9.30.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.30.1:7402"}
+	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	defer hub.Close()
-	a := New(Options{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
-	a.Committed(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
-	duties := a.Duties(&register{known: consensus.VoterSet{Voters: []string{own.Control}}, accepted: 3}, true)
+	a := New(Config{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
+	a.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
+	duties := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{own.ControlAddress}}, accepted: 3}, true)
 	asked := hub.Now() + time.Minute // another process holds the lease that is asked for
 	c.Assert(duties.allocatorLease.Tick(asked, 1, 0), qt.IsNotNil)
-	duties.takeReply(asked, 0, own.Control, &lease.Reply{Grants: []lease.Grant{{Role: "allocator", FencingToken: 4, Holder: "127.9.30.3:7401", Remaining: time.Hour}}})
+	duties.handleLeaseReply(asked, 0, own.ControlAddress, &lease.Reply{Grants: []lease.Grant{{Role: "allocator", FencingToken: 4, Holder: "127.9.30.3:7401", Remaining: time.Hour}}})
 	a.ServeConsensus(func(_ context.Context, request []byte) ([]byte, error) { return append([]byte("re:"), request...), nil })
 	a.KeepaliveHandler(goldenLocal{})
-	listener, err := net.Listen("tcp4", own.Internal())
+	listener, err := net.Listen("tcp4", own.InternalAddress())
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	go func() { _ = hub.Listen(listener) }() // ends with the listener
@@ -91,13 +91,13 @@
 	elsewhere := goldenEndpoint()
 	elsewhere.Lease = 0 // what is left of a lease is of the time of the answer
 	requests := map[uint64]codec.Message{
-		11: &published{Endpoint: elsewhere},
-		12: &subscription{Who: "127.9.30.2:7401", Service: "none"},
-		13: &listing{Service: "orders", Endpoints: []discovery.Endpoint{elsewhere}},
-		14: &notice{Version: 1},
+		11: &publishRequest{Endpoint: elsewhere},
+		12: &subscribeRequest{Subscriber: "127.9.30.2:7401", Service: "none"},
+		13: &endpointList{Service: "orders", Endpoints: []discovery.Endpoint{elsewhere}},
+		14: &versionNotice{Version: 1},
 		15: &configurationText{},
-		16: &opaque{Body: []byte("ballot")},
-		17: &published{Endpoint: discovery.Endpoint{ID: "own"}},
+		16: &opaqueMessage{Body: []byte("ballot")},
+		17: &publishRequest{Endpoint: discovery.Endpoint{ID: "own"}},
 		18: &lease.Request{Holder: "127.9.30.2:7401", Incarnation: 8, Roles: []lease.RoleRequest{{Role: "allocator", FencingToken: 4}}},
 		19: &ratelimit.AllocationRequest{Sidecar: "127.9.30.2:7401", Incarnation: 8, Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}},
 	}
@@ -112,7 +112,7 @@
 			err  error
 		}
 		answered := make(chan answer, 1)
-		caller.Send(own.Internal(), method, body, 0, func(body []byte, err error) { answered <- answer{body, err} })
+		caller.Send(own.InternalAddress(), method, body, 0, func(body []byte, err error) { answered <- answer{body, err} })
 		select {
 		case x := <-answered:
 			switch {
@@ -133,10 +133,10 @@
 // goldenState is a core process's state with a value in each field.
 func goldenState() State {
 	return State{Node: "core-1", Version: "r12", Confirmed: true, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
-		Duties:  []DutyState{{Name: dutyAllocator, Holder: "10.1.0.44:7640", Epoch: 9, LeftMs: 1500}, {Name: "other"}},
+		Roles:   []RoleState{{Name: roleAllocator, Holder: "10.1.0.44:7640", Epoch: 9, RemainingMs: 1500}, {Name: "other"}},
 		Members: []MemberState{{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 40}, {Role: "core"}},
 		Endpoints: []EndpointState{{ID: "ep-1", Service: "orders", Zone: "north-a", State: stateNames[discovery.Serving], Address: "10.1.0.40:8103",
-			Witness: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000}}}
+			Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000}}}
 }
 
 func TestGoldenState(t *testing.T) {
@@ -150,7 +150,7 @@
 	c.Assert(read, qt.DeepEquals, full)
 	c.Assert(stateNames, qt.DeepEquals, map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
 		discovery.Crashed: "crashed", discovery.Gone: "gone"})
-	c.Assert([]string{dutyAllocator, StatePath, RoleAccess, RoleCore}, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
+	c.Assert([]string{roleAllocator, StatePath, roleNameAccess, roleNameCore}, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
 }
 
 // goldenCore is a core process without links, whose sidecars and endpoints are known to it.
@@ -158,10 +158,10 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &settings.Settings{Name: "core-1", IP: "127.9.31.1", Zone: "z", Region: "r", Ports: [2]int{7401, 7401}, Control: "127.9.31.1:7402"}
-	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.Internal(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	own := &settings.Settings{Name: "core-1", IP: "127.9.31.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.31.1:7402"}
+	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	return New(Options{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
+	return New(Config{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
 }
 
 // What a core process says of itself over HTTP, and to calls that it does not serve. Ages and what is left of leases are left out.
@@ -169,7 +169,7 @@
 	a := goldenCore(t)
 	e := goldenEndpoint()
 	a.apply(e)
-	handler := a.Duties(&register{known: consensus.VoterSet{Voters: []string{"127.9.31.1:7402"}}, accepted: 3}, true).Handler()
+	handler := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{"127.9.31.1:7402"}}, accepted: 3}, true).Handler()
 	var lines strings.Builder
 	for _, call := range []string{"GET /mesh/state", "POST /mesh/state", "GET /mesh/other"} {
 		method, path, _ := strings.Cut(call, " ")
@@ -232,7 +232,7 @@
 }
 
 func TestGoldenKeepaliveFields(t *testing.T) {
-	fields := []string{fieldService, fieldAddress, fieldZone, fieldSlots, fieldSequence, fieldState, fieldCold, fieldKeepaliveTarget}
+	fields := []string{fieldService, fieldAddress, fieldZone, fieldSlots, fieldSequence, fieldState, fieldSlowStart, fieldKeepaliveTarget}
 	qt.Assert(t, fields, qt.DeepEquals, []string{"serviceName", "address", "zone", "slotCount", "callSequence", "state", "coldRemaining",
 		"keepaliveTarget"})
 }
@@ -240,27 +240,27 @@
 // What a core process records as events, and how its feed gives them.
 func TestGoldenEvents(t *testing.T) {
 	a := goldenCore(t)
-	a.events.members([]membership.Member{{Life: 1, Address: "10.1.0.40:7640", Zone: "north-a", Service: "orders"}})
-	a.events.members([]membership.Member{{Life: 2, Address: "10.1.0.41:7640", Zone: "south-b"}})
+	a.events.recordMembers([]membership.Member{{Life: 1, Address: "10.1.0.40:7640", Zone: "north-a", Service: "orders"}})
+	a.events.recordMembers([]membership.Member{{Life: 2, Address: "10.1.0.41:7640", Zone: "south-b"}})
 	for _, state := range []discovery.State{discovery.Serving, discovery.Serving, discovery.Draining, discovery.Crashed, discovery.Gone} {
 		e := goldenEndpoint()
 		e.State = state
-		a.events.endpoints([]discovery.Endpoint{e})
+		a.events.recordEndpoints([]discovery.Endpoint{e})
 	}
 	late := goldenEndpoint()
 	late.ID, late.State = "ep-2", discovery.Gone
-	a.events.endpoints([]discovery.Endpoint{late}) // nobody has heard of it while it served
-	a.events.hit(0, "north")
-	a.events.hit(quotaHitInterval-1, "north")
-	a.events.hit(quotaHitInterval, "north")
-	a.Committed(3, []byte(`{"configVersion":"r3","routeTable":[]}`))
-	d := a.Duties(&register{}, true)
+	a.events.recordEndpoints([]discovery.Endpoint{late}) // nobody has heard of it while it served
+	a.events.recordQuotaHit(0, "north")
+	a.events.recordQuotaHit(quotaHitInterval-1, "north")
+	a.events.recordQuotaHit(quotaHitInterval, "north")
+	a.ApplyCommitted(3, []byte(`{"configVersion":"r3","routeTable":[]}`))
+	d := a.NewSingletonRoles(&fakeRegister{}, true)
 	d.mu.Lock()
 	d.startAllocator(0)
 	d.stopAllocator()
 	d.mu.Unlock()
 	w := httptest.NewRecorder()
-	a.Events().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/events", nil))
+	a.EventsHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/events", nil))
 	var lines strings.Builder
 	for line := range strings.Lines(w.Body.String()) {
 		var e events.Event
--- a/internal/mesh/agent/hollow_test.go
+++ b/internal/mesh/agent/hollow_test.go
@@ -22,8 +22,8 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// hollow is a fleet of sidecars without clients and of core processes without disks, in one process.
-type hollow struct {
+// idleMesh is a fleet of sidecars without clients and of core processes without disks, in one process.
+type idleMesh struct {
 	all      []*Agent
 	hubs     []*transport.Hub
 	closers  []func()
@@ -33,26 +33,26 @@
 	draining atomic.Pointer[string]
 }
 
-func (h *hollow) start(i, n, core, zones, services int, seeds []string) *Agent {
+func (h *idleMesh) start(i, n, core, zones, services int, seeds []string) *Agent {
 	ip := fmt.Sprintf("127.7.%d.%d", i/250, i%250+1)
-	own := &settings.Settings{Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", Ports: [2]int{7301, 7301},
-		Seeds: seeds, Control: ip + ":7302"}
+	own := &settings.Settings{Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", InternalPorts: [2]int{7301, 7301},
+		Seeds: seeds, ControlAddress: ip + ":7302"}
 	role := membership.Core
 	if i >= core {
 		role = membership.Access
-		own.App, own.Service = ip+":8080", fmt.Sprintf("service-%d", i%services)
+		own.ApplicationAddress, own.Service = ip+":8080", fmt.Sprintf("service-%d", i%services)
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.Internal(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	var known atomic.Bool
-	o := Options{Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
-		Configure: func(c *configuration.Config) {
+	o := Config{Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
+		OnConfiguration: func(c *configuration.Config) {
 			if role == membership.Access && uint64(c.Version) == h.version.Load() {
 				h.applied.Add(1)
 			}
 		},
-		EndpointsChanged: func(_ string, all []discovery.Endpoint) {
+		OnEndpointsChanged: func(_ string, all []discovery.Endpoint) {
 			if id := h.draining.Load(); role == membership.Access && id != nil {
 				for _, e := range all {
 					if e.ID == *id && e.State == discovery.Draining && !known.Swap(true) {
@@ -62,14 +62,14 @@
 			}
 		}}
 	c := New(o)
-	l, err := net.Listen("tcp4", own.Internal())
+	l, err := net.Listen("tcp4", own.InternalAddress())
 	if err != nil {
 		panic(err)
 	}
 	go func() { _ = hub.Listen(l) }()
 	ctx, stop := context.WithCancel(context.Background())
 	if role == membership.Access {
-		go c.QuotaClient().Run(ctx)
+		go c.NewQuotaClient().Run(ctx)
 	}
 	go c.Run(ctx)
 	h.all, h.hubs = append(h.all, c), append(h.hubs, hub)
@@ -83,7 +83,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func hollowConfig(version uint64, services, routes int) []byte {
+func idleMeshConfiguration(version uint64, services, routes int) []byte {
 	var r, s []string
 	for i := range services {
 		s = append(s, fmt.Sprintf(`{"name":"service-%d","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}`, i))
@@ -95,8 +95,8 @@
 		version, strings.Join(r, ","), strings.Join(s, ",")))
 }
 
-// until waits for a count, and gives the time it took.
-func until(b *testing.B, what string, count *atomic.Int64, n int) time.Duration {
+// waitForCount waits for a count, and gives the time it took.
+func waitForCount(b *testing.B, what string, count *atomic.Int64, n int) time.Duration {
 	began := time.Now()
 	for count.Load() < int64(n) {
 		if time.Since(began) > 30*time.Second {
@@ -108,10 +108,10 @@
 	return time.Since(began)
 }
 
-// BenchmarkHollow measures sidecars that nobody calls, all in this process, over loopback: processor, heap and bytes of each
+// BenchmarkIdleMesh measures sidecars that nobody calls, all in this process, over loopback: processor, heap and bytes of each
 // and second while quiet, and how long a configuration and a draining mark take to all. HOLLOW names further sizes, as
 // sidecars,services,routes apart by spaces.
-func BenchmarkHollow(b *testing.B) {
+func BenchmarkIdleMesh(b *testing.B) {
 	sizes := []string{"20,3,10"}
 	if more := os.Getenv("HOLLOW"); more != "" {
 		sizes = strings.Fields(more)
@@ -123,15 +123,15 @@
 		}
 		b.Run(fmt.Sprintf("sidecars=%d/services=%d/routes=%d", x[0], x[1], x[2]), func(b *testing.B) {
 			for range b.N {
-				playHollow(b, x[0], x[1], x[2])
+				measureIdleMesh(b, x[0], x[1], x[2])
 			}
 		})
 	}
 }
 
-func playHollow(b *testing.B, sidecars, services, routes int) {
+func measureIdleMesh(b *testing.B, sidecars, services, routes int) {
 	const core, zones = 3, 4
-	h := &hollow{}
+	h := &idleMesh{}
 	defer func() {
 		for _, end := range h.closers {
 			end()
@@ -150,19 +150,19 @@
 			sequence := uint64(0)
 			publish = append(publish, func(s discovery.State) {
 				sequence++
-				c.Publish(discovery.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.o.Settings.Service, App: c.o.Settings.App,
-					Zone: c.o.Settings.Zone, Slots: 8, Sequence: sequence, State: s})
+				c.Publish(discovery.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.config.Settings.Service, App: c.config.Settings.ApplicationAddress,
+					Zone: c.config.Settings.Zone, Slots: 8, Sequence: sequence, State: s})
 			})
 			publish[len(publish)-1](discovery.Serving)
 		}
 	}
 	_ = last
 	commit := func(version uint64) time.Duration {
-		text := hollowConfig(version, services, routes)
+		text := idleMeshConfiguration(version, services, routes)
 		h.applied.Store(0)
 		h.version.Store(version)
-		h.all[0].Committed(version, text)
-		return until(b, "configuration", &h.applied, sidecars)
+		h.all[0].ApplyCommitted(version, text)
+		return waitForCount(b, "configuration", &h.applied, sidecars)
 	}
 	commit(1)
 	time.Sleep(12 * time.Second)
@@ -203,5 +203,5 @@
 	id := fmt.Sprintf("life-%d", core)
 	h.draining.Store(&id)
 	publish[0](discovery.Draining)
-	b.ReportMetric(float64(until(b, "draining", &h.drained, sidecars).Milliseconds()), "ms/drain")
+	b.ReportMetric(float64(waitForCount(b, "draining", &h.drained, sidecars).Milliseconds()), "ms/drain")
 }
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	keepaliveMax   = 16 << 10 // bytes of a body
-	forwardTimeout = 250 * time.Millisecond
-	forwardedLease = 9 * time.Second // of a record made from a keepalive that another process received
+	maxKeepaliveBytes       = 16 << 10 // bytes of a body
+	keepaliveForwardTimeout = 250 * time.Millisecond
+	forwardedRecordLease    = 9 * time.Second // of a record made from a keepalive that another process received
 )
 
 // Fields of a keepalive's body, and of its answer.
@@ -29,7 +29,7 @@
 	fieldSlots           = "slotCount"
 	fieldSequence        = "callSequence"
 	fieldState           = "state"
-	fieldCold            = "coldRemaining"
+	fieldSlowStart       = "coldRemaining"
 	fieldKeepaliveTarget = "keepaliveTarget"
 )
 
@@ -73,10 +73,10 @@
 	default:
 		faults = append(faults, fieldState+": wanted "+StateInService+" or "+StateDraining)
 	}
-	if cold := root.Get(fieldCold); cold.Exists() {
+	if cold := root.Get(fieldSlowStart); cold.Exists() {
 		d, err := time.ParseDuration(cold.String())
 		if err != nil || d < 0 {
-			faults = append(faults, fieldCold+": wanted a time like 1500ms")
+			faults = append(faults, fieldSlowStart+": wanted a time like 1500ms")
 		}
 		e.Cold = min(d, time.Hour)
 	}
@@ -90,14 +90,14 @@
 func (a *Agent) KeepaliveHandler(local LocalEndpoint) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", func(w http.ResponseWriter, q *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, keepaliveMax))
+		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxKeepaliveBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
 		e, err := ParseKeepalive(q.PathValue("id"), body)
 		if err != nil {
-			a.o.Log.WithField("peer", q.RemoteAddr).WithError(err).Warn("agent: a keepalive can't be used")
+			a.config.Log.WithField("peer", q.RemoteAddr).WithError(err).Warn("agent: a keepalive can't be used")
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -107,16 +107,16 @@
 		a.answerKeepalive(w, q.Context(), local, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
 	})
 	if local != nil {
-		transport.Handle(a.o.Hub, methodKeepalive, func(ctx context.Context, _ *transport.Hello, p *published) *published {
-			return &published{Taken: a.takeKeepalive(ctx, local, p.Endpoint)}
+		transport.Handle(a.config.Hub, methodKeepalive, func(ctx context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
+			return &publishRequest{Accepted: a.deliverKeepalive(ctx, local, p.Endpoint)}
 		})
 	}
 	return mux
 }
 
-// takeKeepalive hands a keepalive to the endpoint beside this process; false if it is not that endpoint's. One that leaves may be told so
+// deliverKeepalive hands a keepalive to the endpoint beside this process; false if it is not that endpoint's. One that leaves may be told so
 // only once another machine knows: else the news would be lost with this process.
-func (a *Agent) takeKeepalive(ctx context.Context, local LocalEndpoint, e discovery.Endpoint) bool {
+func (a *Agent) deliverKeepalive(ctx context.Context, local LocalEndpoint, e discovery.Endpoint) bool {
 	if !local.Keepalive(e) {
 		return false
 	}
@@ -130,7 +130,7 @@
 // calls another process otherwise.
 func (a *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, local LocalEndpoint, e discovery.Endpoint) {
 	target := ""
-	if local == nil || !a.takeKeepalive(ctx, local, e) {
+	if local == nil || !a.deliverKeepalive(ctx, local, e) {
 		var taken bool
 		if target, taken = a.forwardKeepalive(ctx, e); !taken && e.State >= discovery.Draining {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -156,27 +156,27 @@
 	if err != nil {
 		return "", false
 	}
-	e.Host, e.Lease = a.o.Settings.Peer(ip), forwardedLease
-	if m, ok := a.At(ip); ok {
+	e.Host, e.Lease = a.config.Settings.PeerAddress(ip), forwardedRecordLease
+	if m, ok := a.MemberAt(ip); ok {
 		e.Host, e.HostLife = m.Address, m.Life
 	}
-	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	ctx, cancel := context.WithTimeout(ctx, keepaliveForwardTimeout)
 	defer cancel()
-	answer, err := transport.Request[published](ctx, a.o.Hub, e.Host, methodKeepalive, &published{Endpoint: e})
-	if err == nil && answer.Taken {
-		_, port, _ := net.SplitHostPort(a.o.Settings.Control)
+	answer, err := transport.Request[publishRequest](ctx, a.config.Hub, e.Host, methodKeepalive, &publishRequest{Endpoint: e})
+	if err == nil && answer.Accepted {
+		_, port, _ := net.SplitHostPort(a.config.Settings.ControlAddress)
 		return net.JoinHostPort(ip, port), true
 	}
-	ctx, cancelHomes := context.WithTimeout(context.WithoutCancel(ctx), forwardTimeout)
+	ctx, cancelHomes := context.WithTimeout(context.WithoutCancel(ctx), keepaliveForwardTimeout)
 	defer cancelHomes()
-	return "", a.PassOn(ctx, e)
+	return "", a.PublishOnBehalf(ctx, e)
 }
 
 // knownEndpoint completes a deregistration with what is known of its endpoint.
 func (a *Agent) knownEndpoint(e discovery.Endpoint) discovery.Endpoint {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, known := range a.registry.All(a.o.Hub.Now()) {
+	for _, known := range a.registry.All(a.config.Hub.Now()) {
 		if known.ID == e.ID {
 			known.State = e.State
 			return known
--- a/internal/mesh/agent/keepalive_test.go
+++ b/internal/mesh/agent/keepalive_test.go
@@ -13,8 +13,8 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// call sends a call of an endpoint to a process, and returns the status of its answer.
-func call(a *Agent, id, what, state string) int {
+// callKeepalive sends a call of an endpoint to a process, and returns the status of its answer.
+func callKeepalive(a *Agent, id, what, state string) int {
 	body := fmt.Sprintf(`{"serviceName":"service-0","address":"127.7.9.9:8080","zone":"zone-0","slotCount":4,"state":%q,"callSequence":7}`, state)
 	w := httptest.NewRecorder()
 	a.KeepaliveHandler(nil).ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/endpoints/"+id+"/"+what, strings.NewReader(body)))
@@ -25,7 +25,7 @@
 func knows(a *Agent, id string, state discovery.State) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, e := range a.registry.All(a.o.Hub.Now()) {
+	for _, e := range a.registry.All(a.config.Hub.Now()) {
 		if e.ID == id {
 			return e.State == state
 		}
@@ -37,7 +37,7 @@
 // know of it: a core process that is cut off, or does not know the endpoint, answers 503, and the endpoint calls another.
 func TestALeavingEndpointIsAcknowledgedOnlyIfItIsKnown(t *testing.T) {
 	c := qt.New(t)
-	h := &hollow{}
+	h := &idleMesh{}
 	defer func() {
 		for _, f := range h.closers {
 			f()
@@ -45,26 +45,26 @@
 	}()
 	seeds := []string{"127.7.0.1:7302"}
 	core := h.start(0, 3, 1, 2, 1, seeds)
-	c.Check(call(core, "i-1", "keepalive", "in_service"), qt.Equals, 200)
-	c.Check(call(core, "i-1", "keepalive", "draining"), qt.Equals, 503, qt.Commentf("nobody else knows"))
-	c.Check(call(core, "i-2", "deregister", ""), qt.Equals, 503, qt.Commentf("nobody knows the endpoint"))
+	c.Check(callKeepalive(core, "i-1", "keepalive", "in_service"), qt.Equals, 200)
+	c.Check(callKeepalive(core, "i-1", "keepalive", "draining"), qt.Equals, 503, qt.Commentf("nobody else knows"))
+	c.Check(callKeepalive(core, "i-2", "deregister", ""), qt.Equals, 503, qt.Commentf("nobody knows the endpoint"))
 
 	first, second := h.start(1, 3, 1, 2, 1, seeds), h.start(2, 3, 1, 2, 1, seeds)
 	for end := time.Now().Add(20 * time.Second); len(core.Members()) < 3; time.Sleep(10 * time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue)
 	}
-	c.Check(call(core, "i-1", "keepalive", "draining"), qt.Equals, 200)
+	c.Check(callKeepalive(core, "i-1", "keepalive", "draining"), qt.Equals, 200)
 	c.Check(knows(first, "i-1", discovery.Draining), qt.IsTrue, qt.Commentf("the only home in its zone"))
-	c.Check(call(core, "i-1", "deregister", ""), qt.Equals, 200)
+	c.Check(callKeepalive(core, "i-1", "deregister", ""), qt.Equals, 200)
 	c.Check(knows(first, "i-1", discovery.Gone), qt.IsTrue)
 
 	h.closers[1]() // the zone of the first is cut off
-	c.Check(call(core, "i-3", "keepalive", "draining"), qt.Equals, 503)
+	c.Check(callKeepalive(core, "i-3", "keepalive", "draining"), qt.Equals, 503)
 	c.Check(knows(second, "i-3", discovery.Draining), qt.IsTrue)
 }
 
 // What an endpoint is told is taken is known to another machine first: the news outlives the process that took it.
-func TestALeavingEndpointsOwnSidecarWaitsForAHome(t *testing.T) {
+func TestALeavingEndpointsOwnSidecarWaitsForAnOwner(t *testing.T) {
 	c := qt.New(t)
 	p := discovery.NewPublisher(discovery.Bounds{})
 	e := discovery.Endpoint{ID: "x", Service: "s", App: "a:1", HostLife: 1}
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -10,18 +10,18 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// homesPerZone is how many homes a service has in each zone.
-const homesPerZone = 2
+// ownersPerZone is how many homes a service has in each zone.
+const ownersPerZone = 2
 
-// Seeds sets the seeds as the settings have them now.
-func (a *Agent) Seeds(addresses []string) {
+// SetSeeds sets the seeds as the settings have them now.
+func (a *Agent) SetSeeds(addresses []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.view.Seeds(a.o.Hub.Now(), addresses)
+	a.view.Seeds(a.config.Hub.Now(), addresses)
 }
 
-// At is the newest member at an IP address.
-func (a *Agent) At(ip string) (membership.Member, bool) {
+// MemberAt is the newest member at an IP address.
+func (a *Agent) MemberAt(ip string) (membership.Member, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view.At(ip)
@@ -46,7 +46,7 @@
 	}
 }
 
-func (a *Agent) takeShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
+func (a *Agent) handleShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
 	reply := a.mergeShuffle(s)
 	if reply == nil {
 		reply = &membership.Shuffle{Reply: true}
@@ -60,77 +60,77 @@
 		return nil
 	}
 	a.mu.Lock()
-	reply, _ := a.view.Take(a.o.Hub.Now(), s)
+	reply, _ := a.view.Take(a.config.Hub.Now(), s)
 	if reply != nil {
-		reply.Version = a.conf.Version
+		reply.Version = a.current.Version
 	}
 	a.mu.Unlock()
-	a.heard(s.From.Address, s.Version)
+	a.learnVersion(s.From.Address, s.Version)
 	return reply
 }
 
-// followView works out anew what rests on the members, if they have changed: the homes that this process publishes to and
+// updateFromView works out anew what rests on the members, if they have changed: the homes that this process publishes to and
 // subscribes at, and the number of sidecars. The lock is held.
-func (a *Agent) followView(now time.Duration) {
-	if a.viewed == a.view.Changes()+1 {
+func (a *Agent) updateFromView(now time.Duration) {
+	if a.handledViewChanges == a.view.Changes()+1 {
 		return
 	}
-	a.viewed = a.view.Changes() + 1
-	if a.o.Role == membership.Access && a.o.Settings.Service != "" {
-		a.publisher.Targets(now, a.publishingHomes())
+	a.handledViewChanges = a.view.Changes() + 1
+	if a.config.Role == membership.Access && a.config.Settings.Service != "" {
+		a.publisher.Targets(now, a.publishOwners())
 	}
-	for _, service := range a.services {
+	for _, service := range a.wantedServices {
 		var homes []discovery.Home
-		for _, m := range a.view.Homes(service, a.o.Settings.Zone, homesPerZone+1) {
+		for _, m := range a.view.Homes(service, a.config.Settings.Zone, ownersPerZone+1) {
 			homes = append(homes, discovery.Home{Address: m.Address, Life: m.Life})
 		}
-		a.subscribed.Want(now, service, homes)
+		a.subscriptions.Want(now, service, homes)
 	}
 	sidecars := len(accessAddresses(a.view.Members()))
-	if sidecars != a.sidecars && a.o.SidecarsChanged != nil {
-		a.sidecars = sidecars
-		a.o.SidecarsChanged(sidecars)
+	if sidecars != a.sidecarCount && a.config.OnSidecarCount != nil {
+		a.sidecarCount = sidecars
+		a.config.OnSidecarCount(sidecars)
 	}
 }
 
-// noteZones takes note of which zones have members. The lock is held.
-func (a *Agent) noteZones(now time.Duration) {
+// recordZones takes note of which zones have members. The lock is held.
+func (a *Agent) recordZones(now time.Duration) {
 	for _, zone := range a.view.Zones() {
-		a.zonesSeen[zone] = now
+		a.zoneLastSeen[zone] = now
 	}
 }
 
 // recentZones are the zones that have members, or had some lately. The lock is held.
 func (a *Agent) recentZones() map[string]bool {
-	now := a.o.Hub.Now()
-	a.noteZones(now)
+	now := a.config.Hub.Now()
+	a.recordZones(now)
 	recent := map[string]bool{}
-	for zone, seen := range a.zonesSeen {
-		if now-seen < zoneMemory {
+	for zone, seen := range a.zoneLastSeen {
+		if now-seen < zoneRetention {
 			recent[zone] = true
 		} else {
-			delete(a.zonesSeen, zone)
+			delete(a.zoneLastSeen, zone)
 		}
 	}
 	return recent
 }
 
-// publishingHomes are the homes of this process's service in all zones; one that has restarted gets all records again.
-func (a *Agent) publishingHomes() (homes []string) {
-	for _, m := range a.homesOf(a.o.Settings.Service) {
+// publishOwners are the homes of this process's service in all zones; one that has restarted gets all records again.
+func (a *Agent) publishOwners() (homes []string) {
+	for _, m := range a.ownersOf(a.config.Settings.Service) {
 		homes = append(homes, m.Address)
-		if a.homeLives[m.Address] != m.Life {
-			a.homeLives[m.Address] = m.Life
+		if a.ownerIncarnations[m.Address] != m.Life {
+			a.ownerIncarnations[m.Address] = m.Life
 			a.publisher.Forget(m.Address)
 		}
 	}
 	return homes
 }
 
-// homesOf are the homes of a service in all zones. The lock is held.
-func (a *Agent) homesOf(service string) (homes []membership.Member) {
+// ownersOf are the homes of a service in all zones. The lock is held.
+func (a *Agent) ownersOf(service string) (homes []membership.Member) {
 	for _, zone := range a.view.Zones() {
-		homes = append(homes, a.view.Homes(service, zone, homesPerZone)...)
+		homes = append(homes, a.view.Homes(service, zone, ownersPerZone)...)
 	}
 	return homes
 }
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -7,63 +7,63 @@
 
 // Methods of the control plane between processes. Their numbers never change.
 const (
-	methodShuffle   = 10 // membership.Shuffle; answered by one
-	methodPublish   = 11 // published: a sidecar's record of its endpoint, for a home
-	methodSubscribe = 12 // subscription: a request to hear of a service, for a home; answered by a listing
-	methodUpdate    = 13 // listing: what has changed, from a home to a subscriber
-	methodNotice    = 14 // notice: the sender holds a version of the configuration
-	methodConfig    = 15 // configurationText: a request for the newest configuration, answered by another
-	methodConsensus = 16 // opaque: a request to another core process's consensus.Replica, and its reply
-	methodKeepalive = 17 // published: a keepalive that another process received, for the endpoint's own sidecar
-	methodLease     = 18 // lease.Request to a core process, answered by lease.Reply
-	methodTokens    = 19 // ratelimit.TokenRequests to the allocator, or to a sidecar that forwards them
+	methodShuffle       = 10 // membership.Shuffle; answered by one
+	methodPublish       = 11 // published: a sidecar's record of its endpoint, for a home
+	methodSubscribe     = 12 // subscription: a request to hear of a service, for a home; answered by a listing
+	methodUpdate        = 13 // listing: what has changed, from a home to a subscriber
+	methodVersionNotice = 14 // notice: the sender holds a version of the configuration
+	methodConfiguration = 15 // configurationText: a request for the newest configuration, answered by another
+	methodConsensus     = 16 // opaque: a request to another core process's consensus.Replica, and its reply
+	methodKeepalive     = 17 // published: a keepalive that another process received, for the endpoint's own sidecar
+	methodLease         = 18 // lease.Request to a core process, answered by lease.Reply
+	methodTokens        = 19 // ratelimit.TokenRequests to the allocator, or to a sidecar that forwards them
 )
 
-// published is a record on its way to a home, and the home's acknowledgement.
-type published struct {
+// publishRequest is a record on its way to a home, and the home's acknowledgement.
+type publishRequest struct {
 	Endpoint discovery.Endpoint
-	Taken    bool
+	Accepted bool
 }
 
-func (p *published) Fields(v *codec.Visitor) {
+func (p *publishRequest) Fields(v *codec.Visitor) {
 	v.Message(1, &p.Endpoint)
-	v.Bool(2, &p.Taken)
+	v.Bool(2, &p.Accepted)
 }
 
-// subscription is a subscriber's request to hear of a service.
-type subscription struct {
-	Who     string // the subscriber's address
-	Service string
-	Since   uint64 // version of the home's registry up to which the subscriber knows the service
-	Life    uint64 // of the home that Since is of
+// subscribeRequest is a subscriber's request to hear of a service.
+type subscribeRequest struct {
+	Subscriber       string // the subscriber's address
+	Service          string
+	Since            uint64 // version of the home's registry up to which the subscriber knows the service
+	OwnerIncarnation uint64 // of the home that Since is of
 }
 
-func (s *subscription) Fields(v *codec.Visitor) {
-	v.Text(1, &s.Who)
+func (s *subscribeRequest) Fields(v *codec.Visitor) {
+	v.Text(1, &s.Subscriber)
 	v.Text(2, &s.Service)
 	v.Uint(3, &s.Since)
-	v.Fixed(4, &s.Life)
+	v.Fixed(4, &s.OwnerIncarnation)
 }
 
-// listing is what a home knows of a service, or what of it has changed.
-type listing struct {
-	Service   string
-	Version   uint64 // of the home's registry; 0 in an update
-	Endpoints []discovery.Endpoint
-	Life      uint64 // of the home
+// endpointList is what a home knows of a service, or what of it has changed.
+type endpointList struct {
+	Service          string
+	Version          uint64 // of the home's registry; 0 in an update
+	Endpoints        []discovery.Endpoint
+	OwnerIncarnation uint64 // of the home
 }
 
-func (l *listing) Fields(v *codec.Visitor) {
+func (l *endpointList) Fields(v *codec.Visitor) {
 	v.Text(1, &l.Service)
 	v.Uint(2, &l.Version)
 	codec.Messages(v, 3, &l.Endpoints)
-	v.Fixed(4, &l.Life)
+	v.Fixed(4, &l.OwnerIncarnation)
 }
 
-// notice says which version its sender holds.
-type notice struct{ Version uint64 }
+// versionNotice says which version its sender holds.
+type versionNotice struct{ Version uint64 }
 
-func (n *notice) Fields(v *codec.Visitor) { v.Uint(1, &n.Version) }
+func (n *versionNotice) Fields(v *codec.Visitor) { v.Uint(1, &n.Version) }
 
 // configurationText is the newest configuration that its sender knows to be committed, with its text if it is newer than the asker's.
 type configurationText struct {
@@ -76,12 +76,12 @@
 	v.Bytes(2, &c.Text)
 }
 
-// opaque carries what another package has encoded.
-type opaque struct{ Body []byte }
+// opaqueMessage carries what another package has encoded.
+type opaqueMessage struct{ Body []byte }
 
-func (o *opaque) Fields(v *codec.Visitor) { v.Bytes(1, &o.Body) }
+func (o *opaqueMessage) Fields(v *codec.Visitor) { v.Bytes(1, &o.Body) }
 
 // acknowledgement says that a message was taken.
-type acknowledgement struct{ Taken bool }
+type acknowledgement struct{ Accepted bool }
 
-func (a *acknowledgement) Fields(v *codec.Visitor) { v.Bool(1, &a.Taken) }
+func (a *acknowledgement) Fields(v *codec.Visitor) { v.Bool(1, &a.Accepted) }
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -18,28 +18,28 @@
 	directRetryInterval = time.Second            // while a neighbour forwards requests: the allocator itself is tried again
 )
 
-// QuotaClient is a sidecar's way to tenants' tokens: it requests them from the allocator, directly or through a neighbour.
+// NewQuotaClient is a sidecar's way to tenants' tokens: it requests them from the allocator, directly or through a neighbour.
 type QuotaClient struct {
-	agent   *Agent
-	pending chan struct{} // requests wait for tokens
+	agent  *Agent
+	wakeup chan struct{} // requests wait for tokens
 
-	mu         sync.Mutex
-	tokenCache *ratelimit.TokenCache
-	allocator  string // that answered last
-	forwarder  string // the neighbour that forwards requests; empty for none
-	directAt   time.Duration
-	failures   int // in a row
+	mu            sync.Mutex
+	tokenCache    *ratelimit.TokenCache
+	allocator     string // that answered last
+	forwarder     string // the neighbour that forwards requests; empty for none
+	directRetryAt time.Duration
+	failures      int // in a row
 }
 
-// QuotaClient makes a sidecar's way to the allocator, and registers the call by which it forwards neighbours' requests.
-func (a *Agent) QuotaClient() *QuotaClient {
-	t := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), pending: make(chan struct{}, 1)}
-	transport.Handle(a.o.Hub, methodTokens, t.forward)
+// NewQuotaClient makes a sidecar's way to the allocator, and registers the call by which it forwards neighbours' requests.
+func (a *Agent) NewQuotaClient() *QuotaClient {
+	t := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), wakeup: make(chan struct{}, 1)}
+	transport.Handle(a.config.Hub, methodTokens, t.handleForwarded)
 	return t
 }
 
-// forward passes a neighbour's requests on to the allocator, once.
-func (t *QuotaClient) forward(ctx context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+// handleForwarded passes a neighbour's requests on to the allocator, once.
+func (t *QuotaClient) handleForwarded(ctx context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
 	t.mu.Lock()
 	allocator := t.allocator
 	t.mu.Unlock()
@@ -49,18 +49,18 @@
 	q.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
-	grants, err := transport.Request[ratelimit.AllocationReply](ctx, t.agent.o.Hub, allocator, methodTokens, q)
+	grants, err := transport.Request[ratelimit.AllocationReply](ctx, t.agent.config.Hub, allocator, methodTokens, q)
 	if err != nil {
 		return &ratelimit.AllocationReply{}
 	}
 	return grants
 }
 
-// Take admits a tenant's request or refuses it; done is called once, soon, with when to come back after a refusal.
-func (t *QuotaClient) Take(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
+// Acquire admits a tenant's request or refuses it; done is called once, soon, with when to come back after a refusal.
+func (t *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
 	answered := false // guarded by t.mu, as done may be called later
 	t.mu.Lock()
-	t.tokenCache.Admit(t.agent.o.Hub.Now(), tenant.Name, t.agent.limitOf(tenant),
+	t.tokenCache.Admit(t.agent.config.Hub.Now(), tenant.Name, t.agent.limitFor(tenant),
 		func(ok bool, back time.Duration) {
 			answered = true
 			done(ok, back)
@@ -75,7 +75,7 @@
 // wake has Run look at once.
 func (t *QuotaClient) wake() {
 	select {
-	case t.pending <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -86,19 +86,19 @@
 	defer tick.Stop()
 	for {
 		select {
-		case <-t.pending:
+		case <-t.wakeup:
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		t.step()
+		t.sendRequests()
 	}
 }
 
-func (t *QuotaClient) step() {
-	now := t.agent.o.Hub.Now()
+func (t *QuotaClient) sendRequests() {
+	now := t.agent.config.Hub.Now()
 	t.agent.mu.Lock()
-	sidecars := t.agent.sidecars
+	sidecars := t.agent.sidecarCount
 	t.agent.mu.Unlock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,17 +107,17 @@
 	if !due {
 		return
 	}
-	self := t.agent.o.Hub.Self()
+	self := t.agent.config.Hub.Self()
 	go t.request(now, t.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Life, Requests: requests,
 		HighestFencingToken: t.tokenCache.HighestFencingToken()})
 }
 
 // target is the process to ask: the one that answered last; else a core process, in turn with a neighbour. The lock is held.
 func (t *QuotaClient) target(now time.Duration) string {
-	if t.forwarder != "" && now < t.directAt {
+	if t.forwarder != "" && now < t.directRetryAt {
 		return t.forwarder
 	}
-	t.directAt = now + directRetryInterval
+	t.directRetryAt = now + directRetryInterval
 	if t.allocator != "" && t.failures == 0 {
 		return t.allocator
 	}
@@ -126,14 +126,14 @@
 		role = membership.Access
 	}
 	members := slices.DeleteFunc(t.agent.Members(), func(m membership.Member) bool {
-		return m.Role != role || m.Address == t.agent.o.Hub.Self().Address
+		return m.Role != role || m.Address == t.agent.config.Hub.Self().Address
 	})
 	if len(members) == 0 {
 		return t.allocator
 	}
 	t.agent.mu.Lock()
 	defer t.agent.mu.Unlock()
-	return members[t.agent.random()%uint64(len(members))].Address
+	return members[t.agent.randomUint64()%uint64(len(members))].Address
 }
 
 // request sends requests for tokens and takes the answer.
@@ -142,13 +142,13 @@
 	defer cancel()
 	var grants *ratelimit.AllocationReply
 	if to != "" {
-		grants, _ = transport.Request[ratelimit.AllocationReply](ctx, t.agent.o.Hub, to, methodTokens, q)
+		grants, _ = transport.Request[ratelimit.AllocationReply](ctx, t.agent.config.Hub, to, methodTokens, q)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.agent.o.Hub.Now()
+	now := t.agent.config.Hub.Now()
 	if grants == nil || !t.tokenCache.HandleReply(now, sent, grants) {
-		t.fail(now, to, grants)
+		t.recordFailure(now, to, grants)
 		return
 	}
 	t.forwarder = ""
@@ -161,8 +161,8 @@
 	}
 }
 
-// fail notes that a process granted nothing; it may have named the allocator. The lock is held.
-func (t *QuotaClient) fail(now time.Duration, asked string, grants *ratelimit.AllocationReply) {
+// recordFailure notes that a process granted nothing; it may have named the allocator. The lock is held.
+func (t *QuotaClient) recordFailure(now time.Duration, asked string, grants *ratelimit.AllocationReply) {
 	t.failures++
 	t.tokenCache.HandleFailure(now)
 	if asked == t.forwarder {
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -21,17 +21,17 @@
 	Confirmed bool            `json:"confirmed"` // a majority of the voters was reached: the version is the newest there is
 	Voters    []string        `json:"voters"`
 	Ready     bool            `json:"ready"` // this process has its record, and votes if it is in the list
-	Duties    []DutyState     `json:"duties"`
+	Roles     []RoleState     `json:"duties"`
 	Members   []MemberState   `json:"members"`
 	Endpoints []EndpointState `json:"endpoints"`
 }
 
-// DutyState says who does a duty.
-type DutyState struct {
-	Name   string `json:"name"`
-	Holder string `json:"holder"`
-	Epoch  uint64 `json:"epoch,omitempty"`  // fencing number; known to the holder alone
-	LeftMs int64  `json:"leftMs,omitempty"` // of the lease, if it isn't renewed; known to the holder alone
+// RoleState says who does a duty.
+type RoleState struct {
+	Name        string `json:"name"`
+	Holder      string `json:"holder"`
+	Epoch       uint64 `json:"epoch,omitempty"`  // fencing number; known to the holder alone
+	RemainingMs int64  `json:"leftMs,omitempty"` // of the lease, if it isn't renewed; known to the holder alone
 }
 
 // MemberState is a process that is there.
@@ -50,7 +50,7 @@
 	Zone    string `json:"zone"`
 	State   string `json:"state"`
 	Address string `json:"address"`
-	Witness string `json:"witness"` // the sidecar that it comes from
+	Sidecar string `json:"witness"` // the sidecar that it comes from
 	Slots   int    `json:"slots"`
 	LeaseMs int64  `json:"leaseMs"`
 }
@@ -60,44 +60,44 @@
 
 // Names of the states of endpoints, in keepalives and in State.
 const (
-	StateInService = "in_service"
-	StateDraining  = "draining"
-	StateCrashed   = "crashed"
-	StateGone      = "gone"
+	StateInService    = "in_service"
+	StateDraining     = "draining"
+	StateCrashed      = "crashed"
+	StateDeregistered = "gone"
 )
 
 // Names of the roles of processes in State.
 const (
-	RoleAccess = "access"
-	RoleCore   = "core"
+	roleNameAccess = "access"
+	roleNameCore   = "core"
 )
 
 var stateNames = map[discovery.State]string{discovery.Serving: StateInService, discovery.Draining: StateDraining,
-	discovery.Crashed: StateCrashed, discovery.Gone: StateGone}
+	discovery.Crashed: StateCrashed, discovery.Gone: StateDeregistered}
 
 // State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
 // what it holds is the newest, and says so.
-func (d *Duties) State(ctx context.Context) State {
+func (d *SingletonRoles) State(ctx context.Context) State {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	newest, err := d.voters.ReadLatest(ctx)
 	a := d.agent
-	now := a.o.Hub.Now()
-	s := State{Node: a.o.Settings.Name, Voters: d.voters.VoterSet().Voters, Confirmed: err == nil}
+	now := a.config.Hub.Now()
+	s := State{Node: a.config.Settings.Name, Voters: d.voters.VoterSet().Voters, Confirmed: err == nil}
 	_, s.Ready = d.voters.Accepted()
 	d.mu.Lock()
-	duty := DutyState{Name: dutyAllocator, Holder: d.allocatorLease.Holder(now)}
+	duty := RoleState{Name: roleAllocator, Holder: d.allocatorLease.Holder(now)}
 	duty.Epoch, _ = d.allocatorLease.Holds(now)
-	duty.LeftMs = d.allocatorLease.Remaining(now).Milliseconds()
+	duty.RemainingMs = d.allocatorLease.Remaining(now).Milliseconds()
 	d.mu.Unlock()
-	s.Duties = []DutyState{duty}
+	s.Roles = []RoleState{duty}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s.Version = max(configuration.Version(a.conf.Version), newest.Version).String()
+	s.Version = max(configuration.Version(a.current.Version), newest.Version).String()
 	for _, m := range a.view.Members() {
-		role := RoleAccess
+		role := roleNameAccess
 		if m.Role == membership.Core {
-			role = RoleCore
+			role = roleNameCore
 		}
 		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.Age.Milliseconds()})
 	}
@@ -109,7 +109,7 @@
 }
 
 // Handler serves GET /mesh/state to operators.
-func (d *Duties) Handler() http.Handler {
+func (d *SingletonRoles) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.Method != http.MethodGet || q.URL.Path != StatePath {
 			http.Error(w, "GET "+StatePath+" only", http.StatusNotFound)
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -29,19 +29,19 @@
 	if err != nil {
 		return err
 	}
-	listeners, err := listenAll(p.settings.Internal(), p.settings.Outbound, p.settings.Control, p.settings.Readiness)
+	listeners, err := listenAll(p.settings.InternalAddress(), p.settings.OutboundAddress, p.settings.ControlAddress, p.settings.ReadinessAddress)
 	if err != nil {
 		return err
 	}
 	internal, clients, control, readiness := listeners[0], listeners[1], listeners[2], listeners[3]
 	a := newAccess(p)
-	go p.follow(func(s *settings.Settings) { a.agent.Seeds(s.SeedPeers()) })
+	go p.follow(func(s *settings.Settings) { a.agent.SetSeeds(s.SeedAddresses()) })
 	p.link(internal)
 	p.serve(a.agent.KeepaliveHandler(a), control)
 	p.serve(http.HandlerFunc(a.readiness), readiness)
 	go func() {
 		if err := a.outbound.Server().Serve(clients); err != nil {
-			p.errors <- trace.Wrap(err, "serve %s", p.settings.Outbound)
+			p.errors <- trace.Wrap(err, "serve %s", p.settings.OutboundAddress)
 		}
 	}()
 	ctx, stop := context.WithCancel(context.Background())
@@ -56,15 +56,15 @@
 // newAccess puts a sidecar's planes together.
 func newAccess(p *process) *access {
 	a := &access{process: p}
-	a.inbound = inbound.New(p.settings.App, p.hub.Now, p.log, func(life string) { a.agent.Ended(life, discovery.Crashed) })
+	a.inbound = inbound.New(p.settings.ApplicationAddress, p.hub.Now, p.log, func(life string) { a.agent.PublishEnd(life, discovery.Crashed) })
 	a.outbound = outbound.New(outbound.Options{Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
 		Seed: p.seed, Bodies: max(int64(bodyShare*float64(p.settings.MemoryMB<<20)), bodiesLeast), Refresh: func(s string) { a.agent.Refresh(s) },
-		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { a.quota.Take(t, done) }})
-	a.agent = agent.New(agent.Options{Settings: p.settings, Hub: p.hub, Role: membership.Access, Log: p.log, Seed: p.seed,
-		Configure: func(c *configuration.Config) { a.outbound.Configure(c) }, EndpointsChanged: a.outbound.Told,
-		SidecarsChanged: a.outbound.Sidecars, EndpointLeaves: a.leaves})
+		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { a.quota.Acquire(t, done) }})
+	a.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.Access, Log: p.log, Seed: p.seed,
+		OnConfiguration: func(c *configuration.Config) { a.outbound.Configure(c) }, OnEndpointsChanged: a.outbound.Told,
+		OnSidecarCount: a.outbound.Sidecars, OnEndpointLeaving: a.leaves})
 	a.inbound.Serve(p.hub)
-	a.quota = a.agent.QuotaClient()
+	a.quota = a.agent.NewQuotaClient()
 	return a
 }
 
--- a/internal/mesh/assembly/assembly.go
+++ b/internal/mesh/assembly/assembly.go
@@ -51,7 +51,7 @@
 	debug.SetMemoryLimit(int64(heapShare * float64(loaded.MemoryMB<<20)))
 	log, ring := logging.New(os.Stderr)
 	p := &process{settings: loaded, path: path, signals: signals, log: log, ring: ring, seed: rand.Uint64(), errors: make(chan error, 8)}
-	p.hub = transport.NewHub(transport.Hello{Life: rand.Uint64() | 1, Address: loaded.Internal(), Name: loaded.Name, Zone: loaded.Zone,
+	p.hub = transport.NewHub(transport.Hello{Life: rand.Uint64() | 1, Address: loaded.InternalAddress(), Name: loaded.Name, Zone: loaded.Zone,
 		Service: loaded.Service}, time.Now(), callsMost, log)
 	p.hub.Shape(loaded.LinkMbps * 1e6)
 	return p, nil
@@ -121,7 +121,7 @@
 	for {
 		select {
 		case <-p.signals.Dump:
-			p.ring.Write("SIGUSR1")
+			p.ring.Dump("SIGUSR1")
 			continue
 		case <-p.signals.Reload:
 		case <-every.C:
--- a/internal/mesh/assembly/assembly_test.go
+++ b/internal/mesh/assembly/assembly_test.go
@@ -33,7 +33,7 @@
 	if err := os.WriteFile(os.Getenv("MESH_TEST_CAUGHT"), nil, 0o644); err != nil {
 		panic(err)
 	}
-	if err := run(os.Getenv(settings.Variable), signals); err != nil {
+	if err := run(os.Getenv(settings.EnvironmentVariable), signals); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -119,7 +119,7 @@
 	m.Assert(os.WriteFile(path, []byte(text), 0o644), qt.IsNil)
 	_ = os.Remove(m.caughtFile(x))
 	x.cmd = exec.Command(os.Args[0])
-	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.Variable+"="+path, "MESH_TEST_CAUGHT="+m.caughtFile(x))
+	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.EnvironmentVariable+"="+path, "MESH_TEST_CAUGHT="+m.caughtFile(x))
 	x.cmd.Stderr = os.Stderr
 	m.Assert(x.cmd.Start(), qt.IsNil)
 	x.initial = false
--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -29,25 +29,25 @@
 	if err != nil {
 		return err
 	}
-	listeners, err := listenAll(p.settings.Internal(), p.settings.Control)
+	listeners, err := listenAll(p.settings.InternalAddress(), p.settings.ControlAddress)
 	if err != nil {
 		return err
 	}
 	internal, control := listeners[0], listeners[1]
 	c := &core{process: p, ready: make(chan struct{})}
-	c.agent = agent.New(agent.Options{Settings: p.settings, Hub: p.hub, Role: membership.Core, Log: p.log, Seed: p.seed})
+	c.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.Core, Log: p.log, Seed: p.seed})
 	c.agent.ServeConsensus(c.serveConsensus)
 	p.link(internal)
-	c.server, err = controlplane.Open(controlplane.Options{Self: p.settings.Control, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
-		Folder: p.settings.Folder, Transport: c.agent.ConsensusTransport(), Tolerated: p.settings.Tolerated, Cores: c.agent.Cores, Log: p.log, Seed: p.seed,
-		OnCommit: func(w consensus.Value) { c.agent.Committed(uint64(w.Version), w.Body) }})
+	c.server, err = controlplane.Open(controlplane.Options{Self: p.settings.ControlAddress, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
+		Folder: p.settings.DataDirectory, Transport: c.agent.ConsensusTransport(), Tolerated: p.settings.ToleratedMachines, Cores: c.agent.CoreAddresses, Log: p.log, Seed: p.seed,
+		OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) }})
 	if err != nil {
 		return err
 	}
-	c.duties = c.agent.Duties(c.server, p.settings.InitialStart)
+	c.duties = c.agent.NewSingletonRoles(c.server, p.settings.InitialStart)
 	close(c.ready)
 	go p.follow(func(s *settings.Settings) {
-		c.agent.Seeds(s.SeedPeers())
+		c.agent.SetSeeds(s.SeedAddresses())
 		c.server.SetSeeds(s.Seeds)
 	})
 	streams, endStreams := context.WithCancel(context.Background())
@@ -69,7 +69,7 @@
 	*process
 	agent  *agent.Agent
 	server *controlplane.Server
-	duties *agent.Duties
+	duties *agent.SingletonRoles
 	ready  chan struct{} // closed once server is there
 }
 
@@ -86,7 +86,7 @@
 // handler serves operators, endpoints and tools. Streams of events end with a context, as nothing else ends them.
 func (c *core) handler(streams context.Context) http.Handler {
 	keepalives, operator, state := c.agent.KeepaliveHandler(nil), c.server.Handler(), c.duties.Handler()
-	events := lifecycle.EndingWith(streams, c.agent.Events())
+	events := lifecycle.EndingWith(streams, c.agent.EventsHandler())
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		switch {
 		case strings.HasPrefix(q.URL.Path, "/configuration/"):
--- a/internal/mesh/assembly/endpoint.go
+++ b/internal/mesh/assembly/endpoint.go
@@ -17,7 +17,7 @@
 	if e.State == discovery.Gone {
 		return a.deregistered(e)
 	}
-	if e.App != a.settings.App {
+	if e.App != a.settings.ApplicationAddress {
 		return false
 	}
 	life, _ := a.inbound.Life()
@@ -34,11 +34,11 @@
 	if e.ID == life.ID {
 		a.over(e.ID)
 		a.inbound.Tell(life, admission.Gone)
-		a.agent.Ended(e.ID, discovery.Gone)
+		a.agent.PublishEnd(e.ID, discovery.Gone)
 		return true
 	}
 	// Of an earlier life, or of one that an earlier process was told of: only the endpoint here calls without an address.
-	if e.App != "" && e.App != a.settings.App {
+	if e.App != "" && e.App != a.settings.ApplicationAddress {
 		return false
 	}
 	a.over(e.ID)
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -116,19 +116,19 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &settings.Settings{Name: "core-a", IP: "127.9.2.1", Zone: "z", Ports: [2]int{7401, 7401}, Control: "127.9.2.1:8105",
-		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, Folder: t.TempDir()}
-	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.Internal(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	own := &settings.Settings{Name: "core-a", IP: "127.9.2.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.2.1:8105",
+		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, DataDirectory: t.TempDir()}
+	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	c := &core{process: &process{settings: own, hub: hub, log: log}, ready: make(chan struct{})}
-	c.agent = agent.New(agent.Options{Settings: own, Hub: hub, Role: membership.Core, Log: log})
+	c.agent = agent.New(agent.Config{Settings: own, Hub: hub, Role: membership.Core, Log: log})
 	c.agent.ServeConsensus(c.serveConsensus)
 	var err error
-	c.server, err = controlplane.Open(controlplane.Options{Self: own.Control, Seeds: own.Seeds, InitialStart: true, Folder: own.Folder,
-		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.Committed(uint64(w.Version), w.Body) }})
+	c.server, err = controlplane.Open(controlplane.Options{Self: own.ControlAddress, Seeds: own.Seeds, InitialStart: true, Folder: own.DataDirectory,
+		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) }})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(c.server.Close)
-	c.duties = c.agent.Duties(c.server, true)
+	c.duties = c.agent.NewSingletonRoles(c.server, true)
 	close(c.ready)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -145,7 +145,7 @@
 		h.ServeHTTP(w, httptest.NewRequest("GET", "/mesh/state", nil))
 		var s agent.State
 		qt.Assert(t, json.Unmarshal(w.Body.Bytes(), &s), qt.IsNil)
-		if s.Confirmed && s.Ready && s.Version == version && len(s.Duties) == 1 && s.Duties[0].Epoch > 0 {
+		if s.Confirmed && s.Ready && s.Version == version && len(s.Roles) == 1 && s.Roles[0].Epoch > 0 {
 			return
 		}
 		if time.Now().After(end) {
@@ -220,10 +220,10 @@
 func TestGoldenState(t *testing.T) {
 	const file = "mesh-state.json"
 	state := agent.State{Node: "core-a", Version: "r7", Confirmed: true, Voters: []string{"127.0.0.1:8105"}, Ready: true,
-		Duties:  []agent.DutyState{{Name: "allocator", Holder: "127.0.0.1:7640", Epoch: 3, LeftMs: 1500}, {Name: "idle"}},
+		Roles:   []agent.RoleState{{Name: "allocator", Holder: "127.0.0.1:7640", Epoch: 3, RemainingMs: 1500}, {Name: "idle"}},
 		Members: []agent.MemberState{{Address: "127.0.0.1:7640", Zone: "a", Role: "access", Service: "desk", AgeMs: 20}, {Role: "core"}},
 		Endpoints: []agent.EndpointState{{ID: "i-1", Service: "desk", Zone: "a", State: "in_service", Address: "127.0.0.1:8103",
-			Witness: "127.0.0.1:7640", Slots: 4, LeaseMs: 9000}}}
+			Sidecar: "127.0.0.1:7640", Slots: 4, LeaseMs: 9000}}}
 	text, err := json.MarshalIndent(state, "", "\t")
 	qt.Assert(t, err, qt.IsNil)
 	golden.Text(t, file, append(text, '\n'))
--- a/internal/mesh/assembly/leaving_test.go
+++ b/internal/mesh/assembly/leaving_test.go
@@ -20,8 +20,8 @@
 func startAccess(t *testing.T) *access {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &settings.Settings{Name: "n", IP: "127.9.1.1", Zone: "z", Ports: [2]int{7401, 7401}, App: "127.9.1.1:8103", Service: "s"}
-	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.Internal(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	own := &settings.Settings{Name: "n", IP: "127.9.1.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ApplicationAddress: "127.9.1.1:8103", Service: "s"}
+	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	return newAccess(&process{settings: own, hub: hub, log: log})
 }
@@ -40,7 +40,7 @@
 		_, s := a.inbound.Life()
 		return s
 	}
-	told := func(a *access, e discovery.Endpoint) { a.agent.Tell(e) }
+	told := func(a *access, e discovery.Endpoint) { a.agent.ApplyRecord(e) }
 
 	a := start()
 	told(a, record(discovery.Serving))
@@ -82,7 +82,7 @@
 		defer close(answered)
 		for sequence, e := range []discovery.Endpoint{{ID: "first"}, {ID: "first", State: discovery.Draining}, {ID: "first", State: discovery.Gone},
 			{ID: "second"}, {ID: "second", State: discovery.Draining}, {ID: "third"}, {ID: "third"}} {
-			e.Service, e.App, e.Slots, e.Sequence = "s", a.settings.App, 4, uint64(sequence)
+			e.Service, e.App, e.Slots, e.Sequence = "s", a.settings.ApplicationAddress, 4, uint64(sequence)
 			c.Check(a.Keepalive(e), qt.IsTrue)
 		}
 		a.readiness(httptest.NewRecorder(), nil)
@@ -101,10 +101,10 @@
 func TestAnEarlierLifeDoesNotReplaceTheEndpointsOwn(t *testing.T) {
 	c := qt.New(t)
 	a := startAccess(t)
-	own := discovery.Endpoint{ID: "now", Service: "s", App: a.settings.App, Slots: 4, Sequence: 1}
+	own := discovery.Endpoint{ID: "now", Service: "s", App: a.settings.ApplicationAddress, Slots: 4, Sequence: 1}
 	c.Assert(a.Keepalive(own), qt.IsTrue)
 	for _, state := range []discovery.State{discovery.Draining, discovery.Gone} {
-		a.agent.Tell(discovery.Endpoint{ID: "before", Service: "s", App: a.settings.App, Host: "127.9.1.1:7401", HostLife: 1, State: state, Slots: 4,
+		a.agent.ApplyRecord(discovery.Endpoint{ID: "before", Service: "s", App: a.settings.ApplicationAddress, Host: "127.9.1.1:7401", HostLife: 1, State: state, Slots: 4,
 			Sequence: 50, Edition: 3, Lease: 5 * time.Second})
 		life, is := a.inbound.Life()
 		c.Check(life.ID, qt.Equals, "now", qt.Commentf("%v", state))
--- a/internal/mesh/assembly/shutdown.go
+++ b/internal/mesh/assembly/shutdown.go
@@ -44,7 +44,7 @@
 	a.mu.Unlock()
 	a.outbound.EndBy(plan.lastAnswer)
 	if life, _ := a.inbound.Life(); life.ID != "" {
-		a.agent.Ended(life.ID, discovery.Crashed)
+		a.agent.PublishEnd(life.ID, discovery.Crashed)
 	}
 	a.waitUntil(plan.refuse, func() bool { return false })
 	a.outbound.Refuse()
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -67,7 +67,7 @@
 	})
 	s.inbound.Serve(s.hub)
 	s.outbound = outbound.New(outbound.Options{Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: life, Bodies: 64 << 20,
-		Bounds: settings.Bounds{BudgetRatio: 10, BudgetSlack: 1e6, BudgetWindow: 10 * time.Second}})
+		Bounds: settings.Bounds{RetryBudgetRatio: 10, RetryBudgetSlack: 1e6, RetryBudgetWindow: 10 * time.Second}})
 	conf, err := configuration.Parse([]byte(answersConfig))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -144,7 +144,7 @@
 func (c *serviceBalancer) mayArriveAgain(now time.Duration, r *request, more int) bool {
 	bounds := &c.proxy.o.Bounds
 	return r.arrivals+len(r.superseded)+more < max(r.route.MaxAttempts, 1) &&
-		c.repeats.Acquire(now, bounds.BudgetRatio, bounds.BudgetSlack, c.proxy.sidecars)
+		c.repeats.Acquire(now, bounds.RetryBudgetRatio, bounds.RetryBudgetSlack, c.proxy.sidecars)
 }
 
 // Refuse is the module's final answer: nobody serves it (balancer.Host).
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -59,7 +59,7 @@
 func newServiceBalancer(d *Proxy, service string, seed uint64) (*serviceBalancer, error) {
 	c := &serviceBalancer{proxy: d, service: service, endpoints: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
 		classes: map[classKey]int{}, requests: map[balancer.RequestID]*request{},
-		repeats: ratelimit.NewRetryBudget(d.o.Bounds.BudgetWindow)}
+		repeats: ratelimit.NewRetryBudget(d.o.Bounds.RetryBudgetWindow)}
 	b, err := balancer.New(balancer.Settings{
 		Instances: 1, Tiers: 1, Quantum: quantum, GoalWhole: 1, MayCancel: true, MaxRetryAfter: backMost,
 		ConnectTimeout: connectTime, ColdFrom: coldFrom, Cold: cold, TipMultiple: tipMultiple, Fall: window,
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	s.proxy = New(Options{Hub: hub, Inbound: in, Log: log, Service: "front", Seed: 1, Bodies: 250, Take: take,
-		Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 10, BudgetWindow: 10 * time.Second}})
+		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second}})
 	if configure {
 		s.proxy.Configure(conf)
 		s.proxy.Told("s", []discovery.Endpoint{{ID: "s-1", Service: "s", Host: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	eventsMax  = 256              // in one answer, or one write of a stream
-	waitMax    = 25 * time.Second // for an event, and for a reader to read
-	readersMax = 32               // at once
+	maxBatch   = 256              // in one answer, or one write of a stream
+	maxWait    = 25 * time.Second // for an event, and for a reader to read
+	maxReaders = 32               // at once
 )
 
 // Source is what keeps events; more is closed when there are newer ones.
@@ -25,7 +25,7 @@
 }
 
 // Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events there are,
-// and waits up to waitMax if there are none. A slow reader misses only events that are no longer kept, and gets a gap for these.
+// and waits up to maxWait if there are none. A slow reader misses only events that are no longer kept, and gets a gap for these.
 func Handler(source Source) http.Handler {
 	var readers atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -44,17 +44,17 @@
 			return
 		}
 		defer readers.Add(-1)
-		if readers.Add(1) > readersMax {
+		if readers.Add(1) > maxReaders {
 			w.Header().Set("Retry-After", "5")
 			http.Error(w, "too many readers", http.StatusServiceUnavailable)
 			return
 		}
 		follow, _ := strconv.ParseBool(query.Get("follow"))
-		r := reader{w: w, out: http.NewResponseController(w), stream: q.Header.Get("Accept") == "text/event-stream"}
-		w.Header().Set("Content-Type", map[bool]string{true: "text/event-stream", false: "application/x-ndjson"}[r.stream])
+		r := eventWriter{out: w, controller: http.NewResponseController(w), serverSent: q.Header.Get("Accept") == "text/event-stream"}
+		w.Header().Set("Content-Type", map[bool]string{true: "text/event-stream", false: "application/x-ndjson"}[r.serverSent])
 		filter := events.Filter{Service: query.Get("service"), Tenant: query.Get("tenant"), Zone: query.Get("zone")}
-		for end := time.After(waitMax); ; {
-			got, next, more, err := source.After(cursor, eventsMax, filter)
+		for end := time.After(maxWait); ; {
+			got, next, more, err := source.After(cursor, maxBatch, filter)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return
@@ -73,47 +73,47 @@
 				if !follow || r.keepAlive() != nil {
 					return
 				}
-				end = time.After(waitMax)
+				end = time.After(maxWait)
 			}
 		}
 	})
 }
 
-// reader is one client of a feed.
-type reader struct {
-	w      io.Writer
-	out    *http.ResponseController
-	stream bool
+// eventWriter is one client of a feed.
+type eventWriter struct {
+	out        io.Writer
+	controller *http.ResponseController
+	serverSent bool
 }
 
-func (r *reader) write(all []events.Event) error {
-	_ = r.out.SetWriteDeadline(time.Now().Add(waitMax)) // the stream of a reader that does not read ends
+func (r *eventWriter) write(all []events.Event) error {
+	_ = r.controller.SetWriteDeadline(time.Now().Add(maxWait)) // the stream of a reader that does not read ends
 	for _, e := range all {
 		text, err := json.Marshal(e)
 		if err != nil {
 			return err
 		}
-		if r.stream {
-			_, err = fmt.Fprintf(r.w, "id: %s\nevent: %s\ndata: %s\n\n", e.Cursor, e.Kind, text)
+		if r.serverSent {
+			_, err = fmt.Fprintf(r.out, "id: %s\nevent: %s\ndata: %s\n\n", e.Cursor, e.Kind, text)
 		} else {
-			_, err = fmt.Fprintf(r.w, "%s\n", text)
+			_, err = fmt.Fprintf(r.out, "%s\n", text)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	return r.out.Flush()
+	return r.controller.Flush()
 }
 
 // keepAlive writes something, so that the reader knows that the stream is there.
-func (r *reader) keepAlive() error {
-	_ = r.out.SetWriteDeadline(time.Now().Add(waitMax))
+func (r *eventWriter) keepAlive() error {
+	_ = r.controller.SetWriteDeadline(time.Now().Add(maxWait))
 	text := "\n"
-	if r.stream {
+	if r.serverSent {
 		text = ": still here\n\n"
 	}
-	if _, err := io.WriteString(r.w, text); err != nil {
+	if _, err := io.WriteString(r.out, text); err != nil {
 		return err
 	}
-	return r.out.Flush()
+	return r.controller.Flush()
 }
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -32,9 +32,9 @@
 }
 
 func goldenFeed() *events.Feed {
-	feed := events.New(36, 4)
+	feed := events.NewFeed(36, 4)
 	for i, service := range []string{"orders", "orders", "carts", "orders", "carts"} {
-		feed.Add(events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointServes, Service: service, Zone: "south-b",
+		feed.Add(events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointServing, Service: service, Zone: "south-b",
 			Tenant: "north", Node: "10.1.0.40:7640", Endpoint: fmt.Sprintf("ep-%d", i)})
 	}
 	return feed
@@ -77,8 +77,8 @@
 	c := qt.New(t)
 	handler := Handler(goldenSource{goldenFeed()})
 	ctx, leave := context.WithCancel(t.Context())
-	done := make(chan *httptest.ResponseRecorder, readersMax)
-	for range readersMax {
+	done := make(chan *httptest.ResponseRecorder, maxReaders)
+	for range maxReaders {
 		go func() {
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/events?follow=1&after=10-3", nil).WithContext(ctx))
@@ -94,7 +94,7 @@
 	leave()
 	var lines strings.Builder
 	fmt.Fprintf(&lines, "%d, retry after %s\n%s", refused.Code, refused.Header().Get("Retry-After"), refused.Body)
-	for range readersMax {
+	for range maxReaders {
 		if w := <-done; lines.Len() < 200 {
 			fmt.Fprintf(&lines, "%d %s\n%s", w.Code, w.Header().Get("Content-Type"), w.Body)
 		}
--- a/internal/mesh/operations/eventlog/eventlog.go
+++ b/internal/mesh/operations/eventlog/eventlog.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	retryMin   = 200 * time.Millisecond // between two attempts to follow
-	retryMax   = 5 * time.Second
-	silenceMax = 40 * time.Second // without a line; a stream sends one every 25 s
-	lineMax    = 64 << 10         // bytes
+	minRetryDelay = 200 * time.Millisecond // between two attempts to follow
+	maxRetryDelay = 5 * time.Second
+	streamTimeout = 40 * time.Second // without a line; a stream sends one every 25 s
+	maxLineBytes  = 64 << 10         // bytes
 )
 
 // Keys of records: the head, and the prefix of an event's.
@@ -40,24 +40,24 @@
 
 // Log keeps the newest events under numbers of its own, in a ring of records.
 type Log struct {
-	mu    sync.Mutex
-	store Store
-	most  uint64
-	head  head
-	added chan struct{} // closed when an event has been added
+	mu       sync.Mutex
+	store    Store
+	capacity uint64
+	head     head
+	added    chan struct{} // closed when an event has been added
 }
 
 // head is the first record: what the log holds, and how far it had come with the core.
 type head struct {
-	Life uint64 `json:"life"` // of the log, new when its folder was empty
-	Next uint64 `json:"next"`
-	Core string `json:"core"` // cursor at the core process
-	From string `json:"from"` // that process
+	Incarnation uint64 `json:"life"` // of the log, new when its folder was empty
+	Next        uint64 `json:"next"`
+	CoreCursor  string `json:"core"` // cursor at the core process
+	CoreAddress string `json:"from"` // that process
 }
 
 // OpenLog reads a log; life is what a new one is called.
 func OpenLog(s Store, most uint64, life uint64) (*Log, error) {
-	l := &Log{store: s, most: max(most, 1), head: head{Life: life, Next: 1}, added: make(chan struct{})}
+	l := &Log{store: s, capacity: max(most, 1), head: head{Incarnation: life, Next: 1}, added: make(chan struct{})}
 	data, err := s.Get(headKey)
 	if err != nil && !trace.IsNotFound(err) {
 		return nil, trace.Wrap(err)
@@ -70,7 +70,7 @@
 	return l, nil
 }
 
-func (l *Log) slot(n uint64) string { return eventKeyPrefix + strconv.FormatUint(n%l.most, 10) }
+func (l *Log) eventKey(n uint64) string { return eventKeyPrefix + strconv.FormatUint(n%l.capacity, 10) }
 
 // Add keeps an event that a core process sent, with the cursor at that process. The event is on disk before the head counts it; one
 // that was written and not counted is written again after a crash, under the same number.
@@ -78,16 +78,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.head
-	e.Cursor = events.Cursor{Life: h.Life, Number: h.Next}.String()
+	e.Cursor = events.Cursor{Incarnation: h.Incarnation, Number: h.Next}.String()
 	text, err := json.Marshal(e)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := l.store.Put(l.slot(h.Next), text); err != nil {
+	if err := l.store.Put(l.eventKey(h.Next), text); err != nil {
 		return trace.Wrap(err)
 	}
 	h.Next++
-	h.Core, h.From = core, from
+	h.CoreCursor, h.CoreAddress = core, from
 	if text, err = json.Marshal(h); err == nil {
 		err = l.store.Put(headKey, text)
 	}
@@ -104,7 +104,7 @@
 func (l *Log) Followed() (from, cursor string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.head.From, l.head.Core
+	return l.head.CoreAddress, l.head.CoreCursor
 }
 
 // After gives up to most events after a cursor that the filter lets through, the cursor to go on from, and what is closed when
@@ -113,15 +113,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := uint64(1)
-	if l.head.Next > l.most {
-		first = l.head.Next - l.most
+	if l.head.Next > l.capacity {
+		first = l.head.Next - l.capacity
 	}
 	var out []events.Event
 	at, gap := c.Number+1, ""
 	switch {
 	case c == events.Cursor{}:
 		at = first
-	case c.Life != l.head.Life:
+	case c.Incarnation != l.head.Incarnation:
 		gap, at = "the cursor is of another log, or of one whose disk was lost", first
 	case c.Number >= l.head.Next:
 		gap, at = "the cursor is ahead of the log", first
@@ -129,27 +129,27 @@
 		gap, at = fmt.Sprintf("%d events are no longer kept", first-at), first
 	}
 	if gap != "" {
-		out = append(out, events.Event{Cursor: events.Cursor{Life: l.head.Life, Number: at - 1}.String(), Kind: events.Gap, Detail: gap})
+		out = append(out, events.Event{Cursor: events.Cursor{Incarnation: l.head.Incarnation, Number: at - 1}.String(), Kind: events.Gap, Detail: gap})
 	}
 	for ; at < l.head.Next && len(out) < most; at++ {
-		data, err := l.store.Get(l.slot(at))
+		data, err := l.store.Get(l.eventKey(at))
 		if err != nil {
 			return out, c, l.added, trace.Wrap(err)
 		}
 		var e events.Event
 		if err := json.Unmarshal(data, &e); err != nil {
-			return out, c, l.added, trace.BadParameter("record %q: %v", l.slot(at), err)
+			return out, c, l.added, trace.BadParameter("record %q: %v", l.eventKey(at), err)
 		}
 		if filter.Passes(&e) {
 			out = append(out, e)
 		}
 	}
-	return out, events.Cursor{Life: l.head.Life, Number: at - 1}, l.added, nil
+	return out, events.Cursor{Incarnation: l.head.Incarnation, Number: at - 1}, l.added, nil
 }
 
 // Follow follows the feeds of core processes, one at a time, until ctx ends.
 func Follow(ctx context.Context, l *Log, cores []string, log *logrus.Logger) {
-	pause := retryMin
+	pause := minRetryDelay
 	for i := 0; ctx.Err() == nil; i++ {
 		from, cursor := l.Followed()
 		core := cores[i%len(cores)]
@@ -168,8 +168,8 @@
 		if err != nil && ctx.Err() == nil {
 			log.WithField("core", core).Warn("eventlog: " + err.Error())
 		}
-		if pause = min(2*pause, retryMax); n > 0 {
-			pause = retryMin
+		if pause = min(2*pause, maxRetryDelay); n > 0 {
+			pause = minRetryDelay
 			i-- // the same one again: it may only have restarted
 		}
 		select {
@@ -187,7 +187,7 @@
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	alarm := time.AfterFunc(silenceMax, cancel)
+	alarm := time.AfterFunc(streamTimeout, cancel)
 	defer alarm.Stop()
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
@@ -198,9 +198,9 @@
 		return 0, trace.BadParameter("%s answers %s", core, r.Status)
 	}
 	lines := bufio.NewScanner(r.Body)
-	lines.Buffer(make([]byte, 4<<10), lineMax)
+	lines.Buffer(make([]byte, 4<<10), maxLineBytes)
 	for lines.Scan() {
-		alarm.Reset(silenceMax)
+		alarm.Reset(streamTimeout)
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
--- a/internal/mesh/operations/eventlog/eventlog_test.go
+++ b/internal/mesh/operations/eventlog/eventlog_test.go
@@ -15,20 +15,20 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// shelf is a store in memory that a test can have fail after so many writes.
-type shelf struct {
+// memoryStore is a store in memory that a test can have fail after so many writes.
+type memoryStore struct {
 	records map[string][]byte
 	left    int
 }
 
-func (s *shelf) Get(key string) ([]byte, error) {
+func (s *memoryStore) Get(key string) ([]byte, error) {
 	if data, ok := s.records[key]; ok {
 		return data, nil
 	}
 	return nil, trace.NotFound("record %q", key)
 }
 
-func (s *shelf) Put(key string, data []byte) error {
+func (s *memoryStore) Put(key string, data []byte) error {
 	if s.left--; s.left < 0 {
 		return trace.LimitExceeded("disk full")
 	}
@@ -40,13 +40,13 @@
 func TestEventsOutliveAnyWrite(t *testing.T) {
 	c := qt.New(t)
 	for crash := range 24 {
-		s := &shelf{records: map[string][]byte{}, left: crash}
+		s := &memoryStore{records: map[string][]byte{}, left: crash}
 		kept := 0
 		for round := range 2 {
 			l, err := OpenLog(s, 8, 1)
 			c.Assert(err, qt.IsNil)
 			for i := kept; i < 10; i++ {
-				if l.Add(events.Event{Kind: events.QuotaHit, Detail: fmt.Sprint(i)}, "core", fmt.Sprint(i)) != nil {
+				if l.Add(events.Event{Kind: events.QuotaExhausted, Detail: fmt.Sprint(i)}, "core", fmt.Sprint(i)) != nil {
 					break
 				}
 				kept++
@@ -58,7 +58,7 @@
 		c.Assert(err, qt.IsNil)
 		from, cursor := l.Followed()
 		c.Assert([]string{from, cursor}, qt.DeepEquals, []string{"core", "9"})
-		out, next, _, err := l.After(events.Cursor{Life: 1, Number: 1}, 99, events.Filter{})
+		out, next, _, err := l.After(events.Cursor{Incarnation: 1, Number: 1}, 99, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(out[0].Detail, qt.Equals, "1 events are no longer kept")
 		for i, e := range out[1:] {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestAnotherCoreIsTold(t *testing.T) {
+func TestChangeOfCoreIsReportedAsGap(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -81,7 +81,7 @@
 	}
 	one, two := serve("1"), serve("2")
 	defer two.Close()
-	l, err := OpenLog(&shelf{records: map[string][]byte{}, left: 1000}, 100, 1)
+	l, err := OpenLog(&memoryStore{records: map[string][]byte{}, left: 1000}, 100, 1)
 	c.Assert(err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -22,7 +22,7 @@
 func goldenEvents() []events.Event {
 	var all []events.Event
 	for i := range 5 {
-		all = append(all, events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointDrains, Node: "10.1.0.40:7640", Zone: "south-b",
+		all = append(all, events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointDraining, Node: "10.1.0.40:7640", Zone: "south-b",
 			Service: "orders", Endpoint: fmt.Sprintf("ep-%d", i), Tenant: "north", Version: "r12", Detail: fmt.Sprint(i)})
 	}
 	return all
@@ -33,13 +33,13 @@
 	l, err := OpenLog(s, 3, 36)
 	qt.Assert(t, err, qt.IsNil)
 	for i, e := range goldenEvents() {
-		qt.Assert(t, l.Add(e, "10.1.0.44:8105", events.Cursor{Life: 7, Number: uint64(i + 1)}.String()), qt.IsNil)
+		qt.Assert(t, l.Add(e, "10.1.0.44:8105", events.Cursor{Incarnation: 7, Number: uint64(i + 1)}.String()), qt.IsNil)
 	}
 }
 
 // The records that a log keeps, by key.
 func TestGoldenRecords(t *testing.T) {
-	s := &shelf{records: map[string][]byte{}, left: 100}
+	s := &memoryStore{records: map[string][]byte{}, left: 100}
 	addGolden(t, s)
 	var lines strings.Builder
 	for _, key := range []string{"head", "event/0", "event/1", "event/2"} {
@@ -71,7 +71,7 @@
 	c.Assert([]string{from, cursor}, qt.DeepEquals, []string{"10.1.0.44:8105", "7-5"})
 	c.Assert(l.Add(events.Event{Kind: events.Gap, Detail: "later"}, "10.2.0.35:8105", "8-1"), qt.IsNil)
 	var lines strings.Builder
-	for _, after := range []events.Cursor{{}, {Life: 36, Number: 4}, {Life: 36, Number: 1}, {Life: 99, Number: 1}, {Life: 36, Number: 7}} {
+	for _, after := range []events.Cursor{{}, {Incarnation: 36, Number: 4}, {Incarnation: 36, Number: 1}, {Incarnation: 99, Number: 1}, {Incarnation: 36, Number: 7}} {
 		out, next, _, err := l.After(after, 9, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		fmt.Fprintf(&lines, "after %s, next %s\n", after, next)
@@ -87,9 +87,9 @@
 // Records that can't be read are named.
 func TestGoldenSpoiltRecords(t *testing.T) {
 	var lines strings.Builder
-	_, err := OpenLog(&shelf{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
+	_, err := OpenLog(&memoryStore{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
 	fmt.Fprintf(&lines, "%v\n", err)
-	s := &shelf{records: map[string][]byte{}, left: 100}
+	s := &memoryStore{records: map[string][]byte{}, left: 100}
 	addGolden(t, s)
 	l, err := OpenLog(s, 3, 36)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/mesh/operations/events/events.go
+++ b/internal/mesh/operations/events/events.go
@@ -10,17 +10,17 @@
 
 // Kinds of events. Readers ignore kinds that they don't know, which later versions may add.
 const (
-	EndpointServes    = "endpoint_serves"
-	EndpointDrains    = "endpoint_drains"
-	EndpointLeft      = "endpoint_left"    // in order
-	EndpointCrashed   = "endpoint_crashed" // or its lease ran out
-	ConfigInForce     = "configuration_in_force"
-	DutyCame          = "duty_came"
-	DutyWent          = "duty_went"
-	QuotaHit          = "quota_hit"
-	MachineInTouch    = "machine_in_touch"
-	MachineOutOfTouch = "machine_out_of_touch"
-	Gap               = "gap" // events are missing here; Detail says why
+	EndpointServing      = "endpoint_serves"
+	EndpointDraining     = "endpoint_drains"
+	EndpointGone         = "endpoint_left"    // in order
+	EndpointCrashed      = "endpoint_crashed" // or its lease ran out
+	ConfigurationApplied = "configuration_in_force"
+	RoleAcquired         = "duty_came"
+	RoleLost             = "duty_went"
+	QuotaExhausted       = "quota_hit"
+	MemberReachable      = "machine_in_touch"
+	MemberUnreachable    = "machine_out_of_touch"
+	Gap                  = "gap" // events are missing here; Detail says why
 )
 
 // Event is one change. Fields that don't apply are empty.
@@ -48,13 +48,13 @@
 
 // Cursor is a place in a feed: after the event of that number, in one life of the process that keeps the feed.
 type Cursor struct {
-	Life   uint64
-	Number uint64
+	Incarnation uint64
+	Number      uint64
 }
 
 // String is the cursor's text.
 func (c Cursor) String() string {
-	return strconv.FormatUint(c.Life, 36) + "-" + strconv.FormatUint(c.Number, 10)
+	return strconv.FormatUint(c.Incarnation, 36) + "-" + strconv.FormatUint(c.Number, 10)
 }
 
 // ParseCursor reads a cursor; an empty text is the oldest event that is kept.
@@ -73,17 +73,19 @@
 
 // Feed keeps the newest events of one life of a process.
 type Feed struct {
-	life uint64
-	next uint64 // number of the next event; the first is 1
-	ring []Event
+	incarnation uint64
+	next        uint64 // number of the next event; the first is 1
+	ring        []Event
 }
 
-// New makes a feed that keeps so many events.
-func New(life uint64, most int) *Feed { return &Feed{life: life, next: 1, ring: make([]Event, most)} }
+// NewFeed makes a feed that keeps so many events.
+func NewFeed(life uint64, most int) *Feed {
+	return &Feed{incarnation: life, next: 1, ring: make([]Event, most)}
+}
 
 // Add adds an event and gives it its cursor.
 func (f *Feed) Add(e Event) Event {
-	e.Cursor = Cursor{f.life, f.next}.String()
+	e.Cursor = Cursor{f.incarnation, f.next}.String()
 	f.ring[f.next%uint64(len(f.ring))] = e
 	f.next++
 	return e
@@ -101,7 +103,7 @@
 	switch {
 	case c == Cursor{}:
 		at = first
-	case c.Life != f.life:
+	case c.Incarnation != f.incarnation:
 		gap, at = "the process that gave the cursor has started again, or is another: what it saw since is not known here", first
 	case c.Number >= f.next:
 		gap, at = "the cursor is ahead of the feed", first
@@ -109,12 +111,12 @@
 		gap, at = fmt.Sprintf("%d events are no longer kept", first-at), first
 	}
 	if gap != "" {
-		out = append(out, Event{Cursor: Cursor{f.life, at - 1}.String(), Kind: Gap, Detail: gap})
+		out = append(out, Event{Cursor: Cursor{f.incarnation, at - 1}.String(), Kind: Gap, Detail: gap})
 	}
 	for ; at < f.next && len(out) < most; at++ {
 		if e := f.ring[at%uint64(len(f.ring))]; filter.Passes(&e) {
 			out = append(out, e)
 		}
 	}
-	return out, Cursor{f.life, at - 1}
+	return out, Cursor{f.incarnation, at - 1}
 }
--- a/internal/mesh/operations/events/events_test.go
+++ b/internal/mesh/operations/events/events_test.go
@@ -9,11 +9,11 @@
 
 // Readers of every pace, with a keeper that starts again at any event: each event is read once and in order, or a gap is told
 // before what comes after it.
-func TestNothingIsSkippedInSilence(t *testing.T) {
+func TestMissedEventsAreReportedAsGaps(t *testing.T) {
 	c := qt.New(t)
 	for restart := range 12 {
 		for pace := 1; pace < 8; pace++ {
-			f, cursor := New(1, 4), Cursor{}
+			f, cursor := NewFeed(1, 4), Cursor{}
 			last, told := 0, false
 			read := func() {
 				var out []Event
@@ -33,13 +33,13 @@
 				}
 			}
 			read()
-			f.Add(Event{Kind: DutyCame, Detail: "1"})
+			f.Add(Event{Kind: RoleAcquired, Detail: "1"})
 			read()
 			for i := 2; i <= 12; i++ {
 				if i-2 == restart {
-					f = New(2, 4)
+					f = NewFeed(2, 4)
 				}
-				f.Add(Event{Kind: DutyCame, Detail: fmt.Sprint(i)})
+				f.Add(Event{Kind: RoleAcquired, Detail: fmt.Sprint(i)})
 				if i%pace == 0 {
 					read()
 				}
@@ -54,9 +54,9 @@
 
 func TestCursorsAndFilters(t *testing.T) {
 	c := qt.New(t)
-	f := New(7, 8)
-	f.Add(Event{Kind: EndpointServes, Service: "a", Zone: "x"})
-	e := f.Add(Event{Kind: EndpointServes, Service: "b", Zone: "x"})
+	f := NewFeed(7, 8)
+	f.Add(Event{Kind: EndpointServing, Service: "a", Zone: "x"})
+	e := f.Add(Event{Kind: EndpointServing, Service: "b", Zone: "x"})
 	at, err := ParseCursor(e.Cursor)
 	c.Assert(err, qt.IsNil)
 	c.Assert(at, qt.Equals, Cursor{7, 2})
--- a/internal/mesh/operations/events/golden_test.go
+++ b/internal/mesh/operations/events/golden_test.go
@@ -13,7 +13,7 @@
 
 // goldenEvent is an event with a value in each field.
 func goldenEvent() Event {
-	return Event{Cursor: "1a2b-17", Time: "2026-01-02T03:04:05.6Z", Kind: ConfigInForce, Node: "10.1.0.44:7640", Zone: "north-a", Service: "orders",
+	return Event{Cursor: "1a2b-17", Time: "2026-01-02T03:04:05.6Z", Kind: ConfigurationApplied, Node: "10.1.0.44:7640", Zone: "north-a", Service: "orders",
 		Endpoint: "ep-1", Tenant: "north", Version: "r12", Detail: "why"}
 }
 
@@ -32,8 +32,8 @@
 }
 
 func TestGoldenKinds(t *testing.T) {
-	kinds := []string{EndpointServes, EndpointDrains, EndpointLeft, EndpointCrashed, ConfigInForce, DutyCame, DutyWent, QuotaHit, MachineInTouch,
-		MachineOutOfTouch, Gap}
+	kinds := []string{EndpointServing, EndpointDraining, EndpointGone, EndpointCrashed, ConfigurationApplied, RoleAcquired, RoleLost, QuotaExhausted, MemberReachable,
+		MemberUnreachable, Gap}
 	golden.Text(t, "kinds.txt", []byte(strings.Join(kinds, "\n")+"\n"))
 }
 
@@ -43,14 +43,14 @@
 	for _, text := range []string{"", "1a2b-17", "3w5e11264sgsf-18446744073709551615", "0-0", "x", "-", "1-", "-1", "1--1", "1-x", "zzzzzzzzzzzzzz-1",
 		"1-99999999999999999999", "A-1"} {
 		cursor, err := ParseCursor(text)
-		fmt.Fprintf(&lines, "%q: %d %d %v\n", text, cursor.Life, cursor.Number, err)
+		fmt.Fprintf(&lines, "%q: %d %d %v\n", text, cursor.Incarnation, cursor.Number, err)
 		if err == nil {
 			fmt.Fprintf(&lines, "  %s\n", cursor)
 		}
 	}
-	f := New(36, 3)
+	f := NewFeed(36, 3)
 	for i := range 5 {
-		f.Add(Event{Kind: QuotaHit, Detail: fmt.Sprint(i)})
+		f.Add(Event{Kind: QuotaExhausted, Detail: fmt.Sprint(i)})
 	}
 	for _, cursor := range []Cursor{{}, {36, 1}, {36, 2}, {36, 5}, {36, 6}, {37, 4}} {
 		out, next := f.After(cursor, 9, Filter{})
--- a/internal/mesh/operations/logging/golden_test.go
+++ b/internal/mesh/operations/logging/golden_test.go
@@ -17,13 +17,13 @@
 	var out strings.Builder
 	log, ring := New(&out)
 	log.WithField("peer", "10.1.0.44:7640").Debug("before")
-	log.Info(strings.Repeat("x", textMax+1))
+	log.Info(strings.Repeat("x", maxMessageBytes+1))
 	log.WithFields(logrus.Fields{"version": 12, "service": "orders"}).Warn("fault")
 	log.Warn("again")
 	log.Warn("and again")
 	log.Error("worse")
 	log.Info("later")
-	ring.Write("SIGUSR1")
-	ring.Write("SIGUSR1")
+	ring.Dump("SIGUSR1")
+	ring.Dump("SIGUSR1")
 	golden.Text(t, "log.txt", []byte(timeOfEntry.ReplaceAllString(out.String(), "time=TIME")))
 }
--- a/internal/mesh/operations/logging/logging_test.go
+++ b/internal/mesh/operations/logging/logging_test.go
@@ -18,9 +18,9 @@
 	c.Assert(out.String(), qt.Equals, "")
 	log.WithField("peer", "x").Warn("fault")
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	c.Assert(lines, qt.HasLen, entriesMax)
-	c.Assert(lines[entriesMax-1], qt.Contains, "fault")
-	c.Assert(lines[0], qt.Contains, fmt.Sprintf("step %d", 3000-entriesMax+1))
+	c.Assert(lines, qt.HasLen, maxEntries)
+	c.Assert(lines[maxEntries-1], qt.Contains, "fault")
+	c.Assert(lines[0], qt.Contains, fmt.Sprintf("step %d", 3000-maxEntries+1))
 	// A crowd of faults is written once in a while, and counted; an error at once.
 	out.Reset()
 	for range 50 {
@@ -32,7 +32,7 @@
 	c.Assert(out.String(), qt.Contains, "-- 50 faults since")
 	out.Reset()
 	log.Info("calm " + strings.Repeat("x", 5000))
-	ring.Write("SIGUSR1")
+	ring.Dump("SIGUSR1")
 	c.Assert(out.String(), qt.Contains, "SIGUSR1")
 	c.Assert(len(out.String()) < 1000, qt.IsTrue)
 }
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -12,45 +12,45 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// ConfigLine holds the verbs of the configuration.
-type ConfigLine struct {
-	Get   GetLine   `cmd:"" help:"Print the newest configuration."`
-	Check CheckLine `cmd:"" help:"Check a file: every fault at once."`
-	Diff  DiffLine  `cmd:"" help:"What a file changes against what is in force."`
-	Apply ApplyLine `cmd:"" help:"Put a file in force."`
+// ConfigCommand holds the verbs of the configuration.
+type ConfigCommand struct {
+	Get   ConfigGetCommand   `cmd:"" help:"Print the newest configuration."`
+	Check ConfigCheckCommand `cmd:"" help:"Check a file: every fault at once."`
+	Diff  ConfigDiffCommand  `cmd:"" help:"What a file changes against what is in force."`
+	Apply ConfigApplyCommand `cmd:"" help:"Put a file in force."`
 }
 
-// GetLine prints the configuration.
-type GetLine struct{}
+// ConfigGetCommand prints the configuration.
+type ConfigGetCommand struct{}
 
 // Run prints it as it was sent.
-func (GetLine) Run(c *Client) error {
-	conf, err := c.newest()
+func (ConfigGetCommand) Run(c *Client) error {
+	conf, err := c.configuration()
 	if err != nil {
 		return err
 	}
 	if conf == nil {
 		return trace.NotFound("there is no configuration yet")
 	}
-	_, err = c.Out.Write(conf.Raw)
+	_, err = c.Output.Write(conf.Raw)
 	return trace.Wrap(err)
 }
 
-// CheckLine checks a file.
-type CheckLine struct {
+// ConfigCheckCommand checks a file.
+type ConfigCheckCommand struct {
 	File string `arg:"" type:"existingfile"`
 }
 
 // Run checks it by the same function as the core does.
-func (l CheckLine) Run(c *Client) error {
-	conf, err := read(l.File)
+func (l ConfigCheckCommand) Run(c *Client) error {
+	conf, err := readFile(l.File)
 	if err == nil {
-		fmt.Fprintf(c.Out, "%s: %s, %d routes, %d services, %d tenants\n", l.File, conf.Version, len(conf.Routes), len(conf.Services), len(conf.Tenants))
+		fmt.Fprintf(c.Output, "%s: %s, %d routes, %d services, %d tenants\n", l.File, conf.Version, len(conf.Routes), len(conf.Services), len(conf.Tenants))
 	}
 	return err
 }
 
-func read(file string) (*configuration.Config, error) {
+func readFile(file string) (*configuration.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -59,40 +59,40 @@
 	return conf, trace.Wrap(err, "%s", file)
 }
 
-// DiffLine shows what a file changes.
-type DiffLine struct {
+// ConfigDiffCommand shows what a file changes.
+type ConfigDiffCommand struct {
 	File string `arg:"" type:"existingfile"`
 }
 
 // Run shows it.
-func (l DiffLine) Run(c *Client) error {
-	conf, err := read(l.File)
+func (l ConfigDiffCommand) Run(c *Client) error {
+	conf, err := readFile(l.File)
 	if err != nil {
 		return err
 	}
-	now, err := c.newest()
+	now, err := c.configuration()
 	if err != nil {
 		return err
 	}
 	for _, x := range Diff(now, conf) {
-		fmt.Fprintln(c.Out, x)
+		fmt.Fprintln(c.Output, x)
 	}
 	return nil
 }
 
-// ApplyLine puts a file in force.
-type ApplyLine struct {
+// ConfigApplyCommand puts a file in force.
+type ConfigApplyCommand struct {
 	File string `arg:"" type:"existingfile"`
 	Base string `help:"The version that it builds on; what is in force now if left out."`
 }
 
 // Run checks the file, shows what it changes, and sends it until there is a clear answer.
-func (l ApplyLine) Run(c *Client) error {
-	conf, err := read(l.File)
+func (l ConfigApplyCommand) Run(c *Client) error {
+	conf, err := readFile(l.File)
 	if err != nil {
 		return err
 	}
-	now, err := c.newest()
+	now, err := c.configuration()
 	if err != nil {
 		return err
 	}
@@ -107,24 +107,24 @@
 		}
 	}
 	for _, x := range Diff(now, conf) {
-		fmt.Fprintln(c.Out, x)
+		fmt.Fprintln(c.Output, x)
 	}
 	return c.replace(conf, base, current)
 }
 
-// sendMax is how often an order without a clear answer is sent.
-const sendMax = 5
+// maxSends is how often an order without a clear answer is sent.
+const maxSends = 5
 
 // replace sends an order until there is a clear answer.
 func (c *Client) replace(conf *configuration.Config, base, current configuration.Version) error {
 	header := http.Header{"Base-Version": {base.String()}, "Content-Type": {"application/json"}}
-	for range sendMax {
-		status, text, err := c.ask(http.MethodPost, "/configuration/replace", header, conf.Raw)
+	for range maxSends {
+		status, text, err := c.request(http.MethodPost, "/configuration/replace", header, conf.Raw)
 		switch {
 		case err != nil || status == http.StatusRequestTimeout || status == http.StatusTooManyRequests:
 			continue
 		case status == http.StatusOK:
-			fmt.Fprintf(c.Out, "%s is on a majority of disks\n", conf.Version)
+			fmt.Fprintf(c.Output, "%s is on a majority of disks\n", conf.Version)
 			return nil
 		case status == http.StatusPreconditionFailed:
 			return conflictError{trace.CompareFailed("%s builds on %s, and another version is in place (%s when last read): %s",
@@ -133,7 +133,7 @@
 			return trace.BadParameter("refused with %d: %s", status, strings.TrimSpace(string(text)))
 		}
 	}
-	return unclearError{trace.ConnectionProblem(nil, "no clear answer: %s may be in force or not; apply it once more", conf.Version)}
+	return unavailableError{trace.ConnectionProblem(nil, "no clear answer: %s may be in force or not; apply it once more", conf.Version)}
 }
 
 // Diff is what one configuration changes against another, which may be nil; keys are told as changed, never printed.
@@ -145,10 +145,10 @@
 		out = append(out, fmt.Sprintf("version %s -> %s", from.Version, to.Version))
 	}
 	name := func(r configuration.Route) string { return "route " + r.Host + r.Prefix }
-	out = append(out, changes(from.Routes, to.Routes, name, routeText)...)
-	out = append(out, changes(from.Services, to.Services, func(s configuration.Service) string { return "service " + s.Name },
+	out = append(out, diffByName(from.Routes, to.Routes, name, routeText)...)
+	out = append(out, diffByName(from.Services, to.Services, func(s configuration.Service) string { return "service " + s.Name },
 		serviceText)...)
-	out = append(out, changes(from.Tenants, to.Tenants, func(t configuration.Tenant) string { return "tenant " + t.Name },
+	out = append(out, diffByName(from.Tenants, to.Tenants, func(t configuration.Tenant) string { return "tenant " + t.Name },
 		func(t configuration.Tenant) string {
 			return fmt.Sprintf("rank %d, rate %v, burst %v", t.Priority, t.Rate, t.Burst)
 		})...)
@@ -186,7 +186,7 @@
 	return fmt.Sprintf("{HeaderMax:%d BodyMax:%d HeaderTimeout:%v IdleTimeout:%v}", l.HeaderMax, l.BodyMax, l.HeaderTimeout, l.IdleTimeout)
 }
 
-func changes[T any](from, to []T, name, text func(T) string) (out []string) {
+func diffByName[T any](from, to []T, name, text func(T) string) (out []string) {
 	old := map[string]string{}
 	for _, x := range from {
 		old[name(x)] = text(x)
--- a/internal/mesh/operations/meshctl/golden_test.go
+++ b/internal/mesh/operations/meshctl/golden_test.go
@@ -22,13 +22,13 @@
 // goldenState is a core process's answer with a value in each field.
 func goldenState(confirmed bool) agent.State {
 	return agent.State{Node: "core-1", Version: "r12", Confirmed: confirmed, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
-		Duties: []agent.DutyState{{Name: "allocator", Holder: "10.1.0.44:7640", Epoch: 9, LeftMs: 1500}},
+		Roles: []agent.RoleState{{Name: "allocator", Holder: "10.1.0.44:7640", Epoch: 9, RemainingMs: 1500}},
 		Members: []agent.MemberState{{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 1040},
 			{Address: "10.1.0.44:7640", Zone: "north-a", Role: "core"}},
 		Endpoints: []agent.EndpointState{
-			{ID: "ep-1", Service: "orders", Zone: "north-a", State: "in_service", Address: "10.1.0.40:8103", Witness: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000},
-			{ID: "ep-2", Service: "orders", Zone: "south-b", State: "draining", Address: "10.1.0.41:8103", Witness: "10.1.0.41:7640", Slots: 4, LeaseMs: 500},
-			{ID: "ep-3", Service: "carts", Zone: "south-b", State: "crashed", Address: "10.1.0.42:8103", Witness: "10.1.0.42:7640", Slots: 4}}}
+			{ID: "ep-1", Service: "orders", Zone: "north-a", State: "in_service", Address: "10.1.0.40:8103", Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000},
+			{ID: "ep-2", Service: "orders", Zone: "south-b", State: "draining", Address: "10.1.0.41:8103", Sidecar: "10.1.0.41:7640", Slots: 4, LeaseMs: 500},
+			{ID: "ep-3", Service: "carts", Zone: "south-b", State: "crashed", Address: "10.1.0.42:8103", Sidecar: "10.1.0.42:7640", Slots: 4}}}
 }
 
 // goldenCore answers with a fixed state, the configuration in a file under testdata, and the same answer to each order.
@@ -80,7 +80,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			var lines strings.Builder
 			for _, command := range x.commands {
-				var l Line
+				var l CommandLine
 				k, err := kong.New(&l, kong.Name("meshctl"))
 				qt.Assert(t, err, qt.IsNil)
 				parsed, err := k.Parse(append([]string{"--core", address}, strings.Fields(command)...))
@@ -91,7 +91,7 @@
 				if err != nil {
 					fmt.Fprintf(&lines, "error: %s\n", strings.ReplaceAll(trace.UserMessage(err), address, "ADDRESS"))
 				}
-				fmt.Fprintf(&lines, "exit code %d\n", Code(err))
+				fmt.Fprintf(&lines, "exit code %d\n", ExitCode(err))
 			}
 			golden.Text(t, filepath.Join("output", name+".txt"), []byte(strings.ReplaceAll(lines.String(), folder+"/", "")))
 		})
@@ -103,12 +103,12 @@
 	t.Setenv("COLUMNS", "80") // the width that kong writes for
 	var lines strings.Builder
 	for _, command := range []string{"", "config", "config get", "config check", "config diff", "config apply", "members", "endpoints", "duties", "why"} {
-		var l Line
+		var l CommandLine
 		k, err := kong.New(&l, kong.Name("meshctl"), kong.Writers(&lines, &lines), kong.Exit(func(int) {}))
 		qt.Assert(t, err, qt.IsNil)
 		fmt.Fprintf(&lines, "$ meshctl %s --help\n", command)
 		_, _ = k.Parse(append(strings.Fields(command), "--help")) // what is missing is not asked for
 	}
 	golden.Text(t, "usage.txt", []byte(lines.String()))
-	qt.Assert(t, []int{ExitInvalid, ExitConflict, ExitUnclear}, qt.DeepEquals, []int{2, 3, 4})
+	qt.Assert(t, []int{ExitInvalid, ExitConflict, ExitUnavailable}, qt.DeepEquals, []int{2, 3, 4})
 }
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -20,49 +20,49 @@
 
 // Exit codes that scripts can rely on, beside 0 for done and 1 for everything else.
 const (
-	ExitInvalid  = 2 // the configuration, or a flag, can't be used
-	ExitConflict = 3 // another change was there first
-	ExitUnclear  = 4 // nobody answered, or nobody can say: the same may be tried again
+	ExitInvalid     = 2 // the configuration, or a flag, can't be used
+	ExitConflict    = 3 // another change was there first
+	ExitUnavailable = 4 // nobody answered, or nobody can say: the same may be tried again
 )
 
-// Line is the command line.
-type Line struct {
+// CommandLine is the command line.
+type CommandLine struct {
 	Core []string `help:"Control addresses of core processes; the first that answers is asked." env:"QUINCEGAP_CORE" required:"" sep:","`
 	JSON bool     `help:"JSON for programs."`
 
-	Config    ConfigLine    `cmd:"" help:"The configuration: get, check, diff, apply."`
-	Members   MembersLine   `cmd:"" help:"Processes that are there."`
-	Endpoints EndpointsLine `cmd:"" help:"Endpoints, with who vouches for them."`
-	Duties    DutiesLine    `cmd:"" help:"Duties, who does them, and who votes."`
-	Why       WhyLine       `cmd:"" help:"Where a request would go, be refused or wait."`
+	Config    ConfigCommand    `cmd:"" help:"The configuration: get, check, diff, apply."`
+	Members   MembersCommand   `cmd:"" help:"Processes that are there."`
+	Endpoints EndpointsCommand `cmd:"" help:"Endpoints, with who vouches for them."`
+	Duties    DutiesCommand    `cmd:"" help:"Duties, who does them, and who votes."`
+	Why       WhyCommand       `cmd:"" help:"Where a request would go, be refused or wait."`
 }
 
 // Client asks the core.
 type Client struct {
-	Cores []string
-	JSON  bool
-	Out   io.Writer
-	HTTP  http.Client
+	Cores  []string
+	JSON   bool
+	Output io.Writer
+	HTTP   http.Client
 }
 
 // Client is one of the line's.
-func (l *Line) Client(out io.Writer) *Client {
-	return &Client{Cores: l.Core, JSON: l.JSON, Out: out, HTTP: http.Client{Timeout: 3 * time.Second}}
+func (l *CommandLine) Client(out io.Writer) *Client {
+	return &Client{Cores: l.Core, JSON: l.JSON, Output: out, HTTP: http.Client{Timeout: 3 * time.Second}}
 }
 
-// unclearError: no core process gave a clear answer.
-type unclearError struct{ error }
+// unavailableError: no core process gave a clear answer.
+type unavailableError struct{ error }
 
 // conflictError: another change was there first.
 type conflictError struct{ error }
 
-// Code is the exit code of an error.
-func Code(err error) int {
+// ExitCode is the exit code of an error.
+func ExitCode(err error) int {
 	switch trace.Unwrap(err).(type) {
 	case nil:
 		return 0
-	case unclearError:
-		return ExitUnclear
+	case unavailableError:
+		return ExitUnavailable
 	case conflictError:
 		return ExitConflict
 	}
@@ -72,8 +72,8 @@
 	return 1
 }
 
-// ask asks the first core process that answers with anything but a 5xx.
-func (c *Client) ask(method, path string, header http.Header, body []byte) (status int, text []byte, err error) {
+// request asks the first core process that answers with anything but a 5xx.
+func (c *Client) request(method, path string, header http.Header, body []byte) (status int, text []byte, err error) {
 	var faults []string
 	for _, core := range c.Cores {
 		q, err := http.NewRequest(method, "http://"+core+path, bytes.NewReader(body))
@@ -95,11 +95,11 @@
 		}
 		faults = append(faults, fmt.Sprintf("%s: %s %s", core, r.Status, strings.TrimSpace(string(text))))
 	}
-	return 0, nil, unclearError{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(faults, "; "))}
+	return 0, nil, unavailableError{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(faults, "; "))}
 }
 
 func (c *Client) state() (s agent.State, err error) {
-	_, text, err := c.ask(http.MethodGet, agent.StatePath, nil, nil)
+	_, text, err := c.request(http.MethodGet, agent.StatePath, nil, nil)
 	if err != nil {
 		return s, err
 	}
@@ -107,34 +107,34 @@
 		return s, trace.Wrap(err, "answer")
 	}
 	if !s.Confirmed && !c.JSON {
-		fmt.Fprintf(c.Out, "%s reaches no majority of the voters: what follows may be out of date\n", s.Node)
+		fmt.Fprintf(c.Output, "%s reaches no majority of the voters: what follows may be out of date\n", s.Node)
 	}
 	return s, nil
 }
 
-// newest is the configuration as the core has it now; nil for none.
-func (c *Client) newest() (*configuration.Config, error) {
-	status, text, err := c.ask(http.MethodGet, "/configuration/retrieve", nil, nil)
+// configuration is the configuration as the core has it now; nil for none.
+func (c *Client) configuration() (*configuration.Config, error) {
+	status, text, err := c.request(http.MethodGet, "/configuration/retrieve", nil, nil)
 	switch {
 	case err != nil:
 		return nil, err
 	case status == http.StatusNotFound:
 		return nil, nil
 	case status != http.StatusOK:
-		return nil, unclearError{trace.ConnectionProblem(nil, "status %d %s", status, text)}
+		return nil, unavailableError{trace.ConnectionProblem(nil, "status %d %s", status, text)}
 	}
 	conf, err := configuration.Parse(text)
 	return conf, trace.Wrap(err)
 }
 
-// table prints rows for people, or the value for programs.
-func (c *Client) table(value any, head string, rows [][]string) error {
+// printTable prints rows for people, or the value for programs.
+func (c *Client) printTable(value any, head string, rows [][]string) error {
 	if c.JSON {
-		e := json.NewEncoder(c.Out)
+		e := json.NewEncoder(c.Output)
 		e.SetIndent("", "  ")
 		return trace.Wrap(e.Encode(value))
 	}
-	w := tabwriter.NewWriter(c.Out, 0, 4, 2, ' ', 0)
+	w := tabwriter.NewWriter(c.Output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	for _, r := range rows {
 		fmt.Fprintln(w, strings.Join(r, "\t"))
--- a/internal/mesh/operations/meshctl/meshctl_test.go
+++ b/internal/mesh/operations/meshctl/meshctl_test.go
@@ -15,7 +15,7 @@
 const before = `{"configVersion":"r3","routeTable":[{"name":"a","hostName":"h","pathPrefix":"/a/","routeKind":"idempotent","timeout":"1s","target":"300ms","priority":1,"serviceName":"s","maxAttempts":1}],
 "serviceTable":[{"name":"s","healthPath":"/health","connectionCap":9}],"tenantTable":[{"name":"t","accessKeys":["secret1"],"ratePerS":5}]}`
 
-func core(t *testing.T, replace func(base string, body string) int) *Client {
+func fakeCore(t *testing.T, replace func(base string, body string) int) *Client {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		switch q.URL.Path {
 		case "/configuration/retrieve":
@@ -28,7 +28,7 @@
 		}
 	}))
 	t.Cleanup(s.Close)
-	l := Line{Core: []string{"127.0.0.1:1", s.Listener.Addr().String()}} // the first one is away
+	l := CommandLine{Core: []string{"127.0.0.1:1", s.Listener.Addr().String()}} // the first one is away
 	return l.Client(&strings.Builder{})
 }
 
@@ -41,7 +41,7 @@
 	}{
 		"taken":          {after, "", 200, 0},
 		"lost its race":  {after, "r2", 412, ExitConflict},
-		"no clear word":  {after, "", 503, ExitUnclear},
+		"no clear word":  {after, "", 503, ExitUnavailable},
 		"can't be used":  {strings.Replace(after, `"2s"`, `"0s"`, 1), "", 200, ExitInvalid},
 		"refused":        {after, "", 400, ExitInvalid},
 		"no such number": {after, "12", 200, ExitInvalid},
@@ -50,16 +50,16 @@
 			c := qt.New(t)
 			file := filepath.Join(t.TempDir(), "c.json")
 			c.Assert(os.WriteFile(file, []byte(x.file), 0o644), qt.IsNil)
-			client := core(t, func(base, body string) int {
+			client := fakeCore(t, func(base, body string) int {
 				c.Check(body, qt.Equals, x.file)
 				if x.base == "" {
 					c.Check(base, qt.Equals, "r3")
 				}
 				return x.status
 			})
-			err := ApplyLine{File: file, Base: x.base}.Run(client)
-			c.Assert(Code(err), qt.Equals, x.code, qt.Commentf("%v", err))
-			out := client.Out.(*strings.Builder).String()
+			err := ConfigApplyCommand{File: file, Base: x.base}.Run(client)
+			c.Assert(ExitCode(err), qt.Equals, x.code, qt.Commentf("%v", err))
+			out := client.Output.(*strings.Builder).String()
 			if x.code == 0 {
 				c.Assert(out, qt.Contains, "version r3 -> r4")
 				c.Assert(out, qt.Contains, "~ route h/a/")
@@ -72,13 +72,13 @@
 
 func TestWhy(t *testing.T) {
 	c := qt.New(t)
-	client := core(t, nil)
+	client := fakeCore(t, nil)
 	for path, want := range map[string]string{"/none/": "404", "/a/x": "100% to s: 1 endpoints in service"} {
-		c.Assert(WhyLine{Host: "h", Path: path, Key: "secret1"}.Run(client), qt.IsNil)
-		c.Assert(client.Out.(*strings.Builder).String(), qt.Contains, want)
+		c.Assert(WhyCommand{Host: "h", Path: path, Key: "secret1"}.Run(client), qt.IsNil)
+		c.Assert(client.Output.(*strings.Builder).String(), qt.Contains, want)
 	}
-	c.Assert(WhyLine{Host: "h", Path: "/a/x", Key: "wrong"}.Run(client), qt.IsNil)
-	c.Assert(client.Out.(*strings.Builder).String(), qt.Contains, "401")
+	c.Assert(WhyCommand{Host: "h", Path: "/a/x", Key: "wrong"}.Run(client), qt.IsNil)
+	c.Assert(client.Output.(*strings.Builder).String(), qt.Contains, "401")
 }
 
 // A core process that reaches no majority says so, and people are told; programs find it in the JSON.
@@ -90,8 +90,8 @@
 		}))
 		defer s.Close()
 		out := &strings.Builder{}
-		client := (&Line{Core: []string{s.Listener.Addr().String()}}).Client(out)
-		c.Assert(MembersLine{}.Run(client), qt.IsNil)
+		client := (&CommandLine{Core: []string{s.Listener.Addr().String()}}).Client(out)
+		c.Assert(MembersCommand{}.Run(client), qt.IsNil)
 		c.Assert(strings.Contains(out.String(), "core-1 reaches no majority"), qt.Equals, told)
 		c.Assert(out.String(), qt.Contains, "10.0.0.1:1")
 	}
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -8,11 +8,11 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// MembersLine shows processes.
-type MembersLine struct{}
+// MembersCommand shows processes.
+type MembersCommand struct{}
 
 // Run shows processes that are there.
-func (MembersLine) Run(c *Client) error {
+func (MembersCommand) Run(c *Client) error {
 	s, err := c.state()
 	if err != nil {
 		return err
@@ -21,16 +21,16 @@
 	for _, m := range s.Members {
 		rows = append(rows, []string{m.Address, m.Zone, m.Role, m.Service, time.Duration(m.AgeMs * 1e6).String()})
 	}
-	return c.table(s.Members, "ADDRESS\tZONE\tROLE\tSERVICE\tHEARD", rows)
+	return c.printTable(s.Members, "ADDRESS\tZONE\tROLE\tSERVICE\tHEARD", rows)
 }
 
-// EndpointsLine shows endpoints.
-type EndpointsLine struct {
+// EndpointsCommand shows endpoints.
+type EndpointsCommand struct {
 	Service string `help:"Of this service only."`
 }
 
 // Run shows endpoints.
-func (l EndpointsLine) Run(c *Client) error {
+func (l EndpointsCommand) Run(c *Client) error {
 	s, err := c.state()
 	if err != nil {
 		return err
@@ -38,41 +38,41 @@
 	var rows [][]string
 	all := slices.DeleteFunc(s.Endpoints, func(e agent.EndpointState) bool { return l.Service != "" && e.Service != l.Service })
 	for _, e := range all {
-		rows = append(rows, []string{e.ID, e.Service, e.Zone, e.State, fmt.Sprint(e.Slots), e.Witness,
+		rows = append(rows, []string{e.ID, e.Service, e.Zone, e.State, fmt.Sprint(e.Slots), e.Sidecar,
 			time.Duration(e.LeaseMs * 1e6).String()})
 	}
-	return c.table(all, "ENDPOINT\tSERVICE\tZONE\tSTATE\tSLOTS\tWITNESS\tLEASE", rows)
+	return c.printTable(all, "ENDPOINT\tSERVICE\tZONE\tSTATE\tSLOTS\tWITNESS\tLEASE", rows)
 }
 
-// DutiesLine shows duties.
-type DutiesLine struct{}
+// DutiesCommand shows duties.
+type DutiesCommand struct{}
 
 // Run shows duties and voters.
-func (DutiesLine) Run(c *Client) error {
+func (DutiesCommand) Run(c *Client) error {
 	s, err := c.state()
 	if err != nil {
 		return err
 	}
 	var rows [][]string
-	for _, d := range s.Duties {
+	for _, d := range s.Roles {
 		rows = append(rows, []string{d.Name, d.Holder, fmt.Sprint(d.Epoch)})
 	}
 	for _, v := range s.Voters {
 		rows = append(rows, []string{"voter", v, ""})
 	}
-	return c.table(map[string]any{"duties": s.Duties, "voters": s.Voters}, "DUTY\tHOLDER\tNUMBER", rows)
+	return c.printTable(map[string]any{"duties": s.Roles, "voters": s.Voters}, "DUTY\tHOLDER\tNUMBER", rows)
 }
 
-// WhyLine explains a request.
-type WhyLine struct {
+// WhyCommand explains a request.
+type WhyCommand struct {
 	Host string `arg:"" help:"The Host header."`
 	Path string `arg:"" help:"The path."`
 	Key  string `help:"The tenant's key; it is not printed."`
 }
 
 // Run says where a request would go.
-func (l WhyLine) Run(c *Client) error {
-	conf, err := c.newest()
+func (l WhyCommand) Run(c *Client) error {
+	conf, err := c.configuration()
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	say := func(format string, args ...any) { fmt.Fprintf(c.Out, format+"\n", args...) }
+	say := func(format string, args ...any) { fmt.Fprintf(c.Output, format+"\n", args...) }
 	if conf == nil {
 		say("503: there is no configuration yet")
 		return nil
--- a/internal/mesh/operations/settings/golden_test.go
+++ b/internal/mesh/operations/settings/golden_test.go
@@ -21,18 +21,18 @@
 		path  string
 		value any
 	}{
-		{"ownNode.nodeName", s.Name}, {"ownNode.role", s.Role}, {"ownNode.machineClass", s.Class}, {"ownNode.ipAddress", s.IP}, {"ownNode.zone", s.Zone},
-		{"ownNode.region", s.Region}, {"ownNode.initialStart", s.InitialStart}, {"ownNode.dataDirectory", s.Folder},
-		{"ownNode.applicationAddr", s.App}, {"ownNode.serviceName", s.Service}, {"ownNode.limitSet.memoryMb", s.MemoryMB},
-		{"ownNode.limitSet.fdLimit", s.Descriptors}, {"ownNode.limitSet.linkMbps", s.LinkMbps}, {"network.internalPorts", s.Ports},
-		{"network.seedNodes", s.Seeds}, {"network.listenAddresses.inbound", s.Inbound}, {"network.listenAddresses.outbound", s.Outbound},
-		{"network.listenAddresses.readiness", s.Readiness}, {"network.listenAddresses.control", s.Control}, {"network.zones", s.Regions},
-		{"platformProfile.keepalive", s.Keepalive}, {"termTable.faultTolerance.machines", s.Tolerated}, {"boundSet.contact", s.Bounds.Contact},
+		{"ownNode.nodeName", s.Name}, {"ownNode.role", s.Role}, {"ownNode.machineClass", s.MachineClass}, {"ownNode.ipAddress", s.IP}, {"ownNode.zone", s.Zone},
+		{"ownNode.region", s.Region}, {"ownNode.initialStart", s.InitialStart}, {"ownNode.dataDirectory", s.DataDirectory},
+		{"ownNode.applicationAddr", s.ApplicationAddress}, {"ownNode.serviceName", s.Service}, {"ownNode.limitSet.memoryMb", s.MemoryMB},
+		{"ownNode.limitSet.fdLimit", s.FileDescriptors}, {"ownNode.limitSet.linkMbps", s.LinkMbps}, {"network.internalPorts", s.InternalPorts},
+		{"network.seedNodes", s.Seeds}, {"network.listenAddresses.inbound", s.InboundAddress}, {"network.listenAddresses.outbound", s.OutboundAddress},
+		{"network.listenAddresses.readiness", s.ReadinessAddress}, {"network.listenAddresses.control", s.ControlAddress}, {"network.zones", s.RegionOfZone},
+		{"platformProfile.keepalive", s.KeepaliveInterval}, {"termTable.faultTolerance.machines", s.ToleratedMachines}, {"boundSet.contact", s.Bounds.Contact},
 		{"boundSet.drain", s.Bounds.Drain}, {"boundSet.grace", s.Bounds.Grace}, {"boundSet.configApply", s.Bounds.ConfigApply},
-		{"boundSet.ack", s.Bounds.Ack}, {"boundSet.retryBudgetRatio", s.Bounds.BudgetRatio}, {"boundSet.retryBudgetSlack", s.Bounds.BudgetSlack},
-		{"boundSet.retryWindow", s.Bounds.BudgetWindow}, {"boundSet.quotaWindow", s.Bounds.QuotaWindow},
+		{"boundSet.ack", s.Bounds.Ack}, {"boundSet.retryBudgetRatio", s.Bounds.RetryBudgetRatio}, {"boundSet.retryBudgetSlack", s.Bounds.RetryBudgetSlack},
+		{"boundSet.retryWindow", s.Bounds.RetryBudgetWindow}, {"boundSet.quotaWindow", s.Bounds.QuotaWindow},
 		{"boundSet.quotaOverage", s.Bounds.QuotaOverage}, {"boundSet.quotaSlack", s.Bounds.QuotaSlack},
-		{"internal address", s.Internal()}, {"internal addresses of seeds", s.SeedPeers()},
+		{"internal address", s.InternalAddress()}, {"internal addresses of seeds", s.SeedAddresses()},
 	} {
 		fmt.Fprintf(&lines, "%s = %v\n", x.path, x.value)
 	}
@@ -57,7 +57,7 @@
 	for _, text := range []string{"", "[ownNode", "ownNode = 3", string(least) + "\nkeepalive = \"1s\"\n[platformProfile]\nkeepalive = \"-1s\"\n",
 		strings.ReplaceAll(string(least), "7640", "0"), strings.ReplaceAll(string(least), "[7640,7655]", "[7655,7640]"),
 		strings.ReplaceAll(string(least), "[7640,7655]", "[7640]")} {
-		_, err := Read([]byte(text))
+		_, err := Parse([]byte(text))
 		fmt.Fprintf(&lines, "%v\n", err)
 	}
 	_, err = Load("testdata/bad.toml")
@@ -67,5 +67,5 @@
 	fmt.Fprintf(&lines, "%v\n", err)
 	qt.Assert(t, trace.IsNotFound(err) || errors.Is(err, os.ErrNotExist), qt.IsTrue)
 	golden.Text(t, "bad.txt", []byte(lines.String()))
-	qt.Assert(t, Variable, qt.Equals, "QUINCEGAP_NODE_FILE")
+	qt.Assert(t, EnvironmentVariable, qt.Equals, "QUINCEGAP_NODE_FILE")
 }
--- a/internal/mesh/operations/settings/settings.go
+++ b/internal/mesh/operations/settings/settings.go
@@ -16,48 +16,50 @@
 	"github.com/tidwall/gjson"
 )
 
-// Variable names the environment variable that holds the file's path.
-const Variable = "QUINCEGAP_NODE_FILE"
+// EnvironmentVariable names the environment variable that holds the file's path.
+const EnvironmentVariable = "QUINCEGAP_NODE_FILE"
 
 // Settings are those of one process.
 type Settings struct {
-	Name, Role, Class     string
-	IP, Zone, Region      string
-	InitialStart          bool
-	Folder                string // for data; empty where there is no disk
-	App, Service          string // the endpoint beside it, and its service; empty on machines without one
-	MemoryMB, Descriptors int
-	LinkMbps              float64
-	Ports                 [2]int // the first and last port for connections between processes
-	Seeds                 []string
-	Inbound, Outbound     string
-	Readiness, Control    string
-	Regions               map[string]string // by zone
-	Keepalive             time.Duration
-	Tolerated             int // machines with a disk that may be lost at once
-	Bounds                Bounds
+	Name, Role, MachineClass         string
+	IP, Zone, Region                 string
+	InitialStart                     bool
+	DataDirectory                    string // for data; empty where there is no disk
+	ApplicationAddress, Service      string // the endpoint beside it, and its service; empty on machines without one
+	MemoryMB, FileDescriptors        int
+	LinkMbps                         float64
+	InternalPorts                    [2]int // the first and last port for connections between processes
+	Seeds                            []string
+	InboundAddress, OutboundAddress  string
+	ReadinessAddress, ControlAddress string
+	RegionOfZone                     map[string]string // by zone
+	KeepaliveInterval                time.Duration
+	ToleratedMachines                int // machines with a disk that may be lost at once
+	Bounds                           Bounds
 }
 
 // Bounds are the limits that the system has to keep, times and counts.
 type Bounds struct {
 	Contact, Drain, Grace, ConfigApply, Ack time.Duration
-	BudgetRatio, BudgetSlack                float64
-	BudgetWindow, QuotaWindow               time.Duration
+	RetryBudgetRatio, RetryBudgetSlack      float64
+	RetryBudgetWindow, QuotaWindow          time.Duration
 	QuotaOverage, QuotaSlack                float64
 }
 
-// Internal is the address at which this process's peers reach it.
-func (s *Settings) Internal() string { return s.Peer(s.IP) }
+// InternalAddress is the address at which this process's peers reach it.
+func (s *Settings) InternalAddress() string { return s.PeerAddress(s.IP) }
 
-// Peer is the internal address of the process at an IP: all machines have the same ports.
-func (s *Settings) Peer(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0])) }
+// PeerAddress is the internal address of the process at an IP: all machines have the same ports.
+func (s *Settings) PeerAddress(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]))
+}
 
-// SeedPeers are the seeds' internal addresses.
-func (s *Settings) SeedPeers() []string {
+// SeedAddresses are the seeds' internal addresses.
+func (s *Settings) SeedAddresses() []string {
 	var out []string
 	for _, a := range s.Seeds {
 		if host, _, err := net.SplitHostPort(a); err == nil {
-			out = append(out, s.Peer(host))
+			out = append(out, s.PeerAddress(host))
 		}
 	}
 	return out
@@ -69,12 +71,12 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	s, err := Read(data)
+	s, err := Parse(data)
 	return s, trace.Wrap(err, "settings file %s", path)
 }
 
-// Read reads settings.
-func Read(data []byte) (*Settings, error) {
+// Parse reads settings.
+func Parse(data []byte) (*Settings, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
 		return nil, trace.BadParameter("not TOML: %v", err)
@@ -83,26 +85,26 @@
 	if err != nil {
 		return nil, trace.BadParameter("%v", err)
 	}
-	r := reader{root: gjson.ParseBytes(text)}
+	r := parser{root: gjson.ParseBytes(text)}
 	s := &Settings{
 		Name: r.text("ownNode.nodeName", true), Role: r.text("ownNode.role", false),
-		Class: r.text("ownNode.machineClass", false), IP: r.text("ownNode.ipAddress", true),
+		MachineClass: r.text("ownNode.machineClass", false), IP: r.text("ownNode.ipAddress", true),
 		Zone: r.text("ownNode.zone", true), Region: r.text("ownNode.region", false),
-		InitialStart: r.flag("ownNode.initialStart"), Folder: r.text("ownNode.dataDirectory", false),
-		App: r.address("ownNode.applicationAddr"), Service: r.text("ownNode.serviceName", false),
-		MemoryMB: int(r.number("ownNode.limitSet.memoryMb", 256)), Descriptors: int(r.number("ownNode.limitSet.fdLimit", 1024)),
-		LinkMbps: r.number("ownNode.limitSet.linkMbps", 0),
-		Inbound:  r.address("network.listenAddresses.inbound"), Outbound: r.address("network.listenAddresses.outbound"),
-		Readiness: r.address("network.listenAddresses.readiness"), Control: r.address("network.listenAddresses.control"),
-		Keepalive: r.time("platformProfile.keepalive", 1500*time.Millisecond), Regions: map[string]string{},
-		Tolerated: int(r.number("termTable.faultTolerance.machines", 0)),
+		InitialStart: r.flag("ownNode.initialStart"), DataDirectory: r.text("ownNode.dataDirectory", false),
+		ApplicationAddress: r.address("ownNode.applicationAddr"), Service: r.text("ownNode.serviceName", false),
+		MemoryMB: int(r.number("ownNode.limitSet.memoryMb", 256)), FileDescriptors: int(r.number("ownNode.limitSet.fdLimit", 1024)),
+		LinkMbps:       r.number("ownNode.limitSet.linkMbps", 0),
+		InboundAddress: r.address("network.listenAddresses.inbound"), OutboundAddress: r.address("network.listenAddresses.outbound"),
+		ReadinessAddress: r.address("network.listenAddresses.readiness"), ControlAddress: r.address("network.listenAddresses.control"),
+		KeepaliveInterval: r.time("platformProfile.keepalive", 1500*time.Millisecond), RegionOfZone: map[string]string{},
+		ToleratedMachines: int(r.number("termTable.faultTolerance.machines", 0)),
 	}
 	const b = "termTable.boundSet."
 	s.Bounds = Bounds{
 		Contact: r.time(b+"contact", 3*time.Second), Drain: r.time(b+"drain", 2500*time.Millisecond),
 		Grace: r.time(b+"grace", 6*time.Second), ConfigApply: r.time(b+"configApply", 2500*time.Millisecond),
-		Ack: r.time(b+"ack", 5*time.Second), BudgetRatio: r.number(b+"retryBudgetRatio", 0.2),
-		BudgetSlack: r.number(b+"retryBudgetSlack", 0), BudgetWindow: r.time(b+"retryWindow", 10*time.Second),
+		Ack: r.time(b+"ack", 5*time.Second), RetryBudgetRatio: r.number(b+"retryBudgetRatio", 0.2),
+		RetryBudgetSlack: r.number(b+"retryBudgetSlack", 0), RetryBudgetWindow: r.time(b+"retryWindow", 10*time.Second),
 		QuotaWindow: r.time(b+"quotaWindow", 5*time.Second), QuotaOverage: r.number(b+"quotaOverage", 0),
 		QuotaSlack: r.number(b+"quotaSlack", 0),
 	}
@@ -110,7 +112,7 @@
 	if len(ports) != 2 || ports[0].Int() < 1 || ports[1].Int() > 65535 || ports[1].Int() < ports[0].Int() {
 		r.fault("network.internalPorts", "two ports, the first and the last")
 	} else {
-		s.Ports = [2]int{int(ports[0].Int()), int(ports[1].Int())}
+		s.InternalPorts = [2]int{int(ports[0].Int()), int(ports[1].Int())}
 	}
 	for i, x := range r.root.Get("network.seedNodes").Array() {
 		if _, _, err := net.SplitHostPort(x.String()); err != nil {
@@ -120,7 +122,7 @@
 		s.Seeds = append(s.Seeds, x.String())
 	}
 	r.root.Get("network.zones").ForEach(func(k, v gjson.Result) bool {
-		s.Regions[k.String()] = v.String()
+		s.RegionOfZone[k.String()] = v.String()
 		return true
 	})
 	if len(r.faults) > 0 {
@@ -129,17 +131,17 @@
 	return s, nil
 }
 
-// reader reads fields and collects every fault.
-type reader struct {
+// parser reads fields and collects every fault.
+type parser struct {
 	root   gjson.Result
 	faults []string
 }
 
-func (r *reader) fault(path, want string) {
+func (r *parser) fault(path, want string) {
 	r.faults = append(r.faults, fmt.Sprintf("%s: wanted %s, found %q", path, want, r.root.Get(path).String()))
 }
 
-func (r *reader) text(path string, must bool) string {
+func (r *parser) text(path string, must bool) string {
 	x := r.root.Get(path)
 	if x.Exists() && x.Type != gjson.String || must && x.String() == "" {
 		r.fault(path, "a text")
@@ -147,7 +149,7 @@
 	return x.String()
 }
 
-func (r *reader) address(path string) string {
+func (r *parser) address(path string) string {
 	s := r.text(path, false)
 	if _, _, err := net.SplitHostPort(s); s != "" && err != nil {
 		r.fault(path, "an address like 10.0.0.4:8080")
@@ -155,7 +157,7 @@
 	return s
 }
 
-func (r *reader) flag(path string) bool {
+func (r *parser) flag(path string) bool {
 	x := r.root.Get(path)
 	if x.Exists() && !x.IsBool() {
 		r.fault(path, "true or false")
@@ -163,7 +165,7 @@
 	return x.Bool()
 }
 
-func (r *reader) number(path string, or float64) float64 {
+func (r *parser) number(path string, or float64) float64 {
 	x := r.root.Get(path)
 	if !x.Exists() {
 		return or
@@ -174,7 +176,7 @@
 	return x.Float()
 }
 
-func (r *reader) time(path string, or time.Duration) time.Duration {
+func (r *parser) time(path string, or time.Duration) time.Duration {
 	x := r.root.Get(path)
 	if !x.Exists() {
 		return or
