--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -73,18 +73,18 @@
 // New makes an Agent and registers its calls.
 func New(o Config) *Agent {
 	hello := o.Hub.Self()
-	self := membership.Member{Life: hello.Life, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
-		Service: o.Settings.Service, App: o.Settings.ApplicationAddress}
-	a := &Agent{config: o, view: membership.New(self, membership.Bounds{}, rand.New(rand.NewPCG(o.Seed, hello.Life))),
-		registry: discovery.New(discovery.Bounds{}), publisher: discovery.NewPublisher(discovery.Bounds{}),
+	self := membership.Member{Incarnation: hello.Life, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
+		Service: o.Settings.Service, AppAddress: o.Settings.ApplicationAddress}
+	a := &Agent{config: o, view: membership.New(self, membership.Config{}, rand.New(rand.NewPCG(o.Seed, hello.Life))),
+		registry: discovery.NewRegistry(discovery.Config{}), publisher: discovery.NewPublisher(discovery.Config{}),
 		wakeup: make(chan struct{}, 1), acknowledgedRecords: make(chan struct{}),
-		subscriptions: discovery.NewSubscription(discovery.Bounds{}), subscribers: discovery.NewSubscribers(discovery.Bounds{}),
+		subscriptions: discovery.NewSubscription(discovery.Config{}), subscribers: discovery.NewSubscribers(discovery.Config{}),
 		zoneLastSeen: map[string]time.Duration{}, changedServices: map[string]uint64{}, ownerIncarnations: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
 	for zone, region := range o.Settings.RegionOfZone {
-		a.view.Place(zone, region)
+		a.view.SetRegion(zone, region)
 	}
-	a.view.Seeds(0, o.Settings.SeedAddresses())
-	if o.Role == membership.Access {
+	a.view.SetSeeds(0, o.Settings.SeedAddresses())
+	if o.Role == membership.RoleAccess {
 		a.wantedServices = []string{o.Settings.Service}
 	} else {
 		a.events = newEventRecorder(hello.Life)
@@ -129,7 +129,7 @@
 	a.mu.Lock()
 	neighbours, shuffle := a.view.Tick(now)
 	if shuffle != nil {
-		shuffle.Version = a.current.Version
+		shuffle.ConfigVersion = a.current.Version
 	}
 	a.recordZones(now)
 	a.updateFromView(now)
@@ -160,7 +160,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.config.Hub.Now()
-	a.view.Lost(now, address)
-	a.subscriptions.Lost(now, address)
-	a.publisher.Forget(address)
+	a.view.ConnectionLost(now, address)
+	a.subscriptions.ConnectionLost(now, address)
+	a.publisher.ForgetOwner(address)
 }
--- a/internal/mesh/agent/config.go
+++ b/internal/mesh/agent/config.go
@@ -90,7 +90,7 @@
 	for _, m := range a.view.Members() {
 		switch {
 		case m.Address == self:
-		case m.Role == membership.Core && a.config.Role == membership.Core:
+		case m.Role == membership.RoleCore && a.config.Role == membership.RoleCore:
 			peers = append(peers, m.Address)
 		default:
 			rest = append(rest, m.Address)
--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -61,7 +61,7 @@
 		return nil
 	}
 	for _, m := range a.Members() {
-		if host, _, err := net.SplitHostPort(m.Address); err == nil && m.Role == membership.Core {
+		if host, _, err := net.SplitHostPort(m.Address); err == nil && m.Role == membership.RoleCore {
 			addresses = append(addresses, net.JoinHostPort(host, port))
 		}
 	}
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -137,7 +137,7 @@
 func (a *Agent) coreRank(members []membership.Member) (n int) {
 	self := a.config.Hub.Self().Address
 	for _, m := range members {
-		if m.Role == membership.Core && m.Address < self {
+		if m.Role == membership.RoleCore && m.Address < self {
 			n++
 		}
 	}
@@ -146,7 +146,7 @@
 
 func accessAddresses(members []membership.Member) (addresses []string) {
 	for _, m := range members {
-		if m.Role == membership.Access {
+		if m.Role == membership.RoleAccess {
 			addresses = append(addresses, m.Address)
 		}
 	}
--- a/internal/mesh/agent/endpoints.go
+++ b/internal/mesh/agent/endpoints.go
@@ -19,7 +19,7 @@
 // OnEndpointLeaving or OnEndpointsChanged takes: this process may be a home of the record, and would call these.
 func (a *Agent) Publish(e discovery.Endpoint) {
 	self := a.config.Hub.Self()
-	e.Host, e.HostLife = self.Address, self.Life
+	e.SidecarAddress, e.SidecarIncarnation = self.Address, self.Life
 	a.mu.Lock()
 	a.publisher.Set(a.config.Hub.Now(), e)
 	a.mu.Unlock()
@@ -41,7 +41,7 @@
 	defer cancel()
 	for {
 		a.mu.Lock()
-		done, more := a.publisher.Confirmed(id, a.config.Hub.Self().Address), a.acknowledgedRecords
+		done, more := a.publisher.AcknowledgedElsewhere(id, a.config.Hub.Self().Address), a.acknowledgedRecords
 		a.mu.Unlock()
 		if done {
 			return
@@ -95,7 +95,7 @@
 }
 
 // publish sends records to homes, of which this process may be one.
-func (a *Agent) publish(records []discovery.Send) {
+func (a *Agent) publish(records []discovery.Announcement) {
 	for _, r := range records {
 		if r.To == a.config.Hub.Self().Address {
 			a.applyAsOwner(r.Endpoint)
@@ -111,10 +111,10 @@
 	}
 }
 
-func (a *Agent) recordAcknowledgement(r discovery.Send) {
+func (a *Agent) recordAcknowledgement(r discovery.Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.publisher.Acked(a.config.Hub.Now(), r.To, r.Endpoint.ID, r.Endpoint.Edition)
+	a.publisher.Acknowledged(a.config.Hub.Now(), r.To, r.Endpoint.ID, r.Endpoint.Revision)
 	close(a.acknowledgedRecords)
 	a.acknowledgedRecords = make(chan struct{})
 }
@@ -170,24 +170,24 @@
 }
 
 // subscribe sends requests of this process's subscriptions; where it is the home itself, it has the records already.
-func (a *Agent) subscribe(asks []discovery.Ask) {
+func (a *Agent) subscribe(asks []discovery.SubscribeRequest) {
 	self := a.config.Hub.Self().Address
 	for _, ask := range asks {
-		home := discovery.Home{Address: ask.To, Life: ask.Life}
+		home := discovery.RegistryOwner{Address: ask.To, Incarnation: ask.Incarnation}
 		if ask.To == self {
 			a.mu.Lock()
-			a.subscriptions.Got(a.config.Hub.Now(), home, ask.Service, 0)
+			a.subscriptions.Received(a.config.Hub.Now(), home, ask.Service, 0)
 			a.mu.Unlock()
 			continue
 		}
-		a.requestEndpointList(ask.To, &subscribeRequest{Subscriber: self, Service: ask.Service, Since: ask.Since, OwnerIncarnation: ask.Life})
+		a.requestEndpointList(ask.To, &subscribeRequest{Subscriber: self, Service: ask.Service, Since: ask.SinceVersion, OwnerIncarnation: ask.Incarnation})
 	}
 }
 
 // Refresh asks the homes of a service for all that they hold of it.
 func (a *Agent) Refresh(service string) {
 	a.mu.Lock()
-	homes := a.view.Homes(service, a.config.Settings.Zone, ownersPerZone)
+	homes := a.view.RegistryOwners(service, a.config.Settings.Zone, ownersPerZone)
 	a.mu.Unlock()
 	self := a.config.Hub.Self().Address
 	for _, m := range homes {
@@ -202,7 +202,7 @@
 	a.send(address, methodSubscribe, s, func(body []byte) {
 		var l endpointList
 		if len(body) > 0 && codec.Read(body, &l) == nil {
-			a.applyEndpointList(discovery.Home{Address: address, Life: l.OwnerIncarnation}, &l)
+			a.applyEndpointList(discovery.RegistryOwner{Address: address, Incarnation: l.OwnerIncarnation}, &l)
 		}
 	})
 }
@@ -211,19 +211,19 @@
 	now := a.config.Hub.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.subscribers.Hold(now, s.Service, s.Subscriber)
+	a.subscribers.Renew(now, s.Service, s.Subscriber)
 	life, since := a.config.Hub.Self().Life, s.Since
 	if s.OwnerIncarnation != life {
 		since = 0 // versions count within one life
 	}
-	endpoints, version, _ := a.registry.Since(now, s.Service, since)
+	endpoints, version, _ := a.registry.ChangedSince(now, s.Service, since)
 	return &endpointList{Service: s.Service, Version: version, Endpoints: endpoints, OwnerIncarnation: life}
 }
 
-func (a *Agent) applyEndpointList(from discovery.Home, l *endpointList) {
+func (a *Agent) applyEndpointList(from discovery.RegistryOwner, l *endpointList) {
 	a.mu.Lock()
 	a.applyLocked(l.Endpoints)
-	a.subscriptions.Got(a.config.Hub.Now(), from, l.Service, l.Version)
+	a.subscriptions.Received(a.config.Hub.Now(), from, l.Service, l.Version)
 	a.mu.Unlock()
 	a.notifyChanges()
 }
@@ -248,8 +248,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for service, before := range a.changedServices {
-		update, _, _ := a.registry.Since(now, service, before)
-		changes = append(changes, serviceChange{service, a.registry.List(now, service), update, a.subscribers.Notify(now, service)})
+		update, _, _ := a.registry.ChangedSince(now, service, before)
+		changes = append(changes, serviceChange{service, a.registry.List(now, service), update, a.subscribers.Active(now, service)})
 	}
 	clear(a.changedServices)
 	return changes
@@ -278,7 +278,7 @@
 		return
 	}
 	for _, e := range endpoints {
-		if e.App == a.config.Settings.ApplicationAddress && (e.State == discovery.Draining || e.State == discovery.Gone) {
+		if e.AppAddress == a.config.Settings.ApplicationAddress && (e.State == discovery.Draining || e.State == discovery.Deregistered) {
 			a.config.OnEndpointLeaving(e)
 		}
 	}
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -46,7 +46,7 @@
 		r.mu.Lock()
 		was, known := r.endpointStates[e.ID]
 		r.endpointStates[e.ID] = e.State
-		if e.State == discovery.Gone {
+		if e.State == discovery.Deregistered {
 			delete(r.endpointStates, e.ID)
 		}
 		r.mu.Unlock()
@@ -54,8 +54,8 @@
 			continue
 		}
 		kind := map[discovery.State]string{discovery.Serving: events.EndpointServing, discovery.Draining: events.EndpointDraining,
-			discovery.Crashed: events.EndpointCrashed, discovery.Gone: events.EndpointGone}[e.State]
-		r.add(events.Event{Kind: kind, Service: e.Service, Endpoint: e.ID, Zone: e.Zone, Node: e.Host})
+			discovery.Crashed: events.EndpointCrashed, discovery.Deregistered: events.EndpointGone}[e.State]
+		r.add(events.Event{Kind: kind, Service: e.Service, Endpoint: e.ID, Zone: e.Zone, Node: e.SidecarAddress})
 	}
 }
 
@@ -63,7 +63,7 @@
 func (r *eventRecorder) recordMembers(all []membership.Member) {
 	now := map[uint64]membership.Member{}
 	for _, m := range all {
-		now[m.Life] = m
+		now[m.Incarnation] = m
 	}
 	r.mu.Lock()
 	was := r.knownMembers
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -29,8 +29,8 @@
 
 // goldenEndpoint is an endpoint with a value in each field.
 func goldenEndpoint() discovery.Endpoint {
-	return discovery.Endpoint{ID: "ep-1", Service: "orders", Host: "10.1.0.40:7640", HostLife: 0x0102030405060708, App: "10.1.0.40:8103",
-		Zone: "north-a", Slots: 12, State: discovery.Draining, Cold: 1500 * time.Millisecond, Sequence: 77, Edition: 5, Lease: 9 * time.Second}
+	return discovery.Endpoint{ID: "ep-1", Service: "orders", SidecarAddress: "10.1.0.40:7640", SidecarIncarnation: 0x0102030405060708, AppAddress: "10.1.0.40:8103",
+		Zone: "north-a", Slots: 12, State: discovery.Draining, WarmupRemaining: 1500 * time.Millisecond, Sequence: 77, Revision: 5, LeaseRemaining: 9 * time.Second}
 }
 
 // testGoldenMessage checks that full, which has a value in each field, is written as the file has it, and that the file is read as full.
@@ -49,7 +49,7 @@
 
 func TestGoldenMessages(t *testing.T) {
 	second := goldenEndpoint()
-	second.ID, second.State = "ep-2", discovery.Gone
+	second.ID, second.State = "ep-2", discovery.Deregistered
 	testGoldenMessage(t, "published", publishRequest{Endpoint: goldenEndpoint(), Accepted: true})
 	testGoldenMessage(t, "subscription", subscribeRequest{Subscriber: "10.1.0.41:7640", Service: "orders", Since: 300, OwnerIncarnation: 0xfffefdfcfbfaf9f8})
 	testGoldenMessage(t, "listing", endpointList{Service: "orders", Version: 301, Endpoints: []discovery.Endpoint{goldenEndpoint(), second},
@@ -73,7 +73,7 @@
 	own := &settings.Settings{Name: "core-1", IP: "127.9.30.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.30.1:7402"}
 	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	defer hub.Close()
-	a := New(Config{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
+	a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: 1})
 	a.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
 	duties := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{own.ControlAddress}}, accepted: 3}, true)
 	asked := hub.Now() + time.Minute // another process holds the lease that is asked for
@@ -89,7 +89,7 @@
 	defer caller.Close()
 
 	elsewhere := goldenEndpoint()
-	elsewhere.Lease = 0 // what is left of a lease is of the time of the answer
+	elsewhere.LeaseRemaining = 0 // what is left of a lease is of the time of the answer
 	requests := map[uint64]codec.Message{
 		11: &publishRequest{Endpoint: elsewhere},
 		12: &subscribeRequest{Subscriber: "127.9.30.2:7401", Service: "none"},
@@ -149,7 +149,7 @@
 	c.Assert(json.Unmarshal(text, &read), qt.IsNil)
 	c.Assert(read, qt.DeepEquals, full)
 	c.Assert(stateNames, qt.DeepEquals, map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
-		discovery.Crashed: "crashed", discovery.Gone: "gone"})
+		discovery.Crashed: "crashed", discovery.Deregistered: "gone"})
 	c.Assert([]string{roleAllocator, StatePath, roleNameAccess, roleNameCore}, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
 }
 
@@ -161,7 +161,7 @@
 	own := &settings.Settings{Name: "core-1", IP: "127.9.31.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.31.1:7402"}
 	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	return New(Config{Settings: own, Hub: hub, Role: membership.Core, Log: log, Seed: 1})
+	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: 1})
 }
 
 // What a core process says of itself over HTTP, and to calls that it does not serve. Ages and what is left of leases are left out.
@@ -213,7 +213,7 @@
 		if err != nil {
 			fmt.Fprintf(&lines, "error: %v\n", err)
 		} else {
-			fmt.Fprintf(&lines, "service %q app %q zone %q slots %d state %d cold %v sequence %d\n", e.Service, e.App, e.Zone, e.Slots, e.State, e.Cold,
+			fmt.Fprintf(&lines, "service %q app %q zone %q slots %d state %d cold %v sequence %d\n", e.Service, e.AppAddress, e.Zone, e.Slots, e.State, e.WarmupRemaining,
 				e.Sequence)
 		}
 		w := httptest.NewRecorder()
@@ -240,15 +240,15 @@
 // What a core process records as events, and how its feed gives them.
 func TestGoldenEvents(t *testing.T) {
 	a := goldenCore(t)
-	a.events.recordMembers([]membership.Member{{Life: 1, Address: "10.1.0.40:7640", Zone: "north-a", Service: "orders"}})
-	a.events.recordMembers([]membership.Member{{Life: 2, Address: "10.1.0.41:7640", Zone: "south-b"}})
-	for _, state := range []discovery.State{discovery.Serving, discovery.Serving, discovery.Draining, discovery.Crashed, discovery.Gone} {
+	a.events.recordMembers([]membership.Member{{Incarnation: 1, Address: "10.1.0.40:7640", Zone: "north-a", Service: "orders"}})
+	a.events.recordMembers([]membership.Member{{Incarnation: 2, Address: "10.1.0.41:7640", Zone: "south-b"}})
+	for _, state := range []discovery.State{discovery.Serving, discovery.Serving, discovery.Draining, discovery.Crashed, discovery.Deregistered} {
 		e := goldenEndpoint()
 		e.State = state
 		a.events.recordEndpoints([]discovery.Endpoint{e})
 	}
 	late := goldenEndpoint()
-	late.ID, late.State = "ep-2", discovery.Gone
+	late.ID, late.State = "ep-2", discovery.Deregistered
 	a.events.recordEndpoints([]discovery.Endpoint{late}) // nobody has heard of it while it served
 	a.events.recordQuotaHit(0, "north")
 	a.events.recordQuotaHit(quotaHitInterval-1, "north")
--- a/internal/mesh/agent/hollow_test.go
+++ b/internal/mesh/agent/hollow_test.go
@@ -37,9 +37,9 @@
 	ip := fmt.Sprintf("127.7.%d.%d", i/250, i%250+1)
 	own := &settings.Settings{Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", InternalPorts: [2]int{7301, 7301},
 		Seeds: seeds, ControlAddress: ip + ":7302"}
-	role := membership.Core
+	role := membership.RoleCore
 	if i >= core {
-		role = membership.Access
+		role = membership.RoleAccess
 		own.ApplicationAddress, own.Service = ip+":8080", fmt.Sprintf("service-%d", i%services)
 	}
 	log := logrus.New()
@@ -48,12 +48,12 @@
 	var known atomic.Bool
 	o := Config{Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
 		OnConfiguration: func(c *configuration.Config) {
-			if role == membership.Access && uint64(c.Version) == h.version.Load() {
+			if role == membership.RoleAccess && uint64(c.Version) == h.version.Load() {
 				h.applied.Add(1)
 			}
 		},
 		OnEndpointsChanged: func(_ string, all []discovery.Endpoint) {
-			if id := h.draining.Load(); role == membership.Access && id != nil {
+			if id := h.draining.Load(); role == membership.RoleAccess && id != nil {
 				for _, e := range all {
 					if e.ID == *id && e.State == discovery.Draining && !known.Swap(true) {
 						h.drained.Add(1)
@@ -68,7 +68,7 @@
 	}
 	go func() { _ = hub.Listen(l) }()
 	ctx, stop := context.WithCancel(context.Background())
-	if role == membership.Access {
+	if role == membership.RoleAccess {
 		go c.NewQuotaClient().Run(ctx)
 	}
 	go c.Run(ctx)
@@ -150,7 +150,7 @@
 			sequence := uint64(0)
 			publish = append(publish, func(s discovery.State) {
 				sequence++
-				c.Publish(discovery.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.config.Settings.Service, App: c.config.Settings.ApplicationAddress,
+				c.Publish(discovery.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.config.Settings.Service, AppAddress: c.config.Settings.ApplicationAddress,
 					Zone: c.config.Settings.Zone, Slots: 8, Sequence: sequence, State: s})
 			})
 			publish[len(publish)-1](discovery.Serving)
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -61,9 +61,9 @@
 		}
 		return x.Int()
 	}
-	e.Service, e.App, e.Zone = text(fieldService), text(fieldAddress), root.Get(fieldZone).String()
+	e.Service, e.AppAddress, e.Zone = text(fieldService), text(fieldAddress), root.Get(fieldZone).String()
 	e.Slots, e.Sequence = int(min(number(fieldSlots), 1<<20)), uint64(number(fieldSequence))
-	if _, _, err := net.SplitHostPort(e.App); err != nil {
+	if _, _, err := net.SplitHostPort(e.AppAddress); err != nil {
 		faults = append(faults, fieldAddress+": wanted one like 10.0.0.4:8080")
 	}
 	switch state := text(fieldState); state {
@@ -78,7 +78,7 @@
 		if err != nil || d < 0 {
 			faults = append(faults, fieldSlowStart+": wanted a time like 1500ms")
 		}
-		e.Cold = min(d, time.Hour)
+		e.WarmupRemaining = min(d, time.Hour)
 	}
 	if len(faults) > 0 {
 		return e, trace.BadParameter("%s", strings.Join(faults, "; "))
@@ -104,7 +104,7 @@
 		a.answerKeepalive(w, q.Context(), local, e)
 	})
 	mux.HandleFunc("POST /endpoints/{id}/deregister", func(w http.ResponseWriter, q *http.Request) {
-		a.answerKeepalive(w, q.Context(), local, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Gone})
+		a.answerKeepalive(w, q.Context(), local, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Deregistered})
 	})
 	if local != nil {
 		transport.Handle(a.config.Hub, methodKeepalive, func(ctx context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
@@ -149,20 +149,20 @@
 // to the homes of the service. It gives the own sidecar's address for later keepalives, if that has taken this one, and tells
 // whether the keepalive was taken.
 func (a *Agent) forwardKeepalive(ctx context.Context, e discovery.Endpoint) (target string, taken bool) {
-	if e.App == "" { // deregistered: only its id is known
+	if e.AppAddress == "" { // deregistered: only its id is known
 		e = a.knownEndpoint(e)
 	}
-	ip, _, err := net.SplitHostPort(e.App)
+	ip, _, err := net.SplitHostPort(e.AppAddress)
 	if err != nil {
 		return "", false
 	}
-	e.Host, e.Lease = a.config.Settings.PeerAddress(ip), forwardedRecordLease
+	e.SidecarAddress, e.LeaseRemaining = a.config.Settings.PeerAddress(ip), forwardedRecordLease
 	if m, ok := a.MemberAt(ip); ok {
-		e.Host, e.HostLife = m.Address, m.Life
+		e.SidecarAddress, e.SidecarIncarnation = m.Address, m.Incarnation
 	}
 	ctx, cancel := context.WithTimeout(ctx, keepaliveForwardTimeout)
 	defer cancel()
-	answer, err := transport.Request[publishRequest](ctx, a.config.Hub, e.Host, methodKeepalive, &publishRequest{Endpoint: e})
+	answer, err := transport.Request[publishRequest](ctx, a.config.Hub, e.SidecarAddress, methodKeepalive, &publishRequest{Endpoint: e})
 	if err == nil && answer.Accepted {
 		_, port, _ := net.SplitHostPort(a.config.Settings.ControlAddress)
 		return net.JoinHostPort(ip, port), true
--- a/internal/mesh/agent/keepalive_test.go
+++ b/internal/mesh/agent/keepalive_test.go
@@ -56,7 +56,7 @@
 	c.Check(callKeepalive(core, "i-1", "keepalive", "draining"), qt.Equals, 200)
 	c.Check(knows(first, "i-1", discovery.Draining), qt.IsTrue, qt.Commentf("the only home in its zone"))
 	c.Check(callKeepalive(core, "i-1", "deregister", ""), qt.Equals, 200)
-	c.Check(knows(first, "i-1", discovery.Gone), qt.IsTrue)
+	c.Check(knows(first, "i-1", discovery.Deregistered), qt.IsTrue)
 
 	h.closers[1]() // the zone of the first is cut off
 	c.Check(callKeepalive(core, "i-3", "keepalive", "draining"), qt.Equals, 503)
@@ -66,23 +66,23 @@
 // What an endpoint is told is taken is known to another machine first: the news outlives the process that took it.
 func TestALeavingEndpointsOwnSidecarWaitsForAnOwner(t *testing.T) {
 	c := qt.New(t)
-	p := discovery.NewPublisher(discovery.Bounds{})
-	e := discovery.Endpoint{ID: "x", Service: "s", App: "a:1", HostLife: 1}
-	c.Check(p.Confirmed("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
-	p.Targets(0, []string{"self"})
+	p := discovery.NewPublisher(discovery.Config{})
+	e := discovery.Endpoint{ID: "x", Service: "s", AppAddress: "a:1", SidecarIncarnation: 1}
+	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
+	p.SetOwners(0, []string{"self"})
 	p.Set(0, e)
-	c.Check(p.Confirmed("x", "self"), qt.IsTrue, qt.Commentf("there is no other home"))
-	p.Targets(0, []string{"self", "one", "two"})
+	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other home"))
+	p.SetOwners(0, []string{"self", "one", "two"})
 	e.State = discovery.Draining
 	p.Set(time.Second, e)
 	edition := uint64(0)
 	for _, s := range p.Tick(time.Second) {
-		edition = s.Endpoint.Edition
+		edition = s.Endpoint.Revision
 	}
-	p.Acked(time.Second, "self", "x", edition)
-	c.Check(p.Confirmed("x", "self"), qt.IsFalse)
-	p.Acked(time.Second, "two", "x", edition)
-	c.Check(p.Confirmed("x", "self"), qt.IsTrue)
-	p.End(2*time.Second, "x", discovery.Gone)
-	c.Check(p.Confirmed("x", "self"), qt.IsFalse, qt.Commentf("its end is newer"))
+	p.Acknowledged(time.Second, "self", "x", edition)
+	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse)
+	p.Acknowledged(time.Second, "two", "x", edition)
+	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue)
+	p.End(2*time.Second, "x", discovery.Deregistered)
+	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse, qt.Commentf("its end is newer"))
 }
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -17,14 +17,14 @@
 func (a *Agent) SetSeeds(addresses []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.view.Seeds(a.config.Hub.Now(), addresses)
+	a.view.SetSeeds(a.config.Hub.Now(), addresses)
 }
 
 // MemberAt is the newest member at an IP address.
 func (a *Agent) MemberAt(ip string) (membership.Member, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.view.At(ip)
+	return a.view.MemberAt(ip)
 }
 
 // Members are the processes that are there, as far as this one knows.
@@ -56,35 +56,35 @@
 
 // mergeShuffle merges a neighbour's view, and the version of the configuration that it holds.
 func (a *Agent) mergeShuffle(s *membership.Shuffle) *membership.Shuffle {
-	if s.From.Life == 0 {
+	if s.From.Incarnation == 0 {
 		return nil
 	}
 	a.mu.Lock()
-	reply, _ := a.view.Take(a.config.Hub.Now(), s)
+	reply, _ := a.view.Receive(a.config.Hub.Now(), s)
 	if reply != nil {
-		reply.Version = a.current.Version
+		reply.ConfigVersion = a.current.Version
 	}
 	a.mu.Unlock()
-	a.learnVersion(s.From.Address, s.Version)
+	a.learnVersion(s.From.Address, s.ConfigVersion)
 	return reply
 }
 
 // updateFromView works out anew what rests on the members, if they have changed: the homes that this process publishes to and
 // subscribes at, and the number of sidecars. The lock is held.
 func (a *Agent) updateFromView(now time.Duration) {
-	if a.handledViewChanges == a.view.Changes()+1 {
+	if a.handledViewChanges == a.view.ChangeCount()+1 {
 		return
 	}
-	a.handledViewChanges = a.view.Changes() + 1
-	if a.config.Role == membership.Access && a.config.Settings.Service != "" {
-		a.publisher.Targets(now, a.publishOwners())
+	a.handledViewChanges = a.view.ChangeCount() + 1
+	if a.config.Role == membership.RoleAccess && a.config.Settings.Service != "" {
+		a.publisher.SetOwners(now, a.publishOwners())
 	}
 	for _, service := range a.wantedServices {
-		var homes []discovery.Home
-		for _, m := range a.view.Homes(service, a.config.Settings.Zone, ownersPerZone+1) {
-			homes = append(homes, discovery.Home{Address: m.Address, Life: m.Life})
+		var homes []discovery.RegistryOwner
+		for _, m := range a.view.RegistryOwners(service, a.config.Settings.Zone, ownersPerZone+1) {
+			homes = append(homes, discovery.RegistryOwner{Address: m.Address, Incarnation: m.Incarnation})
 		}
-		a.subscriptions.Want(now, service, homes)
+		a.subscriptions.SetOwners(now, service, homes)
 	}
 	sidecars := len(accessAddresses(a.view.Members()))
 	if sidecars != a.sidecarCount && a.config.OnSidecarCount != nil {
@@ -119,9 +119,9 @@
 func (a *Agent) publishOwners() (homes []string) {
 	for _, m := range a.ownersOf(a.config.Settings.Service) {
 		homes = append(homes, m.Address)
-		if a.ownerIncarnations[m.Address] != m.Life {
-			a.ownerIncarnations[m.Address] = m.Life
-			a.publisher.Forget(m.Address)
+		if a.ownerIncarnations[m.Address] != m.Incarnation {
+			a.ownerIncarnations[m.Address] = m.Incarnation
+			a.publisher.ForgetOwner(m.Address)
 		}
 	}
 	return homes
@@ -130,7 +130,7 @@
 // ownersOf are the homes of a service in all zones. The lock is held.
 func (a *Agent) ownersOf(service string) (homes []membership.Member) {
 	for _, zone := range a.view.Zones() {
-		homes = append(homes, a.view.Homes(service, zone, ownersPerZone)...)
+		homes = append(homes, a.view.RegistryOwners(service, zone, ownersPerZone)...)
 	}
 	return homes
 }
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -121,9 +121,9 @@
 	if t.allocator != "" && t.failures == 0 {
 		return t.allocator
 	}
-	role := membership.Core
+	role := membership.RoleCore
 	if t.failures%2 == 1 {
-		role = membership.Access
+		role = membership.RoleAccess
 	}
 	members := slices.DeleteFunc(t.agent.Members(), func(m membership.Member) bool {
 		return m.Role != role || m.Address == t.agent.config.Hub.Self().Address
--- a/internal/mesh/agent/quota_client_test.go
+++ b/internal/mesh/agent/quota_client_test.go
@@ -21,7 +21,7 @@
 	log.SetOutput(io.Discard)
 	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.9.2.1:7401"}, time.Now(), 1<<20, log)
 	defer hub.Close()
-	client := New(Config{Settings: &settings.Settings{}, Hub: hub, Role: membership.Access, Log: log}).NewQuotaClient()
+	client := New(Config{Settings: &settings.Settings{}, Hub: hub, Role: membership.RoleAccess, Log: log}).NewQuotaClient()
 	tenant := &configuration.Tenant{Name: "t", Rate: 1000, Burst: 1000}
 	var all sync.WaitGroup
 	stop := make(chan struct{})
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -73,7 +73,7 @@
 )
 
 var stateNames = map[discovery.State]string{discovery.Serving: StateInService, discovery.Draining: StateDraining,
-	discovery.Crashed: StateCrashed, discovery.Gone: StateDeregistered}
+	discovery.Crashed: StateCrashed, discovery.Deregistered: StateDeregistered}
 
 // State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
 // what it holds is the newest, and says so.
@@ -96,14 +96,14 @@
 	s.Version = max(configuration.Version(a.current.Version), newest.Version).String()
 	for _, m := range a.view.Members() {
 		role := roleNameAccess
-		if m.Role == membership.Core {
+		if m.Role == membership.RoleCore {
 			role = roleNameCore
 		}
-		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.Age.Milliseconds()})
+		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.HeartbeatAge.Milliseconds()})
 	}
 	for _, e := range a.registry.All(now) {
-		s.Endpoints = append(s.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.App, e.Host, e.Slots,
-			e.Lease.Round(time.Millisecond).Milliseconds()})
+		s.Endpoints = append(s.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.AppAddress, e.SidecarAddress, e.Slots,
+			e.LeaseRemaining.Round(time.Millisecond).Milliseconds()})
 	}
 	return s
 }
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -60,7 +60,7 @@
 	a.outbound = outbound.New(outbound.Options{Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
 		Seed: p.seed, Bodies: max(int64(bodyShare*float64(p.settings.MemoryMB<<20)), bodiesLeast), Refresh: func(s string) { a.agent.Refresh(s) },
 		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { a.quota.Acquire(t, done) }})
-	a.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.Access, Log: p.log, Seed: p.seed,
+	a.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleAccess, Log: p.log, Seed: p.seed,
 		OnConfiguration: func(c *configuration.Config) { a.outbound.Configure(c) }, OnEndpointsChanged: a.outbound.Told,
 		OnSidecarCount: a.outbound.Sidecars, OnEndpointLeaving: a.leaves})
 	a.inbound.Serve(p.hub)
--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -35,7 +35,7 @@
 	}
 	internal, control := listeners[0], listeners[1]
 	c := &core{process: p, ready: make(chan struct{})}
-	c.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.Core, Log: p.log, Seed: p.seed})
+	c.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleCore, Log: p.log, Seed: p.seed})
 	c.agent.ServeConsensus(c.serveConsensus)
 	p.link(internal)
 	c.server, err = controlplane.Open(controlplane.Options{Self: p.settings.ControlAddress, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
--- a/internal/mesh/assembly/endpoint.go
+++ b/internal/mesh/assembly/endpoint.go
@@ -14,10 +14,10 @@
 func (a *access) Keepalive(e discovery.Endpoint) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if e.State == discovery.Gone {
+	if e.State == discovery.Deregistered {
 		return a.deregistered(e)
 	}
-	if e.App != a.settings.ApplicationAddress {
+	if e.AppAddress != a.settings.ApplicationAddress {
 		return false
 	}
 	life, _ := a.inbound.Life()
@@ -34,11 +34,11 @@
 	if e.ID == life.ID {
 		a.over(e.ID)
 		a.inbound.Tell(life, admission.Gone)
-		a.agent.PublishEnd(e.ID, discovery.Gone)
+		a.agent.PublishEnd(e.ID, discovery.Deregistered)
 		return true
 	}
 	// Of an earlier life, or of one that an earlier process was told of: only the endpoint here calls without an address.
-	if e.App != "" && e.App != a.settings.ApplicationAddress {
+	if e.AppAddress != "" && e.AppAddress != a.settings.ApplicationAddress {
 		return false
 	}
 	a.over(e.ID)
@@ -80,7 +80,7 @@
 	defer a.mu.Unlock()
 	life, state := a.inbound.Life()
 	switch {
-	case e.State == discovery.Gone && (e.ID != life.ID || state != admission.Gone):
+	case e.State == discovery.Deregistered && (e.ID != life.ID || state != admission.Gone):
 		a.deregistered(e)
 	case e.State != discovery.Draining || slices.Contains(a.past, e.ID):
 	case life.ID == "" || e.ID == life.ID && state < admission.Draining:
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -121,7 +121,7 @@
 	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	c := &core{process: &process{settings: own, hub: hub, log: log}, ready: make(chan struct{})}
-	c.agent = agent.New(agent.Config{Settings: own, Hub: hub, Role: membership.Core, Log: log})
+	c.agent = agent.New(agent.Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log})
 	c.agent.ServeConsensus(c.serveConsensus)
 	var err error
 	c.server, err = controlplane.Open(controlplane.Options{Self: own.ControlAddress, Seeds: own.Seeds, InitialStart: true, Folder: own.DataDirectory,
--- a/internal/mesh/assembly/leaving_test.go
+++ b/internal/mesh/assembly/leaving_test.go
@@ -33,8 +33,8 @@
 	c := qt.New(t)
 	start := func() *access { return startAccess(t) }
 	record := func(state discovery.State) discovery.Endpoint {
-		return discovery.Endpoint{ID: "x", Service: "s", App: "127.9.1.1:8103", Host: "127.9.1.1:7401", HostLife: 1, State: state, Slots: 4,
-			Sequence: 5, Edition: 3, Lease: 5 * time.Second}
+		return discovery.Endpoint{ID: "x", Service: "s", AppAddress: "127.9.1.1:8103", SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
+			Sequence: 5, Revision: 3, LeaseRemaining: 5 * time.Second}
 	}
 	state := func(a *access) admission.State {
 		_, s := a.inbound.Life()
@@ -52,12 +52,12 @@
 	c.Check(state(a), qt.Equals, admission.Draining, qt.Commentf("a keepalive that comes late"))
 
 	a = start()
-	told(a, record(discovery.Gone))
+	told(a, record(discovery.Deregistered))
 	c.Assert(a.Keepalive(late), qt.IsTrue)
 	c.Check(state(a), qt.Equals, admission.Unknown, qt.Commentf("a keepalive of a life that is over"))
 
 	a = start()
-	c.Assert(a.Keepalive(discovery.Endpoint{ID: "x", State: discovery.Gone}), qt.IsTrue, qt.Commentf("it deregisters at a new process"))
+	c.Assert(a.Keepalive(discovery.Endpoint{ID: "x", State: discovery.Deregistered}), qt.IsTrue, qt.Commentf("it deregisters at a new process"))
 	c.Assert(a.Keepalive(late), qt.IsTrue)
 	c.Check(state(a), qt.Equals, admission.Unknown)
 
@@ -65,7 +65,7 @@
 	own := record(discovery.Serving)
 	c.Assert(a.Keepalive(own), qt.IsTrue)
 	c.Check(state(a), qt.Equals, admission.Serving, qt.Commentf("its own word"))
-	told(a, record(discovery.Gone))
+	told(a, record(discovery.Deregistered))
 	c.Check(state(a), qt.Equals, admission.Gone, qt.Commentf("it has told another process that it leaves"))
 }
 
@@ -80,9 +80,9 @@
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
-		for sequence, e := range []discovery.Endpoint{{ID: "first"}, {ID: "first", State: discovery.Draining}, {ID: "first", State: discovery.Gone},
+		for sequence, e := range []discovery.Endpoint{{ID: "first"}, {ID: "first", State: discovery.Draining}, {ID: "first", State: discovery.Deregistered},
 			{ID: "second"}, {ID: "second", State: discovery.Draining}, {ID: "third"}, {ID: "third"}} {
-			e.Service, e.App, e.Slots, e.Sequence = "s", a.settings.ApplicationAddress, 4, uint64(sequence)
+			e.Service, e.AppAddress, e.Slots, e.Sequence = "s", a.settings.ApplicationAddress, 4, uint64(sequence)
 			c.Check(a.Keepalive(e), qt.IsTrue)
 		}
 		a.readiness(httptest.NewRecorder(), nil)
@@ -101,11 +101,11 @@
 func TestAnEarlierLifeDoesNotReplaceTheEndpointsOwn(t *testing.T) {
 	c := qt.New(t)
 	a := startAccess(t)
-	own := discovery.Endpoint{ID: "now", Service: "s", App: a.settings.ApplicationAddress, Slots: 4, Sequence: 1}
+	own := discovery.Endpoint{ID: "now", Service: "s", AppAddress: a.settings.ApplicationAddress, Slots: 4, Sequence: 1}
 	c.Assert(a.Keepalive(own), qt.IsTrue)
-	for _, state := range []discovery.State{discovery.Draining, discovery.Gone} {
-		a.agent.ApplyRecord(discovery.Endpoint{ID: "before", Service: "s", App: a.settings.ApplicationAddress, Host: "127.9.1.1:7401", HostLife: 1, State: state, Slots: 4,
-			Sequence: 50, Edition: 3, Lease: 5 * time.Second})
+	for _, state := range []discovery.State{discovery.Draining, discovery.Deregistered} {
+		a.agent.ApplyRecord(discovery.Endpoint{ID: "before", Service: "s", AppAddress: a.settings.ApplicationAddress, SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
+			Sequence: 50, Revision: 3, LeaseRemaining: 5 * time.Second})
 		life, is := a.inbound.Life()
 		c.Check(life.ID, qt.Equals, "now", qt.Commentf("%v", state))
 		c.Check(is, qt.Equals, admission.Serving, qt.Commentf("%v", state))
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -351,7 +351,7 @@
 		s.closers = append(s.closers, l)
 		endpoints = append(endpoints, e)
 		s.inbound.Tell(admission.Life{ID: e.id, Service: "s", Slots: 3}, admission.Serving)
-		known = append(known, discovery.Endpoint{ID: e.id, Service: "s", Host: name + ":7", Zone: "z", State: discovery.Serving, Slots: 3})
+		known = append(known, discovery.Endpoint{ID: e.id, Service: "s", SidecarAddress: name + ":7", Zone: "z", State: discovery.Serving, Slots: 3})
 	}
 	for _, s := range sidecars {
 		s.outbound.Told("s", known)
@@ -442,7 +442,7 @@
 	p.endpoint = e
 	p.b.closers = append(p.b.closers, l)
 	p.b.inbound.Tell(admission.Life{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
-	p.a.outbound.Told("s", []discovery.Endpoint{{ID: "i-b", Service: "s", Host: "b:7", Zone: "z", State: discovery.Serving, Slots: 3}})
+	p.a.outbound.Told("s", []discovery.Endpoint{{ID: "i-b", Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 3}})
 	return p
 }
 
@@ -634,7 +634,7 @@
 	})
 	var known []discovery.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		known = append(known, discovery.Endpoint{ID: id, Service: "s", Host: "b:7", Zone: "z", State: discovery.Serving, Slots: 3})
+		known = append(known, discovery.Endpoint{ID: id, Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 3})
 	}
 	a.outbound.Told("s", known)
 	p := &pair{n: n}
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -131,8 +131,8 @@
 		if e.State == discovery.Draining {
 			entry.State = balancer.Draining
 		}
-		if e.Cold > 0 {
-			entry.Started = now + e.Cold - cold
+		if e.WarmupRemaining > 0 {
+			entry.Started = now + e.WarmupRemaining - cold
 		}
 		l.Entries = append(l.Entries, entry)
 	}
@@ -169,11 +169,11 @@
 	done := func(o *inbound.Outcome) {
 		c.proxy.do(func(now time.Duration) { c.ended(now, a, o) })
 	}
-	if p.Host == c.proxy.o.Hub.Self().Address {
+	if p.SidecarAddress == c.proxy.o.Hub.Self().Address {
 		a.withdraw = c.proxy.o.Inbound.Forward(&forward, r.aim, r.deadline, done)
 		return
 	}
-	call := c.proxy.o.Hub.Send(p.Host, inbound.MethodForward, codec.Write(nil, &forward), r.deadline,
+	call := c.proxy.o.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.Write(nil, &forward), r.deadline,
 		func(body []byte, err error) { done(parseOutcome(body, err)) })
 	a.withdraw = call.Withdraw
 }
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -152,8 +152,8 @@
 		life := fmt.Sprintf("i-%d", i)
 		inboundProxy.Tell(admission.Life{ID: life, Service: "shop", Slots: 8}, admission.Serving)
 		listen(inboundProxy)
-		endpoints = append(endpoints, discovery.Endpoint{ID: life, Service: "shop", App: app.Listener.Addr().String(),
-			Host: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, Lease: time.Hour})
+		endpoints = append(endpoints, discovery.Endpoint{ID: life, Service: "shop", AppAddress: app.Listener.Addr().String(),
+			SidecarAddress: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, LeaseRemaining: time.Hour})
 	}
 	proxy.Told("shop", endpoints)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -74,7 +74,7 @@
 		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second}})
 	if configure {
 		s.proxy.Configure(conf)
-		s.proxy.Told("s", []discovery.Endpoint{{ID: "s-1", Service: "s", Host: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
+		s.proxy.Told("s", []discovery.Endpoint{{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
 		s.proxy.Told("nobody", nil)
 	}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -63,7 +63,7 @@
 	})
 	var known []discovery.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		known = append(known, discovery.Endpoint{ID: id, Service: "s", Host: "b:7", Zone: "z", State: discovery.Serving, Slots: 8})
+		known = append(known, discovery.Endpoint{ID: id, Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 8})
 	}
 	a.outbound.Told("s", known)
 	p := &pair{n: n}
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -19,8 +19,8 @@
 func TestGoldenEndpoint(t *testing.T) {
 	for name, value := range map[string]Endpoint{
 		"endpoint.hex": {
-			ID: "checkout-7", Service: "checkout", Host: "10.1.2.3:7400", HostLife: 0x0123456789abcdef, App: "10.1.2.3:8080",
-			Zone: "zone-a", Slots: 12, State: Crashed, Cold: 2500 * time.Millisecond, Sequence: 4711, Edition: 12, Lease: 9*time.Second + 1,
+			ID: "checkout-7", Service: "checkout", SidecarAddress: "10.1.2.3:7400", SidecarIncarnation: 0x0123456789abcdef, AppAddress: "10.1.2.3:8080",
+			Zone: "zone-a", Slots: 12, State: Crashed, WarmupRemaining: 2500 * time.Millisecond, Sequence: 4711, Revision: 12, LeaseRemaining: 9*time.Second + 1,
 		},
 		"endpoint-empty.hex": {},
 	} {
@@ -35,12 +35,12 @@
 
 // The states are numbers on the wire; one that a newer version may add is read as the worst.
 func TestGoldenStates(t *testing.T) {
-	qt.Check(t, []State{Serving, Draining, Crashed, Gone}, qt.DeepEquals, []State{0, 1, 2, 3})
+	qt.Check(t, []State{Serving, Draining, Crashed, Deregistered}, qt.DeepEquals, []State{0, 1, 2, 3})
 	read := Endpoint{}
-	qt.Assert(t, codec.Read(codec.Write(nil, &Endpoint{State: Gone}), &read), qt.IsNil)
-	qt.Check(t, read.State, qt.Equals, Gone)
+	qt.Assert(t, codec.Read(codec.Write(nil, &Endpoint{State: Deregistered}), &read), qt.IsNil)
+	qt.Check(t, read.State, qt.Equals, Deregistered)
 	qt.Assert(t, codec.Read([]byte{8 << 3, 100}, &read), qt.IsNil)
-	qt.Check(t, read.State, qt.Equals, Gone)
+	qt.Check(t, read.State, qt.Equals, Deregistered)
 }
 
 // schedule plays a publisher for each of three sidecars, a registry at each of three homes and a subscriber, on drawn events, and
@@ -66,19 +66,19 @@
 func newSchedule(seed uint64) *schedule {
 	s := &schedule{
 		rng: rand.New(rand.NewPCG(seed, 7)), sum: sha256.New(), homes: []string{"home-a", "home-b", "home-c"},
-		registries: map[string]*Registry{}, subscribers: map[string]*Subscribers{}, here: New(Bounds{}), asks: NewSubscription(Bounds{}),
+		registries: map[string]*Registry{}, subscribers: map[string]*Subscribers{}, here: NewRegistry(Config{}), asks: NewSubscription(Config{}),
 	}
-	var homes []Home
+	var homes []RegistryOwner
 	for i, h := range s.homes {
-		s.registries[h], s.subscribers[h] = New(Bounds{Tombs: 20}), NewSubscribers(Bounds{})
-		homes = append(homes, Home{Address: h, Life: uint64(i + 1)})
+		s.registries[h], s.subscribers[h] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
+		homes = append(homes, RegistryOwner{Address: h, Incarnation: uint64(i + 1)})
 	}
-	s.asks.Want(0, scheduleService, homes)
+	s.asks.SetOwners(0, scheduleService, homes)
 	for i := range 3 {
-		s.publishers = append(s.publishers, NewPublisher(Bounds{}))
+		s.publishers = append(s.publishers, NewPublisher(Config{}))
 		s.newest = append(s.newest, Endpoint{})
 		s.pausedUntil = append(s.pausedUntil, 0)
-		s.publishers[i].Targets(0, s.homes[:2])
+		s.publishers[i].SetOwners(0, s.homes[:2])
 		s.restart(i)
 	}
 	return s
@@ -95,8 +95,8 @@
 // restart begins a new life of an endpoint.
 func (s *schedule) restart(i int) {
 	s.newest[i] = Endpoint{
-		ID: fmt.Sprintf("%d-%x", i, s.rng.Uint64()), Service: scheduleService, Host: fmt.Sprintf("10.0.0.%d:1", i), HostLife: uint64(i / 2),
-		App: fmt.Sprintf("10.0.0.%d:8080", i/2), Zone: "z", Slots: 1 + s.rng.IntN(8), Cold: time.Duration(s.rng.IntN(3000)) * time.Millisecond,
+		ID: fmt.Sprintf("%d-%x", i, s.rng.Uint64()), Service: scheduleService, SidecarAddress: fmt.Sprintf("10.0.0.%d:1", i), SidecarIncarnation: uint64(i / 2),
+		AppAddress: fmt.Sprintf("10.0.0.%d:8080", i/2), Zone: "z", Slots: 1 + s.rng.IntN(8), WarmupRemaining: time.Duration(s.rng.IntN(3000)) * time.Millisecond,
 		Sequence: 1,
 	}
 	s.publishers[i].Set(s.now, s.newest[i])
@@ -113,17 +113,17 @@
 	case 1:
 		p.End(s.now, e.ID, Crashed)
 	case 2:
-		p.End(s.now, e.ID, Gone)
+		p.End(s.now, e.ID, Deregistered)
 	case 3:
 		e.Sequence++
 		e.State = Draining
 		p.Set(s.now, *e)
 	case 4:
-		p.Forget(home)
-		s.asks.Lost(s.now, home)
-		s.subscribers[home].Lost("caller")
+		p.ForgetOwner(home)
+		s.asks.ConnectionLost(s.now, home)
+		s.subscribers[home].ConnectionLost("caller")
 	case 5:
-		p.Targets(s.now, s.homes[:1+s.rng.IntN(3)])
+		p.SetOwners(s.now, s.homes[:1+s.rng.IntN(3)])
 	case 6:
 		s.now += time.Duration(s.rng.IntN(12)) * time.Second
 	case 7:
@@ -149,28 +149,28 @@
 			}
 			s.note("apply", s.registries[due.To].Apply(s.now, due.Endpoint), s.registries[due.To].Version())
 			if s.rng.IntN(4) > 0 {
-				p.Acked(s.now, due.To, due.Endpoint.ID, due.Endpoint.Edition)
+				p.Acknowledged(s.now, due.To, due.Endpoint.ID, due.Endpoint.Revision)
 			}
-			s.note("confirmed", p.Confirmed(due.Endpoint.ID, s.homes[0]))
+			s.note("confirmed", p.AcknowledgedElsewhere(due.Endpoint.ID, s.homes[0]))
 		}
 	}
 	for _, ask := range s.asks.Tick(s.now) {
-		s.note("ask", ask.To, ask.Life, ask.Service, ask.Since)
+		s.note("ask", ask.To, ask.Incarnation, ask.Service, ask.SinceVersion)
 		if s.rng.IntN(4) == 0 {
 			continue
 		}
-		s.subscribers[ask.To].Hold(s.now, ask.Service, "caller")
-		changed, version, ok := s.registries[ask.To].Since(s.now, ask.Service, ask.Since)
+		s.subscribers[ask.To].Renew(s.now, ask.Service, "caller")
+		changed, version, ok := s.registries[ask.To].ChangedSince(s.now, ask.Service, ask.SinceVersion)
 		s.note("since", version, ok)
 		s.noteEndpoints("changed", changed)
 		for _, e := range changed {
 			s.note("take", s.here.Apply(s.now, e))
 		}
-		s.asks.Got(s.now, Home{Address: ask.To, Life: ask.Life}, ask.Service, version)
+		s.asks.Received(s.now, RegistryOwner{Address: ask.To, Incarnation: ask.Incarnation}, ask.Service, version)
 	}
 }
 
-// step plays half a second.
+// sourceState plays half a second.
 func (s *schedule) step() {
 	s.now += 500 * time.Millisecond
 	if s.rng.IntN(3) == 0 {
@@ -181,13 +181,13 @@
 		changed := s.registries[home].Expire(s.now)
 		s.changes += len(changed)
 		s.noteEndpoints("expired at "+home, changed)
-		s.note("notify", s.subscribers[home].Notify(s.now, scheduleService))
+		s.note("notify", s.subscribers[home].Active(s.now, scheduleService))
 	}
 	s.noteEndpoints("expired here", s.here.Expire(s.now))
 	s.noteEndpoints("list", s.here.List(s.now, scheduleService))
 	s.noteEndpoints("all", s.here.All(s.now))
 	for i := range s.newest {
-		e, ok := s.here.At(s.now, s.newest[i].App)
+		e, ok := s.here.EndpointAt(s.now, s.newest[i].AppAddress)
 		s.note("at", codec.Write(nil, &e), ok)
 	}
 }
--- a/internal/mesh/discovery/membership/entry.go
+++ b/internal/mesh/discovery/membership/entry.go
@@ -8,48 +8,48 @@
 // entry is what this view knows of a live member.
 type entry struct {
 	Member
-	seen      time.Duration // when its heartbeat was new, by the ages that others sent
-	asked     time.Duration // when it was last shuffled with
-	state     state
-	since     time.Duration // of the state
-	timesSent int           // how often it was sent to others since it was news
-
-	doubt   uint64 // highest heartbeat up to which another member took it for lost
-	doubted bool   // it is to be asked for a newer one
-	awaited bool   // by that other member
-	order   uint64 // of arrival
-	mix     uint64 // hash of its life
+	lastSeen      time.Duration // when its heartbeat was new, by the ages that others sent
+	lastContacted time.Duration // when it was last shuffled with
+	state         state
+	stateSince    time.Duration // of the state
+	transmits     int           // how often it was sent to others since it was news
+
+	disputedHeartbeat uint64 // highest heartbeat up to which another member took it for lost
+	probeDue          bool   // it is to be asked for a newer one
+	answerAwaited     bool   // by that other member
+	arrivalOrder      uint64 // of arrival
+	hash              uint64 // hash of its life
 }
 
 // state of an entry; only shift changes it.
 type state uint8
 
 const (
-	fresh     state = iota
-	suspected       // its heartbeat has not advanced for long
-	missed          // a connection to it broke
+	alive       state = iota
+	suspected         // its heartbeat has not advanced for long
+	unreachable       // a connection to it broke
 )
 
-func (e *entry) shift(now time.Duration, to state) {
+func (e *entry) transition(now time.Duration, to state) {
 	if e.state != to {
-		e.state, e.since = to, now
+		e.state, e.stateSince = to, now
 	}
 }
 
-// ended is a life that was dropped. It is taken back if a heartbeat above the remembered one is known. A life that another one
+// tombstoneEntry is a life that was dropped. It is taken back if a heartbeat above the remembered one is known. A life that another one
 // replaced at its address comes back only by a message of its own, or with a heartbeat that is new long after.
-type ended struct {
-	heartbeat uint64
-	address   string
-	replaced  bool
-	at        time.Duration
-	timesSent int
+type tombstoneEntry struct {
+	heartbeat  uint64
+	address    string
+	replaced   bool
+	recordedAt time.Duration
+	transmits  int
 }
 
-func byLife(e *entry, life uint64) int { return cmp.Compare(e.Life, life) }
+func compareIncarnation(e *entry, life uint64) int { return cmp.Compare(e.Incarnation, life) }
 
-// before orders members by the hash of their lives, alike in all views: the first ones of a zone are those that other zones keep,
+// compareHash orders members by the hash of their lives, alike in all views: the first ones of a zone are those that other zones keep,
 // and that can be homes. Roles have no part in it, so that the order is the same where some members of a role are not known.
-func before(a, b *entry) int {
-	return cmp.Or(cmp.Compare(a.mix, b.mix), cmp.Compare(a.Life, b.Life))
+func compareHash(a, b *entry) int {
+	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Incarnation, b.Incarnation))
 }
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -79,7 +79,7 @@
 			silent, since = true, f.cutAt
 		}
 		if silent && f.now-since >= linkSilent {
-			n.Lost(f.now, l.to.self.Address)
+			n.ConnectionLost(f.now, l.to.self.Address)
 			return true
 		}
 		return f.now-l.used > linkIdle
@@ -137,8 +137,8 @@
 
 func (f *fleet) start(address, zone string, role Role) *node {
 	m := member(f.rng.Uint64(), address, zone, 1)
-	m.Role, m.Service, m.App = role, "service-"+address[len(address)-4:len(address)-3], address[:len(address)-1]+"8080"
-	n := &node{View: New(m, Bounds{}, rand.New(rand.NewPCG(f.rng.Uint64(), 0)))}
+	m.Role, m.Service, m.AppAddress = role, "service-"+address[len(address)-4:len(address)-3], address[:len(address)-1]+"8080"
+	n := &node{View: New(m, Config{}, rand.New(rand.NewPCG(f.rng.Uint64(), 0)))}
 	if old := f.nodes[address]; old != nil {
 		old.dead, old.since = true, f.now-linkSilent
 		f.order[slices.Index(f.order, old)] = n
@@ -146,7 +146,7 @@
 		f.order = append(f.order, n)
 	}
 	f.nodes[address] = n
-	n.Seeds(f.now, f.seeds)
+	n.SetSeeds(f.now, f.seeds)
 	f.after(time.Duration(f.rng.IntN(500))*ms, func() { f.tick(n) })
 	return n
 }
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	f.after(max(100*ms, min(n.Next()-f.now, 250*ms)), func() { f.tick(n) })
+	f.after(max(100*ms, min(n.NextTick()-f.now, 250*ms)), func() { f.tick(n) })
 }
 
 func (f *fleet) send(from *node, address string, s *Shuffle) {
@@ -182,7 +182,7 @@
 	if to == nil || to.dead || f.cut(from, to) {
 		f.after(time.Second, func() {
 			if !from.dead {
-				from.Lost(f.now, address)
+				from.ConnectionLost(f.now, address)
 			}
 		})
 		return
@@ -191,14 +191,14 @@
 		f.link(from, to)
 	}
 	if to.frozen { // its pings go unanswered
-		f.after(time.Second, func() { from.Lost(f.now, address) })
+		f.after(time.Second, func() { from.ConnectionLost(f.now, address) })
 	}
 	if from.self.Zone != to.self.Zone {
 		f.across += size
 	}
 	f.after(ms, func() {
 		take := func() {
-			reply, changed := to.Take(f.now, s)
+			reply, changed := to.Receive(f.now, s)
 			if changed {
 				f.changes++
 			}
@@ -232,7 +232,7 @@
 	want := map[string][]uint64{}
 	for _, zone := range zones {
 		for _, n := range f.live(zone) {
-			want[zone] = append(want[zone], n.self.Life)
+			want[zone] = append(want[zone], n.self.Incarnation)
 		}
 		slices.Sort(want[zone])
 	}
@@ -241,8 +241,8 @@
 		var known []uint64
 		for _, m := range n.Members() {
 			if m.Zone == n.self.Zone {
-				known = append(known, m.Life)
-			} else if _, ok := slices.BinarySearch(want[m.Zone], m.Life); !ok {
+				known = append(known, m.Incarnation)
+			} else if _, ok := slices.BinarySearch(want[m.Zone], m.Incarnation); !ok {
 				return false
 			}
 		}
@@ -253,8 +253,8 @@
 		for _, zone := range zones {
 			for _, service := range services {
 				var h []uint64
-				for _, m := range n.Homes(service, zone, 2) {
-					h = append(h, m.Life)
+				for _, m := range n.RegistryOwners(service, zone, 2) {
+					h = append(h, m.Incarnation)
 				}
 				key := zone + " " + service
 				if homes[key] == nil {
@@ -275,12 +275,12 @@
 	for _, zone := range zones {
 		of := f.live(zone)
 		slices.SortFunc(of, func(a, b *node) int {
-			return cmp.Compare(rendezvous.Mix(a.self.Life), rendezvous.Mix(b.self.Life))
+			return cmp.Compare(rendezvous.Mix(a.self.Incarnation), rendezvous.Mix(b.self.Incarnation))
 		})
 		for i, m := range of {
 			for _, n := range f.live("") {
-				if (i < n.bounds.Other || n.self.Zone == zone) && n.members[m.self.Life] != nil {
-					out[[2]uint64{n.self.Life, m.self.Life}] = true
+				if (i < n.config.MaxMembersPerRemoteZone || n.self.Zone == zone) && n.byIncarnation[m.self.Incarnation] != nil {
+					out[[2]uint64{n.self.Incarnation, m.self.Incarnation}] = true
 				}
 			}
 		}
@@ -305,9 +305,9 @@
 		f.seeds = []string{"10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1"}
 		zones := []string{"a", "b", "c", "d"}
 		for i := range 18 {
-			role := Access
+			role := RoleAccess
 			if i < 4 {
-				role = Core
+				role = RoleCore
 			}
 			f.start(fmt.Sprintf("10.0.0.%d:1", i), zones[i%4], role)
 		}
@@ -317,9 +317,9 @@
 		f.bytes, f.changes = 0, 0
 		f.run(8*time.Second, nil)
 		c.Assert(f.bytes < 18*8*1000 && f.changes == 0, qt.IsTrue, qt.Commentf("%d bytes, %d changes while quiet", f.bytes, f.changes))
-		f.start("10.0.0.99:1", "a", Access)
+		f.start("10.0.0.99:1", "a", RoleAccess)
 		worst = max(worst, f.run(5*time.Second, all)-500*ms)
-		f.start("10.0.0.8:1", "a", Access) // restarts
+		f.start("10.0.0.8:1", "a", RoleAccess) // restarts
 		worst = max(worst, f.run(5*time.Second, all)-500*ms)
 		f.run(8*time.Second, nil)
 		killed := f.order[5+seed%13]
@@ -348,9 +348,9 @@
 		services = append(services, fmt.Sprintf("service-%d", i))
 	}
 	for i := range members {
-		role := Access
+		role := RoleAccess
 		if i < 4 {
-			role = Core
+			role = RoleCore
 		}
 		f.start(fmt.Sprintf("10.0.%d.%d:1", i/256, i%256), names[i%zones], role)
 	}
@@ -434,9 +434,9 @@
 					zones = append(zones, fmt.Sprintf("zone-%d", i))
 				}
 				for i := range size[0] {
-					role := Access
+					role := RoleAccess
 					if i < 15 && i*20 < size[0] {
-						role = Core
+						role = RoleCore
 					}
 					f.start(fmt.Sprintf("10.0.%d.%d:1", i/256, i%256), zones[i%size[1]], role)
 				}
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -29,27 +29,27 @@
 
 func goldenMember() Member {
 	return Member{
-		Life: 0x0123456789abcdef, Address: "10.1.2.3:7400", Zone: "zone-a", Region: "north", Role: Core, Service: "checkout",
-		App: "10.1.2.3:8080", Heartbeat: 4711, Seed: true, Age: 2345 * time.Millisecond,
+		Incarnation: 0x0123456789abcdef, Address: "10.1.2.3:7400", Zone: "zone-a", Region: "north", Role: RoleCore, Service: "checkout",
+		AppAddress: "10.1.2.3:8080", Heartbeat: 4711, Seed: true, HeartbeatAge: 2345 * time.Millisecond,
 	}
 }
 
 func goldenShuffle() Shuffle {
 	other := Member{
-		Life: 0xfedcba9876543210, Address: "10.1.2.4:7400", Zone: "zone-b", Region: "south", Role: Access, Service: "basket",
-		App: "10.1.2.4:8080", Heartbeat: 3, Age: time.Millisecond,
+		Incarnation: 0xfedcba9876543210, Address: "10.1.2.4:7400", Zone: "zone-b", Region: "south", Role: RoleAccess, Service: "basket",
+		AppAddress: "10.1.2.4:8080", Heartbeat: 3, HeartbeatAge: time.Millisecond,
 	}
 	return Shuffle{
 		From: goldenMember(), Members: []Member{other, goldenMember()},
-		Gone:  []Gone{{Life: 5, Address: "10.1.2.5:7400", Heartbeat: 60}, {Life: 6, Address: "10.1.2.6:7400", Heartbeat: 1 << 20}},
-		Reply: true, Version: 1234567, Own: 0x1122334455667788, All: 0x8877665544332211, Ages: []byte{0, 1, 254, 255},
-		Doubts: []Gone{{Life: 7, Address: "10.1.2.7:7400", Heartbeat: 99}}, Anew: true,
+		Tombstones: []Tombstone{{Incarnation: 5, Address: "10.1.2.5:7400", Heartbeat: 60}, {Incarnation: 6, Address: "10.1.2.6:7400", Heartbeat: 1 << 20}},
+		Reply:      true, ConfigVersion: 1234567, ZoneDigest: 0x1122334455667788, SharedDigest: 0x8877665544332211, AgreementAges: []byte{0, 1, 254, 255},
+		Unreachable: []Tombstone{{Incarnation: 7, Address: "10.1.2.7:7400", Heartbeat: 99}}, RaiseHeartbeat: true,
 	}
 }
 
 func TestGoldenFrames(t *testing.T) {
 	t.Run("member", func(t *testing.T) { frame(t, "member.hex", goldenMember()) })
-	t.Run("gone", func(t *testing.T) { frame(t, "gone.hex", goldenShuffle().Gone[1]) })
+	t.Run("gone", func(t *testing.T) { frame(t, "gone.hex", goldenShuffle().Tombstones[1]) })
 	t.Run("shuffle", func(t *testing.T) { frame(t, "shuffle.hex", goldenShuffle()) })
 	t.Run("empty shuffle", func(t *testing.T) { frame(t, "shuffle-empty.hex", Shuffle{}) })
 }
@@ -58,15 +58,15 @@
 func TestGoldenAges(t *testing.T) {
 	var text strings.Builder
 	for _, age := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, time.Minute, time.Hour, 2 * time.Hour} {
-		data, read := codec.Write(nil, &Member{Life: 1, Age: age}), Member{}
+		data, read := codec.Write(nil, &Member{Incarnation: 1, HeartbeatAge: age}), Member{}
 		qt.Assert(t, codec.Read(data, &read), qt.IsNil)
-		fmt.Fprintf(&text, "%v %x %v\n", age, data, read.Age)
+		fmt.Fprintf(&text, "%v %x %v\n", age, data, read.HeartbeatAge)
 	}
 	golden.Text(t, "ages.txt", []byte(text.String()))
 }
 
 func TestGoldenRoles(t *testing.T) {
-	qt.Check(t, []Role{Access, Core}, qt.DeepEquals, []Role{0, 1})
+	qt.Check(t, []Role{RoleAccess, RoleCore}, qt.DeepEquals, []Role{0, 1})
 }
 
 // fingerprint is a digest of all frames sent and of all that views say, in order.
@@ -80,14 +80,14 @@
 func (p *fingerprint) step(seed uint64, what string, services []string) {
 	for _, n := range p.f.order {
 		zones := n.Zones()
-		fmt.Fprintln(p.sum, n.dead, n.Changes(), n.Next(), zones)
+		fmt.Fprintln(p.sum, n.dead, n.ChangeCount(), n.NextTick(), zones)
 		for _, m := range n.Members() {
 			p.sum.Write(codec.Write(nil, &m))
 		}
 		for _, zone := range append(zones, "unknown") {
 			for _, service := range services {
-				for _, m := range n.Homes(service, zone, 3) {
-					fmt.Fprint(p.sum, m.Life, " ")
+				for _, m := range n.RegistryOwners(service, zone, 3) {
+					fmt.Fprint(p.sum, m.Incarnation, " ")
 				}
 			}
 		}
@@ -115,9 +115,9 @@
 	f.seeds = []string{"10.0.0.0:1", "10.0.0.1:1"}
 	services := []string{"service-0", "service-1"}
 	for i := range members {
-		role := Access
+		role := RoleAccess
 		if i < 3 {
-			role = Core
+			role = RoleCore
 		}
 		f.start(fmt.Sprintf("10.0.%d.%d:1", i/256, i%256), fmt.Sprintf("zone-%d", i%3), role)
 	}
@@ -130,7 +130,7 @@
 	f.run(6*time.Second, nil)
 	p.step(seed, "one killed, one frozen", services)
 	f.order[members/3].frozen = false
-	f.start(f.order[members/4].self.Address, f.order[members/4].self.Zone, Access)
+	f.start(f.order[members/4].self.Address, f.order[members/4].self.Zone, RoleAccess)
 	f.run(4*time.Second, nil)
 	p.step(seed, "one thawed, one restarted", services)
 	f.cut, f.cutAt = func(a, b *node) bool { return (a.self.Zone == "zone-0") != (b.self.Zone == "zone-0") }, f.now
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -13,27 +13,27 @@
 
 // The roles.
 const (
-	Access Role = iota // a sidecar beside an endpoint
-	Core               // holds the configuration
+	RoleAccess Role = iota // a sidecar beside an endpoint
+	RoleCore               // holds the configuration
 )
 
 // Member is one life of one process.
 type Member struct {
-	Life      uint64 // random, new at each start
-	Address   string // ip:port where its peers reach it
-	Zone      string
-	Region    string
-	Role      Role
-	Service   string // of the endpoint beside it
-	App       string // that endpoint's address
-	Heartbeat uint64 // its own counter, which it raises at each pace
-	Seed      bool
-	Age       time.Duration // how long ago its heartbeat was new, as far as the sender knows
+	Incarnation  uint64 // random, new at each start
+	Address      string // ip:port where its peers reach it
+	Zone         string
+	Region       string
+	Role         Role
+	Service      string // of the endpoint beside it
+	AppAddress   string // that endpoint's address
+	Heartbeat    uint64 // its own counter, which it raises at each pace
+	Seed         bool
+	HeartbeatAge time.Duration // how long ago its heartbeat was new, as far as the sender knows
 }
 
 // Fields names them.
 func (m *Member) Fields(v *codec.Visitor) {
-	v.Fixed(1, &m.Life)
+	v.Fixed(1, &m.Incarnation)
 	v.Text(2, &m.Address)
 	v.Text(3, &m.Zone)
 	v.Text(4, &m.Region)
@@ -41,112 +41,112 @@
 	v.Uint(5, &role)
 	m.Role = Role(role)
 	v.Text(6, &m.Service)
-	v.Text(7, &m.App)
+	v.Text(7, &m.AppAddress)
 	v.Uint(8, &m.Heartbeat)
 	v.Bool(9, &m.Seed)
-	age := uint64((max(m.Age, 0) + time.Millisecond - 1) / time.Millisecond)
+	age := uint64((max(m.HeartbeatAge, 0) + time.Millisecond - 1) / time.Millisecond)
 	v.Uint(10, &age)
 	if v.Reading() {
-		m.Age = time.Duration(min(age, uint64(time.Hour/time.Millisecond))) * time.Millisecond
+		m.HeartbeatAge = time.Duration(min(age, uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
 }
 
-// alike reports whether two records of a life say the same, but for what is newer.
-func alike(a, b Member) bool {
-	a.Heartbeat, a.Age = b.Heartbeat, b.Age
+// sameRecord reports whether two records of a life say the same, but for what is newer.
+func sameRecord(a, b Member) bool {
+	a.Heartbeat, a.HeartbeatAge = b.Heartbeat, b.HeartbeatAge
 	return a == b
 }
 
-// Gone reports that a life ended; it holds while no heartbeat above this one is known.
-type Gone struct {
-	Life      uint64
-	Address   string
-	Heartbeat uint64
+// Tombstones reports that a life ended; it holds while no heartbeat above this one is known.
+type Tombstone struct {
+	Incarnation uint64
+	Address     string
+	Heartbeat   uint64
 }
 
 // Fields names them.
-func (g *Gone) Fields(v *codec.Visitor) {
-	v.Fixed(1, &g.Life)
+func (g *Tombstone) Fields(v *codec.Visitor) {
+	v.Fixed(1, &g.Incarnation)
 	v.Text(2, &g.Address)
 	v.Uint(3, &g.Heartbeat)
 }
 
 // Shuffle is a part of one member's view, for a neighbour.
 type Shuffle struct {
-	From    Member
-	Members []Member
-	Gone    []Gone
-	Reply   bool
-	Version uint64 // newest configuration that the sender holds; this package only carries it
-	Own     uint64 // digest of the sender's zone
-	All     uint64 // and of those that every view is to hold
-	Ages    []byte // for each zone in order, how long ago a member there agreed on its members, in halves of a second
-	Doubts  []Gone // lives that the sender can't reach; a receiver that can has them raise their heartbeats
-	Anew    bool   // the receiver raises its heartbeat
+	From           Member
+	Members        []Member
+	Tombstones     []Tombstone
+	Reply          bool
+	ConfigVersion  uint64      // newest configuration that the sender holds; this package only carries it
+	ZoneDigest     uint64      // digest of the sender's zone
+	SharedDigest   uint64      // and of those that every view is to hold
+	AgreementAges  []byte      // for each zone in order, how long ago a member there agreed on its members, in halves of a second
+	Unreachable    []Tombstone // lives that the sender can't reach; a receiver that can has them raise their heartbeats
+	RaiseHeartbeat bool        // the receiver raises its heartbeat
 }
 
 // Fields names them.
 func (s *Shuffle) Fields(v *codec.Visitor) {
 	v.Message(1, &s.From)
 	codec.Messages(v, 2, &s.Members)
-	codec.Messages(v, 3, &s.Gone)
+	codec.Messages(v, 3, &s.Tombstones)
 	v.Bool(4, &s.Reply)
-	v.Uint(5, &s.Version)
-	v.Fixed(6, &s.Own)
-	v.Fixed(7, &s.All)
-	v.Bytes(8, &s.Ages)
-	codec.Messages(v, 9, &s.Doubts)
-	v.Bool(10, &s.Anew)
+	v.Uint(5, &s.ConfigVersion)
+	v.Fixed(6, &s.ZoneDigest)
+	v.Fixed(7, &s.SharedDigest)
+	v.Bytes(8, &s.AgreementAges)
+	codec.Messages(v, 9, &s.Unreachable)
+	v.Bool(10, &s.RaiseHeartbeat)
 }
 
-// Bounds are the settings; what is zero has its default.
-type Bounds struct {
-	Pace      time.Duration // between two shuffles that are begun here
-	Slow      time.Duration // the same when there has been no news for long and neighbours agree
-	Settle    time.Duration // without news, until shuffles carry no more than digests
-	Far       time.Duration // between two tries of a seed or of one that was dropped, however long ago
-	Rejoin    time.Duration // the same of one that was dropped within RejoinFor
-	RejoinFor time.Duration
-	Suspect   time.Duration // age of a heartbeat from which its member is suspected,
-	Drop      time.Duration // and dropped, if it is of the own zone or there are few others;
-	DropFar   time.Duration // when there are many or it is quiet, news of other zones takes longer, and their own members tell who is gone
-	Grace     time.Duration // from a broken connection until the member is dropped, unless its heartbeat advances
-	Wake      time.Duration // a call of Tick that comes so late means that this process was frozen
-	Own       int           // members kept of the own zone,
-	Other     int           // of each other zone,
-	Cores     int           // and core members
-	Carry     int           // members in a shuffle
-	Told      int           // Gone in a shuffle
-	Dead      int           // lives remembered as ended
-	Watch     int           // members that this one keeps a connection to, in its zone and once more among all
-	Small     int           // fewer others than this: seeds are asked at each pace
+// Config are the settings; what is zero has its default.
+type Config struct {
+	GossipInterval          time.Duration // between two shuffles that are begun here
+	QuietGossipInterval     time.Duration // the same when there has been no news for long and neighbours agree
+	QuietAfter              time.Duration // without news, until shuffles carry no more than digests
+	ReconnectInterval       time.Duration // between two tries of a seed or of one that was dropped, however long ago
+	RecentReconnectInterval time.Duration // the same of one that was dropped within RecentReconnectWindow
+	RecentReconnectWindow   time.Duration
+	SuspicionTimeout        time.Duration // age of a heartbeat from which its member is suspected,
+	FailureTimeout          time.Duration // and dropped, if it is of the own zone or there are few others;
+	RemoteFailureTimeout    time.Duration // when there are many or it is quiet, news of other zones takes longer, and their own members tell who is gone
+	DisconnectGrace         time.Duration // from a broken connection until the member is dropped, unless its heartbeat advances
+	FreezeThreshold         time.Duration // a call of Tick that comes so late means that this process was frozen
+	MaxLocalMembers         int           // members kept of the own zone,
+	MaxMembersPerRemoteZone int           // of each other zone,
+	MaxCoreMembers          int           // and core members
+	MaxMembersPerShuffle    int           // members in a shuffle
+	MaxTombstonesPerShuffle int           // Gone in a shuffle
+	MaxTombstones           int           // lives remembered as ended
+	MonitoredPeers          int           // members that this one keeps a connection to, in its zone and once more among all
+	BootstrapThreshold      int           // fewer others than this: seeds are asked at each pace
 }
 
-// Filled are the bounds with their defaults.
-func (b Bounds) Filled() Bounds {
-	fill(&b.Pace, 500*time.Millisecond)
-	fill(&b.Slow, time.Second)
-	fill(&b.Settle, 3*time.Second)
-	fill(&b.Far, 5*time.Second)
-	fill(&b.Rejoin, time.Second)
-	fill(&b.RejoinFor, 2*time.Minute)
-	fill(&b.Suspect, 6*time.Second)
-	fill(&b.Drop, 10*time.Second)
-	fill(&b.DropFar, 6*b.Drop)
-	fill(&b.Grace, 2*time.Second)
-	fill(&b.Wake, 3*time.Second)
-	fill(&b.Own, 256)
-	fill(&b.Other, 32)
-	fill(&b.Cores, 64)
-	fill(&b.Carry, 40)
-	fill(&b.Told, 16)
-	fill(&b.Dead, 256)
-	fill(&b.Watch, 3)
-	fill(&b.Small, 4)
+// WithDefaults are the bounds with their defaults.
+func (b Config) WithDefaults() Config {
+	setDefault(&b.GossipInterval, 500*time.Millisecond)
+	setDefault(&b.QuietGossipInterval, time.Second)
+	setDefault(&b.QuietAfter, 3*time.Second)
+	setDefault(&b.ReconnectInterval, 5*time.Second)
+	setDefault(&b.RecentReconnectInterval, time.Second)
+	setDefault(&b.RecentReconnectWindow, 2*time.Minute)
+	setDefault(&b.SuspicionTimeout, 6*time.Second)
+	setDefault(&b.FailureTimeout, 10*time.Second)
+	setDefault(&b.RemoteFailureTimeout, 6*b.FailureTimeout)
+	setDefault(&b.DisconnectGrace, 2*time.Second)
+	setDefault(&b.FreezeThreshold, 3*time.Second)
+	setDefault(&b.MaxLocalMembers, 256)
+	setDefault(&b.MaxMembersPerRemoteZone, 32)
+	setDefault(&b.MaxCoreMembers, 64)
+	setDefault(&b.MaxMembersPerShuffle, 40)
+	setDefault(&b.MaxTombstonesPerShuffle, 16)
+	setDefault(&b.MaxTombstones, 256)
+	setDefault(&b.MonitoredPeers, 3)
+	setDefault(&b.BootstrapThreshold, 4)
 	return b
 }
 
-func fill[T comparable](x *T, to T) {
+func setDefault[T comparable](x *T, to T) {
 	var zero T
 	if *x == zero {
 		*x = to
--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -7,34 +7,34 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// Take merges a shuffle. There is a reply to one that is not itself a reply; changed reports whether Members would differ in more
+// Receive merges a shuffle. There is a reply to one that is not itself a reply; changed reports whether Members would differ in more
 // than heartbeats.
-func (v *View) Take(now time.Duration, s *Shuffle) (reply *Shuffle, changed bool) {
-	known := v.members[s.From.Life] != nil
+func (v *View) Receive(now time.Duration, s *Shuffle) (reply *Shuffle, changed bool) {
+	known := v.byIncarnation[s.From.Incarnation] != nil
 	changed = v.mergeMember(now, s.From, true)
-	for i := range s.Gone {
-		changed = v.mergeEnd(now, s.Gone[i]) || changed
+	for i := range s.Tombstones {
+		changed = v.mergeTombstone(now, s.Tombstones[i]) || changed
 	}
 	for i := range s.Members {
 		changed = v.mergeMember(now, s.Members[i], false) || changed
 	}
-	for i := range s.Doubts {
-		v.doubt(now, &s.From, &s.Doubts[i])
+	for i := range s.Unreachable {
+		v.receiveSuspicion(now, &s.From, &s.Unreachable[i])
 	}
-	if s.Anew && !s.Reply {
+	if s.RaiseHeartbeat && !s.Reply {
 		v.self.Heartbeat++
 	}
-	agrees := v.compare(now, s)
-	if !s.Reply && s.From.Life != v.self.Life {
-		reply = v.shuffle(now, s.From.Zone, !known && s.From.Heartbeat < 8, agrees)
+	agrees := v.compareDigests(now, s)
+	if !s.Reply && s.From.Incarnation != v.self.Incarnation {
+		reply = v.newShuffle(now, s.From.Zone, !known && s.From.Heartbeat < 8, agrees)
 		reply.Reply = true
 	}
-	if d, ok := v.endedLives[s.From.Life]; ok && v.members[s.From.Life] == nil { // it is told, and raises its heartbeat above that
-		g := Gone{Life: s.From.Life, Address: s.From.Address, Heartbeat: d.heartbeat}
+	if d, ok := v.tombstones[s.From.Incarnation]; ok && v.byIncarnation[s.From.Incarnation] == nil { // it is told, and raises its heartbeat above that
+		g := Tombstone{Incarnation: s.From.Incarnation, Address: s.From.Address, Heartbeat: d.heartbeat}
 		if reply != nil {
-			reply.Gone = append(reply.Gone, g)
-		} else if len(v.contradicted) < v.bounds.Told {
-			v.contradicted = append(v.contradicted, g)
+			reply.Tombstones = append(reply.Tombstones, g)
+		} else if len(v.reappeared) < v.config.MaxTombstonesPerShuffle {
+			v.reappeared = append(v.reappeared, g)
 		}
 	}
 	return reply, changed
@@ -42,159 +42,159 @@
 
 // mergeMember merges a member's record, sent by itself (direct) or by another member.
 func (v *View) mergeMember(now time.Duration, m Member, direct bool) (changed bool) {
-	age := max(m.Age, 0)
+	age := max(m.HeartbeatAge, 0)
 	if direct {
 		age = 0
 	}
-	if m.Life == 0 || m.Life == v.self.Life || m.Address == "" || m.Address == v.self.Address || age >= v.patience(&m) {
+	if m.Incarnation == 0 || m.Incarnation == v.self.Incarnation || m.Address == "" || m.Address == v.self.Address || age >= v.failureTimeout(&m) {
 		return false
 	}
-	m.Age = 0
+	m.HeartbeatAge = 0
 	seen := now - age
-	if d, dead := v.endedLives[m.Life]; dead && (m.Heartbeat <= d.heartbeat || d.replaced && !direct && seen < d.at+v.bounds.Drop) {
+	if d, dead := v.tombstones[m.Incarnation]; dead && (m.Heartbeat <= d.heartbeat || d.replaced && !direct && seen < d.recordedAt+v.config.FailureTimeout) {
 		return false
 	}
-	if e := v.members[m.Life]; e != nil {
-		return v.update(now, seen, e, m, direct)
+	if e := v.byIncarnation[m.Incarnation]; e != nil {
+		return v.updateMember(now, seen, e, m, direct)
 	}
-	if old := v.at[m.Address]; old != nil {
+	if old := v.byAddress[m.Address]; old != nil {
 		// Ages arrive too low by the time under way, so that a life that ended may seem a little newer.
-		if !direct && seen < old.seen+v.bounds.Pace {
+		if !direct && seen < old.lastSeen+v.config.GossipInterval {
 			return false
 		}
-		v.replace(now, old, direct)
-	} else if !v.room(&m) {
+		v.replaceMember(now, old, direct)
+	} else if !v.ensureCapacity(&m) {
 		return false
 	}
-	v.insert(now, seen, m)
+	v.addMember(now, seen, m)
 	return true
 }
 
-// update merges a record of a member that is known.
-func (v *View) update(now, seen time.Duration, e *entry, m Member, direct bool) (changed bool) {
+// updateMember merges a record of a member that is known.
+func (v *View) updateMember(now, seen time.Duration, e *entry, m Member, direct bool) (changed bool) {
 	switch {
 	case m.Heartbeat < e.Heartbeat:
 		return false
 	case m.Heartbeat == e.Heartbeat && direct:
-		e.seen = now
+		e.lastSeen = now
 		return false
 	case m.Heartbeat == e.Heartbeat:
-		e.seen = min(e.seen, seen)
+		e.lastSeen = min(e.lastSeen, seen)
 		return false
 	case e.Address != m.Address:
 		return false // a life has one address
 	}
-	if changed = !alike(e.Member, m); changed {
+	if changed = !sameRecord(e.Member, m); changed {
 		v.invalidate()
 	}
-	if e.awaited && e.doubt < m.Heartbeat {
-		e.awaited, e.timesSent = false, 0
-		v.noteNews(now, &v.news)
+	if e.answerAwaited && e.disputedHeartbeat < m.Heartbeat {
+		e.answerAwaited, e.transmits = false, 0
+		v.noteUpdate(now, &v.lastUpdate)
 	}
-	e.Member, e.seen = m, max(e.seen, seen)
-	e.shift(now, fresh)
+	e.Member, e.lastSeen = m, max(e.lastSeen, seen)
+	e.transition(now, alive)
 	return changed
 }
 
-// replace drops a life because another one is at its address.
-func (v *View) replace(now time.Duration, old *entry, direct bool) {
+// replaceMember drops a life because another one is at its address.
+func (v *View) replaceMember(now time.Duration, old *entry, direct bool) {
 	v.remove(old)
-	d := ended{heartbeat: old.Heartbeat, address: old.Address, replaced: true}
+	d := tombstoneEntry{heartbeat: old.Heartbeat, address: old.Address, replaced: true}
 	if direct {
-		d.heartbeat += replacedMargin
+		d.heartbeat += replacedHeartbeatMargin
 	}
-	v.rememberEnd(now, old.Life, d)
+	v.addTombstone(now, old.Incarnation, d)
 }
 
-// insert adds a new member.
-func (v *View) insert(now, seen time.Duration, m Member) {
-	v.forgetEnd(m.Life)
-	v.arrived++
-	v.noteNews(now, &v.news)
+// addMember adds a new member.
+func (v *View) addMember(now, seen time.Duration, m Member) {
+	v.deleteTombstone(m.Incarnation)
+	v.arrivals++
+	v.noteUpdate(now, &v.lastUpdate)
 	asked := -time.Hour + time.Duration(v.rng.IntN(int(time.Minute))) // long ago, in random order
-	e := &entry{Member: m, mix: rendezvous.Mix(m.Life), seen: seen, order: v.arrived, asked: asked}
-	v.members[m.Life], v.at[m.Address] = e, e
-	i, _ := slices.BinarySearchFunc(v.all, m.Life, byLife)
-	v.all = slices.Insert(v.all, i, e)
+	e := &entry{Member: m, hash: rendezvous.Mix(m.Incarnation), lastSeen: seen, arrivalOrder: v.arrivals, lastContacted: asked}
+	v.byIncarnation[m.Incarnation], v.byAddress[m.Address] = e, e
+	i, _ := slices.BinarySearchFunc(v.entries, m.Incarnation, compareIncarnation)
+	v.entries = slices.Insert(v.entries, i, e)
 	v.invalidate()
-	i, _ = slices.BinarySearchFunc(v.ring, e, before)
-	v.ring = slices.Insert(v.ring, i, e)
-	v.Place(m.Zone, m.Region)
-	v.former = slices.DeleteFunc(v.former, func(f former) bool { return f.address == m.Address })
+	i, _ = slices.BinarySearchFunc(v.hashOrder, e, compareHash)
+	v.hashOrder = slices.Insert(v.hashOrder, i, e)
+	v.SetRegion(m.Zone, m.Region)
+	v.departed = slices.DeleteFunc(v.departed, func(f departedMember) bool { return f.address == m.Address })
 }
 
-// room reports whether there is room for a new member; in another zone the last one by before gives way to one that precedes it.
-func (v *View) room(m *Member) bool {
+// ensureCapacity reports whether there is room for a new member; in another zone the last one by before gives way to one that precedes it.
+func (v *View) ensureCapacity(m *Member) bool {
 	n, last := 0, (*entry)(nil)
-	for _, e := range v.all {
-		if e.Role == m.Role && (m.Role == Core || e.Zone == m.Zone) {
+	for _, e := range v.entries {
+		if e.Role == m.Role && (m.Role == RoleCore || e.Zone == m.Zone) {
 			n++
-			if last == nil || before(last, e) < 0 {
+			if last == nil || compareHash(last, e) < 0 {
 				last = e
 			}
 		}
 	}
 	switch {
-	case m.Role == Core:
-		return n < v.bounds.Cores
+	case m.Role == RoleCore:
+		return n < v.config.MaxCoreMembers
 	case m.Zone == v.self.Zone:
-		return n < v.bounds.Own
-	case n < v.bounds.Other:
+		return n < v.config.MaxLocalMembers
+	case n < v.config.MaxMembersPerRemoteZone:
 		return true
-	case before(&entry{Member: *m, mix: rendezvous.Mix(m.Life)}, last) > 0:
+	case compareHash(&entry{Member: *m, hash: rendezvous.Mix(m.Incarnation)}, last) > 0:
 		return false
 	}
 	v.remove(last)
 	return true
 }
 
-// mergeEnd merges the end of a life.
-func (v *View) mergeEnd(now time.Duration, g Gone) bool {
-	if g.Life == v.self.Life {
+// mergeTombstone merges the end of a life.
+func (v *View) mergeTombstone(now time.Duration, g Tombstone) bool {
+	if g.Incarnation == v.self.Incarnation {
 		if v.self.Heartbeat <= g.Heartbeat {
 			v.self.Heartbeat = g.Heartbeat + 1
-			v.noteNews(now, &v.news)
+			v.noteUpdate(now, &v.lastUpdate)
 		}
 		return false
 	}
-	e := v.members[g.Life]
+	e := v.byIncarnation[g.Incarnation]
 	if e != nil && e.Heartbeat > g.Heartbeat {
-		if e.doubt < g.Heartbeat && e.state == fresh { // either the end is old news or the heartbeat is
-			e.doubt, e.doubted, e.awaited = g.Heartbeat, true, false
+		if e.disputedHeartbeat < g.Heartbeat && e.state == alive { // either the end is old news or the heartbeat is
+			e.disputedHeartbeat, e.probeDue, e.answerAwaited = g.Heartbeat, true, false
 		}
 		return false
 	}
-	v.rememberEnd(now, g.Life, ended{heartbeat: g.Heartbeat, address: g.Address})
+	v.addTombstone(now, g.Incarnation, tombstoneEntry{heartbeat: g.Heartbeat, address: g.Address})
 	if e != nil {
-		v.drop(now, e)
-		v.ended = now
-		v.noteNews(now, &v.news)
+		v.depart(now, e)
+		v.lastRemoval = now
+		v.noteUpdate(now, &v.lastUpdate)
 	}
 	return e != nil
 }
 
-func (v *View) rememberEnd(now time.Duration, life uint64, d ended) {
-	old, known := v.endedLives[life]
+func (v *View) addTombstone(now time.Duration, life uint64, d tombstoneEntry) {
+	old, known := v.tombstones[life]
 	if !known {
-		v.endedOrder = append(v.endedOrder, life)
-		if len(v.endedOrder) > v.bounds.Dead {
-			delete(v.endedLives, v.endedOrder[0])
-			v.endedOrder = slices.Delete(v.endedOrder, 0, 1)
+		v.tombstoneOrder = append(v.tombstoneOrder, life)
+		if len(v.tombstoneOrder) > v.config.MaxTombstones {
+			delete(v.tombstones, v.tombstoneOrder[0])
+			v.tombstoneOrder = slices.Delete(v.tombstoneOrder, 0, 1)
 		}
-		d.at = now
+		d.recordedAt = now
 	} else {
-		d.at, d.timesSent = old.at, old.timesSent
+		d.recordedAt, d.transmits = old.recordedAt, old.transmits
 		if d.heartbeat > old.heartbeat {
-			d.at = now
+			d.recordedAt = now
 		}
 		d.heartbeat, d.replaced = max(d.heartbeat, old.heartbeat), d.replaced || old.replaced
 	}
-	v.endedLives[life] = d
+	v.tombstones[life] = d
 }
 
-func (v *View) forgetEnd(life uint64) {
-	delete(v.endedLives, life)
-	if i := slices.Index(v.endedOrder, life); i >= 0 {
-		v.endedOrder = slices.Delete(v.endedOrder, i, i+1)
+func (v *View) deleteTombstone(life uint64) {
+	delete(v.tombstones, life)
+	if i := slices.Index(v.tombstoneOrder, life); i >= 0 {
+		v.tombstoneOrder = slices.Delete(v.tombstoneOrder, i, i+1)
 	}
 }
--- a/internal/mesh/discovery/membership/quiet.go
+++ b/internal/mesh/discovery/membership/quiet.go
@@ -9,76 +9,78 @@
 // with a member of a zone takes that zone's members for alive: each of them is watched by a few others over connections that are
 // kept, and one that loses such a connection asks other members, and then spreads the end as news.
 
-// replacedMargin is added to the heartbeat of a life when the life that replaced it at its address has sent a message itself.
-const replacedMargin = 1 << 20
-
-// quiet is what a view knows of agreement.
-type quiet struct {
-	agreed    time.Duration            // last time a neighbour's digests were the own ones; 0 for never
-	differed  time.Duration            // last time they were not, or a connection broke
-	confirmed map[string]time.Duration // when a zone's members were last known to agree, by zone
-	known     bool                     // what follows is as the members are now
-	own, all  uint64
-	zones     []string
-	watched   []*entry
-	turn      int
-	changes   uint64
+// replacedHeartbeatMargin is added to the heartbeat of a life when the life that replaced it at its address has sent a message itself.
+const replacedHeartbeatMargin = 1 << 20
+
+// agreement is what a view knows of agreement.
+type agreement struct {
+	lastAgreed               time.Duration            // last time a neighbour's digests were the own ones; 0 for never
+	lastDiffered             time.Duration            // last time they were not, or a connection broke
+	zoneAgreedAt             map[string]time.Duration // when a zone's members were last known to agree, by zone
+	current                  bool                     // what follows is as the members are now
+	zoneDigest, sharedDigest uint64
+	zones                    []string
+	monitored                []*entry
+	monitorTurn              int
+	changeCount              uint64
 }
 
-func newQuiet() quiet { return quiet{confirmed: map[string]time.Duration{}, differed: -time.Hour} }
+func newAgreement() agreement {
+	return agreement{zoneAgreedAt: map[string]time.Duration{}, lastDiffered: -time.Hour}
+}
 
-// noteNews notes news at one of the view's times; the first news after a while is sent at once.
-func (v *View) noteNews(now time.Duration, what *time.Duration) {
-	if v.calm(now) || what == &v.news && now-v.news > v.bounds.Pace && now-v.paced > v.bounds.Pace/4 {
-		v.next = min(v.next, now)
+// noteUpdate notes news at one of the view's times; the first news after a while is sent at once.
+func (v *View) noteUpdate(now time.Duration, what *time.Duration) {
+	if v.isQuiet(now) || what == &v.lastUpdate && now-v.lastUpdate > v.config.GossipInterval && now-v.lastGossip > v.config.GossipInterval/4 {
+		v.nextGossip = min(v.nextGossip, now)
 	}
 	*what = now
 }
 
-// calm reports whether there has been no news for a while.
-func (v *View) calm(now time.Duration) bool {
-	return v.quiet.agreed != 0 && now-v.quiet.agreed < v.bounds.Drop && now-max(v.news, v.quiet.differed) >= v.bounds.Settle &&
-		!slices.ContainsFunc(v.all, func(e *entry) bool { return e.state == missed })
+// isQuiet reports whether there has been no news for a while.
+func (v *View) isQuiet(now time.Duration) bool {
+	return v.agreement.lastAgreed != 0 && now-v.agreement.lastAgreed < v.config.FailureTimeout && now-max(v.lastUpdate, v.agreement.lastDiffered) >= v.config.QuietAfter &&
+		!slices.ContainsFunc(v.entries, func(e *entry) bool { return e.state == unreachable })
 }
 
-// pace is the time between two shuffles; it grows with the time since the last news.
-func (v *View) pace(now time.Duration) time.Duration {
-	if !v.calm(now) {
-		return v.bounds.Pace
+// gossipInterval is the time between two shuffles; it grows with the time since the last news.
+func (v *View) gossipInterval(now time.Duration) time.Duration {
+	if !v.isQuiet(now) {
+		return v.config.GossipInterval
 	}
-	return max(v.bounds.Pace, min(v.bounds.Slow, (now-max(v.news, v.quiet.differed))/4))
+	return max(v.config.GossipInterval, min(v.config.QuietGossipInterval, (now-max(v.lastUpdate, v.agreement.lastDiffered))/4))
 }
 
-// first is the member to shuffle with first: while calm, watched members in turn with all others.
-func (v *View) first(now time.Duration) *entry {
-	if v.calm(now) {
-		v.derive()
-		if v.quiet.turn++; v.quiet.turn%2 == 0 && len(v.quiet.watched) > 0 {
-			return v.quiet.watched[v.quiet.turn/2%len(v.quiet.watched)]
+// firstPeer is the member to shuffle with first: while calm, watched members in turn with all others.
+func (v *View) firstPeer(now time.Duration) *entry {
+	if v.isQuiet(now) {
+		v.refreshAgreement()
+		if v.agreement.monitorTurn++; v.agreement.monitorTurn%2 == 0 && len(v.agreement.monitored) > 0 {
+			return v.agreement.monitored[v.agreement.monitorTurn/2%len(v.agreement.monitored)]
 		}
 	}
-	return v.neighbour(fresh)
+	return v.leastRecentPeer(alive)
 }
 
-// derive works out what depends on who is there.
-func (v *View) derive() {
-	q := &v.quiet
-	if q.known {
+// refreshAgreement works out what depends on who is there.
+func (v *View) refreshAgreement() {
+	q := &v.agreement
+	if q.current {
 		return
 	}
-	q.known, q.own, q.all, q.zones, q.watched = true, 0, 0, q.zones[:0], nil
-	zone, all, zones := []*entry{}, v.candidates(), map[string]bool{}
+	q.current, q.zoneDigest, q.sharedDigest, q.zones, q.monitored = true, 0, 0, q.zones[:0], nil
+	zone, all, zones := []*entry{}, v.eligibleOwners(), map[string]bool{}
 	for _, e := range all {
-		if e.Role != Core {
-			q.all += e.mix
+		if e.Role != RoleCore {
+			q.sharedDigest += e.hash
 		}
 	}
-	for _, e := range v.ring {
-		if e.Role == Core {
-			q.all += e.mix
+	for _, e := range v.hashOrder {
+		if e.Role == RoleCore {
+			q.sharedDigest += e.hash
 		}
 		if e.Zone == v.self.Zone {
-			q.own += e.mix
+			q.zoneDigest += e.hash
 			zone = append(zone, e)
 		}
 		if !zones[e.Zone] {
@@ -87,112 +89,112 @@
 		}
 	}
 	slices.Sort(q.zones)
-	v.watch(zone)
-	v.watch(all)
+	v.addMonitored(zone)
+	v.addMonitored(all)
 }
 
 // invalidate has what depends on the members worked out anew.
 func (v *View) invalidate() {
-	v.ranked, v.quiet.known = nil, false
-	v.quiet.changes++
+	v.eligible, v.agreement.current = nil, false
+	v.agreement.changeCount++
 }
 
-// watch takes those that follow this process in a ring.
-func (v *View) watch(ring []*entry) {
-	i := slices.IndexFunc(ring, func(e *entry) bool { return e.Life == v.self.Life })
-	for n := 1; i >= 0 && n <= min(v.bounds.Watch, len(ring)-1); n++ {
-		if e := ring[(i+n)%len(ring)]; !slices.Contains(v.quiet.watched, e) {
-			v.quiet.watched = append(v.quiet.watched, e)
+// addMonitored takes those that follow this process in a ring.
+func (v *View) addMonitored(ring []*entry) {
+	i := slices.IndexFunc(ring, func(e *entry) bool { return e.Incarnation == v.self.Incarnation })
+	for n := 1; i >= 0 && n <= min(v.config.MonitoredPeers, len(ring)-1); n++ {
+		if e := ring[(i+n)%len(ring)]; !slices.Contains(v.agreement.monitored, e) {
+			v.agreement.monitored = append(v.agreement.monitored, e)
 		}
 	}
 }
 
 // digests are sums over lives: of the own zone, and of those that every view is to hold.
 func (v *View) digests() (own, all uint64) {
-	v.derive()
-	return v.quiet.own, v.quiet.all
+	v.refreshAgreement()
+	return v.agreement.zoneDigest, v.agreement.sharedDigest
 }
 
-// seen is when a member was last known to be alive, by its heartbeat or by agreement in its zone.
-func (v *View) seen(e *entry) time.Duration {
-	if at, ok := v.quiet.confirmed[e.Zone]; ok && e.state != missed {
-		return max(e.seen, at)
+// lastSeen is when a member was last known to be alive, by its heartbeat or by agreement in its zone.
+func (v *View) lastKnownAlive(e *entry) time.Duration {
+	if at, ok := v.agreement.zoneAgreedAt[e.Zone]; ok && e.state != unreachable {
+		return max(e.lastSeen, at)
 	}
-	return e.seen
+	return e.lastSeen
 }
 
-// ages are of the zones in order; at 255 it is not known.
-func (v *View) ages(now time.Duration) []byte {
-	v.derive()
-	out := make([]byte, len(v.quiet.zones))
-	for i, zone := range v.quiet.zones {
+// agreementAges are of the zones in order; at 255 it is not known.
+func (v *View) agreementAges(now time.Duration) []byte {
+	v.refreshAgreement()
+	out := make([]byte, len(v.agreement.zones))
+	for i, zone := range v.agreement.zones {
 		out[i] = 255
-		if at, ok := v.quiet.confirmed[zone]; ok {
+		if at, ok := v.agreement.zoneAgreedAt[zone]; ok {
 			out[i] = byte(min(255, (now-at+499*time.Millisecond)/(500*time.Millisecond)))
 		}
 	}
 	return out
 }
 
-// compare reports whether a neighbour knows the same lives; these are then taken for alive.
-func (v *View) compare(now time.Duration, s *Shuffle) bool {
+// compareDigests reports whether a neighbour knows the same lives; these are then taken for alive.
+func (v *View) compareDigests(now time.Duration, s *Shuffle) bool {
 	own, all := v.digests()
-	if s.All != all || s.From.Zone == v.self.Zone && s.Own != own {
-		if e := v.members[s.From.Life]; e != nil && s.Reply && v.calm(now) {
-			e.asked = -time.Hour // what was sent was brief: it is told next what it lacks
+	if s.SharedDigest != all || s.From.Zone == v.self.Zone && s.ZoneDigest != own {
+		if e := v.byIncarnation[s.From.Incarnation]; e != nil && s.Reply && v.isQuiet(now) {
+			e.lastContacted = -time.Hour // what was sent was brief: it is told next what it lacks
 		}
-		v.noteNews(now, &v.quiet.differed)
+		v.noteUpdate(now, &v.agreement.lastDiffered)
 		return false
 	}
-	q := &v.quiet
-	q.agreed = now
+	q := &v.agreement
+	q.lastAgreed = now
 	for i, zone := range q.zones {
-		at, ok := q.confirmed[zone]
+		at, ok := q.zoneAgreedAt[zone]
 		switch {
 		case zone == s.From.Zone:
-			q.confirmed[zone] = now
-		case zone != v.self.Zone && len(s.Ages) == len(q.zones) && s.Ages[i] < 255:
-			if told := now - time.Duration(s.Ages[i])*500*time.Millisecond; !ok || told > at {
-				q.confirmed[zone] = told
+			q.zoneAgreedAt[zone] = now
+		case zone != v.self.Zone && len(s.AgreementAges) == len(q.zones) && s.AgreementAges[i] < 255:
+			if told := now - time.Duration(s.AgreementAges[i])*500*time.Millisecond; !ok || told > at {
+				q.zoneAgreedAt[zone] = told
 			}
 		}
 	}
 	return true
 }
 
-// doubts are those that this process can't reach.
-func (v *View) doubts() (out []Gone) {
-	for _, e := range v.all {
-		if e.state == missed && len(out) < v.bounds.Told {
-			out = append(out, Gone{Life: e.Life, Address: e.Address, Heartbeat: e.Heartbeat})
+// unreachableMembers are those that this process can't reach.
+func (v *View) unreachableMembers() (out []Tombstone) {
+	for _, e := range v.entries {
+		if e.state == unreachable && len(out) < v.config.MaxTombstonesPerShuffle {
+			out = append(out, Tombstone{Incarnation: e.Incarnation, Address: e.Address, Heartbeat: e.Heartbeat})
 		}
 	}
 	return out
 }
 
-// doubt takes note that another member can't reach a life: the life is asked, and its answer is news for that member.
-func (v *View) doubt(_ time.Duration, who *Member, d *Gone) {
-	if d.Life == v.self.Life {
+// disputedHeartbeat takes note that another member can't reach a life: the life is asked, and its answer is news for that member.
+func (v *View) receiveSuspicion(_ time.Duration, who *Member, d *Tombstone) {
+	if d.Incarnation == v.self.Incarnation {
 		v.self.Heartbeat = max(v.self.Heartbeat, d.Heartbeat+1)
 		return
 	}
-	e := v.members[d.Life]
-	if e == nil || e.state == missed {
+	e := v.byIncarnation[d.Incarnation]
+	if e == nil || e.state == unreachable {
 		return
 	}
 	switch {
 	case e.Heartbeat > d.Heartbeat:
-		e.timesSent = 0
-	case e.doubt < d.Heartbeat:
-		e.doubt, e.doubted, e.awaited = d.Heartbeat, true, true
+		e.transmits = 0
+	case e.disputedHeartbeat < d.Heartbeat:
+		e.disputedHeartbeat, e.probeDue, e.answerAwaited = d.Heartbeat, true, true
 	}
-	if w := v.members[who.Life]; w != nil {
-		w.asked = -time.Hour
+	if w := v.byIncarnation[who.Incarnation]; w != nil {
+		w.lastContacted = -time.Hour
 	}
 }
 
-// possibleHeartbeats is more than a lost member can have raised its heartbeat by, unheard of here, before it was lost: members
+// heartbeatMargin is more than a lost member can have raised its heartbeat by, unheard of here, before it was lost: members
 // that heard so take its end too. If it is alive, it raises its heartbeat above that as soon as it hears of its end.
-func (v *View) possibleHeartbeats(e *entry) uint64 {
-	return uint64(8 * max(e.since-e.seen, 0) / v.bounds.Pace)
+func (v *View) heartbeatMargin(e *entry) uint64 {
+	return uint64(8 * max(e.stateSince-e.lastSeen, 0) / v.config.GossipInterval)
 }
--- a/internal/mesh/discovery/membership/rejoin_test.go
+++ b/internal/mesh/discovery/membership/rejoin_test.go
@@ -11,7 +11,7 @@
 // Machines are cut off for twenty seconds, during which a new configuration comes in force on the other side. Shuffles carry its
 // version: how long after the cut all know it, by shuffles alone.
 func TestVersionAfterACut(t *testing.T) {
-	core := func(n *node) bool { return n.self.Role == Core }
+	core := func(n *node) bool { return n.self.Role == RoleCore }
 	cuts := map[string]func(first, a, b *node) bool{
 		"one core machine, from all":      func(first, a, b *node) bool { return a == first || b == first },
 		"one core machine, from the core": func(first, a, b *node) bool { return core(a) && core(b) && (a == first || b == first) },
@@ -26,9 +26,9 @@
 			f := newFleet(t, seed)
 			f.seeds = []string{"10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1"}
 			for i := range 15 {
-				role := Access
+				role := RoleAccess
 				if i < 3 {
-					role = Core
+					role = RoleCore
 				}
 				f.start(fmt.Sprintf("10.0.0.%d:1", i), fmt.Sprintf("zone-%d", i%3), role)
 			}
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -9,51 +9,51 @@
 // record is what a registry holds of one life.
 type record struct {
 	Endpoint
-	lease, cold time.Duration // their ends
-	renewed     time.Duration
-	ended       time.Duration // when it came to be Gone or Crashed
-	drained     bool          // a draining mark was seen in this life
-	gone        bool          // and its end
-	tomb        bool          // it is in tombs
-	absent      bool          // its lease ran out here, or another life at its address is renewed and it is not
-	version     uint64        // of the registry at its last change or renewal
-}
-
-// shown is the state that others see.
-func (p *record) shown() State {
+	leaseEnd, warmupEnd time.Duration // their ends
+	renewedAt           time.Duration
+	endedAt             time.Duration // when it came to be Gone or Crashed
+	drainSeen           bool          // a draining mark was seen in this life
+	deregistered        bool          // and its end
+	inTombstones        bool          // it is in tombs
+	expired             bool          // its lease ran out here, or another life at its address is renewed and it is not
+	version             uint64        // of the registry at its last change or renewal
+}
+
+// effectiveState is the state that others see.
+func (p *record) effectiveState() State {
 	switch {
-	case p.gone:
-		return Gone
-	case p.State < Crashed && p.absent:
+	case p.deregistered:
+		return Deregistered
+	case p.State < Crashed && p.expired:
 		return Crashed
-	case p.State == Serving && p.drained:
+	case p.State == Serving && p.drainSeen:
 		return Draining
 	}
 	return p.State
 }
 
-// current is the record as it is sent now.
-func (p *record) current(now time.Duration) Endpoint {
+// snapshot is the record as it is sent now.
+func (p *record) snapshot(now time.Duration) Endpoint {
 	e := p.Endpoint
-	e.State, e.Lease, e.Cold = p.shown(), max(p.lease-now, 0), max(p.cold-now, 0)
+	e.State, e.LeaseRemaining, e.WarmupRemaining = p.effectiveState(), max(p.leaseEnd-now, 0), max(p.warmupEnd-now, 0)
 	return e
 }
 
 // Registry is what one process knows of endpoints.
 type Registry struct {
-	bounds  Bounds
-	records map[string]*record
-	apps    map[string][]*record
-	service map[string][]*record // by id
-	version uint64
-	expired time.Duration     // last time
-	floor   map[string]uint64 // by service: what was forgotten had this version at most
-	tombs   []*record         // those that ended, the oldest first, and some that came back
+	config           Config
+	records          map[string]*record
+	byAppAddress     map[string][]*record
+	byService        map[string][]*record // by id
+	version          uint64
+	lastExpire       time.Duration     // last time
+	forgottenVersion map[string]uint64 // by service: what was forgotten had this version at most
+	tombstones       []*record         // those that ended, the oldest first, and some that came back
 }
 
-// New makes an empty registry.
-func New(bounds Bounds) *Registry {
-	return &Registry{bounds: bounds.Filled(), records: map[string]*record{}, apps: map[string][]*record{}, service: map[string][]*record{}, floor: map[string]uint64{}}
+// NewRegistry makes an empty registry.
+func NewRegistry(bounds Config) *Registry {
+	return &Registry{config: bounds.WithDefaults(), records: map[string]*record{}, byAppAddress: map[string][]*record{}, byService: map[string][]*record{}, forgottenVersion: map[string]uint64{}}
 }
 
 // Apply merges a record; changed reports whether more than its lease, its sequence and its cold time did.
@@ -66,75 +66,75 @@
 		p = r.add(now, e)
 		changed = true
 	} else {
-		was, before := p.shown(), p.Endpoint
+		was, before := p.effectiveState(), p.Endpoint
 		took = p.merge(now, e)
-		changed = was != p.shown() || before.Edition != p.Edition || before.Slots != p.Slots || before.HostLife != p.HostLife ||
-			before.Host != p.Host
+		changed = was != p.effectiveState() || before.Revision != p.Revision || before.Slots != p.Slots || before.SidecarIncarnation != p.SidecarIncarnation ||
+			before.SidecarAddress != p.SidecarAddress
 	}
 	if took || changed {
-		r.touch(now, p, changed)
+		r.advanceVersion(now, p, changed)
 	}
-	return r.supersede(now, p.App) || changed
+	return r.supersede(now, p.AppAddress) || changed
 }
 
 func (r *Registry) add(now time.Duration, e Endpoint) *record {
-	p := &record{Endpoint: e, lease: now + e.Lease, cold: now + e.Cold, renewed: now, drained: e.State == Draining, gone: e.State == Gone}
+	p := &record{Endpoint: e, leaseEnd: now + e.LeaseRemaining, warmupEnd: now + e.WarmupRemaining, renewedAt: now, drainSeen: e.State == Draining, deregistered: e.State == Deregistered}
 	r.records[p.ID] = p
-	r.apps[p.App] = append(r.apps[p.App], p)
-	i, _ := slices.BinarySearchFunc(r.service[p.Service], p.ID, byID)
-	r.service[p.Service] = slices.Insert(r.service[p.Service], i, p)
+	r.byAppAddress[p.AppAddress] = append(r.byAppAddress[p.AppAddress], p)
+	i, _ := slices.BinarySearchFunc(r.byService[p.Service], p.ID, compareID)
+	r.byService[p.Service] = slices.Insert(r.byService[p.Service], i, p)
 	return p
 }
 
-func byID(p *record, id string) int { return cmp.Compare(p.ID, id) }
+func compareID(p *record, id string) int { return cmp.Compare(p.ID, id) }
 
 // merge is the only place where a record that was sent changes one held here. It reports whether anything was taken.
 func (p *record) merge(now time.Duration, e Endpoint) (took bool) {
-	e.App, e.Service = p.App, p.Service // of one life they stay
-	p.drained, p.gone = p.drained || e.State == Draining, p.gone || e.State == Gone
-	order := cmp.Or(cmp.Compare(e.Sequence, p.Sequence), cmp.Compare(e.Edition, p.Edition), cmp.Compare(e.State, p.State))
+	e.AppAddress, e.Service = p.AppAddress, p.Service // of one life they stay
+	p.drainSeen, p.deregistered = p.drainSeen || e.State == Draining, p.deregistered || e.State == Deregistered
+	order := cmp.Or(cmp.Compare(e.Sequence, p.Sequence), cmp.Compare(e.Revision, p.Revision), cmp.Compare(e.State, p.State))
 	if order > 0 {
-		p.Endpoint, p.cold = e, now+e.Cold
+		p.Endpoint, p.warmupEnd = e, now+e.WarmupRemaining
 	}
-	if order >= 0 && now+e.Lease > p.lease {
-		p.lease, p.renewed, p.absent, took = now+e.Lease, now, false, true
+	if order >= 0 && now+e.LeaseRemaining > p.leaseEnd {
+		p.leaseEnd, p.renewedAt, p.expired, took = now+e.LeaseRemaining, now, false, true
 	}
 	return took || order > 0
 }
 
-// touch gives a record the next version of the registry.
-func (r *Registry) touch(now time.Duration, p *record, changed bool) {
+// advanceVersion gives a record the next version of the registry.
+func (r *Registry) advanceVersion(now time.Duration, p *record, changed bool) {
 	r.version++
 	p.version = r.version
 	if !changed {
 		return
 	}
-	if p.shown() >= Crashed {
-		p.ended = now
-		if !p.tomb {
-			p.tomb = true
-			r.tombs = append(r.tombs, p)
+	if p.effectiveState() >= Crashed {
+		p.endedAt = now
+		if !p.inTombstones {
+			p.inTombstones = true
+			r.tombstones = append(r.tombstones, p)
 		}
 	}
-	for len(r.tombs) > r.bounds.Tombs {
-		r.forgetOldest()
+	for len(r.tombstones) > r.config.MaxTombstones {
+		r.forgetOldestTombstone()
 	}
 }
 
-// forgetOldest forgets the life that ended first.
-func (r *Registry) forgetOldest() {
-	p := r.tombs[0]
-	r.tombs, p.tomb = r.tombs[1:], false
-	if p.shown() < Crashed {
+// forgetOldestTombstone forgets the life that ended first.
+func (r *Registry) forgetOldestTombstone() {
+	p := r.tombstones[0]
+	r.tombstones, p.inTombstones = r.tombstones[1:], false
+	if p.effectiveState() < Crashed {
 		return // it came back
 	}
 	delete(r.records, p.ID)
-	r.floor[p.Service] = max(r.floor[p.Service], p.version)
-	without(r.apps, p.App, p)
-	without(r.service, p.Service, p)
+	r.forgottenVersion[p.Service] = max(r.forgottenVersion[p.Service], p.version)
+	removeFromIndex(r.byAppAddress, p.AppAddress, p)
+	removeFromIndex(r.byService, p.Service, p)
 }
 
-func without(in map[string][]*record, key string, p *record) {
+func removeFromIndex(in map[string][]*record, key string, p *record) {
 	if rest := slices.DeleteFunc(in[key], func(o *record) bool { return o == p }); len(rest) > 0 {
 		in[key] = rest
 	} else {
@@ -144,12 +144,12 @@
 
 // supersede ends lives at an address whose own publisher has sent a later life there.
 func (r *Registry) supersede(now time.Duration, app string) (changed bool) {
-	at := r.apps[app]
+	at := r.byAppAddress[app]
 	for _, p := range at {
 		for _, q := range at {
-			if !p.gone && p.HostLife != 0 && p.HostLife == q.HostLife && p.Edition < q.Edition {
-				p.gone, changed = true, true
-				r.touch(now, p, true)
+			if !p.deregistered && p.SidecarIncarnation != 0 && p.SidecarIncarnation == q.SidecarIncarnation && p.Revision < q.Revision {
+				p.deregistered, changed = true, true
+				r.advanceVersion(now, p, true)
 			}
 		}
 	}
@@ -159,41 +159,41 @@
 // Expire ends leases that ran out, lets lives yield to renewed ones at their address, and forgets what ended long ago. It
 // returns those that changed. It is called at least each second: a gap counts as this process's own silence.
 func (r *Registry) Expire(now time.Duration) (changed []Endpoint) {
-	if woken := now-r.expired > r.bounds.Wake; woken { // renewals may lie unread
+	if woken := now-r.lastExpire > r.config.FreezeThreshold; woken { // renewals may lie unread
 		for _, p := range r.records {
-			p.lease, p.renewed = max(p.lease, now+r.bounds.Quiet), max(p.renewed, now)
+			p.leaseEnd, p.renewedAt = max(p.leaseEnd, now+r.config.TakeoverTimeout), max(p.renewedAt, now)
 		}
 	}
-	r.expired = now
-	for _, id := range r.ids() {
+	r.lastExpire = now
+	for _, id := range r.sortedIDs() {
 		p := r.records[id]
-		if p.shown() >= Crashed {
+		if p.effectiveState() >= Crashed {
 			continue
 		}
-		if now < p.lease && !r.outlived(now, p) {
+		if now < p.leaseEnd && !r.isSupplanted(now, p) {
 			continue
 		}
-		p.absent = true
-		r.touch(now, p, true)
-		changed = append(changed, p.current(now))
+		p.expired = true
+		r.advanceVersion(now, p, true)
+		changed = append(changed, p.snapshot(now))
 	}
-	for len(r.tombs) > 0 {
-		if p := r.tombs[0]; p.shown() >= Crashed && now-p.ended < r.bounds.Tombstone {
+	for len(r.tombstones) > 0 {
+		if p := r.tombstones[0]; p.effectiveState() >= Crashed && now-p.endedAt < r.config.TombstoneRetention {
 			break
 		}
-		r.forgetOldest()
+		r.forgetOldestTombstone()
 	}
 	return changed
 }
 
-// outlived reports whether another life at a record's address is renewed and the record is not.
-func (r *Registry) outlived(now time.Duration, p *record) bool {
-	return now-p.renewed >= r.bounds.Quiet && slices.ContainsFunc(r.apps[p.App], func(q *record) bool {
-		return q != p && q.shown() < Crashed && now-q.renewed < r.bounds.Quiet
+// isSupplanted reports whether another life at a record's address is renewed and the record is not.
+func (r *Registry) isSupplanted(now time.Duration, p *record) bool {
+	return now-p.renewedAt >= r.config.TakeoverTimeout && slices.ContainsFunc(r.byAppAddress[p.AppAddress], func(q *record) bool {
+		return q != p && q.effectiveState() < Crashed && now-q.renewedAt < r.config.TakeoverTimeout
 	})
 }
 
-func (r *Registry) ids() []string {
+func (r *Registry) sortedIDs() []string {
 	ids := make([]string, 0, len(r.records))
 	for id := range r.records {
 		ids = append(ids, id)
@@ -205,13 +205,13 @@
 // List is what is known of a service's endpoints, those that ended too while they are remembered, with leases and cold times
 // as left now.
 func (r *Registry) List(now time.Duration, service string) (out []Endpoint) {
-	return r.after(now, service, 0)
+	return r.changedAfter(now, service, 0)
 }
 
-func (r *Registry) after(now time.Duration, service string, version uint64) (out []Endpoint) {
-	for _, p := range r.service[service] {
+func (r *Registry) changedAfter(now time.Duration, service string, version uint64) (out []Endpoint) {
+	for _, p := range r.byService[service] {
 		if p.version > version {
-			out = append(out, p.current(now))
+			out = append(out, p.snapshot(now))
 		}
 	}
 	return out
@@ -219,8 +219,8 @@
 
 // All is what is known of all.
 func (r *Registry) All(now time.Duration) (out []Endpoint) {
-	for _, id := range r.ids() {
-		out = append(out, r.records[id].current(now))
+	for _, id := range r.sortedIDs() {
+		out = append(out, r.records[id].snapshot(now))
 	}
 	return out
 }
@@ -228,23 +228,23 @@
 // Version is that of the last change or renewal.
 func (r *Registry) Version() uint64 { return r.version }
 
-// Since is what of a service changed or was renewed after a version of this registry, and the version now. If ok is false, what
+// SinceVersion is what of a service changed or was renewed after a version of this registry, and the version now. If ok is false, what
 // was forgotten in between matters, and this is the whole list.
-func (r *Registry) Since(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
-	if version < r.floor[service] || version > r.version {
+func (r *Registry) ChangedSince(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
+	if version < r.forgottenVersion[service] || version > r.version {
 		return r.List(now, service), r.version, false
 	}
-	return r.after(now, service, version), r.version, true
+	return r.changedAfter(now, service, version), r.version, true
 }
 
-// At is the endpoint at an address: of several the best, then the one renewed last.
-func (r *Registry) At(now time.Duration, app string) (Endpoint, bool) {
-	at := r.apps[app]
+// EndpointAt is the endpoint at an address: of several the best, then the one renewed last.
+func (r *Registry) EndpointAt(now time.Duration, app string) (Endpoint, bool) {
+	at := r.byAppAddress[app]
 	if len(at) == 0 {
 		return Endpoint{}, false
 	}
 	best := slices.MinFunc(at, func(p, q *record) int {
-		return cmp.Or(cmp.Compare(p.shown()/Crashed, q.shown()/Crashed), cmp.Compare(q.renewed, p.renewed), cmp.Compare(p.ID, q.ID))
+		return cmp.Or(cmp.Compare(p.effectiveState()/Crashed, q.effectiveState()/Crashed), cmp.Compare(q.renewedAt, p.renewedAt), cmp.Compare(p.ID, q.ID))
 	})
-	return best.current(now), true
+	return best.snapshot(now), true
 }
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -14,8 +14,8 @@
 const lease = 9 * time.Second
 
 func newRecord(id string, s State, sequence, edition uint64) Endpoint {
-	return Endpoint{ID: id, Service: "s", Host: "h:1", HostLife: 7, App: "a:1", Zone: "z", Slots: 4, State: s,
-		Sequence: sequence, Edition: edition, Lease: lease}
+	return Endpoint{ID: id, Service: "s", SidecarAddress: "h:1", SidecarIncarnation: 7, AppAddress: "a:1", Zone: "z", Slots: 4, State: s,
+		Sequence: sequence, Revision: edition, LeaseRemaining: lease}
 }
 
 // orders calls f with each order of the numbers below n.
@@ -38,7 +38,7 @@
 // essence is what boards must agree on.
 func essence(b *Registry) (out []string) {
 	for _, e := range b.All(0) {
-		out = append(out, fmt.Sprintf("%s %d %d.%d %d", e.ID, e.State, e.Sequence, e.Edition, e.Slots))
+		out = append(out, fmt.Sprintf("%s %d %d.%d %d", e.ID, e.State, e.Sequence, e.Revision, e.Slots))
 	}
 	return out
 }
@@ -49,7 +49,7 @@
 	beat, slots := newRecord("x", Serving, 1, 1), newRecord("x", Serving, 1, 2)
 	slots.Slots = 9
 	for name, told := range map[string][]Endpoint{
-		"drain, end, new life": {beat, newRecord("x", Draining, 2, 3), newRecord("x", Serving, 3, 3), newRecord("x", Gone, 3, 4), newRecord("y", Serving, 1, 5)},
+		"drain, end, new life": {beat, newRecord("x", Draining, 2, 3), newRecord("x", Serving, 3, 3), newRecord("x", Deregistered, 3, 4), newRecord("y", Serving, 1, 5)},
 		"crash, late beat":     {beat, slots, newRecord("x", Draining, 2, 3), newRecord("x", Crashed, 2, 4), newRecord("x", Serving, 3, 4)},
 		"crash, new life":      {beat, slots, newRecord("x", Crashed, 1, 3), newRecord("y", Serving, 1, 4), newRecord("y", Draining, 2, 5)},
 		"three lives":          {beat, newRecord("x", Serving, 9, 1), newRecord("y", Serving, 1, 2), newRecord("y", Crashed, 1, 3), newRecord("z", Serving, 1, 4)},
@@ -58,12 +58,12 @@
 		var want []string
 		cases := 0
 		play := func(order []int) {
-			b, worst := New(Bounds{}), map[string]State{}
+			b, worst := NewRegistry(Config{}), map[string]State{}
 			for _, i := range order {
 				b.Apply(0, told[i])
 				for _, e := range b.All(0) {
 					w := worst[e.ID]
-					if w == Draining && e.State == Serving || w == Gone && e.State != Gone {
+					if w == Draining && e.State == Serving || w == Deregistered && e.State != Deregistered {
 						c.Fatalf("%s, order %v: %s went from %d to %d", name, order, e.ID, w, e.State)
 					}
 					if e.State != Crashed {
@@ -99,16 +99,16 @@
 
 func TestLeases(t *testing.T) {
 	c := qt.New(t)
-	b := New(Bounds{})
+	b := NewRegistry(Config{})
 	old, young := newRecord("x", Serving, 1, 1), newRecord("y", Serving, 1, 1)
-	young.HostLife = 8 // told by another life of the sidecar, which never knew of x
+	young.SidecarIncarnation = 8 // told by another life of the sidecar, which never knew of x
 	c.Assert(b.Apply(0, old), qt.IsTrue)
 	c.Assert(b.Apply(0, old), qt.IsFalse)
 	c.Assert(expire(b, 0, 4*time.Second), qt.HasLen, 0)
 	b.Apply(4*time.Second, young)
 	c.Assert(b.Expire(4*time.Second), qt.HasLen, 0)
 	c.Assert(b.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that is not renewed yields"))
-	at, _ := b.At(5*time.Second, "a:1")
+	at, _ := b.EndpointAt(5*time.Second, "a:1")
 	c.Assert(at.ID, qt.Equals, "y")
 	old.Sequence++
 	c.Assert(b.Apply(6*time.Second, old), qt.IsTrue, qt.Commentf("it was alive after all"))
@@ -117,20 +117,20 @@
 	c.Assert(b.Expire(15*time.Second), qt.HasLen, 1)
 	c.Assert(b.List(15*time.Second, "s")[0].State, qt.Equals, Crashed)
 
-	_, v, ok := b.Since(15*time.Second, "s", 0)
+	_, v, ok := b.ChangedSince(15*time.Second, "s", 0)
 	c.Assert(ok, qt.IsTrue)
 	expire(b, 16*time.Second, 80*time.Second)
 	c.Assert(b.All(80*time.Second), qt.HasLen, 0)
-	_, _, ok = b.Since(80*time.Second, "s", v)
+	_, _, ok = b.ChangedSince(80*time.Second, "s", v)
 	c.Assert(ok, qt.IsTrue, qt.Commentf("this one had been told of the ends"))
-	_, _, ok = b.Since(80*time.Second, "s", 1)
+	_, _, ok = b.ChangedSince(80*time.Second, "s", 1)
 	c.Assert(ok, qt.IsFalse)
 }
 
 // A process that was frozen gives renewals that lie unread the time to be read, and ends what is not renewed after that.
 func TestFrozenBoardEndsNobody(t *testing.T) {
 	c := qt.New(t)
-	b := New(Bounds{})
+	b := NewRegistry(Config{})
 	b.Apply(0, newRecord("x", Serving, 1, 1))
 	c.Assert(expire(b, 0, time.Second), qt.HasLen, 0)
 	c.Assert(expire(b, 20*time.Second, 24*time.Second), qt.HasLen, 0)
@@ -140,10 +140,10 @@
 // What is forgotten is bounded, and the indexes with it.
 func TestTombsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	b := New(Bounds{Tombs: 10})
+	b := NewRegistry(Config{MaxTombstones: 10})
 	for i := range 100 {
 		e := newRecord(fmt.Sprint(i), Serving, 1, 1)
-		e.App, e.HostLife = fmt.Sprint(i), uint64(i)
+		e.AppAddress, e.SidecarIncarnation = fmt.Sprint(i), uint64(i)
 		b.Apply(0, e)
 		for range 3 { // crash and come back
 			e.Sequence, e.State = e.Sequence+1, Crashed
@@ -151,24 +151,24 @@
 			e.Sequence, e.State = e.Sequence+1, Serving
 			b.Apply(0, e)
 		}
-		e.State = Gone
+		e.State = Deregistered
 		b.Apply(0, e)
 	}
-	c.Assert(len(b.records) <= 10 && len(b.tombs) <= 10, qt.IsTrue, qt.Commentf("%d posts, %d tombs", len(b.records), len(b.tombs)))
+	c.Assert(len(b.records) <= 10 && len(b.tombstones) <= 10, qt.IsTrue, qt.Commentf("%d posts, %d tombs", len(b.records), len(b.tombstones)))
 	b.Expire(time.Hour)
-	c.Assert(len(b.records)+len(b.apps)+len(b.service)+len(b.tombs), qt.Equals, 0)
+	c.Assert(len(b.records)+len(b.byAppAddress)+len(b.byService)+len(b.tombstones), qt.Equals, 0)
 }
 
 // A subscriber that takes what changed since its version has what the home has, whatever happens in between.
 func TestSinceIsEnough(t *testing.T) {
 	c := qt.New(t)
-	told := []Endpoint{newRecord("x", Serving, 1, 1), newRecord("x", Draining, 2, 2), newRecord("x", Gone, 2, 3), newRecord("y", Serving, 1, 4)}
+	told := []Endpoint{newRecord("x", Serving, 1, 1), newRecord("x", Draining, 2, 2), newRecord("x", Deregistered, 2, 3), newRecord("y", Serving, 1, 4)}
 	orders(len(told), func(order []int) {
 		for asks := range 1 << len(order) {
-			home, here, version := New(Bounds{}), New(Bounds{}), uint64(0)
+			home, here, version := NewRegistry(Config{}), NewRegistry(Config{}), uint64(0)
 			ask := func() {
 				var news []Endpoint
-				news, version, _ = home.Since(0, "s", version)
+				news, version, _ = home.ChangedSince(0, "s", version)
 				for _, e := range news {
 					var read Endpoint
 					c.Assert(codec.Read(codec.Write(nil, &e), &read), qt.IsNil)
--- a/internal/mesh/discovery/subscribe.go
+++ b/internal/mesh/discovery/subscribe.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// Home is a process that holds a service's endpoints, in one of its lives: versions of a registry count within one life.
-type Home struct {
-	Address string
-	Life    uint64
+// RegistryOwner is a process that holds a service's endpoints, in one of its lives: versions of a registry count within one life.
+type RegistryOwner struct {
+	Address     string
+	Incarnation uint64
 }
 
-// Ask is a request to a home for what changed of a service since a version of its registry. It renews the subscription as well.
-type Ask struct {
-	To      string
-	Life    uint64 // of the home that Since is of: for another life it is 0
-	Service string
-	Since   uint64
+// SubscribeRequest is a request to a home for what changed of a service since a version of its registry. It renews the subscription as well.
+type SubscribeRequest struct {
+	To           string
+	Incarnation  uint64 // of the home that Since is of: for another life it is 0
+	Service      string
+	SinceVersion uint64
 }
 
 // Subscription is a caller's side: it asks the homes of the services that the caller wants.
 type Subscription struct {
-	bounds   Bounds
-	services map[string][]*source
-	order    []string
+	config         Config
+	services       map[string][]*source
+	sortedServices []string
 }
 
 // source is one home of one service.
 type source struct {
-	Home
-	step    step
-	version uint64
-	got     time.Duration
-	next    time.Duration // request
+	RegistryOwner
+	state       sourceState
+	version     uint64
+	answeredAt  time.Duration
+	nextRequest time.Duration // request
 }
 
-type step uint8
+type sourceState uint8
 
 const (
-	fresh  step = iota // not asked yet
-	asked              // no answer yet
-	held               // it answered
-	broken             // the connection broke, or it stays silent
+	notAsked       sourceState = iota // not asked yet
+	awaitingAnswer                    // no answer yet
+	answered                          // it answered
+	unresponsive                      // the connection broke, or it stays silent
 )
 
-func (s *source) shift(now time.Duration, to step, next time.Duration) {
-	s.step, s.next = to, now+next
+func (s *source) transition(now time.Duration, to sourceState, next time.Duration) {
+	s.state, s.nextRequest = to, now+next
 }
 
 // NewSubscription makes a subscription to nothing.
-func NewSubscription(bounds Bounds) *Subscription {
-	return &Subscription{bounds: bounds.Filled(), services: map[string][]*source{}}
+func NewSubscription(bounds Config) *Subscription {
+	return &Subscription{config: bounds.WithDefaults(), services: map[string][]*source{}}
 }
 
-// Want sets the homes of a service as they are now, the preferred ones first; none ends the subscription to it. The first Width
+// SetOwners sets the homes of a service as they are now, the preferred ones first; none ends the subscription to it. The first Width
 // homes that are not broken are asked.
-func (s *Subscription) Want(_ time.Duration, service string, homes []Home) {
+func (s *Subscription) SetOwners(_ time.Duration, service string, homes []RegistryOwner) {
 	var now []*source
 	for _, h := range homes {
-		i := slices.IndexFunc(s.services[service], func(o *source) bool { return o.Home == h })
+		i := slices.IndexFunc(s.services[service], func(o *source) bool { return o.RegistryOwner == h })
 		if i < 0 {
-			now = append(now, &source{Home: h})
+			now = append(now, &source{RegistryOwner: h})
 		} else {
 			now = append(now, s.services[service][i])
 		}
@@ -69,68 +69,68 @@
 	if len(now) == 0 {
 		delete(s.services, service)
 	}
-	s.order = s.order[:0]
+	s.sortedServices = s.sortedServices[:0]
 	for name := range s.services {
-		s.order = append(s.order, name)
+		s.sortedServices = append(s.sortedServices, name)
 	}
-	slices.Sort(s.order)
+	slices.Sort(s.sortedServices)
 }
 
 // Tick gives the requests that are due: to new homes at once, to the others at intervals.
-func (s *Subscription) Tick(now time.Duration) (due []Ask) {
-	for _, service := range s.order {
-		width := s.bounds.Width
+func (s *Subscription) Tick(now time.Duration) (due []SubscribeRequest) {
+	for _, service := range s.sortedServices {
+		width := s.config.OwnersQueried
 		for _, h := range s.services[service] {
 			if width == 0 {
 				break
 			}
-			if (h.step == held || h.step == asked) && now-h.got >= 2*s.bounds.Ask {
-				h.shift(now, broken, 0)
+			if (h.state == answered || h.state == awaitingAnswer) && now-h.answeredAt >= 2*s.config.PollInterval {
+				h.transition(now, unresponsive, 0)
 			}
-			if h.step != broken {
+			if h.state != unresponsive {
 				width--
 			}
-			if now < h.next && h.step != fresh {
+			if now < h.nextRequest && h.state != notAsked {
 				continue
 			}
-			due = append(due, Ask{To: h.Address, Life: h.Life, Service: service, Since: h.version})
-			switch h.step {
-			case fresh:
-				h.got = now
-				h.shift(now, asked, s.bounds.Retry)
-			case asked:
-				h.shift(now, asked, s.bounds.Retry)
+			due = append(due, SubscribeRequest{To: h.Address, Incarnation: h.Incarnation, Service: service, SinceVersion: h.version})
+			switch h.state {
+			case notAsked:
+				h.answeredAt = now
+				h.transition(now, awaitingAnswer, s.config.RetryInterval)
+			case awaitingAnswer:
+				h.transition(now, awaitingAnswer, s.config.RetryInterval)
 			default:
-				h.shift(now, h.step, s.bounds.Ask)
+				h.transition(now, h.state, s.config.PollInterval)
 			}
 		}
 	}
 	return due
 }
 
-// Got reports that a home, in one of its lives, sent what it holds up to a version of its registry.
-func (s *Subscription) Got(now time.Duration, from Home, service string, version uint64) {
+// Received reports that a home, in one of its lives, sent what it holds up to a version of its registry.
+func (s *Subscription) Received(now time.Duration, from RegistryOwner, service string, version uint64) {
 	for _, h := range s.services[service] {
-		if h.Home == from {
-			h.version, h.got = max(h.version, version), now
-			if h.step != held {
-				h.shift(now, held, s.bounds.Ask)
+		if h.RegistryOwner == from {
+			h.version, h.answeredAt = max(h.version, version), now
+			if h.state != answered {
+				h.transition(now, answered, s.config.PollInterval)
 			}
 		}
 	}
 }
 
-// Lost reports that the connection to a home broke: the others are asked at once.
-func (s *Subscription) Lost(now time.Duration, address string) {
+// ConnectionLost reports that the connection to a home broke: the others are asked at once.
+func (s *Subscription) ConnectionLost(now time.Duration, address string) {
 	for _, homes := range s.services {
 		if !slices.ContainsFunc(homes, func(h *source) bool { return h.Address == address }) {
 			continue
 		}
 		for _, h := range homes {
 			if h.Address == address {
-				h.shift(now, broken, s.bounds.Retry)
+				h.transition(now, unresponsive, s.config.RetryInterval)
 			} else {
-				h.next = now
+				h.nextRequest = now
 			}
 		}
 	}
@@ -138,42 +138,42 @@
 
 // Subscribers is a home's side: who is to be notified of which services.
 type Subscribers struct {
-	bounds Bounds
-	until  map[string]map[string]time.Duration
+	config    Config
+	leaseEnds map[string]map[string]time.Duration
 }
 
 // NewSubscribers makes an empty list of subscribers.
-func NewSubscribers(bounds Bounds) *Subscribers {
-	return &Subscribers{bounds: bounds.Filled(), until: map[string]map[string]time.Duration{}}
+func NewSubscribers(bounds Config) *Subscribers {
+	return &Subscribers{config: bounds.WithDefaults(), leaseEnds: map[string]map[string]time.Duration{}}
 }
 
-// Hold takes a request of a subscriber, which renews its subscription.
-func (s *Subscribers) Hold(now time.Duration, service, who string) {
-	if s.until[service] == nil {
-		s.until[service] = map[string]time.Duration{}
+// Renew takes a request of a subscriber, which renews its subscription.
+func (s *Subscribers) Renew(now time.Duration, service, who string) {
+	if s.leaseEnds[service] == nil {
+		s.leaseEnds[service] = map[string]time.Duration{}
 	}
-	s.until[service][who] = now + s.bounds.Hold
+	s.leaseEnds[service][who] = now + s.config.SubscriptionLease
 }
 
-// Lost reports that the connection to a subscriber broke.
-func (s *Subscribers) Lost(who string) {
-	for service := range s.until {
-		s.end(service, who)
+// ConnectionLost reports that the connection to a subscriber broke.
+func (s *Subscribers) ConnectionLost(who string) {
+	for service := range s.leaseEnds {
+		s.remove(service, who)
 	}
 }
 
-func (s *Subscribers) end(service, who string) {
-	delete(s.until[service], who)
-	if len(s.until[service]) == 0 {
-		delete(s.until, service)
+func (s *Subscribers) remove(service, who string) {
+	delete(s.leaseEnds[service], who)
+	if len(s.leaseEnds[service]) == 0 {
+		delete(s.leaseEnds, service)
 	}
 }
 
-// Notify gives the subscribers of a service now.
-func (s *Subscribers) Notify(now time.Duration, service string) (to []string) {
-	for who, until := range s.until[service] {
+// Active gives the subscribers of a service now.
+func (s *Subscribers) Active(now time.Duration, service string) (to []string) {
+	for who, until := range s.leaseEnds[service] {
 		if now >= until {
-			s.end(service, who)
+			s.remove(service, who)
 		} else {
 			to = append(to, who)
 		}
