--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -12,15 +12,15 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-var line struct {
+var options struct {
 	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
 }
 
 func main() {
 	signals := lifecycle.Catch()
-	kong.Parse(&line, kong.Name("controlplane"), kong.Description("The mesh's core process, which keeps the configuration."),
+	kong.Parse(&options, kong.Name("controlplane"), kong.Description("The mesh's core process, which keeps the configuration."),
 		kong.Vars{"variable": settings.EnvironmentVariable})
-	if err := assembly.Core(line.Settings, signals); err != nil {
+	if err := assembly.RunControlPlane(options.Settings, signals); err != nil {
 		fmt.Fprintln(os.Stderr, "controlplane:", err)
 		os.Exit(1)
 	}
--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -51,7 +51,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	mux := http.NewServeMux()
-	mux.Handle("/events", lifecycle.EndingWith(ctx, eventfeed.Handler(log)))
+	mux.Handle("/events", lifecycle.CancelRequestsOnDone(ctx, eventfeed.Handler(log)))
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 32 << 10}
 	failed := make(chan error, 1)
 	go func() { failed <- s.Serve(n) }()
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -13,15 +13,15 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-var line struct {
+var options struct {
 	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
 }
 
 func main() {
 	signals := lifecycle.Catch()
-	kong.Parse(&line, kong.Name("sidecar"), kong.Description("The mesh's sidecar beside an endpoint."),
+	kong.Parse(&options, kong.Name("sidecar"), kong.Description("The mesh's sidecar beside an endpoint."),
 		kong.Vars{"variable": settings.EnvironmentVariable})
-	if err := assembly.Access(line.Settings, signals); err != nil {
+	if err := assembly.RunSidecar(options.Settings, signals); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
--- a/internal/lifecycle/http.go
+++ b/internal/lifecycle/http.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// EndingWith serves by a handler whose requests' contexts also end when the given one does. http.Server.Shutdown waits for requests
+// CancelRequestsOnDone serves by a handler whose requests' contexts also end when the given one does. http.Server.Shutdown waits for requests
 // that are being served, and tells handlers nothing: one that streams until its client leaves needs to be told.
-func EndingWith(ending context.Context, h http.Handler) http.Handler {
+func CancelRequestsOnDone(ending context.Context, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		ctx, cancel := context.WithCancel(q.Context())
 		defer cancel()
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -73,9 +73,9 @@
 // New makes an Agent and registers its calls.
 func New(o Config) *Agent {
 	hello := o.Hub.Self()
-	self := membership.Member{Incarnation: hello.Life, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
+	self := membership.Member{Incarnation: hello.Incarnation, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
 		Service: o.Settings.Service, AppAddress: o.Settings.ApplicationAddress}
-	a := &Agent{config: o, view: membership.New(self, membership.Config{}, rand.New(rand.NewPCG(o.Seed, hello.Life))),
+	a := &Agent{config: o, view: membership.New(self, membership.Config{}, rand.New(rand.NewPCG(o.Seed, hello.Incarnation))),
 		registry: discovery.NewRegistry(discovery.Config{}), publisher: discovery.NewPublisher(discovery.Config{}),
 		wakeup: make(chan struct{}, 1), acknowledgedRecords: make(chan struct{}),
 		subscriptions: discovery.NewSubscription(discovery.Config{}), subscribers: discovery.NewSubscribers(discovery.Config{}),
@@ -87,7 +87,7 @@
 	if o.Role == membership.RoleAccess {
 		a.wantedServices = []string{o.Settings.Service}
 	} else {
-		a.events = newEventRecorder(hello.Life)
+		a.events = newEventRecorder(hello.Incarnation)
 	}
 	transport.Handle(o.Hub, methodShuffle, a.handleShuffle)
 	transport.Handle(o.Hub, methodPublish, a.handlePublish)
@@ -95,7 +95,7 @@
 	transport.Handle(o.Hub, methodUpdate, a.handleUpdate)
 	transport.Handle(o.Hub, methodVersionNotice, a.handleVersionNotice)
 	transport.Handle(o.Hub, methodConfiguration, a.handleConfigurationRequest)
-	o.Hub.OnLost(a.handleLinkLost)
+	o.Hub.OnLinkLost(a.handleLinkLost)
 	return a
 }
 
@@ -145,7 +145,7 @@
 
 // send sends a message to an address, and hands over the answer if one comes.
 func (a *Agent) send(address string, method uint64, m codec.Message, got func(body []byte)) {
-	a.config.Hub.Send(address, method, codec.Write(nil, m), 0, func(body []byte, err error) {
+	a.config.Hub.Send(address, method, codec.MarshalAppend(nil, m), 0, func(body []byte, err error) {
 		if err == nil && got != nil {
 			got(body)
 		}
--- a/internal/mesh/agent/config.go
+++ b/internal/mesh/agent/config.go
@@ -126,7 +126,7 @@
 	for _, peer := range ask {
 		a.send(peer, methodConfiguration, &configurationText{Version: math.MaxUint64}, func(body []byte) { // no text is newer than that
 			var held configurationText
-			if len(body) == 0 || codec.Read(body, &held) == nil {
+			if len(body) == 0 || codec.Unmarshal(body, &held) == nil {
 				a.recordPollAnswer(peer, held.Version)
 			}
 		})
@@ -175,7 +175,7 @@
 	a.mu.Unlock()
 	a.send(from, methodConfiguration, &configurationText{Version: held}, func(body []byte) {
 		var got configurationText
-		if len(body) > 0 && codec.Read(body, &got) == nil && got.Version > 0 && len(got.Text) > 0 {
+		if len(body) > 0 && codec.Unmarshal(body, &got) == nil && got.Version > 0 && len(got.Text) > 0 {
 			go a.ApplyCommitted(got.Version, got.Text)
 		}
 	})
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -54,7 +54,7 @@
 func (a *Agent) NewSingletonRoles(voters Voters, initialStart bool) *SingletonRoles {
 	self := a.config.Hub.Self()
 	d := &SingletonRoles{agent: a, voters: voters, initialStart: initialStart, voter: lease.NewVoter(a.config.Hub.Now(), initialStart),
-		allocatorLease: lease.NewCandidate(self.Address, self.Life, roleAllocator, a.randomFraction)}
+		allocatorLease: lease.NewCandidate(self.Address, self.Incarnation, roleAllocator, a.randomFraction)}
 	transport.Handle(a.config.Hub, methodLease, func(_ context.Context, _ *transport.Hello, q *lease.Request) *lease.Reply {
 		return d.handleLeaseRequest(q)
 	})
@@ -162,7 +162,7 @@
 		}
 		d.agent.send(d.agent.peerAddress(v), methodLease, q, func(body []byte) {
 			var reply lease.Reply
-			if len(body) > 0 && codec.Read(body, &reply) == nil {
+			if len(body) > 0 && codec.Unmarshal(body, &reply) == nil {
 				d.handleLeaseReply(asked, voters.Epoch, v, &reply)
 			}
 		})
@@ -236,7 +236,7 @@
 	nodes = slices.DeleteFunc(slices.Compact(nodes), func(node string) bool { return node == d.agent.config.Settings.ControlAddress })
 	answered := make(chan struct{}, len(nodes))
 	for _, node := range nodes {
-		d.agent.config.Hub.Send(d.agent.peerAddress(node), methodLease, codec.Write(nil, request), 0, func([]byte, error) {
+		d.agent.config.Hub.Send(d.agent.peerAddress(node), methodLease, codec.MarshalAppend(nil, request), 0, func([]byte, error) {
 			answered <- struct{}{} // one that is away counts too
 		})
 	}
--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -66,7 +66,7 @@
 	for i := range n {
 		ip := fmt.Sprintf("127.9.0.%d", i+1)
 		own := &settings.Settings{Name: ip, IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, Seeds: voters, ControlAddress: voters[i]}
-		hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+		hub := transport.NewHub(transport.Hello{Incarnation: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 		a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: uint64(i)})
 		r := &fakeRegister{known: consensus.VoterSet{Voters: voters[:3]}}
 		duties := a.NewSingletonRoles(r, true)
--- a/internal/mesh/agent/endpoints.go
+++ b/internal/mesh/agent/endpoints.go
@@ -19,7 +19,7 @@
 // OnEndpointLeaving or OnEndpointsChanged takes: this process may be a home of the record, and would call these.
 func (a *Agent) Publish(e discovery.Endpoint) {
 	self := a.config.Hub.Self()
-	e.SidecarAddress, e.SidecarIncarnation = self.Address, self.Life
+	e.SidecarAddress, e.SidecarIncarnation = self.Address, self.Incarnation
 	a.mu.Lock()
 	a.publisher.Set(a.config.Hub.Now(), e)
 	a.mu.Unlock()
@@ -104,7 +104,7 @@
 		}
 		a.send(r.To, methodPublish, &publishRequest{Endpoint: r.Endpoint}, func(body []byte) {
 			var answer publishRequest
-			if codec.Read(body, &answer) == nil && answer.Accepted {
+			if codec.Unmarshal(body, &answer) == nil && answer.Accepted {
 				a.recordAcknowledgement(r)
 			}
 		})
@@ -201,7 +201,7 @@
 func (a *Agent) requestEndpointList(address string, s *subscribeRequest) {
 	a.send(address, methodSubscribe, s, func(body []byte) {
 		var l endpointList
-		if len(body) > 0 && codec.Read(body, &l) == nil {
+		if len(body) > 0 && codec.Unmarshal(body, &l) == nil {
 			a.applyEndpointList(discovery.RegistryOwner{Address: address, Incarnation: l.OwnerIncarnation}, &l)
 		}
 	})
@@ -212,7 +212,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.subscribers.Renew(now, s.Service, s.Subscriber)
-	life, since := a.config.Hub.Self().Life, s.Since
+	life, since := a.config.Hub.Self().Incarnation, s.Since
 	if s.OwnerIncarnation != life {
 		since = 0 // versions count within one life
 	}
--- a/internal/mesh/agent/endpoints_test.go
+++ b/internal/mesh/agent/endpoints_test.go
@@ -21,7 +21,7 @@
 	c := qt.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.9.1.2:7401"}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.9.1.2:7401"}, time.Now(), 1<<20, log)
 	defer hub.Close()
 	a := New(Config{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.RoleAccess, Log: log, Seed: 1})
 	endpoint := func(i int, sequence uint64, state discovery.State) discovery.Endpoint {
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -40,9 +40,9 @@
 }](t *testing.T, name string, full T) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
-		golden.Hex(t, name+".hex", codec.Write(nil, P(&full)))
+		golden.Hex(t, name+".hex", codec.MarshalAppend(nil, P(&full)))
 		var read T
-		qt.Assert(t, codec.Read(golden.Read(t, name+".hex"), P(&read)), qt.IsNil)
+		qt.Assert(t, codec.Unmarshal(golden.Read(t, name+".hex"), P(&read)), qt.IsNil)
 		qt.Assert(t, read, qt.DeepEquals, full)
 	})
 }
@@ -71,7 +71,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	own := &settings.Settings{Name: "core-1", IP: "127.9.30.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.30.1:7402"}
-	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	defer hub.Close()
 	a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: 1})
 	a.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
@@ -85,7 +85,7 @@
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	go func() { _ = hub.Listen(listener) }() // ends with the listener
-	caller := transport.NewHub(transport.Hello{Life: 8, Address: "127.9.30.2:7401", Zone: "z"}, time.Now(), 1<<20, log)
+	caller := transport.NewHub(transport.Hello{Incarnation: 8, Address: "127.9.30.2:7401", Zone: "z"}, time.Now(), 1<<20, log)
 	defer caller.Close()
 
 	elsewhere := goldenEndpoint()
@@ -105,7 +105,7 @@
 	for method := uint64(9); method <= 20; method++ {
 		var body []byte
 		if m := requests[method]; m != nil {
-			body = codec.Write(nil, m)
+			body = codec.MarshalAppend(nil, m)
 		}
 		type answer struct {
 			body []byte
@@ -159,7 +159,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	own := &settings.Settings{Name: "core-1", IP: "127.9.31.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.31.1:7402"}
-	hub := transport.NewHub(transport.Hello{Life: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: 1})
 }
--- a/internal/mesh/agent/hollow_test.go
+++ b/internal/mesh/agent/hollow_test.go
@@ -44,7 +44,7 @@
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	hub := transport.NewHub(transport.Hello{Life: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	var known atomic.Bool
 	o := Config{Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
 		OnConfiguration: func(c *configuration.Config) {
@@ -191,7 +191,7 @@
 	used = processor() - used
 	sum(&after)
 	for _, hub := range h.hubs[core:] {
-		dialled, accepted := hub.Links()
+		dialled, accepted := hub.LinkCounts()
 		links += dialled + accepted
 	}
 	b.ReportMetric(100*used.Seconds()/n, "%core")
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -39,7 +39,7 @@
 	for _, address := range neighbours {
 		a.send(address, methodShuffle, s, func(body []byte) {
 			var reply membership.Shuffle
-			if codec.Read(body, &reply) == nil {
+			if codec.Unmarshal(body, &reply) == nil {
 				a.mergeShuffle(&reply)
 			}
 		})
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -39,10 +39,10 @@
 }
 
 func (s *subscribeRequest) Fields(v *codec.Visitor) {
-	v.Text(1, &s.Subscriber)
-	v.Text(2, &s.Service)
-	v.Uint(3, &s.Since)
-	v.Fixed(4, &s.OwnerIncarnation)
+	v.String(1, &s.Subscriber)
+	v.String(2, &s.Service)
+	v.Uint64(3, &s.Since)
+	v.Fixed64(4, &s.OwnerIncarnation)
 }
 
 // endpointList is what a home knows of a service, or what of it has changed.
@@ -54,16 +54,16 @@
 }
 
 func (l *endpointList) Fields(v *codec.Visitor) {
-	v.Text(1, &l.Service)
-	v.Uint(2, &l.Version)
+	v.String(1, &l.Service)
+	v.Uint64(2, &l.Version)
 	codec.Messages(v, 3, &l.Endpoints)
-	v.Fixed(4, &l.OwnerIncarnation)
+	v.Fixed64(4, &l.OwnerIncarnation)
 }
 
 // versionNotice says which version its sender holds.
 type versionNotice struct{ Version uint64 }
 
-func (n *versionNotice) Fields(v *codec.Visitor) { v.Uint(1, &n.Version) }
+func (n *versionNotice) Fields(v *codec.Visitor) { v.Uint64(1, &n.Version) }
 
 // configurationText is the newest configuration that its sender knows to be committed, with its text if it is newer than the asker's.
 type configurationText struct {
@@ -72,7 +72,7 @@
 }
 
 func (c *configurationText) Fields(v *codec.Visitor) {
-	v.Uint(1, &c.Version)
+	v.Uint64(1, &c.Version)
 	v.Bytes(2, &c.Text)
 }
 
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -108,7 +108,7 @@
 		return
 	}
 	self := t.agent.config.Hub.Self()
-	go t.request(now, t.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Life, Requests: requests,
+	go t.request(now, t.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Incarnation, Requests: requests,
 		HighestFencingToken: t.tokenCache.HighestFencingToken()})
 }
 
--- a/internal/mesh/agent/quota_client_test.go
+++ b/internal/mesh/agent/quota_client_test.go
@@ -19,7 +19,7 @@
 func TestTakeWhileTokensCome(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.9.2.1:7401"}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.9.2.1:7401"}, time.Now(), 1<<20, log)
 	defer hub.Close()
 	client := New(Config{Settings: &settings.Settings{}, Hub: hub, Role: membership.RoleAccess, Log: log}).NewQuotaClient()
 	tenant := &configuration.Tenant{Name: "t", Rate: 1000, Burst: 1000}
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	bodyShare   = 0.3      // of the machine's memory, for clients' bodies
-	bodiesLeast = 68 << 20 // bytes: the largest body there may be
+	bodyMemoryFraction = 0.3      // of the machine's memory, for clients' bodies
+	minBodyMemoryBytes = 68 << 20 // bytes: the largest body there may be
 )
 
-// Access runs the sidecar beside an endpoint until it is told to end.
-func Access(path string, signals lifecycle.Signals) error {
-	p, err := begin(path, signals)
+// RunSidecar runs the sidecar beside an endpoint until it is told to end.
+func RunSidecar(path string, signals lifecycle.Signals) error {
+	p, err := newProcess(path, signals)
 	if err != nil {
 		return err
 	}
@@ -34,56 +34,56 @@
 		return err
 	}
 	internal, clients, control, readiness := listeners[0], listeners[1], listeners[2], listeners[3]
-	a := newAccess(p)
-	go p.follow(func(s *settings.Settings) { a.agent.SetSeeds(s.SeedAddresses()) })
-	p.link(internal)
-	p.serve(a.agent.KeepaliveHandler(a), control)
-	p.serve(http.HandlerFunc(a.readiness), readiness)
+	a := newSidecar(p)
+	go p.handleReloads(func(s *settings.Settings) { a.agent.SetSeeds(s.SeedAddresses()) })
+	p.acceptLinks(internal)
+	p.serveHTTP(a.agent.KeepaliveHandler(a), control)
+	p.serveHTTP(http.HandlerFunc(a.serveReadiness), readiness)
 	go func() {
 		if err := a.outbound.Server().Serve(clients); err != nil {
-			p.errors <- trace.Wrap(err, "serve %s", p.settings.OutboundAddress)
+			p.serverErrors <- trace.Wrap(err, "serve %s", p.settings.OutboundAddress)
 		}
 	}()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go a.agent.Run(ctx)
 	go a.quota.Run(ctx)
-	err = p.untilEnd()
+	err = p.awaitTermination()
 	a.shutDown(clients)
 	return err
 }
 
-// newAccess puts a sidecar's planes together.
-func newAccess(p *process) *access {
-	a := &access{process: p}
+// newSidecar puts a sidecar's planes together.
+func newSidecar(p *process) *sidecar {
+	a := &sidecar{process: p}
 	a.inbound = inbound.New(p.settings.ApplicationAddress, p.hub.Now, p.log, func(life string) { a.agent.PublishEnd(life, discovery.Crashed) })
 	a.outbound = outbound.New(outbound.Options{Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
-		Seed: p.seed, Bodies: max(int64(bodyShare*float64(p.settings.MemoryMB<<20)), bodiesLeast), Refresh: func(s string) { a.agent.Refresh(s) },
+		Seed: p.seed, Bodies: max(int64(bodyMemoryFraction*float64(p.settings.MemoryMB<<20)), minBodyMemoryBytes), Refresh: func(s string) { a.agent.Refresh(s) },
 		Take: func(t *configuration.Tenant, done func(bool, time.Duration)) { a.quota.Acquire(t, done) }})
 	a.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleAccess, Log: p.log, Seed: p.seed,
 		OnConfiguration: func(c *configuration.Config) { a.outbound.Configure(c) }, OnEndpointsChanged: a.outbound.Told,
-		OnSidecarCount: a.outbound.Sidecars, OnEndpointLeaving: a.leaves})
+		OnSidecarCount: a.outbound.Sidecars, OnEndpointLeaving: a.handleEndpointLeaving})
 	a.inbound.Serve(p.hub)
 	a.quota = a.agent.NewQuotaClient()
 	return a
 }
 
-type access struct {
+type sidecar struct {
 	*process
-	inbound  *inbound.Proxy
-	outbound *outbound.Proxy
-	agent    *agent.Agent
-	quota    *agent.QuotaClient
-	mu       sync.Mutex // held for no longer than a change takes: nothing that may call back is called with it
-	sequence uint64     // callSequence of the newest keepalive of the endpoint's present life
-	past     []string   // lives that are over, the oldest first
-	gone     bool       // this process is about to end
+	inbound      *inbound.Proxy
+	outbound     *outbound.Proxy
+	agent        *agent.Agent
+	quota        *agent.QuotaClient
+	mu           sync.Mutex // held for no longer than a change takes: nothing that may call back is called with it
+	lastSequence uint64     // callSequence of the newest keepalive of the endpoint's present life
+	endedIDs     []string   // lives that are over, the oldest first
+	shuttingDown bool       // this process is about to end
 }
 
-// readiness answers the platform.
-func (a *access) readiness(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness answers the platform.
+func (a *sidecar) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
-	gone := a.gone
+	gone := a.shuttingDown
 	a.mu.Unlock()
 	if gone || a.outbound.Config() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/mesh/assembly/assembly.go
+++ b/internal/mesh/assembly/assembly.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	callsMost      = 68 << 20 // bytes of calls at once: the largest body, and its head
+	maxCallBytes   = 68 << 20 // bytes of calls at once: the largest body, and its head
 	gcPercent      = 150
-	heapShare      = 0.6 // of the machine's memory that the runtime keeps to
-	listenMost     = 2 * time.Second
+	heapFraction   = 0.6 // of the machine's memory that the runtime keeps to
+	listenTimeout  = 2 * time.Second
 	reloadInterval = 5 * time.Second // between two looks at the settings file, which may change without SIGHUP
 )
 
 // process is what both programs have.
 type process struct {
-	settings *settings.Settings
-	path     string
-	signals  lifecycle.Signals
-	hub      *transport.Hub
-	log      *logrus.Logger
-	ring     *logging.Ring
-	seed     uint64
-	errors   chan error
-	servers  []*http.Server
+	settings     *settings.Settings
+	settingsPath string
+	signals      lifecycle.Signals
+	hub          *transport.Hub
+	log          *logrus.Logger
+	logRing      *logging.Ring
+	seed         uint64
+	serverErrors chan error
+	httpServers  []*http.Server
 }
 
-// begin reads the settings, and makes what speaks with other processes.
-func begin(path string, signals lifecycle.Signals) (*process, error) {
+// newProcess reads the settings, and makes what speaks with other processes.
+func newProcess(path string, signals lifecycle.Signals) (*process, error) {
 	loaded, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapShare * float64(loaded.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(heapFraction * float64(loaded.MemoryMB<<20)))
 	log, ring := logging.New(os.Stderr)
-	p := &process{settings: loaded, path: path, signals: signals, log: log, ring: ring, seed: rand.Uint64(), errors: make(chan error, 8)}
-	p.hub = transport.NewHub(transport.Hello{Life: rand.Uint64() | 1, Address: loaded.InternalAddress(), Name: loaded.Name, Zone: loaded.Zone,
-		Service: loaded.Service}, time.Now(), callsMost, log)
-	p.hub.Shape(loaded.LinkMbps * 1e6)
+	p := &process{settings: loaded, settingsPath: path, signals: signals, log: log, logRing: ring, seed: rand.Uint64(), serverErrors: make(chan error, 8)}
+	p.hub = transport.NewHub(transport.Hello{Incarnation: rand.Uint64() | 1, Address: loaded.InternalAddress(), Name: loaded.Name, Zone: loaded.Zone,
+		Service: loaded.Service}, time.Now(), maxCallBytes, log)
+	p.hub.LimitRate(loaded.LinkMbps * 1e6)
 	return p, nil
 }
 
@@ -77,27 +77,27 @@
 func listen(address string) (net.Listener, error) {
 	for began := time.Now(); ; {
 		l, err := net.Listen("tcp4", address)
-		if err == nil || time.Since(began) > listenMost {
+		if err == nil || time.Since(began) > listenTimeout {
 			return l, trace.Wrap(err, "listen on %s", address)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// serve runs a server of short calls until the process ends.
-func (p *process) serve(h http.Handler, l net.Listener) {
+// serveHTTP runs a server of short calls until the process ends.
+func (p *process) serveHTTP(h http.Handler, l net.Listener) {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 32 << 10}
-	p.servers = append(p.servers, s)
+	p.httpServers = append(p.httpServers, s)
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			p.errors <- trace.Wrap(err, "serve %s", l.Addr())
+			p.serverErrors <- trace.Wrap(err, "serve %s", l.Addr())
 		}
 	}()
 }
 
 // shutDownServers ends the servers of short calls: each call that was read is answered, for as long as ctx allows.
 func (p *process) shutDownServers(ctx context.Context) {
-	for _, s := range p.servers {
+	for _, s := range p.httpServers {
 		if err := s.Shutdown(ctx); err != nil {
 			p.log.WithError(err).Warn("assembly: a call is cut off")
 			s.Close()
@@ -105,28 +105,28 @@
 	}
 }
 
-// link takes links from other processes.
-func (p *process) link(l net.Listener) {
+// acceptLinks takes links from other processes.
+func (p *process) acceptLinks(l net.Listener) {
 	go func() {
 		if err := p.hub.Listen(l); err != nil {
-			p.errors <- err
+			p.serverErrors <- err
 		}
 	}()
 }
 
-// follow does what signals and a clock ask for, until the process exits: also while it starts and while it ends.
-func (p *process) follow(reload func(*settings.Settings)) {
+// handleReloads does what signals and a clock ask for, until the process exits: also while it starts and while it ends.
+func (p *process) handleReloads(reload func(*settings.Settings)) {
 	every := time.NewTicker(reloadInterval)
 	defer every.Stop()
 	for {
 		select {
 		case <-p.signals.Dump:
-			p.ring.Dump("SIGUSR1")
+			p.logRing.Dump("SIGUSR1")
 			continue
 		case <-p.signals.Reload:
 		case <-every.C:
 		}
-		if s, err := settings.Load(p.path); err != nil {
+		if s, err := settings.Load(p.settingsPath); err != nil {
 			p.log.Warn("assembly: settings are kept as they were: " + err.Error())
 		} else {
 			reload(s)
@@ -134,13 +134,13 @@
 	}
 }
 
-// untilEnd returns when the process has to end: nil when it is told to, the error of a server that failed. Either way it
+// awaitTermination returns when the process has to end: nil when it is told to, the error of a server that failed. Either way it
 // ends in order after that.
-func (p *process) untilEnd() error {
+func (p *process) awaitTermination() error {
 	select {
 	case <-p.signals.Terminate:
 		return nil
-	case err := <-p.errors:
+	case err := <-p.serverErrors:
 		p.log.WithError(err).Error("assembly: a server failed, the process ends")
 		return err
 	}
--- a/internal/mesh/assembly/assembly_test.go
+++ b/internal/mesh/assembly/assembly_test.go
@@ -24,7 +24,7 @@
 
 // The test program is also the two programs that it tests, by the role in its environment.
 func TestMain(m *testing.M) {
-	run := map[string]func(string, lifecycle.Signals) error{"access": Access, "core": Core}[os.Getenv("MESH_TEST_ROLE")]
+	run := map[string]func(string, lifecycle.Signals) error{"access": RunSidecar, "core": RunControlPlane}[os.Getenv("MESH_TEST_ROLE")]
 	if run == nil {
 		http.DefaultClient.Timeout = 10 * time.Second // a process that never answers fails its test
 		os.Exit(m.Run())
@@ -39,68 +39,68 @@
 	}
 }
 
-// mesh is a small system of real processes on loopback, each machine with an address of its own.
-type mesh struct {
+// testMesh is a small system of real processes on loopback, each machine with an address of its own.
+type testMesh struct {
 	*qt.C
-	folder   string
-	net      string // the first three numbers of its addresses
-	machines map[string]*machine
-	apps     map[string]*application.Endpoint
-	limits   string // further lines of limitSet
-	bounds   string // lines of boundSet
-	n        int
-	mu       sync.Mutex
+	folder       string
+	subnet       string // the first three numbers of its addresses
+	machines     map[string]*testMachine
+	applications map[string]*application.Endpoint
+	limits       string // further lines of limitSet
+	bounds       string // lines of boundSet
+	requestCount int
+	mu           sync.Mutex
 }
 
-type machine struct {
+type testMachine struct {
 	name, role, ip, zone, service string
 	initial                       bool
 	cmd                           *exec.Cmd
 }
 
 // newMesh starts one; its addresses are of this test process alone, so that several may run on a machine.
-func newMesh(t *testing.T, n int) *mesh { return newMeshWith(t, n, "", "") }
+func newMesh(t *testing.T, n int) *testMesh { return newMeshWith(t, n, "", "") }
 
 // newMeshWith is newMesh with further lines of the settings' limitSet and boundSet.
-func newMeshWith(t *testing.T, n int, limits, bounds string) *mesh {
+func newMeshWith(t *testing.T, n int, limits, bounds string) *testMesh {
 	net := fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, os.Getpid()/200%80*3+n)
-	m := &mesh{C: qt.New(t), folder: t.TempDir(), net: net, machines: map[string]*machine{}, apps: map[string]*application.Endpoint{},
+	m := &testMesh{C: qt.New(t), folder: t.TempDir(), subnet: net, machines: map[string]*testMachine{}, applications: map[string]*application.Endpoint{},
 		limits: limits, bounds: bounds}
 	t.Cleanup(func() {
 		for _, x := range m.machines {
 			m.kill(x)
 		}
-		for _, a := range m.apps {
+		for _, a := range m.applications {
 			a.Crash()
 		}
 	})
 	for i, zone := range []string{"a", "b", "c"} {
-		m.add("core-"+zone, "core", fmt.Sprintf("%s.%d", net, i+1), zone, "")
+		m.addMachine("core-"+zone, "core", fmt.Sprintf("%s.%d", net, i+1), zone, "")
 	}
 	for i, service := range []string{"desk", "desk", "board", "board"} {
-		m.add(fmt.Sprintf("access-%d", i), "access", fmt.Sprintf("%s.%d", net, i+11), string(rune('a'+i%3)), service)
+		m.addMachine(fmt.Sprintf("access-%d", i), "access", fmt.Sprintf("%s.%d", net, i+11), string(rune('a'+i%3)), service)
 	}
 	return m
 }
 
-func (m *mesh) add(name, role, ip, zone, service string) {
-	x := &machine{name: name, role: role, ip: ip, zone: zone, service: service, initial: true}
+func (m *testMesh) addMachine(name, role, ip, zone, service string) {
+	x := &testMachine{name: name, role: role, ip: ip, zone: zone, service: service, initial: true}
 	m.machines[name] = x
 	m.start(x)
 	if service != "" {
-		m.app(x, "i-"+name)
+		m.startApplication(x, "i-"+name)
 	}
 }
 
-// app starts the endpoint on a machine.
-func (m *mesh) app(x *machine, id string) {
+// startApplication starts the endpoint on a machine.
+func (m *testMesh) startApplication(x *testMachine, id string) {
 	a, err := application.Start(application.Options{ID: id, Service: x.service, Zone: x.zone, Address: x.ip + ":8103", Slots: 4,
-		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", m.net + ".1:8105", m.net + ".2:8105"}, Every: 150 * time.Millisecond})
+		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", m.subnet + ".1:8105", m.subnet + ".2:8105"}, Every: 150 * time.Millisecond})
 	m.Assert(err, qt.IsNil)
-	m.apps[x.name] = a
+	m.applications[x.name] = a
 }
 
-func (m *mesh) start(x *machine) {
+func (m *testMesh) start(x *testMachine) {
 	data := ""
 	if x.role == "core" {
 		folder := filepath.Join(m.folder, x.name)
@@ -115,20 +115,22 @@
 	}
 	text += fmt.Sprintf("[ownNode.limitSet]\nmemoryMb = 280\n%s[network]\ninternalPorts = [7640, 7655]\nseedNodes = [\"%s.1:8105\", \"%s.2:8105\", \"%s.3:8105\"]\n"+
 		"[network.listenAddresses]\ncontrol = \"%s:8105\"\noutbound = \"%s:8106\"\nreadiness = \"%s:8100\"\n[network.zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[termTable.boundSet]\n%s",
-		m.limits, m.net, m.net, m.net, x.ip, x.ip, x.ip, m.bounds)
+		m.limits, m.subnet, m.subnet, m.subnet, x.ip, x.ip, x.ip, m.bounds)
 	m.Assert(os.WriteFile(path, []byte(text), 0o644), qt.IsNil)
-	_ = os.Remove(m.caughtFile(x))
+	_ = os.Remove(m.signalsFile(x))
 	x.cmd = exec.Command(os.Args[0])
-	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.EnvironmentVariable+"="+path, "MESH_TEST_CAUGHT="+m.caughtFile(x))
+	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.EnvironmentVariable+"="+path, "MESH_TEST_CAUGHT="+m.signalsFile(x))
 	x.cmd.Stderr = os.Stderr
 	m.Assert(x.cmd.Start(), qt.IsNil)
 	x.initial = false
 }
 
-// caughtFile is made by a machine's process once it catches signals.
-func (m *mesh) caughtFile(x *machine) string { return filepath.Join(m.folder, x.name+".caught") }
+// signalsFile is made by a machine's process once it catches signals.
+func (m *testMesh) signalsFile(x *testMachine) string {
+	return filepath.Join(m.folder, x.name+".caught")
+}
 
-func (m *mesh) kill(x *machine) {
+func (m *testMesh) kill(x *testMachine) {
 	if x.cmd != nil {
 		_ = x.cmd.Process.Kill()
 		_ = x.cmd.Wait()
@@ -136,8 +138,8 @@
 	}
 }
 
-// until waits for something, at most twenty seconds.
-func (m *mesh) until(what string, ok func() bool) {
+// waitFor waits for something, at most twenty seconds.
+func (m *testMesh) waitFor(what string, ok func() bool) {
 	m.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); {
 		if time.Now().After(end) {
@@ -151,23 +153,23 @@
 			m.Fatalf("%s: not within twenty seconds", what)
 		}
 		select {
-		case <-m.apps["access-0"].Acked():
+		case <-m.applications["access-0"].Acked():
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-type answer struct {
+type response struct {
 	status int
 	body   string
 	header http.Header
 }
 
-// ask sends a request by a machine's sidecar, on a connection of its own.
-func (m *mesh) ask(name, method, path, key string, body []byte) (a answer, id string) {
+// send sends a request by a machine's sidecar, on a connection of its own.
+func (m *testMesh) send(name, method, path, key string, body []byte) (a response, id string) {
 	m.mu.Lock()
-	m.n++
-	id = fmt.Sprintf("%016x", m.n)
+	m.requestCount++
+	id = fmt.Sprintf("%016x", m.requestCount)
 	m.mu.Unlock()
 	q, err := http.NewRequest(method, "http://"+m.machines[name].ip+":8106"+path, bytes.NewReader(body))
 	m.Check(err, qt.IsNil)
@@ -181,18 +183,18 @@
 	client := http.Client{Timeout: 5 * time.Second}
 	r, err := client.Do(q)
 	if err != nil {
-		return answer{status: -1, body: err.Error()}, id
+		return response{status: -1, body: err.Error()}, id
 	}
 	defer r.Body.Close()
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
-		return answer{status: -1, body: err.Error()}, id
+		return response{status: -1, body: err.Error()}, id
 	}
-	return answer{r.StatusCode, string(text), r.Header}, id
+	return response{r.StatusCode, string(text), r.Header}, id
 }
 
-// config is a configuration with routes for reading and booking, and what a change adds.
-func (m *mesh) config(version int, extra string, keys ...string) []byte {
+// configuration is a configuration with routes for reading and booking, and what a change adds.
+func (m *testMesh) configuration(version int, extra string, keys ...string) []byte {
 	k, _ := json.Marshal(keys)
 	return []byte(fmt.Sprintf(`{"configVersion":"r%d","routeTable":[
 		{"name":"read","hostName":"shop.example","pathPrefix":"/read/","routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"board","maxAttempts":2,"publicAccess":false},
@@ -206,9 +208,9 @@
 const longRoute = `,{"name":"long","hostName":"shop.example","pathPrefix":"/book/long/","routeKind":"non_idempotent",` +
 	`"timeout":"15000ms","target":"300ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}`
 
-// put has an operator replace the configuration at any core process that answers; without a clear answer it is repeated unchanged,
+// replaceConfiguration has an operator replace the configuration at any core process that answers; without a clear answer it is repeated unchanged,
 // as operators do.
-func (m *mesh) put(base int, config []byte) (status int) {
+func (m *testMesh) replaceConfiguration(base int, config []byte) (status int) {
 	client := http.Client{Timeout: 3 * time.Second}
 	for range 10 {
 		for _, zone := range []string{"a", "b", "c"} {
@@ -229,14 +231,14 @@
 	return status
 }
 
-func (m *mesh) ready() {
-	m.until("the first configuration", func() bool { return m.put(0, m.config(1, "", "k1", "k2")) == 200 })
+func (m *testMesh) waitReady() {
+	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, "", "k1", "k2")) == 200 })
 	for name, x := range m.machines {
 		if x.role != "access" {
 			continue
 		}
 		for _, path := range []string{"/read/x", "/book/x"} {
-			m.until(name+" serves "+path, func() bool { a, _ := m.ask(name, "GET", path, "k1", nil); return a.status == 200 })
+			m.waitFor(name+" serves "+path, func() bool { a, _ := m.send(name, "GET", path, "k1", nil); return a.status == 200 })
 		}
 	}
 }
@@ -244,8 +246,8 @@
 // A configuration, beats, keys, routes that come and go, a drain, a crash and a new life at one address, as clients see them.
 func TestMeshServes(t *testing.T) {
 	m := newMesh(t, 1)
-	m.ready()
-	a, id := m.ask("access-2", "POST", "/book/one?x=1", "k2", []byte("booking"))
+	m.waitReady()
+	a, id := m.send("access-2", "POST", "/book/one?x=1", "k2", []byte("booking"))
 	m.Assert(a.status, qt.Equals, 200)
 	m.Assert(a.body, qt.Matches, `i-access-[01] desk POST /book/one\?x=1 from board for "north": 7 bytes`)
 	m.Assert(a.header.Get("Endpoint-Seal"), qt.Contains, id)
@@ -253,46 +255,46 @@
 		path, key string
 		status    int
 	}{{"/read/x", "", 401}, {"/read/x", "nobody", 401}, {"/none/", "k1", 404}} {
-		a, _ := m.ask("access-0", "GET", x.path, x.key, nil)
+		a, _ := m.send("access-0", "GET", x.path, x.key, nil)
 		m.Assert(a.status, qt.Equals, x.status, qt.Commentf("%+v", x))
 	}
-	big, _ := m.ask("access-0", "POST", "/book/x", "k1", make([]byte, 100001))
+	big, _ := m.send("access-0", "POST", "/book/x", "k1", make([]byte, 100001))
 	m.Assert(big.status, qt.Equals, 413)
-	whole, _ := m.ask("access-0", "POST", "/book/x", "k1", make([]byte, 100000))
+	whole, _ := m.send("access-0", "POST", "/book/x", "k1", make([]byte, 100000))
 	m.Assert(whole.body, qt.Matches, ".*: 100000 bytes")
 	m.Assert(whole.header.Get("Keep-Alive"), qt.Equals, "timeout=14")
 	// A key goes, a route comes; what is refused, lost its race or can't be used is never in force.
 	added := `,{"name":"new","hostName":"shop.example","pathPrefix":"/read/new/","routeKind":"idempotent","timeout":"1000ms","target":"300ms","priority":1,"serviceName":"desk","maxAttempts":1,"publicAccess":true}`
-	m.Assert(m.put(1, []byte(`{"configVersion":"r2","routeTable":[{`)), qt.Equals, 400)
-	m.Assert(m.put(1, m.config(3, added, "k1")), qt.Equals, 200)
-	m.Assert(m.put(1, m.config(4, "", "k2")), qt.Equals, 412)
-	m.Assert(m.put(1, m.config(3, added, "k1")), qt.Equals, 200) // the same once more
+	m.Assert(m.replaceConfiguration(1, []byte(`{"configVersion":"r2","routeTable":[{`)), qt.Equals, 400)
+	m.Assert(m.replaceConfiguration(1, m.configuration(3, added, "k1")), qt.Equals, 200)
+	m.Assert(m.replaceConfiguration(1, m.configuration(4, "", "k2")), qt.Equals, 412)
+	m.Assert(m.replaceConfiguration(1, m.configuration(3, added, "k1")), qt.Equals, 200) // the same once more
 	acked := time.Now()
 	for name, x := range m.machines {
 		if x.role == "access" {
-			m.until(name+" follows", func() bool {
-				a, _ := m.ask(name, "GET", "/read/new/x", "", nil)
-				b, _ := m.ask(name, "GET", "/read/x", "k2", nil)
+			m.waitFor(name+" follows", func() bool {
+				a, _ := m.send(name, "GET", "/read/new/x", "", nil)
+				b, _ := m.send(name, "GET", "/read/x", "k2", nil)
 				return a.status == 200 && b.status == 401
 			})
 		}
 	}
 	m.Assert(time.Since(acked) < 2500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(acked)))
 	// One endpoint drains: callers turn to the other, and it gets nothing more.
-	m.Assert(m.apps["access-2"].Drain(), qt.IsTrue)
-	m.until("callers turn away from what drains", func() bool {
+	m.Assert(m.applications["access-2"].Drain(), qt.IsTrue)
+	m.waitFor("callers turn away from what drains", func() bool {
 		for range 20 {
-			if a, _ := m.ask("access-0", "GET", "/read/x", "k1", nil); a.status != 200 || strings.HasPrefix(a.body, "i-access-2 ") {
+			if a, _ := m.send("access-0", "GET", "/read/x", "k1", nil); a.status != 200 || strings.HasPrefix(a.body, "i-access-2 ") {
 				return false
 			}
 		}
 		return true
 	})
-	m.Assert(m.apps["access-2"].Leave(), qt.IsTrue)
+	m.Assert(m.applications["access-2"].Leave(), qt.IsTrue)
 	// The other crashes, and a new life begins at the first one's address.
-	m.apps["access-3"].Crash()
-	m.app(m.machines["access-2"], "i-new")
-	var last answer
+	m.applications["access-3"].Crash()
+	m.startApplication(m.machines["access-2"], "i-new")
+	var last response
 	defer func() {
 		if t.Failed() {
 			t.Logf("last %d %s", last.status, last.body)
@@ -303,17 +305,17 @@
 		strings.NewReader(`{"serviceName":"board","address":"`+m.machines["access-2"].ip+`:8103","zone":"c","slotCount":4,"state":"in_service","callSequence":99}`))
 	m.Assert(err, qt.IsNil)
 	late.Body.Close()
-	m.until("the new life serves", func() bool {
-		last, _ = m.ask("access-1", "GET", "/read/x", "k1", nil)
+	m.waitFor("the new life serves", func() bool {
+		last, _ = m.send("access-1", "GET", "/read/x", "k1", nil)
 		return strings.HasPrefix(last.body, "i-new ")
 	})
 }
 
 // Processes are killed and stand still while clients ask: what must not run twice never does, and the rest is served again
 // within seconds.
-func TestMeshOutlivesItsProcesses(t *testing.T) {
+func TestMeshSurvivesCrashesOfItsProcesses(t *testing.T) {
 	m := newMesh(t, 2)
-	m.ready()
+	m.waitReady()
 	stop, done := make(chan struct{}), make(chan struct{})
 	var mu sync.Mutex
 	ids := map[string]int{} // of bookings, with their status
@@ -325,21 +327,21 @@
 				return
 			default:
 			}
-			a, id := m.ask([]string{"access-2", "access-3"}[i%2], "POST", "/book/x", "k1", []byte("b"))
+			a, id := m.send([]string{"access-2", "access-3"}[i%2], "POST", "/book/x", "k1", []byte("b"))
 			mu.Lock()
 			ids[id] = a.status
 			mu.Unlock()
 		}
 	}()
 	served := func(name, path string) {
-		var last answer
+		var last response
 		defer func() {
 			if t.Failed() {
 				t.Logf("%s %s: last %d %s %v", name, path, last.status, last.body, last.header)
 			}
 		}()
-		m.until(name+" serves "+path, func() bool {
-			last, _ = m.ask(name, "GET", path, "k1", nil)
+		m.waitFor(name+" serves "+path, func() bool {
+			last, _ = m.send(name, "GET", path, "k1", nil)
 			return last.status == 200
 		})
 	}
@@ -353,7 +355,7 @@
 	_ = m.machines["access-1"].cmd.Process.Signal(syscall.SIGCONT)
 	// One of the core is killed, and a change still goes through; then all of it, at once, and its disks hold the change.
 	m.kill(m.machines["core-b"])
-	m.until("a change with one of the core gone", func() bool { return m.put(1, m.config(5, "", "k1", "k3")) == 200 })
+	m.waitFor("a change with one of the core gone", func() bool { return m.replaceConfiguration(1, m.configuration(5, "", "k1", "k3")) == 200 })
 	for _, zone := range []string{"a", "c"} {
 		m.kill(m.machines["core-"+zone])
 	}
@@ -361,26 +363,26 @@
 	for _, zone := range []string{"a", "b", "c"} {
 		m.start(m.machines["core-"+zone])
 	}
-	m.until("the change is read back", func() bool {
+	m.waitFor("the change is read back", func() bool {
 		r, err := http.Get("http://" + m.machines["core-b"].ip + ":8105/configuration/retrieve")
 		if err != nil {
 			return false
 		}
 		defer r.Body.Close()
 		body, _ := io.ReadAll(r.Body)
-		return r.StatusCode == 200 && bytes.Equal(body, m.config(5, "", "k1", "k3"))
+		return r.StatusCode == 200 && bytes.Equal(body, m.configuration(5, "", "k1", "k3"))
 	})
 	// A disk is lost: the process remembers nothing of what it promised, and the others' word stands.
 	m.kill(m.machines["core-a"])
 	m.Assert(os.RemoveAll(filepath.Join(m.folder, "core-a")), qt.IsNil)
 	m.start(m.machines["core-a"])
-	m.until("a change with a lost disk", func() bool { return m.put(5, m.config(8, "", "k1", "k4")) == 200 })
+	m.waitFor("a change with a lost disk", func() bool { return m.replaceConfiguration(5, m.configuration(8, "", "k1", "k4")) == 200 })
 	served("access-2", "/book/w")
-	m.until("the new key is in force", func() bool { a, _ := m.ask("access-2", "GET", "/read/x", "k4", nil); return a.status == 200 })
+	m.waitFor("the new key is in force", func() bool { a, _ := m.send("access-2", "GET", "/read/x", "k4", nil); return a.status == 200 })
 	close(stop)
 	<-done
 	runs := map[string]int{}
-	for _, a := range m.apps {
+	for _, a := range m.applications {
 		for id, n := range a.Runs() {
 			runs[id] += n
 		}
@@ -402,31 +404,31 @@
 }
 
 // SIGTERM with requests under way: all of them are answered, and the process ends by itself before the grace is over.
-func TestSidecarEndsInOrder(t *testing.T) {
+func TestSidecarShutsDownGracefully(t *testing.T) {
 	m := newMesh(t, 3)
-	m.ready()
-	before := len(m.apps["access-0"].Runs()) + len(m.apps["access-1"].Runs())
-	release := m.apps["access-0"].Hold()
-	other := m.apps["access-1"].Hold()
-	answers := make(chan answer, 4)
+	m.waitReady()
+	before := len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs())
+	release := m.applications["access-0"].Hold()
+	other := m.applications["access-1"].Hold()
+	answers := make(chan response, 4)
 	for range 4 {
 		go func() {
-			a, _ := m.ask("access-2", "GET", "/book/slow", "k1", nil)
+			a, _ := m.send("access-2", "GET", "/book/slow", "k1", nil)
 			answers <- a
 		}()
 	}
-	m.until("requests are under way", func() bool {
+	m.waitFor("requests are under way", func() bool {
 		select {
 		case a := <-answers:
 			m.Fatalf("a request was answered %d %s", a.status, a.body)
 		default:
 		}
 
-		return len(m.apps["access-0"].Runs())+len(m.apps["access-1"].Runs()) == before+4
+		return len(m.applications["access-0"].Runs())+len(m.applications["access-1"].Runs()) == before+4
 	})
 	x := m.machines["access-2"]
 	m.Assert(x.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
-	m.until("it says that it is not ready", func() bool {
+	m.waitFor("it says that it is not ready", func() bool {
 		r, err := http.Get("http://" + x.ip + ":8100/readiness")
 		if err != nil {
 			return false
--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -16,16 +16,16 @@
 
 // Times that a process that ends may take, one after the other; each at most a part of the grace time.
 const (
-	releaseMost  = 300 * time.Millisecond  // to give its duties to another
-	handOverMost = 2500 * time.Millisecond // to give its place among the voters to another
-	answerMost   = time.Second             // to answer the calls that it has read
-	closeMost    = 500 * time.Millisecond  // for its disk, which may hang; what counts was written through
-	drainMost    = 400 * time.Millisecond  // until its answers to other processes have gone out
+	releaseTimeout  = 300 * time.Millisecond  // to give its duties to another
+	handOverTimeout = 2500 * time.Millisecond // to give its place among the voters to another
+	answerTimeout   = time.Second             // to answer the calls that it has read
+	closeTimeout    = 500 * time.Millisecond  // for its disk, which may hang; what counts was written through
+	drainTimeout    = 400 * time.Millisecond  // until its answers to other processes have gone out
 )
 
-// Core runs a process that holds the configuration until it is told to end.
-func Core(path string, signals lifecycle.Signals) error {
-	p, err := begin(path, signals)
+// RunControlPlane runs a process that holds the configuration until it is told to end.
+func RunControlPlane(path string, signals lifecycle.Signals) error {
+	p, err := newProcess(path, signals)
 	if err != nil {
 		return err
 	}
@@ -34,49 +34,49 @@
 		return err
 	}
 	internal, control := listeners[0], listeners[1]
-	c := &core{process: p, ready: make(chan struct{})}
+	c := &controlPlane{process: p, opened: make(chan struct{})}
 	c.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleCore, Log: p.log, Seed: p.seed})
 	c.agent.ServeConsensus(c.serveConsensus)
-	p.link(internal)
+	p.acceptLinks(internal)
 	c.server, err = controlplane.Open(controlplane.Options{Self: p.settings.ControlAddress, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
 		Folder: p.settings.DataDirectory, Transport: c.agent.ConsensusTransport(), Tolerated: p.settings.ToleratedMachines, Cores: c.agent.CoreAddresses, Log: p.log, Seed: p.seed,
 		OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) }})
 	if err != nil {
 		return err
 	}
-	c.duties = c.agent.NewSingletonRoles(c.server, p.settings.InitialStart)
-	close(c.ready)
-	go p.follow(func(s *settings.Settings) {
+	c.roles = c.agent.NewSingletonRoles(c.server, p.settings.InitialStart)
+	close(c.opened)
+	go p.handleReloads(func(s *settings.Settings) {
 		c.agent.SetSeeds(s.SeedAddresses())
 		c.server.SetSeeds(s.Seeds)
 	})
 	streams, endStreams := context.WithCancel(context.Background())
 	defer endStreams()
-	p.serve(c.handler(streams), control)
+	p.serveHTTP(c.handler(streams), control)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.agent.Run(ctx)
-	go c.duties.Run(ctx)
-	err = p.untilEnd()
-	c.leave()
+	go c.roles.Run(ctx)
+	err = p.awaitTermination()
+	c.handOver()
 	endStreams()
 	c.shutDown()
 	return err
 }
 
-// core is a process of the control plane.
-type core struct {
+// controlPlane is a process of the control plane.
+type controlPlane struct {
 	*process
 	agent  *agent.Agent
 	server *controlplane.Server
-	duties *agent.SingletonRoles
-	ready  chan struct{} // closed once server is there
+	roles  *agent.SingletonRoles
+	opened chan struct{} // closed once server is there
 }
 
 // serveConsensus answers other processes' requests about the configuration.
-func (c *core) serveConsensus(ctx context.Context, request []byte) ([]byte, error) {
+func (c *controlPlane) serveConsensus(ctx context.Context, request []byte) ([]byte, error) {
 	select {
-	case <-c.ready:
+	case <-c.opened:
 		return c.server.Serve(ctx, request)
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -84,9 +84,9 @@
 }
 
 // handler serves operators, endpoints and tools. Streams of events end with a context, as nothing else ends them.
-func (c *core) handler(streams context.Context) http.Handler {
-	keepalives, operator, state := c.agent.KeepaliveHandler(nil), c.server.Handler(), c.duties.Handler()
-	events := lifecycle.EndingWith(streams, c.agent.EventsHandler())
+func (c *controlPlane) handler(streams context.Context) http.Handler {
+	keepalives, operator, state := c.agent.KeepaliveHandler(nil), c.server.Handler(), c.roles.Handler()
+	events := lifecycle.CancelRequestsOnDone(streams, c.agent.EventsHandler())
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		switch {
 		case strings.HasPrefix(q.URL.Path, "/configuration/"):
@@ -101,15 +101,15 @@
 	})
 }
 
-// leave gives this process's duties and then its place among the voters to others before it ends. In this order the next holder
+// handOver gives this process's duties and then its place among the voters to others before it ends. In this order the next holder
 // has a duty at once: after a change of the voters nobody asks for one for the time of a lease. The process answers as before
 // meanwhile.
-func (c *core) leave() {
+func (c *controlPlane) handOver() {
 	grace := c.settings.Bounds.Grace
-	ctx, cancel := context.WithTimeout(context.Background(), min(releaseMost, grace/12))
-	c.duties.Release(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), min(releaseTimeout, grace/12))
+	c.roles.Release(ctx)
 	cancel()
-	ctx, cancel = context.WithTimeout(context.Background(), min(handOverMost, grace/2))
+	ctx, cancel = context.WithTimeout(context.Background(), min(handOverTimeout, grace/2))
 	defer cancel()
 	if err := c.server.HandOver(ctx); err != nil {
 		c.log.WithError(err).Warn("assembly: this process ends as a voter")
@@ -117,9 +117,9 @@
 }
 
 // shutDown answers what was read: operators' calls while the agreement still works, then other processes' requests.
-func (c *core) shutDown() {
+func (c *controlPlane) shutDown() {
 	grace := c.settings.Bounds.Grace
-	ctx, cancel := context.WithTimeout(context.Background(), min(answerMost, grace/6))
+	ctx, cancel := context.WithTimeout(context.Background(), min(answerTimeout, grace/6))
 	defer cancel()
 	c.shutDownServers(ctx)
 	closed := make(chan struct{})
@@ -129,8 +129,8 @@
 	}()
 	select {
 	case <-closed:
-	case <-time.After(min(closeMost, grace/12)):
+	case <-time.After(min(closeTimeout, grace/12)):
 		c.log.Warn("assembly: this process ends while its disk hangs")
 	}
-	c.hub.Drain(c.hub.Now() + min(drainMost, grace/12))
+	c.hub.Drain(c.hub.Now() + min(drainTimeout, grace/12))
 }
--- a/internal/mesh/assembly/endpoint.go
+++ b/internal/mesh/assembly/endpoint.go
@@ -7,32 +7,32 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-const pastLives = 16 // lives of the endpoint that are over and remembered
+const maxEndedIDs = 16 // lives of the endpoint that are over and remembered
 
 // Keepalive takes a keepalive or a deregistration of the endpoint beside this process (agent.LocalEndpoint): the endpoint's own word,
 // whether it came here or to another process.
-func (a *access) Keepalive(e discovery.Endpoint) bool {
+func (a *sidecar) Keepalive(e discovery.Endpoint) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if e.State == discovery.Deregistered {
-		return a.deregistered(e)
+		return a.applyDeregistration(e)
 	}
 	if e.AppAddress != a.settings.ApplicationAddress {
 		return false
 	}
 	life, _ := a.inbound.Life()
-	late := e.ID == life.ID && e.Sequence < a.sequence && e.State == discovery.Serving
-	if !late && !slices.Contains(a.past, e.ID) {
-		a.take(e)
+	late := e.ID == life.ID && e.Sequence < a.lastSequence && e.State == discovery.Serving
+	if !late && !slices.Contains(a.endedIDs, e.ID) {
+		a.applyEndpoint(e)
 	}
 	return true
 }
 
-// deregistered takes the end of a life; it tells whether the life is of the endpoint beside this process. The lock is held.
-func (a *access) deregistered(e discovery.Endpoint) bool {
+// applyDeregistration takes the end of a life; it tells whether the life is of the endpoint beside this process. The lock is held.
+func (a *sidecar) applyDeregistration(e discovery.Endpoint) bool {
 	life, _ := a.inbound.Life()
 	if e.ID == life.ID {
-		a.over(e.ID)
+		a.rememberEnded(e.ID)
 		a.inbound.Tell(life, admission.Gone)
 		a.agent.PublishEnd(e.ID, discovery.Deregistered)
 		return true
@@ -41,49 +41,49 @@
 	if e.AppAddress != "" && e.AppAddress != a.settings.ApplicationAddress {
 		return false
 	}
-	a.over(e.ID)
+	a.rememberEnded(e.ID)
 	return true
 }
 
-// take takes a life of the endpoint, present or new, as it is now. The lock is held.
-func (a *access) take(e discovery.Endpoint) {
+// applyEndpoint takes a life of the endpoint, present or new, as it is now. The lock is held.
+func (a *sidecar) applyEndpoint(e discovery.Endpoint) {
 	if life, _ := a.inbound.Life(); e.ID != life.ID {
-		a.over(life.ID)
-		a.sequence = 0
+		a.rememberEnded(life.ID)
+		a.lastSequence = 0
 	}
-	a.sequence = max(a.sequence, e.Sequence)
+	a.lastSequence = max(a.lastSequence, e.Sequence)
 	state := admission.Serving
 	if e.State == discovery.Draining {
 		state = admission.Draining
 	}
 	a.inbound.Tell(admission.Life{ID: e.ID, Service: e.Service, Slots: e.Slots}, state)
-	if !a.gone {
+	if !a.shuttingDown {
 		e.Zone = a.settings.Zone
 		a.agent.Publish(e)
 	}
 }
 
-// over remembers that a life is over: a keepalive of it may still come, late, and must not bring it back. The lock is held.
-func (a *access) over(life string) {
-	if life == "" || slices.Contains(a.past, life) {
+// rememberEnded remembers that a life is over: a keepalive of it may still come, late, and must not bring it back. The lock is held.
+func (a *sidecar) rememberEnded(life string) {
+	if life == "" || slices.Contains(a.endedIDs, life) {
 		return
 	}
-	if a.past = append(a.past, life); len(a.past) > pastLives {
-		a.past = a.past[1:]
+	if a.endedIDs = append(a.endedIDs, life); len(a.endedIDs) > maxEndedIDs {
+		a.endedIDs = a.endedIDs[1:]
 	}
 }
 
-// leaves takes what others remember of an endpoint at this machine's address: that it drains, or has deregistered. It may be of a life
+// handleEndpointLeaving takes what others remember of an endpoint at this machine's address: that it drains, or has deregistered. It may be of a life
 // before the present one, which it never replaces: a life that drains is taken only where the endpoint has told of none yet.
-func (a *access) leaves(e discovery.Endpoint) {
+func (a *sidecar) handleEndpointLeaving(e discovery.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	life, state := a.inbound.Life()
 	switch {
 	case e.State == discovery.Deregistered && (e.ID != life.ID || state != admission.Gone):
-		a.deregistered(e)
-	case e.State != discovery.Draining || slices.Contains(a.past, e.ID):
+		a.applyDeregistration(e)
+	case e.State != discovery.Draining || slices.Contains(a.endedIDs, e.ID):
 	case life.ID == "" || e.ID == life.ID && state < admission.Draining:
-		a.take(e)
+		a.applyEndpoint(e)
 	}
 }
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -80,16 +80,16 @@
 )
 
 func TestGoldenReadiness(t *testing.T) {
-	a := startAccess(t)
+	a := startSidecar(t)
 	call := httpCall{method: "GET", path: "/readiness"}
-	h := http.HandlerFunc(a.readiness)
+	h := http.HandlerFunc(a.serveReadiness)
 	text := append([]byte("without a configuration\n"), answersTo(h, call)...)
 	conf, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
 	a.outbound.Configure(conf)
 	text = append(append(text, "with a configuration\n"...), answersTo(h, call, httpCall{method: "HEAD", path: "/"}, httpCall{method: "POST", path: "/other"})...)
 	a.mu.Lock()
-	a.gone = true
+	a.shuttingDown = true
 	a.mu.Unlock()
 	text = append(append(text, "about to end\n"...), answersTo(h, call)...)
 	golden.Text(t, "readiness.txt", text)
@@ -97,7 +97,7 @@
 
 // What the control address of a sidecar answers to the endpoint beside it, and to bad input.
 func TestGoldenAccessControl(t *testing.T) {
-	a := startAccess(t)
+	a := startSidecar(t)
 	post := func(path, body string) httpCall { return httpCall{method: "POST", path: path, body: body} }
 	golden.Text(t, "access-control.txt", answersTo(a.agent.KeepaliveHandler(a),
 		post("/endpoints/i-1/keepalive", goldenKeepalive),
@@ -111,16 +111,16 @@
 	))
 }
 
-// startCore is a core process that is the only voter, as Core starts it, without the addresses that it would listen on.
-func startCore(t *testing.T) *core {
+// startControlPlane is a core process that is the only voter, as Core starts it, without the addresses that it would listen on.
+func startControlPlane(t *testing.T) *controlPlane {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	own := &settings.Settings{Name: "core-a", IP: "127.9.2.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.2.1:8105",
 		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, DataDirectory: t.TempDir()}
-	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	c := &core{process: &process{settings: own, hub: hub, log: log}, ready: make(chan struct{})}
+	c := &controlPlane{process: &process{settings: own, hub: hub, log: log}, opened: make(chan struct{})}
 	c.agent = agent.New(agent.Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log})
 	c.agent.ServeConsensus(c.serveConsensus)
 	var err error
@@ -128,12 +128,12 @@
 		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) }})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(c.server.Close)
-	c.duties = c.agent.NewSingletonRoles(c.server, true)
-	close(c.ready)
+	c.roles = c.agent.NewSingletonRoles(c.server, true)
+	close(c.opened)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go c.agent.Run(ctx)
-	go c.duties.Run(ctx)
+	go c.roles.Run(ctx)
 	return c
 }
 
@@ -176,7 +176,7 @@
 
 // What the control address of a core process answers to operators, endpoints and tools, and to bad input.
 func TestGoldenCoreControl(t *testing.T) {
-	c := startCore(t)
+	c := startControlPlane(t)
 	streams, end := context.WithCancel(context.Background())
 	defer end()
 	h := c.handler(streams)
@@ -236,10 +236,10 @@
 
 // The sizes and times by which a process bounds itself; other processes and the platform see their effect.
 func TestBoundsOfAProcess(t *testing.T) {
-	qt.Assert(t, []int{callsMost, bodiesLeast, gcPercent, pastLives}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
-	qt.Assert(t, []float64{bodyShare, heapShare}, qt.DeepEquals, []float64{0.3, 0.6})
-	times := []time.Duration{listenMost, reloadInterval, releaseMost, handOverMost, answerMost, closeMost, drainMost, readinessNotice, answerMargin,
-		exitMargin, shutdownTick}
+	qt.Assert(t, []int{maxCallBytes, minBodyMemoryBytes, gcPercent, maxEndedIDs}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
+	qt.Assert(t, []float64{bodyMemoryFraction, heapFraction}, qt.DeepEquals, []float64{0.3, 0.6})
+	times := []time.Duration{listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, answerTimeout, closeTimeout, drainTimeout, readinessNotice, answerMargin,
+		exitMargin, shutdownPollInterval}
 	qt.Assert(t, times, qt.DeepEquals, slices.Concat([]time.Duration{2 * time.Second, 5 * time.Second},
 		[]time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, time.Second, 500 * time.Millisecond, 400 * time.Millisecond},
 		[]time.Duration{2400 * time.Millisecond, 900 * time.Millisecond, 250 * time.Millisecond, 20 * time.Millisecond}))
--- a/internal/mesh/assembly/gone_test.go
+++ b/internal/mesh/assembly/gone_test.go
@@ -16,20 +16,20 @@
 
 // Clients close their connections while endpoints beside other sidecars work on their requests: the endpoints hear of it, and no
 // further one gets them.
-func TestClientsThatLeaveEndTheWorkOnTheirRequests(t *testing.T) {
+func TestClientDisconnectsCancelTheirRequests(t *testing.T) {
 	const clients = 4
 	m := newMesh(t, 10)
-	m.until("the first configuration", func() bool { return m.put(0, m.config(1, "", "k1")) == http.StatusOK })
-	m.until("access-0 serves", func() bool { a, _ := m.ask("access-0", "GET", "/read/x", "k1", nil); return a.status == http.StatusOK })
+	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, "", "k1")) == http.StatusOK })
+	m.waitFor("access-0 serves", func() bool { a, _ := m.send("access-0", "GET", "/read/x", "k1", nil); return a.status == http.StatusOK })
 	endpoints := []string{"access-2", "access-3"}
 	count := func() (runs, abandoned int) {
 		for _, name := range endpoints {
-			runs, abandoned = runs+len(m.apps[name].Runs()), abandoned+m.apps[name].Abandoned()
+			runs, abandoned = runs+len(m.applications[name].Runs()), abandoned+m.applications[name].Abandoned()
 		}
 		return runs, abandoned
 	}
 	for _, name := range endpoints {
-		defer m.apps[name].Hold()()
+		defer m.applications[name].Hold()()
 	}
 	before, _ := count()
 	var connections []net.Conn
@@ -39,12 +39,12 @@
 		fmt.Fprintf(conn, "GET /read/x HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: leaves-%d\r\nKey: k1\r\nTime-Remaining: 2000\r\n\r\n", i)
 		connections = append(connections, conn)
 	}
-	m.until("all are under way", func() bool { runs, _ := count(); return runs >= before+clients })
+	m.waitFor("all are under way", func() bool { runs, _ := count(); return runs >= before+clients })
 	left := time.Now()
 	for _, conn := range connections {
 		conn.Close()
 	}
-	m.until("their work has ended", func() bool { runs, abandoned := count(); return abandoned == runs-before })
+	m.waitFor("their work has ended", func() bool { runs, abandoned := count(); return abandoned == runs-before })
 	m.Check(time.Since(left) < workAfterClient, qt.IsTrue, qt.Commentf("%v", time.Since(left)))
 	time.Sleep(workAfterClient - time.Since(left))
 	then, _ := count()
@@ -56,32 +56,32 @@
 // A request is under way when its route is taken out of the configuration: it is served, and the next one is told that there is no route.
 func TestARequestOutlivesItsRoute(t *testing.T) {
 	m := newMesh(t, 11)
-	m.until("the first configuration", func() bool { return m.put(0, m.config(1, longRoute, "k1")) == http.StatusOK })
-	m.until("access-2 serves", func() bool { a, _ := m.ask("access-2", "GET", "/book/x", "k1", nil); return a.status == http.StatusOK })
+	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, longRoute, "k1")) == http.StatusOK })
+	m.waitFor("access-2 serves", func() bool { a, _ := m.send("access-2", "GET", "/book/x", "k1", nil); return a.status == http.StatusOK })
 	endpoints := []string{"access-0", "access-1"}
 	runs := func() (n int) {
 		for _, name := range endpoints {
-			n += len(m.apps[name].Runs())
+			n += len(m.applications[name].Runs())
 		}
 		return n
 	}
 	var release []func()
 	for _, name := range endpoints {
-		release = append(release, m.apps[name].Hold())
+		release = append(release, m.applications[name].Hold())
 	}
 	before := runs()
-	answers := make(chan exchange, 1)
+	answers := make(chan clientExchange, 1)
 	go func() {
-		c := &client{m: m, machine: "access-2"}
+		c := &testClient{m: m, machine: "access-2"}
 		defer c.close()
 		a, _ := c.do("POST", "/book/long/x")
 		answers <- a
 	}()
-	m.until("the request is under way", func() bool { return runs() > before })
-	withoutBooking := bytes.Replace(m.config(2, "", "k1"), []byte("/book/"), []byte("/other/"), 1)
-	m.Assert(m.put(1, withoutBooking), qt.Equals, http.StatusOK)
-	m.until("the route is gone", func() bool {
-		a, _ := m.ask("access-2", "GET", "/book/long/x", "k1", nil)
+	m.waitFor("the request is under way", func() bool { return runs() > before })
+	withoutBooking := bytes.Replace(m.configuration(2, "", "k1"), []byte("/book/"), []byte("/other/"), 1)
+	m.Assert(m.replaceConfiguration(1, withoutBooking), qt.Equals, http.StatusOK)
+	m.waitFor("the route is gone", func() bool {
+		a, _ := m.send("access-2", "GET", "/book/long/x", "k1", nil)
 		return a.status == http.StatusNotFound
 	})
 	for _, f := range release {
--- a/internal/mesh/assembly/leaving_test.go
+++ b/internal/mesh/assembly/leaving_test.go
@@ -16,31 +16,31 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// startAccess is a sidecar that is alone, and not on any address.
-func startAccess(t *testing.T) *access {
+// startSidecar is a sidecar that is alone, and not on any address.
+func startSidecar(t *testing.T) *sidecar {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	own := &settings.Settings{Name: "n", IP: "127.9.1.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ApplicationAddress: "127.9.1.1:8103", Service: "s"}
-	hub := transport.NewHub(transport.Hello{Life: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	return newAccess(&process{settings: own, hub: hub, log: log})
+	return newSidecar(&process{settings: own, hub: hub, log: log})
 }
 
 // A sidecar acknowledged that its endpoint leaves, lost power at once, and is back. Others remember the endpoint as it was before, or
 // as it is; a keepalive may come late. It lets nobody on to the endpoint but by that one's own word that it serves, and not after
 // anybody's word that it leaves.
-func TestRestartedSidecarLetsNobodyOnToALeavingEndpoint(t *testing.T) {
+func TestRestartedSidecarAdmitsNothingToADrainingEndpoint(t *testing.T) {
 	c := qt.New(t)
-	start := func() *access { return startAccess(t) }
+	start := func() *sidecar { return startSidecar(t) }
 	record := func(state discovery.State) discovery.Endpoint {
 		return discovery.Endpoint{ID: "x", Service: "s", AppAddress: "127.9.1.1:8103", SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
 			Sequence: 5, Revision: 3, LeaseRemaining: 5 * time.Second}
 	}
-	state := func(a *access) admission.State {
+	state := func(a *sidecar) admission.State {
 		_, s := a.inbound.Life()
 		return s
 	}
-	told := func(a *access, e discovery.Endpoint) { a.agent.ApplyRecord(e) }
+	told := func(a *sidecar, e discovery.Endpoint) { a.agent.ApplyRecord(e) }
 
 	a := start()
 	told(a, record(discovery.Serving))
@@ -71,9 +71,9 @@
 
 // A sidecar that is a home of its own endpoint's service remembers a life that has ended at that endpoint's address when the next life
 // begins there. What it remembers comes back to it while it publishes the new life: it goes on answering the endpoint and the platform.
-func TestASidecarThatIsItsOwnHomeTakesTheNextLife(t *testing.T) {
+func TestSidecarThatOwnsItsOwnServiceAcceptsTheNextEndpointID(t *testing.T) {
 	c := qt.New(t)
-	a := startAccess(t)
+	a := startSidecar(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go a.agent.Run(ctx)
@@ -85,7 +85,7 @@
 			e.Service, e.AppAddress, e.Slots, e.Sequence = "s", a.settings.ApplicationAddress, 4, uint64(sequence)
 			c.Check(a.Keepalive(e), qt.IsTrue)
 		}
-		a.readiness(httptest.NewRecorder(), nil)
+		a.serveReadiness(httptest.NewRecorder(), nil)
 	}()
 	select {
 	case <-answered:
@@ -98,9 +98,9 @@
 }
 
 // What others remember of an earlier life at the endpoint's address never takes the place of the life that the endpoint has told.
-func TestAnEarlierLifeDoesNotReplaceTheEndpointsOwn(t *testing.T) {
+func TestAnEarlierEndpointIDDoesNotReplaceTheCurrentOne(t *testing.T) {
 	c := qt.New(t)
-	a := startAccess(t)
+	a := startSidecar(t)
 	own := discovery.Endpoint{ID: "now", Service: "s", AppAddress: a.settings.ApplicationAddress, Slots: 4, Sequence: 1}
 	c.Assert(a.Keepalive(own), qt.IsTrue)
 	for _, state := range []discovery.State{discovery.Draining, discovery.Deregistered} {
--- a/internal/mesh/assembly/shutdown.go
+++ b/internal/mesh/assembly/shutdown.go
@@ -11,59 +11,59 @@
 
 // How long before SIGKILL a sidecar has done what, and how long it goes on taking requests after SIGTERM.
 const (
-	readinessNotice = 2400 * time.Millisecond // the platform looks each second, and turns away after two misses
-	answerMargin    = 900 * time.Millisecond  // in which answers that are being written go out, also over a slow link;
-	answerShare     = 7                       // at most this part of the grace time: requests may run for five sixths of it
-	exitMargin      = 250 * time.Millisecond
-	shutdownTick    = 20 * time.Millisecond
+	readinessNotice      = 2400 * time.Millisecond // the platform looks each second, and turns away after two misses
+	answerMargin         = 900 * time.Millisecond  // in which answers that are being written go out, also over a slow link;
+	answerDivisor        = 7                       // at most this part of the grace time: requests may run for five sixths of it
+	exitMargin           = 250 * time.Millisecond
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
 // shutdownPlan is the order in which a sidecar ends; all times are on the process's steady clock.
 type shutdownPlan struct {
-	refuse     time.Duration // requests that come from then on are refused
-	lastAnswer time.Duration // each request that was read has its outcome
-	exit       time.Duration // the process ends, whether or not clients have taken their answers
+	rejectFrom time.Duration // requests that come from then on are refused
+	answersDue time.Duration // each request that was read has its outcome
+	exitBy     time.Duration // the process ends, whether or not clients have taken their answers
 }
 
 // planShutdown plans the end of a process that got SIGTERM now and gets SIGKILL after the grace time. Margins take a part of a
 // short grace time only.
 func planShutdown(now, grace time.Duration) shutdownPlan {
 	return shutdownPlan{
-		refuse:     now + min(readinessNotice, grace*2/5),
-		lastAnswer: now + grace - min(answerMargin, grace/answerShare),
-		exit:       now + grace - min(exitMargin, grace/12),
+		rejectFrom: now + min(readinessNotice, grace*2/5),
+		answersDue: now + grace - min(answerMargin, grace/answerDivisor),
+		exitBy:     now + grace - min(exitMargin, grace/12),
 	}
 }
 
 // shutDown ends the sidecar in order: it says that it is not ready, serves on until clients have turned elsewhere, refuses who comes
 // later, and ends once each request that was read has its answer. What the endpoint here answered goes out to its callers too.
-func (a *access) shutDown(clients net.Listener) {
+func (a *sidecar) shutDown(clients net.Listener) {
 	plan := planShutdown(a.hub.Now(), a.settings.Bounds.Grace)
 	a.mu.Lock()
-	a.gone = true
+	a.shuttingDown = true
 	a.mu.Unlock()
-	a.outbound.EndBy(plan.lastAnswer)
+	a.outbound.EndBy(plan.answersDue)
 	if life, _ := a.inbound.Life(); life.ID != "" {
 		a.agent.PublishEnd(life.ID, discovery.Crashed)
 	}
-	a.waitUntil(plan.refuse, func() bool { return false })
+	a.waitUntil(plan.rejectFrom, func() bool { return false })
 	a.outbound.Refuse()
 	if life, state := a.inbound.Life(); life.ID != "" && state != admission.Gone {
 		a.inbound.Tell(life, admission.Gone)
 	}
-	a.waitUntil(plan.lastAnswer, func() bool { return a.outbound.Open() == 0 && a.inbound.Busy() == 0 })
+	a.waitUntil(plan.answersDue, func() bool { return a.outbound.Open() == 0 && a.inbound.Busy() == 0 })
 	clients.Close()
 	a.outbound.CloseConnections()
-	a.waitUntil(plan.exit, func() bool { return a.outbound.Open() == 0 && a.outbound.Connections() == 0 })
-	ctx, cancel := context.WithTimeout(context.Background(), plan.exit-a.hub.Now())
+	a.waitUntil(plan.exitBy, func() bool { return a.outbound.Open() == 0 && a.outbound.Connections() == 0 })
+	ctx, cancel := context.WithTimeout(context.Background(), plan.exitBy-a.hub.Now())
 	defer cancel()
 	a.shutDownServers(ctx)
-	a.hub.Drain(plan.exit)
+	a.hub.Drain(plan.exitBy)
 }
 
 // waitUntil returns when done says so, at the given time at the latest.
-func (a *access) waitUntil(at time.Duration, done func() bool) {
+func (a *sidecar) waitUntil(at time.Duration, done func() bool) {
 	for a.hub.Now() < at && !done() {
-		time.Sleep(shutdownTick)
+		time.Sleep(shutdownPollInterval)
 	}
 }
--- a/internal/mesh/assembly/shutdown_test.go
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -18,14 +18,14 @@
 	c := qt.New(t)
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second, time.Minute} {
 		p := planShutdown(time.Hour, grace)
-		c.Check(p.lastAnswer-time.Hour > grace*5/6, qt.IsTrue, qt.Commentf("%v: requests may run for five sixths: %+v", grace, p))
-		c.Check(time.Hour < p.refuse && p.refuse < p.lastAnswer && p.lastAnswer < p.exit && p.exit < time.Hour+grace, qt.IsTrue,
+		c.Check(p.answersDue-time.Hour > grace*5/6, qt.IsTrue, qt.Commentf("%v: requests may run for five sixths: %+v", grace, p))
+		c.Check(time.Hour < p.rejectFrom && p.rejectFrom < p.answersDue && p.answersDue < p.exitBy && p.exitBy < time.Hour+grace, qt.IsTrue,
 			qt.Commentf("%v: %+v", grace, p))
 	}
 }
 
-// exchange is what became of one request of a client.
-type exchange struct {
+// clientExchange is what became of one request of a client.
+type clientExchange struct {
 	id, path string
 	answered bool // a complete answer came
 	status   int
@@ -34,16 +34,16 @@
 	err      error
 }
 
-// client sends requests on one connection, and dials anew where it was closed.
-type client struct {
-	m       *mesh
+// testClient sends requests on one connection, and dials anew where it was closed.
+type testClient struct {
+	m       *testMesh
 	machine string
 	keep    bool // the connection is kept after an answer
 	conn    net.Conn
 	r       *bufio.Reader
 }
 
-func (c *client) close() {
+func (c *testClient) close() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
@@ -51,10 +51,10 @@
 }
 
 // do sends a request and reads its answer; refused tells that no connection came about.
-func (c *client) do(method, path string) (x exchange, refused bool) {
+func (c *testClient) do(method, path string) (x clientExchange, refused bool) {
 	c.m.mu.Lock()
-	c.m.n++
-	x.id, x.path = fmt.Sprintf("%016x", c.m.n), path
+	c.m.requestCount++
+	x.id, x.path = fmt.Sprintf("%016x", c.m.requestCount), path
 	c.m.mu.Unlock()
 	if c.conn == nil {
 		conn, err := net.Dial("tcp4", c.m.machines[c.machine].ip+":8106")
@@ -80,7 +80,7 @@
 }
 
 // read reads a whole answer, and checks that it is the request's.
-func (c *client) read(method, id string) (status int, err error) {
+func (c *testClient) read(method, id string) (status int, err error) {
 	r, err := http.ReadResponse(c.r, &http.Request{Method: method})
 	if err != nil {
 		return 0, err
@@ -101,25 +101,25 @@
 // A sidecar gets SIGTERM under load: each request that it has read has a whole answer before the process ends, also one that its
 // endpoint never answers and whose deadline is long after the end; what has not run is refused as such. Answers of the
 // endpoint beside it reach their callers over a slow link to the last byte.
-func TestEveryRequestReadIsAnsweredAtTheEnd(t *testing.T) {
+func TestEveryRequestReadIsAnsweredDuringShutdown(t *testing.T) {
 	m := newMeshWith(t, 4, "linkMbps = 18.0\n", "grace = \"3s\"\n")
-	m.until("the first configuration", func() bool {
-		return m.put(0, m.config(1, longRoute, "k1")) == 200
+	m.waitFor("the first configuration", func() bool {
+		return m.replaceConfiguration(0, m.configuration(1, longRoute, "k1")) == 200
 	})
 	for _, name := range []string{"access-0", "access-2"} {
 		for _, path := range []string{"/read/x", "/book/x"} {
-			m.until(name+" serves "+path, func() bool { a, _ := m.ask(name, "GET", path, "k1", nil); return a.status == 200 })
+			m.waitFor(name+" serves "+path, func() bool { a, _ := m.send(name, "GET", path, "k1", nil); return a.status == 200 })
 		}
 	}
-	releaseOne, releaseOther := m.apps["access-0"].Hold(), m.apps["access-1"].Hold()
+	releaseOne, releaseOther := m.applications["access-0"].Hold(), m.applications["access-1"].Hold()
 	defer releaseOne()
 	defer releaseOther()
 
 	var mu sync.Mutex
-	var ending, others []exchange // by the sidecar that ends, and by another
+	var ending, others []clientExchange // by the sidecar that ends, and by another
 	var load sync.WaitGroup
 	stop := make(chan struct{})
-	run := func(c *client, method, path string, into *[]exchange, once bool) {
+	run := func(c *testClient, method, path string, into *[]clientExchange, once bool) {
 		load.Go(func() {
 			defer c.close()
 			for refusals := 0; refusals < 100; {
@@ -144,18 +144,18 @@
 			}
 		})
 	}
-	before := len(m.apps["access-0"].Runs()) + len(m.apps["access-1"].Runs())
+	before := len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs())
 	for range 2 {
-		run(&client{m: m, machine: "access-2"}, "POST", "/book/long/x", &ending, true)
+		run(&testClient{m: m, machine: "access-2"}, "POST", "/book/long/x", &ending, true)
 	}
-	m.until("requests are held", func() bool {
-		return len(m.apps["access-0"].Runs())+len(m.apps["access-1"].Runs()) == before+2
+	m.waitFor("requests are held", func() bool {
+		return len(m.applications["access-0"].Runs())+len(m.applications["access-1"].Runs()) == before+2
 	})
 	for i := range 3 {
-		run(&client{m: m, machine: "access-2", keep: i > 0}, "GET", "/read/x?bytes=20000", &ending, false)
-		run(&client{m: m, machine: "access-0", keep: i > 0}, "GET", "/read/x?bytes=150000", &others, false)
+		run(&testClient{m: m, machine: "access-2", keep: i > 0}, "GET", "/read/x?bytes=20000", &ending, false)
+		run(&testClient{m: m, machine: "access-0", keep: i > 0}, "GET", "/read/x?bytes=150000", &others, false)
 	}
-	m.until("the load runs", func() bool { mu.Lock(); defer mu.Unlock(); return len(ending) > 5 && len(others) > 5 })
+	m.waitFor("the load runs", func() bool { mu.Lock(); defer mu.Unlock(); return len(ending) > 5 && len(others) > 5 })
 	x := m.machines["access-2"]
 	m.Assert(x.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	began := time.Now()
@@ -173,7 +173,7 @@
 	load.Wait()
 
 	ran := map[string]bool{}
-	for _, a := range m.apps {
+	for _, a := range m.applications {
 		for id := range a.Runs() {
 			ran[id] = true
 		}
@@ -196,33 +196,33 @@
 
 // A sidecar ends while the endpoint beside it is at work on a request that others brought, and which makes a call of its own late in
 // the grace time: that call is served, and so is the request.
-func TestCallsOfARequestUnderWayAreServedAtTheEnd(t *testing.T) {
+func TestNestedCallsAreServedDuringShutdown(t *testing.T) {
 	m := newMeshWith(t, 8, "", "grace = \"6s\"\n")
 	routes := longRoute + `,{"name":"inner","hostName":"shop.example","pathPrefix":"/inner/","routeKind":"idempotent",` +
 		`"timeout":"1000ms","target":"150ms","priority":1,"serviceName":"board","maxAttempts":2,"publicAccess":true}`
-	m.until("the first configuration", func() bool { return m.put(0, m.config(1, routes, "k1")) == http.StatusOK })
+	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, routes, "k1")) == http.StatusOK })
 	for _, path := range []string{"/book/x", "/read/x", "/inner/x"} {
-		m.until("access-2 serves "+path, func() bool { a, _ := m.ask("access-2", "GET", path, "k1", nil); return a.status == http.StatusOK })
+		m.waitFor("access-2 serves "+path, func() bool { a, _ := m.send("access-2", "GET", path, "k1", nil); return a.status == http.StatusOK })
 	}
 	for _, name := range []string{"access-0", "access-1"} {
-		m.until(name+" serves calls", func() bool { a, _ := m.ask(name, "GET", "/inner/x", "", nil); return a.status == http.StatusOK })
+		m.waitFor(name+" serves calls", func() bool { a, _ := m.send(name, "GET", "/inner/x", "", nil); return a.status == http.StatusOK })
 	}
 	release := map[string]func(){}
 	before := map[string]int{}
 	for _, name := range []string{"access-0", "access-1"} {
-		release[name], before[name] = m.apps[name].Hold(), len(m.apps[name].Runs())
+		release[name], before[name] = m.applications[name].Hold(), len(m.applications[name].Runs())
 	}
-	answers := make(chan exchange, 1)
+	answers := make(chan clientExchange, 1)
 	go func() {
-		c := &client{m: m, machine: "access-2"}
+		c := &testClient{m: m, machine: "access-2"}
 		defer c.close()
 		a, _ := c.do("POST", "/book/long/x?call=/inner/x")
 		answers <- a
 	}()
 	at := ""
-	m.until("the request is under way", func() bool {
+	m.waitFor("the request is under way", func() bool {
 		for name, n := range before {
-			if len(m.apps[name].Runs()) > n {
+			if len(m.applications[name].Runs()) > n {
 				at = name
 			}
 		}
@@ -230,8 +230,8 @@
 	})
 	x := m.machines[at]
 	m.signal(x, syscall.SIGTERM)
-	m.until("the sidecar refuses new requests", func() bool {
-		a, _ := m.ask(at, "GET", "/read/x", "k1", nil)
+	m.waitFor("the sidecar refuses new requests", func() bool {
+		a, _ := m.send(at, "GET", "/read/x", "k1", nil)
 		return a.status == http.StatusServiceUnavailable
 	})
 	for _, f := range release {
@@ -239,5 +239,5 @@
 	}
 	a := <-answers
 	m.Check(a.answered && a.status == http.StatusOK, qt.IsTrue, qt.Commentf("%+v", a))
-	m.Assert(m.exits(x), qt.IsNil)
+	m.Assert(m.waitForExit(x), qt.IsNil)
 }
--- a/internal/mesh/assembly/signals_test.go
+++ b/internal/mesh/assembly/signals_test.go
@@ -20,22 +20,22 @@
 	syscall.SIGUSR2, syscall.SIGHUP, syscall.SIGTERM}
 
 // signal sends signals to a machine's process, one right after the other.
-func (m *mesh) signal(x *machine, signals ...os.Signal) {
+func (m *testMesh) signal(x *testMachine, signals ...os.Signal) {
 	for _, s := range signals {
 		_ = x.cmd.Process.Signal(s) // one that has ended is found by wait
 	}
 }
 
-// caught waits until a machine's process, just started, catches signals.
-func (m *mesh) caught(x *machine) {
-	m.until(x.name+" catches signals", func() bool {
-		_, err := os.Stat(m.caughtFile(x))
+// waitForSignalHandlers waits until a machine's process, just started, catches signals.
+func (m *testMesh) waitForSignalHandlers(x *testMachine) {
+	m.waitFor(x.name+" catches signals", func() bool {
+		_, err := os.Stat(m.signalsFile(x))
 		return err == nil
 	})
 }
 
-// exits waits until a machine's process has ended by itself, and returns its error.
-func (m *mesh) exits(x *machine) error {
+// waitForExit waits until a machine's process has ended by itself, and returns its error.
+func (m *testMesh) waitForExit(x *testMachine) error {
 	m.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- x.cmd.Wait() }()
@@ -53,21 +53,21 @@
 // shutdown: each request that it has read is answered by its endpoint.
 func TestSignalsDuringShutdownLoseNoRequest(t *testing.T) {
 	m := newMesh(t, 5)
-	m.until("the first configuration", func() bool { return m.put(0, m.config(1, longRoute, "k1")) == http.StatusOK })
-	m.until("access-2 serves", func() bool { a, _ := m.ask("access-2", "GET", "/book/x", "k1", nil); return a.status == http.StatusOK })
-	hold := []func(){m.apps["access-0"].Hold(), m.apps["access-1"].Hold()}
-	before := len(m.apps["access-0"].Runs()) + len(m.apps["access-1"].Runs())
-	answers := make(chan exchange, 4)
+	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, longRoute, "k1")) == http.StatusOK })
+	m.waitFor("access-2 serves", func() bool { a, _ := m.send("access-2", "GET", "/book/x", "k1", nil); return a.status == http.StatusOK })
+	hold := []func(){m.applications["access-0"].Hold(), m.applications["access-1"].Hold()}
+	before := len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs())
+	answers := make(chan clientExchange, 4)
 	for range 4 {
 		go func() {
-			c := &client{m: m, machine: "access-2"}
+			c := &testClient{m: m, machine: "access-2"}
 			defer c.close()
 			a, _ := c.do("POST", "/book/long/x")
 			answers <- a
 		}()
 	}
-	m.until("requests are under way", func() bool {
-		return len(m.apps["access-0"].Runs())+len(m.apps["access-1"].Runs()) == before+4
+	m.waitFor("requests are under way", func() bool {
+		return len(m.applications["access-0"].Runs())+len(m.applications["access-1"].Runs()) == before+4
 	})
 	x := m.machines["access-2"]
 	m.signal(x, syscall.SIGTERM)
@@ -84,25 +84,25 @@
 		a := <-answers
 		m.Check(a.answered && a.status == http.StatusOK, qt.IsTrue, qt.Commentf("%+v", a))
 	}
-	m.Assert(m.exits(x), qt.IsNil)
+	m.Assert(m.waitForExit(x), qt.IsNil)
 }
 
 // A process that is still starting, here as its port is taken, outlives a change of its settings, and one that is told to end then
 // ends in order.
 func TestSignalsDuringStart(t *testing.T) {
 	m := newMesh(t, 6)
-	m.ready()
+	m.waitReady()
 	for _, name := range []string{"access-3", "core-c"} {
 		x := m.machines[name]
 		m.kill(x)
 		taken, err := net.Listen("tcp4", x.ip+":7640")
 		m.Assert(err, qt.IsNil)
 		m.start(x)
-		m.caught(x)
+		m.waitForSignalHandlers(x)
 		m.signal(x, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGHUP)
 		time.Sleep(100 * time.Millisecond)
 		taken.Close()
-		m.until(name+" has started", func() bool {
+		m.waitFor(name+" has started", func() bool {
 			path := "http://" + x.ip + ":8105/mesh/state"
 			if x.role == "access" {
 				path = "http://" + x.ip + ":8100/readiness"
@@ -118,10 +118,10 @@
 		taken, err = net.Listen("tcp4", x.ip+":7640")
 		m.Assert(err, qt.IsNil)
 		m.start(x)
-		m.caught(x)
+		m.waitForSignalHandlers(x)
 		m.signal(x, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
 		taken.Close()
-		m.Check(m.exits(x), qt.IsNil, qt.Commentf("%s", name))
+		m.Check(m.waitForExit(x), qt.IsNil, qt.Commentf("%s", name))
 		m.start(x)
 	}
 }
@@ -129,22 +129,22 @@
 // A control machine gets other signals while it gives its place among the voters away: it is given, and what was acknowledged stays.
 func TestSignalsDuringHandOver(t *testing.T) {
 	m := newMesh(t, 7)
-	m.until("the first configuration", func() bool { return m.put(0, m.config(1, "", "k1")) == http.StatusOK })
+	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, "", "k1")) == http.StatusOK })
 	a, b := m.machines["core-a"], m.machines["core-b"]
-	d := m.join("core-d", ".4", "a")
-	m.until("the successor is ready", func() bool {
-		s, ok := m.state(d)
+	d := m.startStandby("core-d", ".4", "a")
+	m.waitFor("the successor is ready", func() bool {
+		s, ok := m.controlState(d)
 		return ok && s.Ready
 	})
-	m.until("a change", func() bool { return m.put(1, m.config(2, "", "k2")) == http.StatusOK })
+	m.waitFor("a change", func() bool { return m.replaceConfiguration(1, m.configuration(2, "", "k2")) == http.StatusOK })
 	m.signal(a, syscall.SIGTERM)
 	m.signal(a, disturbances...)
 	time.Sleep(20 * time.Millisecond)
 	m.signal(a, disturbances...)
-	m.Assert(m.exits(a), qt.IsNil)
-	m.votes(b, a, false)
-	m.votes(b, d, true)
-	m.until("the change is there", func() bool { return string(m.retrieve(d)) == string(m.config(2, "", "k2")) })
+	m.Assert(m.waitForExit(a), qt.IsNil)
+	m.waitForVoter(b, a, false)
+	m.waitForVoter(b, d, true)
+	m.waitFor("the change is there", func() bool { return string(m.retrieveConfiguration(d)) == string(m.configuration(2, "", "k2")) })
 }
 
 // A server of a process fails, here as its address is lost, while another one is at work: the process ends with that error, and in
@@ -153,12 +153,12 @@
 	c := qt.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := &process{log: log, errors: make(chan error, 8)}
+	p := &process{log: log, serverErrors: make(chan error, 8)}
 	listeners, err := listenAll("127.0.0.1:0", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	underWay, release := make(chan struct{}), make(chan struct{})
-	p.serve(http.NotFoundHandler(), listeners[0])
-	p.serve(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	p.serveHTTP(http.NotFoundHandler(), listeners[0])
+	p.serveHTTP(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(underWay)
 		<-release
 	}), listeners[1])
@@ -174,7 +174,7 @@
 	}()
 	<-underWay
 	listeners[0].Close()
-	c.Assert(p.untilEnd(), qt.ErrorMatches, `(?s).*serve 127\.0\.0\.1:.*`)
+	c.Assert(p.awaitTermination(), qt.ErrorMatches, `(?s).*serve 127\.0\.0\.1:.*`)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -19,15 +19,15 @@
 
 // Fields implements codec.Message. A record without an epoch is from before voters could change, and has the first membership.
 func (s *ReplicaState) Fields(v *codec.Visitor) {
-	v.Texts(1, &s.Voters)
+	v.Strings(1, &s.Voters)
 	v.Bool(2, &s.Ready)
-	v.Uint(3, &s.DiskIncarnation)
+	v.Uint64(3, &s.DiskIncarnation)
 	s.DiskIncarnations.fields(v)
 	v.Message(5, &s.Promised)
-	v.Uint(6, &s.Epoch)
-	v.Texts(7, &s.Previous)
-	v.Texts(8, &s.Retired)
-	v.Fixed(9, (*uint64)(&s.System))
+	v.Uint64(6, &s.Epoch)
+	v.Strings(7, &s.Previous)
+	v.Strings(8, &s.Retired)
+	v.Fixed64(9, (*uint64)(&s.System))
 }
 
 // Record is all that a replica remembers. Both parts are written on their own: if the vote is there without the state that
--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -60,10 +60,10 @@
 	for _, m := range goldenMessages() {
 		t.Run(m.name, func(t *testing.T) {
 			file := "message-" + m.name + ".hex"
-			golden.Hex(t, file, codec.Write(nil, m.value))
-			qt.Assert(t, codec.Read(golden.Read(t, file), m.empty), qt.IsNil)
+			golden.Hex(t, file, codec.MarshalAppend(nil, m.value))
+			qt.Assert(t, codec.Unmarshal(golden.Read(t, file), m.empty), qt.IsNil)
 			qt.Assert(t, fmt.Sprintf("%+v", m.empty), qt.Equals, fmt.Sprintf("%+v", m.value))
-			qt.Assert(t, codec.Write(nil, m.empty), qt.DeepEquals, codec.Write(nil, m.value))
+			qt.Assert(t, codec.MarshalAppend(nil, m.empty), qt.DeepEquals, codec.MarshalAppend(nil, m.value))
 		})
 	}
 }
@@ -73,9 +73,9 @@
 func TestGoldenOldRecords(t *testing.T) {
 	c := qt.New(t)
 	state := oldStanding{[]string{"core-1", "core-2"}, true, 2, DiskIncarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
-	golden.Hex(t, "old-replica-state.hex", codec.Write(nil, &state))
+	golden.Hex(t, "old-replica-state.hex", codec.MarshalAppend(nil, &state))
 	var s ReplicaState
-	c.Assert(codec.Read(golden.Read(t, "old-replica-state.hex"), &s), qt.IsNil)
+	c.Assert(codec.Unmarshal(golden.Read(t, "old-replica-state.hex"), &s), qt.IsNil)
 	c.Assert(s, qt.DeepEquals, ReplicaState{VoterSet: VoterSet{Voters: []string{"core-1", "core-2"}}, Ready: true, DiskIncarnation: 2,
 		DiskIncarnations: DiskIncarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"}})
 
@@ -85,9 +85,9 @@
 	}
 	refused := NewChange(20, 21, []byte("ahead"))
 	old.refused = []oldDigest{{21, sha256.Sum256(refused.Body)}}
-	golden.Hex(t, "old-value.hex", codec.Write(nil, &old))
+	golden.Hex(t, "old-value.hex", codec.MarshalAppend(nil, &old))
 	var w Value
-	c.Assert(codec.Read(golden.Read(t, "old-value.hex"), &w), qt.IsNil)
+	c.Assert(codec.Unmarshal(golden.Read(t, "old-value.hex"), &w), qt.IsNil)
 	c.Assert(w, qt.DeepEquals, Value{Version: 9, Body: []byte("body 9"), History: []VersionDigest{order(8).entry(), order(9).entry()},
 		TruncatedVersion: 7, Refused: []VersionDigest{refused.entry()}})
 }
@@ -125,7 +125,7 @@
 func digestOf(messages ...codec.Message) string {
 	h := sha256.New()
 	for _, m := range messages {
-		data := codec.Write(nil, m)
+		data := codec.MarshalAppend(nil, m)
 		fmt.Fprintf(h, "%d:", len(data))
 		h.Write(data)
 	}
--- a/internal/mesh/control/consensus/membership.go
+++ b/internal/mesh/control/consensus/membership.go
@@ -21,10 +21,10 @@
 
 // Fields implements codec.Message.
 func (e *VoterSet) Fields(v *codec.Visitor) {
-	v.Uint(1, &e.Epoch)
-	v.Texts(2, &e.Voters)
-	v.Texts(3, &e.Previous)
-	v.Texts(4, &e.Retired)
+	v.Uint64(1, &e.Epoch)
+	v.Strings(2, &e.Voters)
+	v.Strings(3, &e.Previous)
+	v.Strings(4, &e.Retired)
 }
 
 // Contains tells whether a node votes.
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -37,17 +37,17 @@
 // Fields implements codec.Message.
 func (q *Request) Fields(v *codec.Visitor) {
 	kind := uint64(q.Kind)
-	v.Uint(1, &kind)
+	v.Uint64(1, &kind)
 	q.Kind = RequestKind(kind)
 	v.Message(2, &q.Ballot)
 	v.Message(3, &q.KnownBallot)
 	v.Message(4, &q.Value)
-	v.Text(5, &q.Node)
-	v.Uint(6, &q.DiskIncarnation)
-	v.Uint(7, &q.Epoch)
+	v.String(5, &q.Node)
+	v.Uint64(6, &q.DiskIncarnation)
+	v.Uint64(7, &q.Epoch)
 	v.Message(8, &q.VoterSet)
-	v.Fixed(9, (*uint64)(&q.System))
-	v.Text(10, &q.Sender)
+	v.Fixed64(9, (*uint64)(&q.System))
+	v.String(10, &q.Sender)
 }
 
 // ReplyKind is how a request was answered.
@@ -85,18 +85,18 @@
 // Fields implements codec.Message.
 func (r *Reply) Fields(v *codec.Visitor) {
 	kind := uint64(r.Kind)
-	v.Uint(1, &kind)
+	v.Uint64(1, &kind)
 	r.Kind = ReplyKind(kind)
 	v.Message(2, &r.Ballot)
-	v.Uint(3, &r.DiskIncarnation)
+	v.Uint64(3, &r.DiskIncarnation)
 	r.DiskIncarnations.fields(v)
 	v.Message(5, &r.Promised)
 	v.Message(6, &r.Vote)
 	v.Message(8, &r.VoterSet)
 	v.Bool(9, &r.Ready)
 	v.Bool(10, &r.BlankDisk)
-	v.Texts(11, &r.Unresponsive)
-	v.Fixed(12, (*uint64)(&r.System))
+	v.Strings(11, &r.Unresponsive)
+	v.Fixed64(12, (*uint64)(&r.System))
 }
 
 // CommittedVote is a value that was accepted under a ballot. A Learned one was not accepted by the voter that has it: that voter lost
@@ -143,8 +143,8 @@
 }
 
 func (l *diskIncarnation) Fields(v *codec.Visitor) {
-	v.Text(1, &l.node)
-	v.Uint(2, &l.number)
+	v.String(1, &l.node)
+	v.Uint64(2, &l.number)
 }
 
 func (l *DiskIncarnations) fields(v *codec.Visitor) {
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -15,13 +15,13 @@
 	e := VoterSet{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
 	value := Value{7, []byte("body"), []VersionDigest{{2, Digest{}}, mark}, 1, []VersionDigest{mark}, e}
 	q, q2 := Request{Accept, b, Ballot{2, "b"}, value, "x", 4, 5, e, 6, "y"}, Request{}
-	c.Assert(codec.Read(codec.Write(nil, &q), &q2), qt.IsNil)
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &q), &q2), qt.IsNil)
 	c.Assert(q2, qt.DeepEquals, q)
 	r, r2 := Reply{Rejected, b, 5, DiskIncarnations{"x": 2, "y": 3}, b, Vote{b, value, true}, e, true, true, 7, []string{"w"}}, Reply{}
-	c.Assert(codec.Read(codec.Write(nil, &r), &r2), qt.IsNil)
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &r), &r2), qt.IsNil)
 	c.Assert(r2, qt.DeepEquals, r)
 	s, s2 := ReplicaState{e, true, 2, DiskIncarnations{"y": 1}, b, 8}, ReplicaState{}
-	c.Assert(codec.Read(codec.Write(nil, &s), &s2), qt.IsNil)
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &s), &s2), qt.IsNil)
 	c.Assert(s2, qt.DeepEquals, s)
 }
 
@@ -30,7 +30,7 @@
 	c := qt.New(t)
 	old := oldStanding{[]string{"x", "y"}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}}
 	var s ReplicaState
-	c.Assert(codec.Read(codec.Write(nil, &old), &s), qt.IsNil)
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &old), &s), qt.IsNil)
 	c.Assert(s, qt.DeepEquals, ReplicaState{VoterSet{Voters: []string{"x", "y"}}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}, 0})
 }
 
@@ -43,9 +43,9 @@
 }
 
 func (s *oldStanding) Fields(v *codec.Visitor) {
-	v.Texts(1, &s.voters)
+	v.Strings(1, &s.voters)
 	v.Bool(2, &s.fit)
-	v.Uint(3, &s.life)
+	v.Uint64(3, &s.life)
 	s.lives.fields(v)
 	v.Message(5, &s.promised)
 }
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -224,7 +224,7 @@
 	if !m.encoded {
 		return *t
 	}
-	if err := codec.Read(codec.Write(nil, P(t)), P(&again)); err != nil {
+	if err := codec.Unmarshal(codec.MarshalAppend(nil, P(t)), P(&again)); err != nil {
 		panic(err)
 	}
 	return again
@@ -247,7 +247,7 @@
 	}
 	reply, next, changed := p.record.Handle(q)
 	if m.digest != nil {
-		m.digest.Write(codec.Write(codec.Write(nil, q), &reply))
+		m.digest.Write(codec.MarshalAppend(codec.MarshalAppend(nil, q), &reply))
 	}
 	return reply, m.persist(p, next, changed)
 }
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -66,7 +66,7 @@
 func code(list ...codec.Message) uint64 {
 	var b []byte
 	for _, m := range list {
-		b = append(codec.Write(b, m), 255)
+		b = append(codec.MarshalAppend(b, m), 255)
 	}
 	return maphash.Bytes(seed, b)
 }
@@ -168,7 +168,7 @@
 func (w *world) send(prop int, q *Request, to []string) {
 	for v, name := range w.voters {
 		if prop != -v-1 && slices.Contains(to, name) {
-			code := string(codec.Write([]byte{byte(prop)}, q))
+			code := string(codec.MarshalAppend([]byte{byte(prop)}, q))
 			w.flight = append(w.flight, message{prop, v, q, code})
 		}
 	}
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -60,8 +60,8 @@
 
 // Fields implements codec.Message.
 func (b *Ballot) Fields(v *codec.Visitor) {
-	v.Uint(1, &b.Number)
-	v.Text(2, &b.Proposer)
+	v.Uint64(1, &b.Number)
+	v.String(2, &b.Proposer)
 }
 
 // Digest is the first 8 bytes of the SHA-256 of a body. It tells apart the few bodies that are sent under one version, and is
@@ -76,7 +76,7 @@
 
 // Fields implements codec.Message. Older records hold the whole SHA-256.
 func (d *VersionDigest) Fields(v *codec.Visitor) {
-	v.Uint(1, &d.Version)
+	v.Uint64(1, &d.Version)
 	sum := d.Digest[:]
 	v.Bytes(2, &sum)
 	if v.Reading() {
@@ -103,7 +103,7 @@
 
 // Fields implements codec.Message.
 func (w *Value) Fields(v *codec.Visitor) {
-	v.Uint(1, (*uint64)(&w.Version))
+	v.Uint64(1, (*uint64)(&w.Version))
 	v.Bytes(2, &w.Body)
 	if v.Reading() {
 		w.decodeLegacyHistory(v)
@@ -111,7 +111,7 @@
 	codec.Messages(v, 4, &w.Refused)
 	v.Message(5, &w.VoterSet)
 	w.historyField(v)
-	v.Uint(7, &w.TruncatedVersion)
+	v.Uint64(7, &w.TruncatedVersion)
 }
 
 // decodeLegacyHistory reads the history as records hold it that were written when 64 versions were remembered, without a note
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -101,7 +101,7 @@
 	for _, x := range []struct{ orders, most int }{{10, 150}, {100, 1000}, {1000, 2400}, {3000, 2400}} {
 		w := dayOf(c, x.orders)
 		w.Body = nil
-		size := len(codec.Write(nil, w))
+		size := len(codec.MarshalAppend(nil, w))
 		t.Logf("%d changes: %d bytes", x.orders, size)
 		c.Assert(size <= x.most, qt.IsTrue, qt.Commentf("%d changes: %d bytes", x.orders, size))
 	}
@@ -116,7 +116,7 @@
 }
 
 func (w *oldValue) Fields(v *codec.Visitor) {
-	v.Uint(1, &w.version)
+	v.Uint64(1, &w.version)
 	v.Bytes(2, &w.body)
 	codec.Messages(v, 3, &w.history)
 	codec.Messages(v, 4, &w.refused)
@@ -128,7 +128,7 @@
 }
 
 func (d *oldDigest) Fields(v *codec.Visitor) {
-	v.Uint(1, &d.version)
+	v.Uint64(1, &d.version)
 	sum := d.sum[:]
 	v.Bytes(2, &sum)
 }
@@ -143,12 +143,12 @@
 	ahead := NewChange(20, 21, []byte("ahead"))
 	old.refused = []oldDigest{{21, sha256.Sum256(ahead.Body)}}
 	var w Value
-	c.Assert(codec.Read(codec.Write(nil, &old), &w), qt.IsNil)
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &old), &w), qt.IsNil)
 	for n, want := range map[int]Verdict{3: Unknown, 4: Unknown, 5: Applied, 9: Applied, 10: Applied} {
 		verdict, next := order(n).evaluate(&w)
 		c.Assert(verdict, qt.Equals, want, qt.Commentf("order %d", n))
 		var again Value
-		c.Assert(codec.Read(codec.Write(nil, next), &again), qt.IsNil)
+		c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, next), &again), qt.IsNil)
 		c.Assert(again, qt.DeepEquals, *next)
 	}
 	verdict, _ := ahead.evaluate(&w)
@@ -161,13 +161,13 @@
 func TestSpoiltHistory(t *testing.T) {
 	c := qt.New(t)
 	w := Value{Version: 300, History: []VersionDigest{{1, Digest{1}}, {300, Digest{2}}}}
-	data := codec.Write(nil, &w)
+	data := codec.MarshalAppend(nil, &w)
 	at := slices.Index(data, 6<<3|2) + 1 // the length of the history; it is last
 	whole := int(data[at])
 	for n := 1; n < whole; n++ {
 		short := slices.Clone(data[:at+1+n])
 		short[at] = byte(n)
-		err := codec.Read(short, &Value{})
+		err := codec.Unmarshal(short, &Value{})
 		if n == 1+len(Digest{}) {
 			c.Assert(err, qt.IsNil) // an entry less
 			continue
@@ -176,6 +176,6 @@
 	}
 	for _, second := range []uint64{1, 0} {
 		w.History[1].Version = second
-		c.Assert(codec.Read(codec.Write(nil, &w), &Value{}), qt.ErrorMatches, "field 6 has versions that do not rise")
+		c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &w), &Value{}), qt.ErrorMatches, "field 6 has versions that do not rise")
 	}
 }
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -43,7 +43,7 @@
 		for _, record := range m.records {
 			bytes += len(record)
 		}
-		x.c.Assert(codec.Read(m.records[voteKey], &vote), qt.IsNil)
+		x.c.Assert(codec.Unmarshal(m.records[voteKey], &vote), qt.IsNil)
 	})
 	return vote.Value.Version, bytes
 }
@@ -202,10 +202,10 @@
 	most := int64(0)
 	for i := range changes {
 		state := consensus.ReplicaState{Promised: consensus.Ballot{Number: uint64(i)}}
-		c.Assert(store.Put(stateKey, codec.Write(nil, &state)), qt.IsNil)
+		c.Assert(store.Put(stateKey, codec.MarshalAppend(nil, &state)), qt.IsNil)
 		copy(body, fmt.Sprint(i))
 		vote := consensus.Vote{Ballot: state.Promised, Value: consensus.Value{Version: configuration.Version(i), Body: body}}
-		c.Assert(store.Put(voteKey, codec.Write(nil, &vote)), qt.IsNil)
+		c.Assert(store.Put(voteKey, codec.MarshalAppend(nil, &vote)), qt.IsNil)
 		most = max(most, folderBytes(c, folder))
 	}
 	t.Logf("%d changes of %d bytes: %d bytes on disk at most, %d at the end", changes, len(body), most, folderBytes(c, folder))
--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -99,7 +99,7 @@
 	d := l.core.servers[node]
 	lost := d == nil || l.core.isolated[node] || l.core.isolated[l.from] || l.core.blocked[[2]string{l.from, node}] || l.core.blocked[[2]string{node, l.from}]
 	var q consensus.Request
-	lost = lost || l.core.drops != 0 && codec.Read(request, &q) == nil && q.Kind == l.core.drops
+	lost = lost || l.core.drops != 0 && codec.Unmarshal(request, &q) == nil && q.Kind == l.core.drops
 	l.core.mu.Unlock()
 	if !lost && l.passes() {
 		if reply, err := d.Serve(ctx, request); l.passes() {
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -87,8 +87,8 @@
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
 	record := goldenRecord()
-	c.Assert(store.Put(stateKey, codec.Write(nil, &record.State)), qt.IsNil)
-	c.Assert(store.Put(voteKey, codec.Write(nil, &record.Vote)), qt.IsNil)
+	c.Assert(store.Put(stateKey, codec.MarshalAppend(nil, &record.State)), qt.IsNil)
+	c.Assert(store.Put(voteKey, codec.MarshalAppend(nil, &record.Vote)), qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
 	for v := configuration.Version(5); v < 7; v++ {
 		d := openAlone(c, folder)
@@ -127,10 +127,10 @@
 
 	var got consensus.Record
 	c.Assert(string(records[ownerKey]), qt.Equals, goldenSelf)
-	c.Assert(codec.Read(records[stateKey], &got.State), qt.IsNil)
-	c.Assert(codec.Read(records[voteKey], &got.Vote), qt.IsNil)
-	c.Assert(codec.Write(nil, &got.State), qt.DeepEquals, records[stateKey])
-	c.Assert(codec.Write(nil, &got.Vote), qt.DeepEquals, records[voteKey])
+	c.Assert(codec.Unmarshal(records[stateKey], &got.State), qt.IsNil)
+	c.Assert(codec.Unmarshal(records[voteKey], &got.Vote), qt.IsNil)
+	c.Assert(codec.MarshalAppend(nil, &got.State), qt.DeepEquals, records[stateKey])
+	c.Assert(codec.MarshalAppend(nil, &got.Vote), qt.DeepEquals, records[voteKey])
 	want := goldenRecord()
 	c.Assert(got.State.Promised, qt.Equals, got.Vote.Ballot)
 	c.Assert(got.State.Promised.Number > want.State.Promised.Number, qt.IsTrue)
@@ -160,7 +160,7 @@
 	c.Assert(d.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Applied)
 	d.Close()
 	_, again := dump(c, folder)
-	c.Assert(codec.Read(again[voteKey], &got.Vote), qt.IsNil)
+	c.Assert(codec.Unmarshal(again[voteKey], &got.Vote), qt.IsNil)
 	c.Assert(got.Vote.Value.Version, qt.Equals, configuration.Version(8))
 }
 
@@ -253,7 +253,7 @@
 	runCore(t, 0, func(co *testCore, ctx context.Context) { // versions that are forgotten
 		record := goldenRecord()
 		record.State.Voters, record.State.Epoch, record.Vote.Value.VoterSet = []string{node(0)}, 0, consensus.VoterSet{}
-		co.disks[node(0)] = &memoryStore{records: map[string][]byte{stateKey: codec.Write(nil, &record.State), voteKey: codec.Write(nil, &record.Vote)}}
+		co.disks[node(0)] = &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &record.State), voteKey: codec.MarshalAppend(nil, &record.Vote)}}
 		co.start(0, false)
 		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(&text, co.server(0))
 	})
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -237,7 +237,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	q := d.sign(consensus.Request{Kind: consensus.Describe, VoterSet: d.VoterSet()})
-	return d.ask(ctx, node, q, codec.Write(nil, &q))
+	return d.ask(ctx, node, q, codec.MarshalAppend(nil, &q))
 }
 
 // AddVoter makes a core process a voter.
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -283,9 +283,9 @@
 			History: []consensus.VersionDigest{{Version: 5}}}}
 		for i := range 5 {
 			old := oldStanding{voters: co.seeds, fit: i < 3, life: 1}
-			m := &memoryStore{records: map[string][]byte{stateKey: codec.Write(nil, &old)}}
+			m := &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &old)}}
 			if i < 2 {
-				m.records[voteKey] = codec.Write(nil, &vote)
+				m.records[voteKey] = codec.MarshalAppend(nil, &vote)
 			}
 			co.disks[node(i)] = m
 			co.start(i, false)
@@ -306,7 +306,7 @@
 }
 
 func (s *oldStanding) Fields(v *codec.Visitor) {
-	v.Texts(1, &s.voters)
+	v.Strings(1, &s.voters)
 	v.Bool(2, &s.fit)
-	v.Uint(3, &s.life)
+	v.Uint64(3, &s.life)
 }
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -214,7 +214,7 @@
 }
 
 func (k *acceptor) put(key string, m codec.Message) error {
-	if err := k.store.Put(key, codec.Write(nil, m)); err != nil {
+	if err := k.store.Put(key, codec.MarshalAppend(nil, m)); err != nil {
 		k.loaded = false // and what is on disk may be either
 		return trace.Wrap(err)
 	}
@@ -248,7 +248,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := codec.Read(data, m); err != nil {
+	if err := codec.Unmarshal(data, m); err != nil {
 		return trace.CompareFailed("folder %s, record %q: %v", k.server.options.Folder, key, err)
 	}
 	return nil
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -19,7 +19,7 @@
 		foreign := consensus.InitialRecord(node(4), []string{node(4), node(5), node(6)})
 		foreign.State.VoterSet = consensus.VoterSet{Epoch: 9, Voters: []string{node(4), node(5), node(6)}}
 		foreign.Vote = consensus.Vote{Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, Value: consensus.Value{Version: 7, Body: config(7, ""), VoterSet: foreign.State.VoterSet}}
-		co.disks[node(4)] = &memoryStore{records: map[string][]byte{stateKey: codec.Write(nil, &foreign.State), voteKey: codec.Write(nil, &foreign.Vote)}}
+		co.disks[node(4)] = &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &foreign.State), voteKey: codec.MarshalAppend(nil, &foreign.Vote)}}
 		co.start(4, false)
 		time.Sleep(time.Minute)
 		co.c.Assert(co.server(0).VoterSet().Epoch, qt.Equals, uint64(0))
@@ -30,7 +30,7 @@
 		co.c.Assert(err, qt.IsNil)
 		co.c.Assert(reply.Kind, qt.Equals, consensus.ForeignSystem)
 		var kept consensus.ReplicaState
-		co.c.Assert(codec.Read(co.disks[node(4)].records[stateKey], &kept), qt.IsNil)
+		co.c.Assert(codec.Unmarshal(co.disks[node(4)].records[stateKey], &kept), qt.IsNil)
 		co.c.Assert(kept.System, qt.Equals, foreign.State.System)
 	})
 }
@@ -57,10 +57,10 @@
 			co.c.Assert(co.server(i).knownSystemID(), qt.Equals, want)
 		}
 		var s consensus.ReplicaState
-		co.c.Assert(codec.Read(co.disks[node(1)].records[stateKey], &s), qt.IsNil)
+		co.c.Assert(codec.Unmarshal(co.disks[node(1)].records[stateKey], &s), qt.IsNil)
 		s.System = 0
 		co.stop(1)
-		co.disks[node(1)].records[stateKey] = codec.Write(nil, &s)
+		co.disks[node(1)].records[stateKey] = codec.MarshalAppend(nil, &s)
 		co.start(1, false)
 		co.c.Assert(co.newest(ctx, 1), qt.Equals, configuration.Version(1))
 		co.c.Assert(co.server(1).knownSystemID(), qt.Equals, want)
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -17,14 +17,14 @@
 // Serve answers a request of a peer.
 func (d *Server) Serve(ctx context.Context, request []byte) ([]byte, error) {
 	var q consensus.Request
-	if err := codec.Read(request, &q); err != nil {
+	if err := codec.Unmarshal(request, &q); err != nil {
 		return nil, trace.BadParameter("request: %v", err)
 	}
 	reply, err := d.serve(ctx, &q)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return codec.Write(nil, reply), nil
+	return codec.MarshalAppend(nil, reply), nil
 }
 
 func (d *Server) serve(ctx context.Context, q *consensus.Request) (*consensus.Reply, error) {
@@ -79,7 +79,7 @@
 		return nil, trace.Wrap(err)
 	}
 	var reply consensus.Reply
-	if err := codec.Read(raw, &reply); err != nil {
+	if err := codec.Unmarshal(raw, &reply); err != nil {
 		return nil, trace.BadParameter("reply of %s: %v", node, err)
 	}
 	if reply.Kind == consensus.ForeignSystem || !d.knownSystemID().Matches(reply.System) {
@@ -99,7 +99,7 @@
 func (d *Server) broadcast(nodes []string, q *consensus.Request) <-chan peerReply {
 	answers := make(chan peerReply, len(nodes))
 	one := d.sign(*q)
-	raw := codec.Write(nil, &one)
+	raw := codec.MarshalAppend(nil, &one)
 	for _, node := range nodes {
 		go func() { // ends with the server
 			ctx, cancel := context.WithTimeout(d.ctx, requestTimeout)
--- a/internal/mesh/control/lease/golden_test.go
+++ b/internal/mesh/control/lease/golden_test.go
@@ -30,8 +30,8 @@
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			file := "message-" + m.name + ".hex"
-			golden.Hex(t, file, codec.Write(nil, m.value))
-			qt.Assert(t, codec.Read(golden.Read(t, file), m.empty), qt.IsNil)
+			golden.Hex(t, file, codec.MarshalAppend(nil, m.value))
+			qt.Assert(t, codec.Unmarshal(golden.Read(t, file), m.empty), qt.IsNil)
 			qt.Assert(t, m.empty, qt.DeepEquals, m.value)
 		})
 	}
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -38,30 +38,30 @@
 
 // Fields implements codec.Message.
 func (q *Request) Fields(v *codec.Visitor) {
-	v.Text(1, &q.Holder)
-	v.Fixed(2, &q.Incarnation)
+	v.String(1, &q.Holder)
+	v.Fixed64(2, &q.Incarnation)
 	codec.Messages(v, 3, &q.Roles)
-	v.Uint(4, &q.VoterSetEpoch)
+	v.Uint64(4, &q.VoterSetEpoch)
 }
 
 // Fields implements codec.Message.
 func (d *RoleRequest) Fields(v *codec.Visitor) {
-	v.Text(1, &d.Role)
-	v.Uint(2, &d.FencingToken)
+	v.String(1, &d.Role)
+	v.Uint64(2, &d.FencingToken)
 	v.Bool(3, &d.Release)
 }
 
 // Fields implements codec.Message.
 func (r *Reply) Fields(v *codec.Visitor) {
 	codec.Messages(v, 1, &r.Grants)
-	v.Uint(2, &r.VoterSetEpoch)
+	v.Uint64(2, &r.VoterSetEpoch)
 }
 
 // Fields implements codec.Message.
 func (g *Grant) Fields(v *codec.Visitor) {
-	v.Text(1, &g.Role)
+	v.String(1, &g.Role)
 	v.Bool(2, &g.Granted)
-	v.Uint(3, &g.FencingToken)
-	v.Text(4, &g.Holder)
-	v.Time(5, &g.Remaining)
+	v.Uint64(3, &g.FencingToken)
+	v.String(4, &g.Holder)
+	v.Duration(5, &g.Remaining)
 }
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -32,7 +32,7 @@
 						b.Fatalf("%d grants for %d requests", len(a.Grants), requests)
 					}
 					if sizes++; sizes <= sidecars {
-						sent, got = sent+len(codec.Write(nil, w)), got+len(codec.Write(nil, &a))
+						sent, got = sent+len(codec.MarshalAppend(nil, w)), got+len(codec.MarshalAppend(nil, &a))
 					}
 				}
 				for i := range all {
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -44,36 +44,36 @@
 
 // Fields implements codec.Message.
 func (q *TokenRequest) Fields(v *codec.Visitor) {
-	v.Text(1, &q.Tenant)
-	v.Float(2, &q.Tokens)
-	v.Float(3, &q.Demand)
-	v.Float(4, &q.FallbackShare)
-	v.Time(5, &q.ShareRemaining)
-	v.Float(6, &q.UnusedTokens)
+	v.String(1, &q.Tenant)
+	v.Float64(2, &q.Tokens)
+	v.Float64(3, &q.Demand)
+	v.Float64(4, &q.FallbackShare)
+	v.Duration(5, &q.ShareRemaining)
+	v.Float64(6, &q.UnusedTokens)
 }
 
 // Fields implements codec.Message.
 func (q *AllocationRequest) Fields(v *codec.Visitor) {
-	v.Text(1, &q.Sidecar)
-	v.Fixed(2, &q.Incarnation)
+	v.String(1, &q.Sidecar)
+	v.Fixed64(2, &q.Incarnation)
 	codec.Messages(v, 3, &q.Requests)
 	v.Bool(4, &q.Forwarded)
-	v.Uint(5, &q.HighestFencingToken)
+	v.Uint64(5, &q.HighestFencingToken)
 }
 
 // Fields implements codec.Message.
 func (g *TokenGrant) Fields(v *codec.Visitor) {
-	v.Text(1, &g.Tenant)
-	v.Float(2, &g.Tokens)
-	v.Float(3, &g.FallbackShare)
-	v.Time(4, &g.ShareRemaining)
-	v.Time(5, &g.RetryAfter)
+	v.String(1, &g.Tenant)
+	v.Float64(2, &g.Tokens)
+	v.Float64(3, &g.FallbackShare)
+	v.Duration(4, &g.ShareRemaining)
+	v.Duration(5, &g.RetryAfter)
 }
 
 // Fields implements codec.Message.
 func (g *AllocationReply) Fields(v *codec.Visitor) {
 	v.Bool(1, &g.Granted)
-	v.Uint(2, &g.FencingToken)
-	v.Text(3, &g.Allocator)
+	v.Uint64(2, &g.FencingToken)
+	v.String(3, &g.Allocator)
 	codec.Messages(v, 4, &g.Grants)
 }
--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -32,16 +32,16 @@
 // Both messages, each of their fields set, written and read back.
 func TestGoldenMessages(t *testing.T) {
 	request, out := goldenRequest(), goldenOutcome()
-	golden.Hex(t, "forward_request.hex", codec.Write(nil, &request))
-	golden.Hex(t, "outcome.hex", codec.Write(nil, &out))
-	golden.Hex(t, "forward_request_zero.hex", codec.Write(nil, &ForwardRequest{}))
-	golden.Hex(t, "outcome_zero.hex", codec.Write(nil, &Outcome{}))
+	golden.Hex(t, "forward_request.hex", codec.MarshalAppend(nil, &request))
+	golden.Hex(t, "outcome.hex", codec.MarshalAppend(nil, &out))
+	golden.Hex(t, "forward_request_zero.hex", codec.MarshalAppend(nil, &ForwardRequest{}))
+	golden.Hex(t, "outcome_zero.hex", codec.MarshalAppend(nil, &Outcome{}))
 
 	var readRequest ForwardRequest
-	qt.Assert(t, codec.Read(golden.Read(t, "forward_request.hex"), &readRequest), qt.IsNil)
+	qt.Assert(t, codec.Unmarshal(golden.Read(t, "forward_request.hex"), &readRequest), qt.IsNil)
 	qt.Check(t, readRequest, qt.DeepEquals, request)
 	var readOutcome Outcome
-	qt.Assert(t, codec.Read(golden.Read(t, "outcome.hex"), &readOutcome), qt.IsNil)
+	qt.Assert(t, codec.Unmarshal(golden.Read(t, "outcome.hex"), &readOutcome), qt.IsNil)
 	qt.Check(t, readOutcome, qt.DeepEquals, out)
 }
 
@@ -131,7 +131,7 @@
 func TestAllocations(t *testing.T) {
 	request, out := goldenRequest(), goldenOutcome()
 	room := make([]byte, 0, 1024)
-	requestBytes, outBytes := codec.Write(nil, &request), codec.Write(nil, &out)
+	requestBytes, outBytes := codec.MarshalAppend(nil, &request), codec.MarshalAppend(nil, &out)
 	for _, x := range []struct {
 		name       string
 		most, race float64
@@ -139,15 +139,15 @@
 	}{
 		{"request to the endpoint", 7, 12, func() { appendRequest(nil, &request, time.Second) }},
 		{"request to the endpoint, with room", 4, 9, func() { appendRequest(room, &request, time.Second) }},
-		{"writes a forward request", 18, 18, func() { codec.Write(nil, &request) }},
-		{"writes an outcome", 12, 12, func() { codec.Write(nil, &out) }},
+		{"writes a forward request", 18, 18, func() { codec.MarshalAppend(nil, &request) }},
+		{"writes an outcome", 12, 12, func() { codec.MarshalAppend(nil, &out) }},
 		{"reads a forward request", 33, 33, func() {
 			var p ForwardRequest
-			_ = codec.Read(requestBytes, &p)
+			_ = codec.Unmarshal(requestBytes, &p)
 		}},
 		{"reads an outcome", 17, 17, func() {
 			var o Outcome
-			_ = codec.Read(outBytes, &o)
+			_ = codec.Unmarshal(outBytes, &o)
 		}},
 	} {
 		most := x.most
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -324,20 +324,20 @@
 // Serve declares the method by which other sidecars bring requests.
 func (d *Proxy) Serve(h *transport.Hub) {
 	d.way = h.Backlog
-	h.Serve(MethodForward, func(c *transport.IncomingCall) {
+	h.HandleRaw(MethodForward, func(c *transport.IncomingCall) {
 		var p ForwardRequest
-		if err := codec.Read(c.Body, &p); err != nil {
+		if err := codec.Unmarshal(c.Body, &p); err != nil {
 			d.log.WithField("peer", c.From.Name).Warn("inbound: " + err.Error())
-			c.Answer(&Outcome{Kind: outcome.Mistaken}) // it can't serve this caller
+			c.Reply(&Outcome{Kind: outcome.Mistaken}) // it can't serve this caller
 			return
 		}
 		now := d.now()
 		deadline := now + p.Left
-		if c.Expires != 0 {
-			deadline = min(deadline, c.Expires)
+		if c.ExpiresAt != 0 {
+			deadline = min(deadline, c.ExpiresAt)
 		}
 		aim := deadline - p.Left + p.Aim
-		withdraw := d.forward(&p, aim, deadline, true, func(o *Outcome) { c.Answer(o) })
-		c.OnWithdrawn(withdraw)
+		withdraw := d.forward(&p, aim, deadline, true, func(o *Outcome) { c.Reply(o) })
+		c.OnCancel(withdraw)
 	})
 }
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -33,23 +33,23 @@
 
 // Fields names the fields of a ForwardRequest.
 func (p *ForwardRequest) Fields(v *codec.Visitor) {
-	v.Text(1, &p.Endpoint)
-	v.Text(2, &p.Service)
-	v.Text(3, &p.Method)
-	v.Text(4, &p.URI)
-	v.Text(5, &p.Host)
-	v.Texts(6, &p.Header)
+	v.String(1, &p.Endpoint)
+	v.String(2, &p.Service)
+	v.String(3, &p.Method)
+	v.String(4, &p.URI)
+	v.String(5, &p.Host)
+	v.Strings(6, &p.Header)
 	v.Bytes(7, &p.Body)
 	v.Bool(8, &p.HasBody)
-	v.Text(9, &p.Attempt)
-	v.Text(10, &p.Caller)
-	v.Text(11, &p.Subscriber)
-	v.Small(12, &p.Priority)
+	v.String(9, &p.Attempt)
+	v.String(10, &p.Caller)
+	v.String(11, &p.Subscriber)
+	v.Int(12, &p.Priority)
 	v.Bool(13, &p.Inner)
 	v.Bool(14, &p.Repeatable)
-	v.Time(15, &p.Aim)
-	v.Time(16, &p.Left)
-	v.Text(17, &p.Route)
+	v.Duration(15, &p.Aim)
+	v.Duration(16, &p.Left)
+	v.String(17, &p.Route)
 }
 
 // Outcome is how a ForwardRequest ended.
@@ -68,14 +68,14 @@
 
 // Fields names the fields of an Outcome.
 func (o *Outcome) Fields(v *codec.Visitor) {
-	v.Uint(1, (*uint64)(&o.Kind))
-	v.Small(2, &o.Status)
-	v.Texts(3, &o.Header)
+	v.Uint64(1, (*uint64)(&o.Kind))
+	v.Int(2, &o.Status)
+	v.Strings(3, &o.Header)
 	v.Bytes(4, &o.Body)
-	v.Time(5, &o.Work)
-	v.Small(6, &o.Slots)
-	v.Small(7, &o.Running)
-	v.Small(8, &o.Waiting)
-	v.Time(9, &o.Back)
+	v.Duration(5, &o.Work)
+	v.Int(6, &o.Slots)
+	v.Int(7, &o.Running)
+	v.Int(8, &o.Waiting)
+	v.Duration(9, &o.Back)
 	v.Bool(10, &o.Arrived)
 }
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -50,8 +50,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &sidecar{name: name}
-	s.hub = transport.NewHub(transport.Hello{Life: life, Address: name + ":7", Name: name}, time.Now(), 64<<20, log)
-	s.hub.DialBy(func(address string) (net.Conn, error) { return n.dial(name, address) })
+	s.hub = transport.NewHub(transport.Hello{Incarnation: life, Address: name + ":7", Name: name}, time.Now(), 64<<20, log)
+	s.hub.SetDialer(func(address string) (net.Conn, error) { return n.dial(name, address) })
 	s.inbound = inbound.New(name+":9", s.hub.Now, log, nil)
 	s.inbound.DialBy(func(address string, _ time.Duration) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -625,12 +625,12 @@
 		stopFar()
 		time.Sleep(time.Second)
 	}()
-	far.Serve(inbound.MethodForward, func(call *transport.IncomingCall) {
+	far.HandleRaw(inbound.MethodForward, func(call *transport.IncomingCall) {
 		if sent++; sent == 1 {
-			call.Answer(first)
+			call.Reply(first)
 			return
 		}
-		call.Answer(others)
+		call.Reply(others)
 	})
 	var known []discovery.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
@@ -650,7 +650,7 @@
 func startFar(n *network) (far *transport.Hub, stop func()) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	far = transport.NewHub(transport.Hello{Life: 2, Address: "b:7"}, time.Now(), 1<<20, log)
+	far = transport.NewHub(transport.Hello{Incarnation: 2, Address: "b:7"}, time.Now(), 1<<20, log)
 	links := n.listen("b:7")
 	go far.Listen(links)
 	return far, func() {
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -173,9 +173,9 @@
 		a.withdraw = c.proxy.o.Inbound.Forward(&forward, r.aim, r.deadline, done)
 		return
 	}
-	call := c.proxy.o.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.Write(nil, &forward), r.deadline,
+	call := c.proxy.o.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.MarshalAppend(nil, &forward), r.deadline,
 		func(body []byte, err error) { done(parseOutcome(body, err)) })
-	a.withdraw = call.Withdraw
+	a.withdraw = call.Cancel
 }
 
 // parseOutcome is what the end of a call to the endpoint's sidecar says of the attempt.
@@ -191,7 +191,7 @@
 	}
 	o := &inbound.Outcome{}
 	noStatus := func() bool { return o.Kind == outcome.Answered && (o.Status < statusLeast || o.Status > statusMost) }
-	if err := codec.Read(body, o); err != nil || o.Kind == 0 || !o.Kind.Entry().Attempt || noStatus() {
+	if err := codec.Unmarshal(body, o); err != nil || o.Kind == 0 || !o.Kind.Entry().Attempt || noStatus() {
 		return &inbound.Outcome{Kind: outcome.Spoilt, Arrived: true}
 	}
 	return o
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	hub := transport.NewHub(transport.Hello{Life: life, Address: l.Addr().String(), Zone: "zone-0"}, time.Now().Add(-time.Hour), 8<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: life, Address: l.Addr().String(), Zone: "zone-0"}, time.Now().Add(-time.Hour), 8<<20, log)
 	b.Cleanup(func() { hub.Close(); l.Close() })
 	return hub, func(d *inbound.Proxy) {
 		if d != nil {
@@ -191,7 +191,7 @@
 	b.ReportMetric(through.part(0.99)-plain.part(0.99), "added-p99-us")
 	b.ReportMetric(directCPU, "direct-cpu-us/call")
 	b.ReportMetric(directAllocs, "direct-allocs/call")
-	links, _ := near.Links()
+	links, _ := near.LinkCounts()
 	if links == 0 {
 		b.Fatal("no call went over a link")
 	}
--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -81,7 +81,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	d := New(Options{Hub: hub, Log: log, Bodies: 1 << 20})
 	d.Configure(conf)
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -56,7 +56,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &goldenSidecar{came: make(chan string, 64)}
-	hub := transport.NewHub(transport.Hello{Life: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	in := inbound.New(s.startEndpoint(t), hub.Now, log, nil)
 	in.Tell(admission.Life{ID: "s-1", Service: "s", Slots: 8}, admission.Serving)
@@ -327,13 +327,13 @@
 	}{
 		{"nothing", nil, nil},
 		{"no message", []byte{0xff}, nil},
-		{"no kind", codec.Write(nil, &inbound.Outcome{Status: 200}), nil},
-		{"end of no attempt", codec.Write(nil, &inbound.Outcome{Kind: outcome.NoKey}), nil},
-		{"unknown kind", codec.Write(nil, &inbound.Outcome{Kind: 99, Work: 5}), nil},
-		{"answered 199", codec.Write(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 199}), nil},
-		{"answered 999", codec.Write(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 999}), nil},
-		{"answered 1000", codec.Write(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 1000}), nil},
-		{"full", codec.Write(nil, &inbound.Outcome{Kind: outcome.Full, Slots: 4, Running: 4, Waiting: 9}), nil},
+		{"no kind", codec.MarshalAppend(nil, &inbound.Outcome{Status: 200}), nil},
+		{"end of no attempt", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.NoKey}), nil},
+		{"unknown kind", codec.MarshalAppend(nil, &inbound.Outcome{Kind: 99, Work: 5}), nil},
+		{"answered 199", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 199}), nil},
+		{"answered 999", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 999}), nil},
+		{"answered 1000", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 1000}), nil},
+		{"full", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Full, Slots: 4, Running: 4, Waiting: 9}), nil},
 		{"lost, sent", nil, &transport.ConnectionError{Sent: true}},
 		{"lost, wrapped", nil, fmt.Errorf("wrapped: %w", &transport.ConnectionError{})},
 		{"another error", nil, errors.New("x")},
--- a/internal/mesh/dataplane/outbound/outbound_test.go
+++ b/internal/mesh/dataplane/outbound/outbound_test.go
@@ -37,7 +37,7 @@
 
 func TestOutcomeOfAnAsk(t *testing.T) {
 	c := qt.New(t)
-	whole := codec.Write(nil, &inbound.Outcome{Kind: outcome.Leaving})
+	whole := codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Leaving})
 	for _, x := range []struct {
 		body []byte
 		err  error
@@ -46,9 +46,9 @@
 		{whole, nil, outcome.Leaving},
 		{nil, nil, outcome.Full},
 		{[]byte{0xff}, nil, outcome.Spoilt},
-		{codec.Write(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 200}), nil, outcome.Answered},
-		{codec.Write(nil, &inbound.Outcome{Kind: outcome.Answered}), nil, outcome.Spoilt}, // no server could write it
-		{codec.Write(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 1000}), nil, outcome.Spoilt},
+		{codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 200}), nil, outcome.Answered},
+		{codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered}), nil, outcome.Spoilt}, // no server could write it
+		{codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 1000}), nil, outcome.Spoilt},
 		{nil, &transport.ConnectionError{Sent: true}, outcome.Lost},
 		{nil, &transport.ConnectionError{}, outcome.Unreachable},
 		{nil, errors.New("anything else"), outcome.Lost},
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -37,11 +37,11 @@
 		time.Sleep(5 * time.Second)
 	}()
 	run = &slowRun{}
-	answer := func(call *transport.IncomingCall, o inbound.Outcome) { call.Answer(&o) }
+	answer := func(call *transport.IncomingCall, o inbound.Outcome) { call.Reply(&o) }
 	served := inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true}
-	far.Serve(inbound.MethodForward, func(call *transport.IncomingCall) {
+	far.HandleRaw(inbound.MethodForward, func(call *transport.IncomingCall) {
 		var p inbound.ForwardRequest
-		qt.Check(t, codec.Read(call.Body, &p), qt.IsNil)
+		qt.Check(t, codec.Unmarshal(call.Body, &p), qt.IsNil)
 		if p.Attempt != "slow" {
 			time.AfterFunc(20*time.Millisecond, func() { answer(call, served) })
 			return
@@ -53,12 +53,12 @@
 			return
 		}
 		timer := time.AfterFunc(length, func() { answer(call, served) })
-		call.OnWithdrawn(func() {
+		call.OnCancel(func() {
 			run.mu.Lock()
 			run.withdrawn = a.hub.Now()
 			run.mu.Unlock()
 			timer.Stop()
-			call.Answer(&inbound.Outcome{Kind: outcome.Silent, Arrived: true})
+			call.Reply(&inbound.Outcome{Kind: outcome.Silent, Arrived: true})
 		})
 	})
 	var known []discovery.Endpoint
--- a/internal/mesh/discovery/endpoint.go
+++ b/internal/mesh/discovery/endpoint.go
@@ -38,20 +38,20 @@
 
 // Fields implements codec.Message.
 func (e *Endpoint) Fields(v *codec.Visitor) {
-	v.Text(1, &e.ID)
-	v.Text(2, &e.Service)
-	v.Text(3, &e.SidecarAddress)
-	v.Fixed(4, &e.SidecarIncarnation)
-	v.Text(5, &e.AppAddress)
-	v.Text(6, &e.Zone)
-	v.Small(7, &e.Slots)
+	v.String(1, &e.ID)
+	v.String(2, &e.Service)
+	v.String(3, &e.SidecarAddress)
+	v.Fixed64(4, &e.SidecarIncarnation)
+	v.String(5, &e.AppAddress)
+	v.String(6, &e.Zone)
+	v.Int(7, &e.Slots)
 	state := uint64(e.State)
-	v.Uint(8, &state)
+	v.Uint64(8, &state)
 	e.State = State(min(state, uint64(Deregistered)))
-	v.Time(9, &e.WarmupRemaining)
-	v.Uint(10, &e.Sequence)
-	v.Uint(11, &e.Revision)
-	v.Time(12, &e.LeaseRemaining)
+	v.Duration(9, &e.WarmupRemaining)
+	v.Uint64(10, &e.Sequence)
+	v.Uint64(11, &e.Revision)
+	v.Duration(12, &e.LeaseRemaining)
 }
 
 // Config are the settings; what is zero has its default.
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -25,9 +25,9 @@
 		"endpoint-empty.hex": {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			golden.Hex(t, name, codec.Write(nil, &value))
+			golden.Hex(t, name, codec.MarshalAppend(nil, &value))
 			var read Endpoint
-			qt.Assert(t, codec.Read(golden.Read(t, name), &read), qt.IsNil)
+			qt.Assert(t, codec.Unmarshal(golden.Read(t, name), &read), qt.IsNil)
 			qt.Check(t, read, qt.DeepEquals, value)
 		})
 	}
@@ -37,9 +37,9 @@
 func TestGoldenStates(t *testing.T) {
 	qt.Check(t, []State{Serving, Draining, Crashed, Deregistered}, qt.DeepEquals, []State{0, 1, 2, 3})
 	read := Endpoint{}
-	qt.Assert(t, codec.Read(codec.Write(nil, &Endpoint{State: Deregistered}), &read), qt.IsNil)
+	qt.Assert(t, codec.Unmarshal(codec.MarshalAppend(nil, &Endpoint{State: Deregistered}), &read), qt.IsNil)
 	qt.Check(t, read.State, qt.Equals, Deregistered)
-	qt.Assert(t, codec.Read([]byte{8 << 3, 100}, &read), qt.IsNil)
+	qt.Assert(t, codec.Unmarshal([]byte{8 << 3, 100}, &read), qt.IsNil)
 	qt.Check(t, read.State, qt.Equals, Deregistered)
 }
 
@@ -88,7 +88,7 @@
 
 func (s *schedule) noteEndpoints(what string, all []Endpoint) {
 	for i := range all {
-		s.note(what, codec.Write(nil, &all[i]))
+		s.note(what, codec.MarshalAppend(nil, &all[i]))
 	}
 }
 
@@ -188,7 +188,7 @@
 	s.noteEndpoints("all", s.here.All(s.now))
 	for i := range s.newest {
 		e, ok := s.here.EndpointAt(s.now, s.newest[i].AppAddress)
-		s.note("at", codec.Write(nil, &e), ok)
+		s.note("at", codec.MarshalAppend(nil, &e), ok)
 	}
 }
 
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -171,7 +171,7 @@
 }
 
 func (f *fleet) send(from *node, address string, s *Shuffle) {
-	data := codec.Write(nil, s)
+	data := codec.MarshalAppend(nil, s)
 	size := len(data)
 	if f.sent != nil {
 		f.sent(from, address, data)
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -21,9 +21,9 @@
 }](t *testing.T, name string, value T,
 ) {
 	t.Helper()
-	golden.Hex(t, name, codec.Write(nil, P(&value)))
+	golden.Hex(t, name, codec.MarshalAppend(nil, P(&value)))
 	var read T
-	qt.Assert(t, codec.Read(golden.Read(t, name), P(&read)), qt.IsNil)
+	qt.Assert(t, codec.Unmarshal(golden.Read(t, name), P(&read)), qt.IsNil)
 	qt.Check(t, read, qt.DeepEquals, value)
 }
 
@@ -58,8 +58,8 @@
 func TestGoldenAges(t *testing.T) {
 	var text strings.Builder
 	for _, age := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, time.Minute, time.Hour, 2 * time.Hour} {
-		data, read := codec.Write(nil, &Member{Incarnation: 1, HeartbeatAge: age}), Member{}
-		qt.Assert(t, codec.Read(data, &read), qt.IsNil)
+		data, read := codec.MarshalAppend(nil, &Member{Incarnation: 1, HeartbeatAge: age}), Member{}
+		qt.Assert(t, codec.Unmarshal(data, &read), qt.IsNil)
 		fmt.Fprintf(&text, "%v %x %v\n", age, data, read.HeartbeatAge)
 	}
 	golden.Text(t, "ages.txt", []byte(text.String()))
@@ -82,7 +82,7 @@
 		zones := n.Zones()
 		fmt.Fprintln(p.sum, n.dead, n.ChangeCount(), n.NextTick(), zones)
 		for _, m := range n.Members() {
-			p.sum.Write(codec.Write(nil, &m))
+			p.sum.Write(codec.MarshalAppend(nil, &m))
 		}
 		for _, zone := range append(zones, "unknown") {
 			for _, service := range services {
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -33,19 +33,19 @@
 
 // Fields names them.
 func (m *Member) Fields(v *codec.Visitor) {
-	v.Fixed(1, &m.Incarnation)
-	v.Text(2, &m.Address)
-	v.Text(3, &m.Zone)
-	v.Text(4, &m.Region)
+	v.Fixed64(1, &m.Incarnation)
+	v.String(2, &m.Address)
+	v.String(3, &m.Zone)
+	v.String(4, &m.Region)
 	role := uint64(m.Role)
-	v.Uint(5, &role)
+	v.Uint64(5, &role)
 	m.Role = Role(role)
-	v.Text(6, &m.Service)
-	v.Text(7, &m.AppAddress)
-	v.Uint(8, &m.Heartbeat)
+	v.String(6, &m.Service)
+	v.String(7, &m.AppAddress)
+	v.Uint64(8, &m.Heartbeat)
 	v.Bool(9, &m.Seed)
 	age := uint64((max(m.HeartbeatAge, 0) + time.Millisecond - 1) / time.Millisecond)
-	v.Uint(10, &age)
+	v.Uint64(10, &age)
 	if v.Reading() {
 		m.HeartbeatAge = time.Duration(min(age, uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
@@ -66,9 +66,9 @@
 
 // Fields names them.
 func (g *Tombstone) Fields(v *codec.Visitor) {
-	v.Fixed(1, &g.Incarnation)
-	v.Text(2, &g.Address)
-	v.Uint(3, &g.Heartbeat)
+	v.Fixed64(1, &g.Incarnation)
+	v.String(2, &g.Address)
+	v.Uint64(3, &g.Heartbeat)
 }
 
 // Shuffle is a part of one member's view, for a neighbour.
@@ -91,9 +91,9 @@
 	codec.Messages(v, 2, &s.Members)
 	codec.Messages(v, 3, &s.Tombstones)
 	v.Bool(4, &s.Reply)
-	v.Uint(5, &s.ConfigVersion)
-	v.Fixed(6, &s.ZoneDigest)
-	v.Fixed(7, &s.SharedDigest)
+	v.Uint64(5, &s.ConfigVersion)
+	v.Fixed64(6, &s.ZoneDigest)
+	v.Fixed64(7, &s.SharedDigest)
 	v.Bytes(8, &s.AgreementAges)
 	codec.Messages(v, 9, &s.Unreachable)
 	v.Bool(10, &s.RaiseHeartbeat)
--- a/internal/mesh/discovery/membership/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -124,7 +124,7 @@
 	reply, _ := v.Receive(0, &Shuffle{From: member(1, "10.0.0.2:1", "z", 3), Tombstones: []Tombstone{{1000, "10.0.0.1:1", 30}}})
 	c.Assert(reply.From.Heartbeat, qt.Equals, uint64(31), qt.Commentf("this one is not gone"))
 	var read Shuffle
-	c.Assert(codec.Read(codec.Write(nil, reply), &read), qt.IsNil)
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, reply), &read), qt.IsNil)
 	c.Assert(&read, qt.DeepEquals, reply)
 }
 
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -171,7 +171,7 @@
 				news, version, _ = home.ChangedSince(0, "s", version)
 				for _, e := range news {
 					var read Endpoint
-					c.Assert(codec.Read(codec.Write(nil, &e), &read), qt.IsNil)
+					c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &e), &read), qt.IsNil)
 					c.Assert(read, qt.DeepEquals, e)
 					here.Apply(0, read)
 				}
--- a/internal/mesh/transport/codec/codec.go
+++ b/internal/mesh/transport/codec/codec.go
@@ -18,11 +18,11 @@
 type Visitor struct {
 	out     []byte
 	reading bool
-	in      []field
+	fields  []rawField
 	err     error
 }
 
-type field struct {
+type rawField struct {
 	num   protowire.Number
 	typ   protowire.Type
 	value uint64
@@ -32,25 +32,25 @@
 // Reading tells whether fields are being read.
 func (v *Visitor) Reading() bool { return v.reading }
 
-// Write appends a message to buf.
-func Write(buf []byte, m Message) []byte {
+// MarshalAppend appends a message to buf.
+func MarshalAppend(buf []byte, m Message) []byte {
 	v := Visitor{out: buf}
 	m.Fields(&v)
 	return v.out
 }
 
-// Read takes a message from data, which must not change afterwards: byte fields point into it. The error says where data is
+// Unmarshal takes a message from data, which must not change afterwards: byte fields point into it. The error says where data is
 // not what it should be.
-func Read(data []byte, m Message) error {
-	var room [24]field
-	v := Visitor{reading: true, in: room[:0]}
+func Unmarshal(data []byte, m Message) error {
+	var room [24]rawField
+	v := Visitor{reading: true, fields: room[:0]}
 	for at := 0; at < len(data); {
 		num, typ, n := protowire.ConsumeTag(data[at:])
 		if n < 0 {
 			return fmt.Errorf("byte %d: %w", at, protowire.ParseError(n))
 		}
 		at += n
-		f := field{num: num, typ: typ}
+		f := rawField{num: num, typ: typ}
 		switch typ {
 		case protowire.VarintType:
 			f.value, n = protowire.ConsumeVarint(data[at:])
@@ -65,15 +65,15 @@
 			return fmt.Errorf("field %d at byte %d: %w", num, at, protowire.ParseError(n))
 		}
 		at += n
-		v.in = append(v.in, f)
+		v.fields = append(v.fields, f)
 	}
 	m.Fields(&v)
 	return v.err
 }
 
-func (v *Visitor) find(num protowire.Number, typ protowire.Type) *field {
-	for i := len(v.in) - 1; i >= 0; i-- { // of a field that is there twice the last one counts
-		if f := &v.in[i]; f.num == num {
+func (v *Visitor) lastField(num protowire.Number, typ protowire.Type) *rawField {
+	for i := len(v.fields) - 1; i >= 0; i-- { // of a field that is there twice the last one counts
+		if f := &v.fields[i]; f.num == num {
 			if f.typ != typ {
 				v.fail(num, "has another type")
 				return nil
@@ -93,10 +93,10 @@
 	}
 }
 
-// Uint is a number that is not negative.
-func (v *Visitor) Uint(num protowire.Number, x *uint64) {
+// Uint64 is a number that is not negative.
+func (v *Visitor) Uint64(num protowire.Number, x *uint64) {
 	if v.reading {
-		if f := v.find(num, protowire.VarintType); f != nil {
+		if f := v.lastField(num, protowire.VarintType); f != nil {
 			*x = f.value
 		}
 	} else if *x != 0 {
@@ -104,24 +104,24 @@
 	}
 }
 
-// Int is a number that may be negative (sint64).
-func (v *Visitor) Int(num protowire.Number, x *int64) {
+// Int64 is a number that may be negative (sint64).
+func (v *Visitor) Int64(num protowire.Number, x *int64) {
 	u := protowire.EncodeZigZag(*x)
-	v.Uint(num, &u)
+	v.Uint64(num, &u)
 	if v.reading {
 		*x = protowire.DecodeZigZag(u)
 	}
 }
 
-// Small is an int that may be negative.
-func (v *Visitor) Small(num protowire.Number, x *int) {
+// Int is an int that may be negative.
+func (v *Visitor) Int(num protowire.Number, x *int) {
 	i := int64(*x)
-	v.Int(num, &i)
+	v.Int64(num, &i)
 	*x = int(i)
 }
 
-// Time is a duration, in nanoseconds.
-func (v *Visitor) Time(num protowire.Number, x *time.Duration) { v.Int(num, (*int64)(x)) }
+// Duration is a duration, in nanoseconds.
+func (v *Visitor) Duration(num protowire.Number, x *time.Duration) { v.Int64(num, (*int64)(x)) }
 
 // Bool is true or false.
 func (v *Visitor) Bool(num protowire.Number, x *bool) {
@@ -129,14 +129,14 @@
 	if *x {
 		u = 1
 	}
-	v.Uint(num, &u)
+	v.Uint64(num, &u)
 	*x = u != 0
 }
 
-// Fixed is a 64-bit number that is seldom small, such as a random one.
-func (v *Visitor) Fixed(num protowire.Number, x *uint64) {
+// Fixed64 is a 64-bit number that is seldom small, such as a random one.
+func (v *Visitor) Fixed64(num protowire.Number, x *uint64) {
 	if v.reading {
-		if f := v.find(num, protowire.Fixed64Type); f != nil {
+		if f := v.lastField(num, protowire.Fixed64Type); f != nil {
 			*x = f.value
 		}
 	} else if *x != 0 {
@@ -144,17 +144,17 @@
 	}
 }
 
-// Float is a double.
-func (v *Visitor) Float(num protowire.Number, x *float64) {
+// Float64 is a double.
+func (v *Visitor) Float64(num protowire.Number, x *float64) {
 	u := math.Float64bits(*x)
-	v.Fixed(num, &u)
+	v.Fixed64(num, &u)
 	*x = math.Float64frombits(u)
 }
 
 // Bytes are bytes; what is read points into the data.
 func (v *Visitor) Bytes(num protowire.Number, x *[]byte) {
 	if v.reading {
-		if f := v.find(num, protowire.BytesType); f != nil {
+		if f := v.lastField(num, protowire.BytesType); f != nil {
 			*x = f.bytes
 		}
 	} else if len(*x) > 0 {
@@ -162,10 +162,10 @@
 	}
 }
 
-// Text is a string.
-func (v *Visitor) Text(num protowire.Number, x *string) {
+// String is a string.
+func (v *Visitor) String(num protowire.Number, x *string) {
 	if v.reading {
-		if f := v.find(num, protowire.BytesType); f != nil {
+		if f := v.lastField(num, protowire.BytesType); f != nil {
 			*x = string(f.bytes)
 		}
 	} else if *x != "" {
@@ -173,30 +173,30 @@
 	}
 }
 
-// Texts are strings, in their order.
-func (v *Visitor) Texts(num protowire.Number, x *[]string) {
-	Each(v, num, x, func(v *Visitor, s *string) {
+// Strings are strings, in their order.
+func (v *Visitor) Strings(num protowire.Number, x *[]string) {
+	List(v, num, x, func(v *Visitor, s *string) {
 		if v.reading {
-			*s = string(v.raw())
+			*s = string(v.elementBytes())
 		} else {
 			v.out = append(v.out, *s...)
 		}
 	})
 }
 
-func (v *Visitor) raw() []byte { return v.in[0].bytes }
+func (v *Visitor) elementBytes() []byte { return v.fields[0].bytes }
 
 // Message is one message within another.
 func (v *Visitor) Message(num protowire.Number, m Message) {
 	if v.reading {
-		if f := v.find(num, protowire.BytesType); f != nil {
-			if err := Read(f.bytes, m); err != nil && v.err == nil {
+		if f := v.lastField(num, protowire.BytesType); f != nil {
+			if err := Unmarshal(f.bytes, m); err != nil && v.err == nil {
 				v.err = fmt.Errorf("field %d: %w", num, err)
 			}
 		}
 		return
 	}
-	v.nest(num, func(w *Visitor) { m.Fields(w) })
+	v.appendNested(num, func(w *Visitor) { m.Fields(w) })
 }
 
 // Messages are messages within another, in their order: a list of T, whose pointer is a Message.
@@ -204,33 +204,33 @@
 	*T
 	Message
 }](v *Visitor, num protowire.Number, x *[]T) {
-	Each(v, num, x, func(v *Visitor, t *T) {
+	List(v, num, x, func(v *Visitor, t *T) {
 		if !v.reading {
 			P(t).Fields(v)
-		} else if err := Read(v.raw(), P(t)); err != nil && v.err == nil {
+		} else if err := Unmarshal(v.elementBytes(), P(t)); err != nil && v.err == nil {
 			v.err = err
 		}
 	})
 }
 
-// Each writes or reads a list, each of its elements as bytes of their own.
-func Each[T any](v *Visitor, num protowire.Number, x *[]T, one func(v *Visitor, t *T)) {
+// List writes or reads a list, each of its elements as bytes of their own.
+func List[T any](v *Visitor, num protowire.Number, x *[]T, one func(v *Visitor, t *T)) {
 	if !v.reading {
 		for i := range *x {
-			v.nest(num, func(w *Visitor) { one(w, &(*x)[i]) })
+			v.appendNested(num, func(w *Visitor) { one(w, &(*x)[i]) })
 		}
 		return
 	}
-	for i := range v.in {
-		if v.in[i].num != num {
+	for i := range v.fields {
+		if v.fields[i].num != num {
 			continue
 		}
-		if v.in[i].typ != protowire.BytesType {
+		if v.fields[i].typ != protowire.BytesType {
 			v.fail(num, "has another type")
 			return
 		}
 		var t T
-		w := Visitor{reading: true, in: v.in[i : i+1]}
+		w := Visitor{reading: true, fields: v.fields[i : i+1]}
 		one(&w, &t)
 		if w.err != nil && v.err == nil {
 			v.err = fmt.Errorf("field %d: %w", num, w.err)
@@ -239,7 +239,7 @@
 	}
 }
 
-func (v *Visitor) nest(num protowire.Number, write func(w *Visitor)) {
+func (v *Visitor) appendNested(num protowire.Number, write func(w *Visitor)) {
 	var w Visitor
 	write(&w)
 	v.out = protowire.AppendBytes(protowire.AppendTag(v.out, num, protowire.BytesType), w.out)
--- a/internal/mesh/transport/codec/golden_test.go
+++ b/internal/mesh/transport/codec/golden_test.go
@@ -35,25 +35,25 @@
 }
 
 func (f *everyField) Fields(v *Visitor) {
-	v.Uint(1, &f.Uint)
-	v.Int(2, &f.Int)
-	v.Small(3, &f.Small)
-	v.Time(4, &f.Time)
+	v.Uint64(1, &f.Uint)
+	v.Int64(2, &f.Int)
+	v.Int(3, &f.Small)
+	v.Duration(4, &f.Time)
 	v.Bool(5, &f.Bool)
-	v.Fixed(6, &f.Fixed)
-	v.Float(7, &f.Float)
+	v.Fixed64(6, &f.Fixed)
+	v.Float64(7, &f.Float)
 	v.Bytes(8, &f.Bytes)
-	v.Text(9, &f.Text)
-	v.Texts(10, &f.Texts)
+	v.String(9, &f.Text)
+	v.Strings(10, &f.Texts)
 	v.Message(11, &f.Message)
 	Messages(v, 12, &f.Messages)
-	Each(v, 13, &f.Each, eachUint)
+	List(v, 13, &f.Each, eachUint)
 }
 
 // eachUint is an element of a list that is written by Each: a varint as the bytes of its own.
 func eachUint(v *Visitor, x *uint64) {
 	if v.Reading() {
-		*x, _ = protowire.ConsumeVarint(v.raw())
+		*x, _ = protowire.ConsumeVarint(v.elementBytes())
 		return
 	}
 	v.out = protowire.AppendVarint(v.out, *x)
@@ -61,7 +61,7 @@
 
 type oneField struct{ Text string }
 
-func (f *oneField) Fields(v *Visitor) { v.Text(1, &f.Text) }
+func (f *oneField) Fields(v *Visitor) { v.String(1, &f.Text) }
 
 var goldenMessages = []struct {
 	name  string
@@ -79,9 +79,9 @@
 func TestGoldenMessages(t *testing.T) {
 	for _, x := range goldenMessages {
 		t.Run(x.name, func(t *testing.T) {
-			golden.Hex(t, x.name, Write(nil, &x.value))
+			golden.Hex(t, x.name, MarshalAppend(nil, &x.value))
 			var got everyField
-			qt.Assert(t, Read(golden.Read(t, x.name), &got), qt.IsNil)
+			qt.Assert(t, Unmarshal(golden.Read(t, x.name), &got), qt.IsNil)
 			qt.Assert(t, got, qt.DeepEquals, x.value)
 		})
 	}
@@ -120,7 +120,7 @@
 	}
 	var text strings.Builder
 	for _, x := range cases {
-		fmt.Fprintf(&text, "%s %s\n", x.name, hex.EncodeToString(Write(nil, &x.value)))
+		fmt.Fprintf(&text, "%s %s\n", x.name, hex.EncodeToString(MarshalAppend(nil, &x.value)))
 	}
 	golden.Text(t, fieldsFile, []byte(text.String()))
 	file, err := os.ReadFile(filepath.Join("testdata", "golden", fieldsFile))
@@ -134,7 +134,7 @@
 			data, err := hex.DecodeString(digits)
 			qt.Assert(t, err, qt.IsNil)
 			var got everyField
-			qt.Assert(t, Read(data, &got), qt.IsNil)
+			qt.Assert(t, Unmarshal(data, &got), qt.IsNil)
 			qt.Assert(t, got, qt.DeepEquals, x.value)
 			qt.Assert(t, math.Signbit(got.Float), qt.Equals, math.Signbit(x.value.Float))
 		})
@@ -147,20 +147,20 @@
 	var b []byte
 	b = protowire.AppendVarint(protowire.AppendTag(b, 100, protowire.VarintType), 7)
 	b = protowire.AppendFixed64(protowire.AppendTag(b, 101, protowire.Fixed64Type), 7)
-	b = append(b, Write(nil, &everyField{Uint: 5})...)
+	b = append(b, MarshalAppend(nil, &everyField{Uint: 5})...)
 	b = protowire.AppendBytes(protowire.AppendTag(b, 102, protowire.BytesType), []byte("seven"))
 	b = protowire.AppendFixed32(protowire.AppendTag(b, 103, protowire.Fixed32Type), 7)
-	b = append(b, Write(nil, &everyField{Text: "known"})...)
+	b = append(b, MarshalAppend(nil, &everyField{Text: "known"})...)
 	b = protowire.AppendTag(b, 104, protowire.StartGroupType)
 	b = protowire.AppendVarint(protowire.AppendTag(b, 1, protowire.VarintType), 7)
 	b = protowire.AppendTag(b, 104, protowire.EndGroupType)
 	return b
 }
 
-func TestGoldenNewerFieldsArePassedOver(t *testing.T) {
+func TestGoldenUnknownFieldsAreIgnored(t *testing.T) {
 	golden.Hex(t, "newer.hex", newerFields())
 	var got everyField
-	qt.Assert(t, Read(golden.Read(t, "newer.hex"), &got), qt.IsNil)
+	qt.Assert(t, Unmarshal(golden.Read(t, "newer.hex"), &got), qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, everyField{Uint: 5, Text: "known"})
 }
 
@@ -168,9 +168,9 @@
 func TestGoldenRepeatedFields(t *testing.T) {
 	first := everyField{Uint: 1, Text: "first", Texts: []string{"a"}, Messages: []oneField{{"a"}}}
 	second := everyField{Uint: 2, Text: "second", Texts: []string{"b"}, Messages: []oneField{{"b"}}}
-	golden.Hex(t, "repeated.hex", Write(Write(nil, &first), &second))
+	golden.Hex(t, "repeated.hex", MarshalAppend(MarshalAppend(nil, &first), &second))
 	var got everyField
-	qt.Assert(t, Read(golden.Read(t, "repeated.hex"), &got), qt.IsNil)
+	qt.Assert(t, Unmarshal(golden.Read(t, "repeated.hex"), &got), qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, everyField{Uint: 2, Text: "second", Texts: []string{"a", "b"}, Messages: []oneField{{"a"}, {"b"}}})
 }
 
@@ -191,7 +191,7 @@
 	var text bytes.Buffer
 	note := func(data []byte) {
 		answer := "read"
-		if err := Read(data, &everyField{}); err != nil {
+		if err := Unmarshal(data, &everyField{}); err != nil {
 			answer = strings.ReplaceAll(err.Error(), "\u00a0", " ") // protobuf picks its kind of space by the program that it is built into
 		}
 		fmt.Fprintf(&text, "%s: %s\n", hex.EncodeToString(data), answer)
@@ -226,5 +226,5 @@
 }
 
 func TestGoldenFail(t *testing.T) {
-	qt.Assert(t, Read(nil, refusing{}), qt.ErrorMatches, "field 3 is no version")
+	qt.Assert(t, Unmarshal(nil, refusing{}), qt.ErrorMatches, "field 3 is no version")
 }
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -16,70 +16,70 @@
 
 // Bounds of what one connection may hold.
 const (
-	pieceMost   = 16 << 10        // bytes of a message in one frame
-	frameMost   = pieceMost + 256 // and with its envelope
-	messageMost = 72 << 20        // bytes of one message, the largest body of a request and its head
-	callsMost   = 4096            // calls of one neighbour at once
-	version     = 1               // of this protocol; a higher one in Hello is fine, another major is not spoken
+	maxChunkBytes   = 16 << 10            // bytes of a message in one frame
+	maxFrameBytes   = maxChunkBytes + 256 // and with its envelope
+	maxMessageBytes = 72 << 20            // bytes of one message, the largest body of a request and its head
+	maxPendingCalls = 4096                // calls of one neighbour at once
+	protocolVersion = 1                   // of this protocol; a higher one in Hello is fine, another major is not spoken
 )
 
-// kind is what a frame is for.
-type kind uint64
+// frameKind is what a frame is for.
+type frameKind uint64
 
 const (
-	helloFrame    kind = 1 + iota
-	callFrame          // a piece of a call
-	replyFrame         // a piece of the reply to a call, by its stream
-	withdrawFrame      // the caller has given the call up; the reply says how far it had come
-	pingFrame          // wants a pong; sent when nothing has been heard
+	helloFrame  frameKind = 1 + iota
+	callFrame             // a piece of a call
+	replyFrame            // a piece of the reply to a call, by its stream
+	cancelFrame           // the caller has given the call up; the reply says how far it had come
+	pingFrame             // wants a pong; sent when nothing has been heard
 	pongFrame
 	leavingFrame // the sender is about to end: what is under way is answered, nothing new is to come on this connection
 )
 
 // envelope is one frame.
 type envelope struct {
-	kind    uint64
-	stream  uint64
-	method  uint64
-	last    bool
-	clock   time.Duration // the sender's, when it was written
-	expires time.Duration // of a call, on the sender's clock; 0 for never
-	body    []byte
+	kind      uint64
+	stream    uint64
+	method    uint64
+	last      bool
+	sentAt    time.Duration // the sender's, when it was written
+	expiresAt time.Duration // of a call, on the sender's clock; 0 for never
+	body      []byte
 }
 
 func (e *envelope) Fields(v *codec.Visitor) {
-	v.Uint(1, &e.kind)
-	v.Uint(2, &e.stream)
-	v.Uint(3, &e.method)
+	v.Uint64(1, &e.kind)
+	v.Uint64(2, &e.stream)
+	v.Uint64(3, &e.method)
 	v.Bool(4, &e.last)
-	v.Time(5, &e.clock)
-	v.Time(6, &e.expires)
+	v.Duration(5, &e.sentAt)
+	v.Duration(6, &e.expiresAt)
 	v.Bytes(7, &e.body)
 }
 
 // Hello is how two processes greet each other; the first frame of each.
 type Hello struct {
-	Version uint64
-	Life    uint64 // random, new at each start
-	Address string // where its peers reach it
-	Name    string // of its machine, for people
-	Zone    string
-	Service string // of the endpoint beside it; empty for none
+	Version     uint64
+	Incarnation uint64 // random, new at each start
+	Address     string // where its peers reach it
+	Name        string // of its machine, for people
+	Zone        string
+	Service     string // of the endpoint beside it; empty for none
 }
 
 // Fields names the fields of a Hello.
 func (h *Hello) Fields(v *codec.Visitor) {
-	v.Uint(1, &h.Version)
-	v.Fixed(2, &h.Life)
-	v.Text(3, &h.Address)
-	v.Text(4, &h.Name)
-	v.Text(5, &h.Zone)
-	v.Text(6, &h.Service)
+	v.Uint64(1, &h.Version)
+	v.Fixed64(2, &h.Incarnation)
+	v.String(3, &h.Address)
+	v.String(4, &h.Name)
+	v.String(5, &h.Zone)
+	v.String(6, &h.Service)
 }
 
 func appendFrame(buf []byte, e *envelope) []byte {
 	at := len(buf)
-	buf = codec.Write(append(buf, 0, 0, 0, 0), e)
+	buf = codec.MarshalAppend(append(buf, 0, 0, 0, 0), e)
 	binary.BigEndian.PutUint32(buf[at:], uint32(len(buf)-at-4))
 	return buf
 }
@@ -91,13 +91,13 @@
 		return err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
-		return trace.LimitExceeded("a frame of %d bytes, %d at most", n, frameMost)
+	if n > maxFrameBytes {
+		return trace.LimitExceeded("a frame of %d bytes, %d at most", n, maxFrameBytes)
 	}
 	data := make([]byte, n)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return trace.Wrap(err, "half a frame")
 	}
 	*e = envelope{}
-	return trace.Wrap(codec.Read(data, e), "frame")
+	return trace.Wrap(codec.Unmarshal(data, e), "frame")
 }
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -20,15 +20,15 @@
 // goldenClock is the sender's clock in golden frames.
 const goldenClock = 1500 * time.Millisecond
 
-var goldenHello = Hello{Version: version, Life: 0x0102030405060708, Address: "127.0.0.1:7640", Name: "access-0", Zone: "a", Service: "desk"}
+var goldenHello = Hello{Version: protocolVersion, Incarnation: 0x0102030405060708, Address: "127.0.0.1:7640", Name: "access-0", Zone: "a", Service: "desk"}
 
 func TestNumbersOfFrames(t *testing.T) {
-	numbers := map[string]kind{"hello": helloFrame, "call": callFrame, "reply": replyFrame, "withdraw": withdrawFrame, "ping": pingFrame,
+	numbers := map[string]frameKind{"hello": helloFrame, "call": callFrame, "reply": replyFrame, "withdraw": cancelFrame, "ping": pingFrame,
 		"pong": pongFrame, "leaving": leavingFrame}
 	qt.Assert(t, numbers, qt.DeepEquals,
-		map[string]kind{"hello": 1, "call": 2, "reply": 3, "withdraw": 4, "ping": 5, "pong": 6, "leaving": 7})
-	qt.Assert(t, version, qt.Equals, 1)
-	qt.Assert(t, []int{pieceMost, frameMost, messageMost, callsMost}, qt.DeepEquals, []int{16384, 16640, 75497472, 4096})
+		map[string]frameKind{"hello": 1, "call": 2, "reply": 3, "withdraw": 4, "ping": 5, "pong": 6, "leaving": 7})
+	qt.Assert(t, protocolVersion, qt.Equals, 1)
+	qt.Assert(t, []int{maxChunkBytes, maxFrameBytes, maxMessageBytes, maxPendingCalls}, qt.DeepEquals, []int{16384, 16640, 75497472, 4096})
 }
 
 func TestGoldenFrames(t *testing.T) {
@@ -37,19 +37,19 @@
 		frame envelope
 	}{
 		{"empty.hex", envelope{}},
-		{"every-field.hex", envelope{kind: uint64(callFrame), stream: 300, method: 17, last: true, clock: goldenClock, expires: 3 * time.Second,
+		{"every-field.hex", envelope{kind: uint64(callFrame), stream: 300, method: 17, last: true, sentAt: goldenClock, expiresAt: 3 * time.Second,
 			body: []byte("body")}},
-		{"negative-times.hex", envelope{kind: uint64(callFrame), stream: 1, method: 1, clock: -goldenClock, expires: -time.Second}},
-		{"hello.hex", envelope{kind: uint64(helloFrame), clock: goldenClock, body: codec.Write(nil, &goldenHello)}},
-		{"call.hex", envelope{kind: uint64(callFrame), stream: 1, method: 10, last: true, clock: goldenClock, expires: 2 * time.Second,
+		{"negative-times.hex", envelope{kind: uint64(callFrame), stream: 1, method: 1, sentAt: -goldenClock, expiresAt: -time.Second}},
+		{"hello.hex", envelope{kind: uint64(helloFrame), sentAt: goldenClock, body: codec.MarshalAppend(nil, &goldenHello)}},
+		{"call.hex", envelope{kind: uint64(callFrame), stream: 1, method: 10, last: true, sentAt: goldenClock, expiresAt: 2 * time.Second,
 			body: []byte("question")}},
-		{"call-part.hex", envelope{kind: uint64(callFrame), stream: 2, method: 1, clock: goldenClock, body: bytes.Repeat([]byte{0xab}, 300)}},
-		{"reply.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, clock: goldenClock, body: []byte("answer")}},
-		{"reply-empty.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, clock: goldenClock}},
-		{"withdraw.hex", envelope{kind: uint64(withdrawFrame), stream: 2, clock: goldenClock}},
-		{"ping.hex", envelope{kind: uint64(pingFrame), clock: goldenClock}},
-		{"pong.hex", envelope{kind: uint64(pongFrame), clock: goldenClock}},
-		{"leaving.hex", envelope{kind: uint64(leavingFrame), clock: goldenClock}},
+		{"call-part.hex", envelope{kind: uint64(callFrame), stream: 2, method: 1, sentAt: goldenClock, body: bytes.Repeat([]byte{0xab}, 300)}},
+		{"reply.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, sentAt: goldenClock, body: []byte("answer")}},
+		{"reply-empty.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, sentAt: goldenClock}},
+		{"withdraw.hex", envelope{kind: uint64(cancelFrame), stream: 2, sentAt: goldenClock}},
+		{"ping.hex", envelope{kind: uint64(pingFrame), sentAt: goldenClock}},
+		{"pong.hex", envelope{kind: uint64(pongFrame), sentAt: goldenClock}},
+		{"leaving.hex", envelope{kind: uint64(leavingFrame), sentAt: goldenClock}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			golden.Hex(t, x.name, appendFrame(nil, &x.frame))
@@ -66,19 +66,19 @@
 }
 
 func sameFrame(a, b envelope) bool {
-	return a.kind == b.kind && a.stream == b.stream && a.method == b.method && a.last == b.last && a.clock == b.clock &&
-		a.expires == b.expires && bytes.Equal(a.body, b.body)
+	return a.kind == b.kind && a.stream == b.stream && a.method == b.method && a.last == b.last && a.sentAt == b.sentAt &&
+		a.expiresAt == b.expiresAt && bytes.Equal(a.body, b.body)
 }
 
 func TestGoldenHello(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		hello Hello
-	}{{"message-hello.hex", goldenHello}, {"message-hello-least.hex", Hello{Version: version, Life: 1, Address: "127.0.0.1:7640"}}} {
+	}{{"message-hello.hex", goldenHello}, {"message-hello-least.hex", Hello{Version: protocolVersion, Incarnation: 1, Address: "127.0.0.1:7640"}}} {
 		t.Run(x.name, func(t *testing.T) {
-			golden.Hex(t, x.name, codec.Write(nil, &x.hello))
+			golden.Hex(t, x.name, codec.MarshalAppend(nil, &x.hello))
 			var got Hello
-			qt.Assert(t, codec.Read(golden.Read(t, x.name), &got), qt.IsNil)
+			qt.Assert(t, codec.Unmarshal(golden.Read(t, x.name), &got), qt.IsNil)
 			qt.Assert(t, got, qt.Equals, x.hello)
 		})
 	}
@@ -106,7 +106,7 @@
 	p.Assert(err, qt.IsNil)
 }
 
-// next reads a frame, other than the pings of a slow machine, and notes it.
+// lastStream reads a frame, other than the pings of a slow machine, and notes it.
 func (p *rawPeer) next() envelope {
 	p.Helper()
 	for {
@@ -117,12 +117,12 @@
 		_, err = io.ReadFull(p.r, data[4:])
 		p.Assert(err, qt.IsNil)
 		var e envelope
-		p.Assert(codec.Read(data[4:], &e), qt.IsNil)
+		p.Assert(codec.Unmarshal(data[4:], &e), qt.IsNil)
 		p.Assert(appendFrame(nil, &e), qt.DeepEquals, data)
 		if e.kind == uint64(pingFrame) {
 			continue
 		}
-		e.clock = goldenClock
+		e.sentAt = goldenClock
 		p.read = appendFrame(p.read, &e)
 		return e
 	}
@@ -144,11 +144,13 @@
 	n, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	go far.Listen(n)
-	Handle(far, 1, func(_ context.Context, from *Hello, l *line) *line { return &line{from.Name + " " + l.Text} })
+	Handle(far, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
+		return &textMessage{from.Name + " " + l.Text}
+	})
 	withdrawn := make(chan struct{})
-	far.Serve(2, func(c *IncomingCall) {
-		c.OnWithdrawn(func() {
-			c.AnswerBytes([]byte("withdrawn"))
+	far.HandleRaw(2, func(c *IncomingCall) {
+		c.OnCancel(func() {
+			c.ReplyBytes([]byte("withdrawn"))
 			close(withdrawn)
 		})
 	})
@@ -157,7 +159,7 @@
 	p := newRawPeer(t, conn)
 	p.send(golden.Read(t, "hello.hex"))
 	p.next()
-	question := codec.Write(nil, &line{"question"})
+	question := codec.MarshalAppend(nil, &textMessage{"question"})
 	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, body: question[:3]}))
 	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: question[3:]}))
 	p.next()
@@ -170,7 +172,7 @@
 	p.send(golden.Read(t, "ping.hex"))
 	p.next()
 	p.send(appendFrame(nil, &envelope{kind: 99, stream: 4})) // of a later version: passed over
-	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 5, method: 1, last: true, body: codec.Write(nil, &line{"again"})}))
+	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 5, method: 1, last: true, body: codec.MarshalAppend(nil, &textMessage{"again"})}))
 	p.next()
 	drained := make(chan struct{})
 	go func() {
@@ -206,10 +208,10 @@
 	first := <-ends
 	p.Assert(first.err, qt.IsNil)
 	p.Assert(string(first.body), qt.Equals, "answer")
-	call := near.Send(n.Addr().String(), 1, bytes.Repeat([]byte{0xab}, pieceMost+100), 0, done)
-	p.Assert(p.next().body, qt.HasLen, pieceMost)
+	call := near.Send(n.Addr().String(), 1, bytes.Repeat([]byte{0xab}, maxChunkBytes+100), 0, done)
+	p.Assert(p.next().body, qt.HasLen, maxChunkBytes)
 	p.Assert(p.next().body, qt.HasLen, 100)
-	call.Withdraw()
+	call.Cancel()
 	p.next()
 	p.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, body: []byte("half")}))
 	p.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, last: true, body: []byte(" and half")}))
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	drainInterval  = 10 * time.Millisecond // between two looks at links that end
-	acceptPauseMin = 5 * time.Millisecond  // after a connection could not be accepted; it doubles while that goes on
-	acceptPauseMax = 500 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond // between two looks at links that end
+	minAcceptBackoff  = 5 * time.Millisecond  // after a connection could not be accepted; it doubles while that goes on
+	maxAcceptBackoff  = 500 * time.Millisecond
 )
 
 // Hub holds a process's links: those that it dialled, by address, and those that it accepted.
 type Hub struct {
-	Log     *logrus.Logger
-	self    Hello
-	start   time.Time
-	most    int // bytes of calls that this process has room for
-	shape   shaper
-	held    atomic.Int64 // bytes of calls that are not answered, and of replies that are not whole
-	mu      sync.Mutex
-	links   map[string]*Link
-	taken   map[*Link]bool // accepted, and those that were dialled and are retired
-	serveMu sync.RWMutex   // methods may be declared while links are up
-	serve   map[uint64]func(*IncomingCall)
-	lost    func(address, why string)
-	dialer  func(address string) (net.Conn, error)
-	closing bool
-	accept  []net.Listener
+	Log           *logrus.Logger
+	self          Hello
+	startedAt     time.Time
+	maxCallBytes  int // bytes of calls that this process has room for
+	shaper        shaper
+	reservedBytes atomic.Int64 // bytes of calls that are not answered, and of replies that are not whole
+	mu            sync.Mutex
+	links         map[string]*Link
+	accepted      map[*Link]bool // accepted, and those that were dialled and are retired
+	handlersMu    sync.RWMutex   // methods may be declared while links are up
+	handlers      map[uint64]func(*IncomingCall)
+	onLinkLost    func(address, why string)
+	dialConn      func(address string) (net.Conn, error)
+	closing       bool
+	listeners     []net.Listener
 
 	sentBytes, sentFrames, receivedBytes, receivedFrames atomic.Uint64
 }
@@ -49,41 +49,41 @@
 	return Traffic{h.sentBytes.Load(), h.sentFrames.Load(), h.receivedBytes.Load(), h.receivedFrames.Load()}
 }
 
-// Links is how many there are: dialled and accepted.
-func (h *Hub) Links() (dialled, accepted int) {
+// LinkCounts is how many there are: dialled and accepted.
+func (h *Hub) LinkCounts() (dialled, accepted int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.links), len(h.taken)
+	return len(h.links), len(h.accepted)
 }
 
 // NewHub makes a hub. most bounds the bytes of the calls that it takes, one or all together.
 func NewHub(self Hello, start time.Time, most int, log *logrus.Logger) *Hub {
-	self.Version = version
-	h := &Hub{Log: log, self: self, start: start, most: most, links: map[string]*Link{}, taken: map[*Link]bool{},
-		serve: map[uint64]func(*IncomingCall){}, dialer: dialTCP}
-	go h.watch()
+	self.Version = protocolVersion
+	h := &Hub{Log: log, self: self, startedAt: start, maxCallBytes: most, links: map[string]*Link{}, accepted: map[*Link]bool{},
+		handlers: map[uint64]func(*IncomingCall){}, dialConn: dialTCP}
+	go h.monitorLinks()
 	return h
 }
 
 // Now is the process's steady clock.
-func (h *Hub) Now() time.Duration { return time.Since(h.start) }
+func (h *Hub) Now() time.Duration { return time.Since(h.startedAt) }
 
 // Self is how this process greets others.
 func (h *Hub) Self() Hello { return h.self }
 
-func (h *Hub) room(n int) bool { return n <= h.most }
+func (h *Hub) fits(n int) bool { return n <= h.maxCallBytes }
 
-// OnLost has f called, without locks, when a link that this process dialled ends, unless it was closed here as idle.
-func (h *Hub) OnLost(f func(address, why string)) { h.lost = f }
+// OnLinkLost has f called, without locks, when a link that this process dialled ends, unless it was closed here as idle.
+func (h *Hub) OnLinkLost(f func(address, why string)) { h.onLinkLost = f }
 
-// DialBy has links dialled by f in place of TCP. It is called before the hub sends anything.
-func (h *Hub) DialBy(f func(address string) (net.Conn, error)) { h.dialer = f }
+// SetDialer has links dialled by f in place of TCP. It is called before the hub sends anything.
+func (h *Hub) SetDialer(f func(address string) (net.Conn, error)) { h.dialConn = f }
 
-// Serve has f called for each call of a method, on the link's reader: it must not block.
-func (h *Hub) Serve(method uint64, f func(*IncomingCall)) {
-	h.serveMu.Lock()
-	defer h.serveMu.Unlock()
-	h.serve[method] = f
+// HandleRaw has f called for each call of a method, on the link's reader: it must not block.
+func (h *Hub) HandleRaw(method uint64, f func(*IncomingCall)) {
+	h.handlersMu.Lock()
+	defer h.handlersMu.Unlock()
+	h.handlers[method] = f
 }
 
 // Handle declares a method by its function; the function may block. A message that can't be read ends the link, with its
@@ -95,9 +95,9 @@
 	*A
 	codec.Message
 }](h *Hub, method uint64, f func(ctx context.Context, from *Hello, q *Q) *A) {
-	h.Serve(method, func(c *IncomingCall) {
+	h.HandleRaw(method, func(c *IncomingCall) {
 		var q Q
-		if err := codec.Read(c.Body, PQ(&q)); err != nil {
+		if err := codec.Unmarshal(c.Body, PQ(&q)); err != nil {
 			h.Log.WithField("peer", c.link.peer).WithField("method", method).Warn("transport: " + err.Error())
 			c.link.fail(err.Error())
 			return
@@ -106,9 +106,9 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if a := f(ctx, c.From, &q); a != nil {
-				c.Answer(PA(a))
+				c.Reply(PA(a))
 			} else {
-				c.AnswerBytes(nil)
+				c.ReplyBytes(nil)
 			}
 		}()
 	})
@@ -118,8 +118,8 @@
 // other side does not begin later.
 func (h *Hub) Send(address string, method uint64, body []byte, expire time.Duration,
 	done func(body []byte, err error)) *PendingCall {
-	a := &PendingCall{method: method, body: body, expire: expire, done: done}
-	for !h.link(address).call(a) { // it was closed as idle just now
+	a := &PendingCall{method: method, body: body, expiresAt: expire, done: done}
+	for !h.linkTo(address).startCall(a) { // it was closed as idle just now
 	}
 	return a
 }
@@ -134,25 +134,25 @@
 		err  error
 	}
 	ch := make(chan result, 1)
-	a := h.Send(address, method, codec.Write(nil, q), 0, func(body []byte, err error) { ch <- result{body, err} })
+	a := h.Send(address, method, codec.MarshalAppend(nil, q), 0, func(body []byte, err error) { ch <- result{body, err} })
 	select {
 	case r := <-ch:
 		if r.err != nil {
 			return nil, r.err
 		}
 		var m A
-		if err := codec.Read(r.body, PA(&m)); err != nil {
+		if err := codec.Unmarshal(r.body, PA(&m)); err != nil {
 			return nil, trace.Wrap(err, "answer of %s to method %d", address, method)
 		}
 		return &m, nil
 	case <-ctx.Done():
-		a.Withdraw()
+		a.Cancel()
 		return nil, ctx.Err()
 	}
 }
 
-// link is the link to an address, dialled if there is none.
-func (h *Hub) link(address string) *Link {
+// linkTo is the link to an address, dialled if there is none.
+func (h *Hub) linkTo(address string) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if l := h.links[address]; l != nil {
@@ -166,46 +166,46 @@
 }
 
 func dialTCP(address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialMost, KeepAlive: -1}
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return d.Dial("tcp4", address)
 }
 
 func (h *Hub) dial(l *Link) {
-	conn, err := h.dialer(l.peer)
+	conn, err := h.dialConn(l.peer)
 	if err != nil {
 		l.fail(err.Error())
 		return
 	}
-	h.run(l, conn)
+	h.runLink(l, conn)
 }
 
-// run starts a link on its connection.
-func (h *Hub) run(l *Link, conn net.Conn) {
+// runLink starts a link on its connection.
+func (h *Hub) runLink(l *Link, conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
-		_ = t.SetWriteBuffer(bufferBytes)
+		_ = t.SetWriteBuffer(socketBufferBytes)
 	}
 	l.mu.Lock()
 	l.conn = conn
-	l.urgent.PushFront(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &h.self)})
-	l.heard, l.connected = h.Now(), h.Now()
-	dead := l.dead
+	l.controlFrames.PushFront(envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &h.self)})
+	l.lastReceivedAt, l.connectedAt = h.Now(), h.Now()
+	dead := l.closed
 	l.mu.Unlock()
 	if dead {
 		conn.Close()
 		return
 	}
 	l.wakeWriter()
-	go l.write()
-	l.read()
+	go l.writeLoop()
+	l.readLoop()
 }
 
 // Listen takes links from others until the listener is closed. Another error of the listener, such as that the process has no file
 // descriptors left, passes: links that are up go on meanwhile.
 func (h *Hub) Listen(n net.Listener) error {
 	h.mu.Lock()
-	h.accept = append(h.accept, n)
+	h.listeners = append(h.listeners, n)
 	h.mu.Unlock()
-	pause := acceptPauseMin
+	pause := minAcceptBackoff
 	for {
 		conn, err := n.Accept()
 		switch {
@@ -216,15 +216,15 @@
 		case err != nil:
 			h.Log.WithError(err).Warn("transport: a link can't be accepted")
 			time.Sleep(pause)
-			pause = min(2*pause, acceptPauseMax)
+			pause = min(2*pause, maxAcceptBackoff)
 			continue
 		}
-		pause = acceptPauseMin
+		pause = minAcceptBackoff
 		l := newLink(h, conn.RemoteAddr().String())
 		h.mu.Lock()
-		h.taken[l] = true
+		h.accepted[l] = true
 		h.mu.Unlock()
-		go h.run(l, conn)
+		go h.runLink(l, conn)
 	}
 }
 
@@ -234,28 +234,28 @@
 	return h.closing
 }
 
-func (h *Hub) gone(l *Link, why string) {
+func (h *Hub) removeLink(l *Link, why string) {
 	h.mu.Lock()
 	mine := h.links[l.peer] == l
 	if mine {
 		delete(h.links, l.peer)
 	}
-	delete(h.taken, l)
+	delete(h.accepted, l)
 	closing := h.closing
 	h.mu.Unlock()
-	if mine && !closing && h.lost != nil {
-		h.lost(l.peer, why)
+	if mine && !closing && h.onLinkLost != nil {
+		h.onLinkLost(l.peer, why)
 	}
 }
 
-// rest closes a dialled link that nobody has used for long. The next call dials anew.
-func (h *Hub) rest(l *Link, now time.Duration) bool {
+// closeIfIdle closes a dialled link that nobody has used for long. The next call dials anew.
+func (h *Hub) closeIfIdle(l *Link, now time.Duration) bool {
 	h.mu.Lock()
 	l.mu.Lock()
-	idle := h.links[l.peer] == l && l.peerGreeted && !l.dead && len(l.pending) == 0 && now-l.used > idleMost
+	idle := h.links[l.peer] == l && l.peerGreeted && !l.closed && len(l.pending) == 0 && now-l.lastCallAt > idleTimeout
 	if idle {
 		delete(h.links, l.peer)
-		l.dead, l.retired, l.why = true, true, "idle"
+		l.closed, l.retired, l.closeReason = true, true, "idle"
 	}
 	l.mu.Unlock()
 	h.mu.Unlock()
@@ -266,31 +266,31 @@
 	return idle
 }
 
-func (h *Hub) handle(c *IncomingCall) {
-	h.serveMu.RLock()
-	f := h.serve[c.method]
-	h.serveMu.RUnlock()
+func (h *Hub) dispatch(c *IncomingCall) {
+	h.handlersMu.RLock()
+	f := h.handlers[c.method]
+	h.handlersMu.RUnlock()
 	if f != nil {
 		f(c)
 		return
 	}
-	c.AnswerBytes(nil) // of a later version: the zero answer, which says nothing
+	c.ReplyBytes(nil) // of a later version: the zero answer, which says nothing
 }
 
-// watch looks after the silence of all links.
-func (h *Hub) watch() {
+// monitorLinks looks after the silence of all links.
+func (h *Hub) monitorLinks() {
 	for range time.Tick(checkInterval) {
 		now := h.Now()
 		h.mu.Lock()
-		all := h.every()
+		all := h.allLinks()
 		closing := h.closing
 		h.mu.Unlock()
 		if closing {
 			return
 		}
 		for _, l := range all {
-			if !h.rest(l, now) {
-				l.checkSilence(now)
+			if !h.closeIfIdle(l, now) {
+				l.checkLiveness(now)
 			}
 		}
 	}
@@ -301,20 +301,20 @@
 func (h *Hub) Drain(until time.Duration) {
 	h.mu.Lock()
 	h.closing = true
-	for _, n := range h.accept {
+	for _, n := range h.listeners {
 		n.Close()
 	}
 	h.mu.Unlock()
-	for h.Now() < until && !h.drained() {
-		time.Sleep(drainInterval)
+	for h.Now() < until && !h.drainLinks() {
+		time.Sleep(drainPollInterval)
 	}
 	h.Close()
 }
 
-// drained has each link that was accepted end after its last answer, and tells whether all have ended.
-func (h *Hub) drained() bool {
+// drainLinks has each link that was accepted end after its last answer, and tells whether all have ended.
+func (h *Hub) drainLinks() bool {
 	h.mu.Lock()
-	links := h.every()
+	links := h.allLinks()
 	h.mu.Unlock()
 	left := 0
 	for _, l := range links {
@@ -329,28 +329,28 @@
 func (h *Hub) retire(l *Link) {
 	h.mu.Lock()
 	l.mu.Lock()
-	mine := h.links[l.peer] == l && !l.dead
+	mine := h.links[l.peer] == l && !l.closed
 	if mine {
 		delete(h.links, l.peer)
-		h.taken[l] = true
+		h.accepted[l] = true
 		l.retired = true
 	}
 	closing := h.closing
 	l.mu.Unlock()
 	h.mu.Unlock()
-	if mine && !closing && h.lost != nil {
-		h.lost(l.peer, "leaving")
+	if mine && !closing && h.onLinkLost != nil {
+		h.onLinkLost(l.peer, "leaving")
 	}
 	l.endIfRetired()
 }
 
-// every is all links; the lock is held.
-func (h *Hub) every() []*Link {
-	out := make([]*Link, 0, len(h.links)+len(h.taken))
+// allLinks is all links; the lock is held.
+func (h *Hub) allLinks() []*Link {
+	out := make([]*Link, 0, len(h.links)+len(h.accepted))
 	for _, l := range h.links {
 		out = append(out, l)
 	}
-	for l := range h.taken {
+	for l := range h.accepted {
 		out = append(out, l)
 	}
 	return out
@@ -360,7 +360,7 @@
 func (h *Hub) Close() {
 	h.mu.Lock()
 	h.closing = true
-	all := h.every()
+	all := h.allLinks()
 	h.mu.Unlock()
 	for _, l := range all {
 		l.fail("closed")
--- a/internal/mesh/transport/link_bench_test.go
+++ b/internal/mesh/transport/link_bench_test.go
@@ -17,7 +17,7 @@
 
 type word struct{ Text string }
 
-func (w *word) Fields(v *codec.Visitor) { v.Text(1, &w.Text) }
+func (w *word) Fields(v *codec.Visitor) { v.String(1, &w.Text) }
 
 func processor() time.Duration {
 	var u syscall.Rusage
@@ -44,13 +44,13 @@
 				b.Fatal(err)
 			}
 			to := l.Addr().String()
-			center := transport.NewHub(transport.Hello{Life: 1, Address: to}, time.Now(), 8<<20, log)
+			center := transport.NewHub(transport.Hello{Incarnation: 1, Address: to}, time.Now(), 8<<20, log)
 			transport.Handle(center, 1, func(_ context.Context, _ *transport.Hello, w *word) *word { return w })
 			go func() { _ = center.Listen(l) }()
 			b.Cleanup(func() { center.Close(); l.Close() })
 			var hubs []*transport.Hub
 			for i := range n {
-				h := transport.NewHub(transport.Hello{Life: uint64(i + 2), Address: fmt.Sprint(i)}, time.Now(), 8<<20, log)
+				h := transport.NewHub(transport.Hello{Incarnation: uint64(i + 2), Address: fmt.Sprint(i)}, time.Now(), 8<<20, log)
 				b.Cleanup(h.Close)
 				hubs = append(hubs, h)
 			}
--- a/internal/mesh/transport/shape.go
+++ b/internal/mesh/transport/shape.go
@@ -10,43 +10,43 @@
 // before small messages. They go in the order in which they came, a few at a time: shared evenly among all, a link that is full
 // would make all of them late.
 const (
-	shapeShare = 0.9
-	shapeTurns = 3
-	pieceTime  = 4 * time.Millisecond // of the link, that one piece takes: small messages wait no longer
-	pieceLeast = 2 << 10
+	linkRateFraction   = 0.9
+	maxActiveTransfers = 3
+	maxChunkTime       = 4 * time.Millisecond // of the link, that one piece takes: small messages wait no longer
+	minChunkBytes      = 2 << 10
 )
 
-// turn is a large message that is on its way out.
-type turn struct {
-	link *Link
-	left int // bytes
+// transfer is a large message that is on its way out.
+type transfer struct {
+	link      *Link
+	remaining int // bytes
 }
 
 // shaper paces what this process sends to all its neighbours.
 type shaper struct {
-	mu    sync.Mutex
-	rate  float64 // bytes a second; 0 for no bound
-	level float64
-	at    time.Duration
-	turns []*turn
-	bytes int // left of all turns
-	piece int // bytes of one piece; 0 for pieceMost
+	mu           sync.Mutex
+	rate         float64 // bytes a second; 0 for no bound
+	tokens       float64
+	refilledAt   time.Duration
+	transfers    []*transfer
+	backlogBytes int // left of all turns
+	chunkBytes   int // bytes of one piece; 0 for maxChunkBytes
 }
 
-// most is how many bytes a piece has.
-func (s *shaper) most() int {
-	if s.piece == 0 {
-		return pieceMost
+// maxCallBytes is how many bytes a piece has.
+func (s *shaper) maxChunk() int {
+	if s.chunkBytes == 0 {
+		return maxChunkBytes
 	}
-	return s.piece
+	return s.chunkBytes
 }
 
 // burst is how much may go out at once.
-func (s *shaper) burst() float64 { return float64(2 * s.most()) }
+func (s *shaper) burst() float64 { return float64(2 * s.maxChunk()) }
 
 func (s *shaper) refill(now time.Duration) {
-	s.level = min(s.level+s.rate*(now-s.at).Seconds(), s.burst())
-	s.at = now
+	s.tokens = min(s.tokens+s.rate*(now-s.refilledAt).Seconds(), s.burst())
+	s.refilledAt = now
 }
 
 // spend counts bytes that went out without asking: small messages never wait.
@@ -55,51 +55,51 @@
 	defer s.mu.Unlock()
 	if s.rate > 0 && n > 0 {
 		s.refill(now)
-		s.level = max(s.level-float64(n), -4*s.burst())
+		s.tokens = max(s.tokens-float64(n), -4*s.burst())
 	}
 }
 
-// begin puts a large message in line.
-func (s *shaper) begin(l *Link, size int) *turn {
+// start puts a large message in line.
+func (s *shaper) start(l *Link, size int) *transfer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := &turn{link: l, left: size}
-	s.turns, s.bytes = append(s.turns, t), s.bytes+size
+	t := &transfer{link: l, remaining: size}
+	s.transfers, s.backlogBytes = append(s.transfers, t), s.backlogBytes+size
 	return t
 }
 
-// take lets the next piece of a message go out now, n bytes, or says how long to wait; a wait of restEvery is for the message's turn, of
+// handleFrame lets the next piece of a message go out now, n bytes, or says how long to wait; a wait of transferRecheckInterval is for the message's turn, of
 // which its link is told.
-func (s *shaper) take(now time.Duration, t *turn) (n int, wait time.Duration) {
+func (s *shaper) reserve(now time.Duration, t *transfer) (n int, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n = min(t.left, s.most())
+	n = min(t.remaining, s.maxChunk())
 	if s.rate > 0 {
-		if i := slices.Index(s.turns, t); i >= shapeTurns {
-			return 0, restEvery
+		if i := slices.Index(s.transfers, t); i >= maxActiveTransfers {
+			return 0, transferRecheckInterval
 		}
 		s.refill(now)
-		if s.level < float64(n) {
-			return 0, max(time.Duration((float64(n)-s.level)/s.rate*float64(time.Second)), time.Millisecond)
+		if s.tokens < float64(n) {
+			return 0, max(time.Duration((float64(n)-s.tokens)/s.rate*float64(time.Second)), time.Millisecond)
 		}
-		s.level -= float64(n)
+		s.tokens -= float64(n)
 	}
-	t.left -= n
-	s.bytes -= n
+	t.remaining -= n
+	s.backlogBytes -= n
 	return n, 0
 }
 
-const restEvery = 250 * time.Millisecond
+const transferRecheckInterval = 250 * time.Millisecond
 
-// end takes a message out of the line: it has gone out, or its link has.
-func (s *shaper) end(t *turn) {
+// finish takes a message out of the line: it has gone out, or its link has.
+func (s *shaper) finish(t *transfer) {
 	s.mu.Lock()
 	var next *Link
-	if i := slices.Index(s.turns, t); i >= 0 {
-		s.turns = slices.Delete(s.turns, i, i+1)
-		s.bytes -= t.left
-		if i < shapeTurns && len(s.turns) >= shapeTurns {
-			next = s.turns[shapeTurns-1].link
+	if i := slices.Index(s.transfers, t); i >= 0 {
+		s.transfers = slices.Delete(s.transfers, i, i+1)
+		s.backlogBytes -= t.remaining
+		if i < maxActiveTransfers && len(s.transfers) >= maxActiveTransfers {
+			next = s.transfers[maxActiveTransfers-1].link
 		}
 	}
 	s.mu.Unlock()
@@ -108,22 +108,22 @@
 	}
 }
 
-// Shape bounds what large messages take of the machine's link, in bits a second; 0 for no bound.
-func (h *Hub) Shape(link float64) {
-	h.shape.mu.Lock()
-	defer h.shape.mu.Unlock()
-	h.shape.rate = shapeShare * link / 8
+// LimitRate bounds what large messages take of the machine's link, in bits a second; 0 for no bound.
+func (h *Hub) LimitRate(link float64) {
+	h.shaper.mu.Lock()
+	defer h.shaper.mu.Unlock()
+	h.shaper.rate = linkRateFraction * link / 8
 	if link > 0 {
-		h.shape.piece = min(max(int(h.shape.rate*pieceTime.Seconds()), pieceLeast), pieceMost)
+		h.shaper.chunkBytes = min(max(int(h.shaper.rate*maxChunkTime.Seconds()), minChunkBytes), maxChunkBytes)
 	}
 }
 
 // Backlog is how long it takes until as many bytes as are in line, and more, have gone out.
 func (h *Hub) Backlog(more float64) time.Duration {
-	h.shape.mu.Lock()
-	defer h.shape.mu.Unlock()
-	if h.shape.rate <= 0 {
+	h.shaper.mu.Lock()
+	defer h.shaper.mu.Unlock()
+	if h.shaper.rate <= 0 {
 		return 0
 	}
-	return time.Duration((float64(h.shape.bytes) + more) / h.shape.rate * float64(time.Second))
+	return time.Duration((float64(h.shaper.backlogBytes) + more) / h.shaper.rate * float64(time.Second))
 }
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -19,37 +19,37 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-type line struct{ Text string }
+type textMessage struct{ Text string }
 
-func (l *line) Fields(v *codec.Visitor) { v.Text(1, &l.Text) }
+func (l *textMessage) Fields(v *codec.Visitor) { v.String(1, &l.Text) }
 
-type logged struct {
-	mu   sync.Mutex
-	text strings.Builder
-	news chan string
+type logCapture struct {
+	mu    sync.Mutex
+	text  strings.Builder
+	lines chan string
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logCapture) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Write(p)
 	select {
-	case l.news <- string(p):
+	case l.lines <- string(p):
 	default:
 	}
 	return len(p), nil
 }
 
-// hub is one that listens on loopback.
-func hub(t *testing.T, name string, most int) (*Hub, string, *logged) {
+// newTestHub is one that listens on loopback.
+func newTestHub(t *testing.T, name string, most int) (*Hub, string, *logCapture) {
 	n, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := &logged{news: make(chan string, 16)}
+	out := &logCapture{lines: make(chan string, 16)}
 	log := logrus.New()
 	log.SetOutput(out)
-	h := NewHub(Hello{Life: 7, Address: n.Addr().String(), Name: name}, time.Now(), most, log)
+	h := NewHub(Hello{Incarnation: 7, Address: n.Addr().String(), Name: name}, time.Now(), most, log)
 	go h.Listen(n)
 	t.Cleanup(func() {
 		h.Close()
@@ -58,23 +58,25 @@
 	return h, n.Addr().String(), out
 }
 
-func TestAsksShareALink(t *testing.T) {
+func TestCallsShareALink(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := hub(t, "far", 8<<20)
-	near, _, _ := hub(t, "near", 8<<20)
+	far, address, _ := newTestHub(t, "far", 8<<20)
+	near, _, _ := newTestHub(t, "near", 8<<20)
 	held := make(chan *IncomingCall, 1)
-	Handle(far, 1, func(_ context.Context, from *Hello, l *line) *line { return &line{from.Name + " " + l.Text} })
-	far.Serve(2, func(c *IncomingCall) { held <- c })
+	Handle(far, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
+		return &textMessage{from.Name + " " + l.Text}
+	})
+	far.HandleRaw(2, func(c *IncomingCall) { held <- c })
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	// A large one is under way, and one that nobody answers yet: others pass.
 	large := strings.Repeat("x", 3<<20)
 	got := make(chan int, 1)
-	near.Send(address, 1, codec.Write(nil, &line{large}), 0, func(body []byte, err error) { got <- len(body) })
+	near.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, err error) { got <- len(body) })
 	waits := make(chan error, 1)
 	a := near.Send(address, 2, nil, 0, func(_ []byte, err error) { waits <- err })
 	for range 50 {
-		r, err := Request[line](ctx, near, address, 1, &line{"small"})
+		r, err := Request[textMessage](ctx, near, address, 1, &textMessage{"small"})
 		c.Assert(err, qt.IsNil)
 		c.Assert(r.Text, qt.Equals, "near small")
 	}
@@ -82,23 +84,23 @@
 	// The asker gives up: the other side hears of it, and its answer still comes.
 	call := <-held
 	quit := make(chan struct{})
-	call.OnWithdrawn(func() { close(quit) })
-	a.Withdraw()
+	call.OnCancel(func() { close(quit) })
+	a.Cancel()
 	<-quit
-	call.AnswerBytes([]byte("withdrawn"))
+	call.ReplyBytes([]byte("withdrawn"))
 	c.Assert(<-waits, qt.IsNil)
 	// A method that the other side does not know is answered by nothing.
-	r, err := Request[line](ctx, near, address, 99, &line{"?"})
+	r, err := Request[textMessage](ctx, near, address, 99, &textMessage{"?"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(r.Text, qt.Equals, "")
 }
 
-func TestWhatWentOutIsToldFromWhatDidNot(t *testing.T) {
+func TestConnectionErrorSaysWhetherTheCallWasSent(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := hub(t, "far", 8<<20)
-	near, _, _ := hub(t, "near", 8<<20)
+	far, address, _ := newTestHub(t, "far", 8<<20)
+	near, _, _ := newTestHub(t, "near", 8<<20)
 	held := make(chan *IncomingCall, 1)
-	far.Serve(2, func(c *IncomingCall) { held <- c })
+	far.HandleRaw(2, func(c *IncomingCall) { held <- c })
 	errs := make(chan error, 2)
 	near.Send(address, 2, nil, 0, func(_ []byte, err error) { errs <- err })
 	<-held
@@ -113,25 +115,25 @@
 }
 
 // What no peer of ours sends ends its link, is logged with who sent it, and harms nobody else.
-func TestBadPeersAreToldApart(t *testing.T) {
+func TestInvalidPeersAreDisconnected(t *testing.T) {
 	frame := func(e envelope) []byte { return appendFrame(nil, &e) }
-	greet := frame(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: version, Name: "bad"})})
+	greet := frame(envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &Hello{Version: protocolVersion, Name: "bad"})})
 	huge := make([]byte, 4)
 	binary.BigEndian.PutUint32(huge, 2<<30-1)
 	for name, bytes := range map[string][]byte{
 		"a frame of 2 GB":        huge,
 		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
 		"a second hello":         append(append([]byte{}, greet...), greet...),
-		"another version's peer": frame(envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: 9})}),
+		"another version's peer": frame(envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &Hello{Version: 9})}),
 		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, body: make([]byte, 2048)})...),
 		"half a frame":           greet[:7],
 		"no protobuf":            {0, 0, 0, 2, 0xff, 0xff},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			far, address, out := hub(t, "far", 1024)
-			near, _, _ := hub(t, "near", 1024)
-			Handle(far, 1, func(_ context.Context, _ *Hello, l *line) *line { return l })
+			far, address, out := newTestHub(t, "far", 1024)
+			near, _, _ := newTestHub(t, "near", 1024)
+			Handle(far, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
 			conn, err := net.Dial("tcp4", address)
 			c.Assert(err, qt.IsNil)
 			defer conn.Close()
@@ -146,7 +148,7 @@
 			c.Assert(errors.As(err, &timeout) && timeout.Timeout(), qt.IsFalse)
 			if name != "half a frame" {
 				select {
-				case text := <-out.news:
+				case text := <-out.lines:
 					c.Assert(text, qt.Contains, "peer=")
 				case <-time.After(20 * time.Second):
 					t.Fatal("nothing was logged")
@@ -154,7 +156,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
-			r, err := Request[line](ctx, near, address, 1, &line{"still there"})
+			r, err := Request[textMessage](ctx, near, address, 1, &textMessage{"still there"})
 			c.Assert(err, qt.IsNil)
 			c.Assert(r.Text, qt.Equals, "still there")
 		})
@@ -164,10 +166,10 @@
 // A slow machine link is kept free for small messages: large ones take no more than their part of it, and go in turn.
 func TestLargeMessagesAreShaped(t *testing.T) {
 	c := qt.New(t)
-	s := shaper{rate: shapeShare * 8e6 / 8}
-	var line []*turn
+	s := shaper{rate: linkRateFraction * 8e6 / 8}
+	var line []*transfer
 	for range 8 {
-		line = append(line, s.begin(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
+		line = append(line, s.start(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
 	}
 	now, small, ends := time.Duration(0), 0, []int{}
 	for len(ends) < len(line) {
@@ -177,15 +179,15 @@
 		}
 		least := time.Hour
 		for i, l := range line {
-			if l.left == 0 {
+			if l.remaining == 0 {
 				continue
 			}
-			_, wait := s.take(now, l)
-			for wait == 0 && l.left > 0 {
-				_, wait = s.take(now, l)
+			_, wait := s.reserve(now, l)
+			for wait == 0 && l.remaining > 0 {
+				_, wait = s.reserve(now, l)
 			}
-			if l.left == 0 {
-				s.end(l)
+			if l.remaining == 0 {
+				s.finish(l)
 				ends = append(ends, i)
 			}
 			least = min(least, max(wait, time.Millisecond))
@@ -195,7 +197,7 @@
 	bytes := 16_000_000 + small*1000
 	c.Assert(ends, qt.HasLen, 8)
 	for i, n := range ends { // those that came first have gone first
-		c.Assert(n-i < shapeTurns && i-n < shapeTurns, qt.IsTrue, qt.Commentf("%v", ends))
+		c.Assert(n-i < maxActiveTransfers && i-n < maxActiveTransfers, qt.IsTrue, qt.Commentf("%v", ends))
 	}
 	rate := float64(bytes) / now.Seconds()
 	c.Assert(rate < 1.01*s.rate && rate > 0.9*s.rate, qt.IsTrue, qt.Commentf("%v of %v", rate, s.rate))
@@ -205,20 +207,20 @@
 // lost connection.
 func TestDrainLosesNoAnswer(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := hub(t, "far", 8<<20)
-	near, _, _ := hub(t, "near", 8<<20)
-	far.Shape(18e6)
+	far, address, _ := newTestHub(t, "far", 8<<20)
+	near, _, _ := newTestHub(t, "near", 8<<20)
+	far.LimitRate(18e6)
 	held := make(chan *IncomingCall, 1)
-	far.Serve(2, func(c *IncomingCall) { held <- c })
+	far.HandleRaw(2, func(c *IncomingCall) { held <- c })
 	type end struct {
 		body []byte
 		err  error
 	}
 	got := make(chan end, 1)
 	near.Send(address, 2, nil, 0, func(body []byte, err error) { got <- end{body, err} })
-	(<-held).AnswerBytes(make([]byte, 300_000))
+	(<-held).ReplyBytes(make([]byte, 300_000))
 	far.Drain(far.Now() + 20*time.Second)
-	dialled, accepted := far.Links()
+	dialled, accepted := far.LinkCounts()
 	c.Assert(dialled+accepted, qt.Equals, 0)
 	x := <-got
 	c.Assert(x.err, qt.IsNil)
@@ -229,21 +231,21 @@
 // know of leaving is let go all the same.
 func TestDrainLosesNoCall(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := hub(t, "far", 8<<20)
-	near, _, _ := hub(t, "near", 8<<20)
+	far, address, _ := newTestHub(t, "far", 8<<20)
+	near, _, _ := newTestHub(t, "near", 8<<20)
 	old, err := net.Dial("tcp4", address)
 	c.Assert(err, qt.IsNil)
 	defer old.Close()
-	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.Write(nil, &Hello{Version: version, Name: "old"})}))
+	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &Hello{Version: protocolVersion, Name: "old"})}))
 	c.Assert(err, qt.IsNil)
 	go func() { // it closes when the other side has
 		_, _ = io.Copy(io.Discard, old)
 		old.Close()
 	}()
-	Handle(far, 1, func(_ context.Context, _ *Hello, l *line) *line { return l })
+	Handle(far, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	_, err = Request[line](ctx, near, address, 1, &line{"up"})
+	_, err = Request[textMessage](ctx, near, address, 1, &textMessage{"up"})
 	c.Assert(err, qt.IsNil)
 	drained := make(chan struct{})
 	go func() {
@@ -252,7 +254,7 @@
 	}()
 	answered := 0
 	for {
-		_, err := Request[line](ctx, near, address, 1, &line{"still"})
+		_, err := Request[textMessage](ctx, near, address, 1, &textMessage{"still"})
 		if err != nil {
 			var lost *ConnectionError
 			c.Assert(errors.As(err, &lost), qt.IsTrue)
@@ -279,20 +281,20 @@
 
 func TestListenOutlivesErrorsOfTheListener(t *testing.T) {
 	c := qt.New(t)
-	from, _, _ := hub(t, "from", 1<<20)
+	from, _, _ := newTestHub(t, "from", 1<<20)
 	n, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	to := NewHub(Hello{Life: 8, Address: n.Addr().String(), Name: "to"}, time.Now(), 1<<20, log)
-	Handle(to, 1, func(_ context.Context, _ *Hello, l *line) *line { return l })
+	to := NewHub(Hello{Incarnation: 8, Address: n.Addr().String(), Name: "to"}, time.Now(), 1<<20, log)
+	Handle(to, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
 	broken := &brokenListener{Listener: n}
 	broken.failures.Store(3)
 	ended := make(chan error, 1)
 	go func() { ended <- to.Listen(broken) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	answer, err := Request[line](ctx, from, n.Addr().String(), 1, &line{"x"})
+	answer, err := Request[textMessage](ctx, from, n.Addr().String(), 1, &textMessage{"x"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(answer.Text, qt.Equals, "x")
 	to.Drain(to.Now() + time.Second)
