--- a/internal/mesh/transport/write.go
+++ b/internal/mesh/transport/write.go
@@ -15,30 +15,30 @@
 
 // line puts a message in line; the lock is held.
 func (l *Link) enqueue(m any, size int) {
-	if size <= pieceMost {
-		l.small.PushBack(m)
+	if size <= maxChunkBytes {
+		l.smallMessages.PushBack(m)
 	} else {
-		*m.(turner).slot() = l.hub.shape.begin(l, size)
-		l.large.PushBack(m)
+		*m.(largeMessage).transferSlot() = l.hub.shaper.start(l, size)
+		l.largeMessages.PushBack(m)
 	}
 }
 
-// turner is a message that may be large.
-type turner interface{ slot() **turn }
+// largeMessage is a message that may be large.
+type largeMessage interface{ transferSlot() **transfer }
 
-func (a *PendingCall) slot() **turn { return &a.turn }
+func (a *PendingCall) transferSlot() **transfer { return &a.transfer }
 
-func (r *reply) slot() **turn { return &r.turn }
+func (r *outgoingReply) transferSlot() **transfer { return &r.transfer }
 
-// clearLarge takes all large messages out of the line.
-func (l *Link) clearLarge() {
-	for l.large.Len() > 0 {
-		l.hub.shape.end(*l.large.PopFront().(turner).slot())
+// dropLargeMessages takes all large messages out of the line.
+func (l *Link) dropLargeMessages() {
+	for l.largeMessages.Len() > 0 {
+		l.hub.shaper.finish(*l.largeMessages.PopFront().(largeMessage).transferSlot())
 	}
 }
 
-// write is the link's one writer.
-func (l *Link) write() {
+// writeLoop is the link's one writer.
+func (l *Link) writeLoop() {
 	var buf []byte
 	var timer <-chan time.Time
 	for {
@@ -49,7 +49,7 @@
 		timer = nil
 		for {
 			var wait time.Duration
-			if buf, wait = l.fill(buf[:0]); buf == nil {
+			if buf, wait = l.nextWrite(buf[:0]); buf == nil {
 				return
 			}
 			if len(buf) == 0 {
@@ -64,79 +64,79 @@
 				return
 			}
 		}
-		if cap(buf) > 8*pieceMost {
+		if cap(buf) > 8*maxChunkBytes {
 			buf = nil
 		}
 	}
 }
 
-// greeted tells whether calls may go out. A process that does not run may have a connection that its kernel accepted: until its
+// mayCall tells whether calls may go out. A process that does not run may have a connection that its kernel accepted: until its
 // hello has come, no call goes there, so none can begin when it wakes, and each surely has not run. The lock is held.
-func (l *Link) greeted() bool { return l.peerGreeted || !l.dialled }
+func (l *Link) mayCall() bool { return l.peerGreeted || !l.dialled }
 
-// fill gathers what is to be written next: what is small first, then pieces of what is large as far as this process's share of
+// nextWrite gathers what is to be written next: what is small first, then pieces of what is large as far as this process's share of
 // the machine's link allows. A wait says when there is more; nil that the link is dead.
-func (l *Link) fill(buf []byte) (_ []byte, wait time.Duration) {
+func (l *Link) nextWrite(buf []byte) (_ []byte, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dead {
+	if l.closed {
 		return nil, 0
 	}
 	if buf == nil {
 		buf = []byte{}
 	}
 	now := l.hub.Now()
-	for l.urgent.Len() > 0 && len(buf) < 4*pieceMost {
-		e := l.urgent.PopFront()
-		e.clock = now
+	for l.controlFrames.Len() > 0 && len(buf) < 4*maxChunkBytes {
+		e := l.controlFrames.PopFront()
+		e.sentAt = now
 		buf = appendFrame(buf, &e)
 		l.hub.sentFrames.Add(1)
 	}
-	if !l.greeted() {
+	if !l.mayCall() {
 		l.writing = len(buf) > 0
 		return buf, 0
 	}
-	for l.small.Len() > 0 && len(buf) < 4*pieceMost {
-		buf = l.piece(buf, now, &l.small, pieceMost)
+	for l.smallMessages.Len() > 0 && len(buf) < 4*maxChunkBytes {
+		buf = l.appendChunk(buf, now, &l.smallMessages, maxChunkBytes)
 	}
-	l.hub.shape.spend(now, len(buf))
-	for n := l.large.Len(); n > 0 && len(buf) < 4*pieceMost; n-- {
-		t := l.large.Front().(turner).slot()
-		size, w := l.hub.shape.take(now, *t)
+	l.hub.shaper.spend(now, len(buf))
+	for n := l.largeMessages.Len(); n > 0 && len(buf) < 4*maxChunkBytes; n-- {
+		t := l.largeMessages.Front().(largeMessage).transferSlot()
+		size, w := l.hub.shaper.reserve(now, *t)
 		if w > 0 {
 			if wait == 0 || w < wait {
 				wait = w
 			}
-			l.large.Rotate(1)
+			l.largeMessages.Rotate(1)
 			continue
 		}
-		last := (*t).left == 0
-		buf = l.piece(buf, now, &l.large, size)
+		last := (*t).remaining == 0
+		buf = l.appendChunk(buf, now, &l.largeMessages, size)
 		if last {
-			defer l.hub.shape.end(*t)
+			defer l.hub.shaper.finish(*t)
 		}
 	}
 	l.writing = len(buf) > 0
 	return buf, wait
 }
 
-// piece writes the next piece, of so many bytes at most, of the message whose turn it is.
-func (l *Link) piece(buf []byte, now time.Duration, from *deque.Deque[any], most int) []byte {
-	e := envelope{clock: now}
+// appendChunk writes the next piece, of so many bytes at most, of the message whose turn it is.
+func (l *Link) appendChunk(buf []byte, now time.Duration, from *deque.Deque[any], most int) []byte {
+	e := envelope{sentAt: now}
 	var off *int
 	x := from.PopFront()
 	switch m := x.(type) {
 	case *PendingCall:
-		if m.quit && !m.sent {
-			if m.turn != nil {
-				m.turn.left = 0
+		if m.cancelled && !m.fullySent {
+			if m.transfer != nil {
+				m.transfer.remaining = 0
 			}
 			return buf
 		}
-		m.sent = len(m.body)-m.off <= most // the other side begins when it has the whole
-		e.kind, e.stream, e.method, e.expires, e.body, off = uint64(callFrame), m.stream, m.method, m.expire, m.body, &m.off
-	case *reply:
-		e.kind, e.stream, e.body, off = uint64(replyFrame), m.stream, m.body, &m.off
+		m.fullySent = len(m.body)-m.sentBytes <= most // the other side begins when it has the whole
+		e.kind, e.stream, e.method, e.expiresAt, e.body, off = uint64(callFrame), m.stream, m.method, m.expiresAt, m.body, &m.sentBytes
+	case *outgoingReply:
+		e.kind, e.stream, e.body, off = uint64(replyFrame), m.stream, m.body, &m.sentBytes
 	}
 	e.body = e.body[*off:]
 	if len(e.body) > most {
