--- a/internal/mesh/assembly/endpoint.go
+++ b/internal/mesh/assembly/endpoint.go
@@ -20,7 +20,7 @@
 	if e.AppAddress != a.settings.ApplicationAddress {
 		return false
 	}
-	life, _ := a.inbound.Life()
+	life, _ := a.inbound.Endpoint()
 	late := e.ID == life.ID && e.Sequence < a.lastSequence && e.State == discovery.Serving
 	if !late && !slices.Contains(a.endedIDs, e.ID) {
 		a.applyEndpoint(e)
@@ -30,10 +30,10 @@
 
 // applyDeregistration takes the end of a life; it tells whether the life is of the endpoint beside this process. The lock is held.
 func (a *sidecar) applyDeregistration(e discovery.Endpoint) bool {
-	life, _ := a.inbound.Life()
+	life, _ := a.inbound.Endpoint()
 	if e.ID == life.ID {
 		a.rememberEnded(e.ID)
-		a.inbound.Tell(life, admission.Gone)
+		a.inbound.UpdateEndpoint(life, admission.Terminated)
 		a.agent.PublishEnd(e.ID, discovery.Deregistered)
 		return true
 	}
@@ -47,7 +47,7 @@
 
 // applyEndpoint takes a life of the endpoint, present or new, as it is now. The lock is held.
 func (a *sidecar) applyEndpoint(e discovery.Endpoint) {
-	if life, _ := a.inbound.Life(); e.ID != life.ID {
+	if life, _ := a.inbound.Endpoint(); e.ID != life.ID {
 		a.rememberEnded(life.ID)
 		a.lastSequence = 0
 	}
@@ -56,7 +56,7 @@
 	if e.State == discovery.Draining {
 		state = admission.Draining
 	}
-	a.inbound.Tell(admission.Life{ID: e.ID, Service: e.Service, Slots: e.Slots}, state)
+	a.inbound.UpdateEndpoint(admission.Endpoint{ID: e.ID, Service: e.Service, Slots: e.Slots}, state)
 	if !a.shuttingDown {
 		e.Zone = a.settings.Zone
 		a.agent.Publish(e)
@@ -78,9 +78,9 @@
 func (a *sidecar) handleEndpointLeaving(e discovery.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	life, state := a.inbound.Life()
+	life, state := a.inbound.Endpoint()
 	switch {
-	case e.State == discovery.Deregistered && (e.ID != life.ID || state != admission.Gone):
+	case e.State == discovery.Deregistered && (e.ID != life.ID || state != admission.Terminated):
 		a.applyDeregistration(e)
 	case e.State != discovery.Draining || slices.Contains(a.endedIDs, e.ID):
 	case life.ID == "" || e.ID == life.ID && state < admission.Draining:
--- a/internal/mesh/assembly/leaving_test.go
+++ b/internal/mesh/assembly/leaving_test.go
@@ -37,7 +37,7 @@
 			Sequence: 5, Revision: 3, LeaseRemaining: 5 * time.Second}
 	}
 	state := func(a *sidecar) admission.State {
-		_, s := a.inbound.Life()
+		_, s := a.inbound.Endpoint()
 		return s
 	}
 	told := func(a *sidecar, e discovery.Endpoint) { a.agent.ApplyRecord(e) }
@@ -66,7 +66,7 @@
 	c.Assert(a.Keepalive(own), qt.IsTrue)
 	c.Check(state(a), qt.Equals, admission.Serving, qt.Commentf("its own word"))
 	told(a, record(discovery.Deregistered))
-	c.Check(state(a), qt.Equals, admission.Gone, qt.Commentf("it has told another process that it leaves"))
+	c.Check(state(a), qt.Equals, admission.Terminated, qt.Commentf("it has told another process that it leaves"))
 }
 
 // A sidecar that is a home of its own endpoint's service remembers a life that has ended at that endpoint's address when the next life
@@ -92,7 +92,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("a keepalive has no answer")
 	}
-	life, state := a.inbound.Life()
+	life, state := a.inbound.Endpoint()
 	c.Check(life.ID, qt.Equals, "third")
 	c.Check(state, qt.Equals, admission.Serving)
 }
@@ -106,12 +106,12 @@
 	for _, state := range []discovery.State{discovery.Draining, discovery.Deregistered} {
 		a.agent.ApplyRecord(discovery.Endpoint{ID: "before", Service: "s", AppAddress: a.settings.ApplicationAddress, SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
 			Sequence: 50, Revision: 3, LeaseRemaining: 5 * time.Second})
-		life, is := a.inbound.Life()
+		life, is := a.inbound.Endpoint()
 		c.Check(life.ID, qt.Equals, "now", qt.Commentf("%v", state))
 		c.Check(is, qt.Equals, admission.Serving, qt.Commentf("%v", state))
 	}
 	own.Sequence = 2
 	c.Assert(a.Keepalive(own), qt.IsTrue)
-	life, _ := a.inbound.Life()
+	life, _ := a.inbound.Endpoint()
 	c.Check(life.ID, qt.Equals, "now")
 }
--- a/internal/mesh/assembly/shutdown.go
+++ b/internal/mesh/assembly/shutdown.go
@@ -42,19 +42,19 @@
 	a.mu.Lock()
 	a.shuttingDown = true
 	a.mu.Unlock()
-	a.outbound.EndBy(plan.answersDue)
-	if life, _ := a.inbound.Life(); life.ID != "" {
+	a.outbound.ShutDownBy(plan.answersDue)
+	if life, _ := a.inbound.Endpoint(); life.ID != "" {
 		a.agent.PublishEnd(life.ID, discovery.Crashed)
 	}
 	a.waitUntil(plan.rejectFrom, func() bool { return false })
-	a.outbound.Refuse()
-	if life, state := a.inbound.Life(); life.ID != "" && state != admission.Gone {
-		a.inbound.Tell(life, admission.Gone)
+	a.outbound.RejectNewRequests()
+	if life, state := a.inbound.Endpoint(); life.ID != "" && state != admission.Terminated {
+		a.inbound.UpdateEndpoint(life, admission.Terminated)
 	}
-	a.waitUntil(plan.answersDue, func() bool { return a.outbound.Open() == 0 && a.inbound.Busy() == 0 })
+	a.waitUntil(plan.answersDue, func() bool { return a.outbound.OpenRequests() == 0 && a.inbound.Pending() == 0 })
 	clients.Close()
 	a.outbound.CloseConnections()
-	a.waitUntil(plan.exitBy, func() bool { return a.outbound.Open() == 0 && a.outbound.Connections() == 0 })
+	a.waitUntil(plan.exitBy, func() bool { return a.outbound.OpenRequests() == 0 && a.outbound.OpenConnections() == 0 })
 	ctx, cancel := context.WithTimeout(context.Background(), plan.exitBy-a.hub.Now())
 	defer cancel()
 	a.shutDownServers(ctx)
--- a/internal/mesh/dataplane/admission/admission.go
+++ b/internal/mesh/dataplane/admission/admission.go
@@ -12,13 +12,13 @@
 
 // Tunables.
 const (
-	workWeight = 0.05                    // of one run in the mean time that runs take
-	workFirst  = 60 * time.Millisecond   // taken for it before the first
-	waitShare  = 0.5                     // of the time until it is worthless that a request may be expected to wait
-	waitLeast  = 20 * time.Millisecond   // and what it always may
-	drainGrace = 1500 * time.Millisecond // after the mark: who has not heard of it yet is still let on
-	queueMost  = 2048
-	lateGrace  = 10 * time.Millisecond // what an answer's way back takes
+	serviceTimeWeight  = 0.05                    // of one run in the mean time that runs take
+	initialServiceTime = 60 * time.Millisecond   // taken for it before the first
+	maxWaitFraction    = 0.5                     // of the time until it is worthless that a request may be expected to wait
+	minWait            = 20 * time.Millisecond   // and what it always may
+	drainGrace         = 1500 * time.Millisecond // after the mark: who has not heard of it yet is still let on
+	maxQueue           = 2048
+	responseMargin     = 10 * time.Millisecond // what an answer's way back takes
 )
 
 // State is what an endpoint is open to.
@@ -28,140 +28,142 @@
 const (
 	Unknown State = iota // nothing has been heard of one
 	Serving
-	Draining // by its own word; what runs may end
-	Gone     // deregistered, or found dead
+	Draining   // by its own word; what runs may end
+	Terminated // deregistered, or found dead
 )
 
-// Life is one start of the endpoint.
-type Life struct {
+// Endpoint is one start of the endpoint.
+type Endpoint struct {
 	ID      string
 	Service string
 	Slots   int
 }
 
-// Arrival is a request that wants to go on.
-type Arrival struct {
-	Token    uint64
-	Endpoint string // the life that was chosen; empty for any
-	Service  string
-	Priority int           // 0 is highest
-	Inner    bool          // part of a request that runs already
-	Aim      time.Duration // an answer later than this is worth little; on this clock
-	Deadline time.Duration // on this clock
+// Request is a request that wants to go on.
+type Request struct {
+	Token          uint64
+	EndpointID     string // the life that was chosen; empty for any
+	Service        string
+	Priority       int           // 0 is highest
+	Nested         bool          // part of a request that runs already
+	TargetDeadline time.Duration // an answer later than this is worth little; on this clock
+	Deadline       time.Duration // on this clock
 }
 
-type waiting struct {
-	Arrival
-	at time.Duration
+type queuedRequest struct {
+	Request
+	queuedAt time.Duration
 }
 
-// worthless is when an answer comes too late to be of use: to an inner request when its deadline has passed, as what waits for it
+// usefulUntil is when an answer comes too late to be of use: to an inner request when its deadline has passed, as what waits for it
 // is lost without it.
-func (w *waiting) worthless() time.Duration {
-	if w.Inner {
+func (w *queuedRequest) usefulUntil() time.Duration {
+	if w.Nested {
 		return w.Deadline
 	}
-	return w.Aim
+	return w.TargetDeadline
 }
 
-// Step is what is to be done with a request: Kind 0 to let it on, else what it ended as.
-type Step struct {
+// Decision is what is to be done with a request: Kind 0 to let it on, else what it ended as.
+type Decision struct {
 	Token uint64
 	Kind  outcome.Kind
 }
 
-// Gate keeps the admission of one endpoint.
-type Gate struct {
-	life    Life
-	state   State
-	marked  time.Duration // when it was told to drain
-	running map[uint64]time.Duration
-	queue   []waiting // in the order of going on
-	work    time.Duration
-	steps   []Step
+// Controller keeps the admission of one endpoint.
+type Controller struct {
+	endpoint      Endpoint
+	state         State
+	drainingSince time.Duration // when it was told to drain
+	running       map[uint64]time.Duration
+	queue         []queuedRequest // in the order of going on
+	serviceTime   time.Duration
+	decisions     []Decision
 }
 
 // New makes a gate that lets nobody on until a life is told.
-func New() *Gate { return &Gate{running: map[uint64]time.Duration{}, work: workFirst} }
+func New() *Controller {
+	return &Controller{running: map[uint64]time.Duration{}, serviceTime: initialServiceTime}
+}
 
 // State is the endpoint's state.
-func (g *Gate) State() State { return g.state }
+func (g *Controller) State() State { return g.state }
 
-// Life is the endpoint's life.
-func (g *Gate) Life() Life { return g.life }
+// Endpoint is the endpoint's life.
+func (g *Controller) Endpoint() Endpoint { return g.endpoint }
 
 // Load is how many run, and how many wait.
-func (g *Gate) Load() (running, waiting int) { return len(g.running), len(g.queue) }
+func (g *Controller) Load() (running, waiting int) { return len(g.running), len(g.queue) }
 
-// Work is the mean time that runs take.
-func (g *Gate) Work() time.Duration { return g.work }
+// ServiceTime is the mean time that runs take.
+func (g *Controller) ServiceTime() time.Duration { return g.serviceTime }
 
-// Tell is the one function that changes what is known of the endpoint. A drain mark is never taken back within a life, and a
+// UpdateEndpoint is the one function that changes what is known of the endpoint. A drain mark is never taken back within a life, and a
 // life that has gone is over.
-func (g *Gate) Tell(now time.Duration, life Life, state State) []Step {
-	g.steps = nil
+func (g *Controller) UpdateEndpoint(now time.Duration, life Endpoint, state State) []Decision {
+	g.decisions = nil
 	switch {
-	case life.ID != g.life.ID:
-		g.refuseAll(outcome.Mistaken)
-		g.life, g.state, g.marked = life, state, now
+	case life.ID != g.endpoint.ID:
+		g.rejectAll(outcome.Misdirected)
+		g.endpoint, g.state, g.drainingSince = life, state, now
 		if state == Draining { // it said so before, to a process that has ended: nobody knows when
-			g.marked = now - drainGrace - 1
+			g.drainingSince = now - drainGrace - 1
 		}
 		g.running = map[uint64]time.Duration{}
 	case state < g.state:
 	default:
 		if state == Draining && g.state != Draining {
-			g.marked = now
+			g.drainingSince = now
 		}
-		g.life, g.state = life, state
+		g.endpoint, g.state = life, state
 	}
-	if g.state == Gone {
-		g.refuseAll(outcome.Mistaken)
+	if g.state == Terminated {
+		g.rejectAll(outcome.Misdirected)
 	}
-	g.pull(now)
-	return g.steps
+	g.admitQueued(now)
+	return g.decisions
 }
 
-func (g *Gate) refuseAll(k outcome.Kind) {
+func (g *Controller) rejectAll(k outcome.Kind) {
 	for _, w := range g.queue {
-		g.steps = append(g.steps, Step{w.Token, k})
+		g.decisions = append(g.decisions, Decision{w.Token, k})
 	}
 	g.queue = nil
 }
 
-// closed is why nothing more goes on; 0 while it does.
-func (g *Gate) closed(now time.Duration) outcome.Kind {
+// closedReason is why nothing more goes on; 0 while it does.
+func (g *Controller) closedReason(now time.Duration) outcome.Kind {
 	switch {
-	case g.state == Unknown || g.state == Gone:
-		return outcome.Mistaken
-	case g.state == Draining && now-g.marked > drainGrace:
-		return outcome.Leaving
+	case g.state == Unknown || g.state == Terminated:
+		return outcome.Misdirected
+	case g.state == Draining && now-g.drainingSince > drainGrace:
+		return outcome.Draining
 	}
 	return 0
 }
 
-// Arrive takes a request in: it goes on, waits, or is turned away.
-func (g *Gate) Arrive(now time.Duration, a Arrival) []Step {
-	g.steps = nil
-	switch k := g.closed(now); {
+// Submit takes a request in: it goes on, waits, or is turned away.
+func (g *Controller) Submit(now time.Duration, a Request) []Decision {
+	g.decisions = nil
+	switch k := g.closedReason(now); {
 	case k != 0:
-		g.steps = append(g.steps, Step{a.Token, k})
-	case a.Endpoint != "" && a.Endpoint != g.life.ID, a.Service != "" && a.Service != g.life.Service:
-		g.steps = append(g.steps, Step{a.Token, outcome.Mistaken})
-	case now+lateGrace >= a.Deadline:
-		g.steps = append(g.steps, Step{a.Token, outcome.Late})
+		g.decisions = append(g.decisions, Decision{a.Token, k})
+	case a.EndpointID != "" && a.EndpointID != g.endpoint.ID, a.Service != "" && a.Service != g.endpoint.Service:
+		g.decisions = append(g.decisions, Decision{a.Token, outcome.Misdirected})
+	case now+responseMargin >= a.Deadline:
+		g.decisions = append(g.decisions, Decision{a.Token, outcome.Expired})
 	default:
-		g.insert(waiting{a, now})
-		g.pull(now)
-		g.trim(now)
+		g.insert(queuedRequest{a, now})
+		g.admitQueued(now)
+		g.shed(now)
 	}
-	return g.steps
+	return g.decisions
 }
 
 // insert puts a request in its place: what runs already waits for inner ones, so they go first; then by priority, then by
 // arrival.
-func (g *Gate) insert(w waiting) {
-	i, _ := slices.BinarySearchFunc(g.queue, w, func(x, y waiting) int {
+func (g *Controller) insert(w queuedRequest) {
+	i, _ := slices.BinarySearchFunc(g.queue, w, func(x, y queuedRequest) int {
 		if before(&y, &x) {
 			return 1
 		}
@@ -170,44 +172,44 @@
 	g.queue = slices.Insert(g.queue, i, w)
 }
 
-func before(x, y *waiting) bool {
-	if x.Inner != y.Inner {
-		return x.Inner
+func before(x, y *queuedRequest) bool {
+	if x.Nested != y.Nested {
+		return x.Nested
 	}
 	return x.Priority < y.Priority
 }
 
-// pull lets on whoever is next while there are slots.
-func (g *Gate) pull(now time.Duration) {
-	for len(g.queue) > 0 && len(g.running) < g.life.Slots {
-		if k := g.closed(now); k != 0 {
-			g.refuseAll(k)
+// admitQueued lets on whoever is next while there are slots.
+func (g *Controller) admitQueued(now time.Duration) {
+	for len(g.queue) > 0 && len(g.running) < g.endpoint.Slots {
+		if k := g.closedReason(now); k != 0 {
+			g.rejectAll(k)
 			return
 		}
 		w := g.queue[0]
 		g.queue = slices.Delete(g.queue, 0, 1)
-		if now+lateGrace >= w.Deadline {
-			g.steps = append(g.steps, Step{w.Token, outcome.Late})
+		if now+responseMargin >= w.Deadline {
+			g.decisions = append(g.decisions, Decision{w.Token, outcome.Expired})
 			continue
 		}
 		g.running[w.Token] = now
-		g.steps = append(g.steps, Step{w.Token, 0})
+		g.decisions = append(g.decisions, Decision{w.Token, 0})
 	}
 }
 
-// trim turns away those that are not expected to go on in time.
-func (g *Gate) trim(now time.Duration) {
-	if g.life.Slots == 0 {
+// shed turns away those that are not expected to go on in time.
+func (g *Controller) shed(now time.Duration) {
+	if g.endpoint.Slots == 0 {
 		return
 	}
-	each := float64(g.work) / float64(g.life.Slots)
+	each := float64(g.serviceTime) / float64(g.endpoint.Slots)
 	for i := 0; i < len(g.queue); {
 		w := &g.queue[i]
 		expected := time.Duration(each * float64(i+1))
-		left := w.worthless() - w.at - g.work
-		may := max(time.Duration(waitShare*float64(left)), waitLeast)
-		if expected > may || i >= queueMost {
-			g.steps = append(g.steps, Step{w.Token, outcome.Full})
+		left := w.usefulUntil() - w.queuedAt - g.serviceTime
+		may := max(time.Duration(maxWaitFraction*float64(left)), minWait)
+		if expected > may || i >= maxQueue {
+			g.decisions = append(g.decisions, Decision{w.Token, outcome.AtCapacity})
 			g.queue = slices.Delete(g.queue, i, i+1)
 			continue
 		}
@@ -216,18 +218,18 @@
 }
 
 // Done tells that a request which had gone on has ended, and took its slot with it; who is next goes on.
-func (g *Gate) Done(now time.Duration, token uint64) []Step {
-	g.steps = nil
+func (g *Controller) Done(now time.Duration, token uint64) []Decision {
+	g.decisions = nil
 	if at, ok := g.running[token]; ok {
 		delete(g.running, token)
-		g.work += time.Duration(workWeight * float64(now-at-g.work))
+		g.serviceTime += time.Duration(serviceTimeWeight * float64(now-at-g.serviceTime))
 	}
-	g.pull(now)
-	return g.steps
+	g.admitQueued(now)
+	return g.decisions
 }
 
-// Withdraw takes a request out that has not gone on; false if it has, or is not there.
-func (g *Gate) Withdraw(now time.Duration, token uint64) bool {
+// Cancel takes a request out that has not gone on; false if it has, or is not there.
+func (g *Controller) Cancel(now time.Duration, token uint64) bool {
 	for i := range g.queue {
 		if g.queue[i].Token == token {
 			g.queue = slices.Delete(g.queue, i, i+1)
@@ -237,20 +239,20 @@
 	return false
 }
 
-// Look lets time pass: those whose time is up are turned away at once, and so are all when the drain mark has come of age.
-func (g *Gate) Look(now time.Duration) []Step {
-	g.steps = nil
-	if k := g.closed(now); k != 0 {
-		g.refuseAll(k)
-		return g.steps
+// Expire lets time pass: those whose time is up are turned away at once, and so are all when the drain mark has come of age.
+func (g *Controller) Expire(now time.Duration) []Decision {
+	g.decisions = nil
+	if k := g.closedReason(now); k != 0 {
+		g.rejectAll(k)
+		return g.decisions
 	}
 	for i := 0; i < len(g.queue); {
-		if w := &g.queue[i]; now+lateGrace+g.work/2 >= w.Deadline {
-			g.steps = append(g.steps, Step{w.Token, outcome.Late})
+		if w := &g.queue[i]; now+responseMargin+g.serviceTime/2 >= w.Deadline {
+			g.decisions = append(g.decisions, Decision{w.Token, outcome.Expired})
 			g.queue = slices.Delete(g.queue, i, i+1)
 			continue
 		}
 		i++
 	}
-	return g.steps
+	return g.decisions
 }
--- a/internal/mesh/dataplane/admission/admission_test.go
+++ b/internal/mesh/dataplane/admission/admission_test.go
@@ -13,7 +13,7 @@
 // nobody goes on beyond the slots, to another life than the chosen one, after the drain mark has come of age or after being
 // withdrawn; and whoever came is let on or turned away once.
 func TestAllOrders(t *testing.T) {
-	one, two := Life{ID: "one", Service: "s", Slots: 1}, Life{ID: "two", Service: "s", Slots: 1}
+	one, two := Endpoint{ID: "one", Service: "s", Slots: 1}, Endpoint{ID: "two", Service: "s", Slots: 1}
 	const depth = 6
 	type end struct{ on, off bool }
 	var play func(path []int)
@@ -23,23 +23,23 @@
 		lives := map[uint64]string{}
 		running := map[uint64]bool{}
 		var drained time.Duration
-		take := func(steps []Step) {
+		take := func(steps []Decision) {
 			for _, s := range steps {
 				e := ends[s.Token]
 				if s.Kind != 0 {
 					if e.on || e.off {
 						t.Fatalf("%v: request %d ends twice", path, s.Token)
 					}
-					if !s.Kind.NotRun() {
+					if !s.Kind.NotExecuted() {
 						t.Fatalf("%v: %s is no promise", path, s.Kind)
 					}
 					e.off = true
 					continue
 				}
-				if e.on || e.off || lives[s.Token] != g.Life().ID {
-					t.Fatalf("%v: request %d for %q goes on to %q after %+v", path, s.Token, lives[s.Token], g.Life().ID, *e)
+				if e.on || e.off || lives[s.Token] != g.Endpoint().ID {
+					t.Fatalf("%v: request %d for %q goes on to %q after %+v", path, s.Token, lives[s.Token], g.Endpoint().ID, *e)
 				}
-				if g.State() == Gone || g.State() == Unknown || drained != 0 && now-drained > drainGrace {
+				if g.State() == Terminated || g.State() == Unknown || drained != 0 && now-drained > drainGrace {
 					t.Fatalf("%v: goes on in state %d, %v after the mark", path, g.State(), now-drained)
 				}
 				e.on, running[s.Token] = true, true
@@ -48,14 +48,14 @@
 				}
 			}
 		}
-		tell := func(l Life, s State) {
-			if l.ID != g.Life().ID {
+		tell := func(l Endpoint, s State) {
+			if l.ID != g.Endpoint().ID {
 				running, drained = map[uint64]bool{}, 0
 			}
 			if s == Draining && g.State() < Draining {
 				drained = now
 			}
-			take(g.Tell(now, l, s))
+			take(g.UpdateEndpoint(now, l, s))
 		}
 		for _, step := range path {
 			switch step {
@@ -64,13 +64,13 @@
 			case 1:
 				tell(one, Draining)
 			case 2:
-				tell(one, Gone)
+				tell(one, Terminated)
 			case 3:
 				tell(two, Serving)
 			case 4, 5:
 				next++
 				ends[next], lives[next] = &end{}, []string{"one", "two"}[step-4]
-				take(g.Arrive(now, Arrival{Token: next, Endpoint: lives[next], Aim: now + time.Second, Deadline: now + 3*time.Second}))
+				take(g.Submit(now, Request{Token: next, EndpointID: lives[next], TargetDeadline: now + time.Second, Deadline: now + 3*time.Second}))
 			case 6:
 				for token := range running {
 					delete(running, token)
@@ -78,19 +78,19 @@
 					break
 				}
 			case 7:
-				if next > 0 && g.Withdraw(now, next) {
+				if next > 0 && g.Cancel(now, next) {
 					ends[next].off = true
 				}
 			case 8:
 				now += drainGrace + time.Millisecond
-				take(g.Look(now))
+				take(g.Expire(now))
 			}
 		}
 		now += time.Minute
 		for token := range running {
 			take(g.Done(now, token))
 		}
-		take(g.Look(now))
+		take(g.Expire(now))
 		for token, e := range ends {
 			if !e.on && !e.off {
 				t.Fatalf("%v: request %d has no end", path, token)
@@ -109,16 +109,16 @@
 	play(nil)
 }
 
-func TestInnerCallsGoFirstThenPriority(t *testing.T) {
+func TestNestedCallsGoFirstThenPriority(t *testing.T) {
 	c := qt.New(t)
 	g := New()
-	g.Tell(0, Life{ID: "e", Slots: 1}, Serving)
-	at := func(token uint64, priority int, inner bool) []Step {
-		return g.Arrive(0, Arrival{Token: token, Priority: priority, Inner: inner, Aim: 5 * time.Second, Deadline: 5 * time.Second})
+	g.UpdateEndpoint(0, Endpoint{ID: "e", Slots: 1}, Serving)
+	at := func(token uint64, priority int, inner bool) []Decision {
+		return g.Submit(0, Request{Token: token, Priority: priority, Nested: inner, TargetDeadline: 5 * time.Second, Deadline: 5 * time.Second})
 	}
-	c.Assert(at(1, 2, false), qt.DeepEquals, []Step{{1, 0}})
-	for _, x := range []Arrival{{Token: 2, Priority: 2}, {Token: 3, Priority: 1}, {Token: 4, Priority: 9, Inner: true}, {Token: 5, Priority: 1}} {
-		c.Assert(at(x.Token, x.Priority, x.Inner), qt.HasLen, 0)
+	c.Assert(at(1, 2, false), qt.DeepEquals, []Decision{{1, 0}})
+	for _, x := range []Request{{Token: 2, Priority: 2}, {Token: 3, Priority: 1}, {Token: 4, Priority: 9, Nested: true}, {Token: 5, Priority: 1}} {
+		c.Assert(at(x.Token, x.Priority, x.Nested), qt.HasLen, 0)
 	}
 	var order []uint64
 	for last := uint64(1); ; {
@@ -132,46 +132,46 @@
 	c.Assert(order, qt.DeepEquals, []uint64{4, 3, 5, 2})
 }
 
-func TestWhoCantGoOnInTimeIsTurnedAwayAtOnce(t *testing.T) {
+func TestRequestsThatCannotBeServedInTimeAreRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	g := New()
-	g.Tell(0, Life{ID: "e", Slots: 2}, Serving)
+	g.UpdateEndpoint(0, Endpoint{ID: "e", Slots: 2}, Serving)
 	full := 0
 	for i := range uint64(100) {
-		for _, s := range g.Arrive(0, Arrival{Token: i, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second}) {
-			if s.Kind == outcome.Full {
+		for _, s := range g.Submit(0, Request{Token: i, TargetDeadline: 300 * time.Millisecond, Deadline: 2 * time.Second}) {
+			if s.Kind == outcome.AtCapacity {
 				full++
 			}
 		}
 	}
 	_, waiting := g.Load()
 	c.Assert(full, qt.Equals, 98-waiting)
-	c.Assert(time.Duration(waiting)*g.Work()/2 < 200*time.Millisecond, qt.IsTrue)
+	c.Assert(time.Duration(waiting)*g.ServiceTime()/2 < 200*time.Millisecond, qt.IsTrue)
 }
 
 // An endpoint that a sidecar first hears of as draining told an earlier process so, nobody knows when: nobody is let on.
-func TestFirstHeardOfAsDraining(t *testing.T) {
+func TestEndpointFirstSeenAsDraining(t *testing.T) {
 	c := qt.New(t)
 	g := New()
-	g.Tell(time.Hour, Life{ID: "one", Service: "s", Slots: 4}, Draining)
-	steps := g.Arrive(time.Hour, Arrival{Token: 1, Endpoint: "one", Service: "s", Aim: 2 * time.Hour, Deadline: 2 * time.Hour})
-	c.Assert(steps, qt.DeepEquals, []Step{{Token: 1, Kind: outcome.Leaving}})
+	g.UpdateEndpoint(time.Hour, Endpoint{ID: "one", Service: "s", Slots: 4}, Draining)
+	steps := g.Submit(time.Hour, Request{Token: 1, EndpointID: "one", Service: "s", TargetDeadline: 2 * time.Hour, Deadline: 2 * time.Hour})
+	c.Assert(steps, qt.DeepEquals, []Decision{{Token: 1, Kind: outcome.Draining}})
 }
 
 // The slots are taken by long runs. A request with a short aim is turned away, as it would be late; a call that a running request waits
 // for is let wait as long as its answer is of use.
-func TestInnerRequestsWaitByTheirDeadline(t *testing.T) {
+func TestNestedRequestsWaitUntilTheirDeadline(t *testing.T) {
 	c := qt.New(t)
 	g := New()
-	g.Tell(0, Life{ID: "one", Service: "s", Slots: 1}, Serving)
+	g.UpdateEndpoint(0, Endpoint{ID: "one", Service: "s", Slots: 1}, Serving)
 	for i := range uint64(200) {
-		g.Arrive(0, Arrival{Token: i, Aim: time.Hour, Deadline: time.Hour})
+		g.Submit(0, Request{Token: i, TargetDeadline: time.Hour, Deadline: time.Hour})
 		g.Done(210*time.Millisecond, i)
 	}
-	g.Arrive(0, Arrival{Token: 1000, Aim: time.Hour, Deadline: time.Hour})
-	short := Arrival{Token: 1001, Priority: 1, Aim: 150 * time.Millisecond, Deadline: time.Second}
-	c.Assert(g.Arrive(0, short), qt.DeepEquals, []Step{{Token: 1001, Kind: outcome.Full}})
-	short.Token, short.Inner = 1002, true
-	c.Assert(g.Arrive(0, short), qt.HasLen, 0)
-	c.Assert(g.Done(100*time.Millisecond, 1000), qt.DeepEquals, []Step{{Token: 1002}})
+	g.Submit(0, Request{Token: 1000, TargetDeadline: time.Hour, Deadline: time.Hour})
+	short := Request{Token: 1001, Priority: 1, TargetDeadline: 150 * time.Millisecond, Deadline: time.Second}
+	c.Assert(g.Submit(0, short), qt.DeepEquals, []Decision{{Token: 1001, Kind: outcome.AtCapacity}})
+	short.Token, short.Nested = 1002, true
+	c.Assert(g.Submit(0, short), qt.HasLen, 0)
+	c.Assert(g.Done(100*time.Millisecond, 1000), qt.DeepEquals, []Decision{{Token: 1002}})
 }
--- a/internal/mesh/dataplane/admission/golden_test.go
+++ b/internal/mesh/dataplane/admission/golden_test.go
@@ -16,9 +16,9 @@
 	const ms = time.Millisecond
 	var text strings.Builder
 	g := New()
-	note := func(now time.Duration, what string, steps []Step) {
+	note := func(now time.Duration, what string, steps []Decision) {
 		running, waiting := g.Load()
-		fmt.Fprintf(&text, "%v %s: state %d, running %d, waiting %d, work %v;", now, what, g.State(), running, waiting, g.Work())
+		fmt.Fprintf(&text, "%v %s: state %d, running %d, waiting %d, work %v;", now, what, g.State(), running, waiting, g.ServiceTime())
 		for _, s := range steps {
 			if s.Kind == 0 {
 				fmt.Fprintf(&text, " %d goes on", s.Token)
@@ -28,47 +28,47 @@
 		}
 		fmt.Fprintln(&text)
 	}
-	one := Life{ID: "one", Service: "s", Slots: 2}
+	one := Endpoint{ID: "one", Service: "s", Slots: 2}
 	token := uint64(0)
 	arrive := func(now time.Duration, priority int, inner bool, aim, deadline time.Duration) {
 		token++
-		steps := g.Arrive(now, Arrival{Token: token, Endpoint: "one", Service: "s", Priority: priority, Inner: inner, Aim: now + aim,
+		steps := g.Submit(now, Request{Token: token, EndpointID: "one", Service: "s", Priority: priority, Nested: inner, TargetDeadline: now + aim,
 			Deadline: now + deadline})
 		note(now, fmt.Sprintf("arrives %d, priority %d, inner %t, aim %v, deadline %v", token, priority, inner, aim, deadline), steps)
 	}
 	arrive(0, 1, false, 500*ms, time.Second)
-	note(0, "serves", g.Tell(0, one, Serving))
+	note(0, "serves", g.UpdateEndpoint(0, one, Serving))
 	for i := range 12 {
 		arrive(time.Duration(i)*ms, i%3, i%5 == 4, 500*ms, time.Second)
 	}
 	arrive(20*ms, 0, false, 15*ms, time.Second)
 	arrive(20*ms, 0, false, time.Second, 9*ms)
-	note(21*ms, "another endpoint", g.Arrive(21*ms, Arrival{Token: 90, Endpoint: "two", Aim: time.Second, Deadline: time.Second}))
-	note(21*ms, "another service", g.Arrive(21*ms, Arrival{Token: 91, Service: "r", Aim: time.Second, Deadline: time.Second}))
-	note(22*ms, fmt.Sprintf("withdraws 4: %t", g.Withdraw(22*ms, 4)), nil)
-	note(22*ms, fmt.Sprintf("withdraws 2: %t", g.Withdraw(22*ms, 2)), nil)
+	note(21*ms, "another endpoint", g.Submit(21*ms, Request{Token: 90, EndpointID: "two", TargetDeadline: time.Second, Deadline: time.Second}))
+	note(21*ms, "another service", g.Submit(21*ms, Request{Token: 91, Service: "r", TargetDeadline: time.Second, Deadline: time.Second}))
+	note(22*ms, fmt.Sprintf("withdraws 4: %t", g.Cancel(22*ms, 4)), nil)
+	note(22*ms, fmt.Sprintf("withdraws 2: %t", g.Cancel(22*ms, 2)), nil)
 	for i, done := range []uint64{2, 3, 6, 11, 77} {
 		now := time.Duration(30+10*i) * ms
 		note(now, fmt.Sprintf("done %d", done), g.Done(now, done))
 	}
-	note(900*ms, "time passes", g.Look(900*ms))
-	note(2*time.Second, "time passes", g.Look(2*time.Second))
-	note(3*time.Second, "drains", g.Tell(3*time.Second, one, Draining))
-	note(3*time.Second, "serves", g.Tell(3*time.Second, one, Serving))
+	note(900*ms, "time passes", g.Expire(900*ms))
+	note(2*time.Second, "time passes", g.Expire(2*time.Second))
+	note(3*time.Second, "drains", g.UpdateEndpoint(3*time.Second, one, Draining))
+	note(3*time.Second, "serves", g.UpdateEndpoint(3*time.Second, one, Serving))
 	arrive(3*time.Second, 0, false, time.Second, 2*time.Second)
 	arrive(4500*ms, 0, false, time.Second, 2*time.Second)
 	arrive(4501*ms, 0, false, time.Second, 2*time.Second)
-	note(4501*ms, "time passes", g.Look(4501*ms))
-	note(5*time.Second, "gone", g.Tell(5*time.Second, one, Gone))
-	note(6*time.Second, "a new life", g.Tell(6*time.Second, Life{ID: "two", Service: "s", Slots: 1}, Serving))
-	note(7*time.Second, "a new life", g.Tell(7*time.Second, Life{ID: "three", Service: "s", Slots: 1}, Draining))
+	note(4501*ms, "time passes", g.Expire(4501*ms))
+	note(5*time.Second, "gone", g.UpdateEndpoint(5*time.Second, one, Terminated))
+	note(6*time.Second, "a new life", g.UpdateEndpoint(6*time.Second, Endpoint{ID: "two", Service: "s", Slots: 1}, Serving))
+	note(7*time.Second, "a new life", g.UpdateEndpoint(7*time.Second, Endpoint{ID: "three", Service: "s", Slots: 1}, Draining))
 	arrive(7*time.Second, 0, false, time.Second, 2*time.Second)
 	golden.Text(t, "decisions.txt", []byte(text.String()))
 }
 
 // The numbers of the states, in the order in which an endpoint goes through them.
 func TestGoldenStates(t *testing.T) {
-	for number, state := range []State{Unknown, Serving, Draining, Gone} {
+	for number, state := range []State{Unknown, Serving, Draining, Terminated} {
 		if int(state) != number {
 			t.Errorf("state %d is number %d", state, number)
 		}
@@ -81,11 +81,11 @@
 // The allocations of a request that goes on at once, of one that waits, and of a look at the queue.
 func TestAllocations(t *testing.T) {
 	g := New()
-	g.Tell(0, Life{ID: "one", Slots: 1}, Serving)
+	g.UpdateEndpoint(0, Endpoint{ID: "one", Slots: 1}, Serving)
 	token := uint64(0)
 	arrive := func() uint64 {
 		token++
-		g.Arrive(0, Arrival{Token: token, Aim: time.Second, Deadline: time.Second})
+		g.Submit(0, Request{Token: token, TargetDeadline: time.Second, Deadline: time.Second})
 		return token
 	}
 	check := func(what string, most float64, f func()) {
@@ -101,6 +101,6 @@
 		g.Done(0, first)
 		first = next
 	})
-	check("withdrawn", 0, func() { g.Withdraw(0, arrive()) })
-	check("look", 0, func() { g.Look(0) })
+	check("withdrawn", 0, func() { g.Cancel(0, arrive()) })
+	check("look", 0, func() { g.Expire(0) })
 }
--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -18,15 +18,15 @@
 )
 
 func goldenRequest() ForwardRequest {
-	return ForwardRequest{Endpoint: "shop-3.7f", Service: "shop", Method: "POST", URI: "/p/item?x=1&y=%20", Host: "shop.example",
+	return ForwardRequest{EndpointID: "shop-3.7f", Service: "shop", Method: "POST", URI: "/p/item?x=1&y=%20", Host: "shop.example",
 		Header: []string{"Accept", "text/plain", "X-Empty", "", "Accept", "*/*"}, Body: []byte{0, 1, 'b', 0xff}, HasBody: true,
-		Attempt: "a-1", Caller: "front", Subscriber: "north", Priority: -2, Inner: true, Repeatable: true,
-		Aim: 450 * time.Millisecond, Left: 1999999999, Route: "read"}
+		AttemptID: "a-1", CallingService: "front", Tenant: "north", Priority: -2, Nested: true, Idempotent: true,
+		TargetRemaining: 450 * time.Millisecond, TimeRemaining: 1999999999, Route: "read"}
 }
 
-func goldenOutcome() Outcome {
-	return Outcome{Kind: outcome.TurnedAway, Status: 503, Header: []string{"Content-Type", "text/plain", "X-Empty", ""},
-		Body: []byte("full\x00\xfe"), Work: 12345678, Slots: 8, Running: 7, Waiting: 3, Back: 250 * time.Millisecond, Arrived: true}
+func goldenOutcome() ForwardResponse {
+	return ForwardResponse{Kind: outcome.Rejected, Status: 503, Header: []string{"Content-Type", "text/plain", "X-Empty", ""},
+		Body: []byte("full\x00\xfe"), ServiceTime: 12345678, Slots: 8, Running: 7, Waiting: 3, RetryAfter: 250 * time.Millisecond, ReachedEndpoint: true}
 }
 
 // Both messages, each of their fields set, written and read back.
@@ -35,12 +35,12 @@
 	golden.Hex(t, "forward_request.hex", codec.MarshalAppend(nil, &request))
 	golden.Hex(t, "outcome.hex", codec.MarshalAppend(nil, &out))
 	golden.Hex(t, "forward_request_zero.hex", codec.MarshalAppend(nil, &ForwardRequest{}))
-	golden.Hex(t, "outcome_zero.hex", codec.MarshalAppend(nil, &Outcome{}))
+	golden.Hex(t, "outcome_zero.hex", codec.MarshalAppend(nil, &ForwardResponse{}))
 
 	var readRequest ForwardRequest
 	qt.Assert(t, codec.Unmarshal(golden.Read(t, "forward_request.hex"), &readRequest), qt.IsNil)
 	qt.Check(t, readRequest, qt.DeepEquals, request)
-	var readOutcome Outcome
+	var readOutcome ForwardResponse
 	qt.Assert(t, codec.Unmarshal(golden.Read(t, "outcome.hex"), &readOutcome), qt.IsNil)
 	qt.Check(t, readOutcome, qt.DeepEquals, out)
 }
@@ -53,7 +53,7 @@
 		[]string{"Attempt-Id", "Target-Endpoint", "Calling-Service", "Subscriber-Id", "Time-Remaining",
 			"Not-Executed", "Endpoint-Seal", "Answering-Endpoint", "Key", "Base-Version"})
 	var hop []string
-	for name, is := range HopHeaders {
+	for name, is := range HopByHopHeaders {
 		qt.Check(t, is, qt.IsTrue)
 		hop = append(hop, name)
 	}
@@ -64,14 +64,14 @@
 // What goes out to an endpoint, byte by byte; net/http reads the same.
 func TestGoldenRequestToTheEndpoint(t *testing.T) {
 	full := goldenRequest()
-	bare := ForwardRequest{Endpoint: "e", Method: "GET", URI: "/", Host: "h", Attempt: "a", HasBody: true}
-	bodiless := ForwardRequest{Method: "GET", URI: "/", Host: "h", Attempt: "a", Header: []string{"odd"}}
+	bare := ForwardRequest{EndpointID: "e", Method: "GET", URI: "/", Host: "h", AttemptID: "a", HasBody: true}
+	bodiless := ForwardRequest{Method: "GET", URI: "/", Host: "h", AttemptID: "a", Header: []string{"odd"}}
 	golden.Hex(t, "endpoint_request.hex", appendRequest(nil, &full, 1234567*time.Microsecond))
 	golden.Hex(t, "endpoint_request_empty_body.hex", appendRequest([]byte("before "), &bare, 0))
 	golden.Hex(t, "endpoint_request_no_body.hex", appendRequest(nil, &bodiless, time.Minute))
 	q, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(appendRequest(nil, &full, time.Second))))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, q.Header.Get(HeaderAttemptID), qt.Equals, full.Attempt)
+	qt.Check(t, q.Header.Get(HeaderAttemptID), qt.Equals, full.AttemptID)
 	qt.Check(t, q.Header["Accept"], qt.DeepEquals, []string{"text/plain", "*/*"})
 	qt.Check(t, q.ContentLength, qt.Equals, int64(4))
 }
@@ -103,24 +103,24 @@
 			if method == "GET" && !strings.HasPrefix(answer, "204") {
 				raw += "ok"
 			}
-			c := &connection{r: bufio.NewReader(strings.NewReader(raw))}
-			request := ForwardRequest{Method: method, Attempt: "a-1"}
+			c := &connection{reader: bufio.NewReader(strings.NewReader(raw))}
+			request := ForwardRequest{Method: method, AttemptID: "a-1"}
 			status, _, _ := strings.Cut(answer, "\r\n")
-			resp, body, kind := readAnswer(c, &request)
+			resp, body, kind := readResponse(c, &request)
 			if kind != 0 {
 				fmt.Fprintf(&text, "%s %s: %s\n", method, status, kind)
 				continue
 			}
-			var o Outcome
-			judge(&o, &request, resp, body)
-			c.keep(resp, time.Second)
+			var o ForwardResponse
+			classify(&o, &request, resp, body)
+			c.updateKeepAlive(resp, time.Second)
 			var header []string
 			for i := 0; i < len(o.Header); i += 2 {
 				header = append(header, o.Header[i]+": "+o.Header[i+1])
 			}
 			slices.Sort(header)
 			fmt.Fprintf(&text, "%s %s: %s, status %d, back %v, body %q, header %q, kept until %v, closes %t\n", method, status, o.Kind, o.Status,
-				o.Back, o.Body, header, c.until, c.broken)
+				o.RetryAfter, o.Body, header, c.idleUntil, c.unusable)
 		}
 	}
 	golden.Text(t, "judgements.txt", []byte(text.String()))
@@ -146,7 +146,7 @@
 			_ = codec.Unmarshal(requestBytes, &p)
 		}},
 		{"reads an outcome", 17, 17, func() {
-			var o Outcome
+			var o ForwardResponse
 			_ = codec.Unmarshal(outBytes, &o)
 		}},
 	} {
--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -50,26 +50,26 @@
 func newProxy(address string) *Proxy {
 	start := time.Now()
 	d := New(address, func() time.Duration { return time.Since(start) }, logrus.New(), nil)
-	d.DialBy(func(address string, _ time.Duration) (net.Conn, error) {
+	d.SetDialer(func(address string, _ time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp4", address, 20*time.Second)
 	})
-	d.Tell(admission.Life{ID: "i-1", Service: "s", Slots: 4}, admission.Serving)
+	d.UpdateEndpoint(admission.Endpoint{ID: "i-1", Service: "s", Slots: 4}, admission.Serving)
 	return d
 }
 
-func perform(d *Proxy, attempt string, left time.Duration) *Outcome {
+func perform(d *Proxy, attempt string, left time.Duration) *ForwardResponse {
 	return performMethod(d, "GET", attempt, left)
 }
 
-func performMethod(d *Proxy, method, attempt string, left time.Duration) *Outcome {
-	got := make(chan *Outcome, 1)
-	p := &ForwardRequest{Endpoint: "i-1", Service: "s", Method: method, URI: "/a?b=c", Host: "h", Attempt: attempt, Caller: "from"}
-	d.Forward(p, d.now()+left, d.now()+left, func(o *Outcome) { got <- o })
+func performMethod(d *Proxy, method, attempt string, left time.Duration) *ForwardResponse {
+	got := make(chan *ForwardResponse, 1)
+	p := &ForwardRequest{EndpointID: "i-1", Service: "s", Method: method, URI: "/a?b=c", Host: "h", AttemptID: attempt, CallingService: "from"}
+	d.Forward(p, d.now()+left, d.now()+left, func(o *ForwardResponse) { got <- o })
 	return <-got
 }
 
 // What an endpoint may send, and what becomes of the request; whoever asks next on the same connection gets its own answer.
-func TestAnswersAreToldApart(t *testing.T) {
+func TestResponsesAreClassified(t *testing.T) {
 	whole := func(id, body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 	}
@@ -86,19 +86,19 @@
 		"after another's":             {whole("other", "theirs") + whole("ID", "body"), false, outcome.Answered},
 		"and a surplus one":           {whole("ID", "body") + whole("ID", "again"), false, outcome.Answered},
 		"its own failure":             {fmt.Sprintf(head, "500 Oops"), false, outcome.Answered},
-		"turned away":                 {"HTTP/1.1 503 Full\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", false, outcome.TurnedAway},
-		"another life":                {"HTTP/1.1 421 Misdirected\r\nAnswering-Endpoint: i-2\r\nContent-Length: 0\r\n\r\n", false, outcome.Mistaken},
-		"a promise that is none":      {fmt.Sprintf(head, "503 Full"), false, outcome.Spoilt},
-		"no seal":                     {strings.Replace(whole("ID", "body"), "Endpoint-Seal", "X", 1), false, outcome.Spoilt},
-		"encoded":                     {strings.Replace(whole("ID", "body"), "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1), false, outcome.Spoilt},
-		"another's alone, then ended": {whole("other", "theirs"), true, outcome.Broken},
-		"cut short":                   {whole("ID", "body")[:len(whole("ID", "body"))-2], true, outcome.Spoilt},
-		"a chunk cut short":           {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbo", true, outcome.Spoilt},
+		"turned away":                 {"HTTP/1.1 503 Full\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", false, outcome.Rejected},
+		"another life":                {"HTTP/1.1 421 Misdirected\r\nAnswering-Endpoint: i-2\r\nContent-Length: 0\r\n\r\n", false, outcome.Misdirected},
+		"a promise that is none":      {fmt.Sprintf(head, "503 Full"), false, outcome.InvalidResponse},
+		"no seal":                     {strings.Replace(whole("ID", "body"), "Endpoint-Seal", "X", 1), false, outcome.InvalidResponse},
+		"encoded":                     {strings.Replace(whole("ID", "body"), "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1), false, outcome.InvalidResponse},
+		"another's alone, then ended": {whole("other", "theirs"), true, outcome.EndpointReset},
+		"cut short":                   {whole("ID", "body")[:len(whole("ID", "body"))-2], true, outcome.InvalidResponse},
+		"a chunk cut short":           {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbo", true, outcome.InvalidResponse},
 		"without length, ended":       {unframed, true, outcome.Answered},
-		"no answer in the protocol":   {"\x00\x01 garbage\r\n\r\n", true, outcome.Spoilt},
-		"no id":                       {strings.Replace(whole("ID", "body"), "Attempt-Id", "X", 1), false, outcome.Spoilt},
-		"nothing, then ended":         {"", true, outcome.Broken},
-		"nothing":                     {"", false, outcome.Silent},
+		"no answer in the protocol":   {"\x00\x01 garbage\r\n\r\n", true, outcome.InvalidResponse},
+		"no id":                       {strings.Replace(whole("ID", "body"), "Attempt-Id", "X", 1), false, outcome.InvalidResponse},
+		"nothing, then ended":         {"", true, outcome.EndpointReset},
+		"nothing":                     {"", false, outcome.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -115,12 +115,12 @@
 			})
 			d := newProxy(address)
 			left := 10 * time.Second
-			if x.kind == outcome.Silent {
+			if x.kind == outcome.TimedOut {
 				left = 100 * time.Millisecond
 			}
 			o := perform(d, "first", left)
 			c.Assert(o.Kind, qt.Equals, x.kind)
-			c.Assert(o.Arrived, qt.IsTrue)
+			c.Assert(o.ReachedEndpoint, qt.IsTrue)
 			if o.Kind == outcome.Answered && o.Status == 200 {
 				c.Assert(string(o.Body), qt.Equals, "body")
 			}
@@ -132,7 +132,7 @@
 }
 
 // An answer that has no length ends with its connection. One that is reset on the way is not whole, however many bytes came.
-func TestAResetIsNoEndOfAnAnswer(t *testing.T) {
+func TestAResetDoesNotCompleteAResponse(t *testing.T) {
 	c := qt.New(t)
 	read := make(chan struct{}, 1)
 	address := endpoint(t, func(conn net.Conn, q *http.Request, n int) {
@@ -142,23 +142,23 @@
 		conn.Close()
 	})
 	d := newProxy(address)
-	dial := d.dialer
-	d.DialBy(func(address string, timeout time.Duration) (net.Conn, error) {
+	dial := d.dial
+	d.SetDialer(func(address string, timeout time.Duration) (net.Conn, error) {
 		conn, err := dial(address, timeout)
-		return &readTeller{conn, read}, err
+		return &readNotifier{conn, read}, err
 	})
 	o := perform(d, "reset", 10*time.Second)
-	c.Assert(o.Kind, qt.Equals, outcome.Spoilt)
-	c.Assert(o.Arrived, qt.IsTrue)
+	c.Assert(o.Kind, qt.Equals, outcome.InvalidResponse)
+	c.Assert(o.ReachedEndpoint, qt.IsTrue)
 }
 
-// readTeller tells when bytes have been read from a connection.
-type readTeller struct {
+// readNotifier tells when bytes have been read from a connection.
+type readNotifier struct {
 	net.Conn
 	read chan struct{}
 }
 
-func (t *readTeller) Read(b []byte) (int, error) {
+func (t *readNotifier) Read(b []byte) (int, error) {
 	n, err := t.Conn.Read(b)
 	if n > 0 {
 		select {
@@ -171,7 +171,7 @@
 
 // An endpoint's word that it turned a request away is taken only where it can't belong to another sending: with no id on a
 // connection that carried something before it may be of any request, and with the request's own id it may be of an earlier sending.
-func TestARefusalOfAnEarlierSendingIsNotTaken(t *testing.T) {
+func TestARejectionOfAnEarlierAttemptIsNotAccepted(t *testing.T) {
 	turnedAway := "HTTP/1.1 503 Full\r\n%sNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	answer := "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
 	t.Run("the same id", func(t *testing.T) {
@@ -185,7 +185,7 @@
 			}
 			fmt.Fprintf(conn, answer, id)
 		}))
-		c.Assert(perform(d, "x", 10*time.Second).Kind, qt.Equals, outcome.TurnedAway)
+		c.Assert(perform(d, "x", 10*time.Second).Kind, qt.Equals, outcome.Rejected)
 		c.Assert(perform(d, "x", 10*time.Second).Kind, qt.Equals, outcome.Answered)
 	})
 	t.Run("no id", func(t *testing.T) {
@@ -198,17 +198,17 @@
 			fmt.Fprintf(conn, answer, q.Header.Get("Attempt-Id"))
 		}))
 		c.Assert(perform(d, "a", 10*time.Second).Kind, qt.Equals, outcome.Answered)
-		c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.Spoilt)
+		c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.InvalidResponse)
 	})
 	t.Run("no id, the first on its connection", func(t *testing.T) {
 		c := qt.New(t)
 		d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) { fmt.Fprintf(conn, turnedAway, "") }))
-		c.Assert(perform(d, "a", 10*time.Second).Kind, qt.Equals, outcome.TurnedAway)
+		c.Assert(perform(d, "a", 10*time.Second).Kind, qt.Equals, outcome.Rejected)
 	})
 }
 
 // The answer to HEAD has the length of a body that does not come.
-func TestAnswerToHead(t *testing.T) {
+func TestResponseToHead(t *testing.T) {
 	c := qt.New(t)
 	d := newProxy(endpoint(t, func(conn net.Conn, q *http.Request, n int) {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 400\r\n\r\n", q.Header.Get("Attempt-Id"))
@@ -223,7 +223,7 @@
 
 // A connection that takes nothing of a request has not run it: the request goes on to another one, and if there is none either it
 // has surely not run.
-func TestARequestThatDidNotGoOutHasNotRun(t *testing.T) {
+func TestARequestThatWasNotSentWasNotExecuted(t *testing.T) {
 	c := qt.New(t)
 	address := endpoint(t, func(conn net.Conn, q *http.Request, n int) {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 0\r\n\r\n", q.Header.Get("Attempt-Id"))
@@ -231,7 +231,7 @@
 	d := newProxy(address)
 	deaf := false
 	var conns []*refusingConn
-	d.DialBy(func(address string, _ time.Duration) (net.Conn, error) {
+	d.SetDialer(func(address string, _ time.Duration) (net.Conn, error) {
 		conn, err := net.DialTimeout("tcp4", address, 20*time.Second)
 		conns = append(conns, &refusingConn{Conn: conn, deaf: deaf})
 		return conns[len(conns)-1], err
@@ -242,8 +242,8 @@
 	c.Assert(conns, qt.HasLen, 2)
 	conns[1].deaf, deaf = true, true
 	o := perform(d, "c", 10*time.Second)
-	c.Assert(o.Kind, qt.Equals, outcome.Full)
-	c.Assert(o.Arrived, qt.IsFalse)
+	c.Assert(o.Kind, qt.Equals, outcome.AtCapacity)
+	c.Assert(o.ReachedEndpoint, qt.IsFalse)
 }
 
 // refusingConn takes nothing once it is deaf.
@@ -259,25 +259,25 @@
 	return r.Conn.Write(b)
 }
 
-func TestNobodyThereIsNotRun(t *testing.T) {
+func TestConnectionRefusedMeansNotExecuted(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	l.Close()
 	dead := make(chan string, 1)
 	d := newProxy(l.Addr().String())
-	d.dead = func(life string) { dead <- life }
+	d.onEndpointDown = func(life string) { dead <- life }
 	for range 2 {
 		o := perform(d, "a", 10*time.Second)
 		c.Assert(o.Kind, qt.Equals, outcome.Unreachable)
-		c.Assert(o.Arrived, qt.IsFalse)
+		c.Assert(o.ReachedEndpoint, qt.IsFalse)
 	}
 	c.Assert(<-dead, qt.Equals, "i-1")
-	c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.Mistaken)
+	c.Assert(perform(d, "b", 10*time.Second).Kind, qt.Equals, outcome.Misdirected)
 }
 
 // Slots are held: what waits and is given up never reaches the endpoint, what runs is cut off.
-func TestWithdrawn(t *testing.T) {
+func TestCancelled(t *testing.T) {
 	c := qt.New(t)
 	came := make(chan string, 8)
 	hold := make(chan struct{})
@@ -286,19 +286,19 @@
 		<-hold
 	}))
 	defer close(hold)
-	got := make(chan *Outcome, 8)
+	got := make(chan *ForwardResponse, 8)
 	var withdraw []func()
 	for i := range 5 {
-		p := &ForwardRequest{Endpoint: "i-1", Service: "s", Method: "GET", URI: "/", Host: "h", Attempt: fmt.Sprint(i)}
-		withdraw = append(withdraw, d.Forward(p, d.now()+20*time.Second, d.now()+20*time.Second, func(o *Outcome) { got <- o }))
+		p := &ForwardRequest{EndpointID: "i-1", Service: "s", Method: "GET", URI: "/", Host: "h", AttemptID: fmt.Sprint(i)}
+		withdraw = append(withdraw, d.Forward(p, d.now()+20*time.Second, d.now()+20*time.Second, func(o *ForwardResponse) { got <- o }))
 		if i < 4 {
 			<-came
 		}
 	}
 	withdraw[4]()
-	c.Assert((<-got).Kind, qt.Equals, outcome.Withdrawn)
+	c.Assert((<-got).Kind, qt.Equals, outcome.Cancelled)
 	withdraw[0]()
-	c.Assert((<-got).Kind, qt.Equals, outcome.Silent)
+	c.Assert((<-got).Kind, qt.Equals, outcome.TimedOut)
 	c.Assert(came, qt.HasLen, 0)
-	c.Assert(d.Busy(), qt.Equals, 3)
+	c.Assert(d.Pending(), qt.Equals, 3)
 }
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -53,7 +53,7 @@
 	s.hub = transport.NewHub(transport.Hello{Incarnation: life, Address: name + ":7", Name: name}, time.Now(), 64<<20, log)
 	s.hub.SetDialer(func(address string) (net.Conn, error) { return n.dial(name, address) })
 	s.inbound = inbound.New(name+":9", s.hub.Now, log, nil)
-	s.inbound.DialBy(func(address string, _ time.Duration) (net.Conn, error) {
+	s.inbound.SetDialer(func(address string, _ time.Duration) (net.Conn, error) {
 		near, far := net.Pipe()
 		host, _, _ := net.SplitHostPort(address)
 		n.mu.Lock()
@@ -65,8 +65,8 @@
 		l.come <- far
 		return near, nil
 	})
-	s.inbound.Serve(s.hub)
-	s.outbound = outbound.New(outbound.Options{Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: life, Bodies: 64 << 20,
+	s.inbound.Register(s.hub)
+	s.outbound = outbound.New(outbound.Options{Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: life, MaxBodyBytes: 64 << 20,
 		Bounds: settings.Bounds{RetryBudgetRatio: 10, RetryBudgetSlack: 1e6, RetryBudgetWindow: 10 * time.Second}})
 	conf, err := configuration.Parse([]byte(answersConfig))
 	if err != nil {
@@ -350,11 +350,11 @@
 		e, l := startEndpoint(p.n, name+":9", "i-"+name, true)
 		s.closers = append(s.closers, l)
 		endpoints = append(endpoints, e)
-		s.inbound.Tell(admission.Life{ID: e.id, Service: "s", Slots: 3}, admission.Serving)
+		s.inbound.UpdateEndpoint(admission.Endpoint{ID: e.id, Service: "s", Slots: 3}, admission.Serving)
 		known = append(known, discovery.Endpoint{ID: e.id, Service: "s", SidecarAddress: name + ":7", Zone: "z", State: discovery.Serving, Slots: 3})
 	}
 	for _, s := range sidecars {
-		s.outbound.Told("s", known)
+		s.outbound.UpdateEndpoints("s", known)
 	}
 	var clients sync.WaitGroup
 	for i := range 10 {
@@ -441,8 +441,8 @@
 	e, l := startEndpoint(p.n, "b:9", "i-b", false)
 	p.endpoint = e
 	p.b.closers = append(p.b.closers, l)
-	p.b.inbound.Tell(admission.Life{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
-	p.a.outbound.Told("s", []discovery.Endpoint{{ID: "i-b", Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 3}})
+	p.b.inbound.UpdateEndpoint(admission.Endpoint{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
+	p.a.outbound.UpdateEndpoints("s", []discovery.Endpoint{{ID: "i-b", Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 3}})
 	return p
 }
 
@@ -552,7 +552,7 @@
 		go func() { before <- p.ask(t, "POST", "taken before", 2*time.Second) }()
 		synctest.Wait()
 		end := p.a.hub.Now() + 1200*time.Millisecond
-		p.a.outbound.EndBy(end)
+		p.a.outbound.ShutDownBy(end)
 		held := make(chan int, 1)
 		go func() { held <- p.ask(t, "POST", "held", 2*time.Second) }()
 		time.Sleep(300 * time.Millisecond)
@@ -573,9 +573,9 @@
 func TestEachEndOfAnAttemptByKindOfRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		for kind := outcome.Answered; kind <= outcome.Broken; kind++ {
+		for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 			for _, route := range []string{"idempotent", "downlink", "non_idempotent"} {
-				if !kind.Entry().Attempt {
+				if !kind.Entry().EndsAttempt {
 					continue
 				}
 				status := 200
@@ -587,7 +587,7 @@
 				switch next := kind.Next(status, route != "non_idempotent"); next {
 				case outcome.Deliver:
 					c.Check([]int{sent, got}, qt.DeepEquals, []int{1, 500}, name)
-				case outcome.SendAgain, outcome.Repeat:
+				case outcome.Retry, outcome.RetryIdempotent:
 					c.Check([]int{sent, got}, qt.DeepEquals, []int{2, 200}, name)
 				default:
 					c.Check([]int{sent, got}, qt.DeepEquals, []int{1, kind.Entry().Status}, name)
@@ -600,9 +600,9 @@
 // An endpoint's own failure is the answer to a request of which no later attempt is served: it is not hidden behind one of ours.
 func TestAnEndpointsFailureIsNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, later := range []outcome.Kind{outcome.Full, outcome.Lost, outcome.Silent, outcome.Spoilt} {
-			_, got := endAs(t, "idempotent", &inbound.Outcome{Kind: outcome.Answered, Status: 500, Arrived: true},
-				&inbound.Outcome{Kind: later, Arrived: !later.NotRun()})
+		for _, later := range []outcome.Kind{outcome.AtCapacity, outcome.ConnectionLost, outcome.TimedOut, outcome.InvalidResponse} {
+			_, got := endAs(t, "idempotent", &inbound.ForwardResponse{Kind: outcome.Answered, Status: 500, ReachedEndpoint: true},
+				&inbound.ForwardResponse{Kind: later, ReachedEndpoint: !later.NotExecuted()})
 			qt.Check(t, got, qt.Equals, 500, qt.Commentf("%s", later))
 		}
 	})
@@ -611,12 +611,12 @@
 // endOnce has the first attempt of a request end as given, and others be served; it returns how many there were, and the status that
 // the client got.
 func endOnce(t *testing.T, kind outcome.Kind, status int, route string) (sent, got int) {
-	return endAs(t, route, &inbound.Outcome{Kind: kind, Status: status, Arrived: !kind.NotRun()},
-		&inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true})
+	return endAs(t, route, &inbound.ForwardResponse{Kind: kind, Status: status, ReachedEndpoint: !kind.NotExecuted()},
+		&inbound.ForwardResponse{Kind: outcome.Answered, Status: 200, ReachedEndpoint: true})
 }
 
 // endAs has the first attempt of a request end in one way, and others in another.
-func endAs(t *testing.T, route string, first, others *inbound.Outcome) (sent, got int) {
+func endAs(t *testing.T, route string, first, others *inbound.ForwardResponse) (sent, got int) {
 	n := newNetwork(1, false)
 	a := startSidecar(t, n, "a", 1)
 	far, stopFar := startFar(n)
@@ -636,7 +636,7 @@
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		known = append(known, discovery.Endpoint{ID: id, Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 3})
 	}
-	a.outbound.Told("s", known)
+	a.outbound.UpdateEndpoints("s", known)
 	p := &pair{n: n}
 	conn := p.connect()
 	defer conn.Close()
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -13,44 +13,44 @@
 // superseded: it goes on until one of them is answered, as its endpoint may be at work.
 type attempt struct {
 	request    *request
-	to         balancer.EndpointID
+	endpoint   balancer.EndpointID
 	number     int
-	at         time.Duration
+	sentAt     time.Duration
 	superseded bool
-	quit       bool // withdrawn at its endpoint
-	withdraw   func()
+	cancelled  bool // withdrawn at its endpoint
+	cancel     func()
 }
 
 // outstanding tells whether any attempt of a request has not ended.
-func (r *request) outstanding() bool { return r.out != nil || len(r.superseded) > 0 }
+func (r *request) outstanding() bool { return r.active != nil || len(r.superseded) > 0 }
 
-// withdrawAll withdraws what is out of a request. The lock is held.
-func (c *serviceBalancer) withdrawAll(r *request) {
+// cancelAttempts withdraws what is out of a request. The lock is held.
+func (c *serviceBalancer) cancelAttempts(r *request) {
 	for _, a := range r.superseded {
-		c.withdraw(a)
+		c.cancelAttempt(a)
 	}
-	if r.out != nil {
-		c.withdraw(r.out)
+	if r.active != nil {
+		c.cancelAttempt(r.active)
 	}
 }
 
-// withdraw withdraws an attempt at its endpoint; its end says how far it had come. The lock is held.
-func (c *serviceBalancer) withdraw(a *attempt) {
-	if a.quit || a.withdraw == nil {
+// cancelAttempt withdraws an attempt at its endpoint; its end says how far it had come. The lock is held.
+func (c *serviceBalancer) cancelAttempt(a *attempt) {
+	if a.cancelled || a.cancel == nil {
 		return
 	}
-	a.quit = true
-	c.proxy.later(func(time.Duration) { a.withdraw() })
+	a.cancelled = true
+	c.proxy.deferLocked(func(time.Duration) { a.cancel() })
 }
 
 // Cancel gives an attempt up, of a request that the module wants to send elsewhere or that has no client any more (balancer.Host).
 func (c *serviceBalancer) Cancel(id balancer.RequestID, number int) {
 	r := c.requests[id]
-	if r == nil || r.out == nil || r.out.number != number {
+	if r == nil || r.active == nil || r.active.number != number {
 		return
 	}
-	if r.lapsed || r.done {
-		c.withdraw(r.out)
+	if r.expired || r.answered {
+		c.cancelAttempt(r.active)
 		return
 	}
 	c.supersede(r)
@@ -60,94 +60,94 @@
 // its endpoint may be at work, and the other may never be served. Where the route or the budget of repeats allows no other, nothing
 // changes, and the module hears how the attempt ends.
 func (c *serviceBalancer) supersede(r *request) {
-	if r.attempts >= triesMost || !c.mayArriveAgain(c.proxy.Now(), r, 1) {
+	if r.sentAttempts >= maxAttempts || !c.mayRetry(c.proxy.Now(), r, 1) {
 		return
 	}
-	a := r.out
-	a.superseded, r.out = true, nil
+	a := r.active
+	a.superseded, r.active = true, nil
 	r.superseded = append(r.superseded, a)
-	c.proxy.later(func(now time.Duration) {
-		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Elapsed: now - a.at, Status: balancer.Cancelled})
+	c.proxy.deferLocked(func(now time.Duration) {
+		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Elapsed: now - a.sentAt, Status: balancer.Cancelled})
 	})
 }
 
-// ended takes the end of an attempt.
-func (c *serviceBalancer) ended(now time.Duration, a *attempt, o *inbound.Outcome) {
+// shouldClose takes the end of an attempt.
+func (c *serviceBalancer) attemptEnded(now time.Duration, a *attempt, o *inbound.ForwardResponse) {
 	r := a.request
-	if r.out == a {
-		r.out = nil
+	if r.active == a {
+		r.active = nil
 	}
 	r.superseded = slices.DeleteFunc(r.superseded, func(x *attempt) bool { return x == a })
-	r.note(o)
+	r.record(o)
 	next := o.Kind.Next(o.Status, r.route.Kind.IsIdempotent())
-	final := r.done || next == outcome.Deliver
+	final := r.answered || next == outcome.Deliver
 	if next == outcome.Deliver {
-		c.proxy.answer(r, result{kind: outcome.Answered, outcome: o})
+		c.proxy.answer(r, result{kind: outcome.Answered, response: o})
 	}
-	if r.lapsed && !r.done && !r.outstanding() {
-		c.proxy.close(r)
+	if r.expired && !r.answered && !r.outstanding() {
+		c.proxy.finishExpired(r)
 	}
 	switch {
 	case a.superseded:
-		c.endedSuperseded(now, r)
+		c.supersededEnded(now, r)
 	default:
-		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.to, Attempt: a.number, Final: final,
-			Elapsed: now - a.at, Status: status(o, a.quit), Last: c.isLast(now, r, o, next, final)})
+		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Final: final,
+			Elapsed: now - a.sentAt, Status: balancerStatus(o, a.cancelled), Last: c.isFinalAttempt(now, r, o, next, final)})
 	}
-	if r.done {
-		c.withdrawAll(r)
+	if r.answered {
+		c.cancelAttempts(r)
 	}
 	c.forget(r)
 }
 
-// isLast tells whether no further attempt may follow one that ended so.
-func (c *serviceBalancer) isLast(now time.Duration, r *request, o *inbound.Outcome, next outcome.Next, final bool) bool {
+// isFinalAttempt tells whether no further attempt may follow one that ended so.
+func (c *serviceBalancer) isFinalAttempt(now time.Duration, r *request, o *inbound.ForwardResponse, next outcome.Next, final bool) bool {
 	switch {
-	case r.lapsed || next == outcome.Stop || r.mayRun && !r.route.Kind.IsIdempotent():
+	case r.expired || next == outcome.Stop || r.mayHaveExecuted && !r.route.Kind.IsIdempotent():
 		return true
 	case final:
 		return false
 	}
-	return r.attempts >= triesMost || o.Arrived && !c.mayArriveAgain(now, r, 0)
+	return r.sentAttempts >= maxAttempts || o.ReachedEndpoint && !c.mayRetry(now, r, 0)
 }
 
-// endedSuperseded goes on after a superseded attempt has ended. With its answer the module need not go on; without one the request
+// supersededEnded goes on after a superseded attempt has ended. With its answer the module need not go on; without one the request
 // waits for the others, or has the module's word, which came before.
-func (c *serviceBalancer) endedSuperseded(now time.Duration, r *request) {
+func (c *serviceBalancer) supersededEnded(now time.Duration, r *request) {
 	switch {
-	case r.done:
+	case r.answered:
 		c.balancer.Lapsed(now, r.id)
-	case r.finished && !r.outstanding():
-		c.finish(r)
+	case r.concluded && !r.outstanding():
+		c.answerConcluded(r)
 	}
 }
 
-// note remembers what an attempt's end says of its request.
-func (r *request) note(o *inbound.Outcome) {
-	if !o.Kind.NotRun() {
-		r.mayRun = true
+// record remembers what an attempt's end says of its request.
+func (r *request) record(o *inbound.ForwardResponse) {
+	if !o.Kind.NotExecuted() {
+		r.mayHaveExecuted = true
 	}
-	if o.Arrived {
-		r.arrivals++
+	if o.ReachedEndpoint {
+		r.reachedAttempts++
 	}
-	if o.Kind != outcome.Withdrawn {
-		r.last = o
+	if o.Kind != outcome.Cancelled {
+		r.lastResponse = o
 	}
 	if o.Kind == outcome.Answered {
-		r.failure = o
+		r.endpointFailure = o
 	}
 }
 
-// mayArriveAgain tells whether a request that has reached an endpoint may be sent to one more: by its route, and by the fleet's budget
+// mayRetry tells whether a request that has reached an endpoint may be sent to one more: by its route, and by the fleet's budget
 // of repeats, out of which it takes one. An attempt that is out counts as one that arrives: more is how many there are beside
 // those that are superseded.
-func (c *serviceBalancer) mayArriveAgain(now time.Duration, r *request, more int) bool {
-	bounds := &c.proxy.o.Bounds
-	return r.arrivals+len(r.superseded)+more < max(r.route.MaxAttempts, 1) &&
-		c.repeats.Acquire(now, bounds.RetryBudgetRatio, bounds.RetryBudgetSlack, c.proxy.sidecars)
+func (c *serviceBalancer) mayRetry(now time.Duration, r *request, more int) bool {
+	bounds := &c.proxy.options.Bounds
+	return r.reachedAttempts+len(r.superseded)+more < max(r.route.MaxAttempts, 1) &&
+		c.retryBudget.Acquire(now, bounds.RetryBudgetRatio, bounds.RetryBudgetSlack, c.proxy.sidecarCount)
 }
 
-// Refuse is the module's final answer: nobody serves it (balancer.Host).
+// RejectNewRequests is the module's final answer: nobody serves it (balancer.Host).
 func (c *serviceBalancer) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	c.conclude(id, retryAfter)
 }
@@ -158,30 +158,30 @@
 // conclude takes the module's final answer. While a superseded attempt is out, its endpoint may still answer.
 func (c *serviceBalancer) conclude(id balancer.RequestID, back time.Duration) {
 	r := c.requests[id]
-	if r == nil || r.done {
+	if r == nil || r.answered {
 		return
 	}
-	r.finished, r.back = true, back
+	r.concluded, r.retryAfter = true, back
 	if len(r.superseded) == 0 {
-		c.finish(r)
+		c.answerConcluded(r)
 	}
 }
 
-// finish answers by what is known of the request's attempts: the module's word alone is no promise.
-func (c *serviceBalancer) finish(r *request) {
-	res := result{kind: outcome.Overloaded, back: r.back}
+// answerConcluded answers by what is known of the request's attempts: the module's word alone is no promise.
+func (c *serviceBalancer) answerConcluded(r *request) {
+	res := result{kind: outcome.Overloaded, retryAfter: r.retryAfter}
 	switch {
-	case r.failure != nil:
-		res = result{kind: outcome.Answered, outcome: r.failure}
-	case r.mayRun && r.last != nil && !r.last.Kind.NotRun():
-		res.kind = r.last.Kind
-	case r.mayRun || r.out != nil:
-		res.kind = outcome.Silent
-	case r.last != nil:
-		res.kind = r.last.Kind
-	}
-	if res.kind.NotRun() {
-		res.back = max(res.back, res.kind.Back())
+	case r.endpointFailure != nil:
+		res = result{kind: outcome.Answered, response: r.endpointFailure}
+	case r.mayHaveExecuted && r.lastResponse != nil && !r.lastResponse.Kind.NotExecuted():
+		res.kind = r.lastResponse.Kind
+	case r.mayHaveExecuted || r.active != nil:
+		res.kind = outcome.TimedOut
+	case r.lastResponse != nil:
+		res.kind = r.lastResponse.Kind
+	}
+	if res.kind.NotExecuted() {
+		res.retryAfter = max(res.retryAfter, res.kind.RetryAfter())
 	}
 	c.proxy.answer(r, res)
 	c.forget(r)
@@ -189,7 +189,7 @@
 
 // forget drops a request that is answered and of which nothing is out. The lock is held.
 func (c *serviceBalancer) forget(r *request) {
-	if r.done && !r.outstanding() {
+	if r.answered && !r.outstanding() {
 		delete(c.requests, r.id)
 	}
 }
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -16,18 +16,18 @@
 
 // Settings of the decision module that are the mesh's, not the operator's.
 const (
-	quantum     = 5 * time.Millisecond
-	cold        = 3 * time.Second // until a new endpoint is warm; the rest comes with its beats
-	coldFrom    = 0.4
-	tipMultiple = 2.5
-	window      = time.Second
-	backMost    = time.Second
-	connectTime = 250 * time.Millisecond
-	classesMost = 256
-	innerTimes  = 4 // how much more calls of endpoints are worth than clients' requests of the highest rank
-	triesMost   = 8 // of one request, those that surely did not run among them
-	statusLeast = 200
-	statusMost  = 999 // of an answer that can be written
+	decisionInterval  = 5 * time.Millisecond
+	slowStartWindow   = 3 * time.Second // until a new endpoint is warm; the rest comes with its beats
+	slowStartMinShare = 0.4
+	overloadMultiple  = 2.5
+	overloadDuration  = time.Second
+	maxRetryAfter     = time.Second
+	connectTimeout    = 250 * time.Millisecond
+	maxClasses        = 256
+	nestedCallValue   = 4 // how much more calls of endpoints are worth than clients' requests of the highest rank
+	maxAttempts       = 8 // of one request, those that surely did not run among them
+	minStatus         = 200
+	maxStatus         = 999 // of an answer that can be written
 )
 
 // knownEndpoint is one endpoint as the decision module knows it, by a number.
@@ -44,25 +44,25 @@
 
 // serviceBalancer is one service's endpoints with the decision module that picks among them. It is the module's host.
 type serviceBalancer struct {
-	proxy     *Proxy
-	service   string
-	balancer  *balancer.Balancer
-	endpoints map[balancer.EndpointID]*knownEndpoint
-	byID      map[string]*knownEndpoint
-	last      balancer.EndpointID
-	classes   map[classKey]int
-	requests  map[balancer.RequestID]*request
-	repeats   *ratelimit.RetryBudget
-	version   uint64
+	proxy        *Proxy
+	service      string
+	balancer     *balancer.Balancer
+	endpoints    map[balancer.EndpointID]*knownEndpoint
+	byID         map[string]*knownEndpoint
+	lastEndpoint balancer.EndpointID
+	classes      map[classKey]int
+	requests     map[balancer.RequestID]*request
+	retryBudget  *ratelimit.RetryBudget
+	listVersion  uint64
 }
 
 func newServiceBalancer(d *Proxy, service string, seed uint64) (*serviceBalancer, error) {
 	c := &serviceBalancer{proxy: d, service: service, endpoints: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
 		classes: map[classKey]int{}, requests: map[balancer.RequestID]*request{},
-		repeats: ratelimit.NewRetryBudget(d.o.Bounds.RetryBudgetWindow)}
+		retryBudget: ratelimit.NewRetryBudget(d.options.Bounds.RetryBudgetWindow)}
 	b, err := balancer.New(balancer.Settings{
-		Instances: 1, Tiers: 1, Quantum: quantum, GoalWhole: 1, MayCancel: true, MaxRetryAfter: backMost,
-		ConnectTimeout: connectTime, ColdFrom: coldFrom, Cold: cold, TipMultiple: tipMultiple, Fall: window,
+		Instances: 1, Tiers: 1, Quantum: decisionInterval, GoalWhole: 1, MayCancel: true, MaxRetryAfter: maxRetryAfter,
+		ConnectTimeout: connectTimeout, ColdFrom: slowStartMinShare, Cold: slowStartWindow, TipMultiple: overloadMultiple, Fall: overloadDuration,
 		Classes: []balancer.Class{{Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.2,
 			Effect: balancer.Unsafe}},
 	}, seed, c)
@@ -77,7 +77,7 @@
 	if n, ok := c.classes[key]; ok {
 		return n
 	}
-	if len(c.classes) >= classesMost {
+	if len(c.classes) >= maxClasses {
 		return c.nearestClass(key)
 	}
 	effect := balancer.Safe
@@ -91,7 +91,7 @@
 	n, err := c.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(c.classes)), Aim: target, Deadline: r.Timeout,
 		Worth: 1, LateWorth: 0.2, Effect: effect})
 	if err != nil {
-		c.proxy.o.Log.Warn("outbound: " + err.Error())
+		c.proxy.options.Log.Warn("outbound: " + err.Error())
 		return 0
 	}
 	c.classes[key] = n
@@ -111,10 +111,10 @@
 	return number
 }
 
-// told takes the list of the service's endpoints, all of them.
-func (c *serviceBalancer) told(now time.Duration, all []discovery.Endpoint) {
-	c.version++
-	l := balancer.List{Kind: balancer.Whole, Version: c.version}
+// updateEndpoints takes the list of the service's endpoints, all of them.
+func (c *serviceBalancer) updateEndpoints(now time.Duration, all []discovery.Endpoint) {
+	c.listVersion++
+	l := balancer.List{Kind: balancer.Whole, Version: c.listVersion}
 	seen := map[string]bool{}
 	for _, e := range all {
 		p := c.byID[e.ID]
@@ -122,17 +122,17 @@
 			continue
 		}
 		if p == nil {
-			c.last++
-			p = &knownEndpoint{number: c.last}
+			c.lastEndpoint++
+			p = &knownEndpoint{number: c.lastEndpoint}
 			c.byID[e.ID], c.endpoints[p.number] = p, p
 		}
 		p.Endpoint, seen[e.ID] = e, true
-		entry := balancer.Entry{Endpoint: p.number, Zone: c.proxy.zone(e.Zone), Weight: 1}
+		entry := balancer.Entry{Endpoint: p.number, Zone: c.proxy.zoneNumber(e.Zone), Weight: 1}
 		if e.State == discovery.Draining {
 			entry.State = balancer.Draining
 		}
 		if e.WarmupRemaining > 0 {
-			entry.Started = now + e.WarmupRemaining - cold
+			entry.Started = now + e.WarmupRemaining - slowStartWindow
 		}
 		l.Entries = append(l.Entries, entry)
 	}
@@ -152,71 +152,71 @@
 		return
 	}
 	now := c.proxy.Now()
-	a := &attempt{request: r, to: to, number: r.attempts, at: now}
-	r.attempts++
-	r.out = a
+	a := &attempt{request: r, endpoint: to, number: r.sentAttempts, sentAt: now}
+	r.sentAttempts++
+	r.active = a
 	if p == nil { // it left between two events
-		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Mistaken}) })
+		c.proxy.deferLocked(func(now time.Duration) { c.attemptEnded(now, a, &inbound.ForwardResponse{Kind: outcome.Misdirected}) })
 		return
 	}
-	if r.mayRun && !r.route.Kind.IsIdempotent() { // the module never does so; this guards against a fault of it
-		c.proxy.o.Log.WithField("attempt", r.forward.Attempt).Error("outbound: a request that may have run is not sent again")
-		c.proxy.later(func(now time.Duration) { c.ended(now, a, &inbound.Outcome{Kind: outcome.Withdrawn}) })
+	if r.mayHaveExecuted && !r.route.Kind.IsIdempotent() { // the module never does so; this guards against a fault of it
+		c.proxy.options.Log.WithField("attempt", r.forward.AttemptID).Error("outbound: a request that may have run is not sent again")
+		c.proxy.deferLocked(func(now time.Duration) { c.attemptEnded(now, a, &inbound.ForwardResponse{Kind: outcome.Cancelled}) })
 		return
 	}
 	forward := r.forward
-	forward.Endpoint, forward.Left, forward.Aim = p.ID, r.deadline-now, r.aim-now
-	done := func(o *inbound.Outcome) {
-		c.proxy.do(func(now time.Duration) { c.ended(now, a, o) })
+	forward.EndpointID, forward.TimeRemaining, forward.TargetRemaining = p.ID, r.deadline-now, r.targetDeadline-now
+	done := func(o *inbound.ForwardResponse) {
+		c.proxy.runLocked(func(now time.Duration) { c.attemptEnded(now, a, o) })
 	}
-	if p.SidecarAddress == c.proxy.o.Hub.Self().Address {
-		a.withdraw = c.proxy.o.Inbound.Forward(&forward, r.aim, r.deadline, done)
+	if p.SidecarAddress == c.proxy.options.Hub.Self().Address {
+		a.cancel = c.proxy.options.Inbound.Forward(&forward, r.targetDeadline, r.deadline, done)
 		return
 	}
-	call := c.proxy.o.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.MarshalAppend(nil, &forward), r.deadline,
-		func(body []byte, err error) { done(parseOutcome(body, err)) })
-	a.withdraw = call.Cancel
+	call := c.proxy.options.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.MarshalAppend(nil, &forward), r.deadline,
+		func(body []byte, err error) { done(parseResponse(body, err)) })
+	a.cancel = call.Cancel
 }
 
-// parseOutcome is what the end of a call to the endpoint's sidecar says of the attempt.
-func parseOutcome(body []byte, err error) *inbound.Outcome {
-	if lost, ok := asLost(err); ok {
+// parseResponse is what the end of a call to the endpoint's sidecar says of the attempt.
+func parseResponse(body []byte, err error) *inbound.ForwardResponse {
+	if lost, ok := asConnectionError(err); ok {
 		if lost.Sent {
-			return &inbound.Outcome{Kind: outcome.Lost, Arrived: true}
+			return &inbound.ForwardResponse{Kind: outcome.ConnectionLost, ReachedEndpoint: true}
 		}
-		return &inbound.Outcome{Kind: outcome.Unreachable}
+		return &inbound.ForwardResponse{Kind: outcome.Unreachable}
 	}
 	if len(body) == 0 { // it has no room for it, or does not know the call: not run
-		return &inbound.Outcome{Kind: outcome.Full}
+		return &inbound.ForwardResponse{Kind: outcome.AtCapacity}
 	}
-	o := &inbound.Outcome{}
-	noStatus := func() bool { return o.Kind == outcome.Answered && (o.Status < statusLeast || o.Status > statusMost) }
-	if err := codec.Unmarshal(body, o); err != nil || o.Kind == 0 || !o.Kind.Entry().Attempt || noStatus() {
-		return &inbound.Outcome{Kind: outcome.Spoilt, Arrived: true}
+	o := &inbound.ForwardResponse{}
+	noStatus := func() bool { return o.Kind == outcome.Answered && (o.Status < minStatus || o.Status > maxStatus) }
+	if err := codec.Unmarshal(body, o); err != nil || o.Kind == 0 || !o.Kind.Entry().EndsAttempt || noStatus() {
+		return &inbound.ForwardResponse{Kind: outcome.InvalidResponse, ReachedEndpoint: true}
 	}
 	return o
 }
 
-// status is what an outcome is to the decision module. quit tells that the attempt was withdrawn.
-func status(o *inbound.Outcome, quit bool) balancer.Status {
+// balancerStatus is what an outcome is to the decision module. quit tells that the attempt was withdrawn.
+func balancerStatus(o *inbound.ForwardResponse, quit bool) balancer.Status {
 	switch o.Kind {
 	case outcome.Answered:
 		if o.Status >= 500 {
 			return balancer.Error
 		}
 		return balancer.OK
-	case outcome.Full, outcome.TurnedAway, outcome.Leaving, outcome.Late, outcome.Overloaded:
+	case outcome.AtCapacity, outcome.Rejected, outcome.Draining, outcome.Expired, outcome.Overloaded:
 		return balancer.Full
-	case outcome.Mistaken, outcome.Unreachable:
+	case outcome.Misdirected, outcome.Unreachable:
 		if quit {
 			return balancer.Moot
 		}
 		return balancer.ConnectFailed
-	case outcome.Withdrawn:
+	case outcome.Cancelled:
 		return balancer.Moot
-	case outcome.Lost:
+	case outcome.ConnectionLost:
 		return balancer.Reset
-	case outcome.Spoilt, outcome.Broken: // of one connection; the endpoint's own sidecar says if it is down
+	case outcome.InvalidResponse, outcome.EndpointReset: // of one connection; the endpoint's own sidecar says if it is down
 		return balancer.Spoilt
 	}
 	if quit {
@@ -228,20 +228,20 @@
 // SetTimer (balancer.Host).
 func (c *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
-		c.proxy.do(func(now time.Duration) { c.balancer.Timer(now, token) })
+		c.proxy.runLocked(func(now time.Duration) { c.balancer.Timer(now, token) })
 	})
 }
 
 // Fetch gets the list of endpoints anew from the service's homes (balancer.Host).
 func (c *serviceBalancer) Fetch() {
-	if f := c.proxy.o.Refresh; f != nil {
+	if f := c.proxy.options.RefreshEndpoints; f != nil {
 		go f(c.service)
 	}
 }
 
 // Log (balancer.Host).
 func (c *serviceBalancer) Log(text string) {
-	c.proxy.o.Log.WithField("service", c.service).Info("balancer: " + text)
+	c.proxy.options.Log.WithField("service", c.service).Info("balancer: " + text)
 }
 
 // Probe (balancer.Host): endpoints' own sidecars vouch for them, so nobody probes.
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -14,42 +14,42 @@
 
 // Bounds of the bodies of clients' requests beyond those of the configuration.
 const (
-	bodyFirst   = 64 << 10    // bytes that are made room for before they come
-	discardMost = 1 << 20     // bytes of the body of a request that was turned away that are still read
-	discardTime = time.Second // in which they are awaited
+	initialBodyCapacity = 64 << 10    // bytes that are made room for before they come
+	maxDiscardBytes     = 1 << 20     // bytes of the body of a request that was turned away that are still read
+	discardTimeout      = time.Second // in which they are awaited
 )
 
-// body reads a request's body whole: only then can it go to an endpoint, and to another one after that.
-func (d *Proxy) body(conf *configuration.Config, w http.ResponseWriter, q *http.Request, r *request) outcome.Kind {
+// readBody reads a request's body whole: only then can it go to an endpoint, and to another one after that.
+func (d *Proxy) readBody(conf *configuration.Config, w http.ResponseWriter, q *http.Request, r *request) outcome.Kind {
 	p := &r.forward
 	p.HasBody = q.ContentLength > 0 || len(q.TransferEncoding) > 0 || q.ContentLength == 0 && len(q.Header["Content-Length"]) > 0
 	if q.Body == nil || q.Body == http.NoBody {
 		return 0
 	}
 	if q.ContentLength > conf.Limits.BodyMax {
-		return outcome.TooLarge
+		return outcome.BodyTooLarge
 	}
 	controller := http.NewResponseController(w)
-	d.reads.begin(controller, time.Now().Add(r.deadline-d.Now()))
-	defer d.reads.end(controller)
+	d.bodyReads.begin(controller, time.Now().Add(r.deadline-d.Now()))
+	defer d.bodyReads.end(controller)
 	if q.ContentLength >= 0 {
-		p.Body = make([]byte, 0, min(q.ContentLength+1, bodyFirst))
+		p.Body = make([]byte, 0, min(q.ContentLength+1, initialBodyCapacity))
 	}
 	body, err := readAll(http.MaxBytesReader(w, q.Body, conf.Limits.BodyMax), p.Body, func(n int) bool {
-		r.held += int64(n)
-		return d.bodies.Add(int64(n)) <= d.o.Bodies
+		r.bodyBytes += int64(n)
+		return d.bodyBytes.Add(int64(n)) <= d.options.MaxBodyBytes
 	})
 	var large *http.MaxBytesError
 	var timeout net.Error
 	switch {
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errBodyCapacity):
 		return outcome.Overloaded
 	case errors.As(err, &large):
-		return outcome.TooLarge
-	case errors.As(err, &timeout) && timeout.Timeout() && d.ending.Load():
-		return outcome.Ending
+		return outcome.BodyTooLarge
+	case errors.As(err, &timeout) && timeout.Timeout() && d.shuttingDown.Load():
+		return outcome.ShuttingDown
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return outcome.Slow
+		return outcome.BodyTimeout
 	case err != nil:
 		return outcome.Malformed
 	}
@@ -57,7 +57,7 @@
 	return 0
 }
 
-var errNoRoom = errors.New("no room for the body")
+var errBodyCapacity = errors.New("no room for the body")
 
 // readAll reads a body; room is told of the bytes as they come, and says whether there is room for them.
 func readAll(r io.Reader, b []byte, room func(n int) bool) ([]byte, error) {
@@ -68,7 +68,7 @@
 		n, err := r.Read(b[len(b):cap(b)])
 		b = b[:len(b)+n]
 		if n > 0 && !room(n) {
-			return nil, errNoRoom
+			return nil, errBodyCapacity
 		}
 		if err == io.EOF {
 			return b, nil
@@ -85,8 +85,8 @@
 	if q.Header.Get("Expect") != "" { // the client awaits a word before it sends any
 		return
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTime))
-	_, _ = io.CopyN(io.Discard, q.Body, discardMost) // the connection ends if there is more, or it breaks
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout))
+	_, _ = io.CopyN(io.Discard, q.Body, maxDiscardBytes) // the connection ends if there is more, or it breaks
 }
 
 // bodyReads are the requests whose bodies are still being read. Once this process is about to end none is waited for any more, so that
@@ -111,7 +111,7 @@
 	_ = c.SetReadDeadline(until)
 }
 
-// end takes the bound back: it would count as the end of the client while its request is served.
+// writeAnswer takes the bound back: it would count as the end of the client while its request is served.
 func (b *bodyReads) end(c *http.ResponseController) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -48,7 +48,7 @@
 	b.Cleanup(func() { hub.Close(); l.Close() })
 	return hub, func(d *inbound.Proxy) {
 		if d != nil {
-			d.Serve(hub)
+			d.Register(hub)
 		}
 		go func() { _ = hub.Listen(l) }()
 	}, l.Addr().String()
@@ -106,7 +106,7 @@
 	}
 }
 
-// part is the time within which a part of the calls were answered.
+// chooseService is the time within which a part of the calls were answered.
 func (c *caller) part(x float64) float64 {
 	s := slices.Sorted(slices.Values(c.times))
 	return float64(s[min(int(x*float64(len(s))), len(s)-1)].Nanoseconds()) / 1000
@@ -139,7 +139,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	proxy := outbound.New(outbound.Options{Hub: near, Service: "client", Log: log, Seed: 1, Bodies: 64 << 20})
+	proxy := outbound.New(outbound.Options{Hub: near, Service: "client", Log: log, Seed: 1, MaxBodyBytes: 64 << 20})
 	proxy.Configure(conf)
 	var endpoints []discovery.Endpoint
 	direct := ""
@@ -150,12 +150,12 @@
 		hub, listen, address := listenHub(b, log, uint64(i+2))
 		inboundProxy := inbound.New(app.Listener.Addr().String(), hub.Now, log, nil)
 		life := fmt.Sprintf("i-%d", i)
-		inboundProxy.Tell(admission.Life{ID: life, Service: "shop", Slots: 8}, admission.Serving)
+		inboundProxy.UpdateEndpoint(admission.Endpoint{ID: life, Service: "shop", Slots: 8}, admission.Serving)
 		listen(inboundProxy)
 		endpoints = append(endpoints, discovery.Endpoint{ID: life, Service: "shop", AppAddress: app.Listener.Addr().String(),
 			SidecarAddress: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, LeaseRemaining: time.Hour})
 	}
-	proxy.Told("shop", endpoints)
+	proxy.UpdateEndpoints("shop", endpoints)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/mesh/dataplane/outbound/connections.go
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	sweepInterval    = 500 * time.Millisecond
-	idleMargin       = time.Second // a client is told an idle timeout that is this much shorter than the one kept
-	defaultIdleLimit = 15 * time.Second
+	sweepInterval      = 500 * time.Millisecond
+	idleTimeoutMargin  = time.Second // a client is told an idle timeout that is this much shorter than the one kept
+	defaultIdleTimeout = 15 * time.Second
 )
 
 // clientConnection is what is known of one connection of a client.
@@ -21,8 +21,8 @@
 	expired   bool      // sweep has set a read deadline in the past
 }
 
-// ended tells whether a connection is to be closed now: it has no request under way, and none is awaited any more.
-func (c clientConnection) ended(now time.Time, phase closingPhase) bool {
+// shouldClose tells whether a connection is to be closed now: it has no request under way, and none is awaited any more.
+func (c clientConnection) shouldClose(now time.Time, phase closingPhase) bool {
 	switch c.state {
 	case http.StateNew:
 		return phase == closingAll || now.After(c.idleUntil)
@@ -49,16 +49,16 @@
 	phase    closingPhase
 }
 
-// idle is how long a client's connection may stay idle, by the configuration in force.
-func (d *Proxy) idle() time.Duration {
-	if conf := d.conf.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
-		return min(conf.Limits.IdleTimeout, restTime)
+// idleTimeout is how long a client's connection may stay idle, by the configuration in force.
+func (d *Proxy) idleTimeout() time.Duration {
+	if conf := d.config.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
+		return min(conf.Limits.IdleTimeout, maxIdleTime)
 	}
-	return defaultIdleLimit
+	return defaultIdleTimeout
 }
 
-// connectionState follows a connection (http.Server.ConnState).
-func (d *Proxy) connectionState(c net.Conn, s http.ConnState) {
+// trackConnection follows a connection (http.Server.ConnState).
+func (d *Proxy) trackConnection(c net.Conn, s http.ConnState) {
 	t := &d.connections
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +72,7 @@
 	if s == http.StateActive && t.open[c].expired {
 		_ = c.SetReadDeadline(time.Time{}) // its request was read all the same; the deadline would count as the client's end
 	}
-	t.open[c] = clientConnection{state: s, idleUntil: time.Now().Add(d.idle())}
+	t.open[c] = clientConnection{state: s, idleUntil: time.Now().Add(d.idleTimeout())}
 	if !t.sweeping {
 		t.sweeping = true
 		time.AfterFunc(sweepInterval, d.sweep)
@@ -82,14 +82,14 @@
 // sweep ends connections that have been idle for too long, or all idle ones if the process is about to end. It does so by a read
 // deadline in the past, not by Close: the server's own reader then either has the whole of a request, and answers it, or has
 // not, and closes. So a request that was read is never dropped. The deadline may be set after the server has read a request and
-// before it says so (connectionState); it is taken back then.
+// before it says so (trackConnection); it is taken back then.
 func (d *Proxy) sweep() {
 	t := &d.connections
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	for c, known := range t.open {
-		if known.ended(now, t.phase) {
+		if known.shouldClose(now, t.phase) {
 			_ = c.SetReadDeadline(now.Add(-time.Second))
 			known.expired = true
 			t.open[c] = known
@@ -97,7 +97,7 @@
 	}
 	interval := sweepInterval
 	if t.phase != closingNone {
-		interval = closeInterval
+		interval = shutdownSweepInterval
 	}
 	if t.sweeping = len(t.open) > 0; t.sweeping {
 		time.AfterFunc(interval, d.sweep)
@@ -112,16 +112,16 @@
 	d.sweep()
 }
 
-// Connections is how many connections of clients are open.
-func (d *Proxy) Connections() int {
+// OpenConnections is how many connections of clients are open.
+func (d *Proxy) OpenConnections() int {
 	d.connections.mu.Lock()
 	defer d.connections.mu.Unlock()
 	return len(d.connections.open)
 }
 
-// tellIdleLimit tells the client how long it may keep its connection idle.
-func (d *Proxy) tellIdleLimit(h http.Header) {
-	if s := int((d.idle() - idleMargin) / time.Second); s > 0 {
+// advertiseIdleTimeout tells the client how long it may keep its connection idle.
+func (d *Proxy) advertiseIdleTimeout(h http.Header) {
+	if s := int((d.idleTimeout() - idleTimeoutMargin) / time.Second); s > 0 {
 		h["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(s)}
 	}
 }
--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -44,7 +44,7 @@
 // A client sends all of its body before it reads the answer to a request that was turned away long before, on a connection that ends with
 // the answer. It can send it, and has the answer: many clients give an exchange up once they can't write, and a reset may take an
 // answer away that they have not read yet.
-func TestARefusalOutlivesTheCloseOfItsConnection(t *testing.T) {
+func TestARejectionOutlivesTheCloseOfItsConnection(t *testing.T) {
 	for _, headers := range []string{"", "Connection: close\r\n"} {
 		for _, bytes := range []int{1, 5_000, 100_000, 900_000} {
 			r, err := refuse(t, headers, bytes, func(conn net.Conn, body []byte) {
@@ -64,12 +64,12 @@
 }
 
 // It is answered at once, however long its body takes to come.
-func TestARefusalDoesNotWaitForTheBody(t *testing.T) {
+func TestARejectionDoesNotWaitForTheBody(t *testing.T) {
 	began := time.Now()
 	r, err := refuse(t, "", 100_000, func(conn net.Conn, body []byte) { _, _ = conn.Write(body[:10]) })
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable)
-	qt.Check(t, time.Since(began) < discardTime/2, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	qt.Check(t, time.Since(began) < discardTimeout/2, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
 // A process ends while a body is still coming: its request is answered in time, and the client hears when to come back.
@@ -83,15 +83,15 @@
 	log.SetOutput(io.Discard)
 	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	d := New(Options{Hub: hub, Log: log, Bodies: 1 << 20})
+	d := New(Options{Hub: hub, Log: log, MaxBodyBytes: 1 << 20})
 	d.Configure(conf)
 	began := time.Now()
 	r, err := post(t, d, "Attempt-Id: a\r\n", 100_000, func(conn net.Conn, body []byte) {
 		_, _ = conn.Write(body[:10])
-		for len(d.reads.reading()) == 0 {
+		for len(d.bodyReads.reading()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		d.EndBy(d.Now() + 200*time.Millisecond)
+		d.ShutDownBy(d.Now() + 200*time.Millisecond)
 	})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable)
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -59,7 +59,7 @@
 	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	in := inbound.New(s.startEndpoint(t), hub.Now, log, nil)
-	in.Tell(admission.Life{ID: "s-1", Service: "s", Slots: 8}, admission.Serving)
+	in.UpdateEndpoint(admission.Endpoint{ID: "s-1", Service: "s", Slots: 8}, admission.Serving)
 	take := func(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
 		switch tenant.Name {
 		case "over":
@@ -70,12 +70,12 @@
 			done(true, 0)
 		}
 	}
-	s.proxy = New(Options{Hub: hub, Inbound: in, Log: log, Service: "front", Seed: 1, Bodies: 250, Take: take,
+	s.proxy = New(Options{Hub: hub, Inbound: in, Log: log, Service: "front", Seed: 1, MaxBodyBytes: 250, AcquireQuota: take,
 		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second}})
 	if configure {
 		s.proxy.Configure(conf)
-		s.proxy.Told("s", []discovery.Endpoint{{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
-		s.proxy.Told("nobody", nil)
+		s.proxy.UpdateEndpoints("s", []discovery.Endpoint{{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
+		s.proxy.UpdateEndpoints("nobody", nil)
 	}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -183,7 +183,7 @@
 	s := startGolden(t, true)
 	unready := startGolden(t, false)
 	ending := startGolden(t, true)
-	ending.proxy.Refuse()
+	ending.proxy.RejectNewRequests()
 	for _, x := range []struct {
 		name    string
 		sidecar *goldenSidecar
@@ -242,24 +242,24 @@
 // Bodies of requests have a bound all together: what is beyond it is turned away.
 func TestGoldenNoRoomForABody(t *testing.T) {
 	s := startGolden(t, true)
-	s.proxy.bodies.Add(249)
+	s.proxy.bodyBytes.Add(249)
 	answer := s.ask(t, "POST", "POST /book/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nContent-Length: 2\r\n\r\nab")
 	golden.Text(t, "no_room.txt", []byte(answer))
-	qt.Check(t, s.proxy.bodies.Load(), qt.Equals, int64(249))
+	qt.Check(t, s.proxy.bodyBytes.Load(), qt.Equals, int64(249))
 }
 
 // The answer that each kind of outcome maps to, with no time to come back but the table's, and with another one.
 func TestGoldenAnswersByKind(t *testing.T) {
-	answered := &inbound.Outcome{Kind: outcome.Answered, Status: 201, Header: []string{"A", "1", "A", "2", "Content-Type", "x/y", "Server", "s"},
+	answered := &inbound.ForwardResponse{Kind: outcome.Answered, Status: 201, Header: []string{"A", "1", "A", "2", "Content-Type", "x/y", "Server", "s"},
 		Body: []byte("body")}
 	var text strings.Builder
 	for _, ending := range []bool{false, true} {
 		d := startGolden(t, true).proxy
-		d.ending.Store(ending)
+		d.shuttingDown.Store(ending)
 		for _, back := range []time.Duration{0, 700 * time.Millisecond} {
-			for kind := outcome.Answered; kind <= outcome.Broken; kind++ {
+			for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 				w := httptest.NewRecorder()
-				d.end(w, result{kind: kind, outcome: answered, back: back})
+				d.writeAnswer(w, result{kind: kind, response: answered, retryAfter: back})
 				fmt.Fprintf(&text, "%s, back %v, ending %t: %s", kind, back, ending, formatAnswer(w.Result().Status, w.Header(), w.Body.Bytes()))
 			}
 		}
@@ -301,9 +301,9 @@
 		for _, inner := range []bool{false, true} {
 			for _, remaining := range []string{"", "0", "1", "1500", "1999.5", "3000", "-1", "1e9", "x", "NaN"} {
 				r := &request{route: &configuration.Route{Timeout: 2 * time.Second, Target: target}}
-				r.forward.Inner = inner
+				r.forward.Nested = inner
 				r.setTimes(10*time.Second, remaining)
-				fmt.Fprintf(&text, "target %v, inner %t, remaining %q: aim %v, deadline %v\n", target, inner, remaining, r.aim, r.deadline)
+				fmt.Fprintf(&text, "target %v, inner %t, remaining %q: aim %v, deadline %v\n", target, inner, remaining, r.targetDeadline, r.deadline)
 			}
 		}
 	}
@@ -314,10 +314,10 @@
 // says of an attempt.
 func TestGoldenStatuses(t *testing.T) {
 	var text strings.Builder
-	for kind := outcome.Kind(0); kind <= outcome.Broken+1; kind++ {
+	for kind := outcome.Kind(0); kind <= outcome.EndpointReset+1; kind++ {
 		for _, code := range []int{0, 200, 404, 500} {
-			o := &inbound.Outcome{Kind: kind, Status: code}
-			fmt.Fprintf(&text, "%s %d: %d, withdrawn: %d\n", kind, code, status(o, false), status(o, true))
+			o := &inbound.ForwardResponse{Kind: kind, Status: code}
+			fmt.Fprintf(&text, "%s %d: %d, withdrawn: %d\n", kind, code, balancerStatus(o, false), balancerStatus(o, true))
 		}
 	}
 	for _, x := range []struct {
@@ -327,20 +327,20 @@
 	}{
 		{"nothing", nil, nil},
 		{"no message", []byte{0xff}, nil},
-		{"no kind", codec.MarshalAppend(nil, &inbound.Outcome{Status: 200}), nil},
-		{"end of no attempt", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.NoKey}), nil},
-		{"unknown kind", codec.MarshalAppend(nil, &inbound.Outcome{Kind: 99, Work: 5}), nil},
-		{"answered 199", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 199}), nil},
-		{"answered 999", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 999}), nil},
-		{"answered 1000", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 1000}), nil},
-		{"full", codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Full, Slots: 4, Running: 4, Waiting: 9}), nil},
+		{"no kind", codec.MarshalAppend(nil, &inbound.ForwardResponse{Status: 200}), nil},
+		{"end of no attempt", codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Unauthorized}), nil},
+		{"unknown kind", codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: 99, ServiceTime: 5}), nil},
+		{"answered 199", codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Answered, Status: 199}), nil},
+		{"answered 999", codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Answered, Status: 999}), nil},
+		{"answered 1000", codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Answered, Status: 1000}), nil},
+		{"full", codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.AtCapacity, Slots: 4, Running: 4, Waiting: 9}), nil},
 		{"lost, sent", nil, &transport.ConnectionError{Sent: true}},
 		{"lost, wrapped", nil, fmt.Errorf("wrapped: %w", &transport.ConnectionError{})},
 		{"another error", nil, errors.New("x")},
 	} {
-		o := parseOutcome(x.body, x.err)
-		fmt.Fprintf(&text, "%s: %s, status %d, arrived %t, work %v, slots %d, running %d, waiting %d\n", x.name, o.Kind, o.Status, o.Arrived,
-			o.Work, o.Slots, o.Running, o.Waiting)
+		o := parseResponse(x.body, x.err)
+		fmt.Fprintf(&text, "%s: %s, status %d, arrived %t, work %v, slots %d, running %d, waiting %d\n", x.name, o.Kind, o.Status, o.ReachedEndpoint,
+			o.ServiceTime, o.Slots, o.Running, o.Waiting)
 	}
 	golden.Text(t, "statuses.txt", []byte(text.String()))
 }
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -16,21 +16,21 @@
 
 // Bounds of what clients may do beyond those of the configuration.
 const (
-	headMost    = 256 << 10 // bytes of a head that are read at all
-	headTime    = 5 * time.Second
-	restTime    = 90 * time.Second      // that a connection stands idle
-	lapseMargin = 30 * time.Millisecond // before its deadline: a request is given up
-	lapseWait   = 22 * time.Millisecond // for its attempt to say how far it came
+	maxHeaderBytes = 256 << 10 // bytes of a head that are read at all
+	headerTimeout  = 5 * time.Second
+	maxIdleTime    = 90 * time.Second      // that a connection stands idle
+	expiryMargin   = 30 * time.Millisecond // before its deadline: a request is given up
+	expiryWait     = 22 * time.Millisecond // for its attempt to say how far it came
 )
 
 // Server is the clients' server.
 func (d *Proxy) Server() *http.Server {
-	return &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headTime, IdleTimeout: restTime,
-		MaxHeaderBytes: headMost, ConnState: d.connectionState, ErrorLog: log.New(io.Discard, "", 0)}
+	return &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTime,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: d.trackConnection, ErrorLog: log.New(io.Discard, "", 0)}
 }
 
-// own are headers that the system alone sets, whatever a client sent.
-var own = map[string]bool{inbound.HeaderKey: true, inbound.HeaderAttemptID: true, inbound.HeaderTimeRemaining: true,
+// systemHeaders are headers that the system alone sets, whatever a client sent.
+var systemHeaders = map[string]bool{inbound.HeaderKey: true, inbound.HeaderAttemptID: true, inbound.HeaderTimeRemaining: true,
 	inbound.HeaderTargetEndpoint: true, inbound.HeaderSubscriberID: true, inbound.HeaderCallingService: true, "Host": true,
 	inbound.HeaderBaseVersion: true, inbound.HeaderNotExecuted: true}
 
@@ -45,16 +45,16 @@
 // answerRequest answers a request; it tells whether its body was read whole. One that is turned away is answered at once, with its body
 // still on its way.
 func (d *Proxy) answerRequest(w http.ResponseWriter, q *http.Request) (whole bool) {
-	d.open.Add(1)
-	defer d.open.Add(-1)
+	d.openRequests.Add(1)
+	defer d.openRequests.Add(-1)
 	res, whole := d.handle(w, q)
 	if whole {
-		d.end(w, res)
+		d.writeAnswer(w, res)
 		return true
 	}
 	controller := http.NewResponseController(w)
 	_ = controller.EnableFullDuplex() // else the server reads on before it answers
-	d.end(w, res)
+	d.writeAnswer(w, res)
 	_ = controller.Flush()
 	return false
 }
@@ -62,20 +62,20 @@
 // handle has a request served, or turned away; whole tells whether its body was read.
 func (d *Proxy) handle(w http.ResponseWriter, q *http.Request) (res result, whole bool) {
 	whole = q.Body == nil || q.Body == http.NoBody
-	conf := d.conf.Load()
+	conf := d.config.Load()
 	if conf == nil {
-		return result{kind: outcome.Unready}, whole
+		return result{kind: outcome.NotReady}, whole
 	}
-	if d.ending.Load() && !d.servesCall(conf, q) {
-		return result{kind: outcome.Ending}, whole
+	if d.shuttingDown.Load() && !d.servesNestedCall(conf, q) {
+		return result{kind: outcome.ShuttingDown}, whole
 	}
 	r, kind := d.admit(conf, q)
 	if kind == 0 {
-		kind = d.body(conf, w, q, r)
-		defer d.bodies.Add(-r.held)
+		kind = d.readBody(conf, w, q, r)
+		defer d.bodyBytes.Add(-r.bodyBytes)
 	}
 	if kind != 0 {
-		return result{kind: kind, back: d.back(r, kind)}, whole
+		return result{kind: kind, retryAfter: d.retryAfter(r, kind)}, whole
 	}
 	d.submit(r, r.forward.Priority)
 	return d.await(r, q.Context().Done()), true
@@ -84,32 +84,32 @@
 // await returns a request's result: as it comes, or what is known of it when its time is up, its client has gone or this process
 // ends. There is always one: a client that has closed only its sending half still reads it.
 func (d *Proxy) await(r *request, clientGone <-chan struct{}) result {
-	timer := time.NewTimer(r.deadline - d.Now() - lapseMargin)
+	timer := time.NewTimer(r.deadline - d.Now() - expiryMargin)
 	defer timer.Stop()
 	select {
-	case res := <-r.answered:
+	case res := <-r.results:
 		return res
 	case <-timer.C:
-	case <-d.lastAnswer:
+	case <-d.shutdownDue:
 	case <-clientGone:
 	}
-	d.lapse(r)
-	timer.Reset(lapseWait)
+	d.expire(r)
+	timer.Reset(expiryWait)
 	select {
-	case res := <-r.answered:
+	case res := <-r.results:
 		return res
 	case <-timer.C:
 	}
-	d.abandon(r)
-	return <-r.answered
+	d.abandonExpired(r)
+	return <-r.results
 }
 
 // admit finds a request's route, tenant and service; the kind says why it is turned away, 0 for not at all.
 func (d *Proxy) admit(conf *configuration.Config, q *http.Request) (*request, outcome.Kind) {
 	now := d.Now()
-	r := &request{answered: make(chan result, 1)}
-	if headBytes(q) > conf.Limits.HeaderMax {
-		return r, outcome.HeadTooLarge
+	r := &request{results: make(chan result, 1)}
+	if headerBytes(q) > conf.Limits.HeaderMax {
+		return r, outcome.HeaderTooLarge
 	}
 	if q.RequestURI == "" || q.RequestURI[0] != '/' || q.Method == http.MethodConnect {
 		return r, outcome.Malformed
@@ -118,9 +118,9 @@
 		return r, outcome.NoRoute
 	}
 	p := &r.forward
-	p.Inner = isCall(conf, q)
+	p.Nested = isNestedCall(conf, q)
 	r.setTimes(now, q.Header.Get(inbound.HeaderTimeRemaining))
-	if kind := d.fitBeforeEnd(r, now); kind != 0 {
+	if kind := d.boundByShutdown(r, now); kind != 0 {
 		return r, kind
 	}
 	p.Priority, p.Route = r.route.Priority, r.route.Name
@@ -133,20 +133,20 @@
 		return r, outcome.Malformed
 	}
 	if tenant != nil {
-		p.Subscriber, p.Priority = tenant.Name, tenant.Priority
-		if r.retryAfter = d.quota(tenant); r.retryAfter > 0 {
-			return r, outcome.Quota
+		p.Tenant, p.Priority = tenant.Name, tenant.Priority
+		if r.quotaRetryAfter = d.acquireQuota(tenant); r.quotaRetryAfter > 0 {
+			return r, outcome.QuotaExceeded
 		}
 	}
-	p.Attempt, p.Method, p.URI, p.Host = ids[0], q.Method, q.RequestURI, q.Host
-	p.Caller, p.Repeatable = d.o.Service, r.route.Kind.IsIdempotent()
-	p.Service = d.splits.part(r.route)
+	p.AttemptID, p.Method, p.URI, p.Host = ids[0], q.Method, q.RequestURI, q.Host
+	p.CallingService, p.Idempotent = d.options.Service, r.route.Kind.IsIdempotent()
+	p.Service = d.trafficSplits.chooseService(r.route)
 	p.Header = forwardedHeader(q.Header)
 	return r, 0
 }
 
-// isCall tells whether a request is a call of an endpoint, amid a request that it works on: those carry no tenant's key.
-func isCall(conf *configuration.Config, q *http.Request) bool {
+// isNestedCall tells whether a request is a call of an endpoint, amid a request that it works on: those carry no tenant's key.
+func isNestedCall(conf *configuration.Config, q *http.Request) bool {
 	return conf.HasTenantTable && len(q.Header[inbound.HeaderKey]) == 0
 }
 
@@ -163,7 +163,7 @@
 	if route.Public {
 		return nil, 0
 	}
-	return nil, outcome.NoKey
+	return nil, outcome.Unauthorized
 }
 
 // setTimes sets a request's deadline and aim by its route and by what the client says that it has left, in milliseconds.
@@ -171,18 +171,18 @@
 	left, spent := r.route.Timeout, time.Duration(0)
 	if ms, err := strconv.ParseFloat(remaining, 64); err == nil && ms >= 0 && ms < 1e9 {
 		left = min(left, time.Duration(ms*float64(time.Millisecond)))
-		if !r.forward.Inner { // a client that comes again has less left, and its aim counts from its first try
+		if !r.forward.Nested { // a client that comes again has less left, and its aim counts from its first try
 			spent = r.route.Timeout - left
 		}
 	}
 	r.deadline = now + left
 	switch target := r.route.Target; {
 	case target <= 0:
-		r.aim = r.deadline
+		r.targetDeadline = r.deadline
 	case spent < target:
-		r.aim = min(r.deadline, now+target-spent)
+		r.targetDeadline = min(r.deadline, now+target-spent)
 	default: // it is late already: it may wait, but not as long as those that can still be in time
-		r.aim = min(r.deadline, now+target/2)
+		r.targetDeadline = min(r.deadline, now+target/2)
 	}
 }
 
@@ -195,7 +195,7 @@
 		}
 	}
 	for name, values := range h {
-		if own[name] || hop[name] || inbound.HopHeaders[name] {
+		if systemHeaders[name] || hop[name] || inbound.HopByHopHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -205,13 +205,13 @@
 	return out
 }
 
-// quota takes a request out of a tenant's limit; if it is not there it says when to come back.
-func (d *Proxy) quota(t *configuration.Tenant) (back time.Duration) {
-	if d.o.Take == nil || t.Rate <= 0 {
+// acquireQuota takes a request out of a tenant's limit; if it is not there it says when to come back.
+func (d *Proxy) acquireQuota(t *configuration.Tenant) (back time.Duration) {
+	if d.options.AcquireQuota == nil || t.Rate <= 0 {
 		return 0
 	}
 	ch := make(chan time.Duration, 1)
-	d.o.Take(t, func(ok bool, back time.Duration) {
+	d.options.AcquireQuota(t, func(ok bool, back time.Duration) {
 		if ok {
 			ch <- 0
 		} else {
@@ -221,14 +221,14 @@
 	return <-ch
 }
 
-func (d *Proxy) back(r *request, k outcome.Kind) time.Duration {
-	if k == outcome.Quota {
-		return max(r.retryAfter, 50*time.Millisecond)
+func (d *Proxy) retryAfter(r *request, k outcome.Kind) time.Duration {
+	if k == outcome.QuotaExceeded {
+		return max(r.quotaRetryAfter, 50*time.Millisecond)
 	}
-	return k.Back()
+	return k.RetryAfter()
 }
 
-func headBytes(q *http.Request) (n int64) {
+func headerBytes(q *http.Request) (n int64) {
 	n = int64(len(q.Method) + len(q.RequestURI) + len(q.Host) + 20)
 	for name, values := range q.Header {
 		for _, v := range values {
@@ -238,16 +238,16 @@
 	return n
 }
 
-// end writes the answer, by the table alone.
-func (d *Proxy) end(w http.ResponseWriter, res result) {
+// writeAnswer writes the answer, by the table alone.
+func (d *Proxy) writeAnswer(w http.ResponseWriter, res result) {
 	h := w.Header()
-	if d.ending.Load() {
+	if d.shuttingDown.Load() {
 		h.Set("Connection", "close")
 	} else {
-		d.tellIdleLimit(h)
+		d.advertiseIdleTimeout(h)
 	}
 	if res.kind == outcome.Answered {
-		o := res.outcome
+		o := res.response
 		h["Content-Type"], h["Date"] = nil, nil
 		for i := 0; i+1 < len(o.Header); i += 2 {
 			h[o.Header[i]] = append(h[o.Header[i]], o.Header[i+1])
@@ -262,7 +262,7 @@
 	}
 	e := res.kind.Entry()
 	h["Date"], h["Content-Type"] = nil, nil
-	if back := max(res.back, e.Back); back > 0 && e.NotRun {
+	if back := max(res.retryAfter, e.RetryAfter); back > 0 && e.NotExecuted {
 		h.Set("Retry-After", strconv.FormatFloat(back.Seconds(), 'f', 3, 64))
 	}
 	h.Set("Content-Length", "0")
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -23,97 +23,97 @@
 
 // Options are what a proxy is made of.
 type Options struct {
-	Hub     *transport.Hub
-	Inbound *inbound.Proxy // to the endpoint on this machine
-	Bounds  settings.Bounds
-	Service string // of the endpoint on this machine: where requests begin
-	Log     *logrus.Logger
-	Seed    uint64
-	Bodies  int64                // bytes of clients' bodies that there is room for
-	Refresh func(service string) // fetches the endpoints of a service anew
-	// Take takes a request out of a tenant's limit; done is called once, with when to come back if it is not there.
-	Take func(t *configuration.Tenant, done func(ok bool, back time.Duration))
+	Hub              *transport.Hub
+	Inbound          *inbound.Proxy // to the endpoint on this machine
+	Bounds           settings.Bounds
+	Service          string // of the endpoint on this machine: where requests begin
+	Log              *logrus.Logger
+	Seed             uint64
+	MaxBodyBytes     int64                // bytes of clients' bodies that there is room for
+	RefreshEndpoints func(service string) // fetches the endpoints of a service anew
+	// AcquireQuota takes a request out of a tenant's limit; done is called once, with when to come back if it is not there.
+	AcquireQuota func(t *configuration.Tenant, done func(ok bool, back time.Duration))
 }
 
 // Proxy takes clients' requests.
 type Proxy struct {
-	o           Options
-	conf        atomic.Pointer[configuration.Config]
-	mu          sync.Mutex
-	balancers   map[string]*serviceBalancer
-	zones       map[string]int
-	splits      splitSequences
-	queue       []func(now time.Duration)
-	next        uint64
-	sidecars    int
-	open        atomic.Int64 // requests under way
-	bodies      atomic.Int64 // bytes of their bodies
-	ending      atomic.Bool  // nothing new is taken
-	shutdown    atomic.Pointer[shutdownPlan]
-	lastAnswer  chan struct{} // closed when the time of the shutdown plan has come
-	connections clientConnections
-	reads       bodyReads
+	options       Options
+	config        atomic.Pointer[configuration.Config]
+	mu            sync.Mutex
+	balancers     map[string]*serviceBalancer
+	zoneNumbers   map[string]int
+	trafficSplits splitSequences
+	deferred      []func(now time.Duration)
+	lastRequest   uint64
+	sidecarCount  int
+	openRequests  atomic.Int64 // requests under way
+	bodyBytes     atomic.Int64 // bytes of their bodies
+	shuttingDown  atomic.Bool  // nothing new is taken
+	shutdownPlan  atomic.Pointer[shutdownPlan]
+	shutdownDue   chan struct{} // closed when the time of the shutdown plan has come
+	connections   clientConnections
+	bodyReads     bodyReads
 }
 
 // request is one client's request.
 type request struct {
-	id         balancer.RequestID
-	route      *configuration.Route
-	balancer   *serviceBalancer
-	forward    inbound.ForwardRequest // what every attempt sends
-	aim        time.Duration
-	deadline   time.Duration
-	attempts   int              // sent, whether or not they reached an endpoint
-	arrivals   int              // those that reached one
-	out        *attempt         // the one under way that the module knows; nil for none
-	superseded []*attempt       // those under way in whose place the module has another sent
-	finished   bool             // the module has given its final answer, with
-	back       time.Duration    // when the client is to come back
-	last       *inbound.Outcome // of the attempt that ended last, but for withdrawn ones
-	failure    *inbound.Outcome // an endpoint's own failure: the answer, unless a later attempt is served
-	mayRun     bool             // some attempt ran or may have run
-	done       bool             // it is answered
-	lapsed     bool             // given up; what is out is being withdrawn
-	held       int64            // bytes of its body that are counted
-	retryAfter time.Duration    // of a request beyond its tenant's limit
-	answered   chan result
+	id              balancer.RequestID
+	route           *configuration.Route
+	balancer        *serviceBalancer
+	forward         inbound.ForwardRequest // what every attempt sends
+	targetDeadline  time.Duration
+	deadline        time.Duration
+	sentAttempts    int                      // sent, whether or not they reached an endpoint
+	reachedAttempts int                      // those that reached one
+	active          *attempt                 // the one under way that the module knows; nil for none
+	superseded      []*attempt               // those under way in whose place the module has another sent
+	concluded       bool                     // the module has given its final answer, with
+	retryAfter      time.Duration            // when the client is to come back
+	lastResponse    *inbound.ForwardResponse // of the attempt that ended last, but for withdrawn ones
+	endpointFailure *inbound.ForwardResponse // an endpoint's own failure: the answer, unless a later attempt is served
+	mayHaveExecuted bool                     // some attempt ran or may have run
+	answered        bool                     // it is answered
+	expired         bool                     // given up; what is out is being withdrawn
+	bodyBytes       int64                    // bytes of its body that are counted
+	quotaRetryAfter time.Duration            // of a request beyond its tenant's limit
+	results         chan result
 }
 
 // result is what a client is answered.
 type result struct {
-	kind    outcome.Kind
-	outcome *inbound.Outcome // of Answered
-	back    time.Duration
+	kind       outcome.Kind
+	response   *inbound.ForwardResponse // of Answered
+	retryAfter time.Duration
 }
 
 // New makes a proxy that knows no configuration yet.
 func New(o Options) *Proxy {
-	return &Proxy{o: o, balancers: map[string]*serviceBalancer{}, zones: map[string]int{}, sidecars: 1,
-		lastAnswer: make(chan struct{})}
+	return &Proxy{options: o, balancers: map[string]*serviceBalancer{}, zoneNumbers: map[string]int{}, sidecarCount: 1,
+		shutdownDue: make(chan struct{})}
 }
 
 // Now is the steady clock.
-func (d *Proxy) Now() time.Duration { return d.o.Hub.Now() }
+func (d *Proxy) Now() time.Duration { return d.options.Hub.Now() }
 
-// do runs f with the lock held, and then what it has put off.
-func (d *Proxy) do(f func(now time.Duration)) {
+// runLocked runs f with the lock held, and then what it has put off.
+func (d *Proxy) runLocked(f func(now time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.Now())
-	for len(d.queue) > 0 {
-		g := d.queue[0]
-		d.queue = d.queue[1:]
+	for len(d.deferred) > 0 {
+		g := d.deferred[0]
+		d.deferred = d.deferred[1:]
 		g(d.Now())
 	}
 }
 
-func (d *Proxy) later(f func(now time.Duration)) { d.queue = append(d.queue, f) }
+func (d *Proxy) deferLocked(f func(now time.Duration)) { d.deferred = append(d.deferred, f) }
 
-func (d *Proxy) zone(name string) int {
-	n, ok := d.zones[name]
+func (d *Proxy) zoneNumber(name string) int {
+	n, ok := d.zoneNumbers[name]
 	if !ok {
-		n = len(d.zones)
-		d.zones[name] = n
+		n = len(d.zoneNumbers)
+		d.zoneNumbers[name] = n
 	}
 	return n
 }
@@ -122,8 +122,8 @@
 	c := d.balancers[service]
 	if c == nil {
 		var err error
-		if c, err = newServiceBalancer(d, service, d.o.Seed+uint64(len(d.balancers))); err != nil {
-			d.o.Log.Error("outbound: " + err.Error())
+		if c, err = newServiceBalancer(d, service, d.options.Seed+uint64(len(d.balancers))); err != nil {
+			d.options.Log.Error("outbound: " + err.Error())
 			return nil
 		}
 		d.balancers[service] = c
@@ -133,51 +133,51 @@
 
 // Configure puts a configuration in force; an older one than the one in force changes nothing.
 func (d *Proxy) Configure(c *configuration.Config) {
-	d.do(func(time.Duration) {
-		if now := d.conf.Load(); now != nil && now.Version >= c.Version {
+	d.runLocked(func(time.Duration) {
+		if now := d.config.Load(); now != nil && now.Version >= c.Version {
 			return
 		}
-		d.conf.Store(c)
-		d.splits.keep(c)
+		d.config.Store(c)
+		d.trafficSplits.retain(c)
 	})
 }
 
 // Config is the configuration in force; nil for none.
-func (d *Proxy) Config() *configuration.Config { return d.conf.Load() }
+func (d *Proxy) Config() *configuration.Config { return d.config.Load() }
 
-// Told takes the list of a service's endpoints, all of them.
-func (d *Proxy) Told(service string, all []discovery.Endpoint) {
-	d.do(func(now time.Duration) {
+// UpdateEndpoints takes the list of a service's endpoints, all of them.
+func (d *Proxy) UpdateEndpoints(service string, all []discovery.Endpoint) {
+	d.runLocked(func(now time.Duration) {
 		if c := d.balancer(service); c != nil {
-			c.told(now, all)
+			c.updateEndpoints(now, all)
 		}
 	})
 }
 
-// Sidecars says how many sidecars share what the fleet may do.
-func (d *Proxy) Sidecars(n int) {
-	d.do(func(time.Duration) { d.sidecars = max(n, 1) })
+// SetSidecarCount says how many sidecars share what the fleet may do.
+func (d *Proxy) SetSidecarCount(n int) {
+	d.runLocked(func(time.Duration) { d.sidecarCount = max(n, 1) })
 }
 
-// Open is how many requests are under way.
-func (d *Proxy) Open() int { return int(d.open.Load()) }
+// OpenRequests is how many requests are under way.
+func (d *Proxy) OpenRequests() int { return int(d.openRequests.Load()) }
 
 // submit has a request served; its result comes once on the channel.
 func (d *Proxy) submit(r *request, priority int) {
 	times := 1 / float64(int(1)<<min(max(priority, 0), 16))
-	if r.forward.Inner { // a slot waits for it, and what ran already is lost without it
-		times = innerTimes
+	if r.forward.Nested { // a slot waits for it, and what ran already is lost without it
+		times = nestedCallValue
 	}
-	d.do(func(now time.Duration) {
+	d.runLocked(func(now time.Duration) {
 		c := d.balancer(r.forward.Service)
 		if c == nil {
-			r.answered <- result{kind: outcome.Overloaded}
+			r.results <- result{kind: outcome.Overloaded}
 			return
 		}
-		d.next++
-		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(d.next, 36)), c
+		d.lastRequest++
+		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(d.lastRequest, 36)), c
 		c.requests[r.id] = r
-		c.repeats.CountRequest(now)
+		c.retryBudget.CountRequest(now)
 		c.balancer.Request(now, balancer.Request{ID: r.id, Class: c.class(r.route), Left: r.deadline - now,
 			Times: times})
 	})
@@ -185,53 +185,53 @@
 
 // answer gives a request its result, once; the lock is held.
 func (d *Proxy) answer(r *request, res result) {
-	if !r.done {
-		r.done = true
-		r.answered <- res
+	if !r.answered {
+		r.answered = true
+		r.results <- res
 	}
 }
 
-// lapse gives a request up: its client has gone, or its time is nearly up. An attempt that is out is withdrawn, and its end says
+// expire gives a request up: its client has gone, or its time is nearly up. An attempt that is out is withdrawn, and its end says
 // how far it had come.
-func (d *Proxy) lapse(r *request) {
-	d.do(func(now time.Duration) {
+func (d *Proxy) expire(r *request) {
+	d.runLocked(func(now time.Duration) {
 		c := r.balancer
-		if c == nil || r.done || r.lapsed {
+		if c == nil || r.answered || r.expired {
 			return
 		}
-		r.lapsed = true
-		c.withdrawAll(r)
+		r.expired = true
+		c.cancelAttempts(r)
 		c.balancer.Lapsed(now, r.id)
 		if !r.outstanding() {
-			d.close(r)
+			d.finishExpired(r)
 		}
 	})
 }
 
-// abandon ends a request that was given up and whose attempt has not said how far it came.
-func (d *Proxy) abandon(r *request) {
-	d.do(func(time.Duration) {
-		if r.balancer != nil && !r.done {
-			d.close(r)
+// abandonExpired ends a request that was given up and whose attempt has not said how far it came.
+func (d *Proxy) abandonExpired(r *request) {
+	d.runLocked(func(time.Duration) {
+		if r.balancer != nil && !r.answered {
+			d.finishExpired(r)
 		}
 	})
 }
 
-// close answers a request that was given up, by what is known of its attempts; the lock is held.
-func (d *Proxy) close(r *request) {
-	res := result{kind: outcome.Late}
+// finishExpired answers a request that was given up, by what is known of its attempts; the lock is held.
+func (d *Proxy) finishExpired(r *request) {
+	res := result{kind: outcome.Expired}
 	switch {
-	case r.failure != nil:
-		res = result{kind: outcome.Answered, outcome: r.failure}
-	case r.mayRun || r.outstanding():
-		res.kind = outcome.Silent
+	case r.endpointFailure != nil:
+		res = result{kind: outcome.Answered, response: r.endpointFailure}
+	case r.mayHaveExecuted || r.outstanding():
+		res.kind = outcome.TimedOut
 	}
-	res.back = res.kind.Back()
+	res.retryAfter = res.kind.RetryAfter()
 	d.answer(r, res)
 	r.balancer.forget(r)
 }
 
-func asLost(err error) (*transport.ConnectionError, bool) {
+func asConnectionError(err error) (*transport.ConnectionError, bool) {
 	var lost *transport.ConnectionError
 	if errors.As(err, &lost) {
 		return lost, true
--- a/internal/mesh/dataplane/outbound/outbound_test.go
+++ b/internal/mesh/dataplane/outbound/outbound_test.go
@@ -17,61 +17,61 @@
 
 // What has surely not run is that to the module too, whether or not it was withdrawn, and only a lost link or nobody there blames
 // the endpoint: its own sidecar vouches for it.
-func TestEveryEndIsToldToTheModule(t *testing.T) {
+func TestEveryOutcomeIsReportedToTheBalancer(t *testing.T) {
 	c := qt.New(t)
-	for k := outcome.Answered; k <= outcome.Broken; k++ {
+	for k := outcome.Answered; k <= outcome.EndpointReset; k++ {
 		for _, quit := range []bool{false, true} {
-			st := status(&inbound.Outcome{Kind: k, Status: 200}, quit)
-			attempt := k < outcome.Quota && k != outcome.Answered || k == outcome.Lost || k == outcome.Spoilt || k == outcome.Silent || k == outcome.Broken
+			st := balancerStatus(&inbound.ForwardResponse{Kind: k, Status: 200}, quit)
+			attempt := k < outcome.QuotaExceeded && k != outcome.Answered || k == outcome.ConnectionLost || k == outcome.InvalidResponse || k == outcome.TimedOut || k == outcome.EndpointReset
 			if attempt {
-				c.Check(st.NeverRan(), qt.Equals, k.NotRun(), qt.Commentf("%s, withdrawn %v", k, quit))
+				c.Check(st.NeverRan(), qt.Equals, k.NotExecuted(), qt.Commentf("%s, withdrawn %v", k, quit))
 			}
 			blames := st == balancer.Reset || st == balancer.ConnectFailed
 			if attempt && !quit {
-				c.Check(blames, qt.Equals, k.Entry().Blame, qt.Commentf("%s", k))
+				c.Check(blames, qt.Equals, k.Entry().SuspectsEndpoint, qt.Commentf("%s", k))
 			}
 		}
 	}
-	c.Assert(status(&inbound.Outcome{Kind: outcome.Answered, Status: 500}, false), qt.Equals, balancer.Error)
+	c.Assert(balancerStatus(&inbound.ForwardResponse{Kind: outcome.Answered, Status: 500}, false), qt.Equals, balancer.Error)
 }
 
-func TestOutcomeOfAnAsk(t *testing.T) {
+func TestResponseOfAForwardCall(t *testing.T) {
 	c := qt.New(t)
-	whole := codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Leaving})
+	whole := codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Draining})
 	for _, x := range []struct {
 		body []byte
 		err  error
 		kind outcome.Kind
 	}{
-		{whole, nil, outcome.Leaving},
-		{nil, nil, outcome.Full},
-		{[]byte{0xff}, nil, outcome.Spoilt},
-		{codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 200}), nil, outcome.Answered},
-		{codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered}), nil, outcome.Spoilt}, // no server could write it
-		{codec.MarshalAppend(nil, &inbound.Outcome{Kind: outcome.Answered, Status: 1000}), nil, outcome.Spoilt},
-		{nil, &transport.ConnectionError{Sent: true}, outcome.Lost},
+		{whole, nil, outcome.Draining},
+		{nil, nil, outcome.AtCapacity},
+		{[]byte{0xff}, nil, outcome.InvalidResponse},
+		{codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Answered, Status: 200}), nil, outcome.Answered},
+		{codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Answered}), nil, outcome.InvalidResponse}, // no server could write it
+		{codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: outcome.Answered, Status: 1000}), nil, outcome.InvalidResponse},
+		{nil, &transport.ConnectionError{Sent: true}, outcome.ConnectionLost},
 		{nil, &transport.ConnectionError{}, outcome.Unreachable},
-		{nil, errors.New("anything else"), outcome.Lost},
+		{nil, errors.New("anything else"), outcome.ConnectionLost},
 	} {
-		c.Check(parseOutcome(x.body, x.err).Kind, qt.Equals, x.kind)
+		c.Check(parseResponse(x.body, x.err).Kind, qt.Equals, x.kind)
 	}
 }
 
 // The table has a line for every kind; only what has surely not run is promised so, and a promise says when to come back.
-func TestTableIsWhole(t *testing.T) {
+func TestOutcomeTableIsComplete(t *testing.T) {
 	c := qt.New(t)
-	for k := outcome.Answered; k <= outcome.Broken; k++ {
+	for k := outcome.Answered; k <= outcome.EndpointReset; k++ {
 		e := k.Entry()
 		c.Check(e.Name, qt.Not(qt.Equals), "unknown", qt.Commentf("%d", k))
 		promises := e.Status == 429 || e.Status == 503 || e.Status == 408 || e.Status == 421
 		if promises {
-			c.Check(e.NotRun, qt.IsTrue, qt.Commentf("%s", k))
+			c.Check(e.NotExecuted, qt.IsTrue, qt.Commentf("%s", k))
 		}
 		if e.Status == 429 || e.Status == 503 {
-			c.Check(e.Back > 0, qt.IsTrue, qt.Commentf("%s", k))
+			c.Check(e.RetryAfter > 0, qt.IsTrue, qt.Commentf("%s", k))
 		}
 	}
-	c.Assert(outcome.Kind(999).NotRun(), qt.IsFalse)
+	c.Assert(outcome.Kind(999).NotExecuted(), qt.IsFalse)
 }
 
 // Hundreds of changes each give a route new times. Its requests stay what they are: those that may be repeated, and those that may not,
@@ -84,7 +84,7 @@
 		return &configuration.Route{Kind: kind, Target: 300 * time.Millisecond, Timeout: 2*time.Second + time.Duration(change)*time.Millisecond}
 	}
 	used := map[int]classKey{}
-	for change := range 3 * classesMost {
+	for change := range 3 * maxClasses {
 		for _, kind := range []configuration.RouteKind{configuration.Idempotent, configuration.NonIdempotent} {
 			r := route(kind, change)
 			n := b.class(r)
@@ -97,6 +97,6 @@
 			c.Assert(first.kind, qt.Equals, kind, qt.Commentf("change %d", change))
 		}
 	}
-	c.Assert(len(used), qt.Equals, classesMost)
+	c.Assert(len(used), qt.Equals, maxClasses)
 	c.Assert(b.class(route(configuration.Idempotent, 7)), qt.Equals, b.class(route(configuration.Idempotent, 7)))
 }
--- a/internal/mesh/dataplane/outbound/shutdown.go
+++ b/internal/mesh/dataplane/outbound/shutdown.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	closeInterval = 20 * time.Millisecond // between two looks at idle connections, while the process ends
-	fittingAims   = 2                     // a request is taken before the end if that many times its route's target fit
+	shutdownSweepInterval    = 20 * time.Millisecond // between two looks at idle connections, while the process ends
+	minTargetsBeforeShutdown = 2                     // a request is taken before the end if that many times its route's target fit
 )
 
 // shutdownPlan is what the end of this process means for clients' requests.
 type shutdownPlan struct {
-	lastAnswer time.Duration // on the steady clock: every request has its outcome by then
+	answersDue time.Duration // on the steady clock: every request has its outcome by then
 }
 
-// EndBy says that this process is about to end: each request that it has read, or reads from now on, has its answer by lastAnswer
+// ShutDownBy says that this process is about to end: each request that it has read, or reads from now on, has its answer by answersDue
 // (on the steady clock). One that can't be expected to be served by then is refused at once; one that is not served by then is
 // given up.
-func (d *Proxy) EndBy(lastAnswer time.Duration) {
-	if !d.shutdown.CompareAndSwap(nil, &shutdownPlan{lastAnswer}) {
+func (d *Proxy) ShutDownBy(lastAnswer time.Duration) {
+	if !d.shutdownPlan.CompareAndSwap(nil, &shutdownPlan{lastAnswer}) {
 		return
 	}
-	time.AfterFunc(lastAnswer-lapseMargin-d.Now(), func() {
-		d.ending.Store(true)
-		d.reads.stop()
-		close(d.lastAnswer)
+	time.AfterFunc(lastAnswer-expiryMargin-d.Now(), func() {
+		d.shuttingDown.Store(true)
+		d.bodyReads.stop()
+		close(d.shutdownDue)
 	})
 }
 
-// Refuse has every request that comes from now on refused, but for calls of the endpoint here (servesCall), and connections closed once
+// RejectNewRequests has every request that comes from now on refused, but for calls of the endpoint here (servesNestedCall), and connections closed once
 // they have no request under way.
-func (d *Proxy) Refuse() {
-	d.ending.Store(true)
+func (d *Proxy) RejectNewRequests() {
+	d.shuttingDown.Store(true)
 	d.closeConnections(closingIdle)
 }
 
-// servesCall tells whether a request is served although this process refuses others: a call of the endpoint here while it works on
+// servesNestedCall tells whether a request is served although this process refuses others: a call of the endpoint here while it works on
 // requests. Without it a request that was taken before would fail.
-func (d *Proxy) servesCall(conf *configuration.Config, q *http.Request) bool {
+func (d *Proxy) servesNestedCall(conf *configuration.Config, q *http.Request) bool {
 	select {
-	case <-d.lastAnswer:
+	case <-d.shutdownDue:
 		return false
 	default:
-		return isCall(conf, q) && d.o.Inbound.Busy() > 0
+		return isNestedCall(conf, q) && d.options.Inbound.Pending() > 0
 	}
 }
 
@@ -54,15 +54,15 @@
 // nobody accepts connections any more; Connections tells how many are left.
 func (d *Proxy) CloseConnections() { d.closeConnections(closingAll) }
 
-// fitBeforeEnd bounds a request's deadline by the end of this process; it returns outcome.Ending for a request that does not fit.
-func (d *Proxy) fitBeforeEnd(r *request, now time.Duration) outcome.Kind {
-	plan := d.shutdown.Load()
-	if plan == nil || r.deadline <= plan.lastAnswer {
+// boundByShutdown bounds a request's deadline by the end of this process; it returns outcome.Ending for a request that does not fit.
+func (d *Proxy) boundByShutdown(r *request, now time.Duration) outcome.Kind {
+	plan := d.shutdownPlan.Load()
+	if plan == nil || r.deadline <= plan.answersDue {
 		return 0
 	}
-	if r.route.Target <= 0 || now+fittingAims*r.route.Target > plan.lastAnswer {
-		return outcome.Ending
+	if r.route.Target <= 0 || now+minTargetsBeforeShutdown*r.route.Target > plan.answersDue {
+		return outcome.ShuttingDown
 	}
-	r.deadline = plan.lastAnswer
+	r.deadline = plan.answersDue
 	return 0
 }
--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -19,8 +19,8 @@
 	last map[string]float64 // by route, from 0 up to but not including 1
 }
 
-// part is the service that a request of a route goes to.
-func (s *splitSequences) part(r *configuration.Route) string {
+// chooseService is the service that a request of a route goes to.
+func (s *splitSequences) chooseService(r *configuration.Route) string {
 	if len(r.Split) < 2 {
 		return r.PickService(0)
 	}
@@ -42,8 +42,8 @@
 	return x
 }
 
-// keep forgets the routes that a configuration does not have.
-func (s *splitSequences) keep(c *configuration.Config) {
+// retain forgets the routes that a configuration does not have.
+func (s *splitSequences) retain(c *configuration.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := map[string]float64{}
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -11,7 +11,7 @@
 
 // A dozen sidecars draw 300 requests of a route together, in turn and each for itself: every part has its share within three in a
 // hundred; and of each hundred of one sidecar, within three requests.
-func TestPartsOfARouteGetTheirShares(t *testing.T) {
+func TestServicesOfASplitRouteGetTheirShares(t *testing.T) {
 	c := qt.New(t)
 	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 20},
 		{Service: "c", Weight: 10}, {Service: "none", Weight: 0}}}
@@ -19,7 +19,7 @@
 		sidecars := make([]splitSequences, 12)
 		count := map[string]float64{}
 		for i := range 300 {
-			count[sidecars[i%len(sidecars)].part(route)]++
+			count[sidecars[i%len(sidecars)].chooseService(route)]++
 		}
 		for _, s := range route.Split {
 			off := math.Abs(count[s.Service]/300 - s.Weight/100)
@@ -30,13 +30,13 @@
 	for range 20 {
 		count := map[string]float64{}
 		for range 100 {
-			count[one.part(route)]++
+			count[one.chooseService(route)]++
 		}
 		for _, s := range route.Split {
 			c.Assert(math.Abs(count[s.Service]-s.Weight) <= 3, qt.IsTrue, qt.Commentf("%s: %v of 100", s.Service, count[s.Service]))
 		}
 	}
-	one.keep(&configuration.Config{})
+	one.retain(&configuration.Config{})
 	c.Assert(one.last, qt.HasLen, 0)
-	c.Assert(one.part(&configuration.Route{Name: "s", Split: route.Split[:1]}), qt.Equals, "a")
+	c.Assert(one.chooseService(&configuration.Route{Name: "s", Split: route.Split[:1]}), qt.Equals, "a")
 }
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -27,7 +27,7 @@
 
 // playSlowRun has endpoints answer within 20 ms, but for the first attempt of one request, which runs for so long. Its second
 // attempt ends as given. It returns what its client is answered, and when.
-func playSlowRun(t *testing.T, length time.Duration, second inbound.Outcome) (status int, after time.Duration, run *slowRun) {
+func playSlowRun(t *testing.T, length time.Duration, second inbound.ForwardResponse) (status int, after time.Duration, run *slowRun) {
 	n := newNetwork(1, false)
 	a := startSidecar(t, n, "a", 1)
 	far, stopFar := startFar(n)
@@ -37,12 +37,12 @@
 		time.Sleep(5 * time.Second)
 	}()
 	run = &slowRun{}
-	answer := func(call *transport.IncomingCall, o inbound.Outcome) { call.Reply(&o) }
-	served := inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true}
+	answer := func(call *transport.IncomingCall, o inbound.ForwardResponse) { call.Reply(&o) }
+	served := inbound.ForwardResponse{Kind: outcome.Answered, Status: 200, ReachedEndpoint: true}
 	far.HandleRaw(inbound.MethodForward, func(call *transport.IncomingCall) {
 		var p inbound.ForwardRequest
 		qt.Check(t, codec.Unmarshal(call.Body, &p), qt.IsNil)
-		if p.Attempt != "slow" {
+		if p.AttemptID != "slow" {
 			time.AfterFunc(20*time.Millisecond, func() { answer(call, served) })
 			return
 		}
@@ -58,14 +58,14 @@
 			run.withdrawn = a.hub.Now()
 			run.mu.Unlock()
 			timer.Stop()
-			call.Reply(&inbound.Outcome{Kind: outcome.Silent, Arrived: true})
+			call.Reply(&inbound.ForwardResponse{Kind: outcome.TimedOut, ReachedEndpoint: true})
 		})
 	})
 	var known []discovery.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		known = append(known, discovery.Endpoint{ID: id, Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 8})
 	}
-	a.outbound.Told("s", known)
+	a.outbound.UpdateEndpoints("s", known)
 	p := &pair{n: n}
 	stop := make(chan struct{})
 	var others sync.WaitGroup
@@ -109,7 +109,7 @@
 func TestARepeatDoesNotCostTheAttemptBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		status, after, run := playSlowRun(t, 800*time.Millisecond, inbound.Outcome{Kind: outcome.Full})
+		status, after, run := playSlowRun(t, 800*time.Millisecond, inbound.ForwardResponse{Kind: outcome.AtCapacity})
 		c.Check(run.sent > 1, qt.IsTrue, qt.Commentf("it is repeated: sent %d times", run.sent))
 		c.Check(status, qt.Equals, 200)
 		c.Check(run.withdrawn, qt.Equals, time.Duration(0))
@@ -117,7 +117,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		status, after, run := playSlowRun(t, 1800*time.Millisecond, inbound.Outcome{Kind: outcome.Answered, Status: 200, Arrived: true})
+		status, after, run := playSlowRun(t, 1800*time.Millisecond, inbound.ForwardResponse{Kind: outcome.Answered, Status: 200, ReachedEndpoint: true})
 		c.Check(run.sent, qt.Equals, 2)
 		c.Check(status, qt.Equals, 200)
 		c.Check(after < 800*time.Millisecond, qt.IsTrue, qt.Commentf("%v", after))
@@ -125,7 +125,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		status, _, run := playSlowRun(t, 800*time.Millisecond, inbound.Outcome{Kind: outcome.Broken, Arrived: true})
+		status, _, run := playSlowRun(t, 800*time.Millisecond, inbound.ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true})
 		c.Check(run.sent > 1, qt.IsTrue)
 		c.Check(status, qt.Equals, 200)
 	})
--- a/internal/mesh/dataplane/outcome/golden_test.go
+++ b/internal/mesh/dataplane/outcome/golden_test.go
@@ -21,14 +21,14 @@
 
 func line(text *strings.Builder, kind Kind) {
 	e := kind.Entry()
-	fmt.Fprintf(text, "%d %q %d %t %t %t %v\n", uint64(kind), kind.String(), e.Status, e.NotRun, e.Blame, e.Attempt, e.Back)
+	fmt.Fprintf(text, "%d %q %d %t %t %t %v\n", uint64(kind), kind.String(), e.Status, e.NotExecuted, e.SuspectsEndpoint, e.EndsAttempt, e.RetryAfter)
 }
 
 // The names of the kinds in the code, by number: a kind keeps its number whatever its name is.
 func TestGoldenNumbers(t *testing.T) {
-	for number, kind := range []Kind{1: Answered, 2: Full, 3: Leaving, 4: Mistaken, 5: Unreachable, 6: TurnedAway, 7: Late, 8: Withdrawn,
-		9: Overloaded, 10: Quota, 11: Unready, 12: Ending, 13: Lost, 14: Spoilt, 15: Silent, 16: NoRoute, 17: NoKey, 18: Malformed,
-		19: TooLarge, 20: HeadTooLarge, 21: Slow, 22: Broken} {
+	for number, kind := range []Kind{1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
+		9: Overloaded, 10: QuotaExceeded, 11: NotReady, 12: ShuttingDown, 13: ConnectionLost, 14: InvalidResponse, 15: TimedOut, 16: NoRoute, 17: Unauthorized, 18: Malformed,
+		19: BodyTooLarge, 20: HeaderTooLarge, 21: BodyTimeout, 22: EndpointReset} {
 		if uint64(kind) != uint64(number) {
 			t.Errorf("%s is number %d, want %d", kind, kind, number)
 		}
--- a/internal/mesh/dataplane/outcome/outcome.go
+++ b/internal/mesh/dataplane/outcome/outcome.go
@@ -13,68 +13,68 @@
 	Answered Kind = 1 + iota // the endpoint's answer, as it came
 
 	// Surely not run, and now never will be.
-	Full        // the endpoint has no room in time
-	Leaving     // the endpoint drains
-	Mistaken    // another endpoint, or none, is at that place now
-	Unreachable // no connection came about, or the request did not go out whole
-	TurnedAway  // the endpoint itself said that it did not run it
-	Late        // its time was up before it began
-	Withdrawn   // given up by the caller before it began
-	Overloaded  // nobody can serve it in time
-	Quota       // beyond its tenant's limit
-	Unready     // this process has no configuration yet
-	Ending      // this process is about to end
+	AtCapacity    // the endpoint has no room in time
+	Draining      // the endpoint drains
+	Misdirected   // another endpoint, or none, is at that place now
+	Unreachable   // no connection came about, or the request did not go out whole
+	Rejected      // the endpoint itself said that it did not run it
+	Expired       // its time was up before it began
+	Cancelled     // given up by the caller before it began
+	Overloaded    // nobody can serve it in time
+	QuotaExceeded // beyond its tenant's limit
+	NotReady      // this process has no configuration yet
+	ShuttingDown  // this process is about to end
 
 	// May have run.
-	Lost   // the connection to the other sidecar ended after the request had gone out
-	Spoilt // what came back is not its answer
-	Silent // no answer in time
+	ConnectionLost  // the connection to the other sidecar ended after the request had gone out
+	InvalidResponse // what came back is not its answer
+	TimedOut        // no answer in time
 
 	// The request itself.
 	NoRoute
-	NoKey
+	Unauthorized
 	Malformed
-	TooLarge
-	HeadTooLarge
-	Slow // it did not come whole in time; not run
+	BodyTooLarge
+	HeaderTooLarge
+	BodyTimeout // it did not come whole in time; not run
 
 	// May have run, too.
-	Broken // the endpoint broke its connection; its sidecar stands
+	EndpointReset // the endpoint broke its connection; its sidecar stands
 )
 
 // Entry is a kind's line of the table.
 type Entry struct {
-	Name    string
-	Status  int           // of the answer
-	NotRun  bool          // surely not, and never will
-	Blame   bool          // the endpoint, or its sidecar, may be down: it is isolated
-	Attempt bool          // an attempt can end so; the others are ends of requests that were not sent to any endpoint
-	Back    time.Duration // when a client that is refused should ask again; 0 for kinds that are not worth asking again
+	Name             string
+	Status           int           // of the answer
+	NotExecuted      bool          // surely not, and never will
+	SuspectsEndpoint bool          // the endpoint, or its sidecar, may be down: it is isolated
+	EndsAttempt      bool          // an attempt can end so; the others are ends of requests that were not sent to any endpoint
+	RetryAfter       time.Duration // when a client that is refused should ask again; 0 for kinds that are not worth asking again
 }
 
 var table = map[Kind]Entry{
-	Answered:     {"answered", 200, false, false, true, 0},
-	Full:         {"full", 503, true, false, true, 250 * time.Millisecond},
-	Leaving:      {"leaving", 503, true, false, true, 100 * time.Millisecond},
-	Mistaken:     {"mistaken", 503, true, true, true, 100 * time.Millisecond},
-	Unreachable:  {"unreachable", 503, true, true, true, 200 * time.Millisecond},
-	TurnedAway:   {"turned away", 503, true, false, true, 250 * time.Millisecond},
-	Late:         {"late", 503, true, false, true, 300 * time.Millisecond},
-	Withdrawn:    {"withdrawn", 503, true, false, true, 300 * time.Millisecond},
-	Overloaded:   {"overloaded", 503, true, false, true, 300 * time.Millisecond},
-	Quota:        {"quota", 429, true, false, false, time.Second},
-	Unready:      {"unready", 503, true, false, false, 300 * time.Millisecond},
-	Ending:       {"ending", 503, true, false, false, 900 * time.Millisecond},
-	Lost:         {"lost", 502, false, true, true, 0},
-	Broken:       {"broken", 502, false, false, true, 0},
-	Spoilt:       {"spoilt", 502, false, false, true, 0},
-	Silent:       {"silent", 504, false, false, true, 0},
-	NoRoute:      {"no route", 404, true, false, false, 0},
-	NoKey:        {"no key", 401, true, false, false, 0},
-	Malformed:    {"malformed", 400, true, false, false, 0},
-	TooLarge:     {"too large", 413, true, false, false, 0},
-	HeadTooLarge: {"head too large", 431, true, false, false, 0},
-	Slow:         {"slow", 408, true, false, false, 0},
+	Answered:        {"answered", 200, false, false, true, 0},
+	AtCapacity:      {"full", 503, true, false, true, 250 * time.Millisecond},
+	Draining:        {"leaving", 503, true, false, true, 100 * time.Millisecond},
+	Misdirected:     {"mistaken", 503, true, true, true, 100 * time.Millisecond},
+	Unreachable:     {"unreachable", 503, true, true, true, 200 * time.Millisecond},
+	Rejected:        {"turned away", 503, true, false, true, 250 * time.Millisecond},
+	Expired:         {"late", 503, true, false, true, 300 * time.Millisecond},
+	Cancelled:       {"withdrawn", 503, true, false, true, 300 * time.Millisecond},
+	Overloaded:      {"overloaded", 503, true, false, true, 300 * time.Millisecond},
+	QuotaExceeded:   {"quota", 429, true, false, false, time.Second},
+	NotReady:        {"unready", 503, true, false, false, 300 * time.Millisecond},
+	ShuttingDown:    {"ending", 503, true, false, false, 900 * time.Millisecond},
+	ConnectionLost:  {"lost", 502, false, true, true, 0},
+	EndpointReset:   {"broken", 502, false, false, true, 0},
+	InvalidResponse: {"spoilt", 502, false, false, true, 0},
+	TimedOut:        {"silent", 504, false, false, true, 0},
+	NoRoute:         {"no route", 404, true, false, false, 0},
+	Unauthorized:    {"no key", 401, true, false, false, 0},
+	Malformed:       {"malformed", 400, true, false, false, 0},
+	BodyTooLarge:    {"too large", 413, true, false, false, 0},
+	HeaderTooLarge:  {"head too large", 431, true, false, false, 0},
+	BodyTimeout:     {"slow", 408, true, false, false, 0},
 }
 
 // Entry is a kind's line; one that is not of the list, from a later version, counts as may have run.
@@ -82,26 +82,26 @@
 	if e, ok := table[k]; ok {
 		return e
 	}
-	return Entry{Name: "unknown", Status: 502, Attempt: true}
+	return Entry{Name: "unknown", Status: 502, EndsAttempt: true}
 }
 
 func (k Kind) String() string { return k.Entry().Name }
 
-// NotRun tells whether a request that ended so has surely not run, and never will.
-func (k Kind) NotRun() bool { return k.Entry().NotRun }
+// NotExecuted tells whether a request that ended so has surely not run, and never will.
+func (k Kind) NotExecuted() bool { return k.Entry().NotExecuted }
 
-// Back is when a client that is refused should ask again, for kinds that are worth asking again; 0 for others.
-func (k Kind) Back() time.Duration { return k.Entry().Back }
+// RetryAfter is when a client that is refused should ask again, for kinds that are worth asking again; 0 for others.
+func (k Kind) RetryAfter() time.Duration { return k.Entry().RetryAfter }
 
 // Next is what may follow an attempt.
 type Next uint8
 
 // What may follow. Whether another attempt is made is for the decision module, within this.
 const (
-	Stop      Next = iota // no further attempt: the request is answered by the table
-	Deliver               // the endpoint's answer is the request's
-	SendAgain             // the attempt has not run: any request may be sent again
-	Repeat                // it ran or may have run: another attempt may run it once more, within the budget of repeats
+	Stop            Next = iota // no further attempt: the request is answered by the table
+	Deliver                     // the endpoint's answer is the request's
+	Retry                       // the attempt has not run: any request may be sent again
+	RetryIdempotent             // it ran or may have run: another attempt may run it once more, within the budget of repeats
 )
 
 func (n Next) String() string { return [...]string{"stop", "deliver", "send again", "repeat"}[n] }
@@ -113,12 +113,12 @@
 	switch {
 	case k == Answered && (status < 500 || !repeatable):
 		return Deliver
-	case !e.Attempt:
+	case !e.EndsAttempt:
 		return Stop
-	case e.NotRun:
-		return SendAgain
+	case e.NotExecuted:
+		return Retry
 	case repeatable:
-		return Repeat
+		return RetryIdempotent
 	}
 	return Stop
 }
--- a/internal/mesh/dataplane/outcome/outcome_test.go
+++ b/internal/mesh/dataplane/outcome/outcome_test.go
@@ -7,32 +7,32 @@
 )
 
 // The table of docs/control-safety.md, section 5, cell by cell.
-func TestWhenARequestMayBeTriedAgain(t *testing.T) {
+func TestWhenARequestMayBeRetried(t *testing.T) {
 	c := qt.New(t)
 	type cell struct{ repeatable, once Next }
 	want := map[Kind]cell{
-		Full:         {SendAgain, SendAgain},
-		Leaving:      {SendAgain, SendAgain},
-		Mistaken:     {SendAgain, SendAgain},
-		Unreachable:  {SendAgain, SendAgain},
-		TurnedAway:   {SendAgain, SendAgain},
-		Late:         {SendAgain, SendAgain},
-		Withdrawn:    {SendAgain, SendAgain},
-		Overloaded:   {SendAgain, SendAgain},
-		Lost:         {Repeat, Stop},
-		Broken:       {Repeat, Stop},
-		Spoilt:       {Repeat, Stop},
-		Silent:       {Repeat, Stop},
-		Quota:        {Stop, Stop},
-		Unready:      {Stop, Stop},
-		Ending:       {Stop, Stop},
-		NoRoute:      {Stop, Stop},
-		NoKey:        {Stop, Stop},
-		Malformed:    {Stop, Stop},
-		TooLarge:     {Stop, Stop},
-		HeadTooLarge: {Stop, Stop},
-		Slow:         {Stop, Stop},
-		Kind(999):    {Repeat, Stop}, // of a later version
+		AtCapacity:      {Retry, Retry},
+		Draining:        {Retry, Retry},
+		Misdirected:     {Retry, Retry},
+		Unreachable:     {Retry, Retry},
+		Rejected:        {Retry, Retry},
+		Expired:         {Retry, Retry},
+		Cancelled:       {Retry, Retry},
+		Overloaded:      {Retry, Retry},
+		ConnectionLost:  {RetryIdempotent, Stop},
+		EndpointReset:   {RetryIdempotent, Stop},
+		InvalidResponse: {RetryIdempotent, Stop},
+		TimedOut:        {RetryIdempotent, Stop},
+		QuotaExceeded:   {Stop, Stop},
+		NotReady:        {Stop, Stop},
+		ShuttingDown:    {Stop, Stop},
+		NoRoute:         {Stop, Stop},
+		Unauthorized:    {Stop, Stop},
+		Malformed:       {Stop, Stop},
+		BodyTooLarge:    {Stop, Stop},
+		HeaderTooLarge:  {Stop, Stop},
+		BodyTimeout:     {Stop, Stop},
+		Kind(999):       {RetryIdempotent, Stop}, // of a later version
 	}
 	c.Assert(len(want), qt.Equals, len(table)) // Answered is below, and one kind is of no table
 	for k, x := range want {
@@ -41,7 +41,7 @@
 	}
 	for status, x := range map[int]cell{
 		200: {Deliver, Deliver}, 302: {Deliver, Deliver}, 404: {Deliver, Deliver}, 499: {Deliver, Deliver},
-		500: {Repeat, Deliver}, 504: {Repeat, Deliver},
+		500: {RetryIdempotent, Deliver}, 504: {RetryIdempotent, Deliver},
 	} {
 		c.Check(Answered.Next(status, true), qt.Equals, x.repeatable, qt.Commentf("%d", status))
 		c.Check(Answered.Next(status, false), qt.Equals, x.once, qt.Commentf("%d", status))
@@ -49,13 +49,13 @@
 }
 
 // A request that may run once at most is sent again only if the attempt has surely not run, whatever the kind.
-func TestOnlyWhatHasNotRunIsSentAgain(t *testing.T) {
+func TestOnlyWhatWasNotExecutedIsRetried(t *testing.T) {
 	c := qt.New(t)
 	for k := Kind(0); k < 64; k++ {
 		for status := 100; status < 600; status++ {
 			next := k.Next(status, false)
-			c.Assert(next == Repeat, qt.IsFalse, qt.Commentf("%s %d", k, status))
-			c.Assert(next == SendAgain && !k.NotRun(), qt.IsFalse, qt.Commentf("%s %d", k, status))
+			c.Assert(next == RetryIdempotent, qt.IsFalse, qt.Commentf("%s %d", k, status))
+			c.Assert(next == Retry && !k.NotExecuted(), qt.IsFalse, qt.Commentf("%s %d", k, status))
 		}
 	}
 }
