--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -15,159 +15,159 @@
 
 // Tunables; those of the other files are at their tops. Times are ratios of settings or of what is observed.
 const (
-	refreshShare = 0.5  // of AskEvery (or Cold): the pace of fetching lists after broken connections
-	listsAtOnce  = 16.0 // of these, that all instances ask for in that time
-	watchShare   = 0.05 // of AskEvery: spread of the first Watch; it doubles with each failure
-	tickQuanta   = 4    // quanta between looks at held and overdue calls
+	fetchIntervalShare   = 0.5  // of ResubscribeInterval (or Cold): the pace of fetching lists after broken connections
+	maxConcurrentFetches = 16.0 // of these, that all instances ask for in that time
+	watchSpreadShare     = 0.05 // of ResubscribeInterval: spread of the first Watch; it doubles with each failure
+	tickQuanta           = 4    // quanta between looks at held and overdue calls
 )
 
 // Balancer decides for one instance. It is not safe for concurrent use.
 type Balancer struct {
-	set     Settings
-	host    Host
-	rng     *rand.Rand
-	window  time.Duration // over which rates are smoothed
-	tick    time.Duration
-	ticking bool
+	settings     Settings
+	host         Host
+	rng          *rand.Rand
+	rateWindow   time.Duration // over which rates are smoothed
+	tickInterval time.Duration
+	tickArmed    bool
 
-	fleet
-	byID     map[EndpointID]*endpoint
-	listed   []*endpoint // in the order of their ids
-	weighted bool        // the listed weights tell endpoints apart
-	requests map[RequestID]*request
-	classes  []*class
-	kinds    []pace // by machine kind
-	speeds   speeds
-	tenants  []bucket
-	all      bucket // what all tenants may ask for within their shares
-	held     []*request
-	waits    portion // of late in which some were
-	scratch  []*endpoint
+	endpointIndex
+	endpointsByID    map[EndpointID]*endpoint
+	listedEndpoints  []*endpoint // in the order of their ids
+	useListedWeights bool        // the listed weights tell endpoints apart
+	requests         map[RequestID]*request
+	classes          []*class
+	kindLatencies    []movingAverage // by machine kind
+	kindServiceTimes serviceTimes
+	tenantQuotas     []tokenBucket
+	totalQuota       tokenBucket // what all tenants may ask for within their shares
+	pending          []*request
+	pendingTime      timeShare // of late in which some were
+	candidateBuffer  []*endpoint
 
-	out              int     // attempts in flight
-	busy             busy    // endpoints that have some
-	isolated         int     // endpoints
-	lost             int     // those of them that no answer is expected for
-	answered         int     // answers of any kind
-	rate             flow    // base latencies answered a second: the calls in flight at little load
-	limit            float64 // on calls in flight
-	queue            float64 // calls that may queue for each endpoint and tier
-	queueAt, countAt time.Duration
-	seats            float64 // endpoints in this instance's subset
-	spare            flow    // the same for the time from base latency to the aim
-	served           flow    // answers a second
-	asked            flow    // requests a second
-	strain           float64 // smoothed latency over what it should at most be on average
-	pace             float64 // calls a second that may be sent
-	paced            bool    // the strain was above 1, and has not let go
-	strainAt         time.Duration
-	credit           float64
-	creditAt         time.Duration
-	warm             flow              // sends a second to warm endpoints, for their odds
-	errors           float64           // smoothed share of answers that are errors
-	strays           float64           // and of overdue calls that stay away for longer
-	budget           float64           // further attempts that may be made
-	noneWarm         bool              // none in the subset
-	vain             throttle.Throttle // attempts that may end without having run
-	quits            int               // attempts withdrawn whose end is still to come
+	inFlight                    int          // attempts in flight
+	busy                        busySet      // endpoints that have some
+	ejectedCount                int          // endpoints
+	lostInFlight                int          // those of them that no answer is expected for
+	responses                   int          // answers of any kind
+	baseConcurrency             decayingRate // base latencies answered a second: the calls in flight at little load
+	concurrencyLimit            float64      // on calls in flight
+	queuePerEndpoint            float64      // calls that may queue for each endpoint and tier
+	queueChangedAt, reweighedAt time.Duration
+	subsetSize                  float64      // endpoints in this instance's subset
+	targetConcurrency           decayingRate // the same for the time from base latency to the aim
+	servedRate                  decayingRate // answers a second
+	requestRate                 decayingRate // requests a second
+	pressure                    float64      // smoothed latency over what it should at most be on average
+	sendRate                    float64      // calls a second that may be sent
+	sendRateLimited             bool         // the strain was above 1, and has not let go
+	pressureAt                  time.Duration
+	sendTokens                  float64
+	sendTokensAt                time.Duration
+	warmSendRate                decayingRate      // sends a second to warm endpoints, for their odds
+	errorRate                   float64           // smoothed share of answers that are errors
+	overdueShare                float64           // and of overdue calls that stay away for longer
+	retryBudget                 float64           // further attempts that may be made
+	noneWarm                    bool              // none in the subset
+	rejectionThrottle           throttle.Throttle // attempts that may end without having run
+	pendingCancels              int               // attempts withdrawn whose end is still to come
 
-	repeatSpent float64 // mean time, in seconds, that repeats had spent where they show it
+	retryElapsed float64 // mean time, in seconds, that repeats had spent where they show it
 
-	endsAt     time.Duration // when this instance ends, where that is known
-	fetchAt    time.Duration // no fetch before
-	watchPause time.Duration
+	shutdownAt   time.Duration // when this instance ends, where that is known
+	nextFetchAt  time.Duration // no fetch before
+	watchBackoff time.Duration
 }
 
 // Timer tokens.
-const tokenTick, tokenWatch = 0, 1
+const timerTick, timerWatch = 0, 1
 
 // New makes a Balancer, or names the setting that it cannot act on.
 func New(set Settings, seed uint64, host Host) (*Balancer, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, host: host, fleet: newFleet(), rng: rand.New(rand.NewPCG(seed, 0x6a617370)),
-		byID: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, budget: retryReserve,
-		queue: queueHolds, strays: 0.5, endsAt: math.MaxInt64}
-	b.window, b.sharing = cmp.Or(set.Fall, time.Second), float64(set.Instances)
-	b.tick = max(tickQuanta*set.Quantum, time.Millisecond)
+	b := &Balancer{settings: set, host: host, endpointIndex: newEndpointIndex(), rng: rand.New(rand.NewPCG(seed, 0x6a617370)),
+		endpointsByID: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, retryBudget: maxRetryBudget,
+		queuePerEndpoint: initialQueue, overdueShare: 0.5, shutdownAt: math.MaxInt64}
+	b.rateWindow, b.quotaDivisor = cmp.Or(set.OverloadDuration, time.Second), float64(set.Instances)
+	b.tickInterval = max(tickQuanta*set.Quantum, time.Millisecond)
 	for _, c := range set.Classes {
 		b.addClass(c)
 	}
 	return b, nil
 }
 
-// Request takes a new request.
-func (b *Balancer) Request(now time.Duration, q Request) {
+// HandleRequest takes a new request.
+func (b *Balancer) HandleRequest(now time.Duration, q Request) {
 	c := b.classes[q.Class]
-	low, spare := b.beyondShare(now, q)
-	r := &request{id: q.ID, class: c, deadline: min(now+q.Left, b.endsAt), low: low,
-		most: b.set.most(&q), each: q.Each, from: b.not(q.Not), times: cmp.Or(q.Times, 1),
-		mayRun: q.Earlier.MayRun, zone: q.Earlier.Zone, cell: q.Earlier.Cell, runAt: q.Earlier.At}
-	r.aimBy = min(now+c.Aim-b.spent(c, q), b.endsAt)
+	low, spare := b.takeQuota(now, q)
+	r := &request{id: q.ID, class: c, deadline: min(now+q.TimeLeft, b.shutdownAt), overQuota: low,
+		maxAttempts: b.settings.maxAttempts(&q), attemptTimeout: q.AttemptTimeout, failedEndpoint: b.excluded(q.Exclude), valueFactor: cmp.Or(q.ValueFactor, 1),
+		mayHaveRun: q.Prior.MayHaveRun, ranInZone: q.Prior.Zone, ranInCell: q.Prior.Cell, ranAt: q.Prior.SentAt}
+	r.targetAt = min(now+c.LatencyTarget-b.elapsedForClient(c, q), b.shutdownAt)
 	b.requests[q.ID] = r
-	if q.Left <= 0 || low && !spare || b.closing(now, c, q) || !b.repeatable(now, r) {
+	if q.TimeLeft <= 0 || low && !spare || b.rejectsForShutdown(now, c, q) || !b.retrySafe(now, r) {
 		b.finish(now, r)
 		return
 	}
-	b.asked.add(now, b.window, 1)
-	b.tally(c)
-	b.hold(r)
-	b.place(now)
-	b.arm()
+	b.requestRate.add(now, b.rateWindow, 1)
+	b.countRequest(c)
+	b.enqueue(r)
+	b.dispatch(now)
+	b.armTick()
 }
 
-// Leave tells when this instance ends. All that it has or takes is answered by then: what can hardly be
+// ShutDownAt tells when this instance ends. All that it has or takes is answered by then: what can hardly be
 // served in time is refused at once. Calls that are out then are the host's to end.
-func (b *Balancer) Leave(now, at time.Duration) {
-	b.endsAt = at
+func (b *Balancer) ShutDownAt(now, at time.Duration) {
+	b.shutdownAt = at
 	for _, r := range b.requests {
-		r.deadline, r.aimBy = min(r.deadline, at), min(r.aimBy, at)
+		r.deadline, r.targetAt = min(r.deadline, at), min(r.targetAt, at)
 	}
-	b.place(now)
+	b.dispatch(now)
 }
 
-// place sends held requests, the most worth first, while there is room.
-func (b *Balancer) place(now time.Duration) {
-	b.raise(now)
-	if b.stale {
-		b.count(now)
-	}
-	b.refit(now)
-	if len(b.held) > 1 {
-		b.rateClasses()
-	}
-	for len(b.held) > 0 {
-		if float64(b.out-b.lost) >= b.limit || b.paced && b.credit < 1 || !b.vain.Open() {
+// indexEntry sends held requests, the most worth first, while there is room.
+func (b *Balancer) dispatch(now time.Duration) {
+	b.advanceSlowStarts(now)
+	if b.subsetStale {
+		b.updateSubset(now)
+	}
+	b.updateLimits(now)
+	if len(b.pending) > 1 {
+		b.updateClassValues()
+	}
+	for len(b.pending) > 0 {
+		if float64(b.inFlight-b.lostInFlight) >= b.concurrencyLimit || b.sendRateLimited && b.sendTokens < 1 || !b.rejectionThrottle.Allowed() {
 			break
 		}
-		i := b.next(now)
-		r := b.held[i]
+		i := b.nextPending(now)
+		r := b.pending[i]
 		e, trial := b.pick(now, r)
 		if e == nil {
-			if !b.placeOther(now, i) {
+			if !b.dispatchOther(now, i) {
 				break
 			}
 			continue
 		}
-		b.unhold(i)
+		b.removePending(i)
 		b.send(now, r, e, trial)
 	}
-	b.shed(now)
+	b.shedLoad(now)
 }
 
-// placeOther places another request when the first in line, on a further attempt or a repeat, and so bound
+// dispatchOther places another request when the first in line, on a further attempt or a repeat, and so bound
 // to a group or barred from an endpoint, has nowhere to go.
-func (b *Balancer) placeOther(now time.Duration, not int) bool {
-	if b.held[not].attempts == 0 && !b.held[not].mayRun {
+func (b *Balancer) dispatchOther(now time.Duration, not int) bool {
+	if b.pending[not].attempts == 0 && !b.pending[not].mayHaveRun {
 		return false
 	}
-	for i, r := range b.held {
+	for i, r := range b.pending {
 		if i == not {
 			continue
 		}
 		if e, trial := b.pick(now, r); e != nil {
-			b.unhold(i)
+			b.removePending(i)
 			b.send(now, r, e, trial)
 			return true
 		}
@@ -177,26 +177,26 @@
 
 // send makes an attempt.
 func (b *Balancer) send(now time.Duration, r *request, e *endpoint, trial bool) {
-	r.to, r.sentAt, r.trial, r.answered, r.quit = e, now, trial, b.answered, false
-	r.overtaken, r.lost, r.stray = 0, false, false
+	r.endpoint, r.sentAt, r.trial, r.responsesAtSend, r.cancelled = e, now, trial, b.responses, false
+	r.overtaken, r.lost, r.overdue = 0, false, false
 	r.attempts++
-	b.credit--
-	b.vain.Sent()
-	if e.mark != isolated {
-		b.out++
+	b.sendTokens--
+	b.rejectionThrottle.RecordAttempt()
+	if e.availability != ejected {
+		b.inFlight++
 	}
 	e.calls = append(e.calls, r)
-	b.busy.note(e)
-	if e.mark == ramping {
-		e.tokens--
-	} else if e.mark == isolated {
-		b.settle(now, e)
+	b.busy.update(e)
+	if e.availability == warmingUp {
+		e.slowStartTokens--
+	} else if e.availability == ejected {
+		b.refreshPools(now, e)
 	}
-	if w := b.warmOdds(); w > 0 && e.mark == usable && e.part > 0 {
-		b.warm.add(now, b.window, 1/w)
+	if w := b.availableSubsetWeight(); w > 0 && e.availability == available && e.subsetWeight > 0 {
+		b.warmSendRate.add(now, b.rateWindow, 1/w)
 	}
-	timeout, slow := r.each, seconds(silentTails*r.class.tail*r.class.mean)
-	if !b.set.MayCancel && r.class.Effect != Unsafe && slow > 0 {
+	timeout, slow := r.attemptTimeout, seconds(unresponsiveTails*r.class.tailRatio*r.class.meanLatency)
+	if !b.settings.MayCancel && r.class.Idempotency != NonIdempotent && slow > 0 {
 		timeout = min(slow, cmp.Or(timeout, slow))
 	}
 	if timeout >= r.deadline-now {
@@ -205,189 +205,189 @@
 	b.host.Send(r.id, e.id, timeout)
 }
 
-// Begun tells that a streamed answer has started: the request is the client's from here on.
-func (b *Balancer) Begun(now time.Duration, id RequestID, attempt int, from EndpointID) {
-	if r := b.requests[id]; r != nil && r.to != nil {
-		r.stream = true
-		r.to.lastAnswer = now
-		b.answered++
+// HandleResponseStart tells that a streamed answer has started: the request is the client's from here on.
+func (b *Balancer) HandleResponseStart(now time.Duration, id RequestID, attempt int, from EndpointID) {
+	if r := b.requests[id]; r != nil && r.endpoint != nil {
+		r.streaming = true
+		r.endpoint.lastResponseAt = now
+		b.responses++
 	}
 }
 
-// Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// HandleOutcome takes the end of an attempt.
+func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
-	if r == nil || r.to == nil {
+	if r == nil || r.endpoint == nil {
 		return
 	}
-	e := r.to
-	r.to = nil
-	if r.quit {
-		b.quits--
+	e := r.endpoint
+	r.endpoint = nil
+	if r.cancelled {
+		b.pendingCancels--
 	}
-	if e.mark != isolated {
-		b.out--
+	if e.availability != ejected {
+		b.inFlight--
 	}
 	e.calls = slices.DeleteFunc(e.calls, func(x *request) bool { return x == r })
-	b.busy.note(e)
-	b.freed = e
-	if e.mark == isolated {
-		b.settle(now, e)
+	b.busy.update(e)
+	b.lastFreed = e
+	if e.availability == ejected {
+		b.refreshPools(now, e)
 	}
-	if o.Status == OK {
-		b.vain.Ran(min(vainMost, max(rampHeadroom*b.set.TipMultiple-1, retryShare)))
+	if o.Status == StatusOK {
+		b.rejectionThrottle.RecordResponse(min(maxRejectionsPerResponse, max(slowStartHeadroom*b.settings.OverloadMultiple-1, retryBudgetShare)))
 	} else if !o.Status.NeverRan() {
-		b.vain.Ran(0)
+		b.rejectionThrottle.RecordResponse(0)
 	}
-	b.report(now, e, o.Load)
-	b.judge(now, r, e, o)
-	if o.Final || r.done || r.stream {
+	b.recordLoadReport(now, e, o.Load)
+	b.recordOutcome(now, r, e, o)
+	if o.Final || r.done || r.streaming {
 		if !o.Final && !r.done {
 			b.host.Fail(r.id)
 		}
 		delete(b.requests, r.id)
 	} else {
-		b.again(now, r, e, o)
+		b.retryOrFinish(now, r, e, o)
 	}
-	b.place(now)
-	b.arm()
+	b.dispatch(now)
+	b.armTick()
 }
 
-// Lapsed tells that the client has gone: nothing is owed, and work for it is called off.
-func (b *Balancer) Lapsed(now time.Duration, id RequestID) {
+// HandleClientGone tells that the client has gone: nothing is owed, and work for it is called off.
+func (b *Balancer) HandleClientGone(now time.Duration, id RequestID) {
 	r := b.requests[id]
 	if r == nil {
 		return
 	}
 	r.done = true
-	if r.held {
-		b.unhold(slices.Index(b.held, r))
+	if r.pending {
+		b.removePending(slices.Index(b.pending, r))
 	}
-	if r.to == nil {
+	if r.endpoint == nil {
 		delete(b.requests, id)
 		return
 	}
-	b.withdraw(r)
+	b.cancelAttempt(r)
 }
 
-// arm keeps the tick going while anything is held or in flight.
-func (b *Balancer) arm() {
-	if !b.ticking && len(b.requests) > 0 {
-		b.ticking = true
-		b.host.SetTimer(tokenTick, b.tick)
+// armTick keeps the tick going while anything is held or in flight.
+func (b *Balancer) armTick() {
+	if !b.tickArmed && len(b.requests) > 0 {
+		b.tickArmed = true
+		b.host.SetTimer(timerTick, b.tickInterval)
 	}
 }
 
-// Timer takes a timer that fell due.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+// HandleTimer takes a timer that fell due.
+func (b *Balancer) HandleTimer(now time.Duration, token uint64) {
 	switch token {
-	case tokenTick:
-		b.ticking = false
-		b.lost = 0
-		b.raise(now)
-		b.dry, b.freed = [2]bool{}, nil
+	case timerTick:
+		b.tickArmed = false
+		b.lostInFlight = 0
+		b.advanceSlowStarts(now)
+		b.exhausted, b.lastFreed = [2]bool{}, nil
 		// Where none is warm no send can renew what ramps go by: it faded, and with it what cold ones got.
-		if b.noneWarm = b.warmOdds() == 0; b.noneWarm {
-			b.warm.rest(now, b.window)
+		if b.noneWarm = b.availableSubsetWeight() == 0; b.noneWarm {
+			b.warmSendRate.decay(now, b.rateWindow)
 		}
 		for _, e := range b.busy {
-			b.age(now, e)
-			b.miss(now, e)
+			b.ejectUnresponsive(now, e)
+			b.detectLost(now, e)
 		}
-		b.place(now)
-		b.arm()
-	case tokenWatch:
-		b.host.Watch(true)
+		b.dispatch(now)
+		b.armTick()
+	case timerWatch:
+		b.host.WatchEndpoints(true)
 	}
 }
 
-// Targets takes news of the endpoint list.
-func (b *Balancer) Targets(now time.Duration, l List) {
-	if l.Kind == Failed {
-		b.rewatch()
+// HandleEndpoints takes news of the endpoint list.
+func (b *Balancer) HandleEndpoints(now time.Duration, l EndpointList) {
+	if l.Kind == ListFailed {
+		b.scheduleWatch()
 		return
 	}
-	if l.Kind != Delta {
-		for _, e := range b.listed {
+	if l.Kind != ListDelta {
+		for _, e := range b.listedEndpoints {
 			e.listed = false
 		}
 	}
-	if b.tenants == nil {
-		b.meter(now)
+	if b.tenantQuotas == nil {
+		b.startQuotas(now)
 	}
 	for _, x := range l.Entries {
-		b.entry(now, l, x)
+		b.applyEntry(now, l, x)
 	}
-	b.relist(now, l)
-	b.dry, b.freed = [2]bool{}, nil
+	b.syncList(now, l)
+	b.exhausted, b.lastFreed = [2]bool{}, nil
 	switch {
-	case l.Kind == Cached && b.set.MustAsk:
-		b.rewatch()
-	case l.Kind != Cached:
-		b.watchPause = 0
+	case l.Kind == ListCached && b.settings.MustSubscribe:
+		b.scheduleWatch()
+	case l.Kind != ListCached:
+		b.watchBackoff = 0
 	}
-	b.place(now)
-	b.arm()
+	b.dispatch(now)
+	b.armTick()
 }
 
-// rewatch subscribes after a pause that doubles with each failure, spread so that not all ask at once.
-func (b *Balancer) rewatch() {
-	if !b.set.MustAsk {
+// scheduleWatch subscribes after a pause that doubles with each failure, spread so that not all ask at once.
+func (b *Balancer) scheduleWatch() {
+	if !b.settings.MustSubscribe {
 		return
 	}
-	first := max(seconds(watchShare*b.set.AskEvery.Seconds()), b.tick)
-	b.watchPause = min(max(2*b.watchPause, first), max(b.set.AskEvery, first))
-	b.host.SetTimer(tokenWatch, seconds(b.watchPause.Seconds()*b.rng.Float64()))
+	first := max(seconds(watchSpreadShare*b.settings.ResubscribeInterval.Seconds()), b.tickInterval)
+	b.watchBackoff = min(max(2*b.watchBackoff, first), max(b.settings.ResubscribeInterval, first))
+	b.host.SetTimer(timerWatch, seconds(b.watchBackoff.Seconds()*b.rng.Float64()))
 }
 
-// refresh asks for a fresh list after a broken connection, at a pace. What breaks breaks for many instances
-// at once, and discovery is one service for all: of more than listsAtOnce so many ask on average, by lot. The
+// fetchPaced asks for a fresh list after a broken connection, at a pace. What breaks breaks for many instances
+// at once, and discovery is one service for all: of more than maxConcurrentFetches so many ask on average, by lot. The
 // others hear of it as of any change.
-func (b *Balancer) refresh(now time.Duration) {
-	if now < b.fetchAt {
+func (b *Balancer) fetchPaced(now time.Duration) {
+	if now < b.nextFetchAt {
 		return
 	}
-	pace := cmp.Or(b.set.AskEvery, max(b.set.Cold, b.window))
-	b.fetchAt = now + b.jitter(seconds(refreshShare*pace.Seconds()))
-	if n := b.sharing; n <= listsAtOnce || b.rng.Float64()*n < listsAtOnce {
-		b.host.Fetch()
+	pace := cmp.Or(b.settings.ResubscribeInterval, max(b.settings.SlowStartWindow, b.rateWindow))
+	b.nextFetchAt = now + b.jitter(seconds(fetchIntervalShare*pace.Seconds()))
+	if n := b.quotaDivisor; n <= maxConcurrentFetches || b.rng.Float64()*n < maxConcurrentFetches {
+		b.host.FetchEndpoints()
 	}
 }
 
-// entry takes one line of a list.
-func (b *Balancer) entry(now time.Duration, l List, x Entry) {
-	e := b.byID[x.Endpoint]
+// applyEntry takes one line of a list.
+func (b *Balancer) applyEntry(now time.Duration, l EndpointList, x ListEntry) {
+	e := b.endpointsByID[x.Endpoint]
 	if e == nil {
-		e = &endpoint{id: x.Endpoint, mark: leaving}
-		b.byID[x.Endpoint] = e
-		b.news = append(b.news, e)
-	}
-	moved := !e.alike(x)
-	e.zone, e.cell, e.kind, e.version = x.Zone, x.Cell, max(x.Kind, 0), l.Version
-	e.weight, e.listed = max(x.Weight, 0), x.State != Gone
-	b.fleet.weigh(e)
-	restarted := x.Started > e.started
-	e.started = max(e.started, x.Started)
+		e = &endpoint{id: x.Endpoint, availability: draining}
+		b.endpointsByID[x.Endpoint] = e
+		b.added = append(b.added, e)
+	}
+	moved := !e.matches(x)
+	e.zone, e.cell, e.kind, e.listVersion = x.Zone, x.Cell, max(x.MachineKind, 0), l.Version
+	e.listedWeight, e.listed = max(x.Weight, 0), x.State != EndpointRemoved
+	b.endpointIndex.countWeight(e)
+	restarted := x.StartedAt > e.startedAt
+	e.startedAt = max(e.startedAt, x.StartedAt)
 	switch {
-	case x.State != Ready:
-		b.leave(now, e)
-	case restarted && now-x.Started < b.set.Cold:
-		e.errors, e.debts = 0, nil
-		b.ramp(now, e, x.Started)
-	case restarted, e.mark == leaving:
-		b.reopen(e)
-		e.mark = usable
-		b.seat(now, e)
+	case x.State != EndpointReady:
+		b.startDraining(now, e)
+	case restarted && now-x.StartedAt < b.settings.SlowStartWindow:
+		e.errorRate, e.penalties = 0, nil
+		b.startSlowStart(now, e, x.StartedAt)
+	case restarted, e.availability == draining:
+		b.clearEjection(e)
+		e.availability = available
+		b.reindex(now, e)
 	case moved:
-		b.seat(now, e)
+		b.reindex(now, e)
 	}
 }
 
-// Probed takes the result of a probe; this Balancer sends none, and passes it over.
-func (b *Balancer) Probed(now time.Duration, p Probed) {}
+// HandleHealthCheck takes the result of a probe; this Balancer sends none, and passes it over.
+func (b *Balancer) HandleHealthCheck(now time.Duration, p HealthCheckResult) {}
 
-// Told takes a peer's message; this Balancer sends none, and passes it over.
-func (b *Balancer) Told(now time.Duration, from int, data []byte) {}
+// HandlePeerMessage takes a peer's message; this Balancer sends none, and passes it over.
+func (b *Balancer) HandlePeerMessage(now time.Duration, from int, data []byte) {}
 
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return seconds(d.Seconds() * (0.75 + 0.5*b.rng.Float64()))
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -35,7 +35,7 @@
 	h.sent = append(h.sent, sent{id, to, h.attempts[id], timeout})
 	h.attempts[id]++
 }
-func (h *recorder) Refuse(id RequestID, after time.Duration) {
+func (h *recorder) Reject(id RequestID, after time.Duration) {
 	h.refusals = append(h.refusals, id)
 	h.advice = append(h.advice, after)
 }
@@ -46,25 +46,25 @@
 func (h *recorder) SetTimer(token uint64, after time.Duration) {
 	h.timers[token] = h.now + after
 }
-func (h *recorder) Probe(EndpointID)        {}
-func (h *recorder) Tell(int, []byte)        {}
-func (h *recorder) Watch(bool)              { h.watches++ }
-func (h *recorder) Fetch()                  { h.fetches++ }
-func (h *recorder) CloseIdle(to EndpointID) {}
-func (h *recorder) Log(text string)         { h.logs = append(h.logs, text) }
+func (h *recorder) HealthCheck(EndpointID)             {}
+func (h *recorder) SendToPeer(int, []byte)             {}
+func (h *recorder) WatchEndpoints(bool)                { h.watches++ }
+func (h *recorder) FetchEndpoints()                    { h.fetches++ }
+func (h *recorder) CloseIdleConnections(to EndpointID) {}
+func (h *recorder) Log(text string)                    { h.logs = append(h.logs, text) }
 
 // last is the latest send.
 func (h *recorder) last() sent { return h.sent[len(h.sent)-1] }
 
 func settings() Settings {
-	c := Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}
+	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
 	read, pay, book := c, c, c
-	read.Name, read.Effect = "read", Safe
-	pay.Name, pay.Effect = "pay", Unsafe
-	book.Name, book.Effect, book.Scope, book.Window = "book", Keyed, ScopeCell, 5*time.Second
+	read.Name, read.Idempotency = "read", Idempotent
+	pay.Name, pay.Idempotency = "pay", NonIdempotent
+	book.Name, book.Idempotency, book.KeyScope, book.KeyWindow = "book", IdempotentWithKey, KeyScopeCell, 5*time.Second
 	return Settings{
 		Instances: 1, Quantum: 2 * ms, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * ms,
-		ColdFrom: 0.2, Cold: 10 * time.Second, TipMultiple: 3, Fall: time.Second, AskEvery: 10 * time.Second,
+		SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second, ResubscribeInterval: 10 * time.Second,
 		Classes: []Class{read, pay, book},
 	}
 }
@@ -87,40 +87,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := List{Kind: Cached, Version: 1}
+	l := EndpointList{Kind: ListCached, Version: 1}
 	for i := 1; i <= n; i++ {
-		l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
+		l.Entries = append(l.Entries, ListEntry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
 	}
-	b.Targets(h.now, l)
+	b.HandleEndpoints(h.now, l)
 	return &bed{recorder: h, t: t, b: b}
 }
 
 // list hands over a delta with one entry.
-func (d *bed) list(e Entry) {
-	d.b.Targets(d.now, List{Kind: Delta, Version: 2, Entries: []Entry{e}})
+func (d *bed) list(e ListEntry) {
+	d.b.HandleEndpoints(d.now, EndpointList{Kind: ListDelta, Version: 2, Entries: []ListEntry{e}})
 }
 
 // ask brings a request with a second and a half left.
 func (d *bed) ask(class int) RequestID {
 	d.n++
 	id := RequestID(fmt.Sprint("r", d.n))
-	d.b.Request(d.now, Request{ID: id, Class: class, Left: 1500 * ms})
+	d.b.HandleRequest(d.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms})
 	return id
 }
 
 // end reports the outcome of a send.
 func (d *bed) end(s sent, status Status, took time.Duration) {
-	d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
+	d.b.HandleOutcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == StatusOK, Status: status,
 		Elapsed: took})
 }
 
 // pass lets time go by, with the timers that fall due.
 func (d *bed) pass(by time.Duration) {
 	for until := d.now + by; d.now < until; d.now += 2 * ms {
-		for _, token := range []uint64{tokenTick, tokenWatch} {
+		for _, token := range []uint64{timerTick, timerWatch} {
 			if due, ok := d.timers[token]; ok && due <= d.now {
 				delete(d.timers, token)
-				d.b.Timer(d.now, token)
+				d.b.HandleTimer(d.now, token)
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 			s := d.sent[at]
 			at++
 			got[s.to]++
-			status := OK
+			status := StatusOK
 			if answer != nil {
 				status = answer(s.to)
 			}
@@ -154,17 +154,17 @@
 		d.ask(read)
 	}
 	running := slices.Clone(d.sent)
-	d.list(Entry{Endpoint: 1, State: Draining})
+	d.list(ListEntry{Endpoint: 1, State: EndpointDraining})
 	if len(d.cancels) > 0 {
 		t.Error("a running call was called off when its endpoint drained")
 	}
 	for _, s := range running {
-		d.end(s, OK, 10*ms)
+		d.end(s, StatusOK, 10*ms)
 	}
 	if got := d.serve(20, nil); got[1] != 0 || got[2] != 20 {
 		t.Errorf("sends by endpoint %v, want all 20 to 2", got)
 	}
-	d.list(Entry{Endpoint: 1})
+	d.list(ListEntry{Endpoint: 1})
 	if got := d.serve(20, nil); got[1] == 0 {
 		t.Error("an endpoint that is ready again gets nothing")
 	}
@@ -185,19 +185,19 @@
 	d.serve(40, nil)
 	id := d.ask(read)
 	lost := d.last()
-	d.end(lost, Reset, 5*ms)
+	d.end(lost, StatusReset, 5*ms)
 	if d.fetches != 1 {
 		t.Errorf("%d lists fetched after a broken connection, want 1", d.fetches)
 	}
 	if again := d.last(); again.id != id || again.to == lost.to {
 		t.Errorf("retry %v, want %s on another endpoint than %d", again, id, lost.to)
 	}
-	d.end(d.last(), OK, 20*ms)
+	d.end(d.last(), StatusOK, 20*ms)
 	fail := func(to EndpointID) Status {
 		if to == lost.to {
-			return ConnectFailed
+			return StatusConnectFailed
 		}
-		return OK
+		return StatusOK
 	}
 	if got := d.serve(100, fail); got[lost.to] == 0 || got[lost.to] > 5 {
 		t.Errorf("%d trials in 2 s, want a few", got[lost.to])
@@ -218,13 +218,13 @@
 	d.serve(40, nil)
 	id := d.ask(read)
 	spoilt := d.last()
-	d.end(spoilt, Spoilt, 5*ms)
+	d.end(spoilt, StatusInvalidResponse, 5*ms)
 	if again := d.last(); again.id != id || again.attempt != 1 {
 		t.Errorf("retry %v, want %s once more", again, id)
 	}
-	d.end(d.last(), OK, 20*ms)
+	d.end(d.last(), StatusOK, 20*ms)
 	d.ask(pay)
-	d.end(d.last(), Spoilt, 5*ms)
+	d.end(d.last(), StatusInvalidResponse, 5*ms)
 	if len(d.fails) != 1 || len(d.refusals) != 0 {
 		t.Errorf("an unsafe call that may have run: %d failed, %d refused", len(d.fails), len(d.refusals))
 	}
@@ -232,10 +232,10 @@
 	for range 3 {
 		d.ask(read)
 		for d.last().to == bad {
-			d.end(d.last(), Spoilt, 5*ms)
+			d.end(d.last(), StatusInvalidResponse, 5*ms)
 			d.ask(read)
 		}
-		d.end(d.last(), OK, 20*ms)
+		d.end(d.last(), StatusOK, 20*ms)
 	}
 	if got := d.serve(100, nil); got[bad] < 10 || d.fetches != 0 || len(d.logs) > 0 {
 		t.Errorf("%d of 100 sends to it, %d lists fetched, logs %q", got[bad], d.fetches, d.logs)
@@ -248,20 +248,20 @@
 	for i := 2; i < 100; i++ {
 		d.ask(read)
 		late := d.last()
-		d.list(Entry{Endpoint: EndpointID(i), Weight: 1})
-		d.list(Entry{Endpoint: EndpointID(i - 1), State: Gone})
+		d.list(ListEntry{Endpoint: EndpointID(i), Weight: 1})
+		d.list(ListEntry{Endpoint: EndpointID(i - 1), State: EndpointRemoved})
 		if i%2 == 0 {
-			d.list(Entry{Endpoint: EndpointID(i - 1), State: Gone})
+			d.list(ListEntry{Endpoint: EndpointID(i - 1), State: EndpointRemoved})
 		}
-		d.b.Probed(d.now, Probed{Endpoint: EndpointID(i - 1)})
-		d.end(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
+		d.b.HandleHealthCheck(d.now, HealthCheckResult{Endpoint: EndpointID(i - 1)})
+		d.end(late, []Status{StatusOK, StatusReset, StatusError, StatusConnectFailed, StatusCancelled}[i%5], 5*ms)
 		for d.attempts[late.id] > 1 && d.last().id == late.id && d.b.requests[late.id] != nil {
-			d.end(d.last(), OK, 5*ms)
+			d.end(d.last(), StatusOK, 5*ms)
 		}
 		d.pass(20 * ms)
 	}
-	if len(d.b.byID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.out != 0 {
-		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.byID), len(d.b.listed), len(d.b.requests), d.b.out)
+	if len(d.b.endpointsByID) != 1 || len(d.b.listedEndpoints) != 1 || len(d.b.requests) != 0 || d.b.inFlight != 0 {
+		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.endpointsByID), len(d.b.listedEndpoints), len(d.b.requests), d.b.inFlight)
 	}
 }
 
@@ -269,13 +269,13 @@
 	d := start(t, settings(), 2)
 	d.ask(read)
 	lost := d.last()
-	d.end(lost, Reset, ms)
-	d.list(Entry{Endpoint: lost.to, Started: d.now})
+	d.end(lost, StatusReset, ms)
+	d.list(ListEntry{Endpoint: lost.to, StartedAt: d.now})
 	for range 300 {
 		d.pass(10 * ms)
 		d.ask(read)
 		s := d.last()
-		d.end(s, OK, 10*ms)
+		d.end(s, StatusOK, 10*ms)
 		if s.to == lost.to {
 			return
 		}
@@ -288,7 +288,7 @@
 	d := start(t, settings(), 1)
 	d.ask(read)
 	d.ask(read)
-	d.end(d.sent[1], ConnectFailed, ms)
+	d.end(d.sent[1], StatusConnectFailed, ms)
 	if slices.ContainsFunc(d.logs, func(s string) bool { return strings.Contains(s, "isolated") }) {
 		t.Errorf("isolated: %v", d.logs)
 	}
@@ -298,7 +298,7 @@
 	d := start(t, settings(), 3)
 	for range 12 {
 		d.ask(read)
-		d.end(d.last(), ConnectFailed, ms)
+		d.end(d.last(), StatusConnectFailed, ms)
 		d.pass(10 * ms)
 	}
 	at := len(d.sent)
@@ -315,9 +315,9 @@
 	d := start(t, settings(), 4)
 	got := d.serve(300, func(to EndpointID) Status {
 		if to == 1 {
-			return Error
+			return StatusError
 		}
-		return OK
+		return StatusOK
 	})
 	if got[1] > 30 {
 		t.Errorf("%d of 300 sends to the failing endpoint", got[1])
@@ -332,13 +332,13 @@
 	n := 0
 	d.serve(400, func(EndpointID) Status {
 		if n++; n%2 == 0 {
-			return Error
+			return StatusError
 		}
-		return OK
+		return StatusOK
 	})
 	isolated := 0
-	for _, e := range d.b.listed {
-		if e.mark == isolatedMark {
+	for _, e := range d.b.listedEndpoints {
+		if e.availability == isolatedMark {
 			isolated++
 		}
 	}
@@ -347,7 +347,7 @@
 	}
 }
 
-const isolatedMark = isolated
+const isolatedMark = ejected
 
 func TestSilentEndpointIsPassedOver(t *testing.T) {
 	d := start(t, settings(), 4)
@@ -359,7 +359,7 @@
 		if s := d.last(); s.to == 1 {
 			stuck++
 		} else {
-			d.end(s, OK, 20*ms)
+			d.end(s, StatusOK, 20*ms)
 		}
 	}
 	if stuck == 0 || stuck > 8 {
@@ -379,14 +379,14 @@
 		if s.to%2 == 0 {
 			other = s.to - 1
 		}
-		d.list(Entry{Endpoint: other, State: Gone})
+		d.list(ListEntry{Endpoint: other, State: EndpointRemoved})
 		if drains {
-			d.list(Entry{Endpoint: s.to, Cell: int(s.to-1) / 2, Weight: 1, State: Draining})
+			d.list(ListEntry{Endpoint: s.to, Cell: int(s.to-1) / 2, Weight: 1, State: EndpointDraining})
 		}
 		for range 20 {
 			d.ask(read)
 			if l := d.last(); l.to != s.to {
-				d.end(l, OK, 20*ms)
+				d.end(l, StatusOK, 20*ms)
 			}
 			d.pass(20 * ms)
 		}
@@ -415,7 +415,7 @@
 		if s.to == 1 && atOne%2 == 0 {
 			lost[s.id] = s
 		} else {
-			d.end(s, OK, 20*ms)
+			d.end(s, StatusOK, 20*ms)
 		}
 		d.pass(20 * ms)
 		for _, c := range d.cancels {
@@ -424,12 +424,12 @@
 				t.Fatalf("%s is withdrawn, and was answered or is sent again", c.id)
 			}
 			delete(lost, c.id)
-			d.end(s, Cancelled, 150*ms)
+			d.end(s, StatusCancelled, 150*ms)
 			if next := d.last(); next.id != c.id || next.to == s.to {
 				t.Fatalf("%s is not sent to another endpoint: %v", c.id, next)
 			}
 			again++
-			d.end(d.last(), OK, 20*ms)
+			d.end(d.last(), StatusOK, 20*ms)
 		}
 		d.cancels = nil
 	}
@@ -440,9 +440,9 @@
 	for range 40 {
 		d.pass(20 * ms)
 		d.ask(read)
-		d.end(d.last(), OK, 20*ms)
+		d.end(d.last(), StatusOK, 20*ms)
 	}
-	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.lost || r.quit || d.b.lost == 0 {
+	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.lost || r.cancelled || d.b.lostInFlight == 0 {
 		t.Errorf("the unsafe call: %d attempts, %+v", d.attempts[id], r)
 	}
 }
@@ -450,13 +450,13 @@
 func TestUnsafeIsNeverSentTwice(t *testing.T) {
 	d := start(t, settings(), 3)
 	id := d.ask(pay)
-	d.end(d.last(), Error, ms)
+	d.end(d.last(), StatusError, ms)
 	if len(d.sent) != 1 || !slices.Equal(d.fails, []RequestID{id}) || len(d.refusals) > 0 {
 		t.Errorf("sent %v, failed %v, refused %v; want one send, then failed", d.sent, d.fails, d.refusals)
 	}
 	d.ask(pay)
 	first := d.last()
-	d.end(first, Full, ms)
+	d.end(first, StatusRejected, ms)
 	if again := d.last(); again.id != first.id || again.attempt != 1 || again.to == first.to {
 		t.Errorf("after a call that never ran: %v, want a second attempt elsewhere", again)
 	}
@@ -466,16 +466,16 @@
 	d := start(t, settings(), 6)
 	d.ask(book)
 	first := d.last()
-	d.end(first, Error, ms)
+	d.end(first, StatusError, ms)
 	if again := d.last(); again.attempt != 1 || (again.to-1)/2 != (first.to-1)/2 {
 		t.Fatalf("retry %v of %v left the cell", again, first)
 	}
 	s := settings()
-	s.Classes[book].Window = 100 * ms
+	s.Classes[book].KeyWindow = 100 * ms
 	d = start(t, s, 6)
 	id := d.ask(book)
 	d.pass(200 * ms)
-	d.end(d.last(), Error, 200*ms)
+	d.end(d.last(), StatusError, 200*ms)
 	d.pass(3 * time.Second)
 	if len(d.sent) != 1 || !slices.Equal(d.fails, []RequestID{id}) || len(d.refusals) > 0 {
 		t.Errorf("sent %v, failed %v, refused %v; want no retry past the window, then failed", d.sent, d.fails, d.refusals)
@@ -485,12 +485,12 @@
 // Retries that an outage sets off must not multiply the load.
 func TestRetryBudget(t *testing.T) {
 	d := start(t, settings(), 4)
-	got := d.serve(500, func(EndpointID) Status { return Error })
+	got := d.serve(500, func(EndpointID) Status { return StatusError })
 	total := 0
 	for _, n := range got {
 		total += n
 	}
-	if total > 500+retryReserve+1 {
+	if total > 500+maxRetryBudget+1 {
 		t.Errorf("%d sends for 500 requests that all fail", total)
 	}
 }
@@ -503,7 +503,7 @@
 		t.Errorf("refused %v, want %s: there is no endpoint", d.refusals, id)
 	}
 	d = start(t, settings(), 2)
-	d.b.Request(d.now, Request{ID: "late", Left: 0})
+	d.b.HandleRequest(d.now, Request{ID: "late", TimeLeft: 0})
 	if len(d.refusals) != 1 || len(d.sent) > 0 {
 		t.Errorf("refused %v, sent %v for a request with no time left", d.refusals, d.sent)
 	}
@@ -538,11 +538,11 @@
 			d.ask(read)
 		}
 		d.pass(250 * ms) // until it is known how many are worked off: none
-		rate := d.b.served.value(d.now, d.b.window)
+		rate := d.b.servedRate.value(d.now, d.b.rateWindow)
 		if len(d.refusals) == 0 {
 			t.Fatalf("nothing of a burst of %d was refused", burst)
 		}
-		queue := seconds(float64(len(d.b.held)) / rate)
+		queue := seconds(float64(len(d.b.pending)) / rate)
 		for _, after := range d.advice {
 			if after > s.MaxRetryAfter || after < min(queue, s.MaxRetryAfter) {
 				t.Fatalf("of a burst of %d: come back after %v, want %v to work off what is held", burst, after, queue)
@@ -550,7 +550,7 @@
 		}
 	}
 	d := start(t, s, 2)
-	d.b.Request(d.now, Request{ID: "late", Class: read})
+	d.b.HandleRequest(d.now, Request{ID: "late", Class: read})
 	if !slices.Equal(d.advice, []time.Duration{0}) {
 		t.Errorf("advice %v where no rate is known yet", d.advice)
 	}
@@ -567,7 +567,7 @@
 			if s.to == 1 && i < 1800 {
 				took = slow
 			}
-			d.end(s, OK, took)
+			d.end(s, StatusOK, took)
 			d.pass(4 * ms)
 		}
 		at := len(d.sent)
@@ -586,7 +586,7 @@
 	d := start(t, settings(), 10)
 	for i := range 40 {
 		d.ask(read)
-		d.end(d.last(), OK, time.Duration(1+i%3)*ms)
+		d.end(d.last(), StatusOK, time.Duration(1+i%3)*ms)
 	}
 	if at := len(d.sent); true {
 		for range 40 {
@@ -644,16 +644,16 @@
 	for i := range s.Instances {
 		s.Ordinal = i
 		d := start(t, s, 0)
-		l := List{Kind: Whole, Version: 2}
+		l := EndpointList{Kind: ListFull, Version: 2}
 		for id := EndpointID(1); id <= 20; id++ {
-			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
+			l.Entries = append(l.Entries, ListEntry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
 		}
-		d.b.Targets(d.now, l)
+		d.b.HandleEndpoints(d.now, l)
 		n := 0
-		for _, e := range d.b.listed {
-			parts[e.id] += e.part
-			total += e.part
-			if e.part > 0 {
+		for _, e := range d.b.listedEndpoints {
+			parts[e.id] += e.subsetWeight
+			total += e.subsetWeight
+			if e.subsetWeight > 0 {
 				n++
 			}
 		}
@@ -674,7 +674,7 @@
 	s := settings()
 	s.Instances = 40
 	d := start(t, s, 0)
-	d.b.Targets(d.now, List{Kind: Whole, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
+	d.b.HandleEndpoints(d.now, EndpointList{Kind: ListFull, Version: 2, Entries: []ListEntry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
 	if got := d.serve(400, nil); got[2] < 20 || got[2] > 70 {
 		t.Errorf("%v sends, want a tenth to the endpoint of a tenth of the weight", got)
 	}
@@ -689,10 +689,10 @@
 		s.Ordinal = i
 		d := start(t, s, 20)
 		for id := EndpointID(5); id <= 14; id++ {
-			d.list(Entry{Endpoint: id, State: Draining, Weight: 1})
+			d.list(ListEntry{Endpoint: id, State: EndpointDraining, Weight: 1})
 		}
-		for _, e := range d.b.listed {
-			parts[e.id] += e.part
+		for _, e := range d.b.listedEndpoints {
+			parts[e.id] += e.subsetWeight
 		}
 	}
 	for id, got := range parts {
@@ -722,9 +722,9 @@
 			d.ask(read)
 			if len(d.sent) > n {
 				if i > 40 {
-					d.end(d.last(), OK, took)
+					d.end(d.last(), StatusOK, took)
 				} else {
-					d.end(d.last(), OK, 100*ms)
+					d.end(d.last(), StatusOK, 100*ms)
 				}
 			}
 			d.pass(100 * ms)
@@ -747,7 +747,7 @@
 	d := start(t, settings(), 10)
 	d.serve(300, nil) // 50 a second, 5 to each
 	for id := EndpointID(1); id <= 10; id++ {
-		d.list(Entry{Endpoint: id, Started: d.now})
+		d.list(ListEntry{Endpoint: id, StartedAt: d.now})
 	}
 	got := map[EndpointID]int{}
 	at := len(d.sent)
@@ -756,7 +756,7 @@
 		d.pass(2 * ms)
 		for ; at < len(d.sent); at++ {
 			got[d.sent[at].to]++
-			d.end(d.sent[at], OK, 2*ms)
+			d.end(d.sent[at], StatusOK, 2*ms)
 		}
 	}
 	for id, n := range got {
@@ -777,31 +777,31 @@
 	d := start(t, s, 20)
 	d.serve(200, nil)
 	var outside *endpoint
-	for _, e := range d.b.listed {
-		if e.part == 0 {
+	for _, e := range d.b.listedEndpoints {
+		if e.subsetWeight == 0 {
 			outside = e
 		}
 	}
-	d.list(Entry{Endpoint: outside.id, Started: d.now, Weight: 1})
+	d.list(ListEntry{Endpoint: outside.id, StartedAt: d.now, Weight: 1})
 	for range 50 {
 		d.ask(read)
-		d.end(d.last(), Full, ms)
+		d.end(d.last(), StatusRejected, ms)
 		if to := d.last().to; to == outside.id {
 			t.Fatal("a further attempt went to a cold endpoint outside the subset")
 		}
-		d.end(d.last(), OK, 20*ms)
+		d.end(d.last(), StatusOK, 20*ms)
 		d.pass(100 * ms)
 	}
-	cold := d.b.listed[0]
-	for _, e := range d.b.listed {
-		if e.part > 0 {
+	cold := d.b.listedEndpoints[0]
+	for _, e := range d.b.listedEndpoints {
+		if e.subsetWeight > 0 {
 			cold = e
 		}
 	}
 	rate := func(part float64) float64 {
-		cold.part, cold.mark, cold.coldFrom, cold.tokens, cold.tokensAt = part, ramping, d.now, 0, d.now-10*ms
-		d.b.rampRoom(d.now, cold)
-		return cold.tokens
+		cold.subsetWeight, cold.availability, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, warmingUp, d.now, 0, d.now-10*ms
+		d.b.slowStartAllows(d.now, cold)
+		return cold.slowStartTokens
 	}
 	if whole, sliver := rate(1), rate(0.1); whole == 0 || sliver > 0.11*whole {
 		t.Errorf("%.3f sends allowed for a tenth of a cold endpoint, %.3f for all of it", sliver, whole)
@@ -810,7 +810,7 @@
 
 func TestAskSubscribesAndBacksOff(t *testing.T) {
 	s := settings()
-	s.MustAsk = true
+	s.MustSubscribe = true
 	d := start(t, s, 2)
 	if d.watches != 0 {
 		t.Error("subscribed at once: a fleet that starts together would ask together")
@@ -820,7 +820,7 @@
 		t.Fatalf("%d watches in the first second, want 1", d.watches)
 	}
 	for range 40 {
-		d.b.Targets(d.now, List{Kind: Failed})
+		d.b.HandleEndpoints(d.now, EndpointList{Kind: ListFailed})
 		d.pass(time.Second)
 	}
 	if d.watches < 4 || d.watches > 30 {
@@ -830,16 +830,16 @@
 
 func TestTenantBeyondItsShareGivesWay(t *testing.T) {
 	s := settings()
-	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 5}, {Name: "b", QuotaPerS: 100}}
+	s.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 100}}
 	d := start(t, s, 1)
 	d.serve(100, nil)
 	for i := range 150 {
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, Left: 1500 * ms})
+		d.b.HandleRequest(d.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, TimeLeft: 1500 * ms})
 	}
 	for range 20 {
 		d.pass(20 * ms)
-		for _, r := range slices.Clone(d.b.listed[0].calls) {
-			d.end(sent{id: r.id, to: 1, attempt: r.attempts - 1}, OK, 20*ms)
+		for _, r := range slices.Clone(d.b.listedEndpoints[0].calls) {
+			d.end(sent{id: r.id, to: 1, attempt: r.attempts - 1}, StatusOK, 20*ms)
 		}
 	}
 	served := map[bool]int{} // by whether the tenant is the one beyond its share
@@ -856,17 +856,17 @@
 func TestSmallTenantIsWithinItsShare(t *testing.T) {
 	s := settings()
 	s.Instances = 100
-	s.Tenants = []Tenant{{Name: "small", QuotaPerS: 40}, {Name: "large", QuotaPerS: 1000}}
+	s.Tenants = []Tenant{{Name: "small", QuotaPerSecond: 40}, {Name: "large", QuotaPerSecond: 1000}}
 	d := start(t, s, 50)
 	low := 0
 	for i := range 60 {
 		id := RequestID(fmt.Sprint("t", i))
-		d.b.Request(d.now, Request{ID: id, Left: 1500 * ms})
-		if d.b.requests[id].low {
+		d.b.HandleRequest(d.now, Request{ID: id, TimeLeft: 1500 * ms})
+		if d.b.requests[id].overQuota {
 			low++
 		}
 		d.pass(20 * ms)
-		d.end(d.last(), OK, 20*ms)
+		d.end(d.last(), StatusOK, 20*ms)
 		d.pass(2980 * ms)
 	}
 	if low > 6 {
@@ -877,7 +877,7 @@
 // What goes beyond a share is served from what others leave of all shares, and not beyond that.
 func TestBeyondShareTakesOnlyWhatOthersLeave(t *testing.T) {
 	s := settings()
-	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 5}, {Name: "b", QuotaPerS: 45}}
+	s.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 45}}
 	d := start(t, s, 50)
 	d.serve(50, nil)
 	refused := func(others int) int {
@@ -889,9 +889,9 @@
 				}
 				d.n++
 				sent := len(d.sent)
-				d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("u", d.n)), Tenant: tenant, Left: 1500 * ms})
+				d.b.HandleRequest(d.now, Request{ID: RequestID(fmt.Sprint("u", d.n)), Tenant: tenant, TimeLeft: 1500 * ms})
 				if len(d.sent) > sent {
-					d.end(d.last(), OK, 20*ms)
+					d.end(d.last(), StatusOK, 20*ms)
 				}
 			}
 			d.pass(22 * ms) // 45 a second of a, and of b up to as many
@@ -909,11 +909,11 @@
 // Machines of two speeds in a list without weights: the slow ones got as many calls as the fast ones, and choked.
 func TestReportedServiceTimesSetTheShares(t *testing.T) {
 	d := start(t, settings(), 0)
-	l := List{Kind: Whole, Version: 2}
+	l := EndpointList{Kind: ListFull, Version: 2}
 	for id := EndpointID(1); id <= 10; id++ {
-		l.Entries = append(l.Entries, Entry{Endpoint: id, Kind: int(id % 2), Weight: 1})
+		l.Entries = append(l.Entries, ListEntry{Endpoint: id, MachineKind: int(id % 2), Weight: 1})
 	}
-	d.b.Targets(d.now, l)
+	d.b.HandleEndpoints(d.now, l)
 	got := [2]int{}
 	for i := range 600 {
 		d.ask(read)
@@ -921,8 +921,8 @@
 		if i > 100 {
 			got[s.to%2]++
 		}
-		d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Final: true, Status: OK, Elapsed: 100 * ms,
-			Load: &Load{InFlight: -1, Queue: -1, Util: -1, Service: []time.Duration{10, 30}[s.to%2] * ms}})
+		d.b.HandleOutcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Final: true, Status: StatusOK, Elapsed: 100 * ms,
+			Load: &Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: []time.Duration{10, 30}[s.to%2] * ms}})
 		d.pass(20 * ms)
 	}
 	if ratio := float64(got[0]) / float64(got[1]); ratio < 2 || ratio > 4 {
@@ -934,15 +934,15 @@
 func TestDearClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
 	released := func(worstClass float64) (first [3]int) {
 		s := settings()
-		s.Classes[pay].Worth, s.GoalWhole, s.GoalWorstClass = 5, 1, worstClass
+		s.Classes[pay].Value, s.TotalValueWeight, s.WorstClassWeight = 5, 1, worstClass
 		d := start(t, s, 1)
 		class := map[RequestID]int{}
 		for i := range 60 { // both are known, and read is served a little worse
-			d.end(sent{id: d.ask(pay), to: 1}, OK, 100*ms)
+			d.end(sent{id: d.ask(pay), to: 1}, StatusOK, 100*ms)
 			d.ask(read)
-			d.end(d.last(), OK, 100*ms)
+			d.end(d.last(), StatusOK, 100*ms)
 			if i%10 == 0 {
-				d.b.tally(d.b.classes[read])
+				d.b.countRequest(d.b.classes[read])
 			}
 			d.pass(100 * ms)
 		}
@@ -951,8 +951,8 @@
 			class[d.ask(pay)] = pay
 		}
 		at := len(d.sent)
-		for _, x := range slices.Clone(d.b.listed[0].calls) {
-			d.end(sent{id: x.id, to: 1}, OK, 100*ms)
+		for _, x := range slices.Clone(d.b.listedEndpoints[0].calls) {
+			d.end(sent{id: x.id, to: 1}, StatusOK, 100*ms)
 		}
 		for _, x := range d.sent[at:] {
 			first[class[x.id]]++
@@ -972,17 +972,17 @@
 func TestRepeatsThatCannotMeetTheirAimGiveWay(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
-	d.b.Request(d.now, Request{ID: "first", Class: book, Left: 3 * time.Second})
-	d.end(d.last(), OK, 20*ms)
+	d.b.HandleRequest(d.now, Request{ID: "first", Class: book, TimeLeft: 3 * time.Second})
+	d.end(d.last(), StatusOK, 20*ms)
 	for i := range 50 {
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Left: 1300 * ms, Repeat: true})
-		d.end(d.last(), OK, 20*ms)
+		d.b.HandleRequest(d.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, TimeLeft: 1300 * ms, Retry: true})
+		d.end(d.last(), StatusOK, 20*ms)
 	}
 	for range 60 {
 		d.ask(read)
 	}
 	refused := len(d.refusals)
-	d.b.Request(d.now, Request{ID: "repeat", Left: 1500 * ms, Repeat: true})
+	d.b.HandleRequest(d.now, Request{ID: "repeat", TimeLeft: 1500 * ms, Retry: true})
 	if got := d.refusals[refused:]; !slices.Equal(got, []RequestID{"repeat"}) {
 		t.Errorf("refused %v on a full tier, want the repeat at once", got)
 	}
@@ -991,11 +991,11 @@
 func TestLapsedCallsWorkOff(t *testing.T) {
 	d := start(t, settings(), 2)
 	id := d.ask(read)
-	d.b.Lapsed(d.now, id)
+	d.b.HandleClientGone(d.now, id)
 	if len(d.cancels) != 1 || d.cancels[0].id != id {
 		t.Errorf("cancelled %v, want %s", d.cancels, id)
 	}
-	d.end(d.last(), Cancelled, ms)
+	d.end(d.last(), StatusCancelled, ms)
 	if len(d.sent) != 1 || len(d.fails)+len(d.refusals) > 0 {
 		t.Error("more was done for a client that had gone")
 	}
@@ -1003,12 +1003,12 @@
 
 func TestStreamBelongsToTheClient(t *testing.T) {
 	s := settings()
-	s.Classes[read].Stream = true
+	s.Classes[read].Streaming = true
 	d := start(t, s, 2)
 	id := d.ask(read)
-	d.b.Begun(d.now, id, 0, d.last().to)
+	d.b.HandleResponseStart(d.now, id, 0, d.last().to)
 	d.pass(10 * time.Second)
-	d.b.Outcome(d.now, Outcome{ID: id, Endpoint: d.last().to, Final: true, Status: Reset})
+	d.b.HandleOutcome(d.now, Outcome{ID: id, Endpoint: d.last().to, Final: true, Status: StatusReset})
 	if len(d.sent) != 1 || len(d.fails)+len(d.refusals)+len(d.cancels) > 0 {
 		t.Error("a started stream was answered, repeated or withdrawn")
 	}
@@ -1016,18 +1016,18 @@
 
 func TestOddEventsAreTakenInStride(t *testing.T) {
 	d := start(t, settings(), 2)
-	d.b.Outcome(d.now, Outcome{ID: "unknown", Status: OK})
-	d.b.Lapsed(d.now, "unknown")
-	d.b.Begun(d.now, "unknown", 0, 1)
-	d.b.Timer(d.now, 99)
-	d.b.Probed(d.now, Probed{Endpoint: 9})
-	d.b.Told(d.now, 3, nil)
+	d.b.HandleOutcome(d.now, Outcome{ID: "unknown", Status: StatusOK})
+	d.b.HandleClientGone(d.now, "unknown")
+	d.b.HandleResponseStart(d.now, "unknown", 0, 1)
+	d.b.HandleTimer(d.now, 99)
+	d.b.HandleHealthCheck(d.now, HealthCheckResult{Endpoint: 9})
+	d.b.HandlePeerMessage(d.now, 3, nil)
 	d.ask(read)
 	s := d.last()
-	d.list(Entry{Endpoint: s.to, State: Gone})
-	d.b.Targets(d.now, List{Kind: Whole, Version: 3})
-	d.end(s, Reset, ms)
-	d.end(s, OK, ms)
+	d.list(ListEntry{Endpoint: s.to, State: EndpointRemoved})
+	d.b.HandleEndpoints(d.now, EndpointList{Kind: ListFull, Version: 3})
+	d.end(s, StatusReset, ms)
+	d.end(s, StatusOK, ms)
 	d.pass(2 * time.Second)
 	if len(d.refusals) != 1 {
 		t.Errorf("refused %v, want the one request that lost its endpoint and has no other", d.refusals)
@@ -1037,19 +1037,19 @@
 func TestNewNamesTheSettingItCannotActOn(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"classes":           func(s *Settings) { s.Classes = nil },
-		"classes[0].effect": func(s *Settings) { s.Classes[0].Effect = "maybe" },
-		"classes[2].scope":  func(s *Settings) { s.Classes[2].Scope = "planet" },
-		"classes[1].aim":    func(s *Settings) { s.Classes[1].Aim = -1 },
-		"cold":              func(s *Settings) { s.Cold = -1 },
-		"coldFrom":          func(s *Settings) { s.ColdFrom = 2 },
+		"classes[0].effect": func(s *Settings) { s.Classes[0].Idempotency = "maybe" },
+		"classes[2].scope":  func(s *Settings) { s.Classes[2].KeyScope = "planet" },
+		"classes[1].aim":    func(s *Settings) { s.Classes[1].LatencyTarget = -1 },
+		"cold":              func(s *Settings) { s.SlowStartWindow = -1 },
+		"coldFrom":          func(s *Settings) { s.SlowStartMinShare = 2 },
 		"instances":         func(s *Settings) { s.Instances = 0 },
-		"fall":              func(s *Settings) { s.Fall = -1 },
-		"askEvery":          func(s *Settings) { s.AskEvery = -1 },
+		"fall":              func(s *Settings) { s.OverloadDuration = -1 },
+		"askEvery":          func(s *Settings) { s.ResubscribeInterval = -1 },
 		"connectTimeout":    func(s *Settings) { s.ConnectTimeout = -1 },
-		"classes[0].window": func(s *Settings) { s.Classes[0].Window = -1 },
-		"tenants[0].quota":  func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} },
+		"classes[0].window": func(s *Settings) { s.Classes[0].KeyWindow = -1 },
+		"tenants[0].quota":  func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSecond: -1}} },
 		"ordinal":           func(s *Settings) { s.Ordinal = -1 },
-		"tipMultiple":       func(s *Settings) { s.TipMultiple = -1 },
+		"tipMultiple":       func(s *Settings) { s.OverloadMultiple = -1 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -1064,11 +1064,11 @@
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s := settings()
-		s.MayCancel, s.SecondCopies = seed%2 == 0, seed%3 == 0
-		s.Classes[book].Scope = []Scope{ScopeCell, ScopeZone, ScopeAll}[seed%3]
+		s.MayCancel, s.HedgedRequests = seed%2 == 0, seed%3 == 0
+		s.Classes[book].KeyScope = []KeyScope{KeyScopeCell, KeyScopeZone, KeyScopeAll}[seed%3]
 		d := start(t, s, 8)
 		if seed >= 30 {
-			d.b.few = 0 // draws from the pools alone
+			d.b.scanLimit = 0 // draws from the pools alone
 		}
 		type state struct {
 			class, out, answers int
@@ -1097,9 +1097,9 @@
 					t.Fatalf("seed %d: %v sent to an endpoint that drains or is gone", seed, x)
 				case r.mayRun != nil && r.class == pay:
 					t.Fatalf("seed %d: %v: unsafe, may have run, sent again", seed, x)
-				case r.mayRun != nil && r.class == book && s.Classes[book].Scope == ScopeCell && (x.to-1)/2 != (r.mayRun.to-1)/2:
+				case r.mayRun != nil && r.class == book && s.Classes[book].KeyScope == KeyScopeCell && (x.to-1)/2 != (r.mayRun.to-1)/2:
 					t.Fatalf("seed %d: %v: keyed, left its cell", seed, x)
-				case r.mayRun != nil && r.class == book && d.now-r.runAt > s.Classes[book].Window:
+				case r.mayRun != nil && r.class == book && d.now-r.runAt > s.Classes[book].KeyWindow:
 					t.Fatalf("seed %d: %v: keyed, past its window", seed, x)
 				}
 			}
@@ -1109,7 +1109,7 @@
 			for ; at.refusals < len(d.refusals); at.refusals++ {
 				r := reqs[d.refusals[at.refusals]]
 				r.answers++
-				if r.mayRun != nil && (r.class == pay || r.class == book && s.Classes[book].Scope != ScopeAll) {
+				if r.mayRun != nil && (r.class == pay || r.class == book && s.Classes[book].KeyScope != KeyScopeAll) {
 					t.Fatalf("seed %d: %s refused though it may have run", seed, d.refusals[at.refusals])
 				}
 			}
@@ -1121,7 +1121,7 @@
 				id, class := RequestID(fmt.Sprint("q", d.n)), rng.IntN(3)
 				left := time.Duration(1+rng.IntN(1500)) * ms
 				reqs[id] = &state{class: class, deadline: d.now + left}
-				d.b.Request(d.now, Request{ID: id, Class: class, Left: left})
+				d.b.HandleRequest(d.now, Request{ID: id, Class: class, TimeLeft: left})
 			case 2, 3:
 				if len(open) > 0 {
 					i := rng.IntN(len(open))
@@ -1129,22 +1129,22 @@
 					open = slices.Delete(open, i, i+1)
 					r := reqs[x.id]
 					r.out--
-					status := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[rng.IntN(10)]
-					if !status.NeverRan() && status != OK && r.mayRun == nil {
+					status := []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[rng.IntN(10)]
+					if !status.NeverRan() && status != StatusOK && r.mayRun == nil {
 						r.mayRun, r.runAt = &x, sentAt[x]
 					}
-					final := r.answers > 0 || status == OK
-					if status == OK {
+					final := r.answers > 0 || status == StatusOK
+					if status == StatusOK {
 						r.answers++
 					}
-					d.b.Outcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
+					d.b.HandleOutcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
 						Elapsed: d.now - sentAt[x]})
 				}
 			case 4:
 				id := EndpointID(1 + rng.IntN(8))
-				st := State(rng.IntN(3))
-				told[id] = st != Ready
-				d.list(Entry{Endpoint: id, Cell: int(id-1) / 2, State: st, Started: time.Duration(rng.IntN(2)) * d.now})
+				st := EndpointState(rng.IntN(3))
+				told[id] = st != EndpointReady
+				d.list(ListEntry{Endpoint: id, Cell: int(id-1) / 2, State: st, StartedAt: time.Duration(rng.IntN(2)) * d.now})
 			}
 			check()
 			d.pass(time.Duration(rng.IntN(3)) * 10 * ms)
@@ -1159,7 +1159,7 @@
 					if r.mayRun == nil {
 						r.mayRun, r.runAt = &x, sentAt[x]
 					}
-					d.b.Outcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: r.answers > 0, Status: Timeout})
+					d.b.HandleOutcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: r.answers > 0, Status: StatusTimeout})
 					check()
 				}
 			}
@@ -1181,9 +1181,9 @@
 		d := start(t, settings(), 9)
 		d.serve(300, func(to EndpointID) Status {
 			if to == 4 {
-				return Reset
+				return StatusReset
 			}
-			return OK
+			return StatusOK
 		})
 		return d.sent
 	}
@@ -1201,29 +1201,29 @@
 	d.ask(pay)
 	out := d.last()
 	endsAt := d.now + 200*ms
-	d.b.Leave(d.now, endsAt)
+	d.b.ShutDownAt(d.now, endsAt)
 	ask := func(idle int) (sends, refusals int) {
 		d.n++
 		sends, refusals = len(d.sent), len(d.refusals)
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Left: 1500 * ms, Idle: idle})
+		d.b.HandleRequest(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, TimeLeft: 1500 * ms, IdleConnections: idle})
 		return len(d.sent) - sends, len(d.refusals) - refusals
 	}
-	if sends, _ := ask(idleLeast); sends != 1 {
+	if sends, _ := ask(minIdleConnections); sends != 1 {
 		t.Error("in good time: not sent")
 	}
-	if sends, refusals := ask(idleLeast - 1); sends != 0 || refusals != 1 {
+	if sends, refusals := ask(minIdleConnections - 1); sends != 0 || refusals != 1 {
 		t.Errorf("with hardly a connection idle: %d sends, %d refusals", sends, refusals)
 	}
 	d.pass(180 * ms)
-	if sends, refusals := ask(idleLeast); sends != 0 || refusals != 1 {
+	if sends, refusals := ask(minIdleConnections); sends != 0 || refusals != 1 {
 		t.Errorf("too late: %d sends, %d refusals", sends, refusals)
 	}
-	if got, want := d.advice[len(d.advice)-1], endsAt+seconds(successor)-d.now; got != want {
+	if got, want := d.advice[len(d.advice)-1], endsAt+seconds(successorDelay)-d.now; got != want {
 		t.Errorf("told to come back after %v, the successor serves after %v", got, want)
 	}
 	d.pass(20 * ms)
 	sends := len(d.sent)
-	d.end(out, Cancelled, 200*ms)
+	d.end(out, StatusCancelled, 200*ms)
 	if len(d.sent) != sends || len(d.fails) != 1 || d.fails[0] != out.id {
 		t.Errorf("what was out at the end: %d more sends, failed %v", len(d.sent)-sends, d.fails)
 	}
@@ -1236,7 +1236,7 @@
 	d := start(t, s, 4)
 	d.serve(100, nil)
 	sends := len(d.sent)
-	d.b.Leave(d.now, d.now+200*ms)
+	d.b.ShutDownAt(d.now, d.now+200*ms)
 	d.ask(read)
 	if len(d.sent) != sends+1 {
 		t.Error("in good time: not sent")
@@ -1257,17 +1257,17 @@
 		overdue := func(tails float64) sent {
 			d.ask(read)
 			call, c := d.last(), d.b.classes[read]
-			for end := d.now + seconds(tails*c.tail*c.mean); d.now < end; {
+			for end := d.now + seconds(tails*c.tailRatio*c.meanLatency); d.now < end; {
 				d.serve(1, nil)
 			}
 			d.pass(10 * ms)
 			return call
 		}
 		for range slow {
-			call := overdue((lostTails + strayTails) / 2)
-			d.end(call, OK, 10*ms)
+			call := overdue((lostTails + overdueTails) / 2)
+			d.end(call, StatusOK, 10*ms)
 		}
-		call := overdue(1.2 * strayTails)
+		call := overdue(1.2 * overdueTails)
 		if got, want := len(d.cancels) == 1 && d.cancels[0].id == call.id, slow == 0; got != want {
 			t.Errorf("after %d slow calls: withdrawn %v", slow, d.cancels)
 		}
@@ -1284,7 +1284,7 @@
 				if n%8 == 0 {
 					d.now += ms
 				}
-				d.end(d.sent[n], OK, ms)
+				d.end(d.sent[n], StatusOK, ms)
 			}
 			d.sent = nil
 		}
@@ -1312,7 +1312,7 @@
 	}
 	d.pass(1100 * ms) // silence, for longer than the rate's window
 	d.ask(read)
-	if n := len(d.b.held); n > 8 {
+	if n := len(d.b.pending); n > 8 {
 		t.Errorf("%d are held at endpoints that answer nothing", n)
 	}
 }
@@ -1321,7 +1321,7 @@
 // once.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	s := settings()
-	s.Classes[read].Aim, s.Classes[read].Deadline = time.Minute, 2*time.Minute
+	s.Classes[read].LatencyTarget, s.Classes[read].Deadline = time.Minute, 2*time.Minute
 	d := start(t, s, 4)
 	const took = 100 * ms
 	type due struct {
@@ -1332,9 +1332,9 @@
 	most := 0
 	for step := range 4000 { // 8 s of 1,000 requests a second at 4 endpoints, one call each at a time: 40 a second
 		d.n++
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Left: time.Minute})
+		d.b.HandleRequest(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, TimeLeft: time.Minute})
 		d.n++
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Left: time.Minute})
+		d.b.HandleRequest(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, TimeLeft: time.Minute})
 		for _, x := range d.sent {
 			at := d.now + took
 			for _, o := range out {
@@ -1347,14 +1347,14 @@
 		d.sent = nil
 		out = slices.DeleteFunc(out, func(x due) bool {
 			if x.at <= d.now {
-				d.end(x.sent, OK, x.at-d.now+took)
+				d.end(x.sent, StatusOK, x.at-d.now+took)
 				return true
 			}
 			return false
 		})
 		d.pass(2 * ms)
 		if step > 1000 {
-			most = max(most, len(d.b.held))
+			most = max(most, len(d.b.pending))
 		}
 	}
 	if most > 150 {
@@ -1372,17 +1372,17 @@
 	}
 	out := len(d.sent)
 	for i := range 8 { // later ones are answered, so that the others look lost
-		d.end(d.sent[out-1-i], OK, 20*ms)
+		d.end(d.sent[out-1-i], StatusOK, 20*ms)
 	}
 	d.pass(400 * ms)
 	if len(d.cancels) == 0 {
 		t.Fatal("none was called off: nothing is tested")
 	}
-	if n := len(d.cancels); float64(n) > retryReserve {
-		t.Errorf("%d were called off, %v may be sent again", n, retryReserve)
+	if n := len(d.cancels); float64(n) > maxRetryBudget {
+		t.Errorf("%d were called off, %v may be sent again", n, maxRetryBudget)
 	}
 	for _, x := range d.cancels {
-		d.end(x.of(d.recorder), Cancelled, 400*ms)
+		d.end(x.of(d.recorder), StatusCancelled, 400*ms)
 	}
 	if len(d.fails) > 0 {
 		t.Errorf("%d failed", len(d.fails))
@@ -1403,29 +1403,29 @@
 // and cannot be repeated is failed at once, and neither holds up others.
 func TestEarlierLives(t *testing.T) {
 	at := func(d *bed) time.Duration { return d.now - time.Second }
-	ask := func(d *bed, class int, e Earlier) RequestID {
+	ask := func(d *bed, class int, e PriorAttempt) RequestID {
 		d.n++
 		id := RequestID(fmt.Sprint("r", d.n))
-		d.b.Request(d.now, Request{ID: id, Class: class, Left: 1500 * ms, Earlier: e})
+		d.b.HandleRequest(d.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms, Prior: e})
 		return id
 	}
 	d := start(t, settings(), 8)
 	d.serve(200, nil)
 	for range 50 {
-		ask(d, book, Earlier{MayRun: true, Cell: 2, At: at(d)})
+		ask(d, book, PriorAttempt{MayHaveRun: true, Cell: 2, SentAt: at(d)})
 		if s := d.last(); s.to != 5 && s.to != 6 {
 			t.Fatalf("a repeat went to endpoint %d, outside of its cell", s.to)
 		}
-		d.end(d.last(), OK, 20*ms)
+		d.end(d.last(), StatusOK, 20*ms)
 	}
 	for name, x := range map[string]struct {
 		class int
-		e     Earlier
+		e     PriorAttempt
 	}{
-		"the window is over":      {book, Earlier{MayRun: true, Cell: 2, At: d.now - 5*time.Second}},
-		"unsafe":                  {pay, Earlier{MayRun: true, At: at(d)}},
-		"unsafe, and was served":  {pay, Earlier{MayRun: true, Served: true, At: at(d)}},
-		"served, and window over": {book, Earlier{MayRun: true, Served: true, At: d.now - time.Minute}},
+		"the window is over":      {book, PriorAttempt{MayHaveRun: true, Cell: 2, SentAt: d.now - 5*time.Second}},
+		"unsafe":                  {pay, PriorAttempt{MayHaveRun: true, SentAt: at(d)}},
+		"unsafe, and was served":  {pay, PriorAttempt{MayHaveRun: true, Served: true, SentAt: at(d)}},
+		"served, and window over": {book, PriorAttempt{MayHaveRun: true, Served: true, SentAt: d.now - time.Minute}},
 	} {
 		sends, fails, refusals := len(d.sent), len(d.fails), len(d.refusals)
 		ask(d, x.class, x.e)
@@ -1434,21 +1434,21 @@
 		}
 	}
 	sends := len(d.sent)
-	ask(d, read, Earlier{MayRun: true, At: at(d)})
+	ask(d, read, PriorAttempt{MayHaveRun: true, SentAt: at(d)})
 	if len(d.sent) != sends+1 {
 		t.Error("a safe one was not sent")
 	}
 	// Nobody of its cell is listed: it waits, and those behind it do not.
-	ask(d, book, Earlier{MayRun: true, Cell: 99, At: at(d)})
+	ask(d, book, PriorAttempt{MayHaveRun: true, Cell: 99, SentAt: at(d)})
 	other := d.ask(book)
 	if d.last().id != other {
 		t.Error("a repeat whose cell has gone held up another")
 	}
 	// Where all drop repeats a refusal promises what is so, but not once the window is over.
 	s := settings()
-	s.Classes[book].Scope = ScopeAll
+	s.Classes[book].KeyScope = KeyScopeAll
 	d = start(t, s, 2)
-	ask(d, book, Earlier{MayRun: true, At: d.now - time.Minute})
+	ask(d, book, PriorAttempt{MayHaveRun: true, SentAt: d.now - time.Minute})
 	if len(d.refusals) > 0 || len(d.fails) != 1 {
 		t.Errorf("%v were refused, %v failed", d.refusals, d.fails)
 	}
@@ -1458,7 +1458,7 @@
 // for itself, and each goes on with the next at once.
 func TestAttemptsInVainDoNotGrowWithTheInstances(t *testing.T) {
 	const endpoints, perSecond, length = 16, 400, 4 * time.Second
-	for _, status := range []Status{Full, ConnectFailed} {
+	for _, status := range []Status{StatusRejected, StatusConnectFailed} {
 		for _, instances := range []int{2, 8, 40, 200} {
 			var all []*bed
 			for i := range instances {
@@ -1485,9 +1485,9 @@
 			for _, n := range sums {
 				most = max(most, n)
 			}
-			// A call for each second, what is allowed in flight at first (startHolds, and the slack of each instance),
+			// A call for each second, what is allowed in flight at first (initialCallsPerEndpoint, and the slack of each instance),
 			// and chance: they are drawn.
-			if mean := length.Seconds() + startHolds + float64(instances)*(limitSlack+vainReserve)/endpoints; float64(most) > 2*mean+6 {
+			if mean := length.Seconds() + initialCallsPerEndpoint + float64(instances)*(concurrencySlack+rejectionReserve)/endpoints; float64(most) > 2*mean+6 {
 				t.Errorf("%v, %d instances: %d attempts at one endpoint in %v, %.0f on average allowed", status, instances, most, length, mean)
 			}
 			if len(sums) == 0 {
@@ -1507,7 +1507,7 @@
 			d := start(t, s, 16)
 			d.b.rng = rand.New(rand.NewPCG(uint64(i), 2))
 			d.ask(read)
-			d.end(d.last(), Reset, ms)
+			d.end(d.last(), StatusReset, ms)
 			asked += d.fetches
 		}
 		if asked < want[0] || asked > want[1] {
@@ -1521,29 +1521,29 @@
 	d := start(t, settings(), 2)
 	for range 200 {
 		d.ask(read)
-		d.end(d.last(), OK, 10*ms)
+		d.end(d.last(), StatusOK, 10*ms)
 		d.pass(10 * ms)
 	}
-	before := d.b.warm.peak(d.now, d.b.window)
+	before := d.b.warmSendRate.peak(d.now, d.b.rateWindow)
 	for id := EndpointID(1); id <= 2; id++ {
-		d.list(Entry{Endpoint: id, Weight: 1, Started: d.now})
+		d.list(ListEntry{Endpoint: id, Weight: 1, StartedAt: d.now})
 	}
 	d.ask(read) // it keeps the ticks going
 	d.pass(3 * time.Second)
 	if !d.b.noneWarm {
 		t.Error("ramps are held as if others could take their calls")
 	}
-	if after := d.b.warm.peak(d.now, d.b.window); after < 0.95*before {
+	if after := d.b.warmSendRate.peak(d.now, d.b.rateWindow); after < 0.95*before {
 		t.Errorf("%.1f a second, %.1f before the endpoints started anew", after, before)
 	}
-	d.end(d.last(), OK, 10*ms)
-	d.list(Entry{Endpoint: 3, Weight: 1})
-	kept := d.b.warm.peak(d.now, d.b.window)
+	d.end(d.last(), StatusOK, 10*ms)
+	d.list(ListEntry{Endpoint: 3, Weight: 1})
+	kept := d.b.warmSendRate.peak(d.now, d.b.rateWindow)
 	d.pass(3 * time.Second)
 	if d.b.noneWarm {
 		t.Error("ramps go on as if there were no warm endpoint")
 	}
-	if after := d.b.warm.peak(d.now, d.b.window); after > 0.7*kept {
+	if after := d.b.warmSendRate.peak(d.now, d.b.rateWindow); after > 0.7*kept {
 		t.Errorf("%.1f a second after 3 s with a warm one that is sent nothing, %.1f before", after, kept)
 	}
 }
@@ -1552,21 +1552,21 @@
 func TestCallsForWantOfOthersPutNoTrialOff(t *testing.T) {
 	d := start(t, settings(), 1)
 	d.ask(read)
-	d.end(d.last(), Reset, ms)
-	e := d.b.byID[1]
+	d.end(d.last(), StatusReset, ms)
+	e := d.b.endpointsByID[1]
 	due := e.trialAt
 	for range 3 { // those of the further attempts
 		if d.last().to != 1 || d.now >= due {
 			t.Fatalf("sent to %d at %v, trial due %v", d.last().to, d.now, due)
 		}
-		d.end(d.last(), ConnectFailed, ms)
+		d.end(d.last(), StatusConnectFailed, ms)
 	}
 	if e.trialAt != due {
 		t.Errorf("the trial is due %v later", e.trialAt-due)
 	}
 	d.now = due + ms
 	d.ask(read)
-	d.end(d.last(), ConnectFailed, ms)
+	d.end(d.last(), StatusConnectFailed, ms)
 	if e.trialAt <= due {
 		t.Error("a trial that failed does not put the next one off")
 	}
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -8,16 +8,16 @@
 // go on as they are. It returns an error, and changes nothing, where New would refuse the class.
 func (b *Balancer) AddClass(c Class) (int, error) {
 	key := fmt.Sprintf("classes[%d].", len(b.classes))
-	if err := c.checkNames(key); err != nil {
+	if err := c.checkEnums(key); err != nil {
 		return 0, err
 	}
-	if err := checkFigures(c.figures(key)); err != nil {
+	if err := checkMinimums(c.minimums(key)); err != nil {
 		return 0, err
 	}
 	return b.addClass(c), nil
 }
 
 func (b *Balancer) addClass(c Class) int {
-	b.classes = append(b.classes, &class{Class: c, tail: tailStart})
+	b.classes = append(b.classes, &class{Class: c, tailRatio: initialTailRatio})
 	return len(b.classes) - 1
 }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -33,50 +33,50 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	l := List{Kind: Whole, Version: 1}
+	l := EndpointList{Kind: ListFull, Version: 1}
 	for i := 1; i <= n; i++ {
-		e := Entry{Endpoint: EndpointID(i), Cell: i / 2, Kind: i % 3, Zone: i % 4, Weight: 1}
+		e := ListEntry{Endpoint: EndpointID(i), Cell: i / 2, MachineKind: i % 3, Zone: i % 4, Weight: 1}
 		if weighted {
 			e.Weight = float64(1 + rng.IntN(4))
 		}
 		switch rng.IntN(8) {
 		case 0:
-			e.Started = h.now - time.Duration(rng.IntN(9000))*ms
+			e.StartedAt = h.now - time.Duration(rng.IntN(9000))*ms
 		case 1:
-			e.State = Draining
+			e.State = EndpointDraining
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	b.Targets(h.now, l)
+	b.HandleEndpoints(h.now, l)
 	for i := range 40 * n {
 		id := RequestID(fmt.Sprint("warm", i))
-		b.Request(h.now, Request{ID: id, Class: read, Left: time.Second})
+		b.HandleRequest(h.now, Request{ID: id, Class: read, TimeLeft: time.Second})
 		if x := h.last(); x.id == id {
 			took := time.Duration(float64(20*ms) * (0.5 + rng.ExpFloat64()) * float64(1+x.to%5) / 3)
-			b.Outcome(h.now, Outcome{ID: id, Endpoint: x.to, Final: true, Elapsed: took})
+			b.HandleOutcome(h.now, Outcome{ID: id, Endpoint: x.to, Final: true, Elapsed: took})
 		}
 		if h.now += ms / 2; i%10 == 0 {
-			b.Timer(h.now, tokenTick)
+			b.HandleTimer(h.now, timerTick)
 		}
 	}
-	for _, e := range b.listed {
+	for _, e := range b.listedEndpoints {
 		switch rng.IntN(10) {
 		case 0:
-			b.isolate(h.now, e, "test")
+			b.eject(h.now, e, "test")
 			e.trialAt = h.now + time.Hour
-			b.settle(h.now, e)
+			b.refreshPools(h.now, e)
 		case 1:
-			e.fullUntil = h.now + time.Second
+			e.rejectsUntil = h.now + time.Second
 		case 2:
-			e.debts = append(e.debts, h.now+time.Second)
+			e.penalties = append(e.penalties, h.now+time.Second)
 		}
 	}
-	b.limit = 1000
-	b.raise(h.now)
-	b.count(h.now)
-	b.warm.add(h.now, b.window, 1000/float64(n))
-	for _, e := range b.listed {
-		e.tokens, e.tokensAt = float64(rng.IntN(3)), h.now
+	b.concurrencyLimit = 1000
+	b.advanceSlowStarts(h.now)
+	b.updateSubset(h.now)
+	b.warmSendRate.add(h.now, b.rateWindow, 1000/float64(n))
+	for _, e := range b.listedEndpoints {
+		e.slowStartTokens, e.slowStartTokensAt = float64(rng.IntN(3)), h.now
 	}
 	return b, h
 }
@@ -93,10 +93,10 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			b, h := mixed(t, 120, c.instances, c.weighted)
 			picked := func(few int) map[EndpointID]float64 {
-				b.few = few
+				b.scanLimit = few
 				got := map[EndpointID]float64{}
 				for range picks {
-					r := &request{class: b.classes[read], attempts: c.attempts, from: b.listed[1]}
+					r := &request{class: b.classes[read], attempts: c.attempts, failedEndpoint: b.listedEndpoints[1]}
 					e, trial := b.pick(h.now, r)
 					if e == nil || trial {
 						t.Fatal("nothing, or a trial")
@@ -108,7 +108,7 @@
 			pools, look := picked(0), picked(1<<30)
 			test := func(x, y map[EndpointID]float64) (p float64) {
 				sum, n := 0.0, -1.0
-				for _, e := range b.listed {
+				for _, e := range b.listedEndpoints {
 					if a, b := x[e.id], y[e.id]; a+b > 0 {
 						sum += (a - b) * (a - b) / (a + b)
 						n++
@@ -124,8 +124,8 @@
 			}
 			// And the test can fail: bounds that the odds have outgrown by a half, unknown to the slack.
 			if c.attempts == 0 {
-				for _, e := range b.listed[:60] {
-					e.at.bound /= 3
+				for _, e := range b.listedEndpoints[:60] {
+					e.index.bound /= 3
 				}
 				if p := test(picked(0), look); p > 0.001 {
 					t.Errorf("odds that are off pass: p = %v", p)
@@ -138,88 +138,88 @@
 // verify compares what the fleet keeps with a look at all endpoints.
 func verify(t testing.TB, b *Balancer, now time.Duration) {
 	t.Helper()
-	b.raise(now)
-	if b.stale {
-		b.count(now)
+	b.advanceSlowStarts(now)
+	if b.subsetStale {
+		b.updateSubset(now)
 	}
 	n, busy, warm := 0, 0, 0.0
-	var in [pools]int
+	var in [poolCount]int
 	parts, mine := 0.0, 0
-	for i, e := range b.listed {
-		if i > 0 && b.listed[i-1].id >= e.id || !e.listed || b.byID[e.id] != e {
+	for i, e := range b.listedEndpoints {
+		if i > 0 && b.listedEndpoints[i-1].id >= e.id || !e.listed || b.endpointsByID[e.id] != e {
 			t.Fatalf("the list is out of order at %d", e.id)
 		}
-		seated := e.mark != leaving
+		seated := e.availability != draining
 		if seated {
 			n++
 		}
-		if e.at.seated != seated || slices.Contains(b.cells[e.cell], e) != seated {
-			t.Fatalf("endpoint %d: mark %d, seated %v", e.id, e.mark, e.at.seated)
+		if e.index.indexed != seated || slices.Contains(b.byCell[e.cell], e) != seated {
+			t.Fatalf("endpoint %d: mark %d, seated %v", e.id, e.availability, e.index.indexed)
 		}
 		if len(e.calls) > 0 {
 			busy++
 		}
 		want := -1
 		switch {
-		case e.mark == usable && e.part > 0:
-			want = warmPool
-		case e.mark == usable:
-			want = otherPool
-		case e.mark == ramping && e.part > 0:
-			want = rampPool
+		case e.availability == available && e.subsetWeight > 0:
+			want = availablePool
+		case e.availability == available:
+			want = outsidePool
+		case e.availability == warmingUp && e.subsetWeight > 0:
+			want = warmingUpPool
 		}
-		if e.at.pooled != (want >= 0) || e.at.pooled && e.at.pool != want {
-			t.Fatalf("endpoint %d: mark %d, part %v; pooled %v in %d", e.id, e.mark, e.part, e.at.pooled, e.at.pool)
+		if e.index.pooled != (want >= 0) || e.index.pooled && e.index.pool != want {
+			t.Fatalf("endpoint %d: mark %d, part %v; pooled %v in %d", e.id, e.availability, e.subsetWeight, e.index.pooled, e.index.pool)
 		}
 		if want >= 0 {
 			in[want]++
-			if o := b.odds(e) * b.share(now, e); o > e.at.bound*b.slack*(1+1e-9) {
-				t.Fatalf("endpoint %d: odds %v over their bound %v, slack %v, pool %d", e.id, o, e.at.bound, b.slack, want)
+			if o := b.drawWeight(e) * b.capacityShare(now, e); o > e.index.bound*b.boundSlack*(1+1e-9) {
+				t.Fatalf("endpoint %d: odds %v over their bound %v, slack %v, pool %d", e.id, o, e.index.bound, b.boundSlack, want)
 			}
 		}
-		if want == warmPool {
-			warm += b.odds(e)
+		if want == availablePool {
+			warm += b.drawWeight(e)
 		}
-		if e.part > 0 {
-			parts, mine = parts+e.part, mine+1
+		if e.subsetWeight > 0 {
+			parts, mine = parts+e.subsetWeight, mine+1
 		}
-		if has := b.arced && seated && b.arc.Has(uint32(e.id)); b.arced && (e.part > 0) != (has && b.weight(e) > 0) {
-			t.Fatalf("endpoint %d: mark %d, part %v, on this instance's arcs %v", e.id, e.mark, e.part, has)
+		if has := b.subsetByHash && seated && b.hashShare.Owns(uint32(e.id)); b.subsetByHash && (e.subsetWeight > 0) != (has && b.endpointWeight(e) > 0) {
+			t.Fatalf("endpoint %d: mark %d, part %v, on this instance's arcs %v", e.id, e.availability, e.subsetWeight, has)
 		}
-		_, ramps := b.ramps.Due(e)
-		at, trial := b.trials.Due(e)
-		if ramps != (e.mark == ramping) || trial != (e.mark == isolated && e.part > 0 && len(e.calls) == 0) || trial && at != e.trialAt {
-			t.Fatalf("endpoint %d: mark %d, part %v, ramps %v, trial %v", e.id, e.mark, e.part, ramps, trial)
+		_, ramps := b.slowStarts.Deadline(e)
+		at, trial := b.trials.Deadline(e)
+		if ramps != (e.availability == warmingUp) || trial != (e.availability == ejected && e.subsetWeight > 0 && len(e.calls) == 0) || trial && at != e.trialAt {
+			t.Fatalf("endpoint %d: mark %d, part %v, ramps %v, trial %v", e.id, e.availability, e.subsetWeight, ramps, trial)
 		}
 	}
-	if b.ring.Len() != n || len(b.busy) < busy {
-		t.Fatalf("%d seated, should be %d; %d busy, should be %d", b.ring.Len(), n, len(b.busy), busy)
+	if b.ordered.Len() != n || len(b.busy) < busy {
+		t.Fatalf("%d seated, should be %d; %d busy, should be %d", b.ordered.Len(), n, len(b.busy), busy)
 	}
 	for i := range in {
 		if b.pools[i].Len() != in[i] {
 			t.Fatalf("pool %d holds %d, should be %d", i, b.pools[i].Len(), in[i])
 		}
 	}
-	if b.arced && (b.whole || !slices.IsSortedFunc(b.mine, byID)) {
+	if b.subsetByHash && (b.subsetIsAll || !slices.IsSortedFunc(b.subset, compareIDs)) {
 		t.Fatal("the subset is out of order, or all as well")
 	}
-	if !b.whole && mine != len(b.mine) {
-		t.Fatalf("%d have a part, %d are listed so", mine, len(b.mine))
+	if !b.subsetIsAll && mine != len(b.subset) {
+		t.Fatalf("%d have a part, %d are listed so", mine, len(b.subset))
 	}
-	if warm > 0 && math.Abs(math.Log(b.warmSum/warm)) > math.Log(driftMost*driftMost) {
-		t.Fatalf("the warm odds' sum is %v, should be %v", b.warmSum, warm)
+	if warm > 0 && math.Abs(math.Log(b.availableWeight/warm)) > math.Log(maxDrift*maxDrift) {
+		t.Fatalf("the warm odds' sum is %v, should be %v", b.availableWeight, warm)
 	}
 	kept := 0
-	for w, k := range b.weights {
+	for w, k := range b.weightCounts {
 		kept += k
 		if k <= 0 {
 			t.Fatalf("weight %v: %d", w, k)
 		}
 	}
-	apart := func(e *endpoint) bool { return e.weight != b.listed[0].weight }
-	none := func(e *endpoint) bool { return e.weight <= 0 }
-	if weighted := slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none); kept != len(b.listed) || weighted != b.weighted {
-		t.Fatalf("%d weights of %d; weighted %v", kept, len(b.listed), b.weighted)
+	apart := func(e *endpoint) bool { return e.listedWeight != b.listedEndpoints[0].listedWeight }
+	none := func(e *endpoint) bool { return e.listedWeight <= 0 }
+	if weighted := slices.ContainsFunc(b.listedEndpoints, apart) && !slices.ContainsFunc(b.listedEndpoints, none); kept != len(b.listedEndpoints) || weighted != b.useListedWeights {
+		t.Fatalf("%d weights of %d; weighted %v", kept, len(b.listedEndpoints), b.useListedWeights)
 	}
 }
 
@@ -231,25 +231,25 @@
 		s.Instances = []int{1, 3, 12, 40, 4}[seed%5]
 		s.Ordinal = rng.IntN(s.Instances)
 		if seed%7 == 0 {
-			s.ColdFrom = 0
+			s.SlowStartMinShare = 0
 		}
 		n := 60
 		if s.Instances == 4 {
 			n = 96 // a subset by ids, while most are listed
 		}
 		d := start(t, s, n)
-		d.b.few = []int{0, walked}[seed/4%2]
+		d.b.scanLimit = []int{0, maxScanned}[seed/4%2]
 		reports, weights := seed%3 == 0, seed%3 == 1
 		var open []sent
-		entry := func() Entry {
+		entry := func() ListEntry {
 			id := EndpointID(1 + rng.IntN(n))
-			e := Entry{Endpoint: id, Cell: rng.IntN(n / 2), Zone: rng.IntN(3), Kind: rng.IntN(4), Weight: 1,
-				State: []State{Ready, Ready, Ready, Draining, Gone}[rng.IntN(5)]}
+			e := ListEntry{Endpoint: id, Cell: rng.IntN(n / 2), Zone: rng.IntN(3), MachineKind: rng.IntN(4), Weight: 1,
+				State: []EndpointState{EndpointReady, EndpointReady, EndpointReady, EndpointDraining, EndpointRemoved}[rng.IntN(5)]}
 			if weights {
 				e.Weight = float64(rng.IntN(300)) / 100
 			}
 			if rng.IntN(2) == 0 {
-				e.Started = d.now - time.Duration(rng.IntN(12000))*ms
+				e.StartedAt = d.now - time.Duration(rng.IntN(12000))*ms
 			}
 			return e
 		}
@@ -263,31 +263,31 @@
 					x := open[i]
 					open = slices.Delete(open, i, i+1)
 					o := Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Elapsed: time.Duration(1+rng.IntN(60)*int(1+x.to%4)) * ms,
-						Status: []Status{OK, OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset, Spoilt}[rng.IntN(12)]}
-					o.Final = o.Status == OK
+						Status: []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset, StatusInvalidResponse}[rng.IntN(12)]}
+					o.Final = o.Status == StatusOK
 					if reports {
-						o.Load = &Load{Service: time.Duration(1+rng.IntN(20)*int(1+x.to%3)) * ms}
+						o.Load = &Load{ServiceTime: time.Duration(1+rng.IntN(20)*int(1+x.to%3)) * ms}
 					}
-					d.b.Outcome(d.now, o)
+					d.b.HandleOutcome(d.now, o)
 				}
 			case 6:
 				d.list(entry())
 			case 7:
-				l := List{Kind: []ListKind{Delta, Delta, Whole}[rng.IntN(3)], Version: 3}
+				l := EndpointList{Kind: []ListKind{ListDelta, ListDelta, ListFull}[rng.IntN(3)], Version: 3}
 				for range 1 + rng.IntN(80) {
 					l.Entries = append(l.Entries, entry()) // some twice
 				}
-				d.b.Targets(d.now, l)
+				d.b.HandleEndpoints(d.now, l)
 			case 8:
-				g := Group{Instances: 1 + rng.IntN(2*s.Instances)}
-				g.Ordinal, g.Sharing = rng.IntN(g.Instances), rng.IntN(2*g.Instances)
+				g := InstanceGroup{Instances: 1 + rng.IntN(2*s.Instances)}
+				g.Ordinal, g.MaxInstances = rng.IntN(g.Instances), rng.IntN(2*g.Instances)
 				if rng.IntN(2) == 0 {
 					for i := range g.Instances {
 						g.Members = append(g.Members, uint64(1000*i))
 					}
 					g.Self = g.Members[g.Ordinal]
 				}
-				if err := d.b.Regroup(d.now, g); err != nil {
+				if err := d.b.UpdateGroup(d.now, g); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -310,8 +310,8 @@
 	d := start(t, s, n)
 	b := d.b
 	verify(t, b, d.now)
-	if !b.arced || len(b.mine) < 100 || len(b.mine) > 200 {
-		t.Fatalf("by ids %v, %d endpoints", b.arced, len(b.mine))
+	if !b.subsetByHash || len(b.subset) < 100 || len(b.subset) > 200 {
+		t.Fatalf("by ids %v, %d endpoints", b.subsetByHash, len(b.subset))
 	}
 	set := func() map[EndpointID]bool {
 		in := map[EndpointID]bool{}
@@ -325,9 +325,9 @@
 	}
 	before := set()
 	for i := range 50 {
-		out := b.mine[i].id
-		d.list(Entry{Endpoint: out, State: Gone})
-		d.list(Entry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
+		out := b.subset[i].id
+		d.list(ListEntry{Endpoint: out, State: EndpointRemoved})
+		d.list(ListEntry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
 		delete(before, out)
 		verify(t, b, d.now)
 	}
@@ -341,42 +341,42 @@
 		t.Fatalf("%v went by others' leaving", before)
 	}
 
-	held := len(b.mine)
-	for _, e := range slices.Clone(b.mine) {
+	held := len(b.subset)
+	for _, e := range slices.Clone(b.subset) {
 		if e.id%3 > 0 {
-			b.isolate(d.now, e, "test")
-			b.settle(d.now, e)
+			b.eject(d.now, e, "test")
+			b.refreshPools(d.now, e)
 		}
 	}
-	b.stale = true
-	if verify(t, b, d.now); len(b.mine) < held*3/2 || b.arc.Wide != 2 {
-		t.Fatalf("%d endpoints after two thirds of %d were isolated", len(b.mine), held)
+	b.subsetStale = true
+	if verify(t, b, d.now); len(b.subset) < held*3/2 || b.hashShare.Widening != 2 {
+		t.Fatalf("%d endpoints after two thirds of %d were isolated", len(b.subset), held)
 	}
-	for _, e := range b.listed {
-		if e.mark == isolated {
-			b.ramp(d.now, e, d.now)
+	for _, e := range b.listedEndpoints {
+		if e.availability == ejected {
+			b.startSlowStart(d.now, e, d.now)
 		}
 	}
-	b.stale = true
-	if verify(t, b, d.now); len(b.mine) != held || b.arc.Wide != 1 {
-		t.Fatalf("%d endpoints after the end of it, %d before", len(b.mine), held)
+	b.subsetStale = true
+	if verify(t, b, d.now); len(b.subset) != held || b.hashShare.Widening != 1 {
+		t.Fatalf("%d endpoints after the end of it, %d before", len(b.subset), held)
 	}
 
-	var l List
-	for _, e := range b.listed[:1500] {
-		l.Entries = append(l.Entries, Entry{Endpoint: e.id, State: Gone})
+	var l EndpointList
+	for _, e := range b.listedEndpoints[:1500] {
+		l.Entries = append(l.Entries, ListEntry{Endpoint: e.id, State: EndpointRemoved})
 	}
-	l.Kind, l.Version = Delta, 3
-	b.Targets(d.now, l)
-	if verify(t, b, d.now); b.arced || len(b.mine) > 45 {
-		t.Fatalf("by ids %v with %d endpoints of %d", b.arced, len(b.mine), len(b.listed))
+	l.Kind, l.Version = ListDelta, 3
+	b.HandleEndpoints(d.now, l)
+	if verify(t, b, d.now); b.subsetByHash || len(b.subset) > 45 {
+		t.Fatalf("by ids %v with %d endpoints of %d", b.subsetByHash, len(b.subset), len(b.listedEndpoints))
 	}
 	for i := range l.Entries {
-		l.Entries[i].State, l.Entries[i].Weight = Ready, 1
+		l.Entries[i].State, l.Entries[i].Weight = EndpointReady, 1
 	}
 	l.Version = 4
-	b.Targets(d.now, l)
-	if verify(t, b, d.now); !b.arced {
+	b.HandleEndpoints(d.now, l)
+	if verify(t, b, d.now); !b.subsetByHash {
 		t.Fatal("not by ids again")
 	}
 }
@@ -385,12 +385,12 @@
 // from gets none of that.
 func TestEveryIDGetsFirstAttempts(t *testing.T) {
 	d := start(t, settings(), 0)
-	l := List{Kind: Whole, Version: 1}
+	l := EndpointList{Kind: ListFull, Version: 1}
 	for id := range EndpointID(3) {
-		l.Entries = append(l.Entries, Entry{Endpoint: id, Cell: int(id), Weight: 1})
+		l.Entries = append(l.Entries, ListEntry{Endpoint: id, Cell: int(id), Weight: 1})
 	}
-	d.b.Targets(d.now, l)
-	got := d.serve(300, func(EndpointID) Status { return OK })
+	d.b.HandleEndpoints(d.now, l)
+	got := d.serve(300, func(EndpointID) Status { return StatusOK })
 	for id := range EndpointID(3) {
 		if got[id] < 50 {
 			t.Errorf("endpoint %d got %d of 300", id, got[id])
@@ -398,11 +398,11 @@
 		for i := range 30 {
 			at := len(d.sent)
 			r := RequestID(fmt.Sprint("not", id, " ", i))
-			d.b.Request(d.now, Request{ID: r, Class: read, Left: time.Second, Not: &id})
+			d.b.HandleRequest(d.now, Request{ID: r, Class: read, TimeLeft: time.Second, Exclude: &id})
 			if len(d.sent) != at+1 || d.sent[at].to == id {
 				t.Fatalf("not to %d, and it went to %v", id, d.sent[at:])
 			}
-			d.end(d.sent[at], OK, ms)
+			d.end(d.sent[at], StatusOK, ms)
 		}
 	}
 }
@@ -416,19 +416,19 @@
 		d := start(t, s, 10_000)
 		mate := func(e EndpointID) EndpointID { return (e - 1) ^ 1 + 1 }
 		for i := range 20 {
-			d.serve(30, func(EndpointID) Status { return OK })
+			d.serve(30, func(EndpointID) Status { return StatusOK })
 			at := len(d.sent)
 			d.ask(book)
 			if len(d.sent) != at+1 {
 				t.Fatal("it was not sent", i)
 			}
 			first := d.sent[at]
-			d.end(first, Reset, 10*ms)
+			d.end(first, StatusReset, 10*ms)
 			d.pass(300 * ms)
 			if len(d.sent) != at+2 || d.sent[at+1].to != mate(first.to) {
 				t.Fatalf("%d instances: after endpoint %d it went to %v; %v", instances, first.to, d.sent[at+1:], d.logs)
 			}
-			d.end(d.sent[at+1], Full, ms)
+			d.end(d.sent[at+1], StatusRejected, ms)
 			d.pass(100 * ms)
 			for _, x := range d.sent[at+2:] {
 				if x.to != first.to && x.to != mate(first.to) {
@@ -436,7 +436,7 @@
 				}
 			}
 			for _, x := range d.sent[at+2:] {
-				d.end(x, OK, 10*ms)
+				d.end(x, StatusOK, 10*ms)
 			}
 			d.pass(2000 * ms)
 		}
@@ -448,31 +448,31 @@
 func TestSubsetMost(t *testing.T) {
 	for _, most := range []int{2, 20, 100} {
 		s := settings()
-		s.Instances, s.Ordinal, s.SubsetMost = 12, 5, most
+		s.Instances, s.Ordinal, s.MaxSubsetSize = 12, 5, most
 		d := start(t, s, 3000)
 		b := d.b
 		verify(t, b, d.now)
 		low, high := float64(most), float64(most)
-		if most > arcsFrom { // by ids, a size is by chance
+		if most > hashSubsetFrom { // by ids, a size is by chance
 			low, high = 0.84*low-3*math.Sqrt(low), high+3*math.Sqrt(high)
 		}
-		if n := float64(len(b.mine)); n < low || n > high+1 {
+		if n := float64(len(b.subset)); n < low || n > high+1 {
 			t.Errorf("%v endpoints, %d at most", n, most)
 		}
 		if !strings.Contains(strings.Join(d.logs, "; "), fmt.Sprintf("reach at most %d of 3000", 12*most)) {
 			t.Errorf("%d at most: nothing said: %q", most, d.logs)
 		}
-		l := List{Kind: Delta, Version: 2}
+		l := EndpointList{Kind: ListDelta, Version: 2}
 		for id := EndpointID(12*most + 1); id <= 3000; id++ {
-			l.Entries = append(l.Entries, Entry{Endpoint: id, State: Gone})
+			l.Entries = append(l.Entries, ListEntry{Endpoint: id, State: EndpointRemoved})
 		}
-		b.Targets(d.now, l)
+		b.HandleEndpoints(d.now, l)
 		if verify(t, b, d.now); !strings.Contains(strings.Join(d.logs, "; "), fmt.Sprintf("reach all %d endpoints", 12*most)) {
 			t.Errorf("%d at most: nothing said of its end: %q", most, d.logs)
 		}
 	}
 	s := settings()
-	s.SubsetMost = -1
+	s.MaxSubsetSize = -1
 	if _, err := New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "subsetMost") {
 		t.Errorf("a bound below 0: %v", err)
 	}
@@ -482,16 +482,16 @@
 func TestFullFleetIsLookedAtOnceATick(t *testing.T) {
 	d := start(t, settings(), 200)
 	d.serve(600, nil)
-	for _, e := range d.b.listed {
-		e.fullUntil = d.now + time.Minute
+	for _, e := range d.b.listedEndpoints {
+		e.rejectsUntil = d.now + time.Minute
 	}
 	d.ask(read)
-	if !d.b.dry[0] || d.b.dry[1] {
-		t.Fatalf("marked as %v", d.b.dry)
+	if !d.b.exhausted[0] || d.b.exhausted[1] {
+		t.Fatalf("marked as %v", d.b.exhausted)
 	}
 	before := len(d.sent)
-	for _, e := range d.b.listed[5:] {
-		e.fullUntil = 0 // untold, so that a look would show
+	for _, e := range d.b.listedEndpoints[5:] {
+		e.rejectsUntil = 0 // untold, so that a look would show
 	}
 	d.ask(read)
 	if len(d.sent) > before {
@@ -530,14 +530,14 @@
 		return endpoints - len(called)
 	}
 	regroup := func(of []int) {
-		var g Group
+		var g InstanceGroup
 		for _, i := range of {
 			g.Members = append(g.Members, members[i])
 		}
 		g.Instances = len(of)
 		for n, i := range of {
 			g.Ordinal, g.Self = n, members[i]
-			if err := all[i].b.Regroup(all[i].now, g); err != nil {
+			if err := all[i].b.UpdateGroup(all[i].now, g); err != nil {
 				t.Fatal(err)
 			}
 			verify(t, all[i].b, all[i].now)
@@ -576,32 +576,32 @@
 // grows begins without a burst.
 func TestRegroupDividesWhatIsShared(t *testing.T) {
 	s := settings()
-	s.Instances, s.Tenants = 10, []Tenant{{Name: "a", QuotaPerS: 100}}
+	s.Instances, s.Tenants = 10, []Tenant{{Name: "a", QuotaPerSecond: 100}}
 	d := start(t, s, 40)
-	rate := func(g Group, want float64) {
+	rate := func(g InstanceGroup, want float64) {
 		t.Helper()
-		level := d.b.tenants[0].level
-		if err := d.b.Regroup(d.now, g); err != nil {
+		level := d.b.tenantQuotas[0].tokens
+		if err := d.b.UpdateGroup(d.now, g); err != nil {
 			t.Fatal(err)
 		}
-		if got := d.b.tenants[0].rate; got != want || math.Abs(d.b.all.rate-want) > 1e-9 || d.b.tenants[0].level > level {
-			t.Errorf("%+v: %v and %v a second, should be %v; level %v after %v", g, got, d.b.all.rate, want, d.b.tenants[0].level, level)
+		if got := d.b.tenantQuotas[0].rate; got != want || math.Abs(d.b.totalQuota.rate-want) > 1e-9 || d.b.tenantQuotas[0].tokens > level {
+			t.Errorf("%+v: %v and %v a second, should be %v; level %v after %v", g, got, d.b.totalQuota.rate, want, d.b.tenantQuotas[0].tokens, level)
 		}
 	}
-	rate(Group{Instances: 3, Sharing: 10}, 10)
-	rate(Group{Instances: 4, Ordinal: 3}, 25)
-	rate(Group{Instances: 20}, 5)
-	for want, g := range map[string]Group{
+	rate(InstanceGroup{Instances: 3, MaxInstances: 10}, 10)
+	rate(InstanceGroup{Instances: 4, Ordinal: 3}, 25)
+	rate(InstanceGroup{Instances: 20}, 5)
+	for want, g := range map[string]InstanceGroup{
 		"0 instances":   {},
 		"no number":     {Instances: 3, Ordinal: 3},
 		"this one":      {Instances: 2, Members: []uint64{1, 2}, Self: 3},
 		"1 members for": {Instances: 2, Members: []uint64{1}, Self: 1},
 	} {
-		if err := d.b.Regroup(d.now, g); err == nil || !strings.Contains(err.Error(), want) {
+		if err := d.b.UpdateGroup(d.now, g); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, should say %q", g, err, want)
 		}
 	}
-	if d.b.set.Instances != 20 {
+	if d.b.settings.Instances != 20 {
 		t.Error("a group that is none changed something")
 	}
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -79,23 +79,23 @@
 	}
 	switch {
 	case h.rng.IntN(40) == 0:
-		c.status = balancer.Status(h.rng.IntN(int(balancer.Spoilt) + 1))
+		c.status = balancer.Status(h.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
 	case c.to%17 == 3 && h.rng.IntN(3) == 0:
-		c.status = balancer.Error
+		c.status = balancer.StatusError
 	case h.rng.IntN(200) == 0:
 		took = time.Minute // the call is lost
 	}
 	if c.timeout > 0 && took > c.timeout {
-		took, c.status = c.timeout, balancer.Timeout
+		took, c.status = c.timeout, balancer.StatusTimeout
 	}
 	if most := 2 * time.Second; took > most {
-		took, c.status = most, balancer.Timeout
+		took, c.status = most, balancer.StatusTimeout
 	}
 	c.endsAt = h.now + max(took, time.Millisecond)
 	return c
 }
 
-func (h *trace) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (h *trace) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	h.note("refuse", id, int64(retryAfter))
 	h.final[id] = true
 }
@@ -109,7 +109,7 @@
 	h.note("cancel", id, attempt)
 	for i := range h.open {
 		if c := &h.open[i]; c.id == id && c.attempt == attempt {
-			c.endsAt, c.status = h.now+2*time.Millisecond, balancer.Cancelled
+			c.endsAt, c.status = h.now+2*time.Millisecond, balancer.StatusCancelled
 		}
 	}
 }
@@ -119,12 +119,12 @@
 	h.timers[token] = h.now + after
 }
 
-func (h *trace) Probe(to balancer.EndpointID)     { h.note("probe", to) }
-func (h *trace) Tell(peer int, data []byte)       { h.note("tell", peer, data) }
-func (h *trace) Watch(on bool)                    { h.note("watch", on) }
-func (h *trace) Fetch()                           { h.note("fetch") }
-func (h *trace) CloseIdle(to balancer.EndpointID) { h.note("closeIdle", to) }
-func (h *trace) Log(text string)                  { h.note("log", text) }
+func (h *trace) HealthCheck(to balancer.EndpointID)          { h.note("probe", to) }
+func (h *trace) SendToPeer(peer int, data []byte)            { h.note("tell", peer, data) }
+func (h *trace) WatchEndpoints(on bool)                      { h.note("watch", on) }
+func (h *trace) FetchEndpoints()                             { h.note("fetch") }
+func (h *trace) CloseIdleConnections(to balancer.EndpointID) { h.note("closeIdle", to) }
+func (h *trace) Log(text string)                             { h.note("log", text) }
 
 // scenario is a fleet and what happens in it.
 type scenario struct {
@@ -141,26 +141,26 @@
 var scenarios = []scenario{
 	{name: "small", endpoints: 8, perSecond: 900, change: func(*balancer.Settings) {}},
 	{name: "one-by-one", endpoints: 24, perSecond: 1500, weighted: true, reports: true, change: func(s *balancer.Settings) {
-		s.MustAsk, s.MarksRetry, s.GoalWorstClass = true, true, 0.3
+		s.MustSubscribe, s.ClientsMarkRetries, s.WorstClassWeight = true, true, 0.3
 	}},
 	{name: "tiles", endpoints: 40, perSecond: 500, weighted: true, regroups: true, change: func(s *balancer.Settings) {
 		s.Instances, s.Ordinal = 20, 3
-		s.Tenants = []balancer.Tenant{{Name: "a", QuotaPerS: 4000}, {Name: "b", QuotaPerS: 1000}}
+		s.Tenants = []balancer.Tenant{{Name: "a", QuotaPerSecond: 4000}, {Name: "b", QuotaPerSecond: 1000}}
 	}},
 	{name: "pools", endpoints: 300, perSecond: 3000, reports: true, change: func(s *balancer.Settings) {
-		s.WorthByWork = true
+		s.ValuePerWorkUnit = true
 	}},
 	{name: "ids", endpoints: 400, perSecond: 1500, weighted: true, regroups: true, change: func(s *balancer.Settings) {
 		s.Instances, s.Ordinal = 15, 4
 	}},
 	{name: "bounded", endpoints: 500, perSecond: 2000, regroups: true, change: func(s *balancer.Settings) {
-		s.Instances, s.Ordinal, s.SubsetMost = 5, 1, 80
+		s.Instances, s.Ordinal, s.MaxSubsetSize = 5, 1, 80
 	}},
 	{name: "strained", endpoints: 3, perSecond: 60, change: func(s *balancer.Settings) {
 		s.Instances, s.Ordinal = 30, 29
 	}},
 	{name: "inner-tier", endpoints: 12, perSecond: 1200, reports: true, change: func(s *balancer.Settings) {
-		s.Stage, s.Tiers, s.MayCancel, s.SecondCopies, s.MaxAttempts = 1, 3, false, true, 0
+		s.Tier, s.Tiers, s.MayCancel, s.HedgedRequests, s.MaxAttempts = 1, 3, false, true, 0
 	}},
 	{name: "leaving", endpoints: 6, perSecond: 500, leaves: true, change: func(s *balancer.Settings) {
 		s.MaxRetryAfter = 5 * time.Second
@@ -168,18 +168,18 @@
 }
 
 func goldenSettings(change func(*balancer.Settings)) balancer.Settings {
-	class := func(name string, effect balancer.Effect, scope balancer.Scope, worth float64) balancer.Class {
-		return balancer.Class{Name: name, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: worth, LateWorth: 0.2 * worth,
-			Effect: effect, Scope: scope, Window: 3 * time.Second}
+	class := func(name string, effect balancer.Idempotency, scope balancer.KeyScope, worth float64) balancer.Class {
+		return balancer.Class{Name: name, LatencyTarget: 400 * time.Millisecond, Deadline: 2 * time.Second, Value: worth, LateValueShare: 0.2 * worth,
+			Idempotency: effect, KeyScope: scope, KeyWindow: 3 * time.Second}
 	}
-	read, zoned := class("read", balancer.Safe, "", 1), class("zoned", balancer.Keyed, balancer.ScopeZone, 2)
-	read.LateWorth, read.Stream = 0, true
+	read, zoned := class("read", balancer.Idempotent, "", 1), class("zoned", balancer.IdempotentWithKey, balancer.KeyScopeZone, 2)
+	read.LateValueShare, read.Streaming = 0, true
 	s := balancer.Settings{
 		Instances: 1, Quantum: 2 * time.Millisecond, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond,
-		MaxRetryAfter: 3 * time.Second, ColdFrom: 0.2, Cold: 4 * time.Second, TipMultiple: 3, Fall: time.Second, AskEvery: 5 * time.Second,
-		GoalWhole: 1,
-		Classes: []balancer.Class{read, class("pay", balancer.Unsafe, "", 5), class("book", balancer.Keyed, balancer.ScopeCell, 2),
-			zoned, class("anywhere", balancer.Keyed, balancer.ScopeAll, 1)},
+		MaxRetryAfter: 3 * time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 4 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second, ResubscribeInterval: 5 * time.Second,
+		TotalValueWeight: 1,
+		Classes: []balancer.Class{read, class("pay", balancer.NonIdempotent, "", 5), class("book", balancer.IdempotentWithKey, balancer.KeyScopeCell, 2),
+			zoned, class("anywhere", balancer.IdempotentWithKey, balancer.KeyScopeAll, 1)},
 	}
 	change(&s)
 	return s
@@ -195,8 +195,8 @@
 	n   int // requests so far
 }
 
-func (p *player) entry(id int) balancer.Entry {
-	e := balancer.Entry{Endpoint: balancer.EndpointID(id), Zone: id % 3, Kind: id % 4, Cell: id / 2, Weight: 1}
+func (p *player) entry(id int) balancer.ListEntry {
+	e := balancer.ListEntry{Endpoint: balancer.EndpointID(id), Zone: id % 3, MachineKind: id % 4, Cell: id / 2, Weight: 1}
 	if p.weighted {
 		e.Weight = float64(1 + id%5)
 	}
@@ -204,44 +204,44 @@
 }
 
 func (p *player) list(kind balancer.ListKind) {
-	l := balancer.List{Kind: kind, Version: uint64(p.n)}
+	l := balancer.EndpointList{Kind: kind, Version: uint64(p.n)}
 	for id := 1; id <= p.endpoints; id++ {
 		l.Entries = append(l.Entries, p.entry(id))
 	}
-	p.b.Targets(p.now, l)
+	p.b.HandleEndpoints(p.now, l)
 }
 
 func (p *player) delta() {
-	l := balancer.List{Kind: balancer.Delta, Version: uint64(p.n)}
+	l := balancer.EndpointList{Kind: balancer.ListDelta, Version: uint64(p.n)}
 	for range 1 + p.rng.IntN(4) {
 		e := p.entry(1 + p.rng.IntN(p.endpoints))
-		e.State = []balancer.State{balancer.Ready, balancer.Ready, balancer.Ready, balancer.Draining, balancer.Gone}[p.rng.IntN(5)]
+		e.State = []balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved}[p.rng.IntN(5)]
 		if p.rng.IntN(2) == 0 {
-			e.Started = p.now - time.Duration(p.rng.IntN(5000))*time.Millisecond
+			e.StartedAt = p.now - time.Duration(p.rng.IntN(5000))*time.Millisecond
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	p.b.Targets(p.now, l)
+	p.b.HandleEndpoints(p.now, l)
 }
 
 func (p *player) request() {
 	p.n++
-	q := balancer.Request{ID: balancer.RequestID(fmt.Sprint("r", p.n)), Class: p.rng.IntN(len(p.set.Classes)), Left: 2 * time.Second,
-		Idle: p.rng.IntN(6), Times: float64(p.rng.IntN(3))}
+	q := balancer.Request{ID: balancer.RequestID(fmt.Sprint("r", p.n)), Class: p.rng.IntN(len(p.set.Classes)), TimeLeft: 2 * time.Second,
+		IdleConnections: p.rng.IntN(6), ValueFactor: float64(p.rng.IntN(3))}
 	if len(p.set.Tenants) > 0 {
 		q.Tenant = p.rng.IntN(len(p.set.Tenants))
 	}
 	switch p.rng.IntN(12) {
 	case 0:
-		q.Repeat, q.Left = true, time.Duration(1+p.rng.IntN(2000))*time.Millisecond
+		q.Retry, q.TimeLeft = true, time.Duration(1+p.rng.IntN(2000))*time.Millisecond
 	case 1:
 		other := balancer.EndpointID(1 + p.rng.IntN(p.endpoints))
-		q.Not, q.Attempts, q.Each = &other, 2, 300*time.Millisecond
+		q.Exclude, q.MaxAttempts, q.AttemptTimeout = &other, 2, 300*time.Millisecond
 	case 2:
 		id := 1 + p.rng.IntN(p.endpoints)
-		q.Earlier = balancer.Earlier{MayRun: true, Zone: id % 3, Cell: id / 2, At: p.now - time.Second}
+		q.Prior = balancer.PriorAttempt{MayHaveRun: true, Zone: id % 3, Cell: id / 2, SentAt: p.now - time.Second}
 	}
-	p.b.Request(p.now, q)
+	p.b.HandleRequest(p.now, q)
 }
 
 // end brings the outcomes of the calls that have ended by now, in the order in which they were sent.
@@ -254,14 +254,14 @@
 		c := p.open[i]
 		p.open = slices.Delete(p.open, i, i+1)
 		o := balancer.Outcome{ID: c.id, Endpoint: c.to, Attempt: c.attempt, Elapsed: p.now - c.sentAt, Status: c.status,
-			Final: c.status == balancer.OK || p.final[c.id], Last: p.rng.IntN(40) == 0}
+			Final: c.status == balancer.StatusOK || p.final[c.id], NoRetry: p.rng.IntN(40) == 0}
 		if p.rng.IntN(20) == 0 {
-			o.Pause = time.Duration(p.rng.IntN(100)) * time.Millisecond
+			o.Backoff = time.Duration(p.rng.IntN(100)) * time.Millisecond
 		}
 		if p.reports && p.rng.IntN(2) == 0 {
-			o.Load = &balancer.Load{InFlight: -1, Queue: -1, Util: -1, Service: time.Duration(1+p.rng.IntN(8)*int(1+c.to%4)) * time.Millisecond}
+			o.Load = &balancer.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: time.Duration(1+p.rng.IntN(8)*int(1+c.to%4)) * time.Millisecond}
 		}
-		p.b.Outcome(p.now, o)
+		p.b.HandleOutcome(p.now, o)
 	}
 }
 
@@ -270,19 +270,19 @@
 	case 0, 1, 2:
 		p.delta()
 	case 3:
-		p.list([]balancer.ListKind{balancer.Whole, balancer.Cached}[p.rng.IntN(2)])
+		p.list([]balancer.ListKind{balancer.ListFull, balancer.ListCached}[p.rng.IntN(2)])
 	case 4:
-		p.b.Targets(p.now, balancer.List{Kind: balancer.Failed})
-		p.b.Probed(p.now, balancer.Probed{Endpoint: 1})
-		p.b.Told(p.now, 0, []byte("x"))
+		p.b.HandleEndpoints(p.now, balancer.EndpointList{Kind: balancer.ListFailed})
+		p.b.HandleHealthCheck(p.now, balancer.HealthCheckResult{Endpoint: 1})
+		p.b.HandlePeerMessage(p.now, 0, []byte("x"))
 	case 5:
 		if len(p.open) > 0 {
 			c := p.open[p.rng.IntN(len(p.open))]
-			p.b.Begun(p.now, c.id, c.attempt, c.to)
+			p.b.HandleResponseStart(p.now, c.id, c.attempt, c.to)
 		}
 	case 6:
 		if len(p.open) > 0 {
-			p.b.Lapsed(p.now, p.open[p.rng.IntN(len(p.open))].id)
+			p.b.HandleClientGone(p.now, p.open[p.rng.IntN(len(p.open))].id)
 		}
 	case 7:
 		if p.regroups {
@@ -292,15 +292,15 @@
 }
 
 func (p *player) regroup() {
-	g := balancer.Group{Instances: max(2, p.set.Instances-2+p.rng.IntN(5))}
-	g.Ordinal, g.Sharing = p.rng.IntN(g.Instances), p.rng.IntN(2*g.Instances)
+	g := balancer.InstanceGroup{Instances: max(2, p.set.Instances-2+p.rng.IntN(5))}
+	g.Ordinal, g.MaxInstances = p.rng.IntN(g.Instances), p.rng.IntN(2*g.Instances)
 	if p.rng.IntN(2) == 0 {
 		for i := range g.Instances {
 			g.Members = append(g.Members, uint64(1000*i))
 		}
 		g.Self = g.Members[g.Ordinal]
 	}
-	if err := p.b.Regroup(p.now, g); err != nil {
+	if err := p.b.UpdateGroup(p.now, g); err != nil {
 		p.t.Fatal(err)
 	}
 }
@@ -310,7 +310,7 @@
 	for token := range uint64(2) {
 		if at, ok := p.timers[token]; ok && at <= p.now {
 			delete(p.timers, token)
-			p.b.Timer(p.now, token)
+			p.b.HandleTimer(p.now, token)
 		}
 	}
 }
@@ -333,13 +333,13 @@
 			p.set.Classes = append(slices.Clone(p.set.Classes), p.set.Classes[0])
 		}
 		if p.leaves && step == steps*4/5 {
-			p.b.Leave(p.now, p.now+time.Duration(steps/6)*time.Millisecond)
+			p.b.ShutDownAt(p.now, p.now+time.Duration(steps/6)*time.Millisecond)
 		}
 		p.now += time.Millisecond
 		p.fire()
 	}
 	for id, part := range p.b.Subset() {
-		p.note("subset", id, part, p.b.Isolated(id))
+		p.note("subset", id, part, p.b.Ejected(id))
 	}
 }
 
@@ -355,7 +355,7 @@
 					t.Fatal(err)
 				}
 				p.b = b
-				p.list(balancer.Cached)
+				p.list(balancer.ListCached)
 				p.play(8000)
 				fmt.Fprintf(&text, "seed %d: %d requests, %v\n%x\n", seed, p.n, p.counts, p.digest.Sum(nil))
 				text.WriteString(strings.Join(p.first, ""))
@@ -369,15 +369,15 @@
 type silent struct{ to balancer.EndpointID }
 
 func (h *silent) Send(_ balancer.RequestID, to balancer.EndpointID, _ time.Duration) { h.to = to }
-func (h *silent) Refuse(balancer.RequestID, time.Duration)                           {}
+func (h *silent) Reject(balancer.RequestID, time.Duration)                           {}
 func (h *silent) Fail(balancer.RequestID)                                            {}
 func (h *silent) Cancel(balancer.RequestID, int)                                     {}
 func (h *silent) SetTimer(uint64, time.Duration)                                     {}
-func (h *silent) Probe(balancer.EndpointID)                                          {}
-func (h *silent) Tell(int, []byte)                                                   {}
-func (h *silent) Watch(bool)                                                         {}
-func (h *silent) Fetch()                                                             {}
-func (h *silent) CloseIdle(balancer.EndpointID)                                      {}
+func (h *silent) HealthCheck(balancer.EndpointID)                                    {}
+func (h *silent) SendToPeer(int, []byte)                                             {}
+func (h *silent) WatchEndpoints(bool)                                                {}
+func (h *silent) FetchEndpoints()                                                    {}
+func (h *silent) CloseIdleConnections(balancer.EndpointID)                           {}
 func (h *silent) Log(string)                                                         {}
 
 // A decision, from a request to its outcome, allocates no more than it did when these bounds were measured.
@@ -392,17 +392,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := balancer.List{Kind: balancer.Whole, Version: 1}
+			l := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
 			for id := range c.endpoints {
-				l.Entries = append(l.Entries, balancer.Entry{Endpoint: balancer.EndpointID(id + 1), Cell: id / 2, Weight: 1})
+				l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id + 1), Cell: id / 2, Weight: 1})
 			}
 			now := time.Second
-			b.Targets(now, l)
+			b.HandleEndpoints(now, l)
 			decide := func() {
-				b.Request(now, balancer.Request{ID: "r", Left: 2 * time.Second})
-				b.Outcome(now+time.Millisecond, balancer.Outcome{ID: "r", Endpoint: host.to, Final: true, Elapsed: 20 * time.Millisecond})
+				b.HandleRequest(now, balancer.Request{ID: "r", TimeLeft: 2 * time.Second})
+				b.HandleOutcome(now+time.Millisecond, balancer.Outcome{ID: "r", Endpoint: host.to, Final: true, Elapsed: 20 * time.Millisecond})
 				now += time.Millisecond
-				b.Timer(now, 0)
+				b.HandleTimer(now, 0)
 			}
 			for range 1000 {
 				decide() // buffers grow
@@ -419,14 +419,14 @@
 // Values that settings files, the simulator's wire and people's tools go by.
 func TestValuesAreData(t *testing.T) {
 	for got, want := range map[any]any{
-		balancer.Safe: balancer.Effect("safe"), balancer.Keyed: balancer.Effect("keyed"), balancer.Unsafe: balancer.Effect("unsafe"),
-		balancer.ScopeAll: balancer.Scope("all"), balancer.ScopeZone: balancer.Scope("zone"), balancer.ScopeCell: balancer.Scope("cell"),
-		balancer.OK: balancer.Status(0), balancer.Error: balancer.Status(1), balancer.Full: balancer.Status(2),
-		balancer.Timeout: balancer.Status(3), balancer.ConnectFailed: balancer.Status(4), balancer.Reset: balancer.Status(5),
-		balancer.Cancelled: balancer.Status(6), balancer.Moot: balancer.Status(7), balancer.Spoilt: balancer.Status(8),
-		balancer.Ready: balancer.State(0), balancer.Draining: balancer.State(1), balancer.Gone: balancer.State(2),
-		balancer.Delta: balancer.ListKind(0), balancer.Whole: balancer.ListKind(1),
-		balancer.Cached: balancer.ListKind(2), balancer.Failed: balancer.ListKind(3),
+		balancer.Idempotent: balancer.Idempotency("safe"), balancer.IdempotentWithKey: balancer.Idempotency("keyed"), balancer.NonIdempotent: balancer.Idempotency("unsafe"),
+		balancer.KeyScopeAll: balancer.KeyScope("all"), balancer.KeyScopeZone: balancer.KeyScope("zone"), balancer.KeyScopeCell: balancer.KeyScope("cell"),
+		balancer.StatusOK: balancer.Status(0), balancer.StatusError: balancer.Status(1), balancer.StatusRejected: balancer.Status(2),
+		balancer.StatusTimeout: balancer.Status(3), balancer.StatusConnectFailed: balancer.Status(4), balancer.StatusReset: balancer.Status(5),
+		balancer.StatusCancelled: balancer.Status(6), balancer.StatusNotSent: balancer.Status(7), balancer.StatusInvalidResponse: balancer.Status(8),
+		balancer.EndpointReady: balancer.EndpointState(0), balancer.EndpointDraining: balancer.EndpointState(1), balancer.EndpointRemoved: balancer.EndpointState(2),
+		balancer.ListDelta: balancer.ListKind(0), balancer.ListFull: balancer.ListKind(1),
+		balancer.ListCached: balancer.ListKind(2), balancer.ListFailed: balancer.ListKind(3),
 	} {
 		if got != want {
 			t.Errorf("%v, want %v", got, want)
--- a/internal/balancer/scale_test.go
+++ b/internal/balancer/scale_test.go
@@ -11,15 +11,15 @@
 type mute struct{ to EndpointID }
 
 func (m *mute) Send(_ RequestID, to EndpointID, _ time.Duration) { m.to = to }
-func (m *mute) Refuse(RequestID, time.Duration)                  { m.to = 0 }
+func (m *mute) Reject(RequestID, time.Duration)                  { m.to = 0 }
 func (m *mute) Fail(RequestID)                                   {}
 func (m *mute) Cancel(RequestID, int)                            {}
 func (m *mute) SetTimer(uint64, time.Duration)                   {}
-func (m *mute) Probe(EndpointID)                                 {}
-func (m *mute) Tell(int, []byte)                                 {}
-func (m *mute) Watch(bool)                                       {}
-func (m *mute) Fetch()                                           {}
-func (m *mute) CloseIdle(EndpointID)                             {}
+func (m *mute) HealthCheck(EndpointID)                           {}
+func (m *mute) SendToPeer(int, []byte)                           {}
+func (m *mute) WatchEndpoints(bool)                              {}
+func (m *mute) FetchEndpoints()                                  {}
+func (m *mute) CloseIdleConnections(EndpointID)                  {}
 func (m *mute) Log(string)                                       {}
 
 // BenchmarkDecision is a request with its outcome, a thousand a second, and the tick every 5 ms, by the number of
@@ -33,24 +33,24 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			l := List{Kind: Whole, Version: 1}
+			l := EndpointList{Kind: ListFull, Version: 1}
 			for i := 1; i <= n; i++ {
-				l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(i), Cell: i / 2, Weight: 1})
+				l.Entries = append(l.Entries, ListEntry{Endpoint: EndpointID(i), Cell: i / 2, Weight: 1})
 			}
 			now := time.Second
-			x.Targets(now, l)
+			x.HandleEndpoints(now, l)
 			b.ReportAllocs()
 			sent := 0
 			for i := 0; b.Loop(); i++ {
 				id := RequestID(strconv.Itoa(i))
 				host.to = 0
-				x.Request(now, Request{ID: id, Class: read, Left: time.Second})
+				x.HandleRequest(now, Request{ID: id, Class: read, TimeLeft: time.Second})
 				if host.to != 0 {
 					sent++
-					x.Outcome(now+20*ms, Outcome{ID: id, Endpoint: host.to, Final: true, Elapsed: 20 * ms})
+					x.HandleOutcome(now+20*ms, Outcome{ID: id, Endpoint: host.to, Final: true, Elapsed: 20 * ms})
 				}
 				if now += ms; i%5 == 0 {
-					x.Timer(now, tokenTick)
+					x.HandleTimer(now, timerTick)
 				}
 			}
 			if sent*10 < b.N*9 {
@@ -64,11 +64,11 @@
 // and one that replaces all; as the only instance, and as one of 200.
 func BenchmarkList(b *testing.B) {
 	const n = 10000
-	entry := func(id, start int) Entry {
-		return Entry{Endpoint: EndpointID(id), Cell: id / 2, Weight: 1, Started: time.Duration(start)}
+	entry := func(id, start int) ListEntry {
+		return ListEntry{Endpoint: EndpointID(id), Cell: id / 2, Weight: 1, StartedAt: time.Duration(start)}
 	}
-	whole := func(from int) (l List) {
-		l.Kind = Whole
+	whole := func(from int) (l EndpointList) {
+		l.Kind = ListFull
 		for i := range n {
 			l.Entries = append(l.Entries, entry(from+i, 0))
 		}
@@ -77,26 +77,26 @@
 	for _, instances := range []int{1, 200} {
 		for _, c := range []struct {
 			name string
-			news func(i int) List
+			news func(i int) EndpointList
 		}{
-			{"1 drains", func(i int) List {
+			{"1 drains", func(i int) EndpointList {
 				e := entry(1+i/2*7919%n, 0)
-				e.State = []State{Draining, Ready}[i%2]
-				return List{Entries: []Entry{e}}
+				e.State = []EndpointState{EndpointDraining, EndpointReady}[i%2]
+				return EndpointList{Entries: []ListEntry{e}}
 			}},
-			{"1 goes and comes", func(i int) List {
+			{"1 goes and comes", func(i int) EndpointList {
 				e := entry(1+i/2*7919%n, 0)
-				e.State = []State{Gone, Ready}[i%2]
-				return List{Entries: []Entry{e}}
+				e.State = []EndpointState{EndpointRemoved, EndpointReady}[i%2]
+				return EndpointList{Entries: []ListEntry{e}}
 			}},
-			{"1000 restart", func(i int) (l List) {
+			{"1000 restart", func(i int) (l EndpointList) {
 				for k := range 1000 {
 					l.Entries = append(l.Entries, entry(1+(i*1000+k)%n, i+1))
 				}
 				return l
 			}},
-			{"whole, the same", func(int) List { return whole(1) }},
-			{"whole, all others", func(i int) List { return whole(1 + i%2*n) }},
+			{"whole, the same", func(int) EndpointList { return whole(1) }},
+			{"whole, all others", func(i int) EndpointList { return whole(1 + i%2*n) }},
 		} {
 			b.Run(fmt.Sprintf("%d/%s", instances, c.name), func(b *testing.B) {
 				set := settings()
@@ -105,15 +105,15 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				x.Targets(0, whole(1))
-				wholes := [2]List{c.news(0), c.news(1)} // they take long to make
+				x.HandleEndpoints(0, whole(1))
+				wholes := [2]EndpointList{c.news(0), c.news(1)} // they take long to make
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					l := wholes[i%2]
-					if l.Kind != Whole {
+					if l.Kind != ListFull {
 						l = c.news(i)
 					}
-					x.Targets(time.Minute, l)
+					x.HandleEndpoints(time.Minute, l)
 				}
 			})
 		}
--- a/internal/config/appfile/appfile.go
+++ b/internal/config/appfile/appfile.go
@@ -207,8 +207,8 @@
 	Deadline      time.Duration
 	Worth         float64
 	LateWorth     float64
-	Effect        balancer.Effect
-	KeyScope      balancer.Scope
+	Effect        balancer.Idempotency
+	KeyScope      balancer.KeyScope
 	KeyWindow     time.Duration
 	WithoutMemory WithoutMemory
 }
@@ -230,11 +230,11 @@
 	schema.Duration("deadline", func(c *Class) *time.Duration { return &c.Deadline },
 		schema.Bounds[time.Duration]{Least: 50 * time.Millisecond, Most: time.Hour, Required: true, Example: `"6s"`}, schema.AtStart,
 		"How long a client waits, over all its tries."),
-	schema.Choice("effect", func(c *Class) *balancer.Effect { return &c.Effect },
-		[]balancer.Effect{balancer.Safe, balancer.Keyed, balancer.Unsafe}, "", true, schema.AtStart,
+	schema.Choice("effect", func(c *Class) *balancer.Idempotency { return &c.Effect },
+		[]balancer.Idempotency{balancer.Idempotent, balancer.IdempotentWithKey, balancer.NonIdempotent}, "", true, schema.AtStart,
 		"safe: may run any number of times; keyed: endpoints drop repeats of an Idempotency-Key; unsafe: must not run twice."),
-	schema.Choice("key_scope", func(c *Class) *balancer.Scope { return &c.KeyScope },
-		[]balancer.Scope{balancer.ScopeCell, balancer.ScopeZone, balancer.ScopeAll}, "", false, schema.AtStart,
+	schema.Choice("key_scope", func(c *Class) *balancer.KeyScope { return &c.KeyScope },
+		[]balancer.KeyScope{balancer.KeyScopeCell, balancer.KeyScopeZone, balancer.KeyScopeAll}, "", false, schema.AtStart,
 		"Of a keyed class: which endpoints drop the repeats, those of one cell, of one zone, or all."),
 	schema.Duration("key_window", func(c *Class) *time.Duration { return &c.KeyWindow },
 		schema.Bounds[time.Duration]{Least: 0, Most: 24 * time.Hour, Optional: true, Example: `"10s"`}, schema.AtStart,
@@ -252,15 +252,15 @@
 	switch {
 	case c.Aim > c.Deadline:
 		report("aim", "%s is longer than the deadline of %s", schema.FormatDuration(c.Aim), schema.FormatDuration(c.Deadline))
-	case c.Effect == balancer.Keyed && c.KeyScope == "":
+	case c.Effect == balancer.IdempotentWithKey && c.KeyScope == "":
 		report("key_scope", "missing: a keyed class has to say which endpoints drop repeats, cell, zone or all")
-	case c.Effect == balancer.Keyed && !set("key_window"):
+	case c.Effect == balancer.IdempotentWithKey && !set("key_window"):
 		report("key_window", "missing: a keyed class has to say how long repeats are dropped")
-	case c.Effect != balancer.Keyed && set("key_scope"):
+	case c.Effect != balancer.IdempotentWithKey && set("key_scope"):
 		report("key_scope", "means nothing: the effect is %s, not keyed", c.Effect)
-	case c.Effect != balancer.Keyed && set("key_window"):
+	case c.Effect != balancer.IdempotentWithKey && set("key_window"):
 		report("key_window", "means nothing: the effect is %s, not keyed", c.Effect)
-	case c.Effect == balancer.Keyed && c.KeyWindow < c.Deadline:
+	case c.Effect == balancer.IdempotentWithKey && c.KeyWindow < c.Deadline:
 		report("key_window", "%s is shorter than the %s in which attempts may go out (the deadline): a late one would run twice",
 			schema.FormatDuration(c.KeyWindow), schema.FormatDuration(c.Deadline))
 	}
--- a/internal/config/apps/check.go
+++ b/internal/config/apps/check.go
@@ -122,7 +122,7 @@
 }
 
 // strict orders effects by how little may be repeated.
-var strict = map[balancer.Effect]int{balancer.Safe: 0, balancer.Keyed: 1, balancer.Unsafe: 2}
+var strict = map[balancer.Idempotency]int{balancer.Idempotent: 0, balancer.IdempotentWithKey: 1, balancer.NonIdempotent: 2}
 
 // hop checks one call.
 func (g *graph) hop(e *edge) {
@@ -143,7 +143,7 @@
 	case e.as == e.call.Class && e.other.Effect != e.own.Effect:
 		e.report(g.found, "for_class", "class %s is %s here (%s) but %s at %s (%s): one name, two effects",
 			e.as, e.own.Effect, e.from.File.Place("class", e.call.Class, "effect"), e.other.Effect, e.to.Name, there("effect"))
-	case e.other.Effect == balancer.Keyed && e.own.Effect == balancer.Keyed && e.other.KeyWindow < e.own.Deadline:
+	case e.other.Effect == balancer.IdempotentWithKey && e.own.Effect == balancer.IdempotentWithKey && e.other.KeyWindow < e.own.Deadline:
 		e.report(g.found, "timeout", "class %s at %s drops repeats for %s (%s), but class %s here goes out again for up to %s (%s): a late one would run twice",
 			e.as, e.to.Name, format(e.other.KeyWindow), there("key_window"), e.call.Class, format(e.own.Deadline), e.from.File.Place("class", e.call.Class, "deadline"))
 	}
--- a/internal/config/settings/load.go
+++ b/internal/config/settings/load.go
@@ -15,7 +15,7 @@
 // ParseLoad reads a load report, pairs of a name of feedback.fields and a figure, divided by commas. The
 // sockets and the simulator's wire differ in what stands between the two.
 func ParseLoad(text, between string) (*balancer.Load, error) {
-	l := &balancer.Load{InFlight: -1, Queue: -1, Util: -1, Service: -1}
+	l := &balancer.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: -1}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), between)
 		v, err := strconv.ParseFloat(figure, 64)
@@ -28,9 +28,9 @@
 		case "queue":
 			l.Queue = v
 		case "util":
-			l.Util = v
+			l.Utilization = v
 		case "latency_ms":
-			l.Service = time.Duration(v * float64(time.Millisecond))
+			l.ServiceTime = time.Duration(v * float64(time.Millisecond))
 		}
 	}
 	return l, nil
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -82,11 +82,11 @@
 // effects and scopes translate the wire's words; an unknown word is handed on
 // as it is, for the Balancer to reject by name.
 var (
-	effects = map[string]balancer.Effect{
-		"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
+	effects = map[string]balancer.Idempotency{
+		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NonIdempotent,
 	}
-	scopes = map[string]balancer.Scope{
-		"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+	scopes = map[string]balancer.KeyScope{
+		"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell,
 	}
 )
 
@@ -124,30 +124,30 @@
 	s = Settings{Zones: c.Zones, Models: c.Models, ConnIdle: Micros(c.Allowed.ConnIdle),
 		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap}
 	s.Settings = balancer.Settings{
-		Instances: c.Instances, Ordinal: c.Ordinal, Stage: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
-		OverShareWorth: c.OverShareWorth, WorthByWork: c.WorthBy == "work",
-		GoalWhole: c.Goal.Whole, GoalWorstClass: c.Goal.WorstClass,
-		MayCancel: c.Allowed.Cancel, MayProbe: c.Allowed.MayProbe, MayTell: c.Allowed.Peers,
-		SecondCopies: c.Allowed.SecondCopies, MaxAttempts: c.Allowed.SendCap,
+		Instances: c.Instances, Ordinal: c.Ordinal, Tier: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
+		OverQuotaValueShare: c.OverShareWorth, ValuePerWorkUnit: c.WorthBy == "work",
+		TotalValueWeight: c.Goal.Whole, WorstClassWeight: c.Goal.WorstClass,
+		MayCancel: c.Allowed.Cancel, MayHealthCheck: c.Allowed.MayProbe, MayMessagePeers: c.Allowed.Peers,
+		HedgedRequests: c.Allowed.SecondCopies, MaxAttempts: c.Allowed.SendCap,
 		ConnectTimeout: Micros(c.Allowed.ConnectTimeout),
-		MustAsk:        c.Discovery == "ask", AskEvery: Micros(c.Rules.AskEvery),
-		PassesDeadline: c.FamilyInfo.PassesDeadline == nil || *c.FamilyInfo.PassesDeadline,
-		MarksRetry:     c.ClientHabits.MarksRetry,
-		ColdFrom:       c.Rules.ColdFrom, Cold: Micros(c.Rules.Cold),
-		TipMultiple: c.Rules.TipMultiple, Fall: Micros(c.Rules.Fall),
+		MustSubscribe:  c.Discovery == "ask", ResubscribeInterval: Micros(c.Rules.AskEvery),
+		PropagatesDeadline: c.FamilyInfo.PassesDeadline == nil || *c.FamilyInfo.PassesDeadline,
+		ClientsMarkRetries: c.ClientHabits.MarksRetry,
+		SlowStartMinShare:  c.Rules.ColdFrom, SlowStartWindow: Micros(c.Rules.Cold),
+		OverloadMultiple: c.Rules.TipMultiple, OverloadDuration: Micros(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
 		s.MaxRetryAfter = Micros(c.Allowed.MaxRetryAfter)
 	}
 	for _, v := range c.Services {
 		s.Classes = append(s.Classes, balancer.Class{
-			Name: v.Name, Aim: Micros(v.Aim), Deadline: Micros(v.Deadline), Worth: v.Gain,
-			LateWorth: v.LateValue, Effect: translate(effects, v.Effect), Scope: translate(scopes, v.KeyScope),
-			Window: Micros(v.Window), Stream: v.Streamed,
+			Name: v.Name, LatencyTarget: Micros(v.Aim), Deadline: Micros(v.Deadline), Value: v.Gain,
+			LateValueShare: v.LateValue, Idempotency: translate(effects, v.Effect), KeyScope: translate(scopes, v.KeyScope),
+			KeyWindow: Micros(v.Window), Streaming: v.Streamed,
 		})
 	}
 	for _, v := range c.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerS: v.QuotaPerS})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.QuotaPerS})
 	}
 	return s, unknown, nil
 }
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -7,7 +7,7 @@
 
 func TestParseLoad(t *testing.T) {
 	l, err := ParseLoad("inflight=7, queue=2,latency_ms=20,novelty=1", "=")
-	if err != nil || l.InFlight != 7 || l.Queue != 2 || l.Util != -1 || l.Service != 20*time.Millisecond {
+	if err != nil || l.InFlight != 7 || l.Queue != 2 || l.Utilization != -1 || l.ServiceTime != 20*time.Millisecond {
 		t.Errorf("got %+v, %v", l, err)
 	}
 	for _, text := range []string{"", "queue", "queue=x", "queue:1"} {
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -67,7 +67,7 @@
 	a.superseded, r.active = true, nil
 	r.superseded = append(r.superseded, a)
 	c.proxy.deferLocked(func(now time.Duration) {
-		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Elapsed: now - a.sentAt, Status: balancer.Cancelled})
+		c.balancer.HandleOutcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Elapsed: now - a.sentAt, Status: balancer.StatusCancelled})
 	})
 }
 
@@ -91,8 +91,8 @@
 	case a.superseded:
 		c.supersededEnded(now, r)
 	default:
-		c.balancer.Outcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Final: final,
-			Elapsed: now - a.sentAt, Status: balancerStatus(o, a.cancelled), Last: c.isFinalAttempt(now, r, o, next, final)})
+		c.balancer.HandleOutcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Final: final,
+			Elapsed: now - a.sentAt, Status: balancerStatus(o, a.cancelled), NoRetry: c.isFinalAttempt(now, r, o, next, final)})
 	}
 	if r.answered {
 		c.cancelAttempts(r)
@@ -116,7 +116,7 @@
 func (c *serviceBalancer) supersededEnded(now time.Duration, r *request) {
 	switch {
 	case r.answered:
-		c.balancer.Lapsed(now, r.id)
+		c.balancer.HandleClientGone(now, r.id)
 	case r.concluded && !r.outstanding():
 		c.answerConcluded(r)
 	}
@@ -148,7 +148,7 @@
 }
 
 // RejectNewRequests is the module's final answer: nobody serves it (balancer.Host).
-func (c *serviceBalancer) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (c *serviceBalancer) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	c.conclude(id, retryAfter)
 }
 
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -61,10 +61,10 @@
 		classes: map[classKey]int{}, requests: map[balancer.RequestID]*request{},
 		retryBudget: ratelimit.NewRetryBudget(d.options.Bounds.RetryBudgetWindow)}
 	b, err := balancer.New(balancer.Settings{
-		Instances: 1, Tiers: 1, Quantum: decisionInterval, GoalWhole: 1, MayCancel: true, MaxRetryAfter: maxRetryAfter,
-		ConnectTimeout: connectTimeout, ColdFrom: slowStartMinShare, Cold: slowStartWindow, TipMultiple: overloadMultiple, Fall: overloadDuration,
-		Classes: []balancer.Class{{Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.2,
-			Effect: balancer.Unsafe}},
+		Instances: 1, Tiers: 1, Quantum: decisionInterval, TotalValueWeight: 1, MayCancel: true, MaxRetryAfter: maxRetryAfter,
+		ConnectTimeout: connectTimeout, SlowStartMinShare: slowStartMinShare, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadDuration: overloadDuration,
+		Classes: []balancer.Class{{Name: "any", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, LateValueShare: 0.2,
+			Idempotency: balancer.NonIdempotent}},
 	}, seed, c)
 	c.balancer = b
 	return c, err
@@ -80,16 +80,16 @@
 	if len(c.classes) >= maxClasses {
 		return c.nearestClass(key)
 	}
-	effect := balancer.Safe
+	effect := balancer.Idempotent
 	if !r.Kind.IsIdempotent() {
-		effect = balancer.Unsafe
+		effect = balancer.NonIdempotent
 	}
 	target := r.Target
 	if target <= 0 {
 		target = r.Timeout / 2
 	}
-	n, err := c.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(c.classes)), Aim: target, Deadline: r.Timeout,
-		Worth: 1, LateWorth: 0.2, Effect: effect})
+	n, err := c.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(c.classes)), LatencyTarget: target, Deadline: r.Timeout,
+		Value: 1, LateValueShare: 0.2, Idempotency: effect})
 	if err != nil {
 		c.proxy.options.Log.Warn("outbound: " + err.Error())
 		return 0
@@ -114,7 +114,7 @@
 // updateEndpoints takes the list of the service's endpoints, all of them.
 func (c *serviceBalancer) updateEndpoints(now time.Duration, all []discovery.Endpoint) {
 	c.listVersion++
-	l := balancer.List{Kind: balancer.Whole, Version: c.listVersion}
+	l := balancer.EndpointList{Kind: balancer.ListFull, Version: c.listVersion}
 	seen := map[string]bool{}
 	for _, e := range all {
 		p := c.byID[e.ID]
@@ -127,12 +127,12 @@
 			c.byID[e.ID], c.endpoints[p.number] = p, p
 		}
 		p.Endpoint, seen[e.ID] = e, true
-		entry := balancer.Entry{Endpoint: p.number, Zone: c.proxy.zoneNumber(e.Zone), Weight: 1}
+		entry := balancer.ListEntry{Endpoint: p.number, Zone: c.proxy.zoneNumber(e.Zone), Weight: 1}
 		if e.State == discovery.Draining {
-			entry.State = balancer.Draining
+			entry.State = balancer.EndpointDraining
 		}
 		if e.WarmupRemaining > 0 {
-			entry.Started = now + e.WarmupRemaining - slowStartWindow
+			entry.StartedAt = now + e.WarmupRemaining - slowStartWindow
 		}
 		l.Entries = append(l.Entries, entry)
 	}
@@ -142,7 +142,7 @@
 			delete(c.endpoints, p.number)
 		}
 	}
-	c.balancer.Targets(now, l)
+	c.balancer.HandleEndpoints(now, l)
 }
 
 // Send makes an attempt (balancer.Host).
@@ -202,38 +202,38 @@
 	switch o.Kind {
 	case outcome.Answered:
 		if o.Status >= 500 {
-			return balancer.Error
+			return balancer.StatusError
 		}
-		return balancer.OK
+		return balancer.StatusOK
 	case outcome.AtCapacity, outcome.Rejected, outcome.Draining, outcome.Expired, outcome.Overloaded:
-		return balancer.Full
+		return balancer.StatusRejected
 	case outcome.Misdirected, outcome.Unreachable:
 		if quit {
-			return balancer.Moot
+			return balancer.StatusNotSent
 		}
-		return balancer.ConnectFailed
+		return balancer.StatusConnectFailed
 	case outcome.Cancelled:
-		return balancer.Moot
+		return balancer.StatusNotSent
 	case outcome.ConnectionLost:
-		return balancer.Reset
+		return balancer.StatusReset
 	case outcome.InvalidResponse, outcome.EndpointReset: // of one connection; the endpoint's own sidecar says if it is down
-		return balancer.Spoilt
+		return balancer.StatusInvalidResponse
 	}
 	if quit {
-		return balancer.Cancelled
+		return balancer.StatusCancelled
 	}
-	return balancer.Timeout
+	return balancer.StatusTimeout
 }
 
 // SetTimer (balancer.Host).
 func (c *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
-		c.proxy.runLocked(func(now time.Duration) { c.balancer.Timer(now, token) })
+		c.proxy.runLocked(func(now time.Duration) { c.balancer.HandleTimer(now, token) })
 	})
 }
 
-// Fetch gets the list of endpoints anew from the service's homes (balancer.Host).
-func (c *serviceBalancer) Fetch() {
+// FetchEndpoints gets the list of endpoints anew from the service's homes (balancer.Host).
+func (c *serviceBalancer) FetchEndpoints() {
 	if f := c.proxy.options.RefreshEndpoints; f != nil {
 		go f(c.service)
 	}
@@ -244,14 +244,14 @@
 	c.proxy.options.Log.WithField("service", c.service).Info("balancer: " + text)
 }
 
-// Probe (balancer.Host): endpoints' own sidecars vouch for them, so nobody probes.
-func (c *serviceBalancer) Probe(balancer.EndpointID) {}
+// HealthCheck (balancer.Host): endpoints' own sidecars vouch for them, so nobody probes.
+func (c *serviceBalancer) HealthCheck(balancer.EndpointID) {}
 
-// Tell (balancer.Host): not used by the module.
-func (c *serviceBalancer) Tell(int, []byte) {}
+// SendToPeer (balancer.Host): not used by the module.
+func (c *serviceBalancer) SendToPeer(int, []byte) {}
 
-// Watch (balancer.Host): lists are pushed.
-func (c *serviceBalancer) Watch(bool) {}
+// WatchEndpoints (balancer.Host): lists are pushed.
+func (c *serviceBalancer) WatchEndpoints(bool) {}
 
-// CloseIdle (balancer.Host): the endpoint's own sidecar has its connections.
-func (c *serviceBalancer) CloseIdle(balancer.EndpointID) {}
+// CloseIdleConnections (balancer.Host): the endpoint's own sidecar has its connections.
+func (c *serviceBalancer) CloseIdleConnections(balancer.EndpointID) {}
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -178,8 +178,8 @@
 		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(d.lastRequest, 36)), c
 		c.requests[r.id] = r
 		c.retryBudget.CountRequest(now)
-		c.balancer.Request(now, balancer.Request{ID: r.id, Class: c.class(r.route), Left: r.deadline - now,
-			Times: times})
+		c.balancer.HandleRequest(now, balancer.Request{ID: r.id, Class: c.class(r.route), TimeLeft: r.deadline - now,
+			ValueFactor: times})
 	})
 }
 
@@ -201,7 +201,7 @@
 		}
 		r.expired = true
 		c.cancelAttempts(r)
-		c.balancer.Lapsed(now, r.id)
+		c.balancer.HandleClientGone(now, r.id)
 		if !r.outstanding() {
 			d.finishExpired(r)
 		}
--- a/internal/mesh/dataplane/outbound/outbound_test.go
+++ b/internal/mesh/dataplane/outbound/outbound_test.go
@@ -26,13 +26,13 @@
 			if attempt {
 				c.Check(st.NeverRan(), qt.Equals, k.NotExecuted(), qt.Commentf("%s, withdrawn %v", k, quit))
 			}
-			blames := st == balancer.Reset || st == balancer.ConnectFailed
+			blames := st == balancer.StatusReset || st == balancer.StatusConnectFailed
 			if attempt && !quit {
 				c.Check(blames, qt.Equals, k.Entry().SuspectsEndpoint, qt.Commentf("%s", k))
 			}
 		}
 	}
-	c.Assert(balancerStatus(&inbound.ForwardResponse{Kind: outcome.Answered, Status: 500}, false), qt.Equals, balancer.Error)
+	c.Assert(balancerStatus(&inbound.ForwardResponse{Kind: outcome.Answered, Status: 500}, false), qt.Equals, balancer.StatusError)
 }
 
 func TestResponseOfAForwardCall(t *testing.T) {
--- a/internal/modules/endpointsource/membership.go
+++ b/internal/modules/endpointsource/membership.go
@@ -24,7 +24,7 @@
 	Zone    string
 	Model   string
 	Cell    int
-	State   balancer.State // of an entry of the platform's also Unknown
+	State   balancer.EndpointState // of an entry of the platform's also Unknown
 	Weight  float64
 	BootMS  int64 // latest start, Unix time in milliseconds; 0 for long ago
 
@@ -37,7 +37,7 @@
 }
 
 // Unknown is the state of an entry whose state nobody knows; it is passed over.
-const Unknown balancer.State = -1
+const Unknown balancer.EndpointState = -1
 
 // List is what changed, or all there is.
 type List struct {
@@ -203,7 +203,7 @@
 // FromPlatform takes a list of the platform's that is to count. It returns what the module is to be told,
 // false for nothing. In the modes that pass lists on it is the same list.
 func (m *Members) FromPlatform(now time.Duration, l List) (List, bool) {
-	if l.Kind == balancer.Cached && m.heard {
+	if l.Kind == balancer.ListCached && m.heard {
 		return List{}, false // there is a better one
 	}
 	l.Endpoints = m.sift("discovery", l.Endpoints)
@@ -211,13 +211,13 @@
 	for _, e := range l.Endpoints {
 		listed[e.UID] = true
 		x := m.get(e.UID)
-		if e.State == balancer.Gone {
+		if e.State == balancer.EndpointRemoved {
 			x.platform = nil
 			continue
 		}
 		x.platform = &e
 	}
-	if l.Kind != balancer.Delta {
+	if l.Kind != balancer.ListDelta {
 		for uid, x := range m.members {
 			if !listed[uid] {
 				x.platform = nil
@@ -230,7 +230,7 @@
 		m.version = max(m.version, l.Version)
 		return l, true
 	}
-	if m.set.Mode == Consul && l.Kind != balancer.Cached {
+	if m.set.Mode == Consul && l.Kind != balancer.ListCached {
 		return List{}, false
 	}
 	return m.settle(now, l.Kind)
@@ -342,9 +342,9 @@
 		m.passed(now)
 		return List{}, false
 	}
-	kind := balancer.Delta
+	kind := balancer.ListDelta
 	if first && m.set.Mode == Consul {
-		kind = balancer.Whole
+		kind = balancer.ListFull
 	}
 	return m.settle(now, kind)
 }
@@ -365,7 +365,7 @@
 		m.passed(now)
 		return List{}, false
 	}
-	return m.settle(now, balancer.Delta)
+	return m.settle(now, balancer.ListDelta)
 }
 
 // solid tells whether Consul has any endpoint but those that it lacks.
@@ -427,7 +427,7 @@
 	for _, y := range m.byAddr[e.Address] {
 		m.dirty[y.uid] = y
 	}
-	bad := e.State != balancer.Ready
+	bad := e.State != balancer.EndpointReady
 	switch {
 	case bad && !x.bad:
 		x.badSince, x.heldTill = now, 0
@@ -469,7 +469,7 @@
 		return List{}, false
 	}
 	m.drop(uid, x)
-	return m.settle(now, balancer.Delta)
+	return m.settle(now, balancer.ListDelta)
 }
 
 // Doubts tells whether something is not believed, so that Failed may settle it.
@@ -523,7 +523,7 @@
 	if m.Passes() {
 		return List{}, false
 	}
-	return m.settle(now, balancer.Delta)
+	return m.settle(now, balancer.ListDelta)
 }
 
 // Heard tells that Consul has answered with nothing new: its word is fresh.
@@ -535,7 +535,7 @@
 	if m.expired {
 		m.expired, m.stale = false, true
 		if !m.Passes() {
-			return m.settle(now, balancer.Delta)
+			return m.settle(now, balancer.ListDelta)
 		}
 	}
 	return List{}, false
@@ -565,12 +565,12 @@
 		return &e, why
 	}
 	switch {
-	case x.consul.State != balancer.Ready:
-		e.State, why = balancer.Draining, x.consul.Why
+	case x.consul.State != balancer.EndpointReady:
+		e.State, why = balancer.EndpointDraining, x.consul.Why
 	case x.heldTill > 0:
-		e.State, why = balancer.Draining, fmt.Sprintf("its check flaps; held back for %s", x.hold)
+		e.State, why = balancer.EndpointDraining, fmt.Sprintf("its check flaps; held back for %s", x.hold)
 	case m.set.Mode == Overlay:
-		if e.State == balancer.Ready && x.consul.Share > 0 && x.consul.Share < 1 {
+		if e.State == balancer.EndpointReady && x.consul.Share > 0 && x.consul.Share < 1 {
 			e.Weight *= x.consul.Share // a warning
 			why = x.consul.Why
 		}
@@ -580,7 +580,7 @@
 	if m.set.Mode == Consul {
 		for _, other := range m.byAddr[x.consul.Address] {
 			if other != x && newer(other.consul, x.consul) {
-				e.State, why = balancer.Draining, fmt.Sprintf("%s has the same address and was registered later", other.consul.UID)
+				e.State, why = balancer.EndpointDraining, fmt.Sprintf("%s has the same address and was registered later", other.consul.UID)
 			}
 		}
 	}
@@ -597,11 +597,11 @@
 
 // onlyCritical tells whether nothing but a check stands against an endpoint.
 func (m *Members) onlyCritical(x *member) bool {
-	if x.consul == nil || x.consul.Maintenance || x.consul.State != balancer.Draining && x.heldTill == 0 {
+	if x.consul == nil || x.consul.Maintenance || x.consul.State != balancer.EndpointDraining && x.heldTill == 0 {
 		return false
 	}
 	if m.set.Mode == Overlay {
-		return x.platform != nil && x.platform.State == balancer.Ready
+		return x.platform != nil && x.platform.State == balancer.EndpointReady
 	}
 	for _, other := range m.byAddr[x.consul.Address] {
 		if other != x && newer(other.consul, x.consul) {
@@ -614,10 +614,10 @@
 // settle brings what the module was told up to what holds now. It looks at what has changed alone, unless
 // something has changed that concerns all.
 func (m *Members) settle(now time.Duration, kind balancer.ListKind) (List, bool) {
-	m.cached = kind == balancer.Cached || m.cached && !m.heard && m.set.Mode == Consul
-	whole := kind != balancer.Delta || !m.listed
-	if whole && kind == balancer.Delta {
-		kind = balancer.Whole
+	m.cached = kind == balancer.ListCached || m.cached && !m.heard && m.set.Mode == Consul
+	whole := kind != balancer.ListDelta || !m.listed
+	if whole && kind == balancer.ListDelta {
+		kind = balancer.ListFull
 	}
 	look := m.dirty
 	if whole || m.stale {
@@ -645,7 +645,7 @@
 		}
 		e, why := m.judge(x)
 		if m.spared && e != nil && m.onlyCritical(x) && (x.heldTill > 0 || !heldOnly) {
-			e.State, e.Weight = balancer.Ready, cmp.Or(max(0, e.Weight), 1)
+			e.State, e.Weight = balancer.EndpointReady, cmp.Or(max(0, e.Weight), 1)
 			why = "no endpoint is ready, so checks alone are not believed (" + why + ")"
 		}
 		same := e == nil && x.told == nil || e != nil && x.told != nil && sameWord(e, x.told)
@@ -658,7 +658,7 @@
 			out.Endpoints = append(out.Endpoints, *e)
 		case e == nil && !same && !whole:
 			gone := *x.told
-			gone.State = balancer.Gone
+			gone.State = balancer.EndpointRemoved
 			out.Endpoints = append(out.Endpoints, gone)
 		}
 		x.told = e
@@ -677,7 +677,7 @@
 // count keeps the number of those that are ready up to date.
 func (m *Members) count(x *member) {
 	e, _ := m.judge(x)
-	if ready := e != nil && e.State == balancer.Ready; ready != x.ready {
+	if ready := e != nil && e.State == balancer.EndpointReady; ready != x.ready {
 		x.ready = ready
 		if ready {
 			m.ready++
@@ -732,13 +732,13 @@
 }
 
 // StateName is a state in words.
-func StateName(s balancer.State) string {
+func StateName(s balancer.EndpointState) string {
 	switch s {
-	case balancer.Ready:
+	case balancer.EndpointReady:
 		return "ready"
-	case balancer.Draining:
+	case balancer.EndpointDraining:
 		return "draining"
-	case balancer.Gone:
+	case balancer.EndpointRemoved:
 		return "gone"
 	}
 	return "unknown"
@@ -808,7 +808,7 @@
 	}
 	if m.Passes() {
 		var l List
-		l.Kind, l.Version = balancer.Whole, m.version+1
+		l.Kind, l.Version = balancer.ListFull, m.version+1
 		for _, uid := range slices.Sorted(maps.Keys(m.members)) {
 			if x := m.members[uid]; x.platform != nil {
 				l.Endpoints = append(l.Endpoints, *x.platform)
@@ -822,5 +822,5 @@
 		m.version = l.Version
 		return l, true
 	}
-	return m.settle(now, balancer.Whole)
+	return m.settle(now, balancer.ListFull)
 }
--- a/internal/modules/endpointsource/membership_test.go
+++ b/internal/modules/endpointsource/membership_test.go
@@ -32,11 +32,11 @@
 		return
 	}
 	d.lists++
-	if l.Kind != balancer.Delta {
+	if l.Kind != balancer.ListDelta {
 		clear(d.knows)
 	}
 	for _, e := range l.Endpoints {
-		if e.State == balancer.Gone {
+		if e.State == balancer.EndpointRemoved {
 			if _, ok := d.knows[e.UID]; !ok {
 				d.t.Errorf("%s is told as gone, and was never told", e.UID)
 			}
@@ -76,7 +76,7 @@
 func (d *driver) state() string {
 	var all []string
 	for uid, e := range d.knows {
-		if e.State != balancer.Ready {
+		if e.State != balancer.EndpointReady {
 			uid += "-"
 		}
 		if e.BootMS > 0 {
@@ -101,7 +101,7 @@
 
 func critical(uid string) Endpoint {
 	e := ep(uid)
-	e.State, e.Why = balancer.Draining, "check is critical"
+	e.State, e.Why = balancer.EndpointDraining, "check is critical"
 	return e
 }
 
@@ -125,10 +125,10 @@
 		bad := ep("x")
 		bad.State = Unknown
 		for _, l := range []List{
-			{Kind: balancer.Cached, Version: 3, Endpoints: eps("a", "b")},
-			{Kind: balancer.Whole, Version: 9, Endpoints: append(eps("a", "c"), bad)},
-			{Kind: balancer.Delta, Version: 10},
-			{Kind: balancer.Delta, Version: 11, Endpoints: eps("a")},
+			{Kind: balancer.ListCached, Version: 3, Endpoints: eps("a", "b")},
+			{Kind: balancer.ListFull, Version: 9, Endpoints: append(eps("a", "c"), bad)},
+			{Kind: balancer.ListDelta, Version: 10},
+			{Kind: balancer.ListDelta, Version: 11, Endpoints: eps("a")},
 		} {
 			want := l
 			want.Endpoints = slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return e.State == Unknown })
@@ -151,9 +151,9 @@
 
 func TestConsulAlone(t *testing.T) {
 	d := drive(t, Consul)
-	d.platform(balancer.Cached, eps("k1", "k2")...)
+	d.platform(balancer.ListCached, eps("k1", "k2")...)
 	d.want("k1 k2")
-	d.platform(balancer.Whole, eps("p")...) // does not count
+	d.platform(balancer.ListFull, eps("p")...) // does not count
 	d.want("k1 k2")
 	// The first answer: by other names at the same addresses, and all of it warm.
 	a, b, c := ep("a"), ep("b"), ep("c")
@@ -161,7 +161,7 @@
 	d.consul(Answer{Changed: []Endpoint{a, b, c}})
 	d.want("a b c")
 	d.at(1 * s)
-	d.consul(Answer{Changed: []Endpoint{{UID: "b", Address: "k2:1", State: balancer.Draining, Why: "check", NoBoot: true, Registered: 5}}, Known: 3})
+	d.consul(Answer{Changed: []Endpoint{{UID: "b", Address: "k2:1", State: balancer.EndpointDraining, Why: "check", NoBoot: true, Registered: 5}}, Known: 3})
 	d.want("a b- c")
 	d.consul(Answer{Changed: []Endpoint{ep("new")}, Missing: []string{"c"}, Known: 3})
 	d.want("a b- new?")
@@ -266,7 +266,7 @@
 // A first answer without anybody neither ends the last known list nor makes an empty one.
 func TestFirstAnswerIsEmpty(t *testing.T) {
 	d := drive(t, Consul)
-	d.platform(balancer.Cached, eps("k")...)
+	d.platform(balancer.ListCached, eps("k")...)
 	lists := d.lists
 	d.consul(Answer{})
 	d.told(d.m.Heard(d.now))
@@ -286,20 +286,20 @@
 	returns := 0
 	for i := range 300 { // a minute, a change every 200 ms
 		d.at(time.Duration(i+1) * 200 * time.Millisecond)
-		if d.knows["a"].State == balancer.Ready {
+		if d.knows["a"].State == balancer.EndpointReady {
 			readyFor += d.now - was
 		}
 		was = d.now
-		bad := d.knows["a"].State != balancer.Ready
+		bad := d.knows["a"].State != balancer.EndpointReady
 		if i%2 == 0 {
 			d.consul(Answer{Changed: []Endpoint{critical("a")}, Known: 2})
-			if d.knows["a"].State == balancer.Ready {
+			if d.knows["a"].State == balancer.EndpointReady {
 				t.Fatal("bad news waited")
 			}
 		} else {
 			d.consul(Answer{Changed: eps("a"), Known: 2})
 		}
-		if bad && d.knows["a"].State == balancer.Ready {
+		if bad && d.knows["a"].State == balancer.EndpointReady {
 			returns++
 		}
 	}
@@ -308,7 +308,7 @@
 	}
 	d.consul(Answer{Changed: eps("a"), Known: 2})
 	d.at(d.now + 31*s) // calm: it is back after the longest hold
-	if d.knows["a"].State != balancer.Ready {
+	if d.knows["a"].State != balancer.EndpointReady {
 		t.Error("it never comes back")
 	}
 	if len(d.m.members["a"].returns) > 3 {
@@ -366,8 +366,8 @@
 func TestOverlay(t *testing.T) {
 	d := drive(t, Overlay)
 	draining := ep("d")
-	draining.State = balancer.Draining
-	d.platform(balancer.Whole, append(eps("a", "b", "c"), draining)...)
+	draining.State = balancer.EndpointDraining
+	d.platform(balancer.ListFull, append(eps("a", "b", "c"), draining)...)
 	d.want("a b c d-")
 	warn := ep("c")
 	warn.Share, warn.Why = 0.25, "warns"
@@ -377,8 +377,8 @@
 		t.Errorf("weight %v", d.knows["c"].Weight)
 	}
 	gone := ep("b")
-	gone.State = balancer.Gone
-	d.platform(balancer.Delta, gone) // Consul has it passing still
+	gone.State = balancer.EndpointRemoved
+	d.platform(balancer.ListDelta, gone) // Consul has it passing still
 	d.want("a- c d-")
 	d.at(30 * s)
 	d.want("a- c d-")
@@ -393,7 +393,7 @@
 
 func TestRehearsal(t *testing.T) {
 	d := drive(t, Rehearsal)
-	d.platform(balancer.Whole, eps("a", "b")...)
+	d.platform(balancer.ListFull, eps("a", "b")...)
 	d.consul(Answer{Changed: []Endpoint{ep("a"), critical("b"), ep("z")}})
 	d.want("a b")
 	logs := strings.Join(d.m.Logs(), "\n")
@@ -411,7 +411,7 @@
 
 func TestModeChanges(t *testing.T) {
 	d := drive(t, Platform)
-	d.platform(balancer.Whole, eps("a", "b")...)
+	d.platform(balancer.ListFull, eps("a", "b")...)
 	set := *Table.Default()
 	change := func(mode Mode) {
 		set.Mode = mode
@@ -449,12 +449,12 @@
 			uid := fmt.Sprint(i)
 			d.at(time.Duration(i) * 100 * time.Millisecond)
 			gone := ep(before)
-			gone.State = balancer.Gone
+			gone.State = balancer.EndpointRemoved
 			if i == 0 {
-				d.platform(balancer.Delta, ep(uid))
+				d.platform(balancer.ListDelta, ep(uid))
 				d.consul(Answer{Changed: eps(uid, "stays", "stays2")})
 			} else {
-				d.platform(balancer.Delta, ep(uid), gone)
+				d.platform(balancer.ListDelta, ep(uid), gone)
 				d.consul(Answer{Changed: eps(uid, "stays", "stays2"), Missing: []string{before}, Known: 3})
 			}
 			before = uid
@@ -498,7 +498,7 @@
 	none, noUID, unknown := ep("none"), ep(""), ep("unknown")
 	none.Address, unknown.State, unknown.Why = "nowhere", Unknown, "Melting"
 	d := drive(t, Platform)
-	d.platform(balancer.Whole, ep("a"), none, noUID, unknown)
+	d.platform(balancer.ListFull, ep("a"), none, noUID, unknown)
 	d.want("a")
 	logs := strings.Join(d.m.Logs(), "\n")
 	for _, want := range []string{`"none" passed over: state "ready", endpoint "nowhere"`, `"" passed over`, `state "Melting"`} {
@@ -508,10 +508,10 @@
 	}
 	bad := ep("a")
 	bad.Address = "nowhere"
-	d.platform(balancer.Delta, bad)
+	d.platform(balancer.ListDelta, bad)
 	d.want("a")
-	bad.State = balancer.Draining // for which no address is needed
-	d.platform(balancer.Delta, bad)
+	bad.State = balancer.EndpointDraining // for which no address is needed
+	d.platform(balancer.ListDelta, bad)
 	d.want("a-")
 
 	// The names of zones and of models are bounded, over all sources and for good.
--- a/internal/modules/endpointsource/model_test.go
+++ b/internal/modules/endpointsource/model_test.go
@@ -32,9 +32,9 @@
 			e := ep(uids.Draw(rt, "uid"))
 			switch rapid.IntRange(0, 5).Draw(rt, "state") {
 			case 0, 1:
-				e.State, e.Why = balancer.Draining, "critical"
+				e.State, e.Why = balancer.EndpointDraining, "critical"
 			case 2:
-				e.State, e.Why, e.Maintenance = balancer.Draining, "maintenance", true
+				e.State, e.Why, e.Maintenance = balancer.EndpointDraining, "maintenance", true
 			}
 			if rapid.IntRange(0, 4).Draw(rt, "moves") == 0 {
 				e.Address = uids.Draw(rt, "address") + ":1"
@@ -69,12 +69,12 @@
 					if _, ok := w.platform[e.UID]; !ok {
 						continue
 					}
-					e.State = balancer.Gone
+					e.State = balancer.EndpointRemoved
 					delete(w.platform, e.UID)
 				} else {
 					w.platform[e.UID] = e
 				}
-				both(func(d *driver) { d.platform(balancer.Delta, e) })
+				both(func(d *driver) { d.platform(balancer.ListDelta, e) })
 			case 1:
 				clear(w.platform)
 				var all []Endpoint
@@ -85,7 +85,7 @@
 						all = append(all, e)
 					}
 				}
-				both(func(d *driver) { d.platform(balancer.Whole, all...) })
+				both(func(d *driver) { d.platform(balancer.ListFull, all...) })
 			case 2, 3:
 				a := Answer{Known: len(w.consul), Doubtful: rapid.IntRange(0, 5).Draw(rt, "doubtful") == 0}
 				changed := map[string]bool{}
@@ -132,23 +132,23 @@
 func (w *world) judge(rt *rapid.T, mode Mode, d *driver) {
 	ready := 0
 	for _, e := range d.knows {
-		if e.State == balancer.Ready {
+		if e.State == balancer.EndpointReady {
 			ready++
 		}
 	}
 	for uid, e := range d.knows {
-		if e.State != balancer.Ready {
+		if e.State != balancer.EndpointReady {
 			continue
 		}
 		p, inPlatform := w.platform[uid]
 		c, inConsul := w.consul[uid]
 		switch mode {
 		case Platform, Rehearsal:
-			if !inPlatform || p.State != balancer.Ready {
+			if !inPlatform || p.State != balancer.EndpointReady {
 				rt.Fatalf("%s gets work, but the platform says no", uid)
 			}
 		case Overlay:
-			if !inPlatform || p.State != balancer.Ready {
+			if !inPlatform || p.State != balancer.EndpointReady {
 				rt.Fatalf("%s gets work, but the platform says no", uid)
 			}
 			if inConsul && c.Maintenance && !d.m.expired {
@@ -159,9 +159,9 @@
 				rt.Fatalf("%s gets work in maintenance", uid)
 			}
 			// Of those that are critical some get work only where all that get any are.
-			if inConsul && c.State != balancer.Ready {
+			if inConsul && c.State != balancer.EndpointReady {
 				for other, o := range d.knows {
-					if oc, ok := w.consul[other]; o.State == balancer.Ready && ok && oc.State == balancer.Ready {
+					if oc, ok := w.consul[other]; o.State == balancer.EndpointReady && ok && oc.State == balancer.EndpointReady {
 						rt.Fatalf("%s is critical and gets work beside %s", uid, other)
 					}
 				}
@@ -177,7 +177,7 @@
 	// Nobody gets work: then nobody could.
 	for uid, c := range w.consul {
 		p, inPlatform := w.platform[uid]
-		able := mode == Consul && d.m.heard && !c.Maintenance || mode == Overlay && inPlatform && p.State == balancer.Ready && !c.Maintenance
+		able := mode == Consul && d.m.heard && !c.Maintenance || mode == Overlay && inPlatform && p.State == balancer.EndpointReady && !c.Maintenance
 		if able && mode == Consul {
 			// Another one at its address may be in maintenance and newer.
 			for other, o := range w.consul {
--- a/internal/modules/endpointsource/parts.go
+++ b/internal/modules/endpointsource/parts.go
@@ -16,7 +16,7 @@
 // NewDigest sorts a list out. Lists of at most a number of entries are not worth that, and stay as they are.
 func NewDigest(l List, most int) Digest {
 	d := Digest{list: l}
-	if len(l.Endpoints) <= most || l.Kind == balancer.Cached {
+	if len(l.Endpoints) <= most || l.Kind == balancer.ListCached {
 		return d
 	}
 	d.last = make(map[string]int, len(l.Endpoints))
@@ -30,7 +30,7 @@
 		last, sound := d.last[e.UID]
 		switch {
 		case sound && last != i:
-		case e.State == balancer.Ready:
+		case e.State == balancer.EndpointReady:
 			d.good = append(d.good, *e)
 		default:
 			d.bad = append(d.bad, *e) // what cannot be used, too: its judges log that
@@ -49,12 +49,12 @@
 		return []func() List{func() List { return d.list }}
 	}
 	delta := func(all []Endpoint) List {
-		return List{Kind: balancer.Delta, Version: d.list.Version, Endpoints: all}
+		return List{Kind: balancer.ListDelta, Version: d.list.Version, Endpoints: all}
 	}
 	for part := range slices.Chunk(d.bad, most) {
 		parts = append(parts, func() List { return delta(part) })
 	}
-	if d.list.Kind == balancer.Whole {
+	if d.list.Kind == balancer.ListFull {
 		// What is missing is found at once, and made news of part by part: that takes longer.
 		var missing []*Endpoint
 		for uid, x := range m.members {
@@ -72,7 +72,7 @@
 				all := make([]Endpoint, len(part))
 				for i, e := range part {
 					all[i] = *e
-					all[i].State = balancer.Gone
+					all[i].State = balancer.EndpointRemoved
 				}
 				return delta(all)
 			})
--- a/internal/modules/endpointsource/parts_test.go
+++ b/internal/modules/endpointsource/parts_test.go
@@ -19,10 +19,10 @@
 			n := rapid.IntRange(0, 30).Draw(t, "uid")
 			return Endpoint{UID: fmt.Sprintf("box-%08x", n), Address: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.1:2", "nowhere"}).Draw(t, "address"),
 				Zone: "a", Model: "m", Cell: n / 2, Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight")), BootMS: rapid.Int64Range(0, 2).Draw(t, "boot"),
-				State: rapid.SampledFrom([]balancer.State{balancer.Ready, balancer.Ready, balancer.Draining, balancer.Gone, Unknown}).Draw(t, "state")}
+				State: rapid.SampledFrom([]balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved, Unknown}).Draw(t, "state")}
 		})
 		list := rapid.Custom(func(t *rapid.T) List {
-			return List{Kind: rapid.SampledFrom([]balancer.ListKind{balancer.Whole, balancer.Delta}).Draw(t, "kind"),
+			return List{Kind: rapid.SampledFrom([]balancer.ListKind{balancer.ListFull, balancer.ListDelta}).Draw(t, "kind"),
 				Version: uint64(rapid.IntRange(1, 9).Draw(t, "version")), Endpoints: rapid.SliceOfN(entry, 0, 40).Draw(t, "entries")}
 		})
 		atOnce, inParts := New(Settings{Mode: mode}, nil, nil), New(Settings{Mode: mode}, nil, nil)
@@ -31,11 +31,11 @@
 			if !news {
 				return
 			}
-			if out.Kind != balancer.Delta {
+			if out.Kind != balancer.ListDelta {
 				clear(got)
 			}
 			for _, e := range out.Endpoints {
-				if got[e.UID] = e; e.State == balancer.Gone {
+				if got[e.UID] = e; e.State == balancer.EndpointRemoved {
 					delete(got, e.UID)
 				}
 			}
@@ -51,7 +51,7 @@
 				if len(p.Endpoints) > most && len(parts) > 1 {
 					t.Fatalf("a part holds %d", len(p.Endpoints))
 				}
-				ready := slices.ContainsFunc(p.Endpoints, func(e Endpoint) bool { return e.State == balancer.Ready })
+				ready := slices.ContainsFunc(p.Endpoints, func(e Endpoint) bool { return e.State == balancer.EndpointReady })
 				if len(parts) > 1 && good && !ready {
 					t.Fatal("bad news came after good")
 				}
@@ -72,23 +72,23 @@
 
 func TestShortListsStayAsTheyAre(t *testing.T) {
 	m := New(Settings{Mode: Platform}, nil, nil)
-	long := List{Kind: balancer.Whole}
+	long := List{Kind: balancer.ListFull}
 	for i := range 9 {
 		long.Endpoints = append(long.Endpoints, Endpoint{UID: fmt.Sprint(i), Address: "127.0.0.1:1"})
 	}
-	if parts := m.Parts(NewDigest(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.Whole {
+	if parts := m.Parts(NewDigest(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
 		t.Error("the first list is taken apart")
 	}
 	m.FromPlatform(0, long)
 	cached := long
-	cached.Kind = balancer.Cached
-	if parts := m.Parts(NewDigest(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.Cached {
+	cached.Kind = balancer.ListCached
+	if parts := m.Parts(NewDigest(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListCached {
 		t.Error("a list from before is taken apart")
 	}
-	if parts := m.Parts(NewDigest(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.Whole {
+	if parts := m.Parts(NewDigest(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
 		t.Error("a short list is taken apart")
 	}
-	if parts := m.Parts(NewDigest(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.Delta {
+	if parts := m.Parts(NewDigest(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.ListDelta {
 		t.Errorf("%d parts", len(parts))
 	}
 }
--- a/internal/modules/endpointsource/sift.go
+++ b/internal/modules/endpointsource/sift.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	_, _, err := net.SplitHostPort(e.Address)
-	return err == nil || e.State != balancer.Ready
+	return err == nil || e.State != balancer.EndpointReady
 }
 
 // usable tells whether the decision module can be told of an endpoint.
--- a/internal/modules/idempotency/golden_test.go
+++ b/internal/modules/idempotency/golden_test.go
@@ -10,19 +10,19 @@
 
 // Entries and their ids are kept on disk: what was written by any version has to be found and read by the next one.
 func TestGoldenEntry(t *testing.T) {
-	e := Entry{Class: "book", Group: Group{Zone: "north", Cell: -3, Endpoint: "box-1"}, Served: true, Keep: 95 * time.Second}
+	e := Entry{Class: "book", Origin: Origin{Zone: "north", Cell: -3, Endpoint: "box-1"}, Served: true, Retention: 95 * time.Second}
 	golden.Hex(t, "entry.hex", e.Encode())
 	got, err := Decode(golden.Read(t, "entry.hex"), time.Hour, 20*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := e
-	want.At = time.Hour - 75*time.Second
+	want.SentAt = time.Hour - 75*time.Second
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 
-	small := Entry{Class: "read", Keep: time.Millisecond}
+	small := Entry{Class: "read", Retention: time.Millisecond}
 	golden.Hex(t, "entry-small.hex", small.Encode())
 	got, err = Decode(golden.Read(t, "entry-small.hex"), 0, time.Second)
 	if err != nil {
--- a/internal/modules/idempotency/recall.go
+++ b/internal/modules/idempotency/recall.go
@@ -37,8 +37,8 @@
 	return id
 }
 
-// Group is where repeats of a request are known.
-type Group struct {
+// Origin is where repeats of a request are known.
+type Origin struct {
 	Zone     string
 	Cell     int
 	Endpoint string // the name that discovery has for it, for people
@@ -46,25 +46,25 @@
 
 // Entry is what is known of one request.
 type Entry struct {
-	Class  string
-	Group                // of the first attempt that may have run
-	At     time.Duration // when that was sent; on the clock of whoever asks
-	Keep   time.Duration // how long after that it is remembered
-	Served bool          // an answer was served
-	ran    bool          // some attempt has ended and may have run
-	kept   bool          // it is known to be durable
-	out    int           // attempts that have not ended
+	Class      string
+	Origin                   // of the first attempt that may have run
+	SentAt     time.Duration // when that was sent; on the clock of whoever asks
+	Retention  time.Duration // how long after that it is remembered
+	Served     bool          // an answer was served
+	mayHaveRun bool          // some attempt has ended and may have run
+	durable    bool          // it is known to be durable
+	inFlight   int           // attempts that have not ended
 }
 
-// Tells is whether the entry says that the request may have run. One that says otherwise is of an attempt that is
+// MayHaveRun is whether the entry says that the request may have run. One that says otherwise is of an attempt that is
 // proven not to have.
-func (e *Entry) Tells() bool { return e.ran || e.Served || e.out > 0 }
+func (e *Entry) MayHaveRun() bool { return e.mayHaveRun || e.Served || e.inFlight > 0 }
 
-// Keep is how long a request of a class is remembered: as long as clients come again with it, and, where it has a
+// RetentionOf is how long a request of a class is remembered: as long as clients come again with it, and, where it has a
 // key, from the end of the window on in which repeats of its last attempt are dropped.
-func Keep(c *balancer.Class) time.Duration {
-	if c.Effect == balancer.Keyed {
-		return c.Window + c.Deadline
+func RetentionOf(c *balancer.Class) time.Duration {
+	if c.Idempotency == balancer.IdempotentWithKey {
+		return c.KeyWindow + c.Deadline
 	}
 	return 2 * c.Deadline
 }
@@ -74,13 +74,13 @@
 
 // Table is what is remembered. It is not safe for concurrent use. Times are on one clock, that never goes back.
 type Table struct {
-	most    int
-	entries map[ID]*Entry
-	ends    deadlinequeue.Queue[ID]
+	maxEntries  int
+	entries     map[ID]*Entry
+	expirations deadlinequeue.Queue[ID]
 }
 
 // NewTable makes one with a bound on its entries.
-func NewTable(most int) *Table { return &Table{most: most, entries: map[ID]*Entry{}} }
+func NewTable(most int) *Table { return &Table{maxEntries: most, entries: map[ID]*Entry{}} }
 
 // Len is how many entries there are.
 func (t *Table) Len() int { return len(t.entries) }
@@ -88,55 +88,55 @@
 // expire forgets what has been remembered for long enough. One that has an attempt out stays until that ends.
 func (t *Table) expire(now time.Duration) {
 	for {
-		id, at, ok := t.ends.First()
+		id, at, ok := t.expirations.Peek()
 		if !ok || at > now {
 			return
 		}
-		if e := t.entries[id]; e.out > 0 {
-			t.ends.Put(id, now+max(e.Keep, time.Second))
+		if e := t.entries[id]; e.inFlight > 0 {
+			t.expirations.Put(id, now+max(e.Retention, time.Second))
 			continue
 		}
-		t.forget(id)
+		t.remove(id)
 	}
 }
 
-func (t *Table) forget(id ID) {
+func (t *Table) remove(id ID) {
 	delete(t.entries, id)
-	t.ends.Remove(id)
+	t.expirations.Remove(id)
 }
 
-// Look is what is known of a request that comes; false for nothing.
-func (t *Table) Look(now time.Duration, id ID) (Entry, bool) {
+// Lookup is what is known of a request that comes; false for nothing.
+func (t *Table) Lookup(now time.Duration, id ID) (Entry, bool) {
 	t.expire(now)
 	e := t.entries[id]
-	if e == nil || !e.Tells() {
+	if e == nil || !e.MayHaveRun() {
 		return Entry{}, false
 	}
 	return *e, true
 }
 
-// Before notes that an attempt is about to go out. Unless changed is false, what it returns has to be durable
+// BeginAttempt notes that an attempt is about to go out. Unless changed is false, what it returns has to be durable
 // before it does. An entry keeps the first attempt's group and time: the window in which repeats are dropped
 // counts from there.
-func (t *Table) Before(now time.Duration, id ID, class string, keep time.Duration, to Group) (e Entry, changed bool, err error) {
+func (t *Table) BeginAttempt(now time.Duration, id ID, class string, keep time.Duration, to Origin) (e Entry, changed bool, err error) {
 	t.expire(now)
 	x := t.entries[id]
 	if x == nil {
-		if len(t.entries) >= t.most {
+		if len(t.entries) >= t.maxEntries {
 			return Entry{}, false, ErrFull
 		}
-		x = &Entry{Class: class, Group: to, At: now, Keep: keep}
+		x = &Entry{Class: class, Origin: to, SentAt: now, Retention: keep}
 		t.entries[id] = x
-		t.ends.Put(id, now+keep)
+		t.expirations.Put(id, now+keep)
 	}
-	x.out++
-	return *x, !x.kept, nil
+	x.inFlight++
+	return *x, !x.durable, nil
 }
 
-// Kept notes that what Before returned has become durable.
-func (t *Table) Kept(id ID) {
+// MarkDurable notes that what Before returned has become durable.
+func (t *Table) MarkDurable(id ID) {
 	if x := t.entries[id]; x != nil {
-		x.kept = true
+		x.durable = true
 	}
 }
 
@@ -145,54 +145,54 @@
 
 // The changes.
 const (
-	Nothing Change = iota // what is kept still says it
-	Put                   // the entry anew
-	Delete                // nothing any more: it never ran
+	NoChange    Change = iota // what is kept still says it
+	PutEntry                  // the entry anew
+	DeleteEntry               // nothing any more: it never ran
 )
 
-// After notes how an attempt ended; answered tells that its answer goes to the client. What changes need not be
+// EndAttempt notes how an attempt ended; answered tells that its answer goes to the client. What changes need not be
 // waited for: until it is kept, more is taken to have run than has. Moved is the entry's ID.
-func (t *Table) After(now time.Duration, id ID, status balancer.Status, answered bool) (e Entry, c Change) {
+func (t *Table) EndAttempt(now time.Duration, id ID, status balancer.Status, answered bool) (e Entry, c Change) {
 	x := t.entries[id]
-	if x == nil || x.out == 0 {
-		return Entry{}, Nothing
+	if x == nil || x.inFlight == 0 {
+		return Entry{}, NoChange
 	}
-	x.out--
+	x.inFlight--
 	switch {
-	case status == balancer.OK && answered && !x.Served:
-		x.Served, x.ran = true, true
-		return *x, Put
+	case status == balancer.StatusOK && answered && !x.Served:
+		x.Served, x.mayHaveRun = true, true
+		return *x, PutEntry
 	case !status.NeverRan():
-		x.ran = true
+		x.mayHaveRun = true
 	}
-	if x.out == 0 && !x.ran {
-		t.forget(id)
-		return Entry{}, Delete
+	if x.inFlight == 0 && !x.mayHaveRun {
+		t.remove(id)
+		return Entry{}, DeleteEntry
 	}
-	return *x, Nothing
+	return *x, NoChange
 }
 
 // Restore takes in what was kept, at a start. What was out when the process died may have run.
 func (t *Table) Restore(id ID, e Entry) error {
-	if len(t.entries) >= t.most {
+	if len(t.entries) >= t.maxEntries {
 		return ErrFull
 	}
-	e.ran, e.kept, e.out = true, true, 0
+	e.mayHaveRun, e.durable, e.inFlight = true, true, 0
 	t.entries[id] = &e
-	t.ends.Put(id, e.At+e.Keep)
+	t.expirations.Put(id, e.SentAt+e.Retention)
 	return nil
 }
 
-// layout is the version of what Encode writes.
-const layout = 1
+// formatVersion is the version of what Encode writes.
+const formatVersion = 1
 
 // Encode is an entry's text on a disk; its time is not in it, for the disk tells its age.
 func (e *Entry) Encode() []byte {
-	b := []byte{layout, 0}
+	b := []byte{formatVersion, 0}
 	if e.Served {
 		b[1] = 1
 	}
-	b = binary.AppendUvarint(b, uint64(e.Keep.Milliseconds()))
+	b = binary.AppendUvarint(b, uint64(e.Retention.Milliseconds()))
 	b = binary.AppendVarint(b, int64(e.Cell))
 	for _, s := range []string{e.Class, e.Zone, e.Endpoint} {
 		b = binary.AppendUvarint(b, uint64(len(s)))
@@ -203,7 +203,7 @@
 
 // Decode reads a text of Encode; left is how much longer it stays, and says when the attempt was made.
 func Decode(b []byte, now, left time.Duration) (e Entry, err error) {
-	if len(b) < 2 || b[0] != layout {
+	if len(b) < 2 || b[0] != formatVersion {
 		return e, fmt.Errorf("an entry of a layout that is not known: % x", b[:min(len(b), 2)])
 	}
 	bad := errors.New("an entry that was cut")
@@ -227,7 +227,7 @@
 		*s = string(b[n : n+int(size)])
 		b = b[n+int(size):]
 	}
-	e.Keep, e.Cell = time.Duration(keep)*time.Millisecond, int(cell)
-	e.At = now - max(e.Keep-left, 0)
+	e.Retention, e.Cell = time.Duration(keep)*time.Millisecond, int(cell)
+	e.SentAt = now - max(e.Retention-left, 0)
 	return e, nil
 }
--- a/internal/modules/protocolfallback/golden_test.go
+++ b/internal/modules/protocolfallback/golden_test.go
@@ -16,26 +16,26 @@
 	var text strings.Builder
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m := Memory{Settings: Settings{Pause: 10 * time.Second, Longest: time.Minute}}
+		m := Tracker{Settings: Settings{InitialBackoff: 10 * time.Second, MaxBackoff: time.Minute}}
 		var now time.Duration
 		h, tried := sha256.New(), 0
 		for range 3000 {
 			now += time.Duration(rng.IntN(int(2 * time.Second)))
 			address := fmt.Sprint("host", rng.IntN(20))
-			if !m.Try(now, address) {
+			if !m.ShouldAttempt(now, address) {
 				fmt.Fprintln(h, address, "not now")
 				continue
 			}
 			tried++
 			switch rng.IntN(8) {
 			case 0:
-				m.Worked(address)
+				m.RecordSuccess(address)
 			case 1:
-				m.Undecided(address)
+				m.RecordInconclusive(address)
 			case 2:
 				m.Forget(address)
 			default:
-				pause, news := m.Failed(now, address)
+				pause, news := m.RecordFailure(now, address)
 				fmt.Fprintln(h, address, pause, news)
 			}
 		}
--- a/internal/modules/protocolfallback/reach.go
+++ b/internal/modules/protocolfallback/reach.go
@@ -8,70 +8,70 @@
 
 // Settings are the pauses after HTTP/3 has failed.
 type Settings struct {
-	Pause   time.Duration // after the first failure; each further one in a row doubles it
-	Longest time.Duration
+	InitialBackoff time.Duration // after the first failure; each further one in a row doubles it
+	MaxBackoff     time.Duration
 }
 
-// mostKept bounds what is remembered. Addresses beyond it are tried each time.
-const mostKept = 20000
+// maxAddresses bounds what is remembered. Addresses beyond it are tried each time.
+const maxAddresses = 20000
 
-// word is what is known of an address that has failed.
-type word struct {
-	until  time.Duration // not tried before
-	pause  time.Duration
-	trying bool // one attempt is finding out
+// failure is what is known of an address that has failed.
+type failure struct {
+	retryAt    time.Duration // not tried before
+	backoff    time.Duration
+	attempting bool // one attempt is finding out
 }
 
-// Memory is what is known of all addresses. The zero value with its Settings is ready for use.
-type Memory struct {
+// Tracker is what is known of all addresses. The zero value with its Settings is ready for use.
+type Tracker struct {
 	Settings Settings
-	failed   map[string]*word
+	failures map[string]*failure
 }
 
-// Try tells whether HTTP/3 is to be tried with an address now. After a pause one attempt finds out, while all
+// ShouldAttempt tells whether HTTP/3 is to be tried with an address now. After a pause one attempt finds out, while all
 // others go on without; Worked or Failed has to follow it.
-func (m *Memory) Try(now time.Duration, address string) bool {
-	w := m.failed[address]
+func (m *Tracker) ShouldAttempt(now time.Duration, address string) bool {
+	w := m.failures[address]
 	if w == nil {
 		return true
 	}
-	if now < w.until || w.trying {
+	if now < w.retryAt || w.attempting {
 		return false
 	}
-	w.trying = true
+	w.attempting = true
 	return true
 }
 
-// Worked tells that a connection came about.
-func (m *Memory) Worked(address string) { delete(m.failed, address) }
+// RecordSuccess tells that a connection came about.
+func (m *Tracker) RecordSuccess(address string) { delete(m.failures, address) }
 
-// Failed tells that none did. It returns how long HTTP/3 is not tried, and whether that is news: several
+// RecordFailure tells that none did. It returns how long HTTP/3 is not tried, and whether that is news: several
 // attempts may have waited for the same connection.
-func (m *Memory) Failed(now time.Duration, address string) (pause time.Duration, news bool) {
-	w := m.failed[address]
+func (m *Tracker) RecordFailure(now time.Duration, address string) (pause time.Duration, news bool) {
+	w := m.failures[address]
 	if w == nil {
-		if m.failed == nil {
-			m.failed = map[string]*word{}
+		if m.failures == nil {
+			m.failures = map[string]*failure{}
 		}
-		if len(m.failed) >= mostKept {
+		if len(m.failures) >= maxAddresses {
 			return 0, false
 		}
-		w = &word{}
-		m.failed[address] = w
-	} else if now < w.until {
-		return w.until - now, false
+		w = &failure{}
+		m.failures[address] = w
+	} else if now < w.retryAt {
+		return w.retryAt - now, false
 	}
-	w.pause = min(max(2*w.pause, m.Settings.Pause), m.Settings.Longest)
-	w.until, w.trying = now+w.pause, false
-	return w.pause, true
+	w.backoff = min(max(2*w.backoff, m.Settings.InitialBackoff), m.Settings.MaxBackoff)
+	w.retryAt, w.attempting = now+w.backoff, false
+	return w.backoff, true
 }
 
-// Undecided tells that an attempt ended before it was known whether a connection would come about.
-func (m *Memory) Undecided(address string) {
-	if w := m.failed[address]; w != nil {
-		w.trying = false
+// RecordInconclusive tells that an attempt ended before it was known whether a connection would come about.
+func (m *Tracker) RecordInconclusive(address string) {
+	if w := m.failures[address]; w != nil {
+		w.attempting = false
 	}
 }
 
 // Forget drops what is known of an address that is listed no more.
-func (m *Memory) Forget(address string) { delete(m.failed, address) }
+func (m *Tracker) Forget(address string) { delete(m.failures, address) }
--- a/internal/modules/route/limits.go
+++ b/internal/modules/route/limits.go
@@ -97,11 +97,11 @@
 	word string
 	of   []balancer.Status
 }{
-	{"turned-away", []balancer.Status{balancer.Full}},
-	{"unconnected", []balancer.Status{balancer.ConnectFailed, balancer.Moot}},
-	{"failed", []balancer.Status{balancer.Error, balancer.Spoilt}},
-	{"broken", []balancer.Status{balancer.Reset}},
-	{"late", []balancer.Status{balancer.Timeout, balancer.Cancelled}},
+	{"turned-away", []balancer.Status{balancer.StatusRejected}},
+	{"unconnected", []balancer.Status{balancer.StatusConnectFailed, balancer.StatusNotSent}},
+	{"failed", []balancer.Status{balancer.StatusError, balancer.StatusInvalidResponse}},
+	{"broken", []balancer.Status{balancer.StatusReset}},
+	{"late", []balancer.Status{balancer.StatusTimeout, balancer.StatusCancelled}},
 }
 
 // readOutcomes reads words with commas between.
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -84,9 +84,9 @@
 	switch {
 	case c == nil || c.final || c.out:
 		w.t.Fatalf("%s is sent after its end, or twice at once", id)
-	case c.mayRun && c.class.Effect == balancer.Unsafe:
+	case c.mayRun && c.class.Idempotency == balancer.NonIdempotent:
 		w.t.Fatalf("%s is unsafe, may have run, and goes out again", id)
-	case c.mayRun && c.class.Effect == balancer.Keyed && cellOf(to) != c.cell:
+	case c.mayRun && c.class.Idempotency == balancer.IdempotentWithKey && cellOf(to) != c.cell:
 		w.t.Fatalf("%s may have run in cell %d and goes to %d", id, c.cell, cellOf(to))
 	case c.over || w.now < c.rests:
 		w.t.Fatalf("%s goes out after an outcome that its route does not allow that, %v, or within its pause", id, c.over)
@@ -111,16 +111,16 @@
 	}
 	c.out, c.credit = true, false
 	number := c.attempts - 1
-	took, status := time.Duration(w.rng.ExpFloat64()*float64(60*ms)), balancer.OK
+	took, status := time.Duration(w.rng.ExpFloat64()*float64(60*ms)), balancer.StatusOK
 	if w.rng.IntN(3) == 0 {
-		status = []balancer.Status{balancer.Error, balancer.Full, balancer.ConnectFailed, balancer.Reset, balancer.Spoilt, balancer.Timeout}[w.rng.IntN(6)]
+		status = []balancer.Status{balancer.StatusError, balancer.StatusRejected, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusInvalidResponse, balancer.StatusTimeout}[w.rng.IntN(6)]
 	}
 	left := c.deadline - w.now
 	if timeout > 0 {
 		left = min(left, timeout)
 	}
-	if status == balancer.Timeout || took >= left {
-		took, status = left, balancer.Timeout
+	if status == balancer.StatusTimeout || took >= left {
+		took, status = left, balancer.StatusTimeout
 	}
 	w.after(took, func() { w.ended(id, c, to, number, took, status) })
 }
@@ -132,7 +132,7 @@
 		c.mayRun, c.cell = true, cellOf(to)
 	}
 	last, pause := false, time.Duration(0)
-	if c.tally != nil && !c.final && status != balancer.OK {
+	if c.tally != nil && !c.final && status != balancer.StatusOK {
 		if allowed := c.tally.Settings.Allows(status); allowed {
 			c.credit = c.credit || c.tally.Repeat()
 		} else {
@@ -143,14 +143,14 @@
 		c.rests = w.now + pause
 	}
 	final := c.final
-	if status == balancer.OK && !c.final {
+	if status == balancer.StatusOK && !c.final {
 		if final = true; c.tally != nil {
 			c.tally.Answered()
 			c.tally.answered++
 		}
 		w.finish(id, c)
 	}
-	w.b.Outcome(w.now, balancer.Outcome{ID: id, Endpoint: to, Attempt: number, Final: final, Elapsed: took, Status: status, Last: last, Pause: pause})
+	w.b.HandleOutcome(w.now, balancer.Outcome{ID: id, Endpoint: to, Attempt: number, Final: final, Elapsed: took, Status: status, NoRetry: last, Backoff: pause})
 	w.forget(id, c)
 }
 
@@ -177,9 +177,9 @@
 	}
 }
 
-func (w *world) Refuse(id balancer.RequestID, _ time.Duration) {
+func (w *world) Reject(id balancer.RequestID, _ time.Duration) {
 	c := w.open[id]
-	if c.mayRun && c.class.Effect != balancer.Safe {
+	if c.mayRun && c.class.Idempotency != balancer.Idempotent {
 		w.t.Fatalf("%s may have run and is refused", id)
 	}
 	w.finish(id, c)
@@ -193,21 +193,21 @@
 
 func (w *world) Cancel(balancer.RequestID, int) {} // endpoints here do not hear of it: the outcome comes all the same
 func (w *world) SetTimer(token uint64, d time.Duration) {
-	w.after(d, func() { w.b.Timer(w.now, token) })
+	w.after(d, func() { w.b.HandleTimer(w.now, token) })
 }
-func (w *world) Probe(balancer.EndpointID)     {}
-func (w *world) Tell(int, []byte)              {}
-func (w *world) Watch(bool)                    {}
-func (w *world) Fetch()                        {}
-func (w *world) CloseIdle(balancer.EndpointID) {}
-func (w *world) Log(string)                    {}
+func (w *world) HealthCheck(balancer.EndpointID)          {}
+func (w *world) SendToPeer(int, []byte)                   {}
+func (w *world) WatchEndpoints(bool)                      {}
+func (w *world) FetchEndpoints()                          {}
+func (w *world) CloseIdleConnections(balancer.EndpointID) {}
+func (w *world) Log(string)                               {}
 
 // arrive is the desk and the loop's arrive.
 func (w *world) arrive(id balancer.RequestID, table *route.Table) (taken bool) {
 	class := w.rng.IntN(len(w.classes))
 	c := &call{class: &w.classes[class]}
 	method := "POST"
-	if c.class.Effect == balancer.Safe {
+	if c.class.Idempotency == balancer.Idempotent {
 		method = "GET"
 	}
 	r, ok := table.Find(&route.Request{Host: "a.org", Path: []string{"/a", "/a/b", "/c/d/e", "/"}[w.rng.IntN(4)], Method: method, Class: c.class.Name})
@@ -215,7 +215,7 @@
 		w.t.Fatal("a sound path is odd")
 	}
 	left := time.Duration(1+w.rng.IntN(3000)) * ms
-	q := balancer.Request{ID: id, Class: class, Left: min(left, c.class.Deadline)}
+	q := balancer.Request{ID: id, Class: class, TimeLeft: min(left, c.class.Deadline)}
 	if r != nil {
 		x := w.routes[r.Name]
 		if x == nil {
@@ -230,14 +230,14 @@
 		}
 		x.open++
 		c.tally = x
-		q.Attempts, q.Each, q.Times = r.Settings.Attempts, r.Settings.Attempt, r.Settings.Worth
+		q.MaxAttempts, q.AttemptTimeout, q.ValueFactor = r.Settings.Attempts, r.Settings.Attempt, r.Settings.Worth
 		if r.Settings.Time > 0 {
-			q.Left = min(q.Left, r.Settings.Time)
+			q.TimeLeft = min(q.TimeLeft, r.Settings.Time)
 		}
 	}
-	c.deadline = w.now + q.Left
+	c.deadline = w.now + q.TimeLeft
 	w.open[id] = c
-	w.b.Request(w.now, q)
+	w.b.HandleRequest(w.now, q)
 	return true
 }
 
@@ -279,20 +279,20 @@
 		table := route.Compile(f)
 		w := &world{t: t, rng: rng, now: time.Second, site: 1 + rng.IntN(5), open: map[balancer.RequestID]*call{}, routes: map[string]*tally{}}
 		for _, c := range appfile.ClassTable.All(f) {
-			w.classes = append(w.classes, balancer.Class{Name: c.Name, Aim: c.Value.Aim, Deadline: c.Value.Deadline, Worth: 1,
-				Effect: c.Value.Effect, Scope: c.Value.KeyScope, Window: c.Value.KeyWindow})
+			w.classes = append(w.classes, balancer.Class{Name: c.Name, LatencyTarget: c.Value.Aim, Deadline: c.Value.Deadline, Value: 1,
+				Idempotency: c.Value.Effect, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow})
 		}
 		set := balancer.Settings{Instances: 1, Quantum: 2 * ms, Classes: w.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: w.site,
-			ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PassesDeadline: true}
+			ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PropagatesDeadline: true}
 		var err error
 		if w.b, err = balancer.New(set, seed, w); err != nil {
 			t.Fatal(err)
 		}
-		l := balancer.List{Kind: balancer.Whole, Version: 1}
+		l := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
 		for e := balancer.EndpointID(1); e <= 12; e++ {
-			l.Entries = append(l.Entries, balancer.Entry{Endpoint: e, Cell: cellOf(e), Weight: 1})
+			l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: e, Cell: cellOf(e), Weight: 1})
 		}
-		w.b.Targets(w.now, l)
+		w.b.HandleEndpoints(w.now, l)
 		n := 0
 		var next func()
 		next = func() {
--- a/internal/modules/route/table.go
+++ b/internal/modules/route/table.go
@@ -181,7 +181,7 @@
 // checkReach finds what no request can match.
 func (r *Rule) checkReach(f *schema.File, p *Pattern, classes []schema.Named[appfile.Class], report schema.Reporter) {
 	method := func(c *appfile.Class) string {
-		if c.Effect == balancer.Safe {
+		if c.Effect == balancer.Idempotent {
 			return "GET"
 		}
 		return "POST"
@@ -249,7 +249,7 @@
 			report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out", d(r.Pause), c.Name, d(whole), said)
 			return
 		}
-		if c.Value.Effect == balancer.Unsafe && r.Attempt > 0 && len(p.classes) > 0 {
+		if c.Value.Effect == balancer.NonIdempotent && r.Attempt > 0 && len(p.classes) > 0 {
 			report("attempt_time", "%s is unsafe: an attempt that is given up may have run and cannot go out again, so a time of its own only fails what would have been answered", c.Name)
 			return
 		}
@@ -298,7 +298,7 @@
 		report("copy_after", "means nothing: route_attempts is 1, and a copy is an attempt")
 	}
 	for _, c := range p.classes {
-		if class := appfile.ClassTable.Get(f, c); class != nil && class.Effect == balancer.Unsafe {
+		if class := appfile.ClassTable.Get(f, c); class != nil && class.Effect == balancer.NonIdempotent {
 			report("copy_after", "%s is unsafe: its effect would happen twice", c)
 			return
 		}
--- a/internal/modules/timeslot/golden_test.go
+++ b/internal/modules/timeslot/golden_test.go
@@ -16,20 +16,20 @@
 	var text strings.Builder
 	for _, c := range []struct {
 		name  string
-		order *Order
+		order *Schedule
 	}{
 		{"named, one actor", New(99, members, 2*time.Second, 1)},
 		{"named, two actors", New(1, members, time.Second, 2)},
-		{"numbered", Numbered(3, 8, 500*time.Millisecond, 1)},
+		{"numbered", NewNumbered(3, 8, 500*time.Millisecond, 1)},
 	} {
 		h := sha256.New()
 		var first []time.Duration
 		for what := range uint64(40) {
 			for at := -3 * time.Second; at < 30*time.Second; at += 370 * time.Millisecond {
-				next, ok := c.order.Next(what, at)
-				fmt.Fprintln(h, c.order.Mine(what, at), next, ok)
+				next, ok := c.order.NextTurn(what, at)
+				fmt.Fprintln(h, c.order.IsMyTurn(what, at), next, ok)
 			}
-			next, _ := c.order.Next(what, 0)
+			next, _ := c.order.NextTurn(what, 0)
 			if len(first) < 6 {
 				first = append(first, next)
 			}
--- a/internal/modules/timeslot/turns.go
+++ b/internal/modules/timeslot/turns.go
@@ -22,24 +22,24 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// Order is one member's knowledge of who takes turns. All but the member itself is the same at members that agree.
-type Order struct {
-	row    rendezvous.Row
-	slot   time.Duration
-	actors int
+// Schedule is one member's knowledge of who takes turns. All but the member itself is the same at members that agree.
+type Schedule struct {
+	ranking      rendezvous.Ranking
+	slotDuration time.Duration
+	actors       int
 }
 
 // New makes an Order. Members are numbers that all agree on, such as hashes of names, in any order; self is added where it is not
 // among them. slot is above 0 and actors at least 1, else it panics: they are constants of whoever calls.
-func New(self uint64, members []uint64, slot time.Duration, actors int) *Order {
+func New(self uint64, members []uint64, slot time.Duration, actors int) *Schedule {
 	if slot <= 0 || actors < 1 {
 		panic("turns: no slot or no actors")
 	}
-	return &Order{row: rendezvous.New(self, members), slot: slot, actors: actors}
+	return &Schedule{ranking: rendezvous.New(self, members), slotDuration: slot, actors: actors}
 }
 
-// Numbered is New for members that know only how many they are, and their number among them, from 0.
-func Numbered(ordinal, instances int, slot time.Duration, actors int) *Order {
+// NewNumbered is New for members that know only how many they are, and their number among them, from 0.
+func NewNumbered(ordinal, instances int, slot time.Duration, actors int) *Schedule {
 	var all []uint64
 	for i := range instances {
 		all = append(all, uint64(i))
@@ -47,38 +47,38 @@
 	return New(uint64(ordinal), all, slot, actors)
 }
 
-// slotOf is the slot of a time. Times before the epoch have slots too.
-func (o *Order) slotOf(at time.Duration) int64 {
-	s := int64(at / o.slot)
-	if at%o.slot < 0 {
+// slotAt is the slot of a time. Times before the epoch have slots too.
+func (o *Schedule) slotAt(at time.Duration) int64 {
+	s := int64(at / o.slotDuration)
+	if at%o.slotDuration < 0 {
 		s--
 	}
 	return s
 }
 
-// Mine tells whether this member has a turn at a time, counted from an epoch that all share.
-func (o *Order) Mine(what uint64, at time.Duration) bool { return o.has(what, o.slotOf(at)) }
+// IsMyTurn tells whether this member has a turn at a time, counted from an epoch that all share.
+func (o *Schedule) IsMyTurn(what uint64, at time.Duration) bool { return o.hasTurn(what, o.slotAt(at)) }
 
-func (o *Order) has(what uint64, slot int64) bool {
-	return o.row.Among(rendezvous.Mix(what^rendezvous.Mix(uint64(slot))), o.actors)
+func (o *Schedule) hasTurn(what uint64, slot int64) bool {
+	return o.ranking.InFirst(rendezvous.Mix(what^rendezvous.Mix(uint64(slot))), o.actors)
 }
 
-// Next is when this member's next turn begins, from a time on; that time itself in the midst of one. Where it has none within as
+// NextTurn is when this member's next turn begins, from a time on; that time itself in the midst of one. Where it has none within as
 // many slots as give it one with all but one chance in e^8, the end of these is returned, to be asked at again.
-func (o *Order) Next(what uint64, at time.Duration) (begins time.Duration, ok bool) {
+func (o *Schedule) NextTurn(what uint64, at time.Duration) (begins time.Duration, ok bool) {
 	const surely = 8
-	slot := o.slotOf(at)
-	last := slot + int64(surely*max(1, o.row.Len()/o.actors))
+	slot := o.slotAt(at)
+	last := slot + int64(surely*max(1, o.ranking.Len()/o.actors))
 	for s := slot; s <= last; s++ {
-		if o.has(what, s) {
-			return max(at, time.Duration(s)*o.slot), true
+		if o.hasTurn(what, s) {
+			return max(at, time.Duration(s)*o.slotDuration), true
 		}
 	}
-	return time.Duration(last+1) * o.slot, false
+	return time.Duration(last+1) * o.slotDuration, false
 }
 
 // Offset spreads what all members are to do after one cause over a time: it is this member's part of it, from 0 to below window.
 // Those of members that agree are window/n apart, in an order of each cause's own, so that nobody is always the last.
-func (o *Order) Offset(what uint64, window time.Duration) time.Duration {
-	return time.Duration(float64(window) * float64(o.row.Place(rendezvous.Mix(what))) / float64(o.row.Len()))
+func (o *Schedule) Offset(what uint64, window time.Duration) time.Duration {
+	return time.Duration(float64(window) * float64(o.ranking.Rank(rendezvous.Mix(what))) / float64(o.ranking.Len()))
 }
--- a/internal/modules/timeslot/turns_test.go
+++ b/internal/modules/timeslot/turns_test.go
@@ -26,10 +26,10 @@
 		mine, apart := 0, 0
 		for i, m := range all {
 			o := New(m, all, time.Second, actors)
-			if o.Mine(what, at) {
+			if o.IsMyTurn(what, at) {
 				mine++
 			}
-			if own := skew * time.Duration(i) / time.Duration(n); o.Mine(what, at+own) {
+			if own := skew * time.Duration(i) / time.Duration(n); o.IsMyTurn(what, at+own) {
 				apart++
 			}
 		}
@@ -46,14 +46,14 @@
 func TestNextIsTheFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "members")
-		o := Numbered(rapid.IntRange(0, n-1).Draw(t, "ordinal"), n, time.Second, 1)
+		o := NewNumbered(rapid.IntRange(0, n-1).Draw(t, "ordinal"), n, time.Second, 1)
 		what, at := rapid.Uint64().Draw(t, "what"), time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "at"))
-		next, ok := o.Next(what, at)
-		if next < at || ok && !o.Mine(what, next) {
+		next, ok := o.NextTurn(what, at)
+		if next < at || ok && !o.IsMyTurn(what, next) {
 			t.Fatalf("%v after %v is no turn", next, at)
 		}
 		for x := at; x < next; x += time.Second / 4 {
-			if o.Mine(what, x) {
+			if o.IsMyTurn(what, x) {
 				t.Fatalf("a turn at %v, before %v", x, next)
 			}
 		}
@@ -67,7 +67,7 @@
 	for _, n := range []int{4, 20, 100} {
 		all := numbers(2 * n)
 		turns := func(known func(i int) []uint64, alive int) (mean float64, longest int) {
-			var orders []*Order
+			var orders []*Schedule
 			for i := range alive {
 				orders = append(orders, New(all[i], known(i), time.Second, 1))
 			}
@@ -75,7 +75,7 @@
 			for s := range slots {
 				any := false
 				for _, o := range orders {
-					if o.Mine(7, time.Duration(s)*time.Second) {
+					if o.IsMyTurn(7, time.Duration(s)*time.Second) {
 						total++
 						any = true
 					}
--- a/internal/network/consul/consul_test.go
+++ b/internal/network/consul/consul_test.go
@@ -38,21 +38,21 @@
 	for _, c := range []struct {
 		checks           []check
 		passing, warning int
-		state            balancer.State
+		state            balancer.EndpointState
 		weight, share    float64
 		maintenance      bool
 		why              string
 	}{
-		{nil, 0, 0, balancer.Ready, 1, 1, false, ""},
-		{[]check{{"a", "passing"}}, 7, 1, balancer.Ready, 7, 1, false, ""},
-		{[]check{{"a", "passing"}, {"b", "warning"}}, 4, 1, balancer.Ready, 1, 0.25, false, `check "b" warns`},
-		{[]check{{"b", "warning"}}, 4, 0, balancer.Draining, 4, 1, false, `check "b" warns, and its weight is 0 then`},
-		{[]check{{"b", "warning"}, {"c", "critical"}}, 1, 1, balancer.Draining, 1, 1, false, `check "c" is critical`},
-		{[]check{{"c", "something new"}}, 1, 1, balancer.Draining, 1, 1, false, `check "c" is something new`},
-		{[]check{{"_node_maintenance", "critical"}}, 1, 1, balancer.Draining, 1, 1, true, "in maintenance"},
-		{[]check{{"_service_maintenance:x", "critical"}, {"c", "critical"}}, 1, 1, balancer.Draining, 1, 1, true, "in maintenance"},
-		{[]check{{"a", "passing"}}, -5, -1, balancer.Ready, 1, 1, false, ""},
-		{[]check{{"a", "passing"}}, 1 << 30, 1, balancer.Ready, mostWeight, 1, false, ""},
+		{nil, 0, 0, balancer.EndpointReady, 1, 1, false, ""},
+		{[]check{{"a", "passing"}}, 7, 1, balancer.EndpointReady, 7, 1, false, ""},
+		{[]check{{"a", "passing"}, {"b", "warning"}}, 4, 1, balancer.EndpointReady, 1, 0.25, false, `check "b" warns`},
+		{[]check{{"b", "warning"}}, 4, 0, balancer.EndpointDraining, 4, 1, false, `check "b" warns, and its weight is 0 then`},
+		{[]check{{"b", "warning"}, {"c", "critical"}}, 1, 1, balancer.EndpointDraining, 1, 1, false, `check "c" is critical`},
+		{[]check{{"c", "something new"}}, 1, 1, balancer.EndpointDraining, 1, 1, false, `check "c" is something new`},
+		{[]check{{"_node_maintenance", "critical"}}, 1, 1, balancer.EndpointDraining, 1, 1, true, "in maintenance"},
+		{[]check{{"_service_maintenance:x", "critical"}, {"c", "critical"}}, 1, 1, balancer.EndpointDraining, 1, 1, true, "in maintenance"},
+		{[]check{{"a", "passing"}}, -5, -1, balancer.EndpointReady, 1, 1, false, ""},
+		{[]check{{"a", "passing"}}, 1 << 30, 1, balancer.EndpointReady, mostWeight, 1, false, ""},
 	} {
 		var i instance
 		i.Service.Weights.Passing, i.Service.Weights.Warning = c.passing, c.warning
@@ -192,7 +192,7 @@
 	r.until(fmt.Sprint(ids), func() bool {
 		var ready []string
 		for uid, e := range r.known {
-			if e.State == balancer.Ready {
+			if e.State == balancer.EndpointReady {
 				ready = append(ready, strings.TrimSuffix(uid, "@n"))
 			}
 		}
--- a/internal/network/consul/read.go
+++ b/internal/network/consul/read.go
@@ -109,22 +109,22 @@
 		}
 		switch {
 		case c.CheckID == "_node_maintenance" || strings.HasPrefix(c.CheckID, "_service_maintenance") || c.Status == "maintenance":
-			e.State, e.Maintenance, e.Why = balancer.Draining, true, "in maintenance"
+			e.State, e.Maintenance, e.Why = balancer.EndpointDraining, true, "in maintenance"
 		case c.Status == "passing":
 		case c.Status == "warning":
 			warned = id
 		default: // critical, and what a later Consul may say
-			if e.State = balancer.Draining; !e.Maintenance {
+			if e.State = balancer.EndpointDraining; !e.Maintenance {
 				e.Why = fmt.Sprintf("check %q is %.20s", id, c.Status)
 			}
 		}
 	}
-	if e.State != balancer.Ready || warned == "" {
+	if e.State != balancer.EndpointReady || warned == "" {
 		return
 	}
 	if warning == 0 {
 		// Consul's own DNS leaves such an instance out.
-		e.State, e.Why = balancer.Draining, fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
+		e.State, e.Why = balancer.EndpointDraining, fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
 		return
 	}
 	e.Weight, e.Share = float64(warning), float64(warning)/float64(passing)
--- a/internal/network/exchange/exchange.go
+++ b/internal/network/exchange/exchange.go
@@ -73,9 +73,9 @@
 	// A dialer keeps the context's deadline by a timer of its own, which may fire before the context's does.
 	// Taken for a failed connection, a request's own deadline would isolate a sound endpoint.
 	if deadline, _ := a.Context.Deadline(); a.Context.Err() != nil || !time.Now().Before(deadline) {
-		return balancer.Moot
+		return balancer.StatusNotSent
 	}
-	return balancer.ConnectFailed
+	return balancer.StatusConnectFailed
 }
 
 // Broken is the status of an attempt whose answer did not come whole; broken says that its connection is why,
@@ -83,33 +83,33 @@
 func (a *Attempt) Broken(broken bool) balancer.Status {
 	switch {
 	case errors.Is(a.Context.Err(), context.DeadlineExceeded):
-		return balancer.Timeout
+		return balancer.StatusTimeout
 	case a.Context.Err() != nil:
-		return balancer.Cancelled
+		return balancer.StatusCancelled
 	case broken:
-		return balancer.Reset
+		return balancer.StatusReset
 	}
 	// The endpoint has run it and is well, but what it says cannot be used.
-	return balancer.Spoilt
+	return balancer.StatusInvalidResponse
 }
 
 // Answered is the outcome of an attempt by the answer to it.
 func Answered(code int, header http.Header, body []byte) Result {
-	res := Result{Status: balancer.Error}
+	res := Result{Status: balancer.StatusError}
 	if report := header.Get("X-Pressure"); report != "" {
 		res.Load, _ = settings.ParseLoad(report, "=") // a report that cannot be read is none
 	}
 	switch {
 	case code == http.StatusOK:
-		res.Status = balancer.OK
+		res.Status = balancer.StatusOK
 		RemoveHopByHop(header)
 		res.Response = &Response{Header: header, Body: body}
 	case code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout:
 		if header.Get("X-Turned-Away") == "1" {
-			res.Status = balancer.Full
+			res.Status = balancer.StatusRejected
 		}
 	case code < http.StatusInternalServerError:
-		res.Status = balancer.Spoilt // the request is at fault, not the endpoint
+		res.Status = balancer.StatusInvalidResponse // the request is at fault, not the endpoint
 	}
 	return res
 }
--- a/internal/network/http1/transport.go
+++ b/internal/network/http1/transport.go
@@ -253,7 +253,7 @@
 		}
 	}
 	res = a.over(c)
-	if res.Status == balancer.Reset {
+	if res.Status == balancer.StatusReset {
 		a.whatBroke(&res, connectTimeout)
 	}
 	return res
@@ -279,11 +279,11 @@
 func (a *attempt) whatBroke(res *exchange.Result, connectTimeout time.Duration) {
 	time.Sleep(resetsSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
-		res.Status = balancer.Spoilt
+		res.Status = balancer.StatusInvalidResponse
 		return
 	}
 	if c, err := a.dial(connectTimeout); err == nil {
-		res.Status, res.Conn = balancer.Spoilt, c
+		res.Status, res.Conn = balancer.StatusInvalidResponse, c
 	}
 }
 
@@ -303,7 +303,7 @@
 	text := encode(a.Request, time.Until(deadline))
 	// The dial may have outlasted the endpoint's welcome.
 	if !a.Endpoint.Open.Load() || a.Context.Err() != nil {
-		return exchange.Result{Status: balancer.Moot}
+		return exchange.Result{Status: balancer.StatusNotSent}
 	}
 	if n, err := c.Write(text); err != nil && n < len(text) {
 		return exchange.Result{Status: a.Unsent()}
@@ -439,18 +439,18 @@
 	transport := &http.Transport{DisableKeepAlives: true}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Address+"/health", nil)
 	if err != nil {
-		return balancer.Moot
+		return balancer.StatusNotSent
 	}
 	res, err := transport.RoundTrip(r)
 	switch {
 	case ctx.Err() != nil:
-		return balancer.Timeout
+		return balancer.StatusTimeout
 	case err != nil:
-		return balancer.ConnectFailed
+		return balancer.StatusConnectFailed
 	}
 	res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return balancer.Error
+		return balancer.StatusError
 	}
-	return balancer.OK
+	return balancer.StatusOK
 }
