--- a/internal/network/http1/transport_test.go
+++ b/internal/network/http1/transport_test.go
@@ -86,45 +86,45 @@
 		want balancer.Status
 		keep bool
 	}{
-		"served":              {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, true},
-		"served, then closes": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"), balancer.OK, false},
-		"served, old version": {reply("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, false},
-		"served in chunks":    {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), balancer.OK, true},
-		"after information":   {reply("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, true},
-		"with a report":       {reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, true},
-		"with a bad report":   {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, true},
-		"with an odd report":  {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, true},
+		"served":              {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+		"served, then closes": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"), balancer.StatusOK, false},
+		"served, old version": {reply("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, false},
+		"served in chunks":    {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), balancer.StatusOK, true},
+		"after information":   {reply("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+		"with a report":       {reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+		"with a bad report":   {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+		"with an odd report":  {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
 		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation) +
-			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.OK, true},
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
 		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation+1) +
-			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.Spoilt, false},
-		"and a copy":          {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), balancer.OK, false},
-		"and noise":           {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), balancer.OK, false},
-		"until closed":        {reply("HTTP/1.1 200 OK\r\n\r\nok"), balancer.Spoilt, false},
-		"two lengths":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"), balancer.Spoilt, false},
-		"length and chunks":   {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), balancer.Spoilt, false},
-		"negative length":     {reply("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), balancer.Spoilt, false},
-		"length no number":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), balancer.Spoilt, false},
-		"huge length":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), balancer.Spoilt, false},
-		"unknown coding":      {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"), balancer.Spoilt, false},
-		"broken chunks":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"), balancer.Spoilt, false},
-		"other version":       {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.Spoilt, false},
-		"status no number":    {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.Spoilt, false},
-		"status long":         {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.Spoilt, false},
-		"no colon":            {reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"), balancer.Spoilt, false},
-		"request at fault":    {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), balancer.Spoilt, true},
-		"turned away, spoilt": {reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"), balancer.Spoilt, false},
-		"error":               {reply("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"), balancer.Error, true},
-		"turned away":         {reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Full, true},
-		"no word of it":       {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.Error, true},
-		"cut body":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), balancer.Reset, false},
-		"no answer":           {reply(""), balancer.Reset, false},
-		"nonsense":            {reply("who is there\r\n\r\n"), balancer.Spoilt, false},
-		"large answer":        {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), balancer.Spoilt, false},
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"and a copy":          {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), balancer.StatusOK, false},
+		"and noise":           {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), balancer.StatusOK, false},
+		"until closed":        {reply("HTTP/1.1 200 OK\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"two lengths":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"), balancer.StatusInvalidResponse, false},
+		"length and chunks":   {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), balancer.StatusInvalidResponse, false},
+		"negative length":     {reply("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"length no number":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"huge length":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"unknown coding":      {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"broken chunks":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"), balancer.StatusInvalidResponse, false},
+		"other version":       {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"status no number":    {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"status long":         {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"no colon":            {reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+		"request at fault":    {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), balancer.StatusInvalidResponse, true},
+		"turned away, spoilt": {reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"), balancer.StatusInvalidResponse, false},
+		"error":               {reply("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"), balancer.StatusError, true},
+		"turned away":         {reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), balancer.StatusRejected, true},
+		"no word of it":       {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.StatusError, true},
+		"cut body":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), balancer.StatusReset, false},
+		"no answer":           {reply(""), balancer.StatusReset, false},
+		"nonsense":            {reply("who is there\r\n\r\n"), balancer.StatusInvalidResponse, false},
+		"large answer":        {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), balancer.StatusInvalidResponse, false},
 		"broken before the last byte": {func(c net.Conn) {
 			c.Read(make([]byte, 10))
 			c.Close()
-		}, balancer.ConnectFailed, false},
+		}, balancer.StatusConnectFailed, false},
 	} {
 		res := tryOut("", true, pipe(t, c.play), patience, nil)
 		if res.Status != c.want || (res.Conn != nil) != c.keep {
@@ -133,7 +133,7 @@
 		if wantLoad := name == "with a report"; (res.Load != nil) != wantLoad || wantLoad && res.Load.Queue != 2 {
 			t.Errorf("%s: load %+v", name, res.Load)
 		}
-		if c.want == balancer.OK && string(res.Response.Body) != "ok" {
+		if c.want == balancer.StatusOK && string(res.Response.Body) != "ok" {
 			t.Errorf("%s: body %q", name, res.Response.Body)
 		}
 	}
@@ -162,7 +162,7 @@
 				}
 			}
 		})
-		if res := tryOut("", true, near, patience, nil); res.Status != balancer.Spoilt || res.Conn != nil {
+		if res := tryOut("", true, near, patience, nil); res.Status != balancer.StatusInvalidResponse || res.Conn != nil {
 			t.Errorf("%s: status %v", name, res.Status)
 		}
 		near.Close()
@@ -185,11 +185,11 @@
 	}
 	tight := &exchange.Budget{}
 	tight.Give(maxBody - 1)
-	if res := try(tight); res.Status != balancer.Spoilt || tight.Left() != maxBody-1 {
+	if res := try(tight); res.Status != balancer.StatusInvalidResponse || tight.Left() != maxBody-1 {
 		t.Errorf("status %v, %d bytes left", res.Status, tight.Left())
 	}
 	tight.Give(1)
-	if res := try(tight); res.Status != balancer.OK || tight.Left() != maxBody-2 {
+	if res := try(tight); res.Status != balancer.StatusOK || tight.Left() != maxBody-2 {
 		t.Errorf("status %v, %d bytes left", res.Status, tight.Left())
 	}
 }
@@ -216,7 +216,7 @@
 	}
 	a, cancel := newAttempt(l.Addr().String(), patience, roomy())
 	defer cancel()
-	if res := a.run(c, patience); res.Status != balancer.OK || string(res.Response.Body) != "new" {
+	if res := a.run(c, patience); res.Status != balancer.StatusOK || string(res.Response.Body) != "new" {
 		t.Errorf("status %v, response %+v", res.Status, res.Response)
 	}
 }
@@ -228,7 +228,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.Status != balancer.Moot || res.Conn != nil {
+	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.Status != balancer.StatusNotSent || res.Conn != nil {
 		t.Errorf("status %v, conn %v", res.Status, res.Conn)
 	}
 	c, err := l.Accept()
@@ -268,12 +268,12 @@
 	}
 	a, cancel := newAttempt(address, patience, roomy())
 	defer cancel()
-	if res := a.run(nil, 100*time.Millisecond); res.Status != balancer.ConnectFailed {
+	if res := a.run(nil, 100*time.Millisecond); res.Status != balancer.StatusConnectFailed {
 		t.Errorf("status %v", res.Status)
 	}
 	a, cancel = newAttempt(address, 100*time.Millisecond, roomy())
 	defer cancel()
-	if res := a.run(nil, patience); res.Status != balancer.Moot {
+	if res := a.run(nil, patience); res.Status != balancer.StatusNotSent {
 		t.Errorf("status %v at the request's deadline", res.Status)
 	}
 }
@@ -285,7 +285,7 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	if res := tryOut(address, true, nil, patience, nil); res.Status != balancer.ConnectFailed {
+	if res := tryOut(address, true, nil, patience, nil); res.Status != balancer.StatusConnectFailed {
 		t.Errorf("status %v", res.Status)
 	}
 }
@@ -297,8 +297,8 @@
 		cancel  bool
 		want    balancer.Status
 	}{
-		"time-out": {100 * time.Millisecond, false, balancer.Timeout},
-		"cancel":   {patience, true, balancer.Cancelled},
+		"time-out": {100 * time.Millisecond, false, balancer.StatusTimeout},
+		"cancel":   {patience, true, balancer.StatusCancelled},
 	} {
 		written, ended := make(chan bool), make(chan bool)
 		near := pipe(t, func(far net.Conn) {
@@ -422,15 +422,15 @@
 		}
 		w.WriteHeader(int(health.Load()))
 	})
-	if got := Probe(e, patience); got != balancer.OK {
+	if got := Probe(e, patience); got != balancer.StatusOK {
 		t.Errorf("healthy: %v", got)
 	}
 	health.Store(http.StatusServiceUnavailable)
-	if got := Probe(e, patience); got != balancer.Error {
+	if got := Probe(e, patience); got != balancer.StatusError {
 		t.Errorf("unwell: %v", got)
 	}
 	mute := at(func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	if got := Probe(mute, 100*time.Millisecond); got != balancer.Timeout {
+	if got := Probe(mute, 100*time.Millisecond); got != balancer.StatusTimeout {
 		t.Errorf("mute: %v", got)
 	}
 }
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -82,7 +82,7 @@
 // noneSafe tells whether a file has classes, and none that may run any number of times.
 func noneSafe(f *schema.File) bool {
 	classes := appfile.ClassTable.All(f)
-	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Effect == balancer.Safe })
+	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Effect == balancer.Idempotent })
 }
 
 // Endpoints is the transport's part.
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -273,7 +273,7 @@
 	}
 	if s.err != nil {
 		if a.Context.Err() == nil && !refused(s.err) {
-			return exchange.Result{Status: balancer.ConnectFailed, Elsewhere: true}
+			return exchange.Result{Status: balancer.StatusConnectFailed, Elsewhere: true}
 		}
 		return exchange.Result{Status: a.Unsent()}
 	}
@@ -319,7 +319,7 @@
 	}
 	// The handshake may have outlasted the endpoint's welcome.
 	if !a.Endpoint.Open.Load() || a.Context.Err() != nil {
-		return exchange.Result{Status: balancer.Moot}, false
+		return exchange.Result{Status: balancer.StatusNotSent}, false
 	}
 	a.Endpoint.Waiting.Add(1)
 	res, err := t.exchange(a, s.client, early)
@@ -335,10 +335,10 @@
 		return exchange.Result{Status: a.Unsent()}, a.Context.Err() == nil
 	case rejected(err):
 		// RFC 9114, section 4.1.1: the request was not processed.
-		res = exchange.Result{Status: balancer.Full}
+		res = exchange.Result{Status: balancer.StatusRejected}
 	default:
 		res = exchange.Result{Status: a.Broken(s.conn.Context().Err() != nil)}
-		if res.Status == balancer.Reset {
+		if res.Status == balancer.StatusReset {
 			t.whatBroke(a, &res)
 		}
 	}
@@ -349,18 +349,18 @@
 // comes about by UDP, it may be the way that broke: an endpoint that takes TCP is there.
 func (t *Transport) whatBroke(a *exchange.Attempt, res *exchange.Result) {
 	if a.Endpoint.Waiting.Load() > 0 {
-		res.Status = balancer.Spoilt
+		res.Status = balancer.StatusInvalidResponse
 		return
 	}
 	next := &session{ready: make(chan struct{})}
 	if t.dial(next, a.Endpoint.Address, false); next.err == nil {
-		res.Status, res.Conn = balancer.Spoilt, next
+		res.Status, res.Conn = balancer.StatusInvalidResponse, next
 		return
 	}
 	dialer := net.Dialer{Timeout: t.set.Handshake}
 	if c, err := dialer.DialContext(a.Context, "tcp", a.Endpoint.Address); err == nil {
 		c.Close()
-		res.Status, res.Blocked = balancer.Spoilt, true
+		res.Status, res.Blocked = balancer.StatusInvalidResponse, true
 	}
 }
 
@@ -441,7 +441,7 @@
 		kept = len(body)
 	}
 	if answer.StatusCode == http.StatusTooEarly && early {
-		res.Status = balancer.Full // it has not run (RFC 8470, section 5.2)
+		res.Status = balancer.StatusRejected // it has not run (RFC 8470, section 5.2)
 	}
 	return res, nil
 }
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -94,7 +94,7 @@
 	c, ok := y.to.Acquire(y.e, time.Now())
 	y.mu.Unlock()
 	if !ok {
-		return exchange.Result{Status: balancer.Moot}
+		return exchange.Result{Status: balancer.StatusNotSent}
 	}
 	if during != nil {
 		go during(cancel)
@@ -121,7 +121,7 @@
 	})
 	for range 5 {
 		res := y.try(nil, patience, nil)
-		if res.Status != balancer.OK || string(res.Response.Body) != "POST /book?a=1 h trip" || res.Load == nil || res.Load.Queue != 2 {
+		if res.Status != balancer.StatusOK || string(res.Response.Body) != "POST /book?a=1 h trip" || res.Load == nil || res.Load.Queue != 2 {
 			t.Fatalf("%+v", res)
 		}
 		h := <-seen
@@ -134,7 +134,7 @@
 	}
 	for _, target := range []string{"//a/b", "/%7e%7E?x=%20", "/a|b"} {
 		res := y.try(&exchange.Inbound{Method: "GET", Target: target, Host: "h", Safe: true}, patience, nil)
-		if res.Status != balancer.OK || string(res.Response.Body) != "GET "+target+" h " {
+		if res.Status != balancer.StatusOK || string(res.Response.Body) != "GET "+target+" h " {
 			t.Errorf("%s: %v %s", target, res.Status, res.Response.Body)
 		}
 		<-seen
@@ -158,9 +158,9 @@
 	for range 100 {
 		all.Go(func() {
 			switch res := y.try(nil, patience, nil); res.Status {
-			case balancer.OK:
+			case balancer.StatusOK:
 				served.Add(1)
-			case balancer.Moot:
+			case balancer.StatusNotSent:
 				moot.Add(1) // no connection left
 			default:
 				t.Errorf("%+v", res)
@@ -209,32 +209,32 @@
 		play func(http.ResponseWriter, *http.Request)
 		want balancer.Status
 	}{
-		{"served", ok, balancer.OK},
-		{"rejected", reset(http3.ErrCodeRequestRejected, ""), balancer.Full},
-		{"reset", reset(http3.ErrCodeInternalError, ""), balancer.Spoilt},
-		{"reset, no error", reset(http3.ErrCodeNoError, ""), balancer.Spoilt},
-		{"cancelled by the endpoint", reset(http3.ErrCodeRequestCanceled, ""), balancer.Spoilt},
-		{"reset amid the answer", reset(http3.ErrCodeInternalError, "half"), balancer.Spoilt},
-		{"connection closed", drop(http3.ErrCodeNoError), balancer.Spoilt}, // the endpoint still takes connections
-		{"connection closed, rejected", drop(http3.ErrCodeRequestRejected), balancer.Spoilt},
+		{"served", ok, balancer.StatusOK},
+		{"rejected", reset(http3.ErrCodeRequestRejected, ""), balancer.StatusRejected},
+		{"reset", reset(http3.ErrCodeInternalError, ""), balancer.StatusInvalidResponse},
+		{"reset, no error", reset(http3.ErrCodeNoError, ""), balancer.StatusInvalidResponse},
+		{"cancelled by the endpoint", reset(http3.ErrCodeRequestCanceled, ""), balancer.StatusInvalidResponse},
+		{"reset amid the answer", reset(http3.ErrCodeInternalError, "half"), balancer.StatusInvalidResponse},
+		{"connection closed", drop(http3.ErrCodeNoError), balancer.StatusInvalidResponse}, // the endpoint still takes connections
+		{"connection closed, rejected", drop(http3.ErrCodeRequestRejected), balancer.StatusInvalidResponse},
 		{"short answer", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			io.WriteString(w, "half")
-		}, balancer.Spoilt},
-		{"large answer", func(w http.ResponseWriter, r *http.Request) { w.Write(make([]byte, exchange.MaxBody+1)) }, balancer.Spoilt},
-		{"large headers", answer(200, "X-Large", strings.Repeat("x", 2*maxAnswerHead), ""), balancer.Spoilt},
-		{"turned away", answer(503, "X-Turned-Away", "1", ""), balancer.Full},
-		{"no word of it", answer(503, "", "", ""), balancer.Error},
-		{"error", answer(500, "", "", ""), balancer.Error},
-		{"request at fault", answer(400, "", "", ""), balancer.Spoilt},
-		{"too early, though it was not", answer(425, "", "", ""), balancer.Spoilt},
+		}, balancer.StatusInvalidResponse},
+		{"large answer", func(w http.ResponseWriter, r *http.Request) { w.Write(make([]byte, exchange.MaxBody+1)) }, balancer.StatusInvalidResponse},
+		{"large headers", answer(200, "X-Large", strings.Repeat("x", 2*maxAnswerHead), ""), balancer.StatusInvalidResponse},
+		{"turned away", answer(503, "X-Turned-Away", "1", ""), balancer.StatusRejected},
+		{"no word of it", answer(503, "", "", ""), balancer.StatusError},
+		{"error", answer(500, "", "", ""), balancer.StatusError},
+		{"request at fault", answer(400, "", "", ""), balancer.StatusInvalidResponse},
+		{"too early, though it was not", answer(425, "", "", ""), balancer.StatusInvalidResponse},
 	} {
 		play.Store(c.play)
 		if res := y.try(nil, patience, nil); res.Status != c.want {
 			t.Errorf("%s: %v, want %v", c.name, res.Status, c.want)
 		}
 		play.Store(ok)
-		if res := y.try(nil, patience, nil); res.Status != balancer.OK {
+		if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK {
 			t.Errorf("after %s: %v", c.name, res.Status)
 		}
 	}
@@ -258,7 +258,7 @@
 		timeout time.Duration
 		cancel  bool
 		want    balancer.Status
-	}{{300 * time.Millisecond, false, balancer.Timeout}, {patience, true, balancer.Cancelled}} {
+	}{{300 * time.Millisecond, false, balancer.StatusTimeout}, {patience, true, balancer.StatusCancelled}} {
 		res := y.try(nil, c.timeout, func(cancel func()) {
 			if <-came; c.cancel {
 				cancel()
@@ -268,7 +268,7 @@
 			t.Errorf("%v, want %v", res.Status, c.want)
 		}
 		<-off
-		if res := y.try(&exchange.Inbound{Method: "GET", Target: "/fast", Host: "h"}, patience, nil); res.Status != balancer.OK {
+		if res := y.try(&exchange.Inbound{Method: "GET", Target: "/fast", Host: "h"}, patience, nil); res.Status != balancer.StatusOK {
 			t.Errorf("another one: %v", res.Status)
 		}
 	}
@@ -287,7 +287,7 @@
 	})
 	y.try(nil, patience, nil)
 	y.e.Open.Store(false)
-	if res := y.try(nil, patience, nil); res.Status != balancer.Moot || came.Load() != 1 {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusNotSent || came.Load() != 1 {
 		t.Errorf("%v, %d came", res.Status, came.Load())
 	}
 	y.mu.Lock()
@@ -335,15 +335,15 @@
 	// Until the GOAWAY is here, attempts are rejected or served; after that they find nobody.
 	for end := time.Now().Add(patience); ; {
 		res := y.try(nil, 300*time.Millisecond, nil)
-		if res.Status == balancer.ConnectFailed || res.Status == balancer.Moot {
+		if res.Status == balancer.StatusConnectFailed || res.Status == balancer.StatusNotSent {
 			break
 		}
-		if res.Status != balancer.OK && res.Status != balancer.Full || time.Now().After(end) {
+		if res.Status != balancer.StatusOK && res.Status != balancer.StatusRejected || time.Now().After(end) {
 			t.Fatalf("%v", res.Status)
 		}
 	}
 	close(serve)
-	if res := <-done; res.Status != balancer.OK {
+	if res := <-done; res.Status != balancer.StatusOK {
 		t.Errorf("what it had: %v", res.Status)
 	}
 	if err := <-left; err != nil {
@@ -362,11 +362,11 @@
 	}
 	defer third.Close()
 	// Anything that is sent to the new process on the old connection is told that it knows nothing of it.
-	if res := <-done; res.Status != balancer.Spoilt && res.Status != balancer.Reset && res.Status != balancer.Timeout {
+	if res := <-done; res.Status != balancer.StatusInvalidResponse && res.Status != balancer.StatusReset && res.Status != balancer.StatusTimeout {
 		t.Errorf("what died with it: %v", res.Status)
 	}
 	y.to_(address)
-	if res := y.try(nil, patience, nil); res.Status != balancer.OK {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK {
 		t.Errorf("its next start: %v", res.Status)
 	}
 }
@@ -387,10 +387,10 @@
 	defer relay.Close()
 	relay.Set(udp.Fault{Blackhole: true})
 	y.to_(relay.Address())
-	if res := y.try(nil, patience, nil); res.Status != balancer.ConnectFailed || !res.Elsewhere {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Elsewhere {
 		t.Errorf("blackholed: %+v", res)
 	}
-	if res := y.try(nil, 20*time.Millisecond, nil); res.Status != balancer.Moot || res.Elsewhere {
+	if res := y.try(nil, 20*time.Millisecond, nil); res.Status != balancer.StatusNotSent || res.Elsewhere {
 		t.Errorf("at its own deadline: %+v", res)
 	}
 	gone, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -399,7 +399,7 @@
 	}
 	y.to_(gone.LocalAddr().String())
 	gone.Close()
-	if res := y.try(nil, patience, nil); res.Status != balancer.ConnectFailed || !res.Elsewhere {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Elsewhere {
 		t.Errorf("nobody there: %+v", res)
 	}
 	for name, cert := range map[string]*tls.Certificate{"another's name": pair(t, y.ca, "other.example.org"), "another authority": pair(t, trust(t), "slot-keeper.example.org")} {
@@ -408,7 +408,7 @@
 			t.Fatal(err)
 		}
 		y.to_(wrong.Address())
-		if res := y.try(nil, patience, nil); res.Status != balancer.ConnectFailed || res.Elsewhere {
+		if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || res.Elsewhere {
 			t.Errorf("%s: %+v", name, res)
 		}
 		wrong.Close()
@@ -445,7 +445,7 @@
 			}
 			defer relay.Close()
 			y.to_(relay.Address())
-			if res := y.try(nil, patience, nil); res.Status != balancer.OK {
+			if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK {
 				t.Fatal(res.Status)
 			}
 			// The ticket comes after the handshake.
@@ -470,7 +470,7 @@
 			early.Store(0)
 			before := came.Load()
 			in := &exchange.Inbound{Method: "GET", Target: "/find", Host: "h", Safe: c.safe}
-			if res := y.try(in, patience, nil); res.Status != balancer.OK {
+			if res := y.try(in, patience, nil); res.Status != balancer.StatusOK {
 				t.Fatalf("%+v", res)
 			}
 			if got := early.Load() == 1; got != c.wantEarly || came.Load() != before+1 {
@@ -500,7 +500,7 @@
 	if neverSent(errors.New("anything else")) || rejected(&quic.ApplicationError{Remote: true, ErrorCode: 0x10b}) {
 		t.Error("what may have run passes for what never ran")
 	}
-	if res := y.try(nil, patience, nil); res.Status != balancer.OK || e.Connections() != 2 {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK || e.Connections() != 2 {
 		t.Errorf("%v over %d connections", res.Status, e.Connections())
 	}
 }
--- a/internal/rehearsal/dryrun/box.go
+++ b/internal/rehearsal/dryrun/box.go
@@ -103,7 +103,7 @@
 	for _, id := range slices.Sorted(maps.Keys(held)) {
 		a := held[id]
 		a.done(audit.Dropped)
-		b.s.after(toBox, func() { a.end(balancer.Reset) })
+		b.s.after(toBox, func() { a.end(balancer.StatusReset) })
 	}
 }
 
@@ -199,10 +199,10 @@
 	}
 	switch {
 	case b.silent && !i.connsTo(b).met:
-		s.at(a.sent+s.plan.Rules.Connect, func() { a.end(balancer.ConnectFailed) })
+		s.at(a.sent+s.plan.Rules.Connect, func() { a.end(balancer.StatusConnectFailed) })
 		return
 	case b.model == nil && !b.silent:
-		s.after(toBox, func() { a.end(balancer.ConnectFailed) })
+		s.after(toBox, func() { a.end(balancer.StatusConnectFailed) })
 		return
 	}
 	a.life = b.life
@@ -216,7 +216,7 @@
 		return
 	case chance("reset"):
 		a.done(audit.Dropped)
-		s.after(toBox, func() { a.end(balancer.Reset) })
+		s.after(toBox, func() { a.end(balancer.StatusReset) })
 		return
 	case chance("refuse"):
 		a.back(audit.TurnedAway)
@@ -266,8 +266,8 @@
 		how = audit.Spoilt
 	}
 	a.done(how)
-	status := map[audit.How]balancer.Status{audit.Served: balancer.OK, audit.Erred: balancer.Error,
-		audit.TurnedAway: balancer.Full, audit.Spoilt: balancer.Spoilt}[how]
+	status := map[audit.How]balancer.Status{audit.Served: balancer.StatusOK, audit.Erred: balancer.StatusError,
+		audit.TurnedAway: balancer.StatusRejected, audit.Spoilt: balancer.StatusInvalidResponse}[how]
 	life := b.life
 	s.after(toBox, func() {
 		if c := a.conns; c != nil && b.life == life {
@@ -313,18 +313,18 @@
 		return
 	}
 	a.over = true
-	a.part(status == balancer.OK || status == balancer.Error || status == balancer.Full)
+	a.part(status == balancer.StatusOK || status == balancer.StatusError || status == balancer.StatusRejected)
 	r.out = nil
-	if status == balancer.Timeout || status == balancer.Cancelled {
+	if status == balancer.StatusTimeout || status == balancer.StatusCancelled {
 		a.withdraw()
 	}
 	final := r.answered
-	if status == balancer.OK && !r.answered {
+	if status == balancer.StatusOK && !r.answered {
 		final = true
 		r.answer(200, 0, true)
 	}
 	i.s.decisions++
-	i.b.Outcome(i.clock(), balancer.Outcome{ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.box.index + 1),
+	i.b.HandleOutcome(i.clock(), balancer.Outcome{ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.box.index + 1),
 		Attempt: a.number, Final: final, Elapsed: i.s.now - a.sent, Status: status})
 	r.forget()
 }
--- a/internal/rehearsal/dryrun/dryrun.go
+++ b/internal/rehearsal/dryrun/dryrun.go
@@ -332,32 +332,32 @@
 		return err
 	}
 	i.s.add(audit.Event{Kind: audit.Up, Sidecar: i.index, Box: -1, Origin: -1})
-	list := balancer.List{Kind: balancer.Whole, Version: 1}
+	list := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
 	for _, b := range i.s.boxes {
 		if n := b.as(i.s.now - i.late()); b.tier() == i.Tier && n.told != "" && n.told != "Gone" {
 			list.Entries = append(list.Entries, i.entry(b, n))
 			i.s.add(audit.Event{Kind: audit.Told, Sidecar: i.index, Box: b.index, Text: n.told, Origin: -1})
 		}
 	}
-	i.b.Targets(i.clock(), list)
+	i.b.HandleEndpoints(i.clock(), list)
 	return nil
 }
 
 func (i *instance) late() time.Duration { return i.s.plan.LateFor(i.Sender) }
 
 // entry is a box in the module's list, as discovery has it at a time.
-func (i *instance) entry(b *box, n news) balancer.Entry {
+func (i *instance) entry(b *box, n news) balancer.ListEntry {
 	id := balancer.EndpointID(b.index + 1)
 	i.byID[id] = b.index
 	p := b.plan()
-	e := balancer.Entry{Endpoint: id, Kind: p.Tier, Cell: p.Cell, Weight: n.weight,
-		State: map[string]balancer.State{"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}[n.told]}
+	e := balancer.ListEntry{Endpoint: id, MachineKind: p.Tier, Cell: p.Cell, Weight: n.weight,
+		State: map[string]balancer.EndpointState{"Ready": balancer.EndpointReady, "Terminating": balancer.EndpointDraining, "Gone": balancer.EndpointRemoved}[n.told]}
 	switch {
 	case n.boot == 0, i.s.plan.Discovery.Boot == morning.BootNone:
 	case i.s.plan.Discovery.Boot == morning.BootAhead:
-		e.Started = clockStart + n.boot + morning.Ahead
+		e.StartedAt = clockStart + n.boot + morning.Ahead
 	default:
-		e.Started = clockStart + n.boot
+		e.StartedAt = clockStart + n.boot
 	}
 	return e
 }
@@ -382,7 +382,7 @@
 	}
 	i.s.add(audit.Event{Kind: audit.Told, Sidecar: i.index, Box: b.index, Text: n.told, Origin: -1})
 	i.s.decisions++
-	i.b.Targets(i.clock(), balancer.List{Kind: balancer.Delta, Version: i.s.seq, Entries: []balancer.Entry{i.entry(b, n)}})
+	i.b.HandleEndpoints(i.clock(), balancer.EndpointList{Kind: balancer.ListDelta, Version: i.s.seq, Entries: []balancer.ListEntry{i.entry(b, n)}})
 }
 
 // kill ends the instance at once: what it had is lost.
@@ -435,7 +435,7 @@
 		r.deadline = min(r.deadline, i.endsAt)
 	}
 	i.s.decisions++
-	i.b.Leave(i.clock(), clockStart+i.endsAt)
+	i.b.ShutDownAt(i.clock(), clockStart+i.endsAt)
 	i.s.after(300*time.Millisecond, func() {
 		if i.life == life {
 			i.fronted = false
@@ -447,7 +447,7 @@
 		}
 		for _, id := range sortedIDs(i.requests) {
 			if r := i.requests[id]; r != nil && r.out != nil {
-				r.out.end(balancer.Timeout)
+				r.out.end(balancer.StatusTimeout)
 			}
 		}
 	})
@@ -490,7 +490,7 @@
 		id := balancer.RequestID(a.request)
 		i.requests[id] = r
 		s.decisions++
-		i.b.Request(i.clock(), balancer.Request{ID: id, Class: a.class, Left: r.deadline - s.now, Idle: i.idle()})
+		i.b.HandleRequest(i.clock(), balancer.Request{ID: id, Class: a.class, TimeLeft: r.deadline - s.now, IdleConnections: i.idle()})
 	})
 	s.after(a.left+2*s.plan.Rules.Slack, func() {
 		if r.answered || r.closed || i.life != life {
@@ -510,10 +510,10 @@
 	}
 	r.closed, r.answered = true, true
 	if a := r.out; a != nil {
-		i.s.after(0, func() { a.end(balancer.Cancelled) })
+		i.s.after(0, func() { a.end(balancer.StatusCancelled) })
 	}
 	i.s.decisions++
-	i.b.Lapsed(i.clock(), balancer.RequestID(r.request))
+	i.b.HandleClientGone(i.clock(), balancer.RequestID(r.request))
 	r.forget()
 }
 
@@ -545,7 +545,7 @@
 func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	s, r := i.s, i.requests[id]
 	s.attempts++
-	if i.b.Isolated(to) {
+	if i.b.Ejected(to) {
 		s.add(audit.Event{Kind: audit.Tried, Request: r.request, Sidecar: i.index, Box: i.byID[to], Origin: r.origin})
 	}
 	a := &attempt{id: s.attempts, number: r.attempts, r: r, box: s.boxes[i.byID[to]], sent: s.now}
@@ -556,10 +556,10 @@
 		deadline = min(deadline, s.now+timeout)
 	}
 	s.after(toBox, a.come)
-	s.at(deadline, func() { a.end(balancer.Timeout) })
+	s.at(deadline, func() { a.end(balancer.StatusTimeout) })
 }
 
-func (i *instance) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := i.requests[id]; r != nil {
 		r.answer(503, retryAfter, false)
 		r.forget()
@@ -576,7 +576,7 @@
 func (i *instance) Cancel(id balancer.RequestID, number int) {
 	if r := i.requests[id]; r != nil && r.out != nil && r.out.number == number {
 		a := r.out
-		i.s.after(0, func() { a.end(balancer.Cancelled) }) // the module must not be called back into
+		i.s.after(0, func() { a.end(balancer.StatusCancelled) }) // the module must not be called back into
 	}
 }
 
@@ -585,7 +585,7 @@
 	i.s.after(after, func() {
 		if i.life == life && i.up {
 			i.s.decisions++
-			i.b.Timer(i.clock(), token)
+			i.b.HandleTimer(i.clock(), token)
 		}
 	})
 }
@@ -595,9 +595,9 @@
 	i.s.add(audit.Event{Kind: audit.Listed, Sidecar: i.index, Box: -1, Origin: -1})
 }
 
-func (i *instance) Probe(balancer.EndpointID)     {}
-func (i *instance) Tell(int, []byte)              {}
-func (i *instance) Watch(bool)                    { i.listed() }
-func (i *instance) Fetch()                        { i.listed() }
-func (i *instance) CloseIdle(balancer.EndpointID) {}
-func (i *instance) Log(string)                    {}
+func (i *instance) HealthCheck(balancer.EndpointID)          {}
+func (i *instance) SendToPeer(int, []byte)                   {}
+func (i *instance) WatchEndpoints(bool)                      { i.listed() }
+func (i *instance) FetchEndpoints()                          { i.listed() }
+func (i *instance) CloseIdleConnections(balancer.EndpointID) {}
+func (i *instance) Log(string)                               {}
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -55,22 +55,22 @@
 type quiet struct{}
 
 func (quiet) Send(balancer.RequestID, balancer.EndpointID, time.Duration) {}
-func (quiet) Refuse(balancer.RequestID, time.Duration)                    {}
+func (quiet) Reject(balancer.RequestID, time.Duration)                    {}
 func (quiet) Fail(balancer.RequestID)                                     {}
 func (quiet) Cancel(balancer.RequestID, int)                              {}
 func (quiet) SetTimer(uint64, time.Duration)                              {}
-func (quiet) Probe(balancer.EndpointID)                                   {}
-func (quiet) Tell(int, []byte)                                            {}
-func (quiet) Watch(bool)                                                  {}
-func (quiet) Fetch()                                                      {}
-func (quiet) CloseIdle(balancer.EndpointID)                               {}
+func (quiet) HealthCheck(balancer.EndpointID)                             {}
+func (quiet) SendToPeer(int, []byte)                                      {}
+func (quiet) WatchEndpoints(bool)                                         {}
+func (quiet) FetchEndpoints()                                             {}
+func (quiet) CloseIdleConnections(balancer.EndpointID)                    {}
 func (quiet) Log(string)                                                  {}
 
 func newModules(instances int) (*modules, error) {
 	m := &modules{now: time.Hour}
 	for i := range instances {
 		b, err := balancer.New(balancer.Settings{Instances: instances, Ordinal: i,
-			Classes: []balancer.Class{{Name: "a", Effect: balancer.Safe, Aim: time.Second, Deadline: time.Second}}}, uint64(i), quiet{})
+			Classes: []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent, LatencyTarget: time.Second, Deadline: time.Second}}}, uint64(i), quiet{})
 		if err != nil {
 			return nil, err
 		}
@@ -80,16 +80,16 @@
 }
 
 func (m *modules) take(gone, come []uint32) {
-	var l balancer.List
+	var l balancer.EndpointList
 	for _, id := range gone {
-		l.Entries = append(l.Entries, balancer.Entry{Endpoint: balancer.EndpointID(id), State: balancer.Gone})
+		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), State: balancer.EndpointRemoved})
 	}
 	for _, id := range come {
-		l.Entries = append(l.Entries, balancer.Entry{Endpoint: balancer.EndpointID(id), Weight: 1})
+		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), Weight: 1})
 	}
 	m.now += time.Second
 	for _, b := range m.all {
-		b.Targets(m.now, l)
+		b.HandleEndpoints(m.now, l)
 	}
 }
 
--- a/internal/rehearsal/morning/morning.go
+++ b/internal/rehearsal/morning/morning.go
@@ -82,8 +82,8 @@
 // Class is a class of request.
 type Class struct {
 	Name     string
-	Effect   balancer.Effect
-	Scope    balancer.Scope
+	Effect   balancer.Idempotency
+	Scope    balancer.KeyScope
 	Window   time.Duration
 	Aim      time.Duration
 	Deadline time.Duration
@@ -284,7 +284,7 @@
 		if c.Aim > c.Deadline {
 			add(m.place("class", c.Name, "aim"), "the aim, %v, lies beyond the deadline, %v", c.Aim, c.Deadline)
 		}
-		if c.Effect == balancer.Keyed && c.Window < c.Deadline {
+		if c.Effect == balancer.IdempotentWithKey && c.Window < c.Deadline {
 			add(m.place("class", c.Name), "boxes remember keys for %v, and callers repeat them for up to %v: a repeat would run twice", c.Window, c.Deadline)
 		}
 	}
--- a/internal/rehearsal/morning/parts.go
+++ b/internal/rehearsal/morning/parts.go
@@ -68,7 +68,7 @@
 	var services []map[string]any
 	for _, c := range p.Classes {
 		services = append(services, map[string]any{"name": c.Name, "aim": us(c.Aim), "deadline": us(c.Deadline), "gain": c.Worth, "lateValue": 0,
-			"effect":   map[balancer.Effect]string{balancer.Safe: "read_like", balancer.Keyed: "idempotency_key", balancer.Unsafe: "non_idempotent"}[c.Effect],
+			"effect":   map[balancer.Idempotency]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}[c.Effect],
 			"keyScope": string(c.Scope), "window": us(c.Window), "streamed": false})
 	}
 	var names []string
@@ -152,7 +152,7 @@
 	if status == 200 || c.tries > c.callers.Retries {
 		return 0, false
 	}
-	if c.class.Effect == balancer.Unsafe && !Refused(status) {
+	if c.class.Effect == balancer.NonIdempotent && !Refused(status) {
 		return 0, false // it may have run
 	}
 	wait = time.Duration((0.5 + c.random.Float64()) * float64(c.callers.Backoff) * float64(int(1)<<(c.tries-1)))
--- a/internal/rehearsal/morning/settings.go
+++ b/internal/rehearsal/morning/settings.go
@@ -123,8 +123,8 @@
 }
 
 var classKeys = map[string]key[Class]{
-	"effect":   word(func(c *Class, w string) { c.Effect = balancer.Effect(w) }, "safe", "keyed", "unsafe"),
-	"scope":    word(func(c *Class, w string) { c.Scope = balancer.Scope(w) }, "cell", "zone", "all"),
+	"effect":   word(func(c *Class, w string) { c.Effect = balancer.Idempotency(w) }, "safe", "keyed", "unsafe"),
+	"scope":    word(func(c *Class, w string) { c.Scope = balancer.KeyScope(w) }, "cell", "zone", "all"),
 	"window":   duration(func(c *Class) *time.Duration { return &c.Window }, time.Millisecond, time.Hour),
 	"aim":      duration(func(c *Class) *time.Duration { return &c.Aim }, time.Millisecond, time.Minute),
 	"deadline": duration(func(c *Class) *time.Duration { return &c.Deadline }, 10*time.Millisecond, time.Minute),
@@ -243,7 +243,7 @@
 			i := slices.IndexFunc(m.Classes, func(c *Class) bool { return c.Name == name })
 			if i < 0 {
 				i = len(m.Classes)
-				m.Classes = append(m.Classes, &Class{Name: name, Effect: balancer.Safe, Scope: balancer.ScopeCell,
+				m.Classes = append(m.Classes, &Class{Name: name, Effect: balancer.Idempotent, Scope: balancer.KeyScopeCell,
 					Window: 10 * time.Second, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Share: 1})
 				m.places["class "+name] = at
 			}
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -208,12 +208,12 @@
 // text is a request as it goes out.
 func text(class *morning.Class, a *ask, left time.Duration) []byte {
 	method, body := "POST", "trip=dialysis\n"
-	if class.Effect == balancer.Safe {
+	if class.Effect == balancer.Idempotent {
 		method, body = "GET", ""
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /trips HTTP/1.1\r\nHost: api.internal\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining: %du\r\n", method, a.request, class.Name, left.Microseconds())
-	if class.Effect == balancer.Keyed {
+	if class.Effect == balancer.IdempotentWithKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.key)
 	}
 	if body != "" {
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -126,38 +126,38 @@
 func (f *fields) status() balancer.Status {
 	switch n := f.number("ending"); n {
 	case 100:
-		return balancer.OK
+		return balancer.StatusOK
 	case 301:
-		return balancer.Error
+		return balancer.StatusError
 	case 302:
-		return balancer.Full
+		return balancer.StatusRejected
 	case 303:
-		return balancer.Timeout
+		return balancer.StatusTimeout
 	case 304:
-		return balancer.ConnectFailed
+		return balancer.StatusConnectFailed
 	case 305:
-		return balancer.Reset
+		return balancer.StatusReset
 	case 306:
-		return balancer.Cancelled
+		return balancer.StatusCancelled
 	case 307:
-		return balancer.Moot
+		return balancer.StatusNotSent
 	default:
 		f.fail("ending", fmt.Sprintf("unknown outcome %d", n))
-		return balancer.Error
+		return balancer.StatusError
 	}
 }
 
-func (f *fields) state() balancer.State {
+func (f *fields) state() balancer.EndpointState {
 	switch n := f.number("mode"); n {
 	case 2:
-		return balancer.Ready
+		return balancer.EndpointReady
 	case 0:
-		return balancer.Draining
+		return balancer.EndpointDraining
 	case 1:
-		return balancer.Gone
+		return balancer.EndpointRemoved
 	default:
 		f.fail("mode", fmt.Sprintf("unknown state %d", n))
-		return balancer.Gone
+		return balancer.EndpointRemoved
 	}
 }
 
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -28,7 +28,7 @@
 	line      int
 	now       time.Duration
 	instances map[int64]*instance
-	lists     [maxLists][]balancer.Entry
+	lists     [maxLists][]balancer.ListEntry
 	listed    [maxLists]bool
 	noted     map[string]bool
 	buf       []byte // the line being read
@@ -173,42 +173,42 @@
 	switch f.name {
 	case "targets":
 		l := s.list(f)
-		return func(b *balancer.Balancer) { b.Targets(now, l) }
+		return func(b *balancer.Balancer) { b.HandleEndpoints(now, l) }
 	case "knock":
 		r := balancer.Request{ID: f.id("corr"), Class: int(f.number("type")),
-			Tenant: int(f.optional("userGroup")), Key: f.optionalText(), Left: f.time("left"),
-			Hint: settings.Micros(f.optional("workHint"))}
+			Tenant: int(f.optional("userGroup")), Key: f.optionalText(), TimeLeft: f.time("left"),
+			WorkHint: settings.Micros(f.optional("workHint"))}
 		bits := f.optional("attrs")
 		if r.Class < 0 || r.Class >= in.classes {
 			f.fail("type", "no such class")
 		}
 		if bits&1 == 0 {
-			r.Hint = 0
+			r.WorkHint = 0
 		}
-		r.Repeat, r.Write = bits&2 != 0, bits&4 != 0
-		return func(b *balancer.Balancer) { b.Request(now, r) }
+		r.Retry, r.Write = bits&2 != 0, bits&4 != 0
+		return func(b *balancer.Balancer) { b.HandleRequest(now, r) }
 	case "begun":
 		id, n := f.id("corr"), int(f.number("n"))
 		ep := f.endpoint()
 		f.time("elapsed")
-		return func(b *balancer.Balancer) { b.Begun(now, id, n, ep) }
+		return func(b *balancer.Balancer) { b.HandleResponseStart(now, id, n, ep) }
 	case "closed_attempt":
 		o := balancer.Outcome{ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
 			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load()}
-		return func(b *balancer.Balancer) { b.Outcome(now, o) }
+		return func(b *balancer.Balancer) { b.HandleOutcome(now, o) }
 	case "lapsed":
 		id := f.id("corr")
-		return func(b *balancer.Balancer) { b.Lapsed(now, id) }
+		return func(b *balancer.Balancer) { b.HandleClientGone(now, id) }
 	case "wake":
 		token := uint64(f.number("label"))
-		return func(b *balancer.Balancer) { b.Timer(now, token) }
+		return func(b *balancer.Balancer) { b.HandleTimer(now, token) }
 	case "echo":
-		p := balancer.Probed{Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
+		p := balancer.HealthCheckResult{Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
 			Load: f.load()}
-		return func(b *balancer.Balancer) { b.Probed(now, p) }
+		return func(b *balancer.Balancer) { b.HandleHealthCheck(now, p) }
 	default: // inbox
 		from, data := int(f.number("by")), f.bytes()
-		return func(b *balancer.Balancer) { b.Told(now, from, data) }
+		return func(b *balancer.Balancer) { b.HandlePeerMessage(now, from, data) }
 	}
 }
 
@@ -257,11 +257,11 @@
 	}
 }
 
-var listKinds = []balancer.ListKind{balancer.Delta, balancer.Whole, balancer.Cached, balancer.Failed}
+var listKinds = []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}
 
 // list reads the fields of a targets event and resolves its list number.
-func (s *server) list(f *fields) balancer.List {
-	var l balancer.List
+func (s *server) list(f *fields) balancer.EndpointList {
+	var l balancer.EndpointList
 	kind := f.number("kind")
 	if f.err == nil && (kind < 0 || kind >= int64(len(listKinds))) {
 		f.fail("kind", "unknown list kind")
@@ -272,7 +272,7 @@
 	l.Kind = listKinds[kind]
 	buffer := f.optional("buffer")
 	l.Version = uint64(f.optional("version"))
-	if l.Kind == balancer.Failed || f.err != nil {
+	if l.Kind == balancer.ListFailed || f.err != nil {
 		return l
 	}
 	if buffer < 0 || buffer >= maxLists || !s.listed[buffer] {
@@ -295,7 +295,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	var entries []balancer.Entry // a fresh one: a Balancer may still hold the old
+	var entries []balancer.ListEntry // a fresh one: a Balancer may still hold the old
 	for i := int64(0); i < rows; i++ {
 		item, err := s.next()
 		if errors.Is(err, io.EOF) || err == nil && item.name != "item" {
@@ -304,9 +304,9 @@
 		if err != nil {
 			return err
 		}
-		entries = append(entries, balancer.Entry{Endpoint: item.endpoint(), Zone: int(item.number("area")),
-			Kind: int(item.number("kind")), Cell: int(item.number("stripe")), State: item.state(),
-			Weight: item.float("units"), Started: settings.Micros(item.optional("cameUp"))})
+		entries = append(entries, balancer.ListEntry{Endpoint: item.endpoint(), Zone: int(item.number("area")),
+			MachineKind: int(item.number("kind")), Cell: int(item.number("stripe")), State: item.state(),
+			Weight: item.float("units"), StartedAt: settings.Micros(item.optional("cameUp"))})
 		if item.err != nil {
 			return item.err
 		}
@@ -339,7 +339,7 @@
 	in.action("dispatch", string(id), int64(to), timeout.Microseconds())
 }
 
-func (in *instance) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (in *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	in.action("overload_reply", string(id), retryAfter.Microseconds())
 }
 
@@ -353,9 +353,9 @@
 	in.action("remind", "", int64(token), after.Microseconds())
 }
 
-func (in *instance) Probe(to balancer.EndpointID) { in.action("check", "", int64(to)) }
+func (in *instance) HealthCheck(to balancer.EndpointID) { in.action("check", "", int64(to)) }
 
-func (in *instance) Tell(peer int, data []byte) {
+func (in *instance) SendToPeer(peer int, data []byte) {
 	text := "-"
 	if len(data) > 0 {
 		text = base64.StdEncoding.EncodeToString(data)
@@ -363,7 +363,7 @@
 	fmt.Fprintf(in.s.out, "tell %d %d %s\n", in.number, peer, text)
 }
 
-func (in *instance) Watch(on bool) {
+func (in *instance) WatchEndpoints(on bool) {
 	v := int64(0)
 	if on {
 		v = 1
@@ -371,9 +371,9 @@
 	in.action("tail", "", v)
 }
 
-func (in *instance) Fetch() { in.action("query_all", "") }
+func (in *instance) FetchEndpoints() { in.action("query_all", "") }
 
-func (in *instance) CloseIdle(to balancer.EndpointID) { in.action("release", "", int64(to)) }
+func (in *instance) CloseIdleConnections(to balancer.EndpointID) { in.action("release", "", int64(to)) }
 
 func (in *instance) Log(text string) {
 	fmt.Fprintf(in.s.out, "trace %d %s\n", in.number, text)
--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -17,7 +17,7 @@
 	config := &Config{Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil)}
 	config.Settings.ConnectTimeout = time.Second
 	config.Settings.Instances = 1
-	config.Settings.Classes = []balancer.Class{{Name: "a", Effect: balancer.Safe}}
+	config.Settings.Classes = []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent}}
 	l, err := newLoop(config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -154,7 +154,7 @@
 		return fresh, nil
 	}
 	if fresh.tuning.membership.Mode == endpointsource.Consul {
-		fresh.Settings.MustAsk = false // discovery is not asked for what counts
+		fresh.Settings.MustSubscribe = false // discovery is not asked for what counts
 	}
 	if fresh.follower, err = c.product.Follow(file); err != nil {
 		return nil, err
@@ -279,21 +279,21 @@
 	s := &c.Settings
 	s.GraceToAnswer = standaloneGrace
 	s.Settings = balancer.Settings{
-		Instances: who.Instances, Ordinal: who.Ordinal, Tiers: 1, Quantum: standaloneQuantum, GoalWhole: standaloneWhole,
-		MayCancel: attempts.Cancel, MayProbe: attempts.Probes, MaxAttempts: attempts.Most, SecondCopies: attempts.Copies,
+		Instances: who.Instances, Ordinal: who.Ordinal, Tiers: 1, Quantum: standaloneQuantum, TotalValueWeight: standaloneWhole,
+		MayCancel: attempts.Cancel, MayHealthCheck: attempts.Probes, MaxAttempts: attempts.Most, HedgedRequests: attempts.Copies,
 		MaxRetryAfter: attempts.MaxRetryAfter, ConnectTimeout: attempts.ConnectTimeout,
-		MustAsk: found.Mode == appfile.Ask, AskEvery: found.AskEvery, PassesDeadline: true,
-		ColdFrom: warmup.ColdShare, Cold: warmup.WarmAfter, TipMultiple: warmup.TipMultiple, Fall: warmup.TipWindow,
+		MustSubscribe: found.Mode == appfile.Ask, ResubscribeInterval: found.AskEvery, PropagatesDeadline: true,
+		SlowStartMinShare: warmup.ColdShare, SlowStartWindow: warmup.WarmAfter, OverloadMultiple: warmup.TipMultiple, OverloadDuration: warmup.TipWindow,
 	}
 	if len(appfile.CallsTable.All(f)) > 0 {
 		s.Tiers = 2 // a call may wait at the applications behind this one too
 	}
 	for _, v := range appfile.ClassTable.All(f) {
-		s.Classes = append(s.Classes, balancer.Class{Name: v.Name, Aim: v.Value.Aim, Deadline: v.Value.Deadline, Worth: v.Value.Worth,
-			LateWorth: v.Value.LateWorth, Effect: v.Value.Effect, Scope: v.Value.KeyScope, Window: v.Value.KeyWindow})
+		s.Classes = append(s.Classes, balancer.Class{Name: v.Name, LatencyTarget: v.Value.Aim, Deadline: v.Value.Deadline, Value: v.Value.Worth,
+			LateValueShare: v.Value.LateWorth, Idempotency: v.Value.Effect, KeyScope: v.Value.KeyScope, KeyWindow: v.Value.KeyWindow})
 	}
 	for _, v := range appfile.TenantTable.All(f) {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerS: v.Value.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.Quota})
 	}
 	c.noDiscovery = found.Address == "" && endpointsource.Table.In(f).Mode == endpointsource.Consul
 	return c, c.check()
--- a/internal/standalone/copies.go
+++ b/internal/standalone/copies.go
@@ -22,8 +22,8 @@
 
 // copies tells whether second copies may be made of a request. Unsafe ones never are: each attempt has an effect.
 func (c *Config) copies(r *request) bool {
-	return c.Settings.SecondCopies && r.route != nil && r.route.Settings.CopyAfter > 0 &&
-		c.Settings.Classes[r.Class].Effect != balancer.Unsafe && least(r.route.Settings.Attempts, c.Settings.MaxAttempts) != 1
+	return c.Settings.HedgedRequests && r.route != nil && r.route.Settings.CopyAfter > 0 &&
+		c.Settings.Classes[r.Class].Idempotency != balancer.NonIdempotent && least(r.route.Settings.Attempts, c.Settings.MaxAttempts) != 1
 }
 
 // least is the least of the bounds that are set; 0 for none.
@@ -54,15 +54,15 @@
 	}
 	c := &request{Request: r.Request, Inbound: r.Inbound, deadline: r.deadline, answer: make(chan answer, 1), pair: pair{of: r}}
 	c.ID += "\x00copy" // no caller's: those are header values
-	c.Left, c.Attempts, c.Not = time.Until(r.deadline), 1, &a.Endpoint.ID
-	if l.config.Settings.Classes[r.Class].Effect == balancer.Keyed {
+	c.TimeLeft, c.MaxAttempts, c.Exclude = time.Until(r.deadline), 1, &a.Endpoint.ID
+	if l.config.Settings.Classes[r.Class].Idempotency == balancer.IdempotentWithKey {
 		// Its effect happens once only where its first attempt is known.
-		c.Earlier = balancer.Earlier{MayRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
-			At: l.now() - time.Since(r.pair.since)}
+		c.Prior = balancer.PriorAttempt{MayHaveRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
+			SentAt: l.now() - time.Since(r.pair.since)}
 	}
 	r.pair.copy = c
 	l.requests[c.ID] = c
-	l.balancer.Request(l.now(), c.Request)
+	l.balancer.HandleRequest(l.now(), c.Request)
 }
 
 // waitsForPair takes an end that is no answer, of a request or its copy, where the other may still have one, and tells
@@ -76,7 +76,7 @@
 		if a.response != nil {
 			l.finish(p, *a)
 		} else if p.pair.verdict != nil {
-			l.finish(p, p.pair.merged(l.config.Settings.Classes[p.Class].Effect))
+			l.finish(p, p.pair.merged(l.config.Settings.Classes[p.Class].Idempotency))
 			l.forget(p)
 		}
 		return true
@@ -85,15 +85,15 @@
 		return true
 	case a.response == nil && r.pair.sent:
 		r.pair.verdict = a
-		*a = r.pair.merged(l.config.Settings.Classes[r.Class].Effect)
+		*a = r.pair.merged(l.config.Settings.Classes[r.Class].Idempotency)
 	}
 	return false
 }
 
 // merged is what a request came to whose copy went out and had no answer either: nothing may be promised of it but
 // where any number of repeats is harmless.
-func (p *pair) merged(effect balancer.Effect) answer {
-	if p.sent && effect != balancer.Safe {
+func (p *pair) merged(effect balancer.Idempotency) answer {
+	if p.sent && effect != balancer.Idempotent {
 		return answer{}
 	}
 	return *p.verdict
@@ -106,7 +106,7 @@
 			p.route.Took(time.Since(p.pair.since))
 			p.out.cancel()
 		}
-		l.balancer.Lapsed(l.now(), p.ID)
+		l.balancer.HandleClientGone(l.now(), p.ID)
 		l.forget(p)
 		return
 	}
@@ -117,7 +117,7 @@
 
 // timed notes how long a first attempt took, for when the next copies are made.
 func (l *loop) timed(a *attempt, res exchange.Result) {
-	if r := a.request; r.route != nil && r.pair.of == nil && res.Status == balancer.OK && !r.answered {
+	if r := a.request; r.route != nil && r.pair.of == nil && res.Status == balancer.StatusOK && !r.answered {
 		r.route.Took(res.Took)
 	}
 }
--- a/internal/standalone/copies_test.go
+++ b/internal/standalone/copies_test.go
@@ -18,7 +18,7 @@
 	table := adjust
 	adjust = func(c *Config) {
 		table(c)
-		c.Settings.SecondCopies = allowed
+		c.Settings.HedgedRequests = allowed
 	}
 	var targets []target
 	for i := range 4 {
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -51,18 +51,18 @@
 	BootMS  int64   `json:"boot_ms"`
 }
 
-var states = map[string]balancer.State{
-	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"Ready": balancer.EndpointReady, "Terminating": balancer.EndpointDraining, "Gone": balancer.EndpointRemoved,
 }
 
 // judged puts a list into the terms of those who judge it.
 func (l endpointList) judged(from endpointsource.Origin) endpointsource.List {
-	list := endpointsource.List{Kind: balancer.Delta, Version: l.Rev}
+	list := endpointsource.List{Kind: balancer.ListDelta, Version: l.Rev}
 	switch {
 	case from == endpointsource.FromCache:
-		list.Kind = balancer.Cached
+		list.Kind = balancer.ListCached
 	case l.All:
-		list.Kind = balancer.Whole
+		list.Kind = balancer.ListFull
 	}
 	for _, x := range l.Targets {
 		e := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
@@ -154,14 +154,14 @@
 
 // update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
 // are of no more use.
-func (t *endpoints) update(l endpointsource.List) (entries []balancer.Entry, retired []*exchange.Endpoint) {
+func (t *endpoints) update(l endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
 	listed := map[balancer.EndpointID]bool{}
 	for _, x := range l.Endpoints {
 		state := x.State
 		id := t.id(x.UID)
 		listed[id] = true
 		e := t.byID[id]
-		if e == nil || state == balancer.Ready && (e.Address != x.Address || e.BootMS != x.BootMS) {
+		if e == nil || state == balancer.EndpointReady && (e.Address != x.Address || e.BootMS != x.BootMS) {
 			if e != nil {
 				e.Open.Store(false)
 				retired = append(retired, e)
@@ -170,17 +170,17 @@
 			t.put(e)
 		}
 		e.Zone, e.Cell = x.Zone, x.Cell
-		e.Open.Store(state == balancer.Ready)
-		if state != balancer.Ready {
+		e.Open.Store(state == balancer.EndpointReady)
+		if state != balancer.EndpointReady {
 			retired = append(retired, e)
 		}
-		if state == balancer.Gone {
+		if state == balancer.EndpointRemoved {
 			t.forget(e)
 		}
-		entries = append(entries, balancer.Entry{Endpoint: id, Zone: t.zones.index(x.Zone), Kind: t.models.index(x.Model), Cell: x.Cell, State: state,
-			Weight: x.Weight, Started: t.started(x.BootMS)})
+		entries = append(entries, balancer.ListEntry{Endpoint: id, Zone: t.zones.index(x.Zone), MachineKind: t.models.index(x.Model), Cell: x.Cell, State: state,
+			Weight: x.Weight, StartedAt: t.started(x.BootMS)})
 	}
-	if l.Kind != balancer.Delta {
+	if l.Kind != balancer.ListDelta {
 		for id, e := range t.byID {
 			if !listed[id] {
 				t.forget(e)
@@ -215,7 +215,7 @@
 
 func newWatcher(address, token string, l *loop) *watcher {
 	dialer := &net.Dialer{Timeout: l.config.Settings.ConnectTimeout}
-	return &watcher{url: "http://" + address + "/v1/endpoints", token: token, loop: l, again: !l.config.Settings.MustAsk,
+	return &watcher{url: "http://" + address + "/v1/endpoints", token: token, loop: l, again: !l.config.Settings.MustSubscribe,
 		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}}
 }
 
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -57,7 +57,7 @@
 	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
 	x := ready("s-1", 0)
 	entries, _ := e.update(endpointList{All: true, Targets: []target{x, ready("s-2", 0)}}.judged(endpointsource.FromWatch))
-	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].Kind != 0 {
+	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].MachineKind != 0 {
 		t.Fatalf("entries %+v", entries)
 	}
 	first := e.byID[1]
@@ -71,7 +71,7 @@
 		if len(retired) != 1 || retired[0] != old || old.Open.Load() || !e.byID[1].Open.Load() || e.byID[1].Address != x.Address {
 			t.Errorf("after a change: %+v", e.byID[1])
 		}
-		if x.BootMS > 0 && entries[0].Started == 0 {
+		if x.BootMS > 0 && entries[0].StartedAt == 0 {
 			t.Error("the start is not told")
 		}
 	}
@@ -121,7 +121,7 @@
 		Known: endpointList{Rev: 41, All: true, Targets: []target{ready("s-1", 0)}}}
 	config.Settings.ConnectTimeout = patience
 	config.Settings.Instances = 1
-	config.Settings.Classes = []balancer.Class{{Name: "a", Effect: balancer.Safe}}
+	config.Settings.Classes = []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent}}
 	l, err := newLoop(config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -69,15 +69,15 @@
 	s.instances.Store(int64(share.Instances))
 	g := groupOf(&share)
 	s.loop.post(func() {
-		if err := s.loop.balancer.Regroup(s.loop.now(), g); err != nil {
+		if err := s.loop.balancer.UpdateGroup(s.loop.now(), g); err != nil {
 			log.Printf("peers: %v; the numbers before stay", err)
 		}
 	})
 }
 
 // groupOf is a share as the Balancer takes it: members are numbers that all have alike.
-func groupOf(s *peers.Share) balancer.Group {
-	g := balancer.Group{Instances: s.Instances, Ordinal: s.Ordinal, Sharing: s.Sharing}
+func groupOf(s *peers.Share) balancer.InstanceGroup {
+	g := balancer.InstanceGroup{Instances: s.Instances, Ordinal: s.Ordinal, MaxInstances: s.Sharing}
 	for _, name := range s.Names {
 		h := fnv.New64a()
 		h.Write([]byte(name))
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -39,20 +39,20 @@
 // All members give a share the same numbers, whatever their place in it; the Balancer takes each.
 func TestShareIsAGroup(t *testing.T) {
 	names := []string{"front-0", "front-1", "front-2"}
-	b, err := balancer.New(balancer.Settings{Instances: 9, Classes: []balancer.Class{{Effect: balancer.Safe}}}, 1, &loop{})
+	b, err := balancer.New(balancer.Settings{Instances: 9, Classes: []balancer.Class{{Idempotency: balancer.Idempotent}}}, 1, &loop{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var first balancer.Group
+	var first balancer.InstanceGroup
 	for i := range names {
 		g := groupOf(&peers.Share{Instances: 3, Ordinal: i, Sharing: 5, Names: names, Placed: true})
 		if i == 0 {
 			first = g
 		}
-		if !slices.Equal(g.Members, first.Members) || g.Self != g.Members[i] || g.Sharing != 5 || g.Instances != 3 {
+		if !slices.Equal(g.Members, first.Members) || g.Self != g.Members[i] || g.MaxInstances != 5 || g.Instances != 3 {
 			t.Errorf("member %d has %+v, the first %+v", i, g, first)
 		}
-		if err := b.Regroup(0, g); err != nil {
+		if err := b.UpdateGroup(0, g); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -74,7 +74,7 @@
 	l := &loop{
 		events: make(chan func(), eventQueue), origin: time.Now().Add(-clockStart), config: c,
 		requests: map[balancer.RequestID]*request{},
-		feed:     endpointsource.Feed{MustAsk: c.Settings.MustAsk}, members: endpointsource.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
+		feed:     endpointsource.Feed{MustAsk: c.Settings.MustSubscribe}, members: endpointsource.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
 		unfollow: func() {},
 	}
 	l.endpoints = newEndpoints(c.Settings.Zones, c.Settings.Models, l.origin)
@@ -85,7 +85,7 @@
 		return nil, err
 	} else if to != nil {
 		l.ways.first = to
-		l.ways.reach.Settings = protocolfallback.Settings{Pause: c.tuning.http3to.Pause, Longest: c.tuning.http3to.Longest}
+		l.ways.reach.Settings = protocolfallback.Settings{InitialBackoff: c.tuning.http3to.Pause, MaxBackoff: c.tuning.http3to.Longest}
 	}
 	l.bodies.Give(int(c.tuning.callers.BodyShare * float64(c.Limits.MemoryMB<<20)))
 	l.watcher = newWatcher(c.Discovery, c.token, l)
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	settings := c.Settings.Settings
-	settings.SubsetMost = c.tuning.endpoints.SubsetMost
+	settings.MaxSubsetSize = c.tuning.endpoints.SubsetMost
 	l.balancer, err = balancer.New(settings, c.Seed, l)
 	return l, err
 }
@@ -107,7 +107,7 @@
 // run handles events for the life of the process.
 func (l *loop) run() {
 	l.lastKnown()
-	if !l.config.Settings.MustAsk && l.config.Discovery != "" {
+	if !l.config.Settings.MustSubscribe && l.config.Discovery != "" {
 		l.watcher.start(l.feed.Place())
 	}
 	l.followBeside(l.config.follower)
@@ -158,14 +158,14 @@
 	}
 	if r.route != nil && !r.route.Enter() {
 		// A refusal says that a repeat is harmless, which is not so of what may have run.
-		r.answer <- answer{refused: !r.Earlier.MayRun, retryAfter: r.route.Settings.ComeBack}
+		r.answer <- answer{refused: !r.Prior.MayHaveRun, retryAfter: r.route.Settings.ComeBack}
 		return
 	}
-	r.deadline = received.Add(r.Left - l.config.Settings.GraceToAnswer)
-	r.Left = time.Until(r.deadline) // also where this sidecar ends before: the Balancer knows
+	r.deadline = received.Add(r.TimeLeft - l.config.Settings.GraceToAnswer)
+	r.TimeLeft = time.Until(r.deadline) // also where this sidecar ends before: the Balancer knows
 	r.endBy(l.endsAt)
 	l.requests[r.ID] = r
-	l.balancer.Request(l.now(), r.Request)
+	l.balancer.HandleRequest(l.now(), r.Request)
 }
 
 // leave has everything answered by a given time. What is out then is called off.
@@ -174,7 +174,7 @@
 	for _, r := range l.requests {
 		r.endBy(end)
 	}
-	l.balancer.Leave(l.now(), end.Sub(l.origin))
+	l.balancer.ShutDownAt(l.now(), end.Sub(l.origin))
 	time.AfterFunc(time.Until(end), func() {
 		l.post(func() {
 			for _, r := range l.requests {
@@ -212,7 +212,7 @@
 	if r.out != nil {
 		r.out.cancel() // its outcome follows
 	}
-	l.balancer.Lapsed(l.now(), r.ID)
+	l.balancer.HandleClientGone(l.now(), r.ID)
 	l.forget(r)
 	if other := r.pair.copy; other != nil && !other.answered {
 		l.giveUp(other)
@@ -258,21 +258,21 @@
 	l.timed(a, res)
 	final := r.answered
 	if l.memory != nil {
-		mayRun := l.memory.after(l.now(), a, res.Status, res.Status == balancer.OK && !r.answered)
+		mayRun := l.memory.after(l.now(), a, res.Status, res.Status == balancer.StatusOK && !r.answered)
 		if a.stopped && !r.answered {
 			final = true
 			l.finish(r, answer{refused: !mayRun, retryAfter: time.Second})
 		}
 	}
 	last, pause := false, time.Duration(0)
-	if r.route != nil && !final && res.Status != balancer.OK {
+	if r.route != nil && !final && res.Status != balancer.StatusOK {
 		if r.route.Settings.Allows(res.Status) {
 			r.credit = r.credit || r.route.Repeat()
 		}
 		last = !r.credit
 		pause = r.route.Settings.PauseAfter(r.attempts, rand.Float64())
 	}
-	if res.Status == balancer.OK && !r.answered {
+	if res.Status == balancer.StatusOK && !r.answered {
 		if final = true; r.route != nil {
 			r.route.Answered()
 		}
@@ -281,12 +281,12 @@
 	} else {
 		l.discard(res.Response)
 	}
-	l.balancer.Outcome(l.now(), balancer.Outcome{
+	l.balancer.HandleOutcome(l.now(), balancer.Outcome{
 		ID: r.ID, Endpoint: a.Endpoint.ID, Attempt: a.number, Final: final,
-		Elapsed: res.Took, Status: res.Status, Load: res.Load, Last: last, Pause: pause,
+		Elapsed: res.Took, Status: res.Status, Load: res.Load, NoRetry: last, Backoff: pause,
 	})
 	l.forget(r)
-	if res.Status == balancer.ConnectFailed && l.members.Doubts() {
+	if res.Status == balancer.StatusConnectFailed && l.members.Doubts() {
 		l.told(l.members.Failed(l.now(), a.Endpoint.UID))
 	}
 }
@@ -368,13 +368,13 @@
 func (l *loop) dispatch(a *attempt, by exchange.Transport) {
 	c, ok := by.Acquire(a.Endpoint, a.Sent)
 	if !ok && by != l.ways.usual {
-		l.ways.reach.Undecided(a.Endpoint.Address)
+		l.ways.reach.RecordInconclusive(a.Endpoint.Address)
 		by = l.ways.usual
 		c, ok = by.Acquire(a.Endpoint, a.Sent)
 	}
 	a.by, a.acquired, a.holds = by, c, ok
 	go func() {
-		res := exchange.Result{Status: balancer.Moot}
+		res := exchange.Result{Status: balancer.StatusNotSent}
 		switch {
 		case !ok:
 		case !a.gate.pass(a.Context):
@@ -390,7 +390,7 @@
 	}()
 }
 
-func (l *loop) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	l.end(id, answer{refused: true, retryAfter: retryAfter})
 }
 
@@ -411,11 +411,11 @@
 
 func (l *loop) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
-		l.post(func() { l.balancer.Timer(l.now(), token) })
+		l.post(func() { l.balancer.HandleTimer(l.now(), token) })
 	})
 }
 
-func (l *loop) Probe(to balancer.EndpointID) {
+func (l *loop) HealthCheck(to balancer.EndpointID) {
 	e := l.endpoints.byID[to]
 	if e == nil {
 		return
@@ -424,28 +424,28 @@
 	go func() {
 		status := http1.Probe(e, l.config.Settings.ConnectTimeout)
 		l.post(func() {
-			l.balancer.Probed(l.now(), balancer.Probed{Endpoint: to, Status: status, Elapsed: time.Since(sent)})
+			l.balancer.HandleHealthCheck(l.now(), balancer.HealthCheckResult{Endpoint: to, Status: status, Elapsed: time.Since(sent)})
 		})
 	}()
 }
 
-// Tell has nowhere to send: the Balancer sends its peers nothing, and no peer sockets are opened for it.
-func (l *loop) Tell(peer int, data []byte) {}
+// SendToPeer has nowhere to send: the Balancer sends its peers nothing, and no peer sockets are opened for it.
+func (l *loop) SendToPeer(peer int, data []byte) {}
 
-func (l *loop) Watch(on bool) {
+func (l *loop) WatchEndpoints(on bool) {
 	l.watcher.stop()
 	if on {
 		l.watcher.start(l.feed.Place())
 	}
 }
 
-func (l *loop) Fetch() {
+func (l *loop) FetchEndpoints() {
 	if l.config.Discovery != "" { // Consul may be all there is
 		l.watcher.fetch()
 	}
 }
 
-func (l *loop) CloseIdle(to balancer.EndpointID) { l.ways.closeIdle(l.endpoints.byID[to]) }
+func (l *loop) CloseIdleConnections(to balancer.EndpointID) { l.ways.closeIdle(l.endpoints.byID[to]) }
 
 func (l *loop) Log(text string) { log.Print(text) }
 
@@ -459,8 +459,8 @@
 		return
 	}
 	l.watcher.fetch()
-	if l.config.Settings.MustAsk {
-		l.balancer.Targets(l.now(), balancer.List{Kind: balancer.Failed}) // it watches in its own time
+	if l.config.Settings.MustSubscribe {
+		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed}) // it watches in its own time
 		return
 	}
 	l.watcher.start(nil)
@@ -500,11 +500,11 @@
 				l.ways.forget(e)
 			}
 		}
-		l.balancer.Targets(l.now(), balancer.List{Kind: list.Kind, Version: list.Version, Entries: entries})
+		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: list.Kind, Version: list.Version, Entries: entries})
 		if l.memory != nil {
 			l.memory.listed(l.now(), list, l.endpoints.byID)
 		}
-		if list.Kind != balancer.Cached || len(entries) > 0 {
+		if list.Kind != balancer.ListCached || len(entries) > 0 {
 			l.ready.Store(true)
 		}
 	}
@@ -570,5 +570,5 @@
 
 func (l *loop) listFailed(err error) {
 	log.Printf("discovery: %v", err)
-	l.balancer.Targets(l.now(), balancer.List{Kind: balancer.Failed})
+	l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed})
 }
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -153,7 +153,7 @@
 	if !ok || m.set.ListKeep == 0 {
 		return l, 0, false
 	}
-	l.Kind = balancer.Cached
+	l.Kind = balancer.ListCached
 	if err := m.store.All(func(key, value []byte, _ time.Duration) bool {
 		var e endpointsource.Endpoint
 		if key[0] == endpointMark && json.Unmarshal(value, &e) == nil {
@@ -169,11 +169,11 @@
 
 // listed keeps what was told of endpoints.
 func (m *memory) listed(now time.Duration, l endpointsource.List, all map[balancer.EndpointID]*exchange.Endpoint) {
-	if m.set.ListKeep == 0 || l.Kind == balancer.Cached {
+	if m.set.ListKeep == 0 || l.Kind == balancer.ListCached {
 		return
 	}
 	var b store.Batch
-	if l.Kind == balancer.Whole {
+	if l.Kind == balancer.ListFull {
 		there := map[string]bool{}
 		for _, e := range all {
 			there[e.UID] = true
@@ -187,7 +187,7 @@
 	}
 	for _, e := range l.Endpoints {
 		key := append([]byte{endpointMark}, e.UID...)
-		if text, err := json.Marshal(e); e.State == balancer.Gone {
+		if text, err := json.Marshal(e); e.State == balancer.EndpointRemoved {
 			delete(m.kept, e.UID)
 			b.Delete(key)
 		} else if err == nil && len(key) <= store.MostKey && len(all) <= maxKept {
@@ -227,12 +227,12 @@
 // memory. What may have run never is: a refusal would promise that a repeat is harmless.
 func (m *memory) turnsAway(now time.Duration, r *request) bool {
 	m.look(now, r)
-	return !r.Earlier.MayRun && m.refuses(now, r.Class)
+	return !r.Prior.MayHaveRun && m.refuses(now, r.Class)
 }
 
 // refuses tells whether a request has to be turned away because it could not be remembered.
 func (m *memory) refuses(now time.Duration, class int) bool {
-	if !m.ill.Load() || m.goOn[class] || m.classes[class].Effect == balancer.Safe {
+	if !m.ill.Load() || m.goOn[class] || m.classes[class].Idempotency == balancer.Idempotent {
 		return false
 	}
 	if now-m.triedAt >= time.Second { // nothing else may be written that could tell that the disk is well
@@ -246,10 +246,10 @@
 
 // id is what a request is remembered by; false for one that may run any number of times.
 func (m *memory) id(r *request) (id idempotency.ID, ok bool) {
-	switch c := &m.classes[r.Class]; c.Effect {
-	case balancer.Keyed:
+	switch c := &m.classes[r.Class]; c.Idempotency {
+	case balancer.IdempotentWithKey:
 		return idempotency.KeyedID(c.Name, r.Header.Get("Idempotency-Key")), true
-	case balancer.Unsafe:
+	case balancer.NonIdempotent:
 		return idempotency.RequestID(c.Name, r.ID), true
 	}
 	return id, false
@@ -261,8 +261,8 @@
 	if !ok {
 		return
 	}
-	if e, ok := m.table.Look(now, id); ok {
-		r.Earlier = balancer.Earlier{MayRun: true, Served: e.Served, Zone: m.zones.index(e.Zone), Cell: e.Cell, At: e.At}
+	if e, ok := m.table.Lookup(now, id); ok {
+		r.Prior = balancer.PriorAttempt{MayHaveRun: true, Served: e.Served, Zone: m.zones.index(e.Zone), Cell: e.Cell, SentAt: e.SentAt}
 	}
 }
 
@@ -309,7 +309,7 @@
 		return nil
 	}
 	c := &m.classes[r.Class]
-	e, changed, err := m.table.Before(now, id, c.Name, idempotency.Keep(c), idempotency.Group{Zone: to.Zone, Cell: to.Cell, Endpoint: to.UID})
+	e, changed, err := m.table.BeginAttempt(now, id, c.Name, idempotency.RetentionOf(c), idempotency.Origin{Zone: to.Zone, Cell: to.Cell, Endpoint: to.UID})
 	g := &gate{err: err, wait: m.set.Wait, late: m.told, goOn: m.goOn[r.Class]}
 	if err != nil {
 		m.told(err)
@@ -319,7 +319,7 @@
 		return nil
 	}
 	g.kept = make(chan error, 1)
-	m.keep(id, &e, e.Keep, 0, func(err error) {
+	m.keep(id, &e, e.Retention, 0, func(err error) {
 		m.told(err)
 		g.kept <- err
 	})
@@ -340,18 +340,18 @@
 		return false
 	}
 	if a.gate != nil && a.gate.durable {
-		m.table.Kept(id)
+		m.table.MarkDurable(id)
 	}
-	switch e, change := m.table.After(now, id, status, answered); change {
-	case idempotency.Put:
-		m.keep(id, &e, e.At+e.Keep-now, afterIdle, m.told)
-	case idempotency.Delete:
+	switch e, change := m.table.EndAttempt(now, id, status, answered); change {
+	case idempotency.PutEntry:
+		m.keep(id, &e, e.SentAt+e.Retention-now, afterIdle, m.told)
+	case idempotency.DeleteEntry:
 		var b store.Batch
 		b.Idle(afterIdle)
 		b.Delete(append([]byte{requestMark}, id[:]...))
 		m.store.Apply(b, m.told)
 	}
-	_, mayRun = m.table.Look(now, id)
+	_, mayRun = m.table.Lookup(now, id)
 	return mayRun
 }
 
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -20,13 +20,13 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	pay := balancer.Class{Name: "pay", Effect: balancer.Unsafe, Deadline: time.Minute}
+	pay := balancer.Class{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}
 	m := &memory{table: idempotency.NewTable(10), store: s, goOn: []bool{false}, classes: []balancer.Class{pay}, zones: names{}, triedAt: time.Hour}
 	of := func(id string) *request {
 		return &request{Request: balancer.Request{ID: balancer.RequestID(id)}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	}
 	id, _ := m.id(of("ran"))
-	if err := m.table.Restore(id, idempotency.Entry{At: time.Hour, Keep: time.Hour}); err != nil {
+	if err := m.table.Restore(id, idempotency.Entry{SentAt: time.Hour, Retention: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	if m.turnsAway(time.Hour, of("new")) {
@@ -36,7 +36,7 @@
 	if !m.turnsAway(time.Hour, of("new")) {
 		t.Error("what cannot be remembered was taken")
 	}
-	if r := of("ran"); m.turnsAway(time.Hour, r) || !r.Earlier.MayRun {
-		t.Errorf("what may have run was refused: %+v", r.Earlier)
+	if r := of("ran"); m.turnsAway(time.Hour, r) || !r.Prior.MayHaveRun {
+		t.Errorf("what may have run was refused: %+v", r.Prior)
 	}
 }
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -125,12 +125,12 @@
 		return
 	}
 	received := time.Now()
-	safe := s.config.Settings.Classes[req.Class].Effect == balancer.Safe
+	safe := s.config.Settings.Classes[req.Class].Idempotency == balancer.Idempotent
 	if c.Early() {
 		if !safe {
 			// Whoever recorded this can send it again, to this sidecar or another: it reaches nobody before the
 			// handshake proves that its sender is there.
-			ctx, cancel := context.WithTimeout(r.Context(), min(req.Left, s.config.tuning.callers.RequestTimeout))
+			ctx, cancel := context.WithTimeout(r.Context(), min(req.TimeLeft, s.config.tuning.callers.RequestTimeout))
 			ok := c.Confirm(ctx)
 			cancel()
 			if !ok {
@@ -141,7 +141,7 @@
 			r.Header.Set("Early-Data", "1") // RFC 8470, section 5.1
 		}
 	}
-	req.Idle = c.Served()
+	req.IdleConnections = c.Served()
 	exchange.RemoveHopByHop(r.Header)
 	req.Inbound = exchange.Inbound{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
 		Safe: safe}
@@ -175,7 +175,7 @@
 	if req, fault = s.read(r); fault != "" {
 		return nil, http.StatusBadRequest, fault
 	}
-	if s.tuning.Load().callers.TooEarly && r.Header.Get("Early-Data") == "1" && s.config.Settings.Classes[req.Class].Effect != balancer.Safe {
+	if s.tuning.Load().callers.TooEarly && r.Header.Get("Early-Data") == "1" && s.config.Settings.Classes[req.Class].Idempotency != balancer.Idempotent {
 		// A proxy in front took it before its caller had proved to be there: a replay of it would run twice.
 		return nil, http.StatusTooEarly, "too early: send it again when the handshake is complete"
 	}
@@ -201,12 +201,12 @@
 		return nil, "X-Lane: unknown class"
 	}
 	class := &s.config.Settings.Classes[req.Class]
-	if req.Left, ok = parseRemaining(r.Header.Get("X-Remaining")); !ok {
+	if req.TimeLeft, ok = parseRemaining(r.Header.Get("X-Remaining")); !ok {
 		return nil, "X-Remaining: not a time in m or u that can be waited"
 	}
 	if class.Deadline > 0 {
 		// No client waits longer; the Balancer would learn from it how long they do.
-		req.Left = min(req.Left, class.Deadline)
+		req.TimeLeft = min(req.TimeLeft, class.Deadline)
 	}
 	if len(s.tenants) > 0 {
 		if req.Tenant, ok = s.tenants[r.Header.Get("X-Org")]; !ok {
@@ -216,19 +216,19 @@
 	if fault := s.takeRoute(r, req); fault != "" {
 		return nil, fault
 	}
-	if class.Effect == balancer.Keyed && r.Header.Get("Idempotency-Key") == "" {
+	if class.Idempotency == balancer.IdempotentWithKey && r.Header.Get("Idempotency-Key") == "" {
 		return nil, "Idempotency-Key: missing" // endpoints could not drop a repeat
 	}
-	if (class.Effect == balancer.Safe) != (r.Method == http.MethodGet) || r.Method != http.MethodGet && r.Method != http.MethodPost {
+	if (class.Idempotency == balancer.Idempotent) != (r.Method == http.MethodGet) || r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return nil, r.Method + ": not the method of this class"
 	}
 	if cookie, err := r.Cookie("obj"); err == nil {
 		req.Key = cookie.Value
 	}
 	if n, err := strconv.ParseInt(r.Header.Get("X-Estimate"), 10, 64); err == nil {
-		req.Hint = time.Duration(n) * time.Microsecond
+		req.WorkHint = time.Duration(n) * time.Microsecond
 	}
-	req.Repeat = r.Header.Get("X-Resent") == "1"
+	req.Retry = r.Header.Get("X-Resent") == "1"
 	req.Write = r.Method != http.MethodGet && r.Method != http.MethodHead
 	return req, ""
 }
@@ -250,11 +250,11 @@
 	}
 	set := req.route.Settings
 	if set.Time > 0 {
-		req.Left = min(req.Left, set.Time)
+		req.TimeLeft = min(req.TimeLeft, set.Time)
 	}
-	req.Attempts, req.Each, req.Times = set.Attempts, set.Attempt, set.Worth
+	req.MaxAttempts, req.AttemptTimeout, req.ValueFactor = set.Attempts, set.Attempt, set.Worth
 	if most := least(set.Attempts, s.config.Settings.MaxAttempts); most > 0 && s.config.copies(req) {
-		req.Attempts = most - 1 // a copy is one of them
+		req.MaxAttempts = most - 1 // a copy is one of them
 	}
 	return ""
 }
--- a/internal/standalone/transports.go
+++ b/internal/standalone/transports.go
@@ -13,12 +13,12 @@
 type transports struct {
 	usual exchange.Transport // it reaches every endpoint
 	first exchange.Transport // it is tried before, where reach says so; nil for none
-	reach protocolfallback.Memory
+	reach protocolfallback.Tracker
 }
 
 // choose gives the way for an attempt.
 func (t *transports) choose(now time.Duration, e *exchange.Endpoint) exchange.Transport {
-	if t.first != nil && t.reach.Try(now, e.Address) {
+	if t.first != nil && t.reach.ShouldAttempt(now, e.Address) {
 		return t.first
 	}
 	return t.usual
@@ -32,16 +32,16 @@
 	}
 	switch {
 	case res.Elsewhere || res.Blocked:
-		if pause, news := t.reach.Failed(now, a.Endpoint.Address); news {
+		if pause, news := t.reach.RecordFailure(now, a.Endpoint.Address); news {
 			log.Printf("http3: no connection to %s; HTTP/1.1 for %v", a.Endpoint.Address, pause)
 		}
 		if res.Elsewhere {
 			return t.usual
 		}
-	case res.Status == balancer.Moot:
-		t.reach.Undecided(a.Endpoint.Address)
+	case res.Status == balancer.StatusNotSent:
+		t.reach.RecordInconclusive(a.Endpoint.Address)
 	default:
-		t.reach.Worked(a.Endpoint.Address)
+		t.reach.RecordSuccess(a.Endpoint.Address)
 	}
 	return nil
 }
--- a/internal/structures/deadlinequeue/due.go
+++ b/internal/structures/deadlinequeue/due.go
@@ -8,54 +8,54 @@
 // of their number. The zero value is empty and ready for use. Items that are due at the same time come in the
 // order of Less, so that the same events give the same order.
 type Queue[T comparable] struct {
-	Less func(a, b T) bool // nil for any order
-	heap []item[T]
-	at   map[T]int // places in heap
+	Less      func(a, b T) bool // nil for any order
+	heap      []item[T]
+	positions map[T]int // places in heap
 }
 
 type item[T comparable] struct {
-	x  T
-	at time.Duration
+	value    T
+	deadline time.Duration
 }
 
 // Len is how many there are.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// First is what is due first; false where there is nothing.
-func (q *Queue[T]) First() (x T, at time.Duration, ok bool) {
+// Peek is what is due first; false where there is nothing.
+func (q *Queue[T]) Peek() (x T, at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return x, 0, false
 	}
-	return q.heap[0].x, q.heap[0].at, true
+	return q.heap[0].value, q.heap[0].deadline, true
 }
 
-// Due is when an item is; false where it is not here.
-func (q *Queue[T]) Due(x T) (at time.Duration, ok bool) {
-	i, ok := q.at[x]
+// Deadline is when an item is; false where it is not here.
+func (q *Queue[T]) Deadline(x T) (at time.Duration, ok bool) {
+	i, ok := q.positions[x]
 	if !ok {
 		return 0, false
 	}
-	return q.heap[i].at, true
+	return q.heap[i].deadline, true
 }
 
 // Put takes an item in, or changes its time.
 func (q *Queue[T]) Put(x T, at time.Duration) {
-	if i, ok := q.at[x]; ok {
-		q.heap[i].at = at
-		q.down(q.up(i))
+	if i, ok := q.positions[x]; ok {
+		q.heap[i].deadline = at
+		q.siftDown(q.siftUp(i))
 		return
 	}
-	if q.at == nil {
-		q.at = map[T]int{}
+	if q.positions == nil {
+		q.positions = map[T]int{}
 	}
 	q.heap = append(q.heap, item[T]{x, at})
-	q.at[x] = len(q.heap) - 1
-	q.up(len(q.heap) - 1)
+	q.positions[x] = len(q.heap) - 1
+	q.siftUp(len(q.heap) - 1)
 }
 
 // Remove takes an item out, if it is here.
 func (q *Queue[T]) Remove(x T) {
-	i, ok := q.at[x]
+	i, ok := q.positions[x]
 	if !ok {
 		return
 	}
@@ -63,38 +63,38 @@
 	q.swap(i, last)
 	q.heap[last] = item[T]{} // let go of it
 	q.heap = q.heap[:last]
-	delete(q.at, x)
+	delete(q.positions, x)
 	if i < last {
-		q.down(q.up(i))
+		q.siftDown(q.siftUp(i))
 	}
 }
 
-func (q *Queue[T]) before(i, j int) bool {
+func (q *Queue[T]) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
-	if a.at != b.at || q.Less == nil {
-		return a.at < b.at
+	if a.deadline != b.deadline || q.Less == nil {
+		return a.deadline < b.deadline
 	}
-	return q.Less(a.x, b.x)
+	return q.Less(a.value, b.value)
 }
 
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	q.at[q.heap[i].x], q.at[q.heap[j].x] = i, j
+	q.positions[q.heap[i].value], q.positions[q.heap[j].value] = i, j
 }
 
-func (q *Queue[T]) up(i int) int {
-	for i > 0 && q.before(i, (i-1)/2) {
+func (q *Queue[T]) siftUp(i int) int {
+	for i > 0 && q.less(i, (i-1)/2) {
 		q.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 	return i
 }
 
-func (q *Queue[T]) down(i int) {
+func (q *Queue[T]) siftDown(i int) {
 	for {
 		least := i
 		for _, c := range []int{2*i + 1, 2*i + 2} {
-			if c < len(q.heap) && q.before(c, least) {
+			if c < len(q.heap) && q.less(c, least) {
 				least = c
 			}
 		}
--- a/internal/structures/deadlinequeue/due_test.go
+++ b/internal/structures/deadlinequeue/due_test.go
@@ -29,11 +29,11 @@
 				if !ok || at < naive[first] || at == naive[first] && y < first {
 					first, ok = y, true
 				}
-				if got, here := q.Due(y); !here || got != at {
+				if got, here := q.Deadline(y); !here || got != at {
 					rt.Fatalf("%d is due %v, %v, want %v", y, got, here, at)
 				}
 			}
-			got, at, here := q.First()
+			got, at, here := q.Peek()
 			if here != ok || ok && (got != first || at != naive[first]) || q.Len() != len(naive) {
 				rt.Fatalf("first is %d at %v, %v of %d; want %d of %v", got, at, here, q.Len(), first, naive)
 			}
--- a/internal/structures/deadlinequeue/golden_test.go
+++ b/internal/structures/deadlinequeue/golden_test.go
@@ -25,7 +25,7 @@
 			case 3:
 				q.Remove(rng.IntN(400))
 			case 4:
-				x, at, ok := q.First()
+				x, at, ok := q.Peek()
 				fmt.Fprintln(h, x, at, ok, q.Len())
 				q.Remove(x)
 			}
--- a/internal/structures/hashring/arcs.go
+++ b/internal/structures/hashring/arcs.go
@@ -19,8 +19,8 @@
 // An owner's number of items is by chance: with m on average it is off by the square root of m, as a rule.
 type Share struct {
 	Owner, Owners int     // this one's number, from 0, and how many there are
-	Copies        float64 // owners of an item; at most Owners
-	Wide          float64 // times as long an arc as that takes; 0 counts as 1
+	Replicas      float64 // owners of an item; at most Owners
+	Widening      float64 // times as long an arc as that takes; 0 counts as 1
 	Group         *Group  // in place of Owner and Owners; nil for none
 }
 
@@ -28,37 +28,37 @@
 // numbers score highest with it (rendezvous hashing: Thaler, Ravishankar 1998), so that of all items only those that one
 // had move when it goes, each to one other owner, and only those that one gets move when it comes. With arcs by their
 // place in a row half of all would. An owner's number of items is by chance, as with arcs.
-type Group struct{ row rendezvous.Row }
+type Group struct{ ranking rendezvous.Ranking }
 
 // NewGroup is the group of an owner: its own number, and all, itself among them or not, in any order.
 func NewGroup(self uint64, all []uint64) *Group { return &Group{rendezvous.New(self, all)} }
 
-// has tells whether this owner is one of an item's. Copies that are no whole number leave each item with the whole ones,
+// owns tells whether this owner is one of an item's. Copies that are no whole number leave each item with the whole ones,
 // and a part of the items with one more.
-func (g *Group) has(id uint32, copies float64) bool {
+func (g *Group) owns(id uint32, copies float64) bool {
 	item := rendezvous.Mix(uint64(id))
 	whole := int(copies)
 	if float64(item>>11)/(1<<53) < copies-float64(whole) {
 		whole++
 	}
-	return g.row.Among(item, whole)
+	return g.ranking.InFirst(item, whole)
 }
 
-// Has tells whether the owner has an item.
-func (s Share) Has(id uint32) bool {
+// Owns tells whether the owner has an item.
+func (s Share) Owns(id uint32) bool {
 	if s.Group != nil {
-		return s.Group.has(id, s.Copies*max(s.Wide, 1))
+		return s.Group.owns(id, s.Replicas*max(s.Widening, 1))
 	}
-	length := s.Copies / float64(s.Owners)
+	length := s.Replicas / float64(s.Owners)
 	from := float64(s.Owner) * length
-	if s.Wide > 1 {
-		length *= s.Wide
+	if s.Widening > 1 {
+		length *= s.Widening
 	}
 	if length >= 1 {
 		return true
 	}
 	first := math.Floor(from)
-	if from += 1e-9; within(id, first, from-first, length) { // rounding must not open a gap
+	if from += 1e-9; onArc(id, first, from-first, length) { // rounding must not open a gap
 		return true
 	}
 	// What goes beyond the round's end is the next one's beginning; the last one's next is the first.
@@ -67,14 +67,14 @@
 		return false
 	}
 	next := first + 1
-	if next >= math.Ceil(s.Copies) {
+	if next >= math.Ceil(s.Replicas) {
 		next = 0
 	}
-	return within(id, next, 0, beyond)
+	return onArc(id, next, 0, beyond)
 }
 
-// within tells whether an item lies on an arc of a round's circle, up to the circle's end.
-func within(id uint32, round, from, length float64) bool {
+// onArc tells whether an item lies on an arc of a round's circle, up to the circle's end.
+func onArc(id uint32, round, from, length float64) bool {
 	at := float64(rendezvous.Mix(uint64(id)|uint64(round+1)<<32)>>11) / (1 << 53)
 	return at >= from-1e-9 && at < min(from+length-1e-9, 1)
 }
--- a/internal/structures/hashring/arcs_test.go
+++ b/internal/structures/hashring/arcs_test.go
@@ -17,7 +17,7 @@
 		id := rapid.Uint32().Draw(t, "id")
 		n := 0
 		for i := range owners {
-			if (Share{Owner: i, Owners: owners, Copies: float64(copies)}).Has(id) {
+			if (Share{Owner: i, Owners: owners, Replicas: float64(copies)}).Owns(id) {
 				n++
 			}
 		}
@@ -39,7 +39,7 @@
 	for id := range uint32(items) {
 		n := 0
 		for i := range owners {
-			if (Share{Owner: i, Owners: owners, Copies: 3}).Has(id) {
+			if (Share{Owner: i, Owners: owners, Replicas: 3}).Owns(id) {
 				n++
 			}
 		}
@@ -54,13 +54,13 @@
 
 // A wider share holds all that the narrower one does, and about as many times as much.
 func TestWiderHoldsMore(t *testing.T) {
-	s := Share{Owner: 7, Owners: 100, Copies: 3}
+	s := Share{Owner: 7, Owners: 100, Replicas: 3}
 	count := map[float64]int{}
 	for id := range uint32(20000) {
 		had := false
 		for _, wide := range []float64{0, 2, 4, 100} {
-			s.Wide = wide
-			has := s.Has(id)
+			s.Widening = wide
+			has := s.Owns(id)
 			if had && !has {
 				t.Fatalf("%d is lost by a width of %v", id, wide)
 			}
@@ -80,15 +80,15 @@
 // Owners that share one item share few others: the load of one that fails does not fall to the same few.
 func TestSharesOverlapLittle(t *testing.T) {
 	const owners, items = 120, 6000
-	a := Share{Owner: 5, Owners: owners, Copies: 3}
+	a := Share{Owner: 5, Owners: owners, Replicas: 3}
 	mine, shared := 0, [owners]int{}
 	for id := range uint32(items) {
-		if !a.Has(id) {
+		if !a.Owns(id) {
 			continue
 		}
 		mine++
 		for i := range owners {
-			if i != a.Owner && (Share{Owner: i, Owners: owners, Copies: 3}).Has(id) {
+			if i != a.Owner && (Share{Owner: i, Owners: owners, Replicas: 3}).Owns(id) {
 				shared[i]++
 			}
 		}
@@ -101,9 +101,9 @@
 }
 
 func BenchmarkHas(b *testing.B) {
-	s := Share{Owner: 7, Owners: 200, Copies: 3}
+	s := Share{Owner: 7, Owners: 200, Replicas: 3}
 	for i := 0; b.Loop(); i++ {
-		s.Has(uint32(i))
+		s.Owns(uint32(i))
 	}
 }
 
@@ -117,7 +117,7 @@
 // owners are the places of an item's owners.
 func owners(all []uint64, id uint32, copies, wide float64) (of []int) {
 	for i, m := range all {
-		if (Share{Group: NewGroup(m, all), Copies: copies, Wide: wide}).Has(id) {
+		if (Share{Group: NewGroup(m, all), Replicas: copies, Widening: wide}).Owns(id) {
 			of = append(of, i)
 		}
 	}
--- a/internal/structures/hashring/golden_test.go
+++ b/internal/structures/hashring/golden_test.go
@@ -17,19 +17,19 @@
 		name  string
 		share Share
 	}{
-		{"first of 10, 3 copies", Share{Owner: 0, Owners: 10, Copies: 3}},
-		{"last of 10, 3 copies", Share{Owner: 9, Owners: 10, Copies: 3}},
-		{"third of 7, 2.5 copies", Share{Owner: 2, Owners: 7, Copies: 2.5}},
-		{"third of 7, 2.5 copies, twice as wide", Share{Owner: 2, Owners: 7, Copies: 2.5, Wide: 2}},
-		{"all", Share{Owner: 1, Owners: 3, Copies: 3}},
-		{"group", Share{Owners: 6, Copies: 2, Group: NewGroup(99, members)}},
-		{"group, parts of copies, wide", Share{Owners: 6, Copies: 1.5, Wide: 2, Group: NewGroup(7, members)}},
-		{"group without itself", Share{Owners: 6, Copies: 1, Group: NewGroup(8, members)}},
+		{"first of 10, 3 copies", Share{Owner: 0, Owners: 10, Replicas: 3}},
+		{"last of 10, 3 copies", Share{Owner: 9, Owners: 10, Replicas: 3}},
+		{"third of 7, 2.5 copies", Share{Owner: 2, Owners: 7, Replicas: 2.5}},
+		{"third of 7, 2.5 copies, twice as wide", Share{Owner: 2, Owners: 7, Replicas: 2.5, Widening: 2}},
+		{"all", Share{Owner: 1, Owners: 3, Replicas: 3}},
+		{"group", Share{Owners: 6, Replicas: 2, Group: NewGroup(99, members)}},
+		{"group, parts of copies, wide", Share{Owners: 6, Replicas: 1.5, Widening: 2, Group: NewGroup(7, members)}},
+		{"group without itself", Share{Owners: 6, Replicas: 1, Group: NewGroup(8, members)}},
 	} {
 		h, n := sha256.New(), 0
 		var first []uint32
 		for id := range uint32(5000) {
-			if c.share.Has(id) {
+			if c.share.Owns(id) {
 				fmt.Fprintln(h, id)
 				if n++; n <= 8 {
 					first = append(first, id)
--- a/internal/structures/rendezvous/golden_test.go
+++ b/internal/structures/rendezvous/golden_test.go
@@ -20,7 +20,7 @@
 		r := New(self, members)
 		h := sha256.New()
 		for item := range uint64(2000) {
-			fmt.Fprintln(h, r.Place(Mix(item)), r.Among(Mix(item), 2))
+			fmt.Fprintln(h, r.Rank(Mix(item)), r.InFirst(Mix(item), 2))
 		}
 		fmt.Fprintf(&text, "member %d of %d\n%x\n", self, r.Len(), h.Sum(nil))
 	}
--- a/internal/structures/rendezvous/rendezvous.go
+++ b/internal/structures/rendezvous/rendezvous.go
@@ -7,39 +7,39 @@
 	"slices"
 )
 
-// Row is one member, and all others, by numbers that all agree on.
-type Row struct {
-	self   uint64
-	others []uint64
-	own    uint64   // its number, mixed,
-	mixed  []uint64 // and theirs
+// Ranking is one member, and all others, by numbers that all agree on.
+type Ranking struct {
+	self        uint64
+	others      []uint64
+	selfHash    uint64   // its number, mixed,
+	otherHashes []uint64 // and theirs
 }
 
 // New makes the Row of a member: its own number, and all, itself among them or not, in any order and more than once.
-func New(self uint64, all []uint64) Row {
-	r := Row{self: self, own: Mix(self), others: slices.Compact(slices.Sorted(slices.Values(all)))}
+func New(self uint64, all []uint64) Ranking {
+	r := Ranking{self: self, selfHash: Mix(self), others: slices.Compact(slices.Sorted(slices.Values(all)))}
 	if i, ok := slices.BinarySearch(r.others, self); ok {
 		r.others = slices.Delete(r.others, i, i+1)
 	}
 	for _, m := range r.others {
-		r.mixed = append(r.mixed, Mix(m))
+		r.otherHashes = append(r.otherHashes, Mix(m))
 	}
 	return r
 }
 
 // Len is how many members there are.
-func (r *Row) Len() int { return 1 + len(r.others) }
+func (r *Ranking) Len() int { return 1 + len(r.others) }
 
-// Among tells whether this member is one of so many first ones for an item. Items should be mixed: few that differ little.
-func (r *Row) Among(item uint64, first int) bool { return r.before(item, first) < first }
+// InFirst tells whether this member is one of so many first ones for an item. Items should be mixed: few that differ little.
+func (r *Ranking) InFirst(item uint64, first int) bool { return r.countAhead(item, first) < first }
 
-// Place is this member's place for an item, from 0.
-func (r *Row) Place(item uint64) int { return r.before(item, r.Len()) }
+// Rank is this member's place for an item, from 0.
+func (r *Ranking) Rank(item uint64) int { return r.countAhead(item, r.Len()) }
 
-// before counts those before this member, up to a number.
-func (r *Row) before(item uint64, most int) (n int) {
-	own := Mix(item ^ r.own)
-	for i, m := range r.mixed {
+// countAhead counts those before this member, up to a number.
+func (r *Ranking) countAhead(item uint64, most int) (n int) {
+	own := Mix(item ^ r.selfHash)
+	for i, m := range r.otherHashes {
 		if n >= most {
 			break
 		}
--- a/internal/structures/throttle/golden_test.go
+++ b/internal/structures/throttle/golden_test.go
@@ -21,15 +21,15 @@
 		h, open := sha256.New(), 0
 		for range 3000 {
 			now += time.Duration(rng.IntN(int(time.Second)))
-			x.Bound(now, rng.Float64(), 4, 1+10*rng.Float64())
-			if x.Open() {
+			x.Update(now, rng.Float64(), 4, 1+10*rng.Float64())
+			if x.Allowed() {
 				open++
-				x.Sent()
+				x.RecordAttempt()
 			}
 			if rng.IntN(3) == 0 {
-				x.Ran(rng.Float64())
+				x.RecordResponse(rng.Float64())
 			}
-			fmt.Fprintln(h, x.Open())
+			fmt.Fprintln(h, x.Allowed())
 		}
 		fmt.Fprintf(&text, "seed %d: %d of 3000 allowed\n%x\n", seed, open, h.Sum(nil))
 	}
--- a/internal/structures/throttle/throttle.go
+++ b/internal/structures/throttle/throttle.go
@@ -14,31 +14,31 @@
 
 // Throttle is one client's. The zero value is ready for use: its first Bound fills it.
 type Throttle struct {
-	level, most, rate float64
-	at                time.Duration
-	filled            bool
+	tokens, capacity, rate float64
+	updatedAt              time.Duration
+	initialized            bool
 }
 
-// Bound brings the throttle up to a time and sets what it goes by from then on: how many
+// Update brings the throttle up to a time and sets what it goes by from then on: how many
 // attempts may come to nothing without an answer in between (most), and how many more each second
 // allows by itself (rate), without which a client that has no answers would never ask again.
 // The first call allows as many as first says: who has just started has earned nothing yet. All are
 // 0 or above; the time must not go back.
-func (t *Throttle) Bound(now time.Duration, rate, first, most float64) {
-	if !t.filled {
-		t.level, t.filled = first, true
+func (t *Throttle) Update(now time.Duration, rate, first, most float64) {
+	if !t.initialized {
+		t.tokens, t.initialized = first, true
 	} else {
-		t.level += t.rate * (now - t.at).Seconds()
+		t.tokens += t.rate * (now - t.updatedAt).Seconds()
 	}
-	t.at, t.rate, t.most = now, rate, most
-	t.level = min(t.level, most)
+	t.updatedAt, t.rate, t.capacity = now, rate, most
+	t.tokens = min(t.tokens, most)
 }
 
-// Open tells whether an attempt may be made.
-func (t *Throttle) Open() bool { return t.level >= 1 }
+// Allowed tells whether an attempt may be made.
+func (t *Throttle) Allowed() bool { return t.tokens >= 1 }
 
-// Sent notes an attempt, which may come to nothing.
-func (t *Throttle) Sent() { t.level-- }
+// RecordAttempt notes an attempt, which may come to nothing.
+func (t *Throttle) RecordAttempt() { t.tokens-- }
 
-// Ran notes that an attempt came to something, and how many more that allows besides itself.
-func (t *Throttle) Ran(more float64) { t.level = min(t.level+1+more, t.most) }
+// RecordResponse notes that an attempt came to something, and how many more that allows besides itself.
+func (t *Throttle) RecordResponse(more float64) { t.tokens = min(t.tokens+1+more, t.capacity) }
--- a/internal/structures/weightedring/ring.go
+++ b/internal/structures/weightedring/ring.go
@@ -9,9 +9,9 @@
 	"sort"
 )
 
-// blockMost is how many items a block holds before it is split in two. After a change one block is summed anew, and
+// maxBlockItems is how many items a block holds before it is split in two. After a change one block is summed anew, and
 // then all blocks' sums: with 10,000 items about as much of the one as of the other.
-const blockMost = 128
+const maxBlockItems = 128
 
 // Ring holds items by key. A change takes time that grows with the square root of their number, and so does
 // finding a place in the sum; going on from there costs the same for each item. The zero value is empty and
@@ -21,7 +21,7 @@
 // rounding builds up; and only when one is asked for, so that many changes at once cost one sum.
 type Ring[T any] struct {
 	blocks []*block[T]
-	n      int
+	count  int
 	total  float64
 	stale  bool // the total is, and some blocks' sums may be
 }
@@ -35,11 +35,11 @@
 type item[T any] struct {
 	key    uint32
 	weight float64
-	x      T
+	value  T
 }
 
 // Len is how many items there are.
-func (r *Ring[T]) Len() int { return r.n }
+func (r *Ring[T]) Len() int { return r.count }
 
 // Total is the sum of all weights.
 func (r *Ring[T]) Total() float64 {
@@ -47,7 +47,7 @@
 		r.stale, r.total = false, 0
 		for _, k := range r.blocks {
 			if k.stale {
-				k.add()
+				k.sumItems()
 			}
 			r.total += k.sum
 		}
@@ -85,22 +85,22 @@
 	}
 	if len(r.blocks) == 0 {
 		r.blocks = append(r.blocks, &block[T]{items: []item[T]{{key, weight, x}}, stale: true})
-		r.n, r.stale = 1, true
+		r.count, r.stale = 1, true
 		return
 	}
 	b, i, found := r.find(key)
 	k := r.blocks[b]
 	if found {
 		was := k.items[i].weight
-		k.items[i].weight, k.items[i].x = weight, x
+		k.items[i].weight, k.items[i].value = weight, x
 		if was != weight {
 			k.stale, r.stale = true, true
 		}
 		return
 	}
 	k.items = slices.Insert(k.items, i, item[T]{key, weight, x})
-	r.n++
-	if len(k.items) > blockMost {
+	r.count++
+	if len(k.items) > maxBlockItems {
 		half := len(k.items) / 2
 		right := &block[T]{items: slices.Clone(k.items[half:]), stale: true}
 		clear(k.items[half:]) // let go of them
@@ -121,7 +121,7 @@
 	}
 	k := r.blocks[b]
 	k.items = slices.Delete(k.items, i, i+1)
-	r.n--
+	r.count--
 	if len(k.items) == 0 {
 		r.blocks = slices.Delete(r.blocks, b, b+1)
 	}
@@ -132,7 +132,7 @@
 func (r *Ring[T]) Reweigh(weight func(T) float64) {
 	for _, k := range r.blocks {
 		for i := range k.items {
-			w := weight(k.items[i].x)
+			w := weight(k.items[i].value)
 			if !(w > 0) {
 				w = 0
 			}
@@ -143,7 +143,7 @@
 	r.stale = true
 }
 
-func (k *block[T]) add() {
+func (k *block[T]) sumItems() {
 	k.stale, k.sum = false, 0
 	for i := range k.items {
 		k.sum += k.items[i].weight
@@ -155,7 +155,7 @@
 	return func(yield func(T) bool) {
 		for _, k := range r.blocks {
 			for i := range k.items {
-				if !yield(k.items[i].x) {
+				if !yield(k.items[i].value) {
 					return
 				}
 			}
@@ -167,7 +167,7 @@
 func (r *Ring[T]) Append(to []T) []T {
 	for _, k := range r.blocks {
 		for i := range k.items {
-			to = append(to, k.items[i].x)
+			to = append(to, k.items[i].value)
 		}
 	}
 	return to
@@ -203,7 +203,7 @@
 // Next gives the item that the cursor stands at, with its weight, and moves on to the next one; after the last
 // comes the first. An empty ring has none.
 func (c *Cursor[T]) Next() (x T, weight float64, ok bool) {
-	if c.r == nil || c.r.n == 0 {
+	if c.r == nil || c.r.count == 0 {
 		return x, 0, false
 	}
 	k := c.r.blocks[c.b]
@@ -214,5 +214,5 @@
 			c.b = 0
 		}
 	}
-	return it.x, it.weight, true
+	return it.value, it.weight, true
 }
--- a/internal/structures/weightedsample/odds.go
+++ b/internal/structures/weightedsample/odds.go
@@ -11,10 +11,10 @@
 // no error of rounding builds up, however often odds change.
 type Sampler struct {
 	// sums[1] is the root, sums[2i] and sums[2i+1] are below sums[i]; leaves begin at half.
-	sums []float64
-	half int
-	free []int // slots that were taken out, the latest last
-	next int   // slots from here on were never used
+	sums   []float64
+	leaves int
+	free   []int // slots that were taken out, the latest last
+	unused int   // slots from here on were never used
 }
 
 // Add takes an item in and returns its slot. Odds below 0, and those that are no number, count as 0.
@@ -22,10 +22,10 @@
 	if n := len(s.free); n > 0 {
 		slot, s.free = s.free[n-1], s.free[:n-1]
 	} else {
-		if slot = s.next; slot >= s.half {
+		if slot = s.unused; slot >= s.leaves {
 			s.grow()
 		}
-		s.next++
+		s.unused++
 	}
 	s.Set(slot, odds)
 	return slot
@@ -33,13 +33,13 @@
 
 // grow doubles the room.
 func (s *Sampler) grow() {
-	half := max(2*s.half, 8)
+	half := max(2*s.leaves, 8)
 	sums := make([]float64, 2*half)
-	copy(sums[half:], s.sums[min(s.half, len(s.sums)):])
+	copy(sums[half:], s.sums[min(s.leaves, len(s.sums)):])
 	for i := half - 1; i > 0; i-- {
 		sums[i] = sums[2*i] + sums[2*i+1]
 	}
-	s.sums, s.half = sums, half
+	s.sums, s.leaves = sums, half
 }
 
 // Remove takes an item out; its slot may be another's then. A slot that holds none must not be removed.
@@ -53,7 +53,7 @@
 	if !(odds > 0) {
 		odds = 0
 	}
-	i := s.half + slot
+	i := s.leaves + slot
 	if s.sums[i] == odds {
 		return
 	}
@@ -63,12 +63,12 @@
 	}
 }
 
-// Odds are an item's.
-func (s *Sampler) Odds(slot int) float64 { return s.sums[s.half+slot] }
+// Weight are an item's.
+func (s *Sampler) Weight(slot int) float64 { return s.sums[s.leaves+slot] }
 
 // Total is the sum of all odds.
 func (s *Sampler) Total() float64 {
-	if s.half == 0 {
+	if s.leaves == 0 {
 		return 0
 	}
 	return s.sums[1]
@@ -82,7 +82,7 @@
 	}
 	x *= s.sums[1]
 	i := 1
-	for i < s.half {
+	for i < s.leaves {
 		i *= 2
 		// Rounding may leave x at or beyond all that is on the right: then what there is on the left has it.
 		if left, right := s.sums[i], s.sums[i+1]; x >= left && right > 0 {
@@ -92,7 +92,7 @@
 			i++
 		}
 	}
-	return i - s.half, true
+	return i - s.leaves, true
 }
 
 // DrawTwo gives two slots, the second drawn from what is left without the first. second is -1 where there is
@@ -101,7 +101,7 @@
 	if first, ok = s.Draw(x); !ok {
 		return 0, -1, false
 	}
-	was := s.Odds(first)
+	was := s.Weight(first)
 	s.Set(first, 0)
 	second, more := s.Draw(y)
 	s.Set(first, was)
@@ -115,11 +115,11 @@
 type Pool[T any] struct {
 	sampler Sampler
 	items   []T // by slot
-	n       int
+	count   int
 }
 
 // Len is how many items there are.
-func (p *Pool[T]) Len() int { return p.n }
+func (p *Pool[T]) Len() int { return p.count }
 
 // Total is the sum of all odds.
 func (p *Pool[T]) Total() float64 { return p.sampler.Total() }
@@ -131,7 +131,7 @@
 		p.items = append(p.items, x)
 	}
 	p.items[slot] = x
-	p.n++
+	p.count++
 	return slot
 }
 
@@ -143,7 +143,7 @@
 	var none T
 	p.sampler.Remove(slot)
 	p.items[slot] = none // let go of it
-	p.n--
+	p.count--
 }
 
 // Draw gives the item that a number from 0 up to 1 falls on, each by its odds; false where all odds are 0.
--- a/internal/structures/weightedsample/odds_test.go
+++ b/internal/structures/weightedsample/odds_test.go
@@ -64,8 +64,8 @@
 				rt.Fatalf("a total of %g, want %g", got, want)
 			}
 			for slot, x := range all {
-				if s.Odds(slot) != x {
-					rt.Fatalf("slot %d has %g, want %g", slot, s.Odds(slot), x)
+				if s.Weight(slot) != x {
+					rt.Fatalf("slot %d has %g, want %g", slot, s.Weight(slot), x)
 				}
 			}
 			for _, x := range []float64{0, 0.5, math.Nextafter(1, 0), rapid.Float64Range(0, 0.999).Draw(rt, "x")} {
@@ -75,7 +75,7 @@
 				}
 			}
 			if first, second, ok := s.DrawTwo(rapid.Float64Range(0, 0.999).Draw(rt, "y"), 0.7); ok &&
-				(first == second || second >= 0 && !(all[second] > 0) || s.Odds(first) != all[first]) {
+				(first == second || second >= 0 && !(all[second] > 0) || s.Weight(first) != all[first]) {
 				rt.Fatalf("drew %d and %d of %v", first, second, all)
 			}
 		}
--- a/internal/tool/store_test.go
+++ b/internal/tool/store_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		e := idempotency.Entry{Class: "book-trip", Group: idempotency.Group{Zone: "north", Cell: 2, Endpoint: "box-1"}, Keep: time.Hour}
+		e := idempotency.Entry{Class: "book-trip", Origin: idempotency.Origin{Zone: "north", Cell: 2, Endpoint: "box-1"}, Retention: time.Hour}
 		id := idempotency.KeyedID("book-trip", fmt.Sprint(i%10))
 		if err := s.Put(append([]byte{'r'}, id[:]...), e.Encode(), time.Hour); err != nil {
 			t.Fatal(err)
