--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -29,24 +29,24 @@
 	Keep   uint64   `help:"How many events are kept." default:"100000"`
 }
 
-func (l *options) Run(signals lifecycle.Signals) error {
-	store, err := storage.Open(l.Folder)
+func (o *options) Run(signals lifecycle.Signals) error {
+	store, err := storage.Open(o.Folder)
 	if err != nil {
-		return trace.Wrap(err, "folder %s", l.Folder)
+		return trace.Wrap(err, "folder %s", o.Folder)
 	}
 	defer store.Close()
-	log, err := eventlog.OpenLog(store, l.Keep, rand.Uint64()|1)
+	log, err := eventlog.OpenLog(store, o.Keep, rand.Uint64()|1)
 	if err != nil {
-		return trace.Wrap(err, "folder %s", l.Folder)
+		return trace.Wrap(err, "folder %s", o.Folder)
 	}
-	for _, a := range l.Core {
+	for _, a := range o.Core {
 		if _, _, err := net.SplitHostPort(a); err != nil {
 			return trace.BadParameter("--core %s: wanted an address like 10.0.0.4:8080", a)
 		}
 	}
-	n, err := net.Listen("tcp", l.Listen)
+	n, err := net.Listen("tcp", o.Listen)
 	if err != nil {
-		return trace.Wrap(err, "--listen %s", l.Listen)
+		return trace.Wrap(err, "--listen %s", o.Listen)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -58,7 +58,7 @@
 	followed := make(chan struct{})
 	go func() {
 		defer close(followed)
-		eventlog.Follow(ctx, log, l.Core, logrus.StandardLogger())
+		eventlog.Follow(ctx, log, o.Core, logrus.StandardLogger())
 	}()
 	select {
 	case <-signals.Terminate:
--- a/cmd/quincegap/consul_cold_test.go
+++ b/cmd/quincegap/consul_cold_test.go
@@ -67,30 +67,30 @@
 }
 
 // share is the share of its capacity that it has at a time. The lock is held.
-func (b *slowBox) share(at time.Time) float64 {
-	if b.started.IsZero() || at.Sub(b.started) >= warmAfter {
+func (s *slowBox) share(at time.Time) float64 {
+	if s.started.IsZero() || at.Sub(s.started) >= warmAfter {
 		return 1
 	}
-	return coldShare + (1-coldShare)*float64(at.Sub(b.started))/float64(warmAfter)
+	return coldShare + (1-coldShare)*float64(at.Sub(s.started))/float64(warmAfter)
 }
 
 // restart makes it cold from now on.
-func (b *slowBox) restart() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.started = time.Now()
+func (s *slowBox) restart() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.started = time.Now()
 }
 
 // audit holds what came since its start against the rule's budget: in no window more than the multiple of what
 // it could do in that window. It returns how full the fullest one was.
-func (b *slowBox) audit(t *testing.T) (worst float64) {
+func (s *slowBox) audit(t *testing.T) (worst float64) {
 	t.Helper()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	const slack = 4 // bookings, for chance
-	came := b.came[slices.IndexFunc(b.came, func(at time.Time) bool { return at.After(b.started) }):]
+	came := s.came[slices.IndexFunc(s.came, func(at time.Time) bool { return at.After(s.started) }):]
 	for i, from := range came {
-		if from.Sub(b.started) > warmAfter {
+		if from.Sub(s.started) > warmAfter {
 			break
 		}
 		n := 0
@@ -100,10 +100,10 @@
 			}
 		}
 		full := float64(slots) * float64(tipWindow) / float64(warmTakes)
-		budget := tipMultiple * full * (b.share(from) + b.share(from.Add(tipWindow))) / 2
+		budget := tipMultiple * full * (s.share(from) + s.share(from.Add(tipWindow))) / 2
 		worst = max(worst, float64(n)/budget)
 		if float64(n) > budget+slack {
-			t.Errorf("%s, %v after its start, got %d bookings within %v, its budget was %.0f", b.Name, from.Sub(b.started), n, tipWindow, budget)
+			t.Errorf("%s, %v after its start, got %d bookings within %v, its budget was %.0f", s.Name, from.Sub(s.started), n, tipWindow, budget)
 			return worst
 		}
 	}
--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -134,52 +134,52 @@
 	return tn
 }
 
-func (tn *town) text(discovery, source string) string {
-	return fmt.Sprintf(consulFile, discovery, source, tn.consul.Address(), tn.admin)
+func (t *town) text(discovery, source string) string {
+	return fmt.Sprintf(consulFile, discovery, source, t.consul.Address(), t.admin)
 }
 
 // open starts the sidecar, and callers.
-func (tn *town) open(text string, env ...string) {
-	tn.t.Helper()
-	tn.p = launch(tn.t, text, env...)
-	calm := tn.p.callers(3, &tn.served)
+func (t *town) open(text string, env ...string) {
+	t.t.Helper()
+	t.p = launch(t.t, text, env...)
+	calm := t.p.callers(3, &t.served)
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		tn.stalls.run(done)
+		t.stalls.run(done)
 	}()
-	tn.calm = sync.OnceFunc(func() {
+	t.calm = sync.OnceFunc(func() {
 		calm()
 		close(done)
 		<-ended
 	})
-	tn.t.Cleanup(tn.calm)
+	t.t.Cleanup(t.calm)
 }
 
 // goOn waits until so many more bookings have been served.
-func (tn *town) goOn(n int64) {
-	tn.t.Helper()
-	want := tn.served.Load() + n
-	tn.until("bookings go on", func() bool { return tn.served.Load() >= want })
+func (t *town) goOn(n int64) {
+	t.t.Helper()
+	want := t.served.Load() + n
+	t.until("bookings go on", func() bool { return t.served.Load() >= want })
 }
 
-func (tn *town) until(what string, done func() bool) {
-	tn.t.Helper()
+func (t *town) until(what string, done func() bool) {
+	t.t.Helper()
 	for end := time.Now().Add(patience); !done(); time.Sleep(2 * time.Millisecond) {
-		if tn.t.Failed() || time.Now().After(end) {
-			tn.t.Fatalf("never: %s", what)
+		if t.t.Failed() || time.Now().After(end) {
+			t.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
 // shows waits until the sidecar's view has just these ready.
-func (tn *town) shows(ids ...string) {
-	tn.t.Helper()
-	tn.until(fmt.Sprint("ready ", ids), func() bool { return slices.Equal(tn.ready(), ids) })
+func (t *town) shows(ids ...string) {
+	t.t.Helper()
+	t.until(fmt.Sprint("ready ", ids), func() bool { return slices.Equal(t.ready(), ids) })
 }
 
-func (tn *town) ready() (ready []string) {
-	m, err := admin.Ask(tn.admin)
+func (t *town) ready() (ready []string) {
+	m, err := admin.Ask(t.admin)
 	if err != nil {
 		return nil
 	}
@@ -192,15 +192,15 @@
 }
 
 // drained checks that nothing new came to a box later than 250 ms after the answer that told of an index.
-func (tn *town) drained(b *box, index uint64) {
-	tn.t.Helper()
+func (t *town) drained(b *box, index uint64) {
+	t.t.Helper()
 	var told time.Time
-	tn.until("the answer is out", func() (ok bool) { told, ok = tn.consul.Told(index); return ok })
+	t.until("the answer is out", func() (ok bool) { told, ok = t.consul.Told(index); return ok })
 	// Bookings that come after this would have been seen by then.
 	time.Sleep(time.Until(told.Add(400 * time.Millisecond)))
-	tn.goOn(50)
-	if late := b.came().Sub(told); late > 250*time.Millisecond+tn.stalls.longest() {
-		tn.t.Errorf("%s got a booking %v after the answer that told of it (the machine stalled for %v)", b.Name, late, tn.stalls.longest())
+	t.goOn(50)
+	if late := b.came().Sub(told); late > 250*time.Millisecond+t.stalls.longest() {
+		t.t.Errorf("%s got a booking %v after the answer that told of it (the machine stalled for %v)", b.Name, late, t.stalls.longest())
 	}
 }
 
--- a/cmd/quincegap/exchange_bench_test.go
+++ b/cmd/quincegap/exchange_bench_test.go
@@ -80,13 +80,13 @@
 }
 
 // caller is one with a connection of its own.
-func (x *bench) caller(front string, address string) (*process, func()) {
+func (b *bench) caller(front string, address string) (*process, func()) {
 	if front == "http1" {
 		t := &http.Transport{}
-		return &process{t: x.b, url: x.url, by: t}, t.CloseIdleConnections
+		return &process{t: b.b, url: b.url, by: t}, t.CloseIdleConnections
 	}
-	c := x.d.caller(nil)
-	return x.over(c, address), func() { c.Close() }
+	c := b.d.caller(nil)
+	return b.over(c, address), func() { c.Close() }
 }
 
 // BenchmarkExchange measures what a booking costs on one core, by protocol on both sides and by the number of
@@ -141,7 +141,7 @@
 }
 
 // load has callers book at a rate, and reports.
-func (x *bench) load(front, address string, callers, rate int) (asked int64) {
+func (b *bench) load(front, address string, callers, rate int) (asked int64) {
 	var mu sync.Mutex
 	var took []time.Duration
 	var refused, failed, count atomic.Int64
@@ -151,7 +151,7 @@
 	var end time.Time
 	for range callers {
 		all.Go(func() {
-			c, done := x.caller(front, address)
+			c, done := b.caller(front, address)
 			defer done()
 			client := &http.Client{}
 			c.book(client, "trip") // the connection
@@ -166,10 +166,10 @@
 				status, err := c.book(client, "trip")
 				count.Add(1)
 				switch {
-				case x.may && err == nil && status == http.StatusBadGateway:
+				case b.may && err == nil && status == http.StatusBadGateway:
 					failed.Add(1)
 				case err != nil || status != http.StatusOK && status != http.StatusServiceUnavailable:
-					x.b.Errorf("a booking: status %d, %v", status, err)
+					b.b.Errorf("a booking: status %d, %v", status, err)
 					return
 				case status == http.StatusOK:
 					own = append(own, time.Since(sent))
@@ -185,24 +185,24 @@
 	for range callers {
 		<-ready
 	}
-	cpu := ticks(x.b, x.cmd.Process.Pid)
+	cpu := ticks(b.b, b.cmd.Process.Pid)
 	end = time.Now().Add(exchangeTime)
 	close(begin)
 	all.Wait()
-	cpu = ticks(x.b, x.cmd.Process.Pid) - cpu
+	cpu = ticks(b.b, b.cmd.Process.Pid) - cpu
 	if len(took) == 0 {
-		x.b.Fatal("nothing was served")
+		b.b.Fatal("nothing was served")
 	}
 	slices.Sort(took)
-	x.b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
-	x.b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
-	x.b.ReportMetric(1e6*cpu/float64(len(took)), "cpu-us/request")
-	x.b.ReportMetric(float64(len(took))/exchangeTime.Seconds(), "requests/s")
-	x.b.ReportMetric(float64(refused.Load()), "refused")
-	if x.may {
-		x.b.ReportMetric(float64(failed.Load()), "failed")
+	b.b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
+	b.b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
+	b.b.ReportMetric(1e6*cpu/float64(len(took)), "cpu-us/request")
+	b.b.ReportMetric(float64(len(took))/exchangeTime.Seconds(), "requests/s")
+	b.b.ReportMetric(float64(refused.Load()), "refused")
+	if b.may {
+		b.b.ReportMetric(float64(failed.Load()), "failed")
 	}
-	x.b.ReportMetric(0, "ns/op")
+	b.b.ReportMetric(0, "ns/op")
 	return count.Load() + int64(callers)
 }
 
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -200,15 +200,15 @@
 	Self    uint64
 }
 
-func (g *InstanceGroup) check() error {
+func (i *InstanceGroup) check() error {
 	switch {
-	case g.Instances < 1:
-		return fmt.Errorf("group: %d instances", g.Instances)
-	case g.Ordinal < 0 || g.Ordinal >= g.Instances:
-		return fmt.Errorf("group: %d is no number among %d instances, counted from 0", g.Ordinal, g.Instances)
-	case g.Members != nil && (len(g.Members) != g.Instances || !slices.Contains(g.Members, g.Self)):
+	case i.Instances < 1:
+		return fmt.Errorf("group: %d instances", i.Instances)
+	case i.Ordinal < 0 || i.Ordinal >= i.Instances:
+		return fmt.Errorf("group: %d is no number among %d instances, counted from 0", i.Ordinal, i.Instances)
+	case i.Members != nil && (len(i.Members) != i.Instances || !slices.Contains(i.Members, i.Self)):
 		return fmt.Errorf("group: %d members for %d instances, or this one is not among them",
-			len(g.Members), g.Instances)
+			len(i.Members), i.Instances)
 	}
 	return nil
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -31,30 +31,30 @@
 	logs             []string
 }
 
-func (h *recorder) Send(id RequestID, to EndpointID, timeout time.Duration) {
-	h.sent = append(h.sent, sent{id, to, h.attempts[id], timeout})
-	h.attempts[id]++
+func (r *recorder) Send(id RequestID, to EndpointID, timeout time.Duration) {
+	r.sent = append(r.sent, sent{id, to, r.attempts[id], timeout})
+	r.attempts[id]++
 }
-func (h *recorder) Reject(id RequestID, after time.Duration) {
-	h.refusals = append(h.refusals, id)
-	h.advice = append(h.advice, after)
+func (r *recorder) Reject(id RequestID, after time.Duration) {
+	r.refusals = append(r.refusals, id)
+	r.advice = append(r.advice, after)
 }
-func (h *recorder) Fail(id RequestID) { h.fails = append(h.fails, id) }
-func (h *recorder) Cancel(id RequestID, n int) {
-	h.cancels = append(h.cancels, sent{id: id, attempt: n})
+func (r *recorder) Fail(id RequestID) { r.fails = append(r.fails, id) }
+func (r *recorder) Cancel(id RequestID, n int) {
+	r.cancels = append(r.cancels, sent{id: id, attempt: n})
 }
-func (h *recorder) SetTimer(token uint64, after time.Duration) {
-	h.timers[token] = h.now + after
+func (r *recorder) SetTimer(token uint64, after time.Duration) {
+	r.timers[token] = r.now + after
 }
-func (h *recorder) HealthCheck(EndpointID)             {}
-func (h *recorder) SendToPeer(int, []byte)             {}
-func (h *recorder) WatchEndpoints(bool)                { h.watches++ }
-func (h *recorder) FetchEndpoints()                    { h.fetches++ }
-func (h *recorder) CloseIdleConnections(to EndpointID) {}
-func (h *recorder) Log(text string)                    { h.logs = append(h.logs, text) }
+func (r *recorder) HealthCheck(EndpointID)             {}
+func (r *recorder) SendToPeer(int, []byte)             {}
+func (r *recorder) WatchEndpoints(bool)                { r.watches++ }
+func (r *recorder) FetchEndpoints()                    { r.fetches++ }
+func (r *recorder) CloseIdleConnections(to EndpointID) {}
+func (r *recorder) Log(text string)                    { r.logs = append(r.logs, text) }
 
 // last is the latest send.
-func (h *recorder) last() sent { return h.sent[len(h.sent)-1] }
+func (r *recorder) last() sent { return r.sent[len(r.sent)-1] }
 
 func settings() Settings {
 	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
@@ -96,31 +96,31 @@
 }
 
 // list hands over a delta with one entry.
-func (d *bed) list(e ListEntry) {
-	d.b.HandleEndpoints(d.now, EndpointList{Kind: ListDelta, Version: 2, Entries: []ListEntry{e}})
+func (b *bed) list(e ListEntry) {
+	b.b.HandleEndpoints(b.now, EndpointList{Kind: ListDelta, Version: 2, Entries: []ListEntry{e}})
 }
 
 // ask brings a request with a second and a half left.
-func (d *bed) ask(class int) RequestID {
-	d.n++
-	id := RequestID(fmt.Sprint("r", d.n))
-	d.b.HandleRequest(d.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms})
+func (b *bed) ask(class int) RequestID {
+	b.n++
+	id := RequestID(fmt.Sprint("r", b.n))
+	b.b.HandleRequest(b.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms})
 	return id
 }
 
 // end reports the outcome of a send.
-func (d *bed) end(s sent, status Status, took time.Duration) {
-	d.b.HandleOutcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == StatusOK, Status: status,
+func (b *bed) end(s sent, status Status, took time.Duration) {
+	b.b.HandleOutcome(b.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == StatusOK, Status: status,
 		Elapsed: took})
 }
 
 // pass lets time go by, with the timers that fall due.
-func (d *bed) pass(by time.Duration) {
-	for until := d.now + by; d.now < until; d.now += 2 * ms {
+func (b *bed) pass(by time.Duration) {
+	for until := b.now + by; b.now < until; b.now += 2 * ms {
 		for _, token := range []uint64{timerTick, timerWatch} {
-			if due, ok := d.timers[token]; ok && due <= d.now {
-				delete(d.timers, token)
-				d.b.HandleTimer(d.now, token)
+			if due, ok := b.timers[token]; ok && due <= b.now {
+				delete(b.timers, token)
+				b.b.HandleTimer(b.now, token)
 			}
 		}
 	}
@@ -128,21 +128,21 @@
 
 // serve runs requests one after another for a while, each answered after 20 ms but where answer says
 // otherwise, and counts the sends to each endpoint.
-func (d *bed) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
+func (b *bed) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
 	got := map[EndpointID]int{}
 	for range n {
-		at := len(d.sent)
-		d.ask(read)
-		d.pass(20 * ms)
-		for at < len(d.sent) {
-			s := d.sent[at]
+		at := len(b.sent)
+		b.ask(read)
+		b.pass(20 * ms)
+		for at < len(b.sent) {
+			s := b.sent[at]
 			at++
 			got[s.to]++
 			status := StatusOK
 			if answer != nil {
 				status = answer(s.to)
 			}
-			d.end(s, status, 20*ms)
+			b.end(s, status, 20*ms)
 		}
 	}
 	return got
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -56,33 +56,33 @@
 		timers: map[uint64]time.Duration{}, final: map[balancer.RequestID]bool{}}
 }
 
-func (h *trace) note(name string, values ...any) {
-	line := fmt.Sprintln(append([]any{int64(h.now), name}, values...)...)
-	h.counts[name]++
-	if len(h.first) < firstCommands {
-		h.first = append(h.first, line)
+func (t *trace) note(name string, values ...any) {
+	line := fmt.Sprintln(append([]any{int64(t.now), name}, values...)...)
+	t.counts[name]++
+	if len(t.first) < firstCommands {
+		t.first = append(t.first, line)
 	}
-	h.digest.Write([]byte(line))
+	t.digest.Write([]byte(line))
 }
 
-func (h *trace) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	h.note("send", id, to, int64(timeout))
-	h.open = append(h.open, h.outcome(call{id: id, to: to, attempt: h.attempts[id], sentAt: h.now, timeout: timeout}))
-	h.attempts[id]++
+func (t *trace) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	t.note("send", id, to, int64(timeout))
+	t.open = append(t.open, t.outcome(call{id: id, to: to, attempt: t.attempts[id], sentAt: t.now, timeout: timeout}))
+	t.attempts[id]++
 }
 
 // outcome draws when and how a call ends. Some endpoints are slower than others, some fail more often, all are slow at times.
-func (h *trace) outcome(c call) call {
-	took := time.Duration((0.2 + h.rng.ExpFloat64()) * float64(1+c.to%3) * float64(5*time.Millisecond))
-	if h.now/time.Second%4 == 2 {
+func (t *trace) outcome(c call) call {
+	took := time.Duration((0.2 + t.rng.ExpFloat64()) * float64(1+c.to%3) * float64(5*time.Millisecond))
+	if t.now/time.Second%4 == 2 {
 		took *= 8
 	}
 	switch {
-	case h.rng.IntN(40) == 0:
-		c.status = balancer.Status(h.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
-	case c.to%17 == 3 && h.rng.IntN(3) == 0:
+	case t.rng.IntN(40) == 0:
+		c.status = balancer.Status(t.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
+	case c.to%17 == 3 && t.rng.IntN(3) == 0:
 		c.status = balancer.StatusError
-	case h.rng.IntN(200) == 0:
+	case t.rng.IntN(200) == 0:
 		took = time.Minute // the call is lost
 	}
 	if c.timeout > 0 && took > c.timeout {
@@ -91,40 +91,40 @@
 	if most := 2 * time.Second; took > most {
 		took, c.status = most, balancer.StatusTimeout
 	}
-	c.endsAt = h.now + max(took, time.Millisecond)
+	c.endsAt = t.now + max(took, time.Millisecond)
 	return c
 }
 
-func (h *trace) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	h.note("refuse", id, int64(retryAfter))
-	h.final[id] = true
+func (t *trace) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	t.note("refuse", id, int64(retryAfter))
+	t.final[id] = true
 }
 
-func (h *trace) Fail(id balancer.RequestID) {
-	h.note("fail", id)
-	h.final[id] = true
+func (t *trace) Fail(id balancer.RequestID) {
+	t.note("fail", id)
+	t.final[id] = true
 }
 
-func (h *trace) Cancel(id balancer.RequestID, attempt int) {
-	h.note("cancel", id, attempt)
-	for i := range h.open {
-		if c := &h.open[i]; c.id == id && c.attempt == attempt {
-			c.endsAt, c.status = h.now+2*time.Millisecond, balancer.StatusCancelled
+func (t *trace) Cancel(id balancer.RequestID, attempt int) {
+	t.note("cancel", id, attempt)
+	for i := range t.open {
+		if c := &t.open[i]; c.id == id && c.attempt == attempt {
+			c.endsAt, c.status = t.now+2*time.Millisecond, balancer.StatusCancelled
 		}
 	}
 }
 
-func (h *trace) SetTimer(token uint64, after time.Duration) {
-	h.note("timer", token, int64(after))
-	h.timers[token] = h.now + after
+func (t *trace) SetTimer(token uint64, after time.Duration) {
+	t.note("timer", token, int64(after))
+	t.timers[token] = t.now + after
 }
 
-func (h *trace) HealthCheck(to balancer.EndpointID)          { h.note("probe", to) }
-func (h *trace) SendToPeer(peer int, data []byte)            { h.note("tell", peer, data) }
-func (h *trace) WatchEndpoints(on bool)                      { h.note("watch", on) }
-func (h *trace) FetchEndpoints()                             { h.note("fetch") }
-func (h *trace) CloseIdleConnections(to balancer.EndpointID) { h.note("closeIdle", to) }
-func (h *trace) Log(text string)                             { h.note("log", text) }
+func (t *trace) HealthCheck(to balancer.EndpointID)          { t.note("probe", to) }
+func (t *trace) SendToPeer(peer int, data []byte)            { t.note("tell", peer, data) }
+func (t *trace) WatchEndpoints(on bool)                      { t.note("watch", on) }
+func (t *trace) FetchEndpoints()                             { t.note("fetch") }
+func (t *trace) CloseIdleConnections(to balancer.EndpointID) { t.note("closeIdle", to) }
+func (t *trace) Log(text string)                             { t.note("log", text) }
 
 // scenario is a fleet and what happens in it.
 type scenario struct {
@@ -368,17 +368,17 @@
 // silent is a Host that notes the endpoint of the last send alone, without an allocation.
 type silent struct{ to balancer.EndpointID }
 
-func (h *silent) Send(_ balancer.RequestID, to balancer.EndpointID, _ time.Duration) { h.to = to }
-func (h *silent) Reject(balancer.RequestID, time.Duration)                           {}
-func (h *silent) Fail(balancer.RequestID)                                            {}
-func (h *silent) Cancel(balancer.RequestID, int)                                     {}
-func (h *silent) SetTimer(uint64, time.Duration)                                     {}
-func (h *silent) HealthCheck(balancer.EndpointID)                                    {}
-func (h *silent) SendToPeer(int, []byte)                                             {}
-func (h *silent) WatchEndpoints(bool)                                                {}
-func (h *silent) FetchEndpoints()                                                    {}
-func (h *silent) CloseIdleConnections(balancer.EndpointID)                           {}
-func (h *silent) Log(string)                                                         {}
+func (s *silent) Send(_ balancer.RequestID, to balancer.EndpointID, _ time.Duration) { s.to = to }
+func (s *silent) Reject(balancer.RequestID, time.Duration)                           {}
+func (s *silent) Fail(balancer.RequestID)                                            {}
+func (s *silent) Cancel(balancer.RequestID, int)                                     {}
+func (s *silent) SetTimer(uint64, time.Duration)                                     {}
+func (s *silent) HealthCheck(balancer.EndpointID)                                    {}
+func (s *silent) SendToPeer(int, []byte)                                             {}
+func (s *silent) WatchEndpoints(bool)                                                {}
+func (s *silent) FetchEndpoints()                                                    {}
+func (s *silent) CloseIdleConnections(balancer.EndpointID)                           {}
+func (s *silent) Log(string)                                                         {}
 
 // A decision, from a request to its outcome, allocates no more than it did when these bounds were measured.
 func TestDecisionAllocations(t *testing.T) {
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -60,15 +60,15 @@
 type busySet []*endpoint
 
 // add puts an endpoint in or takes it out, as its calls in flight have come to be.
-func (s *busySet) update(e *endpoint) {
+func (b *busySet) update(e *endpoint) {
 	switch in := len(e.calls) > 0; {
 	case in && e.busyIndex == 0:
-		*s = append(*s, e)
-		e.busyIndex = len(*s)
+		*b = append(*b, e)
+		e.busyIndex = len(*b)
 	case !in && e.busyIndex > 0:
-		last := (*s)[len(*s)-1]
-		(*s)[e.busyIndex-1], last.busyIndex = last, e.busyIndex
-		*s = (*s)[:len(*s)-1]
+		last := (*b)[len(*b)-1]
+		(*b)[e.busyIndex-1], last.busyIndex = last, e.busyIndex
+		*b = (*b)[:len(*b)-1]
 		e.busyIndex, e.lostCalls = 0, 0
 	}
 }
@@ -133,26 +133,26 @@
 	updatedAt      time.Duration
 }
 
-func (f *decayingRate) add(now, window time.Duration, x float64) {
-	dt := float64(now-f.updatedAt) / float64(window)
-	f.rate = f.rate*math.Exp(-dt) + x/window.Seconds()
-	f.peakRate = max(f.rate, f.peakRate*math.Exp(-dt/peakHoldWindows))
-	f.updatedAt = now
+func (d *decayingRate) add(now, window time.Duration, x float64) {
+	dt := float64(now-d.updatedAt) / float64(window)
+	d.rate = d.rate*math.Exp(-dt) + x/window.Seconds()
+	d.peakRate = max(d.rate, d.peakRate*math.Exp(-dt/peakHoldWindows))
+	d.updatedAt = now
 }
 
 // marginalValue is the present rate.
-func (f *decayingRate) value(now, window time.Duration) float64 {
-	return f.rate * math.Exp(-float64(now-f.updatedAt)/float64(window))
+func (d *decayingRate) value(now, window time.Duration) float64 {
+	return d.rate * math.Exp(-float64(now-d.updatedAt)/float64(window))
 }
 
 // peak is the highest rate of late.
-func (f *decayingRate) peak(now, window time.Duration) float64 {
-	return f.peakRate * math.Exp(-float64(now-f.updatedAt)/float64(window)/peakHoldWindows)
+func (d *decayingRate) peak(now, window time.Duration) float64 {
+	return d.peakRate * math.Exp(-float64(now-d.updatedAt)/float64(window)/peakHoldWindows)
 }
 
 // enqueueAfter lets the rate fade and keeps its peak.
-func (f *decayingRate) decay(now, window time.Duration) {
-	f.rate, f.updatedAt = f.value(now, window), now
+func (d *decayingRate) decay(now, window time.Duration) {
+	d.rate, d.updatedAt = d.value(now, window), now
 }
 
 // timeShare is the smoothed share of time in which something was so.
@@ -163,13 +163,13 @@
 }
 
 // set notes whether it is so from now on.
-func (p *timeShare) set(now, window time.Duration, is bool) {
+func (t *timeShare) set(now, window time.Duration, is bool) {
 	was := 0.0
-	if p.active {
+	if t.active {
 		was = 1
 	}
-	p.share = was + (p.share-was)*math.Exp(-float64(now-p.updatedAt)/float64(window))
-	p.active, p.updatedAt = is, now
+	t.share = was + (t.share-was)*math.Exp(-float64(now-t.updatedAt)/float64(window))
+	t.active, t.updatedAt = is, now
 }
 
 // movingAverage is a smoothed latency ratio and the number of answers, up to a limit, that it rests on.
@@ -179,11 +179,11 @@
 }
 
 // drift is how far it has moved since then, as a ratio of at least 1.
-func (p *movingAverage) drift() float64 {
-	if p.settledMean <= 0 || p.mean <= 0 {
+func (m *movingAverage) drift() float64 {
+	if m.settledMean <= 0 || m.mean <= 0 {
 		return 1
 	}
-	return max(p.mean/p.settledMean, p.settledMean/p.mean)
+	return max(m.mean/m.settledMean, m.settledMean/m.mean)
 }
 
 // serviceTimes are the service times that the endpoints of each kind report, in seconds.
@@ -213,9 +213,9 @@
 	s.inverseSum.mean += 1 / k.mean
 }
 
-func (p *movingAverage) add(x, weight float64) {
-	p.samples = min(p.samples+1, 1/weight)
-	p.mean += (x - p.mean) / p.samples
+func (m *movingAverage) add(x, weight float64) {
+	m.samples = min(m.samples+1, 1/weight)
+	m.mean += (x - m.mean) / m.samples
 }
 
 // tokenBucket meters what a tenant may ask for within its share.
@@ -232,34 +232,34 @@
 
 // setRate changes the rate from now on. What was saved up stays as far as the new rate would have let it: a bucket that
 // grows begins without a burst.
-func (b *tokenBucket) setRate(now time.Duration, rate, burst float64) {
-	b.forceTake(now, 0)
-	b.rate, b.capacity = rate, minBurst+rate*burst
-	b.tokens = min(b.tokens, b.capacity)
+func (t *tokenBucket) setRate(now time.Duration, rate, burst float64) {
+	t.forceTake(now, 0)
+	t.rate, t.capacity = rate, minBurst+rate*burst
+	t.tokens = min(t.tokens, t.capacity)
 }
 
 // take takes n out, if they are there.
-func (b *tokenBucket) take(now time.Duration, n float64) bool {
-	b.forceTake(now, 0)
-	if b.tokens < n {
+func (t *tokenBucket) take(now time.Duration, n float64) bool {
+	t.forceTake(now, 0)
+	if t.tokens < n {
 		return false
 	}
-	b.tokens -= n
+	t.tokens -= n
 	return true
 }
 
 // forceTake takes n out, on credit where they are not there: as much as it can hold.
-func (b *tokenBucket) forceTake(now time.Duration, n float64) {
-	b.tokens = max(min(b.capacity, b.tokens+b.rate*(now-b.updatedAt).Seconds())-n, -b.capacity)
-	b.updatedAt = now
+func (t *tokenBucket) forceTake(now time.Duration, n float64) {
+	t.tokens = max(min(t.capacity, t.tokens+t.rate*(now-t.updatedAt).Seconds())-n, -t.capacity)
+	t.updatedAt = now
 }
 
 // ratioTo is the ratio of a kind's mean to that of one of its endpoints; 1 while nothing is known of it.
-func (p movingAverage) ratioTo(own movingAverage) float64 {
-	if own.samples == 0 || p.samples == 0 {
+func (m movingAverage) ratioTo(own movingAverage) float64 {
+	if own.samples == 0 || m.samples == 0 {
 		return 1
 	}
-	return p.mean / own.mean
+	return m.mean / own.mean
 }
 
 // add takes an answer's latency, in seconds, into the figures.
--- a/internal/config/apps/written.go
+++ b/internal/config/apps/written.go
@@ -181,18 +181,18 @@
 }
 
 // edits finds the keys that were changed by hand.
-func (st *State) edits() {
-	base := func(id string) string { return st.Written.Base[id] }
+func (s *State) edits() {
+	base := func(id string) string { return s.Written.Base[id] }
 	add := func(path []string, key *schema.Key, here *schema.Setting) {
 		id := doc.Dotted(path)
-		e := Edit{Path: path, Key: key, Place: schema.Place{File: st.Path, Pos: finding.Pos{Line: 1, Col: 1}}}
+		e := Edit{Path: path, Key: key, Place: schema.Place{File: s.Path, Pos: finding.Pos{Line: 1, Col: 1}}}
 		hereSum, nowSum := "", ""
 		if here != nil {
 			e.Raw, e.Place, hereSum = here.Raw, here.Place, short(here.Canonical)
 		} else {
-			e.Place = st.File.Place(path...)
+			e.Place = s.File.Place(path...)
 		}
-		if now := st.App.File.Setting(path...); now != nil {
+		if now := s.App.File.Setting(path...); now != nil {
 			e.Now, nowSum = now.Raw, short(now.Canonical)
 			if e.Now == "" {
 				e.Now = now.Canonical
@@ -206,13 +206,13 @@
 		} else {
 			e.Clashes = true
 		}
-		st.Edits = append(st.Edits, e)
+		s.Edits = append(s.Edits, e)
 	}
-	for _, s := range st.File.Settings() {
-		add(s.Path, s.Key, s)
+	for _, setting := range s.File.Settings() {
+		add(setting.Path, setting.Key, setting)
 	}
-	for _, id := range st.Written.Keys {
-		if path := splitID(id); path != nil && st.File.Setting(path...) == nil {
+	for _, id := range s.Written.Keys {
+		if path := splitID(id); path != nil && s.File.Setting(path...) == nil {
 			add(path, nil, nil)
 		}
 	}
@@ -231,11 +231,11 @@
 }
 
 // Edited tells whether the file was changed since it was written, be it in comments or spacing only.
-func (st *State) Edited() bool { return st.Written != nil && (st.Written.Edited || st.Written.Cut) }
+func (s *State) Edited() bool { return s.Written != nil && (s.Written.Edited || s.Written.Cut) }
 
 // Clashes are the edits to keys that apps.toml has changed otherwise.
-func (st *State) Clashes() (clashes []Edit) {
-	for _, e := range st.Edits {
+func (s *State) Clashes() (clashes []Edit) {
+	for _, e := range s.Edits {
 		if e.Clashes {
 			clashes = append(clashes, e)
 		}
@@ -246,33 +246,33 @@
 // Merge is the file with all that write changes, and the edits kept. It starts from the edited text, so that
 // comments by hand stay. The header goes on telling what apps.toml says, so that edits are known as such.
 // There must be no clash.
-func (st *State) Merge() []byte {
-	if st.File == nil {
-		return st.New // it was not edited
+func (s *State) Merge() []byte {
+	if s.File == nil {
+		return s.New // it was not edited
 	}
-	d := st.Doc
+	d := s.Doc
 	again := func(text []byte) {
 		d = doc.ReadTOML(text, len(text), func(finding.Pos, string, ...any) {})
 	}
 	kept := map[string]bool{}
-	for _, e := range st.Edits {
+	for _, e := range s.Edits {
 		kept[e.ID()] = true
 	}
-	for _, s := range st.App.File.Settings() {
-		if here := st.File.Setting(s.Path...); !kept[s.ID()] && (here == nil || here.Canonical != s.Canonical) {
-			raw := s.Raw
+	for _, setting := range s.App.File.Settings() {
+		if here := s.File.Setting(setting.Path...); !kept[setting.ID()] && (here == nil || here.Canonical != setting.Canonical) {
+			raw := setting.Raw
 			if raw == "" || strings.ContainsAny(raw, "\r\n") {
-				raw = s.Canonical
+				raw = setting.Canonical
 			}
-			again(d.Set(s.Path, raw, s.Key.Help))
+			again(d.Set(setting.Path, raw, setting.Key.Help))
 		}
 	}
-	for _, s := range st.File.Settings() {
-		if !kept[s.ID()] && st.App.File.Setting(s.Path...) == nil {
-			again(d.Delete(s.Path, s.Key.Help))
+	for _, setting := range s.File.Settings() {
+		if !kept[setting.ID()] && s.App.File.Setting(setting.Path...) == nil {
+			again(d.Delete(setting.Path, setting.Key.Help))
 		}
 	}
-	return restamp(d.Text, st.New)
+	return restamp(d.Text, s.New)
 }
 
 // restamp gives an edited text the header and the trailer of a generated one.
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -52,43 +52,43 @@
 }
 
 // next moves to the next token's first byte.
-func (r *jsonReader) next() {
-	for r.at = int(r.decoder.InputOffset()); r.at < len(r.Text); r.at++ {
-		if !bytes.ContainsRune([]byte(" \t\r\n,:"), rune(r.Text[r.at])) {
+func (j *jsonReader) next() {
+	for j.at = int(j.decoder.InputOffset()); j.at < len(j.Text); j.at++ {
+		if !bytes.ContainsRune([]byte(" \t\r\n,:"), rune(j.Text[j.at])) {
 			return
 		}
 	}
 }
 
-func (r *jsonReader) token() (json.Token, error) {
-	r.next()
-	return r.decoder.Token()
+func (j *jsonReader) token() (json.Token, error) {
+	j.next()
+	return j.decoder.Token()
 }
 
-func (r *jsonReader) value(path []string, depth int) (*Value, error) {
-	token, err := r.token()
+func (j *jsonReader) value(path []string, depth int) (*Value, error) {
+	token, err := j.token()
 	if err != nil {
 		return nil, err
 	}
-	v := &Value{At: r.Pos(r.at), Start: r.at, End: int(r.decoder.InputOffset())}
-	v.Text = string(r.Text[v.Start:v.End])
+	v := &Value{At: j.Pos(j.at), Start: j.at, End: int(j.decoder.InputOffset())}
+	v.Text = string(j.Text[v.Start:v.End])
 	switch x := token.(type) {
 	case json.Delim:
 		if depth >= mostDepth {
 			return nil, errors.New("too many lists and objects within one another")
 		}
 		if x == '{' {
-			return v, r.object(v, path, depth)
+			return v, j.object(v, path, depth)
 		}
 		v.Kind = Array
-		for r.decoder.More() {
-			item, err := r.value(path, depth+1)
+		for j.decoder.More() {
+			item, err := j.value(path, depth+1)
 			if err != nil {
 				return nil, err
 			}
 			v.Items = append(v.Items, item)
 		}
-		_, err = r.token()
+		_, err = j.token()
 		return v, err
 	case string:
 		v.Kind, v.Text = String, x
@@ -105,25 +105,25 @@
 	return v, nil
 }
 
-func (r *jsonReader) object(v *Value, path []string, depth int) error {
+func (j *jsonReader) object(v *Value, path []string, depth int) error {
 	v.Kind, v.Table = TableKind, &Table{Path: path, At: v.At}
-	for r.decoder.More() {
-		token, err := r.token()
+	for j.decoder.More() {
+		token, err := j.token()
 		if err != nil {
 			return err
 		}
 		name, _ := token.(string)
-		at := r.Pos(r.at)
-		inner, err := r.value(append(path[:len(path):len(path)], name), depth+1)
+		at := j.Pos(j.at)
+		inner, err := j.value(append(path[:len(path):len(path)], name), depth+1)
 		if err != nil {
 			return err
 		}
 		if e := v.Table.Get(name); e != nil {
-			r.report(at, "%q stands twice: first in line %d", name, e.At.Line)
+			j.report(at, "%q stands twice: first in line %d", name, e.At.Line)
 			continue
 		}
 		v.Table.add(&Entry{Name: name, At: at, Value: inner})
 	}
-	_, err := r.token()
+	_, err := j.token()
 	return err
 }
--- a/internal/files/atomicfile/atomicfile_test.go
+++ b/internal/files/atomicfile/atomicfile_test.go
@@ -56,31 +56,31 @@
 	f *faulty
 }
 
-func (t *faultyTemp) Write(b []byte) (int, error) {
-	if err := t.f.fail("write"); err != nil {
-		n, _ := t.Temp.Write(b[:len(b)/2])
-		return n, &fs.PathError{Op: "write", Path: t.Name(), Err: err}
+func (f *faultyTemp) Write(b []byte) (int, error) {
+	if err := f.f.fail("write"); err != nil {
+		n, _ := f.Temp.Write(b[:len(b)/2])
+		return n, &fs.PathError{Op: "write", Path: f.Name(), Err: err}
 	}
-	return t.Temp.Write(b)
+	return f.Temp.Write(b)
 }
 
-func (t *faultyTemp) Chmod(m fs.FileMode) error {
-	if err := t.f.fail("chmod"); err != nil {
+func (f *faultyTemp) Chmod(m fs.FileMode) error {
+	if err := f.f.fail("chmod"); err != nil {
 		return err
 	}
-	return t.Temp.Chmod(m)
+	return f.Temp.Chmod(m)
 }
 
-func (t *faultyTemp) Sync() error {
-	if err := t.f.fail("sync"); err != nil {
+func (f *faultyTemp) Sync() error {
+	if err := f.f.fail("sync"); err != nil {
 		return err
 	}
-	return t.Temp.Sync()
+	return f.Temp.Sync()
 }
 
-func (t *faultyTemp) Close() error {
-	err := t.Temp.Close()
-	if fault := t.f.fail("close"); fault != nil {
+func (f *faultyTemp) Close() error {
+	err := f.Temp.Close()
+	if fault := f.f.fail("close"); fault != nil {
 		return fault
 	}
 	return err
--- a/internal/files/store/format.go
+++ b/internal/files/store/format.go
@@ -83,8 +83,8 @@
 	Version uint16
 }
 
-func (e *NewerError) Error() string {
-	return fmt.Sprintf("%s has format %d; this program knows %d and those before it: start the newer program, or use another directory", e.File, e.Version, Version)
+func (n *NewerError) Error() string {
+	return fmt.Sprintf("%s has format %d; this program knows %d and those before it: start the newer program, or use another directory", n.File, n.Version, Version)
 }
 
 // decodeHeader reads the header of a segment. The checksum is judged before the version, or one flipped bit would have
--- a/internal/files/store/fs.go
+++ b/internal/files/store/fs.go
@@ -54,8 +54,8 @@
 
 type diskFile struct{ *os.File }
 
-func (f diskFile) Size() (int64, error) {
-	info, err := f.Stat()
+func (d diskFile) Size() (int64, error) {
+	info, err := d.Stat()
 	if err != nil {
 		return 0, err
 	}
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -655,17 +655,17 @@
 	key string
 }
 
-func (h *expiring) push(at int64, key string) {
-	*h = append(*h, expiry{at, key})
-	q := *h
+func (e *expiring) push(at int64, key string) {
+	*e = append(*e, expiry{at, key})
+	q := *e
 	for i := len(q) - 1; i > 0 && q[i].at < q[(i-1)/2].at; i = (i - 1) / 2 {
 		q[i], q[(i-1)/2] = q[(i-1)/2], q[i]
 	}
 }
 
 // pop takes a key out whose time has come.
-func (h *expiring) pop(now int64) (key string, ok bool) {
-	q := *h
+func (e *expiring) pop(now int64) (key string, ok bool) {
+	q := *e
 	if len(q) == 0 || q[0].at > now {
 		return "", false
 	}
@@ -687,7 +687,7 @@
 		q[i], q[c] = q[c], q[i]
 		i = c
 	}
-	*h = q
+	*e = q
 	return key, true
 }
 
--- a/internal/files/store/store_test.go
+++ b/internal/files/store/store_test.go
@@ -840,16 +840,16 @@
 	d *hanging
 }
 
-func (d *hanging) Create(name string) (store.File, error) {
-	f, err := d.FS.Create(name)
-	return hangingFile{f, d}, err
+func (h *hanging) Create(name string) (store.File, error) {
+	f, err := h.FS.Create(name)
+	return hangingFile{f, h}, err
 }
 
-func (f hangingFile) Sync() error {
-	if f.d.hang.Load() {
-		<-f.d.go_
+func (h hangingFile) Sync() error {
+	if h.d.hang.Load() {
+		<-h.d.go_
 	}
-	return f.File.Sync()
+	return h.File.Sync()
 }
 
 // Reads that bring less than was asked for lose nothing.
--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -29,12 +29,12 @@
 func (a *Agent) ConsensusTransport() ConsensusTransport { return ConsensusTransport{a} }
 
 // Ask sends a request to a core process and waits for its reply.
-func (t ConsensusTransport) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
-	peer := t.agent.peerAddress(node)
+func (c ConsensusTransport) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
+	peer := c.agent.peerAddress(node)
 	if peer == "" {
 		return nil, trace.BadParameter("node %q is no address", node)
 	}
-	reply, err := transport.Request[opaqueMessage](ctx, t.agent.config.Hub, peer, methodConsensus, &opaqueMessage{Body: request})
+	reply, err := transport.Request[opaqueMessage](ctx, c.agent.config.Hub, peer, methodConsensus, &opaqueMessage{Body: request})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -70,66 +70,66 @@
 }
 
 // handleLeaseRequest answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
-func (d *SingletonRoles) handleLeaseRequest(q *lease.Request) *lease.Reply {
-	accepted, ready := d.voters.Accepted()
-	standing := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, d.voters.VoterSet().Epoch)}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.agent.config.Hub.Now()
+func (s *SingletonRoles) handleLeaseRequest(q *lease.Request) *lease.Reply {
+	accepted, ready := s.voters.Accepted()
+	standing := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.voters.VoterSet().Epoch)}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.agent.config.Hub.Now()
 	for _, duty := range q.Roles {
 		if duty.Release && duty.Role == roleAllocator {
-			d.allocatorLease.HolderReleased(now, q.Holder)
+			s.allocatorLease.HolderReleased(now, q.Holder)
 		}
 	}
-	return d.voter.Handle(now, standing, q)
+	return s.voter.Handle(now, standing, q)
 }
 
 // Run asks for duties, and does them, until ctx ends.
-func (d *SingletonRoles) Run(ctx context.Context) {
+func (s *SingletonRoles) Run(ctx context.Context) {
 	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			d.checkLeases()
+			s.checkLeases()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (d *SingletonRoles) checkLeases() {
-	voters := d.voters.VoterSet()
-	now := d.agent.config.Hub.Now()
-	d.checkMembers(now)
-	d.mu.Lock()
-	request := d.allocatorLease.Tick(now, len(voters.Voters), voters.Epoch)
-	if _, ok := d.allocatorLease.Holds(now); !ok {
-		d.stopAllocator()
+func (s *SingletonRoles) checkLeases() {
+	voters := s.voters.VoterSet()
+	now := s.agent.config.Hub.Now()
+	s.checkMembers(now)
+	s.mu.Lock()
+	request := s.allocatorLease.Tick(now, len(voters.Voters), voters.Epoch)
+	if _, ok := s.allocatorLease.Holds(now); !ok {
+		s.stopAllocator()
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if request != nil {
-		d.requestLeases(now, voters, request)
+		s.requestLeases(now, voters, request)
 	}
 }
 
 // checkMembers takes note of who is there, now and then.
-func (d *SingletonRoles) checkMembers(now time.Duration) {
-	d.mu.Lock()
-	due := now >= d.membersCheckedAt+memberCheckInterval
-	d.mu.Unlock()
+func (s *SingletonRoles) checkMembers(now time.Duration) {
+	s.mu.Lock()
+	due := now >= s.membersCheckedAt+memberCheckInterval
+	s.mu.Unlock()
 	if !due {
 		return
 	}
-	members := d.agent.Members()
-	d.agent.events.recordMembers(members)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.membersCheckedAt = now
-	d.allocatorLease.SetRank(d.agent.coreRank(members))
-	recent := d.lastSeen.Update(now, accessAddresses(members))
-	if d.allocator != nil {
-		d.allocator.SetSidecars(recent)
+	members := s.agent.Members()
+	s.agent.events.recordMembers(members)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.membersCheckedAt = now
+	s.allocatorLease.SetRank(s.agent.coreRank(members))
+	recent := s.lastSeen.Update(now, accessAddresses(members))
+	if s.allocator != nil {
+		s.allocator.SetSidecars(recent)
 	}
 }
 
@@ -154,89 +154,89 @@
 }
 
 // requestLeases sends a request for leases to all voters.
-func (d *SingletonRoles) requestLeases(asked time.Duration, voters consensus.VoterSet, q *lease.Request) {
+func (s *SingletonRoles) requestLeases(asked time.Duration, voters consensus.VoterSet, q *lease.Request) {
 	for _, v := range voters.Voters {
-		if v == d.agent.config.Settings.ControlAddress {
-			d.handleLeaseReply(asked, voters.Epoch, v, d.handleLeaseRequest(q))
+		if v == s.agent.config.Settings.ControlAddress {
+			s.handleLeaseReply(asked, voters.Epoch, v, s.handleLeaseRequest(q))
 			continue
 		}
-		d.agent.send(d.agent.peerAddress(v), methodLease, q, func(body []byte) {
+		s.agent.send(s.agent.peerAddress(v), methodLease, q, func(body []byte) {
 			var reply lease.Reply
 			if len(body) > 0 && codec.Unmarshal(body, &reply) == nil {
-				d.handleLeaseReply(asked, voters.Epoch, v, &reply)
+				s.handleLeaseReply(asked, voters.Epoch, v, &reply)
 			}
 		})
 	}
 }
 
 // handleLeaseReply takes a voter's reply to a request that was made at a time, under a list of voters.
-func (d *SingletonRoles) handleLeaseReply(asked time.Duration, epoch uint64, voter string, reply *lease.Reply) {
+func (s *SingletonRoles) handleLeaseReply(asked time.Duration, epoch uint64, voter string, reply *lease.Reply) {
 	if reply.VoterSetEpoch > epoch {
-		d.learnVoters()
+		s.learnVoters()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.agent.config.Hub.Now()
-	if d.allocatorLease.HandleReply(now, asked, voter, reply) {
-		d.startAllocator(now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.agent.config.Hub.Now()
+	if s.allocatorLease.HandleReply(now, asked, voter, reply) {
+		s.startAllocator(now)
 	}
 }
 
 // learnVoters learns of a newer list of voters at once: a holder that goes on under the old one would lose its lease.
-func (d *SingletonRoles) learnVoters() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.learningVoters {
+func (s *SingletonRoles) learnVoters() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.learningVoters {
 		return
 	}
-	d.learningVoters = true
+	s.learningVoters = true
 	go func() { // ends by its timeout
 		ctx, cancel := context.WithTimeout(context.Background(), learnVotersTimeout)
 		defer cancel()
-		if _, err := d.voters.ReadLatest(ctx); err != nil {
-			d.agent.config.Log.WithError(err).Debug("agent: the newest list of voters can't be read")
+		if _, err := s.voters.ReadLatest(ctx); err != nil {
+			s.agent.config.Log.WithError(err).Debug("agent: the newest list of voters can't be read")
 		}
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.learningVoters = false
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.learningVoters = false
 	}()
 }
 
 // startAllocator begins the duty. The lock is held.
-func (d *SingletonRoles) startAllocator(now time.Duration) {
-	number, _ := d.allocatorLease.Holds(now)
-	d.agent.events.add(events.Event{Kind: events.RoleAcquired, Node: d.agent.config.Hub.Self().Address,
+func (s *SingletonRoles) startAllocator(now time.Duration) {
+	number, _ := s.allocatorLease.Holds(now)
+	s.agent.events.add(events.Event{Kind: events.RoleAcquired, Node: s.agent.config.Hub.Self().Address,
 		Detail: fmt.Sprintf("%s, under number %d", roleAllocator, number)})
-	d.allocator = ratelimit.NewAllocator(now, d.initialStart && now < initialStartGrace, d.agent.tenantLimit)
-	d.allocator.SetSidecars(d.lastSeen.Update(now, accessAddresses(d.agent.Members())))
+	s.allocator = ratelimit.NewAllocator(now, s.initialStart && now < initialStartGrace, s.agent.tenantLimit)
+	s.allocator.SetSidecars(s.lastSeen.Update(now, accessAddresses(s.agent.Members())))
 }
 
 // stopAllocator ends the duty, if this process has it. The lock is held.
-func (d *SingletonRoles) stopAllocator() {
-	if d.allocator == nil {
+func (s *SingletonRoles) stopAllocator() {
+	if s.allocator == nil {
 		return
 	}
-	d.allocator = nil
-	d.agent.events.add(events.Event{Kind: events.RoleLost, Node: d.agent.config.Hub.Self().Address, Detail: roleAllocator})
+	s.allocator = nil
+	s.agent.events.add(events.Event{Kind: events.RoleLost, Node: s.agent.config.Hub.Self().Address, Detail: roleAllocator})
 }
 
 // Release gives up all leases for good, tells the voters and the other core processes, and waits for their answers until ctx
 // ends, so that the next holder can start at once. It is for a process that is about to end.
-func (d *SingletonRoles) Release(ctx context.Context) {
-	d.mu.Lock()
-	request := d.allocatorLease.Resign()
-	d.stopAllocator()
-	d.mu.Unlock()
+func (s *SingletonRoles) Release(ctx context.Context) {
+	s.mu.Lock()
+	request := s.allocatorLease.Resign()
+	s.stopAllocator()
+	s.mu.Unlock()
 	if request == nil {
 		return
 	}
-	d.handleLeaseRequest(request)
-	nodes := append(slices.Clone(d.voters.VoterSet().Voters), d.agent.CoreAddresses()...)
+	s.handleLeaseRequest(request)
+	nodes := append(slices.Clone(s.voters.VoterSet().Voters), s.agent.CoreAddresses()...)
 	slices.Sort(nodes)
-	nodes = slices.DeleteFunc(slices.Compact(nodes), func(node string) bool { return node == d.agent.config.Settings.ControlAddress })
+	nodes = slices.DeleteFunc(slices.Compact(nodes), func(node string) bool { return node == s.agent.config.Settings.ControlAddress })
 	answered := make(chan struct{}, len(nodes))
 	for _, node := range nodes {
-		d.agent.config.Hub.Send(d.agent.peerAddress(node), methodLease, codec.MarshalAppend(nil, request), 0, func([]byte, error) {
+		s.agent.config.Hub.Send(s.agent.peerAddress(node), methodLease, codec.MarshalAppend(nil, request), 0, func([]byte, error) {
 			answered <- struct{}{} // one that is away counts too
 		})
 	}
@@ -256,20 +256,20 @@
 }
 
 // grantTokens answers a sidecar's requests for tokens, if this process is the allocator.
-func (d *SingletonRoles) grantTokens(_ context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.agent.config.Hub.Now()
-	d.allocatorLease.ObserveToken(now, q.HighestFencingToken)
-	number, ok := d.allocatorLease.Holds(now)
-	if !ok || d.allocator == nil || d.agent.tenantLimits.Load() == nil || number < q.HighestFencingToken {
-		return &ratelimit.AllocationReply{Allocator: d.allocatorLease.Holder(now)}
+func (s *SingletonRoles) grantTokens(_ context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.agent.config.Hub.Now()
+	s.allocatorLease.ObserveToken(now, q.HighestFencingToken)
+	number, ok := s.allocatorLease.Holds(now)
+	if !ok || s.allocator == nil || s.agent.tenantLimits.Load() == nil || number < q.HighestFencingToken {
+		return &ratelimit.AllocationReply{Allocator: s.allocatorLease.Holder(now)}
 	}
-	grants := &ratelimit.AllocationReply{Granted: true, FencingToken: number, Allocator: d.agent.config.Hub.Self().Address,
-		Grants: d.allocator.Allocate(now, q)}
+	grants := &ratelimit.AllocationReply{Granted: true, FencingToken: number, Allocator: s.agent.config.Hub.Self().Address,
+		Grants: s.allocator.Allocate(now, q)}
 	for i := range grants.Grants {
 		if grants.Grants[i].RetryAfter > 0 {
-			d.agent.events.recordQuotaHit(now, grants.Grants[i].Tenant)
+			s.agent.events.recordQuotaHit(now, grants.Grants[i].Tenant)
 		}
 	}
 	return grants
--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -27,25 +27,25 @@
 	newest   *consensus.VoterSet // that a read finds
 }
 
-func (r *fakeRegister) VoterSet() consensus.VoterSet {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.known
+func (f *fakeRegister) VoterSet() consensus.VoterSet {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.known
 }
 
-func (r *fakeRegister) Accepted() (uint64, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.accepted, true
+func (f *fakeRegister) Accepted() (uint64, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.accepted, true
 }
 
-func (r *fakeRegister) ReadLatest(context.Context) (consensus.Value, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.newest != nil {
-		r.known = *r.newest
+func (f *fakeRegister) ReadLatest(context.Context) (consensus.Value, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.newest != nil {
+		f.known = *f.newest
 	}
-	return consensus.Value{VoterSet: r.known}, nil
+	return consensus.Value{VoterSet: f.known}, nil
 }
 
 // testCore is a few core processes on loopback, without disks.
@@ -83,9 +83,9 @@
 }
 
 // holder waits until one of them is the allocator, and gives its place and fencing number.
-func (d *testCore) holder() (i int, number uint64) {
+func (t *testCore) holder() (i int, number uint64) {
 	for began := time.Now(); time.Since(began) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
-		for i, x := range d.roles {
+		for i, x := range t.roles {
 			x.mu.Lock()
 			number, ok := x.allocatorLease.Holds(x.agent.config.Hub.Now())
 			x.mu.Unlock()
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	d.Fatal("nobody holds the lease after 20 s")
+	t.Fatal("nobody holds the lease after 20 s")
 	return 0, 0
 }
 
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -31,75 +31,75 @@
 		knownMembers: map[uint64]membership.Member{}, lastQuotaHit: map[string]time.Duration{}}
 }
 
-func (r *eventRecorder) add(e events.Event) {
-	e.Time = time.Now().UTC().Format(time.RFC3339Nano)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.feed.Add(e)
-	close(r.added)
-	r.added = make(chan struct{})
+func (e *eventRecorder) add(event events.Event) {
+	event.Time = time.Now().UTC().Format(time.RFC3339Nano)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.feed.Add(event)
+	close(e.added)
+	e.added = make(chan struct{})
 }
 
 // recordEndpoints adds what has changed of a service's endpoints.
-func (r *eventRecorder) recordEndpoints(all []discovery.Endpoint) {
-	for _, e := range all {
-		r.mu.Lock()
-		was, known := r.endpointStates[e.ID]
-		r.endpointStates[e.ID] = e.State
-		if e.State == discovery.Deregistered {
-			delete(r.endpointStates, e.ID)
+func (e *eventRecorder) recordEndpoints(all []discovery.Endpoint) {
+	for _, endpoint := range all {
+		e.mu.Lock()
+		was, known := e.endpointStates[endpoint.ID]
+		e.endpointStates[endpoint.ID] = endpoint.State
+		if endpoint.State == discovery.Deregistered {
+			delete(e.endpointStates, endpoint.ID)
 		}
-		r.mu.Unlock()
-		if known && was == e.State || !known && e.State >= discovery.Crashed {
+		e.mu.Unlock()
+		if known && was == endpoint.State || !known && endpoint.State >= discovery.Crashed {
 			continue
 		}
 		kind := map[discovery.State]string{discovery.Serving: events.EndpointServing, discovery.Draining: events.EndpointDraining,
-			discovery.Crashed: events.EndpointCrashed, discovery.Deregistered: events.EndpointGone}[e.State]
-		r.add(events.Event{Kind: kind, Service: e.Service, Endpoint: e.ID, Zone: e.Zone, Node: e.SidecarAddress})
+			discovery.Crashed: events.EndpointCrashed, discovery.Deregistered: events.EndpointGone}[endpoint.State]
+		e.add(events.Event{Kind: kind, Service: endpoint.Service, Endpoint: endpoint.ID, Zone: endpoint.Zone, Node: endpoint.SidecarAddress})
 	}
 }
 
 // recordMembers adds who has come and gone.
-func (r *eventRecorder) recordMembers(all []membership.Member) {
+func (e *eventRecorder) recordMembers(all []membership.Member) {
 	now := map[uint64]membership.Member{}
 	for _, m := range all {
 		now[m.Incarnation] = m
 	}
-	r.mu.Lock()
-	was := r.knownMembers
-	r.knownMembers = now
-	r.mu.Unlock()
+	e.mu.Lock()
+	was := e.knownMembers
+	e.knownMembers = now
+	e.mu.Unlock()
 	for life, m := range now {
 		if _, ok := was[life]; !ok {
-			r.add(events.Event{Kind: events.MemberReachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
+			e.add(events.Event{Kind: events.MemberReachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
 		}
 	}
 	for life, m := range was {
 		if _, ok := now[life]; !ok {
-			r.add(events.Event{Kind: events.MemberUnreachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
+			e.add(events.Event{Kind: events.MemberUnreachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
 		}
 	}
 }
 
 // recordQuotaHit adds that a tenant's tokens are used up, once in a quotaHitInterval.
-func (r *eventRecorder) recordQuotaHit(now time.Duration, tenant string) {
-	r.mu.Lock()
-	last, ok := r.lastQuotaHit[tenant]
+func (e *eventRecorder) recordQuotaHit(now time.Duration, tenant string) {
+	e.mu.Lock()
+	last, ok := e.lastQuotaHit[tenant]
 	if ok && now-last < quotaHitInterval {
-		r.mu.Unlock()
+		e.mu.Unlock()
 		return
 	}
-	r.lastQuotaHit[tenant] = now
-	r.mu.Unlock()
-	r.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
+	e.lastQuotaHit[tenant] = now
+	e.mu.Unlock()
+	e.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
 }
 
 // After gives events to a reader (eventfeed.Source).
-func (r *eventRecorder) After(c events.Cursor, most int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	got, next := r.feed.After(c, most, f)
-	return got, next, r.added, nil
+func (e *eventRecorder) After(c events.Cursor, most int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	got, next := e.feed.After(c, most, f)
+	return got, next, e.added, nil
 }
 
 // EventsHandler serves the feed to tools.
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -53,17 +53,17 @@
 	OwnerIncarnation uint64 // of the home
 }
 
-func (l *endpointList) Fields(v *codec.Visitor) {
-	v.String(1, &l.Service)
-	v.Uint64(2, &l.Version)
-	codec.Messages(v, 3, &l.Endpoints)
-	v.Fixed64(4, &l.OwnerIncarnation)
+func (e *endpointList) Fields(v *codec.Visitor) {
+	v.String(1, &e.Service)
+	v.Uint64(2, &e.Version)
+	codec.Messages(v, 3, &e.Endpoints)
+	v.Fixed64(4, &e.OwnerIncarnation)
 }
 
 // versionNotice says which version its sender holds.
 type versionNotice struct{ Version uint64 }
 
-func (n *versionNotice) Fields(v *codec.Visitor) { v.Uint64(1, &n.Version) }
+func (v *versionNotice) Fields(visitor *codec.Visitor) { visitor.Uint64(1, &v.Version) }
 
 // configurationText is the newest configuration that its sender knows to be committed, with its text if it is newer than the asker's.
 type configurationText struct {
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -39,17 +39,17 @@
 }
 
 // handleForwarded passes a neighbour's requests on to the allocator, once.
-func (t *QuotaClient) handleForwarded(ctx context.Context, _ *transport.Hello, q *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
-	t.mu.Lock()
-	allocator := t.allocator
-	t.mu.Unlock()
-	if q.Forwarded || allocator == "" {
+func (q *QuotaClient) handleForwarded(ctx context.Context, _ *transport.Hello, allocationRequest *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+	q.mu.Lock()
+	allocator := q.allocator
+	q.mu.Unlock()
+	if allocationRequest.Forwarded || allocator == "" {
 		return &ratelimit.AllocationReply{}
 	}
-	q.Forwarded = true
+	allocationRequest.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
-	grants, err := transport.Request[ratelimit.AllocationReply](ctx, t.agent.config.Hub, allocator, methodTokens, q)
+	grants, err := transport.Request[ratelimit.AllocationReply](ctx, q.agent.config.Hub, allocator, methodTokens, allocationRequest)
 	if err != nil {
 		return &ratelimit.AllocationReply{}
 	}
@@ -57,119 +57,119 @@
 }
 
 // Acquire admits a tenant's request or refuses it; done is called once, soon, with when to come back after a refusal.
-func (t *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
+func (q *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
 	answered := false // guarded by t.mu, as done may be called later
-	t.mu.Lock()
-	t.tokenCache.Admit(t.agent.config.Hub.Now(), tenant.Name, t.agent.limitFor(tenant),
+	q.mu.Lock()
+	q.tokenCache.Admit(q.agent.config.Hub.Now(), tenant.Name, q.agent.limitFor(tenant),
 		func(ok bool, back time.Duration) {
 			answered = true
 			done(ok, back)
 		})
 	waits := !answered
-	t.mu.Unlock()
+	q.mu.Unlock()
 	if waits {
-		t.wake()
+		q.wake()
 	}
 }
 
 // wake has Run look at once.
-func (t *QuotaClient) wake() {
+func (q *QuotaClient) wake() {
 	select {
-	case t.wakeup <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // Run requests tokens until ctx ends.
-func (t *QuotaClient) Run(ctx context.Context) {
+func (q *QuotaClient) Run(ctx context.Context) {
 	tick := time.NewTicker(tokenInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-t.wakeup:
+		case <-q.wakeup:
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		t.sendRequests()
+		q.sendRequests()
 	}
 }
 
-func (t *QuotaClient) sendRequests() {
-	now := t.agent.config.Hub.Now()
-	t.agent.mu.Lock()
-	sidecars := t.agent.sidecarCount
-	t.agent.mu.Unlock()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.tokenCache.SetSidecars(sidecars)
-	requests, due := t.tokenCache.Tick(now)
+func (q *QuotaClient) sendRequests() {
+	now := q.agent.config.Hub.Now()
+	q.agent.mu.Lock()
+	sidecars := q.agent.sidecarCount
+	q.agent.mu.Unlock()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.tokenCache.SetSidecars(sidecars)
+	requests, due := q.tokenCache.Tick(now)
 	if !due {
 		return
 	}
-	self := t.agent.config.Hub.Self()
-	go t.request(now, t.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Incarnation, Requests: requests,
-		HighestFencingToken: t.tokenCache.HighestFencingToken()})
+	self := q.agent.config.Hub.Self()
+	go q.request(now, q.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Incarnation, Requests: requests,
+		HighestFencingToken: q.tokenCache.HighestFencingToken()})
 }
 
 // target is the process to ask: the one that answered last; else a core process, in turn with a neighbour. The lock is held.
-func (t *QuotaClient) target(now time.Duration) string {
-	if t.forwarder != "" && now < t.directRetryAt {
-		return t.forwarder
+func (q *QuotaClient) target(now time.Duration) string {
+	if q.forwarder != "" && now < q.directRetryAt {
+		return q.forwarder
 	}
-	t.directRetryAt = now + directRetryInterval
-	if t.allocator != "" && t.failures == 0 {
-		return t.allocator
+	q.directRetryAt = now + directRetryInterval
+	if q.allocator != "" && q.failures == 0 {
+		return q.allocator
 	}
 	role := membership.RoleCore
-	if t.failures%2 == 1 {
+	if q.failures%2 == 1 {
 		role = membership.RoleAccess
 	}
-	members := slices.DeleteFunc(t.agent.Members(), func(m membership.Member) bool {
-		return m.Role != role || m.Address == t.agent.config.Hub.Self().Address
+	members := slices.DeleteFunc(q.agent.Members(), func(m membership.Member) bool {
+		return m.Role != role || m.Address == q.agent.config.Hub.Self().Address
 	})
 	if len(members) == 0 {
-		return t.allocator
+		return q.allocator
 	}
-	t.agent.mu.Lock()
-	defer t.agent.mu.Unlock()
-	return members[t.agent.randomUint64()%uint64(len(members))].Address
+	q.agent.mu.Lock()
+	defer q.agent.mu.Unlock()
+	return members[q.agent.randomUint64()%uint64(len(members))].Address
 }
 
 // request sends requests for tokens and takes the answer.
-func (t *QuotaClient) request(sent time.Duration, to string, q *ratelimit.AllocationRequest) {
+func (q *QuotaClient) request(sent time.Duration, to string, allocationRequest *ratelimit.AllocationRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
 	defer cancel()
 	var grants *ratelimit.AllocationReply
 	if to != "" {
-		grants, _ = transport.Request[ratelimit.AllocationReply](ctx, t.agent.config.Hub, to, methodTokens, q)
+		grants, _ = transport.Request[ratelimit.AllocationReply](ctx, q.agent.config.Hub, to, methodTokens, allocationRequest)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.agent.config.Hub.Now()
-	if grants == nil || !t.tokenCache.HandleReply(now, sent, grants) {
-		t.recordFailure(now, to, grants)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.agent.config.Hub.Now()
+	if grants == nil || !q.tokenCache.HandleReply(now, sent, grants) {
+		q.recordFailure(now, to, grants)
 		return
 	}
-	t.forwarder = ""
+	q.forwarder = ""
 	if grants.Allocator != to {
-		t.forwarder = to
+		q.forwarder = to
 	}
-	t.allocator, t.failures = grants.Allocator, 0
-	if t.tokenCache.HasWaiters() {
-		t.wake()
+	q.allocator, q.failures = grants.Allocator, 0
+	if q.tokenCache.HasWaiters() {
+		q.wake()
 	}
 }
 
 // recordFailure notes that a process granted nothing; it may have named the allocator. The lock is held.
-func (t *QuotaClient) recordFailure(now time.Duration, asked string, grants *ratelimit.AllocationReply) {
-	t.failures++
-	t.tokenCache.HandleFailure(now)
-	if asked == t.forwarder {
-		t.forwarder = ""
+func (q *QuotaClient) recordFailure(now time.Duration, asked string, grants *ratelimit.AllocationReply) {
+	q.failures++
+	q.tokenCache.HandleFailure(now)
+	if asked == q.forwarder {
+		q.forwarder = ""
 	}
 	if grants != nil && !grants.Granted && grants.Allocator != "" && grants.Allocator != asked {
-		t.allocator, t.failures, t.forwarder = grants.Allocator, 0, ""
-		t.wake()
+		q.allocator, q.failures, q.forwarder = grants.Allocator, 0, ""
+		q.wake()
 	}
 }
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -77,45 +77,45 @@
 
 // State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
 // what it holds is the newest, and says so.
-func (d *SingletonRoles) State(ctx context.Context) State {
+func (s *SingletonRoles) State(ctx context.Context) State {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	newest, err := d.voters.ReadLatest(ctx)
-	a := d.agent
+	newest, err := s.voters.ReadLatest(ctx)
+	a := s.agent
 	now := a.config.Hub.Now()
-	s := State{Node: a.config.Settings.Name, Voters: d.voters.VoterSet().Voters, Confirmed: err == nil}
-	_, s.Ready = d.voters.Accepted()
-	d.mu.Lock()
-	duty := RoleState{Name: roleAllocator, Holder: d.allocatorLease.Holder(now)}
-	duty.Epoch, _ = d.allocatorLease.Holds(now)
-	duty.RemainingMs = d.allocatorLease.Remaining(now).Milliseconds()
-	d.mu.Unlock()
-	s.Roles = []RoleState{duty}
+	state := State{Node: a.config.Settings.Name, Voters: s.voters.VoterSet().Voters, Confirmed: err == nil}
+	_, state.Ready = s.voters.Accepted()
+	s.mu.Lock()
+	duty := RoleState{Name: roleAllocator, Holder: s.allocatorLease.Holder(now)}
+	duty.Epoch, _ = s.allocatorLease.Holds(now)
+	duty.RemainingMs = s.allocatorLease.Remaining(now).Milliseconds()
+	s.mu.Unlock()
+	state.Roles = []RoleState{duty}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s.Version = max(configuration.Version(a.current.Version), newest.Version).String()
+	state.Version = max(configuration.Version(a.current.Version), newest.Version).String()
 	for _, m := range a.view.Members() {
 		role := roleNameAccess
 		if m.Role == membership.RoleCore {
 			role = roleNameCore
 		}
-		s.Members = append(s.Members, MemberState{m.Address, m.Zone, role, m.Service, m.HeartbeatAge.Milliseconds()})
+		state.Members = append(state.Members, MemberState{m.Address, m.Zone, role, m.Service, m.HeartbeatAge.Milliseconds()})
 	}
 	for _, e := range a.registry.All(now) {
-		s.Endpoints = append(s.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.AppAddress, e.SidecarAddress, e.Slots,
+		state.Endpoints = append(state.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.AppAddress, e.SidecarAddress, e.Slots,
 			e.LeaseRemaining.Round(time.Millisecond).Milliseconds()})
 	}
-	return s
+	return state
 }
 
 // Handler serves GET /mesh/state to operators.
-func (d *SingletonRoles) Handler() http.Handler {
+func (s *SingletonRoles) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.Method != http.MethodGet || q.URL.Path != StatePath {
 			http.Error(w, "GET "+StatePath+" only", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(d.State(q.Context()))
+		_ = json.NewEncoder(w).Encode(s.State(q.Context()))
 	})
 }
--- a/internal/mesh/agent/survey.go
+++ b/internal/mesh/agent/survey.go
@@ -19,36 +19,36 @@
 }
 
 // observe takes a version that a peer holds. A new survey begins if none is under way; ask is then to be asked.
-func (s *versionPoll) observe(now time.Duration, peer string, version uint64, candidates func() []string) (ask []string) {
-	if !s.running {
-		s.running, s.startedAt, s.newest, s.unanswered = true, now, 0, map[string]bool{}
+func (v *versionPoll) observe(now time.Duration, peer string, version uint64, candidates func() []string) (ask []string) {
+	if !v.running {
+		v.running, v.startedAt, v.newest, v.unanswered = true, now, 0, map[string]bool{}
 		for _, p := range candidates() {
-			if p != peer && len(s.unanswered) < pollPeers && !s.unanswered[p] {
-				s.unanswered[p] = true
+			if p != peer && len(v.unanswered) < pollPeers && !v.unanswered[p] {
+				v.unanswered[p] = true
 				ask = append(ask, p)
 			}
 		}
 	}
-	s.record(peer, version)
+	v.record(peer, version)
 	return ask
 }
 
 // record takes an answer of a peer; version 0 says that it holds none.
-func (s *versionPoll) record(peer string, version uint64) {
-	if !s.running {
+func (v *versionPoll) record(peer string, version uint64) {
+	if !v.running {
 		return
 	}
-	delete(s.unanswered, peer)
-	if version > s.newest {
-		s.newest, s.newestPeer = version, peer
+	delete(v.unanswered, peer)
+	if version > v.newest {
+		v.newest, v.newestPeer = version, peer
 	}
 }
 
 // finish gives the newest version found and who holds it, once all have answered or the time is over. The survey is then finished.
-func (s *versionPoll) finish(now time.Duration) (peer string, version uint64, ok bool) {
-	if !s.running || len(s.unanswered) > 0 && now-s.startedAt < pollTimeout {
+func (v *versionPoll) finish(now time.Duration) (peer string, version uint64, ok bool) {
+	if !v.running || len(v.unanswered) > 0 && now-v.startedAt < pollTimeout {
 		return "", 0, false
 	}
-	s.running = false
-	return s.newestPeer, s.newest, s.newest > 0
+	v.running = false
+	return v.newestPeer, v.newest, v.newest > 0
 }
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -81,11 +81,11 @@
 }
 
 // serveReadiness answers the platform.
-func (a *sidecar) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	a.mu.Lock()
-	gone := a.shuttingDown
-	a.mu.Unlock()
-	if gone || a.outbound.Config() == nil {
+func (s *sidecar) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	s.mu.Lock()
+	gone := s.shuttingDown
+	s.mu.Unlock()
+	if gone || s.outbound.Config() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/internal/mesh/assembly/assembly_test.go
+++ b/internal/mesh/assembly/assembly_test.go
@@ -83,31 +83,31 @@
 	return m
 }
 
-func (m *testMesh) addMachine(name, role, ip, zone, service string) {
+func (t *testMesh) addMachine(name, role, ip, zone, service string) {
 	x := &testMachine{name: name, role: role, ip: ip, zone: zone, service: service, initial: true}
-	m.machines[name] = x
-	m.start(x)
+	t.machines[name] = x
+	t.start(x)
 	if service != "" {
-		m.startApplication(x, "i-"+name)
+		t.startApplication(x, "i-"+name)
 	}
 }
 
 // startApplication starts the endpoint on a machine.
-func (m *testMesh) startApplication(x *testMachine, id string) {
+func (t *testMesh) startApplication(x *testMachine, id string) {
 	a, err := application.Start(application.Options{ID: id, Service: x.service, Zone: x.zone, Address: x.ip + ":8103", Slots: 4,
-		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", m.subnet + ".1:8105", m.subnet + ".2:8105"}, Every: 150 * time.Millisecond})
-	m.Assert(err, qt.IsNil)
-	m.applications[x.name] = a
+		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"}, Every: 150 * time.Millisecond})
+	t.Assert(err, qt.IsNil)
+	t.applications[x.name] = a
 }
 
-func (m *testMesh) start(x *testMachine) {
+func (t *testMesh) start(x *testMachine) {
 	data := ""
 	if x.role == "core" {
-		folder := filepath.Join(m.folder, x.name)
-		m.Assert(os.MkdirAll(folder, 0o755), qt.IsNil)
+		folder := filepath.Join(t.folder, x.name)
+		t.Assert(os.MkdirAll(folder, 0o755), qt.IsNil)
 		data = fmt.Sprintf("dataDirectory = %q\n", folder)
 	}
-	path := filepath.Join(m.folder, x.name+".toml")
+	path := filepath.Join(t.folder, x.name+".toml")
 	text := fmt.Sprintf("[ownNode]\nnodeName = %q\nrole = %q\nipAddress = %q\nzone = %q\nregion = \"r\"\ninitialStart = %v\n%s",
 		x.name, x.role, x.ip, x.zone, x.initial, data)
 	if x.role == "access" {
@@ -115,22 +115,22 @@
 	}
 	text += fmt.Sprintf("[ownNode.limitSet]\nmemoryMb = 280\n%s[network]\ninternalPorts = [7640, 7655]\nseedNodes = [\"%s.1:8105\", \"%s.2:8105\", \"%s.3:8105\"]\n"+
 		"[network.listenAddresses]\ncontrol = \"%s:8105\"\noutbound = \"%s:8106\"\nreadiness = \"%s:8100\"\n[network.zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[termTable.boundSet]\n%s",
-		m.limits, m.subnet, m.subnet, m.subnet, x.ip, x.ip, x.ip, m.bounds)
-	m.Assert(os.WriteFile(path, []byte(text), 0o644), qt.IsNil)
-	_ = os.Remove(m.signalsFile(x))
+		t.limits, t.subnet, t.subnet, t.subnet, x.ip, x.ip, x.ip, t.bounds)
+	t.Assert(os.WriteFile(path, []byte(text), 0o644), qt.IsNil)
+	_ = os.Remove(t.signalsFile(x))
 	x.cmd = exec.Command(os.Args[0])
-	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.EnvironmentVariable+"="+path, "MESH_TEST_CAUGHT="+m.signalsFile(x))
+	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.EnvironmentVariable+"="+path, "MESH_TEST_CAUGHT="+t.signalsFile(x))
 	x.cmd.Stderr = os.Stderr
-	m.Assert(x.cmd.Start(), qt.IsNil)
+	t.Assert(x.cmd.Start(), qt.IsNil)
 	x.initial = false
 }
 
 // signalsFile is made by a machine's process once it catches signals.
-func (m *testMesh) signalsFile(x *testMachine) string {
-	return filepath.Join(m.folder, x.name+".caught")
+func (t *testMesh) signalsFile(x *testMachine) string {
+	return filepath.Join(t.folder, x.name+".caught")
 }
 
-func (m *testMesh) kill(x *testMachine) {
+func (t *testMesh) kill(x *testMachine) {
 	if x.cmd != nil {
 		_ = x.cmd.Process.Kill()
 		_ = x.cmd.Wait()
@@ -139,21 +139,21 @@
 }
 
 // waitFor waits for something, at most twenty seconds.
-func (m *testMesh) waitFor(what string, ok func() bool) {
-	m.Helper()
+func (t *testMesh) waitFor(what string, ok func() bool) {
+	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); {
 		if time.Now().After(end) {
 			for _, zone := range []string{"a", "b", "c"} {
-				if r, err := http.Get("http://" + m.machines["core-"+zone].ip + ":8105/mesh/state"); err == nil {
+				if r, err := http.Get("http://" + t.machines["core-"+zone].ip + ":8105/mesh/state"); err == nil {
 					state, _ := io.ReadAll(r.Body)
 					r.Body.Close()
-					m.Logf("core-%s: %s", zone, state)
+					t.Logf("core-%s: %s", zone, state)
 				}
 			}
-			m.Fatalf("%s: not within twenty seconds", what)
+			t.Fatalf("%s: not within twenty seconds", what)
 		}
 		select {
-		case <-m.applications["access-0"].Acked():
+		case <-t.applications["access-0"].Acked():
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -166,13 +166,13 @@
 }
 
 // send sends a request by a machine's sidecar, on a connection of its own.
-func (m *testMesh) send(name, method, path, key string, body []byte) (a response, id string) {
-	m.mu.Lock()
-	m.requestCount++
-	id = fmt.Sprintf("%016x", m.requestCount)
-	m.mu.Unlock()
-	q, err := http.NewRequest(method, "http://"+m.machines[name].ip+":8106"+path, bytes.NewReader(body))
-	m.Check(err, qt.IsNil)
+func (t *testMesh) send(name, method, path, key string, body []byte) (a response, id string) {
+	t.mu.Lock()
+	t.requestCount++
+	id = fmt.Sprintf("%016x", t.requestCount)
+	t.mu.Unlock()
+	q, err := http.NewRequest(method, "http://"+t.machines[name].ip+":8106"+path, bytes.NewReader(body))
+	t.Check(err, qt.IsNil)
 	q.Host = "shop.example"
 	q.Close = true
 	q.Header.Set("Attempt-Id", id)
@@ -194,7 +194,7 @@
 }
 
 // configuration is a configuration with routes for reading and booking, and what a change adds.
-func (m *testMesh) configuration(version int, extra string, keys ...string) []byte {
+func (t *testMesh) configuration(version int, extra string, keys ...string) []byte {
 	k, _ := json.Marshal(keys)
 	return []byte(fmt.Sprintf(`{"configVersion":"r%d","routeTable":[
 		{"name":"read","hostName":"shop.example","pathPrefix":"/read/","routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"board","maxAttempts":2,"publicAccess":false},
@@ -210,11 +210,11 @@
 
 // replaceConfiguration has an operator replace the configuration at any core process that answers; without a clear answer it is repeated unchanged,
 // as operators do.
-func (m *testMesh) replaceConfiguration(base int, config []byte) (status int) {
+func (t *testMesh) replaceConfiguration(base int, config []byte) (status int) {
 	client := http.Client{Timeout: 3 * time.Second}
 	for range 10 {
 		for _, zone := range []string{"a", "b", "c"} {
-			x := m.machines["core-"+zone]
+			x := t.machines["core-"+zone]
 			if x.cmd == nil {
 				continue
 			}
@@ -231,14 +231,14 @@
 	return status
 }
 
-func (m *testMesh) waitReady() {
-	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, "", "k1", "k2")) == 200 })
-	for name, x := range m.machines {
+func (t *testMesh) waitReady() {
+	t.waitFor("the first configuration", func() bool { return t.replaceConfiguration(0, t.configuration(1, "", "k1", "k2")) == 200 })
+	for name, x := range t.machines {
 		if x.role != "access" {
 			continue
 		}
 		for _, path := range []string{"/read/x", "/book/x"} {
-			m.waitFor(name+" serves "+path, func() bool { a, _ := m.send(name, "GET", path, "k1", nil); return a.status == 200 })
+			t.waitFor(name+" serves "+path, func() bool { a, _ := t.send(name, "GET", path, "k1", nil); return a.status == 200 })
 		}
 	}
 }
--- a/internal/mesh/assembly/replacement_test.go
+++ b/internal/mesh/assembly/replacement_test.go
@@ -18,7 +18,7 @@
 )
 
 // controlState asks a control machine for what it holds.
-func (m *testMesh) controlState(x *testMachine) (s agent.State, ok bool) {
+func (t *testMesh) controlState(x *testMachine) (s agent.State, ok bool) {
 	r, err := http.Get("http://" + x.ip + ":8105/mesh/state")
 	if err != nil {
 		return s, false
@@ -28,7 +28,7 @@
 }
 
 // retrieveConfiguration reads the newest configuration at a control machine; nil if it can't say.
-func (m *testMesh) retrieveConfiguration(x *testMachine) []byte {
+func (t *testMesh) retrieveConfiguration(x *testMachine) []byte {
 	r, err := http.Get("http://" + x.ip + ":8105/configuration/retrieve")
 	if err != nil {
 		return nil
@@ -42,29 +42,29 @@
 }
 
 // waitForVoter waits until a control machine is, or isn't, one of three voters, by the word of another one.
-func (m *testMesh) waitForVoter(asked, x *testMachine, want bool) {
-	m.waitFor("voters with "+x.name, func() bool {
-		s, ok := m.controlState(asked)
+func (t *testMesh) waitForVoter(asked, x *testMachine, want bool) {
+	t.waitFor("voters with "+x.name, func() bool {
+		s, ok := t.controlState(asked)
 		return ok && s.Confirmed && len(s.Voters) == 3 && slices.Contains(s.Voters, x.ip+":8105") == want
 	})
 }
 
 // restartWithEmptyDisk ends a control machine's process and starts it with an empty disk; it waits until the machine may vote again.
-func (m *testMesh) restartWithEmptyDisk(x *testMachine) {
-	m.kill(x)
-	m.Assert(os.RemoveAll(filepath.Join(m.folder, x.name)), qt.IsNil)
-	m.start(x)
-	m.waitFor(x.name+" is ready", func() bool {
-		s, ok := m.controlState(x)
+func (t *testMesh) restartWithEmptyDisk(x *testMachine) {
+	t.kill(x)
+	t.Assert(os.RemoveAll(filepath.Join(t.folder, x.name)), qt.IsNil)
+	t.start(x)
+	t.waitFor(x.name+" is ready", func() bool {
+		s, ok := t.controlState(x)
 		return ok && s.Ready
 	})
 }
 
 // startStandby starts an empty control machine at an address of its own.
-func (m *testMesh) startStandby(name, ip, zone string) *testMachine {
-	x := &testMachine{name: name, role: "core", ip: m.subnet + ip, zone: zone}
-	m.machines[name] = x
-	m.start(x)
+func (t *testMesh) startStandby(name, ip, zone string) *testMachine {
+	x := &testMachine{name: name, role: "core", ip: t.subnet + ip, zone: zone}
+	t.machines[name] = x
+	t.start(x)
 	return x
 }
 
--- a/internal/mesh/assembly/shutdown.go
+++ b/internal/mesh/assembly/shutdown.go
@@ -37,33 +37,33 @@
 
 // shutDown ends the sidecar in order: it says that it is not ready, serves on until clients have turned elsewhere, refuses who comes
 // later, and ends once each request that was read has its answer. What the endpoint here answered goes out to its callers too.
-func (a *sidecar) shutDown(clients net.Listener) {
-	plan := planShutdown(a.hub.Now(), a.settings.Bounds.Grace)
-	a.mu.Lock()
-	a.shuttingDown = true
-	a.mu.Unlock()
-	a.outbound.ShutDownBy(plan.answersDue)
-	if life, _ := a.inbound.Endpoint(); life.ID != "" {
-		a.agent.PublishEnd(life.ID, discovery.Crashed)
+func (s *sidecar) shutDown(clients net.Listener) {
+	plan := planShutdown(s.hub.Now(), s.settings.Bounds.Grace)
+	s.mu.Lock()
+	s.shuttingDown = true
+	s.mu.Unlock()
+	s.outbound.ShutDownBy(plan.answersDue)
+	if life, _ := s.inbound.Endpoint(); life.ID != "" {
+		s.agent.PublishEnd(life.ID, discovery.Crashed)
 	}
-	a.waitUntil(plan.rejectFrom, func() bool { return false })
-	a.outbound.RejectNewRequests()
-	if life, state := a.inbound.Endpoint(); life.ID != "" && state != admission.Terminated {
-		a.inbound.UpdateEndpoint(life, admission.Terminated)
+	s.waitUntil(plan.rejectFrom, func() bool { return false })
+	s.outbound.RejectNewRequests()
+	if life, state := s.inbound.Endpoint(); life.ID != "" && state != admission.Terminated {
+		s.inbound.UpdateEndpoint(life, admission.Terminated)
 	}
-	a.waitUntil(plan.answersDue, func() bool { return a.outbound.OpenRequests() == 0 && a.inbound.Pending() == 0 })
+	s.waitUntil(plan.answersDue, func() bool { return s.outbound.OpenRequests() == 0 && s.inbound.Pending() == 0 })
 	clients.Close()
-	a.outbound.CloseConnections()
-	a.waitUntil(plan.exitBy, func() bool { return a.outbound.OpenRequests() == 0 && a.outbound.OpenConnections() == 0 })
-	ctx, cancel := context.WithTimeout(context.Background(), plan.exitBy-a.hub.Now())
+	s.outbound.CloseConnections()
+	s.waitUntil(plan.exitBy, func() bool { return s.outbound.OpenRequests() == 0 && s.outbound.OpenConnections() == 0 })
+	ctx, cancel := context.WithTimeout(context.Background(), plan.exitBy-s.hub.Now())
 	defer cancel()
-	a.shutDownServers(ctx)
-	a.hub.Drain(plan.exitBy)
+	s.shutDownServers(ctx)
+	s.hub.Drain(plan.exitBy)
 }
 
 // waitUntil returns when done says so, at the given time at the latest.
-func (a *sidecar) waitUntil(at time.Duration, done func() bool) {
-	for a.hub.Now() < at && !done() {
+func (s *sidecar) waitUntil(at time.Duration, done func() bool) {
+	for s.hub.Now() < at && !done() {
 		time.Sleep(shutdownPollInterval)
 	}
 }
--- a/internal/mesh/assembly/shutdown_test.go
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -43,45 +43,45 @@
 	r       *bufio.Reader
 }
 
-func (c *testClient) close() {
-	if c.conn != nil {
-		c.conn.Close()
-		c.conn = nil
+func (t *testClient) close() {
+	if t.conn != nil {
+		t.conn.Close()
+		t.conn = nil
 	}
 }
 
 // do sends a request and reads its answer; refused tells that no connection came about.
-func (c *testClient) do(method, path string) (x clientExchange, refused bool) {
-	c.m.mu.Lock()
-	c.m.requestCount++
-	x.id, x.path = fmt.Sprintf("%016x", c.m.requestCount), path
-	c.m.mu.Unlock()
-	if c.conn == nil {
-		conn, err := net.Dial("tcp4", c.m.machines[c.machine].ip+":8106")
+func (t *testClient) do(method, path string) (x clientExchange, refused bool) {
+	t.m.mu.Lock()
+	t.m.requestCount++
+	x.id, x.path = fmt.Sprintf("%016x", t.m.requestCount), path
+	t.m.mu.Unlock()
+	if t.conn == nil {
+		conn, err := net.Dial("tcp4", t.m.machines[t.machine].ip+":8106")
 		if err != nil {
 			return x, true
 		}
-		c.conn, c.r = conn, bufio.NewReader(conn)
+		t.conn, t.r = conn, bufio.NewReader(conn)
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(20 * time.Second))
+	_ = t.conn.SetDeadline(time.Now().Add(20 * time.Second))
 	began := time.Now()
-	_, _ = fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: %s\r\nKey: k1\r\nTime-Remaining: 15000\r\n\r\n", method, path, x.id)
-	_, x.err = c.r.Peek(1)
+	_, _ = fmt.Fprintf(t.conn, "%s %s HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: %s\r\nKey: k1\r\nTime-Remaining: 15000\r\n\r\n", method, path, x.id)
+	_, x.err = t.r.Peek(1)
 	x.began = x.err == nil
 	if x.began {
-		x.status, x.err = c.read(method, x.id)
+		x.status, x.err = t.read(method, x.id)
 		x.answered = x.err == nil
 	}
 	x.held = time.Since(began)
-	if !x.answered || !c.keep {
-		c.close()
+	if !x.answered || !t.keep {
+		t.close()
 	}
 	return x, false
 }
 
 // read reads a whole answer, and checks that it is the request's.
-func (c *testClient) read(method, id string) (status int, err error) {
-	r, err := http.ReadResponse(c.r, &http.Request{Method: method})
+func (t *testClient) read(method, id string) (status int, err error) {
+	r, err := http.ReadResponse(t.r, &http.Request{Method: method})
 	if err != nil {
 		return 0, err
 	}
@@ -93,7 +93,7 @@
 		return r.StatusCode, fmt.Errorf("the answer to %q", r.Header.Get("Attempt-Id"))
 	}
 	if r.Close {
-		c.close()
+		t.close()
 	}
 	return r.StatusCode, nil
 }
--- a/internal/mesh/assembly/signals_test.go
+++ b/internal/mesh/assembly/signals_test.go
@@ -20,23 +20,23 @@
 	syscall.SIGUSR2, syscall.SIGHUP, syscall.SIGTERM}
 
 // signal sends signals to a machine's process, one right after the other.
-func (m *testMesh) signal(x *testMachine, signals ...os.Signal) {
+func (t *testMesh) signal(x *testMachine, signals ...os.Signal) {
 	for _, s := range signals {
 		_ = x.cmd.Process.Signal(s) // one that has ended is found by wait
 	}
 }
 
 // waitForSignalHandlers waits until a machine's process, just started, catches signals.
-func (m *testMesh) waitForSignalHandlers(x *testMachine) {
-	m.waitFor(x.name+" catches signals", func() bool {
-		_, err := os.Stat(m.signalsFile(x))
+func (t *testMesh) waitForSignalHandlers(x *testMachine) {
+	t.waitFor(x.name+" catches signals", func() bool {
+		_, err := os.Stat(t.signalsFile(x))
 		return err == nil
 	})
 }
 
 // waitForExit waits until a machine's process has ended by itself, and returns its error.
-func (m *testMesh) waitForExit(x *testMachine) error {
-	m.Helper()
+func (t *testMesh) waitForExit(x *testMachine) error {
+	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- x.cmd.Wait() }()
 	select {
@@ -44,7 +44,7 @@
 		x.cmd = nil
 		return err
 	case <-time.After(20 * time.Second):
-		m.Fatalf("%s has not ended", x.name)
+		t.Fatalf("%s has not ended", x.name)
 		return nil
 	}
 }
--- a/internal/mesh/control/configuration/configuration.go
+++ b/internal/mesh/control/configuration/configuration.go
@@ -48,7 +48,7 @@
 )
 
 // IsIdempotent reports whether a request may run more than once.
-func (k RouteKind) IsIdempotent() bool { return k == Idempotent || k == Downlink }
+func (r RouteKind) IsIdempotent() bool { return r == Idempotent || r == Downlink }
 
 // WeightedService is a service's part of a route's requests.
 type WeightedService struct {
--- a/internal/mesh/control/configuration/read.go
+++ b/internal/mesh/control/configuration/read.go
@@ -75,27 +75,27 @@
 	interned map[string]string // texts that are kept, each once, and not as a part of the whole body
 }
 
-func (r *parser) addFault(path, expected string, args ...any) {
-	if len(r.faults) < maxFaults {
-		r.faults = append(r.faults, path+": expected "+fmt.Sprintf(expected, args...))
+func (p *parser) addFault(path, expected string, args ...any) {
+	if len(p.faults) < maxFaults {
+		p.faults = append(p.faults, path+": expected "+fmt.Sprintf(expected, args...))
 	}
 }
 
-func (r *parser) intern(s string) string {
-	k, ok := r.interned[s]
+func (p *parser) intern(s string) string {
+	k, ok := p.interned[s]
 	if !ok {
 		k = strings.Clone(s)
-		r.interned[k] = k
+		p.interned[k] = k
 	}
 	return k
 }
 
 func isPresent(v gjson.Result) bool { return v.Exists() && v.Type != gjson.Null }
 
-func (r *parser) version(v gjson.Result) Version {
+func (p *parser) version(v gjson.Result) Version {
 	version, err := ParseVersion(v.Str)
 	if v.Type != gjson.String || err != nil || version == 0 {
-		r.addFault(fieldConfigVersion, "r and a number above 0, not %s", describe(v))
+		p.addFault(fieldConfigVersion, "r and a number above 0, not %s", describe(v))
 	}
 	return version
 }
@@ -112,12 +112,12 @@
 }
 
 // forEach calls f for the elements of a list; what isn't there is an empty one.
-func (r *parser) forEach(path string, list gjson.Result, f func(path string, v gjson.Result)) {
+func (p *parser) forEach(path string, list gjson.Result, f func(path string, v gjson.Result)) {
 	if !isPresent(list) {
 		return
 	}
 	if !list.IsArray() {
-		r.addFault(path, "a list, not %s", describe(list))
+		p.addFault(path, "a list, not %s", describe(list))
 		return
 	}
 	i := 0
@@ -129,56 +129,56 @@
 }
 
 // forEachObject is each for a list of objects.
-func (r *parser) forEachObject(path string, list gjson.Result, f func(path string, v gjson.Result)) {
-	r.forEach(path, list, func(path string, v gjson.Result) {
+func (p *parser) forEachObject(path string, list gjson.Result, f func(path string, v gjson.Result)) {
+	p.forEach(path, list, func(path string, v gjson.Result) {
 		if !v.IsObject() {
-			r.addFault(path, "an object, not %s", describe(v))
+			p.addFault(path, "an object, not %s", describe(v))
 			return
 		}
 		f(path, v)
 	})
 }
 
-func (r *parser) text(path string, v gjson.Result) string {
+func (p *parser) text(path string, v gjson.Result) string {
 	if v.Type != gjson.String {
-		r.addFault(path, "a text, not %s", describe(v))
+		p.addFault(path, "a text, not %s", describe(v))
 		return ""
 	}
-	return r.intern(v.Str)
+	return p.intern(v.Str)
 }
 
-func (r *parser) name(path string, v gjson.Result) string {
-	s := r.text(path, v)
+func (p *parser) name(path string, v gjson.Result) string {
+	s := p.text(path, v)
 	if s == "" && v.Type == gjson.String {
-		r.addFault(path, "a text that isn't empty")
+		p.addFault(path, "a text that isn't empty")
 	}
 	return s
 }
 
-func (r *parser) number(path string, v gjson.Result, missing float64) float64 {
+func (p *parser) number(path string, v gjson.Result, missing float64) float64 {
 	if !isPresent(v) {
 		return missing
 	}
 	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || math.IsNaN(v.Num) {
-		r.addFault(path, "a number, not %s", describe(v))
+		p.addFault(path, "a number, not %s", describe(v))
 		return missing
 	}
 	return v.Num
 }
 
 // integer is a number without its fraction, within what an int32 holds.
-func (r *parser) integer(path string, v gjson.Result, missing int) int {
-	return int(max(math.MinInt32, min(math.MaxInt32, r.number(path, v, float64(missing)))))
+func (p *parser) integer(path string, v gjson.Result, missing int) int {
+	return int(max(math.MinInt32, min(math.MaxInt32, p.number(path, v, float64(missing)))))
 }
 
 // duration reads a time: a number and its unit, ms or s.
-func (r *parser) duration(path string, v gjson.Result, missing time.Duration) time.Duration {
+func (p *parser) duration(path string, v gjson.Result, missing time.Duration) time.Duration {
 	if !isPresent(v) {
 		return missing
 	}
 	d, ok := parseDuration(v.Str)
 	if v.Type != gjson.String || !ok {
-		r.addFault(path, "a number with its unit, ms or s, not %s", describe(v))
+		p.addFault(path, "a number with its unit, ms or s, not %s", describe(v))
 	}
 	return d
 }
@@ -198,43 +198,43 @@
 	return time.Duration(max(-1<<62, min(1<<62, math.Round(x*unit)))), true
 }
 
-func (r *parser) boolean(path string, v gjson.Result) bool {
+func (p *parser) boolean(path string, v gjson.Result) bool {
 	if isPresent(v) && !v.IsBool() {
-		r.addFault(path, "true or false, not %s", describe(v))
+		p.addFault(path, "true or false, not %s", describe(v))
 	}
 	return v.Type == gjson.True
 }
 
-func (r *parser) services(c *Config, table gjson.Result) {
-	r.forEachObject(fieldServiceTable, table, func(path string, v gjson.Result) {
+func (p *parser) services(c *Config, table gjson.Result) {
+	p.forEachObject(fieldServiceTable, table, func(path string, v gjson.Result) {
 		s := Service{
-			Name:          r.name(path+"."+fieldName, v.Get(fieldName)),
+			Name:          p.name(path+"."+fieldName, v.Get(fieldName)),
 			HealthPath:    defaultHealthPath,
-			ConnectionCap: max(0, r.integer(path+"."+fieldConnectionCap, v.Get(fieldConnectionCap), 0)),
+			ConnectionCap: max(0, p.integer(path+"."+fieldConnectionCap, v.Get(fieldConnectionCap), 0)),
 		}
-		if p := v.Get(fieldHealthPath); isPresent(p) {
-			s.HealthPath = r.text(path+"."+fieldHealthPath, p)
+		if result := v.Get(fieldHealthPath); isPresent(result) {
+			s.HealthPath = p.text(path+"."+fieldHealthPath, result)
 		}
 		c.Services = append(c.Services, s)
 	})
 }
 
-func (r *parser) routes(c *Config, table gjson.Result) {
+func (p *parser) routes(c *Config, table gjson.Result) {
 	if !table.Exists() {
-		r.addFault(fieldRouteTable, "a list, not nothing")
+		p.addFault(fieldRouteTable, "a list, not nothing")
 	}
 	known := map[string]bool{}
 	for i := range c.Services {
 		known[c.Services[i].Name] = true
 	}
 	var paths []string
-	r.forEachObject(fieldRouteTable, table, func(path string, v gjson.Result) {
-		c.Routes = append(c.Routes, r.route(path, v, known))
+	p.forEachObject(fieldRouteTable, table, func(path string, v gjson.Result) {
+		c.Routes = append(c.Routes, p.route(path, v, known))
 		paths = append(paths, path)
 	})
 	for i := range c.Routes { // which don't move any more
 		if other := c.addToIndex(&c.Routes[i]); other != nil {
-			r.addFault(paths[i], "a host and a prefix of its own, not those of %q: %q %q", other.Name, other.Host, other.Prefix)
+			p.addFault(paths[i], "a host and a prefix of its own, not those of %q: %q %q", other.Name, other.Host, other.Prefix)
 		}
 	}
 }
@@ -245,8 +245,8 @@
 
 func (f fieldSet) Get(name string) gjson.Result { return f[name] }
 
-func (r *parser) route(path string, object gjson.Result, known map[string]bool) Route {
-	v := r.fields
+func (p *parser) route(path string, object gjson.Result, known map[string]bool) Route {
+	v := p.fields
 	clear(v)
 	object.ForEach(func(key, value gjson.Result) bool {
 		if _, ok := v[key.Str]; !ok {
@@ -255,16 +255,16 @@
 		return true
 	})
 	route := Route{
-		Host:        r.name(path+"."+fieldHostName, v.Get(fieldHostName)),
-		Prefix:      r.text(path+"."+fieldPathPrefix, v.Get(fieldPathPrefix)),
-		Timeout:     r.duration(path+"."+fieldTimeout, v.Get(fieldTimeout), 0),
-		Target:      r.duration(path+"."+fieldTarget, v.Get(fieldTarget), 0),
-		Priority:    r.integer(path+"."+fieldPriority, v.Get(fieldPriority), 0),
-		MaxAttempts: max(1, r.integer(path+"."+fieldMaxAttempts, v.Get(fieldMaxAttempts), 1)),
-		Public:      r.boolean(path+"."+fieldPublicAccess, v.Get(fieldPublicAccess)),
+		Host:        p.name(path+"."+fieldHostName, v.Get(fieldHostName)),
+		Prefix:      p.text(path+"."+fieldPathPrefix, v.Get(fieldPathPrefix)),
+		Timeout:     p.duration(path+"."+fieldTimeout, v.Get(fieldTimeout), 0),
+		Target:      p.duration(path+"."+fieldTarget, v.Get(fieldTarget), 0),
+		Priority:    p.integer(path+"."+fieldPriority, v.Get(fieldPriority), 0),
+		MaxAttempts: max(1, p.integer(path+"."+fieldMaxAttempts, v.Get(fieldMaxAttempts), 1)),
+		Public:      p.boolean(path+"."+fieldPublicAccess, v.Get(fieldPublicAccess)),
 	}
 	if name := v.Get(fieldName); isPresent(name) {
-		route.Name = r.text(path+"."+fieldName, name)
+		route.Name = p.text(path+"."+fieldName, name)
 	}
 	switch v.Get(fieldRouteKind).String() {
 	case kindIdempotent:
@@ -273,21 +273,21 @@
 		route.Kind = Downlink
 	}
 	if route.Timeout <= 0 {
-		r.addFault(path+"."+fieldTimeout, "a time above 0, not %s", describe(v.Get(fieldTimeout)))
+		p.addFault(path+"."+fieldTimeout, "a time above 0, not %s", describe(v.Get(fieldTimeout)))
 	}
 	refer := func(path string, v gjson.Result) string {
-		s := r.name(path, v)
+		s := p.name(path, v)
 		if s != "" && !known[s] {
-			r.addFault(path, "a service of serviceTable, not %q", s)
+			p.addFault(path, "a service of serviceTable, not %q", s)
 		}
 		return s
 	}
 	var sum float64
-	r.forEachObject(path+"."+fieldTrafficSplit, v.Get(fieldTrafficSplit), func(path string, v gjson.Result) {
+	p.forEachObject(path+"."+fieldTrafficSplit, v.Get(fieldTrafficSplit), func(path string, v gjson.Result) {
 		s := WeightedService{Service: refer(path+"."+fieldServiceName, v.Get(fieldServiceName)),
-			Weight: r.number(path+"."+fieldWeight, v.Get(fieldWeight), 0)}
+			Weight: p.number(path+"."+fieldWeight, v.Get(fieldWeight), 0)}
 		if s.Weight < 0 {
-			r.addFault(path+"."+fieldWeight, "0 or more, not %s", describe(v.Get(fieldWeight)))
+			p.addFault(path+"."+fieldWeight, "0 or more, not %s", describe(v.Get(fieldWeight)))
 		}
 		sum += s.Weight
 		route.Split = append(route.Split, s)
@@ -299,29 +299,29 @@
 			route.Split = []WeightedService{{Service: s, Weight: 1}}
 		}
 	case len(route.Split) == 0:
-		r.addFault(path, "a serviceName or a trafficSplit")
+		p.addFault(path, "a serviceName or a trafficSplit")
 	}
 	if len(route.Split) > 0 && sum <= 0 && !isPresent(service) {
-		r.addFault(path+"."+fieldTrafficSplit, "a weight above 0")
+		p.addFault(path+"."+fieldTrafficSplit, "a weight above 0")
 	} else if sum <= 0 && isPresent(service) {
-		route.Split = []WeightedService{{Service: r.intern(service.Str), Weight: 1}}
+		route.Split = []WeightedService{{Service: p.intern(service.Str), Weight: 1}}
 	}
 	return route
 }
 
-func (r *parser) limits(c *Config, v gjson.Result) {
+func (p *parser) limits(c *Config, v gjson.Result) {
 	if isPresent(v) && !v.IsObject() {
-		r.addFault(fieldLimitSet, "an object, not %s", describe(v))
+		p.addFault(fieldLimitSet, "an object, not %s", describe(v))
 		return
 	}
 	size := func(name string, missing int64) int64 {
-		if n := r.number(fieldLimitSet+"."+name, v.Get(name), 0); n >= 1 {
+		if n := p.number(fieldLimitSet+"."+name, v.Get(name), 0); n >= 1 {
 			return int64(min(n, 1<<62))
 		}
 		return missing
 	}
 	span := func(name string, missing time.Duration) time.Duration {
-		if d := r.duration(fieldLimitSet+"."+name, v.Get(name), 0); d > 0 {
+		if d := p.duration(fieldLimitSet+"."+name, v.Get(name), 0); d > 0 {
 			return d
 		}
 		return missing
@@ -332,19 +332,19 @@
 	}
 }
 
-func (r *parser) tenants(c *Config, table gjson.Result) {
+func (p *parser) tenants(c *Config, table gjson.Result) {
 	c.HasTenantTable = isPresent(table)
 	holders := map[string]int{}
-	r.forEachObject(fieldTenantTable, table, func(path string, v gjson.Result) {
+	p.forEachObject(fieldTenantTable, table, func(path string, v gjson.Result) {
 		t := Tenant{
-			Name:     r.name(path+"."+fieldName, v.Get(fieldName)),
-			Priority: r.integer(path+"."+fieldPriority, v.Get(fieldPriority), 0),
-			Rate:     max(0, r.number(path+"."+fieldRatePerS, v.Get(fieldRatePerS), 0)),
-			Burst:    max(0, r.number(path+"."+fieldBurstSize, v.Get(fieldBurstSize), 0)),
+			Name:     p.name(path+"."+fieldName, v.Get(fieldName)),
+			Priority: p.integer(path+"."+fieldPriority, v.Get(fieldPriority), 0),
+			Rate:     max(0, p.number(path+"."+fieldRatePerS, v.Get(fieldRatePerS), 0)),
+			Burst:    max(0, p.number(path+"."+fieldBurstSize, v.Get(fieldBurstSize), 0)),
 		}
 		at := len(c.Tenants)
-		r.forEach(path+"."+fieldAccessKeys, v.Get(fieldAccessKeys), func(path string, v gjson.Result) {
-			key := r.name(path, v)
+		p.forEach(path+"."+fieldAccessKeys, v.Get(fieldAccessKeys), func(path string, v gjson.Result) {
+			key := p.name(path, v)
 			if key == "" {
 				return
 			}
@@ -353,7 +353,7 @@
 				holders[key] = at
 				t.Keys = append(t.Keys, key)
 			case holder != at:
-				r.addFault(path, "a key of its own, not one of tenant %q", c.Tenants[holder].Name)
+				p.addFault(path, "a key of its own, not one of tenant %q", c.Tenants[holder].Name)
 			}
 		})
 		c.Tenants = append(c.Tenants, t)
--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -18,16 +18,16 @@
 }
 
 // Fields implements codec.Message. A record without an epoch is from before voters could change, and has the first membership.
-func (s *ReplicaState) Fields(v *codec.Visitor) {
-	v.Strings(1, &s.Voters)
-	v.Bool(2, &s.Ready)
-	v.Uint64(3, &s.DiskIncarnation)
-	s.DiskIncarnations.fields(v)
-	v.Message(5, &s.Promised)
-	v.Uint64(6, &s.Epoch)
-	v.Strings(7, &s.Previous)
-	v.Strings(8, &s.Retired)
-	v.Fixed64(9, (*uint64)(&s.System))
+func (r *ReplicaState) Fields(v *codec.Visitor) {
+	v.Strings(1, &r.Voters)
+	v.Bool(2, &r.Ready)
+	v.Uint64(3, &r.DiskIncarnation)
+	r.DiskIncarnations.fields(v)
+	v.Message(5, &r.Promised)
+	v.Uint64(6, &r.Epoch)
+	v.Strings(7, &r.Previous)
+	v.Strings(8, &r.Retired)
+	v.Fixed64(9, (*uint64)(&r.System))
 }
 
 // Record is all that a replica remembers. Both parts are written on their own: if the vote is there without the state that
@@ -65,7 +65,7 @@
 type Unsynced struct{ State, Vote bool }
 
 // Any tells whether there is something to write.
-func (c Unsynced) Any() bool { return c.State || c.Vote }
+func (u Unsynced) Any() bool { return u.State || u.Vote }
 
 // Handle answers a request. If parts of the record changed, the new record must be on disk before the answer leaves and
 // before the replica answers anything else; if the write fails the record has to be read again. r itself stays as it is.
--- a/internal/mesh/control/consensus/closing_test.go
+++ b/internal/mesh/control/consensus/closing_test.go
@@ -22,8 +22,8 @@
 
 // victims are the replicas whose disks are lost. Aimed, they are those that hold the newest votes; else they are drawn by lot. Disks
 // that are lost already count.
-func (x closing) victims(m *model) []*modelReplica {
-	left := x.tolerated
+func (c closing) victims(m *model) []*modelReplica {
+	left := c.tolerated
 	var candidates []*modelReplica
 	for _, p := range m.replicas {
 		if p.wiped {
@@ -33,15 +33,15 @@
 		}
 	}
 	m.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	if x.aimed {
+	if c.aimed {
 		slices.SortStableFunc(candidates, func(a, b *modelReplica) int { return b.disk.Vote.Ballot.Compare(a.disk.Vote.Ballot) })
 	}
 	return candidates[:max(min(left, len(candidates)), 0)]
 }
 
 // strike has the loss happen.
-func (x closing) strike(m *model) (wiped int) {
-	victims := x.victims(m)
+func (c closing) strike(m *model) (wiped int) {
+	victims := c.victims(m)
 	for _, p := range m.replicas {
 		m.stop(p)
 	}
--- a/internal/mesh/control/consensus/membership.go
+++ b/internal/mesh/control/consensus/membership.go
@@ -20,24 +20,24 @@
 }
 
 // Fields implements codec.Message.
-func (e *VoterSet) Fields(v *codec.Visitor) {
-	v.Uint64(1, &e.Epoch)
-	v.Strings(2, &e.Voters)
-	v.Strings(3, &e.Previous)
-	v.Strings(4, &e.Retired)
+func (v *VoterSet) Fields(visitor *codec.Visitor) {
+	visitor.Uint64(1, &v.Epoch)
+	visitor.Strings(2, &v.Voters)
+	visitor.Strings(3, &v.Previous)
+	visitor.Strings(4, &v.Retired)
 }
 
 // Contains tells whether a node votes.
-func (e *VoterSet) Contains(node string) bool { return slices.Contains(e.Voters, node) }
+func (v *VoterSet) Contains(node string) bool { return slices.Contains(v.Voters, node) }
 
 // conflictsWith tells whether two lists of one epoch name different voters; a list without voters says nothing.
-func (e *VoterSet) conflictsWith(other *VoterSet) bool {
-	return e.Epoch == other.Epoch && len(e.Voters) > 0 && len(other.Voters) > 0 && !slices.Equal(e.Voters, other.Voters)
+func (v *VoterSet) conflictsWith(other *VoterSet) bool {
+	return v.Epoch == other.Epoch && len(v.Voters) > 0 && len(other.Voters) > 0 && !slices.Equal(v.Voters, other.Voters)
 }
 
 // previousSet is the list of the epoch before, which is decided.
-func (e *VoterSet) previousSet() VoterSet {
-	return VoterSet{Epoch: e.Epoch - 1, Voters: e.Previous, Retired: e.Retired}
+func (v *VoterSet) previousSet() VoterSet {
+	return VoterSet{Epoch: v.Epoch - 1, Voters: v.Previous, Retired: v.Retired}
 }
 
 // VoterChange is one change of the voters. With both Add and Remove one voter is exchanged for another in one step.
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -35,19 +35,19 @@
 }
 
 // Fields implements codec.Message.
-func (q *Request) Fields(v *codec.Visitor) {
-	kind := uint64(q.Kind)
+func (r *Request) Fields(v *codec.Visitor) {
+	kind := uint64(r.Kind)
 	v.Uint64(1, &kind)
-	q.Kind = RequestKind(kind)
-	v.Message(2, &q.Ballot)
-	v.Message(3, &q.KnownBallot)
-	v.Message(4, &q.Value)
-	v.String(5, &q.Node)
-	v.Uint64(6, &q.DiskIncarnation)
-	v.Uint64(7, &q.Epoch)
-	v.Message(8, &q.VoterSet)
-	v.Fixed64(9, (*uint64)(&q.System))
-	v.String(10, &q.Sender)
+	r.Kind = RequestKind(kind)
+	v.Message(2, &r.Ballot)
+	v.Message(3, &r.KnownBallot)
+	v.Message(4, &r.Value)
+	v.String(5, &r.Node)
+	v.Uint64(6, &r.DiskIncarnation)
+	v.Uint64(7, &r.Epoch)
+	v.Message(8, &r.VoterSet)
+	v.Fixed64(9, (*uint64)(&r.System))
+	v.String(10, &r.Sender)
 }
 
 // ReplyKind is how a request was answered.
@@ -108,10 +108,10 @@
 }
 
 // Fields implements codec.Message.
-func (o *Vote) Fields(v *codec.Visitor) {
-	v.Message(1, &o.Ballot)
-	v.Message(2, &o.Value)
-	v.Bool(3, &o.Learned)
+func (v *Vote) Fields(visitor *codec.Visitor) {
+	visitor.Message(1, &v.Ballot)
+	visitor.Message(2, &v.Value)
+	visitor.Bool(3, &v.Learned)
 }
 
 // DiskIncarnations are, by voter, the newest incarnation that a replica was told of. A voter begins one when it lost its disk.
@@ -122,18 +122,18 @@
 const maxDiskIncarnations = 128
 
 // prune drops the lowest, which as a rule are the oldest, of those that need not be kept.
-func (l DiskIncarnations) prune(keep func(node string) bool) {
-	for len(l) > maxDiskIncarnations {
+func (d DiskIncarnations) prune(keep func(node string) bool) {
+	for len(d) > maxDiskIncarnations {
 		drop := ""
-		for node, incarnation := range l {
-			if !keep(node) && (drop == "" || incarnation < l[drop] || incarnation == l[drop] && node < drop) {
+		for node, incarnation := range d {
+			if !keep(node) && (drop == "" || incarnation < d[drop] || incarnation == d[drop] && node < drop) {
 				drop = node
 			}
 		}
 		if drop == "" {
 			return
 		}
-		delete(l, drop)
+		delete(d, drop)
 	}
 }
 
@@ -142,21 +142,21 @@
 	number uint64
 }
 
-func (l *diskIncarnation) Fields(v *codec.Visitor) {
-	v.String(1, &l.node)
-	v.Uint64(2, &l.number)
+func (d *diskIncarnation) Fields(v *codec.Visitor) {
+	v.String(1, &d.node)
+	v.Uint64(2, &d.number)
 }
 
-func (l *DiskIncarnations) fields(v *codec.Visitor) {
+func (d *DiskIncarnations) fields(v *codec.Visitor) {
 	var list []diskIncarnation
-	for _, node := range slices.Sorted(maps.Keys(*l)) {
-		list = append(list, diskIncarnation{node, (*l)[node]})
+	for _, node := range slices.Sorted(maps.Keys(*d)) {
+		list = append(list, diskIncarnation{node, (*d)[node]})
 	}
 	codec.Messages(v, 4, &list)
 	if v.Reading() && len(list) > 0 {
-		*l = DiskIncarnations{}
+		*d = DiskIncarnations{}
 		for _, one := range list {
-			(*l)[one.node] = one.number
+			(*d)[one.node] = one.number
 		}
 	}
 }
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -42,10 +42,10 @@
 	promised Ballot
 }
 
-func (s *oldStanding) Fields(v *codec.Visitor) {
-	v.Strings(1, &s.voters)
-	v.Bool(2, &s.fit)
-	v.Uint64(3, &s.life)
-	s.lives.fields(v)
-	v.Message(5, &s.promised)
+func (o *oldStanding) Fields(v *codec.Visitor) {
+	v.Strings(1, &o.voters)
+	v.Bool(2, &o.fit)
+	v.Uint64(3, &o.life)
+	o.lives.fields(v)
+	v.Message(5, &o.promised)
 }
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -147,11 +147,11 @@
 // stop kills a process: what is synced stays.
 func (m *model) stop(p *modelReplica) { p.up, p.calls, p.writer, p.recovery = false, nil, nil, nil }
 
-func (p *modelReplica) observe(b Ballot) { p.highest = max(p.highest, b.Number) }
+func (m *modelReplica) observe(b Ballot) { m.highest = max(m.highest, b.Number) }
 
-func (p *modelReplica) adopt(e VoterSet) {
-	if len(e.Voters) > 0 && (len(p.membership.Voters) == 0 || e.Epoch > p.membership.Epoch) {
-		p.membership = e
+func (m *modelReplica) adopt(e VoterSet) {
+	if len(e.Voters) > 0 && (len(m.membership.Voters) == 0 || e.Epoch > m.membership.Epoch) {
+		m.membership = e
 	}
 }
 
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -36,9 +36,9 @@
 }
 
 // Recipients are those that have to be asked, as far as is known; the others asked so far answer only once.
-func (y *Recovery) Recipients() (nodes []string) {
-	for _, v := range append(slices.Clone(y.voterSet.Voters), y.pendingVoters...) {
-		if v != y.self && !slices.Contains(nodes, v) {
+func (r *Recovery) Recipients() (nodes []string) {
+	for _, v := range append(slices.Clone(r.voterSet.Voters), r.pendingVoters...) {
+		if v != r.self && !slices.Contains(nodes, v) {
 			nodes = append(nodes, v)
 		}
 	}
@@ -47,75 +47,75 @@
 
 // Step takes a voter's reply, and tells the record once there are enough; it is then to be written through. NextDiskIncarnation is
 // for another attempt, if this one fails.
-func (y *Recovery) Step(node string, reply *Reply) (Record, bool) {
-	if node == y.self || y.replies[node] != nil || reply.Kind == NotReady && !reply.BlankDisk || reply.Kind == ForeignSystem {
+func (r *Recovery) Step(node string, reply *Reply) (Record, bool) {
+	if node == r.self || r.replies[node] != nil || reply.Kind == NotReady && !reply.BlankDisk || reply.Kind == ForeignSystem {
 		return Record{}, false
 	}
-	y.replies[node] = reply
-	r := Record{State: ReplicaState{Ready: true, DiskIncarnation: y.diskIncarnation, DiskIncarnations: DiskIncarnations{}}}
-	for v, reply := range y.replies {
+	r.replies[node] = reply
+	record := Record{State: ReplicaState{Ready: true, DiskIncarnation: r.diskIncarnation, DiskIncarnations: DiskIncarnations{}}}
+	for v, reply := range r.replies {
 		lives := maps.Clone(reply.DiskIncarnations)
 		if lives == nil {
 			lives = DiskIncarnations{}
 		}
 		lives[v] = max(lives[v], reply.DiskIncarnation)
 		for node, life := range lives {
-			if node != y.self {
-				r.State.DiskIncarnations[node] = max(r.State.DiskIncarnations[node], life)
+			if node != r.self {
+				record.State.DiskIncarnations[node] = max(record.State.DiskIncarnations[node], life)
 			}
 		}
 		if reply.Kind != Reported {
 			continue
 		}
 		if reply.System != 0 {
-			r.State.System = reply.System
+			record.State.System = reply.System
 		}
-		if reply.Promised.Compare(r.State.Promised) > 0 {
-			r.State.Promised = reply.Promised
+		if reply.Promised.Compare(record.State.Promised) > 0 {
+			record.State.Promised = reply.Promised
 		}
-		if reply.Vote.Ballot.Compare(r.Vote.Ballot) > 0 {
-			r.Vote = reply.Vote
+		if reply.Vote.Ballot.Compare(record.Vote.Ballot) > 0 {
+			record.Vote = reply.Vote
 		}
-		if e := reply.VoterSet; e.Epoch > y.voterSet.Epoch {
-			y.voterSet = e
+		if e := reply.VoterSet; e.Epoch > r.voterSet.Epoch {
+			r.voterSet = e
 		}
-		if e := reply.Vote.Value.VoterSet; e.Epoch > y.voterSet.Epoch+1 {
-			y.voterSet = e.previousSet()
+		if e := reply.Vote.Value.VoterSet; e.Epoch > r.voterSet.Epoch+1 {
+			r.voterSet = e.previousSet()
 		}
 	}
-	enough := y.hasEnough(y.voterSet.Voters)
-	if y.pendingVoters = nil; r.Vote.Value.VoterSet.Epoch > y.voterSet.Epoch {
-		y.pendingVoters = r.Vote.Value.VoterSet.Voters
-		enough = enough && y.hasEnough(y.pendingVoters)
+	enough := r.hasEnough(r.voterSet.Voters)
+	if r.pendingVoters = nil; record.Vote.Value.VoterSet.Epoch > r.voterSet.Epoch {
+		r.pendingVoters = record.Vote.Value.VoterSet.Voters
+		enough = enough && r.hasEnough(r.pendingVoters)
 	}
-	r.State.VoterSet = y.voterSet
-	r.Vote.Learned = r.Vote.Ballot != Ballot{}
-	return r, enough || y.registerUnused()
+	record.State.VoterSet = r.voterSet
+	record.Vote.Learned = record.Vote.Ballot != Ballot{}
+	return record, enough || r.registerUnused()
 }
 
 // hasEnough tells whether so many voters of a list have answered that every majority of it with this replica's answer has one of
 // them.
-func (y *Recovery) hasEnough(list []string) bool {
+func (r *Recovery) hasEnough(list []string) bool {
 	n := 0
 	for _, v := range list {
-		if reply := y.replies[v]; v != y.self && reply != nil && reply.Kind == Reported {
+		if reply := r.replies[v]; v != r.self && reply != nil && reply.Kind == Reported {
 			n++
 		}
 	}
-	if !slices.Contains(list, y.self) {
+	if !slices.Contains(list, r.self) {
 		return n >= majority(len(list))
 	}
 	return n >= len(list)-majority(len(list))+1
 }
 
 // registerUnused tells whether nobody has accepted anything yet.
-func (y *Recovery) registerUnused() bool {
-	if !y.blankDisk || y.voterSet.Epoch > 0 || !y.voterSet.Contains(y.self) {
+func (r *Recovery) registerUnused() bool {
+	if !r.blankDisk || r.voterSet.Epoch > 0 || !r.voterSet.Contains(r.self) {
 		return false
 	}
-	for _, v := range y.voterSet.Voters {
-		reply := y.replies[v]
-		if v != y.self && (reply == nil || reply.Kind == Rejected || reply.Vote.Ballot != Ballot{}) {
+	for _, v := range r.voterSet.Voters {
+		reply := r.replies[v]
+		if v != r.self && (reply == nil || reply.Kind == Rejected || reply.Vote.Ballot != Ballot{}) {
 			return false
 		}
 	}
@@ -123,10 +123,10 @@
 }
 
 // NextDiskIncarnation is one above this one and all that were told.
-func (y *Recovery) NextDiskIncarnation() uint64 {
-	life := y.diskIncarnation
-	for _, reply := range y.replies {
-		life = max(life, reply.DiskIncarnations[y.self])
+func (r *Recovery) NextDiskIncarnation() uint64 {
+	life := r.diskIncarnation
+	for _, reply := range r.replies {
+		life = max(life, reply.DiskIncarnations[r.self])
 	}
 	return life + 1
 }
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -75,12 +75,12 @@
 }
 
 // Fields implements codec.Message. Older records hold the whole SHA-256.
-func (d *VersionDigest) Fields(v *codec.Visitor) {
-	v.Uint64(1, &d.Version)
-	sum := d.Digest[:]
-	v.Bytes(2, &sum)
-	if v.Reading() {
-		copy(d.Digest[:], sum)
+func (v *VersionDigest) Fields(visitor *codec.Visitor) {
+	visitor.Uint64(1, &v.Version)
+	sum := v.Digest[:]
+	visitor.Bytes(2, &sum)
+	if visitor.Reading() {
+		copy(v.Digest[:], sum)
 	}
 }
 
@@ -102,55 +102,55 @@
 }
 
 // Fields implements codec.Message.
-func (w *Value) Fields(v *codec.Visitor) {
-	v.Uint64(1, (*uint64)(&w.Version))
-	v.Bytes(2, &w.Body)
-	if v.Reading() {
-		w.decodeLegacyHistory(v)
+func (v *Value) Fields(visitor *codec.Visitor) {
+	visitor.Uint64(1, (*uint64)(&v.Version))
+	visitor.Bytes(2, &v.Body)
+	if visitor.Reading() {
+		v.decodeLegacyHistory(visitor)
 	}
-	codec.Messages(v, 4, &w.Refused)
-	v.Message(5, &w.VoterSet)
-	w.historyField(v)
-	v.Uint64(7, &w.TruncatedVersion)
+	codec.Messages(visitor, 4, &v.Refused)
+	visitor.Message(5, &v.VoterSet)
+	v.historyField(visitor)
+	visitor.Uint64(7, &v.TruncatedVersion)
 }
 
 // decodeLegacyHistory reads the history as records hold it that were written when 64 versions were remembered, without a note
 // of what was dropped.
-func (w *Value) decodeLegacyHistory(v *codec.Visitor) {
-	codec.Messages(v, 3, &w.History)
-	if len(w.History) > 0 {
-		w.TruncatedVersion = w.History[0].Version - 1
+func (v *Value) decodeLegacyHistory(visitor *codec.Visitor) {
+	codec.Messages(visitor, 3, &v.History)
+	if len(v.History) > 0 {
+		v.TruncatedVersion = v.History[0].Version - 1
 	}
 }
 
 // historyField is the history in one field: for each entry how far its version is above that of the entry before, as a
 // varint, and the digest.
-func (w *Value) historyField(v *codec.Visitor) {
+func (v *Value) historyField(visitor *codec.Visitor) {
 	const number = 6
 	var packed []byte
 	version := uint64(0)
-	if !v.Reading() {
-		for _, entry := range w.History {
+	if !visitor.Reading() {
+		for _, entry := range v.History {
 			packed = binary.AppendUvarint(packed, entry.Version-version)
 			packed = append(packed, entry.Digest[:]...)
 			version = entry.Version
 		}
-		v.Bytes(number, &packed)
+		visitor.Bytes(number, &packed)
 		return
 	}
-	v.Bytes(number, &packed)
+	visitor.Bytes(number, &packed)
 	for len(packed) > 0 {
 		step, n := binary.Uvarint(packed)
 		if n <= 0 || len(packed) < n+len(Digest{}) {
-			v.Fail(number, "ends within an entry of the history")
+			visitor.Fail(number, "ends within an entry of the history")
 			return
 		}
 		if version+step <= version {
-			v.Fail(number, "has versions that do not rise")
+			visitor.Fail(number, "has versions that do not rise")
 			return
 		}
 		version += step
-		w.History = append(w.History, VersionDigest{version, Digest(packed[n : n+len(Digest{})])})
+		v.History = append(v.History, VersionDigest{version, Digest(packed[n : n+len(Digest{})])})
 		packed = packed[n+len(Digest{}):]
 	}
 }
@@ -209,26 +209,26 @@
 }
 
 // recordRefusal remembers a refusal that w.Version alone doesn't rule out, if there is room.
-func (w *Value) recordRefusal(entry VersionDigest) (Verdict, *Value) {
-	if len(w.Refused) >= maxRefused {
-		return Unknown, w
+func (v *Value) recordRefusal(entry VersionDigest) (Verdict, *Value) {
+	if len(v.Refused) >= maxRefused {
+		return Unknown, v
 	}
-	next := *w
-	next.Refused = append(slices.Clone(w.Refused), entry)
+	next := *v
+	next.Refused = append(slices.Clone(v.Refused), entry)
 	return Conflict, &next
 }
 
 // successor is the value in which a change on w is in force.
-func (w *Value) successor(body []byte, entry VersionDigest) *Value {
-	next := Value{Version: configuration.Version(entry.Version), Body: body, TruncatedVersion: w.TruncatedVersion, VoterSet: w.VoterSet}
-	for _, refused := range w.Refused {
+func (v *Value) successor(body []byte, entry VersionDigest) *Value {
+	next := Value{Version: configuration.Version(entry.Version), Body: body, TruncatedVersion: v.TruncatedVersion, VoterSet: v.VoterSet}
+	for _, refused := range v.Refused {
 		if refused.Version > entry.Version {
 			next.Refused = append(next.Refused, refused)
 		}
 	}
-	kept := lastEntries(w.History, maxHistory-1)
-	if dropped := len(w.History) - len(kept); dropped > 0 {
-		next.TruncatedVersion = w.History[dropped-1].Version
+	kept := lastEntries(v.History, maxHistory-1)
+	if dropped := len(v.History) - len(kept); dropped > 0 {
+		next.TruncatedVersion = v.History[dropped-1].Version
 	}
 	next.History = append(kept, entry)
 	return &next
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -115,11 +115,11 @@
 	refused []oldDigest
 }
 
-func (w *oldValue) Fields(v *codec.Visitor) {
-	v.Uint64(1, &w.version)
-	v.Bytes(2, &w.body)
-	codec.Messages(v, 3, &w.history)
-	codec.Messages(v, 4, &w.refused)
+func (o *oldValue) Fields(v *codec.Visitor) {
+	v.Uint64(1, &o.version)
+	v.Bytes(2, &o.body)
+	codec.Messages(v, 3, &o.history)
+	codec.Messages(v, 4, &o.refused)
 }
 
 type oldDigest struct {
@@ -127,9 +127,9 @@
 	sum     [sha256.Size]byte
 }
 
-func (d *oldDigest) Fields(v *codec.Visitor) {
-	v.Uint64(1, &d.version)
-	sum := d.sum[:]
+func (o *oldDigest) Fields(v *codec.Visitor) {
+	v.Uint64(1, &o.version)
+	sum := o.sum[:]
 	v.Bytes(2, &sum)
 }
 
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -21,76 +21,76 @@
 const bodyBytes = 2 << 10
 
 // change puts the next version in force, at one server.
-func (x *testNetwork) change(ctx context.Context, i int, version configuration.Version, body string) {
-	outcome := x.server(i).Replace(ctx, version-1, config(version, body)).Outcome
-	x.c.Assert(outcome, qt.Equals, Applied, qt.Commentf("%v", version))
+func (t *testNetwork) change(ctx context.Context, i int, version configuration.Version, body string) {
+	outcome := t.server(i).Replace(ctx, version-1, config(version, body)).Outcome
+	t.c.Assert(outcome, qt.Equals, Applied, qt.Commentf("%v", version))
 }
 
 // traffic is what was sent and synced since.
-func (x *testNetwork) traffic(i int) (messages, bytes, syncs int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.messages, x.bytes[node(i)], x.syncs
+func (t *testNetwork) traffic(i int) (messages, bytes, syncs int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.messages, t.bytes[node(i)], t.syncs
 }
 
 // voteOnDisk is the version that a server's disk holds, and the length of its records.
-func (x *testNetwork) voteOnDisk(i int) (version configuration.Version, bytes int) {
-	x.testCore.mu.Lock()
-	m := x.disks[node(i)]
-	x.testCore.mu.Unlock()
+func (t *testNetwork) voteOnDisk(i int) (version configuration.Version, bytes int) {
+	t.testCore.mu.Lock()
+	m := t.disks[node(i)]
+	t.testCore.mu.Unlock()
 	var vote consensus.Vote
 	m.configure(func() {
 		for _, record := range m.records {
 			bytes += len(record)
 		}
-		x.c.Assert(codec.Unmarshal(m.records[voteKey], &vote), qt.IsNil)
+		t.c.Assert(codec.Unmarshal(m.records[voteKey], &vote), qt.IsNil)
 	})
 	return vote.Value.Version, bytes
 }
 
 // forget drops what came in force at a server so far.
-func (x *testNetwork) forget(i int) {
-	x.testCore.mu.Lock()
-	defer x.testCore.mu.Unlock()
-	x.notified[node(i)] = nil
+func (t *testNetwork) forget(i int) {
+	t.testCore.mu.Lock()
+	defer t.testCore.mu.Unlock()
+	t.notified[node(i)] = nil
 }
 
 // inForceSince checks that nothing older came in force at a server since.
-func (x *testNetwork) inForceSince(i int, oldest configuration.Version) {
-	x.testCore.mu.Lock()
-	defer x.testCore.mu.Unlock()
-	for _, v := range x.notified[node(i)] {
-		x.c.Assert(v >= oldest, qt.IsTrue, qt.Commentf("%v came in force after the restart", v))
+func (t *testNetwork) inForceSince(i int, oldest configuration.Version) {
+	t.testCore.mu.Lock()
+	defer t.testCore.mu.Unlock()
+	for _, v := range t.notified[node(i)] {
+		t.c.Assert(v >= oldest, qt.IsTrue, qt.Commentf("%v came in force after the restart", v))
 	}
 }
 
 // catchUp starts voter 2 again after a number of changes and has it take part in two more, the second with one other voter only.
 // It gives the bytes that the voter sent and received.
-func (x *testNetwork) catchUp(ctx context.Context, newest configuration.Version, body, label string) (bytes int) {
+func (t *testNetwork) catchUp(ctx context.Context, newest configuration.Version, body, label string) (bytes int) {
 	time.Sleep(time.Second) // of the bubble's time: nothing is under way
-	x.forget(2)
-	_, before, _ := x.traffic(2)
+	t.forget(2)
+	_, before, _ := t.traffic(2)
 	began := time.Now()
-	x.open(2, false)
-	x.c.Assert(x.newest(ctx, 2), qt.Equals, newest)
+	t.open(2, false)
+	t.c.Assert(t.newest(ctx, 2), qt.Equals, newest)
 	read := time.Since(began)
-	for ready := false; !ready; _, ready = x.server(2).Accepted() {
+	for ready := false; !ready; _, ready = t.server(2).Accepted() {
 		time.Sleep(time.Millisecond) // of the bubble's time
 	}
-	x.change(ctx, 2, newest+1, body)
-	x.sever(0, 3, true, true, true)
-	x.change(ctx, 2, newest+2, body)
+	t.change(ctx, 2, newest+1, body)
+	t.sever(0, 3, true, true, true)
+	t.change(ctx, 2, newest+2, body)
 	whole := time.Since(began)
-	x.sever(0, 3, true, true, false)
-	_, after, _ := x.traffic(2)
-	held, disk := x.voteOnDisk(2)
-	x.c.Assert(held, qt.Equals, newest+2)
+	t.sever(0, 3, true, true, false)
+	_, after, _ := t.traffic(2)
+	held, disk := t.voteOnDisk(2)
+	t.c.Assert(held, qt.Equals, newest+2)
 	synctest.Wait()
-	x.inForceSince(2, newest)
-	x.c.Logf("%s: read after %v, two changes after %v, %d bytes sent and received, %d on disk",
+	t.inForceSince(2, newest)
+	t.c.Logf("%s: read after %v, two changes after %v, %d bytes sent and received, %d on disk",
 		label, read.Round(time.Millisecond), whole.Round(time.Millisecond), after-before, disk)
-	x.c.Assert(whole < 2*time.Second, qt.IsTrue)
-	x.c.Assert(disk < bodyBytes+8<<10, qt.IsTrue)
+	t.c.Assert(whole < 2*time.Second, qt.IsTrue)
+	t.c.Assert(disk < bodyBytes+8<<10, qt.IsTrue)
 	return after - before
 }
 
--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -143,59 +143,59 @@
 	})
 }
 
-func (co *testCore) start(i int, first bool) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
+func (t *testCore) start(i int, first bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	self := node(i)
-	if co.disks[self] == nil {
-		co.disks[self] = &memoryStore{records: map[string][]byte{}}
+	if t.disks[self] == nil {
+		t.disks[self] = &memoryStore{records: map[string][]byte{}}
 	}
-	kept := co.disks[self]
+	kept := t.disks[self]
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var cores func() []string
-	if co.tolerated > 0 {
-		cores = func() []string { return co.cores(self) }
+	if t.tolerated > 0 {
+		cores = func() []string { return t.cores(self) }
 	}
-	d, err := Open(Options{Self: self, Seeds: co.seeds, Tolerated: co.tolerated, Cores: cores, InitialStart: first, Transport: link{co, self}, Log: log, Seed: 1,
+	d, err := Open(Options{Self: self, Seeds: t.seeds, Tolerated: t.tolerated, Cores: cores, InitialStart: first, Transport: link{t, self}, Log: log, Seed: 1,
 		OnCommit: func(w consensus.Value) {
-			co.mu.Lock()
-			defer co.mu.Unlock()
-			co.notified[self] = append(co.notified[self], w.Version)
+			t.mu.Lock()
+			defer t.mu.Unlock()
+			t.notified[self] = append(t.notified[self], w.Version)
 		},
 		openStore: func(string) (recordStore, error) { return kept, nil }})
-	co.c.Assert(err, qt.IsNil)
-	co.servers[self] = d
+	t.c.Assert(err, qt.IsNil)
+	t.servers[self] = d
 }
 
 // stop ends a server as a kill would: what is on disk stays.
-func (co *testCore) stop(i int) {
-	co.mu.Lock()
-	d := co.servers[node(i)]
-	delete(co.servers, node(i))
-	co.mu.Unlock()
+func (t *testCore) stop(i int) {
+	t.mu.Lock()
+	d := t.servers[node(i)]
+	delete(t.servers, node(i))
+	t.mu.Unlock()
 	d.Close()
 }
 
-func (co *testCore) server(i int) *Server { return co.servers[node(i)] }
+func (t *testCore) server(i int) *Server { return t.servers[node(i)] }
 
-func (co *testCore) isolate(i int, cut bool) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	co.isolated[node(i)] = cut
+func (t *testCore) isolate(i int, cut bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.isolated[node(i)] = cut
 }
 
 func config(v configuration.Version, more string) []byte {
 	return []byte(fmt.Sprintf(`{"configVersion":"%v","routeTable":[],"x":%q}`, v, more))
 }
 
-func (co *testCore) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
-	return co.server(i).Replace(ctx, base, config(v, "")).Outcome
+func (t *testCore) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
+	return t.server(i).Replace(ctx, base, config(v, "")).Outcome
 }
 
-func (co *testCore) newest(ctx context.Context, i int) configuration.Version {
-	w, err := co.server(i).ReadLatest(ctx)
-	co.c.Assert(err, qt.IsNil)
+func (t *testCore) newest(ctx context.Context, i int) configuration.Version {
+	w, err := t.server(i).ReadLatest(ctx)
+	t.c.Assert(err, qt.IsNil)
 	return w.Version
 }
 
--- a/internal/mesh/control/controlplane/cutoff_test.go
+++ b/internal/mesh/control/controlplane/cutoff_test.go
@@ -35,33 +35,33 @@
 	from    string
 }
 
-func (l oneWayLink) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
-	x := l.network
+func (o oneWayLink) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
+	x := o.network
 	x.testCore.mu.Lock()
 	d := x.servers[node]
 	x.testCore.mu.Unlock()
-	if d != nil && x.passes(l.from, node, len(request)) {
-		if reply, err := d.Serve(ctx, request); x.passes(node, l.from, len(reply)) {
+	if d != nil && x.passes(o.from, node, len(request)) {
+		if reply, err := d.Serve(ctx, request); x.passes(node, o.from, len(reply)) {
 			return reply, err
 		}
 	}
 	<-ctx.Done() // as a cut says nothing
-	return nil, trace.ConnectionProblem(ctx.Err(), "no way between %s and %s", l.from, node)
+	return nil, trace.ConnectionProblem(ctx.Err(), "no way between %s and %s", o.from, node)
 }
 
 // passes counts a message and tells whether it arrives, after its delay.
-func (x *testNetwork) passes(from, to string, bytes int) bool {
-	if !(link{x.testCore, from}).passes() {
+func (t *testNetwork) passes(from, to string, bytes int) bool {
+	if !(link{t.testCore, from}).passes() {
 		return false
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.severed[[2]string{from, to}] {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.severed[[2]string{from, to}] {
 		return false
 	}
-	x.messages++
-	x.bytes[from] += bytes
-	x.bytes[to] += bytes
+	t.messages++
+	t.bytes[from] += bytes
+	t.bytes[to] += bytes
 	return true
 }
 
@@ -71,11 +71,11 @@
 	network *testNetwork
 }
 
-func (d countingStore) Put(key string, data []byte) error {
-	d.network.mu.Lock()
-	d.network.syncs++
-	d.network.mu.Unlock()
-	return d.memoryStore.Put(key, data)
+func (c countingStore) Put(key string, data []byte) error {
+	c.network.mu.Lock()
+	c.network.syncs++
+	c.network.mu.Unlock()
+	return c.memoryStore.Put(key, data)
 }
 
 // runNetwork runs a test in a bubble, with n servers of which the first three are voters.
@@ -91,35 +91,35 @@
 }
 
 // openStore starts a server on its disk.
-func (x *testNetwork) open(i int, first bool) {
-	x.testCore.mu.Lock()
-	defer x.testCore.mu.Unlock()
+func (t *testNetwork) open(i int, first bool) {
+	t.testCore.mu.Lock()
+	defer t.testCore.mu.Unlock()
 	self := node(i)
-	if x.disks[self] == nil {
-		x.disks[self] = &memoryStore{records: map[string][]byte{}}
+	if t.disks[self] == nil {
+		t.disks[self] = &memoryStore{records: map[string][]byte{}}
 	}
-	kept := countingStore{x.disks[self], x}
+	kept := countingStore{t.disks[self], t}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d, err := Open(Options{Self: self, Seeds: x.seeds, InitialStart: first, Transport: oneWayLink{x, self}, Log: log, Seed: uint64(i),
+	d, err := Open(Options{Self: self, Seeds: t.seeds, InitialStart: first, Transport: oneWayLink{t, self}, Log: log, Seed: uint64(i),
 		OnCommit: func(w consensus.Value) {
-			x.testCore.mu.Lock()
-			defer x.testCore.mu.Unlock()
-			x.notified[self] = append(x.notified[self], w.Version)
+			t.testCore.mu.Lock()
+			defer t.testCore.mu.Unlock()
+			t.notified[self] = append(t.notified[self], w.Version)
 		},
 		openStore: func(string) (recordStore, error) { return kept, nil }})
-	x.c.Assert(err, qt.IsNil)
-	x.servers[self] = d
+	t.c.Assert(err, qt.IsNil)
+	t.servers[self] = d
 }
 
 // sever cuts what one server sends or receives.
-func (x *testNetwork) sever(i, n int, sends, receives, cut bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (t *testNetwork) sever(i, n int, sends, receives, cut bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for j := range n {
 		if j != i {
-			x.severed[[2]string{node(i), node(j)}] = cut && sends
-			x.severed[[2]string{node(j), node(i)}] = cut && receives
+			t.severed[[2]string{node(i), node(j)}] = cut && sends
+			t.severed[[2]string{node(j), node(i)}] = cut && receives
 		}
 	}
 }
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -182,20 +182,20 @@
 }
 
 // answers calls a server and writes down what it says.
-func (x goldenCall) answer(text io.Writer, d *Server) {
-	var body io.Reader = strings.NewReader(x.body)
-	if x.broken {
+func (g goldenCall) answer(text io.Writer, d *Server) {
+	var body io.Reader = strings.NewReader(g.body)
+	if g.broken {
 		body = iotest.ErrReader(errors.New("the link broke"))
 	}
-	r := httptest.NewRequest(x.method, x.path, body)
-	if x.base != nil {
-		r.Header["Base-Version"] = x.base
+	r := httptest.NewRequest(g.method, g.path, body)
+	if g.base != nil {
+		r.Header["Base-Version"] = g.base
 	}
 	w := httptest.NewRecorder()
 	d.Handler().ServeHTTP(w, r)
 	answer := w.Result()
 	defer answer.Body.Close()
-	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", x.name, x.method, x.path, x.base, answer.StatusCode)
+	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", g.name, g.method, g.path, g.base, answer.StatusCode)
 	for _, name := range slices.Sorted(maps.Keys(answer.Header)) {
 		fmt.Fprintf(text, "%s: %s\n", name, strings.Join(answer.Header[name], ", "))
 	}
--- a/internal/mesh/control/controlplane/growth_test.go
+++ b/internal/mesh/control/controlplane/growth_test.go
@@ -58,10 +58,10 @@
 }
 
 // insistOn sends a change again and again, as operators do, until there is a clear outcome.
-func (co *testCore) insistOn(ctx context.Context, i int, base, version configuration.Version, most time.Duration) (outcome Outcome) {
+func (t *testCore) insistOn(ctx context.Context, i int, base, version configuration.Version, most time.Duration) (outcome Outcome) {
 	for began := time.Now(); outcome == Unknown && time.Since(began) < most; {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		outcome = co.replace(call, i, base, version)
+		outcome = t.replace(call, i, base, version)
 		cancel()
 	}
 	return outcome
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -23,21 +23,21 @@
 }
 
 // send sends an order once, and gives the status.
-func (co *testCore) send(i int, o order) int {
+func (t *testCore) send(i int, o order) int {
 	r := httptest.NewRequest("POST", "/configuration/replace", strings.NewReader(o.body))
 	r.Header.Set("Base-Version", o.base.String())
 	w := httptest.NewRecorder()
-	co.server(i).Handler().ServeHTTP(w, r)
+	t.server(i).Handler().ServeHTTP(w, r)
 	if w.Code == http.StatusServiceUnavailable {
-		co.c.Assert(w.Header().Get("Retry-After"), qt.Equals, retryAfterSeconds)
+		t.c.Assert(w.Header().Get("Retry-After"), qt.Equals, retryAfterSeconds)
 	}
 	return w.Code
 }
 
 // insist sends an order to one server after the other until it is answered 200 or 412; the first answers are lost.
-func (co *testCore) insist(from int, o order, lost int) int {
+func (t *testCore) insist(from int, o order, lost int) int {
 	for n := 0; ; n++ {
-		status := co.send((from+n)%4, o)
+		status := t.send((from+n)%4, o)
 		if n >= lost && status != http.StatusServiceUnavailable {
 			return status
 		}
@@ -45,10 +45,10 @@
 }
 
 // everywhere wants one answer to an order from all servers.
-func (co *testCore) everywhere(status int, orders ...order) {
+func (t *testCore) everywhere(status int, orders ...order) {
 	for _, o := range orders {
 		for i := range 4 {
-			co.c.Assert(co.insist(i, o, 0), qt.Equals, status, qt.Commentf("server %d, %.40s", i, o.body))
+			t.c.Assert(t.insist(i, o, 0), qt.Equals, status, qt.Commentf("server %d, %.40s", i, o.body))
 		}
 	}
 }
--- a/internal/mesh/control/controlplane/presence.go
+++ b/internal/mesh/control/controlplane/presence.go
@@ -24,25 +24,25 @@
 }
 
 // track keeps to the processes of interest.
-func (t *failureDetector) track(now time.Time, nodes []string) {
-	if t.peers == nil {
-		t.peers = map[string]*peerState{}
+func (f *failureDetector) track(now time.Time, nodes []string) {
+	if f.peers == nil {
+		f.peers = map[string]*peerState{}
 	}
 	for _, node := range nodes {
-		if t.peers[node] == nil {
-			t.peers[node] = &peerState{awaitedSince: now}
+		if f.peers[node] == nil {
+			f.peers[node] = &peerState{awaitedSince: now}
 		}
 	}
-	for node := range t.peers {
+	for node := range f.peers {
 		if !slices.Contains(nodes, node) {
-			delete(t.peers, node)
+			delete(f.peers, node)
 		}
 	}
 }
 
 // resetTimeouts starts all silences anew: this process stood still itself.
-func (t *failureDetector) resetTimeouts(now time.Time) {
-	for _, p := range t.peers {
+func (f *failureDetector) resetTimeouts(now time.Time) {
+	for _, p := range f.peers {
 		p.awaitedSince, p.responsiveSince = now, now
 		if !p.lastReply.IsZero() {
 			p.lastReply = now
@@ -51,8 +51,8 @@
 }
 
 // startProbes are those that are to be asked now.
-func (t *failureDetector) startProbes() (nodes []string) {
-	for node, p := range t.peers {
+func (f *failureDetector) startProbes() (nodes []string) {
+	for node, p := range f.peers {
 		if !p.probing {
 			p.probing = true
 			nodes = append(nodes, node)
@@ -63,8 +63,8 @@
 }
 
 // observeReply takes an answer, or that none came.
-func (t *failureDetector) observeReply(now time.Time, node string, reply *consensus.Reply) {
-	p := t.peers[node]
+func (f *failureDetector) observeReply(now time.Time, node string, reply *consensus.Reply) {
+	p := f.peers[node]
 	if p == nil {
 		return
 	}
@@ -87,9 +87,9 @@
 }
 
 // unresponsive are those of a list that have not answered for consensus.ReplaceDelay.
-func (t *failureDetector) unresponsive(now time.Time, list []string) (nodes []string) {
+func (f *failureDetector) unresponsive(now time.Time, list []string) (nodes []string) {
 	for _, node := range list {
-		if p := t.peers[node]; p != nil && p.unresponsiveFor(now) >= consensus.ReplaceDelay {
+		if p := f.peers[node]; p != nil && p.unresponsiveFor(now) >= consensus.ReplaceDelay {
 			nodes = append(nodes, node)
 		}
 	}
@@ -97,8 +97,8 @@
 }
 
 // peers is what the planner is told: own are the voters that are silent here, if this process votes.
-func (t *failureDetector) peerStatuses(now time.Time, voters, own []string, dropped func(node string) bool) (list []consensus.PeerStatus) {
-	for node, p := range t.peers {
+func (f *failureDetector) peerStatuses(now time.Time, voters, own []string, dropped func(node string) bool) (list []consensus.PeerStatus) {
+	for node, p := range f.peers {
 		one := consensus.PeerStatus{Node: node, Ready: p.ready, RemovedFromSeeds: dropped(node), StateDuration: p.unresponsiveFor(now)}
 		if !p.lastReply.IsZero() && one.StateDuration < consensus.ReplaceDelay {
 			one.Responsive, one.StateDuration = true, now.Sub(p.responsiveSince)
@@ -107,7 +107,7 @@
 			one.UnresponsiveReports++
 		}
 		for _, v := range voters {
-			if other := t.peers[v]; other != nil && other.unresponsiveFor(now) < consensus.ReplaceDelay && slices.Contains(other.unresponsive, node) {
+			if other := f.peers[v]; other != nil && other.unresponsiveFor(now) < consensus.ReplaceDelay && slices.Contains(other.unresponsive, node) {
 				one.UnresponsiveReports++
 			}
 		}
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -59,49 +59,49 @@
 }
 
 // tick is one turn: probe, tell what was found, plan, act.
-func (r *voterManager) tick(now time.Time) {
-	d := r.server
-	if now.Sub(r.lastTick) > suspendThreshold {
-		r.detector.resetTimeouts(now)
+func (v *voterManager) tick(now time.Time) {
+	d := v.server
+	if now.Sub(v.lastTick) > suspendThreshold {
+		v.detector.resetTimeouts(now)
 	}
-	r.lastTick = now
+	v.lastTick = now
 	e := d.VoterSet()
-	r.detector.track(now, r.peers(e))
-	r.limiter.observe(now, e)
-	if r.ticks++; r.ticks%probeTicks == 0 {
-		r.probe()
+	v.detector.track(now, v.peers(e))
+	v.limiter.observe(now, e)
+	if v.ticks++; v.ticks%probeTicks == 0 {
+		v.probe()
 		d.persistVoterSet(e)
 	}
 	if d.options.Cores == nil {
 		return
 	}
-	presence := r.peerStatuses(now, e)
-	change := r.plan(now, e, presence)
-	if change == (consensus.VoterChange{}) || r.changing || now.Sub(r.plannedSince) < rankDelay*time.Duration(rank(d.options.Self, presence)) {
+	presence := v.peerStatuses(now, e)
+	change := v.plan(now, e, presence)
+	if change == (consensus.VoterChange{}) || v.changing || now.Sub(v.plannedSince) < rankDelay*time.Duration(rank(d.options.Self, presence)) {
 		return
 	}
-	r.changing = true
+	v.changing = true
 	d.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(d.ctx, reconfigureTimeout)
 		defer cancel()
 		if err := d.changeVoters(ctx, e, change); err != nil {
 			d.options.Log.WithError(err).WithField("add", change.Add).WithField("remove", change.Remove).Warn("voters can't be changed")
 		}
-		r.changeDone <- struct{}{}
+		v.changeDone <- struct{}{}
 	})
 }
 
 // peers are the processes whose answers matter: voters, and all that are there.
-func (r *voterManager) peers(e consensus.VoterSet) []string {
-	nodes := append(r.server.runningCores(), e.Voters...)
+func (v *voterManager) peers(e consensus.VoterSet) []string {
+	nodes := append(v.server.runningCores(), e.Voters...)
 	slices.Sort(nodes)
-	return slices.DeleteFunc(slices.Compact(nodes), func(s string) bool { return s == r.server.options.Self })
+	return slices.DeleteFunc(slices.Compact(nodes), func(s string) bool { return s == v.server.options.Self })
 }
 
 // probe asks the others what they know. It also brings newer lists of voters.
-func (r *voterManager) probe() {
-	d := r.server
-	for _, node := range r.detector.startProbes() {
+func (v *voterManager) probe() {
+	d := v.server
+	for _, node := range v.detector.startProbes() {
 		d.wg.Go(func() {
 			reply, err := d.describe(d.ctx, node)
 			if err == nil {
@@ -109,7 +109,7 @@
 				d.adoptVoterSet(reply.VoterSet)
 			}
 			select {
-			case r.replies <- peerReply{node, reply}:
+			case v.replies <- peerReply{node, reply}:
 			case <-d.ctx.Done():
 			}
 		})
@@ -117,46 +117,46 @@
 }
 
 // peers is what is known of the others now. It is also what this process tells them.
-func (r *voterManager) peerStatuses(now time.Time, e consensus.VoterSet) []consensus.PeerStatus {
-	d := r.server
-	silent := r.detector.unresponsive(now, e.Voters)
+func (v *voterManager) peerStatuses(now time.Time, e consensus.VoterSet) []consensus.PeerStatus {
+	d := v.server
+	silent := v.detector.unresponsive(now, e.Voters)
 	d.mu.Lock()
 	seeds := d.seeds
 	d.unresponsive = silent
 	d.mu.Unlock()
 	for _, s := range seeds {
-		if !slices.Contains(r.seedsSeen, s) {
-			r.seedsSeen = append(r.seedsSeen, s)
+		if !slices.Contains(v.seedsSeen, s) {
+			v.seedsSeen = append(v.seedsSeen, s)
 		}
 	}
 	own := silent
 	if !e.Contains(d.options.Self) {
 		own = nil
 	}
-	presence := r.detector.peerStatuses(now, e.Voters, own, func(node string) bool {
-		return slices.Contains(r.seedsSeen, node) && !slices.Contains(seeds, node)
+	presence := v.detector.peerStatuses(now, e.Voters, own, func(node string) bool {
+		return slices.Contains(v.seedsSeen, node) && !slices.Contains(seeds, node)
 	})
 	d.mu.Lock()
 	d.peers = presence
 	if !e.Contains(d.options.Self) && d.ready {
 		presence = append(slices.Clone(presence), consensus.PeerStatus{Node: d.options.Self, Responsive: true, StateDuration: now.Sub(d.readySince), Ready: true,
-			RemovedFromSeeds: slices.Contains(r.seedsSeen, d.options.Self) && !slices.Contains(seeds, d.options.Self)})
+			RemovedFromSeeds: slices.Contains(v.seedsSeen, d.options.Self) && !slices.Contains(seeds, d.options.Self)})
 	}
 	d.mu.Unlock()
 	return presence
 }
 
 // plan is the change that is needed, if it may be made yet.
-func (r *voterManager) plan(now time.Time, e consensus.VoterSet, presence []consensus.PeerStatus) consensus.VoterChange {
+func (v *voterManager) plan(now time.Time, e consensus.VoterSet, presence []consensus.PeerStatus) consensus.VoterChange {
 	var change consensus.VoterChange
 	if len(e.Voters) > 0 {
-		change = consensus.PlanVoterChange(e, presence, r.server.options.Tolerated)
+		change = consensus.PlanVoterChange(e, presence, v.server.options.Tolerated)
 	}
-	if change.Remove != "" && !r.limiter.allows(now, r.server.options.Tolerated) {
+	if change.Remove != "" && !v.limiter.allows(now, v.server.options.Tolerated) {
 		change = consensus.VoterChange{}
 	}
-	if change != r.planned {
-		r.planned, r.plannedSince = change, now
+	if change != v.planned {
+		v.planned, v.plannedSince = change, now
 	}
 	return change
 }
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -15,11 +15,11 @@
 )
 
 // cores are the servers that one of them can reach.
-func (co *testCore) cores(self string) (list []string) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	for node := range co.servers {
-		if !co.isolated[node] && !co.isolated[self] {
+func (t *testCore) cores(self string) (list []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for node := range t.servers {
+		if !t.isolated[node] && !t.isolated[self] {
 			list = append(list, node)
 		}
 	}
@@ -39,8 +39,8 @@
 }
 
 // everyone tells whether all servers know of so many voters.
-func (co *testCore) everyone(voters int) bool {
-	for _, d := range co.servers {
+func (t *testCore) everyone(voters int) bool {
+	for _, d := range t.servers {
 		if len(d.Voters()) != voters {
 			return false
 		}
@@ -49,15 +49,15 @@
 }
 
 // await waits for something, of the bubble's time.
-func (co *testCore) await(most time.Duration, done func() bool) {
+func (t *testCore) await(most time.Duration, done func() bool) {
 	for began := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
-		co.c.Assert(time.Since(began) < most, qt.IsTrue, qt.Commentf("not after %v", most))
+		t.c.Assert(time.Since(began) < most, qt.IsTrue, qt.Commentf("not after %v", most))
 	}
 }
 
-func (co *testCore) lose(i int) {
-	co.stop(i)
-	co.disks[node(i)] = nil
+func (t *testCore) lose(i int) {
+	t.stop(i)
+	t.disks[node(i)] = nil
 }
 
 // Three voters become five by themselves. Then two of the five die, or lose their disks, right after an acknowledgement that
@@ -305,8 +305,8 @@
 	life   uint64
 }
 
-func (s *oldStanding) Fields(v *codec.Visitor) {
-	v.Strings(1, &s.voters)
-	v.Bool(2, &s.fit)
-	v.Uint64(3, &s.life)
+func (o *oldStanding) Fields(v *codec.Visitor) {
+	v.Strings(1, &o.voters)
+	v.Bool(2, &o.fit)
+	v.Uint64(3, &o.life)
 }
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -79,26 +79,26 @@
 	diskIncarnation uint64 // of the attempt to recover
 }
 
-func (k *acceptor) run() {
+func (a *acceptor) run() {
 	defer func() {
-		if k.store != nil {
-			_ = k.store.Close() // all that counts was written through
+		if a.store != nil {
+			_ = a.store.Close() // all that counts was written through
 		}
 	}()
-	if !k.loadUntilDone() {
+	if !a.loadUntilDone() {
 		return
 	}
 	for {
 		select {
-		case <-k.server.ctx.Done():
+		case <-a.server.ctx.Done():
 			return
-		case j := <-k.server.jobs:
+		case j := <-a.server.jobs:
 			if j.ctx.Err() != nil {
 				continue // who asked has gone while the disk was slow
 			}
-			reply, err := k.handle(j)
+			reply, err := a.handle(j)
 			if err != nil {
-				k.server.options.Log.WithError(err).Warn("the voter's record can't be kept")
+				a.server.options.Log.WithError(err).Warn("the voter's record can't be kept")
 			}
 			j.result <- acceptorResult{reply, err}
 		}
@@ -107,149 +107,149 @@
 
 // loadUntilDone loads the record for the first time, however long it takes. It logs why it can't, once for each reason. It returns false
 // if the server ends before.
-func (k *acceptor) loadUntilDone() bool {
+func (a *acceptor) loadUntilDone() bool {
 	pause, logged := minBackoff, ""
 	for {
-		err := k.load()
+		err := a.load()
 		if err == nil {
 			return true
 		}
 		if reason := err.Error(); reason != logged {
-			k.server.options.Log.WithError(err).Warn("the replica's record can't be read")
+			a.server.options.Log.WithError(err).Warn("the replica's record can't be read")
 			logged = reason
 		}
-		if k.server.backOff(k.server.ctx, &pause) != nil {
+		if a.server.backOff(a.server.ctx, &pause) != nil {
 			return false
 		}
 	}
 }
 
-func (k *acceptor) handle(j *acceptorJob) (*consensus.Reply, error) {
-	if !k.loaded {
-		if err := k.load(); err != nil {
+func (a *acceptor) handle(j *acceptorJob) (*consensus.Reply, error) {
+	if !a.loaded {
+		if err := a.load(); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
 	switch {
 	case j.recovered != nil:
-		return nil, trace.Wrap(k.installRecovered(j.recovered))
-	case k.lost && j.decided != nil:
+		return nil, trace.Wrap(a.installRecovered(j.recovered))
+	case a.lost && j.decided != nil:
 		return nil, nil
-	case k.lost:
-		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, BlankDisk: k.blankDisk, DiskIncarnation: k.diskIncarnation}, nil
+	case a.lost:
+		return &consensus.Reply{Kind: consensus.NotReady, Ballot: j.request.Ballot, BlankDisk: a.blankDisk, DiskIncarnation: a.diskIncarnation}, nil
 	case j.decided != nil:
-		return nil, trace.Wrap(k.learnVoterSet(*j.decided))
+		return nil, trace.Wrap(a.learnVoterSet(*j.decided))
 	case j.request.Kind == consensus.Commit:
-		return k.handleCommit(j.request)
+		return a.handleCommit(j.request)
 	}
-	reply, next, changed := k.record.Handle(j.request)
-	if err := k.persist(next, changed); err != nil {
+	reply, next, changed := a.record.Handle(j.request)
+	if err := a.persist(next, changed); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &reply, nil
 }
 
 // installRecovered goes on with a record that was made anew.
-func (k *acceptor) installRecovered(r *consensus.Record) error {
-	if !k.lost {
+func (a *acceptor) installRecovered(r *consensus.Record) error {
+	if !a.lost {
 		return trace.AlreadyExists("the record is here")
 	}
-	if err := k.replace(r); err != nil {
+	if err := a.replace(r); err != nil {
 		return trace.Wrap(err)
 	}
-	k.lost = false
-	k.adopt(*r)
+	a.lost = false
+	a.adopt(*r)
 	return nil
 }
 
 // handleCommit takes the news that a value is committed, and which membership is decided.
-func (k *acceptor) handleCommit(q *consensus.Request) (*consensus.Reply, error) {
-	if v := k.record.Vote; v.Ballot == q.Ballot {
-		k.server.learn(v)
-		if err := k.learnVoterSet(v.Value.VoterSet); err != nil {
+func (a *acceptor) handleCommit(q *consensus.Request) (*consensus.Reply, error) {
+	if v := a.record.Vote; v.Ballot == q.Ballot {
+		a.server.learn(v)
+		if err := a.learnVoterSet(v.Value.VoterSet); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	if err := k.learnVoterSet(q.VoterSet); err != nil {
+	if err := a.learnVoterSet(q.VoterSet); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &consensus.Reply{Kind: consensus.Reported}, nil
 }
 
-func (k *acceptor) learnVoterSet(e consensus.VoterSet) error {
-	next, changed := k.record.LearnVoters(e)
-	return trace.Wrap(k.persist(next, changed))
+func (a *acceptor) learnVoterSet(e consensus.VoterSet) error {
+	next, changed := a.record.LearnVoters(e)
+	return trace.Wrap(a.persist(next, changed))
 }
 
 // persist writes what changed of a record, and goes on with it.
-func (k *acceptor) persist(next consensus.Record, changed consensus.Unsynced) error {
+func (a *acceptor) persist(next consensus.Record, changed consensus.Unsynced) error {
 	if !changed.Any() {
 		return nil
 	}
-	if err := k.save(&next, changed); err != nil {
+	if err := a.save(&next, changed); err != nil {
 		return trace.Wrap(err)
 	}
-	k.setRecord(next)
+	a.setRecord(next)
 	return nil
 }
 
 // setRecord goes on with a record that is on disk.
-func (k *acceptor) setRecord(r consensus.Record) {
-	k.record, k.loaded, k.hadRecord = r, true, true
-	k.server.mu.Lock()
-	defer k.server.mu.Unlock()
-	if r.State.Ready && !k.server.ready {
-		k.server.readySince = time.Now()
+func (a *acceptor) setRecord(r consensus.Record) {
+	a.record, a.loaded, a.hadRecord = r, true, true
+	a.server.mu.Lock()
+	defer a.server.mu.Unlock()
+	if r.State.Ready && !a.server.ready {
+		a.server.readySince = time.Now()
 	}
-	k.server.persistedEpoch, k.server.acceptedEpoch, k.server.ready = r.DecidedVoters().Epoch, r.Vote.Value.VoterSet.Epoch, r.State.Ready
+	a.server.persistedEpoch, a.server.acceptedEpoch, a.server.ready = r.DecidedVoters().Epoch, r.Vote.Value.VoterSet.Epoch, r.State.Ready
 }
 
 // adopt takes a record that is on disk.
-func (k *acceptor) adopt(r consensus.Record) {
-	k.setRecord(r)
-	k.server.adoptSystemID(r.State.System)
-	k.server.adoptVoterSet(r.DecidedVoters())
-	k.server.observeBallot(r.State.Promised)
-	k.server.observeBallot(r.Vote.Ballot)
+func (a *acceptor) adopt(r consensus.Record) {
+	a.setRecord(r)
+	a.server.adoptSystemID(r.State.System)
+	a.server.adoptVoterSet(r.DecidedVoters())
+	a.server.observeBallot(r.State.Promised)
+	a.server.observeBallot(r.Vote.Ballot)
 }
 
-func (k *acceptor) put(key string, m codec.Message) error {
-	if err := k.store.Put(key, codec.MarshalAppend(nil, m)); err != nil {
-		k.loaded = false // and what is on disk may be either
+func (a *acceptor) put(key string, m codec.Message) error {
+	if err := a.store.Put(key, codec.MarshalAppend(nil, m)); err != nil {
+		a.loaded = false // and what is on disk may be either
 		return trace.Wrap(err)
 	}
 	return nil
 }
 
-func (k *acceptor) save(r *consensus.Record, changed consensus.Unsynced) error {
+func (a *acceptor) save(r *consensus.Record, changed consensus.Unsynced) error {
 	if changed.Vote {
-		if err := k.put(voteKey, &r.Vote); err != nil {
+		if err := a.put(voteKey, &r.Vote); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	if changed.State {
-		return trace.Wrap(k.put(stateKey, &r.State))
+		return trace.Wrap(a.put(stateKey, &r.State))
 	}
 	return nil
 }
 
 // replace writes a whole record over whatever is left of an old one. Until it is whole it isn't ready.
-func (k *acceptor) replace(r *consensus.Record) error {
+func (a *acceptor) replace(r *consensus.Record) error {
 	unready := r.State
 	unready.Ready = false
-	if err := k.put(stateKey, &unready); err != nil {
+	if err := a.put(stateKey, &unready); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(k.save(r, consensus.Unsynced{Vote: true, State: true}))
+	return trace.Wrap(a.save(r, consensus.Unsynced{Vote: true, State: true}))
 }
 
-func (k *acceptor) get(key string, m codec.Message) error {
-	data, err := k.store.Get(key)
+func (a *acceptor) get(key string, m codec.Message) error {
+	data, err := a.store.Get(key)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if err := codec.Unmarshal(data, m); err != nil {
-		return trace.CompareFailed("folder %s, record %q: %v", k.server.options.Folder, key, err)
+		return trace.CompareFailed("folder %s, record %q: %v", a.server.options.Folder, key, err)
 	}
 	return nil
 }
@@ -257,19 +257,19 @@
 // load reads the record, and writes it again: after a failed write what is read need not be on the disk itself. A record that is
 // missing or spoilt makes a replica that lost its disk, except at the first start. A record of a later format, and a folder of
 // another process, are errors: nothing is written there.
-func (k *acceptor) load() error {
-	if k.store == nil {
-		disk, err := k.server.options.openStore(k.server.options.Folder)
+func (a *acceptor) load() error {
+	if a.store == nil {
+		disk, err := a.server.options.openStore(a.server.options.Folder)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		k.store = disk
+		a.store = disk
 	}
-	if err := k.claimFolder(); err != nil {
+	if err := a.claimFolder(); err != nil {
 		return trace.Wrap(err)
 	}
 	var r consensus.Record
-	standing, vote := k.get(stateKey, &r.State), k.get(voteKey, &r.Vote)
+	standing, vote := a.get(stateKey, &r.State), a.get(voteKey, &r.Vote)
 	for _, err := range []error{standing, vote} {
 		if err != nil && !trace.IsNotFound(err) && !trace.IsCompareFailed(err) {
 			return trace.Wrap(err)
@@ -277,59 +277,59 @@
 	}
 	fresh := trace.IsNotFound(standing) && trace.IsNotFound(vote)
 	switch {
-	case fresh && k.server.options.InitialStart && !k.hadRecord && !k.lost:
-		first := consensus.InitialRecord(k.server.options.Self, k.server.firstVoters())
+	case fresh && a.server.options.InitialStart && !a.hadRecord && !a.lost:
+		first := consensus.InitialRecord(a.server.options.Self, a.server.firstVoters())
 		if !first.State.Ready {
-			k.server.adoptSystemID(first.State.System)
-			k.server.adoptVoterSet(first.State.VoterSet)
-			k.startRecovery(false)
+			a.server.adoptSystemID(first.State.System)
+			a.server.adoptVoterSet(first.State.VoterSet)
+			a.startRecovery(false)
 			return nil
 		}
-		if err := k.save(&first, consensus.Unsynced{State: true}); err != nil {
+		if err := a.save(&first, consensus.Unsynced{State: true}); err != nil {
 			return trace.Wrap(err)
 		}
-		k.adopt(first)
+		a.adopt(first)
 	case standing != nil || trace.IsCompareFailed(vote) || !r.State.Ready:
-		if !k.lost {
-			k.server.options.Log.WithField("standing", standing).WithField("vote", vote).Warn("there is no voter's record")
+		if !a.lost {
+			a.server.options.Log.WithField("standing", standing).WithField("vote", vote).Warn("there is no voter's record")
 		}
-		k.server.adoptVoterSet(r.DecidedVoters())
-		k.startRecovery(fresh)
+		a.server.adoptVoterSet(r.DecidedVoters())
+		a.startRecovery(fresh)
 	default:
 		if r.State.System == 0 && r.DecidedVoters().Epoch == 0 { // written by a version that had none
 			r.State.System = consensus.NewSystemID(r.State.Voters)
 		}
-		if err := k.save(&r, consensus.Unsynced{Vote: true, State: true}); err != nil {
+		if err := a.save(&r, consensus.Unsynced{Vote: true, State: true}); err != nil {
 			return trace.Wrap(err)
 		}
-		k.adopt(r)
+		a.adopt(r)
 	}
 	return nil
 }
 
 // claimFolder notes on the disk which process its records belong to. A folder of another process is an error, and stays as it is: to vote
 // with its records would count that process's votes twice.
-func (k *acceptor) claimFolder() error {
-	owner, err := k.store.Get(ownerKey)
+func (a *acceptor) claimFolder() error {
+	owner, err := a.store.Get(ownerKey)
 	switch {
 	case trace.IsNotFound(err) || trace.IsCompareFailed(err):
-		return trace.Wrap(k.store.Put(ownerKey, []byte(k.server.options.Self)))
+		return trace.Wrap(a.store.Put(ownerKey, []byte(a.server.options.Self)))
 	case err != nil:
 		return trace.Wrap(err)
-	case string(owner) != k.server.options.Self:
-		return trace.BadParameter("folder %s, record %q: the folder belongs to %s, this process is %s", k.server.options.Folder, ownerKey, owner, k.server.options.Self)
+	case string(owner) != a.server.options.Self:
+		return trace.BadParameter("folder %s, record %q: the folder belongs to %s, this process is %s", a.server.options.Folder, ownerKey, owner, a.server.options.Self)
 	}
 	return nil
 }
 
 // startRecovery has the record made anew, or, for a process that never voted, made for the first time.
-func (k *acceptor) startRecovery(blank bool) {
-	k.loaded = true // as far as there is anything
-	if k.lost {
+func (a *acceptor) startRecovery(blank bool) {
+	a.loaded = true // as far as there is anything
+	if a.lost {
 		return
 	}
-	k.lost, k.blankDisk = true, blank
-	k.diskIncarnation = uint64(time.Now().UnixNano())
-	incarnation := k.diskIncarnation
-	k.server.wg.Go(func() { k.server.recoverRecord(incarnation, blank) })
+	a.lost, a.blankDisk = true, blank
+	a.diskIncarnation = uint64(time.Now().UnixNano())
+	incarnation := a.diskIncarnation
+	a.server.wg.Go(func() { a.server.recoverRecord(incarnation, blank) })
 }
--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -67,99 +67,99 @@
 }
 
 // exchange puts one process in the place of one voter: majorities of both lists accept it, then it is chosen.
-func (x *exchangeRun) exchange() {
-	old := x.lists[len(x.lists)-1]
+func (e *exchangeRun) exchange() {
+	old := e.lists[len(e.lists)-1]
 	next := slices.Clone(old)
-	for fresh := x.rng.IntN(5); ; fresh = (fresh + 1) % 5 {
+	for fresh := e.rng.IntN(5); ; fresh = (fresh + 1) % 5 {
 		if !slices.Contains(old, fresh) {
-			next[x.rng.IntN(3)] = fresh
+			next[e.rng.IntN(3)] = fresh
 			break
 		}
 	}
-	epoch := uint64(len(x.lists))
+	epoch := uint64(len(e.lists))
 	for _, list := range [][]int{old, next} {
-		for _, i := range x.rng.Perm(3)[:2+x.rng.IntN(2)] {
-			x.voters[list[i]].accepted = epoch
+		for _, i := range e.rng.Perm(3)[:2+e.rng.IntN(2)] {
+			e.voters[list[i]].accepted = epoch
 		}
 	}
-	x.lists = append(x.lists, next)
+	e.lists = append(e.lists, next)
 }
 
-func (x *exchangeRun) send(m exchangeMessage) {
-	for range 1 + x.rng.IntN(10)/9 { // some arrive twice
-		if x.rng.IntN(12) == 0 || x.now < x.candidates[m.candidate].cut {
+func (e *exchangeRun) send(m exchangeMessage) {
+	for range 1 + e.rng.IntN(10)/9 { // some arrive twice
+		if e.rng.IntN(12) == 0 || e.now < e.candidates[m.candidate].cut {
 			continue
 		}
-		m.at = x.now + time.Duration(x.rng.Int64N(int64(10*time.Millisecond)))
-		if x.rng.IntN(8) == 0 {
-			m.at += time.Duration(x.rng.Int64N(int64(Duration)))
+		m.at = e.now + time.Duration(e.rng.Int64N(int64(10*time.Millisecond)))
+		if e.rng.IntN(8) == 0 {
+			m.at += time.Duration(e.rng.Int64N(int64(Duration)))
 		}
-		x.messages = append(x.messages, m)
+		e.messages = append(e.messages, m)
 	}
 }
 
-func (x *exchangeRun) deliver() {
-	due := x.messages
-	x.messages = nil
+func (e *exchangeRun) deliver() {
+	due := e.messages
+	e.messages = nil
 	for _, m := range due {
-		switch v, c := x.voters[m.voter], x.candidates[m.candidate]; {
-		case m.at > x.now:
-			x.messages = append(x.messages, m)
+		switch v, c := e.voters[m.voter], e.candidates[m.candidate]; {
+		case m.at > e.now:
+			e.messages = append(e.messages, m)
 		case m.reply == nil:
 			var standing VoterStatus // nothing, while the disk is not read
-			if x.now >= v.ready {
+			if e.now >= v.ready {
 				standing = VoterStatus{Ready: true, VoterSetEpoch: v.accepted}
 			}
-			m.reply = v.Handle(local(x.now, v.rate), standing, m.request)
-			x.send(m)
-		case c.HandleReply(local(x.now, c.rate), m.asked, fmt.Sprint(m.voter), m.reply):
-			x.came++
+			m.reply = v.Handle(local(e.now, v.rate), standing, m.request)
+			e.send(m)
+		case c.HandleReply(local(e.now, c.rate), m.asked, fmt.Sprint(m.voter), m.reply):
+			e.came++
 		}
 	}
 }
 
 // step lets 20 ms pass.
-func (x *exchangeRun) step() {
-	x.now += 20 * time.Millisecond
-	if x.rng.IntN(120) == 0 {
-		x.exchange()
+func (e *exchangeRun) step() {
+	e.now += 20 * time.Millisecond
+	if e.rng.IntN(120) == 0 {
+		e.exchange()
 	}
-	if x.rng.IntN(250) == 0 { // a voter restarts: its grants are forgotten, its disk stays, and is read late
-		v := x.voters[x.rng.IntN(5)]
-		v.Voter = NewVoter(local(x.now, v.rate), false)
-		v.ready = x.now + time.Duration(x.rng.Int64N(int64(2*Duration)))
+	if e.rng.IntN(250) == 0 { // a voter restarts: its grants are forgotten, its disk stays, and is read late
+		v := e.voters[e.rng.IntN(5)]
+		v.Voter = NewVoter(local(e.now, v.rate), false)
+		v.ready = e.now + time.Duration(e.rng.Int64N(int64(2*Duration)))
 	}
-	if x.rng.IntN(100) == 0 {
-		x.candidates[x.rng.IntN(3)].cut = x.now + time.Duration(x.rng.Int64N(int64(3*Duration)))
+	if e.rng.IntN(100) == 0 {
+		e.candidates[e.rng.IntN(3)].cut = e.now + time.Duration(e.rng.Int64N(int64(3*Duration)))
 	}
-	x.deliver()
-	for i, c := range x.candidates {
-		if x.rng.IntN(10) == 0 {
-			c.known = max(c.known, uint64(x.rng.IntN(len(x.lists))))
+	e.deliver()
+	for i, c := range e.candidates {
+		if e.rng.IntN(10) == 0 {
+			c.known = max(c.known, uint64(e.rng.IntN(len(e.lists))))
 		}
-		now := local(x.now, c.rate)
-		if x.rng.IntN(500) == 0 {
-			c.ObserveToken(now, x.newest)
+		now := local(e.now, c.rate)
+		if e.rng.IntN(500) == 0 {
+			c.ObserveToken(now, e.newest)
 		}
 		request := c.Tick(now, 3, c.known)
 		if request == nil {
 			continue
 		}
 		if _, ok := c.Holds(now); ok && c.known > c.under {
-			x.carried++
+			e.carried++
 		}
 		c.under = c.known
-		for _, v := range x.lists[c.known] {
-			x.send(exchangeMessage{candidate: i, voter: v, asked: now, request: request})
+		for _, v := range e.lists[c.known] {
+			e.send(exchangeMessage{candidate: i, voter: v, asked: now, request: request})
 		}
 	}
 }
 
-func (x *exchangeRun) holders() (holders []string) {
-	for _, c := range x.candidates {
-		if number, ok := c.Holds(local(x.now, c.rate)); ok {
+func (e *exchangeRun) holders() (holders []string) {
+	for _, c := range e.candidates {
+		if number, ok := c.Holds(local(e.now, c.rate)); ok {
 			holders = append(holders, fmt.Sprintf("%s under %d", c.self, number))
-			x.newest = max(x.newest, number)
+			e.newest = max(e.newest, number)
 		}
 	}
 	return holders
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -37,18 +37,18 @@
 }
 
 // Fields implements codec.Message.
-func (q *Request) Fields(v *codec.Visitor) {
-	v.String(1, &q.Holder)
-	v.Fixed64(2, &q.Incarnation)
-	codec.Messages(v, 3, &q.Roles)
-	v.Uint64(4, &q.VoterSetEpoch)
+func (r *Request) Fields(v *codec.Visitor) {
+	v.String(1, &r.Holder)
+	v.Fixed64(2, &r.Incarnation)
+	codec.Messages(v, 3, &r.Roles)
+	v.Uint64(4, &r.VoterSetEpoch)
 }
 
 // Fields implements codec.Message.
-func (d *RoleRequest) Fields(v *codec.Visitor) {
-	v.String(1, &d.Role)
-	v.Uint64(2, &d.FencingToken)
-	v.Bool(3, &d.Release)
+func (r *RoleRequest) Fields(v *codec.Visitor) {
+	v.String(1, &r.Role)
+	v.Uint64(2, &r.FencingToken)
+	v.Bool(3, &r.Release)
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/control/lease/voter.go
+++ b/internal/mesh/control/lease/voter.go
@@ -16,8 +16,8 @@
 	expiresAt    time.Duration
 }
 
-func (g *heldLease) isHeldBy(q *Request) bool {
-	return g.incarnation == q.Incarnation && g.holder == q.Holder
+func (h *heldLease) isHeldBy(q *Request) bool {
+	return h.incarnation == q.Incarnation && h.holder == q.Holder
 }
 
 // NewVoter makes a voter that starts now. first tells that the whole system starts for the first time: nothing was granted
@@ -55,21 +55,21 @@
 }
 
 // answer answers for one duty.
-func (g *heldLease) answer(now time.Duration, mayGrant bool, q *Request, d *RoleRequest) Grant {
-	mine := g.isHeldBy(q)
-	free := mine && d.FencingToken >= g.fencingToken || now >= g.expiresAt && d.FencingToken > g.fencingToken
+func (h *heldLease) answer(now time.Duration, mayGrant bool, q *Request, d *RoleRequest) Grant {
+	mine := h.isHeldBy(q)
+	free := mine && d.FencingToken >= h.fencingToken || now >= h.expiresAt && d.FencingToken > h.fencingToken
 	switch {
 	case d.Release:
-		if mine && d.FencingToken >= g.fencingToken { // a late release of an earlier number leaves this one alone
-			g.expiresAt = now
+		if mine && d.FencingToken >= h.fencingToken { // a late release of an earlier number leaves this one alone
+			h.expiresAt = now
 		}
 	case mayGrant && free:
-		*g = heldLease{holder: q.Holder, incarnation: q.Incarnation, fencingToken: d.FencingToken, expiresAt: now + Duration}
+		*h = heldLease{holder: q.Holder, incarnation: q.Incarnation, fencingToken: d.FencingToken, expiresAt: now + Duration}
 		return Grant{Role: d.Role, Granted: true, FencingToken: d.FencingToken}
 	}
-	refusal := Grant{Role: d.Role, FencingToken: g.fencingToken}
-	if now < g.expiresAt && !mine {
-		refusal.Holder, refusal.Remaining = g.holder, g.expiresAt-now
+	refusal := Grant{Role: d.Role, FencingToken: h.fencingToken}
+	if now < h.expiresAt && !mine {
+		refusal.Holder, refusal.Remaining = h.holder, h.expiresAt-now
 	}
 	return refusal
 }
--- a/internal/mesh/control/ratelimit/golden_test.go
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -92,78 +92,78 @@
 	return x
 }
 
-func (x *goldenRun) note(format string, args ...any) {
-	x.decisions = append(x.decisions, fmt.Sprintf(format, args...))
+func (g *goldenRun) note(format string, args ...any) {
+	g.decisions = append(g.decisions, fmt.Sprintf(format, args...))
 }
 
-func (x *goldenRun) request(i int, tenant string) {
-	x.caches[i].Admit(x.now, tenant, goldenLimits[tenant], func(ok bool, back time.Duration) {
+func (g *goldenRun) request(i int, tenant string) {
+	g.caches[i].Admit(g.now, tenant, goldenLimits[tenant], func(ok bool, back time.Duration) {
 		if ok {
-			x.admitted++
+			g.admitted++
 		} else {
-			x.refused++
+			g.refused++
 		}
-		x.note("%d %s %v %v", i, tenant, ok, back.Round(time.Microsecond))
+		g.note("%d %s %v %v", i, tenant, ok, back.Round(time.Microsecond))
 	})
 }
 
-func (x *goldenRun) post(m goldenRunMessage) {
-	if x.rng.IntN(20) == 0 {
+func (g *goldenRun) post(m goldenRunMessage) {
+	if g.rng.IntN(20) == 0 {
 		return
 	}
-	m.at = x.now + time.Duration(x.rng.IntN(20))*time.Millisecond
-	x.messages = append(x.messages, m)
+	m.at = g.now + time.Duration(g.rng.IntN(20))*time.Millisecond
+	g.messages = append(g.messages, m)
 }
 
-func (x *goldenRun) deliver() {
-	due := x.messages
-	x.messages = nil
+func (g *goldenRun) deliver() {
+	due := g.messages
+	g.messages = nil
 	for _, m := range due {
 		switch {
-		case m.at > x.now:
-			x.messages = append(x.messages, m)
+		case m.at > g.now:
+			g.messages = append(g.messages, m)
 		case m.grants != nil:
-			x.note("%d took %v", m.sidecar, x.caches[m.sidecar].HandleReply(x.now, m.sent, m.grants))
-		case x.now >= 4*time.Second && x.now < 6*time.Second: // no allocator
-			x.caches[m.sidecar].HandleFailure(x.now)
+			g.note("%d took %v", m.sidecar, g.caches[m.sidecar].HandleReply(g.now, m.sent, m.grants))
+		case g.now >= 4*time.Second && g.now < 6*time.Second: // no allocator
+			g.caches[m.sidecar].HandleFailure(g.now)
 		default:
-			m.grants = &AllocationReply{Granted: true, FencingToken: 1 + uint64(x.now/(6*time.Second)), Grants: x.allocator.Allocate(x.now, m.requests)}
-			for _, g := range m.grants.Grants {
-				x.note("%d %s granted %.6f %.6f %v %v", m.sidecar, g.Tenant, g.Tokens, g.FallbackShare, g.ShareRemaining, g.RetryAfter.Round(time.Microsecond))
+			m.grants = &AllocationReply{Granted: true, FencingToken: 1 + uint64(g.now/(6*time.Second)), Grants: g.allocator.Allocate(g.now, m.requests)}
+			for _, tokenGrant := range m.grants.Grants {
+				g.note("%d %s granted %.6f %.6f %v %v", m.sidecar, tokenGrant.Tenant, tokenGrant.Tokens, tokenGrant.FallbackShare, tokenGrant.ShareRemaining, tokenGrant.RetryAfter.Round(time.Microsecond))
 			}
-			x.post(m)
+			g.post(m)
 		}
 	}
 }
 
 // step lets 5 ms pass. Where the order among tenants is by chance, the notes of a step are sorted.
-func (x *goldenRun) step() {
-	x.now += 5 * time.Millisecond
-	if x.now == 6*time.Second {
-		x.allocator = NewAllocator(x.now, false, goldenLimit)
+func (g *goldenRun) step() {
+	g.now += 5 * time.Millisecond
+	if g.now == 6*time.Second {
+		g.allocator = NewAllocator(g.now, false, goldenLimit)
 	}
 	there := []string{"0", "1", "2"}
-	if x.now >= 5*time.Second && x.now < 8*time.Second {
+	if g.now >= 5*time.Second && g.now < 8*time.Second {
 		there = there[1:]
 	}
-	recent := x.recent.Update(x.now, there)
-	x.allocator.SetSidecars(recent)
-	x.deliver()
-	for i, cache := range x.caches {
-		if x.rng.IntN(7) == 0 {
-			x.request(i, "even")
+	recent := g.recent.Update(g.now, there)
+	g.allocator.SetSidecars(recent)
+	g.deliver()
+	for i, cache := range g.caches {
+		if g.rng.IntN(7) == 0 {
+			g.request(i, "even")
 		}
-		if x.rng.IntN(100) == 0 {
-			x.request(i, "slow")
+		if g.rng.IntN(100) == 0 {
+			g.request(i, "slow")
 		}
-		if requests, due := cache.Tick(x.now); due {
+		if requests, due := cache.Tick(g.now); due {
 			slices.SortFunc(requests, func(a, b TokenRequest) int { return strings.Compare(a.Tenant, b.Tenant) })
 			for _, q := range requests {
-				x.note("%d %s wants %.6f %.6f %.6f %.6f %v", i, q.Tenant, q.Tokens, q.Demand, q.FallbackShare, q.UnusedTokens, q.ShareRemaining)
+				g.note("%d %s wants %.6f %.6f %.6f %.6f %v", i, q.Tenant, q.Tokens, q.Demand, q.FallbackShare, q.UnusedTokens, q.ShareRemaining)
 			}
-			x.post(goldenRunMessage{sent: x.now, sidecar: i, requests: &AllocationRequest{Sidecar: fmt.Sprint(i), Incarnation: 1, Requests: requests}})
+			g.post(goldenRunMessage{sent: g.now, sidecar: i, requests: &AllocationRequest{Sidecar: fmt.Sprint(i), Incarnation: 1, Requests: requests}})
 		}
-		x.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(x.now), cache.HasWaiters(), cache.HighestFencingToken(), recent)
+		g.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(g.now), cache.HasWaiters(), cache.HighestFencingToken(), recent)
 	}
 }
 
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -43,37 +43,37 @@
 }
 
 // Fields implements codec.Message.
-func (q *TokenRequest) Fields(v *codec.Visitor) {
-	v.String(1, &q.Tenant)
-	v.Float64(2, &q.Tokens)
-	v.Float64(3, &q.Demand)
-	v.Float64(4, &q.FallbackShare)
-	v.Duration(5, &q.ShareRemaining)
-	v.Float64(6, &q.UnusedTokens)
+func (t *TokenRequest) Fields(v *codec.Visitor) {
+	v.String(1, &t.Tenant)
+	v.Float64(2, &t.Tokens)
+	v.Float64(3, &t.Demand)
+	v.Float64(4, &t.FallbackShare)
+	v.Duration(5, &t.ShareRemaining)
+	v.Float64(6, &t.UnusedTokens)
 }
 
 // Fields implements codec.Message.
-func (q *AllocationRequest) Fields(v *codec.Visitor) {
-	v.String(1, &q.Sidecar)
-	v.Fixed64(2, &q.Incarnation)
-	codec.Messages(v, 3, &q.Requests)
-	v.Bool(4, &q.Forwarded)
-	v.Uint64(5, &q.HighestFencingToken)
+func (a *AllocationRequest) Fields(v *codec.Visitor) {
+	v.String(1, &a.Sidecar)
+	v.Fixed64(2, &a.Incarnation)
+	codec.Messages(v, 3, &a.Requests)
+	v.Bool(4, &a.Forwarded)
+	v.Uint64(5, &a.HighestFencingToken)
 }
 
 // Fields implements codec.Message.
-func (g *TokenGrant) Fields(v *codec.Visitor) {
-	v.String(1, &g.Tenant)
-	v.Float64(2, &g.Tokens)
-	v.Float64(3, &g.FallbackShare)
-	v.Duration(4, &g.ShareRemaining)
-	v.Duration(5, &g.RetryAfter)
+func (t *TokenGrant) Fields(v *codec.Visitor) {
+	v.String(1, &t.Tenant)
+	v.Float64(2, &t.Tokens)
+	v.Float64(3, &t.FallbackShare)
+	v.Duration(4, &t.ShareRemaining)
+	v.Duration(5, &t.RetryAfter)
 }
 
 // Fields implements codec.Message.
-func (g *AllocationReply) Fields(v *codec.Visitor) {
-	v.Bool(1, &g.Granted)
-	v.Uint64(2, &g.FencingToken)
-	v.String(3, &g.Allocator)
-	codec.Messages(v, 4, &g.Grants)
+func (a *AllocationReply) Fields(v *codec.Visitor) {
+	v.Bool(1, &a.Granted)
+	v.Uint64(2, &a.FencingToken)
+	v.String(3, &a.Allocator)
+	codec.Messages(v, 4, &a.Grants)
 }
--- a/internal/mesh/control/ratelimit/sightings.go
+++ b/internal/mesh/control/ratelimit/sightings.go
@@ -13,16 +13,16 @@
 }
 
 // Update takes the sidecars that are there now, and gives all that were there within the lease of a standing share.
-func (s *LastSeen) Update(now time.Duration, addresses []string) (recent []string) {
-	if s.byAddress == nil {
-		s.byAddress = map[string]time.Duration{}
+func (l *LastSeen) Update(now time.Duration, addresses []string) (recent []string) {
+	if l.byAddress == nil {
+		l.byAddress = map[string]time.Duration{}
 	}
 	for _, a := range addresses {
-		s.byAddress[a] = now
+		l.byAddress[a] = now
 	}
-	for a, at := range s.byAddress {
+	for a, at := range l.byAddress {
 		if now-at > shareLease {
-			delete(s.byAddress, a)
+			delete(l.byAddress, a)
 			continue
 		}
 		recent = append(recent, a)
--- a/internal/mesh/control/storage/power_test.go
+++ b/internal/mesh/control/storage/power_test.go
@@ -41,42 +41,42 @@
 }
 
 // change counts a call that changes something; the power goes in place of the last one. The lock is held.
-func (d *powerDisk) change() error {
-	if d.after != nil {
+func (p *powerDisk) change() error {
+	if p.after != nil {
 		return errNoPower
 	}
-	if d.calls--; d.calls == 0 {
-		d.after = d.left()
+	if p.calls--; p.calls == 0 {
+		p.after = p.left()
 		return errNoPower
 	}
-	if d.fullIn--; d.fullIn < 0 && d.full > 0 {
-		d.full--
+	if p.fullIn--; p.fullIn < 0 && p.full > 0 {
+		p.full--
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
 // left is what a loss of power leaves. The lock is held.
-func (d *powerDisk) left() *powerDisk {
-	left := newPowerDisk(d.random)
-	left.meta = [2]lstorage.FileDesc{d.meta[1], d.meta[1]}
-	if d.random.IntN(2) == 0 {
-		left.meta = [2]lstorage.FileDesc{d.meta[0], d.meta[0]}
+func (p *powerDisk) left() *powerDisk {
+	left := newPowerDisk(p.random)
+	left.meta = [2]lstorage.FileDesc{p.meta[1], p.meta[1]}
+	if p.random.IntN(2) == 0 {
+		left.meta = [2]lstorage.FileDesc{p.meta[0], p.meta[0]}
 	}
 	keep := func(fd lstorage.FileDesc, f *powerFile) {
-		data := f.data[:f.synced+d.random.IntN(len(f.data)-f.synced+1)]
-		if d.random.IntN(4) == 0 {
+		data := f.data[:f.synced+p.random.IntN(len(f.data)-f.synced+1)]
+		if p.random.IntN(4) == 0 {
 			data = f.data[:f.synced]
 		}
 		left.names[fd] = &powerFile{data: bytes.Clone(data), synced: len(data)}
 	}
-	for fd, f := range d.names {
-		if d.synced[fd] == f || d.random.IntN(2) == 0 {
+	for fd, f := range p.names {
+		if p.synced[fd] == f || p.random.IntN(2) == 0 {
 			keep(fd, f)
 		}
 	}
-	for fd, f := range d.synced {
-		if d.names[fd] != f && left.names[fd] == nil && d.random.IntN(2) == 0 {
+	for fd, f := range p.synced {
+		if p.names[fd] != f && left.names[fd] == nil && p.random.IntN(2) == 0 {
 			keep(fd, f)
 		}
 	}
@@ -86,57 +86,57 @@
 	return left
 }
 
-func (d *powerDisk) syncFolder() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+func (p *powerDisk) syncFolder() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := p.change(); err != nil {
 		return err
 	}
-	d.synced = map[lstorage.FileDesc]*powerFile{}
-	for fd, f := range d.names {
-		d.synced[fd] = f
+	p.synced = map[lstorage.FileDesc]*powerFile{}
+	for fd, f := range p.names {
+		p.synced[fd] = f
 	}
-	d.meta[1] = d.meta[0]
+	p.meta[1] = p.meta[0]
 	return nil
 }
 
-func (d *powerDisk) Lock() (lstorage.Locker, error) { return powerLock{}, nil }
+func (p *powerDisk) Lock() (lstorage.Locker, error) { return powerLock{}, nil }
 
 type powerLock struct{}
 
 func (powerLock) Unlock() {}
 
-func (d *powerDisk) Log(string) {}
+func (p *powerDisk) Log(string) {}
 
-func (d *powerDisk) Close() error { return nil }
+func (p *powerDisk) Close() error { return nil }
 
 // SetMeta replaces the name of the list of files, and syncs the folder, as goleveldb's own files do.
-func (d *powerDisk) SetMeta(fd lstorage.FileDesc) error {
-	d.mu.Lock()
-	err := d.change()
+func (p *powerDisk) SetMeta(fd lstorage.FileDesc) error {
+	p.mu.Lock()
+	err := p.change()
 	if err == nil {
-		d.meta[0] = fd
+		p.meta[0] = fd
 	}
-	d.mu.Unlock()
+	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return d.syncFolder()
+	return p.syncFolder()
 }
 
-func (d *powerDisk) GetMeta() (lstorage.FileDesc, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.names[d.meta[0]] == nil {
+func (p *powerDisk) GetMeta() (lstorage.FileDesc, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.names[p.meta[0]] == nil {
 		return lstorage.FileDesc{}, os.ErrNotExist
 	}
-	return d.meta[0], nil
+	return p.meta[0], nil
 }
 
-func (d *powerDisk) List(kinds lstorage.FileType) (all []lstorage.FileDesc, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for fd := range d.names {
+func (p *powerDisk) List(kinds lstorage.FileType) (all []lstorage.FileDesc, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for fd := range p.names {
 		if fd.Type&kinds != 0 {
 			all = append(all, fd)
 		}
@@ -144,10 +144,10 @@
 	return all, nil
 }
 
-func (d *powerDisk) Open(fd lstorage.FileDesc) (lstorage.Reader, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f := d.names[fd]
+func (p *powerDisk) Open(fd lstorage.FileDesc) (lstorage.Reader, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	f := p.names[fd]
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
@@ -157,35 +157,35 @@
 	}{bytes.NewReader(bytes.Clone(f.data)), io.NopCloser(nil)}, nil
 }
 
-func (d *powerDisk) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+func (p *powerDisk) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := p.change(); err != nil {
 		return nil, err
 	}
 	f := &powerFile{}
-	d.names[fd] = f
-	return &powerWriter{d, fd, f}, nil
+	p.names[fd] = f
+	return &powerWriter{p, fd, f}, nil
 }
 
-func (d *powerDisk) Remove(fd lstorage.FileDesc) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+func (p *powerDisk) Remove(fd lstorage.FileDesc) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := p.change(); err != nil {
 		return err
 	}
-	delete(d.names, fd)
+	delete(p.names, fd)
 	return nil
 }
 
-func (d *powerDisk) Rename(from, to lstorage.FileDesc) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.change(); err != nil {
+func (p *powerDisk) Rename(from, to lstorage.FileDesc) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := p.change(); err != nil {
 		return err
 	}
-	d.names[to] = d.names[from]
-	delete(d.names, from)
+	p.names[to] = p.names[from]
+	delete(p.names, from)
 	return nil
 }
 
@@ -195,30 +195,30 @@
 	file *powerFile
 }
 
-func (w *powerWriter) Write(data []byte) (int, error) {
-	w.disk.mu.Lock()
-	defer w.disk.mu.Unlock()
-	if w.disk.after != nil {
+func (p *powerWriter) Write(data []byte) (int, error) {
+	p.disk.mu.Lock()
+	defer p.disk.mu.Unlock()
+	if p.disk.after != nil {
 		return 0, errNoPower
 	}
-	w.file.data = append(w.file.data, data...)
-	return len(data), w.disk.change()
+	p.file.data = append(p.file.data, data...)
+	return len(data), p.disk.change()
 }
 
-func (w *powerWriter) Sync() error {
-	w.disk.mu.Lock()
-	err := w.disk.change()
+func (p *powerWriter) Sync() error {
+	p.disk.mu.Lock()
+	err := p.disk.change()
 	if err == nil {
-		w.file.synced = len(w.file.data)
+		p.file.synced = len(p.file.data)
 	}
-	w.disk.mu.Unlock()
-	if err == nil && w.fd.Type == lstorage.TypeManifest {
-		return w.disk.syncFolder()
+	p.disk.mu.Unlock()
+	if err == nil && p.fd.Type == lstorage.TypeManifest {
+		return p.disk.syncFolder()
 	}
 	return err
 }
 
-func (w *powerWriter) Close() error { return nil }
+func (p *powerWriter) Close() error { return nil }
 
 // powerLife is one life of a process with its folder: it writes so many records, or until the power goes. Each record has a number that
 // rises; acknowledged is the last one that Put has written, by key, and attempted the last that it was given.
@@ -230,12 +230,12 @@
 // errOlder is that a record is not what was written last.
 var errOlder = errors.New("not the newest record")
 
-func (l *powerLife) live(disk *powerDisk, records int) error {
+func (p *powerLife) live(disk *powerDisk, records int) error {
 	k := &Store{folder: "folder", openFiles: func(string) (*durableFiles, error) {
 		return newDurableFiles(disk, disk.syncFolder), nil
 	}}
 	defer func() { _ = k.Close() }()
-	for key, last := range l.acknowledged {
+	for key, last := range p.acknowledged {
 		data, err := k.Get(key)
 		for errors.Is(err, syscall.ENOSPC) {
 			data, err = k.Get(key)
@@ -244,18 +244,18 @@
 			return fmt.Errorf("get %s: %w", key, err)
 		}
 		found := 0
-		if _, err := fmt.Sscanf(string(data), "%d ", &found); err != nil || found < last || found > l.attempted[key] {
-			return fmt.Errorf("%w: %s is %d (%v), %d was acknowledged, %d tried", errOlder, key, found, err, last, l.attempted[key])
+		if _, err := fmt.Sscanf(string(data), "%d ", &found); err != nil || found < last || found > p.attempted[key] {
+			return fmt.Errorf("%w: %s is %d (%v), %d was acknowledged, %d tried", errOlder, key, found, err, last, p.attempted[key])
 		}
-		l.acknowledged[key] = found // it may have been written, though Put did not say so
+		p.acknowledged[key] = found // it may have been written, though Put did not say so
 	}
 	for range records {
-		key := []string{"vote", "standing", "vote"}[l.number%3]
-		l.number++
-		l.attempted[key] = l.number
-		body := []byte(fmt.Sprintf("%d ", l.number))
+		key := []string{"vote", "standing", "vote"}[p.number%3]
+		p.number++
+		p.attempted[key] = p.number
+		body := []byte(fmt.Sprintf("%d ", p.number))
 		if key == "vote" {
-			body = append(body, bytes.Repeat([]byte("0123456789abcdef"), 1+l.number%7<<9)...)
+			body = append(body, bytes.Repeat([]byte("0123456789abcdef"), 1+p.number%7<<9)...)
 		}
 		err := k.Put(key, body)
 		if errors.Is(err, syscall.ENOSPC) { // the next one may go through
@@ -264,7 +264,7 @@
 		if err != nil {
 			return fmt.Errorf("put %s: %w", key, err)
 		}
-		l.acknowledged[key] = l.number
+		p.acknowledged[key] = p.number
 	}
 	return nil
 }
@@ -306,23 +306,23 @@
 }
 
 // clone is a disk as it is now, with chance of its own.
-func (d *powerDisk) clone(seed uint64) *powerDisk {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (p *powerDisk) clone(seed uint64) *powerDisk {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	c := newPowerDisk(rand.New(rand.NewPCG(seed, 2)))
-	c.meta = d.meta
+	c.meta = p.meta
 	copies := map[*powerFile]*powerFile{}
-	for _, names := range []map[lstorage.FileDesc]*powerFile{d.names, d.synced} {
+	for _, names := range []map[lstorage.FileDesc]*powerFile{p.names, p.synced} {
 		for _, f := range names {
 			if copies[f] == nil {
 				copies[f] = &powerFile{data: bytes.Clone(f.data), synced: f.synced}
 			}
 		}
 	}
-	for fd, f := range d.names {
+	for fd, f := range p.names {
 		c.names[fd] = copies[f]
 	}
-	for fd, f := range d.synced {
+	for fd, f := range p.synced {
 		c.synced[fd] = copies[f]
 	}
 	return c
--- a/internal/mesh/control/storage/storage.go
+++ b/internal/mesh/control/storage/storage.go
@@ -54,26 +54,26 @@
 	return t, trace.Wrap(t.open())
 }
 
-func (t *Store) open() error {
-	if t.db != nil {
+func (s *Store) open() error {
+	if s.db != nil {
 		return nil
 	}
-	if err := createFolder(t.folder); err != nil {
-		return trace.Wrap(err, "folder %s", t.folder)
+	if err := createFolder(s.folder); err != nil {
+		return trace.Wrap(err, "folder %s", s.folder)
 	}
-	files, err := t.openFiles(t.folder)
+	files, err := s.openFiles(s.folder)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
-		return trace.AlreadyExists("folder %s is in use by another process", t.folder)
+		return trace.AlreadyExists("folder %s is in use by another process", s.folder)
 	}
 	if err != nil {
-		return trace.Wrap(err, "folder %s", t.folder)
+		return trace.Wrap(err, "folder %s", s.folder)
 	}
 	db, err := openDatabase(files)
 	if err != nil {
 		_ = files.Close() // has nothing to add to the error
-		return trace.Wrap(err, "folder %s", t.folder)
+		return trace.Wrap(err, "folder %s", s.folder)
 	}
-	t.db, t.files = db, files
+	s.db, s.files = db, files
 	return nil
 }
 
@@ -123,52 +123,52 @@
 }
 
 // discard closes the database after an error: its journal may be broken, and is read anew before the next write.
-func (t *Store) discard() { _ = t.Close() }
+func (s *Store) discard() { _ = s.Close() }
 
 // Get reads a record: trace.NotFound if there is none, trace.CompareFailed if it isn't what was written, trace.NotImplemented
 // if a later version of this program wrote it. The error names the folder and the record.
-func (t *Store) Get(key string) ([]byte, error) {
-	if err := t.open(); err != nil {
+func (s *Store) Get(key string) ([]byte, error) {
+	if err := s.open(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	record, err := t.db.Get([]byte(key), nil)
+	record, err := s.db.Get([]byte(key), nil)
 	switch {
 	case errors.Is(err, leveldb.ErrNotFound):
-		return nil, trace.NotFound("folder %s, record %q", t.folder, key)
+		return nil, trace.NotFound("folder %s, record %q", s.folder, key)
 	case lerrors.IsCorrupted(err):
-		return nil, trace.CompareFailed("folder %s, record %q: %v", t.folder, key, err)
+		return nil, trace.CompareFailed("folder %s, record %q: %v", s.folder, key, err)
 	case err != nil:
-		t.discard()
-		return nil, trace.Wrap(err, "folder %s, record %q", t.folder, key)
+		s.discard()
+		return nil, trace.Wrap(err, "folder %s, record %q", s.folder, key)
 	}
 	data, err := decodeRecord(record)
-	return data, trace.Wrap(err, "folder %s, record %q", t.folder, key)
+	return data, trace.Wrap(err, "folder %s, record %q", s.folder, key)
 }
 
 // Put writes a record through to the disk. A spoilt table is an error that names it, for good: to go on without it could bring an
 // older record back. Without the folder, the caller starts as one that lost its disk.
-func (t *Store) Put(key string, data []byte) error {
-	if err := t.open(); err != nil {
+func (s *Store) Put(key string, data []byte) error {
+	if err := s.open(); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := t.db.Put([]byte(key), encodeRecord(data), &opt.WriteOptions{Sync: true}); err != nil {
-		t.discard()
-		return trace.Wrap(err, "folder %s, record %q", t.folder, key)
+	if err := s.db.Put([]byte(key), encodeRecord(data), &opt.WriteOptions{Sync: true}); err != nil {
+		s.discard()
+		return trace.Wrap(err, "folder %s, record %q", s.folder, key)
 	}
 	return nil
 }
 
 // Check reads all records, and names those that aren't what was written.
-func (t *Store) Check() error {
-	if err := t.open(); err != nil {
+func (s *Store) Check() error {
+	if err := s.open(); err != nil {
 		return trace.Wrap(err)
 	}
 	var faults []error
-	it := t.db.NewIterator(nil, &opt.ReadOptions{DontFillCache: true})
+	it := s.db.NewIterator(nil, &opt.ReadOptions{DontFillCache: true})
 	defer it.Release()
 	for it.Next() {
 		if _, err := decodeRecord(it.Value()); err != nil {
-			faults = append(faults, trace.Wrap(err, "folder %s, record %q", t.folder, it.Key()))
+			faults = append(faults, trace.Wrap(err, "folder %s, record %q", s.folder, it.Key()))
 		}
 	}
 	return trace.NewAggregate(append(faults, it.Error())...)
@@ -176,13 +176,13 @@
 
 // Close ends the use of the folder. An error tells of a file that could not be read or written since, also in the background;
 // what Put returned without an error is on disk all the same.
-func (t *Store) Close() error {
-	if t.db == nil {
+func (s *Store) Close() error {
+	if s.db == nil {
 		return nil
 	}
-	err := trace.NewAggregate(t.db.Close(), t.files.Close())
-	t.db, t.files = nil, nil
-	return trace.Wrap(err, "folder %s", t.folder)
+	err := trace.NewAggregate(s.db.Close(), s.files.Close())
+	s.db, s.files = nil, nil
+	return trace.Wrap(err, "folder %s", s.folder)
 }
 
 func encodeRecord(data []byte) []byte {
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -171,64 +171,64 @@
 	held  []byte
 }
 
-func (s *volatileFiles) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
-	s.mu.Lock()
-	gate := s.gate
-	s.mu.Unlock()
+func (v *volatileFiles) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
+	v.mu.Lock()
+	gate := v.gate
+	v.mu.Unlock()
 	if gate != nil && fd.Type == lstorage.TypeTable {
 		<-gate
 	}
-	w, err := s.Storage.Create(fd)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.unnamed[fd] = true
-	if s.gated && fd.Type == lstorage.TypeJournal {
-		s.gate = make(chan struct{})
+	w, err := v.Storage.Create(fd)
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.unnamed[fd] = true
+	if v.gated && fd.Type == lstorage.TypeJournal {
+		v.gate = make(chan struct{})
 	}
-	return &volatileFile{Writer: w, files: s, fd: fd}, err
+	return &volatileFile{Writer: w, files: v, fd: fd}, err
 }
 
-func (s *volatileFiles) SetMeta(fd lstorage.FileDesc) error {
-	s.syncFolder()
-	return s.Storage.SetMeta(fd)
+func (v *volatileFiles) SetMeta(fd lstorage.FileDesc) error {
+	v.syncFolder()
+	return v.Storage.SetMeta(fd)
 }
 
-func (s *volatileFiles) syncFolder() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	clear(s.unnamed)
+func (v *volatileFiles) syncFolder() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	clear(v.unnamed)
 }
 
-func (s *volatileFiles) closeGate() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.gate != nil {
-		close(s.gate)
-		s.gate = nil
+func (v *volatileFiles) closeGate() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.gate != nil {
+		close(v.gate)
+		v.gate = nil
 	}
 }
 
-func (f *volatileFile) Write(data []byte) (int, error) {
-	f.held = append(f.held, data...)
+func (v *volatileFile) Write(data []byte) (int, error) {
+	v.held = append(v.held, data...)
 	return len(data), nil
 }
 
-func (f *volatileFile) Sync() error {
-	_, err := f.Writer.Write(f.held)
-	f.held = nil
-	if f.fd.Type == lstorage.TypeManifest {
-		f.files.syncFolder()
+func (v *volatileFile) Sync() error {
+	_, err := v.Writer.Write(v.held)
+	v.held = nil
+	if v.fd.Type == lstorage.TypeManifest {
+		v.files.syncFolder()
 	}
 	return err
 }
 
 // powerLost is the folder as it is after a loss of power that takes all that may be lost.
-func (s *volatileFiles) powerLost(t *testing.T, folder string) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (v *volatileFiles) powerLost(t *testing.T, folder string) string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	left := t.TempDir()
 	qt.Assert(t, os.CopyFS(left, os.DirFS(folder)), qt.IsNil)
-	for fd := range s.unnamed {
+	for fd := range v.unnamed {
 		if err := os.Remove(filepath.Join(left, fd.String())); err != nil {
 			qt.Assert(t, errors.Is(err, fs.ErrNotExist), qt.IsTrue)
 		}
