--- a/internal/mesh/dataplane/admission/admission.go
+++ b/internal/mesh/dataplane/admission/admission.go
@@ -57,11 +57,11 @@
 
 // usefulUntil is when an answer comes too late to be of use: to an inner request when its deadline has passed, as what waits for it
 // is lost without it.
-func (w *queuedRequest) usefulUntil() time.Duration {
-	if w.Nested {
-		return w.Deadline
+func (q *queuedRequest) usefulUntil() time.Duration {
+	if q.Nested {
+		return q.Deadline
 	}
-	return w.TargetDeadline
+	return q.TargetDeadline
 }
 
 // Decision is what is to be done with a request: Kind 0 to let it on, else what it ended as.
@@ -87,89 +87,89 @@
 }
 
 // State is the endpoint's state.
-func (g *Controller) State() State { return g.state }
+func (c *Controller) State() State { return c.state }
 
 // Endpoint is the endpoint's life.
-func (g *Controller) Endpoint() Endpoint { return g.endpoint }
+func (c *Controller) Endpoint() Endpoint { return c.endpoint }
 
 // Load is how many run, and how many wait.
-func (g *Controller) Load() (running, waiting int) { return len(g.running), len(g.queue) }
+func (c *Controller) Load() (running, waiting int) { return len(c.running), len(c.queue) }
 
 // ServiceTime is the mean time that runs take.
-func (g *Controller) ServiceTime() time.Duration { return g.serviceTime }
+func (c *Controller) ServiceTime() time.Duration { return c.serviceTime }
 
 // UpdateEndpoint is the one function that changes what is known of the endpoint. A drain mark is never taken back within a life, and a
 // life that has gone is over.
-func (g *Controller) UpdateEndpoint(now time.Duration, life Endpoint, state State) []Decision {
-	g.decisions = nil
+func (c *Controller) UpdateEndpoint(now time.Duration, life Endpoint, state State) []Decision {
+	c.decisions = nil
 	switch {
-	case life.ID != g.endpoint.ID:
-		g.rejectAll(outcome.Misdirected)
-		g.endpoint, g.state, g.drainingSince = life, state, now
+	case life.ID != c.endpoint.ID:
+		c.rejectAll(outcome.Misdirected)
+		c.endpoint, c.state, c.drainingSince = life, state, now
 		if state == Draining { // it said so before, to a process that has ended: nobody knows when
-			g.drainingSince = now - drainGrace - 1
+			c.drainingSince = now - drainGrace - 1
 		}
-		g.running = map[uint64]time.Duration{}
-	case state < g.state:
+		c.running = map[uint64]time.Duration{}
+	case state < c.state:
 	default:
-		if state == Draining && g.state != Draining {
-			g.drainingSince = now
+		if state == Draining && c.state != Draining {
+			c.drainingSince = now
 		}
-		g.endpoint, g.state = life, state
+		c.endpoint, c.state = life, state
 	}
-	if g.state == Terminated {
-		g.rejectAll(outcome.Misdirected)
+	if c.state == Terminated {
+		c.rejectAll(outcome.Misdirected)
 	}
-	g.admitQueued(now)
-	return g.decisions
+	c.admitQueued(now)
+	return c.decisions
 }
 
-func (g *Controller) rejectAll(k outcome.Kind) {
-	for _, w := range g.queue {
-		g.decisions = append(g.decisions, Decision{w.Token, k})
+func (c *Controller) rejectAll(k outcome.Kind) {
+	for _, w := range c.queue {
+		c.decisions = append(c.decisions, Decision{w.Token, k})
 	}
-	g.queue = nil
+	c.queue = nil
 }
 
 // closedReason is why nothing more goes on; 0 while it does.
-func (g *Controller) closedReason(now time.Duration) outcome.Kind {
+func (c *Controller) closedReason(now time.Duration) outcome.Kind {
 	switch {
-	case g.state == Unknown || g.state == Terminated:
+	case c.state == Unknown || c.state == Terminated:
 		return outcome.Misdirected
-	case g.state == Draining && now-g.drainingSince > drainGrace:
+	case c.state == Draining && now-c.drainingSince > drainGrace:
 		return outcome.Draining
 	}
 	return 0
 }
 
 // Submit takes a request in: it goes on, waits, or is turned away.
-func (g *Controller) Submit(now time.Duration, a Request) []Decision {
-	g.decisions = nil
-	switch k := g.closedReason(now); {
+func (c *Controller) Submit(now time.Duration, a Request) []Decision {
+	c.decisions = nil
+	switch k := c.closedReason(now); {
 	case k != 0:
-		g.decisions = append(g.decisions, Decision{a.Token, k})
-	case a.EndpointID != "" && a.EndpointID != g.endpoint.ID, a.Service != "" && a.Service != g.endpoint.Service:
-		g.decisions = append(g.decisions, Decision{a.Token, outcome.Misdirected})
+		c.decisions = append(c.decisions, Decision{a.Token, k})
+	case a.EndpointID != "" && a.EndpointID != c.endpoint.ID, a.Service != "" && a.Service != c.endpoint.Service:
+		c.decisions = append(c.decisions, Decision{a.Token, outcome.Misdirected})
 	case now+responseMargin >= a.Deadline:
-		g.decisions = append(g.decisions, Decision{a.Token, outcome.Expired})
+		c.decisions = append(c.decisions, Decision{a.Token, outcome.Expired})
 	default:
-		g.insert(queuedRequest{a, now})
-		g.admitQueued(now)
-		g.shed(now)
+		c.insert(queuedRequest{a, now})
+		c.admitQueued(now)
+		c.shed(now)
 	}
-	return g.decisions
+	return c.decisions
 }
 
 // insert puts a request in its place: what runs already waits for inner ones, so they go first; then by priority, then by
 // arrival.
-func (g *Controller) insert(w queuedRequest) {
-	i, _ := slices.BinarySearchFunc(g.queue, w, func(x, y queuedRequest) int {
+func (c *Controller) insert(w queuedRequest) {
+	i, _ := slices.BinarySearchFunc(c.queue, w, func(x, y queuedRequest) int {
 		if before(&y, &x) {
 			return 1
 		}
 		return -1
 	})
-	g.queue = slices.Insert(g.queue, i, w)
+	c.queue = slices.Insert(c.queue, i, w)
 }
 
 func before(x, y *queuedRequest) bool {
@@ -180,37 +180,37 @@
 }
 
 // admitQueued lets on whoever is next while there are slots.
-func (g *Controller) admitQueued(now time.Duration) {
-	for len(g.queue) > 0 && len(g.running) < g.endpoint.Slots {
-		if k := g.closedReason(now); k != 0 {
-			g.rejectAll(k)
+func (c *Controller) admitQueued(now time.Duration) {
+	for len(c.queue) > 0 && len(c.running) < c.endpoint.Slots {
+		if k := c.closedReason(now); k != 0 {
+			c.rejectAll(k)
 			return
 		}
-		w := g.queue[0]
-		g.queue = slices.Delete(g.queue, 0, 1)
+		w := c.queue[0]
+		c.queue = slices.Delete(c.queue, 0, 1)
 		if now+responseMargin >= w.Deadline {
-			g.decisions = append(g.decisions, Decision{w.Token, outcome.Expired})
+			c.decisions = append(c.decisions, Decision{w.Token, outcome.Expired})
 			continue
 		}
-		g.running[w.Token] = now
-		g.decisions = append(g.decisions, Decision{w.Token, 0})
+		c.running[w.Token] = now
+		c.decisions = append(c.decisions, Decision{w.Token, 0})
 	}
 }
 
 // shed turns away those that are not expected to go on in time.
-func (g *Controller) shed(now time.Duration) {
-	if g.endpoint.Slots == 0 {
+func (c *Controller) shed(now time.Duration) {
+	if c.endpoint.Slots == 0 {
 		return
 	}
-	each := float64(g.serviceTime) / float64(g.endpoint.Slots)
-	for i := 0; i < len(g.queue); {
-		w := &g.queue[i]
+	each := float64(c.serviceTime) / float64(c.endpoint.Slots)
+	for i := 0; i < len(c.queue); {
+		w := &c.queue[i]
 		expected := time.Duration(each * float64(i+1))
-		left := w.usefulUntil() - w.queuedAt - g.serviceTime
+		left := w.usefulUntil() - w.queuedAt - c.serviceTime
 		may := max(time.Duration(maxWaitFraction*float64(left)), minWait)
 		if expected > may || i >= maxQueue {
-			g.decisions = append(g.decisions, Decision{w.Token, outcome.AtCapacity})
-			g.queue = slices.Delete(g.queue, i, i+1)
+			c.decisions = append(c.decisions, Decision{w.Token, outcome.AtCapacity})
+			c.queue = slices.Delete(c.queue, i, i+1)
 			continue
 		}
 		i++
@@ -218,21 +218,21 @@
 }
 
 // Done tells that a request which had gone on has ended, and took its slot with it; who is next goes on.
-func (g *Controller) Done(now time.Duration, token uint64) []Decision {
-	g.decisions = nil
-	if at, ok := g.running[token]; ok {
-		delete(g.running, token)
-		g.serviceTime += time.Duration(serviceTimeWeight * float64(now-at-g.serviceTime))
+func (c *Controller) Done(now time.Duration, token uint64) []Decision {
+	c.decisions = nil
+	if at, ok := c.running[token]; ok {
+		delete(c.running, token)
+		c.serviceTime += time.Duration(serviceTimeWeight * float64(now-at-c.serviceTime))
 	}
-	g.admitQueued(now)
-	return g.decisions
+	c.admitQueued(now)
+	return c.decisions
 }
 
 // Cancel takes a request out that has not gone on; false if it has, or is not there.
-func (g *Controller) Cancel(now time.Duration, token uint64) bool {
-	for i := range g.queue {
-		if g.queue[i].Token == token {
-			g.queue = slices.Delete(g.queue, i, i+1)
+func (c *Controller) Cancel(now time.Duration, token uint64) bool {
+	for i := range c.queue {
+		if c.queue[i].Token == token {
+			c.queue = slices.Delete(c.queue, i, i+1)
 			return true
 		}
 	}
@@ -240,19 +240,19 @@
 }
 
 // Expire lets time pass: those whose time is up are turned away at once, and so are all when the drain mark has come of age.
-func (g *Controller) Expire(now time.Duration) []Decision {
-	g.decisions = nil
-	if k := g.closedReason(now); k != 0 {
-		g.rejectAll(k)
-		return g.decisions
+func (c *Controller) Expire(now time.Duration) []Decision {
+	c.decisions = nil
+	if k := c.closedReason(now); k != 0 {
+		c.rejectAll(k)
+		return c.decisions
 	}
-	for i := 0; i < len(g.queue); {
-		if w := &g.queue[i]; now+responseMargin+g.serviceTime/2 >= w.Deadline {
-			g.decisions = append(g.decisions, Decision{w.Token, outcome.Expired})
-			g.queue = slices.Delete(g.queue, i, i+1)
+	for i := 0; i < len(c.queue); {
+		if w := &c.queue[i]; now+responseMargin+c.serviceTime/2 >= w.Deadline {
+			c.decisions = append(c.decisions, Decision{w.Token, outcome.Expired})
+			c.queue = slices.Delete(c.queue, i, i+1)
 			continue
 		}
 		i++
 	}
-	return g.decisions
+	return c.decisions
 }
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -68,109 +68,109 @@
 }
 
 // SetDialer has connections to the endpoint dialled by f in place of TCP. It is called before the first request.
-func (d *Proxy) SetDialer(f func(address string, timeout time.Duration) (net.Conn, error)) {
-	d.dial = f
+func (p *Proxy) SetDialer(f func(address string, timeout time.Duration) (net.Conn, error)) {
+	p.dial = f
 }
 
 // UpdateEndpoint says what is known of the endpoint.
-func (d *Proxy) UpdateEndpoint(life admission.Endpoint, state admission.State) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if life.ID != d.controller.Endpoint().ID {
-		d.closeIdleConnections()
+func (p *Proxy) UpdateEndpoint(life admission.Endpoint, state admission.State) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if life.ID != p.controller.Endpoint().ID {
+		p.closeIdleConnections()
 	}
-	d.apply(d.controller.UpdateEndpoint(d.now(), life, state))
+	p.apply(p.controller.UpdateEndpoint(p.now(), life, state))
 }
 
 // Endpoint is the endpoint's life and state.
-func (d *Proxy) Endpoint() (admission.Endpoint, admission.State) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.controller.Endpoint(), d.controller.State()
+func (p *Proxy) Endpoint() (admission.Endpoint, admission.State) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.controller.Endpoint(), p.controller.State()
 }
 
 // Pending is how many requests run or wait.
-func (d *Proxy) Pending() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.pending)
+func (p *Proxy) Pending() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.pending)
 }
 
-func (d *Proxy) closeIdleConnections() {
-	for d.idleConnections.Len() > 0 {
-		d.idleConnections.PopFront().Close()
+func (p *Proxy) closeIdleConnections() {
+	for p.idleConnections.Len() > 0 {
+		p.idleConnections.PopFront().Close()
 	}
 }
 
 // Forward takes a request; done is called once, on another goroutine. What it returns withdraws the request.
-func (d *Proxy) Forward(p *ForwardRequest, aim, deadline time.Duration, done func(*ForwardResponse)) (withdraw func()) {
-	return d.forward(p, aim, deadline, false, done)
+func (p *Proxy) Forward(forwardRequest *ForwardRequest, aim, deadline time.Duration, done func(*ForwardResponse)) (withdraw func()) {
+	return p.forward(forwardRequest, aim, deadline, false, done)
 }
 
 // forward is Forward; afar tells that the answer goes back over the machine's link, which may be the narrowest place.
-func (d *Proxy) forward(p *ForwardRequest, aim, deadline time.Duration, afar bool, done func(*ForwardResponse)) (withdraw func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lastToken++
+func (p *Proxy) forward(forwardRequest *ForwardRequest, aim, deadline time.Duration, afar bool, done func(*ForwardResponse)) (withdraw func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastToken++
 	large := 0.0
-	if size := d.responseSizes[p.Route]; afar && d.linkBacklog != nil && size > largeResponse {
+	if size := p.responseSizes[forwardRequest.Route]; afar && p.linkBacklog != nil && size > largeResponse {
 		large = size
-		back := d.linkBacklog(d.expectedBytes + size)
+		back := p.linkBacklog(p.expectedBytes + size)
 		aim, deadline = aim-back, deadline-back
 	}
-	if large > 0 && d.now()+d.controller.ServiceTime() > aim { // late ones would only keep the link from others
-		o := &ForwardResponse{Kind: outcome.AtCapacity, Slots: d.controller.Endpoint().Slots}
-		o.Running, o.Waiting = d.controller.Load()
+	if large > 0 && p.now()+p.controller.ServiceTime() > aim { // late ones would only keep the link from others
+		o := &ForwardResponse{Kind: outcome.AtCapacity, Slots: p.controller.Endpoint().Slots}
+		o.Running, o.Waiting = p.controller.Load()
 		go done(o)
 		return func() {}
 	}
-	d.expectedBytes += large
-	j := &pendingRequest{token: d.lastToken, request: p, deadline: deadline, done: done, expectedBytes: large}
-	d.pending[j.token] = j
-	d.apply(d.controller.Submit(d.now(), admission.Request{Token: j.token, EndpointID: p.EndpointID, Service: p.Service,
-		Priority: p.Priority, Nested: p.Nested, TargetDeadline: aim, Deadline: deadline}))
-	d.scheduleExpiry()
-	return func() { d.cancel(j) }
+	p.expectedBytes += large
+	j := &pendingRequest{token: p.lastToken, request: forwardRequest, deadline: deadline, done: done, expectedBytes: large}
+	p.pending[j.token] = j
+	p.apply(p.controller.Submit(p.now(), admission.Request{Token: j.token, EndpointID: forwardRequest.EndpointID, Service: forwardRequest.Service,
+		Priority: forwardRequest.Priority, Nested: forwardRequest.Nested, TargetDeadline: aim, Deadline: deadline}))
+	p.scheduleExpiry()
+	return func() { p.cancel(j) }
 }
 
 // apply does what the gate has decided; the lock is held.
-func (d *Proxy) apply(steps []admission.Decision) {
+func (p *Proxy) apply(steps []admission.Decision) {
 	for _, s := range steps {
-		j := d.pending[s.Token]
+		j := p.pending[s.Token]
 		if j == nil {
 			continue
 		}
 		if s.Kind != 0 {
-			d.finish(j, &ForwardResponse{Kind: s.Kind})
+			p.finish(j, &ForwardResponse{Kind: s.Kind})
 			continue
 		}
 		j.running = true
-		go d.run(j)
+		go p.run(j)
 	}
 }
 
 // finish gives a request its outcome; the lock is held.
-func (d *Proxy) finish(j *pendingRequest, o *ForwardResponse) {
-	if d.pending[j.token] != j {
+func (p *Proxy) finish(j *pendingRequest, o *ForwardResponse) {
+	if p.pending[j.token] != j {
 		return
 	}
-	delete(d.pending, j.token)
-	d.expectedBytes = max(d.expectedBytes-j.expectedBytes, 0)
-	o.Slots = d.controller.Endpoint().Slots
-	o.Running, o.Waiting = d.controller.Load()
+	delete(p.pending, j.token)
+	p.expectedBytes = max(p.expectedBytes-j.expectedBytes, 0)
+	o.Slots = p.controller.Endpoint().Slots
+	o.Running, o.Waiting = p.controller.Load()
 	go j.done(o)
 }
 
-func (d *Proxy) cancel(j *pendingRequest) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.pending[j.token] != j || j.cancelled {
+func (p *Proxy) cancel(j *pendingRequest) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.pending[j.token] != j || j.cancelled {
 		return
 	}
 	j.cancelled = true
 	if !j.running {
-		d.controller.Cancel(d.now(), j.token)
-		d.finish(j, &ForwardResponse{Kind: outcome.Cancelled})
+		p.controller.Cancel(p.now(), j.token)
+		p.finish(j, &ForwardResponse{Kind: outcome.Cancelled})
 		return
 	}
 	if j.conn != nil {
@@ -179,24 +179,24 @@
 }
 
 // scheduleExpiry lets time pass for those who wait.
-func (d *Proxy) scheduleExpiry() {
-	if _, waiting := d.controller.Load(); d.expiryScheduled || waiting == 0 {
+func (p *Proxy) scheduleExpiry() {
+	if _, waiting := p.controller.Load(); p.expiryScheduled || waiting == 0 {
 		return
 	}
-	d.expiryScheduled = true
+	p.expiryScheduled = true
 	time.AfterFunc(expiryInterval, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.expiryScheduled = false
-		d.apply(d.controller.Expire(d.now()))
-		d.scheduleExpiry()
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.expiryScheduled = false
+		p.apply(p.controller.Expire(p.now()))
+		p.scheduleExpiry()
 	})
 }
 
 // run brings a request to the endpoint and its outcome back.
-func (d *Proxy) run(j *pendingRequest) {
-	o := d.attempt(j)
-	d.mu.Lock()
+func (p *Proxy) run(j *pendingRequest) {
+	o := p.attempt(j)
+	p.mu.Lock()
 	if o.Kind == outcome.EndpointReset && j.cancelled {
 		o.Kind = outcome.TimedOut
 	}
@@ -205,55 +205,55 @@
 			c.Close()
 		} else {
 			_ = c.SetDeadline(time.Time{})
-			d.idleConnections.PushBack(c)
+			p.idleConnections.PushBack(c)
 		}
 	}
 	if o.Kind == outcome.Answered {
-		if size, ok := d.responseSizes[j.request.Route]; ok || len(d.responseSizes) < maxTrackedRoutes {
+		if size, ok := p.responseSizes[j.request.Route]; ok || len(p.responseSizes) < maxTrackedRoutes {
 			if !ok {
 				size = float64(len(o.Body))
 			}
-			d.responseSizes[j.request.Route] = size + responseSizeWeight*(float64(len(o.Body))-size)
+			p.responseSizes[j.request.Route] = size + responseSizeWeight*(float64(len(o.Body))-size)
 		}
 	}
-	steps := d.controller.Done(d.now(), j.token)
-	d.finish(j, &o)
-	d.apply(steps)
+	steps := p.controller.Done(p.now(), j.token)
+	p.finish(j, &o)
+	p.apply(steps)
 	dead := ""
-	if d.connectFailures >= 2 {
-		if life := d.controller.Endpoint(); d.controller.State() != admission.Terminated && life.ID == j.request.EndpointID {
+	if p.connectFailures >= 2 {
+		if life := p.controller.Endpoint(); p.controller.State() != admission.Terminated && life.ID == j.request.EndpointID {
 			dead = life.ID
-			d.apply(d.controller.UpdateEndpoint(d.now(), life, admission.Terminated))
+			p.apply(p.controller.UpdateEndpoint(p.now(), life, admission.Terminated))
 		}
 	}
-	d.mu.Unlock()
-	if dead != "" && d.onEndpointDown != nil {
-		d.onEndpointDown(dead)
+	p.mu.Unlock()
+	if dead != "" && p.onEndpointDown != nil {
+		p.onEndpointDown(dead)
 	}
 }
 
 // attempt sends a request out, once: a connection that took nothing of it gives way to another.
-func (d *Proxy) attempt(j *pendingRequest) ForwardResponse {
+func (p *Proxy) attempt(j *pendingRequest) ForwardResponse {
 	for {
-		c, kind := d.acquireConnection(j)
+		c, kind := p.acquireConnection(j)
 		if kind != 0 {
 			return ForwardResponse{Kind: kind}
 		}
-		left := j.deadline - d.now()
+		left := j.deadline - p.now()
 		if left <= 0 {
 			return ForwardResponse{Kind: outcome.Expired}
 		}
 		_ = c.SetDeadline(time.Now().Add(left))
 		used := c.used
-		o := roundTrip(c, j.request, appendRequest(nil, j.request, left), d.now)
+		o := roundTrip(c, j.request, appendRequest(nil, j.request, left), p.now)
 		c.used = true
 		switch {
 		case !o.ReachedEndpoint && used:
-			d.discardConnection(j)
+			p.discardConnection(j)
 			continue
 		case !o.ReachedEndpoint: // accepted, and reset before it took anything: an endpoint that is full does so
 			o.Kind = outcome.AtCapacity
-		case o.Kind == outcome.EndpointReset && d.now() >= j.deadline-time.Millisecond:
+		case o.Kind == outcome.EndpointReset && p.now() >= j.deadline-time.Millisecond:
 			o.Kind = outcome.TimedOut
 		}
 		return o
@@ -261,48 +261,48 @@
 }
 
 // discardConnection closes a request's connection.
-func (d *Proxy) discardConnection(j *pendingRequest) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (p *Proxy) discardConnection(j *pendingRequest) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	j.conn.Close()
 	j.conn = nil
 }
 
 // acquireConnection is an idle one that is fresh, or a new one.
-func (d *Proxy) acquireConnection(j *pendingRequest) (*connection, outcome.Kind) {
+func (p *Proxy) acquireConnection(j *pendingRequest) (*connection, outcome.Kind) {
 	for {
-		d.mu.Lock()
+		p.mu.Lock()
 		if j.cancelled {
-			d.mu.Unlock()
+			p.mu.Unlock()
 			return nil, outcome.Cancelled
 		}
-		c := d.takeIdle(j.request.AttemptID)
+		c := p.takeIdle(j.request.AttemptID)
 		if c == nil {
-			d.mu.Unlock()
+			p.mu.Unlock()
 			break
 		}
 		j.conn = c
-		d.mu.Unlock()
-		if c.reusable(d.now()) {
+		p.mu.Unlock()
+		if c.reusable(p.now()) {
 			return c, 0
 		}
 		c.Close()
-		d.mu.Lock()
+		p.mu.Lock()
 		j.conn = nil
-		d.mu.Unlock()
+		p.mu.Unlock()
 	}
-	timeout := min(maxConnectTime, j.deadline-d.now())
+	timeout := min(maxConnectTime, j.deadline-p.now())
 	if timeout <= 0 {
 		return nil, outcome.Expired
 	}
-	conn, err := d.dial(d.address, timeout)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	conn, err := p.dial(p.address, timeout)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if err != nil {
-		d.connectFailures++
+		p.connectFailures++
 		return nil, outcome.Unreachable
 	}
-	d.connectFailures = 0
+	p.connectFailures = 0
 	c := &connection{Conn: conn, reader: bufio.NewReaderSize(conn, 4<<10)}
 	if j.cancelled {
 		conn.Close()
@@ -313,10 +313,10 @@
 }
 
 // takeIdle takes the idle connection that was used last, of those that may carry an attempt; nil for none. The lock is held.
-func (d *Proxy) takeIdle(attempt string) *connection {
-	for i := d.idleConnections.Len() - 1; i >= 0; i-- {
-		if c := d.idleConnections.At(i); c.mayCarry(attempt) {
-			d.idleConnections.Remove(i)
+func (p *Proxy) takeIdle(attempt string) *connection {
+	for i := p.idleConnections.Len() - 1; i >= 0; i-- {
+		if c := p.idleConnections.At(i); c.mayCarry(attempt) {
+			p.idleConnections.Remove(i)
 			return c
 		}
 	}
@@ -324,22 +324,22 @@
 }
 
 // Register declares the method by which other sidecars bring requests.
-func (d *Proxy) Register(h *transport.Hub) {
-	d.linkBacklog = h.Backlog
+func (p *Proxy) Register(h *transport.Hub) {
+	p.linkBacklog = h.Backlog
 	h.HandleRaw(MethodForward, func(c *transport.IncomingCall) {
-		var p ForwardRequest
-		if err := codec.Unmarshal(c.Body, &p); err != nil {
-			d.log.WithField("peer", c.From.Name).Warn("inbound: " + err.Error())
+		var forwardRequest ForwardRequest
+		if err := codec.Unmarshal(c.Body, &forwardRequest); err != nil {
+			p.log.WithField("peer", c.From.Name).Warn("inbound: " + err.Error())
 			c.Reply(&ForwardResponse{Kind: outcome.Misdirected}) // it can't serve this caller
 			return
 		}
-		now := d.now()
-		deadline := now + p.TimeRemaining
+		now := p.now()
+		deadline := now + forwardRequest.TimeRemaining
 		if c.ExpiresAt != 0 {
 			deadline = min(deadline, c.ExpiresAt)
 		}
-		aim := deadline - p.TimeRemaining + p.TargetRemaining
-		withdraw := d.forward(&p, aim, deadline, true, func(o *ForwardResponse) { c.Reply(o) })
+		aim := deadline - forwardRequest.TimeRemaining + forwardRequest.TargetRemaining
+		withdraw := p.forward(&forwardRequest, aim, deadline, true, func(o *ForwardResponse) { c.Reply(o) })
 		c.OnCancel(withdraw)
 	})
 }
--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -158,11 +158,11 @@
 	read chan struct{}
 }
 
-func (t *readNotifier) Read(b []byte) (int, error) {
-	n, err := t.Conn.Read(b)
+func (r *readNotifier) Read(b []byte) (int, error) {
+	n, err := r.Conn.Read(b)
 	if n > 0 {
 		select {
-		case t.read <- struct{}{}:
+		case r.read <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -32,24 +32,24 @@
 }
 
 // Fields names the fields of a ForwardRequest.
-func (p *ForwardRequest) Fields(v *codec.Visitor) {
-	v.String(1, &p.EndpointID)
-	v.String(2, &p.Service)
-	v.String(3, &p.Method)
-	v.String(4, &p.URI)
-	v.String(5, &p.Host)
-	v.Strings(6, &p.Header)
-	v.Bytes(7, &p.Body)
-	v.Bool(8, &p.HasBody)
-	v.String(9, &p.AttemptID)
-	v.String(10, &p.CallingService)
-	v.String(11, &p.Tenant)
-	v.Int(12, &p.Priority)
-	v.Bool(13, &p.Nested)
-	v.Bool(14, &p.Idempotent)
-	v.Duration(15, &p.TargetRemaining)
-	v.Duration(16, &p.TimeRemaining)
-	v.String(17, &p.Route)
+func (f *ForwardRequest) Fields(v *codec.Visitor) {
+	v.String(1, &f.EndpointID)
+	v.String(2, &f.Service)
+	v.String(3, &f.Method)
+	v.String(4, &f.URI)
+	v.String(5, &f.Host)
+	v.Strings(6, &f.Header)
+	v.Bytes(7, &f.Body)
+	v.Bool(8, &f.HasBody)
+	v.String(9, &f.AttemptID)
+	v.String(10, &f.CallingService)
+	v.String(11, &f.Tenant)
+	v.Int(12, &f.Priority)
+	v.Bool(13, &f.Nested)
+	v.Bool(14, &f.Idempotent)
+	v.Duration(15, &f.TargetRemaining)
+	v.Duration(16, &f.TimeRemaining)
+	v.String(17, &f.Route)
 }
 
 // ForwardResponse is how a ForwardRequest ended.
@@ -67,15 +67,15 @@
 }
 
 // Fields names the fields of an Outcome.
-func (o *ForwardResponse) Fields(v *codec.Visitor) {
-	v.Uint64(1, (*uint64)(&o.Kind))
-	v.Int(2, &o.Status)
-	v.Strings(3, &o.Header)
-	v.Bytes(4, &o.Body)
-	v.Duration(5, &o.ServiceTime)
-	v.Int(6, &o.Slots)
-	v.Int(7, &o.Running)
-	v.Int(8, &o.Waiting)
-	v.Duration(9, &o.RetryAfter)
-	v.Bool(10, &o.ReachedEndpoint)
+func (f *ForwardResponse) Fields(v *codec.Visitor) {
+	v.Uint64(1, (*uint64)(&f.Kind))
+	v.Int(2, &f.Status)
+	v.Strings(3, &f.Header)
+	v.Bytes(4, &f.Body)
+	v.Duration(5, &f.ServiceTime)
+	v.Int(6, &f.Slots)
+	v.Int(7, &f.Running)
+	v.Int(8, &f.Waiting)
+	v.Duration(9, &f.RetryAfter)
+	v.Bool(10, &f.ReachedEndpoint)
 }
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -117,17 +117,17 @@
 	return e, l
 }
 
-func (e *flawedEndpoint) close() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, c := range e.conns {
+func (f *flawedEndpoint) close() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, c := range f.conns {
 		c.Close()
 	}
 }
 
 // serve takes the requests of one connection, one after the other; what it writes waits for its reader in order, as in a socket's
 // buffer.
-func (e *flawedEndpoint) serve(conn net.Conn) {
+func (f *flawedEndpoint) serve(conn net.Conn) {
 	defer conn.Close()
 	out := make(chan string, 64)
 	defer close(out)
@@ -149,7 +149,7 @@
 		if err != nil {
 			return
 		}
-		e.answer(q, string(body), last, out)
+		f.answer(q, string(body), last, out)
 		last = q.Header.Get("Attempt-Id")
 	}
 }
@@ -172,16 +172,16 @@
 }
 
 // answer writes what the endpoint has to say to a request, and may be in trouble.
-func (e *flawedEndpoint) answer(q *http.Request, body, last string, out chan<- string) {
+func (f *flawedEndpoint) answer(q *http.Request, body, last string, out chan<- string) {
 	id := q.Header.Get("Attempt-Id")
-	if q.Header.Get("Target-Endpoint") != e.id {
+	if q.Header.Get("Target-Endpoint") != f.id {
 		out <- fmt.Sprintf("HTTP/1.1 421 Misdirected\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
 		return
 	}
 	refusal := fmt.Sprintf("HTTP/1.1 503 Full\r\nAttempt-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 	flaw := 100
-	if e.flawed {
-		flaw = e.n.draw(100)
+	if f.flawed {
+		flaw = f.n.draw(100)
 	}
 	switch {
 	case flaw < 4:
@@ -195,10 +195,10 @@
 		out <- ""
 		return
 	}
-	e.mu.Lock()
-	e.runs[id]++
-	e.mu.Unlock()
-	time.Sleep(time.Duration(1+e.n.draw(40)) * time.Millisecond)
+	f.mu.Lock()
+	f.runs[id]++
+	f.mu.Unlock()
+	time.Sleep(time.Duration(1+f.n.draw(40)) * time.Millisecond)
 	text := answerText(id, q.RequestURI, body)
 	whole := wholeAnswer(id, text)
 	switch {
@@ -206,7 +206,7 @@
 		out <- ""
 	case flaw < 16: // silence
 	case flaw < 20:
-		out <- whole[:len(whole)-1-e.n.draw(len(text))]
+		out <- whole[:len(whole)-1-f.n.draw(len(text))]
 		out <- ""
 	case flaw < 22:
 		out <- "\x00\x01 no answer\r\n\r\n"
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -72,13 +72,13 @@
 
 // class is the number of a route's class. Each change of a route's times may ask for a new one; once there are too many, routes share
 // those that are most like theirs.
-func (c *serviceBalancer) class(r *configuration.Route) int {
+func (s *serviceBalancer) class(r *configuration.Route) int {
 	key := classKey{r.Kind, r.Target, r.Timeout}
-	if n, ok := c.classes[key]; ok {
+	if n, ok := s.classes[key]; ok {
 		return n
 	}
-	if len(c.classes) >= maxClasses {
-		return c.nearestClass(key)
+	if len(s.classes) >= maxClasses {
+		return s.nearestClass(key)
 	}
 	effect := balancer.Idempotent
 	if !r.Kind.IsIdempotent() {
@@ -88,21 +88,21 @@
 	if target <= 0 {
 		target = r.Timeout / 2
 	}
-	n, err := c.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(c.classes)), LatencyTarget: target, Deadline: r.Timeout,
+	n, err := s.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(s.classes)), LatencyTarget: target, Deadline: r.Timeout,
 		Value: 1, LateValueShare: 0.2, Idempotency: effect})
 	if err != nil {
-		c.proxy.options.Log.Warn("outbound: " + err.Error())
+		s.proxy.options.Log.Warn("outbound: " + err.Error())
 		return 0
 	}
-	c.classes[key] = n
+	s.classes[key] = n
 	return n
 }
 
 // nearestClass is the class of the same kind of requests whose times are nearest to a key's; 0, which may be sent once only, if there is
 // none of its kind.
-func (c *serviceBalancer) nearestClass(key classKey) (number int) {
+func (s *serviceBalancer) nearestClass(key classKey) (number int) {
 	nearest := time.Duration(math.MaxInt64)
-	for other, n := range c.classes {
+	for other, n := range s.classes {
 		distance := (other.timeout - key.timeout).Abs() + (other.target - key.target).Abs()
 		if other.kind == key.kind && (distance < nearest || distance == nearest && n < number) {
 			nearest, number = distance, n
@@ -112,22 +112,22 @@
 }
 
 // updateEndpoints takes the list of the service's endpoints, all of them.
-func (c *serviceBalancer) updateEndpoints(now time.Duration, all []discovery.Endpoint) {
-	c.listVersion++
-	l := balancer.EndpointList{Kind: balancer.ListFull, Version: c.listVersion}
+func (s *serviceBalancer) updateEndpoints(now time.Duration, all []discovery.Endpoint) {
+	s.listVersion++
+	l := balancer.EndpointList{Kind: balancer.ListFull, Version: s.listVersion}
 	seen := map[string]bool{}
 	for _, e := range all {
-		p := c.byID[e.ID]
+		p := s.byID[e.ID]
 		if e.State >= discovery.Crashed {
 			continue
 		}
 		if p == nil {
-			c.lastEndpoint++
-			p = &knownEndpoint{number: c.lastEndpoint}
-			c.byID[e.ID], c.endpoints[p.number] = p, p
+			s.lastEndpoint++
+			p = &knownEndpoint{number: s.lastEndpoint}
+			s.byID[e.ID], s.endpoints[p.number] = p, p
 		}
 		p.Endpoint, seen[e.ID] = e, true
-		entry := balancer.ListEntry{Endpoint: p.number, Zone: c.proxy.zoneNumber(e.Zone), Weight: 1}
+		entry := balancer.ListEntry{Endpoint: p.number, Zone: s.proxy.zoneNumber(e.Zone), Weight: 1}
 		if e.State == discovery.Draining {
 			entry.State = balancer.EndpointDraining
 		}
@@ -136,44 +136,44 @@
 		}
 		l.Entries = append(l.Entries, entry)
 	}
-	for id, p := range c.byID {
+	for id, p := range s.byID {
 		if !seen[id] {
-			delete(c.byID, id)
-			delete(c.endpoints, p.number)
+			delete(s.byID, id)
+			delete(s.endpoints, p.number)
 		}
 	}
-	c.balancer.HandleEndpoints(now, l)
+	s.balancer.HandleEndpoints(now, l)
 }
 
 // Send makes an attempt (balancer.Host).
-func (c *serviceBalancer) Send(id balancer.RequestID, to balancer.EndpointID, _ time.Duration) {
-	r, p := c.requests[id], c.endpoints[to]
+func (s *serviceBalancer) Send(id balancer.RequestID, to balancer.EndpointID, _ time.Duration) {
+	r, p := s.requests[id], s.endpoints[to]
 	if r == nil {
 		return
 	}
-	now := c.proxy.Now()
+	now := s.proxy.Now()
 	a := &attempt{request: r, endpoint: to, number: r.sentAttempts, sentAt: now}
 	r.sentAttempts++
 	r.active = a
 	if p == nil { // it left between two events
-		c.proxy.deferLocked(func(now time.Duration) { c.attemptEnded(now, a, &inbound.ForwardResponse{Kind: outcome.Misdirected}) })
+		s.proxy.deferLocked(func(now time.Duration) { s.attemptEnded(now, a, &inbound.ForwardResponse{Kind: outcome.Misdirected}) })
 		return
 	}
 	if r.mayHaveExecuted && !r.route.Kind.IsIdempotent() { // the module never does so; this guards against a fault of it
-		c.proxy.options.Log.WithField("attempt", r.forward.AttemptID).Error("outbound: a request that may have run is not sent again")
-		c.proxy.deferLocked(func(now time.Duration) { c.attemptEnded(now, a, &inbound.ForwardResponse{Kind: outcome.Cancelled}) })
+		s.proxy.options.Log.WithField("attempt", r.forward.AttemptID).Error("outbound: a request that may have run is not sent again")
+		s.proxy.deferLocked(func(now time.Duration) { s.attemptEnded(now, a, &inbound.ForwardResponse{Kind: outcome.Cancelled}) })
 		return
 	}
 	forward := r.forward
 	forward.EndpointID, forward.TimeRemaining, forward.TargetRemaining = p.ID, r.deadline-now, r.targetDeadline-now
 	done := func(o *inbound.ForwardResponse) {
-		c.proxy.runLocked(func(now time.Duration) { c.attemptEnded(now, a, o) })
+		s.proxy.runLocked(func(now time.Duration) { s.attemptEnded(now, a, o) })
 	}
-	if p.SidecarAddress == c.proxy.options.Hub.Self().Address {
-		a.cancel = c.proxy.options.Inbound.Forward(&forward, r.targetDeadline, r.deadline, done)
+	if p.SidecarAddress == s.proxy.options.Hub.Self().Address {
+		a.cancel = s.proxy.options.Inbound.Forward(&forward, r.targetDeadline, r.deadline, done)
 		return
 	}
-	call := c.proxy.options.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.MarshalAppend(nil, &forward), r.deadline,
+	call := s.proxy.options.Hub.Send(p.SidecarAddress, inbound.MethodForward, codec.MarshalAppend(nil, &forward), r.deadline,
 		func(body []byte, err error) { done(parseResponse(body, err)) })
 	a.cancel = call.Cancel
 }
@@ -226,32 +226,32 @@
 }
 
 // SetTimer (balancer.Host).
-func (c *serviceBalancer) SetTimer(token uint64, after time.Duration) {
+func (s *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
-		c.proxy.runLocked(func(now time.Duration) { c.balancer.HandleTimer(now, token) })
+		s.proxy.runLocked(func(now time.Duration) { s.balancer.HandleTimer(now, token) })
 	})
 }
 
 // FetchEndpoints gets the list of endpoints anew from the service's homes (balancer.Host).
-func (c *serviceBalancer) FetchEndpoints() {
-	if f := c.proxy.options.RefreshEndpoints; f != nil {
-		go f(c.service)
+func (s *serviceBalancer) FetchEndpoints() {
+	if f := s.proxy.options.RefreshEndpoints; f != nil {
+		go f(s.service)
 	}
 }
 
 // Log (balancer.Host).
-func (c *serviceBalancer) Log(text string) {
-	c.proxy.options.Log.WithField("service", c.service).Info("balancer: " + text)
+func (s *serviceBalancer) Log(text string) {
+	s.proxy.options.Log.WithField("service", s.service).Info("balancer: " + text)
 }
 
 // HealthCheck (balancer.Host): endpoints' own sidecars vouch for them, so nobody probes.
-func (c *serviceBalancer) HealthCheck(balancer.EndpointID) {}
+func (s *serviceBalancer) HealthCheck(balancer.EndpointID) {}
 
 // SendToPeer (balancer.Host): not used by the module.
-func (c *serviceBalancer) SendToPeer(int, []byte) {}
+func (s *serviceBalancer) SendToPeer(int, []byte) {}
 
 // WatchEndpoints (balancer.Host): lists are pushed.
-func (c *serviceBalancer) WatchEndpoints(bool) {}
+func (s *serviceBalancer) WatchEndpoints(bool) {}
 
 // CloseIdleConnections (balancer.Host): the endpoint's own sidecar has its connections.
-func (c *serviceBalancer) CloseIdleConnections(balancer.EndpointID) {}
+func (s *serviceBalancer) CloseIdleConnections(balancer.EndpointID) {}
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -20,9 +20,9 @@
 )
 
 // readBody reads a request's body whole: only then can it go to an endpoint, and to another one after that.
-func (d *Proxy) readBody(conf *configuration.Config, w http.ResponseWriter, q *http.Request, r *request) outcome.Kind {
-	p := &r.forward
-	p.HasBody = q.ContentLength > 0 || len(q.TransferEncoding) > 0 || q.ContentLength == 0 && len(q.Header["Content-Length"]) > 0
+func (p *Proxy) readBody(conf *configuration.Config, w http.ResponseWriter, q *http.Request, r *request) outcome.Kind {
+	forwardRequest := &r.forward
+	forwardRequest.HasBody = q.ContentLength > 0 || len(q.TransferEncoding) > 0 || q.ContentLength == 0 && len(q.Header["Content-Length"]) > 0
 	if q.Body == nil || q.Body == http.NoBody {
 		return 0
 	}
@@ -30,14 +30,14 @@
 		return outcome.BodyTooLarge
 	}
 	controller := http.NewResponseController(w)
-	d.bodyReads.begin(controller, time.Now().Add(r.deadline-d.Now()))
-	defer d.bodyReads.end(controller)
+	p.bodyReads.begin(controller, time.Now().Add(r.deadline-p.Now()))
+	defer p.bodyReads.end(controller)
 	if q.ContentLength >= 0 {
-		p.Body = make([]byte, 0, min(q.ContentLength+1, initialBodyCapacity))
+		forwardRequest.Body = make([]byte, 0, min(q.ContentLength+1, initialBodyCapacity))
 	}
-	body, err := readAll(http.MaxBytesReader(w, q.Body, conf.Limits.BodyMax), p.Body, func(n int) bool {
+	body, err := readAll(http.MaxBytesReader(w, q.Body, conf.Limits.BodyMax), forwardRequest.Body, func(n int) bool {
 		r.bodyBytes += int64(n)
-		return d.bodyBytes.Add(int64(n)) <= d.options.MaxBodyBytes
+		return p.bodyBytes.Add(int64(n)) <= p.options.MaxBodyBytes
 	})
 	var large *http.MaxBytesError
 	var timeout net.Error
@@ -46,14 +46,14 @@
 		return outcome.Overloaded
 	case errors.As(err, &large):
 		return outcome.BodyTooLarge
-	case errors.As(err, &timeout) && timeout.Timeout() && d.shuttingDown.Load():
+	case errors.As(err, &timeout) && timeout.Timeout() && p.shuttingDown.Load():
 		return outcome.ShuttingDown
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return outcome.BodyTimeout
 	case err != nil:
 		return outcome.Malformed
 	}
-	p.Body = body
+	forwardRequest.Body = body
 	return 0
 }
 
--- a/internal/mesh/dataplane/outbound/connections.go
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -50,16 +50,16 @@
 }
 
 // idleTimeout is how long a client's connection may stay idle, by the configuration in force.
-func (d *Proxy) idleTimeout() time.Duration {
-	if conf := d.config.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
+func (p *Proxy) idleTimeout() time.Duration {
+	if conf := p.config.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
 		return min(conf.Limits.IdleTimeout, maxIdleTime)
 	}
 	return defaultIdleTimeout
 }
 
 // trackConnection follows a connection (http.Server.ConnState).
-func (d *Proxy) trackConnection(c net.Conn, s http.ConnState) {
-	t := &d.connections
+func (p *Proxy) trackConnection(c net.Conn, s http.ConnState) {
+	t := &p.connections
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s == http.StateClosed || s == http.StateHijacked {
@@ -72,10 +72,10 @@
 	if s == http.StateActive && t.open[c].expired {
 		_ = c.SetReadDeadline(time.Time{}) // its request was read all the same; the deadline would count as the client's end
 	}
-	t.open[c] = clientConnection{state: s, idleUntil: time.Now().Add(d.idleTimeout())}
+	t.open[c] = clientConnection{state: s, idleUntil: time.Now().Add(p.idleTimeout())}
 	if !t.sweeping {
 		t.sweeping = true
-		time.AfterFunc(sweepInterval, d.sweep)
+		time.AfterFunc(sweepInterval, p.sweep)
 	}
 }
 
@@ -83,8 +83,8 @@
 // deadline in the past, not by Close: the server's own reader then either has the whole of a request, and answers it, or has
 // not, and closes. So a request that was read is never dropped. The deadline may be set after the server has read a request and
 // before it says so (trackConnection); it is taken back then.
-func (d *Proxy) sweep() {
-	t := &d.connections
+func (p *Proxy) sweep() {
+	t := &p.connections
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -100,28 +100,28 @@
 		interval = shutdownSweepInterval
 	}
 	if t.sweeping = len(t.open) > 0; t.sweeping {
-		time.AfterFunc(interval, d.sweep)
+		time.AfterFunc(interval, p.sweep)
 	}
 }
 
 // closeConnections ends connections once they have no request under way, from now on.
-func (d *Proxy) closeConnections(phase closingPhase) {
-	d.connections.mu.Lock()
-	d.connections.phase = phase
-	d.connections.mu.Unlock()
-	d.sweep()
+func (p *Proxy) closeConnections(phase closingPhase) {
+	p.connections.mu.Lock()
+	p.connections.phase = phase
+	p.connections.mu.Unlock()
+	p.sweep()
 }
 
 // OpenConnections is how many connections of clients are open.
-func (d *Proxy) OpenConnections() int {
-	d.connections.mu.Lock()
-	defer d.connections.mu.Unlock()
-	return len(d.connections.open)
+func (p *Proxy) OpenConnections() int {
+	p.connections.mu.Lock()
+	defer p.connections.mu.Unlock()
+	return len(p.connections.open)
 }
 
 // advertiseIdleTimeout tells the client how long it may keep its connection idle.
-func (d *Proxy) advertiseIdleTimeout(h http.Header) {
-	if s := int((d.idleTimeout() - idleTimeoutMargin) / time.Second); s > 0 {
+func (p *Proxy) advertiseIdleTimeout(h http.Header) {
+	if s := int((p.idleTimeout() - idleTimeoutMargin) / time.Second); s > 0 {
 		h["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(s)}
 	}
 }
--- a/internal/mesh/dataplane/outbound/connections_test.go
+++ b/internal/mesh/dataplane/outbound/connections_test.go
@@ -15,8 +15,8 @@
 	deadline time.Time
 }
 
-func (c *deadlineConn) SetReadDeadline(t time.Time) error {
-	c.deadline = t
+func (d *deadlineConn) SetReadDeadline(t time.Time) error {
+	d.deadline = t
 	return nil
 }
 
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -94,7 +94,7 @@
 }
 
 // startEndpoint starts an endpoint that answers by the path of the request's URI, and remembers what came.
-func (s *goldenSidecar) startEndpoint(t *testing.T) string {
+func (g *goldenSidecar) startEndpoint(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -105,13 +105,13 @@
 			if err != nil {
 				return
 			}
-			go s.serveEndpoint(conn)
+			go g.serveEndpoint(conn)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func (s *goldenSidecar) serveEndpoint(conn net.Conn) {
+func (g *goldenSidecar) serveEndpoint(conn net.Conn) {
 	defer conn.Close()
 	var seen strings.Builder
 	r := bufio.NewReader(io.TeeReader(conn, &seen))
@@ -122,7 +122,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, q.Body)
-		s.came <- seen.String()
+		g.came <- seen.String()
 		id := q.Header.Get("Attempt-Id")
 		_, last, _ := strings.Cut(q.URL.Path[1:], "/")
 		switch last {
@@ -144,9 +144,9 @@
 }
 
 // ask sends bytes on a connection of its own and returns the answer, its header fields in alphabetical order.
-func (s *goldenSidecar) ask(t *testing.T, method, raw string) string {
+func (g *goldenSidecar) ask(t *testing.T, method, raw string) string {
 	t.Helper()
-	conn, err := net.Dial("tcp4", s.address)
+	conn, err := net.Dial("tcp4", g.address)
 	qt.Assert(t, err, qt.IsNil)
 	defer conn.Close()
 	qt.Assert(t, conn.SetDeadline(time.Now().Add(20*time.Second)), qt.IsNil)
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -24,9 +24,9 @@
 )
 
 // Server is the clients' server.
-func (d *Proxy) Server() *http.Server {
-	return &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTime,
-		MaxHeaderBytes: maxHeaderBytes, ConnState: d.trackConnection, ErrorLog: log.New(io.Discard, "", 0)}
+func (p *Proxy) Server() *http.Server {
+	return &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTime,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: p.trackConnection, ErrorLog: log.New(io.Discard, "", 0)}
 }
 
 // systemHeaders are headers that the system alone sets, whatever a client sent.
@@ -35,8 +35,8 @@
 	inbound.HeaderBaseVersion: true, inbound.HeaderNotExecuted: true}
 
 // serve takes one request from its head to its answer, and what comes of its body after that.
-func (d *Proxy) serve(w http.ResponseWriter, q *http.Request) {
-	if d.answerRequest(w, q) {
+func (p *Proxy) serve(w http.ResponseWriter, q *http.Request) {
+	if p.answerRequest(w, q) {
 		return
 	}
 	discardBody(w, q)
@@ -44,69 +44,69 @@
 
 // answerRequest answers a request; it tells whether its body was read whole. One that is turned away is answered at once, with its body
 // still on its way.
-func (d *Proxy) answerRequest(w http.ResponseWriter, q *http.Request) (whole bool) {
-	d.openRequests.Add(1)
-	defer d.openRequests.Add(-1)
-	res, whole := d.handle(w, q)
+func (p *Proxy) answerRequest(w http.ResponseWriter, q *http.Request) (whole bool) {
+	p.openRequests.Add(1)
+	defer p.openRequests.Add(-1)
+	res, whole := p.handle(w, q)
 	if whole {
-		d.writeAnswer(w, res)
+		p.writeAnswer(w, res)
 		return true
 	}
 	controller := http.NewResponseController(w)
 	_ = controller.EnableFullDuplex() // else the server reads on before it answers
-	d.writeAnswer(w, res)
+	p.writeAnswer(w, res)
 	_ = controller.Flush()
 	return false
 }
 
 // handle has a request served, or turned away; whole tells whether its body was read.
-func (d *Proxy) handle(w http.ResponseWriter, q *http.Request) (res result, whole bool) {
+func (p *Proxy) handle(w http.ResponseWriter, q *http.Request) (res result, whole bool) {
 	whole = q.Body == nil || q.Body == http.NoBody
-	conf := d.config.Load()
+	conf := p.config.Load()
 	if conf == nil {
 		return result{kind: outcome.NotReady}, whole
 	}
-	if d.shuttingDown.Load() && !d.servesNestedCall(conf, q) {
+	if p.shuttingDown.Load() && !p.servesNestedCall(conf, q) {
 		return result{kind: outcome.ShuttingDown}, whole
 	}
-	r, kind := d.admit(conf, q)
+	r, kind := p.admit(conf, q)
 	if kind == 0 {
-		kind = d.readBody(conf, w, q, r)
-		defer d.bodyBytes.Add(-r.bodyBytes)
+		kind = p.readBody(conf, w, q, r)
+		defer p.bodyBytes.Add(-r.bodyBytes)
 	}
 	if kind != 0 {
-		return result{kind: kind, retryAfter: d.retryAfter(r, kind)}, whole
+		return result{kind: kind, retryAfter: p.retryAfter(r, kind)}, whole
 	}
-	d.submit(r, r.forward.Priority)
-	return d.await(r, q.Context().Done()), true
+	p.submit(r, r.forward.Priority)
+	return p.await(r, q.Context().Done()), true
 }
 
 // await returns a request's result: as it comes, or what is known of it when its time is up, its client has gone or this process
 // ends. There is always one: a client that has closed only its sending half still reads it.
-func (d *Proxy) await(r *request, clientGone <-chan struct{}) result {
-	timer := time.NewTimer(r.deadline - d.Now() - expiryMargin)
+func (p *Proxy) await(r *request, clientGone <-chan struct{}) result {
+	timer := time.NewTimer(r.deadline - p.Now() - expiryMargin)
 	defer timer.Stop()
 	select {
 	case res := <-r.results:
 		return res
 	case <-timer.C:
-	case <-d.shutdownDue:
+	case <-p.shutdownDue:
 	case <-clientGone:
 	}
-	d.expire(r)
+	p.expire(r)
 	timer.Reset(expiryWait)
 	select {
 	case res := <-r.results:
 		return res
 	case <-timer.C:
 	}
-	d.abandonExpired(r)
+	p.abandonExpired(r)
 	return <-r.results
 }
 
 // admit finds a request's route, tenant and service; the kind says why it is turned away, 0 for not at all.
-func (d *Proxy) admit(conf *configuration.Config, q *http.Request) (*request, outcome.Kind) {
-	now := d.Now()
+func (p *Proxy) admit(conf *configuration.Config, q *http.Request) (*request, outcome.Kind) {
+	now := p.Now()
 	r := &request{results: make(chan result, 1)}
 	if headerBytes(q) > conf.Limits.HeaderMax {
 		return r, outcome.HeaderTooLarge
@@ -117,13 +117,13 @@
 	if r.route = conf.Match(q.Host, q.URL.EscapedPath()); r.route == nil {
 		return r, outcome.NoRoute
 	}
-	p := &r.forward
-	p.Nested = isNestedCall(conf, q)
+	forwardRequest := &r.forward
+	forwardRequest.Nested = isNestedCall(conf, q)
 	r.setTimes(now, q.Header.Get(inbound.HeaderTimeRemaining))
-	if kind := d.boundByShutdown(r, now); kind != 0 {
+	if kind := p.boundByShutdown(r, now); kind != 0 {
 		return r, kind
 	}
-	p.Priority, p.Route = r.route.Priority, r.route.Name
+	forwardRequest.Priority, forwardRequest.Route = r.route.Priority, r.route.Name
 	tenant, kind := findTenant(conf, r.route, q.Header[inbound.HeaderKey])
 	if kind != 0 {
 		return r, kind
@@ -133,15 +133,15 @@
 		return r, outcome.Malformed
 	}
 	if tenant != nil {
-		p.Tenant, p.Priority = tenant.Name, tenant.Priority
-		if r.quotaRetryAfter = d.acquireQuota(tenant); r.quotaRetryAfter > 0 {
+		forwardRequest.Tenant, forwardRequest.Priority = tenant.Name, tenant.Priority
+		if r.quotaRetryAfter = p.acquireQuota(tenant); r.quotaRetryAfter > 0 {
 			return r, outcome.QuotaExceeded
 		}
 	}
-	p.AttemptID, p.Method, p.URI, p.Host = ids[0], q.Method, q.RequestURI, q.Host
-	p.CallingService, p.Idempotent = d.options.Service, r.route.Kind.IsIdempotent()
-	p.Service = d.trafficSplits.chooseService(r.route)
-	p.Header = forwardedHeader(q.Header)
+	forwardRequest.AttemptID, forwardRequest.Method, forwardRequest.URI, forwardRequest.Host = ids[0], q.Method, q.RequestURI, q.Host
+	forwardRequest.CallingService, forwardRequest.Idempotent = p.options.Service, r.route.Kind.IsIdempotent()
+	forwardRequest.Service = p.trafficSplits.chooseService(r.route)
+	forwardRequest.Header = forwardedHeader(q.Header)
 	return r, 0
 }
 
@@ -206,12 +206,12 @@
 }
 
 // acquireQuota takes a request out of a tenant's limit; if it is not there it says when to come back.
-func (d *Proxy) acquireQuota(t *configuration.Tenant) (back time.Duration) {
-	if d.options.AcquireQuota == nil || t.Rate <= 0 {
+func (p *Proxy) acquireQuota(t *configuration.Tenant) (back time.Duration) {
+	if p.options.AcquireQuota == nil || t.Rate <= 0 {
 		return 0
 	}
 	ch := make(chan time.Duration, 1)
-	d.options.AcquireQuota(t, func(ok bool, back time.Duration) {
+	p.options.AcquireQuota(t, func(ok bool, back time.Duration) {
 		if ok {
 			ch <- 0
 		} else {
@@ -221,7 +221,7 @@
 	return <-ch
 }
 
-func (d *Proxy) retryAfter(r *request, k outcome.Kind) time.Duration {
+func (p *Proxy) retryAfter(r *request, k outcome.Kind) time.Duration {
 	if k == outcome.QuotaExceeded {
 		return max(r.quotaRetryAfter, 50*time.Millisecond)
 	}
@@ -239,12 +239,12 @@
 }
 
 // writeAnswer writes the answer, by the table alone.
-func (d *Proxy) writeAnswer(w http.ResponseWriter, res result) {
+func (p *Proxy) writeAnswer(w http.ResponseWriter, res result) {
 	h := w.Header()
-	if d.shuttingDown.Load() {
+	if p.shuttingDown.Load() {
 		h.Set("Connection", "close")
 	} else {
-		d.advertiseIdleTimeout(h)
+		p.advertiseIdleTimeout(h)
 	}
 	if res.kind == outcome.Answered {
 		o := res.response
--- a/internal/mesh/dataplane/outbound/network_test.go
+++ b/internal/mesh/dataplane/outbound/network_test.go
@@ -133,23 +133,23 @@
 	node *node
 }
 
-func (e *wireEnd) Write(b []byte) (int, error) {
-	e.node.wait()
-	n, lost := e.wire.pass(len(b))
+func (w *wireEnd) Write(b []byte) (int, error) {
+	w.node.wait()
+	n, lost := w.wire.pass(len(b))
 	if lost {
 		return len(b), nil
 	}
-	wrote, err := e.Conn.Write(b[:n])
+	wrote, err := w.Conn.Write(b[:n])
 	if err == nil && n < len(b) {
-		e.wire.reset()
+		w.wire.reset()
 		return wrote, syscall.ECONNRESET
 	}
 	return wrote, err
 }
 
-func (e *wireEnd) Read(b []byte) (int, error) {
-	n, err := e.Conn.Read(b)
-	e.node.wait()
+func (w *wireEnd) Read(b []byte) (int, error) {
+	n, err := w.Conn.Read(b)
+	w.node.wait()
 	return n, err
 }
 
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -93,89 +93,89 @@
 }
 
 // Now is the steady clock.
-func (d *Proxy) Now() time.Duration { return d.options.Hub.Now() }
+func (p *Proxy) Now() time.Duration { return p.options.Hub.Now() }
 
 // runLocked runs f with the lock held, and then what it has put off.
-func (d *Proxy) runLocked(f func(now time.Duration)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f(d.Now())
-	for len(d.deferred) > 0 {
-		g := d.deferred[0]
-		d.deferred = d.deferred[1:]
-		g(d.Now())
+func (p *Proxy) runLocked(f func(now time.Duration)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	f(p.Now())
+	for len(p.deferred) > 0 {
+		g := p.deferred[0]
+		p.deferred = p.deferred[1:]
+		g(p.Now())
 	}
 }
 
-func (d *Proxy) deferLocked(f func(now time.Duration)) { d.deferred = append(d.deferred, f) }
+func (p *Proxy) deferLocked(f func(now time.Duration)) { p.deferred = append(p.deferred, f) }
 
-func (d *Proxy) zoneNumber(name string) int {
-	n, ok := d.zoneNumbers[name]
+func (p *Proxy) zoneNumber(name string) int {
+	n, ok := p.zoneNumbers[name]
 	if !ok {
-		n = len(d.zoneNumbers)
-		d.zoneNumbers[name] = n
+		n = len(p.zoneNumbers)
+		p.zoneNumbers[name] = n
 	}
 	return n
 }
 
-func (d *Proxy) balancer(service string) *serviceBalancer {
-	c := d.balancers[service]
+func (p *Proxy) balancer(service string) *serviceBalancer {
+	c := p.balancers[service]
 	if c == nil {
 		var err error
-		if c, err = newServiceBalancer(d, service, d.options.Seed+uint64(len(d.balancers))); err != nil {
-			d.options.Log.Error("outbound: " + err.Error())
+		if c, err = newServiceBalancer(p, service, p.options.Seed+uint64(len(p.balancers))); err != nil {
+			p.options.Log.Error("outbound: " + err.Error())
 			return nil
 		}
-		d.balancers[service] = c
+		p.balancers[service] = c
 	}
 	return c
 }
 
 // Configure puts a configuration in force; an older one than the one in force changes nothing.
-func (d *Proxy) Configure(c *configuration.Config) {
-	d.runLocked(func(time.Duration) {
-		if now := d.config.Load(); now != nil && now.Version >= c.Version {
+func (p *Proxy) Configure(c *configuration.Config) {
+	p.runLocked(func(time.Duration) {
+		if now := p.config.Load(); now != nil && now.Version >= c.Version {
 			return
 		}
-		d.config.Store(c)
-		d.trafficSplits.retain(c)
+		p.config.Store(c)
+		p.trafficSplits.retain(c)
 	})
 }
 
 // Config is the configuration in force; nil for none.
-func (d *Proxy) Config() *configuration.Config { return d.config.Load() }
+func (p *Proxy) Config() *configuration.Config { return p.config.Load() }
 
 // UpdateEndpoints takes the list of a service's endpoints, all of them.
-func (d *Proxy) UpdateEndpoints(service string, all []discovery.Endpoint) {
-	d.runLocked(func(now time.Duration) {
-		if c := d.balancer(service); c != nil {
+func (p *Proxy) UpdateEndpoints(service string, all []discovery.Endpoint) {
+	p.runLocked(func(now time.Duration) {
+		if c := p.balancer(service); c != nil {
 			c.updateEndpoints(now, all)
 		}
 	})
 }
 
 // SetSidecarCount says how many sidecars share what the fleet may do.
-func (d *Proxy) SetSidecarCount(n int) {
-	d.runLocked(func(time.Duration) { d.sidecarCount = max(n, 1) })
+func (p *Proxy) SetSidecarCount(n int) {
+	p.runLocked(func(time.Duration) { p.sidecarCount = max(n, 1) })
 }
 
 // OpenRequests is how many requests are under way.
-func (d *Proxy) OpenRequests() int { return int(d.openRequests.Load()) }
+func (p *Proxy) OpenRequests() int { return int(p.openRequests.Load()) }
 
 // submit has a request served; its result comes once on the channel.
-func (d *Proxy) submit(r *request, priority int) {
+func (p *Proxy) submit(r *request, priority int) {
 	times := 1 / float64(int(1)<<min(max(priority, 0), 16))
 	if r.forward.Nested { // a slot waits for it, and what ran already is lost without it
 		times = nestedCallValue
 	}
-	d.runLocked(func(now time.Duration) {
-		c := d.balancer(r.forward.Service)
+	p.runLocked(func(now time.Duration) {
+		c := p.balancer(r.forward.Service)
 		if c == nil {
 			r.results <- result{kind: outcome.Overloaded}
 			return
 		}
-		d.lastRequest++
-		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(d.lastRequest, 36)), c
+		p.lastRequest++
+		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(p.lastRequest, 36)), c
 		c.requests[r.id] = r
 		c.retryBudget.CountRequest(now)
 		c.balancer.HandleRequest(now, balancer.Request{ID: r.id, Class: c.class(r.route), TimeLeft: r.deadline - now,
@@ -184,7 +184,7 @@
 }
 
 // answer gives a request its result, once; the lock is held.
-func (d *Proxy) answer(r *request, res result) {
+func (p *Proxy) answer(r *request, res result) {
 	if !r.answered {
 		r.answered = true
 		r.results <- res
@@ -193,8 +193,8 @@
 
 // expire gives a request up: its client has gone, or its time is nearly up. An attempt that is out is withdrawn, and its end says
 // how far it had come.
-func (d *Proxy) expire(r *request) {
-	d.runLocked(func(now time.Duration) {
+func (p *Proxy) expire(r *request) {
+	p.runLocked(func(now time.Duration) {
 		c := r.balancer
 		if c == nil || r.answered || r.expired {
 			return
@@ -203,22 +203,22 @@
 		c.cancelAttempts(r)
 		c.balancer.HandleClientGone(now, r.id)
 		if !r.outstanding() {
-			d.finishExpired(r)
+			p.finishExpired(r)
 		}
 	})
 }
 
 // abandonExpired ends a request that was given up and whose attempt has not said how far it came.
-func (d *Proxy) abandonExpired(r *request) {
-	d.runLocked(func(time.Duration) {
+func (p *Proxy) abandonExpired(r *request) {
+	p.runLocked(func(time.Duration) {
 		if r.balancer != nil && !r.answered {
-			d.finishExpired(r)
+			p.finishExpired(r)
 		}
 	})
 }
 
 // finishExpired answers a request that was given up, by what is known of its attempts; the lock is held.
-func (d *Proxy) finishExpired(r *request) {
+func (p *Proxy) finishExpired(r *request) {
 	res := result{kind: outcome.Expired}
 	switch {
 	case r.endpointFailure != nil:
@@ -227,7 +227,7 @@
 		res.kind = outcome.TimedOut
 	}
 	res.retryAfter = res.kind.RetryAfter()
-	d.answer(r, res)
+	p.answer(r, res)
 	r.balancer.forget(r)
 }
 
--- a/internal/mesh/dataplane/outbound/shutdown.go
+++ b/internal/mesh/dataplane/outbound/shutdown.go
@@ -21,42 +21,42 @@
 // ShutDownBy says that this process is about to end: each request that it has read, or reads from now on, has its answer by answersDue
 // (on the steady clock). One that can't be expected to be served by then is refused at once; one that is not served by then is
 // given up.
-func (d *Proxy) ShutDownBy(lastAnswer time.Duration) {
-	if !d.shutdownPlan.CompareAndSwap(nil, &shutdownPlan{lastAnswer}) {
+func (p *Proxy) ShutDownBy(lastAnswer time.Duration) {
+	if !p.shutdownPlan.CompareAndSwap(nil, &shutdownPlan{lastAnswer}) {
 		return
 	}
-	time.AfterFunc(lastAnswer-expiryMargin-d.Now(), func() {
-		d.shuttingDown.Store(true)
-		d.bodyReads.stop()
-		close(d.shutdownDue)
+	time.AfterFunc(lastAnswer-expiryMargin-p.Now(), func() {
+		p.shuttingDown.Store(true)
+		p.bodyReads.stop()
+		close(p.shutdownDue)
 	})
 }
 
 // RejectNewRequests has every request that comes from now on refused, but for calls of the endpoint here (servesNestedCall), and connections closed once
 // they have no request under way.
-func (d *Proxy) RejectNewRequests() {
-	d.shuttingDown.Store(true)
-	d.closeConnections(closingIdle)
+func (p *Proxy) RejectNewRequests() {
+	p.shuttingDown.Store(true)
+	p.closeConnections(closingIdle)
 }
 
 // servesNestedCall tells whether a request is served although this process refuses others: a call of the endpoint here while it works on
 // requests. Without it a request that was taken before would fail.
-func (d *Proxy) servesNestedCall(conf *configuration.Config, q *http.Request) bool {
+func (p *Proxy) servesNestedCall(conf *configuration.Config, q *http.Request) bool {
 	select {
-	case <-d.shutdownDue:
+	case <-p.shutdownDue:
 		return false
 	default:
-		return isNestedCall(conf, q) && d.options.Inbound.Pending() > 0
+		return isNestedCall(conf, q) && p.options.Inbound.Pending() > 0
 	}
 }
 
 // CloseConnections closes the connections that have no request under way, also those that never had one. It is to be called once
 // nobody accepts connections any more; Connections tells how many are left.
-func (d *Proxy) CloseConnections() { d.closeConnections(closingAll) }
+func (p *Proxy) CloseConnections() { p.closeConnections(closingAll) }
 
 // boundByShutdown bounds a request's deadline by the end of this process; it returns outcome.Ending for a request that does not fit.
-func (d *Proxy) boundByShutdown(r *request, now time.Duration) outcome.Kind {
-	plan := d.shutdownPlan.Load()
+func (p *Proxy) boundByShutdown(r *request, now time.Duration) outcome.Kind {
+	plan := p.shutdownPlan.Load()
 	if plan == nil || r.deadline <= plan.answersDue {
 		return 0
 	}
--- a/internal/mesh/discovery/endpoint.go
+++ b/internal/mesh/discovery/endpoint.go
@@ -68,17 +68,17 @@
 }
 
 // WithDefaults are the bounds with their defaults.
-func (b Config) WithDefaults() Config {
-	setDefault(&b.LeaseDuration, 9*time.Second)
-	setDefault(&b.TombstoneRetention, time.Minute)
-	setDefault(&b.MaxTombstones, 4096)
-	setDefault(&b.TakeoverTimeout, b.LeaseDuration/2)
-	setDefault(&b.FreezeThreshold, 3*time.Second)
-	setDefault(&b.RetryInterval, 300*time.Millisecond)
-	setDefault(&b.PollInterval, 2*time.Second)
-	setDefault(&b.SubscriptionLease, 6*time.Second)
-	setDefault(&b.OwnersQueried, 2)
-	return b
+func (c Config) WithDefaults() Config {
+	setDefault(&c.LeaseDuration, 9*time.Second)
+	setDefault(&c.TombstoneRetention, time.Minute)
+	setDefault(&c.MaxTombstones, 4096)
+	setDefault(&c.TakeoverTimeout, c.LeaseDuration/2)
+	setDefault(&c.FreezeThreshold, 3*time.Second)
+	setDefault(&c.RetryInterval, 300*time.Millisecond)
+	setDefault(&c.PollInterval, 2*time.Second)
+	setDefault(&c.SubscriptionLease, 6*time.Second)
+	setDefault(&c.OwnersQueried, 2)
+	return c
 }
 
 func setDefault[T comparable](x *T, to T) {
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -77,22 +77,22 @@
 }
 
 // step writes a line with the digest up to here: the first line that differs is where a run took another course.
-func (p *fingerprint) step(seed uint64, what string, services []string) {
-	for _, n := range p.f.order {
+func (f *fingerprint) step(seed uint64, what string, services []string) {
+	for _, n := range f.f.order {
 		zones := n.Zones()
-		fmt.Fprintln(p.sum, n.dead, n.ChangeCount(), n.NextTick(), zones)
+		fmt.Fprintln(f.sum, n.dead, n.ChangeCount(), n.NextTick(), zones)
 		for _, m := range n.Members() {
-			p.sum.Write(codec.MarshalAppend(nil, &m))
+			f.sum.Write(codec.MarshalAppend(nil, &m))
 		}
 		for _, zone := range append(zones, "unknown") {
 			for _, service := range services {
 				for _, m := range n.RegistryOwners(service, zone, 3) {
-					fmt.Fprint(p.sum, m.Incarnation, " ")
+					fmt.Fprint(f.sum, m.Incarnation, " ")
 				}
 			}
 		}
 	}
-	fmt.Fprintf(&p.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n", seed, what, p.f.now, p.f.messages, p.f.bytes, p.sum.Sum(nil)[:12])
+	fmt.Fprintf(&f.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n", seed, what, f.f.now, f.f.messages, f.f.bytes, f.sum.Sum(nil)[:12])
 }
 
 // The same seed gives the same run: the same random draws, members, order of messages and bytes in them.
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -65,10 +65,10 @@
 }
 
 // Fields names them.
-func (g *Tombstone) Fields(v *codec.Visitor) {
-	v.Fixed64(1, &g.Incarnation)
-	v.String(2, &g.Address)
-	v.Uint64(3, &g.Heartbeat)
+func (t *Tombstone) Fields(v *codec.Visitor) {
+	v.Fixed64(1, &t.Incarnation)
+	v.String(2, &t.Address)
+	v.Uint64(3, &t.Heartbeat)
 }
 
 // Shuffle is a part of one member's view, for a neighbour.
@@ -123,27 +123,27 @@
 }
 
 // WithDefaults are the bounds with their defaults.
-func (b Config) WithDefaults() Config {
-	setDefault(&b.GossipInterval, 500*time.Millisecond)
-	setDefault(&b.QuietGossipInterval, time.Second)
-	setDefault(&b.QuietAfter, 3*time.Second)
-	setDefault(&b.ReconnectInterval, 5*time.Second)
-	setDefault(&b.RecentReconnectInterval, time.Second)
-	setDefault(&b.RecentReconnectWindow, 2*time.Minute)
-	setDefault(&b.SuspicionTimeout, 6*time.Second)
-	setDefault(&b.FailureTimeout, 10*time.Second)
-	setDefault(&b.RemoteFailureTimeout, 6*b.FailureTimeout)
-	setDefault(&b.DisconnectGrace, 2*time.Second)
-	setDefault(&b.FreezeThreshold, 3*time.Second)
-	setDefault(&b.MaxLocalMembers, 256)
-	setDefault(&b.MaxMembersPerRemoteZone, 32)
-	setDefault(&b.MaxCoreMembers, 64)
-	setDefault(&b.MaxMembersPerShuffle, 40)
-	setDefault(&b.MaxTombstonesPerShuffle, 16)
-	setDefault(&b.MaxTombstones, 256)
-	setDefault(&b.MonitoredPeers, 3)
-	setDefault(&b.BootstrapThreshold, 4)
-	return b
+func (c Config) WithDefaults() Config {
+	setDefault(&c.GossipInterval, 500*time.Millisecond)
+	setDefault(&c.QuietGossipInterval, time.Second)
+	setDefault(&c.QuietAfter, 3*time.Second)
+	setDefault(&c.ReconnectInterval, 5*time.Second)
+	setDefault(&c.RecentReconnectInterval, time.Second)
+	setDefault(&c.RecentReconnectWindow, 2*time.Minute)
+	setDefault(&c.SuspicionTimeout, 6*time.Second)
+	setDefault(&c.FailureTimeout, 10*time.Second)
+	setDefault(&c.RemoteFailureTimeout, 6*c.FailureTimeout)
+	setDefault(&c.DisconnectGrace, 2*time.Second)
+	setDefault(&c.FreezeThreshold, 3*time.Second)
+	setDefault(&c.MaxLocalMembers, 256)
+	setDefault(&c.MaxMembersPerRemoteZone, 32)
+	setDefault(&c.MaxCoreMembers, 64)
+	setDefault(&c.MaxMembersPerShuffle, 40)
+	setDefault(&c.MaxTombstonesPerShuffle, 16)
+	setDefault(&c.MaxTombstones, 256)
+	setDefault(&c.MonitoredPeers, 3)
+	setDefault(&c.BootstrapThreshold, 4)
+	return c
 }
 
 func setDefault[T comparable](x *T, to T) {
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -20,22 +20,22 @@
 }
 
 // effectiveState is the state that others see.
-func (p *record) effectiveState() State {
+func (r *record) effectiveState() State {
 	switch {
-	case p.deregistered:
+	case r.deregistered:
 		return Deregistered
-	case p.State < Crashed && p.expired:
+	case r.State < Crashed && r.expired:
 		return Crashed
-	case p.State == Serving && p.drainSeen:
+	case r.State == Serving && r.drainSeen:
 		return Draining
 	}
-	return p.State
+	return r.State
 }
 
 // snapshot is the record as it is sent now.
-func (p *record) snapshot(now time.Duration) Endpoint {
-	e := p.Endpoint
-	e.State, e.LeaseRemaining, e.WarmupRemaining = p.effectiveState(), max(p.leaseEnd-now, 0), max(p.warmupEnd-now, 0)
+func (r *record) snapshot(now time.Duration) Endpoint {
+	e := r.Endpoint
+	e.State, e.LeaseRemaining, e.WarmupRemaining = r.effectiveState(), max(r.leaseEnd-now, 0), max(r.warmupEnd-now, 0)
 	return e
 }
 
@@ -89,15 +89,15 @@
 func compareID(p *record, id string) int { return cmp.Compare(p.ID, id) }
 
 // merge is the only place where a record that was sent changes one held here. It reports whether anything was taken.
-func (p *record) merge(now time.Duration, e Endpoint) (took bool) {
-	e.AppAddress, e.Service = p.AppAddress, p.Service // of one life they stay
-	p.drainSeen, p.deregistered = p.drainSeen || e.State == Draining, p.deregistered || e.State == Deregistered
-	order := cmp.Or(cmp.Compare(e.Sequence, p.Sequence), cmp.Compare(e.Revision, p.Revision), cmp.Compare(e.State, p.State))
+func (r *record) merge(now time.Duration, e Endpoint) (took bool) {
+	e.AppAddress, e.Service = r.AppAddress, r.Service // of one life they stay
+	r.drainSeen, r.deregistered = r.drainSeen || e.State == Draining, r.deregistered || e.State == Deregistered
+	order := cmp.Or(cmp.Compare(e.Sequence, r.Sequence), cmp.Compare(e.Revision, r.Revision), cmp.Compare(e.State, r.State))
 	if order > 0 {
-		p.Endpoint, p.warmupEnd = e, now+e.WarmupRemaining
+		r.Endpoint, r.warmupEnd = e, now+e.WarmupRemaining
 	}
-	if order >= 0 && now+e.LeaseRemaining > p.leaseEnd {
-		p.leaseEnd, p.renewedAt, p.expired, took = now+e.LeaseRemaining, now, false, true
+	if order >= 0 && now+e.LeaseRemaining > r.leaseEnd {
+		r.leaseEnd, r.renewedAt, r.expired, took = now+e.LeaseRemaining, now, false, true
 	}
 	return took || order > 0
 }
--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -86,34 +86,34 @@
 	serverSent bool
 }
 
-func (r *eventWriter) write(all []events.Event) error {
-	_ = r.controller.SetWriteDeadline(time.Now().Add(maxWait)) // the stream of a reader that does not read ends
-	for _, e := range all {
-		text, err := json.Marshal(e)
+func (e *eventWriter) write(all []events.Event) error {
+	_ = e.controller.SetWriteDeadline(time.Now().Add(maxWait)) // the stream of a reader that does not read ends
+	for _, event := range all {
+		text, err := json.Marshal(event)
 		if err != nil {
 			return err
 		}
-		if r.serverSent {
-			_, err = fmt.Fprintf(r.out, "id: %s\nevent: %s\ndata: %s\n\n", e.Cursor, e.Kind, text)
+		if e.serverSent {
+			_, err = fmt.Fprintf(e.out, "id: %s\nevent: %s\ndata: %s\n\n", event.Cursor, event.Kind, text)
 		} else {
-			_, err = fmt.Fprintf(r.out, "%s\n", text)
+			_, err = fmt.Fprintf(e.out, "%s\n", text)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	return r.controller.Flush()
+	return e.controller.Flush()
 }
 
 // keepAlive writes something, so that the reader knows that the stream is there.
-func (r *eventWriter) keepAlive() error {
-	_ = r.controller.SetWriteDeadline(time.Now().Add(maxWait))
+func (e *eventWriter) keepAlive() error {
+	_ = e.controller.SetWriteDeadline(time.Now().Add(maxWait))
 	text := "\n"
-	if r.serverSent {
+	if e.serverSent {
 		text = ": still here\n\n"
 	}
-	if _, err := io.WriteString(r.out, text); err != nil {
+	if _, err := io.WriteString(e.out, text); err != nil {
 		return err
 	}
-	return r.controller.Flush()
+	return e.controller.Flush()
 }
--- a/internal/mesh/operations/eventlog/eventlog_test.go
+++ b/internal/mesh/operations/eventlog/eventlog_test.go
@@ -21,18 +21,18 @@
 	left    int
 }
 
-func (s *memoryStore) Get(key string) ([]byte, error) {
-	if data, ok := s.records[key]; ok {
+func (m *memoryStore) Get(key string) ([]byte, error) {
+	if data, ok := m.records[key]; ok {
 		return data, nil
 	}
 	return nil, trace.NotFound("record %q", key)
 }
 
-func (s *memoryStore) Put(key string, data []byte) error {
-	if s.left--; s.left < 0 {
+func (m *memoryStore) Put(key string, data []byte) error {
+	if m.left--; m.left < 0 {
 		return trace.LimitExceeded("disk full")
 	}
-	s.records[key] = data
+	m.records[key] = data
 	return nil
 }
 
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -42,10 +42,10 @@
 }
 
 // Run checks it by the same function as the core does.
-func (l ConfigCheckCommand) Run(c *Client) error {
-	conf, err := readFile(l.File)
+func (c ConfigCheckCommand) Run(client *Client) error {
+	conf, err := readFile(c.File)
 	if err == nil {
-		fmt.Fprintf(c.Output, "%s: %s, %d routes, %d services, %d tenants\n", l.File, conf.Version, len(conf.Routes), len(conf.Services), len(conf.Tenants))
+		fmt.Fprintf(client.Output, "%s: %s, %d routes, %d services, %d tenants\n", c.File, conf.Version, len(conf.Routes), len(conf.Services), len(conf.Tenants))
 	}
 	return err
 }
@@ -65,17 +65,17 @@
 }
 
 // Run shows it.
-func (l ConfigDiffCommand) Run(c *Client) error {
-	conf, err := readFile(l.File)
+func (c ConfigDiffCommand) Run(client *Client) error {
+	conf, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
-	now, err := c.configuration()
+	now, err := client.configuration()
 	if err != nil {
 		return err
 	}
 	for _, x := range Diff(now, conf) {
-		fmt.Fprintln(c.Output, x)
+		fmt.Fprintln(client.Output, x)
 	}
 	return nil
 }
@@ -87,12 +87,12 @@
 }
 
 // Run checks the file, shows what it changes, and sends it until there is a clear answer.
-func (l ConfigApplyCommand) Run(c *Client) error {
-	conf, err := readFile(l.File)
+func (c ConfigApplyCommand) Run(client *Client) error {
+	conf, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
-	now, err := c.configuration()
+	now, err := client.configuration()
 	if err != nil {
 		return err
 	}
@@ -101,15 +101,15 @@
 		current = now.Version
 	}
 	base := current
-	if l.Base != "" {
-		if base, err = configuration.ParseVersion(l.Base); err != nil {
-			return trace.BadParameter("--base %s: wanted a version like r12", l.Base)
+	if c.Base != "" {
+		if base, err = configuration.ParseVersion(c.Base); err != nil {
+			return trace.BadParameter("--base %s: wanted a version like r12", c.Base)
 		}
 	}
 	for _, x := range Diff(now, conf) {
-		fmt.Fprintln(c.Output, x)
+		fmt.Fprintln(client.Output, x)
 	}
-	return c.replace(conf, base, current)
+	return client.replace(conf, base, current)
 }
 
 // maxSends is how often an order without a clear answer is sent.
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -46,8 +46,8 @@
 }
 
 // Client is one of the line's.
-func (l *CommandLine) Client(out io.Writer) *Client {
-	return &Client{Cores: l.Core, JSON: l.JSON, Output: out, HTTP: http.Client{Timeout: 3 * time.Second}}
+func (c *CommandLine) Client(out io.Writer) *Client {
+	return &Client{Cores: c.Core, JSON: c.JSON, Output: out, HTTP: http.Client{Timeout: 3 * time.Second}}
 }
 
 // unavailableError: no core process gave a clear answer.
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -30,16 +30,18 @@
 }
 
 // Run shows endpoints.
-func (l EndpointsCommand) Run(c *Client) error {
+func (e EndpointsCommand) Run(c *Client) error {
 	s, err := c.state()
 	if err != nil {
 		return err
 	}
 	var rows [][]string
-	all := slices.DeleteFunc(s.Endpoints, func(e agent.EndpointState) bool { return l.Service != "" && e.Service != l.Service })
-	for _, e := range all {
-		rows = append(rows, []string{e.ID, e.Service, e.Zone, e.State, fmt.Sprint(e.Slots), e.Sidecar,
-			time.Duration(e.LeaseMs * 1e6).String()})
+	all := slices.DeleteFunc(s.Endpoints, func(endpointState agent.EndpointState) bool {
+		return e.Service != "" && endpointState.Service != e.Service
+	})
+	for _, endpointState := range all {
+		rows = append(rows, []string{endpointState.ID, endpointState.Service, endpointState.Zone, endpointState.State, fmt.Sprint(endpointState.Slots), endpointState.Sidecar,
+			time.Duration(endpointState.LeaseMs * 1e6).String()})
 	}
 	return c.printTable(all, "ENDPOINT\tSERVICE\tZONE\tSTATE\tSLOTS\tWITNESS\tLEASE", rows)
 }
@@ -71,7 +73,7 @@
 }
 
 // Run says where a request would go.
-func (l WhyCommand) Run(c *Client) error {
+func (w WhyCommand) Run(c *Client) error {
 	conf, err := c.configuration()
 	if err != nil {
 		return err
@@ -85,14 +87,14 @@
 		say("503: there is no configuration yet")
 		return nil
 	}
-	r := conf.Match(l.Host, l.Path)
+	r := conf.Match(w.Host, w.Path)
 	if r == nil {
-		say("404: no route of %s begins %q (%s, %d routes)", l.Host, l.Path, conf.Version, len(conf.Routes))
+		say("404: no route of %s begins %q (%s, %d routes)", w.Host, w.Path, conf.Version, len(conf.Routes))
 		return nil
 	}
 	say("route %s: %s%s, timeout %v, aim %v, at most %d endpoints", r.Name, r.Host, r.Prefix, r.Timeout, r.Target, r.MaxAttempts)
 	if conf.HasTenantTable {
-		t := conf.TenantByKey(l.Key)
+		t := conf.TenantByKey(w.Key)
 		switch {
 		case t == nil && !r.Public:
 			say("401: the key is not known")
--- a/internal/mesh/operations/settings/settings.go
+++ b/internal/mesh/operations/settings/settings.go
@@ -137,53 +137,53 @@
 	faults []string
 }
 
-func (r *parser) fault(path, want string) {
-	r.faults = append(r.faults, fmt.Sprintf("%s: wanted %s, found %q", path, want, r.root.Get(path).String()))
+func (p *parser) fault(path, want string) {
+	p.faults = append(p.faults, fmt.Sprintf("%s: wanted %s, found %q", path, want, p.root.Get(path).String()))
 }
 
-func (r *parser) text(path string, must bool) string {
-	x := r.root.Get(path)
+func (p *parser) text(path string, must bool) string {
+	x := p.root.Get(path)
 	if x.Exists() && x.Type != gjson.String || must && x.String() == "" {
-		r.fault(path, "a text")
+		p.fault(path, "a text")
 	}
 	return x.String()
 }
 
-func (r *parser) address(path string) string {
-	s := r.text(path, false)
+func (p *parser) address(path string) string {
+	s := p.text(path, false)
 	if _, _, err := net.SplitHostPort(s); s != "" && err != nil {
-		r.fault(path, "an address like 10.0.0.4:8080")
+		p.fault(path, "an address like 10.0.0.4:8080")
 	}
 	return s
 }
 
-func (r *parser) flag(path string) bool {
-	x := r.root.Get(path)
+func (p *parser) flag(path string) bool {
+	x := p.root.Get(path)
 	if x.Exists() && !x.IsBool() {
-		r.fault(path, "true or false")
+		p.fault(path, "true or false")
 	}
 	return x.Bool()
 }
 
-func (r *parser) number(path string, or float64) float64 {
-	x := r.root.Get(path)
+func (p *parser) number(path string, or float64) float64 {
+	x := p.root.Get(path)
 	if !x.Exists() {
 		return or
 	}
 	if x.Type != gjson.Number || x.Float() < 0 {
-		r.fault(path, "a number that is not negative")
+		p.fault(path, "a number that is not negative")
 	}
 	return x.Float()
 }
 
-func (r *parser) time(path string, or time.Duration) time.Duration {
-	x := r.root.Get(path)
+func (p *parser) time(path string, or time.Duration) time.Duration {
+	x := p.root.Get(path)
 	if !x.Exists() {
 		return or
 	}
 	d, err := time.ParseDuration(x.String())
 	if err != nil || d < 0 {
-		r.fault(path, "a time like 1500ms or 2.5s")
+		p.fault(path, "a time like 1500ms or 2.5s")
 	}
 	return d
 }
--- a/internal/mesh/transport/call.go
+++ b/internal/mesh/transport/call.go
@@ -14,7 +14,7 @@
 	Sent   bool
 }
 
-func (e *ConnectionError) Error() string { return "link to " + e.Peer + " lost: " + e.Reason }
+func (c *ConnectionError) Error() string { return "link to " + c.Peer + " lost: " + c.Reason }
 
 // PendingCall is a call of this process that has no reply yet. Its end is told once.
 type PendingCall struct {
@@ -48,28 +48,28 @@
 }
 
 // release gives back what is counted for its body.
-func (c *IncomingCall) release() {
-	c.link.hub.reservedBytes.Add(-int64(c.reservedBytes))
-	c.reservedBytes = 0
+func (i *IncomingCall) release() {
+	i.link.hub.reservedBytes.Add(-int64(i.reservedBytes))
+	i.reservedBytes = 0
 }
 
 // OnCancel has f called, once, when the caller has given up or is gone; at once if that is so already.
-func (c *IncomingCall) OnCancel(f func()) {
-	c.link.mu.Lock()
-	c.onCancel = f
-	over := c.cancelled
-	c.link.mu.Unlock()
+func (i *IncomingCall) OnCancel(f func()) {
+	i.link.mu.Lock()
+	i.onCancel = f
+	over := i.cancelled
+	i.link.mu.Unlock()
 	if over {
 		f()
 	}
 }
 
 // cancel notes that the caller has given up or is gone. It is called without the lock.
-func (c *IncomingCall) cancel() {
-	c.link.mu.Lock()
-	f, again := c.onCancel, c.cancelled
-	c.cancelled = true
-	c.link.mu.Unlock()
+func (i *IncomingCall) cancel() {
+	i.link.mu.Lock()
+	f, again := i.onCancel, i.cancelled
+	i.cancelled = true
+	i.link.mu.Unlock()
 	if f != nil && !again {
 		f()
 	}
@@ -114,25 +114,25 @@
 
 // Cancel gives a call up: one that has not gone out whole never will, and ends so at once; of one that has, the peer's reply says how
 // far it came.
-func (a *PendingCall) Cancel() {
-	l := a.link
+func (p *PendingCall) Cancel() {
+	l := p.link
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
-	if a.cancelled || l.pending[a.stream] != a {
+	if p.cancelled || l.pending[p.stream] != p {
 		l.mu.Unlock()
 		return
 	}
-	a.cancelled = true
-	if a.sentBytes > 0 || a.fullySent {
-		l.controlFrames.PushBack(envelope{kind: uint64(cancelFrame), stream: a.stream})
+	p.cancelled = true
+	if p.sentBytes > 0 || p.fullySent {
+		l.controlFrames.PushBack(envelope{kind: uint64(cancelFrame), stream: p.stream})
 	}
-	if !a.fullySent {
-		delete(l.pending, a.stream)
+	if !p.fullySent {
+		delete(l.pending, p.stream)
 		l.mu.Unlock()
 		l.wakeWriter()
-		go a.done(nil, &ConnectionError{Peer: l.peer, Reason: "withdrawn"})
+		go p.done(nil, &ConnectionError{Peer: l.peer, Reason: "withdrawn"})
 		return
 	}
 	l.mu.Unlock()
@@ -140,19 +140,19 @@
 }
 
 // Reply answers a call. The second answer to a call, and one to a caller that is gone, goes nowhere.
-func (c *IncomingCall) Reply(m codec.Message) { c.ReplyBytes(codec.MarshalAppend(nil, m)) }
+func (i *IncomingCall) Reply(m codec.Message) { i.ReplyBytes(codec.MarshalAppend(nil, m)) }
 
 // ReplyBytes is Answer for what is written already.
-func (c *IncomingCall) ReplyBytes(body []byte) {
-	l := c.link
+func (i *IncomingCall) ReplyBytes(body []byte) {
+	l := i.link
 	l.mu.Lock()
-	if l.closed || l.incoming[c.stream] != c {
+	if l.closed || l.incoming[i.stream] != i {
 		l.mu.Unlock()
 		return
 	}
-	delete(l.incoming, c.stream)
-	c.release()
-	l.enqueue(&outgoingReply{stream: c.stream, body: body}, len(body))
+	delete(l.incoming, i.stream)
+	i.release()
+	l.enqueue(&outgoingReply{stream: i.stream, body: body}, len(body))
 	l.mu.Unlock()
 	l.wakeWriter()
 }
--- a/internal/mesh/transport/codec/codec_test.go
+++ b/internal/mesh/transport/codec/codec_test.go
@@ -22,18 +22,18 @@
 	Next []nestedMessage
 }
 
-func (a *nestedMessage) Fields(v *Visitor) {
-	v.Uint64(1, &a.N)
-	v.Int64(2, &a.I)
-	v.Int(3, &a.S)
-	v.Duration(4, &a.D)
-	v.Bool(5, &a.B)
-	v.Fixed64(6, &a.F)
-	v.Float64(7, &a.X)
-	v.Bytes(8, &a.Raw)
-	v.String(9, &a.T)
-	v.Strings(10, &a.Ts)
-	Messages(v, 11, &a.Next)
+func (n *nestedMessage) Fields(v *Visitor) {
+	v.Uint64(1, &n.N)
+	v.Int64(2, &n.I)
+	v.Int(3, &n.S)
+	v.Duration(4, &n.D)
+	v.Bool(5, &n.B)
+	v.Fixed64(6, &n.F)
+	v.Float64(7, &n.X)
+	v.Bytes(8, &n.Raw)
+	v.String(9, &n.T)
+	v.Strings(10, &n.Ts)
+	Messages(v, 11, &n.Next)
 }
 
 func TestRoundTrip(t *testing.T) {
--- a/internal/mesh/transport/codec/golden_test.go
+++ b/internal/mesh/transport/codec/golden_test.go
@@ -34,20 +34,20 @@
 	Each     []uint64
 }
 
-func (f *everyField) Fields(v *Visitor) {
-	v.Uint64(1, &f.Uint)
-	v.Int64(2, &f.Int)
-	v.Int(3, &f.Small)
-	v.Duration(4, &f.Time)
-	v.Bool(5, &f.Bool)
-	v.Fixed64(6, &f.Fixed)
-	v.Float64(7, &f.Float)
-	v.Bytes(8, &f.Bytes)
-	v.String(9, &f.Text)
-	v.Strings(10, &f.Texts)
-	v.Message(11, &f.Message)
-	Messages(v, 12, &f.Messages)
-	List(v, 13, &f.Each, eachUint)
+func (e *everyField) Fields(v *Visitor) {
+	v.Uint64(1, &e.Uint)
+	v.Int64(2, &e.Int)
+	v.Int(3, &e.Small)
+	v.Duration(4, &e.Time)
+	v.Bool(5, &e.Bool)
+	v.Fixed64(6, &e.Fixed)
+	v.Float64(7, &e.Float)
+	v.Bytes(8, &e.Bytes)
+	v.String(9, &e.Text)
+	v.Strings(10, &e.Texts)
+	v.Message(11, &e.Message)
+	Messages(v, 12, &e.Messages)
+	List(v, 13, &e.Each, eachUint)
 }
 
 // eachUint is an element of a list that is written by Each: a varint as the bytes of its own.
@@ -61,7 +61,7 @@
 
 type oneField struct{ Text string }
 
-func (f *oneField) Fields(v *Visitor) { v.String(1, &f.Text) }
+func (o *oneField) Fields(v *Visitor) { v.String(1, &o.Text) }
 
 var goldenMessages = []struct {
 	name  string
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -100,30 +100,30 @@
 	return &rawPeer{C: qt.New(t), conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (p *rawPeer) send(data []byte) {
-	p.Helper()
-	_, err := p.conn.Write(data)
-	p.Assert(err, qt.IsNil)
+func (r *rawPeer) send(data []byte) {
+	r.Helper()
+	_, err := r.conn.Write(data)
+	r.Assert(err, qt.IsNil)
 }
 
 // lastStream reads a frame, other than the pings of a slow machine, and notes it.
-func (p *rawPeer) next() envelope {
-	p.Helper()
+func (r *rawPeer) next() envelope {
+	r.Helper()
 	for {
 		var head [4]byte
-		_, err := io.ReadFull(p.r, head[:])
-		p.Assert(err, qt.IsNil)
+		_, err := io.ReadFull(r.r, head[:])
+		r.Assert(err, qt.IsNil)
 		data := append(head[:], make([]byte, binary.BigEndian.Uint32(head[:]))...)
-		_, err = io.ReadFull(p.r, data[4:])
-		p.Assert(err, qt.IsNil)
+		_, err = io.ReadFull(r.r, data[4:])
+		r.Assert(err, qt.IsNil)
 		var e envelope
-		p.Assert(codec.Unmarshal(data[4:], &e), qt.IsNil)
-		p.Assert(appendFrame(nil, &e), qt.DeepEquals, data)
+		r.Assert(codec.Unmarshal(data[4:], &e), qt.IsNil)
+		r.Assert(appendFrame(nil, &e), qt.DeepEquals, data)
 		if e.kind == uint64(pingFrame) {
 			continue
 		}
 		e.sentAt = goldenClock
-		p.read = appendFrame(p.read, &e)
+		r.read = appendFrame(r.read, &e)
 		return e
 	}
 }
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -21,7 +21,7 @@
 
 type textMessage struct{ Text string }
 
-func (l *textMessage) Fields(v *codec.Visitor) { v.String(1, &l.Text) }
+func (t *textMessage) Fields(v *codec.Visitor) { v.String(1, &t.Text) }
 
 type logCapture struct {
 	mu    sync.Mutex
@@ -272,11 +272,11 @@
 	failures atomic.Int64
 }
 
-func (l *brokenListener) Accept() (net.Conn, error) {
-	if l.failures.Add(-1) >= 0 {
+func (b *brokenListener) Accept() (net.Conn, error) {
+	if b.failures.Add(-1) >= 0 {
 		return nil, syscall.EMFILE
 	}
-	return l.Listener.Accept()
+	return b.Listener.Accept()
 }
 
 func TestListenOutlivesErrorsOfTheListener(t *testing.T) {
--- a/internal/mesh/transport/write.go
+++ b/internal/mesh/transport/write.go
@@ -26,9 +26,9 @@
 // largeMessage is a message that may be large.
 type largeMessage interface{ transferSlot() **transfer }
 
-func (a *PendingCall) transferSlot() **transfer { return &a.transfer }
+func (p *PendingCall) transferSlot() **transfer { return &p.transfer }
 
-func (r *outgoingReply) transferSlot() **transfer { return &r.transfer }
+func (o *outgoingReply) transferSlot() **transfer { return &o.transfer }
 
 // dropLargeMessages takes all large messages out of the line.
 func (l *Link) dropLargeMessages() {
--- a/internal/modules/protocolfallback/reach.go
+++ b/internal/modules/protocolfallback/reach.go
@@ -30,8 +30,8 @@
 
 // ShouldAttempt tells whether HTTP/3 is to be tried with an address now. After a pause one attempt finds out, while all
 // others go on without; Worked or Failed has to follow it.
-func (m *Tracker) ShouldAttempt(now time.Duration, address string) bool {
-	w := m.failures[address]
+func (t *Tracker) ShouldAttempt(now time.Duration, address string) bool {
+	w := t.failures[address]
 	if w == nil {
 		return true
 	}
@@ -43,35 +43,35 @@
 }
 
 // RecordSuccess tells that a connection came about.
-func (m *Tracker) RecordSuccess(address string) { delete(m.failures, address) }
+func (t *Tracker) RecordSuccess(address string) { delete(t.failures, address) }
 
 // RecordFailure tells that none did. It returns how long HTTP/3 is not tried, and whether that is news: several
 // attempts may have waited for the same connection.
-func (m *Tracker) RecordFailure(now time.Duration, address string) (pause time.Duration, news bool) {
-	w := m.failures[address]
+func (t *Tracker) RecordFailure(now time.Duration, address string) (pause time.Duration, news bool) {
+	w := t.failures[address]
 	if w == nil {
-		if m.failures == nil {
-			m.failures = map[string]*failure{}
+		if t.failures == nil {
+			t.failures = map[string]*failure{}
 		}
-		if len(m.failures) >= maxAddresses {
+		if len(t.failures) >= maxAddresses {
 			return 0, false
 		}
 		w = &failure{}
-		m.failures[address] = w
+		t.failures[address] = w
 	} else if now < w.retryAt {
 		return w.retryAt - now, false
 	}
-	w.backoff = min(max(2*w.backoff, m.Settings.InitialBackoff), m.Settings.MaxBackoff)
+	w.backoff = min(max(2*w.backoff, t.Settings.InitialBackoff), t.Settings.MaxBackoff)
 	w.retryAt, w.attempting = now+w.backoff, false
 	return w.backoff, true
 }
 
 // RecordInconclusive tells that an attempt ended before it was known whether a connection would come about.
-func (m *Tracker) RecordInconclusive(address string) {
-	if w := m.failures[address]; w != nil {
+func (t *Tracker) RecordInconclusive(address string) {
+	if w := t.failures[address]; w != nil {
 		w.attempting = false
 	}
 }
 
 // Forget drops what is known of an address that is listed no more.
-func (m *Tracker) Forget(address string) { delete(m.failures, address) }
+func (t *Tracker) Forget(address string) { delete(t.failures, address) }
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -59,16 +59,16 @@
 
 type timeline []happening
 
-func (q timeline) Len() int { return len(q) }
-func (q timeline) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (t timeline) Len() int { return len(t) }
+func (t timeline) Less(i, j int) bool {
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
 }
-func (q timeline) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *timeline) Push(x any)   { *q = append(*q, x.(happening)) }
-func (q *timeline) Pop() any {
-	old := *q
+func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timeline) Push(x any)   { *t = append(*t, x.(happening)) }
+func (t *timeline) Pop() any {
+	old := *t
 	x := old[len(old)-1]
-	*q = old[:len(old)-1]
+	*t = old[:len(old)-1]
 	return x
 }
 
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -67,12 +67,12 @@
 	address string
 }
 
-func (c ticketsOf) Get(key string) (*tls.ClientSessionState, bool) {
-	return c.ClientSessionCache.Get(c.address + " " + key)
+func (t ticketsOf) Get(key string) (*tls.ClientSessionState, bool) {
+	return t.ClientSessionCache.Get(t.address + " " + key)
 }
 
-func (c ticketsOf) Put(key string, s *tls.ClientSessionState) {
-	c.ClientSessionCache.Put(c.address+" "+key, s)
+func (t ticketsOf) Put(key string, s *tls.ClientSessionState) {
+	t.ClientSessionCache.Put(t.address+" "+key, s)
 }
 
 // session is a connection to an endpoint, or one that is being made.
--- a/internal/rehearsal/emulator/box.go
+++ b/internal/rehearsal/emulator/box.go
@@ -582,26 +582,26 @@
 // byFinish is a heap of the jobs that share the cores.
 type byFinish []*job
 
-func (h byFinish) Len() int { return len(h) }
-func (h byFinish) Less(i, j int) bool {
-	if h[i].finish != h[j].finish {
-		return h[i].finish < h[j].finish
+func (b byFinish) Len() int { return len(b) }
+func (b byFinish) Less(i, j int) bool {
+	if b[i].finish != b[j].finish {
+		return b[i].finish < b[j].finish
 	}
-	return h[i].order < h[j].order
+	return b[i].order < b[j].order
 }
-func (h byFinish) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+func (b byFinish) Swap(i, j int) {
+	b[i], b[j] = b[j], b[i]
+	b[i].at, b[j].at = i, j
 }
-func (h *byFinish) Push(x any) {
+func (b *byFinish) Push(x any) {
 	j := x.(*job)
-	j.at = len(*h)
-	*h = append(*h, j)
+	j.at = len(*b)
+	*b = append(*b, j)
 }
-func (h *byFinish) Pop() any {
-	old := *h
+func (b *byFinish) Pop() any {
+	old := *b
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
+	*b = old[:len(old)-1]
 	return j
 }
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -124,15 +124,15 @@
 	instances int
 }
 
-func (s *tiles) subset(i int) map[uint32]float64 {
-	n := float64(len(s.ids))
-	need := min(callers*n/float64(s.instances), n)
-	_, at := math.Modf(float64(i) * callers / float64(s.instances))
+func (t *tiles) subset(i int) map[uint32]float64 {
+	n := float64(len(t.ids))
+	need := min(callers*n/float64(t.instances), n)
+	_, at := math.Modf(float64(i) * callers / float64(t.instances))
 	at *= n
 	got, first := map[uint32]float64{}, 1-(at-math.Floor(at))
 	for k, left := int(at), need; left > 1e-9; k++ {
 		take := min(first, left)
-		got[s.ids[k%len(s.ids)]] += take / need
+		got[t.ids[k%len(t.ids)]] += take / need
 		left, first = left-take, 1
 	}
 	return got
@@ -163,15 +163,15 @@
 	instances int
 }
 
-func (s *arcs) subset(i int) map[uint32]float64 {
+func (a *arcs) subset(i int) map[uint32]float64 {
 	got := map[uint32]float64{}
-	_, from := math.Modf(float64(i) * callers / float64(s.instances))
-	for _, id := range s.ids {
+	_, from := math.Modf(float64(i) * callers / float64(a.instances))
+	for _, id := range a.ids {
 		off := float64(rendezvous.Mix(uint64(id)))/math.MaxUint64 - from
 		if off < 0 {
 			off++
 		}
-		if off < callers/float64(s.instances) {
+		if off < callers/float64(a.instances) {
 			got[id] = 1
 		}
 	}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -239,7 +239,7 @@
 
 // guard delivers an event and reports a panic of the module on the wire; the
 // instance it struck gets no further events.
-func (in *instance) guard(deliver func(*balancer.Balancer)) {
+func (i *instance) guard(deliver func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := bytes.Map(func(r rune) rune {
@@ -248,12 +248,12 @@
 				}
 				return r
 			}, fmt.Append(nil, p))
-			fmt.Fprintf(in.s.out, "crash %d %s\n", in.number, text)
-			in.b = nil
+			fmt.Fprintf(i.s.out, "crash %d %s\n", i.number, text)
+			i.b = nil
 		}
 	}()
-	if in.b != nil {
-		deliver(in.b)
+	if i.b != nil {
+		deliver(i.b)
 	}
 }
 
@@ -316,10 +316,10 @@
 }
 
 // action writes one action line: its name, the instance and the values.
-func (in *instance) action(name string, id string, values ...int64) {
-	b := append(in.s.scratch[:0], name...)
+func (i *instance) action(name string, id string, values ...int64) {
+	b := append(i.s.scratch[:0], name...)
 	b = append(b, ' ')
-	b = strconv.AppendInt(b, in.number, 10)
+	b = strconv.AppendInt(b, i.number, 10)
 	if id != "" {
 		b = append(b, ' ')
 		b = append(b, id...)
@@ -329,52 +329,52 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	b = append(b, '\n')
-	in.s.scratch = b
-	in.s.out.Write(b) // an error sticks in the writer and shows at Flush
+	i.s.scratch = b
+	i.s.out.Write(b) // an error sticks in the writer and shows at Flush
 }
 
 // The methods below are the Host.
 
-func (in *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	in.action("dispatch", string(id), int64(to), timeout.Microseconds())
+func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	i.action("dispatch", string(id), int64(to), timeout.Microseconds())
 }
 
-func (in *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	in.action("overload_reply", string(id), retryAfter.Microseconds())
+func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	i.action("overload_reply", string(id), retryAfter.Microseconds())
 }
 
-func (in *instance) Fail(id balancer.RequestID) { in.action("end_failed", string(id)) }
+func (i *instance) Fail(id balancer.RequestID) { i.action("end_failed", string(id)) }
 
-func (in *instance) Cancel(id balancer.RequestID, attempt int) {
-	in.action("retract", string(id), int64(attempt))
+func (i *instance) Cancel(id balancer.RequestID, attempt int) {
+	i.action("retract", string(id), int64(attempt))
 }
 
-func (in *instance) SetTimer(token uint64, after time.Duration) {
-	in.action("remind", "", int64(token), after.Microseconds())
+func (i *instance) SetTimer(token uint64, after time.Duration) {
+	i.action("remind", "", int64(token), after.Microseconds())
 }
 
-func (in *instance) HealthCheck(to balancer.EndpointID) { in.action("check", "", int64(to)) }
+func (i *instance) HealthCheck(to balancer.EndpointID) { i.action("check", "", int64(to)) }
 
-func (in *instance) SendToPeer(peer int, data []byte) {
+func (i *instance) SendToPeer(peer int, data []byte) {
 	text := "-"
 	if len(data) > 0 {
 		text = base64.StdEncoding.EncodeToString(data)
 	}
-	fmt.Fprintf(in.s.out, "tell %d %d %s\n", in.number, peer, text)
+	fmt.Fprintf(i.s.out, "tell %d %d %s\n", i.number, peer, text)
 }
 
-func (in *instance) WatchEndpoints(on bool) {
+func (i *instance) WatchEndpoints(on bool) {
 	v := int64(0)
 	if on {
 		v = 1
 	}
-	in.action("tail", "", v)
+	i.action("tail", "", v)
 }
 
-func (in *instance) FetchEndpoints() { in.action("query_all", "") }
+func (i *instance) FetchEndpoints() { i.action("query_all", "") }
 
-func (in *instance) CloseIdleConnections(to balancer.EndpointID) { in.action("release", "", int64(to)) }
+func (i *instance) CloseIdleConnections(to balancer.EndpointID) { i.action("release", "", int64(to)) }
 
-func (in *instance) Log(text string) {
-	fmt.Fprintf(in.s.out, "trace %d %s\n", in.number, text)
+func (i *instance) Log(text string) {
+	fmt.Fprintf(i.s.out, "trace %d %s\n", i.number, text)
 }
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -56,21 +56,21 @@
 }
 
 // judged puts a list into the terms of those who judge it.
-func (l endpointList) judged(from endpointsource.Origin) endpointsource.List {
-	list := endpointsource.List{Kind: balancer.ListDelta, Version: l.Rev}
+func (e endpointList) judged(from endpointsource.Origin) endpointsource.List {
+	list := endpointsource.List{Kind: balancer.ListDelta, Version: e.Rev}
 	switch {
 	case from == endpointsource.FromCache:
 		list.Kind = balancer.ListCached
-	case l.All:
+	case e.All:
 		list.Kind = balancer.ListFull
 	}
-	for _, x := range l.Targets {
-		e := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
+	for _, x := range e.Targets {
+		endpoint := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
 		var ok bool
-		if e.State, ok = states[x.State]; !ok {
-			e.State, e.Why = endpointsource.Unknown, x.State
+		if endpoint.State, ok = states[x.State]; !ok {
+			endpoint.State, endpoint.Why = endpointsource.Unknown, x.State
 		}
-		list.Endpoints = append(list.Endpoints, e)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list
 }
@@ -82,8 +82,8 @@
 	all bool
 }
 
-func (l endpointList) digest(from endpointsource.Origin) listDigest {
-	return listDigest{endpointsource.NewDigest(l.judged(from), partMost), l.Rev, l.All}
+func (e endpointList) digest(from endpointsource.Origin) listDigest {
+	return listDigest{endpointsource.NewDigest(e.judged(from), partMost), e.Rev, e.All}
 }
 
 // endpoints is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
@@ -123,8 +123,8 @@
 // id numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
 // same at every sidecar, and no two share it. Others are hashed, and where two would share a number, the
 // later one moves on.
-func (t *endpoints) id(uid string) balancer.EndpointID {
-	if id, ok := t.ids[uid]; ok {
+func (e *endpoints) id(uid string) balancer.EndpointID {
+	if id, ok := e.ids[uid]; ok {
 		return id
 	}
 	n, err := strconv.ParseUint(uid[strings.LastIndexByte(uid, '-')+1:], 16, 32)
@@ -134,57 +134,57 @@
 		n = uint64(h.Sum32())
 	}
 	id := balancer.EndpointID(n)
-	for t.byID[id] != nil {
+	for e.byID[id] != nil {
 		id++
 	}
 	return id
 }
 
 // put puts an endpoint into the table, in the place of one that it replaces.
-func (t *endpoints) put(e *exchange.Endpoint) {
-	t.byID[e.ID], t.ids[e.UID] = e, e.ID
+func (e *endpoints) put(endpoint *exchange.Endpoint) {
+	e.byID[endpoint.ID], e.ids[endpoint.UID] = endpoint, endpoint.ID
 }
 
 // forget takes an endpoint that has gone out of the table.
-func (t *endpoints) forget(e *exchange.Endpoint) {
-	e.Open.Store(false)
-	delete(t.byID, e.ID)
-	delete(t.ids, e.UID)
+func (e *endpoints) forget(endpoint *exchange.Endpoint) {
+	endpoint.Open.Store(false)
+	delete(e.byID, endpoint.ID)
+	delete(e.ids, endpoint.UID)
 }
 
 // update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
 // are of no more use.
-func (t *endpoints) update(l endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
+func (e *endpoints) update(l endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
 	listed := map[balancer.EndpointID]bool{}
 	for _, x := range l.Endpoints {
 		state := x.State
-		id := t.id(x.UID)
+		id := e.id(x.UID)
 		listed[id] = true
-		e := t.byID[id]
-		if e == nil || state == balancer.EndpointReady && (e.Address != x.Address || e.BootMS != x.BootMS) {
-			if e != nil {
-				e.Open.Store(false)
-				retired = append(retired, e)
+		endpoint := e.byID[id]
+		if endpoint == nil || state == balancer.EndpointReady && (endpoint.Address != x.Address || endpoint.BootMS != x.BootMS) {
+			if endpoint != nil {
+				endpoint.Open.Store(false)
+				retired = append(retired, endpoint)
 			}
-			e = &exchange.Endpoint{ID: id, UID: x.UID, Address: x.Address, BootMS: x.BootMS}
-			t.put(e)
+			endpoint = &exchange.Endpoint{ID: id, UID: x.UID, Address: x.Address, BootMS: x.BootMS}
+			e.put(endpoint)
 		}
-		e.Zone, e.Cell = x.Zone, x.Cell
-		e.Open.Store(state == balancer.EndpointReady)
+		endpoint.Zone, endpoint.Cell = x.Zone, x.Cell
+		endpoint.Open.Store(state == balancer.EndpointReady)
 		if state != balancer.EndpointReady {
-			retired = append(retired, e)
+			retired = append(retired, endpoint)
 		}
 		if state == balancer.EndpointRemoved {
-			t.forget(e)
+			e.forget(endpoint)
 		}
-		entries = append(entries, balancer.ListEntry{Endpoint: id, Zone: t.zones.index(x.Zone), MachineKind: t.models.index(x.Model), Cell: x.Cell, State: state,
-			Weight: x.Weight, StartedAt: t.started(x.BootMS)})
+		entries = append(entries, balancer.ListEntry{Endpoint: id, Zone: e.zones.index(x.Zone), MachineKind: e.models.index(x.Model), Cell: x.Cell, State: state,
+			Weight: x.Weight, StartedAt: e.started(x.BootMS)})
 	}
 	if l.Kind != balancer.ListDelta {
-		for id, e := range t.byID {
+		for id, endpoint := range e.byID {
 			if !listed[id] {
-				t.forget(e)
-				retired = append(retired, e)
+				e.forget(endpoint)
+				retired = append(retired, endpoint)
 			}
 		}
 	}
@@ -193,11 +193,11 @@
 
 // started puts a start in Unix time on the event clock. It always gives the same for the same start: the
 // Balancer takes a later one for a restart.
-func (t *endpoints) started(bootMS int64) time.Duration {
+func (e *endpoints) started(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
 	}
-	return max(time.UnixMilli(bootMS).Sub(t.origin.Round(0)), 0)
+	return max(time.UnixMilli(bootMS).Sub(e.origin.Round(0)), 0)
 }
 
 // watcher talks to the discovery at one address. Like the loop's other fields it belongs to the loop; what
--- a/internal/structures/weightedring/ring.go
+++ b/internal/structures/weightedring/ring.go
@@ -143,10 +143,10 @@
 	r.stale = true
 }
 
-func (k *block[T]) sumItems() {
-	k.stale, k.sum = false, 0
-	for i := range k.items {
-		k.sum += k.items[i].weight
+func (b *block[T]) sumItems() {
+	b.stale, b.sum = false, 0
+	for i := range b.items {
+		b.sum += b.items[i].weight
 	}
 }
 
