--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -52,9 +52,11 @@
 			b.Fatal(err)
 		}
 		go server.Serve(l)
-		all = append(all, consul.Instance{Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), Passing: 1, Warning: 1,
+		all = append(all, consul.Instance{
+			Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), Passing: 1, Warning: 1,
 			Meta: map[string]string{"zone": "salt-lake", "cell": fmt.Sprint(i % 10), "model": "m"}, Tags: []string{"v2"},
-			Checks: []consul.Check{{CheckID: fmt.Sprintf("service:slot-keeper-%d", i), Name: "HTTP check", Status: "passing"}}}.At(l.Addr().String()))
+			Checks: []consul.Check{{CheckID: fmt.Sprintf("service:slot-keeper-%d", i), Name: "HTTP check", Status: "passing"}},
+		}.At(l.Addr().String()))
 	}
 	c, err := consul.Start("", all...)
 	if err != nil {
--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -472,8 +472,10 @@
 
 // The sidecar is killed and starts again while Consul does wrong, and serves as soon as Consul does.
 func TestConsulRestartDuringFault(t *testing.T) {
-	for name, f := range map[string]consul.Fault{"500": {Status: 500}, "empty": {Empty: true}, "hangs": {Hang: true}, "refuses": {Refuse: true},
-		"half": {Half: true}, "no leader": {NoLeader: true, Empty: true}, "403": {Status: 403}, "cut": {Cut: true}} {
+	for name, f := range map[string]consul.Fault{
+		"500": {Status: 500}, "empty": {Empty: true}, "hangs": {Hang: true}, "refuses": {Refuse: true},
+		"half": {Half: true}, "no leader": {NoLeader: true, Empty: true}, "403": {Status: 403}, "cut": {Cut: true},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			tn := build(t, 4)
@@ -521,8 +523,11 @@
 		{"overlay", "overlay", func(tn *town, all []consul.Instance) []consul.Instance {
 			return one(all, "box-0", "critical")
 		}, []string{"box-0", "box-1"}, []string{"box-1"}},
-		{"overlay of nobody", "overlay", func(tn *town, all []consul.Instance) []consul.Instance { return nil },
-			[]string{"box-0", "box-1"}, []string{"box-0", "box-1"}},
+		{
+			"overlay of nobody", "overlay", func(tn *town, all []consul.Instance) []consul.Instance { return nil },
+			[]string{"box-0", "box-1"},
+			[]string{"box-0", "box-1"},
+		},
 		{"rehearsal", "rehearsal", func(tn *town, all []consul.Instance) []consul.Instance {
 			return one(all, "box-0", "critical")
 		}, []string{"box-0", "box-1"}, []string{"box-0", "box-1"}},
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -84,12 +84,14 @@
 
 // caller is a client over HTTP/3; it takes any name that the authority has signed.
 func (d *desk) caller(cache tls.ClientSessionCache) *http3.Transport {
-	conf := &tls.Config{InsecureSkipVerify: true, ClientSessionCache: cache, ServerName: "front.example.org",
+	conf := &tls.Config{
+		InsecureSkipVerify: true, ClientSessionCache: cache, ServerName: "front.example.org",
 		VerifyConnection: func(s tls.ConnectionState) error {
 			d.seen.Store(s.PeerCertificates[0].Subject.CommonName, true)
 			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: d.ca.Pool()})
 			return err
-		}}
+		},
+	}
 	c := &http3.Transport{TLSClientConfig: conf, QUICConfig: &quic.Config{MaxIdleTimeout: 10 * time.Second, KeepAlivePeriod: 200 * time.Millisecond}}
 	d.t.Cleanup(func() { c.Close() })
 	return c
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -42,8 +42,10 @@
 						b.Fatal(list.Err())
 					}
 					dir, begins, events := b.TempDir(), time.Time{}, []audit.Event(nil)
-					r, err := rehearse.Run(context.Background(), m.Plan(0), rehearse.Options{Program: program, Dir: dir,
-						Progress: func(p rehearse.Progress) { begins = time.Now().Add(-p.At) }, Events: func(e []audit.Event) { events = e }})
+					r, err := rehearse.Run(context.Background(), m.Plan(0), rehearse.Options{
+						Program: program, Dir: dir,
+						Progress: func(p rehearse.Progress) { begins = time.Now().Add(-p.At) }, Events: func(e []audit.Event) { events = e },
+					})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -41,10 +41,12 @@
 // flow of time is an argument.
 var (
 	pure   = []string{"internal/balancer", "internal/structures", "internal/modules", "internal/config", "internal/rehearsal", "internal/mesh"}
-	impure = []string{"internal/rehearsal/rehearse", "internal/mesh/assembly", "internal/mesh/agent", "internal/mesh/dataplane/outbound",
+	impure = []string{
+		"internal/rehearsal/rehearse", "internal/mesh/assembly", "internal/mesh/agent", "internal/mesh/dataplane/outbound",
 		"internal/mesh/control/controlplane", "internal/mesh/dataplane/inbound", "internal/mesh/transport", "internal/mesh/control/storage",
 		"internal/mesh/operations/settings", "internal/mesh/operations/eventlog", "internal/mesh/operations/eventfeed",
-		"internal/mesh/operations/meshctl"}
+		"internal/mesh/operations/meshctl",
+	}
 	forbidden = []string{"os", "net/http", "os/exec", "os/signal", "syscall", "log", "path/filepath"}
 )
 
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -138,8 +138,11 @@
 }
 
 func (c *Class) minimums(key string) []minimum {
-	return []minimum{{key + "aim", float64(c.LatencyTarget), 0}, {key + "deadline", float64(c.Deadline), 0},
-		{key + "window", float64(c.KeyWindow), 0}}
+	return []minimum{
+		{key + "aim", float64(c.LatencyTarget), 0},
+		{key + "deadline", float64(c.Deadline), 0},
+		{key + "window", float64(c.KeyWindow), 0},
+	}
 }
 
 // check names the first setting that cannot be acted on.
@@ -148,13 +151,19 @@
 		return fmt.Errorf("settings: classes: none given")
 	}
 	figures := []minimum{
-		{"instances", float64(s.Instances), 1}, {"ordinal", float64(s.Ordinal), 0},
+		{"instances", float64(s.Instances), 1},
+		{"ordinal", float64(s.Ordinal), 0},
 		{"subsetMost", float64(s.MaxSubsetSize), 0},
 		{"quantum", float64(s.Quantum), 0},
-		{"goalWhole", s.TotalValueWeight, 0}, {"goalWorstClass", s.WorstClassWeight, 0},
-		{"cold", float64(s.SlowStartWindow), 0}, {"coldFrom", s.SlowStartMinShare, 0}, {"tipMultiple", s.OverloadMultiple, 0},
-		{"fall", float64(s.OverloadDuration), 0}, {"askEvery", float64(s.ResubscribeInterval), 0},
-		{"maxRetryAfter", float64(s.MaxRetryAfter), 0}, {"connectTimeout", float64(s.ConnectTimeout), 0},
+		{"goalWhole", s.TotalValueWeight, 0},
+		{"goalWorstClass", s.WorstClassWeight, 0},
+		{"cold", float64(s.SlowStartWindow), 0},
+		{"coldFrom", s.SlowStartMinShare, 0},
+		{"tipMultiple", s.OverloadMultiple, 0},
+		{"fall", float64(s.OverloadDuration), 0},
+		{"askEvery", float64(s.ResubscribeInterval), 0},
+		{"maxRetryAfter", float64(s.MaxRetryAfter), 0},
+		{"connectTimeout", float64(s.ConnectTimeout), 0},
 	}
 	for i, t := range s.Tenants {
 		figures = append(figures, minimum{fmt.Sprintf("tenants[%d].quotaPerS", i), t.QuotaPerSecond, 0})
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -86,9 +86,11 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: set, host: host, endpointIndex: newEndpointIndex(), rng: rand.New(rand.NewPCG(seed, 0x6a617370)),
+	b := &Balancer{
+		settings: set, host: host, endpointIndex: newEndpointIndex(), rng: rand.New(rand.NewPCG(seed, 0x6a617370)),
 		endpointsByID: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, retryBudget: maxRetryBudget,
-		queuePerEndpoint: initialQueue, overdueShare: 0.5, shutdownAt: math.MaxInt64}
+		queuePerEndpoint: initialQueue, overdueShare: 0.5, shutdownAt: math.MaxInt64,
+	}
 	b.rateWindow, b.quotaDivisor = cmp.Or(set.OverloadDuration, time.Second), float64(set.Instances)
 	b.tickInterval = max(tickQuanta*set.Quantum, time.Millisecond)
 	for _, c := range set.Classes {
@@ -101,9 +103,11 @@
 func (b *Balancer) HandleRequest(now time.Duration, q Request) {
 	c := b.classes[q.Class]
 	low, spare := b.takeQuota(now, q)
-	r := &request{id: q.ID, class: c, deadline: min(now+q.TimeLeft, b.shutdownAt), overQuota: low,
+	r := &request{
+		id: q.ID, class: c, deadline: min(now+q.TimeLeft, b.shutdownAt), overQuota: low,
 		maxAttempts: b.settings.maxAttempts(&q), attemptTimeout: q.AttemptTimeout, failedEndpoint: b.excluded(q.Exclude), valueFactor: cmp.Or(q.ValueFactor, 1),
-		mayHaveRun: q.Prior.MayHaveRun, ranInZone: q.Prior.Zone, ranInCell: q.Prior.Cell, ranAt: q.Prior.SentAt}
+		mayHaveRun: q.Prior.MayHaveRun, ranInZone: q.Prior.Zone, ranInCell: q.Prior.Cell, ranAt: q.Prior.SentAt,
+	}
 	r.targetAt = min(now+c.LatencyTarget-b.elapsedForClient(c, q), b.shutdownAt)
 	b.requests[q.ID] = r
 	if q.TimeLeft <= 0 || low && !spare || b.rejectsForShutdown(now, c, q) || !b.retrySafe(now, r) {
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -35,6 +35,7 @@
 	r.sent = append(r.sent, sent{id, to, r.attempts[id], timeout})
 	r.attempts[id]++
 }
+
 func (r *recorder) Reject(id RequestID, after time.Duration) {
 	r.refusals = append(r.refusals, id)
 	r.advice = append(r.advice, after)
@@ -43,6 +44,7 @@
 func (r *recorder) Cancel(id RequestID, n int) {
 	r.cancels = append(r.cancels, sent{id: id, attempt: n})
 }
+
 func (r *recorder) SetTimer(token uint64, after time.Duration) {
 	r.timers[token] = r.now + after
 }
@@ -110,8 +112,10 @@
 
 // end reports the outcome of a send.
 func (b *bed) end(s sent, status Status, took time.Duration) {
-	b.b.HandleOutcome(b.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == StatusOK, Status: status,
-		Elapsed: took})
+	b.b.HandleOutcome(b.now, Outcome{
+		ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == StatusOK, Status: status,
+		Elapsed: took,
+	})
 }
 
 // pass lets time go by, with the timers that fall due.
@@ -921,8 +925,10 @@
 		if i > 100 {
 			got[s.to%2]++
 		}
-		d.b.HandleOutcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Final: true, Status: StatusOK, Elapsed: 100 * ms,
-			Load: &Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: []time.Duration{10, 30}[s.to%2] * ms}})
+		d.b.HandleOutcome(d.now, Outcome{
+			ID: s.id, Endpoint: s.to, Final: true, Status: StatusOK, Elapsed: 100 * ms,
+			Load: &Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: []time.Duration{10, 30}[s.to%2] * ms},
+		})
 		d.pass(20 * ms)
 	}
 	if ratio := float64(got[0]) / float64(got[1]); ratio < 2 || ratio > 4 {
@@ -1137,8 +1143,10 @@
 					if status == StatusOK {
 						r.answers++
 					}
-					d.b.HandleOutcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
-						Elapsed: d.now - sentAt[x]})
+					d.b.HandleOutcome(d.now, Outcome{
+						ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
+						Elapsed: d.now - sentAt[x],
+					})
 				}
 			case 4:
 				id := EndpointID(1 + rng.IntN(8))
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -29,8 +29,10 @@
 	b, err := balancer.New(balancer.Settings{
 		Instances: 1, Quantum: time.Millisecond, MaxAttempts: 3, ConnectTimeout: 100 * time.Millisecond,
 		SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second,
-		Classes: []balancer.Class{{Name: "lookup", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1,
-			Idempotency: balancer.Idempotent}},
+		Classes: []balancer.Class{{
+			Name: "lookup", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1,
+			Idempotency: balancer.Idempotent,
+		}},
 	}, 1, printer{})
 	if err != nil {
 		fmt.Println(err)
@@ -38,13 +40,17 @@
 	}
 	now := time.Second
 	b.HandleEndpoints(now, balancer.EndpointList{Kind: balancer.ListFull, Version: 5, Entries: []balancer.ListEntry{
-		{Endpoint: 11}, {Endpoint: 12, State: balancer.EndpointDraining}}})
+		{Endpoint: 11}, {Endpoint: 12, State: balancer.EndpointDraining},
+	}})
 	b.HandleRequest(now, balancer.Request{ID: "a", TimeLeft: 2 * time.Second})
-	b.HandleOutcome(now+20*time.Millisecond, balancer.Outcome{ID: "a", Endpoint: 11, Status: balancer.StatusOK, Final: true,
-		Elapsed: 20 * time.Millisecond})
+	b.HandleOutcome(now+20*time.Millisecond, balancer.Outcome{
+		ID: "a", Endpoint: 11, Status: balancer.StatusOK, Final: true,
+		Elapsed: 20 * time.Millisecond,
+	})
 	b.HandleRequest(now+time.Second, balancer.Request{ID: "b", TimeLeft: 2 * time.Second})
 	b.HandleEndpoints(now+time.Second, balancer.EndpointList{Kind: balancer.ListDelta, Version: 6, Entries: []balancer.ListEntry{
-		{Endpoint: 12}}})
+		{Endpoint: 12},
+	}})
 	b.HandleOutcome(now+time.Second, balancer.Outcome{ID: "b", Endpoint: 11, Status: balancer.StatusReset})
 	// Output:
 	// send a to 11
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -243,8 +243,10 @@
 		var open []sent
 		entry := func() ListEntry {
 			id := EndpointID(1 + rng.IntN(n))
-			e := ListEntry{Endpoint: id, Cell: rng.IntN(n / 2), Zone: rng.IntN(3), MachineKind: rng.IntN(4), Weight: 1,
-				State: []EndpointState{EndpointReady, EndpointReady, EndpointReady, EndpointDraining, EndpointRemoved}[rng.IntN(5)]}
+			e := ListEntry{
+				Endpoint: id, Cell: rng.IntN(n / 2), Zone: rng.IntN(3), MachineKind: rng.IntN(4), Weight: 1,
+				State: []EndpointState{EndpointReady, EndpointReady, EndpointReady, EndpointDraining, EndpointRemoved}[rng.IntN(5)],
+			}
 			if weights {
 				e.Weight = float64(rng.IntN(300)) / 100
 			}
@@ -262,8 +264,10 @@
 					i := rng.IntN(len(open))
 					x := open[i]
 					open = slices.Delete(open, i, i+1)
-					o := Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Elapsed: time.Duration(1+rng.IntN(60)*int(1+x.to%4)) * ms,
-						Status: []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset, StatusInvalidResponse}[rng.IntN(12)]}
+					o := Outcome{
+						ID: x.id, Endpoint: x.to, Attempt: x.attempt, Elapsed: time.Duration(1+rng.IntN(60)*int(1+x.to%4)) * ms,
+						Status: []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset, StatusInvalidResponse}[rng.IntN(12)],
+					}
 					o.Final = o.Status == StatusOK
 					if reports {
 						o.Load = &Load{ServiceTime: time.Duration(1+rng.IntN(20)*int(1+x.to%3)) * ms}
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -52,8 +52,10 @@
 const firstCommands = 12
 
 func newTrace(seed uint64) *trace {
-	return &trace{rng: rand.New(rand.NewPCG(seed, 11)), now: 100 * time.Second, digest: sha256.New(), counts: map[string]int{}, attempts: map[balancer.RequestID]int{},
-		timers: map[uint64]time.Duration{}, final: map[balancer.RequestID]bool{}}
+	return &trace{
+		rng: rand.New(rand.NewPCG(seed, 11)), now: 100 * time.Second, digest: sha256.New(), counts: map[string]int{}, attempts: map[balancer.RequestID]int{},
+		timers: map[uint64]time.Duration{}, final: map[balancer.RequestID]bool{},
+	}
 }
 
 func (t *trace) note(name string, values ...any) {
@@ -169,8 +171,10 @@
 
 func goldenSettings(change func(*balancer.Settings)) balancer.Settings {
 	class := func(name string, effect balancer.Idempotency, scope balancer.KeyScope, worth float64) balancer.Class {
-		return balancer.Class{Name: name, LatencyTarget: 400 * time.Millisecond, Deadline: 2 * time.Second, Value: worth, LateValueShare: 0.2 * worth,
-			Idempotency: effect, KeyScope: scope, KeyWindow: 3 * time.Second}
+		return balancer.Class{
+			Name: name, LatencyTarget: 400 * time.Millisecond, Deadline: 2 * time.Second, Value: worth, LateValueShare: 0.2 * worth,
+			Idempotency: effect, KeyScope: scope, KeyWindow: 3 * time.Second,
+		}
 	}
 	read, zoned := class("read", balancer.Idempotent, "", 1), class("zoned", balancer.IdempotentWithKey, balancer.KeyScopeZone, 2)
 	read.LateValueShare, read.Streaming = 0, true
@@ -178,8 +182,10 @@
 		Instances: 1, Quantum: 2 * time.Millisecond, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond,
 		MaxRetryAfter: 3 * time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 4 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second, ResubscribeInterval: 5 * time.Second,
 		TotalValueWeight: 1,
-		Classes: []balancer.Class{read, class("pay", balancer.NonIdempotent, "", 5), class("book", balancer.IdempotentWithKey, balancer.KeyScopeCell, 2),
-			zoned, class("anywhere", balancer.IdempotentWithKey, balancer.KeyScopeAll, 1)},
+		Classes: []balancer.Class{
+			read, class("pay", balancer.NonIdempotent, "", 5), class("book", balancer.IdempotentWithKey, balancer.KeyScopeCell, 2),
+			zoned, class("anywhere", balancer.IdempotentWithKey, balancer.KeyScopeAll, 1),
+		},
 	}
 	change(&s)
 	return s
@@ -226,8 +232,10 @@
 
 func (p *player) request() {
 	p.n++
-	q := balancer.Request{ID: balancer.RequestID(fmt.Sprint("r", p.n)), Class: p.rng.IntN(len(p.set.Classes)), TimeLeft: 2 * time.Second,
-		IdleConnections: p.rng.IntN(6), ValueFactor: float64(p.rng.IntN(3))}
+	q := balancer.Request{
+		ID: balancer.RequestID(fmt.Sprint("r", p.n)), Class: p.rng.IntN(len(p.set.Classes)), TimeLeft: 2 * time.Second,
+		IdleConnections: p.rng.IntN(6), ValueFactor: float64(p.rng.IntN(3)),
+	}
 	if len(p.set.Tenants) > 0 {
 		q.Tenant = p.rng.IntN(len(p.set.Tenants))
 	}
@@ -253,8 +261,10 @@
 		}
 		c := p.open[i]
 		p.open = slices.Delete(p.open, i, i+1)
-		o := balancer.Outcome{ID: c.id, Endpoint: c.to, Attempt: c.attempt, Elapsed: p.now - c.sentAt, Status: c.status,
-			Final: c.status == balancer.StatusOK || p.final[c.id], NoRetry: p.rng.IntN(40) == 0}
+		o := balancer.Outcome{
+			ID: c.id, Endpoint: c.to, Attempt: c.attempt, Elapsed: p.now - c.sentAt, Status: c.status,
+			Final: c.status == balancer.StatusOK || p.final[c.id], NoRetry: p.rng.IntN(40) == 0,
+		}
 		if p.rng.IntN(20) == 0 {
 			o.Backoff = time.Duration(p.rng.IntN(100)) * time.Millisecond
 		}
--- a/internal/config/appfile/appfile.go
+++ b/internal/config/appfile/appfile.go
@@ -319,8 +319,10 @@
 
 // Tables are all of them, in the order in which a file has them.
 func Tables() []*schema.Table {
-	return []*schema.Table{SidecarTable.Table, DiscoveryTable.Table, LimitsTable.Table, AttemptsTable.Table, WarmupTable.Table,
-		ClassTable.Table, TenantTable.Table, CallsTable.Table}
+	return []*schema.Table{
+		SidecarTable.Table, DiscoveryTable.Table, LimitsTable.Table, AttemptsTable.Table, WarmupTable.Table,
+		ClassTable.Table, TenantTable.Table, CallsTable.Table,
+	}
 }
 
 // ByPlatform are the tables that a platform's own configuration takes the place of.
--- a/internal/config/apps/apps.go
+++ b/internal/config/apps/apps.go
@@ -125,8 +125,10 @@
 			report(at.At, "the application's name is %q, after its table; leave this key out", e.Name)
 		}
 		own := schema.Layer{Doc: d, Table: table, File: file}
-		m.Apps = append(m.Apps, &App{Name: e.Name, Place: schema.Place{File: file, Pos: e.At},
-			File: s.Decode(found, schema.Options{Partial: !whole}, appfile.Named(e.Name, file, e.At), defaults, own)})
+		m.Apps = append(m.Apps, &App{
+			Name: e.Name, Place: schema.Place{File: file, Pos: e.At},
+			File: s.Decode(found, schema.Options{Partial: !whole}, appfile.Named(e.Name, file, e.At), defaults, own),
+		})
 	}
 	return m
 }
--- a/internal/config/apps/check_test.go
+++ b/internal/config/apps/check_test.go
@@ -79,19 +79,28 @@
 	}{
 		{"a chain", []app{{"a", 1, to("b")}, {"b", 1, to("c")}, {"c", 1, nil}}, nil},
 		{"a diamond", []app{{"a", 1, to("b", "c")}, {"b", 1, to("d")}, {"c", 1, to("d")}, {"d", 1, nil}}, nil},
-		{"two, unstated", []app{{"a", 1, to("b")}, {"b", 1, to("a")}},
-			[]string{"a calls b, and b calls a (apps.toml:30)", "b calls a, and a calls b (apps.toml:15)"}},
+		{
+			"two, unstated",
+			[]app{{"a", 1, to("b")}, {"b", 1, to("a")}},
+			[]string{"a calls b, and b calls a (apps.toml:30)", "b calls a, and a calls b (apps.toml:15)"},
+		},
 		{"two, stated", []app{{"a", 1, mutual("b", 2)}, {"b", 1, mutual("a", 2)}}, nil},
 		{"two, stated on one side", []app{{"a", 1, mutual("b", 2)}, {"b", 1, to("a")}}, []string{"b calls a, and a calls b (apps.toml:15)"}},
 		{"two, other depths", []app{{"a", 1, mutual("b", 2)}, {"b", 1, mutual("a", 3)}}, []string{"3, but the same ring has 2 in apps.toml:19"}},
-		{"through a third", []app{{"a", 1, to("b")}, {"b", 1, to("c")}, {"c", 1, to("a")}},
-			[]string{"a calls b, and b calls c (apps.toml:30), c calls a (apps.toml:45)", "b calls c, and", "c calls a, and"}},
+		{
+			"through a third",
+			[]app{{"a", 1, to("b")}, {"b", 1, to("c")}, {"c", 1, to("a")}},
+			[]string{"a calls b, and b calls c (apps.toml:30), c calls a (apps.toml:45)", "b calls c, and", "c calls a, and"},
+		},
 		{"through a third, stated", []app{{"a", 1, mutual("b", 2)}, {"b", 1, mutual("c", 2)}, {"c", 1, mutual("a", 2)}}, nil},
 		{"itself", []app{{"a", 1, to("a")}}, []string{"a calls itself"}},
 		{"itself, stated", []app{{"a", 1, mutual("a", 2)}}, nil},
 		{"stated for nothing", []app{{"a", 1, mutual("b", 2)}, {"b", 1, nil}}, []string{"nothing that b calls calls a again"}},
-		{"stated out of a ring", []app{{"a", 1, append(mutual("b", 2), mutual("c", 2)...)}, {"b", 1, mutual("a", 2)}, {"c", 1, nil}},
-			[]string{"nothing that c calls calls a again"}},
+		{
+			"stated out of a ring",
+			[]app{{"a", 1, append(mutual("b", 2), mutual("c", 2)...)}, {"b", 1, mutual("a", 2)}, {"c", 1, nil}},
+			[]string{"nothing that c calls calls a again"},
+		},
 		{"two rings", []app{{"a", 1, mutual("b", 2)}, {"b", 1, append(mutual("a", 2), to("c")...)}, {"c", 1, mutual("d", 3)}, {"d", 1, mutual("c", 3)}}, nil},
 	} {
 		all := checked(t, text(1000, 100, c.all...))
@@ -189,10 +198,18 @@
 		a, b, hostA, hostB string
 		clash              bool
 	}{
-		{"127.0.0.1:1", "127.0.0.1:1", "", "", true}, {"127.0.0.1:1", "127.0.0.1:2", "", "", false}, {"127.0.0.1:1", "127.0.0.2:1", "", "", false},
-		{":1", "127.0.0.1:1", "", "", true}, {"127.0.0.1:1", "0.0.0.0:1", "", "", true}, {"[::]:1", ":1", "", "", true},
-		{"127.0.0.1:0", "127.0.0.1:0", "", "", false}, {"127.0.0.1:1", "127.0.0.1:1", "x", "y", false}, {"10.0.0.1:1", "10.0.0.1:1", "x", "y", true},
-		{":1", ":1", "x", "y", false}, {":1", ":1", "x", "x", true}, {"[::1]:1", "[0:0:0:0:0:0:0:1]:1", "", "", true},
+		{"127.0.0.1:1", "127.0.0.1:1", "", "", true},
+		{"127.0.0.1:1", "127.0.0.1:2", "", "", false},
+		{"127.0.0.1:1", "127.0.0.2:1", "", "", false},
+		{":1", "127.0.0.1:1", "", "", true},
+		{"127.0.0.1:1", "0.0.0.0:1", "", "", true},
+		{"[::]:1", ":1", "", "", true},
+		{"127.0.0.1:0", "127.0.0.1:0", "", "", false},
+		{"127.0.0.1:1", "127.0.0.1:1", "x", "y", false},
+		{"10.0.0.1:1", "10.0.0.1:1", "x", "y", true},
+		{":1", ":1", "x", "y", false},
+		{":1", ":1", "x", "x", true},
+		{"[::1]:1", "[0:0:0:0:0:0:0:1]:1", "", "", true},
 	} {
 		s := text(10, 10, app{"a", 1, nil}, app{"b", 1, nil})
 		host := func(h string) string {
--- a/internal/config/finding/finding_test.go
+++ b/internal/config/finding/finding_test.go
@@ -10,8 +10,10 @@
 
 func TestNearest(t *testing.T) {
 	names := []string{"idle_timeout", "request_timeout", "max_body", "cores", "to"}
-	for name, want := range map[string]string{"idel_timeout": "idle_timeout", "Idle_Timeout": "idle_timeout", "maxbody": "max_body",
-		"cors": "cores", "ot": "to", "sockets": "", "": "", strings.Repeat("x", 10000): ""} {
+	for name, want := range map[string]string{
+		"idel_timeout": "idle_timeout", "Idle_Timeout": "idle_timeout", "maxbody": "max_body",
+		"cors": "cores", "ot": "to", "sockets": "", "": "", strings.Repeat("x", 10000): "",
+	} {
 		if got := Nearest(name, names); got != want {
 			t.Errorf("%.20q: got %q, want %q", name, got, want)
 		}
--- a/internal/config/schema/keys.go
+++ b/internal/config/schema/keys.go
@@ -25,9 +25,12 @@
 
 // number builds a key over an ordered type.
 func number[T any, N cmp.Ordered](name, sort string, field func(*T) *N, b Bounds[N], change Change, help string,
-	read func(*doc.Value) (N, string), write func(N) string) KeyOf[T] {
-	k := &Key{Name: name, Type: sort, Help: help, Change: change, Required: b.Required, Example: b.Example,
-		Bounds: write(b.Least) + " to " + write(b.Most)}
+	read func(*doc.Value) (N, string), write func(N) string,
+) KeyOf[T] {
+	k := &Key{
+		Name: name, Type: sort, Help: help, Change: change, Required: b.Required, Example: b.Example,
+		Bounds: write(b.Least) + " to " + write(b.Most),
+	}
 	if !b.Optional && !b.Required {
 		k.Default = write(b.Default)
 	}
@@ -110,8 +113,10 @@
 		return 0, fmt.Sprintf("%s has a space in it; write %q", shown(v), strings.ReplaceAll(text, " ", ""))
 	}
 	units := []string{"us", "ms", "s", "m", "h"}
-	meant := map[string]string{"sec": "s", "secs": "s", "second": "s", "seconds": "s", "min": "m", "mins": "m", "minute": "m",
-		"minutes": "m", "msec": "ms", "millis": "ms", "hour": "h", "hours": "h", "S": "s", "M": "m", "MS": "ms", "usec": "us", "micros": "us"}
+	meant := map[string]string{
+		"sec": "s", "secs": "s", "second": "s", "seconds": "s", "min": "m", "mins": "m", "minute": "m",
+		"minutes": "m", "msec": "ms", "millis": "ms", "hour": "h", "hours": "h", "S": "s", "M": "m", "MS": "ms", "usec": "us", "micros": "us",
+	}
 	if m := meant[unit]; m != "" {
 		return 0, fmt.Sprintf("%s has the unknown unit %q; did you mean %q?", shown(v), unit, m)
 	}
@@ -212,8 +217,10 @@
 		}
 		return n * s.bytes, ""
 	}
-	meant := map[string]string{"K": "KiB", "KB": "KiB", "k": "KiB", "kB": "KiB", "kb": "KiB", "M": "MiB", "MB": "MiB",
-		"m": "MiB", "mb": "MiB", "G": "GiB", "GB": "GiB", "g": "GiB", "gb": "GiB", "kib": "KiB", "mib": "MiB", "gib": "GiB", "b": "B"}
+	meant := map[string]string{
+		"K": "KiB", "KB": "KiB", "k": "KiB", "kB": "KiB", "kb": "KiB", "M": "MiB", "MB": "MiB",
+		"m": "MiB", "mb": "MiB", "G": "GiB", "GB": "GiB", "g": "GiB", "gb": "GiB", "kib": "KiB", "mib": "MiB", "gib": "GiB", "b": "B",
+	}
 	switch trimmed := strings.TrimSpace(unit); {
 	case unit == "":
 		return 0, fmt.Sprintf("%s has no unit; write B, KiB, MiB or GiB behind it", shown(v))
@@ -225,7 +232,8 @@
 
 // Bool is true or false.
 func Bool[T any](name string, field func(*T) *bool, preset bool, change Change, help string) KeyOf[T] {
-	return KeyOf[T]{&Key{Name: name, Type: "true or false", Help: help, Change: change, Default: strconv.FormatBool(preset),
+	return KeyOf[T]{&Key{
+		Name: name, Type: "true or false", Help: help, Change: change, Default: strconv.FormatBool(preset),
 		preset: func(target any) { *field(target.(*T)) = preset },
 		decode: func(target any, v *doc.Value) (string, string) {
 			if v.Kind != doc.Bool {
@@ -233,7 +241,8 @@
 			}
 			*field(target.(*T)) = v.Text == "true"
 			return v.Text, ""
-		}}}
+		},
+	}}
 }
 
 // Text is a string's default and what it may be.
@@ -287,8 +296,10 @@
 	for i, w := range words {
 		list[i] = string(w)
 	}
-	k := &Key{Name: name, Type: "word", Bounds: strings.Join(list, ", "), Help: help, Change: change, Required: required,
-		Example: doc.Quote(list[0])}
+	k := &Key{
+		Name: name, Type: "word", Bounds: strings.Join(list, ", "), Help: help, Change: change, Required: required,
+		Example: doc.Quote(list[0]),
+	}
 	if preset != "" {
 		k.Default = doc.Quote(string(preset))
 	}
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -259,8 +259,10 @@
 
 // Decode reads layers, the lowest first, and reports all that is wrong with them.
 func (s *Schema) Decode(found *finding.List, o Options, layers ...Layer) *File {
-	f := &File{schema: s, values: map[string]any{}, names: map[string][]string{}, settings: map[string]*Setting{},
-		tables: map[string]Place{}}
+	f := &File{
+		schema: s, values: map[string]any{}, names: map[string][]string{}, settings: map[string]*Setting{},
+		tables: map[string]Place{},
+	}
 	before := found.Len()
 	for _, l := range layers {
 		if l.Table != nil {
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -121,8 +121,10 @@
 	default:
 		return s, unknown, fmt.Errorf("discovery: unknown word %q", c.Discovery)
 	}
-	s = Settings{Zones: c.Zones, Models: c.Models, ConnIdle: Micros(c.Allowed.ConnIdle),
-		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap}
+	s = Settings{
+		Zones: c.Zones, Models: c.Models, ConnIdle: Micros(c.Allowed.ConnIdle),
+		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap,
+	}
 	s.Settings = balancer.Settings{
 		Instances: c.Instances, Ordinal: c.Ordinal, Tier: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
 		OverQuotaValueShare: c.OverShareWorth, ValuePerWorkUnit: c.WorthBy == "work",
--- a/internal/files/secretfile/secretfile_test.go
+++ b/internal/files/secretfile/secretfile_test.go
@@ -16,8 +16,13 @@
 		mode os.FileMode
 		want string // of the error; empty for none
 	}{
-		{"s3cret\n", 0o600, ""}, {" s3cret ", 0o640, ""}, {"s3cret", 0o602, "written by everybody"}, {"s3cret", 0o604, "read by everybody"},
-		{"", 0o600, "is empty"}, {"s3cret word", 0o600, "more than one word"}, {strings.Repeat("s3cret", 5000), 0o600, "more than"},
+		{"s3cret\n", 0o600, ""},
+		{" s3cret ", 0o640, ""},
+		{"s3cret", 0o602, "written by everybody"},
+		{"s3cret", 0o604, "read by everybody"},
+		{"", 0o600, "is empty"},
+		{"s3cret word", 0o600, "more than one word"},
+		{strings.Repeat("s3cret", 5000), 0o600, "more than"},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -50,9 +55,13 @@
 		mode os.FileMode
 		want string // of the error; empty for none
 	}{
-		{block("PRIVATE KEY"), 0o600, ""}, {block("EC PARAMETERS") + block("EC PRIVATE KEY"), 0o640, ""},
-		{block("PRIVATE KEY"), 0o644, "read by everybody"}, {block("CERTIFICATE"), 0o600, "holds no private key"}, {"", 0o600, "holds no private key"},
-		{block("ENCRYPTED PRIVATE KEY"), 0o600, "is encrypted"}, {strings.Repeat(block("CERTIFICATE"), 500), 0o600, "more than"},
+		{block("PRIVATE KEY"), 0o600, ""},
+		{block("EC PARAMETERS") + block("EC PRIVATE KEY"), 0o640, ""},
+		{block("PRIVATE KEY"), 0o644, "read by everybody"},
+		{block("CERTIFICATE"), 0o600, "holds no private key"},
+		{"", 0o600, "holds no private key"},
+		{block("ENCRYPTED PRIVATE KEY"), 0o600, "is encrypted"},
+		{strings.Repeat(block("CERTIFICATE"), 500), 0o600, "more than"},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/files/store/format.go
+++ b/internal/files/store/format.go
@@ -67,8 +67,10 @@
 	b = binary.LittleEndian.AppendUint16(b, Version)
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(h.replaces)))
 	b = binary.LittleEndian.AppendUint32(b, 0) // room for a later version
-	for _, x := range []uint64{h.store, h.id, h.first, h.synced, h.void[0], h.void[1], h.prev, h.stamp.Boot,
-		uint64(h.stamp.Up), uint64(h.now)} {
+	for _, x := range []uint64{
+		h.store, h.id, h.first, h.synced, h.void[0], h.void[1], h.prev, h.stamp.Boot,
+		uint64(h.stamp.Up), uint64(h.now),
+	} {
 		b = binary.LittleEndian.AppendUint64(b, x)
 	}
 	for _, id := range h.replaces {
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -170,8 +170,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{fs: dir, set: set, lock: lock, index: map[string]place{}, wake: make(chan struct{}, 1),
-		ended: make(chan struct{}), pause: set.RetryFirst}
+	s := &Store{
+		fs: dir, set: set, lock: lock, index: map[string]place{}, wake: make(chan struct{}, 1),
+		ended: make(chan struct{}), pause: set.RetryFirst,
+	}
 	if err = s.recover(); err == nil {
 		if err = s.roll(); err != nil {
 			err = fmt.Errorf("no segment can be made: %w", err)
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -73,13 +73,17 @@
 // New makes an Agent and registers its calls.
 func New(o Config) *Agent {
 	hello := o.Hub.Self()
-	self := membership.Member{Incarnation: hello.Incarnation, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
-		Service: o.Settings.Service, AppAddress: o.Settings.ApplicationAddress}
-	a := &Agent{config: o, view: membership.New(self, membership.Config{}, rand.New(rand.NewPCG(o.Seed, hello.Incarnation))),
+	self := membership.Member{
+		Incarnation: hello.Incarnation, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
+		Service: o.Settings.Service, AppAddress: o.Settings.ApplicationAddress,
+	}
+	a := &Agent{
+		config: o, view: membership.New(self, membership.Config{}, rand.New(rand.NewPCG(o.Seed, hello.Incarnation))),
 		registry: discovery.NewRegistry(discovery.Config{}), publisher: discovery.NewPublisher(discovery.Config{}),
 		wakeup: make(chan struct{}, 1), acknowledgedRecords: make(chan struct{}),
 		subscriptions: discovery.NewSubscription(discovery.Config{}), subscribers: discovery.NewSubscribers(discovery.Config{}),
-		zoneLastSeen: map[string]time.Duration{}, changedServices: map[string]uint64{}, ownerIncarnations: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1))}
+		zoneLastSeen: map[string]time.Duration{}, changedServices: map[string]uint64{}, ownerIncarnations: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1)),
+	}
 	for zone, region := range o.Settings.RegionOfZone {
 		a.view.SetRegion(zone, region)
 	}
--- a/internal/mesh/agent/config.go
+++ b/internal/mesh/agent/config.go
@@ -199,6 +199,8 @@
 // limitFor is a tenant's limit, with what the rules let pass beyond it.
 func (a *Agent) limitFor(t *configuration.Tenant) ratelimit.Limit {
 	b := a.config.Settings.Bounds
-	return ratelimit.Limit{Rate: t.Rate, Burst: t.Burst,
-		Overage: b.QuotaOverage*(t.Rate*b.QuotaWindow.Seconds()+t.Burst) + b.QuotaSlack}
+	return ratelimit.Limit{
+		Rate: t.Rate, Burst: t.Burst,
+		Overage: b.QuotaOverage*(t.Rate*b.QuotaWindow.Seconds()+t.Burst) + b.QuotaSlack,
+	}
 }
--- a/internal/mesh/agent/config_test.go
+++ b/internal/mesh/agent/config_test.go
@@ -25,8 +25,10 @@
 	for seed := range uint64(20) {
 		hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.9.1.1:7401"}, time.Now(), 1<<20, log)
 		var inForce []configuration.Version
-		a := New(Config{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.RoleAccess, Log: log, Seed: seed,
-			OnConfiguration: func(c *configuration.Config) { inForce = append(inForce, c.Version) }}) // one at a time
+		a := New(Config{
+			Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.RoleAccess, Log: log, Seed: seed,
+			OnConfiguration: func(c *configuration.Config) { inForce = append(inForce, c.Version) },
+		}) // one at a time
 		var wg sync.WaitGroup
 		for i := range 4 {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
--- a/internal/mesh/agent/duties.go
+++ b/internal/mesh/agent/duties.go
@@ -53,8 +53,10 @@
 // Roles makes a core process's part in the duties and registers its calls.
 func (a *Agent) NewSingletonRoles(voters Voters, initialStart bool) *SingletonRoles {
 	self := a.config.Hub.Self()
-	d := &SingletonRoles{agent: a, voters: voters, initialStart: initialStart, voter: lease.NewVoter(a.config.Hub.Now(), initialStart),
-		allocatorLease: lease.NewCandidate(self.Address, self.Incarnation, roleAllocator, a.randomFraction)}
+	d := &SingletonRoles{
+		agent: a, voters: voters, initialStart: initialStart, voter: lease.NewVoter(a.config.Hub.Now(), initialStart),
+		allocatorLease: lease.NewCandidate(self.Address, self.Incarnation, roleAllocator, a.randomFraction),
+	}
 	transport.Handle(a.config.Hub, methodLease, func(_ context.Context, _ *transport.Hello, q *lease.Request) *lease.Reply {
 		return d.handleLeaseRequest(q)
 	})
@@ -205,8 +207,10 @@
 // startAllocator begins the duty. The lock is held.
 func (s *SingletonRoles) startAllocator(now time.Duration) {
 	number, _ := s.allocatorLease.Holds(now)
-	s.agent.events.add(events.Event{Kind: events.RoleAcquired, Node: s.agent.config.Hub.Self().Address,
-		Detail: fmt.Sprintf("%s, under number %d", roleAllocator, number)})
+	s.agent.events.add(events.Event{
+		Kind: events.RoleAcquired, Node: s.agent.config.Hub.Self().Address,
+		Detail: fmt.Sprintf("%s, under number %d", roleAllocator, number),
+	})
 	s.allocator = ratelimit.NewAllocator(now, s.initialStart && now < initialStartGrace, s.agent.tenantLimit)
 	s.allocator.SetSidecars(s.lastSeen.Update(now, accessAddresses(s.agent.Members())))
 }
@@ -265,8 +269,10 @@
 	if !ok || s.allocator == nil || s.agent.tenantLimits.Load() == nil || number < q.HighestFencingToken {
 		return &ratelimit.AllocationReply{Allocator: s.allocatorLease.Holder(now)}
 	}
-	grants := &ratelimit.AllocationReply{Granted: true, FencingToken: number, Allocator: s.agent.config.Hub.Self().Address,
-		Grants: s.allocator.Allocate(now, q)}
+	grants := &ratelimit.AllocationReply{
+		Granted: true, FencingToken: number, Allocator: s.agent.config.Hub.Self().Address,
+		Grants: s.allocator.Allocate(now, q),
+	}
 	for i := range grants.Grants {
 		if grants.Grants[i].RetryAfter > 0 {
 			s.agent.events.recordQuotaHit(now, grants.Grants[i].Tenant)
--- a/internal/mesh/agent/duties_test.go
+++ b/internal/mesh/agent/duties_test.go
@@ -141,8 +141,10 @@
 	}
 	first, number := d.holder()
 	request := func(newest uint64) *ratelimit.AllocationReply {
-		return d.roles[first].grantTokens(t.Context(), nil, &ratelimit.AllocationRequest{Sidecar: "127.9.0.9:7401", Incarnation: 9, HighestFencingToken: newest,
-			Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}})
+		return d.roles[first].grantTokens(t.Context(), nil, &ratelimit.AllocationRequest{
+			Sidecar: "127.9.0.9:7401", Incarnation: 9, HighestFencingToken: newest,
+			Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}},
+		})
 	}
 	d.Assert(request(number).Granted, qt.IsTrue)
 	d.Assert(request(number+10).Granted, qt.IsFalse)
--- a/internal/mesh/agent/endpoints_test.go
+++ b/internal/mesh/agent/endpoints_test.go
@@ -25,8 +25,10 @@
 	defer hub.Close()
 	a := New(Config{Settings: &settings.Settings{Service: "s"}, Hub: hub, Role: membership.RoleAccess, Log: log, Seed: 1})
 	endpoint := func(i int, sequence uint64, state discovery.State) discovery.Endpoint {
-		return discovery.Endpoint{ID: fmt.Sprintf("i-%d", i), Service: "s", AppAddress: fmt.Sprintf("10.0.0.%d:1", i), State: state,
-			Sequence: sequence, Revision: sequence, LeaseRemaining: time.Minute}
+		return discovery.Endpoint{
+			ID: fmt.Sprintf("i-%d", i), Service: "s", AppAddress: fmt.Sprintf("10.0.0.%d:1", i), State: state,
+			Sequence: sequence, Revision: sequence, LeaseRemaining: time.Minute,
+		}
 	}
 	for i := range 48 {
 		a.apply(endpoint(i, 1, discovery.Serving))
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -27,8 +27,10 @@
 }
 
 func newEventRecorder(life uint64) *eventRecorder {
-	return &eventRecorder{feed: events.NewFeed(life, maxEvents), added: make(chan struct{}), endpointStates: map[string]discovery.State{},
-		knownMembers: map[uint64]membership.Member{}, lastQuotaHit: map[string]time.Duration{}}
+	return &eventRecorder{
+		feed: events.NewFeed(life, maxEvents), added: make(chan struct{}), endpointStates: map[string]discovery.State{},
+		knownMembers: map[uint64]membership.Member{}, lastQuotaHit: map[string]time.Duration{},
+	}
 }
 
 func (e *eventRecorder) add(event events.Event) {
@@ -53,8 +55,10 @@
 		if known && was == endpoint.State || !known && endpoint.State >= discovery.Crashed {
 			continue
 		}
-		kind := map[discovery.State]string{discovery.Serving: events.EndpointServing, discovery.Draining: events.EndpointDraining,
-			discovery.Crashed: events.EndpointCrashed, discovery.Deregistered: events.EndpointGone}[endpoint.State]
+		kind := map[discovery.State]string{
+			discovery.Serving: events.EndpointServing, discovery.Draining: events.EndpointDraining,
+			discovery.Crashed: events.EndpointCrashed, discovery.Deregistered: events.EndpointGone,
+		}[endpoint.State]
 		e.add(events.Event{Kind: kind, Service: endpoint.Service, Endpoint: endpoint.ID, Zone: endpoint.Zone, Node: endpoint.SidecarAddress})
 	}
 }
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -29,8 +29,10 @@
 
 // goldenEndpoint is an endpoint with a value in each field.
 func goldenEndpoint() discovery.Endpoint {
-	return discovery.Endpoint{ID: "ep-1", Service: "orders", SidecarAddress: "10.1.0.40:7640", SidecarIncarnation: 0x0102030405060708, AppAddress: "10.1.0.40:8103",
-		Zone: "north-a", Slots: 12, State: discovery.Draining, WarmupRemaining: 1500 * time.Millisecond, Sequence: 77, Revision: 5, LeaseRemaining: 9 * time.Second}
+	return discovery.Endpoint{
+		ID: "ep-1", Service: "orders", SidecarAddress: "10.1.0.40:7640", SidecarIncarnation: 0x0102030405060708, AppAddress: "10.1.0.40:8103",
+		Zone: "north-a", Slots: 12, State: discovery.Draining, WarmupRemaining: 1500 * time.Millisecond, Sequence: 77, Revision: 5, LeaseRemaining: 9 * time.Second,
+	}
 }
 
 // testGoldenMessage checks that full, which has a value in each field, is written as the file has it, and that the file is read as full.
@@ -52,8 +54,10 @@
 	second.ID, second.State = "ep-2", discovery.Deregistered
 	testGoldenMessage(t, "published", publishRequest{Endpoint: goldenEndpoint(), Accepted: true})
 	testGoldenMessage(t, "subscription", subscribeRequest{Subscriber: "10.1.0.41:7640", Service: "orders", Since: 300, OwnerIncarnation: 0xfffefdfcfbfaf9f8})
-	testGoldenMessage(t, "listing", endpointList{Service: "orders", Version: 301, Endpoints: []discovery.Endpoint{goldenEndpoint(), second},
-		OwnerIncarnation: 0x1122334455667788})
+	testGoldenMessage(t, "listing", endpointList{
+		Service: "orders", Version: 301, Endpoints: []discovery.Endpoint{goldenEndpoint(), second},
+		OwnerIncarnation: 0x1122334455667788,
+	})
 	testGoldenMessage(t, "notice", versionNotice{Version: 1 << 40})
 	testGoldenMessage(t, "configuration", configurationText{Version: 12, Text: []byte(`{"configVersion":"r12"}`)})
 	testGoldenMessage(t, "opaque", opaqueMessage{Body: []byte{0, 1, 0xfe, 0xff}})
@@ -132,11 +136,15 @@
 
 // goldenState is a core process's state with a value in each field.
 func goldenState() State {
-	return State{Node: "core-1", Version: "r12", Confirmed: true, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
+	return State{
+		Node: "core-1", Version: "r12", Confirmed: true, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
 		Roles:   []RoleState{{Name: roleAllocator, Holder: "10.1.0.44:7640", Epoch: 9, RemainingMs: 1500}, {Name: "other"}},
 		Members: []MemberState{{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 40}, {Role: "core"}},
-		Endpoints: []EndpointState{{ID: "ep-1", Service: "orders", Zone: "north-a", State: stateNames[discovery.Serving], Address: "10.1.0.40:8103",
-			Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000}}}
+		Endpoints: []EndpointState{{
+			ID: "ep-1", Service: "orders", Zone: "north-a", State: stateNames[discovery.Serving], Address: "10.1.0.40:8103",
+			Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000,
+		}},
+	}
 }
 
 func TestGoldenState(t *testing.T) {
@@ -148,8 +156,10 @@
 	var read State
 	c.Assert(json.Unmarshal(text, &read), qt.IsNil)
 	c.Assert(read, qt.DeepEquals, full)
-	c.Assert(stateNames, qt.DeepEquals, map[discovery.State]string{discovery.Serving: "in_service", discovery.Draining: "draining",
-		discovery.Crashed: "crashed", discovery.Deregistered: "gone"})
+	c.Assert(stateNames, qt.DeepEquals, map[discovery.State]string{
+		discovery.Serving: "in_service", discovery.Draining: "draining",
+		discovery.Crashed: "crashed", discovery.Deregistered: "gone",
+	})
 	c.Assert([]string{roleAllocator, StatePath, roleNameAccess, roleNameCore}, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
 }
 
@@ -220,8 +230,10 @@
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/endpoints/own/keepalive", strings.NewReader(body)))
 		fmt.Fprintf(&lines, "%d %s %s\n", w.Code, w.Header().Get("Content-Type"), strings.TrimSpace(w.Body.String()))
 	}
-	for _, call := range []string{"POST /endpoints/own/deregister", "POST /endpoints/other/deregister", "GET /endpoints/own/keepalive",
-		"POST /endpoints/own/renew", "POST /endpoints/own/keepalive " + strings.Repeat("x", 20<<10)} {
+	for _, call := range []string{
+		"POST /endpoints/own/deregister", "POST /endpoints/other/deregister", "GET /endpoints/own/keepalive",
+		"POST /endpoints/own/renew", "POST /endpoints/own/keepalive " + strings.Repeat("x", 20<<10),
+	} {
 		fields := strings.Fields(call + " -")
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(fields[0], fields[1], strings.NewReader(fields[2])))
@@ -233,8 +245,10 @@
 
 func TestGoldenKeepaliveFields(t *testing.T) {
 	fields := []string{fieldService, fieldAddress, fieldZone, fieldSlots, fieldSequence, fieldState, fieldSlowStart, fieldKeepaliveTarget}
-	qt.Assert(t, fields, qt.DeepEquals, []string{"serviceName", "address", "zone", "slotCount", "callSequence", "state", "coldRemaining",
-		"keepaliveTarget"})
+	qt.Assert(t, fields, qt.DeepEquals, []string{
+		"serviceName", "address", "zone", "slotCount", "callSequence", "state", "coldRemaining",
+		"keepaliveTarget",
+	})
 }
 
 // What a core process records as events, and how its feed gives them.
--- a/internal/mesh/agent/hollow_test.go
+++ b/internal/mesh/agent/hollow_test.go
@@ -35,8 +35,10 @@
 
 func (h *idleMesh) start(i, n, core, zones, services int, seeds []string) *Agent {
 	ip := fmt.Sprintf("127.7.%d.%d", i/250, i%250+1)
-	own := &settings.Settings{Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", InternalPorts: [2]int{7301, 7301},
-		Seeds: seeds, ControlAddress: ip + ":7302"}
+	own := &settings.Settings{
+		Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r", InternalPorts: [2]int{7301, 7301},
+		Seeds: seeds, ControlAddress: ip + ":7302",
+	}
 	role := membership.RoleCore
 	if i >= core {
 		role = membership.RoleAccess
@@ -46,7 +48,8 @@
 	log.SetLevel(logrus.ErrorLevel)
 	hub := transport.NewHub(transport.Hello{Incarnation: uint64(i + 1), Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
 	var known atomic.Bool
-	o := Config{Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
+	o := Config{
+		Settings: own, Hub: hub, Role: role, Log: log, Seed: uint64(i),
 		OnConfiguration: func(c *configuration.Config) {
 			if role == membership.RoleAccess && uint64(c.Version) == h.version.Load() {
 				h.applied.Add(1)
@@ -60,7 +63,8 @@
 					}
 				}
 			}
-		}}
+		},
+	}
 	c := New(o)
 	l, err := net.Listen("tcp4", own.InternalAddress())
 	if err != nil {
@@ -150,8 +154,10 @@
 			sequence := uint64(0)
 			publish = append(publish, func(s discovery.State) {
 				sequence++
-				c.Publish(discovery.Endpoint{ID: fmt.Sprintf("life-%d", i), Service: c.config.Settings.Service, AppAddress: c.config.Settings.ApplicationAddress,
-					Zone: c.config.Settings.Zone, Slots: 8, Sequence: sequence, State: s})
+				c.Publish(discovery.Endpoint{
+					ID: fmt.Sprintf("life-%d", i), Service: c.config.Settings.Service, AppAddress: c.config.Settings.ApplicationAddress,
+					Zone: c.config.Settings.Zone, Slots: 8, Sequence: sequence, State: s,
+				})
 			})
 			publish[len(publish)-1](discovery.Serving)
 		}
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -108,8 +108,10 @@
 		return
 	}
 	self := q.agent.config.Hub.Self()
-	go q.request(now, q.target(now), &ratelimit.AllocationRequest{Sidecar: self.Address, Incarnation: self.Incarnation, Requests: requests,
-		HighestFencingToken: q.tokenCache.HighestFencingToken()})
+	go q.request(now, q.target(now), &ratelimit.AllocationRequest{
+		Sidecar: self.Address, Incarnation: self.Incarnation, Requests: requests,
+		HighestFencingToken: q.tokenCache.HighestFencingToken(),
+	})
 }
 
 // target is the process to ask: the one that answered last; else a core process, in turn with a neighbour. The lock is held.
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -72,8 +72,10 @@
 	roleNameCore   = "core"
 )
 
-var stateNames = map[discovery.State]string{discovery.Serving: StateInService, discovery.Draining: StateDraining,
-	discovery.Crashed: StateCrashed, discovery.Deregistered: StateDeregistered}
+var stateNames = map[discovery.State]string{
+	discovery.Serving: StateInService, discovery.Draining: StateDraining,
+	discovery.Crashed: StateCrashed, discovery.Deregistered: StateDeregistered,
+}
 
 // State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
 // what it holds is the newest, and says so.
@@ -102,8 +104,10 @@
 		state.Members = append(state.Members, MemberState{m.Address, m.Zone, role, m.Service, m.HeartbeatAge.Milliseconds()})
 	}
 	for _, e := range a.registry.All(now) {
-		state.Endpoints = append(state.Endpoints, EndpointState{e.ID, e.Service, e.Zone, stateNames[e.State], e.AppAddress, e.SidecarAddress, e.Slots,
-			e.LeaseRemaining.Round(time.Millisecond).Milliseconds()})
+		state.Endpoints = append(state.Endpoints, EndpointState{
+			e.ID, e.Service, e.Zone, stateNames[e.State], e.AppAddress, e.SidecarAddress, e.Slots,
+			e.LeaseRemaining.Round(time.Millisecond).Milliseconds(),
+		})
 	}
 	return state
 }
--- a/internal/mesh/assembly/access.go
+++ b/internal/mesh/assembly/access.go
@@ -57,12 +57,16 @@
 func newSidecar(p *process) *sidecar {
 	a := &sidecar{process: p}
 	a.inbound = inbound.New(p.settings.ApplicationAddress, p.hub.Now, p.log, func(life string) { a.agent.PublishEnd(life, discovery.Crashed) })
-	a.outbound = outbound.New(outbound.Options{Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
+	a.outbound = outbound.New(outbound.Options{
+		Hub: p.hub, Inbound: a.inbound, Bounds: p.settings.Bounds, Service: p.settings.Service, Log: p.log,
 		Seed: p.seed, MaxBodyBytes: max(int64(bodyMemoryFraction*float64(p.settings.MemoryMB<<20)), minBodyMemoryBytes), RefreshEndpoints: func(s string) { a.agent.Refresh(s) },
-		AcquireQuota: func(t *configuration.Tenant, done func(bool, time.Duration)) { a.quota.Acquire(t, done) }})
-	a.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleAccess, Log: p.log, Seed: p.seed,
+		AcquireQuota: func(t *configuration.Tenant, done func(bool, time.Duration)) { a.quota.Acquire(t, done) },
+	})
+	a.agent = agent.New(agent.Config{
+		Settings: p.settings, Hub: p.hub, Role: membership.RoleAccess, Log: p.log, Seed: p.seed,
 		OnConfiguration: func(c *configuration.Config) { a.outbound.Configure(c) }, OnEndpointsChanged: a.outbound.UpdateEndpoints,
-		OnSidecarCount: a.outbound.SetSidecarCount, OnEndpointLeaving: a.handleEndpointLeaving})
+		OnSidecarCount: a.outbound.SetSidecarCount, OnEndpointLeaving: a.handleEndpointLeaving,
+	})
 	a.inbound.Register(p.hub)
 	a.quota = a.agent.NewQuotaClient()
 	return a
--- a/internal/mesh/assembly/assembly.go
+++ b/internal/mesh/assembly/assembly.go
@@ -51,8 +51,10 @@
 	debug.SetMemoryLimit(int64(heapFraction * float64(loaded.MemoryMB<<20)))
 	log, ring := logging.New(os.Stderr)
 	p := &process{settings: loaded, settingsPath: path, signals: signals, log: log, logRing: ring, seed: rand.Uint64(), serverErrors: make(chan error, 8)}
-	p.hub = transport.NewHub(transport.Hello{Incarnation: rand.Uint64() | 1, Address: loaded.InternalAddress(), Name: loaded.Name, Zone: loaded.Zone,
-		Service: loaded.Service}, time.Now(), maxCallBytes, log)
+	p.hub = transport.NewHub(transport.Hello{
+		Incarnation: rand.Uint64() | 1, Address: loaded.InternalAddress(), Name: loaded.Name, Zone: loaded.Zone,
+		Service: loaded.Service,
+	}, time.Now(), maxCallBytes, log)
 	p.hub.LimitRate(loaded.LinkMbps * 1e6)
 	return p, nil
 }
--- a/internal/mesh/assembly/assembly_test.go
+++ b/internal/mesh/assembly/assembly_test.go
@@ -64,8 +64,10 @@
 // newMeshWith is newMesh with further lines of the settings' limitSet and boundSet.
 func newMeshWith(t *testing.T, n int, limits, bounds string) *testMesh {
 	net := fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, os.Getpid()/200%80*3+n)
-	m := &testMesh{C: qt.New(t), folder: t.TempDir(), subnet: net, machines: map[string]*testMachine{}, applications: map[string]*application.Endpoint{},
-		limits: limits, bounds: bounds}
+	m := &testMesh{
+		C: qt.New(t), folder: t.TempDir(), subnet: net, machines: map[string]*testMachine{}, applications: map[string]*application.Endpoint{},
+		limits: limits, bounds: bounds,
+	}
 	t.Cleanup(func() {
 		for _, x := range m.machines {
 			m.kill(x)
@@ -94,8 +96,10 @@
 
 // startApplication starts the endpoint on a machine.
 func (t *testMesh) startApplication(x *testMachine, id string) {
-	a, err := application.Start(application.Options{ID: id, Service: x.service, Zone: x.zone, Address: x.ip + ":8103", Slots: 4,
-		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"}, Every: 150 * time.Millisecond})
+	a, err := application.Start(application.Options{
+		ID: id, Service: x.service, Zone: x.zone, Address: x.ip + ":8103", Slots: 4,
+		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"}, Every: 150 * time.Millisecond,
+	})
 	t.Assert(err, qt.IsNil)
 	t.applications[x.name] = a
 }
--- a/internal/mesh/assembly/core.go
+++ b/internal/mesh/assembly/core.go
@@ -38,9 +38,11 @@
 	c.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleCore, Log: p.log, Seed: p.seed})
 	c.agent.ServeConsensus(c.serveConsensus)
 	p.acceptLinks(internal)
-	c.server, err = controlplane.Open(controlplane.Options{Self: p.settings.ControlAddress, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
+	c.server, err = controlplane.Open(controlplane.Options{
+		Self: p.settings.ControlAddress, Seeds: p.settings.Seeds, InitialStart: p.settings.InitialStart,
 		Folder: p.settings.DataDirectory, Transport: c.agent.ConsensusTransport(), Tolerated: p.settings.ToleratedMachines, Cores: c.agent.CoreAddresses, Log: p.log, Seed: p.seed,
-		OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) }})
+		OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) },
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -116,16 +116,20 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &settings.Settings{Name: "core-a", IP: "127.9.2.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.2.1:8105",
-		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, DataDirectory: t.TempDir()}
+	own := &settings.Settings{
+		Name: "core-a", IP: "127.9.2.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.2.1:8105",
+		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, DataDirectory: t.TempDir(),
+	}
 	hub := transport.NewHub(transport.Hello{Incarnation: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	c := &controlPlane{process: &process{settings: own, hub: hub, log: log}, opened: make(chan struct{})}
 	c.agent = agent.New(agent.Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log})
 	c.agent.ServeConsensus(c.serveConsensus)
 	var err error
-	c.server, err = controlplane.Open(controlplane.Options{Self: own.ControlAddress, Seeds: own.Seeds, InitialStart: true, Folder: own.DataDirectory,
-		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) }})
+	c.server, err = controlplane.Open(controlplane.Options{
+		Self: own.ControlAddress, Seeds: own.Seeds, InitialStart: true, Folder: own.DataDirectory,
+		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) },
+	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(c.server.Close)
 	c.roles = c.agent.NewSingletonRoles(c.server, true)
@@ -219,11 +223,15 @@
 // The page of state of a core process; tools read it by these names.
 func TestGoldenState(t *testing.T) {
 	const file = "mesh-state.json"
-	state := agent.State{Node: "core-a", Version: "r7", Confirmed: true, Voters: []string{"127.0.0.1:8105"}, Ready: true,
+	state := agent.State{
+		Node: "core-a", Version: "r7", Confirmed: true, Voters: []string{"127.0.0.1:8105"}, Ready: true,
 		Roles:   []agent.RoleState{{Name: "allocator", Holder: "127.0.0.1:7640", Epoch: 3, RemainingMs: 1500}, {Name: "idle"}},
 		Members: []agent.MemberState{{Address: "127.0.0.1:7640", Zone: "a", Role: "access", Service: "desk", AgeMs: 20}, {Role: "core"}},
-		Endpoints: []agent.EndpointState{{ID: "i-1", Service: "desk", Zone: "a", State: "in_service", Address: "127.0.0.1:8103",
-			Sidecar: "127.0.0.1:7640", Slots: 4, LeaseMs: 9000}}}
+		Endpoints: []agent.EndpointState{{
+			ID: "i-1", Service: "desk", Zone: "a", State: "in_service", Address: "127.0.0.1:8103",
+			Sidecar: "127.0.0.1:7640", Slots: 4, LeaseMs: 9000,
+		}},
+	}
 	text, err := json.MarshalIndent(state, "", "\t")
 	qt.Assert(t, err, qt.IsNil)
 	golden.Text(t, file, append(text, '\n'))
@@ -238,8 +246,10 @@
 func TestBoundsOfAProcess(t *testing.T) {
 	qt.Assert(t, []int{maxCallBytes, minBodyMemoryBytes, gcPercent, maxEndedIDs}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
 	qt.Assert(t, []float64{bodyMemoryFraction, heapFraction}, qt.DeepEquals, []float64{0.3, 0.6})
-	times := []time.Duration{listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, answerTimeout, closeTimeout, drainTimeout, readinessNotice, answerMargin,
-		exitMargin, shutdownPollInterval}
+	times := []time.Duration{
+		listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, answerTimeout, closeTimeout, drainTimeout, readinessNotice, answerMargin,
+		exitMargin, shutdownPollInterval,
+	}
 	qt.Assert(t, times, qt.DeepEquals, slices.Concat([]time.Duration{2 * time.Second, 5 * time.Second},
 		[]time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, time.Second, 500 * time.Millisecond, 400 * time.Millisecond},
 		[]time.Duration{2400 * time.Millisecond, 900 * time.Millisecond, 250 * time.Millisecond, 20 * time.Millisecond}))
--- a/internal/mesh/assembly/leaving_test.go
+++ b/internal/mesh/assembly/leaving_test.go
@@ -33,8 +33,10 @@
 	c := qt.New(t)
 	start := func() *sidecar { return startSidecar(t) }
 	record := func(state discovery.State) discovery.Endpoint {
-		return discovery.Endpoint{ID: "x", Service: "s", AppAddress: "127.9.1.1:8103", SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
-			Sequence: 5, Revision: 3, LeaseRemaining: 5 * time.Second}
+		return discovery.Endpoint{
+			ID: "x", Service: "s", AppAddress: "127.9.1.1:8103", SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
+			Sequence: 5, Revision: 3, LeaseRemaining: 5 * time.Second,
+		}
 	}
 	state := func(a *sidecar) admission.State {
 		_, s := a.inbound.Endpoint()
@@ -80,8 +82,15 @@
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
-		for sequence, e := range []discovery.Endpoint{{ID: "first"}, {ID: "first", State: discovery.Draining}, {ID: "first", State: discovery.Deregistered},
-			{ID: "second"}, {ID: "second", State: discovery.Draining}, {ID: "third"}, {ID: "third"}} {
+		for sequence, e := range []discovery.Endpoint{
+			{ID: "first"},
+			{ID: "first", State: discovery.Draining},
+			{ID: "first", State: discovery.Deregistered},
+			{ID: "second"},
+			{ID: "second", State: discovery.Draining},
+			{ID: "third"},
+			{ID: "third"},
+		} {
 			e.Service, e.AppAddress, e.Slots, e.Sequence = "s", a.settings.ApplicationAddress, 4, uint64(sequence)
 			c.Check(a.Keepalive(e), qt.IsTrue)
 		}
@@ -104,8 +113,10 @@
 	own := discovery.Endpoint{ID: "now", Service: "s", AppAddress: a.settings.ApplicationAddress, Slots: 4, Sequence: 1}
 	c.Assert(a.Keepalive(own), qt.IsTrue)
 	for _, state := range []discovery.State{discovery.Draining, discovery.Deregistered} {
-		a.agent.ApplyRecord(discovery.Endpoint{ID: "before", Service: "s", AppAddress: a.settings.ApplicationAddress, SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
-			Sequence: 50, Revision: 3, LeaseRemaining: 5 * time.Second})
+		a.agent.ApplyRecord(discovery.Endpoint{
+			ID: "before", Service: "s", AppAddress: a.settings.ApplicationAddress, SidecarAddress: "127.9.1.1:7401", SidecarIncarnation: 1, State: state, Slots: 4,
+			Sequence: 50, Revision: 3, LeaseRemaining: 5 * time.Second,
+		})
 		life, is := a.inbound.Endpoint()
 		c.Check(life.ID, qt.Equals, "now", qt.Commentf("%v", state))
 		c.Check(is, qt.Equals, admission.Serving, qt.Commentf("%v", state))
--- a/internal/mesh/assembly/signals_test.go
+++ b/internal/mesh/assembly/signals_test.go
@@ -16,8 +16,10 @@
 
 // disturbances are the signals that reach a process while it ends: some platforms repeat SIGTERM, tools send SIGHUP to all processes
 // after they have changed settings, and several may come at one moment.
-var disturbances = []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGQUIT, syscall.SIGPIPE,
-	syscall.SIGUSR2, syscall.SIGHUP, syscall.SIGTERM}
+var disturbances = []os.Signal{
+	syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGQUIT, syscall.SIGPIPE,
+	syscall.SIGUSR2, syscall.SIGHUP, syscall.SIGTERM,
+}
 
 // signal sends signals to a machine's process, one right after the other.
 func (t *testMesh) signal(x *testMachine, signals ...os.Signal) {
--- a/internal/mesh/control/configuration/configuration_test.go
+++ b/internal/mesh/control/configuration/configuration_test.go
@@ -18,9 +18,11 @@
 	c.Assert(cfg.Version, qt.Equals, Version(7))
 	c.Assert(cfg.HasTenantTable, qt.IsTrue)
 	c.Assert(cfg.Limits, qt.Equals, Limits{16384, 64 << 20, 3 * time.Second, 15 * time.Second})
-	c.Assert(cfg.Routes[0], qt.DeepEquals, Route{Name: "r-6sz9frg", Host: "jepu9.example", Prefix: "/lepu270/",
+	c.Assert(cfg.Routes[0], qt.DeepEquals, Route{
+		Name: "r-6sz9frg", Host: "jepu9.example", Prefix: "/lepu270/",
 		Kind: Idempotent, Timeout: 2500 * time.Millisecond, Target: 600 * time.Millisecond, Priority: 2, MaxAttempts: 2,
-		Split: []WeightedService{{"huvo11a", 90}, {"kafi81c", 10}}})
+		Split: []WeightedService{{"huvo11a", 90}, {"kafi81c", 10}},
+	})
 	c.Assert(cfg.Match("JEPU9.example:80", "/lepu270/2f"), qt.Equals, &cfg.Routes[0])
 	c.Assert(cfg.Match("jepu9.example", "/lepu270"), qt.IsNil)
 	c.Assert(cfg.Match("hulo84.example", "/xapu221/ny95/"), qt.Equals, &cfg.Routes[1])
--- a/internal/mesh/control/configuration/golden_test.go
+++ b/internal/mesh/control/configuration/golden_test.go
@@ -8,10 +8,10 @@
 	"strings"
 	"testing"
 
-	"quincegap/internal/golden"
-
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
+
+	"quincegap/internal/golden"
 )
 
 // canonical writes down all that was read of a configuration, a field on a line.
--- a/internal/mesh/control/configuration/read.go
+++ b/internal/mesh/control/configuration/read.go
@@ -284,8 +284,10 @@
 	}
 	var sum float64
 	p.forEachObject(path+"."+fieldTrafficSplit, v.Get(fieldTrafficSplit), func(path string, v gjson.Result) {
-		s := WeightedService{Service: refer(path+"."+fieldServiceName, v.Get(fieldServiceName)),
-			Weight: p.number(path+"."+fieldWeight, v.Get(fieldWeight), 0)}
+		s := WeightedService{
+			Service: refer(path+"."+fieldServiceName, v.Get(fieldServiceName)),
+			Weight:  p.number(path+"."+fieldWeight, v.Get(fieldWeight), 0),
+		}
 		if s.Weight < 0 {
 			p.addFault(path+"."+fieldWeight, "0 or more, not %s", describe(v.Get(fieldWeight)))
 		}
--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -125,8 +125,10 @@
 	default:
 		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, changed
 	}
-	reply := Reply{Kind: kind, Ballot: q.Ballot, DiskIncarnation: r.State.DiskIncarnation, DiskIncarnations: r.State.DiskIncarnations,
-		Promised: r.promised()}
+	reply := Reply{
+		Kind: kind, Ballot: q.Ballot, DiskIncarnation: r.State.DiskIncarnation, DiskIncarnations: r.State.DiskIncarnations,
+		Promised: r.promised(),
+	}
 	if kind == Reported || kind == Promise {
 		reply.Vote = r.Vote
 		if q.KnownBallot == r.Vote.Ballot {
--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // goldenMessage is a message and the name of the golden file that holds its encoding.
@@ -27,20 +27,28 @@
 func goldenMessages() []goldenMessage {
 	ballot := Ballot{Number: 300, Proposer: "core-1#7"}
 	older := Ballot{Number: 299, Proposer: "core-2#1"}
-	voters := VoterSet{Epoch: 5, Voters: []string{"core-1", "core-2", "core-4"}, Previous: []string{"core-1", "core-2", "core-3"},
-		Retired: []string{"core-3", "core-0"}}
+	voters := VoterSet{
+		Epoch: 5, Voters: []string{"core-1", "core-2", "core-4"}, Previous: []string{"core-1", "core-2", "core-3"},
+		Retired: []string{"core-3", "core-0"},
+	}
 	first := VersionDigest{Version: 6, Digest: Digest{1, 2, 3, 4, 5, 6, 7, 8}}
 	second := VersionDigest{Version: 700, Digest: Digest{0xff, 0xfe, 0xfd, 0, 0, 0, 0, 1}}
 	refused := VersionDigest{Version: 900, Digest: Digest{9, 9, 9, 9, 9, 9, 9, 9}}
-	value := Value{Version: 700, Body: []byte("body of 700\n"), History: []VersionDigest{first, second}, TruncatedVersion: 5,
-		Refused: []VersionDigest{refused}, VoterSet: voters}
+	value := Value{
+		Version: 700, Body: []byte("body of 700\n"), History: []VersionDigest{first, second}, TruncatedVersion: 5,
+		Refused: []VersionDigest{refused}, VoterSet: voters,
+	}
 	vote := Vote{Ballot: ballot, Value: value, Learned: true}
 	incarnations := DiskIncarnations{"core-1": 2, "core-2": 1700000000000, "core-4": 1}
 	system := NewSystemID([]string{"core-1", "core-2", "core-3"})
-	request := Request{Kind: Accept, Ballot: ballot, KnownBallot: older, Value: value, Node: "core-4", DiskIncarnation: 1700000000001, Epoch: 5,
-		VoterSet: voters, System: system, Sender: "core-2"}
-	reply := Reply{Kind: ForeignSystem, Ballot: ballot, DiskIncarnation: 3, DiskIncarnations: incarnations, Promised: older, Vote: vote,
-		VoterSet: voters, Ready: true, BlankDisk: true, System: system, Unresponsive: []string{"core-1", "core-4"}}
+	request := Request{
+		Kind: Accept, Ballot: ballot, KnownBallot: older, Value: value, Node: "core-4", DiskIncarnation: 1700000000001, Epoch: 5,
+		VoterSet: voters, System: system, Sender: "core-2",
+	}
+	reply := Reply{
+		Kind: ForeignSystem, Ballot: ballot, DiskIncarnation: 3, DiskIncarnations: incarnations, Promised: older, Vote: vote,
+		VoterSet: voters, Ready: true, BlankDisk: true, System: system, Unresponsive: []string{"core-1", "core-4"},
+	}
 	state := ReplicaState{VoterSet: voters, Ready: true, DiskIncarnation: 3, DiskIncarnations: incarnations, Promised: ballot, System: system}
 	return []goldenMessage{
 		{"ballot", &ballot, &Ballot{}},
@@ -76,8 +84,10 @@
 	golden.Hex(t, "old-replica-state.hex", codec.MarshalAppend(nil, &state))
 	var s ReplicaState
 	c.Assert(codec.Unmarshal(golden.Read(t, "old-replica-state.hex"), &s), qt.IsNil)
-	c.Assert(s, qt.DeepEquals, ReplicaState{VoterSet: VoterSet{Voters: []string{"core-1", "core-2"}}, Ready: true, DiskIncarnation: 2,
-		DiskIncarnations: DiskIncarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"}})
+	c.Assert(s, qt.DeepEquals, ReplicaState{
+		VoterSet: VoterSet{Voters: []string{"core-1", "core-2"}}, Ready: true, DiskIncarnation: 2,
+		DiskIncarnations: DiskIncarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"},
+	})
 
 	old := oldValue{version: 9, body: []byte("body 9")}
 	for n := 8; n <= 9; n++ {
@@ -88,8 +98,10 @@
 	golden.Hex(t, "old-value.hex", codec.MarshalAppend(nil, &old))
 	var w Value
 	c.Assert(codec.Unmarshal(golden.Read(t, "old-value.hex"), &w), qt.IsNil)
-	c.Assert(w, qt.DeepEquals, Value{Version: 9, Body: []byte("body 9"), History: []VersionDigest{order(8).entry(), order(9).entry()},
-		TruncatedVersion: 7, Refused: []VersionDigest{refused.entry()}})
+	c.Assert(w, qt.DeepEquals, Value{
+		Version: 9, Body: []byte("body 9"), History: []VersionDigest{order(8).entry(), order(9).entry()},
+		TruncatedVersion: 7, Refused: []VersionDigest{refused.entry()},
+	})
 }
 
 // The numbers of kinds go over the wire, and those of verdicts and states stand in other packages' answers.
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"quincegap/internal/mesh/transport/codec"
-
 	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/mesh/transport/codec"
 )
 
 func TestWrittenIsRead(t *testing.T) {
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -9,10 +9,10 @@
 	"sync"
 	"testing"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // The model is a core of several processes, as package controlplane runs them, without time: one step after the other is
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -52,8 +52,10 @@
 
 // NewRound starts a round under a ballot that was never used. Without a change it commits the newest value again.
 func NewRound(e VoterSet, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
-	r := &Round{State: Preparing, voterSet: e, ballot: ballot, change: change, knownVote: known,
-		replies: map[string]*Reply{}}
+	r := &Round{
+		State: Preparing, voterSet: e, ballot: ballot, change: change, knownVote: known,
+		replies: map[string]*Reply{},
+	}
 	return r, &Request{Kind: Prepare, Ballot: ballot, KnownBallot: known.Ballot, Epoch: e.Epoch, VoterSet: e}
 }
 
@@ -189,8 +191,10 @@
 	case !slices.Equal(r.jointVoters, next.Voters):
 		r.jointVoters = next.Voters
 		if !r.hasQuorum(valid) {
-			return &Request{Kind: Prepare, Ballot: r.ballot, KnownBallot: r.knownVote.Ballot, Epoch: r.voterSet.Epoch,
-				VoterSet: r.voterSet}
+			return &Request{
+				Kind: Prepare, Ballot: r.ballot, KnownBallot: r.knownVote.Ballot, Epoch: r.voterSet.Epoch,
+				VoterSet: r.voterSet,
+			}
 		}
 	}
 	return r.propose(newest, committed)
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -12,9 +12,9 @@
 	"strings"
 	"testing"
 
-	"quincegap/internal/mesh/transport/codec"
-
 	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // world is a core of which every request is in sight. One may be delivered at any time; one that is lost is one that is never
@@ -81,8 +81,10 @@
 
 // newLists makes a world in which only the first so many of all vote at first, and the others are ready to.
 func newLists(voters, all, losses int, attempts []int, changes ...*Change) *world {
-	w := &world{losses: losses, loser: all - 1, lost: make([]*Recovery, all), records: make([]Record, all), codes: make([]uint64, all),
-		moved: map[string]bool{}}
+	w := &world{
+		losses: losses, loser: all - 1, lost: make([]*Recovery, all), records: make([]Record, all), codes: make([]uint64, all),
+		moved: map[string]bool{},
+	}
 	for i := range all {
 		w.voters = append(w.voters, fmt.Sprint("v", i))
 		w.moved[w.voters[i]] = i >= voters
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // order is the change that the nth operator's order of a long day makes: n on the version before.
--- a/internal/mesh/control/controlplane/api.go
+++ b/internal/mesh/control/controlplane/api.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
+	"github.com/gravitational/trace"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
-
-	"github.com/gravitational/trace"
 )
 
 // ReadLatest is the newest value that was committed when it was called, or a newer one. It is in contact with a majority of the
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -10,12 +10,12 @@
 	"testing/synctest"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/control/storage"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 const bodyBytes = 2 << 10
--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -13,13 +13,13 @@
 	"testing/synctest"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-	"quincegap/internal/mesh/control/consensus"
-	"quincegap/internal/mesh/transport/codec"
-
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/transport/codec"
 )
 
 // testCore is a few servers in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
@@ -124,8 +124,10 @@
 // runCore runs a test in a bubble, with n servers of which the first three are voters.
 func runCore(t *testing.T, n int, test func(co *testCore, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
-		co := &testCore{c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memoryStore{}, isolated: map[string]bool{},
-			notified: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)}}
+		co := &testCore{
+			c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memoryStore{}, isolated: map[string]bool{},
+			notified: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)},
+		}
 		for i := range n {
 			co.start(i, true)
 		}
@@ -157,13 +159,15 @@
 	if t.tolerated > 0 {
 		cores = func() []string { return t.cores(self) }
 	}
-	d, err := Open(Options{Self: self, Seeds: t.seeds, Tolerated: t.tolerated, Cores: cores, InitialStart: first, Transport: link{t, self}, Log: log, Seed: 1,
+	d, err := Open(Options{
+		Self: self, Seeds: t.seeds, Tolerated: t.tolerated, Cores: cores, InitialStart: first, Transport: link{t, self}, Log: log, Seed: 1,
 		OnCommit: func(w consensus.Value) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.notified[self] = append(t.notified[self], w.Version)
 		},
-		openStore: func(string) (recordStore, error) { return kept, nil }})
+		openStore: func(string) (recordStore, error) { return kept, nil },
+	})
 	t.c.Assert(err, qt.IsNil)
 	t.servers[self] = d
 }
@@ -205,8 +209,19 @@
 		for i, x := range []struct {
 			base, v configuration.Version
 			outcome Outcome
-		}{{0, 3, Applied}, {0, 3, Applied}, {0, 4, Conflict}, {3, 3, Applied}, {3, 2, Conflict}, {3, 4, Applied}, {3, 5, Conflict}, {0, 3, Applied},
-			{9, 10, Conflict}, {4, 10, Conflict}, {4, 11, Applied}} {
+		}{
+			{0, 3, Applied},
+			{0, 3, Applied},
+			{0, 4, Conflict},
+			{3, 3, Applied},
+			{3, 2, Conflict},
+			{3, 4, Applied},
+			{3, 5, Conflict},
+			{0, 3, Applied},
+			{9, 10, Conflict},
+			{4, 10, Conflict},
+			{4, 11, Applied},
+		} {
 			co.c.Assert(co.replace(ctx, i%4, x.base, x.v), qt.Equals, x.outcome, qt.Commentf("%v", x))
 		}
 		co.c.Assert(co.server(1).Replace(ctx, 11, config(11, "other")).Outcome, qt.Equals, Conflict)
@@ -271,19 +286,27 @@
 	for name, trouble := range map[string]struct {
 		begin, end func(co *testCore, i int, m *memoryStore)
 	}{
-		"cut": {func(co *testCore, i int, m *memoryStore) { co.isolate(i, true) },
-			func(co *testCore, i int, m *memoryStore) { co.isolate(i, false) }},
-		"stalled": {func(co *testCore, i int, m *memoryStore) {
-			gate = make(chan struct{})
-			m.configure(func() { m.gate = gate })
+		"cut": {
+			func(co *testCore, i int, m *memoryStore) { co.isolate(i, true) },
+			func(co *testCore, i int, m *memoryStore) { co.isolate(i, false) },
+		},
+		"stalled": {
+			func(co *testCore, i int, m *memoryStore) {
+				gate = make(chan struct{})
+				m.configure(func() { m.gate = gate })
+			},
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.gate = nil }); close(gate) },
+		},
+		"full": {
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = io.ErrShortWrite }) },
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = nil }) },
 		},
-			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.gate = nil }); close(gate) }},
-		"full": {func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = io.ErrShortWrite }) },
-			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = nil }) }},
-		"failing late": {func(co *testCore, i int, m *memoryStore) {
-			m.configure(func() { m.fault, m.torn = io.ErrShortWrite, true })
+		"failing late": {
+			func(co *testCore, i int, m *memoryStore) {
+				m.configure(func() { m.fault, m.torn = io.ErrShortWrite, true })
+			},
+			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = nil }) },
 		},
-			func(co *testCore, i int, m *memoryStore) { m.configure(func() { m.fault = nil }) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runCore(t, 4, func(co *testCore, ctx context.Context) {
--- a/internal/mesh/control/controlplane/cutoff_test.go
+++ b/internal/mesh/control/controlplane/cutoff_test.go
@@ -11,12 +11,12 @@
 	"testing/synctest"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-	"quincegap/internal/mesh/control/consensus"
-
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/consensus"
 )
 
 // testNetwork is a core whose messages may be cut one way, and are counted.
@@ -101,13 +101,15 @@
 	kept := countingStore{t.disks[self], t}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d, err := Open(Options{Self: self, Seeds: t.seeds, InitialStart: first, Transport: oneWayLink{t, self}, Log: log, Seed: uint64(i),
+	d, err := Open(Options{
+		Self: self, Seeds: t.seeds, InitialStart: first, Transport: oneWayLink{t, self}, Log: log, Seed: uint64(i),
 		OnCommit: func(w consensus.Value) {
 			t.testCore.mu.Lock()
 			defer t.testCore.mu.Unlock()
 			t.notified[self] = append(t.notified[self], w.Version)
 		},
-		openStore: func(string) (recordStore, error) { return kept, nil }})
+		openStore: func(string) (recordStore, error) { return kept, nil },
+	})
 	t.c.Assert(err, qt.IsNil)
 	t.servers[self] = d
 }
@@ -226,8 +228,10 @@
 			x.testCore.mu.Lock()
 			x.maxDelay, x.lossRate = float64(20*time.Millisecond), 0.05*float64(seed%2)
 			x.testCore.mu.Unlock()
-			h := &history{sent: map[string]configuration.Version{}, refused: map[string]bool{},
-				bases: map[configuration.Version]string{}, answers: map[string]int{}}
+			h := &history{
+				sent: map[string]configuration.Version{}, refused: map[string]bool{},
+				bases: map[configuration.Version]string{}, answers: map[string]int{},
+			}
 			var cut sync.Mutex
 			away := -1 // the server that has been cut off long enough for all earlier answers to have come
 			cutOff := func() int {
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // catchUp is the shortest time that the pages give a successor until the next loss.
@@ -291,7 +291,8 @@
 	list := table.peerStatuses(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
 	c.Assert(list, qt.DeepEquals, []consensus.PeerStatus{
 		{Node: "a", Responsive: true, StateDuration: 1990 * time.Millisecond, Ready: true},
-		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2}})
+		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2},
+	})
 	table.resetTimeouts(at(60000)) // it stood still: nobody is silent yet
 	c.Assert(table.unresponsive(at(61000), []string{"a", "b"}), qt.HasLen, 0)
 	table.observeReply(at(61000), "b", &consensus.Reply{})
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -18,14 +18,14 @@
 	"testing/iotest"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/control/storage"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
-	"github.com/sirupsen/logrus"
 )
 
 // What earlier versions of the program have written and answered.
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"quincegap/internal/mesh/control/consensus"
-
 	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/control/consensus"
 )
 
 // How long after its start a process expects the list of voters to grow.
--- a/internal/mesh/control/controlplane/growth_test.go
+++ b/internal/mesh/control/controlplane/growth_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-
 	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/mesh/control/configuration"
 )
 
 // The system starts for the first time, and is told of three processes only, while it is to bear the loss of two disks. Whenever a change
--- a/internal/mesh/control/controlplane/halves_test.go
+++ b/internal/mesh/control/controlplane/halves_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-
 	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/mesh/control/configuration"
 )
 
 // The core is cut into two halves, whatever losses it bears, while operators reach both and sidecars ask both: at most one half takes
--- a/internal/mesh/control/controlplane/http.go
+++ b/internal/mesh/control/controlplane/http.go
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-
 	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/control/configuration"
 )
 
 const (
@@ -65,8 +65,10 @@
 	defer cancel()
 	v := d.Replace(ctx, base, raw)
 	d.options.Log.WithField("outcome", v.Outcome).WithField("base", base).WithField("reason", v.Reason).Info("configuration sent")
-	writeError(w, map[Outcome]int{Applied: http.StatusOK, Conflict: http.StatusPreconditionFailed, Invalid: http.StatusBadRequest,
-		Unknown: http.StatusServiceUnavailable}[v.Outcome], v.Reason)
+	writeError(w, map[Outcome]int{
+		Applied: http.StatusOK, Conflict: http.StatusPreconditionFailed, Invalid: http.StatusBadRequest,
+		Unknown: http.StatusServiceUnavailable,
+	}[v.Outcome], v.Reason)
 }
 
 // retrieveCall is answered with the newest configuration that was committed when the call came, or a newer one.
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-
 	qt "github.com/frankban/quicktest"
 	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/control/configuration"
 )
 
 // order is one that an operator sends over HTTP, any number of times, to any server.
--- a/internal/mesh/control/controlplane/reconfigure.go
+++ b/internal/mesh/control/controlplane/reconfigure.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
+	"github.com/gravitational/trace"
+
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/transport/codec"
-
-	"github.com/gravitational/trace"
 )
 
 const (
@@ -139,8 +139,10 @@
 	d.mu.Lock()
 	d.peers = presence
 	if !e.Contains(d.options.Self) && d.ready {
-		presence = append(slices.Clone(presence), consensus.PeerStatus{Node: d.options.Self, Responsive: true, StateDuration: now.Sub(d.readySince), Ready: true,
-			RemovedFromSeeds: slices.Contains(v.seedsSeen, d.options.Self) && !slices.Contains(seeds, d.options.Self)})
+		presence = append(slices.Clone(presence), consensus.PeerStatus{
+			Node: d.options.Self, Responsive: true, StateDuration: now.Sub(d.readySince), Ready: true,
+			RemovedFromSeeds: slices.Contains(v.seedsSeen, d.options.Self) && !slices.Contains(seeds, d.options.Self),
+		})
 	}
 	d.mu.Unlock()
 	return presence
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -7,11 +7,11 @@
 	"testing/synctest"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // cores are the servers that one of them can reach.
@@ -279,8 +279,10 @@
 func TestFolderOfTheVersionBefore(t *testing.T) {
 	runCore(t, 0, func(co *testCore, ctx context.Context) {
 		co.tolerated = 2
-		vote := consensus.Vote{Ballot: consensus.Ballot{Number: 7, Proposer: "x"}, Value: consensus.Value{Version: 5, Body: config(5, ""),
-			History: []consensus.VersionDigest{{Version: 5}}}}
+		vote := consensus.Vote{Ballot: consensus.Ballot{Number: 7, Proposer: "x"}, Value: consensus.Value{
+			Version: 5, Body: config(5, ""),
+			History: []consensus.VersionDigest{{Version: 5}},
+		}}
 		for i := range 5 {
 			old := oldStanding{voters: co.seeds, fit: i < 3, life: 1}
 			m := &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &old)}}
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"quincegap/internal/mesh/control/consensus"
-
 	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/control/consensus"
 )
 
 // recoverRecord makes the record of a process that has none: the list of voters comes from any peer, and what the voters promised and
--- a/internal/mesh/control/controlplane/replica.go
+++ b/internal/mesh/control/controlplane/replica.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/gravitational/trace"
+
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/control/storage"
 	"quincegap/internal/mesh/transport/codec"
-
-	"github.com/gravitational/trace"
 )
 
 // store is where a voter's record is.
--- a/internal/mesh/control/controlplane/rounds.go
+++ b/internal/mesh/control/controlplane/rounds.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"quincegap/internal/mesh/control/consensus"
-
 	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/control/consensus"
 )
 
 // runRound plays a round until it is over. Each phase waits for replies as long as patience, and less after a rejection.
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"quincegap/internal/mesh/control/configuration"
-	"quincegap/internal/mesh/control/consensus"
-
 	"github.com/gravitational/trace"
 	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/consensus"
 )
 
 // Options are what a Server is opened with.
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // A machine with a folder of another system, whose list of voters is newer, is started at an address of this one: neither side
--- a/internal/mesh/control/controlplane/transport.go
+++ b/internal/mesh/control/controlplane/transport.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
+	"github.com/gravitational/trace"
+
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/transport/codec"
-
-	"github.com/gravitational/trace"
 )
 
 // Transport asks another core process; node is its name in the membership. There, Serve answers.
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -103,8 +103,10 @@
 }
 
 func (c *Candidate) releaseRequest() *Request {
-	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
-		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken, Release: true}}}
+	return &Request{
+		Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
+		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken, Release: true}},
+	}
 }
 
 // Tick gives the request that is to be sent to all voters now; nil for none. list is the epoch of their list.
@@ -151,8 +153,10 @@
 	}
 	c.highestToken = max(c.highestToken, c.requestedToken)
 	c.requestedAt, c.voterCount, c.grantedBy, c.rejections = now, voters, map[string]bool{}, 0
-	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
-		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken}}}
+	return &Request{
+		Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
+		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken}},
+	}
 }
 
 func (c *Candidate) jitteredDelay() time.Duration {
--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -278,8 +278,12 @@
 	for _, x := range []struct {
 		standing VoterStatus
 		given    bool
-	}{{VoterStatus{Ready: true, VoterSetEpoch: 5}, false}, {VoterStatus{Ready: false, VoterSetEpoch: 4}, false}, {VoterStatus{Ready: true, VoterSetEpoch: 4}, true},
-		{VoterStatus{Ready: true, VoterSetEpoch: 3}, true}} {
+	}{
+		{VoterStatus{Ready: true, VoterSetEpoch: 5}, false},
+		{VoterStatus{Ready: false, VoterSetEpoch: 4}, false},
+		{VoterStatus{Ready: true, VoterSetEpoch: 4}, true},
+		{VoterStatus{Ready: true, VoterSetEpoch: 3}, true},
+	} {
 		r := v.Handle(0, x.standing, q)
 		c.Assert(r.Grants[0].Granted, qt.Equals, x.given)
 		c.Assert(r.VoterSetEpoch, qt.Equals, x.standing.VoterSetEpoch)
--- a/internal/mesh/control/lease/golden_test.go
+++ b/internal/mesh/control/lease/golden_test.go
@@ -7,18 +7,22 @@
 	"testing"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // Messages are encoded as other versions encode them, and theirs are read.
 func TestGoldenMessages(t *testing.T) {
-	request := Request{Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, VoterSetEpoch: 4,
-		Roles: []RoleRequest{{Role: "quota", FencingToken: 4_000_001, Release: true}, {Role: "config", FencingToken: 4_000_300}}}
-	reply := Reply{VoterSetEpoch: 5, Grants: []Grant{{Role: "quota", Granted: true, FencingToken: 4_000_001},
-		{Role: "config", FencingToken: 4_000_300, Holder: "10.0.0.2:7401", Remaining: 750 * time.Millisecond}}}
+	request := Request{
+		Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, VoterSetEpoch: 4,
+		Roles: []RoleRequest{{Role: "quota", FencingToken: 4_000_001, Release: true}, {Role: "config", FencingToken: 4_000_300}},
+	}
+	reply := Reply{VoterSetEpoch: 5, Grants: []Grant{
+		{Role: "quota", Granted: true, FencingToken: 4_000_001},
+		{Role: "config", FencingToken: 4_000_300, Holder: "10.0.0.2:7401", Remaining: 750 * time.Millisecond},
+	}}
 	for _, m := range []struct {
 		name         string
 		value, empty codec.Message
@@ -41,7 +45,8 @@
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]time.Duration{Duration, holderDuration, voterChangeDelay, renewInterval, retryDelay, releaseStagger}, qt.DeepEquals, []time.Duration{
-		time.Second, 950 * time.Millisecond, 1050 * time.Millisecond, 250 * time.Millisecond, 150 * time.Millisecond, 50 * time.Millisecond})
+		time.Second, 950 * time.Millisecond, 1050 * time.Millisecond, 250 * time.Millisecond, 150 * time.Millisecond, 50 * time.Millisecond,
+	})
 	c.Check([]int{tokensPerVoterSet, maxRoles}, qt.DeepEquals, []int{1_000_000, 4096})
 	c.Check([]State{Idle, Requesting, Holding, Resigned}, qt.DeepEquals, []State{0, 1, 2, 3})
 }
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -19,8 +19,10 @@
 				for i := range all {
 					all[i] = AllocationRequest{Sidecar: fmt.Sprintf("10.%d.%d.%d:7301", i/62500, i/250%250, i%250+1), Incarnation: uint64(i + 1)}
 					for j := range requests {
-						all[i].Requests = append(all[i].Requests, TokenRequest{Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
-							FallbackShare: 1.25, ShareRemaining: 9 * time.Second})
+						all[i].Requests = append(all[i].Requests, TokenRequest{
+							Tenant: fmt.Sprintf("tenant-%d", j), Tokens: 2, Demand: 6.5,
+							FallbackShare: 1.25, ShareRemaining: 9 * time.Second,
+						})
 					}
 				}
 				now, each := time.Second, heartbeatInterval/time.Duration(sidecars)
--- a/internal/mesh/control/ratelimit/golden_test.go
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -9,17 +9,19 @@
 	"testing"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/transport/codec"
-
-	qt "github.com/frankban/quicktest"
 )
 
 // Messages are encoded as other versions encode them, and theirs are read.
 func TestGoldenMessages(t *testing.T) {
 	request := TokenRequest{Tenant: "tenant-1", Tokens: 12.5, Demand: 40.25, FallbackShare: 3.75, ShareRemaining: 9 * time.Second, UnusedTokens: 1.5}
-	requests := AllocationRequest{Sidecar: "10.0.0.3:7301", Incarnation: 0xfedcba9876543210, Requests: []TokenRequest{request, {Tenant: "tenant-2"}},
-		Forwarded: true, HighestFencingToken: 4_000_001}
+	requests := AllocationRequest{
+		Sidecar: "10.0.0.3:7301", Incarnation: 0xfedcba9876543210, Requests: []TokenRequest{request, {Tenant: "tenant-2"}},
+		Forwarded: true, HighestFencingToken: 4_000_001,
+	}
 	grant := TokenGrant{Tenant: "tenant-1", Tokens: 12, FallbackShare: 4.5, ShareRemaining: 10 * time.Second, RetryAfter: 120 * time.Millisecond}
 	grants := AllocationReply{Granted: true, FencingToken: 4_000_002, Allocator: "10.0.0.1:7401", Grants: []TokenGrant{grant, {Tenant: "tenant-2"}}}
 	for _, m := range []struct {
@@ -44,12 +46,19 @@
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]time.Duration{tokenValidity, unresponsiveAfter, shareLease, forgetAfter, sumInterval, sweepInterval}, qt.DeepEquals, []time.Duration{
-		450 * time.Millisecond, 300 * time.Millisecond, 10 * time.Second, 20 * time.Second, 100 * time.Millisecond, time.Second})
-	c.Check([]time.Duration{heartbeatInterval, urgentInterval, renewInterval, idleTimeout, replyTimeout, waitTimeout, firstWaitTimeout, minRetryAfter,
-		maxRetryAfter, maxDenial}, qt.DeepEquals, []time.Duration{200 * time.Millisecond, 15 * time.Millisecond, 2 * time.Second, 10 * time.Second,
-		60 * time.Millisecond, 60 * time.Millisecond, 250 * time.Millisecond, 30 * time.Millisecond, 2 * time.Second, 100 * time.Millisecond})
-	c.Check([]time.Duration{prefetchSpan, demandSpan, longTermSpan, maxFallbackRetryAfter}, qt.DeepEquals, []time.Duration{300 * time.Millisecond, time.Second,
-		8 * time.Second, 250 * time.Millisecond})
+		450 * time.Millisecond, 300 * time.Millisecond, 10 * time.Second, 20 * time.Second, 100 * time.Millisecond, time.Second,
+	})
+	c.Check([]time.Duration{
+		heartbeatInterval, urgentInterval, renewInterval, idleTimeout, replyTimeout, waitTimeout, firstWaitTimeout, minRetryAfter,
+		maxRetryAfter, maxDenial,
+	}, qt.DeepEquals, []time.Duration{
+		200 * time.Millisecond, 15 * time.Millisecond, 2 * time.Second, 10 * time.Second,
+		60 * time.Millisecond, 60 * time.Millisecond, 250 * time.Millisecond, 30 * time.Millisecond, 2 * time.Second, 100 * time.Millisecond,
+	})
+	c.Check([]time.Duration{prefetchSpan, demandSpan, longTermSpan, maxFallbackRetryAfter}, qt.DeepEquals, []time.Duration{
+		300 * time.Millisecond, time.Second,
+		8 * time.Second, 250 * time.Millisecond,
+	})
 	c.Check([]float64{evenFraction, initialOverageFraction, maxFallbackTokens, initialShareFraction, ratioFraction, slackFraction}, qt.DeepEquals, []float64{0.2, 0.25, 2, 0.08, 0.4, 0.6})
 	c.Check([]int{maxSidecars, maxWaiters, windowSlots}, qt.DeepEquals, []int{8192, 1024, 20})
 }
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -58,8 +58,10 @@
 				case cut[m.from] > now:
 				case m.to < 0 && now < away:
 				case m.to < 0:
-					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: m.sent, to: m.from,
-						from: m.from, grants: &AllocationReply{Granted: true, Grants: allocator.Allocate(now, m.requests)}})
+					post = append(post, mail{
+						at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: m.sent, to: m.from,
+						from: m.from, grants: &AllocationReply{Granted: true, Grants: allocator.Allocate(now, m.requests)},
+					})
 				default:
 					caches[m.to].HandleReply(now, m.sent, m.grants)
 				}
@@ -73,8 +75,10 @@
 					})
 				}
 				if w, due := p.Tick(now); due {
-					post = append(post, mail{at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: now, to: -1, from: i,
-						requests: &AllocationRequest{Sidecar: names[i], Incarnation: 1, Requests: w}})
+					post = append(post, mail{
+						at: now + time.Duration(rng.IntN(20))*time.Millisecond, sent: now, to: -1, from: i,
+						requests: &AllocationRequest{Sidecar: names[i], Incarnation: 1, Requests: w},
+					})
 				}
 				if now-p.lastSent > replyTimeout*2 && p.inFlight {
 					p.HandleFailure(now)
--- a/internal/mesh/control/ratelimit/tenant_tokens.go
+++ b/internal/mesh/control/ratelimit/tenant_tokens.go
@@ -99,8 +99,10 @@
 // newRequest makes the tenant's request for tokens.
 func (t *tenantTokens) newRequest(now time.Duration, tenant string) TokenRequest {
 	t.renewAt = now + renewInterval
-	q := TokenRequest{Tenant: tenant, Demand: t.longTermDemand / (1 + float64(now-t.demandAt)/float64(longTermSpan)), FallbackShare: t.fallbackShare,
-		ShareRemaining: max(t.shareUntil-now, 0), UnusedTokens: t.expiredTokens}
+	q := TokenRequest{
+		Tenant: tenant, Demand: t.longTermDemand / (1 + float64(now-t.demandAt)/float64(longTermSpan)), FallbackShare: t.fallbackShare,
+		ShareRemaining: max(t.shareUntil-now, 0), UnusedTokens: t.expiredTokens,
+	}
 	t.expiredTokens = 0
 	t.requestedWaiters = len(t.waiters)
 	q.Tokens = float64(t.requestedWaiters)
--- a/internal/mesh/control/storage/golden_test.go
+++ b/internal/mesh/control/storage/golden_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"quincegap/internal/golden"
-
 	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/golden"
 )
 
 // The folder and its records as earlier versions of the program have written them. In the folder older records are in a table and
--- a/internal/mesh/dataplane/admission/golden_test.go
+++ b/internal/mesh/dataplane/admission/golden_test.go
@@ -32,8 +32,10 @@
 	token := uint64(0)
 	arrive := func(now time.Duration, priority int, inner bool, aim, deadline time.Duration) {
 		token++
-		steps := g.Submit(now, Request{Token: token, EndpointID: "one", Service: "s", Priority: priority, Nested: inner, TargetDeadline: now + aim,
-			Deadline: now + deadline})
+		steps := g.Submit(now, Request{
+			Token: token, EndpointID: "one", Service: "s", Priority: priority, Nested: inner, TargetDeadline: now + aim,
+			Deadline: now + deadline,
+		})
 		note(now, fmt.Sprintf("arrives %d, priority %d, inner %t, aim %v, deadline %v", token, priority, inner, aim, deadline), steps)
 	}
 	arrive(0, 1, false, 500*ms, time.Second)
--- a/internal/mesh/dataplane/inbound/endpoint.go
+++ b/internal/mesh/dataplane/inbound/endpoint.go
@@ -28,9 +28,11 @@
 )
 
 // HopByHopHeaders concern one connection only, or are set by the system; they are not passed on. In canonical form.
-var HopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+var HopByHopHeaders = map[string]bool{
+	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Proxy-Authenticate": true,
-	"Proxy-Authorization": true, "Expect": true}
+	"Proxy-Authorization": true, "Expect": true,
+}
 
 // acquireConnection is one to the endpoint; it carries one request at a time.
 type connection struct {
--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -18,15 +18,19 @@
 )
 
 func goldenRequest() ForwardRequest {
-	return ForwardRequest{EndpointID: "shop-3.7f", Service: "shop", Method: "POST", URI: "/p/item?x=1&y=%20", Host: "shop.example",
+	return ForwardRequest{
+		EndpointID: "shop-3.7f", Service: "shop", Method: "POST", URI: "/p/item?x=1&y=%20", Host: "shop.example",
 		Header: []string{"Accept", "text/plain", "X-Empty", "", "Accept", "*/*"}, Body: []byte{0, 1, 'b', 0xff}, HasBody: true,
 		AttemptID: "a-1", CallingService: "front", Tenant: "north", Priority: -2, Nested: true, Idempotent: true,
-		TargetRemaining: 450 * time.Millisecond, TimeRemaining: 1999999999, Route: "read"}
+		TargetRemaining: 450 * time.Millisecond, TimeRemaining: 1999999999, Route: "read",
+	}
 }
 
 func goldenOutcome() ForwardResponse {
-	return ForwardResponse{Kind: outcome.Rejected, Status: 503, Header: []string{"Content-Type", "text/plain", "X-Empty", ""},
-		Body: []byte("full\x00\xfe"), ServiceTime: 12345678, Slots: 8, Running: 7, Waiting: 3, RetryAfter: 250 * time.Millisecond, ReachedEndpoint: true}
+	return ForwardResponse{
+		Kind: outcome.Rejected, Status: 503, Header: []string{"Content-Type", "text/plain", "X-Empty", ""},
+		Body: []byte("full\x00\xfe"), ServiceTime: 12345678, Slots: 8, Running: 7, Waiting: 3, RetryAfter: 250 * time.Millisecond, ReachedEndpoint: true,
+	}
 }
 
 // Both messages, each of their fields set, written and read back.
@@ -48,10 +52,14 @@
 // Names and numbers that other processes rely on.
 func TestGoldenNames(t *testing.T) {
 	qt.Check(t, MethodForward, qt.Equals, 1)
-	qt.Check(t, []string{HeaderAttemptID, HeaderTargetEndpoint, HeaderCallingService, HeaderSubscriberID, HeaderTimeRemaining,
-		HeaderNotExecuted, HeaderEndpointSeal, HeaderAnsweringEndpoint, HeaderKey, HeaderBaseVersion}, qt.DeepEquals,
-		[]string{"Attempt-Id", "Target-Endpoint", "Calling-Service", "Subscriber-Id", "Time-Remaining",
-			"Not-Executed", "Endpoint-Seal", "Answering-Endpoint", "Key", "Base-Version"})
+	qt.Check(t, []string{
+		HeaderAttemptID, HeaderTargetEndpoint, HeaderCallingService, HeaderSubscriberID, HeaderTimeRemaining,
+		HeaderNotExecuted, HeaderEndpointSeal, HeaderAnsweringEndpoint, HeaderKey, HeaderBaseVersion,
+	}, qt.DeepEquals,
+		[]string{
+			"Attempt-Id", "Target-Endpoint", "Calling-Service", "Subscriber-Id", "Time-Remaining",
+			"Not-Executed", "Endpoint-Seal", "Answering-Endpoint", "Key", "Base-Version",
+		})
 	var hop []string
 	for name, is := range HopByHopHeaders {
 		qt.Check(t, is, qt.IsTrue)
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -58,8 +58,10 @@
 
 // New makes the proxy to an endpoint's address. dead is called, without locks, when the endpoint refuses connections.
 func New(address string, now func() time.Duration, log *logrus.Logger, dead func(life string)) *Proxy {
-	return &Proxy{address: address, now: now, log: log, controller: admission.New(), pending: map[uint64]*pendingRequest{}, onEndpointDown: dead,
-		responseSizes: map[string]float64{}, dial: dialTCP}
+	return &Proxy{
+		address: address, now: now, log: log, controller: admission.New(), pending: map[uint64]*pendingRequest{}, onEndpointDown: dead,
+		responseSizes: map[string]float64{}, dial: dialTCP,
+	}
 }
 
 func dialTCP(address string, timeout time.Duration) (net.Conn, error) {
@@ -127,8 +129,10 @@
 	p.expectedBytes += large
 	j := &pendingRequest{token: p.lastToken, request: forwardRequest, deadline: deadline, done: done, expectedBytes: large}
 	p.pending[j.token] = j
-	p.apply(p.controller.Submit(p.now(), admission.Request{Token: j.token, EndpointID: forwardRequest.EndpointID, Service: forwardRequest.Service,
-		Priority: forwardRequest.Priority, Nested: forwardRequest.Nested, TargetDeadline: aim, Deadline: deadline}))
+	p.apply(p.controller.Submit(p.now(), admission.Request{
+		Token: j.token, EndpointID: forwardRequest.EndpointID, Service: forwardRequest.Service,
+		Priority: forwardRequest.Priority, Nested: forwardRequest.Nested, TargetDeadline: aim, Deadline: deadline,
+	}))
 	p.scheduleExpiry()
 	return func() { p.cancel(j) }
 }
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -66,8 +66,10 @@
 		return near, nil
 	})
 	s.inbound.Register(s.hub)
-	s.outbound = outbound.New(outbound.Options{Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: life, MaxBodyBytes: 64 << 20,
-		Bounds: settings.Bounds{RetryBudgetRatio: 10, RetryBudgetSlack: 1e6, RetryBudgetWindow: 10 * time.Second}})
+	s.outbound = outbound.New(outbound.Options{
+		Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: life, MaxBodyBytes: 64 << 20,
+		Bounds: settings.Bounds{RetryBudgetRatio: 10, RetryBudgetSlack: 1e6, RetryBudgetWindow: 10 * time.Second},
+	})
 	conf, err := configuration.Parse([]byte(answersConfig))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -91,8 +91,10 @@
 	case a.superseded:
 		s.supersededEnded(now, r)
 	default:
-		s.balancer.HandleOutcome(now, balancer.Outcome{ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Final: final,
-			Elapsed: now - a.sentAt, Status: balancerStatus(o, a.cancelled), NoRetry: s.isFinalAttempt(now, r, o, next, final)})
+		s.balancer.HandleOutcome(now, balancer.Outcome{
+			ID: r.id, Endpoint: a.endpoint, Attempt: a.number, Final: final,
+			Elapsed: now - a.sentAt, Status: balancerStatus(o, a.cancelled), NoRetry: s.isFinalAttempt(now, r, o, next, final),
+		})
 	}
 	if r.answered {
 		s.cancelAttempts(r)
--- a/internal/mesh/dataplane/outbound/balancer.go
+++ b/internal/mesh/dataplane/outbound/balancer.go
@@ -57,14 +57,18 @@
 }
 
 func newServiceBalancer(d *Proxy, service string, seed uint64) (*serviceBalancer, error) {
-	c := &serviceBalancer{proxy: d, service: service, endpoints: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
+	c := &serviceBalancer{
+		proxy: d, service: service, endpoints: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{},
 		classes: map[classKey]int{}, requests: map[balancer.RequestID]*request{},
-		retryBudget: ratelimit.NewRetryBudget(d.options.Bounds.RetryBudgetWindow)}
+		retryBudget: ratelimit.NewRetryBudget(d.options.Bounds.RetryBudgetWindow),
+	}
 	b, err := balancer.New(balancer.Settings{
 		Instances: 1, Tiers: 1, Quantum: decisionInterval, TotalValueWeight: 1, MayCancel: true, MaxRetryAfter: maxRetryAfter,
 		ConnectTimeout: connectTimeout, SlowStartMinShare: slowStartMinShare, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadDuration: overloadDuration,
-		Classes: []balancer.Class{{Name: "any", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, LateValueShare: 0.2,
-			Idempotency: balancer.NonIdempotent}},
+		Classes: []balancer.Class{{
+			Name: "any", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, LateValueShare: 0.2,
+			Idempotency: balancer.NonIdempotent,
+		}},
 	}, seed, c)
 	c.balancer = b
 	return c, err
@@ -88,8 +92,10 @@
 	if target <= 0 {
 		target = r.Timeout / 2
 	}
-	n, err := s.balancer.AddClass(balancer.Class{Name: strconv.Itoa(len(s.classes)), LatencyTarget: target, Deadline: r.Timeout,
-		Value: 1, LateValueShare: 0.2, Idempotency: effect})
+	n, err := s.balancer.AddClass(balancer.Class{
+		Name: strconv.Itoa(len(s.classes)), LatencyTarget: target, Deadline: r.Timeout,
+		Value: 1, LateValueShare: 0.2, Idempotency: effect,
+	})
 	if err != nil {
 		s.proxy.options.Log.Warn("outbound: " + err.Error())
 		return 0
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -152,8 +152,10 @@
 		life := fmt.Sprintf("i-%d", i)
 		inboundProxy.UpdateEndpoint(admission.Endpoint{ID: life, Service: "shop", Slots: 8}, admission.Serving)
 		listen(inboundProxy)
-		endpoints = append(endpoints, discovery.Endpoint{ID: life, Service: "shop", AppAddress: app.Listener.Addr().String(),
-			SidecarAddress: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, LeaseRemaining: time.Hour})
+		endpoints = append(endpoints, discovery.Endpoint{
+			ID: life, Service: "shop", AppAddress: app.Listener.Addr().String(),
+			SidecarAddress: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, LeaseRemaining: time.Hour,
+		})
 	}
 	proxy.UpdateEndpoints("shop", endpoints)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -70,8 +70,10 @@
 			done(true, 0)
 		}
 	}
-	s.proxy = New(Options{Hub: hub, Inbound: in, Log: log, Service: "front", Seed: 1, MaxBodyBytes: 250, AcquireQuota: take,
-		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second}})
+	s.proxy = New(Options{
+		Hub: hub, Inbound: in, Log: log, Service: "front", Seed: 1, MaxBodyBytes: 250, AcquireQuota: take,
+		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second},
+	})
 	if configure {
 		s.proxy.Configure(conf)
 		s.proxy.UpdateEndpoints("s", []discovery.Endpoint{{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
@@ -250,8 +252,10 @@
 
 // The answer that each kind of outcome maps to, with no time to come back but the table's, and with another one.
 func TestGoldenAnswersByKind(t *testing.T) {
-	answered := &inbound.ForwardResponse{Kind: outcome.Answered, Status: 201, Header: []string{"A", "1", "A", "2", "Content-Type", "x/y", "Server", "s"},
-		Body: []byte("body")}
+	answered := &inbound.ForwardResponse{
+		Kind: outcome.Answered, Status: 201, Header: []string{"A", "1", "A", "2", "Content-Type", "x/y", "Server", "s"},
+		Body: []byte("body"),
+	}
 	var text strings.Builder
 	for _, ending := range []bool{false, true} {
 		d := startGolden(t, true).proxy
--- a/internal/mesh/dataplane/outbound/http.go
+++ b/internal/mesh/dataplane/outbound/http.go
@@ -25,14 +25,18 @@
 
 // Server is the clients' server.
 func (p *Proxy) Server() *http.Server {
-	return &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTime,
-		MaxHeaderBytes: maxHeaderBytes, ConnState: p.trackConnection, ErrorLog: log.New(io.Discard, "", 0)}
+	return &http.Server{
+		Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: maxIdleTime,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: p.trackConnection, ErrorLog: log.New(io.Discard, "", 0),
+	}
 }
 
 // systemHeaders are headers that the system alone sets, whatever a client sent.
-var systemHeaders = map[string]bool{inbound.HeaderKey: true, inbound.HeaderAttemptID: true, inbound.HeaderTimeRemaining: true,
+var systemHeaders = map[string]bool{
+	inbound.HeaderKey: true, inbound.HeaderAttemptID: true, inbound.HeaderTimeRemaining: true,
 	inbound.HeaderTargetEndpoint: true, inbound.HeaderSubscriberID: true, inbound.HeaderCallingService: true, "Host": true,
-	inbound.HeaderBaseVersion: true, inbound.HeaderNotExecuted: true}
+	inbound.HeaderBaseVersion: true, inbound.HeaderNotExecuted: true,
+}
 
 // serve takes one request from its head to its answer, and what comes of its body after that.
 func (p *Proxy) serve(w http.ResponseWriter, q *http.Request) {
--- a/internal/mesh/dataplane/outbound/outbound.go
+++ b/internal/mesh/dataplane/outbound/outbound.go
@@ -88,8 +88,10 @@
 
 // New makes a proxy that knows no configuration yet.
 func New(o Options) *Proxy {
-	return &Proxy{options: o, balancers: map[string]*serviceBalancer{}, zoneNumbers: map[string]int{}, sidecarCount: 1,
-		shutdownDue: make(chan struct{})}
+	return &Proxy{
+		options: o, balancers: map[string]*serviceBalancer{}, zoneNumbers: map[string]int{}, sidecarCount: 1,
+		shutdownDue: make(chan struct{}),
+	}
 }
 
 // Now is the steady clock.
@@ -178,8 +180,10 @@
 		r.id, r.balancer = balancer.RequestID(strconv.FormatUint(p.lastRequest, 36)), c
 		c.requests[r.id] = r
 		c.retryBudget.CountRequest(now)
-		c.balancer.HandleRequest(now, balancer.Request{ID: r.id, Class: c.class(r.route), TimeLeft: r.deadline - now,
-			ValueFactor: times})
+		c.balancer.HandleRequest(now, balancer.Request{
+			ID: r.id, Class: c.class(r.route), TimeLeft: r.deadline - now,
+			ValueFactor: times,
+		})
 	})
 }
 
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -13,8 +13,12 @@
 // hundred; and of each hundred of one sidecar, within three requests.
 func TestServicesOfASplitRouteGetTheirShares(t *testing.T) {
 	c := qt.New(t)
-	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 20},
-		{Service: "c", Weight: 10}, {Service: "none", Weight: 0}}}
+	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{
+		{Service: "a", Weight: 70},
+		{Service: "b", Weight: 20},
+		{Service: "c", Weight: 10},
+		{Service: "none", Weight: 0},
+	}}
 	for range 50 {
 		sidecars := make([]splitSequences, 12)
 		count := map[string]float64{}
--- a/internal/mesh/dataplane/outcome/golden_test.go
+++ b/internal/mesh/dataplane/outcome/golden_test.go
@@ -26,9 +26,11 @@
 
 // The names of the kinds in the code, by number: a kind keeps its number whatever its name is.
 func TestGoldenNumbers(t *testing.T) {
-	for number, kind := range []Kind{1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
+	for number, kind := range []Kind{
+		1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
 		9: Overloaded, 10: QuotaExceeded, 11: NotReady, 12: ShuttingDown, 13: ConnectionLost, 14: InvalidResponse, 15: TimedOut, 16: NoRoute, 17: Unauthorized, 18: Malformed,
-		19: BodyTooLarge, 20: HeaderTooLarge, 21: BodyTimeout, 22: EndpointReset} {
+		19: BodyTooLarge, 20: HeaderTooLarge, 21: BodyTimeout, 22: EndpointReset,
+	} {
 		if uint64(kind) != uint64(number) {
 			t.Errorf("%s is number %d, want %d", kind, kind, number)
 		}
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -42,8 +42,10 @@
 
 // New makes the view of a process that knows nobody.
 func New(self Member, bounds Config, rng *rand.Rand) *View {
-	v := &View{config: bounds.WithDefaults(), rng: rng, self: self, byIncarnation: map[uint64]*entry{}, byAddress: map[string]*entry{},
-		tombstones: map[uint64]tombstoneEntry{}, regions: map[string]string{}, agreement: newAgreement(), lastRemoval: -time.Hour}
+	v := &View{
+		config: bounds.WithDefaults(), rng: rng, self: self, byIncarnation: map[uint64]*entry{}, byAddress: map[string]*entry{},
+		tombstones: map[uint64]tombstoneEntry{}, regions: map[string]string{}, agreement: newAgreement(), lastRemoval: -time.Hour,
+	}
 	v.self.Heartbeat = max(v.self.Heartbeat, 1)
 	v.hashOrder = []*entry{{Member: v.self, hash: rendezvous.Mix(self.Incarnation)}}
 	v.SetRegion(self.Zone, self.Region)
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -14,8 +14,10 @@
 const lease = 9 * time.Second
 
 func newRecord(id string, s State, sequence, edition uint64) Endpoint {
-	return Endpoint{ID: id, Service: "s", SidecarAddress: "h:1", SidecarIncarnation: 7, AppAddress: "a:1", Zone: "z", Slots: 4, State: s,
-		Sequence: sequence, Revision: edition, LeaseRemaining: lease}
+	return Endpoint{
+		ID: id, Service: "s", SidecarAddress: "h:1", SidecarIncarnation: 7, AppAddress: "a:1", Zone: "z", Slots: 4, State: s,
+		Sequence: sequence, Revision: edition, LeaseRemaining: lease,
+	}
 }
 
 // orders calls f with each order of the numbers below n.
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -34,8 +34,10 @@
 func goldenFeed() *events.Feed {
 	feed := events.NewFeed(36, 4)
 	for i, service := range []string{"orders", "orders", "carts", "orders", "carts"} {
-		feed.Add(events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointServing, Service: service, Zone: "south-b",
-			Tenant: "north", Node: "10.1.0.40:7640", Endpoint: fmt.Sprintf("ep-%d", i)})
+		feed.Add(events.Event{
+			Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointServing, Service: service, Zone: "south-b",
+			Tenant: "north", Node: "10.1.0.40:7640", Endpoint: fmt.Sprintf("ep-%d", i),
+		})
 	}
 	return feed
 }
--- a/internal/mesh/operations/eventlog/eventlog.go
+++ b/internal/mesh/operations/eventlog/eventlog.go
@@ -159,8 +159,10 @@
 		if core != from && from != "" {
 			// Another process has seen other events in another order: what lies between is not known here.
 			cursor = ""
-			if err := l.Add(events.Event{Kind: events.Gap, Node: core, Time: time.Now().UTC().Format(time.RFC3339Nano),
-				Detail: "another core process is followed now; what it kept comes next"}, core, ""); err != nil {
+			if err := l.Add(events.Event{
+				Kind: events.Gap, Node: core, Time: time.Now().UTC().Format(time.RFC3339Nano),
+				Detail: "another core process is followed now; what it kept comes next",
+			}, core, ""); err != nil {
 				log.Warn("eventlog: " + err.Error())
 			}
 		}
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -22,8 +22,10 @@
 func goldenEvents() []events.Event {
 	var all []events.Event
 	for i := range 5 {
-		all = append(all, events.Event{Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointDraining, Node: "10.1.0.40:7640", Zone: "south-b",
-			Service: "orders", Endpoint: fmt.Sprintf("ep-%d", i), Tenant: "north", Version: "r12", Detail: fmt.Sprint(i)})
+		all = append(all, events.Event{
+			Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointDraining, Node: "10.1.0.40:7640", Zone: "south-b",
+			Service: "orders", Endpoint: fmt.Sprintf("ep-%d", i), Tenant: "north", Version: "r12", Detail: fmt.Sprint(i),
+		})
 	}
 	return all
 }
--- a/internal/mesh/operations/events/golden_test.go
+++ b/internal/mesh/operations/events/golden_test.go
@@ -13,8 +13,10 @@
 
 // goldenEvent is an event with a value in each field.
 func goldenEvent() Event {
-	return Event{Cursor: "1a2b-17", Time: "2026-01-02T03:04:05.6Z", Kind: ConfigurationApplied, Node: "10.1.0.44:7640", Zone: "north-a", Service: "orders",
-		Endpoint: "ep-1", Tenant: "north", Version: "r12", Detail: "why"}
+	return Event{
+		Cursor: "1a2b-17", Time: "2026-01-02T03:04:05.6Z", Kind: ConfigurationApplied, Node: "10.1.0.44:7640", Zone: "north-a", Service: "orders",
+		Endpoint: "ep-1", Tenant: "north", Version: "r12", Detail: "why",
+	}
 }
 
 func TestGoldenEvent(t *testing.T) {
@@ -32,16 +34,20 @@
 }
 
 func TestGoldenKinds(t *testing.T) {
-	kinds := []string{EndpointServing, EndpointDraining, EndpointGone, EndpointCrashed, ConfigurationApplied, RoleAcquired, RoleLost, QuotaExhausted, MemberReachable,
-		MemberUnreachable, Gap}
+	kinds := []string{
+		EndpointServing, EndpointDraining, EndpointGone, EndpointCrashed, ConfigurationApplied, RoleAcquired, RoleLost, QuotaExhausted, MemberReachable,
+		MemberUnreachable, Gap,
+	}
 	golden.Text(t, "kinds.txt", []byte(strings.Join(kinds, "\n")+"\n"))
 }
 
 // Cursors and gaps as readers see them: their texts, and what can't be read.
 func TestGoldenCursors(t *testing.T) {
 	var lines strings.Builder
-	for _, text := range []string{"", "1a2b-17", "3w5e11264sgsf-18446744073709551615", "0-0", "x", "-", "1-", "-1", "1--1", "1-x", "zzzzzzzzzzzzzz-1",
-		"1-99999999999999999999", "A-1"} {
+	for _, text := range []string{
+		"", "1a2b-17", "3w5e11264sgsf-18446744073709551615", "0-0", "x", "-", "1-", "-1", "1--1", "1-x", "zzzzzzzzzzzzzz-1",
+		"1-99999999999999999999", "A-1",
+	} {
 		cursor, err := ParseCursor(text)
 		fmt.Fprintf(&lines, "%q: %d %d %v\n", text, cursor.Incarnation, cursor.Number, err)
 		if err == nil {
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -30,8 +30,10 @@
 
 // New makes a logger whose entries go into a ring; from a warning on the ring is written to out, at most every ten seconds.
 func New(out io.Writer) (*logrus.Logger, *Ring) {
-	r := &Ring{out: out, entries: make([]*logrus.Entry, 0, maxEntries),
-		format: logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano}}
+	r := &Ring{
+		out: out, entries: make([]*logrus.Entry, 0, maxEntries),
+		format: logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano},
+	}
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	l.SetFormatter(discardFormatter{})
--- a/internal/mesh/operations/meshctl/golden_test.go
+++ b/internal/mesh/operations/meshctl/golden_test.go
@@ -21,14 +21,19 @@
 
 // goldenState is a core process's answer with a value in each field.
 func goldenState(confirmed bool) agent.State {
-	return agent.State{Node: "core-1", Version: "r12", Confirmed: confirmed, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
+	return agent.State{
+		Node: "core-1", Version: "r12", Confirmed: confirmed, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
 		Roles: []agent.RoleState{{Name: "allocator", Holder: "10.1.0.44:7640", Epoch: 9, RemainingMs: 1500}},
-		Members: []agent.MemberState{{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 1040},
-			{Address: "10.1.0.44:7640", Zone: "north-a", Role: "core"}},
+		Members: []agent.MemberState{
+			{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 1040},
+			{Address: "10.1.0.44:7640", Zone: "north-a", Role: "core"},
+		},
 		Endpoints: []agent.EndpointState{
 			{ID: "ep-1", Service: "orders", Zone: "north-a", State: "in_service", Address: "10.1.0.40:8103", Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000},
 			{ID: "ep-2", Service: "orders", Zone: "south-b", State: "draining", Address: "10.1.0.41:8103", Sidecar: "10.1.0.41:7640", Slots: 4, LeaseMs: 500},
-			{ID: "ep-3", Service: "carts", Zone: "south-b", State: "crashed", Address: "10.1.0.42:8103", Sidecar: "10.1.0.42:7640", Slots: 4}}}
+			{ID: "ep-3", Service: "carts", Zone: "south-b", State: "crashed", Address: "10.1.0.42:8103", Sidecar: "10.1.0.42:7640", Slots: 4},
+		},
+	}
 }
 
 // goldenCore answers with a fixed state, the configuration in a file under testdata, and the same answer to each order.
@@ -62,11 +67,13 @@
 		configuration, status int
 		commands              []string
 	}{
-		"commands": {true, 200, 200, []string{"members", "--json members", "endpoints", "endpoints --service carts", "--json endpoints --service carts",
+		"commands": {true, 200, 200, []string{
+			"members", "--json members", "endpoints", "endpoints --service carts", "--json endpoints --service carts",
 			"duties", "--json duties", "config get", "config check testdata/after.json", "config check testdata/bad.json",
 			"config diff testdata/after.json", "config apply testdata/after.json", "config apply --base r2 testdata/after.json",
 			"config apply --base 2 testdata/after.json", "why h.example /none/", "why h.example /a/x --key secret1", "why h.example /a/x --key wrong",
-			"why h.example /open/x", "why h.example /split/ --key secret2"}},
+			"why h.example /open/x", "why h.example /split/ --key secret2",
+		}},
 		"conflict":    {true, 200, 412, []string{"config apply testdata/after.json"}},
 		"refused":     {true, 200, 400, []string{"config apply testdata/after.json"}},
 		"unclear":     {true, 200, 408, []string{"config apply testdata/after.json"}},
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -40,8 +40,10 @@
 		return e.Service != "" && endpointState.Service != e.Service
 	})
 	for _, endpointState := range all {
-		rows = append(rows, []string{endpointState.ID, endpointState.Service, endpointState.Zone, endpointState.State, fmt.Sprint(endpointState.Slots), endpointState.Sidecar,
-			time.Duration(endpointState.LeaseMs * 1e6).String()})
+		rows = append(rows, []string{
+			endpointState.ID, endpointState.Service, endpointState.Zone, endpointState.State, fmt.Sprint(endpointState.Slots), endpointState.Sidecar,
+			time.Duration(endpointState.LeaseMs * 1e6).String(),
+		})
 	}
 	return c.printTable(all, "ENDPOINT\tSERVICE\tZONE\tSTATE\tSLOTS\tWITNESS\tLEASE", rows)
 }
--- a/internal/mesh/operations/settings/golden_test.go
+++ b/internal/mesh/operations/settings/golden_test.go
@@ -21,18 +21,41 @@
 		path  string
 		value any
 	}{
-		{"ownNode.nodeName", s.Name}, {"ownNode.role", s.Role}, {"ownNode.machineClass", s.MachineClass}, {"ownNode.ipAddress", s.IP}, {"ownNode.zone", s.Zone},
-		{"ownNode.region", s.Region}, {"ownNode.initialStart", s.InitialStart}, {"ownNode.dataDirectory", s.DataDirectory},
-		{"ownNode.applicationAddr", s.ApplicationAddress}, {"ownNode.serviceName", s.Service}, {"ownNode.limitSet.memoryMb", s.MemoryMB},
-		{"ownNode.limitSet.fdLimit", s.FileDescriptors}, {"ownNode.limitSet.linkMbps", s.LinkMbps}, {"network.internalPorts", s.InternalPorts},
-		{"network.seedNodes", s.Seeds}, {"network.listenAddresses.inbound", s.InboundAddress}, {"network.listenAddresses.outbound", s.OutboundAddress},
-		{"network.listenAddresses.readiness", s.ReadinessAddress}, {"network.listenAddresses.control", s.ControlAddress}, {"network.zones", s.RegionOfZone},
-		{"platformProfile.keepalive", s.KeepaliveInterval}, {"termTable.faultTolerance.machines", s.ToleratedMachines}, {"boundSet.contact", s.Bounds.Contact},
-		{"boundSet.drain", s.Bounds.Drain}, {"boundSet.grace", s.Bounds.Grace}, {"boundSet.configApply", s.Bounds.ConfigApply},
-		{"boundSet.ack", s.Bounds.Ack}, {"boundSet.retryBudgetRatio", s.Bounds.RetryBudgetRatio}, {"boundSet.retryBudgetSlack", s.Bounds.RetryBudgetSlack},
-		{"boundSet.retryWindow", s.Bounds.RetryBudgetWindow}, {"boundSet.quotaWindow", s.Bounds.QuotaWindow},
-		{"boundSet.quotaOverage", s.Bounds.QuotaOverage}, {"boundSet.quotaSlack", s.Bounds.QuotaSlack},
-		{"internal address", s.InternalAddress()}, {"internal addresses of seeds", s.SeedAddresses()},
+		{"ownNode.nodeName", s.Name},
+		{"ownNode.role", s.Role},
+		{"ownNode.machineClass", s.MachineClass},
+		{"ownNode.ipAddress", s.IP},
+		{"ownNode.zone", s.Zone},
+		{"ownNode.region", s.Region},
+		{"ownNode.initialStart", s.InitialStart},
+		{"ownNode.dataDirectory", s.DataDirectory},
+		{"ownNode.applicationAddr", s.ApplicationAddress},
+		{"ownNode.serviceName", s.Service},
+		{"ownNode.limitSet.memoryMb", s.MemoryMB},
+		{"ownNode.limitSet.fdLimit", s.FileDescriptors},
+		{"ownNode.limitSet.linkMbps", s.LinkMbps},
+		{"network.internalPorts", s.InternalPorts},
+		{"network.seedNodes", s.Seeds},
+		{"network.listenAddresses.inbound", s.InboundAddress},
+		{"network.listenAddresses.outbound", s.OutboundAddress},
+		{"network.listenAddresses.readiness", s.ReadinessAddress},
+		{"network.listenAddresses.control", s.ControlAddress},
+		{"network.zones", s.RegionOfZone},
+		{"platformProfile.keepalive", s.KeepaliveInterval},
+		{"termTable.faultTolerance.machines", s.ToleratedMachines},
+		{"boundSet.contact", s.Bounds.Contact},
+		{"boundSet.drain", s.Bounds.Drain},
+		{"boundSet.grace", s.Bounds.Grace},
+		{"boundSet.configApply", s.Bounds.ConfigApply},
+		{"boundSet.ack", s.Bounds.Ack},
+		{"boundSet.retryBudgetRatio", s.Bounds.RetryBudgetRatio},
+		{"boundSet.retryBudgetSlack", s.Bounds.RetryBudgetSlack},
+		{"boundSet.retryWindow", s.Bounds.RetryBudgetWindow},
+		{"boundSet.quotaWindow", s.Bounds.QuotaWindow},
+		{"boundSet.quotaOverage", s.Bounds.QuotaOverage},
+		{"boundSet.quotaSlack", s.Bounds.QuotaSlack},
+		{"internal address", s.InternalAddress()},
+		{"internal addresses of seeds", s.SeedAddresses()},
 	} {
 		fmt.Fprintf(&lines, "%s = %v\n", x.path, x.value)
 	}
@@ -54,9 +77,11 @@
 	least, err := os.ReadFile("testdata/least.toml")
 	qt.Assert(t, err, qt.IsNil)
 	var lines strings.Builder
-	for _, text := range []string{"", "[ownNode", "ownNode = 3", string(least) + "\nkeepalive = \"1s\"\n[platformProfile]\nkeepalive = \"-1s\"\n",
+	for _, text := range []string{
+		"", "[ownNode", "ownNode = 3", string(least) + "\nkeepalive = \"1s\"\n[platformProfile]\nkeepalive = \"-1s\"\n",
 		strings.ReplaceAll(string(least), "7640", "0"), strings.ReplaceAll(string(least), "[7640,7655]", "[7655,7640]"),
-		strings.ReplaceAll(string(least), "[7640,7655]", "[7640]")} {
+		strings.ReplaceAll(string(least), "[7640,7655]", "[7640]"),
+	} {
 		_, err := Parse([]byte(text))
 		fmt.Fprintf(&lines, "%v\n", err)
 	}
--- a/internal/mesh/transport/codec/codec_test.go
+++ b/internal/mesh/transport/codec/codec_test.go
@@ -38,8 +38,10 @@
 
 func TestRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	for _, a := range []nestedMessage{{}, {N: math.MaxUint64, I: math.MinInt64, S: -1, D: -time.Second, B: true, F: 9, X: -0.5,
-		Raw: []byte{0}, T: "é", Ts: []string{"", "a", ""}, Next: []nestedMessage{{}, {T: "x", Next: []nestedMessage{{N: 1}}}}}} {
+	for _, a := range []nestedMessage{{}, {
+		N: math.MaxUint64, I: math.MinInt64, S: -1, D: -time.Second, B: true, F: 9, X: -0.5,
+		Raw: []byte{0}, T: "é", Ts: []string{"", "a", ""}, Next: []nestedMessage{{}, {T: "x", Next: []nestedMessage{{N: 1}}}},
+	}} {
 		var b nestedMessage
 		c.Assert(Unmarshal(MarshalAppend(nil, &a), &b), qt.IsNil)
 		c.Assert(b, qt.DeepEquals, a)
--- a/internal/mesh/transport/codec/golden_test.go
+++ b/internal/mesh/transport/codec/golden_test.go
@@ -68,12 +68,16 @@
 	value everyField
 }{
 	{"zero.hex", everyField{}},
-	{"populated.hex", everyField{Uint: 300, Int: 150, Small: 70_000, Time: 1500 * time.Millisecond, Bool: true, Fixed: 0x0102030405060708,
+	{"populated.hex", everyField{
+		Uint: 300, Int: 150, Small: 70_000, Time: 1500 * time.Millisecond, Bool: true, Fixed: 0x0102030405060708,
 		Float: 2.5, Bytes: []byte{0, 1, 0xff}, Text: "zoné", Texts: []string{"b", "", "a"}, Message: oneField{"inner"},
-		Messages: []oneField{{"first"}, {}, {"third"}}, Each: []uint64{1, 0, 300}}},
+		Messages: []oneField{{"first"}, {}, {"third"}}, Each: []uint64{1, 0, 300},
+	}},
 	{"negative.hex", everyField{Int: -150, Small: -1, Time: -time.Second, Float: -0.5}},
-	{"extreme.hex", everyField{Uint: math.MaxUint64, Int: math.MinInt64, Small: math.MaxInt, Time: math.MaxInt64, Fixed: math.MaxUint64,
-		Float: math.Inf(-1)}},
+	{"extreme.hex", everyField{
+		Uint: math.MaxUint64, Int: math.MinInt64, Small: math.MaxInt, Time: math.MaxInt64, Fixed: math.MaxUint64,
+		Float: math.Inf(-1),
+	}},
 }
 
 func TestGoldenMessages(t *testing.T) {
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -23,8 +23,10 @@
 var goldenHello = Hello{Version: protocolVersion, Incarnation: 0x0102030405060708, Address: "127.0.0.1:7640", Name: "access-0", Zone: "a", Service: "desk"}
 
 func TestNumbersOfFrames(t *testing.T) {
-	numbers := map[string]frameKind{"hello": helloFrame, "call": callFrame, "reply": replyFrame, "withdraw": cancelFrame, "ping": pingFrame,
-		"pong": pongFrame, "leaving": leavingFrame}
+	numbers := map[string]frameKind{
+		"hello": helloFrame, "call": callFrame, "reply": replyFrame, "withdraw": cancelFrame, "ping": pingFrame,
+		"pong": pongFrame, "leaving": leavingFrame,
+	}
 	qt.Assert(t, numbers, qt.DeepEquals,
 		map[string]frameKind{"hello": 1, "call": 2, "reply": 3, "withdraw": 4, "ping": 5, "pong": 6, "leaving": 7})
 	qt.Assert(t, protocolVersion, qt.Equals, 1)
@@ -37,12 +39,16 @@
 		frame envelope
 	}{
 		{"empty.hex", envelope{}},
-		{"every-field.hex", envelope{kind: uint64(callFrame), stream: 300, method: 17, last: true, sentAt: goldenClock, expiresAt: 3 * time.Second,
-			body: []byte("body")}},
+		{"every-field.hex", envelope{
+			kind: uint64(callFrame), stream: 300, method: 17, last: true, sentAt: goldenClock, expiresAt: 3 * time.Second,
+			body: []byte("body"),
+		}},
 		{"negative-times.hex", envelope{kind: uint64(callFrame), stream: 1, method: 1, sentAt: -goldenClock, expiresAt: -time.Second}},
 		{"hello.hex", envelope{kind: uint64(helloFrame), sentAt: goldenClock, body: codec.MarshalAppend(nil, &goldenHello)}},
-		{"call.hex", envelope{kind: uint64(callFrame), stream: 1, method: 10, last: true, sentAt: goldenClock, expiresAt: 2 * time.Second,
-			body: []byte("question")}},
+		{"call.hex", envelope{
+			kind: uint64(callFrame), stream: 1, method: 10, last: true, sentAt: goldenClock, expiresAt: 2 * time.Second,
+			body: []byte("question"),
+		}},
 		{"call-part.hex", envelope{kind: uint64(callFrame), stream: 2, method: 1, sentAt: goldenClock, body: bytes.Repeat([]byte{0xab}, 300)}},
 		{"reply.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, sentAt: goldenClock, body: []byte("answer")}},
 		{"reply-empty.hex", envelope{kind: uint64(replyFrame), stream: 1, last: true, sentAt: goldenClock}},
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -59,8 +59,10 @@
 // NewHub makes a hub. most bounds the bytes of the calls that it takes, one or all together.
 func NewHub(self Hello, start time.Time, most int, log *logrus.Logger) *Hub {
 	self.Version = protocolVersion
-	h := &Hub{Log: log, self: self, startedAt: start, maxCallBytes: most, links: map[string]*Link{}, accepted: map[*Link]bool{},
-		handlers: map[uint64]func(*IncomingCall){}, dialConn: dialTCP}
+	h := &Hub{
+		Log: log, self: self, startedAt: start, maxCallBytes: most, links: map[string]*Link{}, accepted: map[*Link]bool{},
+		handlers: map[uint64]func(*IncomingCall){}, dialConn: dialTCP,
+	}
 	go h.monitorLinks()
 	return h
 }
@@ -117,7 +119,8 @@
 // Send calls a method of the process at an address; done is called once, never before Send returns. expire is on this process's clock, 0 for never: the
 // other side does not begin later.
 func (h *Hub) Send(address string, method uint64, body []byte, expire time.Duration,
-	done func(body []byte, err error)) *PendingCall {
+	done func(body []byte, err error),
+) *PendingCall {
 	a := &PendingCall{method: method, body: body, expiresAt: expire, done: done}
 	for !h.linkTo(address).startCall(a) { // it was closed as idle just now
 	}
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -62,8 +62,10 @@
 }
 
 func newLink(h *Hub, peer string) *Link {
-	return &Link{hub: h, peer: peer, writerWake: make(chan struct{}, 1), pending: map[uint64]*PendingCall{}, incoming: map[uint64]*IncomingCall{},
-		partial: map[uint64]*IncomingCall{}, lastReceivedAt: h.Now(), lastCheckAt: h.Now()}
+	return &Link{
+		hub: h, peer: peer, writerWake: make(chan struct{}, 1), pending: map[uint64]*PendingCall{}, incoming: map[uint64]*IncomingCall{},
+		partial: map[uint64]*IncomingCall{}, lastReceivedAt: h.Now(), lastCheckAt: h.Now(),
+	}
 }
 
 // fail ends a link, once.
--- a/internal/modules/endpointsource/membership.go
+++ b/internal/modules/endpointsource/membership.go
@@ -164,8 +164,10 @@
 
 // New begins with no endpoint known; zones and models are the names that the settings have.
 func New(s Settings, zones, models []string) *Members {
-	return &Members{set: s, zones: newNames(zones), models: newNames(models), members: map[string]*member{}, byAddr: map[string][]*member{}, diverged: map[string]string{},
-		held: map[string]*member{}, lacking: map[string]*member{}, dirty: map[string]*member{}}
+	return &Members{
+		set: s, zones: newNames(zones), models: newNames(models), members: map[string]*member{}, byAddr: map[string][]*member{}, diverged: map[string]string{},
+		held: map[string]*member{}, lacking: map[string]*member{}, dirty: map[string]*member{},
+	}
 }
 
 // Passes tells whether the platform's lists go on to the module as they are.
--- a/internal/modules/endpointsource/membership_test.go
+++ b/internal/modules/endpointsource/membership_test.go
@@ -473,8 +473,12 @@
 		whole          bool
 		takes, rewatch bool
 	}{
-		{FromCache, 5, true, true, false}, {FromWatch, 6, false, true, false}, {FromWatch, 6, false, false, false},
-		{FromFetch, 5, true, false, false}, {FromFetch, 6, true, true, false}, {FromWatch, 1, true, true, false}, // a whole list of the watch counts anyhow
+		{FromCache, 5, true, true, false},
+		{FromWatch, 6, false, true, false},
+		{FromWatch, 6, false, false, false},
+		{FromFetch, 5, true, false, false},
+		{FromFetch, 6, true, true, false},
+		{FromWatch, 1, true, true, false}, // a whole list of the watch counts anyhow
 	} {
 		if takes, rewatch := f.Take(c.from, c.rev, c.whole); takes != c.takes || rewatch != c.rewatch {
 			t.Errorf("%d: %v %v", i, takes, rewatch)
--- a/internal/modules/endpointsource/parts_test.go
+++ b/internal/modules/endpointsource/parts_test.go
@@ -17,13 +17,17 @@
 		mode := rapid.SampledFrom([]Mode{Platform, Overlay, Rehearsal}).Draw(t, "mode")
 		entry := rapid.Custom(func(t *rapid.T) Endpoint {
 			n := rapid.IntRange(0, 30).Draw(t, "uid")
-			return Endpoint{UID: fmt.Sprintf("box-%08x", n), Address: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.1:2", "nowhere"}).Draw(t, "address"),
+			return Endpoint{
+				UID: fmt.Sprintf("box-%08x", n), Address: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.1:2", "nowhere"}).Draw(t, "address"),
 				Zone: "a", Model: "m", Cell: n / 2, Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight")), BootMS: rapid.Int64Range(0, 2).Draw(t, "boot"),
-				State: rapid.SampledFrom([]balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved, Unknown}).Draw(t, "state")}
+				State: rapid.SampledFrom([]balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved, Unknown}).Draw(t, "state"),
+			}
 		})
 		list := rapid.Custom(func(t *rapid.T) List {
-			return List{Kind: rapid.SampledFrom([]balancer.ListKind{balancer.ListFull, balancer.ListDelta}).Draw(t, "kind"),
-				Version: uint64(rapid.IntRange(1, 9).Draw(t, "version")), Endpoints: rapid.SliceOfN(entry, 0, 40).Draw(t, "entries")}
+			return List{
+				Kind:    rapid.SampledFrom([]balancer.ListKind{balancer.ListFull, balancer.ListDelta}).Draw(t, "kind"),
+				Version: uint64(rapid.IntRange(1, 9).Draw(t, "version")), Endpoints: rapid.SliceOfN(entry, 0, 40).Draw(t, "entries"),
+			}
 		})
 		atOnce, inParts := New(Settings{Mode: mode}, nil, nil), New(Settings{Mode: mode}, nil, nil)
 		said := func(m *Members, got map[string]Endpoint, l List) {
--- a/internal/modules/peers/peers_test.go
+++ b/internal/modules/peers/peers_test.go
@@ -10,8 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-var options = Options{SuspectFor: 2 * time.Second, ForgetAfter: time.Minute, SettleFor: 3 * time.Second, DampFor: 20 * time.Second,
-	LossFor: time.Minute, ResumeFor: 30 * time.Second, ExchangeFor: 5 * time.Second, Most: 64}
+var options = Options{
+	SuspectFor: 2 * time.Second, ForgetAfter: time.Minute, SettleFor: 3 * time.Second, DampFor: 20 * time.Second,
+	LossFor: time.Minute, ResumeFor: 30 * time.Second, ExchangeFor: 5 * time.Second, Most: 64,
+}
 
 func record(process uint64, s State) Record {
 	return Record{Process: process, Name: fmt.Sprintf("n%02d", process), Zone: "a", Version: "1", Incarnation: 1, State: s}
--- a/internal/modules/peers/report.go
+++ b/internal/modules/peers/report.go
@@ -54,8 +54,10 @@
 func (v *View) Report(now time.Duration, address func(process uint64) string) Report {
 	own := v.Self()
 	s, _ := v.Share(now)
-	r := Report{Name: own.Name, Process: Hex(own.Process), Confidence: v.Confidence(now).String(), Instances: s.Instances, Ordinal: s.Ordinal,
-		Sharing: s.Sharing, Placed: s.Placed, Version: v.version, Digest: fmt.Sprintf("%016x", v.Digest(now)), Twice: v.Twice(now), Refused: map[string]int{}}
+	r := Report{
+		Name: own.Name, Process: Hex(own.Process), Confidence: v.Confidence(now).String(), Instances: s.Instances, Ordinal: s.Ordinal,
+		Sharing: s.Sharing, Placed: s.Placed, Version: v.version, Digest: fmt.Sprintf("%016x", v.Digest(now)), Twice: v.Twice(now), Refused: map[string]int{},
+	}
 	r.Reached, r.Of = v.Reach()
 	if v.refused > 0 {
 		r.Refused["records, spoilt or beyond the most"] = v.refused
@@ -65,9 +67,11 @@
 		holds[m.Process] = true
 	}
 	for _, m := range v.members {
-		r.Members = append(r.Members, Seen{Name: m.Name, Process: Hex(m.Process), State: m.State.String(), ForMS: (now - m.since).Milliseconds(),
+		r.Members = append(r.Members, Seen{
+			Name: m.Name, Process: Hex(m.Process), State: m.State.String(), ForMS: (now - m.since).Milliseconds(),
 			Incarnation: m.Incarnation, Zone: m.Zone, Version: m.Version, Address: address(m.Process), Reached: m.reached,
-			Counts: holds[m.Process] && slices.Contains(v.names, m.Name)})
+			Counts: holds[m.Process] && slices.Contains(v.names, m.Name),
+		})
 	}
 	slices.SortFunc(r.Members, func(a, b Seen) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Process, b.Process)) })
 	return r
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -279,11 +279,15 @@
 		table := route.Compile(f)
 		w := &world{t: t, rng: rng, now: time.Second, site: 1 + rng.IntN(5), open: map[balancer.RequestID]*call{}, routes: map[string]*tally{}}
 		for _, c := range appfile.ClassTable.All(f) {
-			w.classes = append(w.classes, balancer.Class{Name: c.Name, LatencyTarget: c.Value.Aim, Deadline: c.Value.Deadline, Value: 1,
-				Idempotency: c.Value.Effect, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow})
+			w.classes = append(w.classes, balancer.Class{
+				Name: c.Name, LatencyTarget: c.Value.Aim, Deadline: c.Value.Deadline, Value: 1,
+				Idempotency: c.Value.Effect, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow,
+			})
+		}
+		set := balancer.Settings{
+			Instances: 1, Quantum: 2 * ms, Classes: w.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: w.site,
+			ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PropagatesDeadline: true,
 		}
-		set := balancer.Settings{Instances: 1, Quantum: 2 * ms, Classes: w.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: w.site,
-			ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PropagatesDeadline: true}
 		var err error
 		if w.b, err = balancer.New(set, seed, w); err != nil {
 			t.Fatal(err)
--- a/internal/modules/route/route_test.go
+++ b/internal/modules/route/route_test.go
@@ -110,8 +110,10 @@
 // What two readers may take for different paths goes nowhere; what is merely written otherwise does.
 func TestOddPaths(t *testing.T) {
 	table := newTable(routesOf(t, Words{Path: "/{rest...}"}, Words{Path: "/pay/{id}"}))
-	for _, path := range []string{"", "pay/1", "//pay/1", "/pay//1", "/pay/1//", "/./pay/1", "/x/../pay/1", "/x/%2e%2e/pay/1", "/x/.%2E/pay/1", "/%2e/pay",
-		"/pay%2F1", "/pay%2f1", "/pay%5c1", "/pay\\1", "/pay/%", "/pay/%1", "/pay/%zz", "/pay/%00", "/pay/%0a", "/pay/1#x", "/pay/%252e", "/pay/..", "/.."} {
+	for _, path := range []string{
+		"", "pay/1", "//pay/1", "/pay//1", "/pay/1//", "/./pay/1", "/x/../pay/1", "/x/%2e%2e/pay/1", "/x/.%2E/pay/1", "/%2e/pay",
+		"/pay%2F1", "/pay%2f1", "/pay%5c1", "/pay\\1", "/pay/%", "/pay/%1", "/pay/%zz", "/pay/%00", "/pay/%0a", "/pay/1#x", "/pay/%252e", "/pay/..", "/..",
+	} {
 		if _, ok := table.Find(&Request{Path: path}); ok {
 			t.Errorf("%q is routed", path)
 		}
@@ -158,13 +160,17 @@
 }
 
 func (d draws) words() Words {
-	return Words{Host: []string{"", "", "", "a.org", "*.org", "*.a.org", "b.a.org"}[d.IntN(7)], Path: d.path([]string{"a", "b", "c"}, 3, true),
-		Methods: d.some("GET", "POST"), Classes: d.some("x", "y", "z"), Tenants: d.some("n", "s"), Headers: d.some("A: 1", "B", "C: 2")}
+	return Words{
+		Host: []string{"", "", "", "a.org", "*.org", "*.a.org", "b.a.org"}[d.IntN(7)], Path: d.path([]string{"a", "b", "c"}, 3, true),
+		Methods: d.some("GET", "POST"), Classes: d.some("x", "y", "z"), Tenants: d.some("n", "s"), Headers: d.some("A: 1", "B", "C: 2"),
+	}
 }
 
 func (d draws) request() Request {
-	q := Request{Host: []string{"a.org", "c.org", "b.a.org", "a.com", "x.b.a.org"}[d.IntN(5)], Path: d.path([]string{"a", "b", "c", "%61", "d"}, 4, false),
-		Method: []string{"GET", "POST"}[d.IntN(2)], Class: []string{"x", "y", "z"}[d.IntN(3)], Tenant: []string{"n", "s"}[d.IntN(2)], Header: map[string][]string{}}
+	q := Request{
+		Host: []string{"a.org", "c.org", "b.a.org", "a.com", "x.b.a.org"}[d.IntN(5)], Path: d.path([]string{"a", "b", "c", "%61", "d"}, 4, false),
+		Method: []string{"GET", "POST"}[d.IntN(2)], Class: []string{"x", "y", "z"}[d.IntN(3)], Tenant: []string{"n", "s"}[d.IntN(2)], Header: map[string][]string{},
+	}
 	if q.Path == "" || d.IntN(5) == 0 {
 		q.Path += "/"
 	}
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -128,8 +128,10 @@
 }
 
 func TestAddresses(t *testing.T) {
-	for address, ok := range map[string]bool{"unix:/run/x": true, "127.0.0.1:80": true, "[::1]:80": true, "0.0.0.0:80": false, ":80": false, "10.0.0.1:80": false,
-		"unix:": false, "localhost": false, "host.example:80": false, "unix:" + strings.Repeat("x", 200): false, "127.0.0.1:": false} {
+	for address, ok := range map[string]bool{
+		"unix:/run/x": true, "127.0.0.1:80": true, "[::1]:80": true, "0.0.0.0:80": false, ":80": false, "10.0.0.1:80": false,
+		"unix:": false, "localhost": false, "host.example:80": false, "unix:" + strings.Repeat("x", 200): false, "127.0.0.1:": false,
+	} {
 		if got := bad(address) == ""; got != ok {
 			t.Errorf("%s: %q", address, bad(address))
 		}
--- a/internal/network/consul/consul_test.go
+++ b/internal/network/consul/consul_test.go
@@ -275,10 +275,13 @@
 		doubtful bool
 		gone     int // of the catalogue too
 	}{
-		{"empty", standin.Fault{Empty: true, CatalogKnows: true}, false, 0}, {"half", standin.Fault{Half: true, CatalogKnows: true}, false, 0},
-		{"gone", standin.Fault{Empty: true}, false, 7}, {"half gone", standin.Fault{Half: true}, false, 4},
+		{"empty", standin.Fault{Empty: true, CatalogKnows: true}, false, 0},
+		{"half", standin.Fault{Half: true, CatalogKnows: true}, false, 0},
+		{"gone", standin.Fault{Empty: true}, false, 7},
+		{"half gone", standin.Fault{Half: true}, false, 4},
 		{"no leader", standin.Fault{Empty: true, NoLeader: true}, true, 0},
-		{"stale", standin.Fault{Empty: true, Contact: time.Minute}, true, 7}, {"null", standin.Fault{Body: "null", CatalogKnows: true}, false, 0},
+		{"stale", standin.Fault{Empty: true, Contact: time.Minute}, true, 7},
+		{"null", standin.Fault{Body: "null", CatalogKnows: true}, false, 0},
 		{"hangs", standin.Fault{Empty: true, CatalogHangs: true}, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/network/consul/watch.go
+++ b/internal/network/consul/watch.go
@@ -64,8 +64,10 @@
 // New makes a watcher; resolve turns a path of the settings into one to open. Files are read when they are
 // needed, but for those of TLS.
 func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
-	w := &Watcher{set: s, resolve: resolve, qualified: mode == endpointsource.Consul, agents: s.agents(),
-		before: map[string]endpointsource.Endpoint{}, logged: map[string]time.Time{}, back: returnAfter}
+	w := &Watcher{
+		set: s, resolve: resolve, qualified: mode == endpointsource.Consul, agents: s.agents(),
+		before: map[string]endpointsource.Endpoint{}, logged: map[string]time.Time{}, back: returnAfter,
+	}
 	w.doubt.w = w
 	var conf *tls.Config
 	scheme := "http"
@@ -82,8 +84,10 @@
 			TLSClientConfig: conf, TLSHandshakeTimeout: dialTimeout, MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2,
 			IdleConnTimeout: time.Minute, MaxResponseHeaderBytes: 64 << 10, DisableCompression: true,
 		}
-		c, err := api.NewClient(&api.Config{Address: address, Scheme: scheme, HttpClient: &http.Client{Transport: &bounded{transport}},
-			Namespace: s.Namespace, Partition: s.Partition})
+		c, err := api.NewClient(&api.Config{
+			Address: address, Scheme: scheme, HttpClient: &http.Client{Transport: &bounded{transport}},
+			Namespace: s.Namespace, Partition: s.Partition,
+		})
 		if err != nil {
 			return nil, fmt.Errorf("consul agent %s: %w", address, err)
 		}
@@ -223,8 +227,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, askedKey{}, a), limit)
 	defer cancel()
-	q := &api.QueryOptions{Datacenter: w.set.Datacenter, Namespace: w.set.Namespace, Partition: w.set.Partition,
-		AllowStale: mode == Stale, RequireConsistent: mode == Consistent, WaitIndex: index, WaitHash: hash}
+	q := &api.QueryOptions{
+		Datacenter: w.set.Datacenter, Namespace: w.set.Namespace, Partition: w.set.Partition,
+		AllowStale: mode == Stale, RequireConsistent: mode == Consistent, WaitIndex: index, WaitHash: hash,
+	}
 	if index > 0 || hash != "" {
 		q.WaitTime = wait
 	}
--- a/internal/network/exchange/exchange.go
+++ b/internal/network/exchange/exchange.go
@@ -227,8 +227,10 @@
 }
 
 // hopByHop are the headers that belong to one connection (RFC 9110, section 7.6.1).
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
-	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+var hopByHop = []string{
+	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
+	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
+}
 
 // RemoveHopByHop takes those out.
 func RemoveHopByHop(h http.Header) {
--- a/internal/network/gossip/gossip.go
+++ b/internal/network/gossip/gossip.go
@@ -100,8 +100,10 @@
 	if c.Log == nil {
 		c.Log = slog.Default()
 	}
-	g := &Group{c: c, began: time.Now(), work: make(chan func(), asksWaiting), update: make(chan struct{}, 1), ended: make(chan struct{}), at: map[uint64]string{},
-		refused: map[string]int{}, answers: map[uint64]chan peers.Report{}}
+	g := &Group{
+		c: c, began: time.Now(), work: make(chan func(), asksWaiting), update: make(chan struct{}, 1), ended: make(chan struct{}), at: map[uint64]string{},
+		refused: map[string]int{}, answers: map[uint64]chan peers.Report{},
+	}
 	g.process = rand.Uint64() | 1
 	self := peers.Record{Process: g.process, Name: c.Name, Born: time.Now().UnixMilli(), Zone: c.Zone, Version: c.Version, State: peers.Joining}
 	g.view = peers.New(self, c.options(c.Expected), 0)
--- a/internal/network/gossip/model_test.go
+++ b/internal/network/gossip/model_test.go
@@ -30,8 +30,10 @@
 }
 
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
-	return &fleet{t: t, net: newNetwork(seed), members: make([]*Group, n), lives: make([]int, n), began: time.Now(),
-		join: strings.Join([]string{address(0), address(1), address(2)}, ","), most: 2000}
+	return &fleet{
+		t: t, net: newNetwork(seed), members: make([]*Group, n), lives: make([]int, n), began: time.Now(),
+		join: strings.Join([]string{address(0), address(1), address(2)}, ","), most: 2000,
+	}
 }
 
 func (f *fleet) say(format string, args ...any) {
@@ -42,9 +44,11 @@
 func (f *fleet) at(i int) string { return address(i) }
 
 func (f *fleet) start(i, expected int, change func(*Config)) {
-	c := Config{Settings: *Table.Default(), Name: fmt.Sprintf("front-%03d", i), Application: "booking-front", Version: "1", Expected: expected,
+	c := Config{
+		Settings: *Table.Default(), Name: fmt.Sprintf("front-%03d", i), Application: "booking-front", Version: "1", Expected: expected,
 		Changed: func(peers.Share) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Network: func() (memberlist.Transport, error) { return f.net.open(f.at(i)) }}
+		Network: func() (memberlist.Transport, error) { return f.net.open(f.at(i)) },
+	}
 	c.Join, c.Most, c.Listen = f.join, f.most, f.at(i)
 	if change != nil {
 		change(&c)
--- a/internal/network/gossip/network_test.go
+++ b/internal/network/gossip/network_test.go
@@ -31,8 +31,10 @@
 }
 
 func newNetwork(seed uint64) *network {
-	return &network{rng: rand.New(rand.NewPCG(seed, 9)), ends: map[string]*end{}, late: 2 * time.Millisecond, cut: map[[2]string]bool{}, still: map[string]time.Time{},
-		bytes: map[string]int{}, tape: map[string][]recording{}}
+	return &network{
+		rng: rand.New(rand.NewPCG(seed, 9)), ends: map[string]*end{}, late: 2 * time.Millisecond, cut: map[[2]string]bool{}, still: map[string]time.Time{},
+		bytes: map[string]int{}, tape: map[string][]recording{},
+	}
 }
 
 // apart cuts or heals what goes from some to others, one way.
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -136,8 +136,10 @@
 // options are the figures of the view that these settings make. A suspicion is memberlist's to end; SuspectFor is how long a
 // member has to hear that it was taken for gone, and to deny it.
 func (s *Settings) options(expected int) peers.Options {
-	return peers.Options{SuspectFor: suspectPaces * s.Pace, ForgetAfter: s.ForgetAfter, SettleFor: s.SettleAfter, DampFor: dampSettles * s.SettleAfter, LossFor: lossPaces * s.Pace,
-		ResumeFor: resumeSettles * s.SettleAfter, ExchangeFor: differPaces * s.Pace, Expected: expected, Most: s.Most}
+	return peers.Options{
+		SuspectFor: suspectPaces * s.Pace, ForgetAfter: s.ForgetAfter, SettleFor: s.SettleAfter, DampFor: dampSettles * s.SettleAfter, LossFor: lossPaces * s.Pace,
+		ResumeFor: resumeSettles * s.SettleAfter, ExchangeFor: differPaces * s.Pace, Expected: expected, Most: s.Most,
+	}
 }
 
 // lossPaces is above what memberlist takes to find all of one half of its most members lost, one after another: a suspicion of
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -23,8 +23,10 @@
 		}
 		at := l.Addr().String()
 		l.Close()
-		c := Config{Settings: *Table.Default(), Name: "n" + at, Application: "a", Expected: 2, Changed: func(peers.Share) {},
-			Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+		c := Config{
+			Settings: *Table.Default(), Name: "n" + at, Application: "a", Expected: 2, Changed: func(peers.Share) {},
+			Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		}
 		c.Listen, c.Join, c.Pace, c.SettleAfter = at, join, 100*time.Millisecond, 200*time.Millisecond
 		g, err := Open(c)
 		if err != nil {
--- a/internal/network/gossip/wire_test.go
+++ b/internal/network/gossip/wire_test.go
@@ -16,12 +16,16 @@
 func TestEnvelopeComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 30, mostText)
-		e := envelope{format: format, application: text.Draw(t, "application"), witness: text.Draw(t, "witness"),
-			ask: rapid.Uint64().Draw(t, "ask"), answer: rapid.Uint64().Draw(t, "answer")}
+		e := envelope{
+			format: format, application: text.Draw(t, "application"), witness: text.Draw(t, "witness"),
+			ask: rapid.Uint64().Draw(t, "ask"), answer: rapid.Uint64().Draw(t, "answer"),
+		}
 		for range rapid.IntRange(0, 4).Draw(t, "records") {
-			e.records = append(e.records, peers.Record{Process: rapid.Uint64Min(1).Draw(t, "process"), Name: rapid.StringN(1, 30, mostText).Draw(t, "name"),
+			e.records = append(e.records, peers.Record{
+				Process: rapid.Uint64Min(1).Draw(t, "process"), Name: rapid.StringN(1, 30, mostText).Draw(t, "name"),
 				Born: rapid.Int64().Draw(t, "born"), Zone: text.Draw(t, "zone"), Version: text.Draw(t, "version"),
-				Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: peers.State(rapid.IntRange(1, 5).Draw(t, "state"))})
+				Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: peers.State(rapid.IntRange(1, 5).Draw(t, "state")),
+			})
 		}
 		if r := rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "report"); len(r) > 0 {
 			e.report = r
--- a/internal/network/http1/transport_test.go
+++ b/internal/network/http1/transport_test.go
@@ -22,8 +22,10 @@
 
 func newAttempt(address string, timeout time.Duration, bodies *exchange.Budget) (*attempt, func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	a := &attempt{&exchange.Attempt{Sent: time.Now(), Context: ctx, Bodies: bodies, Endpoint: &exchange.Endpoint{Address: address},
-		Request: &exchange.Inbound{Method: http.MethodPost, Target: "/api", Host: "h", Header: http.Header{}, Body: []byte("trip")}}}
+	a := &attempt{&exchange.Attempt{
+		Sent: time.Now(), Context: ctx, Bodies: bodies, Endpoint: &exchange.Endpoint{Address: address},
+		Request: &exchange.Inbound{Method: http.MethodPost, Target: "/api", Host: "h", Header: http.Header{}, Body: []byte("trip")},
+	}}
 	a.Endpoint.Open.Store(true)
 	return a, cancel
 }
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -126,8 +126,10 @@
 		f.end()
 		return nil, err
 	}
-	f.server = &http3.Server{Handler: f.within(handler, b), MaxHeaderBytes: b.MaxHeader, IdleTimeout: b.IdleTimeout,
-		ConnContext: func(ctx context.Context, c *quic.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	f.server = &http3.Server{
+		Handler: f.within(handler, b), MaxHeaderBytes: b.MaxHeader, IdleTimeout: b.IdleTimeout,
+		ConnContext: func(ctx context.Context, c *quic.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
+	}
 	f.running.Go(func() { f.sweep(b) })
 	return f, nil
 }
--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -63,9 +63,11 @@
 	t.Helper()
 	ca := trust(t)
 	cert := pair(t, ca, "front.example.org")
-	r := &rig{t: t, pool: ca.Pool(), set: *CallersTable.Default(), h: h,
+	r := &rig{
+		t: t, pool: ca.Pool(), set: *CallersTable.Default(), h: h,
 		bounds: Bounds{MaxHeader: 8 << 10, RequestTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second},
-		sec:    Security{Certificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return cert, nil }}}
+		sec:    Security{Certificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return cert, nil }},
+	}
 	if change != nil {
 		change(&r.set, &r.bounds, &r.sec)
 	}
@@ -107,8 +109,10 @@
 }
 
 func (r *rig) client() *http3.Transport {
-	return &http3.Transport{TLSClientConfig: &tls.Config{RootCAs: r.pool, ServerName: "front.example.org"},
-		QUICConfig: &quic.Config{MaxIdleTimeout: 10 * time.Second, HandshakeIdleTimeout: patience}}
+	return &http3.Transport{
+		TLSClientConfig: &tls.Config{RootCAs: r.pool, ServerName: "front.example.org"},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: 10 * time.Second, HandshakeIdleTimeout: patience},
+	}
 }
 
 func (r *rig) at() string { return r.front.Address().String() }
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -19,8 +19,10 @@
 // Whatever a caller writes on its streams, the front goes on serving others, and its handler gets whole requests
 // alone.
 func FuzzRequestStream(f *testing.F) {
-	for _, seed := range []string{"", "\x01", "\x01\x00", "\x00\x04trip", "\x01\x03\x00\x00\xd1", "\x01\x40\x40", "\x04\x00", "\x07\x01\x00", "\x21\x02xx",
-		"\x01\x0d\x00\x00\xd1\xd7\x50\x01a\xc1\x27\x00\x00\x00\x00\x00"} {
+	for _, seed := range []string{
+		"", "\x01", "\x01\x00", "\x00\x04trip", "\x01\x03\x00\x00\xd1", "\x01\x40\x40", "\x04\x00", "\x07\x01\x00", "\x21\x02xx",
+		"\x01\x0d\x00\x00\xd1\xd7\x50\x01a\xc1\x27\x00\x00\x00\x00\x00",
+	} {
 		f.Add([]byte(seed), []byte("\x00\x04\x00"))
 		f.Add([]byte(seed), []byte(seed))
 	}
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -52,11 +52,13 @@
 // NewTransport makes one on a UDP socket, for so many connections at once, each kept so long without attempts;
 // pool has the authorities for endpoints' certificates, nil for the system's.
 func NewTransport(socket net.PacketConn, set Endpoints, pool *x509.CertPool, most int, maxIdle time.Duration) *Transport {
-	t := &Transport{set: set, most: most, maxIdle: maxIdle, socket: socket, quic: &quic.Transport{Conn: socket},
+	t := &Transport{
+		set: set, most: most, maxIdle: maxIdle, socket: socket, quic: &quic.Transport{Conn: socket},
 		h3:  &http3.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxAnswerHead},
 		tls: &tls.Config{RootCAs: pool, ServerName: set.Name, MinVersion: tls.VersionTLS13, NextProtos: []string{http3.NextProtoH3}},
 		// One cache for all: a ticket is of use with the endpoint alone that gave it.
-		tickets: tls.NewLRUClientSessionCache(mostTickets), sessions: map[*exchange.Endpoint][]*session{}}
+		tickets: tls.NewLRUClientSessionCache(mostTickets), sessions: map[*exchange.Endpoint][]*session{},
+	}
 	t.ending, t.end = context.WithCancel(context.Background())
 	return t
 }
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -51,8 +51,10 @@
 	"name": text(), "listen": text(), "discovery": text(), "seed": text(), "peer_listen": text(), "peers_all": text(),
 	"peers":  list(text()),
 	"limits": object(figures("cores", "memory_mb", "sockets"), "cores", "memory_mb", "sockets"),
-	"known": object(map[string]*shape{"rev": figure(), "all": yes(),
-		"targets": list(object(with(figures("pod_group", "capacity_hint", "boot_ms"), text, "uid", "endpoint", "az", "model", "state"), "uid", "state"))}),
+	"known": object(map[string]*shape{
+		"rev": figure(), "all": yes(),
+		"targets": list(object(with(figures("pod_group", "capacity_hint", "boot_ms"), text, "uid", "endpoint", "az", "model", "state"), "uid", "state")),
+	}),
 	"settings": object(map[string]*shape{
 		"allowed": object(with(figures("connIdle", "connectTimeout", "cpuUsPerRequest", "cpuUsPerS", "maxRetryAfter", "maxStreams",
 			"openCap", "sendCap"), yes, "cancel", "mayProbe", "peers", "retryAfter", "secondCopies"), "connectTimeout"),
@@ -151,9 +153,11 @@
 var keyPath = regexp.MustCompile(`[A-Za-z_]+(\[\d+\])?(\.[A-Za-z_]+(\[\d+\])?)*`)
 
 // wireNames are the wire's words for the module's.
-var wireNames = map[string]string{"classes": "services", "scope": "keyScope", "maxRetryAfter": "allowed.maxRetryAfter",
+var wireNames = map[string]string{
+	"classes": "services", "scope": "keyScope", "maxRetryAfter": "allowed.maxRetryAfter",
 	"connectTimeout": "allowed.connectTimeout", "cold": "rules.cold", "coldFrom": "rules.coldFrom", "fall": "rules.fall",
-	"tipMultiple": "rules.tipMultiple", "askEvery": "rules.askEvery", "goalWhole": "goal.whole", "goalWorstClass": "goal.worstClass"}
+	"tipMultiple": "rules.tipMultiple", "askEvery": "rules.askEvery", "goalWhole": "goal.whole", "goalWorstClass": "goal.worstClass",
+}
 
 // locate finds the place of the key that an error of the programs names at its head: the deepest that is there.
 func locate(d *doc.Doc, message string) finding.Pos {
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -254,8 +254,10 @@
 				return consul.Find(context.Background(), *consul.Table.In(f), set.Service, resolve)
 			}
 		}
-		g, err := gossip.Open(gossip.Config{Settings: set, Find: find, Name: in.Name, Application: application, Version: Version(), Expected: in.Instances,
-			Keys: first, Names: in.Names, Addresses: in.Addresses, Ready: in.Ready, Changed: in.Changed, Keep: in.Keep})
+		g, err := gossip.Open(gossip.Config{
+			Settings: set, Find: find, Name: in.Name, Application: application, Version: Version(), Expected: in.Instances,
+			Keys: first, Names: in.Names, Addresses: in.Addresses, Ready: in.Ready, Changed: in.Changed, Keep: in.Keep,
+		})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/rehearsal/audit/audit_test.go
+++ b/internal/rehearsal/audit/audit_test.go
@@ -10,7 +10,8 @@
 
 // rulesOf is a small installation: boxes 0 and 1 share a cell, 2 is in another; classes 0 keyed, 1 unsafe, 2 safe.
 func rulesOf() Rules {
-	return Rules{Length: 20 * time.Second, Slack: 50 * ms, Drain: 250 * ms, Heard: 6 * time.Second, Attempts: 3,
+	return Rules{
+		Length: 20 * time.Second, Slack: 50 * ms, Drain: 250 * ms, Heard: 6 * time.Second, Attempts: 3,
 		Classes: []Class{
 			{Name: "book", Effect: "keyed", Scope: "cell", Window: 4 * time.Second, Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 2},
 			{Name: "once", Effect: "unsafe", Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1},
--- a/internal/rehearsal/audit/judge.go
+++ b/internal/rehearsal/audit/judge.go
@@ -189,8 +189,10 @@
 
 // Judge reads the events of a rehearsal. lost is how many there was no room for.
 func Judge(r Rules, events []Event, lost int) *Verdict {
-	j := &judge{Rules: r, v: &Verdict{}, requests: map[string]*request{}, attempts: map[uint64]*attempt{}, told: map[[2]int][]News{},
-		downs: map[int][]Event{}, heard: map[int][]News{}, origins: make([][]*request, len(r.Asks))}
+	j := &judge{
+		Rules: r, v: &Verdict{}, requests: map[string]*request{}, attempts: map[uint64]*attempt{}, told: map[[2]int][]News{},
+		downs: map[int][]Event{}, heard: map[int][]News{}, origins: make([][]*request, len(r.Asks)),
+	}
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	seconds := int((r.Length + time.Second - 1) / time.Second)
@@ -471,8 +473,10 @@
 	default:
 		return
 	}
-	j.breach(Breach{Drains, first, q.name, q.asked.Origin, box, q.asked.Sidecar,
-		fmt.Sprintf("sent to it %v after the sidecar was told that it is %s", (first - since).Round(time.Millisecond), state)})
+	j.breach(Breach{
+		Drains, first, q.name, q.asked.Origin, box, q.asked.Sidecar,
+		fmt.Sprintf("sent to it %v after the sidecar was told that it is %s", (first - since).Round(time.Millisecond), state),
+	})
 }
 
 // up tells whether a sidecar was serving at a time: one that came later has not been told what was told before.
--- a/internal/rehearsal/dryrun/box.go
+++ b/internal/rehearsal/dryrun/box.go
@@ -266,8 +266,10 @@
 		how = audit.Spoilt
 	}
 	a.done(how)
-	status := map[audit.How]balancer.Status{audit.Served: balancer.StatusOK, audit.Erred: balancer.StatusError,
-		audit.TurnedAway: balancer.StatusRejected, audit.Spoilt: balancer.StatusInvalidResponse}[how]
+	status := map[audit.How]balancer.Status{
+		audit.Served: balancer.StatusOK, audit.Erred: balancer.StatusError,
+		audit.TurnedAway: balancer.StatusRejected, audit.Spoilt: balancer.StatusInvalidResponse,
+	}[how]
 	life := b.life
 	s.after(toBox, func() {
 		if c := a.conns; c != nil && b.life == life {
@@ -324,8 +326,10 @@
 		r.answer(200, 0, true)
 	}
 	i.s.decisions++
-	i.b.HandleOutcome(i.clock(), balancer.Outcome{ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.box.index + 1),
-		Attempt: a.number, Final: final, Elapsed: i.s.now - a.sent, Status: status})
+	i.b.HandleOutcome(i.clock(), balancer.Outcome{
+		ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.box.index + 1),
+		Attempt: a.number, Final: final, Elapsed: i.s.now - a.sent, Status: status,
+	})
 	r.forget()
 }
 
--- a/internal/rehearsal/dryrun/dryrun.go
+++ b/internal/rehearsal/dryrun/dryrun.go
@@ -350,8 +350,10 @@
 	id := balancer.EndpointID(b.index + 1)
 	i.byID[id] = b.index
 	p := b.plan()
-	e := balancer.ListEntry{Endpoint: id, MachineKind: p.Tier, Cell: p.Cell, Weight: n.weight,
-		State: map[string]balancer.EndpointState{"Ready": balancer.EndpointReady, "Terminating": balancer.EndpointDraining, "Gone": balancer.EndpointRemoved}[n.told]}
+	e := balancer.ListEntry{
+		Endpoint: id, MachineKind: p.Tier, Cell: p.Cell, Weight: n.weight,
+		State: map[string]balancer.EndpointState{"Ready": balancer.EndpointReady, "Terminating": balancer.EndpointDraining, "Gone": balancer.EndpointRemoved}[n.told],
+	}
 	switch {
 	case n.boot == 0, i.s.plan.Discovery.Boot == morning.BootNone:
 	case i.s.plan.Discovery.Boot == morning.BootAhead:
--- a/internal/rehearsal/dryrun/dryrun_test.go
+++ b/internal/rehearsal/dryrun/dryrun_test.go
@@ -156,11 +156,15 @@
 
 // Lost machines, dead sidecars and what else there is, drawn at random: no rule breaks, and every request comes to an end.
 func TestAnyMorning(t *testing.T) {
-	events := []string{"%d boxes go silent for 1s", "%d boxes restart taking 700ms", "%d boxes drain for 1s", "%d boxes pause for 600ms", "%d boxes die",
+	events := []string{
+		"%d boxes go silent for 1s", "%d boxes restart taking 700ms", "%d boxes drain for 1s", "%d boxes pause for 600ms", "%d boxes die",
 		"%d boxes are replaced at their addresses", "%d boxes are replaced at new addresses", "%d boxes lose 40%% of calls for 1s", "%d boxes reset 40%% of calls for 1s",
-		"%d boxes fail 60%% of calls for 1s", "%d boxes garble 40%% of answers for 1s", "%d boxes refuse 70%% of calls for 1s", "%d boxes are 5 times slower for 1s"}
-	others := []string{"load is 4 times for 1s", "discovery is silent for 2s", "discovery is 1s behind for 2s", "sidecar 1 gets SIGTERM and is back after 3s",
-		"sidecar 2 gets SIGKILL and is back after 1s", "all sidecars get SIGKILL and are back after 500ms", "2 new boxes"}
+		"%d boxes fail 60%% of calls for 1s", "%d boxes garble 40%% of answers for 1s", "%d boxes refuse 70%% of calls for 1s", "%d boxes are 5 times slower for 1s",
+	}
+	others := []string{
+		"load is 4 times for 1s", "discovery is silent for 2s", "discovery is 1s behind for 2s", "sidecar 1 gets SIGTERM and is back after 3s",
+		"sidecar 2 gets SIGKILL and is back after 1s", "all sidecars get SIGKILL and are back after 500ms", "2 new boxes",
+	}
 	effects := []string{"unsafe", "keyed scope cell window 10s", "keyed scope all window 10s", "safe"}
 	if os.Getenv("SOAK") == "" {
 		flag.Set("rapid.checks", "25") // make soak plays 100
--- a/internal/rehearsal/emulator/box.go
+++ b/internal/rehearsal/emulator/box.go
@@ -64,9 +64,13 @@
 		name string
 		ok   bool
 	}{
-		{"cores: below 1", s.Cores >= 1}, {"speed: not above 0", s.Speed > 0 && !math.IsInf(s.Speed, 0)}, {"slots: below 1", s.Slots >= 1},
-		{"queue: below 0", s.Queue >= 0}, {"cold: not above 0 and at most 1", s.ColdFrom > 0 && s.ColdFrom <= 1},
-		{"warm: below 0", s.Warm >= 0}, {"thrash: not from 0 to 1", s.Thrash >= 0 && s.Thrash <= 1},
+		{"cores: below 1", s.Cores >= 1},
+		{"speed: not above 0", s.Speed > 0 && !math.IsInf(s.Speed, 0)},
+		{"slots: below 1", s.Slots >= 1},
+		{"queue: below 0", s.Queue >= 0},
+		{"cold: not above 0 and at most 1", s.ColdFrom > 0 && s.ColdFrom <= 1},
+		{"warm: below 0", s.Warm >= 0},
+		{"thrash: not from 0 to 1", s.Thrash >= 0 && s.Thrash <= 1},
 		{"thrash_at: below 1", s.Thrash == 0 || s.ThrashAt >= 1},
 		{"tip_window: not above 0", s.TipMultiple == 0 || s.TipMultiple > 0 && s.TipWindow > 0},
 		{"choke: slower: below 1", s.Choke == nil || s.Choke.Slower >= 1},
@@ -153,8 +157,10 @@
 
 // NewBox is a box that has been up for long, or, with cold set, one that starts now.
 func NewBox(spec Spec, now time.Duration, cold bool) *Box {
-	return &Box{spec: spec, now: now, started: now, warm: !cold, jobs: map[uint64]*job{}, slowed: 1, crowded: -1, calm: -1,
-		nextSnap: now + spec.ReportEvery}
+	return &Box{
+		spec: spec, now: now, started: now, warm: !cold, jobs: map[uint64]*job{}, slowed: 1, crowded: -1, calm: -1,
+		nextSnap: now + spec.ReportEvery,
+	}
 }
 
 // share is the part of its capacity that a box has at a time, for it is cold.
@@ -589,15 +595,18 @@
 	}
 	return b[i].order < b[j].order
 }
+
 func (b byFinish) Swap(i, j int) {
 	b[i], b[j] = b[j], b[i]
 	b[i].at, b[j].at = i, j
 }
+
 func (b *byFinish) Push(x any) {
 	j := x.(*job)
 	j.at = len(*b)
 	*b = append(*b, j)
 }
+
 func (b *byFinish) Pop() any {
 	old := *b
 	j := old[len(old)-1]
--- a/internal/rehearsal/emulator/box_test.go
+++ b/internal/rehearsal/emulator/box_test.go
@@ -256,8 +256,10 @@
 
 // A box that is crowded for too long turns slow until it has rested.
 func TestChoking(t *testing.T) {
-	spec := Spec{Cores: 1, Speed: 1, Slots: 100, ColdFrom: 1,
-		Choke: &Choke{Held: 5, Over: second, Slower: 2, Below: 0.5, Rest: 2 * second, Most: 20 * second}}
+	spec := Spec{
+		Cores: 1, Speed: 1, Slots: 100, ColdFrom: 1,
+		Choke: &Choke{Held: 5, Over: second, Slower: 2, Below: 0.5, Rest: 2 * second, Most: 20 * second},
+	}
 	b := NewBox(spec, 0, false)
 	for i := range 5 {
 		b.Offer(0, uint64(i), second, 0)
@@ -333,11 +335,13 @@
 // more often changes nothing.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		spec := Spec{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
+		spec := Spec{
+			Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
 			Slots: rapid.IntRange(1, 5).Draw(t, "slots"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"),
 			ColdFrom: rapid.Float64Range(0.1, 1).Draw(t, "cold"), Warm: 3 * second, CancelStops: rapid.Bool().Draw(t, "stops"),
 			DropsExpired: rapid.Bool().Draw(t, "drops"), Thrash: 0.1, ThrashAt: 2,
-			Choke: &Choke{Held: 3, Over: 500 * time.Millisecond, Slower: 2, Below: 0.5, Rest: second, Most: 4 * second}}
+			Choke: &Choke{Held: 3, Over: 500 * time.Millisecond, Slower: 2, Below: 0.5, Rest: second, Most: 4 * second},
+		}
 		cold := rapid.Bool().Draw(t, "starts cold")
 		b, often := NewBox(spec, 0, cold), NewBox(spec, 0, cold)
 		ended := map[uint64]time.Duration{}
--- a/internal/rehearsal/emulator/work.go
+++ b/internal/rehearsal/emulator/work.go
@@ -48,7 +48,8 @@
 func (w Work) dist(src rand.Source) (interface {
 	Rand() float64
 	CDF(float64) float64
-}, error) {
+}, error,
+) {
 	mean := w.Mean.Seconds()
 	switch w.Shape {
 	case Exponential:
--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -164,10 +164,12 @@
 			}
 			return figure(xs)
 		}
-		p := Point{Morning: part[0].Morning, Load: part[0].Load, Runs: len(part),
+		p := Point{
+			Morning: part[0].Morning, Load: part[0].Load, Runs: len(part),
 			Service: of(func(r Run) float64 { return r.Service }), Worst: of(func(r Run) float64 { return r.Worst }),
 			Refused: of(func(r Run) float64 { return r.Refused }), Failed: of(func(r Run) float64 { return r.Failed }),
-			PerCall: of(func(r Run) float64 { return r.PerCall }), P99: of(func(r Run) float64 { return r.P99.Seconds() })}
+			PerCall: of(func(r Run) float64 { return r.PerCall }), P99: of(func(r Run) float64 { return r.P99.Seconds() }),
+		}
 		for _, r := range part {
 			p.Breaches += r.Breaches
 		}
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -69,8 +69,10 @@
 func newModules(instances int) (*modules, error) {
 	m := &modules{now: time.Hour}
 	for i := range instances {
-		b, err := balancer.New(balancer.Settings{Instances: instances, Ordinal: i,
-			Classes: []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent, LatencyTarget: time.Second, Deadline: time.Second}}}, uint64(i), quiet{})
+		b, err := balancer.New(balancer.Settings{
+			Instances: instances, Ordinal: i,
+			Classes: []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent, LatencyTarget: time.Second, Deadline: time.Second}},
+		}, uint64(i), quiet{})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -167,8 +167,10 @@
 // AnyWave draws a wave with all that makes one hard.
 func AnyWave(random *rand.Rand) *Wave {
 	pick := func(of ...float64) float64 { return of[random.IntN(len(of))] }
-	w := &Wave{Sidecars: []int{2, 4, 12, 24, 40, 80, 120, 200}[random.IntN(8)], Rate: 650 + 950*random.Float64(), Seed: 1 + random.Uint64N(1<<40),
-		Keyed: random.IntN(4) == 0, Length: 16 * time.Second}
+	w := &Wave{
+		Sidecars: []int{2, 4, 12, 24, 40, 80, 120, 200}[random.IntN(8)], Rate: 650 + 950*random.Float64(), Seed: 1 + random.Uint64N(1<<40),
+		Keyed: random.IntN(4) == 0, Length: 16 * time.Second,
+	}
 	switch random.IntN(4) {
 	case 0:
 		w.Boxes = pick(0.5, 1)
--- a/internal/rehearsal/morning/morning.go
+++ b/internal/rehearsal/morning/morning.go
@@ -170,15 +170,19 @@
 		Sidecars:  Sidecars{Count: 2, MemoryMB: 192, Sockets: 1024},
 		Callers:   Callers{Rate: 50, Shape: "steady", Swing: 0.3, Retries: 2, Patience: Range{0.6, 0.6}, Backoff: 300 * time.Millisecond, Honour: 1},
 		Discovery: Discovery{Notice: 2 * time.Second, SilentNotice: 8 * time.Second, Add: time.Second, LateShare: 1.0 / 3, Boot: BootTrue},
-		Rules: Rules{Drain: 250 * time.Millisecond, TipBy: 3, TipWindow: time.Second, Attempts: 5, Connect: 250 * time.Millisecond,
-			Slack: 50 * time.Millisecond, Kill: 3700 * time.Millisecond},
+		Rules: Rules{
+			Drain: 250 * time.Millisecond, TipBy: 3, TipWindow: time.Second, Attempts: 5, Connect: 250 * time.Millisecond,
+			Slack: 50 * time.Millisecond, Kill: 3700 * time.Millisecond,
+		},
 	}
 }
 
 func newTier(name string) *Tier {
-	return &Tier{Name: name, Boxes: 3, CellSize: 4, Cores: 2, Speed: Range{1, 1}, Slots: 2, Queue: 4,
+	return &Tier{
+		Name: name, Boxes: 3, CellSize: 4, Cores: 2, Speed: Range{1, 1}, Slots: 2, Queue: 4,
 		Work: emulator.Work{Mean: 50 * time.Millisecond, Shape: emulator.Exponential, CV: 1}, Cold: Range{0.4, 0.4}, Warm: 5 * time.Second,
-		ChokeOver: 2 * time.Second, ChokeBy: 2.5, Times: 1, Before: 0.5, Cancel: true, Conns: 64, Handshake: 3 * time.Millisecond}
+		ChokeOver: 2 * time.Second, ChokeBy: 2.5, Times: 1, Before: 0.5, Cancel: true, Conns: 64, Handshake: 3 * time.Millisecond,
+	}
 }
 
 // Read reads a script; it is nil where there are findings.
@@ -299,9 +303,11 @@
 
 // spec is a box of a tier.
 func (m *Morning) spec(t *Tier, speed, cold float64) emulator.Spec {
-	s := emulator.Spec{Cores: t.Cores, Speed: speed, Slots: t.Slots, Queue: t.Queue, Thrash: t.Thrash, ThrashAt: t.ThrashAt,
+	s := emulator.Spec{
+		Cores: t.Cores, Speed: speed, Slots: t.Slots, Queue: t.Queue, Thrash: t.Thrash, ThrashAt: t.ThrashAt,
 		ColdFrom: cold, Warm: t.Warm, TipMultiple: m.Rules.TipBy, TipWindow: m.Rules.TipWindow, CancelStops: t.Cancel, DropsExpired: t.Expired,
-		ReportEvery: t.Report, ReportDelay: t.Report / 4, Connections: t.Conns, HandshakeWork: t.Handshake}
+		ReportEvery: t.Report, ReportDelay: t.Report / 4, Connections: t.Conns, HandshakeWork: t.Handshake,
+	}
 	if t.ChokeHeld > 0 {
 		s.Choke = &emulator.Choke{Held: t.ChokeHeld, Over: t.ChokeOver, Slower: t.ChokeBy, Below: 0.4, Rest: 3 * time.Second, Most: 20 * time.Second}
 	}
--- a/internal/rehearsal/morning/parts.go
+++ b/internal/rehearsal/morning/parts.go
@@ -16,14 +16,18 @@
 
 // AuditRules are what a plan is judged by; the names of the sidecars are to be added.
 func (p *Plan) AuditRules() audit.Rules {
-	r := audit.Rules{Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, Heard: heard, Attempts: p.Rules.Attempts, Copies: p.Rules.Copies,
-		TipBy: p.Rules.TipBy, TipWindow: p.Rules.TipWindow}
+	r := audit.Rules{
+		Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, Heard: heard, Attempts: p.Rules.Attempts, Copies: p.Rules.Copies,
+		TipBy: p.Rules.TipBy, TipWindow: p.Rules.TipWindow,
+	}
 	for _, c := range p.Classes {
 		r.Classes = append(r.Classes, audit.Class{Name: c.Name, Effect: string(c.Effect), Scope: string(c.Scope), Window: c.Window, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth})
 	}
 	for i, b := range p.Boxes {
-		x := audit.Box{Name: p.Name(i), Tier: b.Tier, Cell: b.Cell,
-			Capacity: float64(b.Spec.Cores) * b.Spec.Speed, ColdFrom: b.Spec.ColdFrom, Warm: b.Spec.Warm, Work: p.Tiers[b.Tier].Work.Mean}
+		x := audit.Box{
+			Name: p.Name(i), Tier: b.Tier, Cell: b.Cell,
+			Capacity: float64(b.Spec.Cores) * b.Spec.Speed, ColdFrom: b.Spec.ColdFrom, Warm: b.Spec.Warm, Work: p.Tiers[b.Tier].Work.Mean,
+		}
 		if t := p.Tiers[b.Tier]; t.Calls != "" {
 			x.Work = time.Duration(t.Before * float64(x.Work))
 		}
@@ -67,9 +71,11 @@
 	t := p.Tiers[tier]
 	var services []map[string]any
 	for _, c := range p.Classes {
-		services = append(services, map[string]any{"name": c.Name, "aim": us(c.Aim), "deadline": us(c.Deadline), "gain": c.Worth, "lateValue": 0,
+		services = append(services, map[string]any{
+			"name": c.Name, "aim": us(c.Aim), "deadline": us(c.Deadline), "gain": c.Worth, "lateValue": 0,
 			"effect":   map[balancer.Idempotency]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}[c.Effect],
-			"keyScope": string(c.Scope), "window": us(c.Window), "streamed": false})
+			"keyScope": string(c.Scope), "window": us(c.Window), "streamed": false,
+		})
 	}
 	var names []string
 	for _, t := range p.Tiers {
@@ -81,10 +87,14 @@
 		"zones": []string{Zone}, "models": names, "tiers": names, "services": services, "tenants": []any{},
 		"goal":       map[string]any{"whole": 0.9, "worstClass": 0},
 		"familyInfo": map[string]any{"passesDeadline": true}, "clientHabits": map[string]any{"marksRetry": false},
-		"allowed": map[string]any{"cancel": true, "connIdle": us(30 * time.Second), "connectTimeout": us(rules.Connect), "maxRetryAfter": us(2 * time.Second),
-			"mayProbe": true, "openCap": 20000, "peers": false, "retryAfter": true, "secondCopies": rules.Copies, "sendCap": rules.Attempts},
-		"rules": map[string]any{"askEvery": 0, "cold": us(t.Warm), "coldFrom": t.Cold.Low, "fall": us(rules.TipWindow),
-			"tipMultiple": rules.TipBy, "graceToAnswer": 0},
+		"allowed": map[string]any{
+			"cancel": true, "connIdle": us(30 * time.Second), "connectTimeout": us(rules.Connect), "maxRetryAfter": us(2 * time.Second),
+			"mayProbe": true, "openCap": 20000, "peers": false, "retryAfter": true, "secondCopies": rules.Copies, "sendCap": rules.Attempts,
+		},
+		"rules": map[string]any{
+			"askEvery": 0, "cold": us(t.Warm), "coldFrom": t.Cold.Low, "fall": us(rules.TipWindow),
+			"tipMultiple": rules.TipBy, "graceToAnswer": 0,
+		},
 	}
 }
 
--- a/internal/rehearsal/morning/plan.go
+++ b/internal/rehearsal/morning/plan.go
@@ -142,8 +142,10 @@
 }
 
 func draw(m *Morning, seed uint64, add finding.Reporter) *Plan {
-	d := &drawing{Plan: &Plan{Morning: m, Seed: seed}, add: add, counts: make([]int, len(m.Tiers)), down: map[int]time.Duration{},
-		random: rand.New(emulator.Source(seed, "who")), boxes: rand.New(emulator.Source(seed, "boxes"))}
+	d := &drawing{
+		Plan: &Plan{Morning: m, Seed: seed}, add: add, counts: make([]int, len(m.Tiers)), down: map[int]time.Duration{},
+		random: rand.New(emulator.Source(seed, "who")), boxes: rand.New(emulator.Source(seed, "boxes")),
+	}
 	for i, t := range m.Tiers {
 		for range t.Boxes {
 			d.newBox(i, -1, 0)
@@ -185,8 +187,10 @@
 	}
 	// The last half is its number among all, so that no two share an id.
 	id := uint32(hash)&0xffff0000 | uint32(len(d.Boxes))&0xffff
-	d.Boxes = append(d.Boxes, Box{Tier: tier, Number: n + 1, UID: fmt.Sprintf("s-%08x", id), Cell: cell, Slot: slot, From: from,
-		Spec: d.spec(t, t.Speed.at(d.boxes.Float64()), t.Cold.at(d.boxes.Float64()))})
+	d.Boxes = append(d.Boxes, Box{
+		Tier: tier, Number: n + 1, UID: fmt.Sprintf("s-%08x", id), Cell: cell, Slot: slot, From: from,
+		Spec: d.spec(t, t.Speed.at(d.boxes.Float64()), t.Cold.at(d.boxes.Float64())),
+	})
 	d.lives = append(d.lives, &life{gone: -1, started: from})
 	if len(d.Boxes) > MostBoxes+1 {
 		d.Boxes = d.Boxes[:MostBoxes+1] // it is reported where it is asked for
--- a/internal/rehearsal/morning/settings.go
+++ b/internal/rehearsal/morning/settings.go
@@ -243,8 +243,10 @@
 			i := slices.IndexFunc(m.Classes, func(c *Class) bool { return c.Name == name })
 			if i < 0 {
 				i = len(m.Classes)
-				m.Classes = append(m.Classes, &Class{Name: name, Effect: balancer.Idempotent, Scope: balancer.KeyScopeCell,
-					Window: 10 * time.Second, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Share: 1})
+				m.Classes = append(m.Classes, &Class{
+					Name: name, Effect: balancer.Idempotent, Scope: balancer.KeyScopeCell,
+					Window: 10 * time.Second, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Share: 1,
+				})
 				m.places["class "+name] = at
 			}
 			pairs(m, m.Classes[i], "class "+name+" ", classKeys, rest, add)
--- a/internal/rehearsal/rehearse/box.go
+++ b/internal/rehearsal/rehearse/box.go
@@ -82,8 +82,10 @@
 }
 
 func newBox(w *world, index int) *box {
-	b := &box{w: w, index: index, plan: &w.plan.Boxes[index], conns: map[*conn]bool{}, streams: map[*stream]*call{}, calls: map[uint64]*call{}, faults: map[string]float64{},
-		random: rand.New(emulator.Source(w.plan.Seed, fmt.Sprint("faults ", index)))}
+	b := &box{
+		w: w, index: index, plan: &w.plan.Boxes[index], conns: map[*conn]bool{}, streams: map[*stream]*call{}, calls: map[uint64]*call{}, faults: map[string]float64{},
+		random: rand.New(emulator.Source(w.plan.Seed, fmt.Sprint("faults ", index))),
+	}
 	b.timer = time.AfterFunc(time.Hour, b.due)
 	b.timer.Stop()
 	return b
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -129,8 +129,10 @@
 			after = time.Duration(f * float64(time.Second))
 		}
 		good := bytes.HasPrefix(body, []byte("served "+out.request+" "))
-		l.to.w.add(audit.Event{At: l.to.w.now(), Kind: audit.Answered, Request: out.request, Status: answer.StatusCode, Left: after, Good: good,
-			Sidecar: l.to.index, Box: -1, Origin: out.origin, Try: out.try})
+		l.to.w.add(audit.Event{
+			At: l.to.w.now(), Kind: audit.Answered, Request: out.request, Status: answer.StatusCode, Left: after, Good: good,
+			Sidecar: l.to.index, Box: -1, Origin: out.origin, Try: out.try,
+		})
 		l.mu.Lock()
 		l.out = nil
 		l.mu.Unlock()
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -68,9 +68,11 @@
 	if e.state != "Ready" {
 		status = "critical"
 	}
-	i := consul.Instance{Service: w.plan.Tiers[b.Tier].Name, Node: fmt.Sprint("m", b.Slot), ID: b.UID, Passing: 1, Warning: 1,
+	i := consul.Instance{
+		Service: w.plan.Tiers[b.Tier].Name, Node: fmt.Sprint("m", b.Slot), ID: b.UID, Passing: 1, Warning: 1,
 		Checks: []consul.Check{{CheckID: "up", Name: "up", Status: status}},
-		Meta:   map[string]string{"zone": morning.Zone, "model": w.plan.Tiers[b.Tier].Name, "cell": strconv.Itoa(b.Cell), "uid": b.UID}}
+		Meta:   map[string]string{"zone": morning.Zone, "model": w.plan.Tiers[b.Tier].Name, "cell": strconv.Itoa(b.Cell), "uid": b.UID},
+	}
 	if e.boot > 0 {
 		i.Meta["started_ms"] = strconv.FormatInt(w.wall(e.boot).UnixMilli(), 10)
 	}
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -74,9 +74,11 @@
 	s.starts++
 	seed, starts := uint64(s.index)<<32^s.w.plan.Seed, s.starts
 	s.mu.Unlock()
-	config := map[string]any{"name": s.name, "listen": s.address, "discovery": s.w.discoveryAddress(s.index), "seed": fmt.Sprintf("%016x", seed+uint64(starts)),
+	config := map[string]any{
+		"name": s.name, "listen": s.address, "discovery": s.w.discoveryAddress(s.index), "seed": fmt.Sprintf("%016x", seed+uint64(starts)),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.w.plan.Sidecars.MemoryMB, "sockets": s.w.plan.Sidecars.Sockets},
-		"settings": s.w.plan.Settings(s.tier, s.number, s.of)}
+		"settings": s.w.plan.Settings(s.tier, s.number, s.of),
+	}
 	if starts > 1 {
 		n := s.w.news[s.tier]
 		n.mu.Lock()
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -72,8 +72,10 @@
 	if err := Screen(&b, p, q); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"quincegap", "other", "KEPT quincegap", "BROKEN other", "no effect twice: broken 7 times",
-		"1.234 s: no effect twice: r0t1: box 1 of keeper: sent again", "and 2 more", "3 breaches do not count", "a note"} {
+	for _, want := range []string{
+		"quincegap", "other", "KEPT quincegap", "BROKEN other", "no effect twice: broken 7 times",
+		"1.234 s: no effect twice: r0t1: box 1 of keeper: sent again", "and 2 more", "3 breaches do not count", "a note",
+	} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("no %q in\n%s", want, b.String())
 		}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -175,9 +175,11 @@
 		l := s.list(f)
 		return func(b *balancer.Balancer) { b.HandleEndpoints(now, l) }
 	case "knock":
-		r := balancer.Request{ID: f.id("corr"), Class: int(f.number("type")),
+		r := balancer.Request{
+			ID: f.id("corr"), Class: int(f.number("type")),
 			Tenant: int(f.optional("userGroup")), Key: f.optionalText(), TimeLeft: f.time("left"),
-			WorkHint: settings.Micros(f.optional("workHint"))}
+			WorkHint: settings.Micros(f.optional("workHint")),
+		}
 		bits := f.optional("attrs")
 		if r.Class < 0 || r.Class >= in.classes {
 			f.fail("type", "no such class")
@@ -193,8 +195,10 @@
 		f.time("elapsed")
 		return func(b *balancer.Balancer) { b.HandleResponseStart(now, id, n, ep) }
 	case "closed_attempt":
-		o := balancer.Outcome{ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
-			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load()}
+		o := balancer.Outcome{
+			ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
+			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load(),
+		}
 		return func(b *balancer.Balancer) { b.HandleOutcome(now, o) }
 	case "lapsed":
 		id := f.id("corr")
@@ -203,8 +207,10 @@
 		token := uint64(f.number("label"))
 		return func(b *balancer.Balancer) { b.HandleTimer(now, token) }
 	case "echo":
-		p := balancer.HealthCheckResult{Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
-			Load: f.load()}
+		p := balancer.HealthCheckResult{
+			Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
+			Load: f.load(),
+		}
 		return func(b *balancer.Balancer) { b.HandleHealthCheck(now, p) }
 	default: // inbox
 		from, data := int(f.number("by")), f.bytes()
@@ -304,9 +310,11 @@
 		if err != nil {
 			return err
 		}
-		entries = append(entries, balancer.ListEntry{Endpoint: item.endpoint(), Zone: int(item.number("area")),
+		entries = append(entries, balancer.ListEntry{
+			Endpoint: item.endpoint(), Zone: int(item.number("area")),
 			MachineKind: int(item.number("kind")), Cell: int(item.number("stripe")), State: item.state(),
-			Weight: item.float("units"), StartedAt: settings.Micros(item.optional("cameUp"))})
+			Weight: item.float("units"), StartedAt: settings.Micros(item.optional("cameUp")),
+		})
 		if item.err != nil {
 			return item.err
 		}
--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -29,8 +29,10 @@
 func fleetList(rev uint64, from, n int) endpointList {
 	l := endpointList{Rev: rev, All: true}
 	for i := from; i < from+n; i++ {
-		l.Targets = append(l.Targets, target{UID: fmt.Sprintf("box-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:80", 1+i/62500, i/250%250, i%250+1),
-			State: "Ready", Weight: 1, Cell: i / 2})
+		l.Targets = append(l.Targets, target{
+			UID: fmt.Sprintf("box-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:80", 1+i/62500, i/250%250, i%250+1),
+			State: "Ready", Weight: 1, Cell: i / 2,
+		})
 	}
 	return l
 }
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -270,8 +270,10 @@
 func standalone(f *schema.File) (*Config, error) {
 	who, limits, found := appfile.SidecarTable.In(f), appfile.LimitsTable.In(f), appfile.DiscoveryTable.In(f)
 	attempts, warmup := appfile.AttemptsTable.In(f), appfile.WarmupTable.In(f)
-	c := &Config{Name: cmp.Or(who.Instance, who.Application), Listen: who.Listen, Discovery: found.Address,
-		Limits: Limits{Cores: limits.Cores, MemoryMB: limits.Memory >> 20, Sockets: limits.Sockets}}
+	c := &Config{
+		Name: cmp.Or(who.Instance, who.Application), Listen: who.Listen, Discovery: found.Address,
+		Limits: Limits{Cores: limits.Cores, MemoryMB: limits.Memory >> 20, Sockets: limits.Sockets},
+	}
 	c.Seed = rand.Uint64()
 	if who.Seed != "" {
 		c.Seed, _ = strconv.ParseUint(who.Seed, 16, 64) // its form was checked
@@ -289,8 +291,10 @@
 		s.Tiers = 2 // a call may wait at the applications behind this one too
 	}
 	for _, v := range appfile.ClassTable.All(f) {
-		s.Classes = append(s.Classes, balancer.Class{Name: v.Name, LatencyTarget: v.Value.Aim, Deadline: v.Value.Deadline, Value: v.Value.Worth,
-			LateValueShare: v.Value.LateWorth, Idempotency: v.Value.Effect, KeyScope: v.Value.KeyScope, KeyWindow: v.Value.KeyWindow})
+		s.Classes = append(s.Classes, balancer.Class{
+			Name: v.Name, LatencyTarget: v.Value.Aim, Deadline: v.Value.Deadline, Value: v.Value.Worth,
+			LateValueShare: v.Value.LateWorth, Idempotency: v.Value.Effect, KeyScope: v.Value.KeyScope, KeyWindow: v.Value.KeyWindow,
+		})
 	}
 	for _, v := range appfile.TenantTable.All(f) {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.Quota})
--- a/internal/standalone/copies.go
+++ b/internal/standalone/copies.go
@@ -57,8 +57,10 @@
 	c.TimeLeft, c.MaxAttempts, c.Exclude = time.Until(r.deadline), 1, &a.Endpoint.ID
 	if l.config.Settings.Classes[r.Class].Idempotency == balancer.IdempotentWithKey {
 		// Its effect happens once only where its first attempt is known.
-		c.Prior = balancer.PriorAttempt{MayHaveRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
-			SentAt: l.now() - time.Since(r.pair.since)}
+		c.Prior = balancer.PriorAttempt{
+			MayHaveRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
+			SentAt: l.now() - time.Since(r.pair.since),
+		}
 	}
 	r.pair.copy = c
 	l.requests[c.ID] = c
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -109,8 +109,10 @@
 }
 
 func newEndpoints(zones, models []string, origin time.Time) *endpoints {
-	t := &endpoints{origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
-		ids: map[string]balancer.EndpointID{}, zones: names{}, models: names{}}
+	t := &endpoints{
+		origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
+		ids: map[string]balancer.EndpointID{}, zones: names{}, models: names{},
+	}
 	for _, z := range zones {
 		t.zones.index(z)
 	}
@@ -177,8 +179,10 @@
 		if state == balancer.EndpointRemoved {
 			e.forget(endpoint)
 		}
-		entries = append(entries, balancer.ListEntry{Endpoint: id, Zone: e.zones.index(x.Zone), MachineKind: e.models.index(x.Model), Cell: x.Cell, State: state,
-			Weight: x.Weight, StartedAt: e.started(x.BootMS)})
+		entries = append(entries, balancer.ListEntry{
+			Endpoint: id, Zone: e.zones.index(x.Zone), MachineKind: e.models.index(x.Model), Cell: x.Cell, State: state,
+			Weight: x.Weight, StartedAt: e.started(x.BootMS),
+		})
 	}
 	if l.Kind != balancer.ListDelta {
 		for id, endpoint := range e.byID {
@@ -215,8 +219,10 @@
 
 func newWatcher(address, token string, l *loop) *watcher {
 	dialer := &net.Dialer{Timeout: l.config.Settings.ConnectTimeout}
-	return &watcher{url: "http://" + address + "/v1/endpoints", token: token, loop: l, again: !l.config.Settings.MustSubscribe,
-		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}}
+	return &watcher{
+		url: "http://" + address + "/v1/endpoints", token: token, loop: l, again: !l.config.Settings.MustSubscribe,
+		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
+	}
 }
 
 // current tells whether discovery has said lately that nothing else has changed.
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -117,8 +117,10 @@
 		}
 	}))
 	defer discovery.Close()
-	config := &Config{Discovery: discovery.Listener.Addr().String(), Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil),
-		Known: endpointList{Rev: 41, All: true, Targets: []target{ready("s-1", 0)}}}
+	config := &Config{
+		Discovery: discovery.Listener.Addr().String(), Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil),
+		Known: endpointList{Rev: 41, All: true, Targets: []target{ready("s-1", 0)}},
+	}
 	config.Settings.ConnectTimeout = patience
 	config.Settings.Instances = 1
 	config.Settings.Classes = []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent}}
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -36,8 +36,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("http3_listen: %w", err)
 	}
-	front, err := http3.NewFront(socket, handler, set, http3.Bounds{MaxHeader: b.MaxHeader, RequestTimeout: b.RequestTimeout,
-		IdleTimeout: b.IdleTimeout, WriteTimeout: b.WriteTimeout}, sec)
+	front, err := http3.NewFront(socket, handler, set, http3.Bounds{
+		MaxHeader: b.MaxHeader, RequestTimeout: b.RequestTimeout,
+		IdleTimeout: b.IdleTimeout, WriteTimeout: b.WriteTimeout,
+	}, sec)
 	if err != nil {
 		socket.Close()
 		return nil, err
--- a/internal/standalone/route_test.go
+++ b/internal/standalone/route_test.go
@@ -87,7 +87,7 @@
 `)
 	var runs, sick atomic.Int64
 	held := make(chan bool)
-	var came = make(chan bool, 10)
+	came := make(chan bool, 10)
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
 		switch r.URL.Path {
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -75,8 +75,10 @@
 // bounds are those of a front for HTTP/1.1.
 func (s *server) bounds() http1.Bounds {
 	c := s.config.tuning.callers
-	return http1.Bounds{Connections: int(c.Share * float64(s.config.Limits.Sockets-reservedSockets)), MaxHeader: int(c.MaxHeader),
-		RequestTimeout: c.RequestTimeout, IdleTimeout: c.IdleTimeout, WriteTimeout: s.longest + writeTimeout}
+	return http1.Bounds{
+		Connections: int(c.Share * float64(s.config.Limits.Sockets-reservedSockets)), MaxHeader: int(c.MaxHeader),
+		RequestTimeout: c.RequestTimeout, IdleTimeout: c.IdleTimeout, WriteTimeout: s.longest + writeTimeout,
+	}
 }
 
 // ServeHTTP takes a request from any front.
@@ -143,8 +145,10 @@
 	}
 	req.IdleConnections = c.Served()
 	exchange.RemoveHopByHop(r.Header)
-	req.Inbound = exchange.Inbound{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
-		Safe: safe}
+	req.Inbound = exchange.Inbound{
+		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
+		Safe: safe,
+	}
 	s.loop.post(func() { s.loop.arrive(req, received) })
 	select {
 	case a := <-req.answer:
--- a/internal/standalone/sidecar_test.go
+++ b/internal/standalone/sidecar_test.go
@@ -64,8 +64,10 @@
 // startOneOf runs one of several sidecars of a tier.
 func startOneOf(t *testing.T, instances, sockets int, targets ...target) *rig {
 	t.Helper()
-	rg := &rig{t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
-		reloads: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	rg := &rig{
+		t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
+		reloads: make(chan os.Signal, 1), ended: make(chan error, 1),
+	}
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		for {
