--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -122,8 +122,10 @@
 // tuningOf reads a file; nil stands for one that sets nothing.
 func tuningOf(f *schema.File) *tuning {
 	if f == nil {
-		return &tuning{*endpointsource.Table.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
-			*http3.CallersTable.Default(), *http3.EndpointsTable.Default(), *MemoryTable.Default(), nil}
+		return &tuning{
+			*endpointsource.Table.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
+			*http3.CallersTable.Default(), *http3.EndpointsTable.Default(), *MemoryTable.Default(), nil,
+		}
 	}
 	return &tuning{*endpointsource.Table.In(f), *CallersTable.In(f), *EndpointsTable.In(f), *StopTable.In(f), *http3.CallersTable.In(f), *http3.EndpointsTable.In(f), *MemoryTable.In(f), route.Compile(f)}
 }
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -47,8 +47,10 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{o: o, runs: map[string]int{}, slots: make(chan struct{}, o.Slots), stop: make(chan struct{}),
-		acked: make(chan struct{}, 1)}
+	e := &Endpoint{
+		o: o, runs: map[string]int{}, slots: make(chan struct{}, o.Slots), stop: make(chan struct{}),
+		acked: make(chan struct{}, 1),
+	}
 	e.server = &http.Server{Handler: http.HandlerFunc(e.serve)}
 	go e.server.Serve(l)
 	go e.beat()
@@ -186,8 +188,10 @@
 	if e.draining {
 		state = "draining"
 	}
-	body, _ := json.Marshal(map[string]any{"serviceName": e.o.Service, "address": e.o.Address, "zone": e.o.Zone,
-		"configVersion": "v1", "slotCount": e.o.Slots, "state": state, "coldRemaining": "0ms", "callSequence": e.seq})
+	body, _ := json.Marshal(map[string]any{
+		"serviceName": e.o.Service, "address": e.o.Address, "zone": e.o.Zone,
+		"configVersion": "v1", "slotCount": e.o.Slots, "state": state, "coldRemaining": "0ms", "callSequence": e.seq,
+	})
 	e.mu.Unlock()
 	return e.call("keepalive", body)
 }
--- a/internal/standin/authority/authority.go
+++ b/internal/standin/authority/authority.go
@@ -51,8 +51,10 @@
 
 // Issue makes a certificate for a name and 127.0.0.1, that holds for so long from now; both in PEM.
 func (a *Authority) Issue(name string, lasts time.Duration) (cert, key []byte, err error) {
-	der, k, err := a.sign(&x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, lasts)
+	der, k, err := a.sign(&x509.Certificate{
+		Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}, lasts)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/standin/consul/consul.go
+++ b/internal/standin/consul/consul.go
@@ -349,8 +349,10 @@
 	list := []m{}
 	for _, i := range all {
 		if sort == "catalog" {
-			list = append(list, m{"Node": i.Node, "Address": i.Address, "Datacenter": "dc1", "ServiceID": i.ID, "ServiceAddress": i.Address,
-				"ServicePort": i.Port, "ServiceMeta": i.Meta, "ServiceTags": i.Tags, "CreateIndex": i.createIndex})
+			list = append(list, m{
+				"Node": i.Node, "Address": i.Address, "Datacenter": "dc1", "ServiceID": i.ID, "ServiceAddress": i.Address,
+				"ServicePort": i.Port, "ServiceMeta": i.Meta, "ServiceTags": i.Tags, "CreateIndex": i.createIndex,
+			})
 			continue
 		}
 		checks := []m{{"Node": i.Node, "CheckID": "serfHealth", "Name": "Serf Health Status", "Status": "passing", "Output": "Agent alive and reachable"}}
@@ -359,8 +361,10 @@
 		}
 		list = append(list, m{
 			"Node": m{"ID": "", "Node": i.Node, "Address": i.Address, "Datacenter": "dc1"},
-			"Service": m{"ID": i.ID, "Service": "service", "Address": i.Address, "Port": i.Port, "Meta": i.Meta, "Tags": i.Tags,
-				"Weights": m{"Passing": max(i.Passing, 1), "Warning": i.Warning}, "CreateIndex": i.createIndex, "ModifyIndex": i.createIndex},
+			"Service": m{
+				"ID": i.ID, "Service": "service", "Address": i.Address, "Port": i.Port, "Meta": i.Meta, "Tags": i.Tags,
+				"Weights": m{"Passing": max(i.Passing, 1), "Warning": i.Warning}, "CreateIndex": i.createIndex, "ModifyIndex": i.createIndex,
+			},
 			"Checks": checks,
 		})
 	}
--- a/internal/standin/h3/h3.go
+++ b/internal/standin/h3/h3.go
@@ -45,7 +45,8 @@
 }
 
 // SetReadBuffer and SetWriteBuffer are asked for by the library, which does with less if it must.
-func (m muffled) SetReadBuffer(n int) error  { return m.PacketConn.(*net.UDPConn).SetReadBuffer(n) }
+func (m muffled) SetReadBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetReadBuffer(n) }
+
 func (m muffled) SetWriteBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetWriteBuffer(n) }
 
 func (m muffled) ReadFrom(b []byte) (n int, from net.Addr, err error) {
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -140,8 +140,10 @@
 	w.Write([]string{"morning", "load", "seed", "requests", "service", "worst_10s", "refused", "failed", "attempts_a_call", "waste", "p50_s", "p99_s", "breaches"})
 	for _, r := range runs {
 		n := func(x float64) string { return strconv.FormatFloat(x, 'f', 5, 64) }
-		w.Write([]string{mornings[r.Morning].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests), n(r.Service), n(r.Worst),
-			n(r.Refused), n(r.Failed), n(r.PerCall), n(r.Waste), n(r.P50.Seconds()), n(r.P99.Seconds()), strconv.Itoa(r.Breaches)})
+		w.Write([]string{
+			mornings[r.Morning].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests), n(r.Service), n(r.Worst),
+			n(r.Refused), n(r.Failed), n(r.PerCall), n(r.Waste), n(r.P50.Seconds()), n(r.P99.Seconds()), strconv.Itoa(r.Breaches),
+		})
 	}
 	if w.Flush(); w.Error() != nil {
 		return w.Error()
--- a/internal/tool/peers_test.go
+++ b/internal/tool/peers_test.go
@@ -15,8 +15,10 @@
 	seen := func(name, state string, counts bool) peers.Seen {
 		return peers.Seen{Name: name, Process: "00000000000000aa", State: state, ForMS: 61500, Address: "10.0.4.7:7946", Zone: "provo", Reached: counts, Counts: counts}
 	}
-	own := peers.Report{Name: "front-0", Confidence: "settled", Reached: 2, Of: 2, Instances: 2, Ordinal: 0, Sharing: 2, Placed: true, Digest: "d1", Twice: []string{"front-1"},
-		Refused: map[string]int{"other key": 3}, Members: []peers.Seen{seen("front-0", "serving", true), seen("front-1", "serving", true), seen("front-2", "gone", false)}}
+	own := peers.Report{
+		Name: "front-0", Confidence: "settled", Reached: 2, Of: 2, Instances: 2, Ordinal: 0, Sharing: 2, Placed: true, Digest: "d1", Twice: []string{"front-1"},
+		Refused: map[string]int{"other key": 3}, Members: []peers.Seen{seen("front-0", "serving", true), seen("front-1", "serving", true), seen("front-2", "gone", false)},
+	}
 	other := own
 	other.Name, other.Confidence, other.Members = "front-1", "cut off", own.Members[1:2]
 	differ := true
@@ -34,8 +36,10 @@
 	}
 	defer stop()
 	out := must(t, "peers", address)
-	for _, want := range []string{"front-2  gone     1m1.5s  no      no", "front-0: settled; 2 of the 2 settled last are in reach", "it is number 0 of 2, and divides limits by 2",
-		"several processes under one name: front-1", "refused, other key: 3"} {
+	for _, want := range []string{
+		"front-2  gone     1m1.5s  no      no", "front-0: settled; 2 of the 2 settled last are in reach", "it is number 0 of 2, and divides limits by 2",
+		"several processes under one name: front-1", "refused, other key: 3",
+	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("%q is missing in\n%s", want, out)
 		}
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -135,8 +135,10 @@
 		return nil, failure{err}
 	}
 	took := time.Since(began)
-	return &report.Play{Plan: plan, Verdict: r.Verdict, Virtual: true,
-		Notes: []string{fmt.Sprintf("in virtual time, the decision module alone; played in %v", took.Round(time.Millisecond))}}, nil
+	return &report.Play{
+		Plan: plan, Verdict: r.Verdict, Virtual: true,
+		Notes: []string{fmt.Sprintf("in virtual time, the decision module alone; played in %v", took.Round(time.Millisecond))},
+	}, nil
 }
 
 // show prints the verdict, and writes the page where one is asked for.
--- a/internal/tool/route.go
+++ b/internal/tool/route.go
@@ -52,8 +52,10 @@
 			if found.Len() > 0 || f == nil {
 				return c.report(&found)
 			}
-			return c.explain(f, &route.Request{Host: u.Host, Path: path, Method: strings.ToUpper(args[0]),
-				Class: header.Get("X-Lane"), Tenant: header.Get("X-Org"), Header: header})
+			return c.explain(f, &route.Request{
+				Host: u.Host, Path: path, Method: strings.ToUpper(args[0]),
+				Class: header.Get("X-Lane"), Tenant: header.Get("X-Org"), Header: header,
+			})
 		},
 	}
 	f := cmd.Flags()
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -341,14 +341,20 @@
 		code int
 		want string // in what is printed
 	}{
-		{[]string{"--help"}, Fine, "quincegapctl writes a configuration file"}, {[]string{"help", "write"}, Fine, "--keep-edits"},
-		{[]string{"completion", "bash"}, Fine, "__start_quincegapctl"}, {nil, Fine, "Available Commands"},
-		{[]string{"chekc"}, Usage, `unknown command "chekc"`}, {[]string{"check"}, Usage, "requires at least 1 arg"},
-		{[]string{"check", "--jsn", source}, Usage, "unknown flag"}, {[]string{"write", source, front}, Usage, "accepts 1 arg"},
+		{[]string{"--help"}, Fine, "quincegapctl writes a configuration file"},
+		{[]string{"help", "write"}, Fine, "--keep-edits"},
+		{[]string{"completion", "bash"}, Fine, "__start_quincegapctl"},
+		{nil, Fine, "Available Commands"},
+		{[]string{"chekc"}, Usage, `unknown command "chekc"`},
+		{[]string{"check"}, Usage, "requires at least 1 arg"},
+		{[]string{"check", "--jsn", source}, Usage, "unknown flag"},
+		{[]string{"write", source, front}, Usage, "accepts 1 arg"},
 		{[]string{"write", "--keep-edits", "--discard-edits", source}, Usage, "none of the others"},
 		{[]string{"check", filepath.Join(dir, "none.toml")}, Findings, "none.toml: cannot be read: no such file"},
-		{[]string{"check", dir}, Findings, "is no regular file"}, {[]string{"write", "-o", filepath.Join(dir, "new"), source}, Fine, "wrote"},
-		{[]string{"sample"}, Fine, "[sidecar]"}, {[]string{"reference"}, Fine, "## [callers]"},
+		{[]string{"check", dir}, Findings, "is no regular file"},
+		{[]string{"write", "-o", filepath.Join(dir, "new"), source}, Fine, "wrote"},
+		{[]string{"sample"}, Fine, "[sidecar]"},
+		{[]string{"reference"}, Fine, "## [callers]"},
 		{[]string{"adopt", source}, Usage, "requires at least 2"},
 		{[]string{"adopt", source, source}, Findings, "its header is missing"},
 	} {
