--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,9 @@
-# What it needs beside Go comes from go.mod.
+# What it needs beside Go comes from go.mod, its tools from tools/go.mod.
 GO_FILES := $(shell find . -name '*.go' -not -path './journal/*')
+PACKAGES := ./internal/... ./cmd/...
+TOOL := go tool -modfile=tools/go.mod
 
-# Days in virtual time and orders of messages are played by one goroutine: the race detector finds nothing there, and takes ten
+# Days in virtual time and orders of messages are simulated by one goroutine: the race detector finds nothing there, and takes ten
 # times as long. They make much garbage, and are given the memory for it.
 ALONE := /internal/(rehearsal/(dryrun|fleet)|mesh/(control/(consensus|lease|ratelimit)|discovery|discovery/membership|dataplane/admission))$$
 
@@ -11,7 +13,7 @@
 # Losses of power amid goleveldb's background work: its error path reads a number without a lock, which the race detector reports.
 POWER := TestAcknowledgedRecordsOutliveAnyLossOfPower|TestPowerLostAtEachCallOfTwoStarts
 
-.PHONY: demo test soak
+.PHONY: demo test lint format soak
 
 # A sidecar with a discovery and three endpoints, all on loopback, until Ctrl-C.
 demo:
@@ -21,14 +23,23 @@
 test:
 	@unformatted=$$(gofmt -l $(GO_FILES)); if [ -n "$$unformatted" ]; then echo "gofmt: $$unformatted"; exit 1; fi
 	@ls $(or $(POLICY),no-policy-files) >/dev/null
-	go vet ./internal/... ./cmd/...
-	go tool staticcheck ./internal/... ./cmd/...
+	go vet $(PACKAGES)
+	$(TOOL) staticcheck $(PACKAGES)
 	go build -buildvcs=false -o bin/ ./cmd/...
 	go test -race -count=1 -skip '$(POWER)' $$(go list ./internal/... ./cmd/... | grep -vE '$(ALONE)')
 	GOGC=400 go test -count=1 $$(go list ./internal/... | grep -E '$(ALONE)')
 	go test -count=1 -run '$(POWER)' ./internal/mesh/control/storage
 
-# The long plays, a few minutes: more random mornings, more crashes of the store, 50 kills amid bookings.
+# golangci-lint with .golangci.yml, which names the linters and, by package, what is not yet held to them.
+lint:
+	go mod tidy -diff
+	$(TOOL) golangci-lint run
+
+# Rewrites all files as the formatters want them.
+format:
+	$(TOOL) golangci-lint fmt
+
+# The long simulations, a few minutes: more random days, more crashes of the store, 50 kills amid bookings.
 soak:
 	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m ./internal/balancer ./internal/rehearsal/dryrun ./internal/files/store ./internal/modules/idempotency
 	SOAK=1 go test -count=1 -timeout 30m ./internal/rehearsal/fleet ./internal/network/gossip ./internal/mesh/control/consensus \
