--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -18,12 +18,6 @@
 // the same commands in the same order: replayed simulations depend on it. A changed order of random draws, of a walk over a map
 // or of a sum of floating-point numbers shows as another digest.
 
-// command is one call of a Host, as a line of the trace.
-type command struct {
-	name string
-	text string
-}
-
 // call is an attempt that is in flight.
 type call struct {
 	id      balancer.RequestID
