--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -1,110 +1,52 @@
-// Package agent is the part that every process of the system takes in the control plane: it knows who is there, which endpoints
-// there are and which configuration is in force, and requests or does duties. What decides is pure (membership, discovery,
-// consensus, lease, ratelimit); the agent adds the clock, the messages and one lock.
 package agent
 
 import (
 	"context"
-	"math/rand/v2"
-	"sync"
-	"sync/atomic"
+	"net"
+	"net/http"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
-	"quincegap/internal/mesh/control/configuration"
-	"quincegap/internal/mesh/control/ratelimit"
 	"quincegap/internal/mesh/discovery"
 	"quincegap/internal/mesh/discovery/membership"
-	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/operations/eventfeed"
 	"quincegap/internal/mesh/transport"
-	"quincegap/internal/mesh/transport/codec"
 )
 
+// tickInterval is the time between two looks at what is to be sent.
 const tickInterval = 100 * time.Millisecond
 
-// Config are what an Agent is made of.
-type Config struct {
-	Settings *settings.Settings
-	Hub      *transport.Hub
-	Role     membership.Role
-	Log      *logrus.Logger
-	Seed     uint64
-	// OnConfiguration is called with each newer configuration, one after the other.
-	OnConfiguration func(c *configuration.Config)
-	// OnEndpointsChanged is called with all that is known of a service's endpoints when something of it has changed.
-	OnEndpointsChanged func(service string, all []discovery.Endpoint)
-	// OnSidecarCount is called when the number of sidecars has changed.
-	OnSidecarCount func(n int)
-	// OnEndpointLeaving is called, without locks, when others know that an endpoint at this machine's address drains or has deregistered: it
-	// may have told them, or an earlier life of this process. It may be of any life that was at that address.
-	OnEndpointLeaving func(e discovery.Endpoint)
-}
-
-// Agent is one process's part in the control plane.
+// Agent is one process's part in the control plane. Its methods may be called from any goroutine.
 type Agent struct {
-	config       Config
-	applyMu      sync.Mutex    // one configuration after the other
-	wakeup       chan struct{} // something is to be sent before the next tick
-	tenantLimits atomic.Pointer[map[string]ratelimit.Limit]
-	events       *eventRecorder // of core processes; nil elsewhere
-
-	mu                  sync.Mutex
-	rng                 *rand.Rand
-	view                *membership.View
-	handledViewChanges  uint64                   // changes of the view when updateFromView last worked, and one; 0: it is to work again
-	sidecarCount        int                      // that are there
-	zoneLastSeen        map[string]time.Duration // when zones last had members
-	registry            *discovery.Registry
-	changedServices     map[string]uint64 // services whose endpoints have changed, with the registry's version before the first change
-	nextExpiry          time.Duration     // when leases are looked at next
-	publisher           *discovery.Publisher
-	acknowledgedRecords chan struct{}     // closed when a home has acknowledged a record
-	ownerIncarnations   map[string]uint64 // of homes that endpoints are published to, by address
-	subscriptions       *discovery.Subscription
-	subscribers         *discovery.Subscribers
-	wantedServices      []string // whose endpoints this process wants to know
-	current             configurationText
-	versionPoll         versionPoll // while no configuration is held
-	fetchingVersion     uint64      // version that is being fetched
-	fetchDeadline       time.Duration
+	*environment
+	members       *memberTracker
+	directory     *endpointDirectory
+	publisher     *recordPublisher
+	configuration *configurationUpdater
+	events        *eventRecorder // nil on sidecars
 }
 
-// New makes an Agent and registers its calls.
-func New(o Config) *Agent {
-	hello := o.Hub.Self()
-	self := membership.Member{
-		Incarnation: hello.Incarnation, Address: hello.Address, Zone: o.Settings.Zone, Region: o.Settings.Region, Role: o.Role,
-		Service: o.Settings.Service, AppAddress: o.Settings.ApplicationAddress,
-	}
-	a := &Agent{
-		config: o, view: membership.New(self, membership.Config{}, rand.New(rand.NewPCG(o.Seed, hello.Incarnation))),
-		registry: discovery.NewRegistry(discovery.Config{}), publisher: discovery.NewPublisher(discovery.Config{}),
-		wakeup: make(chan struct{}, 1), acknowledgedRecords: make(chan struct{}),
-		subscriptions: discovery.NewSubscription(discovery.Config{}), subscribers: discovery.NewSubscribers(discovery.Config{}),
-		zoneLastSeen: map[string]time.Duration{}, changedServices: map[string]uint64{}, ownerIncarnations: map[string]uint64{}, rng: rand.New(rand.NewPCG(o.Seed, 1)),
-	}
-	for zone, region := range o.Settings.RegionOfZone {
-		a.view.SetRegion(zone, region)
+// New makes an Agent and registers its methods with the hub, which may serve already. Run has it work.
+func New(config Config) *Agent {
+	env := newEnvironment(config)
+	a := &Agent{environment: env}
+	if config.Role == membership.RoleCore {
+		a.events = newEventRecorder(config.Hub.Self().Incarnation)
 	}
-	a.view.SetSeeds(0, o.Settings.SeedAddresses())
-	if o.Role == membership.RoleAccess {
-		a.wantedServices = []string{o.Settings.Service}
-	} else {
-		a.events = newEventRecorder(hello.Incarnation)
-	}
-	transport.Handle(o.Hub, methodShuffle, a.handleShuffle)
-	transport.Handle(o.Hub, methodPublish, a.handlePublish)
-	transport.Handle(o.Hub, methodSubscribe, a.handleSubscribe)
-	transport.Handle(o.Hub, methodUpdate, a.handleUpdate)
-	transport.Handle(o.Hub, methodVersionNotice, a.handleVersionNotice)
-	transport.Handle(o.Hub, methodConfiguration, a.handleConfigurationRequest)
-	o.Hub.OnLinkLost(a.handleLinkLost)
+	a.members = newMemberTracker(env)
+	a.directory = newEndpointDirectory(env, a.members, a.events)
+	a.publisher = newRecordPublisher(env, a.members, a.directory)
+	a.configuration = newConfigurationUpdater(env, a.members, a.directory, a.events)
+	a.members.versions = a.configuration
+	a.members.register()
+	a.directory.register()
+	a.configuration.register()
+	config.Hub.OnLinkLost(a.handleLinkLost)
 	return a
 }
 
-// Run does what is due until ctx ends.
+// Run sends what is due until ctx ends, and returns when no configuration is being applied any more.
 func (a *Agent) Run(ctx context.Context) {
+	defer a.configuration.stop()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -118,53 +60,120 @@
 	}
 }
 
-// wake has Run take a step at once, on its own goroutine.
-func (a *Agent) wake() {
-	select {
-	case a.wakeup <- struct{}{}:
-	default: // it is to take one anyway
-	}
-}
-
-// sendRequests sends what is due: shuffles, records of endpoints and subscriptions.
+// sendDue sends the shuffles, endpoint records and subscriptions that are due, and notifies of changes.
 func (a *Agent) sendDue() {
-	a.finishPoll()
-	now := a.config.Hub.Now()
-	a.mu.Lock()
-	neighbours, shuffle := a.view.Tick(now)
-	if shuffle != nil {
-		shuffle.ConfigVersion = a.current.Version
-	}
-	a.recordZones(now)
-	a.updateFromView(now)
-	records := a.publisher.Tick(now)
-	asks := a.subscriptions.Tick(now)
-	a.expire(now)
-	a.mu.Unlock()
-	a.shuffleWith(neighbours, shuffle)
-	a.publish(records)
-	a.subscribe(asks)
-	a.notifyChanges()
+	a.configuration.finishPoll()
+	due := a.takeDue()
+	a.members.sendShuffles(due.neighbours, due.shuffle)
+	a.publisher.sendRecords(due.records)
+	a.directory.sendSubscriptions(due.subscriptions)
+	a.directory.notifyChanges()
 }
 
-// send sends a message to an address, and hands over the answer if one comes.
-func (a *Agent) send(address string, method uint64, m codec.Message, got func(body []byte)) {
-	a.config.Hub.Send(address, method, codec.MarshalAppend(nil, m), 0, func(body []byte, err error) {
-		if err == nil && got != nil {
-			got(body)
-		}
-	})
+// dueMessages are those that are to be sent now.
+type dueMessages struct {
+	neighbours    []string // that get the shuffle
+	shuffle       *membership.Shuffle
+	records       []discovery.Announcement
+	subscriptions []discovery.SubscribeRequest
 }
 
-// randomUint64 is a random number. The lock is held.
-func (a *Agent) randomUint64() uint64 { return a.rng.Uint64() }
+// takeDue advances all that depends on the time.
+func (a *Agent) takeDue() dueMessages {
+	now := a.now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var due dueMessages
+	due.neighbours, due.shuffle = a.members.tickLocked(now)
+	if a.members.viewChangedLocked() {
+		a.publisher.updateOwnersLocked(now)
+		a.directory.updateOwnersLocked(now)
+		a.members.reportSidecarCountLocked()
+	}
+	due.records = a.publisher.tickLocked(now)
+	due.subscriptions = a.directory.tickLocked(now)
+	return due
+}
 
 // handleLinkLost takes note that a link to an address has ended.
 func (a *Agent) handleLinkLost(address, _ string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.config.Hub.Now()
-	a.view.ConnectionLost(now, address)
-	a.subscriptions.ConnectionLost(now, address)
-	a.publisher.ForgetOwner(address)
+	now := a.now()
+	a.members.view.ConnectionLost(now, address)
+	a.directory.subscriptions.ConnectionLost(now, address)
+	a.publisher.records.ForgetOwner(address)
+}
+
+// SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
+func (a *Agent) SetSeeds(addresses []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.members.view.SetSeeds(a.now(), addresses)
+}
+
+// MemberAt is the newest member at an IP address; false if none is known there.
+func (a *Agent) MemberAt(ip string) (membership.Member, bool) { return a.members.at(ip) }
+
+// Members are the processes that run, as far as this one knows, itself among them.
+func (a *Agent) Members() []membership.Member { return a.members.all() }
+
+// CoreAddresses are the control addresses of the core processes among the members. All machines have the same ports.
+func (a *Agent) CoreAddresses() []string {
+	_, port, err := net.SplitHostPort(a.settings.ControlAddress)
+	if err != nil {
+		return nil
+	}
+	var addresses []string
+	for _, m := range a.Members() {
+		if host, _, err := net.SplitHostPort(m.Address); err == nil && m.Role == membership.RoleCore {
+			addresses = append(addresses, net.JoinHostPort(host, port))
+		}
+	}
+	return addresses
+}
+
+// ApplyCommitted takes a configuration that a majority of the voters is known to have on disk, has it applied in this process, and
+// announces the version to others. A configuration is applied in no other way. One that is not newer than the applied one changes
+// nothing. One that can't be parsed, or whose text names another version, is logged and not applied.
+func (a *Agent) ApplyCommitted(version uint64, text []byte) { a.configuration.apply(version, text) }
+
+// Configuration is the version and the text of the configuration that is applied here; version 0 for none.
+func (a *Agent) Configuration() (version uint64, text []byte) { return a.configuration.applied() }
+
+// Publish publishes the endpoint beside this process as it is now. It only notes the record for Run, and may be called with locks held
+// that OnEndpointLeaving or OnEndpointsChanged takes: this process may own the record's service, and would call these.
+func (a *Agent) Publish(e discovery.Endpoint) { a.publisher.set(e) }
+
+// PublishEnd publishes that an endpoint that was beside this process has ended, as Crashed or Deregistered. Like Publish it only notes that.
+func (a *Agent) PublishEnd(id string, s discovery.State) { a.publisher.end(id, s) }
+
+// AwaitConfirmed waits until a registry owner on another machine knows an endpoint as it was last published, for 250 ms at most. An
+// endpoint's call that is acknowledged after that outlives this process.
+func (a *Agent) AwaitConfirmed(ctx context.Context, id string) { a.publisher.awaitConfirmed(ctx, id) }
+
+// PublishOnBehalf publishes a record that this process received in place of the endpoint's own sidecar, which could not be reached. It
+// reports whether a registry owner in every zone has acknowledged it, so that all callers learn of it: also in zones that had
+// members lately, which may be cut off. This process alone is not enough. It returns when ctx ends at the latest.
+func (a *Agent) PublishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
+	return a.publisher.publishOnBehalf(ctx, e)
+}
+
+// ApplyRecord takes a record of an endpoint into the registry, as if a sidecar had published it to this process.
+func (a *Agent) ApplyRecord(e discovery.Endpoint) { a.directory.applyAsOwner(e) }
+
+// Refresh asks the registry owners of a service for all that they hold of it. It does not wait for the answers.
+func (a *Agent) Refresh(service string) { a.directory.refresh(service) }
+
+// EventsHandler serves the feed of events to tools (package eventfeed). It is for core processes.
+func (a *Agent) EventsHandler() http.Handler { return eventfeed.Handler(a.events) }
+
+// KeepaliveHandler serves the calls of endpoints over HTTP: POST /endpoints/{id}/keepalive and POST /endpoints/{id}/deregister. local is
+// the endpoint beside this process, nil where there is none; keepalives that other processes forward are delivered to it too.
+func (a *Agent) KeepaliveHandler(local LocalEndpoint) http.Handler {
+	k := &keepaliveServer{environment: a.environment, members: a.members, directory: a.directory, publisher: a.publisher, local: local}
+	if local != nil {
+		transport.Handle(a.hub, methodKeepalive, k.handleForwarded)
+	}
+	return k.handler()
 }
--- /dev/null
+++ b/internal/mesh/agent/configuration_test.go
@@ -0,0 +1,92 @@
+package agent
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
+)
+
+// configurationOf is the text of a configuration without routes.
+func configurationOf(version uint64) []byte {
+	return fmt.Appendf(nil, `{"configVersion":"r%d","routeTable":[]}`, version)
+}
+
+// Whoever sends which version when, in a process the applied versions only rise, the newest one sent is applied in the end, and a text that
+// is not of the version it is sent under never is.
+func TestVersionsOnlyRise(t *testing.T) {
+	const newest = 50
+	for seed := range uint64(20) {
+		var applied []configuration.Version // one at a time
+		a := New(Config{
+			Settings:        &settings.Settings{Service: "s"},
+			Hub:             newTestHub(t, 1, "127.9.1.1:7401"),
+			Role:            membership.RoleAccess,
+			Log:             discardLog(),
+			Seed:            seed,
+			OnConfiguration: func(c *configuration.Config) { applied = append(applied, c.Version) },
+		})
+		var senders sync.WaitGroup
+		for i := range uint64(4) {
+			rng := rand.New(rand.NewPCG(seed, i))
+			senders.Go(func() {
+				for range 30 {
+					version := 1 + rng.Uint64N(newest)
+					a.ApplyCommitted(version, configurationOf(version))
+					a.ApplyCommitted(100+version, configurationOf(version)) // sent under another version
+				}
+				a.ApplyCommitted(newest, configurationOf(newest))
+			})
+		}
+		senders.Wait()
+		for i := range applied {
+			qt.Assert(t, i == 0 || applied[i] > applied[i-1], qt.IsTrue, qt.Commentf("%v", applied))
+		}
+		qt.Assert(t, applied[len(applied)-1], qt.Equals, configuration.Version(newest))
+		held, _ := a.Configuration()
+		qt.Assert(t, held, qt.Equals, uint64(newest))
+	}
+}
+
+// A process that ends waits for the fetched configuration that it applies, and applies no further one.
+func TestStopWaitsForFetchedConfigurations(t *testing.T) {
+	applying, goOn := make(chan struct{}), make(chan struct{})
+	a := New(Config{
+		Settings: &settings.Settings{Service: "s"},
+		Hub:      newTestHub(t, 1, "127.9.1.3:7401"),
+		Role:     membership.RoleAccess,
+		Log:      discardLog(),
+		OnConfiguration: func(*configuration.Config) {
+			close(applying) // a second call would panic
+			<-goOn
+		},
+	})
+	a.configuration.applyFetched(&configurationText{Version: 1, Text: configurationOf(1)})
+	<-applying
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		a.configuration.stop()
+	}()
+	eventually(t, "no further configuration is applied", func() bool {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		return a.configuration.stopped
+	})
+	select {
+	case <-stopped:
+		t.Fatal("a configuration is still being applied")
+	default:
+	}
+	a.configuration.applyFetched(&configurationText{Version: 2, Text: configurationOf(2)})
+	close(goOn)
+	<-stopped
+	version, _ := a.Configuration()
+	qt.Assert(t, version, qt.Equals, uint64(1))
+}
--- /dev/null
+++ b/internal/mesh/agent/directory.go
@@ -0,0 +1,194 @@
+package agent
+
+import (
+	"context"
+	"time"
+
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+// expiryInterval is the time between two looks at the leases of endpoint records.
+const expiryInterval = time.Second
+
+// endpointDirectory holds the endpoint records that this process knows, in both of its parts: as a registry owner that sidecars publish
+// to and subscribers subscribe at, and as a subscriber that follows the services it wants. Its fields are guarded by environment.mu.
+type endpointDirectory struct {
+	*environment
+	members *memberTracker
+	events  *eventRecorder // may be nil
+
+	registry      *discovery.Registry
+	subscriptions *discovery.Subscription // of this process, at registry owners
+	subscribers   *discovery.Subscribers  // at this process
+	services      []string                // whose endpoints this process wants to know
+	changed       map[string]uint64       // registry's version before the first change that is not notified, by service
+	nextExpiry    time.Duration
+}
+
+func newEndpointDirectory(env *environment, members *memberTracker, recorder *eventRecorder) *endpointDirectory {
+	d := &endpointDirectory{
+		environment:   env,
+		members:       members,
+		events:        recorder,
+		registry:      discovery.NewRegistry(discovery.Config{}),
+		subscriptions: discovery.NewSubscription(discovery.Config{}),
+		subscribers:   discovery.NewSubscribers(discovery.Config{}),
+		changed:       map[string]uint64{},
+	}
+	if env.config.Role == membership.RoleAccess {
+		d.services = []string{env.settings.Service}
+	}
+	return d
+}
+
+func (d *endpointDirectory) register() {
+	transport.Handle(d.hub, methodPublish, d.handlePublish)
+	transport.Handle(d.hub, methodSubscribe, d.handleSubscribe)
+	transport.Handle(d.hub, methodUpdate, d.handleUpdate)
+}
+
+// tickLocked ends leases that have run out, and returns the subscribe requests that are to be sent now.
+func (d *endpointDirectory) tickLocked(now time.Duration) []discovery.SubscribeRequest {
+	due := d.subscriptions.Tick(now)
+	d.expireLocked(now)
+	return due
+}
+
+// expireLocked ends leases that have run out, each expiryInterval.
+func (d *endpointDirectory) expireLocked(now time.Duration) {
+	if now < d.nextExpiry {
+		return
+	}
+	d.nextExpiry = now + expiryInterval
+	before := d.registry.Version()
+	for _, e := range d.registry.Expire(now) {
+		d.markChangedLocked(e.Service, before)
+	}
+}
+
+// wantLocked replaces the services that this process wants to know the endpoints of.
+func (d *endpointDirectory) wantLocked(services []string) { d.services = services }
+
+// updateOwnersLocked has the wanted services' registry owners be those of the present members.
+func (d *endpointDirectory) updateOwnersLocked(now time.Duration) {
+	for _, service := range d.services {
+		var owners []discovery.RegistryOwner
+		for _, m := range d.members.ownZoneOwnersLocked(service, ownersPerZone+1) {
+			owners = append(owners, discovery.RegistryOwner{Address: m.Address, Incarnation: m.Incarnation})
+		}
+		d.subscriptions.SetOwners(now, service, owners)
+	}
+}
+
+// sendSubscriptions sends subscribe requests. Where this process is the registry owner itself, it has the records already.
+func (d *endpointDirectory) sendSubscriptions(requests []discovery.SubscribeRequest) {
+	self := d.address()
+	for _, r := range requests {
+		owner := discovery.RegistryOwner{Address: r.To, Incarnation: r.Incarnation}
+		if r.To == self {
+			d.mu.Lock()
+			d.subscriptions.Received(d.now(), owner, r.Service, 0)
+			d.mu.Unlock()
+			continue
+		}
+		d.requestList(r.To, &subscribeRequest{Subscriber: self, Service: r.Service, Since: r.SinceVersion, OwnerIncarnation: r.Incarnation})
+	}
+}
+
+// refresh asks the registry owners of a service for all that they hold of it.
+func (d *endpointDirectory) refresh(service string) {
+	d.mu.Lock()
+	owners := d.members.ownZoneOwnersLocked(service, ownersPerZone)
+	d.mu.Unlock()
+	self := d.address()
+	for _, m := range owners {
+		if m.Address != self {
+			d.requestList(m.Address, &subscribeRequest{Subscriber: self, Service: service})
+		}
+	}
+}
+
+// requestList sends a subscribe request to a registry owner, and applies its endpoint list.
+func (d *endpointDirectory) requestList(owner string, request *subscribeRequest) {
+	d.send(owner, methodSubscribe, request, func(body []byte) {
+		var list endpointList
+		if len(body) > 0 && codec.Unmarshal(body, &list) == nil {
+			d.applyList(discovery.RegistryOwner{Address: owner, Incarnation: list.OwnerIncarnation}, &list)
+		}
+	})
+}
+
+// applyList applies the answer to a subscribe request.
+func (d *endpointDirectory) applyList(from discovery.RegistryOwner, list *endpointList) {
+	d.mu.Lock()
+	d.applyLocked(list.Endpoints)
+	d.subscriptions.Received(d.now(), from, list.Service, list.Version)
+	d.mu.Unlock()
+	d.notifyChanges()
+}
+
+// handleUpdate applies what a registry owner says has changed.
+func (d *endpointDirectory) handleUpdate(_ context.Context, _ *transport.Hello, list *endpointList) *acknowledgement {
+	d.apply(list.Endpoints...)
+	d.notifyChanges()
+	return &acknowledgement{Accepted: true}
+}
+
+// handleSubscribe answers a subscriber with what has changed since the version that it knows, and notifies it of changes from now on.
+func (d *endpointDirectory) handleSubscribe(_ context.Context, _ *transport.Hello, s *subscribeRequest) *endpointList {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.now()
+	d.subscribers.Renew(now, s.Service, s.Subscriber)
+	incarnation := d.hub.Self().Incarnation
+	since := s.Since
+	if s.OwnerIncarnation != incarnation {
+		since = 0 // versions count within one incarnation
+	}
+	endpoints, version, _ := d.registry.ChangedSince(now, s.Service, since)
+	return &endpointList{Service: s.Service, Version: version, Endpoints: endpoints, OwnerIncarnation: incarnation}
+}
+
+func (d *endpointDirectory) handlePublish(_ context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
+	d.applyAsOwner(p.Endpoint)
+	return &publishRequest{Accepted: true}
+}
+
+// applyAsOwner takes a record as a registry owner: subscribers are notified.
+func (d *endpointDirectory) applyAsOwner(e discovery.Endpoint) {
+	d.apply(e)
+	d.notifyChanges()
+}
+
+// apply takes records into the registry. Nobody is notified yet.
+func (d *endpointDirectory) apply(records ...discovery.Endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.applyLocked(records)
+}
+
+func (d *endpointDirectory) applyLocked(records []discovery.Endpoint) {
+	now := d.now()
+	for _, e := range records {
+		before := d.registry.Version()
+		if d.registry.Apply(now, e) {
+			d.markChangedLocked(e.Service, before)
+		}
+	}
+}
+
+// complete completes a record that has only an id and a state by what is known of its endpoint, if anything is.
+func (d *endpointDirectory) complete(e discovery.Endpoint) discovery.Endpoint {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, known := range d.registry.All(d.now()) {
+		if known.ID == e.ID {
+			known.State = e.State
+			return known
+		}
+	}
+	return e
+}
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -1,110 +1,152 @@
 package agent
 
 import (
-	"net/http"
 	"sync"
 	"time"
 
+	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/discovery"
 	"quincegap/internal/mesh/discovery/membership"
-	"quincegap/internal/mesh/operations/eventfeed"
 	"quincegap/internal/mesh/operations/events"
 )
 
 const (
-	maxEvents        = 4096
-	quotaHitInterval = 10 * time.Second
+	maxEvents              = 4096             // kept
+	quotaExhaustedInterval = 10 * time.Second // between two events of one tenant's quota
 )
 
-// eventRecorder keeps what a core process has seen, for tools.
+// eventRecorder keeps what a core process has seen as events, for tools. It is an eventfeed.Source. A nil recorder, as sidecars have,
+// records nothing.
 type eventRecorder struct {
 	mu             sync.Mutex
 	feed           *events.Feed
-	added          chan struct{}                // closed when an event has been added
-	endpointStates map[string]discovery.State   // of endpoints, as last told
-	knownMembers   map[uint64]membership.Member // by life, as last told
-	lastQuotaHit   map[string]time.Duration     // of tenants' quotas, as last told
+	added          chan struct{}                // closed, and replaced, when an event has been added
+	endpointStates map[string]discovery.State   // as last recorded, by id
+	members        map[uint64]membership.Member // as last recorded, by incarnation
+	quotaExhausted map[string]time.Duration     // when last recorded, by tenant
 }
 
-func newEventRecorder(life uint64) *eventRecorder {
+func newEventRecorder(incarnation uint64) *eventRecorder {
 	return &eventRecorder{
-		feed: events.NewFeed(life, maxEvents), added: make(chan struct{}), endpointStates: map[string]discovery.State{},
-		knownMembers: map[uint64]membership.Member{}, lastQuotaHit: map[string]time.Duration{},
+		feed:           events.NewFeed(incarnation, maxEvents),
+		added:          make(chan struct{}),
+		endpointStates: map[string]discovery.State{},
+		members:        map[uint64]membership.Member{},
+		quotaExhausted: map[string]time.Duration{},
 	}
 }
 
-func (e *eventRecorder) add(event events.Event) {
-	event.Time = time.Now().UTC().Format(time.RFC3339Nano)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.feed.Add(event)
-	close(e.added)
-	e.added = make(chan struct{})
+// After implements eventfeed.Source.
+func (r *eventRecorder) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	found, next := r.feed.After(c, limit, f)
+	return found, next, r.added, nil
 }
 
-// recordEndpoints adds what has changed of a service's endpoints.
-func (e *eventRecorder) recordEndpoints(all []discovery.Endpoint) {
-	for _, endpoint := range all {
-		e.mu.Lock()
-		was, known := e.endpointStates[endpoint.ID]
-		e.endpointStates[endpoint.ID] = endpoint.State
-		if endpoint.State == discovery.Deregistered {
-			delete(e.endpointStates, endpoint.ID)
-		}
-		e.mu.Unlock()
-		if known && was == endpoint.State || !known && endpoint.State >= discovery.Crashed {
-			continue
+func (r *eventRecorder) add(e events.Event) {
+	e.Time = time.Now().UTC().Format(time.RFC3339Nano)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.feed.Add(e)
+	close(r.added)
+	r.added = make(chan struct{})
+}
+
+var endpointEventKinds = map[discovery.State]string{
+	discovery.Serving:      events.EndpointServing,
+	discovery.Draining:     events.EndpointDraining,
+	discovery.Crashed:      events.EndpointCrashed,
+	discovery.Deregistered: events.EndpointGone,
+}
+
+// recordEndpoints records what has changed of a service's endpoints. The end of an endpoint that was never recorded as running is not
+// recorded either.
+func (r *eventRecorder) recordEndpoints(endpoints []discovery.Endpoint) {
+	if r == nil {
+		return
+	}
+	for _, e := range endpoints {
+		if r.endpointChanged(&e) {
+			r.add(events.Event{Kind: endpointEventKinds[e.State], Service: e.Service, Endpoint: e.ID, Zone: e.Zone, Node: e.SidecarAddress})
 		}
-		kind := map[discovery.State]string{
-			discovery.Serving: events.EndpointServing, discovery.Draining: events.EndpointDraining,
-			discovery.Crashed: events.EndpointCrashed, discovery.Deregistered: events.EndpointGone,
-		}[endpoint.State]
-		e.add(events.Event{Kind: kind, Service: endpoint.Service, Endpoint: endpoint.ID, Zone: endpoint.Zone, Node: endpoint.SidecarAddress})
 	}
 }
 
-// recordMembers adds who has come and gone.
-func (e *eventRecorder) recordMembers(all []membership.Member) {
-	now := map[uint64]membership.Member{}
-	for _, m := range all {
-		now[m.Incarnation] = m
+// endpointChanged keeps an endpoint's state, and reports whether it is to be recorded.
+func (r *eventRecorder) endpointChanged(e *discovery.Endpoint) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last, known := r.endpointStates[e.ID]
+	if e.State == discovery.Deregistered {
+		delete(r.endpointStates, e.ID)
+	} else {
+		r.endpointStates[e.ID] = e.State
 	}
-	e.mu.Lock()
-	was := e.knownMembers
-	e.knownMembers = now
-	e.mu.Unlock()
-	for life, m := range now {
-		if _, ok := was[life]; !ok {
-			e.add(events.Event{Kind: events.MemberReachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
-		}
+	if known {
+		return last != e.State
+	}
+	return e.State < discovery.Crashed
+}
+
+// recordMembers records which members are new, and which are no longer there.
+func (r *eventRecorder) recordMembers(members []membership.Member) {
+	if r == nil {
+		return
+	}
+	current := map[uint64]membership.Member{}
+	for _, m := range members {
+		current[m.Incarnation] = m
 	}
-	for life, m := range was {
-		if _, ok := now[life]; !ok {
-			e.add(events.Event{Kind: events.MemberUnreachable, Node: m.Address, Zone: m.Zone, Service: m.Service})
+	r.mu.Lock()
+	last := r.members
+	r.members = current
+	r.mu.Unlock()
+	r.recordMissing(events.MemberReachable, current, last)
+	r.recordMissing(events.MemberUnreachable, last, current)
+}
+
+// recordMissing records each member that is in one set and not in the other.
+func (r *eventRecorder) recordMissing(kind string, in, notIn map[uint64]membership.Member) {
+	for incarnation, m := range in {
+		if _, ok := notIn[incarnation]; !ok {
+			r.add(events.Event{Kind: kind, Node: m.Address, Zone: m.Zone, Service: m.Service})
 		}
 	}
 }
 
-// recordQuotaHit adds that a tenant's tokens are used up, once in a quotaHitInterval.
-func (e *eventRecorder) recordQuotaHit(now time.Duration, tenant string) {
-	e.mu.Lock()
-	last, ok := e.lastQuotaHit[tenant]
-	if ok && now-last < quotaHitInterval {
-		e.mu.Unlock()
-		return
+// recordQuotaExhausted records that a tenant's tokens are used up, once in a quotaExhaustedInterval.
+func (r *eventRecorder) recordQuotaExhausted(now time.Duration, tenant string) {
+	if r != nil && r.quotaEventDue(now, tenant) {
+		r.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
+	}
+}
+
+func (r *eventRecorder) quotaEventDue(now time.Duration, tenant string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last, ok := r.quotaExhausted[tenant]
+	if ok && now-last < quotaExhaustedInterval {
+		return false
 	}
-	e.lastQuotaHit[tenant] = now
-	e.mu.Unlock()
-	e.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
+	r.quotaExhausted[tenant] = now
+	return true
 }
 
-// After gives events to a reader (eventfeed.Source).
-func (e *eventRecorder) After(c events.Cursor, most int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	got, next := e.feed.After(c, most, f)
-	return got, next, e.added, nil
+func (r *eventRecorder) recordConfiguration(version configuration.Version) {
+	if r != nil {
+		r.add(events.Event{Kind: events.ConfigurationApplied, Version: version.String()})
+	}
+}
+
+func (r *eventRecorder) recordRoleAcquired(node, detail string) {
+	if r != nil {
+		r.add(events.Event{Kind: events.RoleAcquired, Node: node, Detail: detail})
+	}
 }
 
-// EventsHandler serves the feed to tools.
-func (a *Agent) EventsHandler() http.Handler { return eventfeed.Handler(a.events) }
+func (r *eventRecorder) recordRoleLost(node, detail string) {
+	if r != nil {
+		r.add(events.Event{Kind: events.RoleLost, Node: node, Detail: detail})
+	}
+}
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -13,7 +11,6 @@
 	"time"
 
 	qt "github.com/frankban/quicktest"
-	"github.com/sirupsen/logrus"
 
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/control/consensus"
@@ -23,7 +20,6 @@
 	"quincegap/internal/mesh/discovery/membership"
 	"quincegap/internal/mesh/operations/events"
 	"quincegap/internal/mesh/operations/settings"
-	"quincegap/internal/mesh/transport"
 	"quincegap/internal/mesh/transport/codec"
 )
 
@@ -72,25 +68,18 @@
 // A process answers the methods of these numbers with these bytes, and no others.
 func TestGoldenMethods(t *testing.T) {
 	c := qt.New(t)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
 	own := &settings.Settings{Name: "core-1", IP: "127.9.30.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.30.1:7402"}
-	hub := transport.NewHub(transport.Hello{Incarnation: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now().Add(-time.Hour), 1<<20, log)
-	defer hub.Close()
-	a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: 1})
+	hub := newTestHub(t, 7, own.InternalAddress())
+	a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
 	a.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
-	duties := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{own.ControlAddress}}, accepted: 3}, true)
+	roles := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{own.ControlAddress}}, accepted: 3}, true)
 	asked := hub.Now() + time.Minute // another process holds the lease that is asked for
-	c.Assert(duties.allocatorLease.Tick(asked, 1, 0), qt.IsNotNil)
-	duties.handleLeaseReply(asked, 0, own.ControlAddress, &lease.Reply{Grants: []lease.Grant{{Role: "allocator", FencingToken: 4, Holder: "127.9.30.3:7401", Remaining: time.Hour}}})
+	c.Assert(roles.allocatorLease.Tick(asked, 1, 0), qt.IsNotNil)
+	roles.handleReply(asked, 0, own.ControlAddress, &lease.Reply{Grants: []lease.Grant{{Role: "allocator", FencingToken: 4, Holder: "127.9.30.3:7401", Remaining: time.Hour}}})
 	a.ServeConsensus(func(_ context.Context, request []byte) ([]byte, error) { return append([]byte("re:"), request...), nil })
 	a.KeepaliveHandler(goldenLocal{})
-	listener, err := net.Listen("tcp4", own.InternalAddress())
-	c.Assert(err, qt.IsNil)
-	defer listener.Close()
-	go func() { _ = hub.Listen(listener) }() // ends with the listener
-	caller := transport.NewHub(transport.Hello{Incarnation: 8, Address: "127.9.30.2:7401", Zone: "z"}, time.Now(), 1<<20, log)
-	defer caller.Close()
+	serveHub(t, hub)
+	caller := newTestHub(t, 8, "127.9.30.2:7401")
 
 	elsewhere := goldenEndpoint()
 	elsewhere.LeaseRemaining = 0 // what is left of a lease is of the time of the answer
@@ -166,25 +155,22 @@
 // goldenCore is a core process without links, whose sidecars and endpoints are known to it.
 func goldenCore(t *testing.T) *Agent {
 	t.Helper()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
 	own := &settings.Settings{Name: "core-1", IP: "127.9.31.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.31.1:7402"}
-	hub := transport.NewHub(transport.Hello{Incarnation: 7, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
-	t.Cleanup(hub.Close)
-	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log, Seed: 1})
+	hub := newTestHub(t, 7, own.InternalAddress())
+	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
 }
 
 // What a core process says of itself over HTTP, and to calls that it does not serve. Ages and what is left of leases are left out.
 func TestGoldenStateAnswers(t *testing.T) {
 	a := goldenCore(t)
 	e := goldenEndpoint()
-	a.apply(e)
+	a.directory.apply(e)
 	handler := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{"127.9.31.1:7402"}}, accepted: 3}, true).Handler()
 	var lines strings.Builder
 	for _, call := range []string{"GET /mesh/state", "POST /mesh/state", "GET /mesh/other"} {
 		method, path, _ := strings.Cut(call, " ")
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(method, path, nil))
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, nil))
 		body := w.Body.String()
 		var s State
 		if json.Unmarshal(w.Body.Bytes(), &s) == nil {
@@ -227,7 +213,7 @@
 				e.Sequence)
 		}
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/endpoints/own/keepalive", strings.NewReader(body)))
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/endpoints/own/keepalive", strings.NewReader(body)))
 		fmt.Fprintf(&lines, "%d %s %s\n", w.Code, w.Header().Get("Content-Type"), strings.TrimSpace(w.Body.String()))
 	}
 	for _, call := range []string{
@@ -236,7 +222,7 @@
 	} {
 		fields := strings.Fields(call + " -")
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(fields[0], fields[1], strings.NewReader(fields[2])))
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), fields[0], fields[1], strings.NewReader(fields[2])))
 		fmt.Fprintf(&lines, "%s %s of %d bytes\n%d %s %s\n", fields[0], fields[1], len(fields[2]), w.Code, w.Header().Get("Content-Type"),
 			strings.TrimSpace(w.Body.String()))
 	}
@@ -264,17 +250,17 @@
 	late := goldenEndpoint()
 	late.ID, late.State = "ep-2", discovery.Deregistered
 	a.events.recordEndpoints([]discovery.Endpoint{late}) // nobody has heard of it while it served
-	a.events.recordQuotaHit(0, "north")
-	a.events.recordQuotaHit(quotaHitInterval-1, "north")
-	a.events.recordQuotaHit(quotaHitInterval, "north")
+	a.events.recordQuotaExhausted(0, "north")
+	a.events.recordQuotaExhausted(quotaExhaustedInterval-1, "north")
+	a.events.recordQuotaExhausted(quotaExhaustedInterval, "north")
 	a.ApplyCommitted(3, []byte(`{"configVersion":"r3","routeTable":[]}`))
 	d := a.NewSingletonRoles(&fakeRegister{}, true)
 	d.mu.Lock()
-	d.startAllocator(0)
-	d.stopAllocator()
+	d.startAllocatorLocked(0)
+	d.stopAllocatorLocked()
 	d.mu.Unlock()
 	w := httptest.NewRecorder()
-	a.EventsHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/events", nil))
+	a.EventsHandler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
 	var lines strings.Builder
 	for line := range strings.Lines(w.Body.String()) {
 		var e events.Event
--- /dev/null
+++ b/internal/mesh/agent/helpers_test.go
@@ -0,0 +1,69 @@
+package agent
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/transport"
+)
+
+// maxWaitInTests is for what is to happen soon, on a busy machine too.
+const maxWaitInTests = 20 * time.Second
+
+// discardLog is a logger that writes nothing.
+func discardLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// newTestHub is a hub whose clock began an hour ago. It is closed with the test.
+func newTestHub(tb testing.TB, incarnation uint64, address string) *transport.Hub {
+	tb.Helper()
+	hello := transport.Hello{Incarnation: incarnation, Address: address, Zone: "z"}
+	hub := transport.NewHub(hello, time.Now().Add(-time.Hour), 1<<20, discardLog())
+	tb.Cleanup(hub.Close)
+	return hub
+}
+
+// serveHub has a hub take links at its own address until the test ends.
+func serveHub(tb testing.TB, hub *transport.Hub) {
+	tb.Helper()
+	listener, err := new(net.ListenConfig).Listen(tb.Context(), "tcp4", hub.Self().Address)
+	qt.Assert(tb, err, qt.IsNil)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = hub.Listen(listener) // ends with the listener
+	}()
+	tb.Cleanup(func() {
+		_ = listener.Close()
+		<-ended
+	})
+}
+
+// newTestSidecar is an agent of a sidecar that nobody can reach.
+func newTestSidecar(tb testing.TB, address string, seed uint64) *Agent {
+	tb.Helper()
+	return New(Config{
+		Settings: &settings.Settings{Service: "s"}, Hub: newTestHub(tb, 1, address), Role: membership.RoleAccess,
+		Log: discardLog(), Seed: seed,
+	})
+}
+
+// eventually waits until done, and fails the test if that takes too long.
+func eventually(tb testing.TB, what string, done func() bool) {
+	tb.Helper()
+	for deadline := time.Now().Add(maxWaitInTests); !done(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			tb.Fatalf("after %v still waiting for: %s", maxWaitInTests, what)
+		}
+	}
+}
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -5,182 +5,133 @@
 	"io"
 	"net"
 	"net/http"
-	"strings"
 	"time"
 
-	"github.com/gravitational/trace"
-	"github.com/tidwall/gjson"
-
 	"quincegap/internal/mesh/discovery"
 	"quincegap/internal/mesh/transport"
 )
 
 const (
-	maxKeepaliveBytes       = 16 << 10 // bytes of a body
+	maxKeepaliveBytes       = 16 << 10 // of a body
 	keepaliveForwardTimeout = 250 * time.Millisecond
 	forwardedRecordLease    = 9 * time.Second // of a record made from a keepalive that another process received
 )
 
-// Fields of a keepalive's body, and of its answer.
-const (
-	fieldService         = "serviceName"
-	fieldAddress         = "address"
-	fieldZone            = "zone"
-	fieldSlots           = "slotCount"
-	fieldSequence        = "callSequence"
-	fieldState           = "state"
-	fieldSlowStart       = "coldRemaining"
-	fieldKeepaliveTarget = "keepaliveTarget"
-)
-
 // LocalEndpoint is the endpoint beside this process.
 type LocalEndpoint interface {
-	// Keepalive takes a keepalive, or a deregistration (State Gone); false if it is not of the endpoint beside this process.
+	// Keepalive takes a keepalive, or a deregistration (state Deregistered). It reports false if that is not of the endpoint beside this
+	// process.
 	Keepalive(e discovery.Endpoint) bool
 }
 
-// ParseKeepalive reads the body of a keepalive. The error names each field that can't be used.
-func ParseKeepalive(id string, body []byte) (discovery.Endpoint, error) {
-	e := discovery.Endpoint{ID: id}
-	if !gjson.ValidBytes(body) {
-		return e, trace.BadParameter("not JSON")
-	}
-	root := gjson.ParseBytes(body)
-	var faults []string
-	text := func(path string) string {
-		x := root.Get(path)
-		if x.Type != gjson.String || x.String() == "" || len(x.String()) > 256 {
-			faults = append(faults, path+": wanted a text")
-		}
-		return x.String()
-	}
-	number := func(path string) int64 {
-		x := root.Get(path)
-		if x.Type != gjson.Number || x.Int() < 0 {
-			faults = append(faults, path+": wanted a number that is not negative")
-		}
-		return x.Int()
-	}
-	e.Service, e.AppAddress, e.Zone = text(fieldService), text(fieldAddress), root.Get(fieldZone).String()
-	e.Slots, e.Sequence = int(min(number(fieldSlots), 1<<20)), uint64(number(fieldSequence))
-	if _, _, err := net.SplitHostPort(e.AppAddress); err != nil {
-		faults = append(faults, fieldAddress+": wanted one like 10.0.0.4:8080")
-	}
-	switch state := text(fieldState); state {
-	case StateInService:
-	case StateDraining:
-		e.State = discovery.Draining
-	default:
-		faults = append(faults, fieldState+": wanted "+StateInService+" or "+StateDraining)
-	}
-	if cold := root.Get(fieldSlowStart); cold.Exists() {
-		d, err := time.ParseDuration(cold.String())
-		if err != nil || d < 0 {
-			faults = append(faults, fieldSlowStart+": wanted a time like 1500ms")
-		}
-		e.WarmupRemaining = min(d, time.Hour)
-	}
-	if len(faults) > 0 {
-		return e, trace.BadParameter("%s", strings.Join(faults, "; "))
-	}
-	return e, nil
+// keepaliveServer answers the calls of endpoints. An endpoint calls the sidecar beside it; if it can't reach that, it calls any other
+// process, which forwards the keepalive.
+type keepaliveServer struct {
+	*environment
+	members   *memberTracker
+	directory *endpointDirectory
+	publisher *recordPublisher
+	local     LocalEndpoint // may be nil
 }
 
-// KeepaliveHandler serves the calls of endpoints. local is the endpoint beside this process; nil where there is none.
-func (a *Agent) KeepaliveHandler(local LocalEndpoint) http.Handler {
+func (k *keepaliveServer) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /endpoints/{id}/keepalive", func(w http.ResponseWriter, q *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxKeepaliveBytes))
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
-			return
-		}
-		e, err := ParseKeepalive(q.PathValue("id"), body)
-		if err != nil {
-			a.config.Log.WithField("peer", q.RemoteAddr).WithError(err).Warn("agent: a keepalive can't be used")
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		a.answerKeepalive(w, q.Context(), local, e)
-	})
-	mux.HandleFunc("POST /endpoints/{id}/deregister", func(w http.ResponseWriter, q *http.Request) {
-		a.answerKeepalive(w, q.Context(), local, discovery.Endpoint{ID: q.PathValue("id"), State: discovery.Deregistered})
-	})
-	if local != nil {
-		transport.Handle(a.config.Hub, methodKeepalive, func(ctx context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
-			return &publishRequest{Accepted: a.deliverKeepalive(ctx, local, p.Endpoint)}
-		})
-	}
+	mux.HandleFunc("POST /endpoints/{id}/keepalive", k.serveKeepalive)
+	mux.HandleFunc("POST /endpoints/{id}/deregister", k.serveDeregistration)
 	return mux
 }
 
-// deliverKeepalive hands a keepalive to the endpoint beside this process; false if it is not that endpoint's. One that leaves may be told so
-// only once another machine knows: else the news would be lost with this process.
-func (a *Agent) deliverKeepalive(ctx context.Context, local LocalEndpoint, e discovery.Endpoint) bool {
-	if !local.Keepalive(e) {
-		return false
+func (k *keepaliveServer) serveKeepalive(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKeepaliveBytes))
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
+		return
 	}
-	if e.State >= discovery.Draining {
-		a.AwaitConfirmed(ctx, e.ID)
+	e, err := ParseKeepalive(r.PathValue("id"), body)
+	if err != nil {
+		k.log.WithField("peer", r.RemoteAddr).WithError(err).Warn("agent: a keepalive can't be used")
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
 	}
-	return true
+	k.answer(r.Context(), w, e)
+}
+
+func (k *keepaliveServer) serveDeregistration(w http.ResponseWriter, r *http.Request) {
+	k.answer(r.Context(), w, discovery.Endpoint{ID: r.PathValue("id"), State: discovery.Deregistered})
+}
+
+// handleForwarded delivers a keepalive that another process received.
+func (k *keepaliveServer) handleForwarded(ctx context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
+	return &publishRequest{Accepted: k.deliver(ctx, p.Endpoint)}
 }
 
-// answerKeepalive acknowledges a keepalive. That an endpoint leaves is acknowledged only if whoever has to know it will: the endpoint
-// calls another process otherwise.
-func (a *Agent) answerKeepalive(w http.ResponseWriter, ctx context.Context, local LocalEndpoint, e discovery.Endpoint) {
+// answer acknowledges a keepalive. That an endpoint leaves is acknowledged only if all that have to know it will: the endpoint calls
+// another process otherwise.
+func (k *keepaliveServer) answer(ctx context.Context, w http.ResponseWriter, e discovery.Endpoint) {
 	target := ""
-	if local == nil || !a.deliverKeepalive(ctx, local, e) {
-		var taken bool
-		if target, taken = a.forwardKeepalive(ctx, e); !taken && e.State >= discovery.Draining {
+	if !k.deliver(ctx, e) {
+		var accepted bool
+		target, accepted = k.forward(ctx, e)
+		if !accepted && e.State >= discovery.Draining {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 	}
-	w.Header().Set("Content-Type", "application/json")
+	text := "{}"
 	if target != "" {
-		_, _ = io.WriteString(w, `{"`+fieldKeepaliveTarget+`":"`+target+`"}`)
-		return
+		text = `{"` + fieldKeepaliveTarget + `":"` + target + `"}`
 	}
-	_, _ = io.WriteString(w, "{}")
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = io.WriteString(w, text) // an endpoint that has gone away gets none
 }
 
-// forwardKeepalive passes a keepalive that this process received on to the endpoint's own sidecar, or, if that can't be reached,
-// to the homes of the service. It gives the own sidecar's address for later keepalives, if that has taken this one, and tells
-// whether the keepalive was taken.
-func (a *Agent) forwardKeepalive(ctx context.Context, e discovery.Endpoint) (target string, taken bool) {
+// deliver hands a keepalive to the endpoint beside this process; false if it is not that endpoint's. One that leaves is acknowledged
+// only once another machine knows: else the update would be lost with this process.
+func (k *keepaliveServer) deliver(ctx context.Context, e discovery.Endpoint) bool {
+	if k.local == nil || !k.local.Keepalive(e) {
+		return false
+	}
+	if e.State >= discovery.Draining {
+		k.publisher.awaitConfirmed(ctx, e.ID)
+	}
+	return true
+}
+
+// forward forwards a keepalive that this process received to the endpoint's own sidecar, or, if that can't be reached, publishes it
+// to the registry owners of the service on the sidecar's behalf. It reports whether the keepalive was accepted; if the own sidecar has
+// accepted it, target is the control address of that, for later keepalives.
+func (k *keepaliveServer) forward(ctx context.Context, e discovery.Endpoint) (target string, accepted bool) {
 	if e.AppAddress == "" { // deregistered: only its id is known
-		e = a.knownEndpoint(e)
+		e = k.directory.complete(e)
 	}
 	ip, _, err := net.SplitHostPort(e.AppAddress)
 	if err != nil {
 		return "", false
 	}
-	e.SidecarAddress, e.LeaseRemaining = a.config.Settings.PeerAddress(ip), forwardedRecordLease
-	if m, ok := a.MemberAt(ip); ok {
-		e.SidecarAddress, e.SidecarIncarnation = m.Address, m.Incarnation
+	e.LeaseRemaining = forwardedRecordLease
+	e.SidecarAddress = k.settings.PeerAddress(ip)
+	if m, ok := k.members.at(ip); ok {
+		e.SidecarAddress = m.Address
+		e.SidecarIncarnation = m.Incarnation
+	}
+	if k.forwardToSidecar(ctx, e) {
+		return k.controlAddress(ip), true
 	}
+	// The time that the sidecar was given may have used up the endpoint's call; the owners are to know nevertheless.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepaliveForwardTimeout)
+	defer cancel()
+	return "", k.publisher.publishOnBehalf(ctx, e)
+}
+
+func (k *keepaliveServer) forwardToSidecar(ctx context.Context, e discovery.Endpoint) (accepted bool) {
 	ctx, cancel := context.WithTimeout(ctx, keepaliveForwardTimeout)
 	defer cancel()
-	answer, err := transport.Request[publishRequest](ctx, a.config.Hub, e.SidecarAddress, methodKeepalive, &publishRequest{Endpoint: e})
-	if err == nil && answer.Accepted {
-		_, port, _ := net.SplitHostPort(a.config.Settings.ControlAddress)
-		return net.JoinHostPort(ip, port), true
-	}
-	ctx, cancelHomes := context.WithTimeout(context.WithoutCancel(ctx), keepaliveForwardTimeout)
-	defer cancelHomes()
-	return "", a.PublishOnBehalf(ctx, e)
+	answer, err := transport.Request[publishRequest](ctx, k.hub, e.SidecarAddress, methodKeepalive, &publishRequest{Endpoint: e})
+	return err == nil && answer.Accepted
 }
 
-// knownEndpoint completes a deregistration with what is known of its endpoint.
-func (a *Agent) knownEndpoint(e discovery.Endpoint) discovery.Endpoint {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, known := range a.registry.All(a.config.Hub.Now()) {
-		if known.ID == e.ID {
-			known.State = e.State
-			return known
-		}
-	}
-	return e
+// controlAddress is the control address of the process at an IP address: all machines have the same ports.
+func (k *keepaliveServer) controlAddress(ip string) string {
+	_, port, _ := net.SplitHostPort(k.settings.ControlAddress) // checked when the settings were parsed
+	return net.JoinHostPort(ip, port)
 }
--- a/internal/mesh/agent/keepalive_test.go
+++ b/internal/mesh/agent/keepalive_test.go
@@ -13,19 +13,19 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// callKeepalive sends a call of an endpoint to a process, and returns the status of its answer.
-func callKeepalive(a *Agent, id, what, state string) int {
+// callKeepalive has an endpoint call a process, and returns the status of the answer.
+func callKeepalive(t *testing.T, a *Agent, id, call, state string) int {
+	t.Helper()
 	body := fmt.Sprintf(`{"serviceName":"service-0","address":"127.7.9.9:8080","zone":"zone-0","slotCount":4,"state":%q,"callSequence":7}`, state)
+	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/endpoints/"+id+"/"+call, strings.NewReader(body))
 	w := httptest.NewRecorder()
-	a.KeepaliveHandler(nil).ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/endpoints/"+id+"/"+what, strings.NewReader(body)))
+	a.KeepaliveHandler(nil).ServeHTTP(w, r)
 	return w.Code
 }
 
-// knows tells whether a process knows an endpoint in a state.
+// knows reports whether a process knows an endpoint in a state.
 func knows(a *Agent, id string, state discovery.State) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, e := range a.registry.All(a.config.Hub.Now()) {
+	for _, e := range a.snapshot().endpoints {
 		if e.ID == id {
 			return e.State == state
 		}
@@ -33,37 +33,29 @@
 	return false
 }
 
-// An endpoint whose own sidecar can't be reached tells a core process that it leaves. That is acknowledged only if homes in every zone
-// know of it: a core process that is cut off, or does not know the endpoint, answers 503, and the endpoint calls another.
+// An endpoint whose own sidecar can't be reached calls a core process when it leaves. That is acknowledged only if registry owners in
+// every zone know of it: a core process that is partitioned, or does not know the endpoint, answers 503, and the endpoint calls another.
 func TestALeavingEndpointIsAcknowledgedOnlyIfItIsKnown(t *testing.T) {
 	c := qt.New(t)
-	h := &idleMesh{}
-	defer func() {
-		for _, f := range h.closers {
-			f()
-		}
-	}()
-	seeds := []string{"127.7.0.1:7302"}
-	core := h.start(0, 3, 1, 2, 1, seeds)
-	c.Check(callKeepalive(core, "i-1", "keepalive", "in_service"), qt.Equals, 200)
-	c.Check(callKeepalive(core, "i-1", "keepalive", "draining"), qt.Equals, 503, qt.Commentf("nobody else knows"))
-	c.Check(callKeepalive(core, "i-2", "deregister", ""), qt.Equals, 503, qt.Commentf("nobody knows the endpoint"))
+	mesh := newIdleMesh(t, idleMeshSize{core: 1, zones: 2, services: 1})
+	core := mesh.start(0)
+	c.Check(callKeepalive(t, core, "i-1", "keepalive", "in_service"), qt.Equals, 200)
+	c.Check(callKeepalive(t, core, "i-1", "keepalive", "draining"), qt.Equals, 503, qt.Commentf("nobody else knows"))
+	c.Check(callKeepalive(t, core, "i-2", "deregister", ""), qt.Equals, 503, qt.Commentf("nobody knows the endpoint"))
 
-	first, second := h.start(1, 3, 1, 2, 1, seeds), h.start(2, 3, 1, 2, 1, seeds)
-	for end := time.Now().Add(20 * time.Second); len(core.Members()) < 3; time.Sleep(10 * time.Millisecond) {
-		c.Assert(time.Now().Before(end), qt.IsTrue)
-	}
-	c.Check(callKeepalive(core, "i-1", "keepalive", "draining"), qt.Equals, 200)
-	c.Check(knows(first, "i-1", discovery.Draining), qt.IsTrue, qt.Commentf("the only home in its zone"))
-	c.Check(callKeepalive(core, "i-1", "deregister", ""), qt.Equals, 200)
+	first, second := mesh.start(1), mesh.start(2)
+	eventually(t, "the core process knows all members", func() bool { return len(core.Members()) == 3 })
+	c.Check(callKeepalive(t, core, "i-1", "keepalive", "draining"), qt.Equals, 200)
+	c.Check(knows(first, "i-1", discovery.Draining), qt.IsTrue, qt.Commentf("the only owner in its zone"))
+	c.Check(callKeepalive(t, core, "i-1", "deregister", ""), qt.Equals, 200)
 	c.Check(knows(first, "i-1", discovery.Deregistered), qt.IsTrue)
 
-	h.closers[1]() // the zone of the first is cut off
-	c.Check(callKeepalive(core, "i-3", "keepalive", "draining"), qt.Equals, 503)
+	mesh.stop(1) // the zone of the first is partitioned
+	c.Check(callKeepalive(t, core, "i-3", "keepalive", "draining"), qt.Equals, 503)
 	c.Check(knows(second, "i-3", discovery.Draining), qt.IsTrue)
 }
 
-// What an endpoint is told is taken is known to another machine first: the news outlives the process that took it.
+// What is acknowledged to an endpoint is known to another machine first: the update outlives the process that took it.
 func TestALeavingEndpointsOwnSidecarWaitsForAnOwner(t *testing.T) {
 	c := qt.New(t)
 	p := discovery.NewPublisher(discovery.Config{})
@@ -71,17 +63,17 @@
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
 	p.SetOwners(0, []string{"self"})
 	p.Set(0, e)
-	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other home"))
+	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other owner"))
 	p.SetOwners(0, []string{"self", "one", "two"})
 	e.State = discovery.Draining
 	p.Set(time.Second, e)
-	edition := uint64(0)
+	revision := uint64(0)
 	for _, s := range p.Tick(time.Second) {
-		edition = s.Endpoint.Revision
+		revision = s.Endpoint.Revision
 	}
-	p.Acknowledged(time.Second, "self", "x", edition)
+	p.Acknowledged(time.Second, "self", "x", revision)
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse)
-	p.Acknowledged(time.Second, "two", "x", edition)
+	p.Acknowledged(time.Second, "two", "x", revision)
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue)
 	p.End(2*time.Second, "x", discovery.Deregistered)
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse, qt.Commentf("its end is newer"))
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -2,135 +2,223 @@
 
 import (
 	"context"
+	"math/rand/v2"
 	"time"
 
-	"quincegap/internal/mesh/discovery"
 	"quincegap/internal/mesh/discovery/membership"
 	"quincegap/internal/mesh/transport"
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// ownersPerZone is how many homes a service has in each zone.
-const ownersPerZone = 2
+const (
+	ownersPerZone = 2               // registry owners that a service has in each zone
+	zoneRetention = 2 * time.Minute // for which a zone counts that has no members any more
+)
+
+// memberTracker keeps the view of the members and exchanges it with others. Its fields are guarded by environment.mu.
+type memberTracker struct {
+	*environment
+	versions versionExchange
+
+	view         *membership.View
+	zoneLastSeen map[string]time.Duration // when a zone last had members
+	sidecarCount int                      // as last reported
+
+	// handledChanges is 1 more than the view's count of changes at which viewChangedLocked last reported one; 0 has it report one
+	// again.
+	handledChanges uint64
+}
 
-// SetSeeds sets the seeds as the settings have them now.
-func (a *Agent) SetSeeds(addresses []string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.view.SetSeeds(a.config.Hub.Now(), addresses)
+// versionExchange is what shuffles carry of the configuration.
+type versionExchange interface {
+	// versionLocked is the version that this process holds.
+	versionLocked() uint64
+	// learnVersion is called with the version that a peer holds.
+	learnVersion(peer string, version uint64)
 }
 
-// MemberAt is the newest member at an IP address.
-func (a *Agent) MemberAt(ip string) (membership.Member, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.view.MemberAt(ip)
+func newMemberTracker(env *environment) *memberTracker {
+	self := env.hub.Self()
+	rng := rand.New(rand.NewPCG(env.config.Seed, self.Incarnation))
+	m := &memberTracker{
+		environment: env,
+		view: membership.New(membership.Member{
+			Incarnation: self.Incarnation,
+			Address:     self.Address,
+			Zone:        env.settings.Zone,
+			Region:      env.settings.Region,
+			Role:        env.config.Role,
+			Service:     env.settings.Service,
+			AppAddress:  env.settings.ApplicationAddress,
+		}, membership.Config{}, rng),
+		zoneLastSeen: map[string]time.Duration{},
+	}
+	for zone, region := range env.settings.RegionOfZone {
+		m.view.SetRegion(zone, region)
+	}
+	m.view.SetSeeds(0, env.settings.SeedAddresses())
+	return m
 }
 
-// Members are the processes that are there, as far as this one knows.
-func (a *Agent) Members() []membership.Member {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.view.Members()
+func (m *memberTracker) register() {
+	transport.Handle(m.hub, methodShuffle, m.handleShuffle)
 }
 
-// shuffleWith sends a shuffle to neighbours and takes their replies.
-func (a *Agent) shuffleWith(neighbours []string, s *membership.Shuffle) {
+// tickLocked advances the view, and returns the shuffle that is to be sent to neighbours now, if there is one.
+func (m *memberTracker) tickLocked(now time.Duration) (neighbours []string, shuffle *membership.Shuffle) {
+	neighbours, shuffle = m.view.Tick(now)
+	if shuffle != nil {
+		shuffle.ConfigVersion = m.versions.versionLocked()
+	}
+	m.recordZonesLocked(now)
+	return neighbours, shuffle
+}
+
+// sendShuffles sends a shuffle to neighbours, and merges their replies.
+func (m *memberTracker) sendShuffles(neighbours []string, shuffle *membership.Shuffle) {
 	for _, address := range neighbours {
-		a.send(address, methodShuffle, s, func(body []byte) {
+		m.send(address, methodShuffle, shuffle, func(body []byte) {
 			var reply membership.Shuffle
 			if codec.Unmarshal(body, &reply) == nil {
-				a.mergeShuffle(&reply)
+				m.merge(&reply)
 			}
 		})
 	}
 }
 
-func (a *Agent) handleShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
-	reply := a.mergeShuffle(s)
-	if reply == nil {
-		reply = &membership.Shuffle{Reply: true}
+func (m *memberTracker) handleShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
+	if reply := m.merge(s); reply != nil {
+		return reply
 	}
-	return reply
+	return &membership.Shuffle{Reply: true}
 }
 
-// mergeShuffle merges a neighbour's view, and the version of the configuration that it holds.
-func (a *Agent) mergeShuffle(s *membership.Shuffle) *membership.Shuffle {
+// merge merges a neighbour's view, and learns of the version of the configuration that it holds. The reply may be nil.
+func (m *memberTracker) merge(s *membership.Shuffle) *membership.Shuffle {
 	if s.From.Incarnation == 0 {
 		return nil
 	}
-	a.mu.Lock()
-	reply, _ := a.view.Receive(a.config.Hub.Now(), s)
+	reply := m.mergeView(s)
+	m.versions.learnVersion(s.From.Address, s.ConfigVersion)
+	return reply
+}
+
+func (m *memberTracker) mergeView(s *membership.Shuffle) *membership.Shuffle {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	reply, _ := m.view.Receive(m.now(), s)
 	if reply != nil {
-		reply.ConfigVersion = a.current.Version
+		reply.ConfigVersion = m.versions.versionLocked()
 	}
-	a.mu.Unlock()
-	a.learnVersion(s.From.Address, s.ConfigVersion)
 	return reply
 }
 
-// updateFromView works out anew what rests on the members, if they have changed: the homes that this process publishes to and
-// subscribes at, and the number of sidecars. The lock is held.
-func (a *Agent) updateFromView(now time.Duration) {
-	if a.handledViewChanges == a.view.ChangeCount()+1 {
-		return
+// viewChangedLocked reports whether what depends on the members is to be worked out anew, once for each change.
+func (m *memberTracker) viewChangedLocked() bool {
+	changes := m.view.ChangeCount() + 1
+	if m.handledChanges == changes {
+		return false
 	}
-	a.handledViewChanges = a.view.ChangeCount() + 1
-	if a.config.Role == membership.RoleAccess && a.config.Settings.Service != "" {
-		a.publisher.SetOwners(now, a.publishOwners())
+	m.handledChanges = changes
+	return true
+}
+
+// invalidateLocked has viewChangedLocked report a change.
+func (m *memberTracker) invalidateLocked() { m.handledChanges = 0 }
+
+// reportSidecarCountLocked reports the number of sidecars if it has changed.
+func (m *memberTracker) reportSidecarCountLocked() {
+	count := len(sidecarAddresses(m.view.Members()))
+	if count != m.sidecarCount && m.config.OnSidecarCount != nil {
+		m.sidecarCount = count
+		m.config.OnSidecarCount(count)
 	}
-	for _, service := range a.wantedServices {
-		var homes []discovery.RegistryOwner
-		for _, m := range a.view.RegistryOwners(service, a.config.Settings.Zone, ownersPerZone+1) {
-			homes = append(homes, discovery.RegistryOwner{Address: m.Address, Incarnation: m.Incarnation})
+}
+
+// sidecars is the number of sidecars as last reported.
+func (m *memberTracker) sidecars() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.sidecarCount
+}
+
+func (m *memberTracker) all() []membership.Member {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.view.Members()
+}
+
+func (m *memberTracker) at(ip string) (membership.Member, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.view.MemberAt(ip)
+}
+
+// othersLocked are the addresses of all members but this process.
+func (m *memberTracker) othersLocked() []string {
+	self := m.address()
+	var others []string
+	for _, member := range m.view.Members() {
+		if member.Address != self {
+			others = append(others, member.Address)
 		}
-		a.subscriptions.SetOwners(now, service, homes)
 	}
-	sidecars := len(accessAddresses(a.view.Members()))
-	if sidecars != a.sidecarCount && a.config.OnSidecarCount != nil {
-		a.sidecarCount = sidecars
-		a.config.OnSidecarCount(sidecars)
+	return others
+}
+
+// ownersLocked are the registry owners of a service in all zones.
+func (m *memberTracker) ownersLocked(service string) []membership.Member {
+	var owners []membership.Member
+	for _, zone := range m.view.Zones() {
+		owners = append(owners, m.view.RegistryOwners(service, zone, ownersPerZone)...)
 	}
+	return owners
 }
 
-// recordZones takes note of which zones have members. The lock is held.
-func (a *Agent) recordZones(now time.Duration) {
-	for _, zone := range a.view.Zones() {
-		a.zoneLastSeen[zone] = now
+// ownZoneOwnersLocked are up to n registry owners of a service in this process's zone.
+func (m *memberTracker) ownZoneOwnersLocked(service string, n int) []membership.Member {
+	return m.view.RegistryOwners(service, m.settings.Zone, n)
+}
+
+func (m *memberTracker) recordZonesLocked(now time.Duration) {
+	for _, zone := range m.view.Zones() {
+		m.zoneLastSeen[zone] = now
 	}
 }
 
-// recentZones are the zones that have members, or had some lately. The lock is held.
-func (a *Agent) recentZones() map[string]bool {
-	now := a.config.Hub.Now()
-	a.recordZones(now)
+// recentZonesLocked is the set of the zones that have members, or had some within zoneRetention. The caller may change the set.
+func (m *memberTracker) recentZonesLocked() map[string]bool {
+	now := m.now()
+	m.recordZonesLocked(now)
 	recent := map[string]bool{}
-	for zone, seen := range a.zoneLastSeen {
+	for zone, seen := range m.zoneLastSeen {
 		if now-seen < zoneRetention {
 			recent[zone] = true
 		} else {
-			delete(a.zoneLastSeen, zone)
+			delete(m.zoneLastSeen, zone)
 		}
 	}
 	return recent
 }
 
-// publishOwners are the homes of this process's service in all zones; one that has restarted gets all records again.
-func (a *Agent) publishOwners() (homes []string) {
-	for _, m := range a.ownersOf(a.config.Settings.Service) {
-		homes = append(homes, m.Address)
-		if a.ownerIncarnations[m.Address] != m.Incarnation {
-			a.ownerIncarnations[m.Address] = m.Incarnation
-			a.publisher.ForgetOwner(m.Address)
+// coreRank is this process's place, from 0, among the core processes in order of their addresses.
+func (m *memberTracker) coreRank(members []membership.Member) int {
+	self := m.address()
+	rank := 0
+	for _, member := range members {
+		if member.Role == membership.RoleCore && member.Address < self {
+			rank++
 		}
 	}
-	return homes
+	return rank
 }
 
-// ownersOf are the homes of a service in all zones. The lock is held.
-func (a *Agent) ownersOf(service string) (homes []membership.Member) {
-	for _, zone := range a.view.Zones() {
-		homes = append(homes, a.view.RegistryOwners(service, zone, ownersPerZone)...)
+func sidecarAddresses(members []membership.Member) []string {
+	var addresses []string
+	for _, member := range members {
+		if member.Role == membership.RoleAccess {
+			addresses = append(addresses, member.Address)
+		}
 	}
-	return homes
+	return addresses
 }
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -5,39 +5,41 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Methods of the control plane between processes. Their numbers never change.
+// Methods of the control plane between processes. Their numbers, and those of the messages' fields, never change.
 const (
 	methodShuffle       = 10 // membership.Shuffle; answered by one
-	methodPublish       = 11 // published: a sidecar's record of its endpoint, for a home
-	methodSubscribe     = 12 // subscription: a request to hear of a service, for a home; answered by a listing
-	methodUpdate        = 13 // listing: what has changed, from a home to a subscriber
-	methodVersionNotice = 14 // notice: the sender holds a version of the configuration
-	methodConfiguration = 15 // configurationText: a request for the newest configuration, answered by another
-	methodConsensus     = 16 // opaque: a request to another core process's consensus.Replica, and its reply
-	methodKeepalive     = 17 // published: a keepalive that another process received, for the endpoint's own sidecar
-	methodLease         = 18 // lease.Request to a core process, answered by lease.Reply
-	methodTokens        = 19 // ratelimit.TokenRequests to the allocator, or to a sidecar that forwards them
+	methodPublish       = 11 // publishRequest: a sidecar's record of its endpoint, for a registry owner; answered by another
+	methodSubscribe     = 12 // subscribeRequest: a request to be notified of a service, for a registry owner; answered by an endpointList
+	methodUpdate        = 13 // endpointList: what has changed, from a registry owner to a subscriber; answered by an acknowledgement
+	methodVersionNotice = 14 // versionNotice: the sender holds a version of the configuration; answered by an acknowledgement
+	methodConfiguration = 15 // configurationText: a request for the newest configuration; answered by another
+	methodConsensus     = 16 // opaqueMessage: a request to another core process's consensus.Replica, and its reply
+	methodKeepalive     = 17 // publishRequest: a keepalive that another process received, for the endpoint's own sidecar; answered by another
+	methodLease         = 18 // lease.Request to a core process; answered by a lease.Reply
+	methodTokens        = 19 // ratelimit.AllocationRequest to the allocator, or to a sidecar that forwards it; answered by an AllocationReply
 )
 
-// publishRequest is a record on its way to a home, and the home's acknowledgement.
+// publishRequest is an endpoint's record on its way to a registry owner, and the owner's acknowledgement.
 type publishRequest struct {
 	Endpoint discovery.Endpoint
-	Accepted bool
+	Accepted bool // in the acknowledgement
 }
 
+// Fields implements codec.Message.
 func (p *publishRequest) Fields(v *codec.Visitor) {
 	v.Message(1, &p.Endpoint)
 	v.Bool(2, &p.Accepted)
 }
 
-// subscribeRequest is a subscriber's request to hear of a service.
+// subscribeRequest asks a registry owner to notify a subscriber of a service's endpoints.
 type subscribeRequest struct {
-	Subscriber       string // the subscriber's address
+	Subscriber       string // its internal address
 	Service          string
-	Since            uint64 // version of the home's registry up to which the subscriber knows the service
-	OwnerIncarnation uint64 // of the home that Since is of
+	Since            uint64 // version of the owner's registry up to which the subscriber knows the service
+	OwnerIncarnation uint64 // of the owner whose registry has that version
 }
 
+// Fields implements codec.Message.
 func (s *subscribeRequest) Fields(v *codec.Visitor) {
 	v.String(1, &s.Subscriber)
 	v.String(2, &s.Service)
@@ -45,14 +47,15 @@
 	v.Fixed64(4, &s.OwnerIncarnation)
 }
 
-// endpointList is what a home knows of a service, or what of it has changed.
+// endpointList is what a registry owner knows of a service, or what of it has changed.
 type endpointList struct {
 	Service          string
-	Version          uint64 // of the home's registry; 0 in an update
+	Version          uint64 // of the owner's registry; 0 in an update
 	Endpoints        []discovery.Endpoint
-	OwnerIncarnation uint64 // of the home
+	OwnerIncarnation uint64 // 0 in an update
 }
 
+// Fields implements codec.Message.
 func (e *endpointList) Fields(v *codec.Visitor) {
 	v.String(1, &e.Service)
 	v.Uint64(2, &e.Version)
@@ -60,17 +63,20 @@
 	v.Fixed64(4, &e.OwnerIncarnation)
 }
 
-// versionNotice says which version its sender holds.
+// versionNotice says which version of the configuration its sender holds.
 type versionNotice struct{ Version uint64 }
 
-func (v *versionNotice) Fields(visitor *codec.Visitor) { visitor.Uint64(1, &v.Version) }
+// Fields implements codec.Message.
+func (n *versionNotice) Fields(v *codec.Visitor) { v.Uint64(1, &n.Version) }
 
-// configurationText is the newest configuration that its sender knows to be committed, with its text if it is newer than the asker's.
+// configurationText is the newest configuration that its sender knows to be committed. In a request the text is left out, in an answer
+// too if the version is not newer than the requester's.
 type configurationText struct {
 	Version uint64
-	Text    []byte
+	Text    []byte // JSON, as it was submitted
 }
 
+// Fields implements codec.Message.
 func (c *configurationText) Fields(v *codec.Visitor) {
 	v.Uint64(1, &c.Version)
 	v.Bytes(2, &c.Text)
@@ -79,9 +85,11 @@
 // opaqueMessage carries what another package has encoded.
 type opaqueMessage struct{ Body []byte }
 
+// Fields implements codec.Message.
 func (o *opaqueMessage) Fields(v *codec.Visitor) { v.Bytes(1, &o.Body) }
 
-// acknowledgement says that a message was taken.
+// acknowledgement says that a message was processed.
 type acknowledgement struct{ Accepted bool }
 
+// Fields implements codec.Message.
 func (a *acknowledgement) Fields(v *codec.Visitor) { v.Bool(1, &a.Accepted) }
--- /dev/null
+++ b/internal/mesh/agent/publisher.go
@@ -0,0 +1,164 @@
+package agent
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+// confirmationTimeout is how long a registry owner has to acknowledge a record that an endpoint waits for.
+const confirmationTimeout = 250 * time.Millisecond
+
+// recordPublisher publishes records of the endpoint beside this process to the registry owners of its service, in all zones. Its fields
+// are guarded by environment.mu.
+type recordPublisher struct {
+	*environment
+	members   *memberTracker
+	directory *endpointDirectory // where this process is an owner itself
+
+	records           *discovery.Publisher
+	ownerIncarnations map[string]uint64 // by address
+	acknowledged      chan struct{}     // closed, and replaced, when an owner has acknowledged a record
+}
+
+func newRecordPublisher(env *environment, members *memberTracker, directory *endpointDirectory) *recordPublisher {
+	return &recordPublisher{
+		environment:       env,
+		members:           members,
+		directory:         directory,
+		records:           discovery.NewPublisher(discovery.Config{}),
+		ownerIncarnations: map[string]uint64{},
+		acknowledged:      make(chan struct{}),
+	}
+}
+
+func (p *recordPublisher) set(e discovery.Endpoint) {
+	self := p.hub.Self()
+	e.SidecarAddress = self.Address
+	e.SidecarIncarnation = self.Incarnation
+	p.mu.Lock()
+	p.records.Set(p.now(), e)
+	p.mu.Unlock()
+	p.wake()
+}
+
+func (p *recordPublisher) end(id string, s discovery.State) {
+	p.mu.Lock()
+	p.records.End(p.now(), id, s)
+	p.mu.Unlock()
+	p.wake()
+}
+
+func (p *recordPublisher) tickLocked(now time.Duration) []discovery.Announcement {
+	return p.records.Tick(now)
+}
+
+// updateOwnersLocked has the records be published to the owners among the present members. An owner that has restarted gets all of
+// them again.
+func (p *recordPublisher) updateOwnersLocked(now time.Duration) {
+	if p.config.Role != membership.RoleAccess || p.settings.Service == "" {
+		return
+	}
+	var addresses []string
+	for _, owner := range p.members.ownersLocked(p.settings.Service) {
+		addresses = append(addresses, owner.Address)
+		if p.ownerIncarnations[owner.Address] != owner.Incarnation {
+			p.ownerIncarnations[owner.Address] = owner.Incarnation
+			p.records.ForgetOwner(owner.Address)
+		}
+	}
+	p.records.SetOwners(now, addresses)
+}
+
+// sendRecords sends records to their owners, of which this process may be one.
+func (p *recordPublisher) sendRecords(records []discovery.Announcement) {
+	for _, r := range records {
+		if r.To == p.address() {
+			p.directory.applyAsOwner(r.Endpoint)
+			p.recordAcknowledgement(r)
+			continue
+		}
+		p.send(r.To, methodPublish, &publishRequest{Endpoint: r.Endpoint}, func(body []byte) {
+			var answer publishRequest
+			if codec.Unmarshal(body, &answer) == nil && answer.Accepted {
+				p.recordAcknowledgement(r)
+			}
+		})
+	}
+}
+
+func (p *recordPublisher) recordAcknowledgement(r discovery.Announcement) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.records.Acknowledged(p.now(), r.To, r.Endpoint.ID, r.Endpoint.Revision)
+	close(p.acknowledged)
+	p.acknowledged = make(chan struct{})
+}
+
+func (p *recordPublisher) awaitConfirmed(ctx context.Context, id string) {
+	ctx, cancel := context.WithTimeout(ctx, confirmationTimeout)
+	defer cancel()
+	for {
+		p.mu.Lock()
+		confirmed := p.records.AcknowledgedElsewhere(id, p.address())
+		next := p.acknowledged
+		p.mu.Unlock()
+		if confirmed {
+			return
+		}
+		select {
+		case <-next:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// ownerAnswer is a registry owner's answer to a record that was published on behalf of another process.
+type ownerAnswer struct {
+	zone     string
+	accepted bool
+}
+
+func (p *recordPublisher) publishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
+	p.mu.Lock()
+	owners := p.members.ownersLocked(e.Service)
+	missing := p.members.recentZonesLocked()
+	p.mu.Unlock()
+	p.directory.applyAsOwner(e)
+
+	ctx, cancel := context.WithCancel(ctx)
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	defer cancel() // those that need not be waited for
+	answers := make(chan ownerAnswer, len(owners))
+	others := 0
+	for _, owner := range owners {
+		if owner.Address == p.address() {
+			delete(missing, owner.Zone)
+			continue
+		}
+		others++
+		requests.Go(func() {
+			answer, err := transport.Request[publishRequest](ctx, p.hub, owner.Address, methodPublish, &publishRequest{Endpoint: e})
+			answers <- ownerAnswer{zone: owner.Zone, accepted: err == nil && answer.Accepted}
+		})
+	}
+	accepted := false
+	for range others {
+		answer := <-answers // each comes before ctx ends
+		if answer.accepted {
+			accepted = true
+			delete(missing, answer.zone)
+		}
+		if accepted && len(missing) == 0 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -15,73 +15,83 @@
 const (
 	tokenInterval       = 40 * time.Millisecond  // between two looks at what is to be requested
 	tokenTimeout        = 120 * time.Millisecond // until requests without an answer go to another process
-	directRetryInterval = time.Second            // while a neighbour forwards requests: the allocator itself is tried again
+	directRetryInterval = time.Second            // while a peer forwards requests: the allocator itself is tried again
 )
 
-// NewQuotaClient is a sidecar's way to tenants' tokens: it requests them from the allocator, directly or through a neighbour.
+// QuotaClient is a sidecar's way to tenants' tokens. It requests them from the allocator, or, while it can't reach that, from another
+// sidecar that forwards its requests. Its methods may be called from any goroutine.
 type QuotaClient struct {
-	agent  *Agent
-	wakeup chan struct{} // requests wait for tokens
+	agent    *Agent
+	wakeup   chan struct{}  // holds a value if users' requests wait for tokens
+	inFlight sync.WaitGroup // requests for tokens
 
+	// mu guards what follows. environment.mu may be taken under it.
 	mu            sync.Mutex
 	tokenCache    *ratelimit.TokenCache
-	allocator     string // that answered last
-	forwarder     string // the neighbour that forwards requests; empty for none
-	directRetryAt time.Duration
-	failures      int // in a row
+	allocator     string        // address of the one that granted last, or that was named as such
+	forwarder     string        // the sidecar that forwards requests; empty if the allocator is asked directly
+	directRetryAt time.Duration // when the allocator itself is tried again
+	failures      int           // in a row
 }
 
-// NewQuotaClient makes a sidecar's way to the allocator, and registers the call by which it forwards neighbours' requests.
+// NewQuotaClient makes a sidecar's client of the allocator, and registers the method by which it forwards other sidecars' requests. It
+// is called once; Run has it work.
 func (a *Agent) NewQuotaClient() *QuotaClient {
-	t := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), wakeup: make(chan struct{}, 1)}
-	transport.Handle(a.config.Hub, methodTokens, t.handleForwarded)
-	return t
+	q := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), wakeup: make(chan struct{}, 1)}
+	transport.Handle(a.hub, methodTokens, q.handleForwarded)
+	return q
 }
 
-// handleForwarded passes a neighbour's requests on to the allocator, once.
-func (q *QuotaClient) handleForwarded(ctx context.Context, _ *transport.Hello, allocationRequest *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+// handleForwarded forwards another sidecar's requests to the allocator, unless they have been forwarded once.
+func (q *QuotaClient) handleForwarded(ctx context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
 	q.mu.Lock()
 	allocator := q.allocator
 	q.mu.Unlock()
-	if allocationRequest.Forwarded || allocator == "" {
+	if request.Forwarded || allocator == "" {
 		return &ratelimit.AllocationReply{}
 	}
-	allocationRequest.Forwarded = true
+	request.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
-	grants, err := transport.Request[ratelimit.AllocationReply](ctx, q.agent.config.Hub, allocator, methodTokens, allocationRequest)
+	reply, err := transport.Request[ratelimit.AllocationReply](ctx, q.agent.hub, allocator, methodTokens, request)
 	if err != nil {
 		return &ratelimit.AllocationReply{}
 	}
-	return grants
+	return reply
 }
 
-// Acquire admits a tenant's request or refuses it; done is called once, soon, with when to come back after a refusal.
-func (q *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
-	answered := false // guarded by t.mu, as done may be called later
-	q.mu.Lock()
-	q.tokenCache.Admit(q.agent.config.Hub.Now(), tenant.Name, q.agent.limitFor(tenant),
-		func(ok bool, back time.Duration) {
-			answered = true
-			done(ok, back)
-		})
-	waits := !answered
-	q.mu.Unlock()
-	if waits {
+// Acquire takes a token for a request of a tenant. done is called exactly once, soon: with ok if the request is admitted, else with the time
+// after which the tenant may retry. It may be called before Acquire returns. It must not block or call the client.
+func (q *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) {
+	if !q.admit(tenant, done) {
 		q.wake()
 	}
 }
 
-// wake has Run look at once.
+// admit reports whether done has been called already.
+func (q *QuotaClient) admit(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) bool {
+	answered := false // guarded by mu, as done may be called later
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	limit := limitFor(&q.agent.settings.Bounds, tenant)
+	q.tokenCache.Admit(q.agent.now(), tenant.Name, limit, func(ok bool, retryAfter time.Duration) {
+		answered = true
+		done(ok, retryAfter)
+	})
+	return answered
+}
+
+// wake has Run request tokens at once.
 func (q *QuotaClient) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
-	default:
+	default: // it is awake already
 	}
 }
 
-// Run requests tokens until ctx ends.
+// Run requests tokens until ctx ends, and returns when the last request has ended.
 func (q *QuotaClient) Run(ctx context.Context) {
+	defer q.inFlight.Wait()
 	tick := time.NewTicker(tokenInterval)
 	defer tick.Stop()
 	for {
@@ -91,15 +101,14 @@
 		case <-ctx.Done():
 			return
 		}
-		q.sendRequests()
+		q.sendRequests(ctx)
 	}
 }
 
-func (q *QuotaClient) sendRequests() {
-	now := q.agent.config.Hub.Now()
-	q.agent.mu.Lock()
-	sidecars := q.agent.sidecarCount
-	q.agent.mu.Unlock()
+// sendRequests requests the tokens that are due, on a goroutine of its own.
+func (q *QuotaClient) sendRequests(ctx context.Context) {
+	now := q.agent.now()
+	sidecars := q.agent.members.sidecars()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tokenCache.SetSidecars(sidecars)
@@ -107,15 +116,19 @@
 	if !due {
 		return
 	}
-	self := q.agent.config.Hub.Self()
-	go q.request(now, q.target(now), &ratelimit.AllocationRequest{
-		Sidecar: self.Address, Incarnation: self.Incarnation, Requests: requests,
+	self := q.agent.hub.Self()
+	target := q.targetLocked(now)
+	request := &ratelimit.AllocationRequest{
+		Sidecar:             self.Address,
+		Incarnation:         self.Incarnation,
+		Requests:            requests,
 		HighestFencingToken: q.tokenCache.HighestFencingToken(),
-	})
+	}
+	q.inFlight.Go(func() { q.request(ctx, now, target, request) })
 }
 
-// target is the process to ask: the one that answered last; else a core process, in turn with a neighbour. The lock is held.
-func (q *QuotaClient) target(now time.Duration) string {
+// targetLocked is the process to ask: the one that granted last; after a failure a core process, in turn with another sidecar.
+func (q *QuotaClient) targetLocked(now time.Duration) string {
 	if q.forwarder != "" && now < q.directRetryAt {
 		return q.forwarder
 	}
@@ -127,51 +140,64 @@
 	if q.failures%2 == 1 {
 		role = membership.RoleAccess
 	}
-	members := slices.DeleteFunc(q.agent.Members(), func(m membership.Member) bool {
-		return m.Role != role || m.Address == q.agent.config.Hub.Self().Address
+	self := q.agent.address()
+	candidates := slices.DeleteFunc(q.agent.Members(), func(m membership.Member) bool {
+		return m.Role != role || m.Address == self
 	})
-	if len(members) == 0 {
+	if len(candidates) == 0 {
 		return q.allocator
 	}
 	q.agent.mu.Lock()
 	defer q.agent.mu.Unlock()
-	return members[q.agent.randomUint64()%uint64(len(members))].Address
+	return candidates[q.agent.randomUint64Locked()%uint64(len(candidates))].Address
 }
 
-// request sends requests for tokens and takes the answer.
-func (q *QuotaClient) request(sent time.Duration, to string, allocationRequest *ratelimit.AllocationRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
-	defer cancel()
-	var grants *ratelimit.AllocationReply
-	if to != "" {
-		grants, _ = transport.Request[ratelimit.AllocationReply](ctx, q.agent.config.Hub, to, methodTokens, allocationRequest)
-	}
+// request sends a request for tokens to a process, and takes the reply. One that is under way when ctx ends is still answered.
+func (q *QuotaClient) request(ctx context.Context, sent time.Duration, to string, request *ratelimit.AllocationRequest) {
+	reply := q.ask(context.WithoutCancel(ctx), to, request)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	now := q.agent.config.Hub.Now()
-	if grants == nil || !q.tokenCache.HandleReply(now, sent, grants) {
-		q.recordFailure(now, to, grants)
+	now := q.agent.now()
+	if reply == nil || !q.tokenCache.HandleReply(now, sent, reply) {
+		q.recordFailureLocked(now, to, reply)
 		return
 	}
+	q.allocator = reply.Allocator
+	q.failures = 0
 	q.forwarder = ""
-	if grants.Allocator != to {
+	if reply.Allocator != to {
 		q.forwarder = to
 	}
-	q.allocator, q.failures = grants.Allocator, 0
 	if q.tokenCache.HasWaiters() {
 		q.wake()
 	}
 }
 
-// recordFailure notes that a process granted nothing; it may have named the allocator. The lock is held.
-func (q *QuotaClient) recordFailure(now time.Duration, asked string, grants *ratelimit.AllocationReply) {
+// ask is a process's reply; nil if none came, or to is empty.
+func (q *QuotaClient) ask(ctx context.Context, to string, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+	if to == "" {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
+	defer cancel()
+	reply, err := transport.Request[ratelimit.AllocationReply](ctx, q.agent.hub, to, methodTokens, request)
+	if err != nil {
+		return nil
+	}
+	return reply
+}
+
+// recordFailureLocked notes that a process granted nothing. Its reply, which may be nil, may name the allocator.
+func (q *QuotaClient) recordFailureLocked(now time.Duration, asked string, reply *ratelimit.AllocationReply) {
 	q.failures++
 	q.tokenCache.HandleFailure(now)
 	if asked == q.forwarder {
 		q.forwarder = ""
 	}
-	if grants != nil && !grants.Granted && grants.Allocator != "" && grants.Allocator != asked {
-		q.allocator, q.failures, q.forwarder = grants.Allocator, 0, ""
+	if reply != nil && !reply.Granted && reply.Allocator != "" && reply.Allocator != asked {
+		q.allocator = reply.Allocator
+		q.failures = 0
+		q.forwarder = ""
 		q.wake()
 	}
 }
--- /dev/null
+++ b/internal/mesh/agent/roles.go
@@ -0,0 +1,252 @@
+package agent
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/lease"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+const (
+	leaseCheckInterval  = 50 * time.Millisecond  // between two looks at the leases
+	memberCheckInterval = 300 * time.Millisecond // between two looks at the members
+	learnVotersTimeout  = time.Second            // for a read of the newest set of voters
+)
+
+// Voters is the consensus register (control/controlplane.Server), whose voters grant leases too.
+type Voters interface {
+	// VoterSet is the newest set of voters, by control addresses, that this process knows as committed.
+	VoterSet() consensus.VoterSet
+	// Accepted is the epoch of this process's newest vote; ready is false while its record isn't known.
+	Accepted() (epoch uint64, ready bool)
+	// ReadLatest reads the register from a majority, and learns of a newer set of voters by that.
+	ReadLatest(ctx context.Context) (consensus.Value, error)
+}
+
+// SingletonRoles are the roles that one core process has at a time, under leases that the voters grant. There is one role, the
+// allocator. Each core process votes on leases if it is a voter, and contends for the roles. Its methods may be called from any goroutine.
+type SingletonRoles struct {
+	agent        *Agent
+	voters       Voters
+	initialStart bool          // of the whole system: there was no earlier allocator
+	newerVoters  chan struct{} // holds a value if a newer set of voters is to be read
+
+	// mu guards what follows. environment.mu and eventRecorder.mu may be taken under it.
+	mu               sync.Mutex
+	voter            *lease.Voter
+	allocatorLease   *lease.Candidate
+	allocator        *ratelimit.Allocator // nil while this process doesn't hold the lease
+	lastSeen         ratelimit.LastSeen   // of sidecars
+	membersCheckedAt time.Duration
+	learningVoters   bool // the newest set of voters is being read, or will be next
+}
+
+// NewSingletonRoles makes a core process's part in the singleton roles, and registers its methods. initialStart is true if the whole
+// system starts for the first time. It is called once; Run has it work.
+func (a *Agent) NewSingletonRoles(voters Voters, initialStart bool) *SingletonRoles {
+	self := a.hub.Self()
+	s := &SingletonRoles{
+		agent:          a,
+		voters:         voters,
+		initialStart:   initialStart,
+		newerVoters:    make(chan struct{}, 1),
+		voter:          lease.NewVoter(a.now(), initialStart),
+		allocatorLease: lease.NewCandidate(self.Address, self.Incarnation, roleAllocator, a.randomFraction),
+	}
+	transport.Handle(a.hub, methodLease, s.handleRequest)
+	transport.Handle(a.hub, methodTokens, s.handleAllocation)
+	return s
+}
+
+// Run contends for the roles, and has them, until ctx ends.
+func (s *SingletonRoles) Run(ctx context.Context) {
+	var learner sync.WaitGroup
+	learner.Go(func() { s.learnVoters(ctx) })
+	defer learner.Wait()
+	tick := time.NewTicker(leaseCheckInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			s.checkLeases()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// checkLeases requests or renews leases when it is time, and ends the role whose lease has run out.
+func (s *SingletonRoles) checkLeases() {
+	voters := s.voters.VoterSet()
+	now := s.agent.now()
+	s.checkMembers(now)
+	if request := s.tickLeases(now, voters); request != nil {
+		s.requestLeases(now, voters, request)
+	}
+}
+
+// tickLeases returns the request that is to be sent to all voters now; nil for none.
+func (s *SingletonRoles) tickLeases(now time.Duration, voters consensus.VoterSet) *lease.Request {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	request := s.allocatorLease.Tick(now, len(voters.Voters), voters.Epoch)
+	if _, ok := s.allocatorLease.Holds(now); !ok {
+		s.stopAllocatorLocked()
+	}
+	return request
+}
+
+// checkMembers takes note of the members, each memberCheckInterval.
+func (s *SingletonRoles) checkMembers(now time.Duration) {
+	s.mu.Lock()
+	due := now >= s.membersCheckedAt+memberCheckInterval
+	s.mu.Unlock()
+	if !due {
+		return
+	}
+	members := s.agent.Members()
+	s.agent.events.recordMembers(members)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.membersCheckedAt = now
+	s.allocatorLease.SetRank(s.agent.members.coreRank(members))
+	s.updateSidecarsLocked(now, members)
+}
+
+// requestLeases sends a request to all voters, of which this process may be one.
+func (s *SingletonRoles) requestLeases(sent time.Duration, voters consensus.VoterSet, request *lease.Request) {
+	for _, voter := range voters.Voters {
+		if voter == s.agent.settings.ControlAddress {
+			s.handleReply(sent, voters.Epoch, voter, s.vote(request))
+			continue
+		}
+		s.agent.send(s.agent.peerAddress(voter), methodLease, request, func(body []byte) {
+			var reply lease.Reply
+			if len(body) > 0 && codec.Unmarshal(body, &reply) == nil {
+				s.handleReply(sent, voters.Epoch, voter, &reply)
+			}
+		})
+	}
+}
+
+// handleReply takes a voter's reply to a request that was sent at a time, under the set of voters of an epoch.
+func (s *SingletonRoles) handleReply(sent time.Duration, epoch uint64, voter string, reply *lease.Reply) {
+	if reply.VoterSetEpoch > epoch {
+		s.requestVoters()
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.agent.now()
+	if s.allocatorLease.HandleReply(now, sent, voter, reply) {
+		s.startAllocatorLocked(now)
+	}
+}
+
+func (s *SingletonRoles) handleRequest(_ context.Context, _ *transport.Hello, request *lease.Request) *lease.Reply {
+	return s.vote(request)
+}
+
+// vote answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
+func (s *SingletonRoles) vote(request *lease.Request) *lease.Reply {
+	accepted, ready := s.voters.Accepted()
+	status := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.voters.VoterSet().Epoch)}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.agent.now()
+	for _, role := range request.Roles {
+		if role.Release && role.Role == roleAllocator {
+			s.allocatorLease.HolderReleased(now, request.Holder)
+		}
+	}
+	return s.voter.Handle(now, status, request)
+}
+
+// requestVoters has learnVoters read the newest set of voters, unless it does so already.
+func (s *SingletonRoles) requestVoters() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.learningVoters {
+		return
+	}
+	s.learningVoters = true
+	s.newerVoters <- struct{}{} // there is room: learningVoters says that none is there
+}
+
+// learnVoters reads the newest set of voters, on request and at once, until ctx ends: a holder that goes on under the old set would lose
+// its lease.
+func (s *SingletonRoles) learnVoters(ctx context.Context) {
+	for {
+		select {
+		case <-s.newerVoters:
+			s.readVoters(ctx)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (s *SingletonRoles) readVoters(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, learnVotersTimeout)
+	defer cancel()
+	if _, err := s.voters.ReadLatest(ctx); err != nil {
+		s.agent.log.WithError(err).Debug("agent: the newest list of voters can't be read")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.learningVoters = false
+}
+
+// Release gives up all leases for good, notifies the voters and the other core processes, and waits for their answers until ctx ends, so
+// that the next holder can start at once. It is for a process that is about to end. Once nothing is held, it does nothing.
+func (s *SingletonRoles) Release(ctx context.Context) {
+	request := s.resign()
+	if request == nil {
+		return
+	}
+	s.vote(request)
+	peers := s.otherCores()
+	answered := make(chan struct{}, len(peers))
+	for _, peer := range peers {
+		s.agent.hub.Send(s.agent.peerAddress(peer), methodLease, codec.MarshalAppend(nil, request), 0, func([]byte, error) {
+			answered <- struct{}{} // one that can't be reached counts too
+		})
+	}
+	for range peers {
+		select {
+		case <-answered:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// resign ends all roles, and returns the request that releases the leases; nil if there are none.
+func (s *SingletonRoles) resign() *lease.Request {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	request := s.allocatorLease.Resign()
+	s.stopAllocatorLocked()
+	return request
+}
+
+// otherCores are the control addresses of the voters and of the core processes among the members, each once, without this process.
+func (s *SingletonRoles) otherCores() []string {
+	cores := append(slices.Clone(s.voters.VoterSet().Voters), s.agent.CoreAddresses()...)
+	slices.Sort(cores)
+	return slices.DeleteFunc(slices.Compact(cores), func(core string) bool { return core == s.agent.settings.ControlAddress })
+}
+
+// updateSidecarsLocked takes note of the sidecars among the members, for the allocator.
+func (s *SingletonRoles) updateSidecarsLocked(now time.Duration, members []membership.Member) {
+	recent := s.lastSeen.Update(now, sidecarAddresses(members))
+	if s.allocator != nil {
+		s.allocator.SetSidecars(recent)
+	}
+}
--- /dev/null
+++ b/internal/mesh/agent/roles_test.go
@@ -0,0 +1,168 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
+)
+
+// fakeRegister stands in for the consensus register of one core process: what it knows as committed, and what all have accepted.
+type fakeRegister struct {
+	mu       sync.Mutex
+	known    consensus.VoterSet
+	accepted uint64
+	newest   *consensus.VoterSet // that a read finds; nil for the known one
+}
+
+func (r *fakeRegister) VoterSet() consensus.VoterSet {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.known
+}
+
+func (r *fakeRegister) Accepted() (epoch uint64, ready bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.accepted, true
+}
+
+func (r *fakeRegister) ReadLatest(context.Context) (consensus.Value, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.newest != nil {
+		r.known = *r.newest
+	}
+	return consensus.Value{VoterSet: r.known}, nil
+}
+
+// testCore is a few core processes on loopback, without disks. The first three are the voters.
+type testCore struct {
+	*qt.C
+	registers []*fakeRegister
+	roles     []*SingletonRoles
+}
+
+func newTestCore(t *testing.T, n int) *testCore {
+	t.Helper()
+	core := &testCore{C: qt.New(t)}
+	var addresses []string
+	for i := range n {
+		addresses = append(addresses, fmt.Sprintf("127.9.0.%d:7402", i+1))
+	}
+	for i := range n {
+		ip := fmt.Sprintf("127.9.0.%d", i+1)
+		own := &settings.Settings{
+			Name: ip, IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, Seeds: addresses,
+			ControlAddress: addresses[i],
+		}
+		hub := newTestHub(t, uint64(i+1), own.InternalAddress())
+		a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: uint64(i)})
+		register := &fakeRegister{known: consensus.VoterSet{Voters: addresses[:3]}}
+		roles := a.NewSingletonRoles(register, true)
+		serveHub(t, hub)
+		ctx, stop := context.WithCancel(t.Context())
+		var running sync.WaitGroup
+		running.Go(func() { a.Run(ctx) })
+		running.Go(func() { roles.Run(ctx) })
+		t.Cleanup(func() {
+			stop()
+			running.Wait()
+		})
+		core.registers = append(core.registers, register)
+		core.roles = append(core.roles, roles)
+	}
+	return core
+}
+
+// holder waits until one of the processes is the allocator, and returns its place and fencing token.
+func (c *testCore) holder() (i int, token uint64) {
+	c.Helper()
+	eventually(c, "a process holds the lease", func() bool {
+		for place, roles := range c.roles {
+			roles.mu.Lock()
+			held, ok := roles.allocatorLease.Holds(roles.agent.now())
+			roles.mu.Unlock()
+			if ok {
+				i, token = place, held
+				return true
+			}
+		}
+		return false
+	})
+	return i, token
+}
+
+// A holder that releases its lease is followed by another one, under a higher fencing token, and requests it no more.
+func TestSingletonRoleIsReleased(t *testing.T) {
+	c := newTestCore(t, 4)
+	first, token := c.holder()
+	began := time.Now()
+	ctx, cancel := context.WithTimeout(t.Context(), maxWaitInTests)
+	defer cancel()
+	c.roles[first].Release(ctx)
+	next, higher := c.holder()
+	t.Logf("the next holder came %v after the release", time.Since(began).Round(time.Millisecond))
+	c.Assert(next != first, qt.IsTrue)
+	c.Assert(higher > token, qt.IsTrue)
+	c.roles[first].Release(ctx) // once more changes nothing
+}
+
+// Voters that accepted a newer set refuse the holder's request, and by that it learns of the set and renews under it.
+func TestHolderLearnsOfNewVoters(t *testing.T) {
+	c := newTestCore(t, 4)
+	first, token := c.holder()
+	known := c.registers[0].VoterSet()
+	next := consensus.VoterSet{
+		Epoch:    1,
+		Previous: known.Voters,
+		Voters:   append(known.Voters[1:3:3], c.roles[3].agent.settings.ControlAddress),
+	}
+	for _, r := range c.registers {
+		r.mu.Lock()
+		r.accepted = 1
+		r.newest = &next
+		r.mu.Unlock()
+	}
+	eventually(t, "the holder knows the new voters", func() bool { return c.registers[first].VoterSet().Epoch > 0 })
+	again, higher := c.holder()
+	t.Logf("process %d under %d, then %d under %d", first, token, again, higher)
+	c.Assert(higher >= token, qt.IsTrue)
+}
+
+// A holder whose fencing token is below one that a sidecar knows, as all voters have forgotten it, grants nothing until it has raised
+// its own, and goes on as the holder.
+func TestAllocatorRaisesItsNumber(t *testing.T) {
+	c := newTestCore(t, 3)
+	for _, roles := range c.roles {
+		roles.agent.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[],`+
+			`"tenantTable":[{"name":"t","accessKeys":["k"],"ratePerS":5,"burstSize":5}]}`))
+	}
+	first, token := c.holder()
+	request := func(known uint64) *ratelimit.AllocationReply {
+		return c.roles[first].handleAllocation(t.Context(), nil, &ratelimit.AllocationRequest{
+			Sidecar:             "127.9.0.9:7401",
+			Incarnation:         9,
+			HighestFencingToken: known,
+			Requests:            []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}},
+		})
+	}
+	c.Assert(request(token).Granted, qt.IsTrue)
+	c.Assert(request(token+10).Granted, qt.IsFalse)
+	began := time.Now()
+	var reply *ratelimit.AllocationReply
+	eventually(t, "tokens are granted again", func() bool {
+		reply = request(token + 10)
+		return reply.Granted
+	})
+	c.Assert(reply.FencingToken > token+10, qt.IsTrue)
+	t.Logf("granted again after %v", time.Since(began).Round(time.Millisecond))
+}
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -11,54 +11,55 @@
 	"quincegap/internal/mesh/discovery/membership"
 )
 
-// confirmTimeout is how long a page of state waits for a majority of the voters.
-const confirmTimeout = 500 * time.Millisecond
+// StatePath is the path of State over HTTP.
+const StatePath = "/mesh/state"
+
+// confirmationReadTimeout is how long State waits for a majority of the voters.
+const confirmationReadTimeout = 500 * time.Millisecond
 
-// State is what a core process holds of the mesh, for operators: with ages, and the process that each fact comes from.
+// State is what a core process holds of the mesh, for operators: with ages, and the process that each fact comes from. The keys of its
+// JSON are part of the interface to tools (meshctl).
 type State struct {
-	Node      string          `json:"node"`
-	Version   string          `json:"configVersion"`
-	Confirmed bool            `json:"confirmed"` // a majority of the voters was reached: the version is the newest there is
-	Voters    []string        `json:"voters"`
-	Ready     bool            `json:"ready"` // this process has its record, and votes if it is in the list
+	Node      string          `json:"node"`          // name of the process, as in its settings
+	Version   string          `json:"configVersion"` // newest committed version known, like "r12"; "0" for none
+	Confirmed bool            `json:"confirmed"`     // a majority of the voters was reached: the version is the newest there is
+	Voters    []string        `json:"voters"`        // control addresses
+	Ready     bool            `json:"ready"`         // this process has its consensus record, and votes if it is a voter
 	Roles     []RoleState     `json:"duties"`
 	Members   []MemberState   `json:"members"`
 	Endpoints []EndpointState `json:"endpoints"`
 }
 
-// RoleState says who does a duty.
+// RoleState says which process has a singleton role.
 type RoleState struct {
 	Name        string `json:"name"`
-	Holder      string `json:"holder"`
-	Epoch       uint64 `json:"epoch,omitempty"`  // fencing number; known to the holder alone
-	RemainingMs int64  `json:"leftMs,omitempty"` // of the lease, if it isn't renewed; known to the holder alone
+	Holder      string `json:"holder"`           // internal address of the lease holder; empty if it is not known
+	Epoch       uint64 `json:"epoch,omitempty"`  // fencing token; known to the holder alone
+	RemainingMs int64  `json:"leftMs,omitempty"` // milliseconds of the lease, if it isn't renewed; known to the holder alone
 }
 
-// MemberState is a process that is there.
+// MemberState is a process that runs.
 type MemberState struct {
-	Address string `json:"address"`
+	Address string `json:"address"` // internal address
 	Zone    string `json:"zone"`
-	Role    string `json:"role"`
-	Service string `json:"service,omitempty"`
-	AgeMs   int64  `json:"ageMs"`
+	Role    string `json:"role"`              // "access" for a sidecar, or "core"
+	Service string `json:"service,omitempty"` // of the endpoint beside it
+	AgeMs   int64  `json:"ageMs"`             // milliseconds since its newest heartbeat known here
 }
 
-// EndpointState is one life of an endpoint.
+// EndpointState is an endpoint's record.
 type EndpointState struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
-	State   string `json:"state"`
+	State   string `json:"state"` // one of the State constants
 	Address string `json:"address"`
-	Sidecar string `json:"witness"` // the sidecar that it comes from
-	Slots   int    `json:"slots"`
-	LeaseMs int64  `json:"leaseMs"`
+	Sidecar string `json:"witness"` // internal address of the sidecar that reports the endpoint
+	Slots   int    `json:"slots"`   // requests that it serves at once
+	LeaseMs int64  `json:"leaseMs"` // milliseconds that are left of the record's lease
 }
 
-// StatePath is the path of State over HTTP.
-const StatePath = "/mesh/state"
-
-// Names of the states of endpoints, in keepalives and in State.
+// Names of the states of endpoints, in keepalives (the first two) and in State.
 const (
 	StateInService    = "in_service"
 	StateDraining     = "draining"
@@ -73,53 +74,105 @@
 )
 
 var stateNames = map[discovery.State]string{
-	discovery.Serving: StateInService, discovery.Draining: StateDraining,
-	discovery.Crashed: StateCrashed, discovery.Deregistered: StateDeregistered,
+	discovery.Serving:      StateInService,
+	discovery.Draining:     StateDraining,
+	discovery.Crashed:      StateCrashed,
+	discovery.Deregistered: StateDeregistered,
 }
 
-// State gathers what this core process holds. It asks a majority of the voters first: a process that is cut off can't tell whether
-// what it holds is the newest, and says so.
+// State gathers what this core process holds. It asks a majority of the voters first, for half a second at most: a process that is
+// partitioned from them can't tell whether what it holds is the newest, and says so (Confirmed).
 func (s *SingletonRoles) State(ctx context.Context) State {
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, confirmationReadTimeout)
 	defer cancel()
 	newest, err := s.voters.ReadLatest(ctx)
-	a := s.agent
-	now := a.config.Hub.Now()
-	state := State{Node: a.config.Settings.Name, Voters: s.voters.VoterSet().Voters, Confirmed: err == nil}
-	_, state.Ready = s.voters.Accepted()
-	s.mu.Lock()
-	duty := RoleState{Name: roleAllocator, Holder: s.allocatorLease.Holder(now)}
-	duty.Epoch, _ = s.allocatorLease.Holds(now)
-	duty.RemainingMs = s.allocatorLease.Remaining(now).Milliseconds()
-	s.mu.Unlock()
-	state.Roles = []RoleState{duty}
+	_, ready := s.voters.Accepted()
+	held := s.agent.snapshot()
+	return State{
+		Node:      s.agent.settings.Name,
+		Version:   max(held.version, newest.Version).String(),
+		Confirmed: err == nil,
+		Voters:    s.voters.VoterSet().Voters,
+		Ready:     ready,
+		Roles:     []RoleState{s.allocatorState()},
+		Members:   memberStates(held.members),
+		Endpoints: endpointStates(held.endpoints),
+	}
+}
+
+// snapshot is what an agent knows at one moment.
+type snapshot struct {
+	version   configuration.Version
+	members   []membership.Member
+	endpoints []discovery.Endpoint
+}
+
+func (a *Agent) snapshot() snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	state.Version = max(configuration.Version(a.current.Version), newest.Version).String()
-	for _, m := range a.view.Members() {
+	return snapshot{
+		version:   configuration.Version(a.configuration.versionLocked()),
+		members:   a.members.view.Members(),
+		endpoints: a.directory.registry.All(a.now()),
+	}
+}
+
+func (s *SingletonRoles) allocatorState() RoleState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.agent.now()
+	token, _ := s.allocatorLease.Holds(now)
+	return RoleState{
+		Name:        roleAllocator,
+		Holder:      s.allocatorLease.Holder(now),
+		Epoch:       token,
+		RemainingMs: s.allocatorLease.Remaining(now).Milliseconds(),
+	}
+}
+
+func memberStates(members []membership.Member) []MemberState {
+	var states []MemberState
+	for _, m := range members {
 		role := roleNameAccess
 		if m.Role == membership.RoleCore {
 			role = roleNameCore
 		}
-		state.Members = append(state.Members, MemberState{m.Address, m.Zone, role, m.Service, m.HeartbeatAge.Milliseconds()})
+		states = append(states, MemberState{
+			Address: m.Address,
+			Zone:    m.Zone,
+			Role:    role,
+			Service: m.Service,
+			AgeMs:   m.HeartbeatAge.Milliseconds(),
+		})
 	}
-	for _, e := range a.registry.All(now) {
-		state.Endpoints = append(state.Endpoints, EndpointState{
-			e.ID, e.Service, e.Zone, stateNames[e.State], e.AppAddress, e.SidecarAddress, e.Slots,
-			e.LeaseRemaining.Round(time.Millisecond).Milliseconds(),
+	return states
+}
+
+func endpointStates(endpoints []discovery.Endpoint) []EndpointState {
+	var states []EndpointState
+	for _, e := range endpoints {
+		states = append(states, EndpointState{
+			ID:      e.ID,
+			Service: e.Service,
+			Zone:    e.Zone,
+			State:   stateNames[e.State],
+			Address: e.AppAddress,
+			Sidecar: e.SidecarAddress,
+			Slots:   e.Slots,
+			LeaseMs: e.LeaseRemaining.Round(time.Millisecond).Milliseconds(),
 		})
 	}
-	return state
+	return states
 }
 
-// Handler serves GET /mesh/state to operators.
+// Handler serves GET StatePath: State as JSON.
 func (s *SingletonRoles) Handler() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.Method != http.MethodGet || q.URL.Path != StatePath {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method != http.MethodGet || r.URL.Path != StatePath {
 			http.Error(w, "GET "+StatePath+" only", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.State(q.Context()))
+		_ = json.NewEncoder(w).Encode(s.State(r.Context())) // a client that has gone away gets none
 	})
 }
--- /dev/null
+++ b/internal/mesh/agent/version_poll_test.go
@@ -0,0 +1,62 @@
+package agent
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// A process that starts beside a partitioned peer takes the newest version that one of the asked peers holds, whoever answers, in
+// whatever order, and it waits no longer than the timeout.
+func TestVersionPollFindsTheNewest(t *testing.T) {
+	for seed := range uint64(2000) {
+		checkVersionPoll(t, rand.New(rand.NewPCG(seed, 1)))
+	}
+}
+
+func checkVersionPoll(t *testing.T, rng *rand.Rand) {
+	t.Helper()
+	const partitioned, oldVersion = "partitioned", 5
+	var peers []string
+	for i := range rng.IntN(8) {
+		peers = append(peers, fmt.Sprint("peer", i))
+	}
+	now := time.Duration(rng.Int64N(1e9))
+	began := now
+	newest, holder := uint64(oldVersion), partitioned
+	var poll versionPoll
+	ask := poll.observe(now, partitioned, oldVersion, func() []string { return append(peers, partitioned, partitioned) })
+	qt.Assert(t, len(ask), qt.Equals, min(len(peers), pollPeers))
+	rng.Shuffle(len(ask), func(i, j int) { ask[i], ask[j] = ask[j], ask[i] })
+	answers := rng.IntN(len(ask) + 1)
+	for i, peer := range ask[:answers] {
+		_, _, over := poll.finish(now)
+		qt.Assert(t, over, qt.IsFalse, qt.Commentf("%d of %d answered", i, len(ask)))
+		now += time.Duration(rng.Int64N(int64(pollTimeout / 8)))
+		version := uint64(rng.IntN(12))
+		poll.record(peer, version)
+		if version > newest {
+			newest, holder = version, peer
+		}
+		if rng.IntN(4) == 0 {
+			qt.Assert(t, poll.observe(now, partitioned, oldVersion, nil), qt.HasLen, 0) // once more: the same poll
+		}
+	}
+	if answers < len(ask) {
+		_, _, over := poll.finish(began + pollTimeout - 1)
+		qt.Assert(t, over, qt.IsFalse)
+		now = began + pollTimeout
+	}
+	peer, version, ok := poll.finish(now)
+	qt.Assert(t, ok, qt.IsTrue)
+	qt.Assert(t, version, qt.Equals, newest)
+	qt.Assert(t, peer, qt.Equals, holder)
+	poll.record("late", 99)
+	_, _, ok = poll.finish(now)
+	qt.Assert(t, ok, qt.IsFalse) // it is over
+	qt.Assert(t, poll.observe(now, partitioned, oldVersion, func() []string { return peers }), qt.HasLen, min(len(peers), pollPeers))
+	poll.record("peer0", 0) // one that holds none has answered too
+}
