--- /dev/null
+++ b/internal/mesh/operations/logging/example_test.go
@@ -0,0 +1,24 @@
+package logging_test
+
+import (
+	"fmt"
+	"strings"
+
+	"quincegap/internal/mesh/operations/logging"
+)
+
+// What was logged before a warning is written with it.
+func ExampleNew() {
+	var out strings.Builder
+	log, ring := logging.New(&out)
+	log.WithField("peer", "10.0.0.4:7640").Debug("a link is dialled")
+	fmt.Println("lines after a debug entry:", strings.Count(out.String(), "\n"))
+	log.WithField("peer", "10.0.0.4:7640").Warn("a link is lost")
+	fmt.Println("lines after a warning:", strings.Count(out.String(), "\n"))
+	ring.Dump("SIGUSR1")
+	fmt.Println("lines after a dump of the empty ring:", strings.Count(out.String(), "\n"))
+	// Output:
+	// lines after a debug entry: 0
+	// lines after a warning: 2
+	// lines after a dump of the empty ring: 3
+}
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -1,5 +1,8 @@
 // Package logging keeps a process's log in a ring in memory, and writes it out when something has gone wrong, so that the moments
-// before the fault can be read and little else is written. Keys and bodies are never logged.
+// before the fault can be read and little else is written: writing takes processor time too.
+//
+// An entry at level error has the whole ring written out at once, one at level warning too unless that happened within the last ten
+// seconds. What was written out is dropped from the ring. Keys and bodies are never logged: callers see to that.
 package logging
 
 import (
@@ -13,65 +16,82 @@
 
 const (
 	maxEntries      = 1024             // kept in memory
-	minDumpInterval = 10 * time.Second // between two writings because of warnings
-	maxMessageBytes = 512              // bytes of one message
+	minDumpInterval = 10 * time.Second // between two dumps because of warnings
+	maxMessageBytes = 512              // of one message; a longer one is cut off
 )
 
-// Ring is a logrus hook; the logger's own output is to be discarded.
+// Ring is a logrus hook that keeps the newest entries. The logger's own output is to be discarded, as New sees to. Its methods may be
+// called from any goroutine.
 type Ring struct {
+	out    io.Writer
+	format logrus.TextFormatter
+
 	mu         sync.Mutex
-	out        io.Writer
 	entries    []*logrus.Entry
-	next       int
-	lastDump   time.Time // when the ring was last written out because of a warning
-	suppressed int       // warnings since then that were not written out at once
-	format     logrus.TextFormatter
+	next       int       // place of the next entry
+	lastDump   time.Time // because of an entry
+	suppressed int       // warnings since then that were not dumped at once
 }
 
-// New makes a logger whose entries go into a ring; from a warning on the ring is written to out, at most every ten seconds.
+// New makes a logger whose entries of all levels go into a ring, which is written to out.
 func New(out io.Writer) (*logrus.Logger, *Ring) {
-	r := &Ring{
-		out: out, entries: make([]*logrus.Entry, 0, maxEntries),
-		format: logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano},
+	ring := &Ring{
+		out:     out,
+		format:  logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano},
+		entries: make([]*logrus.Entry, 0, maxEntries),
 	}
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	l.SetFormatter(discardFormatter{})
-	l.SetLevel(logrus.DebugLevel)
-	l.AddHook(r)
-	return l, r
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	log.SetFormatter(discardFormatter{})
+	log.SetLevel(logrus.DebugLevel)
+	log.AddHook(ring)
+	return log, ring
 }
 
 // discardFormatter formats nothing: entries are formatted when they are written out.
 type discardFormatter struct{}
 
+// Format implements logrus.Formatter.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
-// Levels are all (logrus.Hook).
+// Levels implements logrus.Hook: all levels are kept.
 func (r *Ring) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire takes an entry (logrus.Hook).
+// Fire implements logrus.Hook. The error is always nil: a log that can't be written stops nothing.
 func (r *Ring) Fire(e *logrus.Entry) error {
-	c := *e
-	c.Message = truncate(c.Message)
+	entry := *e
+	entry.Message = truncate(entry.Message)
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	r.addLocked(&entry)
+	if r.dumpDueLocked(e) {
+		r.lastDump = e.Time
+		r.dumpLocked("")
+	}
+	return nil
+}
+
+func (r *Ring) addLocked(e *logrus.Entry) {
 	if len(r.entries) < maxEntries {
-		r.entries = append(r.entries, &c)
+		r.entries = append(r.entries, e)
 	} else {
-		r.entries[r.next] = &c
+		r.entries[r.next] = e
 	}
 	r.next = (r.next + 1) % maxEntries
-	if e.Level > logrus.WarnLevel {
-		return nil
-	}
-	if !r.lastDump.IsZero() && e.Time.Sub(r.lastDump) < minDumpInterval && e.Level > logrus.ErrorLevel {
-		r.suppressed++
-		return nil
+}
+
+// dumpDueLocked reports whether an entry has the ring dumped.
+func (r *Ring) dumpDueLocked(e *logrus.Entry) bool {
+	switch {
+	case e.Level > logrus.WarnLevel: // less severe
+		return false
+	case e.Level < logrus.WarnLevel:
+		return true
+	case r.lastDump.IsZero() || e.Time.Sub(r.lastDump) >= minDumpInterval:
+		return true
 	}
-	r.lastDump = e.Time
-	r.dump("")
-	return nil
+	r.suppressed++
+	return false
 }
 
 func truncate(s string) string {
@@ -81,34 +101,40 @@
 	return s
 }
 
-// Dump writes the ring out on request; why is written before it.
-func (r *Ring) Dump(why string) {
+// Dump writes the ring out on request. reason is written before it.
+func (r *Ring) Dump(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dump(why)
+	r.dumpLocked(reason)
 }
 
-// dump empties the ring into out, the oldest entry first.
-func (r *Ring) dump(why string) {
-	if why != "" {
-		fmt.Fprintf(r.out, "-- log written out: %s\n", why)
+// dumpLocked empties the ring into out, the oldest entry first. Entries that can't be written are lost.
+func (r *Ring) dumpLocked(reason string) {
+	if reason != "" {
+		_, _ = fmt.Fprintf(r.out, "-- log written out: %s\n", reason)
 	}
 	if r.suppressed > 0 {
-		fmt.Fprintf(r.out, "-- %d faults since the last time are among these\n", r.suppressed)
+		_, _ = fmt.Fprintf(r.out, "-- %d faults since the last time are among these\n", r.suppressed)
 		r.suppressed = 0
 	}
-	from := 0
+	oldest := 0
 	if len(r.entries) == maxEntries {
-		from = r.next
+		oldest = r.next
 	}
 	for i := range r.entries {
-		text, err := r.format.Format(r.entries[(from+i)%len(r.entries)])
-		if err == nil {
-			_, err = r.out.Write(text)
-		}
-		if err != nil {
+		if err := r.writeEntry(r.entries[(oldest+i)%len(r.entries)]); err != nil {
 			break
 		}
 	}
-	r.entries, r.next = r.entries[:0], 0
+	r.entries = r.entries[:0]
+	r.next = 0
+}
+
+func (r *Ring) writeEntry(e *logrus.Entry) error {
+	text, err := r.format.Format(e)
+	if err != nil {
+		return err
+	}
+	_, err = r.out.Write(text)
+	return err
 }
