--- /dev/null
+++ b/internal/mesh/operations/events/cursor.go
@@ -0,0 +1,55 @@
+package events
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Bases of the numbers in a cursor's text.
+const (
+	incarnationBase = 36
+	numberBase      = 10
+)
+
+// Cursor is a position in a feed: after the event of that number, in one incarnation of the feed. The zero value is before the oldest
+// event that is kept.
+type Cursor struct {
+	Incarnation uint64 // of the process that keeps the feed
+	Number      uint64
+}
+
+// String is the cursor's text, like 1a2b-17.
+func (c Cursor) String() string {
+	return strconv.FormatUint(c.Incarnation, incarnationBase) + "-" + strconv.FormatUint(c.Number, numberBase)
+}
+
+// CursorError is the error of ParseCursor.
+type CursorError struct {
+	Text string // that is no cursor
+}
+
+// Error implements error.
+func (e *CursorError) Error() string {
+	return fmt.Sprintf("cursor %q: wanted one that the feed gave, like 1a2b-17", e.Text)
+}
+
+// ParseCursor parses a cursor's text. An empty one is the zero value. The error is a *CursorError.
+func ParseCursor(s string) (Cursor, error) {
+	if s == "" {
+		return Cursor{}, nil
+	}
+	incarnationText, numberText, found := strings.Cut(s, "-")
+	if !found {
+		return Cursor{}, &CursorError{Text: s}
+	}
+	incarnation, err := strconv.ParseUint(incarnationText, incarnationBase, 64)
+	if err != nil {
+		return Cursor{}, &CursorError{Text: s}
+	}
+	number, err := strconv.ParseUint(numberText, numberBase, 64)
+	if err != nil {
+		return Cursor{}, &CursorError{Text: s}
+	}
+	return Cursor{Incarnation: incarnation, Number: number}, nil
+}
--- /dev/null
+++ b/internal/mesh/operations/events/feed.go
@@ -0,0 +1,84 @@
+package events
+
+import "fmt"
+
+// Window is what a feed keeps: the events from number First on, below Next.
+type Window struct {
+	Incarnation uint64
+	First, Next uint64
+
+	// OtherIncarnation and Ahead are the details of the gap where a cursor is of another incarnation, or beyond the window.
+	OtherIncarnation, Ahead string
+}
+
+// Resume returns the number of the event that a reader with a cursor gets first. If it has missed events, gap is the event to put before
+// that one; else it is nil.
+func (w *Window) Resume(c Cursor) (number uint64, gap *Event) {
+	switch {
+	case c == Cursor{}:
+		return w.First, nil
+	case c.Incarnation != w.Incarnation:
+		return w.First, w.gap(w.OtherIncarnation)
+	case c.Number >= w.Next:
+		return w.First, w.gap(w.Ahead)
+	case c.Number+1 < w.First:
+		return w.First, w.gap(fmt.Sprintf("%d events are no longer kept", w.First-c.Number-1))
+	}
+	return c.Number + 1, nil
+}
+
+func (w *Window) gap(detail string) *Event {
+	before := Cursor{Incarnation: w.Incarnation, Number: w.First - 1}
+	return &Event{Cursor: before.String(), Kind: Gap, Detail: detail}
+}
+
+// Feed keeps the newest events of one incarnation of a process in a ring.
+type Feed struct {
+	incarnation uint64
+	next        uint64 // number of the next event; the first is 1
+	ring        []Event
+}
+
+// NewFeed makes a feed that keeps up to capacity events, of which there must be one at least.
+func NewFeed(incarnation uint64, capacity int) *Feed {
+	return &Feed{incarnation: incarnation, next: 1, ring: make([]Event, capacity)}
+}
+
+// Add adds an event and gives it its cursor.
+func (f *Feed) Add(e Event) Event {
+	e.Cursor = Cursor{Incarnation: f.incarnation, Number: f.next}.String()
+	*f.slot(f.next) = e
+	f.next++
+	return e
+}
+
+func (f *Feed) slot(number uint64) *Event { return &f.ring[number%uint64(len(f.ring))] }
+
+// After returns up to limit events after a cursor that pass the filter, and the cursor to go on from. A gap comes first if the reader
+// has missed events.
+func (f *Feed) After(c Cursor, limit int, filter Filter) (found []Event, next Cursor) {
+	number, gap := f.window().Resume(c)
+	if gap != nil {
+		found = append(found, *gap)
+	}
+	for ; number < f.next && len(found) < limit; number++ {
+		if e := f.slot(number); filter.Passes(e) {
+			found = append(found, *e)
+		}
+	}
+	return found, Cursor{Incarnation: f.incarnation, Number: number - 1}
+}
+
+func (f *Feed) window() *Window {
+	w := &Window{
+		Incarnation:      f.incarnation,
+		First:            1,
+		Next:             f.next,
+		OtherIncarnation: "the process that gave the cursor has started again, or is another: what it saw since is not known here",
+		Ahead:            "the cursor is ahead of the feed",
+	}
+	if capacity := uint64(len(f.ring)); f.next > capacity {
+		w.First = f.next - capacity
+	}
+	return w
+}
--- a/internal/mesh/operations/events/golden_test.go
+++ b/internal/mesh/operations/events/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -56,7 +57,7 @@
 	}
 	f := NewFeed(36, 3)
 	for i := range 5 {
-		f.Add(Event{Kind: QuotaExhausted, Detail: fmt.Sprint(i)})
+		f.Add(Event{Kind: QuotaExhausted, Detail: strconv.Itoa(i)})
 	}
 	for _, cursor := range []Cursor{{}, {36, 1}, {36, 2}, {36, 5}, {36, 6}, {37, 4}} {
 		out, next := f.After(cursor, 9, Filter{})
