--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -1,10 +1,9 @@
-// Package eventfeed serves a feed of events over HTTP: JSON lines, or server-sent events where they are asked for.
+// Package eventfeed serves a feed of events over HTTP: as JSON lines, or as server-sent events to clients that accept those. It keeps no
+// events itself: a Source does. Each reader has a cursor, so that a slow one misses only events that are no longer kept.
 package eventfeed
 
 import (
-	"encoding/json"
-	"fmt"
-	"io"
+	"context"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -14,106 +13,125 @@
 )
 
 const (
-	maxBatch   = 256              // in one answer, or one write of a stream
+	maxBatch   = 256              // events in one answer, or one write of a stream
 	maxWait    = 25 * time.Second // for an event, and for a reader to read
 	maxReaders = 32               // at once
 )
 
-// Source is what keeps events; more is closed when there are newer ones.
+// Names in a request, beside the path.
+const (
+	queryAfter        = "after" // a cursor
+	queryFollow       = "follow"
+	queryService      = "service"
+	queryTenant       = "tenant"
+	queryZone         = "zone"
+	headerLastEventID = "Last-Event-ID" // a cursor, of a server-sent stream that is taken up again
+)
+
+// Content types of answers.
+const (
+	typeServerSent = "text/event-stream"
+	typeJSONLines  = "application/x-ndjson"
+)
+
+// Source is what keeps events. It may be used from several goroutines.
 type Source interface {
-	After(c events.Cursor, most int, f events.Filter) (out []events.Event, next events.Cursor, more <-chan struct{}, err error)
+	// After returns up to limit events after a cursor that pass a filter, and the cursor to go on from. more is closed when there are
+	// newer events.
+	After(c events.Cursor, limit int, f events.Filter) (found []events.Event, next events.Cursor, more <-chan struct{}, err error)
 }
 
-// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events there are,
-// and waits up to maxWait if there are none. A slow reader misses only events that are no longer kept, and gets a gap for these.
-func Handler(source Source) http.Handler {
-	var readers atomic.Int64
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.Method != http.MethodGet {
-			http.Error(w, "GET only", http.StatusMethodNotAllowed)
-			return
-		}
-		query := q.URL.Query()
-		after := query.Get("after")
-		if id := q.Header.Get("Last-Event-ID"); id != "" {
-			after = id
-		}
-		cursor, err := events.ParseCursor(after)
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		defer readers.Add(-1)
-		if readers.Add(1) > maxReaders {
-			w.Header().Set("Retry-After", "5")
-			http.Error(w, "too many readers", http.StatusServiceUnavailable)
-			return
-		}
-		follow, _ := strconv.ParseBool(query.Get("follow"))
-		r := eventWriter{out: w, controller: http.NewResponseController(w), serverSent: q.Header.Get("Accept") == "text/event-stream"}
-		w.Header().Set("Content-Type", map[bool]string{true: "text/event-stream", false: "application/x-ndjson"}[r.serverSent])
-		filter := events.Filter{Service: query.Get("service"), Tenant: query.Get("tenant"), Zone: query.Get("zone")}
-		for end := time.After(maxWait); ; {
-			got, next, more, err := source.After(cursor, maxBatch, filter)
-			if err != nil {
-				http.Error(w, err.Error(), http.StatusInternalServerError)
-				return
-			}
-			if cursor = next; len(got) > 0 {
-				if r.write(got) != nil || !follow {
-					return
-				}
-				continue
-			}
-			select {
-			case <-more:
-			case <-q.Context().Done():
-				return
-			case <-end:
-				if !follow || r.keepAlive() != nil {
-					return
-				}
-				end = time.After(maxWait)
-			}
-		}
-	})
+// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events there are, and waits
+// for one up to 25 s if there are none. With follow it goes on until the client leaves, with an empty line (or comment) where there was
+// nothing to send for 25 s. A slow reader misses only events that are no longer kept, and gets a gap for these.
+//
+// It answers 400 to what is no cursor, 405 to other methods, 503 to more than 32 readers at once, 500 if the source fails.
+func Handler(source Source) http.Handler { return &handler{source: source} }
+
+type handler struct {
+	source  Source
+	readers atomic.Int64
 }
 
-// eventWriter is one client of a feed.
-type eventWriter struct {
-	out        io.Writer
-	controller *http.ResponseController
+// request is what a reader asks for.
+type request struct {
+	cursor     events.Cursor
+	filter     events.Filter
+	follow     bool
 	serverSent bool
 }
 
-func (e *eventWriter) write(all []events.Event) error {
-	_ = e.controller.SetWriteDeadline(time.Now().Add(maxWait)) // the stream of a reader that does not read ends
-	for _, event := range all {
-		text, err := json.Marshal(event)
+func parseRequest(r *http.Request) (*request, error) {
+	query := r.URL.Query()
+	after := query.Get(queryAfter)
+	if id := r.Header.Get(headerLastEventID); id != "" {
+		after = id
+	}
+	cursor, err := events.ParseCursor(after)
+	if err != nil {
+		return nil, err
+	}
+	follow, err := strconv.ParseBool(query.Get(queryFollow))
+	return &request{
+		cursor:     cursor,
+		filter:     events.Filter{Service: query.Get(queryService), Tenant: query.Get(queryTenant), Zone: query.Get(queryZone)},
+		follow:     follow && err == nil, // what can't be parsed does not follow
+		serverSent: r.Header.Get("Accept") == typeServerSent,
+	}, nil
+}
+
+// ServeHTTP implements http.Handler.
+func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.Method != http.MethodGet {
+		http.Error(w, "GET only", http.StatusMethodNotAllowed)
+		return
+	}
+	request, err := parseRequest(r)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	defer h.readers.Add(-1)
+	if h.readers.Add(1) > maxReaders {
+		w.Header().Set("Retry-After", "5")
+		http.Error(w, "too many readers", http.StatusServiceUnavailable)
+		return
+	}
+	contentType := typeJSONLines
+	if request.serverSent {
+		contentType = typeServerSent
+	}
+	w.Header().Set("Content-Type", contentType)
+	if err := h.serve(r.Context(), request, newEventWriter(w, request.serverSent)); err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+	}
+}
+
+// serve writes events until the request is answered, or the client has gone. The error is the source's.
+func (h *handler) serve(ctx context.Context, r *request, w *eventWriter) error {
+	idle := time.NewTimer(maxWait)
+	defer idle.Stop()
+	for {
+		found, next, more, err := h.source.After(r.cursor, maxBatch, r.filter)
 		if err != nil {
 			return err
 		}
-		if e.serverSent {
-			_, err = fmt.Fprintf(e.out, "id: %s\nevent: %s\ndata: %s\n\n", event.Cursor, event.Kind, text)
-		} else {
-			_, err = fmt.Fprintf(e.out, "%s\n", text)
+		r.cursor = next
+		if len(found) > 0 {
+			if w.write(found) != nil || !r.follow {
+				return nil
+			}
+			continue
 		}
-		if err != nil {
-			return err
+		select {
+		case <-more:
+		case <-ctx.Done():
+			return nil
+		case <-idle.C:
+			if !r.follow || w.keepAlive() != nil {
+				return nil
+			}
+			idle.Reset(maxWait)
 		}
 	}
-	return e.controller.Flush()
-}
-
-// keepAlive writes something, so that the reader knows that the stream is there.
-func (e *eventWriter) keepAlive() error {
-	_ = e.controller.SetWriteDeadline(time.Now().Add(maxWait))
-	text := "\n"
-	if e.serverSent {
-		text = ": still here\n\n"
-	}
-	if _, err := io.WriteString(e.out, text); err != nil {
-		return err
-	}
-	return e.controller.Flush()
 }
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -64,7 +64,7 @@
 		{"a source that fails", "GET", "/events", nil, brokenSource{}},
 	} {
 		w := httptest.NewRecorder()
-		q := httptest.NewRequest(call.method, call.path, nil)
+		q := httptest.NewRequestWithContext(t.Context(), call.method, call.path, nil)
 		if call.header != nil {
 			q.Header = call.header
 		}
@@ -83,7 +83,7 @@
 	for range maxReaders {
 		go func() {
 			w := httptest.NewRecorder()
-			handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/events?follow=1&after=10-3", nil).WithContext(ctx))
+			handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodGet, "/events?follow=1&after=10-3", nil))
 			done <- w
 		}()
 	}
@@ -91,7 +91,7 @@
 	for end := time.Now().Add(20 * time.Second); refused == nil || refused.Code == http.StatusOK; time.Sleep(5 * time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue)
 		refused = httptest.NewRecorder()
-		handler.ServeHTTP(refused, httptest.NewRequest(http.MethodGet, "/events", nil))
+		handler.ServeHTTP(refused, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
 	}
 	leave()
 	var lines strings.Builder
--- /dev/null
+++ b/internal/mesh/operations/eventfeed/writer.go
@@ -0,0 +1,64 @@
+package eventfeed
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"quincegap/internal/mesh/operations/events"
+)
+
+// eventWriter writes events to one reader. Its errors say that the reader has gone, or does not read.
+type eventWriter struct {
+	out        io.Writer
+	controller *http.ResponseController
+	serverSent bool
+}
+
+func newEventWriter(w http.ResponseWriter, serverSent bool) *eventWriter {
+	return &eventWriter{out: w, controller: http.NewResponseController(w), serverSent: serverSent}
+}
+
+// write writes a batch, and sends it.
+func (w *eventWriter) write(batch []events.Event) error {
+	w.extendDeadline()
+	for i := range batch {
+		if err := w.writeEvent(&batch[i]); err != nil {
+			return err
+		}
+	}
+	return w.controller.Flush()
+}
+
+func (w *eventWriter) writeEvent(e *events.Event) error {
+	text, err := json.Marshal(e)
+	if err != nil {
+		return err
+	}
+	if w.serverSent {
+		_, err = fmt.Fprintf(w.out, "id: %s\nevent: %s\ndata: %s\n\n", e.Cursor, e.Kind, text)
+	} else {
+		_, err = fmt.Fprintf(w.out, "%s\n", text)
+	}
+	return err
+}
+
+// keepAlive writes something that is no event, so that the reader knows that the stream is there.
+func (w *eventWriter) keepAlive() error {
+	w.extendDeadline()
+	text := "\n"
+	if w.serverSent {
+		text = ": still here\n\n"
+	}
+	if _, err := io.WriteString(w.out, text); err != nil {
+		return err
+	}
+	return w.controller.Flush()
+}
+
+// extendDeadline has the stream of a reader that does not read end maxWait from now.
+func (w *eventWriter) extendDeadline() {
+	_ = w.controller.SetWriteDeadline(time.Now().Add(maxWait)) // not supported in tests without a connection
+}
