--- /dev/null
+++ b/internal/mesh/operations/eventlog/example_test.go
@@ -0,0 +1,50 @@
+package eventlog_test
+
+import (
+	"fmt"
+
+	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/operations/eventlog"
+	"quincegap/internal/mesh/operations/events"
+)
+
+// memory is a store of records that do not outlive the program.
+type memory map[string][]byte
+
+func (m memory) Get(key string) ([]byte, error) {
+	if data, ok := m[key]; ok {
+		return data, nil
+	}
+	return nil, trace.NotFound("record %q", key)
+}
+
+func (m memory) Put(key string, data []byte) error {
+	m[key] = data
+	return nil
+}
+
+// A log that is opened again has its events, and knows how far it has come with the core process.
+func ExampleOpenLog() {
+	store := memory{}
+	log, err := eventlog.OpenLog(store, 100, 36)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	if err := log.Add(events.Event{Kind: events.EndpointServing, Service: "orders"}, "10.0.0.4:8080", "7-41"); err != nil {
+		fmt.Println(err)
+		return
+	}
+	log, err = eventlog.OpenLog(store, 100, 37)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	found, next, _, err := log.After(events.Cursor{}, 10, events.Filter{})
+	fmt.Println(found[0].Kind, found[0].Service, next, err)
+	fmt.Println(log.Followed())
+	// Output:
+	// endpoint_serves orders 10-1 <nil>
+	// 10.0.0.4:8080 7-41
+}
--- /dev/null
+++ b/internal/mesh/operations/eventlog/follow.go
@@ -0,0 +1,134 @@
+package eventlog
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/operations/events"
+)
+
+const (
+	minRetryDelay = 200 * time.Millisecond // between two attempts to follow; it doubles while they bring nothing
+	maxRetryDelay = 5 * time.Second
+	streamTimeout = 40 * time.Second // without a line; a stream sends one every 25 s
+	maxLineBytes  = 64 << 10
+
+	initialLineBytes = 4 << 10 // of the buffer
+)
+
+// errStreamEnded says that a core process has ended a stream in order, as it does when it shuts down.
+var errStreamEnded = trace.ConnectionProblem(nil, "the stream ended")
+
+// Follow follows the feeds of core processes, one at a time, until ctx ends. cores are their control addresses. It begins with the one that
+// the log has followed, if there is one, and goes on to the next one when a core process brings nothing.
+func Follow(ctx context.Context, l *Log, cores []string, log *logrus.Logger) {
+	delay := minRetryDelay
+	for i := 0; ctx.Err() == nil; i++ {
+		core := cores[i%len(cores)]
+		if followed, _ := l.Followed(); i == 0 && followed != "" {
+			core = followed // the cursor is of this process
+		}
+		received, err := followCore(ctx, l, core, log)
+		if err != nil && ctx.Err() == nil {
+			log.WithField("core", core).Warn("eventlog: " + err.Error())
+		}
+		delay = min(2*delay, maxRetryDelay)
+		if received > 0 {
+			delay = minRetryDelay
+			i-- // the same one again: it may only have restarted
+		}
+		wait(ctx, delay)
+	}
+}
+
+func wait(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// followCore follows one core process to the end of a stream, and returns the number of events that it brought. The error is never nil.
+func followCore(ctx context.Context, l *Log, core string, log *logrus.Logger) (received int, err error) {
+	followed, cursor := l.Followed()
+	if core != followed && followed != "" {
+		// Another process has seen other events in another order: what lies between is not known here.
+		cursor = ""
+		if err := l.Add(changeOfCore(core), core, ""); err != nil {
+			log.Warn("eventlog: " + err.Error())
+		}
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	silent := time.AfterFunc(streamTimeout, cancel)
+	defer silent.Stop()
+	stream, err := openStream(ctx, core, cursor)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = stream.Close() }() // has nothing to add to the end of the stream
+	return readStream(stream, l, core, func() { silent.Reset(streamTimeout) })
+}
+
+// changeOfCore is the gap before the events of another core process.
+func changeOfCore(core string) events.Event {
+	return events.Event{
+		Kind:   events.Gap,
+		Node:   core,
+		Time:   time.Now().UTC().Format(time.RFC3339Nano),
+		Detail: "another core process is followed now; what it kept comes next",
+	}
+}
+
+// openStream opens a core process's feed after a cursor.
+func openStream(ctx context.Context, core, cursor string) (io.ReadCloser, error) {
+	address := "http://" + core + "/events?follow=1&after=" + url.QueryEscape(cursor)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, http.NoBody)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	if response.StatusCode != http.StatusOK {
+		_ = response.Body.Close() // has nothing to add to the status
+		return nil, trace.BadParameter("%s answers %s", core, response.Status)
+	}
+	return response.Body, nil
+}
+
+// readStream adds the events of a stream to the log until the stream ends, and returns how many it has added. alive is called with each
+// line. The error is never nil: errStreamEnded, the link's, the log's, or trace.BadParameter for a line that is no event.
+func readStream(stream io.Reader, l *Log, core string, alive func()) (added int, err error) {
+	lines := bufio.NewScanner(stream)
+	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
+	for lines.Scan() {
+		alive()
+		if len(lines.Bytes()) == 0 {
+			continue
+		}
+		var e events.Event
+		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
+			return added, trace.BadParameter("%s: line %d: %v", core, added+1, err)
+		}
+		if err := l.Add(e, core, e.Cursor); err != nil {
+			return added, trace.Wrap(err)
+		}
+		added++
+	}
+	if err := lines.Err(); err != nil {
+		return added, trace.Wrap(err)
+	}
+	return added, errStreamEnded
+}
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -5,10 +5,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
+	"github.com/gravitational/trace"
 
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/control/storage"
@@ -24,7 +26,7 @@
 	for i := range 5 {
 		all = append(all, events.Event{
 			Time: fmt.Sprintf("2026-01-02T03:04:0%dZ", i), Kind: events.EndpointDraining, Node: "10.1.0.40:7640", Zone: "south-b",
-			Service: "orders", Endpoint: fmt.Sprintf("ep-%d", i), Tenant: "north", Version: "r12", Detail: fmt.Sprint(i),
+			Service: "orders", Endpoint: fmt.Sprintf("ep-%d", i), Tenant: "north", Version: "r12", Detail: strconv.Itoa(i),
 		})
 	}
 	return all
@@ -41,7 +43,7 @@
 
 // The records that a log keeps, by key.
 func TestGoldenRecords(t *testing.T) {
-	s := &memoryStore{records: map[string][]byte{}, left: 100}
+	s := newMemoryStore(100)
 	addGolden(t, s)
 	var lines strings.Builder
 	for _, key := range []string{"head", "event/0", "event/1", "event/2"} {
@@ -66,7 +68,7 @@
 	c.Assert(os.CopyFS(folder, os.DirFS(goldenFolder)), qt.IsNil)
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
-	defer store.Close()
+	defer func() { c.Check(store.Close(), qt.IsNil) }()
 	l, err := OpenLog(store, 3, 99)
 	c.Assert(err, qt.IsNil)
 	from, cursor := l.Followed()
@@ -91,7 +93,8 @@
 	var lines strings.Builder
 	_, err := OpenLog(&memoryStore{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
 	fmt.Fprintf(&lines, "%v\n", err)
-	s := &memoryStore{records: map[string][]byte{}, left: 100}
+	qt.Assert(t, trace.IsBadParameter(err), qt.IsTrue)
+	s := newMemoryStore(100)
 	addGolden(t, s)
 	l, err := OpenLog(s, 3, 36)
 	qt.Assert(t, err, qt.IsNil)
--- /dev/null
+++ b/internal/mesh/operations/eventlog/log.go
@@ -0,0 +1,171 @@
+package eventlog
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"sync"
+
+	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/operations/events"
+)
+
+// Keys of records: the head, and the prefix of an event's.
+const (
+	headKey        = "head"
+	eventKeyPrefix = "event/"
+)
+
+// Store is where records are kept, each under its key (control/storage.Store). Put returns when the record is on disk. The error of Get
+// for a key without a record is trace.NotFound.
+type Store interface {
+	Get(key string) ([]byte, error)
+	Put(key string, data []byte) error
+}
+
+// RecordError says that a record on disk can't be parsed. For package trace it is a BadParameter.
+type RecordError struct {
+	Key string // of the record
+	Err error
+}
+
+// Error implements error.
+func (e *RecordError) Error() string { return fmt.Sprintf("record %q: %v", e.Key, e.Err) }
+
+// Unwrap is the parser's error, and one that has trace.IsBadParameter report true.
+func (e *RecordError) Unwrap() []error {
+	return []error{e.Err, &trace.BadParameterError{Message: e.Error()}}
+}
+
+// Log keeps the newest events under numbers of its own, in a ring of records. It is an eventfeed.Source. Its methods may be called from
+// any goroutine, and wait for the disk.
+type Log struct {
+	store    Store
+	capacity uint64 // events kept
+
+	mu    sync.Mutex
+	head  head
+	added chan struct{} // closed, and replaced, when an event has been added
+}
+
+// head is the first record: what the log holds, and how far it has come with the core process. Its keys are those of logs on disk.
+type head struct {
+	Incarnation uint64 `json:"life"` // of the log, new when its folder was empty
+	Next        uint64 `json:"next"` // number of the next event
+	CoreCursor  string `json:"core"` // at the core process
+	CoreAddress string `json:"from"` // control address of that process
+}
+
+// OpenLog opens the log in a store. capacity is how many events are kept, one at least. A log that is not there yet is made, with the
+// incarnation. The error is the store's, or a *RecordError.
+func OpenLog(s Store, capacity, incarnation uint64) (*Log, error) {
+	l := &Log{
+		store:    s,
+		capacity: max(capacity, 1),
+		head:     head{Incarnation: incarnation, Next: 1},
+		added:    make(chan struct{}),
+	}
+	data, err := s.Get(headKey)
+	if err != nil && !trace.IsNotFound(err) {
+		return nil, trace.Wrap(err)
+	}
+	if len(data) == 0 {
+		return l, nil
+	}
+	if err := json.Unmarshal(data, &l.head); err != nil {
+		return nil, &RecordError{Key: headKey, Err: err}
+	}
+	return l, nil
+}
+
+// eventKey is the key of an event's record. The record of a later event takes its place.
+func (l *Log) eventKey(number uint64) string {
+	return eventKeyPrefix + strconv.FormatUint(number%l.capacity, 10)
+}
+
+// Add keeps an event that a core process sent, with the cursor at that process. The event is on disk before the head counts it; one
+// that was written and not counted is written again after a crash, under the same number.
+func (l *Log) Add(e events.Event, coreAddress, coreCursor string) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	next := l.head
+	e.Cursor = events.Cursor{Incarnation: next.Incarnation, Number: next.Next}.String()
+	if err := l.put(l.eventKey(next.Next), e); err != nil {
+		return err
+	}
+	next.Next++
+	next.CoreCursor = coreCursor
+	next.CoreAddress = coreAddress
+	if err := l.put(headKey, next); err != nil {
+		return err
+	}
+	l.head = next
+	close(l.added)
+	l.added = make(chan struct{})
+	return nil
+}
+
+func (l *Log) put(key string, record any) error {
+	text, err := json.Marshal(record)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	return trace.Wrap(l.store.Put(key, text))
+}
+
+// Followed is the control address of the core process that the log follows, and its cursor there; empty if it has followed none.
+func (l *Log) Followed() (coreAddress, coreCursor string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.head.CoreAddress, l.head.CoreCursor
+}
+
+// After returns up to limit events after a cursor that the filter lets pass, the cursor to go on from, and a channel that is closed when
+// there are more. The error is the store's, or a *RecordError.
+func (l *Log) After(c events.Cursor, limit int, filter events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var found []events.Event
+	number, gap := l.windowLocked().Resume(c)
+	if gap != nil {
+		found = append(found, *gap)
+	}
+	for ; number < l.head.Next && len(found) < limit; number++ {
+		e, err := l.read(number)
+		if err != nil {
+			return found, c, l.added, err
+		}
+		if filter.Passes(e) {
+			found = append(found, *e)
+		}
+	}
+	return found, events.Cursor{Incarnation: l.head.Incarnation, Number: number - 1}, l.added, nil
+}
+
+func (l *Log) windowLocked() *events.Window {
+	w := &events.Window{
+		Incarnation:      l.head.Incarnation,
+		First:            1,
+		Next:             l.head.Next,
+		OtherIncarnation: "the cursor is of another log, or of one whose disk was lost",
+		Ahead:            "the cursor is ahead of the log",
+	}
+	if l.head.Next > l.capacity {
+		w.First = l.head.Next - l.capacity
+	}
+	return w
+}
+
+func (l *Log) read(number uint64) (*events.Event, error) {
+	key := l.eventKey(number)
+	data, err := l.store.Get(key)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	var e events.Event
+	if err := json.Unmarshal(data, &e); err != nil {
+		return nil, &RecordError{Key: key, Err: err}
+	}
+	return &e, nil
+}
