--- a/cmd/meshctl/main.go
+++ b/cmd/meshctl/main.go
@@ -1,7 +1,8 @@
-// Command meshctl is the operators' client of the mesh.
+// Command meshctl is the operators' client of the mesh (package operations/meshctl).
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 
@@ -12,9 +13,10 @@
 )
 
 func main() {
-	var l meshctl.CommandLine
-	k := kong.Parse(&l, kong.Name("meshctl"), kong.Description("The operators' client of the mesh."))
-	if err := k.Run(l.Client(os.Stdout)); err != nil {
+	var line meshctl.CommandLine
+	command := kong.Parse(&line, kong.Name("meshctl"), kong.Description("The operators' client of the mesh."),
+		kong.BindTo(context.Background(), (*context.Context)(nil)))
+	if err := command.Run(line.Client(os.Stdout)); err != nil {
 		fmt.Fprintln(os.Stderr, "meshctl:", trace.UserMessage(err))
 		os.Exit(meshctl.ExitCode(err))
 	}
--- /dev/null
+++ b/internal/mesh/operations/meshctl/client.go
@@ -0,0 +1,104 @@
+package meshctl
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+
+	"github.com/gravitational/trace"
+
+	"quincegap/internal/mesh/agent"
+	"quincegap/internal/mesh/control/configuration"
+)
+
+const (
+	pathRetrieve = "/configuration/retrieve"
+	pathReplace  = "/configuration/replace"
+
+	headerBaseVersion = "Base-Version"
+
+	maxAnswerBytes = 64 << 20
+)
+
+// Client asks the core processes, and prints what they answer.
+type Client struct {
+	Cores  []string // control addresses
+	JSON   bool     // output is for programs
+	Output io.Writer
+	HTTP   http.Client
+}
+
+// printf prints for people. Like fmt.Printf it is not asked whether anybody reads it.
+func (c *Client) printf(format string, args ...any) { _, _ = fmt.Fprintf(c.Output, format, args...) }
+
+// request asks the first core process that answers with anything but a server error. The error is an unavailableError if there is none,
+// trace.BadParameter for an address that can't be used.
+func (c *Client) request(ctx context.Context, method, path string, header http.Header, body []byte) (status int, answer []byte, err error) {
+	var failures []string
+	for _, core := range c.Cores {
+		request, err := http.NewRequestWithContext(ctx, method, "http://"+core+path, bytes.NewReader(body))
+		if err != nil {
+			return 0, nil, trace.BadParameter("--core %s: %v", core, err)
+		}
+		if header != nil {
+			request.Header = header
+		}
+		status, answer, failure := c.send(request)
+		if failure == "" {
+			return status, answer, nil
+		}
+		failures = append(failures, failure)
+	}
+	return 0, nil, unavailableError{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(failures, "; "))}
+}
+
+// send asks one core process. failure says why there is no answer; it is empty if there is one.
+func (c *Client) send(request *http.Request) (status int, answer []byte, failure string) {
+	response, err := c.HTTP.Do(request)
+	if err != nil {
+		return 0, nil, err.Error()
+	}
+	defer func() { _ = response.Body.Close() }() // what was read counts
+	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	if err != nil || response.StatusCode >= http.StatusInternalServerError {
+		return 0, nil, fmt.Sprintf("%s: %s %s", request.URL.Host, response.Status, strings.TrimSpace(string(answer)))
+	}
+	return response.StatusCode, answer, ""
+}
+
+// state is what a core process holds. People are warned if it may be out of date; programs find that in the JSON.
+func (c *Client) state(ctx context.Context) (*agent.State, error) {
+	_, answer, err := c.request(ctx, http.MethodGet, agent.StatePath, nil, nil)
+	if err != nil {
+		return nil, err
+	}
+	var s agent.State
+	if err := json.Unmarshal(answer, &s); err != nil {
+		return nil, trace.Wrap(err, "answer")
+	}
+	if !s.Confirmed && !c.JSON {
+		c.printf("%s reaches no majority of the voters: what follows may be out of date\n", s.Node)
+	}
+	return &s, nil
+}
+
+// configuration is the newest one as the core has it; nil if there is none yet.
+func (c *Client) configuration(ctx context.Context) (*configuration.Config, error) {
+	status, answer, err := c.request(ctx, http.MethodGet, pathRetrieve, nil, nil)
+	if err != nil {
+		return nil, err
+	}
+	switch status {
+	case http.StatusOK:
+		conf, err := configuration.Parse(answer)
+		return conf, trace.Wrap(err)
+	case http.StatusNotFound:
+		return nil, nil
+	default:
+		return nil, unavailableError{trace.ConnectionProblem(nil, "status %d %s", status, answer)}
+	}
+}
--- a/internal/mesh/operations/meshctl/golden_test.go
+++ b/internal/mesh/operations/meshctl/golden_test.go
@@ -1,6 +1,7 @@
 package meshctl
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -51,7 +52,7 @@
 		case "POST /configuration/replace":
 			_, _ = io.Copy(io.Discard, q.Body)
 			w.WriteHeader(status)
-			fmt.Fprintf(w, "base %s\n", q.Header.Get("Base-Version"))
+			_, _ = fmt.Fprintf(w, "base %s\n", q.Header.Get("Base-Version"))
 		default:
 			w.WriteHeader(http.StatusNotFound)
 		}
@@ -88,7 +89,7 @@
 			var lines strings.Builder
 			for _, command := range x.commands {
 				var l CommandLine
-				k, err := kong.New(&l, kong.Name("meshctl"))
+				k, err := kong.New(&l, kong.Name("meshctl"), kong.BindTo(t.Context(), (*context.Context)(nil)))
 				qt.Assert(t, err, qt.IsNil)
 				parsed, err := k.Parse(append([]string{"--core", address}, strings.Fields(command)...))
 				qt.Assert(t, err, qt.IsNil)
--- a/internal/mesh/operations/meshctl/meshctl_test.go
+++ b/internal/mesh/operations/meshctl/meshctl_test.go
@@ -12,29 +12,42 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const before = `{"configVersion":"r3","routeTable":[{"name":"a","hostName":"h","pathPrefix":"/a/","routeKind":"idempotent","timeout":"1s","target":"300ms","priority":1,"serviceName":"s","maxAttempts":1}],
+const before = `{"configVersion":"r3","routeTable":[{"name":"a","hostName":"h","pathPrefix":"/a/","routeKind":"idempotent",` +
+	`"timeout":"1s","target":"300ms","priority":1,"serviceName":"s","maxAttempts":1}],
 "serviceTable":[{"name":"s","healthPath":"/health","connectionCap":9}],"tenantTable":[{"name":"t","accessKeys":["secret1"],"ratePerS":5}]}`
 
-func fakeCore(t *testing.T, replace func(base string, body string) int) *Client {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		switch q.URL.Path {
+// clientOf is a client of a core process, after another one that can't be reached, and what it prints.
+func clientOf(t *testing.T, core http.HandlerFunc) (*Client, *strings.Builder) {
+	t.Helper()
+	s := httptest.NewServer(core)
+	t.Cleanup(s.Close)
+	var out strings.Builder
+	line := CommandLine{Core: []string{"127.0.0.1:1", s.Listener.Addr().String()}}
+	return line.Client(&out), &out
+}
+
+// fakeCore is a core process with a configuration, that answers each submitted one as replace says.
+func fakeCore(t *testing.T, replace func(base, body string) (status int)) (*Client, *strings.Builder) {
+	t.Helper()
+	return clientOf(t, func(w http.ResponseWriter, r *http.Request) {
+		switch r.URL.Path {
 		case "/configuration/retrieve":
-			io.WriteString(w, before)
+			_, _ = io.WriteString(w, before)
 		case "/mesh/state":
-			io.WriteString(w, `{"node":"core-1","confirmed":true,"endpoints":[{"id":"i","service":"s","state":"in_service"}]}`)
+			_, _ = io.WriteString(w, `{"node":"core-1","confirmed":true,"endpoints":[{"id":"i","service":"s","state":"in_service"}]}`)
 		default:
-			body, _ := io.ReadAll(q.Body)
-			w.WriteHeader(replace(q.Header.Get("Base-Version"), string(body)))
+			body, err := io.ReadAll(r.Body)
+			if err != nil {
+				t.Error(err)
+			}
+			w.WriteHeader(replace(r.Header.Get("Base-Version"), string(body)))
 		}
-	}))
-	t.Cleanup(s.Close)
-	l := CommandLine{Core: []string{"127.0.0.1:1", s.Listener.Addr().String()}} // the first one is away
-	return l.Client(&strings.Builder{})
+	})
 }
 
 func TestApply(t *testing.T) {
 	after := strings.NewReplacer(`"r3"`, `"r4"`, `"1s"`, `"2s"`, "secret1", "secret2").Replace(before)
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		file, base string
 		status     int
 		code       int
@@ -49,50 +62,50 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			file := filepath.Join(t.TempDir(), "c.json")
-			c.Assert(os.WriteFile(file, []byte(x.file), 0o644), qt.IsNil)
-			client := fakeCore(t, func(base, body string) int {
-				c.Check(body, qt.Equals, x.file)
-				if x.base == "" {
+			c.Assert(os.WriteFile(file, []byte(test.file), 0o644), qt.IsNil)
+			client, out := fakeCore(t, func(base, body string) int {
+				c.Check(body, qt.Equals, test.file)
+				if test.base == "" {
 					c.Check(base, qt.Equals, "r3")
 				}
-				return x.status
+				return test.status
 			})
-			err := ConfigApplyCommand{File: file, Base: x.base}.Run(client)
-			c.Assert(ExitCode(err), qt.Equals, x.code, qt.Commentf("%v", err))
-			out := client.Output.(*strings.Builder).String()
-			if x.code == 0 {
-				c.Assert(out, qt.Contains, "version r3 -> r4")
-				c.Assert(out, qt.Contains, "~ route h/a/")
-				c.Assert(out, qt.Contains, "tenant t: keys change")
+			err := ConfigApplyCommand{File: file, Base: test.base}.Run(t.Context(), client)
+			c.Assert(ExitCode(err), qt.Equals, test.code, qt.Commentf("%v", err))
+			if test.code == 0 {
+				c.Assert(out.String(), qt.Contains, "version r3 -> r4")
+				c.Assert(out.String(), qt.Contains, "~ route h/a/")
+				c.Assert(out.String(), qt.Contains, "tenant t: keys change")
 			}
-			c.Assert(strings.Contains(out, "secret"), qt.IsFalse)
+			c.Assert(strings.Contains(out.String(), "secret"), qt.IsFalse)
 		})
 	}
 }
 
 func TestWhy(t *testing.T) {
-	c := qt.New(t)
-	client := fakeCore(t, nil)
-	for path, want := range map[string]string{"/none/": "404", "/a/x": "100% to s: 1 endpoints in service"} {
-		c.Assert(WhyCommand{Host: "h", Path: path, Key: "secret1"}.Run(client), qt.IsNil)
-		c.Assert(client.Output.(*strings.Builder).String(), qt.Contains, want)
+	for name, test := range map[string]struct{ path, key, want string }{
+		"no route":    {"/none/", "secret1", "404"},
+		"endpoints":   {"/a/x", "secret1", "100% to s: 1 endpoints in service"},
+		"unknown key": {"/a/x", "wrong", "401"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client, out := fakeCore(t, nil)
+			qt.Assert(t, WhyCommand{Host: "h", Path: test.path, Key: test.key}.Run(t.Context(), client), qt.IsNil)
+			qt.Assert(t, out.String(), qt.Contains, test.want)
+		})
 	}
-	c.Assert(WhyCommand{Host: "h", Path: "/a/x", Key: "wrong"}.Run(client), qt.IsNil)
-	c.Assert(client.Output.(*strings.Builder).String(), qt.Contains, "401")
 }
 
-// A core process that reaches no majority says so, and people are told; programs find it in the JSON.
+// A core process that reaches no majority says so, and people are warned; programs find it in the JSON.
 func TestUnconfirmedState(t *testing.T) {
-	c := qt.New(t)
-	for confirmed, told := range map[string]bool{"true": false, "false": true} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, `{"node":"core-1","confirmed":`+confirmed+`,"members":[{"address":"10.0.0.1:1"}]}`)
-		}))
-		defer s.Close()
-		out := &strings.Builder{}
-		client := (&CommandLine{Core: []string{s.Listener.Addr().String()}}).Client(out)
-		c.Assert(MembersCommand{}.Run(client), qt.IsNil)
-		c.Assert(strings.Contains(out.String(), "core-1 reaches no majority"), qt.Equals, told)
-		c.Assert(out.String(), qt.Contains, "10.0.0.1:1")
+	for confirmed, warned := range map[string]bool{"true": false, "false": true} {
+		t.Run("confirmed "+confirmed, func(t *testing.T) {
+			client, out := clientOf(t, func(w http.ResponseWriter, _ *http.Request) {
+				_, _ = io.WriteString(w, `{"node":"core-1","confirmed":`+confirmed+`,"members":[{"address":"10.0.0.1:1"}]}`)
+			})
+			qt.Assert(t, MembersCommand{}.Run(t.Context(), client), qt.IsNil)
+			qt.Assert(t, strings.Contains(out.String(), "core-1 reaches no majority"), qt.Equals, warned)
+			qt.Assert(t, out.String(), qt.Contains, "10.0.0.1:1")
+		})
 	}
 }
--- /dev/null
+++ b/internal/mesh/operations/meshctl/why.go
@@ -0,0 +1,86 @@
+package meshctl
+
+import (
+	"context"
+
+	"quincegap/internal/mesh/agent"
+	"quincegap/internal/mesh/control/configuration"
+)
+
+// WhyCommand explains what the mesh would do with a request.
+type WhyCommand struct {
+	Host string `arg:"" help:"The Host header."`
+	Path string `arg:"" help:"The path."`
+	Key  string `help:"The tenant's key; it is not printed."`
+}
+
+// Run prints the route, the tenant and the endpoints that the request would get, or the status that it would be rejected with.
+func (w WhyCommand) Run(ctx context.Context, client *Client) error {
+	conf, err := client.configuration(ctx)
+	if err != nil {
+		return err
+	}
+	s, err := client.state(ctx)
+	if err != nil {
+		return err
+	}
+	if conf == nil {
+		client.printf("503: there is no configuration yet\n")
+		return nil
+	}
+	r := conf.Match(w.Host, w.Path)
+	if r == nil {
+		client.printf("404: no route of %s begins %q (%s, %d routes)\n", w.Host, w.Path, conf.Version, len(conf.Routes))
+		return nil
+	}
+	client.printf("route %s: %s%s, timeout %v, aim %v, at most %d endpoints\n", r.Name, r.Host, r.Prefix, r.Timeout, r.Target, r.MaxAttempts)
+	if w.explainTenant(client, conf, r) {
+		explainEndpoints(client, r, s.Endpoints)
+	}
+	return nil
+}
+
+// explainTenant reports whether a request with the key is admitted on a route.
+func (w WhyCommand) explainTenant(client *Client, conf *configuration.Config, r *configuration.Route) bool {
+	if !conf.HasTenantTable {
+		return true
+	}
+	t := conf.TenantByKey(w.Key)
+	switch {
+	case t == nil && !r.Public:
+		client.printf("401: the key is not known\n")
+		return false
+	case t == nil:
+		client.printf("no tenant: the route is public\n")
+	default:
+		client.printf("tenant %s: rank %d, %v a second and %v at once (0: no limit)\n", t.Name, t.Priority, t.Rate, t.Burst)
+	}
+	return true
+}
+
+// explainEndpoints prints the services that a route is split over, with their endpoints.
+func explainEndpoints(client *Client, r *configuration.Route, endpoints []agent.EndpointState) {
+	total := 0.0
+	for _, share := range r.Split {
+		total += share.Weight
+	}
+	for _, share := range r.Split {
+		inService := count(endpoints, share.Service, agent.StateInService)
+		draining := count(endpoints, share.Service, agent.StateDraining)
+		client.printf("%3.0f%% to %s: %d endpoints in service, %d draining\n", 100*share.Weight/total, share.Service, inService, draining)
+		if inService == 0 {
+			client.printf("     503 until one is there\n")
+		}
+	}
+}
+
+// count is how many endpoints of a service are in a state.
+func count(endpoints []agent.EndpointState, service, state string) int {
+	n := 0
+	for _, e := range endpoints {
+		if e.Service == service && e.State == state {
+			n++
+		}
+	}
+	return n
+}
