--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -1,4 +1,4 @@
-// Command eventlog follows the mesh's events, keeps them on disk and serves them to other tools.
+// Command eventlog follows the mesh's events, keeps them on disk and serves them to other tools (package operations/eventlog).
 package main
 
 import (
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"os"
+	"sync"
 	"time"
 
 	"github.com/alecthomas/kong"
@@ -20,8 +21,13 @@
 	"quincegap/internal/mesh/operations/eventlog"
 )
 
-const shutdownTimeout = 3 * time.Second // to answer the calls that were read
+const (
+	shutdownTimeout   = 3 * time.Second // to answer the calls that were read
+	readHeaderTimeout = 5 * time.Second
+	maxHeaderBytes    = 32 << 10
+)
 
+// options is the command line, as kong parses it.
 type options struct {
 	Core   []string `help:"Control addresses of core processes, the first one first." required:"" sep:","`
 	Listen string   `help:"Where tools read: GET /events?after=CURSOR&follow=1." default:"127.0.0.1:8170"`
@@ -29,53 +35,73 @@
 	Keep   uint64   `help:"How many events are kept." default:"100000"`
 }
 
+// Run follows and serves events until the process is to end.
 func (o *options) Run(signals lifecycle.Signals) error {
 	store, err := storage.Open(o.Folder)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", o.Folder)
 	}
-	defer store.Close()
-	log, err := eventlog.OpenLog(store, o.Keep, rand.Uint64()|1)
+	defer func() {
+		if err := store.Close(); err != nil { // what counts was written through
+			logrus.WithError(err).Warn("eventlog: the folder can't be closed")
+		}
+	}()
+	newIncarnation := rand.Uint64() | 1 // never 0
+	log, err := eventlog.OpenLog(store, o.Keep, newIncarnation)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", o.Folder)
 	}
-	for _, a := range o.Core {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return trace.BadParameter("--core %s: wanted an address like 10.0.0.4:8080", a)
-		}
+	if err := o.checkCores(); err != nil {
+		return err
 	}
-	n, err := net.Listen("tcp", o.Listen)
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", o.Listen)
 	if err != nil {
 		return trace.Wrap(err, "--listen %s", o.Listen)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	mux := http.NewServeMux()
-	mux.Handle("/events", lifecycle.CancelRequestsOnDone(ctx, eventfeed.Handler(log)))
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 32 << 10}
+	server := newServer(ctx, log)
 	failed := make(chan error, 1)
-	go func() { failed <- s.Serve(n) }()
-	followed := make(chan struct{})
-	go func() {
-		defer close(followed)
-		eventlog.Follow(ctx, log, o.Core, logrus.StandardLogger())
-	}()
+	go func() { failed <- server.Serve(listener) }() // ends with Shutdown
+	var following sync.WaitGroup
+	following.Go(func() { eventlog.Follow(ctx, log, o.Core, logrus.StandardLogger()) })
 	select {
 	case <-signals.Terminate:
 	case err = <-failed:
 	}
 	stop()
-	<-followed // it writes to the store, which is closed after it
-	ending, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	following.Wait() // it writes to the store, which is closed after it
+	return trace.NewAggregate(err, shutDown(server))
+}
+
+func (o *options) checkCores() error {
+	for _, core := range o.Core {
+		if _, _, err := net.SplitHostPort(core); err != nil {
+			return trace.BadParameter("--core %s: wanted an address like 10.0.0.4:8080", core)
+		}
+	}
+	return nil
+}
+
+// newServer serves a log to tools. Streams end with ctx, as nothing else ends them.
+func newServer(ctx context.Context, log *eventlog.Log) *http.Server {
+	mux := http.NewServeMux()
+	mux.Handle("/events", lifecycle.CancelRequestsOnDone(ctx, eventfeed.Handler(log)))
+	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
+}
+
+func shutDown(server *http.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	return trace.NewAggregate(err, s.Shutdown(ending))
+	return server.Shutdown(ctx)
 }
 
 func main() {
 	signals := lifecycle.Catch()
-	var l options
-	k := kong.Parse(&l, kong.Name("eventlog"), kong.Description("Follows the mesh's events, keeps them, and serves them to other tools."))
-	if err := k.Run(signals); err != nil {
+	var o options
+	command := kong.Parse(&o, kong.Name("eventlog"),
+		kong.Description("Follows the mesh's events, keeps them, and serves them to other tools."))
+	if err := command.Run(signals); err != nil {
 		fmt.Fprintln(os.Stderr, "eventlog:", trace.UserMessage(err))
 		os.Exit(1)
 	}
--- a/cmd/eventlog/main_test.go
+++ b/cmd/eventlog/main_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"io"
 	"net"
 	"net/http"
@@ -22,38 +23,58 @@
 	main()
 }
 
-// A reader follows the log as its process gets signals: a change of settings is nothing to it, and after SIGTERM, which comes twice and
-// with others, the stream ends whole and the process in order.
-func TestSignals(t *testing.T) {
-	c := qt.New(t)
-	free, err := net.Listen("tcp4", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
-	address := free.Addr().String()
-	free.Close()
-	program := exec.Command(os.Args[0], "--core", "127.0.0.1:1", "--listen", address, "--folder", t.TempDir())
+// freeAddress is an address on loopback that nobody listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, listener.Close(), qt.IsNil)
+	return listener.Addr().String()
+}
+
+// startProgram starts the program with a listen address, and waits until it listens.
+func startProgram(t *testing.T, address string) *exec.Cmd {
+	t.Helper()
+	program := exec.CommandContext(context.Background(), os.Args[0], "--core", "127.0.0.1:1", "--listen", address, "--folder", t.TempDir())
 	program.Env = append(os.Environ(), "EVENTLOG_TEST=1")
-	c.Assert(program.Start(), qt.IsNil)
-	t.Cleanup(func() { _ = program.Process.Kill() })
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		conn, err := net.Dial("tcp4", address)
+	qt.Assert(t, program.Start(), qt.IsNil)
+	t.Cleanup(func() { _ = program.Process.Kill() }) // one that has ended is not there
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", address)
 		if err == nil {
-			conn.Close()
-			break
+			_ = conn.Close()
+			return program
 		}
-		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("%v", err))
+		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("%v", err))
+	}
+}
+
+// follow reads a stream to its end. sent is closed when the request has been sent.
+func follow(ctx context.Context, address string, sent chan<- struct{}) error {
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { close(sent) }})
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/events?follow=1", http.NoBody)
+	if err != nil {
+		return err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return err
 	}
+	if _, err := io.ReadAll(response.Body); err != nil {
+		return err
+	}
+	return response.Body.Close()
+}
+
+// A reader follows the log as its process gets signals: a change of settings is nothing to it, and after SIGTERM, which comes twice and
+// with others, the stream ends whole and the process in order.
+func TestSignals(t *testing.T) {
+	c := qt.New(t)
+	address := freeAddress(t)
+	program := startProgram(t, address)
 	c.Assert(program.Process.Signal(syscall.SIGHUP), qt.IsNil)
 	sent, answered := make(chan struct{}), make(chan error, 1)
-	go func() {
-		q, _ := http.NewRequest(http.MethodGet, "http://"+address+"/events?follow=1", nil)
-		trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { close(sent) }}
-		r, err := http.DefaultClient.Do(q.WithContext(httptrace.WithClientTrace(q.Context(), trace)))
-		if err == nil {
-			_, err = io.ReadAll(r.Body)
-			r.Body.Close()
-		}
-		answered <- err
-	}()
+	go func() { answered <- follow(t.Context(), address, sent) }()
 	<-sent
 	time.Sleep(500 * time.Millisecond) // it is read, also on a busy machine
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
