--- a/cmd/eventlog/main_test.go
+++ b/cmd/eventlog/main_test.go
@@ -67,7 +67,7 @@
 }
 
 // A reader follows the log as its process gets signals: a change of settings is nothing to it, and after SIGTERM, which comes twice and
-// with others, the stream ends whole and the process in order.
+// with others, the stream ends complete and the process in order.
 func TestSignals(t *testing.T) {
 	c := qt.New(t)
 	address := freeAddress(t)
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -64,7 +64,7 @@
 func (a *Agent) sendDue() {
 	a.configuration.finishPoll()
 	due := a.takeDue()
-	a.members.sendShuffles(due.neighbours, due.shuffle)
+	a.members.sendShuffles(due.peers, due.shuffle)
 	a.publisher.sendRecords(due.records)
 	a.directory.sendSubscriptions(due.subscriptions)
 	a.directory.notifyChanges()
@@ -72,7 +72,7 @@
 
 // dueMessages are those that are to be sent now.
 type dueMessages struct {
-	neighbours    []string // that get the shuffle
+	peers         []string // that get the shuffle
 	shuffle       *membership.Shuffle
 	records       []discovery.Announcement
 	subscriptions []discovery.SubscribeRequest
@@ -84,7 +84,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var due dueMessages
-	due.neighbours, due.shuffle = a.members.tickLocked(now)
+	due.peers, due.shuffle = a.members.tickLocked(now)
 	if a.members.viewChangedLocked() {
 		a.publisher.updateOwnersLocked(now)
 		a.directory.updateOwnersLocked(now)
@@ -154,7 +154,7 @@
 
 // PublishOnBehalf publishes a record that this process received in place of the endpoint's own sidecar, which could not be reached. It
 // reports whether a registry owner in every zone has acknowledged it, so that all callers learn of it: also in zones that had
-// members lately, which may be cut off. This process alone is not enough. It returns when ctx ends at the latest.
+// members lately, which may be partitioned. This process alone is not enough. It returns when ctx ends at the latest.
 func (a *Agent) PublishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
 	return a.publisher.publishOnBehalf(ctx, e)
 }
--- a/internal/mesh/agent/directory_changes.go
+++ b/internal/mesh/agent/directory_changes.go
@@ -6,7 +6,7 @@
 type serviceChange struct {
 	service     string
 	endpoints   []discovery.Endpoint // all that is known of it
-	update      []discovery.Endpoint // what has changed, for subscribers: the whole list to each would fill an owner's link
+	update      []discovery.Endpoint // what has changed, for subscribers: the complete list to each would fill an owner's link
 	subscribers []string
 }
 
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -249,7 +249,7 @@
 	}
 	late := goldenEndpoint()
 	late.ID, late.State = "ep-2", discovery.Deregistered
-	a.events.recordEndpoints([]discovery.Endpoint{late}) // nobody has heard of it while it served
+	a.events.recordEndpoints([]discovery.Endpoint{late}) // nobody knew of it while it served
 	a.events.recordQuotaExhausted(0, "north")
 	a.events.recordQuotaExhausted(quotaExhaustedInterval-1, "north")
 	a.events.recordQuotaExhausted(quotaExhaustedInterval, "north")
--- a/internal/mesh/agent/idle_mesh_test.go
+++ b/internal/mesh/agent/idle_mesh_test.go
@@ -234,7 +234,7 @@
 	for i := range core + sidecars {
 		a := mesh.start(i)
 		if i >= core {
-			publish = append(publish, publisherOf(a, fmt.Sprintf("life-%d", i)))
+			publish = append(publish, publisherOf(a, fmt.Sprintf("endpoint-%d", i)))
 			publish[len(publish)-1](discovery.Serving)
 		}
 	}
@@ -259,7 +259,7 @@
 	b.ReportMetric(float64(after.SentFrames-before.SentFrames)/sidecarSeconds, "frames/s")
 	b.ReportMetric(float64(links)/float64(sidecars), "links")
 	b.ReportMetric(float64(mesh.commit(2, idleMeshConfiguration(2, services, routes)).Milliseconds()), "ms/commit")
-	id := fmt.Sprintf("life-%d", core)
+	id := fmt.Sprintf("endpoint-%d", core)
 	mesh.draining.Store(&id)
 	publish[0](discovery.Draining)
 	b.ReportMetric(float64(mesh.waitForSidecars("draining", &mesh.drained).Milliseconds()), "ms/drain")
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -64,19 +64,19 @@
 	transport.Handle(m.hub, methodShuffle, m.handleShuffle)
 }
 
-// tickLocked advances the view, and returns the shuffle that is to be sent to neighbours now, if there is one.
-func (m *memberTracker) tickLocked(now time.Duration) (neighbours []string, shuffle *membership.Shuffle) {
-	neighbours, shuffle = m.view.Tick(now)
+// tickLocked advances the view, and returns the shuffle that is to be sent to peers now, if there is one.
+func (m *memberTracker) tickLocked(now time.Duration) (peers []string, shuffle *membership.Shuffle) {
+	peers, shuffle = m.view.Tick(now)
 	if shuffle != nil {
 		shuffle.ConfigVersion = m.versions.versionLocked()
 	}
 	m.recordZonesLocked(now)
-	return neighbours, shuffle
+	return peers, shuffle
 }
 
-// sendShuffles sends a shuffle to neighbours, and merges their replies.
-func (m *memberTracker) sendShuffles(neighbours []string, shuffle *membership.Shuffle) {
-	for _, address := range neighbours {
+// sendShuffles sends a shuffle to peers, and merges their replies.
+func (m *memberTracker) sendShuffles(peers []string, shuffle *membership.Shuffle) {
+	for _, address := range peers {
 		m.send(address, methodShuffle, shuffle, func(body []byte) {
 			var reply membership.Shuffle
 			if codec.Unmarshal(body, &reply) == nil {
@@ -93,7 +93,7 @@
 	return &membership.Shuffle{Reply: true}
 }
 
-// merge merges a neighbour's view, and learns of the version of the configuration that it holds. The reply may be nil.
+// merge merges a peer's view, and learns of the version of the configuration that it holds. The reply may be nil.
 func (m *memberTracker) merge(s *membership.Shuffle) *membership.Shuffle {
 	if s.From.Incarnation == 0 {
 		return nil
--- a/internal/mesh/agent/roles.go
+++ b/internal/mesh/agent/roles.go
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithTimeout(ctx, learnVotersTimeout)
 	defer cancel()
 	if _, err := s.voters.ReadLatest(ctx); err != nil {
-		s.agent.log.WithError(err).Debug("agent: the newest list of voters can't be read")
+		s.agent.log.WithError(err).Debug("agent: the newest set of voters can't be read")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -19,8 +19,8 @@
 // goldenSource gives the events of a feed; nothing comes later.
 type goldenSource struct{ feed *events.Feed }
 
-func (g goldenSource) After(c events.Cursor, most int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
-	out, next := g.feed.After(c, most, f)
+func (g goldenSource) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	out, next := g.feed.After(c, limit, f)
 	return out, next, nil, nil
 }
 
--- a/internal/mesh/operations/eventlog/follow.go
+++ b/internal/mesh/operations/eventlog/follow.go
@@ -38,7 +38,7 @@
 		}
 		received, err := followCore(ctx, l, core, log)
 		if err != nil && ctx.Err() == nil {
-			log.WithField("core", core).Warn("eventlog: " + err.Error())
+			log.WithField("core", core).WithError(err).Warn("eventlog: a core process's feed has ended")
 		}
 		delay = min(2*delay, maxRetryDelay)
 		if received > 0 {
@@ -65,19 +65,19 @@
 		// Another process has seen other events in another order: what lies between is not known here.
 		cursor = ""
 		if err := l.Add(changeOfCore(core), core, ""); err != nil {
-			log.Warn("eventlog: " + err.Error())
+			log.WithField("core", core).WithError(err).Warn("eventlog: a gap can't be kept")
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(streamTimeout, cancel)
-	defer silent.Stop()
+	deadline := time.AfterFunc(streamTimeout, cancel)
+	defer deadline.Stop()
 	stream, err := openStream(ctx, core, cursor)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = stream.Close() }() // has nothing to add to the end of the stream
-	return readStream(stream, l, core, func() { silent.Reset(streamTimeout) })
+	return readStream(stream, l, core, func() { deadline.Reset(streamTimeout) })
 }
 
 // changeOfCore is the gap before the events of another core process.
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -1,7 +1,7 @@
 // Package logging keeps a process's log in a ring in memory, and writes it out when something has gone wrong, so that the moments
 // before the fault can be read and little else is written: writing takes processor time too.
 //
-// An entry at level error has the whole ring written out at once, one at level warning too unless that happened within the last ten
+// An entry at level error has the ring written out at once, one at level warning too unless that happened within the last ten
 // seconds. What was written out is dropped from the ring. Keys and bodies are never logged: callers see to that.
 package logging
 
@@ -17,7 +17,7 @@
 const (
 	maxEntries      = 1024             // kept in memory
 	minDumpInterval = 10 * time.Second // between two dumps because of warnings
-	maxMessageBytes = 512              // of one message; a longer one is cut off
+	maxMessageBytes = 512              // of one message; a longer one is truncated
 )
 
 // Ring is a logrus hook that keeps the newest entries. The logger's own output is to be discarded, as New sees to. Its methods may be
--- a/internal/mesh/operations/logging/logging_test.go
+++ b/internal/mesh/operations/logging/logging_test.go
@@ -21,7 +21,7 @@
 	c.Assert(lines, qt.HasLen, maxEntries)
 	c.Assert(lines[maxEntries-1], qt.Contains, "fault")
 	c.Assert(lines[0], qt.Contains, fmt.Sprintf("step %d", 3000-maxEntries+1))
-	// A crowd of faults is written once in a while, and counted; an error at once.
+	// Many faults are written once in a while, and counted; an error at once.
 	out.Reset()
 	for range 50 {
 		log.Warn("again")
@@ -31,7 +31,7 @@
 	c.Assert(strings.Count(out.String(), "again"), qt.Equals, 50)
 	c.Assert(out.String(), qt.Contains, "-- 50 faults since")
 	out.Reset()
-	log.Info("calm " + strings.Repeat("x", 5000))
+	log.Info("later " + strings.Repeat("x", 5000))
 	ring.Dump("SIGUSR1")
 	c.Assert(out.String(), qt.Contains, "SIGUSR1")
 	c.Assert(len(out.String()) < 1000, qt.IsTrue)
