--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -74,6 +74,7 @@
 	return trace.NewAggregate(err, shutDown(server))
 }
 
+// checkCores names the first core process whose address can't be used.
 func (o *options) checkCores() error {
 	for _, core := range o.Core {
 		if _, _, err := net.SplitHostPort(core); err != nil {
@@ -90,6 +91,7 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
+// shutDown answers the calls that were read, for shutdownTimeout at most.
 func shutDown(server *http.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -100,17 +100,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	a.members.view.ConnectionLost(now, address)
-	a.directory.subscriptions.ConnectionLost(now, address)
-	a.publisher.records.ForgetOwner(address)
+	a.members.linkLostLocked(now, address)
+	a.directory.linkLostLocked(now, address)
+	a.publisher.linkLostLocked(address)
 }
 
 // SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
-func (a *Agent) SetSeeds(addresses []string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.members.view.SetSeeds(a.now(), addresses)
-}
+func (a *Agent) SetSeeds(addresses []string) { a.members.setSeeds(addresses) }
 
 // MemberAt is the newest member at an IP address; false if none is known there.
 func (a *Agent) MemberAt(ip string) (membership.Member, bool) { return a.members.at(ip) }
--- a/internal/mesh/agent/configuration.go
+++ b/internal/mesh/agent/configuration.go
@@ -44,10 +44,12 @@
 	stopped       bool // fetched configurations are not applied any more
 }
 
+// newConfigurationUpdater makes an updater that holds no configuration.
 func newConfigurationUpdater(env *environment, members *memberTracker, directory *endpointDirectory, recorder *eventRecorder) *configurationUpdater {
 	return &configurationUpdater{environment: env, members: members, directory: directory, events: recorder}
 }
 
+// register registers the methods by which peers announce versions and ask for the configuration.
 func (c *configurationUpdater) register() {
 	transport.Handle(c.hub, methodVersionNotice, c.handleVersionNotice)
 	transport.Handle(c.hub, methodConfiguration, c.handleRequest)
@@ -61,6 +63,7 @@
 	c.applying.Wait()
 }
 
+// apply applies a committed configuration (Agent.ApplyCommitted). It returns when OnConfiguration has.
 func (c *configurationUpdater) apply(version uint64, text []byte) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
@@ -114,7 +117,7 @@
 func (c *configurationUpdater) peersToNotifyLocked() []string {
 	self := c.address()
 	var core, rest []string
-	for _, m := range c.members.view.Members() {
+	for _, m := range c.members.allLocked() {
 		switch {
 		case m.Address == self:
 		case m.Role == membership.RoleCore && c.config.Role == membership.RoleCore:
@@ -126,6 +129,7 @@
 	return append(core, c.sampleLocked(rest, noticePeers)...)
 }
 
+// applied is the version and the text of the applied configuration; version 0 for none.
 func (c *configurationUpdater) applied() (version uint64, text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,6 +177,7 @@
 	}
 }
 
+// recordPollAnswer takes the version that a polled peer holds.
 func (c *configurationUpdater) recordPollAnswer(peer string, version uint64) {
 	c.mu.Lock()
 	c.poll.record(peer, version)
@@ -219,6 +224,7 @@
 	return c.current.Version, true
 }
 
+// applyFetched applies a fetched configuration on a goroutine that stop waits for.
 func (c *configurationUpdater) applyFetched(fetched *configurationText) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,6 +233,7 @@
 	}
 }
 
+// handleVersionNotice learns of the version that a peer announces.
 func (c *configurationUpdater) handleVersionNotice(_ context.Context, from *transport.Hello, n *versionNotice) *acknowledgement {
 	c.learnVersion(from.Address, n.Version)
 	return &acknowledgement{Accepted: true}
--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -28,6 +28,7 @@
 	nextExpiry    time.Duration
 }
 
+// newEndpointDirectory makes a directory without records. A sidecar wants its own service until a configuration names others.
 func newEndpointDirectory(env *environment, members *memberTracker, recorder *eventRecorder) *endpointDirectory {
 	d := &endpointDirectory{
 		environment:   env,
@@ -44,6 +45,7 @@
 	return d
 }
 
+// register registers the methods of a registry owner and of a subscriber.
 func (d *endpointDirectory) register() {
 	transport.Handle(d.hub, methodPublish, d.handlePublish)
 	transport.Handle(d.hub, methodSubscribe, d.handleSubscribe)
@@ -69,6 +71,11 @@
 	}
 }
 
+// linkLostLocked has the subscriptions at an address be requested again.
+func (d *endpointDirectory) linkLostLocked(now time.Duration, address string) {
+	d.subscriptions.ConnectionLost(now, address)
+}
+
 // wantLocked replaces the services that this process wants to know the endpoints of.
 func (d *endpointDirectory) wantLocked(services []string) { d.services = services }
 
@@ -152,6 +159,7 @@
 	return &endpointList{Service: s.Service, Version: version, Endpoints: endpoints, OwnerIncarnation: incarnation}
 }
 
+// handlePublish takes the record that a sidecar publishes to this process as a registry owner.
 func (d *endpointDirectory) handlePublish(_ context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
 	d.applyAsOwner(p.Endpoint)
 	return &publishRequest{Accepted: true}
@@ -170,6 +178,7 @@
 	d.applyLocked(records)
 }
 
+// applyLocked is apply with the lock held.
 func (d *endpointDirectory) applyLocked(records []discovery.Endpoint) {
 	now := d.now()
 	for _, e := range records {
@@ -180,11 +189,14 @@
 	}
 }
 
+// allLocked are the records of all services that this process knows.
+func (d *endpointDirectory) allLocked() []discovery.Endpoint { return d.registry.All(d.now()) }
+
 // complete completes a record that has only an id and a state by what is known of its endpoint, if anything is.
 func (d *endpointDirectory) complete(e discovery.Endpoint) discovery.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, known := range d.registry.All(d.now()) {
+	for _, known := range d.allLocked() {
 		if known.ID == e.ID {
 			known.State = e.State
 			return known
--- a/internal/mesh/agent/environment.go
+++ b/internal/mesh/agent/environment.go
@@ -34,6 +34,7 @@
 	rng *rand.Rand
 }
 
+// newEnvironment makes the environment of an agent.
 func newEnvironment(config Config) *environment {
 	return &environment{
 		config:   config,
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -26,6 +26,7 @@
 	quotaExhausted map[string]time.Duration     // when last recorded, by tenant
 }
 
+// newEventRecorder makes a recorder whose feed has the incarnation of this process.
 func newEventRecorder(incarnation uint64) *eventRecorder {
 	return &eventRecorder{
 		feed:           events.NewFeed(incarnation, maxEvents),
@@ -44,6 +45,7 @@
 	return found, next, r.added, nil
 }
 
+// add adds an event to the feed with the present wall-clock time, and wakes those that wait for one.
 func (r *eventRecorder) add(e events.Event) {
 	e.Time = time.Now().UTC().Format(time.RFC3339Nano)
 	r.mu.Lock()
@@ -122,6 +124,7 @@
 	}
 }
 
+// quotaEventDue reports whether an exhausted quota is to be recorded, and notes that it is.
 func (r *eventRecorder) quotaEventDue(now time.Duration, tenant string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,18 +136,21 @@
 	return true
 }
 
+// recordConfiguration records that this process has applied a version.
 func (r *eventRecorder) recordConfiguration(version configuration.Version) {
 	if r != nil {
 		r.add(events.Event{Kind: events.ConfigurationApplied, Version: version.String()})
 	}
 }
 
+// recordRoleAcquired records that a process, this one, has a singleton role from now on. detail says which.
 func (r *eventRecorder) recordRoleAcquired(node, detail string) {
 	if r != nil {
 		r.add(events.Event{Kind: events.RoleAcquired, Node: node, Detail: detail})
 	}
 }
 
+// recordRoleLost records that a process, this one, has a singleton role no longer.
 func (r *eventRecorder) recordRoleLost(node, detail string) {
 	if r != nil {
 		r.add(events.Event{Kind: events.RoleLost, Node: node, Detail: detail})
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -63,6 +63,7 @@
 // goldenLocal is an endpoint beside a process that takes what has its id.
 type goldenLocal struct{}
 
+// Keepalive implements LocalEndpoint.
 func (goldenLocal) Keepalive(e discovery.Endpoint) bool { return e.ID == "own" }
 
 // A process answers the methods of these numbers with these bytes, and no others.
--- a/internal/mesh/agent/idle_mesh_test.go
+++ b/internal/mesh/agent/idle_mesh_test.go
@@ -50,6 +50,7 @@
 	return m
 }
 
+// idleMeshIP is the address of process i on loopback.
 func idleMeshIP(i int) string { return fmt.Sprintf("127.7.%d.%d", i/250, i%250+1) }
 
 // start starts process i, which is the next one.
@@ -104,6 +105,7 @@
 // stop stops process i.
 func (m *idleMesh) stop(i int) { m.stops[i]() }
 
+// countApplied counts a sidecar that has applied the version.
 func (m *idleMesh) countApplied(c *configuration.Config) {
 	if uint64(c.Version) == m.version.Load() {
 		m.applied.Add(1)
@@ -220,6 +222,7 @@
 	}
 }
 
+// measureIdleMesh plays a mesh for some 20 seconds, and reports what its sidecars have used.
 func measureIdleMesh(b *testing.B, sidecars, services, routes int) {
 	b.Helper()
 	const core = 3
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -34,6 +34,7 @@
 	local     LocalEndpoint // may be nil
 }
 
+// handler serves the calls by their paths.
 func (k *keepaliveServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", k.serveKeepalive)
@@ -41,6 +42,7 @@
 	return mux
 }
 
+// serveKeepalive answers a keepalive; 400 and 413 say that its body can't be used.
 func (k *keepaliveServer) serveKeepalive(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKeepaliveBytes))
 	if err != nil {
@@ -56,6 +58,7 @@
 	k.answer(r.Context(), w, e)
 }
 
+// serveDeregistration answers an endpoint that ends in order. Its id is all that it sends.
 func (k *keepaliveServer) serveDeregistration(w http.ResponseWriter, r *http.Request) {
 	k.answer(r.Context(), w, discovery.Endpoint{ID: r.PathValue("id"), State: discovery.Deregistered})
 }
@@ -123,6 +126,7 @@
 	return "", k.publisher.publishOnBehalf(ctx, e)
 }
 
+// forwardToSidecar reports whether the endpoint's own sidecar has accepted a keepalive in time.
 func (k *keepaliveServer) forwardToSidecar(ctx context.Context, e discovery.Endpoint) (accepted bool) {
 	ctx, cancel := context.WithTimeout(ctx, keepaliveForwardTimeout)
 	defer cancel()
--- a/internal/mesh/agent/keepalive_body.go
+++ b/internal/mesh/agent/keepalive_body.go
@@ -59,10 +59,12 @@
 	faults []string
 }
 
+// fault notes that a field can't be used.
 func (k *keepaliveBody) fault(field, wanted string) {
 	k.faults = append(k.faults, field+": wanted "+wanted)
 }
 
+// text is a field that must be a text, not empty and of up to maxTextBytes.
 func (k *keepaliveBody) text(field string) string {
 	value := k.root.Get(field)
 	if value.Type != gjson.String || value.String() == "" || len(value.String()) > maxTextBytes {
@@ -71,6 +73,7 @@
 	return value.String()
 }
 
+// number is a field that must be a number, not negative; a fraction is cut off.
 func (k *keepaliveBody) number(field string) int64 {
 	value := k.root.Get(field)
 	if value.Type != gjson.Number || value.Int() < 0 {
@@ -79,6 +82,7 @@
 	return value.Int()
 }
 
+// state is the endpoint's state, which only these two can be while it sends keepalives.
 func (k *keepaliveBody) state() discovery.State {
 	switch k.text(fieldState) {
 	case StateInService:
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -37,6 +37,7 @@
 	learnVersion(peer string, version uint64)
 }
 
+// newMemberTracker makes a tracker whose view has this process as its only member, and the seeds of the settings.
 func newMemberTracker(env *environment) *memberTracker {
 	self := env.hub.Self()
 	rng := rand.New(rand.NewPCG(env.config.Seed, self.Incarnation))
@@ -60,6 +61,7 @@
 	return m
 }
 
+// register registers the method by which peers exchange views.
 func (m *memberTracker) register() {
 	transport.Handle(m.hub, methodShuffle, m.handleShuffle)
 }
@@ -86,6 +88,7 @@
 	}
 }
 
+// handleShuffle answers a peer's shuffle with one.
 func (m *memberTracker) handleShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
 	if reply := m.merge(s); reply != nil {
 		return reply
@@ -103,6 +106,7 @@
 	return reply
 }
 
+// mergeView merges a peer's view, and returns the reply with the version of the configuration held here.
 func (m *memberTracker) mergeView(s *membership.Shuffle) *membership.Shuffle {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,9 +130,9 @@
 // invalidateLocked has viewChangedLocked report a change.
 func (m *memberTracker) invalidateLocked() { m.handledChanges = 0 }
 
-// reportSidecarCountLocked reports the number of sidecars if it has changed.
+// reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. Without that callback nothing is counted.
 func (m *memberTracker) reportSidecarCountLocked() {
-	count := len(sidecarAddresses(m.view.Members()))
+	count := len(sidecarAddresses(m.allLocked()))
 	if count != m.sidecarCount && m.config.OnSidecarCount != nil {
 		m.sidecarCount = count
 		m.config.OnSidecarCount(count)
@@ -142,12 +146,29 @@
 	return m.sidecarCount
 }
 
+// setSeeds replaces the internal addresses of the seeds.
+func (m *memberTracker) setSeeds(addresses []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.view.SetSeeds(m.now(), addresses)
+}
+
+// linkLostLocked takes note that the link to an address has ended: its process may have ended too.
+func (m *memberTracker) linkLostLocked(now time.Duration, address string) {
+	m.view.ConnectionLost(now, address)
+}
+
+// all are the processes that run, as far as this one knows, itself among them.
 func (m *memberTracker) all() []membership.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Members()
+	return m.allLocked()
 }
 
+// allLocked is all with the lock held.
+func (m *memberTracker) allLocked() []membership.Member { return m.view.Members() }
+
+// at is the newest member at an IP address.
 func (m *memberTracker) at(ip string) (membership.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,7 +179,7 @@
 func (m *memberTracker) othersLocked() []string {
 	self := m.address()
 	var others []string
-	for _, member := range m.view.Members() {
+	for _, member := range m.allLocked() {
 		if member.Address != self {
 			others = append(others, member.Address)
 		}
@@ -180,6 +201,7 @@
 	return m.view.RegistryOwners(service, m.settings.Zone, n)
 }
 
+// recordZonesLocked takes note of the zones that have members now.
 func (m *memberTracker) recordZonesLocked(now time.Duration) {
 	for _, zone := range m.view.Zones() {
 		m.zoneLastSeen[zone] = now
@@ -213,6 +235,7 @@
 	return rank
 }
 
+// sidecarAddresses are the internal addresses of the sidecars among members.
 func sidecarAddresses(members []membership.Member) []string {
 	var addresses []string
 	for _, member := range members {
--- a/internal/mesh/agent/publisher.go
+++ b/internal/mesh/agent/publisher.go
@@ -26,6 +26,7 @@
 	acknowledged      chan struct{}     // closed, and replaced, when an owner has acknowledged a record
 }
 
+// newRecordPublisher makes a publisher without records.
 func newRecordPublisher(env *environment, members *memberTracker, directory *endpointDirectory) *recordPublisher {
 	return &recordPublisher{
 		environment:       env,
@@ -37,6 +38,7 @@
 	}
 }
 
+// set publishes the endpoint beside this process (Agent.Publish).
 func (p *recordPublisher) set(e discovery.Endpoint) {
 	self := p.hub.Self()
 	e.SidecarAddress = self.Address
@@ -47,6 +49,7 @@
 	p.wake()
 }
 
+// end publishes that an endpoint has ended (Agent.PublishEnd).
 func (p *recordPublisher) end(id string, s discovery.State) {
 	p.mu.Lock()
 	p.records.End(p.now(), id, s)
@@ -54,6 +57,10 @@
 	p.wake()
 }
 
+// linkLostLocked has the owner at an address get all records again.
+func (p *recordPublisher) linkLostLocked(address string) { p.records.ForgetOwner(address) }
+
+// tickLocked returns the records that are to be sent now, to each owner that has not acknowledged them.
 func (p *recordPublisher) tickLocked(now time.Duration) []discovery.Announcement {
 	return p.records.Tick(now)
 }
@@ -92,6 +99,7 @@
 	}
 }
 
+// recordAcknowledgement notes that an owner has a record, and wakes those that wait for that.
 func (p *recordPublisher) recordAcknowledgement(r discovery.Announcement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,6 +108,7 @@
 	p.acknowledged = make(chan struct{})
 }
 
+// awaitConfirmed waits until an owner on another machine has the newest record of an endpoint (Agent.AwaitConfirmed).
 func (p *recordPublisher) awaitConfirmed(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 	defer cancel()
@@ -125,6 +134,7 @@
 	accepted bool
 }
 
+// publishOnBehalf publishes a record in place of the endpoint's own sidecar (Agent.PublishOnBehalf).
 func (p *recordPublisher) publishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
 	p.mu.Lock()
 	owners := p.members.ownersLocked(e.Service)
--- a/internal/mesh/agent/roles.go
+++ b/internal/mesh/agent/roles.go
@@ -149,6 +149,7 @@
 	}
 }
 
+// handleRequest answers another core process's request for leases.
 func (s *SingletonRoles) handleRequest(_ context.Context, _ *transport.Hello, request *lease.Request) *lease.Reply {
 	return s.vote(request)
 }
@@ -192,6 +193,7 @@
 	}
 }
 
+// readVoters reads the register once; the voters are learned of by that.
 func (s *SingletonRoles) readVoters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, learnVotersTimeout)
 	defer cancel()
--- a/internal/mesh/agent/roles_test.go
+++ b/internal/mesh/agent/roles_test.go
@@ -23,18 +23,21 @@
 	newest   *consensus.VoterSet // that a read finds; nil for the known one
 }
 
+// VoterSet implements Voters.
 func (r *fakeRegister) VoterSet() consensus.VoterSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
+// Accepted implements Voters.
 func (r *fakeRegister) Accepted() (epoch uint64, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted, true
 }
 
+// ReadLatest implements Voters.
 func (r *fakeRegister) ReadLatest(context.Context) (consensus.Value, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,6 +54,7 @@
 	roles     []*SingletonRoles
 }
 
+// newTestCore starts n core processes that end with the test.
 func newTestCore(t *testing.T, n int) *testCore {
 	t.Helper()
 	core := &testCore{C: qt.New(t)}
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -107,16 +107,18 @@
 	endpoints []discovery.Endpoint
 }
 
+// snapshot is taken under one lock, so that its parts fit together.
 func (a *Agent) snapshot() snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return snapshot{
 		version:   configuration.Version(a.configuration.versionLocked()),
-		members:   a.members.view.Members(),
-		endpoints: a.directory.registry.All(a.now()),
+		members:   a.members.allLocked(),
+		endpoints: a.directory.allLocked(),
 	}
 }
 
+// allocatorState is the allocator's lease as this process knows it.
 func (s *SingletonRoles) allocatorState() RoleState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,6 +132,7 @@
 	}
 }
 
+// memberStates are members as State shows them; nil for none.
 func memberStates(members []membership.Member) []MemberState {
 	var states []MemberState
 	for _, m := range members {
@@ -148,6 +151,7 @@
 	return states
 }
 
+// endpointStates are endpoint records as State shows them; nil for none.
 func endpointStates(endpoints []discovery.Endpoint) []EndpointState {
 	var states []EndpointState
 	for _, e := range endpoints {
--- a/internal/mesh/agent/tenant_limits.go
+++ b/internal/mesh/agent/tenant_limits.go
@@ -12,6 +12,7 @@
 	return ratelimit.Limit{Rate: t.Rate, Burst: t.Burst, Overage: b.QuotaOverage*allowed + b.QuotaSlack}
 }
 
+// setTenantLimits puts the limits of a configuration in use.
 func (c *configurationUpdater) setTenantLimits(conf *configuration.Config) {
 	limits := map[string]ratelimit.Limit{}
 	for i := range conf.Tenants {
--- a/internal/mesh/agent/version_poll.go
+++ b/internal/mesh/agent/version_poll.go
@@ -28,6 +28,7 @@
 	return ask
 }
 
+// start starts a poll of up to pollPeers candidates, each once, without the peer that is known already.
 func (v *versionPoll) start(now time.Duration, except string, candidates []string) (ask []string) {
 	v.running = true
 	v.startedAt = now
--- a/internal/mesh/agent/version_poll_test.go
+++ b/internal/mesh/agent/version_poll_test.go
@@ -17,6 +17,7 @@
 	}
 }
 
+// checkVersionPoll plays one poll with random peers, answers and times.
 func checkVersionPoll(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	const partitioned, oldVersion = "partitioned", 5
--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -48,6 +48,7 @@
 // It answers 400 to what is no cursor, 405 to other methods, 503 to more than 32 readers at once, 500 if the source fails.
 func Handler(source Source) http.Handler { return &handler{source: source} }
 
+// handler serves a source, and counts its readers.
 type handler struct {
 	source  Source
 	readers atomic.Int64
@@ -61,6 +62,7 @@
 	serverSent bool
 }
 
+// parseRequest reads what a client asks for. The error is an *events.CursorError.
 func parseRequest(r *http.Request) (*request, error) {
 	query := r.URL.Query()
 	after := query.Get(queryAfter)
--- a/internal/mesh/operations/eventfeed/example_test.go
+++ b/internal/mesh/operations/eventfeed/example_test.go
@@ -13,6 +13,7 @@
 // source is a feed to which nothing is added.
 type source struct{ feed *events.Feed }
 
+// After implements eventfeed.Source.
 func (s source) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
 	found, next := s.feed.After(c, limit, f)
 	return found, next, nil, nil
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -19,6 +19,7 @@
 // goldenSource gives the events of a feed; nothing comes later.
 type goldenSource struct{ feed *events.Feed }
 
+// After implements Source.
 func (g goldenSource) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
 	out, next := g.feed.After(c, limit, f)
 	return out, next, nil, nil
@@ -27,10 +28,12 @@
 // brokenSource can't be read.
 type brokenSource struct{}
 
+// After implements Source.
 func (brokenSource) After(c events.Cursor, _ int, _ events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
 	return nil, c, nil, trace.NotFound("record %q", "event/3")
 }
 
+// goldenFeed is a feed of five events that keeps four.
 func goldenFeed() *events.Feed {
 	feed := events.NewFeed(36, 4)
 	for i, service := range []string{"orders", "orders", "carts", "orders", "carts"} {
--- a/internal/mesh/operations/eventfeed/writer.go
+++ b/internal/mesh/operations/eventfeed/writer.go
@@ -17,6 +17,7 @@
 	serverSent bool
 }
 
+// newEventWriter makes the writer of one answer.
 func newEventWriter(w http.ResponseWriter, serverSent bool) *eventWriter {
 	return &eventWriter{out: w, controller: http.NewResponseController(w), serverSent: serverSent}
 }
@@ -32,6 +33,7 @@
 	return w.controller.Flush()
 }
 
+// writeEvent writes one event, which may stay in the buffer.
 func (w *eventWriter) writeEvent(e *events.Event) error {
 	text, err := json.Marshal(e)
 	if err != nil {
--- a/internal/mesh/operations/eventlog/example_test.go
+++ b/internal/mesh/operations/eventlog/example_test.go
@@ -12,6 +12,7 @@
 // memory is a store of records that do not outlive the program.
 type memory map[string][]byte
 
+// Get implements eventlog.Store.
 func (m memory) Get(key string) ([]byte, error) {
 	if data, ok := m[key]; ok {
 		return data, nil
@@ -19,6 +20,7 @@
 	return nil, trace.NotFound("record %q", key)
 }
 
+// Put implements eventlog.Store.
 func (m memory) Put(key string, data []byte) error {
 	m[key] = data
 	return nil
--- a/internal/mesh/operations/eventlog/follow.go
+++ b/internal/mesh/operations/eventlog/follow.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// wait returns after a time, or when ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -21,6 +21,7 @@
 // if UPDATE_GOLDEN_FOLDER is set too.
 const goldenFolder = "testdata/golden/folder"
 
+// goldenEvents are five events with a value in each field but the cursor.
 func goldenEvents() []events.Event {
 	var all []events.Event
 	for i := range 5 {
@@ -32,6 +33,7 @@
 	return all
 }
 
+// addGolden makes a log that keeps three events, and adds five.
 func addGolden(t *testing.T, s Store) {
 	t.Helper()
 	l, err := OpenLog(s, 3, 36)
--- a/internal/mesh/operations/eventlog/log.go
+++ b/internal/mesh/operations/eventlog/log.go
@@ -106,6 +106,7 @@
 	return nil
 }
 
+// put writes a record as JSON.
 func (l *Log) put(key string, record any) error {
 	text, err := json.Marshal(record)
 	if err != nil {
@@ -143,6 +144,7 @@
 	return found, events.Cursor{Incarnation: l.head.Incarnation, Number: number - 1}, l.added, nil
 }
 
+// windowLocked is what the log keeps now.
 func (l *Log) windowLocked() *events.Window {
 	w := &events.Window{
 		Incarnation:      l.head.Incarnation,
@@ -157,6 +159,7 @@
 	return w
 }
 
+// read reads the event of a number that is kept.
 func (l *Log) read(number uint64) (*events.Event, error) {
 	key := l.eventKey(number)
 	data, err := l.store.Get(key)
--- a/internal/mesh/operations/eventlog/log_test.go
+++ b/internal/mesh/operations/eventlog/log_test.go
@@ -16,10 +16,12 @@
 	writesLeft int
 }
 
+// newMemoryStore is an empty store that fails after so many writes.
 func newMemoryStore(writes int) *memoryStore {
 	return &memoryStore{records: map[string][]byte{}, writesLeft: writes}
 }
 
+// Get implements Store.
 func (m *memoryStore) Get(key string) ([]byte, error) {
 	if data, ok := m.records[key]; ok {
 		return data, nil
@@ -27,6 +29,7 @@
 	return nil, trace.NotFound("record %q", key)
 }
 
+// Put implements Store.
 func (m *memoryStore) Put(key string, data []byte) error {
 	m.writesLeft--
 	if m.writesLeft < 0 {
--- a/internal/mesh/operations/events/feed.go
+++ b/internal/mesh/operations/events/feed.go
@@ -27,6 +27,7 @@
 	return c.Number + 1, nil
 }
 
+// gap is the event before the oldest one that is kept.
 func (w *Window) gap(detail string) *Event {
 	before := Cursor{Incarnation: w.Incarnation, Number: w.First - 1}
 	return &Event{Cursor: before.String(), Kind: Gap, Detail: detail}
@@ -52,6 +53,7 @@
 	return e
 }
 
+// slot is where the event of a number is kept.
 func (f *Feed) slot(number uint64) *Event { return &f.ring[number%uint64(len(f.ring))] }
 
 // After returns up to limit events after a cursor that pass the filter, and the cursor to go on from. A gap comes first if the reader
@@ -69,6 +71,7 @@
 	return found, Cursor{Incarnation: f.incarnation, Number: number - 1}
 }
 
+// window is what the feed keeps now.
 func (f *Feed) window() *Window {
 	w := &Window{
 		Incarnation:      f.incarnation,
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -71,6 +71,7 @@
 	return nil
 }
 
+// addLocked keeps an entry, in place of the oldest one if the ring is full.
 func (r *Ring) addLocked(e *logrus.Entry) {
 	if len(r.entries) < maxEntries {
 		r.entries = append(r.entries, e)
@@ -94,6 +95,7 @@
 	return false
 }
 
+// truncate is a message of up to maxMessageBytes, with dots where it went on.
 func truncate(s string) string {
 	if len(s) > maxMessageBytes {
 		return s[:maxMessageBytes] + "..."
@@ -130,6 +132,7 @@
 	r.next = 0
 }
 
+// writeEntry formats an entry and writes it out.
 func (r *Ring) writeEntry(e *logrus.Entry) error {
 	text, err := r.format.Format(e)
 	if err != nil {
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -53,6 +53,7 @@
 	return nil
 }
 
+// readFile reads and checks a file. The error names it.
 func readFile(file string) (*configuration.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/mesh/operations/meshctl/diff.go
+++ b/internal/mesh/operations/meshctl/diff.go
@@ -70,12 +70,17 @@
 	return lines
 }
 
-func routeName(r configuration.Route) string     { return "route " + r.Host + r.Prefix }
+// routeName is how a change names a route: by where its requests come in.
+func routeName(r configuration.Route) string { return "route " + r.Host + r.Prefix }
+
+// serviceName is how a change names a service.
 func serviceName(s configuration.Service) string { return "service " + s.Name }
-func tenantName(t configuration.Tenant) string   { return "tenant " + t.Name }
 
-// The texts are what a person reads of a change. The names in them are part of the output, whatever the fields are called.
+// tenantName is how a change names a tenant.
+func tenantName(t configuration.Tenant) string { return "tenant " + t.Name }
 
+// routeText is what a person reads of a route that changes. The names in this text, and in those that follow, are part of the output,
+// whatever the fields are called.
 func routeText(r configuration.Route) string {
 	split := make([]string, len(r.Split))
 	for i, share := range r.Split {
@@ -85,14 +90,17 @@
 		r.Prefix, r.Kind, r.Timeout, r.Target, r.Priority, r.MaxAttempts, strings.Join(split, " "), r.Public)
 }
 
+// serviceText is what a person reads of a service that changes.
 func serviceText(s configuration.Service) string {
 	return fmt.Sprintf("{Name:%s HealthPath:%s ConnectionCap:%d}", s.Name, s.HealthPath, s.ConnectionCap)
 }
 
+// tenantText is what a person reads of a tenant that changes, without its keys.
 func tenantText(t configuration.Tenant) string {
 	return fmt.Sprintf("rank %d, rate %v, burst %v", t.Priority, t.Rate, t.Burst)
 }
 
+// limitsText is what a person reads of limits that change.
 func limitsText(l configuration.Limits) string {
 	return fmt.Sprintf("{HeaderMax:%d BodyMax:%d HeaderTimeout:%v IdleTimeout:%v}", l.HeaderMax, l.BodyMax, l.HeaderTimeout, l.IdleTimeout)
 }
--- a/internal/mesh/operations/meshctl/table.go
+++ b/internal/mesh/operations/meshctl/table.go
@@ -15,6 +15,7 @@
 	rows    [][]string
 }
 
+// add adds a row.
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
 // printTable prints a table for people, or the value for programs.
--- a/internal/mesh/operations/settings/parse.go
+++ b/internal/mesh/operations/settings/parse.go
@@ -129,6 +129,7 @@
 	faults []FieldError
 }
 
+// node parses the process's own table.
 func (p *parser) node(s *Settings) {
 	s.Name = p.requiredText(pathName)
 	s.Role = p.text(pathRole)
@@ -145,6 +146,7 @@
 	s.LinkMbps = p.number(pathLinkMbps, 0)
 }
 
+// listenAddresses parses where the process listens.
 func (p *parser) listenAddresses(s *Settings) {
 	s.InboundAddress = p.address(pathInbound)
 	s.OutboundAddress = p.address(pathOutbound)
@@ -152,6 +154,7 @@
 	s.ControlAddress = p.address(pathControl)
 }
 
+// bounds parses the figures of the rules.
 func (p *parser) bounds() Bounds {
 	return Bounds{
 		Contact:           p.duration(pathContact, defaultContact),
@@ -168,6 +171,7 @@
 	}
 }
 
+// ports are two ports in order.
 func (p *parser) ports() [2]int {
 	values := p.root.Get(pathInternalPorts).Array()
 	if len(values) != 2 {
@@ -182,6 +186,7 @@
 	return [2]int{int(first), int(last)}
 }
 
+// seeds are addresses; one that is none is left out.
 func (p *parser) seeds() []string {
 	var seeds []string
 	for i, value := range p.root.Get(pathSeeds).Array() {
@@ -194,6 +199,7 @@
 	return seeds
 }
 
+// zones is the region of each zone.
 func (p *parser) zones() map[string]string {
 	regions := map[string]string{}
 	p.root.Get(pathZones).ForEach(func(zone, region gjson.Result) bool {
@@ -213,6 +219,7 @@
 	wantedPorts    = "two ports, the first and the last"
 )
 
+// fault notes that a field can't be used.
 func (p *parser) fault(path, wanted string) {
 	p.faults = append(p.faults, FieldError{Path: path, Wanted: wanted, Found: p.root.Get(path).String()})
 }
@@ -256,6 +263,7 @@
 	return value.Bool()
 }
 
+// number is a number that is not negative, fallback if it is left out.
 func (p *parser) number(path string, fallback float64) float64 {
 	value := p.root.Get(path)
 	if !value.Exists() {
@@ -267,6 +275,7 @@
 	return value.Float()
 }
 
+// duration is a time that is not negative, fallback if it is left out.
 func (p *parser) duration(path string, fallback time.Duration) time.Duration {
 	value := p.root.Get(path)
 	if !value.Exists() {
