--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -279,7 +279,7 @@
 		})
 		for i, m := range of {
 			for _, n := range f.live("") {
-				if (i < n.config.MaxMembersPerRemoteZone || n.self.Zone == zone) && n.byIncarnation[m.self.Incarnation] != nil {
+				if (i < n.config.MaxMembersPerRemoteZone || n.self.Zone == zone) && n.table.byIncarnation[m.self.Incarnation] != nil {
 					out[[2]uint64{n.self.Incarnation, m.self.Incarnation}] = true
 				}
 			}
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -43,7 +43,7 @@
 		From: goldenMember(), Members: []Member{other, goldenMember()},
 		Tombstones: []Tombstone{{Incarnation: 5, Address: "10.1.2.5:7400", Heartbeat: 60}, {Incarnation: 6, Address: "10.1.2.6:7400", Heartbeat: 1 << 20}},
 		Reply:      true, ConfigVersion: 1234567, ZoneDigest: 0x1122334455667788, SharedDigest: 0x8877665544332211, AgreementAges: []byte{0, 1, 254, 255},
-		Unreachable: []Tombstone{{Incarnation: 7, Address: "10.1.2.7:7400", Heartbeat: 99}}, RaiseHeartbeat: true,
+		Unreachable: []Suspicion{{Incarnation: 7, Address: "10.1.2.7:7400", Heartbeat: 99}}, RaiseHeartbeat: true,
 	}
 }
 
--- /dev/null
+++ b/internal/mesh/discovery/membership/reconnect.go
@@ -0,0 +1,96 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+// departedMember is where a member was that departed. It may only have been partitioned from this process: its address is tried again,
+// so that two partitions meet soon after they can.
+type departedMember struct {
+	address    string
+	departedAt time.Duration
+}
+
+// departedList holds the departed members, the newest last, up to a number of them.
+type departedList struct {
+	capacity int
+	members  []departedMember
+}
+
+func (d *departedList) add(now time.Duration, address string) {
+	d.remove(address)
+	d.members = append(d.members, departedMember{address, now})
+	if len(d.members) > d.capacity {
+		d.members = slices.Delete(d.members, 0, 1)
+	}
+}
+
+func (d *departedList) remove(address string) {
+	d.members = slices.DeleteFunc(d.members, func(m departedMember) bool { return m.address == address })
+}
+
+// since returns those that departed after a time.
+func (d *departedList) since(at time.Duration) []departedMember {
+	first := slices.IndexFunc(d.members, func(m departedMember) bool { return m.departedAt > at })
+	if first < 0 {
+		return nil
+	}
+	return d.members[first:]
+}
+
+// depart removes a member; its address is tried again now and then.
+func (v *View) depart(now time.Duration, e *entry) {
+	v.remove(e)
+	v.departed.add(now, e.Address)
+}
+
+// reconnectRecent returns the address of one of the members that departed lately, once each RecentReconnectInterval. During a partition
+// that costs an attempt to connect, and after it the partitions meet within a second or two, however few members they have.
+func (v *View) reconnectRecent(now time.Duration) []string {
+	if now < v.schedule.nextRecentReconnect {
+		return nil
+	}
+	v.schedule.nextRecentReconnect = now + v.jitter(v.config.RecentReconnectInterval)
+	recent := v.departed.since(now - v.config.RecentReconnectWindow)
+	if len(recent) == 0 {
+		return nil
+	}
+	return v.withoutSelf([]string{recent[v.rng.IntN(len(recent))].address})
+}
+
+// reconnectAny returns one address of a seed or of a departed member, however long ago it departed, once each ReconnectInterval, and less
+// often while the view is quiet.
+func (v *View) reconnectAny(now time.Duration) []string {
+	if now < v.schedule.nextReconnect {
+		return nil
+	}
+	interval := v.config.ReconnectInterval * v.gossipInterval(now) / v.config.GossipInterval
+	v.schedule.nextReconnect = now + v.jitter(interval)
+	addresses := slices.Clone(v.seeds)
+	for _, d := range v.departed.members {
+		addresses = append(addresses, d.address)
+	}
+	if len(addresses) == 0 {
+		return nil
+	}
+	return v.withoutSelf([]string{addresses[v.rng.IntN(len(addresses))]})
+}
+
+// contactSeeds returns all seeds at the start, and one while few members are known.
+func (v *View) contactSeeds(now time.Duration) []string {
+	switch {
+	case !v.seedsContacted:
+		v.seedsContacted = true
+		v.schedule.nextReconnect = now + v.jitter(v.config.ReconnectInterval)
+		return v.withoutSelf(v.seeds)
+	case len(v.table.entries) < v.config.BootstrapThreshold && len(v.seeds) > 0:
+		return v.withoutSelf([]string{v.seeds[v.rng.IntN(len(v.seeds))]})
+	}
+	return nil
+}
+
+// withoutSelf returns a list of its own of the addresses that aren't this process's.
+func (v *View) withoutSelf(addresses []string) []string {
+	return slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == v.self.Address })
+}
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -6,76 +6,72 @@
 	"net"
 	"slices"
 	"time"
-
-	"quincegap/internal/structures/rendezvous"
 )
 
-// View is what one process knows of the other members.
+// maxRegions bounds the zones whose region is remembered, as their names come from messages.
+const maxRegions = 1024
+
+// View is what one process knows of the other members. Make one with New.
 type View struct {
-	config              Config
-	rng                 *rand.Rand
-	self                Member
-	entries             []*entry // by life
-	byIncarnation       map[uint64]*entry
-	byAddress           map[string]*entry
-	hashOrder           []*entry // all and this process, ordered by before
-	eligible            []*entry // those that can be homes; nil when they are to be worked out anew
-	tombstones          map[uint64]tombstoneEntry
-	tombstoneOrder      []uint64         // of tombstones, the oldest first
-	reappeared          []Tombstone      // lives that sent a message after their end was reported
-	departed            []departedMember // dropped members, the newest last
-	seeds               []string
-	regions             map[string]string // of each zone ever heard of
-	seedsContacted      bool              // seeds were asked
-	nextGossip          time.Duration     // shuffle that this process begins
-	lastGossip          time.Duration     // the last of these
-	nextReconnect       time.Duration     // the next try of a seed or of any former member
-	nextRecentReconnect time.Duration     // the next try of one that was dropped of late
-	lastTick            time.Duration     // call of Tick
-	resumedAt           time.Duration     // when this process last woke from a freeze; ages count from here at the earliest
-	ticked              bool
-	arrivals            uint64
-	lastUpdate          time.Duration // the last arrival or end
-	lastRemoval         time.Duration // the last end
-	agreement           agreement
+	config     Config
+	rng        *rand.Rand
+	self       Member
+	table      table
+	tombstones tombstoneTable
+	departed   departedList
+	schedule   schedule
+	agreement  agreement
+	eligible   []*entry          // see eligibleOwners; nil when it is to be worked out anew
+	reappeared []Tombstone       // of members that sent a message after their end was reported; they are told with the next shuffle
+	regions    map[string]string // of each zone ever heard of
+
+	seeds          []string // addresses
+	seedsContacted bool     // all of them, once
 }
 
-// New makes the view of a process that knows nobody.
-func New(self Member, bounds Config, rng *rand.Rand) *View {
+// New makes the view of a process that knows nobody. The view draws from rng in the order of its calls.
+func New(self Member, config Config, rng *rand.Rand) *View {
+	self.Heartbeat = max(self.Heartbeat, 1)
+	config = config.WithDefaults()
 	v := &View{
-		config: bounds.WithDefaults(), rng: rng, self: self, byIncarnation: map[uint64]*entry{}, byAddress: map[string]*entry{},
-		tombstones: map[uint64]tombstoneEntry{}, regions: map[string]string{}, agreement: newAgreement(), lastRemoval: -time.Hour,
+		config:     config,
+		rng:        rng,
+		self:       self,
+		table:      newTable(newEntry(self)),
+		tombstones: newTombstoneTable(config.MaxTombstones),
+		departed:   departedList{capacity: config.MaxTombstones},
+		schedule:   schedule{lastRemoval: longAgo},
+		agreement:  newAgreement(),
+		regions:    map[string]string{},
 	}
-	v.self.Heartbeat = max(v.self.Heartbeat, 1)
-	v.hashOrder = []*entry{{Member: v.self, hash: rendezvous.Mix(self.Incarnation)}}
 	v.SetRegion(self.Zone, self.Region)
 	return v
 }
 
 // SetRegion says which region a zone is in.
 func (v *View) SetRegion(zone, region string) {
-	if len(v.regions) < 1024 && region != "" {
+	if len(v.regions) < maxRegions && region != "" {
 		v.regions[zone] = region
 	}
 }
 
-// Self is this process as it is sent to others.
+// Self returns the record of this process as it is sent to others.
 func (v *View) Self() Member { return v.self }
 
-// SetSeeds names the seeds as the settings have them now.
-func (v *View) SetSeeds(_ time.Duration, addrs []string) {
-	if !slices.Equal(v.seeds, addrs) {
-		v.seeds, v.seedsContacted = slices.Clone(addrs), false
+// SetSeeds gives the addresses of the seeds as the settings have them now. All of them are asked once when they change.
+func (v *View) SetSeeds(_ time.Duration, addresses []string) {
+	if slices.Equal(v.seeds, addresses) {
+		return
 	}
+	v.seeds = slices.Clone(addresses)
+	v.seedsContacted = false
 }
 
-// NextTick is when Tick has something to do.
-func (v *View) NextTick() time.Duration { return v.nextGossip }
-
-// Members are the live ones, this one among them, by address.
+// Members returns the members that haven't departed, this process among them, ordered by address.
 func (v *View) Members() []Member {
-	all := append(make([]Member, 0, 1+len(v.entries)), v.self)
-	for _, e := range v.entries {
+	all := make([]Member, 0, 1+len(v.table.entries))
+	all = append(all, v.self)
+	for _, e := range v.table.entries {
 		all = append(all, e.Member)
 	}
 	slices.SortFunc(all, func(a, b Member) int {
@@ -84,23 +80,31 @@
 	return all
 }
 
-// MemberAt is the member at an IP address: the sidecar of an endpoint before others, then the one heard of last.
+// MemberAt returns the member at an IP address: a sidecar before others, of several the one that arrived last. It reports false if none
+// is known there.
 func (v *View) MemberAt(ip string) (Member, bool) {
-	if host(v.self.Address) == ip && v.self.Role == RoleAccess {
+	isSelf := host(v.self.Address) == ip
+	if isSelf && v.self.Role == RoleAccess {
 		return v.self, true
 	}
 	var best *entry
-	for _, e := range v.entries {
-		if host(e.Address) == ip && (best == nil || cmp.Or(cmp.Compare(best.Role, e.Role), cmp.Compare(e.arrivalOrder, best.arrivalOrder)) > 0) {
+	for _, e := range v.table.entries {
+		if host(e.Address) == ip && (best == nil || preferAtAddress(e, best)) {
 			best = e
 		}
 	}
 	if best == nil {
-		return v.self, host(v.self.Address) == ip
+		return v.self, isSelf
 	}
 	return best.Member, true
 }
 
+// preferAtAddress reports whether of two members at an address MemberAt returns the first.
+func preferAtAddress(e, other *entry) bool {
+	return cmp.Or(cmp.Compare(other.Role, e.Role), cmp.Compare(e.arrivalOrder, other.arrivalOrder)) > 0
+}
+
+// host is the part of an address before its port.
 func host(address string) string {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -109,50 +113,25 @@
 	return h
 }
 
-// ConnectionLost reports that a connection to an address broke, or that its pings went unanswered.
-func (v *View) ConnectionLost(now time.Duration, address string) {
-	if e := v.byAddress[address]; e != nil && e.state != unreachable {
-		e.transition(now, unreachable)
-		e.lastContacted = now - v.config.GossipInterval // it is asked at the next Tick
-		v.noteUpdate(now, &v.agreement.lastDiffered)
-	}
-}
-
-// PeerAnswered reports that a life answered at an address directly.
-func (v *View) PeerAnswered(now time.Duration, address string, life uint64) {
-	e := v.byAddress[address]
-	if e == nil || v.tombstones[life].replaced {
-		return
-	}
-	if e.Incarnation == life {
-		e.lastSeen = max(e.lastSeen, now)
-		e.transition(now, alive)
-		return
-	}
-	v.remove(e)
-	v.addTombstone(now, e.Incarnation, tombstoneEntry{heartbeat: e.Heartbeat, address: address, replaced: true})
-}
-
-// Zones are those with live members, in order.
+// Zones returns the zones that have members, in order.
 func (v *View) Zones() []string {
 	v.refreshAgreement()
 	return slices.Clone(v.agreement.zones)
 }
 
-// ChangeCount rises with each arrival, each end and each change of a record, so that what rests on the members need not be worked
+// ChangeCount rises with each arrival, each departure and each change of a record, so that what rests on the members need not be worked
 // out again while it stays.
 func (v *View) ChangeCount() uint64 { return v.agreement.changeCount }
 
+// remove takes a member out of the view. Its address isn't tried again, unlike after depart.
 func (v *View) remove(e *entry) {
-	delete(v.byIncarnation, e.Incarnation)
+	v.table.remove(e)
 	v.invalidate()
-	if i, ok := slices.BinarySearchFunc(v.entries, e.Incarnation, compareIncarnation); ok {
-		v.entries = slices.Delete(v.entries, i, i+1)
-	}
-	if i, ok := slices.BinarySearchFunc(v.hashOrder, e, compareHash); ok {
-		v.hashOrder = slices.Delete(v.hashOrder, i, i+1)
-	}
-	if v.byAddress[e.Address] == e {
-		delete(v.byAddress, e.Address)
-	}
+}
+
+// invalidate has what depends on the members worked out anew.
+func (v *View) invalidate() {
+	v.eligible = nil
+	v.agreement.current = false
+	v.agreement.changeCount++
 }
