--- /dev/null
+++ b/internal/mesh/discovery/membership/bench_test.go
@@ -0,0 +1,48 @@
+package membership
+
+import (
+	"fmt"
+	"runtime/debug"
+	"testing"
+	"time"
+)
+
+// BenchmarkQuiet gives the bytes and messages of each member and second a quarter of a minute after all have joined, in virtual time,
+// and the processor's time for each member and second.
+func BenchmarkQuiet(b *testing.B) {
+	sizes := []fleetSize{
+		{members: 18, cores: 1, seeds: 3, zones: zoneNames(4)},
+		{members: 200, cores: 10, seeds: 3, zones: zoneNames(4)},
+		{members: 600, cores: 15, seeds: 3, zones: zoneNames(8)},
+		{members: 2000, cores: 15, seeds: 3, zones: zoneNames(16)},
+	}
+	for _, size := range sizes {
+		b.Run(fmt.Sprintf("members=%d", size.members), func(b *testing.B) {
+			defer debug.SetGCPercent(debug.SetGCPercent(800))
+			for range b.N {
+				benchmarkQuiet(b, size)
+			}
+		})
+	}
+}
+
+func benchmarkQuiet(b *testing.B, size fleetSize) {
+	b.Helper()
+	const measured = 10 * time.Second
+	f := startFleet(b, 1, size)
+	joined := 1 * time.Second
+	f.run(joined, nil)
+	for ; joined < 30*time.Second && !f.converged(size.zones, nil); joined += time.Second {
+		f.run(time.Second, nil)
+	}
+	f.run(15*time.Second, nil)
+	f.traffic = traffic{}
+	began := time.Now()
+	f.run(measured, nil)
+	n := float64(size.members) * measured.Seconds()
+	b.ReportMetric(joined.Seconds(), "s/join")
+	b.ReportMetric(float64(f.traffic.bytes)/n, "B/member/s")
+	b.ReportMetric(float64(f.traffic.messages)/n, "messages/member/s")
+	b.ReportMetric(float64(time.Since(began).Microseconds())/n, "µs/member/s")
+	b.ReportMetric(float64(f.traffic.changes), "changes")
+}
--- /dev/null
+++ b/internal/mesh/discovery/membership/example_test.go
@@ -0,0 +1,72 @@
+package membership_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"quincegap/internal/mesh/discovery/membership"
+)
+
+// Two processes find each other through a seed. The program that uses a View carries its shuffles and tells it the time.
+func ExampleView() {
+	newView := func(incarnation uint64, address string) *membership.View {
+		self := membership.Member{Incarnation: incarnation, Address: address, Zone: "zone-a"}
+		return membership.New(self, membership.Config{}, rand.New(rand.NewPCG(incarnation, 0)))
+	}
+	first := newView(1, "10.0.0.1:7400")
+	second := newView(2, "10.0.0.2:7400")
+	second.SetSeeds(0, []string{"10.0.0.1:7400"})
+
+	now := 10 * time.Millisecond
+	to, shuffle := second.Tick(now)
+	fmt.Println("shuffle to", to)
+	reply, changed := first.Receive(now, shuffle)
+	fmt.Println("the first view changed:", changed)
+	second.Receive(now, reply)
+	for _, m := range second.Members() {
+		fmt.Println("known to the second:", m.Address)
+	}
+
+	// Output:
+	// shuffle to [10.0.0.1:7400]
+	// the first view changed: true
+	// known to the second: 10.0.0.1:7400
+	// known to the second: 10.0.0.2:7400
+}
+
+// The owners of a service's registry are the same ones in every view that holds the same members.
+func ExampleView_RegistryOwners() {
+	self := membership.Member{Incarnation: 1, Address: "10.0.0.1:7400", Zone: "zone-a"}
+	v := membership.New(self, membership.Config{}, rand.New(rand.NewPCG(1, 0)))
+	for i := uint64(2); i <= 5; i++ {
+		other := membership.Member{Incarnation: i, Address: fmt.Sprintf("10.0.0.%d:7400", i), Zone: "zone-a", Heartbeat: 1}
+		v.Receive(0, &membership.Shuffle{From: other, Reply: true})
+	}
+	for _, owner := range v.RegistryOwners("checkout", "zone-a", 2) {
+		fmt.Println(owner.Address)
+	}
+
+	// Output:
+	// 10.0.0.1:7400
+	// 10.0.0.2:7400
+}
+
+// A member departs when a connection to it broke and its heartbeat doesn't advance during the grace.
+func ExampleView_ConnectionLost() {
+	self := membership.Member{Incarnation: 1, Address: "10.0.0.1:7400", Zone: "zone-a"}
+	v := membership.New(self, membership.Config{DisconnectGrace: time.Second}, rand.New(rand.NewPCG(1, 0)))
+	other := membership.Member{Incarnation: 2, Address: "10.0.0.2:7400", Zone: "zone-a", Heartbeat: 1}
+	v.Receive(0, &membership.Shuffle{From: other, Reply: true})
+	v.Tick(0)
+
+	v.ConnectionLost(500*time.Millisecond, "10.0.0.2:7400")
+	v.Tick(1400 * time.Millisecond)
+	fmt.Println("members:", len(v.Members()))
+	v.Tick(1500 * time.Millisecond)
+	fmt.Println("after the grace:", len(v.Members()))
+
+	// Output:
+	// members: 2
+	// after the grace: 1
+}
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -72,29 +72,38 @@
 // fingerprint is a digest of all frames sent and of all that views say, in order.
 type fingerprint struct {
 	f    *fleet
+	seed uint64
 	sum  hash.Hash
 	text strings.Builder
 }
 
 // step writes a line with the digest up to here: the first line that differs is where a run took another course.
-func (f *fingerprint) step(seed uint64, what string, services []string) {
-	for _, n := range f.f.order {
-		zones := n.Zones()
-		fmt.Fprintln(f.sum, n.dead, n.ChangeCount(), n.NextTick(), zones)
-		for _, m := range n.Members() {
-			f.sum.Write(codec.MarshalAppend(nil, &m))
-		}
-		for _, zone := range append(zones, "unknown") {
-			for _, service := range services {
-				for _, m := range n.RegistryOwners(service, zone, 3) {
-					fmt.Fprint(f.sum, m.Incarnation, " ")
-				}
+func (p *fingerprint) step(what string) {
+	for _, n := range p.f.order {
+		p.add(n)
+	}
+	fmt.Fprintf(&p.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n", p.seed, what, p.f.now, p.f.traffic.messages,
+		p.f.traffic.bytes, p.sum.Sum(nil)[:12])
+}
+
+// add takes all that a view says.
+func (p *fingerprint) add(n *node) {
+	zones := n.Zones()
+	p.print(n.dead, n.ChangeCount(), n.NextTick(), zones)
+	for _, m := range n.Members() {
+		p.sum.Write(codec.MarshalAppend(nil, &m))
+	}
+	for _, zone := range append(zones, "unknown") {
+		for _, service := range []string{"service-0", "service-1"} {
+			for _, m := range n.RegistryOwners(service, zone, 3) {
+				p.sum.Write(fmt.Append(nil, m.Incarnation, " "))
 			}
 		}
 	}
-	fmt.Fprintf(&f.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n", seed, what, f.f.now, f.f.messages, f.f.bytes, f.sum.Sum(nil)[:12])
 }
 
+func (p *fingerprint) print(values ...any) { p.sum.Write(fmt.Appendln(nil, values...)) }
+
 // The same seed gives the same run: the same random draws, members, order of messages and bytes in them.
 func TestGoldenFleet(t *testing.T) {
 	var text strings.Builder
@@ -106,38 +115,29 @@
 
 func goldenFleet(t *testing.T, seed uint64, members int) string {
 	t.Helper()
-	f := newFleet(t, seed)
-	p := &fingerprint{f: f, sum: sha256.New()}
-	f.sent = func(from *node, address string, data []byte) {
-		fmt.Fprintln(p.sum, f.now, from.self.Address, address, len(data))
+	f := startFleet(t, seed, fleetSize{members: members, cores: 3, seeds: 2, zones: zoneNames(3)})
+	p := &fingerprint{f: f, seed: seed, sum: sha256.New()}
+	f.onSend = func(from *node, address string, data []byte) {
+		p.print(f.now, from.self.Address, address, len(data))
 		p.sum.Write(data)
 	}
-	f.seeds = []string{"10.0.0.0:1", "10.0.0.1:1"}
-	services := []string{"service-0", "service-1"}
-	for i := range members {
-		role := RoleAccess
-		if i < 3 {
-			role = RoleCore
-		}
-		f.start(fmt.Sprintf("10.0.%d.%d:1", i/256, i%256), fmt.Sprintf("zone-%d", i%3), role)
-	}
 	f.run(6*time.Second, nil)
-	p.step(seed, "joined", services)
+	p.step("joined")
 	f.run(8*time.Second, nil)
-	p.step(seed, "quiet", services)
+	p.step("quiet")
 	f.kill(f.order[members/2])
 	f.freeze(f.order[members/3])
 	f.run(6*time.Second, nil)
-	p.step(seed, "one killed, one frozen", services)
+	p.step("one killed, one frozen")
 	f.order[members/3].frozen = false
 	f.start(f.order[members/4].self.Address, f.order[members/4].self.Zone, RoleAccess)
 	f.run(4*time.Second, nil)
-	p.step(seed, "one thawed, one restarted", services)
-	f.cut, f.cutAt = func(a, b *node) bool { return (a.self.Zone == "zone-0") != (b.self.Zone == "zone-0") }, f.now
+	p.step("one thawed, one restarted")
+	f.partitionBy(zonePartition("zone-0"))
 	f.run(12*time.Second, nil)
-	p.step(seed, "a zone cut off", services)
-	f.cut = func(_, _ *node) bool { return false }
+	p.step("a zone cut off")
+	f.heal()
 	f.run(6*time.Second, nil)
-	p.step(seed, "healed", services)
+	p.step("healed")
 	return p.text.String()
 }
--- a/internal/mesh/discovery/membership/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -14,31 +14,35 @@
 
 const ms = time.Millisecond
 
-func member(life uint64, address, zone string, beat uint64) Member {
-	return Member{Incarnation: life, Address: address, Zone: zone, Region: "r", Heartbeat: beat}
+func newMember(incarnation uint64, address, zone string, heartbeat uint64) Member {
+	return Member{Incarnation: incarnation, Address: address, Zone: zone, Region: "r", Heartbeat: heartbeat}
 }
 
-func view(bounds Config) *View {
-	return New(member(1000, "10.0.0.1:1", "z", 1), bounds, rand.New(rand.NewPCG(1, 2)))
+// newView is the view of incarnation 1000 in zone z, which knows nobody.
+func newView() *View {
+	return New(newMember(1000, "10.0.0.1:1", "z", 1), Config{}, rand.New(rand.NewPCG(1, 2)))
 }
 
-// lives are those known besides the own one.
-func lives(v *View) (out []uint64) {
+// knownIncarnations are those known besides the own one.
+func knownIncarnations(v *View) []uint64 {
+	var known []uint64
 	for _, m := range v.Members() {
 		if m.Incarnation != v.self.Incarnation {
-			out = append(out, m.Incarnation)
+			known = append(known, m.Incarnation)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(known)
+	return known
 }
 
-func from(m Member, gone ...Tombstone) *Shuffle {
-	return &Shuffle{From: m, Tombstones: gone, Reply: true}
+// shuffleFrom is a reply of a member, with tombstones.
+func shuffleFrom(m Member, tombstones ...Tombstone) *Shuffle {
+	return &Shuffle{From: m, Tombstones: tombstones, Reply: true}
 }
 
-func of(ms ...Member) *Shuffle {
-	return &Shuffle{From: member(1, "10.0.0.2:1", "z", 1), Members: ms, Reply: true}
+// shuffleOf is a reply of incarnation 1 with other members.
+func shuffleOf(members ...Member) *Shuffle {
+	return &Shuffle{From: newMember(1, "10.0.0.2:1", "z", 1), Members: members, Reply: true}
 }
 
 func aged(m Member, age time.Duration) Member {
@@ -46,93 +50,101 @@
 	return m
 }
 
-// A process restarts at its address. In all orders of what is heard of its two lives, with any one message twice, the new
-// life is known in the end and the old one is not, and a life that another one replaced does not come back by learned.
+// A process restarts at its address. In all orders of what is heard of its two incarnations, with any one message twice, the new one is
+// known in the end and the old one isn't, and an incarnation that was replaced doesn't come back by what others learned.
 func TestRestartInAllOrders(t *testing.T) {
-	c := qt.New(t)
-	const at = "10.0.0.9:1"
-	old, young := member(7, at, "z", 40), member(8, at, "z", 2)
-	news := []*Shuffle{
-		of(aged(member(7, at, "z", 39), 2500*ms)),
-		of(aged(old, 2*time.Second)),
-		of(aged(member(8, at, "z", 1), 500*ms)),
-		from(young),
-		from(member(1, "10.0.0.2:1", "z", 1), Tombstone{Incarnation: 7, Address: at, Heartbeat: 40}),
+	const address = "10.0.0.9:1"
+	messages := []*Shuffle{
+		shuffleOf(aged(newMember(7, address, "z", 39), 2500*ms)),
+		shuffleOf(aged(newMember(7, address, "z", 40), 2*time.Second)),
+		shuffleOf(aged(newMember(8, address, "z", 1), 500*ms)),
+		shuffleFrom(newMember(8, address, "z", 2)),
+		shuffleFrom(newMember(1, "10.0.0.2:1", "z", 1), Tombstone{Incarnation: 7, Address: address, Heartbeat: 40}),
 	}
-	play := func(order []int) {
-		v, replaced := view(Config{}), false
-		for i, n := range order {
-			v.Receive(time.Duration(i)*ms, news[n])
-			known := lives(v)
-			was := replaced
-			replaced = replaced || slices.Contains(known, 8)
-			if was && slices.Contains(known, 7) {
-				c.Fatalf("order %v: the old life came back", order)
+	forEachOrder(len(messages), func(order []int) {
+		checkRestart(t, messages, order)
+		for twice := range messages {
+			for at := range len(order) + 1 {
+				checkRestart(t, messages, slices.Insert(slices.Clone(order), at, twice))
 			}
 		}
-		c.Assert(lives(v), qt.DeepEquals, []uint64{1, 8}, qt.Commentf("order %v", order))
+	})
+}
+
+// checkRestart has a view receive messages in an order: incarnation 8 replaces 7, for good.
+func checkRestart(t *testing.T, messages []*Shuffle, order []int) {
+	t.Helper()
+	v := newView()
+	replaced := false
+	for i, n := range order {
+		v.Receive(time.Duration(i)*ms, messages[n])
+		known := knownIncarnations(v)
+		if replaced && slices.Contains(known, 7) {
+			t.Fatalf("order %v: the old incarnation came back", order)
+		}
+		replaced = replaced || slices.Contains(known, 8)
 	}
-	var each func(order []int)
-	each = func(order []int) {
-		if len(order) == len(news) {
-			play(order)
-			for twice := range news {
-				for at := range len(order) + 1 {
-					play(slices.Insert(slices.Clone(order), at, twice))
-				}
-			}
+	qt.Assert(t, knownIncarnations(v), qt.DeepEquals, []uint64{1, 8}, qt.Commentf("order %v", order))
+}
+
+// forEachOrder calls f with each order of the numbers below n.
+func forEachOrder(n int, f func(order []int)) {
+	var extend func(order []int)
+	extend = func(order []int) {
+		if len(order) == n {
+			f(order)
 			return
 		}
-		for i := range news {
+		for i := range n {
 			if !slices.Contains(order, i) {
-				each(append(slices.Clone(order), i))
+				extend(append(slices.Clone(order), i))
 			}
 		}
 	}
-	each(nil)
+	extend(nil)
 }
 
-// What is told says nothing of the time on the way: a life that just ended may seem a little newer than the one after it. And
-// should it ever have been taken for the newer one, the other's beats put that right.
-func TestEndedLifeSeemsNewer(t *testing.T) {
+// Ages say nothing of the time on the way: an incarnation that just ended may seem a little newer than the one after it. And should it
+// ever have been taken for the newer one, the other's heartbeats put that right.
+func TestEndedIncarnationSeemsNewer(t *testing.T) {
 	c := qt.New(t)
-	const at = "10.0.0.9:1"
-	v := view(Config{})
-	v.Receive(0, of(aged(member(8, at, "z", 1), 500*ms)))
-	v.Receive(0, of(aged(member(7, at, "z", 40), 480*ms)))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 8})
-	v.Receive(0, of(member(7, at, "z", 41)))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("clearly newer"))
-	v.Receive(9*time.Second, of(member(8, at, "z", 19)))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 7})
-	v.Receive(11*time.Second, of(member(8, at, "z", 23)))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 8})
+	const address = "10.0.0.9:1"
+	v := newView()
+	v.Receive(0, shuffleOf(aged(newMember(8, address, "z", 1), 500*ms)))
+	v.Receive(0, shuffleOf(aged(newMember(7, address, "z", 40), 480*ms)))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 8})
+	v.Receive(0, shuffleOf(newMember(7, address, "z", 41)))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("clearly newer"))
+	v.Receive(9*time.Second, shuffleOf(newMember(8, address, "z", 19)))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7})
+	v.Receive(11*time.Second, shuffleOf(newMember(8, address, "z", 23)))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 8})
 }
 
-func TestGoneIsBelievedUpToItsBeat(t *testing.T) {
+func TestTombstoneHoldsUpToItsHeartbeat(t *testing.T) {
 	c := qt.New(t)
-	v := view(Config{})
-	v.Receive(0, of(member(7, "10.0.0.7:1", "z", 5)))
-	v.Receive(0, from(member(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 4}))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 7})
-	v.Receive(0, from(member(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 5}))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1})
-	v.Receive(0, of(member(7, "10.0.0.7:1", "z", 5)))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1})
-	v.Receive(0, of(member(7, "10.0.0.7:1", "z", 6)))
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("it beat after all"))
-	reply, _ := v.Receive(0, &Shuffle{From: member(1, "10.0.0.2:1", "z", 3), Tombstones: []Tombstone{{1000, "10.0.0.1:1", 30}}})
-	c.Assert(reply.From.Heartbeat, qt.Equals, uint64(31), qt.Commentf("this one is not gone"))
+	v := newView()
+	v.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 5)))
+	v.Receive(0, shuffleFrom(newMember(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 4}))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7})
+	v.Receive(0, shuffleFrom(newMember(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 5}))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1})
+	v.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 5)))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1})
+	v.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 6)))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("its heartbeat advanced after all"))
+	reply, _ := v.Receive(0, &Shuffle{From: newMember(1, "10.0.0.2:1", "z", 3), Tombstones: []Tombstone{{1000, "10.0.0.1:1", 30}}})
+	c.Assert(reply.From.Heartbeat, qt.Equals, uint64(31), qt.Commentf("this process hasn't ended"))
 	var read Shuffle
 	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, reply), &read), qt.IsNil)
 	c.Assert(&read, qt.DeepEquals, reply)
 }
 
-func TestSuspectedUntilItBeats(t *testing.T) {
+func TestUnreachableUntilItsHeartbeatAdvances(t *testing.T) {
 	c := qt.New(t)
-	v := view(Config{})
+	v := newView()
 	for i := range uint64(3) {
-		v.Receive(0, from(member(i+1, fmt.Sprintf("10.0.0.%d:1", i+2), "z", 1)))
+		v.Receive(0, shuffleFrom(newMember(i+1, fmt.Sprintf("10.0.0.%d:1", i+2), "z", 1)))
 	}
 	v.Tick(0)
 	v.ConnectionLost(0, "10.0.0.2:1")
@@ -140,53 +152,53 @@
 	to, s := v.Tick(100 * ms)
 	c.Assert(to, qt.DeepEquals, []string{"10.0.0.2:1", "10.0.0.3:1"}, qt.Commentf("asked before its turn"))
 	c.Assert(s.Members, qt.HasLen, 3)
-	v.Receive(time.Second, of(member(2, "10.0.0.3:1", "z", 2)))
+	v.Receive(time.Second, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
 	v.Tick(1900 * ms)
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 2, 3})
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 2, 3})
 	v.Tick(2 * time.Second)
-	c.Assert(lives(v), qt.DeepEquals, []uint64{2, 3})
-	_, s = v.Tick(2600 * ms) // a pace is due by then
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{2, 3})
+	_, s = v.Tick(2600 * ms) // a regular shuffle is due by then
 	c.Assert(s.Tombstones, qt.DeepEquals, []Tombstone{{1, "10.0.0.2:1", 1}})
 	for now := 2600 * ms; now < 10900*ms; now += 100 * ms {
 		v.Tick(now)
 		if now == 4*time.Second {
-			v.Receive(now, of(aged(member(3, "10.0.0.4:1", "z", 2), 3*time.Second))) // its beat is as old as told
+			v.Receive(now, shuffleOf(aged(newMember(3, "10.0.0.4:1", "z", 2), 3*time.Second))) // its heartbeat is as old as that
 		}
 	}
-	c.Assert(lives(v), qt.DeepEquals, []uint64{2, 3})
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{2, 3})
 	v.Tick(11 * time.Second)
-	c.Assert(lives(v), qt.HasLen, 0)
+	c.Assert(knownIncarnations(v), qt.HasLen, 0)
 }
 
-// A process that was frozen believes nobody dead for it, and tells nobody that old beats are new.
+// A process that was frozen takes nobody for dead because of that, and sends no old heartbeats as new ones.
 func TestFrozenProcessWakes(t *testing.T) {
 	c := qt.New(t)
-	v := view(Config{})
-	v.Receive(0, of(member(2, "10.0.0.3:1", "z", 2)))
+	v := newView()
+	v.Receive(0, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
 	v.Tick(0)
 	v.ConnectionLost(time.Second, "10.0.0.3:1")
 	v.Tick(time.Second)
 	_, s := v.Tick(9 * time.Second)
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 2})
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 2})
 	c.Assert(s.Members, qt.HasLen, 2)
 	c.Assert(s.Members[0].HeartbeatAge, qt.Equals, 9*time.Second)
 	v.Tick(10900 * ms)
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1, 2})
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 2})
 	v.Tick(11 * time.Second)
-	c.Assert(lives(v), qt.DeepEquals, []uint64{1}, qt.Commentf("the one lost before had two seconds more"))
+	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1}, qt.Commentf("the unreachable one had two seconds more"))
 }
 
-func TestHomesMoveLittle(t *testing.T) {
+func TestRegistryOwnersMoveLittle(t *testing.T) {
 	c := qt.New(t)
-	v := view(Config{})
+	v := newView()
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 30 {
 		zone := []string{"y", "w"}[i%2]
-		v.Receive(0, from(member(rng.Uint64(), fmt.Sprintf("10.0.1.%d:1", i), zone, 1)))
+		v.Receive(0, shuffleFrom(newMember(rng.Uint64(), fmt.Sprintf("10.0.1.%d:1", i), zone, 1)))
 	}
 	before := v.RegistryOwners("s", "y", 3)
 	c.Assert(before, qt.HasLen, 3)
-	v.Receive(0, from(before[2], Tombstone{before[0].Incarnation, before[0].Address, 1}))
+	v.Receive(0, shuffleFrom(before[2], Tombstone{before[0].Incarnation, before[0].Address, 1}))
 	after := v.RegistryOwners("s", "y", 3)
 	c.Assert(after[:2], qt.DeepEquals, before[1:])
 	for _, m := range after {
