--- a/internal/mesh/discovery/endpoint.go
+++ b/internal/mesh/discovery/endpoint.go
@@ -1,6 +1,3 @@
-// Package discovery is the directory of endpoints. Records of endpoints are soft state under leases: a sidecar publishes the
-// record of the endpoint beside it to the homes of its service, and callers subscribe to these. The package does no I/O; time is an
-// argument, on a steady clock with any start.
 package discovery
 
 import (
@@ -9,34 +6,37 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// State of an endpoint; a worse one is higher.
+// State of an endpoint; a worse one is higher. Its values are data on the wire.
 type State uint8
 
-// The states.
 const (
-	Serving State = iota
-	Draining
-	Crashed      // ended unannounced
-	Deregistered // deregistered, ended in order, or replaced
+	// Serving endpoints take requests.
+	Serving State = 0
+	// Draining endpoints end soon, and take no new requests.
+	Draining State = 1
+	// Crashed endpoints ended unannounced, as far as is known: a newer keepalive brings them back.
+	Crashed State = 2
+	// Deregistered endpoints ended in order or were superseded, for good.
+	Deregistered State = 3
 )
 
-// Endpoint is the record of one life of an endpoint, as it is sent.
+// Endpoint is the record of one run of an endpoint, as it is sent.
 type Endpoint struct {
-	ID                 string
+	ID                 string // new at each start of the endpoint
 	Service            string
-	SidecarAddress     string // address of the sidecar beside it
+	SidecarAddress     string // ip:port of the sidecar beside it
 	SidecarIncarnation uint64
-	AppAddress         string // its own address
+	AppAddress         string // its own ip:port
 	Zone               string
-	Slots              int
+	Slots              int // requests that it works on at a time
 	State              State
-	WarmupRemaining    time.Duration // left when it is sent
+	WarmupRemaining    time.Duration // of its slow start, when it is sent
 	Sequence           uint64        // callSequence of the newest keepalive that this rests on
-	Revision           uint64        // raised by its publisher at each change beyond Sequence, over all lives that it publishes
-	LeaseRemaining     time.Duration // left when it is sent
+	Revision           uint64        // raised by its publisher at each change beyond Sequence, over all endpoints that it publishes
+	LeaseRemaining     time.Duration // when it is sent
 }
 
-// Fields implements codec.Message.
+// Fields implements codec.Message. A state that isn't known is read as the worst.
 func (e *Endpoint) Fields(v *codec.Visitor) {
 	v.String(1, &e.ID)
 	v.String(2, &e.Service)
@@ -54,36 +54,5 @@
 	v.Duration(12, &e.LeaseRemaining)
 }
 
-// Config are the settings; what is zero has its default.
-type Config struct {
-	LeaseDuration      time.Duration // of a record
-	TombstoneRetention time.Duration // how long an ended life is remembered
-	MaxTombstones      int           // how many of these are remembered
-	TakeoverTimeout    time.Duration // a life that is not renewed for so long yields to another one at its address
-	FreezeThreshold    time.Duration // a call of Expire that comes so late after the last one means that this process was frozen
-	RetryInterval      time.Duration // what was not acknowledged is sent again
-	PollInterval       time.Duration // between two requests of a subscriber
-	SubscriptionLease  time.Duration // how long a request keeps a subscription at the home
-	OwnersQueried      int           // homes asked for each service
-}
-
-// WithDefaults are the bounds with their defaults.
-func (c Config) WithDefaults() Config {
-	setDefault(&c.LeaseDuration, 9*time.Second)
-	setDefault(&c.TombstoneRetention, time.Minute)
-	setDefault(&c.MaxTombstones, 4096)
-	setDefault(&c.TakeoverTimeout, c.LeaseDuration/2)
-	setDefault(&c.FreezeThreshold, 3*time.Second)
-	setDefault(&c.RetryInterval, 300*time.Millisecond)
-	setDefault(&c.PollInterval, 2*time.Second)
-	setDefault(&c.SubscriptionLease, 6*time.Second)
-	setDefault(&c.OwnersQueried, 2)
-	return c
-}
-
-func setDefault[T comparable](x *T, to T) {
-	var zero T
-	if *x == zero {
-		*x = to
-	}
-}
+// hasEnded reports whether an endpoint in the state has ended.
+func (s State) hasEnded() bool { return s >= Crashed }
--- a/internal/mesh/discovery/membership/config.go
+++ b/internal/mesh/discovery/membership/config.go
@@ -27,7 +27,8 @@
 	// partition costs one connection that fails.
 	RecentReconnectInterval time.Duration
 
-	// RecentReconnectWindow is how long a departed member is a recent one. Default 2 min, longer than most partitions.
+	// RecentReconnectWindow is how long a departed member is a recent one. Default 2 min; after it
+	// ReconnectInterval applies.
 	RecentReconnectWindow time.Duration
 
 	// SuspicionTimeout is the age of a heartbeat from which its member is suspected; it scales with RemoteFailureTimeout for members to
@@ -38,8 +39,8 @@
 	// shorter one takes slow members for dead, a longer one keeps dead members.
 	FailureTimeout time.Duration
 
-	// RemoteFailureTimeout replaces FailureTimeout for members of other zones in a large or a quiet view: updates of them take longer, and
-	// their own zone tells who ended. Default six times FailureTimeout.
+	// RemoteFailureTimeout replaces FailureTimeout for members of other zones, in a large view and once any peer's digests agreed with the
+	// own ones: updates of them take longer then, and their own zone tells who ended. Default six times FailureTimeout.
 	RemoteFailureTimeout time.Duration
 
 	// DisconnectGrace is the time from a broken connection until the member departs, unless its heartbeat advances. Default 2 s, enough for
@@ -60,7 +61,7 @@
 	// MaxCoreMembers bounds the core members that are kept, of whatever zone. Default 64.
 	MaxCoreMembers int
 
-	// MaxMembersPerShuffle bounds the members in a shuffle. Default 40, which makes about 4 kB. A view of more than twice as many is
+	// MaxMembersPerShuffle bounds the members in a shuffle. Default 40. A view of more than twice as many is
 	// large: gossip stays mostly within its zone.
 	MaxMembersPerShuffle int
 
@@ -71,7 +72,8 @@
 	MaxTombstones int
 
 	// MonitoredPeers is how many peers a process shuffles with in turn while the view is quiet, so that connections to them are kept: so
-	// many of its zone and once more so many among all. Default 3. As many processes notice when one ends.
+	// many of its zone and once more so many among all. Default 3. At least as many
+	// processes notice when one ends.
 	MonitoredPeers int
 
 	// BootstrapThreshold is the number of other members below which a seed is asked with each shuffle. Default 4.
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -2,118 +2,83 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
 
-// record is what a registry holds of one life.
-type record struct {
-	Endpoint
-	leaseEnd, warmupEnd time.Duration // their ends
-	renewedAt           time.Duration
-	endedAt             time.Duration // when it came to be Gone or Crashed
-	drainSeen           bool          // a draining mark was seen in this life
-	deregistered        bool          // and its end
-	inTombstones        bool          // it is in tombs
-	expired             bool          // its lease ran out here, or another life at its address is renewed and it is not
-	version             uint64        // of the registry at its last change or renewal
-}
-
-// effectiveState is the state that others see.
-func (r *record) effectiveState() State {
-	switch {
-	case r.deregistered:
-		return Deregistered
-	case r.State < Crashed && r.expired:
-		return Crashed
-	case r.State == Serving && r.drainSeen:
-		return Draining
-	}
-	return r.State
-}
-
-// snapshot is the record as it is sent now.
-func (r *record) snapshot(now time.Duration) Endpoint {
-	e := r.Endpoint
-	e.State, e.LeaseRemaining, e.WarmupRemaining = r.effectiveState(), max(r.leaseEnd-now, 0), max(r.warmupEnd-now, 0)
-	return e
-}
-
-// Registry is what one process knows of endpoints.
+// Registry is what one process knows of endpoints. Make one with NewRegistry.
 type Registry struct {
 	config           Config
-	records          map[string]*record
-	byAppAddress     map[string][]*record
-	byService        map[string][]*record // by id
-	version          uint64
-	lastExpire       time.Duration     // last time
-	forgottenVersion map[string]uint64 // by service: what was forgotten had this version at most
-	tombstones       []*record         // those that ended, the oldest first, and some that came back
+	records          map[string]*record   // by ID
+	byAppAddress     map[string][]*record // in the order of their arrival
+	byService        map[string][]*record // ordered by ID
+	version          uint64               // counts changes and renewals
+	forgottenVersion map[string]uint64    // by service: what was forgotten had this version at most
+	tombstones       []*record            // those that ended, the oldest first, and some that came back
+	lastExpire       time.Duration        // call of Expire
 }
 
 // NewRegistry makes an empty registry.
-func NewRegistry(bounds Config) *Registry {
-	return &Registry{config: bounds.WithDefaults(), records: map[string]*record{}, byAppAddress: map[string][]*record{}, byService: map[string][]*record{}, forgottenVersion: map[string]uint64{}}
+func NewRegistry(config Config) *Registry {
+	return &Registry{
+		config:           config.WithDefaults(),
+		records:          map[string]*record{},
+		byAppAddress:     map[string][]*record{},
+		byService:        map[string][]*record{},
+		forgottenVersion: map[string]uint64{},
+	}
 }
 
-// Apply merges a record; changed reports whether more than its lease, its sequence and its cold time did.
+// Apply merges a record; changed reports whether more than its lease, its sequence and its warm-up time did. One without an ID is
+// ignored.
 func (r *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
 	if e.ID == "" {
 		return false
 	}
-	p, took := r.records[e.ID], true
-	if p == nil {
-		p = r.add(now, e)
-		changed = true
-	} else {
-		was, before := p.effectiveState(), p.Endpoint
-		took = p.merge(now, e)
-		changed = was != p.effectiveState() || before.Revision != p.Revision || before.Slots != p.Slots || before.SidecarIncarnation != p.SidecarIncarnation ||
-			before.SidecarAddress != p.SidecarAddress
+	rec := r.records[e.ID]
+	if rec == nil {
+		rec = r.add(now, e)
+		r.noteChange(now, rec)
+		r.supersede(now, rec.AppAddress)
+		return true
 	}
-	if took || changed {
-		r.advanceVersion(now, p, changed)
+	before := rec.visible()
+	taken := rec.merge(now, e)
+	changed = before != rec.visible()
+	switch {
+	case changed:
+		r.noteChange(now, rec)
+	case taken:
+		r.advanceVersion(rec)
 	}
-	return r.supersede(now, p.AppAddress) || changed
+	return r.supersede(now, rec.AppAddress) || changed
 }
 
 func (r *Registry) add(now time.Duration, e Endpoint) *record {
-	p := &record{Endpoint: e, leaseEnd: now + e.LeaseRemaining, warmupEnd: now + e.WarmupRemaining, renewedAt: now, drainSeen: e.State == Draining, deregistered: e.State == Deregistered}
-	r.records[p.ID] = p
-	r.byAppAddress[p.AppAddress] = append(r.byAppAddress[p.AppAddress], p)
-	i, _ := slices.BinarySearchFunc(r.byService[p.Service], p.ID, compareID)
-	r.byService[p.Service] = slices.Insert(r.byService[p.Service], i, p)
-	return p
+	rec := newRecord(now, e)
+	r.records[rec.ID] = rec
+	r.byAppAddress[rec.AppAddress] = append(r.byAppAddress[rec.AppAddress], rec)
+	ofService := r.byService[rec.Service]
+	i, _ := slices.BinarySearchFunc(ofService, rec.ID, compareID)
+	r.byService[rec.Service] = slices.Insert(ofService, i, rec)
+	return rec
 }
 
-func compareID(p *record, id string) int { return cmp.Compare(p.ID, id) }
-
-// merge is the only place where a record that was sent changes one held here. It reports whether anything was taken.
-func (r *record) merge(now time.Duration, e Endpoint) (took bool) {
-	e.AppAddress, e.Service = r.AppAddress, r.Service // of one life they stay
-	r.drainSeen, r.deregistered = r.drainSeen || e.State == Draining, r.deregistered || e.State == Deregistered
-	order := cmp.Or(cmp.Compare(e.Sequence, r.Sequence), cmp.Compare(e.Revision, r.Revision), cmp.Compare(e.State, r.State))
-	if order > 0 {
-		r.Endpoint, r.warmupEnd = e, now+e.WarmupRemaining
-	}
-	if order >= 0 && now+e.LeaseRemaining > r.leaseEnd {
-		r.leaseEnd, r.renewedAt, r.expired, took = now+e.LeaseRemaining, now, false, true
-	}
-	return took || order > 0
+// advanceVersion gives a record that was changed or renewed the next version of the registry.
+func (r *Registry) advanceVersion(rec *record) {
+	r.version++
+	rec.version = r.version
 }
 
-// advanceVersion gives a record the next version of the registry.
-func (r *Registry) advanceVersion(now time.Duration, p *record, changed bool) {
-	r.version++
-	p.version = r.version
-	if !changed {
-		return
-	}
-	if p.effectiveState() >= Crashed {
-		p.endedAt = now
-		if !p.inTombstones {
-			p.inTombstones = true
-			r.tombstones = append(r.tombstones, p)
+// noteChange advances the version of a record that was changed. If it ended, it becomes a tombstone, and the oldest may be forgotten.
+func (r *Registry) noteChange(now time.Duration, rec *record) {
+	r.advanceVersion(rec)
+	if rec.hasEnded() {
+		rec.endedAt = now
+		if !rec.inTombstones {
+			rec.inTombstones = true
+			r.tombstones = append(r.tombstones, rec)
 		}
 	}
 	for len(r.tombstones) > r.config.MaxTombstones {
@@ -121,115 +86,135 @@
 	}
 }
 
-// forgetOldestTombstone forgets the life that ended first.
+// forgetOldestTombstone forgets the endpoint that ended first, unless it came back.
 func (r *Registry) forgetOldestTombstone() {
-	p := r.tombstones[0]
-	r.tombstones, p.inTombstones = r.tombstones[1:], false
-	if p.effectiveState() < Crashed {
-		return // it came back
+	rec := r.tombstones[0]
+	r.tombstones = r.tombstones[1:]
+	rec.inTombstones = false
+	if !rec.hasEnded() {
+		return
 	}
-	delete(r.records, p.ID)
-	r.forgottenVersion[p.Service] = max(r.forgottenVersion[p.Service], p.version)
-	removeFromIndex(r.byAppAddress, p.AppAddress, p)
-	removeFromIndex(r.byService, p.Service, p)
+	delete(r.records, rec.ID)
+	r.forgottenVersion[rec.Service] = max(r.forgottenVersion[rec.Service], rec.version)
+	removeFromIndex(r.byAppAddress, rec.AppAddress, rec)
+	removeFromIndex(r.byService, rec.Service, rec)
 }
 
-func removeFromIndex(in map[string][]*record, key string, p *record) {
-	if rest := slices.DeleteFunc(in[key], func(o *record) bool { return o == p }); len(rest) > 0 {
-		in[key] = rest
-	} else {
-		delete(in, key)
+func removeFromIndex(index map[string][]*record, key string, rec *record) {
+	rest := slices.DeleteFunc(index[key], func(other *record) bool { return other == rec })
+	if len(rest) == 0 {
+		delete(index, key)
+		return
 	}
+	index[key] = rest
 }
 
-// supersede ends lives at an address whose own publisher has sent a later life there.
-func (r *Registry) supersede(now time.Duration, app string) (changed bool) {
-	at := r.byAppAddress[app]
-	for _, p := range at {
-		for _, q := range at {
-			if !p.deregistered && p.SidecarIncarnation != 0 && p.SidecarIncarnation == q.SidecarIncarnation && p.Revision < q.Revision {
-				p.deregistered, changed = true, true
-				r.advanceVersion(now, p, true)
+// supersede deregisters endpoints at an address whose own publisher has announced a later endpoint there.
+func (r *Registry) supersede(now time.Duration, appAddress string) (changed bool) {
+	atAddress := r.byAppAddress[appAddress]
+	for _, rec := range atAddress {
+		for _, other := range atAddress {
+			if !rec.deregistered && rec.isSupersededBy(other) {
+				rec.deregistered = true
+				changed = true
+				r.noteChange(now, rec)
 			}
 		}
 	}
 	return changed
 }
 
-// Expire ends leases that ran out, lets lives yield to renewed ones at their address, and forgets what ended long ago. It
-// returns those that changed. It is called at least each second: a gap counts as this process's own silence.
+func (r *record) isSupersededBy(other *record) bool {
+	return r.SidecarIncarnation != 0 && r.SidecarIncarnation == other.SidecarIncarnation && r.Revision < other.Revision
+}
+
+// Expire ends leases that ran out, has endpoints yield to renewed ones at their address, and forgets what ended long ago. It
+// returns those that changed, ordered by ID. It is to be called at least each second: a gap counts as this process's own freeze.
 func (r *Registry) Expire(now time.Duration) (changed []Endpoint) {
-	if woken := now-r.lastExpire > r.config.FreezeThreshold; woken { // renewals may lie unread
-		for _, p := range r.records {
-			p.leaseEnd, p.renewedAt = max(p.leaseEnd, now+r.config.TakeoverTimeout), max(p.renewedAt, now)
-		}
+	if now-r.lastExpire > r.config.FreezeThreshold {
+		r.extendLeases(now)
 	}
 	r.lastExpire = now
 	for _, id := range r.sortedIDs() {
-		p := r.records[id]
-		if p.effectiveState() >= Crashed {
-			continue
-		}
-		if now < p.leaseEnd && !r.isSupplanted(now, p) {
+		rec := r.records[id]
+		if rec.hasEnded() || now < rec.leaseEnd && !r.isSupplanted(now, rec) {
 			continue
 		}
-		p.expired = true
-		r.advanceVersion(now, p, true)
-		changed = append(changed, p.snapshot(now))
+		rec.expired = true
+		r.noteChange(now, rec)
+		changed = append(changed, rec.snapshot(now))
+	}
+	r.forgetOldTombstones(now)
+	return changed
+}
+
+// extendLeases gives renewals that may lie unread, as this process was frozen, the time to be read.
+func (r *Registry) extendLeases(now time.Duration) {
+	for _, rec := range r.records {
+		rec.leaseEnd = max(rec.leaseEnd, now+r.config.TakeoverTimeout)
+		rec.renewedAt = max(rec.renewedAt, now)
 	}
+}
+
+// forgetOldTombstones forgets endpoints from the oldest on, up to one that ended within TombstoneRetention.
+func (r *Registry) forgetOldTombstones(now time.Duration) {
 	for len(r.tombstones) > 0 {
-		if p := r.tombstones[0]; p.effectiveState() >= Crashed && now-p.endedAt < r.config.TombstoneRetention {
-			break
+		oldest := r.tombstones[0]
+		if oldest.hasEnded() && now-oldest.endedAt < r.config.TombstoneRetention {
+			return
 		}
 		r.forgetOldestTombstone()
 	}
-	return changed
 }
 
-// isSupplanted reports whether another life at a record's address is renewed and the record is not.
-func (r *Registry) isSupplanted(now time.Duration, p *record) bool {
-	return now-p.renewedAt >= r.config.TakeoverTimeout && slices.ContainsFunc(r.byAppAddress[p.AppAddress], func(q *record) bool {
-		return q != p && q.effectiveState() < Crashed && now-q.renewedAt < r.config.TakeoverTimeout
+// isSupplanted reports whether another endpoint at a record's address is renewed and the record isn't.
+func (r *Registry) isSupplanted(now time.Duration, rec *record) bool {
+	if now-rec.renewedAt < r.config.TakeoverTimeout {
+		return false
+	}
+	return slices.ContainsFunc(r.byAppAddress[rec.AppAddress], func(other *record) bool {
+		return other != rec && !other.hasEnded() && now-other.renewedAt < r.config.TakeoverTimeout
 	})
 }
 
 func (r *Registry) sortedIDs() []string {
 	ids := make([]string, 0, len(r.records))
-	for id := range r.records {
-		ids = append(ids, id)
-	}
+	ids = slices.AppendSeq(ids, maps.Keys(r.records))
 	slices.Sort(ids)
 	return ids
 }
 
-// List is what is known of a service's endpoints, those that ended too while they are remembered, with leases and cold times
-// as left now.
-func (r *Registry) List(now time.Duration, service string) (out []Endpoint) {
+// List returns what is known of a service's endpoints, ordered by ID, those that ended too while they are remembered, with leases and
+// warm-up times as left now.
+func (r *Registry) List(now time.Duration, service string) []Endpoint {
 	return r.changedAfter(now, service, 0)
 }
 
-func (r *Registry) changedAfter(now time.Duration, service string, version uint64) (out []Endpoint) {
-	for _, p := range r.byService[service] {
-		if p.version > version {
-			out = append(out, p.snapshot(now))
+// changedAfter is what of a service changed or was renewed after a version.
+func (r *Registry) changedAfter(now time.Duration, service string, version uint64) []Endpoint {
+	var changed []Endpoint
+	for _, rec := range r.byService[service] {
+		if rec.version > version {
+			changed = append(changed, rec.snapshot(now))
 		}
 	}
-	return out
+	return changed
 }
 
-// All is what is known of all.
-func (r *Registry) All(now time.Duration) (out []Endpoint) {
+// All returns what is known of all services, ordered by ID.
+func (r *Registry) All(now time.Duration) []Endpoint {
+	var all []Endpoint
 	for _, id := range r.sortedIDs() {
-		out = append(out, r.records[id].snapshot(now))
+		all = append(all, r.records[id].snapshot(now))
 	}
-	return out
+	return all
 }
 
-// Version is that of the last change or renewal.
+// Version counts the changes and renewals so far.
 func (r *Registry) Version() uint64 { return r.version }
 
-// SinceVersion is what of a service changed or was renewed after a version of this registry, and the version now. If ok is false, what
-// was forgotten in between matters, and this is the whole list.
+// ChangedSince returns what of a service changed or was renewed after a version of this registry, and the version now. If ok is false,
+// what was forgotten in between matters, or the version is of another registry, and this is the complete list.
 func (r *Registry) ChangedSince(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
 	if version < r.forgottenVersion[service] || version > r.version {
 		return r.List(now, service), r.version, false
@@ -237,14 +222,23 @@
 	return r.changedAfter(now, service, version), r.version, true
 }
 
-// EndpointAt is the endpoint at an address: of several the best, then the one renewed last.
-func (r *Registry) EndpointAt(now time.Duration, app string) (Endpoint, bool) {
-	at := r.byAppAddress[app]
-	if len(at) == 0 {
+// EndpointAt returns the endpoint at an address: of several one that hasn't ended, then the one renewed last. It reports false if none is
+// known there.
+func (r *Registry) EndpointAt(now time.Duration, appAddress string) (Endpoint, bool) {
+	atAddress := r.byAppAddress[appAddress]
+	if len(atAddress) == 0 {
 		return Endpoint{}, false
 	}
-	best := slices.MinFunc(at, func(p, q *record) int {
-		return cmp.Or(cmp.Compare(p.effectiveState()/Crashed, q.effectiveState()/Crashed), cmp.Compare(q.renewedAt, p.renewedAt), cmp.Compare(p.ID, q.ID))
-	})
-	return best.snapshot(now), true
+	return slices.MinFunc(atAddress, compareAtAddress).snapshot(now), true
+}
+
+// compareAtAddress orders records at one address, the one that requests go to first.
+func compareAtAddress(a, b *record) int {
+	if a.hasEnded() != b.hasEnded() {
+		if a.hasEnded() {
+			return 1
+		}
+		return -1
+	}
+	return cmp.Or(cmp.Compare(b.renewedAt, a.renewedAt), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -13,7 +13,7 @@
 
 const lease = 9 * time.Second
 
-func newRecord(id string, s State, sequence, edition uint64) Endpoint {
+func testEndpoint(id string, s State, sequence, edition uint64) Endpoint {
 	return Endpoint{
 		ID: id, Service: "s", SidecarAddress: "h:1", SidecarIncarnation: 7, AppAddress: "a:1", Zone: "z", Slots: 4, State: s,
 		Sequence: sequence, Revision: edition, LeaseRemaining: lease,
@@ -48,13 +48,13 @@
 // All orders of a life's messages, each of them twice at any place, on one board; and the same once on another: they agree in
 // the end, and neither shows an endpoint as serving after its draining mark, or anything after its end.
 func TestBoardsAgreeInAllOrders(t *testing.T) {
-	beat, slots := newRecord("x", Serving, 1, 1), newRecord("x", Serving, 1, 2)
+	beat, slots := testEndpoint("x", Serving, 1, 1), testEndpoint("x", Serving, 1, 2)
 	slots.Slots = 9
 	for name, told := range map[string][]Endpoint{
-		"drain, end, new life": {beat, newRecord("x", Draining, 2, 3), newRecord("x", Serving, 3, 3), newRecord("x", Deregistered, 3, 4), newRecord("y", Serving, 1, 5)},
-		"crash, late beat":     {beat, slots, newRecord("x", Draining, 2, 3), newRecord("x", Crashed, 2, 4), newRecord("x", Serving, 3, 4)},
-		"crash, new life":      {beat, slots, newRecord("x", Crashed, 1, 3), newRecord("y", Serving, 1, 4), newRecord("y", Draining, 2, 5)},
-		"three lives":          {beat, newRecord("x", Serving, 9, 1), newRecord("y", Serving, 1, 2), newRecord("y", Crashed, 1, 3), newRecord("z", Serving, 1, 4)},
+		"drain, end, new life": {beat, testEndpoint("x", Draining, 2, 3), testEndpoint("x", Serving, 3, 3), testEndpoint("x", Deregistered, 3, 4), testEndpoint("y", Serving, 1, 5)},
+		"crash, late beat":     {beat, slots, testEndpoint("x", Draining, 2, 3), testEndpoint("x", Crashed, 2, 4), testEndpoint("x", Serving, 3, 4)},
+		"crash, new life":      {beat, slots, testEndpoint("x", Crashed, 1, 3), testEndpoint("y", Serving, 1, 4), testEndpoint("y", Draining, 2, 5)},
+		"three lives":          {beat, testEndpoint("x", Serving, 9, 1), testEndpoint("y", Serving, 1, 2), testEndpoint("y", Crashed, 1, 3), testEndpoint("z", Serving, 1, 4)},
 	} {
 		c := qt.New(t)
 		var want []string
@@ -102,7 +102,7 @@
 func TestLeases(t *testing.T) {
 	c := qt.New(t)
 	b := NewRegistry(Config{})
-	old, young := newRecord("x", Serving, 1, 1), newRecord("y", Serving, 1, 1)
+	old, young := testEndpoint("x", Serving, 1, 1), testEndpoint("y", Serving, 1, 1)
 	young.SidecarIncarnation = 8 // told by another life of the sidecar, which never knew of x
 	c.Assert(b.Apply(0, old), qt.IsTrue)
 	c.Assert(b.Apply(0, old), qt.IsFalse)
@@ -133,7 +133,7 @@
 func TestFrozenBoardEndsNobody(t *testing.T) {
 	c := qt.New(t)
 	b := NewRegistry(Config{})
-	b.Apply(0, newRecord("x", Serving, 1, 1))
+	b.Apply(0, testEndpoint("x", Serving, 1, 1))
 	c.Assert(expire(b, 0, time.Second), qt.HasLen, 0)
 	c.Assert(expire(b, 20*time.Second, 24*time.Second), qt.HasLen, 0)
 	c.Assert(b.Expire(25*time.Second), qt.HasLen, 1)
@@ -144,7 +144,7 @@
 	c := qt.New(t)
 	b := NewRegistry(Config{MaxTombstones: 10})
 	for i := range 100 {
-		e := newRecord(fmt.Sprint(i), Serving, 1, 1)
+		e := testEndpoint(fmt.Sprint(i), Serving, 1, 1)
 		e.AppAddress, e.SidecarIncarnation = fmt.Sprint(i), uint64(i)
 		b.Apply(0, e)
 		for range 3 { // crash and come back
@@ -164,7 +164,7 @@
 // A subscriber that takes what changed since its version has what the home has, whatever happens in between.
 func TestSinceIsEnough(t *testing.T) {
 	c := qt.New(t)
-	told := []Endpoint{newRecord("x", Serving, 1, 1), newRecord("x", Draining, 2, 2), newRecord("x", Deregistered, 2, 3), newRecord("y", Serving, 1, 4)}
+	told := []Endpoint{testEndpoint("x", Serving, 1, 1), testEndpoint("x", Draining, 2, 2), testEndpoint("x", Deregistered, 2, 3), testEndpoint("y", Serving, 1, 4)}
 	orders(len(told), func(order []int) {
 		for asks := range 1 << len(order) {
 			home, here, version := NewRegistry(Config{}), NewRegistry(Config{}), uint64(0)
