--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -43,48 +43,51 @@
 	qt.Check(t, read.State, qt.Equals, Deregistered)
 }
 
-// schedule plays a publisher for each of three sidecars, a registry at each of three homes and a subscriber, on drawn events, and
-// takes a digest of all that they give, in order.
+// schedule plays a publisher for each of three sidecars, a registry at each of three owners and a subscriber, on drawn events, and takes
+// a digest of all that they return, in order.
 type schedule struct {
-	rng         *rand.Rand
-	now         time.Duration
-	sum         hash.Hash
-	homes       []string
-	registries  map[string]*Registry
-	subscribers map[string]*Subscribers
-	here        *Registry
-	asks        *Subscription
-	publishers  []*Publisher
-	newest      []Endpoint
-	pausedUntil []time.Duration // no publisher sends before its time
-	sends       int
-	changes     int
+	rng          *rand.Rand
+	now          time.Duration
+	sum          hash.Hash
+	owners       []string // their addresses, which are in the digests
+	registries   map[string]*Registry
+	subscribers  map[string]*Subscribers
+	callers      *Registry
+	subscription *Subscription
+	publishers   []*Publisher
+	newest       []Endpoint
+	pausedUntil  []time.Duration // no publisher sends before its time
+	sends        int
+	changes      int
 }
 
 const scheduleService = "s"
 
 func newSchedule(seed uint64) *schedule {
 	s := &schedule{
-		rng: rand.New(rand.NewPCG(seed, 7)), sum: sha256.New(), homes: []string{"home-a", "home-b", "home-c"},
-		registries: map[string]*Registry{}, subscribers: map[string]*Subscribers{}, here: NewRegistry(Config{}), asks: NewSubscription(Config{}),
+		rng: rand.New(rand.NewPCG(seed, 7)), sum: sha256.New(), owners: []string{"home-a", "home-b", "home-c"},
+		registries: map[string]*Registry{}, subscribers: map[string]*Subscribers{}, callers: NewRegistry(Config{}),
+		subscription: NewSubscription(Config{}),
 	}
-	var homes []RegistryOwner
-	for i, h := range s.homes {
+	var owners []RegistryOwner
+	for i, h := range s.owners {
 		s.registries[h], s.subscribers[h] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
-		homes = append(homes, RegistryOwner{Address: h, Incarnation: uint64(i + 1)})
+		owners = append(owners, RegistryOwner{Address: h, Incarnation: uint64(i + 1)})
 	}
-	s.asks.SetOwners(0, scheduleService, homes)
+	s.subscription.SetOwners(0, scheduleService, owners)
 	for i := range 3 {
 		s.publishers = append(s.publishers, NewPublisher(Config{}))
 		s.newest = append(s.newest, Endpoint{})
 		s.pausedUntil = append(s.pausedUntil, 0)
-		s.publishers[i].SetOwners(0, s.homes[:2])
+		s.publishers[i].SetOwners(0, s.owners[:2])
 		s.restart(i)
 	}
 	return s
 }
 
-func (s *schedule) note(what string, values ...any) { fmt.Fprintln(s.sum, s.now, what, values) }
+func (s *schedule) note(what string, values ...any) {
+	s.sum.Write(fmt.Appendln(nil, s.now, what, values))
+}
 
 func (s *schedule) noteEndpoints(what string, all []Endpoint) {
 	for i := range all {
@@ -106,7 +109,7 @@
 func (s *schedule) event() {
 	i := s.rng.IntN(len(s.publishers))
 	p, e := s.publishers[i], &s.newest[i]
-	home := s.homes[s.rng.IntN(len(s.homes))]
+	owner := s.owners[s.rng.IntN(len(s.owners))]
 	switch s.rng.IntN(16) {
 	case 0:
 		s.restart(i)
@@ -119,11 +122,11 @@
 		e.State = Draining
 		p.Set(s.now, *e)
 	case 4:
-		p.ForgetOwner(home)
-		s.asks.ConnectionLost(s.now, home)
-		s.subscribers[home].ConnectionLost("caller")
+		p.ForgetOwner(owner)
+		s.subscription.ConnectionLost(s.now, owner)
+		s.subscribers[owner].ConnectionLost("caller")
 	case 5:
-		p.SetOwners(s.now, s.homes[:1+s.rng.IntN(3)])
+		p.SetOwners(s.now, s.owners[:1+s.rng.IntN(3)])
 	case 6:
 		s.now += time.Duration(s.rng.IntN(12)) * time.Second
 	case 7:
@@ -151,22 +154,22 @@
 			if s.rng.IntN(4) > 0 {
 				p.Acknowledged(s.now, due.To, due.Endpoint.ID, due.Endpoint.Revision)
 			}
-			s.note("confirmed", p.AcknowledgedElsewhere(due.Endpoint.ID, s.homes[0]))
+			s.note("confirmed", p.AcknowledgedElsewhere(due.Endpoint.ID, s.owners[0]))
 		}
 	}
-	for _, ask := range s.asks.Tick(s.now) {
-		s.note("ask", ask.To, ask.Incarnation, ask.Service, ask.SinceVersion)
+	for _, request := range s.subscription.Tick(s.now) {
+		s.note("ask", request.To, request.Incarnation, request.Service, request.SinceVersion)
 		if s.rng.IntN(4) == 0 {
 			continue
 		}
-		s.subscribers[ask.To].Renew(s.now, ask.Service, "caller")
-		changed, version, ok := s.registries[ask.To].ChangedSince(s.now, ask.Service, ask.SinceVersion)
+		s.subscribers[request.To].Renew(s.now, request.Service, "caller")
+		changed, version, ok := s.registries[request.To].ChangedSince(s.now, request.Service, request.SinceVersion)
 		s.note("since", version, ok)
 		s.noteEndpoints("changed", changed)
 		for _, e := range changed {
-			s.note("take", s.here.Apply(s.now, e))
+			s.note("take", s.callers.Apply(s.now, e))
 		}
-		s.asks.Received(s.now, RegistryOwner{Address: ask.To, Incarnation: ask.Incarnation}, ask.Service, version)
+		s.subscription.Received(s.now, RegistryOwner{Address: request.To, Incarnation: request.Incarnation}, request.Service, version)
 	}
 }
 
@@ -177,17 +180,17 @@
 		s.event()
 	}
 	s.deliver()
-	for _, home := range s.homes {
-		changed := s.registries[home].Expire(s.now)
+	for _, owner := range s.owners {
+		changed := s.registries[owner].Expire(s.now)
 		s.changes += len(changed)
-		s.noteEndpoints("expired at "+home, changed)
-		s.note("notify", s.subscribers[home].Active(s.now, scheduleService))
+		s.noteEndpoints("expired at "+owner, changed)
+		s.note("notify", s.subscribers[owner].Active(s.now, scheduleService))
 	}
-	s.noteEndpoints("expired here", s.here.Expire(s.now))
-	s.noteEndpoints("list", s.here.List(s.now, scheduleService))
-	s.noteEndpoints("all", s.here.All(s.now))
+	s.noteEndpoints("expired here", s.callers.Expire(s.now))
+	s.noteEndpoints("list", s.callers.List(s.now, scheduleService))
+	s.noteEndpoints("all", s.callers.All(s.now))
 	for i := range s.newest {
-		e, ok := s.here.EndpointAt(s.now, s.newest[i].AppAddress)
+		e, ok := s.callers.EndpointAt(s.now, s.newest[i].AppAddress)
 		s.note("at", codec.MarshalAppend(nil, &e), ok)
 	}
 }
@@ -200,7 +203,7 @@
 		for i := range 400 {
 			s.step()
 			if i%80 == 79 {
-				fmt.Fprintf(&text, "seed %d at %v: %d sent, %d expired, version %d, %x\n", seed, s.now, s.sends, s.changes, s.here.Version(),
+				fmt.Fprintf(&text, "seed %d at %v: %d sent, %d expired, version %d, %x\n", seed, s.now, s.sends, s.changes, s.callers.Version(),
 					s.sum.Sum(nil)[:12])
 			}
 		}
--- a/internal/mesh/discovery/membership/config.go
+++ b/internal/mesh/discovery/membership/config.go
@@ -27,8 +27,7 @@
 	// partition costs one connection that fails.
 	RecentReconnectInterval time.Duration
 
-	// RecentReconnectWindow is how long a departed member is a recent one. Default 2 min; after it
-	// ReconnectInterval applies.
+	// RecentReconnectWindow is how long a departed member is a recent one. Default 2 min; after it ReconnectInterval applies.
 	RecentReconnectWindow time.Duration
 
 	// SuspicionTimeout is the age of a heartbeat from which its member is suspected; it scales with RemoteFailureTimeout for members to
@@ -61,8 +60,8 @@
 	// MaxCoreMembers bounds the core members that are kept, of whatever zone. Default 64.
 	MaxCoreMembers int
 
-	// MaxMembersPerShuffle bounds the members in a shuffle. Default 40. A view of more than twice as many is
-	// large: gossip stays mostly within its zone.
+	// MaxMembersPerShuffle bounds the members in a shuffle. Default 40. A view of more than twice as many is large: gossip stays mostly
+	// within its zone.
 	MaxMembersPerShuffle int
 
 	// MaxTombstonesPerShuffle bounds the tombstones in a shuffle, and the unreachable members in it. Default 16.
@@ -72,8 +71,7 @@
 	MaxTombstones int
 
 	// MonitoredPeers is how many peers a process shuffles with in turn while the view is quiet, so that connections to them are kept: so
-	// many of its zone and once more so many among all. Default 3. At least as many
-	// processes notice when one ends.
+	// many of its zone and once more so many among all. Default 3. At least as many processes notice when one ends.
 	MonitoredPeers int
 
 	// BootstrapThreshold is the number of other members below which a seed is asked with each shuffle. Default 4.
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 
@@ -13,179 +14,215 @@
 
 const lease = 9 * time.Second
 
-func testEndpoint(id string, s State, sequence, edition uint64) Endpoint {
+// testEndpoint is an endpoint of service s at address a:1, beside incarnation 7 of a sidecar.
+func testEndpoint(id string, s State, sequence, revision uint64) Endpoint {
 	return Endpoint{
 		ID: id, Service: "s", SidecarAddress: "h:1", SidecarIncarnation: 7, AppAddress: "a:1", Zone: "z", Slots: 4, State: s,
-		Sequence: sequence, Revision: edition, LeaseRemaining: lease,
+		Sequence: sequence, Revision: revision, LeaseRemaining: lease,
 	}
 }
 
-// orders calls f with each order of the numbers below n.
-func orders(n int, f func([]int)) {
-	var place func(done []int)
-	place = func(done []int) {
-		if len(done) == n {
-			f(done)
+// forEachOrder calls f with each order of the numbers below n.
+func forEachOrder(n int, f func(order []int)) {
+	var extend func(order []int)
+	extend = func(order []int) {
+		if len(order) == n {
+			f(order)
 			return
 		}
 		for i := range n {
-			if !slices.Contains(done, i) {
-				place(append(slices.Clone(done), i))
+			if !slices.Contains(order, i) {
+				extend(append(slices.Clone(order), i))
 			}
 		}
 	}
-	place(nil)
+	extend(nil)
 }
 
-// essence is what boards must agree on.
-func essence(b *Registry) (out []string) {
-	for _, e := range b.All(0) {
+// essence is what registries must agree on.
+func essence(r *Registry) (out []string) {
+	for _, e := range r.All(0) {
 		out = append(out, fmt.Sprintf("%s %d %d.%d %d", e.ID, e.State, e.Sequence, e.Revision, e.Slots))
 	}
 	return out
 }
 
-// All orders of a life's messages, each of them twice at any place, on one board; and the same once on another: they agree in
-// the end, and neither shows an endpoint as serving after its draining mark, or anything after its end.
-func TestBoardsAgreeInAllOrders(t *testing.T) {
-	beat, slots := testEndpoint("x", Serving, 1, 1), testEndpoint("x", Serving, 1, 2)
-	slots.Slots = 9
-	for name, told := range map[string][]Endpoint{
-		"drain, end, new life": {beat, testEndpoint("x", Draining, 2, 3), testEndpoint("x", Serving, 3, 3), testEndpoint("x", Deregistered, 3, 4), testEndpoint("y", Serving, 1, 5)},
-		"crash, late beat":     {beat, slots, testEndpoint("x", Draining, 2, 3), testEndpoint("x", Crashed, 2, 4), testEndpoint("x", Serving, 3, 4)},
-		"crash, new life":      {beat, slots, testEndpoint("x", Crashed, 1, 3), testEndpoint("y", Serving, 1, 4), testEndpoint("y", Draining, 2, 5)},
-		"three lives":          {beat, testEndpoint("x", Serving, 9, 1), testEndpoint("y", Serving, 1, 2), testEndpoint("y", Crashed, 1, 3), testEndpoint("z", Serving, 1, 4)},
+// All orders of an endpoint's messages, each of them twice at any place, on one registry; and the same once on another: they agree in
+// the end, and neither shows an endpoint as serving after it was draining, or anything after its end.
+func TestRegistriesAgreeInAllOrders(t *testing.T) {
+	first := testEndpoint("x", Serving, 1, 1)
+	resized := testEndpoint("x", Serving, 1, 2)
+	resized.Slots = 9
+	for name, messages := range map[string][]Endpoint{
+		"drain, end, new endpoint": {
+			first, testEndpoint("x", Draining, 2, 3), testEndpoint("x", Serving, 3, 3), testEndpoint("x", Deregistered, 3, 4),
+			testEndpoint("y", Serving, 1, 5),
+		},
+		"crash, late keepalive": {
+			first, resized, testEndpoint("x", Draining, 2, 3), testEndpoint("x", Crashed, 2, 4), testEndpoint("x", Serving, 3, 4),
+		},
+		"crash, new endpoint": {
+			first, resized, testEndpoint("x", Crashed, 1, 3), testEndpoint("y", Serving, 1, 4), testEndpoint("y", Draining, 2, 5),
+		},
+		"three endpoints": {
+			first, testEndpoint("x", Serving, 9, 1), testEndpoint("y", Serving, 1, 2), testEndpoint("y", Crashed, 1, 3),
+			testEndpoint("z", Serving, 1, 4),
+		},
 	} {
-		c := qt.New(t)
-		var want []string
-		cases := 0
-		play := func(order []int) {
-			b, worst := NewRegistry(Config{}), map[string]State{}
-			for _, i := range order {
-				b.Apply(0, told[i])
-				for _, e := range b.All(0) {
-					w := worst[e.ID]
-					if w == Draining && e.State == Serving || w == Deregistered && e.State != Deregistered {
-						c.Fatalf("%s, order %v: %s went from %d to %d", name, order, e.ID, w, e.State)
-					}
-					if e.State != Crashed {
-						worst[e.ID] = max(w, e.State)
+		t.Run(name, func(t *testing.T) {
+			a := orderCheck{messages: messages}
+			forEachOrder(len(messages), func(order []int) {
+				a.check(t, order)
+				for twice := range messages {
+					for at := range len(order) + 1 {
+						a.check(t, slices.Insert(slices.Clone(order), at, twice))
 					}
 				}
+			})
+			t.Logf("%d orders, in the end %q", a.orders, a.want)
+		})
+	}
+}
+
+// orderCheck holds what a registry has in the end, which is the same in all orders of its messages.
+type orderCheck struct {
+	messages []Endpoint
+	want     []string // of the first order
+	orders   int
+}
+
+func (a *orderCheck) check(t *testing.T, order []int) {
+	t.Helper()
+	r := NewRegistry(Config{})
+	worst := map[string]State{}
+	for _, i := range order {
+		r.Apply(0, a.messages[i])
+		for _, e := range r.All(0) {
+			before := worst[e.ID]
+			if before == Draining && e.State == Serving || before == Deregistered && e.State != Deregistered {
+				t.Fatalf("order %v: %s went from %d to %d", order, e.ID, before, e.State)
 			}
-			if want == nil {
-				want = essence(b)
+			if e.State != Crashed {
+				worst[e.ID] = max(before, e.State)
 			}
-			c.Assert(essence(b), qt.DeepEquals, want, qt.Commentf("%s, order %v", name, order))
-			cases++
 		}
-		orders(len(told), func(order []int) {
-			play(order)
-			for twice := range told {
-				for at := range len(order) + 1 {
-					play(slices.Insert(slices.Clone(order), at, twice))
-				}
-			}
-		})
-		t.Logf("%s: %d orders, in the end %q", name, cases, want)
 	}
+	if a.want == nil {
+		a.want = essence(r)
+	}
+	qt.Assert(t, essence(r), qt.DeepEquals, a.want, qt.Commentf("order %v", order))
+	a.orders++
 }
 
 // expire plays time up to now, second by second, and returns what changed in it.
-func expire(b *Registry, from, now time.Duration) (changed []Endpoint) {
+func expire(r *Registry, from, now time.Duration) (changed []Endpoint) {
 	for at := from; at <= now; at += time.Second {
-		changed = append(changed, b.Expire(at)...)
+		changed = append(changed, r.Expire(at)...)
 	}
 	return changed
 }
 
 func TestLeases(t *testing.T) {
 	c := qt.New(t)
-	b := NewRegistry(Config{})
-	old, young := testEndpoint("x", Serving, 1, 1), testEndpoint("y", Serving, 1, 1)
-	young.SidecarIncarnation = 8 // told by another life of the sidecar, which never knew of x
-	c.Assert(b.Apply(0, old), qt.IsTrue)
-	c.Assert(b.Apply(0, old), qt.IsFalse)
-	c.Assert(expire(b, 0, 4*time.Second), qt.HasLen, 0)
-	b.Apply(4*time.Second, young)
-	c.Assert(b.Expire(4*time.Second), qt.HasLen, 0)
-	c.Assert(b.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that is not renewed yields"))
-	at, _ := b.EndpointAt(5*time.Second, "a:1")
+	r := NewRegistry(Config{})
+	older := testEndpoint("x", Serving, 1, 1)
+	newer := testEndpoint("y", Serving, 1, 1)
+	newer.SidecarIncarnation = 8 // announced by another incarnation of the sidecar, which never knew of x
+	c.Assert(r.Apply(0, older), qt.IsTrue)
+	c.Assert(r.Apply(0, older), qt.IsFalse)
+	c.Assert(expire(r, 0, 4*time.Second), qt.HasLen, 0)
+	r.Apply(4*time.Second, newer)
+	c.Assert(r.Expire(4*time.Second), qt.HasLen, 0)
+	c.Assert(r.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that isn't renewed yields"))
+	at, _ := r.EndpointAt(5*time.Second, "a:1")
 	c.Assert(at.ID, qt.Equals, "y")
-	old.Sequence++
-	c.Assert(b.Apply(6*time.Second, old), qt.IsTrue, qt.Commentf("it was alive after all"))
-	c.Assert(expire(b, 6*time.Second, 9*time.Second), qt.HasLen, 1, qt.Commentf("now the other one yields"))
-	c.Assert(expire(b, 10*time.Second, 14*time.Second), qt.HasLen, 0)
-	c.Assert(b.Expire(15*time.Second), qt.HasLen, 1)
-	c.Assert(b.List(15*time.Second, "s")[0].State, qt.Equals, Crashed)
-
-	_, v, ok := b.ChangedSince(15*time.Second, "s", 0)
+	older.Sequence++
+	c.Assert(r.Apply(6*time.Second, older), qt.IsTrue, qt.Commentf("it was alive after all"))
+	c.Assert(expire(r, 6*time.Second, 9*time.Second), qt.HasLen, 1, qt.Commentf("now the other one yields"))
+	c.Assert(expire(r, 10*time.Second, 14*time.Second), qt.HasLen, 0)
+	c.Assert(r.Expire(15*time.Second), qt.HasLen, 1)
+	c.Assert(r.List(15*time.Second, "s")[0].State, qt.Equals, Crashed)
+
+	_, version, ok := r.ChangedSince(15*time.Second, "s", 0)
 	c.Assert(ok, qt.IsTrue)
-	expire(b, 16*time.Second, 80*time.Second)
-	c.Assert(b.All(80*time.Second), qt.HasLen, 0)
-	_, _, ok = b.ChangedSince(80*time.Second, "s", v)
-	c.Assert(ok, qt.IsTrue, qt.Commentf("this one had been told of the ends"))
-	_, _, ok = b.ChangedSince(80*time.Second, "s", 1)
+	expire(r, 16*time.Second, 80*time.Second)
+	c.Assert(r.All(80*time.Second), qt.HasLen, 0)
+	_, _, ok = r.ChangedSince(80*time.Second, "s", version)
+	c.Assert(ok, qt.IsTrue, qt.Commentf("this one had been notified of the ends"))
+	_, _, ok = r.ChangedSince(80*time.Second, "s", 1)
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A process that was frozen gives renewals that lie unread the time to be read, and ends what is not renewed after that.
-func TestFrozenBoardEndsNobody(t *testing.T) {
+// A process that was frozen gives renewals that lie unread the time to be read, and ends what isn't renewed after that.
+func TestFrozenRegistryEndsNobody(t *testing.T) {
 	c := qt.New(t)
-	b := NewRegistry(Config{})
-	b.Apply(0, testEndpoint("x", Serving, 1, 1))
-	c.Assert(expire(b, 0, time.Second), qt.HasLen, 0)
-	c.Assert(expire(b, 20*time.Second, 24*time.Second), qt.HasLen, 0)
-	c.Assert(b.Expire(25*time.Second), qt.HasLen, 1)
+	r := NewRegistry(Config{})
+	r.Apply(0, testEndpoint("x", Serving, 1, 1))
+	c.Assert(expire(r, 0, time.Second), qt.HasLen, 0)
+	c.Assert(expire(r, 20*time.Second, 24*time.Second), qt.HasLen, 0)
+	c.Assert(r.Expire(25*time.Second), qt.HasLen, 1)
 }
 
-// What is forgotten is bounded, and the indexes with it.
-func TestTombsAreBounded(t *testing.T) {
+// What is remembered of endpoints that ended is bounded, and the indexes with it.
+func TestTombstonesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	b := NewRegistry(Config{MaxTombstones: 10})
+	r := NewRegistry(Config{MaxTombstones: 10})
 	for i := range 100 {
-		e := testEndpoint(fmt.Sprint(i), Serving, 1, 1)
-		e.AppAddress, e.SidecarIncarnation = fmt.Sprint(i), uint64(i)
-		b.Apply(0, e)
-		for range 3 { // crash and come back
-			e.Sequence, e.State = e.Sequence+1, Crashed
-			b.Apply(0, e)
-			e.Sequence, e.State = e.Sequence+1, Serving
-			b.Apply(0, e)
+		e := testEndpoint(strconv.Itoa(i), Serving, 1, 1)
+		e.AppAddress = strconv.Itoa(i)
+		e.SidecarIncarnation = uint64(i)
+		r.Apply(0, e)
+		for range 3 { // it crashes and comes back
+			e.Sequence++
+			e.State = Crashed
+			r.Apply(0, e)
+			e.Sequence++
+			e.State = Serving
+			r.Apply(0, e)
 		}
 		e.State = Deregistered
-		b.Apply(0, e)
+		r.Apply(0, e)
 	}
-	c.Assert(len(b.records) <= 10 && len(b.tombstones) <= 10, qt.IsTrue, qt.Commentf("%d posts, %d tombs", len(b.records), len(b.tombstones)))
-	b.Expire(time.Hour)
-	c.Assert(len(b.records)+len(b.byAppAddress)+len(b.byService)+len(b.tombstones), qt.Equals, 0)
+	c.Assert(len(r.records) <= 10 && len(r.tombstones) <= 10, qt.IsTrue,
+		qt.Commentf("%d records, %d tombstones", len(r.records), len(r.tombstones)))
+	r.Expire(time.Hour)
+	c.Assert(len(r.records)+len(r.byAppAddress)+len(r.byService)+len(r.tombstones), qt.Equals, 0)
 }
 
-// A subscriber that takes what changed since its version has what the home has, whatever happens in between.
-func TestSinceIsEnough(t *testing.T) {
-	c := qt.New(t)
-	told := []Endpoint{testEndpoint("x", Serving, 1, 1), testEndpoint("x", Draining, 2, 2), testEndpoint("x", Deregistered, 2, 3), testEndpoint("y", Serving, 1, 4)}
-	orders(len(told), func(order []int) {
-		for asks := range 1 << len(order) {
-			home, here, version := NewRegistry(Config{}), NewRegistry(Config{}), uint64(0)
-			ask := func() {
-				var news []Endpoint
-				news, version, _ = home.ChangedSince(0, "s", version)
-				for _, e := range news {
-					var read Endpoint
-					c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &e), &read), qt.IsNil)
-					c.Assert(read, qt.DeepEquals, e)
-					here.Apply(0, read)
-				}
-			}
-			for i, m := range order {
-				home.Apply(0, told[m])
-				if asks>>i&1 == 1 {
-					ask()
-				}
-			}
-			ask()
-			c.Assert(essence(here), qt.DeepEquals, essence(home), qt.Commentf("order %v, asks %b", order, asks))
+// A subscriber that takes what changed since its version has what the owner has, whatever happens in between.
+func TestChangedSinceIsEnough(t *testing.T) {
+	messages := []Endpoint{
+		testEndpoint("x", Serving, 1, 1), testEndpoint("x", Draining, 2, 2), testEndpoint("x", Deregistered, 2, 3),
+		testEndpoint("y", Serving, 1, 4),
+	}
+	forEachOrder(len(messages), func(order []int) {
+		for polls := range 1 << len(order) { // a bit for each message: whether the subscriber polls after it
+			checkChangedSince(t, messages, order, polls)
 		}
 	})
 }
+
+func checkChangedSince(t *testing.T, messages []Endpoint, order []int, polls int) {
+	t.Helper()
+	owner := NewRegistry(Config{})
+	subscriber := NewRegistry(Config{})
+	version := uint64(0)
+	poll := func() {
+		var changed []Endpoint
+		changed, version, _ = owner.ChangedSince(0, "s", version)
+		for _, e := range changed {
+			var read Endpoint
+			qt.Assert(t, codec.Unmarshal(codec.MarshalAppend(nil, &e), &read), qt.IsNil)
+			qt.Assert(t, read, qt.DeepEquals, e)
+			subscriber.Apply(0, read)
+		}
+	}
+	for i, m := range order {
+		owner.Apply(0, messages[m])
+		if polls>>i&1 == 1 {
+			poll()
+		}
+	}
+	poll()
+	qt.Assert(t, essence(subscriber), qt.DeepEquals, essence(owner), qt.Commentf("order %v, polls %b", order, polls))
+}
