--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -17,16 +15,13 @@
 	"time"
 
 	qt "github.com/frankban/quicktest"
-	"github.com/sirupsen/logrus"
 
 	"quincegap/internal/golden"
 	"quincegap/internal/mesh/agent"
 	"quincegap/internal/mesh/control/configuration"
 	"quincegap/internal/mesh/control/consensus"
 	"quincegap/internal/mesh/control/controlplane"
-	"quincegap/internal/mesh/discovery/membership"
 	"quincegap/internal/mesh/operations/settings"
-	"quincegap/internal/mesh/transport"
 )
 
 // httpCall is a call of a platform, an operator, an endpoint or a tool.
@@ -37,11 +32,12 @@
 }
 
 // answersTo notes each call and its answer: the status, the headers that callers read, and the body.
-func answersTo(h http.Handler, calls ...httpCall) []byte {
+func answersTo(t *testing.T, h http.Handler, calls ...httpCall) []byte {
+	t.Helper()
 	var text bytes.Buffer
 	for _, x := range calls {
 		fmt.Fprintf(&text, "> %s %s\n", x.method, x.path)
-		q := httptest.NewRequest(x.method, x.path, strings.NewReader(x.body))
+		q := httptest.NewRequestWithContext(t.Context(), x.method, x.path, strings.NewReader(x.body))
 		for _, header := range x.headers {
 			fmt.Fprintf(&text, "> %s\n", header)
 			name, value, _ := strings.Cut(header, ": ")
@@ -83,15 +79,13 @@
 	a := startSidecar(t)
 	call := httpCall{method: "GET", path: "/readiness"}
 	h := http.HandlerFunc(a.serveReadiness)
-	text := append([]byte("without a configuration\n"), answersTo(h, call)...)
+	text := append([]byte("without a configuration\n"), answersTo(t, h, call)...)
 	conf, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
 	a.outbound.Configure(conf)
-	text = append(append(text, "with a configuration\n"...), answersTo(h, call, httpCall{method: "HEAD", path: "/"}, httpCall{method: "POST", path: "/other"})...)
-	a.mu.Lock()
-	a.shuttingDown = true
-	a.mu.Unlock()
-	text = append(append(text, "about to end\n"...), answersTo(h, call)...)
+	text = append(append(text, "with a configuration\n"...), answersTo(t, h, call, httpCall{method: "HEAD", path: "/"}, httpCall{method: "POST", path: "/other"})...)
+	a.local.shutDown()
+	text = append(append(text, "about to end\n"...), answersTo(t, h, call)...)
 	golden.Text(t, "readiness.txt", text)
 }
 
@@ -99,7 +93,7 @@
 func TestGoldenAccessControl(t *testing.T) {
 	a := startSidecar(t)
 	post := func(path, body string) httpCall { return httpCall{method: "POST", path: path, body: body} }
-	golden.Text(t, "access-control.txt", answersTo(a.agent.KeepaliveHandler(a),
+	golden.Text(t, "access-control.txt", answersTo(t, a.agent.KeepaliveHandler(a.local),
 		post("/endpoints/i-1/keepalive", goldenKeepalive),
 		post("/endpoints/i-1/keepalive", strings.Replace(goldenKeepalive, "8103", "9999", 1)),
 		post("/endpoints/i-1/keepalive", `{"serviceName":"","address":"nowhere","slotCount":-1,"state":"elsewhere","coldRemaining":"long"}`),
@@ -111,33 +105,26 @@
 	))
 }
 
-// startControlPlane is a core process that is the only voter, as Core starts it, without the addresses that it would listen on.
+// startControlPlane is a control-plane process that is the only voter, and not on any address. Unlike open it gives the server no list of
+// the processes that run: with one, the server waits for the voters that the first start wants.
 func startControlPlane(t *testing.T) *controlPlane {
 	t.Helper()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	own := &settings.Settings{
+	c := newControlPlane(newTestProcess(t, &settings.Settings{
 		Name: "core-a", IP: "127.9.2.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.2.1:8105",
 		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, DataDirectory: t.TempDir(),
-	}
-	hub := transport.NewHub(transport.Hello{Incarnation: 2, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
-	t.Cleanup(hub.Close)
-	c := &controlPlane{process: &process{settings: own, hub: hub, log: log}, opened: make(chan struct{})}
-	c.agent = agent.New(agent.Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: log})
-	c.agent.ServeConsensus(c.serveConsensus)
+	}))
 	var err error
 	c.server, err = controlplane.Open(controlplane.Options{
-		Self: own.ControlAddress, Seeds: own.Seeds, InitialStart: true, Folder: own.DataDirectory,
-		Transport: c.agent.ConsensusTransport(), Log: log, OnCommit: func(w consensus.Value) { c.agent.ApplyCommitted(uint64(w.Version), w.Body) },
+		Self: c.settings.ControlAddress, Seeds: c.settings.Seeds, InitialStart: true, Folder: c.settings.DataDirectory,
+		Transport: c.agent.ConsensusTransport(), Log: c.log,
+		OnCommit: func(v consensus.Value) { c.agent.ApplyCommitted(uint64(v.Version), v.Body) },
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(c.server.Close)
 	c.roles = c.agent.NewSingletonRoles(c.server, true)
 	close(c.opened)
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	go c.agent.Run(ctx)
-	go c.roles.Run(ctx)
+	c.run(c.agent.Run)
+	c.run(c.roles.Run)
 	return c
 }
 
@@ -146,7 +133,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("GET", "/mesh/state", nil))
+		h.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", "/mesh/state", nil))
 		var s agent.State
 		qt.Assert(t, json.Unmarshal(w.Body.Bytes(), &s), qt.IsNil)
 		if s.Confirmed && s.Ready && s.Version == version && len(s.Roles) == 1 && s.Roles[0].Epoch > 0 {
@@ -163,7 +150,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("GET", "/events", nil))
+		h.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", "/events", nil))
 		if strings.Contains(w.Body.String(), `"kind":"`+kind+`"`) {
 			return
 		}
@@ -181,15 +168,13 @@
 // What the control address of a core process answers to operators, endpoints and tools, and to bad input.
 func TestGoldenCoreControl(t *testing.T) {
 	c := startControlPlane(t)
-	streams, end := context.WithCancel(context.Background())
-	defer end()
-	h := c.handler(streams)
+	h := c.handler()
 	awaitState(t, h, "0")
 	replace := func(base, body string) httpCall {
 		return httpCall{method: "POST", path: "/configuration/replace", headers: []string{"Base-Version: " + base}, body: body}
 	}
 	get := func(path string) httpCall { return httpCall{method: "GET", path: path} }
-	text := answersTo(h,
+	text := answersTo(t, h,
 		get("/configuration/retrieve"),
 		replace("", goldenConfig),
 		replace("1", goldenConfig),
@@ -202,7 +187,7 @@
 	)
 	awaitState(t, h, "r1")
 	awaitEvent(t, h, "configuration_in_force")
-	text = append(text, answersTo(h,
+	text = append(text, answersTo(t, h,
 		get("/configuration/retrieve"),
 		get("/configuration/replace"),
 		httpCall{method: "POST", path: "/configuration/retrieve"},
--- a/internal/mesh/assembly/gone_test.go
+++ b/internal/mesh/assembly/gone_test.go
@@ -14,8 +14,8 @@
 // workAfterClient is how long an endpoint may be at work on a request that may be repeated after its client has left.
 const workAfterClient = 500 * time.Millisecond
 
-// Clients close their connections while endpoints beside other sidecars work on their requests: the endpoints hear of it, and no
-// further one gets them.
+// Clients close their connections while endpoints beside other sidecars work on their requests: the endpoints are notified, and no
+// further one gets the requests.
 func TestClientDisconnectsCancelTheirRequests(t *testing.T) {
 	const clients = 4
 	m := newMesh(t, 10)
@@ -24,7 +24,8 @@
 	endpoints := []string{"access-2", "access-3"}
 	count := func() (runs, abandoned int) {
 		for _, name := range endpoints {
-			runs, abandoned = runs+len(m.applications[name].Runs()), abandoned+m.applications[name].Abandoned()
+			runs += len(m.applications[name].Runs())
+			abandoned += m.applications[name].Abandoned()
 		}
 		return runs, abandoned
 	}
@@ -34,15 +35,16 @@
 	before, _ := count()
 	var connections []net.Conn
 	for i := range clients {
-		conn, err := net.Dial("tcp4", m.machines["access-0"].ip+":8106")
+		conn, err := m.dial(m.machines["access-0"])
+		m.Assert(err, qt.IsNil)
+		_, err = fmt.Fprintf(conn, "GET /read/x HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: leaves-%d\r\nKey: k1\r\nTime-Remaining: 2000\r\n\r\n", i)
 		m.Assert(err, qt.IsNil)
-		fmt.Fprintf(conn, "GET /read/x HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: leaves-%d\r\nKey: k1\r\nTime-Remaining: 2000\r\n\r\n", i)
 		connections = append(connections, conn)
 	}
 	m.waitFor("all are under way", func() bool { runs, _ := count(); return runs >= before+clients })
 	left := time.Now()
 	for _, conn := range connections {
-		conn.Close()
+		m.Assert(conn.Close(), qt.IsNil)
 	}
 	m.waitFor("their work has ended", func() bool { runs, abandoned := count(); return abandoned == runs-before })
 	m.Check(time.Since(left) < workAfterClient, qt.IsTrue, qt.Commentf("%v", time.Since(left)))
@@ -53,7 +55,7 @@
 	m.Check(runs, qt.Equals, then, qt.Commentf("a request reached an endpoint long after its client had left"))
 }
 
-// A request is under way when its route is taken out of the configuration: it is served, and the next one is told that there is no route.
+// A request is in flight when its route is removed from the configuration: it is served, and the next one gets 404.
 func TestARequestOutlivesItsRoute(t *testing.T) {
 	m := newMesh(t, 11)
 	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, longRoute, "k1")) == http.StatusOK })
--- /dev/null
+++ b/internal/mesh/assembly/listen.go
@@ -0,0 +1,94 @@
+package assembly
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/gravitational/trace"
+)
+
+const (
+	listenTimeout       = 2 * time.Second       // until an address that is in use counts as taken
+	listenRetryInterval = 50 * time.Millisecond // between two attempts
+	httpHeaderTimeout   = 5 * time.Second       // to read a call's header
+	httpIdleTimeout     = 30 * time.Second      // of a connection between two calls
+	httpMaxHeaderBytes  = 32 << 10
+)
+
+// listen listens on addresses of the process, all or none: where one can't be had, no call has been read on another. close closes the
+// listeners.
+func (p *process) listen(addresses ...string) ([]net.Listener, error) {
+	listeners, err := listenAll(p.ctx, addresses...)
+	p.listeners = append(p.listeners, listeners...)
+	return listeners, err
+}
+
+// listenAll listens on all addresses or on none. The error names the address.
+func listenAll(ctx context.Context, addresses ...string) ([]net.Listener, error) {
+	var listeners []net.Listener
+	for _, address := range addresses {
+		listener, err := listenRetrying(ctx, address)
+		if err != nil {
+			for _, opened := range listeners {
+				err = errors.Join(err, opened.Close())
+			}
+			return nil, err
+		}
+		listeners = append(listeners, listener)
+	}
+	return listeners, nil
+}
+
+// listenRetrying listens on an address. It tries again for listenTimeout: an earlier incarnation of the process may still hold it.
+func listenRetrying(ctx context.Context, address string) (net.Listener, error) {
+	var config net.ListenConfig
+	for began := time.Now(); ; {
+		listener, err := config.Listen(ctx, "tcp4", address)
+		if err == nil || time.Since(began) > listenTimeout {
+			return listener, trace.Wrap(err, "listen on %s", address)
+		}
+		time.Sleep(listenRetryInterval)
+	}
+}
+
+// closeListener closes a listener that may be closed already.
+func (p *process) closeListener(listener net.Listener) {
+	if err := listener.Close(); err != nil && !isClosed(err) {
+		p.log.WithField("address", listener.Addr()).WithError(err).Debug("assembly: a listener did not close")
+	}
+}
+
+// serveHTTP serves short calls until shutDownServers. A server that fails ends the process.
+func (p *process) serveHTTP(handler http.Handler, listener net.Listener) {
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: httpHeaderTimeout,
+		IdleTimeout:       httpIdleTimeout,
+		MaxHeaderBytes:    httpMaxHeaderBytes,
+	}
+	p.httpServers = append(p.httpServers, server)
+	p.tasks.Go(func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			p.serverErrors <- trace.Wrap(err, "serve %s", listener.Addr())
+		}
+	})
+}
+
+// shutDownServers ends the servers of short calls: each call that was read is answered, for as long as ctx allows.
+func (p *process) shutDownServers(ctx context.Context) {
+	for _, server := range p.httpServers {
+		if err := server.Shutdown(ctx); err != nil {
+			p.log.WithError(err).Warn("assembly: a call is cut off")
+			p.closeServer(server)
+		}
+	}
+}
+
+func (p *process) closeServer(server *http.Server) {
+	if err := server.Close(); err != nil && !isClosed(err) {
+		p.log.WithError(err).Debug("assembly: a server did not close")
+	}
+}
--- a/internal/mesh/assembly/replacement_test.go
+++ b/internal/mesh/assembly/replacement_test.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"encoding/json"
-	"io"
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"syscall"
 	"testing"
@@ -17,42 +15,36 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// controlState asks a control machine for what it holds.
+// controlState reads the page of state of a control-plane process.
 func (t *testMesh) controlState(x *testMachine) (s agent.State, ok bool) {
-	r, err := http.Get("http://" + x.ip + ":8105/mesh/state")
-	if err != nil {
-		return s, false
-	}
-	defer r.Body.Close()
-	return s, json.NewDecoder(r.Body).Decode(&s) == nil
+	status, page, err := t.get(x, "8105", "/mesh/state")
+	ok = err == nil && status == http.StatusOK && json.Unmarshal(page, &s) == nil
+	return s, ok
 }
 
-// retrieveConfiguration reads the newest configuration at a control machine; nil if it can't say.
+// retrieveConfiguration reads the newest configuration from a control-plane process; nil if it can't say.
 func (t *testMesh) retrieveConfiguration(x *testMachine) []byte {
-	r, err := http.Get("http://" + x.ip + ":8105/configuration/retrieve")
-	if err != nil {
-		return nil
-	}
-	defer r.Body.Close()
-	body, err := io.ReadAll(r.Body)
-	if err != nil || r.StatusCode != http.StatusOK {
+	status, body, err := t.get(x, "8105", "/configuration/retrieve")
+	if err != nil || status != http.StatusOK {
 		return nil
 	}
 	return body
 }
 
-// waitForVoter waits until a control machine is, or isn't, one of three voters, by the word of another one.
+// waitForVoter waits until a control-plane process is, or isn't, one of three voters, as another one reports.
 func (t *testMesh) waitForVoter(asked, x *testMachine, want bool) {
+	t.Helper()
 	t.waitFor("voters with "+x.name, func() bool {
 		s, ok := t.controlState(asked)
 		return ok && s.Confirmed && len(s.Voters) == 3 && slices.Contains(s.Voters, x.ip+":8105") == want
 	})
 }
 
-// restartWithEmptyDisk ends a control machine's process and starts it with an empty disk; it waits until the machine may vote again.
+// restartWithEmptyDisk kills a control-plane process, starts it with an empty disk, and waits until it may vote again.
 func (t *testMesh) restartWithEmptyDisk(x *testMachine) {
+	t.Helper()
 	t.kill(x)
-	t.Assert(os.RemoveAll(filepath.Join(t.folder, x.name)), qt.IsNil)
+	t.Assert(os.RemoveAll(t.dataDirectory(x)), qt.IsNil)
 	t.start(x)
 	t.waitFor(x.name+" is ready", func() bool {
 		s, ok := t.controlState(x)
@@ -60,16 +52,17 @@
 	})
 }
 
-// startStandby starts an empty control machine at an address of its own.
+// startStandby starts a control-plane process with an empty disk at an address of its own, which ends with the given number.
 func (t *testMesh) startStandby(name, ip, zone string) *testMachine {
+	t.Helper()
 	x := &testMachine{name: name, role: "core", ip: t.subnet + ip, zone: zone}
 	t.machines[name] = x
 	t.start(x)
 	return x
 }
 
-// A control machine ends in order while a successor is there, another is gone for good and replaced; after each, a disk is lost
-// of one that is left. What was acknowledged is read back each time, whole, and the next change is taken.
+// A control-plane process shuts down while a standby runs, another is lost for good and replaced; after each, one of those that are left
+// loses its disk. What was acknowledged is read back each time, complete, and the next change is accepted.
 func TestControlMachinesAreReplaced(t *testing.T) {
 	m := newMesh(t, 4)
 	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, "", "k1")) == http.StatusOK })
@@ -94,7 +87,7 @@
 	m.waitFor("it is read back", func() bool { return bytes.Equal(m.retrieveConfiguration(c), m.configuration(2, "", "k2")) })
 
 	m.kill(b)
-	m.Assert(os.RemoveAll(filepath.Join(m.folder, b.name)), qt.IsNil)
+	m.Assert(os.RemoveAll(m.dataDirectory(b)), qt.IsNil)
 	e := m.startStandby("core-e", ".5", "b")
 	m.waitForVoter(d, e, true)
 	m.waitForVoter(d, b, false)
--- a/internal/mesh/assembly/shutdown_test.go
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -43,9 +44,10 @@
 	r       *bufio.Reader
 }
 
+// close closes the connection, if there is one.
 func (t *testClient) close() {
 	if t.conn != nil {
-		t.conn.Close()
+		_ = t.conn.Close() // the other side may have reset it
 		t.conn = nil
 	}
 }
@@ -54,14 +56,16 @@
 func (t *testClient) do(method, path string) (x clientExchange, refused bool) {
 	t.m.mu.Lock()
 	t.m.requestCount++
-	x.id, x.path = fmt.Sprintf("%016x", t.m.requestCount), path
+	x.id = fmt.Sprintf("%016x", t.m.requestCount)
+	x.path = path
 	t.m.mu.Unlock()
 	if t.conn == nil {
-		conn, err := net.Dial("tcp4", t.m.machines[t.machine].ip+":8106")
+		conn, err := t.m.dial(t.m.machines[t.machine])
 		if err != nil {
 			return x, true
 		}
-		t.conn, t.r = conn, bufio.NewReader(conn)
+		t.conn = conn
+		t.r = bufio.NewReader(conn)
 	}
 	_ = t.conn.SetDeadline(time.Now().Add(20 * time.Second))
 	began := time.Now()
@@ -85,8 +89,8 @@
 	if err != nil {
 		return 0, err
 	}
-	defer r.Body.Close()
-	if _, err := io.Copy(io.Discard, r.Body); err != nil {
+	_, err = io.Copy(io.Discard, r.Body)
+	if err = errors.Join(err, r.Body.Close()); err != nil {
 		return r.StatusCode, err
 	}
 	if r.StatusCode == http.StatusOK && r.Header.Get("Attempt-Id") != id {
@@ -98,80 +102,82 @@
 	return r.StatusCode, nil
 }
 
-// A sidecar gets SIGTERM under load: each request that it has read has a whole answer before the process ends, also one that its
-// endpoint never answers and whose deadline is long after the end; what has not run is refused as such. Answers of the
-// endpoint beside it reach their callers over a slow link to the last byte.
-func TestEveryRequestReadIsAnsweredDuringShutdown(t *testing.T) {
-	m := newMeshWith(t, 4, "linkMbps = 18.0\n", "grace = \"3s\"\n")
-	m.waitFor("the first configuration", func() bool {
-		return m.replaceConfiguration(0, m.configuration(1, longRoute, "k1")) == 200
+// clientLoad is what clients that send one request after the other got, until it is stopped.
+type clientLoad struct {
+	clients sync.WaitGroup
+	stop    chan struct{}
+	mu      sync.Mutex
+	ending  []clientExchange // by the sidecar that shuts down
+	others  []clientExchange // by another
+}
+
+// maxRejections is how many requests of one client may be rejected before it gives up.
+const maxRejections = 100
+
+// once has a client send one request by the sidecar that shuts down.
+func (l *clientLoad) once(c *testClient, method, path string) {
+	l.clients.Go(func() {
+		defer c.close()
+		l.exchange(c, method, path, &l.ending)
 	})
-	for _, name := range []string{"access-0", "access-2"} {
-		for _, path := range []string{"/read/x", "/book/x"} {
-			m.waitFor(name+" serves "+path, func() bool { a, _ := m.send(name, "GET", path, "k1", nil); return a.status == 200 })
-		}
-	}
-	releaseOne, releaseOther := m.applications["access-0"].Hold(), m.applications["access-1"].Hold()
-	defer releaseOne()
-	defer releaseOther()
-
-	var mu sync.Mutex
-	var ending, others []clientExchange // by the sidecar that ends, and by another
-	var load sync.WaitGroup
-	stop := make(chan struct{})
-	run := func(c *testClient, method, path string, into *[]clientExchange, once bool) {
-		load.Go(func() {
-			defer c.close()
-			for refusals := 0; refusals < 100; {
-				x, refused := c.do(method, path)
-				if refused {
-					return
-				}
-				mu.Lock()
-				*into = append(*into, x)
-				mu.Unlock()
-				if x.status == http.StatusServiceUnavailable {
-					refusals++
-				}
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				if once {
-					return
-				}
+}
+
+// repeat has a client read a path until the load is stopped, or the client finds nobody there.
+func (l *clientLoad) repeat(c *testClient, path string, into *[]clientExchange) {
+	l.clients.Go(func() {
+		defer c.close()
+		for rejections := 0; rejections < maxRejections && !l.stopped(); {
+			x, connected := l.exchange(c, "GET", path, into)
+			if !connected {
+				return
 			}
-		})
-	}
-	before := len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs())
-	for range 2 {
-		run(&testClient{m: m, machine: "access-2"}, "POST", "/book/long/x", &ending, true)
-	}
-	m.waitFor("requests are held", func() bool {
-		return len(m.applications["access-0"].Runs())+len(m.applications["access-1"].Runs()) == before+2
+			if x.status == http.StatusServiceUnavailable {
+				rejections++
+			}
+		}
 	})
-	for i := range 3 {
-		run(&testClient{m: m, machine: "access-2", keep: i > 0}, "GET", "/read/x?bytes=20000", &ending, false)
-		run(&testClient{m: m, machine: "access-0", keep: i > 0}, "GET", "/read/x?bytes=150000", &others, false)
+}
+
+func (l *clientLoad) exchange(c *testClient, method, path string, into *[]clientExchange) (x clientExchange, connected bool) {
+	x, refused := c.do(method, path)
+	if refused {
+		return x, false
 	}
-	m.waitFor("the load runs", func() bool { mu.Lock(); defer mu.Unlock(); return len(ending) > 5 && len(others) > 5 })
-	x := m.machines["access-2"]
-	m.Assert(x.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
-	began := time.Now()
-	ended := make(chan error, 1)
-	go func() { ended <- x.cmd.Wait() }()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	*into = append(*into, x)
+	return x, true
+}
+
+func (l *clientLoad) stopped() bool {
 	select {
-	case err := <-ended:
-		m.Assert(err, qt.IsNil)
-	case <-time.After(20 * time.Second):
-		t.Fatal("it has not ended")
+	case <-l.stop:
+		return true
+	default:
+		return false
 	}
-	took := time.Since(began)
-	x.cmd = nil
-	close(stop)
-	load.Wait()
+}
+
+// running reports whether both sidecars have served some requests.
+func (l *clientLoad) running() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.ending) > 5 && len(l.others) > 5
+}
+
+func (l *clientLoad) finish() {
+	close(l.stop)
+	l.clients.Wait()
+}
+
+// isRejection reports whether a status says that the request did not run.
+func isRejection(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+}
 
+// check checks that each request that the sidecar read before it ended has a complete answer, and that none was rejected and ran.
+func (l *clientLoad) check(m *testMesh) {
+	m.Helper()
 	ran := map[string]bool{}
 	for _, a := range m.applications {
 		for id := range a.Runs() {
@@ -179,19 +185,55 @@
 		}
 	}
 	count := map[int]int{}
-	for _, x := range ending {
+	for _, x := range l.ending {
 		count[x.status]++
-		m.Check(x.answered || !x.began && !ran[x.id] && x.held < time.Second, qt.IsTrue, qt.Commentf("%+v, ran %v", x, ran[x.id]))
-		if x.status == 503 || x.status == 429 {
-			m.Check(ran[x.id], qt.IsFalse, qt.Commentf("refused and run: %+v", x))
+		neverRead := !x.began && !ran[x.id] && x.held < time.Second
+		m.Check(x.answered || neverRead, qt.IsTrue, qt.Commentf("%+v, ran %v", x, ran[x.id]))
+		m.Check(isRejection(x.status) && ran[x.id], qt.IsFalse, qt.Commentf("rejected and run: %+v", x))
+	}
+	for _, x := range l.others {
+		m.Check(x.answered && (x.status == http.StatusOK || isRejection(x.status)), qt.IsTrue, qt.Commentf("another sidecar's: %+v", x))
+	}
+	m.Logf("%d requests: %v; %d of another sidecar", len(l.ending), count, len(l.others))
+	m.Assert(count[http.StatusOK] > 0 && count[http.StatusServiceUnavailable] > 0, qt.IsTrue, qt.Commentf("%v", count))
+	m.Assert(count[http.StatusGatewayTimeout], qt.Equals, 2, qt.Commentf("%v", count))
+}
+
+// A sidecar gets SIGTERM under load: each request that it has read has a complete answer before the process ends, also one that its
+// endpoint never answers and whose deadline is long after the end; what has not run is rejected. Answers of the endpoint beside it reach
+// their callers over a slow link to the last byte.
+func TestEveryRequestReadIsAnsweredDuringShutdown(t *testing.T) {
+	m := newMeshWith(t, 4, "linkMbps = 18.0\n", "grace = \"3s\"\n")
+	m.waitFor("the first configuration", func() bool {
+		return m.replaceConfiguration(0, m.configuration(1, longRoute, "k1")) == http.StatusOK
+	})
+	for _, name := range []string{"access-0", "access-2"} {
+		for _, path := range []string{"/read/x", "/book/x"} {
+			m.waitServed(name, path)
 		}
 	}
-	for _, x := range others {
-		m.Check(x.answered && (x.status == 200 || x.status == 503 || x.status == 429), qt.IsTrue, qt.Commentf("another sidecar's: %+v", x))
+	for _, name := range []string{"access-0", "access-1"} {
+		defer m.applications[name].Hold()()
+	}
+	runs := func() int { return len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs()) }
+	before := runs()
+	load := &clientLoad{stop: make(chan struct{})}
+	for range 2 {
+		load.once(&testClient{m: m, machine: "access-2"}, "POST", "/book/long/x")
 	}
-	t.Logf("ended after %v; %d requests: %v; %d of another sidecar", took, len(ending), count, len(others))
-	m.Assert(count[200] > 0 && count[503] > 0, qt.IsTrue, qt.Commentf("%v", count))
-	m.Assert(count[504], qt.Equals, 2, qt.Commentf("%v", count))
+	m.waitFor("requests are in flight", func() bool { return runs() == before+2 })
+	for i := range 3 {
+		load.repeat(&testClient{m: m, machine: "access-2", keep: i > 0}, "/read/x?bytes=20000", &load.ending)
+		load.repeat(&testClient{m: m, machine: "access-0", keep: i > 0}, "/read/x?bytes=150000", &load.others)
+	}
+	m.waitFor("the load runs", load.running)
+	x := m.machines["access-2"]
+	m.Assert(x.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
+	began := time.Now()
+	m.Assert(m.waitForExit(x), qt.IsNil)
+	t.Logf("ended after %v", time.Since(began))
+	load.finish()
+	load.check(m)
 }
 
 // A sidecar ends while the endpoint beside it is at work on a request that others brought, and which makes a call of its own late in
--- /dev/null
+++ b/internal/mesh/assembly/sidecar.go
@@ -0,0 +1,112 @@
+package assembly
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/gravitational/trace"
+
+	"quincegap/internal/lifecycle"
+	"quincegap/internal/mesh/agent"
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outbound"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/discovery/membership"
+	"quincegap/internal/mesh/operations/settings"
+)
+
+const (
+	bodyMemoryFraction = 0.3      // of the machine's memory, for bodies of clients' requests
+	minBodyMemoryBytes = 68 << 20 // the largest body that there may be
+)
+
+// sidecar is the process beside an endpoint.
+type sidecar struct {
+	*process
+	inbound  *inbound.Proxy
+	outbound *outbound.Proxy
+	agent    *agent.Agent
+	quota    *agent.QuotaClient
+	local    *localEndpoint
+}
+
+// RunSidecar runs the sidecar beside an endpoint until SIGTERM, and shuts it down. The error says why it could not start, or which of
+// its servers failed.
+func RunSidecar(settingsPath string, signals lifecycle.Signals) error {
+	p, err := newProcess(settingsPath, signals)
+	if err != nil {
+		return err
+	}
+	defer p.close()
+	listeners, err := p.listen(p.settings.InternalAddress(), p.settings.OutboundAddress, p.settings.ControlAddress,
+		p.settings.ReadinessAddress)
+	if err != nil {
+		return err
+	}
+	links, clients, control, readiness := listeners[0], listeners[1], listeners[2], listeners[3]
+	s := newSidecar(p)
+	s.run(func(ctx context.Context) { s.handleReloads(ctx, s.applySettings) })
+	s.acceptLinks(links)
+	s.serveHTTP(s.agent.KeepaliveHandler(s.local), control)
+	s.serveHTTP(http.HandlerFunc(s.serveReadiness), readiness)
+	s.serveClients(clients)
+	s.run(s.agent.Run)
+	s.run(s.quota.Run)
+	err = s.awaitTermination()
+	s.shutDown(clients)
+	return err
+}
+
+// newSidecar connects a sidecar's parts to each other.
+func newSidecar(p *process) *sidecar {
+	s := &sidecar{process: p}
+	s.inbound = inbound.New(p.settings.ApplicationAddress, p.hub.Now, p.log, func(endpointID string) {
+		s.agent.PublishEnd(endpointID, discovery.Crashed)
+	})
+	s.outbound = outbound.New(s.outboundOptions())
+	s.local = &localEndpoint{address: p.settings.ApplicationAddress, zone: p.settings.Zone, inbound: s.inbound}
+	s.agent = agent.New(agent.Config{
+		Settings: p.settings, Hub: p.hub, Role: membership.RoleAccess, Log: p.log, Seed: p.seed,
+		OnConfiguration:    func(c *configuration.Config) { s.outbound.Configure(c) },
+		OnEndpointsChanged: s.outbound.UpdateEndpoints,
+		OnSidecarCount:     s.outbound.SetSidecarCount,
+		OnEndpointLeaving:  s.local.handleLeaving,
+	})
+	s.local.agent = s.agent
+	s.inbound.Register(p.hub)
+	s.quota = s.agent.NewQuotaClient()
+	return s
+}
+
+func (s *sidecar) outboundOptions() outbound.Options {
+	return outbound.Options{
+		Hub: s.hub, Inbound: s.inbound, Bounds: s.settings.Bounds, Service: s.settings.Service, Log: s.log, Seed: s.seed,
+		MaxBodyBytes:     max(int64(bodyMemoryFraction*float64(s.settings.MemoryMB<<20)), minBodyMemoryBytes),
+		RefreshEndpoints: func(service string) { s.agent.Refresh(service) },
+		AcquireQuota:     func(t *configuration.Tenant, done func(bool, time.Duration)) { s.quota.Acquire(t, done) },
+	}
+}
+
+// applySettings takes what may change while a sidecar runs: the seeds.
+func (s *sidecar) applySettings(changed *settings.Settings) {
+	s.agent.SetSeeds(changed.SeedAddresses())
+}
+
+// serveClients serves the requests of clients and of the endpoint here.
+func (s *sidecar) serveClients(listener net.Listener) {
+	s.tasks.Go(func() {
+		if err := s.outbound.Server().Serve(listener); err != nil {
+			s.serverErrors <- trace.Wrap(err, "serve %s", s.settings.OutboundAddress)
+		}
+	})
+}
+
+// serveReadiness answers the platform: 200 while the sidecar has a configuration and is not shutting down, 503 else.
+func (s *sidecar) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if s.local.isShuttingDown() || s.outbound.Config() == nil {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
--- a/internal/mesh/assembly/signals_test.go
+++ b/internal/mesh/assembly/signals_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// disturbances are the signals that reach a process while it ends: some platforms repeat SIGTERM, tools send SIGHUP to all processes
+// disturbances are the signals that reach a process while it shuts down: some platforms repeat SIGTERM, tools send SIGHUP to all processes
 // after they have changed settings, and several may come at one moment.
 var disturbances = []os.Signal{
 	syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGQUIT, syscall.SIGPIPE,
@@ -24,7 +24,7 @@
 // signal sends signals to a machine's process, one right after the other.
 func (t *testMesh) signal(x *testMachine, signals ...os.Signal) {
 	for _, s := range signals {
-		_ = x.cmd.Process.Signal(s) // one that has ended is found by wait
+		_ = x.cmd.Process.Signal(s) // one that has ended is found by waitForExit
 	}
 }
 
@@ -89,46 +89,48 @@
 	m.Assert(m.waitForExit(x), qt.IsNil)
 }
 
-// A process that is still starting, here as its port is taken, outlives a change of its settings, and one that is told to end then
-// ends in order.
+// takeLinkPort listens on the port of a machine's process for links, so that it can't start.
+func (t *testMesh) takeLinkPort(x *testMachine) net.Listener {
+	t.Helper()
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", x.ip+":7640")
+	t.Assert(err, qt.IsNil)
+	return listener
+}
+
+// A process that is still starting, here as its port is taken, survives a SIGHUP, and one that gets SIGTERM then shuts down in order.
 func TestSignalsDuringStart(t *testing.T) {
 	m := newMesh(t, 6)
 	m.waitReady()
 	for _, name := range []string{"access-3", "core-c"} {
 		x := m.machines[name]
 		m.kill(x)
-		taken, err := net.Listen("tcp4", x.ip+":7640")
-		m.Assert(err, qt.IsNil)
+		taken := m.takeLinkPort(x)
 		m.start(x)
 		m.waitForSignalHandlers(x)
 		m.signal(x, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGHUP)
 		time.Sleep(100 * time.Millisecond)
-		taken.Close()
+		m.Assert(taken.Close(), qt.IsNil)
 		m.waitFor(name+" has started", func() bool {
-			path := "http://" + x.ip + ":8105/mesh/state"
+			port, path := "8105", "/mesh/state"
 			if x.role == "access" {
-				path = "http://" + x.ip + ":8100/readiness"
+				port, path = "8100", "/readiness"
 			}
-			r, err := http.Get(path)
-			if err != nil {
-				return false
-			}
-			r.Body.Close()
-			return r.StatusCode == http.StatusOK
+			status, _, err := m.get(x, port, path)
+			return err == nil && status == http.StatusOK
 		})
 		m.kill(x)
-		taken, err = net.Listen("tcp4", x.ip+":7640")
-		m.Assert(err, qt.IsNil)
+		taken = m.takeLinkPort(x)
 		m.start(x)
 		m.waitForSignalHandlers(x)
 		m.signal(x, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
-		taken.Close()
+		m.Assert(taken.Close(), qt.IsNil)
 		m.Check(m.waitForExit(x), qt.IsNil, qt.Commentf("%s", name))
 		m.start(x)
 	}
 }
 
-// A control machine gets other signals while it gives its place among the voters away: it is given, and what was acknowledged stays.
+// A control-plane process gets other signals while it hands its vote over: the hand-over completes, and what was acknowledged stays.
 func TestSignalsDuringHandOver(t *testing.T) {
 	m := newMesh(t, 7)
 	m.waitFor("the first configuration", func() bool { return m.replaceConfiguration(0, m.configuration(1, "", "k1")) == http.StatusOK })
@@ -156,7 +158,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p := &process{log: log, serverErrors: make(chan error, 8)}
-	listeners, err := listenAll("127.0.0.1:0", "127.0.0.1:0")
+	listeners, err := listenAll(t.Context(), "127.0.0.1:0", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	underWay, release := make(chan struct{}), make(chan struct{})
 	p.serveHTTP(http.NotFoundHandler(), listeners[0])
@@ -165,19 +167,19 @@
 		<-release
 	}), listeners[1])
 	status := make(chan int, 1)
+	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+listeners[1].Addr().String(), nil)
+	c.Assert(err, qt.IsNil)
 	go func() {
-		r, err := http.Get("http://" + listeners[1].Addr().String())
+		answered, _, err := exchangeHTTP(http.DefaultClient, q)
 		if err != nil {
-			status <- 0
-			return
+			answered = 0
 		}
-		r.Body.Close()
-		status <- r.StatusCode
+		status <- answered
 	}()
 	<-underWay
-	listeners[0].Close()
+	c.Assert(listeners[0].Close(), qt.IsNil)
 	c.Assert(p.awaitTermination(), qt.ErrorMatches, `(?s).*serve 127\.0\.0\.1:.*`)
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
