--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -15,8 +15,9 @@
 // off, in the mean; in a sequence each sidecar is off by one request or two. Each sidecar begins at random, so that their sequences
 // do not agree.
 type splitSequences struct {
-	mu   sync.Mutex
-	last map[string]float64 // by route, from 0 up to but not including 1
+	start func() float64 // draws where a sequence begins, from 0 up to but not including 1; nil for the global random source
+	mu    sync.Mutex
+	last  map[string]float64 // by route, from 0 up to but not including 1
 }
 
 // chooseService is the service that a request of a route goes to.
@@ -35,13 +36,21 @@
 	}
 	x, begun := s.last[route]
 	if !begun {
-		x = rand.Float64()
+		x = s.first()
 	}
 	_, x = math.Modf(x + goldenStep)
 	s.last[route] = x
 	return x
 }
 
+// first is where a new sequence begins.
+func (s *splitSequences) first() float64 {
+	if s.start != nil {
+		return s.start()
+	}
+	return rand.Float64()
+}
+
 // retain forgets the routes that a configuration does not have.
 func (s *splitSequences) retain(c *configuration.Config) {
 	s.mu.Lock()
