--- a/internal/mesh/dataplane/outcome/golden_test.go
+++ b/internal/mesh/dataplane/outcome/golden_test.go
@@ -13,23 +13,24 @@
 	var text strings.Builder
 	fmt.Fprintln(&text, "number name status not-run blame attempt retry-after")
 	for kind := Kind(0); kind < 24; kind++ {
-		line(&text, kind)
+		writeLine(&text, kind)
 	}
-	line(&text, 999)
+	writeLine(&text, 999)
 	golden.Text(t, "table.txt", []byte(text.String()))
 }
 
-func line(text *strings.Builder, kind Kind) {
+func writeLine(text *strings.Builder, kind Kind) {
 	e := kind.Entry()
-	fmt.Fprintf(text, "%d %q %d %t %t %t %v\n", uint64(kind), kind.String(), e.Status, e.NotExecuted, e.SuspectsEndpoint, e.EndsAttempt, e.RetryAfter)
+	fmt.Fprintf(text, "%d %q %d %t %t %t %v\n", uint64(kind), kind.String(), e.Status, e.NotExecuted, e.SuspectsEndpoint,
+		e.EndsAttempt, e.RetryAfter)
 }
 
 // The names of the kinds in the code, by number: a kind keeps its number whatever its name is.
 func TestGoldenNumbers(t *testing.T) {
 	for number, kind := range []Kind{
-		1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
-		9: Overloaded, 10: QuotaExceeded, 11: NotReady, 12: ShuttingDown, 13: ConnectionLost, 14: InvalidResponse, 15: TimedOut, 16: NoRoute, 17: Unauthorized, 18: Malformed,
-		19: BodyTooLarge, 20: HeaderTooLarge, 21: BodyTimeout, 22: EndpointReset,
+		0: None, 1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
+		9: Overloaded, 10: QuotaExceeded, 11: NotReady, 12: ShuttingDown, 13: ConnectionLost, 14: InvalidResponse, 15: TimedOut,
+		16: NoRoute, 17: Unauthorized, 18: Malformed, 19: BodyTooLarge, 20: HeaderTooLarge, 21: BodyTimeout, 22: EndpointReset,
 	} {
 		if uint64(kind) != uint64(number) {
 			t.Errorf("%s is number %d, want %d", kind, kind, number)
@@ -44,7 +45,8 @@
 		fmt.Fprintf(&text, "%q repeatable: %v, once: %v\n", kind.String(), kind.Next(0, true), kind.Next(0, false))
 	}
 	for _, status := range []int{200, 302, 404, 499, 500, 503} {
-		fmt.Fprintf(&text, "%q %d repeatable: %v, once: %v\n", Answered.String(), status, Answered.Next(status, true), Answered.Next(status, false))
+		fmt.Fprintf(&text, "%q %d repeatable: %v, once: %v\n", Answered.String(), status, Answered.Next(status, true),
+			Answered.Next(status, false))
 	}
 	golden.Text(t, "next.txt", []byte(text.String()))
 }
--- a/internal/mesh/dataplane/outcome/outcome_test.go
+++ b/internal/mesh/dataplane/outcome/outcome_test.go
@@ -1,15 +1,15 @@
 package outcome
 
 import (
+	"fmt"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 )
 
-// The table of docs/control-safety.md, section 5, cell by cell.
+// The table of the page control-safety.md, section 5, cell by cell.
 func TestWhenARequestMayBeRetried(t *testing.T) {
-	c := qt.New(t)
-	type cell struct{ repeatable, once Next }
+	type cell struct{ idempotent, once Next }
 	want := map[Kind]cell{
 		AtCapacity:      {Retry, Retry},
 		Draining:        {Retry, Retry},
@@ -34,28 +34,39 @@
 		BodyTimeout:     {Stop, Stop},
 		Kind(999):       {RetryIdempotent, Stop}, // of a later version
 	}
+	c := qt.New(t)
 	c.Assert(len(want), qt.Equals, len(table)) // Answered is below, and one kind is of no table
-	for k, x := range want {
-		c.Check(k.Next(0, true), qt.Equals, x.repeatable, qt.Commentf("%s", k))
-		c.Check(k.Next(0, false), qt.Equals, x.once, qt.Commentf("%s", k))
+	for kind, next := range want {
+		t.Run(kind.String(), func(t *testing.T) {
+			c := qt.New(t)
+			c.Check(kind.Next(0, true), qt.Equals, next.idempotent)
+			c.Check(kind.Next(0, false), qt.Equals, next.once)
+		})
 	}
-	for status, x := range map[int]cell{
-		200: {Deliver, Deliver}, 302: {Deliver, Deliver}, 404: {Deliver, Deliver}, 499: {Deliver, Deliver},
-		500: {RetryIdempotent, Deliver}, 504: {RetryIdempotent, Deliver},
+	for status, next := range map[int]cell{
+		200: {Deliver, Deliver},
+		302: {Deliver, Deliver},
+		404: {Deliver, Deliver},
+		499: {Deliver, Deliver},
+		500: {RetryIdempotent, Deliver},
+		504: {RetryIdempotent, Deliver},
 	} {
-		c.Check(Answered.Next(status, true), qt.Equals, x.repeatable, qt.Commentf("%d", status))
-		c.Check(Answered.Next(status, false), qt.Equals, x.once, qt.Commentf("%d", status))
+		t.Run(fmt.Sprintf("answered %d", status), func(t *testing.T) {
+			c := qt.New(t)
+			c.Check(Answered.Next(status, true), qt.Equals, next.idempotent)
+			c.Check(Answered.Next(status, false), qt.Equals, next.once)
+		})
 	}
 }
 
-// A request that may run once at most is sent again only if the attempt has surely not run, whatever the kind.
+// A request that is not idempotent is retried only if the attempt was surely not executed, whatever the kind.
 func TestOnlyWhatWasNotExecutedIsRetried(t *testing.T) {
 	c := qt.New(t)
-	for k := Kind(0); k < 64; k++ {
+	for kind := Kind(0); kind < 64; kind++ {
 		for status := 100; status < 600; status++ {
-			next := k.Next(status, false)
-			c.Assert(next == RetryIdempotent, qt.IsFalse, qt.Commentf("%s %d", k, status))
-			c.Assert(next == Retry && !k.NotExecuted(), qt.IsFalse, qt.Commentf("%s %d", k, status))
+			next := kind.Next(status, false)
+			c.Assert(next == RetryIdempotent, qt.IsFalse, qt.Commentf("%s %d", kind, status))
+			c.Assert(next == Retry && !kind.NotExecuted(), qt.IsFalse, qt.Commentf("%s %d", kind, status))
 		}
 	}
 }
