--- a/internal/mesh/dataplane/admission/admission_test.go
+++ b/internal/mesh/dataplane/admission/admission_test.go
@@ -9,124 +9,197 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// Beat, drain, end, a new life at the same address, arrivals for either life, their ends, withdrawals and time, in all orders:
-// nobody goes on beyond the slots, to another life than the chosen one, after the drain mark has come of age or after being
-// withdrawn; and whoever came is let on or turned away once.
-func TestAllOrders(t *testing.T) {
-	one, two := Endpoint{ID: "one", Service: "s", Slots: 1}, Endpoint{ID: "two", Service: "s", Slots: 1}
-	const depth = 6
-	type end struct{ on, off bool }
-	var play func(path []int)
-	run := func(path []int) {
-		g, now, next := New(), time.Duration(0), uint64(0)
-		ends := map[uint64]*end{}
-		lives := map[uint64]string{}
-		running := map[uint64]bool{}
-		var drained time.Duration
-		take := func(steps []Decision) {
-			for _, s := range steps {
-				e := ends[s.Token]
-				if s.Kind != 0 {
-					if e.on || e.off {
-						t.Fatalf("%v: request %d ends twice", path, s.Token)
-					}
-					if !s.Kind.NotExecuted() {
-						t.Fatalf("%v: %s is no promise", path, s.Kind)
-					}
-					e.off = true
-					continue
-				}
-				if e.on || e.off || lives[s.Token] != g.Endpoint().ID {
-					t.Fatalf("%v: request %d for %q goes on to %q after %+v", path, s.Token, lives[s.Token], g.Endpoint().ID, *e)
-				}
-				if g.State() == Terminated || g.State() == Unknown || drained != 0 && now-drained > drainGrace {
-					t.Fatalf("%v: goes on in state %d, %v after the mark", path, g.State(), now-drained)
-				}
-				e.on, running[s.Token] = true, true
-				if len(running) > 1 {
-					t.Fatalf("%v: %d go on to one slot", path, len(running))
-				}
-			}
-		}
-		tell := func(l Endpoint, s State) {
-			if l.ID != g.Endpoint().ID {
-				running, drained = map[uint64]bool{}, 0
-			}
-			if s == Draining && g.State() < Draining {
-				drained = now
-			}
-			take(g.UpdateEndpoint(now, l, s))
-		}
-		for _, step := range path {
-			switch step {
-			case 0:
-				tell(one, Serving)
-			case 1:
-				tell(one, Draining)
-			case 2:
-				tell(one, Terminated)
-			case 3:
-				tell(two, Serving)
-			case 4, 5:
-				next++
-				ends[next], lives[next] = &end{}, []string{"one", "two"}[step-4]
-				take(g.Submit(now, Request{Token: next, EndpointID: lives[next], TargetDeadline: now + time.Second, Deadline: now + 3*time.Second}))
-			case 6:
-				for token := range running {
-					delete(running, token)
-					take(g.Done(now, token))
-					break
-				}
-			case 7:
-				if next > 0 && g.Cancel(now, next) {
-					ends[next].off = true
-				}
-			case 8:
-				now += drainGrace + time.Millisecond
-				take(g.Expire(now))
-			}
+// The steps of a run of TestAllOrders.
+const (
+	heartbeat = iota
+	drain
+	terminate
+	replace // a new endpoint at the same address
+	submitForFirst
+	submitForSecond
+	finishOne
+	cancelLast
+	passTime // beyond the grace period of draining
+	stepCount
+)
+
+// fate is what became of a request.
+type fate struct {
+	endpoint           string // the endpoint that was chosen for it
+	admitted, rejected bool
+}
+
+// orderRun is one run of a controller through a sequence of steps, and what it decided so far.
+type orderRun struct {
+	*testing.T
+	steps      []int
+	controller *Controller
+	now        time.Duration
+	drained    time.Duration // when the endpoint began to drain; 0 for not at all
+	lastToken  uint64
+	fates      map[uint64]*fate
+	running    map[uint64]bool
+}
+
+// apply takes decisions, and checks each.
+func (r *orderRun) apply(decisions []Decision) {
+	for _, d := range decisions {
+		if d.Kind == outcome.None {
+			r.admit(d.Token)
+		} else {
+			r.reject(d)
 		}
-		now += time.Minute
-		for token := range running {
-			take(g.Done(now, token))
+	}
+}
+
+func (r *orderRun) reject(d Decision) {
+	f := r.fates[d.Token]
+	if f.admitted || f.rejected {
+		r.Fatalf("%v: request %d ends twice", r.steps, d.Token)
+	}
+	if !d.Kind.NotExecuted() {
+		r.Fatalf("%v: %s is no promise", r.steps, d.Kind)
+	}
+	f.rejected = true
+}
+
+func (r *orderRun) admit(token uint64) {
+	f, endpoint, state := r.fates[token], r.controller.Endpoint().ID, r.controller.State()
+	if f.admitted || f.rejected || f.endpoint != endpoint {
+		r.Fatalf("%v: request %d goes on to %q after %+v", r.steps, token, endpoint, *f)
+	}
+	if state == Terminated || state == Unknown || r.drained != 0 && r.now-r.drained > drainGrace {
+		r.Fatalf("%v: goes on in state %d, %v after it began to drain", r.steps, state, r.now-r.drained)
+	}
+	f.admitted = true
+	r.running[token] = true
+	if len(r.running) > 1 {
+		r.Fatalf("%v: %d go on to one slot", r.steps, len(r.running))
+	}
+}
+
+func (r *orderRun) update(id string, state State) {
+	if id != r.controller.Endpoint().ID {
+		r.running = map[uint64]bool{}
+		r.drained = 0
+	}
+	if state == Draining && r.controller.State() < Draining {
+		r.drained = r.now
+	}
+	r.apply(r.controller.UpdateEndpoint(r.now, Endpoint{ID: id, Service: "s", Slots: 1}, state))
+}
+
+func (r *orderRun) submit(endpoint string) {
+	r.lastToken++
+	r.fates[r.lastToken] = &fate{endpoint: endpoint}
+	r.apply(r.controller.Submit(r.now, Request{
+		Token: r.lastToken, EndpointID: endpoint,
+		TargetDeadline: r.now + time.Second, Deadline: r.now + 3*time.Second,
+	}))
+}
+
+// finish ends the request that runs, if there is one.
+func (r *orderRun) finish() {
+	for token := range r.running {
+		delete(r.running, token)
+		r.apply(r.controller.Done(r.now, token))
+		return
+	}
+}
+
+func (r *orderRun) step(step int) {
+	switch step {
+	case heartbeat:
+		r.update("one", Serving)
+	case drain:
+		r.update("one", Draining)
+	case terminate:
+		r.update("one", Terminated)
+	case replace:
+		r.update("two", Serving)
+	case submitForFirst:
+		r.submit("one")
+	case submitForSecond:
+		r.submit("two")
+	case finishOne:
+		r.finish()
+	case cancelLast:
+		if r.lastToken > 0 && r.controller.Cancel(r.lastToken) {
+			r.fates[r.lastToken].rejected = true
 		}
-		take(g.Expire(now))
-		for token, e := range ends {
-			if !e.on && !e.off {
-				t.Fatalf("%v: request %d has no end", path, token)
-			}
+	case passTime:
+		r.now += drainGrace + time.Millisecond
+		r.apply(r.controller.Expire(r.now))
+	}
+}
+
+// end lets everything end, and checks that every request was admitted or rejected.
+func (r *orderRun) end() {
+	r.now += time.Minute
+	for token := range r.running {
+		r.apply(r.controller.Done(r.now, token))
+	}
+	r.apply(r.controller.Expire(r.now))
+	for token, f := range r.fates {
+		if !f.admitted && !f.rejected {
+			r.Fatalf("%v: request %d has no end", r.steps, token)
 		}
 	}
-	play = func(path []int) {
-		if len(path) == depth {
-			run(path)
+}
+
+// Heartbeat, drain, end, a new endpoint at the same address, requests for either endpoint, their ends, cancellations and time, in all
+// orders: nothing is admitted beyond the slots, to another endpoint than the chosen one, after the grace period of draining or after
+// being cancelled; and every request is admitted or rejected, once.
+func TestAllOrders(t *testing.T) {
+	const depth = 6
+	var playAll func(steps []int)
+	playAll = func(steps []int) {
+		if len(steps) < depth {
+			for next := range stepCount {
+				playAll(append(steps, next))
+			}
 			return
 		}
-		for s := range 9 {
-			play(append(path, s))
+		run := &orderRun{T: t, steps: steps, controller: New(), fates: map[uint64]*fate{}, running: map[uint64]bool{}}
+		for _, step := range steps {
+			run.step(step)
 		}
+		run.end()
 	}
-	play(nil)
+	playAll(nil)
+}
+
+// newServing is a controller whose endpoint "one" of service "s" serves.
+func newServing(slots int) *Controller {
+	controller := New()
+	controller.UpdateEndpoint(0, Endpoint{ID: "one", Service: "s", Slots: slots}, Serving)
+	return controller
 }
 
 func TestNestedCallsGoFirstThenPriority(t *testing.T) {
 	c := qt.New(t)
-	g := New()
-	g.UpdateEndpoint(0, Endpoint{ID: "e", Slots: 1}, Serving)
-	at := func(token uint64, priority int, inner bool) []Decision {
-		return g.Submit(0, Request{Token: token, Priority: priority, Nested: inner, TargetDeadline: 5 * time.Second, Deadline: 5 * time.Second})
+	controller := newServing(1)
+	submit := func(r Request) []Decision {
+		r.TargetDeadline = 5 * time.Second
+		r.Deadline = 5 * time.Second
+		return controller.Submit(0, r)
 	}
-	c.Assert(at(1, 2, false), qt.DeepEquals, []Decision{{1, 0}})
-	for _, x := range []Request{{Token: 2, Priority: 2}, {Token: 3, Priority: 1}, {Token: 4, Priority: 9, Nested: true}, {Token: 5, Priority: 1}} {
-		c.Assert(at(x.Token, x.Priority, x.Nested), qt.HasLen, 0)
+	c.Assert(submit(Request{Token: 1, Priority: 2}), qt.DeepEquals, []Decision{{1, outcome.None}})
+	for _, r := range []Request{
+		{Token: 2, Priority: 2},
+		{Token: 3, Priority: 1},
+		{Token: 4, Priority: 9, Nested: true},
+		{Token: 5, Priority: 1},
+	} {
+		c.Assert(submit(r), qt.HasLen, 0)
 	}
 	var order []uint64
 	for last := uint64(1); ; {
-		steps := g.Done(time.Millisecond, last)
-		if len(steps) == 0 {
+		decisions := controller.Done(time.Millisecond, last)
+		if len(decisions) == 0 {
 			break
 		}
-		last = steps[0].Token
+		last = decisions[0].Token
 		order = append(order, last)
 	}
 	c.Assert(order, qt.DeepEquals, []uint64{4, 3, 5, 2})
@@ -134,44 +207,46 @@
 
 func TestRequestsThatCannotBeServedInTimeAreRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	g := New()
-	g.UpdateEndpoint(0, Endpoint{ID: "e", Slots: 2}, Serving)
-	full := 0
-	for i := range uint64(100) {
-		for _, s := range g.Submit(0, Request{Token: i, TargetDeadline: 300 * time.Millisecond, Deadline: 2 * time.Second}) {
-			if s.Kind == outcome.AtCapacity {
-				full++
+	controller := newServing(2)
+	rejected := 0
+	for token := range uint64(100) {
+		for _, d := range controller.Submit(0, Request{Token: token, TargetDeadline: 300 * time.Millisecond, Deadline: 2 * time.Second}) {
+			if d.Kind == outcome.AtCapacity {
+				rejected++
 			}
 		}
 	}
-	_, waiting := g.Load()
-	c.Assert(full, qt.Equals, 98-waiting)
-	c.Assert(time.Duration(waiting)*g.ServiceTime()/2 < 200*time.Millisecond, qt.IsTrue)
+	_, waiting := controller.Load()
+	c.Assert(rejected, qt.Equals, 98-waiting)
+	c.Assert(time.Duration(waiting)*controller.ServiceTime()/2 < 200*time.Millisecond, qt.IsTrue)
 }
 
-// An endpoint that a sidecar first hears of as draining told an earlier process so, nobody knows when: nobody is let on.
+// An endpoint that a sidecar first hears of as draining announced so to an earlier process, nobody knows when: nothing is admitted.
 func TestEndpointFirstSeenAsDraining(t *testing.T) {
 	c := qt.New(t)
-	g := New()
-	g.UpdateEndpoint(time.Hour, Endpoint{ID: "one", Service: "s", Slots: 4}, Draining)
-	steps := g.Submit(time.Hour, Request{Token: 1, EndpointID: "one", Service: "s", TargetDeadline: 2 * time.Hour, Deadline: 2 * time.Hour})
-	c.Assert(steps, qt.DeepEquals, []Decision{{Token: 1, Kind: outcome.Draining}})
+	controller := New()
+	controller.UpdateEndpoint(time.Hour, Endpoint{ID: "one", Service: "s", Slots: 4}, Draining)
+	decisions := controller.Submit(time.Hour, Request{
+		Token: 1, EndpointID: "one", Service: "s",
+		TargetDeadline: 2 * time.Hour, Deadline: 2 * time.Hour,
+	})
+	c.Assert(decisions, qt.DeepEquals, []Decision{{Token: 1, Kind: outcome.Draining}})
 }
 
-// The slots are taken by long runs. A request with a short aim is turned away, as it would be late; a call that a running request waits
-// for is let wait as long as its answer is of use.
+// The slots are taken by long executions. A request with a near target deadline is rejected, as it would be late; a call that a request
+// under way waits for may wait as long as its answer is of use.
 func TestNestedRequestsWaitUntilTheirDeadline(t *testing.T) {
 	c := qt.New(t)
-	g := New()
-	g.UpdateEndpoint(0, Endpoint{ID: "one", Service: "s", Slots: 1}, Serving)
-	for i := range uint64(200) {
-		g.Submit(0, Request{Token: i, TargetDeadline: time.Hour, Deadline: time.Hour})
-		g.Done(210*time.Millisecond, i)
+	controller := newServing(1)
+	for token := range uint64(200) {
+		controller.Submit(0, Request{Token: token, TargetDeadline: time.Hour, Deadline: time.Hour})
+		controller.Done(210*time.Millisecond, token)
 	}
-	g.Submit(0, Request{Token: 1000, TargetDeadline: time.Hour, Deadline: time.Hour})
+	controller.Submit(0, Request{Token: 1000, TargetDeadline: time.Hour, Deadline: time.Hour})
 	short := Request{Token: 1001, Priority: 1, TargetDeadline: 150 * time.Millisecond, Deadline: time.Second}
-	c.Assert(g.Submit(0, short), qt.DeepEquals, []Decision{{Token: 1001, Kind: outcome.AtCapacity}})
-	short.Token, short.Nested = 1002, true
-	c.Assert(g.Submit(0, short), qt.HasLen, 0)
-	c.Assert(g.Done(100*time.Millisecond, 1000), qt.DeepEquals, []Decision{{Token: 1002}})
+	c.Assert(controller.Submit(0, short), qt.DeepEquals, []Decision{{Token: 1001, Kind: outcome.AtCapacity}})
+	short.Token = 1002
+	short.Nested = true
+	c.Assert(controller.Submit(0, short), qt.HasLen, 0)
+	c.Assert(controller.Done(100*time.Millisecond, 1000), qt.DeepEquals, []Decision{{Token: 1002}})
 }
--- a/internal/mesh/dataplane/admission/golden_test.go
+++ b/internal/mesh/dataplane/admission/golden_test.go
@@ -15,10 +15,10 @@
 func TestGoldenDecisions(t *testing.T) {
 	const ms = time.Millisecond
 	var text strings.Builder
-	g := New()
+	controller := New()
 	note := func(now time.Duration, what string, steps []Decision) {
-		running, waiting := g.Load()
-		fmt.Fprintf(&text, "%v %s: state %d, running %d, waiting %d, work %v;", now, what, g.State(), running, waiting, g.ServiceTime())
+		running, waiting := controller.Load()
+		fmt.Fprintf(&text, "%v %s: state %d, running %d, waiting %d, work %v;", now, what, controller.State(), running, waiting, controller.ServiceTime())
 		for _, s := range steps {
 			if s.Kind == 0 {
 				fmt.Fprintf(&text, " %d goes on", s.Token)
@@ -30,40 +30,40 @@
 	}
 	one := Endpoint{ID: "one", Service: "s", Slots: 2}
 	token := uint64(0)
-	arrive := func(now time.Duration, priority int, inner bool, aim, deadline time.Duration) {
+	arrive := func(now time.Duration, priority int, nested bool, target, deadline time.Duration) {
 		token++
-		steps := g.Submit(now, Request{
-			Token: token, EndpointID: "one", Service: "s", Priority: priority, Nested: inner, TargetDeadline: now + aim,
+		steps := controller.Submit(now, Request{
+			Token: token, EndpointID: "one", Service: "s", Priority: priority, Nested: nested, TargetDeadline: now + target,
 			Deadline: now + deadline,
 		})
-		note(now, fmt.Sprintf("arrives %d, priority %d, inner %t, aim %v, deadline %v", token, priority, inner, aim, deadline), steps)
+		note(now, fmt.Sprintf("arrives %d, priority %d, inner %t, aim %v, deadline %v", token, priority, nested, target, deadline), steps)
 	}
 	arrive(0, 1, false, 500*ms, time.Second)
-	note(0, "serves", g.UpdateEndpoint(0, one, Serving))
+	note(0, "serves", controller.UpdateEndpoint(0, one, Serving))
 	for i := range 12 {
 		arrive(time.Duration(i)*ms, i%3, i%5 == 4, 500*ms, time.Second)
 	}
 	arrive(20*ms, 0, false, 15*ms, time.Second)
 	arrive(20*ms, 0, false, time.Second, 9*ms)
-	note(21*ms, "another endpoint", g.Submit(21*ms, Request{Token: 90, EndpointID: "two", TargetDeadline: time.Second, Deadline: time.Second}))
-	note(21*ms, "another service", g.Submit(21*ms, Request{Token: 91, Service: "r", TargetDeadline: time.Second, Deadline: time.Second}))
-	note(22*ms, fmt.Sprintf("withdraws 4: %t", g.Cancel(22*ms, 4)), nil)
-	note(22*ms, fmt.Sprintf("withdraws 2: %t", g.Cancel(22*ms, 2)), nil)
+	note(21*ms, "another endpoint", controller.Submit(21*ms, Request{Token: 90, EndpointID: "two", TargetDeadline: time.Second, Deadline: time.Second}))
+	note(21*ms, "another service", controller.Submit(21*ms, Request{Token: 91, Service: "r", TargetDeadline: time.Second, Deadline: time.Second}))
+	note(22*ms, fmt.Sprintf("withdraws 4: %t", controller.Cancel(4)), nil)
+	note(22*ms, fmt.Sprintf("withdraws 2: %t", controller.Cancel(2)), nil)
 	for i, done := range []uint64{2, 3, 6, 11, 77} {
 		now := time.Duration(30+10*i) * ms
-		note(now, fmt.Sprintf("done %d", done), g.Done(now, done))
+		note(now, fmt.Sprintf("done %d", done), controller.Done(now, done))
 	}
-	note(900*ms, "time passes", g.Expire(900*ms))
-	note(2*time.Second, "time passes", g.Expire(2*time.Second))
-	note(3*time.Second, "drains", g.UpdateEndpoint(3*time.Second, one, Draining))
-	note(3*time.Second, "serves", g.UpdateEndpoint(3*time.Second, one, Serving))
+	note(900*ms, "time passes", controller.Expire(900*ms))
+	note(2*time.Second, "time passes", controller.Expire(2*time.Second))
+	note(3*time.Second, "drains", controller.UpdateEndpoint(3*time.Second, one, Draining))
+	note(3*time.Second, "serves", controller.UpdateEndpoint(3*time.Second, one, Serving))
 	arrive(3*time.Second, 0, false, time.Second, 2*time.Second)
 	arrive(4500*ms, 0, false, time.Second, 2*time.Second)
 	arrive(4501*ms, 0, false, time.Second, 2*time.Second)
-	note(4501*ms, "time passes", g.Expire(4501*ms))
-	note(5*time.Second, "gone", g.UpdateEndpoint(5*time.Second, one, Terminated))
-	note(6*time.Second, "a new life", g.UpdateEndpoint(6*time.Second, Endpoint{ID: "two", Service: "s", Slots: 1}, Serving))
-	note(7*time.Second, "a new life", g.UpdateEndpoint(7*time.Second, Endpoint{ID: "three", Service: "s", Slots: 1}, Draining))
+	note(4501*ms, "time passes", controller.Expire(4501*ms))
+	note(5*time.Second, "gone", controller.UpdateEndpoint(5*time.Second, one, Terminated))
+	note(6*time.Second, "a new life", controller.UpdateEndpoint(6*time.Second, Endpoint{ID: "two", Service: "s", Slots: 1}, Serving))
+	note(7*time.Second, "a new life", controller.UpdateEndpoint(7*time.Second, Endpoint{ID: "three", Service: "s", Slots: 1}, Draining))
 	arrive(7*time.Second, 0, false, time.Second, 2*time.Second)
 	golden.Text(t, "decisions.txt", []byte(text.String()))
 }
@@ -82,12 +82,12 @@
 
 // The allocations of a request that goes on at once, of one that waits, and of a look at the queue.
 func TestAllocations(t *testing.T) {
-	g := New()
-	g.UpdateEndpoint(0, Endpoint{ID: "one", Slots: 1}, Serving)
+	controller := New()
+	controller.UpdateEndpoint(0, Endpoint{ID: "one", Slots: 1}, Serving)
 	token := uint64(0)
 	arrive := func() uint64 {
 		token++
-		g.Submit(0, Request{Token: token, TargetDeadline: time.Second, Deadline: time.Second})
+		controller.Submit(0, Request{Token: token, TargetDeadline: time.Second, Deadline: time.Second})
 		return token
 	}
 	check := func(what string, most float64, f func()) {
@@ -96,13 +96,13 @@
 			t.Errorf("%s: %v allocations, want %v at most", what, n, most)
 		}
 	}
-	check("on at once", 1, func() { g.Done(0, arrive()) })
+	check("on at once", 1, func() { controller.Done(0, arrive()) })
 	first := arrive()
 	check("waits", 1, func() {
 		next := arrive()
-		g.Done(0, first)
+		controller.Done(0, first)
 		first = next
 	})
-	check("withdrawn", 0, func() { g.Cancel(0, arrive()) })
-	check("look", 0, func() { g.Expire(0) })
+	check("withdrawn", 0, func() { controller.Cancel(arrive()) })
+	check("look", 0, func() { controller.Expire(0) })
 }
--- a/internal/mesh/dataplane/inbound/inbound.go
+++ b/internal/mesh/dataplane/inbound/inbound.go
@@ -173,7 +173,7 @@
 	}
 	j.cancelled = true
 	if !j.running {
-		p.controller.Cancel(p.now(), j.token)
+		p.controller.Cancel(j.token)
 		p.finish(j, &ForwardResponse{Kind: outcome.Cancelled})
 		return
 	}
