--- a/internal/mesh/dataplane/admission/controller.go
+++ b/internal/mesh/dataplane/admission/controller.go
@@ -25,7 +25,7 @@
 )
 
 // Controller admits requests to one endpoint. It is not safe for concurrent use. The decisions that a method returns concern the
-// request that it was called with and any others, in the order in which they are to be carried out; they are valid until the next call.
+// request that it was called with and any others, in the order in which they are to be carried out.
 type Controller struct {
 	endpoint      Endpoint
 	state         State
--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -114,14 +114,14 @@
 			c := &connection{reader: bufio.NewReader(strings.NewReader(raw))}
 			request := ForwardRequest{Method: method, AttemptID: "a-1"}
 			status, _, _ := strings.Cut(answer, "\r\n")
-			resp, body, kind := readResponse(c, &request)
+			answer, kind := readResponse(c, &request)
 			if kind != 0 {
 				fmt.Fprintf(&text, "%s %s: %s\n", method, status, kind)
 				continue
 			}
 			var o ForwardResponse
-			classify(&o, &request, resp, body)
-			c.updateKeepAlive(resp, time.Second)
+			classify(&o, &request, &answer)
+			c.updateKeepAlive(&answer, time.Second)
 			var header []string
 			for i := 0; i < len(o.Header); i += 2 {
 				header = append(header, o.Header[i]+": "+o.Header[i+1])
--- a/internal/mesh/dataplane/inbound/headers.go
+++ b/internal/mesh/dataplane/inbound/headers.go
@@ -2,14 +2,37 @@
 
 // Header fields of the protocol between clients, sidecars and endpoints, in canonical form. Their names are fixed by the protocol.
 const (
-	HeaderAttemptID         = "Attempt-Id"         // identifies one request of a client; an endpoint's answer bears it
+	HeaderAttemptID         = "Attempt-Id"         // names one request of a client; an endpoint's answer bears it
 	HeaderTargetEndpoint    = "Target-Endpoint"    // the endpoint that was chosen
 	HeaderCallingService    = "Calling-Service"    // the service of the machine where the request began
 	HeaderSubscriberID      = "Subscriber-Id"      // the tenant
 	HeaderTimeRemaining     = "Time-Remaining"     // milliseconds until the client gives up
-	HeaderNotExecuted       = "Not-Executed"       // set by an endpoint that has not run the request
+	HeaderNotExecuted       = "Not-Executed"       // set by an endpoint that has not executed the request
 	HeaderEndpointSeal      = "Endpoint-Seal"      // set by an endpoint on each answer with a status of 2xx
 	HeaderAnsweringEndpoint = "Answering-Endpoint" // set by an endpoint that is not the one that was chosen
 	HeaderKey               = "Key"                // a tenant's access key
-	HeaderBaseVersion       = "Base-Version"       // the configuration that a change starts from; the control API's alone
+	HeaderBaseVersion       = "Base-Version"       // the configuration that a change starts from; of the control API alone
 )
+
+// Header fields of HTTP that the data plane reads or sets, in canonical form.
+const (
+	headerContentEncoding = "Content-Encoding"
+	headerContentLength   = "Content-Length"
+	headerKeepAlive       = "Keep-Alive"
+	headerRetryAfter      = "Retry-After"
+)
+
+// HopByHopHeaders concern one connection only, or are set by the system; they are not passed on. In canonical form.
+var HopByHopHeaders = map[string]bool{
+	"Connection":          true,
+	"Expect":              true,
+	"Proxy-Authenticate":  true,
+	"Proxy-Authorization": true,
+	"Proxy-Connection":    true,
+	"Te":                  true,
+	"Trailer":             true,
+	"Transfer-Encoding":   true,
+	"Upgrade":             true,
+	headerContentLength:   true,
+	headerKeepAlive:       true,
+}
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -7,75 +7,76 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// MethodForward is the call that brings a request to the sidecar beside its endpoint.
+// MethodForward is the number of the call that brings a request to the sidecar beside its endpoint. It goes over the wire and never
+// changes.
 const MethodForward = 1
 
 // ForwardRequest is a request on its way from the sidecar beside the client to the one beside the endpoint.
 type ForwardRequest struct {
-	EndpointID      string // the life that was chosen
+	EndpointID      string // the endpoint that was chosen
 	Service         string
 	Method          string
 	URI             string // path and query as they came
 	Host            string
 	Header          []string // names and values in turn
 	Body            []byte
-	HasBody         bool // also an empty one, that came with a length
+	HasBody         bool // it came with a body, which may be empty
 	AttemptID       string
 	CallingService  string // service of the machine where the request began
-	Tenant          string // tenant; empty for none
-	Priority        int
-	Nested          bool
+	Tenant          string // empty for none
+	Priority        int    // 0 is highest
+	Nested          bool   // a call amid a request that an endpoint is executing
 	Idempotent      bool
-	TargetRemaining time.Duration // left until an answer is worth little, when it was sent
+	TargetRemaining time.Duration // left until an answer is worth little, when it was sent; negative if that has passed
 	TimeRemaining   time.Duration // left until the client gives up, when it was sent
-	Route           string        // its name: requests of one route are taken to be alike
+	Route           string        // its name: requests of one route are expected to have answers of like size
 }
 
 // Fields names the fields of a ForwardRequest.
-func (f *ForwardRequest) Fields(v *codec.Visitor) {
-	v.String(1, &f.EndpointID)
-	v.String(2, &f.Service)
-	v.String(3, &f.Method)
-	v.String(4, &f.URI)
-	v.String(5, &f.Host)
-	v.Strings(6, &f.Header)
-	v.Bytes(7, &f.Body)
-	v.Bool(8, &f.HasBody)
-	v.String(9, &f.AttemptID)
-	v.String(10, &f.CallingService)
-	v.String(11, &f.Tenant)
-	v.Int(12, &f.Priority)
-	v.Bool(13, &f.Nested)
-	v.Bool(14, &f.Idempotent)
-	v.Duration(15, &f.TargetRemaining)
-	v.Duration(16, &f.TimeRemaining)
-	v.String(17, &f.Route)
+func (r *ForwardRequest) Fields(v *codec.Visitor) {
+	v.String(1, &r.EndpointID)
+	v.String(2, &r.Service)
+	v.String(3, &r.Method)
+	v.String(4, &r.URI)
+	v.String(5, &r.Host)
+	v.Strings(6, &r.Header)
+	v.Bytes(7, &r.Body)
+	v.Bool(8, &r.HasBody)
+	v.String(9, &r.AttemptID)
+	v.String(10, &r.CallingService)
+	v.String(11, &r.Tenant)
+	v.Int(12, &r.Priority)
+	v.Bool(13, &r.Nested)
+	v.Bool(14, &r.Idempotent)
+	v.Duration(15, &r.TargetRemaining)
+	v.Duration(16, &r.TimeRemaining)
+	v.String(17, &r.Route)
 }
 
 // ForwardResponse is how a ForwardRequest ended.
 type ForwardResponse struct {
 	Kind            outcome.Kind
-	Status          int
-	Header          []string // names and values in turn, as the endpoint gave them, without those of one connection
+	Status          int      // of the endpoint's answer; 0 for none
+	Header          []string // names and values in turn, as the endpoint gave them, without the hop-by-hop ones
 	Body            []byte
-	ServiceTime     time.Duration // at the endpoint
-	Slots           int           // of the endpoint,
-	Running         int           // and how many of them are in use,
-	Waiting         int           // and how many wait
-	RetryAfter      time.Duration // when to ask again, by the endpoint's own word; 0 for none
-	ReachedEndpoint bool          // it reached the endpoint, run or not
+	ServiceTime     time.Duration // from the request's way to the endpoint until its answer was complete
+	Slots           int           // of the endpoint
+	Running         int           // requests that hold a slot
+	Waiting         int           // requests that wait for a slot
+	RetryAfter      time.Duration // when to ask again, by the endpoint's own answer; 0 for none
+	ReachedEndpoint bool          // some of the request was sent to the endpoint, whether it was executed or not
 }
 
-// Fields names the fields of an Outcome.
-func (f *ForwardResponse) Fields(v *codec.Visitor) {
-	v.Uint64(1, (*uint64)(&f.Kind))
-	v.Int(2, &f.Status)
-	v.Strings(3, &f.Header)
-	v.Bytes(4, &f.Body)
-	v.Duration(5, &f.ServiceTime)
-	v.Int(6, &f.Slots)
-	v.Int(7, &f.Running)
-	v.Int(8, &f.Waiting)
-	v.Duration(9, &f.RetryAfter)
-	v.Bool(10, &f.ReachedEndpoint)
+// Fields names the fields of a ForwardResponse.
+func (r *ForwardResponse) Fields(v *codec.Visitor) {
+	v.Uint64(1, (*uint64)(&r.Kind))
+	v.Int(2, &r.Status)
+	v.Strings(3, &r.Header)
+	v.Bytes(4, &r.Body)
+	v.Duration(5, &r.ServiceTime)
+	v.Int(6, &r.Slots)
+	v.Int(7, &r.Running)
+	v.Int(8, &r.Waiting)
+	v.Duration(9, &r.RetryAfter)
+	v.Bool(10, &r.ReachedEndpoint)
 }
