--- /dev/null
+++ b/internal/mesh/dataplane/outbound/answer.go
@@ -0,0 +1,53 @@
+package outbound
+
+import (
+	"net/http"
+	"strconv"
+
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outcome"
+)
+
+// writeAnswer writes a request's answer. An error of writing is the client's loss alone, and is not looked at.
+func (p *Proxy) writeAnswer(w http.ResponseWriter, res result) {
+	header := w.Header()
+	if p.shutdown.rejecting.Load() {
+		header.Set(headerConnection, "close")
+	} else {
+		p.connections.advertiseIdleTimeout(header)
+	}
+	// The server adds neither of its own: an answer has those of the endpoint, or none.
+	header[headerContentType] = nil
+	header[headerDate] = nil
+	if res.kind == outcome.Answered {
+		writeEndpointAnswer(w, res.response)
+		return
+	}
+	writeTableAnswer(w, res)
+}
+
+// writeEndpointAnswer writes the endpoint's answer as it came.
+func writeEndpointAnswer(w http.ResponseWriter, response *inbound.ForwardResponse) {
+	header := w.Header()
+	for i := 0; i+1 < len(response.Header); i += 2 {
+		name, value := response.Header[i], response.Header[i+1]
+		header[name] = append(header[name], value)
+	}
+	bodiless := response.Status == http.StatusNoContent || response.Status == http.StatusNotModified
+	if !bodiless && header[headerContentLength] == nil { // that of an answer to HEAD is the endpoint's
+		header[headerContentLength] = []string{strconv.Itoa(len(response.Body))}
+	}
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body)
+}
+
+// writeTableAnswer writes the answer that the table of package outcome has for a kind.
+func writeTableAnswer(w http.ResponseWriter, res result) {
+	header := w.Header()
+	entry := res.kind.Entry()
+	if retryAfter := max(res.retryAfter, entry.RetryAfter); retryAfter > 0 && entry.NotExecuted {
+		header.Set(headerRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	}
+	header.Set(headerContentLength, "0")
+	w.WriteHeader(entry.Status)
+}
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/classes.go
@@ -0,0 +1,82 @@
+package outbound
+
+import (
+	"math"
+	"strconv"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/mesh/control/configuration"
+)
+
+// maxClasses bounds the classes of a service's requests.
+const maxClasses = 256
+
+// classKey is what makes requests alike for the balancer.
+type classKey struct {
+	kind            configuration.RouteKind
+	target, timeout time.Duration
+}
+
+// classTable numbers the classes of one service's requests for its balancer. Each change of a route's times may ask for a new class;
+// once there are too many, routes share those that are most like theirs.
+type classTable struct {
+	balancer *balancer.Balancer
+	log      *logrus.Logger
+	numbers  map[classKey]int
+}
+
+// number returns the class of a route's requests.
+func (t *classTable) number(route *configuration.Route) int {
+	key := classKey{route.Kind, route.Target, route.Timeout}
+	if number, ok := t.numbers[key]; ok {
+		return number
+	}
+	if len(t.numbers) >= maxClasses {
+		return t.nearest(key)
+	}
+	number, err := t.balancer.AddClass(newClass(strconv.Itoa(len(t.numbers)), key))
+	if err != nil {
+		t.log.WithField("route", route.Name).WithError(err).Warn("outbound: class of a route's requests cannot be added")
+		return 0
+	}
+	t.numbers[key] = number
+	return number
+}
+
+func newClass(name string, key classKey) balancer.Class {
+	class := balancer.Class{
+		Name:           name,
+		LatencyTarget:  key.target,
+		Deadline:       key.timeout,
+		Value:          1,
+		LateValueShare: lateValueShare,
+		Idempotency:    balancer.NonIdempotent,
+	}
+	if key.kind.IsIdempotent() {
+		class.Idempotency = balancer.Idempotent
+	}
+	if key.target <= 0 {
+		class.LatencyTarget = key.timeout / 2
+	}
+	return class
+}
+
+// nearest returns the class of the same kind of requests whose times are nearest to a key's; 0, whose requests are not idempotent, if
+// there is none of its kind.
+func (t *classTable) nearest(key classKey) (number int) {
+	nearest := time.Duration(math.MaxInt64)
+	for other, candidate := range t.numbers {
+		if other.kind != key.kind {
+			continue
+		}
+		distance := (other.timeout - key.timeout).Abs() + (other.target - key.target).Abs()
+		if distance < nearest || distance == nearest && candidate < number { // by number, as the order of a map is random
+			nearest = distance
+			number = candidate
+		}
+	}
+	return number
+}
--- a/internal/mesh/dataplane/outbound/connections.go
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -9,8 +9,13 @@
 )
 
 const (
-	sweepInterval      = 500 * time.Millisecond
-	idleTimeoutMargin  = time.Second // a client is told an idle timeout that is this much shorter than the one kept
+	// sweepInterval is the time between two looks at idle connections.
+	sweepInterval = 500 * time.Millisecond
+	// shutdownSweepInterval is the same while the process ends.
+	shutdownSweepInterval = 20 * time.Millisecond
+	// idleTimeoutMargin is how much shorter the idle time-out is that clients are told than the one that is kept.
+	idleTimeoutMargin = time.Second
+	// defaultIdleTimeout holds until there is a configuration.
 	defaultIdleTimeout = 15 * time.Second
 )
 
@@ -21,7 +26,7 @@
 	expired   bool      // sweep has set a read deadline in the past
 }
 
-// shouldClose tells whether a connection is to be closed now: it has no request under way, and none is awaited any more.
+// shouldClose reports whether a connection is to be closed now: it has no request under way, and none is awaited any more.
 func (c clientConnection) shouldClose(now time.Time, phase closingPhase) bool {
 	switch c.state {
 	case http.StateNew:
@@ -37,91 +42,84 @@
 
 const (
 	closingNone closingPhase = iota
-	closingIdle              // those that have had a request; a new one is still read, and refused
+	closingIdle              // those that have had a request; on a new one the request is still read, and rejected
 	closingAll               // new ones too
 )
 
-// clientConnections tracks the clients' open connections.
+// clientConnections tracks the clients' open connections, and closes those that have been idle for too long.
 type clientConnections struct {
+	idleTimeout func() time.Duration // how long a connection may stay idle, at present
+
 	mu       sync.Mutex
 	open     map[net.Conn]clientConnection
-	sweeping bool
+	sweeping bool // sweep will be called
 	phase    closingPhase
 }
 
-// idleTimeout is how long a client's connection may stay idle, by the configuration in force.
-func (p *Proxy) idleTimeout() time.Duration {
-	if conf := p.config.Load(); conf != nil && conf.Limits.IdleTimeout > 0 {
-		return min(conf.Limits.IdleTimeout, maxIdleTime)
-	}
-	return defaultIdleTimeout
-}
-
-// trackConnection follows a connection (http.Server.ConnState).
-func (p *Proxy) trackConnection(c net.Conn, s http.ConnState) {
-	t := &p.connections
+// track follows a connection's state (http.Server.ConnState).
+func (t *clientConnections) track(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s == http.StateClosed || s == http.StateHijacked {
-		delete(t.open, c)
+	if state == http.StateClosed || state == http.StateHijacked {
+		delete(t.open, conn)
 		return
 	}
 	if t.open == nil {
 		t.open = map[net.Conn]clientConnection{}
 	}
-	if s == http.StateActive && t.open[c].expired {
-		_ = c.SetReadDeadline(time.Time{}) // its request was read all the same; the deadline would count as the client's end
+	if state == http.StateActive && t.open[conn].expired {
+		_ = conn.SetReadDeadline(time.Time{}) // its request was read all the same; the deadline would count as the client's end
 	}
-	t.open[c] = clientConnection{state: s, idleUntil: time.Now().Add(p.idleTimeout())}
+	t.open[conn] = clientConnection{state: state, idleUntil: time.Now().Add(t.idleTimeout())}
 	if !t.sweeping {
 		t.sweeping = true
-		time.AfterFunc(sweepInterval, p.sweep)
+		time.AfterFunc(sweepInterval, t.sweep)
 	}
 }
 
 // sweep ends connections that have been idle for too long, or all idle ones if the process is about to end. It does so by a read
-// deadline in the past, not by Close: the server's own reader then either has the whole of a request, and answers it, or has
-// not, and closes. So a request that was read is never dropped. The deadline may be set after the server has read a request and
-// before it says so (trackConnection); it is taken back then.
-func (p *Proxy) sweep() {
-	t := &p.connections
+// deadline in the past, not by Close: the server's own reader then either has a complete request, and answers it, or has not, and
+// closes. So a request that was read is never dropped. The deadline may be set after the server has read a request and before it
+// reports so to track, which takes it back then.
+func (t *clientConnections) sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	for c, known := range t.open {
+	for conn, known := range t.open {
 		if known.shouldClose(now, t.phase) {
-			_ = c.SetReadDeadline(now.Add(-time.Second))
+			_ = conn.SetReadDeadline(now.Add(-time.Second)) // fails on a closed connection alone
 			known.expired = true
-			t.open[c] = known
+			t.open[conn] = known
 		}
 	}
 	interval := sweepInterval
 	if t.phase != closingNone {
 		interval = shutdownSweepInterval
 	}
-	if t.sweeping = len(t.open) > 0; t.sweeping {
-		time.AfterFunc(interval, p.sweep)
+	t.sweeping = len(t.open) > 0
+	if t.sweeping {
+		time.AfterFunc(interval, t.sweep)
 	}
 }
 
-// closeConnections ends connections once they have no request under way, from now on.
-func (p *Proxy) closeConnections(phase closingPhase) {
-	p.connections.mu.Lock()
-	p.connections.phase = phase
-	p.connections.mu.Unlock()
-	p.sweep()
+// close ends connections once they have no request under way, from now on.
+func (t *clientConnections) close(phase closingPhase) {
+	t.mu.Lock()
+	t.phase = phase
+	t.mu.Unlock()
+	t.sweep()
 }
 
-// OpenConnections is how many connections of clients are open.
-func (p *Proxy) OpenConnections() int {
-	p.connections.mu.Lock()
-	defer p.connections.mu.Unlock()
-	return len(p.connections.open)
+// count returns how many connections are open.
+func (t *clientConnections) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.open)
 }
 
-// advertiseIdleTimeout tells the client how long it may keep its connection idle.
-func (p *Proxy) advertiseIdleTimeout(h http.Header) {
-	if s := int((p.idleTimeout() - idleTimeoutMargin) / time.Second); s > 0 {
-		h["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(s)}
+// advertiseIdleTimeout tells the client how many seconds it may keep its connection idle.
+func (t *clientConnections) advertiseIdleTimeout(header http.Header) {
+	if seconds := int((t.idleTimeout() - idleTimeoutMargin) / time.Second); seconds > 0 {
+		header[headerKeepAlive] = []string{"timeout=" + strconv.Itoa(seconds)}
 	}
 }
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -259,7 +259,7 @@
 	var text strings.Builder
 	for _, ending := range []bool{false, true} {
 		d := startGolden(t, true).proxy
-		d.shuttingDown.Store(ending)
+		d.shutdown.rejecting.Store(ending)
 		for _, back := range []time.Duration{0, 700 * time.Millisecond} {
 			for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 				w := httptest.NewRecorder()
--- a/internal/mesh/dataplane/outbound/outbound_test.go
+++ b/internal/mesh/dataplane/outbound/outbound_test.go
@@ -78,7 +78,7 @@
 // by classes whose times are near.
 func TestRoutesKeepTheirKindThroughHundredsOfChanges(t *testing.T) {
 	c := qt.New(t)
-	b, err := newServiceBalancer(New(Options{}), "s", 1)
+	b, err := newServiceBalancer(New(Options{}).dispatcher, "s", 1)
 	c.Assert(err, qt.IsNil)
 	route := func(kind configuration.RouteKind, change int) *configuration.Route {
 		return &configuration.Route{Kind: kind, Target: 300 * time.Millisecond, Timeout: 2*time.Second + time.Duration(change)*time.Millisecond}
@@ -87,7 +87,7 @@
 	for change := range 3 * maxClasses {
 		for _, kind := range []configuration.RouteKind{configuration.Idempotent, configuration.NonIdempotent} {
 			r := route(kind, change)
-			n := b.class(r)
+			n := b.classes.number(r)
 			first, ok := used[n]
 			if !ok {
 				first = classKey{r.Kind, r.Target, r.Timeout}
@@ -98,5 +98,5 @@
 		}
 	}
 	c.Assert(len(used), qt.Equals, maxClasses)
-	c.Assert(b.class(route(configuration.Idempotent, 7)), qt.Equals, b.class(route(configuration.Idempotent, 7)))
+	c.Assert(b.classes.number(route(configuration.Idempotent, 7)), qt.Equals, b.classes.number(route(configuration.Idempotent, 7)))
 }
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/service_balancer.go
@@ -0,0 +1,102 @@
+package outbound
+
+import (
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/mesh/control/ratelimit"
+	"quincegap/internal/mesh/discovery"
+)
+
+// Settings of the balancer that are the mesh's, not the operator's.
+const (
+	// decisionInterval is the least time between two rounds of the balancer's events.
+	decisionInterval = 5 * time.Millisecond
+	// slowStartWindow is how long after its start an endpoint is warming up, and slowStartMinShare its share of requests at first. What
+	// is left of the window comes with the endpoint's heartbeats.
+	slowStartWindow   = 3 * time.Second
+	slowStartMinShare = 0.4
+	// overloadMultiple and overloadDuration are how many times its usual latency, and for how long, make an endpoint overloaded.
+	overloadMultiple = 2.5
+	overloadDuration = time.Second
+	// maxRetryAfter bounds the time after which a rejected client is to come back.
+	maxRetryAfter = time.Second
+	// connectTimeout is what an attempt may take until it has reached the endpoint's sidecar.
+	connectTimeout = 250 * time.Millisecond
+	// lateValueShare is the share of an answer's value that is left after its latency target.
+	lateValueShare = 0.2
+	// defaultTarget and defaultDeadline are those of the class 0, for requests whose own class could not be made.
+	defaultTarget   = time.Second
+	defaultDeadline = 2 * time.Second
+)
+
+// serviceBalancer serves the requests of one service: it is the host of the balancer that picks the endpoints. The dispatcher's lock
+// guards it.
+type serviceBalancer struct {
+	dispatcher  *dispatcher
+	service     string
+	balancer    *balancer.Balancer
+	endpoints   endpointTable
+	classes     classTable
+	requests    map[balancer.RequestID]*request // that are not answered, or have attempts outstanding
+	retryBudget *ratelimit.RetryBudget
+}
+
+func newServiceBalancer(d *dispatcher, service string, seed uint64) (*serviceBalancer, error) {
+	b := &serviceBalancer{
+		dispatcher:  d,
+		service:     service,
+		endpoints:   newEndpointTable(),
+		requests:    map[balancer.RequestID]*request{},
+		retryBudget: ratelimit.NewRetryBudget(d.options.Bounds.RetryBudgetWindow),
+	}
+	settings := balancer.Settings{
+		Instances:         1,
+		Tiers:             1,
+		Quantum:           decisionInterval,
+		TotalValueWeight:  1,
+		MayCancel:         true,
+		MaxRetryAfter:     maxRetryAfter,
+		ConnectTimeout:    connectTimeout,
+		SlowStartMinShare: slowStartMinShare,
+		SlowStartWindow:   slowStartWindow,
+		OverloadMultiple:  overloadMultiple,
+		OverloadDuration:  overloadDuration,
+		Classes: []balancer.Class{{
+			Name:           "any",
+			LatencyTarget:  defaultTarget,
+			Deadline:       defaultDeadline,
+			Value:          1,
+			LateValueShare: lateValueShare,
+			Idempotency:    balancer.NonIdempotent,
+		}},
+	}
+	var err error
+	b.balancer, err = balancer.New(settings, seed, b)
+	b.classes = classTable{balancer: b.balancer, log: d.options.Log, numbers: map[classKey]int{}}
+	return b, err
+}
+
+// updateEndpoints takes the complete list of the service's endpoints.
+func (b *serviceBalancer) updateEndpoints(now time.Duration, endpoints []discovery.Endpoint) {
+	b.balancer.HandleEndpoints(now, b.endpoints.update(now, endpoints, b.dispatcher.zoneNumber))
+}
+
+// submit hands a new request to the balancer.
+func (b *serviceBalancer) submit(now time.Duration, r *request) {
+	b.requests[r.id] = r
+	b.retryBudget.CountRequest(now)
+	b.balancer.HandleRequest(now, balancer.Request{
+		ID:          r.id,
+		Class:       b.classes.number(r.route),
+		TimeLeft:    r.deadline - now,
+		ValueFactor: r.value(),
+	})
+}
+
+// forget drops a request that is answered and has no attempt outstanding.
+func (b *serviceBalancer) forget(r *request) {
+	if r.answered && !r.attempts.outstanding() {
+		delete(b.requests, r.id)
+	}
+}
