--- /dev/null
+++ b/internal/mesh/control/controlplane/doc.go
@@ -0,0 +1,61 @@
+// Package controlplane is a core process's part in the agreement on the operators' configuration. It connects the rules of package
+// consensus, which do no I/O, with the disk, the other core processes, the clock and the operators.
+//
+// # Who owns which state
+//
+//	part             state                                               kept
+//	acceptor         the record: promise, vote, decided voter set        on disk (recordDisk over storage.Store), a copy in memory
+//	learner          newest committed vote and value, voter set, system  in memory; rebuilt from the record, peers and rounds
+//	proposer         highest ballot seen, the slot of the one round      in memory; the name in its ballots is new at each start
+//	coreDirectory    seeds of the settings                               in memory
+//	voterManager     what the monitor last found of the core processes   in memory
+//	voterMonitor     failure detector, limit of replacements, plan       in memory, of its goroutine alone
+//	lifetime         the context and the goroutines of a Server          in memory
+//	responder, register, growth, operatorAPI, recoverer: none beyond a call
+//
+// Server puts them together. No part calls another one with its lock held, so that there is no order of locks.
+//
+// # Goroutines
+//
+// Open starts four: acceptor.run, which alone uses the disk, learner.runNotifications, which calls Options.OnCommit, a first read for
+// the log, and voterMonitor.run. Rounds run in the goroutines of their callers. Each request to a peer, each recovery and each change
+// of the voters has a goroutine of its own. Close cancels their context and waits for all.
+//
+// # States of an acceptor
+//
+//	            record is read, or made at the first start
+//	 loading ───────────────────────────────────────────────▶ ready ──┐ a write fails:
+//	    │                                                       ▲  ▲   │ the record is read
+//	    │ no record, or a corrupt one                           │  └───┘ and written again
+//	    ▼                                                       │
+//	recovering ─────────────────────────────────────────────────┘
+//	            enough voters have told what they promised and accepted
+//
+// Only a ready acceptor votes. One that is recovering answers NotReady, and makes attempts until it has a record; an error of the
+// disk leaves it loading.
+//
+// # A round of a proposer
+//
+//	read:    Reading ──▶ Done
+//	            └─▶ Inconclusive ──▶ a round with a ballot
+//	change:  Preparing ──▶ Accepting ──▶ Done
+//	            └─────────────┴─▶ Preempted ──▶ a random wait (backoff), then another round
+//	any:     Stale ──▶ another round under the newer voter set
+//
+// # A change of the configuration
+//
+// operatorAPI.serveReplace reads the call, register.replace parses the configuration, proposer.propose plays rounds until the change
+// has a verdict, and growth.await delays the acknowledgement while the voter set is smaller than it is to be. learner.learnVote and
+// the Commit request make the value known, and learner.runNotifications hands it to the agent.
+//
+// # Units
+//
+// Times are time.Duration; epochs, versions and disk incarnations are counters that only grow. A disk incarnation is 1 at the first
+// start, then the time of a loss in nanoseconds since 1970, or one above the highest that voters have seen. Names of processes are control addresses,
+// "host:port".
+//
+// # What it does not do
+//
+// It carries no requests itself (Transport), does not find the core processes (Options.Cores and the seeds), grants no leases and does
+// not distribute the configuration to sidecars.
+package controlplane
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -10,39 +10,50 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// How long after its start a process expects the list of voters to grow.
+// How long after its start a process expects more voters.
 const (
-	discoveryTime = time.Second     // until then processes that it does not know of yet may be there
-	maxGrowthWait = 5 * time.Second // who has not become a voter by then is not waited for
+	discoveryTime = time.Second     // until then there may be processes that it does not know of yet
+	maxGrowthWait = 5 * time.Second // a process that has not become a voter by then is not waited for
 )
 
-// awaitVoters waits until the list of voters bears as many lost disks as it is to bear. At the system's first start it can't: all are
-// told of the same three processes, whose majority is two, and a change that these two alone hold must not be acknowledged where two
-// disks may be lost. Once it returns without an error, a majority of the whole list has the newest value and the list itself on disk.
-// It does not wait for processes that are not there, nor long after this process's start.
-func (d *Server) awaitVoters(ctx context.Context) error {
-	first := d.options.InitialStart && time.Since(d.startedAt) < maxGrowthWait
-	if d.options.Cores == nil || !first && !d.expectsMoreVoters() {
+// growth delays the acknowledgement of changes while the voter set is smaller than it is to be. At the system's first start it
+// has to be: all are told of the same three processes, whose majority is two, and a change that these two alone hold must not be
+// acknowledged where two disks may be lost. It does not wait for processes that are not there, nor long after this process's
+// start.
+type growth struct {
+	startedAt    time.Time
+	initialStart bool // of the whole system
+	tolerated    int  // losses of machines
+	backoff      *backoff
+	learner      *learner
+	directory    *coreDirectory
+	proposer     *proposer
+}
+
+// await waits until the voter set tolerates as many losses as it is to. Once it returns without an error, a majority of the whole
+// set has the newest value and the set itself on disk.
+func (g *growth) await(ctx context.Context) error {
+	first := g.initialStart && time.Since(g.startedAt) < maxGrowthWait
+	if g.directory.running == nil || !first && !g.expected() {
 		return nil
 	}
-	for d.expectsMoreVoters() {
-		pause := minBackoff
-		if err := d.backOff(ctx, &pause); err != nil {
+	for g.expected() {
+		delay := minBackoff
+		if err := g.backoff.wait(ctx, &delay); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	_, err := d.ReadLatest(ctx) // a round under the list that there is now
+	_, err := g.proposer.read(ctx) // a round under the voter set that there is now
 	return trace.Wrap(err)
 }
 
-// expectsMoreVoters tells whether there are fewer voters than wanted, and there may soon be more.
-func (d *Server) expectsMoreVoters() bool {
-	e, age := d.VoterSet(), time.Since(d.startedAt)
-	if len(e.Voters) >= consensus.TargetVoters(d.options.Tolerated) || age >= maxGrowthWait {
+// expected reports whether there are fewer voters than wanted, and there may soon be more.
+func (g *growth) expected() bool {
+	voters := g.learner.voterSet()
+	age := time.Since(g.startedAt)
+	if len(voters.Voters) >= consensus.TargetVoters(g.tolerated) || age >= maxGrowthWait {
 		return false
 	}
-	joining := slices.ContainsFunc(d.runningCores(), func(node string) bool {
-		return !e.Contains(node) && !slices.Contains(e.Retired, node)
-	})
+	joining := slices.ContainsFunc(g.directory.runningCores(), func(node string) bool { return mayJoin(voters, node) })
 	return joining || age < discoveryTime
 }
--- /dev/null
+++ b/internal/mesh/control/controlplane/operator_api.go
@@ -0,0 +1,113 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/configuration"
+)
+
+// The operators' calls, and the header that names the version which a change is based on. They are the format of the users' pages.
+const (
+	replacePattern    = "POST /configuration/replace"
+	retrievePattern   = "GET /configuration/retrieve"
+	baseVersionHeader = "Base-Version"
+)
+
+const (
+	maxBodyBytes      = 32 << 20
+	callTimeout       = 900 * time.Millisecond // callers wait for a second
+	retryAfterSeconds = "0.2"                  // for the header Retry-After
+)
+
+// operatorAPI serves the operators' calls over HTTP. It has no state. 200, 400, 404, 412 and 413 are final; 503 says that nothing
+// is known, and when to call again.
+type operatorAPI struct {
+	register *register
+	log      *logrus.Logger
+}
+
+func (o *operatorAPI) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc(replacePattern, o.serveReplace)
+	mux.HandleFunc(retrievePattern, o.serveRetrieve)
+	return mux
+}
+
+// serveReplace answers 200 for a change that is or was in force, and 412 or 400 for one that never was and never will be.
+func (o *operatorAPI) serveReplace(w http.ResponseWriter, request *http.Request) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		writeResult(w, http.StatusRequestEntityTooLarge, trace.LimitExceeded("the body: expected %d bytes at most", tooLarge.Limit))
+		return
+	case err != nil:
+		writeResult(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a link's fault, not the configuration's
+		return
+	}
+	// The header is checked after the body has been read: the answer may be lost with a connection that is closed before.
+	base, err := configuration.ParseVersion(request.Header.Get(baseVersionHeader))
+	if err != nil {
+		writeResult(w, http.StatusBadRequest, trace.Wrap(err, baseVersionHeader))
+		return
+	}
+	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
+	defer cancel()
+	result := o.register.replace(ctx, base, raw)
+	o.log.WithField("outcome", result.Outcome).WithField("base", base).WithField("reason", result.Reason).Info("configuration sent")
+	writeResult(w, result.Outcome.status(), result.Reason)
+}
+
+// status is the HTTP status of an outcome.
+func (o Outcome) status() int {
+	switch o {
+	case Applied:
+		return http.StatusOK
+	case Conflict:
+		return http.StatusPreconditionFailed
+	case Invalid:
+		return http.StatusBadRequest
+	case Unknown:
+	}
+	return http.StatusServiceUnavailable
+}
+
+// serveRetrieve answers with the newest configuration that was committed when the call came, or a newer one.
+func (o *operatorAPI) serveRetrieve(w http.ResponseWriter, request *http.Request) {
+	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
+	defer cancel()
+	value, err := o.register.readLatest(ctx)
+	switch {
+	case err != nil:
+		writeResult(w, http.StatusServiceUnavailable, err)
+	case value.Version == 0:
+		writeResult(w, http.StatusNotFound, trace.NotFound("no configuration was accepted yet"))
+	default:
+		w.Header().Set("Content-Type", "application/json")
+		_, _ = w.Write(value.Body) // the caller may have gone
+	}
+}
+
+// writeResult answers with a status and, if there is one, the reason.
+func writeResult(w http.ResponseWriter, status int, reason error) {
+	w.Header().Set("Content-Type", "application/json")
+	if status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", retryAfterSeconds)
+	}
+	w.WriteHeader(status)
+	body := struct {
+		Error string `json:"error,omitempty"`
+	}{}
+	if reason != nil {
+		body.Error = trace.UserMessage(reason)
+	}
+	_ = json.NewEncoder(w).Encode(body) // the caller may have gone
+}
--- /dev/null
+++ b/internal/mesh/control/controlplane/peer_client.go
@@ -0,0 +1,103 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+const (
+	requestTimeout = 2 * time.Second        // for a request of a round or a recovery
+	probeTimeout   = 600 * time.Millisecond // for a Describe
+)
+
+// Transport carries requests to other core processes; node is a process's name in the voter set. The process there answers with
+// Server.Serve. Ask returns soon after ctx ends.
+type Transport interface {
+	Ask(ctx context.Context, node string, request []byte) ([]byte, error)
+}
+
+// peerClient sends requests to core processes, this one included.
+type peerClient struct {
+	self      string
+	transport Transport
+	log       *logrus.Logger
+	lifetime  *lifetime
+	learner   *learner
+	local     func(context.Context, *consensus.Request) (*consensus.Reply, error) // answers requests to this process
+}
+
+// peerReply is what became of a request.
+type peerReply struct {
+	node  string
+	reply *consensus.Reply // nil if none came
+}
+
+// signed is a request with the sender's name and system.
+func (p *peerClient) signed(request consensus.Request) consensus.Request {
+	request.System = p.learner.system()
+	request.Sender = p.self
+	return request
+}
+
+// ask sends a signed request, of which raw is the encoding, and waits for the reply. A reply of a process of another system is an
+// error.
+func (p *peerClient) ask(ctx context.Context, node string, request consensus.Request, raw []byte) (*consensus.Reply, error) {
+	if node == p.self {
+		return p.local(ctx, &request)
+	}
+	raw, err := p.transport.Ask(ctx, node, raw)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	var reply consensus.Reply
+	if err := codec.Unmarshal(raw, &reply); err != nil {
+		return nil, trace.BadParameter("reply of %s: %v", node, err)
+	}
+	if reply.Kind == consensus.ForeignSystem || !p.learner.system().Matches(reply.System) {
+		p.log.WithField("peer", node).Error("controlplane: the process at this address belongs to another system")
+		return nil, trace.BadParameter("%s belongs to another system", node)
+	}
+	return &reply, nil
+}
+
+// describe asks a process for the voter set that it knows and for its own state.
+func (p *peerClient) describe(ctx context.Context, node string) (*consensus.Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
+	request := p.signed(consensus.Request{Kind: consensus.Describe, VoterSet: p.learner.voterSet()})
+	return p.ask(ctx, node, request, codec.MarshalAppend(nil, &request))
+}
+
+// broadcast sends a request to all nodes, and returns a channel with one reply for each, sooner or later. Requests go on when the
+// caller has enough replies, so that the other nodes learn of it too, until requestTimeout or the end of the server.
+func (p *peerClient) broadcast(nodes []string, request *consensus.Request) <-chan peerReply {
+	replies := make(chan peerReply, len(nodes))
+	p.send(nodes, request, replies)
+	return replies
+}
+
+// send is like broadcast for a channel of the caller, which has room for all replies.
+func (p *peerClient) send(nodes []string, request *consensus.Request, replies chan<- peerReply) {
+	signed := p.signed(*request)
+	raw := codec.MarshalAppend(nil, &signed)
+	for _, node := range nodes {
+		started := p.lifetime.start(func(ctx context.Context) {
+			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+			defer cancel()
+			reply, err := p.ask(ctx, node, signed, raw)
+			if err != nil {
+				p.log.WithError(err).WithField("node", node).Debug("no answer")
+			}
+			replies <- peerReply{node, reply}
+		})
+		if !started {
+			replies <- peerReply{node: node}
+		}
+	}
+}
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -1,97 +1,107 @@
 package controlplane
 
 import (
-	"slices"
+	"context"
+	"errors"
 	"time"
 
-	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
 
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// recoverRecord makes the record of a process that has none: the list of voters comes from any peer, and what the voters promised and
-// accepted from enough of them. A process outside the list may become a voter from then on.
-func (d *Server) recoverRecord(life uint64, blank bool) {
-	pause := minRecoveryBackoff
-	for ; d.ctx.Err() == nil; _ = d.backOff(d.ctx, &pause) {
-		e := d.VoterSet()
-		var record consensus.Record
-		ok := false
-		switch {
-		case len(e.Voters) == 0:
-			d.findVoterSet()
-		default:
-			record, ok, life = d.tryRecovery(e, life, blank)
+const (
+	minRecoveryBackoff = 20 * time.Millisecond
+	recoveryTimeout    = 600 * time.Millisecond // of one attempt to read a record from others
+	maxRecoveryPeers   = 64                     // that one attempt asks
+)
+
+// recoverer makes the record of an acceptor that has none: the voter set comes from any peer, and what the voters promised and
+// accepted from enough of them. Its goroutine has all of its state.
+type recoverer struct {
+	self      string
+	log       *logrus.Logger
+	lifetime  *lifetime
+	backoff   *backoff
+	learner   *learner
+	directory *coreDirectory
+	client    *peerClient
+	install   func(context.Context, consensus.Record) error // hands the record to the acceptor
+}
+
+// start makes the record in the background. blankDisk tells that there was nothing at all on the disk.
+func (r *recoverer) start(diskIncarnation uint64, blankDisk bool) {
+	r.lifetime.start(func(ctx context.Context) { r.run(ctx, diskIncarnation, blankDisk) })
+}
+
+// run makes attempts until the acceptor has a record or ctx ends. A process outside the voter set may become a voter from then on.
+func (r *recoverer) run(ctx context.Context, diskIncarnation uint64, blankDisk bool) {
+	delay := minRecoveryBackoff
+	for ; ctx.Err() == nil; _ = r.backoff.wait(ctx, &delay) {
+		voters := r.learner.voterSet()
+		if len(voters.Voters) == 0 {
+			r.findVoterSet(ctx)
+			continue
 		}
+		attempt, request := consensus.NewRecovery(r.self, voters, diskIncarnation, blankDisk)
+		record, ok := r.attempt(attempt, request)
 		if !ok {
+			diskIncarnation = attempt.NextDiskIncarnation()
 			continue
 		}
-		if _, err := d.submit(d.ctx, &acceptorJob{recovered: &record}); err == nil || trace.IsAlreadyExists(err) {
-			d.options.Log.WithField("life", record.State.DiskIncarnation).Info("the voter's record is made")
+		diskIncarnation = 0 // below all: if the record can't be kept, voters reject the next attempt and tell what they have seen
+		if err := r.install(ctx, record); err == nil || errors.Is(err, errRecordExists) {
+			r.log.WithField("incarnation", record.State.DiskIncarnation).Info("the voter's record is made")
 			return
 		}
 	}
 }
 
-// recoveryPeers are the seeds and the core processes that are there, without this one.
-func (d *Server) recoveryPeers() []string {
-	d.mu.Lock()
-	peers := slices.Clone(d.seeds)
-	d.mu.Unlock()
-	if d.options.Cores != nil {
-		peers = append(peers, d.options.Cores()...)
-	}
-	slices.Sort(peers)
-	return slices.DeleteFunc(slices.Compact(peers), func(s string) bool { return s == d.options.Self })
-}
-
-// findVoterSet asks all for the voters' list.
-func (d *Server) findVoterSet() {
-	peers := d.recoveryPeers()
-	answers := d.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
+// findVoterSet asks all processes for the voter set, and takes the first that is known.
+func (r *recoverer) findVoterSet(ctx context.Context) {
+	peers := r.directory.peers()
+	replies := r.client.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
 	for range peers {
 		select {
-		case a := <-answers:
-			if a.reply != nil && len(a.reply.VoterSet.Voters) > 0 {
-				d.adoptSystemID(a.reply.System)
-				d.adoptVoterSet(a.reply.VoterSet)
+		case answer := <-replies:
+			if answer.reply != nil && len(answer.reply.VoterSet.Voters) > 0 {
+				r.learner.learnSystem(answer.reply.System)
+				r.learner.learnVoterSet(answer.reply.VoterSet)
 				return
 			}
-		case <-d.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// tryRecovery is one attempt to recover; it returns the incarnation for another one.
-func (d *Server) tryRecovery(e consensus.VoterSet, life uint64, blank bool) (consensus.Record, bool, uint64) {
-	y, q := consensus.NewRecovery(d.options.Self, e, life, blank)
+// attempt is one attempt to read a record. Whom it asks may grow with each reply.
+func (r *recoverer) attempt(attempt *consensus.Recovery, request *consensus.Request) (record consensus.Record, ok bool) {
 	timer := time.NewTimer(recoveryTimeout)
 	defer timer.Stop()
-	answers := make(chan peerReply, 64)
+	replies := make(chan peerReply, maxRecoveryPeers)
 	asked := map[string]bool{}
-	for left := 0; ; left-- {
-		for _, node := range y.Recipients() { // which may grow with each answer
-			if !asked[node] && len(asked) < cap(answers) {
+	for pending := 0; ; pending-- {
+		for _, node := range attempt.Recipients() {
+			if !asked[node] && len(asked) < maxRecoveryPeers {
 				asked[node] = true
-				left++
-				one := d.broadcast([]string{node}, q)
-				go func() { answers <- <-one }()
+				pending++
+				r.client.send([]string{node}, request, replies)
 			}
 		}
-		if left == 0 {
-			return consensus.Record{}, false, y.NextDiskIncarnation()
+		if pending == 0 {
+			return consensus.Record{}, false
 		}
 		select {
-		case a := <-answers:
-			if a.reply == nil {
+		case answer := <-replies:
+			if answer.reply == nil {
 				continue
 			}
-			if record, ok := y.Step(a.node, a.reply); ok {
-				return record, true, 0
+			if record, ok := attempt.Step(answer.node, answer.reply); ok {
+				return record, true
 			}
 		case <-timer.C:
-			return consensus.Record{}, false, y.NextDiskIncarnation()
+			return consensus.Record{}, false
 		}
 	}
 }
--- /dev/null
+++ b/internal/mesh/control/controlplane/responder.go
@@ -0,0 +1,63 @@
+package controlplane
+
+import (
+	"context"
+
+	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+// responder answers the requests of core processes. It has no state of its own.
+type responder struct {
+	log      *logrus.Logger
+	learner  *learner
+	acceptor *acceptor
+	proposer *proposer
+	voters   *voterManager
+}
+
+// serve answers an encoded request. A request that can't be decoded is a trace.BadParameter.
+func (r *responder) serve(ctx context.Context, raw []byte) ([]byte, error) {
+	var request consensus.Request
+	if err := codec.Unmarshal(raw, &request); err != nil {
+		return nil, trace.BadParameter("request: %v", err)
+	}
+	reply, err := r.answer(ctx, &request)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	return codec.MarshalAppend(nil, reply), nil
+}
+
+// answer answers a request. What it tells of newer ballots and voter sets is learned first, except from another system.
+func (r *responder) answer(ctx context.Context, request *consensus.Request) (*consensus.Reply, error) {
+	if own := r.learner.system(); !own.Matches(request.System) {
+		r.log.WithField("peer", request.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
+		return &consensus.Reply{Kind: consensus.ForeignSystem, Ballot: request.Ballot, System: own}, nil
+	}
+	r.proposer.observeBallot(request.Ballot)
+	r.learner.learnVoterSet(request.VoterSet)
+	if request.Kind == consensus.Describe {
+		return r.describe(), nil
+	}
+	reply, err := r.acceptor.handle(ctx, request)
+	if err == nil && reply.Kind == consensus.ConflictingVoters {
+		r.log.WithField("peer", request.Sender).WithField("epoch", request.VoterSet.Epoch).WithField("voters", request.VoterSet.Voters).
+			WithField("own", reply.VoterSet.Voters).Error("controlplane: a request under another list of voters for the same epoch is refused")
+	}
+	return reply, trace.Wrap(err)
+}
+
+// describe tells what this process knows, without its disk.
+func (r *responder) describe() *consensus.Reply {
+	return &consensus.Reply{
+		Kind:         consensus.Reported,
+		VoterSet:     r.learner.voterSet(),
+		Ready:        r.acceptor.status().ready,
+		Unresponsive: r.voters.unresponsiveVoters(),
+		System:       r.learner.system(),
+	}
+}
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -1,13 +1,11 @@
-// Package controlplane is a core process's part in the agreement on the configuration: a replica with its record on disk, rounds
-// of proposals and reads, the recovery of a lost disk, changes of the voters, and the operators' calls over HTTP.
 package controlplane
 
 import (
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
-	"sync"
 	"time"
 
 	"github.com/gravitational/trace"
@@ -17,193 +15,167 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// Options are what a Server is opened with.
+// maxInitialVoters is how many of the seeds are the voters of the system's first start.
+const maxInitialVoters = 3
+
+// Options are what a Server is opened with. Self, Transport and Log are required.
 type Options struct {
-	Self         string          // this process, as in the list of seeds
-	Seeds        []string        // of the settings: at the first start of the whole system they become the voters
-	Tolerated    int             // machines that may be lost at once: it tells how many voters there should be
-	Cores        func() []string // the core processes that are there, by their control addresses; nil: voters stay as they are
-	InitialStart bool
-	Folder       string
-	Transport    Transport
-	Log          *logrus.Logger
-	Seed         uint64
-	OnCommit     func(w consensus.Value) // called by one goroutine, with newer values only
+	Self         string                // name (control address) of this process, as in the seeds
+	Seeds        []string              // of the settings: at the first start of the whole system they become the voters
+	Tolerated    int                   // machines that may be lost at once: it tells how many voters there should be
+	Cores        func() []string       // names of the core processes that run; nil: the voter set never changes
+	InitialStart bool                  // the whole system starts for the first time
+	Folder       string                // for the acceptor's record
+	Transport    Transport             // to other core processes
+	Log          *logrus.Logger        //
+	Seed         uint64                // of random waits and of ballots
+	OnCommit     func(consensus.Value) // called by one goroutine, with newer values only; may be nil
 
 	openStore func(folder string) (recordStore, error) // a storage, except in tests
 }
 
-const (
-	maxInitialVoters   = 3
-	minPhaseTimeout    = 400 * time.Millisecond // how long one phase of a round waits for replies, at first
-	maxPhaseTimeout    = time.Second
-	rejectionMargin    = 20 * time.Millisecond
-	minBackoff         = 10 * time.Millisecond
-	maxBackoff         = 500 * time.Millisecond
-	requestTimeout     = 2 * time.Second
-	minRecoveryBackoff = 20 * time.Millisecond
-
-	recoveryTimeout = 600 * time.Millisecond // for one attempt to read a record from others
-)
-
-// Server takes part in the agreement. Its replica's goroutine alone uses the disk; rounds run in the callers' goroutines.
+// Server is a core process's part in the agreement on the configuration. It puts the parts together and has no state of its own.
 type Server struct {
-	options       Options
-	ctx           context.Context
-	cancel        context.CancelFunc
-	wg            sync.WaitGroup
-	jobs          chan *acceptorJob
-	proposerID    string        // for ballots: this process since its start
-	startedAt     time.Time     // when this process started
-	ballotSlot    chan struct{} // held by the one round of this process that may have a ballot
-	commitUpdated chan struct{} // a newer value is committed
-
-	mu             sync.Mutex
-	rng            *rand.Rand
-	voterSet       consensus.VoterSet // without voters while not known
-	persistedEpoch uint64             // epoch of the membership on disk
-	acceptedEpoch  uint64             // epoch of the vote on disk
-	ready          bool               // knows what it promised
-	seeds          []string           // as the settings are now
-	highestBallot  uint64             // of all ballots that were seen
-	committedVote  consensus.Vote     // newest whose ballot and value are known to be committed
-	committed      consensus.Value
-
-	systemID     consensus.SystemID     // 0 while not known
-	readySince   time.Time              // since when this process may vote
-	persisting   bool                   // a newer list is being written
-	unresponsive []string               // voters that don't answer this process
-	peers        []consensus.PeerStatus // of the other processes of the core
+	lifetime  *lifetime
+	learner   *learner
+	directory *coreDirectory
+	acceptor  *acceptor
+	proposer  *proposer
+	voters    *voterManager
+	responder *responder
+	register  *register
+	api       *operatorAPI
+	log       *logrus.Logger
 }
 
-// Open starts a Server. The disk is opened in the background, however long it takes.
-func Open(o Options) (*Server, error) {
-	if o.Self == "" || o.Transport == nil || o.Log == nil {
+// Open starts a Server. The disk is opened in the background, however long it takes. Options that lack something that is required
+// are a trace.BadParameter.
+func Open(options Options) (*Server, error) {
+	if options.Self == "" || options.Transport == nil || options.Log == nil {
 		return nil, trace.BadParameter("a server needs its own name, a transport and a log")
 	}
-	if o.openStore == nil {
-		o.openStore = openStorage
+	if options.openStore == nil {
+		options.openStore = openStorage
 	}
-	d := &Server{options: o, seeds: o.Seeds, startedAt: time.Now(), jobs: make(chan *acceptorJob, 64), ballotSlot: make(chan struct{}, 1), commitUpdated: make(chan struct{}, 1)}
-	d.ctx, d.cancel = context.WithCancel(context.Background())
-	life := uint64(time.Now().UnixNano())
-	d.rng = rand.New(rand.NewPCG(o.Seed, life))
-	d.proposerID = fmt.Sprintf("%s#%x", o.Self, d.rng.Uint64())
-	k := &acceptor{server: d}
-	for _, f := range []func(){k.run, d.notifyCommitted, d.logLatest, d.runVoterManager} {
-		d.wg.Go(f)
-	}
-	return d, nil
+	s := newServer(&options)
+	monitor := newVoterMonitor(s.voters, s.log)
+	s.lifetime.start(s.acceptor.run)
+	s.lifetime.start(s.learner.runNotifications)
+	s.lifetime.start(s.logLatest)
+	s.lifetime.start(monitor.run)
+	return s, nil
 }
 
-// Close ends the server's goroutines; it waits for the disk.
-func (d *Server) Close() {
-	d.cancel()
-	d.wg.Wait()
+// newServer connects the parts. It draws the proposer's name before any other random number.
+func newServer(options *Options) *Server {
+	startedAt := time.Now()
+	random := rand.New(rand.NewPCG(options.Seed, uint64(startedAt.UnixNano())))
+	s := &Server{log: options.Log, lifetime: newLifetime(), learner: newLearner(options.Log, options.OnCommit)}
+	s.directory = &coreDirectory{self: options.Self, running: options.Cores, seeds: options.Seeds}
+	client := &peerClient{self: options.Self, transport: options.Transport, log: s.log, lifetime: s.lifetime, learner: s.learner}
+	waits := &backoff{ctx: s.lifetime.ctx, random: random}
+	s.proposer = &proposer{
+		id: fmt.Sprintf("%s#%x", options.Self, random.Uint64()), backoff: waits, learner: s.learner,
+		directory: s.directory, client: client, slot: make(chan struct{}, 1),
+	}
+	s.acceptor = &acceptor{
+		log: s.log, lifetime: s.lifetime, backoff: waits, learner: s.learner, observeBallot: s.proposer.observeBallot,
+		self: options.Self, initialStart: options.InitialStart, initialVoters: initialVoters(options.Seeds),
+		jobs: make(chan *acceptorJob, maxQueuedJobs),
+		disk: recordDisk{self: options.Self, folder: options.Folder, log: s.log, openStore: options.openStore},
+	}
+	recovery := &recoverer{
+		self: options.Self, log: s.log, lifetime: s.lifetime, backoff: waits, learner: s.learner, directory: s.directory,
+		client: client, install: s.acceptor.install,
+	}
+	s.acceptor.makeRecord = recovery.start
+	s.voters = &voterManager{
+		self: options.Self, tolerated: options.Tolerated, lifetime: s.lifetime, backoff: waits, learner: s.learner,
+		directory: s.directory, client: client, acceptor: s.acceptor, proposer: s.proposer,
+	}
+	s.responder = &responder{log: s.log, learner: s.learner, acceptor: s.acceptor, proposer: s.proposer, voters: s.voters}
+	client.local = s.responder.answer
+	s.register = &register{proposer: s.proposer, growth: &growth{
+		startedAt: startedAt, initialStart: options.InitialStart, tolerated: options.Tolerated, backoff: waits, learner: s.learner,
+		directory: s.directory, proposer: s.proposer,
+	}}
+	s.api = &operatorAPI{register: s.register, log: s.log}
+	return s
 }
 
-// firstVoters are the voters at the first start.
-func (d *Server) firstVoters() []string {
-	seeds := slices.Clone(d.options.Seeds)
-	slices.Sort(seeds)
-	seeds = slices.Compact(seeds)
-	return seeds[:min(len(seeds), maxInitialVoters)]
+// initialVoters are the voters at the first start of the whole system.
+func initialVoters(seeds []string) []string {
+	voters := slices.Clone(seeds)
+	slices.Sort(voters)
+	voters = slices.Compact(voters)
+	return voters[:min(len(voters), maxInitialVoters)]
 }
 
-// Voters are the processes that vote, by their control addresses; none while this process does not know.
-func (d *Server) Voters() []string { return d.VoterSet().Voters }
+// Close ends the server's goroutines and waits for them, the disk included.
+func (s *Server) Close() { s.lifetime.close() }
 
-// VoterSet is the newest list of voters that this process knows as decided.
-func (d *Server) VoterSet() consensus.VoterSet {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.voterSet
-}
+// Handler serves the operators' calls, POST /configuration/replace and GET /configuration/retrieve.
+func (s *Server) Handler() http.Handler { return s.api.handler() }
 
-// Accepted is the epoch of the newest vote of this process; ready is false while its record isn't read from disk, or is lost.
-func (d *Server) Accepted() (epoch uint64, ready bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.acceptedEpoch, d.ready
+// Serve answers a request that another core process sent with its Transport.
+func (s *Server) Serve(ctx context.Context, request []byte) ([]byte, error) {
+	return s.responder.serve(ctx, request)
 }
 
-func (d *Server) adoptVoterSet(e consensus.VoterSet) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.setVoterSet(e)
+// ReadLatest is a linearizable read: the newest value that was committed when it was called, or a newer one. It is in contact with
+// a majority of the voters after the call began, and fails when ctx ends before that.
+func (s *Server) ReadLatest(ctx context.Context) (consensus.Value, error) {
+	return s.register.readLatest(ctx)
 }
 
-// setVoterSet notes a membership that is decided. The lock is held.
-func (d *Server) setVoterSet(e consensus.VoterSet) {
-	if len(e.Voters) == 0 || len(d.voterSet.Voters) > 0 && e.Epoch <= d.voterSet.Epoch {
-		return
-	}
-	d.voterSet = e
-	if e.Epoch > 0 {
-		d.options.Log.WithField("epoch", e.Epoch).WithField("voters", e.Voters).Info("voters")
-	}
+// Replace puts a configuration in place of version base. The same call may be made again, at any process and any number of times.
+// The outcome is Unknown if there is no contact with a majority before ctx ends, and for a repeat that is older than what the
+// register remembers.
+func (s *Server) Replace(ctx context.Context, base configuration.Version, raw []byte) ReplaceResult {
+	return s.register.replace(ctx, base, raw)
 }
 
-// observeBallot notes a ballot, so that the next one of this process is above it.
-func (d *Server) observeBallot(b consensus.Ballot) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.highestBallot = max(d.highestBallot, b.Number)
-}
+// Committed is the newest value that this process knows is committed, if there is any. Newer ones may be committed already.
+func (s *Server) Committed() (consensus.Value, bool) { return s.learner.newestValue() }
 
-func (d *Server) nextBallot() consensus.Ballot {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.highestBallot++
-	return consensus.Ballot{Number: d.highestBallot, Proposer: d.proposerID}
+// LearnCommitted notes that a value is committed, by the word of another process.
+func (s *Server) LearnCommitted(value consensus.Value) {
+	s.learner.learnVote(consensus.Vote{Value: value})
 }
 
-func (d *Server) newestCommittedVote() consensus.Vote {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.committedVote
-}
+// VoterSet is the newest voter set that this process knows as decided; without voters while it knows none.
+func (s *Server) VoterSet() consensus.VoterSet { return s.learner.voterSet() }
 
-// Committed is the newest value that this process knows is committed, if there is any. Newer ones may be committed already.
-func (d *Server) Committed() (consensus.Value, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.committed, d.committed.Version > 0
+// Voters are the names of the processes that vote; none while this process does not know.
+func (s *Server) Voters() []string { return s.VoterSet().Voters }
+
+// Accepted is the epoch of the voter set in the newest vote of this process; ready is false while its record isn't read from disk,
+// or is lost.
+func (s *Server) Accepted() (epoch uint64, ready bool) {
+	status := s.acceptor.status()
+	return status.acceptedEpoch, status.ready
 }
 
-// LearnCommitted is told by another process that a value is committed.
-func (d *Server) LearnCommitted(w consensus.Value) { d.learn(consensus.Vote{Value: w}) }
+// SetSeeds tells that the operator's settings name other seeds now.
+func (s *Server) SetSeeds(seeds []string) { s.directory.setSeeds(seeds) }
 
-func (d *Server) learn(v consensus.Vote) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if v.Ballot.Compare(d.committedVote.Ballot) > 0 {
-		v.Learned = false
-		d.committedVote = v
-	}
-	d.setVoterSet(v.Value.VoterSet)
-	if v.Value.Version > d.committed.Version {
-		d.committed = v.Value
-		select {
-		case d.commitUpdated <- struct{}{}:
-		default: // it is told already, and takes the newest
-		}
-	}
+// AddVoter makes a core process a voter.
+func (s *Server) AddVoter(ctx context.Context, node string) error { return s.voters.add(ctx, node) }
+
+// RetireVoter removes a voter for good, unless AddVoter adds it again. Another takes its place in the same step if there is one,
+// and else as soon as there is.
+func (s *Server) RetireVoter(ctx context.Context, node string) error {
+	return s.voters.retire(ctx, node)
 }
 
-// notifyCommitted calls OnCommit with newer versions only.
-func (d *Server) notifyCommitted() {
-	var told configuration.Version
-	for {
-		select {
-		case <-d.ctx.Done():
-			return
-		case <-d.commitUpdated:
-		}
-		w, _ := d.Committed()
-		if w.Version > told && d.options.OnCommit != nil {
-			told = w.Version
-			d.options.OnCommit(w)
-		}
+// HandOver gives this process's place among the voters to another one before it ends. Without one that is ready, or will be soon,
+// it stays a voter, as one that is only restarted does.
+func (s *Server) HandOver(ctx context.Context) error { return s.voters.handOver(ctx) }
+
+// logLatest logs which value is committed when the process starts.
+func (s *Server) logLatest(ctx context.Context) {
+	value, err := s.ReadLatest(ctx)
+	if err == nil {
+		s.log.WithField("version", value.Version).Info("newest configuration known")
 	}
 }
