--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -80,16 +80,16 @@
 	t.change(ctx, 2, newest+1, body)
 	t.sever(0, 3, true, true, true)
 	t.change(ctx, 2, newest+2, body)
-	whole := time.Since(began)
+	changed := time.Since(began)
 	t.sever(0, 3, true, true, false)
 	_, after, _ := t.traffic(2)
-	held, disk := t.voteOnDisk(2)
-	t.c.Assert(held, qt.Equals, newest+2)
+	version, disk := t.voteOnDisk(2)
+	t.c.Assert(version, qt.Equals, newest+2)
 	synctest.Wait()
 	t.inForceSince(2, newest)
 	t.c.Logf("%s: read after %v, two changes after %v, %d bytes sent and received, %d on disk",
-		label, read.Round(time.Millisecond), whole.Round(time.Millisecond), after-before, disk)
-	t.c.Assert(whole < 2*time.Second, qt.IsTrue)
+		label, read.Round(time.Millisecond), changed.Round(time.Millisecond), after-before, disk)
+	t.c.Assert(changed < 2*time.Second, qt.IsTrue)
 	t.c.Assert(disk < bodyBytes+8<<10, qt.IsTrue)
 	return after - before
 }
@@ -99,56 +99,56 @@
 // receives and writes until then does not grow with the number of changes.
 func TestCatchUpIsFlat(t *testing.T) {
 	body := strings.Repeat("x", bodyBytes)
-	runNetwork(t, 3, 1, func(x *testNetwork, ctx context.Context) {
-		x.testCore.mu.Lock()
-		x.maxDelay = float64(2 * time.Millisecond)
-		x.testCore.mu.Unlock()
+	runNetwork(t, 3, 1, func(ctx context.Context, network *testNetwork) {
+		network.testCore.mu.Lock()
+		network.maxDelay = float64(2 * time.Millisecond)
+		network.testCore.mu.Unlock()
 		newest := configuration.Version(1)
-		x.change(ctx, 0, newest, body)
+		network.change(ctx, 0, newest, body)
 		var sums []int
 		for _, changes := range []configuration.Version{10, 300, 1000} { // the history in a value is full after 256
-			x.stop(2)
+			network.stop(2)
 			for range changes {
 				newest++
-				x.change(ctx, int(newest)%2, newest, body)
+				network.change(ctx, int(newest)%2, newest, body)
 			}
-			sums = append(sums, x.catchUp(ctx, newest, body, fmt.Sprintf("%d changes, old folder", changes)))
+			sums = append(sums, network.catchUp(ctx, newest, body, fmt.Sprintf("%d changes, old folder", changes)))
 			newest += 2
-			x.stop(2)
-			x.disks[node(2)] = nil
-			sums = append(sums, x.catchUp(ctx, newest, body, fmt.Sprintf("%d changes, empty folder", changes)))
+			network.stop(2)
+			network.disks[node(2)] = nil
+			sums = append(sums, network.catchUp(ctx, newest, body, fmt.Sprintf("%d changes, empty folder", changes)))
 			newest += 2
 		}
 		for i := range 2 { // how many messages pass is a matter of chance
-			x.c.Assert(sums[4+i] < 2*sums[2+i], qt.IsTrue, qt.Commentf("bytes: %v", sums))
+			network.c.Assert(sums[4+i] < 2*sums[2+i], qt.IsTrue, qt.Commentf("bytes: %v", sums))
 		}
 	})
 }
 
 // A member that held an old version answers nothing from it, while the others are away: its folder is of no use alone.
 func TestOldFolderAloneSaysNothing(t *testing.T) {
-	runNetwork(t, 3, 1, func(x *testNetwork, ctx context.Context) {
-		x.change(ctx, 0, 1, "")
+	runNetwork(t, 3, 1, func(ctx context.Context, network *testNetwork) {
+		network.change(ctx, 0, 1, "")
 		time.Sleep(time.Second)
-		x.stop(2)
+		network.stop(2)
 		for v := configuration.Version(2); v <= 100; v++ {
-			x.change(ctx, 1, v, "")
+			network.change(ctx, 1, v, "")
 		}
-		x.stop(0)
-		x.stop(1)
-		x.forget(2)
-		x.open(2, false)
+		network.stop(0)
+		network.stop(1)
+		network.forget(2)
+		network.open(2, false)
 		short, cancel := context.WithTimeout(ctx, 10*callTimeout)
 		defer cancel()
-		_, err := x.server(2).ReadLatest(short)
-		x.c.Assert(err, qt.IsNotNil)
-		x.c.Assert(x.server(2).Replace(short, 1, config(2, "another")).Outcome, qt.Equals, Unknown)
-		x.open(0, false) // a majority, of which one member is old
-		x.c.Assert(x.newest(ctx, 2), qt.Equals, configuration.Version(100))
-		x.c.Assert(x.server(2).Replace(ctx, 1, config(2, "another")).Outcome, qt.Equals, Conflict)
-		x.change(ctx, 2, 101, "")
+		_, err := network.server(2).ReadLatest(short)
+		network.c.Assert(err, qt.IsNotNil)
+		network.c.Assert(network.server(2).Replace(short, 1, config(2, "another")).Outcome, qt.Equals, Unknown)
+		network.open(0, false) // a majority, of which one member is old
+		network.c.Assert(network.newest(ctx, 2), qt.Equals, configuration.Version(100))
+		network.c.Assert(network.server(2).Replace(ctx, 1, config(2, "another")).Outcome, qt.Equals, Conflict)
+		network.change(ctx, 2, 101, "")
 		synctest.Wait()
-		x.inForceSince(2, 100)
+		network.inForceSince(2, 100)
 	})
 }
 
@@ -158,31 +158,31 @@
 	const trip, sync = 10 * time.Millisecond, 3 * time.Millisecond // to and fro, on average; of a disk
 	body := strings.Repeat("x", bodyBytes)
 	for _, changes := range []configuration.Version{10, 300} {
-		runNetwork(t, 3, 1, func(x *testNetwork, ctx context.Context) {
+		runNetwork(t, 3, 1, func(ctx context.Context, network *testNetwork) {
 			for v := configuration.Version(1); v <= changes; v++ {
-				x.change(ctx, 0, v, "")
+				network.change(ctx, 0, v, "")
 			}
 			time.Sleep(time.Second)
-			for _, m := range x.disks {
+			for _, m := range network.disks {
 				m.configure(func() { m.slow = sync })
 			}
-			x.testCore.mu.Lock()
-			x.maxDelay = float64(trip)
-			x.testCore.mu.Unlock()
+			network.testCore.mu.Lock()
+			network.maxDelay = float64(trip)
+			network.testCore.mu.Unlock()
 			const counted = 20
-			messages, bytes, syncs := x.traffic(0)
+			messages, bytes, syncs := network.traffic(0)
 			began := time.Now()
 			for v := changes + 1; v <= changes+counted; v++ {
-				x.change(ctx, 0, v, body)
+				network.change(ctx, 0, v, body)
 			}
 			took := time.Since(began)
 			time.Sleep(time.Second)
-			messages2, bytes2, syncs2 := x.traffic(0)
+			messages2, bytes2, syncs2 := network.traffic(0)
 			t.Logf("after %d changes: %v, %d messages, %d bytes at the server that takes it, %d syncs for each change", changes,
 				(took / counted).Round(100*time.Microsecond), (messages2-messages)/counted, (bytes2-bytes)/counted, (syncs2-syncs)/counted)
-			x.c.Assert(took/counted < 2*(2*trip+sync), qt.IsTrue)
-			x.c.Assert((syncs2-syncs)/counted <= 6, qt.IsTrue)
-			x.c.Assert((bytes2-bytes)/counted < 2*bodyBytes+24<<10, qt.IsTrue)
+			network.c.Assert(took/counted < 2*(2*trip+sync), qt.IsTrue)
+			network.c.Assert((syncs2-syncs)/counted <= 6, qt.IsTrue)
+			network.c.Assert((bytes2-bytes)/counted < 2*bodyBytes+24<<10, qt.IsTrue)
 		})
 	}
 }
@@ -197,7 +197,7 @@
 	folder := t.TempDir()
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
-	defer store.Close()
+	defer func() { c.Check(store.Close(), qt.IsNil) }()
 	body := []byte(strings.Repeat("x", 200<<10))
 	most := int64(0)
 	for i := range changes {
--- /dev/null
+++ b/internal/mesh/control/controlplane/core_test.go
@@ -0,0 +1,271 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/control/consensus"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+// testCore is a few servers in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
+type testCore struct {
+	c         *qt.C
+	seeds     []string
+	mu        sync.Mutex
+	servers   map[string]*Server
+	disks     map[string]*memoryStore
+	isolated  map[string]bool
+	notified  map[string][]configuration.Version // by OnCommit
+	tolerated int                                // losses; 0: the voters stay as they are
+
+	rng      *rand.Rand
+	maxDelay float64 // of requests and replies, at most
+	lossRate float64 // how many of them are lost
+
+	blocked map[[2]string]bool // ways between two nodes, by their names, on which nothing passes
+	drops   consensus.RequestKind
+}
+
+// memoryStore is a disk whose writes may be slow, blocked, or fail, before or after they are done.
+type memoryStore struct {
+	mu      sync.Mutex
+	records map[string][]byte
+	gate    chan struct{} // writes wait until it is closed
+	slow    time.Duration // of a write
+	fault   error         // of writes
+	only    string        // the key whose writes fail, if not all
+	torn    bool          // what fails is written all the same
+}
+
+// configure changes the store under its lock.
+func (m *memoryStore) configure(f func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	f()
+}
+
+func (m *memoryStore) Get(key string) ([]byte, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if data, ok := m.records[key]; ok {
+		return data, nil
+	}
+	return nil, trace.NotFound("record %q", key)
+}
+
+func (m *memoryStore) Put(key string, data []byte) error {
+	var gate chan struct{}
+	var slow time.Duration
+	m.configure(func() { gate, slow = m.gate, m.slow })
+	if gate != nil {
+		<-gate
+	}
+	time.Sleep(slow) // of the bubble's time
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	fails := m.fault != nil && strings.HasPrefix(key, m.only)
+	if !fails || m.torn {
+		m.records[key] = data
+	}
+	if fails {
+		return m.fault
+	}
+	return nil
+}
+
+func (m *memoryStore) Close() error { return nil }
+
+// link carries the requests of one server to the others.
+type link struct {
+	core *testCore
+	from string
+}
+
+func (l link) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
+	l.core.mu.Lock()
+	server := l.core.servers[node]
+	lost := server == nil || l.core.isolated[node] || l.core.isolated[l.from] ||
+		l.core.blocked[[2]string{l.from, node}] || l.core.blocked[[2]string{node, l.from}]
+	var sent consensus.Request
+	lost = lost || l.core.drops != 0 && codec.Unmarshal(request, &sent) == nil && sent.Kind == l.core.drops
+	l.core.mu.Unlock()
+	if !lost && l.passes() {
+		if reply, err := server.Serve(ctx, request); l.passes() {
+			return reply, err
+		}
+	}
+	<-ctx.Done() // as a cut says nothing
+	return nil, trace.ConnectionProblem(ctx.Err(), "no way from %s to %s", l.from, node)
+}
+
+// passes reports whether a message arrives, after its delay.
+func (l link) passes() bool {
+	l.core.mu.Lock()
+	late := time.Duration(l.core.maxDelay * l.core.rng.Float64())
+	lost := l.core.rng.Float64() < l.core.lossRate
+	l.core.mu.Unlock()
+	time.Sleep(late) // of the bubble's time
+	return !lost
+}
+
+// node is the name of a server.
+func node(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
+
+// runCore runs a test in a bubble, with n servers of which the first three are voters.
+func runCore(t *testing.T, n int, test func(ctx context.Context, co *testCore)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		co := &testCore{
+			c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memoryStore{}, isolated: map[string]bool{},
+			notified: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)},
+		}
+		for i := range n {
+			co.start(i, true)
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), 24*time.Hour)
+		defer cancel()
+		defer func() {
+			for i := range 9 {
+				if co.server(i) != nil {
+					co.stop(i)
+				}
+			}
+			time.Sleep(requestTimeout) // of the bubble's time: what was on its way has come
+		}()
+		test(ctx, co)
+	})
+}
+
+// start starts a server on its disk; first says that it is the first start of the system.
+func (t *testCore) start(i int, first bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	self := node(i)
+	if t.disks[self] == nil {
+		t.disks[self] = &memoryStore{records: map[string][]byte{}}
+	}
+	kept := t.disks[self]
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	var cores func() []string
+	if t.tolerated > 0 {
+		cores = func() []string { return t.cores(self) }
+	}
+	server, err := Open(Options{
+		Self: self, Seeds: t.seeds, Tolerated: t.tolerated, Cores: cores, InitialStart: first, Transport: link{t, self}, Log: log, Seed: 1,
+		OnCommit: func(value consensus.Value) {
+			t.mu.Lock()
+			defer t.mu.Unlock()
+			t.notified[self] = append(t.notified[self], value.Version)
+		},
+		openStore: func(string) (recordStore, error) { return kept, nil },
+	})
+	t.c.Assert(err, qt.IsNil)
+	t.servers[self] = server
+}
+
+// stop ends a server as a kill would: what is on disk stays.
+func (t *testCore) stop(i int) {
+	t.mu.Lock()
+	server := t.servers[node(i)]
+	delete(t.servers, node(i))
+	t.mu.Unlock()
+	server.Close()
+}
+
+func (t *testCore) server(i int) *Server { return t.servers[node(i)] }
+
+// isolate cuts a server off from all others, or ends that.
+func (t *testCore) isolate(i int, cut bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.isolated[node(i)] = cut
+}
+
+// config is a configuration of a version; more sets it apart from others of the same one.
+func config(v configuration.Version, more string) []byte {
+	return fmt.Appendf(nil, `{"configVersion":"%v","routeTable":[],"x":%q}`, v, more)
+}
+
+// replace sends a change to a server.
+func (t *testCore) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
+	return t.server(i).Replace(ctx, base, config(v, "")).Outcome
+}
+
+// newest reads at a server.
+func (t *testCore) newest(ctx context.Context, i int) configuration.Version {
+	value, err := t.server(i).ReadLatest(ctx)
+	t.c.Assert(err, qt.IsNil)
+	return value.Version
+}
+
+// cores are the servers that one of them can reach.
+func (t *testCore) cores(self string) (list []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for node := range t.servers {
+		if !t.isolated[node] && !t.isolated[self] {
+			list = append(list, node)
+		}
+	}
+	return list
+}
+
+// grown runs a test with n servers that tolerate f losses, once there are so many voters.
+func grown(t *testing.T, n, f, voters int, test func(ctx context.Context, co *testCore)) {
+	t.Helper()
+	runCore(t, 0, func(ctx context.Context, co *testCore) {
+		co.tolerated = f
+		for i := range n {
+			co.start(i, true)
+		}
+		co.await(7*time.Second, func() bool { return co.everyone(voters) })
+		test(ctx, co)
+	})
+}
+
+// everyone reports whether all servers know of so many voters.
+func (t *testCore) everyone(voters int) bool {
+	for _, server := range t.servers {
+		if len(server.Voters()) != voters {
+			return false
+		}
+	}
+	return true
+}
+
+// await waits for something, of the bubble's time.
+func (t *testCore) await(most time.Duration, done func() bool) {
+	for began := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
+		t.c.Assert(time.Since(began) < most, qt.IsTrue, qt.Commentf("not after %v", most))
+	}
+}
+
+// lose stops a server whose disk is gone.
+func (t *testCore) lose(i int) {
+	t.stop(i)
+	t.disks[node(i)] = nil
+}
+
+// grownAfter is grown with four servers, after a first change.
+func grownAfter(t *testing.T, test func(ctx context.Context, co *testCore)) {
+	t.Helper()
+	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
+		time.Sleep(2 * time.Second)
+		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		test(ctx, co)
+	})
+}
--- a/internal/mesh/control/controlplane/doc.go
+++ b/internal/mesh/control/controlplane/doc.go
@@ -29,7 +29,7 @@
 //	    │ no record, or a corrupt one                           │  └───┘ and written again
 //	    ▼                                                       │
 //	recovering ─────────────────────────────────────────────────┘
-//	            enough voters have told what they promised and accepted
+//	            enough voters have reported what they promised and accepted
 //
 // Only a ready acceptor votes. One that is recovering answers NotReady, and makes attempts until it has a record; an error of the
 // disk leaves it loading.
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -77,8 +78,9 @@
 }
 
 // secondLoss exchanges node 0 for the empty node 3, and loses another one so long after that.
-func secondLoss(t *testing.T, s second, victim int, at time.Duration) {
-	runCore(t, 0, func(co *testCore, ctx context.Context) {
+func secondLoss(t *testing.T, loss second, victim int, at time.Duration) {
+	t.Helper()
+	runCore(t, 0, func(ctx context.Context, co *testCore) {
 		co.tolerated = 1
 		for i := range 3 {
 			co.start(i, true)
@@ -88,12 +90,12 @@
 		co.start(3, false)
 		time.Sleep(at)
 		version := configuration.Version(1)
-		if s.wipe {
+		if loss.wipe {
 			co.c.Assert(co.server(2).Voters(), qt.DeepEquals, []string{node(1), node(2), node(3)})
 			co.c.Assert(co.replace(ctx, 1, 1, 2), qt.Equals, Applied)
 			version = 2
 		}
-		s.do(co, victim, []int{1, 2, 3})
+		loss.do(co, victim, []int{1, 2, 3})
 		at := victim%3 + 1
 		co.c.Assert(co.newest(ctx, at), qt.Equals, version, qt.Commentf("%v, node %d", at, victim))
 		co.c.Assert(co.replace(ctx, at, version, version+1), qt.Equals, Applied)
@@ -109,7 +111,7 @@
 			if victim == leaving {
 				continue
 			}
-			grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
+			grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
 				time.Sleep(2 * time.Second) // they know of each other
 				other := (leaving + 1) % 3
 				co.isolate(other, true) // so that the one that leaves holds what one other holds
@@ -138,49 +140,56 @@
 func TestTwoReplacedThenTwoLost(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		for _, victims := range [][2]int{{2, 3}, {3, 4}, {2, 5}, {5, 6}, {4, 6}} {
-			grown(t, 5, 2, 5, func(co *testCore, ctx context.Context) {
-				co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
-				if ends {
-					co.start(5, false)
-					co.start(6, false)
-					time.Sleep(time.Second)
-					var both sync.WaitGroup
-					for i := range 2 {
-						d := co.server(i)
-						both.Go(func() {
-							short, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
-							defer cancel()
-							co.c.Check(d.HandOver(short), qt.IsNil)
-						})
+			t.Run(fmt.Sprintf("victims %v, handed over: %v", victims, ends), func(t *testing.T) {
+				grown(t, 5, 2, 5, func(ctx context.Context, co *testCore) {
+					co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+					co.replaceFirstTwo(ctx, ends)
+					time.Sleep(catchUp)
+					co.c.Assert(co.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
+					co.c.Assert(co.replace(ctx, 4, 1, 2), qt.Equals, Applied)
+					for _, v := range victims {
+						co.lose(v)
 					}
-					both.Wait()
-				}
-				co.lose(0)
-				co.lose(1)
-				if !ends {
-					time.Sleep(time.Second)
-					co.start(5, false)
-					co.start(6, false)
-				}
-				time.Sleep(catchUp)
-				co.c.Assert(co.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
-				co.c.Assert(co.replace(ctx, 4, 1, 2), qt.Equals, Applied)
-				for _, v := range victims {
-					co.lose(v)
-				}
-				for _, v := range victims {
-					co.start(v, false)
-				}
-				co.c.Assert(co.newest(ctx, victims[0]), qt.Equals, configuration.Version(2))
-				co.c.Assert(co.replace(ctx, victims[1], 2, 3), qt.Equals, Applied)
+					for _, v := range victims {
+						co.start(v, false)
+					}
+					co.c.Assert(co.newest(ctx, victims[0]), qt.Equals, configuration.Version(2))
+					co.c.Assert(co.replace(ctx, victims[1], 2, 3), qt.Equals, Applied)
+				})
+			})
+		}
+	}
+}
+
+// replaceFirstTwo has the empty servers 5 and 6 come for 0 and 1, which hand over or are gone before.
+func (t *testCore) replaceFirstTwo(ctx context.Context, handOver bool) {
+	if handOver {
+		t.start(5, false)
+		t.start(6, false)
+		time.Sleep(time.Second)
+		var both sync.WaitGroup
+		for i := range 2 {
+			leaving := t.server(i)
+			both.Go(func() {
+				short, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
+				defer cancel()
+				t.c.Check(leaving.HandOver(short), qt.IsNil)
 			})
 		}
+		both.Wait()
+	}
+	t.lose(0)
+	t.lose(1)
+	if !handOver {
+		time.Sleep(time.Second)
+		t.start(5, false)
+		t.start(6, false)
 	}
 }
 
 // Without another that could take its place a voter that ends stays one, and doesn't wait. One that is alone ends, too.
 func TestHandOverToNobody(t *testing.T) {
-	grown(t, 3, 1, 3, func(co *testCore, ctx context.Context) {
+	grown(t, 3, 1, 3, func(ctx context.Context, co *testCore) {
 		began := time.Now()
 		co.c.Assert(co.server(0).HandOver(ctx), qt.IsNil)
 		co.c.Assert(time.Since(began) < 100*time.Millisecond, qt.IsTrue)
@@ -196,7 +205,7 @@
 
 // A voter that one process can't reach, but the others can, stays; and one process alone replaces nobody.
 func TestOneProcessCantReplace(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
+	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
 		co.mu.Lock()
 		co.blocked = map[[2]string]bool{{node(1), node(0)}: true}
 		co.mu.Unlock()
@@ -214,9 +223,9 @@
 	})
 }
 
-// However voters fall silent, no more are replaced in a while than may be lost at once.
+// However voters become unresponsive, no more are replaced in a while than may be lost at once.
 func TestReplacementsAreBounded(t *testing.T) {
-	grown(t, 9, 2, 5, func(co *testCore, ctx context.Context) {
+	grown(t, 9, 2, 5, func(ctx context.Context, co *testCore) {
 		first := co.server(0).VoterSet().Epoch
 		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		rng := rand.New(rand.NewPCG(7, 7))
@@ -248,7 +257,7 @@
 	}
 	var took []time.Duration
 	for run := range runs {
-		runCore(t, 0, func(co *testCore, ctx context.Context) {
+		runCore(t, 0, func(ctx context.Context, co *testCore) {
 			co.tolerated, co.maxDelay, co.lossRate = 1, float64(10*time.Millisecond), 0.02
 			rng := rand.New(rand.NewPCG(uint64(run), 4))
 			co.rng = rand.New(rand.NewPCG(uint64(run), 3))
@@ -277,34 +286,34 @@
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var table failureDetector
-	table.track(at(0), []string{"a", "b"})
-	c.Assert(table.startProbes(), qt.DeepEquals, []string{"a", "b"})
-	c.Assert(table.startProbes(), qt.HasLen, 0)
-	table.observeReply(at(10), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
-	table.observeReply(at(1000), "b", nil)
-	c.Assert(table.startProbes(), qt.DeepEquals, []string{"a", "b"})
-	c.Assert(table.unresponsive(at(1999), []string{"a", "b"}), qt.HasLen, 0)
-	table.observeReply(at(1900), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
-	c.Assert(table.unresponsive(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
+	var detector failureDetector
+	detector.track(at(0), []string{"a", "b"})
+	c.Assert(detector.startProbes(), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(detector.startProbes(), qt.HasLen, 0)
+	detector.observeReply(at(10), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
+	detector.observeReply(at(1000), "b", nil)
+	c.Assert(detector.startProbes(), qt.DeepEquals, []string{"a", "b"})
+	c.Assert(detector.unresponsive(at(1999), []string{"a", "b"}), qt.HasLen, 0)
+	detector.observeReply(at(1900), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
+	c.Assert(detector.unresponsive(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
 	never := func(string) bool { return false }
-	list := table.peerStatuses(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
+	list := detector.peerStatuses(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
 	c.Assert(list, qt.DeepEquals, []consensus.PeerStatus{
 		{Node: "a", Responsive: true, StateDuration: 1990 * time.Millisecond, Ready: true},
 		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2},
 	})
-	table.resetTimeouts(at(60000)) // it stood still: nobody is silent yet
-	c.Assert(table.unresponsive(at(61000), []string{"a", "b"}), qt.HasLen, 0)
-	table.observeReply(at(61000), "b", &consensus.Reply{})
-	c.Assert(table.unresponsive(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
-	table.track(at(62000), []string{"b"})
-	table.observeReply(at(62000), "a", &consensus.Reply{}) // of no interest any more
-	c.Assert(len(table.peerStatuses(at(62000), nil, nil, never)), qt.Equals, 1)
+	detector.resetTimeouts(at(60000)) // it stood still: nobody is unresponsive yet
+	c.Assert(detector.unresponsive(at(61000), []string{"a", "b"}), qt.HasLen, 0)
+	detector.observeReply(at(61000), "b", &consensus.Reply{})
+	c.Assert(detector.unresponsive(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
+	detector.track(at(62000), []string{"b"})
+	detector.observeReply(at(62000), "a", &consensus.Reply{}) // of no interest any more
+	c.Assert(len(detector.peerStatuses(at(62000), nil, nil, never)), qt.Equals, 1)
 }
 
-// When a change of the voters returns, a majority of the new list has the list on disk, also if nobody was told that it is decided.
+// When a change of the voters returns, a majority of the new list has the list on disk, also if nobody was notified that it is decided.
 func TestChangeReturnsWithTheListOnDisk(t *testing.T) {
-	grownAfter(t, func(co *testCore, ctx context.Context) {
+	grownAfter(t, func(ctx context.Context, co *testCore) {
 		co.mu.Lock()
 		co.drops = consensus.Commit
 		co.mu.Unlock()
@@ -320,9 +329,9 @@
 	})
 }
 
-// A process that stood still itself takes nobody for silent, and plans nothing.
+// A process that stood still itself takes nobody for unresponsive, and plans nothing.
 func TestStandingStillIsNoSilence(t *testing.T) {
-	grownAfter(t, func(co *testCore, _ context.Context) {
+	grownAfter(t, func(_ context.Context, co *testCore) {
 		d := co.server(1)
 		r := newVoterMonitor(d.voters, d.log)
 		now := time.Now()
@@ -342,7 +351,7 @@
 func TestReplacementsAllowed(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
-	at := func(d time.Duration) time.Time { return start.Add(d) }
+	at := start.Add
 	list := func(epoch uint64, voters ...string) consensus.VoterSet {
 		return consensus.VoterSet{Epoch: epoch, Voters: voters}
 	}
--- a/internal/mesh/control/controlplane/failure_detector.go
+++ b/internal/mesh/control/controlplane/failure_detector.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// failureDetector knows which core processes answer Describe, and which voters they report as unresponsive. It is told the time.
+// failureDetector knows which core processes answer Describe, and which voters they report as unresponsive. The time is an argument of its methods.
 type failureDetector struct {
 	peers map[string]*peerState // by name
 }
@@ -101,7 +101,7 @@
 }
 
 // peerStatuses is what the planner of voter changes needs to know, sorted by name. reported are the voters that this process
-// reports as unresponsive; only a voter does. removed tells whether the operator's seeds named a process once, and don't now.
+// reports as unresponsive; only a voter does. removed reports whether the operator's seeds named a process once, and don't now.
 func (f *failureDetector) peerStatuses(now time.Time, voters, reported []string, removed func(node string) bool) (list []consensus.PeerStatus) {
 	for node, peer := range f.peers {
 		status := consensus.PeerStatus{
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -181,26 +181,23 @@
 	return goldenCall{name: name, method: "GET", path: "/configuration/retrieve"}
 }
 
-// answers calls a server and writes down what it says.
-func (g goldenCall) answer(text io.Writer, d *Server) {
+// answer calls a server and writes down what it says.
+func (g goldenCall) answer(ctx context.Context, text *bytes.Buffer, server *Server) {
 	var body io.Reader = strings.NewReader(g.body)
 	if g.broken {
 		body = iotest.ErrReader(errors.New("the link broke"))
 	}
-	r := httptest.NewRequest(g.method, g.path, body)
+	r := httptest.NewRequestWithContext(ctx, g.method, g.path, body)
 	if g.base != nil {
 		r.Header["Base-Version"] = g.base
 	}
 	w := httptest.NewRecorder()
-	d.Handler().ServeHTTP(w, r)
-	answer := w.Result()
-	defer answer.Body.Close()
-	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", g.name, g.method, g.path, g.base, answer.StatusCode)
-	for _, name := range slices.Sorted(maps.Keys(answer.Header)) {
-		fmt.Fprintf(text, "%s: %s\n", name, strings.Join(answer.Header[name], ", "))
+	server.Handler().ServeHTTP(w, r)
+	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", g.name, g.method, g.path, g.base, w.Code)
+	for _, name := range slices.Sorted(maps.Keys(w.Result().Header)) {
+		fmt.Fprintf(text, "%s: %s\n", name, strings.Join(w.Result().Header[name], ", "))
 	}
-	content, _ := io.ReadAll(answer.Body)
-	fmt.Fprintf(text, "%q\n\n", content)
+	fmt.Fprintf(text, "%q\n\n", w.Body.Bytes())
 }
 
 var goldenDecided = []goldenCall{
@@ -241,30 +238,30 @@
 // The operators' calls, good and bad, are answered as they always were.
 func TestGoldenOperatorsCalls(t *testing.T) {
 	var text bytes.Buffer
-	runCore(t, 3, func(co *testCore, ctx context.Context) {
+	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		for _, x := range goldenDecided {
-			x.answer(&text, co.server(0))
+			x.answer(ctx, &text, co.server(0))
 		}
 		co.isolate(0, true)
 		for _, x := range goldenUndecided {
-			x.answer(&text, co.server(0))
+			x.answer(ctx, &text, co.server(0))
 		}
 	})
-	runCore(t, 0, func(co *testCore, ctx context.Context) { // versions that are forgotten
+	runCore(t, 0, func(ctx context.Context, co *testCore) { // versions that are forgotten
 		record := goldenRecord()
 		record.State.Voters, record.State.Epoch, record.Vote.Value.VoterSet = []string{node(0)}, 0, consensus.VoterSet{}
 		co.disks[node(0)] = &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &record.State), voteKey: codec.MarshalAppend(nil, &record.Vote)}}
 		co.start(0, false)
-		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(&text, co.server(0))
+		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(ctx, &text, co.server(0))
 	})
-	runCore(t, 0, func(co *testCore, ctx context.Context) { // more voters are expected
+	runCore(t, 0, func(ctx context.Context, co *testCore) { // more voters are expected
 		co.tolerated = 2
 		for i := range 3 {
 			co.start(i, true)
 		}
-		replaceGolden("too few voters yet", "0", string(config(1, ""))).answer(&text, co.server(0))
+		replaceGolden("too few voters yet", "0", string(config(1, ""))).answer(ctx, &text, co.server(0))
 		time.Sleep(discoveryTime)
-		replaceGolden("too few voters, and no more come", "0", string(config(1, ""))).answer(&text, co.server(0))
+		replaceGolden("too few voters, and no more come", "0", string(config(1, ""))).answer(ctx, &text, co.server(0))
 	})
 	golden.Text(t, goldenCalls, text.Bytes())
 }
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -17,7 +17,7 @@
 )
 
 // growth delays the acknowledgement of changes while the voter set is smaller than it is to be. At the system's first start it
-// has to be: all are told of the same three processes, whose majority is two, and a change that these two alone hold must not be
+// has to be: all know of the same three processes, whose majority is two, and a change that these two alone hold must not be
 // acknowledged where two disks may be lost. It does not wait for processes that are not there, nor long after this process's
 // start.
 type growth struct {
@@ -30,7 +30,7 @@
 	proposer     *proposer
 }
 
-// await waits until the voter set tolerates as many losses as it is to. Once it returns without an error, a majority of the whole
+// await waits until the voter set tolerates as many losses as it is to. Once it returns without an error, a majority of the
 // set has the newest value and the set itself on disk.
 func (g *growth) await(ctx context.Context) error {
 	first := g.initialStart && time.Since(g.startedAt) < maxGrowthWait
--- a/internal/mesh/control/controlplane/growth_test.go
+++ b/internal/mesh/control/controlplane/growth_test.go
@@ -11,18 +11,15 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// The system starts for the first time, and is told of three processes only, while it is to bear the loss of two disks. Whenever a change
+// The system starts for the first time, and knows of three processes only, while it is to tolerate the loss of two disks. Whenever a change
 // is acknowledged, as early as may be, two disks are lost and all other processes lose power at that moment: it is there after that.
 func TestTwoDisksLostWhileTheVotersAreStillFew(t *testing.T) {
 	for _, lost := range [][2]int{{0, 1}, {1, 2}, {0, 2}, {0, 3}, {3, 4}} {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 1500 * time.Millisecond} {
-			name := fmt.Sprintf("%v after %v", lost, after)
-			t.Run(name, func(t *testing.T) {
-				runCore(t, 0, func(co *testCore, ctx context.Context) {
+			t.Run(fmt.Sprintf("%v after %v", lost, after), func(t *testing.T) {
+				runCore(t, 0, func(ctx context.Context, co *testCore) {
 					co.tolerated = 2
-					for i := range 5 {
-						co.start(i, true)
-					}
+					co.startFive(true)
 					time.Sleep(after)
 					co.c.Assert(co.insistOn(ctx, lost[0], 0, 5, 5*time.Second), qt.Equals, Applied)
 					for i := range 5 {
@@ -31,9 +28,7 @@
 					for _, i := range lost {
 						co.disks[node(i)] = nil
 					}
-					for i := range 5 {
-						co.start(i, false)
-					}
+					co.startFive(false)
 					back, cancel := context.WithTimeout(ctx, 15*time.Second)
 					defer cancel()
 					co.c.Assert(co.newest(back, 4), qt.Equals, configuration.Version(5))
@@ -44,9 +39,15 @@
 	}
 }
 
+func (t *testCore) startFive(first bool) {
+	for i := range 5 {
+		t.start(i, first)
+	}
+}
+
 // Where no more processes come than are there, nobody waits for them for long.
 func TestAChangeIsTakenWithFewerProcessesThanWanted(t *testing.T) {
-	runCore(t, 0, func(co *testCore, ctx context.Context) {
+	runCore(t, 0, func(ctx context.Context, co *testCore) {
 		co.tolerated = 2
 		for i := range 3 {
 			co.start(i, true)
--- /dev/null
+++ b/internal/mesh/control/controlplane/history_test.go
@@ -0,0 +1,131 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+
+	"quincegap/internal/mesh/control/configuration"
+)
+
+// history is what operators and readers saw, and the plain specification of it.
+type history struct {
+	mu           sync.Mutex
+	acknowledged configuration.Version            // the newest
+	sent         map[string]configuration.Version // bodies
+	refused      map[string]bool
+	bases        map[configuration.Version]string // acknowledged bodies, by what they build on
+	faults       []string
+	answers      map[string]int
+	next         configuration.Version
+}
+
+func newHistory() *history {
+	return &history{
+		sent: map[string]configuration.Version{}, refused: map[string]bool{},
+		bases: map[configuration.Version]string{}, answers: map[string]int{},
+	}
+}
+
+// fault notes that the specification was broken. h.mu is locked.
+func (h *history) fault(format string, args ...any) {
+	h.faults = append(h.faults, fmt.Sprintf(format, args...))
+}
+
+// change is an operator's change as it is sent.
+type change struct {
+	base, version configuration.Version
+	body          []byte
+}
+
+// newChange draws a change on the newest version that the operator knows.
+func (h *history) newChange(rng *rand.Rand) change {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	base := h.acknowledged
+	h.next += 1 + configuration.Version(rng.IntN(3))
+	version := max(h.next, base+1)
+	body := config(version, fmt.Sprint(rng.Uint64()))
+	h.sent[string(body)] = version
+	return change{base, version, body}
+}
+
+// operate sends one change as often as it takes to get an answer, at most thrice. cutOff is the server that is cut off, -1 for none.
+func (h *history) operate(ctx context.Context, network *testNetwork, rng *rand.Rand, servers int, cutOff func() int) {
+	sent := h.newChange(rng)
+	for range 3 {
+		i := rng.IntN(servers)
+		before := cutOff()
+		short, cancel := context.WithTimeout(ctx, callTimeout)
+		outcome := network.server(i).Replace(short, sent.base, sent.body).Outcome
+		cancel()
+		h.observe(sent, outcome, i, before == i && cutOff() == i)
+		if outcome == Conflict { // a server that refuses knows of another version in place
+			h.checkConflict(ctx, network, sent, i)
+		}
+		if outcome == Applied || outcome == Conflict {
+			return
+		}
+	}
+}
+
+// observe notes a server's answer to a change. isolated says that the server was cut off all the time.
+func (h *history) observe(sent change, outcome Outcome, server int, isolated bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.answers["order "+outcome.String()]++
+	if isolated && outcome != Unknown {
+		h.fault("server %d was cut off and answered %v to an order", server, outcome)
+	}
+	body := string(sent.body)
+	switch outcome {
+	case Applied:
+		if other, ok := h.bases[sent.base]; ok && other != body {
+			h.fault("two orders on version %v are acknowledged", sent.base)
+		}
+		h.bases[sent.base] = body
+		h.acknowledged = max(h.acknowledged, sent.version)
+	case Conflict:
+		h.refused[body] = true
+	case Unknown, Invalid:
+	}
+}
+
+// checkConflict reads at the server that refused a change.
+func (h *history) checkConflict(ctx context.Context, network *testNetwork, sent change, server int) {
+	newest, ok := h.read(ctx, network, server)
+	if ok && newest <= sent.base {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.fault("server %d refused %v on %v, with %v in place", server, sent.version, sent.base, newest)
+	}
+}
+
+// read reads at one server, and checks that the answer is no older than what was acknowledged when it began.
+func (h *history) read(ctx context.Context, network *testNetwork, server int) (configuration.Version, bool) {
+	h.mu.Lock()
+	least := h.acknowledged
+	h.mu.Unlock()
+	short, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	value, err := network.server(server).ReadLatest(short)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if err != nil {
+		h.answers["read unclear"]++
+		return 0, false
+	}
+	h.answers["read answered"]++
+	_, known := h.sent[string(value.Body)]
+	switch {
+	case value.Version < least:
+		h.fault("server %d handed out %v, %v was acknowledged before", server, value.Version, least)
+	case value.Version > 0 && !known:
+		h.fault("server %d handed out %v, which nobody sent", server, value.Version)
+	case h.refused[string(value.Body)]:
+		h.fault("server %d handed out %v, which was refused", server, value.Version)
+	}
+	h.acknowledged = max(h.acknowledged, value.Version) // read once, it stays
+	return value.Version, true
+}
--- /dev/null
+++ b/internal/mesh/control/controlplane/network_test.go
@@ -0,0 +1,122 @@
+package controlplane
+
+import (
+	"context"
+	"io"
+	"math/rand/v2"
+	"sync"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/gravitational/trace"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/consensus"
+)
+
+// testNetwork is a core whose messages may be cut one way, and are counted.
+type testNetwork struct {
+	*testCore
+	mu       sync.Mutex
+	severed  map[[2]string]bool // from, to
+	messages int
+	bytes    map[string]int // to and from each server
+	syncs    int
+}
+
+// oneWayLink carries requests of one server.
+type oneWayLink struct {
+	network *testNetwork
+	from    string
+}
+
+func (o oneWayLink) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
+	o.network.testCore.mu.Lock()
+	server := o.network.servers[node]
+	o.network.testCore.mu.Unlock()
+	if server != nil && o.network.passes(o.from, node, len(request)) {
+		if reply, err := server.Serve(ctx, request); o.network.passes(node, o.from, len(reply)) {
+			return reply, err
+		}
+	}
+	<-ctx.Done() // as a cut says nothing
+	return nil, trace.ConnectionProblem(ctx.Err(), "no way between %s and %s", o.from, node)
+}
+
+// passes counts a message and reports whether it arrives, after its delay.
+func (t *testNetwork) passes(from, to string, bytes int) bool {
+	if !(link{t.testCore, from}).passes() {
+		return false
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.severed[[2]string{from, to}] {
+		return false
+	}
+	t.messages++
+	t.bytes[from] += bytes
+	t.bytes[to] += bytes
+	return true
+}
+
+// countingStore counts writes that are synced.
+type countingStore struct {
+	*memoryStore
+	network *testNetwork
+}
+
+func (c countingStore) Put(key string, data []byte) error {
+	c.network.mu.Lock()
+	c.network.syncs++
+	c.network.mu.Unlock()
+	return c.memoryStore.Put(key, data)
+}
+
+// runNetwork runs a test in a bubble, with n servers of which the first three are voters.
+func runNetwork(t *testing.T, n int, seed uint64, test func(ctx context.Context, network *testNetwork)) {
+	t.Helper()
+	runCore(t, 0, func(ctx context.Context, co *testCore) {
+		co.rng = rand.New(rand.NewPCG(seed, 3))
+		network := &testNetwork{testCore: co, severed: map[[2]string]bool{}, bytes: map[string]int{}}
+		for i := range n {
+			network.open(i, true)
+		}
+		test(ctx, network)
+	})
+}
+
+// open starts a server on its disk.
+func (t *testNetwork) open(i int, first bool) {
+	t.testCore.mu.Lock()
+	defer t.testCore.mu.Unlock()
+	self := node(i)
+	if t.disks[self] == nil {
+		t.disks[self] = &memoryStore{records: map[string][]byte{}}
+	}
+	kept := countingStore{t.disks[self], t}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	server, err := Open(Options{
+		Self: self, Seeds: t.seeds, InitialStart: first, Transport: oneWayLink{t, self}, Log: log, Seed: uint64(i),
+		OnCommit: func(value consensus.Value) {
+			t.testCore.mu.Lock()
+			defer t.testCore.mu.Unlock()
+			t.notified[self] = append(t.notified[self], value.Version)
+		},
+		openStore: func(string) (recordStore, error) { return kept, nil },
+	})
+	t.c.Assert(err, qt.IsNil)
+	t.servers[self] = server
+}
+
+// sever cuts what one server sends or receives.
+func (t *testNetwork) sever(i, n int, sends, receives, cut bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for j := range n {
+		if j != i {
+			t.severed[[2]string{node(i), node(j)}] = cut && sends
+			t.severed[[2]string{node(j), node(i)}] = cut && receives
+		}
+	}
+}
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -23,8 +23,8 @@
 }
 
 // send sends an order once, and gives the status.
-func (t *testCore) send(i int, o order) int {
-	r := httptest.NewRequest("POST", "/configuration/replace", strings.NewReader(o.body))
+func (t *testCore) send(ctx context.Context, i int, o order) int {
+	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/configuration/replace", strings.NewReader(o.body))
 	r.Header.Set("Base-Version", o.base.String())
 	w := httptest.NewRecorder()
 	t.server(i).Handler().ServeHTTP(w, r)
@@ -35,9 +35,9 @@
 }
 
 // insist sends an order to one server after the other until it is answered 200 or 412; the first answers are lost.
-func (t *testCore) insist(from int, o order, lost int) int {
+func (t *testCore) insist(ctx context.Context, from int, o order, lost int) int {
 	for n := 0; ; n++ {
-		status := t.send((from+n)%4, o)
+		status := t.send(ctx, (from+n)%4, o)
 		if n >= lost && status != http.StatusServiceUnavailable {
 			return status
 		}
@@ -45,10 +45,10 @@
 }
 
 // everywhere wants one answer to an order from all servers.
-func (t *testCore) everywhere(status int, orders ...order) {
+func (t *testCore) everywhere(ctx context.Context, status int, orders ...order) {
 	for _, o := range orders {
 		for i := range 4 {
-			t.c.Assert(t.insist(i, o, 0), qt.Equals, status, qt.Commentf("server %d, %.40s", i, o.body))
+			t.c.Assert(t.insist(ctx, i, o, 0), qt.Equals, status, qt.Commentf("server %d, %.40s", i, o.body))
 		}
 	}
 }
@@ -58,7 +58,7 @@
 // voters, after all were killed, and after later changes.
 func TestOneNumberTwoBodies(t *testing.T) {
 	for seed := range 6 {
-		runCore(t, 4, func(co *testCore, ctx context.Context) {
+		runCore(t, 4, func(ctx context.Context, co *testCore) {
 			co.mu.Lock()
 			co.maxDelay, co.lossRate = float64(20*time.Millisecond), 0.15
 			co.mu.Unlock()
@@ -66,7 +66,7 @@
 			var status [2]int
 			var wg sync.WaitGroup
 			for n, o := range orders {
-				wg.Go(func() { status[n] = co.insist(seed+2*n, o, seed%3) })
+				wg.Go(func() { status[n] = co.insist(ctx, seed+2*n, o, seed%3) })
 			}
 			wg.Wait()
 			co.c.Assert(status == [2]int{200, 412} || status == [2]int{412, 200}, qt.IsTrue, qt.Commentf("%v", status))
@@ -75,8 +75,8 @@
 				won, lost = lost, won
 			}
 			check := func() {
-				co.everywhere(http.StatusOK, won)
-				co.everywhere(http.StatusPreconditionFailed, lost)
+				co.everywhere(ctx, http.StatusOK, won)
+				co.everywhere(ctx, http.StatusPreconditionFailed, lost)
 			}
 			check()
 			co.mu.Lock()
@@ -92,7 +92,7 @@
 				co.start(i, false)
 			}
 			check()
-			co.c.Assert(co.insist(1, order{7, string(config(9, ""))}, 2), qt.Equals, http.StatusOK)
+			co.c.Assert(co.insist(ctx, 1, order{7, string(config(9, ""))}, 2), qt.Equals, http.StatusOK)
 			check()
 			co.c.Assert(co.newest(ctx, 2), qt.Equals, configuration.Version(9))
 		})
@@ -103,15 +103,15 @@
 // that surely never were, and those on the newest version, are answered as ever.
 func TestOrdersOfAnyAge(t *testing.T) {
 	const changes = 300
-	runCore(t, 4, func(co *testCore, ctx context.Context) {
+	runCore(t, 4, func(ctx context.Context, co *testCore) {
 		var orders []order
 		for v := range configuration.Version(changes) {
 			orders = append(orders, order{v, string(config(v+1, ""))})
-			co.c.Assert(co.send(int(v)%4, orders[v]), qt.Equals, http.StatusOK)
+			co.c.Assert(co.send(ctx, int(v)%4, orders[v]), qt.Equals, http.StatusOK)
 		}
 		unknown := 0
 		for v, o := range orders {
-			status := co.send(v%4, o)
+			status := co.send(ctx, v%4, o)
 			if status == http.StatusServiceUnavailable && v == unknown {
 				unknown++
 				continue
@@ -119,16 +119,16 @@
 			co.c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%v", o))
 		}
 		co.c.Assert(unknown > 0 && unknown < 50, qt.IsTrue, qt.Commentf("%d", unknown))
-		co.everywhere(http.StatusPreconditionFailed, order{3, string(config(changes+1, ""))}, order{changes - 1, string(config(changes, "other"))},
+		co.everywhere(ctx, http.StatusPreconditionFailed, order{3, string(config(changes+1, ""))}, order{changes - 1, string(config(changes, "other"))},
 			order{2, string(config(1, ""))}, order{5, string(config(5, ""))})
-		co.c.Assert(co.send(0, order{1, string(config(2, "other"))}), qt.Equals, http.StatusServiceUnavailable)
-		co.everywhere(http.StatusOK, order{changes, string(config(changes+1, ""))})
+		co.c.Assert(co.send(ctx, 0, order{1, string(config(2, "other"))}), qt.Equals, http.StatusServiceUnavailable)
+		co.everywhere(ctx, http.StatusOK, order{changes, string(config(changes+1, ""))})
 	})
 }
 
 // A process that starts again never uses a ballot of its last start.
 func TestBallotsOfAStartAreItsOwn(t *testing.T) {
-	runCore(t, 4, func(co *testCore, ctx context.Context) {
+	runCore(t, 4, func(_ context.Context, co *testCore) {
 		before := co.server(3).proposer.nextBallot()
 		co.stop(3)
 		time.Sleep(time.Millisecond) // of the bubble's time
@@ -139,14 +139,14 @@
 
 // A server with another's folder doesn't vote, and changes nothing in it.
 func TestSwappedFolders(t *testing.T) {
-	runCore(t, 3, func(co *testCore, ctx context.Context) {
+	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		co.c.Assert(co.replace(ctx, 2, 0, 1), qt.Equals, Applied)
 		time.Sleep(time.Second) // of the bubble's time: all have it
 		for i := range 2 {
 			co.stop(i)
 		}
 		a, b := co.disks[node(0)], co.disks[node(1)]
-		held := string(a.records[voteKey])
+		before := string(a.records[voteKey])
 		co.disks[node(0)], co.disks[node(1)] = b, a
 		for i := range 2 {
 			co.start(i, false)
@@ -154,7 +154,7 @@
 		short, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
 		co.c.Assert(co.replace(short, 2, 1, 2), qt.Equals, Unknown)
-		co.c.Assert(string(a.records[voteKey]), qt.Equals, held)
+		co.c.Assert(string(a.records[voteKey]), qt.Equals, before)
 		for i := range 2 {
 			co.stop(i)
 		}
@@ -203,7 +203,7 @@
 
 // A folder that is emptied under a running voter is a lost disk, also at the system's first start.
 func TestEmptiedFolderIsNoFirstStart(t *testing.T) {
-	runCore(t, 3, func(co *testCore, ctx context.Context) {
+	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		co.c.Assert(co.replace(ctx, 1, 0, 5), qt.Equals, Applied)
 		time.Sleep(time.Second) // of the bubble's time: all have it
 		m := co.disks[node(2)]
--- a/internal/mesh/control/controlplane/proposer.go
+++ b/internal/mesh/control/controlplane/proposer.go
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// announceCommit tells those who took part in a round that its value is committed. If it made a new voter set, all core processes
-// are told.
+// announceCommit notifies those who took part in a round that its value is committed. If it made a new voter set, all core processes
+// are notified.
 func (p *proposer) announceCommit(round *consensus.Round) {
 	nodes := round.Recipients()
 	voters := p.learner.voterSet()
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"slices"
 	"testing"
 	"testing/synctest"
@@ -14,99 +15,59 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// cores are the servers that one of them can reach.
-func (t *testCore) cores(self string) (list []string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for node := range t.servers {
-		if !t.isolated[node] && !t.isolated[self] {
-			list = append(list, node)
+// Three voters become five by themselves. Then two of the five die, or lose their disks, right after an acknowledgement that
+// the two and one more gave.
+func TestTwoOfFiveAreLost(t *testing.T) {
+	for _, lost := range [][2]int{{0, 1}, {1, 2}, {2, 3}, {3, 4}, {0, 4}} {
+		for _, dead := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%v, dead: %v", lost, dead), func(t *testing.T) {
+				grown(t, 5, 2, 5, func(ctx context.Context, co *testCore) { co.loseTwoOfFive(ctx, lost, dead) })
+			})
 		}
 	}
-	return list
 }
 
-// grown runs a test with n servers that bear f losses, once there are so many voters.
-func grown(t *testing.T, n, f, voters int, test func(co *testCore, ctx context.Context)) {
-	runCore(t, 0, func(co *testCore, ctx context.Context) {
-		co.tolerated = f
-		for i := range n {
-			co.start(i, true)
-		}
-		co.await(7*time.Second, func() bool { return co.everyone(voters) })
-		test(co, ctx)
-	})
-}
-
-// everyone tells whether all servers know of so many voters.
-func (t *testCore) everyone(voters int) bool {
-	for _, d := range t.servers {
-		if len(d.Voters()) != voters {
-			return false
+// loseTwoOfFive has two servers lose their disks. They start again at once, or, if they are dead, after the next change.
+func (t *testCore) loseTwoOfFive(ctx context.Context, lost [2]int, dead bool) {
+	var away []int
+	for i := range 5 {
+		if i != lost[0] && i != lost[1] && len(away) < 2 {
+			away = append(away, i)
+			t.isolate(i, true)
 		}
 	}
-	return true
-}
-
-// await waits for something, of the bubble's time.
-func (t *testCore) await(most time.Duration, done func() bool) {
-	for began := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
-		t.c.Assert(time.Since(began) < most, qt.IsTrue, qt.Commentf("not after %v", most))
+	t.c.Assert(t.replace(ctx, lost[0], 0, 5), qt.Equals, Applied)
+	for _, i := range lost {
+		t.lose(i)
 	}
-}
-
-func (t *testCore) lose(i int) {
-	t.stop(i)
-	t.disks[node(i)] = nil
-}
-
-// Three voters become five by themselves. Then two of the five die, or lose their disks, right after an acknowledgement that
-// the two and one more gave.
-func TestTwoOfFiveAreLost(t *testing.T) {
-	for _, lost := range [][2]int{{0, 1}, {1, 2}, {2, 3}, {3, 4}, {0, 4}} {
-		for _, dead := range []bool{false, true} {
-			grown(t, 5, 2, 5, func(co *testCore, ctx context.Context) {
-				var away []int
-				for i := range 5 {
-					if i != lost[0] && i != lost[1] && len(away) < 2 {
-						away = append(away, i)
-						co.isolate(i, true)
-					}
-				}
-				co.c.Assert(co.replace(ctx, lost[0], 0, 5), qt.Equals, Applied)
-				for _, i := range lost {
-					co.lose(i)
-				}
-				for _, i := range away {
-					co.isolate(i, false)
-				}
-				at := away[0]
-				if !dead {
-					for _, i := range lost {
-						co.start(i, false)
-					}
-					at = lost[1]
-				}
-				co.c.Assert(co.newest(ctx, at), qt.Equals, configuration.Version(5))
-				co.c.Assert(co.replace(ctx, at, 5, 6), qt.Equals, Applied)
-				if dead {
-					for _, i := range lost {
-						co.start(i, false)
-					}
-				}
-				time.Sleep(5 * time.Second) // they recover
-				co.isolate(away[0], true)
-				co.isolate(away[1], true)
-				co.c.Assert(co.newest(ctx, lost[0]), qt.Equals, configuration.Version(6))
-				co.c.Assert(co.replace(ctx, lost[1], 6, 7), qt.Equals, Applied)
-			})
+	for _, i := range away {
+		t.isolate(i, false)
+	}
+	restart := func() {
+		for _, i := range lost {
+			t.start(i, false)
 		}
 	}
+	at := away[0]
+	if !dead {
+		restart()
+		at = lost[1]
+	}
+	t.c.Assert(t.newest(ctx, at), qt.Equals, configuration.Version(5))
+	t.c.Assert(t.replace(ctx, at, 5, 6), qt.Equals, Applied)
+	if dead {
+		restart()
+	}
+	time.Sleep(5 * time.Second) // they recover
+	t.isolate(away[0], true)
+	t.isolate(away[1], true)
+	t.c.Assert(t.newest(ctx, lost[0]), qt.Equals, configuration.Version(6))
+	t.c.Assert(t.replace(ctx, lost[1], 6, 7), qt.Equals, Applied)
 }
 
 // All disks but those of two survive when every server is killed right after an acknowledgement.
 func TestAllAreKilledAndTwoDisksLost(t *testing.T) {
-	grown(t, 5, 2, 5, func(co *testCore, ctx context.Context) {
+	grown(t, 5, 2, 5, func(ctx context.Context, co *testCore) {
 		co.c.Assert(co.replace(ctx, 1, 0, 5), qt.Equals, Applied)
 		for i := range 5 {
 			co.stop(i)
@@ -123,7 +84,7 @@
 
 // While voters come and go, with messages late and lost, changes are taken or unclear, and none is lost or forgotten.
 func TestChangesWhileVotersChange(t *testing.T) {
-	runCore(t, 0, func(co *testCore, ctx context.Context) {
+	runCore(t, 0, func(ctx context.Context, co *testCore) {
 		co.tolerated, co.maxDelay, co.lossRate = 2, float64(30*time.Millisecond), 0.1
 		for i := range 5 {
 			co.start(i, true)
@@ -155,7 +116,7 @@
 // A voter is taken out while it is away, and comes back hours later, with its old list: it harms nobody, learns that it's out,
 // and isn't taken in again. Added again, it votes.
 func TestRetiredComesBack(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
+	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
 		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 		co.stop(0)
 		co.c.Assert(co.server(1).RetireVoter(ctx, node(0)), qt.IsNil)
@@ -183,10 +144,10 @@
 	})
 }
 
-// A short silence leaves the voters as they are. After a longer one another takes the place of the voter that is silent; without
+// A short time-out leaves the voters as they are. After a longer one another takes the place of the unresponsive voter; without
 // another the voter stays, also after hours.
 func TestSilentVoterIsReplaced(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
+	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
 		co.isolate(0, true)
 		time.Sleep(consensus.ReplaceDelay - probeTicks*reconfigureInterval)
 		co.isolate(0, false)
@@ -211,7 +172,7 @@
 
 // Core machines are exchanged one by one, until no first voter is left; the seeds still name the first ones.
 func TestExchangedOneByOne(t *testing.T) {
-	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
+	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
 		version := configuration.Version(0)
 		for i := range 3 {
 			co.c.Assert(co.server(3).RetireVoter(ctx, node(i)), qt.IsNil)
@@ -237,7 +198,7 @@
 
 // Two of three were killed at the first start before they wrote anything. They find that nobody can have promised anything.
 func TestKilledBeforeTheFirstRecord(t *testing.T) {
-	runCore(t, 3, func(co *testCore, ctx context.Context) {
+	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		co.newest(ctx, 0)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
@@ -251,7 +212,7 @@
 
 // With anything accepted, or an answer missing, blank voters wait.
 func TestBlankVotersWait(t *testing.T) {
-	runCore(t, 3, func(co *testCore, ctx context.Context) {
+	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
@@ -261,7 +222,7 @@
 		defer cancel()
 		co.c.Assert(co.replace(short, 0, 1, 2), qt.Equals, Unknown)
 	})
-	runCore(t, 3, func(co *testCore, ctx context.Context) {
+	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		co.newest(ctx, 0)
 		for i := 1; i < 3; i++ {
 			co.lose(i)
@@ -277,14 +238,14 @@
 
 // A folder from before voters could change opens, and its voters go on and grow.
 func TestFolderOfTheVersionBefore(t *testing.T) {
-	runCore(t, 0, func(co *testCore, ctx context.Context) {
+	runCore(t, 0, func(ctx context.Context, co *testCore) {
 		co.tolerated = 2
 		vote := consensus.Vote{Ballot: consensus.Ballot{Number: 7, Proposer: "x"}, Value: consensus.Value{
 			Version: 5, Body: config(5, ""),
 			History: []consensus.VersionDigest{{Version: 5}},
 		}}
 		for i := range 5 {
-			old := oldStanding{voters: co.seeds, fit: i < 3, life: 1}
+			old := oldState{voters: co.seeds, ready: i < 3, diskIncarnation: 1}
 			m := &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &old)}}
 			if i < 2 {
 				m.records[voteKey] = codec.MarshalAppend(nil, &vote)
@@ -300,15 +261,15 @@
 	})
 }
 
-// oldStanding is what the version before wrote.
-type oldStanding struct {
-	voters []string
-	fit    bool
-	life   uint64
+// oldState is what the version before wrote.
+type oldState struct {
+	voters          []string
+	ready           bool
+	diskIncarnation uint64
 }
 
-func (o *oldStanding) Fields(v *codec.Visitor) {
+func (o *oldState) Fields(v *codec.Visitor) {
 	v.Strings(1, &o.voters)
-	v.Bool(2, &o.fit)
-	v.Uint64(3, &o.life)
+	v.Bool(2, &o.ready)
+	v.Uint64(3, &o.diskIncarnation)
 }
--- a/internal/mesh/control/controlplane/record_disk.go
+++ b/internal/mesh/control/controlplane/record_disk.go
@@ -38,7 +38,7 @@
 	store     recordStore // nil until open
 }
 
-// recordDamage tells why parts of a record could not be read; nil for one that was. An error is a trace.NotFound or a
+// recordDamage is why parts of a record could not be read; nil for one that was. An error is a trace.NotFound or a
 // trace.CompareFailed.
 type recordDamage struct{ state, vote error }
 
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// read reads both parts of the record as far as they are there and whole.
+// read reads both parts of the record as far as they are there and intact.
 func (r *recordDisk) read() (consensus.Record, recordDamage, error) {
 	var record consensus.Record
 	damage := recordDamage{state: r.get(stateKey, &record.State), vote: r.get(voteKey, &record.Vote)}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// replace writes a whole record over whatever is left of an old one. Until all of it is written the state on disk is not ready.
+// replace writes both parts of a record over whatever is left of an old one. Until all of it is written the state on disk is not ready.
 func (r *recordDisk) replace(record *consensus.Record) error {
 	unready := record.State
 	unready.Ready = false
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -29,7 +29,7 @@
 	install   func(context.Context, consensus.Record) error // hands the record to the acceptor
 }
 
-// start makes the record in the background. blankDisk tells that there was nothing at all on the disk.
+// start makes the record in the background. blankDisk says that there was nothing at all on the disk.
 func (r *recoverer) start(diskIncarnation uint64, blankDisk bool) {
 	r.lifetime.start(func(ctx context.Context) { r.run(ctx, diskIncarnation, blankDisk) })
 }
--- a/internal/mesh/control/controlplane/replacement_limiter.go
+++ b/internal/mesh/control/controlplane/replacement_limiter.go
@@ -12,7 +12,7 @@
 	replaceWindow      = 4 * time.Second // in which no more voters are replaced than may be lost at once
 )
 
-// replacementLimiter bounds how many voters are replaced at once, and how soon again. It is told the time.
+// replacementLimiter bounds how many voters are replaced at once, and how soon again. The time is an argument of its methods.
 type replacementLimiter struct {
 	epoch      uint64 // of voters
 	voters     []string
--- a/internal/mesh/control/controlplane/responder.go
+++ b/internal/mesh/control/controlplane/responder.go
@@ -32,7 +32,7 @@
 	return codec.MarshalAppend(nil, reply), nil
 }
 
-// answer answers a request. What it tells of newer ballots and voter sets is learned first, except from another system.
+// answer answers a request. The newer ballots and voter sets that it names are learned first, except from another system.
 func (r *responder) answer(ctx context.Context, request *consensus.Request) (*consensus.Reply, error) {
 	if own := r.learner.system(); !own.Matches(request.System) {
 		r.log.WithField("peer", request.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
@@ -51,7 +51,7 @@
 	return reply, trace.Wrap(err)
 }
 
-// describe tells what this process knows, without its disk.
+// describe is what this process knows, without its disk.
 func (r *responder) describe() *consensus.Reply {
 	return &consensus.Reply{
 		Kind:         consensus.Reported,
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -22,7 +22,7 @@
 type Options struct {
 	Self         string                // name (control address) of this process, as in the seeds
 	Seeds        []string              // of the settings: at the first start of the whole system they become the voters
-	Tolerated    int                   // machines that may be lost at once: it tells how many voters there should be
+	Tolerated    int                   // machines that may be lost at once, which sets how many voters there should be
 	Cores        func() []string       // names of the core processes that run; nil: the voter set never changes
 	InitialStart bool                  // the whole system starts for the first time
 	Folder       string                // for the acceptor's record
@@ -70,37 +70,37 @@
 func newServer(options *Options) *Server {
 	startedAt := time.Now()
 	random := rand.New(rand.NewPCG(options.Seed, uint64(startedAt.UnixNano())))
-	s := &Server{log: options.Log, lifetime: newLifetime(), learner: newLearner(options.Log, options.OnCommit)}
-	s.directory = &coreDirectory{self: options.Self, running: options.Cores, seeds: options.Seeds}
-	client := &peerClient{self: options.Self, transport: options.Transport, log: s.log, lifetime: s.lifetime, learner: s.learner}
-	waits := &backoff{ctx: s.lifetime.ctx, random: random}
-	s.proposer = &proposer{
-		id: fmt.Sprintf("%s#%x", options.Self, random.Uint64()), backoff: waits, learner: s.learner,
-		directory: s.directory, client: client, slot: make(chan struct{}, 1),
+	server := &Server{log: options.Log, lifetime: newLifetime(), learner: newLearner(options.Log, options.OnCommit)}
+	server.directory = &coreDirectory{self: options.Self, running: options.Cores, seeds: options.Seeds}
+	client := &peerClient{self: options.Self, transport: options.Transport, log: server.log, lifetime: server.lifetime, learner: server.learner}
+	waits := &backoff{ctx: server.lifetime.ctx, random: random}
+	server.proposer = &proposer{
+		id: fmt.Sprintf("%s#%x", options.Self, random.Uint64()), backoff: waits, learner: server.learner,
+		directory: server.directory, client: client, slot: make(chan struct{}, 1),
 	}
-	s.acceptor = &acceptor{
-		log: s.log, lifetime: s.lifetime, backoff: waits, learner: s.learner, observeBallot: s.proposer.observeBallot,
+	server.acceptor = &acceptor{
+		log: server.log, lifetime: server.lifetime, backoff: waits, learner: server.learner, observeBallot: server.proposer.observeBallot,
 		self: options.Self, initialStart: options.InitialStart, initialVoters: initialVoters(options.Seeds),
 		jobs: make(chan *acceptorJob, maxQueuedJobs),
-		disk: recordDisk{self: options.Self, folder: options.Folder, log: s.log, openStore: options.openStore},
+		disk: recordDisk{self: options.Self, folder: options.Folder, log: server.log, openStore: options.openStore},
 	}
 	recovery := &recoverer{
-		self: options.Self, log: s.log, lifetime: s.lifetime, backoff: waits, learner: s.learner, directory: s.directory,
-		client: client, install: s.acceptor.install,
+		self: options.Self, log: server.log, lifetime: server.lifetime, backoff: waits, learner: server.learner, directory: server.directory,
+		client: client, install: server.acceptor.install,
 	}
-	s.acceptor.makeRecord = recovery.start
-	s.voters = &voterManager{
-		self: options.Self, tolerated: options.Tolerated, lifetime: s.lifetime, backoff: waits, learner: s.learner,
-		directory: s.directory, client: client, acceptor: s.acceptor, proposer: s.proposer,
+	server.acceptor.makeRecord = recovery.start
+	server.voters = &voterManager{
+		self: options.Self, tolerated: options.Tolerated, lifetime: server.lifetime, backoff: waits, learner: server.learner,
+		directory: server.directory, client: client, acceptor: server.acceptor, proposer: server.proposer,
 	}
-	s.responder = &responder{log: s.log, learner: s.learner, acceptor: s.acceptor, proposer: s.proposer, voters: s.voters}
-	client.local = s.responder.answer
-	s.register = &register{proposer: s.proposer, growth: &growth{
-		startedAt: startedAt, initialStart: options.InitialStart, tolerated: options.Tolerated, backoff: waits, learner: s.learner,
-		directory: s.directory, proposer: s.proposer,
+	server.responder = &responder{log: server.log, learner: server.learner, acceptor: server.acceptor, proposer: server.proposer, voters: server.voters}
+	client.local = server.responder.answer
+	server.register = &register{proposer: server.proposer, growth: &growth{
+		startedAt: startedAt, initialStart: options.InitialStart, tolerated: options.Tolerated, backoff: waits, learner: server.learner,
+		directory: server.directory, proposer: server.proposer,
 	}}
-	s.api = &operatorAPI{register: s.register, log: s.log}
-	return s
+	server.api = &operatorAPI{register: server.register, log: server.log}
+	return server
 }
 
 // initialVoters are the voters at the first start of the whole system.
@@ -156,7 +156,7 @@
 	return status.acceptedEpoch, status.ready
 }
 
-// SetSeeds tells that the operator's settings name other seeds now.
+// SetSeeds notes that the operator's settings name other seeds now.
 func (s *Server) SetSeeds(seeds []string) { s.directory.setSeeds(seeds) }
 
 // AddVoter makes a core process a voter.
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -15,7 +15,7 @@
 // A machine with a folder of another system, whose list of voters is newer, is started at an address of this one: neither side
 // takes the other's list, value or votes, and its folder stays as it is.
 func TestFolderOfAnotherSystem(t *testing.T) {
-	grownAfter(t, func(co *testCore, ctx context.Context) {
+	grownAfter(t, func(ctx context.Context, co *testCore) {
 		foreign := consensus.InitialRecord(node(4), []string{node(4), node(5), node(6)})
 		foreign.State.VoterSet = consensus.VoterSet{Epoch: 9, Voters: []string{node(4), node(5), node(6)}}
 		foreign.Vote = consensus.Vote{Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, Value: consensus.Value{Version: 7, Body: config(7, ""), VoterSet: foreign.State.VoterSet}}
@@ -37,7 +37,7 @@
 
 // A request under another list for an epoch that is known here is refused, and changes nothing.
 func TestRequestUnderAnotherList(t *testing.T) {
-	grownAfter(t, func(co *testCore, ctx context.Context) {
+	grownAfter(t, func(ctx context.Context, co *testCore) {
 		other := consensus.VoterSet{Voters: []string{node(0), node(7), node(8)}}
 		for _, kind := range []consensus.RequestKind{consensus.ReadVote, consensus.Prepare, consensus.Accept, consensus.Recover} {
 			reply, err := co.server(0).responder.answer(ctx, &consensus.Request{Kind: kind, Ballot: consensus.Ballot{Number: 99, Proposer: "x"}, VoterSet: other, Node: "x", DiskIncarnation: 9})
@@ -51,7 +51,7 @@
 
 // A record of a version that had no system takes that of its first list, and one that joins learns it.
 func TestSystemIsLearnt(t *testing.T) {
-	grownAfter(t, func(co *testCore, ctx context.Context) {
+	grownAfter(t, func(ctx context.Context, co *testCore) {
 		want := consensus.NewSystemID([]string{node(0), node(1), node(2)})
 		for i := range 4 {
 			co.c.Assert(co.server(i).learner.system(), qt.Equals, want)
@@ -69,12 +69,3 @@
 		co.c.Assert(co.server(5).learner.system(), qt.Equals, want)
 	})
 }
-
-// grownAfter is grown with four servers, after a first change.
-func grownAfter(t *testing.T, test func(co *testCore, ctx context.Context)) {
-	grown(t, 4, 1, 3, func(co *testCore, ctx context.Context) {
-		time.Sleep(2 * time.Second)
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
-		test(co, ctx)
-	})
-}
