--- a/internal/modules/idempotency/golden_test.go
+++ b/internal/modules/idempotency/golden_test.go
@@ -1,6 +1,7 @@
 package idempotency
 
 import (
+	"encoding/json"
 	"reflect"
 	"testing"
 	"time"
@@ -33,6 +34,26 @@
 	}
 }
 
+// The tool prints entries as JSON: the names in it are data.
+func TestGoldenJSON(t *testing.T) {
+	e := Entry{
+		Class: "book", Origin: Origin{Zone: "north", Cell: 3, Endpoint: "box-1"}, SentAt: time.Hour, Retention: 95 * time.Second,
+		Served: true,
+	}
+	text, err := json.Marshal(&e)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "entry.json", append(text, '\n'))
+	var got Entry
+	if err := json.Unmarshal(text, &got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, e) {
+		t.Errorf("got %+v, want %+v", got, e)
+	}
+}
+
 func TestGoldenIDs(t *testing.T) {
 	for _, c := range []struct {
 		file string
--- a/internal/modules/idempotency/recall.go
+++ b/internal/modules/idempotency/recall.go
@@ -37,20 +37,20 @@
 	return id
 }
 
-// Origin is where repeats of a request are known.
+// Origin is where repeats of a request are known. The names in JSON are those that `store dump` prints.
 type Origin struct {
-	Zone     string
-	Cell     int
-	Endpoint string // the name that discovery has for it, for people
+	Zone     string `json:"Zone"`
+	Cell     int    `json:"Cell"`
+	Endpoint string `json:"Endpoint"` // the name that discovery has for it, for people
 }
 
-// Entry is what is known of one request.
+// Entry is what is known of one request. The names in JSON are those that `store dump` prints.
 type Entry struct {
-	Class      string
+	Class      string        `json:"Class"`
 	Origin                   // of the first attempt that may have run
-	SentAt     time.Duration // when that was sent; on the clock of whoever asks
-	Retention  time.Duration // how long after that it is remembered
-	Served     bool          // an answer was served
+	SentAt     time.Duration `json:"At"`     // when that was sent; on the clock of whoever asks
+	Retention  time.Duration `json:"Keep"`   // how long after that it is remembered
+	Served     bool          `json:"Served"` // an answer was served
 	mayHaveRun bool          // some attempt has ended and may have run
 	durable    bool          // it is known to be durable
 	inFlight   int           // attempts that have not ended
