--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -5,101 +5,60 @@
 	"time"
 )
 
-// This file decides what is taken on: tenants' shares, the order of held requests, which are refused.
+// This file decides which pending requests are sent first (admission queue), and which are rejected (load shedding).
 
 const (
-	minBurst           = 8.0 // requests that chance may bring together, at any rate,
-	initialTokens      = 2.0 // and at the start
-	tenantBurstSeconds = 4.0 // seconds of its share that a tenant may save up,
-	totalBurstSeconds  = 1.0 // and all tenants together
-
-	targetSlackMeans     = 1.8  // mean latencies that must be left until the aim when a call is sent
-	maxPendingSeconds    = 2.0  // seconds of calls, at the present rate, that may be held
-	minPendingTime       = 0.2  // of a rate window in which calls were held, until it is known how many are worked off
-	retryElapsedWeight   = 0.05 // of one repeat in the mean time that repeats have spent
-	firstAttemptShare    = 0.97 // of the longest time left seen: less tells of a repeat
-	classHistoryRequests = 100  // requests of a class that its part served in time is remembered over
-	minClassRequests     = 5    // and requests from which it counts
-	successorDelay       = 1.5  // seconds from an instance's end until the next one serves in its place
-	minIdleConnections   = 3    // callers' connections that the only instance keeps idle once it is told to end
+	targetSlackMeans     = 1.8  // mean latencies that must be left until the latency target when a request is sent
+	maxPendingSeconds    = 2.0  // seconds of requests, at the present rate of answers, that may be pending
+	minPendingTime       = 0.2  // of a rate window in which requests were pending, until it is known how many are worked off
+	retryElapsedWeight   = 0.05 // of one retry in the mean time that had elapsed for clients' retries
+	firstAttemptShare    = 0.97 // of the longest time left that was seen: a shorter one is that of a retry
+	deadlineReserveTicks = 2    // ticks before its deadline at which a pending request gets its final answer
 )
 
-// startQuotas starts the buckets of the tenants.
-func (b *Balancer) startQuotas(now time.Duration) {
-	total := 0.0
-	for _, t := range b.settings.Tenants {
-		rate := t.QuotaPerSecond / b.quotaDivisor
-		b.tenantQuotas = append(b.tenantQuotas, newTokenBucket(now, rate, tenantBurstSeconds))
-		total += rate
-	}
-	b.totalQuota = newTokenBucket(now, total, totalBurstSeconds)
-}
-
-// takeQuota meters a tenant's requests against its share at this instance, and all of them against all
-// shares together: what goes beyond both is more than the fleet can do, and is worth little.
-// A repeat counts as beyond: most are of requests refused for that, and would use up the share of new ones.
-func (b *Balancer) takeQuota(now time.Duration, q Request) (low, spare bool) {
-	if b.settings.Tier > 0 || q.Tenant >= len(b.tenantQuotas) {
-		return false, true
-	}
-	low = q.Retry || !b.tenantQuotas[q.Tenant].take(now, 1)
-	if low {
-		return true, b.totalQuota.take(now, 1)
-	}
-	b.totalQuota.forceTake(now, 1)
-	return false, true
-}
-
-// rejectsForShutdown tells whether an instance that ends refuses a request: for want of time, or, as the only one, of
-// connections. Callers open no more; who finds all in use, by a burst or by slow endpoints, finds nobody and
-// stops looking. Where callers do open more, some are refused in vain.
-func (b *Balancer) rejectsForShutdown(now time.Duration, c *class, q Request) bool {
-	return b.endsBeforeResponse(now, c) || b.shutdownAt < math.MaxInt64 && b.settings.Instances == 1 && q.IdleConnections < minIdleConnections
-}
-
-// endsBeforeResponse tells whether this instance ends before a call that is sent at a time is answered, slow as it may be.
-func (b *Balancer) endsBeforeResponse(at time.Duration, c *class) bool {
-	return at+seconds(targetSlackMeans*c.meanLatency) >= b.shutdownAt
+// latestSend is until when a request must be sent to be answered within its latency target, slow as it may be.
+func (r *request) latestSend() time.Duration {
+	return r.targetAt - seconds(targetSlackMeans*r.class.latency.mean)
 }
 
-// elapsedForClient is a lower bound of the time that had passed for the client when the request arrived. Clients'
-// tries begin with the same time left; a shorter one tells of a repeat, or of work in the tiers above.
-func (b *Balancer) elapsedForClient(c *class, q Request) time.Duration {
+// elapsedForClient is a lower bound of the time that had passed for the client when the request arrived. Clients' attempts begin
+// with the same time left; a shorter one is that of a retry, or of work in the tiers above.
+func (b *Balancer) elapsedForClient(c *class, q *Request) time.Duration {
 	c.maxTimeLeft = max(c.maxTimeLeft, q.TimeLeft)
 	switch {
 	case b.settings.Tier > 0:
 		return c.maxTimeLeft - q.TimeLeft
 	case float64(q.TimeLeft) < firstAttemptShare*float64(c.maxTimeLeft):
-		spent := c.Deadline - q.TimeLeft
+		elapsed := c.Deadline - q.TimeLeft
 		if q.Retry && float64(c.maxTimeLeft) >= firstAttemptShare*float64(c.Deadline) {
-			b.retryElapsed += retryElapsedWeight * (spent.Seconds() - b.retryElapsed)
+			b.retryElapsed += retryElapsedWeight * (elapsed.Seconds() - b.retryElapsed)
 		}
-		return spent
+		return elapsed
 	case q.Retry:
-		// It came before, by about as much as those that show it. Taken for new, repeats would fill an
-		// overloaded tier with calls whose aim has passed.
+		// It came before, by about as much as those that show it. Taken for new, retries would fill an overloaded tier with
+		// requests whose latency target has passed.
 		return seconds(b.retryElapsed)
 	}
 	return 0
 }
 
-// nextPending is the held request to place first: one that can still meet its aim before one that cannot, one
-// within its tenant's share before one beyond, one of a class that adds more to what the site counts, then
-// the one that must be sent first to meet its aim.
+// nextPending is the pending request to send first.
 func (b *Balancer) nextPending(now time.Duration) int {
 	best := 0
 	for i := 1; i < len(b.pending); i++ {
-		if b.dispatchedBefore(now, b.pending[i], b.pending[best]) {
+		if dispatchedBefore(now, b.pending[i], b.pending[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// dispatchedBefore tells whether one held request is placed before another.
-func (b *Balancer) dispatchedBefore(now time.Duration, x, y *request) bool {
-	if rx, ry := b.priority(now, x), b.priority(now, y); rx != ry {
-		return rx > ry
+// dispatchedBefore reports whether one pending request is sent before another: one that can still be answered within its latency
+// target before one that cannot, one within its tenant's quota before one beyond, one of a class that adds more to what is
+// optimized, then the one that must be sent first to be in time.
+func dispatchedBefore(now time.Duration, x, y *request) bool {
+	if px, py := x.priority(now), y.priority(now); px != py {
+		return px > py
 	}
 	if vx, vy := x.class.marginalValue*x.valueFactor, y.class.marginalValue*y.valueFactor; vx != vy {
 		return vx > vy
@@ -107,102 +66,73 @@
 	return x.latestSend() < y.latestSend()
 }
 
-func (b *Balancer) priority(now time.Duration, r *request) int {
-	rank := 0
+// priority ranks a request by its time and its tenant's quota.
+func (r *request) priority(now time.Duration) int {
+	priority := 0
 	if r.latestSend() > now || r.class.LateValueShare > 0 {
-		rank += 2
+		priority += 2
 	}
 	if !r.overQuota {
-		rank++
+		priority++
 	}
-	return rank
-}
-
-// latestSend is until when a call must be sent to meet its aim, slow as it may be.
-func (r *request) latestSend() time.Duration {
-	return r.targetAt - seconds(targetSlackMeans*r.class.meanLatency)
+	return priority
 }
 
-// updateClassValues sets what serving one more unit of each class's work adds to what the site counts: its part of
-// all worth, and for the class that is served worst the weight of being that. Held requests that went by
-// their time alone cost the dearest class as many answers as the cheapest.
-func (b *Balancer) updateClassValues() {
-	all, work := 0.0, 0.0
-	worst := b.classes[0]
-	for _, c := range b.classes {
-		all += c.requests * c.meanLatency * b.valueDensity(c)
-		work += c.requests * c.meanLatency
-		if c.requests >= minClassRequests && (worst.requests < minClassRequests || c.onTime*worst.requests < worst.onTime*c.requests) {
-			worst = c
+// shedLoad rejects what is pending beyond what can be sent in time: what will miss its latency target, and the least valuable when
+// more is pending than the present rate of answers works off.
+func (b *Balancer) shedLoad(now time.Duration) {
+	b.pendingTime.set(now, b.rateWindow, len(b.pending) > 0)
+	for i := len(b.pending) - 1; i >= 0; i-- {
+		if b.isLate(now, b.pending[i]) {
+			b.rejectPending(now, i)
 		}
 	}
-	for _, c := range b.classes {
-		c.marginalValue = 0
-		if all > 0 {
-			c.marginalValue = b.settings.TotalValueWeight * b.valueDensity(c) * work / all
-		}
-		if c == worst && c.requests*c.meanLatency > 0 {
-			c.marginalValue += b.settings.WorstClassWeight * work / (c.requests * c.meanLatency)
-		}
+	for limit := b.maxPending(now); float64(len(b.pending)) > limit; {
+		b.rejectPending(now, b.lastPending(now))
 	}
 }
 
-// valueDensity is the worth of a unit of a class's work, taken to be as its latency.
-func (b *Balancer) valueDensity(c *class) float64 {
-	if b.settings.ValuePerWorkUnit || c.meanLatency == 0 {
-		return c.Value
-	}
-	return c.Value / c.meanLatency
+// isLate reports whether there is no use in a pending request's waiting on.
+func (b *Balancer) isLate(now time.Duration, r *request) bool {
+	worthless := now >= r.latestSend() && r.class.LateValueShare == 0
+	return worthless || now+deadlineReserveTicks*b.tickInterval >= r.deadline
 }
 
-// countRequest counts a request of a class, and lets the past fade.
-func (b *Balancer) countRequest(c *class) {
-	if c.requests++; c.requests < classHistoryRequests {
-		return
-	}
-	for _, c := range b.classes {
-		c.requests /= 2
-		c.onTime /= 2
+// maxPending is how many requests may be pending. The rate at which they are worked off is known only where some have waited for
+// a while: by what was answered before, callers who came all at once, after a quiet time or to an instance that has just started,
+// were rejected beside idle endpoints.
+func (b *Balancer) maxPending(now time.Duration) float64 {
+	if b.pendingTime.share < minPendingTime {
+		return math.Inf(1)
 	}
+	return max(maxPendingSeconds*b.servedRate.value(now, b.rateWindow), float64(len(b.listed)))
 }
 
-// shedLoad refuses what is held beyond what can be sent in time: what will miss its aim, and the least worth
-// when more is held than the present rate works off. That rate is known only where some have waited for a
-// while: by what was answered before, callers who came all at once, after a quiet time or to an instance that
-// has just started, were refused beside idle endpoints.
-func (b *Balancer) shedLoad(now time.Duration) {
-	b.pendingTime.set(now, b.rateWindow, len(b.pending) > 0)
-	room := max(maxPendingSeconds*b.servedRate.value(now, b.rateWindow), float64(len(b.listedEndpoints)))
-	if b.pendingTime.share < minPendingTime {
-		room = math.Inf(1)
-	}
-	for i := len(b.pending) - 1; i >= 0; i-- {
-		r := b.pending[i]
-		late := now >= r.latestSend() && r.class.LateValueShare == 0
-		if late || now+2*b.tickInterval >= r.deadline {
-			b.removePending(i)
-			b.finish(now, r)
+// lastPending is the pending request that would be sent last.
+func (b *Balancer) lastPending(now time.Duration) int {
+	last := len(b.pending) - 1
+	for i := len(b.pending) - 2; i >= 0; i-- {
+		if dispatchedBefore(now, b.pending[last], b.pending[i]) {
+			last = i
 		}
 	}
-	for float64(len(b.pending)) > room {
-		worst := len(b.pending) - 1
-		for i := len(b.pending) - 2; i >= 0; i-- {
-			if b.dispatchedBefore(now, b.pending[worst], b.pending[i]) {
-				worst = i
-			}
-		}
-		r := b.pending[worst]
-		b.removePending(worst)
-		b.finish(now, r)
-	}
+	return last
+}
+
+// rejectPending gives the i-th pending request its final answer.
+func (b *Balancer) rejectPending(now time.Duration, i int) {
+	r := b.pending[i]
+	b.removePending(i)
+	b.finish(now, r)
 }
 
-// retryAfter is when a refused client should ask again: when what is held and in flight now will have been
-// answered at the present rate, or, where that outlasts the only instance, when its successor serves. Clients
-// that come sooner find the same queue, or nobody; 0 gives no advice.
+// retryAfter is when a rejected client should ask again: when what is pending and in flight now will have been answered at the
+// present rate, or, where that outlasts the only instance, when its successor serves. Clients that come sooner find the same
+// queue, or nobody; 0 gives no advice.
 func (b *Balancer) retryAfter(now time.Duration, c *class) (wait time.Duration) {
 	if rate := b.servedRate.value(now, b.rateWindow); rate > 0 {
-		wait = seconds(min(float64(len(b.pending)+b.inFlight)/rate, b.settings.MaxRetryAfter.Seconds()))
+		ahead := float64(len(b.pending) + b.inFlight)
+		wait = seconds(min(ahead/rate, b.settings.MaxRetryAfter.Seconds()))
 	}
 	if b.settings.Instances == 1 && b.endsBeforeResponse(now+wait, c) {
 		wait = min(b.shutdownAt+seconds(successorDelay)-now, b.settings.MaxRetryAfter)
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -264,8 +264,8 @@
 		}
 		d.pass(20 * ms)
 	}
-	if len(d.b.endpointsByID) != 1 || len(d.b.listedEndpoints) != 1 || len(d.b.requests) != 0 || d.b.inFlight != 0 {
-		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.endpointsByID), len(d.b.listedEndpoints), len(d.b.requests), d.b.inFlight)
+	if len(d.b.endpointsByID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.inFlight != 0 {
+		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.endpointsByID), len(d.b.listed), len(d.b.requests), d.b.inFlight)
 	}
 }
 
@@ -341,7 +341,7 @@
 		return StatusOK
 	})
 	isolated := 0
-	for _, e := range d.b.listedEndpoints {
+	for _, e := range d.b.listed {
 		if e.availability == isolatedMark {
 			isolated++
 		}
@@ -446,7 +446,7 @@
 		d.ask(read)
 		d.end(d.last(), StatusOK, 20*ms)
 	}
-	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.lost || r.cancelled || d.b.lostInFlight == 0 {
+	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.lost || r.cancelled || d.b.losses.inFlight == 0 {
 		t.Errorf("the unsafe call: %d attempts, %+v", d.attempts[id], r)
 	}
 }
@@ -654,7 +654,7 @@
 		}
 		d.b.HandleEndpoints(d.now, l)
 		n := 0
-		for _, e := range d.b.listedEndpoints {
+		for _, e := range d.b.listed {
 			parts[e.id] += e.subsetWeight
 			total += e.subsetWeight
 			if e.subsetWeight > 0 {
@@ -695,7 +695,7 @@
 		for id := EndpointID(5); id <= 14; id++ {
 			d.list(ListEntry{Endpoint: id, State: EndpointDraining, Weight: 1})
 		}
-		for _, e := range d.b.listedEndpoints {
+		for _, e := range d.b.listed {
 			parts[e.id] += e.subsetWeight
 		}
 	}
@@ -781,7 +781,7 @@
 	d := start(t, s, 20)
 	d.serve(200, nil)
 	var outside *endpoint
-	for _, e := range d.b.listedEndpoints {
+	for _, e := range d.b.listed {
 		if e.subsetWeight == 0 {
 			outside = e
 		}
@@ -796,8 +796,8 @@
 		d.end(d.last(), StatusOK, 20*ms)
 		d.pass(100 * ms)
 	}
-	cold := d.b.listedEndpoints[0]
-	for _, e := range d.b.listedEndpoints {
+	cold := d.b.listed[0]
+	for _, e := range d.b.listed {
 		if e.subsetWeight > 0 {
 			cold = e
 		}
@@ -842,7 +842,7 @@
 	}
 	for range 20 {
 		d.pass(20 * ms)
-		for _, r := range slices.Clone(d.b.listedEndpoints[0].calls) {
+		for _, r := range slices.Clone(d.b.listed[0].calls) {
 			d.end(sent{id: r.id, to: 1, attempt: r.attempts - 1}, StatusOK, 20*ms)
 		}
 	}
@@ -957,7 +957,7 @@
 			class[d.ask(pay)] = pay
 		}
 		at := len(d.sent)
-		for _, x := range slices.Clone(d.b.listedEndpoints[0].calls) {
+		for _, x := range slices.Clone(d.b.listed[0].calls) {
 			d.end(sent{id: x.id, to: 1}, StatusOK, 100*ms)
 		}
 		for _, x := range d.sent[at:] {
@@ -1265,7 +1265,7 @@
 		overdue := func(tails float64) sent {
 			d.ask(read)
 			call, c := d.last(), d.b.classes[read]
-			for end := d.now + seconds(tails*c.tailRatio*c.meanLatency); d.now < end; {
+			for end := d.now + seconds(tails*c.latency.tailRatio*c.latency.mean); d.now < end; {
 				d.serve(1, nil)
 			}
 			d.pass(10 * ms)
@@ -1538,7 +1538,7 @@
 	}
 	d.ask(read) // it keeps the ticks going
 	d.pass(3 * time.Second)
-	if !d.b.noneWarm {
+	if !d.b.noneAvailable {
 		t.Error("ramps are held as if others could take their calls")
 	}
 	if after := d.b.warmSendRate.peak(d.now, d.b.rateWindow); after < 0.95*before {
@@ -1548,7 +1548,7 @@
 	d.list(ListEntry{Endpoint: 3, Weight: 1})
 	kept := d.b.warmSendRate.peak(d.now, d.b.rateWindow)
 	d.pass(3 * time.Second)
-	if d.b.noneWarm {
+	if d.b.noneAvailable {
 		t.Error("ramps go on as if there were no warm endpoint")
 	}
 	if after := d.b.warmSendRate.peak(d.now, d.b.rateWindow); after > 0.7*kept {
--- a/internal/balancer/classes_test.go
+++ b/internal/balancer/classes_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	d.end(out, StatusOK, 20*ms)
-	if d.b.classes[read] != was || was.windowSamples != 1 || was.onTime != 1 {
+	if d.b.classes[read] != was || was.latency.windowSamples != 1 || was.onTime != 1 {
 		t.Errorf("the answer went elsewhere: %+v", *was)
 	}
 	id := d.ask(book + 100)
--- /dev/null
+++ b/internal/balancer/concurrency.go
@@ -0,0 +1,134 @@
+package balancer
+
+import "time"
+
+// This file limits what may be in flight: here and at one endpoint, and the queue that endpoints may hold.
+//
+// In flight there may be what is answered at base latency, and a queue: so many requests for each endpoint and tier from here on,
+// no more than a share of the first, and none that would use up the time to the latency target. More only waits there instead of
+// here, is answered late, and may saturate endpoints.
+
+const (
+	initialQueue      = 0.75  // requests for each endpoint and tier at first, and within these bounds:
+	minQueue          = 0.6   // so little never saturated one
+	maxQueue          = 1.6   // more only delays
+	queueGrowth       = 0.012 // part that the queue grows by in a rate window in which requests were pending
+	queueShrinkFactor = 0.6   // part that is left when an endpoint saturates
+	saturatedRatio    = 1.7   // times its kind's latency: an endpoint is saturated,
+	recoveredRatio    = 1.3   // and has recovered
+
+	maxQueueShare           = 0.8 // of what is answered at base latency
+	targetShare             = 0.5 // of the time from base latency to latency target; the rest is for slow answers
+	initialCallsPerEndpoint = 5.0 // the limit at first, for each endpoint that is this instance's share of the tier
+	minCallsPerEndpoint     = 1.2 // and the least it may come to
+	concurrencySlack        = 2.0 // requests that any endpoint, and the fleet, may hold beyond its share
+	maxEndpointShare        = 1.5 // of an even share of the limit, that one endpoint may hold
+
+	maxRejectionsPerResponse = 0.6 // attempts that may end without having run, for each answer,
+	rejectionReserve         = 1.0 // beyond the limit on what is in flight while none is answered,
+	rejectionsPerEndpoint    = 1.0 // and all instances', for each endpoint and overload duration,
+	rejectionShare           = 0.2 // or a share of what was answered at the best rate of late, whichever is more
+)
+
+// concurrency limits the attempts in flight.
+type concurrency struct {
+	limit          float64
+	base           decayingRate // base latencies answered a second: the attempts in flight at little load
+	target         decayingRate // the same for the time from base latency to the latency target
+	queue          float64      // requests that may queue for each endpoint and tier
+	queueChangedAt time.Duration
+}
+
+// record takes in an answer to a request of a class.
+func (c *concurrency) record(now, window time.Duration, of *class) {
+	base := of.latency.base
+	c.base.add(now, window, base)
+	c.target.add(now, window, targetShare*max(of.LatencyTarget.Seconds()-base, 0))
+}
+
+// adaptQueue moves the queue that endpoints may hold. What one bears before it saturates is nowhere to be learnt: the queue
+// grows while requests are pending here, and shrinks when an endpoint turns far slower than its kind.
+func (c *concurrency) adaptQueue(now, window time.Duration, e *endpoint, kindLatency float64, pending bool) {
+	rested := e.latency.samples*endpointLatencyWeight > 0.99 // its latency rests on as many answers as it may
+	saturated := rested && e.latency.mean > saturatedRatio*kindLatency
+	if saturated && !e.saturated {
+		c.queue = max(c.queue*queueShrinkFactor, minQueue)
+	}
+	if saturated || e.latency.mean < recoveredRatio*kindLatency {
+		e.saturated = saturated
+	}
+	if pending && now-c.queueChangedAt > window {
+		c.queue = min(c.queue*(1+queueGrowth), maxQueue)
+		c.queueChangedAt = now
+	}
+}
+
+// updateLimits brings all limits up to a time.
+func (b *Balancer) updateLimits(now time.Duration) {
+	b.sends.refill(now)
+	b.updateConcurrency(now)
+	b.updateRejectionThrottle(now)
+}
+
+// updateConcurrency sets the limit on what is in flight: what is answered at base latency at the best rate of late, and a queue.
+// It has a floor, for requests that got stuck would else lower rate and limit in turn, without end.
+func (b *Balancer) updateConcurrency(now time.Duration) {
+	c := &b.concurrency
+	floor := b.perInstance(minCallsPerEndpoint, float64(b.settings.Instances))
+	if !b.latenciesKnown() {
+		floor = b.perInstance(initialCallsPerEndpoint, b.quotaDivisor)
+	}
+	base := c.base.peak(now, b.rateWindow)
+	tiers := max(b.settings.Tiers-b.settings.Tier, 1)
+	queue := c.queue * float64(len(b.listed)*tiers) / float64(b.settings.Instances)
+	queue = min(queue, maxQueueShare*base, c.target.peak(now, b.rateWindow))
+	c.limit = max(base+queue+concurrencySlack, floor)
+}
+
+// updateRejectionThrottle bounds the attempts that never run. Those that are rejected or find no connection go on to the next
+// endpoint at once, so the sum of all instances' was the requests times MaxAttempts where all endpoints were full, and each
+// instance learns by an attempt of its own which are: endpoints in slow start failed under requests that they had rejected.
+//
+// What answers earn adds up to the answers, and what is allowed without them is a part of the list's length for each instance, or
+// of what it had answered, so that endpoints that recover are soon found. It goes by the bound of endpoints in slow start whether
+// or not the list says that they are: lists come late, and know little at first.
+func (b *Balancer) updateRejectionThrottle(now time.Duration) {
+	endpoints := float64(len(b.listed)) / b.quotaDivisor
+	if endpoints <= 0 {
+		return
+	}
+	rate := max(rejectionsPerEndpoint*endpoints/b.rateWindow.Seconds(), rejectionShare*b.servedRate.peak(now, b.rateWindow))
+	first := rejectionReserve + initialCallsPerEndpoint*endpoints
+	b.rejections.Update(now, rate, first, b.concurrency.limit+rejectionReserve)
+}
+
+// latenciesKnown reports whether the base latencies rest on enough to set limits by.
+func (b *Balancer) latenciesKnown() bool {
+	for _, c := range b.classes {
+		if c.latency.known() {
+			return true
+		}
+	}
+	return false
+}
+
+// perInstance is a number of requests for each listed endpoint, divided among instances.
+func (b *Balancer) perInstance(calls, instances float64) float64 {
+	return concurrencySlack + calls*float64(len(b.listed))/instances
+}
+
+// limitReached reports whether nothing more may be sent for now.
+func (b *Balancer) limitReached() bool {
+	return float64(b.inFlight-b.losses.inFlight) >= b.concurrency.limit || !b.sends.allows() || !b.rejections.Allowed()
+}
+
+// hasCapacity reports whether an endpoint may get one more request.
+func (b *Balancer) hasCapacity(now time.Duration, e *endpoint) bool {
+	if e.rejectsUntil > now || e.availability == warmingUp && !b.slowStartAllows(now, e) {
+		return false
+	}
+	// An endpoint in slow start that had an available one's requests in flight would answer none of them in time.
+	limit := (maxEndpointShare*b.concurrency.limit/max(b.subset.size, 1)/b.weights.latencyRatio(e) + concurrencySlack) *
+		b.capacityShare(now, e)
+	return float64(e.outstanding(now)-e.lostCalls) < max(limit, concurrencySlack)
+}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -59,7 +59,7 @@
 			b.HandleTimer(h.now, timerTick)
 		}
 	}
-	for _, e := range b.listedEndpoints {
+	for _, e := range b.listed {
 		switch rng.IntN(10) {
 		case 0:
 			b.eject(h.now, e, "test")
@@ -71,11 +71,11 @@
 			e.penalties = append(e.penalties, h.now+time.Second)
 		}
 	}
-	b.concurrencyLimit = 1000
+	b.concurrency.limit = 1000
 	b.advanceSlowStarts(h.now)
 	b.updateSubset(h.now)
 	b.warmSendRate.add(h.now, b.rateWindow, 1000/float64(n))
-	for _, e := range b.listedEndpoints {
+	for _, e := range b.listed {
 		e.slowStartTokens, e.slowStartTokensAt = float64(rng.IntN(3)), h.now
 	}
 	return b, h
@@ -96,7 +96,7 @@
 				b.scanLimit = few
 				got := map[EndpointID]float64{}
 				for range picks {
-					r := &request{class: b.classes[read], attempts: c.attempts, failedEndpoint: b.listedEndpoints[1]}
+					r := &request{class: b.classes[read], attempts: c.attempts, failedEndpoint: b.listed[1]}
 					e, trial := b.pick(h.now, r)
 					if e == nil || trial {
 						t.Fatal("nothing, or a trial")
@@ -108,7 +108,7 @@
 			pools, look := picked(0), picked(1<<30)
 			test := func(x, y map[EndpointID]float64) (p float64) {
 				sum, n := 0.0, -1.0
-				for _, e := range b.listedEndpoints {
+				for _, e := range b.listed {
 					if a, b := x[e.id], y[e.id]; a+b > 0 {
 						sum += (a - b) * (a - b) / (a + b)
 						n++
@@ -124,7 +124,7 @@
 			}
 			// And the test can fail: bounds that the odds have outgrown by a half, unknown to the slack.
 			if c.attempts == 0 {
-				for _, e := range b.listedEndpoints[:60] {
+				for _, e := range b.listed[:60] {
 					e.index.bound /= 3
 				}
 				if p := test(picked(0), look); p > 0.001 {
@@ -139,21 +139,21 @@
 func verify(t testing.TB, b *Balancer, now time.Duration) {
 	t.Helper()
 	b.advanceSlowStarts(now)
-	if b.subsetStale {
+	if b.subset.stale {
 		b.updateSubset(now)
 	}
 	n, busy, warm := 0, 0, 0.0
 	var in [poolCount]int
 	parts, mine := 0.0, 0
-	for i, e := range b.listedEndpoints {
-		if i > 0 && b.listedEndpoints[i-1].id >= e.id || !e.listed || b.endpointsByID[e.id] != e {
+	for i, e := range b.listed {
+		if i > 0 && b.listed[i-1].id >= e.id || !e.listed || b.endpointsByID[e.id] != e {
 			t.Fatalf("the list is out of order at %d", e.id)
 		}
 		seated := e.availability != draining
 		if seated {
 			n++
 		}
-		if e.index.indexed != seated || slices.Contains(b.byCell[e.cell], e) != seated {
+		if e.index.indexed != seated || slices.Contains(b.index.byCell[e.cell], e) != seated {
 			t.Fatalf("endpoint %d: mark %d, seated %v", e.id, e.availability, e.index.indexed)
 		}
 		if len(e.calls) > 0 {
@@ -173,17 +173,17 @@
 		}
 		if want >= 0 {
 			in[want]++
-			if o := b.drawWeight(e) * b.capacityShare(now, e); o > e.index.bound*b.boundSlack*(1+1e-9) {
-				t.Fatalf("endpoint %d: odds %v over their bound %v, slack %v, pool %d", e.id, o, e.index.bound, b.boundSlack, want)
+			if o := b.weights.drawWeight(e) * b.capacityShare(now, e); o > e.index.bound*b.pools.boundSlack*(1+1e-9) {
+				t.Fatalf("endpoint %d: odds %v over their bound %v, slack %v, pool %d", e.id, o, e.index.bound, b.pools.boundSlack, want)
 			}
 		}
 		if want == availablePool {
-			warm += b.drawWeight(e)
+			warm += b.weights.drawWeight(e)
 		}
 		if e.subsetWeight > 0 {
 			parts, mine = parts+e.subsetWeight, mine+1
 		}
-		if has := b.subsetByHash && seated && b.hashShare.Owns(uint32(e.id)); b.subsetByHash && (e.subsetWeight > 0) != (has && b.endpointWeight(e) > 0) {
+		if has := b.subset.byHash && seated && b.subset.share.Owns(uint32(e.id)); b.subset.byHash && (e.subsetWeight > 0) != (has && b.weights.endpointWeight(e) > 0) {
 			t.Fatalf("endpoint %d: mark %d, part %v, on this instance's arcs %v", e.id, e.availability, e.subsetWeight, has)
 		}
 		_, ramps := b.slowStarts.Deadline(e)
@@ -192,34 +192,34 @@
 			t.Fatalf("endpoint %d: mark %d, part %v, ramps %v, trial %v", e.id, e.availability, e.subsetWeight, ramps, trial)
 		}
 	}
-	if b.ordered.Len() != n || len(b.busy) < busy {
-		t.Fatalf("%d seated, should be %d; %d busy, should be %d", b.ordered.Len(), n, len(b.busy), busy)
+	if b.index.ordered.Len() != n || len(b.busy) < busy {
+		t.Fatalf("%d seated, should be %d; %d busy, should be %d", b.index.ordered.Len(), n, len(b.busy), busy)
 	}
 	for i := range in {
-		if b.pools[i].Len() != in[i] {
-			t.Fatalf("pool %d holds %d, should be %d", i, b.pools[i].Len(), in[i])
+		if b.pools.pools[i].Len() != in[i] {
+			t.Fatalf("pool %d holds %d, should be %d", i, b.pools.pools[i].Len(), in[i])
 		}
 	}
-	if b.subsetByHash && (b.subsetIsAll || !slices.IsSortedFunc(b.subset, compareIDs)) {
+	if b.subset.byHash && (b.subset.all || !slices.IsSortedFunc(b.subset.members, compareIDs)) {
 		t.Fatal("the subset is out of order, or all as well")
 	}
-	if !b.subsetIsAll && mine != len(b.subset) {
-		t.Fatalf("%d have a part, %d are listed so", mine, len(b.subset))
+	if !b.subset.all && mine != len(b.subset.members) {
+		t.Fatalf("%d have a part, %d are listed so", mine, len(b.subset.members))
 	}
-	if warm > 0 && math.Abs(math.Log(b.availableWeight/warm)) > math.Log(maxDrift*maxDrift) {
-		t.Fatalf("the warm odds' sum is %v, should be %v", b.availableWeight, warm)
+	if warm > 0 && math.Abs(math.Log(b.pools.availableWeight/warm)) > math.Log(maxDrift*maxDrift) {
+		t.Fatalf("the warm odds' sum is %v, should be %v", b.pools.availableWeight, warm)
 	}
 	kept := 0
-	for w, k := range b.weightCounts {
+	for w, k := range b.index.weightCounts {
 		kept += k
 		if k <= 0 {
 			t.Fatalf("weight %v: %d", w, k)
 		}
 	}
-	apart := func(e *endpoint) bool { return e.listedWeight != b.listedEndpoints[0].listedWeight }
+	apart := func(e *endpoint) bool { return e.listedWeight != b.listed[0].listedWeight }
 	none := func(e *endpoint) bool { return e.listedWeight <= 0 }
-	if weighted := slices.ContainsFunc(b.listedEndpoints, apart) && !slices.ContainsFunc(b.listedEndpoints, none); kept != len(b.listedEndpoints) || weighted != b.useListedWeights {
-		t.Fatalf("%d weights of %d; weighted %v", kept, len(b.listedEndpoints), b.useListedWeights)
+	if weighted := slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none); kept != len(b.listed) || weighted != b.weights.useListed {
+		t.Fatalf("%d weights of %d; weighted %v", kept, len(b.listed), b.weights.useListed)
 	}
 }
 
@@ -314,8 +314,8 @@
 	d := start(t, s, n)
 	b := d.b
 	verify(t, b, d.now)
-	if !b.subsetByHash || len(b.subset) < 100 || len(b.subset) > 200 {
-		t.Fatalf("by ids %v, %d endpoints", b.subsetByHash, len(b.subset))
+	if !b.subset.byHash || len(b.subset.members) < 100 || len(b.subset.members) > 200 {
+		t.Fatalf("by ids %v, %d endpoints", b.subset.byHash, len(b.subset.members))
 	}
 	set := func() map[EndpointID]bool {
 		in := map[EndpointID]bool{}
@@ -329,7 +329,7 @@
 	}
 	before := set()
 	for i := range 50 {
-		out := b.subset[i].id
+		out := b.subset.members[i].id
 		d.list(ListEntry{Endpoint: out, State: EndpointRemoved})
 		d.list(ListEntry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
 		delete(before, out)
@@ -345,42 +345,42 @@
 		t.Fatalf("%v went by others' leaving", before)
 	}
 
-	held := len(b.subset)
-	for _, e := range slices.Clone(b.subset) {
+	held := len(b.subset.members)
+	for _, e := range slices.Clone(b.subset.members) {
 		if e.id%3 > 0 {
 			b.eject(d.now, e, "test")
 			b.refreshPools(d.now, e)
 		}
 	}
-	b.subsetStale = true
-	if verify(t, b, d.now); len(b.subset) < held*3/2 || b.hashShare.Widening != 2 {
-		t.Fatalf("%d endpoints after two thirds of %d were isolated", len(b.subset), held)
+	b.subset.stale = true
+	if verify(t, b, d.now); len(b.subset.members) < held*3/2 || b.subset.share.Widening != 2 {
+		t.Fatalf("%d endpoints after two thirds of %d were isolated", len(b.subset.members), held)
 	}
-	for _, e := range b.listedEndpoints {
+	for _, e := range b.listed {
 		if e.availability == ejected {
 			b.startSlowStart(d.now, e, d.now)
 		}
 	}
-	b.subsetStale = true
-	if verify(t, b, d.now); len(b.subset) != held || b.hashShare.Widening != 1 {
-		t.Fatalf("%d endpoints after the end of it, %d before", len(b.subset), held)
+	b.subset.stale = true
+	if verify(t, b, d.now); len(b.subset.members) != held || b.subset.share.Widening != 1 {
+		t.Fatalf("%d endpoints after the end of it, %d before", len(b.subset.members), held)
 	}
 
 	var l EndpointList
-	for _, e := range b.listedEndpoints[:1500] {
+	for _, e := range b.listed[:1500] {
 		l.Entries = append(l.Entries, ListEntry{Endpoint: e.id, State: EndpointRemoved})
 	}
 	l.Kind, l.Version = ListDelta, 3
 	b.HandleEndpoints(d.now, l)
-	if verify(t, b, d.now); b.subsetByHash || len(b.subset) > 45 {
-		t.Fatalf("by ids %v with %d endpoints of %d", b.subsetByHash, len(b.subset), len(b.listedEndpoints))
+	if verify(t, b, d.now); b.subset.byHash || len(b.subset.members) > 45 {
+		t.Fatalf("by ids %v with %d endpoints of %d", b.subset.byHash, len(b.subset.members), len(b.listed))
 	}
 	for i := range l.Entries {
 		l.Entries[i].State, l.Entries[i].Weight = EndpointReady, 1
 	}
 	l.Version = 4
 	b.HandleEndpoints(d.now, l)
-	if verify(t, b, d.now); !b.subsetByHash {
+	if verify(t, b, d.now); !b.subset.byHash {
 		t.Fatal("not by ids again")
 	}
 }
@@ -460,7 +460,7 @@
 		if most > hashSubsetFrom { // by ids, a size is by chance
 			low, high = 0.84*low-3*math.Sqrt(low), high+3*math.Sqrt(high)
 		}
-		if n := float64(len(b.subset)); n < low || n > high+1 {
+		if n := float64(len(b.subset.members)); n < low || n > high+1 {
 			t.Errorf("%v endpoints, %d at most", n, most)
 		}
 		if !strings.Contains(strings.Join(d.logs, "; "), fmt.Sprintf("reach at most %d of 3000", 12*most)) {
@@ -486,15 +486,15 @@
 func TestFullFleetIsLookedAtOnceATick(t *testing.T) {
 	d := start(t, settings(), 200)
 	d.serve(600, nil)
-	for _, e := range d.b.listedEndpoints {
+	for _, e := range d.b.listed {
 		e.rejectsUntil = d.now + time.Minute
 	}
 	d.ask(read)
-	if !d.b.exhausted[0] || d.b.exhausted[1] {
-		t.Fatalf("marked as %v", d.b.exhausted)
+	if !d.b.exhausted.scopes[0] || d.b.exhausted.scopes[1] {
+		t.Fatalf("marked as %v", d.b.exhausted.scopes)
 	}
 	before := len(d.sent)
-	for _, e := range d.b.listedEndpoints[5:] {
+	for _, e := range d.b.listed[5:] {
 		e.rejectsUntil = 0 // untold, so that a look would show
 	}
 	d.ask(read)
@@ -584,12 +584,12 @@
 	d := start(t, s, 40)
 	rate := func(g InstanceGroup, want float64) {
 		t.Helper()
-		level := d.b.tenantQuotas[0].tokens
+		level := d.b.quotas.tenants[0].tokens
 		if err := d.b.UpdateGroup(d.now, g); err != nil {
 			t.Fatal(err)
 		}
-		if got := d.b.tenantQuotas[0].rate; got != want || math.Abs(d.b.totalQuota.rate-want) > 1e-9 || d.b.tenantQuotas[0].tokens > level {
-			t.Errorf("%+v: %v and %v a second, should be %v; level %v after %v", g, got, d.b.totalQuota.rate, want, d.b.tenantQuotas[0].tokens, level)
+		if got := d.b.quotas.tenants[0].rate; got != want || math.Abs(d.b.quotas.total.rate-want) > 1e-9 || d.b.quotas.tenants[0].tokens > level {
+			t.Errorf("%+v: %v and %v a second, should be %v; level %v after %v", g, got, d.b.quotas.total.rate, want, d.b.quotas.tenants[0].tokens, level)
 		}
 	}
 	rate(InstanceGroup{Instances: 3, MaxInstances: 10}, 10)
--- /dev/null
+++ b/internal/balancer/losses.go
@@ -0,0 +1,74 @@
+package balancer
+
+import "time"
+
+// This file finds attempts whose answer is lost though their endpoint answers others: out for longer than hardly any, and
+// overtaken. That serves for lost answers, mute connections and stuck tiers below alike.
+
+const (
+	lossRateWeight   = 0.05 // of one attempt in an endpoint's share of lost ones: two in a row pass lossyRate
+	lossyRate        = 0.12 // share of attempts that an endpoint loses, not one that is slow now and then
+	stuckTails       = 0.6  // tail latencies until an attempt that so many later ones overtook leaves room,
+	lostTails        = 1.1  // and until it counts as lost
+	overdueTails     = 1.5  // and until it is retried, where most that count as lost get no answer until then
+	overdueWeight    = 0.3  // of one attempt that counts as lost, in the fleet's share of those that do
+	overdueThreshold = 0.6  // that share from which on it is; at first it is taken for a half
+)
+
+// losses is what the detection of lost attempts goes by beside the endpoints' own state.
+type losses struct {
+	inFlight     int     // attempts in flight that no answer is expected for
+	overdueShare float64 // smoothed share of the lost ones that are out for longer still
+}
+
+// recordAnswer takes in that an attempt was answered.
+func (l *losses) recordAnswer(r *request, e *endpoint) {
+	e.lossRate -= lossRateWeight * e.lossRate
+	if r.lost {
+		l.overdueShare -= overdueWeight * l.overdueShare // it was slow
+	}
+}
+
+// countOvertaken notes that an attempt was answered before others that were sent earlier.
+func (b *Balancer) countOvertaken(by *request) {
+	for _, e := range b.busy {
+		for _, r := range e.calls {
+			if r.sentAt >= by.sentAt {
+				break
+			}
+			r.overtaken++
+		}
+	}
+}
+
+// detectLost looks for attempts that an endpoint has lost. They are retried while there is time, and do not use up the limit: the
+// limit falls as answers fail to come. Where all turn slow at once, some slow attempts run twice.
+func (b *Balancer) detectLost(now time.Duration, e *endpoint) {
+	e.lostCalls = 0
+	for _, r := range e.calls {
+		age, tail := now-r.sentAt, r.class.latency.tail()
+		if r.overtaken < minOtherResponses || age <= seconds(stuckTails*tail) {
+			continue
+		}
+		e.lostCalls++
+		if !r.lost && age > seconds(lostTails*tail) {
+			r.lost = true
+			e.lossRate += lossRateWeight * (1 - e.lossRate)
+		}
+		if !r.overdue && age > seconds(overdueTails*tail) {
+			r.overdue = true
+			b.losses.overdueShare += overdueWeight * (1 - b.losses.overdueShare)
+		}
+		if b.givenUp(r, e) && b.canRetryInTime(now, r) {
+			b.cancelAttempt(r)
+		}
+	}
+	if e.availability != ejected {
+		b.losses.inFlight += e.lostCalls
+	}
+}
+
+// givenUp reports whether no answer to an attempt is waited for any longer.
+func (b *Balancer) givenUp(r *request, e *endpoint) bool {
+	return r.lost && e.lossRate > lossyRate || r.overdue && b.losses.overdueShare > overdueThreshold
+}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -2,25 +2,36 @@
 
 import "time"
 
-// This file decides what goes out again: what the rules permit, the budget, lost calls, and the final answer.
+// This file decides what is retried: what the rules of a class permit, the retry budget, and the final answer.
 
 const (
-	retryBudgetShare = 0.2  // further attempts earned by each answered call
+	retryBudgetShare = 0.2  // retries earned by each answer
 	maxRetryBudget   = 10.0 // and how many may be saved up
-
-	lossRateWeight   = 0.05 // of one call in an endpoint's share of lost ones: two in a row pass lossyRate
-	lossyRate        = 0.12 // share of calls that an endpoint loses, not one that is slow now and then
-	stuckTails       = 0.6  // tails (see initialTailRatio) until a call that so many later ones overtook leaves room,
-	lostTails        = 1.1  // and until it counts as lost
-	overdueTails     = 1.5  // and until it is sent again, where most that count as lost go unanswered until then
-	overdueWeight    = 0.3  // of one call that counts as lost, in the fleet's share of those that do
-	overdueThreshold = 0.6  // that share from which on it is; at first it is taken for a half
 )
 
-// retryPermitted tells whether the rules let a request go to an endpoint.
+// retryBudget bounds retries by a share of the answers.
+type retryBudget struct {
+	tokens         float64 // retries that may be made
+	pendingCancels int     // attempts that were cancelled and have not ended: each may become a retry
+}
+
+// earn counts an answer.
+func (b *retryBudget) earn() { b.tokens = min(b.tokens+retryBudgetShare, maxRetryBudget) }
+
+// allows reports whether a retry may be made.
+func (b *retryBudget) allows() bool { return b.tokens >= 1 }
+
+// take counts a retry.
+func (b *retryBudget) take() { b.tokens-- }
+
+// coversCancel reports whether the retry of one more attempt that is cancelled is covered, too. Of a crowd of slow attempts that
+// were all cancelled at once, those that it did not cover failed, though their answers were near.
+func (b *retryBudget) coversCancel() bool { return b.tokens-float64(b.pendingCancels) >= 1 }
+
+// retryPermitted reports whether the rules let a request go to an endpoint.
 func (b *Balancer) retryPermitted(now time.Duration, r *request, e *endpoint) bool {
 	switch {
-	case !r.mayHaveRun || r.class.Idempotency == Idempotent:
+	case r.unrestricted():
 		return true
 	case !b.retrySafe(now, r):
 		return false
@@ -32,26 +43,26 @@
 	return true
 }
 
-// retrySafe tells whether a request may go to any endpoint at all: not if it may have run and nobody, or
-// nobody any more, drops its repeat.
+// retrySafe reports whether a request may go to any endpoint at all: not if it may have run and nobody, or nobody any more, drops
+// its repeat.
 func (b *Balancer) retrySafe(now time.Duration, r *request) bool {
-	return !r.mayHaveRun || r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentWithKey && now-r.ranAt < r.class.KeyWindow-b.tickInterval
+	if r.unrestricted() {
+		return true
+	}
+	return r.class.Idempotency == IdempotentWithKey && now-r.ranAt < r.class.KeyWindow-b.tickInterval
 }
 
-// retryOrFinish decides what follows an attempt that was not served: another one where the rules, the budget and
-// the time allow it, else the final answer.
+// retryOrFinish decides what follows an attempt that was not served: a retry where the rules, the budget and the time allow it,
+// else the final answer.
 func (b *Balancer) retryOrFinish(now time.Duration, r *request, e *endpoint, o Outcome) {
 	r.failedEndpoint = e
 	if !o.Status.NeverRan() {
-		if !r.mayHaveRun {
-			r.mayHaveRun, r.ranInZone, r.ranInCell, r.ranAt = true, e.zone, e.cell, r.sentAt
-		}
-		if b.retryBudget < 1 || r.class.Idempotency == NonIdempotent {
+		r.noteRun(e)
+		if !b.retries.allows() || r.class.Idempotency == NonIdempotent {
 			b.finish(now, r)
 			return
 		}
-		b.retryBudget--
+		b.retries.take()
 	}
 	if o.NoRetry || r.attempts >= r.maxAttempts || now+max(b.tickInterval, o.Backoff) >= r.deadline {
 		b.finish(now, r)
@@ -60,11 +71,10 @@
 	b.enqueueAfter(now, r, o.Backoff)
 }
 
-// finish gives the final answer: refused where a repeat is proven harmless, else failed.
+// finish gives the final answer: rejected where a retry is proven harmless, else failed.
 func (b *Balancer) finish(now time.Duration, r *request) {
 	r.done = true
-	if !r.mayHaveRun && r.endpoint == nil || r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeAll && b.retrySafe(now, r) {
+	if b.retryHarmless(now, r) {
 		b.host.Reject(r.id, b.retryAfter(now, r.class))
 	} else {
 		b.host.Fail(r.id)
@@ -74,60 +84,51 @@
 	}
 }
 
-func (b *Balancer) cancelAttempt(r *request) {
-	if b.settings.MayCancel && !r.cancelled && !r.streaming {
-		r.cancelled = true
-		b.pendingCancels++
-		b.host.Cancel(r.id, r.attempts-1)
+// retryHarmless reports whether a client may send a request again, to any instance.
+func (b *Balancer) retryHarmless(now time.Duration, r *request) bool {
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		if r.class.KeyScope == KeyScopeAll && b.retrySafe(now, r) {
+			return true
+		}
 	}
+	return !r.mayHaveRun && r.endpoint == nil
 }
 
-// canRetryInTime tells whether a call that is out could be sent again, in time, after it is withdrawn. Each that
-// is on its way back will take of the budget: of a crowd of slow calls that were all called off at once,
-// those that it did not cover failed, though their answers were near. Nor is one called off that could go
-// nowhere then, as the last of its cell drains.
-func (b *Balancer) canRetryInTime(now time.Duration, r *request) bool {
-	return !r.done && r.class.Idempotency != NonIdempotent && b.retryBudget-float64(b.pendingCancels) >= 1 && b.hasRetryEndpoint(r) &&
-		now+seconds(r.class.baseLatency) < r.targetAt && r.attempts < r.maxAttempts
+// cancelAttempt cancels the attempt that is in flight, if that is permitted.
+func (b *Balancer) cancelAttempt(r *request) {
+	if !b.settings.MayCancel || r.cancelled || r.streaming {
+		return
+	}
+	r.cancelled = true
+	b.retries.pendingCancels++
+	b.host.Cancel(r.id, r.attempts-1)
 }
 
-// countOvertaken notes that a call was answered before others that were sent earlier.
-func (b *Balancer) countOvertaken(by *request) {
-	for _, e := range b.busy {
-		for _, r := range e.calls {
-			if r.sentAt >= by.sentAt {
-				break
-			}
-			r.overtaken++
-		}
+// canRetryInTime reports whether an attempt that is in flight could be retried, in time, after it is cancelled. Nor is one
+// cancelled that could go nowhere then, as the last of its cell drains.
+func (b *Balancer) canRetryInTime(now time.Duration, r *request) bool {
+	if r.done || r.class.Idempotency == NonIdempotent || r.attempts >= r.maxAttempts {
+		return false
 	}
+	inTime := now+seconds(r.class.latency.base) < r.targetAt
+	return inTime && b.retries.coversCancel() && b.hasRetryEndpoint(r)
 }
 
-// detectLost looks for calls that an endpoint has lost, though it answers others: out for longer than hardly any,
-// and overtaken. They are sent again while there is time, and do not use up the limit: the limit falls as
-// answers fail to come. That serves for lost answers, mute connections and stuck tiers below alike. Where all
-// turn slow at once, some slow calls run twice.
-func (b *Balancer) detectLost(now time.Duration, e *endpoint) {
-	e.lostCalls = 0
-	for _, r := range e.calls {
-		age, long := now-r.sentAt, r.class.tailRatio*r.class.meanLatency
-		if r.overtaken < minOtherResponses || age <= seconds(stuckTails*long) {
-			continue
-		}
-		e.lostCalls++
-		if !r.lost && age > seconds(lostTails*long) {
-			r.lost = true
-			e.lossRate += lossRateWeight * (1 - e.lossRate)
-		}
-		if !r.overdue && age > seconds(overdueTails*long) {
-			r.overdue = true
-			b.overdueShare += overdueWeight * (1 - b.overdueShare)
-		}
-		if (r.lost && e.lossRate > lossyRate || r.overdue && b.overdueShare > overdueThreshold) && b.canRetryInTime(now, r) {
-			b.cancelAttempt(r)
-		}
+// hasRetryEndpoint reports whether there is any endpoint that a request whose attempt is in flight could go to again, if that may
+// have run.
+func (b *Balancer) hasRetryEndpoint(r *request) bool {
+	if r.class.Idempotency != IdempotentWithKey || r.class.KeyScope == KeyScopeAll {
+		return b.index.len() > 0
+	}
+	zone, cell := r.endpoint.zone, r.endpoint.cell
+	if r.mayHaveRun {
+		zone, cell = r.ranInZone, r.ranInCell
 	}
-	if e.availability != ejected {
-		b.lostInFlight += e.lostCalls
+	if r.class.KeyScope == KeyScopeZone {
+		return b.index.perZone[zone] > 0
 	}
+	return len(b.index.byCell[cell]) > 0
 }
