--- a/internal/mesh/dataplane/inbound/pending.go
+++ b/internal/mesh/dataplane/inbound/pending.go
@@ -44,8 +44,8 @@
 	return p.detectDown(r)
 }
 
-// detectDown ends the endpoint's life if it refuses connections, and returns its ID then. Only the endpoint that the request was meant
-// for is blamed. The lock is held.
+// detectDown marks the endpoint as terminated if it refuses connections, and returns its ID then. It does so only for a request that
+// was meant for this endpoint. The lock is held.
 func (p *Proxy) detectDown(r *pendingRequest) (downEndpoint string) {
 	if !p.connections.endpointDown() {
 		return ""
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -75,8 +75,8 @@
 	return outcome.Malformed
 }
 
-// readAll appends what a reader has to a buffer. reserve is told of the bytes as they come, and returns whether there is room for them;
-// if there is not the error is errBodyCapacity.
+// readAll appends what a reader has to a buffer. reserve is called with the number of bytes as they come, and
+// returns whether there is room for them; if there is not the error is errBodyCapacity.
 func readAll(reader io.Reader, buf []byte, reserve func(n int) bool) ([]byte, error) {
 	for {
 		if len(buf) == cap(buf) {
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -1,6 +1,7 @@
 package outbound_test
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -32,26 +33,34 @@
 var answerBody = make([]byte, 128)
 
 // answerCall is an endpoint that does no work.
-func answerCall(w http.ResponseWriter, q *http.Request) {
-	w.Header().Set("Attempt-Id", q.Header.Get("Attempt-Id"))
-	w.Header().Set("Endpoint-Seal", "s."+q.Header.Get("Attempt-Id"))
+func answerCall(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
+	w.Header().Set("Endpoint-Seal", "s."+r.Header.Get("Attempt-Id"))
 	_, _ = w.Write(answerBody)
 }
 
-// listenHub is a hub that takes links on loopback.
-func listenHub(b *testing.B, log *logrus.Logger, life uint64) (*transport.Hub, func(d *inbound.Proxy), string) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// listen listens on loopback until the end of the benchmark.
+func listen(b *testing.B) net.Listener {
+	b.Helper()
+	var config net.ListenConfig
+	l, err := config.Listen(b.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	hub := transport.NewHub(transport.Hello{Incarnation: life, Address: l.Addr().String(), Zone: "zone-0"}, time.Now().Add(-time.Hour), 8<<20, log)
-	b.Cleanup(func() { hub.Close(); l.Close() })
-	return hub, func(d *inbound.Proxy) {
-		if d != nil {
-			d.Register(hub)
-		}
-		go func() { _ = hub.Listen(l) }()
-	}, l.Addr().String()
+	b.Cleanup(func() { _ = l.Close() }) // a server may have closed it
+	return l
+}
+
+// startHub starts a hub that takes links on loopback, after what is to be declared on it.
+func startHub(b *testing.B, log *logrus.Logger, incarnation uint64, declare func(hub *transport.Hub)) (hub *transport.Hub, address string) {
+	b.Helper()
+	l := listen(b)
+	hello := transport.Hello{Incarnation: incarnation, Address: l.Addr().String(), Zone: "zone-0"}
+	hub = transport.NewHub(hello, time.Now().Add(-time.Hour), 8<<20, log)
+	b.Cleanup(hub.Close)
+	declare(hub)
+	go func() { _ = hub.Listen(l) }() // until the listener is closed
+	return hub, hello.Address
 }
 
 // usage is what the process has used so far.
@@ -68,48 +77,69 @@
 	return usage{time.Duration(u.Utime.Nano() + u.Stime.Nano()), m.Mallocs}
 }
 
+// callUsage is what one call has used, in the mean.
+type callUsage struct {
+	cpuMicroseconds float64
+	allocs          float64
+}
+
 // caller makes calls one after another on one connection.
 type caller struct {
 	b      *testing.B
 	client *http.Client
 	base   string
-	next   int
+	calls  int
 	times  []time.Duration
 }
 
+// measure returns what the calls of a function have used.
+func (c *caller) measure(f func()) callUsage {
+	before := used()
+	f()
+	after := used()
+	calls := float64(len(c.times))
+	cpu := float64((after.cpu - before.cpu).Nanoseconds()) / 1000
+	return callUsage{cpuMicroseconds: cpu / calls, allocs: float64(after.allocs-before.allocs) / calls}
+}
+
 func newCaller(b *testing.B, base string) *caller {
+	b.Helper()
 	t := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	b.Cleanup(t.CloseIdleConnections)
 	return &caller{b: b, client: &http.Client{Transport: t}, base: base}
 }
 
 func (c *caller) call() {
-	c.next++
-	q, err := http.NewRequest(http.MethodGet, c.base+"/p/item?x=1", nil)
+	c.calls++
+	ctx := context.Background() // the client allocates more for any other one
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/p/item?x=1", nil)
 	if err != nil {
 		c.b.Fatal(err)
 	}
-	q.Host = "shop.example"
-	q.Header.Set("Key", "k")
-	q.Header.Set("Attempt-Id", "a-"+strconv.Itoa(c.next))
+	r.Host = "shop.example"
+	r.Header.Set("Key", "k")
+	r.Header.Set("Attempt-Id", "a-"+strconv.Itoa(c.calls))
 	began := time.Now()
-	resp, err := c.client.Do(q)
+	resp, err := c.client.Do(r)
 	if err != nil {
 		c.b.Fatal(err)
 	}
 	body, err := io.ReadAll(resp.Body)
-	resp.Body.Close()
+	if closeErr := resp.Body.Close(); closeErr != nil {
+		c.b.Fatal(closeErr)
+	}
 	c.times = append(c.times, time.Since(began))
 	if err != nil || resp.StatusCode != http.StatusOK || len(body) != len(answerBody) ||
-		resp.Header.Get("Attempt-Id") != q.Header.Get("Attempt-Id") {
-		c.b.Fatalf("call %d: status %d, %d bytes, %v", c.next, resp.StatusCode, len(body), err)
+		resp.Header.Get("Attempt-Id") != r.Header.Get("Attempt-Id") {
+		c.b.Fatalf("call %d: status %d, %d bytes, %v", c.calls, resp.StatusCode, len(body), err)
 	}
 }
 
-// chooseService is the time within which a part of the calls were answered.
-func (c *caller) part(x float64) float64 {
-	s := slices.Sorted(slices.Values(c.times))
-	return float64(s[min(int(x*float64(len(s))), len(s)-1)].Nanoseconds()) / 1000
+// quantile returns the time in microseconds within which a share of the calls were answered.
+func (c *caller) quantile(share float64) float64 {
+	sorted := slices.Sorted(slices.Values(c.times))
+	rank := min(int(share*float64(len(sorted))), len(sorted)-1)
+	return float64(sorted[rank].Nanoseconds()) / 1000
 }
 
 // warm makes calls that do not count.
@@ -130,72 +160,78 @@
 	}
 }
 
-func benchmarkCall(b *testing.B, neighbours int) {
+func benchmarkCall(b *testing.B, peers int) {
+	b.Helper()
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	near, listen, _ := listenHub(b, log, 1)
-	listen(nil)
-	conf, err := configuration.Parse([]byte(callConfig))
-	if err != nil {
-		b.Fatal(err)
-	}
-	proxy := outbound.New(outbound.Options{Hub: near, Service: "client", Log: log, Seed: 1, MaxBodyBytes: 64 << 20})
-	proxy.Configure(conf)
+	hub, _ := startHub(b, log, 1, func(*transport.Hub) {})
 	var endpoints []discovery.Endpoint
 	direct := ""
-	for i := range neighbours {
+	for i := range peers {
 		app := httptest.NewServer(http.HandlerFunc(answerCall))
 		b.Cleanup(app.Close)
 		direct = app.URL
-		hub, listen, address := listenHub(b, log, uint64(i+2))
-		inboundProxy := inbound.New(app.Listener.Addr().String(), hub.Now, log, nil)
-		life := fmt.Sprintf("i-%d", i)
-		inboundProxy.UpdateEndpoint(admission.Endpoint{ID: life, Service: "shop", Slots: 8}, admission.Serving)
-		listen(inboundProxy)
-		endpoints = append(endpoints, discovery.Endpoint{
-			ID: life, Service: "shop", AppAddress: app.Listener.Addr().String(),
-			SidecarAddress: address, Zone: "zone-0", State: discovery.Serving, Slots: 8, LeaseRemaining: time.Hour,
-		})
-	}
-	proxy.UpdateEndpoints("shop", endpoints)
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
+		endpoints = append(endpoints, startPeerSidecar(b, log, i, app.Listener.Addr().String()))
 	}
-	server := proxy.Server()
-	go func() { _ = server.Serve(l) }()
-	b.Cleanup(func() { server.Close() })
+	front := startFront(b, log, hub, endpoints)
 
 	plain := newCaller(b, direct)
 	plain.warm(200)
-	before := used()
-	for range 4000 {
-		plain.call()
-	}
-	after := used()
-	calls := float64(len(plain.times))
-	directCPU := float64((after.cpu - before.cpu).Nanoseconds()) / 1000 / calls
-	directAllocs := float64(after.allocs-before.allocs) / calls
-
-	through := newCaller(b, "http://"+l.Addr().String())
-	through.warm(200 + 20*neighbours) // links are dialled, connections to the endpoints made
-	before = used()
-	for b.Loop() {
-		through.call()
-	}
-	after = used()
-	calls = float64(len(through.times))
-	b.ReportMetric(float64((after.cpu-before.cpu).Nanoseconds())/1000/calls, "cpu-us/call")
-	b.ReportMetric(float64(after.allocs-before.allocs)/calls, "allocs/call")
-	b.ReportMetric(through.part(0.5), "p50-us")
-	b.ReportMetric(through.part(0.99), "p99-us")
-	b.ReportMetric(through.part(0.5)-plain.part(0.5), "added-p50-us")
-	b.ReportMetric(through.part(0.99)-plain.part(0.99), "added-p99-us")
-	b.ReportMetric(directCPU, "direct-cpu-us/call")
-	b.ReportMetric(directAllocs, "direct-allocs/call")
-	links, _ := near.LinkCounts()
+	plainUse := plain.measure(func() {
+		for range 4000 {
+			plain.call()
+		}
+	})
+	through := newCaller(b, front)
+	through.warm(200 + 20*peers) // links are dialled, connections to the endpoints made
+	throughUse := through.measure(func() {
+		for b.Loop() {
+			through.call()
+		}
+	})
+	b.ReportMetric(throughUse.cpuMicroseconds, "cpu-us/call")
+	b.ReportMetric(throughUse.allocs, "allocs/call")
+	b.ReportMetric(through.quantile(0.5), "p50-us")
+	b.ReportMetric(through.quantile(0.99), "p99-us")
+	b.ReportMetric(through.quantile(0.5)-plain.quantile(0.5), "added-p50-us")
+	b.ReportMetric(through.quantile(0.99)-plain.quantile(0.99), "added-p99-us")
+	b.ReportMetric(plainUse.cpuMicroseconds, "direct-cpu-us/call")
+	b.ReportMetric(plainUse.allocs, "direct-allocs/call")
+	links, _ := hub.LinkCounts()
 	if links == 0 {
 		b.Fatal("no call went over a link")
 	}
 	b.ReportMetric(float64(links), "links")
 }
+
+// startPeerSidecar starts the sidecar beside an endpoint, and returns the endpoint's entry in the list.
+func startPeerSidecar(b *testing.B, log *logrus.Logger, number int, app string) discovery.Endpoint {
+	b.Helper()
+	id := fmt.Sprintf("i-%d", number)
+	_, address := startHub(b, log, uint64(number+2), func(hub *transport.Hub) {
+		proxy := inbound.New(app, hub.Now, log, nil)
+		proxy.UpdateEndpoint(admission.Endpoint{ID: id, Service: "shop", Slots: 8}, admission.Serving)
+		proxy.Register(hub)
+	})
+	return discovery.Endpoint{
+		ID: id, Service: "shop", AppAddress: app, SidecarAddress: address, Zone: "zone-0",
+		State: discovery.Serving, Slots: 8, LeaseRemaining: time.Hour,
+	}
+}
+
+// startFront starts the clients' side, and returns the URL at which it listens.
+func startFront(b *testing.B, log *logrus.Logger, hub *transport.Hub, endpoints []discovery.Endpoint) string {
+	b.Helper()
+	config, err := configuration.Parse([]byte(callConfig))
+	if err != nil {
+		b.Fatal(err)
+	}
+	proxy := outbound.New(outbound.Options{Hub: hub, Service: "client", Log: log, Seed: 1, MaxBodyBytes: 64 << 20})
+	proxy.Configure(config)
+	proxy.UpdateEndpoints("shop", endpoints)
+	l := listen(b)
+	server := proxy.Server()
+	go func() { _ = server.Serve(l) }() // until it is closed
+	b.Cleanup(func() { _ = server.Close() })
+	return "http://" + l.Addr().String()
+}
--- a/internal/mesh/dataplane/outbound/connections_test.go
+++ b/internal/mesh/dataplane/outbound/connections_test.go
@@ -24,18 +24,18 @@
 // request is served, as the server would take it for the end of the client, and have the request given up.
 func TestARequestThatCrossesTheCloseIsServed(t *testing.T) {
 	c := qt.New(t)
-	d := New(Options{})
+	proxy := New(Options{})
 	conn := &deadlineConn{}
-	d.connections.track(conn, http.StateNew)
-	d.connections.track(conn, http.StateActive)
+	proxy.connections.track(conn, http.StateNew)
+	proxy.connections.track(conn, http.StateActive)
 	c.Assert(conn.deadline.IsZero(), qt.IsTrue)
-	d.connections.track(conn, http.StateIdle)
-	d.connections.close(closingIdle)
+	proxy.connections.track(conn, http.StateIdle)
+	proxy.connections.close(closingIdle)
 	c.Assert(conn.deadline.Before(time.Now()) && !conn.deadline.IsZero(), qt.IsTrue)
-	d.connections.track(conn, http.StateActive)
+	proxy.connections.track(conn, http.StateActive)
 	c.Assert(conn.deadline.IsZero(), qt.IsTrue)
-	d.connections.sweep()
+	proxy.connections.sweep()
 	c.Assert(conn.deadline.IsZero(), qt.IsTrue, qt.Commentf("a request is under way"))
-	d.connections.track(conn, http.StateClosed)
-	c.Assert(d.OpenConnections(), qt.Equals, 0)
+	proxy.connections.track(conn, http.StateClosed)
+	c.Assert(proxy.OpenConnections(), qt.Equals, 0)
 }
--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -16,38 +16,41 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// refuse sends a request with a body to a proxy that turns all away, as it has no configuration.
-func refuse(t *testing.T, headers string, bytes int, send func(conn net.Conn, body []byte)) (*http.Response, error) {
+// answer is what a client reads of an answer.
+type answer struct {
+	status     int
+	retryAfter string
+}
+
+// postUnready sends a request with a body to a proxy that rejects all, as it has no configuration.
+func postUnready(t *testing.T, headers string, bytes int, send func(conn net.Conn, body []byte)) answer {
+	t.Helper()
 	return post(t, New(Options{}), headers, bytes, send)
 }
 
 // post sends a request with a body to a proxy, on a connection of its own, and then reads its answer. send brings the body.
-func post(t *testing.T, d *Proxy, headers string, bytes int, send func(conn net.Conn, body []byte)) (*http.Response, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	qt.Assert(t, err, qt.IsNil)
-	server := d.Server()
-	go server.Serve(l)
-	t.Cleanup(func() { server.Close() })
-	conn, err := net.Dial("tcp4", l.Addr().String())
+func post(t *testing.T, proxy *Proxy, headers string, bytes int, send func(conn net.Conn, body []byte)) answer {
+	t.Helper()
+	address := serve(t, proxy)
+	conn := dial(t, address)
+	_, err := fmt.Fprintf(conn, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n", bytes, headers)
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(conn, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n", bytes, headers)
 	send(conn, make([]byte, bytes))
-	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err == nil {
-		_, err = io.Copy(io.Discard, r.Body)
-	}
-	return r, err
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("%q, %d bytes", headers, bytes))
+	_, err = io.Copy(io.Discard, response.Body)
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("%q, %d bytes", headers, bytes))
+	qt.Assert(t, response.Body.Close(), qt.IsNil)
+	return answer{status: response.StatusCode, retryAfter: response.Header.Get(headerRetryAfter)}
 }
 
-// A client sends all of its body before it reads the answer to a request that was turned away long before, on a connection that ends with
+// A client sends all of its body before it reads the answer to a request that was rejected long before, on a connection that ends with
 // the answer. It can send it, and has the answer: many clients give an exchange up once they can't write, and a reset may take an
 // answer away that they have not read yet.
 func TestARejectionOutlivesTheCloseOfItsConnection(t *testing.T) {
 	for _, headers := range []string{"", "Connection: close\r\n"} {
 		for _, bytes := range []int{1, 5_000, 100_000, 900_000} {
-			r, err := refuse(t, headers, bytes, func(conn net.Conn, body []byte) {
+			got := postUnready(t, headers, bytes, func(conn net.Conn, body []byte) {
 				const parts = 4
 				for i := range parts {
 					_, err := conn.Write(body[i*bytes/parts : (i+1)*bytes/parts])
@@ -56,9 +59,8 @@
 				}
 			})
 			comment := qt.Commentf("%q, %d bytes", headers, bytes)
-			qt.Assert(t, err, qt.IsNil, comment)
-			qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable, comment)
-			qt.Check(t, r.Header.Get("Retry-After"), qt.Not(qt.Equals), "", comment)
+			qt.Check(t, got.status, qt.Equals, http.StatusServiceUnavailable, comment)
+			qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "", comment)
 		}
 	}
 }
@@ -66,15 +68,14 @@
 // It is answered at once, however long its body takes to come.
 func TestARejectionDoesNotWaitForTheBody(t *testing.T) {
 	began := time.Now()
-	r, err := refuse(t, "", 100_000, func(conn net.Conn, body []byte) { _, _ = conn.Write(body[:10]) })
-	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable)
+	got := postUnready(t, "", 100_000, func(conn net.Conn, body []byte) { _, _ = conn.Write(body[:10]) })
+	qt.Check(t, got.status, qt.Equals, http.StatusServiceUnavailable)
 	qt.Check(t, time.Since(began) < discardTimeout/2, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
 // A process ends while a body is still coming: its request is answered in time, and the client hears when to come back.
 func TestARequestWhoseBodyIsStillComingIsAnsweredAtTheEnd(t *testing.T) {
-	conf, err := configuration.Parse([]byte(`{"configVersion":"r1","routeTable":[{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent",
+	config, err := configuration.Parse([]byte(`{"configVersion":"r1","routeTable":[{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent",
 		"timeout":"9000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":1,"publicAccess":true}],
 		"serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 		"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}`))
@@ -83,23 +84,22 @@
 	log.SetOutput(io.Discard)
 	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	d := New(Options{Hub: hub, Log: log, MaxBodyBytes: 1 << 20})
-	d.Configure(conf)
+	proxy := New(Options{Hub: hub, Log: log, MaxBodyBytes: 1 << 20})
+	proxy.Configure(config)
 	began := time.Now()
-	r, err := post(t, d, "Attempt-Id: a\r\n", 100_000, func(conn net.Conn, body []byte) {
+	got := post(t, proxy, "Attempt-Id: a\r\n", 100_000, func(conn net.Conn, body []byte) {
 		_, _ = conn.Write(body[:10])
-		for len(d.bodyReads.reading()) == 0 {
+		for len(proxy.bodyReads.reading()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		d.ShutDownBy(d.Now() + 200*time.Millisecond)
+		proxy.ShutDownBy(proxy.Now() + 200*time.Millisecond)
 	})
-	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable)
-	qt.Check(t, r.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
+	qt.Check(t, got.status, qt.Equals, http.StatusServiceUnavailable)
+	qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "")
 	qt.Check(t, time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
-// reading are the bodies that are being read.
+// reading returns the bodies that are being read.
 func (b *bodyReads) reading() (list []*http.ResponseController) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/faults_test.go
@@ -0,0 +1,246 @@
+package outbound_test
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"quincegap/internal/mesh/dataplane/admission"
+	"quincegap/internal/mesh/discovery"
+)
+
+// faultRun is one simulated run: three sidecars, two flawed endpoints, clients, and a network that fails.
+type faultRun struct {
+	n         *network
+	sidecars  []*sidecar
+	endpoints []*flawedEndpoint
+
+	mu          sync.Mutex
+	lastRequest int
+	status      map[string]int    // of each request that was answered, by its ID
+	kind        map[string]string // of each request, by its ID
+	violations  []string
+	givenUp     int // requests that their clients gave up
+}
+
+func newFaultRun(seed uint64) *faultRun {
+	return &faultRun{n: newNetwork(seed, true), status: map[string]int{}, kind: map[string]string{}}
+}
+
+func (f *faultRun) violated(format string, args ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
+}
+
+// sentRequest is one request of a client, and the text that it sends.
+type sentRequest struct {
+	id, uri, text string
+}
+
+// newRequest makes a request of a random kind.
+func (f *faultRun) newRequest() sentRequest {
+	kind := []string{"idempotent", "non_idempotent", "non_idempotent", "downlink"}[f.n.draw(4)]
+	f.mu.Lock()
+	f.lastRequest++
+	id := fmt.Sprintf("%08x", f.lastRequest)
+	f.kind[id] = kind
+	f.mu.Unlock()
+	uri := "/" + kind + "/" + id
+	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Remaining: %d\r\nContent-Length: %d\r\n\r\n%s", uri, id,
+		60+f.n.draw(1500), len(id), id)
+	return sentRequest{id, uri, text}
+}
+
+// runClient sends requests to a sidecar on connections that it keeps, one by one or two at once; it may give up.
+func (f *faultRun) runClient(to string, requests int) {
+	var conn net.Conn
+	var reader *bufio.Reader
+	for sent := 0; sent < requests; {
+		if conn == nil {
+			conn = f.n.connectClient(to)
+			reader = bufio.NewReader(conn)
+		}
+		var batch []sentRequest
+		for range 1 + f.n.draw(10)/9 {
+			batch = append(batch, f.newRequest())
+		}
+		sent += len(batch)
+		if ok := f.sendBatch(conn, reader, batch); !ok {
+			closeQuietly(conn)
+			conn = nil
+		}
+		time.Sleep(time.Duration(f.n.draw(30)) * time.Millisecond)
+	}
+	if conn != nil {
+		closeQuietly(conn)
+	}
+}
+
+// sendBatch sends requests on one connection and reads their answers; false if the connection is of no use any more.
+func (f *faultRun) sendBatch(conn net.Conn, reader *bufio.Reader, batch []sentRequest) bool {
+	if f.n.draw(12) == 0 {
+		_ = conn.SetDeadline(time.Now().Add(time.Duration(f.n.draw(300)) * time.Millisecond)) // it may be closed
+	}
+	all := ""
+	for _, r := range batch {
+		all += r.text
+	}
+	go func() { _, _ = io.WriteString(conn, all) }() // the sidecar reads the second while it answers the first
+	for _, r := range batch {
+		err := f.readAnswer(reader, r)
+		if err == nil {
+			continue
+		}
+		var netError net.Error
+		if !errors.As(err, &netError) || !netError.Timeout() {
+			f.violated("request %s: %v", r.id, err)
+		}
+		f.mu.Lock()
+		f.givenUp++
+		f.mu.Unlock()
+		return false
+	}
+	return true
+}
+
+// readAnswer reads one answer, and checks whose it is.
+func (f *faultRun) readAnswer(reader *bufio.Reader, r sentRequest) error {
+	response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
+	if err != nil {
+		return err
+	}
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return err
+	}
+	if err := response.Body.Close(); err != nil {
+		return err
+	}
+	id := response.Header.Get("Attempt-Id")
+	complete := id == r.id && string(body) == answerText(r.id, r.uri, r.id) && response.Header.Get("Endpoint-Seal") != ""
+	switch {
+	case response.StatusCode == http.StatusOK && !complete:
+		f.violated("request %s got the answer %s, %d bytes", r.id, id, len(body))
+	case id != "" && id != r.id:
+		f.violated("request %s got %d of %s", r.id, response.StatusCode, id)
+	}
+	f.mu.Lock()
+	f.status[r.id] = response.StatusCode
+	f.mu.Unlock()
+	return nil
+}
+
+// start starts three sidecars, two of them with endpoints.
+func (f *faultRun) start(t *testing.T) {
+	t.Helper()
+	var known []discovery.Endpoint
+	for i, name := range []string{"a", "b", "c"} {
+		s := startSidecar(t, f.n, name, uint64(i+1))
+		f.sidecars = append(f.sidecars, s)
+		if i == 0 {
+			continue
+		}
+		endpoint := startEndpoint(f.n, name+endpointPort, "i-"+name, true)
+		f.endpoints = append(f.endpoints, endpoint)
+		s.inbound.UpdateEndpoint(admission.Endpoint{ID: endpoint.id, Service: "s", Slots: 3}, admission.Serving)
+		known = append(known, servingEndpoint(endpoint.id, name, 3))
+	}
+	for _, s := range f.sidecars {
+		s.outbound.UpdateEndpoints("s", known)
+	}
+}
+
+// freezeNodes has the processes beside endpoints stand still now and then.
+func (f *faultRun) freezeNodes(stop <-chan struct{}) {
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(time.Duration(50+f.n.draw(500)) * time.Millisecond):
+			f.n.node([]string{"b", "c"}[f.n.draw(2)]).freeze(time.Duration(f.n.draw(1200)) * time.Millisecond)
+		}
+	}
+}
+
+// play runs the clients, and checks what came of their requests.
+func (f *faultRun) play(t *testing.T) {
+	t.Helper()
+	f.start(t)
+	var clients, freezer sync.WaitGroup
+	for i := range 10 {
+		clients.Go(func() { f.runClient(f.sidecars[i%3].name, 12) })
+	}
+	stop := make(chan struct{})
+	freezer.Go(func() { f.freezeNodes(stop) })
+	clients.Wait()
+	close(stop)
+	freezer.Wait()
+	time.Sleep(10 * time.Second) // what was given up would begin now, if it ever did
+	for _, s := range f.sidecars {
+		s.close()
+	}
+	for _, e := range f.endpoints {
+		e.close()
+	}
+	time.Sleep(time.Second) // hubs see that they are closed
+	for id, kind := range f.kind {
+		f.checkExecutions(id, kind)
+	}
+}
+
+// checkExecutions checks how often a request was executed.
+func (f *faultRun) checkExecutions(id, kind string) {
+	executed := 0
+	for _, e := range f.endpoints {
+		executed += e.executions(id)
+	}
+	if kind == "non_idempotent" && executed > 1 {
+		f.violated("request %s of kind %s was executed %d times", id, kind, executed)
+	}
+	switch status := f.status[id]; status {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		if executed > 0 {
+			f.violated("request %s of kind %s was answered %d and executed", id, kind, status)
+		}
+	}
+}
+
+// Random invalid, doubled, late and reset answers, connections between sidecars that are lost at any byte or fall silent, processes
+// that stand still, clients that give up: each answer is that of its request, what is not idempotent is executed once at most, and what
+// is reported as not executed never is.
+func TestAnswersUnderFaults(t *testing.T) {
+	seeds := 6
+	if os.Getenv("SOAK") != "" {
+		seeds = 400
+	}
+	total := map[int]int{}
+	for seed := range seeds {
+		synctest.Test(t, func(t *testing.T) {
+			run := newFaultRun(uint64(seed))
+			run.play(t)
+			for _, status := range run.status {
+				total[status]++
+			}
+			total[0] += run.givenUp
+			for _, violation := range run.violations {
+				t.Errorf("seed %d: %s", seed, violation)
+			}
+		})
+		if t.Failed() {
+			break
+		}
+	}
+	t.Logf("answers by status (0: given up): %v", total)
+	if total[200] == 0 || total[502] == 0 || total[503] == 0 || total[504] == 0 || total[0] == 0 {
+		t.Errorf("some end of a request was not brought about: %v", total)
+	}
+}
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
@@ -0,0 +1,168 @@
+package outbound_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+)
+
+// flawedEndpoint answers as faulty endpoints do, and remembers what it has executed.
+type flawedEndpoint struct {
+	n        *network
+	id       string
+	flawed   bool
+	listener *listener
+	mu       sync.Mutex
+	executed map[string]int // how often each request was executed, by its ID
+	conns    []net.Conn
+}
+
+func startEndpoint(n *network, address, id string, flawed bool) *flawedEndpoint {
+	f := &flawedEndpoint{n: n, id: id, flawed: flawed, listener: n.listen(address), executed: map[string]int{}}
+	go func() {
+		for {
+			conn, err := f.listener.Accept()
+			if err != nil {
+				return
+			}
+			f.mu.Lock()
+			f.conns = append(f.conns, conn)
+			f.mu.Unlock()
+			go f.serve(conn)
+		}
+	}()
+	return f
+}
+
+func (f *flawedEndpoint) close() {
+	f.listener.close()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.conns {
+		closeQuietly(conn)
+	}
+}
+
+// executions returns how often a request was executed.
+func (f *flawedEndpoint) executions(id string) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.executed[id]
+}
+
+// serve takes the requests of one connection, one after the other; what it writes waits for its reader in order, as in a socket's
+// buffer.
+func (f *flawedEndpoint) serve(conn net.Conn) {
+	defer closeQuietly(conn)
+	out := make(chan string, 64)
+	defer close(out)
+	go func() {
+		for text := range out {
+			if text == "" { // a reset
+				closeQuietly(conn)
+			}
+			_, _ = io.WriteString(conn, text)
+		}
+	}()
+	reader := bufio.NewReader(conn)
+	last := "0"
+	for {
+		r, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		f.answer(r, string(body), last, out)
+		last = r.Header.Get("Attempt-Id")
+	}
+}
+
+func completeAnswer(id, text string, extra ...string) string {
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: seal.%s\r\n", id, id)
+	for _, x := range extra {
+		head += x + "\r\n"
+	}
+	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
+}
+
+// answerText is the body of the answer to a request.
+func answerText(id, uri, body string) string {
+	text := id + " " + uri + " " + body + " "
+	if strings.HasPrefix(uri, "/downlink/") {
+		text += strings.Repeat(id, 3000)
+	}
+	return text
+}
+
+// answer writes the endpoint's answer to a request, which may have a flaw.
+func (f *flawedEndpoint) answer(r *http.Request, body, last string, out chan<- string) {
+	id := r.Header.Get("Attempt-Id")
+	if r.Header.Get("Target-Endpoint") != f.id {
+		out <- fmt.Sprintf("HTTP/1.1 421 Misdirected\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
+		return
+	}
+	rejection := fmt.Sprintf("HTTP/1.1 503 Full\r\nAttempt-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
+	flaw := 100
+	if f.flawed {
+		flaw = f.n.draw(100)
+	}
+	switch {
+	case flaw < 4:
+		out <- rejection
+		return
+	case flaw < 8: // twice
+		out <- rejection
+		out <- rejection
+		return
+	case flaw < 10: // reset before it began
+		out <- ""
+		return
+	}
+	f.mu.Lock()
+	f.executed[id]++
+	f.mu.Unlock()
+	time.Sleep(time.Duration(1+f.n.draw(40)) * time.Millisecond)
+	text := answerText(id, r.RequestURI, body)
+	complete := completeAnswer(id, text)
+	switch {
+	case flaw < 14:
+		out <- ""
+	case flaw < 16: // no answer
+	case flaw < 20:
+		out <- complete[:len(complete)-1-f.n.draw(len(text))]
+		out <- ""
+	case flaw < 22:
+		out <- "\x00\x01 no answer\r\n\r\n"
+	case flaw < 25: // the answer to another request, late
+		out <- completeAnswer(last, answerText(last, r.RequestURI, body))
+		out <- complete
+	case flaw < 30: // twice
+		out <- complete
+		out <- complete
+	case flaw < 33: // bytes of no request behind it
+		out <- complete + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxyz"
+	case flaw < 36:
+		out <- "HTTP/1.1 102 Processing\r\n\r\n" + complete
+	case flaw < 38:
+		out <- completeAnswer(id, text, "Content-Encoding: gzip")
+	case flaw < 41:
+		out <- fmt.Sprintf("HTTP/1.1 500 Oops\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
+	case flaw < 43: // a promise that it does not keep
+		out <- fmt.Sprintf("HTTP/1.1 503 Full\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
+	case flaw < 46:
+		out <- completeAnswer(id, text, "Connection: close")
+		out <- ""
+	case flaw < 50:
+		out <- fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, len(text), text)
+	default:
+		out <- complete
+	}
+}
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -51,16 +51,16 @@
 
 func startGolden(t *testing.T, configure bool) *goldenSidecar {
 	t.Helper()
-	conf, err := configuration.Parse([]byte(goldenConfig))
+	config, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &goldenSidecar{came: make(chan string, 64)}
 	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	in := inbound.New(s.startEndpoint(t), hub.Now, log, nil)
-	in.UpdateEndpoint(admission.Endpoint{ID: "s-1", Service: "s", Slots: 8}, admission.Serving)
-	take := func(tenant *configuration.Tenant, done func(ok bool, back time.Duration)) {
+	endpointProxy := inbound.New(s.startEndpoint(t), hub.Now, log, nil)
+	endpointProxy.UpdateEndpoint(admission.Endpoint{ID: "s-1", Service: "s", Slots: 8}, admission.Serving)
+	acquireQuota := func(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) {
 		switch tenant.Name {
 		case "over":
 			done(false, 1234567*time.Microsecond)
@@ -71,36 +71,24 @@
 		}
 	}
 	s.proxy = New(Options{
-		Hub: hub, Inbound: in, Log: log, Service: "front", Seed: 1, MaxBodyBytes: 250, AcquireQuota: take,
+		Hub: hub, Inbound: endpointProxy, Log: log, Service: "front", Seed: 1, MaxBodyBytes: 250, AcquireQuota: acquireQuota,
 		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second},
 	})
 	if configure {
-		s.proxy.Configure(conf)
-		s.proxy.UpdateEndpoints("s", []discovery.Endpoint{{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8}})
+		s.proxy.Configure(config)
+		s.proxy.UpdateEndpoints("s", []discovery.Endpoint{
+			{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8},
+		})
 		s.proxy.UpdateEndpoints("nobody", nil)
 	}
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	qt.Assert(t, err, qt.IsNil)
-	s.address = l.Addr().String()
-	server := s.proxy.Server()
-	served := make(chan struct{})
-	go func() {
-		defer close(served)
-		_ = server.Serve(l)
-	}()
-	t.Cleanup(func() {
-		_ = server.Close()
-		<-served
-	})
+	s.address = serve(t, s.proxy)
 	return s
 }
 
 // startEndpoint starts an endpoint that answers by the path of the request's URI, and remembers what came.
 func (g *goldenSidecar) startEndpoint(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = l.Close() })
+	l := listen(t)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -114,52 +102,57 @@
 }
 
 func (g *goldenSidecar) serveEndpoint(conn net.Conn) {
-	defer conn.Close()
+	defer closeQuietly(conn)
 	var seen strings.Builder
-	r := bufio.NewReader(io.TeeReader(conn, &seen))
+	reader := bufio.NewReader(io.TeeReader(conn, &seen))
 	for {
 		seen.Reset()
-		q, err := http.ReadRequest(r)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, q.Body)
-		g.came <- seen.String()
-		id := q.Header.Get("Attempt-Id")
-		_, last, _ := strings.Cut(q.URL.Path[1:], "/")
-		switch last {
-		case "silent":
-		case "failure":
-			fmt.Fprintf(conn, "HTTP/1.1 500 Oops\r\nAttempt-Id: %s\r\nX-Why: broken\r\nContent-Length: 4\r\n\r\noops", id)
-		case "empty":
-			fmt.Fprintf(conn, "HTTP/1.1 204 No Content\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\n\r\n", id, id)
-		case "unchanged":
-			fmt.Fprintf(conn, "HTTP/1.1 304 Not Modified\r\nAttempt-Id: %s\r\nEtag: x\r\n\r\n", id)
-		default:
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\nDate: "+endpointDate+"\r\n"+
-				"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nKeep-Alive: timeout=3\r\nContent-Length: 4\r\n\r\n", id, id)
-			if q.Method != http.MethodHead {
-				_, _ = io.WriteString(conn, "body")
-			}
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return
 		}
+		g.came <- seen.String()
+		_, _ = io.WriteString(conn, goldenEndpointAnswer(r)) // the proxy may have closed the connection
 	}
 }
 
+// goldenEndpointAnswer returns the endpoint's answer to a request; empty for none.
+func goldenEndpointAnswer(r *http.Request) string {
+	id := r.Header.Get(inbound.HeaderAttemptID)
+	_, last, _ := strings.Cut(r.URL.Path[1:], "/")
+	switch last {
+	case "silent":
+		return ""
+	case "failure":
+		return fmt.Sprintf("HTTP/1.1 500 Oops\r\nAttempt-Id: %s\r\nX-Why: broken\r\nContent-Length: 4\r\n\r\noops", id)
+	case "empty":
+		return fmt.Sprintf("HTTP/1.1 204 No Content\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\n\r\n", id, id)
+	case "unchanged":
+		return fmt.Sprintf("HTTP/1.1 304 Not Modified\r\nAttempt-Id: %s\r\nEtag: x\r\n\r\n", id)
+	}
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\nDate: "+endpointDate+"\r\n"+
+		"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nKeep-Alive: timeout=3\r\nContent-Length: 4\r\n\r\n", id, id)
+	if r.Method == http.MethodHead {
+		return head
+	}
+	return head + "body"
+}
+
 // ask sends bytes on a connection of its own and returns the answer, its header fields in alphabetical order.
 func (g *goldenSidecar) ask(t *testing.T, method, raw string) string {
 	t.Helper()
-	conn, err := net.Dial("tcp4", g.address)
-	qt.Assert(t, err, qt.IsNil)
-	defer conn.Close()
-	qt.Assert(t, conn.SetDeadline(time.Now().Add(20*time.Second)), qt.IsNil)
+	conn := dial(t, g.address)
 	_, _ = io.WriteString(conn, raw) // the server may answer, and close, before it has read all
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
 	if err != nil {
 		return "no answer: " + err.Error() + "\n"
 	}
-	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, resp.Body.Close(), qt.IsNil)
 	return formatAnswer(resp.Status, resp.Header, body) + fmt.Sprintf("  closes: %t\n", resp.Close)
 }
 
@@ -177,7 +170,7 @@
 	return status + "\n" + strings.Join(lines, "") + fmt.Sprintf("  body: %q\n", body)
 }
 
-// The answers of the front to good and bad input, and to what it turns away, on connections of their own.
+// The answers of the front to good and bad input, and to what it rejects, on connections of their own.
 func TestGoldenAnswers(t *testing.T) {
 	const id, key = "Attempt-Id: a-1\r\n", "Key: k\r\n"
 	request := func(line, headers string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" }
@@ -241,7 +234,7 @@
 	golden.Text(t, "answers.txt", []byte(text.String()))
 }
 
-// Bodies of requests have a bound all together: what is beyond it is turned away.
+// Bodies of requests have a bound all together: what is beyond it is rejected.
 func TestGoldenNoRoomForABody(t *testing.T) {
 	s := startGolden(t, true)
 	s.proxy.bodyBytes.Add(249)
@@ -258,12 +251,12 @@
 	}
 	var text strings.Builder
 	for _, ending := range []bool{false, true} {
-		d := startGolden(t, true).proxy
-		d.shutdown.rejecting.Store(ending)
+		proxy := startGolden(t, true).proxy
+		proxy.shutdown.rejecting.Store(ending)
 		for _, back := range []time.Duration{0, 700 * time.Millisecond} {
 			for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 				w := httptest.NewRecorder()
-				d.writeAnswer(w, result{kind: kind, response: answered, retryAfter: back})
+				proxy.writeAnswer(w, result{kind: kind, response: answered, retryAfter: back})
 				fmt.Fprintf(&text, "%s, back %v, ending %t: %s", kind, back, ending, formatAnswer(w.Result().Status, w.Header(), w.Body.Bytes()))
 			}
 		}
--- a/internal/mesh/dataplane/outbound/network_test.go
+++ b/internal/mesh/dataplane/outbound/network_test.go
@@ -21,20 +21,21 @@
 
 // node is a machine whose processes may stand still.
 type node struct {
-	mu    sync.Mutex
-	thaws time.Time
+	mu          sync.Mutex
+	frozenUntil time.Time
 }
 
 func (n *node) freeze(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.thaws = time.Now().Add(d)
+	n.frozenUntil = time.Now().Add(d)
 }
 
+// wait returns once the node is not frozen.
 func (n *node) wait() {
 	for {
 		n.mu.Lock()
-		left := time.Until(n.thaws)
+		left := time.Until(n.frozenUntil)
 		n.mu.Unlock()
 		if left <= 0 {
 			return
@@ -47,7 +48,7 @@
 	return &network{random: rand.New(rand.NewPCG(seed, 1)), listeners: map[string]*listener{}, nodes: map[string]*node{}, faulty: faulty}
 }
 
-// draw returns a number below n.
+// draw returns a number below another.
 func (n *network) draw(below int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,55 +65,86 @@
 }
 
 func (n *network) listen(address string) *listener {
-	l := &listener{address: address, come: make(chan net.Conn, 256), done: make(chan struct{})}
+	l := &listener{address: address, incoming: make(chan net.Conn, 256), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listeners[address] = l
 	return l
 }
 
+// listenerAt returns who listens at an address; nil for nobody.
+func (n *network) listenerAt(address string) *listener {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.listeners[address]
+}
+
+// dialLocal connects to an endpoint on the same node, without faults.
+func (n *network) dialLocal(address string) (net.Conn, error) {
+	l := n.listenerAt(address)
+	if l == nil {
+		return nil, errNobodyThere
+	}
+	near, far := net.Pipe()
+	l.incoming <- far
+	return near, nil
+}
+
+// connectClient opens a client's connection to a node's sidecar.
+func (n *network) connectClient(node string) net.Conn {
+	near, far := net.Pipe()
+	n.listenerAt(node + clientPort).incoming <- far
+	return near
+}
+
 // dial connects two nodes; an address is a node's name with a port.
 func (n *network) dial(from, address string) (net.Conn, error) {
-	n.mu.Lock()
-	l := n.listeners[address]
-	n.mu.Unlock()
+	l := n.listenerAt(address)
 	if l == nil {
 		return nil, syscall.ECONNREFUSED
 	}
 	near, far := net.Pipe()
 	w := &wire{ends: [2]net.Conn{near, far}, left: -1}
 	if n.faulty {
-		switch x := n.draw(100); {
-		case x < 25:
-			w.left = n.draw(3000)
-		case x < 45:
-			w.left = n.draw(300_000)
-		case x < 55:
-			w.silent = time.Now().Add(time.Duration(n.draw(1500)) * time.Millisecond)
-		}
+		n.drawFault(w)
+	}
+	host, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return nil, err
 	}
-	host, _, _ := net.SplitHostPort(address)
 	select {
-	case l.come <- &wireEnd{Conn: far, wire: w, node: n.node(host)}:
+	case l.incoming <- &wireEnd{Conn: far, wire: w, node: n.node(host)}:
 		return &wireEnd{Conn: near, wire: w, node: n.node(from)}, nil
-	case <-l.done:
+	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
 	}
 }
 
+// drawFault draws what is to go wrong on a wire, if anything.
+func (n *network) drawFault(w *wire) {
+	switch x := n.draw(100); {
+	case x < 25:
+		w.left = n.draw(3000)
+	case x < 45:
+		w.left = n.draw(300_000)
+	case x < 55:
+		w.silentFrom = time.Now().Add(time.Duration(n.draw(1500)) * time.Millisecond)
+	}
+}
+
 // wire is one connection with its faults.
 type wire struct {
-	ends   [2]net.Conn
-	mu     sync.Mutex
-	left   int       // bytes until it is reset; negative for never
-	silent time.Time // from then on nothing passes; zero for never
+	ends       [2]net.Conn
+	mu         sync.Mutex
+	left       int       // bytes until it is reset; negative for never
+	silentFrom time.Time // from then on nothing passes; zero for never
 }
 
-// pass says how many of some bytes may pass now, and whether they get there.
+// pass returns how many of some bytes may pass now, and whether they are lost on the way.
 func (w *wire) pass(n int) (passed int, lost bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.silent.IsZero() && time.Now().After(w.silent) {
+	if !w.silentFrom.IsZero() && time.Now().After(w.silentFrom) {
 		return n, true
 	}
 	if w.left >= 0 {
@@ -123,10 +155,12 @@
 }
 
 func (w *wire) reset() {
-	w.ends[0].Close()
-	w.ends[1].Close()
+	for _, end := range w.ends {
+		closeQuietly(end)
+	}
 }
 
+// wireEnd is one end of a wire, on a node.
 type wireEnd struct {
 	net.Conn
 	wire *wire
@@ -135,16 +169,16 @@
 
 func (w *wireEnd) Write(b []byte) (int, error) {
 	w.node.wait()
-	n, lost := w.wire.pass(len(b))
+	passing, lost := w.wire.pass(len(b))
 	if lost {
 		return len(b), nil
 	}
-	wrote, err := w.Conn.Write(b[:n])
-	if err == nil && n < len(b) {
+	written, err := w.Conn.Write(b[:passing])
+	if err == nil && passing < len(b) {
 		w.wire.reset()
-		return wrote, syscall.ECONNRESET
+		return written, syscall.ECONNRESET
 	}
-	return wrote, err
+	return written, err
 }
 
 func (w *wireEnd) Read(b []byte) (int, error) {
@@ -153,24 +187,30 @@
 	return n, err
 }
 
+// listener takes the connections to one address of the network.
 type listener struct {
-	address string
-	come    chan net.Conn
-	done    chan struct{}
-	once    sync.Once
+	address  string
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
+var errListenerClosed = errors.New("closed")
+
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.come:
-		return c, nil
-	case <-l.done:
-		return nil, errors.New("closed")
+	case conn := <-l.incoming:
+		return conn, nil
+	case <-l.closed:
+		return nil, errListenerClosed
 	}
 }
 
+func (l *listener) close() { l.once.Do(func() { close(l.closed) }) }
+
+// Close closes the listener; it may be closed already.
 func (l *listener) Close() error {
-	l.once.Do(func() { close(l.done) })
+	l.close()
 	return nil
 }
 
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/response_test.go
@@ -0,0 +1,68 @@
+package outbound
+
+import (
+	"errors"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outcome"
+	"quincegap/internal/mesh/transport"
+	"quincegap/internal/mesh/transport/codec"
+)
+
+// What was surely not executed is that to the balancer too, whether or not the attempt was cancelled, and only a lost link or a refused
+// connection makes it suspect the endpoint: the endpoint's own sidecar vouches for it.
+func TestEveryOutcomeIsReportedToTheBalancer(t *testing.T) {
+	for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
+		t.Run(kind.String(), func(t *testing.T) {
+			endsAttempt := kind < outcome.QuotaExceeded && kind != outcome.Answered
+			switch kind {
+			case outcome.ConnectionLost, outcome.InvalidResponse, outcome.TimedOut, outcome.EndpointReset:
+				endsAttempt = true
+			}
+			if !endsAttempt {
+				return
+			}
+			c := qt.New(t)
+			for _, cancelled := range []bool{false, true} {
+				status := balancerStatus(&inbound.ForwardResponse{Kind: kind, Status: 200}, cancelled)
+				c.Check(status.NeverRan(), qt.Equals, kind.NotExecuted(), qt.Commentf("cancelled %v", cancelled))
+				suspects := status == balancer.StatusReset || status == balancer.StatusConnectFailed
+				if !cancelled {
+					c.Check(suspects, qt.Equals, kind.Entry().SuspectsEndpoint)
+				}
+			}
+		})
+	}
+	failure := &inbound.ForwardResponse{Kind: outcome.Answered, Status: 500}
+	qt.Assert(t, balancerStatus(failure, false), qt.Equals, balancer.StatusError)
+}
+
+func TestResponseOfAForwardCall(t *testing.T) {
+	encoded := func(kind outcome.Kind, status int) []byte {
+		return codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: kind, Status: status})
+	}
+	for _, x := range []struct {
+		name string
+		body []byte
+		err  error
+		kind outcome.Kind
+	}{
+		{"not executed", encoded(outcome.Draining, 0), nil, outcome.Draining},
+		{"answered", encoded(outcome.Answered, 200), nil, outcome.Answered},
+		{"nothing", nil, nil, outcome.AtCapacity},
+		{"no message", []byte{0xff}, nil, outcome.InvalidResponse},
+		{"no status", encoded(outcome.Answered, 0), nil, outcome.InvalidResponse}, // no server could write it
+		{"status beyond 999", encoded(outcome.Answered, 1000), nil, outcome.InvalidResponse},
+		{"lost after it was sent", nil, &transport.ConnectionError{Sent: true}, outcome.ConnectionLost},
+		{"lost before it was sent", nil, &transport.ConnectionError{}, outcome.Unreachable},
+		{"another error", nil, errors.New("anything else"), outcome.ConnectionLost},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			qt.Check(t, parseResponse(x.body, x.err).Kind, qt.Equals, x.kind)
+		})
+	}
+}
--- /dev/null
+++ b/internal/mesh/dataplane/outbound/sidecar_test.go
@@ -0,0 +1,163 @@
+package outbound_test
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/sirupsen/logrus"
+
+	"quincegap/internal/mesh/control/configuration"
+	"quincegap/internal/mesh/dataplane/admission"
+	"quincegap/internal/mesh/dataplane/inbound"
+	"quincegap/internal/mesh/dataplane/outbound"
+	"quincegap/internal/mesh/discovery"
+	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/transport"
+)
+
+const answersConfig = `{"configVersion":"r1","routeTable":[
+{"name":"read","hostName":"h","pathPrefix":"/idempotent/","routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
+{"name":"book","hostName":"h","pathPrefix":"/non_idempotent/","routeKind":"non_idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
+{"name":"pull","hostName":"h","pathPrefix":"/downlink/","routeKind":"downlink","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false}],
+"serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
+"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}`
+
+// The ports of a node of the network.
+const (
+	linkPort     = ":7"
+	clientPort   = ":8"
+	endpointPort = ":9"
+)
+
+var errNobodyThere = errors.New("nobody listens there")
+
+// sidecar is one process of the data plane on a node of a network.
+type sidecar struct {
+	name      string
+	hub       *transport.Hub
+	inbound   *inbound.Proxy
+	outbound  *outbound.Proxy
+	server    *http.Server
+	listeners []*listener
+	serving   sync.WaitGroup
+}
+
+func startSidecar(t *testing.T, n *network, name string, incarnation uint64) *sidecar {
+	t.Helper()
+	s := &sidecar{name: name}
+	log := quietLog()
+	hello := transport.Hello{Incarnation: incarnation, Address: name + linkPort, Name: name}
+	s.hub = transport.NewHub(hello, time.Now(), 64<<20, log)
+	s.hub.SetDialer(func(address string) (net.Conn, error) { return n.dial(name, address) })
+	s.inbound = inbound.New(name+endpointPort, s.hub.Now, log, nil)
+	s.inbound.SetDialer(func(address string, _ time.Duration) (net.Conn, error) { return n.dialLocal(address) })
+	s.inbound.Register(s.hub)
+	s.outbound = outbound.New(outbound.Options{
+		Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: incarnation, MaxBodyBytes: 64 << 20,
+		Bounds: settings.Bounds{RetryBudgetRatio: 10, RetryBudgetSlack: 1e6, RetryBudgetWindow: 10 * time.Second},
+	})
+	config, err := configuration.Parse([]byte(answersConfig))
+	qt.Assert(t, err, qt.IsNil)
+	s.outbound.Configure(config)
+	links, clients := n.listen(name+linkPort), n.listen(name+clientPort)
+	s.listeners = []*listener{links, clients}
+	s.server = s.outbound.Server()
+	s.serving.Go(func() { _ = s.hub.Listen(links) })
+	s.serving.Go(func() { _ = s.server.Serve(clients) })
+	return s
+}
+
+func quietLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+func (s *sidecar) close() {
+	s.hub.Close()
+	_ = s.server.Close() // the listeners' errors, which have none
+	for _, l := range s.listeners {
+		l.close()
+	}
+	s.serving.Wait()
+}
+
+// closeQuietly closes a connection that the other side may have closed, or reset, before.
+func closeQuietly(conn net.Conn) { _ = conn.Close() }
+
+// pair is a caller's sidecar a, and sidecar b with an endpoint that has no flaws, on a network without faults.
+type pair struct {
+	n        *network
+	a, b     *sidecar
+	endpoint *flawedEndpoint
+}
+
+func startPair(t *testing.T) *pair {
+	t.Helper()
+	n := newNetwork(1, false)
+	p := &pair{n: n, a: startSidecar(t, n, "a", 1), b: startSidecar(t, n, "b", 2)}
+	p.endpoint = startEndpoint(n, "b"+endpointPort, "i-b", false)
+	p.b.inbound.UpdateEndpoint(admission.Endpoint{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
+	p.a.outbound.UpdateEndpoints("s", []discovery.Endpoint{servingEndpoint("i-b", "b", 3)})
+	return p
+}
+
+// servingEndpoint is an endpoint of service s behind a node's sidecar.
+func servingEndpoint(id, node string, slots int) discovery.Endpoint {
+	return discovery.Endpoint{ID: id, Service: "s", SidecarAddress: node + linkPort, Zone: "z", State: discovery.Serving, Slots: slots}
+}
+
+func (p *pair) close() {
+	p.a.close()
+	p.b.close()
+	p.endpoint.close()
+	time.Sleep(time.Second) // of virtual time: what is left sees that it is closed
+}
+
+// connect opens a client's connection to sidecar a.
+func (p *pair) connect() net.Conn { return p.n.connectClient("a") }
+
+// ask sends a request and returns the status of its answer.
+func (p *pair) ask(t *testing.T, method, id string, remaining time.Duration) int {
+	t.Helper()
+	conn := p.connect()
+	defer closeQuietly(conn)
+	return askOn(t, conn, method, fmt.Sprintf("%s /non_idempotent/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Remaining: %d\r\n\r\n",
+		method, id, remaining.Milliseconds()))
+}
+
+// askOn sends a request on a connection and returns the status of its answer, whose body it reads.
+func askOn(t *testing.T, conn net.Conn, method, request string) int {
+	t.Helper()
+	go func() { _, _ = io.WriteString(conn, request) }()
+	response, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
+	qt.Assert(t, err, qt.IsNil)
+	_, err = io.Copy(io.Discard, response.Body)
+	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, response.Body.Close(), qt.IsNil)
+	return response.StatusCode
+}
+
+// executions returns how often the endpoint has executed a request.
+func (p *pair) executions(id string) int { return p.endpoint.executions(id) }
+
+// startPeer starts the links of a sidecar b, whose methods the test declares.
+func startPeer(n *network) (peer *transport.Hub, stop func()) {
+	peer = transport.NewHub(transport.Hello{Incarnation: 2, Address: "b" + linkPort}, time.Now(), 1<<20, quietLog())
+	links := n.listen("b" + linkPort)
+	var listening sync.WaitGroup
+	listening.Go(func() { _ = peer.Listen(links) })
+	return peer, func() {
+		peer.Close()
+		links.close()
+		listening.Wait()
+	}
+}
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"net/http"
 	"sync"
 	"testing"
@@ -18,115 +19,140 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// slowRun is what became of the attempts of one request, the first of which takes much longer than those of other requests.
+// usualServiceTime is how long the endpoints of a slowRun take for all other attempts.
+const usualServiceTime = 20 * time.Millisecond
+
+// slowRun has endpoints answer within 20 ms, but for the first attempt of one request, which takes much longer.
 type slowRun struct {
-	mu        sync.Mutex
-	sent      int
-	withdrawn time.Duration // when the first attempt was withdrawn; 0 for never
+	length time.Duration           // that the first attempt takes
+	second inbound.ForwardResponse // what the second ends as
+
+	n      *network
+	caller *sidecar
+
+	mu          sync.Mutex
+	sent        int           // attempts of the slow request
+	cancelledAt time.Duration // of its first attempt; 0 for never
+
+	status int           // that the slow request's client is answered
+	after  time.Duration // and when
+}
+
+// serve answers the attempts that reach the endpoints' sidecar.
+func (s *slowRun) serve(t *testing.T, call *transport.IncomingCall) {
+	t.Helper()
+	var r inbound.ForwardRequest
+	qt.Check(t, codec.Unmarshal(call.Body, &r), qt.IsNil)
+	if r.AttemptID != "slow" {
+		time.AfterFunc(usualServiceTime, func() { call.Reply(servedResponse()) })
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sent++
+	if s.sent > 1 {
+		time.AfterFunc(usualServiceTime, func() { call.Reply(&s.second) })
+		return
+	}
+	timer := time.AfterFunc(s.length, func() { call.Reply(servedResponse()) })
+	call.OnCancel(func() {
+		s.mu.Lock()
+		s.cancelledAt = s.caller.hub.Now()
+		s.mu.Unlock()
+		timer.Stop()
+		call.Reply(&inbound.ForwardResponse{Kind: outcome.TimedOut, ReachedEndpoint: true})
+	})
 }
 
-// playSlowRun has endpoints answer within 20 ms, but for the first attempt of one request, which runs for so long. Its second
-// attempt ends as given. It returns what its client is answered, and when.
-func playSlowRun(t *testing.T, length time.Duration, second inbound.ForwardResponse) (status int, after time.Duration, run *slowRun) {
-	n := newNetwork(1, false)
-	a := startSidecar(t, n, "a", 1)
-	far, stopFar := startFar(n)
+// play runs the slow request amid others.
+func (s *slowRun) play(t *testing.T) {
+	t.Helper()
+	s.n = newNetwork(1, false)
+	s.caller = startSidecar(t, s.n, "a", 1)
+	peer, stopPeer := startPeer(s.n)
 	defer func() {
-		a.close()
-		stopFar()
+		s.caller.close()
+		stopPeer()
 		time.Sleep(5 * time.Second)
 	}()
-	run = &slowRun{}
-	answer := func(call *transport.IncomingCall, o inbound.ForwardResponse) { call.Reply(&o) }
-	served := inbound.ForwardResponse{Kind: outcome.Answered, Status: 200, ReachedEndpoint: true}
-	far.HandleRaw(inbound.MethodForward, func(call *transport.IncomingCall) {
-		var p inbound.ForwardRequest
-		qt.Check(t, codec.Unmarshal(call.Body, &p), qt.IsNil)
-		if p.AttemptID != "slow" {
-			time.AfterFunc(20*time.Millisecond, func() { answer(call, served) })
-			return
-		}
-		run.mu.Lock()
-		defer run.mu.Unlock()
-		if run.sent++; run.sent > 1 {
-			time.AfterFunc(20*time.Millisecond, func() { answer(call, second) })
-			return
-		}
-		timer := time.AfterFunc(length, func() { answer(call, served) })
-		call.OnCancel(func() {
-			run.mu.Lock()
-			run.withdrawn = a.hub.Now()
-			run.mu.Unlock()
-			timer.Stop()
-			call.Reply(&inbound.ForwardResponse{Kind: outcome.TimedOut, ReachedEndpoint: true})
-		})
+	peer.HandleRaw(inbound.MethodForward, func(call *transport.IncomingCall) { s.serve(t, call) })
+	s.caller.outbound.UpdateEndpoints("s", []discovery.Endpoint{
+		servingEndpoint("i-1", "b", 8), servingEndpoint("i-2", "b", 8), servingEndpoint("i-3", "b", 8),
 	})
-	var known []discovery.Endpoint
-	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		known = append(known, discovery.Endpoint{ID: id, Service: "s", SidecarAddress: "b:7", Zone: "z", State: discovery.Serving, Slots: 8})
-	}
-	a.outbound.UpdateEndpoints("s", known)
-	p := &pair{n: n}
 	stop := make(chan struct{})
 	var others sync.WaitGroup
 	for i := range 8 {
-		others.Go(func() {
-			for k := 0; ; k++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				_ = p.idempotent(fmt.Sprintf("%d-%d", i, k))
-				time.Sleep(5 * time.Millisecond)
-			}
-		})
+		others.Go(func() { s.sendOthers(i, stop) })
 	}
 	time.Sleep(4 * time.Second)
-	began := a.hub.Now()
-	status = p.idempotent("slow")
-	after = a.hub.Now() - began
+	began := s.caller.hub.Now()
+	s.status = s.ask("slow")
+	s.after = s.caller.hub.Now() - began
 	time.Sleep(time.Second)
 	close(stop)
 	others.Wait()
-	return status, after, run
 }
 
-// idempotent sends a request that may be repeated, and returns the status of its answer; 0 for none.
-func (p *pair) idempotent(id string) int {
-	conn := p.connect()
-	defer conn.Close()
-	go fmt.Fprintf(conn, "GET /idempotent/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Remaining: 1900\r\n\r\n", id)
-	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
+// sendOthers sends requests one after another; what they are answered does not count.
+func (s *slowRun) sendOthers(client int, stop <-chan struct{}) {
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		_ = s.ask(fmt.Sprintf("%d-%d", client, i))
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// ask sends an idempotent request, and returns the status of its answer; 0 for none.
+func (s *slowRun) ask(id string) int {
+	conn := s.n.connectClient("a")
+	defer closeQuietly(conn)
+	request := fmt.Sprintf("GET /idempotent/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Remaining: 1900\r\n\r\n", id)
+	go func() { _, _ = io.WriteString(conn, request) }()
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0
 	}
-	return a.StatusCode
+	defer response.Body.Close() //nolint:errcheck // the status alone counts
+	return response.StatusCode
 }
 
-// A request whose endpoint takes long is sent to another one too. Its first attempt goes on meanwhile: it is withdrawn once the client
-// has an answer, and is the answer if the other one is turned away.
+// A request whose endpoint takes long is hedged. Its first attempt goes on meanwhile: it is cancelled once the client has an answer, and
+// is the answer if the other one is rejected.
 func TestARepeatDoesNotCostTheAttemptBefore(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := qt.New(t)
-		status, after, run := playSlowRun(t, 800*time.Millisecond, inbound.ForwardResponse{Kind: outcome.AtCapacity})
-		c.Check(run.sent > 1, qt.IsTrue, qt.Commentf("it is repeated: sent %d times", run.sent))
-		c.Check(status, qt.Equals, 200)
-		c.Check(run.withdrawn, qt.Equals, time.Duration(0))
-		c.Check(after >= 800*time.Millisecond && after < 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v", after))
+	t.Run("the hedged one is rejected", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			c := qt.New(t)
+			run := &slowRun{length: 800 * time.Millisecond, second: inbound.ForwardResponse{Kind: outcome.AtCapacity}}
+			run.play(t)
+			c.Check(run.sent > 1, qt.IsTrue, qt.Commentf("it is repeated: sent %d times", run.sent))
+			c.Check(run.status, qt.Equals, 200)
+			c.Check(run.cancelledAt, qt.Equals, time.Duration(0))
+			c.Check(run.after >= run.length && run.after < run.length+100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", run.after))
+		})
 	})
-	synctest.Test(t, func(t *testing.T) {
-		c := qt.New(t)
-		status, after, run := playSlowRun(t, 1800*time.Millisecond, inbound.ForwardResponse{Kind: outcome.Answered, Status: 200, ReachedEndpoint: true})
-		c.Check(run.sent, qt.Equals, 2)
-		c.Check(status, qt.Equals, 200)
-		c.Check(after < 800*time.Millisecond, qt.IsTrue, qt.Commentf("%v", after))
-		c.Check(run.withdrawn > 0, qt.IsTrue)
+	t.Run("the hedged one is served first", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			c := qt.New(t)
+			run := &slowRun{length: 1800 * time.Millisecond, second: *servedResponse()}
+			run.play(t)
+			c.Check(run.sent, qt.Equals, 2)
+			c.Check(run.status, qt.Equals, 200)
+			c.Check(run.after < 800*time.Millisecond, qt.IsTrue, qt.Commentf("%v", run.after))
+			c.Check(run.cancelledAt > 0, qt.IsTrue)
+		})
 	})
-	synctest.Test(t, func(t *testing.T) {
-		c := qt.New(t)
-		status, _, run := playSlowRun(t, 800*time.Millisecond, inbound.ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true})
-		c.Check(run.sent > 1, qt.IsTrue)
-		c.Check(status, qt.Equals, 200)
+	t.Run("the hedged one is reset", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			c := qt.New(t)
+			second := inbound.ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true}
+			run := &slowRun{length: 800 * time.Millisecond, second: second}
+			run.play(t)
+			c.Check(run.sent > 1, qt.IsTrue)
+			c.Check(run.status, qt.Equals, 200)
+		})
 	})
 }
--- a/internal/mesh/dataplane/outcome/outcome_test.go
+++ b/internal/mesh/dataplane/outcome/outcome_test.go
@@ -70,3 +70,22 @@
 		}
 	}
 }
+
+// The table has a line for every kind; only what was surely not executed is promised so, and a promise says when to come back.
+func TestOutcomeTableIsComplete(t *testing.T) {
+	for kind := Answered; kind <= EndpointReset; kind++ {
+		t.Run(kind.String(), func(t *testing.T) {
+			c := qt.New(t)
+			e := kind.Entry()
+			c.Check(e.Name, qt.Not(qt.Equals), "unknown")
+			promises := e.Status == 429 || e.Status == 503 || e.Status == 408 || e.Status == 421
+			if promises {
+				c.Check(e.NotExecuted, qt.IsTrue)
+			}
+			if e.Status == 429 || e.Status == 503 {
+				c.Check(e.RetryAfter > 0, qt.IsTrue)
+			}
+		})
+	}
+	qt.Assert(t, Kind(999).NotExecuted(), qt.IsFalse)
+}
