--- a/internal/mesh/dataplane/inbound/attempt.go
+++ b/internal/mesh/dataplane/inbound/attempt.go
@@ -73,11 +73,10 @@
 	conn, err := p.connections.dial(p.connections.address, timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	p.connections.recordConnect(err)
 	if err != nil {
-		p.connections.connectFailures++
 		return nil, outcome.Unreachable
 	}
-	p.connections.connectFailures = 0
 	c := newConnection(conn)
 	if r.cancelled {
 		c.discard()
--- a/internal/mesh/dataplane/inbound/pool.go
+++ b/internal/mesh/dataplane/inbound/pool.go
@@ -13,7 +13,8 @@
 // maxConnectFailures is how many attempts to connect may fail in a row before the endpoint counts as down.
 const maxConnectFailures = 2
 
-// connectionPool holds the idle connections to the endpoint and makes new ones. The proxy's lock guards it, but for dial.
+// connectionPool holds the idle connections to the endpoint, and what dials new ones. The proxy's lock guards it, but for dial and
+// address, which do not change once there are requests.
 type connectionPool struct {
 	address         string
 	dial            Dialer                   // set before the first request
@@ -50,5 +51,14 @@
 	}
 }
 
+// recordConnect takes the end of an attempt to connect.
+func (p *connectionPool) recordConnect(err error) {
+	if err != nil {
+		p.connectFailures++
+		return
+	}
+	p.connectFailures = 0
+}
+
 // endpointDown reports whether the endpoint has refused too many connections in a row.
 func (p *connectionPool) endpointDown() bool { return p.connectFailures >= maxConnectFailures }
