--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -29,7 +29,7 @@
 	Service      string        // of the endpoint beside it, if it is a sidecar
 	AppAddress   string        // that endpoint's address
 	Heartbeat    uint64        // its own counter, which it raises at each gossip interval
-	Seed         bool          // carried, and not read by this package
+	Seed         bool          // field 9 on the wire; nothing sets or reads it
 	HeartbeatAge time.Duration // how long ago its heartbeat was new, as far as the sender knows; 0 in what a View returns
 }
 
