--- a/internal/mesh/discovery/config.go
+++ b/internal/mesh/discovery/config.go
@@ -8,7 +8,7 @@
 // Config holds the settings of all parts. A field that is zero has its default.
 type Config struct {
 	// LeaseDuration is how long a record lasts at a registry unless it is renewed, which its publisher does three times in that time.
-	// Default 9 s. A shorter one notices a lost sidecar sooner; a longer one stands a longer partition.
+	// Default 9 s. A shorter one notices a failed sidecar sooner; a longer one lasts through a longer partition.
 	LeaseDuration time.Duration
 
 	// TombstoneRetention is how long an endpoint that ended is remembered. Default 1 min. It is to be longer than any record may be on its
@@ -32,7 +32,7 @@
 	RetryInterval time.Duration
 
 	// PollInterval is the time between two requests of a subscriber to an owner that answers. Default 2 s. Changes are notified in between:
-	// a longer one only delays what a lost notification held.
+	// a longer one only delays a change whose notification was dropped.
 	PollInterval time.Duration
 
 	// SubscriptionLease is how long a request keeps a subscriber at an owner. Default 6 s, three polls.
--- a/internal/mesh/discovery/doc.go
+++ b/internal/mesh/discovery/doc.go
@@ -14,7 +14,7 @@
 // The Publisher announces the record of the endpoint beside a sidecar to the registry owners of its service, a few processes that
 // rendezvous hashing selects (see membership.View.RegistryOwners). The owners keep it in a Registry under its lease, and the
 // publisher renews it. A caller's Subscription polls the owners of the services that it wants for what changed since a version of their
-// registries. Each request renews its place among the Subscribers, whom the owner notifies of changes in between.
+// registries. Each request renews its lease among the Subscribers, whom the owner notifies of changes in between.
 //
 // # States of an endpoint
 //
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// restart begins a new life of an endpoint.
+// restart starts a new endpoint in place of a sidecar's last one.
 func (s *schedule) restart(i int) {
 	s.newest[i] = Endpoint{
 		ID: fmt.Sprintf("%d-%x", i, s.rng.Uint64()), Service: scheduleService, SidecarAddress: fmt.Sprintf("10.0.0.%d:1", i), SidecarIncarnation: uint64(i / 2),
--- a/internal/mesh/discovery/membership/config.go
+++ b/internal/mesh/discovery/membership/config.go
@@ -16,7 +16,7 @@
 	QuietGossipInterval time.Duration
 
 	// QuietAfter is how long there must have been no update and no disagreement until a view is quiet. Default 3 s. It is to be longer
-	// than an update takes to reach all members: shorter, and views that still differ fall silent; longer, and full shuffles go on.
+	// than an update takes to reach all members: shorter, and views that still differ send no members; longer, and full shuffles go on.
 	QuietAfter time.Duration
 
 	// ReconnectInterval is the time between two attempts to reach a seed or any departed member, however long ago it departed. Default 5 s;
@@ -35,15 +35,15 @@
 	SuspicionTimeout time.Duration
 
 	// FailureTimeout is the age of a heartbeat from which its member departs. Default 10 s. It is the backstop where no connection breaks: a
-	// shorter one takes slow members for dead, a longer one keeps dead members.
+	// shorter one has slow members depart, a longer one keeps members that ended.
 	FailureTimeout time.Duration
 
 	// RemoteFailureTimeout replaces FailureTimeout for members of other zones, in a large view and once any peer's digests agreed with the
-	// own ones: updates of them take longer then, and their own zone tells who ended. Default six times FailureTimeout.
+	// own ones: updates of them take longer then, and their own zone reports who ended. Default six times FailureTimeout.
 	RemoteFailureTimeout time.Duration
 
 	// DisconnectGrace is the time from a broken connection until the member departs, unless its heartbeat advances. Default 2 s, enough for
-	// other members to ask it. A shorter one takes a broken connection for a dead process more often.
+	// other members to ask it. A shorter one takes a broken connection for the end of a process more often.
 	DisconnectGrace time.Duration
 
 	// FreezeThreshold is a time between two calls of Tick that means that this process was frozen, so that old heartbeats say nothing of
--- a/internal/mesh/discovery/membership/doc.go
+++ b/internal/mesh/discovery/membership/doc.go
@@ -1,5 +1,5 @@
 // Package membership is the view that each process of the mesh keeps of the other processes: who runs, where, and how lately it
-// was known to be alive. Views are spread by gossip: every process exchanges shuffles, parts of its view, with a few peers.
+// was known to be alive. Views are spread by gossip: every process exchanges shuffles, excerpts of its view, with a few peers.
 //
 // # States of a member
 //
@@ -17,7 +17,7 @@
 //	                                DisconnectGrace, with a tombstone
 //
 // An unreachable member is asked again and again, and peers are told that this process can't reach it: one that can has it raise
-// its heartbeat, which refutes the suspicion. After DisconnectGrace it departs, and a tombstone tells the others.
+// its heartbeat, which refutes the suspicion. After DisconnectGrace it departs, and a tombstone notifies the others.
 //
 // A tombstone says that an incarnation ended, and holds up to a heartbeat. The member that it is about, if it runs after all, raises
 // its heartbeat above that and comes back. The address of a departed member is tried again for a while: it may only have been
--- a/internal/mesh/discovery/membership/entry.go
+++ b/internal/mesh/discovery/membership/entry.go
@@ -25,7 +25,7 @@
 
 // dispute is what a view knows of another member's suspicion, or of a tombstone that is older than the heartbeat known here.
 type dispute struct {
-	heartbeat     uint64 // the highest up to which the other member takes this one for lost
+	heartbeat     uint64 // the highest up to which the other member reports this one as ended or unreachable
 	probeDue      bool   // this one is to be asked for a newer heartbeat
 	answerAwaited bool   // by the other member, so that a newer heartbeat is an update
 }
@@ -57,7 +57,7 @@
 }
 
 // compareHash orders members by the hash of their incarnations, alike in all views: the first ones of a zone are those that other
-// zones keep, and that can be registry owners. Roles have no part in it, so that the order is the same where some members of a role
+// zones keep, and that can be registry owners. Roles don't enter into it, so that the order is the same where some members of a role
 // aren't known.
 func compareHash(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Incarnation, b.Incarnation))
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -17,7 +17,7 @@
 	linkIdleTimeout = 30 * time.Second       // a connection that nobody uses is closed after this
 	linkPingTimeout = 3 * time.Second        // and found broken after this, if its pings aren't answered
 	messageDelay    = time.Millisecond       // on the way
-	connectTimeout  = time.Second            // until a message to a process that can't be reached is found lost
+	connectTimeout  = time.Second            // until a message to a process that can't be reached fails
 	checkInterval   = 100 * time.Millisecond // of conditions that a test waits for
 )
 
--- a/internal/mesh/discovery/membership/message.go
+++ b/internal/mesh/discovery/membership/message.go
@@ -27,7 +27,7 @@
 // Fields implements codec.Message, in the form of a Tombstone.
 func (s *Suspicion) Fields(v *codec.Visitor) { (*Tombstone)(s).Fields(v) }
 
-// Shuffle is a part of one member's view, for a peer.
+// Shuffle is an excerpt of one member's view, for a peer.
 type Shuffle struct {
 	From           Member
 	Members        []Member
@@ -38,7 +38,7 @@
 	SharedDigest   uint64 // of the members that every view is to hold
 	AgreementAges  []byte // for each zone in order, how long ago a member there agreed on its members; see agreementAgeUnit
 	Unreachable    []Suspicion
-	RaiseHeartbeat bool // the receiver is to raise its heartbeat, since somebody takes it for lost
+	RaiseHeartbeat bool // the receiver is to raise its heartbeat, since somebody can't reach it
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/discovery/membership/shuffle.go
+++ b/internal/mesh/discovery/membership/shuffle.go
@@ -41,7 +41,7 @@
 
 // selectMembers takes as many members as a shuffle carries. A peer in the own zone gets members of that zone for half of it or more.
 // One of another zone gets mostly those of the own zone that other zones keep, and some of its own zone, lest that zone fall into
-// parts which other zones know of; a peer that has just joined gets mostly members of its zone.
+// partitions which other zones know of; a peer that has just joined gets mostly members of its zone.
 func (v *View) selectMembers(all []*entry, zone string, newcomer bool) []*entry {
 	own, theirs, rest := v.splitByZone(all, zone)
 	if zone != v.self.Zone {
--- a/internal/mesh/discovery/membership/suspicion.go
+++ b/internal/mesh/discovery/membership/suspicion.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// expireMembers has members depart that were unreachable or not heard of for too long, and suspects those that are on the way there.
+// expireMembers has members depart that were unreachable or whose heartbeats are too old, and suspects those that are on the way there.
 func (v *View) expireMembers(now time.Duration) {
 	for i := len(v.table.entries) - 1; i >= 0; i-- { // from the end, as members are removed on the way
 		e := v.table.entries[i]
@@ -67,7 +67,7 @@
 		timeout := v.failureTimeout(&e.Member)
 		switch {
 		case age >= timeout:
-			v.departSilent(now, e)
+			v.departTimedOut(now, e)
 		case age >= timeout*v.config.SuspicionTimeout/v.config.FailureTimeout:
 			e.transition(now, suspected)
 		default:
@@ -84,16 +84,17 @@
 	v.noteUpdate(now)
 }
 
-// departSilent has a member depart whose heartbeat is too old. Others are told of it only in a large zone, as each finds out by itself.
-func (v *View) departSilent(now time.Duration, e *entry) {
+// departTimedOut has a member depart whose heartbeat is too old. Others are notified only in a large view, as each finds out by itself
+// otherwise.
+func (v *View) departTimedOut(now time.Duration, e *entry) {
 	v.depart(now, e)
 	if e.Zone == v.self.Zone && v.isLarge() {
 		v.tombstones.add(now, e.Incarnation, tombstoneEntry{heartbeat: e.Heartbeat, address: e.Address})
 	}
 }
 
-// heartbeatMargin is more than an unreachable member can have raised its heartbeat by, unheard of here, before its connection broke:
-// members that heard so take its tombstone too. If it is alive, it raises its heartbeat above that as soon as it hears of its end.
+// heartbeatMargin is more than an unreachable member can have raised its heartbeat by, unknown here, before its connection broke:
+// members that know of such a heartbeat take its tombstone too. If it is alive, it raises its heartbeat above that of the tombstone.
 func (v *View) heartbeatMargin(e *entry) uint64 {
 	return uint64(8 * max(e.stateSince-e.lastSeen, 0) / v.config.GossipInterval)
 }
--- a/internal/mesh/discovery/membership/tombstone.go
+++ b/internal/mesh/discovery/membership/tombstone.go
@@ -7,7 +7,7 @@
 )
 
 // replacedHeartbeatMargin is added to the heartbeat in the tombstone of an incarnation that another one replaced at its address, if the
-// latter has sent a message itself: there is no doubt then, and no heartbeat of the former that is still under way matters.
+// latter has sent a message itself: no record of the replaced one that is still under way matters then.
 const replacedHeartbeatMargin = 1 << 20
 
 // tombstoneEntry is what a view knows of an incarnation that ended. The member is taken back if a heartbeat above the remembered one is
@@ -121,8 +121,8 @@
 	}
 }
 
-// reportReappeared has the sender of a shuffle, if a tombstone of it still holds, told so: it raises its heartbeat above that. reply is
-// nil if there is none, and the next shuffle tells it then.
+// reportReappeared notifies the sender of a shuffle if a tombstone of it still holds: it raises its heartbeat above that. reply is nil if
+// there is none, and the next shuffle carries the tombstone then.
 func (v *View) reportReappeared(sender *Member, reply *Shuffle) {
 	d, ok := v.tombstones.entries[sender.Incarnation]
 	if !ok || v.table.byIncarnation[sender.Incarnation] != nil {
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -22,8 +22,8 @@
 	schedule   schedule
 	agreement  agreement
 	eligible   []*entry          // see eligibleOwners; nil when it is to be worked out anew
-	reappeared []Tombstone       // of members that sent a message after their end was reported; they are told with the next shuffle
-	regions    map[string]string // of each zone ever heard of
+	reappeared []Tombstone       // of members that sent a message after their end was reported, for the next shuffle
+	regions    map[string]string // by zone, also of zones without members
 
 	seeds          []string // addresses
 	seedsContacted bool     // all of them, once
--- a/internal/mesh/discovery/membership/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -50,7 +50,7 @@
 	return m
 }
 
-// A process restarts at its address. In all orders of what is heard of its two incarnations, with any one message twice, the new one is
+// A process restarts at its address. In all orders of the messages about its two incarnations, with any one message twice, the new one is
 // known in the end and the old one isn't, and an incarnation that was replaced doesn't come back by what others learned.
 func TestRestartInAllOrders(t *testing.T) {
 	const address = "10.0.0.9:1"
@@ -170,7 +170,7 @@
 	c.Assert(knownIncarnations(v), qt.HasLen, 0)
 }
 
-// A process that was frozen takes nobody for dead because of that, and sends no old heartbeats as new ones.
+// A process that was frozen has nobody depart because of that, and sends no old heartbeats as new ones.
 func TestFrozenProcessWakes(t *testing.T) {
 	c := qt.New(t)
 	v := newView()
