--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// linkLostLocked has the subscriptions at an address be requested again.
+// linkLostLocked takes note that the link to an address has ended: the other registry owners are asked at once.
 func (d *endpointDirectory) linkLostLocked(now time.Duration, address string) {
 	d.subscriptions.ConnectionLost(now, address)
 }
