--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -101,12 +101,12 @@
 fault "an older value is told after a newer one" controlplane/learner.go 's/if vote\.Value\.Version > l\.committed\.Version/if vote.Value.Version != l.committed.Version/'
 
 # The disk.
-fault "a write is not synced" storage/storage.go 's/Sync: true/Sync: false/'
-fault "a checksum is not held against its data" storage/storage.go 's/case sum != want:/case false:/'
-fault "a later format counts as spoilt" storage/storage.go 's/case number > format.*/case false:/'
-fault "a new journal's name is not synced" storage/files.go 's/case lstorage\.TypeJournal:/case 0:/'
-fault "a spoilt list of files is an error for good" storage/storage.go 's/if !lerrors\.IsCorrupted\(err\) \{/if true {/'
-fault "a repair gives files up before it is whole" storage/files.go 's/d\.deferring = true/d.deferring = false/'
+fault "a write is not synced" storage/store.go 's/Sync: true/Sync: false/'
+fault "a checksum is not held against its data" storage/record.go 's/case sum != want:/case false:/'
+fault "a later format counts as spoilt" storage/record.go 's/case format > recordFormat.*/case false:/'
+fault "a new journal's name is not synced" storage/durable_files.go 's/case lstorage\.TypeJournal:/case 0:/'
+fault "a spoilt list of files is an error for good" storage/database.go 's/if !lerrors\.IsCorrupted\(err\) \{/if true {/'
+fault "a repair gives files up before it is whole" storage/durable_files.go 's/d\.deferring = true/d.deferring = false/'
 
 # Leases.
 fault "a lease is granted while another holds it" lease/voter.go 's/now >= g\.until && d\.Epoch > g\.epoch/d.Epoch > g.epoch/'
--- a/internal/mesh/control/storage/power_test.go
+++ b/internal/mesh/control/storage/power_test.go
@@ -220,9 +220,10 @@
 
 func (p *powerWriter) Close() error { return nil }
 
-// powerLife is one life of a process with its folder: it writes so many records, or until the power goes. Each record has a number that
-// rises; acknowledged is the last one that Put has written, by key, and attempted the last that it was given.
-type powerLife struct {
+// powerRun is what a process that is started again and again does with its folder. Each record has a number that rises; acknowledged is
+// the last one that Put has written, by key, and attempted the last that it was given.
+type powerRun struct {
+	folder                  string // exists
 	number                  int
 	acknowledged, attempted map[string]int
 }
@@ -230,79 +231,106 @@
 // errOlder is that a record is not what was written last.
 var errOlder = errors.New("not the newest record")
 
-func (p *powerLife) live(disk *powerDisk, records int) error {
-	k := &Store{folder: "folder", openFiles: func(string) (*durableFiles, error) {
+func newPowerRun(folder string) *powerRun {
+	return &powerRun{folder: folder, acknowledged: map[string]int{}, attempted: map[string]int{}}
+}
+
+// start is one start of the process: it checks all records and writes so many more, or until the power goes.
+func (p *powerRun) start(disk *powerDisk, records int) error {
+	store := &Store{folder: p.folder, openFiles: func(string) (*durableFiles, error) {
 		return newDurableFiles(disk, disk.syncFolder), nil
 	}}
-	defer func() { _ = k.Close() }()
-	for key, last := range p.acknowledged {
-		data, err := k.Get(key)
-		for errors.Is(err, syscall.ENOSPC) {
-			data, err = k.Get(key)
-		}
-		if err != nil {
-			return fmt.Errorf("get %s: %w", key, err)
+	defer func() { _ = store.Close() }() // it fails where the power is gone
+	for key := range p.acknowledged {
+		if err := p.check(store, key); err != nil {
+			return err
 		}
-		found := 0
-		if _, err := fmt.Sscanf(string(data), "%d ", &found); err != nil || found < last || found > p.attempted[key] {
-			return fmt.Errorf("%w: %s is %d (%v), %d was acknowledged, %d tried", errOlder, key, found, err, last, p.attempted[key])
-		}
-		p.acknowledged[key] = found // it may have been written, though Put did not say so
 	}
 	for range records {
-		key := []string{"vote", "standing", "vote"}[p.number%3]
-		p.number++
-		p.attempted[key] = p.number
-		body := []byte(fmt.Sprintf("%d ", p.number))
-		if key == "vote" {
-			body = append(body, bytes.Repeat([]byte("0123456789abcdef"), 1+p.number%7<<9)...)
-		}
-		err := k.Put(key, body)
-		if errors.Is(err, syscall.ENOSPC) { // the next one may go through
-			continue
-		}
-		if err != nil {
-			return fmt.Errorf("put %s: %w", key, err)
+		if err := p.write(store); err != nil {
+			return err
 		}
-		p.acknowledged[key] = p.number
 	}
 	return nil
 }
 
+// check reads a record, which must not be older than what was acknowledged.
+func (p *powerRun) check(store *Store, key string) error {
+	data, err := store.Get(key)
+	for errors.Is(err, syscall.ENOSPC) {
+		data, err = store.Get(key)
+	}
+	if err != nil {
+		return fmt.Errorf("get %s: %w", key, err)
+	}
+	found := 0
+	if _, err := fmt.Sscanf(string(data), "%d ", &found); err != nil {
+		return fmt.Errorf("%w: %s: %w", errOlder, key, err)
+	}
+	if found < p.acknowledged[key] || found > p.attempted[key] {
+		return fmt.Errorf("%w: %s is %d, %d was acknowledged, %d tried", errOlder, key, found, p.acknowledged[key], p.attempted[key])
+	}
+	p.acknowledged[key] = found // it may have been written, though Put did not say so
+	return nil
+}
+
+// write writes the next record. On a full disk the one after may go through.
+func (p *powerRun) write(store *Store) error {
+	key := []string{"vote", "standing", "vote"}[p.number%3]
+	p.number++
+	p.attempted[key] = p.number
+	body := fmt.Appendf(nil, "%d ", p.number)
+	if key == "vote" {
+		body = append(body, bytes.Repeat([]byte("0123456789abcdef"), 1+p.number%7<<9)...)
+	}
+	err := store.Put(key, body)
+	if errors.Is(err, syscall.ENOSPC) {
+		return nil
+	}
+	if err != nil {
+		return fmt.Errorf("put %s: %w", key, err)
+	}
+	p.acknowledged[key] = p.number
+	return nil
+}
+
 // A process writes records again and again, as a voter does, meets a full disk now and then, and loses power at any call to it: while journals are begun, tables
 // written, lists of files exchanged and old files removed, and amid the recovery after a loss of power. What Put has written is there
 // afterwards, and nothing older.
 func TestAcknowledgedRecordsOutliveAnyLossOfPower(t *testing.T) {
-	seeds, lives := uint64(40), 0
+	seeds := uint64(40)
 	if os.Getenv("SOAK") != "" {
 		seeds = 2000
 	}
+	const starts = 14 // the last one only reads
+	folder := t.TempDir()
 	for seed := range seeds {
 		random := rand.New(rand.NewPCG(seed, 1))
 		disk := newPowerDisk(random)
-		l := &powerLife{acknowledged: map[string]int{}, attempted: map[string]int{}}
-		for life := range 14 {
+		run := newPowerRun(folder)
+		for start := range starts {
+			last := start == starts-1
 			records := 1000
 			if random.IntN(3) == 0 {
 				disk.full, disk.fullIn = 1+random.IntN(30), random.IntN(60)
 			}
-			if disk.calls = 1 + random.IntN(1+random.IntN(300)); life == 13 {
-				disk.calls, records = -1, 0 // the last one only reads
+			disk.calls = 1 + random.IntN(1+random.IntN(300))
+			if last {
+				disk.calls, records = -1, 0
 			}
-			err := l.live(disk, records)
+			err := run.start(disk, records)
 			disk.mu.Lock()
 			left := disk.after
 			disk.mu.Unlock()
-			if errors.Is(err, errOlder) || err != nil && left == nil || err == nil && life < 13 {
-				t.Fatalf("seed %d, life %d, %d records written: %v", seed, life, l.number, err)
+			if errors.Is(err, errOlder) || err != nil && left == nil || err == nil && !last {
+				t.Fatalf("seed %d, start %d, %d records written: %v", seed, start, run.number, err)
 			}
 			if left != nil {
 				disk = left
 			}
-			lives++
 		}
 	}
-	t.Logf("%d lives", lives)
+	t.Logf("%d starts", seeds*starts)
 }
 
 // clone is a disk as it is now, with chance of its own.
@@ -329,9 +357,10 @@
 }
 
 // interrupted opens a folder and loses power at a call; it returns what is left, nil if there was no such call.
-func interrupted(t *testing.T, l powerLife, disk *powerDisk, call int) *powerDisk {
+func interrupted(t *testing.T, run powerRun, disk *powerDisk, call int) *powerDisk {
+	t.Helper()
 	disk.calls = call
-	err := l.live(disk, 0)
+	err := run.start(disk, 0)
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
 	if errors.Is(err, errOlder) || err != nil && disk.after == nil {
@@ -341,43 +370,45 @@
 }
 
 // Power is lost amid writes, again at any call of the start that follows, and once more at any call of the one after that; also where the
-// list of files is spoilt, so that it has to be made anew.
+// list of files is corrupt, so that it has to be made anew.
 func TestPowerLostAtEachCallOfTwoStarts(t *testing.T) {
-	for name, spoilt := range map[string]bool{"list of files whole": false, "list of files spoilt": true} {
+	for name, corrupt := range map[string]bool{"list of files intact": false, "list of files corrupt": true} {
 		t.Run(name, func(t *testing.T) {
 			starts := 0
 			for seed := range uint64(2) {
-				starts += playTwoStarts(t, seed, spoilt)
+				starts += interruptTwoStarts(t, seed, corrupt)
 			}
 			t.Logf("%d starts", starts)
 		})
 	}
 }
 
-func playTwoStarts(t *testing.T, seed uint64, spoilt bool) (starts int) {
-	l := powerLife{acknowledged: map[string]int{}, attempted: map[string]int{}}
+// interruptTwoStarts returns the number of starts.
+func interruptTwoStarts(t *testing.T, seed uint64, corrupt bool) (starts int) {
+	t.Helper()
+	run := *newPowerRun(t.TempDir())
 	disk := newPowerDisk(rand.New(rand.NewPCG(seed, 1)))
 	disk.calls = 90 + int(seed)*120
-	_ = l.live(disk, 1000) // it ends with the power
+	_ = run.start(disk, 1000) // it ends with the power
 	disk = disk.after
-	if spoilt { // after a start that has put all records into tables
-		if interrupted(t, l, disk, -1) != nil {
+	if corrupt { // after a start that has put all records into tables
+		if interrupted(t, run, disk, -1) != nil {
 			t.Fatal("power was lost without cause")
 		}
-		disk.names[disk.meta[0]].data = []byte("spoilt")
-		disk.names[disk.meta[0]].synced = len("spoilt")
+		disk.names[disk.meta[0]].data = []byte("corrupt")
+		disk.names[disk.meta[0]].synced = len("corrupt")
 	}
 	for first := 1; ; first++ {
-		left := interrupted(t, l, disk.clone(uint64(first)), first)
+		left := interrupted(t, run, disk.clone(uint64(first)), first)
 		if left == nil {
 			return starts
 		}
 		for second := 1; ; second++ {
-			again := interrupted(t, l, left.clone(uint64(second)), second)
+			again := interrupted(t, run, left.clone(uint64(second)), second)
 			if again == nil {
 				break
 			}
-			if interrupted(t, l, again, -1) != nil {
+			if interrupted(t, run, again, -1) != nil {
 				t.Fatal("power was lost without cause")
 			}
 			starts += 3
--- /dev/null
+++ b/internal/mesh/control/storage/record.go
@@ -0,0 +1,45 @@
+package storage
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+
+	"github.com/gravitational/trace"
+)
+
+// The header of a record: the format's number, then the CRC32C of the data. Formats up to maxRecordFormat keep this header.
+const (
+	recordFormat    = 0x71
+	maxRecordFormat = 0x7f
+	headerBytes     = 1 + 4
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// encodeRecord puts the header before the data.
+func encodeRecord(data []byte) []byte {
+	record := make([]byte, headerBytes, headerBytes+len(data))
+	record[0] = recordFormat
+	binary.LittleEndian.PutUint32(record[1:], crc32.Checksum(data, castagnoli))
+	return append(record, data...)
+}
+
+// decodeRecord checks the header and returns the data, which is a part of record. The error is a trace.NotImplemented for a record of
+// a later format that is intact, and a trace.CompareFailed for any other fault.
+func decodeRecord(record []byte) ([]byte, error) {
+	if len(record) < headerBytes {
+		return nil, trace.CompareFailed("%d bytes, expected %d at least", len(record), headerBytes)
+	}
+	data := record[headerBytes:]
+	sum := crc32.Checksum(data, castagnoli)
+	want := binary.LittleEndian.Uint32(record[1:])
+	switch format := record[0]; {
+	case format > recordFormat && format <= maxRecordFormat && sum == want:
+		return nil, trace.NotImplemented("format %#x, this program reads %#x", format, recordFormat)
+	case format != recordFormat:
+		return nil, trace.CompareFailed("format %#x, expected %#x", format, recordFormat)
+	case sum != want:
+		return nil, trace.CompareFailed("checksum %#x, expected %#x", sum, want)
+	}
+	return data, nil
+}
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io/fs"
 	"maps"
 	"os"
@@ -20,6 +21,7 @@
 // killed is a folder as it is left when the process that has it open is killed: all files as they were at one moment, while
 // the database may be writing and removing tables.
 func killed(t *testing.T, folder string) string {
+	t.Helper()
 	for range 100 {
 		before := files(t, folder)
 		copied := t.TempDir()
@@ -36,6 +38,7 @@
 
 // files are the files of a folder with their sizes.
 func files(t *testing.T, folder string) map[string]int64 {
+	t.Helper()
 	sizes := map[string]int64{}
 	for _, f := range must(os.ReadDir(folder)) {
 		info, err := f.Info()
@@ -57,33 +60,34 @@
 }
 
 func open(t *testing.T, folder string) *Store {
-	k, err := Open(folder)
+	t.Helper()
+	store, err := Open(folder)
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = k.Close() })
-	return k
+	t.Cleanup(func() { _ = store.Close() }) // tests that are about Close look at its error themselves
+	return store
 }
 
 func TestRecordsSurviveAKill(t *testing.T) {
 	c := qt.New(t)
 	folder := filepath.Join(t.TempDir(), "a", "b")
-	k := open(t, folder)
-	_, err := k.Get("vote")
+	store := open(t, folder)
+	_, err := store.Get("vote")
 	c.Assert(trace.IsNotFound(err), qt.IsTrue)
 	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<16) // more than the write buffer
 	for i := range 12 {
-		c.Assert(k.Put("vote", append(large, byte(i))), qt.IsNil)
-		c.Assert(k.Put("standing", []byte{byte(i)}), qt.IsNil)
+		c.Assert(store.Put("vote", append(large, byte(i))), qt.IsNil)
+		c.Assert(store.Put("standing", []byte{byte(i)}), qt.IsNil)
 	}
-	c.Assert(k.Close(), qt.IsNil) // a copy needs files that stay as they are
-	k = open(t, folder)
-	c.Assert(k.Put("empty", nil), qt.IsNil)
-	k = open(t, killed(t, folder))
+	c.Assert(store.Close(), qt.IsNil) // a copy needs files that stay as they are
+	store = open(t, folder)
+	c.Assert(store.Put("empty", nil), qt.IsNil)
+	store = open(t, killed(t, folder))
 	for key, want := range map[string][]byte{"vote": append(large, 11), "standing": {11}, "empty": {}} {
-		data, err := k.Get(key)
+		data, err := store.Get(key)
 		c.Assert(err, qt.IsNil)
 		c.Assert(bytes.Equal(data, want), qt.IsTrue)
 	}
-	c.Assert(k.Check(), qt.IsNil)
+	c.Assert(store.Check(), qt.IsNil)
 	size := int64(0)
 	for _, n := range files(t, folder) {
 		size += max(n, 0)
@@ -91,25 +95,25 @@
 	c.Assert(size < 8<<20, qt.IsTrue, qt.Commentf("%d bytes", size)) // what was written over is given back
 }
 
-// Wherever the last write is torn, the folder opens, with the record before it or the whole one.
+// Wherever the last write is torn, the folder opens, with the record before it or the last one.
 func TestTornWrites(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
-	k := open(t, folder)
-	c.Assert(k.Put("vote", []byte("first")), qt.IsNil)
+	store := open(t, folder)
+	c.Assert(store.Put("vote", []byte("first")), qt.IsNil)
 	log := slices.Max(must(filepath.Glob(filepath.Join(folder, "*.log"))))
 	synced := must(os.ReadFile(log))
-	c.Assert(k.Put("vote", bytes.Repeat([]byte("second"), 20)), qt.IsNil)
-	whole := must(os.ReadFile(log))
-	for n := len(synced); n <= len(whole); n = min(n+5, max(n+1, len(whole))) {
-		for _, zeros := range []int{0, len(whole) - n} { // the file may have its length, and not its bytes
+	c.Assert(store.Put("vote", bytes.Repeat([]byte("second"), 20)), qt.IsNil)
+	complete := must(os.ReadFile(log))
+	for n := len(synced); n <= len(complete); n = min(n+5, max(n+1, len(complete))) {
+		for _, zeros := range []int{0, len(complete) - n} { // the file may have its length, and not its bytes
 			torn := killed(t, folder)
-			left := append(slices.Clone(whole[:n]), make([]byte, zeros)...)
+			left := append(slices.Clone(complete[:n]), make([]byte, zeros)...)
 			c.Assert(os.WriteFile(filepath.Join(torn, filepath.Base(log)), left, 0o600), qt.IsNil)
 			again := open(t, torn)
 			data, err := again.Get("vote")
-			c.Assert(err, qt.IsNil, qt.Commentf("%d of %d", n, len(whole)))
-			c.Assert(string(data) == "first" || n >= len(whole)-1, qt.IsTrue, qt.Commentf("%d of %d: %q", n, len(whole), data))
+			c.Assert(err, qt.IsNil, qt.Commentf("%d of %d", n, len(complete)))
+			c.Assert(string(data) == "first" || n >= len(complete)-1, qt.IsTrue, qt.Commentf("%d of %d: %q", n, len(complete), data))
 			c.Assert(again.Put("vote", []byte("third")), qt.IsNil)
 			c.Assert(again.Close(), qt.IsNil)
 		}
@@ -118,17 +122,17 @@
 
 func TestSpoiltRecordsAreNamed(t *testing.T) {
 	c := qt.New(t)
-	k := open(t, t.TempDir())
-	c.Assert(k.Put("good", []byte("x")), qt.IsNil)
-	spoilt := encodeRecord([]byte("data"))
-	spoilt[len(spoilt)-1] ^= 1
-	for key, record := range map[string][]byte{"spoilt": spoilt, "short": {recordFormat}, "other": append([]byte{1}, encodeRecord(nil)[1:]...)} {
-		c.Assert(k.db.Put([]byte(key), record, nil), qt.IsNil)
-		_, err := k.Get(key)
+	store := open(t, t.TempDir())
+	c.Assert(store.Put("good", []byte("x")), qt.IsNil)
+	corrupt := encodeRecord([]byte("data"))
+	corrupt[len(corrupt)-1] ^= 1
+	for key, record := range map[string][]byte{"corrupt": corrupt, "short": {recordFormat}, "other": append([]byte{1}, encodeRecord(nil)[1:]...)} {
+		c.Assert(store.db.Put([]byte(key), record, nil), qt.IsNil)
+		_, err := store.Get(key)
 		c.Assert(trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("%v", err))
-		c.Assert(k.Check(), qt.ErrorMatches, `(?s).*"`+key+`".*`)
+		c.Assert(store.Check(), qt.ErrorMatches, `(?s).*"`+key+`".*`)
 	}
-	_, err := k.Get("good")
+	_, err := store.Get("good")
 	c.Assert(err, qt.IsNil)
 }
 
@@ -136,18 +140,18 @@
 func TestWritesGoOn(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
-	k := open(t, folder)
-	c.Assert(k.Put("vote", []byte("1")), qt.IsNil)
-	c.Assert(k.db.Close(), qt.IsNil)
-	c.Assert(k.Put("vote", []byte("2")), qt.IsNotNil)
-	data, err := k.Get("vote")
+	store := open(t, folder)
+	c.Assert(store.Put("vote", []byte("1")), qt.IsNil)
+	c.Assert(store.db.Close(), qt.IsNil)
+	c.Assert(store.Put("vote", []byte("2")), qt.IsNotNil)
+	data, err := store.Get("vote")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(data), qt.Equals, "1")
-	c.Assert(k.Put("vote", []byte("3")), qt.IsNil)
-	c.Assert(k.Close(), qt.IsNil)
+	c.Assert(store.Put("vote", []byte("3")), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 
 	for _, l := range must(filepath.Glob(filepath.Join(folder, "MANIFEST-*"))) {
-		c.Assert(os.WriteFile(l, []byte("spoilt"), 0o600), qt.IsNil)
+		c.Assert(os.WriteFile(l, []byte("corrupt"), 0o600), qt.IsNil)
 	}
 	data, err = open(t, folder).Get("vote")
 	c.Assert(err, qt.IsNil)
@@ -224,6 +228,7 @@
 
 // powerLost is the folder as it is after a loss of power that takes all that may be lost.
 func (v *volatileFiles) powerLost(t *testing.T, folder string) string {
+	t.Helper()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	left := t.TempDir()
@@ -241,19 +246,19 @@
 	c := qt.New(t)
 	folder := t.TempDir()
 	var files *volatileFiles
-	k := &Store{folder: folder, openFiles: func(folder string) (*durableFiles, error) {
-		real, err := lstorage.OpenFile(folder, false)
-		files = &volatileFiles{Storage: real, unnamed: map[lstorage.FileDesc]bool{}}
+	store := &Store{folder: folder, openFiles: func(folder string) (*durableFiles, error) {
+		opened, err := lstorage.OpenFile(folder, false)
+		files = &volatileFiles{Storage: opened, unnamed: map[lstorage.FileDesc]bool{}}
 		return newDurableFiles(files, func() error { files.syncFolder(); return nil }), err
 	}}
-	c.Assert(k.open(), qt.IsNil)
-	defer k.Close()
+	c.Assert(store.open(), qt.IsNil)
+	defer func() { c.Check(store.Close(), qt.IsNil) }()
 	files.mu.Lock()
 	files.gated = true
 	files.mu.Unlock()
 	journals, body := map[string]bool{}, bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
 	for i := range 20 {
-		c.Assert(k.Put("vote", append(body, byte(i))), qt.IsNil)
+		c.Assert(store.Put("vote", append(body, byte(i))), qt.IsNil)
 		left := files.powerLost(t, folder)
 		files.closeGate()
 		for _, name := range must(filepath.Glob(filepath.Join(folder, "*.log"))) {
@@ -268,21 +273,21 @@
 	c.Assert(len(journals) > 2, qt.IsTrue)
 }
 
-// A record of a later format is told apart from a spoilt one, and stays as it is.
+// A record of a later format is distinguished from a corrupt one, and stays as it is.
 func TestRecordOfALaterFormat(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
-	k := open(t, folder)
+	store := open(t, folder)
 	later := encodeRecord([]byte("data"))
 	later[0] = recordFormat + 1
-	c.Assert(k.db.Put([]byte("vote"), later, nil), qt.IsNil)
-	_, err := k.Get("vote")
+	c.Assert(store.db.Put([]byte("vote"), later, nil), qt.IsNil)
+	_, err := store.Get("vote")
 	c.Assert(trace.IsNotImplemented(err), qt.IsTrue, qt.Commentf("%v", err))
 	c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*format 0x72, this program reads 0x71.*`)
-	c.Assert(must(k.db.Get([]byte("vote"), nil)), qt.DeepEquals, later)
+	c.Assert(must(store.db.Get([]byte("vote"), nil)), qt.DeepEquals, later)
 	later[len(later)-1] ^= 1
-	c.Assert(k.db.Put([]byte("vote"), later, nil), qt.IsNil)
-	_, err = k.Get("vote")
+	c.Assert(store.db.Put([]byte("vote"), later, nil), qt.IsNil)
+	_, err = store.Get("vote")
 	c.Assert(trace.IsCompareFailed(err), qt.IsTrue)
 }
 
@@ -305,60 +310,70 @@
 func TestTruncatedFolder(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
-	k := open(t, folder)
-	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
+	store := open(t, folder)
 	for i := range 8 {
-		c.Assert(k.Put("vote", append(large, byte(i))), qt.IsNil)
+		c.Assert(store.Put("vote", append(slices.Clone(largeRecord), byte(i))), qt.IsNil)
 	}
-	c.Assert(k.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	for name, size := range files(t, folder) {
 		for _, keep := range []int64{-1, 0, size / 2} { // gone, empty, cut in two
-			torn := t.TempDir()
-			c.Assert(os.CopyFS(torn, os.DirFS(folder)), qt.IsNil)
-			if keep < 0 {
-				c.Assert(os.Remove(filepath.Join(torn, name)), qt.IsNil)
-			} else {
-				c.Assert(os.Truncate(filepath.Join(torn, name), keep), qt.IsNil)
-			}
-			label := qt.Commentf("%s of %d bytes, cut to %d", name, size, keep)
-			again, err := Open(torn)
-			if err != nil {
-				c.Assert(err, qt.ErrorMatches, "(?s).*folder "+torn+".*", label)
-				continue
-			}
-			data, err := again.Get("vote")
-			if err == nil {
-				c.Assert(len(data) == len(large)+1 && bytes.Equal(data[:len(large)], large), qt.IsTrue, label)
-			} else {
-				c.Assert(trace.IsNotFound(err) || trace.IsCompareFailed(err), qt.IsTrue, label)
-				c.Assert(err, qt.ErrorMatches, `(?s).*folder `+torn+`, record "vote".*`, label)
-			}
-			if name == "CURRENT" {
-				c.Assert(err, qt.IsNil, label) // it only names the list of files
-			}
-			if err == nil && filepath.Ext(name) != ".log" { // a journal's end is where a torn write would be
-				c.Assert(data[len(large)], qt.Equals, byte(7), label)
-			}
-			if err := again.Put("vote", []byte("next")); err != nil {
-				c.Assert(err, qt.ErrorMatches, `(?s).*folder `+torn+`, record "vote".*file=`+name+`.*`, label)
-			}
-			if err := again.Close(); err != nil { // it may have met the table while it compacted
-				c.Assert(err, qt.ErrorMatches, `(?s).*folder `+torn+`.*file=`+name+`.*`, label)
-			}
+			t.Run(fmt.Sprintf("%s of %d bytes, cut to %d", name, size, keep), func(t *testing.T) {
+				torn := t.TempDir()
+				qt.Assert(t, os.CopyFS(torn, os.DirFS(folder)), qt.IsNil)
+				if keep < 0 {
+					qt.Assert(t, os.Remove(filepath.Join(torn, name)), qt.IsNil)
+				} else {
+					qt.Assert(t, os.Truncate(filepath.Join(torn, name), keep), qt.IsNil)
+				}
+				checkTruncated(t, torn, name)
+			})
 		}
 	}
 }
 
+// largeRecord is a record without its last byte, as large as the write buffer of the database.
+var largeRecord = bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
+
+// checkTruncated checks a folder with eight records in which one file is cut short.
+func checkTruncated(t *testing.T, folder, file string) {
+	t.Helper()
+	c := qt.New(t)
+	store, err := Open(folder)
+	if err != nil {
+		c.Assert(err, qt.ErrorMatches, "(?s).*folder "+folder+".*")
+		return
+	}
+	data, err := store.Get("vote")
+	if err == nil {
+		c.Assert(len(data) == len(largeRecord)+1 && bytes.Equal(data[:len(largeRecord)], largeRecord), qt.IsTrue)
+	} else {
+		c.Assert(trace.IsNotFound(err) || trace.IsCompareFailed(err), qt.IsTrue)
+		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*`)
+	}
+	if file == "CURRENT" {
+		c.Assert(err, qt.IsNil) // it only names the list of files
+	}
+	if err == nil && filepath.Ext(file) != ".log" { // a journal's end is where a torn write would be
+		c.Assert(data[len(largeRecord)], qt.Equals, byte(7))
+	}
+	if err := store.Put("vote", []byte("next")); err != nil {
+		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*file=`+file+`.*`)
+	}
+	if err := store.Close(); err != nil { // it may have met the table while it compacted
+		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`.*file=`+file+`.*`)
+	}
+}
+
 // Without the files that name the list of files, the list is made anew from the tables.
 func TestListOfFilesIsGone(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
-	k := open(t, folder)
+	store := open(t, folder)
 	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
 	for i := range 4 {
-		c.Assert(k.Put("vote", append(large, byte(i))), qt.IsNil)
+		c.Assert(store.Put("vote", append(large, byte(i))), qt.IsNil)
 	}
-	c.Assert(k.Close(), qt.IsNil)
+	c.Assert(store.Close(), qt.IsNil)
 	for _, name := range must(filepath.Glob(filepath.Join(folder, "CURRENT*"))) {
 		c.Assert(os.Remove(name), qt.IsNil)
 	}
