--- a/internal/mesh/control/configuration/configuration_test.go
+++ b/internal/mesh/control/configuration/configuration_test.go
@@ -1,6 +1,7 @@
 package configuration
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -34,8 +35,8 @@
 }
 
 // Every change below makes the example invalid, at the path given, or leaves it valid.
-func TestFaultsAreToldByPath(t *testing.T) {
-	for _, x := range []struct{ old, new, fault string }{
+func TestFaultsAreNamedByPath(t *testing.T) {
+	for _, test := range []struct{ old, new, fault string }{
 		{`"configVersion":"r7",`, ``, "configVersion: "},
 		{`"r7"`, `"7"`, "configVersion: "},
 		{`"r7"`, `7`, "configVersion: "},
@@ -68,15 +69,17 @@
 		{`"non_idempotent"`, `"some_new_kind"`, ""},
 		{`"name":"r-e9itfrz"`, `"name":"r-6sz9frg"`, ""},
 	} {
-		raw := strings.Replace(example, x.old, x.new, 1)
-		qt.Assert(t, raw != example, qt.IsTrue, qt.Commentf("%s", x.old))
-		_, err := Parse([]byte(raw))
-		if x.fault == "" {
-			qt.Check(t, err, qt.IsNil, qt.Commentf("%s", x.new))
-			continue
-		}
-		qt.Check(t, trace.IsBadParameter(err), qt.IsTrue, qt.Commentf("%s -> %s", x.old, x.new))
-		qt.Check(t, err != nil && strings.HasPrefix(err.Error(), x.fault), qt.IsTrue, qt.Commentf("%v, %s", err, x.fault))
+		t.Run(fmt.Sprintf("%.40s to %.40s", test.old, test.new), func(t *testing.T) {
+			raw := strings.Replace(example, test.old, test.new, 1)
+			qt.Assert(t, raw != example, qt.IsTrue)
+			_, err := Parse([]byte(raw))
+			if test.fault == "" {
+				qt.Check(t, err, qt.IsNil)
+				return
+			}
+			qt.Check(t, trace.IsBadParameter(err), qt.IsTrue)
+			qt.Check(t, err != nil && strings.HasPrefix(err.Error(), test.fault), qt.IsTrue, qt.Commentf("%v, %s", err, test.fault))
+		})
 	}
 }
 
--- a/internal/mesh/control/configuration/golden_test.go
+++ b/internal/mesh/control/configuration/golden_test.go
@@ -20,22 +20,23 @@
 	line := func(path string, value any) { fmt.Fprintf(&text, "%s = %v\n", path, value) }
 	line("version", c.Version)
 	for i := range c.Routes {
-		r, path := &c.Routes[i], fmt.Sprintf("route %d ", i)
-		line(path+"name", fmt.Sprintf("%q", r.Name))
-		line(path+"host", fmt.Sprintf("%q", r.Host))
-		line(path+"prefix", fmt.Sprintf("%q", r.Prefix))
-		line(path+"kind", uint8(r.Kind))
-		line(path+"may run more than once", r.Kind.IsIdempotent())
-		line(path+"timeout", r.Timeout)
-		line(path+"target", r.Target)
-		line(path+"priority", r.Priority)
-		line(path+"attempts", r.MaxAttempts)
-		line(path+"public", r.Public)
-		for _, s := range r.Split {
-			line(path+"split "+s.Service, s.Weight)
+		route := &c.Routes[i]
+		path := fmt.Sprintf("route %d ", i)
+		line(path+"name", fmt.Sprintf("%q", route.Name))
+		line(path+"host", fmt.Sprintf("%q", route.Host))
+		line(path+"prefix", fmt.Sprintf("%q", route.Prefix))
+		line(path+"kind", uint8(route.Kind))
+		line(path+"may run more than once", route.Kind.IsIdempotent())
+		line(path+"timeout", route.Timeout)
+		line(path+"target", route.Target)
+		line(path+"priority", route.Priority)
+		line(path+"attempts", route.MaxAttempts)
+		line(path+"public", route.Public)
+		for _, share := range route.Split {
+			line(path+"split "+share.Service, share.Weight)
 		}
 		for _, x := range []float64{0, 0.25, 0.5, 0.99, 0.999999} {
-			line(path+fmt.Sprintf("draw %v", x), r.PickService(x))
+			line(path+fmt.Sprintf("draw %v", x), route.PickService(x))
 		}
 	}
 	for i, s := range c.Services {
--- /dev/null
+++ b/internal/mesh/control/configuration/parser.go
@@ -0,0 +1,176 @@
+package configuration
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/tidwall/gjson"
+)
+
+const (
+	maxFaults         = 100  // that an error lists
+	maxDepth          = 1000 // of lists and objects within each other; those that are known are five deep
+	maxDescribedBytes = 60   // of a value that an error shows
+)
+
+// exceedsMaxDepth reports whether lists and objects may lie so deep within each other that a JSON parser's stack would overflow, which
+// would end the process.
+func exceedsMaxDepth(raw []byte) bool {
+	depth := 0
+	inText := false
+	for i := 0; i < len(raw); i++ {
+		switch c := raw[i]; {
+		case inText && c == '\\':
+			i++
+		case c == '"':
+			inText = !inText
+		case inText:
+		case c == '{' || c == '[':
+			depth++
+			if depth > maxDepth {
+				return true
+			}
+		case c == '}' || c == ']':
+			depth--
+		}
+	}
+	return false
+}
+
+// parser reads the values of fields and gathers the faults. A value that is a fault is read as the zero value, or as that of a missing
+// field.
+type parser struct {
+	faults   []string
+	route    fieldSet          // of the route that is being read
+	interned map[string]string // texts that are kept, each once, and not as a part of the whole body
+}
+
+// addFault notes that the field at a path is not what was expected.
+func (p *parser) addFault(path, expected string, args ...any) {
+	if len(p.faults) < maxFaults {
+		p.faults = append(p.faults, path+": expected "+fmt.Sprintf(expected, args...))
+	}
+}
+
+// intern is a copy of a text, the same one for equal texts.
+func (p *parser) intern(s string) string {
+	kept, ok := p.interned[s]
+	if !ok {
+		kept = strings.Clone(s)
+		p.interned[kept] = kept
+	}
+	return kept
+}
+
+// isPresent reports whether a field is there; null is as good as nothing.
+func isPresent(v gjson.Result) bool { return v.Exists() && v.Type != gjson.Null }
+
+// describe is what is there in place of what was expected.
+func describe(v gjson.Result) string {
+	switch {
+	case !v.Exists():
+		return "nothing"
+	case len(v.Raw) > maxDescribedBytes:
+		return v.Raw[:maxDescribedBytes] + "..."
+	}
+	return v.Raw
+}
+
+// forEach calls f for the elements of a list; a list that isn't there is empty.
+func (p *parser) forEach(path string, list gjson.Result, f func(path string, v gjson.Result)) {
+	if !isPresent(list) {
+		return
+	}
+	if !list.IsArray() {
+		p.addFault(path, "a list, not %s", describe(list))
+		return
+	}
+	i := 0
+	list.ForEach(func(_, v gjson.Result) bool {
+		f(path+"."+strconv.Itoa(i), v)
+		i++
+		return true
+	})
+}
+
+// forEachObject is forEach for a list of objects.
+func (p *parser) forEachObject(path string, list gjson.Result, f func(path string, v gjson.Result)) {
+	p.forEach(path, list, func(path string, v gjson.Result) {
+		if !v.IsObject() {
+			p.addFault(path, "an object, not %s", describe(v))
+			return
+		}
+		f(path, v)
+	})
+}
+
+// text is a text, which may be empty but has to be there.
+func (p *parser) text(path string, v gjson.Result) string {
+	if v.Type != gjson.String {
+		p.addFault(path, "a text, not %s", describe(v))
+		return ""
+	}
+	return p.intern(v.Str)
+}
+
+// name is a text that isn't empty.
+func (p *parser) name(path string, v gjson.Result) string {
+	s := p.text(path, v)
+	if s == "" && v.Type == gjson.String {
+		p.addFault(path, "a text that isn't empty")
+	}
+	return s
+}
+
+func (p *parser) number(path string, v gjson.Result, missing float64) float64 {
+	if !isPresent(v) {
+		return missing
+	}
+	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || math.IsNaN(v.Num) {
+		p.addFault(path, "a number, not %s", describe(v))
+		return missing
+	}
+	return v.Num
+}
+
+// integer is a number without its fraction, cut to what an int32 holds.
+func (p *parser) integer(path string, v gjson.Result, missing int) int {
+	return int(max(math.MinInt32, min(math.MaxInt32, p.number(path, v, float64(missing)))))
+}
+
+func (p *parser) duration(path string, v gjson.Result, missing time.Duration) time.Duration {
+	if !isPresent(v) {
+		return missing
+	}
+	d, ok := parseDuration(v.Str)
+	if v.Type != gjson.String || !ok {
+		p.addFault(path, "a number with its unit, ms or s, not %s", describe(v))
+	}
+	return d
+}
+
+// parseDuration reads a number and its unit, ms or s. It may be negative, and is cut to 2^62 ns, which is 146 years.
+func parseDuration(s string) (time.Duration, bool) {
+	unit := float64(time.Second)
+	number, ok := strings.CutSuffix(s, unitMilliseconds)
+	if ok {
+		unit = float64(time.Millisecond)
+	} else if number, ok = strings.CutSuffix(s, unitSeconds); !ok {
+		return 0, false
+	}
+	x, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
+	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+		return 0, false
+	}
+	return time.Duration(max(-1<<62, min(1<<62, math.Round(x*unit)))), true
+}
+
+func (p *parser) boolean(path string, v gjson.Result) bool {
+	if isPresent(v) && !v.IsBool() {
+		p.addFault(path, "true or false, not %s", describe(v))
+	}
+	return v.Type == gjson.True
+}
