--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -105,7 +105,7 @@
 fault "a checksum is not held against its data" storage/record.go 's/case sum != want:/case false:/'
 fault "a later format counts as spoilt" storage/record.go 's/case format > recordFormat.*/case false:/'
 fault "a new journal's name is not synced" storage/durable_files.go 's/case lstorage\.TypeJournal:/case 0:/'
-fault "a spoilt list of files is an error for good" storage/database.go 's/if !lerrors\.IsCorrupted\(err\) \{/if true {/'
+fault "a spoilt list of files is an error for good" storage/database.go 's/if !lerrors\.IsCorrupted\(err\) \{/if !lerrors.IsCorrupted(nil) {/'
 fault "a repair gives files up before it is whole" storage/durable_files.go 's/d\.deferring = true/d.deferring = false/'
 
 # Leases.
