--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -129,10 +129,10 @@
 fault "shares of sidecars that left the view are forgotten" ratelimit/sightings.go 's/if now-at > shareLease/if now > at/'
 fault "a new allocator keeps nothing back" ratelimit/allocator.go 's/reserved \+= max.*/_ = 0/'
 fault "shares of silent sidecars are granted again" ratelimit/allocator.go 's/reserved := b\.silent/reserved := 0.0/'
-fault "an older version comes in force" ../agent/config.go 's/version <= held/version == held/'
-fault "a text is taken under another version" ../agent/config.go 's/if uint64\(conf\.Version\) != version/if false/'
-fault "the first peer's version is taken" ../agent/survey.go 's/if version > s\.newest/if s.newest == 0/'
-fault "members that were lost are not tried" ../discovery/membership/former.go 's/now-f\.at < v\.bounds\.RejoinFor/false/'
+fault "an older version comes in force" ../agent/configuration.go 's/version <= held \{/version == held {/'
+fault "a text is taken under another version" ../agent/configuration.go 's/if uint64\(conf\.Version\) != version/if false/'
+fault "the first peer's version is taken" ../agent/version_poll.go 's/if version > v\.newest/if v.newest == 0/'
+fault "members that were lost are not tried" ../discovery/membership/reconnect.go 's/return m\.departedAt > at/return false/'
 
 # Voters that are replaced.
 fault "exchange: who joins reads from one voter" consensus/recovery.go 's/return n >= majority\(len\(list\)\)$/return n >= 1/'
@@ -145,7 +145,7 @@
 fault "exchange: a change returns before the new list has it" controlplane/voter_manager.go 's/_, err = v\.proposer\.read\(ctx\)/_ = ctx/'
 fault "exchange: replacements are not bounded" controlplane/replacement_limiter.go 's/return n == 0 .*/return n >= 0/'
 fault "exchange: who stood still takes others for silent" controlplane/voter_monitor.go 's/v\.detector\.resetTimeouts\(now\)/_ = now/'
-fault "exchange: a process that ends hands nothing over" ../assembly/core.go 's/err := server\.HandOver\(ctx\)/err := ctx.Err()/'
+fault "exchange: a process that ends hands nothing over" ../assembly/controlplane_shutdown.go 's/err := c\.server\.HandOver\(ctx\)/err := ctx.Err()/'
 fault "exchange: a request of another system is taken" controlplane/responder.go 's/if own := r\.learner\.system\(\); !own\.Matches\(request\.System\)/if own := r.learner.system(); false/'
 
 exit $failed
