--- /dev/null
+++ b/internal/structures/deadlinequeue/deadlinequeue_test.go
@@ -0,0 +1,66 @@
+package deadlinequeue
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// checkAgainst compares a queue with a map of the same deadlines.
+func checkAgainst(t *rapid.T, q *Queue[int], deadlines map[int]time.Duration) {
+	first, ok := 0, false
+	for value, deadline := range deadlines {
+		if !ok || deadline < deadlines[first] || deadline == deadlines[first] && value < first {
+			first, ok = value, true
+		}
+		if got, here := q.Deadline(value); !here || got != deadline {
+			t.Fatalf("%d has the deadline %v, %v, want %v", value, got, here, deadline)
+		}
+	}
+	got, deadline, here := q.Peek()
+	if here != ok || q.Len() != len(deadlines) {
+		t.Fatalf("first is %v, of %d; want %v of %v", here, q.Len(), ok, deadlines)
+	}
+	if ok && (got != first || deadline != deadlines[first]) {
+		t.Fatalf("first is %d at %v, want %d of %v", got, deadline, first, deadlines)
+	}
+}
+
+// Against a map that is walked each time.
+func TestAgainstNaive(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		q := Queue[int]{Less: func(a, b int) bool { return a < b }}
+		deadlines := map[int]time.Duration{}
+		for range rapid.IntRange(1, 300).Draw(rt, "events") {
+			value := rapid.IntRange(0, 30).Draw(rt, "value")
+			if rapid.IntRange(0, 2).Draw(rt, "event") == 0 {
+				q.Remove(value)
+				delete(deadlines, value)
+			} else {
+				deadline := time.Duration(rapid.IntRange(0, 20).Draw(rt, "deadline"))
+				q.Put(value, deadline)
+				deadlines[value] = deadline
+			}
+			checkAgainst(rt, &q, deadlines)
+		}
+	})
+}
+
+func BenchmarkPut(b *testing.B) {
+	for _, n := range []int{10, 100, 1000, 10000} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			var q Queue[int]
+			rng := rand.New(rand.NewPCG(1, 2))
+			for i := range n {
+				q.Put(i, time.Duration(rng.Int64N(1e9)))
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				q.Put(rng.IntN(n), time.Duration(rng.Int64N(1e9)))
+			}
+		})
+	}
+}
--- a/internal/structures/hashring/arcs_test.go
+++ b/internal/structures/hashring/hashring_test.go
@@ -13,21 +13,21 @@
 func TestEachHasItsOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := rapid.IntRange(3, 250).Draw(t, "owners")
-		copies := rapid.IntRange(1, 3).Draw(t, "copies")
+		replicas := rapid.IntRange(1, 3).Draw(t, "replicas")
 		id := rapid.Uint32().Draw(t, "id")
 		n := 0
 		for i := range owners {
-			if (Share{Owner: i, Owners: owners, Replicas: float64(copies)}).Owns(id) {
+			if (Share{Owner: i, Owners: owners, Replicas: float64(replicas)}).Owns(id) {
 				n++
 			}
 		}
 		// Where an item lies within rounding of the border of two arcs both may have it, which is no harm.
-		least := copies
-		if owners%copies != 0 {
-			least = max(1, copies-2)
+		least := replicas
+		if owners%replicas != 0 {
+			least = max(1, replicas-2)
 		}
-		if n < least || n > copies+1 {
-			t.Fatalf("%d owners, should be %d", n, copies)
+		if n < least || n > replicas+1 {
+			t.Fatalf("%d owners, should be %d", n, replicas)
 		}
 	})
 }
@@ -100,13 +100,14 @@
 	}
 }
 
-func BenchmarkHas(b *testing.B) {
+func BenchmarkOwns(b *testing.B) {
 	s := Share{Owner: 7, Owners: 200, Replicas: 3}
 	for i := 0; b.Loop(); i++ {
 		s.Owns(uint32(i))
 	}
 }
 
+// group is the numbers of n owners.
 func group(n int) (all []uint64) {
 	for i := range n {
 		all = append(all, uint64(i)+1000)
@@ -115,9 +116,9 @@
 }
 
 // owners are the places of an item's owners.
-func owners(all []uint64, id uint32, copies, wide float64) (of []int) {
+func owners(all []uint64, id uint32, replicas, widening float64) (of []int) {
 	for i, m := range all {
-		if (Share{Group: NewGroup(m, all), Replicas: copies, Widening: wide}).Owns(id) {
+		if (Share{Group: NewGroup(m, all), Replicas: replicas, Widening: widening}).Owns(id) {
 			of = append(of, i)
 		}
 	}
@@ -128,16 +129,16 @@
 func TestGroupMovesOnlyWhatItHasTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 60).Draw(t, "owners")
-		copies := rapid.IntRange(1, 3).Draw(t, "copies")
+		replicas := rapid.IntRange(1, 3).Draw(t, "replicas")
 		id := rapid.Uint32().Draw(t, "id")
 		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
 		all := group(n)
-		before := owners(all, id, float64(copies), 1)
-		if len(before) != copies {
-			t.Fatalf("%d owners, should be %d", len(before), copies)
+		before := owners(all, id, float64(replicas), 1)
+		if len(before) != replicas {
+			t.Fatalf("%d owners, should be %d", len(before), replicas)
 		}
 		left := slices.Delete(slices.Clone(all), gone, gone+1)
-		after := owners(left, id, float64(copies), 1)
+		after := owners(left, id, float64(replicas), 1)
 		kept := 0
 		for _, i := range after {
 			if i >= gone {
@@ -147,21 +148,21 @@
 				kept++
 			}
 		}
-		want := copies
+		want := replicas
 		if slices.Contains(before, gone) {
 			want--
 		}
-		if len(after) != copies || kept != want {
+		if len(after) != replicas || kept != want {
 			t.Fatalf("%v became %v without %d: %d kept, should be %d", before, after, gone, kept, want)
 		}
-		if wide := owners(all, id, float64(copies), 2); len(wide) != min(2*copies, n) {
+		if wide := owners(all, id, float64(replicas), 2); len(wide) != min(2*replicas, n) {
 			t.Fatalf("twice as wide: %d owners of %d", len(wide), n)
 		}
 	})
 }
 
-// Copies that are no whole number are so on average.
-func TestGroupWithPartsOfCopies(t *testing.T) {
+// Replicas that are no whole number are so on average.
+func TestGroupWithPartsOfReplicas(t *testing.T) {
 	all, n := group(20), 0
 	for id := range uint32(4000) {
 		n += len(owners(all, id, 1.5, 0))
--- a/internal/structures/rendezvous/rendezvous.go
+++ b/internal/structures/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous orders members for an item by hash (Thaler, Ravishankar: Using Name-Based Mappings to Increase Hit Rates,
-// 1998): each item has an order of its own, and when a member comes or goes the others keep theirs. It decides nothing.
+// Package rendezvous ranks members for an item by hash (Thaler, Ravishankar: Using Name-Based Mappings to Increase Hit Rates,
+// 1998): each item has an order of its own, and when a member comes or goes the others keep theirs.
 package rendezvous
 
 import (
@@ -7,22 +7,24 @@
 	"slices"
 )
 
-// Ranking is one member, and all others, by numbers that all agree on.
+// Ranking is one member's knowledge of all members, by numbers that all agree on. Members that agree on these agree on the order
+// for each item.
 type Ranking struct {
 	self        uint64
 	others      []uint64
-	selfHash    uint64   // its number, mixed,
-	otherHashes []uint64 // and theirs
+	selfHash    uint64
+	otherHashes []uint64 // in the order of others
 }
 
-// New makes the Row of a member: its own number, and all, itself among them or not, in any order and more than once.
+// New makes the Ranking of a member: its own number, and all, itself among them or not, in any order and more than once.
 func New(self uint64, all []uint64) Ranking {
-	r := Ranking{self: self, selfHash: Mix(self), others: slices.Compact(slices.Sorted(slices.Values(all)))}
-	if i, ok := slices.BinarySearch(r.others, self); ok {
-		r.others = slices.Delete(r.others, i, i+1)
+	others := slices.Compact(slices.Sorted(slices.Values(all)))
+	if i, ok := slices.BinarySearch(others, self); ok {
+		others = slices.Delete(others, i, i+1)
 	}
-	for _, m := range r.others {
-		r.otherHashes = append(r.otherHashes, Mix(m))
+	r := Ranking{self: self, selfHash: Mix(self), others: others, otherHashes: make([]uint64, 0, len(others))}
+	for _, member := range others {
+		r.otherHashes = append(r.otherHashes, Mix(member))
 	}
 	return r
 }
@@ -30,25 +32,25 @@
 // Len is how many members there are.
 func (r *Ranking) Len() int { return 1 + len(r.others) }
 
-// InFirst tells whether this member is one of so many first ones for an item. Items should be mixed: few that differ little.
-func (r *Ranking) InFirst(item uint64, first int) bool { return r.countAhead(item, first) < first }
+// InFirst reports whether this member is one of the first n for an item. Items should be spread over all 64 bits, as Mix does.
+func (r *Ranking) InFirst(item uint64, n int) bool { return r.countAhead(item, n) < n }
 
-// Rank is this member's place for an item, from 0.
+// Rank is this member's rank for an item, from 0.
 func (r *Ranking) Rank(item uint64) int { return r.countAhead(item, r.Len()) }
 
-// countAhead counts those before this member, up to a number.
-func (r *Ranking) countAhead(item uint64, most int) (n int) {
+// countAhead counts the members that come before this one, up to a number.
+func (r *Ranking) countAhead(item uint64, limit int) (ahead int) {
 	own := Mix(item ^ r.selfHash)
-	for i, m := range r.otherHashes {
-		if n >= most {
+	for i, hash := range r.otherHashes {
+		if ahead >= limit {
 			break
 		}
 		// Mix is a bijection: different members never score alike, but for numbers that are alike.
-		if cmp.Or(cmp.Compare(Mix(item^m), own), cmp.Compare(r.others[i], r.self)) > 0 {
-			n++
+		if cmp.Or(cmp.Compare(Mix(item^hash), own), cmp.Compare(r.others[i], r.self)) > 0 {
+			ahead++
 		}
 	}
-	return n
+	return ahead
 }
 
 // Mix spreads a number over 64 bits, each number to another one: the finalizer of SplitMix64 (Steele, Lea, Flood: Fast
--- a/internal/structures/throttle/throttle_test.go
+++ b/internal/structures/throttle/throttle_test.go
@@ -7,45 +7,59 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes, attempts stay within what answers, time and the bound at first allow; and one that has been shut
+// client makes attempts at random, and counts what they come to.
+type client struct {
+	throttle       Throttle
+	now            time.Duration
+	rate, capacity float64
+	inFlight       int
+	rejected       float64
+	allowed        float64 // attempts that may have come to nothing by now
+}
+
+// step is one random event. Each response allows so many attempts more.
+func (c *client) step(t *rapid.T, more float64) {
+	switch rapid.IntRange(0, 3).Draw(t, "event") {
+	case 0:
+		elapsed := time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
+		c.now += elapsed
+		c.allowed += c.rate * elapsed.Seconds()
+		c.throttle.Update(c.now, c.rate, c.capacity, c.capacity)
+	case 1:
+		if c.throttle.Allowed() {
+			c.throttle.RecordAttempt()
+			c.inFlight++
+		}
+	case 2:
+		if c.inFlight > 0 {
+			c.inFlight--
+			c.throttle.RecordResponse(more)
+			c.allowed += more
+		}
+	case 3:
+		if c.inFlight > 0 {
+			c.inFlight--
+			c.rejected++
+		}
+	}
+}
+
+// Whatever comes, attempts stay within what responses, time and the capacity at first allow; and one that has been shut
 // opens again by itself.
 func TestAttemptsStayWithinWhatIsAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Throttle
-		most, rate := float64(rapid.IntRange(1, 20).Draw(t, "most")), rapid.Float64Range(0.1, 50).Draw(t, "rate")
+		capacity, rate := float64(rapid.IntRange(1, 20).Draw(t, "capacity")), rapid.Float64Range(0.1, 50).Draw(t, "rate")
 		more := rapid.Float64Range(0, 2).Draw(t, "more")
-		now, out, vain, allowed := time.Second, 0, 0.0, most
-		b.Update(now, rate, most, most)
+		c := client{now: time.Second, rate: rate, capacity: capacity, allowed: capacity}
+		c.throttle.Update(c.now, rate, capacity, capacity)
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
-			switch rapid.IntRange(0, 3).Draw(t, "event") {
-			case 0:
-				dt := time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
-				now += dt
-				allowed += rate * dt.Seconds()
-				b.Update(now, rate, most, most)
-			case 1:
-				if b.Allowed() {
-					b.RecordAttempt()
-					out++
-				}
-			case 2:
-				if out > 0 {
-					out--
-					b.RecordResponse(more)
-					allowed += more
-				}
-			case 3:
-				if out > 0 {
-					out--
-					vain++
-				}
-			}
-			if float64(out)+vain > allowed+1e-6 {
-				t.Fatalf("%v attempts in vain and %d out; %v were allowed", vain, out, allowed)
+			c.step(t, more)
+			if float64(c.inFlight)+c.rejected > c.allowed+1e-6 {
+				t.Fatalf("%v attempts rejected and %d in flight; %v were allowed", c.rejected, c.inFlight, c.allowed)
 			}
 		}
-		b.Update(now+time.Duration(float64(time.Second)*(most+1)/rate)+time.Second, rate, most, most)
-		if !b.Allowed() {
+		c.throttle.Update(c.now+time.Duration(float64(time.Second)*(capacity+1)/rate)+time.Second, rate, capacity, capacity)
+		if !c.throttle.Allowed() {
 			t.Fatal("shut for good")
 		}
 	})
--- /dev/null
+++ b/internal/structures/weightedring/example_test.go
@@ -0,0 +1,27 @@
+package weightedring_test
+
+import (
+	"fmt"
+
+	"quincegap/internal/structures/weightedring"
+)
+
+// Three quarters round a ring of three items, the sum of the weights falls on the third.
+func ExampleRing() {
+	var ring weightedring.Ring[string]
+	ring.Put(30, 2, "c")
+	ring.Put(10, 1, "a")
+	ring.Put(20, 1, "b")
+	cursor, left := ring.Seek(ring.Total()*3/4, 1e-9)
+	fmt.Println(left, "into")
+	for range 4 {
+		item, weight, _ := cursor.Next()
+		fmt.Println(item, weight)
+	}
+	// Output:
+	// 1 into
+	// c 2
+	// a 1
+	// b 1
+	// c 2
+}
--- a/internal/structures/weightedring/ring_test.go
+++ b/internal/structures/weightedring/weightedring_test.go
@@ -46,32 +46,36 @@
 	return 0, sum
 }
 
+// change makes random changes of a ring and of the reference.
+func change(t *rapid.T, r *Ring[uint32], n *naive) {
+	// Whole numbers, so that sums are the same in whatever order they are made.
+	weight := rapid.Custom(func(t *rapid.T) float64 { return float64(rapid.IntRange(0, 9).Draw(t, "weight")) })
+	keys := rapid.Uint32Range(0, 700)
+	for range rapid.IntRange(0, 1200).Draw(t, "changes") {
+		key := keys.Draw(t, "key")
+		if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
+			r.Remove(key)
+			n.remove(key)
+		} else {
+			w := weight.Draw(t, "w")
+			r.Put(key, w, key)
+			n.put(key, w)
+		}
+	}
+	if rapid.Bool().Draw(t, "reweigh") {
+		r.Reweigh(func(key uint32) float64 { return 2 * n.weights[key] })
+		for _, key := range n.keys {
+			n.weights[key] *= 2
+		}
+	}
+}
+
 // Under any changes the ring is as a sorted list is, and its cursor goes round that list.
 func TestAsASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Ring[uint32]
 		n := &naive{weights: map[uint32]float64{}}
-		// Whole numbers, so that sums are the same in whatever order they are made.
-		weight := rapid.Custom(func(t *rapid.T) float64 { return float64(rapid.IntRange(0, 9).Draw(t, "weight")) })
-		key := rapid.Uint32Range(0, 700)
-		for range rapid.IntRange(0, 1200).Draw(t, "changes") {
-			switch k := key.Draw(t, "key"); rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0:
-				r.Remove(k)
-				n.remove(k)
-			default:
-				w := weight.Draw(t, "w")
-				r.Put(k, w, k)
-				n.put(k, w)
-			}
-		}
-		if rapid.Bool().Draw(t, "reweigh") {
-			double := func(k uint32) float64 { return 2 * n.weights[k] }
-			r.Reweigh(double)
-			for _, k := range n.keys {
-				n.weights[k] *= 2
-			}
-		}
+		change(t, &r, n)
 		if got := slices.Collect(r.All()); !slices.Equal(got, n.keys) {
 			t.Fatalf("%v, should be %v", got, n.keys)
 		}
@@ -85,9 +89,9 @@
 			t.Fatalf("%v left, should be %v", left, want)
 		}
 		for i := range 2 * len(n.keys) {
-			k := n.keys[(at+i)%len(n.keys)]
-			if x, w, ok := c.Next(); !ok || x != k || w != n.weights[k] {
-				t.Fatalf("after %d: %d with %v, should be %d with %v", i, x, w, k, n.weights[k])
+			key := n.keys[(at+i)%len(n.keys)]
+			if got, weight, ok := c.Next(); !ok || got != key || weight != n.weights[key] {
+				t.Fatalf("after %d: %d with %v, should be %d with %v", i, got, weight, key, n.weights[key])
 			}
 		}
 	})
--- /dev/null
+++ b/internal/structures/weightedsample/weightedsample_test.go
@@ -0,0 +1,157 @@
+package weightedsample
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// naive is the reference: weights by slot, and a walk over all.
+type naive map[int]float64
+
+func (n naive) total() (sum float64) {
+	for _, weight := range n {
+		sum += weight
+	}
+	return sum
+}
+
+// set sets a weight as a Sampler counts it.
+func (n naive) set(slot int, weight float64) {
+	n[slot] = 0
+	if weight > 0 {
+		n[slot] = weight
+	}
+}
+
+// change makes a random change of a sampler and of the reference.
+func change(t *rapid.T, s *Sampler, all naive) {
+	weights := rapid.SampledFrom([]float64{0, 0, 1, 0.3, 1e-12, 1e12, -1, math.NaN(), 7})
+	slots := slices.Sorted(maps.Keys(all))
+	switch event := rapid.IntRange(0, 3).Draw(t, "event"); {
+	case event == 0 || len(slots) == 0:
+		weight := weights.Draw(t, "weight")
+		slot := s.Add(weight)
+		if _, twice := all[slot]; twice {
+			t.Fatalf("slot %d is given twice", slot)
+		}
+		all.set(slot, weight)
+	case event == 1:
+		slot := rapid.SampledFrom(slots).Draw(t, "slot")
+		s.Remove(slot)
+		delete(all, slot)
+	default:
+		slot, weight := rapid.SampledFrom(slots).Draw(t, "slot"), weights.Draw(t, "weight")
+		s.Set(slot, weight)
+		all.set(slot, weight)
+	}
+}
+
+// checkDraws draws by some numbers: what has no weight must not be drawn.
+func checkDraws(t *rapid.T, s *Sampler, all naive) {
+	for _, x := range []float64{0, 0.5, math.Nextafter(1, 0), rapid.Float64Range(0, 0.999).Draw(t, "x")} {
+		slot, ok := s.Draw(x)
+		if ok != (all.total() > 0) || ok && !(all[slot] > 0) {
+			t.Fatalf("drew %d, %v, with weights %v", slot, ok, all)
+		}
+	}
+	first, second, ok := s.DrawTwo(rapid.Float64Range(0, 0.999).Draw(t, "y"), 0.7)
+	if ok && (first == second || second >= 0 && !(all[second] > 0) || s.Weight(first) != all[first]) {
+		t.Fatalf("drew %d and %d of %v", first, second, all)
+	}
+}
+
+// Whatever is added, changed and removed, totals and weights are the reference's, slots are not given twice, and what
+// has no weight is never drawn.
+func TestAgainstNaive(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		var s Sampler
+		all := naive{}
+		for range rapid.IntRange(1, 200).Draw(rt, "events") {
+			change(rt, &s, all)
+			want := all.total()
+			if got := s.Total(); math.Abs(got-want) > 1e-9*want {
+				rt.Fatalf("a total of %g, want %g", got, want)
+			}
+			for slot, weight := range all {
+				if s.Weight(slot) != weight {
+					rt.Fatalf("slot %d has %g, want %g", slot, s.Weight(slot), weight)
+				}
+			}
+			checkDraws(rt, &s, all)
+		}
+	})
+}
+
+// Draws follow the weights: chi-square at a fixed seed, for one and for the second of two.
+func TestDistribution(t *testing.T) {
+	weights := []float64{1, 2, 0, 5, 0.5, 100, 3, 3, 0, 7, 1, 12}
+	var s Sampler
+	total := 0.0
+	for _, x := range weights {
+		s.Add(x)
+		total += x
+	}
+	rng := rand.New(rand.NewPCG(1, 2))
+	const n = 400_000
+	first, second := make([]float64, len(weights)), make([]float64, len(weights))
+	for range n {
+		a, b, _ := s.DrawTwo(rng.Float64(), rng.Float64())
+		first[a]++
+		second[b]++
+	}
+	chi := func(seen []float64, want func(i int) float64) (sum float64, degrees int) {
+		for i, got := range seen {
+			w := n * want(i)
+			if w == 0 {
+				if got > 0 {
+					t.Errorf("%d was drawn %v times", i, got)
+				}
+				continue
+			}
+			sum += (got - w) * (got - w) / w
+			degrees++
+		}
+		return sum, degrees - 1
+	}
+	limit := 29.6 // 0.1% of chi-square at 10 degrees
+	if sum, degrees := chi(first, func(i int) float64 { return weights[i] / total }); sum > limit || degrees != 9 {
+		t.Errorf("the first: %.1f at %d degrees", sum, degrees)
+	}
+	if sum, _ := chi(second, func(i int) (p float64) {
+		for j, x := range weights {
+			if j != i {
+				p += x / total * weights[i] / (total - x)
+			}
+		}
+		return p
+	}); sum > limit {
+		t.Errorf("the second: %.1f", sum)
+	}
+	// And the test can fail.
+	if sum, _ := chi(first, func(i int) float64 { return 1 / float64(len(weights)-2) * min(weights[i], 1) }); sum < limit {
+		t.Errorf("even weights pass: %.1f", sum)
+	}
+}
+
+func BenchmarkDrawTwo(b *testing.B) {
+	for _, n := range []int{10, 100, 1000, 10000} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			var s Sampler
+			rng := rand.New(rand.NewPCG(1, 2))
+			for range n {
+				s.Add(rng.Float64())
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				i, _, _ := s.DrawTwo(rng.Float64(), rng.Float64())
+				s.Set(i, rng.Float64())
+			}
+		})
+	}
+}
