--- a/internal/modules/idempotency/recall_test.go
+++ b/internal/modules/idempotency/table_test.go
@@ -1,6 +1,7 @@
 package idempotency
 
 import (
+	"errors"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -8,26 +9,38 @@
 	"quincegap/internal/balancer"
 )
 
+// here is where the attempts of the tests go.
 var here = Origin{Zone: "north", Cell: 3, Endpoint: "box-1"}
 
+// keep is for how long their requests are remembered.
 const keep = 10 * time.Second
 
+// begin begins an attempt that the table must have room for, and reports whether the entry has to be written.
+func begin(t *testing.T, table *Table, now time.Duration, id ID, class string, to Origin) (changed bool) {
+	t.Helper()
+	e, changed, err := table.BeginAttempt(now, id, class, keep, to)
+	if err != nil || e.Class != class {
+		t.Fatalf("%+v %v", e, err)
+	}
+	return changed
+}
+
 // What is known of a request after each course of its attempts.
 func TestWhatIsKnown(t *testing.T) {
-	const ok, full, reset, moot, late = balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent, balancer.StatusTimeout
+	const ok, rejected, reset, notSent, timeout = balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent, balancer.StatusTimeout
 	for _, x := range []struct {
 		name          string
 		ends          []balancer.Status
 		unanswered    bool
-		tells, served bool
+		known, served bool
 		last          Change
 	}{
-		{"never ran", []balancer.Status{full}, false, false, false, DeleteEntry},
-		{"never sent", []balancer.Status{moot, full}, false, false, false, DeleteEntry},
+		{"never ran", []balancer.Status{rejected}, false, false, false, DeleteEntry},
+		{"never sent", []balancer.Status{notSent, rejected}, false, false, false, DeleteEntry},
 		{"may have run", []balancer.Status{reset}, false, true, false, NoChange},
-		{"then never ran", []balancer.Status{late, full}, false, true, false, NoChange},
+		{"then never ran", []balancer.Status{timeout, rejected}, false, true, false, NoChange},
 		{"served", []balancer.Status{ok}, false, true, true, PutEntry},
-		{"served at last", []balancer.Status{full, reset, ok}, false, true, true, PutEntry},
+		{"served at last", []balancer.Status{rejected, reset, ok}, false, true, true, PutEntry},
 		{"ran, and nobody was there for the answer", []balancer.Status{ok}, true, true, false, NoChange},
 	} {
 		m := NewTable(10)
@@ -39,12 +52,12 @@
 				t.Fatalf("%s: before: %+v %v %v", x.name, e, changed, err)
 			}
 			if _, ok := m.Lookup(time.Second, id); !ok {
-				t.Errorf("%s: while it is out nothing is known", x.name)
+				t.Errorf("%s: while it is in flight nothing is known", x.name)
 			}
 			_, last = m.EndAttempt(time.Second, id, s, !x.unanswered)
 		}
 		e, ok := m.Lookup(time.Second, id)
-		if ok != x.tells || e.Served != x.served || last != x.last {
+		if ok != x.known || e.Served != x.served || last != x.last {
 			t.Errorf("%s: %v %+v, last %v", x.name, ok, e, last)
 		}
 	}
@@ -54,8 +67,8 @@
 func TestTwoAtATime(t *testing.T) {
 	m := NewTable(10)
 	id := KeyedID("book", "k")
-	m.BeginAttempt(0, id, "book", keep, here)
-	if _, changed, _ := m.BeginAttempt(0, id, "book", keep, Origin{Cell: 9}); !changed {
+	begin(t, m, 0, id, "book", here)
+	if !begin(t, m, 0, id, "book", Origin{Cell: 9}) {
 		t.Error("the first one is not yet known to be durable, and the second did not wait")
 	}
 	m.MarkDurable(id)
@@ -64,25 +77,25 @@
 	if !ok || e.Cell != here.Cell {
 		t.Errorf("%+v %v", e, ok)
 	}
-	if _, changed, _ := m.BeginAttempt(0, id, "book", keep, here); changed {
+	if begin(t, m, 0, id, "book", here) {
 		t.Error("it is durable, and was to be written again")
 	}
 	if _, c := m.EndAttempt(0, id, balancer.StatusRejected, false); c != NoChange {
-		t.Error("one is still out")
+		t.Error("one is still in flight")
 	}
 	if _, c := m.EndAttempt(0, id, balancer.StatusRejected, false); c != DeleteEntry || m.Len() != 0 {
 		t.Errorf("none has run: %v, %d", c, m.Len())
 	}
 }
 
-// It is forgotten in time, never before, and not while an attempt is out.
+// It is forgotten in time, never before, and not while an attempt is in flight.
 func TestForgetting(t *testing.T) {
 	m := NewTable(2)
 	a, b, c := KeyedID("book", "a"), RequestID("pay", "b"), KeyedID("book", "c")
-	m.BeginAttempt(0, a, "book", keep, here)
+	begin(t, m, 0, a, "book", here)
 	m.EndAttempt(0, a, balancer.StatusOK, true)
-	m.BeginAttempt(time.Second, b, "pay", keep, here)
-	if _, _, err := m.BeginAttempt(2*time.Second, c, "book", keep, here); err != ErrFull {
+	begin(t, m, time.Second, b, "pay", here)
+	if _, _, err := m.BeginAttempt(2*time.Second, c, "book", keep, here); !errors.Is(err, ErrFull) {
 		t.Errorf("beyond the bound: %v", err)
 	}
 	if _, ok := m.Lookup(keep-1, a); !ok {
@@ -92,7 +105,7 @@
 		t.Error("not forgotten")
 	}
 	if _, ok := m.Lookup(time.Hour, b); !ok {
-		t.Error("forgotten while it is out")
+		t.Error("forgotten while it is in flight")
 	}
 	if _, _, err := m.BeginAttempt(time.Hour, c, "book", keep, here); err != nil {
 		t.Error(err)
@@ -108,13 +121,13 @@
 		t.Errorf("%+v %v", got, err)
 	}
 	for n := range text {
-		if _, err := Decode(text[:n], 0, 0); err == nil {
-			t.Errorf("%d of %d bytes were taken for an entry", n, len(text))
+		if _, err := Decode(text[:n], 0, 0); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrUnknownFormat) {
+			t.Errorf("%d of %d bytes: %v", n, len(text), err)
 		}
 	}
 	text[0]++
-	if _, err := Decode(text, 0, 0); err == nil {
-		t.Error("another layout was read")
+	if _, err := Decode(text, 0, 0); !errors.Is(err, ErrUnknownFormat) {
+		t.Errorf("another layout: %v", err)
 	}
 	m := NewTable(1)
 	id := KeyedID("book", "k")
@@ -124,7 +137,7 @@
 	if x, ok := m.Lookup(time.Hour, id); !ok || !x.Served {
 		t.Errorf("%+v %v", x, ok)
 	}
-	if m.Restore(KeyedID("book", "l"), got) != ErrFull {
+	if err := m.Restore(KeyedID("book", "l"), got); !errors.Is(err, ErrFull) {
 		t.Error("no bound")
 	}
 	if _, ok := m.Lookup(time.Hour+4*time.Second, id); ok {
@@ -154,67 +167,107 @@
 	}
 }
 
+// fate is what has become of a request.
+type fate struct{ ran, inFlight, served bool }
+
+// course is a sidecar's table with its disk over several incarnations, and what has become of the requests.
+type course struct {
+	t     *testing.T
+	rng   *rand.Rand
+	now   time.Duration
+	table *Table
+	disk  map[ID][]byte
+	fates map[ID]*fate
+}
+
+// restart has the sidecar die, and the next one begin with what is on disk.
+func (c *course) restart() {
+	c.t.Helper()
+	c.table = NewTable(1000)
+	for id, text := range c.disk {
+		e, err := Decode(text, c.now, keep)
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		if err := c.table.Restore(id, e); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+	for _, f := range c.fates {
+		f.ran, f.inFlight = f.ran || f.inFlight, false
+	}
+}
+
+// begin begins an attempt.
+func (c *course) begin(id ID, f *fate) {
+	c.t.Helper()
+	e, changed, err := c.table.BeginAttempt(c.now, id, "book", time.Hour, here)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if changed {
+		c.disk[id] = e.Encode()
+		c.table.MarkDurable(id)
+	}
+	f.inFlight = true
+}
+
+// end ends an attempt. What changes on disk may get there or not.
+func (c *course) end(id ID, f *fate) {
+	status := []balancer.Status{
+		balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent,
+	}[c.rng.IntN(4)]
+	e, change := c.table.EndAttempt(c.now, id, status, true)
+	f.inFlight = false
+	f.ran = f.ran || !status.NeverRan()
+	f.served = f.served || status == balancer.StatusOK
+	if c.rng.IntN(2) == 1 {
+		return
+	}
+	switch change {
+	case NoChange:
+	case PutEntry:
+		c.disk[id] = e.Encode()
+	case DeleteEntry:
+		delete(c.disk, id)
+	}
+}
+
+// check checks that whatever may have run is known, and nothing else to be served.
+func (c *course) check(seed uint64) {
+	c.t.Helper()
+	for id, f := range c.fates {
+		e, known := c.table.Lookup(c.now, id)
+		if f.ran && !known || e.Served && !f.served {
+			c.t.Fatalf("seed %d: %+v is known as %+v, %v", seed, f, e, known)
+		}
+	}
+}
+
 // Random courses of many requests, with deaths in between: whatever may have run is known, whichever of the writes
 // that nobody waited for reached the disk before a death.
 func TestAnyCourse(t *testing.T) {
 	for seed := range uint64(200) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		type fate struct{ ran, out, served bool }
-		fates := map[ID]*fate{}
-		disk := map[ID][]byte{}
-		m := NewTable(1000)
-		now := time.Duration(0)
+		c := &course{
+			t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(1000), disk: map[ID][]byte{}, fates: map[ID]*fate{},
+		}
 		for range 200 {
-			id := KeyedID("book", string(rune('a'+rng.IntN(8))))
-			f := fates[id]
+			id := KeyedID("book", string(rune('a'+c.rng.IntN(8))))
+			f := c.fates[id]
 			if f == nil {
 				f = &fate{}
-				fates[id] = f
+				c.fates[id] = f
 			}
 			switch {
-			case rng.IntN(20) == 0: // a death
-				m = NewTable(1000)
-				for id, text := range disk {
-					e, err := Decode(text, now, keep)
-					if err != nil {
-						t.Fatal(err)
-					}
-					m.Restore(id, e)
-				}
-				for _, f := range fates {
-					f.ran, f.out = f.ran || f.out, false
-				}
-			case !f.out:
-				e, changed, err := m.BeginAttempt(now, id, "book", time.Hour, here)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if changed {
-					disk[id] = e.Encode()
-					m.MarkDurable(id)
-				}
-				f.out = true
+			case c.rng.IntN(20) == 0:
+				c.restart()
+			case !f.inFlight:
+				c.begin(id, f)
 			default:
-				status := []balancer.Status{balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent}[rng.IntN(4)]
-				e, change := m.EndAttempt(now, id, status, true)
-				f.out = false
-				f.ran = f.ran || !status.NeverRan()
-				f.served = f.served || status == balancer.StatusOK
-				if rng.IntN(2) == 0 { // else it does not get there
-					switch change {
-					case PutEntry:
-						disk[id] = e.Encode()
-					case DeleteEntry:
-						delete(disk, id)
-					}
-				}
-			}
-			for id, f := range fates {
-				if e, known := m.Lookup(now, id); f.ran && !known || e.Served && !f.served {
-					t.Fatalf("seed %d: %+v is known as %+v, %v", seed, f, e, known)
-				}
+				c.end(id, f)
 			}
-			now += time.Millisecond
+			c.check(seed)
+			c.now += time.Millisecond
 		}
 	}
 }
--- a/internal/modules/protocolfallback/reach_test.go
+++ b/internal/modules/protocolfallback/protocolfallback_test.go
@@ -8,22 +8,23 @@
 
 const s = time.Second
 
-func memory() *Tracker {
+// tracker has backoffs of 10 to 35 seconds.
+func tracker() *Tracker {
 	return &Tracker{Settings: Settings{InitialBackoff: 10 * s, MaxBackoff: 35 * s}}
 }
 
-func TestPausesDouble(t *testing.T) {
-	m := memory()
+func TestBackoffsDouble(t *testing.T) {
+	m := tracker()
 	now := time.Duration(0)
 	for _, want := range []time.Duration{10 * s, 20 * s, 35 * s, 35 * s} {
 		if !m.ShouldAttempt(now, "a") {
 			t.Fatalf("at %v it is not tried", now)
 		}
-		if pause, news := m.RecordFailure(now, "a"); pause != want || !news {
-			t.Fatalf("a pause of %v, news %v, want %v", pause, news, want)
+		if backoff, first := m.RecordFailure(now, "a"); backoff != want || !first {
+			t.Fatalf("a backoff of %v, first %v, want %v", backoff, first, want)
 		}
 		if m.ShouldAttempt(now+want-1, "a") || !m.ShouldAttempt(now, "b") {
-			t.Fatal("tried within its pause, or another one is not")
+			t.Fatal("tried within its backoff, or another one is not")
 		}
 		now += want
 	}
@@ -32,30 +33,30 @@
 	if !m.ShouldAttempt(now, "a") {
 		t.Error("it worked, and is not tried")
 	}
-	if pause, _ := m.RecordFailure(now, "a"); pause != 10*s {
-		t.Errorf("after it has worked a failure counts as further one: %v", pause)
+	if backoff, _ := m.RecordFailure(now, "a"); backoff != 10*s {
+		t.Errorf("after it has worked a failure counts as further one: %v", backoff)
 	}
 }
 
 func TestOneFindsOut(t *testing.T) {
-	m := memory()
+	m := tracker()
 	m.RecordFailure(0, "a")
 	if !m.ShouldAttempt(10*s, "a") || m.ShouldAttempt(10*s, "a") || m.ShouldAttempt(100*s, "a") {
 		t.Error("not one alone finds out")
 	}
 	m.RecordInconclusive("a")
 	if !m.ShouldAttempt(100*s, "a") {
-		t.Error("nobody finds out, after one was called off")
+		t.Error("nobody finds out, after one was cancelled")
 	}
 	m.RecordInconclusive("none")
 }
 
 // Attempts that waited for the same connection are one failure.
 func TestFailuresTogetherAreOne(t *testing.T) {
-	m := memory()
+	m := tracker()
 	for n := range 5 {
-		if pause, news := m.RecordFailure(time.Duration(n), "a"); news != (n == 0) || pause > 10*s {
-			t.Errorf("the %dth: %v, news %v", n, pause, news)
+		if backoff, first := m.RecordFailure(time.Duration(n), "a"); first != (n == 0) || backoff > 10*s {
+			t.Errorf("the %dth: %v, first %v", n, backoff, first)
 		}
 	}
 	m.Forget("a")
@@ -65,7 +66,7 @@
 }
 
 func TestBound(t *testing.T) {
-	m := memory()
+	m := tracker()
 	for n := range 2 * maxAddresses {
 		m.RecordFailure(0, fmt.Sprint(n))
 	}
--- a/internal/modules/timeslot/turns_test.go
+++ b/internal/modules/timeslot/timeslot_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// numbers are those of n members.
 func numbers(n int) (all []uint64) {
 	for i := range n {
 		all = append(all, uint64(i)<<20)
@@ -60,37 +61,46 @@
 	})
 }
 
+// countTurns is how many turns a slot the members have between them that are alive, and for how many slots at most nobody has one.
+// known is whom the i-th member knows of.
+func countTurns(all []uint64, known func(i int) []uint64, alive int) (mean float64, longest int) {
+	const slots = 4000
+	schedules := make([]*Schedule, alive)
+	for i := range schedules {
+		schedules[i] = New(all[i], known(i), time.Second, 1)
+	}
+	total, gap := 0, 0
+	for slot := range slots {
+		turns := 0
+		for _, s := range schedules {
+			if s.IsMyTurn(7, time.Duration(slot)*time.Second) {
+				turns++
+			}
+		}
+		total += turns
+		gap++
+		if turns > 0 {
+			gap = 0
+		}
+		longest = max(longest, gap)
+	}
+	return float64(total) / slots, longest
+}
+
 // Whoever knows half or twice as many members as there are takes turns about twice or half as often between them, however many
 // they are; and where half are dead somebody else's turn comes soon.
 func TestWrongNumbersAndDeath(t *testing.T) {
-	const slots = 4000
 	for _, n := range []int{4, 20, 100} {
 		all := numbers(2 * n)
-		turns := func(known func(i int) []uint64, alive int) (mean float64, longest int) {
-			var orders []*Schedule
-			for i := range alive {
-				orders = append(orders, New(all[i], known(i), time.Second, 1))
-			}
-			total, gap := 0, 0
-			for s := range slots {
-				any := false
-				for _, o := range orders {
-					if o.IsMyTurn(7, time.Duration(s)*time.Second) {
-						total++
-						any = true
-					}
-				}
-				if gap++; any {
-					gap = 0
-				}
-				longest = max(longest, gap)
-			}
-			return float64(total) / slots, longest
+		halfOf := func(i int) []uint64 {
+			first := i / (n / 2) * (n / 2)
+			return all[first : first+n/2]
 		}
-		if mean, _ := turns(func(i int) []uint64 { return all[i/(n/2)*(n/2) : i/(n/2)*(n/2)+n/2] }, n); mean < 1.8 || mean > 2.2 {
+		if mean, _ := countTurns(all, halfOf, n); mean < 1.8 || mean > 2.2 {
 			t.Errorf("%d members that know a half each: %.2f turns a slot", n, mean)
 		}
-		if mean, longest := turns(func(int) []uint64 { return all }, n); mean < 0.45 || mean > 0.55 || longest > 20 {
+		twice := func(int) []uint64 { return all }
+		if mean, longest := countTurns(all, twice, n); mean < 0.45 || mean > 0.55 || longest > 20 {
 			t.Errorf("%d of %d are alive: %.2f turns a slot, none for %d", n, 2*n, mean, longest)
 		}
 	}
