--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -23,18 +23,18 @@
 
 // elapsedForClient is a lower bound of the time that had passed for the client when the request arrived. Clients' attempts begin
 // with the same time left; a shorter one is that of a retry, or of work in the tiers above.
-func (b *Balancer) elapsedForClient(c *class, q *Request) time.Duration {
-	c.maxTimeLeft = max(c.maxTimeLeft, q.TimeLeft)
+func (b *Balancer) elapsedForClient(c *class, incoming *Request) time.Duration {
+	c.maxTimeLeft = max(c.maxTimeLeft, incoming.TimeLeft)
 	switch {
 	case b.settings.Tier > 0:
-		return c.maxTimeLeft - q.TimeLeft
-	case float64(q.TimeLeft) < firstAttemptShare*float64(c.maxTimeLeft):
-		elapsed := c.Deadline - q.TimeLeft
-		if q.Retry && float64(c.maxTimeLeft) >= firstAttemptShare*float64(c.Deadline) {
+		return c.maxTimeLeft - incoming.TimeLeft
+	case float64(incoming.TimeLeft) < firstAttemptShare*float64(c.maxTimeLeft):
+		elapsed := c.Deadline - incoming.TimeLeft
+		if incoming.Retry && float64(c.maxTimeLeft) >= firstAttemptShare*float64(c.Deadline) {
 			b.retryElapsed += retryElapsedWeight * (elapsed.Seconds() - b.retryElapsed)
 		}
 		return elapsed
-	case q.Retry:
+	case incoming.Retry:
 		// It came before, by about as much as those that show it. Taken for new, retries would fill an overloaded tier with
 		// requests whose latency target has passed.
 		return seconds(b.retryElapsed)
@@ -56,14 +56,14 @@
 // dispatchedBefore reports whether one pending request is sent before another: one that can still be answered within its latency
 // target before one that cannot, one within its tenant's quota before one beyond, one of a class that adds more to what is
 // optimized, then the one that must be sent first to be in time.
-func dispatchedBefore(now time.Duration, x, y *request) bool {
-	if px, py := x.priority(now), y.priority(now); px != py {
-		return px > py
+func dispatchedBefore(now time.Duration, a, b *request) bool {
+	if pa, pb := a.priority(now), b.priority(now); pa != pb {
+		return pa > pb
 	}
-	if vx, vy := x.class.marginalValue*x.valueFactor, y.class.marginalValue*y.valueFactor; vx != vy {
-		return vx > vy
+	if va, vb := a.class.marginalValue*a.valueFactor, b.class.marginalValue*b.valueFactor; va != vb {
+		return va > vb
 	}
-	return x.latestSend() < y.latestSend()
+	return a.latestSend() < b.latestSend()
 }
 
 // priority ranks a request by its time and its tenant's quota.
@@ -93,9 +93,9 @@
 }
 
 // isLate reports whether there is no use in a pending request's waiting on.
-func (b *Balancer) isLate(now time.Duration, r *request) bool {
-	worthless := now >= r.latestSend() && r.class.LateValueShare == 0
-	return worthless || now+deadlineReserveTicks*b.tickInterval >= r.deadline
+func (b *Balancer) isLate(now time.Duration, req *request) bool {
+	worthless := now >= req.latestSend() && req.class.LateValueShare == 0
+	return worthless || now+deadlineReserveTicks*b.tickInterval >= req.deadline
 }
 
 // maxPending is how many requests may be pending. The rate at which they are worked off is known only where some have waited for
@@ -121,9 +121,9 @@
 
 // rejectPending gives the i-th pending request its final answer.
 func (b *Balancer) rejectPending(now time.Duration, i int) {
-	r := b.pending[i]
+	req := b.pending[i]
 	b.removePending(i)
-	b.finish(now, r)
+	b.finish(now, req)
 }
 
 // retryAfter is when a rejected client should ask again: when what is pending and in flight now will have been answered at the
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -97,9 +97,9 @@
 		index:       newEndpointIndex(), pools: drawPools{boundSlack: 1}, scanLimit: maxScanned,
 	}
 	// What is due at the same time comes in the order of ids, so that the same events give the same actions.
-	byID := func(x, y *endpoint) bool { return x.id < y.id }
+	byID := func(a, b *endpoint) bool { return a.id < b.id }
 	b.slowStarts.Less, b.trials.Less = byID, byID
-	b.backoffs.Less = func(x, y *request) bool { return x.id < y.id }
+	b.backoffs.Less = func(a, b *request) bool { return a.id < b.id }
 	for _, c := range settings.Classes {
 		b.addClass(c)
 	}
@@ -133,9 +133,9 @@
 	b.exhausted.reset()
 	b.holdSlowStartRate(now)
 	b.losses.inFlight = 0
-	for _, e := range b.busy {
-		b.ejectUnresponsive(now, e)
-		b.detectLost(now, e)
+	for _, ep := range b.busy {
+		b.ejectUnresponsive(now, ep)
+		b.detectLost(now, ep)
 	}
 	b.dispatch(now)
 }
--- a/internal/balancer/class.go
+++ b/internal/balancer/class.go
@@ -88,7 +88,7 @@
 }
 
 // AddClass adds a class of request to those of Settings, and returns its index for Request.Class; requests of the others
-// go on as they are. It returns an error, and changes nothing, where New would refuse the class.
+// go on as they are. It returns an error, and changes nothing, where New would reject the class.
 func (b *Balancer) AddClass(c Class) (int, error) {
 	key := classKey(len(b.classes))
 	if err := c.checkEnums(key); err != nil {
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -48,14 +48,14 @@
 
 // adaptQueue moves the queue that endpoints may hold. What one bears before it saturates is nowhere to be learnt: the queue
 // grows while requests are pending here, and shrinks when an endpoint turns far slower than its kind.
-func (c *concurrency) adaptQueue(now, window time.Duration, e *endpoint, kindLatency float64, pending bool) {
-	rested := e.latency.samples*endpointLatencyWeight > 0.99 // its latency rests on as many answers as it may
-	saturated := rested && e.latency.mean > saturatedRatio*kindLatency
-	if saturated && !e.saturated {
+func (c *concurrency) adaptQueue(now, window time.Duration, ep *endpoint, kindLatency float64, pending bool) {
+	rested := ep.latency.samples*endpointLatencyWeight > 0.99 // its latency rests on as many answers as it may
+	saturated := rested && ep.latency.mean > saturatedRatio*kindLatency
+	if saturated && !ep.saturated {
 		c.queue = max(c.queue*queueShrinkFactor, minQueue)
 	}
-	if saturated || e.latency.mean < recoveredRatio*kindLatency {
-		e.saturated = saturated
+	if saturated || ep.latency.mean < recoveredRatio*kindLatency {
+		ep.saturated = saturated
 	}
 	if pending && now-c.queueChangedAt > window {
 		c.queue = min(c.queue*(1+queueGrowth), maxQueue)
@@ -123,12 +123,12 @@
 }
 
 // hasCapacity reports whether an endpoint may get one more request.
-func (b *Balancer) hasCapacity(now time.Duration, e *endpoint) bool {
-	if e.rejectsUntil > now || e.availability == warmingUp && !b.slowStartAllows(now, e) {
+func (b *Balancer) hasCapacity(now time.Duration, ep *endpoint) bool {
+	if ep.rejectsUntil > now || ep.availability == warmingUp && !b.slowStartAllows(now, ep) {
 		return false
 	}
 	// An endpoint in slow start that had an available one's requests in flight would answer none of them in time.
-	limit := (maxEndpointShare*b.concurrency.limit/max(b.subset.size, 1)/b.weights.latencyRatio(e) + concurrencySlack) *
-		b.capacityShare(now, e)
-	return float64(e.outstanding(now)-e.lostCalls) < max(limit, concurrencySlack)
+	limit := (maxEndpointShare*b.concurrency.limit/max(b.subset.size, 1)/b.weights.latencyRatio(ep) + concurrencySlack) *
+		b.capacityShare(now, ep)
+	return float64(ep.outstanding(now)-ep.lostCalls) < max(limit, concurrencySlack)
 }
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -15,28 +15,28 @@
 )
 
 // HandleEndpoints takes an update of the endpoint list.
-func (b *Balancer) HandleEndpoints(now time.Duration, l EndpointList) {
-	if l.Kind == ListFailed {
+func (b *Balancer) HandleEndpoints(now time.Duration, list EndpointList) {
+	if list.Kind == ListFailed {
 		b.scheduleWatch()
 		return
 	}
-	if l.Kind != ListDelta {
-		for _, e := range b.listed {
-			e.listed = false
+	if list.Kind != ListDelta {
+		for _, ep := range b.listed {
+			ep.listed = false
 		}
 	}
 	if !b.quotas.started {
 		b.quotas.start(now, b.settings.Tenants, b.quotaDivisor)
 	}
-	for _, entry := range l.Entries {
-		b.applyEntry(now, l.Version, entry)
+	for _, entry := range list.Entries {
+		b.applyEntry(now, list.Version, entry)
 	}
-	b.syncList(now, l)
+	b.syncList(now, list)
 	b.exhausted.reset()
 	switch {
-	case l.Kind == ListCached && b.settings.MustSubscribe:
+	case list.Kind == ListCached && b.settings.MustSubscribe:
 		b.scheduleWatch()
-	case l.Kind != ListCached:
+	case list.Kind != ListCached:
 		b.watchBackoff = 0
 	}
 	b.dispatch(now)
@@ -45,39 +45,39 @@
 
 // applyEntry takes one line of a list.
 func (b *Balancer) applyEntry(now time.Duration, version uint64, entry ListEntry) {
-	e := b.endpointsByID[entry.Endpoint]
-	if e == nil {
-		e = &endpoint{id: entry.Endpoint, availability: draining}
-		b.endpointsByID[entry.Endpoint] = e
-		b.added = append(b.added, e)
+	ep := b.endpointsByID[entry.Endpoint]
+	if ep == nil {
+		ep = &endpoint{id: entry.Endpoint, availability: draining}
+		b.endpointsByID[entry.Endpoint] = ep
+		b.added = append(b.added, ep)
 	}
-	moved := !e.matches(entry)
-	restarted := entry.StartedAt > e.startedAt
-	e.zone, e.cell, e.kind = entry.Zone, entry.Cell, max(entry.MachineKind, 0)
-	e.listedWeight, e.listed = max(entry.Weight, 0), entry.State != EndpointRemoved
-	e.listVersion = version
-	e.startedAt = max(e.startedAt, entry.StartedAt)
-	b.index.countWeight(e)
+	moved := !ep.matches(entry)
+	restarted := entry.StartedAt > ep.startedAt
+	ep.zone, ep.cell, ep.kind = entry.Zone, entry.Cell, max(entry.MachineKind, 0)
+	ep.listedWeight, ep.listed = max(entry.Weight, 0), entry.State != EndpointRemoved
+	ep.listVersion = version
+	ep.startedAt = max(ep.startedAt, entry.StartedAt)
+	b.index.countWeight(ep)
 	switch {
 	case entry.State != EndpointReady:
-		b.startDraining(now, e)
+		b.startDraining(now, ep)
 	case restarted && now-entry.StartedAt < b.settings.SlowStartWindow:
-		e.errorRate, e.penalties = 0, nil
-		b.startSlowStart(now, e, entry.StartedAt)
-	case restarted, e.availability == draining:
-		b.clearEjection(e)
-		e.availability = available
-		b.reindex(now, e)
+		ep.errorRate, ep.penalties = 0, nil
+		b.startSlowStart(now, ep, entry.StartedAt)
+	case restarted, ep.availability == draining:
+		b.clearEjection(ep)
+		ep.availability = available
+		b.reindex(now, ep)
 	case moved:
-		b.reindex(now, e)
+		b.reindex(now, ep)
 	}
 }
 
 // syncList brings the list in line with the endpoints that an update named, and forgets those that are gone; those with attempts
 // in flight are held on to by these.
-func (b *Balancer) syncList(now time.Duration, l EndpointList) {
-	if l.Kind == ListDelta && len(l.Entries) <= maxScanned {
-		b.syncNamed(now, l.Entries)
+func (b *Balancer) syncList(now time.Duration, list EndpointList) {
+	if list.Kind == ListDelta && len(list.Entries) <= maxScanned {
+		b.syncNamed(now, list.Entries)
 	} else {
 		b.syncAll(now)
 	}
@@ -92,14 +92,14 @@
 // syncNamed syncs the list with a few endpoints, in the order of their ids.
 func (b *Balancer) syncNamed(now time.Duration, entries []ListEntry) {
 	for _, entry := range entries {
-		e := b.endpointsByID[entry.Endpoint]
+		ep := b.endpointsByID[entry.Endpoint]
 		switch {
-		case e == nil: // named twice, and gone
-		case e.listed:
-			b.listed = insertSorted(b.listed, e)
+		case ep == nil: // named twice, and gone
+		case ep.listed:
+			b.listed = insertSorted(b.listed, ep)
 		default:
-			b.listed = removeSorted(b.listed, e)
-			b.forget(now, e)
+			b.listed = removeSorted(b.listed, ep)
+			b.forget(now, ep)
 		}
 	}
 }
@@ -107,11 +107,11 @@
 // syncAll syncs the list with all endpoints.
 func (b *Balancer) syncAll(now time.Duration) {
 	b.listed = append(b.listed, b.added...)
-	b.listed = slices.DeleteFunc(b.listed, func(e *endpoint) bool {
-		if !e.listed {
-			b.forget(now, e)
+	b.listed = slices.DeleteFunc(b.listed, func(ep *endpoint) bool {
+		if !ep.listed {
+			b.forget(now, ep)
 		}
-		return !e.listed
+		return !ep.listed
 	})
 	if len(b.added) > 0 {
 		slices.SortFunc(b.listed, compareIDs)
@@ -119,10 +119,10 @@
 }
 
 // forget drops an endpoint that is listed no more.
-func (b *Balancer) forget(now time.Duration, e *endpoint) {
-	b.index.countWeight(e)
-	b.startDraining(now, e)
-	delete(b.endpointsByID, e.id)
+func (b *Balancer) forget(now time.Duration, ep *endpoint) {
+	b.index.countWeight(ep)
+	b.startDraining(now, ep)
+	delete(b.endpointsByID, ep.id)
 }
 
 // scheduleWatch subscribes after a backoff that doubles with each failure, spread so that not all ask at once.
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -35,7 +35,7 @@
 	}
 	// A retry is bound to a group of endpoints, or barred from one, and may have nowhere to go where another request has. A
 	// first attempt that has nowhere to go says the same of all others.
-	if r := b.pending[first]; r.attempts == 0 && !r.mayHaveRun {
+	if req := b.pending[first]; req.attempts == 0 && !req.mayHaveRun {
 		return false
 	}
 	for i := range b.pending {
@@ -48,50 +48,50 @@
 
 // dispatchTo sends the i-th pending request, if an endpoint has capacity for it.
 func (b *Balancer) dispatchTo(now time.Duration, i int) bool {
-	r := b.pending[i]
-	e, trial := b.pick(now, r)
-	if e == nil {
+	req := b.pending[i]
+	ep, trial := b.pick(now, req)
+	if ep == nil {
 		return false
 	}
 	b.removePending(i)
-	b.send(now, r, e, trial)
+	b.send(now, req, ep, trial)
 	return true
 }
 
 // send makes an attempt.
-func (b *Balancer) send(now time.Duration, r *request, e *endpoint, trial bool) {
-	r.endpoint, r.sentAt, r.trial = e, now, trial
-	r.responsesAtSend = b.outliers.responses
-	r.cancelled, r.lost, r.overdue, r.overtaken = false, false, false, 0
-	r.attempts++
+func (b *Balancer) send(now time.Duration, req *request, ep *endpoint, trial bool) {
+	req.endpoint, req.sentAt, req.trial = ep, now, trial
+	req.responsesAtSend = b.outliers.responses
+	req.cancelled, req.lost, req.overdue, req.overtaken = false, false, false, 0
+	req.attempts++
 	b.sends.take()
 	b.rejections.RecordAttempt()
-	if e.availability != ejected {
+	if ep.availability != ejected {
 		b.inFlight++
 	}
-	e.calls = append(e.calls, r)
-	b.busy.update(e)
-	switch e.availability {
+	ep.calls = append(ep.calls, req)
+	b.busy.update(ep)
+	switch ep.availability {
 	case warmingUp:
-		e.slowStartTokens--
+		ep.slowStartTokens--
 	case ejected:
-		b.refreshPools(now, e)
+		b.refreshPools(now, ep)
 	}
-	b.countAvailableSend(now, e)
-	b.host.Send(r.id, e.id, b.timeout(now, r))
+	b.countAvailableSend(now, ep)
+	b.host.Send(req.id, ep.id, b.timeout(now, req))
 }
 
 // timeout is how long an attempt may take; 0 for until the client's deadline. Where attempts cannot be cancelled, one that may be
 // retried ends once it is unresponsive.
-func (b *Balancer) timeout(now time.Duration, r *request) time.Duration {
-	timeout := r.attemptTimeout
-	if !b.settings.MayCancel && r.class.Idempotency != NonIdempotent {
-		unresponsive := seconds(unresponsiveTails * r.class.latency.tailRatio * r.class.latency.mean)
+func (b *Balancer) timeout(now time.Duration, req *request) time.Duration {
+	timeout := req.attemptTimeout
+	if !b.settings.MayCancel && req.class.Idempotency != NonIdempotent {
+		unresponsive := seconds(unresponsiveTails * req.class.latency.tailRatio * req.class.latency.mean)
 		if unresponsive > 0 {
 			timeout = min(unresponsive, cmp.Or(timeout, unresponsive))
 		}
 	}
-	if timeout >= r.deadline-now {
+	if timeout >= req.deadline-now {
 		return 0
 	}
 	return timeout
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -33,7 +33,7 @@
 //
 // # Units
 //
-// Durations are time.Duration; the packages's own averages of latencies are float64 in seconds, rates are per second, and ratios
+// Durations are time.Duration; the package's own averages of latencies are float64 in seconds, rates are per second, and ratios
 // and shares have no unit. "Mean latencies" as a unit are multiples of the mean latency of a request's class.
 //
 // # What it does not do
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -28,7 +28,7 @@
 	availability availability
 	index        indexEntry    // where the index has it
 	subsetWeight float64       // the part of its weight that is in this instance's subset; 0 outside of it
-	drawWeight   float64       // in the draw that is made
+	scanWeight   float64       // its draw weight times its share of capacity, in the draw that is made
 	latency      movingAverage // of its answers, over the mean of their class
 	serviceTime  movingAverage // that it reports, in seconds
 
@@ -73,15 +73,15 @@
 type busySet []*endpoint
 
 // update puts an endpoint in or takes it out, as its attempts in flight are.
-func (s *busySet) update(e *endpoint) {
-	switch busy := len(e.calls) > 0; {
-	case busy && e.busyIndex == 0:
-		*s = append(*s, e)
-		e.busyIndex = len(*s)
-	case !busy && e.busyIndex > 0:
+func (s *busySet) update(ep *endpoint) {
+	switch busy := len(ep.calls) > 0; {
+	case busy && ep.busyIndex == 0:
+		*s = append(*s, ep)
+		ep.busyIndex = len(*s)
+	case !busy && ep.busyIndex > 0:
 		last := (*s)[len(*s)-1]
-		(*s)[e.busyIndex-1], last.busyIndex = last, e.busyIndex
+		(*s)[ep.busyIndex-1], last.busyIndex = last, ep.busyIndex
 		*s = (*s)[:len(*s)-1]
-		e.busyIndex, e.lostCalls = 0, 0
+		ep.busyIndex, ep.lostCalls = 0, 0
 	}
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -11,14 +11,14 @@
 // Request is one client request as it arrives.
 type Request struct {
 	ID              RequestID
-	Class           int // index in Settings.Classes, or what AddClass returned
-	Tenant          int // index in Settings.Tenants
-	Key             string
+	Class           int           // index in Settings.Classes, or what AddClass returned
+	Tenant          int           // index in Settings.Tenants
+	Key             string        // what the request concerns; may be empty
 	TimeLeft        time.Duration // until the client gives this attempt up
 	WorkHint        time.Duration // expected work, where given
 	Retry           bool          // the client marks it as a retry of its own
-	Write           bool
-	IdleConnections int // from callers to this instance, beside the one of this request
+	Write           bool          // it changes something
+	IdleConnections int           // from callers to this instance, beside the one of this request
 
 	Exclude        *EndpointID   // the endpoint that its first attempt avoids, nil for none
 	ValueFactor    float64       // its value over that of others of its class, 0 for 1
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -44,17 +44,17 @@
 func compareIDs(a, b *endpoint) int { return cmp.Compare(a.id, b.id) }
 
 // insertSorted puts an endpoint into a list in the order of ids, if it is not there.
-func insertSorted(list []*endpoint, e *endpoint) []*endpoint {
-	i, found := slices.BinarySearchFunc(list, e, compareIDs)
+func insertSorted(list []*endpoint, ep *endpoint) []*endpoint {
+	i, found := slices.BinarySearchFunc(list, ep, compareIDs)
 	if found {
 		return list
 	}
-	return slices.Insert(list, i, e)
+	return slices.Insert(list, i, ep)
 }
 
 // removeSorted takes an endpoint out of a list in the order of ids, if it is there.
-func removeSorted(list []*endpoint, e *endpoint) []*endpoint {
-	if i, found := slices.BinarySearchFunc(list, e, compareIDs); found {
+func removeSorted(list []*endpoint, ep *endpoint) []*endpoint {
+	if i, found := slices.BinarySearchFunc(list, ep, compareIDs); found {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
@@ -70,16 +70,16 @@
 }
 
 // countWeight notes an endpoint's listed weight.
-func (i *endpointIndex) countWeight(e *endpoint) {
-	if e.index.listed && (!e.listed || e.index.weight != e.listedWeight) {
-		if i.weightCounts[e.index.weight]--; i.weightCounts[e.index.weight] == 0 {
-			delete(i.weightCounts, e.index.weight)
+func (i *endpointIndex) countWeight(ep *endpoint) {
+	if ep.index.listed && (!ep.listed || ep.index.weight != ep.listedWeight) {
+		if i.weightCounts[ep.index.weight]--; i.weightCounts[ep.index.weight] == 0 {
+			delete(i.weightCounts, ep.index.weight)
 		}
-		e.index.listed = false
+		ep.index.listed = false
 	}
-	if e.listed && !e.index.listed {
-		i.weightCounts[e.listedWeight]++
-		e.index.weight, e.index.listed = e.listedWeight, true
+	if ep.listed && !ep.index.listed {
+		i.weightCounts[ep.listedWeight]++
+		ep.index.weight, ep.index.listed = ep.listedWeight, true
 	}
 }
 
@@ -89,91 +89,91 @@
 }
 
 // put takes an endpoint in with a weight, or notes its move to another cell, zone or weight.
-func (i *endpointIndex) put(e *endpoint, weight float64) {
-	if e.index.indexed && e.index.cell != e.cell {
-		i.leaveCell(e)
+func (i *endpointIndex) put(ep *endpoint, weight float64) {
+	if ep.index.indexed && ep.index.cell != ep.cell {
+		i.leaveCell(ep)
 	}
-	if !e.index.indexed || e.index.cell != e.cell {
-		i.byCell[e.cell] = insertSorted(i.byCell[e.cell], e)
+	if !ep.index.indexed || ep.index.cell != ep.cell {
+		i.byCell[ep.cell] = insertSorted(i.byCell[ep.cell], ep)
 	}
-	if e.index.indexed {
-		i.leaveZone(e)
+	if ep.index.indexed {
+		i.leaveZone(ep)
 	}
-	i.perZone[e.zone]++
-	i.ordered.Put(uint32(e.id), weight, e)
-	e.index.cell, e.index.zone, e.index.indexed = e.cell, e.zone, true
+	i.perZone[ep.zone]++
+	i.ordered.Put(uint32(ep.id), weight, ep)
+	ep.index.cell, ep.index.zone, ep.index.indexed = ep.cell, ep.zone, true
 }
 
 // remove takes an endpoint out, if it is there.
-func (i *endpointIndex) remove(e *endpoint) {
-	if !e.index.indexed {
+func (i *endpointIndex) remove(ep *endpoint) {
+	if !ep.index.indexed {
 		return
 	}
-	i.leaveCell(e)
-	i.leaveZone(e)
-	i.ordered.Remove(uint32(e.id))
-	e.index.indexed = false
+	i.leaveCell(ep)
+	i.leaveZone(ep)
+	i.ordered.Remove(uint32(ep.id))
+	ep.index.indexed = false
 }
 
-func (i *endpointIndex) leaveCell(e *endpoint) {
-	left := removeSorted(i.byCell[e.index.cell], e)
-	i.byCell[e.index.cell] = left
+func (i *endpointIndex) leaveCell(ep *endpoint) {
+	left := removeSorted(i.byCell[ep.index.cell], ep)
+	i.byCell[ep.index.cell] = left
 	if len(left) == 0 {
-		delete(i.byCell, e.index.cell)
+		delete(i.byCell, ep.index.cell)
 	}
 }
 
-func (i *endpointIndex) leaveZone(e *endpoint) {
-	if i.perZone[e.index.zone]--; i.perZone[e.index.zone] == 0 {
-		delete(i.perZone, e.index.zone)
+func (i *endpointIndex) leaveZone(ep *endpoint) {
+	if i.perZone[ep.index.zone]--; i.perZone[ep.index.zone] == 0 {
+		delete(i.perZone, ep.index.zone)
 	}
 }
 
 // reindex puts an endpoint into the index and the subset or takes it out, as it is listed and available.
-func (b *Balancer) reindex(now time.Duration, e *endpoint) {
-	if e.listed && e.availability != draining {
-		weight := b.weights.endpointWeight(e)
-		b.index.put(e, weight)
-		b.subset.admit(e, weight)
+func (b *Balancer) reindex(now time.Duration, ep *endpoint) {
+	if ep.listed && ep.availability != draining {
+		weight := b.weights.endpointWeight(ep)
+		b.index.put(ep, weight)
+		b.subset.admit(ep, weight)
 	} else {
-		if !e.index.indexed {
+		if !ep.index.indexed {
 			return
 		}
-		b.index.remove(e)
-		b.subset.drop(e)
+		b.index.remove(ep)
+		b.subset.drop(ep)
 	}
 	b.subset.stale = true
-	b.refreshPools(now, e)
+	b.refreshPools(now, ep)
 }
 
 // refreshPools brings an endpoint's place in the pools and queues up to date.
-func (b *Balancer) refreshPools(now time.Duration, e *endpoint) {
-	pool := poolOf(e)
-	pooled := e.index.indexed && pool != noPool
-	if e.index.pooled && (!pooled || e.index.pool != pool) {
-		b.pools.remove(e)
+func (b *Balancer) refreshPools(now time.Duration, ep *endpoint) {
+	pool := poolOf(ep)
+	pooled := ep.index.indexed && pool != noPool
+	if ep.index.pooled && (!pooled || ep.index.pool != pool) {
+		b.pools.remove(ep)
 	}
 	if pooled {
-		b.refreshBound(now, e, pool)
+		b.refreshBound(now, ep, pool)
 	}
-	if !e.index.indexed || e.availability != warmingUp {
-		b.slowStarts.Remove(e)
-	} else if _, ok := b.slowStarts.Deadline(e); !ok {
-		b.slowStarts.Put(e, b.nextBoundCheck(now, e))
+	if !ep.index.indexed || ep.availability != warmingUp {
+		b.slowStarts.Remove(ep)
+	} else if _, ok := b.slowStarts.Deadline(ep); !ok {
+		b.slowStarts.Put(ep, b.nextBoundCheck(now, ep))
 	}
-	if e.index.indexed && e.availability == ejected && e.subsetWeight > 0 && len(e.calls) == 0 {
-		b.trials.Put(e, e.trialAt)
+	if ep.index.indexed && ep.availability == ejected && ep.subsetWeight > 0 && len(ep.calls) == 0 {
+		b.trials.Put(ep, ep.trialAt)
 	} else {
-		b.trials.Remove(e)
+		b.trials.Remove(ep)
 	}
 }
 
 // refreshKind refreshes a kind's endpoints.
 func (b *Balancer) refreshKind(now time.Duration, kind int) {
 	b.weights.settleKind(kind)
-	for e := range b.index.ordered.All() {
-		if e.kind == kind {
-			b.refreshPools(now, e)
+	for ep := range b.index.ordered.All() {
+		if ep.kind == kind {
+			b.refreshPools(now, ep)
 		}
 	}
 }
@@ -182,9 +182,9 @@
 func (b *Balancer) refreshAll(now time.Duration) {
 	b.weights.settleAll()
 	b.pools.availableWeight, b.pools.boundSlack = 0, 1
-	for e := range b.index.ordered.All() {
-		e.index.availableWeight = 0
-		b.refreshPools(now, e)
+	for ep := range b.index.ordered.All() {
+		ep.index.availableWeight = 0
+		b.refreshPools(now, ep)
 	}
 }
 
@@ -192,8 +192,8 @@
 func (b *Balancer) updateWeights(now time.Duration) {
 	b.index.ordered.Reweigh(b.weights.endpointWeight)
 	if b.subset.all || b.subset.byHash {
-		for _, e := range b.endpointsIn(inSubset) {
-			e.subsetWeight = b.weights.endpointWeight(e)
+		for _, ep := range b.endpointsIn(inSubset) {
+			ep.subsetWeight = b.weights.endpointWeight(ep)
 		}
 	}
 	b.subset.stale = true
--- a/internal/balancer/losses.go
+++ b/internal/balancer/losses.go
@@ -22,53 +22,53 @@
 }
 
 // recordAnswer takes in that an attempt was answered.
-func (l *losses) recordAnswer(r *request, e *endpoint) {
-	e.lossRate -= lossRateWeight * e.lossRate
-	if r.lost {
+func (l *losses) recordAnswer(req *request, ep *endpoint) {
+	ep.lossRate -= lossRateWeight * ep.lossRate
+	if req.lost {
 		l.overdueShare -= overdueWeight * l.overdueShare // it was slow
 	}
 }
 
 // countOvertaken notes that an attempt was answered before others that were sent earlier.
 func (b *Balancer) countOvertaken(by *request) {
-	for _, e := range b.busy {
-		for _, r := range e.calls {
-			if r.sentAt >= by.sentAt {
+	for _, ep := range b.busy {
+		for _, req := range ep.calls {
+			if req.sentAt >= by.sentAt {
 				break
 			}
-			r.overtaken++
+			req.overtaken++
 		}
 	}
 }
 
 // detectLost looks for attempts that an endpoint has lost. They are retried while there is time, and do not use up the limit: the
 // limit falls as answers fail to come. Where all turn slow at once, some slow attempts run twice.
-func (b *Balancer) detectLost(now time.Duration, e *endpoint) {
-	e.lostCalls = 0
-	for _, r := range e.calls {
-		age, tail := now-r.sentAt, r.class.latency.tail()
-		if r.overtaken < minOtherResponses || age <= seconds(stuckTails*tail) {
+func (b *Balancer) detectLost(now time.Duration, ep *endpoint) {
+	ep.lostCalls = 0
+	for _, req := range ep.calls {
+		age, tail := now-req.sentAt, req.class.latency.tail()
+		if req.overtaken < minOtherResponses || age <= seconds(stuckTails*tail) {
 			continue
 		}
-		e.lostCalls++
-		if !r.lost && age > seconds(lostTails*tail) {
-			r.lost = true
-			e.lossRate += lossRateWeight * (1 - e.lossRate)
+		ep.lostCalls++
+		if !req.lost && age > seconds(lostTails*tail) {
+			req.lost = true
+			ep.lossRate += lossRateWeight * (1 - ep.lossRate)
 		}
-		if !r.overdue && age > seconds(overdueTails*tail) {
-			r.overdue = true
+		if !req.overdue && age > seconds(overdueTails*tail) {
+			req.overdue = true
 			b.losses.overdueShare += overdueWeight * (1 - b.losses.overdueShare)
 		}
-		if b.givenUp(r, e) && b.canRetryInTime(now, r) {
-			b.cancelAttempt(r)
+		if b.givenUp(req, ep) && b.canRetryInTime(now, req) {
+			b.cancelAttempt(req)
 		}
 	}
-	if e.availability != ejected {
-		b.losses.inFlight += e.lostCalls
+	if ep.availability != ejected {
+		b.losses.inFlight += ep.lostCalls
 	}
 }
 
 // givenUp reports whether no answer to an attempt is waited for any longer.
-func (b *Balancer) givenUp(r *request, e *endpoint) bool {
-	return r.lost && e.lossRate > lossyRate || r.overdue && b.losses.overdueShare > overdueThreshold
+func (b *Balancer) givenUp(req *request, ep *endpoint) bool {
+	return req.lost && ep.lossRate > lossyRate || req.overdue && b.losses.overdueShare > overdueThreshold
 }
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -34,94 +34,94 @@
 }
 
 // addSample takes an answer into the error rates, 1 for an error and 0 for none.
-func (o *outliers) addSample(e *endpoint, x float64) {
-	e.errorRate += endpointErrorWeight * (x - e.errorRate)
+func (o *outliers) addSample(ep *endpoint, x float64) {
+	ep.errorRate += endpointErrorWeight * (x - ep.errorRate)
 	o.errorRate += fleetErrorWeight * (x - o.errorRate)
 }
 
-// stands reports whether an endpoint's errors set it apart from the fleet.
-func (o *outliers) stands(e *endpoint) bool {
-	return e.errorRate >= ejectionErrorRate && e.errorRate >= ejectionFleetRatio*o.errorRate
+// isOutlier reports whether an endpoint's errors set it apart from the fleet.
+func (o *outliers) isOutlier(ep *endpoint) bool {
+	return ep.errorRate >= ejectionErrorRate && ep.errorRate >= ejectionFleetRatio*o.errorRate
 }
 
 // recordOutcome learns from an outcome about its endpoint and the fleet.
-func (b *Balancer) recordOutcome(now time.Duration, r *request, e *endpoint, o Outcome) {
-	switch o.Status {
+func (b *Balancer) recordOutcome(now time.Duration, req *request, ep *endpoint, outcome Outcome) {
+	switch outcome.Status {
 	case StatusOK, StatusError, StatusRejected, StatusReset, StatusInvalidResponse:
-		e.lastResponseAt = now
+		ep.lastResponseAt = now
 		b.outliers.responses++
 	}
-	switch o.Status {
+	switch outcome.Status {
 	case StatusOK:
-		b.recordSuccess(now, r, e, o.Elapsed)
+		b.recordSuccess(now, req, ep, outcome.Elapsed)
 		return
 	case StatusInvalidResponse:
 		return // it says no more of the endpoint than that it responds: every one sends some
 	case StatusError:
-		b.recordError(now, r, e)
+		b.recordError(now, req, ep)
 	case StatusRejected:
-		e.rejectsUntil = now + seconds(r.class.latency.base)
+		ep.rejectsUntil = now + seconds(req.class.latency.base)
 	case StatusConnectFailed:
-		b.recordConnectFailure(now, r, e)
+		b.recordConnectFailure(now, req, ep)
 	case StatusReset:
-		e.connectionBroke = true
-		b.eject(now, e, "connection reset")
+		ep.connectionBroke = true
+		b.eject(now, ep, "connection reset")
 		b.fetchPaced(now)
 	case StatusTimeout:
 		// Its answers alone would make a saturated endpoint, that answers few in time, look well.
-		if mean := r.class.latency.mean; mean > 0 {
-			b.recordEndpointLatency(now, e, o.Elapsed.Seconds()/mean)
+		if mean := req.class.latency.mean; mean > 0 {
+			b.recordEndpointLatency(now, ep, outcome.Elapsed.Seconds()/mean)
 		}
-		b.recordAbandoned(now, r, e, o.Elapsed)
+		b.recordAbandoned(now, req, ep, outcome.Elapsed)
 	case StatusCancelled:
-		b.recordAbandoned(now, r, e, o.Elapsed)
+		b.recordAbandoned(now, req, ep, outcome.Elapsed)
 	}
 	// An attempt that went there for want of any other says no more than that a trial is still to come.
-	if r.trial && e.availability == ejected && r.sentAt >= e.trialAt {
-		b.delayTrial(now, e)
+	if req.trial && ep.availability == ejected && req.sentAt >= ep.trialAt {
+		b.delayTrial(now, ep)
 	}
 }
 
 // recordSuccess takes in an answer that is served.
-func (b *Balancer) recordSuccess(now time.Duration, r *request, e *endpoint, took time.Duration) {
-	b.countOvertaken(r)
-	b.losses.recordAnswer(r, e)
-	b.recordLatency(now, r.class, e, took)
-	b.recordPressure(now, r.class, took)
-	if now <= r.targetAt {
-		r.class.onTime++
-	}
-	b.outliers.addSample(e, 0)
+func (b *Balancer) recordSuccess(now time.Duration, req *request, ep *endpoint, took time.Duration) {
+	b.countOvertaken(req)
+	b.losses.recordAnswer(req, ep)
+	b.recordLatency(now, req.class, ep, took)
+	b.recordPressure(now, req.class, took)
+	if now <= req.targetAt {
+		req.class.onTime++
+	}
+	b.outliers.addSample(ep, 0)
 	b.retries.earn()
-	if r.trial && e.availability == ejected {
-		b.uneject(now, e)
+	if req.trial && ep.availability == ejected {
+		b.uneject(now, ep)
 	}
 }
 
 // recordError takes in an answer that is an error.
-func (b *Balancer) recordError(now time.Duration, r *request, e *endpoint) {
-	b.outliers.addSample(e, 1)
-	e.penalize(now, r.class, errorPenalty)
-	if b.outliers.stands(e) && b.ejectionAllowed() {
-		b.eject(now, e, "errors")
+func (b *Balancer) recordError(now time.Duration, req *request, ep *endpoint) {
+	b.outliers.addSample(ep, 1)
+	ep.penalize(now, req.class, errorPenalty)
+	if b.outliers.isOutlier(ep) && b.ejectionAllowed() {
+		b.eject(now, ep, "errors")
 	}
 }
 
-// recordConnectFailure takes in that no connection came about. A full connection table refuses as a dead process does, but
+// recordConnectFailure takes in that no connection came about. A full connection table rejects as a dead process does, but
 // its open calls go on.
-func (b *Balancer) recordConnectFailure(now time.Duration, r *request, e *endpoint) {
-	if len(e.calls) > 0 || e.lastResponseAt > r.sentAt {
-		e.rejectsUntil = now + b.settings.ConnectTimeout
+func (b *Balancer) recordConnectFailure(now time.Duration, req *request, ep *endpoint) {
+	if len(ep.calls) > 0 || ep.lastResponseAt > req.sentAt {
+		ep.rejectsUntil = now + b.settings.ConnectTimeout
 		return
 	}
-	b.eject(now, e, "connect failed")
+	b.eject(now, ep, "connect failed")
 	b.fetchPaced(now)
 }
 
 // recordAbandoned takes in an attempt that ended without a response, and may go on at its endpoint.
-func (b *Balancer) recordAbandoned(now time.Duration, r *request, e *endpoint, took time.Duration) {
-	b.recordPressure(now, r.class, took)
-	e.penalize(now, r.class, 1)
+func (b *Balancer) recordAbandoned(now time.Duration, req *request, ep *endpoint, took time.Duration) {
+	b.recordPressure(now, req.class, took)
+	ep.penalize(now, req.class, 1)
 }
 
 // ejectionAllowed keeps errors and unresponsiveness from ejecting too much of the list: so many have a cause they share.
@@ -130,111 +130,111 @@
 }
 
 // eject takes an endpoint out of the draw until a trial request is served or a newer list names a new start.
-func (b *Balancer) eject(now time.Duration, e *endpoint, why string) {
-	if e.availability > warmingUp {
+func (b *Balancer) eject(now time.Duration, ep *endpoint, why string) {
+	if ep.availability > warmingUp {
 		return
 	}
-	e.availability = ejected
+	ep.availability = ejected
 	b.outliers.ejected++
-	b.inFlight -= len(e.calls) // stuck attempts must not use up the limit
+	b.inFlight -= len(ep.calls) // stuck attempts must not use up the limit
 	b.subset.stale = true
-	e.trialBackoff = max(seconds(firstTrialTimeouts*b.settings.ConnectTimeout.Seconds()), b.tickInterval)
-	e.trialAt = now + b.jitter(e.trialBackoff)
-	b.refreshPools(now, e)
-	b.host.Log(fmt.Sprintf("endpoint %d isolated: %s (list version %d)", e.id, why, e.listVersion))
+	ep.trialBackoff = max(seconds(firstTrialTimeouts*b.settings.ConnectTimeout.Seconds()), b.tickInterval)
+	ep.trialAt = now + b.jitter(ep.trialBackoff)
+	b.refreshPools(now, ep)
+	b.host.Log(fmt.Sprintf("endpoint %d isolated: %s (list version %d)", ep.id, why, ep.listVersion))
 }
 
 // delayTrial doubles the wait for the next trial request after one that failed.
-func (b *Balancer) delayTrial(now time.Duration, e *endpoint) {
-	e.trialBackoff = min(2*e.trialBackoff, max(b.settings.SlowStartWindow, b.rateWindow))
-	e.trialAt = now + b.jitter(e.trialBackoff)
-	b.refreshPools(now, e)
+func (b *Balancer) delayTrial(now time.Duration, ep *endpoint) {
+	ep.trialBackoff = min(2*ep.trialBackoff, max(b.settings.SlowStartWindow, b.rateWindow))
+	ep.trialAt = now + b.jitter(ep.trialBackoff)
+	b.refreshPools(now, ep)
 }
 
 // uneject ends an ejection; the endpoint begins with a slow start, as it may have restarted.
-func (b *Balancer) uneject(now time.Duration, e *endpoint) {
+func (b *Balancer) uneject(now time.Duration, ep *endpoint) {
 	from := now
-	if !e.connectionBroke {
+	if !ep.connectionBroke {
 		from -= seconds(restoredWarmShare * b.settings.SlowStartWindow.Seconds())
 	}
-	e.connectionBroke = false
-	b.startSlowStart(now, e, from)
-	b.host.Log(fmt.Sprintf("endpoint %d back: trial call served", e.id))
+	ep.connectionBroke = false
+	b.startSlowStart(now, ep, from)
+	b.host.Log(fmt.Sprintf("endpoint %d back: trial call served", ep.id))
 }
 
 // startDraining marks an endpoint that drains or is gone: nothing new goes there, what runs may end.
-func (b *Balancer) startDraining(now time.Duration, e *endpoint) {
-	b.clearEjection(e)
-	e.availability = draining
-	b.reindex(now, e)
+func (b *Balancer) startDraining(now time.Duration, ep *endpoint) {
+	b.clearEjection(ep)
+	ep.availability = draining
+	b.reindex(now, ep)
 }
 
 // clearEjection counts an ejected endpoint's attempts in flight again, as it is ejected no longer.
-func (b *Balancer) clearEjection(e *endpoint) {
-	if e.availability == ejected {
+func (b *Balancer) clearEjection(ep *endpoint) {
+	if ep.availability == ejected {
 		b.outliers.ejected--
-		b.inFlight += len(e.calls)
+		b.inFlight += len(ep.calls)
 	}
 }
 
 // trialEndpoint is an ejected endpoint whose trial is due; nil for none. Only a first attempt that may be retried is risked.
-func (b *Balancer) trialEndpoint(now time.Duration, r *request) *endpoint {
-	e, at, ok := b.trials.Peek()
-	if ok && at <= now && r.attempts == 0 && !r.mayHaveRun && r.class.Idempotency != NonIdempotent {
-		return e
+func (b *Balancer) trialEndpoint(now time.Duration, req *request) *endpoint {
+	ep, at, ok := b.trials.Peek()
+	if ok && at <= now && req.attempts == 0 && !req.mayHaveRun && req.class.Idempotency != NonIdempotent {
+		return ep
 	}
 	return nil
 }
 
 // isSuspect reports whether an endpoint has left its oldest attempt without a response for so many mean latencies and said
 // nothing since, while others responded.
-func (b *Balancer) isSuspect(now time.Duration, e *endpoint, means float64) bool {
-	if len(e.calls) == 0 {
+func (b *Balancer) isSuspect(now time.Duration, ep *endpoint, means float64) bool {
+	if len(ep.calls) == 0 {
 		return false
 	}
-	r := e.calls[0]
-	mean := r.class.latency.mean
-	return mean > 0 && now-r.sentAt > seconds(means*mean) && e.lastResponseAt < r.sentAt &&
-		b.outliers.responses-r.responsesAtSend >= minOtherResponses
+	req := ep.calls[0]
+	mean := req.class.latency.mean
+	return mean > 0 && now-req.sentAt > seconds(means*mean) && ep.lastResponseAt < req.sentAt &&
+		b.outliers.responses-req.responsesAtSend >= minOtherResponses
 }
 
 // isUnresponsive reports whether an endpoint with attempts in flight has responded to none of them for long.
-func (b *Balancer) isUnresponsive(now time.Duration, e *endpoint) bool {
-	if b.isSuspect(now, e, unresponsiveTails*e.calls[0].class.latency.tailRatio) {
+func (b *Balancer) isUnresponsive(now time.Duration, ep *endpoint) bool {
+	if b.isSuspect(now, ep, unresponsiveTails*ep.calls[0].class.latency.tailRatio) {
 		return true
 	}
-	if len(e.calls) < unresponsiveCalls || !b.isSuspect(now, e, suspectMeans) {
+	if len(ep.calls) < unresponsiveCalls || !b.isSuspect(now, ep, suspectMeans) {
 		return false
 	}
-	later := e.calls[unresponsiveCalls-1]
+	later := ep.calls[unresponsiveCalls-1]
 	return now-later.sentAt > seconds(suspectMeans*later.class.latency.mean)
 }
 
 // ejectUnresponsive ejects an endpoint with attempts in flight that has not responded for long, and cancels those that can still
 // be retried.
-func (b *Balancer) ejectUnresponsive(now time.Duration, e *endpoint) {
-	if !b.isUnresponsive(now, e) {
+func (b *Balancer) ejectUnresponsive(now time.Duration, ep *endpoint) {
+	if !b.isUnresponsive(now, ep) {
 		return
 	}
-	if e.availability == ejected {
-		if !e.calls[0].trial {
+	if ep.availability == ejected {
+		if !ep.calls[0].trial {
 			return
 		}
 	} else if !b.ejectionAllowed() {
 		return
 	}
-	b.eject(now, e, "silent")
-	for _, r := range e.calls {
-		if b.canRetryInTime(now, r) {
-			b.cancelAttempt(r)
+	b.eject(now, ep, "silent")
+	for _, req := range ep.calls {
+		if b.canRetryInTime(now, req) {
+			b.cancelAttempt(req)
 		}
 	}
 }
 
 // Ejected reports whether this instance sends an endpoint trial requests alone. It is for people and measurements.
 func (b *Balancer) Ejected(id EndpointID) bool {
-	e := b.endpointsByID[id]
-	return e != nil && e.availability == ejected
+	ep := b.endpointsByID[id]
+	return ep != nil && ep.availability == ejected
 }
 
 // jitter is a duration between three quarters and five quarters of another, drawn at random.
--- a/internal/balancer/picking.go
+++ b/internal/balancer/picking.go
@@ -12,24 +12,24 @@
 // capacity; those in slow start are drawn less often. Where none is healthy, suspect and then ejected ones serve: ejections
 // never empty the set. It returns nil where the request has to wait, and reports whether the attempt is a trial, which
 // may end an ejection.
-func (b *Balancer) pick(now time.Duration, r *request) (to *endpoint, trial bool) {
-	if e := b.trialEndpoint(now, r); e != nil {
-		return e, true
+func (b *Balancer) pick(now time.Duration, req *request) (to *endpoint, trial bool) {
+	if ep := b.trialEndpoint(now, req); ep != nil {
+		return ep, true
 	}
-	within := r.scope()
-	if b.exhausted.covers(r, within) {
-		return b.pickFreed(now, r, within), false
+	within := req.scope()
+	if b.exhausted.covers(req, within) {
+		return b.pickFreed(now, req, within), false
 	}
-	first, second := b.drawCandidates(now, r, within)
+	first, second := b.drawCandidates(now, req, within)
 	if second != nil {
 		return b.lessLoaded(now, first, second), false
 	}
-	others, healthy := b.scanCandidates(now, r, within, first)
+	others, healthy := b.scanCandidates(now, req, within, first)
 	if !healthy {
-		others = b.scanUnhealthy(now, r)
+		others = b.scanUnhealthy(now, req)
 	}
 	to = b.drawLeastLoaded(now, first, others)
-	b.noteExhausted(now, r, within, to)
+	b.noteExhausted(now, req, within, to)
 	return to, !healthy && to != nil && to.availability == ejected
 }
 
@@ -43,51 +43,51 @@
 
 // isHealthy reports whether an endpoint is in good health for a request. Retries may leave the subset, but not for an endpoint in
 // slow start: all instances' together would overload it.
-func (b *Balancer) isHealthy(now time.Duration, r *request, e *endpoint, within scope) bool {
-	reached := e.subsetWeight > 0 || within == everywhere && e.availability == available
-	return e.availability <= warmingUp && reached && b.retryPermitted(now, r, e) && !b.isSuspect(now, e, suspectMeans)
+func (b *Balancer) isHealthy(now time.Duration, req *request, ep *endpoint, within scope) bool {
+	reached := ep.subsetWeight > 0 || within == everywhere && ep.availability == available
+	return ep.availability <= warmingUp && reached && b.retryPermitted(now, req, ep) && !b.isSuspect(now, ep, suspectMeans)
 }
 
-// isAvailable reports whether an endpoint may have this request, too.
-func (b *Balancer) isAvailable(now time.Duration, r *request, e *endpoint) bool {
-	return b.hasCapacity(now, e) && (e != r.failedEndpoint || len(b.listed) == 1)
+// canTake reports whether an endpoint may have this request, too.
+func (b *Balancer) canTake(now time.Duration, req *request, ep *endpoint) bool {
+	return b.hasCapacity(now, ep) && (ep != req.failedEndpoint || len(b.listed) == 1)
 }
 
 // drawCandidates draws candidates from the pools, by their weights and among those that are available, without a scan of all:
 // both, or one or none where too many draws were in vain. The others are to be scanned for then.
-func (b *Balancer) drawCandidates(now time.Duration, r *request, within scope) (first, second *endpoint) {
-	if !b.usesPools(within) || r.boundToCell() {
+func (b *Balancer) drawCandidates(now time.Duration, req *request, within scope) (first, second *endpoint) {
+	if !b.usesPools(within) || req.boundToCell() {
 		return nil, nil
 	}
 	for range maxPoolDraws {
-		e, ok := b.drawOne(now, within)
-		if !ok || e == first || !b.isHealthy(now, r, e, within) || !b.isAvailable(now, r, e) {
+		ep, ok := b.drawOne(now, within)
+		if !ok || ep == first || !b.isHealthy(now, req, ep, within) || !b.canTake(now, req, ep) {
 			continue
 		}
 		if first != nil {
-			return first, e
+			return first, ep
 		}
-		first = e
+		first = ep
 	}
 	return first, nil
 }
 
 // scanCandidates finds the candidates beside one that has been drawn, nil for none, and reports whether any endpoint is healthy.
-func (b *Balancer) scanCandidates(now time.Duration, r *request, within scope, drawn *endpoint) (others []*endpoint, healthy bool) {
+func (b *Balancer) scanCandidates(now time.Duration, req *request, within scope, drawn *endpoint) (others []*endpoint, healthy bool) {
 	var endpoints []*endpoint
-	if r.boundToCell() {
-		endpoints = b.index.byCell[r.ranInCell]
+	if req.boundToCell() {
+		endpoints = b.index.byCell[req.ranInCell]
 	} else {
 		endpoints = b.endpointsIn(within)
 	}
 	others, healthy = b.candidateBuffer[:0], drawn != nil
-	for _, e := range endpoints {
-		if !b.isHealthy(now, r, e, within) {
+	for _, ep := range endpoints {
+		if !b.isHealthy(now, req, ep, within) {
 			continue
 		}
 		healthy = true
-		if e != drawn && b.isAvailable(now, r, e) {
-			others = append(others, e)
+		if ep != drawn && b.canTake(now, req, ep) {
+			others = append(others, ep)
 		}
 	}
 	b.candidateBuffer = others
@@ -95,12 +95,12 @@
 }
 
 // scanUnhealthy finds the candidates where no endpoint is healthy: all that the rules permit and that are not overloaded.
-func (b *Balancer) scanUnhealthy(now time.Duration, r *request) []*endpoint {
+func (b *Balancer) scanUnhealthy(now time.Duration, req *request) []*endpoint {
 	candidates := b.candidateBuffer[:0]
-	for _, e := range b.endpointsIn(everywhere) {
-		overloaded := e.availability == warmingUp && !b.slowStartAllows(now, e) || float64(e.outstanding(now)) >= concurrencySlack
-		if b.retryPermitted(now, r, e) && !overloaded {
-			candidates = append(candidates, e)
+	for _, ep := range b.endpointsIn(everywhere) {
+		overloaded := ep.availability == warmingUp && !b.slowStartAllows(now, ep) || float64(ep.outstanding(now)) >= concurrencySlack
+		if b.retryPermitted(now, req, ep) && !overloaded {
+			candidates = append(candidates, ep)
 		}
 	}
 	b.candidateBuffer = candidates
@@ -110,8 +110,8 @@
 // drawLeastLoaded draws distinct candidates at random, each by its weight, after one that may have been drawn, and returns the
 // less loaded; nil where there are none. It reorders the candidates.
 func (b *Balancer) drawLeastLoaded(now time.Duration, first *endpoint, candidates []*endpoint) *endpoint {
-	for _, e := range candidates { // each is looked at several times
-		e.drawWeight = b.capacityShare(now, e) * b.weights.drawWeight(e)
+	for _, ep := range candidates { // each is looked at several times
+		ep.scanWeight = b.capacityShare(now, ep) * b.weights.drawWeight(ep)
 	}
 	best, drawn := first, 0
 	if first != nil {
@@ -119,10 +119,10 @@
 	}
 	for ; drawn < pickChoices && len(candidates) > 0; drawn++ {
 		i := b.drawIndex(candidates)
-		e := candidates[i]
+		ep := candidates[i]
 		last := len(candidates) - 1
 		candidates[i], candidates = candidates[last], candidates[:last]
-		best = b.lessLoaded(now, best, e)
+		best = b.lessLoaded(now, best, ep)
 	}
 	return best
 }
@@ -130,12 +130,12 @@
 // drawIndex draws one of some candidates by their weights.
 func (b *Balancer) drawIndex(candidates []*endpoint) int {
 	total := 0.0
-	for _, e := range candidates {
-		total += e.drawWeight
+	for _, ep := range candidates {
+		total += ep.scanWeight
 	}
 	x, last := b.rng.Float64()*total, len(candidates)-1
-	for i, e := range candidates[:last] {
-		if x -= e.drawWeight; x < 0 {
+	for i, ep := range candidates[:last] {
+		if x -= ep.scanWeight; x < 0 {
 			return i
 		}
 	}
@@ -153,8 +153,8 @@
 }
 
 // relativeLoad is an endpoint's own requests in flight for its weight.
-func (b *Balancer) relativeLoad(now time.Duration, e *endpoint) float64 {
-	return float64(e.outstanding(now)) / b.weights.drawWeight(e)
+func (b *Balancer) relativeLoad(now time.Duration, ep *endpoint) float64 {
+	return float64(ep.outstanding(now)) / b.weights.drawWeight(ep)
 }
 
 // exhaustion remembers, until the next tick, that a scan of all endpoints of a scope found none for a request that may go to any.
@@ -166,28 +166,28 @@
 }
 
 // covers reports whether a request needs no scan.
-func (x *exhaustion) covers(r *request, within scope) bool {
-	return x.scopes[within] && r.unrestricted()
+func (e *exhaustion) covers(req *request, within scope) bool {
+	return e.scopes[within] && req.unrestricted()
 }
 
 // reset forgets it.
-func (x *exhaustion) reset() { *x = exhaustion{} }
+func (e *exhaustion) reset() { *e = exhaustion{} }
 
 // noteExhausted notes that a scan found nothing for a request, where that holds for all like it.
-func (b *Balancer) noteExhausted(now time.Duration, r *request, within scope, found *endpoint) {
-	if found != nil || !b.usesPools(within) || !r.unrestricted() {
+func (b *Balancer) noteExhausted(now time.Duration, req *request, within scope, found *endpoint) {
+	if found != nil || !b.usesPools(within) || !req.unrestricted() {
 		return
 	}
-	if r.failedEndpoint == nil || !b.hasCapacity(now, r.failedEndpoint) {
+	if req.failedEndpoint == nil || !b.hasCapacity(now, req.failedEndpoint) {
 		b.exhausted.scopes[within], b.exhausted.freed = true, nil
 	}
 }
 
 // pickFreed picks the endpoint that has answered since all were exhausted, if the request may go there; nil else.
-func (b *Balancer) pickFreed(now time.Duration, r *request, within scope) *endpoint {
-	e := b.exhausted.freed
-	if e != nil && b.isHealthy(now, r, e, within) && b.isAvailable(now, r, e) {
-		return e
+func (b *Balancer) pickFreed(now time.Duration, req *request, within scope) *endpoint {
+	ep := b.exhausted.freed
+	if ep != nil && b.isHealthy(now, req, ep, within) && b.canTake(now, req, ep) {
+		return ep
 	}
 	return nil
 }
--- a/internal/balancer/pools.go
+++ b/internal/balancer/pools.go
@@ -39,35 +39,35 @@
 }
 
 // poolOf is the pool that an endpoint belongs to while it is indexed; noPool for none.
-func poolOf(e *endpoint) int {
+func poolOf(ep *endpoint) int {
 	switch {
-	case e.availability == available && e.subsetWeight > 0:
+	case ep.availability == available && ep.subsetWeight > 0:
 		return availablePool
-	case e.availability == available:
+	case ep.availability == available:
 		return outsidePool
-	case e.availability == warmingUp && e.subsetWeight > 0:
+	case ep.availability == warmingUp && ep.subsetWeight > 0:
 		return warmingUpPool
 	}
 	return noPool
 }
 
 // remove takes an endpoint out of its pool.
-func (d *drawPools) remove(e *endpoint) {
-	d.pools[e.index.pool].Remove(e.index.slot)
-	d.availableWeight -= e.index.availableWeight
-	e.index.pooled, e.index.availableWeight = false, 0
+func (d *drawPools) remove(ep *endpoint) {
+	d.pools[ep.index.pool].Remove(ep.index.slot)
+	d.availableWeight -= ep.index.availableWeight
+	ep.index.pooled, ep.index.availableWeight = false, 0
 }
 
 // put puts an endpoint into a pool, or moves its bound there, if it is outgrown or wastes draws.
-func (d *drawPools) put(e *endpoint, pool int, weight float64) {
+func (d *drawPools) put(ep *endpoint, pool int, weight float64) {
 	switch {
-	case !e.index.pooled:
-		e.index.bound = weight * boundHeadroom
-		e.index.pool, e.index.pooled = pool, true
-		e.index.slot = d.pools[pool].Add(e, e.index.bound)
-	case weight > e.index.bound || weight*maxBoundRatio < e.index.bound:
-		e.index.bound = weight * boundHeadroom
-		d.pools[pool].Set(e.index.slot, e.index.bound)
+	case !ep.index.pooled:
+		ep.index.bound = weight * boundHeadroom
+		ep.index.pool, ep.index.pooled = pool, true
+		ep.index.slot = d.pools[pool].Add(ep, ep.index.bound)
+	case weight > ep.index.bound || weight*maxBoundRatio < ep.index.bound:
+		ep.index.bound = weight * boundHeadroom
+		d.pools[pool].Set(ep.index.slot, ep.index.bound)
 	}
 }
 
@@ -102,38 +102,38 @@
 // drawOne draws one endpoint by the bounds of the draw weights, and takes it with the probability that makes that a draw by the
 // weights; false where none is taken.
 func (b *Balancer) drawOne(now time.Duration, within scope) (*endpoint, bool) {
-	e, ok := b.pools.draw(b.rng, b.pools.in(within))
+	ep, ok := b.pools.draw(b.rng, b.pools.in(within))
 	if !ok {
 		return nil, false
 	}
-	return e, b.rng.Float64()*e.index.bound*b.pools.boundSlack < b.capacityShare(now, e)*b.weights.drawWeight(e)
+	return ep, b.rng.Float64()*ep.index.bound*b.pools.boundSlack < b.capacityShare(now, ep)*b.weights.drawWeight(ep)
 }
 
 // refreshBound puts an endpoint into a pool, or moves its bound there, if that is due.
-func (b *Balancer) refreshBound(now time.Duration, e *endpoint, pool int) {
-	weight := b.weights.drawWeight(e)
+func (b *Balancer) refreshBound(now time.Duration, ep *endpoint, pool int) {
+	weight := b.weights.drawWeight(ep)
 	if pool == availablePool {
-		b.pools.availableWeight += weight - e.index.availableWeight
-		e.index.availableWeight = weight
+		b.pools.availableWeight += weight - ep.index.availableWeight
+		ep.index.availableWeight = weight
 	}
 	if pool == warmingUpPool {
-		weight *= b.capacityShare(b.nextBoundCheck(now, e), e) // the bound is not looked at before
+		weight *= b.capacityShare(b.nextBoundCheck(now, ep), ep) // the bound is not looked at before
 	}
-	weight *= b.weights.kindDrift(e.kind) // it may go back by as much
-	b.pools.put(e, pool, weight)
+	weight *= b.weights.kindDrift(ep.kind) // it may go back by as much
+	b.pools.put(ep, pool, weight)
 }
 
 // noteDrift takes a kind's move into the slack, and refreshes its endpoints when it has gone too far. A load report moves what
 // the weights of all kinds share, so that the slack is looked at for all.
 func (b *Balancer) noteDrift(now time.Duration, kind int, reported bool) {
-	w := &b.weights
-	drift := w.kindDrift(kind)
+	weights := &b.weights
+	drift := weights.kindDrift(kind)
 	// A kind that reports its first service time moves the weights of all kinds.
-	newcomer := w.services.reporting != w.services.settledReporting
+	newcomer := weights.services.reporting != weights.services.settledReporting
 	// Before kindTrustSamples answers a kind's latency counts for nothing, and all its endpoints' weights leap when it does.
-	newlyTrusted := w.trusted(kind) && w.latencies[kind].settledMean == 0
+	newlyTrusted := weights.trusted(kind) && weights.latencies[kind].settledMean == 0
 	switch {
-	case newcomer || w.services.inverseSum.drift() > math.Sqrt(maxDrift):
+	case newcomer || weights.services.inverseSum.drift() > math.Sqrt(maxDrift):
 		b.refreshAll(now)
 	case newlyTrusted || drift > maxDrift:
 		b.refreshKind(now, kind)
@@ -144,8 +144,8 @@
 		b.pools.slackChecks, b.pools.boundSlack, reported = 0, 1, true
 	}
 	if reported {
-		for kind := range w.kinds() {
-			b.pools.boundSlack = max(b.pools.boundSlack, w.kindDrift(kind))
+		for kind := range weights.kinds() {
+			b.pools.boundSlack = max(b.pools.boundSlack, weights.kindDrift(kind))
 		}
 	}
 }
@@ -156,9 +156,9 @@
 		return b.pools.availableWeight
 	}
 	sum := 0.0
-	for _, e := range b.endpointsIn(inSubset) {
-		if e.availability == available {
-			sum += b.weights.drawWeight(e)
+	for _, ep := range b.endpointsIn(inSubset) {
+		if ep.availability == available {
+			sum += b.weights.drawWeight(ep)
 		}
 	}
 	return sum
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -82,11 +82,11 @@
 // beyond both is more than the fleet can do, and has little value. It reports whether the request is beyond its tenant's quota,
 // and whether all quotas together have room for it. A client's retry counts as beyond its quota: most are of requests that were
 // rejected for that, and would use up the quota of new ones.
-func (q *quotas) take(now time.Duration, r *Request) (overQuota, spare bool) {
-	if r.Tenant >= len(q.tenants) {
+func (q *quotas) take(now time.Duration, incoming *Request) (overQuota, spare bool) {
+	if incoming.Tenant >= len(q.tenants) {
 		return false, true
 	}
-	if r.Retry || !q.tenants[r.Tenant].take(now, 1) {
+	if incoming.Retry || !q.tenants[incoming.Tenant].take(now, 1) {
 		return true, q.total.take(now, 1)
 	}
 	q.total.forceTake(now, 1)
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -49,85 +49,96 @@
 }
 
 // noteRun notes that an attempt at an endpoint may have run. The first one counts.
-func (r *request) noteRun(e *endpoint) {
+func (r *request) noteRun(ep *endpoint) {
 	if !r.mayHaveRun {
-		r.mayHaveRun, r.ranInZone, r.ranInCell, r.ranAt = true, e.zone, e.cell, r.sentAt
+		r.mayHaveRun, r.ranInZone, r.ranInCell, r.ranAt = true, ep.zone, ep.cell, r.sentAt
+	}
+}
+
+// newRequest is the state of a request that has arrived.
+func (b *Balancer) newRequest(now time.Duration, incoming *Request) *request {
+	class := b.classes[incoming.Class]
+	elapsed := b.elapsedForClient(class, incoming)
+	return &request{
+		id: incoming.ID, class: class, valueFactor: cmp.Or(incoming.ValueFactor, 1),
+		deadline:       min(now+incoming.TimeLeft, b.shutdownAt),
+		targetAt:       min(now+class.LatencyTarget-elapsed, b.shutdownAt),
+		maxAttempts:    b.settings.maxAttempts(incoming),
+		attemptTimeout: incoming.AttemptTimeout,
+		failedEndpoint: b.excluded(incoming.Exclude),
+		mayHaveRun:     incoming.Prior.MayHaveRun,
+		ranInZone:      incoming.Prior.Zone,
+		ranInCell:      incoming.Prior.Cell,
+		ranAt:          incoming.Prior.SentAt,
 	}
 }
 
 // HandleRequest takes a new request.
-func (b *Balancer) HandleRequest(now time.Duration, q Request) {
-	c := b.classes[q.Class]
-	overQuota, spare := b.takeQuota(now, &q)
-	r := &request{
-		id: q.ID, class: c, overQuota: overQuota, valueFactor: cmp.Or(q.ValueFactor, 1),
-		deadline:    min(now+q.TimeLeft, b.shutdownAt),
-		targetAt:    min(now+c.LatencyTarget-b.elapsedForClient(c, &q), b.shutdownAt),
-		maxAttempts: b.settings.maxAttempts(&q), attemptTimeout: q.AttemptTimeout,
-		failedEndpoint: b.excluded(q.Exclude),
-		mayHaveRun:     q.Prior.MayHaveRun, ranInZone: q.Prior.Zone, ranInCell: q.Prior.Cell, ranAt: q.Prior.SentAt,
-	}
-	b.requests[q.ID] = r
-	hopeless := q.TimeLeft <= 0 || overQuota && !spare
-	if hopeless || b.rejectsForShutdown(now, c, q.IdleConnections) || !b.retrySafe(now, r) {
-		b.finish(now, r)
+func (b *Balancer) HandleRequest(now time.Duration, incoming Request) {
+	overQuota, spare := b.takeQuota(now, &incoming)
+	req := b.newRequest(now, &incoming)
+	req.overQuota = overQuota
+	b.requests[req.id] = req
+	hopeless := incoming.TimeLeft <= 0 || overQuota && !spare
+	if hopeless || b.rejectsForShutdown(now, req.class, incoming.IdleConnections) || !b.retrySafe(now, req) {
+		b.finish(now, req)
 		return
 	}
 	b.requestRate.add(now, b.rateWindow, 1)
-	b.countRequest(c)
-	b.enqueue(r)
+	b.countRequest(req.class)
+	b.enqueue(req)
 	b.dispatch(now)
 	b.armTick()
 }
 
 // HandleResponseStart takes in that a streamed response has started: the request is the client's from here on.
 func (b *Balancer) HandleResponseStart(now time.Duration, id RequestID, _ int, _ EndpointID) {
-	r := b.requests[id]
-	if r == nil || r.endpoint == nil {
+	req := b.requests[id]
+	if req == nil || req.endpoint == nil {
 		return
 	}
-	r.streaming = true
-	r.endpoint.lastResponseAt = now
+	req.streaming = true
+	req.endpoint.lastResponseAt = now
 	b.outliers.responses++
 }
 
 // HandleOutcome takes the end of an attempt. One that is not in flight, as far as the Balancer knows, is passed over.
-func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || r.endpoint == nil {
+func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
+	req := b.requests[outcome.ID]
+	if req == nil || req.endpoint == nil {
 		return
 	}
-	e := r.endpoint
-	b.endCall(now, r, e)
-	b.recordForThrottle(o.Status)
-	b.recordLoadReport(now, e, o.Load)
-	b.recordOutcome(now, r, e, o)
-	if o.Final || r.done || r.streaming {
-		if !o.Final && !r.done {
-			b.host.Fail(r.id)
+	ep := req.endpoint
+	b.endCall(now, req, ep)
+	b.recordForThrottle(outcome.Status)
+	b.recordLoadReport(now, ep, outcome.Load)
+	b.recordOutcome(now, req, ep, outcome)
+	if outcome.Final || req.done || req.streaming {
+		if !outcome.Final && !req.done {
+			b.host.Fail(req.id)
 		}
-		delete(b.requests, r.id)
+		delete(b.requests, req.id)
 	} else {
-		b.retryOrFinish(now, r, e, o)
+		b.retryOrFinish(now, req, ep, outcome)
 	}
 	b.dispatch(now)
 	b.armTick()
 }
 
 // endCall takes a request's attempt out of those in flight.
-func (b *Balancer) endCall(now time.Duration, r *request, e *endpoint) {
-	r.endpoint = nil
-	if r.cancelled {
+func (b *Balancer) endCall(now time.Duration, req *request, ep *endpoint) {
+	req.endpoint = nil
+	if req.cancelled {
 		b.retries.pendingCancels--
 	}
-	if e.availability != ejected {
+	if ep.availability != ejected {
 		b.inFlight--
 	}
-	e.calls = slices.DeleteFunc(e.calls, func(x *request) bool { return x == r })
-	b.busy.update(e)
-	b.exhausted.freed = e
-	if e.availability == ejected {
-		b.refreshPools(now, e)
+	ep.calls = slices.DeleteFunc(ep.calls, func(other *request) bool { return other == req })
+	b.busy.update(ep)
+	b.exhausted.freed = ep
+	if ep.availability == ejected {
+		b.refreshPools(now, ep)
 	}
 }
 
@@ -144,25 +155,25 @@
 
 // HandleClientGone takes in that the client has gone: nothing is owed, and work for it is cancelled.
 func (b *Balancer) HandleClientGone(_ time.Duration, id RequestID) {
-	r := b.requests[id]
-	if r == nil {
+	req := b.requests[id]
+	if req == nil {
 		return
 	}
-	r.done = true
-	if r.pending {
-		b.removePending(slices.Index(b.pending, r))
+	req.done = true
+	if req.pending {
+		b.removePending(slices.Index(b.pending, req))
 	}
-	if r.endpoint == nil {
+	if req.endpoint == nil {
 		delete(b.requests, id)
 		return
 	}
-	b.cancelAttempt(r)
+	b.cancelAttempt(req)
 }
 
 // enqueue puts a request among those pending.
-func (b *Balancer) enqueue(r *request) {
-	r.pending = true
-	b.pending = append(b.pending, r)
+func (b *Balancer) enqueue(req *request) {
+	req.pending = true
+	b.pending = append(b.pending, req)
 }
 
 // removePending takes the i-th pending request out.
@@ -173,36 +184,36 @@
 
 // enqueueAfter puts a request among those pending after a backoff, at the first tick from then on. An instance that shuts
 // down has no time for backoffs.
-func (b *Balancer) enqueueAfter(now time.Duration, r *request, backoff time.Duration) {
+func (b *Balancer) enqueueAfter(now time.Duration, req *request, backoff time.Duration) {
 	if backoff <= 0 || b.shuttingDown() {
-		b.enqueue(r)
+		b.enqueue(req)
 		return
 	}
-	b.backoffs.Put(r, now+backoff)
+	b.backoffs.Put(req, now+backoff)
 }
 
 // enqueueDue puts those among the pending whose backoff is over. One whose client has gone meanwhile is known no more.
 func (b *Balancer) enqueueDue(now time.Duration) {
 	for {
-		r, at, ok := b.backoffs.Peek()
+		req, at, ok := b.backoffs.Peek()
 		if !ok || at > now && !b.shuttingDown() {
 			return
 		}
-		b.backoffs.Remove(r)
+		b.backoffs.Remove(req)
 		switch {
-		case b.requests[r.id] != r || r.done:
-		case now+b.tickInterval >= r.deadline:
-			b.finish(now, r)
+		case b.requests[req.id] != req || req.done:
+		case now+b.tickInterval >= req.deadline:
+			b.finish(now, req)
 		default:
-			b.enqueue(r)
+			b.enqueue(req)
 		}
 	}
 }
 
 // takeQuota meters a request against its tenant's quota. Only the first tier does: what it has let in is not rejected below.
-func (b *Balancer) takeQuota(now time.Duration, q *Request) (overQuota, spare bool) {
+func (b *Balancer) takeQuota(now time.Duration, incoming *Request) (overQuota, spare bool) {
 	if b.settings.Tier > 0 {
 		return false, true
 	}
-	return b.quotas.take(now, q)
+	return b.quotas.take(now, incoming)
 }
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -29,105 +29,105 @@
 func (b *retryBudget) coversCancel() bool { return b.tokens-float64(b.pendingCancels) >= 1 }
 
 // retryPermitted reports whether the rules let a request go to an endpoint.
-func (b *Balancer) retryPermitted(now time.Duration, r *request, e *endpoint) bool {
+func (b *Balancer) retryPermitted(now time.Duration, req *request, ep *endpoint) bool {
 	switch {
-	case r.unrestricted():
+	case req.unrestricted():
 		return true
-	case !b.retrySafe(now, r):
+	case !b.retrySafe(now, req):
 		return false
-	case r.class.KeyScope == KeyScopeCell:
-		return e.cell == r.ranInCell
-	case r.class.KeyScope == KeyScopeZone:
-		return e.zone == r.ranInZone
+	case req.class.KeyScope == KeyScopeCell:
+		return ep.cell == req.ranInCell
+	case req.class.KeyScope == KeyScopeZone:
+		return ep.zone == req.ranInZone
 	}
 	return true
 }
 
 // retrySafe reports whether a request may go to any endpoint at all: not if it may have run and nobody, or nobody any more, drops
 // its repeat.
-func (b *Balancer) retrySafe(now time.Duration, r *request) bool {
-	if r.unrestricted() {
+func (b *Balancer) retrySafe(now time.Duration, req *request) bool {
+	if req.unrestricted() {
 		return true
 	}
-	return r.class.Idempotency == IdempotentWithKey && now-r.ranAt < r.class.KeyWindow-b.tickInterval
+	return req.class.Idempotency == IdempotentWithKey && now-req.ranAt < req.class.KeyWindow-b.tickInterval
 }
 
 // retryOrFinish decides what follows an attempt that was not served: a retry where the rules, the budget and the time allow it,
 // else the final answer.
-func (b *Balancer) retryOrFinish(now time.Duration, r *request, e *endpoint, o Outcome) {
-	r.failedEndpoint = e
-	if !o.Status.NeverRan() {
-		r.noteRun(e)
-		if !b.retries.allows() || r.class.Idempotency == NonIdempotent {
-			b.finish(now, r)
+func (b *Balancer) retryOrFinish(now time.Duration, req *request, ep *endpoint, outcome Outcome) {
+	req.failedEndpoint = ep
+	if !outcome.Status.NeverRan() {
+		req.noteRun(ep)
+		if !b.retries.allows() || req.class.Idempotency == NonIdempotent {
+			b.finish(now, req)
 			return
 		}
 		b.retries.take()
 	}
-	if o.NoRetry || r.attempts >= r.maxAttempts || now+max(b.tickInterval, o.Backoff) >= r.deadline {
-		b.finish(now, r)
+	if outcome.NoRetry || req.attempts >= req.maxAttempts || now+max(b.tickInterval, outcome.Backoff) >= req.deadline {
+		b.finish(now, req)
 		return
 	}
-	b.enqueueAfter(now, r, o.Backoff)
+	b.enqueueAfter(now, req, outcome.Backoff)
 }
 
 // finish gives the final answer: rejected where a retry is proven harmless, else failed.
-func (b *Balancer) finish(now time.Duration, r *request) {
-	r.done = true
-	if b.retryHarmless(now, r) {
-		b.host.Reject(r.id, b.retryAfter(now, r.class))
+func (b *Balancer) finish(now time.Duration, req *request) {
+	req.done = true
+	if b.retryHarmless(now, req) {
+		b.host.Reject(req.id, b.retryAfter(now, req.class))
 	} else {
-		b.host.Fail(r.id)
+		b.host.Fail(req.id)
 	}
-	if r.endpoint == nil {
-		delete(b.requests, r.id)
+	if req.endpoint == nil {
+		delete(b.requests, req.id)
 	}
 }
 
 // retryHarmless reports whether a client may send a request again, to any instance.
-func (b *Balancer) retryHarmless(now time.Duration, r *request) bool {
-	switch r.class.Idempotency {
+func (b *Balancer) retryHarmless(now time.Duration, req *request) bool {
+	switch req.class.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		if r.class.KeyScope == KeyScopeAll && b.retrySafe(now, r) {
+		if req.class.KeyScope == KeyScopeAll && b.retrySafe(now, req) {
 			return true
 		}
 	}
-	return !r.mayHaveRun && r.endpoint == nil
+	return !req.mayHaveRun && req.endpoint == nil
 }
 
 // cancelAttempt cancels the attempt that is in flight, if that is permitted.
-func (b *Balancer) cancelAttempt(r *request) {
-	if !b.settings.MayCancel || r.cancelled || r.streaming {
+func (b *Balancer) cancelAttempt(req *request) {
+	if !b.settings.MayCancel || req.cancelled || req.streaming {
 		return
 	}
-	r.cancelled = true
+	req.cancelled = true
 	b.retries.pendingCancels++
-	b.host.Cancel(r.id, r.attempts-1)
+	b.host.Cancel(req.id, req.attempts-1)
 }
 
 // canRetryInTime reports whether an attempt that is in flight could be retried, in time, after it is cancelled. Nor is one
 // cancelled that could go nowhere then, as the last of its cell drains.
-func (b *Balancer) canRetryInTime(now time.Duration, r *request) bool {
-	if r.done || r.class.Idempotency == NonIdempotent || r.attempts >= r.maxAttempts {
+func (b *Balancer) canRetryInTime(now time.Duration, req *request) bool {
+	if req.done || req.class.Idempotency == NonIdempotent || req.attempts >= req.maxAttempts {
 		return false
 	}
-	inTime := now+seconds(r.class.latency.base) < r.targetAt
-	return inTime && b.retries.coversCancel() && b.hasRetryEndpoint(r)
+	inTime := now+seconds(req.class.latency.base) < req.targetAt
+	return inTime && b.retries.coversCancel() && b.hasRetryEndpoint(req)
 }
 
 // hasRetryEndpoint reports whether there is any endpoint that a request whose attempt is in flight could go to again, if that may
 // have run.
-func (b *Balancer) hasRetryEndpoint(r *request) bool {
-	if r.class.Idempotency != IdempotentWithKey || r.class.KeyScope == KeyScopeAll {
+func (b *Balancer) hasRetryEndpoint(req *request) bool {
+	if req.class.Idempotency != IdempotentWithKey || req.class.KeyScope == KeyScopeAll {
 		return b.index.len() > 0
 	}
-	zone, cell := r.endpoint.zone, r.endpoint.cell
-	if r.mayHaveRun {
-		zone, cell = r.ranInZone, r.ranInCell
+	zone, cell := req.endpoint.zone, req.endpoint.cell
+	if req.mayHaveRun {
+		zone, cell = req.ranInZone, req.ranInCell
 	}
-	if r.class.KeyScope == KeyScopeZone {
+	if req.class.KeyScope == KeyScopeZone {
 		return b.index.perZone[zone] > 0
 	}
 	return len(b.index.byCell[cell]) > 0
--- a/internal/balancer/shutdown.go
+++ b/internal/balancer/shutdown.go
@@ -9,7 +9,7 @@
 
 const (
 	successorDelay     = 1.5 // seconds from an instance's end until the next one serves in its place
-	minIdleConnections = 3   // callers' connections that the only instance keeps idle once it is told to end
+	minIdleConnections = 3   // callers' connections that the only instance keeps idle once it is to end
 )
 
 // never is the time of what is not going to happen.
@@ -19,9 +19,9 @@
 // rejected at once. Attempts that are in flight then are the host's to end.
 func (b *Balancer) ShutDownAt(now, at time.Duration) {
 	b.shutdownAt = at
-	for _, r := range b.requests {
-		r.deadline = min(r.deadline, at)
-		r.targetAt = min(r.targetAt, at)
+	for _, req := range b.requests {
+		req.deadline = min(req.deadline, at)
+		req.targetAt = min(req.targetAt, at)
 	}
 	b.dispatch(now)
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -48,34 +48,34 @@
 	group  *hashring.Group // that shares go by; nil for ordinals
 
 	previous          []*endpoint // buffer: the members before it was worked out again
-	unreachedReported bool        // people were told that instances together do not reach all endpoints
+	unreachedReported bool        // it was reported that instances together do not reach all endpoints
 }
 
 // admit takes in an endpoint that has come, where that is clear without working out the subset again.
-func (s *subset) admit(e *endpoint, weight float64) {
+func (s *subset) admit(ep *endpoint, weight float64) {
 	switch {
 	case s.all:
-		e.subsetWeight = weight
-	case s.byHash && s.share.Owns(uint32(e.id)):
-		e.subsetWeight = weight
-		s.members = insertSorted(s.members, e)
+		ep.subsetWeight = weight
+	case s.byHash && s.share.Owns(uint32(ep.id)):
+		ep.subsetWeight = weight
+		s.members = insertSorted(s.members, ep)
 	}
 }
 
 // drop takes out an endpoint that has gone.
-func (s *subset) drop(e *endpoint) {
-	e.subsetWeight = 0
+func (s *subset) drop(ep *endpoint) {
+	ep.subsetWeight = 0
 	if s.byHash {
-		s.members = removeSorted(s.members, e)
+		s.members = removeSorted(s.members, ep)
 	}
 }
 
 // add gives the subset a part of the weight of an endpoint.
-func (s *subset) add(e *endpoint, weight float64) {
-	if e.subsetWeight == 0 {
-		s.members = append(s.members, e)
+func (s *subset) add(ep *endpoint, weight float64) {
+	if ep.subsetWeight == 0 {
+		s.members = append(s.members, ep)
 	}
-	e.subsetWeight += weight
+	ep.subsetWeight += weight
 }
 
 // endpointsIn gives the endpoints of a scope. The list is good until it is asked for again.
@@ -118,9 +118,9 @@
 		return
 	}
 	b.subset.all, b.subset.byHash, b.subset.members = true, false, nil
-	for e := range b.index.ordered.All() {
-		e.subsetWeight = b.weights.endpointWeight(e)
-		b.refreshPools(now, e)
+	for ep := range b.index.ordered.All() {
+		ep.subsetWeight = b.weights.endpointWeight(ep)
+		b.refreshPools(now, ep)
 	}
 }
 
@@ -138,14 +138,14 @@
 		if missing <= tolerance {
 			break
 		}
-		e, weight, _ := cursor.Next()
-		part := min(weight-max(offset, 0)-e.subsetWeight, missing)
+		ep, weight, _ := cursor.Next()
+		part := min(weight-max(offset, 0)-ep.subsetWeight, missing)
 		offset = 0
 		if part < tolerance {
 			continue
 		}
-		b.subset.add(e, part)
-		if e.availability <= warmingUp {
+		b.subset.add(ep, part)
+		if ep.availability <= warmingUp {
 			missing -= part
 		}
 	}
@@ -162,9 +162,9 @@
 	}
 	b.clearSubset()
 	s.byHash, s.share = true, share
-	for e := range b.index.ordered.All() {
-		if share.Owns(uint32(e.id)) {
-			s.add(e, b.weights.endpointWeight(e))
+	for ep := range b.index.ordered.All() {
+		if share.Owns(uint32(ep.id)) {
+			s.add(ep, b.weights.endpointWeight(ep))
 		}
 	}
 	b.finishSubset(now)
@@ -201,8 +201,8 @@
 		return float64(b.pools.usable())
 	}
 	usable := 0.0
-	for e := range b.index.ordered.All() {
-		if e.availability <= warmingUp && share.Owns(uint32(e.id)) {
+	for ep := range b.index.ordered.All() {
+		if ep.availability <= warmingUp && share.Owns(uint32(ep.id)) {
 			usable++
 		}
 	}
@@ -213,8 +213,8 @@
 func (b *Balancer) clearSubset() {
 	s := &b.subset
 	s.previous = append(s.previous[:0], b.endpointsIn(inSubset)...)
-	for _, e := range s.previous {
-		e.index.previousWeight, e.subsetWeight = e.subsetWeight, 0
+	for _, ep := range s.previous {
+		ep.index.previousWeight, ep.subsetWeight = ep.subsetWeight, 0
 	}
 	s.all, s.byHash, s.members = false, false, s.members[:0]
 }
@@ -224,24 +224,24 @@
 	s := &b.subset
 	s.stale = false
 	b.reportUnreached()
-	for _, e := range s.previous {
-		if e.subsetWeight == 0 {
-			e.index.previousWeight = 0
-			b.refreshPools(now, e)
+	for _, ep := range s.previous {
+		if ep.subsetWeight == 0 {
+			ep.index.previousWeight = 0
+			b.refreshPools(now, ep)
 		}
 	}
-	for _, e := range s.members {
-		if e.subsetWeight != e.index.previousWeight {
-			b.refreshPools(now, e)
+	for _, ep := range s.members {
+		if ep.subsetWeight != ep.index.previousWeight {
+			b.refreshPools(now, ep)
 		}
-		e.index.previousWeight = 0
+		ep.index.previousWeight = 0
 	}
 	if len(s.members) <= b.scanLimit || s.byHash {
 		slices.SortFunc(s.members, compareIDs)
 	}
 }
 
-// reportUnreached tells people when a bound on subsets leaves endpoints without any instance, and when it no longer does.
+// reportUnreached reports when a bound on subsets leaves endpoints without any instance, and when it no longer does.
 func (b *Balancer) reportUnreached() {
 	listed, reached := b.index.len(), int(b.subset.size*float64(b.settings.Instances)+0.5)
 	unreached := b.settings.MaxSubsetSize > 0 && reached < listed
@@ -261,8 +261,8 @@
 // It is for people and measurements; ejected ones are among them.
 func (b *Balancer) Subset() iter.Seq2[EndpointID, float64] {
 	return func(yield func(EndpointID, float64) bool) {
-		for _, e := range b.endpointsIn(inSubset) {
-			if e.subsetWeight > 0 && !yield(e.id, e.subsetWeight/b.weights.endpointWeight(e)) {
+		for _, ep := range b.endpointsIn(inSubset) {
+			if ep.subsetWeight > 0 && !yield(ep.id, ep.subsetWeight/b.weights.endpointWeight(ep)) {
 				return
 			}
 		}
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -52,11 +52,11 @@
 }
 
 // kindSpeed is what the service times that endpoints of its kind report say of an endpoint, beside other kinds.
-func (w *weightModel) kindSpeed(e *endpoint) float64 {
-	if !w.services.reports(e.kind) {
+func (w *weightModel) kindSpeed(ep *endpoint) float64 {
+	if !w.services.reports(ep.kind) {
 		return 1
 	}
-	return float64(w.services.reporting) / w.services.inverseSum.mean / w.services.kinds[e.kind].mean
+	return float64(w.services.reporting) / w.services.inverseSum.mean / w.services.kinds[ep.kind].mean
 }
 
 // trusted reports whether the latency of a kind rests on enough answers.
@@ -65,49 +65,49 @@
 }
 
 // kindLatencyRatio is the latency of an endpoint's kind over the fleet's; 1 while its answers are few.
-func (w *weightModel) kindLatencyRatio(e *endpoint) float64 {
-	if w.trusted(e.kind) {
-		return w.latencies[e.kind].mean
+func (w *weightModel) kindLatencyRatio(ep *endpoint) float64 {
+	if w.trusted(ep.kind) {
+		return w.latencies[ep.kind].mean
 	}
 	return 1
 }
 
 // latencyRatio is an endpoint's latency over the fleet's, drawn towards its kind's while its own answers are few.
-func (w *weightModel) latencyRatio(e *endpoint) float64 {
-	return (kindTrustSamples*w.kindLatencyRatio(e) + e.latency.samples*e.latency.mean) / (kindTrustSamples + e.latency.samples)
+func (w *weightModel) latencyRatio(ep *endpoint) float64 {
+	return (kindTrustSamples*w.kindLatencyRatio(ep) + ep.latency.samples*ep.latency.mean) / (kindTrustSamples + ep.latency.samples)
 }
 
 // endpointWeight is an endpoint's listed weight, where the list's weights tell endpoints apart, else the speed that its kind
 // reports.
-func (w *weightModel) endpointWeight(e *endpoint) float64 {
+func (w *weightModel) endpointWeight(ep *endpoint) float64 {
 	if w.useListed {
-		return e.listedWeight
+		return ep.listedWeight
 	}
-	return w.kindSpeed(e)
+	return w.kindSpeed(ep)
 }
 
 // effectiveWeight is what an endpoint can do beside others: its listed weight, less what it is slower than its kind by; where the
 // list weighs all alike, what its latency says.
-func (w *weightModel) effectiveWeight(e *endpoint) float64 {
+func (w *weightModel) effectiveWeight(ep *endpoint) float64 {
 	switch {
 	case w.useListed:
-		return e.listedWeight * w.kindLatencyRatio(e) / w.latencyRatio(e)
+		return ep.listedWeight * w.kindLatencyRatio(ep) / w.latencyRatio(ep)
 	case len(w.services.kinds) == 0:
-		return 1 / w.latencyRatio(e)
-	case e.kind >= len(w.services.kinds): // moved to a kind that has reported nothing
-		return w.kindSpeed(e)
+		return 1 / w.latencyRatio(ep)
+	case ep.kind >= len(w.services.kinds): // moved to a kind that has reported nothing
+		return w.kindSpeed(ep)
 	}
-	return w.kindSpeed(e) * w.services.kinds[e.kind].ratioTo(&e.serviceTime)
+	return w.kindSpeed(ep) * w.services.kinds[ep.kind].ratioTo(&ep.serviceTime)
 }
 
 // drawWeight is an endpoint's weight in a draw: by the part of it that is in the subset, or by its whole size for a retry that
 // has left the subset. In a large fleet an instance has so few requests in flight that the draw, not the comparison, keeps small
 // machines from getting what large ones get.
-func (w *weightModel) drawWeight(e *endpoint) float64 {
-	if e.subsetWeight > 0 {
-		return w.effectiveWeight(e) * e.subsetWeight / w.endpointWeight(e)
+func (w *weightModel) drawWeight(ep *endpoint) float64 {
+	if ep.subsetWeight > 0 {
+		return w.effectiveWeight(ep) * ep.subsetWeight / w.endpointWeight(ep)
 	}
-	return w.effectiveWeight(e)
+	return w.effectiveWeight(ep)
 }
 
 // kindDrift is how far what the draw weights of a kind's endpoints share may have moved them since they were refreshed, as a
@@ -147,41 +147,41 @@
 
 // addLatency takes an answer's latency, over the mean of its class, into that of its endpoint and of all of its kind: an endpoint
 // that is seldom called is judged by its kind.
-func (w *weightModel) addLatency(e *endpoint, ratio float64) {
-	if missing := e.kind + 1 - len(w.latencies); missing > 0 {
+func (w *weightModel) addLatency(ep *endpoint, ratio float64) {
+	if missing := ep.kind + 1 - len(w.latencies); missing > 0 {
 		w.latencies = append(w.latencies, make([]movingAverage, missing)...)
 	}
-	w.latencies[e.kind].add(ratio, kindLatencyWeight)
-	e.latency.add(ratio, endpointLatencyWeight)
+	w.latencies[ep.kind].add(ratio, kindLatencyWeight)
+	ep.latency.add(ratio, endpointLatencyWeight)
 }
 
 // recordLatency takes an answer's latency into its class's figures, the limits and the weights.
-func (b *Balancer) recordLatency(now time.Duration, c *class, e *endpoint, took time.Duration) {
+func (b *Balancer) recordLatency(now time.Duration, c *class, ep *endpoint, took time.Duration) {
 	latency := took.Seconds()
 	c.latency.add(now, b.rateWindow, latency)
 	b.concurrency.record(now, b.rateWindow, c)
-	b.recordEndpointLatency(now, e, latency/c.latency.mean)
-	b.concurrency.adaptQueue(now, b.rateWindow, e, b.weights.latencies[e.kind].mean, len(b.pending) > 0)
+	b.recordEndpointLatency(now, ep, latency/c.latency.mean)
+	b.concurrency.adaptQueue(now, b.rateWindow, ep, b.weights.latencies[ep.kind].mean, len(b.pending) > 0)
 	b.servedRate.add(now, b.rateWindow, 1)
 }
 
 // recordEndpointLatency takes an answer's latency, over the mean of its class, into the weights.
-func (b *Balancer) recordEndpointLatency(now time.Duration, e *endpoint, ratio float64) {
-	b.weights.addLatency(e, ratio)
-	b.noteDrift(now, e.kind, false)
-	b.refreshPools(now, e)
+func (b *Balancer) recordEndpointLatency(now time.Duration, ep *endpoint, ratio float64) {
+	b.weights.addLatency(ep, ratio)
+	b.noteDrift(now, ep.kind, false)
+	b.refreshPools(now, ep)
 }
 
 // recordLoadReport takes the service time that an endpoint reports into the weights. It shows how fast a machine is within an
 // answer or two; the latency of answers does not, as it holds the time of the tiers below.
-func (b *Balancer) recordLoadReport(now time.Duration, e *endpoint, l *Load) {
+func (b *Balancer) recordLoadReport(now time.Duration, ep *endpoint, l *Load) {
 	if l == nil || l.ServiceTime <= 0 {
 		return
 	}
-	b.weights.services.add(e.kind, l.ServiceTime.Seconds())
-	e.serviceTime.add(l.ServiceTime.Seconds(), serviceTimeWeight)
-	b.noteDrift(now, e.kind, true)
-	b.refreshPools(now, e)
+	b.weights.services.add(ep.kind, l.ServiceTime.Seconds())
+	ep.serviceTime.add(l.ServiceTime.Seconds(), serviceTimeWeight)
+	b.noteDrift(now, ep.kind, true)
+	b.refreshPools(now, ep)
 	if now-b.reweighedAt > b.rateWindow {
 		b.updateWeights(now)
 		b.reweighedAt = now
