--- a/internal/modules/endpointsource/membership.go
+++ b/internal/modules/endpointsource/membership.go
@@ -17,23 +17,23 @@
 	"quincegap/internal/config/schema"
 )
 
-// Endpoint is what a source says of an endpoint.
+// Endpoint is what a source says of an endpoint. The names in JSON are those of the last known list on disk.
 type Endpoint struct {
-	UID     string // the same from every source that means the same endpoint
-	Address string // host:port
-	Zone    string
-	Model   string
-	Cell    int
-	State   balancer.EndpointState // of an entry of the platform's also Unknown
-	Weight  float64
-	BootMS  int64 // latest start, Unix time in milliseconds; 0 for long ago
+	UID     string                 `json:"UID"`     // the same from every source that means the same endpoint
+	Address string                 `json:"Address"` // host:port
+	Zone    string                 `json:"Zone"`
+	Model   string                 `json:"Model"`
+	Cell    int                    `json:"Cell"`
+	State   balancer.EndpointState `json:"State"` // of an entry of the platform's also Unknown
+	Weight  float64                `json:"Weight"`
+	BootMS  int64                  `json:"BootMS"` // latest start, Unix time in milliseconds; 0 for long ago
 
 	// Only Consul's:
-	Maintenance bool    // drained by an operator, not by a check
-	Share       float64 // of the weight that it has when all is well: a warning may lower it
-	Registered  uint64  // the index of its registration: a later one is a newer process
-	NoBoot      bool    // its start is not told
-	Why         string  // why it is not ready, for people
+	Maintenance bool    `json:"Maintenance"` // drained by an operator, not by a check
+	Share       float64 `json:"Share"`       // of the weight that it has when all is well: a warning may lower it
+	Registered  uint64  `json:"Registered"`  // the index of its registration: a later one is a newer process
+	NoBoot      bool    `json:"NoBoot"`      // its start is not told
+	Why         string  `json:"Why"`         // why it is not ready, for people
 }
 
 // Unknown is the state of an entry whose state nobody knows; it is passed over.
