--- a/internal/modules/endpointsource/bench_test.go
+++ b/internal/modules/endpointsource/bench_test.go
@@ -22,14 +22,14 @@
 		return l
 	}
 	lists := [2]List{list(0), list(n)}
-	for _, mode := range []Mode{Platform, Overlay} {
+	for _, mode := range []Mode{ModePlatform, ModeOverlay} {
 		for name, others := range map[string]int{"same": 0, "others": 1} {
 			b.Run(fmt.Sprintf("%s/%s", mode, name), func(b *testing.B) {
 				m := New(Settings{Mode: mode}, nil, nil)
-				m.FromPlatform(0, lists[0])
+				m.HandlePlatformList(0, lists[0])
 				b.ReportAllocs()
 				for i := 1; b.Loop(); i++ {
-					m.FromPlatform(time.Duration(i), lists[i*others%2])
+					m.HandlePlatformList(time.Duration(i), lists[i*others%2])
 				}
 			})
 		}
--- a/internal/modules/endpointsource/feed.go
+++ b/internal/modules/endpointsource/feed.go
@@ -1,49 +1,49 @@
 package endpointsource
 
-// Origin is where a list of the platform's came from.
-type Origin int
+// ListOrigin is where a list of the platform's came from.
+type ListOrigin int
 
 // The origins of a list.
 const (
-	FromCache Origin = iota // what this sidecar knew before its start
+	FromCache ListOrigin = iota // what this sidecar knew before its start
 	FromWatch
 	FromFetch
 )
 
-// Feed judges which of the platform's lists are news. Versions count within one discovery only.
-type Feed struct {
-	Rev     uint64 // version of the list that counts
-	MustAsk bool   // discovery has to be asked, so that a watch is not begun again beside the module
-	moved   bool   // the list is another discovery's than the one that is followed now
+// VersionFilter judges which of the platform's lists are news. Versions count within one discovery only.
+type VersionFilter struct {
+	Version       uint64 // version of the list that counts
+	MustSubscribe bool   // discovery has to be asked, so that a watch is not begun again beside the module
+	switched      bool   // the list is another discovery's than the one that is followed now
 }
 
-// Move turns to another discovery: until its whole list comes, the old one's stays.
-func (f *Feed) Move() { f.moved = true }
+// SwitchDiscovery turns to another discovery: until its whole list comes, the old one's stays.
+func (f *VersionFilter) SwitchDiscovery() { f.switched = true }
 
-// Moved tells whether a whole list of another discovery is still to come.
-func (f *Feed) Moved() bool { return f.moved }
+// Switched tells whether a whole list of another discovery is still to come.
+func (f *VersionFilter) Switched() bool { return f.switched }
 
-// Place is where a watch goes on from: the version of the list, nil for the whole list.
-func (f *Feed) Place() *uint64 {
-	if f.moved {
+// WatchFrom is where a watch goes on from: the version of the list, nil for the whole list.
+func (f *VersionFilter) WatchFrom() *uint64 {
+	if f.switched {
 		return nil
 	}
-	rev := f.Rev
+	rev := f.Version
 	return &rev
 }
 
-// Take tells whether a list counts, and whether the watch is to begin again behind it.
-func (f *Feed) Take(from Origin, rev uint64, whole bool) (takes, rewatch bool) {
+// Accept tells whether a list counts, and whether the watch is to begin again behind it.
+func (f *VersionFilter) Accept(from ListOrigin, rev uint64, whole bool) (takes, rewatch bool) {
 	switch {
-	case f.moved && !whole:
+	case f.switched && !whole:
 		return false, false // changes to a list that nobody has got
-	case f.moved:
-		f.moved = false
+	case f.switched:
+		f.switched = false
 		// The watch may have brought changes before this list, that were passed over.
-		rewatch = from == FromFetch && !f.MustAsk
-	case from == FromFetch && rev < f.Rev || from == FromWatch && !whole && rev <= f.Rev:
+		rewatch = from == FromFetch && !f.MustSubscribe
+	case from == FromFetch && rev < f.Version || from == FromWatch && !whole && rev <= f.Version:
 		return false, false // older than what counts: an endpoint that left would come back
 	}
-	f.Rev = rev
+	f.Version = rev
 	return true, rewatch
 }
--- a/internal/modules/endpointsource/golden_test.go
+++ b/internal/modules/endpointsource/golden_test.go
@@ -19,7 +19,7 @@
 func TestGoldenEndpoint(t *testing.T) {
 	e := Endpoint{
 		UID: "box-1", Address: "10.0.0.7:443", Zone: "north", Model: "large", Cell: 3, State: balancer.EndpointDraining, Weight: 2.5,
-		BootMS: 1750000000123, Maintenance: true, Share: 0.25, Registered: 77, NoBoot: true, Why: "check is critical",
+		StartedMS: 1750000000123, Maintenance: true, WeightShare: 0.25, RegistrationIndex: 77, StartUnknown: true, Reason: "check is critical",
 	}
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -54,7 +54,7 @@
 // seededRun brings random reports of all sources to a Members, and writes down what it says.
 type seededRun struct {
 	rng    *rand.Rand
-	m      *Members
+	m      *Merger
 	now    time.Duration
 	known  map[string]bool // that Consul has answered with
 	output bytes.Buffer
@@ -62,7 +62,7 @@
 }
 
 func (r *seededRun) said(l List, news bool) {
-	for _, line := range r.m.Logs() {
+	for _, line := range r.m.TakeLogs() {
 		fmt.Fprintln(&r.output, "log", line)
 	}
 	if !news {
@@ -71,7 +71,7 @@
 	r.lists++
 	fmt.Fprintln(&r.output, "list", int64(r.now), int(l.Kind), l.Version)
 	for _, e := range l.Endpoints {
-		fmt.Fprintln(&r.output, e.UID, e.Address, e.Zone, e.Model, e.Cell, int(e.State), e.Weight, e.BootMS, e.Why)
+		fmt.Fprintln(&r.output, e.UID, e.Address, e.Zone, e.Model, e.Cell, int(e.State), e.Weight, e.StartedMS, e.Reason)
 	}
 }
 
@@ -79,20 +79,20 @@
 	uid := fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))
 	e := Endpoint{
 		UID: uid, Address: uid + ":1", Zone: fmt.Sprint("zone", r.rng.IntN(3)), Model: "m", Cell: r.rng.IntN(4), Weight: float64(r.rng.IntN(3)),
-		Share: []float64{1, 1, 0.5}[r.rng.IntN(3)], NoBoot: r.rng.IntN(2) == 0, BootMS: int64(r.rng.IntN(3)), Registered: uint64(r.rng.IntN(4)),
+		WeightShare: []float64{1, 1, 0.5}[r.rng.IntN(3)], StartUnknown: r.rng.IntN(2) == 0, StartedMS: int64(r.rng.IntN(3)), RegistrationIndex: uint64(r.rng.IntN(4)),
 	}
 	switch r.rng.IntN(7) {
 	case 0, 1:
-		e.State, e.Why = balancer.EndpointDraining, "critical"
+		e.State, e.Reason = balancer.EndpointDraining, "critical"
 	case 2:
-		e.State, e.Why, e.Maintenance = balancer.EndpointDraining, "maintenance", true
+		e.State, e.Reason, e.Maintenance = balancer.EndpointDraining, "maintenance", true
 	case 3:
 		if r.rng.IntN(4) == 0 {
-			e.Address, e.Why = "nowhere", "no port"
+			e.Address, e.Reason = "nowhere", "no port"
 		}
 	case 4:
 		if r.rng.IntN(4) == 0 {
-			e.State = Unknown
+			e.State = StateUnknown
 		}
 	}
 	if r.rng.IntN(6) == 0 {
@@ -112,16 +112,16 @@
 	}
 	// What a full list lacks comes in parts in the order of a map.
 	if l.Kind == balancer.ListDelta && r.rng.IntN(2) == 0 {
-		for _, part := range r.m.Parts(NewDigest(l, 2), 2) {
-			r.said(r.m.FromPlatform(r.now, part()))
+		for _, part := range r.m.Chunks(PrepareList(l, 2), 2) {
+			r.said(r.m.HandlePlatformList(r.now, part()))
 		}
 		return
 	}
-	r.said(r.m.FromPlatform(r.now, l))
+	r.said(r.m.HandlePlatformList(r.now, l))
 }
 
 func (r *seededRun) consul() {
-	a := Answer{Known: len(r.known), Doubtful: r.rng.IntN(6) == 0, UnixMS: 1000 + r.now.Milliseconds()}
+	a := ConsulAnswer{KnownBefore: len(r.known), Untrusted: r.rng.IntN(6) == 0, UnixMS: 1000 + r.now.Milliseconds()}
 	changed := map[string]bool{}
 	for range r.rng.IntN(5) {
 		e := r.endpoint()
@@ -140,7 +140,7 @@
 	for uid := range changed {
 		r.known[uid] = true
 	}
-	r.said(r.m.FromConsul(r.now, a))
+	r.said(r.m.HandleConsulAnswer(r.now, a))
 }
 
 // step is one event.
@@ -155,41 +155,41 @@
 	case 2, 3, 4, 5, 6, 12, 13:
 		r.consul()
 	case 7:
-		r.said(r.m.Heard(r.now))
+		r.said(r.m.HandleConsulUnchanged(r.now))
 	case 8:
-		r.said(r.m.Failed(r.now, fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))))
+		r.said(r.m.HandleConnectFailure(r.now, fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))))
 	case 9:
-		r.said(r.m.FromConsul(r.now, Answer{Confirmed: []string{fmt.Sprint("box-", r.rng.IntN(goldenEndpoints)), fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))}}))
+		r.said(r.m.HandleConsulAnswer(r.now, ConsulAnswer{ConfirmedMissing: []string{fmt.Sprint("box-", r.rng.IntN(goldenEndpoints)), fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))}}))
 	case 10:
 		if r.rng.IntN(40) == 0 {
-			set := *Table.Default()
-			set.Mode = []Mode{Platform, Consul, Overlay, Rehearsal}[r.rng.IntN(4)]
-			r.said(r.m.Set(r.now, set))
+			set := *SettingsTable.Default()
+			set.Mode = []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}[r.rng.IntN(4)]
+			r.said(r.m.UpdateSettings(r.now, set))
 		}
 	case 11:
 		if r.rng.IntN(20) == 0 {
-			r.m.Refollow()
+			r.m.RestartConsul()
 		}
 	}
-	if at, due := r.m.Due(); due && at <= r.now {
+	if at, due := r.m.NextTick(); due && at <= r.now {
 		r.said(r.m.Tick(r.now))
 	}
-	at, due := r.m.Due()
-	fmt.Fprintln(&r.output, int64(at), due, r.m.Doubts(), r.m.Passes())
+	at, due := r.m.NextTick()
+	fmt.Fprintln(&r.output, int64(at), due, r.m.HasUnconfirmed(), r.m.PassesThrough())
 }
 
 // The same reports have to give the same lists, logs and views, in the same order.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
-	for _, mode := range []Mode{Platform, Consul, Overlay, Rehearsal} {
+	for _, mode := range []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal} {
 		for seed := range uint64(3) {
-			set := *Table.Default()
+			set := *SettingsTable.Default()
 			set.Mode = mode
 			r := &seededRun{rng: rand.New(rand.NewPCG(seed, 3)), m: New(set, []string{"zone0"}, nil), known: map[string]bool{}}
 			for range 2000 {
 				r.step()
 			}
-			rows, err := json.Marshal(r.m.View(r.now))
+			rows, err := json.Marshal(r.m.Rows(r.now))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -203,12 +203,12 @@
 // Values that settings files, records on disk and answers to people hold.
 func TestValuesAreData(t *testing.T) {
 	for got, want := range map[any]any{
-		Platform: Mode("platform"), Consul: Mode("consul"), Overlay: Mode("overlay"), Rehearsal: Mode("rehearsal"),
-		Unknown:                              balancer.EndpointState(-1),
+		ModePlatform: Mode("platform"), ModeConsul: Mode("consul"), ModeOverlay: Mode("overlay"), ModeRehearsal: Mode("rehearsal"),
+		StateUnknown:                         balancer.EndpointState(-1),
 		StateName(balancer.EndpointReady):    "ready",
 		StateName(balancer.EndpointDraining): "draining",
 		StateName(balancer.EndpointRemoved):  "gone",
-		StateName(Unknown):                   "unknown",
+		StateName(StateUnknown):              "unknown",
 	} {
 		if got != want {
 			t.Errorf("%v, want %v", got, want)
--- a/internal/modules/endpointsource/membership_test.go
+++ b/internal/modules/endpointsource/membership_test.go
@@ -15,14 +15,14 @@
 // driver plays events into Members and keeps what the module would know.
 type driver struct {
 	t     testing.TB
-	m     *Members
+	m     *Merger
 	now   time.Duration
 	knows map[string]Endpoint // the module's list, by the lists that it was told
 	lists int
 }
 
 func drive(t testing.TB, mode Mode) *driver {
-	set := *Table.Default()
+	set := *SettingsTable.Default()
 	set.Mode = mode
 	return &driver{t: t, m: New(set, []string{"z"}, nil), knows: map[string]Endpoint{}}
 }
@@ -50,7 +50,7 @@
 // at moves to a time, with all ticks that are due on the way.
 func (d *driver) at(now time.Duration) {
 	for n := 0; ; n++ {
-		due, ok := d.m.Due()
+		due, ok := d.m.NextTick()
 		if !ok || due > now {
 			break
 		}
@@ -64,12 +64,12 @@
 }
 
 func (d *driver) platform(kind balancer.ListKind, es ...Endpoint) {
-	d.told(d.m.FromPlatform(d.now, List{Kind: kind, Endpoints: es}))
+	d.told(d.m.HandlePlatformList(d.now, List{Kind: kind, Endpoints: es}))
 }
 
-func (d *driver) consul(a Answer) {
+func (d *driver) consul(a ConsulAnswer) {
 	a.UnixMS = 1000 + d.now.Milliseconds()
-	d.told(d.m.FromConsul(d.now, a))
+	d.told(d.m.HandleConsulAnswer(d.now, a))
 }
 
 // state is what the module knows, as "a b- c": a minus for draining, a question mark for cold.
@@ -79,7 +79,7 @@
 		if e.State != balancer.EndpointReady {
 			uid += "-"
 		}
-		if e.BootMS > 0 {
+		if e.StartedMS > 0 {
 			uid += "?"
 		}
 		all = append(all, uid)
@@ -96,12 +96,12 @@
 }
 
 func ep(uid string) Endpoint {
-	return Endpoint{UID: uid, Address: uid + ":1", Weight: 1, Share: 1, NoBoot: true, Registered: 5}
+	return Endpoint{UID: uid, Address: uid + ":1", Weight: 1, WeightShare: 1, StartUnknown: true, RegistrationIndex: 5}
 }
 
 func critical(uid string) Endpoint {
 	e := ep(uid)
-	e.State, e.Why = balancer.EndpointDraining, "check is critical"
+	e.State, e.Reason = balancer.EndpointDraining, "check is critical"
 	return e
 }
 
@@ -120,10 +120,10 @@
 }
 
 func TestPlatformPassesThrough(t *testing.T) {
-	for _, mode := range []Mode{Platform, Rehearsal} {
+	for _, mode := range []Mode{ModePlatform, ModeRehearsal} {
 		d := drive(t, mode)
 		bad := ep("x")
-		bad.State = Unknown
+		bad.State = StateUnknown
 		for _, l := range []List{
 			{Kind: balancer.ListCached, Version: 3, Endpoints: eps("a", "b")},
 			{Kind: balancer.ListFull, Version: 9, Endpoints: append(eps("a", "c"), bad)},
@@ -131,16 +131,16 @@
 			{Kind: balancer.ListDelta, Version: 11, Endpoints: eps("a")},
 		} {
 			want := l
-			want.Endpoints = slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return e.State == Unknown })
-			if got, news := d.m.FromPlatform(d.now, l); !news || fmt.Sprint(got) != fmt.Sprint(want) {
+			want.Endpoints = slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return e.State == StateUnknown })
+			if got, news := d.m.HandlePlatformList(d.now, l); !news || fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Errorf("%s: %v became %v", mode, l, got)
 			}
 		}
-		if _, due := d.m.Due(); due {
+		if _, due := d.m.NextTick(); due {
 			t.Error("something is due")
 		}
 		var seen []string
-		for _, r := range d.m.View(d.now) {
+		for _, r := range d.m.Rows(d.now) {
 			seen = append(seen, r.UID+" "+r.State)
 		}
 		if got := strings.Join(seen, ","); got != "a ready,c ready" {
@@ -150,7 +150,7 @@
 }
 
 func TestConsulAlone(t *testing.T) {
-	d := drive(t, Consul)
+	d := drive(t, ModeConsul)
 	d.platform(balancer.ListCached, eps("k1", "k2")...)
 	d.want("k1 k2")
 	d.platform(balancer.ListFull, eps("p")...) // does not count
@@ -158,130 +158,130 @@
 	// The first answer: by other names at the same addresses, and all of it warm.
 	a, b, c := ep("a"), ep("b"), ep("c")
 	a.Address, b.Address = "k1:1", "k2:1"
-	d.consul(Answer{Changed: []Endpoint{a, b, c}})
+	d.consul(ConsulAnswer{Changed: []Endpoint{a, b, c}})
 	d.want("a b c")
 	d.at(1 * s)
-	d.consul(Answer{Changed: []Endpoint{{UID: "b", Address: "k2:1", State: balancer.EndpointDraining, Why: "check", NoBoot: true, Registered: 5}}, Known: 3})
+	d.consul(ConsulAnswer{Changed: []Endpoint{{UID: "b", Address: "k2:1", State: balancer.EndpointDraining, Reason: "check", StartUnknown: true, RegistrationIndex: 5}}, KnownBefore: 3})
 	d.want("a b- c")
-	d.consul(Answer{Changed: []Endpoint{ep("new")}, Missing: []string{"c"}, Known: 3})
+	d.consul(ConsulAnswer{Changed: []Endpoint{ep("new")}, Missing: []string{"c"}, KnownBefore: 3})
 	d.want("a b- new?")
-	if rows := d.m.View(d.now); len(rows) != 4 || rows[1].Why != "check" || rows[1].Consul != "draining" || rows[1].Platform != "" {
+	if rows := d.m.Rows(d.now); len(rows) != 4 || rows[1].Why != "check" || rows[1].Consul != "draining" || rows[1].Platform != "" {
 		t.Errorf("%+v", rows)
 	}
 }
 
 func TestEmptyAndHalfLists(t *testing.T) {
 	start := func() *driver {
-		d := drive(t, Consul)
-		d.consul(Answer{Changed: eps(letters(8)...)})
+		d := drive(t, ModeConsul)
+		d.consul(ConsulAnswer{Changed: eps(letters(8)...)})
 		d.at(5 * s)
 		return d
 	}
 	full := strings.Join(letters(8), " ")
 
 	d := start()
-	d.consul(Answer{Missing: letters(8), Known: 8}) // empty
+	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8}) // empty
 	d.want(full)
-	if logs := d.m.Logs(); len(logs) != 1 || !strings.Contains(logs[0], "lacks 8 of 8") {
+	if logs := d.m.TakeLogs(); len(logs) != 1 || !strings.Contains(logs[0], "lacks 8 of 8") {
 		t.Errorf("%q", logs)
 	}
-	d.consul(Answer{Changed: eps(letters(8)...), Known: 0}) // back
+	d.consul(ConsulAnswer{Changed: eps(letters(8)...), KnownBefore: 0}) // back
 	d.at(60 * s)
 	d.want(full)
 
 	d = start()
-	d.consul(Answer{Missing: letters(5), Known: 8})
+	d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
 	d.want(full)
 	d.at(8 * s)
-	d.told(d.m.Heard(d.now)) // it goes on saying so
+	d.told(d.m.HandleConsulUnchanged(d.now)) // it goes on saying so
 	d.at(14 * s)
 	d.want(full)
 	d.at(15 * s)
 	d.want("f g h")
 
 	d = start()
-	d.consul(Answer{Missing: letters(8), Known: 8})
+	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
 	d.at(500 * s) // and nothing more comes: the last good list serves
 	d.want(full)
 
 	d = start()
-	d.consul(Answer{Confirmed: letters(5)}) // of whom nothing was missing: that is no news
+	d.consul(ConsulAnswer{ConfirmedMissing: letters(5)}) // of whom nothing was missing: that is no news
 	d.want(full)
-	d.consul(Answer{Missing: letters(5), Known: 8})
-	d.consul(Answer{Confirmed: []string{"a", "b", "none"}}) // the catalogue has the others still
+	d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
+	d.consul(ConsulAnswer{ConfirmedMissing: []string{"a", "b", "none"}}) // the catalogue has the others still
 	d.want("c d e f g h")
-	d.consul(Answer{Changed: eps("c"), Known: 3})
-	d.consul(Answer{Confirmed: letters(5)})
+	d.consul(ConsulAnswer{Changed: eps("c"), KnownBefore: 3})
+	d.consul(ConsulAnswer{ConfirmedMissing: letters(5)})
 	d.want("c f g h")
 
 	// Nothing would be left: neither the catalogue nor time settles that, only the attempts do.
 	d = start()
-	d.consul(Answer{Missing: letters(8), Known: 8})
-	d.consul(Answer{Confirmed: letters(8)})
+	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+	d.consul(ConsulAnswer{ConfirmedMissing: letters(8)})
 	for range 30 {
 		d.at(d.now + 5*s)
-		d.told(d.m.Heard(d.now))
+		d.told(d.m.HandleConsulUnchanged(d.now))
 	}
 	d.want(full)
 	for _, uid := range letters(8) {
-		d.told(d.m.Failed(d.now, uid))
+		d.told(d.m.HandleConnectFailure(d.now, uid))
 	}
 	d.want("")
 
 	d = start()
-	d.consul(Answer{Missing: letters(8), Known: 8})
-	d.told(d.m.Failed(d.now, "c")) // attempts agree, one by one
-	d.told(d.m.Failed(d.now, "none"))
+	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+	d.told(d.m.HandleConnectFailure(d.now, "c")) // attempts agree, one by one
+	d.told(d.m.HandleConnectFailure(d.now, "none"))
 	d.want("a b d e f g h")
 
 	d = start()
-	d.consul(Answer{Missing: []string{"a"}, Known: 8, Doubtful: true}) // no leader
+	d.consul(ConsulAnswer{Missing: []string{"a"}, KnownBefore: 8, Untrusted: true}) // no leader
 	d.want(full)
-	d.consul(Answer{Missing: []string{"b"}, Known: 7})
+	d.consul(ConsulAnswer{Missing: []string{"b"}, KnownBefore: 7})
 	d.want("c d e f g h")
 
 	// A list that melts away in steps is doubted once the steps are too much together.
 	d = start()
-	d.consul(Answer{Missing: []string{"a", "b", "c"}, Known: 8})
+	d.consul(ConsulAnswer{Missing: []string{"a", "b", "c"}, KnownBefore: 8})
 	d.want("d e f g h")
-	d.consul(Answer{Missing: []string{"d", "e", "f"}, Known: 5})
+	d.consul(ConsulAnswer{Missing: []string{"d", "e", "f"}, KnownBefore: 5})
 	d.want("d e f g h")
 }
 
 func TestAllCriticalGoesOn(t *testing.T) {
-	d := drive(t, Consul)
-	d.consul(Answer{Changed: eps("a", "b", "c")})
+	d := drive(t, ModeConsul)
+	d.consul(ConsulAnswer{Changed: eps("a", "b", "c")})
 	d.at(s)
-	d.consul(Answer{Changed: []Endpoint{critical("a"), critical("b")}, Known: 3})
+	d.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), critical("b")}, KnownBefore: 3})
 	d.want("a- b- c")
 	m := critical("b")
 	m.Maintenance = true
-	d.consul(Answer{Changed: []Endpoint{critical("c"), m}, Known: 3})
+	d.consul(ConsulAnswer{Changed: []Endpoint{critical("c"), m}, KnownBefore: 3})
 	d.want("a b- c") // but not what an operator has taken out
 	d.at(2 * s)
-	d.consul(Answer{Changed: eps("a"), Known: 3})
+	d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 3})
 	d.want("a b- c-")
 }
 
 // A first answer without anybody neither ends the last known list nor makes an empty one.
 func TestFirstAnswerIsEmpty(t *testing.T) {
-	d := drive(t, Consul)
+	d := drive(t, ModeConsul)
 	d.platform(balancer.ListCached, eps("k")...)
 	lists := d.lists
-	d.consul(Answer{})
-	d.told(d.m.Heard(d.now))
+	d.consul(ConsulAnswer{})
+	d.told(d.m.HandleConsulUnchanged(d.now))
 	d.at(100 * s)
 	d.want("k")
 	if d.lists != lists {
 		t.Error("an empty list was told")
 	}
-	d.consul(Answer{Changed: eps("a", "b")})
+	d.consul(ConsulAnswer{Changed: eps("a", "b")})
 	d.want("a b")
 }
 
 func TestFlappingCheck(t *testing.T) {
-	d := drive(t, Consul)
-	d.consul(Answer{Changed: eps("a", "b")})
+	d := drive(t, ModeConsul)
+	d.consul(ConsulAnswer{Changed: eps("a", "b")})
 	readyFor, was := time.Duration(0), time.Duration(0)
 	returns := 0
 	for i := range 300 { // a minute, a change every 200 ms
@@ -292,12 +292,12 @@
 		was = d.now
 		bad := d.knows["a"].State != balancer.EndpointReady
 		if i%2 == 0 {
-			d.consul(Answer{Changed: []Endpoint{critical("a")}, Known: 2})
+			d.consul(ConsulAnswer{Changed: []Endpoint{critical("a")}, KnownBefore: 2})
 			if d.knows["a"].State == balancer.EndpointReady {
 				t.Fatal("bad news waited")
 			}
 		} else {
-			d.consul(Answer{Changed: eps("a"), Known: 2})
+			d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 2})
 		}
 		if bad && d.knows["a"].State == balancer.EndpointReady {
 			returns++
@@ -306,57 +306,57 @@
 	if returns != 2 {
 		t.Errorf("%d returns at once, want the 2 free ones", returns)
 	}
-	d.consul(Answer{Changed: eps("a"), Known: 2})
+	d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 2})
 	d.at(d.now + 31*s) // calm: it is back after the longest hold
 	if d.knows["a"].State != balancer.EndpointReady {
 		t.Error("it never comes back")
 	}
-	if len(d.m.members["a"].returns) > 3 {
-		t.Errorf("%d returns are kept", len(d.m.members["a"].returns))
+	if len(d.m.entries["a"].recoveries) > 3 {
+		t.Errorf("%d returns are kept", len(d.m.entries["a"].recoveries))
 	}
 }
 
 func TestColdStarts(t *testing.T) {
-	d := drive(t, Consul)
-	d.consul(Answer{Changed: eps("a", "b", "c", "d")})
+	d := drive(t, ModeConsul)
+	d.consul(ConsulAnswer{Changed: eps("a", "b", "c", "d")})
 	d.want("a b c d")
 	d.at(s)
 	moved, anew, told := ep("a"), ep("b"), ep("e")
 	moved.Address = "elsewhere:1"
-	anew.Registered = 9
-	told.NoBoot, told.BootMS = false, 7
-	d.consul(Answer{Changed: []Endpoint{moved, anew, critical("c"), critical("d"), told}, Known: 4})
+	anew.RegistrationIndex = 9
+	told.StartUnknown, told.StartedMS = false, 7
+	d.consul(ConsulAnswer{Changed: []Endpoint{moved, anew, critical("c"), critical("d"), told}, KnownBefore: 4})
 	d.want("a? b? c- d- e?")
-	if d.knows["e"].BootMS != 7 || d.knows["a"].BootMS != 2000 {
-		t.Errorf("starts %v %v", d.knows["e"].BootMS, d.knows["a"].BootMS)
+	if d.knows["e"].StartedMS != 7 || d.knows["a"].StartedMS != 2000 {
+		t.Errorf("starts %v %v", d.knows["e"].StartedMS, d.knows["a"].StartedMS)
 	}
 	d.at(2 * s)
-	d.consul(Answer{Changed: eps("c"), Known: 5}) // 1 s of critical is no restart
+	d.consul(ConsulAnswer{Changed: eps("c"), KnownBefore: 5}) // 1 s of critical is no restart
 	d.at(4 * s)
-	d.consul(Answer{Changed: eps("d"), Known: 5}) // 3 s may be
+	d.consul(ConsulAnswer{Changed: eps("d"), KnownBefore: 5}) // 3 s may be
 	d.want("a? b? c d? e?")
 }
 
 func TestOneAddressTwice(t *testing.T) {
-	d := drive(t, Consul)
+	d := drive(t, ModeConsul)
 	old, fresh := ep("old"), ep("fresh")
-	old.Address, fresh.Address, fresh.Registered = "x:1", "x:1", 9
-	d.consul(Answer{Changed: []Endpoint{old, ep("other")}})
+	old.Address, fresh.Address, fresh.RegistrationIndex = "x:1", "x:1", 9
+	d.consul(ConsulAnswer{Changed: []Endpoint{old, ep("other")}})
 	d.at(s)
-	d.consul(Answer{Changed: []Endpoint{fresh}, Known: 2})
+	d.consul(ConsulAnswer{Changed: []Endpoint{fresh}, KnownBefore: 2})
 	d.want("fresh? old- other")
-	d.consul(Answer{Missing: []string{"fresh"}, Known: 3})
+	d.consul(ConsulAnswer{Missing: []string{"fresh"}, KnownBefore: 3})
 	d.want("old other")
 }
 
 // Ids and addresses are swapped between two instances in one answer.
 func TestSwappedAddresses(t *testing.T) {
-	d := drive(t, Consul)
-	d.consul(Answer{Changed: eps("a", "b", "c")})
+	d := drive(t, ModeConsul)
+	d.consul(ConsulAnswer{Changed: eps("a", "b", "c")})
 	d.at(s)
 	a, b := ep("a"), ep("b")
 	a.Address, b.Address = b.Address, a.Address
-	d.consul(Answer{Changed: []Endpoint{a, b}, Known: 3})
+	d.consul(ConsulAnswer{Changed: []Endpoint{a, b}, KnownBefore: 3})
 	d.want("a? b? c")
 	if d.knows["a"].Address != "b:1" || d.knows["b"].Address != "a:1" {
 		t.Errorf("%+v", d.knows)
@@ -364,14 +364,14 @@
 }
 
 func TestOverlay(t *testing.T) {
-	d := drive(t, Overlay)
+	d := drive(t, ModeOverlay)
 	draining := ep("d")
 	draining.State = balancer.EndpointDraining
 	d.platform(balancer.ListFull, append(eps("a", "b", "c"), draining)...)
 	d.want("a b c d-")
 	warn := ep("c")
-	warn.Share, warn.Why = 0.25, "warns"
-	d.consul(Answer{Changed: []Endpoint{critical("a"), ep("b"), warn, ep("d"), ep("only consul")}})
+	warn.WeightShare, warn.Reason = 0.25, "warns"
+	d.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), ep("b"), warn, ep("d"), ep("only consul")}})
 	d.want("a- b c d-")
 	if d.knows["c"].Weight != 0.25 {
 		t.Errorf("weight %v", d.knows["c"].Weight)
@@ -384,65 +384,65 @@
 	d.want("a- c d-")
 	d.at(60 * s) // Consul is silent: its bad news hold no more
 	d.want("a c d-")
-	d.told(d.m.Heard(d.now))
+	d.told(d.m.HandleConsulUnchanged(d.now))
 	d.want("a- c d-")
 	// The platform's list is the set, whatever Consul lacks.
-	d.consul(Answer{Missing: []string{"c"}, Known: 5})
+	d.consul(ConsulAnswer{Missing: []string{"c"}, KnownBefore: 5})
 	d.want("a- c d-")
 }
 
 func TestRehearsal(t *testing.T) {
-	d := drive(t, Rehearsal)
+	d := drive(t, ModeRehearsal)
 	d.platform(balancer.ListFull, eps("a", "b")...)
-	d.consul(Answer{Changed: []Endpoint{ep("a"), critical("b"), ep("z")}})
+	d.consul(ConsulAnswer{Changed: []Endpoint{ep("a"), critical("b"), ep("z")}})
 	d.want("a b")
-	logs := strings.Join(d.m.Logs(), "\n")
+	logs := strings.Join(d.m.TakeLogs(), "\n")
 	if !strings.Contains(logs, "b: the platform has it ready, consul draining check is critical") || !strings.Contains(logs, "z: only consul lists it") || strings.Contains(logs, "a:") {
 		t.Error(logs)
 	}
-	d.consul(Answer{Changed: eps("b"), Missing: []string{"z"}, Known: 3})
-	if logs = strings.Join(d.m.Logs(), "\n"); !strings.Contains(logs, "b: both agree again") {
+	d.consul(ConsulAnswer{Changed: eps("b"), Missing: []string{"z"}, KnownBefore: 3})
+	if logs = strings.Join(d.m.TakeLogs(), "\n"); !strings.Contains(logs, "b: both agree again") {
 		t.Error(logs)
 	}
-	if d.consul(Answer{Changed: eps("b"), Known: 2}); len(d.m.Logs()) > 0 {
+	if d.consul(ConsulAnswer{Changed: eps("b"), KnownBefore: 2}); len(d.m.TakeLogs()) > 0 {
 		t.Error("the same again")
 	}
 }
 
 func TestModeChanges(t *testing.T) {
-	d := drive(t, Platform)
+	d := drive(t, ModePlatform)
 	d.platform(balancer.ListFull, eps("a", "b")...)
-	set := *Table.Default()
+	set := *SettingsTable.Default()
 	change := func(mode Mode) {
 		set.Mode = mode
-		d.told(d.m.Set(d.now, set))
+		d.told(d.m.UpdateSettings(d.now, set))
 	}
-	change(Consul)
+	change(ModeConsul)
 	d.want("a b") // until Consul answers
 	x, y := ep("x"), ep("y")
 	x.Address, y.Address = "a:1", "b:1"
-	d.consul(Answer{Changed: []Endpoint{x, y}})
+	d.consul(ConsulAnswer{Changed: []Endpoint{x, y}})
 	d.want("x y")
-	change(Overlay)
+	change(ModeOverlay)
 	d.want("a b")
-	d.consul(Answer{Changed: []Endpoint{critical("a"), ep("b")}})
+	d.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), ep("b")}})
 	d.want("a- b")
-	change(Platform)
+	change(ModePlatform)
 	d.want("a b")
-	if len(d.m.Logs()) != 3 {
+	if len(d.m.TakeLogs()) != 3 {
 		t.Error("changes are not logged")
 	}
 	// Another service under the same mode: what it lacks is measured by the one before.
-	change(Consul)
-	d.consul(Answer{Changed: eps("a", "b")})
-	d.m.Refollow()
-	d.consul(Answer{Changed: eps("a", "c")})
+	change(ModeConsul)
+	d.consul(ConsulAnswer{Changed: eps("a", "b")})
+	d.m.RestartConsul()
+	d.consul(ConsulAnswer{Changed: eps("a", "c")})
 	d.want("a c") // one of two is not doubted, and a first answer is warm
 }
 
 // What went is forgotten: ids without end leave nothing.
 func TestForgets(t *testing.T) {
-	for _, mode := range []Mode{Platform, Consul, Overlay, Rehearsal} {
+	for _, mode := range []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal} {
 		d := drive(t, mode)
 		var before string
 		for i := range 10000 {
@@ -452,23 +452,23 @@
 			gone.State = balancer.EndpointRemoved
 			if i == 0 {
 				d.platform(balancer.ListDelta, ep(uid))
-				d.consul(Answer{Changed: eps(uid, "stays", "stays2")})
+				d.consul(ConsulAnswer{Changed: eps(uid, "stays", "stays2")})
 			} else {
 				d.platform(balancer.ListDelta, ep(uid), gone)
-				d.consul(Answer{Changed: eps(uid, "stays", "stays2"), Missing: []string{before}, Known: 3})
+				d.consul(ConsulAnswer{Changed: eps(uid, "stays", "stays2"), Missing: []string{before}, KnownBefore: 3})
 			}
 			before = uid
 		}
-		if n := len(d.m.members) + len(d.m.byAddr) + len(d.m.held) + len(d.m.lacking) + len(d.m.diverged); n > 20 {
+		if n := len(d.m.entries) + len(d.m.byAddress) + len(d.m.heldDown) + len(d.m.missing) + len(d.m.differences); n > 20 {
 			t.Errorf("%s: %d are kept", mode, n)
 		}
 	}
 }
 
 func TestFeed(t *testing.T) {
-	f := Feed{}
+	f := VersionFilter{}
 	for i, c := range []struct {
-		from           Origin
+		from           ListOrigin
 		rev            uint64
 		whole          bool
 		takes, rewatch bool
@@ -480,18 +480,18 @@
 		{FromFetch, 6, true, true, false},
 		{FromWatch, 1, true, true, false}, // a whole list of the watch counts anyhow
 	} {
-		if takes, rewatch := f.Take(c.from, c.rev, c.whole); takes != c.takes || rewatch != c.rewatch {
+		if takes, rewatch := f.Accept(c.from, c.rev, c.whole); takes != c.takes || rewatch != c.rewatch {
 			t.Errorf("%d: %v %v", i, takes, rewatch)
 		}
 	}
-	f.Move()
-	if f.Place() != nil {
+	f.SwitchDiscovery()
+	if f.WatchFrom() != nil {
 		t.Error("it goes on from another discovery's version")
 	}
-	if takes, _ := f.Take(FromWatch, 9, false); takes || !f.Moved() {
+	if takes, _ := f.Accept(FromWatch, 9, false); takes || !f.Switched() {
 		t.Error("changes to a list that nobody has")
 	}
-	if takes, rewatch := f.Take(FromFetch, 0, true); !takes || !rewatch || f.Moved() || *f.Place() != 0 {
+	if takes, rewatch := f.Accept(FromFetch, 0, true); !takes || !rewatch || f.Switched() || *f.WatchFrom() != 0 {
 		t.Error("the whole list does not count")
 	}
 }
@@ -500,11 +500,11 @@
 // changed it.
 func TestUnusableEntries(t *testing.T) {
 	none, noUID, unknown := ep("none"), ep(""), ep("unknown")
-	none.Address, unknown.State, unknown.Why = "nowhere", Unknown, "Melting"
-	d := drive(t, Platform)
+	none.Address, unknown.State, unknown.Reason = "nowhere", StateUnknown, "Melting"
+	d := drive(t, ModePlatform)
 	d.platform(balancer.ListFull, ep("a"), none, noUID, unknown)
 	d.want("a")
-	logs := strings.Join(d.m.Logs(), "\n")
+	logs := strings.Join(d.m.TakeLogs(), "\n")
 	for _, want := range []string{`"none" passed over: state "ready", endpoint "nowhere"`, `"" passed over`, `state "Melting"`} {
 		if !strings.Contains(logs, want) {
 			t.Errorf("%s lacks %s", logs, want)
@@ -519,25 +519,25 @@
 	d.want("a-")
 
 	// The names of zones and of models are bounded, over all sources and for good.
-	d = drive(t, Consul)
+	d = drive(t, ModeConsul)
 	var all []Endpoint
-	for n := range mostNames + 10 {
+	for n := range maxNames + 10 {
 		e := ep(fmt.Sprintf("e%03d", n))
 		e.Zone = fmt.Sprint("zone ", n)
 		all = append(all, e)
 	}
-	d.consul(Answer{Changed: all})
-	if len(d.knows) != mostNames-1 { // one is the settings'
+	d.consul(ConsulAnswer{Changed: all})
+	if len(d.knows) != maxNames-1 { // one is the settings'
 		t.Errorf("%d are known", len(d.knows))
 	}
 	moved := all[0]
 	moved.Zone = "one more"
-	d.consul(Answer{Changed: []Endpoint{moved}, Known: len(all)})
+	d.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
 	if e, ok := d.knows[moved.UID]; ok {
 		t.Errorf("it goes on as %+v though it is elsewhere", e)
 	}
 	moved.Zone = "z"
-	d.consul(Answer{Changed: []Endpoint{moved}, Known: len(all)})
+	d.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
 	if _, ok := d.knows[moved.UID]; !ok {
 		t.Error("it came back and is not known")
 	}
--- a/internal/modules/endpointsource/model_test.go
+++ b/internal/modules/endpointsource/model_test.go
@@ -23,7 +23,7 @@
 // the rules hold as they are stated, whatever came.
 func TestAgainstSlowReference(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		mode := rapid.SampledFrom([]Mode{Consul, Overlay, Platform, Rehearsal}).Draw(rt, "mode")
+		mode := rapid.SampledFrom([]Mode{ModeConsul, ModeOverlay, ModePlatform, ModeRehearsal}).Draw(rt, "mode")
 		fast, slow := drive(t, mode), drive(t, mode)
 		w := world{map[string]Endpoint{}, map[string]Endpoint{}, map[string]bool{}}
 		uids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
@@ -32,32 +32,32 @@
 			e := ep(uids.Draw(rt, "uid"))
 			switch rapid.IntRange(0, 5).Draw(rt, "state") {
 			case 0, 1:
-				e.State, e.Why = balancer.EndpointDraining, "critical"
+				e.State, e.Reason = balancer.EndpointDraining, "critical"
 			case 2:
-				e.State, e.Why, e.Maintenance = balancer.EndpointDraining, "maintenance", true
+				e.State, e.Reason, e.Maintenance = balancer.EndpointDraining, "maintenance", true
 			}
 			if rapid.IntRange(0, 4).Draw(rt, "moves") == 0 {
 				e.Address = uids.Draw(rt, "address") + ":1"
 			}
 			if rapid.IntRange(0, 4).Draw(rt, "anew") == 0 {
 				registered++
-				e.Registered = registered
+				e.RegistrationIndex = registered
 			}
 			return e
 		}
 		// both plays an event on both, the slow one looking at everything.
 		both := func(event func(d *driver)) {
 			event(fast)
-			slow.m.stale = true
+			slow.m.allDirty = true
 			event(slow)
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "events") {
 			now := fast.now + time.Duration(rapid.SampledFrom([]int{0, 1, 100, 1000, 3000, 12000, 70000}).Draw(rt, "ms"))*time.Millisecond
 			fast.at(now)
 			// The slow one ticks as often, each time with a look at everything.
-			for due, ok := slow.m.Due(); ok && due <= now; due, ok = slow.m.Due() {
+			for due, ok := slow.m.NextTick(); ok && due <= now; due, ok = slow.m.NextTick() {
 				slow.now = max(slow.now, due)
-				slow.m.stale = true
+				slow.m.allDirty = true
 				slow.told(slow.m.Tick(slow.now))
 			}
 			slow.now = now
@@ -87,7 +87,7 @@
 				}
 				both(func(d *driver) { d.platform(balancer.ListFull, all...) })
 			case 2, 3:
-				a := Answer{Known: len(w.consul), Doubtful: rapid.IntRange(0, 5).Draw(rt, "doubtful") == 0}
+				a := ConsulAnswer{KnownBefore: len(w.consul), Untrusted: rapid.IntRange(0, 5).Draw(rt, "doubtful") == 0}
 				changed := map[string]bool{}
 				for range rapid.IntRange(0, 4).Draw(rt, "changed") {
 					if e := draw(); !changed[e.UID] {
@@ -108,17 +108,17 @@
 				}
 				both(func(d *driver) { d.consul(a) })
 			case 4:
-				if fast.m.heard {
-					both(func(d *driver) { d.told(d.m.Heard(d.now)) })
+				if fast.m.consulAnswered {
+					both(func(d *driver) { d.told(d.m.HandleConsulUnchanged(d.now)) })
 				}
 			case 7:
 				if gone := slices.Sorted(maps.Keys(w.lacked)); len(gone) > 0 {
 					gone = gone[:rapid.IntRange(1, len(gone)).Draw(rt, "confirmed")]
-					both(func(d *driver) { d.consul(Answer{Confirmed: gone}) })
+					both(func(d *driver) { d.consul(ConsulAnswer{ConfirmedMissing: gone}) })
 				}
 			case 5:
 				uid := uids.Draw(rt, "failed")
-				both(func(d *driver) { d.told(d.m.Failed(d.now, uid)) })
+				both(func(d *driver) { d.told(d.m.HandleConnectFailure(d.now, uid)) })
 			}
 			if got, want := fmt.Sprint(fast.knows), fmt.Sprint(slow.knows); got != want {
 				rt.Fatalf("step by step the module knows\n%s\na look at everything gives\n%s", got, want)
@@ -128,7 +128,7 @@
 	})
 }
 
-// judge holds what the module knows against what was said.
+// evaluate holds what the module knows against what was said.
 func (w *world) judge(rt *rapid.T, mode Mode, d *driver) {
 	ready := 0
 	for _, e := range d.knows {
@@ -143,18 +143,18 @@
 		p, inPlatform := w.platform[uid]
 		c, inConsul := w.consul[uid]
 		switch mode {
-		case Platform, Rehearsal:
+		case ModePlatform, ModeRehearsal:
 			if !inPlatform || p.State != balancer.EndpointReady {
 				rt.Fatalf("%s gets work, but the platform says no", uid)
 			}
-		case Overlay:
+		case ModeOverlay:
 			if !inPlatform || p.State != balancer.EndpointReady {
 				rt.Fatalf("%s gets work, but the platform says no", uid)
 			}
-			if inConsul && c.Maintenance && !d.m.expired {
+			if inConsul && c.Maintenance && !d.m.consulExpired {
 				rt.Fatalf("%s gets work in maintenance", uid)
 			}
-		case Consul:
+		case ModeConsul:
 			if inConsul && c.Maintenance {
 				rt.Fatalf("%s gets work in maintenance", uid)
 			}
@@ -177,15 +177,15 @@
 	// Nobody gets work: then nobody could.
 	for uid, c := range w.consul {
 		p, inPlatform := w.platform[uid]
-		able := mode == Consul && d.m.heard && !c.Maintenance || mode == Overlay && inPlatform && p.State == balancer.EndpointReady && !c.Maintenance
-		if able && mode == Consul {
+		able := mode == ModeConsul && d.m.consulAnswered && !c.Maintenance || mode == ModeOverlay && inPlatform && p.State == balancer.EndpointReady && !c.Maintenance
+		if able && mode == ModeConsul {
 			// Another one at its address may be in maintenance and newer.
 			for other, o := range w.consul {
 				if other != uid && o.Address == c.Address {
 					able = false
 				}
 			}
-			for other, m := range d.m.members {
+			for other, m := range d.m.entries {
 				if other != uid && m.consul != nil && m.consul.Address == c.Address {
 					able = false
 				}
--- a/internal/modules/endpointsource/parts_test.go
+++ b/internal/modules/endpointsource/parts_test.go
@@ -14,13 +14,13 @@
 // The parts of a list say together what the list says, in whatever mode, and bad news first.
 func TestPartsSayWhatTheListSays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		mode := rapid.SampledFrom([]Mode{Platform, Overlay, Rehearsal}).Draw(t, "mode")
+		mode := rapid.SampledFrom([]Mode{ModePlatform, ModeOverlay, ModeRehearsal}).Draw(t, "mode")
 		entry := rapid.Custom(func(t *rapid.T) Endpoint {
 			n := rapid.IntRange(0, 30).Draw(t, "uid")
 			return Endpoint{
 				UID: fmt.Sprintf("box-%08x", n), Address: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.1:2", "nowhere"}).Draw(t, "address"),
-				Zone: "a", Model: "m", Cell: n / 2, Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight")), BootMS: rapid.Int64Range(0, 2).Draw(t, "boot"),
-				State: rapid.SampledFrom([]balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved, Unknown}).Draw(t, "state"),
+				Zone: "a", Model: "m", Cell: n / 2, Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight")), StartedMS: rapid.Int64Range(0, 2).Draw(t, "boot"),
+				State: rapid.SampledFrom([]balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved, StateUnknown}).Draw(t, "state"),
 			}
 		})
 		list := rapid.Custom(func(t *rapid.T) List {
@@ -30,8 +30,8 @@
 			}
 		})
 		atOnce, inParts := New(Settings{Mode: mode}, nil, nil), New(Settings{Mode: mode}, nil, nil)
-		said := func(m *Members, got map[string]Endpoint, l List) {
-			out, news := m.FromPlatform(time.Second, l)
+		said := func(m *Merger, got map[string]Endpoint, l List) {
+			out, news := m.HandlePlatformList(time.Second, l)
 			if !news {
 				return
 			}
@@ -48,7 +48,7 @@
 		const most = 5
 		for _, l := range rapid.SliceOfN(list, 1, 4).Draw(t, "lists") {
 			said(atOnce, x, l)
-			parts := inParts.Parts(NewDigest(l, most), most)
+			parts := inParts.Chunks(PrepareList(l, most), most)
 			good := false
 			for _, part := range parts {
 				p := part()
@@ -63,7 +63,7 @@
 				said(inParts, y, p)
 			}
 			for uid, e := range x {
-				if o, ok := y[uid]; !ok || !sameWord(&e, &o) {
+				if o, ok := y[uid]; !ok || !sameVerdict(&e, &o) {
 					t.Fatalf("%s: %+v at once, %+v in parts", uid, e, o)
 				}
 			}
@@ -75,24 +75,24 @@
 }
 
 func TestShortListsStayAsTheyAre(t *testing.T) {
-	m := New(Settings{Mode: Platform}, nil, nil)
+	m := New(Settings{Mode: ModePlatform}, nil, nil)
 	long := List{Kind: balancer.ListFull}
 	for i := range 9 {
 		long.Endpoints = append(long.Endpoints, Endpoint{UID: fmt.Sprint(i), Address: "127.0.0.1:1"})
 	}
-	if parts := m.Parts(NewDigest(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
+	if parts := m.Chunks(PrepareList(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
 		t.Error("the first list is taken apart")
 	}
-	m.FromPlatform(0, long)
+	m.HandlePlatformList(0, long)
 	cached := long
 	cached.Kind = balancer.ListCached
-	if parts := m.Parts(NewDigest(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListCached {
+	if parts := m.Chunks(PrepareList(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListCached {
 		t.Error("a list from before is taken apart")
 	}
-	if parts := m.Parts(NewDigest(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
+	if parts := m.Chunks(PrepareList(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
 		t.Error("a short list is taken apart")
 	}
-	if parts := m.Parts(NewDigest(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.ListDelta {
+	if parts := m.Chunks(PrepareList(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.ListDelta {
 		t.Errorf("%d parts", len(parts))
 	}
 }
--- a/internal/modules/endpointsource/sift.go
+++ b/internal/modules/endpointsource/sift.go
@@ -7,36 +7,36 @@
 	"quincegap/internal/balancer"
 )
 
-// mostNames bounds the zones, and the models, that sources may bring: the decision module keeps something for
+// maxNames bounds the zones, and the models, that sources may bring: the decision module keeps something for
 // each, for the life of the process.
-const mostNames = 256
+const maxNames = 256
 
-// names are those of one sort that are in use.
-type names map[string]bool
+// nameSet are those of one sort that are in use.
+type nameSet map[string]bool
 
-func newNames(known []string) names {
-	n := names{}
+func newNames(known []string) nameSet {
+	n := nameSet{}
 	for _, name := range known {
 		n[name] = true
 	}
 	return n
 }
 
-// has takes a name in, unless there are too many.
-func (n names) has(name string) bool {
+// admit takes a name in, unless there are too many.
+func (n nameSet) admit(name string) bool {
 	if n[name] {
 		return true
 	}
-	if len(n) >= mostNames {
+	if len(n) >= maxNames {
 		return false
 	}
 	n[name] = true
 	return true
 }
 
-// sound tells whether an entry is one, whatever else is known. One that gets no work needs no address.
-func (e *Endpoint) sound() bool {
-	if e.UID == "" || e.State == Unknown {
+// wellFormed tells whether an entry is one, whatever else is known. One that gets no work needs no address.
+func (e *Endpoint) wellFormed() bool {
+	if e.UID == "" || e.State == StateUnknown {
 		return false
 	}
 	_, _, err := net.SplitHostPort(e.Address)
@@ -44,13 +44,13 @@
 }
 
 // usable tells whether the decision module can be told of an endpoint.
-func (m *Members) usable(e *Endpoint) bool {
-	return e.sound() && m.zones.has(e.Zone) && m.models.has(e.Model)
+func (m *Merger) usable(e *Endpoint) bool {
+	return e.wellFormed() && m.zones.admit(e.Zone) && m.models.admit(e.Model)
 }
 
-// sift passes over entries that cannot be used; what was known of them by the list before stays if this one
+// filterUsable passes over entries that cannot be used; what was known of them by the list before stays if this one
 // only tells of changes.
-func (m *Members) sift(source string, all []Endpoint) []Endpoint {
+func (m *Merger) filterUsable(source string, all []Endpoint) []Endpoint {
 	for n := range all {
 		if m.usable(&all[n]) {
 			continue
@@ -62,7 +62,7 @@
 				continue
 			}
 			m.logf("%s: entry %q passed over: state %q, endpoint %q, az %q, model %q", source, e.UID,
-				cmp.Or(e.Why, StateName(e.State)), e.Address, e.Zone, e.Model)
+				cmp.Or(e.Reason, StateName(e.State)), e.Address, e.Zone, e.Model)
 		}
 		return good
 	}
--- a/internal/network/consul/consul_test.go
+++ b/internal/network/consul/consul_test.go
@@ -61,7 +61,7 @@
 		}
 		var e endpointsource.Endpoint
 		new(Settings).health(&i, &e)
-		if e.State != c.state || e.Weight != c.weight || e.Share != c.share || e.Maintenance != c.maintenance || e.Why != c.why {
+		if e.State != c.state || e.Weight != c.weight || e.WeightShare != c.share || e.Maintenance != c.maintenance || e.Reason != c.why {
 			t.Errorf("%v: got %+v", c.checks, e)
 		}
 	}
@@ -84,7 +84,7 @@
 		}
 		e, got := s.endpoint(&i, true)
 		if got == "" {
-			got = fmt.Sprint(e.UID, " ", e.Address, " ", e.Zone, " ", e.Model, " ", e.Cell, " ", e.BootMS, " ", e.NoBoot)
+			got = fmt.Sprint(e.UID, " ", e.Address, " ", e.Zone, " ", e.Model, " ", e.Cell, " ", e.StartedMS, " ", e.StartUnknown)
 		}
 		if got != want {
 			t.Errorf("%s: got %q, want %q", text, got, want)
@@ -113,7 +113,7 @@
 	agents  []*standin.Server
 	events  chan func()
 	known   map[string]endpointsource.Endpoint
-	answers []endpointsource.Answer
+	answers []endpointsource.ConsulAnswer
 	heard   int
 	stop    func()
 }
@@ -131,13 +131,13 @@
 	if change != nil {
 		change(&s)
 	}
-	w, err := New(s, endpointsource.Consul, func(p string) string { return p })
+	w, err := New(s, endpointsource.ModeConsul, func(p string) string { return p })
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.back = 50 * time.Millisecond
 	r := &rig{t: t, agents: agents, events: make(chan func(), 1000), known: map[string]endpointsource.Endpoint{}}
-	w.Tell = func(a endpointsource.Answer) {
+	w.Tell = func(a endpointsource.ConsulAnswer) {
 		r.events <- func() {
 			r.answers = append(r.answers, a)
 			for _, e := range a.Changed {
@@ -227,7 +227,7 @@
 	r.knows("a", "b", "c")
 	a.Update(func(all []standin.Instance) []standin.Instance { return all[1:] })
 	r.knows("b", "c")
-	if last := r.answers[len(r.answers)-1]; len(last.Changed) != 0 || len(last.Missing) != 1 || last.Known != 3 || len(last.Confirmed) > 0 {
+	if last := r.answers[len(r.answers)-1]; len(last.Changed) != 0 || len(last.Missing) != 1 || last.KnownBefore != 3 || len(last.ConfirmedMissing) > 0 {
 		t.Errorf("%+v", last)
 	}
 	r.until("an answer with nothing new", func() bool { return r.heard > 0 })
@@ -293,12 +293,12 @@
 			r.until("fewer", func() bool { return len(r.known) < 7 })
 			confirmed := func() (n int) {
 				for _, x := range r.answers {
-					n += len(x.Confirmed)
+					n += len(x.ConfirmedMissing)
 				}
 				return n
 			}
 			for _, x := range r.answers {
-				if len(x.Missing) > 0 && (x.Doubtful != c.doubtful || x.Known != 7) {
+				if len(x.Missing) > 0 && (x.Untrusted != c.doubtful || x.KnownBefore != 7) {
 					t.Errorf("%+v", x)
 				}
 			}
@@ -336,7 +336,7 @@
 	a.Set(standin.Fault{Half: true, CatalogKnows: true})
 	r.knows("a", "b", "c")
 	r.until("a held question", func() bool { _, n := a.Asked(); return n >= 2 })
-	if last := r.answers[len(r.answers)-1]; len(last.Confirmed) > 0 {
+	if last := r.answers[len(r.answers)-1]; len(last.ConfirmedMissing) > 0 {
 		t.Errorf("%+v", last)
 	}
 	_, before := a.Asked()
@@ -346,7 +346,7 @@
 	r.until("two are gone", func() bool {
 		var gone []string
 		for _, x := range r.answers {
-			gone = append(gone, x.Confirmed...)
+			gone = append(gone, x.ConfirmedMissing...)
 		}
 		slices.Sort(gone)
 		return slices.Equal(gone, []string{"d@n", "e@n"})
@@ -381,7 +381,7 @@
 	a.SetStatus("a", "passing")
 	r.knows("a")
 	r.until("the leader's word", func() bool {
-		if r.answers[len(r.answers)-1].Doubtful {
+		if r.answers[len(r.answers)-1].Untrusted {
 			a.Update(func(all []standin.Instance) []standin.Instance { all[0].Passing++; return all })
 			time.Sleep(20 * time.Millisecond)
 			return false
@@ -548,7 +548,7 @@
 	}
 	s := *Table.Default()
 	s.Agents, s.TLS, s.CAFile = "127.0.0.1:1", true, filepath.Join(t.TempDir(), "none")
-	if _, err := New(s, endpointsource.Consul, func(p string) string { return p }); err == nil {
+	if _, err := New(s, endpointsource.ModeConsul, func(p string) string { return p }); err == nil {
 		t.Error("a missing CA passes")
 	}
 }
@@ -614,7 +614,7 @@
 		}
 		for uid, e := range by {
 			host, port, err := net.SplitHostPort(e.Address)
-			if uid != e.UID || uid == "" || len(uid) > mostText || err != nil || host == "" || port == "0" || e.Weight <= 0 || e.Share <= 0 || e.Share > mostWeight {
+			if uid != e.UID || uid == "" || len(uid) > mostText || err != nil || host == "" || port == "0" || e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > mostWeight {
 				t.Errorf("%+v", e)
 			}
 		}
--- a/internal/network/consul/doubt.go
+++ b/internal/network/consul/doubt.go
@@ -43,7 +43,7 @@
 
 // note takes an answer of health's, and tells of it: what is there again is doubted no more, and no word of
 // the catalogue's may come between the two.
-func (d *doubt) note(a endpointsource.Answer, tell func()) {
+func (d *doubt) note(a endpointsource.ConsulAnswer, tell func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range a.Changed {
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		d.w.Tell(endpointsource.Answer{Confirmed: gone, UnixMS: time.Now().UnixMilli()})
+		d.w.Tell(endpointsource.ConsulAnswer{ConfirmedMissing: gone, UnixMS: time.Now().UnixMilli()})
 	}
 	return len(d.missing) == 0
 }
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -18,7 +18,7 @@
 // answers tells. s.Service and s.Tag are not used.
 func Find(ctx context.Context, s Settings, service string, resolve func(string) string) (addresses []string, err error) {
 	s.Service, s.Tag = service, ""
-	w, err := New(s, endpointsource.Consul, resolve)
+	w, err := New(s, endpointsource.ModeConsul, resolve)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/network/consul/read.go
+++ b/internal/network/consul/read.go
@@ -86,11 +86,11 @@
 		}
 		e.Cell = int(n)
 	}
-	e.NoBoot = true
+	e.StartUnknown = true
 	if ms, err := strconv.ParseInt(i.Service.Meta[s.StartMeta], 10, 64); err == nil && ms >= 0 {
-		e.BootMS, e.NoBoot = ms, false
+		e.StartedMS, e.StartUnknown = ms, false
 	}
-	e.Registered = i.Service.CreateIndex
+	e.RegistrationIndex = i.Service.CreateIndex
 	s.health(i, &e)
 	return e, ""
 }
@@ -100,7 +100,7 @@
 func (s *Settings) health(i *instance, e *endpointsource.Endpoint) {
 	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), mostWeight)
 	warning := min(max(i.Service.Weights.Warning, 0), mostWeight)
-	e.Weight, e.Share = float64(passing), 1
+	e.Weight, e.WeightShare = float64(passing), 1
 	warned := ""
 	for _, c := range i.Checks {
 		id := c.CheckID
@@ -109,13 +109,13 @@
 		}
 		switch {
 		case c.CheckID == "_node_maintenance" || strings.HasPrefix(c.CheckID, "_service_maintenance") || c.Status == "maintenance":
-			e.State, e.Maintenance, e.Why = balancer.EndpointDraining, true, "in maintenance"
+			e.State, e.Maintenance, e.Reason = balancer.EndpointDraining, true, "in maintenance"
 		case c.Status == "passing":
 		case c.Status == "warning":
 			warned = id
 		default: // critical, and what a later Consul may say
 			if e.State = balancer.EndpointDraining; !e.Maintenance {
-				e.Why = fmt.Sprintf("check %q is %.20s", id, c.Status)
+				e.Reason = fmt.Sprintf("check %q is %.20s", id, c.Status)
 			}
 		}
 	}
@@ -124,11 +124,11 @@
 	}
 	if warning == 0 {
 		// Consul's own DNS leaves such an instance out.
-		e.State, e.Why = balancer.EndpointDraining, fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
+		e.State, e.Reason = balancer.EndpointDraining, fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
 		return
 	}
-	e.Weight, e.Share = float64(warning), float64(warning)/float64(passing)
-	e.Why = fmt.Sprintf("check %q warns", warned)
+	e.Weight, e.WeightShare = float64(warning), float64(warning)/float64(passing)
+	e.Reason = fmt.Sprintf("check %q warns", warned)
 }
 
 // add maps an instance into an answer. Faults tell what was passed over.
@@ -141,15 +141,15 @@
 		}
 		return faults
 	}
-	if other, twice := by[e.UID]; !twice || other.Registered < e.Registered {
+	if other, twice := by[e.UID]; !twice || other.RegistrationIndex < e.RegistrationIndex {
 		by[e.UID] = e
 	}
 	return faults
 }
 
 // diff is what one answer changes of the one before.
-func diff(before, after map[string]endpointsource.Endpoint) (a endpointsource.Answer) {
-	a.Known = len(before)
+func diff(before, after map[string]endpointsource.Endpoint) (a endpointsource.ConsulAnswer) {
+	a.KnownBefore = len(before)
 	n := 0
 	for uid, e := range after {
 		if n++; n%256 == 0 {
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -102,11 +102,11 @@
 	schema.String("uid_meta", func(s *Settings) *string { return &s.UIDMeta }, schema.Text{Example: "uid"}, schema.OnReload,
 		"The field with the name that discovery has for it; its service ID where it is left out."),
 ).Check(func(f *schema.File, _ string, s *Settings, report schema.Reporter) {
-	source := endpointsource.Table.In(f).Mode
+	source := endpointsource.SettingsTable.In(f).Mode
 	switch {
-	case source != endpointsource.Platform && s.Agents == "":
+	case source != endpointsource.ModePlatform && s.Agents == "":
 		report("agents", "missing: membership.source is %s (%s)", source, f.Place("membership", "source"))
-	case source != endpointsource.Platform && s.Service == "":
+	case source != endpointsource.ModePlatform && s.Service == "":
 		report("service", "missing: membership.source is %s (%s)", source, f.Place("membership", "source"))
 	case (s.CertFile == "") != (s.KeyFile == ""):
 		report("tls_cert_file", "a certificate and its key go together: tls_cert_file and tls_key_file")
--- a/internal/network/consul/watch.go
+++ b/internal/network/consul/watch.go
@@ -49,7 +49,7 @@
 	transports []*http.Transport
 	// Tell takes what an answer changes, Heard that one came that changes nothing. They must not block for long:
 	// the next question waits for them.
-	Tell  func(endpointsource.Answer)
+	Tell  func(endpointsource.ConsulAnswer)
 	Heard func()
 
 	before   map[string]endpointsource.Endpoint
@@ -65,7 +65,7 @@
 // needed, but for those of TLS.
 func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
 	w := &Watcher{
-		set: s, resolve: resolve, qualified: mode == endpointsource.Consul, agents: s.agents(),
+		set: s, resolve: resolve, qualified: mode == endpointsource.ModeConsul, agents: s.agents(),
 		before: map[string]endpointsource.Endpoint{}, logged: map[string]time.Time{}, back: returnAfter,
 	}
 	w.doubt.w = w
@@ -320,8 +320,8 @@
 	}
 	a := diff(w.before, after)
 	a.UnixMS = time.Now().UnixMilli()
-	a.Doubtful = !m.leader || m.lastContact > w.set.LongestStale
-	w.leader = a.Doubtful && m.leader
+	a.Untrusted = !m.leader || m.lastContact > w.set.LongestStale
+	w.leader = a.Untrusted && m.leader
 	w.before = after
 	if len(a.Changed) == 0 && len(a.Missing) == 0 {
 		w.Heard()
@@ -329,7 +329,7 @@
 	}
 	w.doubt.note(a, func() { w.Tell(a) })
 	const few = 2 // what membership believes at once, whatever its settings
-	if len(a.Missing) > few || len(a.Missing) > 0 && (a.Doubtful || len(after) == 0) {
+	if len(a.Missing) > few || len(a.Missing) > 0 && (a.Untrusted || len(after) == 0) {
 		w.doubt.follow(agent, a.Missing)
 	}
 }
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -34,7 +34,7 @@
 
 // Schema is the product's file: the tables that say what a sidecar is, and those of its parts.
 var Schema = schema.New(slices.Concat(appfile.Tables(), standalone.Tables(),
-	[]*schema.Table{endpointsource.Table.Table, route.Rules.Table, consul.Table.Table, gossip.Table.Table, admin.Table.Table})...)
+	[]*schema.Table{endpointsource.SettingsTable.Table, route.Rules.Table, consul.Table.Table, gossip.Table.Table, admin.Table.Table})...)
 
 // Read reads a file of at most a number of bytes. Anything but a regular file is refused: a pipe would hold
 // its reader up for good.
@@ -179,15 +179,15 @@
 
 // follow is the source that a file asks for beside discovery, nil for none.
 func follow(f *schema.File, resolve func(string) string) (standalone.Follower, error) {
-	mode := endpointsource.Table.In(f).Mode
-	if mode == endpointsource.Platform {
+	mode := endpointsource.SettingsTable.In(f).Mode
+	if mode == endpointsource.ModePlatform {
 		return nil, nil
 	}
 	set := *consul.Table.In(f)
 	if _, err := consul.New(set, mode, resolve); err != nil {
 		return nil, err
 	}
-	return func(ctx context.Context, tell func(endpointsource.Answer), heard func()) {
+	return func(ctx context.Context, tell func(endpointsource.ConsulAnswer), heard func()) {
 		w, err := consul.New(set, mode, resolve)
 		if err != nil { // it went a moment ago: a file has been taken away
 			log.Printf("consul: %v", err)
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -153,7 +153,7 @@
 	if file == nil {
 		return fresh, nil
 	}
-	if fresh.tuning.membership.Mode == endpointsource.Consul {
+	if fresh.tuning.membership.Mode == endpointsource.ModeConsul {
 		fresh.Settings.MustSubscribe = false // discovery is not asked for what counts
 	}
 	if fresh.follower, err = c.product.Follow(file); err != nil {
@@ -299,7 +299,7 @@
 	for _, v := range appfile.TenantTable.All(f) {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.Quota})
 	}
-	c.noDiscovery = found.Address == "" && endpointsource.Table.In(f).Mode == endpointsource.Consul
+	c.noDiscovery = found.Address == "" && endpointsource.SettingsTable.In(f).Mode == endpointsource.ModeConsul
 	return c, c.check()
 }
 
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -56,7 +56,7 @@
 }
 
 // judged puts a list into the terms of those who judge it.
-func (e endpointList) judged(from endpointsource.Origin) endpointsource.List {
+func (e endpointList) judged(from endpointsource.ListOrigin) endpointsource.List {
 	list := endpointsource.List{Kind: balancer.ListDelta, Version: e.Rev}
 	switch {
 	case from == endpointsource.FromCache:
@@ -65,10 +65,10 @@
 		list.Kind = balancer.ListFull
 	}
 	for _, x := range e.Targets {
-		endpoint := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, BootMS: x.BootMS}
+		endpoint := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, StartedMS: x.BootMS}
 		var ok bool
 		if endpoint.State, ok = states[x.State]; !ok {
-			endpoint.State, endpoint.Why = endpointsource.Unknown, x.State
+			endpoint.State, endpoint.Reason = endpointsource.StateUnknown, x.State
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
 	}
@@ -77,13 +77,13 @@
 
 // listDigest is a list that was sorted out by who read it, so that the loop does not have to.
 type listDigest struct {
-	endpointsource.Digest
+	endpointsource.PreparedList
 	rev uint64
 	all bool
 }
 
-func (e endpointList) digest(from endpointsource.Origin) listDigest {
-	return listDigest{endpointsource.NewDigest(e.judged(from), partMost), e.Rev, e.All}
+func (e endpointList) digest(from endpointsource.ListOrigin) listDigest {
+	return listDigest{endpointsource.PrepareList(e.judged(from), partMost), e.Rev, e.All}
 }
 
 // endpoints is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
@@ -163,12 +163,12 @@
 		id := e.id(x.UID)
 		listed[id] = true
 		endpoint := e.byID[id]
-		if endpoint == nil || state == balancer.EndpointReady && (endpoint.Address != x.Address || endpoint.BootMS != x.BootMS) {
+		if endpoint == nil || state == balancer.EndpointReady && (endpoint.Address != x.Address || endpoint.BootMS != x.StartedMS) {
 			if endpoint != nil {
 				endpoint.Open.Store(false)
 				retired = append(retired, endpoint)
 			}
-			endpoint = &exchange.Endpoint{ID: id, UID: x.UID, Address: x.Address, BootMS: x.BootMS}
+			endpoint = &exchange.Endpoint{ID: id, UID: x.UID, Address: x.Address, BootMS: x.StartedMS}
 			e.put(endpoint)
 		}
 		endpoint.Zone, endpoint.Cell = x.Zone, x.Cell
@@ -181,7 +181,7 @@
 		}
 		entries = append(entries, balancer.ListEntry{
 			Endpoint: id, Zone: e.zones.index(x.Zone), MachineKind: e.models.index(x.Model), Cell: x.Cell, State: state,
-			Weight: x.Weight, StartedAt: e.started(x.BootMS),
+			Weight: x.Weight, StartedAt: e.started(x.StartedMS),
 		})
 	}
 	if l.Kind != balancer.ListDelta {
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -94,7 +94,7 @@
 		l.targets(endpointList{Rev: 5, Targets: []target{draining}}, endpointsource.FromWatch)
 		l.targets(endpointList{Rev: 4, All: true, Targets: []target{ready("s-1", 0)}}, endpointsource.FromFetch)
 		l.targets(endpointList{Rev: 5, Targets: []target{ready("s-1", 0)}}, endpointsource.FromWatch)
-		if l.endpoints.byID[1].Open.Load() || !l.endpoints.byID[2].Open.Load() || l.feed.Rev != 5 {
+		if l.endpoints.byID[1].Open.Load() || !l.endpoints.byID[2].Open.Load() || l.feed.Version != 5 {
 			t.Error("an older list undid a drain")
 		}
 		l.targets(endpointList{Rev: 6, All: true, Targets: []target{ready("s-1", 0)}}, endpointsource.FromFetch)
@@ -217,11 +217,11 @@
 		t.Fatal(err)
 	}
 	var old *watcher
-	rg.inLoop(func() { l.feed.Rev, old = 7, l.watcher })
+	rg.inLoop(func() { l.feed.Version, old = 7, l.watcher })
 	os.WriteFile(rg.file, good[:len(good)/2], 0o600)
 	rg.reloads <- syscall.SIGHUP
 	rg.inLoop(func() {
-		if l.watcher != old || l.feed.Moved() {
+		if l.watcher != old || l.feed.Switched() {
 			t.Error("a broken file had an effect")
 		}
 	})
@@ -229,7 +229,7 @@
 	os.WriteFile(rg.file, []byte(strings.Replace(string(good), was, other.Listener.Addr().String(), 1)), 0o600)
 	rg.reloads <- syscall.SIGHUP
 	rg.until("the new list is taken in", func() (done bool) {
-		rg.inLoop(func() { done = l.feed.Rev == 0 && !l.feed.Moved() && l.watcher != old })
+		rg.inLoop(func() { done = l.feed.Version == 0 && !l.feed.Switched() && l.watcher != old })
 		return done
 	})
 	for range 2 {
@@ -253,7 +253,7 @@
 		t.Errorf("the request that was taken before got %q", got)
 	}
 	rg.inLoop(func() {
-		if l.feed.Rev != 0 {
+		if l.feed.Version != 0 {
 			t.Error("the old discovery was heard")
 		}
 	})
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -33,8 +33,8 @@
 
 	config    *Config
 	endsAt    time.Time // when all must be answered; zero unless this sidecar was told to stop
-	feed      endpointsource.Feed
-	members   *endpointsource.Members
+	feed      endpointsource.VersionFilter
+	members   *endpointsource.Merger
 	due       time.Duration // when members are next looked at; 0 for never
 	unfollow  context.CancelFunc
 	balancer  *balancer.Balancer
@@ -74,7 +74,7 @@
 	l := &loop{
 		events: make(chan func(), eventQueue), origin: time.Now().Add(-clockStart), config: c,
 		requests: map[balancer.RequestID]*request{},
-		feed:     endpointsource.Feed{MustAsk: c.Settings.MustSubscribe}, members: endpointsource.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
+		feed:     endpointsource.VersionFilter{MustSubscribe: c.Settings.MustSubscribe}, members: endpointsource.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
 		unfollow: func() {},
 	}
 	l.endpoints = newEndpoints(c.Settings.Zones, c.Settings.Models, l.origin)
@@ -108,7 +108,7 @@
 func (l *loop) run() {
 	l.lastKnown()
 	if !l.config.Settings.MustSubscribe && l.config.Discovery != "" {
-		l.watcher.start(l.feed.Place())
+		l.watcher.start(l.feed.WatchFrom())
 	}
 	l.followBeside(l.config.follower)
 	sweep := time.NewTicker(sweepEvery)
@@ -133,7 +133,7 @@
 	if l.memory != nil && len(l.config.Known.Targets) == 0 {
 		if list, age, ok := l.memory.list(); ok {
 			log.Printf("memory: begins with %d endpoints as they were %v ago", len(list.Endpoints), age.Round(time.Second))
-			l.told(l.members.FromPlatform(l.now(), list))
+			l.told(l.members.HandlePlatformList(l.now(), list))
 			return
 		}
 	}
@@ -286,8 +286,8 @@
 		Elapsed: res.Took, Status: res.Status, Load: res.Load, NoRetry: last, Backoff: pause,
 	})
 	l.forget(r)
-	if res.Status == balancer.StatusConnectFailed && l.members.Doubts() {
-		l.told(l.members.Failed(l.now(), a.Endpoint.UID))
+	if res.Status == balancer.StatusConnectFailed && l.members.HasUnconfirmed() {
+		l.told(l.members.HandleConnectFailure(l.now(), a.Endpoint.UID))
 	}
 }
 
@@ -435,7 +435,7 @@
 func (l *loop) WatchEndpoints(on bool) {
 	l.watcher.stop()
 	if on {
-		l.watcher.start(l.feed.Place())
+		l.watcher.start(l.feed.WatchFrom())
 	}
 }
 
@@ -454,7 +454,7 @@
 func (l *loop) follow(address, token string) {
 	l.watcher.stop()
 	l.watcher = newWatcher(address, token, l)
-	l.feed.Move()
+	l.feed.SwitchDiscovery()
 	if address == "" {
 		return
 	}
@@ -467,11 +467,13 @@
 }
 
 // targets takes a list of the platform's in.
-func (l *loop) targets(got endpointList, from endpointsource.Origin) { l.take(got.digest(from), from) }
+func (l *loop) targets(got endpointList, from endpointsource.ListOrigin) {
+	l.take(got.digest(from), from)
+}
 
 // take takes one in that was sorted out ahead.
-func (l *loop) take(got listDigest, from endpointsource.Origin) {
-	takes, rewatch := l.feed.Take(from, got.rev, got.all)
+func (l *loop) take(got listDigest, from endpointsource.ListOrigin) {
+	takes, rewatch := l.feed.Accept(from, got.rev, got.all)
 	if rewatch {
 		l.watcher.stop()
 		l.watcher.start(&got.rev)
@@ -480,8 +482,8 @@
 		return
 	}
 	var steps []func()
-	for _, part := range l.members.Parts(got.Digest, partMost) {
-		steps = append(steps, func() { l.told(l.members.FromPlatform(l.now(), part())) })
+	for _, part := range l.members.Chunks(got.PreparedList, partMost) {
+		steps = append(steps, func() { l.told(l.members.HandlePlatformList(l.now(), part())) })
 	}
 	l.backlog.add(steps...)
 }
@@ -489,7 +491,7 @@
 // told passes on what the members were judged to be, first into the table of endpoints, so that what the
 // Balancer then sends finds its address.
 func (l *loop) told(list endpointsource.List, news bool) {
-	for _, line := range l.members.Logs() {
+	for _, line := range l.members.TakeLogs() {
 		log.Print(line)
 	}
 	if news {
@@ -508,7 +510,7 @@
 			l.ready.Store(true)
 		}
 	}
-	if at, ok := l.members.Due(); ok && (l.due == 0 || at < l.due) {
+	if at, ok := l.members.NextTick(); ok && (l.due == 0 || at < l.due) {
 		l.due = at
 		time.AfterFunc(at-l.now(), func() {
 			l.post(func() {
@@ -522,7 +524,7 @@
 }
 
 // Follower follows a source of endpoints beside discovery until its context ends.
-type Follower func(ctx context.Context, tell func(endpointsource.Answer), heard func())
+type Follower func(ctx context.Context, tell func(endpointsource.ConsulAnswer), heard func())
 
 // followBeside follows another source in place of the one before; nil for none. Nothing that the old one
 // still says is heard.
@@ -532,7 +534,7 @@
 		l.unfollow = func() {}
 		return
 	}
-	l.members.Refollow()
+	l.members.RestartConsul()
 	ctx, cancel := context.WithCancel(context.Background())
 	l.unfollow = cancel
 	wanted := func(event func()) {
@@ -542,10 +544,10 @@
 			}
 		})
 	}
-	go follow(ctx, func(a endpointsource.Answer) {
-		wanted(func() { l.told(l.members.FromConsul(l.now(), a)) })
+	go follow(ctx, func(a endpointsource.ConsulAnswer) {
+		wanted(func() { l.told(l.members.HandleConsulAnswer(l.now(), a)) })
 	}, func() {
-		wanted(func() { l.told(l.members.Heard(l.now())) })
+		wanted(func() { l.told(l.members.HandleConsulUnchanged(l.now())) })
 	})
 }
 
@@ -556,7 +558,7 @@
 	defer late.Stop()
 	done := make(chan struct{})
 	event := func() {
-		source, rows = string(l.members.Mode()), l.members.View(l.now())
+		source, rows = string(l.members.Mode()), l.members.Rows(l.now())
 		close(done)
 	}
 	select {
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -92,11 +92,11 @@
 	c.tuning.routes.Keep(s.tuning.Load().routes)
 	s.tuning.Store(c.tuning)
 	refollow := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, c.file), func(x *schema.Setting) bool {
-		return x.Path[0] == "consul" || x.Path[0] == endpointsource.Table.Name && x.Key.Name == "source"
+		return x.Path[0] == "consul" || x.Path[0] == endpointsource.SettingsTable.Name && x.Key.Name == "source"
 	})
 	s.loop.post(func() {
 		s.loop.http1.SetMaxIdle(s.config.maxIdle(c.tuning))
-		s.loop.told(s.loop.members.Set(s.loop.now(), c.tuning.membership))
+		s.loop.told(s.loop.members.UpdateSettings(s.loop.now(), c.tuning.membership))
 		if refollow {
 			s.loop.followBeside(c.follower)
 		}
--- a/internal/standalone/sidecar_test.go
+++ b/internal/standalone/sidecar_test.go
@@ -558,7 +558,7 @@
 	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []target{a}})
 	rg.lists <- string(line)
 	rg.until("the change is taken in", func() (done bool) {
-		rg.inLoop(func() { done = rg.server.loop.feed.Rev == 2 })
+		rg.inLoop(func() { done = rg.server.loop.feed.Version == 2 })
 		return done
 	})
 	before := old.Load()
@@ -853,7 +853,7 @@
 		line, _ := json.Marshal(endpointList{Rev: rev, All: all, Targets: targets})
 		rg.lists <- string(line)
 		rg.until("the list is taken in", func() (done bool) {
-			rg.inLoop(func() { done = l.feed.Rev == rev })
+			rg.inLoop(func() { done = l.feed.Version == rev })
 			return done
 		})
 	}
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -123,9 +123,9 @@
 func tuningOf(f *schema.File) *tuning {
 	if f == nil {
 		return &tuning{
-			*endpointsource.Table.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
+			*endpointsource.SettingsTable.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
 			*http3.CallersTable.Default(), *http3.EndpointsTable.Default(), *MemoryTable.Default(), nil,
 		}
 	}
-	return &tuning{*endpointsource.Table.In(f), *CallersTable.In(f), *EndpointsTable.In(f), *StopTable.In(f), *http3.CallersTable.In(f), *http3.EndpointsTable.In(f), *MemoryTable.In(f), route.Compile(f)}
+	return &tuning{*endpointsource.SettingsTable.In(f), *CallersTable.In(f), *EndpointsTable.In(f), *StopTable.In(f), *http3.CallersTable.In(f), *http3.EndpointsTable.In(f), *MemoryTable.In(f), route.Compile(f)}
 }
