--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -3,147 +3,129 @@
 import (
 	"maps"
 	"slices"
-
-	"quincegap/internal/mesh/transport/codec"
 )
 
-// ReplicaState is the part of a replica's record that changes with every promise.
-type ReplicaState struct {
-	VoterSet                          // the newest that is known to be decided
-	Ready            bool             // knows what it promised, if it is or becomes a voter
-	DiskIncarnation  uint64           // grows each time the disk is lost
-	DiskIncarnations DiskIncarnations // the others'
-	Promised         Ballot
-	System           SystemID
-}
-
-// Fields implements codec.Message. A record without an epoch is from before voters could change, and has the first membership.
-func (r *ReplicaState) Fields(v *codec.Visitor) {
-	v.Strings(1, &r.Voters)
-	v.Bool(2, &r.Ready)
-	v.Uint64(3, &r.DiskIncarnation)
-	r.DiskIncarnations.fields(v)
-	v.Message(5, &r.Promised)
-	v.Uint64(6, &r.Epoch)
-	v.Strings(7, &r.Previous)
-	v.Strings(8, &r.Retired)
-	v.Fixed64(9, (*uint64)(&r.System))
+// Handle answers a request; r itself stays as it is. If it returns parts that are unsynced, the new record must be on
+// disk before the reply leaves and before the replica answers anything else. If that write fails, it is not known what
+// the disk holds, and the record has to be read again. Commit is not handled here, as it changes no record by itself.
+func (r Record) Handle(request *Request) (Reply, Record, Unsynced) {
+	switch {
+	case request.Kind == Describe:
+		return Reply{Kind: Reported, VoterSet: r.DecidedVoters(), Ready: r.State.Ready}, r, Unsynced{}
+	case !r.State.Ready:
+		return Reply{Kind: NotReady, Ballot: request.Ballot}, r, Unsynced{}
+	case !r.State.System.Matches(request.System):
+		return Reply{Kind: ForeignSystem, Ballot: request.Ballot, System: r.State.System}, r, Unsynced{}
+	}
+	r, learned := r.LearnVoters(request.VoterSet)
+	if reply, rejected := r.rejectVoterSet(request); rejected {
+		return reply, r, learned
+	}
+	var reply Reply
+	var unsynced Unsynced
+	switch request.Kind {
+	case ReadVote:
+		reply = r.replyWithVote(Reported, request)
+	case Prepare:
+		reply, unsynced = r.handlePrepare(request)
+	case Accept:
+		reply, unsynced = r.handleAccept(request)
+	case Recover:
+		reply, unsynced = r.handleRecover(request)
+	default:
+		reply = Reply{Kind: NotReady, Ballot: request.Ballot}
+	}
+	unsynced.State = unsynced.State || learned.State
+	return reply, r, unsynced
 }
 
-// Record is all that a replica remembers. Both parts are written on their own: if the vote is there without the state that
-// came with it, its ballot counts as promised.
-type Record struct {
-	State ReplicaState
-	Vote  Vote
+// rejectVoterSet rejects a request whose voter set is not the one that is known here to be decided. A replica that
+// recovers is answered under any epoch, as it learns the newest one by the reply.
+func (r *Record) rejectVoterSet(request *Request) (Reply, bool) {
+	decided := r.DecidedVoters()
+	if decided.conflictsWith(&request.VoterSet) {
+		return Reply{Kind: ConflictingVoters, Ballot: request.Ballot, VoterSet: decided}, true
+	}
+	if request.Epoch < decided.Epoch && request.Kind != Recover {
+		return Reply{Kind: StaleEpoch, Ballot: request.Ballot, VoterSet: decided}, true
+	}
+	return Reply{}, false
 }
 
-// InitialRecord is that of a process at the first start of the whole system.
-func InitialRecord(self string, voters []string) Record {
-	r := Record{State: ReplicaState{VoterSet: VoterSet{Voters: voters}, DiskIncarnation: 1, System: NewSystemID(voters)}}
-	r.State.Ready = r.State.Contains(self)
-	return r
+// handlePrepare promises the request's ballot unless a higher one was promised. A round that asks twice gets the same
+// promise again: no other round has its ballot.
+func (r *Record) handlePrepare(request *Request) (Reply, Unsynced) {
+	if request.Ballot.Compare(r.promised()) < 0 {
+		return r.reply(Rejected, request), Unsynced{}
+	}
+	unsynced := Unsynced{State: r.State.Promised != request.Ballot}
+	r.State.Promised = request.Ballot
+	return r.replyWithVote(Promise, request), unsynced
 }
 
-// DecidedVoters is the newest membership that the record shows to be decided.
-func (r *Record) DecidedVoters() VoterSet {
-	if e := &r.Vote.Value.VoterSet; e.Epoch > r.State.Epoch+1 {
-		return e.previousSet()
+// handleAccept accepts the request's value unless a higher ballot was promised.
+func (r *Record) handleAccept(request *Request) (Reply, Unsynced) {
+	if request.Ballot.Compare(r.promised()) < 0 {
+		return r.reply(Rejected, request), Unsynced{}
 	}
-	return r.State.VoterSet
+	var unsynced Unsynced
+	if request.Ballot != r.Vote.Ballot || r.Vote.Learned {
+		r.Vote = Vote{Ballot: request.Ballot, Value: request.Value}
+		unsynced.Vote = true
+	}
+	return r.reply(Accepted, request), unsynced
 }
 
-// LearnVoters notes that a membership is decided.
-func (r Record) LearnVoters(e VoterSet) (Record, Unsynced) {
-	if d := r.DecidedVoters(); e.Epoch <= d.Epoch || len(e.Voters) == 0 {
-		return r, Unsynced{}
+// handleRecover notes the disk incarnation that a replica begins, and reports what it needs to know. The note has to be
+// on disk before the reply leaves, as the recovery relies on this voter to report it to proposers.
+func (r *Record) handleRecover(request *Request) (Reply, Unsynced) {
+	if request.DiskIncarnation <= r.State.DiskIncarnations[request.Node] {
+		return r.replyToRecover(r.reply(Rejected, request)), Unsynced{}
 	}
-	r.State.VoterSet = e
-	return r, Unsynced{State: true}
+	r.noteDiskIncarnation(request.Node, request.DiskIncarnation)
+	return r.replyToRecover(r.replyWithVote(Reported, request)), Unsynced{State: true}
 }
 
-// Unsynced tells which parts of a record have to be synced before the answer leaves.
-type Unsynced struct{ State, Vote bool }
-
-// Any tells whether there is something to write.
-func (u Unsynced) Any() bool { return u.State || u.Vote }
-
-// Handle answers a request. If parts of the record changed, the new record must be on disk before the answer leaves and
-// before the replica answers anything else; if the write fails the record has to be read again. r itself stays as it is.
-func (r Record) Handle(q *Request) (Reply, Record, Unsynced) {
-	if q.Kind == Describe {
-		return Reply{Kind: Reported, VoterSet: r.DecidedVoters(), Ready: r.State.Ready}, r, Unsynced{}
-	}
-	if !r.State.Ready {
-		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, Unsynced{}
+// noteDiskIncarnation remembers a replica's incarnation, in a copy as r's map is shared with the record before. Those of
+// voters that take part in rounds under the decided voter set, or the one before or after it, are never dropped.
+func (r *Record) noteDiskIncarnation(node string, number uint64) {
+	incarnations := maps.Clone(r.State.DiskIncarnations)
+	if incarnations == nil {
+		incarnations = DiskIncarnations{}
 	}
-	if !r.State.System.Matches(q.System) {
-		return Reply{Kind: ForeignSystem, Ballot: q.Ballot, System: r.State.System}, r, Unsynced{}
-	}
-	r, changed := r.LearnVoters(q.VoterSet)
+	incarnations[node] = number
 	decided := r.DecidedVoters()
-	if decided.conflictsWith(&q.VoterSet) {
-		return Reply{Kind: ConflictingVoters, Ballot: q.Ballot, VoterSet: decided}, r, changed
-	}
-	if q.Epoch < decided.Epoch && q.Kind != Recover {
-		return Reply{Kind: StaleEpoch, Ballot: q.Ballot, VoterSet: decided}, r, changed
-	}
-	kind := Reported
-	switch q.Kind {
-	case ReadVote:
-	case Prepare:
-		if q.Ballot.Compare(r.promised()) < 0 {
-			kind = Rejected
-			break
-		}
-		kind = Promise // the same again, if a round asks twice: its ballot is no one else's
-		changed.State = changed.State || r.State.Promised != q.Ballot
-		r.State.Promised = q.Ballot
-	case Accept:
-		if q.Ballot.Compare(r.promised()) < 0 {
-			kind = Rejected
-			break
-		}
-		kind = Accepted
-		if q.Ballot != r.Vote.Ballot || r.Vote.Learned {
-			r.Vote = Vote{Ballot: q.Ballot, Value: q.Value}
-			changed.Vote = true
-		}
-	case Recover:
-		if q.DiskIncarnation <= r.State.DiskIncarnations[q.Node] {
-			kind = Rejected
-			break
-		}
-		r.State.DiskIncarnations = maps.Clone(r.State.DiskIncarnations)
-		if r.State.DiskIncarnations == nil {
-			r.State.DiskIncarnations = DiskIncarnations{}
-		}
-		r.State.DiskIncarnations[q.Node] = q.DiskIncarnation
-		r.State.DiskIncarnations.prune(func(node string) bool {
-			return node == q.Node || decided.Contains(node) || slices.Contains(decided.Previous, node) || r.Vote.Value.VoterSet.Contains(node)
-		})
-		changed.State = true
-	default:
-		return Reply{Kind: NotReady, Ballot: q.Ballot}, r, changed
-	}
-	reply := Reply{
-		Kind: kind, Ballot: q.Ballot, DiskIncarnation: r.State.DiskIncarnation, DiskIncarnations: r.State.DiskIncarnations,
-		Promised: r.promised(),
-	}
-	if kind == Reported || kind == Promise {
-		reply.Vote = r.Vote
-		if q.KnownBallot == r.Vote.Ballot {
-			reply.Vote.Value = Value{}
-		}
-	}
-	if q.Kind == Recover {
-		reply.VoterSet, reply.System = decided, r.State.System
+	voted := &r.Vote.Value.VoterSet
+	incarnations.prune(func(other string) bool {
+		return other == node || decided.Contains(other) || slices.Contains(decided.Previous, other) || voted.Contains(other)
+	})
+	r.State.DiskIncarnations = incarnations
+}
+
+// reply is what every reply of a ready acceptor has.
+func (r *Record) reply(kind ReplyKind, request *Request) Reply {
+	return Reply{
+		Kind:             kind,
+		Ballot:           request.Ballot,
+		DiskIncarnation:  r.State.DiskIncarnation,
+		DiskIncarnations: r.State.DiskIncarnations,
+		Promised:         r.promised(),
 	}
-	return reply, r, changed
 }
 
-func (r *Record) promised() Ballot {
-	if r.Vote.Ballot.Compare(r.State.Promised) > 0 && !r.Vote.Learned {
-		return r.Vote.Ballot
+// replyWithVote is a reply that reports the vote, without its value if the sender has that already.
+func (r *Record) replyWithVote(kind ReplyKind, request *Request) Reply {
+	reply := r.reply(kind, request)
+	reply.Vote = r.Vote
+	if request.KnownBallot == r.Vote.Ballot {
+		reply.Vote.Value = Value{}
 	}
-	return r.State.Promised
+	return reply
+}
+
+// replyToRecover adds to a reply what only a recovery reads.
+func (r *Record) replyToRecover(reply Reply) Reply {
+	reply.VoterSet = r.DecidedVoters()
+	reply.System = r.State.System
+	return reply
 }
--- /dev/null
+++ b/internal/mesh/control/consensus/change.go
@@ -0,0 +1,77 @@
+package consensus
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"slices"
+
+	"quincegap/internal/mesh/control/configuration"
+)
+
+// Change is what is proposed: an operator's order to put Body as Version in the place of version Base, or a change of the
+// voters (NewVoterChange).
+type Change struct {
+	Base, Version configuration.Version
+	Body          []byte
+	digest        Digest    // of Body
+	nextVoters    *VoterSet // nil unless it is a change of the voters; the other fields are empty then
+}
+
+// NewChange makes an operator's change.
+func NewChange(base, version configuration.Version, body []byte) *Change {
+	sum := sha256.Sum256(body)
+	return &Change{Base: base, Version: version, Body: body, digest: Digest(sum[:len(Digest{})])}
+}
+
+// entry is what a value remembers of the change.
+func (c *Change) entry() VersionDigest {
+	return VersionDigest{Version: uint64(c.Version), Digest: c.digest}
+}
+
+// Verdict is what became of a change.
+type Verdict uint8
+
+// The verdicts. Applied and Conflict are for good.
+const (
+	Unknown  Verdict = iota // it may be in force, or come into force later, or not
+	Applied                 // it is in force, or was
+	Conflict                // it never was in force and never will be
+)
+
+// String is the verdict in lower case.
+func (v Verdict) String() string {
+	switch v {
+	case Unknown:
+		return "unknown"
+	case Applied:
+		return "applied"
+	case Conflict:
+		return "conflict"
+	default:
+		return fmt.Sprintf("verdict %d", uint8(v))
+	}
+}
+
+// evaluate decides on a change on the newest value, and returns the value that has to be committed before the verdict
+// holds: newest itself, or another one. The package's documentation has the reasons.
+func (c *Change) evaluate(newest *Value) (Verdict, *Value) {
+	if c.nextVoters != nil {
+		return c.evaluateVoterChange(newest)
+	}
+	entry := c.entry()
+	switch {
+	case slices.Contains(newest.History, entry):
+		return Applied, newest
+	case slices.Contains(newest.Refused, entry):
+		return Conflict, newest
+	case c.Version <= c.Base:
+		return Conflict, newest
+	case entry.Version <= newest.TruncatedVersion:
+		return Unknown, newest
+	case c.Version <= newest.Version || c.Base < newest.Version:
+		return Conflict, newest
+	case c.Base > newest.Version:
+		return newest.recordRefusal(entry)
+	}
+	return Applied, newest.successor(c.Body, entry)
+}
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -1,162 +1,94 @@
 package consensus
 
-import (
-	"maps"
-	"slices"
+import "quincegap/internal/mesh/transport/codec"
 
-	"quincegap/internal/mesh/transport/codec"
-)
-
-// RequestKind is what a request asks for.
+// RequestKind is what a request asks for. The numbers are part of the wire format.
 type RequestKind uint8
 
-// Kinds of requests.
+// The kinds of requests.
 const (
-	ReadVote RequestKind = 1 + iota // what was accepted
-	Prepare                         // a promise for Ballot
-	Accept                          // acceptance of Value under Ballot
-	Recover                         // what Node, which lost its disk, needs to begin Incarnation
-	Describe                        // the membership; from any process that knows it
-	Commit                          // the news that what was accepted under Ballot is committed; no answer is needed
+	ReadVote RequestKind = 1 + iota // report the vote; nothing changes
+	Prepare                         // promise Ballot
+	Accept                          // accept Value under Ballot
+	Recover                         // report what Node, which lost its disk, needs to begin DiskIncarnation
+	Describe                        // report the voter set; any process that knows it answers
+	Commit                          // notification that the value accepted under Ballot is committed; needs no reply
 )
 
-// Request is what a proposer asks, or a replica that lost its disk.
+// Request is sent by a proposer, or by a replica that lost its disk.
 type Request struct {
 	Kind            RequestKind
 	Ballot          Ballot
-	KnownBallot     Ballot // the asker has the value of this ballot, and the answer need not hold it
-	Value           Value
-	Node            string
-	DiskIncarnation uint64
-	Epoch           uint64   // of ReadVote, Prepare and Accept: of the proposer's membership
-	VoterSet        VoterSet // the newest one that the sender knows as decided
+	KnownBallot     Ballot   // the sender has the value of this ballot, and the reply may leave it out
+	Value           Value    // Accept only
+	Node            string   // Recover only: the sender
+	DiskIncarnation uint64   // Recover only: the one that the sender begins
+	Epoch           uint64   // of ReadVote, Prepare and Accept: the epoch of the round's voter set
+	VoterSet        VoterSet // the newest one that the sender knows to be decided
 	System          SystemID // of the sender
-	Sender          string   // its name, for logs
+	Sender          string   // the sender's name, for logs
 }
 
 // Fields implements codec.Message.
-func (r *Request) Fields(v *codec.Visitor) {
+func (r *Request) Fields(visitor *codec.Visitor) {
 	kind := uint64(r.Kind)
-	v.Uint64(1, &kind)
+	visitor.Uint64(1, &kind)
 	r.Kind = RequestKind(kind)
-	v.Message(2, &r.Ballot)
-	v.Message(3, &r.KnownBallot)
-	v.Message(4, &r.Value)
-	v.String(5, &r.Node)
-	v.Uint64(6, &r.DiskIncarnation)
-	v.Uint64(7, &r.Epoch)
-	v.Message(8, &r.VoterSet)
-	v.Fixed64(9, (*uint64)(&r.System))
-	v.String(10, &r.Sender)
+	visitor.Message(2, &r.Ballot)
+	visitor.Message(3, &r.KnownBallot)
+	visitor.Message(4, &r.Value)
+	visitor.String(5, &r.Node)
+	visitor.Uint64(6, &r.DiskIncarnation)
+	visitor.Uint64(7, &r.Epoch)
+	visitor.Message(8, &r.VoterSet)
+	visitor.Fixed64(9, (*uint64)(&r.System))
+	visitor.String(10, &r.Sender)
 }
 
-// ReplyKind is how a request was answered.
+// ReplyKind is how a request was answered. The numbers are part of the wire format.
 type ReplyKind uint8
 
-// Kinds of replies.
+// The kinds of replies.
 const (
-	NotReady ReplyKind = iota // not a voter, or one that has to recover first
-	Reported                  // to ReadVote, Recover, Describe and Commit
-	Promise
-	Accepted
-	Rejected          // Promised is higher; to Recover: an incarnation as high was seen
-	StaleEpoch        // a newer epoch is decided: Membership
-	ConflictingVoters // the request names another list for an epoch whose list is known here: Membership
-	ForeignSystem     // the sender belongs to another system: System
+	NotReady          ReplyKind = iota // not a voter, or one that has to recover first
+	Reported                           // to ReadVote, Recover, Describe and Commit: done
+	Promise                            // to Prepare: promised
+	Accepted                           // to Accept: accepted
+	Rejected                           // a higher ballot is Promised; to Recover: as high an incarnation was seen
+	StaleEpoch                         // a newer epoch is decided: VoterSet
+	ConflictingVoters                  // the request names other voters than VoterSet for an epoch that is known here
+	ForeignSystem                      // the sender belongs to another system than System
 )
 
-// Reply is the answer to a request. Ballot is that of the request, Promised and Vote are the voter's own. Membership is the
-// newest that the voter knows as decided; it is told where it matters.
+// Reply is the answer to a request. Which fields are set depends on Kind; an acceptor's replies always have Ballot.
 type Reply struct {
 	Kind             ReplyKind
-	Ballot           Ballot
-	DiskIncarnation  uint64
-	DiskIncarnations DiskIncarnations
-	Promised         Ballot
-	Vote             Vote
-
-	VoterSet     VoterSet
-	Ready        bool // to Describe: may be made a voter
-	BlankDisk    bool // NotReady because there was nothing on its disk at all
+	Ballot           Ballot           // of the request
+	DiskIncarnation  uint64           // the voter's own
+	DiskIncarnations DiskIncarnations // those that the voter was told of
+	Promised         Ballot           // the highest ballot that the voter promised
+	Vote             Vote             // the voter's own; without its value if the request's KnownBallot is that of the vote
+
+	VoterSet     VoterSet // the newest one that the voter knows to be decided
+	Ready        bool     // to Describe: the sender may be made a voter
+	BlankDisk    bool     // NotReady because there was nothing at all on the disk
 	System       SystemID
-	Unresponsive []string // to Describe: voters that have not answered this one for ReplaceDelay
+	Unresponsive []string // to Describe: voters that have not answered the sender for ReplaceDelay
 }
 
 // Fields implements codec.Message.
-func (r *Reply) Fields(v *codec.Visitor) {
+func (r *Reply) Fields(visitor *codec.Visitor) {
 	kind := uint64(r.Kind)
-	v.Uint64(1, &kind)
+	visitor.Uint64(1, &kind)
 	r.Kind = ReplyKind(kind)
-	v.Message(2, &r.Ballot)
-	v.Uint64(3, &r.DiskIncarnation)
-	r.DiskIncarnations.fields(v)
-	v.Message(5, &r.Promised)
-	v.Message(6, &r.Vote)
-	v.Message(8, &r.VoterSet)
-	v.Bool(9, &r.Ready)
-	v.Bool(10, &r.BlankDisk)
-	v.Strings(11, &r.Unresponsive)
-	v.Fixed64(12, (*uint64)(&r.System))
-}
-
-// CommittedVote is a value that was accepted under a ballot. A Learned one was not accepted by the voter that has it: that voter lost
-// its disk, or is new, and read it from others. It may not be forgotten, and does not count towards a majority.
-type Vote struct {
-	Ballot  Ballot
-	Value   Value
-	Learned bool
-}
-
-// Fields implements codec.Message.
-func (v *Vote) Fields(visitor *codec.Visitor) {
-	visitor.Message(1, &v.Ballot)
-	visitor.Message(2, &v.Value)
-	visitor.Bool(3, &v.Learned)
-}
-
-// DiskIncarnations are, by voter, the newest incarnation that a replica was told of. A voter begins one when it lost its disk.
-type DiskIncarnations map[string]uint64
-
-// maxDiskIncarnations bounds how many a replica remembers. An entry matters to rounds under the epoch in which it was told, and the
-// one after: so many machines are not replaced within two epochs.
-const maxDiskIncarnations = 128
-
-// prune drops the lowest, which as a rule are the oldest, of those that need not be kept.
-func (d DiskIncarnations) prune(keep func(node string) bool) {
-	for len(d) > maxDiskIncarnations {
-		drop := ""
-		for node, incarnation := range d {
-			if !keep(node) && (drop == "" || incarnation < d[drop] || incarnation == d[drop] && node < drop) {
-				drop = node
-			}
-		}
-		if drop == "" {
-			return
-		}
-		delete(d, drop)
-	}
-}
-
-type diskIncarnation struct {
-	node   string
-	number uint64
-}
-
-func (d *diskIncarnation) Fields(v *codec.Visitor) {
-	v.String(1, &d.node)
-	v.Uint64(2, &d.number)
-}
-
-func (d *DiskIncarnations) fields(v *codec.Visitor) {
-	var list []diskIncarnation
-	for _, node := range slices.Sorted(maps.Keys(*d)) {
-		list = append(list, diskIncarnation{node, (*d)[node]})
-	}
-	codec.Messages(v, 4, &list)
-	if v.Reading() && len(list) > 0 {
-		*d = DiskIncarnations{}
-		for _, one := range list {
-			(*d)[one.node] = one.number
-		}
-	}
+	visitor.Message(2, &r.Ballot)
+	visitor.Uint64(3, &r.DiskIncarnation)
+	r.DiskIncarnations.fields(visitor)
+	visitor.Message(5, &r.Promised)
+	visitor.Message(6, &r.Vote)
+	visitor.Message(8, &r.VoterSet)
+	visitor.Bool(9, &r.Ready)
+	visitor.Bool(10, &r.BlankDisk)
+	visitor.Strings(11, &r.Unresponsive)
+	visitor.Fixed64(12, (*uint64)(&r.System))
 }
--- a/internal/mesh/control/consensus/plan.go
+++ b/internal/mesh/control/consensus/plan.go
@@ -10,9 +10,11 @@
 const (
 	minVoters = 3
 	maxVoters = 9
-	joinDelay = 500 * time.Millisecond // a process has answered for so long before it is added
 
-	// ReplaceDelay is how long a voter is silent before it is reported as such, and another takes its place.
+	// joinDelay is how long a process has to be responsive before it is made a voter.
+	joinDelay = 500 * time.Millisecond
+
+	// ReplaceDelay is how long a voter is unresponsive before it is reported as such, and another takes its place.
 	ReplaceDelay = 2 * time.Second
 )
 
@@ -20,70 +22,98 @@
 type PeerStatus struct {
 	Node                string
 	Responsive          bool          // it has answered within ReplaceDelay
-	StateDuration       time.Duration // how long it has been alive, or silent
+	StateDuration       time.Duration // how long it has been responsive, or unresponsive
 	Ready               bool          // it may be made a voter
 	RemovedFromSeeds    bool          // the operator's seeds named it once, and don't now
-	UnresponsiveReports int           // voters that report it as silent for ReplaceDelay
+	UnresponsiveReports int           // voters that report it as unresponsive for ReplaceDelay
 }
 
-// mustBeReplaced tells whether a voter is to be replaced: a majority of the voters reports it as silent. One process's word, or a
-// minority's, is not enough, as its own links may be at fault.
+// mustBeReplaced reports whether a voter is to be replaced: a majority of the voters reports it as unresponsive. Reports
+// of one process, or of a minority, are not enough, as their own links may be at fault.
 func (p *PeerStatus) mustBeReplaced(voters int) bool {
 	return !p.Responsive && p.StateDuration >= ReplaceDelay && p.UnresponsiveReports >= majority(voters)
 }
 
-// PlanVoterChange decides on the next change of the voters; the zero change is none. The aim is one voter more than twice the
-// losses that are to be borne, as soon as there are as many processes; their number is odd, as an even one bears no more. A
-// voter that is gone is exchanged for a process that is ready, in one step; without one it stays, and may come back.
-func PlanVoterChange(e VoterSet, core []PeerStatus, tolerated int) VoterChange {
-	spare := standbys(e, core)
-	gone := ""
+// PlanVoterChange decides on the next change of the voters; the zero change is none. The aim is one voter more than twice
+// the losses that are to be tolerated, as soon as there are as many processes; until then an odd number, as an even one
+// tolerates no more. A voter that must be replaced is exchanged for a standby in one step. Without a standby it stays, and
+// may come back.
+func PlanVoterChange(voters VoterSet, core []PeerStatus, tolerated int) VoterChange {
+	available := standbys(voters, core)
+	lost := voterToReplace(voters, core)
+	target := TargetVoters(tolerated)
+	current := len(voters.Voters)
+	switch {
+	case lost != "" && current > target:
+		return VoterChange{Remove: lost}
+	case len(available) == 0:
+		return VoterChange{}
+	case lost != "":
+		return VoterChange{Add: available[0].Node, Remove: lost}
+	case current < target && canGrow(current, len(available), target):
+		return VoterChange{Add: available[0].Node}
+	}
+	return VoterChange{}
+}
+
+// voterToReplace is the first voter, by name, that must be replaced; "" for none.
+func voterToReplace(voters VoterSet, core []PeerStatus) string {
+	lost := ""
 	for i := range core {
-		if p := &core[i]; e.Contains(p.Node) && p.mustBeReplaced(len(e.Voters)) && (gone == "" || p.Node < gone) {
-			gone = p.Node
+		peer := &core[i]
+		if !voters.Contains(peer.Node) || !peer.mustBeReplaced(len(voters.Voters)) {
+			continue
+		}
+		if lost == "" || peer.Node < lost {
+			lost = peer.Node
 		}
 	}
-	want := TargetVoters(tolerated)
-	switch most := len(e.Voters) + len(spare); {
-	case gone != "" && len(e.Voters) > want:
-		return VoterChange{Remove: gone}
-	case gone != "" && len(spare) > 0:
-		return VoterChange{Add: spare[0].Node, Remove: gone}
-	case len(e.Voters) < want && len(spare) > 0 && (most >= want || most-1+most%2 > len(e.Voters)):
-		return VoterChange{Add: spare[0].Node}
-	}
-	return VoterChange{}
+	return lost
+}
+
+// canGrow reports whether the standbys are enough for the target, or at least for a higher odd number of voters.
+func canGrow(current, available, target int) bool {
+	reachable := current + available
+	highestOdd := reachable - 1 + reachable%2
+	return reachable >= target || highestOdd > current
 }
 
-// TargetVoters is how many voters bear so many losses.
+// TargetVoters is how many voters tolerate so many losses, within what is allowed.
 func TargetVoters(tolerated int) int { return min(max(2*tolerated+1, minVoters), maxVoters) }
 
-// PlanHandover decides who takes a voter's place before it ends; the zero change is none.
-func PlanHandover(e VoterSet, core []PeerStatus, leaving string) VoterChange {
-	core = slices.DeleteFunc(slices.Clone(core), func(p PeerStatus) bool { return p.Node == leaving })
-	spare := standbys(e, core)
-	if !e.Contains(leaving) || len(spare) == 0 {
+// PlanHandover decides who takes a voter's place before it shuts down; the zero change is none.
+func PlanHandover(voters VoterSet, core []PeerStatus, leaving string) VoterChange {
+	others := slices.DeleteFunc(slices.Clone(core), func(p PeerStatus) bool { return p.Node == leaving })
+	available := standbys(voters, others)
+	if !voters.Contains(leaving) || len(available) == 0 {
 		return VoterChange{}
 	}
-	return VoterChange{Add: spare[0].Node, Remove: leaving}
+	return VoterChange{Add: available[0].Node, Remove: leaving}
 }
 
-// standbys are the processes that may be made voters, the best first: those that the operator's seeds have not dropped, then
-// those that have been there longest.
-func standbys(e VoterSet, core []PeerStatus) (spare []PeerStatus) {
-	for _, p := range core {
-		if p.Responsive && p.Ready && p.StateDuration >= joinDelay && !e.Contains(p.Node) && !slices.Contains(e.Retired, p.Node) {
-			spare = append(spare, p)
-		}
-	}
-	dropped := func(p PeerStatus) int {
-		if p.RemovedFromSeeds {
-			return 1
+// standbys are the processes that may be made voters, the best first: those that the operator's seeds still name, then
+// those that have been responsive longest, to the second.
+func standbys(voters VoterSet, core []PeerStatus) (available []PeerStatus) {
+	for _, peer := range core {
+		excluded := voters.Contains(peer.Node) || slices.Contains(voters.Retired, peer.Node)
+		if peer.Responsive && peer.Ready && peer.StateDuration >= joinDelay && !excluded {
+			available = append(available, peer)
 		}
-		return 0
 	}
-	slices.SortFunc(spare, func(a, b PeerStatus) int {
-		return cmp.Or(dropped(a)-dropped(b), cmp.Compare(b.StateDuration/time.Second, a.StateDuration/time.Second), cmp.Compare(a.Node, b.Node))
+	slices.SortFunc(available, func(a, b PeerStatus) int {
+		return cmp.Or(
+			cmp.Compare(seedRank(a), seedRank(b)),
+			cmp.Compare(b.StateDuration/time.Second, a.StateDuration/time.Second),
+			cmp.Compare(a.Node, b.Node),
+		)
 	})
-	return spare
+	return available
+}
+
+// seedRank sorts processes that the operator removed from the seeds last.
+func seedRank(peer PeerStatus) int {
+	if peer.RemovedFromSeeds {
+		return 1
+	}
+	return 0
 }
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -2,108 +2,105 @@
 
 import "slices"
 
-// RoundState is how far a round is.
+// RoundState is a round's progress.
 type RoundState uint8
 
-// States of a round.
+// The states of a round; the last four end it, except that Inconclusive stands between the states in progress because of
+// its number.
 const (
-	Reading      RoundState = iota // which value a majority accepted; no ballot is used
-	Inconclusive                   // no majority holds one vote: a round with a ballot is needed
+	Reading      RoundState = iota // waits for votes; no ballot is used
+	Inconclusive                   // ended: no majority holds one vote, and a round with a ballot is needed
 	Preparing                      // waits for promises
-	Accepting                      // waits until a majority has accepted
-	Done                           // Value is committed, and Verdict holds
-	Preempted                      // no majority can be had: another round with a higher ballot is needed
-	Stale                          // a newer list of voters is decided (NewerVoters): another round under it is needed
+	Accepting                      // waits until majorities have accepted
+	Done                           // ended: Value is committed, and Verdict holds
+	Preempted                      // ended: no majority can be had; another round with a higher ballot is needed
+	Stale                          // ended: NewerVoters are decided; another round under them is needed
 )
 
-// Round is one proposer's attempt to learn the newest value, or to change it. Requests go to all voters; the replies come in
-// by Step, in any order, late, or never.
+// expects is the reply that takes a round in this state further.
+func (s RoundState) expects() ReplyKind {
+	switch s {
+	case Reading:
+		return Reported
+	case Preparing:
+		return Promise
+	case Accepting:
+		return Accepted
+	default:
+		return NotReady
+	}
+}
+
+// Round is one proposer's attempt to learn the newest value, or to change it. Its requests go to all Recipients; the
+// replies come in by Step, in any order, late, or never. A round is not safe for concurrent use.
 //
 // # Why a read may do without a ballot
 //
 // If a majority reports one ballot b as its newest vote, its value was committed, as they all accepted it under b. And no
-// newer one was committed before the read began: a majority would have accepted that under a higher ballot, and one of
-// them is among those asked. So a read writes nothing unless the votes differ; then it commits the newest value again under
-// a ballot of its own. The same holds for promises: with one ballot at a majority the value needs no further acceptance, and
-// a change that is taken already, or lost, is answered after one exchange. A learned vote doesn't count in this, as who has it
-// may have promised a higher ballot before.
+// newer value was committed before the read began: a majority would have accepted that under a higher ballot, and one of
+// them is among those asked. So a read writes nothing unless the votes differ; then it commits the newest value again,
+// under a ballot of its own. The same holds for promises: with one ballot at a majority the value needs no further
+// acceptance, and a change that was applied already, or that conflicts, gets its verdict after one exchange. A learned
+// vote does not count in this, as the voter that holds it may have promised a higher ballot before.
 type Round struct {
 	State         RoundState
 	Verdict       Verdict  // once Done
 	Value         Value    // once Done: the newest committed
-	HighestBallot Ballot   // of all that were seen
+	HighestBallot Ballot   // of all that the replies had promised
 	NewerVoters   VoterSet // once Stale, or Done by a change of the voters
 
 	voterSet    VoterSet
-	jointVoters []string // the voters of a value of the next epoch, whose majority is needed as well
-	ballot      Ballot
-	change      *Change
+	jointVoters []string // voters of a value of the next epoch, whose majority is needed as well; nil for none
+	ballot      Ballot   // zero for a read
+	change      *Change  // nil for none
 	knownVote   Vote
-	verdict     Verdict
-	proposal    Value // to be accepted
-	replies     map[string]*Reply
+	verdict     Verdict // holds once proposal is committed
+	proposal    Value
+	replies     map[string]*Reply // of the current phase, by voter
 }
 
-// NewReadRound starts a round that only reads. known is a vote whose value the reader has.
-func NewReadRound(e VoterSet, known Vote) (*Round, *Request) {
-	r := &Round{State: Reading, voterSet: e, knownVote: known, replies: map[string]*Reply{}}
-	return r, &Request{Kind: ReadVote, KnownBallot: known.Ballot, Epoch: e.Epoch, VoterSet: e}
+// NewReadRound starts a round that only reads, and returns the request to send. known is a vote whose value the caller
+// has, so that replies need not carry it.
+func NewReadRound(voters VoterSet, known Vote) (*Round, *Request) {
+	r := &Round{State: Reading, voterSet: voters, knownVote: known, replies: map[string]*Reply{}}
+	return r, &Request{Kind: ReadVote, KnownBallot: known.Ballot, Epoch: voters.Epoch, VoterSet: voters}
 }
 
-// NewRound starts a round under a ballot that was never used. Without a change it commits the newest value again.
-func NewRound(e VoterSet, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
-	r := &Round{
-		State: Preparing, voterSet: e, ballot: ballot, change: change, knownVote: known,
-		replies: map[string]*Reply{},
-	}
-	return r, &Request{Kind: Prepare, Ballot: ballot, KnownBallot: known.Ballot, Epoch: e.Epoch, VoterSet: e}
+// NewRound starts a round under a ballot that was never used, and returns the request to send. Without a change the round
+// commits the newest value again. known is as for NewReadRound.
+func NewRound(voters VoterSet, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
+	r := &Round{State: Preparing, voterSet: voters, ballot: ballot, change: change, knownVote: known, replies: map[string]*Reply{}}
+	return r, r.prepareRequest()
 }
 
-// VoterSet is the list under which the round is played.
+func (r *Round) prepareRequest() *Request {
+	return &Request{Kind: Prepare, Ballot: r.ballot, KnownBallot: r.knownVote.Ballot, Epoch: r.voterSet.Epoch, VoterSet: r.voterSet}
+}
+
+// VoterSet is the voter set of the round's epoch.
 func (r *Round) VoterSet() VoterSet { return r.voterSet }
 
-// Recipients are those to whom the round's requests go.
+// CommittedVote is the newest vote that is known to be committed, once the round has ended.
+func (r *Round) CommittedVote() Vote { return r.knownVote }
+
+// Recipients are the nodes to which the round's requests go: the voters, and those of a voter set that may follow.
 func (r *Round) Recipients() []string {
 	nodes := slices.Clone(r.voterSet.Voters)
-	for _, v := range r.jointVoters {
-		if !slices.Contains(nodes, v) {
-			nodes = append(nodes, v)
+	for _, voter := range r.jointVoters {
+		if !slices.Contains(nodes, voter) {
+			nodes = append(nodes, voter)
 		}
 	}
 	return nodes
 }
 
-func majority(n int) int { return n/2 + 1 }
-
-// hasMajority tells whether those of a list for which has holds are a majority of it.
-func hasMajority(list []string, has func(node string) bool) bool {
-	n := 0
-	for _, v := range list {
-		if has(v) {
-			n++
-		}
-	}
-	return n >= majority(len(list))
-}
-
-// hasQuorum tells whether replies hold majorities of all lists that are needed.
-func (r *Round) hasQuorum(replies map[string]*Reply) bool {
-	has := func(node string) bool { return replies[node] != nil }
-	return hasMajority(r.voterSet.Voters, has) && (r.jointVoters == nil || hasMajority(r.jointVoters, has))
-}
-
-// quorumImpossible tells whether majorities of all lists can't be had any more.
-func (r *Round) quorumImpossible() bool {
-	open := func(node string) bool { return r.replies[node] == nil || r.replies[node].Kind != Rejected }
-	return !hasMajority(r.voterSet.Voters, open) || r.jointVoters != nil && !hasMajority(r.jointVoters, open)
-}
-
-// Finished tells whether the round has ended.
+// Finished reports whether the round has ended.
 func (r *Round) Finished() bool {
 	return r.State == Done || r.State == Preempted || r.State == Inconclusive || r.State == Stale
 }
 
-// StopWaiting ends the wait for further replies: a read that has a majority's is Inconclusive, and any other round Preempted.
+// StopWaiting ends a round in progress without further replies: a read with replies of a majority is Inconclusive, and
+// any other round Preempted.
 func (r *Round) StopWaiting() {
 	switch {
 	case r.Finished():
@@ -114,10 +111,8 @@
 	}
 }
 
-// CommittedVote is the newest vote that is known to be committed, once the round is over.
-func (r *Round) CommittedVote() Vote { return r.knownVote }
-
-// Step takes a voter's reply. What it returns, if anything, is to be sent to all Nodes.
+// Step takes a voter's reply. The request that it returns, if any, is to be sent to all Recipients. Replies that do not
+// belong to the round's current phase have no effect.
 func (r *Round) Step(node string, reply *Reply) *Request {
 	if r.Finished() || reply.Ballot != r.ballot || r.replies[node] != nil || !slices.Contains(r.Recipients(), node) {
 		return nil
@@ -126,89 +121,89 @@
 		r.HighestBallot = reply.Promised
 	}
 	switch {
-	case reply.Kind == expectedReply[r.State]:
+	case reply.Kind == r.State.expects():
 		r.replies[node] = reply
+		return r.advance(reply)
 	case reply.Kind == StaleEpoch:
 		r.becomeStale(reply.VoterSet)
-		return nil
 	case reply.Kind == Rejected && r.State != Reading:
 		r.replies[node] = reply
 		if r.quorumImpossible() {
 			r.State = Preempted
 		}
-		return nil
-	default:
-		return nil
 	}
-	if e := &reply.Vote.Value.VoterSet; e.Epoch > r.voterSet.Epoch+1 {
-		r.becomeStale(e.previousSet())
+	return nil
+}
+
+// advance goes on to the next state if the newest reply completes a quorum.
+func (r *Round) advance(newest *Reply) *Request {
+	if voted := &newest.Vote.Value.VoterSet; voted.Epoch > r.voterSet.Epoch+1 {
+		r.becomeStale(voted.previousSet())
 		return nil
 	}
-	valid := r.countedReplies()
-	if !r.hasQuorum(valid) {
+	counted := r.countedReplies()
+	if !r.hasQuorum(counted) {
 		return nil
 	}
 	switch r.State {
 	case Reading:
-		r.concludeRead(valid)
-		return nil
+		r.concludeRead(counted)
 	case Preparing:
-		return r.concludePrepare(valid)
+		return r.concludePrepare(counted)
+	default:
+		r.concludeAccept()
 	}
-	r.concludeAccept()
 	return nil
 }
 
-// expectedReply is the reply that takes a round further, by its state.
-var expectedReply = map[RoundState]ReplyKind{Reading: Reported, Preparing: Promise, Accepting: Accepted}
-
-// concludeRead decides on a read of which a majority has answered.
-func (r *Round) concludeRead(valid map[string]*Reply) {
-	newest, committed := r.newestVote(valid)
+// concludeRead decides on a read to which a majority has replied.
+func (r *Round) concludeRead(counted map[string]*Reply) {
+	newest, committed := r.newestVote(counted)
 	switch epoch := newest.Value.VoterSet.Epoch; {
 	case epoch < r.voterSet.Epoch:
-		r.State = Preempted // can't be: a majority of this list has accepted a value of its epoch
+		r.State = Preempted // impossible: a majority of these voters has accepted a value of their epoch
 	case epoch > r.voterSet.Epoch:
-		r.State = Inconclusive // the newer list may be decided, or not
+		r.State = Inconclusive // the newer voter set may be decided, or not
 	case committed:
 		r.becomeDone(newest)
-	case len(r.replies) == len(r.voterSet.Voters) || !r.agreementPossible(valid):
+	case len(r.replies) == len(r.voterSet.Voters) || !r.agreementPossible(counted):
 		r.State = Inconclusive
 	}
 }
 
-// concludePrepare decides on what is proposed, of which a majority of the list has promised. If the newest vote has a newer list, that
-// list has to promise as well: those who have answered answer the same again.
-func (r *Round) concludePrepare(valid map[string]*Reply) *Request {
-	newest, committed := r.newestVote(valid)
+// concludePrepare decides what is proposed, once a majority has promised. If the newest vote has a newer voter set, a
+// majority of that has to promise as well; voters that have promised already promise the same again.
+func (r *Round) concludePrepare(counted map[string]*Reply) *Request {
+	newest, committed := r.newestVote(counted)
 	next := &newest.Value.VoterSet
 	switch {
 	case next.Epoch < r.voterSet.Epoch:
-		r.State = Preempted // can't be, as in read
+		r.State = Preempted // impossible, as in concludeRead
 		return nil
 	case next.Epoch == r.voterSet.Epoch:
 		r.jointVoters = nil
 	case !slices.Equal(r.jointVoters, next.Voters):
 		r.jointVoters = next.Voters
-		if !r.hasQuorum(valid) {
-			return &Request{
-				Kind: Prepare, Ballot: r.ballot, KnownBallot: r.knownVote.Ballot, Epoch: r.voterSet.Epoch,
-				VoterSet: r.voterSet,
-			}
+		if !r.hasQuorum(counted) {
+			return r.prepareRequest()
 		}
 	}
 	return r.propose(newest, committed)
 }
 
-// propose goes on once there are all promises.
+// propose evaluates the change on the newest value once all promises are there, and asks for acceptance unless the
+// outcome is committed already.
 func (r *Round) propose(newest Vote, committed bool) *Request {
 	r.proposal = newest.Value
 	if r.jointVoters != nil {
-		r.change, committed = nil, false // the value stays as it is until its list is decided
+		// The value stays as it is until its voter set is decided.
+		r.change = nil
+		committed = false
 	}
 	if r.change != nil {
 		verdict, next := r.change.evaluate(&newest.Value)
-		r.verdict, r.proposal = verdict, *next
+		r.verdict = verdict
+		r.proposal = *next
 		committed = committed && next == &newest.Value
 		if next.VoterSet.Epoch > r.voterSet.Epoch {
 			r.jointVoters = next.VoterSet.Voters
@@ -218,77 +213,40 @@
 		r.becomeDone(newest)
 		return nil
 	}
-	r.State, r.replies = Accepting, map[string]*Reply{}
+	r.State = Accepting
+	r.replies = map[string]*Reply{}
 	return &Request{Kind: Accept, Ballot: r.ballot, Value: r.proposal, Epoch: r.voterSet.Epoch, VoterSet: r.voterSet}
 }
 
-// concludeAccept ends a round whose value has its majorities.
+// concludeAccept ends a round whose proposal has its majorities.
 func (r *Round) concludeAccept() {
 	vote := Vote{Ballot: r.ballot, Value: r.proposal}
 	if r.jointVoters == nil {
 		r.becomeDone(vote)
 		return
 	}
-	if r.NewerVoters = r.proposal.VoterSet; r.change != nil {
+	r.NewerVoters = r.proposal.VoterSet
+	if r.change != nil {
 		r.becomeDone(vote)
 		return
 	}
-	r.State, r.knownVote = Stale, vote
-}
-
-func (r *Round) becomeStale(e VoterSet) {
-	if e.Epoch > r.voterSet.Epoch {
-		r.State, r.NewerVoters = Stale, e
-	}
-}
-
-func (r *Round) becomeDone(v Vote) {
-	r.State, r.Verdict, r.Value, r.knownVote = Done, r.verdict, v.Value, v
-}
-
-// countedReplies are the replies that count: no other voter knows that the replier lost its disk since.
-func (r *Round) countedReplies() map[string]*Reply {
-	valid := map[string]*Reply{}
-	for node, reply := range r.replies {
-		ok := reply.Kind != Rejected
-		for _, other := range r.replies {
-			ok = ok && other.DiskIncarnations[node] <= reply.DiskIncarnation
-		}
-		if ok {
-			valid[node] = reply
-		}
-	}
-	return valid
+	// The round completed another's change of the voters; its own change has to be made under them.
+	r.State = Stale
+	r.knownVote = vote
 }
 
-// newestVote is the vote of the highest ballot, and whether a majority holds it.
-func (r *Round) newestVote(valid map[string]*Reply) (Vote, bool) {
-	var newest Vote
-	for _, reply := range valid {
-		if reply.Vote.Ballot.Compare(newest.Ballot) > 0 {
-			newest = reply.Vote
-		}
-	}
-	if newest.Ballot == r.knownVote.Ballot {
-		newest.Value = r.knownVote.Value
-	}
-	newest.Learned = false
-	return newest, r.countVotes(valid, newest.Ballot) >= majority(len(r.voterSet.Voters))
-}
-
-func (r *Round) countVotes(valid map[string]*Reply, b Ballot) int {
-	n := 0
-	for _, v := range r.voterSet.Voters {
-		if reply := valid[v]; reply != nil && reply.Vote.Ballot == b && !reply.Vote.Learned {
-			n++
-		}
+// becomeStale ends the round if the voter set, which is decided, is newer than the round's.
+func (r *Round) becomeStale(decided VoterSet) {
+	if decided.Epoch > r.voterSet.Epoch {
+		r.State = Stale
+		r.NewerVoters = decided
 	}
-	return n
 }
 
-// agreementPossible tells whether the replies that are still missing could make a majority for the newest value.
-func (r *Round) agreementPossible(valid map[string]*Reply) bool {
-	newest, _ := r.newestVote(valid)
-	n := len(r.voterSet.Voters)
-	return r.countVotes(valid, newest.Ballot)+n-len(r.replies) >= majority(n)
+// becomeDone ends the round with a committed vote.
+func (r *Round) becomeDone(committed Vote) {
+	r.State = Done
+	r.Verdict = r.verdict
+	r.Value = committed.Value
+	r.knownVote = committed
 }
--- /dev/null
+++ b/internal/mesh/control/consensus/vote.go
@@ -0,0 +1,19 @@
+package consensus
+
+import "quincegap/internal/mesh/transport/codec"
+
+// Vote is a value that was accepted under a ballot. A Learned vote was not accepted by the voter that holds it: that
+// voter lost its disk, or is new, and read the vote from others. It must not be forgotten, and does not count towards a
+// majority.
+type Vote struct {
+	Ballot  Ballot
+	Value   Value
+	Learned bool
+}
+
+// Fields implements codec.Message.
+func (v *Vote) Fields(visitor *codec.Visitor) {
+	visitor.Message(1, &v.Ballot)
+	visitor.Message(2, &v.Value)
+	visitor.Bool(3, &v.Learned)
+}
--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -8,6 +8,7 @@
 cd "$(dirname "$0")" || exit 1
 only=${1:-.}
 slow='TestAllOrders|TestRandomOrders'
+golden='TestGolden' # any change of behaviour fails these; a fault has to be caught by a test that says what is wrong
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 failed=0
@@ -46,7 +47,7 @@
 	if cmp -s "$file" "$scratch/changed.go"; then
 		tests="EDIT DOES NOT FIT"
 	else
-		tests=$(found "$package" -skip "$slow")
+		tests=$(found "$package" -skip "$slow|$golden")
 		tests=${tests:-$(found "$package" -run "$slow")}
 	fi
 	tests=$(paste -sd ' ' <<<"${tests:-NOT CAUGHT}")
@@ -58,38 +59,38 @@
 echo "| --- | --- | --- |"
 
 # A voter's memory.
-fault "a promise is not written down" consensus/acceptor.go 's/changed\.State = changed\.State \|\| r\.State\.Promised != q\.Ballot/_ = 0/'
-fault "a vote is not written down" consensus/acceptor.go 's/changed\.Vote = true/changed.Vote = false/'
-fault "a lower ballot is promised" consensus/acceptor.go '/case Prepare:/,/Rejected/s/if q\.Ballot.*$/if false {/'
-fault "a lower ballot is accepted" consensus/acceptor.go '/case Accept:/,/Rejected/s/if q\.Ballot.*$/if false {/'
-fault "a vote is held against votes only, not promises" consensus/acceptor.go '/case Accept:/,/Rejected/s/r\.promised\(\)/r.Vote.Ballot/'
-fault "a voter plays rounds under an old list" consensus/acceptor.go 's/if q\.Epoch < decided\.Epoch .*$/if false {/'
-fault "a recovery's incarnation is not written down" consensus/acceptor.go '/case Recover:/,/default:/s/changed\.State = true/_ = 0/'
+fault "a promise is not written down" consensus/acceptor.go 's/Unsynced\{State: r\.State\.Promised != request\.Ballot\}/Unsynced{}/'
+fault "a vote is not written down" consensus/acceptor.go 's/unsynced\.Vote = true/unsynced.Vote = false/'
+fault "a lower ballot is promised" consensus/acceptor.go '/^func .*handlePrepare/,/Rejected/s/if request\.Ballot.*$/if false {/'
+fault "a lower ballot is accepted" consensus/acceptor.go '/^func .*handleAccept/,/Rejected/s/if request\.Ballot.*$/if false {/'
+fault "a vote is held against votes only, not promises" consensus/acceptor.go '/^func .*handleAccept/,/Rejected/s/r\.promised\(\)/r.Vote.Ballot/'
+fault "a voter plays rounds under an old list" consensus/acceptor.go 's/if request\.Epoch < decided\.Epoch .*$/if false {/'
+fault "a recovery's incarnation is not written down" consensus/acceptor.go '/^func .*handleRecover/,/^}/s/Unsynced\{State: true\}/Unsynced{}/'
 
 # A proposer's count.
-fault "a value is committed without a majority" consensus/round.go 's/^func majority.*/func majority(n int) int { return n \/ 2 }/'
-fault "a majority is counted on the old list only" consensus/round.go 's/ && \(r\.joint == nil \|\| hasMajority\(r\.joint, has\)\)//'
-fault "a learned vote counts" consensus/round.go 's/ && !reply\.Vote\.Learned//'
-fault "an answer of an old incarnation counts" consensus/round.go 's/ok = ok && other\.Incarnations\[node\] <= reply\.Incarnation/_ = other/'
-fault "a read takes one vote for committed" consensus/round.go 's/>= majority\(len\(r\.membership\.Voters\)\)$/>= 1/'
-fault "any vote is taken for the newest" consensus/round.go 's/if reply\.Vote\.Ballot\.Compare\(newest\.Ballot\) > 0/if newest.Ballot == (Ballot{})/'
+fault "a value is committed without a majority" consensus/quorum.go 's/^func majority.*/func majority(n int) int { return n \/ 2 }/'
+fault "a majority is counted on the old list only" consensus/quorum.go 's/ && \(r\.jointVoters == nil \|\| hasMajority\(r\.jointVoters, has\)\)//'
+fault "a learned vote counts" consensus/quorum.go 's/ && !reply\.Vote\.Learned//'
+fault "an answer of an old incarnation counts" consensus/quorum.go 's/ok = ok && other\.DiskIncarnations\[node\] <= reply\.DiskIncarnation/_ = other/'
+fault "a read takes one vote for committed" consensus/quorum.go 's/>= majority\(len\(r\.voterSet\.Voters\)\)$/>= 1/'
+fault "any vote is taken for the newest" consensus/quorum.go 's/if reply\.Vote\.Ballot\.Compare\(newest\.Ballot\) > 0/if newest.Ballot == (Ballot{})/'
 
 # A replica that lost its disk.
-fault "a recovery reads from one voter too few" consensus/recovery.go 's/(n >= len\(list\)-majority\(len\(list\)\))\+1/\1/'
-fault "a recovery forgets the promises it is told" consensus/recovery.go 's/r\.State\.Promised = reply\.Promised/_ = 0/'
-fault "a recovered vote is not marked as learned" consensus/recovery.go 's/r\.Vote\.Learned = .*/_ = 0/'
+fault "a recovery reads from one voter too few" consensus/recovery.go 's/(n >= len\(voters\)-majority\(len\(voters\)\))\+1/\1/'
+fault "a recovery forgets the promises it is told" consensus/recovery.go 's/record\.State\.Promised = reply\.Promised/_ = 0/'
+fault "a recovered vote is not marked as learned" consensus/recovery.go 's/record\.Vote\.Learned = .*/_ = 0/'
 fault "a wiped replica answers at once" controlplane/acceptor_load.go 's/damage\.blank\(\) && a\.initialStart && !a\.hadRecord/damage.blank()/'
 fault "a folder emptied under a running voter is a first start" controlplane/acceptor_load.go 's/initialStart && !a\.hadRecord/initialStart/'
 fault "a folder of another process is used" controlplane/record_disk.go 's/case string\(owner\) != r\.self:/case false:/'
 
 # Operators' orders.
-fault "a refused order is not remembered" consensus/value.go 's/next\.Refused = append\(slices\.Clone.*/_ = entry/'
+fault "a refused order is not remembered" consensus/value.go 's/next\.Refused = append\(slices\.Clone.*/_, _ = slices.Clone(v.Refused), entry/'
 fault "a refusal is forgotten at the next version" consensus/value.go 's/if refused\.Version > entry\.Version/if false/'
-fault "the oldest refusal gives way to a new one" consensus/value.go 's/return Unknown, w$/w.Refused = w.Refused[1:]/'
-fault "a repeat older than the history is refused" consensus/value.go 's/case entry\.Version <= w\.Forgotten:/case false:/'
-fault "what the history dropped is not noted" consensus/value.go 's/next\.Forgotten = w\.History.*/_ = dropped/'
-fault "an order on an old version is taken" consensus/value.go 's/ \|\| c\.Base < w\.Version:/:/'
-fault "a repeat is not recognised" consensus/value.go 's/case slices\.Contains\(w\.History, entry\):/case false:/'
+fault "the oldest refusal gives way to a new one" consensus/value.go 's/return Unknown, v$/v.Refused = v.Refused[1:]/'
+fault "a repeat older than the history is refused" consensus/change.go 's/case entry\.Version <= newest\.TruncatedVersion:/case false:/'
+fault "what the history dropped is not noted" consensus/value.go 's/next\.TruncatedVersion = v\.History.*/_ = dropped/'
+fault "an order on an old version is taken" consensus/change.go 's/ \|\| c\.Base < newest\.Version:/:/'
+fault "a repeat is not recognised" consensus/change.go 's/case slices\.Contains\(newest\.History, entry\):/case false:/'
 fault "an unknown outcome is answered as a conflict" controlplane/register.go 's/return ReplaceResult\{Unknown, trace\.LimitExceeded/return ReplaceResult{Conflict, trace.LimitExceeded/'
 fault "an unknown outcome is answered with 412" controlplane/operator_api.go 's/return http\.StatusServiceUnavailable/return http.StatusPreconditionFailed/'
 
@@ -135,13 +136,13 @@
 fault "members that were lost are not tried" ../discovery/membership/reconnect.go 's/return m\.departedAt > at/return false/'
 
 # Voters that are replaced.
-fault "exchange: who joins reads from one voter" consensus/recovery.go 's/return n >= majority\(len\(list\)\)$/return n >= 1/'
-fault "exchange: a proposed list is not read from" consensus/recovery.go 's/enough = enough \&\& y\.enough\(y\.pending\)/_ = enough/'
-fault "exchange: the list of a request is not written down" consensus/acceptor.go 's/r, changed := r\.Learn\(q\.Membership\)/var changed Changed/'
-fault "exchange: a list that contradicts the own one is taken" consensus/acceptor.go 's/if decided\.contradicts\(\&q\.Membership\)/if false/'
-fault "exchange: one process's word replaces a voter" consensus/plan.go 's/p\.SilentAt >= majority\(voters\)/p.SilentAt >= 1/'
-fault "exchange: who isn't ready is added" consensus/plan.go 's/p\.Alive \&\& p\.Ready/p.Alive/'
-fault "exchange: a moment's silence is enough" consensus/plan.go 's/!p\.Alive \&\& p\.For >= ReplaceDelay/true/'
+fault "exchange: who joins reads from one voter" consensus/recovery.go 's/return n >= majority\(len\(voters\)\)$/return n >= 1/'
+fault "exchange: a proposed list is not read from" consensus/recovery.go 's/enough = enough && r\.hasEnough\(r\.pendingVoters\)/_ = enough/'
+fault "exchange: the list of a request is not written down" consensus/acceptor.go 's/r, learned := r\.LearnVoters\(request\.VoterSet\)/var learned Unsynced/'
+fault "exchange: a list that contradicts the own one is taken" consensus/acceptor.go 's/if decided\.conflictsWith\(\&request\.VoterSet\)/if false/'
+fault "exchange: one process's word replaces a voter" consensus/plan.go 's/p\.UnresponsiveReports >= majority\(voters\)/p.UnresponsiveReports >= 1/'
+fault "exchange: who isn't ready is added" consensus/plan.go 's/peer\.Responsive \&\& peer\.Ready/peer.Responsive/'
+fault "exchange: a moment's silence is enough" consensus/plan.go 's/!p\.Responsive \&\& p\.StateDuration >= ReplaceDelay/true/'
 fault "exchange: a change returns before the new list has it" controlplane/voter_manager.go 's/_, err = v\.proposer\.read\(ctx\)/_ = ctx/'
 fault "exchange: replacements are not bounded" controlplane/replacement_limiter.go 's/return n == 0 .*/return n >= 0/'
 fault "exchange: who stood still takes others for silent" controlplane/voter_monitor.go 's/v\.detector\.resetTimeouts\(now\)/_ = now/'
