--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -80,26 +80,26 @@
 // digests.
 func TestGoldenOldRecords(t *testing.T) {
 	c := qt.New(t)
-	state := oldStanding{[]string{"core-1", "core-2"}, true, 2, DiskIncarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
-	golden.Hex(t, "old-replica-state.hex", codec.MarshalAppend(nil, &state))
-	var s ReplicaState
-	c.Assert(codec.Unmarshal(golden.Read(t, "old-replica-state.hex"), &s), qt.IsNil)
-	c.Assert(s, qt.DeepEquals, ReplicaState{
+	oldState := legacyReplicaState{[]string{"core-1", "core-2"}, true, 2, DiskIncarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
+	golden.Hex(t, "old-replica-state.hex", codec.MarshalAppend(nil, &oldState))
+	var state ReplicaState
+	c.Assert(codec.Unmarshal(golden.Read(t, "old-replica-state.hex"), &state), qt.IsNil)
+	c.Assert(state, qt.DeepEquals, ReplicaState{
 		VoterSet: VoterSet{Voters: []string{"core-1", "core-2"}}, Ready: true, DiskIncarnation: 2,
 		DiskIncarnations: DiskIncarnations{"core-2": 1}, Promised: Ballot{3, "core-1#1"},
 	})
 
-	old := oldValue{version: 9, body: []byte("body 9")}
+	old := legacyValue{version: 9, body: []byte("body 9")}
 	for n := 8; n <= 9; n++ {
-		old.history = append(old.history, oldDigest{uint64(n), sha256.Sum256(order(n).Body)})
+		old.history = append(old.history, legacyDigest{uint64(n), sha256.Sum256(nthChange(n).Body)})
 	}
 	refused := NewChange(20, 21, []byte("ahead"))
-	old.refused = []oldDigest{{21, sha256.Sum256(refused.Body)}}
+	old.refused = []legacyDigest{{21, sha256.Sum256(refused.Body)}}
 	golden.Hex(t, "old-value.hex", codec.MarshalAppend(nil, &old))
-	var w Value
-	c.Assert(codec.Unmarshal(golden.Read(t, "old-value.hex"), &w), qt.IsNil)
-	c.Assert(w, qt.DeepEquals, Value{
-		Version: 9, Body: []byte("body 9"), History: []VersionDigest{order(8).entry(), order(9).entry()},
+	var value Value
+	c.Assert(codec.Unmarshal(golden.Read(t, "old-value.hex"), &value), qt.IsNil)
+	c.Assert(value, qt.DeepEquals, Value{
+		Version: 9, Body: []byte("body 9"), History: []VersionDigest{nthChange(8).entry(), nthChange(9).entry()},
 		TruncatedVersion: 7, Refused: []VersionDigest{refused.entry()},
 	})
 }
@@ -138,7 +138,7 @@
 	h := sha256.New()
 	for _, m := range messages {
 		data := codec.MarshalAppend(nil, m)
-		fmt.Fprintf(h, "%d:", len(data))
+		h.Write(fmt.Appendf(nil, "%d:", len(data)))
 		h.Write(data)
 	}
 	return hex.EncodeToString(h.Sum(nil)[:8])
@@ -150,19 +150,19 @@
 	for seed := range uint64(24) {
 		m := newModel(seed, []int{3, 3, 3, 4, 5}[seed%5], 1+int(seed/5%2), seed%4 == 3)
 		m.digest = sha256.New()
-		for n := 0; n < modelSteps && m.spec.fault == ""; n++ {
+		for step := 0; step < modelSteps && m.spec.fault == ""; step++ {
 			m.step()
 		}
-		m.settle()
+		m.endFaults()
 		qt.Assert(t, m.spec.fault, qt.Equals, "", qt.Commentf("seed %d", seed))
 		fmt.Fprintf(&text, "seed %d: messages %x, %d steps, %d versions, epoch %d, next draw %d\n", seed, m.digest.Sum(nil)[:8], m.steps,
 			len(m.spec.chain), m.spec.epoch, m.rng.Uint64())
 		for _, what := range slices.Sorted(maps.Keys(m.counts)) {
 			fmt.Fprintf(&text, "  %s: %d\n", what, m.counts[what])
 		}
-		for _, p := range m.replicas {
-			fmt.Fprintf(&text, "  %s: record %s, known %s, highest ballot %d, started %d times\n", p.name,
-				digestOf(&p.disk.State, &p.disk.Vote), digestOf(&p.known), p.highest, p.boot)
+		for _, process := range m.replicas {
+			fmt.Fprintf(&text, "  %s: record %s, known %s, highest ballot %d, started %d times\n", process.name,
+				digestOf(&process.disk.State, &process.disk.Vote), digestOf(&process.knownVote), process.highestBallot, process.starts)
 		}
 	}
 	golden.Text(t, "model-runs.txt", []byte(text.String()))
@@ -173,24 +173,23 @@
 	worlds := map[string]*world{
 		"two changes on a base":        newWorld(3, 0, []int{2, 2}, one, two),
 		"a lost disk":                  newWorld(3, 2, []int{3, 3, 3}, one, two, nil),
-		"three become five":            newLists(3, 5, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV4, two, three),
-		"voters are exchanged, a disk": newLists(3, 4, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
-		"exchanged in one step":        newLists(3, 4, 0, []int{4, 4, 4, 4, 4}, one, swapV0, swapV1, two, three),
+		"three become five":            newWorldWithStandbys(3, 5, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV4, two, three),
+		"voters are exchanged, a disk": newWorldWithStandbys(3, 4, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
+		"exchanged in one step":        newWorldWithStandbys(3, 4, 0, []int{4, 4, 4, 4, 4}, one, swapV0, swapV1, two, three),
 	}
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(worlds)) {
 		for seed := range uint64(8) {
 			rng := rand.New(rand.NewPCG(seed, 6))
-			w := worlds[name].clone()
-			for n := 0; n < 150 && w.stroll(rng); n++ {
+			world := worlds[name].clone()
+			world.randomSteps(rng, 150)
+			qt.Assert(t, world.fault(), qt.Equals, "")
+			fmt.Fprintf(&text, "%s, seed %d: %d in flight, next draw %d\n", name, seed, len(world.inFlight), rng.Uint64())
+			for _, e := range world.conclusions {
+				fmt.Fprintf(&text, "  proposer %d: %v %s\n", e.proposer, e.verdict, digestOf(&e.value))
 			}
-			qt.Assert(t, w.fault(), qt.Equals, "")
-			fmt.Fprintf(&text, "%s, seed %d: %d in flight, next draw %d\n", name, seed, len(w.flight), rng.Uint64())
-			for _, e := range w.ends {
-				fmt.Fprintf(&text, "  proposer %d: %v %s\n", e.prop, e.verdict, digestOf(&e.word))
-			}
-			for v := range w.records {
-				fmt.Fprintf(&text, "  %s: %s\n", w.voters[v], digestOf(&w.records[v].State, &w.records[v].Vote))
+			for v := range world.records {
+				fmt.Fprintf(&text, "  %s: %s\n", world.voters[v], digestOf(&world.records[v].State, &world.records[v].Vote))
 			}
 		}
 	}
@@ -200,18 +199,18 @@
 // The number of states that all orders of a few steps lead to.
 func TestGoldenStates(t *testing.T) {
 	var text strings.Builder
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		w     *world
 		depth int
 	}{
 		{"two changes on a base", newWorld(3, 0, []int{1, 1}, one, two), 6},
-		{"a lost disk", newWorld(3, 1, []int{1, 1}, one, two).promised(0, 0, 1), 5},
-		{"a voter is added", newLists(3, 4, 0, []int{1, 1}, one, addV3), 5},
-		{"a voter is exchanged", newLists(3, 4, 0, []int{1, 1}, one, swapV0), 5},
-		{"a rival list that one has", rivalList(), 4},
+		{"a lost disk", newWorld(3, 1, []int{1, 1}, one, two).startRound(0, 0, 1), 5},
+		{"a voter is added", newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, addV3), 5},
+		{"a voter is exchanged", newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, swapV0), 5},
+		{"a rival list that one has", rivalVoterSet(), 4},
 	} {
-		fmt.Fprintf(&text, "%s, %d steps: %d states\n", x.name, x.depth, explore(t, x.w, x.depth))
+		fmt.Fprintf(&text, "%s, %d steps: %d states\n", test.name, test.depth, explore(t, test.w, test.depth))
 	}
 	golden.Text(t, "states.txt", []byte(text.String()))
 }
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -10,42 +10,42 @@
 
 func TestWrittenIsRead(t *testing.T) {
 	c := qt.New(t)
-	mark := VersionDigest{7, Digest{1, 2, 7: 3}}
-	b := Ballot{3, "a#1"}
-	e := VoterSet{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
-	value := Value{7, []byte("body"), []VersionDigest{{2, Digest{}}, mark}, 1, []VersionDigest{mark}, e}
-	q, q2 := Request{Accept, b, Ballot{2, "b"}, value, "x", 4, 5, e, 6, "y"}, Request{}
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &q), &q2), qt.IsNil)
-	c.Assert(q2, qt.DeepEquals, q)
-	r, r2 := Reply{Rejected, b, 5, DiskIncarnations{"x": 2, "y": 3}, b, Vote{b, value, true}, e, true, true, 7, []string{"w"}}, Reply{}
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &r), &r2), qt.IsNil)
-	c.Assert(r2, qt.DeepEquals, r)
-	s, s2 := ReplicaState{e, true, 2, DiskIncarnations{"y": 1}, b, 8}, ReplicaState{}
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &s), &s2), qt.IsNil)
-	c.Assert(s2, qt.DeepEquals, s)
+	entry := VersionDigest{7, Digest{1, 2, 7: 3}}
+	ballot := Ballot{3, "a#1"}
+	voters := VoterSet{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
+	value := Value{7, []byte("body"), []VersionDigest{{2, Digest{}}, entry}, 1, []VersionDigest{entry}, voters}
+	request, requestRead := Request{Accept, ballot, Ballot{2, "b"}, value, "x", 4, 5, voters, 6, "y"}, Request{}
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &request), &requestRead), qt.IsNil)
+	c.Assert(requestRead, qt.DeepEquals, request)
+	reply, replyRead := Reply{Rejected, ballot, 5, DiskIncarnations{"x": 2, "y": 3}, ballot, Vote{ballot, value, true}, voters, true, true, 7, []string{"w"}}, Reply{}
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &reply), &replyRead), qt.IsNil)
+	c.Assert(replyRead, qt.DeepEquals, reply)
+	state, stateRead := ReplicaState{voters, true, 2, DiskIncarnations{"y": 1}, ballot, 8}, ReplicaState{}
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &state), &stateRead), qt.IsNil)
+	c.Assert(stateRead, qt.DeepEquals, state)
 }
 
-// A record written before voters could change has the list of the first start.
+// A record written before voters could change has the voter set of the first start.
 func TestOldRecord(t *testing.T) {
 	c := qt.New(t)
-	old := oldStanding{[]string{"x", "y"}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}}
-	var s ReplicaState
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &old), &s), qt.IsNil)
-	c.Assert(s, qt.DeepEquals, ReplicaState{VoterSet{Voters: []string{"x", "y"}}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}, 0})
+	old := legacyReplicaState{[]string{"x", "y"}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}}
+	var state ReplicaState
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &old), &state), qt.IsNil)
+	c.Assert(state, qt.DeepEquals, ReplicaState{VoterSet{Voters: []string{"x", "y"}}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}, 0})
 }
 
-type oldStanding struct {
-	voters   []string
-	fit      bool
-	life     uint64
-	lives    DiskIncarnations
-	promised Ballot
+type legacyReplicaState struct {
+	voters           []string
+	ready            bool
+	diskIncarnation  uint64
+	diskIncarnations DiskIncarnations
+	promised         Ballot
 }
 
-func (o *oldStanding) Fields(v *codec.Visitor) {
-	v.Strings(1, &o.voters)
-	v.Bool(2, &o.fit)
-	v.Uint64(3, &o.life)
-	o.lives.fields(v)
-	v.Message(5, &o.promised)
+func (o *legacyReplicaState) Fields(visitor *codec.Visitor) {
+	visitor.Strings(1, &o.voters)
+	visitor.Bool(2, &o.ready)
+	visitor.Uint64(3, &o.diskIncarnation)
+	o.diskIncarnations.fields(visitor)
+	visitor.Message(5, &o.promised)
 }
