--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -13,7 +13,7 @@
 	Resigned                // has given up for good
 )
 
-// Candidate is a process that would do one duty.
+// Candidate is a process that would play one role.
 type Candidate struct {
 	self        string
 	incarnation uint64
@@ -23,33 +23,36 @@
 
 	state          State
 	nextRequest    time.Duration // when it may ask or renew
-	fencingToken   uint64        // fencing number of the lease it holds
-	requestedToken uint64        // fencing number of the newest request
-	highestToken   uint64        // highest fencing number it knows of
-	heldUntil      time.Duration // it holds the lease, and not a moment longer
+	fencingToken   uint64        // of the lease it holds
+	requestedToken uint64        // of the newest request
+	highestToken   uint64        // the highest it knows of
+	heldUntil      time.Duration // it holds the lease before, and not a moment longer
 	otherHolder    string        // another process that has the lease
 	releasePending bool          // what was granted is to be released: there was no majority
-	voterSetEpoch  uint64        // epoch of the newest list of voters
-	quietUntil     time.Duration // it asks nobody before, as the list is new
+	voterSetEpoch  uint64        // of the newest voter set
+	quietUntil     time.Duration // it asks nobody before, as the voter set is new
 
-	requestedAt time.Duration // time of the newest request
+	// The newest request, and its replies.
+	requestedAt time.Duration
 	voterCount  int
 	grantedBy   map[string]bool
 	rejections  int
 }
 
-// NewCandidate makes a candidate that holds nothing. jitter gives numbers from 0 to 1.
-func NewCandidate(self string, incarnation uint64, duty string, jitter func() float64) *Candidate {
-	return &Candidate{self: self, incarnation: incarnation, role: duty, jitter: jitter}
+// NewCandidate makes a candidate for a role that holds nothing. self and incarnation name the process; jitter returns
+// numbers from 0 to 1, by which requests of several candidates are spread.
+func NewCandidate(self string, incarnation uint64, role string, jitter func() float64) *Candidate {
+	return &Candidate{self: self, incarnation: incarnation, role: role, jitter: jitter}
 }
 
 // setState is the only method that changes a candidate's state.
-func (c *Candidate) setState(to State, next time.Duration) {
-	c.state, c.nextRequest = to, next
+func (c *Candidate) setState(state State, nextRequest time.Duration) {
+	c.state = state
+	c.nextRequest = nextRequest
 }
 
-// Holds reports whether this process has the lease now, and under which fencing number.
-func (c *Candidate) Holds(now time.Duration) (epoch uint64, ok bool) {
+// Holds reports whether this process has the lease now, and under which fencing token.
+func (c *Candidate) Holds(now time.Duration) (fencingToken uint64, ok bool) {
 	if c.state == Holding && now < c.heldUntil {
 		return c.fencingToken, true
 	}
@@ -64,7 +67,8 @@
 	return c.heldUntil - now
 }
 
-// Holder is the process that has the lease, as far as is known; empty for none. It may be out of date, and serves as a hint.
+// Holder is the process that has the lease, as far as is known; empty for none. It may be out of date, and serves as a
+// hint.
 func (c *Candidate) Holder(now time.Duration) string {
 	if _, ok := c.Holds(now); ok {
 		return c.self
@@ -72,45 +76,42 @@
 	return c.otherHolder
 }
 
-// SetRank sets this process's place among the candidates, from 0, so that they don't all ask at once and split the votes.
-func (c *Candidate) SetRank(n int) { c.rank = n }
+// SetRank sets this process's rank among the candidates, from 0, so that they don't all ask at once and split the votes.
+func (c *Candidate) SetRank(rank int) { c.rank = rank }
 
-// ObserveToken tells of a fencing number that was used. A holder whose own is lower renews under a higher one at once.
-func (c *Candidate) ObserveToken(now time.Duration, epoch uint64) {
-	c.highestToken = max(c.highestToken, epoch)
+// ObserveToken reports a fencing token that was used. A holder whose own is lower renews under a higher one at once.
+func (c *Candidate) ObserveToken(now time.Duration, fencingToken uint64) {
+	c.highestToken = max(c.highestToken, fencingToken)
 	if c.state == Holding && c.highestToken > c.fencingToken {
 		c.nextRequest = min(c.nextRequest, now)
 	}
 }
 
-// HolderReleased tells that another process has given the lease up: candidates ask at once, in the order of their ranks.
+// HolderReleased reports that another process has released the lease: candidates ask at once, in the order of their
+// ranks.
 func (c *Candidate) HolderReleased(now time.Duration, holder string) {
-	if c.state != Idle && c.state != Requesting || c.otherHolder != "" && c.otherHolder != holder {
+	waits := c.state == Idle || c.state == Requesting
+	if !waits || c.otherHolder != "" && c.otherHolder != holder {
 		return
 	}
 	c.otherHolder = ""
-	c.nextRequest = max(min(c.nextRequest, now+time.Duration(c.rank)*releaseStagger), c.quietUntil)
+	turn := now + time.Duration(c.rank)*releaseStagger
+	c.nextRequest = max(min(c.nextRequest, turn), c.quietUntil)
 }
 
-// Resign gives the lease up for good. The request, if there is one, is to be sent to all voters.
+// Resign gives the role up for good. The request, if there is one, is to be sent to all voters.
 func (c *Candidate) Resign() *Request {
-	had := c.state == Holding || c.state == Requesting
+	mayHaveGrants := c.state == Holding || c.state == Requesting
 	c.setState(Resigned, 0)
-	if !had {
+	if !mayHaveGrants {
 		return nil
 	}
 	return c.releaseRequest()
 }
 
-func (c *Candidate) releaseRequest() *Request {
-	return &Request{
-		Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
-		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken, Release: true}},
-	}
-}
-
-// Tick gives the request that is to be sent to all voters now; nil for none. list is the epoch of their list.
-func (c *Candidate) Tick(now time.Duration, voters int, list uint64) *Request {
+// Tick returns the request that is to be sent to all voters now; nil for none. voterCount and voterSetEpoch are those of
+// the newest voter set that the caller knows.
+func (c *Candidate) Tick(now time.Duration, voterCount int, voterSetEpoch uint64) *Request {
 	if c.state == Resigned {
 		return nil
 	}
@@ -121,18 +122,19 @@
 	if c.state == Holding && now >= c.heldUntil {
 		c.setState(Idle, max(now+retryDelay, c.quietUntil))
 	}
-	if list > c.voterSetEpoch {
-		c.adoptVoterSet(now, list)
+	if voterSetEpoch > c.voterSetEpoch {
+		c.adoptVoterSet(now, voterSetEpoch)
 	}
-	if now < c.nextRequest || voters == 0 || list < c.voterSetEpoch {
+	if now < c.nextRequest || voterCount == 0 || voterSetEpoch < c.voterSetEpoch {
 		return nil
 	}
-	return c.newRequest(now, voters)
+	return c.newRequest(now, voterCount)
 }
 
-// adoptVoterSet takes note of a new list of voters.
-func (c *Candidate) adoptVoterSet(now time.Duration, list uint64) {
-	c.voterSetEpoch, c.quietUntil = list, now+voterChangeDelay
+// adoptVoterSet takes note of a new voter set.
+func (c *Candidate) adoptVoterSet(now time.Duration, epoch uint64) {
+	c.voterSetEpoch = epoch
+	c.quietUntil = now + voterChangeDelay
 	if c.state == Holding {
 		c.nextRequest = now // renewed by the new voters before the old ones' grants end
 		return
@@ -140,7 +142,8 @@
 	c.setState(Idle, c.quietUntil)
 }
 
-func (c *Candidate) newRequest(now time.Duration, voters int) *Request {
+// newRequest asks for the lease, or renews it, and forgets the replies to earlier requests.
+func (c *Candidate) newRequest(now time.Duration, voterCount int) *Request {
 	switch {
 	case c.state != Holding:
 		c.requestedToken = max(c.highestToken, c.voterSetEpoch*tokensPerVoterSet) + 1
@@ -152,38 +155,49 @@
 		c.nextRequest = now + renewInterval
 	}
 	c.highestToken = max(c.highestToken, c.requestedToken)
-	c.requestedAt, c.voterCount, c.grantedBy, c.rejections = now, voters, map[string]bool{}, 0
-	return &Request{
-		Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch,
-		Roles: []RoleRequest{{Role: c.role, FencingToken: c.requestedToken}},
-	}
+	c.requestedAt = now
+	c.voterCount = voterCount
+	c.grantedBy = map[string]bool{}
+	c.rejections = 0
+	return c.request(RoleRequest{Role: c.role, FencingToken: c.requestedToken})
 }
 
+func (c *Candidate) releaseRequest() *Request {
+	return c.request(RoleRequest{Role: c.role, FencingToken: c.requestedToken, Release: true})
+}
+
+func (c *Candidate) request(role RoleRequest) *Request {
+	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch, Roles: []RoleRequest{role}}
+}
+
+// jitteredDelay is the time until the next attempt: longer for each rank, and spread by chance.
 func (c *Candidate) jitteredDelay() time.Duration {
 	return retryDelay*time.Duration(1+c.rank) + time.Duration(c.jitter()*float64(retryDelay))
 }
 
-// Handle takes a voter's reply to the request that was made at a time. It reports whether this process obtained the lease just now.
-func (c *Candidate) HandleReply(now, asked time.Duration, voter string, r *Reply) (came bool) {
-	for _, g := range r.Grants {
-		if g.Role != c.role || c.state == Resigned {
+// HandleReply takes a voter's reply to the request that Tick returned at requestedAt; replies to earlier requests only
+// report fencing tokens. It reports whether this process obtained the lease just now.
+func (c *Candidate) HandleReply(now, requestedAt time.Duration, voter string, reply *Reply) (obtained bool) {
+	for i := range reply.Grants {
+		grant := &reply.Grants[i]
+		if grant.Role != c.role || c.state == Resigned {
 			continue
 		}
-		c.highestToken = max(c.highestToken, g.FencingToken)
+		c.highestToken = max(c.highestToken, grant.FencingToken)
 		switch {
-		case asked != c.requestedAt:
-		case g.Granted:
-			came = c.countGrant(now, voter, g.FencingToken) || came
+		case requestedAt != c.requestedAt:
+		case grant.Granted:
+			obtained = c.countGrant(now, voter, grant.FencingToken) || obtained
 		default:
-			c.countRejection(now, &g)
+			c.countRejection(now, grant)
 		}
 	}
-	return came
+	return obtained
 }
 
-// countGrant counts a voter's grant.
-func (c *Candidate) countGrant(now time.Duration, voter string, epoch uint64) (came bool) {
-	if c.state == Idle || epoch != c.requestedToken {
+// countGrant counts a voter's grant, and reports whether it is the one by which the candidate came to hold the lease.
+func (c *Candidate) countGrant(now time.Duration, voter string, fencingToken uint64) (obtained bool) {
+	if c.state == Idle || fencingToken != c.requestedToken {
 		return false
 	}
 	c.grantedBy[voter] = true
@@ -191,23 +205,27 @@
 	if len(c.grantedBy) < c.majority() || now >= until {
 		return false
 	}
-	came = c.state != Holding
-	c.fencingToken, c.heldUntil, c.otherHolder = c.requestedToken, until, ""
-	c.setState(Holding, c.requestedAt+renewInterval) // whatever a voter that refused had it wait for
-	return came
+	obtained = c.state != Holding
+	c.fencingToken = c.requestedToken
+	c.heldUntil = until
+	c.otherHolder = ""
+	// Whatever a voter that rejected the request had this candidate wait for, the lease has to be renewed in time.
+	c.setState(Holding, c.requestedAt+renewInterval)
+	return obtained
 }
 
-// countRejection counts a voter's refusal.
-func (c *Candidate) countRejection(now time.Duration, g *Grant) {
+// countRejection counts a voter's rejection. Once a majority can't be had any more, what was granted is released.
+func (c *Candidate) countRejection(now time.Duration, rejection *Grant) {
 	if c.state == Holding {
 		return
 	}
-	if g.Holder != "" {
-		c.otherHolder = g.Holder
-		c.nextRequest = max(c.nextRequest, now+min(g.Remaining, Duration)/2+c.jitteredDelay())
+	if rejection.Holder != "" {
+		c.otherHolder = rejection.Holder
+		c.nextRequest = max(c.nextRequest, now+min(rejection.Remaining, Duration)/2+c.jitteredDelay())
 	}
 	c.rejections++
-	if c.state == Requesting && c.rejections > c.voterCount-c.majority() && len(c.grantedBy) > 0 {
+	isLost := c.rejections > c.voterCount-c.majority()
+	if c.state == Requesting && isLost && len(c.grantedBy) > 0 {
 		c.releasePending = true
 		c.setState(Idle, max(c.nextRequest, now+c.jitteredDelay()))
 	}
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -9,59 +9,59 @@
 // Request asks a voter for the leases of one process: to obtain, to renew or to release them.
 type Request struct {
 	Holder        string // address of the process that asks
-	Incarnation   uint64 // of that process; differs after each start
+	Incarnation   uint64 // of that process: random, and new at each start
 	Roles         []RoleRequest
-	VoterSetEpoch uint64 // of the list of voters that the process knows
+	VoterSetEpoch uint64 // of the newest voter set that the process knows
 }
 
-// RoleRequest is one lease of a Request, with the fencing number that the process would work under.
-type RoleRequest struct {
-	Role         string
-	FencingToken uint64 // fencing number
-	Release      bool   // the process gives the lease up
-}
-
-// Reply is a voter's answer to a Request.
-type Reply struct {
-	Grants        []Grant
-	VoterSetEpoch uint64 // of the newest list of voters that the voter accepted or knows as decided
+// Fields implements codec.Message.
+func (r *Request) Fields(visitor *codec.Visitor) {
+	visitor.String(1, &r.Holder)
+	visitor.Fixed64(2, &r.Incarnation)
+	codec.Messages(visitor, 3, &r.Roles)
+	visitor.Uint64(4, &r.VoterSetEpoch)
 }
 
-// Grant is what a voter says about one lease.
-type Grant struct {
+// RoleRequest asks for the lease of one role, with the fencing token that the process would work under.
+type RoleRequest struct {
 	Role         string
-	Granted      bool          // the lease was granted to the process that asked
-	FencingToken uint64        // highest fencing number that the voter has granted
-	Holder       string        // another process that holds the lease; empty for none
-	Remaining    time.Duration // how long the grant to Holder still runs
+	FencingToken uint64
+	Release      bool // the process gives the lease up
 }
 
 // Fields implements codec.Message.
-func (r *Request) Fields(v *codec.Visitor) {
-	v.String(1, &r.Holder)
-	v.Fixed64(2, &r.Incarnation)
-	codec.Messages(v, 3, &r.Roles)
-	v.Uint64(4, &r.VoterSetEpoch)
+func (r *RoleRequest) Fields(visitor *codec.Visitor) {
+	visitor.String(1, &r.Role)
+	visitor.Uint64(2, &r.FencingToken)
+	visitor.Bool(3, &r.Release)
 }
 
-// Fields implements codec.Message.
-func (r *RoleRequest) Fields(v *codec.Visitor) {
-	v.String(1, &r.Role)
-	v.Uint64(2, &r.FencingToken)
-	v.Bool(3, &r.Release)
+// Reply is a voter's answer to a Request.
+type Reply struct {
+	Grants        []Grant // in the order of the requests; roles that a voter has no room for are left out
+	VoterSetEpoch uint64  // of the newest voter set that the voter accepted or knows to be decided
 }
 
 // Fields implements codec.Message.
-func (r *Reply) Fields(v *codec.Visitor) {
-	codec.Messages(v, 1, &r.Grants)
-	v.Uint64(2, &r.VoterSetEpoch)
+func (r *Reply) Fields(visitor *codec.Visitor) {
+	codec.Messages(visitor, 1, &r.Grants)
+	visitor.Uint64(2, &r.VoterSetEpoch)
+}
+
+// Grant is a voter's answer for one role: a grant, or a rejection.
+type Grant struct {
+	Role         string
+	Granted      bool          // false: the request was rejected
+	FencingToken uint64        // the highest that the voter has granted for the role
+	Holder       string        // another process that holds the lease; empty for none
+	Remaining    time.Duration // how long the grant to Holder still lasts
 }
 
 // Fields implements codec.Message.
-func (g *Grant) Fields(v *codec.Visitor) {
-	v.String(1, &g.Role)
-	v.Bool(2, &g.Granted)
-	v.Uint64(3, &g.FencingToken)
-	v.String(4, &g.Holder)
-	v.Duration(5, &g.Remaining)
+func (g *Grant) Fields(visitor *codec.Visitor) {
+	visitor.String(1, &g.Role)
+	visitor.Bool(2, &g.Granted)
+	visitor.Uint64(3, &g.FencingToken)
+	visitor.String(4, &g.Holder)
+	visitor.Duration(5, &g.Remaining)
 }
--- a/internal/mesh/control/lease/voter.go
+++ b/internal/mesh/control/lease/voter.go
@@ -2,74 +2,88 @@
 
 import "time"
 
-// Voter grants leases.
+// Voter grants leases. It remembers the newest grant of each role.
 type Voter struct {
 	grantsFrom time.Duration // it grants nothing before
 	grants     map[string]*heldLease
 }
 
-// heldLease is the newest grant of one duty; the zero value was never granted.
-type heldLease struct {
-	holder       string
-	incarnation  uint64
-	fencingToken uint64 // fencing number
-	expiresAt    time.Duration
-}
-
-func (h *heldLease) isHeldBy(q *Request) bool {
-	return h.incarnation == q.Incarnation && h.holder == q.Holder
-}
-
-// NewVoter makes a voter that starts now. first tells that the whole system starts for the first time: nothing was granted
-// before.
-func NewVoter(now time.Duration, first bool) *Voter {
+// NewVoter makes a voter that starts now. initialStart says that the whole system starts for the first time: nothing was
+// granted before, and the voter need not wait until earlier grants have ended.
+func NewVoter(now time.Duration, initialStart bool) *Voter {
 	v := &Voter{grantsFrom: now + Duration, grants: map[string]*heldLease{}}
-	if first {
+	if initialStart {
 		v.grantsFrom = now
 	}
 	return v
 }
 
-// VoterStatus is what a voter knows about the list of voters when it answers.
+// VoterStatus is what the voter's process knows of the voter set when it answers.
 type VoterStatus struct {
-	Ready         bool   // its record is whole; if not, it may have forgotten a list that it accepted
-	VoterSetEpoch uint64 // of the newest list that it accepted or knows as decided
+	Ready         bool   // its record is complete; if not, it may have forgotten a voter set that it accepted
+	VoterSetEpoch uint64 // of the newest voter set that it accepted or knows to be decided
 }
 
 // Handle answers a request. It is the only method that changes what has been granted.
-func (v *Voter) Handle(now time.Duration, standing VoterStatus, q *Request) *Reply {
-	reply := &Reply{VoterSetEpoch: standing.VoterSetEpoch}
-	mayGrant := now >= v.grantsFrom && standing.Ready && q.VoterSetEpoch >= standing.VoterSetEpoch
-	for _, d := range q.Roles {
-		g := v.grants[d.Role]
-		if g == nil {
-			if len(v.grants) >= maxRoles {
-				continue
-			}
-			g = &heldLease{}
-			v.grants[d.Role] = g
+func (v *Voter) Handle(now time.Duration, status VoterStatus, request *Request) *Reply {
+	reply := &Reply{VoterSetEpoch: status.VoterSetEpoch}
+	mayGrant := now >= v.grantsFrom && status.Ready && request.VoterSetEpoch >= status.VoterSetEpoch
+	for i := range request.Roles {
+		role := &request.Roles[i]
+		held := v.leaseOf(role.Role)
+		if held == nil {
+			continue
 		}
-		reply.Grants = append(reply.Grants, g.answer(now, mayGrant, q, &d))
+		reply.Grants = append(reply.Grants, held.answer(now, mayGrant, request, role))
 	}
 	return reply
 }
 
-// answer answers for one duty.
-func (h *heldLease) answer(now time.Duration, mayGrant bool, q *Request, d *RoleRequest) Grant {
-	mine := h.isHeldBy(q)
-	free := mine && d.FencingToken >= h.fencingToken || now >= h.expiresAt && d.FencingToken > h.fencingToken
+// leaseOf is the lease of a role; nil if there is no room for another role.
+func (v *Voter) leaseOf(role string) *heldLease {
+	held := v.grants[role]
+	if held == nil && len(v.grants) < maxRoles {
+		held = &heldLease{}
+		v.grants[role] = held
+	}
+	return held
+}
+
+// heldLease is the newest grant of one role; the zero value was never granted.
+type heldLease struct {
+	holder       string
+	incarnation  uint64 // of the holder
+	fencingToken uint64
+	expiresAt    time.Duration
+}
+
+func (h *heldLease) isHeldBy(request *Request) bool {
+	return h.incarnation == request.Incarnation && h.holder == request.Holder
+}
+
+// answer grants, renews, releases or rejects.
+func (h *heldLease) answer(now time.Duration, mayGrant bool, request *Request, role *RoleRequest) Grant {
+	isHolder := h.isHeldBy(request)
+	isCurrent := isHolder && role.FencingToken >= h.fencingToken
+	isFree := now >= h.expiresAt && role.FencingToken > h.fencingToken
 	switch {
-	case d.Release:
-		if mine && d.FencingToken >= h.fencingToken { // a late release of an earlier number leaves this one alone
+	case role.Release:
+		if isCurrent { // a late release of an earlier token leaves this grant alone
 			h.expiresAt = now
 		}
-	case mayGrant && free:
-		*h = heldLease{holder: q.Holder, incarnation: q.Incarnation, fencingToken: d.FencingToken, expiresAt: now + Duration}
-		return Grant{Role: d.Role, Granted: true, FencingToken: d.FencingToken}
+	case mayGrant && (isCurrent || isFree):
+		*h = heldLease{
+			holder:       request.Holder,
+			incarnation:  request.Incarnation,
+			fencingToken: role.FencingToken,
+			expiresAt:    now + Duration,
+		}
+		return Grant{Role: role.Role, Granted: true, FencingToken: role.FencingToken}
 	}
-	refusal := Grant{Role: d.Role, FencingToken: h.fencingToken}
-	if now < h.expiresAt && !mine {
-		refusal.Holder, refusal.Remaining = h.holder, h.expiresAt-now
+	rejection := Grant{Role: role.Role, FencingToken: h.fencingToken}
+	if now < h.expiresAt && !isHolder {
+		rejection.Holder = h.holder
+		rejection.Remaining = h.expiresAt - now
 	}
-	return refusal
+	return rejection
 }
