--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -126,10 +126,10 @@
 fault "numbers of a newer list begin anew" lease/candidate.go 's/max\(c\.highestToken, c\.voterSetEpoch\*tokensPerVoterSet\)/c.highestToken/'
 
 # Where duties land.
-fault "tokens of a former allocator are taken" ratelimit/token_cache.go 's/ \|\| g\.Epoch < c\.newest//'
-fault "shares of sidecars that left the view are forgotten" ratelimit/sightings.go 's/if now-at > shareLease/if now > at/'
+fault "tokens of a former allocator are taken" ratelimit/token_cache.go 's/ \|\| reply\.FencingToken < c\.highestFencingToken//'
+fault "shares of sidecars that left the view are forgotten" ratelimit/last_seen.go 's/if now-seen > shareLease/if now > seen/'
 fault "a new allocator keeps nothing back" ratelimit/allocator.go 's/reserved \+= max.*/_ = 0/'
-fault "shares of silent sidecars are granted again" ratelimit/allocator.go 's/reserved := b\.silent/reserved := 0.0/'
+fault "shares of silent sidecars are granted again" ratelimit/allocator.go 's/reserved := bucket\.unresponsiveShares/reserved := 0.0/'
 fault "an older version comes in force" ../agent/configuration.go 's/version <= held \{/version == held {/'
 fault "a text is taken under another version" ../agent/configuration.go 's/if uint64\(conf\.Version\) != version/if false/'
 fault "the first peer's version is taken" ../agent/version_poll.go 's/if version > v\.newest/if v.newest == 0/'
--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -1,40 +1,31 @@
 package ratelimit
 
-import (
-	"maps"
-	"slices"
-	"time"
-)
+import "time"
 
-// A tenant's limit is a token bucket that one process, the allocator, holds under a lease (package lease). Sidecars draw tokens,
-// which are good for a moment only. Each also holds a standing share of the rate under a lease of its own, by which it admits
-// requests while it can't reach an allocator. The allocator takes the shares of sidecars that it has not heard from out of what
-// it grants, so that the sum of what is admitted stays within the limit, whoever is cut off.
 const (
 	tokenValidity     = 450 * time.Millisecond // from when the tokens were requested, by the sidecar's clock
-	unresponsiveAfter = 300 * time.Millisecond // without a message the allocator takes a sidecar to use its share
-	shareLease        = 10 * time.Second
-	forgetAfter       = 2 * shareLease // without a message
-	evenFraction      = 0.2            // part of the rate that is divided evenly; the rest is divided by demand
-	sumInterval       = 100 * time.Millisecond
-	sweepInterval     = time.Second
-	maxSidecars       = 8192
-
-	// initialOverageFraction is the part of Limit.Spare that a new allocator's buckets start with: two allocators may follow one another
-	// within a window.
-	initialOverageFraction = 0.25
+	unresponsiveAfter = 300 * time.Millisecond // without a request the allocator expects a sidecar to use its share
+	shareLease        = 10 * time.Second       // of a fallback share
+	forgetAfter       = 2 * shareLease         // without a request the allocator forgets a sidecar
+	sweepInterval     = time.Second            // between two sweeps of what can be forgotten
+	maxSidecars       = 8192                   // that an allocator keeps
+
+	// newAllocatorDelay is how long a new allocator reserves what is not accounted for, even if all sidecars that it knows
+	// of have reported: it may not know all of them yet.
+	newAllocatorDelay = time.Second
 )
 
-// Limit is a tenant's limit in requests a second, as the configuration has it.
+// Limit is a tenant's limit, as the configuration has it.
 type Limit struct {
-	Rate, Burst float64
-	Overage     float64 // requests that may pass beyond it in a window
+	Rate    float64 // requests a second; a tenant without a rate is not limited
+	Burst   float64 // requests that may come at once
+	Overage float64 // requests that may pass beyond rate and burst in a window of the quota
 }
 
-// Allocator holds the buckets of all tenants while this process has the duty.
+// Allocator keeps the buckets of all tenants while this process plays the role.
 type Allocator struct {
 	startedAt    time.Duration
-	initialStart bool // nothing was granted before it began: the system starts for the first time
+	initialStart bool // nothing was granted before startedAt: the whole system starts for the first time
 	limits       func(tenant string) (Limit, bool)
 	buckets      map[string]*bucket    // by tenant
 	sidecars     map[string]*requester // by address
@@ -42,38 +33,27 @@
 	lastSweep    time.Duration
 }
 
-// bucket is what the allocator holds of one tenant. Its sums are made anew every sumInterval and kept up in between, so that a
-// request costs the same whatever the number of sidecars.
-type bucket struct {
-	level              float64 // tokens
-	refilledAt         time.Duration
-	shares             map[string]*fallbackShare // by the sidecar's address
-	totalDemand        float64                   // of all sidecars
-	totalShares        float64                   // shares of all sidecars
-	unresponsiveShares float64                   // shares of those that were not heard from
-	summedAt           time.Duration
-	initialised        bool // the sums were made once
-}
-
 // requester is a sidecar that requests tokens.
 type requester struct {
 	incarnation uint64
 	lastSeen    time.Duration
 }
 
-// fallbackShare is the standing share of one sidecar in one tenant's limit, in requests a second.
-type fallbackShare struct {
-	incarnation  uint64
-	rate, demand float64
-	expiresAt    time.Duration
-}
-
-// NewAllocator begins the duty. Buckets start nearly empty: the allocator before may have granted all there was just now.
-func NewAllocator(now time.Duration, fresh bool, limits func(string) (Limit, bool)) *Allocator {
-	return &Allocator{startedAt: now, initialStart: fresh, limits: limits, buckets: map[string]*bucket{}, sidecars: map[string]*requester{}}
+// NewAllocator starts an allocator. limits returns a tenant's limit, and whether the tenant exists. At the system's
+// initial start buckets are full; else they start nearly empty, as the allocator before may have granted all there was
+// just now.
+func NewAllocator(now time.Duration, initialStart bool, limits func(string) (Limit, bool)) *Allocator {
+	return &Allocator{
+		startedAt:    now,
+		initialStart: initialStart,
+		limits:       limits,
+		buckets:      map[string]*bucket{},
+		sidecars:     map[string]*requester{},
+	}
 }
 
-// SetSidecars sets the sidecars that are there or were of late: those that have not told yet which shares they hold may hold any.
+// SetSidecars sets the sidecars that are members, or were of late. Those that have not reported yet which shares they
+// hold may hold any.
 func (a *Allocator) SetSidecars(addresses []string) {
 	a.unreported = 0
 	for _, address := range addresses {
@@ -83,38 +63,46 @@
 	}
 }
 
-// Admit answers the requests of a sidecar. It is the only method that changes what has been granted.
-func (a *Allocator) Allocate(now time.Duration, q *AllocationRequest) []TokenGrant {
-	r := a.sidecars[q.Sidecar]
-	if r == nil {
-		if len(a.sidecars) >= maxSidecars {
-			return nil
-		}
-		r = &requester{}
-		a.sidecars[q.Sidecar] = r
-		a.unreported = max(a.unreported-1, 0)
+// Allocate answers the requests of a sidecar; requests for tenants without a limit are left out. It is the only method
+// that changes what has been granted.
+func (a *Allocator) Allocate(now time.Duration, request *AllocationRequest) []TokenGrant {
+	sidecar := a.requester(request.Sidecar)
+	if sidecar == nil {
+		return nil
 	}
-	r.incarnation, r.lastSeen = q.Incarnation, now
+	sidecar.incarnation = request.Incarnation
+	sidecar.lastSeen = now
 	a.sweep(now)
 	var grants []TokenGrant
-	for _, request := range q.Requests {
-		limit, ok := a.limits(request.Tenant)
+	for _, tokens := range request.Requests {
+		limit, ok := a.limits(tokens.Tenant)
 		if !ok || limit.Rate <= 0 {
 			continue
 		}
-		grants = append(grants, a.grant(now, q, request, limit))
+		grants = append(grants, a.grant(now, request, tokens, limit))
 	}
 	return grants
 }
 
-// sweep forgets sidecars that have been silent for long, and tenants that are gone.
+// requester is the sidecar of an address; nil if there is no room for another one.
+func (a *Allocator) requester(address string) *requester {
+	sidecar := a.sidecars[address]
+	if sidecar == nil && len(a.sidecars) < maxSidecars {
+		sidecar = &requester{}
+		a.sidecars[address] = sidecar
+		a.unreported = max(a.unreported-1, 0)
+	}
+	return sidecar
+}
+
+// sweep forgets sidecars that have been unresponsive for long, and tenants that no longer exist.
 func (a *Allocator) sweep(now time.Duration) {
 	if now-a.lastSweep < sweepInterval {
 		return
 	}
 	a.lastSweep = now
-	for address, r := range a.sidecars {
-		if now-r.lastSeen > forgetAfter {
+	for address, sidecar := range a.sidecars {
+		if now-sidecar.lastSeen > forgetAfter {
 			delete(a.sidecars, address)
 		}
 	}
@@ -125,104 +113,65 @@
 	}
 }
 
-// grant answers one request: tokens out of the tenant's bucket, and a standing share.
-func (a *Allocator) grant(now time.Duration, q *AllocationRequest, request TokenRequest, limit Limit) TokenGrant {
-	b := a.bucket(request.Tenant, limit)
-	b.recomputeSums(now, a.sidecars)
-	s := b.shares[q.Sidecar]
-	if s == nil {
-		s = &fallbackShare{}
-		b.shares[q.Sidecar] = s
-	}
-	told := 0.0 // what the sidecar holds by its own word, which is the truth
+// grant answers one request: tokens out of the tenant's bucket, and a fallback share.
+func (a *Allocator) grant(now time.Duration, sidecar *AllocationRequest, request TokenRequest, limit Limit) TokenGrant {
+	bucket := a.bucket(request.Tenant, limit)
+	bucket.recomputeSums(now, a.sidecars)
+	share := bucket.shareOf(sidecar.Sidecar)
+	reported := 0.0 // what the sidecar holds by its own report, which is the truth
 	if request.ShareRemaining > 0 {
-		told = max(request.FallbackShare, 0)
-	}
-	s.incarnation = q.Incarnation
-	b.setShare(s, told, max(request.Demand, 0))
-	grant := a.grantTokens(now, b, request, limit)
-	grant.FallbackShare, grant.ShareRemaining = a.allotShare(now, b, s, limit), shareLease
-	b.setShare(s, max(told, grant.FallbackShare), s.demand) // until it tells that it has the new one
-	s.expiresAt = now + shareLease
+		reported = max(request.FallbackShare, 0)
+	}
+	share.incarnation = sidecar.Incarnation
+	bucket.setShare(share, reported, max(request.Demand, 0))
+	grant := a.grantTokens(now, bucket, request, limit)
+	grant.FallbackShare = a.allotShare(now, bucket, share, limit)
+	grant.ShareRemaining = shareLease
+	bucket.setShare(share, max(reported, grant.FallbackShare), share.demand) // until it reports that it has the new one
+	share.expiresAt = now + shareLease
 	return grant
 }
 
+// bucket is the bucket of a tenant.
 func (a *Allocator) bucket(tenant string, limit Limit) *bucket {
 	b := a.buckets[tenant]
 	if b == nil {
-		b = &bucket{refilledAt: a.startedAt, level: min(limit.Burst, initialOverageFraction*limit.Overage), shares: map[string]*fallbackShare{}}
-		if a.initialStart {
-			b.level = limit.Burst
-		}
+		b = newBucket(a.startedAt, a.initialStart, limit)
 		a.buckets[tenant] = b
 	}
 	return b
 }
 
-// total makes the sums of a bucket anew, if they are due.
-func (b *bucket) recomputeSums(now time.Duration, sidecars map[string]*requester) {
-	if b.initialised && now-b.summedAt < sumInterval {
-		return
-	}
-	b.initialised, b.summedAt = true, now
-	b.totalDemand, b.totalShares, b.unresponsiveShares = 0, 0, 0
-	for _, address := range slices.Sorted(maps.Keys(b.shares)) {
-		s, r := b.shares[address], sidecars[address]
-		if now >= s.expiresAt || r != nil && r.incarnation != s.incarnation { // a sidecar that restarted holds nothing of before
-			delete(b.shares, address)
-			continue
-		}
-		b.totalDemand += s.demand
-		b.totalShares += s.rate
-		if r == nil || now-r.lastSeen > unresponsiveAfter {
-			b.unresponsiveShares += s.rate
-		}
-	}
-}
-
-// setShare changes a share and keeps up the sums.
-func (b *bucket) setShare(s *fallbackShare, rate, demand float64) {
-	b.totalShares += rate - s.rate
-	b.totalDemand += demand - s.demand
-	s.rate, s.demand = rate, demand
+// isNew reports whether shares may be in force that the allocator before granted.
+func (a *Allocator) isNew(now time.Duration) bool {
+	return !a.initialStart && now-a.startedAt < shareLease
 }
 
 // grantTokens grants tokens out of a tenant's bucket.
-func (a *Allocator) grantTokens(now time.Duration, b *bucket, request TokenRequest, limit Limit) TokenGrant {
-	reserved := b.unresponsiveShares
-	if !a.initialStart && now-a.startedAt < shareLease && (a.unreported > 0 || now-a.startedAt < time.Second) {
-		reserved += max(limit.Rate-b.totalShares, 0) // shares that were granted before its time
+func (a *Allocator) grantTokens(now time.Duration, bucket *bucket, request TokenRequest, limit Limit) TokenGrant {
+	reserved := bucket.unresponsiveShares
+	if a.isNew(now) && (a.unreported > 0 || now-a.startedAt < newAllocatorDelay) {
+		reserved += max(limit.Rate-bucket.totalShares, 0) // shares that were granted before its time
 	}
 	rate := max(limit.Rate-reserved, 0)
-	refill := rate*(now-b.refilledAt).Seconds() + min(max(request.UnusedTokens, 0), limit.Burst)
-	b.level, b.refilledAt = min(b.level+refill, max(limit.Burst, 1)), now
-	grant := TokenGrant{Tenant: request.Tenant}
-	switch {
-	case request.Tokens <= 0:
-	case b.level >= request.Tokens:
-		grant.Tokens = request.Tokens
-	case b.level >= 1:
-		grant.Tokens = float64(int(b.level))
-	}
-	b.level -= grant.Tokens
-	if lacking := request.Tokens - grant.Tokens; lacking > 0 {
-		grant.RetryAfter = shareLease
-		if rate > 0 {
-			grant.RetryAfter = min(time.Duration((1-min(b.level, 1)+lacking)/rate*float64(time.Second)), shareLease)
-		}
+	bucket.refill(now, rate, request.UnusedTokens, limit)
+	granted := bucket.take(request.Tokens)
+	grant := TokenGrant{Tenant: request.Tenant, Tokens: granted}
+	if lacking := request.Tokens - granted; lacking > 0 {
+		grant.RetryAfter = bucket.timeUntil(lacking, rate)
 	}
 	return grant
 }
 
-// allotShare is the standing share that a sidecar may have: by demand, and no more than the others leave.
-func (a *Allocator) allotShare(now time.Duration, b *bucket, mine *fallbackShare, limit Limit) float64 {
-	if !a.initialStart && now-a.startedAt < shareLease && a.unreported > 0 {
-		return min(mine.rate, limit.Rate) // what the missing ones hold is not known yet
+// allotShare is the fallback share that a sidecar may have: by demand, and no more than the others leave.
+func (a *Allocator) allotShare(now time.Duration, bucket *bucket, own *fallbackShare, limit Limit) float64 {
+	if a.isNew(now) && a.unreported > 0 {
+		return min(own.rate, limit.Rate) // what the unreported sidecars hold is not known yet
 	}
 	even := limit.Rate / float64(max(len(a.sidecars)+a.unreported, 1))
-	want := even
-	if b.totalDemand > 0 {
-		want = evenFraction*even + (1-evenFraction)*limit.Rate*mine.demand/b.totalDemand
+	wanted := even
+	if bucket.totalDemand > 0 {
+		wanted = evenFraction*even + (1-evenFraction)*limit.Rate*own.demand/bucket.totalDemand
 	}
-	return max(min(want, limit.Rate-(b.totalShares-mine.rate)), 0)
+	return max(min(wanted, limit.Rate-(bucket.totalShares-own.rate)), 0)
 }
--- /dev/null
+++ b/internal/mesh/control/ratelimit/retry_budget.go
@@ -0,0 +1,38 @@
+package ratelimit
+
+import "time"
+
+// Inner calls of a retried call count as retries at the service that they go to, and calls are up to three deep today: so
+// each sidecar uses a fraction of the ratio, and of the slack, at each service.
+const (
+	ratioFraction = 0.4
+	slackFraction = 0.6
+)
+
+// RetryBudget is this sidecar's part of the budget of retries and hedged requests of one service: a ratio of its own
+// requests, and a part of the fleet's slack.
+type RetryBudget struct {
+	requests, retries window
+}
+
+// NewRetryBudget makes a budget over a sliding window of that length.
+func NewRetryBudget(over time.Duration) *RetryBudget {
+	slotWidth := max(over/windowSlots, time.Millisecond)
+	return &RetryBudget{requests: window{slotWidth: slotWidth}, retries: window{slotWidth: slotWidth}}
+}
+
+// CountRequest counts one of this sidecar's own requests for the service.
+func (r *RetryBudget) CountRequest(now time.Duration) { r.requests.add(now, 1) }
+
+// Acquire takes one retry out of the budget, and reports whether there was one. ratio, in retries for each request, and
+// slack, in retries in a window, are the fleet's; sidecars share the slack.
+func (r *RetryBudget) Acquire(now time.Duration, ratio, slack float64, sidecars int) bool {
+	r.requests.advance(now)
+	r.retries.advance(now)
+	budget := ratioFraction*ratio*r.requests.total + slackFraction*slack/float64(max(sidecars, 1))
+	if r.retries.total+1 > budget {
+		return false
+	}
+	r.retries.add(now, 1)
+	return true
+}
