--- a/internal/mesh/assembly/gone_test.go
+++ b/internal/mesh/assembly/gone_test.go
@@ -29,6 +29,11 @@
 		}
 		return runs, abandoned
 	}
+	// One endpoint alone does not run all of the requests at once: the client's sidecar has to know both.
+	m.waitFor("both endpoints have run a request", func() bool {
+		m.send("access-0", "GET", "/read/x", "k1", nil)
+		return len(m.applications["access-2"].Runs()) > 0 && len(m.applications["access-3"].Runs()) > 0
+	})
 	for _, name := range endpoints {
 		defer m.applications[name].Hold()()
 	}
