--- a/Makefile
+++ b/Makefile
@@ -46,7 +46,7 @@
 		./internal/mesh/control/storage ./internal/mesh/control/lease ./internal/mesh/control/controlplane ./internal/mesh/dataplane/outbound
 	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m -run 'Killed|RandomFaults' ./cmd/quincegap
 
-# Deliberate faults in the control plane, one at a time, and the tests that they make fail (docs/testing.md). A few minutes.
+# Deliberate faults in the control plane, one at a time, and the tests that they make fail (docs/design/testing.md). A few minutes.
 .PHONY: mutants
 mutants:
 	internal/mesh/control/mutants.sh
--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -35,6 +35,7 @@
 	{"internal/balancer", "."},
 	{"internal/structures", "hashring | deadlinequeue rendezvous throttle weightedring weightedsample"},
 	{"internal/golden", "."},
+	{"internal/doctest", "."},
 }
 
 // pure are the folders whose packages do no I/O, but for those named; forbidden is what they may not import for it. The
--- a/internal/config/apps/check_test.go
+++ b/internal/config/apps/check_test.go
@@ -230,7 +230,7 @@
 }
 
 // Many applications in one ring, in a chain, and around one hub: time in proportion to their number. The
-// bound is loose; docs/configuration-figures.md has the figures.
+// bound is loose; docs/figures/configuration.md has the figures.
 func TestManyApplications(t *testing.T) {
 	for _, n := range []int{1, 2000} {
 		var all []app
--- /dev/null
+++ b/internal/doctest/names_test.go
@@ -0,0 +1,175 @@
+package doctest
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// declared are the names that the project's Go files declare.
+type declared struct {
+	packages map[string]map[string]bool // by package, its package-level names
+	members  map[string]map[string]bool // by type, whatever its package, its methods and fields
+	inside   map[string]bool            // package.Type.Member
+}
+
+// sources are the project's Go files but for tests and generated ones.
+func sources(t *testing.T, folders ...string) []string {
+	t.Helper()
+	return files(t, func(path string) bool {
+		in := slices.ContainsFunc(folders, func(folder string) bool { return strings.HasPrefix(path, folder+"/") })
+		return in && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") && !strings.Contains(path, "/testdata/")
+	})
+}
+
+func parse(t *testing.T, path string) *ast.File {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, filepath.FromSlash(path)), nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+func collect(t *testing.T) *declared {
+	t.Helper()
+	d := &declared{packages: map[string]map[string]bool{}, members: map[string]map[string]bool{}, inside: map[string]bool{}}
+	for _, path := range sources(t, "internal", "cmd") {
+		file := parse(t, path)
+		name := file.Name.Name
+		if name == "main" {
+			name = filepath.Base(filepath.Dir(path)) // a program goes by its folder
+		}
+		for _, declaration := range file.Decls {
+			d.add(name, declaration)
+		}
+	}
+	return d
+}
+
+func (d *declared) add(pkg string, declaration ast.Decl) {
+	switch x := declaration.(type) {
+	case *ast.FuncDecl:
+		if x.Recv == nil {
+			d.name(pkg, x.Name)
+			return
+		}
+		d.member(pkg, receiver(x.Recv.List[0].Type), x.Name)
+	case *ast.GenDecl:
+		for _, spec := range x.Specs {
+			switch s := spec.(type) {
+			case *ast.ValueSpec:
+				for _, name := range s.Names {
+					d.name(pkg, name)
+				}
+			case *ast.TypeSpec:
+				d.name(pkg, s.Name)
+				d.addType(pkg, s)
+			}
+		}
+	}
+}
+
+// addType adds a struct's fields or an interface's methods.
+func (d *declared) addType(pkg string, s *ast.TypeSpec) {
+	var list *ast.FieldList
+	switch x := s.Type.(type) {
+	case *ast.StructType:
+		list = x.Fields
+	case *ast.InterfaceType:
+		list = x.Methods
+	default:
+		return
+	}
+	for _, field := range list.List {
+		for _, name := range field.Names {
+			d.member(pkg, s.Name.Name, name)
+		}
+	}
+}
+
+func (d *declared) name(pkg string, name *ast.Ident) {
+	if d.packages[pkg] == nil {
+		d.packages[pkg] = map[string]bool{}
+	}
+	d.packages[pkg][name.Name] = true
+}
+
+func (d *declared) member(pkg, typeName string, name *ast.Ident) {
+	if d.members[typeName] == nil {
+		d.members[typeName] = map[string]bool{}
+	}
+	d.members[typeName][name.Name] = true
+	d.inside[pkg+"."+typeName+"."+name.Name] = true
+}
+
+// receiver is the name of a method's type.
+func receiver(of ast.Expr) string {
+	switch x := of.(type) {
+	case *ast.StarExpr:
+		return receiver(x.X)
+	case *ast.IndexExpr:
+		return receiver(x.X)
+	case *ast.IndexListExpr:
+		return receiver(x.X)
+	case *ast.Ident:
+		return x.Name
+	}
+	return ""
+}
+
+var (
+	goName = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*(?:\.[A-Za-z][A-Za-z0-9]*){1,2}$`)
+	// notGo are endings of files that read like a member of a package.
+	notGo = regexp.MustCompile(`\.(?:go|md|toml|json|sh|yml|mod|txt|seg|morning)$`)
+)
+
+// has tells whether pkg.Name, Type.Member or pkg.Type.Member is declared.
+func (d *declared) has(name string) bool {
+	parts := strings.Split(name, ".")
+	if len(parts) == 3 {
+		return d.inside[name]
+	}
+	return d.packages[parts[0]][parts[1]] || d.members[parts[0]][parts[1]]
+}
+
+// Each function, method, field and type that the architecture page names in code font is declared somewhere.
+func TestArchitectureNamesWhatExists(t *testing.T) {
+	d := collect(t)
+	seen := 0
+	for _, found := range inline.FindAllStringSubmatch(prose(read(t, "docs/architecture.md")), -1) {
+		name, _, _ := strings.Cut(found[1], "(")
+		if !goName.MatchString(name) || notGo.MatchString(name) {
+			continue
+		}
+		seen++
+		if !d.has(name) {
+			t.Errorf("docs/architecture.md names %s, which is not declared", name)
+		}
+	}
+	if seen < 30 {
+		t.Errorf("only %d names were looked at", seen)
+	}
+}
+
+// Each package has its row in the architecture page's table of layers, with its folder or by itself.
+func TestArchitectureListsEachPackage(t *testing.T) {
+	page := read(t, "docs/architecture.md")
+	seen := map[string]bool{}
+	for _, path := range files(t, func(path string) bool { return strings.HasPrefix(path, "internal/") && strings.HasSuffix(path, ".go") }) {
+		pkg := filepath.ToSlash(filepath.Dir(path))
+		if strings.Contains(pkg, "/testdata") || seen[pkg] {
+			continue
+		}
+		seen[pkg] = true
+		parent := filepath.ToSlash(filepath.Dir(pkg))
+		if !strings.Contains(page, "| `"+pkg+"` |") && !strings.Contains(page, "| `"+parent+"/` |") {
+			t.Errorf("docs/architecture.md has no row for %s", pkg)
+		}
+	}
+}
--- /dev/null
+++ b/internal/doctest/pages_test.go
@@ -0,0 +1,221 @@
+package doctest
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// root is the repository's folder, seen from this package.
+const root = "../.."
+
+// skipped are folders whose files are not the project's own: version control, and what builds write.
+var skipped = []string{".git", "bin", "target", "out"}
+
+// files are the paths of all files under root, relative to it, that keep says yes to.
+func files(t *testing.T, keep func(path string) bool) []string {
+	t.Helper()
+	var found []string
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		path, err = filepath.Rel(root, path)
+		if err != nil {
+			return err
+		}
+		path = filepath.ToSlash(path)
+		if entry.IsDir() {
+			if slices.Contains(skipped, path) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if keep(path) {
+			found = append(found, path)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
+
+func read(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(path)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+func exists(path string) bool {
+	_, err := os.Stat(filepath.Join(root, filepath.FromSlash(path)))
+	return err == nil
+}
+
+var (
+	link    = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+	scheme  = regexp.MustCompile(`^[a-z]+:`)
+	heading = regexp.MustCompile(`(?m)^#+ +(.+?) *$`)
+	inline  = regexp.MustCompile("`([^`\n]+)`")
+	// anchorDropped is what a heading's anchor leaves out, as the usual renderers do.
+	anchorDropped = regexp.MustCompile(`[^\p{L}\p{N}\s_-]`)
+)
+
+// prose is a page without its fenced blocks, whose text is no Markdown.
+func prose(page string) string {
+	var kept strings.Builder
+	fenced := false
+	for line := range strings.Lines(page) {
+		if strings.HasPrefix(strings.TrimSpace(line), "```") {
+			fenced = !fenced
+			continue
+		}
+		if !fenced {
+			kept.WriteString(line)
+		}
+	}
+	return kept.String()
+}
+
+// anchors are those of a page's headings.
+func anchors(page string) []string {
+	var all []string
+	for _, found := range heading.FindAllStringSubmatch(prose(page), -1) {
+		text := anchorDropped.ReplaceAllString(strings.ToLower(found[1]), "")
+		all = append(all, strings.ReplaceAll(text, " ", "-"))
+	}
+	return all
+}
+
+// brokenLinks are the relative links of a page that lead nowhere.
+func brokenLinks(t *testing.T, path string) []string {
+	t.Helper()
+	var broken []string
+	for _, found := range link.FindAllStringSubmatch(prose(read(t, path)), -1) {
+		target := found[1]
+		if scheme.MatchString(target) {
+			continue
+		}
+		file, anchor, hasAnchor := strings.Cut(target, "#")
+		to := path
+		if file != "" {
+			to = filepath.ToSlash(filepath.Join(filepath.Dir(path), file))
+		}
+		switch {
+		case !exists(to):
+			broken = append(broken, target)
+		case hasAnchor && strings.HasSuffix(to, ".md") && !slices.Contains(anchors(read(t, to)), anchor):
+			broken = append(broken, target)
+		}
+	}
+	return broken
+}
+
+func TestLinksLeadSomewhere(t *testing.T) {
+	pages := files(t, func(path string) bool { return strings.HasSuffix(path, ".md") })
+	if len(pages) < 40 {
+		t.Errorf("only %d pages were looked at", len(pages))
+	}
+	for _, page := range pages {
+		for _, target := range brokenLinks(t, page) {
+			t.Errorf("%s: the link to %s leads nowhere", page, target)
+		}
+	}
+}
+
+// Each page under docs/ can be reached from docs/README.md.
+func TestIndexNamesEachPage(t *testing.T) {
+	index := read(t, "docs/README.md")
+	for _, page := range files(t, func(path string) bool { return strings.HasPrefix(path, "docs/") && strings.HasSuffix(path, ".md") }) {
+		name := strings.TrimPrefix(page, "docs/")
+		if name == "README.md" || strings.HasPrefix(name, "incidents/") { // that folder is linked as a whole
+			continue
+		}
+		if !strings.Contains(index, "]("+name+")") {
+			t.Errorf("docs/README.md does not link %s", name)
+		}
+	}
+}
+
+// checkedPages are those that newcomers and operators read: what they name in code font is looked up.
+func checkedPages(t *testing.T) []string {
+	t.Helper()
+	return files(t, func(path string) bool {
+		switch path {
+		case "README.md", "CONTRIBUTING.md", "docs/README.md", "docs/architecture.md", "docs/glossary.md":
+			return true
+		}
+		return strings.HasPrefix(path, "docs/operate/") && strings.HasSuffix(path, ".md")
+	})
+}
+
+var (
+	goFile = regexp.MustCompile(`^(?:[\w./-]+/)?[\w-]+\.go$`)
+	folder = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|rehearsals|tools)/[\w./-]*$`)
+)
+
+// namedPaths are the Go files and folders of this repository that a page names in code font.
+func namedPaths(page string) (goFiles, folders []string) {
+	for _, found := range inline.FindAllStringSubmatch(prose(page), -1) {
+		for word := range strings.FieldsSeq(found[1]) {
+			word = strings.TrimSuffix(strings.TrimRight(word, ",;:"), "/...")
+			word = strings.TrimPrefix(word, "./")
+			switch {
+			case strings.Contains(word, "NAME"): // stands for a name
+			case goFile.MatchString(word):
+				goFiles = append(goFiles, word)
+			case folder.MatchString(word):
+				folders = append(folders, word)
+			}
+		}
+	}
+	return goFiles, folders
+}
+
+func TestNamedFilesExist(t *testing.T) {
+	all := files(t, func(path string) bool { return strings.HasSuffix(path, ".go") })
+	seen := 0
+	for _, page := range checkedPages(t) {
+		text := read(t, page)
+		if page == "docs/glossary.md" {
+			text = withoutFormerNames(text)
+		}
+		goFiles, folders := namedPaths(text)
+		seen += len(goFiles) + len(folders)
+		for _, name := range goFiles {
+			if !slices.ContainsFunc(all, func(path string) bool { return path == name || strings.HasSuffix(path, "/"+name) }) {
+				t.Errorf("%s names %s, which is no file", page, name)
+			}
+		}
+		for _, name := range folders {
+			if !exists(name) {
+				t.Errorf("%s names %s, which does not exist", page, name)
+			}
+		}
+	}
+	if seen < 50 {
+		t.Errorf("only %d names were looked at", seen)
+	}
+}
+
+// withoutFormerNames cuts the first column out of the glossary's tables: what stands there is what no longer exists.
+func withoutFormerNames(page string) string {
+	var kept strings.Builder
+	for line := range strings.Lines(page) {
+		if strings.HasPrefix(line, "|") {
+			if _, rest, ok := strings.Cut(line[1:], "|"); ok {
+				line = "|" + rest
+			}
+		}
+		kept.WriteString(line)
+	}
+	return kept.String()
+}
--- a/internal/files/store/format.go
+++ b/internal/files/store/format.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// The format on disk; docs/store-format.md describes it. All numbers are little endian.
+// The format on disk; docs/design/store-format.md describes it. All numbers are little endian.
 
 // Version is the format that this program writes. It reads this one and those before it.
 const Version = 1
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -4,8 +4,8 @@
 // read.
 //
 // Records expire by the time of the store, which nobody can set back, nor, while
-// the machine runs, forward. docs/store-design.md tells why it is built so, and
-// docs/store-format.md what is on the disk.
+// the machine runs, forward. docs/design/store.md tells why it is built so, and
+// docs/design/store-format.md what is on the disk.
 package store
 
 import (
--- a/internal/mesh/control/consensus/doc.go
+++ b/internal/mesh/control/consensus/doc.go
@@ -4,7 +4,7 @@
 //
 // The package is a pure state machine. It does no I/O, knows no clock, starts no goroutine and takes no lock. The
 // caller (package controlplane) sends the messages, syncs the records and decides when to stop waiting; tests drive the
-// same code through every order of messages. docs/consensus-proof.md has the proofs behind what is said here.
+// same code through every order of messages. docs/design/consensus-proof.md has the proofs behind what is said here.
 //
 // # Roles
 //
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -17,7 +17,7 @@
 // nothing or has a blank disk too.
 //
 // What is taken over was not accepted by this replica: the vote is Learned, which a proposer must respect as the newest
-// vote, and which does not count towards a majority for its ballot. docs/consensus-proof.md shows why this is
+// vote, and which does not count towards a majority for its ballot. docs/design/consensus-proof.md shows why this is
 // enough. A recovery is not safe for concurrent use.
 type Recovery struct {
 	self            string
--- a/internal/mesh/control/consensus/voterset.go
+++ b/internal/mesh/control/consensus/voterset.go
@@ -12,7 +12,7 @@
 // value of epoch 0 does not hold the voters: they are those of the system's first start and stand in each replica's
 // record. A VoterSet without Voters is one that is not known.
 //
-// docs/consensus-proof.md shows why two decided sets can't both choose a value, and why a replica may join.
+// docs/design/consensus-proof.md shows why two decided sets can't both choose a value, and why a replica may join.
 type VoterSet struct {
 	Epoch    uint64
 	Voters   []string // sorted, except those of the first start
--- a/internal/modules/endpointsource/membership.go
+++ b/internal/modules/endpointsource/membership.go
@@ -3,7 +3,7 @@
 // module is told. It does no I/O and reads no clock: each event comes with the
 // time, counted from an arbitrary start.
 //
-// docs/consul-design.md states the rules; each stands here once.
+// docs/design/consul.md states the rules; each stands here once.
 package endpointsource
 
 import (
--- a/internal/network/gossip/figures_test.go
+++ b/internal/network/gossip/figures_test.go
@@ -53,7 +53,7 @@
 	return all
 }
 
-// TestFigures prints docs/peers-figures.md's tables of virtual time:
+// TestFigures prints docs/figures/peers.md's tables of virtual time:
 //
 //	FIGURES=1 go test ./internal/network/gossip -run TestFigures -v -timeout 60m
 func TestFigures(t *testing.T) {
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -28,7 +28,7 @@
 
 const (
 	mostJoin = 64
-	// perMember is what a member takes, with what the library keeps of it (docs/peers-figures.md), and memoryShare how much of
+	// perMember is what a member takes, with what the library keeps of it (docs/figures/peers.md), and memoryShare how much of
 	// limits.memory all may take.
 	perMember   = 6 << 10
 	memoryShare = 0.1
@@ -51,7 +51,7 @@
 }
 
 // Table is [peers].
-var Table = schema.NewTable("peers", "The view of the other sidecars of this application (docs/peers.md); it is off unless peers_listen is set.",
+var Table = schema.NewTable("peers", "The view of the other sidecars of this application (docs/operate/peers.md); it is off unless peers_listen is set.",
 	schema.String("peers_listen", func(s *Settings) *string { return &s.Listen },
 		schema.Text{Example: "10.0.4.7:7946", Type: "address", Bounds: "IP:port", Bad: badAddress}, schema.AtStart,
 		"Where the others reach this one, over UDP and TCP."),
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -69,7 +69,7 @@
 	schema.Int("subset_most", func(e *Endpoints) *int { return &e.SubsetMost },
 		schema.Bounds[int]{Least: 2, Most: 100_000, Optional: true, Example: "100"}, schema.AtStart,
 		"The most endpoints that this sidecar keeps to, so that its connections to them stay open; about seven tenths of the "+
-			"connections that endpoint_share gives is a good figure (docs/fleet.md). All sidecars of an application together have to reach "+
+			"connections that endpoint_share gives is a good figure (docs/operate/fleet.md). All sidecars of an application together have to reach "+
 			"every endpoint: subset_most times their number has to be above the number of endpoints, else the others get no calls."),
 )
 
--- a/internal/tool/bench_test.go
+++ b/internal/tool/bench_test.go
@@ -29,7 +29,7 @@
 	return b.String()
 }
 
-// BenchmarkCheck is the time and memory of check; docs/configuration-figures.md has its figures.
+// BenchmarkCheck is the time and memory of check; docs/figures/configuration.md has its figures.
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{1, 100, 5000} {
 		text := many(n)
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -20,7 +20,7 @@
 	cmd := &cobra.Command{
 		Use: "peers ADDRESS", Short: "Show the other sidecars as a running one sees them, and how far it can be relied on", Args: cobra.ExactArgs(1),
 		Long: "peers asks the admin listener of a running sidecar (unix:PATH or host:port, admin.admin_listen in its\n" +
-			"file) for its view of the others (docs/peers.md). With --all it has that one ask the others for theirs,\n" +
+			"file) for its view of the others (docs/operate/peers.md). With --all it has that one ask the others for theirs,\n" +
 			"shows them side by side, and ends with 1 where they differ.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := admin.AskPeers(args[0], all)
