--- a/internal/doctest/names_test.go
+++ b/internal/doctest/names_test.go
@@ -132,7 +132,7 @@
 var (
 	goName = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*(?:\.[A-Za-z][A-Za-z0-9]*){1,2}$`)
 	// notGo are endings of files that read like a member of a package.
-	notGo = regexp.MustCompile(`\.(?:go|md|toml|json|sh|yml|mod|txt|seg|morning)$`)
+	notGo = regexp.MustCompile(`\.(?:go|md|toml|json|sh|yml|mod|txt|seg|morning|csv|html)$`)
 )
 
 // has tells whether pkg.Name, Type.Member or pkg.Type.Member is declared.
@@ -144,21 +144,37 @@
 	return d.packages[parts[0]][parts[1]] || d.members[parts[0]][parts[1]]
 }
 
-// Each function, method, field and type that the architecture page names in code font is declared somewhere.
-func TestArchitectureNamesWhatExists(t *testing.T) {
+// foreign are packages of the library and of others, and their types, that pages name.
+var foreign = []string{"http", "httputil", "unstable", "errors", "t", "MetaData", "Weights"}
+
+// namedInCode are the Go names in code font in a page, without those of files, tests and other projects.
+func namedInCode(page string) (names []string) {
+	for _, found := range inline.FindAllStringSubmatch(prose(page), -1) {
+		name, _, _ := strings.Cut(found[1], "(")
+		of, _, _ := strings.Cut(name, ".")
+		if goName.MatchString(name) && !notGo.MatchString(name) && !testName.MatchString(name) && !slices.Contains(foreign, of) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// Each function, method, field and type that a page for contributors names in code font is declared somewhere.
+func TestNamedDeclarationsExist(t *testing.T) {
 	d := collect(t)
 	seen := 0
-	for _, found := range inline.FindAllStringSubmatch(prose(read(t, "docs/architecture.md")), -1) {
-		name, _, _ := strings.Cut(found[1], "(")
-		if !goName.MatchString(name) || notGo.MatchString(name) {
-			continue
+	for _, page := range checkedPages(t) {
+		if strings.HasPrefix(page, "docs/operate/") && page != runbook {
+			continue // what looks like a name there is a key of the settings
 		}
-		seen++
-		if !d.has(name) {
-			t.Errorf("docs/architecture.md names %s, which is not declared", name)
+		for _, name := range namedInCode(read(t, page)) {
+			seen++
+			if !d.has(name) {
+				t.Errorf("%s names %s, which is not declared", page, name)
+			}
 		}
 	}
-	if seen < 30 {
+	if seen < 80 {
 		t.Errorf("only %d names were looked at", seen)
 	}
 }
