--- /dev/null
+++ b/internal/files/store/golden_test.go
@@ -0,0 +1,181 @@
+package store
+
+import (
+	"bytes"
+	"flag"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"quincegap/internal/golden"
+)
+
+// The header and each kind of frame, as they stand in a segment.
+func TestGoldenFormat(t *testing.T) {
+	t.Run("header", func(t *testing.T) {
+		want := header{
+			version: 1, store: 0x0102030405060708, id: 9, first: 40, synced: 39, void: void{11, 12}, prev: 8,
+			stamp: Stamp{Boot: 0x1112131415161718, Up: 123_456}, now: 1_800_000_123_456, replaces: []uint64{3, 5, 7},
+		}
+		golden.Hex(t, "header.hex", want.encode())
+		got, err := decodeHeader("header.hex", golden.Read(t, "header.hex"))
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("read back as %+v, %v", got, err)
+		}
+	})
+	for name, want := range map[string]frame{
+		"frame-put.hex":         {kind: kindPut, seq: 41, expires: 1_800_000_999_000, key: []byte("key"), value: []byte("value")},
+		"frame-put-forever.hex": {kind: kindPut, seq: 42, expires: never, key: []byte("key"), value: []byte{}},
+		"frame-put-batch.hex":   {kind: kindPut, batch: true, seq: 43, expires: never, key: []byte("key"), value: []byte("v")},
+		"frame-delete.hex":      {kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}},
+		"frame-group.hex":       {kind: kindGroup, seq: 45, synced: 44, now: 1_800_000_123_500},
+		"frame-seal.hex":        {kind: kindSeal, seq: 46, expires: 1_800_000_999_001, shadow: 1_800_000_999_002, count: 5},
+	} {
+		t.Run(name, func(t *testing.T) {
+			golden.Hex(t, name, appendFrame(nil, &want))
+			data := golden.Read(t, name)
+			got, ok := decodeFrame(data)
+			want.size = len(data)
+			if !ok || !reflect.DeepEqual(got, want) {
+				t.Errorf("read back as %+v, %v", got, ok)
+			}
+		})
+	}
+}
+
+// The names of files, which the format has too.
+func TestGoldenNames(t *testing.T) {
+	for got, want := range map[string]string{
+		magic: "QGSTORE\n", segName(0x1f): "000000000000001f.seg", lockName: "lock", segExt: ".seg", tmpExt: ".tmp", damagedExt: ".damaged",
+	} {
+		if got != want {
+			t.Errorf("%q, and was %q", got, want)
+		}
+	}
+	if Version != 1 || MostKey != 1024 || MostValue != 1<<20 {
+		t.Errorf("format %d, keys of %d bytes, values of %d", Version, MostKey, MostValue)
+	}
+}
+
+// A folder of three segments as a process has left it: testdata/golden/folder has each file in hexadecimal.
+const goldenFolder = "folder"
+
+func goldenClock() Stamp { return Stamp{Wall: 1_800_000_000_000, Boot: 7, Up: 1_000_000} }
+
+// goldenRecords are what the folder holds: value and time left of each key.
+var goldenRecords = map[string]string{
+	"a": "third, -1ns", "c": "of a batch, 1m0s", "empty": ", -1ns", "long": strings.Repeat("x", 300) + ", -1ns", "short": "for an hour, 1h0m0s",
+}
+
+func writeGoldenFolder(t *testing.T) {
+	t.Helper()
+	dir := Dir(t.TempDir())
+	s, err := Open(dir, Options{SegmentBytes: 400, Clock: goldenClock})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var batch Batch
+	batch.Put([]byte("c"), []byte("of a batch"), time.Minute)
+	batch.Put([]byte("empty"), nil, 0)
+	for _, err := range []error{
+		s.Put([]byte("a"), []byte("first"), 0),
+		s.Put([]byte("b"), []byte("second"), 0),
+		s.Put([]byte("a"), []byte("third"), 0),
+		s.Put([]byte("long"), bytes.Repeat([]byte("x"), 300), 0),
+		s.Put([]byte("short"), []byte("for an hour"), time.Hour),
+		s.Delete([]byte("b")),
+		s.Do(batch),
+		s.Close(),
+	} {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	names, err := dir.List()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.RemoveAll(filepath.Join("testdata", "golden", goldenFolder)); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, segExt) {
+			data, err := os.ReadFile(dir.at(name))
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Hex(t, goldenFolder+"/"+name+".hex", data)
+		}
+	}
+}
+
+func TestGoldenFolder(t *testing.T) {
+	if flag.Lookup("update-golden").Value.String() == "true" {
+		writeGoldenFolder(t) // ids are drawn: each writing gives other bytes
+	}
+	files, err := filepath.Glob(filepath.Join("testdata", "golden", goldenFolder, "*.hex"))
+	if err != nil || len(files) < 2 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	dir := Dir(t.TempDir())
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), ".hex")
+		data := golden.Read(t, goldenFolder+"/"+filepath.Base(file))
+		if err := os.WriteFile(dir.at(name), data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		// What is read is written again as it was, header and frames.
+		h, err := decodeHeader(name, data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		again := h.encode()
+		for rest := data[h.size():]; len(rest) > 0; {
+			f, ok := decodeFrame(rest)
+			if !ok {
+				t.Fatalf("%s: no frame at byte %d", name, len(data)-len(rest))
+			}
+			again, rest = appendFrame(again, &f), rest[f.size:]
+		}
+		if !bytes.Equal(again, data) {
+			t.Errorf("%s: written again as %x", name, again)
+		}
+	}
+
+	looked := map[string]string{}
+	report, err := Look(dir, goldenClock, func(r Record) error {
+		looked[string(r.Key)] = string(r.Value) + ", " + r.Left.String()
+		return nil
+	})
+	if err != nil || !maps.Equal(looked, goldenRecords) {
+		t.Errorf("Look: %v, %v", looked, err)
+	}
+	if report == nil || report.Live != len(goldenRecords) || report.Torn != 0 || len(report.Damage) != 0 || len(report.Segments) != len(files) {
+		t.Errorf("Look: %+v", report)
+	}
+
+	s, err := Open(dir, Options{Clock: goldenClock})
+	if err != nil {
+		t.Fatal(err)
+	}
+	opened := map[string]string{}
+	if err := s.All(func(key, value []byte, left time.Duration) bool {
+		if left < 0 {
+			left = -1 // it stays: Look says so by -1, All by some time below 0
+		}
+		opened[string(key)] = string(value) + ", " + left.String()
+		return true
+	}); err != nil || !maps.Equal(opened, goldenRecords) {
+		t.Errorf("Open: %v, %v", opened, err)
+	}
+	if h := s.Health(); h.Err != nil || h.Torn != 0 || len(h.Damage) != 0 {
+		t.Errorf("Open: %+v", h)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/network/gossip/golden_test.go
@@ -0,0 +1,36 @@
+package gossip
+
+import (
+	"reflect"
+	"testing"
+
+	"quincegap/internal/golden"
+	"quincegap/internal/modules/peers"
+)
+
+// What members send one another. A message asks for a report or answers one, never both: fields 5 and 6 have no order.
+func TestGoldenEnvelopes(t *testing.T) {
+	records := []peers.Record{
+		{Process: 0x0102030405060708, Name: "front-0", Born: 1_800_000_000_123, Zone: "zone-a", Version: "1.4.2", Incarnation: 9, State: peers.Serving},
+		{Process: 2, Name: "front-1", Born: -5, State: peers.Joining},
+		{Process: 3, Name: "front-2", Born: 6, Zone: "zone-b", Version: "1.4.1", Incarnation: 1, State: peers.Suspect},
+		{Process: 4, Name: "front-3", Born: 7, Incarnation: 2, State: peers.Leaving},
+		{Process: 5, Name: "front-4", Born: 8, Incarnation: 300, State: peers.Gone},
+	}
+	for name, want := range map[string]envelope{
+		"envelope-records.hex": {format: format, application: "booking-front.example.org", records: records, witness: "front-0"},
+		"envelope-ask.hex":     {format: format, application: "booking-front.example.org", witness: "front-0", ask: 0x1112131415161718},
+		"envelope-answer.hex":  {format: format, application: "booking-front.example.org", answer: 0x1112131415161718, report: []byte(`{"name":"front-0"}`)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			golden.Hex(t, name, want.encode())
+			got, err := decode(golden.Read(t, name))
+			if err != nil || !reflect.DeepEqual(*got, want) {
+				t.Errorf("read back as %+v, %v", got, err)
+			}
+		})
+	}
+	if format != 1 || mostText != 128 || mostOf != 4096 || mostBytes != 512<<10 {
+		t.Errorf("format %d, texts of %d bytes, %d records, %d bytes", format, mostText, mostOf, mostBytes)
+	}
+}
--- /dev/null
+++ b/internal/standalone/golden_test.go
@@ -0,0 +1,235 @@
+package standalone
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"sort"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/settings"
+	"quincegap/internal/files/store"
+	"quincegap/internal/golden"
+	"quincegap/internal/modules/endpointsource"
+	"quincegap/internal/network/exchange"
+)
+
+// goldenRead is a golden file as it stands.
+func goldenRead(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// The list of endpoints as [memory] keeps it, key by key: a sidecar of another version starts with it.
+func TestGoldenKeptList(t *testing.T) {
+	endpoints := []endpointsource.Endpoint{
+		{
+			UID: "slot-keeper-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123,
+			Maintenance: true, WeightShare: 0.5, RegistrationIndex: 77, StartUnknown: true, Reason: "warning",
+		},
+		{UID: "slot-keeper-2", Address: "10.0.0.2:8080", State: balancer.EndpointDraining, Weight: 1},
+		{UID: "slot-keeper-3", Address: "10.0.0.3:8080", State: endpointsource.StateUnknown, Reason: "Odd"},
+	}
+	open := func() *memory {
+		s, err := store.Open(store.Dir(t.TempDir()), store.Options{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		m := &memory{set: Memory{ListKeep: time.Hour}, store: s, zones: names{}, kept: map[string]bool{}}
+		t.Cleanup(m.close)
+		return m
+	}
+
+	m := open()
+	m.listed(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
+	if err := m.store.Put([]byte{'?'}, nil, time.Second); err != nil { // it is durable once this is
+		t.Fatal(err)
+	}
+	var lines []string
+	if err := m.store.All(func(key, value []byte, left time.Duration) bool {
+		if key[0] != '?' {
+			lines = append(lines, fmt.Sprintf("%s %v %s\n", key, left > 0, value))
+		}
+		return true
+	}); err != nil {
+		t.Fatal(err)
+	}
+	sort.Strings(lines)
+	golden.Text(t, "kept-list.txt", []byte(strings.Join(lines, "")))
+
+	m = open()
+	for line := range strings.Lines(string(goldenRead(t, "kept-list.txt"))) {
+		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
+		keep := time.Duration(0)
+		if parts[1] == "true" {
+			keep = time.Hour
+		}
+		if err := m.store.Put([]byte(parts[0]), []byte(parts[2]), keep); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if got, _, ok := m.list(); !ok || !reflect.DeepEqual(got, endpointsource.List{Kind: balancer.ListCached, Endpoints: endpoints}) {
+		t.Errorf("read back as %+v, %v", got, ok)
+	}
+	if requestMark != 'r' || endpointMark != 'e' || listedMark != 'l' {
+		t.Errorf("keys begin with %c, %c, %c", requestMark, endpointMark, listedMark)
+	}
+}
+
+// What discovery sends, and a platform's configuration has under known.
+func TestGoldenDiscoveryList(t *testing.T) {
+	want := endpointList{Rev: 41, All: true, Targets: []target{
+		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 1_800_000_000_123},
+		{UID: "s-2", Address: "10.0.0.2:8080", State: "Terminating", Weight: 1},
+		{UID: "s-3", Address: "10.0.0.3:8080", State: "Gone"},
+		{UID: "s-4", Address: "10.0.0.4:8080", State: "Odd"},
+	}}
+	text, err := json.MarshalIndent(want, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "discovery-list.json", text)
+	var got endpointList
+	if err := json.Unmarshal(goldenRead(t, "discovery-list.json"), &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read back as %+v, %v", got, err)
+	}
+	judged := []endpointsource.Endpoint{
+		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123},
+		{UID: "s-2", Address: "10.0.0.2:8080", State: balancer.EndpointDraining, Weight: 1},
+		{UID: "s-3", Address: "10.0.0.3:8080", State: balancer.EndpointRemoved},
+		{UID: "s-4", Address: "10.0.0.4:8080", State: endpointsource.StateUnknown, Reason: "Odd"},
+	}
+	if l := got.judged(endpointsource.FromWatch); !reflect.DeepEqual(l, endpointsource.List{Kind: balancer.ListFull, Version: 41, Endpoints: judged}) {
+		t.Errorf("taken as %+v", l)
+	}
+}
+
+// A platform's configuration with all keys, and what the variables beside it win over.
+func TestGoldenPlatformConfiguration(t *testing.T) {
+	env := map[string]string{"BALANCER_NAME": "n7", "BALANCER_LISTEN": "127.0.0.1:81", "BALANCER_DISCOVERY": "127.0.0.1:82"}
+	got, err := parsePlatform(goldenRead(t, "platform.json"), func(name string) string { return env[name] }, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ms, s := time.Millisecond, time.Second
+	want := &Config{
+		Name: "n7", Listen: "127.0.0.1:81", Discovery: "127.0.0.1:82", Seed: 0x8c1f30d27a5be964,
+		Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 1024},
+		Known:  endpointList{Rev: 41, All: true, Targets: []target{{UID: "s-1", Address: "10.0.0.1:8080", Zone: "z1", Model: "m1", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 123}}},
+		Settings: settings.Settings{
+			Zones: []string{"z1", "z2"}, Models: []string{"m1"}, ConnIdle: 30 * s, GraceToAnswer: 20 * ms, OpenCap: 1000,
+			Settings: balancer.Settings{
+				Instances: 3, Ordinal: 1, Tier: 1, Tiers: 2, Quantum: 5 * ms, OverQuotaValueShare: 0.1, ValuePerWorkUnit: true,
+				TotalValueWeight: 0.9, WorstClassWeight: 0.1, MayCancel: true, MayHealthCheck: true, MayMessagePeers: true, HedgedRequests: true, MaxAttempts: 5,
+				MaxRetryAfter: 2 * s, ConnectTimeout: 100 * ms, MustSubscribe: true, ResubscribeInterval: 10 * s, ClientsMarkRetries: true,
+				SlowStartMinShare: 0.3, SlowStartWindow: s, OverloadMultiple: 3, OverloadDuration: 250 * ms,
+				Classes: []balancer.Class{
+					{Name: "read", LatencyTarget: s, Deadline: 2 * s, Value: 1, LateValueShare: 0.5, Idempotency: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, Streaming: true},
+					{Name: "book", LatencyTarget: s, Deadline: 2 * s, Value: 3, Idempotency: balancer.IdempotentWithKey, KeyScope: balancer.KeyScopeCell, KeyWindow: 10 * s},
+					{Name: "pay", LatencyTarget: s, Deadline: 2 * s, Value: 2, Idempotency: balancer.NonIdempotent, KeyScope: balancer.KeyScopeZone},
+				},
+				Tenants: []balancer.Tenant{{Name: "t0", QuotaPerSecond: 100}},
+			},
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got\n%+v\nwant\n%+v", got, want)
+	}
+	if err := CheckPlatform(goldenRead(t, "platform.json")); err != nil {
+		t.Error(err)
+	}
+}
+
+// What the front answers by itself, byte by byte but for the date: when it is ready, and to requests that go nowhere.
+func TestGoldenAnswers(t *testing.T) {
+	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		w.WriteHeader(http.StatusInternalServerError)
+	}))
+	const head = "Host: h\r\nX-Txn: txn1\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
+	post := func(headers string) string { return "POST /api HTTP/1.1\r\n" + headers + "Content-Length: 0\r\n\r\n" }
+	var all bytes.Buffer
+	ask := func(what, request string) {
+		t.Helper()
+		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		c.SetDeadline(time.Now().Add(patience))
+		io.WriteString(c, request)
+		if what == "cut short" { // a client that closes its side of any other has gone, and gets no answer
+			c.(*net.TCPConn).CloseWrite()
+		}
+		fmt.Fprintf(&all, "--- %s\n", what)
+		reader, length := bufio.NewReader(c), 0
+		for {
+			line, err := reader.ReadString('\n')
+			if err != nil {
+				t.Fatalf("%s: %v", what, err)
+			}
+			line = strings.TrimRight(line, "\r\n")
+			if text, ok := strings.CutPrefix(line, "Content-Length: "); ok {
+				length, _ = strconv.Atoi(text)
+			}
+			if !strings.HasPrefix(line, "Date: ") {
+				all.WriteString(line + "\n")
+			}
+			if line == "" {
+				break
+			}
+		}
+		body := make([]byte, length)
+		if _, err := io.ReadFull(reader, body); err != nil {
+			t.Fatalf("%s: %v", what, err)
+		}
+		all.Write(body)
+		if !bytes.HasSuffix(all.Bytes(), []byte("\n")) {
+			all.WriteByte('\n')
+		}
+	}
+	without := func(name string) string {
+		var kept strings.Builder
+		for line := range strings.Lines(head) {
+			if !strings.HasPrefix(line, name+":") {
+				kept.WriteString(line)
+			}
+		}
+		return kept.String()
+	}
+	with := func(name, value string) string { return without(name) + name + ": " + value + "\r\n" }
+	ask("ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	ask("chunked", "POST /api HTTP/1.1\r\n"+head+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+	ask("too large", "POST /api HTTP/1.1\r\n"+head+"Content-Length: 65537\r\n\r\n")
+	ask("cut short", "POST /api HTTP/1.1\r\n"+head+"Content-Length: 10\r\n\r\n123")
+	ask("of another host", strings.Replace(post(head), "/api", "http://other/api", 1))
+	ask("repeated", post(head+"X-Lane: read\r\n"))
+	ask("no id", post(without("X-Txn")))
+	ask("no class", post(without("X-Lane")))
+	ask("no time", post(without("X-Remaining")))
+	ask("no key", post(without("Idempotency-Key")))
+	ask("another method", strings.Replace(post(head), "POST", "PUT", 1))
+	ask("GET of a class that is not safe", strings.Replace(post(head), "POST", "GET", 1))
+	ask("no HTTP", "hello\r\n\r\n")
+	ask("no time left", post(with("X-Remaining", "0m")+"Connection: close\r\n"))
+	ask("the endpoint failed", post(head))
+	rg.server.loop.ready.Store(false)
+	ask("not ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	rg.server.loop.ready.Store(true)
+	golden.Text(t, "answers.txt", all.Bytes())
+}
