--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -69,7 +69,8 @@
 // A process answers the methods of these numbers with these bytes, and no others.
 func TestGoldenMethods(t *testing.T) {
 	c := qt.New(t)
-	own := &settings.Settings{Name: "core-1", IP: "127.9.30.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.30.1:7402"}
+	ip := testNetwork + ".201.1"
+	own := &settings.Settings{Name: "core-1", IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: ip + ":7402"}
 	hub := newTestHub(t, 7, own.InternalAddress())
 	a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
 	a.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
--- a/internal/mesh/agent/helpers_test.go
+++ b/internal/mesh/agent/helpers_test.go
@@ -1,8 +1,10 @@
 package agent
 
 import (
+	"fmt"
 	"io"
 	"net"
+	"os"
 	"testing"
 	"time"
 
@@ -17,6 +19,10 @@
 // maxWaitInTests is for what is to happen soon, on a busy machine too.
 const maxWaitInTests = 20 * time.Second
 
+// testNetwork is a part of the loopback network that this test process has for itself, so that several may run on a machine at once.
+// Another two numbers follow it.
+var testNetwork = fmt.Sprintf("127.%d", 100+os.Getpid()%150)
+
 // discardLog is a logger that writes nothing.
 func discardLog() *logrus.Logger {
 	log := logrus.New()
--- a/internal/mesh/agent/idle_mesh_test.go
+++ b/internal/mesh/agent/idle_mesh_test.go
@@ -50,8 +50,8 @@
 	return m
 }
 
-// idleMeshIP is the address of process i on loopback.
-func idleMeshIP(i int) string { return fmt.Sprintf("127.7.%d.%d", i/250, i%250+1) }
+// idleMeshIP is the address of process i on loopback. Other tests have numbers from 200 on in the place of i/250.
+func idleMeshIP(i int) string { return fmt.Sprintf("%s.%d.%d", testNetwork, i/250, i%250+1) }
 
 // start starts process i, which is the next one.
 func (m *idleMesh) start(i int) *Agent {
--- a/internal/mesh/agent/roles_test.go
+++ b/internal/mesh/agent/roles_test.go
@@ -58,12 +58,13 @@
 func newTestCore(t *testing.T, n int) *testCore {
 	t.Helper()
 	core := &testCore{C: qt.New(t)}
+	ipOf := func(i int) string { return fmt.Sprintf("%s.200.%d", testNetwork, i+1) }
 	var addresses []string
 	for i := range n {
-		addresses = append(addresses, fmt.Sprintf("127.9.0.%d:7402", i+1))
+		addresses = append(addresses, ipOf(i)+":7402")
 	}
 	for i := range n {
-		ip := fmt.Sprintf("127.9.0.%d", i+1)
+		ip := ipOf(i)
 		own := &settings.Settings{
 			Name: ip, IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, Seeds: addresses,
 			ControlAddress: addresses[i],
