--- /dev/null
+++ b/internal/modules/endpointsource/endpoint_test.go
@@ -0,0 +1,37 @@
+package endpointsource
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// Each field of an endpoint makes a verdict another one, or is among those that the balancer does not learn.
+func TestSameVerdict(t *testing.T) {
+	unpublished := []string{"Maintenance", "WeightShare", "RegistrationIndex", "StartUnknown", "Reason"}
+	fields := reflect.TypeFor[Endpoint]()
+	for i := range fields.NumField() {
+		name := fields.Field(i).Name
+		t.Run(name, func(t *testing.T) {
+			a := Endpoint{UID: "box-1"}
+			b := a
+			switch field := reflect.ValueOf(&b).Elem().Field(i); field.Kind() {
+			case reflect.String:
+				field.SetString("other")
+			case reflect.Bool:
+				field.SetBool(true)
+			case reflect.Float64:
+				field.SetFloat(2)
+			case reflect.Uint64:
+				field.SetUint(2)
+			case reflect.Int, reflect.Int64:
+				field.SetInt(2)
+			default:
+				t.Fatalf("a field of kind %v", field.Kind())
+			}
+			if got, want := sameVerdict(&a, &b), slices.Contains(unpublished, name); got != want {
+				t.Errorf("another %s: the same %v, want %v", name, got, want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/modules/endpointsource/settings.go
@@ -0,0 +1,65 @@
+package endpointsource
+
+import (
+	"time"
+
+	"quincegap/internal/config/schema"
+)
+
+// Mode says which sources count. The values are those of settings files.
+type Mode string
+
+// The modes.
+const (
+	ModePlatform  Mode = "platform"  // the platform's lists alone
+	ModeConsul    Mode = "consul"    // Consul alone
+	ModeOverlay   Mode = "overlay"   // Consul's health over the platform's lists
+	ModeRehearsal Mode = "rehearsal" // the platform's lists alone; differences to Consul are logged
+)
+
+// Settings is how sources are judged. SettingsTable has the names that settings files have for them.
+type Settings struct {
+	Mode             Mode
+	FreeRecoveries   int           // within FlapWindow, that are believed at once
+	FlapWindow       time.Duration // see FreeRecoveries
+	InitialHoldDown  time.Duration // of a further recovery; each one doubles it
+	MaxHoldDown      time.Duration
+	ShrinkThreshold  float64       // an answer that lacks this share of the endpoints is doubted
+	ConfirmAfter     time.Duration // what is doubted is believed after Consul has said it for so long
+	ConsulTTL        time.Duration // how long Consul's word counts after its last answer (ModeOverlay)
+	RestartThreshold time.Duration // critical for so long, an endpoint without a start time counts as restarted
+}
+
+// SettingsTable is the table [membership] of settings files.
+var SettingsTable = schema.NewTable("membership", "Which sources of endpoints count, and how they are judged.",
+	schema.Choice("source", func(s *Settings) *Mode { return &s.Mode }, []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}, ModePlatform, false, schema.OnReload,
+		"platform: discovery alone; consul: Consul alone; overlay: Consul's health over discovery's list; rehearsal: discovery alone, and differences to Consul are logged."),
+	schema.Int("free_returns", func(s *Settings) *int { return &s.FreeRecoveries },
+		schema.Bounds[int]{Default: 2, Least: 0, Most: 100}, schema.OnReload,
+		"How often within flap_window an endpoint may come back from critical at once."),
+	schema.Duration("flap_window", func(s *Settings) *time.Duration { return &s.FlapWindow },
+		schema.Bounds[time.Duration]{Default: 30 * time.Second, Least: time.Second, Most: time.Hour}, schema.OnReload,
+		"See free_returns."),
+	schema.Duration("first_hold", func(s *Settings) *time.Duration { return &s.InitialHoldDown },
+		schema.Bounds[time.Duration]{Default: time.Second, Least: 0, Most: time.Minute}, schema.OnReload,
+		"How long a further return waits; twice as long each time."),
+	schema.Duration("longest_hold", func(s *Settings) *time.Duration { return &s.MaxHoldDown },
+		schema.Bounds[time.Duration]{Default: 30 * time.Second, Least: 0, Most: time.Hour}, schema.OnReload,
+		"The longest such wait."),
+	schema.Float("shrink_share", func(s *Settings) *float64 { return &s.ShrinkThreshold },
+		schema.Bounds[float64]{Default: 0.5, Least: 0.01, Most: 1}, schema.OnReload,
+		"An answer that lacks this share of the endpoints before it, and more than two, is doubted."),
+	schema.Duration("confirm_after", func(s *Settings) *time.Duration { return &s.ConfirmAfter },
+		schema.Bounds[time.Duration]{Default: 10 * time.Second, Least: time.Second, Most: time.Hour}, schema.OnReload,
+		"After this time of saying the same it is believed."),
+	schema.Duration("word_holds", func(s *Settings) *time.Duration { return &s.ConsulTTL },
+		schema.Bounds[time.Duration]{Default: time.Minute, Least: time.Second, Most: 24 * time.Hour}, schema.OnReload,
+		"With source overlay: how long Consul's bad news hold after its last answer."),
+	schema.Duration("restart_after", func(s *Settings) *time.Duration { return &s.RestartThreshold },
+		schema.Bounds[time.Duration]{Default: 2 * time.Second, Least: 0, Most: time.Hour}, schema.OnReload,
+		"An instance without a start time that was critical for so long counts as cold when it comes back."),
+).Check(func(_ *schema.File, _ string, s *Settings, report schema.Reporter) {
+	if s.MaxHoldDown < s.InitialHoldDown {
+		report("longest_hold", "%s is shorter than first_hold, %s", schema.FormatDuration(s.MaxHoldDown), schema.FormatDuration(s.InitialHoldDown))
+	}
+})
