--- a/internal/mesh/control/consensus/acceptor_test.go
+++ b/internal/mesh/control/consensus/acceptor_test.go
@@ -8,7 +8,7 @@
 
 // A voter that knows a newer voter set to be decided takes no part in a round under an older one, and reports the newer one. It
 // answers a replica that recovers under any voter set.
-func TestOldListIsRefused(t *testing.T) {
+func TestOldVoterSetIsRejected(t *testing.T) {
 	c := qt.New(t)
 	newer := VoterSet{Epoch: 3, Voters: []string{"v0", "v1", "v3"}, Previous: []string{"v0", "v1", "v2"}}
 	record := Record{State: ReplicaState{VoterSet: newer, Ready: true, DiskIncarnation: 1}}
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-func TestWrittenIsRead(t *testing.T) {
+func TestMessagesAreDecoded(t *testing.T) {
 	c := qt.New(t)
 	entry := VersionDigest{7, Digest{1, 2, 7: 3}}
 	ballot := Ballot{3, "a#1"}
--- a/internal/mesh/control/consensus/plan_test.go
+++ b/internal/mesh/control/consensus/plan_test.go
@@ -41,7 +41,7 @@
 // notReady is the status of a process that may not be made a voter.
 var notReady = PeerStatus{Node: "v3", Responsive: true, StateDuration: time.Hour}
 
-func TestPlanMembership(t *testing.T) {
+func TestPlanVoterChange(t *testing.T) {
 	hourOld := PeerStatus{Node: "v3", Responsive: true, Ready: true, StateDuration: time.Hour}
 	for name, test := range map[string]struct {
 		voters    int
@@ -83,7 +83,7 @@
 }
 
 // A process that was retired is not made a voter again.
-func TestPlanMembershipWithoutRetired(t *testing.T) {
+func TestPlanWithoutRetired(t *testing.T) {
 	voters := firstVoterSet(3)
 	voters.Retired = []string{"v3"}
 	qt.Assert(t, PlanVoterChange(voters, responsiveCore(6), 2), qt.Equals, VoterChange{Add: "v4"})
@@ -150,7 +150,7 @@
 }
 
 // A voter writes the newer voter set of a request down before it answers, and rejects one that conflicts with its own.
-func TestListsComeWithRequests(t *testing.T) {
+func TestVoterSetsComeWithRequests(t *testing.T) {
 	record := InitialRecord("v0", firstVoterSet(3).Voters)
 	newer := *NewVoterChange(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v2"}).nextVoters
 	for _, kind := range []RequestKind{ReadVote, Prepare, Accept, Recover} {
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -158,7 +158,7 @@
 }
 
 // A history that ends early, or whose versions don't rise, is an error that names its field.
-func TestSpoiltHistory(t *testing.T) {
+func TestCorruptHistory(t *testing.T) {
 	c := qt.New(t)
 	value := Value{Version: 300, History: []VersionDigest{{1, Digest{1}}, {300, Digest{2}}}}
 	data := codec.MarshalAppend(nil, &value)
--- a/internal/mesh/control/lease/rules_test.go
+++ b/internal/mesh/control/lease/rules_test.go
@@ -112,7 +112,7 @@
 
 // A voter grants nothing under a voter set older than the one it accepted, or while it can't say which that is, and reports the
 // epoch.
-func TestVoterRefusesOldLists(t *testing.T) {
+func TestVoterRejectsOldVoterSets(t *testing.T) {
 	c := qt.New(t)
 	voter := NewVoter(0, true)
 	request := &Request{Holder: "a", Incarnation: 1, VoterSetEpoch: 4, Roles: []RoleRequest{{Role: "d", FencingToken: 1}}}
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -9,7 +9,7 @@
 )
 
 // Grants of an allocator whose lease has ended are refused once the sidecar has heard from a newer one.
-func TestGrantsOfAFormerAllocatorAreRefused(t *testing.T) {
+func TestGrantsOfADepartedAllocatorAreRejected(t *testing.T) {
 	c := qt.New(t)
 	limit := Limit{Rate: 10, Burst: 10}
 	cache := NewTokenCache()
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestRepeatsKeepToTheirPart(t *testing.T) {
+func TestRetriesKeepToTheirBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := NewRetryBudget(10 * time.Second)
 	retries := 0
--- a/internal/modules/endpointsource/doc.go
+++ b/internal/modules/endpointsource/doc.go
@@ -1,6 +1,6 @@
 // Package endpointsource merges what the sources of endpoints say, the platform's discovery, Consul and the last known list, into
 // the one list that the balancer goes by. It does no I/O and reads no clock: each event comes with the time, counted from an
-// arbitrary start. docs/consul-design.md states the rules; each stands here once.
+// arbitrary start. docs/design/consul.md states the rules; each stands here once.
 //
 //	platform ── HandlePlatformList ──┐
 //	                                 ├──► entries ── evaluate ──► publish ──► List for the balancer
