--- a/internal/mesh/control/consensus/doc.go
+++ b/internal/mesh/control/consensus/doc.go
@@ -17,13 +17,40 @@
 //   - The voters are a [VoterSet], which is part of the register's [Value]. [PlanVoterChange] and [PlanHandover] decide
 //     on the next [VoterChange]; [NewVoterChange] turns it into a [Change] to propose.
 //
+// # Usage
+//
+// An acceptor's process answers one request after the other:
+//
+//	reply, next, unsynced := record.Handle(request)
+//	if unsynced.Any() {
+//		// Sync the parts of next to disk that unsynced names. If that fails, read the record again, and don't reply.
+//	}
+//	record = next
+//	// Send reply.
+//
+// A proposer's process sends each request of a round to all recipients and hands it the replies:
+//
+//	round, request := consensus.NewRound(voters, ballot, change, known)
+//	// Send request to round.Recipients(). For each reply that comes:
+//	if next := round.Step(node, reply); next != nil {
+//		// Send next to round.Recipients(), which may have grown.
+//	}
+//	// Until round.Finished(); after a time-out: round.StopWaiting().
+//
+// What follows depends on round.State: a caller that is Done has the verdict and sends Commit to the recipients, one that
+// is Preempted tries again after a back-off with a ballot above round.HighestBallot, one that is Inconclusive starts a
+// round with a ballot, and one that is Stale starts again under round.NewerVoters. A recovery is driven like a round,
+// until Step returns a record.
+//
+// All messages implement codec.Message; the numbers of their fields and kinds never change. Records use the same format.
+//
 // # How a value is chosen
 //
 // A proposer picks a ballot that was never used and asks the voters to promise it (Prepare). A voter that promises
 // reports what it accepted last and takes part in no lower ballot any more. With promises from a majority the proposer
 // knows the newest value that may have been chosen, evaluates its change on it, and asks the voters to accept the
 // outcome under its ballot (Accept). A value that a majority accepted under one ballot is committed. Any two majorities
-// share a voter, so every later ballot finds it. Commit then tells the voters, and needs no answer.
+// share a voter, so every later ballot finds it. Commit then notifies the voters, and needs no reply.
 //
 // The states of a round:
 //
--- a/internal/mesh/control/consensus/incarnations.go
+++ b/internal/mesh/control/consensus/incarnations.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// DiskIncarnations are, by voter, the newest disk incarnation that a replica was told of (a crash vector). A voter begins
+// DiskIncarnations are, by voter, the newest disk incarnation that was reported to a replica (a crash vector). A voter begins
 // a new one when it lost its disk.
 type DiskIncarnations map[string]uint64
 
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -65,7 +65,7 @@
 	Kind             ReplyKind
 	Ballot           Ballot           // of the request
 	DiskIncarnation  uint64           // the voter's own
-	DiskIncarnations DiskIncarnations // those that the voter was told of
+	DiskIncarnations DiskIncarnations // of other voters, as far as they were reported to this one
 	Promised         Ballot           // the highest ballot that the voter promised
 	Vote             Vote             // the voter's own; without its value if the request's KnownBallot is that of the vote
 
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -5,8 +5,7 @@
 // RoundState is a round's progress.
 type RoundState uint8
 
-// The states of a round; the last four end it, except that Inconclusive stands between the states in progress because of
-// its number.
+// The states of a round. It is in progress while Reading, Preparing or Accepting, and has ended in any other state.
 const (
 	Reading      RoundState = iota // waits for votes; no ballot is used
 	Inconclusive                   // ended: no majority holds one vote, and a round with a ballot is needed
--- a/internal/mesh/control/consensus/specification_test.go
+++ b/internal/mesh/control/consensus/specification_test.go
@@ -27,7 +27,7 @@
 
 func (s *specification) contains(entry VersionDigest) bool { return slices.Contains(s.chain, entry) }
 
-// observe takes a value that somebody holds for committed.
+// observe checks a value that a process takes for committed.
 func (s *specification) observe(value *Value) {
 	if value.Version > 0 {
 		s.extend(value.History)
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -59,8 +59,10 @@
 		"a forgotten number":                     {3, orders - maxHistory, Unknown},
 		"a forgotten number, not above its base": {4, 3, Conflict},
 	} {
-		verdict, _ := NewChange(test.base, test.version, body).evaluate(value)
-		c.Assert(verdict, qt.Equals, test.verdict, qt.Commentf(name))
+		t.Run(name, func(t *testing.T) {
+			verdict, _ := NewChange(test.base, test.version, body).evaluate(value)
+			qt.Assert(t, verdict, qt.Equals, test.verdict)
+		})
 	}
 }
 
@@ -98,7 +100,12 @@
 // The bytes that a value needs beside its body stop growing with the number of changes.
 func TestHistoryStaysSmall(t *testing.T) {
 	c := qt.New(t)
-	for _, test := range []struct{ orders, most int }{{10, 150}, {100, 1000}, {1000, 2400}, {3000, 2400}} {
+	for _, test := range []struct{ orders, most int }{
+		{10, 150},
+		{100, 1000},
+		{1000, 2400},
+		{3000, 2400},
+	} {
 		value := valueAfter(c, test.orders)
 		value.Body = nil
 		size := len(codec.MarshalAppend(nil, value))
--- a/internal/mesh/control/consensus/world_test.go
+++ b/internal/mesh/control/consensus/world_test.go
@@ -44,7 +44,7 @@
 	proposer int // or, for the recovery of a voter, -voter-1
 	voter    int
 	request  *Request
-	code     string // tells the messages to a voter apart, and sorts them
+	code     string // identifies and sorts the messages to a voter
 }
 
 type conclusion struct {
@@ -238,7 +238,7 @@
 	}))
 }
 
-// key tells states apart. Voters that only differ by name may change places, except the one that may lose its disk.
+// key identifies a state. Voters that only differ by name may change places, except the one that may lose its disk.
 func (w *world) key() uint64 {
 	keys := make([]uint64, len(w.voters))
 	for voter := range w.voters {
@@ -268,7 +268,7 @@
 	return digest.Sum64()
 }
 
-// voterKey is what tells one voter's state from another's: its record, what was heard of it, and what is sent to it.
+// voterKey is what tells one voter's state from another's: its record, which of its replies have arrived, and what is sent to it.
 func (w *world) voterKey(voter int) uint64 {
 	var digest maphash.Hash
 	digest.SetSeed(seed)
--- a/internal/mesh/control/lease/doc.go
+++ b/internal/mesh/control/lease/doc.go
@@ -5,6 +5,19 @@
 // The package does no I/O, starts no goroutine and takes no lock: neither type is safe for concurrent use. Time is an
 // argument, on each process's own steady clock (time since some fixed moment). Nothing is kept on disk.
 //
+// # Usage
+//
+// A candidate's process calls Tick often, sends what it returns to all voters, and hands the replies back:
+//
+//	request := candidate.Tick(now, len(voters), voterSetEpoch) // nil: nothing to send
+//	requestedAt := now
+//	// At each voter:
+//	reply := voter.Handle(now, status, request)
+//	// For each reply that comes back:
+//	candidate.HandleReply(now, requestedAt, voterName, reply)
+//	// Before each act in the role:
+//	fencingToken, ok := candidate.Holds(now)
+//
 // # The states of a candidate
 //
 //	        Tick: request               majority granted
--- a/internal/mesh/control/lease/rules_test.go
+++ b/internal/mesh/control/lease/rules_test.go
@@ -113,21 +113,23 @@
 // A voter grants nothing under a voter set older than the one it accepted, or while it can't say which that is, and reports the
 // epoch.
 func TestVoterRejectsOldVoterSets(t *testing.T) {
-	c := qt.New(t)
 	voter := NewVoter(0, true)
 	request := &Request{Holder: "a", Incarnation: 1, VoterSetEpoch: 4, Roles: []RoleRequest{{Role: "d", FencingToken: 1}}}
 	for _, test := range []struct {
+		name    string
 		status  VoterStatus
 		granted bool
 	}{
-		{VoterStatus{Ready: true, VoterSetEpoch: 5}, false},
-		{VoterStatus{Ready: false, VoterSetEpoch: 4}, false},
-		{VoterStatus{Ready: true, VoterSetEpoch: 4}, true},
-		{VoterStatus{Ready: true, VoterSetEpoch: 3}, true},
+		{"it accepted a newer one", VoterStatus{Ready: true, VoterSetEpoch: 5}, false},
+		{"it is not ready", VoterStatus{Ready: false, VoterSetEpoch: 4}, false},
+		{"it accepted the same", VoterStatus{Ready: true, VoterSetEpoch: 4}, true},
+		{"it accepted an older one", VoterStatus{Ready: true, VoterSetEpoch: 3}, true},
 	} {
-		reply := voter.Handle(0, test.status, request)
-		c.Assert(reply.Grants[0].Granted, qt.Equals, test.granted)
-		c.Assert(reply.VoterSetEpoch, qt.Equals, test.status.VoterSetEpoch)
+		t.Run(test.name, func(t *testing.T) {
+			reply := voter.Handle(0, test.status, request)
+			qt.Assert(t, reply.Grants[0].Granted, qt.Equals, test.granted)
+			qt.Assert(t, reply.VoterSetEpoch, qt.Equals, test.status.VoterSetEpoch)
+		})
 	}
 }
 
--- a/internal/mesh/control/lease/takeover_test.go
+++ b/internal/mesh/control/lease/takeover_test.go
@@ -113,13 +113,18 @@
 		name    string
 		release bool
 		bound   time.Duration
-	}{{"cut off", false, 2 * time.Second}, {"released", true, 400 * time.Millisecond}} {
-		var gaps []time.Duration
-		for seed := range uint64(200) {
-			gaps = append(gaps, takeover(seed, test.release))
-		}
-		slices.Sort(gaps)
-		t.Logf("%s, 200 runs: p50 %v, p99 %v, max %v", test.name, gaps[100], gaps[197], gaps[199])
-		qt.Check(t, gaps[199] <= test.bound, qt.IsTrue)
+	}{
+		{"cut off", false, 2 * time.Second},
+		{"released", true, 400 * time.Millisecond},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var gaps []time.Duration
+			for seed := range uint64(200) {
+				gaps = append(gaps, takeover(seed, test.release))
+			}
+			slices.Sort(gaps)
+			t.Logf("%s, 200 runs: p50 %v, p99 %v, max %v", test.name, gaps[100], gaps[197], gaps[199])
+			qt.Check(t, gaps[199] <= test.bound, qt.IsTrue)
+		})
 	}
 }
--- a/internal/mesh/control/ratelimit/doc.go
+++ b/internal/mesh/control/ratelimit/doc.go
@@ -18,7 +18,7 @@
 // Each sidecar also holds a fallback share of each tenant's rate, under a lease of its own (shareLease), from which it
 // admits requests while it reaches no allocator. The allocator reserves the shares of sidecars that it has not heard from:
 // it grants only what they leave, so the sum of what is admitted stays within the limit, whoever is cut off. An allocator
-// that is new does not know the shares, and reserves what is not accounted for; [LastSeen] tells it which sidecars may
+// that is new does not know the shares, and reserves what is not accounted for; [LastSeen] names the sidecars that may
 // hold some.
 //
 // A [TokenCache] accepts grants by fencing token: once it has heard of a newer allocator, it rejects those of older ones.
--- a/internal/mesh/control/ratelimit/tenant_tokens.go
+++ b/internal/mesh/control/ratelimit/tenant_tokens.go
@@ -17,7 +17,7 @@
 	// initialShareFraction is how much of a tenant's rate, at most, a sidecar without a share takes.
 	initialShareFraction = 0.08
 
-	// maxFallbackRetryAfter is the most that a client is told to wait that was rejected without an allocator.
+	// maxFallbackRetryAfter bounds the retry-after of a client that was rejected without an allocator.
 	maxFallbackRetryAfter = 250 * time.Millisecond
 )
 
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -12,8 +12,8 @@
 	waitTimeout       = 60 * time.Millisecond  // of a client's request that waits for a token
 	firstWaitTimeout  = 250 * time.Millisecond // the same where no allocator has been reached yet
 	maxWaiters        = 1024                   // of one tenant
-	minRetryAfter     = 30 * time.Millisecond  // the least that a rejected client is told to wait
-	maxRetryAfter     = 2 * time.Second        // and the most
+	minRetryAfter     = 30 * time.Millisecond  // least retry-after of a rejected client
+	maxRetryAfter     = 2 * time.Second        // greatest retry-after of a rejected client
 	maxDenial         = 100 * time.Millisecond // for which the allocator isn't asked again after it had no tokens, at most
 )
 
