--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -21,7 +21,7 @@
 	c.Assert(cache.HandleReply(0, 0, grants(8, 2)), qt.IsTrue)
 	tokens := cache.tenants["t"].tokens
 	c.Assert(cache.HandleReply(0, 0, grants(7, 10)), qt.IsFalse)
-	c.Assert(cache.tenants["t"].fallbackShare, qt.Equals, 2.0)
+	c.Assert(cache.tenants["t"].fallback.share, qt.Equals, 2.0)
 	c.Assert(cache.tenants["t"].tokens, qt.Equals, tokens)
 	c.Assert(cache.HighestFencingToken(), qt.Equals, uint64(8))
 	c.Assert(cache.HandleReply(0, 0, grants(8, 3)), qt.IsTrue) // its own go on
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -61,13 +61,13 @@
 	}
 	tokens := c.tokensOf(now, tenant)
 	tokens.limit = limit
-	tokens.recordDemand(now, 1)
+	tokens.demand.record(now, 1)
 	tokens.expireTokens(now)
 	switch {
 	case tokens.takeToken(now):
 		done(true, 0)
 	case !c.Reached(now) && c.reached:
-		done(tokens.admitByFallbackShare(now, c.sidecarCount))
+		done(tokens.fallback.admit(now, tokens.limit, c.sidecarCount))
 	case now < tokens.deniedUntil:
 		done(false, clampRetryAfter(tokens.deniedUntil-now))
 	case len(tokens.waiters) >= maxWaiters:
@@ -119,9 +119,9 @@
 	}
 	for tenant, tokens := range c.tenants {
 		if len(tokens.waiters) > 0 && now-tokens.waitingSince > timeout {
-			tokens.answerWaiters(func() (bool, time.Duration) { return tokens.admitByFallbackShare(now, c.sidecarCount) })
+			tokens.answerWaiters(now, c.sidecarCount)
 		}
-		if now-tokens.demandAt > idleTimeout && now >= tokens.shareUntil {
+		if tokens.isIdle(now) {
 			delete(c.tenants, tenant)
 			continue
 		}
