--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -31,12 +31,7 @@
 	releasePending bool          // what was granted is to be released: there was no majority
 	voterSetEpoch  uint64        // of the newest voter set
 	quietUntil     time.Duration // it asks nobody before, as the voter set is new
-
-	// The newest request, and its replies.
-	requestedAt time.Duration
-	voterCount  int
-	grantedBy   map[string]bool
-	rejections  int
+	attempt        attempt
 }
 
 // NewCandidate makes a candidate for a role that holds nothing. self and incarnation name the process; jitter returns
@@ -155,10 +150,7 @@
 		c.nextRequest = now + renewInterval
 	}
 	c.highestToken = max(c.highestToken, c.requestedToken)
-	c.requestedAt = now
-	c.voterCount = voterCount
-	c.grantedBy = map[string]bool{}
-	c.rejections = 0
+	c.attempt = attempt{requestedAt: now, voterCount: voterCount, grantedBy: map[string]bool{}}
 	return c.request(RoleRequest{Role: c.role, FencingToken: c.requestedToken})
 }
 
@@ -185,7 +177,7 @@
 		}
 		c.highestToken = max(c.highestToken, grant.FencingToken)
 		switch {
-		case requestedAt != c.requestedAt:
+		case requestedAt != c.attempt.requestedAt:
 		case grant.Granted:
 			obtained = c.countGrant(now, voter, grant.FencingToken) || obtained
 		default:
@@ -200,9 +192,9 @@
 	if c.state == Idle || fencingToken != c.requestedToken {
 		return false
 	}
-	c.grantedBy[voter] = true
-	until := c.requestedAt + holderDuration
-	if len(c.grantedBy) < c.majority() || now >= until {
+	c.attempt.grantedBy[voter] = true
+	until := c.attempt.requestedAt + holderDuration
+	if !c.attempt.isGranted() || now >= until {
 		return false
 	}
 	obtained = c.state != Holding
@@ -210,7 +202,7 @@
 	c.heldUntil = until
 	c.otherHolder = ""
 	// Whatever a voter that rejected the request had this candidate wait for, the lease has to be renewed in time.
-	c.setState(Holding, c.requestedAt+renewInterval)
+	c.setState(Holding, c.attempt.requestedAt+renewInterval)
 	return obtained
 }
 
@@ -223,12 +215,9 @@
 		c.otherHolder = rejection.Holder
 		c.nextRequest = max(c.nextRequest, now+min(rejection.Remaining, Duration)/2+c.jitteredDelay())
 	}
-	c.rejections++
-	isLost := c.rejections > c.voterCount-c.majority()
-	if c.state == Requesting && isLost && len(c.grantedBy) > 0 {
+	c.attempt.rejections++
+	if c.state == Requesting && c.attempt.isLost() && len(c.attempt.grantedBy) > 0 {
 		c.releasePending = true
 		c.setState(Idle, max(c.nextRequest, now+c.jitteredDelay()))
 	}
 }
-
-func (c *Candidate) majority() int { return c.voterCount/2 + 1 }
--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -117,12 +117,12 @@
 fault "a lease is granted under the list before the accepted one" lease/voter.go 's/request\.VoterSetEpoch >= status/request.VoterSetEpoch+1 >= status/'
 fault "a voter whose record isn't read grants leases" lease/voter.go 's/ && status\.Ready//'
 fault "a late release ends a newer grant" lease/voter.go 's/if isCurrent \{/if isHolder {/'
-fault "a lease lasts as long for its holder as for the voter" lease/candidate.go 's/until := c\.requestedAt \+ holderDuration/until := now + Duration/'
+fault "a lease lasts as long for its holder as for the voter" lease/candidate.go 's/until := c\.attempt\.requestedAt \+ holderDuration/until := now + Duration/'
 fault "a holder leaves nothing for clocks that differ" lease/lease.go 's/holderDuration = Duration - .*/holderDuration = Duration/'
-fault "a duty needs half of the voters" lease/candidate.go 's/return c\.voterCount\/2 \+ 1/return c.voterCount \/ 2/'
+fault "a duty needs half of the voters" lease/attempt.go 's/return a\.voterCount\/2 \+ 1/return a.voterCount \/ 2/'
 fault "a candidate asks at once under a new list" lease/candidate.go 's/c\.quietUntil = now \+ voterChangeDelay/c.quietUntil = now/'
 fault "a holder that lost its lease asks at once under a new list" lease/candidate.go 's/max\(now\+retryDelay, c\.quietUntil\)/now + retryDelay/'
-fault "a holder that was refused once renews late" lease/candidate.go 's/c\.setState\(Holding, c\.requestedAt\+renewInterval\)/c.state = Holding/'
+fault "a holder that was refused once renews late" lease/candidate.go 's/c\.setState\(Holding, c\.attempt\.requestedAt\+renewInterval\)/c.state = Holding/'
 fault "numbers of a newer list begin anew" lease/candidate.go 's/max\(c\.highestToken, c\.voterSetEpoch\*tokensPerVoterSet\)/c.highestToken/'
 
 # Where duties land.
