--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Handle answers a request; r itself stays as it is. If it returns parts that are unsynced, the new record must be on
-// disk before the reply leaves and before the replica answers anything else. If that write fails, it is not known what
-// the disk holds, and the record has to be read again. Commit is not handled here, as it changes no record by itself.
+// Handle answers a request and returns the next record. r is a copy, which the methods for the kinds of requests change;
+// the caller's record stays as it is. If Handle returns parts that are unsynced, the next record must be on disk before
+// the reply leaves and before the replica answers anything else. If that write fails, it is not known what the disk
+// holds, and the record has to be read again. Commit is not handled here, as it changes no record by itself.
 func (r Record) Handle(request *Request) (Reply, Record, Unsynced) {
 	switch {
 	case request.Kind == Describe:
--- a/internal/mesh/control/consensus/record.go
+++ b/internal/mesh/control/consensus/record.go
@@ -63,7 +63,7 @@
 	return r, Unsynced{State: true}
 }
 
-// startRound is the highest ballot that the replica has promised, by a Prepare or by accepting under it. A learned vote was
+// promised is the highest ballot that the replica has promised, by a Prepare or by accepting under it. A learned vote was
 // accepted by others and promises nothing.
 func (r *Record) promised() Ballot {
 	if r.Vote.Ballot.Compare(r.State.Promised) > 0 && !r.Vote.Learned {
