--- a/internal/modules/endpointsource/consul.go
+++ b/internal/modules/endpointsource/consul.go
@@ -200,30 +200,30 @@
 }
 
 // applyConsulEntry takes in what Consul says of one endpoint. A first answer says nothing of starts. unixMS is the time of day.
-func (m *Merger) applyConsulEntry(now time.Duration, e Endpoint, first bool, unixMS int64) {
-	entry := m.touch(e.UID)
+func (m *Merger) applyConsulEntry(now time.Duration, said Endpoint, first bool, unixMS int64) {
+	entry := m.touch(said.UID)
 	entry.missing = false
-	delete(m.missing, e.UID)
+	delete(m.missing, said.UID)
 	if entry.consul != nil {
 		m.leaveAddress(entry)
 	}
-	m.joinAddress(entry, e.Address)
-	unhealthy := e.State != balancer.EndpointReady
+	m.joinAddress(entry, said.Address)
+	unhealthy := said.State != balancer.EndpointReady
 	switch {
 	case unhealthy && !entry.unhealthy:
 		entry.unhealthySince, entry.holdDownUntil = now, 0
-		delete(m.heldDown, e.UID)
+		delete(m.heldDown, said.UID)
 	case !unhealthy && entry.unhealthy:
 		m.holdDownFlapping(now, entry)
 	}
-	if e.StartUnknown {
-		if m.looksRestarted(now, entry, &e, first) {
+	if said.StartUnknown {
+		if m.looksRestarted(now, entry, &said, first) {
 			entry.startedMS = unixMS
 		}
-		e.StartedMS = entry.startedMS
+		said.StartedMS = entry.startedMS
 	}
 	entry.unhealthy = unhealthy
-	entry.consul = &e
+	entry.consul = &said
 }
 
 // looksRestarted reports whether an endpoint whose start is not known looks from outside as if it had started: it is new, at
@@ -243,14 +243,15 @@
 // holdDownFlapping weighs the recovery of a check that has failed: beyond some in a while, each waits twice as long as the one
 // before.
 func (m *Merger) holdDownFlapping(now time.Duration, entry *sourceEntry) {
-	recoveries := append(entry.recoveries, now)
-	recoveries = slices.DeleteFunc(recoveries, func(at time.Duration) bool { return now-at > m.settings.FlapWindow })
+	outside := func(at time.Duration) bool { return now-at > m.settings.FlapWindow }
+	entry.recoveries = slices.DeleteFunc(append(entry.recoveries, now), outside)
 	free := m.settings.FreeRecoveries
-	if len(recoveries) <= free {
-		entry.recoveries, entry.holdDown = recoveries, 0
+	if len(entry.recoveries) <= free {
+		entry.holdDown = 0
 		return
 	}
-	entry.recoveries = recoveries[len(recoveries)-free-1:] // more are of no use, and flapping must not make it grow
+	last := len(entry.recoveries) - free - 1
+	entry.recoveries = entry.recoveries[last:] // more are of no use, and flapping must not make it grow
 	entry.holdDown = min(cmp.Or(2*entry.holdDown, m.settings.InitialHoldDown), m.settings.MaxHoldDown)
 	entry.holdDownUntil = now + entry.holdDown
 	m.heldDown[entry.uid] = entry
--- a/internal/modules/endpointsource/membership_test.go
+++ b/internal/modules/endpointsource/merger_test.go
@@ -12,113 +12,6 @@
 
 const s = time.Second
 
-// driver plays events into Members and keeps what the module would know.
-type driver struct {
-	t     testing.TB
-	m     *Merger
-	now   time.Duration
-	knows map[string]Endpoint // the module's list, by the lists that it was told
-	lists int
-}
-
-func drive(t testing.TB, mode Mode) *driver {
-	set := *SettingsTable.Default()
-	set.Mode = mode
-	return &driver{t: t, m: New(set, []string{"z"}, nil), knows: map[string]Endpoint{}}
-}
-
-func (d *driver) told(l List, news bool) {
-	if !news {
-		return
-	}
-	d.lists++
-	if l.Kind != balancer.ListDelta {
-		clear(d.knows)
-	}
-	for _, e := range l.Endpoints {
-		if e.State == balancer.EndpointRemoved {
-			if _, ok := d.knows[e.UID]; !ok {
-				d.t.Errorf("%s is told as gone, and was never told", e.UID)
-			}
-			delete(d.knows, e.UID)
-		} else {
-			d.knows[e.UID] = e
-		}
-	}
-}
-
-// at moves to a time, with all ticks that are due on the way.
-func (d *driver) at(now time.Duration) {
-	for n := 0; ; n++ {
-		due, ok := d.m.NextTick()
-		if !ok || due > now {
-			break
-		}
-		if n > 10000 {
-			d.t.Fatal("ticks without end")
-		}
-		d.now = max(d.now, due)
-		d.told(d.m.Tick(d.now))
-	}
-	d.now = now
-}
-
-func (d *driver) platform(kind balancer.ListKind, es ...Endpoint) {
-	d.told(d.m.HandlePlatformList(d.now, List{Kind: kind, Endpoints: es}))
-}
-
-func (d *driver) consul(a ConsulAnswer) {
-	a.UnixMS = 1000 + d.now.Milliseconds()
-	d.told(d.m.HandleConsulAnswer(d.now, a))
-}
-
-// state is what the module knows, as "a b- c": a minus for draining, a question mark for cold.
-func (d *driver) state() string {
-	var all []string
-	for uid, e := range d.knows {
-		if e.State != balancer.EndpointReady {
-			uid += "-"
-		}
-		if e.StartedMS > 0 {
-			uid += "?"
-		}
-		all = append(all, uid)
-	}
-	slices.Sort(all)
-	return strings.Join(all, " ")
-}
-
-func (d *driver) want(state string) {
-	d.t.Helper()
-	if got := d.state(); got != state {
-		d.t.Fatalf("at %v the module knows %q, want %q", d.now, got, state)
-	}
-}
-
-func ep(uid string) Endpoint {
-	return Endpoint{UID: uid, Address: uid + ":1", Weight: 1, WeightShare: 1, StartUnknown: true, RegistrationIndex: 5}
-}
-
-func critical(uid string) Endpoint {
-	e := ep(uid)
-	e.State, e.Reason = balancer.EndpointDraining, "check is critical"
-	return e
-}
-
-func eps(uids ...string) (all []Endpoint) {
-	for _, u := range uids {
-		all = append(all, ep(u))
-	}
-	return all
-}
-
-func letters(n int) (uids []string) {
-	for i := range n {
-		uids = append(uids, string(rune('a'+i)))
-	}
-	return uids
-}
-
 func TestPlatformPassesThrough(t *testing.T) {
 	for _, mode := range []Mode{ModePlatform, ModeRehearsal} {
 		d := drive(t, mode)
@@ -155,7 +48,7 @@
 	d.want("k1 k2")
 	d.platform(balancer.ListFull, eps("p")...) // does not count
 	d.want("k1 k2")
-	// The first answer: by other names at the same addresses, and all of it warm.
+	// The first answer: by other names at the same addresses, and none of it as started lately.
 	a, b, c := ep("a"), ep("b"), ep("c")
 	a.Address, b.Address = "k1:1", "k2:1"
 	d.consul(ConsulAnswer{Changed: []Endpoint{a, b, c}})
@@ -170,82 +63,112 @@
 	}
 }
 
-func TestEmptyAndHalfLists(t *testing.T) {
-	start := func() *driver {
-		d := drive(t, ModeConsul)
-		d.consul(ConsulAnswer{Changed: eps(letters(8)...)})
-		d.at(5 * s)
-		return d
-	}
-	full := strings.Join(letters(8), " ")
-
-	d := start()
-	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8}) // empty
-	d.want(full)
-	if logs := d.m.TakeLogs(); len(logs) != 1 || !strings.Contains(logs[0], "lacks 8 of 8") {
-		t.Errorf("%q", logs)
-	}
-	d.consul(ConsulAnswer{Changed: eps(letters(8)...), KnownBefore: 0}) // back
-	d.at(60 * s)
-	d.want(full)
-
-	d = start()
-	d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
-	d.want(full)
-	d.at(8 * s)
-	d.told(d.m.HandleConsulUnchanged(d.now)) // it goes on saying so
-	d.at(14 * s)
-	d.want(full)
-	d.at(15 * s)
-	d.want("f g h")
-
-	d = start()
-	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
-	d.at(500 * s) // and nothing more comes: the last good list serves
-	d.want(full)
+// eight is a driver whose Consul has eight endpoints, a to h.
+func eight(t *testing.T) *driver {
+	t.Helper()
+	d := drive(t, ModeConsul)
+	d.consul(ConsulAnswer{Changed: eps(letters(8)...)})
+	d.at(5 * s)
+	return d
+}
 
-	d = start()
-	d.consul(ConsulAnswer{ConfirmedMissing: letters(5)}) // of whom nothing was missing: that is no news
-	d.want(full)
-	d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
-	d.consul(ConsulAnswer{ConfirmedMissing: []string{"a", "b", "none"}}) // the catalogue has the others still
-	d.want("c d e f g h")
-	d.consul(ConsulAnswer{Changed: eps("c"), KnownBefore: 3})
-	d.consul(ConsulAnswer{ConfirmedMissing: letters(5)})
-	d.want("c f g h")
+// allEight are the uids that eight begins with.
+var allEight = strings.Join(letters(8), " ")
+
+// lackingAnswers are courses of answers that lack some of eight endpoints.
+var lackingAnswers = map[string]func(t *testing.T, d *driver){
+	"empty, and back": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+		d.want(allEight)
+		if logs := d.m.TakeLogs(); len(logs) != 1 || !strings.Contains(logs[0], "lacks 8 of 8") {
+			t.Errorf("%q", logs)
+		}
+		d.consul(ConsulAnswer{Changed: eps(letters(8)...), KnownBefore: 0})
+		d.at(60 * s)
+		d.want(allEight)
+	},
+	"half, and it goes on saying so": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
+		d.want(allEight)
+		d.at(8 * s)
+		d.given(d.m.HandleConsulUnchanged(d.now))
+		d.at(14 * s)
+		d.want(allEight)
+		d.at(15 * s)
+		d.want("f g h")
+	},
+	"empty, and nothing more comes": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+		d.at(500 * s)
+		d.want(allEight) // the last good list serves
+	},
+	"confirmed by the catalogue": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{ConfirmedMissing: letters(5)}) // of whom nothing was missing: that changes nothing
+		d.want(allEight)
+		d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
+		d.consul(ConsulAnswer{ConfirmedMissing: []string{"a", "b", "none"}}) // the catalogue has the others still
+		d.want("c d e f g h")
+		d.consul(ConsulAnswer{Changed: eps("c"), KnownBefore: 3})
+		d.consul(ConsulAnswer{ConfirmedMissing: letters(5)})
+		d.want("c f g h")
+	},
+	// Neither the catalogue nor time settles that, only the attempts do.
+	"nothing would be left": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+		d.consul(ConsulAnswer{ConfirmedMissing: letters(8)})
+		for range 30 {
+			d.at(d.now + 5*s)
+			d.given(d.m.HandleConsulUnchanged(d.now))
+		}
+		d.want(allEight)
+		for _, uid := range letters(8) {
+			d.given(d.m.HandleConnectFailure(d.now, uid))
+		}
+		d.want("")
+	},
+	"attempts agree, one by one": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+		d.given(d.m.HandleConnectFailure(d.now, "c"))
+		d.given(d.m.HandleConnectFailure(d.now, "none"))
+		d.want("a b d e f g h")
+	},
+	"a server without a leader": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: []string{"a"}, KnownBefore: 8, Untrusted: true})
+		d.want(allEight)
+		d.consul(ConsulAnswer{Missing: []string{"b"}, KnownBefore: 7})
+		d.want("c d e f g h")
+	},
+	"a list that melts away in steps": func(t *testing.T, d *driver) {
+		t.Helper()
+		d.consul(ConsulAnswer{Missing: []string{"a", "b", "c"}, KnownBefore: 8})
+		d.want("d e f g h")
+		d.consul(ConsulAnswer{Missing: []string{"d", "e", "f"}, KnownBefore: 5}) // too much together
+		d.want("d e f g h")
+	},
+}
 
-	// Nothing would be left: neither the catalogue nor time settles that, only the attempts do.
-	d = start()
-	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
-	d.consul(ConsulAnswer{ConfirmedMissing: letters(8)})
-	for range 30 {
-		d.at(d.now + 5*s)
-		d.told(d.m.HandleConsulUnchanged(d.now))
-	}
-	d.want(full)
-	for _, uid := range letters(8) {
-		d.told(d.m.HandleConnectFailure(d.now, uid))
+// What an answer lacks is believed or doubted, and settled in time.
+func TestEmptyAndHalfLists(t *testing.T) {
+	for name, play := range lackingAnswers {
+		t.Run(name, func(t *testing.T) { play(t, eight(t)) })
 	}
-	d.want("")
-
-	d = start()
-	d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
-	d.told(d.m.HandleConnectFailure(d.now, "c")) // attempts agree, one by one
-	d.told(d.m.HandleConnectFailure(d.now, "none"))
-	d.want("a b d e f g h")
-
-	d = start()
-	d.consul(ConsulAnswer{Missing: []string{"a"}, KnownBefore: 8, Untrusted: true}) // no leader
-	d.want(full)
-	d.consul(ConsulAnswer{Missing: []string{"b"}, KnownBefore: 7})
-	d.want("c d e f g h")
+}
 
-	// A list that melts away in steps is doubted once the steps are too much together.
-	d = start()
-	d.consul(ConsulAnswer{Missing: []string{"a", "b", "c"}, KnownBefore: 8})
-	d.want("d e f g h")
-	d.consul(ConsulAnswer{Missing: []string{"d", "e", "f"}, KnownBefore: 5})
-	d.want("d e f g h")
+// An answer that lacks all there are is doubted, however few these are.
+func TestLackingAllOfFewIsDoubted(t *testing.T) {
+	for n := 1; n <= maxLost; n++ {
+		d := drive(t, ModeConsul)
+		d.consul(ConsulAnswer{Changed: eps(letters(n)...)})
+		d.consul(ConsulAnswer{Missing: letters(n), KnownBefore: n})
+		d.want(strings.Join(letters(n), " "))
+	}
 }
 
 func TestAllCriticalGoesOn(t *testing.T) {
@@ -269,11 +192,11 @@
 	d.platform(balancer.ListCached, eps("k")...)
 	lists := d.lists
 	d.consul(ConsulAnswer{})
-	d.told(d.m.HandleConsulUnchanged(d.now))
+	d.given(d.m.HandleConsulUnchanged(d.now))
 	d.at(100 * s)
 	d.want("k")
 	if d.lists != lists {
-		t.Error("an empty list was told")
+		t.Error("an empty list was published")
 	}
 	d.consul(ConsulAnswer{Changed: eps("a", "b")})
 	d.want("a b")
@@ -294,7 +217,7 @@
 		if i%2 == 0 {
 			d.consul(ConsulAnswer{Changed: []Endpoint{critical("a")}, KnownBefore: 2})
 			if d.knows["a"].State == balancer.EndpointReady {
-				t.Fatal("bad news waited")
+				t.Fatal("a failing check waited")
 			}
 		} else {
 			d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 2})
@@ -316,16 +239,16 @@
 	}
 }
 
-func TestColdStarts(t *testing.T) {
+func TestRecentStarts(t *testing.T) {
 	d := drive(t, ModeConsul)
 	d.consul(ConsulAnswer{Changed: eps("a", "b", "c", "d")})
 	d.want("a b c d")
 	d.at(s)
-	moved, anew, told := ep("a"), ep("b"), ep("e")
+	moved, anew, known := ep("a"), ep("b"), ep("e")
 	moved.Address = "elsewhere:1"
 	anew.RegistrationIndex = 9
-	told.StartUnknown, told.StartedMS = false, 7
-	d.consul(ConsulAnswer{Changed: []Endpoint{moved, anew, critical("c"), critical("d"), told}, KnownBefore: 4})
+	known.StartUnknown, known.StartedMS = false, 7
+	d.consul(ConsulAnswer{Changed: []Endpoint{moved, anew, critical("c"), critical("d"), known}, KnownBefore: 4})
 	d.want("a? b? c- d- e?")
 	if d.knows["e"].StartedMS != 7 || d.knows["a"].StartedMS != 2000 {
 		t.Errorf("starts %v %v", d.knows["e"].StartedMS, d.knows["a"].StartedMS)
@@ -382,9 +305,9 @@
 	d.want("a- c d-")
 	d.at(30 * s)
 	d.want("a- c d-")
-	d.at(60 * s) // Consul is silent: its bad news hold no more
+	d.at(60 * s) // Consul says nothing: its word counts no more
 	d.want("a c d-")
-	d.told(d.m.HandleConsulUnchanged(d.now))
+	d.given(d.m.HandleConsulUnchanged(d.now))
 	d.want("a- c d-")
 	// The platform's list is the set, whatever Consul lacks.
 	d.consul(ConsulAnswer{Missing: []string{"c"}, KnownBefore: 5})
@@ -412,10 +335,10 @@
 func TestModeChanges(t *testing.T) {
 	d := drive(t, ModePlatform)
 	d.platform(balancer.ListFull, eps("a", "b")...)
-	set := *SettingsTable.Default()
+	settings := *SettingsTable.Default()
 	change := func(mode Mode) {
-		set.Mode = mode
-		d.told(d.m.UpdateSettings(d.now, set))
+		settings.Mode = mode
+		d.given(d.m.UpdateSettings(d.now, settings))
 	}
 	change(ModeConsul)
 	d.want("a b") // until Consul answers
@@ -437,7 +360,7 @@
 	d.consul(ConsulAnswer{Changed: eps("a", "b")})
 	d.m.RestartConsul()
 	d.consul(ConsulAnswer{Changed: eps("a", "c")})
-	d.want("a c") // one of two is not doubted, and a first answer is warm
+	d.want("a c") // one of two is not doubted, and nothing of a first answer counts as started lately
 }
 
 // What went is forgotten: ids without end leave nothing.
@@ -464,81 +387,3 @@
 		}
 	}
 }
-
-func TestFeed(t *testing.T) {
-	f := VersionFilter{}
-	for i, c := range []struct {
-		from           ListOrigin
-		rev            uint64
-		whole          bool
-		takes, rewatch bool
-	}{
-		{FromCache, 5, true, true, false},
-		{FromWatch, 6, false, true, false},
-		{FromWatch, 6, false, false, false},
-		{FromFetch, 5, true, false, false},
-		{FromFetch, 6, true, true, false},
-		{FromWatch, 1, true, true, false}, // a whole list of the watch counts anyhow
-	} {
-		if takes, rewatch := f.Accept(c.from, c.rev, c.whole); takes != c.takes || rewatch != c.rewatch {
-			t.Errorf("%d: %v %v", i, takes, rewatch)
-		}
-	}
-	f.SwitchDiscovery()
-	if f.WatchFrom() != nil {
-		t.Error("it goes on from another discovery's version")
-	}
-	if takes, _ := f.Accept(FromWatch, 9, false); takes || !f.Switched() {
-		t.Error("changes to a list that nobody has")
-	}
-	if takes, rewatch := f.Accept(FromFetch, 0, true); !takes || !rewatch || f.Switched() || *f.WatchFrom() != 0 {
-		t.Error("the whole list does not count")
-	}
-}
-
-// What cannot be used is passed over and named; what is known of it otherwise stays, or goes where Consul has
-// changed it.
-func TestUnusableEntries(t *testing.T) {
-	none, noUID, unknown := ep("none"), ep(""), ep("unknown")
-	none.Address, unknown.State, unknown.Reason = "nowhere", StateUnknown, "Melting"
-	d := drive(t, ModePlatform)
-	d.platform(balancer.ListFull, ep("a"), none, noUID, unknown)
-	d.want("a")
-	logs := strings.Join(d.m.TakeLogs(), "\n")
-	for _, want := range []string{`"none" passed over: state "ready", endpoint "nowhere"`, `"" passed over`, `state "Melting"`} {
-		if !strings.Contains(logs, want) {
-			t.Errorf("%s lacks %s", logs, want)
-		}
-	}
-	bad := ep("a")
-	bad.Address = "nowhere"
-	d.platform(balancer.ListDelta, bad)
-	d.want("a")
-	bad.State = balancer.EndpointDraining // for which no address is needed
-	d.platform(balancer.ListDelta, bad)
-	d.want("a-")
-
-	// The names of zones and of models are bounded, over all sources and for good.
-	d = drive(t, ModeConsul)
-	var all []Endpoint
-	for n := range maxNames + 10 {
-		e := ep(fmt.Sprintf("e%03d", n))
-		e.Zone = fmt.Sprint("zone ", n)
-		all = append(all, e)
-	}
-	d.consul(ConsulAnswer{Changed: all})
-	if len(d.knows) != maxNames-1 { // one is the settings'
-		t.Errorf("%d are known", len(d.knows))
-	}
-	moved := all[0]
-	moved.Zone = "one more"
-	d.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
-	if e, ok := d.knows[moved.UID]; ok {
-		t.Errorf("it goes on as %+v though it is elsewhere", e)
-	}
-	moved.Zone = "z"
-	d.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
-	if _, ok := d.knows[moved.UID]; !ok {
-		t.Error("it came back and is not known")
-	}
-}
--- a/internal/modules/endpointsource/model_test.go
+++ b/internal/modules/endpointsource/model_test.go
@@ -12,187 +12,242 @@
 	"quincegap/internal/balancer"
 )
 
-// world is what the sources truly said, kept as simply as can be, to judge what the module knows.
+// modelUIDs are the endpoints of the model.
+var modelUIDs = []string{"a", "b", "c", "d", "e", "f"}
+
+// world is what the sources truly said, kept as simply as can be, to judge what the balancer knows.
 type world struct {
-	platform map[string]Endpoint
-	consul   map[string]Endpoint // Consul's last answers, put together
-	lacked   map[string]bool     // that an answer lacked since the module was told of it
+	mode       Mode
+	platform   map[string]Endpoint
+	consul     map[string]Endpoint // Consul's last answers, put together
+	lacked     map[string]bool     // that an answer lacked since the balancer was given it
+	registered uint64
+	// fast is given each event; slow is, too, and looks at everything each time.
+	fast, slow *driver
+}
+
+func newWorld(t *testing.T, mode Mode) *world {
+	t.Helper()
+	return &world{
+		mode: mode, platform: map[string]Endpoint{}, consul: map[string]Endpoint{}, lacked: map[string]bool{}, registered: 5,
+		fast: drive(t, mode), slow: drive(t, mode),
+	}
+}
+
+// draw is what a source says of some endpoint.
+func (w *world) draw(t *rapid.T) Endpoint {
+	uids := rapid.SampledFrom(modelUIDs)
+	e := ep(uids.Draw(t, "uid"))
+	switch rapid.IntRange(0, 5).Draw(t, "state") {
+	case 0, 1:
+		e.State, e.Reason = balancer.EndpointDraining, "critical"
+	case 2:
+		e.State, e.Reason, e.Maintenance = balancer.EndpointDraining, "maintenance", true
+	}
+	if rapid.IntRange(0, 4).Draw(t, "moves") == 0 {
+		e.Address = uids.Draw(t, "address") + ":1"
+	}
+	if rapid.IntRange(0, 4).Draw(t, "anew") == 0 {
+		w.registered++
+		e.RegistrationIndex = w.registered
+	}
+	return e
+}
+
+// both plays an event on both.
+func (w *world) both(event func(d *driver)) {
+	event(w.fast)
+	w.slow.m.allDirty = true
+	event(w.slow)
+}
+
+// pass lets time go by. The slow one ticks as often, each time with a look at everything.
+func (w *world) pass(t *rapid.T) {
+	now := w.fast.now + time.Duration(rapid.SampledFrom([]int{0, 1, 100, 1000, 3000, 12000, 70000}).Draw(t, "ms"))*time.Millisecond
+	w.fast.at(now)
+	for due, ok := w.slow.m.NextTick(); ok && due <= now; due, ok = w.slow.m.NextTick() {
+		w.slow.now = max(w.slow.now, due)
+		w.slow.m.allDirty = true
+		w.slow.given(w.slow.m.Tick(w.slow.now))
+	}
+	w.slow.now = now
+}
+
+// event brings one event.
+func (w *world) event(t *rapid.T) {
+	switch rapid.IntRange(0, 7).Draw(t, "event") {
+	case 0:
+		w.platformDelta(t)
+	case 1:
+		w.platformList(t)
+	case 2, 3:
+		w.consulAnswer(t)
+	case 4:
+		if w.fast.m.consulAnswered {
+			w.both(func(d *driver) { d.given(d.m.HandleConsulUnchanged(d.now)) })
+		}
+	case 5:
+		uid := rapid.SampledFrom(modelUIDs).Draw(t, "failed")
+		w.both(func(d *driver) { d.given(d.m.HandleConnectFailure(d.now, uid)) })
+	case 7:
+		if gone := slices.Sorted(maps.Keys(w.lacked)); len(gone) > 0 {
+			gone = gone[:rapid.IntRange(1, len(gone)).Draw(t, "confirmed")]
+			w.both(func(d *driver) { d.consul(ConsulAnswer{ConfirmedMissing: gone}) })
+		}
+	}
+}
+
+func (w *world) platformDelta(t *rapid.T) {
+	e := w.draw(t)
+	e.Maintenance = false
+	if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
+		if _, ok := w.platform[e.UID]; !ok {
+			return
+		}
+		e.State = balancer.EndpointRemoved
+		delete(w.platform, e.UID)
+	} else {
+		w.platform[e.UID] = e
+	}
+	w.both(func(d *driver) { d.platform(balancer.ListDelta, e) })
+}
+
+func (w *world) platformList(t *rapid.T) {
+	clear(w.platform)
+	var all []Endpoint
+	for range rapid.IntRange(0, 5).Draw(t, "full") {
+		e := w.draw(t)
+		if _, twice := w.platform[e.UID]; !twice {
+			w.platform[e.UID] = e
+			all = append(all, e)
+		}
+	}
+	w.both(func(d *driver) { d.platform(balancer.ListFull, all...) })
 }
 
-// Random reports from all sources: what is told step by step is what a fresh look at everything gives, and
+func (w *world) consulAnswer(t *rapid.T) {
+	answer := ConsulAnswer{KnownBefore: len(w.consul), Untrusted: rapid.IntRange(0, 5).Draw(t, "untrusted") == 0}
+	changed := map[string]bool{}
+	for range rapid.IntRange(0, 4).Draw(t, "changed") {
+		if e := w.draw(t); !changed[e.UID] {
+			changed[e.UID] = true
+			answer.Changed = append(answer.Changed, e)
+		}
+	}
+	for _, uid := range modelUIDs {
+		if _, known := w.consul[uid]; known && !changed[uid] && rapid.IntRange(0, 2).Draw(t, "missing") == 0 {
+			answer.Missing = append(answer.Missing, uid)
+			delete(w.consul, uid)
+			w.lacked[uid] = true
+		}
+	}
+	for _, e := range answer.Changed {
+		w.consul[e.UID] = e
+		delete(w.lacked, e.UID)
+	}
+	w.both(func(d *driver) { d.consul(answer) })
+}
+
+// Random reports from all sources: what is published step by step is what a fresh look at everything gives, and
 // the rules hold as they are stated, whatever came.
 func TestAgainstSlowReference(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		mode := rapid.SampledFrom([]Mode{ModeConsul, ModeOverlay, ModePlatform, ModeRehearsal}).Draw(rt, "mode")
-		fast, slow := drive(t, mode), drive(t, mode)
-		w := world{map[string]Endpoint{}, map[string]Endpoint{}, map[string]bool{}}
-		uids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		registered := uint64(5)
-		draw := func() Endpoint {
-			e := ep(uids.Draw(rt, "uid"))
-			switch rapid.IntRange(0, 5).Draw(rt, "state") {
-			case 0, 1:
-				e.State, e.Reason = balancer.EndpointDraining, "critical"
-			case 2:
-				e.State, e.Reason, e.Maintenance = balancer.EndpointDraining, "maintenance", true
-			}
-			if rapid.IntRange(0, 4).Draw(rt, "moves") == 0 {
-				e.Address = uids.Draw(rt, "address") + ":1"
-			}
-			if rapid.IntRange(0, 4).Draw(rt, "anew") == 0 {
-				registered++
-				e.RegistrationIndex = registered
-			}
-			return e
-		}
-		// both plays an event on both, the slow one looking at everything.
-		both := func(event func(d *driver)) {
-			event(fast)
-			slow.m.allDirty = true
-			event(slow)
-		}
+		w := newWorld(t, rapid.SampledFrom([]Mode{ModeConsul, ModeOverlay, ModePlatform, ModeRehearsal}).Draw(rt, "mode"))
 		for range rapid.IntRange(1, 40).Draw(rt, "events") {
-			now := fast.now + time.Duration(rapid.SampledFrom([]int{0, 1, 100, 1000, 3000, 12000, 70000}).Draw(rt, "ms"))*time.Millisecond
-			fast.at(now)
-			// The slow one ticks as often, each time with a look at everything.
-			for due, ok := slow.m.NextTick(); ok && due <= now; due, ok = slow.m.NextTick() {
-				slow.now = max(slow.now, due)
-				slow.m.allDirty = true
-				slow.told(slow.m.Tick(slow.now))
-			}
-			slow.now = now
-			switch rapid.IntRange(0, 7).Draw(rt, "event") {
-			case 0:
-				e := draw()
-				e.Maintenance = false
-				if rapid.IntRange(0, 3).Draw(rt, "gone") == 0 {
-					if _, ok := w.platform[e.UID]; !ok {
-						continue
-					}
-					e.State = balancer.EndpointRemoved
-					delete(w.platform, e.UID)
-				} else {
-					w.platform[e.UID] = e
-				}
-				both(func(d *driver) { d.platform(balancer.ListDelta, e) })
-			case 1:
-				clear(w.platform)
-				var all []Endpoint
-				for range rapid.IntRange(0, 5).Draw(rt, "whole") {
-					e := draw()
-					if _, twice := w.platform[e.UID]; !twice {
-						w.platform[e.UID] = e
-						all = append(all, e)
-					}
-				}
-				both(func(d *driver) { d.platform(balancer.ListFull, all...) })
-			case 2, 3:
-				a := ConsulAnswer{KnownBefore: len(w.consul), Untrusted: rapid.IntRange(0, 5).Draw(rt, "doubtful") == 0}
-				changed := map[string]bool{}
-				for range rapid.IntRange(0, 4).Draw(rt, "changed") {
-					if e := draw(); !changed[e.UID] {
-						changed[e.UID] = true
-						a.Changed = append(a.Changed, e)
-					}
-				}
-				for _, uid := range []string{"a", "b", "c", "d", "e", "f"} {
-					if _, known := w.consul[uid]; known && !changed[uid] && rapid.IntRange(0, 2).Draw(rt, "missing") == 0 {
-						a.Missing = append(a.Missing, uid)
-						delete(w.consul, uid)
-						w.lacked[uid] = true
-					}
-				}
-				for _, e := range a.Changed {
-					w.consul[e.UID] = e
-					delete(w.lacked, e.UID)
-				}
-				both(func(d *driver) { d.consul(a) })
-			case 4:
-				if fast.m.consulAnswered {
-					both(func(d *driver) { d.told(d.m.HandleConsulUnchanged(d.now)) })
-				}
-			case 7:
-				if gone := slices.Sorted(maps.Keys(w.lacked)); len(gone) > 0 {
-					gone = gone[:rapid.IntRange(1, len(gone)).Draw(rt, "confirmed")]
-					both(func(d *driver) { d.consul(ConsulAnswer{ConfirmedMissing: gone}) })
-				}
-			case 5:
-				uid := uids.Draw(rt, "failed")
-				both(func(d *driver) { d.told(d.m.HandleConnectFailure(d.now, uid)) })
-			}
-			if got, want := fmt.Sprint(fast.knows), fmt.Sprint(slow.knows); got != want {
-				rt.Fatalf("step by step the module knows\n%s\na look at everything gives\n%s", got, want)
+			w.pass(rt)
+			w.event(rt)
+			if got, want := fmt.Sprint(w.fast.knows), fmt.Sprint(w.slow.knows); got != want {
+				rt.Fatalf("step by step the balancer knows\n%s\na look at everything gives\n%s", got, want)
 			}
-			w.judge(rt, mode, fast)
+			w.judge(rt)
 		}
 	})
 }
 
-// evaluate holds what the module knows against what was said.
-func (w *world) judge(rt *rapid.T, mode Mode, d *driver) {
-	ready := 0
-	for _, e := range d.knows {
+// judge holds what the balancer knows against what was said.
+func (w *world) judge(t *rapid.T) {
+	anyReady := false
+	for uid, e := range w.fast.knows {
 		if e.State == balancer.EndpointReady {
-			ready++
+			anyReady = true
+			w.judgeReady(t, uid)
 		}
 	}
-	for uid, e := range d.knows {
-		if e.State != balancer.EndpointReady {
-			continue
+	if anyReady {
+		return
+	}
+	for uid := range w.consul {
+		if w.couldBeReady(uid) {
+			t.Fatalf("no endpoint gets work, but %s could", uid)
 		}
-		p, inPlatform := w.platform[uid]
-		c, inConsul := w.consul[uid]
-		switch mode {
-		case ModePlatform, ModeRehearsal:
-			if !inPlatform || p.State != balancer.EndpointReady {
-				rt.Fatalf("%s gets work, but the platform says no", uid)
-			}
-		case ModeOverlay:
-			if !inPlatform || p.State != balancer.EndpointReady {
-				rt.Fatalf("%s gets work, but the platform says no", uid)
-			}
-			if inConsul && c.Maintenance && !d.m.consulExpired {
-				rt.Fatalf("%s gets work in maintenance", uid)
-			}
-		case ModeConsul:
-			if inConsul && c.Maintenance {
-				rt.Fatalf("%s gets work in maintenance", uid)
-			}
-			// Of those that are critical some get work only where all that get any are.
-			if inConsul && c.State != balancer.EndpointReady {
-				for other, o := range d.knows {
-					if oc, ok := w.consul[other]; o.State == balancer.EndpointReady && ok && oc.State == balancer.EndpointReady {
-						rt.Fatalf("%s is critical and gets work beside %s", uid, other)
-					}
-				}
-			}
-			if !inConsul && !w.lacked[uid] && !inPlatform {
-				rt.Fatalf("%s gets work, and nobody ever named it", uid)
-			}
+	}
+}
+
+// judgeReady checks that an endpoint may get work.
+func (w *world) judgeReady(t *rapid.T, uid string) {
+	if w.mode == ModeConsul {
+		w.judgeReadyByConsul(t, uid)
+		return
+	}
+	if platform, ok := w.platform[uid]; !ok || platform.State != balancer.EndpointReady {
+		t.Fatalf("%s gets work, but the platform says no", uid)
+	}
+	if w.mode == ModeOverlay && w.consul[uid].Maintenance && !w.fast.m.consulExpired {
+		t.Fatalf("%s gets work in maintenance", uid)
+	}
+}
+
+func (w *world) judgeReadyByConsul(t *rapid.T, uid string) {
+	consul, inConsul := w.consul[uid]
+	if !inConsul {
+		if _, inPlatform := w.platform[uid]; !w.lacked[uid] && !inPlatform {
+			t.Fatalf("%s gets work, and nobody ever named it", uid)
 		}
+		return
 	}
-	if ready > 0 {
+	if consul.Maintenance {
+		t.Fatalf("%s gets work in maintenance", uid)
+	}
+	if consul.State == balancer.EndpointReady {
 		return
 	}
-	// Nobody gets work: then nobody could.
-	for uid, c := range w.consul {
-		p, inPlatform := w.platform[uid]
-		able := mode == ModeConsul && d.m.consulAnswered && !c.Maintenance || mode == ModeOverlay && inPlatform && p.State == balancer.EndpointReady && !c.Maintenance
-		if able && mode == ModeConsul {
-			// Another one at its address may be in maintenance and newer.
-			for other, o := range w.consul {
-				if other != uid && o.Address == c.Address {
-					able = false
-				}
-			}
-			for other, m := range d.m.entries {
-				if other != uid && m.consul != nil && m.consul.Address == c.Address {
-					able = false
-				}
-			}
+	// Of those that are critical some get work only where all that get any are.
+	for other, known := range w.fast.knows {
+		said, ok := w.consul[other]
+		if known.State == balancer.EndpointReady && ok && said.State == balancer.EndpointReady {
+			t.Fatalf("%s is critical and gets work beside %s", uid, other)
 		}
-		if able {
-			rt.Fatalf("no endpoint gets work, but %s could", uid)
+	}
+}
+
+// couldBeReady reports whether an endpoint that Consul has could get work where none does.
+func (w *world) couldBeReady(uid string) bool {
+	consul := w.consul[uid]
+	if consul.Maintenance {
+		return false
+	}
+	switch w.mode {
+	case ModeOverlay:
+		platform, ok := w.platform[uid]
+		return ok && platform.State == balancer.EndpointReady
+	case ModeConsul:
+		return w.fast.m.consulAnswered && !w.sharesAddress(uid, consul.Address)
+	case ModePlatform, ModeRehearsal:
+	}
+	return false
+}
+
+// sharesAddress reports whether another one may be at an endpoint's address: it may be in maintenance and newer.
+func (w *world) sharesAddress(uid, address string) bool {
+	for other, said := range w.consul {
+		if other != uid && said.Address == address {
+			return true
+		}
+	}
+	for other, entry := range w.fast.m.entries {
+		if other != uid && entry.consul != nil && entry.consul.Address == address {
+			return true
 		}
 	}
+	return false
 }
--- a/internal/modules/endpointsource/platform.go
+++ b/internal/modules/endpointsource/platform.go
@@ -97,15 +97,16 @@
 	}
 	for _, uid := range sortedUIDs(entries) {
 		difference := entries[uid].difference()
-		switch {
-		case difference == m.differences[uid]:
-		case difference == "":
+		if difference == m.differences[uid] {
+			continue
+		}
+		if difference == "" {
 			delete(m.differences, uid)
 			m.logf("rehearsal: %s: both agree again", uid)
-		default:
-			m.differences[uid] = difference
-			m.logf("rehearsal: %s: %s", uid, difference)
+			continue
 		}
+		m.differences[uid] = difference
+		m.logf("rehearsal: %s: %s", uid, difference)
 	}
 }
 
