--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -85,7 +85,7 @@
 	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{
+	balancer := &Balancer{
 		settings: settings, host: host, rng: rand.New(rand.NewPCG(seed, randomStream)),
 		rateWindow:   cmp.Or(settings.OverloadDuration, time.Second),
 		tickInterval: max(tickQuanta*settings.Quantum, time.Millisecond),
@@ -98,12 +98,12 @@
 	}
 	// What is due at the same time comes in the order of ids, so that the same events give the same actions.
 	byID := func(a, b *endpoint) bool { return a.id < b.id }
-	b.slowStarts.Less, b.trials.Less = byID, byID
-	b.backoffs.Less = func(a, b *request) bool { return a.id < b.id }
-	for _, c := range settings.Classes {
-		b.addClass(c)
+	balancer.slowStarts.Less, balancer.trials.Less = byID, byID
+	balancer.backoffs.Less = func(a, b *request) bool { return a.id < b.id }
+	for _, class := range settings.Classes {
+		balancer.addClass(class)
 	}
-	return b, nil
+	return balancer, nil
 }
 
 // HandleTimer takes a timer that fell due.
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -221,23 +221,23 @@
 
 // finishSubset refreshes the endpoints whose part in the subset has changed since clearSubset.
 func (b *Balancer) finishSubset(now time.Duration) {
-	s := &b.subset
-	s.stale = false
+	subset := &b.subset
+	subset.stale = false
 	b.reportUnreached()
-	for _, ep := range s.previous {
+	for _, ep := range subset.previous {
 		if ep.subsetWeight == 0 {
 			ep.index.previousWeight = 0
 			b.refreshPools(now, ep)
 		}
 	}
-	for _, ep := range s.members {
+	for _, ep := range subset.members {
 		if ep.subsetWeight != ep.index.previousWeight {
 			b.refreshPools(now, ep)
 		}
 		ep.index.previousWeight = 0
 	}
-	if len(s.members) <= b.scanLimit || s.byHash {
-		slices.SortFunc(s.members, compareIDs)
+	if len(subset.members) <= b.scanLimit || subset.byHash {
+		slices.SortFunc(subset.members, compareIDs)
 	}
 }
 
