--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -167,10 +167,10 @@
 				g.net.Cut(names[n/2:], names[:n/2], true)
 				larger := peers.Settled
 				if n%2 == 0 {
-					larger = peers.Part
+					larger = peers.Partitioned
 				}
 				timed("cut", larger, all[n/2:], all[n/2:])
-				g.until("the other side", peers.Part, all[:n/2], all[:n/2]...)
+				g.until("the other side", peers.Partitioned, all[:n/2], all[:n/2]...)
 				still()
 				g.net.Heal()
 				timed("healed", peers.Settled, all, all)
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -145,7 +145,7 @@
 	holds := func() bool {
 		for _, i := range ask {
 			r, ok := g.view(i)
-			if !ok || r.Confidence != confidence.String() || r.Instances != len(of) || !r.Placed || of[r.Ordinal] != i {
+			if !ok || r.Confidence != confidence.String() || r.Instances != len(of) || !r.OwnsName || of[r.Ordinal] != i {
 				return false
 			}
 		}
@@ -246,7 +246,7 @@
 	g.net.Cut(names[3:], names[:3], true)
 	g.say("cut into three and four")
 	g.until("four are settled", peers.Settled, all[3:], all[3:]...)
-	g.until("three know that they are a part", peers.Part, all[:3], all[:3]...)
+	g.until("three know that they are a part", peers.Partitioned, all[:3], all[:3]...)
 	g.net.Heal()
 	g.say("healed")
 	g.until("seven are one again", peers.Settled, all, all...)
@@ -268,7 +268,7 @@
 	g.net.Set(relay.Fault{Loss: 0.1, Double: 0.1, Late: 30 * time.Millisecond})
 	g.say("datagrams are lost, doubled and late")
 	g.kill(0, 1, 3, 5, 6)
-	g.until("two know that they are what is left", peers.Part, []int{2, 4}, 2, 4)
+	g.until("two know that they are what is left", peers.Partitioned, []int{2, 4}, 2, 4)
 	before := got.served.Load()
 	for end := time.Now().Add(patience); got.served.Load() < before+100; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -302,7 +302,7 @@
 	g.start(0)
 	twice := func(i int) bool {
 		r, ok := g.view(i)
-		return ok && slices.Equal(r.Twice, []string{"front-01"})
+		return ok && slices.Equal(r.DuplicateNames, []string{"front-01"})
 	}
 	for end := time.Now().Add(patience); !twice(0) || !twice(1) || !twice(2); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -314,7 +314,7 @@
 	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
 		r0, _ := g.view(0)
 		r1, _ := g.view(1)
-		if !r0.Placed && r1.Placed && r1.Instances == 2 && r0.Instances == 3 {
+		if !r0.OwnsName && r1.OwnsName && r1.Instances == 2 && r0.Instances == 3 {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/modules/peers/golden_test.go
+++ b/internal/modules/peers/golden_test.go
@@ -13,17 +13,17 @@
 // What people and tools read of a view: the report as JSON, the names of states and confidences, the causes of changes, and the
 // lines that say how two views differ.
 func TestGoldenReport(t *testing.T) {
-	b := among(4, options)
-	b.hear(Record{})
-	b.hear(Record{Process: 9, Name: "n02", Born: 5, Zone: "b", Version: "2", Incarnation: 3, State: Serving})
-	b.Reached(b.now, 9)
-	b.Doubt(b.now, 3)
-	b.pass(options.SuspectFor)
-	b.Lost(b.now, 4)
-	b.Become(b.now, Leaving)
+	b := settledView(4, options)
+	b.merge(Record{})
+	b.merge(Record{Process: 9, Name: "n02", BornMillis: 5, Zone: "b", Version: "2", Incarnation: 3, State: Serving})
+	b.MarkReachable(b.now, 9)
+	b.MarkSuspect(b.now, 3)
+	b.advance(options.SuspicionTimeout)
+	b.MarkUnreachable(b.now, 4)
+	b.SetState(b.now, Leaving)
 	var all strings.Builder
-	for _, c := range b.Changes() {
-		fmt.Fprintf(&all, "%v %s %s %s->%s by %q: %s\n", c.At, c.Name, Hex(c.Process), c.From, c.To, c.Witness, c.Cause)
+	for _, c := range b.TakeChanges() {
+		fmt.Fprintf(&all, "%v %s %s %s->%s by %q: %s\n", c.At, c.Name, FormatProcess(c.Process), c.From, c.To, c.Witness, c.Cause)
 	}
 	report := b.Report(b.now, func(process uint64) string { return fmt.Sprintf("10.0.0.%d:7946", process) })
 	text, err := json.MarshalIndent(report, "", "  ")
@@ -31,10 +31,10 @@
 		t.Fatal(err)
 	}
 	all.Write(text)
-	other := Report{Name: "n05", Confidence: Part.String(), Members: []Seen{{Name: "n77", Counts: true}}}
-	f := Fleet{Own: report, Others: []Report{other}, Silent: []string{"n06/0000000000000006"}}
+	other := Report{Name: "n05", Confidence: Partitioned.String(), Members: []MemberReport{{Name: "n77", InGroup: true}}}
+	f := FleetReport{Own: report, Others: []Report{other}, Unresponsive: []string{"n06/0000000000000006"}}
 	all.WriteString("\n" + strings.Join(f.Differences(), "\n") + "\n")
-	for c := Changing; c <= Part; c++ {
+	for c := Changing; c <= Partitioned; c++ {
 		all.WriteString(c.String() + "\n")
 	}
 	for s := State(0); s <= Gone+1; s++ {
@@ -45,13 +45,13 @@
 
 // The names and shares that an application's load balancers compute from a view, for a name that two processes have.
 func TestGoldenShare(t *testing.T) {
-	b := among(3, options)
+	b := settledView(3, options)
 	first := record(1, Serving)
-	first.Process, first.Born = 8, -1
-	b.hear(first)
-	b.Reached(b.now, 8)
-	b.Lost(b.now, 3)
-	b.pass(10 * time.Second)
+	first.Process, first.BornMillis = 8, -1
+	b.merge(first)
+	b.MarkReachable(b.now, 8)
+	b.MarkUnreachable(b.now, 3)
+	b.advance(10 * time.Second)
 	s, ok := b.Share(b.now)
 	golden.Text(t, "share.txt", fmt.Appendf(nil, "%+q %v\n", s.Names, ok))
 }
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -59,8 +59,8 @@
 
 // Views are what is served. Those that are nil are not found.
 type Views struct {
-	Members func() (Members, bool)             // false where the sidecar does not answer
-	Peers   func(all bool) (peers.Fleet, bool) // false where it looks for no others
+	Members func() (Members, bool)                   // false where the sidecar does not answer
+	Peers   func(all bool) (peers.FleetReport, bool) // false where it looks for no others
 }
 
 // Serve serves the views until stop is called. It holds few connections, each for a short time: nobody can use
@@ -169,7 +169,7 @@
 }
 
 // AskPeers asks a sidecar for its view of the others; with all, for theirs too.
-func AskPeers(address string, all bool) (f peers.Fleet, err error) {
+func AskPeers(address string, all bool) (f peers.FleetReport, err error) {
 	what := "peers"
 	if all {
 		what = "peers?all=1"
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -22,22 +22,22 @@
 		{UID: "slot-keeper-2", Address: "10.0.0.2:8080", State: "gone", Why: "the platform"},
 	}}
 	report := peers.Report{
-		Name: "front-0", Process: peers.Hex(0x0102), Confidence: "sure", Reached: 2, Of: 3, Instances: 3, Ordinal: 1, Sharing: 3, Placed: true,
-		Version: 7, Digest: "00000000000000ff", Twice: []string{"front-1"}, Refused: map[string]int{"another application": 2},
-		Members: []peers.Seen{{
-			Name: "front-1", Process: peers.Hex(3), State: "serving", ForMS: 500, Incarnation: 9, Zone: "zone-a", Version: "1.4.2",
-			Address: "10.0.0.3:7946", Reached: true, Counts: true,
-		}, {Name: "front-2", Process: peers.Hex(4), State: "suspect"}},
+		Name: "front-0", Process: peers.FormatProcess(0x0102), Confidence: "sure", Reachable: 2, GroupSize: 3, Instances: 3, Ordinal: 1, MaxInstances: 3, OwnsName: true,
+		Version: 7, Digest: "00000000000000ff", DuplicateNames: []string{"front-1"}, Rejected: map[string]int{"another application": 2},
+		Members: []peers.MemberReport{{
+			Name: "front-1", Process: peers.FormatProcess(3), State: "serving", StateAgeMS: 500, Incarnation: 9, Zone: "zone-a", Version: "1.4.2",
+			Address: "10.0.0.3:7946", Reachable: true, InGroup: true,
+		}, {Name: "front-2", Process: peers.FormatProcess(4), State: "suspect"}},
 	}
-	other := peers.Report{Name: "front-1", Process: peers.Hex(3), Members: []peers.Seen{}}
-	fleet := peers.Fleet{Own: report, Others: []peers.Report{other}, Silent: []string{"front-2"}}
+	other := peers.Report{Name: "front-1", Process: peers.FormatProcess(3), Members: []peers.MemberReport{}}
+	fleet := peers.FleetReport{Own: report, Others: []peers.Report{other}, Unresponsive: []string{"front-2"}}
 	there := true
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{
 		Members: func() (Members, bool) { return members, there },
-		Peers: func(all bool) (peers.Fleet, bool) {
+		Peers: func(all bool) (peers.FleetReport, bool) {
 			if !all {
-				return peers.Fleet{Own: report}, there
+				return peers.FleetReport{Own: report}, there
 			}
 			return fleet, there
 		},
--- a/internal/network/gossip/model_test.go
+++ b/internal/network/gossip/model_test.go
@@ -40,16 +40,16 @@
 	f.story = append(f.story, fmt.Sprintf("%6.2fs ", time.Since(f.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// at is where a member is.
+// addresses is where a member is.
 func (f *fleet) at(i int) string { return address(i) }
 
 func (f *fleet) start(i, expected int, change func(*Config)) {
 	c := Config{
-		Settings: *Table.Default(), Name: fmt.Sprintf("front-%03d", i), Application: "booking-front", Version: "1", Expected: expected,
-		Changed: func(peers.Share) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Network: func() (memberlist.Transport, error) { return f.net.open(f.at(i)) },
+		Settings: *Table.Default(), Name: fmt.Sprintf("front-%03d", i), Application: "booking-front", Version: "1", ExpectedMembers: expected,
+		OnShare: func(peers.Share) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		NewTransport: func() (memberlist.Transport, error) { return f.net.open(f.at(i)) },
 	}
-	c.Join, c.Most, c.Listen = f.join, f.most, f.at(i)
+	c.Join, c.MaxMembers, c.Listen = f.join, f.most, f.at(i)
 	if change != nil {
 		change(&c)
 	}
@@ -74,7 +74,7 @@
 		}
 	})
 	g.stop()
-	<-g.ended
+	<-g.loopDone
 	g.list.Shutdown()
 }
 
@@ -116,7 +116,7 @@
 			continue
 		}
 		s, ok := g.state()
-		if !ok || s.Confidence != want || s.Instances != names || !s.Placed || s.Names[s.Ordinal] != f.members[i].c.Name {
+		if !ok || s.Confidence != want || s.Instances != names || !s.OwnsName || s.Names[s.Ordinal] != f.members[i].config.Name {
 			return false
 		}
 	}
@@ -167,8 +167,8 @@
 		fmt.Fprintf(&b, "%d: %v %v", i, ok, s)
 		r := g.Report()
 		for _, m := range r.Members {
-			if !m.Counts || m.State != "serving" {
-				fmt.Fprintf(&b, "; %s %s %s reached %v for %dms inc %d", m.Name, m.Process[:4], m.State, m.Reached, m.ForMS, m.Incarnation)
+			if !m.InGroup || m.State != "serving" {
+				fmt.Fprintf(&b, "; %s %s %s reached %v for %dms inc %d", m.Name, m.Process[:4], m.State, m.Reachable, m.StateAgeMS, m.Incarnation)
 			}
 		}
 		b.WriteString("\n")
@@ -176,7 +176,7 @@
 	return b.String()
 }
 
-// settles is the stated time until all views are equal and settled after the last fault: it takes up to rejoinLongest and
+// settles is the stated time until all views are equal and settled after the last fault: it takes up to maxJoinBackoff and
 // half as much until somebody is tried again, and DampFor until one that came and went counts.
 const settles = 60 * time.Second
 
@@ -280,7 +280,7 @@
 		f.halve()
 		parts := func() bool {
 			for _, g := range f.members {
-				if s, _ := g.state(); s.Confidence != peers.Part || s.Instances != n/2 || s.Sharing != n {
+				if s, _ := g.state(); s.Confidence != peers.Partitioned || s.Instances != n/2 || s.MaxInstances != n {
 					return false
 				}
 			}
@@ -323,7 +323,7 @@
 		time.Sleep(time.Minute)
 		refused := map[string]int{}
 		for _, g := range f.members[:3] {
-			for reason, n := range g.Report().Refused {
+			for reason, n := range g.Report().Rejected {
 				refused[reason] += n
 			}
 		}
@@ -350,7 +350,7 @@
 		f.within(settles, "the start", func() bool { return f.agree(peers.Settled) })
 		for _, keys := range [][][]byte{{old, fresh}, {fresh, old}, {fresh}} {
 			for _, g := range f.members {
-				if err := g.Keys(keys); err != nil {
+				if err := g.ReplaceKeys(keys); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(3 * time.Second)
@@ -426,9 +426,9 @@
 		for range 120 {
 			liar.mu.Lock()
 			for _, r := range liar.view.Records() {
-				if r.Process != liar.told.Process {
+				if r.Process != liar.announced.Process {
 					r.State = peers.Gone
-					liar.spread(r)
+					liar.broadcast(r)
 				}
 			}
 			liar.mu.Unlock()
@@ -454,7 +454,7 @@
 		side := func(from, sharing int, want peers.Confidence) func() bool {
 			return func() bool {
 				for _, g := range f.members[from : from+5] {
-					if s, _ := g.state(); s.Instances != 5 || s.Sharing != sharing || s.Confidence != want {
+					if s, _ := g.state(); s.Instances != 5 || s.MaxInstances != sharing || s.Confidence != want {
 						return false
 					}
 				}
@@ -466,8 +466,8 @@
 		go f.members[0].list.Join([]string{f.at(5)})
 		f.within(settles, "joined", func() bool { return f.agree(peers.Settled) })
 		f.halve()
-		f.within(settles, "parted", side(0, 10, peers.Part))
-		f.within(settles, "parted", side(5, 10, peers.Part))
+		f.within(settles, "parted", side(0, 10, peers.Partitioned))
+		f.within(settles, "parted", side(5, 10, peers.Partitioned))
 		for i := range 5 {
 			f.kill(i)
 			f.start(i, 5, func(c *Config) { c.Join = f.at(0) })
@@ -488,14 +488,14 @@
 			f.start(i, 6, names(i))
 		}
 		f.within(settles, "the start", func() bool { return f.agree(peers.Settled) })
-		learnt := f.members[3].rejoin.Learnt()
+		learnt := f.members[3].joinSchedule.Learned()
 		for i := range 6 {
 			f.kill(i)
 		}
 		for i := range 6 { // at addresses 6 to 11; two find the old seed's machine anew
 			f.start(6+i, 6, func(c *Config) {
 				names(i)(c)
-				c.Join, c.Names, c.Addresses = f.at(6)+","+f.at(0), []string{"front-000", "front-001", "front-002"}, learnt
+				c.Join, c.SettledNames, c.KnownAddresses = f.at(6)+","+f.at(0), []string{"front-000", "front-001", "front-002"}, learnt
 			})
 		}
 		f.within(settles, "elsewhere", func() bool { return f.agree(peers.Settled) })
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -14,25 +14,25 @@
 
 // Settings is [peers].
 type Settings struct {
-	Listen      string
-	Advertise   string
-	Join        string
-	Service     string
-	KeyFile     string
-	Zone        string
-	Pace        time.Duration
-	SettleAfter time.Duration
-	ForgetAfter time.Duration
-	Most        int
+	Listen        string
+	Advertise     string
+	Join          string
+	Service       string
+	KeyFile       string
+	Zone          string
+	ProbeInterval time.Duration
+	SettleAfter   time.Duration
+	ForgetAfter   time.Duration
+	MaxMembers    int
 }
 
 const (
-	mostJoin = 64
-	// perMember is what a member takes, with what the library keeps of it (docs/figures/peers.md), and memoryShare how much of
+	maxJoinAddresses = 64
+	// bytesPerMember is what a member takes, with what the library keeps of it (docs/figures/peers.md), and maxMemoryShare how much of
 	// limits.memory all may take.
-	perMember   = 6 << 10
-	memoryShare = 0.1
-	leastKey    = 16 // bytes: AES-128
+	bytesPerMember = 6 << 10
+	maxMemoryShare = 0.1
+	minKeyBytes    = 16 // bytes: AES-128
 )
 
 func badAddress(text string) string {
@@ -59,7 +59,7 @@
 		schema.Text{Example: "192.0.2.7:7946", Type: "address", Bounds: "IP:port", Bad: badAddress}, schema.AtStart,
 		"The address that the others are told, where it is not peers_listen."),
 	schema.String("peers_join", func(s *Settings) *string { return &s.Join },
-		schema.Text{Example: "10.0.4.8:7946, 10.0.4.9:7946", Type: "addresses", Bounds: "host:port, divided by commas, 64 at most", Bad: appfile.BadAddresses(mostJoin)}, schema.AtStart,
+		schema.Text{Example: "10.0.4.8:7946, 10.0.4.9:7946", Type: "addresses", Bounds: "host:port, divided by commas, 64 at most", Bad: appfile.BadAddresses(maxJoinAddresses)}, schema.AtStart,
 		"Some of the others; the rest is learnt from them. Without it this one waits to be found."),
 	schema.String("peers_service", func(s *Settings) *string { return &s.Service }, schema.Text{Example: "booking-front-peers", Bad: appfile.BadService}, schema.AtStart,
 		"A service in Consul (consul.agents) whose instances are the others' peers_listen; asked while somebody is missing."),
@@ -68,7 +68,7 @@
 			"encrypts and all decrypt. It is read again at SIGHUP."),
 	schema.String("peers_zone", func(s *Settings) *string { return &s.Zone }, schema.Text{Example: "provo", Bad: badZone}, schema.AtStart,
 		"The zone that this one tells the others."),
-	schema.Duration("peers_pace", func(s *Settings) *time.Duration { return &s.Pace },
+	schema.Duration("peers_pace", func(s *Settings) *time.Duration { return &s.ProbeInterval },
 		schema.Bounds[time.Duration]{Default: 500 * time.Millisecond, Least: 100 * time.Millisecond, Most: 10 * time.Second}, schema.AtStart,
 		"How often this one asks one of the others whether it is there."),
 	schema.Duration("settle_after", func(s *Settings) *time.Duration { return &s.SettleAfter },
@@ -77,12 +77,12 @@
 	schema.Duration("forget_after", func(s *Settings) *time.Duration { return &s.ForgetAfter },
 		schema.Bounds[time.Duration]{Default: 10 * time.Minute, Least: time.Minute, Most: 24 * time.Hour}, schema.AtStart,
 		"How long one that is gone is remembered, so that no old message brings it back."),
-	schema.Int("peers_most", func(s *Settings) *int { return &s.Most },
+	schema.Int("peers_most", func(s *Settings) *int { return &s.MaxMembers },
 		schema.Bounds[int]{Default: 1000, Least: 2, Most: 4000}, schema.AtStart,
 		"The most sidecars that are known at once, those that are gone among them."),
 ).Check(func(f *schema.File, _ string, s *Settings, report schema.Reporter) {
 	memory := appfile.LimitsTable.In(f).Memory
-	switch need := int64(s.Most) * perMember; {
+	switch need := int64(s.MaxMembers) * bytesPerMember; {
 	case s.Listen == "" && (s.Join != "" || s.KeyFile != "" || s.Advertise != ""):
 		report("peers_listen", "missing: without it there is no view of the others")
 	case s.Listen == "":
@@ -90,8 +90,8 @@
 		report("peers_key_file", "missing: %s is not on loopback, and whoever reaches it could say who is there", s.Listen)
 	case s.Advertise == "" && unspecified(s.Listen):
 		report("peers_advertise", "missing: %s is no address that the others could reach", s.Listen)
-	case memory > 0 && float64(need) > memoryShare*float64(memory):
-		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)", s.Most, need>>10, f.Place("limits", "memory"))
+	case memory > 0 && float64(need) > maxMemoryShare*float64(memory):
+		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)", s.MaxMembers, need>>10, f.Place("limits", "memory"))
 	case s.ForgetAfter <= 10*s.SettleAfter:
 		report("forget_after", "%s is not above ten times settle_after, %s (%s)", schema.FormatDuration(s.ForgetAfter),
 			schema.FormatDuration(s.SettleAfter), f.Place("peers", "settle_after"))
@@ -122,7 +122,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("key %d is not in base64 (RFC 4648, section 4)", i+1)
 		}
-		if n := len(key); n != leastKey && n != 24 && n != 32 {
+		if n := len(key); n != minKeyBytes && n != 24 && n != 32 {
 			return nil, fmt.Errorf("key %d has %d bytes; 16, 24 or 32 are wanted", i+1, n)
 		}
 		keys = append(keys, key)
@@ -137,17 +137,17 @@
 // member has to hear that it was taken for gone, and to deny it.
 func (s *Settings) options(expected int) peers.Options {
 	return peers.Options{
-		SuspectFor: suspectPaces * s.Pace, ForgetAfter: s.ForgetAfter, SettleFor: s.SettleAfter, DampFor: dampSettles * s.SettleAfter, LossFor: lossPaces * s.Pace,
-		ResumeFor: resumeSettles * s.SettleAfter, ExchangeFor: differPaces * s.Pace, Expected: expected, Most: s.Most,
+		SuspicionTimeout: suspicionProbes * s.ProbeInterval, ForgetAfter: s.ForgetAfter, SettleAfter: s.SettleAfter, DampingWindow: dampingSettles * s.SettleAfter, LossWindow: lossProbes * s.ProbeInterval,
+		ResumeWindow: resumeSettles * s.SettleAfter, MinExchangeInterval: exchangeProbes * s.ProbeInterval, ExpectedMembers: expected, MaxMembers: s.MaxMembers,
 	}
 }
 
-// lossPaces is above what memberlist takes to find all of one half of its most members lost, one after another: a suspicion of
-// suspicionMult*suspicionMax*log10(members) paces, and the probes before it.
+// lossProbes is above what memberlist takes to find all of one half of its most members lost, one after another: a suspicion of
+// suspicionMult*suspicionMaxMult*log10(members) paces, and the probes before it.
 const (
-	suspectPaces  = 20
-	differPaces   = 10
-	lossPaces     = 120
-	dampSettles   = 20
-	resumeSettles = 60
+	suspicionProbes = 20
+	exchangeProbes  = 10
+	lossProbes      = 120
+	dampingSettles  = 20
+	resumeSettles   = 60
 )
--- a/internal/network/gossip/transport.go
+++ b/internal/network/gossip/transport.go
@@ -8,15 +8,15 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// mostStreams bounds the connections from others: they come out of the few sockets that a sidecar keeps for itself, and anybody
+// maxInboundStreams bounds the connections from others: they come out of the few sockets that a sidecar keeps for itself, and anybody
 // who reaches the port can open some. Those beyond it are closed; whoever is a member comes again.
-const mostStreams = 8
+const maxInboundStreams = 8
 
-// bound is memberlist's network, with few connections from others at once. Its own come from the address that it listens on: the
+// boundedTransport is memberlist's network, with few connections from others at once. Its own come from the address that it listens on: the
 // others may let in no other, and a machine may have several.
-type bound struct {
+type boundedTransport struct {
 	*memberlist.NetTransport
-	from    net.IP
+	localIP net.IP
 	streams chan net.Conn
 	done    chan struct{}
 	once    sync.Once
@@ -25,23 +25,23 @@
 	open int
 }
 
-func newBound(t *memberlist.NetTransport, from net.IP) *bound {
-	b := &bound{NetTransport: t, from: from, streams: make(chan net.Conn), done: make(chan struct{})}
-	go b.take()
+func newBoundedTransport(t *memberlist.NetTransport, from net.IP) *boundedTransport {
+	b := &boundedTransport{NetTransport: t, localIP: from, streams: make(chan net.Conn), done: make(chan struct{})}
+	go b.acceptStreams()
 	return b
 }
 
-// take passes connections on as long as there is room.
-func (b *bound) take() {
+// acceptStreams passes connections on as long as there is room.
+func (b *boundedTransport) acceptStreams() {
 	for {
 		select {
 		case c := <-b.NetTransport.StreamCh():
-			if !b.enter() {
+			if !b.reserve() {
 				c.Close()
 				continue
 			}
 			select {
-			case b.streams <- &stream{Conn: c, leave: b.leave}:
+			case b.streams <- &stream{Conn: c, release: b.release}:
 			case <-b.done:
 				c.Close()
 				return
@@ -52,17 +52,17 @@
 	}
 }
 
-func (b *bound) enter() bool {
+func (b *boundedTransport) reserve() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open >= mostStreams {
+	if b.open >= maxInboundStreams {
 		return false
 	}
 	b.open++
 	return true
 }
 
-func (b *bound) leave() {
+func (b *boundedTransport) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open--
@@ -71,30 +71,30 @@
 // stream is one connection from another; memberlist closes it, maybe twice.
 type stream struct {
 	net.Conn
-	once  sync.Once
-	leave func()
+	once    sync.Once
+	release func()
 }
 
 func (s *stream) Close() error {
-	defer s.once.Do(s.leave)
+	defer s.once.Do(s.release)
 	return s.Conn.Close()
 }
 
-func (b *bound) StreamCh() <-chan net.Conn { return b.streams }
+func (b *boundedTransport) StreamCh() <-chan net.Conn { return b.streams }
 
-func (b *bound) Shutdown() error {
+func (b *boundedTransport) Shutdown() error {
 	b.once.Do(func() { close(b.done) })
 	return b.NetTransport.Shutdown()
 }
 
-func (b *bound) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+func (b *boundedTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
-	if !b.from.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: b.from}
+	if !b.localIP.IsUnspecified() {
+		d.LocalAddr = &net.TCPAddr{IP: b.localIP}
 	}
 	return d.Dial("tcp", address)
 }
 
-func (b *bound) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (b *boundedTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return b.DialTimeout(a.Addr, timeout)
 }
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -24,10 +24,10 @@
 		at := l.Addr().String()
 		l.Close()
 		c := Config{
-			Settings: *Table.Default(), Name: "n" + at, Application: "a", Expected: 2, Changed: func(peers.Share) {},
+			Settings: *Table.Default(), Name: "n" + at, Application: "a", ExpectedMembers: 2, OnShare: func(peers.Share) {},
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}
-		c.Listen, c.Join, c.Pace, c.SettleAfter = at, join, 100*time.Millisecond, 200*time.Millisecond
+		c.Listen, c.Join, c.ProbeInterval, c.SettleAfter = at, join, 100*time.Millisecond, 200*time.Millisecond
 		g, err := Open(c)
 		if err != nil {
 			t.Fatal(err)
@@ -37,8 +37,8 @@
 	}
 	a := open("")
 	var held []net.Conn
-	for range 10 * mostStreams {
-		c, err := net.Dial("tcp", a.c.Listen)
+	for range 10 * maxInboundStreams {
+		c, err := net.Dial("tcp", a.config.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 	if _, err := held[len(held)-1].Read(make([]byte, 1)); err == nil {
 		t.Error("a stranger was told something")
 	}
-	b := open(a.c.Listen)
+	b := open(a.config.Listen)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if s, ok := b.state(); ok && s.Instances == 2 {
 			break
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBound(n, net.IPv4(127, 0, 0, 1))
+	b := newBoundedTransport(n, net.IPv4(127, 0, 0, 1))
 	defer b.Shutdown()
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(n.GetAutoBindPort()))
 	closed := make(chan struct{}, 100)
@@ -86,14 +86,14 @@
 		}()
 	}
 	var taken []net.Conn
-	for range mostStreams {
+	for range maxInboundStreams {
 		dial()
 		taken = append(taken, <-b.StreamCh())
 	}
-	for range 10 * mostStreams {
+	for range 10 * maxInboundStreams {
 		dial()
 	}
-	for range 10 * mostStreams {
+	for range 10 * maxInboundStreams {
 		<-closed
 	}
 	select {
--- a/internal/network/gossip/wire.go
+++ b/internal/network/gossip/wire.go
@@ -27,22 +27,22 @@
 //
 // Fields that are not known are passed over, so that a later version may add some.
 type envelope struct {
-	format      uint64
-	application string
-	records     []peers.Record
-	witness     string
-	ask, answer uint64
-	report      []byte
+	format        uint64
+	application   string
+	records       []peers.Record
+	witness       string
+	query, answer uint64
+	report        []byte
 }
 
 const (
-	format    = 1
-	mostText  = 128       // bytes of a name, a zone, a version
-	mostOf    = 4096      // records in one envelope
-	mostBytes = 512 << 10 // of a report, and of what is exchanged at once
+	format         = 1
+	maxTextBytes   = 128       // bytes of a name, a zone, a version
+	maxRecords     = 4096      // records in one envelope
+	maxReportBytes = 512 << 10 // of a report, and of what is exchanged at once
 )
 
-var errSpoilt = errors.New("is no message of a member, or a spoilt one")
+var errMalformed = errors.New("is no message of a member, or a spoilt one")
 
 func (e *envelope) encode() []byte {
 	b := protowire.AppendTag(nil, 1, protowire.VarintType)
@@ -53,7 +53,7 @@
 		b = protowire.AppendBytes(b, encodeRecord(&e.records[i]))
 	}
 	b = appendText(b, 4, e.witness)
-	for n, x := range map[protowire.Number]uint64{5: e.ask, 6: e.answer} {
+	for n, x := range map[protowire.Number]uint64{5: e.query, 6: e.answer} {
 		if x != 0 {
 			b = protowire.AppendTag(b, n, protowire.Fixed64Type)
 			b = protowire.AppendFixed64(b, x)
@@ -67,7 +67,7 @@
 	b = protowire.AppendFixed64(b, r.Process)
 	b = appendText(b, 2, r.Name)
 	b = protowire.AppendTag(b, 3, protowire.VarintType)
-	b = protowire.AppendVarint(b, protowire.EncodeZigZag(r.Born))
+	b = protowire.AppendVarint(b, protowire.EncodeZigZag(r.BornMillis))
 	b = appendText(b, 4, r.Zone)
 	b = appendText(b, 5, r.Version)
 	b = protowire.AppendTag(b, 6, protowire.VarintType)
@@ -120,26 +120,26 @@
 			e.format = number
 		case 2:
 			e.application = string(text)
-			return len(text) <= mostText
+			return len(text) <= maxTextBytes
 		case 3:
 			r, ok := decodeRecord(text)
 			e.records = append(e.records, r)
-			return ok && len(e.records) <= mostOf
+			return ok && len(e.records) <= maxRecords
 		case 4:
 			e.witness = string(text)
-			return len(text) <= mostText
+			return len(text) <= maxTextBytes
 		case 5:
-			e.ask = number
+			e.query = number
 		case 6:
 			e.answer = number
 		case 7:
 			e.report = append([]byte(nil), text...)
-			return len(text) <= mostBytes
+			return len(text) <= maxReportBytes
 		}
 		return true
 	})
 	if !ok || e.format == 0 {
-		return nil, errSpoilt
+		return nil, errMalformed
 	}
 	return e, nil
 }
@@ -152,7 +152,7 @@
 		case 2:
 			r.Name = string(text)
 		case 3:
-			r.Born = protowire.DecodeZigZag(number)
+			r.BornMillis = protowire.DecodeZigZag(number)
 		case 4:
 			r.Zone = string(text)
 		case 5:
@@ -162,7 +162,7 @@
 		case 7:
 			r.State = peers.State(min(number, math.MaxUint8))
 		}
-		return len(text) <= mostText
+		return len(text) <= maxTextBytes
 	})
 	return r, ok && r.Process != 0 && r.Name != ""
 }
--- a/internal/network/gossip/wire_test.go
+++ b/internal/network/gossip/wire_test.go
@@ -15,15 +15,15 @@
 // What is written is read back, whatever it holds within the bounds.
 func TestEnvelopeComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := rapid.StringN(0, 30, mostText)
+		text := rapid.StringN(0, 30, maxTextBytes)
 		e := envelope{
 			format: format, application: text.Draw(t, "application"), witness: text.Draw(t, "witness"),
-			ask: rapid.Uint64().Draw(t, "ask"), answer: rapid.Uint64().Draw(t, "answer"),
+			query: rapid.Uint64().Draw(t, "ask"), answer: rapid.Uint64().Draw(t, "answer"),
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "records") {
 			e.records = append(e.records, peers.Record{
-				Process: rapid.Uint64Min(1).Draw(t, "process"), Name: rapid.StringN(1, 30, mostText).Draw(t, "name"),
-				Born: rapid.Int64().Draw(t, "born"), Zone: text.Draw(t, "zone"), Version: text.Draw(t, "version"),
+				Process: rapid.Uint64Min(1).Draw(t, "process"), Name: rapid.StringN(1, 30, maxTextBytes).Draw(t, "name"),
+				BornMillis: rapid.Int64().Draw(t, "born"), Zone: text.Draw(t, "zone"), Version: text.Draw(t, "version"),
 				Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: peers.State(rapid.IntRange(1, 5).Draw(t, "state")),
 			})
 		}
@@ -44,11 +44,11 @@
 		"nothing":         nil,
 		"half":            good.encode()[:len(good.encode())-1],
 		"no format":       appendText(nil, 2, "a"),
-		"a long name":     (&envelope{records: []peers.Record{{Process: 1, Name: strings.Repeat("x", mostText+1)}}}).encode(),
+		"a long name":     (&envelope{records: []peers.Record{{Process: 1, Name: strings.Repeat("x", maxTextBytes+1)}}}).encode(),
 		"no process":      (&envelope{records: []peers.Record{{Name: "n"}}}).encode(),
-		"a long witness":  (&envelope{witness: strings.Repeat("x", mostText+1)}).encode(),
-		"a large report":  (&envelope{report: make([]byte, mostBytes+1)}).encode(),
-		"too many":        (&envelope{records: make([]peers.Record, mostOf+1)}).encode(),
+		"a long witness":  (&envelope{witness: strings.Repeat("x", maxTextBytes+1)}).encode(),
+		"a large report":  (&envelope{report: make([]byte, maxReportBytes+1)}).encode(),
+		"too many":        (&envelope{records: make([]peers.Record, maxRecords+1)}).encode(),
 		"no message":      bytes.Repeat([]byte{0xff}, 40),
 		"a group's start": protowire.AppendTag(nil, 9, protowire.StartGroupType),
 	} {
@@ -63,7 +63,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	e := envelope{application: "a", witness: "w", ask: 3, report: []byte("{}"), records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
+	e := envelope{application: "a", witness: "w", query: 3, report: []byte("{}"), records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
 	f.Add(e.encode())
 	f.Add([]byte{0x08, 0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -204,7 +204,7 @@
 	if address == "" {
 		return nil
 	}
-	return func(look func() (string, []endpointsource.Row, bool), others func(bool) (peers.Fleet, bool)) (func(), error) {
+	return func(look func() (string, []endpointsource.Row, bool), others func(bool) (peers.FleetReport, bool)) (func(), error) {
 		return admin.Serve(address, admin.Views{Members: func() (admin.Members, bool) {
 			source, rows, ok := look()
 			return admin.Members{Name: name, Source: source, Endpoints: rows}, ok
@@ -255,8 +255,8 @@
 			}
 		}
 		g, err := gossip.Open(gossip.Config{
-			Settings: set, Find: find, Name: in.Name, Application: application, Version: Version(), Expected: in.Instances,
-			Keys: first, Names: in.Names, Addresses: in.Addresses, Ready: in.Ready, Changed: in.Changed, Keep: in.Keep,
+			Settings: set, FindAddresses: find, Name: in.Name, Application: application, Version: Version(), ExpectedMembers: in.Instances,
+			Keys: first, SettledNames: in.Names, KnownAddresses: in.Addresses, Ready: in.Ready, OnShare: in.Changed, OnSettled: in.Keep,
 		})
 		if err != nil {
 			return nil, err
@@ -277,7 +277,7 @@
 	if err != nil || keys == nil {
 		return err
 	}
-	return r.Keys(keys)
+	return r.ReplaceKeys(keys)
 }
 
 // Version is that of the program: the commit that it was built of, where the build tells.
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -113,8 +113,8 @@
 			}
 			f, err := admin.AskPeers("unix:"+s.admin(p.dir), false)
 			r := f.Own
-			one = one && err == nil && r.Confidence == peers.Settled.String() && r.Instances == alive && r.Placed
-			fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n", s.name, r.Confidence, r.Ordinal, r.Instances, r.Reached, r.Of, err)
+			one = one && err == nil && r.Confidence == peers.Settled.String() && r.Instances == alive && r.OwnsName
+			fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n", s.name, r.Confidence, r.Ordinal, r.Instances, r.Reachable, r.GroupSize, err)
 		}
 		if one {
 			return ""
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -67,7 +67,7 @@
 }
 
 // Admin serves a view for people until stop is called: of the endpoints, and of the other sidecars.
-type Admin func(view func() (source string, rows []endpointsource.Row, ok bool), others func(all bool) (peers.Fleet, bool)) (stop func(), err error)
+type Admin func(view func() (source string, rows []endpointsource.Row, ok bool), others func(all bool) (peers.FleetReport, bool)) (stop func(), err error)
 
 // Limits are those of the machine the sidecar runs on.
 type Limits struct {
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -18,7 +18,7 @@
 	Reload() error // reads its key again
 	Close()
 	Report() peers.Report
-	Fleet() peers.Fleet // waits for the others
+	Fleet() peers.FleetReport // waits for the others
 }
 
 // Among is what opens Peers, as the product's file asks for it.
@@ -77,7 +77,7 @@
 
 // groupOf is a share as the Balancer takes it: members are numbers that all have alike.
 func groupOf(s *peers.Share) balancer.InstanceGroup {
-	g := balancer.InstanceGroup{Instances: s.Instances, Ordinal: s.Ordinal, MaxInstances: s.Sharing}
+	g := balancer.InstanceGroup{Instances: s.Instances, Ordinal: s.Ordinal, MaxInstances: s.MaxInstances}
 	for _, name := range s.Names {
 		h := fnv.New64a()
 		h.Write([]byte(name))
@@ -111,14 +111,14 @@
 }
 
 // look is the view for people; false where there is none.
-func (g *group) look(all bool) (f peers.Fleet, ok bool) {
+func (g *group) look(all bool) (f peers.FleetReport, ok bool) {
 	switch {
 	case g.peers == nil:
 		return f, false
 	case all:
 		return g.peers.Fleet(), true
 	}
-	return peers.Fleet{Own: g.peers.Report()}, true
+	return peers.FleetReport{Own: g.peers.Report()}, true
 }
 
 // The group that was settled last is kept beside what else is remembered, for the next life: an old report.
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -45,7 +45,7 @@
 	}
 	var first balancer.InstanceGroup
 	for i := range names {
-		g := groupOf(&peers.Share{Instances: 3, Ordinal: i, Sharing: 5, Names: names, Placed: true})
+		g := groupOf(&peers.Share{Instances: 3, Ordinal: i, MaxInstances: 5, Names: names, OwnsName: true})
 		if i == 0 {
 			first = g
 		}
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -47,36 +47,36 @@
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, (time.Duration(m.ForMS) * time.Millisecond).Round(100*time.Millisecond),
-			yes(m.Counts), yes(m.Reached), dash(m.Address), dash(m.Zone), dash(m.Version), m.Process)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, (time.Duration(m.StateAgeMS) * time.Millisecond).Round(100*time.Millisecond),
+			yes(m.InGroup), yes(m.Reachable), dash(m.Address), dash(m.Zone), dash(m.Version), m.Process)
 	}
 	if err := w.Flush(); err != nil {
 		return failure{err}
 	}
-	fmt.Fprintf(c.out, "%s: %s; %d of the %d settled last are in reach\n", r.Name, r.Confidence, r.Reached, r.Of)
+	fmt.Fprintf(c.out, "%s: %s; %d of the %d settled last are in reach\n", r.Name, r.Confidence, r.Reachable, r.GroupSize)
 	switch {
 	case r.Instances == 0:
 		fmt.Fprintln(c.out, "it goes by the numbers of its file until the view has settled once")
-	case !r.Placed:
+	case !r.OwnsName:
 		fmt.Fprintf(c.out, "it has no place of its own among %d: it does not serve, comes and goes, or another process has its name\n", r.Instances-1)
 	default:
-		fmt.Fprintf(c.out, "it is number %d of %d, and divides limits by %d\n", r.Ordinal, r.Instances, r.Sharing)
+		fmt.Fprintf(c.out, "it is number %d of %d, and divides limits by %d\n", r.Ordinal, r.Instances, r.MaxInstances)
 	}
-	if len(r.Twice) > 0 {
-		fmt.Fprintf(c.out, "several processes under one name: %s\n", strings.Join(r.Twice, ", "))
+	if len(r.DuplicateNames) > 0 {
+		fmt.Fprintf(c.out, "several processes under one name: %s\n", strings.Join(r.DuplicateNames, ", "))
 	}
-	for _, reason := range slices.Sorted(maps.Keys(r.Refused)) {
-		fmt.Fprintf(c.out, "refused, %s: %d\n", reason, r.Refused[reason])
+	for _, reason := range slices.Sorted(maps.Keys(r.Rejected)) {
+		fmt.Fprintf(c.out, "refused, %s: %d\n", reason, r.Rejected[reason])
 	}
 	return nil
 }
 
 // sideBySide shows the views of all, a line each.
-func (c *command) sideBySide(f *peers.Fleet) error {
+func (c *command) sideBySide(f *peers.FleetReport) error {
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
 	for _, r := range append([]peers.Report{f.Own}, f.Others...) {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n", r.Name, r.Confidence, r.Instances, r.Ordinal, r.Sharing, r.Reached, r.Of, r.Digest)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n", r.Name, r.Confidence, r.Instances, r.Ordinal, r.MaxInstances, r.Reachable, r.GroupSize, r.Digest)
 	}
 	if err := w.Flush(); err != nil {
 		return failure{err}
--- a/internal/tool/peers_test.go
+++ b/internal/tool/peers_test.go
@@ -12,21 +12,21 @@
 
 func TestPeers(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
-	seen := func(name, state string, counts bool) peers.Seen {
-		return peers.Seen{Name: name, Process: "00000000000000aa", State: state, ForMS: 61500, Address: "10.0.4.7:7946", Zone: "provo", Reached: counts, Counts: counts}
+	seen := func(name, state string, counts bool) peers.MemberReport {
+		return peers.MemberReport{Name: name, Process: "00000000000000aa", State: state, StateAgeMS: 61500, Address: "10.0.4.7:7946", Zone: "provo", Reachable: counts, InGroup: counts}
 	}
 	own := peers.Report{
-		Name: "front-0", Confidence: "settled", Reached: 2, Of: 2, Instances: 2, Ordinal: 0, Sharing: 2, Placed: true, Digest: "d1", Twice: []string{"front-1"},
-		Refused: map[string]int{"other key": 3}, Members: []peers.Seen{seen("front-0", "serving", true), seen("front-1", "serving", true), seen("front-2", "gone", false)},
+		Name: "front-0", Confidence: "settled", Reachable: 2, GroupSize: 2, Instances: 2, Ordinal: 0, MaxInstances: 2, OwnsName: true, Digest: "d1", DuplicateNames: []string{"front-1"},
+		Rejected: map[string]int{"other key": 3}, Members: []peers.MemberReport{seen("front-0", "serving", true), seen("front-1", "serving", true), seen("front-2", "gone", false)},
 	}
 	other := own
 	other.Name, other.Confidence, other.Members = "front-1", "cut off", own.Members[1:2]
 	differ := true
-	stop, err := admin.Serve(address, admin.Views{Peers: func(all bool) (peers.Fleet, bool) {
-		f := peers.Fleet{Own: own}
+	stop, err := admin.Serve(address, admin.Views{Peers: func(all bool) (peers.FleetReport, bool) {
+		f := peers.FleetReport{Own: own}
 		if all {
 			if f.Others = []peers.Report{own}; differ {
-				f.Others, f.Silent = []peers.Report{other}, []string{"front-3/00"}
+				f.Others, f.Unresponsive = []peers.Report{other}, []string{"front-3/00"}
 			}
 		}
 		return f, true
@@ -61,7 +61,7 @@
 		t.Error(out)
 	}
 	none := "unix:" + filepath.Join(t.TempDir(), "s")
-	stop2, err := admin.Serve(none, admin.Views{Peers: func(bool) (peers.Fleet, bool) { return peers.Fleet{}, false }})
+	stop2, err := admin.Serve(none, admin.Views{Peers: func(bool) (peers.FleetReport, bool) { return peers.FleetReport{}, false }})
 	if err != nil {
 		t.Fatal(err)
 	}
