--- a/internal/modules/peers/report.go
+++ b/internal/modules/peers/report.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Report is one member's view, for people and programs.
+// Report is one member's view, for people and programs. Its fields on the wire are those of the admin pages.
 type Report struct {
 	Name           string         `json:"name"`
-	Process        string         `json:"process"`
+	Process        string         `json:"process"` // see FormatProcess
 	Confidence     string         `json:"confidence"`
-	Reachable      int            `json:"reached"` // of the group that was settled last,
-	GroupSize      int            `json:"of"`      // which had so many
-	Instances      int            `json:"instances"`
+	Reachable      int            `json:"reached"` // see View.Reachable
+	GroupSize      int            `json:"of"`
+	Instances      int            `json:"instances"` // 0 until the view is stable for the first time
 	Ordinal        int            `json:"ordinal"`
 	MaxInstances   int            `json:"sharing"`
 	OwnsName       bool           `json:"placed"`
@@ -23,7 +23,7 @@
 	Digest         string         `json:"digest"`
 	DuplicateNames []string       `json:"twice,omitempty"`
 	Rejected       map[string]int `json:"refused,omitempty"` // what was not let in, by reason
-	Members        []MemberReport `json:"members"`
+	Members        []MemberReport `json:"members"`           // by name, then by process
 }
 
 // MemberReport is one member in a Report.
@@ -44,33 +44,54 @@
 type FleetReport struct {
 	Own          Report   `json:"own"`
 	Others       []Report `json:"others,omitempty"`
-	Unresponsive []string `json:"silent,omitempty"` // members that gave none in time
+	Unresponsive []string `json:"silent,omitempty"` // members that gave none in time, as NAME/PROCESS
 }
 
-// FormatProcess is a process as people see it.
+// rejectedRecords is the reason in a report for records that the view did not take.
+const rejectedRecords = "records, spoilt or beyond the most"
+
+// FormatProcess is a process as reports, log lines and names of nodes have it.
 func FormatProcess(process uint64) string { return fmt.Sprintf("%016x", process) }
 
-// Report gives the view; addresses are the source's to tell. Before the first rest its Instances are 0: what a file says holds.
+// Report gives the view. Only the source knows addresses; address returns that of a process, or nothing.
 func (v *View) Report(now time.Duration, address func(process uint64) string) Report {
 	own := v.Self()
-	s, _ := v.Share(now)
+	share, _ := v.Share(now)
+	reached, size := v.Reachable()
 	r := Report{
-		Name: own.Name, Process: FormatProcess(own.Process), Confidence: v.Confidence(now).String(), Instances: s.Instances, Ordinal: s.Ordinal,
-		MaxInstances: s.MaxInstances, OwnsName: s.OwnsName, Version: v.version, Digest: fmt.Sprintf("%016x", v.Digest(now)), DuplicateNames: v.DuplicateNames(now), Rejected: map[string]int{},
+		Name:           own.Name,
+		Process:        FormatProcess(own.Process),
+		Confidence:     v.Confidence(now).String(),
+		Reachable:      reached,
+		GroupSize:      size,
+		Instances:      share.Instances,
+		Ordinal:        share.Ordinal,
+		MaxInstances:   share.MaxInstances,
+		OwnsName:       share.OwnsName,
+		Version:        v.version,
+		Digest:         fmt.Sprintf("%016x", v.Digest(now)),
+		DuplicateNames: v.DuplicateNames(now),
+		Rejected:       map[string]int{},
 	}
-	r.Reachable, r.GroupSize = v.Reachable()
 	if v.rejected > 0 {
-		r.Rejected["records, spoilt or beyond the most"] = v.rejected
+		r.Rejected[rejectedRecords] = v.rejected
 	}
-	holds := map[uint64]bool{} // those that have their name
+	owners := map[uint64]bool{} // processes that own their name
 	for _, m := range v.Present(now) {
-		holds[m.Process] = true
+		owners[m.Process] = true
 	}
 	for _, m := range v.members {
 		r.Members = append(r.Members, MemberReport{
-			Name: m.Name, Process: FormatProcess(m.Process), State: m.State.String(), StateAgeMS: (now - m.stateSince).Milliseconds(),
-			Incarnation: m.Incarnation, Zone: m.Zone, Version: m.Version, Address: address(m.Process), Reachable: m.reachable,
-			InGroup: holds[m.Process] && slices.Contains(v.names, m.Name),
+			Name:        m.Name,
+			Process:     FormatProcess(m.Process),
+			State:       m.State.String(),
+			StateAgeMS:  (now - m.stateSince).Milliseconds(),
+			Incarnation: m.Incarnation,
+			Zone:        m.Zone,
+			Version:     m.Version,
+			Address:     address(m.Process),
+			Reachable:   m.reachable,
+			InGroup:     owners[m.Process] && slices.Contains(v.group.names, m.Name),
 		})
 	}
 	slices.SortFunc(r.Members, func(a, b MemberReport) int {
@@ -79,7 +100,7 @@
 	return r
 }
 
-// groupNames is the names that count in a report.
+// groupNames are the names that are in the group of a report, in order.
 func (r *Report) groupNames() (names []string) {
 	for _, m := range r.Members {
 		if m.InGroup {
@@ -90,31 +111,36 @@
 	return names
 }
 
-// Differences say, a line each, where the others' views are not as the own one.
-func (f *FleetReport) Differences() (lines []string) {
-	own := f.Own.groupNames()
-	for _, o := range f.Others {
-		theirs := o.groupNames()
-		var only []string
-		for _, n := range own {
-			if !slices.Contains(theirs, n) {
-				only = append(only, "without "+n)
-			}
-		}
-		for _, n := range theirs {
-			if !slices.Contains(own, n) {
-				only = append(only, "with "+n)
-			}
+// differences are the names that another member's group lacks or has in addition, and its confidence if that is another.
+func (r *Report) differences(other *Report) (found []string) {
+	own := r.groupNames()
+	theirs := other.groupNames()
+	for _, name := range own {
+		if !slices.Contains(theirs, name) {
+			found = append(found, "without "+name)
 		}
-		if o.Confidence != f.Own.Confidence {
-			only = append(only, "is "+o.Confidence)
+	}
+	for _, name := range theirs {
+		if !slices.Contains(own, name) {
+			found = append(found, "with "+name)
 		}
-		if len(only) > 0 {
-			lines = append(lines, o.Name+": "+strings.Join(only, ", "))
+	}
+	if other.Confidence != r.Confidence {
+		found = append(found, "is "+other.Confidence)
+	}
+	return found
+}
+
+// Differences says, one line for each member, where the others' views differ from the own one, and who gave none.
+func (f *FleetReport) Differences() (lines []string) {
+	for i := range f.Others {
+		other := &f.Others[i]
+		if found := f.Own.differences(other); len(found) > 0 {
+			lines = append(lines, other.Name+": "+strings.Join(found, ", "))
 		}
 	}
-	for _, n := range f.Unresponsive {
-		lines = append(lines, n+": gave no answer")
+	for _, name := range f.Unresponsive {
+		lines = append(lines, name+": gave no answer")
 	}
 	return lines
 }
