--- a/internal/files/store/golden_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -15,25 +15,25 @@
 )
 
 // The header and each kind of frame, as they stand in a segment.
-func TestGoldenFormat(t *testing.T) {
+func TestGoldenRecordedFormat(t *testing.T) {
 	t.Run("header", func(t *testing.T) {
 		want := header{
 			version: 1, store: 0x0102030405060708, id: 9, first: 40, synced: 39, void: void{11, 12}, prev: 8,
 			stamp: Stamp{Boot: 0x1112131415161718, Up: 123_456}, now: 1_800_000_123_456, replaces: []uint64{3, 5, 7},
 		}
-		golden.Hex(t, "header.hex", want.encode())
-		got, err := decodeHeader("header.hex", golden.Read(t, "header.hex"))
+		golden.Hex(t, "recorded/header.hex", want.encode())
+		got, err := decodeHeader("recorded/header.hex", golden.Read(t, "recorded/header.hex"))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("read back as %+v, %v", got, err)
 		}
 	})
 	for name, want := range map[string]frame{
-		"frame-put.hex":         {kind: kindPut, seq: 41, expires: 1_800_000_999_000, key: []byte("key"), value: []byte("value")},
-		"frame-put-forever.hex": {kind: kindPut, seq: 42, expires: never, key: []byte("key"), value: []byte{}},
-		"frame-put-batch.hex":   {kind: kindPut, batch: true, seq: 43, expires: never, key: []byte("key"), value: []byte("v")},
-		"frame-delete.hex":      {kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}},
-		"frame-group.hex":       {kind: kindGroup, seq: 45, synced: 44, now: 1_800_000_123_500},
-		"frame-seal.hex":        {kind: kindSeal, seq: 46, expires: 1_800_000_999_001, shadow: 1_800_000_999_002, count: 5},
+		"recorded/frame-put.hex":         {kind: kindPut, seq: 41, expires: 1_800_000_999_000, key: []byte("key"), value: []byte("value")},
+		"recorded/frame-put-forever.hex": {kind: kindPut, seq: 42, expires: never, key: []byte("key"), value: []byte{}},
+		"recorded/frame-put-batch.hex":   {kind: kindPut, batch: true, seq: 43, expires: never, key: []byte("key"), value: []byte("v")},
+		"recorded/frame-delete.hex":      {kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}},
+		"recorded/frame-group.hex":       {kind: kindGroup, seq: 45, synced: 44, now: 1_800_000_123_500},
+		"recorded/frame-seal.hex":        {kind: kindSeal, seq: 46, expires: 1_800_000_999_001, shadow: 1_800_000_999_002, count: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.Hex(t, name, appendFrame(nil, &want))
@@ -48,7 +48,7 @@
 }
 
 // The names of files, which the format has too.
-func TestGoldenNames(t *testing.T) {
+func TestGoldenRecordedNames(t *testing.T) {
 	for got, want := range map[string]string{
 		magic: "QGSTORE\n", segName(0x1f): "000000000000001f.seg", lockName: "lock", segExt: ".seg", tmpExt: ".tmp", damagedExt: ".damaged",
 	} {
@@ -62,19 +62,19 @@
 }
 
 // A folder of three segments as a process has left it: testdata/golden/folder has each file in hexadecimal.
-const goldenFolder = "folder"
+const recordedFolder = "recorded/folder"
 
-func goldenClock() Stamp { return Stamp{Wall: 1_800_000_000_000, Boot: 7, Up: 1_000_000} }
+func recordedClock() Stamp { return Stamp{Wall: 1_800_000_000_000, Boot: 7, Up: 1_000_000} }
 
-// goldenRecords are what the folder holds: value and time left of each key.
-var goldenRecords = map[string]string{
+// recordedValues are what the folder holds: value and time left of each key.
+var recordedValues = map[string]string{
 	"a": "third, -1ns", "c": "of a batch, 1m0s", "empty": ", -1ns", "long": strings.Repeat("x", 300) + ", -1ns", "short": "for an hour, 1h0m0s",
 }
 
-func writeGoldenFolder(t *testing.T) {
+func writeRecordedFolder(t *testing.T) {
 	t.Helper()
 	dir := Dir(t.TempDir())
-	s, err := Open(dir, Options{SegmentBytes: 400, Clock: goldenClock})
+	s, err := Open(dir, Options{SegmentBytes: 400, Clock: recordedClock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(filepath.Join("testdata", "golden", goldenFolder)); err != nil {
+	if err := os.RemoveAll(filepath.Join("testdata", "golden", recordedFolder)); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
@@ -108,23 +108,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden.Hex(t, goldenFolder+"/"+name+".hex", data)
+			golden.Hex(t, recordedFolder+"/"+name+".hex", data)
 		}
 	}
 }
 
-func TestGoldenFolder(t *testing.T) {
+func TestGoldenRecordedFolder(t *testing.T) {
 	if flag.Lookup("update-golden").Value.String() == "true" {
-		writeGoldenFolder(t) // ids are drawn: each writing gives other bytes
+		writeRecordedFolder(t) // ids are drawn: each writing gives other bytes
 	}
-	files, err := filepath.Glob(filepath.Join("testdata", "golden", goldenFolder, "*.hex"))
+	files, err := filepath.Glob(filepath.Join("testdata", "golden", recordedFolder, "*.hex"))
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
 	dir := Dir(t.TempDir())
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".hex")
-		data := golden.Read(t, goldenFolder+"/"+filepath.Base(file))
+		data := golden.Read(t, recordedFolder+"/"+filepath.Base(file))
 		if err := os.WriteFile(dir.at(name), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -147,18 +147,18 @@
 	}
 
 	looked := map[string]string{}
-	report, err := Look(dir, goldenClock, func(r Record) error {
+	report, err := Look(dir, recordedClock, func(r Record) error {
 		looked[string(r.Key)] = string(r.Value) + ", " + r.Left.String()
 		return nil
 	})
-	if err != nil || !maps.Equal(looked, goldenRecords) {
+	if err != nil || !maps.Equal(looked, recordedValues) {
 		t.Errorf("Look: %v, %v", looked, err)
 	}
-	if report == nil || report.Live != len(goldenRecords) || report.Torn != 0 || len(report.Damage) != 0 || len(report.Segments) != len(files) {
+	if report == nil || report.Live != len(recordedValues) || report.Torn != 0 || len(report.Damage) != 0 || len(report.Segments) != len(files) {
 		t.Errorf("Look: %+v", report)
 	}
 
-	s, err := Open(dir, Options{Clock: goldenClock})
+	s, err := Open(dir, Options{Clock: recordedClock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 		}
 		opened[string(key)] = string(value) + ", " + left.String()
 		return true
-	}); err != nil || !maps.Equal(opened, goldenRecords) {
+	}); err != nil || !maps.Equal(opened, recordedValues) {
 		t.Errorf("Open: %v, %v", opened, err)
 	}
 	if h := s.Health(); h.Err != nil || h.Torn != 0 || len(h.Damage) != 0 {
