--- /dev/null
+++ b/internal/files/store/golden_format_test.go
@@ -0,0 +1,246 @@
+package store
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"quincegap/internal/golden"
+)
+
+// goldenStamp is what the machine tells of the time in golden files.
+var goldenStamp = Stamp{Wall: 1_800_000_000_000, Boot: 0x1122334455667788, Up: 1_000_000}
+
+func goldenClock() Stamp { return goldenStamp }
+
+// The header of a segment, with each field set.
+func TestGoldenHeader(t *testing.T) {
+	want := header{
+		version: 1, store: 0x0102030405060709, id: 0x2a, first: 1001, synced: 1000, void: void{900, 950}, prev: 0x29,
+		stamp: Stamp{Boot: 0x1122334455667788, Up: 123_456}, now: 1_800_000_000_123, replaces: []uint64{7, 8, 9},
+	}
+	golden.Hex(t, "header.hex", want.encode())
+	got, err := decodeHeader("header", golden.Read(t, "header.hex"))
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded as %+v, %v; want %+v", got, err, want)
+	}
+}
+
+// A frame of each kind, with each field set.
+func TestGoldenFrames(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		frame
+	}{
+		{"put", frame{kind: kindPut, seq: 1001, expires: 1_800_000_060_000, key: []byte("key"), value: []byte("value")}},
+		{"put-forever", frame{kind: kindPut, seq: 1002, expires: never, key: []byte("key"), value: []byte{}}},
+		{"put-more", frame{kind: kindPut, batch: true, seq: 1003, expires: 5, key: []byte("k"), value: []byte("v")}},
+		{"delete", frame{kind: kindDelete, seq: 1004, key: []byte("key"), value: []byte{}}},
+		{"delete-more", frame{kind: kindDelete, batch: true, seq: 1005, key: []byte("key"), value: []byte{}}},
+		{"group", frame{kind: kindGroup, seq: 1006, synced: 1005, now: 1_800_000_000_456}},
+		{"seal", frame{kind: kindSeal, seq: 1006, expires: 1_800_000_060_000, shadow: 1_800_000_070_000, count: 6}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			file := "frame-" + c.name + ".hex"
+			golden.Hex(t, file, appendFrame(nil, &c.frame))
+			data := golden.Read(t, file)
+			want := c.frame
+			want.size = len(data)
+			if got, ok := decodeFrame(data); !ok || !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded as %+v, %v; want %+v", got, ok, want)
+			}
+		})
+	}
+}
+
+// Names and numbers that stand on the disk.
+func TestGoldenNames(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		got, want any
+	}{
+		{"format", Version, 1},
+		{"magic", magic, "QGSTORE\n"},
+		{"lock", lockName, "lock"},
+		{"segment", segName(0x1f), "000000000000001f.seg"},
+		{"unfinished", tmpExt, ".tmp"},
+		{"damaged", damagedExt, ".damaged"},
+		{"put", byte(kindPut), byte(1)},
+		{"delete", byte(kindDelete), byte(2)},
+		{"group", byte(kindGroup), byte(3)},
+		{"seal", byte(kindSeal), byte(4)},
+		{"more", byte(more), byte(0x80)},
+		{"key bytes", MostKey, 1024},
+		{"value bytes", MostValue, 1048576},
+		{"segments replaced", mostReplaced, 65536},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if c.got != c.want {
+				t.Errorf("%v, want %v", c.got, c.want)
+			}
+		})
+	}
+}
+
+// What a reader of damage and of a later format is told.
+func TestGoldenTexts(t *testing.T) {
+	var text bytes.Buffer
+	for _, line := range []fmt.Stringer{
+		Damage{File: "000000000000001f.seg", From: 100, To: 250, First: 5, Last: 7, Why: "unreadable, and was durable"},
+		Damage{File: "000000000000001f.seg", Why: "the file is missing"},
+	} {
+		fmt.Fprintln(&text, line)
+	}
+	fmt.Fprintln(&text, &NewerError{File: "000000000000001f.seg", Version: 2})
+	for _, err := range []error{ErrClosed, ErrFull, ErrBusy, ErrBounds, ErrLocked} {
+		fmt.Fprintln(&text, err)
+	}
+	golden.Text(t, "texts.txt", text.Bytes())
+}
+
+// A report as `quincegapctl store verify --json` prints it: programs read it by the names of its fields.
+func TestGoldenReport(t *testing.T) {
+	want := Report{
+		Segments: []Segment{{File: "000000000000001f.seg", Bytes: 4096, First: 5, Last: 9, Records: 4, Stands: 2, Ended: true}},
+		Live:     3, Torn: 17,
+		Damage:   []Damage{{File: "000000000000001f.seg", From: 100, To: 250, First: 5, Last: 7, Why: "unreadable, and was durable"}},
+		Leftover: []string{"0000000000000020.tmp"}, InUse: true,
+	}
+	text, err := json.MarshalIndent(want, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "report.json", text)
+	if text, err = os.ReadFile("testdata/golden/report.json"); err != nil {
+		t.Fatal(err)
+	}
+	var got Report
+	if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded as %+v, %v; want %+v", got, err, want)
+	}
+}
+
+// goldenFolder runs changes on a store with a given identity, and returns its directory.
+func goldenFolder(t *testing.T, compact bool) string {
+	t.Helper()
+	dir := t.TempDir()
+	// The identity of a store is random; one that is there already is kept.
+	first := header{store: 0x0102030405060709, id: 1, first: 1, stamp: goldenStamp, now: 1_800_000_000_000}
+	if err := os.WriteFile(filepath.Join(dir, segName(1)), first.encode(), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, err := Open(Dir(dir), Options{Clock: goldenClock})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Put([]byte("a"), []byte("1"), 0); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Put([]byte("b"), []byte("2"), time.Minute); err != nil {
+		t.Fatal(err)
+	}
+	var b Batch
+	b.Put([]byte("a"), []byte("3"), time.Hour)
+	b.Delete([]byte("b"))
+	b.Put([]byte("c"), []byte("4"), 0)
+	if err := s.Do(b); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if !compact {
+		return dir
+	}
+	if s, err = Open(Dir(dir), Options{Clock: goldenClock}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Compact(); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// The files of a store: as written, and after a compaction. The golden ones are read by a store and by a look at them.
+func TestGoldenFolder(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		compact bool
+	}{{"written", false}, {"compacted", true}} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := goldenFolder(t, c.compact)
+			paths, err := filepath.Glob(filepath.Join(dir, "*"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			var names bytes.Buffer
+			copied := t.TempDir()
+			for _, path := range paths {
+				name := filepath.Base(path)
+				fmt.Fprintln(&names, name)
+				text, err := os.ReadFile(path)
+				if err != nil {
+					t.Fatal(err)
+				}
+				golden.Hex(t, c.name+"/"+name+".hex", text)
+				if err := os.WriteFile(filepath.Join(copied, name), golden.Read(t, c.name+"/"+name+".hex"), 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			golden.Text(t, c.name+"/files.txt", names.Bytes())
+			checkLook(t, c.name, Dir(copied))
+			checkContent(t, Dir(copied))
+		})
+	}
+}
+
+func checkLook(t *testing.T, name string, dir Dir) {
+	t.Helper()
+	var text bytes.Buffer
+	report, err := Look(dir, goldenClock, func(r Record) error {
+		fmt.Fprintf(&text, "%d %s=%s %s %v\n", r.Seq, r.Key, r.Value, r.File, r.Left)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&text, "%d live, %d torn, damage %v, leftover %v, in use %v\n", report.Live, report.Torn, report.Damage, report.Leftover, report.InUse)
+	for _, seg := range report.Segments {
+		fmt.Fprintln(&text, seg.File, seg.Bytes, seg.First, seg.Last, seg.Records, seg.Stands, seg.Ended)
+	}
+	golden.Text(t, name+"/look.txt", text.Bytes())
+}
+
+func checkContent(t *testing.T, dir Dir) {
+	t.Helper()
+	s, err := Open(dir, Options{Clock: goldenClock})
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := map[string]string{}
+	if err := s.All(func(key, value []byte, left time.Duration) bool {
+		got[string(key)] = string(value)
+		if string(key) == "a" && left != time.Hour {
+			t.Errorf("a stays for %v", left)
+		}
+		return true
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if want := map[string]string{"a": "3", "c": "4"}; !maps.Equal(got, want) {
+		t.Errorf("%v has %v, want %v", slices.Sorted(maps.Keys(got)), got, want)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
