--- a/internal/files/store/inspect.go
+++ b/internal/files/store/inspect.go
@@ -9,23 +9,23 @@
 
 // Segment is what a file of a store holds.
 type Segment struct {
-	File    string
-	Bytes   int64
-	First   uint64 // sequence number that it begins with
-	Last    uint64 // of its last record; 0 for none
-	Records uint64
-	Stands  int  // segments that it stands for
-	Ended   bool // nothing is added to it any more
+	File    string `json:"File"`
+	Bytes   int64  `json:"Bytes"`
+	First   uint64 `json:"First"` // sequence number that it begins with
+	Last    uint64 `json:"Last"`  // of its last record; 0 for none
+	Records uint64 `json:"Records"`
+	Stands  int    `json:"Stands"` // segments that it stands for
+	Ended   bool   `json:"Ended"`  // nothing is added to it any more
 }
 
 // Report is what a look at a store finds.
 type Report struct {
-	Segments []Segment
-	Live     int   // records that are the latest of their key and have not expired
-	Torn     int64 // bytes of an append that was cut, or is under way
-	Damage   []Damage
-	Leftover []string // files that the next start removes
-	InUse    bool     // some process has it open
+	Segments []Segment `json:"Segments"`
+	Live     int       `json:"Live"` // records that are the latest of their key and have not expired
+	Torn     int64     `json:"Torn"` // bytes of an append that was cut, or is under way
+	Damage   []Damage  `json:"Damage"`
+	Leftover []string  `json:"Leftover"` // files that the next start removes
+	InUse    bool      `json:"InUse"`    // some process has it open
 }
 
 // Record is one of a store, as it is on the disk.
--- a/internal/files/store/scan.go
+++ b/internal/files/store/scan.go
@@ -10,11 +10,12 @@
 
 // Damage is a place where what was durable cannot be read, with what of it is known to be lost.
 type Damage struct {
-	File     string
-	From, To int64  // bytes that cannot be read
-	First    uint64 // sequence numbers of the records that may have stood there; both 0 where that is not known
-	Last     uint64
-	Why      string
+	File  string `json:"File"`
+	From  int64  `json:"From"`  // bytes that cannot be read
+	To    int64  `json:"To"`    // the first byte behind them
+	First uint64 `json:"First"` // sequence numbers of the records that may have stood there; both 0 where that is not known
+	Last  uint64 `json:"Last"`
+	Why   string `json:"Why"`
 }
 
 func (d Damage) String() string {
