--- a/internal/files/atomicfile/atomicfile.go
+++ b/internal/files/atomicfile/atomicfile.go
@@ -13,21 +13,21 @@
 
 // File is a file's new content.
 type File struct {
-	Path string
-	Text []byte
-	Mode fs.FileMode // of a file that is not there yet; one that is keeps its own
+	Path    string
+	Content []byte
+	Mode    fs.FileMode // of a file that is not there yet; one that is keeps its own
 }
 
 // FS is what is asked of the file system. Tests put one in its place that fails.
 type FS interface {
-	CreateTemp(dir, pattern string) (Temp, error)
+	CreateTemp(dir, pattern string) (TempFile, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(dir string) error
 }
 
-// Temp is a temporary file.
-type Temp interface {
+// TempFile is a temporary file.
+type TempFile interface {
 	Name() string
 	Write([]byte) (int, error)
 	Chmod(fs.FileMode) error
@@ -38,9 +38,9 @@
 // Disk is the real file system.
 type Disk struct{}
 
-func (Disk) CreateTemp(dir, pattern string) (Temp, error) { return os.CreateTemp(dir, pattern) }
-func (Disk) Rename(from, to string) error                 { return os.Rename(from, to) }
-func (Disk) Remove(path string) error                     { return os.Remove(path) }
+func (Disk) CreateTemp(dir, pattern string) (TempFile, error) { return os.CreateTemp(dir, pattern) }
+func (Disk) Rename(from, to string) error                     { return os.Rename(from, to) }
+func (Disk) Remove(path string) error                         { return os.Remove(path) }
 
 // SyncDir makes renames in a directory durable.
 func (Disk) SyncDir(dir string) error {
@@ -68,40 +68,40 @@
 		}
 	}()
 	for _, f := range files {
-		target, mode, err := resolve(f)
+		target, mode, err := resolveTarget(f)
 		if err != nil {
 			return err
 		}
 		t, err := disk.CreateTemp(filepath.Dir(target), "."+filepath.Base(target)+".*.tmp")
 		if err != nil {
-			return fmt.Errorf("%s: cannot be written: %w", f.Path, bare(err))
+			return fmt.Errorf("%s: cannot be written: %w", f.Path, withoutPath(err))
 		}
 		made = append(made, pending{t.Name(), target})
-		if err := fill(t, f.Text, mode); err != nil {
-			return fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, bare(err))
+		if err := writeTemp(t, f.Content, mode); err != nil {
+			return fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, withoutPath(err))
 		}
 	}
 	dirs := map[string]bool{}
 	for i, p := range made {
 		if err := disk.Rename(p.temp, p.target); err != nil {
 			if i > 0 {
-				return fmt.Errorf("%s: cannot be written: %w; the %d files before it are new", files[i].Path, bare(err), i)
+				return fmt.Errorf("%s: cannot be written: %w; the %d files before it are new", files[i].Path, withoutPath(err), i)
 			}
-			return fmt.Errorf("%s: cannot be written, and is as it was: %w", files[i].Path, bare(err))
+			return fmt.Errorf("%s: cannot be written, and is as it was: %w", files[i].Path, withoutPath(err))
 		}
 		renamed = i + 1
 		dirs[filepath.Dir(p.target)] = true
 	}
 	for dir := range dirs {
 		if err := disk.SyncDir(dir); err != nil {
-			return fmt.Errorf("%s: the new files may not survive a loss of power: %w", dir, bare(err))
+			return fmt.Errorf("%s: the new files may not survive a loss of power: %w", dir, withoutPath(err))
 		}
 	}
 	return nil
 }
 
-// resolve finds the file to replace, and the rights it is to have.
-func resolve(f File) (target string, mode fs.FileMode, err error) {
+// resolveTarget finds the file to replace, and the rights it is to have.
+func resolveTarget(f File) (target string, mode fs.FileMode, err error) {
 	target, mode = f.Path, f.Mode
 	info, err := os.Stat(target)
 	switch {
@@ -111,17 +111,17 @@
 		}
 		return target, mode, nil
 	case err != nil:
-		return "", 0, fmt.Errorf("%s: %w", f.Path, bare(err))
+		return "", 0, fmt.Errorf("%s: %w", f.Path, withoutPath(err))
 	case !info.Mode().IsRegular():
 		return "", 0, fmt.Errorf("%s: is no regular file", f.Path)
 	}
 	if target, err = filepath.EvalSymlinks(target); err != nil {
-		return "", 0, fmt.Errorf("%s: %w", f.Path, bare(err))
+		return "", 0, fmt.Errorf("%s: %w", f.Path, withoutPath(err))
 	}
 	return target, info.Mode().Perm(), nil
 }
 
-func fill(t Temp, text []byte, mode fs.FileMode) error {
+func writeTemp(t TempFile, text []byte, mode fs.FileMode) error {
 	_, err := t.Write(text)
 	if err == nil {
 		err = t.Chmod(mode)
@@ -132,8 +132,8 @@
 	return errors.Join(err, t.Close())
 }
 
-// bare leaves the name of a temporary file out of an error.
-func bare(err error) error {
+// withoutPath leaves the name of a temporary file out of an error.
+func withoutPath(err error) error {
 	var path *fs.PathError
 	if errors.As(err, &path) {
 		return path.Err
@@ -150,7 +150,7 @@
 func Lock(dir string) (unlock func(), err error) {
 	d, err := os.Open(dir)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", dir, bare(err))
+		return nil, fmt.Errorf("%s: %w", dir, withoutPath(err))
 	}
 	for {
 		err = syscall.Flock(int(d.Fd()), syscall.LOCK_EX)
--- a/internal/files/atomicfile/atomicfile_test.go
+++ b/internal/files/atomicfile/atomicfile_test.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func (f *faulty) CreateTemp(dir, pattern string) (Temp, error) {
+func (f *faulty) CreateTemp(dir, pattern string) (TempFile, error) {
 	if err := f.fail("create"); err != nil {
 		return nil, &fs.PathError{Op: "open", Path: dir, Err: err}
 	}
@@ -52,34 +52,34 @@
 }
 
 type faultyTemp struct {
-	Temp
+	TempFile
 	f *faulty
 }
 
 func (f *faultyTemp) Write(b []byte) (int, error) {
 	if err := f.f.fail("write"); err != nil {
-		n, _ := f.Temp.Write(b[:len(b)/2])
+		n, _ := f.TempFile.Write(b[:len(b)/2])
 		return n, &fs.PathError{Op: "write", Path: f.Name(), Err: err}
 	}
-	return f.Temp.Write(b)
+	return f.TempFile.Write(b)
 }
 
 func (f *faultyTemp) Chmod(m fs.FileMode) error {
 	if err := f.f.fail("chmod"); err != nil {
 		return err
 	}
-	return f.Temp.Chmod(m)
+	return f.TempFile.Chmod(m)
 }
 
 func (f *faultyTemp) Sync() error {
 	if err := f.f.fail("sync"); err != nil {
 		return err
 	}
-	return f.Temp.Sync()
+	return f.TempFile.Sync()
 }
 
 func (f *faultyTemp) Close() error {
-	err := f.Temp.Close()
+	err := f.TempFile.Close()
 	if fault := f.f.fail("close"); fault != nil {
 		return fault
 	}
--- a/internal/files/certfile/certfile.go
+++ b/internal/files/certfile/certfile.go
@@ -15,11 +15,11 @@
 	"quincegap/internal/files/secretfile"
 )
 
-// mostBytes bounds a file with certificates.
-const mostBytes = 1 << 20
+// maxBytes bounds a file with certificates.
+const maxBytes = 1 << 20
 
-// Read is Load for a certificate that has to hold at that time.
-func Read(certPath, keyPath string, now time.Time) (*tls.Certificate, error) {
+// LoadValid is Load for a certificate that has to hold at that time.
+func LoadValid(certPath, keyPath string, now time.Time) (*tls.Certificate, error) {
 	pair, err := Load(certPath, keyPath)
 	if err != nil {
 		return nil, err
@@ -37,11 +37,11 @@
 // Load reads a pair once, and says what is wrong with it: files that cannot be read, a key that is another
 // certificate's.
 func Load(certPath, keyPath string) (*tls.Certificate, error) {
-	key, err := secretfile.Key(keyPath)
+	key, err := secretfile.ReadPrivateKey(keyPath)
 	if err != nil {
 		return nil, err
 	}
-	text, err := read(certPath)
+	text, err := readFile(certPath)
 	if err != nil {
 		return nil, err
 	}
@@ -57,20 +57,20 @@
 	return &pair, nil
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > mostBytes {
-		return nil, fmt.Errorf("%s: is no file of at most %d bytes", path, mostBytes)
+	if !info.Mode().IsRegular() || info.Size() > maxBytes {
+		return nil, fmt.Errorf("%s: is no file of at most %d bytes", path, maxBytes)
 	}
 	return os.ReadFile(path)
 }
 
-// Pool reads authorities' certificates.
-func Pool(path string) (*x509.CertPool, error) {
-	text, err := read(path)
+// LoadPool reads authorities' certificates.
+func LoadPool(path string) (*x509.CertPool, error) {
+	text, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -81,58 +81,58 @@
 	return pool, nil
 }
 
-// lookEvery is how long after a look at the files the next one is due.
-const lookEvery = time.Second
+// checkInterval is how long after a look at the files the next one is due.
+const checkInterval = time.Second
 
-// Pair is a certificate that follows its files. What cannot be used there changes nothing: the old one serves.
-type Pair struct {
+// Reloader is a certificate that follows its files. What cannot be used there changes nothing: the old one serves.
+type Reloader struct {
 	certPath, keyPath string
 	log               func(format string, args ...any)
 
-	mu     sync.Mutex
-	pair   *tls.Certificate
-	stamps [2]stamp
-	looked time.Time
-	said   string
+	mu          sync.Mutex
+	pair        *tls.Certificate
+	versions    [2]fileVersion
+	checkedAt   time.Time
+	loggedError string
 }
 
-// stamp tells one content of a file from another.
-type stamp struct {
-	at   time.Time
-	size int64
-	id   fs.FileInfo
+// fileVersion tells one content of a file from another.
+type fileVersion struct {
+	modified time.Time
+	size     int64
+	info     fs.FileInfo
 }
 
-// Open reads a pair for the first time.
-func Open(certPath, keyPath string, log func(format string, args ...any)) (*Pair, error) {
-	p := &Pair{certPath: certPath, keyPath: keyPath, log: log, looked: time.Now()}
-	p.stamps = p.stamp()
+// NewReloader reads a pair for the first time.
+func NewReloader(certPath, keyPath string, log func(format string, args ...any)) (*Reloader, error) {
+	p := &Reloader{certPath: certPath, keyPath: keyPath, log: log, checkedAt: time.Now()}
+	p.versions = p.currentVersions()
 	var err error
-	p.pair, err = Read(certPath, keyPath, p.looked)
+	p.pair, err = LoadValid(certPath, keyPath, p.checkedAt)
 	return p, err
 }
 
-func (p *Pair) stamp() (all [2]stamp) {
+func (p *Reloader) currentVersions() (all [2]fileVersion) {
 	for i, path := range []string{p.certPath, p.keyPath} {
 		if info, err := os.Stat(path); err == nil {
-			all[i] = stamp{info.ModTime(), info.Size(), info}
+			all[i] = fileVersion{info.ModTime(), info.Size(), info}
 		}
 	}
 	return all
 }
 
-func same(a, b stamp) bool {
-	return a.at.Equal(b.at) && a.size == b.size && (a.id == nil) == (b.id == nil) && (a.id == nil || os.SameFile(a.id, b.id))
+func sameVersion(a, b fileVersion) bool {
+	return a.modified.Equal(b.modified) && a.size == b.size && (a.info == nil) == (b.info == nil) && (a.info == nil || os.SameFile(a.info, b.info))
 }
 
-// Get is the certificate in force; it looks at the files once a second at most. It is of the form that
+// GetCertificate is the certificate in force; it looks at the files once a second at most. It is of the form that
 // tls.Config.GetCertificate has.
-func (p *Pair) Get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (p *Reloader) GetCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); now.Sub(p.looked) >= lookEvery {
-		p.looked = now
-		p.look(now)
+	if now := time.Now(); now.Sub(p.checkedAt) >= checkInterval {
+		p.checkedAt = now
+		p.reloadIfChanged(now)
 	}
 	if p.pair == nil {
 		return nil, errors.New("no certificate")
@@ -140,21 +140,21 @@
 	return p.pair, nil
 }
 
-func (p *Pair) look(now time.Time) {
-	stamps := p.stamp()
-	if same(stamps[0], p.stamps[0]) && same(stamps[1], p.stamps[1]) {
+func (p *Reloader) reloadIfChanged(now time.Time) {
+	stamps := p.currentVersions()
+	if sameVersion(stamps[0], p.versions[0]) && sameVersion(stamps[1], p.versions[1]) {
 		return
 	}
-	pair, err := Read(p.certPath, p.keyPath, now)
+	pair, err := LoadValid(p.certPath, p.keyPath, now)
 	if err != nil {
 		// The two files are replaced one after the other: between the two they do not match. The stamps are kept,
 		// so that the next look reads them again.
-		if p.said != err.Error() {
-			p.said = err.Error()
+		if p.loggedError != err.Error() {
+			p.loggedError = err.Error()
 			p.log("certificate: %v; the old one stays", err)
 		}
 		return
 	}
-	p.pair, p.stamps, p.said = pair, stamps, ""
+	p.pair, p.versions, p.loggedError = pair, stamps, ""
 	p.log("certificate: %s is read anew; it holds until %s", p.certPath, pair.Leaf.NotAfter.UTC().Format(time.RFC3339))
 }
--- a/internal/files/certfile/certfile_test.go
+++ b/internal/files/certfile/certfile_test.go
@@ -42,7 +42,7 @@
 	cert, key, put := files(t)
 	want := func(word string) {
 		t.Helper()
-		_, err := Read(cert, key, time.Now())
+		_, err := LoadValid(cert, key, time.Now())
 		if word == "" && err != nil || word != "" && (err == nil || !strings.Contains(err.Error(), word)) {
 			t.Errorf("%v, want %q", err, word)
 		}
@@ -54,7 +54,7 @@
 	want("private key does not match")
 	put("a.example.org", -time.Minute, ".pem")
 	want("holds until")
-	if _, err := Read(cert, key, time.Now().Add(-24*time.Hour)); err == nil || !strings.Contains(err.Error(), "holds from") {
+	if _, err := LoadValid(cert, key, time.Now().Add(-24*time.Hour)); err == nil || !strings.Contains(err.Error(), "holds from") {
 		t.Error(err)
 	}
 	os.Chmod(key, 0o644)
@@ -62,9 +62,9 @@
 	os.Chmod(key, 0o600)
 	os.WriteFile(cert, []byte("no certificate"), 0o600)
 	want("cert.pem")
-	os.WriteFile(cert, make([]byte, mostBytes+1), 0o600)
+	os.WriteFile(cert, make([]byte, maxBytes+1), 0o600)
 	want("no file of at most")
-	if _, err := Pool(cert); err == nil {
+	if _, err := LoadPool(cert); err == nil {
 		t.Error("a pool of junk")
 	}
 }
@@ -74,14 +74,14 @@
 	cert, key, put := files(t)
 	put("first.example.org", time.Hour, ".pem")
 	var logged []string
-	p, err := Open(cert, key, func(format string, args ...any) { logged = append(logged, fmt.Sprintf(format, args...)) })
+	p, err := NewReloader(cert, key, func(format string, args ...any) { logged = append(logged, fmt.Sprintf(format, args...)) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	serves := func(name string) {
 		t.Helper()
-		p.looked = time.Time{} // the second is over
-		got, err := p.Get(nil)
+		p.checkedAt = time.Time{} // the second is over
+		got, err := p.GetCertificate(nil)
 		if err != nil || got.Leaf.Subject.CommonName != name {
 			t.Errorf("%v, want %s", err, name)
 		}
@@ -100,8 +100,8 @@
 	put("expired.example.org", -time.Second, ".pem")
 	serves("third.example.org")
 	put("fourth.example.org", time.Hour, ".pem")
-	p.looked = time.Now()
-	if got, _ := p.Get(nil); got.Leaf.Subject.CommonName != "third.example.org" {
+	p.checkedAt = time.Now()
+	if got, _ := p.GetCertificate(nil); got.Leaf.Subject.CommonName != "third.example.org" {
 		t.Error("it looks at the files at each handshake")
 	}
 	serves("fourth.example.org")
--- a/internal/files/secretfile/secretfile.go
+++ b/internal/files/secretfile/secretfile.go
@@ -12,12 +12,12 @@
 	"strings"
 )
 
-// MostBytes bounds a secret.
-const MostBytes = 16 << 10
+// MaxBytes bounds a secret.
+const MaxBytes = 16 << 10
 
-// Read reads the secret in a file, white space around it left out.
-func Read(path string) (string, error) {
-	text, err := read(path)
+// ReadToken reads the secret in a file, white space around it left out.
+func ReadToken(path string) (string, error) {
+	text, err := readFile(path)
 	if err != nil {
 		return "", err
 	}
@@ -31,9 +31,9 @@
 	return secret, nil
 }
 
-// Key reads a private key in PEM (RFC 7468, section 10), as it stands in the file.
-func Key(path string) ([]byte, error) {
-	text, err := read(path)
+// ReadPrivateKey reads a private key in PEM (RFC 7468, section 10), as it stands in the file.
+func ReadPrivateKey(path string) ([]byte, error) {
+	text, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// read reads a file that is fit to hold a secret.
-func read(path string) ([]byte, error) {
+// readFile reads a file that is fit to hold a secret.
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
@@ -62,22 +62,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
 	}
-	if err := fit(info); err != nil {
+	if err := checkMode(info); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, MostBytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
 	}
-	if len(text) > MostBytes {
-		return nil, fmt.Errorf("%s: has more than %d bytes, so it is no secret", path, MostBytes)
+	if len(text) > MaxBytes {
+		return nil, fmt.Errorf("%s: has more than %d bytes, so it is no secret", path, MaxBytes)
 	}
 	return text, nil
 }
 
-// fit guards against a secret that others can read, or put in place of the real one. Rights of the group are
+// checkMode guards against a secret that others can read, or put in place of the real one. Rights of the group are
 // left to the operator: some run under a group for it.
-func fit(info fs.FileInfo) error {
+func checkMode(info fs.FileInfo) error {
 	switch mode := info.Mode(); {
 	case !mode.IsRegular():
 		return fmt.Errorf("is no regular file, so it is no secret")
--- a/internal/files/secretfile/secretfile_test.go
+++ b/internal/files/secretfile/secretfile_test.go
@@ -30,7 +30,7 @@
 		if err := os.Chmod(path, c.mode); err != nil {
 			t.Fatal(err)
 		}
-		got, err := Read(path)
+		got, err := ReadToken(path)
 		if c.want == "" && (err != nil || got != "s3cret") || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || got != "") {
 			t.Errorf("%.10q, %v: got %q, %v", c.text, c.mode, got, err)
 		}
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, path := range []string{dir, filepath.Join(dir, "none")} {
-		if _, err := Read(path); err == nil {
+		if _, err := ReadToken(path); err == nil {
 			t.Errorf("%s was read", path)
 		}
 	}
@@ -69,7 +69,7 @@
 		if err := os.Chmod(path, c.mode); err != nil {
 			t.Fatal(err)
 		}
-		got, err := Key(path)
+		got, err := ReadPrivateKey(path)
 		switch {
 		case c.want == "" && (err != nil || string(got) != c.text):
 			t.Errorf("%q: %v", got, err)
--- a/internal/files/store/bench_test.go
+++ b/internal/files/store/bench_test.go
@@ -70,7 +70,7 @@
 func BenchmarkDurable(b *testing.B) {
 	for _, writers := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("store/%d", writers), func(b *testing.B) {
-			s, err := store.Open(store.Dir(benchDir(b)), store.Options{MostBytes: 1 << 30, MostRecords: 1 << 24})
+			s, err := store.Open(store.Dir(benchDir(b)), store.Options{MaxBytes: 1 << 30, MaxRecords: 1 << 24})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -79,7 +79,7 @@
 		})
 		// The baseline: one record a sync, each writer in turn, as a store without group commit does it.
 		b.Run(fmt.Sprintf("one a sync/%d", writers), func(b *testing.B) {
-			s, err := store.Open(store.Dir(benchDir(b)), store.Options{MostBytes: 1 << 30, MostRecords: 1 << 24})
+			s, err := store.Open(store.Dir(benchDir(b)), store.Options{MaxBytes: 1 << 30, MaxRecords: 1 << 24})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -116,7 +116,7 @@
 		b.Run(x.name, func(b *testing.B) {
 			dir := store.Dir(benchDir(b))
 			c := newClock()
-			o := store.Options{MostBytes: 4 << 30, MostRecords: 1 << 24, MostPending: 64 << 20, Clock: c.stamp}
+			o := store.Options{MaxBytes: 4 << 30, MaxRecords: 1 << 24, MaxPendingBytes: 64 << 20, Clock: c.stamp}
 			s := open(b, dir, o)
 			var all sync.WaitGroup
 			for i := 0; i < x.n; i += 1000 {
--- a/internal/files/store/compact.go
+++ b/internal/files/store/compact.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// tidy drops segments that nobody needs and begins a compaction where one is due.
-func (s *Store) tidy() {
-	s.drop()
+// maintain drops segments that nobody needs and begins a compaction where one is due.
+func (s *Store) maintain() {
+	s.dropDeadSegments()
 	s.mu.RLock()
-	total, live := s.total(), s.live
+	total, live := s.totalBytes(), s.liveBytes
 	s.mu.RUnlock()
-	if total < s.compactAt || total < 2*live+2*s.set.SegmentBytes {
+	if total < s.compactThreshold || total < 2*live+2*s.options.SegmentBytes {
 		return
 	}
 	if !s.compactMu.TryLock() {
 		return // one is under way
 	}
-	s.compactAt = total + s.set.SegmentBytes/4 // not at once again, if it fails or frees little
+	s.compactThreshold = total + s.options.SegmentBytes/4 // not at once again, if it fails or frees little
 	s.compacting.Go(func() {
 		defer s.compactMu.Unlock()
 		if err := s.compact(false); err != nil {
@@ -31,45 +31,45 @@
 	})
 }
 
-// drop removes the oldest segments as long as no record in them is the latest of its key: what they deleted stands
+// dropDeadSegments removes the oldest segments as long as no record in them is the latest of its key: what they deleted stands
 // nowhere before them. One after the other, each for good before the next, so that no later one is missing while
 // an earlier one is there.
-func (s *Store) drop() {
+func (s *Store) dropDeadSegments() {
 	if !s.compactMu.TryLock() {
 		return
 	}
 	defer s.compactMu.Unlock()
-	for s.discard() == nil {
+	for s.removeObsolete() == nil {
 		s.mu.Lock()
-		if len(s.order) < 2 || s.order[0].live > 0 { // the last one may be written to
+		if len(s.segments) < 2 || s.segments[0].liveBytes > 0 { // the last one may be written to
 			s.mu.Unlock()
 			return
 		}
-		old := s.order[0]
-		s.order = slices.Delete(s.order, 0, 1)
+		old := s.segments[0]
+		s.segments = slices.Delete(s.segments, 0, 1)
 		s.mu.Unlock()
-		s.discarded = append(s.discarded, old)
+		s.obsolete = append(s.obsolete, old)
 	}
 }
 
-// discard removes files that others stand for, or that nothing stands in any more. As long as one of them may still
+// removeObsolete removes files that others stand for, or that nothing stands in any more. As long as one of them may still
 // be there, no other segment goes: what was deleted in that one could come back. It is tried again at the next
 // change after an error. s.compactMu is held.
-func (s *Store) discard() error {
-	if len(s.discarded) == 0 {
+func (s *Store) removeObsolete() error {
+	if len(s.obsolete) == 0 {
 		return nil
 	}
 	if err := s.fs.SyncDir(); err != nil { // what stands for them
 		return err
 	}
-	for _, seg := range s.discarded {
+	for _, seg := range s.obsolete {
 		if seg.file != nil {
 			seg.file.Close()
 			seg.file = nil
 		}
 		var err error
 		if seg.damaged {
-			err = s.fs.Rename(seg.name, seg.name+damagedExt) // for whoever can make more of it
+			err = s.fs.Rename(seg.name, seg.name+damagedSuffix) // for whoever can make more of it
 		} else {
 			err = s.fs.Remove(seg.name)
 		}
@@ -80,7 +80,7 @@
 	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
-	s.discarded = nil
+	s.obsolete = nil
 	return nil
 }
 
@@ -88,27 +88,27 @@
 // oldest, so that nothing stands before them that what they deleted could come back from: as many as are half dead
 // together, or all. s.compactMu is held.
 func (s *Store) compact(all bool) error {
-	if err := s.discard(); err != nil {
+	if err := s.removeObsolete(); err != nil {
 		return err
 	}
 	s.mu.RLock()
 	var victims []*segment
 	total, live := int64(0), int64(0)
 	best := 0
-	for _, seg := range s.order[:max(0, len(s.order)-1)] { // the last one may be written to
-		if len(victims) == mostReplaced-1 {
+	for _, seg := range s.segments[:max(0, len(s.segments)-1)] { // the last one may be written to
+		if len(victims) == maxReplaced-1 {
 			break
 		}
 		victims = append(victims, seg)
 		total += seg.size
-		live += seg.live
+		live += seg.liveBytes
 		if all || 2*live <= total {
 			best = len(victims) // as many as halve
 		}
 	}
 	victims = victims[:best]
 	type item struct {
-		place
+		location
 		key string
 	}
 	var items []item
@@ -117,9 +117,9 @@
 		for _, seg := range victims {
 			in[seg] = true
 		}
-		now := s.now()
+		now := s.storeTime()
 		for key, p := range s.index {
-			if in[p.seg] && p.expires > now {
+			if in[p.segment] && p.expiresAt > now {
 				items = append(items, item{p, key})
 			}
 		}
@@ -134,18 +134,18 @@
 		}
 		return 1
 	})
-	stamp := s.set.Clock()
-	h := header{store: s.store, first: victims[0].first, stamp: stamp}
+	stamp := s.options.Clock()
+	h := header{storeID: s.storeID, firstSeq: victims[0].firstSeq, timestamp: stamp}
 	for _, v := range victims {
 		h.replaces = append(h.replaces, v.id)
-		h.synced = max(h.synced, v.last, v.first-1) // some may be empty
+		h.durableSeq = max(h.durableSeq, v.lastSeq, v.firstSeq-1) // some may be empty
 	}
 	s.mu.Lock()
-	h.id, h.now = s.takeID(), s.now()
+	h.id, h.storeTime = s.allocateID(), s.storeTime()
 	s.mu.Unlock()
-	name := segName(h.id)
-	out := &segment{header: h, name: name, sealed: true, last: h.synced}
-	tmp := name[:len(name)-len(segExt)] + tmpExt
+	name := segmentName(h.id)
+	out := &segment{header: h, name: name, sealed: true, lastSeq: h.durableSeq}
+	tmp := name[:len(name)-len(segmentSuffix)] + temporarySuffix
 	f, err := s.fs.Create(tmp)
 	if err != nil {
 		return err
@@ -160,11 +160,11 @@
 		b = b[:0]
 		return err
 	}
-	places := make([]place, len(items))
+	places := make([]location, len(items))
 	err = func() error {
 		for i, it := range items {
 			s.mu.RLock()
-			x, err := s.read(it.place)
+			x, err := s.readRecord(it.location)
 			s.mu.RUnlock()
 			if err != nil {
 				return err // it stays where it is, and is named whenever it is asked for
@@ -172,16 +172,16 @@
 			at := out.size + int64(len(b))
 			b = appendFrame(b, &x)
 			size := out.size + int64(len(b)) - at
-			places[i] = place{out, x.seq, x.expires, uint32(at), uint32(size)}
+			places[i] = location{out, x.seq, x.expiresAt, uint32(at), uint32(size)}
 			out.records++
-			out.expires = max(out.expires, x.expires)
+			out.expiresAt = max(out.expiresAt, x.expiresAt)
 			if len(b) > 1<<18 {
 				if err := flush(); err != nil {
 					return err
 				}
 			}
 		}
-		b = appendFrame(b, &frame{kind: kindSeal, seq: out.last, expires: out.expires, count: out.records})
+		b = appendFrame(b, &frame{kind: kindSeal, seq: out.lastSeq, expiresAt: out.expiresAt, records: out.records})
 		if err := flush(); err != nil {
 			return err
 		}
@@ -202,14 +202,14 @@
 	for i, it := range items {
 		if p, ok := s.index[it.key]; ok && p.seq == it.seq {
 			s.index[it.key] = places[i]
-			out.live += int64(places[i].size)
-			s.live += int64(places[i].size) - int64(p.size)
+			out.liveBytes += int64(places[i].size)
+			s.liveBytes += int64(places[i].size) - int64(p.size)
 		}
 	}
-	s.order = slices.Replace(s.order, 0, best, out)
+	s.segments = slices.Replace(s.segments, 0, best, out)
 	s.mu.Unlock()
-	s.discarded = victims
-	return s.discard()
+	s.obsolete = victims
+	return s.removeObsolete()
 }
 
 // Compact writes all live records into one segment, and removes the others. Damaged files are not removed: they are
@@ -220,8 +220,8 @@
 	return s.compact(true)
 }
 
-// takeID uses up the number of a segment. s.mu is held.
-func (s *Store) takeID() uint64 {
+// allocateID uses up the number of a segment. s.mu is held.
+func (s *Store) allocateID() uint64 {
 	s.nextID++
 	return s.nextID - 1
 }
--- a/internal/files/store/fs.go
+++ b/internal/files/store/fs.go
@@ -62,11 +62,11 @@
 	return info.Size(), nil
 }
 
-func (d Dir) at(name string) string { return filepath.Join(string(d), name) }
+func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
 // Create is of FS.
 func (d Dir) Create(name string) (File, error) {
-	f, err := os.OpenFile(d.at(name), os.O_RDWR|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
+	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 
 // Open is of FS.
 func (d Dir) Open(name string) (Reader, error) {
-	f, err := os.Open(d.at(name))
+	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, err
 	}
@@ -94,10 +94,10 @@
 }
 
 // Rename is of FS.
-func (d Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove is of FS.
-func (d Dir) Remove(name string) error { return os.Remove(d.at(name)) }
+func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
 // SyncDir is of FS.
 func (d Dir) SyncDir() error { return atomicfile.Disk{}.SyncDir(string(d)) }
@@ -109,15 +109,15 @@
 	ofdSetLock = 37
 )
 
-func wholeFile() *syscall.Flock_t { return &syscall.Flock_t{Type: syscall.F_WRLCK} }
+func exclusiveLock() *syscall.Flock_t { return &syscall.Flock_t{Type: syscall.F_WRLCK} }
 
 // Lock is of FS.
 func (d Dir) Lock() (io.Closer, error) {
-	f, err := os.OpenFile(d.at(lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.FcntlFlock(f.Fd(), ofdSetLock, wholeFile()); err != nil {
+	if err := syscall.FcntlFlock(f.Fd(), ofdSetLock, exclusiveLock()); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EACCES) {
 			err = ErrLocked
@@ -129,51 +129,51 @@
 
 // Locked is of FS.
 func (d Dir) Locked() (bool, error) {
-	f, err := os.OpenFile(d.at(lockName), os.O_RDWR, 0)
+	f, err := os.OpenFile(d.path(lockName), os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	} else if err != nil {
 		return false, err
 	}
 	defer f.Close()
-	l := wholeFile()
+	l := exclusiveLock()
 	err = syscall.FcntlFlock(f.Fd(), ofdGetLock, l)
 	return l.Type != syscall.F_UNLCK, err
 }
 
 const (
-	lockName = "lock"
-	segExt   = ".seg"
-	tmpExt   = ".tmp"
-	// damagedExt is put behind the name of a damaged file that others stand for now.
-	damagedExt = ".damaged"
+	lockName        = "lock"
+	segmentSuffix   = ".seg"
+	temporarySuffix = ".tmp"
+	// damagedSuffix is put behind the name of a damaged file that others stand for now.
+	damagedSuffix = ".damaged"
 )
 
-func segName(id uint64) string {
+func segmentName(id uint64) string {
 	s := strconv.FormatUint(id, 16)
-	return strings.Repeat("0", 16-len(s)) + s + segExt
+	return strings.Repeat("0", 16-len(s)) + s + segmentSuffix
 }
 
-// segID is the segment that a file name names; false for other files.
-func segID(name string) (uint64, bool) {
-	digits, ok := strings.CutSuffix(name, segExt)
+// parseSegmentName is the segment that a file name names; false for other files.
+func parseSegmentName(name string) (uint64, bool) {
+	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) != 16 {
 		return 0, false
 	}
 	id, err := strconv.ParseUint(digits, 16, 64)
-	return id, err == nil && id > 0 && segName(id) == name
+	return id, err == nil && id > 0 && segmentName(id) == name
 }
 
-// segments are the ids of those in a directory, in their order, and the names of files that were not finished.
-func segments(d FS) (ids []uint64, unfinished []string, err error) {
+// listSegments are the ids of those in a directory, in their order, and the names of files that were not finished.
+func listSegments(d FS) (ids []uint64, unfinished []string, err error) {
 	names, err := d.List()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, err
 	}
 	for _, name := range names {
-		if id, ok := segID(name); ok {
+		if id, ok := parseSegmentName(name); ok {
 			ids = append(ids, id)
-		} else if strings.HasSuffix(name, tmpExt) {
+		} else if strings.HasSuffix(name, temporarySuffix) {
 			unfinished = append(unfinished, name)
 		}
 	}
@@ -182,15 +182,15 @@
 	return ids, unfinished, nil
 }
 
-// Stamp is what a machine tells of the time.
-type Stamp struct {
-	Wall int64  // Unix time in ms; it may be set
-	Boot uint64 // which start of the machine it is; 0 where that is not known
-	Up   int64  // ms since then, which nobody can set
+// Timestamp is what a machine tells of the time.
+type Timestamp struct {
+	WallMillis   int64  // Unix time in ms; it may be set
+	BootID       uint64 // which start of the machine it is; 0 where that is not known
+	UptimeMillis int64  // ms since then, which nobody can set
 }
 
 // Clock tells the time.
-type Clock func() Stamp
+type Clock func() Timestamp
 
 // SystemClock is this machine's.
 func SystemClock() Clock {
@@ -211,7 +211,7 @@
 	} else {
 		boot = 0
 	}
-	return func() Stamp {
-		return Stamp{Wall: time.Now().UnixMilli(), Boot: boot, Up: up + time.Since(began).Milliseconds()}
+	return func() Timestamp {
+		return Timestamp{WallMillis: time.Now().UnixMilli(), BootID: boot, UptimeMillis: up + time.Since(began).Milliseconds()}
 	}
 }
--- a/internal/files/store/golden_format_test.go
+++ b/internal/files/store/golden_format_test.go
@@ -16,15 +16,15 @@
 )
 
 // goldenStamp is what the machine tells of the time in golden files.
-var goldenStamp = Stamp{Wall: 1_800_000_000_000, Boot: 0x1122334455667788, Up: 1_000_000}
+var goldenStamp = Timestamp{WallMillis: 1_800_000_000_000, BootID: 0x1122334455667788, UptimeMillis: 1_000_000}
 
-func goldenClock() Stamp { return goldenStamp }
+func goldenClock() Timestamp { return goldenStamp }
 
 // The header of a segment, with each field set.
 func TestGoldenHeader(t *testing.T) {
 	want := header{
-		version: 1, store: 0x0102030405060709, id: 0x2a, first: 1001, synced: 1000, void: void{900, 950}, prev: 0x29,
-		stamp: Stamp{Boot: 0x1122334455667788, Up: 123_456}, now: 1_800_000_000_123, replaces: []uint64{7, 8, 9},
+		version: 1, storeID: 0x0102030405060709, id: 0x2a, firstSeq: 1001, durableSeq: 1000, failedSeqs: seqRange{900, 950}, previousID: 0x29,
+		timestamp: Timestamp{BootID: 0x1122334455667788, UptimeMillis: 123_456}, storeTime: 1_800_000_000_123, replaces: []uint64{7, 8, 9},
 	}
 	golden.Hex(t, "header.hex", want.encode())
 	got, err := decodeHeader("header", golden.Read(t, "header.hex"))
@@ -39,13 +39,13 @@
 		name string
 		frame
 	}{
-		{"put", frame{kind: kindPut, seq: 1001, expires: 1_800_000_060_000, key: []byte("key"), value: []byte("value")}},
-		{"put-forever", frame{kind: kindPut, seq: 1002, expires: never, key: []byte("key"), value: []byte{}}},
-		{"put-more", frame{kind: kindPut, batch: true, seq: 1003, expires: 5, key: []byte("k"), value: []byte("v")}},
+		{"put", frame{kind: kindPut, seq: 1001, expiresAt: 1_800_000_060_000, key: []byte("key"), value: []byte("value")}},
+		{"put-forever", frame{kind: kindPut, seq: 1002, expiresAt: never, key: []byte("key"), value: []byte{}}},
+		{"put-more", frame{kind: kindPut, moreInBatch: true, seq: 1003, expiresAt: 5, key: []byte("k"), value: []byte("v")}},
 		{"delete", frame{kind: kindDelete, seq: 1004, key: []byte("key"), value: []byte{}}},
-		{"delete-more", frame{kind: kindDelete, batch: true, seq: 1005, key: []byte("key"), value: []byte{}}},
-		{"group", frame{kind: kindGroup, seq: 1006, synced: 1005, now: 1_800_000_000_456}},
-		{"seal", frame{kind: kindSeal, seq: 1006, expires: 1_800_000_060_000, shadow: 1_800_000_070_000, count: 6}},
+		{"delete-more", frame{kind: kindDelete, moreInBatch: true, seq: 1005, key: []byte("key"), value: []byte{}}},
+		{"group", frame{kind: kindGroup, seq: 1006, durableSeq: 1005, storeTime: 1_800_000_000_456}},
+		{"seal", frame{kind: kindSeal, seq: 1006, expiresAt: 1_800_000_060_000, shadowedUntil: 1_800_000_070_000, records: 6}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			file := "frame-" + c.name + ".hex"
@@ -69,17 +69,17 @@
 		{"format", Version, 1},
 		{"magic", magic, "QGSTORE\n"},
 		{"lock", lockName, "lock"},
-		{"segment", segName(0x1f), "000000000000001f.seg"},
-		{"unfinished", tmpExt, ".tmp"},
-		{"damaged", damagedExt, ".damaged"},
+		{"segment", segmentName(0x1f), "000000000000001f.seg"},
+		{"unfinished", temporarySuffix, ".tmp"},
+		{"damaged", damagedSuffix, ".damaged"},
 		{"put", byte(kindPut), byte(1)},
 		{"delete", byte(kindDelete), byte(2)},
 		{"group", byte(kindGroup), byte(3)},
 		{"seal", byte(kindSeal), byte(4)},
-		{"more", byte(more), byte(0x80)},
-		{"key bytes", MostKey, 1024},
-		{"value bytes", MostValue, 1048576},
-		{"segments replaced", mostReplaced, 65536},
+		{"more", byte(moreFlag), byte(0x80)},
+		{"key bytes", MaxKeyBytes, 1024},
+		{"value bytes", MaxValueBytes, 1048576},
+		{"segments replaced", maxReplaced, 65536},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
@@ -93,13 +93,13 @@
 func TestGoldenTexts(t *testing.T) {
 	var text bytes.Buffer
 	for _, line := range []fmt.Stringer{
-		Damage{File: "000000000000001f.seg", From: 100, To: 250, First: 5, Last: 7, Why: "unreadable, and was durable"},
-		Damage{File: "000000000000001f.seg", Why: "the file is missing"},
+		Damage{File: "000000000000001f.seg", From: 100, To: 250, FirstSeq: 5, LastSeq: 7, Reason: "unreadable, and was durable"},
+		Damage{File: "000000000000001f.seg", Reason: "the file is missing"},
 	} {
 		fmt.Fprintln(&text, line)
 	}
-	fmt.Fprintln(&text, &NewerError{File: "000000000000001f.seg", Version: 2})
-	for _, err := range []error{ErrClosed, ErrFull, ErrBusy, ErrBounds, ErrLocked} {
+	fmt.Fprintln(&text, &NewerVersionError{File: "000000000000001f.seg", Version: 2})
+	for _, err := range []error{ErrClosed, ErrFull, ErrBusy, ErrRecordSize, ErrLocked} {
 		fmt.Fprintln(&text, err)
 	}
 	golden.Text(t, "texts.txt", text.Bytes())
@@ -108,10 +108,10 @@
 // A report as `quincegapctl store verify --json` prints it: programs read it by the names of its fields.
 func TestGoldenReport(t *testing.T) {
 	want := Report{
-		Segments: []Segment{{File: "000000000000001f.seg", Bytes: 4096, First: 5, Last: 9, Records: 4, Stands: 2, Ended: true}},
-		Live:     3, Torn: 17,
-		Damage:   []Damage{{File: "000000000000001f.seg", From: 100, To: 250, First: 5, Last: 7, Why: "unreadable, and was durable"}},
-		Leftover: []string{"0000000000000020.tmp"}, InUse: true,
+		Segments:    []Segment{{File: "000000000000001f.seg", Bytes: 4096, FirstSeq: 5, LastSeq: 9, Records: 4, Replaces: 2, Sealed: true}},
+		LiveRecords: 3, TornBytes: 17,
+		Damage:    []Damage{{File: "000000000000001f.seg", From: 100, To: 250, FirstSeq: 5, LastSeq: 7, Reason: "unreadable, and was durable"}},
+		Leftovers: []string{"0000000000000020.tmp"}, InUse: true,
 	}
 	text, err := json.MarshalIndent(want, "", "  ")
 	if err != nil {
@@ -132,8 +132,8 @@
 	t.Helper()
 	dir := t.TempDir()
 	// The identity of a store is random; one that is there already is kept.
-	first := header{store: 0x0102030405060709, id: 1, first: 1, stamp: goldenStamp, now: 1_800_000_000_000}
-	if err := os.WriteFile(filepath.Join(dir, segName(1)), first.encode(), 0o600); err != nil {
+	first := header{storeID: 0x0102030405060709, id: 1, firstSeq: 1, timestamp: goldenStamp, storeTime: 1_800_000_000_000}
+	if err := os.WriteFile(filepath.Join(dir, segmentName(1)), first.encode(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, err := Open(Dir(dir), Options{Clock: goldenClock})
@@ -150,7 +150,7 @@
 	b.Put([]byte("a"), []byte("3"), time.Hour)
 	b.Delete([]byte("b"))
 	b.Put([]byte("c"), []byte("4"), 0)
-	if err := s.Do(b); err != nil {
+	if err := s.ApplyAndWait(b); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -207,16 +207,16 @@
 func checkLook(t *testing.T, name string, dir Dir) {
 	t.Helper()
 	var text bytes.Buffer
-	report, err := Look(dir, goldenClock, func(r Record) error {
-		fmt.Fprintf(&text, "%d %s=%s %s %v\n", r.Seq, r.Key, r.Value, r.File, r.Left)
+	report, err := Inspect(dir, goldenClock, func(r Record) error {
+		fmt.Fprintf(&text, "%d %s=%s %s %v\n", r.Seq, r.Key, r.Value, r.File, r.TimeLeft)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&text, "%d live, %d torn, damage %v, leftover %v, in use %v\n", report.Live, report.Torn, report.Damage, report.Leftover, report.InUse)
+	fmt.Fprintf(&text, "%d live, %d torn, damage %v, leftover %v, in use %v\n", report.LiveRecords, report.TornBytes, report.Damage, report.Leftovers, report.InUse)
 	for _, seg := range report.Segments {
-		fmt.Fprintln(&text, seg.File, seg.Bytes, seg.First, seg.Last, seg.Records, seg.Stands, seg.Ended)
+		fmt.Fprintln(&text, seg.File, seg.Bytes, seg.FirstSeq, seg.LastSeq, seg.Records, seg.Replaces, seg.Sealed)
 	}
 	golden.Text(t, name+"/look.txt", text.Bytes())
 }
@@ -228,7 +228,7 @@
 		t.Fatal(err)
 	}
 	got := map[string]string{}
-	if err := s.All(func(key, value []byte, left time.Duration) bool {
+	if err := s.Range(func(key, value []byte, left time.Duration) bool {
 		got[string(key)] = string(value)
 		if string(key) == "a" && left != time.Hour {
 			t.Errorf("a stays for %v", left)
--- a/internal/files/store/inspect.go
+++ b/internal/files/store/inspect.go
@@ -9,23 +9,23 @@
 
 // Segment is what a file of a store holds.
 type Segment struct {
-	File    string `json:"File"`
-	Bytes   int64  `json:"Bytes"`
-	First   uint64 `json:"First"` // sequence number that it begins with
-	Last    uint64 `json:"Last"`  // of its last record; 0 for none
-	Records uint64 `json:"Records"`
-	Stands  int    `json:"Stands"` // segments that it stands for
-	Ended   bool   `json:"Ended"`  // nothing is added to it any more
+	File     string `json:"File"`
+	Bytes    int64  `json:"Bytes"`
+	FirstSeq uint64 `json:"First"` // sequence number that it begins with
+	LastSeq  uint64 `json:"Last"`  // of its last record; 0 for none
+	Records  uint64 `json:"Records"`
+	Replaces int    `json:"Stands"` // segments that it stands for
+	Sealed   bool   `json:"Ended"`  // nothing is added to it any more
 }
 
 // Report is what a look at a store finds.
 type Report struct {
-	Segments []Segment `json:"Segments"`
-	Live     int       `json:"Live"` // records that are the latest of their key and have not expired
-	Torn     int64     `json:"Torn"` // bytes of an append that was cut, or is under way
-	Damage   []Damage  `json:"Damage"`
-	Leftover []string  `json:"Leftover"` // files that the next start removes
-	InUse    bool      `json:"InUse"`    // some process has it open
+	Segments    []Segment `json:"Segments"`
+	LiveRecords int       `json:"Live"` // records that are the latest of their key and have not expired
+	TornBytes   int64     `json:"Torn"` // bytes of an append that was cut, or is under way
+	Damage      []Damage  `json:"Damage"`
+	Leftovers   []string  `json:"Leftover"` // files that the next start removes
+	InUse       bool      `json:"InUse"`    // some process has it open
 }
 
 // Record is one of a store, as it is on the disk.
@@ -33,18 +33,18 @@
 	Key, Value []byte
 	Seq        uint64
 	File       string
-	Left       time.Duration // negative for one that stays
+	TimeLeft   time.Duration // negative for one that stays
 }
 
-// Look reads a store without changing anything or locking it, beside a process that uses it or not. With each, that
+// Inspect reads a store without changing anything or locking it, beside a process that uses it or not. With each, that
 // is called with its live records in the order in which they were written.
-func Look(dir FS, clock Clock, each func(Record) error) (*Report, error) {
+func Inspect(dir FS, clock Clock, each func(Record) error) (*Report, error) {
 	if clock == nil {
 		clock = SystemClock()
 	}
 	// A compaction may remove files meanwhile: then it is read again.
 	for tries := 0; ; tries++ {
-		report, err := inspect(dir, clock, each)
+		report, err := inspectOnce(dir, clock, each)
 		if errors.Is(err, fs.ErrNotExist) && tries < 10 {
 			continue
 		}
@@ -52,16 +52,16 @@
 	}
 }
 
-func inspect(dir FS, clock Clock, each func(Record) error) (*Report, error) {
-	f, err := look(dir)
+func inspectOnce(dir FS, clock Clock, each func(Record) error) (*Report, error) {
+	f, err := readLog(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	if f.store == 0 && len(f.order) == 0 {
+	if f.storeID == 0 && len(f.segments) == 0 {
 		return nil, errors.New("there is no store here")
 	}
-	r := &Report{Damage: f.damage, Torn: f.torn, Leftover: f.leftovers}
+	r := &Report{Damage: f.damage, TornBytes: f.tornBytes, Leftovers: f.leftovers}
 	if r.InUse, err = dir.Locked(); err != nil {
 		return nil, err
 	}
@@ -73,9 +73,9 @@
 		size    int
 	}
 	index := map[string]latest{}
-	now := timeAt(f.now, f.stamp, clock())
-	for i, seg := range f.order {
-		got, err := f.scan(i, func(x frame, at int) {
+	now := storeTimeAt(f.storeTime, f.timestamp, clock())
+	for i, seg := range f.segments {
+		got, err := f.scanSegment(i, func(x frame, at int) {
 			key := string(x.key)
 			if old, ok := index[key]; ok && old.seq > x.seq {
 				return
@@ -84,27 +84,27 @@
 				delete(index, key)
 				return
 			}
-			index[key] = latest{x.seq, x.expires, i, at, x.size}
+			index[key] = latest{x.seq, x.expiresAt, i, at, x.size}
 		})
 		if err != nil {
 			return nil, err
 		}
-		now = max(now, got.now)
+		now = max(now, got.storeTime)
 		r.Damage = append(r.Damage, got.damage...)
-		r.Torn += got.torn
-		r.Segments = append(r.Segments, Segment{seg.name, seg.size, seg.first, got.last, got.records, len(seg.replaces), got.sealed})
+		r.TornBytes += got.tornBytes
+		r.Segments = append(r.Segments, Segment{seg.name, seg.size, seg.firstSeq, got.lastSeq, got.records, len(seg.replaces), got.sealed})
 	}
 	for key, x := range index {
 		if x.expires <= now {
 			delete(index, key)
 		}
 	}
-	r.Live = len(index)
+	r.LiveRecords = len(index)
 	if each == nil {
 		return r, nil
 	}
-	for i, seg := range f.order {
-		data, err := whole(seg.file, seg.size)
+	for i, seg := range f.segments {
+		data, err := readUpTo(seg.file, seg.size)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", seg.name, err)
 		}
@@ -116,8 +116,8 @@
 			}
 			if l, live := index[string(x.key)]; live && x.kind == kindPut && l.seg == i && l.at == at {
 				left := time.Duration(-1)
-				if x.expires != never {
-					left = time.Duration(x.expires-now) * time.Millisecond
+				if x.expiresAt != never {
+					left = time.Duration(x.expiresAt-now) * time.Millisecond
 				}
 				if err := each(Record{x.key, x.value, x.seq, seg.name, left}); err != nil {
 					return nil, err
--- a/internal/files/store/recover.go
+++ b/internal/files/store/recover.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// whole reads a file of a segment. Segments are bounded, and one is in memory at a time.
-func whole(f Reader, size int64) ([]byte, error) {
+// readUpTo reads a file of a segment. Segments are bounded, and one is in memory at a time.
+func readUpTo(f Reader, size int64) ([]byte, error) {
 	b := make([]byte, size)
 	n, err := io.ReadFull(io.NewSectionReader(f, 0, size), b)
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
@@ -18,46 +18,46 @@
 	return b[:n], err
 }
 
-// found is the log as a directory holds it.
-type found struct {
-	order      []*segment // the oldest first
-	leftovers  []string   // files that nothing rests on: not finished, or replaced by others
-	torn       int64      // bytes of headers that were cut
-	damage     []Damage
-	voids      []void
-	durable    uint64 // all up to this one were durable at some time
-	store      uint64
-	lastID     uint64
-	stamp      Stamp // of the newest header,
-	now        int64 // and the time of the store then
-	unreadable bool  // some header is damaged: what it would say of others is not known
+// diskLog is the log as a directory holds it.
+type diskLog struct {
+	segments      []*segment // the oldest first
+	leftovers     []string   // files that nothing rests on: not finished, or replaced by others
+	tornBytes     int64      // bytes of headers that were cut
+	damage        []Damage
+	failedRanges  []seqRange
+	durableSeq    uint64 // all up to this one were durable at some time
+	storeID       uint64
+	lastID        uint64
+	timestamp     Timestamp // of the newest header,
+	storeTime     int64     // and the time of the store then
+	headerDamaged bool      // some header is damaged: what it would say of others is not known
 }
 
-// look reads the headers in a directory, and closes all files after an error.
-func look(dir FS) (*found, error) {
-	ids, unfinished, err := segments(dir)
+// readLog reads the headers in a directory, and closes all files after an error.
+func readLog(dir FS) (*diskLog, error) {
+	ids, unfinished, err := listSegments(dir)
 	if err != nil {
 		return nil, err
 	}
-	f := &found{leftovers: unfinished}
+	f := &diskLog{leftovers: unfinished}
 	for _, id := range ids {
-		seg, err := f.open(dir, id)
+		seg, err := f.openSegment(dir, id)
 		if err != nil {
 			f.close()
 			return nil, err
 		}
 		f.lastID = id
 		if seg != nil {
-			f.order = append(f.order, seg)
+			f.segments = append(f.segments, seg)
 		}
 	}
 	replaced := map[uint64]bool{}
-	for _, seg := range f.order {
+	for _, seg := range f.segments {
 		for _, id := range seg.replaces {
 			replaced[id] = true
 		}
 	}
-	f.order = slices.DeleteFunc(f.order, func(seg *segment) bool {
+	f.segments = slices.DeleteFunc(f.segments, func(seg *segment) bool {
 		if replaced[seg.id] {
 			f.leftovers = append(f.leftovers, seg.name)
 			seg.file.Close()
@@ -65,20 +65,20 @@
 		}
 		return false
 	})
-	slices.SortFunc(f.order, func(a, b *segment) int { return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(a.id, b.id)) })
-	f.chain(replaced)
+	slices.SortFunc(f.segments, func(a, b *segment) int { return cmp.Or(cmp.Compare(a.firstSeq, b.firstSeq), cmp.Compare(a.id, b.id)) })
+	f.checkChain(replaced)
 	return f, nil
 }
 
-func (f *found) close() {
-	for _, seg := range f.order {
+func (f *diskLog) close() {
+	for _, seg := range f.segments {
 		seg.file.Close()
 	}
 }
 
-// open reads the header of a segment; nil where the file was cut before it had one.
-func (f *found) open(dir FS, id uint64) (*segment, error) {
-	name := segName(id)
+// openSegment reads the header of a segment; nil where the file was cut before it had one.
+func (f *diskLog) openSegment(dir FS, id uint64) (*segment, error) {
+	name := segmentName(id)
 	file, err := dir.Open(name)
 	if err != nil {
 		return nil, err
@@ -92,160 +92,160 @@
 		file.Close()
 		return nil, fmt.Errorf("%s: has %d bytes, and no segment has so many", name, size)
 	}
-	head, err := whole(file, min(size, headerFixed+8*mostReplaced))
+	head, err := readUpTo(file, min(size, minHeaderBytes+8*maxReplaced))
 	if err != nil {
 		file.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	h, err := decodeHeader(name, head)
-	var newer *NewerError
+	var newer *NewerVersionError
 	if errors.As(err, &newer) {
 		file.Close()
 		return nil, err
 	}
 	seg := &segment{header: h, name: name, file: file, size: size}
 	if err == nil {
-		if f.store == 0 {
-			f.store = h.store
+		if f.storeID == 0 {
+			f.storeID = h.storeID
 		}
-		if h.store != f.store || h.id != id {
+		if h.storeID != f.storeID || h.id != id {
 			file.Close()
 			return nil, fmt.Errorf("%s: is a segment of another store, or was renamed; move it away", name)
 		}
-		if h.now >= f.now {
-			f.now, f.stamp = h.now, h.stamp
+		if h.storeTime >= f.storeTime {
+			f.storeTime, f.timestamp = h.storeTime, h.timestamp
 		}
-		f.durable = max(f.durable, h.synced)
-		if h.void[1] > h.void[0] {
-			f.voids = append(f.voids, h.void)
+		f.durableSeq = max(f.durableSeq, h.durableSeq)
+		if h.failedSeqs[1] > h.failedSeqs[0] {
+			f.failedRanges = append(f.failedRanges, h.failedSeqs)
 		}
 		return seg, nil
 	}
 	// Its header is damaged, or was never written whole. Where a record follows, it was.
-	data, err := whole(file, size)
+	data, err := readUpTo(file, size)
 	if err != nil {
 		file.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	all := spans(data, 0, 0)
+	all := findFrameRuns(data, 0, 0)
 	if len(all) == 0 {
-		f.torn += size
+		f.tornBytes += size
 		f.leftovers = append(f.leftovers, name)
 		file.Close()
 		return nil, nil
 	}
-	f.unreadable = true
-	f.damage = append(f.damage, Damage{File: name, To: int64(all[0].from), Why: "the header is damaged; records behind it were found"})
-	seg.header = header{id: id, first: max(all[0].first, 1)}
+	f.headerDamaged = true
+	f.damage = append(f.damage, Damage{File: name, To: int64(all[0].from), Reason: "the header is damaged; records behind it were found"})
+	seg.header = header{id: id, firstSeq: max(all[0].firstSeq, 1)}
 	seg.damaged = true
 	for _, s := range all {
-		f.durable = max(f.durable, s.synced)
+		f.durableSeq = max(f.durableSeq, s.durableSeq)
 	}
 	return seg, nil
 }
 
-// chain reports segments that are missing: each but the oldest names the one before it.
-func (f *found) chain(replaced map[uint64]bool) {
+// checkChain reports segments that are missing: each but the oldest names the one before it.
+func (f *diskLog) checkChain(replaced map[uint64]bool) {
 	there := map[uint64]bool{}
-	for _, seg := range f.order {
+	for _, seg := range f.segments {
 		there[seg.id] = true
 	}
-	for i, seg := range f.order {
-		if i > 0 && seg.prev != 0 && !there[seg.prev] && !replaced[seg.prev] && !f.unreadable {
-			f.damage = append(f.damage, Damage{File: segName(seg.prev), Why: "the file is missing"})
+	for i, seg := range f.segments {
+		if i > 0 && seg.previousID != 0 && !there[seg.previousID] && !replaced[seg.previousID] && !f.headerDamaged {
+			f.damage = append(f.damage, Damage{File: segmentName(seg.previousID), Reason: "the file is missing"})
 		}
 	}
 }
 
-// limit is the number before which the records of a segment end; 0 for the last one.
-func (f *found) limit(i int) uint64 {
-	if i+1 >= len(f.order) {
+// seqLimit is the number before which the records of a segment end; 0 for the last one.
+func (f *diskLog) seqLimit(i int) uint64 {
+	if i+1 >= len(f.segments) {
 		return 0
 	}
-	next := f.order[i+1]
-	if v := next.void; v[1] > v[0] && v[1] == next.first {
+	next := f.segments[i+1]
+	if v := next.failedSeqs; v[1] > v[0] && v[1] == next.firstSeq {
 		return v[0] // those that failed were never acknowledged
 	}
-	return next.first
+	return next.firstSeq
 }
 
-// footer reads the last frame of a segment; false where it is not sealed.
-func footer(seg *segment) (f frame, ok bool) {
-	if seg.size < int64(seg.header.size()+sealSize) {
+// readSeal reads the last frame of a segment; false where it is not sealed.
+func readSeal(seg *segment) (f frame, ok bool) {
+	if seg.size < int64(seg.header.size()+sealBytes) {
 		return f, false
 	}
-	b := make([]byte, sealSize)
-	if _, err := io.ReadFull(io.NewSectionReader(seg.file, seg.size-sealSize, sealSize), b); err != nil {
+	b := make([]byte, sealBytes)
+	if _, err := io.ReadFull(io.NewSectionReader(seg.file, seg.size-sealBytes, sealBytes), b); err != nil {
 		return f, false
 	}
 	f, ok = decodeFrame(b)
 	return f, ok && f.kind == kindSeal
 }
 
-// scan reads a segment whole.
-func (f *found) scan(i int, emit func(x frame, at int)) (scanned, error) {
-	seg := f.order[i]
-	data, err := whole(seg.file, seg.size)
+// scanSegment reads a segment whole.
+func (f *diskLog) scanSegment(i int, emit func(x frame, at int)) (scanResult, error) {
+	seg := f.segments[i]
+	data, err := readUpTo(seg.file, seg.size)
 	if err != nil {
-		return scanned{}, fmt.Errorf("%s: %w", seg.name, err)
+		return scanResult{}, fmt.Errorf("%s: %w", seg.name, err)
 	}
-	s := scan(seg.name, data, seg.header, f.durable, f.limit(i), f.voids, emit)
-	if s.sealed && s.seal.count != s.records && len(s.damage) == 0 {
-		s.damage = append(s.damage, Damage{File: seg.name, To: seg.size, Why: fmt.Sprintf("has %d records, and was ended with %d", s.records, s.seal.count)})
+	s := scan(seg.name, data, seg.header, f.durableSeq, f.seqLimit(i), f.failedRanges, emit)
+	if s.sealed && s.seal.records != s.records && len(s.damage) == 0 {
+		s.damage = append(s.damage, Damage{File: seg.name, To: seg.size, Reason: fmt.Sprintf("has %d records, and was ended with %d", s.records, s.seal.records)})
 	}
 	return s, nil
 }
 
-// timeAt is the time of the store at a stamp, if it was now when the stamp last was. In one run of the machine its
+// storeTimeAt is the time of the store at a stamp, if it was now when the stamp last was. In one run of the machine its
 // up time counts; after a start the wall clock does, unless it was set back.
-func timeAt(now int64, last, at Stamp) int64 {
-	if last.Boot != 0 && last.Boot == at.Boot && at.Up >= last.Up {
-		return now + at.Up - last.Up
+func storeTimeAt(now int64, last, at Timestamp) int64 {
+	if last.BootID != 0 && last.BootID == at.BootID && at.UptimeMillis >= last.UptimeMillis {
+		return now + at.UptimeMillis - last.UptimeMillis
 	}
-	return max(now, at.Wall)
+	return max(now, at.WallMillis)
 }
 
-// recover reads what is there.
-func (s *Store) recover() error {
-	f, err := look(s.fs)
+// recoverLog reads what is there.
+func (s *Store) recoverLog() error {
+	f, err := readLog(s.fs)
 	if err != nil {
 		return err
 	}
-	s.order = f.order
-	s.health.Damage, s.health.Torn = f.damage, f.torn
-	stamp := s.set.Clock()
-	s.base, s.start = timeAt(f.now, f.stamp, stamp), stamp.Up
-	s.store, s.nextID = cmp.Or(f.store, storeID()), f.lastID+1
-	s.synced = f.durable
+	s.segments = f.segments
+	s.health.Damage, s.health.TornBytes = f.damage, f.tornBytes
+	stamp := s.options.Clock()
+	s.baseTime, s.baseUptime = storeTimeAt(f.storeTime, f.timestamp, stamp), stamp.UptimeMillis
+	s.storeID, s.nextID = cmp.Or(f.storeID, newStoreID()), f.lastID+1
+	s.durableSeq = f.durableSeq
 	most := uint64(0)
-	for _, seg := range f.order {
-		if end, ok := footer(seg); ok && end.expires > s.now() {
-			most += end.count
+	for _, seg := range f.segments {
+		if end, ok := readSeal(seg); ok && end.expiresAt > s.storeTime() {
+			most += end.records
 		}
 	}
 	// Room for them at once: an index that grows to its size moves all that it has again and again.
-	s.index = make(map[string]place, min(most, uint64(s.set.MostRecords)))
-	for i, seg := range f.order {
+	s.index = make(map[string]location, min(most, uint64(s.options.MaxRecords)))
+	for i, seg := range f.segments {
 		// A segment of which all has expired, and all that it took the place of, need not be read.
-		if end, ok := footer(seg); ok && max(end.expires, end.shadow) <= s.now() {
-			seg.sealed, seg.unread, seg.records, seg.last = true, true, end.count, end.seq
-			seg.expires, seg.shadow = end.expires, end.shadow
-			s.synced = max(s.synced, seg.last)
+		if end, ok := readSeal(seg); ok && max(end.expiresAt, end.shadowedUntil) <= s.storeTime() {
+			seg.sealed, seg.skipped, seg.records, seg.lastSeq = true, true, end.records, end.seq
+			seg.expiresAt, seg.shadowedUntil = end.expiresAt, end.shadowedUntil
+			s.durableSeq = max(s.durableSeq, seg.lastSeq)
 			continue
 		}
-		got, err := f.scan(i, func(x frame, at int) { s.take(seg, &x, uint32(at), uint32(x.size)) })
+		got, err := f.scanSegment(i, func(x frame, at int) { s.indexRecord(seg, &x, uint32(at), uint32(x.size)) })
 		if err != nil {
 			return err
 		}
 		// A group's time is later than its header's, and counts where the clock was set back after a start.
-		if behind := got.now - s.now(); behind > 0 {
-			s.base += behind
+		if behind := got.storeTime - s.storeTime(); behind > 0 {
+			s.baseTime += behind
 		}
-		seg.last, seg.sealed = got.last, got.sealed
+		seg.lastSeq, seg.sealed = got.lastSeq, got.sealed
 		s.health.Damage = append(s.health.Damage, got.damage...)
 		seg.damaged = seg.damaged || len(got.damage) > 0
-		s.health.Torn += got.torn
-		s.synced = max(s.synced, got.last)
+		s.health.TornBytes += got.tornBytes
+		s.durableSeq = max(s.durableSeq, got.lastSeq)
 		if !got.sealed {
 			// What is believed from here on must not go with the power: it may never have been synced.
 			if err := seg.file.Sync(); err != nil {
@@ -253,13 +253,13 @@
 			}
 		}
 	}
-	for _, v := range f.voids {
-		s.synced = max(s.synced, v[1]-1)
+	for _, v := range f.failedRanges {
+		s.durableSeq = max(s.durableSeq, v[1]-1)
 	}
-	s.next = s.synced + 1
-	if n := len(s.order); n > 0 {
-		s.current = s.order[n-1]
-		s.next = max(s.next, s.current.first)
+	s.nextSeq = s.durableSeq + 1
+	if n := len(s.segments); n > 0 {
+		s.currentSegment = s.segments[n-1]
+		s.nextSeq = max(s.nextSeq, s.currentSegment.firstSeq)
 	}
 	for _, name := range f.leftovers {
 		if err := s.fs.Remove(name); err != nil {
@@ -271,7 +271,7 @@
 			return err
 		}
 	}
-	s.expire()
-	s.drop()
+	s.dropExpired()
+	s.dropDeadSegments()
 	return nil
 }
--- a/internal/files/store/scan.go
+++ b/internal/files/store/scan.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-var errNoHeader = errors.New("no header")
+var errHeaderUnreadable = errors.New("no header")
 
 // Damage is a place where what was durable cannot be read, with what of it is known to be lost.
 type Damage struct {
-	File  string `json:"File"`
-	From  int64  `json:"From"`  // bytes that cannot be read
-	To    int64  `json:"To"`    // the first byte behind them
-	First uint64 `json:"First"` // sequence numbers of the records that may have stood there; both 0 where that is not known
-	Last  uint64 `json:"Last"`
-	Why   string `json:"Why"`
+	File     string `json:"File"`
+	From     int64  `json:"From"`  // bytes that cannot be read
+	To       int64  `json:"To"`    // the first byte behind them
+	FirstSeq uint64 `json:"First"` // sequence numbers of the records that may have stood there; both 0 where that is not known
+	LastSeq  uint64 `json:"Last"`
+	Reason   string `json:"Why"`
 }
 
 func (d Damage) String() string {
-	text := fmt.Sprintf("%s: bytes %d to %d: %s", d.File, d.From, d.To, d.Why)
-	if d.Last > 0 {
-		text += fmt.Sprintf("; records %d to %d", d.First, d.Last)
+	text := fmt.Sprintf("%s: bytes %d to %d: %s", d.File, d.From, d.To, d.Reason)
+	if d.LastSeq > 0 {
+		text += fmt.Sprintf("; records %d to %d", d.FirstSeq, d.LastSeq)
 	}
 	return text
 }
 
-// span is a run of sound frames in a segment.
-type span struct {
-	from, to    int
-	first, last uint64 // sequence numbers of its records; 0 where it has none
-	synced      uint64 // the highest of its groups
-	sealed      bool
+// frameRun is a run of sound frames in a segment.
+type frameRun struct {
+	from, to          int
+	firstSeq, lastSeq uint64 // sequence numbers of its records; 0 where it has none
+	durableSeq        uint64 // the highest of its groups
+	sealed            bool
 }
 
-// void are the numbers from the first on and before the second: of records whose write failed, and which may stand
+// seqRange are the numbers from the first on and before the second: of records whose write failed, and which may stand
 // in a file all the same.
-type void [2]uint64
+type seqRange [2]uint64
 
-// spans finds the runs of sound frames in what follows a segment's header. Behind damage it looks at each byte
+// findFrameRuns finds the runs of sound frames in what follows a segment's header. Behind damage it looks at each byte
 // for the next one: a length that was hit says nothing of where that is. A frame only counts there if its number
 // could stand there, so that a value that holds frames, as a copy of a store's file does, is hardly taken for some.
-func spans(data []byte, at int, first uint64) (all []span) {
+func findFrameRuns(data []byte, at int, first uint64) (all []frameRun) {
 	const furthest = 1 << 32 // records that one damage can have swallowed
 	last := first - 1        // of the records seen; first may be 0 where it is not known
-	s := span{from: at, to: at}
+	s := frameRun{from: at, to: at}
 	for at < len(data) {
 		f, ok := decodeFrame(data[at:])
 		record := f.kind == kindPut || f.kind == kindDelete // a mark stands between two numbers
@@ -56,22 +56,22 @@
 				all = append(all, s)
 			}
 			at++
-			s = span{from: at, to: at}
+			s = frameRun{from: at, to: at}
 			continue
 		}
 		at += f.size
 		s.to = at
 		switch f.kind {
 		case kindGroup:
-			s.synced = max(s.synced, f.synced)
+			s.durableSeq = max(s.durableSeq, f.durableSeq)
 		case kindSeal:
 			s.sealed = true
 		default:
 			last = f.seq
-			if s.first == 0 {
-				s.first = f.seq
+			if s.firstSeq == 0 {
+				s.firstSeq = f.seq
 			}
-			s.last = f.seq
+			s.lastSeq = f.seq
 		}
 	}
 	if s.to > s.from {
@@ -80,28 +80,28 @@
 	return all
 }
 
-// scanned is what was found in a segment.
-type scanned struct {
-	last    uint64 // record; 0 for none
-	records uint64
-	sealed  bool
-	expires int64 // the latest of its records
-	seal    frame
-	now     int64
-	torn    int64 // bytes at the end of an append that was cut, or of damage to the last one
-	damage  []Damage
+// scanResult is what was found in a segment.
+type scanResult struct {
+	lastSeq   uint64 // record; 0 for none
+	records   uint64
+	sealed    bool
+	expiresAt int64 // the latest of its records
+	seal      frame
+	storeTime int64
+	tornBytes int64 // bytes at the end of an append that was cut, or of damage to the last one
+	damage    []Damage
 }
 
-// scan hands the records of a segment to emit, with the places of their frames. durable is the highest number
+// scanSegment hands the records of a segment to emit, with the places of their frames. durable is the highest number
 // that is known from elsewhere to have been durable, and before the one that the next segment begins with (0 where
 // there is none): what is missing up to there is lost, while what is missing beyond it was never acknowledged.
 // Nothing is believed behind such a gap, for writes that were not synced may have come out in any order. Of a
 // batch all records are handed over or none, and none that was said to have failed.
-func scan(file string, data []byte, h header, durable, before uint64, voids []void, emit func(f frame, at int)) (s scanned) {
-	all := spans(data, h.size(), h.first)
+func scan(file string, data []byte, h header, durable, before uint64, voids []seqRange, emit func(f frame, at int)) (s scanResult) {
+	all := findFrameRuns(data, h.size(), h.firstSeq)
 	known := durable
 	for _, p := range all {
-		known = max(known, p.synced)
+		known = max(known, p.durableSeq)
 	}
 	if before > 0 {
 		known = min(known, before-1)
@@ -113,21 +113,21 @@
 	}
 	var batch []held
 	end := h.size()
-	s.last = max(h.first, 1) - 1
-	base := s.last
+	s.lastSeq = max(h.firstSeq, 1) - 1
+	base := s.lastSeq
 	// lose names what is missing up to a place; false where it was never acknowledged.
 	lose := func(to int, next uint64) bool {
-		if !rewritten && known <= s.last {
+		if !rewritten && known <= s.lastSeq {
 			return false
 		}
-		d := Damage{File: file, From: int64(end), To: int64(to), Why: "unreadable, and was durable"}
+		d := Damage{File: file, From: int64(end), To: int64(to), Reason: "unreadable, and was durable"}
 		if !rewritten {
-			d.First, d.Last = s.last+1, known
+			d.FirstSeq, d.LastSeq = s.lastSeq+1, known
 			if next > 0 {
-				d.Last = min(known, next-1)
+				d.LastSeq = min(known, next-1)
 			}
-			if d.Last < d.First {
-				d.First, d.Last = 0, 0 // a group's mark alone, or half a batch
+			if d.LastSeq < d.FirstSeq {
+				d.FirstSeq, d.LastSeq = 0, 0 // a group's mark alone, or half a batch
 			}
 		}
 		s.damage = append(s.damage, d)
@@ -136,7 +136,7 @@
 	for _, p := range all {
 		if p.from > end {
 			batch = nil
-			if !lose(p.from, p.first) {
+			if !lose(p.from, p.firstSeq) {
 				break
 			}
 		}
@@ -144,18 +144,18 @@
 			f, _ := decodeFrame(data[at:])
 			switch f.kind {
 			case kindGroup:
-				s.now = max(s.now, f.now)
+				s.storeTime = max(s.storeTime, f.storeTime)
 			case kindSeal:
 				s.sealed, s.seal = true, f
 			default:
-				s.last = f.seq
+				s.lastSeq = f.seq
 				batch = append(batch, held{f, at})
-				if !f.batch {
+				if !f.moreInBatch {
 					for _, x := range batch {
-						if !slices.ContainsFunc(voids, func(v void) bool { return v[0] <= x.seq && x.seq < v[1] }) {
+						if !slices.ContainsFunc(voids, func(v seqRange) bool { return v[0] <= x.seq && x.seq < v[1] }) {
 							s.records++
 							if x.kind == kindPut {
-								s.expires = max(s.expires, x.expires)
+								s.expiresAt = max(s.expiresAt, x.expiresAt)
 							}
 							emit(x.frame, x.at)
 						}
@@ -167,15 +167,15 @@
 		}
 		end = p.to
 	}
-	if end < len(data) && !lose(len(data), before) || end == len(data) && !s.sealed && (rewritten || known > s.last) {
+	if end < len(data) && !lose(len(data), before) || end == len(data) && !s.sealed && (rewritten || known > s.lastSeq) {
 		if end == len(data) {
 			lose(end, before)
 		} else {
-			s.torn = int64(len(data) - end)
+			s.tornBytes = int64(len(data) - end)
 		}
 	}
-	if s.last == base {
-		s.last = 0
+	if s.lastSeq == base {
+		s.lastSeq = 0
 	}
 	return s
 }
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -22,22 +22,22 @@
 
 // Options bound a store. The zero value of each means its default.
 type Options struct {
-	SegmentBytes int64         // a segment is ended from this size on; 4 MiB
-	MostBytes    int64         // that live records may have on the disk; files together stay below twice this and three segments; 64 MiB
-	MostRecords  int           // live ones, which the index holds in memory; 1 million
-	MostPending  int64         // bytes that may wait for the disk; 4 MiB
-	RetryFirst   time.Duration // pause after the disk has failed, doubled each time; 100 ms
-	RetryLast    time.Duration // the longest; 5 s
-	Clock        Clock         // the machine's
+	SegmentBytes    int64         // a segment is ended from this size on; 4 MiB
+	MaxBytes        int64         // that live records may have on the disk; files together stay below twice this and three segments; 64 MiB
+	MaxRecords      int           // live ones, which the index holds in memory; 1 million
+	MaxPendingBytes int64         // bytes that may wait for the disk; 4 MiB
+	MinBackoff      time.Duration // pause after the disk has failed, doubled each time; 100 ms
+	MaxBackoff      time.Duration // the longest; 5 s
+	Clock           Clock         // the machine's
 }
 
 func (o Options) withDefaults() Options {
 	o.SegmentBytes = cmp.Or(o.SegmentBytes, 4<<20)
-	o.MostBytes = cmp.Or(o.MostBytes, 64<<20)
-	o.MostRecords = cmp.Or(o.MostRecords, 1<<20)
-	o.MostPending = cmp.Or(o.MostPending, 4<<20)
-	o.RetryFirst = cmp.Or(o.RetryFirst, 100*time.Millisecond)
-	o.RetryLast = cmp.Or(o.RetryLast, 5*time.Second)
+	o.MaxBytes = cmp.Or(o.MaxBytes, 64<<20)
+	o.MaxRecords = cmp.Or(o.MaxRecords, 1<<20)
+	o.MaxPendingBytes = cmp.Or(o.MaxPendingBytes, 4<<20)
+	o.MinBackoff = cmp.Or(o.MinBackoff, 100*time.Millisecond)
+	o.MaxBackoff = cmp.Or(o.MaxBackoff, 5*time.Second)
 	if o.Clock == nil {
 		o.Clock = SystemClock()
 	}
@@ -46,124 +46,124 @@
 
 // What a write can fail with, beside the disk's own errors.
 var (
-	ErrClosed = errors.New("the store is closed")
-	ErrFull   = errors.New("the store holds as much as it may")
-	ErrBusy   = errors.New("the disk does not keep up: too much waits for it")
-	ErrBounds = fmt.Errorf("a key has 1 to %d bytes, a value up to %d", MostKey, MostValue)
+	ErrClosed     = errors.New("the store is closed")
+	ErrFull       = errors.New("the store holds as much as it may")
+	ErrBusy       = errors.New("the disk does not keep up: too much waits for it")
+	ErrRecordSize = fmt.Errorf("a key has 1 to %d bytes, a value up to %d", MaxKeyBytes, MaxValueBytes)
 )
 
 // Batch is a number of records that become durable together or not at all.
 type Batch struct {
-	records []frame
-	size    int64
-	idle    time.Duration
+	records  []frame
+	size     int64
+	maxDelay time.Duration
 }
 
-// Idle says that nobody waits for the batch: it goes to the disk with the next one that somebody does wait for, and
+// SetMaxDelay says that nobody waits for the batch: it goes to the disk with the next one that somebody does wait for, and
 // needs no sync of its own unless none comes for so long. What is lost with the power meanwhile was not acknowledged.
-func (b *Batch) Idle(most time.Duration) { b.idle = most }
+func (b *Batch) SetMaxDelay(most time.Duration) { b.maxDelay = most }
 
 // Put adds a record that stays for a time; 0 for until it is deleted. Key and value must not change until the
 // batch has been applied.
 func (b *Batch) Put(key, value []byte, keep time.Duration) {
-	b.add(frame{kind: kindPut, key: key, value: value, expires: keep.Milliseconds()}, putFixed)
+	b.add(frame{kind: kindPut, key: key, value: value, expiresAt: keep.Milliseconds()}, minPutBytes)
 }
 
 // Delete adds that a record goes.
-func (b *Batch) Delete(key []byte) { b.add(frame{kind: kindDelete, key: key}, deleteFixed) }
+func (b *Batch) Delete(key []byte) { b.add(frame{kind: kindDelete, key: key}, minDeleteBytes) }
 
 func (b *Batch) add(f frame, fixed int) {
 	b.records = append(b.records, f)
 	b.size += int64(fixed + len(f.key) + len(f.value))
 }
 
-// waiting is a batch on its way to the disk.
-type waiting struct {
+// pendingBatch is a batch on its way to the disk.
+type pendingBatch struct {
 	Batch
 	done func(error)
 }
 
-// place is where the latest record of a key stands.
-type place struct {
-	seg     *segment
-	seq     uint64
-	expires int64
-	at      uint32
-	size    uint32
+// location is where the latest record of a key stands.
+type location struct {
+	segment   *segment
+	seq       uint64
+	expiresAt int64
+	offset    uint32
+	size      uint32
 }
 
 // segment is a file of the log.
 type segment struct {
 	header
-	name    string
-	file    Reader
-	size    int64
-	records uint64
-	last    uint64
-	expires int64 // when all of its records have expired,
-	shadow  int64 // and all that they have taken the place of in other segments
-	live    int64 // bytes of records that are the latest of their key
-	sealed  bool
-	unread  bool // all in it had expired at open, so that it was not read
-	damaged bool // something in it could not be read at open
+	name          string
+	file          Reader
+	size          int64
+	records       uint64
+	lastSeq       uint64
+	expiresAt     int64 // when all of its records have expired,
+	shadowedUntil int64 // and all that they have taken the place of in other segments
+	liveBytes     int64 // bytes of records that are the latest of their key
+	sealed        bool
+	skipped       bool // all in it had expired at open, so that it was not read
+	damaged       bool // something in it could not be read at open
 }
 
 // Store is an open store.
 type Store struct {
-	fs   FS
-	set  Options
-	lock io.Closer
-
-	mu       sync.RWMutex // guards what follows
-	index    map[string]place
-	live     int64      // bytes of the latest records of all keys
-	order    []*segment // the oldest first; the last one is written to, unless the disk has failed
-	expiring expiring
-	base     int64 // time of the store at start,
-	start    int64 // which was this much up time
-	health   Health
-	nextID   uint64 // of a segment
-
-	queueMu sync.Mutex // guards what follows
-	queue   []waiting
-	pending int64
-	closing bool
-	timed   bool          // it is woken soon, for batches that are idle
-	wake    chan struct{} // holds one
-	ended   chan struct{}
+	fs      FS
+	options Options
+	lock    io.Closer
+
+	mu          sync.RWMutex // guards what follows
+	index       map[string]location
+	liveBytes   int64      // bytes of the latest records of all keys
+	segments    []*segment // the oldest first; the last one is written to, unless the disk has failed
+	expirations expiryQueue
+	baseTime    int64 // time of the store at start,
+	baseUptime  int64 // which was this much up time
+	health      Health
+	nextID      uint64 // of a segment
+
+	queueMu       sync.Mutex // guards what follows
+	queue         []pendingBatch
+	pendingBytes  int64
+	closing       bool
+	timerSet      bool          // it is woken soon, for batches that are idle
+	wake          chan struct{} // holds one
+	committerDone chan struct{}
 
 	// Of the committer alone.
-	current *segment // the last one
-	active  File     // its file; nil where the disk has failed
-	store   uint64
-	next    uint64 // sequence number
-	synced  uint64 // all up to this one are durable
-	void    void
-	retryAt int64 // up time
-	pause   time.Duration
-	buffer  []byte
-	offsets []uint32
-
-	compactMu  sync.Mutex // held by whoever removes segments
-	discarded  []*segment // files that are to go; compactMu guards it
-	compacting sync.WaitGroup
-	compactAt  int64 // total of bytes from which on it is tried again
+	currentSegment *segment // the last one
+	activeFile     File     // its file; nil where the disk has failed
+	storeID        uint64
+	nextSeq        uint64 // sequence number
+	durableSeq     uint64 // all up to this one are durable
+	failedSeqs     seqRange
+	retryAt        int64 // up time
+	backoff        time.Duration
+	buffer         []byte
+	offsets        []uint32
+
+	compactMu        sync.Mutex // held by whoever removes segments
+	obsolete         []*segment // files that are to go; compactMu guards it
+	compacting       sync.WaitGroup
+	compactThreshold int64 // total of bytes from which on it is tried again
 }
 
 // Health is how a store's disk does.
 type Health struct {
-	Err      error // that the last write failed with; nil where it did not
-	Failures int   // of writes since the store was opened
-	Torn     int64 // bytes of an append that was cut, found at open
-	Damage   []Damage
+	Err       error // that the last write failed with; nil where it did not
+	Failures  int   // of writes since the store was opened
+	TornBytes int64 // bytes of an append that was cut, found at open
+	Damage    []Damage
 }
 
-// now is the time of the store: it never goes back, whatever the machine's clock is set to.
-func (s *Store) now() int64 { return s.base + s.set.Clock().Up - s.start }
+// storeTime is the time of the store: it never goes back, whatever the machine's clock is set to.
+func (s *Store) storeTime() int64 { return s.baseTime + s.options.Clock().UptimeMillis - s.baseUptime }
 
 // Open opens the store in a directory, and makes one where there is none. What cannot be read is named in
 // Health, and never stops what can from being served; a store that a later program wrote is refused as a whole
-// (NewerError), and nothing of it is changed.
+// (NewerVersionError), and nothing of it is changed.
 func Open(dir FS, set Options) (*Store, error) {
 	set = set.withDefaults()
 	lock, err := dir.Lock()
@@ -171,10 +171,10 @@
 		return nil, err
 	}
 	s := &Store{
-		fs: dir, set: set, lock: lock, index: map[string]place{}, wake: make(chan struct{}, 1),
-		ended: make(chan struct{}), pause: set.RetryFirst,
+		fs: dir, options: set, lock: lock, index: map[string]location{}, wake: make(chan struct{}, 1),
+		committerDone: make(chan struct{}), backoff: set.MinBackoff,
 	}
-	if err = s.recover(); err == nil {
+	if err = s.recoverLog(); err == nil {
 		if err = s.roll(); err != nil {
 			err = fmt.Errorf("no segment can be made: %w", err)
 		}
@@ -184,12 +184,12 @@
 		lock.Close()
 		return nil, err
 	}
-	go s.commits()
+	go s.commitLoop()
 	return s, nil
 }
 
 func (s *Store) closeFiles() {
-	for _, seg := range s.order {
+	for _, seg := range s.segments {
 		if seg.file != nil {
 			seg.file.Close()
 		}
@@ -207,8 +207,8 @@
 
 func (s *Store) enqueue(b Batch, done func(error)) error {
 	for i := range b.records {
-		if n := len(b.records[i].key); n == 0 || n > MostKey || len(b.records[i].value) > MostValue {
-			return ErrBounds
+		if n := len(b.records[i].key); n == 0 || n > MaxKeyBytes || len(b.records[i].value) > MaxValueBytes {
+			return ErrRecordSize
 		}
 	}
 	s.queueMu.Lock()
@@ -216,31 +216,31 @@
 	switch {
 	case s.closing:
 		return ErrClosed
-	case s.pending > 0 && s.pending+b.size > s.set.MostPending:
+	case s.pendingBytes > 0 && s.pendingBytes+b.size > s.options.MaxPendingBytes:
 		return ErrBusy
 	}
-	s.pending += b.size
-	s.queue = append(s.queue, waiting{b, done})
+	s.pendingBytes += b.size
+	s.queue = append(s.queue, pendingBatch{b, done})
 	switch {
-	case b.idle <= 0 || s.pending > s.set.MostPending/2:
-		s.rouse()
-	case !s.timed:
-		s.timed = true
-		time.AfterFunc(b.idle, s.rouse)
+	case b.maxDelay <= 0 || s.pendingBytes > s.options.MaxPendingBytes/2:
+		s.wakeCommitter()
+	case !s.timerSet:
+		s.timerSet = true
+		time.AfterFunc(b.maxDelay, s.wakeCommitter)
 	}
 	return nil
 }
 
-// rouse has the committer look at the queue.
-func (s *Store) rouse() {
+// wakeCommitter has the committer look at the queue.
+func (s *Store) wakeCommitter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Do applies a batch and waits until it is durable.
-func (s *Store) Do(b Batch) error {
+// ApplyAndWait applies a batch and waits until it is durable.
+func (s *Store) ApplyAndWait(b Batch) error {
 	done := make(chan error, 1)
 	s.Apply(b, func(err error) { done <- err })
 	return <-done
@@ -250,14 +250,14 @@
 func (s *Store) Put(key, value []byte, keep time.Duration) error {
 	var b Batch
 	b.Put(key, value, keep)
-	return s.Do(b)
+	return s.ApplyAndWait(b)
 }
 
 // Delete makes durable that there is no record of a key.
 func (s *Store) Delete(key []byte) error {
 	var b Batch
 	b.Delete(key)
-	return s.Do(b)
+	return s.ApplyAndWait(b)
 }
 
 // Get returns the value that was last made durable for a key, and until when it stays; false where there is
@@ -266,34 +266,34 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	p, ok := s.index[string(key)]
-	now := s.now()
-	if !ok || p.expires <= now {
+	now := s.storeTime()
+	if !ok || p.expiresAt <= now {
 		return nil, 0, false, nil
 	}
-	f, err := s.read(p)
+	f, err := s.readRecord(p)
 	if err != nil {
 		return nil, 0, false, err
 	}
-	return f.value, time.Duration(p.expires-now) * time.Millisecond, true, nil
+	return f.value, time.Duration(p.expiresAt-now) * time.Millisecond, true, nil
 }
 
-// read brings a record from its segment.
-func (s *Store) read(p place) (f frame, err error) {
+// readRecord brings a record from its segment.
+func (s *Store) readRecord(p location) (f frame, err error) {
 	b := make([]byte, p.size)
-	if _, err := io.ReadFull(io.NewSectionReader(p.seg.file, int64(p.at), int64(p.size)), b); err != nil {
-		return f, fmt.Errorf("%s at %d: %w", p.seg.name, p.at, err)
+	if _, err := io.ReadFull(io.NewSectionReader(p.segment.file, int64(p.offset), int64(p.size)), b); err != nil {
+		return f, fmt.Errorf("%s at %d: %w", p.segment.name, p.offset, err)
 	}
 	f, ok := decodeFrame(b)
 	if !ok || f.kind != kindPut || f.seq != p.seq {
-		return f, fmt.Errorf("%s at %d: record %d is damaged", p.seg.name, p.at, p.seq)
+		return f, fmt.Errorf("%s at %d: record %d is damaged", p.segment.name, p.offset, p.seq)
 	}
 	return f, nil
 }
 
-// All calls a function with each record that is there, in no order, until it returns false. Records that are
+// Range calls a function with each record that is there, in no order, until it returns false. Records that are
 // written meanwhile may come or not. An error names the first record that could not be read; the others come all
 // the same.
-func (s *Store) All(each func(key, value []byte, left time.Duration) bool) (err error) {
+func (s *Store) Range(each func(key, value []byte, left time.Duration) bool) (err error) {
 	s.mu.RLock()
 	keys := slices.Collect(maps.Keys(s.index))
 	s.mu.RUnlock()
@@ -319,11 +319,11 @@
 func (s *Store) Size() (total int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.total()
+	return s.totalBytes()
 }
 
-func (s *Store) total() (sum int64) {
-	for _, seg := range s.order {
+func (s *Store) totalBytes() (sum int64) {
+	for _, seg := range s.segments {
 		sum += seg.size
 	}
 	return sum
@@ -346,37 +346,37 @@
 		return ErrClosed
 	}
 	s.closing = true
-	s.rouse()
+	s.wakeCommitter()
 	s.queueMu.Unlock()
-	<-s.ended
+	<-s.committerDone
 	s.compacting.Wait()
 	var err error
-	if s.active != nil {
+	if s.activeFile != nil {
 		err = s.seal()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeFiles()
-	s.index, s.order = nil, nil
+	s.index, s.segments = nil, nil
 	return errors.Join(err, s.lock.Close())
 }
 
-// commits writes what waits, one sync for all that has come meanwhile.
-func (s *Store) commits() {
-	defer close(s.ended)
+// commitLoop writes what waits, one sync for all that has come meanwhile.
+func (s *Store) commitLoop() {
+	defer close(s.committerDone)
 	for range s.wake {
 		s.queueMu.Lock()
 		group, closing := s.queue, s.closing
-		s.queue, s.timed = nil, false
+		s.queue, s.timerSet = nil, false
 		s.queueMu.Unlock()
 		if len(group) > 0 {
-			s.commit(group)
+			s.commitGroup(group)
 			size := int64(0)
 			for _, w := range group {
 				size += w.size
 			}
 			s.queueMu.Lock()
-			s.pending -= size
+			s.pendingBytes -= size
 			s.queueMu.Unlock()
 		}
 		if closing { // nothing is queued after that was seen
@@ -385,13 +385,13 @@
 	}
 }
 
-// commit writes a group of batches, syncs, and tells of each.
-func (s *Store) commit(group []waiting) {
-	s.expire()
+// commitGroup writes a group of batches, syncs, and tells of each.
+func (s *Store) commitGroup(group []pendingBatch) {
+	s.dropExpired()
 	errs := make([]error, len(group))
-	kept := s.admit(group, errs)
+	kept := s.admitGroup(group, errs)
 	if kept > 0 {
-		if err := s.write(group, errs); err != nil {
+		if err := s.writeGroup(group, errs); err != nil {
 			for i := range errs {
 				errs[i] = cmp.Or(errs[i], err)
 			}
@@ -400,28 +400,28 @@
 	for i, w := range group {
 		w.done(errs[i])
 	}
-	s.tidy()
+	s.maintain()
 }
 
-// admit refuses batches that would make more live records than there may be. What a record takes the place of is
+// admitGroup refuses batches that would make more live records than there may be. What a record takes the place of is
 // not counted as free: it is, once this has been durable.
-func (s *Store) admit(group []waiting, errs []error) (kept int) {
+func (s *Store) admitGroup(group []pendingBatch, errs []error) (kept int) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	live, records := s.live, len(s.index)
+	live, records := s.liveBytes, len(s.index)
 	for i, w := range group {
 		puts, size := 0, int64(0)
 		for j := range w.records {
 			if f := &w.records[j]; f.kind == kindPut {
 				puts++
-				size += int64(putFixed + len(f.key) + len(f.value))
+				size += int64(minPutBytes + len(f.key) + len(f.value))
 				if p, ok := s.index[string(f.key)]; ok {
 					puts--
 					size -= int64(p.size)
 				}
 			}
 		}
-		if puts > 0 && records+puts > s.set.MostRecords || size > 0 && live+size > s.set.MostBytes {
+		if puts > 0 && records+puts > s.options.MaxRecords || size > 0 && live+size > s.options.MaxBytes {
 			errs[i] = ErrFull
 			continue
 		}
@@ -432,22 +432,22 @@
 	return kept
 }
 
-// write makes durable the batches of a group that have no error yet.
-func (s *Store) write(group []waiting, errs []error) (err error) {
-	up := s.set.Clock().Up
-	if s.active == nil {
+// writeGroup makes durable the batches of a group that have no error yet.
+func (s *Store) writeGroup(group []pendingBatch, errs []error) (err error) {
+	up := s.options.Clock().UptimeMillis
+	if s.activeFile == nil {
 		if up < s.retryAt {
 			return s.Health().Err
 		}
 		if err := s.roll(); err != nil {
-			s.failed(err)
+			s.recordFailure(err)
 			return err
 		}
 	}
-	seg := s.current
-	now := s.now()
-	first := s.next
-	b := appendFrame(s.buffer[:0], &frame{kind: kindGroup, seq: first, synced: s.synced, now: now})
+	seg := s.currentSegment
+	now := s.storeTime()
+	first := s.nextSeq
+	b := appendFrame(s.buffer[:0], &frame{kind: kindGroup, seq: first, durableSeq: s.durableSeq, storeTime: now})
 	s.offsets = s.offsets[:0]
 	for i, w := range group {
 		if errs[i] != nil {
@@ -455,13 +455,13 @@
 		}
 		for j := range w.records {
 			f := &w.records[j]
-			f.seq, f.batch = s.next, j < len(w.records)-1
-			s.next++
+			f.seq, f.moreInBatch = s.nextSeq, j < len(w.records)-1
+			s.nextSeq++
 			if f.kind == kindPut {
-				if f.expires == 0 {
-					f.expires = never
+				if f.expiresAt == 0 {
+					f.expiresAt = never
 				} else {
-					f.expires += now
+					f.expiresAt += now
 				}
 			}
 			s.offsets = append(s.offsets, uint32(len(b)))
@@ -473,28 +473,28 @@
 	if cap(b) > 1<<20 {
 		s.buffer = nil
 	}
-	n, err := s.active.Write(b)
+	n, err := s.activeFile.Write(b)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
 	if err == nil {
 		// Of a file whose sync has failed nothing that was not synced is known: the kernel may have dropped it and
 		// say that all is well next time. So nothing more goes there.
-		err = s.active.Sync()
+		err = s.activeFile.Sync()
 	}
 	if err != nil {
-		s.void[1] = s.next
-		if s.void[0] == 0 {
-			s.void[0] = first
+		s.failedSeqs[1] = s.nextSeq
+		if s.failedSeqs[0] == 0 {
+			s.failedSeqs[0] = first
 		}
-		s.active = nil // what is durable in it goes on being read
+		s.activeFile = nil // what is durable in it goes on being read
 		s.mu.Lock()
 		seg.size += int64(n)
 		s.mu.Unlock()
-		s.failed(err)
+		s.recordFailure(err)
 		return err
 	}
-	s.synced = s.next - 1
+	s.durableSeq = s.nextSeq - 1
 	s.mu.Lock()
 	at := uint32(seg.size)
 	k := 0
@@ -503,42 +503,42 @@
 			continue
 		}
 		for j := range w.records {
-			s.take(seg, &w.records[j], at+s.offsets[k], s.offsets[k+1]-s.offsets[k])
+			s.indexRecord(seg, &w.records[j], at+s.offsets[k], s.offsets[k+1]-s.offsets[k])
 			k++
 		}
 	}
 	seg.size += int64(len(b))
-	seg.last = s.synced
+	seg.lastSeq = s.durableSeq
 	s.health.Err = nil
 	s.mu.Unlock()
-	s.pause = s.set.RetryFirst
-	if seg.size >= s.set.SegmentBytes {
+	s.backoff = s.options.MinBackoff
+	if seg.size >= s.options.SegmentBytes {
 		err := s.seal()
 		if err == nil {
 			err = s.roll()
 		}
 		if err != nil {
-			s.failed(err)
+			s.recordFailure(err)
 		}
 	}
 	return nil
 }
 
-// failed notes that the disk has failed, and when it is next asked.
-func (s *Store) failed(err error) {
+// recordFailure notes that the disk has failed, and when it is next asked.
+func (s *Store) recordFailure(err error) {
 	s.mu.Lock()
 	s.health.Err = err
 	s.health.Failures++
 	s.mu.Unlock()
-	s.retryAt = s.set.Clock().Up + s.pause.Milliseconds()
-	s.pause = min(2*s.pause, s.set.RetryLast)
+	s.retryAt = s.options.Clock().UptimeMillis + s.backoff.Milliseconds()
+	s.backoff = min(2*s.backoff, s.options.MaxBackoff)
 }
 
 // seal ends the segment that is written to.
 func (s *Store) seal() error {
-	seg, active := s.current, s.active
-	s.active = nil
-	b := appendFrame(nil, &frame{kind: kindSeal, seq: s.next - 1, expires: seg.expires, shadow: seg.shadow, count: seg.records})
+	seg, active := s.currentSegment, s.activeFile
+	s.activeFile = nil
+	b := appendFrame(nil, &frame{kind: kindSeal, seq: s.nextSeq - 1, expiresAt: seg.expiresAt, shadowedUntil: seg.shadowedUntil, records: seg.records})
 	n, err := active.Write(b)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
@@ -559,13 +559,13 @@
 func (s *Store) roll() error {
 	// Its number is used up whatever comes of it: after a failure nobody knows what is on the disk.
 	s.mu.Lock()
-	id := s.takeID()
+	id := s.allocateID()
 	s.mu.Unlock()
-	h := header{store: s.store, id: id, first: s.next, synced: s.synced, void: s.void, stamp: s.set.Clock(), now: s.now()}
-	if s.current != nil {
-		h.prev = s.current.id
+	h := header{storeID: s.storeID, id: id, firstSeq: s.nextSeq, durableSeq: s.durableSeq, failedSeqs: s.failedSeqs, timestamp: s.options.Clock(), storeTime: s.storeTime()}
+	if s.currentSegment != nil {
+		h.previousID = s.currentSegment.id
 	}
-	name := segName(h.id)
+	name := segmentName(h.id)
 	f, err := s.fs.Create(name)
 	if err != nil {
 		return err
@@ -586,16 +586,16 @@
 		s.fs.Remove(name) // if that fails, it has no record
 		return err
 	}
-	s.active, s.void = f, void{}
-	s.current = &segment{header: h, name: name, file: f, size: int64(len(b))}
+	s.activeFile, s.failedSeqs = f, seqRange{}
+	s.currentSegment = &segment{header: h, name: name, file: f, size: int64(len(b))}
 	s.mu.Lock()
-	s.order = append(s.order, s.current)
+	s.segments = append(s.segments, s.currentSegment)
 	s.mu.Unlock()
 	return nil
 }
 
-// take puts a record into the index. s.mu is held.
-func (s *Store) take(seg *segment, f *frame, at, size uint32) {
+// indexRecord puts a record into the index. s.mu is held.
+func (s *Store) indexRecord(seg *segment, f *frame, at, size uint32) {
 	seg.records++
 	key := string(f.key)
 	old, had := s.index[key]
@@ -603,10 +603,10 @@
 		return
 	}
 	if had {
-		old.seg.live -= int64(old.size)
-		s.live -= int64(old.size)
-		if old.seg != seg {
-			seg.shadow = max(seg.shadow, old.expires)
+		old.segment.liveBytes -= int64(old.size)
+		s.liveBytes -= int64(old.size)
+		if old.segment != seg {
+			seg.shadowedUntil = max(seg.shadowedUntil, old.expiresAt)
 		}
 	}
 	if f.kind == kindDelete {
@@ -615,60 +615,60 @@
 		}
 		return
 	}
-	seg.expires = max(seg.expires, f.expires)
-	seg.live += int64(size)
-	s.live += int64(size)
-	s.index[key] = place{seg, f.seq, f.expires, at, size}
-	if f.expires != never {
-		if len(s.expiring) > 2*len(s.index)+1000 { // most have been written anew since
-			s.expiring = s.expiring[:0]
+	seg.expiresAt = max(seg.expiresAt, f.expiresAt)
+	seg.liveBytes += int64(size)
+	s.liveBytes += int64(size)
+	s.index[key] = location{seg, f.seq, f.expiresAt, at, size}
+	if f.expiresAt != never {
+		if len(s.expirations) > 2*len(s.index)+1000 { // most have been written anew since
+			s.expirations = s.expirations[:0]
 			for key, p := range s.index {
-				s.expiring.push(p.expires, key)
+				s.expirations.push(p.expiresAt, key)
 			}
 		} else {
-			s.expiring.push(f.expires, key)
+			s.expirations.push(f.expiresAt, key)
 		}
 	}
 }
 
-// expire drops from the index what has expired.
-func (s *Store) expire() {
+// dropExpired drops from the index what has expired.
+func (s *Store) dropExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.now()
+	now := s.storeTime()
 	for {
-		key, ok := s.expiring.pop(now)
+		key, ok := s.expirations.pop(now)
 		if !ok {
 			return
 		}
-		if p, ok := s.index[key]; ok && p.expires <= now {
-			p.seg.live -= int64(p.size)
-			s.live -= int64(p.size)
+		if p, ok := s.index[key]; ok && p.expiresAt <= now {
+			p.segment.liveBytes -= int64(p.size)
+			s.liveBytes -= int64(p.size)
 			delete(s.index, key)
 		}
 	}
 }
 
-// expiring are keys by when a record of theirs expires; what has been written anew since stands there again.
-type expiring []expiry
+// expiryQueue are keys by when a record of theirs expires; what has been written anew since stands there again.
+type expiryQueue []expiry
 
 type expiry struct {
-	at  int64
-	key string
+	expiresAt int64
+	key       string
 }
 
-func (e *expiring) push(at int64, key string) {
+func (e *expiryQueue) push(at int64, key string) {
 	*e = append(*e, expiry{at, key})
 	q := *e
-	for i := len(q) - 1; i > 0 && q[i].at < q[(i-1)/2].at; i = (i - 1) / 2 {
+	for i := len(q) - 1; i > 0 && q[i].expiresAt < q[(i-1)/2].expiresAt; i = (i - 1) / 2 {
 		q[i], q[(i-1)/2] = q[(i-1)/2], q[i]
 	}
 }
 
 // pop takes a key out whose time has come.
-func (e *expiring) pop(now int64) (key string, ok bool) {
+func (e *expiryQueue) pop(now int64) (key string, ok bool) {
 	q := *e
-	if len(q) == 0 || q[0].at > now {
+	if len(q) == 0 || q[0].expiresAt > now {
 		return "", false
 	}
 	key = q[0].key
@@ -680,10 +680,10 @@
 		if c >= n {
 			break
 		}
-		if c+1 < n && q[c+1].at < q[c].at {
+		if c+1 < n && q[c+1].expiresAt < q[c].expiresAt {
 			c++
 		}
-		if q[i].at <= q[c].at {
+		if q[i].expiresAt <= q[c].expiresAt {
 			break
 		}
 		q[i], q[c] = q[c], q[i]
@@ -693,5 +693,5 @@
 	return key, true
 }
 
-// storeID draws what tells a store from others.
-func storeID() uint64 { return rand.Uint64() | 1 }
+// newStoreID draws what tells a store from others.
+func newStoreID() uint64 { return rand.Uint64() | 1 }
--- a/internal/files/store/store_test.go
+++ b/internal/files/store/store_test.go
@@ -32,8 +32,8 @@
 	return c
 }
 
-func (c *clock) stamp() store.Stamp {
-	return store.Stamp{Wall: c.wall.Load(), Up: c.up.Load(), Boot: uint64(c.boot.Load())}
+func (c *clock) stamp() store.Timestamp {
+	return store.Timestamp{WallMillis: c.wall.Load(), UptimeMillis: c.up.Load(), BootID: uint64(c.boot.Load())}
 }
 
 func (c *clock) pass(d time.Duration) {
@@ -57,7 +57,7 @@
 func content(t testing.TB, s *store.Store) map[string]string {
 	t.Helper()
 	all := map[string]string{}
-	if err := s.All(func(key, value []byte, _ time.Duration) bool {
+	if err := s.Range(func(key, value []byte, _ time.Duration) bool {
 		all[string(key)] = string(value)
 		return true
 	}); err != nil {
@@ -89,7 +89,7 @@
 	var b store.Batch
 	b.Put([]byte("c"), []byte("4"), time.Minute)
 	b.Put([]byte("empty"), nil, 0)
-	if err := s.Do(b); err != nil {
+	if err := s.ApplyAndWait(b); err != nil {
 		t.Fatal(err)
 	}
 	if _, left, ok, err := s.Get([]byte("c")); !ok || left != time.Minute || err != nil {
@@ -115,11 +115,11 @@
 	if got := content(t, s); !maps.Equal(got, want) || s.Len() != len(want) {
 		t.Errorf("opened again: %v", got)
 	}
-	if h := s.Health(); h.Err != nil || h.Torn > 0 || len(h.Damage) > 0 {
+	if h := s.Health(); h.Err != nil || h.TornBytes > 0 || len(h.Damage) > 0 {
 		t.Errorf("%+v", h)
 	}
-	for _, bad := range []error{s.Put(nil, nil, 0), s.Put(make([]byte, store.MostKey+1), nil, 0), s.Put([]byte("k"), make([]byte, store.MostValue+1), 0)} {
-		if !errors.Is(bad, store.ErrBounds) {
+	for _, bad := range []error{s.Put(nil, nil, 0), s.Put(make([]byte, store.MaxKeyBytes+1), nil, 0), s.Put([]byte("k"), make([]byte, store.MaxValueBytes+1), 0)} {
+		if !errors.Is(bad, store.ErrRecordSize) {
 			t.Errorf("out of bounds: %v", bad)
 		}
 	}
@@ -136,7 +136,7 @@
 	key, value string // "" for a delete
 }
 
-var small = store.Options{SegmentBytes: 700, MostBytes: 1 << 20}
+var small = store.Options{SegmentBytes: 700, MaxBytes: 1 << 20}
 
 func (x *script) play(d *disk.Disk, o store.Options, n int) (err error) {
 	s, err := store.Open(d, o)
@@ -156,7 +156,7 @@
 		if err != nil {
 			return err
 		}
-		x.acks = append(x.acks, ack{d.Units(), d.Ops(), key, value})
+		x.acks = append(x.acks, ack{d.Units(), d.Operations(), key, value})
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 		for acked < len(x.acks) && x.acks[acked].units <= u {
 			acked++
 		}
-		at := d.At(u)
+		at := d.CutAt(u)
 		s := open(t, at, o)
 		x.holds(t, s, acked, fmt.Sprintf("cut after %d", u))
 		put(t, s, "after", "it") // it goes on
@@ -222,21 +222,21 @@
 	if err := whole.play(d, o, 120); err != nil {
 		t.Fatal(err)
 	}
-	calls := d.Ops()
+	calls := d.Operations()
 	for n := 1; n <= calls; n++ {
 		for seed := range uint64(min(4, fates()/10)) {
 			rng := rand.New(rand.NewPCG(seed, uint64(n)))
 			d, x := disk.New(), &script{}
-			d.DieAt(n, seed)
+			d.LosePowerAt(n, seed)
 			x.play(d, o, 120)
 			acked := len(x.acks)
 			x.acks = whole.acks
-			left := d.After(rng)
-			left.DieAt(1+rng.IntN(8), seed) // while it is opened, or a little after
+			left := d.AfterPowerLoss(rng)
+			left.LosePowerAt(1+rng.IntN(8), seed) // while it is opened, or a little after
 			if s, err := store.Open(left, o); err == nil {
 				s.Close()
 			}
-			s := open(t, left.After(rng), o)
+			s := open(t, left.AfterPowerLoss(rng), o)
 			x.holds(t, s, acked, fmt.Sprintf("power lost at call %d, seed %d", n, seed))
 			s.Close()
 		}
@@ -257,7 +257,7 @@
 	for seed := range uint64(fates()) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		c := newClock()
-		o := store.Options{SegmentBytes: 2000, MostBytes: 1 << 20, RetryFirst: time.Millisecond, RetryLast: time.Millisecond, Clock: c.stamp}
+		o := store.Options{SegmentBytes: 2000, MaxBytes: 1 << 20, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, Clock: c.stamp}
 		d := disk.New()
 		sure := map[string]string{}           // acknowledged
 		maybe := map[string]map[string]bool{} // values that may be there instead; "" for none
@@ -288,13 +288,13 @@
 				case 0:
 					d.FailSyncs(1)
 				case 1:
-					d.SetRoom(rng.IntN(600))
+					d.SetCapacity(rng.IntN(600))
 				case 2:
 					d.Fail(syscall.EIO)
 				case 3:
-					d.DieAt(1+rng.IntN(30), rng.Uint64())
+					d.LosePowerAt(1+rng.IntN(30), rng.Uint64())
 				default:
-					d.SetRoom(-1)
+					d.SetCapacity(-1)
 					d.Fail(nil)
 				}
 				var all sync.WaitGroup
@@ -334,20 +334,20 @@
 					}
 				}
 			}
-			d.SetRoom(-1)
+			d.SetCapacity(-1)
 			d.Fail(nil)
 			switch rng.IntN(3) {
 			case 0:
 				if s.Close() == nil {
-					d = d.Killed()
+					d = d.AfterCrash()
 				} else {
-					d = d.After(rng)
+					d = d.AfterPowerLoss(rng)
 				}
 			case 1:
 				kill(s, d)
-				d = d.Killed()
+				d = d.AfterCrash()
 			case 2:
-				next := d.After(rng)
+				next := d.AfterPowerLoss(rng)
 				s.Close()
 				d = next
 			}
@@ -357,7 +357,7 @@
 
 // kill ends a store as a death of the process does: nothing that it does from then on reaches the disk.
 func kill(s *store.Store, d *disk.Disk) {
-	d.Fail(disk.ErrDead)
+	d.Fail(disk.ErrPowerLost)
 	s.Close()
 	d.Fail(nil)
 }
@@ -365,7 +365,7 @@
 // content2 is the content, nil where the power is off.
 func content2(s *store.Store) map[string]string {
 	all := map[string]string{}
-	if s.All(func(key, value []byte, _ time.Duration) bool {
+	if s.Range(func(key, value []byte, _ time.Duration) bool {
 		all[string(key)] = string(value)
 		return true
 	}) != nil {
@@ -378,7 +378,7 @@
 // well.
 func TestFailedSync(t *testing.T) {
 	c := newClock()
-	o := store.Options{Clock: c.stamp, RetryFirst: time.Millisecond}
+	o := store.Options{Clock: c.stamp, MinBackoff: time.Millisecond}
 	d := disk.New()
 	s := open(t, d, o)
 	put(t, s, "a", "1")
@@ -402,7 +402,7 @@
 		t.Errorf("the file went on being used: %v, %v", before, after)
 	}
 	for seed := range uint64(20) {
-		s := open(t, d.After(rand.New(rand.NewPCG(seed, 0))), o)
+		s := open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(seed, 0))), o)
 		got := content(t, s)
 		if !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
 			t.Errorf("%v", got)
@@ -418,7 +418,7 @@
 func TestFullDisk(t *testing.T) {
 	for room := 0; room < 1500; room += 50 {
 		c := newClock()
-		o := store.Options{SegmentBytes: 1000, MostBytes: 1 << 20, RetryFirst: time.Millisecond, RetryLast: time.Millisecond, Clock: c.stamp}
+		o := store.Options{SegmentBytes: 1000, MaxBytes: 1 << 20, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, Clock: c.stamp}
 		d := disk.New()
 		s := open(t, d, o)
 		want := map[string]string{}
@@ -435,7 +435,7 @@
 				t.Fatal(err)
 			}
 		}
-		d.SetRoom(room)
+		d.SetCapacity(room)
 		failed := 0
 		for i := range 60 {
 			if step(i) != nil {
@@ -449,7 +449,7 @@
 		if got := content(t, s); !maps.Equal(got, want) {
 			t.Fatalf("room %d, full: %v and not %v", room, got, want)
 		}
-		d.SetRoom(-1)
+		d.SetCapacity(-1)
 		for i := range 60 {
 			if err := step(i); err != nil && i > 0 {
 				t.Fatalf("room %d, freed: %v", room, err)
@@ -457,7 +457,7 @@
 			c.pass(10 * time.Millisecond)
 		}
 		s.Close()
-		s = open(t, d.After(rand.New(rand.NewPCG(uint64(room), 0))), o)
+		s = open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(uint64(room), 0))), o)
 		if got := content(t, s); !maps.Equal(got, want) {
 			t.Fatalf("room %d, after: %v and not %v", room, got, want)
 		}
@@ -478,7 +478,7 @@
 
 // Each bit of a log, flipped: every other record is found, or the loss of it is named. Nothing wrong is believed.
 func TestAnyBitFlipped(t *testing.T) {
-	o := store.Options{Clock: newClock().stamp, SegmentBytes: 900, MostBytes: 1 << 20}
+	o := store.Options{Clock: newClock().stamp, SegmentBytes: 900, MaxBytes: 1 << 20}
 	d := disk.New()
 	s := open(t, d, o)
 	want := map[string]string{}
@@ -487,14 +487,14 @@
 		put(t, s, key, value)
 		want[key] = value
 	}
-	d = d.Killed() // so that the last segment is not ended
+	d = d.AfterCrash() // so that the last segment is not ended
 	for name, size := range d.Files() {
 		if !strings.HasSuffix(name, ".seg") {
 			continue
 		}
 		for bit := 0; bit < 8*size; bit += step(bit) {
-			hit := d.Killed()
-			hit.Flip(name, bit)
+			hit := d.AfterCrash()
+			hit.FlipBit(name, bit)
 			s, err := store.Open(hit, o)
 			if err != nil {
 				t.Fatalf("%s, bit %d: %v", name, bit, err)
@@ -512,8 +512,8 @@
 					t.Fatalf("%s, bit %d: believes %q", name, bit, key)
 				}
 			}
-			if missing > 1 || missing > 0 && len(h.Damage) == 0 && h.Torn == 0 {
-				t.Fatalf("%s, bit %d of %d: %d records are missing, damage %v, torn %d", name, bit, 8*size, missing, h.Damage, h.Torn)
+			if missing > 1 || missing > 0 && len(h.Damage) == 0 && h.TornBytes == 0 {
+				t.Fatalf("%s, bit %d of %d: %d records are missing, damage %v, torn %d", name, bit, 8*size, missing, h.Damage, h.TornBytes)
 			}
 			s.Close()
 		}
@@ -530,21 +530,21 @@
 	apply := func(key string, idle time.Duration) {
 		var b store.Batch
 		b.Put([]byte(key), []byte("v"), 0)
-		b.Idle(idle)
+		b.SetMaxDelay(idle)
 		s.Apply(b, func(err error) { done <- err })
 	}
 	put(t, s, "first", "v")
-	before := d.Ops()
+	before := d.Operations()
 	put(t, s, "alone", "v")
-	each := d.Ops() - before // calls of the disk that a group takes
-	before = d.Ops()
+	each := d.Operations() - before // calls of the disk that a group takes
+	before = d.Operations()
 	apply("idle", time.Hour)
-	if _, _, ok, _ := s.Get([]byte("idle")); ok || d.Ops() != before {
+	if _, _, ok, _ := s.Get([]byte("idle")); ok || d.Operations() != before {
 		t.Error("it did not wait")
 	}
 	put(t, s, "urgent", "v")
-	if err := <-done; err != nil || d.Ops() != before+each {
-		t.Errorf("%v; %d calls of the disk for both, %d for one", err, d.Ops()-before, each)
+	if err := <-done; err != nil || d.Operations() != before+each {
+		t.Errorf("%v; %d calls of the disk for both, %d for one", err, d.Operations()-before, each)
 	}
 	apply("timed", time.Millisecond)
 	if err := <-done; err != nil {
@@ -557,7 +557,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s = open(t, d.Killed(), o)
+	s = open(t, d.AfterCrash(), o)
 	if got := content(t, s); len(got) != 6 {
 		t.Errorf("%v", got)
 	}
@@ -567,18 +567,18 @@
 // The power goes at each call of a repair, and again while the store is opened after that: all that could be read
 // before it can be read afterwards, what could not be is not believed, and the repair can be done again.
 func TestPowerLostInRepair(t *testing.T) {
-	o := store.Options{Clock: newClock().stamp, SegmentBytes: 500, MostBytes: 1 << 20}
+	o := store.Options{Clock: newClock().stamp, SegmentBytes: 500, MaxBytes: 1 << 20}
 	damaged := func() *disk.Disk {
 		d := disk.New()
 		s := open(t, d, o)
 		for i := range 20 {
 			put(t, s, fmt.Sprintf("k%02d", i), strings.Repeat(string(rune('a'+i)), 30))
 		}
-		d = d.Killed()
+		d = d.AfterCrash()
 		n := 0
 		for _, name := range slices.Sorted(maps.Keys(d.Files())) {
 			if strings.HasSuffix(name, ".seg") && n < 2 { // in two files, so that the second is hit after the first is mended
-				d.Flip(name, 8*250)
+				d.FlipBit(name, 8*250)
 				n++
 			}
 		}
@@ -601,14 +601,14 @@
 		for seed := range uint64(min(8, fates())) {
 			rng := rand.New(rand.NewPCG(seed, uint64(n)))
 			d := damaged()
-			d.DieAt(n, seed)
+			d.LosePowerAt(n, seed)
 			died = repair(d) != nil
-			left := d.After(rng)
-			left.DieAt(1+rng.IntN(8), seed)
+			left := d.AfterPowerLoss(rng)
+			left.LosePowerAt(1+rng.IntN(8), seed)
 			if s, err := store.Open(left, o); err == nil {
 				s.Close()
 			}
-			left = left.After(rng)
+			left = left.AfterPowerLoss(rng)
 			s := open(t, left, o)
 			if got := content(t, s); !maps.Equal(got, want) {
 				t.Fatalf("power lost at call %d, seed %d: %d records, %d before", n, seed, len(got), len(want))
@@ -628,7 +628,7 @@
 
 // A file that was taken away, cut short or put there from another store is named.
 func TestForeignAndMissingFiles(t *testing.T) {
-	o := store.Options{Clock: newClock().stamp, SegmentBytes: 500, MostBytes: 1 << 20}
+	o := store.Options{Clock: newClock().stamp, SegmentBytes: 500, MaxBytes: 1 << 20}
 	fill := func(dir string, n int) []string {
 		s := open(t, store.Dir(dir), o)
 		for i := range n {
@@ -652,10 +652,10 @@
 	files = fill(dir, 20)
 	os.Truncate(files[1], 200)
 	s = open(t, store.Dir(dir), o)
-	if h := s.Health(); len(h.Damage) != 1 || h.Damage[0].First == 0 || h.Damage[0].File != filepath.Base(files[1]) {
+	if h := s.Health(); len(h.Damage) != 1 || h.Damage[0].FirstSeq == 0 || h.Damage[0].File != filepath.Base(files[1]) {
 		t.Errorf("a file is cut: %v", h.Damage)
 	}
-	if n := s.Len(); n != 20-int(s.Health().Damage[0].Last-s.Health().Damage[0].First+1) {
+	if n := s.Len(); n != 20-int(s.Health().Damage[0].LastSeq-s.Health().Damage[0].FirstSeq+1) {
 		t.Errorf("%d are left, beside %v", n, s.Health().Damage)
 	}
 	s.Close()
@@ -681,7 +681,7 @@
 	const header = 100
 	binary.LittleEndian.PutUint32(text[header-4:], crc32.Checksum(text[:header-4], crc32.MakeTable(crc32.Castagnoli)))
 	os.WriteFile(files[0], text, 0o600)
-	var newer *store.NewerError
+	var newer *store.NewerVersionError
 	if _, err := store.Open(store.Dir(dir), store.Options{}); !errors.As(err, &newer) || newer.Version != store.Version+1 {
 		t.Errorf("%v", err)
 	}
@@ -733,7 +733,7 @@
 // Records that have expired cost no file, no place in the index and, at open, no reading.
 func TestExpired(t *testing.T) {
 	c := newClock()
-	o := store.Options{Clock: c.stamp, SegmentBytes: 2000, MostBytes: 20_000, MostRecords: 400}
+	o := store.Options{Clock: c.stamp, SegmentBytes: 2000, MaxBytes: 20_000, MaxRecords: 400}
 	d := disk.New()
 	s := open(t, d, o)
 	for i := range 5000 {
@@ -759,7 +759,7 @@
 func TestOneKeyForEver(t *testing.T) {
 	c := newClock()
 	d := disk.New()
-	s := open(t, d, store.Options{Clock: c.stamp, SegmentBytes: 1000, MostBytes: 10_000})
+	s := open(t, d, store.Options{Clock: c.stamp, SegmentBytes: 1000, MaxBytes: 10_000})
 	for i := range 3000 {
 		if err := s.Put([]byte("list"), fmt.Append(nil, i), time.Hour); err != nil {
 			t.Fatal(err)
@@ -775,7 +775,7 @@
 
 // What would not fit is refused, and nothing is lost by it.
 func TestBounds(t *testing.T) {
-	o := store.Options{Clock: newClock().stamp, SegmentBytes: 1000, MostBytes: 3000, MostRecords: 20}
+	o := store.Options{Clock: newClock().stamp, SegmentBytes: 1000, MaxBytes: 3000, MaxRecords: 20}
 	s := open(t, disk.New(), o)
 	full := 0
 	for i := range 100 {
@@ -802,7 +802,7 @@
 // A disk that hangs holds nobody up but those who wait for it, and bounds what waits.
 func TestBusy(t *testing.T) {
 	d := &hanging{FS: disk.New(), go_: make(chan struct{})}
-	s := open(t, d, store.Options{MostPending: 1000})
+	s := open(t, d, store.Options{MaxPendingBytes: 1000})
 	d.hang.Store(true)
 	var failed, done atomic.Int64
 	var all sync.WaitGroup
@@ -860,7 +860,7 @@
 	if err := x.play(d, o, 60); err != nil {
 		t.Fatal(err)
 	}
-	d.ShortReads(true)
+	d.SetShortReads(true)
 	s := open(t, d, o)
 	x.holds(t, s, len(x.acks), "short reads")
 	s.Close()
--- a/internal/network/consul/watch.go
+++ b/internal/network/consul/watch.go
@@ -100,7 +100,7 @@
 	c := &tls.Config{ServerName: w.set.ServerName, MinVersion: tls.VersionTLS12}
 	if w.set.CAFile != "" {
 		var err error
-		if c.RootCAs, err = certfile.Pool(w.resolve(w.set.CAFile)); err != nil {
+		if c.RootCAs, err = certfile.LoadPool(w.resolve(w.set.CAFile)); err != nil {
 			return nil, fmt.Errorf("consul.tls_ca_file: %w", err)
 		}
 	}
@@ -217,7 +217,7 @@
 func (w *Watcher) ask(ctx context.Context, agent int, path, tags string, index uint64, hash string, wait time.Duration, mode Consistency, decode func(io.Reader) error) (m meta, err error) {
 	a := &asked{decode: decode}
 	if w.set.TokenFile != "" {
-		if a.token, err = secretfile.Read(w.resolve(w.set.TokenFile)); err != nil {
+		if a.token, err = secretfile.ReadToken(w.resolve(w.set.TokenFile)); err != nil {
 			return m, err
 		}
 	}
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -109,9 +109,9 @@
 func Secrets(f *schema.File, path string, found *finding.List) {
 	for _, s := range f.Secrets() {
 		at := Resolve(path, s.Unquoted())
-		_, err := secretfile.Read(at)
+		_, err := secretfile.ReadToken(at)
 		if s.Key.Secret == schema.PrivateKey {
-			_, err = secretfile.Key(at)
+			_, err = secretfile.ReadPrivateKey(at)
 		}
 		if err != nil {
 			found.Add(s.Place.File, s.Place.Pos, "%s: %v", s.ID(), err)
@@ -130,18 +130,18 @@
 		}
 	}
 	if c := http3.CallersTable.In(f); c.Listen != "" && c.Cert != "" && c.Key != "" {
-		if _, err := secretfile.Key(Resolve(path, c.Key)); err == nil { // else that is reported
-			_, err = certfile.Read(Resolve(path, c.Cert), Resolve(path, c.Key), now)
+		if _, err := secretfile.ReadPrivateKey(Resolve(path, c.Key)); err == nil { // else that is reported
+			_, err = certfile.LoadValid(Resolve(path, c.Cert), Resolve(path, c.Key), now)
 			report("http3", "http3_cert_file", err)
 		}
 		if c.Secret != "" {
-			if text, err := secretfile.Read(Resolve(path, c.Secret)); err == nil && len(text) < http3.LeastSecret {
+			if text, err := secretfile.ReadToken(Resolve(path, c.Secret)); err == nil && len(text) < http3.LeastSecret {
 				report("http3", "http3_secret_file", fmt.Errorf("has %d characters; %d are the least that nobody guesses", len(text), http3.LeastSecret))
 			}
 		}
 	}
 	if e := http3.EndpointsTable.In(f); e.Use != http3.Never && e.CA != "" {
-		_, err := certfile.Pool(Resolve(path, e.CA))
+		_, err := certfile.LoadPool(Resolve(path, e.CA))
 		report("http3-endpoints", "http3_ca_file", err)
 	}
 }
@@ -230,7 +230,7 @@
 		if set.KeyFile == "" {
 			return nil, nil
 		}
-		text, err := secretfile.Read(resolve(set.KeyFile))
+		text, err := secretfile.ReadToken(resolve(set.KeyFile))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -145,7 +145,7 @@
 	fresh.file, fresh.tuning = file, tuningOf(file)
 	if !platformSays {
 		if secret := appfile.DiscoveryTable.In(file).TokenFile; secret != "" {
-			if fresh.token, err = secretfile.Read(c.product.Resolve(secret)); err != nil {
+			if fresh.token, err = secretfile.ReadToken(c.product.Resolve(secret)); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -58,14 +58,14 @@
 		name string
 		ill  func(d *disk.Disk) (well func())
 	}{
-		{"slow", func(d *disk.Disk) func() { return d.Hold() }},
+		{"slow", func(d *disk.Disk) func() { return d.BlockSyncs() }},
 		{"failing", func(d *disk.Disk) func() {
 			d.Fail(syscall.EIO)
 			return func() { d.Fail(nil) }
 		}},
 		{"full", func(d *disk.Disk) func() {
-			d.SetRoom(0)
-			return func() { d.SetRoom(-1) }
+			d.SetCapacity(0)
+			return func() { d.SetCapacity(-1) }
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 			try("book", http.StatusOK)
 
 			// The next life knows what was remembered, before and after.
-			again := d.Killed()
+			again := d.AfterCrash()
 			onDisk(t, again)
 			rg = start(t, 1024, peer(t, "s-1", x.serve), peer(t, "s-2", x.serve))
 			for _, id := range []string{paid, last} {
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -20,13 +20,13 @@
 	if set.Listen == "" {
 		return nil, nil
 	}
-	pair, err := certfile.Open(c.product.Resolve(set.Cert), c.product.Resolve(set.Key), log.Printf)
+	pair, err := certfile.NewReloader(c.product.Resolve(set.Cert), c.product.Resolve(set.Key), log.Printf)
 	if err != nil {
 		return nil, err
 	}
-	sec := http3.Security{Certificate: pair.Get}
+	sec := http3.Security{Certificate: pair.GetCertificate}
 	if set.Secret != "" {
-		secret, err := secretfile.Read(c.product.Resolve(set.Secret))
+		secret, err := secretfile.ReadToken(c.product.Resolve(set.Secret))
 		if err != nil {
 			return nil, err
 		}
@@ -74,7 +74,7 @@
 	var pool *x509.CertPool
 	if set.CA != "" {
 		var err error
-		if pool, err = certfile.Pool(c.product.Resolve(set.CA)); err != nil {
+		if pool, err = certfile.LoadPool(c.product.Resolve(set.CA)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -90,7 +90,7 @@
 		}
 		disk = store.Dir(set.Dir)
 	}
-	s, err := store.Open(disk, store.Options{MostBytes: set.Size, MostRecords: set.Most + 2*maxKept})
+	s, err := store.Open(disk, store.Options{MaxBytes: set.Size, MaxRecords: set.Most + 2*maxKept})
 	if err != nil {
 		return nil, fmt.Errorf("memory.memory_dir: %s: %w", set.Dir, err)
 	}
@@ -103,8 +103,8 @@
 	for _, d := range h.Damage {
 		log.Printf("memory: %v", d)
 	}
-	if h.Torn > 0 {
-		log.Printf("memory: %d bytes of an append that was cut, or of damage to the last one, were passed over", h.Torn)
+	if h.TornBytes > 0 {
+		log.Printf("memory: %d bytes of an append that was cut, or of damage to the last one, were passed over", h.TornBytes)
 	}
 	return m, m.restore(now)
 }
@@ -115,7 +115,7 @@
 // restore takes in the requests that earlier lives remember.
 func (m *memory) restore(now time.Duration) (err error) {
 	bad := 0
-	if fault := m.store.All(func(key, value []byte, left time.Duration) bool {
+	if fault := m.store.Range(func(key, value []byte, left time.Duration) bool {
 		if key[0] == endpointMark {
 			m.kept[string(key[1:])] = true
 		}
@@ -154,7 +154,7 @@
 		return l, 0, false
 	}
 	l.Kind = balancer.ListCached
-	if err := m.store.All(func(key, value []byte, _ time.Duration) bool {
+	if err := m.store.Range(func(key, value []byte, _ time.Duration) bool {
 		var e endpointsource.Endpoint
 		if key[0] == endpointMark && json.Unmarshal(value, &e) == nil {
 			l.Endpoints = append(l.Endpoints, e)
@@ -190,7 +190,7 @@
 		if text, err := json.Marshal(e); e.State == balancer.EndpointRemoved {
 			delete(m.kept, e.UID)
 			b.Delete(key)
-		} else if err == nil && len(key) <= store.MostKey && len(all) <= maxKept {
+		} else if err == nil && len(key) <= store.MaxKeyBytes && len(all) <= maxKept {
 			m.kept[e.UID] = true
 			b.Put(key, text, 0)
 		}
@@ -328,7 +328,7 @@
 
 func (m *memory) keep(id idempotency.ID, e *idempotency.Entry, left, idle time.Duration, done func(error)) {
 	var b store.Batch
-	b.Idle(idle)
+	b.SetMaxDelay(idle)
 	b.Put(append([]byte{requestMark}, id[:]...), e.Encode(), max(left, time.Millisecond))
 	m.store.Apply(b, done)
 }
@@ -347,7 +347,7 @@
 		m.keep(id, &e, e.SentAt+e.Retention-now, afterIdle, m.told)
 	case idempotency.DeleteEntry:
 		var b store.Batch
-		b.Idle(afterIdle)
+		b.SetMaxDelay(afterIdle)
 		b.Delete(append([]byte{requestMark}, id[:]...))
 		m.store.Apply(b, m.told)
 	}
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -16,8 +16,8 @@
 	"quincegap/internal/files/store"
 )
 
-// ErrDead is what all calls fail with after the power has gone.
-var ErrDead = errors.New("the power is gone")
+// ErrPowerLost is what all calls fail with after the power has gone.
+var ErrPowerLost = errors.New("the power is gone")
 
 // inode is a file's content, under whatever names.
 type inode struct {
@@ -28,61 +28,61 @@
 }
 
 type write struct {
-	at   int
-	data []byte
+	offset int
+	data   []byte
 }
 
-// change is what was done to names since the directory was last synced: from goes away, to names a file.
-type change struct {
+// nameChange is what was done to names since the directory was last synced: from goes away, to names a file.
+type nameChange struct {
 	from, to string // "" for none
 	file     *inode
 }
 
-// op is a change in the history: of names, or bytes at the end of a file.
-type op struct {
-	change
+// historyEntry is a change in the history: of names, or bytes at the end of a file.
+type historyEntry struct {
+	nameChange
 	name string
 	data []byte
 }
 
 // Disk is a directory. It is safe for concurrent use.
 type Disk struct {
-	mu      sync.Mutex
-	names   map[string]*inode
-	durable map[string]*inode
-	changes []change
-	locked  bool
-	dead    bool
-	ops     int
-	history []op
-	units   int
-
-	dieAt     int    // call at which the power goes; 0 for never
-	tear      uint64 // seed of what is left of it
-	room      int    // bytes that may still be written; negative for any number
-	failSyncs int
-	failing   error
-	shortRead bool
-	held      chan struct{} // syncs wait until it is closed; nil for none
+	mu         sync.Mutex
+	names      map[string]*inode
+	durable    map[string]*inode
+	changes    []nameChange
+	locked     bool
+	powerLost  bool
+	operations int
+	history    []historyEntry
+	units      int
+
+	powerLossAt  int    // call at which the power goes; 0 for never
+	tearSeed     uint64 // seed of what is left of it
+	capacity     int    // bytes that may still be written; negative for any number
+	failingSyncs int
+	failure      error
+	shortReads   bool
+	blockedSyncs chan struct{} // syncs wait until it is closed; nil for none
 }
 
 // New is an empty one.
 func New() *Disk {
-	return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}, room: -1}
+	return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}, capacity: -1}
 }
 
-// DieAt has the power go in the middle of a call that changes something, the nth from here on.
-func (d *Disk) DieAt(n int, seed uint64) {
+// LosePowerAt has the power go in the middle of a call that changes something, the nth from here on.
+func (d *Disk) LosePowerAt(n int, seed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dieAt, d.tear = d.ops+n, seed
+	d.powerLossAt, d.tearSeed = d.operations+n, seed
 }
 
-// Ops is how many calls that change something there were.
-func (d *Disk) Ops() int {
+// Operations is how many calls that change something there were.
+func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ops
+	return d.operations
 }
 
 // Units is how much has happened: bytes written, and changes of names.
@@ -92,52 +92,52 @@
 	return d.units
 }
 
-// SetRoom bounds the bytes that may still be written; a negative number lifts the bound.
-func (d *Disk) SetRoom(n int) {
+// SetCapacity bounds the bytes that may still be written; a negative number lifts the bound.
+func (d *Disk) SetCapacity(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.room = n
+	d.capacity = n
 }
 
 // FailSyncs has the next syncs of files fail once each, and lose what they were to make durable, as Linux does.
 func (d *Disk) FailSyncs(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.failSyncs = n
+	d.failingSyncs = n
 }
 
 // Fail has all calls that change something fail until it is told nil.
 func (d *Disk) Fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.failing = err
+	d.failure = err
 }
 
-// Hold has syncs of files wait until release is called: the disk is slow, and does nothing wrong.
-func (d *Disk) Hold() (release func()) {
+// BlockSyncs has syncs of files wait until release is called: the disk is slow, and does nothing wrong.
+func (d *Disk) BlockSyncs() (release func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	held := make(chan struct{})
-	d.held = held
+	d.blockedSyncs = held
 	return sync.OnceFunc(func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		close(held)
-		if d.held == held {
-			d.held = nil
+		if d.blockedSyncs == held {
+			d.blockedSyncs = nil
 		}
 	})
 }
 
-// ShortReads has each read bring half of what it is asked for, at most.
-func (d *Disk) ShortReads(on bool) {
+// SetShortReads has each read bring half of what it is asked for, at most.
+func (d *Disk) SetShortReads(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shortRead = on
+	d.shortReads = on
 }
 
-// Flip turns a bit of a file over, for good.
-func (d *Disk) Flip(name string, bit int) {
+// FlipBit turns a bit of a file over, for good.
+func (d *Disk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.names[name]
@@ -158,13 +158,13 @@
 	return sizes
 }
 
-// After is the disk as it is found when the power is back. Of what was not synced there is what the random
+// AfterPowerLoss is the disk as it is found when the power is back. Of what was not synced there is what the random
 // numbers leave: writes whole, in part or not at all, changes of names each or not. Whoever holds a file of the
 // old one can do nothing with it.
-func (d *Disk) After(rng *rand.Rand) *Disk {
+func (d *Disk) AfterPowerLoss(rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dead = true
+	d.powerLost = true
 	left := New()
 	names := maps.Clone(d.durable)
 	for _, c := range d.changes {
@@ -189,30 +189,30 @@
 			case 1:
 				keep = rng.IntN(keep + 1)
 			}
-			if grow := w.at + keep - len(data); grow > 0 {
+			if grow := w.offset + keep - len(data); grow > 0 {
 				data = append(data, make([]byte, grow)...)
 			}
-			copy(data[w.at:], w.data[:keep])
+			copy(data[w.offset:], w.data[:keep])
 		}
-		left.settle(name, data)
+		left.putDurable(name, data)
 	}
 	return left
 }
 
-// Killed is the disk as the next process finds it when this one alone has died: nothing is lost.
-func (d *Disk) Killed() *Disk {
+// AfterCrash is the disk as the next process finds it when this one alone has died: nothing is lost.
+func (d *Disk) AfterCrash() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dead = true
+	d.powerLost = true
 	left := New()
 	for name, n := range d.names {
-		left.settle(name, slices.Clone(n.data))
+		left.putDurable(name, slices.Clone(n.data))
 	}
 	return left
 }
 
-// At is the disk as it was after a number of units, every byte and change up to there made and none after.
-func (d *Disk) At(units int) *Disk {
+// CutAt is the disk as it was after a number of units, every byte and change up to there made and none after.
+func (d *Disk) CutAt(units int) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	files := map[*inode][]byte{}
@@ -237,33 +237,33 @@
 	}
 	left := New()
 	for name, n := range names {
-		left.settle(name, slices.Clone(files[n]))
+		left.putDurable(name, slices.Clone(files[n]))
 	}
 	return left
 }
 
-func (d *Disk) settle(name string, data []byte) {
+func (d *Disk) putDurable(name string, data []byte) {
 	n := &inode{data: data, durable: slices.Clone(data)}
 	d.names[name], d.durable[name] = n, n
 }
 
-// begin counts a call that changes something; last tells that the power goes in the middle of it.
-func (d *Disk) begin() (last bool, err error) {
-	if d.dead {
-		return false, ErrDead
+// beginOperation counts a call that changes something; last tells that the power goes in the middle of it.
+func (d *Disk) beginOperation() (last bool, err error) {
+	if d.powerLost {
+		return false, ErrPowerLost
 	}
-	if d.failing != nil {
-		return false, d.failing
+	if d.failure != nil {
+		return false, d.failure
 	}
-	d.ops++
-	if d.dieAt > 0 && d.ops >= d.dieAt {
-		d.dead = true
+	d.operations++
+	if d.powerLossAt > 0 && d.operations >= d.powerLossAt {
+		d.powerLost = true
 		return true, nil
 	}
 	return false, nil
 }
 
-func (d *Disk) rename(c change) {
+func (d *Disk) applyNameChange(c nameChange) {
 	if c.from != "" {
 		delete(d.names, c.from)
 	}
@@ -271,7 +271,7 @@
 		d.names[c.to] = c.file
 	}
 	d.changes = append(d.changes, c)
-	d.history = append(d.history, op{change: c})
+	d.history = append(d.history, historyEntry{nameChange: c})
 	d.units++
 }
 
@@ -279,7 +279,7 @@
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last, err := d.begin()
+	last, err := d.beginOperation()
 	if err != nil {
 		return nil, err
 	}
@@ -287,9 +287,9 @@
 		return nil, fs.ErrExist
 	}
 	n := &inode{}
-	d.rename(change{to: name, file: n})
+	d.applyNameChange(nameChange{to: name, file: n})
 	if last {
-		return nil, ErrDead
+		return nil, ErrPowerLost
 	}
 	return &handle{d, n}, nil
 }
@@ -298,8 +298,8 @@
 func (d *Disk) Open(name string) (store.Reader, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dead {
-		return nil, ErrDead
+	if d.powerLost {
+		return nil, ErrPowerLost
 	}
 	n := d.names[name]
 	if n == nil {
@@ -312,8 +312,8 @@
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dead {
-		return nil, ErrDead
+	if d.powerLost {
+		return nil, ErrPowerLost
 	}
 	return slices.Sorted(maps.Keys(d.names)), nil
 }
@@ -322,7 +322,7 @@
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last, err := d.begin()
+	last, err := d.beginOperation()
 	if err != nil {
 		return err
 	}
@@ -330,9 +330,9 @@
 	if n == nil {
 		return fs.ErrNotExist
 	}
-	d.rename(change{from, to, n})
+	d.applyNameChange(nameChange{from, to, n})
 	if last {
-		return ErrDead
+		return ErrPowerLost
 	}
 	return nil
 }
@@ -341,16 +341,16 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last, err := d.begin()
+	last, err := d.beginOperation()
 	if err != nil {
 		return err
 	}
 	if d.names[name] == nil {
 		return fs.ErrNotExist
 	}
-	d.rename(change{from: name})
+	d.applyNameChange(nameChange{from: name})
 	if last {
-		return ErrDead
+		return ErrPowerLost
 	}
 	return nil
 }
@@ -359,24 +359,24 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last, err := d.begin()
+	last, err := d.beginOperation()
 	if err != nil {
 		return err
 	}
 	if last {
-		return ErrDead
+		return ErrPowerLost
 	}
 	d.durable = maps.Clone(d.names)
 	d.changes = nil
 	return nil
 }
 
-type unlock struct{ d *Disk }
+type lockHandle struct{ disk *Disk }
 
-func (u unlock) Close() error {
-	u.d.mu.Lock()
-	defer u.d.mu.Unlock()
-	u.d.locked = false
+func (u lockHandle) Close() error {
+	u.disk.mu.Lock()
+	defer u.disk.mu.Unlock()
+	u.disk.locked = false
 	return nil
 }
 
@@ -385,13 +385,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.dead:
-		return nil, ErrDead
+	case d.powerLost:
+		return nil, ErrPowerLost
 	case d.locked:
 		return nil, store.ErrLocked
 	}
 	d.locked = true
-	return unlock{d}, nil
+	return lockHandle{d}, nil
 }
 
 // Locked is of store.FS.
@@ -403,80 +403,80 @@
 
 // handle is an open file.
 type handle struct {
-	d *Disk
-	n *inode
+	disk  *Disk
+	inode *inode
 }
 
 func (h *handle) Write(b []byte) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	last, err := h.d.begin()
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	last, err := h.disk.beginOperation()
 	if err != nil {
 		return 0, err
 	}
 	n := len(b)
 	if last {
-		n = rand.New(rand.NewPCG(h.d.tear, 1)).IntN(n + 1)
-		err = ErrDead
+		n = rand.New(rand.NewPCG(h.disk.tearSeed, 1)).IntN(n + 1)
+		err = ErrPowerLost
 	}
-	if h.d.room >= 0 && n > h.d.room {
-		n, err = h.d.room, syscall.ENOSPC
+	if h.disk.capacity >= 0 && n > h.disk.capacity {
+		n, err = h.disk.capacity, syscall.ENOSPC
 	}
-	if h.d.room >= 0 {
-		h.d.room -= n
+	if h.disk.capacity >= 0 {
+		h.disk.capacity -= n
 	}
 	data := slices.Clone(b[:n])
-	h.n.pending = append(h.n.pending, write{len(h.n.data), data})
-	h.n.data = append(h.n.data, data...)
-	h.d.history = append(h.d.history, op{name: "w", change: change{file: h.n}, data: data})
-	h.d.units += n
+	h.inode.pending = append(h.inode.pending, write{len(h.inode.data), data})
+	h.inode.data = append(h.inode.data, data...)
+	h.disk.history = append(h.disk.history, historyEntry{name: "w", nameChange: nameChange{file: h.inode}, data: data})
+	h.disk.units += n
 	return n, err
 }
 
 func (h *handle) Sync() error {
-	h.d.mu.Lock()
-	held := h.d.held
-	h.d.mu.Unlock()
+	h.disk.mu.Lock()
+	held := h.disk.blockedSyncs
+	h.disk.mu.Unlock()
 	if held != nil {
 		<-held
 	}
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	last, err := h.d.begin()
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	last, err := h.disk.beginOperation()
 	if err != nil {
 		return err
 	}
 	if last {
-		return ErrDead
+		return ErrPowerLost
 	}
-	if h.d.failSyncs > 0 {
-		h.d.failSyncs--
+	if h.disk.failingSyncs > 0 {
+		h.disk.failingSyncs--
 		// What was to be made durable is taken for clean from now on, and is never written.
-		h.n.lost = append(h.n.lost, h.n.pending...)
-		h.n.pending = nil
+		h.inode.lost = append(h.inode.lost, h.inode.pending...)
+		h.inode.pending = nil
 		return syscall.EIO
 	}
-	h.n.durable = slices.Clone(h.n.data)
-	for _, w := range h.n.lost {
-		clear(h.n.durable[w.at : w.at+len(w.data)])
+	h.inode.durable = slices.Clone(h.inode.data)
+	for _, w := range h.inode.lost {
+		clear(h.inode.durable[w.offset : w.offset+len(w.data)])
 	}
-	h.n.pending = nil
+	h.inode.pending = nil
 	return nil
 }
 
 func (h *handle) ReadAt(b []byte, at int64) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if h.d.dead {
-		return 0, ErrDead
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if h.disk.powerLost {
+		return 0, ErrPowerLost
 	}
-	if at >= int64(len(h.n.data)) {
+	if at >= int64(len(h.inode.data)) {
 		return 0, io.EOF
 	}
-	if h.d.shortRead && len(b) > 1 {
-		return copy(b[:(len(b)+1)/2], h.n.data[at:]), nil
+	if h.disk.shortReads && len(b) > 1 {
+		return copy(b[:(len(b)+1)/2], h.inode.data[at:]), nil
 	}
-	n := copy(b, h.n.data[at:])
+	n := copy(b, h.inode.data[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -484,12 +484,12 @@
 }
 
 func (h *handle) Size() (int64, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if h.d.dead {
-		return 0, ErrDead
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if h.disk.powerLost {
+		return 0, ErrPowerLost
 	}
-	return int64(len(h.n.data)), nil
+	return int64(len(h.inode.data)), nil
 }
 
 func (h *handle) Close() error { return nil }
--- a/internal/tool/commands.go
+++ b/internal/tool/commands.go
@@ -39,7 +39,7 @@
 			if _, err := os.Lstat(path); err == nil {
 				return failure{fmt.Errorf("%s is there already, and stays as it is", path)}
 			}
-			if err := atomicfile.Write(c.disk, atomicfile.File{Path: path, Text: firstApps, Mode: rights}); err != nil {
+			if err := atomicfile.Write(c.disk, atomicfile.File{Path: path, Content: firstApps, Mode: rights}); err != nil {
 				return failure{err}
 			}
 			fmt.Fprintf(c.out, "wrote %s\n", path)
@@ -142,7 +142,7 @@
 			}
 		}
 		if string(text) != string(st.Text) {
-			files = append(files, atomicfile.File{Path: st.Path, Text: text, Mode: rights})
+			files = append(files, atomicfile.File{Path: st.Path, Content: text, Mode: rights})
 		}
 	}
 	if found.Len() > 0 {
@@ -264,7 +264,7 @@
 			var files []atomicfile.File
 			edits := 0
 			if string(text) != string(m.Doc.Text) {
-				files = append(files, atomicfile.File{Path: m.Name, Text: text, Mode: rights})
+				files = append(files, atomicfile.File{Path: m.Name, Content: text, Mode: rights})
 			}
 			for _, st := range taken {
 				edits += len(st.Edits)
@@ -273,7 +273,7 @@
 					continue
 				}
 				if merged := again.Merge(); string(merged) != string(st.Text) {
-					files = append(files, atomicfile.File{Path: st.Path, Text: merged, Mode: rights})
+					files = append(files, atomicfile.File{Path: st.Path, Content: merged, Mode: rights})
 				}
 			}
 			if len(files) == 0 {
--- a/internal/tool/demo.go
+++ b/internal/tool/demo.go
@@ -81,7 +81,7 @@
 	defer os.RemoveAll(dir)
 	file := filepath.Join(dir, "demo.toml")
 	text := fmt.Sprintf(demoFile, doc.Quote(discovery.Address()))
-	if err := atomicfile.Write(c.disk, atomicfile.File{Path: file, Text: []byte(text), Mode: rights}); err != nil {
+	if err := atomicfile.Write(c.disk, atomicfile.File{Path: file, Content: []byte(text), Mode: rights}); err != nil {
 		return err
 	}
 
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -24,7 +24,7 @@
 	verify := &cobra.Command{
 		Use: "verify DIR", Short: "Read every record, and name what cannot be read", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			r, err := store.Look(store.Dir(args[0]), nil, nil)
+			r, err := store.Inspect(store.Dir(args[0]), nil, nil)
 			if err != nil {
 				return failure{fmt.Errorf("%s: %w", args[0], err)}
 			}
@@ -49,7 +49,7 @@
 		Long: "dump prints each live record as a line of JSON. Keys of requests are digests: what a family's key was cannot\nbe read from them.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			e := json.NewEncoder(c.out)
-			if _, err := store.Look(store.Dir(args[0]), nil, func(r store.Record) error { return e.Encode(readable(r)) }); err != nil {
+			if _, err := store.Inspect(store.Dir(args[0]), nil, func(r store.Record) error { return e.Encode(readable(r)) }); err != nil {
 				return failure{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			return nil
@@ -74,7 +74,7 @@
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
 	for _, s := range r.Segments {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%t\t%d\n", s.File, s.Bytes, s.Records, s.First, s.Last, s.Ended, s.Stands)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%t\t%d\n", s.File, s.Bytes, s.Records, s.FirstSeq, s.LastSeq, s.Sealed, s.Replaces)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -82,21 +82,21 @@
 	for _, d := range r.Damage {
 		fmt.Fprintf(c.out, "damaged: %v\n", d)
 	}
-	if r.Torn > 0 {
+	if r.TornBytes > 0 {
 		why := "an append that was cut, or damage to the last one"
 		if r.InUse {
 			why = "an append that is under way, or was cut"
 		}
-		fmt.Fprintf(c.out, "%d bytes: %s\n", r.Torn, why)
+		fmt.Fprintf(c.out, "%d bytes: %s\n", r.TornBytes, why)
 	}
-	for _, name := range r.Leftover {
+	for _, name := range r.Leftovers {
 		fmt.Fprintf(c.out, "left over, removed at the next start: %s\n", name)
 	}
 	state := "no process has it open"
 	if r.InUse {
 		state = "a process has it open"
 	}
-	_, err := fmt.Fprintf(c.out, "%d live records in %d files; %d places damaged; %s\n", r.Live, len(r.Segments), len(r.Damage), state)
+	_, err := fmt.Fprintf(c.out, "%d live records in %d files; %d places damaged; %s\n", r.LiveRecords, len(r.Segments), len(r.Damage), state)
 	return err
 }
 
@@ -111,12 +111,12 @@
 		Request *idempotency.Entry `json:"request,omitempty"`
 		Value   json.RawMessage    `json:"value,omitempty"`
 	}{Seq: r.Seq, File: r.File, Kind: "other", Key: fmt.Sprintf("%x", r.Key)}
-	if r.Left >= 0 {
-		line.Left = r.Left.Round(time.Millisecond).String()
+	if r.TimeLeft >= 0 {
+		line.Left = r.TimeLeft.Round(time.Millisecond).String()
 	}
 	switch r.Key[0] {
 	case 'r':
-		if e, err := idempotency.Decode(r.Value, r.Left, r.Left); err == nil {
+		if e, err := idempotency.Decode(r.Value, r.TimeLeft, r.TimeLeft); err == nil {
 			line.Kind, line.Request = "request", &e
 		}
 	case 'e':
@@ -136,7 +136,7 @@
 	if _, err := os.Stat(dir); err != nil { // opening it would make one
 		return failed(err)
 	}
-	s, err := store.Open(store.Dir(dir), store.Options{MostRecords: 1 << 30, MostBytes: 1 << 50})
+	s, err := store.Open(store.Dir(dir), store.Options{MaxRecords: 1 << 30, MaxBytes: 1 << 50})
 	if err != nil {
 		return failed(err)
 	}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	r, err := store.Look(store.Dir(dir), nil, nil)
+	r, err := store.Inspect(store.Dir(dir), nil, nil)
 	if err != nil {
 		return failed(err)
 	}
@@ -161,6 +161,6 @@
 	for _, x := range r.Segments {
 		left += x.Bytes
 	}
-	fmt.Fprintf(c.out, "%d live records; %d bytes, %d before\n", r.Live, left, size)
+	fmt.Fprintf(c.out, "%d live records; %d bytes, %d before\n", r.LiveRecords, left, size)
 	return nil
 }
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -280,7 +280,7 @@
 // full is a disk without room.
 type full struct{ atomicfile.Disk }
 
-func (full) CreateTemp(string, string) (atomicfile.Temp, error) {
+func (full) CreateTemp(string, string) (atomicfile.TempFile, error) {
 	return nil, &fs.PathError{Op: "open", Path: "x", Err: syscall.ENOSPC}
 }
 
