--- a/internal/files/certfile/certfile_test.go
+++ b/internal/files/certfile/certfile_test.go
@@ -57,12 +57,18 @@
 	if _, err := LoadValid(cert, key, time.Now().Add(-24*time.Hour)); err == nil || !strings.Contains(err.Error(), "holds from") {
 		t.Error(err)
 	}
-	os.Chmod(key, 0o644)
+	check := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	check(os.Chmod(key, 0o644))
 	want("read by everybody")
-	os.Chmod(key, 0o600)
-	os.WriteFile(cert, []byte("no certificate"), 0o600)
+	check(os.Chmod(key, 0o600))
+	check(os.WriteFile(cert, []byte("no certificate"), 0o600))
 	want("cert.pem")
-	os.WriteFile(cert, make([]byte, maxBytes+1), 0o600)
+	check(os.WriteFile(cert, make([]byte, maxBytes+1), 0o600))
 	want("no file of at most")
 	if _, err := LoadPool(cert); err == nil {
 		t.Error("a pool of junk")
@@ -95,7 +101,9 @@
 	}
 	put("third.example.org", time.Hour, ".pem")
 	serves("third.example.org")
-	os.Remove(cert)
+	if err := os.Remove(cert); err != nil {
+		t.Fatal(err)
+	}
 	serves("third.example.org")
 	put("expired.example.org", -time.Second, ".pem")
 	serves("third.example.org")
--- a/internal/files/secretfile/secretfile.go
+++ b/internal/files/secretfile/secretfile.go
@@ -1,10 +1,10 @@
-// Package secretfile reads secrets from files, and says which files are not fit
-// to hold one. What it returns of a secret's content is the secret alone: no
-// error carries any of it.
+// Package secretfile reads secrets from files, and says which files are not fit to hold one: files that everybody can read or
+// write, and files with content that is no secret. No error carries any of a file's content.
 package secretfile
 
 import (
 	"encoding/pem"
+	"errors"
 	"fmt"
 	"io"
 	"io/fs"
@@ -12,52 +12,66 @@
 	"strings"
 )
 
-// MaxBytes bounds a secret.
+// MaxBytes bounds a file with a secret.
 const MaxBytes = 16 << 10
 
-// ReadToken reads the secret in a file, white space around it left out.
+// Rights that a file with a secret must not have. Those of the group are left to the operator: some programs run under a
+// group of their own for it.
+const (
+	worldWritable fs.FileMode = 0o002
+	worldReadable fs.FileMode = 0o004
+)
+
+// pemTypeEncryptedKey is the type of a PEM block that needs a password (RFC 7468, section 11).
+const pemTypeEncryptedKey = "ENCRYPTED PRIVATE KEY"
+
+// ReadToken reads the token in a file, without the white space around it. A token is one word of printable ASCII characters.
 func ReadToken(path string) (string, error) {
-	text, err := readFile(path)
+	content, err := readFile(path)
 	if err != nil {
 		return "", err
 	}
-	secret := strings.TrimSpace(string(text))
-	switch {
-	case secret == "":
+	token := strings.TrimSpace(string(content))
+	if token == "" {
 		return "", fmt.Errorf("%s: is empty, so it holds no secret", path)
-	case strings.ContainsFunc(secret, func(r rune) bool { return r <= ' ' || r >= 0x7f }):
+	}
+	if strings.ContainsFunc(token, notPrintable) {
 		return "", fmt.Errorf("%s: holds more than one word of plain characters, so it is no token", path)
 	}
-	return secret, nil
+	return token, nil
 }
 
-// ReadPrivateKey reads a private key in PEM (RFC 7468, section 10), as it stands in the file.
+func notPrintable(r rune) bool { return r <= ' ' || r >= 0x7f }
+
+// ReadPrivateKey reads a file with a private key in PEM (RFC 7468, section 10). It returns the whole file, other blocks
+// included. A key under a password is an error: there is nobody to ask for it.
 func ReadPrivateKey(path string) ([]byte, error) {
-	text, err := readFile(path)
+	content, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
-	for rest := text; ; {
+	for rest := content; ; {
 		var block *pem.Block
-		if block, rest = pem.Decode(rest); block == nil {
+		block, rest = pem.Decode(rest)
+		if block == nil {
 			return nil, fmt.Errorf("%s: holds no private key in PEM", path)
 		}
-		if block.Type == "ENCRYPTED PRIVATE KEY" {
+		if block.Type == pemTypeEncryptedKey {
 			return nil, fmt.Errorf("%s: its key is encrypted, and nobody is here to be asked for the password", path)
 		}
 		if block.Type == "PRIVATE KEY" || strings.HasSuffix(block.Type, " PRIVATE KEY") {
-			return text, nil
+			return content, nil
 		}
 	}
 }
 
-// readFile reads a file that is fit to hold a secret.
+// readFile reads a file whose rights and size are fit for a secret.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read: an error loses nothing
 	info, err := f.Stat()
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
@@ -65,25 +79,25 @@
 	if err := checkMode(info); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
+	content, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
 	}
-	if len(text) > MaxBytes {
+	if len(content) > MaxBytes {
 		return nil, fmt.Errorf("%s: has more than %d bytes, so it is no secret", path, MaxBytes)
 	}
-	return text, nil
+	return content, nil
 }
 
-// checkMode guards against a secret that others can read, or put in place of the real one. Rights of the group are
-// left to the operator: some run under a group for it.
+// checkMode guards against a secret that others can read, or put in place of the real one.
 func checkMode(info fs.FileInfo) error {
-	switch mode := info.Mode(); {
+	mode := info.Mode()
+	switch {
 	case !mode.IsRegular():
-		return fmt.Errorf("is no regular file, so it is no secret")
-	case mode.Perm()&0o002 != 0:
+		return errors.New("is no regular file, so it is no secret")
+	case mode.Perm()&worldWritable != 0:
 		return fmt.Errorf("the file can be written by everybody (mode %04o), so the secret is not to be trusted; chmod o-w", mode.Perm())
-	case mode.Perm()&0o004 != 0:
+	case mode.Perm()&worldReadable != 0:
 		return fmt.Errorf("the file can be read by everybody (mode %04o), so it is no secret; chmod o-r", mode.Perm())
 	}
 	return nil
--- a/internal/files/secretfile/secretfile_test.go
+++ b/internal/files/secretfile/secretfile_test.go
@@ -8,35 +8,65 @@
 	"testing"
 )
 
+// secretMark stands in each file that is read, and must stand in no error.
+const secretMark = "s3cret"
+
+func writeFile(t *testing.T, path, content string, mode os.FileMode) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Chmod(path, mode); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// checkError compares an error with the text that it has to contain; none is expected where that is empty.
+func checkError(t *testing.T, err error, want string) {
+	t.Helper()
+	if want == "" {
+		if err != nil {
+			t.Errorf("unexpected error: %v", err)
+		}
+		return
+	}
+	if err == nil || !strings.Contains(err.Error(), want) {
+		t.Errorf("error %v, want %q", err, want)
+	}
+	if err != nil && strings.Contains(err.Error(), secretMark) {
+		t.Errorf("the error contains the secret: %v", err)
+	}
+}
+
 func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "token")
 	for _, c := range []struct {
-		text string
-		mode os.FileMode
-		want string // of the error; empty for none
+		name    string
+		content string
+		mode    os.FileMode
+		want    string // of the error; empty for none
 	}{
-		{"s3cret\n", 0o600, ""},
-		{" s3cret ", 0o640, ""},
-		{"s3cret", 0o602, "written by everybody"},
-		{"s3cret", 0o604, "read by everybody"},
-		{"", 0o600, "is empty"},
-		{"s3cret word", 0o600, "more than one word"},
-		{strings.Repeat("s3cret", 5000), 0o600, "more than"},
+		{"line", "s3cret\n", 0o600, ""},
+		{"white space, group may read", " s3cret ", 0o640, ""},
+		{"everybody may write", "s3cret", 0o602, "written by everybody"},
+		{"everybody may read", "s3cret", 0o604, "read by everybody"},
+		{"empty", "", 0o600, "is empty"},
+		{"two words", "s3cret word", 0o600, "more than one word"},
+		{"too large", strings.Repeat("s3cret", 5000), 0o600, "more than"},
 	} {
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Chmod(path, c.mode); err != nil {
-			t.Fatal(err)
-		}
-		got, err := ReadToken(path)
-		if c.want == "" && (err != nil || got != "s3cret") || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || got != "") {
-			t.Errorf("%.10q, %v: got %q, %v", c.text, c.mode, got, err)
-		}
-		if err != nil && strings.Contains(err.Error(), "s3cret") {
-			t.Errorf("the error tells the secret: %v", err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			writeFile(t, path, c.content, c.mode)
+			got, err := ReadToken(path)
+			checkError(t, err, c.want)
+			want := secretMark
+			if c.want != "" {
+				want = ""
+			}
+			if got != want {
+				t.Errorf("got %q, want %q", got, want)
+			}
+		})
 	}
 	for _, path := range []string{dir, filepath.Join(dir, "none")} {
 		if _, err := ReadToken(path); err == nil {
@@ -45,36 +75,33 @@
 	}
 }
 
+func pemBlock(blockType string) string {
+	return string(pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: []byte(secretMark)}))
+}
+
 func TestKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
-	block := func(sort string) string {
-		return string(pem.EncodeToMemory(&pem.Block{Type: sort, Bytes: []byte("s3cret")}))
-	}
 	for _, c := range []struct {
-		text string
-		mode os.FileMode
-		want string // of the error; empty for none
+		name    string
+		content string
+		mode    os.FileMode
+		want    string // of the error; empty for none
 	}{
-		{block("PRIVATE KEY"), 0o600, ""},
-		{block("EC PARAMETERS") + block("EC PRIVATE KEY"), 0o640, ""},
-		{block("PRIVATE KEY"), 0o644, "read by everybody"},
-		{block("CERTIFICATE"), 0o600, "holds no private key"},
-		{"", 0o600, "holds no private key"},
-		{block("ENCRYPTED PRIVATE KEY"), 0o600, "is encrypted"},
-		{strings.Repeat(block("CERTIFICATE"), 500), 0o600, "more than"},
+		{"PKCS 8", pemBlock("PRIVATE KEY"), 0o600, ""},
+		{"after parameters, group may read", pemBlock("EC PARAMETERS") + pemBlock("EC PRIVATE KEY"), 0o640, ""},
+		{"everybody may read", pemBlock("PRIVATE KEY"), 0o644, "read by everybody"},
+		{"certificate", pemBlock("CERTIFICATE"), 0o600, "holds no private key"},
+		{"empty", "", 0o600, "holds no private key"},
+		{"encrypted", pemBlock("ENCRYPTED PRIVATE KEY"), 0o600, "is encrypted"},
+		{"too large", strings.Repeat(pemBlock("CERTIFICATE"), 500), 0o600, "more than"},
 	} {
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Chmod(path, c.mode); err != nil {
-			t.Fatal(err)
-		}
-		got, err := ReadPrivateKey(path)
-		switch {
-		case c.want == "" && (err != nil || string(got) != c.text):
-			t.Errorf("%q: %v", got, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "s3cret")):
-			t.Errorf("mode %o: %v, want %q", c.mode, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			writeFile(t, path, c.content, c.mode)
+			got, err := ReadPrivateKey(path)
+			checkError(t, err, c.want)
+			if c.want == "" && string(got) != c.content {
+				t.Errorf("got %q, want the whole file", got)
+			}
+		})
 	}
 }
