--- a/internal/files/atomicfile/atomicfile.go
+++ b/internal/files/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces files so that each is at all times whole, the old
-// one or the new one, whatever fails in between.
+// Package atomicfile replaces files so that each is complete at all times, the old one or the new one, whatever fails in
+// between. It does not make several files change at once: see Write.
 package atomicfile
 
 import (
@@ -8,89 +8,79 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"syscall"
 )
 
 // File is a file's new content.
 type File struct {
 	Path    string
 	Content []byte
-	Mode    fs.FileMode // of a file that is not there yet; one that is keeps its own
+	Mode    fs.FileMode // of a file that does not exist yet; one that does keeps its own
 }
 
-// FS is what is asked of the file system. Tests put one in its place that fails.
-type FS interface {
-	CreateTemp(dir, pattern string) (TempFile, error)
-	Rename(from, to string) error
-	Remove(path string) error
-	SyncDir(dir string) error
+// replacement is a temporary file on its way to the name of the file that it replaces.
+type replacement struct {
+	file   File
+	temp   string
+	target string
 }
 
-// TempFile is a temporary file.
-type TempFile interface {
-	Name() string
-	Write([]byte) (int, error)
-	Chmod(fs.FileMode) error
-	Sync() error
-	Close() error
-}
-
-// Disk is the real file system.
-type Disk struct{}
-
-func (Disk) CreateTemp(dir, pattern string) (TempFile, error) { return os.CreateTemp(dir, pattern) }
-func (Disk) Rename(from, to string) error                     { return os.Rename(from, to) }
-func (Disk) Remove(path string) error                         { return os.Remove(path) }
-
-// SyncDir makes renames in a directory durable.
-func (Disk) SyncDir(dir string) error {
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
+// Write replaces files. All new ones are complete and synced before the first takes its place, so that a full disk, the
+// likeliest failure, leaves every old file. Should a rename fail all the same, the files before it stay replaced, and the
+// error says how many. A symlink stays, and the file that it names is replaced.
+func Write(disk FS, files ...File) (err error) {
+	replacements, err := prepare(disk, files)
+	renamed := 0
+	if err == nil {
+		renamed, err = rename(disk, replacements)
+	}
+	for _, r := range replacements[renamed:] {
+		_ = disk.Remove(r.temp) // the error that is returned matters more; the name says that the file is temporary
 	}
-	defer d.Close()
-	if err := d.Sync(); err != nil && !errors.Is(err, syscall.EINVAL) { // some file systems sync no directories
+	if err != nil {
 		return err
 	}
-	return nil
+	return syncDirs(disk, replacements)
 }
 
-// Write replaces files. All are made and synced before the first takes its place, so that a full disk, the
-// likeliest failure, leaves every old file. Should a rename fail all the same, those before it stay replaced,
-// and the error says so. A symlink stays, and the file that it names is replaced.
-func Write(disk FS, files ...File) (err error) {
-	type pending struct{ temp, target string }
-	var made []pending
-	renamed := 0
-	defer func() {
-		for _, p := range made[renamed:] {
-			disk.Remove(p.temp)
-		}
-	}()
+// prepare writes the temporary files. After an error it returns those that exist all the same, complete or not.
+func prepare(disk FS, files []File) (made []replacement, err error) {
 	for _, f := range files {
 		target, mode, err := resolveTarget(f)
 		if err != nil {
-			return err
+			return made, err
 		}
 		t, err := disk.CreateTemp(filepath.Dir(target), "."+filepath.Base(target)+".*.tmp")
 		if err != nil {
-			return fmt.Errorf("%s: cannot be written: %w", f.Path, withoutPath(err))
+			return made, fmt.Errorf("%s: cannot be written: %w", f.Path, withoutPath(err))
 		}
-		made = append(made, pending{t.Name(), target})
+		made = append(made, replacement{file: f, temp: t.Name(), target: target})
 		if err := writeTemp(t, f.Content, mode); err != nil {
-			return fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, withoutPath(err))
+			return made, fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, withoutPath(err))
 		}
 	}
-	dirs := map[string]bool{}
-	for i, p := range made {
-		if err := disk.Rename(p.temp, p.target); err != nil {
-			if i > 0 {
-				return fmt.Errorf("%s: cannot be written: %w; the %d files before it are new", files[i].Path, withoutPath(err), i)
-			}
-			return fmt.Errorf("%s: cannot be written, and is as it was: %w", files[i].Path, withoutPath(err))
+	return made, nil
+}
+
+// rename gives the temporary files the names of their targets, and returns how many have got them.
+func rename(disk FS, replacements []replacement) (renamed int, err error) {
+	for i, r := range replacements {
+		err := disk.Rename(r.temp, r.target)
+		if err == nil {
+			continue
 		}
-		renamed = i + 1
-		dirs[filepath.Dir(p.target)] = true
+		if i > 0 {
+			return i, fmt.Errorf("%s: cannot be written: %w; the %d files before it are new", r.file.Path, withoutPath(err), i)
+		}
+		return i, fmt.Errorf("%s: cannot be written, and is as it was: %w", r.file.Path, withoutPath(err))
+	}
+	return len(replacements), nil
+}
+
+// syncDirs makes the renames durable.
+func syncDirs(disk FS, replacements []replacement) error {
+	dirs := map[string]bool{}
+	for _, r := range replacements {
+		dirs[filepath.Dir(r.target)] = true
 	}
 	for dir := range dirs {
 		if err := disk.SyncDir(dir); err != nil {
@@ -100,29 +90,29 @@
 	return nil
 }
 
-// resolveTarget finds the file to replace, and the rights it is to have.
+// resolveTarget finds the file to replace, and the mode that its replacement is to have.
 func resolveTarget(f File) (target string, mode fs.FileMode, err error) {
-	target, mode = f.Path, f.Mode
-	info, err := os.Stat(target)
+	info, err := os.Stat(f.Path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		if _, err := os.Lstat(target); err == nil {
+		if _, err := os.Lstat(f.Path); err == nil {
 			return "", 0, fmt.Errorf("%s: is a symlink to a file that is not there", f.Path)
 		}
-		return target, mode, nil
+		return f.Path, f.Mode, nil
 	case err != nil:
 		return "", 0, fmt.Errorf("%s: %w", f.Path, withoutPath(err))
 	case !info.Mode().IsRegular():
 		return "", 0, fmt.Errorf("%s: is no regular file", f.Path)
 	}
-	if target, err = filepath.EvalSymlinks(target); err != nil {
+	if target, err = filepath.EvalSymlinks(f.Path); err != nil {
 		return "", 0, fmt.Errorf("%s: %w", f.Path, withoutPath(err))
 	}
 	return target, info.Mode().Perm(), nil
 }
 
-func writeTemp(t TempFile, text []byte, mode fs.FileMode) error {
-	_, err := t.Write(text)
+// writeTemp fills a temporary file, makes it durable and closes it.
+func writeTemp(t TempFile, content []byte, mode fs.FileMode) error {
+	_, err := t.Write(content)
 	if err == nil {
 		err = t.Chmod(mode)
 	}
@@ -132,35 +122,16 @@
 	return errors.Join(err, t.Close())
 }
 
-// withoutPath leaves the name of a temporary file out of an error.
+// withoutPath strips the name of a file from an error of the os package: it may be a temporary one, which means nothing to
+// the reader.
 func withoutPath(err error) error {
-	var path *fs.PathError
-	if errors.As(err, &path) {
-		return path.Err
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return pathError.Err
 	}
-	var link *os.LinkError
-	if errors.As(err, &link) {
-		return link.Err
+	var linkError *os.LinkError
+	if errors.As(err, &linkError) {
+		return linkError.Err
 	}
 	return err
 }
-
-// Lock keeps a directory to one writer at a time, until unlock is called or the process ends. It waits for
-// another one to be done.
-func Lock(dir string) (unlock func(), err error) {
-	d, err := os.Open(dir)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", dir, withoutPath(err))
-	}
-	for {
-		err = syscall.Flock(int(d.Fd()), syscall.LOCK_EX)
-		if !errors.Is(err, syscall.EINTR) {
-			break
-		}
-	}
-	if err != nil {
-		d.Close()
-		return nil, fmt.Errorf("%s: cannot be locked: %w", dir, err)
-	}
-	return func() { d.Close() }, nil
-}
--- a/internal/files/atomicfile/atomicfile_test.go
+++ b/internal/files/atomicfile/atomicfile_test.go
@@ -95,46 +95,72 @@
 	return string(text)
 }
 
-// At whatever call the disk fails, each file is whole, old or new; before the first rename all are old; no
+// At whatever call the disk fails, each file is complete, old or new; before the first rename all are old; no
 // temporary file is left; and the error names a file or its folder.
 func TestAFullDiskLeavesWholeFiles(t *testing.T) {
-	const old, fresh = "old", "a new text that is longer"
 	for n := 1; ; n++ {
-		dir := t.TempDir()
-		a, b, c := filepath.Join(dir, "a"), filepath.Join(dir, "b"), filepath.Join(dir, "c") // c is new
-		for _, path := range []string{a, b} {
-			if err := os.WriteFile(path, []byte(old), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
 		disk := &faulty{left: n, err: syscall.ENOSPC}
-		err := Write(disk, File{a, []byte(fresh), 0o644}, File{b, []byte(fresh), 0o644}, File{c, []byte(fresh), 0o644})
-		if disk.left > 0 {
-			if err != nil || n < 15 {
-				t.Errorf("after %d calls: %v", n, err)
+		if done := checkFailingWrite(t, disk); done {
+			if n < 15 {
+				t.Errorf("only %d calls can fail", n)
 			}
 			return
 		}
-		if !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), dir) || strings.Contains(err.Error(), ".tmp") {
-			t.Errorf("%s fails: %v", disk.what, err)
+	}
+}
+
+// checkFailingWrite replaces two files and makes a third on a disk that fails at one call. It returns true where that call
+// was never reached.
+func checkFailingWrite(t *testing.T, disk *faulty) (done bool) {
+	t.Helper()
+	const oldContent, newContent = "old", "a new text that is longer"
+	dir := t.TempDir()
+	paths := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b"), filepath.Join(dir, "c")}
+	for _, path := range paths[:2] { // the third one is new
+		if err := os.WriteFile(path, []byte(oldContent), 0o600); err != nil {
+			t.Fatal(err)
 		}
-		renamed := 0
-		for _, path := range []string{a, b, c} {
-			switch got := read(t, path); {
-			case got == fresh:
-				renamed++
-			case got != old && !(path == c && got == ""):
-				t.Errorf("%s fails: %s holds %q", disk.what, path, got)
-			}
+	}
+	var files []File
+	for _, path := range paths {
+		files = append(files, File{path, []byte(newContent), 0o644})
+	}
+	err := Write(disk, files...)
+	if disk.left > 0 {
+		if err != nil {
+			t.Errorf("nothing failed, and the error is %v", err)
 		}
-		if disk.what != "rename" && disk.what != "sync dir" && renamed > 0 {
-			t.Errorf("%s fails: %d files are new", disk.what, renamed)
+		return true
+	}
+	if !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), dir) || strings.Contains(err.Error(), ".tmp") {
+		t.Errorf("%s fails: %v", disk.what, err)
+	}
+	renamed := 0
+	for i, path := range paths {
+		got := read(t, path)
+		isOld := got == oldContent || i == 2 && got == ""
+		if got == newContent {
+			renamed++
+		} else if !isOld {
+			t.Errorf("%s fails: %s holds %q", disk.what, path, got)
 		}
-		entries, _ := os.ReadDir(dir)
-		for _, e := range entries {
-			if strings.Contains(e.Name(), "tmp") {
-				t.Errorf("%s fails: %s is left", disk.what, e.Name())
-			}
+	}
+	if disk.what != "rename" && disk.what != "sync dir" && renamed > 0 {
+		t.Errorf("%s fails: %d files are new", disk.what, renamed)
+	}
+	checkNoTemporaryFile(t, dir, disk.what)
+	return false
+}
+
+func checkNoTemporaryFile(t *testing.T, dir, failed string) {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range entries {
+		if strings.Contains(e.Name(), "tmp") {
+			t.Errorf("%s fails: %s is left", failed, e.Name())
 		}
 	}
 }
@@ -178,7 +204,9 @@
 	if info, _ := os.Stat(filepath.Join(dir, "new")); info.Mode().Perm() != 0o604 {
 		t.Errorf("rights of a new file are %v", info.Mode())
 	}
-	os.Remove(target)
+	if err := os.Remove(target); err != nil {
+		t.Fatal(err)
+	}
 	for path, want := range map[string]string{link: "a symlink to a file that is not there", dir: "no regular file", filepath.Join(dir, "none", "x"): "cannot be written"} {
 		if err := Write(Disk{}, File{path, []byte("x"), 0o600}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", path, err)
@@ -191,8 +219,14 @@
 		t.Skip("root may write everywhere")
 	}
 	dir := t.TempDir()
-	os.Chmod(dir, 0o500)
-	defer os.Chmod(dir, 0o700)
+	if err := os.Chmod(dir, 0o500); err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := os.Chmod(dir, 0o700); err != nil {
+			t.Error(err)
+		}
+	}()
 	if err := Write(Disk{}, File{filepath.Join(dir, "x"), nil, 0o600}); !errors.Is(err, fs.ErrPermission) {
 		t.Error(err)
 	}
