--- /dev/null
+++ b/internal/files/store/disklog.go
@@ -0,0 +1,206 @@
+package store
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+)
+
+// diskLog is the log as a directory holds it: what the headers of its segments say.
+type diskLog struct {
+	segments      []*segment // the oldest first
+	leftovers     []string   // files that nothing needs: not finished, or replaced by others
+	tornBytes     int64      // of headers that were cut
+	damage        []Damage
+	failedRanges  []seqRange
+	durableSeq    uint64 // all records up to this one were durable at some time
+	storeID       uint64 // 0 where no header was read
+	lastID        uint64 // of a segment
+	timestamp     Timestamp
+	storeTime     int64 // at timestamp, by the newest header
+	headerDamaged bool  // what a damaged header would say of other segments is unknown
+}
+
+// readLog reads the headers in a directory. The caller closes the log; after an error no file is open.
+func readLog(dir FS) (*diskLog, error) {
+	ids, unfinished, err := listSegments(dir)
+	if err != nil {
+		return nil, err
+	}
+	l := &diskLog{leftovers: unfinished}
+	for _, id := range ids {
+		seg, err := l.openSegment(dir, id)
+		if err != nil {
+			l.close()
+			return nil, err
+		}
+		l.lastID = id
+		if seg != nil {
+			l.segments = append(l.segments, seg)
+		}
+	}
+	replaced := l.dropReplaced()
+	slices.SortFunc(l.segments, func(a, b *segment) int {
+		return cmp.Or(cmp.Compare(a.firstSeq, b.firstSeq), cmp.Compare(a.id, b.id))
+	})
+	l.checkChain(replaced)
+	return l, nil
+}
+
+// close closes the files. They were only read, so that an error loses nothing.
+func (l *diskLog) close() {
+	for _, seg := range l.segments {
+		_ = seg.file.Close()
+	}
+}
+
+// dropReplaced moves the segments that others replace to the leftovers, and returns the IDs that others replace.
+func (l *diskLog) dropReplaced() map[uint64]bool {
+	replaced := map[uint64]bool{}
+	for _, seg := range l.segments {
+		for _, id := range seg.replaces {
+			replaced[id] = true
+		}
+	}
+	l.segments = slices.DeleteFunc(l.segments, func(seg *segment) bool {
+		if !replaced[seg.id] {
+			return false
+		}
+		l.leftovers = append(l.leftovers, seg.name)
+		_ = seg.file.Close() // it was only read
+		return true
+	})
+	return replaced
+}
+
+// openSegment opens the file of a segment and reads its header. It returns nil where the file was cut before it had one.
+func (l *diskLog) openSegment(dir FS, id uint64) (*segment, error) {
+	name := segmentName(id)
+	file, err := dir.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	seg, err := l.readHeader(file, name, id)
+	if seg == nil {
+		_ = file.Close() // it was only read
+	}
+	return seg, err
+}
+
+func (l *diskLog) readHeader(file Reader, name string, id uint64) (*segment, error) {
+	size, err := file.Size()
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	if size > math.MaxUint32 {
+		return nil, fmt.Errorf("%s: has %d bytes, and no segment has so many", name, size)
+	}
+	start, err := readUpTo(file, min(size, minHeaderBytes+8*maxReplaced))
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	h, err := decodeHeader(name, start)
+	if errors.Is(err, errHeaderUnreadable) {
+		return l.readWithoutHeader(file, name, id, size)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if err := l.addHeader(&h, name, id); err != nil {
+		return nil, err
+	}
+	return &segment{header: h, name: name, file: file, size: size}, nil
+}
+
+// addHeader notes what a header says of the whole log.
+func (l *diskLog) addHeader(h *header, name string, id uint64) error {
+	if l.storeID == 0 {
+		l.storeID = h.storeID
+	}
+	if h.storeID != l.storeID || h.id != id {
+		return fmt.Errorf("%s: is a segment of another store, or was renamed; move it away", name)
+	}
+	if h.storeTime >= l.storeTime {
+		l.storeTime = h.storeTime
+		l.timestamp = h.timestamp
+	}
+	l.durableSeq = max(l.durableSeq, h.durableSeq)
+	if !h.failedSeqs.empty() {
+		l.failedRanges = append(l.failedRanges, h.failedSeqs)
+	}
+	return nil
+}
+
+// readWithoutHeader reads a segment whose header is damaged, or was never written as a whole. If a record follows, it was. It
+// returns nil otherwise.
+func (l *diskLog) readWithoutHeader(file Reader, name string, id uint64, size int64) (*segment, error) {
+	data, err := readUpTo(file, size)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	runs := findFrameRuns(data, 0, 0)
+	if len(runs) == 0 {
+		l.tornBytes += size
+		l.leftovers = append(l.leftovers, name)
+		return nil, nil
+	}
+	l.headerDamaged = true
+	l.damage = append(l.damage, Damage{
+		File: name, To: int64(runs[0].from), Reason: "the header is damaged; records behind it were found",
+	})
+	for _, run := range runs {
+		l.durableSeq = max(l.durableSeq, run.durableSeq)
+	}
+	h := header{id: id, firstSeq: max(runs[0].firstSeq, 1)}
+	return &segment{header: h, name: name, file: file, size: size, damaged: true}, nil
+}
+
+// checkChain reports segments that are missing: each but the oldest names the one before it.
+func (l *diskLog) checkChain(replaced map[uint64]bool) {
+	if l.headerDamaged {
+		return
+	}
+	present := map[uint64]bool{}
+	for _, seg := range l.segments {
+		present[seg.id] = true
+	}
+	for i, seg := range l.segments {
+		if i > 0 && seg.previousID != 0 && !present[seg.previousID] && !replaced[seg.previousID] {
+			l.damage = append(l.damage, Damage{File: segmentName(seg.previousID), Reason: "the file is missing"})
+		}
+	}
+}
+
+// seqLimit is the number before which the records of a segment end; 0 for the last segment.
+func (l *diskLog) seqLimit(i int) uint64 {
+	if i+1 >= len(l.segments) {
+		return 0
+	}
+	next := l.segments[i+1]
+	failed := next.failedSeqs
+	if !failed.empty() && failed.end == next.firstSeq {
+		return failed.first // those that failed were never acknowledged
+	}
+	return next.firstSeq
+}
+
+// scanSegment reads a segment into memory and hands out its records with their offsets.
+func (l *diskLog) scanSegment(i int, emit func(f frame, offset int)) (scanResult, error) {
+	seg := l.segments[i]
+	data, err := readUpTo(seg.file, seg.size)
+	if err != nil {
+		return scanResult{}, fmt.Errorf("%s: %w", seg.name, err)
+	}
+	scan := segmentScan{
+		file: seg.name, data: data, header: seg.header,
+		durableSeq: l.durableSeq, nextSeq: l.seqLimit(i), failed: l.failedRanges, emit: emit,
+	}
+	result := scan.run()
+	if result.sealed && result.seal.records != result.records && len(result.damage) == 0 {
+		reason := fmt.Sprintf("has %d records, and was ended with %d", result.records, result.seal.records)
+		result.damage = append(result.damage, Damage{File: seg.name, To: seg.size, Reason: reason})
+	}
+	return result, nil
+}
--- /dev/null
+++ b/internal/files/store/frame.go
@@ -0,0 +1,171 @@
+package store
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"math"
+)
+
+const (
+	// MaxKeyBytes bounds a key.
+	MaxKeyBytes = 1 << 10
+	// MaxValueBytes bounds a value.
+	MaxValueBytes = 1 << 20
+)
+
+// Sizes of frames in bytes; those with min before a key and a value.
+const (
+	framePrefixBytes = 8 // length and checksum
+	kindOffset       = framePrefixBytes
+	seqOffset        = kindOffset + 1
+	bodyOffset       = seqOffset + 8
+	minPutBytes      = bodyOffset + 8 + 2
+	minDeleteBytes   = bodyOffset + 2
+	groupBytes       = bodyOffset + 8 + 8
+	sealBytes        = bodyOffset + 8 + 8 + 8
+	maxFrameBytes    = minPutBytes + MaxKeyBytes + MaxValueBytes
+)
+
+// kind is what a frame is.
+type kind uint8
+
+const (
+	kindPut    kind = 1
+	kindDelete kind = 2
+	kindGroup  kind = 3 // begins what one sync makes durable
+	kindSeal   kind = 4 // ends a segment to which nothing is added any more
+
+	// moreFlag is set on each record of a batch but the last.
+	moreFlag kind = 0x80
+)
+
+// never is the expiry of a record that stays until it is deleted.
+const never = math.MaxInt64
+
+// frame is one entry of a segment behind the header. A frame that was decoded shares key and value with the bytes that it was
+// decoded from.
+type frame struct {
+	kind        kind
+	moreInBatch bool // the next record is of the same batch
+	// seq is a record's sequence number, a group's that of the next record, a seal's that of the last one.
+	seq           uint64
+	expiresAt     int64 // by the time of the store in ms: of a put; of a seal, when all records of the segment have expired
+	key           []byte
+	value         []byte
+	durableSeq    uint64 // of a group: all records up to this one were durable before it was written
+	storeTime     int64  // of a group, in ms
+	shadowedUntil int64  // of a seal: see segment
+	records       uint64 // of a seal: how many the segment has
+	size          int    // in bytes; set by decodeFrame
+}
+
+// isRecord tells records from the marks of groups and seals.
+func (f *frame) isRecord() bool { return f.kind == kindPut || f.kind == kindDelete }
+
+func appendFrame(b []byte, f *frame) []byte {
+	start := len(b)
+	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // length and checksum are known at the end
+	kindByte := f.kind
+	if f.moreInBatch {
+		kindByte |= moreFlag
+	}
+	b = append(b, byte(kindByte))
+	b = binary.LittleEndian.AppendUint64(b, f.seq)
+	switch f.kind {
+	case kindPut:
+		b = binary.LittleEndian.AppendUint64(b, uint64(f.expiresAt))
+		b = appendKeyAndValue(b, f)
+	case kindDelete:
+		b = appendKeyAndValue(b, f)
+	case kindGroup:
+		b = binary.LittleEndian.AppendUint64(b, f.durableSeq)
+		b = binary.LittleEndian.AppendUint64(b, uint64(f.storeTime))
+	case kindSeal:
+		b = binary.LittleEndian.AppendUint64(b, uint64(f.expiresAt))
+		b = binary.LittleEndian.AppendUint64(b, uint64(f.shadowedUntil))
+		b = binary.LittleEndian.AppendUint64(b, f.records)
+	}
+	binary.LittleEndian.PutUint32(b[start:], uint32(len(b)-start-framePrefixBytes))
+	binary.LittleEndian.PutUint32(b[start+4:], frameChecksum(b[start:]))
+	return b
+}
+
+func appendKeyAndValue(b []byte, f *frame) []byte {
+	b = binary.LittleEndian.AppendUint16(b, uint16(len(f.key)))
+	b = append(b, f.key...)
+	return append(b, f.value...)
+}
+
+// frameChecksum is the checksum of a frame: of its length and of what follows the checksum itself.
+func frameChecksum(b []byte) uint32 {
+	return crc32.Update(crc32.Checksum(b[:4], castagnoli), castagnoli, b[framePrefixBytes:])
+}
+
+// decodeFrame reads the frame at the start of b; false where there is none that is complete and undamaged. Cheap checks come
+// first: a search behind damage calls it for each byte.
+func decodeFrame(b []byte) (f frame, ok bool) {
+	if len(b) < minDeleteBytes {
+		return f, false
+	}
+	length := int(binary.LittleEndian.Uint32(b))
+	if length < minDeleteBytes-framePrefixBytes || length > maxFrameBytes || length > len(b)-framePrefixBytes {
+		return f, false
+	}
+	f.size = framePrefixBytes + length
+	kindByte := kind(b[kindOffset])
+	f.kind = kindByte &^ moreFlag
+	f.moreInBatch = kindByte&moreFlag != 0
+	if !f.plausibleSize() {
+		return f, false
+	}
+	if frameChecksum(b[:f.size]) != binary.LittleEndian.Uint32(b[4:]) {
+		return f, false
+	}
+	f.seq = binary.LittleEndian.Uint64(b[seqOffset:])
+	return f, f.decodeBody(b[bodyOffset:f.size])
+}
+
+func (f *frame) plausibleSize() bool {
+	switch f.kind {
+	case kindPut:
+		return f.size >= minPutBytes
+	case kindDelete:
+		return true
+	case kindGroup:
+		return f.size == groupBytes && !f.moreInBatch
+	case kindSeal:
+		return f.size == sealBytes && !f.moreInBatch
+	}
+	return false
+}
+
+// decodeBody reads what follows the sequence number.
+func (f *frame) decodeBody(body []byte) bool {
+	numbers := numberReader{body}
+	switch f.kind {
+	case kindPut:
+		f.expiresAt = numbers.int64()
+		return f.decodeKeyAndValue(numbers.rest)
+	case kindDelete:
+		return f.decodeKeyAndValue(body) && len(f.value) == 0
+	case kindGroup:
+		f.durableSeq = numbers.uint64()
+		f.storeTime = numbers.int64()
+	case kindSeal:
+		f.expiresAt = numbers.int64()
+		f.shadowedUntil = numbers.int64()
+		f.records = numbers.uint64()
+	}
+	return true
+}
+
+func (f *frame) decodeKeyAndValue(body []byte) bool {
+	keyLength := int(binary.LittleEndian.Uint16(body))
+	body = body[2:]
+	if keyLength > len(body) || keyLength > MaxKeyBytes {
+		return false
+	}
+	f.key = body[:keyLength]
+	f.value = body[keyLength:]
+	return true
+}
--- /dev/null
+++ b/internal/files/store/header.go
@@ -0,0 +1,123 @@
+package store
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"slices"
+)
+
+// The format on disk; docs/store-format.md describes it. All numbers are little endian.
+
+// Version is the format that this package writes. It reads this one and those before it.
+const Version = 1
+
+const (
+	magic          = "QGSTORE\n"
+	minHeaderBytes = 100 // of a header that replaces no segment
+	checksumBytes  = 4
+	maxReplaced    = 1 << 16 // segments; the number has two bytes
+)
+
+// Offsets of the fields of a header that each version has to keep.
+const (
+	versionOffset  = len(magic)
+	replacedOffset = versionOffset + 2
+	numbersOffset  = replacedOffset + 2 + 4 // behind four bytes that are reserved
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// header is at the start of a segment.
+type header struct {
+	version    uint16
+	storeID    uint64 // random, drawn when the store was made: segments of another store are told apart by it
+	id         uint64
+	firstSeq   uint64 // of its first record, or of the first that it replaces
+	durableSeq uint64 // all records up to this one were durable when the segment was made
+	failedSeqs seqRange
+	previousID uint64 // the segment before it; 0 for none
+	timestamp  Timestamp
+	storeTime  int64    // in ms
+	replaces   []uint64 // segments whose live records it holds, and that are not read where it is there
+}
+
+// seqRange is a range of sequence numbers: of records whose write failed, and which may be in a file all the same.
+type seqRange struct {
+	first uint64
+	end   uint64 // the number behind the last one; a range with end 0 is empty
+}
+
+func (r seqRange) empty() bool { return r.end <= r.first }
+
+func (r seqRange) contains(seq uint64) bool { return r.first <= seq && seq < r.end }
+
+func inAnyRange(ranges []seqRange, seq uint64) bool {
+	return slices.ContainsFunc(ranges, func(r seqRange) bool { return r.contains(seq) })
+}
+
+func (h *header) size() int { return minHeaderBytes + 8*len(h.replaces) }
+
+func (h *header) encode() []byte {
+	b := make([]byte, 0, h.size())
+	b = append(b, magic...)
+	b = binary.LittleEndian.AppendUint16(b, Version)
+	b = binary.LittleEndian.AppendUint16(b, uint16(len(h.replaces)))
+	b = binary.LittleEndian.AppendUint32(b, 0) // reserved
+	for _, number := range []uint64{
+		h.storeID, h.id, h.firstSeq, h.durableSeq, h.failedSeqs.first, h.failedSeqs.end, h.previousID, h.timestamp.BootID,
+		uint64(h.timestamp.UptimeMillis), uint64(h.storeTime),
+	} {
+		b = binary.LittleEndian.AppendUint64(b, number)
+	}
+	for _, id := range h.replaces {
+		b = binary.LittleEndian.AppendUint64(b, id)
+	}
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+}
+
+// decodeHeader reads the header of a segment. It returns errHeaderUnreadable, or a NewerVersionError. The checksum is checked
+// before the version: otherwise one flipped bit would have the whole store refused as a later program's. So each version of
+// the format keeps where the length of a header is, and that the checksum ends it.
+func decodeHeader(file string, b []byte) (h header, err error) {
+	if len(b) < minHeaderBytes || string(b[:len(magic)]) != magic {
+		return h, errHeaderUnreadable
+	}
+	replaced := int(binary.LittleEndian.Uint16(b[replacedOffset:]))
+	size := minHeaderBytes + 8*replaced
+	if len(b) < size {
+		return h, errHeaderUnreadable
+	}
+	checksumOffset := size - checksumBytes
+	if crc32.Checksum(b[:checksumOffset], castagnoli) != binary.LittleEndian.Uint32(b[checksumOffset:]) {
+		return h, errHeaderUnreadable
+	}
+	if h.version = binary.LittleEndian.Uint16(b[versionOffset:]); h.version > Version {
+		return h, &NewerVersionError{file, h.version}
+	}
+	numbers := numberReader{b[numbersOffset:]}
+	h.storeID = numbers.uint64()
+	h.id = numbers.uint64()
+	h.firstSeq = numbers.uint64()
+	h.durableSeq = numbers.uint64()
+	h.failedSeqs.first = numbers.uint64()
+	h.failedSeqs.end = numbers.uint64()
+	h.previousID = numbers.uint64()
+	h.timestamp.BootID = numbers.uint64()
+	h.timestamp.UptimeMillis = numbers.int64()
+	h.storeTime = numbers.int64()
+	for range replaced {
+		h.replaces = append(h.replaces, numbers.uint64())
+	}
+	return h, nil
+}
+
+// numberReader reads numbers of eight bytes, one after another. The caller checks the length.
+type numberReader struct{ rest []byte }
+
+func (n *numberReader) uint64() uint64 {
+	number := binary.LittleEndian.Uint64(n.rest)
+	n.rest = n.rest[8:]
+	return number
+}
+
+func (n *numberReader) int64() int64 { return int64(n.uint64()) }
--- /dev/null
+++ b/internal/files/store/index.go
@@ -0,0 +1,94 @@
+package store
+
+// index knows where the latest record of each key is. The store's mutex guards it.
+type index struct {
+	locations   map[string]location
+	liveBytes   int64 // bytes on the disk of all records in locations
+	expirations expiryQueue
+}
+
+// location is where the latest record of a key is.
+type location struct {
+	segment   *segment
+	seq       uint64
+	expiresAt int64 // by the time of the store, in ms
+	offset    uint32
+	size      uint32
+}
+
+func newIndex(capacity uint64) index {
+	return index{locations: make(map[string]location, capacity)}
+}
+
+// add takes in a record that is in a segment, unless a later one of its key is known.
+func (x *index) add(seg *segment, f *frame, offset, size uint32) {
+	seg.records++
+	key := string(f.key)
+	old, superseded := x.locations[key]
+	if superseded && old.seq > f.seq {
+		return
+	}
+	if superseded {
+		x.forget(old)
+		if old.segment != seg {
+			seg.shadowedUntil = max(seg.shadowedUntil, old.expiresAt)
+		}
+	}
+	if f.kind == kindDelete {
+		if superseded {
+			delete(x.locations, key)
+		}
+		return
+	}
+	seg.expiresAt = max(seg.expiresAt, f.expiresAt)
+	seg.liveBytes += int64(size)
+	x.liveBytes += int64(size)
+	x.locations[key] = location{seg, f.seq, f.expiresAt, offset, size}
+	if f.expiresAt != never {
+		x.scheduleExpiry(key, f.expiresAt)
+	}
+}
+
+// forget subtracts the bytes of a record that is no longer live.
+func (x *index) forget(old location) {
+	old.segment.liveBytes -= int64(old.size)
+	x.liveBytes -= int64(old.size)
+}
+
+// scheduleExpiry notes when a key's latest record expires. Entries of superseded records stay in the queue; once they are
+// most of it, it is built anew.
+func (x *index) scheduleExpiry(key string, at int64) {
+	if len(x.expirations) <= 2*len(x.locations)+1000 {
+		x.expirations.push(at, key)
+		return
+	}
+	x.expirations = x.expirations[:0]
+	for key, l := range x.locations {
+		x.expirations.push(l.expiresAt, key)
+	}
+}
+
+// dropExpired removes the records that have expired.
+func (x *index) dropExpired(now int64) {
+	for {
+		key, ok := x.expirations.pop(now)
+		if !ok {
+			return
+		}
+		if l, ok := x.locations[key]; ok && l.expiresAt <= now {
+			x.forget(l)
+			delete(x.locations, key)
+		}
+	}
+}
+
+// relocate says that a record was copied to another segment, unless a later one of its key is known by now.
+func (x *index) relocate(key string, to location) {
+	old, ok := x.locations[key]
+	if !ok || old.seq != to.seq {
+		return
+	}
+	x.locations[key] = to
+	to.segment.liveBytes += int64(to.size)
+	x.liveBytes += int64(to.size) - int64(old.size)
+}
--- a/internal/files/store/inspect.go
+++ b/internal/files/store/inspect.go
@@ -7,124 +7,174 @@
 	"time"
 )
 
-// Segment is what a file of a store holds.
+// inspectAttempts is how often a store is read anew because a compaction removed a file meanwhile.
+const inspectAttempts = 11
+
+// Segment describes a file of a store.
 type Segment struct {
 	File     string `json:"File"`
 	Bytes    int64  `json:"Bytes"`
-	FirstSeq uint64 `json:"First"` // sequence number that it begins with
+	FirstSeq uint64 `json:"First"` // the sequence number that it begins with
 	LastSeq  uint64 `json:"Last"`  // of its last record; 0 for none
 	Records  uint64 `json:"Records"`
-	Replaces int    `json:"Stands"` // segments that it stands for
+	Replaces int    `json:"Stands"` // how many segments it replaces
 	Sealed   bool   `json:"Ended"`  // nothing is added to it any more
 }
 
-// Report is what a look at a store finds.
+// Report is what an inspection of a store finds.
 type Report struct {
 	Segments    []Segment `json:"Segments"`
-	LiveRecords int       `json:"Live"` // records that are the latest of their key and have not expired
-	TornBytes   int64     `json:"Torn"` // bytes of an append that was cut, or is under way
+	LiveRecords int       `json:"Live"` // the latest of their key, and not expired
+	TornBytes   int64     `json:"Torn"` // of an append that was cut, or is being written
 	Damage      []Damage  `json:"Damage"`
-	Leftovers   []string  `json:"Leftover"` // files that the next start removes
-	InUse       bool      `json:"InUse"`    // some process has it open
+	Leftovers   []string  `json:"Leftover"` // files that the next Open removes
+	InUse       bool      `json:"InUse"`    // some process has the store open
 }
 
-// Record is one of a store, as it is on the disk.
+// Record is a record as it is on the disk.
 type Record struct {
 	Key, Value []byte
 	Seq        uint64
 	File       string
-	TimeLeft   time.Duration // negative for one that stays
+	TimeLeft   time.Duration // negative for a record that doesn't expire
 }
 
-// Inspect reads a store without changing anything or locking it, beside a process that uses it or not. With each, that
-// is called with its live records in the order in which they were written.
-func Inspect(dir FS, clock Clock, each func(Record) error) (*Report, error) {
+// Inspect reads a store without changing or locking it, also while a process has it open. Where visit is not nil, it is called
+// with the live records in the order in which they were written; its error ends the inspection. A nil clock is the machine's.
+func Inspect(dir FS, clock Clock, visit func(Record) error) (*Report, error) {
 	if clock == nil {
 		clock = SystemClock()
 	}
-	// A compaction may remove files meanwhile: then it is read again.
-	for tries := 0; ; tries++ {
-		report, err := inspectOnce(dir, clock, each)
-		if errors.Is(err, fs.ErrNotExist) && tries < 10 {
+	for attempt := 1; ; attempt++ {
+		report, err := inspectOnce(dir, clock, visit)
+		if errors.Is(err, fs.ErrNotExist) && attempt < inspectAttempts {
 			continue
 		}
 		return report, err
 	}
 }
 
-func inspectOnce(dir FS, clock Clock, each func(Record) error) (*Report, error) {
-	f, err := readLog(dir)
+func inspectOnce(dir FS, clock Clock, visit func(Record) error) (*Report, error) {
+	log, err := readLog(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer f.close()
-	if f.storeID == 0 && len(f.segments) == 0 {
-		return nil, errors.New("there is no store here")
+	defer log.close()
+	if log.storeID == 0 && len(log.segments) == 0 {
+		return nil, errNoStore
+	}
+	i := &inspection{
+		log:    log,
+		report: &Report{Damage: log.damage, TornBytes: log.tornBytes, Leftovers: log.leftovers},
+		latest: map[string]latestRecord{},
 	}
-	r := &Report{Damage: f.damage, TornBytes: f.tornBytes, Leftovers: f.leftovers}
-	if r.InUse, err = dir.Locked(); err != nil {
+	if i.report.InUse, err = dir.Locked(); err != nil {
 		return nil, err
 	}
-	type latest struct {
-		seq     uint64
-		expires int64
-		seg     int
-		at      int
-		size    int
+	i.now = storeTimeAt(log.storeTime, log.timestamp, clock())
+	for n := range log.segments {
+		if err := i.scan(n); err != nil {
+			return nil, err
+		}
+	}
+	i.dropExpired()
+	i.report.LiveRecords = len(i.latest)
+	if visit == nil {
+		return i.report, nil
 	}
-	index := map[string]latest{}
-	now := storeTimeAt(f.storeTime, f.timestamp, clock())
-	for i, seg := range f.segments {
-		got, err := f.scanSegment(i, func(x frame, at int) {
-			key := string(x.key)
-			if old, ok := index[key]; ok && old.seq > x.seq {
-				return
-			}
-			if x.kind == kindDelete {
-				delete(index, key)
-				return
-			}
-			index[key] = latest{x.seq, x.expiresAt, i, at, x.size}
-		})
-		if err != nil {
+	for n := range log.segments {
+		if err := i.visitSegment(n, visit); err != nil {
 			return nil, err
 		}
-		now = max(now, got.storeTime)
-		r.Damage = append(r.Damage, got.damage...)
-		r.TornBytes += got.tornBytes
-		r.Segments = append(r.Segments, Segment{seg.name, seg.size, seg.firstSeq, got.lastSeq, got.records, len(seg.replaces), got.sealed})
 	}
-	for key, x := range index {
-		if x.expires <= now {
-			delete(index, key)
+	return i.report, nil
+}
+
+// inspection is one pass over a log.
+type inspection struct {
+	log    *diskLog
+	report *Report
+	latest map[string]latestRecord // by key
+	now    int64                   // time of the store in ms
+}
+
+type latestRecord struct {
+	seq       uint64
+	expiresAt int64
+	segment   int // index in the log
+	offset    int
+}
+
+// scan adds a segment to the report, and its records to the latest ones.
+func (i *inspection) scan(n int) error {
+	result, err := i.log.scanSegment(n, func(f frame, offset int) {
+		key := string(f.key)
+		if old, ok := i.latest[key]; ok && old.seq > f.seq {
+			return
+		}
+		if f.kind == kindDelete {
+			delete(i.latest, key)
+			return
+		}
+		i.latest[key] = latestRecord{seq: f.seq, expiresAt: f.expiresAt, segment: n, offset: offset}
+	})
+	if err != nil {
+		return err
+	}
+	i.now = max(i.now, result.storeTime)
+	i.report.Damage = append(i.report.Damage, result.damage...)
+	i.report.TornBytes += result.tornBytes
+	seg := i.log.segments[n]
+	i.report.Segments = append(i.report.Segments, Segment{
+		File: seg.name, Bytes: seg.size, FirstSeq: seg.firstSeq, LastSeq: result.lastSeq,
+		Records: result.records, Replaces: len(seg.replaces), Sealed: result.sealed,
+	})
+	return nil
+}
+
+func (i *inspection) dropExpired() {
+	for key, l := range i.latest {
+		if l.expiresAt <= i.now {
+			delete(i.latest, key)
 		}
 	}
-	r.LiveRecords = len(index)
-	if each == nil {
-		return r, nil
+}
+
+// visitSegment calls visit with the live records of a segment.
+func (i *inspection) visitSegment(n int, visit func(Record) error) error {
+	seg := i.log.segments[n]
+	data, err := readUpTo(seg.file, seg.size)
+	if err != nil {
+		return fmt.Errorf("%s: %w", seg.name, err)
 	}
-	for i, seg := range f.segments {
-		data, err := readUpTo(seg.file, seg.size)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", seg.name, err)
+	for at := seg.header.size(); at < len(data); {
+		f, ok := decodeFrame(data[at:])
+		if !ok {
+			at++
+			continue
 		}
-		for at := seg.header.size(); at < len(data); {
-			x, ok := decodeFrame(data[at:])
-			if !ok {
-				at++
-				continue
+		if i.isLatest(&f, n, at) {
+			record := Record{Key: f.key, Value: f.value, Seq: f.seq, File: seg.name, TimeLeft: i.timeLeft(f.expiresAt)}
+			if err := visit(record); err != nil {
+				return err
 			}
-			if l, live := index[string(x.key)]; live && x.kind == kindPut && l.seg == i && l.at == at {
-				left := time.Duration(-1)
-				if x.expiresAt != never {
-					left = time.Duration(x.expiresAt-now) * time.Millisecond
-				}
-				if err := each(Record{x.key, x.value, x.seq, seg.name, left}); err != nil {
-					return nil, err
-				}
-			}
-			at += x.size
 		}
+		at += f.size
+	}
+	return nil
+}
+
+func (i *inspection) isLatest(f *frame, segment, offset int) bool {
+	if f.kind != kindPut {
+		return false
+	}
+	l, ok := i.latest[string(f.key)]
+	return ok && l.segment == segment && l.offset == offset
+}
+
+func (i *inspection) timeLeft(expiresAt int64) time.Duration {
+	if expiresAt == never {
+		return -1
 	}
-	return r, nil
+	return time.Duration(expiresAt-i.now) * time.Millisecond
 }
