--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_recorded_test.go
@@ -14,7 +14,7 @@
 )
 
 // Each action of a Host, as the simulator is sent it.
-func TestGoldenActions(t *testing.T) {
+func TestGoldenRecordedActions(t *testing.T) {
 	var out bytes.Buffer
 	s := newServer(strings.NewReader(""), &out, &out)
 	in := &instance{s: s, number: 3}
@@ -34,12 +34,12 @@
 	if err := s.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "actions.txt", out.Bytes())
+	golden.Text(t, "recorded/actions.txt", out.Bytes())
 }
 
 // A play with every event, and the replies to it: what is read is seen in what is decided, with the same seed each time.
-func TestGoldenPlay(t *testing.T) {
-	play, err := os.ReadFile(filepath.Join("testdata", "golden", "play.in"))
+func TestGoldenRecordedPlay(t *testing.T) {
+	play, err := os.ReadFile(filepath.Join("testdata", "golden", "recorded/play.in"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,11 +55,11 @@
 	if notes != "" || fault != "" {
 		t.Errorf("notes %q, fault %q", notes, fault)
 	}
-	golden.Text(t, "play.out", []byte(out))
+	golden.Text(t, "recorded/play.out", []byte(out))
 }
 
 // The numbers and words in the events' fields.
-func TestGoldenFields(t *testing.T) {
+func TestGoldenRecordedFields(t *testing.T) {
 	read := func(text string) *fields {
 		f := &fields{s: newServer(strings.NewReader(""), nil, nil), rest: []byte("event " + text), more: true}
 		f.name = string(f.part())
--- a/internal/standalone/golden_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -36,7 +36,7 @@
 }
 
 // The list of endpoints as [memory] keeps it, key by key: a sidecar of another version starts with it.
-func TestGoldenKeptList(t *testing.T) {
+func TestGoldenRecordedKeptList(t *testing.T) {
 	endpoints := []endpointsource.Endpoint{
 		{
 			UID: "slot-keeper-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123,
@@ -70,10 +70,10 @@
 		t.Fatal(err)
 	}
 	sort.Strings(lines)
-	golden.Text(t, "kept-list.txt", []byte(strings.Join(lines, "")))
+	golden.Text(t, "recorded/kept-list.txt", []byte(strings.Join(lines, "")))
 
 	m = open()
-	for line := range strings.Lines(string(goldenRead(t, "kept-list.txt"))) {
+	for line := range strings.Lines(string(goldenRead(t, "recorded/kept-list.txt"))) {
 		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
 		keep := time.Duration(0)
 		if parts[1] == "true" {
@@ -92,7 +92,7 @@
 }
 
 // What discovery sends, and a platform's configuration has under known.
-func TestGoldenDiscoveryList(t *testing.T) {
+func TestGoldenRecordedDiscoveryList(t *testing.T) {
 	want := endpointList{Rev: 41, All: true, Targets: []target{
 		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 1_800_000_000_123},
 		{UID: "s-2", Address: "10.0.0.2:8080", State: "Terminating", Weight: 1},
@@ -103,9 +103,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "discovery-list.json", text)
+	golden.Text(t, "recorded/discovery-list.json", text)
 	var got endpointList
-	if err := json.Unmarshal(goldenRead(t, "discovery-list.json"), &got); err != nil || !reflect.DeepEqual(got, want) {
+	if err := json.Unmarshal(goldenRead(t, "recorded/discovery-list.json"), &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
 	judged := []endpointsource.Endpoint{
@@ -120,9 +120,9 @@
 }
 
 // A platform's configuration with all keys, and what the variables beside it win over.
-func TestGoldenPlatformConfiguration(t *testing.T) {
+func TestGoldenRecordedPlatformConfiguration(t *testing.T) {
 	env := map[string]string{"BALANCER_NAME": "n7", "BALANCER_LISTEN": "127.0.0.1:81", "BALANCER_DISCOVERY": "127.0.0.1:82"}
-	got, err := parsePlatform(goldenRead(t, "platform.json"), func(name string) string { return env[name] }, true)
+	got, err := parsePlatform(goldenRead(t, "recorded/platform.json"), func(name string) string { return env[name] }, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,13 +150,13 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got\n%+v\nwant\n%+v", got, want)
 	}
-	if err := CheckPlatform(goldenRead(t, "platform.json")); err != nil {
+	if err := CheckPlatform(goldenRead(t, "recorded/platform.json")); err != nil {
 		t.Error(err)
 	}
 }
 
 // What the front answers by itself, byte by byte but for the date: when it is ready, and to requests that go nowhere.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenRecordedAnswers(t *testing.T) {
 	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		w.WriteHeader(http.StatusInternalServerError)
@@ -231,5 +231,5 @@
 	rg.server.loop.ready.Store(false)
 	ask("not ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	rg.server.loop.ready.Store(true)
-	golden.Text(t, "answers.txt", all.Bytes())
+	golden.Text(t, "recorded/answers.txt", all.Bytes())
 }
