--- a/internal/files/store/golden_recorded_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -18,8 +18,8 @@
 func TestGoldenRecordedFormat(t *testing.T) {
 	t.Run("header", func(t *testing.T) {
 		want := header{
-			version: 1, store: 0x0102030405060708, id: 9, first: 40, synced: 39, void: void{11, 12}, prev: 8,
-			stamp: Stamp{Boot: 0x1112131415161718, Up: 123_456}, now: 1_800_000_123_456, replaces: []uint64{3, 5, 7},
+			version: 1, storeID: 0x0102030405060708, id: 9, firstSeq: 40, durableSeq: 39, failedSeqs: seqRange{11, 12}, previousID: 8,
+			timestamp: Timestamp{BootID: 0x1112131415161718, UptimeMillis: 123_456}, storeTime: 1_800_000_123_456, replaces: []uint64{3, 5, 7},
 		}
 		golden.Hex(t, "recorded/header.hex", want.encode())
 		got, err := decodeHeader("recorded/header.hex", golden.Read(t, "recorded/header.hex"))
@@ -28,12 +28,12 @@
 		}
 	})
 	for name, want := range map[string]frame{
-		"recorded/frame-put.hex":         {kind: kindPut, seq: 41, expires: 1_800_000_999_000, key: []byte("key"), value: []byte("value")},
-		"recorded/frame-put-forever.hex": {kind: kindPut, seq: 42, expires: never, key: []byte("key"), value: []byte{}},
-		"recorded/frame-put-batch.hex":   {kind: kindPut, batch: true, seq: 43, expires: never, key: []byte("key"), value: []byte("v")},
+		"recorded/frame-put.hex":         {kind: kindPut, seq: 41, expiresAt: 1_800_000_999_000, key: []byte("key"), value: []byte("value")},
+		"recorded/frame-put-forever.hex": {kind: kindPut, seq: 42, expiresAt: never, key: []byte("key"), value: []byte{}},
+		"recorded/frame-put-batch.hex":   {kind: kindPut, moreInBatch: true, seq: 43, expiresAt: never, key: []byte("key"), value: []byte("v")},
 		"recorded/frame-delete.hex":      {kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}},
-		"recorded/frame-group.hex":       {kind: kindGroup, seq: 45, synced: 44, now: 1_800_000_123_500},
-		"recorded/frame-seal.hex":        {kind: kindSeal, seq: 46, expires: 1_800_000_999_001, shadow: 1_800_000_999_002, count: 5},
+		"recorded/frame-group.hex":       {kind: kindGroup, seq: 45, durableSeq: 44, storeTime: 1_800_000_123_500},
+		"recorded/frame-seal.hex":        {kind: kindSeal, seq: 46, expiresAt: 1_800_000_999_001, shadowedUntil: 1_800_000_999_002, records: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.Hex(t, name, appendFrame(nil, &want))
@@ -50,21 +50,21 @@
 // The names of files, which the format has too.
 func TestGoldenRecordedNames(t *testing.T) {
 	for got, want := range map[string]string{
-		magic: "QGSTORE\n", segName(0x1f): "000000000000001f.seg", lockName: "lock", segExt: ".seg", tmpExt: ".tmp", damagedExt: ".damaged",
+		magic: "QGSTORE\n", segmentName(0x1f): "000000000000001f.seg", lockName: "lock", segmentSuffix: ".seg", temporarySuffix: ".tmp", damagedSuffix: ".damaged",
 	} {
 		if got != want {
 			t.Errorf("%q, and was %q", got, want)
 		}
 	}
-	if Version != 1 || MostKey != 1024 || MostValue != 1<<20 {
-		t.Errorf("format %d, keys of %d bytes, values of %d", Version, MostKey, MostValue)
+	if Version != 1 || MaxKeyBytes != 1024 || MaxValueBytes != 1<<20 {
+		t.Errorf("format %d, keys of %d bytes, values of %d", Version, MaxKeyBytes, MaxValueBytes)
 	}
 }
 
 // A folder of three segments as a process has left it: testdata/golden/folder has each file in hexadecimal.
 const recordedFolder = "recorded/folder"
 
-func recordedClock() Stamp { return Stamp{Wall: 1_800_000_000_000, Boot: 7, Up: 1_000_000} }
+func recordedClock() Timestamp { return Timestamp{WallMillis: 1_800_000_000_000, BootID: 7, UptimeMillis: 1_000_000} }
 
 // recordedValues are what the folder holds: value and time left of each key.
 var recordedValues = map[string]string{
@@ -88,7 +88,7 @@
 		s.Put([]byte("long"), bytes.Repeat([]byte("x"), 300), 0),
 		s.Put([]byte("short"), []byte("for an hour"), time.Hour),
 		s.Delete([]byte("b")),
-		s.Do(batch),
+		s.ApplyAndWait(batch),
 		s.Close(),
 	} {
 		if err != nil {
@@ -103,8 +103,8 @@
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, segExt) {
-			data, err := os.ReadFile(dir.at(name))
+		if strings.HasSuffix(name, segmentSuffix) {
+			data, err := os.ReadFile(dir.path(name))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -125,7 +125,7 @@
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".hex")
 		data := golden.Read(t, recordedFolder+"/"+filepath.Base(file))
-		if err := os.WriteFile(dir.at(name), data, 0o600); err != nil {
+		if err := os.WriteFile(dir.path(name), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		// What is read is written again as it was, header and frames.
@@ -147,14 +147,14 @@
 	}
 
 	looked := map[string]string{}
-	report, err := Look(dir, recordedClock, func(r Record) error {
-		looked[string(r.Key)] = string(r.Value) + ", " + r.Left.String()
+	report, err := Inspect(dir, recordedClock, func(r Record) error {
+		looked[string(r.Key)] = string(r.Value) + ", " + r.TimeLeft.String()
 		return nil
 	})
 	if err != nil || !maps.Equal(looked, recordedValues) {
 		t.Errorf("Look: %v, %v", looked, err)
 	}
-	if report == nil || report.Live != len(recordedValues) || report.Torn != 0 || len(report.Damage) != 0 || len(report.Segments) != len(files) {
+	if report == nil || report.LiveRecords != len(recordedValues) || report.TornBytes != 0 || len(report.Damage) != 0 || len(report.Segments) != len(files) {
 		t.Errorf("Look: %+v", report)
 	}
 
@@ -163,7 +163,7 @@
 		t.Fatal(err)
 	}
 	opened := map[string]string{}
-	if err := s.All(func(key, value []byte, left time.Duration) bool {
+	if err := s.Range(func(key, value []byte, left time.Duration) bool {
 		if left < 0 {
 			left = -1 // it stays: Look says so by -1, All by some time below 0
 		}
@@ -172,7 +172,7 @@
 	}); err != nil || !maps.Equal(opened, recordedValues) {
 		t.Errorf("Open: %v, %v", opened, err)
 	}
-	if h := s.Health(); h.Err != nil || h.Torn != 0 || len(h.Damage) != 0 {
+	if h := s.Health(); h.Err != nil || h.TornBytes != 0 || len(h.Damage) != 0 {
 		t.Errorf("Open: %+v", h)
 	}
 	if err := s.Close(); err != nil {
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	var lines []string
-	if err := m.store.All(func(key, value []byte, left time.Duration) bool {
+	if err := m.store.Range(func(key, value []byte, left time.Duration) bool {
 		if key[0] != '?' {
 			lines = append(lines, fmt.Sprintf("%s %v %s\n", key, left > 0, value))
 		}
