--- /dev/null
+++ b/internal/standalone/golden_format_test.go
@@ -0,0 +1,181 @@
+package standalone
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log"
+	"maps"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/files/store"
+	"quincegap/internal/golden"
+	"quincegap/internal/modules/endpointsource"
+	"quincegap/internal/modules/idempotency"
+	"quincegap/internal/network/exchange"
+)
+
+// plainCaller is a caller whose connection adds nothing to answers.
+type plainCaller struct{}
+
+func (plainCaller) Taken() (time.Time, bool)     { return time.Now(), false }
+func (plainCaller) Served() int                  { return 0 }
+func (plainCaller) Last(http.Header)             {}
+func (plainCaller) Mark(http.Header)             {}
+func (plainCaller) Confirm(context.Context) bool { return true }
+func (plainCaller) Early() bool                  { return false }
+
+// Callers tell answers of endpoints, refusals and failures apart by their status and headers.
+func TestAnswersKeepTheirForm(t *testing.T) {
+	s := &server{}
+	var text strings.Builder
+	for _, c := range []struct {
+		name   string
+		answer answer
+	}{
+		{"served", answer{response: &exchange.Response{Header: http.Header{"X-Pressure": {"inflight=3"}}, Body: []byte("seat 7")}}},
+		{"refused", answer{refused: true}},
+		{"refused for a while", answer{refused: true, retryAfter: 1500 * time.Millisecond}},
+		{"failed", answer{}},
+	} {
+		w := httptest.NewRecorder()
+		s.write(w, plainCaller{}, c.answer)
+		fmt.Fprintf(&text, "%s: %d\n", c.name, w.Code)
+		for _, name := range slices.Sorted(maps.Keys(w.Header())) {
+			fmt.Fprintf(&text, "  %s: %s\n", name, strings.Join(w.Header()[name], " | "))
+		}
+		fmt.Fprintf(&text, "  %q\n", w.Body)
+	}
+	golden.Text(t, "answers.txt", []byte(text.String()))
+}
+
+// What is wrong with a request is said by status and text, in the order in which it is looked for.
+func TestFaultsOfRequestsKeepTheirForm(t *testing.T) {
+	l := fleetLoop(t, 1)
+	l.config.Settings.Classes = []balancer.Class{
+		{Name: "read", Idempotency: balancer.Idempotent},
+		{Name: "book", Idempotency: balancer.IdempotentWithKey},
+	}
+	l.config.Settings.Tenants = []balancer.Tenant{{Name: "org"}}
+	s := &server{loop: l, config: l.config, classes: map[string]int{"read": 0, "book": 1}, tenants: map[string]int{"org": 0}}
+	set := *l.config.tuning
+	set.callers.TooEarly = true
+	s.tuning.Store(&set)
+	var text strings.Builder
+	for _, c := range []struct {
+		name  string
+		spoil func(r *http.Request)
+	}{
+		{"chunked", func(r *http.Request) { r.TransferEncoding = []string{"chunked"} }},
+		{"no length", func(r *http.Request) { r.ContentLength = -1 }},
+		{"large", func(r *http.Request) { r.ContentLength = exchange.MaxBody + 1 }},
+		{"other host", func(r *http.Request) { r.RequestURI = "http://other/" }},
+		{"repeated", func(r *http.Request) { r.Header.Add("X-Txn", "other") }},
+		{"no id", func(r *http.Request) { r.Header.Del("X-Txn") }},
+		{"class", func(r *http.Request) { r.Header.Set("X-Lane", "freight") }},
+		{"time", func(r *http.Request) { r.Header.Set("X-Remaining", "7") }},
+		{"tenant", func(r *http.Request) { r.Header.Set("X-Org", "other") }},
+		{"key", func(r *http.Request) { r.Header.Del("Idempotency-Key") }},
+		{"method", func(r *http.Request) { r.Method = http.MethodPut }},
+		{"early", func(r *http.Request) { r.Header.Set("Early-Data", "1") }},
+		{"none", func(*http.Request) {}},
+	} {
+		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/api", strings.NewReader("trip"))
+		for name, value := range map[string]string{"X-Txn": "a", "X-Lane": "book", "X-Org": "org", "X-Remaining": "900m", "Idempotency-Key": "k"} {
+			r.Header.Set(name, value)
+		}
+		c.spoil(r)
+		_, status, fault := s.parse(r)
+		fmt.Fprintf(&text, "%s: %d %s\n", c.name, status, fault)
+	}
+	golden.Text(t, "faults.txt", []byte(text.String()))
+}
+
+// logged returns what a function logs, without times.
+func logged(t *testing.T, f func()) string {
+	t.Helper()
+	var text strings.Builder
+	flags, out := log.Flags(), log.Writer()
+	defer func() {
+		log.SetFlags(flags)
+		log.SetOutput(out)
+	}()
+	log.SetFlags(0)
+	log.SetOutput(&text)
+	f()
+	return text.String()
+}
+
+// What is remembered on the disk is found by later versions under the same keys; people find what the log says of it.
+func TestMemoryKeepsItsForm(t *testing.T) {
+	s, err := store.Open(store.Dir(t.TempDir()), store.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &memory{
+		set: Memory{ListKeep: time.Hour, Wait: time.Second}, table: idempotency.NewTable(10), store: s, goOn: []bool{false},
+		classes: []balancer.Class{{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}},
+		zones:   names{}, kept: map[string]bool{}, triedAt: time.Hour,
+	}
+	defer m.close()
+	m.keepGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
+	all := map[balancer.EndpointID]*exchange.Endpoint{1: {ID: 1, UID: "s-1"}}
+	m.listed(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: []endpointsource.Endpoint{{UID: "s-1", Address: "10.0.0.1:80", Zone: "z"}}}, all)
+	r := &request{Request: balancer.Request{ID: "txn1"}, Inbound: exchange.Inbound{Header: http.Header{}}}
+	if g := m.before(0, r, all[1]); g == nil || !g.pass(t.Context()) {
+		t.Fatal("the request is not remembered")
+	}
+	var lines []string
+	if err := s.All(func(key, value []byte, _ time.Duration) bool {
+		line := fmt.Sprintf("%q", key)
+		if key[0] == groupMark {
+			line += " " + string(value)
+		}
+		lines = append(lines, line)
+		return true
+	}); err != nil {
+		t.Fatal(err)
+	}
+	slices.Sort(lines)
+	lines = append(lines, logged(t, func() {
+		m.told(errors.New("no space left"))
+		m.told(errors.New("no space left"))
+		m.told(nil)
+		m.told(errSlow)
+		m.told(store.ErrClosed)
+	}))
+	golden.Text(t, "memory.txt", []byte(strings.Join(lines, "\n")))
+}
+
+// Discovery's lists have these keys.
+func TestListKeepsItsForm(t *testing.T) {
+	list := endpointList{Rev: 7, All: true, Targets: []target{{
+		UID: "s-00000001", Address: "10.0.0.1:80", Zone: "z", Model: "m", Cell: 2, State: "Ready", Weight: 1.5, BootMS: 1700000000000,
+	}}}
+	text, err := json.Marshal(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "list.json", text)
+	var back endpointList
+	if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(back, list) {
+		t.Errorf("read as %+v, %v", back, err)
+	}
+	var forms strings.Builder
+	for _, state := range slices.Sorted(maps.Keys(states)) {
+		fmt.Fprintf(&forms, "%s %d\n", state, states[state])
+	}
+	w := newWatcher("127.0.0.1:9", "", fleetLoop(t, 1))
+	fmt.Fprintf(&forms, "%s\n", w.url)
+	fmt.Fprintf(&forms, "%s\n", altSvc(&net.UDPAddr{Port: 8443}, time.Hour))
+	golden.Text(t, "list-forms.txt", []byte(forms.String()))
+}
