--- a/internal/standalone/golden_format_test.go
+++ b/internal/standalone/golden_format_test.go
@@ -135,7 +135,7 @@
 		t.Fatal("the request is not remembered")
 	}
 	var lines []string
-	if err := s.All(func(key, value []byte, _ time.Duration) bool {
+	if err := s.Range(func(key, value []byte, _ time.Duration) bool {
 		line := fmt.Sprintf("%q", key)
 		if key[0] == groupMark {
 			line += " " + string(value)
