--- a/internal/network/exchange/exchange.go
+++ b/internal/network/exchange/exchange.go
@@ -68,8 +68,8 @@
 	Bodies   *Budget
 }
 
-// Unsent is the status of an attempt whose last byte was certainly not written.
-func (a *Attempt) Unsent() balancer.Status {
+// UnsentStatus is the status of an attempt whose last byte was certainly not written.
+func (a *Attempt) UnsentStatus() balancer.Status {
 	// A dialer keeps the context's deadline by a timer of its own, which may fire before the context's does.
 	// Taken for a failed connection, a request's own deadline would isolate a sound endpoint.
 	if deadline, _ := a.Context.Deadline(); a.Context.Err() != nil || !time.Now().Before(deadline) {
@@ -78,9 +78,9 @@
 	return balancer.StatusConnectFailed
 }
 
-// Broken is the status of an attempt whose answer did not come whole; broken says that its connection is why,
+// IncompleteStatus is the status of an attempt whose answer did not come whole; broken says that its connection is why,
 // and not what the answer says.
-func (a *Attempt) Broken(broken bool) balancer.Status {
+func (a *Attempt) IncompleteStatus(broken bool) balancer.Status {
 	switch {
 	case errors.Is(a.Context.Err(), context.DeadlineExceeded):
 		return balancer.StatusTimeout
@@ -93,8 +93,8 @@
 	return balancer.StatusInvalidResponse
 }
 
-// Answered is the outcome of an attempt by the answer to it.
-func Answered(code int, header http.Header, body []byte) Result {
+// ResultOf is the outcome of an attempt by the answer to it.
+func ResultOf(code int, header http.Header, body []byte) Result {
 	res := Result{Status: balancer.StatusError}
 	if report := header.Get("X-Pressure"); report != "" {
 		res.Load, _ = settings.ParseLoad(report, "=") // a report that cannot be read is none
@@ -120,13 +120,13 @@
 // Result is how an attempt ended.
 type Result struct {
 	Status   balancer.Status
-	Took     time.Duration
+	Elapsed  time.Duration
 	Response *Response // nil unless served
 	Load     *balancer.Load
 	Conn     Conn // nil unless it can carry another attempt
-	// Elsewhere says that nothing was sent for want of a way to speak this protocol with the endpoint: the
+	// Unreachable says that nothing was sent for want of a way to speak this protocol with the endpoint: the
 	// same attempt may be made by another one.
-	Elsewhere bool
+	Unreachable bool
 	// Blocked says that this protocol does not reach the endpoint any more, though the endpoint is there.
 	Blocked bool
 }
@@ -152,15 +152,15 @@
 
 // Caller is the way by which a request comes: a connection of HTTP/1.1, a stream of HTTP/3.
 type Caller interface {
-	// Taken notes that a request's headers have come, and tells when it began and whether there is room for it.
-	Taken() (began time.Time, over bool)
-	// Served notes that it has come whole, and tells how many connections stand idle beside its own.
-	Served() (idles int)
-	// Last has the connection end after this answer where the protocol needs that: what follows on it may be
+	// BeginRequest notes that a request's headers have come, and tells when it began and whether there is room for it.
+	BeginRequest() (began time.Time, over bool)
+	// BodyReceived notes that it has come whole, and tells how many connections stand idle beside its own.
+	BodyReceived() (idles int)
+	// CloseAfter has the connection end after this answer where the protocol needs that: what follows on it may be
 	// no request, or nobody will be here to answer it.
-	Last(answer http.Header)
-	// Mark adds what answers carry by this protocol.
-	Mark(answer http.Header)
+	CloseAfter(answer http.Header)
+	// AddHeaders adds what answers carry by this protocol.
+	AddHeaders(answer http.Header)
 	// Confirm waits until the request cannot be a replay of another's early data. It is false where that
 	// will not be known in time.
 	Confirm(ctx context.Context) bool
@@ -196,23 +196,23 @@
 // Budget bounds the bytes that are held for the bodies of all requests and answers together.
 type Budget struct{ left atomic.Int64 }
 
-// Take takes n bytes, false where there are not so many.
-func (b *Budget) Take(n int) bool {
+// Reserve takes n bytes, false where there are not so many.
+func (b *Budget) Reserve(n int) bool {
 	if b.left.Add(-int64(n)) >= 0 {
 		return true
 	}
-	b.Give(n)
+	b.Release(n)
 	return false
 }
 
-// Give gives n bytes back, or in the first place.
-func (b *Budget) Give(n int) { b.left.Add(int64(n)) }
+// Release gives n bytes back, or in the first place.
+func (b *Budget) Release(n int) { b.left.Add(int64(n)) }
 
-// Left is how many there are.
-func (b *Budget) Left() int64 { return b.left.Load() }
+// Available is how many there are.
+func (b *Budget) Available() int64 { return b.left.Load() }
 
-// ErrTooLarge is for what a peer sends beyond a bound.
-var ErrTooLarge = errors.New("too large")
+// ErrBodyTooLarge is for what a peer sends beyond a bound.
+var ErrBodyTooLarge = errors.New("too large")
 
 // ReadAll reads a body of at most MaxBody bytes. Space is taken as they come: a length is only a word.
 func ReadAll(body io.Reader) ([]byte, error) {
@@ -221,7 +221,7 @@
 		return nil, err
 	}
 	if b.Len() > MaxBody {
-		return nil, ErrTooLarge
+		return nil, ErrBodyTooLarge
 	}
 	return b.Bytes(), nil
 }
--- a/internal/network/http1/front.go
+++ b/internal/network/http1/front.go
@@ -170,15 +170,15 @@
 	}
 }
 
-// Taken notes that a request's headers have come, and tells when it began and whether there is room for it.
-func (c *caller) Taken() (began time.Time, over bool) {
+// BeginRequest notes that a request's headers have come, and tells when it began and whether there is room for it.
+func (c *caller) BeginRequest() (began time.Time, over bool) {
 	c.callers.mu.Lock()
 	defer c.callers.mu.Unlock()
 	return c.began, c.over
 }
 
-// Served notes that a request has come whole, and tells how many connections stand idle beside its own.
-func (c *caller) Served() (idles int) {
+// BodyReceived notes that a request has come whole, and tells how many connections stand idle beside its own.
+func (c *caller) BodyReceived() (idles int) {
 	c.callers.mu.Lock()
 	defer c.callers.mu.Unlock()
 	c.callers.move(c, serving)
@@ -192,11 +192,11 @@
 	return cs.open == 0 && time.Since(cs.newest) >= d
 }
 
-// Last is of exchange.Caller.
-func (c *caller) Last(answer http.Header) { answer.Set("Connection", "close") }
+// CloseAfter is of exchange.Caller.
+func (c *caller) CloseAfter(answer http.Header) { answer.Set("Connection", "close") }
 
-// Mark is of exchange.Caller.
-func (c *caller) Mark(answer http.Header) {
+// AddHeaders is of exchange.Caller.
+func (c *caller) AddHeaders(answer http.Header) {
 	if alt := c.callers.altSvc; alt != "" {
 		answer.Set("Alt-Svc", alt)
 	}
--- a/internal/network/http1/transport.go
+++ b/internal/network/http1/transport.go
@@ -52,7 +52,7 @@
 // Read never brings more than was allowed: an endpoint may go on without end.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.left <= 0 {
-		return 0, exchange.ErrTooLarge
+		return 0, exchange.ErrBodyTooLarge
 	}
 	n, err := c.Conn.Read(b[:min(len(b), c.left)])
 	c.left -= n
@@ -238,7 +238,7 @@
 // a request again by itself and does not tell whether its last byte was written, so it is not used here.
 // When run returns, the connection is either closed or free, so the Balancer may send again.
 func (a *attempt) run(c *conn, connectTimeout time.Duration) (res exchange.Result) {
-	defer func() { res.Took = time.Since(a.Sent) }()
+	defer func() { res.Elapsed = time.Since(a.Sent) }()
 	if c != nil {
 		time.Sleep(time.Until(c.idleSince.Add(settle)))
 		if !c.alive() {
@@ -249,7 +249,7 @@
 	if c == nil {
 		var err error
 		if c, err = a.dial(connectTimeout); err != nil {
-			return exchange.Result{Status: a.Unsent()}
+			return exchange.Result{Status: a.UnsentStatus()}
 		}
 	}
 	res = a.over(c)
@@ -306,13 +306,13 @@
 		return exchange.Result{Status: balancer.StatusNotSent}
 	}
 	if n, err := c.Write(text); err != nil && n < len(text) {
-		return exchange.Result{Status: a.Unsent()}
+		return exchange.Result{Status: a.UnsentStatus()}
 	}
 	a.Endpoint.Waiting.Add(1)
 	res, err := a.read(c)
 	a.Endpoint.Waiting.Add(-1)
 	if err != nil {
-		res.Status = a.Broken(errors.As(err, new(*net.OpError)) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
+		res.Status = a.IncompleteStatus(errors.As(err, new(*net.OpError)) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 			errors.Is(err, io.ErrClosedPipe))
 	}
 	return res
@@ -341,17 +341,17 @@
 	if code < http.StatusOK {
 		return res, errSpoilt // its real answer is still to come
 	}
-	if !a.Bodies.Take(maxBody) {
+	if !a.Bodies.Reserve(maxBody) {
 		return res, errNoRoom
 	}
 	kept := 0
-	defer func() { a.Bodies.Give(maxBody - kept) }()
+	defer func() { a.Bodies.Release(maxBody - kept) }()
 	c.left = maxBody + maxAnswerHead // beside the body, what its chunks take
 	body, err := readBody(c.reader, code, header)
 	if err != nil {
 		return res, err
 	}
-	res = exchange.Answered(code, http.Header(header), body)
+	res = exchange.ResultOf(code, http.Header(header), body)
 	if res.Response != nil {
 		kept = len(body)
 	}
@@ -404,7 +404,7 @@
 			return nil, errSpoilt
 		}
 		if n > maxBody {
-			return nil, exchange.ErrTooLarge
+			return nil, exchange.ErrBodyTooLarge
 		}
 		body, err := exchange.ReadAll(io.LimitReader(r, int64(n)))
 		if err == nil && len(body) < int(n) {
--- a/internal/network/http1/transport_test.go
+++ b/internal/network/http1/transport_test.go
@@ -47,7 +47,7 @@
 // roomy is a budget for bodies that is not used up.
 func roomy() *exchange.Budget {
 	b := &exchange.Budget{}
-	b.Give(1 << 30)
+	b.Release(1 << 30)
 	return b
 }
 
@@ -186,13 +186,13 @@
 		return a.over(newConn(pipe(t, answer)))
 	}
 	tight := &exchange.Budget{}
-	tight.Give(maxBody - 1)
-	if res := try(tight); res.Status != balancer.StatusInvalidResponse || tight.Left() != maxBody-1 {
-		t.Errorf("status %v, %d bytes left", res.Status, tight.Left())
+	tight.Release(maxBody - 1)
+	if res := try(tight); res.Status != balancer.StatusInvalidResponse || tight.Available() != maxBody-1 {
+		t.Errorf("status %v, %d bytes left", res.Status, tight.Available())
 	}
-	tight.Give(1)
-	if res := try(tight); res.Status != balancer.StatusOK || tight.Left() != maxBody-2 {
-		t.Errorf("status %v, %d bytes left", res.Status, tight.Left())
+	tight.Release(1)
+	if res := try(tight); res.Status != balancer.StatusOK || tight.Available() != maxBody-2 {
+		t.Errorf("status %v, %d bytes left", res.Status, tight.Available())
 	}
 }
 
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -331,21 +331,21 @@
 	})
 }
 
-// Taken is of exchange.Caller. What there is no room for does not get so far.
-func (s *stream) Taken() (began time.Time, over bool) { return s.began, false }
+// BeginRequest is of exchange.Caller. What there is no room for does not get so far.
+func (s *stream) BeginRequest() (began time.Time, over bool) { return s.began, false }
 
-// Served is of exchange.Caller.
-func (s *stream) Served() (idles int) {
+// BodyReceived is of exchange.Caller.
+func (s *stream) BodyReceived() (idles int) {
 	s.caller.front.mu.Lock()
 	defer s.caller.front.mu.Unlock()
 	return s.caller.front.idle.Len()
 }
 
-// Last is of exchange.Caller: each request ends its own stream, and GOAWAY tells of the connection's end.
-func (s *stream) Last(http.Header) {}
+// CloseAfter is of exchange.Caller: each request ends its own stream, and GOAWAY tells of the connection's end.
+func (s *stream) CloseAfter(http.Header) {}
 
-// Mark is of exchange.Caller.
-func (s *stream) Mark(http.Header) {}
+// AddHeaders is of exchange.Caller.
+func (s *stream) AddHeaders(http.Header) {}
 
 // Early is of exchange.Caller. Until the handshake is complete, whoever sent this may be playing back what
 // another has sent once: nothing but the handshake's own end proves otherwise (RFC 9001, section 9.2).
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -136,7 +136,7 @@
 		now.Store([2][]byte{answer, control})
 		c, _ := to.Acquire(e, time.Now())
 		res := to.Run(a, c)
-		if res.Status.NeverRan() || res.Status == balancer.StatusTimeout || res.Elsewhere {
+		if res.Status.NeverRan() || res.Status == balancer.StatusTimeout || res.Unreachable {
 			t.Errorf("%q gave %v", answer, res.Status)
 		}
 		if res.Response != nil && len(res.Response.Body) > exchange.MaxBody {
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -266,18 +266,18 @@
 
 // Run is of exchange.Transport.
 func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) (res exchange.Result) {
-	defer func() { res.Took = time.Since(a.Sent) }()
+	defer func() { res.Elapsed = time.Since(a.Sent) }()
 	s := c.(*session)
 	select {
 	case <-s.ready:
 	case <-a.Context.Done():
-		return exchange.Result{Status: a.Unsent()}
+		return exchange.Result{Status: a.UnsentStatus()}
 	}
 	if s.err != nil {
 		if a.Context.Err() == nil && !refused(s.err) {
-			return exchange.Result{Status: balancer.StatusConnectFailed, Elsewhere: true}
+			return exchange.Result{Status: balancer.StatusConnectFailed, Unreachable: true}
 		}
-		return exchange.Result{Status: a.Unsent()}
+		return exchange.Result{Status: a.UnsentStatus()}
 	}
 	early := a.Request.Safe && t.set.Early
 	res, unsent := t.over(a, s, early)
@@ -289,11 +289,11 @@
 	next := &session{ready: make(chan struct{})}
 	t.dial(next, a.Endpoint.Address, false)
 	if next.err != nil {
-		return exchange.Result{Status: a.Unsent(), Elsewhere: a.Context.Err() == nil && !refused(next.err)}
+		return exchange.Result{Status: a.UnsentStatus(), Unreachable: a.Context.Err() == nil && !refused(next.err)}
 	}
 	res, unsent = t.over(a, next, false)
 	if unsent {
-		res = exchange.Result{Status: a.Unsent()}
+		res = exchange.Result{Status: a.UnsentStatus()}
 	}
 	res.Conn = next
 	return res
@@ -316,7 +316,7 @@
 func (t *Transport) over(a *exchange.Attempt, s *session, early bool) (res exchange.Result, unsent bool) {
 	if !early {
 		if err := s.confirmed(a.Context); err != nil {
-			return exchange.Result{Status: a.Unsent()}, a.Context.Err() == nil
+			return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
 		}
 	}
 	// The handshake may have outlasted the endpoint's welcome.
@@ -332,14 +332,14 @@
 		// All that went early is as if it had never been sent (RFC 9001, section 4.6.2). The connection could go on,
 		// with streams numbered anew; what the library then still sends for the old ones gets in their way.
 		s.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
-		return exchange.Result{Status: a.Unsent()}, a.Context.Err() == nil
+		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
 	case neverSent(err):
-		return exchange.Result{Status: a.Unsent()}, a.Context.Err() == nil
+		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
 	case rejected(err):
 		// RFC 9114, section 4.1.1: the request was not processed.
 		res = exchange.Result{Status: balancer.StatusRejected}
 	default:
-		res = exchange.Result{Status: a.Broken(s.conn.Context().Err() != nil)}
+		res = exchange.Result{Status: a.IncompleteStatus(s.conn.Context().Err() != nil)}
 		if res.Status == balancer.StatusReset {
 			t.whatBroke(a, &res)
 		}
@@ -429,16 +429,16 @@
 	if answer.StatusCode < http.StatusOK || answer.ContentLength > exchange.MaxBody {
 		return res, errSpoilt
 	}
-	if !a.Bodies.Take(exchange.MaxBody) {
+	if !a.Bodies.Reserve(exchange.MaxBody) {
 		return res, errNoRoom
 	}
 	kept := 0
-	defer func() { a.Bodies.Give(exchange.MaxBody - kept) }()
+	defer func() { a.Bodies.Release(exchange.MaxBody - kept) }()
 	body, err := exchange.ReadAll(answer.Body)
 	if err != nil {
 		return res, err
 	}
-	res = exchange.Answered(answer.StatusCode, answer.Header, body)
+	res = exchange.ResultOf(answer.StatusCode, answer.Header, body)
 	if res.Response != nil {
 		kept = len(body)
 	}
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -78,7 +78,7 @@
 
 func roomy() *exchange.Budget {
 	b := &exchange.Budget{}
-	b.Give(1 << 30)
+	b.Release(1 << 30)
 	return b
 }
 
@@ -387,10 +387,10 @@
 	defer relay.Close()
 	relay.Set(udp.Fault{Blackhole: true})
 	y.to_(relay.Address())
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Elsewhere {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
 		t.Errorf("blackholed: %+v", res)
 	}
-	if res := y.try(nil, 20*time.Millisecond, nil); res.Status != balancer.StatusNotSent || res.Elsewhere {
+	if res := y.try(nil, 20*time.Millisecond, nil); res.Status != balancer.StatusNotSent || res.Unreachable {
 		t.Errorf("at its own deadline: %+v", res)
 	}
 	gone, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -399,7 +399,7 @@
 	}
 	y.to_(gone.LocalAddr().String())
 	gone.Close()
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Elsewhere {
+	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
 		t.Errorf("nobody there: %+v", res)
 	}
 	for name, cert := range map[string]*tls.Certificate{"another's name": pair(t, y.ca, "other.example.org"), "another authority": pair(t, trust(t), "slot-keeper.example.org")} {
@@ -408,7 +408,7 @@
 			t.Fatal(err)
 		}
 		y.to_(wrong.Address())
-		if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || res.Elsewhere {
+		if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || res.Unreachable {
 			t.Errorf("%s: %+v", name, res)
 		}
 		wrong.Close()
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -170,10 +170,10 @@
 			}
 			return f, nil
 		},
-		Resolve: resolve,
-		Follow:  func(f *schema.File) (standalone.Follower, error) { return follow(f, resolve) },
-		Admin:   view,
-		Among:   func(f *schema.File) (standalone.Among, error) { return among(f, resolve) },
+		Resolve:   resolve,
+		Follow:    func(f *schema.File) (standalone.Follower, error) { return follow(f, resolve) },
+		Admin:     view,
+		OpenPeers: func(f *schema.File) (standalone.PeersOpener, error) { return among(f, resolve) },
 	})
 }
 
@@ -213,7 +213,7 @@
 }
 
 // among opens the view of the other sidecars that a file asks for, nil for none.
-func among(f *schema.File, resolve func(string) string) (standalone.Among, error) {
+func among(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
 	set := *gossip.Table.In(f)
 	if set.Listen == "" {
 		return nil, nil
@@ -243,7 +243,7 @@
 	if _, err := keys(); err != nil {
 		return nil, err
 	}
-	return func(in standalone.PeersIn) (standalone.Peers, error) {
+	return func(in standalone.PeersConfig) (standalone.Peers, error) {
 		first, err := keys()
 		if err != nil {
 			return nil, err
@@ -256,7 +256,7 @@
 		}
 		g, err := gossip.Open(gossip.Config{
 			Settings: set, FindAddresses: find, Name: in.Name, Application: application, Version: Version(), ExpectedMembers: in.Instances,
-			Keys: first, SettledNames: in.Names, KnownAddresses: in.Addresses, Ready: in.Ready, OnShare: in.Changed, OnSettled: in.Keep,
+			Keys: first, SettledNames: in.Names, KnownAddresses: in.Addresses, Ready: in.Ready, OnShare: in.Changed, OnSettled: in.Save,
 		})
 		if err != nil {
 			return nil, err
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -12,35 +12,35 @@
 	"quincegap/internal/config/settings"
 )
 
-// fields takes the values off a line one by one. The first that is missing or
+// lineFields takes the values off a line one by one. The first that is missing or
 // cannot be read sets err; what is read after that is zero.
-type fields struct {
-	s    *server
-	name string
-	rest []byte
-	more bool
-	err  error
+type lineFields struct {
+	server  *server
+	name    string
+	rest    []byte
+	hasMore bool
+	err     error
 }
 
-// part splits off the next value; nil where the line has ended.
-func (f *fields) part() []byte {
-	if !f.more {
+// next splits off the next value; nil where the line has ended.
+func (f *lineFields) next() []byte {
+	if !f.hasMore {
 		return nil
 	}
 	part, rest, more := bytes.Cut(f.rest, []byte{' '})
-	f.rest, f.more = rest, more
+	f.rest, f.hasMore = rest, more
 	return part
 }
 
-func (f *fields) fail(field, what string) {
+func (f *lineFields) fail(field, what string) {
 	if f.err == nil {
-		f.err = f.s.malformed(f.name, field, what)
+		f.err = f.server.malformed(f.name, field, what)
 	}
 }
 
 // value takes a value that must be there.
-func (f *fields) value(field string) []byte {
-	p := f.part()
+func (f *lineFields) value(field string) []byte {
+	p := f.next()
 	if f.err == nil && (len(p) == 0 || len(p) == 1 && p[0] == '-') {
 		f.fail(field, "missing")
 	}
@@ -48,10 +48,10 @@
 }
 
 // number takes a whole number that must be there.
-func (f *fields) number(field string) int64 { return f.whole(field, f.value(field)) }
+func (f *lineFields) number(field string) int64 { return f.integer(field, f.value(field)) }
 
-// whole reads a whole number.
-func (f *fields) whole(field string, p []byte) int64 {
+// integer reads a whole number.
+func (f *lineFields) integer(field string, p []byte) int64 {
 	if f.err != nil {
 		return 0
 	}
@@ -64,8 +64,8 @@
 }
 
 // optional takes a whole number that may be absent, which counts as 0.
-func (f *fields) optional(field string) int64 {
-	p := f.part()
+func (f *lineFields) optional(field string) int64 {
+	p := f.next()
 	if len(p) == 1 && p[0] == '-' {
 		return 0
 	}
@@ -73,12 +73,12 @@
 		f.fail(field, "missing")
 		return 0
 	}
-	return f.whole(field, p)
+	return f.integer(field, p)
 }
 
 // optionalText takes a text that may be absent.
-func (f *fields) optionalText() string {
-	p := f.part()
+func (f *lineFields) optionalText() string {
+	p := f.next()
 	if len(p) == 0 {
 		f.fail("affinity", "missing")
 	}
@@ -88,7 +88,7 @@
 	return string(p)
 }
 
-func (f *fields) float(field string) float64 {
+func (f *lineFields) float(field string) float64 {
 	p := f.value(field)
 	if f.err != nil {
 		return 0
@@ -101,13 +101,13 @@
 	return v
 }
 
-func (f *fields) time(field string) time.Duration { return settings.Micros(f.number(field)) }
+func (f *lineFields) time(field string) time.Duration { return settings.Micros(f.number(field)) }
 
-func (f *fields) id(field string) balancer.RequestID {
+func (f *lineFields) id(field string) balancer.RequestID {
 	return balancer.RequestID(f.value(field))
 }
 
-func (f *fields) endpoint() balancer.EndpointID {
+func (f *lineFields) endpoint() balancer.EndpointID {
 	n := f.number("endpoint")
 	if f.err == nil && (n < 0 || n > math.MaxUint32) {
 		f.fail("endpoint", "out of range")
@@ -115,7 +115,7 @@
 	return balancer.EndpointID(n)
 }
 
-func (f *fields) flag(field string) bool {
+func (f *lineFields) flag(field string) bool {
 	n := f.number(field)
 	if f.err == nil && n != 0 && n != 1 {
 		f.fail(field, "neither 0 nor 1")
@@ -123,7 +123,7 @@
 	return n == 1
 }
 
-func (f *fields) status() balancer.Status {
+func (f *lineFields) status() balancer.Status {
 	switch n := f.number("ending"); n {
 	case 100:
 		return balancer.StatusOK
@@ -147,7 +147,7 @@
 	}
 }
 
-func (f *fields) state() balancer.EndpointState {
+func (f *lineFields) state() balancer.EndpointState {
 	switch n := f.number("mode"); n {
 	case 2:
 		return balancer.EndpointReady
@@ -162,8 +162,8 @@
 }
 
 // load reads a load report; nil where there is none.
-func (f *fields) load() *balancer.Load {
-	p := f.part()
+func (f *lineFields) load() *balancer.Load {
+	p := f.next()
 	if len(p) == 0 {
 		f.fail("pressure", "missing")
 		return nil
@@ -178,8 +178,8 @@
 	return l
 }
 
-func (f *fields) bytes() []byte {
-	p := f.part()
+func (f *lineFields) bytes() []byte {
+	p := f.next()
 	if len(p) == 0 {
 		f.fail("data", "missing")
 	}
--- a/internal/simadapter/golden_format_test.go
+++ b/internal/simadapter/golden_format_test.go
@@ -15,7 +15,7 @@
 func TestActionLinesKeepTheirForm(t *testing.T) {
 	var out, notes bytes.Buffer
 	s := newServer(strings.NewReader(""), &out, &notes)
-	i := &instance{s: s, number: 3}
+	i := &instance{server: s, number: 3}
 	i.Send("t/a", 77, 1500*time.Microsecond)
 	i.Reject("t/a", 2*time.Second)
 	i.Fail("t/a")
@@ -29,7 +29,7 @@
 	i.FetchEndpoints()
 	i.CloseIdleConnections(77)
 	i.Log("a line of text")
-	i.b = &balancer.Balancer{}
+	i.balancer = &balancer.Balancer{}
 	i.guard(func(*balancer.Balancer) { panic("lost\ncount") })
 	if err := s.out.Flush(); err != nil {
 		t.Fatal(err)
@@ -41,7 +41,9 @@
 func TestCodesKeepTheirMeaning(t *testing.T) {
 	var text strings.Builder
 	s := newServer(strings.NewReader(""), &text, &text)
-	read := func(code int) *fields { return &fields{s: s, name: "line", rest: fmt.Append(nil, code), more: true} }
+	read := func(code int) *lineFields {
+		return &lineFields{server: s, name: "line", rest: fmt.Append(nil, code), hasMore: true}
+	}
 	for code := range 400 {
 		if f := read(code); f.status() != balancer.StatusError || f.err == nil {
 			fmt.Fprintf(&text, "ending %d is status %d\n", code, read(code).status())
--- a/internal/simadapter/golden_recorded_test.go
+++ b/internal/simadapter/golden_recorded_test.go
@@ -17,7 +17,7 @@
 func TestGoldenRecordedActions(t *testing.T) {
 	var out bytes.Buffer
 	s := newServer(strings.NewReader(""), &out, &out)
-	in := &instance{s: s, number: 3}
+	in := &instance{server: s, number: 3}
 	in.Send("t/a", 77, 1500*time.Microsecond)
 	in.Reject("t/a", 2*time.Second)
 	in.Fail("t/a")
@@ -60,9 +60,9 @@
 
 // The numbers and words in the events' fields.
 func TestGoldenRecordedFields(t *testing.T) {
-	read := func(text string) *fields {
-		f := &fields{s: newServer(strings.NewReader(""), nil, nil), rest: []byte("event " + text), more: true}
-		f.name = string(f.part())
+	read := func(text string) *lineFields {
+		f := &lineFields{server: newServer(strings.NewReader(""), nil, nil), rest: []byte("event " + text), hasMore: true}
+		f.name = string(f.next())
 		return f
 	}
 	for text, want := range map[string]balancer.Status{
@@ -94,7 +94,7 @@
 		{Endpoint: 77, Zone: 1, MachineKind: 2, Cell: 3, State: balancer.EndpointReady, Weight: 1.5, StartedAt: 900 * time.Millisecond},
 		{Endpoint: 78, State: balancer.EndpointDraining, Weight: 1},
 	}
-	if got := s.list(read("1 4 41")); !reflect.DeepEqual(got, balancer.EndpointList{Kind: balancer.ListFull, Version: 41, Entries: entries}) {
+	if got := s.endpointList(read("1 4 41")); !reflect.DeepEqual(got, balancer.EndpointList{Kind: balancer.ListFull, Version: 41, Entries: entries}) {
 		t.Errorf("a list: %+v", got)
 	}
 }
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -17,30 +17,30 @@
 	"quincegap/internal/config/settings"
 )
 
-// maxLists is how many numbered lists the protocol has.
-const maxLists = 16
+// listCount is how many numbered lists the protocol has.
+const listCount = 16
 
 // server hosts the instances of one process.
 type server struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	notes     io.Writer
-	line      int
-	now       time.Duration
-	instances map[int64]*instance
-	lists     [maxLists][]balancer.ListEntry
-	listed    [maxLists]bool
-	noted     map[string]bool
-	buf       []byte // the line being read
-	scratch   []byte // the action being written
+	in           *bufio.Reader
+	out          *bufio.Writer
+	notes        io.Writer
+	line         int
+	now          time.Duration
+	instances    map[int64]*instance
+	lists        [listCount][]balancer.ListEntry
+	listDefined  [listCount]bool
+	noted        map[string]bool
+	lineBuffer   []byte // the line being read
+	actionBuffer []byte // the action being written
 }
 
 // instance is one sidecar's Balancer and its Host.
 type instance struct {
-	s       *server
-	number  int64
-	b       *balancer.Balancer
-	classes int
+	server   *server
+	number   int64
+	balancer *balancer.Balancer
+	classes  int
 }
 
 // Run serves the protocol until the input ends. It returns nil at a clean end
@@ -48,7 +48,7 @@
 func Run(in io.Reader, out, notes io.Writer) error {
 	s := newServer(in, out, notes)
 	for {
-		ok, err := s.batch()
+		ok, err := s.serveBatch()
 		if err != nil {
 			return err
 		}
@@ -68,9 +68,9 @@
 	}
 }
 
-// batch reads one batch and writes its reply; false at the end of input.
-func (s *server) batch() (bool, error) {
-	f, err := s.next()
+// serveBatch reads one batch and writes its reply; false at the end of input.
+func (s *server) serveBatch() (bool, error) {
+	f, err := s.readLine()
 	if errors.Is(err, io.EOF) {
 		return false, nil
 	}
@@ -85,7 +85,7 @@
 		return false, f.err
 	}
 	for {
-		f, err := s.next()
+		f, err := s.readLine()
 		if errors.Is(err, io.EOF) {
 			return false, s.malformed("batch", "over_to_you", "missing at the end of input")
 		}
@@ -96,30 +96,30 @@
 			_, err := s.out.WriteString("eor\n")
 			return true, err
 		}
-		if err := s.event(f); err != nil {
+		if err := s.handleEvent(f); err != nil {
 			return false, err
 		}
 	}
 }
 
-// next reads a line and splits off its name.
-func (s *server) next() (*fields, error) {
-	s.buf = s.buf[:0]
+// readLine reads a line and splits off its name.
+func (s *server) readLine() (*lineFields, error) {
+	s.lineBuffer = s.lineBuffer[:0]
 	for {
 		part, err := s.in.ReadSlice('\n')
-		s.buf = append(s.buf, part...)
+		s.lineBuffer = append(s.lineBuffer, part...)
 		if err == bufio.ErrBufferFull {
 			continue
 		}
-		if err != nil && (err != io.EOF || len(s.buf) == 0) {
+		if err != nil && (err != io.EOF || len(s.lineBuffer) == 0) {
 			return nil, err
 		}
 		break
 	}
 	s.line++
-	f := &fields{s: s, rest: bytes.TrimRight(s.buf, "\r\n")}
-	f.more = len(f.rest) > 0
-	f.name = string(f.part())
+	f := &lineFields{server: s, rest: bytes.TrimRight(s.lineBuffer, "\r\n")}
+	f.hasMore = len(f.rest) > 0
+	f.name = string(f.next())
 	return f, nil
 }
 
@@ -135,13 +135,13 @@
 	}
 }
 
-// event handles one line of a batch.
-func (s *server) event(f *fields) error {
+// handleEvent handles one line of a batch.
+func (s *server) handleEvent(f *lineFields) error {
 	switch f.name {
 	case "ledger":
 		return s.readList(f)
 	case "new_instance":
-		return s.start(f)
+		return s.startInstance(f)
 	case "halt", "targets", "knock", "begun", "closed_attempt", "lapsed", "wake", "echo", "inbox":
 	default:
 		s.noteOnce("unknown event " + f.name + " passed over")
@@ -168,11 +168,11 @@
 }
 
 // decode reads an event's fields and returns its delivery to a Balancer.
-func (s *server) decode(f *fields, in *instance) func(*balancer.Balancer) {
+func (s *server) decode(f *lineFields, in *instance) func(*balancer.Balancer) {
 	now := s.now
 	switch f.name {
 	case "targets":
-		l := s.list(f)
+		l := s.endpointList(f)
 		return func(b *balancer.Balancer) { b.HandleEndpoints(now, l) }
 	case "knock":
 		r := balancer.Request{
@@ -218,10 +218,10 @@
 	}
 }
 
-// start handles new_instance.
-func (s *server) start(f *fields) error {
+// startInstance handles new_instance.
+func (s *server) startInstance(f *lineFields) error {
 	n, seed := f.number("sidecar"), f.number("seed")
-	if f.err == nil && !f.more {
+	if f.err == nil && !f.hasMore {
 		f.fail("config", "missing")
 	}
 	if f.err != nil {
@@ -234,8 +234,8 @@
 	for _, k := range unknown {
 		s.noteOnce("unknown settings key " + k + " passed over")
 	}
-	in := &instance{s: s, number: n, classes: len(config.Classes)}
-	in.b, err = balancer.New(config.Settings, uint64(seed), in)
+	in := &instance{server: s, number: n, classes: len(config.Classes)}
+	in.balancer, err = balancer.New(config.Settings, uint64(seed), in)
 	if err != nil {
 		return s.malformed(f.name, "config", err.Error())
 	}
@@ -254,19 +254,19 @@
 				}
 				return r
 			}, fmt.Append(nil, p))
-			fmt.Fprintf(i.s.out, "crash %d %s\n", i.number, text)
-			i.b = nil
+			fmt.Fprintf(i.server.out, "crash %d %s\n", i.number, text)
+			i.balancer = nil
 		}
 	}()
-	if i.b != nil {
-		deliver(i.b)
+	if i.balancer != nil {
+		deliver(i.balancer)
 	}
 }
 
 var listKinds = []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}
 
-// list reads the fields of a targets event and resolves its list number.
-func (s *server) list(f *fields) balancer.EndpointList {
+// endpointList reads the fields of a targets event and resolves its list number.
+func (s *server) endpointList(f *lineFields) balancer.EndpointList {
 	var l balancer.EndpointList
 	kind := f.number("kind")
 	if f.err == nil && (kind < 0 || kind >= int64(len(listKinds))) {
@@ -281,7 +281,7 @@
 	if l.Kind == balancer.ListFailed || f.err != nil {
 		return l
 	}
-	if buffer < 0 || buffer >= maxLists || !s.listed[buffer] {
+	if buffer < 0 || buffer >= listCount || !s.listDefined[buffer] {
 		f.fail("buffer", "no such list")
 		return l
 	}
@@ -290,9 +290,9 @@
 }
 
 // readList handles a ledger and the item lines that follow it.
-func (s *server) readList(f *fields) error {
+func (s *server) readList(f *lineFields) error {
 	buffer, rows := f.number("buffer"), f.number("rows")
-	if f.err == nil && (buffer < 0 || buffer >= maxLists) {
+	if f.err == nil && (buffer < 0 || buffer >= listCount) {
 		f.fail("buffer", "out of range")
 	}
 	if f.err == nil && rows < 0 {
@@ -303,7 +303,7 @@
 	}
 	var entries []balancer.ListEntry // a fresh one: a Balancer may still hold the old
 	for i := int64(0); i < rows; i++ {
-		item, err := s.next()
+		item, err := s.readLine()
 		if errors.Is(err, io.EOF) || err == nil && item.name != "item" {
 			return s.malformed("ledger", "rows", fmt.Sprintf("list cut short: %d of %d items", i, rows))
 		}
@@ -319,13 +319,13 @@
 			return item.err
 		}
 	}
-	s.lists[buffer], s.listed[buffer] = entries, true
+	s.lists[buffer], s.listDefined[buffer] = entries, true
 	return nil
 }
 
-// action writes one action line: its name, the instance and the values.
-func (i *instance) action(name string, id string, values ...int64) {
-	b := append(i.s.scratch[:0], name...)
+// writeAction writes one action line: its name, the instance and the values.
+func (i *instance) writeAction(name string, id string, values ...int64) {
+	b := append(i.server.actionBuffer[:0], name...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, i.number, 10)
 	if id != "" {
@@ -337,38 +337,38 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	b = append(b, '\n')
-	i.s.scratch = b
-	i.s.out.Write(b) // an error sticks in the writer and shows at Flush
+	i.server.actionBuffer = b
+	i.server.out.Write(b) // an error sticks in the writer and shows at Flush
 }
 
 // The methods below are the Host.
 
 func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	i.action("dispatch", string(id), int64(to), timeout.Microseconds())
+	i.writeAction("dispatch", string(id), int64(to), timeout.Microseconds())
 }
 
 func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	i.action("overload_reply", string(id), retryAfter.Microseconds())
+	i.writeAction("overload_reply", string(id), retryAfter.Microseconds())
 }
 
-func (i *instance) Fail(id balancer.RequestID) { i.action("end_failed", string(id)) }
+func (i *instance) Fail(id balancer.RequestID) { i.writeAction("end_failed", string(id)) }
 
 func (i *instance) Cancel(id balancer.RequestID, attempt int) {
-	i.action("retract", string(id), int64(attempt))
+	i.writeAction("retract", string(id), int64(attempt))
 }
 
 func (i *instance) SetTimer(token uint64, after time.Duration) {
-	i.action("remind", "", int64(token), after.Microseconds())
+	i.writeAction("remind", "", int64(token), after.Microseconds())
 }
 
-func (i *instance) HealthCheck(to balancer.EndpointID) { i.action("check", "", int64(to)) }
+func (i *instance) HealthCheck(to balancer.EndpointID) { i.writeAction("check", "", int64(to)) }
 
 func (i *instance) SendToPeer(peer int, data []byte) {
 	text := "-"
 	if len(data) > 0 {
 		text = base64.StdEncoding.EncodeToString(data)
 	}
-	fmt.Fprintf(i.s.out, "tell %d %d %s\n", i.number, peer, text)
+	fmt.Fprintf(i.server.out, "tell %d %d %s\n", i.number, peer, text)
 }
 
 func (i *instance) WatchEndpoints(on bool) {
@@ -376,13 +376,15 @@
 	if on {
 		v = 1
 	}
-	i.action("tail", "", v)
+	i.writeAction("tail", "", v)
 }
 
-func (i *instance) FetchEndpoints() { i.action("query_all", "") }
+func (i *instance) FetchEndpoints() { i.writeAction("query_all", "") }
 
-func (i *instance) CloseIdleConnections(to balancer.EndpointID) { i.action("release", "", int64(to)) }
+func (i *instance) CloseIdleConnections(to balancer.EndpointID) {
+	i.writeAction("release", "", int64(to))
+}
 
 func (i *instance) Log(text string) {
-	fmt.Fprintf(i.s.out, "trace %d %s\n", i.number, text)
+	fmt.Fprintf(i.server.out, "trace %d %s\n", i.number, text)
 }
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -15,7 +15,7 @@
 	`"services":[{"name":"a","aim":1000000,"deadline":2000000,"gain":1,"lateValue":0,"effect":"read_like",` +
 	`"keyScope":"all","window":0,"streamed":false}]}`
 
-// batch wraps events in a batch at the given clock.
+// serveBatch wraps events in a batch at the given clock.
 func batch(clock string, events ...string) string {
 	return "begin_batch " + clock + "\n" + strings.Join(append(events, "over_to_you"), "\n") + "\n"
 }
@@ -130,7 +130,7 @@
 func TestPanicIsReportedForItsInstance(t *testing.T) {
 	var o bytes.Buffer
 	s := newServer(strings.NewReader(batch("1", with()...)), &o, &o)
-	if ok, err := s.batch(); !ok || err != nil {
+	if ok, err := s.serveBatch(); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	s.instances[3].guard(func(*balancer.Balancer) { panic("lost\ncount") })
--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -22,14 +22,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.targets(fleetList(1, 0, n), endpointsource.FromFetch)
+	l.handleList(fleetList(1, 0, n), endpointsource.FromFetch)
 	return l
 }
 
 func fleetList(rev uint64, from, n int) endpointList {
 	l := endpointList{Rev: rev, All: true}
 	for i := from; i < from+n; i++ {
-		l.Targets = append(l.Targets, target{
+		l.Targets = append(l.Targets, listedEndpoint{
 			UID: fmt.Sprintf("box-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:80", 1+i/62500, i/250%250, i%250+1),
 			State: "Ready", Weight: 1, Cell: i / 2,
 		})
@@ -40,19 +40,19 @@
 // A long list is taken in between other events: its bad news at once, before the next event, the rest in its order,
 // and a later list after it.
 func TestLongListIsTakenInParts(t *testing.T) {
-	const n = 3 * partMost
+	const n = 3 * maxChunkEntries
 	l := fleetLoop(t, n)
 	if len(l.endpoints.byID) != n || l.backlog.ready() != nil {
 		t.Fatalf("%d endpoints at first", len(l.endpoints.byID))
 	}
 	next := fleetList(2, n/2, n) // half of them gone, and as many new
 	next.Targets[0].State = "Terminating"
-	l.targets(next, endpointsource.FromWatch)
-	l.targets(endpointList{Rev: 3, Targets: []target{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
+	l.handleList(next, endpointsource.FromWatch)
+	l.handleList(endpointList{Rev: 3, Targets: []listedEndpoint{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
 	if l.backlog.ready() == nil {
 		t.Fatal("all was taken in at once")
 	}
-	bad := 1 + (n/2+partMost-1)/partMost // what drains, and what is missing
+	bad := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // what drains, and what is missing
 	for range bad {
 		l.backlog.next()
 	}
@@ -74,17 +74,17 @@
 func TestBacklogIsBounded(t *testing.T) {
 	var b backlog
 	var got []int
-	for i := range 3 * backlogMost {
+	for i := range 3 * maxBacklogSteps {
 		b.add(func() { got = append(got, 2*i) }, func() { got = append(got, 2*i+1) })
-		if len(b.rest) > backlogMost {
-			t.Fatalf("%d wait", len(b.rest))
+		if len(b.steps) > maxBacklogSteps {
+			t.Fatalf("%d wait", len(b.steps))
 		}
 	}
 	for b.ready() != nil {
 		b.next()
 	}
-	if len(got) != 6*backlogMost || !slices.IsSorted(got) {
-		t.Errorf("%d of %d were done, in order %v", len(got), 6*backlogMost, slices.IsSorted(got))
+	if len(got) != 6*maxBacklogSteps || !slices.IsSorted(got) {
+		t.Errorf("%d of %d were done, in order %v", len(got), 6*maxBacklogSteps, slices.IsSorted(got))
 	}
 }
 
@@ -103,9 +103,9 @@
 			for i := 0; b.Loop(); i++ {
 				rev++
 				lists[i%2].Rev = rev
-				d := lists[i%2].digest(endpointsource.FromWatch) // beside the loop
+				d := lists[i%2].prepare(endpointsource.FromWatch) // beside the loop
 				began := time.Now()
-				l.take(d, endpointsource.FromWatch)
+				l.handlePreparedList(d, endpointsource.FromWatch)
 				worst = max(worst, time.Since(began))
 				for l.backlog.ready() != nil {
 					began := time.Now()
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -40,16 +40,16 @@
 	token  string       // for discovery; never logged
 	file   *schema.File // the product's file; nil without one
 
-	noDiscovery bool // it is all in Consul
-	platform    bool // a platform says what appfile.ByPlatform has
+	consulOnly  bool // it is all in Consul
+	hasPlatform bool // a platform says what appfile.ByPlatform has
 
-	follower Follower // a source of endpoints beside discovery; nil for none
-	admin    Admin    // nil for none
-	among    Among    // nil where this sidecar looks for no others
+	follower  Follower    // a source of endpoints beside discovery; nil for none
+	admin     Admin       // nil for none
+	openPeers PeersOpener // nil where this sidecar looks for no others
 
 	peerAddresses []string // that a platform names, one for each sidecar
 
-	disk store.FS // where memory is kept, in place of memory.memory_dir; nil for that
+	storeFS store.FS // where memory is kept, in place of memory.memory_dir; nil for that
 
 	getenv  func(string) string // where it was loaded from:
 	product Product
@@ -62,8 +62,8 @@
 	Follow  func(*schema.File) (Follower, error) // the source that the file asks for; nil for none
 	// Admin serves the view that the file asks for; nil for none.
 	Admin func(f *schema.File, name string) Admin
-	// Among opens the view of the others that the file asks for; nil for none.
-	Among func(f *schema.File) (Among, error)
+	// PeersOpener opens the view of the others that the file asks for; nil for none.
+	OpenPeers func(f *schema.File) (PeersOpener, error)
 }
 
 // Admin serves a view for people until stop is called: of the endpoints, and of the other sidecars.
@@ -98,20 +98,20 @@
 	}
 	var refused finding.List
 	for _, s := range schema.Changed(c.file, fresh.file) {
-		if s.Key.Change == schema.AtStart && !(c.platform && slices.Contains(appfile.ByPlatform(), s.Path[0])) {
+		if s.Key.Change == schema.AtStart && !(c.hasPlatform && slices.Contains(appfile.ByPlatform(), s.Path[0])) {
 			refused.Add(s.Place.File, s.Place.Pos, "%s has changed, which takes effect at a start only", s.ID())
 		}
 	}
 	return fresh, refused.Err()
 }
 
-// unused logs what of the product's file a platform takes the place of.
-func (c *Config) unused() {
-	if c.file == nil || !c.platform {
+// logUnused logs what of the product's file a platform takes the place of.
+func (c *Config) logUnused() {
+	if c.file == nil || !c.hasPlatform {
 		return
 	}
 	for _, s := range c.file.Settings() {
-		if s.ID() == "sidecar.application" && c.among != nil {
+		if s.ID() == "sidecar.application" && c.openPeers != nil {
 			continue // the others go by it
 		}
 		if slices.Contains(appfile.ByPlatform(), s.Path[0]) {
@@ -133,14 +133,14 @@
 	var err error
 	platformSays := file == nil || c.getenv("BALANCER_CONFIG") != ""
 	if platformSays {
-		fresh, err = platform(c.getenv, envDiscovery)
+		fresh, err = loadPlatform(c.getenv, envDiscovery)
 	} else {
-		fresh, err = standalone(file)
+		fresh, err = fromProductFile(file)
 	}
 	if err != nil {
 		return nil, err
 	}
-	fresh.platform = platformSays
+	fresh.hasPlatform = platformSays
 	fresh.getenv, fresh.product = c.getenv, c.product
 	fresh.file, fresh.tuning = file, tuningOf(file)
 	if !platformSays {
@@ -153,19 +153,19 @@
 	if file == nil {
 		return fresh, nil
 	}
-	if fresh.tuning.membership.Mode == endpointsource.ModeConsul {
+	if fresh.tuning.endpointSource.Mode == endpointsource.ModeConsul {
 		fresh.Settings.MustSubscribe = false // discovery is not asked for what counts
 	}
 	if fresh.follower, err = c.product.Follow(file); err != nil {
 		return nil, err
 	}
 	fresh.admin = c.product.Admin(file, fresh.Name)
-	fresh.among, err = c.product.Among(file)
+	fresh.openPeers, err = c.product.OpenPeers(file)
 	return fresh, err
 }
 
-// platform reads the configuration that the platform gives.
-func platform(getenv func(string) string, envDiscovery bool) (*Config, error) {
+// loadPlatform reads the configuration that the platform gives.
+func loadPlatform(getenv func(string) string, envDiscovery bool) (*Config, error) {
 	path := getenv("BALANCER_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("BALANCER_CONFIG: not set")
@@ -235,7 +235,7 @@
 // check names the first value that a sidecar cannot run with.
 func (c *Config) check() error {
 	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
-		if name == "discovery" && c.noDiscovery {
+		if name == "discovery" && c.consulOnly {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -262,12 +262,12 @@
 	// smallest time between two rounds of decisions, where no platform tells.
 	standaloneGrace   = 20 * time.Millisecond
 	standaloneQuantum = 5 * time.Millisecond
-	// standaloneWhole weighs all that is served against the worst-served class.
-	standaloneWhole = 0.9
+	// standaloneTotalValueWeight weighs all that is served against the worst-served class.
+	standaloneTotalValueWeight = 0.9
 )
 
-// standalone is the configuration that the product's file gives where there is no platform.
-func standalone(f *schema.File) (*Config, error) {
+// fromProductFile is the configuration that the product's file gives where there is no platform.
+func fromProductFile(f *schema.File) (*Config, error) {
 	who, limits, found := appfile.SidecarTable.In(f), appfile.LimitsTable.In(f), appfile.DiscoveryTable.In(f)
 	attempts, warmup := appfile.AttemptsTable.In(f), appfile.WarmupTable.In(f)
 	c := &Config{
@@ -281,7 +281,7 @@
 	s := &c.Settings
 	s.GraceToAnswer = standaloneGrace
 	s.Settings = balancer.Settings{
-		Instances: who.Instances, Ordinal: who.Ordinal, Tiers: 1, Quantum: standaloneQuantum, TotalValueWeight: standaloneWhole,
+		Instances: who.Instances, Ordinal: who.Ordinal, Tiers: 1, Quantum: standaloneQuantum, TotalValueWeight: standaloneTotalValueWeight,
 		MayCancel: attempts.Cancel, MayHealthCheck: attempts.Probes, MaxAttempts: attempts.Most, HedgedRequests: attempts.Copies,
 		MaxRetryAfter: attempts.MaxRetryAfter, ConnectTimeout: attempts.ConnectTimeout,
 		MustSubscribe: found.Mode == appfile.Ask, ResubscribeInterval: found.AskEvery, PropagatesDeadline: true,
@@ -299,24 +299,24 @@
 	for _, v := range appfile.TenantTable.All(f) {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.Quota})
 	}
-	c.noDiscovery = found.Address == "" && endpointsource.SettingsTable.In(f).Mode == endpointsource.ModeConsul
+	c.consulOnly = found.Address == "" && endpointsource.SettingsTable.In(f).Mode == endpointsource.ModeConsul
 	return c, c.check()
 }
 
-// Idle connections to endpoints are kept for idleShare of what the platform tells, or idleDefault: a request
+// Idle connections to endpoints are kept for idleTimeoutShare of what the platform tells, or defaultIdleTimeout: a request
 // that is written while the endpoint closes its connection would be lost as a reset.
 const (
-	idleShare   = 0.5
-	idleDefault = 10 * time.Second
+	idleTimeoutShare   = 0.5
+	defaultIdleTimeout = 10 * time.Second
 )
 
-// maxIdle is how long an idle connection to an endpoint is kept.
-func (c *Config) maxIdle(t *tuning) time.Duration {
+// idleTimeout is how long an idle connection to an endpoint is kept.
+func (c *Config) idleTimeout(t *tuning) time.Duration {
 	switch idle := c.Settings.ConnIdle; {
 	case t.endpoints.KeepIdle > 0:
 		return t.endpoints.KeepIdle
 	case idle > 0:
-		return time.Duration(idleShare * float64(idle))
+		return time.Duration(idleTimeoutShare * float64(idle))
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/internal/standalone/copies_test.go
+++ b/internal/standalone/copies_test.go
@@ -15,14 +15,14 @@
 func copying(t *testing.T, allowed bool, more string, serve func(box int, w http.ResponseWriter, r *http.Request)) *rig {
 	t.Helper()
 	withRoutes(t, "[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\n"+more)
-	table := adjust
-	adjust = func(c *Config) {
+	table := adjustConfig
+	adjustConfig = func(c *Config) {
 		table(c)
 		c.Settings.HedgedRequests = allowed
 	}
-	var targets []target
+	var targets []listedEndpoint
 	for i := range 4 {
-		x := peer(t, fmt.Sprint("s-", i), func(w http.ResponseWriter, r *http.Request) {
+		x := startEndpoint(t, fmt.Sprint("s-", i), func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/warm" {
 				fmt.Fprint(w, "ok")
 				return
@@ -56,7 +56,7 @@
 			first := len(boxes[id]) == 1
 			mu.Unlock()
 			if first {
-				gone(r)
+				awaitCancel(r)
 				calledOff.Add(1)
 				return
 			}
@@ -132,7 +132,7 @@
 			w.Header().Set("X-Turned-Away", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case "break":
-			breakOff(w)
+			closeConnection(w)
 		}
 	})
 	kinds := []string{"answer", "fail", "turn away", "break"}
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	maxList      = 4 << 20 // bytes of one list
+	maxListBytes = 4 << 20 // bytes of one list
 	fetchTimeout = 5 * time.Second
-	// watchSilence ends a watch that says nothing: an empty line is due every 2 s, and what discovery has to
+	// watchTimeout ends a watch that says nothing: an empty line is due every 2 s, and what discovery has to
 	// tell counts as told 6 s later at the latest, by which time another watch must have brought it.
-	watchSilence = 4500 * time.Millisecond
-	backoffLeast = 50 * time.Millisecond
-	backoffMost  = 2 * time.Second
+	watchTimeout    = 4500 * time.Millisecond
+	minWatchBackoff = 50 * time.Millisecond
+	maxWatchBackoff = 2 * time.Second
 )
 
 // endpointList is discovery's list of endpoints, whole or what changed.
 type endpointList struct {
-	Rev     uint64   `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
+	Rev     uint64           `json:"rev"`
+	All     bool             `json:"all"`
+	Targets []listedEndpoint `json:"targets"`
 }
 
-type target struct {
+type listedEndpoint struct {
 	UID     string  `json:"uid"`
 	Address string  `json:"endpoint"`
 	Zone    string  `json:"az"`
@@ -51,12 +51,12 @@
 	BootMS  int64   `json:"boot_ms"`
 }
 
-var states = map[string]balancer.EndpointState{
+var endpointStates = map[string]balancer.EndpointState{
 	"Ready": balancer.EndpointReady, "Terminating": balancer.EndpointDraining, "Gone": balancer.EndpointRemoved,
 }
 
-// judged puts a list into the terms of those who judge it.
-func (e endpointList) judged(from endpointsource.ListOrigin) endpointsource.List {
+// sourceList puts a list into the terms of those who judge it.
+func (e endpointList) sourceList(from endpointsource.ListOrigin) endpointsource.List {
 	list := endpointsource.List{Kind: balancer.ListDelta, Version: e.Rev}
 	switch {
 	case from == endpointsource.FromCache:
@@ -67,7 +67,7 @@
 	for _, x := range e.Targets {
 		endpoint := endpointsource.Endpoint{UID: x.UID, Address: x.Address, Zone: x.Zone, Model: x.Model, Cell: x.Cell, Weight: x.Weight, StartedMS: x.BootMS}
 		var ok bool
-		if endpoint.State, ok = states[x.State]; !ok {
+		if endpoint.State, ok = endpointStates[x.State]; !ok {
 			endpoint.State, endpoint.Reason = endpointsource.StateUnknown, x.State
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
@@ -75,31 +75,31 @@
 	return list
 }
 
-// listDigest is a list that was sorted out by who read it, so that the loop does not have to.
-type listDigest struct {
+// preparedList is a list that was sorted out by who read it, so that the loop does not have to.
+type preparedList struct {
 	endpointsource.PreparedList
 	rev uint64
 	all bool
 }
 
-func (e endpointList) digest(from endpointsource.ListOrigin) listDigest {
-	return listDigest{endpointsource.PrepareList(e.judged(from), partMost), e.Rev, e.All}
+func (e endpointList) prepare(from endpointsource.ListOrigin) preparedList {
+	return preparedList{endpointsource.PrepareList(e.sourceList(from), maxChunkEntries), e.Rev, e.All}
 }
 
-// endpoints is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
+// endpointTable is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
 // still out to it holds on to its endpoint, that is open to nothing new. The loop owns the table.
-type endpoints struct {
+type endpointTable struct {
 	origin time.Time // zero of the event clock
 	byID   map[balancer.EndpointID]*exchange.Endpoint
 	ids    map[string]balancer.EndpointID
-	zones  names
-	models names
+	zones  nameIndex
+	models nameIndex
 }
 
-// names numbers names as the settings do, and those that they lack after them. Membership bounds them.
-type names map[string]int
+// nameIndex numbers names as the settings do, and those that they lack after them. Membership bounds them.
+type nameIndex map[string]int
 
-func (n names) index(name string) int {
+func (n nameIndex) index(name string) int {
 	i, ok := n[name]
 	if !ok {
 		i = len(n)
@@ -108,10 +108,10 @@
 	return i
 }
 
-func newEndpoints(zones, models []string, origin time.Time) *endpoints {
-	t := &endpoints{
+func newEndpoints(zones, models []string, origin time.Time) *endpointTable {
+	t := &endpointTable{
 		origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
-		ids: map[string]balancer.EndpointID{}, zones: names{}, models: names{},
+		ids: map[string]balancer.EndpointID{}, zones: nameIndex{}, models: nameIndex{},
 	}
 	for _, z := range zones {
 		t.zones.index(z)
@@ -122,10 +122,10 @@
 	return t
 }
 
-// id numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
+// entryID numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
 // same at every sidecar, and no two share it. Others are hashed, and where two would share a number, the
 // later one moves on.
-func (e *endpoints) id(uid string) balancer.EndpointID {
+func (e *endpointTable) endpointID(uid string) balancer.EndpointID {
 	if id, ok := e.ids[uid]; ok {
 		return id
 	}
@@ -142,25 +142,25 @@
 	return id
 }
 
-// put puts an endpoint into the table, in the place of one that it replaces.
-func (e *endpoints) put(endpoint *exchange.Endpoint) {
+// insert puts an endpoint into the table, in the place of one that it replaces.
+func (e *endpointTable) insert(endpoint *exchange.Endpoint) {
 	e.byID[endpoint.ID], e.ids[endpoint.UID] = endpoint, endpoint.ID
 }
 
-// forget takes an endpoint that has gone out of the table.
-func (e *endpoints) forget(endpoint *exchange.Endpoint) {
+// remove takes an endpoint that has gone out of the table.
+func (e *endpointTable) remove(endpoint *exchange.Endpoint) {
 	endpoint.Open.Store(false)
 	delete(e.byID, endpoint.ID)
 	delete(e.ids, endpoint.UID)
 }
 
-// update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
+// apply takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
 // are of no more use.
-func (e *endpoints) update(l endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
+func (e *endpointTable) apply(l endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
 	listed := map[balancer.EndpointID]bool{}
 	for _, x := range l.Endpoints {
 		state := x.State
-		id := e.id(x.UID)
+		id := e.endpointID(x.UID)
 		listed[id] = true
 		endpoint := e.byID[id]
 		if endpoint == nil || state == balancer.EndpointReady && (endpoint.Address != x.Address || endpoint.BootMS != x.StartedMS) {
@@ -169,7 +169,7 @@
 				retired = append(retired, endpoint)
 			}
 			endpoint = &exchange.Endpoint{ID: id, UID: x.UID, Address: x.Address, BootMS: x.StartedMS}
-			e.put(endpoint)
+			e.insert(endpoint)
 		}
 		endpoint.Zone, endpoint.Cell = x.Zone, x.Cell
 		endpoint.Open.Store(state == balancer.EndpointReady)
@@ -177,17 +177,17 @@
 			retired = append(retired, endpoint)
 		}
 		if state == balancer.EndpointRemoved {
-			e.forget(endpoint)
+			e.remove(endpoint)
 		}
 		entries = append(entries, balancer.ListEntry{
 			Endpoint: id, Zone: e.zones.index(x.Zone), MachineKind: e.models.index(x.Model), Cell: x.Cell, State: state,
-			Weight: x.Weight, StartedAt: e.started(x.StartedMS),
+			Weight: x.Weight, StartedAt: e.startTime(x.StartedMS),
 		})
 	}
 	if l.Kind != balancer.ListDelta {
 		for id, endpoint := range e.byID {
 			if !listed[id] {
-				e.forget(endpoint)
+				e.remove(endpoint)
 				retired = append(retired, endpoint)
 			}
 		}
@@ -195,9 +195,9 @@
 	return entries, retired
 }
 
-// started puts a start in Unix time on the event clock. It always gives the same for the same start: the
+// startTime puts a start in Unix time on the event clock. It always gives the same for the same start: the
 // Balancer takes a later one for a restart.
-func (e *endpoints) started(bootMS int64) time.Duration {
+func (e *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
 	}
@@ -207,28 +207,28 @@
 // watcher talks to the discovery at one address. Like the loop's other fields it belongs to the loop; what
 // its goroutines bring is heard only while they are wanted.
 type watcher struct {
-	url      string
-	token    string // for discovery, or empty; never logged
-	loop     *loop
-	client   *http.Client
-	again    bool // reconnect by itself: where lists are pushed, asking costs nothing
-	cancel   context.CancelFunc
-	fetching bool
-	heardAt  atomic.Int64 // on the event clock, when it last said anything
+	url         string
+	token       string // for discovery, or empty; never logged
+	loop        *loop
+	client      *http.Client
+	reconnects  bool // reconnect by itself: where lists are pushed, asking costs nothing
+	cancel      context.CancelFunc
+	fetching    bool
+	lastHeardAt atomic.Int64 // on the event clock, when it last said anything
 }
 
 func newWatcher(address, token string, l *loop) *watcher {
 	dialer := &net.Dialer{Timeout: l.config.Settings.ConnectTimeout}
 	return &watcher{
-		url: "http://" + address + "/v1/endpoints", token: token, loop: l, again: !l.config.Settings.MustSubscribe,
+		url: "http://" + address + "/v1/endpoints", token: token, loop: l, reconnects: !l.config.Settings.MustSubscribe,
 		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
 	}
 }
 
-// current tells whether discovery has said lately that nothing else has changed.
-func (w *watcher) current(now time.Duration) bool {
-	at := time.Duration(w.heardAt.Load())
-	return at > 0 && now-at < watchSilence
+// currentProtocols tells whether discovery has said lately that nothing else has changed.
+func (w *watcher) isCurrent(now time.Duration) bool {
+	at := time.Duration(w.lastHeardAt.Load())
+	return at > 0 && now-at < watchTimeout
 }
 
 // start begins to watch for what changes after a version; nil asks for the whole list first. Like stop it
@@ -239,7 +239,7 @@
 	go w.run(ctx, since)
 }
 
-// stop ends the watch: nothing that it brought and that the loop has not yet taken counts.
+// shutDown ends the watch: nothing that it brought and that the loop has not yet taken counts.
 func (w *watcher) stop() {
 	if w.cancel != nil {
 		w.cancel()
@@ -257,7 +257,7 @@
 
 // run watches until it is stopped, or, where discovery must be asked, until the watch ends.
 func (w *watcher) run(ctx context.Context, since *uint64) {
-	pause := backoffLeast
+	pause := minWatchBackoff
 	told := ""
 	for {
 		reached, got, err := w.watch(ctx, since)
@@ -265,12 +265,12 @@
 			return
 		}
 		since = reached
-		if !w.again {
-			w.post(ctx, func() { w.loop.listFailed(err) })
+		if !w.reconnects {
+			w.post(ctx, func() { w.loop.handleListFailure(err) })
 			return
 		}
 		if got {
-			pause, told = backoffLeast, ""
+			pause, told = minWatchBackoff, ""
 		}
 		if text := err.Error(); text != told {
 			log.Printf("discovery: %s", text)
@@ -281,7 +281,7 @@
 			return
 		case <-time.After(pause/2 + rand.N(pause)):
 		}
-		pause = min(2*pause, backoffMost)
+		pause = min(2*pause, maxWatchBackoff)
 	}
 }
 
@@ -290,7 +290,7 @@
 func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, got bool, err error) {
 	ctx2, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(watchSilence, cancel)
+	silence := time.AfterFunc(watchTimeout, cancel)
 	defer silence.Stop()
 	url := w.url + "?follow=1"
 	if since != nil {
@@ -302,10 +302,10 @@
 	}
 	defer body.Close()
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxList)
+	lines.Buffer(nil, maxListBytes)
 	for lines.Scan() {
-		silence.Reset(watchSilence)
-		w.heardAt.Store(int64(w.loop.now()))
+		silence.Reset(watchTimeout)
+		w.lastHeardAt.Store(int64(w.loop.now()))
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
@@ -316,8 +316,8 @@
 			return nil, got, fmt.Errorf("watch: %w", err)
 		}
 		got, since = true, &l.Rev
-		d := l.digest(endpointsource.FromWatch)
-		w.post(ctx, func() { w.loop.take(d, endpointsource.FromWatch) })
+		d := l.prepare(endpointsource.FromWatch)
+		w.post(ctx, func() { w.loop.handlePreparedList(d, endpointsource.FromWatch) })
 	}
 	if err := lines.Err(); err != nil {
 		return since, got, fmt.Errorf("watch: %w", err)
@@ -333,24 +333,24 @@
 	}
 	w.fetching = true
 	go func() {
-		got, err := w.whole()
-		d := got.digest(endpointsource.FromFetch)
+		got, err := w.fetchFull()
+		d := got.prepare(endpointsource.FromFetch)
 		w.loop.post(func() {
 			w.fetching = false
 			switch {
 			case w.loop.watcher != w:
 			case err != nil:
-				w.loop.listFailed(err)
+				w.loop.handleListFailure(err)
 			default:
-				w.heardAt.Store(int64(w.loop.now()))
-				w.loop.take(d, endpointsource.FromFetch)
+				w.lastHeardAt.Store(int64(w.loop.now()))
+				w.loop.handlePreparedList(d, endpointsource.FromFetch)
 			}
 		})
 	}()
 }
 
-// whole asks for the whole list.
-func (w *watcher) whole() (l endpointList, err error) {
+// fetchFull asks for the whole list.
+func (w *watcher) fetchFull() (l endpointList, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	body, err := w.get(ctx, w.url)
@@ -358,7 +358,7 @@
 		return l, err
 	}
 	defer body.Close()
-	if err := json.NewDecoder(io.LimitReader(body, maxList)).Decode(&l); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxListBytes)).Decode(&l); err != nil {
 		return l, fmt.Errorf("fetch: %w", err)
 	}
 	if !l.All {
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -16,26 +16,26 @@
 	"quincegap/internal/network/exchange"
 )
 
-func ready(uid string, bootMS int64) target {
-	return target{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1, BootMS: bootMS}
+func ready(uid string, bootMS int64) listedEndpoint {
+	return listedEndpoint{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1, BootMS: bootMS}
 }
 
 // An endpoint's number is the same at every sidecar, in whatever order lists name it, and no two share one.
 func TestEndpointIDs(t *testing.T) {
 	a, b := newEndpoints(nil, nil, time.Now()), newEndpoints(nil, nil, time.Now())
-	put := func(t *endpoints, uid string) balancer.EndpointID {
-		id := t.id(uid)
-		t.put(&exchange.Endpoint{ID: id, UID: uid})
+	put := func(t *endpointTable, uid string) balancer.EndpointID {
+		id := t.endpointID(uid)
+		t.insert(&exchange.Endpoint{ID: id, UID: uid})
 		return id
 	}
-	if a.id("s-00000001") != 1 || a.id("s-5be2a07c") != 0x5be2a07c {
+	if a.endpointID("s-00000001") != 1 || a.endpointID("s-5be2a07c") != 0x5be2a07c {
 		t.Error("the uid's own number is not used")
 	}
-	b.id("s-5be2a07c")
-	if b.id("s-00000001") != a.id("s-00000001") || a.id("box.west") != b.id("box.west") {
+	b.endpointID("s-5be2a07c")
+	if b.endpointID("s-00000001") != a.endpointID("s-00000001") || a.endpointID("box.west") != b.endpointID("box.west") {
 		t.Error("the order tells")
 	}
-	if x, y := put(a, "s-1"), put(a, "t-1"); x == y || x != a.id("s-1") || y != a.id("t-1") {
+	if x, y := put(a, "s-1"), put(a, "t-1"); x == y || x != a.endpointID("s-1") || y != a.endpointID("t-1") {
 		t.Errorf("two uids have %d and %d", x, y)
 	}
 }
@@ -45,10 +45,10 @@
 	now := time.Now()
 	e := newEndpoints(nil, nil, now.Add(-clockStart))
 	boot := now.Add(-3 * time.Second).UnixMilli()
-	if got := e.started(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.started(boot) {
+	if got := e.startTime(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.startTime(boot) {
 		t.Errorf("3 s ago is %v on a clock at %v", got, clockStart)
 	}
-	if e.started(0) != 0 || e.started(1) != 0 {
+	if e.startTime(0) != 0 || e.startTime(1) != 0 {
 		t.Error("long past is not 0")
 	}
 }
@@ -56,7 +56,7 @@
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
 	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
 	x := ready("s-1", 0)
-	entries, _ := e.update(endpointList{All: true, Targets: []target{x, ready("s-2", 0)}}.judged(endpointsource.FromWatch))
+	entries, _ := e.apply(endpointList{All: true, Targets: []listedEndpoint{x, ready("s-2", 0)}}.sourceList(endpointsource.FromWatch))
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].MachineKind != 0 {
 		t.Fatalf("entries %+v", entries)
 	}
@@ -67,7 +67,7 @@
 	} {
 		change()
 		old := e.byID[1]
-		entries, retired := e.update(endpointList{Targets: []target{x}}.judged(endpointsource.FromWatch))
+		entries, retired := e.apply(endpointList{Targets: []listedEndpoint{x}}.sourceList(endpointsource.FromWatch))
 		if len(retired) != 1 || retired[0] != old || old.Open.Load() || !e.byID[1].Open.Load() || e.byID[1].Address != x.Address {
 			t.Errorf("after a change: %+v", e.byID[1])
 		}
@@ -78,7 +78,7 @@
 	if first.Open.Load() || !e.byID[2].Open.Load() {
 		t.Error("a delta closed what it does not name, or left the old address open")
 	}
-	e.update(endpointList{All: true, Targets: []target{x}}.judged(endpointsource.FromWatch))
+	e.apply(endpointList{All: true, Targets: []listedEndpoint{x}}.sourceList(endpointsource.FromWatch))
 	if e.byID[2] != nil || len(e.ids) != 1 {
 		t.Error("an endpoint that left the whole list is open")
 	}
@@ -91,13 +91,13 @@
 	draining := ready("s-1", 0)
 	draining.State = "Terminating"
 	rg.inLoop(func() {
-		l.targets(endpointList{Rev: 5, Targets: []target{draining}}, endpointsource.FromWatch)
-		l.targets(endpointList{Rev: 4, All: true, Targets: []target{ready("s-1", 0)}}, endpointsource.FromFetch)
-		l.targets(endpointList{Rev: 5, Targets: []target{ready("s-1", 0)}}, endpointsource.FromWatch)
-		if l.endpoints.byID[1].Open.Load() || !l.endpoints.byID[2].Open.Load() || l.feed.Version != 5 {
+		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{draining}}, endpointsource.FromWatch)
+		l.handleList(endpointList{Rev: 4, All: true, Targets: []listedEndpoint{ready("s-1", 0)}}, endpointsource.FromFetch)
+		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{ready("s-1", 0)}}, endpointsource.FromWatch)
+		if l.endpoints.byID[1].Open.Load() || !l.endpoints.byID[2].Open.Load() || l.versionFilter.Version != 5 {
 			t.Error("an older list undid a drain")
 		}
-		l.targets(endpointList{Rev: 6, All: true, Targets: []target{ready("s-1", 0)}}, endpointsource.FromFetch)
+		l.handleList(endpointList{Rev: 6, All: true, Targets: []listedEndpoint{ready("s-1", 0)}}, endpointsource.FromFetch)
 		if !l.endpoints.byID[1].Open.Load() || l.endpoints.byID[2] != nil {
 			t.Error("a newer list is not followed")
 		}
@@ -119,7 +119,7 @@
 	defer discovery.Close()
 	config := &Config{
 		Discovery: discovery.Listener.Addr().String(), Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil),
-		Known: endpointList{Rev: 41, All: true, Targets: []target{ready("s-1", 0)}},
+		Known: endpointList{Rev: 41, All: true, Targets: []listedEndpoint{ready("s-1", 0)}},
 	}
 	config.Settings.ConnectTimeout = patience
 	config.Settings.Instances = 1
@@ -131,7 +131,7 @@
 	go l.run()
 	defer l.post(func() { l.watcher.stop() })
 	line := func(rev uint64) string {
-		text, _ := json.Marshal(endpointList{Rev: rev, Targets: []target{ready("s-1", 0)}})
+		text, _ := json.Marshal(endpointList{Rev: rev, Targets: []listedEndpoint{ready("s-1", 0)}})
 		return "\n" + string(text) + "\n\n"
 	}
 	for _, step := range []struct{ since, reply string }{
@@ -165,7 +165,7 @@
 	defer silent.Close()
 	defer silent.CloseClientConnections()
 	rg := start(t, 1024, ready("s-1", 0))
-	rg.inLoop(func() { rg.server.loop.follow(silent.Listener.Addr().String(), "") })
+	rg.inLoop(func() { rg.server.loop.switchDiscovery(silent.Listener.Addr().String(), "") })
 	for range 2 { // the watch and the whole list, that follow asks for
 		<-asked
 	}
@@ -184,12 +184,12 @@
 // nothing.
 func TestReloadFollowsAnotherDiscovery(t *testing.T) {
 	came, serve := make(chan bool, 1), make(chan bool)
-	a := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	a := startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "a")
 	})
-	b := peer(t, "s-2", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "b") })
+	b := startEndpoint(t, "s-2", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "b") })
 	rg := start(t, 1024, a)
 	l := rg.server.loop
 	answered := make(chan string)
@@ -203,7 +203,7 @@
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		if r.URL.Query().Get("since") == "" {
-			json.NewEncoder(w).Encode(endpointList{Rev: 0, All: true, Targets: []target{b}})
+			json.NewEncoder(w).Encode(endpointList{Rev: 0, All: true, Targets: []listedEndpoint{b}})
 		}
 		if r.URL.Query().Get("follow") == "1" {
 			http.NewResponseController(w).Flush()
@@ -217,11 +217,11 @@
 		t.Fatal(err)
 	}
 	var old *watcher
-	rg.inLoop(func() { l.feed.Version, old = 7, l.watcher })
+	rg.inLoop(func() { l.versionFilter.Version, old = 7, l.watcher })
 	os.WriteFile(rg.file, good[:len(good)/2], 0o600)
 	rg.reloads <- syscall.SIGHUP
 	rg.inLoop(func() {
-		if l.watcher != old || l.feed.Switched() {
+		if l.watcher != old || l.versionFilter.Switched() {
 			t.Error("a broken file had an effect")
 		}
 	})
@@ -229,7 +229,7 @@
 	os.WriteFile(rg.file, []byte(strings.Replace(string(good), was, other.Listener.Addr().String(), 1)), 0o600)
 	rg.reloads <- syscall.SIGHUP
 	rg.until("the new list is taken in", func() (done bool) {
-		rg.inLoop(func() { done = l.feed.Version == 0 && !l.feed.Switched() && l.watcher != old })
+		rg.inLoop(func() { done = l.versionFilter.Version == 0 && !l.versionFilter.Switched() && l.watcher != old })
 		return done
 	})
 	for range 2 {
@@ -243,7 +243,7 @@
 			t.Error("an endpoint that the new list lacks is open")
 		}
 	})
-	line, _ := json.Marshal(endpointList{Rev: 9, All: true, Targets: []target{a}})
+	line, _ := json.Marshal(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{a}})
 	rg.lists <- string(line)
 	if _, body := rg.ask(rg.request("once", 9*time.Second)); body != "b" {
 		t.Errorf("served %q", body)
@@ -253,7 +253,7 @@
 		t.Errorf("the request that was taken before got %q", got)
 	}
 	rg.inLoop(func() {
-		if l.feed.Version != 0 {
+		if l.versionFilter.Version != 0 {
 			t.Error("the old discovery was heard")
 		}
 	})
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -25,11 +25,11 @@
 	if err := found.Err(); err != nil {
 		t.Fatal(err)
 	}
-	adjust = func(c *Config) {
-		c.file, c.disk = file, d
-		c.tuning.memory.Dir, c.tuning.memory.Wait = "unused", 250*time.Millisecond
+	adjustConfig = func(c *Config) {
+		c.file, c.storeFS = file, d
+		c.tuning.memory.Dir, c.tuning.memory.WriteTimeout = "unused", 250*time.Millisecond
 	}
-	t.Cleanup(func() { adjust = func(*Config) {} })
+	t.Cleanup(func() { adjustConfig = func(*Config) {} })
 }
 
 // runs counts how often each request ran.
@@ -71,7 +71,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			d, x := disk.New(), &runs{of: map[string]int{}}
 			onDisk(t, d)
-			rg := start(t, 1024, peer(t, "s-1", x.serve), peer(t, "s-2", x.serve))
+			rg := start(t, 1024, startEndpoint(t, "s-1", x.serve), startEndpoint(t, "s-2", x.serve))
 			try := func(class string, want int) (id string) {
 				t.Helper()
 				r := rg.request(class, 5*time.Second)
@@ -117,7 +117,7 @@
 			// The next life knows what was remembered, before and after.
 			again := d.AfterCrash()
 			onDisk(t, again)
-			rg = start(t, 1024, peer(t, "s-1", x.serve), peer(t, "s-2", x.serve))
+			rg = start(t, 1024, startEndpoint(t, "s-1", x.serve), startEndpoint(t, "s-2", x.serve))
 			for _, id := range []string{paid, last} {
 				r := rg.request("once", 5*time.Second)
 				r.Header.Set("X-Txn", id)
--- a/internal/standalone/each_test.go
+++ b/internal/standalone/each_test.go
@@ -21,21 +21,21 @@
 	"quincegap/internal/standin/udp"
 )
 
-// way is the protocols of a test: of its callers and to its endpoints.
-type way struct{ front, to string }
+// protocols is the protocols of a test: of its callers and to its endpoints.
+type protocols struct{ front, to string }
 
-// current is the way of the test that runs; these tests run one after the other.
-var current = way{"http1", "http1"}
+// currentProtocols is the way of the test that runs; these tests run one after the other.
+var currentProtocols = protocols{"http1", "http1"}
 
-// adjust changes the configuration of the sidecars that a test starts.
-var adjust = func(*Config) {}
+// adjustConfig changes the configuration of the sidecars that a test starts.
+var adjustConfig = func(*Config) {}
 
 // overEach runs a test over every front and transport.
 func overEach(t *testing.T, test func(t *testing.T)) {
-	for _, w := range []way{{"http1", "http1"}, {"http3", "http1"}, {"http1", "http3"}, {"http3", "http3"}} {
+	for _, w := range []protocols{{"http1", "http1"}, {"http3", "http1"}, {"http1", "http3"}, {"http3", "http3"}} {
 		t.Run(w.front+" to "+w.to, func(t *testing.T) {
-			current = w
-			defer func() { current = way{"http1", "http1"} }()
+			currentProtocols = w
+			defer func() { currentProtocols = protocols{"http1", "http1"} }()
 			test(t)
 		})
 	}
@@ -53,9 +53,9 @@
 }()
 
 // apply has a sidecar's configuration speak by the current way.
-func (w way) apply(t *testing.T, c *Config) {
+func (w protocols) apply(t *testing.T, c *Config) {
 	t.Helper()
-	adjust(c)
+	adjustConfig(c)
 	dir := t.TempDir()
 	put := func(name string, text []byte) string {
 		at := filepath.Join(dir, name)
@@ -70,11 +70,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := &c.tuning.http3
+		set := &c.tuning.http3Callers
 		set.Listen, set.Cert, set.Key, set.EarlyData = "127.0.0.1:0", put("cert.pem", cert), put("key.pem", key), http3.EarlySafe
 	}
 	if w.to == "http3" {
-		set := &c.tuning.http3to
+		set := &c.tuning.http3Endpoints
 		set.Use, set.CA, set.Name, set.Early, set.Handshake = http3.Prefer, put("ca.pem", signer.PEM()), endpointName, true, 5*time.Second
 	}
 }
@@ -91,11 +91,11 @@
 	return rg.h3, "https://" + rg.server.fronts[1].(*http3.Front).Address().String()
 }
 
-// peerAt is an endpoint that serves by the current way. Where that is HTTP/3, nothing may come over HTTP/1.1.
-func peerAt(t *testing.T, serve http.HandlerFunc) (address string) {
+// listenEndpoint is an endpoint that serves by the current way. Where that is HTTP/3, nothing may come over HTTP/1.1.
+func listenEndpoint(t *testing.T, serve http.HandlerFunc) (address string) {
 	t.Helper()
 	behind := serve
-	if current.to == "http3" {
+	if currentProtocols.to == "http3" {
 		behind = func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/health" {
 				t.Errorf("%s came over HTTP/1.1", r.URL.Path)
@@ -105,7 +105,7 @@
 	for range 20 {
 		s := httptest.NewServer(behind)
 		address = s.Listener.Addr().String()
-		if current.to == "http3" {
+		if currentProtocols.to == "http3" {
 			cert, err := signer.Pair(endpointName)
 			if err != nil {
 				t.Fatal(err)
@@ -132,7 +132,7 @@
 func TestStopOverEach(t *testing.T) {
 	overEach(t, func(t *testing.T) {
 		came, serve := make(chan bool, 10), make(chan bool)
-		rg := startOneOf(t, 2, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := startOneOf(t, 2, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 			came <- true
 			select {
 			case <-serve:
@@ -140,8 +140,8 @@
 			case <-r.Context().Done():
 			}
 		}))
-		rg.server.quiet = time.Millisecond
-		rg.linger(4*time.Second, 0)
+		rg.server.quietPeriod = time.Millisecond
+		rg.setShutdown(4*time.Second, 0)
 		answer := make(chan int, 2)
 		ask := func() {
 			status, _ := rg.ask(rg.request("once", 9*time.Second))
@@ -161,7 +161,7 @@
 		if rg.h3 != nil {
 			rg.h3.CloseIdleConnections()
 		}
-		rg.over()
+		rg.awaitEnd()
 	})
 }
 
@@ -169,7 +169,7 @@
 func TestTooEarly(t *testing.T) {
 	overEach(t, func(t *testing.T) {
 		came := make(chan string, 10)
-		rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 			came <- r.Header.Get("X-Lane") + r.Header.Get("Early-Data")
 		}))
 		set := *rg.server.tuning.Load()
@@ -193,10 +193,10 @@
 // A booking in a first flight that is recorded and sent again, to this sidecar and to one that has restarted with
 // the same secret, runs once.
 func TestReplayedBookingRunsOnce(t *testing.T) {
-	current = way{"http3", "http1"}
-	defer func() { current = way{"http1", "http1"} }()
+	currentProtocols = protocols{"http3", "http1"}
+	defer func() { currentProtocols = protocols{"http1", "http1"} }()
 	var runs atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
 		w.Write([]byte("ok"))
 	}))
@@ -246,7 +246,7 @@
 	flight(false)
 	recorded := flight(true)
 	// Under the id of a new request, the desk would not know it again by that.
-	rg.inLoop(func() { rg.server.loop.past = past{} })
+	rg.inLoop(func() { rg.server.loop.recentIDs = recentIDs{} })
 	for range 100 {
 		if err := relay.Replay(recorded); err != nil {
 			t.Fatal(err)
@@ -266,9 +266,9 @@
 func TestHalfABody(t *testing.T) {
 	overEach(t, func(t *testing.T) {
 		var came atomic.Int64
-		adjust = func(c *Config) { c.tuning.callers.RequestTimeout = 300 * time.Millisecond }
-		defer func() { adjust = func(*Config) {} }()
-		rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+		adjustConfig = func(c *Config) { c.tuning.callers.RequestTimeout = 300 * time.Millisecond }
+		defer func() { adjustConfig = func(*Config) {} }()
+		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
 		read, write := io.Pipe()
 		defer write.Close()
 		go write.Write([]byte("half"))
@@ -290,11 +290,11 @@
 // Callers leave just as their answers go out, at every moment: nothing is kept of them.
 func TestCallerLeavesAsTheAnswerComes(t *testing.T) {
 	overEach(t, func(t *testing.T) {
-		rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(2 * time.Millisecond)
 			w.Write([]byte("ok"))
 		}))
-		full := rg.server.loop.bodies.Left()
+		full := rg.server.loop.bodyBudget.Available()
 		for i := range 60 {
 			ctx, leave := context.WithTimeout(context.Background(), time.Duration(i)*100*time.Microsecond)
 			c, _ := rg.client()
@@ -304,7 +304,7 @@
 			leave()
 		}
 		rg.until("nothing is kept", func() (done bool) {
-			rg.inLoop(func() { done = len(rg.server.loop.requests) == 0 && rg.server.loop.bodies.Left() == full })
+			rg.inLoop(func() { done = len(rg.server.loop.requests) == 0 && rg.server.loop.bodyBudget.Available() == full })
 			return done
 		})
 		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
--- a/internal/standalone/golden_format_test.go
+++ b/internal/standalone/golden_format_test.go
@@ -27,12 +27,12 @@
 // plainCaller is a caller whose connection adds nothing to answers.
 type plainCaller struct{}
 
-func (plainCaller) Taken() (time.Time, bool)     { return time.Now(), false }
-func (plainCaller) Served() int                  { return 0 }
-func (plainCaller) Last(http.Header)             {}
-func (plainCaller) Mark(http.Header)             {}
-func (plainCaller) Confirm(context.Context) bool { return true }
-func (plainCaller) Early() bool                  { return false }
+func (plainCaller) BeginRequest() (time.Time, bool) { return time.Now(), false }
+func (plainCaller) BodyReceived() int               { return 0 }
+func (plainCaller) CloseAfter(http.Header)          {}
+func (plainCaller) AddHeaders(http.Header)          {}
+func (plainCaller) Confirm(context.Context) bool    { return true }
+func (plainCaller) Early() bool                     { return false }
 
 // Callers tell answers of endpoints, refusals and failures apart by their status and headers.
 func TestAnswersKeepTheirForm(t *testing.T) {
@@ -43,12 +43,12 @@
 		answer answer
 	}{
 		{"served", answer{response: &exchange.Response{Header: http.Header{"X-Pressure": {"inflight=3"}}, Body: []byte("seat 7")}}},
-		{"refused", answer{refused: true}},
-		{"refused for a while", answer{refused: true, retryAfter: 1500 * time.Millisecond}},
+		{"refused", answer{rejected: true}},
+		{"refused for a while", answer{rejected: true, retryAfter: 1500 * time.Millisecond}},
 		{"failed", answer{}},
 	} {
 		w := httptest.NewRecorder()
-		s.write(w, plainCaller{}, c.answer)
+		s.writeAnswer(w, plainCaller{}, c.answer)
 		fmt.Fprintf(&text, "%s: %d\n", c.name, w.Code)
 		for _, name := range slices.Sorted(maps.Keys(w.Header())) {
 			fmt.Fprintf(&text, "  %s: %s\n", name, strings.Join(w.Header()[name], " | "))
@@ -122,22 +122,22 @@
 		t.Fatal(err)
 	}
 	m := &memory{
-		set: Memory{ListKeep: time.Hour, Wait: time.Second}, table: idempotency.NewTable(10), store: s, goOn: []bool{false},
+		settings: Memory{ListRetention: time.Hour, WriteTimeout: time.Second}, table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false},
 		classes: []balancer.Class{{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}},
-		zones:   names{}, kept: map[string]bool{}, triedAt: time.Hour,
+		zones:   nameIndex{}, savedUIDs: map[string]bool{}, diskTriedAt: time.Hour,
 	}
 	defer m.close()
-	m.keepGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
+	m.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
 	all := map[balancer.EndpointID]*exchange.Endpoint{1: {ID: 1, UID: "s-1"}}
-	m.listed(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: []endpointsource.Endpoint{{UID: "s-1", Address: "10.0.0.1:80", Zone: "z"}}}, all)
+	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: []endpointsource.Endpoint{{UID: "s-1", Address: "10.0.0.1:80", Zone: "z"}}}, all)
 	r := &request{Request: balancer.Request{ID: "txn1"}, Inbound: exchange.Inbound{Header: http.Header{}}}
-	if g := m.before(0, r, all[1]); g == nil || !g.pass(t.Context()) {
+	if g := m.beginAttempt(0, r, all[1]); g == nil || !g.pass(t.Context()) {
 		t.Fatal("the request is not remembered")
 	}
 	var lines []string
 	if err := s.Range(func(key, value []byte, _ time.Duration) bool {
 		line := fmt.Sprintf("%q", key)
-		if key[0] == groupMark {
+		if key[0] == groupKey {
 			line += " " + string(value)
 		}
 		lines = append(lines, line)
@@ -147,18 +147,18 @@
 	}
 	slices.Sort(lines)
 	lines = append(lines, logged(t, func() {
-		m.told(errors.New("no space left"))
-		m.told(errors.New("no space left"))
-		m.told(nil)
-		m.told(errSlow)
-		m.told(store.ErrClosed)
+		m.reportWrite(errors.New("no space left"))
+		m.reportWrite(errors.New("no space left"))
+		m.reportWrite(nil)
+		m.reportWrite(errDiskSlow)
+		m.reportWrite(store.ErrClosed)
 	}))
 	golden.Text(t, "memory.txt", []byte(strings.Join(lines, "\n")))
 }
 
 // Discovery's lists have these keys.
 func TestListKeepsItsForm(t *testing.T) {
-	list := endpointList{Rev: 7, All: true, Targets: []target{{
+	list := endpointList{Rev: 7, All: true, Targets: []listedEndpoint{{
 		UID: "s-00000001", Address: "10.0.0.1:80", Zone: "z", Model: "m", Cell: 2, State: "Ready", Weight: 1.5, BootMS: 1700000000000,
 	}}}
 	text, err := json.Marshal(list)
@@ -171,11 +171,11 @@
 		t.Errorf("read as %+v, %v", back, err)
 	}
 	var forms strings.Builder
-	for _, state := range slices.Sorted(maps.Keys(states)) {
-		fmt.Fprintf(&forms, "%s %d\n", state, states[state])
+	for _, state := range slices.Sorted(maps.Keys(endpointStates)) {
+		fmt.Fprintf(&forms, "%s %d\n", state, endpointStates[state])
 	}
 	w := newWatcher("127.0.0.1:9", "", fleetLoop(t, 1))
 	fmt.Fprintf(&forms, "%s\n", w.url)
-	fmt.Fprintf(&forms, "%s\n", altSvc(&net.UDPAddr{Port: 8443}, time.Hour))
+	fmt.Fprintf(&forms, "%s\n", altSvcHeader(&net.UDPAddr{Port: 8443}, time.Hour))
 	golden.Text(t, "list-forms.txt", []byte(forms.String()))
 }
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -50,13 +50,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &memory{set: Memory{ListKeep: time.Hour}, store: s, zones: names{}, kept: map[string]bool{}}
+		m := &memory{settings: Memory{ListRetention: time.Hour}, store: s, zones: nameIndex{}, savedUIDs: map[string]bool{}}
 		t.Cleanup(m.close)
 		return m
 	}
 
 	m := open()
-	m.listed(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
+	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
 	if err := m.store.Put([]byte{'?'}, nil, time.Second); err != nil { // it is durable once this is
 		t.Fatal(err)
 	}
@@ -83,17 +83,17 @@
 			t.Fatal(err)
 		}
 	}
-	if got, _, ok := m.list(); !ok || !reflect.DeepEqual(got, endpointsource.List{Kind: balancer.ListCached, Endpoints: endpoints}) {
+	if got, _, ok := m.savedList(); !ok || !reflect.DeepEqual(got, endpointsource.List{Kind: balancer.ListCached, Endpoints: endpoints}) {
 		t.Errorf("read back as %+v, %v", got, ok)
 	}
-	if requestMark != 'r' || endpointMark != 'e' || listedMark != 'l' {
-		t.Errorf("keys begin with %c, %c, %c", requestMark, endpointMark, listedMark)
+	if requestKeyPrefix != 'r' || endpointKeyPrefix != 'e' || listKey != 'l' {
+		t.Errorf("keys begin with %c, %c, %c", requestKeyPrefix, endpointKeyPrefix, listKey)
 	}
 }
 
 // What discovery sends, and a platform's configuration has under known.
 func TestGoldenRecordedDiscoveryList(t *testing.T) {
-	want := endpointList{Rev: 41, All: true, Targets: []target{
+	want := endpointList{Rev: 41, All: true, Targets: []listedEndpoint{
 		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 1_800_000_000_123},
 		{UID: "s-2", Address: "10.0.0.2:8080", State: "Terminating", Weight: 1},
 		{UID: "s-3", Address: "10.0.0.3:8080", State: "Gone"},
@@ -114,7 +114,7 @@
 		{UID: "s-3", Address: "10.0.0.3:8080", State: balancer.EndpointRemoved},
 		{UID: "s-4", Address: "10.0.0.4:8080", State: endpointsource.StateUnknown, Reason: "Odd"},
 	}
-	if l := got.judged(endpointsource.FromWatch); !reflect.DeepEqual(l, endpointsource.List{Kind: balancer.ListFull, Version: 41, Endpoints: judged}) {
+	if l := got.sourceList(endpointsource.FromWatch); !reflect.DeepEqual(l, endpointsource.List{Kind: balancer.ListFull, Version: 41, Endpoints: judged}) {
 		t.Errorf("taken as %+v", l)
 	}
 }
@@ -130,7 +130,7 @@
 	want := &Config{
 		Name: "n7", Listen: "127.0.0.1:81", Discovery: "127.0.0.1:82", Seed: 0x8c1f30d27a5be964,
 		Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 1024},
-		Known:  endpointList{Rev: 41, All: true, Targets: []target{{UID: "s-1", Address: "10.0.0.1:8080", Zone: "z1", Model: "m1", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 123}}},
+		Known:  endpointList{Rev: 41, All: true, Targets: []listedEndpoint{{UID: "s-1", Address: "10.0.0.1:8080", Zone: "z1", Model: "m1", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 123}}},
 		Settings: settings.Settings{
 			Zones: []string{"z1", "z2"}, Models: []string{"m1"}, ConnIdle: 30 * s, GraceToAnswer: 20 * ms, OpenCap: 1000,
 			Settings: balancer.Settings{
@@ -157,7 +157,7 @@
 
 // What the front answers by itself, byte by byte but for the date: when it is ready, and to requests that go nowhere.
 func TestGoldenRecordedAnswers(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -21,49 +21,49 @@
 	Fleet() peers.FleetReport // waits for the others
 }
 
-// Among is what opens Peers, as the product's file asks for it.
-type Among func(p PeersIn) (Peers, error)
+// PeersOpener is what opens Peers, as the product's file asks for it.
+type PeersOpener func(p PeersConfig) (Peers, error)
 
-// PeersIn is what Peers are told and asked of this sidecar. Its functions may be called by any goroutine.
-type PeersIn struct {
+// PeersConfig is what Peers are told and asked of this sidecar. Its functions may be called by any goroutine.
+type PeersConfig struct {
 	Name      string
 	Instances int
 	Names     []string // that an earlier life kept; nil for none
 	Addresses []string // that a platform names, and that it kept
 	Ready     func() bool
 	Changed   func(peers.Share)
-	Keep      func(names, addresses []string)
+	Save      func(names, addresses []string)
 }
 
-// group is what the server knows of the others.
+// savedGroup is what the server knows of the others.
 type group struct {
 	peers Peers // nil where the file asks for none
 }
 
-// join opens the view of the others, if the file asks for one. The loop must not have begun.
-func (s *server) join() error {
+// joinGroup opens the view of the others, if the file asks for one. The loop must not have begun.
+func (s *server) joinGroup() error {
 	s.instances.Store(int64(s.config.Settings.Instances))
-	if s.config.among == nil {
+	if s.config.openPeers == nil {
 		return nil
 	}
-	in := PeersIn{Name: s.config.Name, Instances: s.config.Settings.Instances, Ready: s.loop.ready.Load, Changed: s.regroup}
+	in := PeersConfig{Name: s.config.Name, Instances: s.config.Settings.Instances, Ready: s.loop.ready.Load, Changed: s.updateGroup}
 	in.Addresses = s.config.peerAddresses
 	if m := s.loop.memory; m != nil {
-		names, addresses := m.group()
+		names, addresses := m.savedGroup()
 		in.Names, in.Addresses = names, slices.Concat(in.Addresses, addresses)
-		in.Keep = func(names, addresses []string) {
-			s.loop.post(func() { m.keepGroup(names, addresses) })
+		in.Save = func(names, addresses []string) {
+			s.loop.post(func() { m.saveGroup(names, addresses) })
 		}
 	}
 	var err error
-	s.group.peers, err = s.config.among(in)
+	s.group.peers, err = s.config.openPeers(in)
 	return err
 }
 
-// regroup takes a share of the view. One that was told to stop keeps what it has: the others count it out, and its last
+// updateGroup takes a share of the view. One that was told to stop keeps what it has: the others count it out, and its last
 // callers are not to move to endpoints that are new to it.
-func (s *server) regroup(share peers.Share) {
-	if s.end.Load() != nil {
+func (s *server) updateGroup(share peers.Share) {
+	if s.shutdownAt.Load() != nil {
 		return
 	}
 	s.instances.Store(int64(share.Instances))
@@ -87,8 +87,8 @@
 	return g
 }
 
-// leave tells the others that this one ends.
-func (g *group) leave() {
+// announceLeave tells the others that this one ends.
+func (g *group) announceLeave() {
 	if g.peers != nil {
 		g.peers.Leave()
 	}
@@ -110,8 +110,8 @@
 	}
 }
 
-// look is the view for people; false where there is none.
-func (g *group) look(all bool) (f peers.FleetReport, ok bool) {
+// lookUpPrior is the view for people; false where there is none.
+func (g *group) fleet(all bool) (f peers.FleetReport, ok bool) {
 	switch {
 	case g.peers == nil:
 		return f, false
@@ -123,33 +123,33 @@
 
 // The group that was settled last is kept beside what else is remembered, for the next life: an old report.
 const (
-	groupMark = 'g'
-	groupKeep = 24 * time.Hour
+	groupKey       = 'g'
+	groupRetention = 24 * time.Hour
 )
 
-type keptGroup struct {
+type savedGroup struct {
 	Names     []string `json:"names"`
 	Addresses []string `json:"addresses"`
 }
 
-func (m *memory) group() (names, addresses []string) {
-	text, _, ok, err := m.store.Get([]byte{groupMark})
+func (m *memory) savedGroup() (names, addresses []string) {
+	text, _, ok, err := m.store.Get([]byte{groupKey})
 	if err != nil {
 		log.Printf("memory: %v", err)
 	}
-	var k keptGroup
+	var k savedGroup
 	if !ok || json.Unmarshal(text, &k) != nil {
 		return nil, nil
 	}
 	return k.Names, k.Addresses
 }
 
-func (m *memory) keepGroup(names, addresses []string) {
-	text, err := json.Marshal(keptGroup{names, addresses})
+func (m *memory) saveGroup(names, addresses []string) {
+	text, err := json.Marshal(savedGroup{names, addresses})
 	if err != nil {
 		return
 	}
 	var b store.Batch
-	b.Put([]byte{groupMark}, text, groupKeep)
-	m.store.Apply(b, m.told)
+	b.Put([]byte{groupKey}, text, groupRetention)
+	m.store.Apply(b, m.reportWrite)
 }
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -19,19 +19,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &memory{table: idempotency.NewTable(10), store: s, zones: names{}, triedAt: time.Hour}
+		return &memory{table: idempotency.NewTable(10), store: s, zones: nameIndex{}, diskTriedAt: time.Hour}
 	}
 	m := open()
-	if names, addresses := m.group(); names != nil || addresses != nil {
+	if names, addresses := m.savedGroup(); names != nil || addresses != nil {
 		t.Errorf("a first life has %v at %v", names, addresses)
 	}
-	m.keepGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
+	m.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
 	if err := m.store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	m = open()
 	defer m.store.Close()
-	if names, addresses := m.group(); !slices.Equal(names, []string{"front-0", "front-1"}) || !slices.Equal(addresses, []string{"10.0.4.7:7946"}) {
+	if names, addresses := m.savedGroup(); !slices.Equal(names, []string{"front-0", "front-1"}) || !slices.Equal(addresses, []string{"10.0.4.7:7946"}) {
 		t.Errorf("the next life has %v at %v", names, addresses)
 	}
 }
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -14,9 +14,9 @@
 	"quincegap/internal/network/http3"
 )
 
-// openHTTP3 opens the front for HTTP/3; nil where none is set.
-func openHTTP3(c *Config, handler http.Handler, b http1.Bounds) (*http3.Front, error) {
-	set := c.tuning.http3
+// openHTTP3Front opens the front for HTTP/3; nil where none is set.
+func openHTTP3Front(c *Config, handler http.Handler, b http1.Bounds) (*http3.Front, error) {
+	set := c.tuning.http3Callers
 	if set.Listen == "" {
 		return nil, nil
 	}
@@ -56,8 +56,8 @@
 	return net.ListenUDP("udp", at)
 }
 
-// altSvc tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3).
-func altSvc(at net.Addr, lasts time.Duration) string {
+// altSvcHeader tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3).
+func altSvcHeader(at net.Addr, lasts time.Duration) string {
 	udp, ok := at.(*net.UDPAddr)
 	if !ok || lasts <= 0 {
 		return ""
@@ -65,9 +65,9 @@
 	return fmt.Sprintf(`h3=":%d"; ma=%d`, udp.Port, int64(lasts.Seconds()))
 }
 
-// openHTTP3To opens the transport for HTTP/3 to endpoints; nil where none is set.
-func openHTTP3To(c *Config, most int, maxIdle time.Duration) (*http3.Transport, error) {
-	set := c.tuning.http3to
+// openHTTP3Transport opens the transport for HTTP/3 to endpoints; nil where none is set.
+func openHTTP3Transport(c *Config, most int, maxIdle time.Duration) (*http3.Transport, error) {
+	set := c.tuning.http3Endpoints
 	if set.Use == http3.Never {
 		return nil, nil
 	}
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -18,34 +18,34 @@
 const (
 	// clockStart is the event clock at the start of the process. It is well above 0, so that an endpoint
 	// that started shortly before this sidecar did has a start above 0 too: 0 stands for long past.
-	clockStart = 24 * time.Hour
-	eventQueue = 1024
-	sweepEvery = time.Second
+	clockStart     = 24 * time.Hour
+	eventQueueSize = 1024
+	sweepInterval  = time.Second
 )
 
 // loop owns the Balancer and all state that goes with it: one goroutine runs the functions in events, and
 // only it touches the fields from rev on. It is the Balancer's Host.
 type loop struct {
-	events chan func()
-	origin time.Time   // zero of the event clock
-	ready  atomic.Bool // the Balancer has a list
-	bodies exchange.Budget
-
-	config    *Config
-	endsAt    time.Time // when all must be answered; zero unless this sidecar was told to stop
-	feed      endpointsource.VersionFilter
-	members   *endpointsource.Merger
-	due       time.Duration // when members are next looked at; 0 for never
-	unfollow  context.CancelFunc
-	balancer  *balancer.Balancer
-	requests  map[balancer.RequestID]*request
-	past      past
-	endpoints *endpoints
-	http1     *http1.Transport // the usual one of ways
-	ways      transports
-	watcher   *watcher
-	memory    *memory // nil for none
-	backlog   backlog
+	events     chan func()
+	origin     time.Time   // zero of the event clock
+	ready      atomic.Bool // the Balancer has a list
+	bodyBudget exchange.Budget
+
+	config        *Config
+	shutdownAt    time.Time // when all must be answered; zero unless this sidecar was told to stop
+	versionFilter endpointsource.VersionFilter
+	merger        *endpointsource.Merger
+	nextTick      time.Duration // when members are next looked at; 0 for never
+	stopFollower  context.CancelFunc
+	balancer      *balancer.Balancer
+	requests      map[balancer.RequestID]*request
+	recentIDs     recentIDs
+	endpoints     *endpointTable
+	http1         *http1.Transport // the usual one of ways
+	transports    transports
+	watcher       *watcher
+	memory        *memory // nil for none
+	backlog       backlog
 }
 
 // request is one request from its arrival until it is answered and its last attempt has ended.
@@ -53,48 +53,48 @@
 	balancer.Request
 	exchange.Inbound
 
-	deadline time.Time // when its attempts end, so that the last byte of its answer is out in time
-	attempts int
-	out      *attempt
-	answered bool
-	route    *route.Route // that it takes; nil for none
-	credit   bool         // a further attempt was taken out of that route's budget, and not made yet
-	pair     pair
-	answer   chan answer // holds one, so that the loop never waits for a handler
+	deadline      time.Time // when its attempts end, so that the last byte of its answer is out in time
+	attempts      int
+	inFlight      *attempt
+	answered      bool
+	route         *route.Route // that it takes; nil for none
+	retryReserved bool         // a further attempt was taken out of that route's budget, and not made yet
+	hedge         hedge
+	answer        chan answer // holds one, so that the loop never waits for a handler
 }
 
 // answer is the final answer to a request: an endpoint's response, or a refusal or failure of our own.
 type answer struct {
 	response   *exchange.Response // nil unless served
-	refused    bool
+	rejected   bool
 	retryAfter time.Duration
 }
 
 func newLoop(c *Config) (*loop, error) {
 	l := &loop{
-		events: make(chan func(), eventQueue), origin: time.Now().Add(-clockStart), config: c,
-		requests: map[balancer.RequestID]*request{},
-		feed:     endpointsource.VersionFilter{MustSubscribe: c.Settings.MustSubscribe}, members: endpointsource.New(c.tuning.membership, c.Settings.Zones, c.Settings.Models),
-		unfollow: func() {},
+		events: make(chan func(), eventQueueSize), origin: time.Now().Add(-clockStart), config: c,
+		requests:      map[balancer.RequestID]*request{},
+		versionFilter: endpointsource.VersionFilter{MustSubscribe: c.Settings.MustSubscribe}, merger: endpointsource.New(c.tuning.endpointSource, c.Settings.Zones, c.Settings.Models),
+		stopFollower: func() {},
 	}
 	l.endpoints = newEndpoints(c.Settings.Zones, c.Settings.Models, l.origin)
 	sockets := int(c.tuning.endpoints.Share * float64(c.Limits.Sockets-reservedSockets))
-	l.http1 = http1.NewTransport(sockets, c.maxIdle(c.tuning), c.Settings.ConnectTimeout)
-	l.ways.usual = l.http1
-	if to, err := openHTTP3To(c, sockets, c.maxIdle(c.tuning)); err != nil {
+	l.http1 = http1.NewTransport(sockets, c.idleTimeout(c.tuning), c.Settings.ConnectTimeout)
+	l.transports.fallback = l.http1
+	if to, err := openHTTP3Transport(c, sockets, c.idleTimeout(c.tuning)); err != nil {
 		return nil, err
 	} else if to != nil {
-		l.ways.first = to
-		l.ways.reach.Settings = protocolfallback.Settings{InitialBackoff: c.tuning.http3to.Pause, MaxBackoff: c.tuning.http3to.Longest}
+		l.transports.preferred = to
+		l.transports.tracker.Settings = protocolfallback.Settings{InitialBackoff: c.tuning.http3Endpoints.Pause, MaxBackoff: c.tuning.http3Endpoints.Longest}
 	}
-	l.bodies.Give(int(c.tuning.callers.BodyShare * float64(c.Limits.MemoryMB<<20)))
+	l.bodyBudget.Release(int(c.tuning.callers.BodyShare * float64(c.Limits.MemoryMB<<20)))
 	l.watcher = newWatcher(c.Discovery, c.token, l)
 	var err error
 	if l.memory, err = openMemory(c, l.endpoints.zones, l.now()); err != nil {
 		return nil, err
 	}
 	settings := c.Settings.Settings
-	settings.MaxSubsetSize = c.tuning.endpoints.SubsetMost
+	settings.MaxSubsetSize = c.tuning.endpoints.MaxSubsetSize
 	l.balancer, err = balancer.New(settings, c.Seed, l)
 	return l, err
 }
@@ -106,12 +106,12 @@
 
 // run handles events for the life of the process.
 func (l *loop) run() {
-	l.lastKnown()
+	l.loadLastKnown()
 	if !l.config.Settings.MustSubscribe && l.config.Discovery != "" {
-		l.watcher.start(l.feed.WatchFrom())
+		l.watcher.start(l.versionFilter.WatchFrom())
 	}
-	l.followBeside(l.config.follower)
-	sweep := time.NewTicker(sweepEvery)
+	l.startFollower(l.config.follower)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
@@ -120,116 +120,116 @@
 		case <-l.backlog.ready():
 			l.backlog.next()
 		case <-sweep.C:
-			l.ways.sweep(time.Now())
-			if l.memory != nil && l.watcher.current(l.now()) {
-				l.memory.heard(l.now())
+			l.transports.sweep(time.Now())
+			if l.memory != nil && l.watcher.isCurrent(l.now()) {
+				l.memory.refreshList(l.now())
 			}
 		}
 	}
 }
 
-// lastKnown begins with the endpoints as they were last known: by the platform's word, else by this sidecar's memory.
-func (l *loop) lastKnown() {
+// loadLastKnown begins with the endpoints as they were last known: by the platform's word, else by this sidecar's memory.
+func (l *loop) loadLastKnown() {
 	if l.memory != nil && len(l.config.Known.Targets) == 0 {
-		if list, age, ok := l.memory.list(); ok {
+		if list, age, ok := l.memory.savedList(); ok {
 			log.Printf("memory: begins with %d endpoints as they were %v ago", len(list.Endpoints), age.Round(time.Second))
-			l.told(l.members.HandlePlatformList(l.now(), list))
+			l.applyEndpoints(l.merger.HandlePlatformList(l.now(), list))
 			return
 		}
 	}
-	l.targets(l.config.Known, endpointsource.FromCache)
+	l.handleList(l.config.Known, endpointsource.FromCache)
 }
 
-// arrive takes a request from its handler.
-func (l *loop) arrive(r *request, received time.Time) {
+// handleArrival takes a request from its handler.
+func (l *loop) handleArrival(r *request, received time.Time) {
 	switch limit := l.config.Settings.OpenCap; {
-	case l.requests[r.ID] != nil || l.past.has(r.ID, l.now()):
+	case l.requests[r.ID] != nil || l.recentIDs.has(r.ID, l.now()):
 		r.answer <- answer{} // the id is taken: nothing may be promised of it
 		return
 	case limit > 0 && len(l.requests) >= limit:
-		r.answer <- answer{refused: true}
+		r.answer <- answer{rejected: true}
 		return
 	}
 	if l.memory != nil {
-		if l.memory.turnsAway(l.now(), r) {
-			r.answer <- answer{refused: true, retryAfter: time.Second}
+		if l.memory.rejects(l.now(), r) {
+			r.answer <- answer{rejected: true, retryAfter: time.Second}
 			return
 		}
 	}
 	if r.route != nil && !r.route.Enter() {
 		// A refusal says that a repeat is harmless, which is not so of what may have run.
-		r.answer <- answer{refused: !r.Prior.MayHaveRun, retryAfter: r.route.Settings.ComeBack}
+		r.answer <- answer{rejected: !r.Prior.MayHaveRun, retryAfter: r.route.Settings.ComeBack}
 		return
 	}
 	r.deadline = received.Add(r.TimeLeft - l.config.Settings.GraceToAnswer)
 	r.TimeLeft = time.Until(r.deadline) // also where this sidecar ends before: the Balancer knows
-	r.endBy(l.endsAt)
+	r.capDeadline(l.shutdownAt)
 	l.requests[r.ID] = r
 	l.balancer.HandleRequest(l.now(), r.Request)
 }
 
-// leave has everything answered by a given time. What is out then is called off.
-func (l *loop) leave(end time.Time) {
-	l.endsAt = end
+// announceLeave has everything answered by a given time. What is out then is called off.
+func (l *loop) shutDownAt(end time.Time) {
+	l.shutdownAt = end
 	for _, r := range l.requests {
-		r.endBy(end)
+		r.capDeadline(end)
 	}
 	l.balancer.ShutDownAt(l.now(), end.Sub(l.origin))
 	time.AfterFunc(time.Until(end), func() {
 		l.post(func() {
 			for _, r := range l.requests {
-				if r.out != nil {
-					r.out.cancel()
+				if r.inFlight != nil {
+					r.inFlight.cancel()
 				}
 			}
 		})
 	})
 }
 
-// endBy cuts the time of a request's further attempts; a zero time leaves it.
-func (r *request) endBy(end time.Time) {
+// capDeadline cuts the time of a request's further attempts; a zero time leaves it.
+func (r *request) capDeadline(end time.Time) {
 	if !end.IsZero() && end.Before(r.deadline) {
 		r.deadline = end
 	}
 }
 
-// lapse tells the Balancer that a client has gone.
-func (l *loop) lapse(r *request) {
+// handleClientGone tells the Balancer that a client has gone.
+func (l *loop) handleClientGone(r *request) {
 	if l.requests[r.ID] != r || r.answered {
 		select {
 		case a := <-r.answer: // crossed the client's going
-			l.discard(a.response)
+			l.releaseResponse(a.response)
 		default:
 		}
 		return
 	}
-	l.giveUp(r)
+	l.abandon(r)
 }
 
-// giveUp ends a request that nobody waits for any more, and its second copy. Only between events of the Balancer.
-func (l *loop) giveUp(r *request) {
+// abandon ends a request that nobody waits for any more, and its second copy. Only between events of the Balancer.
+func (l *loop) abandon(r *request) {
 	r.answered = true
-	if r.out != nil {
-		r.out.cancel() // its outcome follows
+	if r.inFlight != nil {
+		r.inFlight.cancel() // its outcome follows
 	}
 	l.balancer.HandleClientGone(l.now(), r.ID)
 	l.forget(r)
-	if other := r.pair.copy; other != nil && !other.answered {
-		l.giveUp(other)
+	if other := r.hedge.secondary; other != nil && !other.answered {
+		l.abandon(other)
 	}
 }
 
 // attempt is one sending of a request to an endpoint.
 type attempt struct {
 	exchange.Attempt
-	request  *request
-	number   int
-	cancel   context.CancelFunc
-	by       exchange.Transport
-	acquired exchange.Conn
-	holds    bool  // it was acquired, which nil may be too
-	gate     *gate // what it waits for before it goes out; nil for nothing
-	stopped  bool  // it did not go out, for it could not be remembered
+	request     *request
+	number      int
+	cancel      context.CancelFunc
+	transport   exchange.Transport
+	conn        exchange.Conn
+	holdsConn   bool            // it was acquired, which nil may be too
+	gate        *durabilityGate // what it waits for before it goes out; nil for nothing
+	notRecorded bool            // it did not go out, for it could not be remembered
 }
 
 func newAttempt(r *request, e *exchange.Endpoint, timeout time.Duration, bodies *exchange.Budget) *attempt {
@@ -243,75 +243,75 @@
 	return a
 }
 
-// closed takes the end of an attempt; its connection is closed or fit for another one.
-func (l *loop) closed(a *attempt, res exchange.Result) {
+// handleAttemptEnd takes the end of an attempt; its connection is closed or fit for another one.
+func (l *loop) handleAttemptEnd(a *attempt, res exchange.Result) {
 	r := a.request
-	if a.holds {
-		a.by.Release(a.Endpoint, a.acquired, res.Conn)
+	if a.holdsConn {
+		a.transport.Release(a.Endpoint, a.conn, res.Conn)
 	}
-	if way := l.ways.ended(l.now(), a, res); way != nil {
+	if way := l.transports.fallbackAfter(l.now(), a, res); way != nil {
 		l.dispatch(a, way)
 		return
 	}
 	a.cancel()
-	r.out = nil
-	l.timed(a, res)
+	r.inFlight = nil
+	l.recordLatency(a, res)
 	final := r.answered
 	if l.memory != nil {
-		mayRun := l.memory.after(l.now(), a, res.Status, res.Status == balancer.StatusOK && !r.answered)
-		if a.stopped && !r.answered {
+		mayRun := l.memory.endAttempt(l.now(), a, res.Status, res.Status == balancer.StatusOK && !r.answered)
+		if a.notRecorded && !r.answered {
 			final = true
-			l.finish(r, answer{refused: !mayRun, retryAfter: time.Second})
+			l.deliver(r, answer{rejected: !mayRun, retryAfter: time.Second})
 		}
 	}
 	last, pause := false, time.Duration(0)
 	if r.route != nil && !final && res.Status != balancer.StatusOK {
 		if r.route.Settings.Allows(res.Status) {
-			r.credit = r.credit || r.route.Repeat()
+			r.retryReserved = r.retryReserved || r.route.Repeat()
 		}
-		last = !r.credit
+		last = !r.retryReserved
 		pause = r.route.Settings.PauseAfter(r.attempts, rand.Float64())
 	}
 	if res.Status == balancer.StatusOK && !r.answered {
 		if final = true; r.route != nil {
 			r.route.Answered()
 		}
-		l.finish(r, answer{response: res.Response})
-		l.endPair(r)
+		l.deliver(r, answer{response: res.Response})
+		l.cancelOther(r)
 	} else {
-		l.discard(res.Response)
+		l.releaseResponse(res.Response)
 	}
 	l.balancer.HandleOutcome(l.now(), balancer.Outcome{
 		ID: r.ID, Endpoint: a.Endpoint.ID, Attempt: a.number, Final: final,
-		Elapsed: res.Took, Status: res.Status, Load: res.Load, NoRetry: last, Backoff: pause,
+		Elapsed: res.Elapsed, Status: res.Status, Load: res.Load, NoRetry: last, Backoff: pause,
 	})
 	l.forget(r)
-	if res.Status == balancer.StatusConnectFailed && l.members.HasUnconfirmed() {
-		l.told(l.members.HandleConnectFailure(l.now(), a.Endpoint.UID))
+	if res.Status == balancer.StatusConnectFailed && l.merger.HasUnconfirmed() {
+		l.applyEndpoints(l.merger.HandleConnectFailure(l.now(), a.Endpoint.UID))
 	}
 }
 
-// discard lets go of a response.
-func (l *loop) discard(r *exchange.Response) {
+// releaseResponse lets go of a response.
+func (l *loop) releaseResponse(r *exchange.Response) {
 	if r != nil {
-		l.bodies.Give(len(r.Body))
+		l.bodyBudget.Release(len(r.Body))
 	}
 }
 
-func (l *loop) finish(r *request, a answer) {
-	if r.answered || l.waitsForPair(r, &a) {
+func (l *loop) deliver(r *request, a answer) {
+	if r.answered || l.awaitHedge(r, &a) {
 		return
 	}
 	r.answered = true
 	r.answer <- a
 }
 
-// forget drops a request that nothing is owed to and nothing is out for.
+// remove drops a request that nothing is owed to and nothing is out for.
 func (l *loop) forget(r *request) {
-	if r.answered && r.out == nil && l.requests[r.ID] == r {
+	if r.answered && r.inFlight == nil && l.requests[r.ID] == r {
 		delete(l.requests, r.ID)
-		l.past.add(r.ID, l.now())
-		if r.credit {
+		l.recentIDs.add(r.ID, l.now())
+		if r.retryReserved {
 			r.route.Unused()
 		}
 		if r.route != nil {
@@ -321,64 +321,64 @@
 }
 
 const (
-	pastFor  = 10 * time.Second
-	pastMost = 4096
+	recentIDRetention = 10 * time.Second
+	maxRecentIDs      = 4096
 )
 
-// past holds the ids of requests that have ended a short while ago. An id is new with every request: one that
+// recentIDs holds the ids of requests that have ended a short while ago. An id is new with every request: one that
 // comes again is another's, and endpoints may run it twice or turn it away.
-type past struct {
-	at  map[balancer.RequestID]time.Duration
-	ids []balancer.RequestID // in the order in which they ended
+type recentIDs struct {
+	endedAt map[balancer.RequestID]time.Duration
+	ids     []balancer.RequestID // in the order in which they ended
 }
 
-func (p *past) add(id balancer.RequestID, now time.Duration) {
-	if p.at == nil {
-		p.at = map[balancer.RequestID]time.Duration{}
+func (p *recentIDs) add(id balancer.RequestID, now time.Duration) {
+	if p.endedAt == nil {
+		p.endedAt = map[balancer.RequestID]time.Duration{}
 	}
-	for len(p.ids) > 0 && (len(p.ids) >= pastMost || now-p.at[p.ids[0]] > pastFor) {
-		delete(p.at, p.ids[0])
+	for len(p.ids) > 0 && (len(p.ids) >= maxRecentIDs || now-p.endedAt[p.ids[0]] > recentIDRetention) {
+		delete(p.endedAt, p.ids[0])
 		p.ids = p.ids[1:]
 	}
-	p.at[id] = now
+	p.endedAt[id] = now
 	p.ids = append(p.ids, id)
 }
 
-func (p *past) has(id balancer.RequestID, now time.Duration) bool {
-	at, ok := p.at[id]
-	return ok && now-at <= pastFor
+func (p *recentIDs) has(id balancer.RequestID, now time.Duration) bool {
+	at, ok := p.endedAt[id]
+	return ok && now-at <= recentIDRetention
 }
 
 // The methods below are the Host. They never block and never call the Balancer.
 
 func (l *loop) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	r := l.requests[id]
-	a := newAttempt(r, l.endpoints.byID[to], timeout, &l.bodies)
+	a := newAttempt(r, l.endpoints.byID[to], timeout, &l.bodyBudget)
 	r.attempts++
-	r.credit = false
-	r.out = a
+	r.retryReserved = false
+	r.inFlight = a
 	if l.memory != nil {
-		a.gate = l.memory.before(l.now(), r, a.Endpoint)
+		a.gate = l.memory.beginAttempt(l.now(), r, a.Endpoint)
 	}
-	l.armCopy(a)
-	l.dispatch(a, l.ways.choose(l.now(), a.Endpoint))
+	l.scheduleHedge(a)
+	l.dispatch(a, l.transports.choose(l.now(), a.Endpoint))
 }
 
 // dispatch makes an attempt by a transport.
 func (l *loop) dispatch(a *attempt, by exchange.Transport) {
 	c, ok := by.Acquire(a.Endpoint, a.Sent)
-	if !ok && by != l.ways.usual {
-		l.ways.reach.RecordInconclusive(a.Endpoint.Address)
-		by = l.ways.usual
+	if !ok && by != l.transports.fallback {
+		l.transports.tracker.RecordInconclusive(a.Endpoint.Address)
+		by = l.transports.fallback
 		c, ok = by.Acquire(a.Endpoint, a.Sent)
 	}
-	a.by, a.acquired, a.holds = by, c, ok
+	a.transport, a.conn, a.holdsConn = by, c, ok
 	go func() {
 		res := exchange.Result{Status: balancer.StatusNotSent}
 		switch {
 		case !ok:
 		case !a.gate.pass(a.Context):
-			a.stopped = a.Context.Err() == nil
+			a.notRecorded = a.Context.Err() == nil
 			res.Conn = c
 		default:
 			if a.gate != nil {
@@ -386,26 +386,26 @@
 			}
 			res = by.Run(&a.Attempt, c)
 		}
-		l.post(func() { l.closed(a, res) })
+		l.post(func() { l.handleAttemptEnd(a, res) })
 	}()
 }
 
 func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	l.end(id, answer{refused: true, retryAfter: retryAfter})
+	l.endRequest(id, answer{rejected: true, retryAfter: retryAfter})
 }
 
-func (l *loop) Fail(id balancer.RequestID) { l.end(id, answer{}) }
+func (l *loop) Fail(id balancer.RequestID) { l.endRequest(id, answer{}) }
 
-func (l *loop) end(id balancer.RequestID, a answer) {
+func (l *loop) endRequest(id balancer.RequestID, a answer) {
 	if r := l.requests[id]; r != nil {
-		l.finish(r, a)
+		l.deliver(r, a)
 		l.forget(r)
 	}
 }
 
 func (l *loop) Cancel(id balancer.RequestID, number int) {
-	if r := l.requests[id]; r != nil && r.out != nil && r.out.number == number {
-		r.out.cancel()
+	if r := l.requests[id]; r != nil && r.inFlight != nil && r.inFlight.number == number {
+		r.inFlight.cancel()
 	}
 }
 
@@ -435,7 +435,7 @@
 func (l *loop) WatchEndpoints(on bool) {
 	l.watcher.stop()
 	if on {
-		l.watcher.start(l.feed.WatchFrom())
+		l.watcher.start(l.versionFilter.WatchFrom())
 	}
 }
 
@@ -445,16 +445,18 @@
 	}
 }
 
-func (l *loop) CloseIdleConnections(to balancer.EndpointID) { l.ways.closeIdle(l.endpoints.byID[to]) }
+func (l *loop) CloseIdleConnections(to balancer.EndpointID) {
+	l.transports.closeIdle(l.endpoints.byID[to])
+}
 
 func (l *loop) Log(text string) { log.Print(text) }
 
-// follow turns to the discovery at another address. Its versions may count otherwise, so its whole list is
+// switchDiscovery turns to the discovery at another address. Its versions may count otherwise, so its whole list is
 // asked for, and nothing that the old one still says is heard. Until that comes, the list stays as it is.
-func (l *loop) follow(address, token string) {
+func (l *loop) switchDiscovery(address, token string) {
 	l.watcher.stop()
 	l.watcher = newWatcher(address, token, l)
-	l.feed.SwitchDiscovery()
+	l.versionFilter.SwitchDiscovery()
 	if address == "" {
 		return
 	}
@@ -466,14 +468,14 @@
 	l.watcher.start(nil)
 }
 
-// targets takes a list of the platform's in.
-func (l *loop) targets(got endpointList, from endpointsource.ListOrigin) {
-	l.take(got.digest(from), from)
+// handleList takes a list of the platform's in.
+func (l *loop) handleList(got endpointList, from endpointsource.ListOrigin) {
+	l.handlePreparedList(got.prepare(from), from)
 }
 
-// take takes one in that was sorted out ahead.
-func (l *loop) take(got listDigest, from endpointsource.ListOrigin) {
-	takes, rewatch := l.feed.Accept(from, got.rev, got.all)
+// handlePreparedList takes one in that was sorted out ahead.
+func (l *loop) handlePreparedList(got preparedList, from endpointsource.ListOrigin) {
+	takes, rewatch := l.versionFilter.Accept(from, got.rev, got.all)
 	if rewatch {
 		l.watcher.stop()
 		l.watcher.start(&got.rev)
@@ -482,42 +484,42 @@
 		return
 	}
 	var steps []func()
-	for _, part := range l.members.Chunks(got.PreparedList, partMost) {
-		steps = append(steps, func() { l.told(l.members.HandlePlatformList(l.now(), part())) })
+	for _, part := range l.merger.Chunks(got.PreparedList, maxChunkEntries) {
+		steps = append(steps, func() { l.applyEndpoints(l.merger.HandlePlatformList(l.now(), part())) })
 	}
 	l.backlog.add(steps...)
 }
 
-// told passes on what the members were judged to be, first into the table of endpoints, so that what the
+// reportWrite passes on what the members were judged to be, first into the table of endpoints, so that what the
 // Balancer then sends finds its address.
-func (l *loop) told(list endpointsource.List, news bool) {
-	for _, line := range l.members.TakeLogs() {
+func (l *loop) applyEndpoints(list endpointsource.List, news bool) {
+	for _, line := range l.merger.TakeLogs() {
 		log.Print(line)
 	}
 	if news {
-		entries, retired := l.endpoints.update(list)
+		entries, retired := l.endpoints.apply(list)
 		for _, e := range retired {
-			l.ways.closeIdle(e)
+			l.transports.closeIdle(e)
 			if l.endpoints.byID[e.ID] == nil {
-				l.ways.forget(e)
+				l.transports.forget(e)
 			}
 		}
 		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: list.Kind, Version: list.Version, Entries: entries})
 		if l.memory != nil {
-			l.memory.listed(l.now(), list, l.endpoints.byID)
+			l.memory.saveList(l.now(), list, l.endpoints.byID)
 		}
 		if list.Kind != balancer.ListCached || len(entries) > 0 {
 			l.ready.Store(true)
 		}
 	}
-	if at, ok := l.members.NextTick(); ok && (l.due == 0 || at < l.due) {
-		l.due = at
+	if at, ok := l.merger.NextTick(); ok && (l.nextTick == 0 || at < l.nextTick) {
+		l.nextTick = at
 		time.AfterFunc(at-l.now(), func() {
 			l.post(func() {
-				if l.due == at { // else an earlier one has taken its place, and asks for the next
-					l.due = 0
+				if l.nextTick == at { // else an earlier one has taken its place, and asks for the next
+					l.nextTick = 0
 				}
-				l.told(l.members.Tick(l.now()))
+				l.applyEndpoints(l.merger.Tick(l.now()))
 			})
 		})
 	}
@@ -526,17 +528,17 @@
 // Follower follows a source of endpoints beside discovery until its context ends.
 type Follower func(ctx context.Context, tell func(endpointsource.ConsulAnswer), heard func())
 
-// followBeside follows another source in place of the one before; nil for none. Nothing that the old one
+// startFollower follows another source in place of the one before; nil for none. Nothing that the old one
 // still says is heard.
-func (l *loop) followBeside(follow Follower) {
-	l.unfollow()
+func (l *loop) startFollower(follow Follower) {
+	l.stopFollower()
 	if follow == nil {
-		l.unfollow = func() {}
+		l.stopFollower = func() {}
 		return
 	}
-	l.members.RestartConsul()
+	l.merger.RestartConsul()
 	ctx, cancel := context.WithCancel(context.Background())
-	l.unfollow = cancel
+	l.stopFollower = cancel
 	wanted := func(event func()) {
 		l.post(func() {
 			if ctx.Err() == nil {
@@ -545,20 +547,20 @@
 		})
 	}
 	go follow(ctx, func(a endpointsource.ConsulAnswer) {
-		wanted(func() { l.told(l.members.HandleConsulAnswer(l.now(), a)) })
+		wanted(func() { l.applyEndpoints(l.merger.HandleConsulAnswer(l.now(), a)) })
 	}, func() {
-		wanted(func() { l.told(l.members.HandleConsulUnchanged(l.now())) })
+		wanted(func() { l.applyEndpoints(l.merger.HandleConsulUnchanged(l.now())) })
 	})
 }
 
-// view is what the endpoints are, for people; false where the loop does not answer in time.
-func (l *loop) view() (source string, rows []endpointsource.Row, ok bool) {
+// endpointView is what the endpoints are, for people; false where the loop does not answer in time.
+func (l *loop) endpointView() (source string, rows []endpointsource.Row, ok bool) {
 	const patience = 2 * time.Second
 	late := time.NewTimer(patience)
 	defer late.Stop()
 	done := make(chan struct{})
 	event := func() {
-		source, rows = string(l.members.Mode()), l.members.Rows(l.now())
+		source, rows = string(l.merger.Mode()), l.merger.Rows(l.now())
 		close(done)
 	}
 	select {
@@ -570,7 +572,7 @@
 	return source, rows, true
 }
 
-func (l *loop) listFailed(err error) {
+func (l *loop) handleListFailure(err error) {
 	log.Printf("discovery: %v", err)
 	l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed})
 }
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -23,11 +23,11 @@
 
 // Memory says what is remembered across a death, and where.
 type Memory struct {
-	Dir      string
-	Most     int
-	Size     int64
-	Wait     time.Duration
-	ListKeep time.Duration
+	Dir           string
+	MaxRequests   int
+	MaxBytes      int64
+	WriteTimeout  time.Duration
+	ListRetention time.Duration
 }
 
 // MemoryTable is [memory].
@@ -35,52 +35,52 @@
 	schema.String("memory_dir", func(m *Memory) *string { return &m.Dir },
 		schema.Text{Example: "/var/lib/quincegap/front", Type: "path"}, schema.AtStart,
 		"A directory of this sidecar alone, on a disk that lasts."),
-	schema.Int("remembered_requests", func(m *Memory) *int { return &m.Most },
+	schema.Int("remembered_requests", func(m *Memory) *int { return &m.MaxRequests },
 		schema.Bounds[int]{Default: 100_000, Least: 100, Most: 10_000_000}, schema.AtStart,
 		"Requests that may be remembered at once; each takes about 400 bytes of memory."),
-	schema.Size("memory_size", func(m *Memory) *int64 { return &m.Size },
+	schema.Size("memory_size", func(m *Memory) *int64 { return &m.MaxBytes },
 		schema.Bounds[int64]{Default: 64 << 20, Least: 1 << 20, Most: 64 << 30}, schema.AtStart,
 		"What may be remembered, in bytes; the files take up to twice this and 12 MiB."),
-	schema.Duration("memory_wait", func(m *Memory) *time.Duration { return &m.Wait },
+	schema.Duration("memory_wait", func(m *Memory) *time.Duration { return &m.WriteTimeout },
 		schema.Bounds[time.Duration]{Default: 250 * time.Millisecond, Least: time.Millisecond, Most: time.Minute}, schema.AtStart,
 		"How long an attempt waits at most until it is remembered; then without_memory of its class says what follows."),
-	schema.Duration("list_keep", func(m *Memory) *time.Duration { return &m.ListKeep },
+	schema.Duration("list_keep", func(m *Memory) *time.Duration { return &m.ListRetention },
 		schema.Bounds[time.Duration]{Default: time.Hour, Least: 0, Most: 30 * 24 * time.Hour}, schema.AtStart,
 		"How old the list of endpoints may be that a start goes on with until discovery answers."),
 )
 
 const (
-	requestMark  = 'r' // begins the keys of requests in the store,
-	endpointMark = 'e' // of endpoints by their uid,
-	listedMark   = 'l' // and the one that tells when they were last said to be so
-	listedEvery  = 10 * time.Second
+	requestKeyPrefix  = 'r' // begins the keys of requests in the store,
+	endpointKeyPrefix = 'e' // of endpoints by their uid,
+	listKey           = 'l' // and the one that tells when they were last said to be so
+	listSaveInterval  = 10 * time.Second
 	// How an attempt ended waits so long for another record to be synced with. If it is lost, more is taken to have
 	// run than has.
-	afterIdle = 20 * time.Millisecond
+	outcomeSyncDelay = 20 * time.Millisecond
 )
 
 // memory is what a sidecar remembers across a death: which requests may have run, and the last list of endpoints.
 // The loop owns it, but for the store, which does its work in goroutines of its own.
 type memory struct {
-	set      Memory
-	table    *idempotency.Table
-	store    *store.Store
-	goOn     []bool // by class: whether it goes on where nothing can be remembered
-	classes  []balancer.Class
-	zones    names           // of the endpoints
-	kept     map[string]bool // uids of the list that is kept: the loop never reads the disk
-	listedAt time.Duration
-	triedAt  time.Duration // whether the disk is well again
-	ill      atomic.Bool   // the disk is: said once, until it is well
+	settings      Memory
+	table         *idempotency.Table
+	store         *store.Store
+	goesOnWithout []bool // by class: whether it goes on where nothing can be remembered
+	classes       []balancer.Class
+	zones         nameIndex       // of the endpoints
+	savedUIDs     map[string]bool // uids of the list that is kept: the loop never reads the disk
+	listSavedAt   time.Duration
+	diskTriedAt   time.Duration // whether the disk is well again
+	diskFailing   atomic.Bool   // the disk is: said once, until it is well
 }
 
 // openMemory opens what the file asks for; nil for nothing.
-func openMemory(c *Config, zones names, now time.Duration) (*memory, error) {
+func openMemory(c *Config, zones nameIndex, now time.Duration) (*memory, error) {
 	set := c.tuning.memory
 	if set.Dir == "" {
 		return nil, nil
 	}
-	disk := c.disk
+	disk := c.storeFS
 	if disk == nil {
 		if c.product.Resolve != nil {
 			set.Dir = c.product.Resolve(set.Dir)
@@ -90,14 +90,14 @@
 		}
 		disk = store.Dir(set.Dir)
 	}
-	s, err := store.Open(disk, store.Options{MaxBytes: set.Size, MaxRecords: set.Most + 2*maxKept})
+	s, err := store.Open(disk, store.Options{MaxBytes: set.MaxBytes, MaxRecords: set.MaxRequests + 2*maxSavedEndpoints})
 	if err != nil {
 		return nil, fmt.Errorf("memory.memory_dir: %s: %w", set.Dir, err)
 	}
-	m := &memory{set: set, table: idempotency.NewTable(set.Most), store: s, classes: c.Settings.Classes, zones: zones, kept: map[string]bool{}}
+	m := &memory{settings: set, table: idempotency.NewTable(set.MaxRequests), store: s, classes: c.Settings.Classes, zones: zones, savedUIDs: map[string]bool{}}
 	for _, class := range c.Settings.Classes {
 		of := appfile.ClassTable.Get(c.file, class.Name)
-		m.goOn = append(m.goOn, of == nil || of.WithoutMemory == appfile.GoOn)
+		m.goesOnWithout = append(m.goesOnWithout, of == nil || of.WithoutMemory == appfile.GoOn)
 	}
 	h := s.Health()
 	for _, d := range h.Damage {
@@ -109,17 +109,17 @@
 	return m, m.restore(now)
 }
 
-// maxKept bounds the endpoints of the list that is kept.
-const maxKept = 20_000
+// maxSavedEndpoints bounds the endpoints of the list that is kept.
+const maxSavedEndpoints = 20_000
 
 // restore takes in the requests that earlier lives remember.
 func (m *memory) restore(now time.Duration) (err error) {
 	bad := 0
 	if fault := m.store.Range(func(key, value []byte, left time.Duration) bool {
-		if key[0] == endpointMark {
-			m.kept[string(key[1:])] = true
+		if key[0] == endpointKeyPrefix {
+			m.savedUIDs[string(key[1:])] = true
 		}
-		if key[0] != requestMark || len(key) != 1+len(idempotency.ID{}) {
+		if key[0] != requestKeyPrefix || len(key) != 1+len(idempotency.ID{}) {
 			return true
 		}
 		e, fault := idempotency.Decode(value, now, left)
@@ -139,24 +139,24 @@
 		log.Printf("memory: %d requests of earlier lives may have run", n)
 	}
 	if err != nil {
-		err = fmt.Errorf("memory.remembered_requests: %d: %w: more were before", m.set.Most, err)
+		err = fmt.Errorf("memory.remembered_requests: %d: %w: more were before", m.settings.MaxRequests, err)
 	}
 	return err
 }
 
-// list is the last list of endpoints, as it was told; false where none is kept or it is too old.
-func (m *memory) list() (l endpointsource.List, age time.Duration, ok bool) {
-	_, left, ok, err := m.store.Get([]byte{listedMark})
+// savedList is the last list of endpoints, as it was told; false where none is kept or it is too old.
+func (m *memory) savedList() (l endpointsource.List, age time.Duration, ok bool) {
+	_, left, ok, err := m.store.Get([]byte{listKey})
 	if err != nil {
 		log.Printf("memory: %v", err)
 	}
-	if !ok || m.set.ListKeep == 0 {
+	if !ok || m.settings.ListRetention == 0 {
 		return l, 0, false
 	}
 	l.Kind = balancer.ListCached
 	if err := m.store.Range(func(key, value []byte, _ time.Duration) bool {
 		var e endpointsource.Endpoint
-		if key[0] == endpointMark && json.Unmarshal(value, &e) == nil {
+		if key[0] == endpointKeyPrefix && json.Unmarshal(value, &e) == nil {
 			l.Endpoints = append(l.Endpoints, e)
 		}
 		return true
@@ -164,12 +164,12 @@
 		log.Printf("memory: %v", err)
 	}
 	slices.SortFunc(l.Endpoints, func(a, b endpointsource.Endpoint) int { return strings.Compare(a.UID, b.UID) })
-	return l, m.set.ListKeep - left, len(l.Endpoints) > 0
+	return l, m.settings.ListRetention - left, len(l.Endpoints) > 0
 }
 
-// listed keeps what was told of endpoints.
-func (m *memory) listed(now time.Duration, l endpointsource.List, all map[balancer.EndpointID]*exchange.Endpoint) {
-	if m.set.ListKeep == 0 || l.Kind == balancer.ListCached {
+// saveList keeps what was told of endpoints.
+func (m *memory) saveList(now time.Duration, l endpointsource.List, all map[balancer.EndpointID]*exchange.Endpoint) {
+	if m.settings.ListRetention == 0 || l.Kind == balancer.ListCached {
 		return
 	}
 	var b store.Batch
@@ -178,74 +178,74 @@
 		for _, e := range all {
 			there[e.UID] = true
 		}
-		for uid := range m.kept {
+		for uid := range m.savedUIDs {
 			if !there[uid] {
-				delete(m.kept, uid)
-				b.Delete(append([]byte{endpointMark}, uid...))
+				delete(m.savedUIDs, uid)
+				b.Delete(append([]byte{endpointKeyPrefix}, uid...))
 			}
 		}
 	}
 	for _, e := range l.Endpoints {
-		key := append([]byte{endpointMark}, e.UID...)
+		key := append([]byte{endpointKeyPrefix}, e.UID...)
 		if text, err := json.Marshal(e); e.State == balancer.EndpointRemoved {
-			delete(m.kept, e.UID)
+			delete(m.savedUIDs, e.UID)
 			b.Delete(key)
-		} else if err == nil && len(key) <= store.MaxKeyBytes && len(all) <= maxKept {
-			m.kept[e.UID] = true
+		} else if err == nil && len(key) <= store.MaxKeyBytes && len(all) <= maxSavedEndpoints {
+			m.savedUIDs[e.UID] = true
 			b.Put(key, text, 0)
 		}
 	}
-	m.said(now, &b)
+	m.confirmList(now, &b)
 }
 
-// said notes that the list that is kept still holds.
-func (m *memory) said(now time.Duration, b *store.Batch) {
-	m.listedAt = now
-	b.Put([]byte{listedMark}, nil, m.set.ListKeep)
-	m.store.Apply(*b, m.told)
+// confirmList notes that the list that is kept still holds.
+func (m *memory) confirmList(now time.Duration, b *store.Batch) {
+	m.listSavedAt = now
+	b.Put([]byte{listKey}, nil, m.settings.ListRetention)
+	m.store.Apply(*b, m.reportWrite)
 }
 
-// heard does that when discovery or Consul has been heard, at a pace.
-func (m *memory) heard(now time.Duration) {
-	if m.set.ListKeep > 0 && now-m.listedAt >= listedEvery {
-		m.said(now, &store.Batch{})
+// refreshList does that when discovery or Consul has been heard, at a pace.
+func (m *memory) refreshList(now time.Duration) {
+	if m.settings.ListRetention > 0 && now-m.listSavedAt >= listSaveInterval {
+		m.confirmList(now, &store.Batch{})
 	}
 }
 
-// told takes how a write ended, and says in the log when the disk turns ill and when it is well again.
-func (m *memory) told(err error) {
+// reportWrite takes how a write ended, and says in the log when the disk turns ill and when it is well again.
+func (m *memory) reportWrite(err error) {
 	switch {
 	case errors.Is(err, store.ErrClosed): // it ends
-	case err != nil && !m.ill.Swap(true):
+	case err != nil && !m.diskFailing.Swap(true):
 		log.Printf("memory: NOT REMEMBERED: %v; classes with without_memory = \"refuse\" are refused until the disk is well", err)
-	case err == nil && m.ill.Swap(false):
+	case err == nil && m.diskFailing.Swap(false):
 		log.Printf("memory: the disk is well again")
 	}
 }
 
-// turnsAway looks up what is known of a request that comes, and tells whether it has to be refused for want of
+// rejects looks up what is known of a request that comes, and tells whether it has to be refused for want of
 // memory. What may have run never is: a refusal would promise that a repeat is harmless.
-func (m *memory) turnsAway(now time.Duration, r *request) bool {
-	m.look(now, r)
-	return !r.Prior.MayHaveRun && m.refuses(now, r.Class)
+func (m *memory) rejects(now time.Duration, r *request) bool {
+	m.lookUpPrior(now, r)
+	return !r.Prior.MayHaveRun && m.cannotRecord(now, r.Class)
 }
 
-// refuses tells whether a request has to be turned away because it could not be remembered.
-func (m *memory) refuses(now time.Duration, class int) bool {
-	if !m.ill.Load() || m.goOn[class] || m.classes[class].Idempotency == balancer.Idempotent {
+// cannotRecord tells whether a request has to be turned away because it could not be remembered.
+func (m *memory) cannotRecord(now time.Duration, class int) bool {
+	if !m.diskFailing.Load() || m.goesOnWithout[class] || m.classes[class].Idempotency == balancer.Idempotent {
 		return false
 	}
-	if now-m.triedAt >= time.Second { // nothing else may be written that could tell that the disk is well
-		m.triedAt = now
+	if now-m.diskTriedAt >= time.Second { // nothing else may be written that could tell that the disk is well
+		m.diskTriedAt = now
 		var b store.Batch
-		b.Delete([]byte{requestMark})
-		m.store.Apply(b, m.told)
+		b.Delete([]byte{requestKeyPrefix})
+		m.store.Apply(b, m.reportWrite)
 	}
 	return true
 }
 
-// id is what a request is remembered by; false for one that may run any number of times.
-func (m *memory) id(r *request) (id idempotency.ID, ok bool) {
+// entryID is what a request is remembered by; false for one that may run any number of times.
+func (m *memory) entryID(r *request) (id idempotency.ID, ok bool) {
 	switch c := &m.classes[r.Class]; c.Idempotency {
 	case balancer.IdempotentWithKey:
 		return idempotency.KeyedID(c.Name, r.Header.Get("Idempotency-Key")), true
@@ -255,9 +255,9 @@
 	return id, false
 }
 
-// look says what is known of a request that comes.
-func (m *memory) look(now time.Duration, r *request) {
-	id, ok := m.id(r)
+// lookUpPrior says what is known of a request that comes.
+func (m *memory) lookUpPrior(now time.Duration, r *request) {
+	id, ok := m.entryID(r)
 	if !ok {
 		return
 	}
@@ -266,76 +266,76 @@
 	}
 }
 
-// errSlow says that a record was not durable within memory_wait.
-var errSlow = errors.New("the disk takes longer than memory_wait")
+// errDiskSlow says that a record was not durable within memory_wait.
+var errDiskSlow = errors.New("the disk takes longer than memory_wait")
 
-// gate is what an attempt waits for before it goes out; nil for nothing.
-type gate struct {
-	kept    chan error // holds one
-	err     error      // known at once
-	wait    time.Duration
-	late    func(error) // says that it took longer
-	goOn    bool
-	passed  bool // it has been waited for
-	durable bool // and the attempt is remembered
+// durabilityGate is what an attempt waits for before it goes out; nil for nothing.
+type durabilityGate struct {
+	written       chan error // holds one
+	err           error      // known at once
+	timeout       time.Duration
+	reportTimeout func(error) // says that it took longer
+	goesOnWithout bool
+	passed        bool // it has been waited for
+	durable       bool // and the attempt is remembered
 }
 
 // pass waits until the attempt is remembered, and tells whether it may go out.
-func (g *gate) pass(ctx context.Context) bool {
+func (g *durabilityGate) pass(ctx context.Context) bool {
 	if g == nil || g.passed {
 		return true
 	}
 	if g.passed = true; g.err != nil {
-		return g.goOn
+		return g.goesOnWithout
 	}
-	late := time.NewTimer(g.wait)
+	late := time.NewTimer(g.timeout)
 	defer late.Stop()
 	select {
-	case err := <-g.kept:
+	case err := <-g.written:
 		g.durable = err == nil
-		return g.durable || g.goOn
+		return g.durable || g.goesOnWithout
 	case <-late.C:
-		g.late(errSlow)
-		return g.goOn
+		g.reportTimeout(errDiskSlow)
+		return g.goesOnWithout
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// before notes that an attempt is about to go out, and gives what it has to wait for; nil for nothing.
-func (m *memory) before(now time.Duration, r *request, to *exchange.Endpoint) *gate {
-	id, ok := m.id(r)
+// beginAttempt notes that an attempt is about to go out, and gives what it has to wait for; nil for nothing.
+func (m *memory) beginAttempt(now time.Duration, r *request, to *exchange.Endpoint) *durabilityGate {
+	id, ok := m.entryID(r)
 	if !ok {
 		return nil
 	}
 	c := &m.classes[r.Class]
 	e, changed, err := m.table.BeginAttempt(now, id, c.Name, idempotency.RetentionOf(c), idempotency.Origin{Zone: to.Zone, Cell: to.Cell, Endpoint: to.UID})
-	g := &gate{err: err, wait: m.set.Wait, late: m.told, goOn: m.goOn[r.Class]}
+	g := &durabilityGate{err: err, timeout: m.settings.WriteTimeout, reportTimeout: m.reportWrite, goesOnWithout: m.goesOnWithout[r.Class]}
 	if err != nil {
-		m.told(err)
+		m.reportWrite(err)
 		return g
 	}
 	if !changed {
 		return nil
 	}
-	g.kept = make(chan error, 1)
-	m.keep(id, &e, e.Retention, 0, func(err error) {
-		m.told(err)
-		g.kept <- err
+	g.written = make(chan error, 1)
+	m.putEntry(id, &e, e.Retention, 0, func(err error) {
+		m.reportWrite(err)
+		g.written <- err
 	})
 	return g
 }
 
-func (m *memory) keep(id idempotency.ID, e *idempotency.Entry, left, idle time.Duration, done func(error)) {
+func (m *memory) putEntry(id idempotency.ID, e *idempotency.Entry, left, idle time.Duration, done func(error)) {
 	var b store.Batch
 	b.SetMaxDelay(idle)
-	b.Put(append([]byte{requestMark}, id[:]...), e.Encode(), max(left, time.Millisecond))
+	b.Put(append([]byte{requestKeyPrefix}, id[:]...), e.Encode(), max(left, time.Millisecond))
 	m.store.Apply(b, done)
 }
 
-// after notes how an attempt ended; it tells whether the request may have run.
-func (m *memory) after(now time.Duration, a *attempt, status balancer.Status, answered bool) (mayRun bool) {
-	id, ok := m.id(a.request)
+// endAttempt notes how an attempt ended; it tells whether the request may have run.
+func (m *memory) endAttempt(now time.Duration, a *attempt, status balancer.Status, answered bool) (mayRun bool) {
+	id, ok := m.entryID(a.request)
 	if !ok {
 		return false
 	}
@@ -344,12 +344,12 @@
 	}
 	switch e, change := m.table.EndAttempt(now, id, status, answered); change {
 	case idempotency.PutEntry:
-		m.keep(id, &e, e.SentAt+e.Retention-now, afterIdle, m.told)
+		m.putEntry(id, &e, e.SentAt+e.Retention-now, outcomeSyncDelay, m.reportWrite)
 	case idempotency.DeleteEntry:
 		var b store.Batch
-		b.SetMaxDelay(afterIdle)
-		b.Delete(append([]byte{requestMark}, id[:]...))
-		m.store.Apply(b, m.told)
+		b.SetMaxDelay(outcomeSyncDelay)
+		b.Delete(append([]byte{requestKeyPrefix}, id[:]...))
+		m.store.Apply(b, m.reportWrite)
 	}
 	_, mayRun = m.table.Lookup(now, id)
 	return mayRun
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -21,22 +21,22 @@
 	}
 	defer s.Close()
 	pay := balancer.Class{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}
-	m := &memory{table: idempotency.NewTable(10), store: s, goOn: []bool{false}, classes: []balancer.Class{pay}, zones: names{}, triedAt: time.Hour}
+	m := &memory{table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false}, classes: []balancer.Class{pay}, zones: nameIndex{}, diskTriedAt: time.Hour}
 	of := func(id string) *request {
 		return &request{Request: balancer.Request{ID: balancer.RequestID(id)}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	}
-	id, _ := m.id(of("ran"))
+	id, _ := m.entryID(of("ran"))
 	if err := m.table.Restore(id, idempotency.Entry{SentAt: time.Hour, Retention: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	if m.turnsAway(time.Hour, of("new")) {
+	if m.rejects(time.Hour, of("new")) {
 		t.Error("refused while the disk is well")
 	}
-	m.told(errors.New("ill"))
-	if !m.turnsAway(time.Hour, of("new")) {
+	m.reportWrite(errors.New("ill"))
+	if !m.rejects(time.Hour, of("new")) {
 		t.Error("what cannot be remembered was taken")
 	}
-	if r := of("ran"); m.turnsAway(time.Hour, r) || !r.Prior.MayHaveRun {
+	if r := of("ran"); m.rejects(time.Hour, r) || !r.Prior.MayHaveRun {
 		t.Errorf("what may have run was refused: %+v", r.Prior)
 	}
 }
--- a/internal/standalone/route_test.go
+++ b/internal/standalone/route_test.go
@@ -28,8 +28,8 @@
 func withRoutes(t *testing.T, text string) {
 	t.Helper()
 	table := routesOf(t, text)
-	adjust = func(c *Config) { c.tuning.routes = table }
-	t.Cleanup(func() { adjust = func(*Config) {} })
+	adjustConfig = func(c *Config) { c.tuning.routes = table }
+	t.Cleanup(func() { adjustConfig = func(*Config) {} })
 }
 
 func (rg *rig) at(class, path string) *http.Request {
@@ -92,7 +92,7 @@
 		runs.Add(1)
 		switch r.URL.Path {
 		case "/short":
-			gone(r)
+			awaitCancel(r)
 			return
 		case "/paused":
 			if sick.Add(1) == 1 {
@@ -105,7 +105,7 @@
 			return
 		case "/quick":
 			if sick.Add(1) == 1 {
-				gone(r)
+				awaitCancel(r)
 				return
 			}
 		case "/few":
@@ -115,9 +115,9 @@
 		fmt.Fprint(w, "ok")
 	}
 	// So many that one is always in good health: what fails here costs endpoints their place.
-	var targets []target
+	var targets []listedEndpoint
 	for i := range 8 {
-		targets = append(targets, peer(t, fmt.Sprint("s-", i), serve))
+		targets = append(targets, startEndpoint(t, fmt.Sprint("s-", i), serve))
 	}
 	rg := start(t, 1024, targets...)
 	try := func(class, path string, want int) *http.Response {
@@ -193,7 +193,7 @@
 func TestRoutesAreReloaded(t *testing.T) {
 	withRoutes(t, "[route.few]\nmatch_path = \"/few\"\nmost_open = 1\n")
 	came, held := make(chan bool, 10), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/few" {
 			came <- true
 			<-held
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -22,44 +22,44 @@
 	// exchange.ExcessSockets.
 	reservedSockets = 32
 	writeTimeout    = 10 * time.Second // beyond the longest deadline
-	maxName         = 128              // bytes of an id
+	maxIDBytes      = 128              // bytes of an id
 	maxRemaining    = time.Hour
-	// quietAfter is how long no new connection must have come before a sidecar that was told to stop, and that
+	// defaultQuietPeriod is how long no new connection must have come before a sidecar that was told to stop, and that
 	// no caller is connected to, ends.
-	quietAfter = 500 * time.Millisecond
-	// lastAnswers is how long before that each answer says that it is the last on its connection: a request
+	defaultQuietPeriod = 500 * time.Millisecond
+	// closeNoticeWindow is how long before that each answer says that it is the last on its connection: a request
 	// that is on its way when an idle one is closed has to be sent again.
-	lastAnswers = 100 * time.Millisecond
-	stopPoll    = 20 * time.Millisecond
+	closeNoticeWindow    = 100 * time.Millisecond
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
 // server takes callers' requests to the loop, and its answers back.
 type server struct {
-	fronts    []exchange.Front
-	loop      *loop
-	config    *Config
-	classes   map[string]int
-	tenants   map[string]int
-	longest   time.Duration             // deadline of a class
-	quiet     time.Duration             // see quietAfter
-	tuning    atomic.Pointer[tuning]    // as the configuration file has it now
-	end       atomic.Pointer[time.Time] // when all is answered; nil unless it was told to stop
-	group     group
-	instances atomic.Int64 // that there are by now, as far as this one knows
+	fronts          []exchange.Front
+	loop            *loop
+	config          *Config
+	classes         map[string]int
+	tenants         map[string]int
+	longestDeadline time.Duration             // deadline of a class
+	quietPeriod     time.Duration             // see defaultQuietPeriod
+	tuning          atomic.Pointer[tuning]    // as the configuration file has it now
+	shutdownAt      atomic.Pointer[time.Time] // when all is answered; nil unless it was told to stop
+	group           group
+	instances       atomic.Int64 // that there are by now, as far as this one knows
 }
 
 func newServer(c *Config, l *loop, listener net.Listener) (*server, error) {
-	s := &server{loop: l, config: c, classes: map[string]int{}, tenants: map[string]int{}, quiet: quietAfter}
+	s := &server{loop: l, config: c, classes: map[string]int{}, tenants: map[string]int{}, quietPeriod: defaultQuietPeriod}
 	s.tuning.Store(c.tuning)
 	for i, class := range c.Settings.Classes {
 		s.classes[class.Name] = i
-		s.longest = max(s.longest, class.Deadline)
+		s.longestDeadline = max(s.longestDeadline, class.Deadline)
 	}
 	for i, tenant := range c.Settings.Tenants {
 		s.tenants[tenant.Name] = i
 	}
-	bounds := s.bounds()
-	front, err := openHTTP3(c, s, bounds)
+	bounds := s.frontBounds()
+	front, err := openHTTP3Front(c, s, bounds)
 	if err != nil {
 		return nil, err
 	}
@@ -67,54 +67,54 @@
 		s.fronts = []exchange.Front{http1.NewFront(listener, s, bounds)}
 		return s, nil
 	}
-	bounds.AltSvc = altSvc(front.Address(), c.tuning.http3.AltSvc)
+	bounds.AltSvc = altSvcHeader(front.Address(), c.tuning.http3Callers.AltSvc)
 	s.fronts = []exchange.Front{http1.NewFront(listener, s, bounds), front}
 	return s, nil
 }
 
-// bounds are those of a front for HTTP/1.1.
-func (s *server) bounds() http1.Bounds {
+// frontBounds are those of a front for HTTP/1.1.
+func (s *server) frontBounds() http1.Bounds {
 	c := s.config.tuning.callers
 	return http1.Bounds{
 		Connections: int(c.Share * float64(s.config.Limits.Sockets-reservedSockets)), MaxHeader: int(c.MaxHeader),
-		RequestTimeout: c.RequestTimeout, IdleTimeout: c.IdleTimeout, WriteTimeout: s.longest + writeTimeout,
+		RequestTimeout: c.RequestTimeout, IdleTimeout: c.IdleTimeout, WriteTimeout: s.longestDeadline + writeTimeout,
 	}
 }
 
 // ServeHTTP takes a request from any front.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ready" && r.Header.Get("X-Txn") == "" {
-		if !s.loop.ready.Load() || s.end.Load() != nil {
+		if !s.loop.ready.Load() || s.shutdownAt.Load() != nil {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
 		return
 	}
 	c := exchange.CallerOf(r)
-	began, over := c.Taken()
+	began, over := c.BeginRequest()
 	if over {
-		c.Last(w.Header())
-		s.write(w, c, answer{refused: true})
+		c.CloseAfter(w.Header())
+		s.writeAnswer(w, c, answer{rejected: true})
 		return
 	}
 	req, status, fault := s.parse(r)
 	if fault != "" {
 		// What follows on the connection may be no request.
-		c.Last(w.Header())
+		c.CloseAfter(w.Header())
 		http.Error(w, fault, status)
 		return
 	}
 	// Each attempt that may be out at once writes a copy of the body.
 	copies := 2
-	if s.config.copies(req) {
+	if s.config.mayHedge(req) {
 		copies++
 	}
 	if held := copies * int(r.ContentLength); held > 0 {
-		if !s.loop.bodies.Take(held) {
-			c.Last(w.Header())
-			s.write(w, c, answer{refused: true, retryAfter: time.Second})
+		if !s.loop.bodyBudget.Reserve(held) {
+			c.CloseAfter(w.Header())
+			s.writeAnswer(w, c, answer{rejected: true, retryAfter: time.Second})
 			return
 		}
-		defer s.loop.bodies.Give(held)
+		defer s.loop.bodyBudget.Release(held)
 	}
 	// The limit on reading holds for the body alone. Left in place, it would pass for the client going away.
 	control := http.NewResponseController(w)
@@ -122,7 +122,7 @@
 	body, err := exchange.ReadAll(r.Body)
 	control.SetReadDeadline(time.Time{})
 	if err != nil || r.ContentLength >= 0 && int64(len(body)) != r.ContentLength || r.ContentLength < 0 && len(body) > 0 {
-		c.Last(w.Header())
+		c.CloseAfter(w.Header())
 		http.Error(w, "request body cut short", http.StatusBadRequest)
 		return
 	}
@@ -143,26 +143,26 @@
 			r.Header.Set("Early-Data", "1") // RFC 8470, section 5.1
 		}
 	}
-	req.IdleConnections = c.Served()
+	req.IdleConnections = c.BodyReceived()
 	exchange.RemoveHopByHop(r.Header)
 	req.Inbound = exchange.Inbound{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
 		Safe: safe,
 	}
-	s.loop.post(func() { s.loop.arrive(req, received) })
+	s.loop.post(func() { s.loop.handleArrival(req, received) })
 	select {
 	case a := <-req.answer:
-		s.write(w, c, a)
-		s.loop.discard(a.response)
+		s.writeAnswer(w, c, a)
+		s.loop.releaseResponse(a.response)
 	case <-r.Context().Done():
-		s.loop.post(func() { s.loop.lapse(req) })
+		s.loop.post(func() { s.loop.handleClientGone(req) })
 		// To return would send an empty 200 to a client that has closed only its side.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// single are the headers that must not be repeated: of two, an endpoint may read the other one.
-var single = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
+// uniqueHeaders are the headers that must not be repeated: of two, an endpoint may read the other one.
+var uniqueHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
 
 // parse reads what the Balancer is told of a request, or names what is wrong with it.
 func (s *server) parse(r *http.Request) (req *request, status int, fault string) {
@@ -176,7 +176,7 @@
 	case r.ContentLength > s.tuning.Load().callers.MaxBody:
 		return nil, http.StatusRequestEntityTooLarge, "request body too large"
 	}
-	if req, fault = s.read(r); fault != "" {
+	if req, fault = s.parseHeaders(r); fault != "" {
 		return nil, http.StatusBadRequest, fault
 	}
 	if s.tuning.Load().callers.TooEarly && r.Header.Get("Early-Data") == "1" && s.config.Settings.Classes[req.Class].Idempotency != balancer.Idempotent {
@@ -186,18 +186,18 @@
 	return req, 0, ""
 }
 
-func (s *server) read(r *http.Request) (req *request, fault string) {
+func (s *server) parseHeaders(r *http.Request) (req *request, fault string) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return nil, "not a path: this is no proxy for other hosts"
 	}
-	for _, name := range single {
+	for _, name := range uniqueHeaders {
 		if len(r.Header[name]) > 1 {
 			return nil, name + ": repeated"
 		}
 	}
 	req = &request{answer: make(chan answer, 1)}
 	req.ID = balancer.RequestID(r.Header.Get("X-Txn"))
-	if req.ID == "" || len(req.ID) > maxName {
+	if req.ID == "" || len(req.ID) > maxIDBytes {
 		return nil, "X-Txn: missing or too long"
 	}
 	var ok bool
@@ -217,7 +217,7 @@
 			return nil, "X-Org: unknown tenant"
 		}
 	}
-	if fault := s.takeRoute(r, req); fault != "" {
+	if fault := s.applyRoute(r, req); fault != "" {
 		return nil, fault
 	}
 	if class.Idempotency == balancer.IdempotentWithKey && r.Header.Get("Idempotency-Key") == "" {
@@ -237,8 +237,8 @@
 	return req, ""
 }
 
-// takeRoute finds the route of a request and what that sets for it, or says why it has to go nowhere.
-func (s *server) takeRoute(r *http.Request, req *request) (fault string) {
+// applyRoute finds the route of a request and what that sets for it, or says why it has to go nowhere.
+func (s *server) applyRoute(r *http.Request, req *request) (fault string) {
 	routes := s.tuning.Load().routes
 	if routes == nil {
 		return ""
@@ -257,7 +257,7 @@
 		req.TimeLeft = min(req.TimeLeft, set.Time)
 	}
 	req.MaxAttempts, req.AttemptTimeout, req.ValueFactor = set.Attempts, set.Attempt, set.Worth
-	if most := least(set.Attempts, s.config.Settings.MaxAttempts); most > 0 && s.config.copies(req) {
+	if most := tighterLimit(set.Attempts, s.config.Settings.MaxAttempts); most > 0 && s.config.mayHedge(req) {
 		req.MaxAttempts = most - 1 // a copy is one of them
 	}
 	return ""
@@ -283,12 +283,12 @@
 	return time.Duration(n * float64(unit)), true
 }
 
-// write gives the final answer.
-func (s *server) write(w http.ResponseWriter, c exchange.Caller, a answer) {
-	if end := s.end.Load(); end != nil && time.Until(*end) < lastAnswers {
-		c.Last(w.Header())
+// writeAnswer gives the final answer.
+func (s *server) writeAnswer(w http.ResponseWriter, c exchange.Caller, a answer) {
+	if end := s.shutdownAt.Load(); end != nil && time.Until(*end) < closeNoticeWindow {
+		c.CloseAfter(w.Header())
 	}
-	c.Mark(w.Header())
+	c.AddHeaders(w.Header())
 	switch {
 	case a.response != nil:
 		header := w.Header()
@@ -297,7 +297,7 @@
 		}
 		header.Set("Content-Length", strconv.Itoa(len(a.response.Body)))
 		w.Write(a.response.Body) // a client that has gone cannot be told
-	case a.refused:
+	case a.rejected:
 		if a.retryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 		}
@@ -307,27 +307,27 @@
 	}
 }
 
-// stop ends the server shortly before it would be killed, with all answered that it has taken. Until then it
+// shutDown ends the server shortly before it would be killed, with all answered that it has taken. Until then it
 // goes on serving: no front sends it new callers, but those that it has go on using their connections, and
 // where it is the only sidecar, or the others are gone or just starting, whom it cuts off has nowhere to go.
 // Where there are others it closes what is idle hand_over before the end, so that its last callers move there.
 // It ends early when nobody is connected any more. It does harm where the platform kills sooner than it says.
-func (s *server) stop() error {
+func (s *server) shutDown() error {
 	told := time.Now()
 	how := s.tuning.Load().stop
-	linger := min(s.longest, how.Longest) + how.Grace - how.Margin
+	linger := min(s.longestDeadline, how.MaxDeadline) + how.KillGrace - how.KillMargin
 	end := told.Add(linger)
-	s.loop.post(func() { s.loop.leave(end) })
-	s.end.Store(&end)
-	s.group.leave()
+	s.loop.post(func() { s.loop.shutDownAt(end) })
+	s.shutdownAt.Store(&end)
+	s.group.announceLeave()
 	last := end
 	if s.instances.Load() > 1 {
-		last = end.Add(-min(how.HandOver, max(0, linger-s.quiet)))
+		last = end.Add(-min(how.HandOver, max(0, linger-s.quietPeriod)))
 	}
-	for time.Now().Before(last) && (time.Since(told) < s.quiet || !s.isQuiet()) {
-		time.Sleep(stopPoll)
+	for time.Now().Before(last) && (time.Since(told) < s.quietPeriod || !s.quiet()) {
+		time.Sleep(shutdownPollInterval)
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end.Add(how.Margin/2))
+	ctx, cancel := context.WithDeadline(context.Background(), end.Add(how.KillMargin/2))
 	defer cancel()
 	ends := make(chan error, len(s.fronts))
 	for _, f := range s.fronts {
@@ -346,7 +346,7 @@
 	return err
 }
 
-// isQuiet tells whether nobody is connected by any front.
-func (s *server) isQuiet() bool {
-	return !slices.ContainsFunc(s.fronts, func(f exchange.Front) bool { return !f.Quiet(s.quiet) })
+// quiet tells whether nobody is connected by any front.
+func (s *server) quiet() bool {
+	return !slices.ContainsFunc(s.fronts, func(f exchange.Front) bool { return !f.Quiet(s.quietPeriod) })
 }
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -14,15 +14,15 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// memoryShare is the part of the memory limit at which the collector works harder; the rest is for stacks
+// memoryLimitShare is the part of the memory limit at which the collector works harder; the rest is for stacks
 // of system threads and what the kernel counts.
-const memoryShare = 0.75
+const memoryLimitShare = 0.75
 
 // Run serves until a signal arrives on stop, and then ends what was taken. A signal on reload makes it read
 // its configuration file again.
 func Run(c *Config, stop, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
-	debug.SetMemoryLimit(int64(memoryShare * float64(c.Limits.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.Limits.MemoryMB<<20)))
 	l, err := newLoop(c)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 }
 
 func (s *server) run(at net.Addr, stop, reload <-chan os.Signal) error {
-	if err := s.join(); err != nil {
+	if err := s.joinGroup(); err != nil {
 		return err
 	}
 	defer s.group.close()
@@ -53,11 +53,11 @@
 	stopped := make(chan error, 1)
 	go func() {
 		log.Printf("%v: stopping", <-stop)
-		stopped <- s.stop()
+		stopped <- s.shutDown()
 	}()
-	s.config.unused()
+	s.config.logUnused()
 	if s.config.admin != nil {
-		stop, err := s.config.admin(s.loop.view, s.group.look)
+		stop, err := s.config.admin(s.loop.endpointView, s.group.fleet)
 		if err != nil {
 			return err
 		}
@@ -95,12 +95,12 @@
 		return x.Path[0] == "consul" || x.Path[0] == endpointsource.SettingsTable.Name && x.Key.Name == "source"
 	})
 	s.loop.post(func() {
-		s.loop.http1.SetMaxIdle(s.config.maxIdle(c.tuning))
-		s.loop.told(s.loop.members.UpdateSettings(s.loop.now(), c.tuning.membership))
+		s.loop.http1.SetMaxIdle(s.config.idleTimeout(c.tuning))
+		s.loop.applyEndpoints(s.loop.merger.UpdateSettings(s.loop.now(), c.tuning.endpointSource))
 		if refollow {
-			s.loop.followBeside(c.follower)
+			s.loop.startFollower(c.follower)
 		}
-		s.loop.follow(c.Discovery, c.token)
+		s.loop.switchDiscovery(c.Discovery, c.token)
 	})
 	s.group.reload()
 	s.config.file = c.file
--- a/internal/standalone/sidecar_test.go
+++ b/internal/standalone/sidecar_test.go
@@ -56,13 +56,13 @@
 }
 
 // start runs a sidecar, the only one of its tier, that knows the given endpoints.
-func start(t *testing.T, sockets int, targets ...target) *rig {
+func start(t *testing.T, sockets int, targets ...listedEndpoint) *rig {
 	t.Helper()
 	return startOneOf(t, 1, sockets, targets...)
 }
 
 // startOneOf runs one of several sidecars of a tier.
-func startOneOf(t *testing.T, instances, sockets int, targets ...target) *rig {
+func startOneOf(t *testing.T, instances, sockets int, targets ...listedEndpoint) *rig {
 	t.Helper()
 	rg := &rig{
 		t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	current.apply(t, config)
+	currentProtocols.apply(t, config)
 	l, err := newLoop(config)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 
 func (rg *rig) front() *http1.Front { return rg.server.fronts[0].(*http1.Front) }
 
-func (rg *rig) most() int {
+func (rg *rig) maxConnections() int {
 	_, _, _, most := rg.front().Counts()
 	return most
 }
@@ -147,10 +147,10 @@
 	}
 }
 
-// linger sets how long the sidecar serves after it was told to stop, and its hand-over.
-func (rg *rig) linger(d, handOver time.Duration) {
+// setShutdown sets how long the sidecar serves after it was told to stop, and its hand-over.
+func (rg *rig) setShutdown(d, handOver time.Duration) {
 	t := *rg.server.tuning.Load()
-	t.stop = Stop{Grace: d + t.stop.Margin, Margin: t.stop.Margin, HandOver: handOver}
+	t.stop = Stop{KillGrace: d + t.stop.KillMargin, KillMargin: t.stop.KillMargin, HandOver: handOver}
 	rg.server.tuning.Store(&t)
 }
 
@@ -200,14 +200,14 @@
 	return res.StatusCode, string(body)
 }
 
-// peer is an endpoint that answers as the test says.
-func peer(t *testing.T, uid string, serve http.HandlerFunc) target {
+// startEndpoint is an endpoint that answers as the test says.
+func startEndpoint(t *testing.T, uid string, serve http.HandlerFunc) listedEndpoint {
 	t.Helper()
-	return target{UID: uid, Address: peerAt(t, serve), Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}
+	return listedEndpoint{UID: uid, Address: listenEndpoint(t, serve), Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}
 }
 
-// breakOff ends a connection without an answer.
-func breakOff(w http.ResponseWriter) {
+// closeConnection ends a connection without an answer.
+func closeConnection(w http.ResponseWriter) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		c.Close()
 	} else {
@@ -215,8 +215,8 @@
 	}
 }
 
-// gone blocks until the sidecar has given the attempt up.
-func gone(r *http.Request) {
+// awaitCancel blocks until the sidecar has given the attempt up.
+func awaitCancel(r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
@@ -224,7 +224,7 @@
 func TestRequestGoesOnUnchanged(t *testing.T) { overEach(t, ruleRequestGoesOnUnchanged) }
 
 func ruleRequestGoesOnUnchanged(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		left, ok := parseRemaining(r.Header.Get("X-Remaining"))
 		if !ok || left <= 0 || left >= 5*time.Second {
@@ -263,7 +263,7 @@
 // request goes nowhere, and its connection ends.
 func TestRequestInsideAnotherIsNotPassedOn(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
 	for _, framing := range []string{
@@ -291,9 +291,9 @@
 // A client that closes its side has gone away; an empty 200 would be an answer that no endpoint made.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
 	came := make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		close(came)
-		gone(r)
+		awaitCancel(r)
 	}))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
@@ -315,7 +315,7 @@
 
 func ruleBadInputNeverReachesAnEndpoint(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
 	large := strings.Repeat("x", exchange.MaxBody+1)
 	for name, c := range map[string]struct {
 		spoil func(r *http.Request)
@@ -334,7 +334,7 @@
 		"two ids":               {func(r *http.Request) { r.Header.Add("X-Txn", "other") }, 400},
 		"two classes":           {func(r *http.Request) { r.Header.Add("X-Lane", "once") }, 400},
 		"two times":             {func(r *http.Request) { r.Header.Add("X-Remaining", "9m") }, 400},
-		"long id":               {func(r *http.Request) { r.Header.Set("X-Txn", strings.Repeat("x", maxName+1)) }, 400},
+		"long id":               {func(r *http.Request) { r.Header.Set("X-Txn", strings.Repeat("x", maxIDBytes+1)) }, 400},
 		"other method":          {func(r *http.Request) { r.Method = "PUT" }, 400},
 		"other host":            {func(r *http.Request) { r.URL.Opaque = "http://other/api" }, 400},
 		"boundless time":        {func(r *http.Request) { r.Header.Set("X-Remaining", "1e300m") }, 400},
@@ -345,7 +345,7 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(large)), -1
 		}, 411},
 	} {
-		if name == "other host" && current.front == "http3" {
+		if name == "other host" && currentProtocols.front == "http3" {
 			continue // it cannot be said there
 		}
 		r := rg.request("book", 5*time.Second)
@@ -364,13 +364,13 @@
 
 func ruleResetIsNotResent(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if came.Add(1) == 1 {
 			fmt.Fprint(w, "warm") // so that the next one goes out on a connection that has been used
 			return
 		}
 		io.Copy(io.Discard, r.Body)
-		breakOff(w)
+		closeConnection(w)
 	}))
 	if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
 		t.Fatal(status)
@@ -390,13 +390,13 @@
 	broken := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if tries.Add(1) == 1 {
-			breakOff(w)
+			closeConnection(w)
 			return
 		}
 		fmt.Fprint(w, "ok")
 	}
-	a, b := peer(t, "s-1", broken), peer(t, "s-2", broken)
-	other := peer(t, "s-3", func(w http.ResponseWriter, r *http.Request) {
+	a, b := startEndpoint(t, "s-1", broken), startEndpoint(t, "s-2", broken)
+	other := startEndpoint(t, "s-3", func(w http.ResponseWriter, r *http.Request) {
 		strays.Add(1)
 		fmt.Fprint(w, "ok")
 	})
@@ -425,7 +425,7 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	rg := start(t, 1024, peer(t, "s-1", full), peer(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", full), startEndpoint(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, "ok")
 	}))
 	for range 10 {
@@ -433,7 +433,7 @@
 			t.Fatalf("got %d %q", status, body)
 		}
 	}
-	rg = start(t, 1024, peer(t, "s-1", full))
+	rg = start(t, 1024, startEndpoint(t, "s-1", full))
 	plain.Store(true)
 	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 502 {
 		t.Errorf("got %d %q: a refusal promises that it has not run", status, body)
@@ -445,10 +445,10 @@
 
 func ruleAnswerIsOutBeforeTheDeadline(t *testing.T) {
 	const left = 1500 * time.Millisecond
-	mute := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { gone(r) })
+	mute := startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { awaitCancel(r) })
 	draining := mute
 	draining.State = "Terminating"
-	for want, targets := range map[int][]target{502: {mute}, 503: {draining}} {
+	for want, targets := range map[int][]listedEndpoint{502: {mute}, 503: {draining}} {
 		rg := start(t, 1024, targets...)
 		// The caller's time counts from when it can send: a handshake beforehand is not the sidecar's to answer for.
 		ready := rg.request("read", left)
@@ -470,9 +470,9 @@
 
 func ruleClientGoneEndsTheAttempt(t *testing.T) {
 	came, ended := make(chan bool), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		close(came)
-		gone(r)
+		awaitCancel(r)
 		close(ended)
 	}))
 	ctx, leave := context.WithCancel(context.Background())
@@ -518,7 +518,7 @@
 	}
 	s.Start()
 	defer s.Close()
-	rg := start(t, 1024, target{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
+	rg := start(t, 1024, listedEndpoint{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
 	for range 3 {
 		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
 			t.Fatal(status)
@@ -549,16 +549,16 @@
 		}
 	}
 	var old, other atomic.Int64
-	a, b := peer(t, "s-1", count(&old)), peer(t, "s-2", count(&other))
+	a, b := startEndpoint(t, "s-1", count(&old)), startEndpoint(t, "s-2", count(&other))
 	rg := start(t, 1024, a, b)
 	for old.Load() == 0 {
 		rg.ask(rg.request("once", 5*time.Second))
 	}
 	a.State = "Terminating"
-	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []target{a}})
+	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []listedEndpoint{a}})
 	rg.lists <- string(line)
 	rg.until("the change is taken in", func() (done bool) {
-		rg.inLoop(func() { done = rg.server.loop.feed.Version == 2 })
+		rg.inLoop(func() { done = rg.server.loop.versionFilter.Version == 2 })
 		return done
 	})
 	before := old.Load()
@@ -592,15 +592,15 @@
 	return idles
 }
 
-// stop tells the sidecar to stop, and waits until it has heard.
+// shutDown tells the sidecar to stop, and waits until it has heard.
 func (rg *rig) stop() {
 	rg.t.Helper()
 	rg.signals <- syscall.SIGTERM
-	rg.until("it stops", func() bool { return rg.server.end.Load() != nil })
+	rg.until("it stops", func() bool { return rg.server.shutdownAt.Load() != nil })
 }
 
-// over waits for the sidecar to end by itself.
-func (rg *rig) over() {
+// awaitEnd waits for the sidecar to end by itself.
+func (rg *rig) awaitEnd() {
 	rg.t.Helper()
 	select {
 	case err := <-rg.ended:
@@ -630,13 +630,13 @@
 // nobody else. It accepts what still comes, loses nothing, and ends when all have gone.
 func TestStopServesOpenConnections(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.server.quiet = time.Millisecond
-	rg.linger(time.Hour, 0)
+	rg.server.quietPeriod = time.Millisecond
+	rg.setShutdown(time.Hour, 0)
 	idles := rg.connect(5)
 	answer := make(chan *http.Response)
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
@@ -667,7 +667,7 @@
 	for _, c := range idles {
 		c.Close()
 	}
-	rg.over()
+	rg.awaitEnd()
 }
 
 // All that a stopping sidecar has taken is answered before it is killed: requests from before the signal are
@@ -675,12 +675,12 @@
 func TestStopAnswersAllInTime(t *testing.T) {
 	const linger = 3 * time.Second
 	came, gaveUp := make(chan string, 2), make(chan bool, 2)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("X-Remaining")
-		gone(r)
+		awaitCancel(r)
 		gaveUp <- true
 	}))
-	rg.linger(linger, 700*time.Millisecond)
+	rg.setShutdown(linger, 700*time.Millisecond)
 	idles := rg.connect(5)
 	answer := make(chan *http.Response, 2)
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", time.Minute)) }
@@ -698,27 +698,27 @@
 		}
 		<-gaveUp
 	}
-	if now := time.Now(); now.Before(*rg.server.end.Load()) || now.After(rg.server.end.Load().Add(linger)) {
-		t.Errorf("given up %v after the end", now.Sub(*rg.server.end.Load()))
+	if now := time.Now(); now.Before(*rg.server.shutdownAt.Load()) || now.After(rg.server.shutdownAt.Load().Add(linger)) {
+		t.Errorf("given up %v after the end", now.Sub(*rg.server.shutdownAt.Load()))
 	}
-	rg.over()
+	rg.awaitEnd()
 }
 
 // Callers open no new connections to a sidecar that stops. One that finds all in use finds nobody, so the
 // only sidecar turns requests away, with word when to come back, before that.
 func TestStopKeepsConnectionsIdle(t *testing.T) {
 	came := make(chan bool, 1)
-	one := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	one := startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "read" {
 			came <- true
-			gone(r)
+			awaitCancel(r)
 		}
 	})
 	for _, c := range []struct{ idles, instances, status int }{
 		{2, 1, http.StatusServiceUnavailable}, {3, 1, http.StatusOK}, {0, 2, http.StatusOK},
 	} {
 		rg := startOneOf(t, c.instances, 1024, one)
-		rg.linger(time.Hour, 700*time.Millisecond)
+		rg.setShutdown(time.Hour, 700*time.Millisecond)
 		if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != http.StatusOK {
 			t.Fatalf("before the stop: %d", status)
 		}
@@ -741,13 +741,13 @@
 	var lose atomic.Int32 // so many calls
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "book" && lose.Add(-1) >= 0 {
-			gone(r)
+			awaitCancel(r)
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 		fmt.Fprint(w, "ok")
 	}
-	rg := start(t, 1024, peer(t, "s-1", serve), peer(t, "s-2", serve))
+	rg := start(t, 1024, startEndpoint(t, "s-1", serve), startEndpoint(t, "s-2", serve))
 	for range 20 { // so that it is known how long calls take
 		rg.ask(rg.request("book", deadline))
 	}
@@ -785,13 +785,13 @@
 // Where there are other sidecars, one that stops sends its callers there while it still answers what it has.
 func TestStopHandsOver(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := startOneOf(t, 2, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := startOneOf(t, 2, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.server.quiet = time.Millisecond
-	rg.linger(time.Hour, time.Hour)
+	rg.server.quietPeriod = time.Millisecond
+	rg.setShutdown(time.Hour, time.Hour)
 	idles := rg.connect(2)
 	answer := make(chan *http.Response)
 	go func() { answer <- rg.send(idles[0], rg.request("once", 9*time.Second)) }()
@@ -805,7 +805,7 @@
 	if res := <-answer; res == nil || res.StatusCode != 200 || !res.Close {
 		t.Errorf("answer %+v", res)
 	}
-	rg.over()
+	rg.awaitEnd()
 }
 
 // An id is one request's. Another request with it, while it is out or shortly after, is turned away and goes
@@ -814,7 +814,7 @@
 
 func ruleTakenIDIsTurnedAway(t *testing.T) {
 	came, serve := make(chan bool, 8), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -849,18 +849,18 @@
 func TestTablesEndEmpty(t *testing.T) {
 	rg := start(t, 1024, ready("s-ffffffff", 0))
 	l := rg.server.loop
-	tell := func(rev uint64, all bool, targets ...target) {
+	tell := func(rev uint64, all bool, targets ...listedEndpoint) {
 		line, _ := json.Marshal(endpointList{Rev: rev, All: all, Targets: targets})
 		rg.lists <- string(line)
 		rg.until("the list is taken in", func() (done bool) {
-			rg.inLoop(func() { done = l.feed.Version == rev })
+			rg.inLoop(func() { done = l.versionFilter.Version == rev })
 			return done
 		})
 	}
-	full := l.bodies.Left()
+	full := l.bodyBudget.Available()
 	rev := uint64(1)
 	for i := range 20 {
-		x := peer(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+		x := startEndpoint(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
 		rev++
 		tell(rev, i%2 == 0, x)
 		if status, body := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
@@ -878,24 +878,24 @@
 		rg.inLoop(func() {
 			e := l.endpoints
 			open, idle := l.http1.Counts()
-			done = len(e.byID)+len(e.ids)+idle+open+len(l.requests) == 0 && l.bodies.Left() == full
+			done = len(e.byID)+len(e.ids)+idle+open+len(l.requests) == 0 && l.bodyBudget.Available() == full
 		})
 		open, _, staged, _ := rg.front().Counts()
 		return done && staged == 0 && open == 0
 	})
-	var past past
-	for i := range 3 * pastMost {
+	var past recentIDs
+	for i := range 3 * maxRecentIDs {
 		past.add(balancer.RequestID(fmt.Sprint(i)), 0)
 	}
-	past.add("last", 2*pastFor)
-	if len(past.at) != 1 || len(past.ids) != 1 || past.has("1", 2*pastFor) || !past.has("last", 2*pastFor) {
-		t.Errorf("%d ids are kept", len(past.at))
+	past.add("last", 2*recentIDRetention)
+	if len(past.endedAt) != 1 || len(past.ids) != 1 || past.has("1", 2*recentIDRetention) || !past.has("last", 2*recentIDRetention) {
+		t.Errorf("%d ids are kept", len(past.endedAt))
 	}
 }
 
 // Connections that say nothing are in nobody's way: they go before idle ones, and are closed in time.
 func TestMuteCallersMakeRoom(t *testing.T) {
-	rg := start(t, appfile.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -919,7 +919,7 @@
 	}
 	ask()
 	var crowd []net.Conn
-	for range 5 * rg.most() {
+	for range 5 * rg.maxConnections() {
 		crowd = append(crowd, dial())
 	}
 	ask()
@@ -935,7 +935,7 @@
 
 // What does not come whole in time gets an error or a close, however it is cut.
 func TestSlowRequestsEnd(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { t.Error("it was passed on") }))
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { t.Error("it was passed on") }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	ended := make(chan bool)
 	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
@@ -958,9 +958,9 @@
 
 // Accepting goes on when connections use up their share: the one that has been idle the longest goes.
 func TestIdleCallersMakeRoom(t *testing.T) {
-	rg := start(t, appfile.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	var first net.Conn
-	for i := range 3 * rg.most() {
+	for i := range 3 * rg.maxConnections() {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -991,7 +991,7 @@
 // it has sent. Nothing of it has run, so it is refused.
 func TestCallerBeyondTheBoundIsAnswered(t *testing.T) {
 	serve := make(chan bool)
-	rg := start(t, appfile.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -52,9 +52,9 @@
 
 // Endpoints bounds connections to endpoints.
 type Endpoints struct {
-	Share      float64
-	KeepIdle   time.Duration
-	SubsetMost int
+	Share         float64
+	KeepIdle      time.Duration
+	MaxSubsetSize int
 }
 
 // EndpointsTable is [endpoints].
@@ -66,7 +66,7 @@
 		schema.Bounds[time.Duration]{Least: 10 * time.Millisecond, Most: time.Hour, Optional: true, Example: `"10s"`}, schema.OnReload,
 		"How long an idle connection to an endpoint is kept; it has to be well below the time after which the endpoint closes it. "+
 			"Where it is left out, half of what the platform tells, or 10s."),
-	schema.Int("subset_most", func(e *Endpoints) *int { return &e.SubsetMost },
+	schema.Int("subset_most", func(e *Endpoints) *int { return &e.MaxSubsetSize },
 		schema.Bounds[int]{Least: 2, Most: 100_000, Optional: true, Example: "100"}, schema.AtStart,
 		"The most endpoints that this sidecar keeps to, so that its connections to them stay open; about seven tenths of the "+
 			"connections that endpoint_share gives is a good figure (docs/operate/fleet.md). All sidecars of an application together have to reach "+
@@ -75,30 +75,30 @@
 
 // Stop says how a sidecar ends that was told to.
 type Stop struct {
-	Longest  time.Duration
-	Grace    time.Duration
-	Margin   time.Duration
-	HandOver time.Duration
+	MaxDeadline time.Duration
+	KillGrace   time.Duration
+	KillMargin  time.Duration
+	HandOver    time.Duration
 }
 
 // StopTable is [stop].
 var StopTable = schema.NewTable("stop", "How the sidecar ends on SIGTERM; it goes on serving until shortly before SIGKILL.",
-	schema.Duration("stop_longest", func(s *Stop) *time.Duration { return &s.Longest },
+	schema.Duration("stop_longest", func(s *Stop) *time.Duration { return &s.MaxDeadline },
 		schema.Bounds[time.Duration]{Default: 3 * time.Second, Least: 0, Most: time.Hour}, schema.OnReload,
 		"SIGKILL comes no sooner than the longest deadline, or this if it is shorter, and kill_grace after SIGTERM."),
-	schema.Duration("kill_grace", func(s *Stop) *time.Duration { return &s.Grace },
+	schema.Duration("kill_grace", func(s *Stop) *time.Duration { return &s.KillGrace },
 		schema.Bounds[time.Duration]{Default: 700 * time.Millisecond, Least: 50 * time.Millisecond, Most: time.Hour}, schema.OnReload,
 		"What is added to that."),
-	schema.Duration("kill_margin", func(s *Stop) *time.Duration { return &s.Margin },
+	schema.Duration("kill_margin", func(s *Stop) *time.Duration { return &s.KillMargin },
 		schema.Bounds[time.Duration]{Default: 200 * time.Millisecond, Least: 10 * time.Millisecond, Most: time.Minute}, schema.OnReload,
 		"How long before SIGKILL all answers are out."),
 	schema.Duration("hand_over", func(s *Stop) *time.Duration { return &s.HandOver },
 		schema.Bounds[time.Duration]{Default: 700 * time.Millisecond, Least: 0, Most: time.Minute}, schema.OnReload,
 		"How long before its end a sidecar among several closes its idle connections, so that callers move on."),
 ).Check(func(f *schema.File, _ string, s *Stop, report schema.Reporter) {
-	if s.Margin >= s.Grace {
+	if s.KillMargin >= s.KillGrace {
 		report("kill_margin", "%s is no shorter than kill_grace, %s (%s): nothing would be served after SIGTERM",
-			schema.FormatDuration(s.Margin), schema.FormatDuration(s.Grace), f.Place("stop", "kill_grace"))
+			schema.FormatDuration(s.KillMargin), schema.FormatDuration(s.KillGrace), f.Place("stop", "kill_grace"))
 	}
 })
 
@@ -109,14 +109,14 @@
 
 // tuning is what these tables say.
 type tuning struct {
-	membership endpointsource.Settings
-	callers    Callers
-	endpoints  Endpoints
-	stop       Stop
-	http3      http3.Callers
-	http3to    http3.Endpoints
-	memory     Memory
-	routes     *route.Table // nil for none
+	endpointSource endpointsource.Settings
+	callers        Callers
+	endpoints      Endpoints
+	stop           Stop
+	http3Callers   http3.Callers
+	http3Endpoints http3.Endpoints
+	memory         Memory
+	routes         *route.Table // nil for none
 }
 
 // tuningOf reads a file; nil stands for one that sets nothing.
--- a/internal/standalone/transports.go
+++ b/internal/standalone/transports.go
@@ -11,54 +11,54 @@
 
 // transports are the ways to endpoints. The loop owns them.
 type transports struct {
-	usual exchange.Transport // it reaches every endpoint
-	first exchange.Transport // it is tried before, where reach says so; nil for none
-	reach protocolfallback.Tracker
+	fallback  exchange.Transport // it reaches every endpoint
+	preferred exchange.Transport // it is tried before, where reach says so; nil for none
+	tracker   protocolfallback.Tracker
 }
 
 // choose gives the way for an attempt.
 func (t *transports) choose(now time.Duration, e *exchange.Endpoint) exchange.Transport {
-	if t.first != nil && t.reach.ShouldAttempt(now, e.Address) {
-		return t.first
+	if t.preferred != nil && t.tracker.ShouldAttempt(now, e.Address) {
+		return t.preferred
 	}
-	return t.usual
+	return t.fallback
 }
 
-// ended takes how an attempt ended, and gives the way by which it has to be made once more; nil for none.
+// fallbackAfter takes how an attempt ended, and gives the way by which it has to be made once more; nil for none.
 // Nothing of it was sent then, so it is the same attempt still.
-func (t *transports) ended(now time.Duration, a *attempt, res exchange.Result) exchange.Transport {
-	if t.first == nil || a.by != t.first {
+func (t *transports) fallbackAfter(now time.Duration, a *attempt, res exchange.Result) exchange.Transport {
+	if t.preferred == nil || a.transport != t.preferred {
 		return nil
 	}
 	switch {
-	case res.Elsewhere || res.Blocked:
-		if pause, news := t.reach.RecordFailure(now, a.Endpoint.Address); news {
+	case res.Unreachable || res.Blocked:
+		if pause, news := t.tracker.RecordFailure(now, a.Endpoint.Address); news {
 			log.Printf("http3: no connection to %s; HTTP/1.1 for %v", a.Endpoint.Address, pause)
 		}
-		if res.Elsewhere {
-			return t.usual
+		if res.Unreachable {
+			return t.fallback
 		}
 	case res.Status == balancer.StatusNotSent:
-		t.reach.RecordInconclusive(a.Endpoint.Address)
+		t.tracker.RecordInconclusive(a.Endpoint.Address)
 	default:
-		t.reach.RecordSuccess(a.Endpoint.Address)
+		t.tracker.RecordSuccess(a.Endpoint.Address)
 	}
 	return nil
 }
 
 func (t *transports) closeIdle(e *exchange.Endpoint) {
-	t.usual.CloseIdle(e)
-	if t.first != nil {
-		t.first.CloseIdle(e)
+	t.fallback.CloseIdle(e)
+	if t.preferred != nil {
+		t.preferred.CloseIdle(e)
 	}
 }
 
 func (t *transports) sweep(now time.Time) {
-	t.usual.Sweep(now)
-	if t.first != nil {
-		t.first.Sweep(now)
+	t.fallback.Sweep(now)
+	if t.preferred != nil {
+		t.preferred.Sweep(now)
 	}
 }
 
-// forget drops what is known of an endpoint that is listed no more.
-func (t *transports) forget(e *exchange.Endpoint) { t.reach.Forget(e.Address) }
+// remove drops what is known of an endpoint that is listed no more.
+func (t *transports) forget(e *exchange.Endpoint) { t.tracker.Forget(e.Address) }
