--- a/internal/standalone/backlog.go
+++ b/internal/standalone/backlog.go
@@ -3,10 +3,10 @@
 import "log"
 
 const (
-	// maxChunkEntries is how many entries of a list the loop takes in at once: about a millisecond's work. A whole list of
+	// maxChunkEntries is how many entries of a list the loop takes in at once: about a millisecond's work. A complete list of
 	// 10,000 others held every request up for 40 ms.
 	maxChunkEntries = 500
-	// maxBacklogSteps bounds the parts that wait. Discovery that sends long lists without a pause is waited for then.
+	// maxBacklogSteps bounds the chunks that wait. Discovery that sends long lists without a pause is waited for then.
 	maxBacklogSteps = 200
 )
 
@@ -15,7 +15,7 @@
 	steps []func()
 }
 
-// closedChannel is ready.
+// closedChannel is always ready.
 var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
@@ -30,16 +30,18 @@
 	return closedChannel
 }
 
-// next does what waits longest.
+// next does what has waited longest.
 func (b *backlog) next() {
 	first := b.steps[0]
-	b.steps[0] = nil // let go of it
-	if b.steps = b.steps[1:]; len(b.steps) == 0 {
+	b.steps[0] = nil // so that it can be collected
+	b.steps = b.steps[1:]
+	if len(b.steps) == 0 {
 		b.steps = nil
 	}
 	first()
 }
 
+// add has something done after all that waits: now if nothing does and it is all there is.
 // add has something done after all that waits: now if nothing does and it is all there is.
 func (b *backlog) add(steps ...func()) {
 	if len(b.steps) == 0 && len(steps) == 1 {
--- /dev/null
+++ b/internal/standalone/host.go
@@ -0,0 +1,89 @@
+package standalone
+
+import (
+	"log"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/network/http1"
+)
+
+// The methods in this file are the balancer.Host. They never block and never call the Balancer.
+
+// Send makes the next attempt of a request.
+func (l *loop) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	r := l.requests[id]
+	a := newAttempt(r, l.endpoints.byID[to], timeout, &l.bodyBudget)
+	r.attempts++
+	r.retryReserved = false
+	r.inFlight = a
+	if l.memory != nil {
+		a.gate = l.memory.beginAttempt(l.now(), r, a.Endpoint)
+	}
+	l.scheduleHedge(a)
+	l.dispatch(a, l.transports.choose(l.now(), a.Endpoint))
+}
+
+// Reject answers a request that has not run.
+func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	l.endRequest(id, answer{rejected: true, retryAfter: retryAfter})
+}
+
+// Fail answers a request that may have run.
+func (l *loop) Fail(id balancer.RequestID) { l.endRequest(id, answer{}) }
+
+// Cancel cancels an attempt that is still in flight; its outcome follows.
+func (l *loop) Cancel(id balancer.RequestID, number int) {
+	if r := l.requests[id]; r != nil && r.inFlight != nil && r.inFlight.number == number {
+		r.inFlight.cancel()
+	}
+}
+
+// SetTimer has the Balancer called after a while.
+func (l *loop) SetTimer(token uint64, after time.Duration) {
+	time.AfterFunc(after, func() {
+		l.post(func() { l.balancer.HandleTimer(l.now(), token) })
+	})
+}
+
+// HealthCheck asks an endpoint how it is.
+func (l *loop) HealthCheck(to balancer.EndpointID) {
+	e := l.endpoints.byID[to]
+	if e == nil {
+		return
+	}
+	sent := time.Now()
+	go func() {
+		status := http1.Probe(e, l.config.Settings.ConnectTimeout)
+		l.post(func() {
+			result := balancer.HealthCheckResult{Endpoint: to, Status: status, Elapsed: time.Since(sent)}
+			l.balancer.HandleHealthCheck(l.now(), result)
+		})
+	}()
+}
+
+// SendToPeer has nowhere to send: the Balancer sends its peers nothing, and no peer sockets are opened for it.
+func (l *loop) SendToPeer(int, []byte) {}
+
+// WatchEndpoints begins or ends the watch on discovery, where discovery has to be asked.
+func (l *loop) WatchEndpoints(on bool) {
+	l.watcher.stop()
+	if on {
+		l.watcher.start(l.versionFilter.WatchFrom())
+	}
+}
+
+// FetchEndpoints asks discovery for the complete list once.
+func (l *loop) FetchEndpoints() {
+	if l.config.Discovery != "" { // Consul may be all there is
+		l.watcher.fetch()
+	}
+}
+
+// CloseIdleConnections closes the connections to an endpoint that no attempt uses.
+func (l *loop) CloseIdleConnections(to balancer.EndpointID) {
+	l.transports.closeIdle(l.endpoints.byID[to])
+}
+
+// Log writes a line of the Balancer's.
+func (l *loop) Log(text string) { log.Print(text) }
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/x509"
+	"errors"
 	"fmt"
 	"log"
 	"net"
@@ -14,40 +15,50 @@
 	"quincegap/internal/network/http3"
 )
 
-// openHTTP3Front opens the front for HTTP/3; nil where none is set.
-func openHTTP3Front(c *Config, handler http.Handler, b http1.Bounds) (*http3.Front, error) {
-	set := c.tuning.http3Callers
-	if set.Listen == "" {
+// openHTTP3Front opens the front for HTTP/3; nil where none is set. Its errors name the file or http3_listen.
+func openHTTP3Front(c *Config, handler http.Handler, bounds http1.Bounds) (*http3.Front, error) {
+	settings := c.tuning.http3Callers
+	if settings.Listen == "" {
 		return nil, nil
 	}
-	pair, err := certfile.NewReloader(c.product.Resolve(set.Cert), c.product.Resolve(set.Key), log.Printf)
+	security, err := loadSecurity(c, settings)
 	if err != nil {
 		return nil, err
 	}
-	sec := http3.Security{Certificate: pair.GetCertificate}
-	if set.Secret != "" {
-		secret, err := secretfile.ReadToken(c.product.Resolve(set.Secret))
-		if err != nil {
-			return nil, err
-		}
-		sec.Secret = []byte(secret)
-	}
-	socket, err := listenUDP(set.Listen)
+	socket, err := listenUDP(settings.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("http3_listen: %w", err)
 	}
-	front, err := http3.NewFront(socket, handler, set, http3.Bounds{
-		MaxHeader: b.MaxHeader, RequestTimeout: b.RequestTimeout,
-		IdleTimeout: b.IdleTimeout, WriteTimeout: b.WriteTimeout,
-	}, sec)
+	front, err := http3.NewFront(socket, handler, settings, http3.Bounds{
+		MaxHeader: bounds.MaxHeader, RequestTimeout: bounds.RequestTimeout,
+		IdleTimeout: bounds.IdleTimeout, WriteTimeout: bounds.WriteTimeout,
+	}, security)
 	if err != nil {
-		socket.Close()
-		return nil, err
+		return nil, errors.Join(err, socket.Close())
 	}
 	log.Printf("%s: HTTP/3 on %s", c.Name, socket.LocalAddr())
 	return front, nil
 }
 
+// loadSecurity reads the certificate and the secret that the settings name.
+func loadSecurity(c *Config, settings http3.Callers) (security http3.Security, err error) {
+	pair, err := certfile.NewReloader(c.product.Resolve(settings.Cert), c.product.Resolve(settings.Key), log.Printf)
+	if err != nil {
+		return security, err
+	}
+	security.Certificate = pair.GetCertificate
+	if settings.Secret == "" {
+		return security, nil
+	}
+	secret, err := secretfile.ReadToken(c.product.Resolve(settings.Secret))
+	if err != nil {
+		return security, err
+	}
+	security.Secret = []byte(secret)
+	return security, nil
+}
+
+// listenUDP opens a socket at host:port.
 func listenUDP(address string) (*net.UDPConn, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -56,6 +67,8 @@
 	return net.ListenUDP("udp", at)
 }
 
+// altSvcHeader is the value of Alt-Svc that tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3); empty
+// where they are told nothing.
 // altSvcHeader tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3).
 func altSvcHeader(at net.Addr, lasts time.Duration) string {
 	udp, ok := at.(*net.UDPAddr)
@@ -66,15 +79,15 @@
 }
 
 // openHTTP3Transport opens the transport for HTTP/3 to endpoints; nil where none is set.
-func openHTTP3Transport(c *Config, most int, maxIdle time.Duration) (*http3.Transport, error) {
-	set := c.tuning.http3Endpoints
-	if set.Use == http3.Never {
+func openHTTP3Transport(c *Config, maxConnections int, idleTimeout time.Duration) (*http3.Transport, error) {
+	settings := c.tuning.http3Endpoints
+	if settings.Use == http3.Never {
 		return nil, nil
 	}
 	var pool *x509.CertPool
-	if set.CA != "" {
+	if settings.CA != "" {
 		var err error
-		if pool, err = certfile.LoadPool(c.product.Resolve(set.CA)); err != nil {
+		if pool, err = certfile.LoadPool(c.product.Resolve(settings.CA)); err != nil {
 			return nil, err
 		}
 	}
@@ -82,5 +95,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return http3.NewTransport(socket, set, pool, most, maxIdle), nil
+	return http3.NewTransport(socket, settings, pool, maxConnections, idleTimeout), nil
 }
--- /dev/null
+++ b/internal/standalone/recent_ids.go
@@ -0,0 +1,40 @@
+package standalone
+
+import (
+	"time"
+
+	"quincegap/internal/balancer"
+)
+
+const (
+	// recentIDRetention is how long the id of a request that has ended is kept.
+	recentIDRetention = 10 * time.Second
+	// maxRecentIDs bounds those that are kept.
+	maxRecentIDs = 4096
+)
+
+// recentIDs holds the ids of requests that have ended a short while ago. An id is new with every request: one that
+// comes again is another's, and endpoints may run it twice or reject it. The zero value is empty. The loop owns it.
+type recentIDs struct {
+	endedAt map[balancer.RequestID]time.Duration
+	ids     []balancer.RequestID // in the order in which they ended
+}
+
+// add keeps the id of a request that ends now, and drops those that ended too long ago.
+func (r *recentIDs) add(id balancer.RequestID, now time.Duration) {
+	if r.endedAt == nil {
+		r.endedAt = map[balancer.RequestID]time.Duration{}
+	}
+	for len(r.ids) > 0 && (len(r.ids) >= maxRecentIDs || now-r.endedAt[r.ids[0]] > recentIDRetention) {
+		delete(r.endedAt, r.ids[0])
+		r.ids = r.ids[1:]
+	}
+	r.endedAt[id] = now
+	r.ids = append(r.ids, id)
+}
+
+// has reports whether the request of an id ended a short while ago.
+func (r *recentIDs) has(id balancer.RequestID, now time.Duration) bool {
+	endedAt, ok := r.endedAt[id]
+	return ok && now-endedAt <= recentIDRetention
+}
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -1,6 +1,7 @@
 package standalone
 
 import (
+	"context"
 	"log"
 	"math"
 	"net"
@@ -19,7 +20,7 @@
 const memoryLimitShare = 0.75
 
 // Run serves until a signal arrives on stop, and then ends what was taken. A signal on reload makes it read
-// its configuration file again.
+// its configuration file again. Its error is one of the start, or of a front that could not go on.
 func Run(c *Config, stop, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.Limits.MemoryMB<<20)))
@@ -27,7 +28,8 @@
 	if err != nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", c.Listen)
+	var open net.ListenConfig
+	listener, err := open.Listen(context.Background(), "tcp", c.Listen)
 	if err != nil {
 		return err
 	}
@@ -38,7 +40,8 @@
 	return s.run(listener.Addr(), stop, reload)
 }
 
-func (s *server) run(at net.Addr, stop, reload <-chan os.Signal) error {
+// run joins the group, runs the loop and serves until a signal arrives on stop.
+func (s *server) run(address net.Addr, stop, reload <-chan os.Signal) error {
 	if err := s.joinGroup(); err != nil {
 		return err
 	}
@@ -57,13 +60,21 @@
 	}()
 	s.config.logUnused()
 	if s.config.admin != nil {
-		stop, err := s.config.admin(s.loop.endpointView, s.group.fleet)
+		stopAdmin, err := s.config.admin(s.loop.endpointView, s.group.fleet)
 		if err != nil {
 			return err
 		}
-		defer stop()
+		defer stopAdmin()
 	}
-	log.Printf("%s: serving on %s", s.config.Name, at)
+	log.Printf("%s: serving on %s", s.config.Name, address)
+	if err := s.serve(); err != nil {
+		return err
+	}
+	return <-stopped
+}
+
+// serve takes requests by all fronts until they are stopped, or returns the first error.
+func (s *server) serve() error {
 	served := make(chan error, len(s.fronts))
 	for _, f := range s.fronts {
 		go func() { served <- f.Serve() }()
@@ -73,7 +84,7 @@
 			return err
 		}
 	}
-	return <-stopped
+	return nil
 }
 
 // reload reads the configuration files again: it takes up the discovery that they name now, and of the
@@ -91,13 +102,11 @@
 	// One event for the loop and one pointer for the handlers: no half of it is ever in force.
 	c.tuning.routes.Keep(s.tuning.Load().routes)
 	s.tuning.Store(c.tuning)
-	refollow := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, c.file), func(x *schema.Setting) bool {
-		return x.Path[0] == "consul" || x.Path[0] == endpointsource.SettingsTable.Name && x.Key.Name == "source"
-	})
+	followAnew := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, c.file), namesFollower)
 	s.loop.post(func() {
 		s.loop.http1.SetMaxIdle(s.config.idleTimeout(c.tuning))
 		s.loop.applyEndpoints(s.loop.merger.UpdateSettings(s.loop.now(), c.tuning.endpointSource))
-		if refollow {
+		if followAnew {
 			s.loop.startFollower(c.follower)
 		}
 		s.loop.switchDiscovery(c.Discovery, c.token)
@@ -107,3 +116,8 @@
 	// Said when it is in force: who waits for this line finds it so.
 	log.Printf("reload: discovery is %s", c.Discovery)
 }
+
+// namesFollower reports whether a setting tells which source is followed beside discovery, and how.
+func namesFollower(x *schema.Setting) bool {
+	return x.Path[0] == "consul" || x.Path[0] == endpointsource.SettingsTable.Name && x.Key.Name == "source"
+}
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -13,12 +13,12 @@
 // Callers bounds what callers may do.
 type Callers struct {
 	IdleTimeout    time.Duration
-	RequestTimeout time.Duration
-	MaxHeader      int64
-	MaxBody        int64
-	Share          float64
-	BodyShare      float64
-	TooEarly       bool
+	RequestTimeout time.Duration // for a complete request to come
+	MaxHeader      int64         // bytes of one request's headers
+	MaxBody        int64         // bytes of one request's body
+	Share          float64       // of limits.sockets, for callers' connections
+	BodyShare      float64       // of limits.memory, for all bodies together
+	TooEarly       bool          // unsafe requests in a proxy's early data are answered 425
 }
 
 // CallersTable is [callers].
@@ -52,9 +52,9 @@
 
 // Endpoints bounds connections to endpoints.
 type Endpoints struct {
-	Share         float64
-	KeepIdle      time.Duration
-	MaxSubsetSize int
+	Share         float64       // of limits.sockets, for connections to endpoints
+	KeepIdle      time.Duration // of an idle connection; 0 for what the platform tells, or the default
+	MaxSubsetSize int           // endpoints that this sidecar keeps to; 0 for all
 }
 
 // EndpointsTable is [endpoints].
@@ -73,12 +73,13 @@
 			"every endpoint: subset_most times their number has to be above the number of endpoints, else the others get no calls."),
 )
 
-// Stop says how a sidecar ends that was told to.
+// Stop says how a sidecar shuts down. SIGKILL is expected after the longest deadline of a class, MaxDeadline at most, and
+// KillGrace.
 type Stop struct {
 	MaxDeadline time.Duration
 	KillGrace   time.Duration
-	KillMargin  time.Duration
-	HandOver    time.Duration
+	KillMargin  time.Duration // before SIGKILL, when all answers are out
+	HandOver    time.Duration // before the end, when idle connections are closed where there are other sidecars
 }
 
 // StopTable is [stop].
@@ -102,6 +103,34 @@
 	}
 })
 
+// Memory says what is remembered across a death, and where.
+type Memory struct {
+	Dir           string        // empty for no memory
+	MaxRequests   int           // remembered at once
+	MaxBytes      int64         // of all that is remembered
+	WriteTimeout  time.Duration // of an attempt for its record
+	ListRetention time.Duration // of the saved list of endpoints; 0 for none
+}
+
+// MemoryTable is [memory].
+var MemoryTable = schema.NewTable("memory", "What is remembered on a disk across a death of the sidecar. Off unless memory_dir is set.",
+	schema.String("memory_dir", func(m *Memory) *string { return &m.Dir },
+		schema.Text{Example: "/var/lib/quincegap/front", Type: "path"}, schema.AtStart,
+		"A directory of this sidecar alone, on a disk that lasts."),
+	schema.Int("remembered_requests", func(m *Memory) *int { return &m.MaxRequests },
+		schema.Bounds[int]{Default: 100_000, Least: 100, Most: 10_000_000}, schema.AtStart,
+		"Requests that may be remembered at once; each takes about 400 bytes of memory."),
+	schema.Size("memory_size", func(m *Memory) *int64 { return &m.MaxBytes },
+		schema.Bounds[int64]{Default: 64 << 20, Least: 1 << 20, Most: 64 << 30}, schema.AtStart,
+		"What may be remembered, in bytes; the files take up to twice this and 12 MiB."),
+	schema.Duration("memory_wait", func(m *Memory) *time.Duration { return &m.WriteTimeout },
+		schema.Bounds[time.Duration]{Default: 250 * time.Millisecond, Least: time.Millisecond, Most: time.Minute}, schema.AtStart,
+		"How long an attempt waits at most until it is remembered; then without_memory of its class says what follows."),
+	schema.Duration("list_keep", func(m *Memory) *time.Duration { return &m.ListRetention },
+		schema.Bounds[time.Duration]{Default: time.Hour, Least: 0, Most: 30 * 24 * time.Hour}, schema.AtStart,
+		"How old the list of endpoints may be that a start goes on with until discovery answers."),
+)
+
 // Tables are this package's, in the order in which a file has them.
 func Tables() []*schema.Table {
 	return []*schema.Table{CallersTable.Table, EndpointsTable.Table, StopTable.Table, MemoryTable.Table, http3.CallersTable.Table, http3.EndpointsTable.Table}
@@ -123,9 +152,23 @@
 func tuningOf(f *schema.File) *tuning {
 	if f == nil {
 		return &tuning{
-			*endpointsource.SettingsTable.Default(), *CallersTable.Default(), *EndpointsTable.Default(), *StopTable.Default(),
-			*http3.CallersTable.Default(), *http3.EndpointsTable.Default(), *MemoryTable.Default(), nil,
+			endpointSource: *endpointsource.SettingsTable.Default(),
+			callers:        *CallersTable.Default(),
+			endpoints:      *EndpointsTable.Default(),
+			stop:           *StopTable.Default(),
+			http3Callers:   *http3.CallersTable.Default(),
+			http3Endpoints: *http3.EndpointsTable.Default(),
+			memory:         *MemoryTable.Default(),
 		}
 	}
-	return &tuning{*endpointsource.SettingsTable.In(f), *CallersTable.In(f), *EndpointsTable.In(f), *StopTable.In(f), *http3.CallersTable.In(f), *http3.EndpointsTable.In(f), *MemoryTable.In(f), route.Compile(f)}
+	return &tuning{
+		endpointSource: *endpointsource.SettingsTable.In(f),
+		callers:        *CallersTable.In(f),
+		endpoints:      *EndpointsTable.In(f),
+		stop:           *StopTable.In(f),
+		http3Callers:   *http3.CallersTable.In(f),
+		http3Endpoints: *http3.EndpointsTable.In(f),
+		memory:         *MemoryTable.In(f),
+		routes:         route.Compile(f),
+	}
 }
--- a/internal/standalone/transports.go
+++ b/internal/standalone/transports.go
@@ -9,14 +9,14 @@
 	"quincegap/internal/network/exchange"
 )
 
-// transports are the ways to endpoints. The loop owns them.
+// transports are the protocols to endpoints. The loop owns them.
 type transports struct {
 	fallback  exchange.Transport // it reaches every endpoint
-	preferred exchange.Transport // it is tried before, where reach says so; nil for none
+	preferred exchange.Transport // it is tried before, where tracker says so; nil for none
 	tracker   protocolfallback.Tracker
 }
 
-// choose gives the way for an attempt.
+// choose gives the transport for an attempt.
 func (t *transports) choose(now time.Duration, e *exchange.Endpoint) exchange.Transport {
 	if t.preferred != nil && t.tracker.ShouldAttempt(now, e.Address) {
 		return t.preferred
@@ -24,21 +24,21 @@
 	return t.fallback
 }
 
-// fallbackAfter takes how an attempt ended, and gives the way by which it has to be made once more; nil for none.
+// fallbackAfter takes how an attempt ended, and gives the transport by which it has to be made once more; nil for none.
 // Nothing of it was sent then, so it is the same attempt still.
-func (t *transports) fallbackAfter(now time.Duration, a *attempt, res exchange.Result) exchange.Transport {
+func (t *transports) fallbackAfter(now time.Duration, a *attempt, result exchange.Result) exchange.Transport {
 	if t.preferred == nil || a.transport != t.preferred {
 		return nil
 	}
 	switch {
-	case res.Unreachable || res.Blocked:
-		if pause, news := t.tracker.RecordFailure(now, a.Endpoint.Address); news {
+	case result.Unreachable || result.Blocked:
+		if pause, changed := t.tracker.RecordFailure(now, a.Endpoint.Address); changed {
 			log.Printf("http3: no connection to %s; HTTP/1.1 for %v", a.Endpoint.Address, pause)
 		}
-		if res.Unreachable {
+		if result.Unreachable {
 			return t.fallback
 		}
-	case res.Status == balancer.StatusNotSent:
+	case result.Status == balancer.StatusNotSent:
 		t.tracker.RecordInconclusive(a.Endpoint.Address)
 	default:
 		t.tracker.RecordSuccess(a.Endpoint.Address)
@@ -46,6 +46,7 @@
 	return nil
 }
 
+// closeIdle closes the connections to an endpoint that no attempt uses.
 func (t *transports) closeIdle(e *exchange.Endpoint) {
 	t.fallback.CloseIdle(e)
 	if t.preferred != nil {
@@ -53,6 +54,7 @@
 	}
 }
 
+// sweep closes connections that have been idle for too long.
 func (t *transports) sweep(now time.Time) {
 	t.fallback.Sweep(now)
 	if t.preferred != nil {
