--- a/internal/files/store/golden_recorded_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -64,7 +64,9 @@
 // A folder of three segments as a process has left it: testdata/golden/folder has each file in hexadecimal.
 const recordedFolder = "recorded/folder"
 
-func recordedClock() Timestamp { return Timestamp{WallMillis: 1_800_000_000_000, BootID: 7, UptimeMillis: 1_000_000} }
+func recordedClock() Timestamp {
+	return Timestamp{WallMillis: 1_800_000_000_000, BootID: 7, UptimeMillis: 1_000_000}
+}
 
 // recordedValues are what the folder holds: value and time left of each key.
 var recordedValues = map[string]string{
@@ -128,36 +130,52 @@
 		if err := os.WriteFile(dir.path(name), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		// What is read is written again as it was, header and frames.
-		h, err := decodeHeader(name, data)
-		if err != nil {
-			t.Fatal(err)
-		}
-		again := h.encode()
-		for rest := data[h.size():]; len(rest) > 0; {
-			f, ok := decodeFrame(rest)
-			if !ok {
-				t.Fatalf("%s: no frame at byte %d", name, len(data)-len(rest))
-			}
-			again, rest = appendFrame(again, &f), rest[f.size:]
-		}
-		if !bytes.Equal(again, data) {
-			t.Errorf("%s: written again as %x", name, again)
+		checkRecordedEncoding(t, name, data)
+	}
+	checkRecordedReport(t, dir, len(files))
+	checkRecordedContent(t, dir)
+}
+
+// checkRecordedEncoding checks that what is read of a segment is written again as it was, header and frames.
+func checkRecordedEncoding(t *testing.T, name string, data []byte) {
+	t.Helper()
+	h, err := decodeHeader(name, data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again := h.encode()
+	for rest := data[h.size():]; len(rest) > 0; {
+		f, ok := decodeFrame(rest)
+		if !ok {
+			t.Fatalf("%s: no frame at byte %d", name, len(data)-len(rest))
 		}
+		again = appendFrame(again, &f)
+		rest = rest[f.size:]
+	}
+	if !bytes.Equal(again, data) {
+		t.Errorf("%s: written again as %x", name, again)
 	}
+}
 
-	looked := map[string]string{}
+// checkRecordedReport checks what an inspection finds.
+func checkRecordedReport(t *testing.T, dir Dir, segments int) {
+	t.Helper()
+	inspected := map[string]string{}
 	report, err := Inspect(dir, recordedClock, func(r Record) error {
-		looked[string(r.Key)] = string(r.Value) + ", " + r.TimeLeft.String()
+		inspected[string(r.Key)] = string(r.Value) + ", " + r.TimeLeft.String()
 		return nil
 	})
-	if err != nil || !maps.Equal(looked, recordedValues) {
-		t.Errorf("Look: %v, %v", looked, err)
+	if err != nil || !maps.Equal(inspected, recordedValues) {
+		t.Fatalf("Inspect: %v, %v", inspected, err)
 	}
-	if report == nil || report.LiveRecords != len(recordedValues) || report.TornBytes != 0 || len(report.Damage) != 0 || len(report.Segments) != len(files) {
-		t.Errorf("Look: %+v", report)
+	if report.LiveRecords != len(recordedValues) || report.TornBytes != 0 || len(report.Damage) != 0 || len(report.Segments) != segments {
+		t.Errorf("Inspect: %+v", report)
 	}
+}
 
+// checkRecordedContent checks what a store has that is opened.
+func checkRecordedContent(t *testing.T, dir Dir) {
+	t.Helper()
 	s, err := Open(dir, Options{Clock: recordedClock})
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +183,7 @@
 	opened := map[string]string{}
 	if err := s.Range(func(key, value []byte, left time.Duration) bool {
 		if left < 0 {
-			left = -1 // it stays: Look says so by -1, All by some time below 0
+			left = -1 // it doesn't expire: Inspect says so by -1, Range by some time below 0
 		}
 		opened[string(key)] = string(value) + ", " + left.String()
 		return true
