--- a/internal/mesh/control/controlplane/lifetime.go
+++ b/internal/mesh/control/controlplane/lifetime.go
@@ -29,7 +29,11 @@
 	if l.closed {
 		return false
 	}
-	l.goroutines.Go(func() { f(l.ctx) })
+	l.goroutines.Add(1)
+	go func() { // by hand, as WaitGroup.Go would allocate once more for each request to a peer
+		defer l.goroutines.Done()
+		f(l.ctx)
+	}()
 	return true
 }
 
