--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -115,7 +115,7 @@
 
 // With a voter cut off, slow, or on a disk that hangs or fails, changes are taken; with two they are unclear, until one of
 // them is back.
-func TestVotersInTrouble(t *testing.T) {
+func TestFaultyVoters(t *testing.T) {
 	const faulty = 2
 	configure := func(co *testCore, f func(m *memoryStore)) {
 		m := co.disks[node(faulty)]
@@ -207,7 +207,7 @@
 }
 
 // A replica that lost its disk doesn't vote while it can't read from both others.
-func TestAmnesiacIsUnfit(t *testing.T) {
+func TestVoterWithoutRecordIsNotReady(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, co *testCore) {
 		co.c.Assert(co.replace(ctx, 0, 0, 5), qt.Equals, Applied)
 		co.stop(2)
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -282,7 +282,7 @@
 	qt.Assert(t, took[runs-1] < catchUp, qt.IsTrue)
 }
 
-func TestPeerTable(t *testing.T) {
+func TestFailureDetector(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -330,7 +330,7 @@
 }
 
 // A process that stood still itself takes nobody for unresponsive, and plans nothing.
-func TestStandingStillIsNoSilence(t *testing.T) {
+func TestSuspensionIsNoTimeout(t *testing.T) {
 	grownAfter(t, func(_ context.Context, co *testCore) {
 		d := co.server(1)
 		r := newVoterMonitor(d.voters, d.log)
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -146,7 +146,7 @@
 
 // A short time-out leaves the voters as they are. After a longer one another takes the place of the unresponsive voter; without
 // another the voter stays, also after hours.
-func TestSilentVoterIsReplaced(t *testing.T) {
+func TestUnresponsiveVoterIsReplaced(t *testing.T) {
 	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
 		co.isolate(0, true)
 		time.Sleep(consensus.ReplaceDelay - probeTicks*reconfigureInterval)
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestSpoiltRecordsAreNamed(t *testing.T) {
+func TestCorruptRecordsAreNamed(t *testing.T) {
 	c := qt.New(t)
 	store := open(t, t.TempDir())
 	c.Assert(store.Put("good", []byte("x")), qt.IsNil)
