--- a/internal/doctest/names_test.go
+++ b/internal/doctest/names_test.go
@@ -223,3 +223,26 @@
 		t.Errorf("only %d names were looked at", seen)
 	}
 }
+
+var (
+	deliberateFault = regexp.MustCompile(`(?m)^fault ["'](.+?)["'] (\S+) `)
+	faultRow        = regexp.MustCompile("(?m)^\\| (.+?) \\| `([^`]+)` \\| .+ \\|$")
+)
+
+// The page on tests has each deliberate fault that the script puts into the code, with the file that it is put into.
+func TestPageHasEachDeliberateFault(t *testing.T) {
+	const script, page = "internal/mesh/control/mutants.sh", "docs/design/testing.md"
+	onPage := map[string]string{}
+	for _, row := range faultRow.FindAllStringSubmatch(read(t, page), -1) {
+		onPage[row[1]] = row[2]
+	}
+	faults := deliberateFault.FindAllStringSubmatch(read(t, script), -1)
+	if len(faults) < 50 {
+		t.Errorf("only %d faults were looked at", len(faults))
+	}
+	for _, fault := range faults {
+		if onPage[fault[1]] != fault[2] {
+			t.Errorf("%s: fault %q in %s: %s has it in %q", script, fault[1], fault[2], page, onPage[fault[1]])
+		}
+	}
+}
