--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -1,8 +1,9 @@
-// Package archtest holds the rules of docs/architecture.md as a test.
+// Package archtest holds the rules of docs/architecture.md on who may import whom, as a test.
 package archtest
 
 import (
 	"encoding/json"
+	"errors"
 	"io"
 	"os/exec"
 	"slices"
@@ -10,36 +11,73 @@
 	"testing"
 )
 
-// module is the path that the project's own packages begin with.
+// module is what the import paths of the project's own packages begin with.
 const module = "quincegap/"
 
-// folders are the tree as docs/architecture.md has it, the highest first. A package imports lower folders only, and of its
-// own folder those of later ranks. A folder without ranks has no order of its own.
-var folders = []struct {
+// minPackages is how many packages the test has to see at least: fewer mean that it looked in the wrong place.
+const minPackages = 10
+
+// folder is a part of the tree. Its packages may import those of lower folders and, of the folder itself, those of later ranks.
+type folder struct {
 	path  string
-	ranks string // packages; ranks are split by a bar, the highest first
-}{
-	{"cmd", ""},
-	{"internal/tool", "."},
-	{"internal/product", "."},
-	{"internal/mesh", "assembly operations/meshctl | agent dataplane/outbound control/controlplane operations/eventlog | dataplane/inbound operations/eventfeed | transport control/storage operations/settings operations/logging | operations/events control/ratelimit discovery discovery/membership control/consensus control/lease dataplane/admission | dataplane/outcome control/configuration transport/codec"},
-	{"internal/rehearsal", "rehearse report | experiment fleet | dryrun | morning | emulator audit"},
-	{"internal/standalone", "."},
-	{"internal/simadapter", "."},
-	{"internal/network", "consul admin gossip | http1 http3 | exchange"},
-	{"internal/standin", "application authority booking consul disk h3 relay udp"},
-	{"internal/lifecycle", "."},
-	{"internal/files", "certfile store | atomicfile secretfile"},
-	{"internal/modules", "endpointsource idempotency peers protocolfallback route timeslot"},
-	{"internal/config", "apps | appfile | schema | doc | finding settings"},
-	{"internal/balancer", "."},
-	{"internal/structures", "hashring | deadlinequeue rendezvous throttle weightedring weightedsample"},
-	{"internal/golden", "."},
-	{"internal/doctest", "."},
+	ranks [][]string // packages, the highest rank first; "." is the folder itself; none: the packages have no order
+}
+
+// folders is the tree as docs/architecture.md shows it, the highest first.
+var folders = []folder{
+	{"cmd", nil},
+	{"internal/tool", [][]string{{"."}}},
+	{"internal/product", [][]string{{"."}}},
+	{"internal/mesh", [][]string{
+		{"assembly", "operations/meshctl"},
+		{"agent", "dataplane/outbound", "control/controlplane", "operations/eventlog"},
+		{"dataplane/inbound", "operations/eventfeed"},
+		{"transport", "control/storage", "operations/settings", "operations/logging"},
+		{
+			"operations/events", "control/ratelimit", "discovery", "discovery/membership", "control/consensus", "control/lease",
+			"dataplane/admission",
+		},
+		{"dataplane/outcome", "control/configuration", "transport/codec"},
+	}},
+	{"internal/rehearsal", [][]string{
+		{"rehearse", "report"},
+		{"experiment", "fleet"},
+		{"dryrun"},
+		{"morning"},
+		{"emulator", "audit"},
+	}},
+	{"internal/standalone", [][]string{{"."}}},
+	{"internal/simadapter", [][]string{{"."}}},
+	{"internal/network", [][]string{
+		{"consul", "admin", "gossip"},
+		{"http1", "http3"},
+		{"exchange"},
+	}},
+	{"internal/standin", [][]string{{"application", "authority", "booking", "consul", "disk", "h3", "relay", "udp"}}},
+	{"internal/lifecycle", [][]string{{"."}}},
+	{"internal/files", [][]string{
+		{"certfile", "store"},
+		{"atomicfile", "secretfile"},
+	}},
+	{"internal/modules", [][]string{{"endpointsource", "idempotency", "peers", "protocolfallback", "route", "timeslot"}}},
+	{"internal/config", [][]string{
+		{"apps"},
+		{"appfile"},
+		{"schema"},
+		{"doc"},
+		{"finding", "settings"},
+	}},
+	{"internal/balancer", [][]string{{"."}}},
+	{"internal/structures", [][]string{
+		{"hashring"},
+		{"deadlinequeue", "rendezvous", "throttle", "weightedring", "weightedsample"},
+	}},
+	{"internal/golden", [][]string{{"."}}},
+	{"internal/doctest", [][]string{{"."}}},
 }
 
-// pure are the folders whose packages do no I/O, but for those named; forbidden is what they may not import for it. The
-// flow of time is an argument.
+// pure are the folders whose packages do no I/O, but for those in impure; the flow of time is an argument there. forbidden is what
+// they may not import.
 var (
 	pure   = []string{"internal/balancer", "internal/structures", "internal/modules", "internal/config", "internal/rehearsal", "internal/mesh"}
 	impure = []string{
@@ -51,83 +89,117 @@
 	forbidden = []string{"os", "net/http", "os/exec", "os/signal", "syscall", "log", "path/filepath"}
 )
 
-// place is where a package stands: its folder and the rank in it; false if it is in none.
-func place(path string) (folder, rank int, ok bool) {
+// outside are folders of packages that have no layer.
+var outside = []string{"docs", "journal", "internal/archtest"}
+
+// layer says where a package stands; a smaller folder, or a smaller rank in one folder, is higher up.
+type layer struct{ folder, rank int }
+
+// above reports whether a package may import one of the layer other.
+func (l layer) above(other layer) bool {
+	return l.folder < other.folder || l.folder == other.folder && l.rank < other.rank
+}
+
+// layerOf finds the layer of a package by its path in the module; false if it has none.
+func layerOf(path string) (layer, bool) {
 	for i, f := range folders {
-		name, in := ".", path == f.path
-		if !in && f.path != "" {
-			name, in = strings.CutPrefix(path, f.path+"/")
-		}
-		switch {
-		case !in:
+		name, ok := f.nameOf(path)
+		if !ok {
 			continue
-		case f.ranks == "":
-			return i, 0, true
 		}
-		for r, names := range strings.Split(f.ranks, "|") {
-			if slices.Contains(strings.Fields(names), name) {
-				return i, r, true
+		if f.ranks == nil {
+			return layer{i, 0}, true
+		}
+		for rank, names := range f.ranks {
+			if slices.Contains(names, name) {
+				return layer{i, rank}, true
 			}
 		}
 	}
-	return 0, 0, false
+	return layer{}, false
+}
+
+// nameOf is the name of a package in the folder; false if it is not below it.
+func (f folder) nameOf(path string) (string, bool) {
+	if path == f.path {
+		return ".", true
+	}
+	return strings.CutPrefix(path, f.path+"/")
 }
 
 func isPure(path string) bool {
-	folder, _, _ := place(path)
-	return slices.Contains(pure, folders[folder].path) && !slices.Contains(impure, path)
+	l, _ := layerOf(path)
+	return slices.Contains(pure, folders[l.folder].path) && !slices.Contains(impure, path)
 }
 
-func TestImportsGoOneWay(t *testing.T) {
-	out, err := exec.Command("go", "list", "-json=ImportPath,Imports", module+"...").Output()
+// listedPackage is what the test needs of what go list says of a package.
+type listedPackage struct {
+	ImportPath string
+	Imports    []string
+}
+
+// listPackages are the packages of the module that have a layer, by their paths in the module.
+func listPackages(t *testing.T) map[string]listedPackage {
+	t.Helper()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", module+"...").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen, there := 0, map[string]bool{}
-	for d := json.NewDecoder(strings.NewReader(string(out))); ; {
-		var p struct {
-			ImportPath string
-			Imports    []string
-		}
-		if err := d.Decode(&p); err == io.EOF {
-			break
+	packages := map[string]listedPackage{}
+	decoder := json.NewDecoder(strings.NewReader(string(out)))
+	for {
+		var p listedPackage
+		if err := decoder.Decode(&p); errors.Is(err, io.EOF) {
+			return packages
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		own := func(path string) (string, bool) { return strings.CutPrefix(path, module) }
-		from, _ := own(p.ImportPath)
-		if strings.HasPrefix(from, "docs") || strings.HasPrefix(from, "journal") || strings.HasPrefix(from, "internal/archtest") {
-			continue
+		path := strings.TrimPrefix(p.ImportPath, module)
+		if !slices.ContainsFunc(outside, func(prefix string) bool { return strings.HasPrefix(path, prefix) }) {
+			packages[path] = p
 		}
-		seen++
-		there[from] = true
-		folder, rank, ok := place(from)
+	}
+}
+
+func TestImportsGoOneWay(t *testing.T) {
+	packages := listPackages(t)
+	if len(packages) < minPackages {
+		t.Errorf("only %d packages were looked at", len(packages))
+	}
+	for path, p := range packages {
+		own, ok := layerOf(path)
 		if !ok {
-			t.Errorf("%s has no place: add it here and to docs/architecture.md", from)
+			t.Errorf("%s has no layer: add it here and to docs/architecture.md", path)
 			continue
 		}
-		for _, i := range p.Imports {
-			if isPure(from) && slices.Contains(forbidden, i) {
-				t.Errorf("%s imports %s, and is to do no I/O", p.ImportPath, i)
-			}
-			to, ok := own(i)
-			if !ok {
-				continue
-			}
-			f, r, _ := place(to)
-			if f < folder || f == folder && r <= rank {
-				t.Errorf("%s imports %s, which is higher up, or beside it", from, to)
-			}
+		for _, imported := range p.Imports {
+			checkImport(t, path, own, imported)
 		}
 	}
+}
+
+func checkImport(t *testing.T, path string, own layer, imported string) {
+	t.Helper()
+	if isPure(path) && slices.Contains(forbidden, imported) {
+		t.Errorf("%s imports %s, and is to do no I/O", path, imported)
+	}
+	to, ok := strings.CutPrefix(imported, module)
+	if !ok {
+		return
+	}
+	if other, _ := layerOf(to); !own.above(other) {
+		t.Errorf("%s imports %s, which is higher up, or beside it", path, to)
+	}
+}
+
+func TestListedPackagesExist(t *testing.T) {
+	packages := listPackages(t)
 	for _, f := range folders {
-		for _, name := range strings.Fields(strings.ReplaceAll(f.ranks, "|", " ")) {
-			if path := strings.TrimSuffix(f.path+"/"+name, "/."); path != "" && !there[path] {
-				t.Errorf("%s is listed, and is not there", path)
+		for _, name := range slices.Concat(f.ranks...) {
+			path := strings.TrimSuffix(f.path+"/"+name, "/.")
+			if _, ok := packages[path]; !ok {
+				t.Errorf("%s is listed, and does not exist", path)
 			}
 		}
 	}
-	if seen < 10 {
-		t.Errorf("only %d packages were looked at", seen)
-	}
 }
