--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	qt "github.com/frankban/quicktest"
@@ -211,6 +212,7 @@
 		short, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		co.c.Assert(co.replace(short, 1, 5, 6), qt.Equals, Applied)
+		synctest.Wait() // voter 2 has met the fault, also where the other two were enough before it was asked
 		co.isolate(0, true)
 		m.configure(func() { m.fault = nil })
 		short, cancel = context.WithTimeout(ctx, 10*time.Second)
