--- /dev/null
+++ b/internal/standin/disk/file.go
@@ -0,0 +1,116 @@
+package disk
+
+import (
+	"io"
+	"math/rand/v2"
+	"slices"
+	"syscall"
+)
+
+// handle is an open file.
+type handle struct {
+	disk  *Disk
+	inode *inode
+}
+
+func (h *handle) Write(b []byte) (int, error) {
+	d := h.disk
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	losesPower, err := d.beginOperation()
+	if err != nil {
+		return 0, err
+	}
+	n := len(b)
+	if losesPower {
+		n = rand.New(rand.NewPCG(d.faults.tearSeed, 1)).IntN(n + 1)
+		err = ErrPowerLost
+	}
+	if d.faults.capacity >= 0 && n > d.faults.capacity {
+		n = d.faults.capacity
+		err = syscall.ENOSPC
+	}
+	if d.faults.capacity >= 0 {
+		d.faults.capacity -= n
+	}
+	h.append(b[:n])
+	return n, err
+}
+
+// append adds bytes to the file, which are pending until the next sync.
+func (h *handle) append(b []byte) {
+	data := slices.Clone(b)
+	h.inode.pending = append(h.inode.pending, write{offset: len(h.inode.data), data: data})
+	h.inode.data = append(h.inode.data, data...)
+	h.disk.history = append(h.disk.history, historyEntry{nameChange: nameChange{file: h.inode}, isWrite: true, data: data})
+	h.disk.units += len(data)
+}
+
+func (h *handle) Sync() error {
+	h.waitForSyncs()
+	d := h.disk
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	losesPower, err := d.beginOperation()
+	if err != nil {
+		return err
+	}
+	if losesPower {
+		return ErrPowerLost
+	}
+	if d.faults.failingSyncs > 0 {
+		d.faults.failingSyncs--
+		// What was to be made durable is taken for clean from now on, and is never written.
+		h.inode.lost = append(h.inode.lost, h.inode.pending...)
+		h.inode.pending = nil
+		return syscall.EIO
+	}
+	h.inode.durable = slices.Clone(h.inode.data)
+	for _, w := range h.inode.lost {
+		clear(h.inode.durable[w.offset : w.offset+len(w.data)])
+	}
+	h.inode.pending = nil
+	return nil
+}
+
+// waitForSyncs waits while syncs are blocked.
+func (h *handle) waitForSyncs() {
+	h.disk.mu.Lock()
+	blocked := h.disk.faults.blockedSyncs
+	h.disk.mu.Unlock()
+	if blocked != nil {
+		<-blocked
+	}
+}
+
+func (h *handle) ReadAt(b []byte, at int64) (int, error) {
+	d := h.disk
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.powerLost {
+		return 0, ErrPowerLost
+	}
+	if at >= int64(len(h.inode.data)) {
+		return 0, io.EOF
+	}
+	if d.faults.shortReads && len(b) > 1 {
+		half := (len(b) + 1) / 2
+		return copy(b[:half], h.inode.data[at:]), nil
+	}
+	n := copy(b, h.inode.data[at:])
+	if n < len(b) {
+		return n, io.EOF
+	}
+	return n, nil
+}
+
+func (h *handle) Size() (int64, error) {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	if h.disk.powerLost {
+		return 0, ErrPowerLost
+	}
+	return int64(len(h.inode.data)), nil
+}
+
+func (h *handle) Close() error { return nil }
