--- a/internal/network/gossip/figures_test.go
+++ b/internal/network/gossip/figures_test.go
@@ -11,18 +11,19 @@
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"quincegap/internal/modules/peers"
 )
 
 // cpu is the processor time that this process has used.
-func cpu() time.Duration {
+func cpu(t *testing.T) time.Duration {
+	t.Helper()
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		t.Fatal(err)
+	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is what is held, in bytes.
+// heap is the memory in use, in bytes.
 func heap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -30,7 +31,7 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// lines is a log that is kept.
+// lines keeps a log.
 type lines struct {
 	mu  sync.Mutex
 	all []string
@@ -78,39 +79,40 @@
 	})
 }
 
-// times measures one size: a start, a quiet minute, a death, a join, a healed cut.
+// times measures one size: a start, a quiet minute, a death, a join, a partition that heals.
 func times(t *testing.T, n int) string {
+	t.Helper()
 	before := heap()
-	f := newFleet(t, n, 1)
-	defer f.end()
+	fleet := newFleet(t, n, 1)
+	defer fleet.end()
 	for i := range n {
-		f.start(i, n, nil)
+		fleet.start(i, n, nil)
 	}
 	const long = 5 * time.Minute
-	start := f.within(long, "start", func() bool { return f.agree(peers.Settled) })
+	start := fleet.within(long, "start", fleet.agree)
 	held := float64(heap()-before) / float64(n)
 	sent := func() (b int) {
-		f.net.set(func() {
-			for _, x := range f.net.bytes {
+		fleet.net.set(func() {
+			for _, x := range fleet.net.bytes {
 				b += x
 			}
 		})
 		return b
 	}
 	time.Sleep(time.Minute) // what is said of the start is over
-	bytes, used := sent(), cpu()
+	bytes, used := sent(), cpu(t)
 	const quiet = time.Minute
 	time.Sleep(quiet)
 	rate := float64(sent()-bytes) / float64(n) / quiet.Seconds()
-	work := (cpu() - used).Seconds() / float64(n) / quiet.Seconds()
-	f.kill(n - 1)
-	died := f.within(long, "a death", func() bool { return f.agree(peers.Settled) })
-	f.start(n-1, n, nil)
-	joined := f.within(long, "a join", func() bool { return f.agree(peers.Settled) })
+	work := (cpu(t) - used).Seconds() / float64(n) / quiet.Seconds()
+	fleet.kill(n - 1)
+	died := fleet.within(long, "a death", fleet.agree)
+	fleet.start(n-1, n, nil)
+	joined := fleet.within(long, "a join", fleet.agree)
 	time.Sleep(time.Minute)
-	f.halve()
-	cut := f.within(long, "a cut", func() bool {
-		for i, g := range f.members {
+	fleet.halve()
+	cut := fleet.within(long, "a cut", func() bool {
+		for i, g := range fleet.members {
 			want := n - n/2
 			if i < n/2 {
 				want = n / 2
@@ -122,23 +124,24 @@
 		return true
 	})
 	time.Sleep(time.Minute)
-	f.net.set(func() { clear(f.net.cut) })
-	healed := f.within(long, "healed", func() bool { return f.agree(peers.Settled) })
+	fleet.heal()
+	healed := fleet.within(long, "healed", fleet.agree)
 	return fmt.Sprintf("| %d | %.1f s | %.1f s | %.1f s | %.1f s | %.1f s | %.0f | %.2f | %.0f |", n, start.Seconds(), died.Seconds(), joined.Seconds(),
 		cut.Seconds(), healed.Seconds(), rate, work*1000, held/1024)
 }
 
-// lossy counts for ten minutes how often a member that lives is taken for gone by another, and how often the group moves.
+// lossy counts for ten minutes how often a member that lives is taken for gone by another, and how often the group changes.
 func lossy(t *testing.T, n int, loss float64) string {
-	f := newFleet(t, n, 1)
-	defer f.end()
+	t.Helper()
+	fleet := newFleet(t, n, 1)
+	defer fleet.end()
 	said := &lines{}
 	for i := range n {
-		f.start(i, n, func(c *Config) { c.Log = said.logger() })
+		fleet.start(i, n, func(c *Config) { c.Log = said.logger() })
 	}
-	f.within(5*time.Minute, "start", func() bool { return f.agree(peers.Settled) })
+	fleet.within(5*time.Minute, "start", fleet.agree)
 	time.Sleep(time.Second) // a view is as agreed a tick before its member says so
-	f.net.set(func() { f.net.loss = loss })
+	fleet.net.set(func() { fleet.net.loss = loss })
 	said.take()
 	const length = 10 * time.Minute
 	time.Sleep(length)
--- /dev/null
+++ b/internal/network/gossip/fleet_test.go
@@ -0,0 +1,226 @@
+package gossip
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"quincegap/internal/modules/peers"
+)
+
+// convergenceTimeout is the stated time until all views are equal and settled after the last fault: it takes up to maxJoinBackoff
+// and half as much until an address is tried again, and the damping window until a name that flapped counts.
+const convergenceTimeout = 60 * time.Second
+
+// virtualFleet is members in virtual time, on a virtual network.
+type virtualFleet struct {
+	t          *testing.T
+	net        *network
+	members    []*Group // nil for one that is dead
+	history    []string // what was done to them, for a failure
+	began      time.Time
+	join       string
+	maxMembers int
+}
+
+func newFleet(t *testing.T, n int, seed uint64) *virtualFleet {
+	t.Helper()
+	return &virtualFleet{
+		t:          t,
+		net:        newNetwork(seed),
+		members:    make([]*Group, n),
+		began:      time.Now(),
+		join:       strings.Join([]string{address(0), address(1), address(2)}, ","),
+		maxMembers: 2000,
+	}
+}
+
+// record notes a step for a failure.
+func (v *virtualFleet) record(format string, args ...any) {
+	v.history = append(v.history, fmt.Sprintf("%6.2fs ", time.Since(v.began).Seconds())+fmt.Sprintf(format, args...))
+}
+
+// start starts a member, with a configuration that change may change.
+func (v *virtualFleet) start(i, expected int, change func(*Config)) {
+	v.t.Helper()
+	c := Config{
+		Settings:        *Table.Default(),
+		Name:            fmt.Sprintf("front-%03d", i),
+		Application:     "booking-front",
+		Version:         "1",
+		ExpectedMembers: expected,
+		OnShare:         func(peers.Share) {},
+		Log:             slog.New(slog.NewTextHandler(io.Discard, nil)),
+		NewTransport:    func() (memberlist.Transport, error) { return v.net.open(address(i)) },
+	}
+	c.Join = v.join
+	c.MaxMembers = v.maxMembers
+	c.Listen = address(i)
+	if change != nil {
+		change(&c)
+	}
+	g, err := Open(c)
+	if err != nil {
+		v.t.Fatal(err)
+	}
+	v.members[i] = g
+}
+
+// startAll starts all members.
+func (v *virtualFleet) startAll(change func(*Config)) {
+	v.t.Helper()
+	for i := range v.members {
+		v.start(i, len(v.members), change)
+	}
+}
+
+// kill ends a member without an announcement.
+func (v *virtualFleet) kill(i int) {
+	v.t.Helper()
+	g := v.members[i]
+	if g == nil {
+		return
+	}
+	v.members[i] = nil
+	v.net.set(func() { // nothing more of it gets out
+		if e := v.net.ends[address(i)]; e != nil {
+			e.closed = true
+			delete(v.net.ends, address(i))
+		}
+	})
+	g.stop()
+	<-g.loopDone
+	if err := g.list.Shutdown(); err != nil {
+		v.t.Error(err)
+	}
+}
+
+// addresses are those of all members, the dead ones among them.
+func (v *virtualFleet) addresses() (all []string) {
+	for i := range v.members {
+		all = append(all, address(i))
+	}
+	return all
+}
+
+// partition cuts some off from others, both ways.
+func (v *virtualFleet) partition(some, others []string) {
+	v.net.cutOff(some, others)
+	v.net.cutOff(others, some)
+}
+
+// halve cuts the first half off from the second.
+func (v *virtualFleet) halve() {
+	all := v.addresses()
+	half := len(all) / 2
+	v.partition(all[:half], all[half:])
+}
+
+// heal ends all cuts.
+func (v *virtualFleet) heal() { v.net.set(func() { clear(v.net.cut) }) }
+
+// end kills all members. memberlist's goroutines end with their timeouts, and time stands still once the test returns.
+func (v *virtualFleet) end() {
+	v.t.Helper()
+	for i := range v.members {
+		v.kill(i)
+	}
+	time.Sleep(time.Minute)
+}
+
+// state is a member's share of now.
+func (g *Group) state() (peers.Share, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	s, ok := g.view.Share(g.now())
+	return s, ok
+}
+
+// agree tells whether all that live are settled in the group of just these.
+func (v *virtualFleet) agree() bool {
+	var alive []*Group
+	for _, g := range v.members {
+		if g != nil {
+			alive = append(alive, g)
+		}
+	}
+	for _, g := range alive {
+		s, ok := g.state()
+		if !ok || s.Confidence != peers.Settled || s.Instances != len(alive) || !s.OwnsName || s.Names[s.Ordinal] != g.config.Name {
+			return false
+		}
+	}
+	return true
+}
+
+// haveShares tells whether members have shares of a confidence, a number of instances and a greatest number, 0 for any.
+func haveShares(members []*Group, confidence peers.Confidence, instances, maxInstances int) bool {
+	for _, g := range members {
+		s, _ := g.state()
+		if s.Confidence != confidence || s.Instances != instances || maxInstances != 0 && s.MaxInstances != maxInstances {
+			return false
+		}
+	}
+	return true
+}
+
+// oneSettled fails if two members are settled in groups that have nobody in common.
+func (v *virtualFleet) oneSettled() {
+	v.t.Helper()
+	var first []string
+	for i, g := range v.members {
+		if g == nil {
+			continue
+		}
+		s, ok := g.state()
+		if !ok || s.Confidence != peers.Settled {
+			continue
+		}
+		if first == nil {
+			first = s.Names
+			continue
+		}
+		if !slices.ContainsFunc(s.Names, func(name string) bool { return slices.Contains(first, name) }) {
+			v.t.Fatalf("%d is settled in %v, another one in %v\n%s", i, s.Names, first, strings.Join(v.history, "\n"))
+		}
+	}
+}
+
+// within waits until something holds, and returns how long it took; it fails if it does not in time.
+func (v *virtualFleet) within(d time.Duration, what string, holds func() bool) time.Duration {
+	v.t.Helper()
+	began := time.Now()
+	for !holds() {
+		if time.Since(began) > d {
+			v.t.Fatalf("%s: not within %v\n%s\n%s", what, d, strings.Join(v.history, "\n"), v.views())
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	return time.Since(began)
+}
+
+// views are all members' views, for a failure.
+func (v *virtualFleet) views() string {
+	var text strings.Builder
+	for i, g := range v.members {
+		if g == nil {
+			fmt.Fprintf(&text, "%d: dead\n", i)
+			continue
+		}
+		s, ok := g.state()
+		fmt.Fprintf(&text, "%d: %v %v", i, ok, s)
+		for _, m := range g.Report().Members {
+			if !m.InGroup || m.State != "serving" {
+				fmt.Fprintf(&text, "; %s %s %s reached %v for %dms inc %d", m.Name, m.Process[:4], m.State, m.Reachable, m.StateAgeMS, m.Incarnation)
+			}
+		}
+		text.WriteString("\n")
+	}
+	return text.String()
+}
--- a/internal/network/gossip/golden_log_test.go
+++ b/internal/network/gossip/golden_log_test.go
@@ -24,7 +24,7 @@
 		Settings: *Table.Default(), Name: "front-0", Application: "booking-front", Version: "1.4.2",
 		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: noTime})),
 	}
-	g := &Group{config: c, rejected: map[string]int{}}
+	g := newGroup(c)
 	g.logChanges([]peers.Change{
 		{At: time.Second, Name: "front-1", Process: 2, To: peers.Serving, Witness: "front-2", Cause: "heard of"},
 		{At: time.Second, Name: "front-1", Process: 2, From: peers.Serving, To: peers.Gone, Witness: "front-0", Cause: "not reached"},
@@ -33,7 +33,7 @@
 		"[DEBUG] memberlist: nothing\n", "[WARN] memberlist: Got alive message from another\n",
 		"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message\n", "[WARN] memberlist: refuting a suspect message\n",
 	} {
-		if n, err := (libraryLog{g}).Write([]byte(line)); n != len(line) || err != nil {
+		if n, err := g.libraryLog.Write([]byte(line)); n != len(line) || err != nil {
 			t.Errorf("%q: %d, %v", line, n, err)
 		}
 	}
@@ -44,6 +44,6 @@
 	_, reason := g.decodeOwn([]byte("x"))
 	fmt.Fprintf(&log, "%q\n", reason)
 	_, reason = g.decodeOwn([]byte{0x08, 0x02})
-	fmt.Fprintf(&log, "%q\n%v\n%s\n", reason, g.rejected, errMalformed)
+	fmt.Fprintf(&log, "%q\n%v\n%s\n", reason, g.rejections.counts, errMalformed)
 	golden.Text(t, "log.txt", []byte(log.String()))
 }
--- a/internal/network/gossip/golden_test.go
+++ b/internal/network/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// What members send one another. A message asks for a report or answers one, never both: fields 5 and 6 have no order.
+// What members send one another. A message asks for a report or answers one, never both.
 func TestGoldenEnvelopes(t *testing.T) {
 	records := []peers.Record{
 		{Process: 0x0102030405060708, Name: "front-0", BornMillis: 1_800_000_000_123, Zone: "zone-a", Version: "1.4.2", Incarnation: 9, State: peers.Serving},
--- a/internal/network/gossip/network_test.go
+++ b/internal/network/gossip/network_test.go
@@ -11,18 +11,21 @@
 	"github.com/hashicorp/memberlist"
 )
 
+// defaultMaxDelay is how long a packet takes at most where nothing else is said.
+const defaultMaxDelay = 2 * time.Millisecond
+
 // network is a virtual one: what members send one another passes through it, with faults by pair.
 type network struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	ends  map[string]*end
-	loss  float64
-	late  time.Duration          // most that a packet takes
-	cut   map[[2]string]bool     // from, to
-	still map[string]time.Time   // until when one stands still: what comes to it and from it waits
-	bytes map[string]int         // sent, by address
-	tape  map[string][]recording // packets kept, to be played again
-	keeps bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	ends        map[string]*end
+	loss        float64
+	maxDelay    time.Duration          // of a packet
+	cut         map[[2]string]bool     // from, to
+	pausedUntil map[string]time.Time   // members that stand still: what comes to them and from them waits
+	bytes       map[string]int         // sent, by address
+	recorded    map[string][]recording // packets, to be replayed
+	recording   bool
 }
 
 type recording struct {
@@ -32,18 +35,18 @@
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		rng: rand.New(rand.NewPCG(seed, 9)), ends: map[string]*end{}, late: 2 * time.Millisecond, cut: map[[2]string]bool{}, still: map[string]time.Time{},
-		bytes: map[string]int{}, tape: map[string][]recording{},
+		rng: rand.New(rand.NewPCG(seed, 9)), ends: map[string]*end{}, maxDelay: defaultMaxDelay, cut: map[[2]string]bool{}, pausedUntil: map[string]time.Time{},
+		bytes: map[string]int{}, recorded: map[string][]recording{},
 	}
 }
 
-// apart cuts or heals what goes from some to others, one way.
-func (n *network) apart(from, to []string, cut bool) {
+// cutOff cuts what goes from some to others, one way.
+func (n *network) cutOff(from, to []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
-			n.cut[[2]string{a, b}] = cut
+			n.cut[[2]string{a, b}] = true
 		}
 	}
 }
@@ -54,7 +57,7 @@
 	f()
 }
 
-// end is one member's.
+// end is one member's transport.
 type end struct {
 	n       *network
 	address string
@@ -63,11 +66,11 @@
 	closed  bool
 }
 
-// place is an address on it.
-type place string
+// virtualAddress is one on it.
+type virtualAddress string
 
-func (p place) Network() string { return "udp" }
-func (p place) String() string  { return string(p) }
+func (v virtualAddress) Network() string { return "udp" }
+func (v virtualAddress) String() string  { return string(v) }
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i>>8, i&255) }
 
@@ -97,9 +100,9 @@
 	return nil
 }
 
-// waits is how long what goes from one to another waits for those that stand still. n.mu is held.
-func (n *network) waits(from, to string) time.Duration {
-	return max(0, time.Until(n.still[from]), time.Until(n.still[to]))
+// pause is how long what goes from one to another waits for those that stand still. n.mu is held.
+func (n *network) pause(from, to string) time.Duration {
+	return max(0, time.Until(n.pausedUntil[from]), time.Until(n.pausedUntil[to]))
 }
 
 // passes tells whether something gets from one to another now. n.mu is held.
@@ -115,8 +118,8 @@
 		return now, nil
 	}
 	text := append([]byte(nil), b...)
-	if n.keeps {
-		n.tape[to] = append(n.tape[to], recording{to, text})
+	if n.recording {
+		n.recorded[to] = append(n.recorded[to], recording{to, text})
 	}
 	n.deliver(e.address, to, text)
 	return now, nil
@@ -124,12 +127,12 @@
 
 // deliver brings a packet after a while. n.mu is held.
 func (n *network) deliver(from, to string, text []byte) {
-	time.AfterFunc(n.waits(from, to)+time.Duration(n.rng.Float64()*float64(n.late)), func() {
+	time.AfterFunc(n.pause(from, to)+time.Duration(n.rng.Float64()*float64(n.maxDelay)), func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if o := n.ends[to]; o != nil {
+		if other := n.ends[to]; other != nil {
 			select {
-			case o.packets <- &memberlist.Packet{Buf: text, From: place(from), Timestamp: time.Now()}:
+			case other.packets <- &memberlist.Packet{Buf: text, From: virtualAddress(from), Timestamp: time.Now()}:
 			default:
 			}
 		}
@@ -145,23 +148,22 @@
 func (e *end) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
 	n := e.n
 	n.mu.Lock()
-	o := n.ends[to]
-	wait := n.waits(e.address, to)
+	other := n.ends[to]
+	wait := n.pause(e.address, to)
 	passes := n.passes(e.address, to) && n.passes(to, e.address) && wait < timeout
 	n.mu.Unlock()
-	if passes {
-		time.Sleep(wait)
-	} else {
+	if !passes {
 		time.Sleep(timeout)
 		return nil, errUnreached
 	}
-	if o == nil {
+	time.Sleep(wait)
+	if other == nil {
 		return nil, errUnreached // refused at once
 	}
 	time.Sleep(time.Millisecond)
 	a, b := net.Pipe()
 	select {
-	case o.streams <- &piped{b, o, e.address}:
+	case other.streams <- &piped{b, other, e.address}:
 		return &piped{a, e, to}, nil
 	default:
 		return nil, errUnreached
@@ -172,14 +174,14 @@
 	return e.DialTimeout(a.Addr, timeout)
 }
 
-// piped is a connection of which a cut takes what is written.
+// piped is a connection of which a cut drops what is written.
 type piped struct {
 	net.Conn
 	own *end
 	to  string
 }
 
-func (p *piped) RemoteAddr() net.Addr { return place(p.to) }
+func (p *piped) RemoteAddr() net.Addr { return virtualAddress(p.to) }
 
 func (p *piped) Write(b []byte) (int, error) {
 	n := p.own.n
--- /dev/null
+++ b/internal/network/gossip/query.go
@@ -0,0 +1,149 @@
+package gossip
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"quincegap/internal/modules/peers"
+)
+
+const (
+	queryTimeout      = 2 * time.Second
+	queryConcurrency  = 4 // connections for one Fleet
+	maxPendingQueries = 8 // of others, that wait for this member's answer
+)
+
+// pendingAnswers are the queries of this member that wait for answers, by the token that they carry.
+type pendingAnswers struct {
+	mu      sync.Mutex
+	reports map[uint64]chan peers.Report
+}
+
+func newPendingAnswers() *pendingAnswers {
+	return &pendingAnswers{reports: map[uint64]chan peers.Report{}}
+}
+
+// open begins to wait under a token for at most a number of answers.
+func (p *pendingAnswers) open(token uint64, answers int) <-chan peers.Report {
+	reports := make(chan peers.Report, answers)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reports[token] = reports
+	return reports
+}
+
+// close ends the wait. Answers that come later are dropped.
+func (p *pendingAnswers) close(token uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.reports, token)
+}
+
+// deliver passes the report of an answer to whoever waits for it. It does not block.
+func (p *pendingAnswers) deliver(e *envelope) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	reports := p.reports[e.answer]
+	if reports == nil {
+		return
+	}
+	var r peers.Report
+	if json.Unmarshal(e.report, &r) != nil {
+		return // as from a member that does not respond
+	}
+	select {
+	case reports <- r:
+	default: // more answers than members were asked
+	}
+}
+
+// Report is this member's view.
+func (g *Group) Report() peers.Report {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	r := g.view.Report(g.now(), func(process uint64) string { return g.addresses[process] })
+	g.rejections.copyTo(r.Rejected)
+	return r
+}
+
+// Fleet is this member's view beside those of the others that it reaches. It waits for their answers, at most queryTimeout.
+func (g *Group) Fleet() peers.FleetReport {
+	fleet := peers.FleetReport{Own: g.Report()}
+	token := rand.Uint64() | 1 // 0 is no token
+	nodes := g.list.Members()
+	answers := g.pendingAnswers.open(token, len(nodes))
+	defer g.pendingAnswers.close(token)
+
+	asked := g.sendQueries(nodes, token)
+	timeout := time.NewTimer(queryTimeout)
+	defer timeout.Stop()
+	for n, late := len(asked), false; n > 0 && !late; n-- {
+		select {
+		case r := <-answers:
+			fleet.Others = append(fleet.Others, r)
+			delete(asked, r.Name+"/"+r.Process)
+		case <-timeout.C:
+			late = true
+		}
+	}
+	for name := range asked {
+		fleet.Unresponsive = append(fleet.Unresponsive, name)
+	}
+	slices.Sort(fleet.Unresponsive)
+	slices.SortFunc(fleet.Others, func(a, b peers.Report) int { return strings.Compare(a.Name+a.Process, b.Name+b.Process) })
+	return fleet
+}
+
+// sendQueries asks all nodes but this one for their reports, and returns their names. Its goroutines end with the timeouts of
+// their connections.
+func (g *Group) sendQueries(nodes []*memberlist.Node, token uint64) map[string]bool {
+	e := envelope{application: g.config.Application, witness: g.nodeName(), query: token}
+	query := e.encode()
+	asked := map[string]bool{}
+	next := make(chan *memberlist.Node, len(nodes))
+	for _, n := range nodes {
+		if n.Name != g.nodeName() {
+			asked[n.Name] = true
+			next <- n
+		}
+	}
+	close(next)
+	for range queryConcurrency {
+		go func() {
+			for n := range next {
+				_ = g.list.SendReliable(n, query) // a node that does not take it is reported as unresponsive
+			}
+		}()
+	}
+	return asked
+}
+
+// enqueueAnswer has the loop answer a query: memberlist, which is calling, must not be called.
+func (g *Group) enqueueAnswer(e *envelope) {
+	select {
+	case g.queries <- func() { g.answer(e.witness, e.query) }:
+	default:
+		g.rejections.add(rejectedQuery)
+	}
+}
+
+// answer sends this member's view to a node that asked for it.
+func (g *Group) answer(node string, token uint64) {
+	report, err := json.Marshal(g.Report())
+	if err != nil {
+		return // the node reports this member as unresponsive
+	}
+	e := envelope{application: g.config.Application, witness: g.config.Name, answer: token, report: report}
+	for _, n := range g.list.Members() {
+		if n.Name == node {
+			go func() { _ = g.list.SendReliable(n, e.encode()) }() // likewise
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/network/gossip/schedule_test.go
@@ -0,0 +1,131 @@
+package gossip
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// soaking tells whether the long simulations run.
+func soaking() bool { return os.Getenv("SOAK") != "" }
+
+// Whatever was cut, delayed, lost, paused, killed and restarted: once it is over, all have one view, settled, in a stated time; and
+// at no time are two settled in groups that have nobody in common, as two sides of a partition into halves would be.
+func TestRandomSchedules(t *testing.T) {
+	seeds := uint64(8)
+	if soaking() {
+		seeds *= 375
+	}
+	for seed := range seeds {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { runSchedule(t, seed) })
+		})
+	}
+}
+
+// schedule does random things to a fleet.
+type schedule struct {
+	*virtualFleet
+	rng       *rand.Rand
+	shuffled  []string // the members' addresses
+	instances int
+}
+
+func runSchedule(t *testing.T, seed uint64) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 3))
+	sizes := []int{3, 4, 5, 7, 10, 16}
+	if soaking() && seed%40 == 0 {
+		sizes = []int{30, 50}
+	}
+	n := sizes[rng.IntN(len(sizes))]
+	fleet := newFleet(t, n, seed)
+	defer fleet.end()
+	fleet.startAll(nil)
+	fleet.record("%d members", n)
+	fleet.within(convergenceTimeout, "the start", fleet.agree)
+	fleet.record("settled")
+
+	s := &schedule{virtualFleet: fleet, rng: rng, shuffled: fleet.addresses(), instances: n}
+	for range 2 + rng.IntN(5) {
+		s.fault()
+		pause := time.Duration(rng.IntN(15000)) * time.Millisecond
+		for end := time.Now().Add(pause); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
+			fleet.oneSettled()
+		}
+	}
+	s.endFaults()
+	took := fleet.within(convergenceTimeout, "after the last fault", fleet.agree)
+	t.Logf("%d members: %v", n, took)
+}
+
+// fault draws one fault, or an end of all cuts.
+func (s *schedule) fault() {
+	s.t.Helper()
+	switch s.rng.IntN(7) {
+	case 0:
+		s.cutSome()
+	case 1:
+		i := s.rng.IntN(s.instances)
+		s.record("%s is heard by none", s.shuffled[i])
+		s.net.cutOff(s.shuffled[i:i+1], s.shuffled)
+	case 2:
+		s.loseAndDelay()
+	case 3:
+		for range 1 + s.rng.IntN(s.instances) {
+			i := s.rng.IntN(s.instances)
+			s.record("%s is killed", address(i))
+			s.kill(i)
+		}
+	case 4:
+		i := s.rng.IntN(s.instances)
+		s.record("%s restarts at once", address(i))
+		s.kill(i)
+		s.start(i, s.instances, nil)
+	case 5:
+		i := s.rng.IntN(s.instances)
+		pause := time.Duration(s.rng.IntN(20000)) * time.Millisecond
+		s.record("%s stands still for %v", address(i), pause)
+		s.net.set(func() { s.net.pausedUntil[address(i)] = time.Now().Add(pause) })
+	case 6:
+		s.record("healed")
+		s.heal()
+	}
+}
+
+// cutSome cuts some members off from the others.
+func (s *schedule) cutSome() {
+	k := 1 + s.rng.IntN(s.instances-1)
+	s.rng.Shuffle(s.instances, func(i, j int) { s.shuffled[i], s.shuffled[j] = s.shuffled[j], s.shuffled[i] })
+	s.record("cut into %d and %d: %v", k, s.instances-k, s.shuffled[:k])
+	s.partition(s.shuffled[:k], s.shuffled[k:])
+}
+
+// loseAndDelay makes the network lose and delay packets.
+func (s *schedule) loseAndDelay() {
+	s.net.set(func() {
+		s.net.loss = 0.3 * s.rng.Float64()
+		s.net.maxDelay = time.Duration(s.rng.IntN(300)) * time.Millisecond
+	})
+	s.record("loss %.2f, delay up to %v", s.net.loss, s.net.maxDelay)
+}
+
+// endFaults makes the network good again, and starts the dead.
+func (s *schedule) endFaults() {
+	s.t.Helper()
+	s.heal()
+	s.net.set(func() {
+		clear(s.net.pausedUntil)
+		s.net.loss = 0
+		s.net.maxDelay = defaultMaxDelay
+	})
+	for i, g := range s.members {
+		if g == nil {
+			s.start(i, s.instances, nil)
+		}
+	}
+	s.record("all faults are over")
+}
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -1,8 +1,6 @@
 package gossip
 
 import (
-	"encoding/base64"
-	"fmt"
 	"net"
 	"strings"
 	"time"
@@ -12,12 +10,12 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Settings is [peers].
+// Settings is the table [peers] of a settings file. See Table for each one's meaning.
 type Settings struct {
-	Listen        string
-	Advertise     string
-	Join          string
-	Service       string
+	Listen        string // IP:port; empty for no view of the others
+	Advertise     string // IP:port; empty for Listen
+	Join          string // host:port, divided by commas
+	Service       string // in Consul
 	KeyFile       string
 	Zone          string
 	ProbeInterval time.Duration
@@ -28,13 +26,16 @@
 
 const (
 	maxJoinAddresses = 64
-	// bytesPerMember is what a member takes, with what the library keeps of it (docs/figures/peers.md), and maxMemoryShare how much of
-	// limits.memory all may take.
+	maxZoneBytes     = 64
+	// bytesPerMember is the memory that a member takes, with what memberlist keeps of it (docs/figures/peers.md).
 	bytesPerMember = 6 << 10
+	// maxMemoryShare is the part of limits.memory that all members may take.
 	maxMemoryShare = 0.1
-	minKeyBytes    = 16 // bytes: AES-128
+	// minForgetSettles is how many times settle_after forget_after has to be longer than.
+	minForgetSettles = 10
 )
 
+// badAddress says what is wrong with a text that is to be IP:port.
 func badAddress(text string) string {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil || strings.Trim(port, "0123456789") != "" || port == "" || port == "0" {
@@ -43,14 +44,15 @@
 	return ""
 }
 
+// badZone says what is wrong with the name of a zone.
 func badZone(text string) string {
-	if len(text) > 64 {
+	if len(text) > maxZoneBytes {
 		return "is longer than 64 bytes"
 	}
 	return ""
 }
 
-// Table is [peers].
+// Table is the table [peers] of a settings file.
 var Table = schema.NewTable("peers", "The view of the other sidecars of this application (docs/operate/peers.md); it is off unless peers_listen is set.",
 	schema.String("peers_listen", func(s *Settings) *string { return &s.Listen },
 		schema.Text{Example: "10.0.4.7:7946", Type: "address", Bounds: "IP:port", Bad: badAddress}, schema.AtStart,
@@ -92,7 +94,7 @@
 		report("peers_advertise", "missing: %s is no address that the others could reach", s.Listen)
 	case memory > 0 && float64(need) > maxMemoryShare*float64(memory):
 		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)", s.MaxMembers, need>>10, f.Place("limits", "memory"))
-	case s.ForgetAfter <= 10*s.SettleAfter:
+	case s.ForgetAfter <= minForgetSettles*s.SettleAfter:
 		report("forget_after", "%s is not above ten times settle_after, %s (%s)", schema.FormatDuration(s.ForgetAfter),
 			schema.FormatDuration(s.SettleAfter), f.Place("peers", "settle_after"))
 	}
@@ -103,51 +105,42 @@
 	}
 })
 
-func loopback(address string) bool {
-	host, _, _ := net.SplitHostPort(address)
-	ip := net.ParseIP(host)
-	return ip != nil && ip.IsLoopback()
-}
+func loopback(address string) bool { return addressIP(address).IsLoopback() }
 
-func unspecified(address string) bool {
-	host, _, _ := net.SplitHostPort(address)
-	ip := net.ParseIP(host)
-	return ip != nil && ip.IsUnspecified()
-}
+func unspecified(address string) bool { return addressIP(address).IsUnspecified() }
 
-// ParseKeys reads the keys of a file's text. No error carries any of it.
-func ParseKeys(text string) (keys [][]byte, err error) {
-	for i, part := range appfile.List(text) {
-		key, err := base64.StdEncoding.DecodeString(part)
-		if err != nil {
-			return nil, fmt.Errorf("key %d is not in base64 (RFC 4648, section 4)", i+1)
-		}
-		if n := len(key); n != minKeyBytes && n != 24 && n != 32 {
-			return nil, fmt.Errorf("key %d has %d bytes; 16, 24 or 32 are wanted", i+1, n)
-		}
-		keys = append(keys, key)
+// addressIP is the IP of an address that badAddress accepts; nil for others.
+func addressIP(address string) net.IP {
+	host, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return nil
 	}
-	if len(keys) == 0 {
-		return nil, fmt.Errorf("holds no key")
-	}
-	return keys, nil
+	return net.ParseIP(host)
 }
 
-// options are the figures of the view that these settings make. A suspicion is memberlist's to end; SuspectFor is how long a
-// member has to hear that it was taken for gone, and to deny it.
-func (s *Settings) options(expected int) peers.Options {
-	return peers.Options{
-		SuspicionTimeout: suspicionProbes * s.ProbeInterval, ForgetAfter: s.ForgetAfter, SettleAfter: s.SettleAfter, DampingWindow: dampingSettles * s.SettleAfter, LossWindow: lossProbes * s.ProbeInterval,
-		ResumeWindow: resumeSettles * s.SettleAfter, MinExchangeInterval: exchangeProbes * s.ProbeInterval, ExpectedMembers: expected, MaxMembers: s.MaxMembers,
-	}
-}
-
-// lossProbes is above what memberlist takes to find all of one half of its most members lost, one after another: a suspicion of
-// suspicionMult*suspicionMaxMult*log10(members) paces, and the probes before it.
+// What the view's options are, in probe intervals and in settle_after.
 const (
 	suspicionProbes = 20
 	exchangeProbes  = 10
-	lossProbes      = 120
-	dampingSettles  = 20
-	resumeSettles   = 60
+	// lossProbes is above what memberlist takes to find all of one half of its most members lost, one after another: a suspicion
+	// of suspicionMult*suspicionMaxMult*log10(members) probe intervals, and the probes before it.
+	lossProbes     = 120
+	dampingSettles = 20
+	resumeSettles  = 60
 )
+
+// options are those of the view. memberlist ends suspicions by itself; SuspicionTimeout is how long a member has to learn that it is
+// said to be gone, and to refute it.
+func (s *Settings) options(expectedMembers int) peers.Options {
+	return peers.Options{
+		SuspicionTimeout:    suspicionProbes * s.ProbeInterval,
+		ForgetAfter:         s.ForgetAfter,
+		SettleAfter:         s.SettleAfter,
+		DampingWindow:       dampingSettles * s.SettleAfter,
+		LossWindow:          lossProbes * s.ProbeInterval,
+		ResumeWindow:        resumeSettles * s.SettleAfter,
+		MinExchangeInterval: exchangeProbes * s.ProbeInterval,
+		ExpectedMembers:     expectedMembers,
+		MaxMembers:          s.MaxMembers,
+	}
+}
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"errors"
 	"io"
 	"log"
 	"log/slog"
@@ -14,20 +15,19 @@
 	"quincegap/internal/modules/peers"
 )
 
-// However many connections strangers open and hold, few are taken, and members go on exchanging.
+// However many connections strangers open and keep, few are accepted, and members go on exchanging.
 func TestConnectionsAreBounded(t *testing.T) {
 	open := func(join string) *Group {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		at := l.Addr().String()
-		l.Close()
+		t.Helper()
+		address := freeAddress(t)
 		c := Config{
-			Settings: *Table.Default(), Name: "n" + at, Application: "a", ExpectedMembers: 2, OnShare: func(peers.Share) {},
+			Settings: *Table.Default(), Name: "n" + address, Application: "a", ExpectedMembers: 2, OnShare: func(peers.Share) {},
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}
-		c.Listen, c.Join, c.ProbeInterval, c.SettleAfter = at, join, 100*time.Millisecond, 200*time.Millisecond
+		c.Listen = address
+		c.Join = join
+		c.ProbeInterval = 100 * time.Millisecond
+		c.SettleAfter = 200 * time.Millisecond
 		g, err := Open(c)
 		if err != nil {
 			t.Fatal(err)
@@ -35,42 +35,66 @@
 		t.Cleanup(g.Close)
 		return g
 	}
-	a := open("")
-	var held []net.Conn
+	first := open("")
+	var last net.Conn
 	for range 10 * maxInboundStreams {
-		c, err := net.Dial("tcp", a.config.Listen)
-		if err != nil {
+		var err error
+		if last, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", first.config.Listen); err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c)
+		defer closeConn(t, last)
 	}
-	// Those that were not taken are closed: of the last ones at least, for those before hold the room.
-	held[len(held)-1].SetReadDeadline(time.Now().Add(30 * time.Second))
-	if _, err := held[len(held)-1].Read(make([]byte, 1)); err == nil {
-		t.Error("a stranger was told something")
+	// Those that were rejected are closed: the last one at least, for those before it have taken the room.
+	if err := last.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
+		t.Fatal(err)
 	}
-	b := open(a.config.Listen)
+	if _, err := last.Read(make([]byte, 1)); err == nil {
+		t.Error("a stranger was sent something")
+	}
+	second := open(first.config.Listen)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if s, ok := b.state(); ok && s.Instances == 2 {
+		if s, ok := second.state(); ok && s.Instances == 2 {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatal("a member never got in")
 		}
 	}
-	for _, c := range held {
-		c.Close()
+}
+
+// freeAddress is one on loopback that nothing listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return l.Addr().String()
+}
+
+// closeConn closes a connection, which may be closed already.
+func closeConn(t *testing.T, c net.Conn) {
+	t.Helper()
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
 	}
 }
 
-// Of those that come at once so many are passed on, the others closed; each that ends makes room for another.
+// Of connections that come at once so many are passed on, the others closed; each that ends makes room for another.
 func TestStreamsAreBounded(t *testing.T) {
 	n, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := newBoundedTransport(n, net.IPv4(127, 0, 0, 1))
-	defer b.Shutdown()
+	defer func() {
+		if err := b.Shutdown(); err != nil {
+			t.Error(err)
+		}
+	}()
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(n.GetAutoBindPort()))
 	closed := make(chan struct{}, 100)
 	dial := func() {
@@ -79,9 +103,9 @@
 			t.Error(err)
 			return
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { closeConn(t, c) })
 		go func() {
-			c.Read(make([]byte, 1))
+			_, _ = c.Read(make([]byte, 1)) // until the other end closes
 			closed <- struct{}{}
 		}()
 	}
@@ -103,8 +127,8 @@
 		t.Error("one within it was closed")
 	default:
 	}
-	taken[0].Close()
-	taken[0].Close() // memberlist may close twice, which makes room for one
+	closeConn(t, taken[0])
+	closeConn(t, taken[0]) // memberlist may close twice, which makes room for one
 	<-closed
 	dial()
 	<-b.StreamCh()
--- a/internal/network/gossip/wire.go
+++ b/internal/network/gossip/wire.go
@@ -9,15 +9,15 @@
 	"quincegap/internal/modules/peers"
 )
 
-// What members send one another, in the wire format of Protocol Buffers (protobuf.dev, Encoding):
+// An envelope is what members send one another, in the wire format of Protocol Buffers (protobuf.dev, Encoding):
 //
 //	message Envelope {
-//	  uint32 format = 1;          // 1; others are refused
-//	  string application = 2;     // another one's are refused
+//	  uint32 format = 1;          // 1; others are rejected
+//	  string application = 2;     // others are rejected
 //	  repeated Record records = 3;
-//	  string witness = 4;         // who says it
-//	  fixed64 ask = 5;            // wants a report, under this number
-//	  fixed64 answer = 6;         // has one, under that number
+//	  string witness = 4;         // the name of the sender; in a query its node name
+//	  fixed64 query = 5;          // asks for a report, under this token
+//	  fixed64 answer = 6;         // has one, under that token
 //	  bytes report = 7;           // JSON
 //	}
 //	message Record {
@@ -25,57 +25,90 @@
 //	  string version = 5; uint64 incarnation = 6; uint32 state = 7;
 //	}
 //
-// Fields that are not known are passed over, so that a later version may add some.
+// Unknown fields are skipped, so that a later version may add some.
 type envelope struct {
-	format        uint64
-	application   string
-	records       []peers.Record
-	witness       string
-	query, answer uint64
-	report        []byte
+	format      uint64
+	application string
+	records     []peers.Record
+	witness     string
+	query       uint64 // 0 for none
+	answer      uint64 // 0 for none; a message never has both
+	report      []byte
 }
 
+// The fields of an Envelope.
 const (
-	format         = 1
-	maxTextBytes   = 128       // bytes of a name, a zone, a version
-	maxRecords     = 4096      // records in one envelope
-	maxReportBytes = 512 << 10 // of a report, and of what is exchanged at once
+	fieldFormat      protowire.Number = 1
+	fieldApplication protowire.Number = 2
+	fieldRecords     protowire.Number = 3
+	fieldWitness     protowire.Number = 4
+	fieldQuery       protowire.Number = 5
+	fieldAnswer      protowire.Number = 6
+	fieldReport      protowire.Number = 7
+)
+
+// The fields of a Record.
+const (
+	fieldProcess     protowire.Number = 1
+	fieldName        protowire.Number = 2
+	fieldBorn        protowire.Number = 3
+	fieldZone        protowire.Number = 4
+	fieldVersion     protowire.Number = 5
+	fieldIncarnation protowire.Number = 6
+	fieldState       protowire.Number = 7
+)
+
+// format is the version of the messages.
+const format = 1
+
+// Bounds on what a message may make grow.
+const (
+	maxTextBytes   = 128       // of a name, a zone, a version
+	maxRecords     = 4096      // in one envelope
+	maxReportBytes = 512 << 10 // in JSON
 )
 
 var errMalformed = errors.New("is no message of a member, or a spoilt one")
 
+// encode always writes the present format, whatever e.format is.
 func (e *envelope) encode() []byte {
-	b := protowire.AppendTag(nil, 1, protowire.VarintType)
+	b := protowire.AppendTag(nil, fieldFormat, protowire.VarintType)
 	b = protowire.AppendVarint(b, format)
-	b = appendText(b, 2, e.application)
+	b = appendText(b, fieldApplication, e.application)
 	for i := range e.records {
-		b = protowire.AppendTag(b, 3, protowire.BytesType)
+		b = protowire.AppendTag(b, fieldRecords, protowire.BytesType)
 		b = protowire.AppendBytes(b, encodeRecord(&e.records[i]))
 	}
-	b = appendText(b, 4, e.witness)
-	for n, x := range map[protowire.Number]uint64{5: e.query, 6: e.answer} {
-		if x != 0 {
-			b = protowire.AppendTag(b, n, protowire.Fixed64Type)
-			b = protowire.AppendFixed64(b, x)
-		}
-	}
-	return appendText(b, 7, string(e.report))
+	b = appendText(b, fieldWitness, e.witness)
+	b = appendToken(b, fieldQuery, e.query)
+	b = appendToken(b, fieldAnswer, e.answer)
+	return appendText(b, fieldReport, string(e.report))
 }
 
 func encodeRecord(r *peers.Record) []byte {
-	b := protowire.AppendTag(nil, 1, protowire.Fixed64Type)
+	b := protowire.AppendTag(nil, fieldProcess, protowire.Fixed64Type)
 	b = protowire.AppendFixed64(b, r.Process)
-	b = appendText(b, 2, r.Name)
-	b = protowire.AppendTag(b, 3, protowire.VarintType)
+	b = appendText(b, fieldName, r.Name)
+	b = protowire.AppendTag(b, fieldBorn, protowire.VarintType)
 	b = protowire.AppendVarint(b, protowire.EncodeZigZag(r.BornMillis))
-	b = appendText(b, 4, r.Zone)
-	b = appendText(b, 5, r.Version)
-	b = protowire.AppendTag(b, 6, protowire.VarintType)
+	b = appendText(b, fieldZone, r.Zone)
+	b = appendText(b, fieldVersion, r.Version)
+	b = protowire.AppendTag(b, fieldIncarnation, protowire.VarintType)
 	b = protowire.AppendVarint(b, r.Incarnation)
-	b = protowire.AppendTag(b, 7, protowire.VarintType)
+	b = protowire.AppendTag(b, fieldState, protowire.VarintType)
 	return protowire.AppendVarint(b, uint64(r.State))
 }
 
+// appendToken leaves out a token of 0, which is none.
+func appendToken(b []byte, n protowire.Number, token uint64) []byte {
+	if token == 0 {
+		return b
+	}
+	b = protowire.AppendTag(b, n, protowire.Fixed64Type)
+	return protowire.AppendFixed64(b, token)
+}
+
+// appendText leaves out an empty text.
 func appendText(b []byte, n protowire.Number, s string) []byte {
 	if s == "" {
 		return b
@@ -83,7 +116,8 @@
 	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
 }
 
-// fields reads a message field by field: number is set for varints and fixed ones, text for bytes.
+// fields reads a message field by field, until field returns false: number is set for varints and fixed64, text for bytes. It tells
+// whether the whole message was read.
 func fields(b []byte, field func(n protowire.Number, number uint64, text []byte) bool) bool {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
@@ -111,28 +145,28 @@
 	return true
 }
 
-// decode reads an envelope; what it holds is copied.
+// decode reads an envelope, and copies what it holds. It returns errMalformed for anything else.
 func decode(b []byte) (*envelope, error) {
 	e := &envelope{}
 	ok := fields(b, func(n protowire.Number, number uint64, text []byte) bool {
 		switch n {
-		case 1:
+		case fieldFormat:
 			e.format = number
-		case 2:
+		case fieldApplication:
 			e.application = string(text)
 			return len(text) <= maxTextBytes
-		case 3:
+		case fieldRecords:
 			r, ok := decodeRecord(text)
 			e.records = append(e.records, r)
 			return ok && len(e.records) <= maxRecords
-		case 4:
+		case fieldWitness:
 			e.witness = string(text)
 			return len(text) <= maxTextBytes
-		case 5:
+		case fieldQuery:
 			e.query = number
-		case 6:
+		case fieldAnswer:
 			e.answer = number
-		case 7:
+		case fieldReport:
 			e.report = append([]byte(nil), text...)
 			return len(text) <= maxReportBytes
 		}
@@ -144,22 +178,23 @@
 	return e, nil
 }
 
+// decodeRecord reads one record; false for a malformed one, or one without a process or a name.
 func decodeRecord(b []byte) (r peers.Record, ok bool) {
 	ok = fields(b, func(n protowire.Number, number uint64, text []byte) bool {
 		switch n {
-		case 1:
+		case fieldProcess:
 			r.Process = number
-		case 2:
+		case fieldName:
 			r.Name = string(text)
-		case 3:
+		case fieldBorn:
 			r.BornMillis = protowire.DecodeZigZag(number)
-		case 4:
+		case fieldZone:
 			r.Zone = string(text)
-		case 5:
+		case fieldVersion:
 			r.Version = string(text)
-		case 6:
+		case fieldIncarnation:
 			r.Incarnation = number
-		case 7:
+		case fieldState:
 			r.State = peers.State(min(number, math.MaxUint8))
 		}
 		return len(text) <= maxTextBytes
