--- a/internal/network/consul/consul_test.go
+++ b/internal/network/consul/consul_test.go
@@ -27,7 +27,7 @@
 	standin "quincegap/internal/standin/consul"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
@@ -52,7 +52,7 @@
 		{[]check{{"_node_maintenance", "critical"}}, 1, 1, balancer.EndpointDraining, 1, 1, true, "in maintenance"},
 		{[]check{{"_service_maintenance:x", "critical"}, {"c", "critical"}}, 1, 1, balancer.EndpointDraining, 1, 1, true, "in maintenance"},
 		{[]check{{"a", "passing"}}, -5, -1, balancer.EndpointReady, 1, 1, false, ""},
-		{[]check{{"a", "passing"}}, 1 << 30, 1, balancer.EndpointReady, mostWeight, 1, false, ""},
+		{[]check{{"a", "passing"}}, 1 << 30, 1, balancer.EndpointReady, maxWeight, 1, false, ""},
 	} {
 		var i instance
 		i.Service.Weights.Passing, i.Service.Weights.Warning = c.passing, c.warning
@@ -60,7 +60,7 @@
 			i.Checks = append(i.Checks, struct{ CheckID, Status string }(x))
 		}
 		var e endpointsource.Endpoint
-		new(Settings).health(&i, &e)
+		new(Settings).applyChecks(&i, &e)
 		if e.State != c.state || e.Weight != c.weight || e.WeightShare != c.share || e.Maintenance != c.maintenance || e.Reason != c.why {
 			t.Errorf("%v: got %+v", c.checks, e)
 		}
@@ -107,22 +107,22 @@
 	}
 }
 
-// rig is a watcher on stand-ins, and what it tells put together as the module would.
-type rig struct {
-	t       *testing.T
-	agents  []*standin.Server
-	events  chan func()
-	known   map[string]endpointsource.Endpoint
-	answers []endpointsource.ConsulAnswer
-	heard   int
-	stop    func()
+// testWatcher is a watcher on stand-ins, and what it tells put together as the module would.
+type testWatcher struct {
+	t         *testing.T
+	agents    []*standin.Server
+	events    chan func()
+	known     map[string]endpointsource.Endpoint
+	answers   []endpointsource.ConsulAnswer
+	unchanged int
+	stop      func()
 }
 
 // watch starts a watcher that goes back to its first agent soon.
-func watch(t *testing.T, change func(*Settings), agents ...*standin.Server) *rig {
+func watch(t *testing.T, change func(*Settings), agents ...*standin.Server) *testWatcher {
 	t.Helper()
 	s := *Table.Default()
-	s.Service, s.Pace, s.Wait = "x", 10*time.Millisecond, time.Second
+	s.Service, s.MinInterval, s.Wait = "x", 10*time.Millisecond, time.Second
 	var addresses []string
 	for _, a := range agents {
 		addresses = append(addresses, a.Address())
@@ -135,9 +135,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.back = 50 * time.Millisecond
-	r := &rig{t: t, agents: agents, events: make(chan func(), 1000), known: map[string]endpointsource.Endpoint{}}
-	w.Tell = func(a endpointsource.ConsulAnswer) {
+	w.failbackDelay = 50 * time.Millisecond
+	r := &testWatcher{t: t, agents: agents, events: make(chan func(), 1000), known: map[string]endpointsource.Endpoint{}}
+	w.OnAnswer = func(a endpointsource.ConsulAnswer) {
 		r.events <- func() {
 			r.answers = append(r.answers, a)
 			for _, e := range a.Changed {
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	w.Heard = func() { r.events <- func() { r.heard++ } }
+	w.OnUnchanged = func() { r.events <- func() { r.unchanged++ } }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
 	go func() {
@@ -169,9 +169,9 @@
 }
 
 // until takes events until something holds.
-func (r *rig) until(what string, done func() bool) {
+func (r *testWatcher) until(what string, done func() bool) {
 	r.t.Helper()
-	late := time.NewTimer(patience)
+	late := time.NewTimer(testTimeout)
 	defer late.Stop()
 	look := time.NewTicker(2 * time.Millisecond) // what is waited for may be no event of the watcher's
 	defer look.Stop()
@@ -187,7 +187,7 @@
 }
 
 // knows waits until the ready ones are these.
-func (r *rig) knows(ids ...string) {
+func (r *testWatcher) knows(ids ...string) {
 	r.t.Helper()
 	r.until(fmt.Sprint(ids), func() bool {
 		var ready []string
@@ -230,7 +230,7 @@
 	if last := r.answers[len(r.answers)-1]; len(last.Changed) != 0 || len(last.Missing) != 1 || last.KnownBefore != 3 || len(last.ConfirmedMissing) > 0 {
 		t.Errorf("%+v", last)
 	}
-	r.until("an answer with nothing new", func() bool { return r.heard > 0 })
+	r.until("an answer with nothing new", func() bool { return r.unchanged > 0 })
 	health, catalog := a.Asked()
 	if health > 20 || catalog != 0 {
 		t.Errorf("%d questions, %d to the catalogue", health, catalog)
@@ -317,9 +317,9 @@
 			// Nothing is missing any more: the catalogue is left alone.
 			_, before := a.Asked()
 			for range 5 {
-				heard := r.heard + len(r.answers)
+				heard := r.unchanged + len(r.answers)
 				a.SetStatus("a", "passing")
-				r.until("an answer", func() bool { return r.heard+len(r.answers) > heard })
+				r.until("an answer", func() bool { return r.unchanged+len(r.answers) > heard })
 			}
 			if _, after := a.Asked(); after > before+1 {
 				t.Errorf("the catalogue was asked %d times more", after-before)
@@ -365,7 +365,7 @@
 	began := time.Now()
 	a.SetStatus("b", "critical")
 	r.knows("a", "c", "d")
-	if took := time.Since(began); took > firstWait/2 {
+	if took := time.Since(began); took > requestTimeout/2 {
 		t.Errorf("it took %v", took)
 	}
 }
@@ -556,7 +556,7 @@
 // However fast changes come, answers are taken at the pace.
 func TestPace(t *testing.T) {
 	a := serve(t, "a", "b")
-	r := watch(t, func(s *Settings) { s.Pace = 100 * time.Millisecond }, a)
+	r := watch(t, func(s *Settings) { s.MinInterval = 100 * time.Millisecond }, a)
 	r.knows("a", "b")
 	before, _ := a.Asked()
 	began := time.Now()
@@ -600,9 +600,9 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := Table.Default()
 		by, faults, n := map[string]endpointsource.Endpoint{}, []string(nil), 0
-		err := each(bytes.NewReader(text), 20, func(i *instance) {
+		err := decodeEach(bytes.NewReader(text), 20, func(i *instance) {
 			n++
-			faults = s.add(by, i, true, faults)
+			faults = s.addEndpoint(by, i, true, faults)
 		})
 		if len(by) > n || len(faults) > 10 || n > 20 {
 			t.Errorf("%d endpoints and %d faults of %d instances", len(by), len(faults), n)
@@ -614,7 +614,7 @@
 		}
 		for uid, e := range by {
 			host, port, err := net.SplitHostPort(e.Address)
-			if uid != e.UID || uid == "" || len(uid) > mostText || err != nil || host == "" || port == "0" || e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > mostWeight {
+			if uid != e.UID || uid == "" || len(uid) > maxTextBytes || err != nil || host == "" || port == "0" || e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > maxWeight {
 				t.Errorf("%+v", e)
 			}
 		}
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -11,8 +11,8 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// mostFound bounds the addresses of one search.
-const mostFound = 256
+// maxFoundAddresses bounds the addresses of one search.
+const maxFoundAddresses = 256
 
 // Find gives the addresses of a service's instances that no check holds for critical, in Consul's order: the first agent that
 // answers tells. s.Service and s.Tag are not used.
@@ -32,9 +32,9 @@
 	}
 	for agent := range w.agents {
 		addresses = nil
-		_, err = w.ask(ctx, agent, "/v1/health/service/"+url.PathEscape(service), "", 0, "", 0, s.Consistency, func(body io.Reader) error {
-			return each(body, mostInstances, func(i *instance) {
-				if a, ok := i.address(); ok && len(addresses) < mostFound {
+		_, err = w.query(ctx, agent, "/v1/health/service/"+url.PathEscape(service), "", 0, "", 0, s.Consistency, func(body io.Reader) error {
+			return decodeEach(body, maxInstances, func(i *instance) {
+				if a, ok := i.address(); ok && len(addresses) < maxFoundAddresses {
 					addresses = append(addresses, a)
 				}
 			})
@@ -42,7 +42,7 @@
 		if err == nil {
 			return addresses, nil
 		}
-		err = fmt.Errorf("consul agent %s: %s", w.agents[agent], plain(err))
+		err = fmt.Errorf("consul agent %s: %s", w.agents[agent], errorText(err))
 	}
 	return nil, err
 }
@@ -53,7 +53,7 @@
 	if host == "" {
 		host = i.Node.Address
 	}
-	if host == "" || len(host) > mostText || i.Service.Port < 1 || i.Service.Port > 65535 {
+	if host == "" || len(host) > maxTextBytes || i.Service.Port < 1 || i.Service.Port > 65535 {
 		return "", false
 	}
 	for _, c := range i.Checks {
--- a/internal/network/consul/read.go
+++ b/internal/network/consul/read.go
@@ -14,10 +14,10 @@
 
 // Bounds on what an answer may make grow.
 const (
-	mostBody      = 64 << 20 // bytes of one answer
-	mostInstances = 20000
-	mostText      = 255 // bytes of an id, a name or an address
-	mostWeight    = 65535
+	maxBodyBytes = 64 << 20 // bytes of one answer
+	maxInstances = 20000
+	maxTextBytes = 255 // bytes of an id, a name or an address
+	maxWeight    = 65535
 )
 
 // instance is what is read of one element of /v1/health/service/:service (Consul's API, Health, "List
@@ -42,8 +42,8 @@
 	}
 }
 
-// listed is what is read of one element of /v1/catalog/service/:service.
-type listed struct {
+// catalogEntry is what is read of one element of /v1/catalog/service/:service.
+type catalogEntry struct {
 	Node        string
 	ServiceID   string
 	ServiceMeta map[string]string
@@ -66,9 +66,9 @@
 	e.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
 	host := cmp.Or(i.Service.Address, i.Node.Address)
 	switch {
-	case i.Service.ID == "" || len(e.UID) > mostText:
+	case i.Service.ID == "" || len(e.UID) > maxTextBytes:
 		return e, "its id is missing or too long"
-	case host == "" || len(host) > mostText || strings.ContainsAny(host, " /\r\n\t"):
+	case host == "" || len(host) > maxTextBytes || strings.ContainsAny(host, " /\r\n\t"):
 		return e, fmt.Sprintf("its address %.40q is none", host)
 	case i.Service.Port <= 0 || i.Service.Port > 65535:
 		return e, fmt.Sprintf("its port %d is none", i.Service.Port)
@@ -76,7 +76,7 @@
 	e.Address = net.JoinHostPort(host, strconv.Itoa(i.Service.Port))
 	e.Zone = cmp.Or(i.Service.Meta[s.ZoneMeta], i.Node.Datacenter)
 	e.Model = i.Service.Meta[s.ModelMeta]
-	if len(e.Zone) > mostText || len(e.Model) > mostText {
+	if len(e.Zone) > maxTextBytes || len(e.Model) > maxTextBytes {
 		return e, "its zone or model is too long"
 	}
 	if text := i.Service.Meta[s.CellMeta]; text != "" {
@@ -91,15 +91,15 @@
 		e.StartedMS, e.StartUnknown = ms, false
 	}
 	e.RegistrationIndex = i.Service.CreateIndex
-	s.health(i, &e)
+	s.applyChecks(i, &e)
 	return e, ""
 }
 
-// health sets the state and the weight: the worst of all checks, the node's and the service's. Maintenance
+// applyChecks sets the state and the weight: the worst of all checks, the node's and the service's. Maintenance
 // modes are checks with names of their own (Consul's API, Agent, "Enable Maintenance Mode").
-func (s *Settings) health(i *instance, e *endpointsource.Endpoint) {
-	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), mostWeight)
-	warning := min(max(i.Service.Weights.Warning, 0), mostWeight)
+func (s *Settings) applyChecks(i *instance, e *endpointsource.Endpoint) {
+	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), maxWeight)
+	warning := min(max(i.Service.Weights.Warning, 0), maxWeight)
 	e.Weight, e.WeightShare = float64(passing), 1
 	warned := ""
 	for _, c := range i.Checks {
@@ -131,8 +131,8 @@
 	e.Reason = fmt.Sprintf("check %q warns", warned)
 }
 
-// add maps an instance into an answer. Faults tell what was passed over.
-func (s *Settings) add(by map[string]endpointsource.Endpoint, i *instance, qualified bool, faults []string) []string {
+// addEndpoint maps an instance into an answer. Faults tell what was passed over.
+func (s *Settings) addEndpoint(by map[string]endpointsource.Endpoint, i *instance, qualified bool, faults []string) []string {
 	const mostFaults = 10
 	e, fault := s.endpoint(i, qualified)
 	if fault != "" {
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -31,9 +31,9 @@
 	Partition    string
 	TokenFile    string
 	Consistency  Consistency
-	LongestStale time.Duration
+	MaxStaleness time.Duration
 	Wait         time.Duration
-	Pace         time.Duration
+	MinInterval  time.Duration
 	TLS          bool
 	CAFile       string
 	CertFile     string
@@ -49,14 +49,14 @@
 // agents are the addresses to ask, in order.
 func (s *Settings) agents() []string { return appfile.List(s.Agents) }
 
-const mostAgents = 16
+const maxAgents = 16
 
 func text(example string) schema.Text { return schema.Text{Example: example, Bad: appfile.BadService} }
 
 // Table is [consul].
 var Table = schema.NewTable("consul", "Where Consul is, and what is asked of it; used unless membership.source is platform.",
 	schema.String("agents", func(s *Settings) *string { return &s.Agents },
-		schema.Text{Example: "127.0.0.1:8500", Type: "addresses", Bounds: "host:port, divided by commas, 16 at most", Bad: appfile.BadAddresses(mostAgents)}, schema.OnReload,
+		schema.Text{Example: "127.0.0.1:8500", Type: "addresses", Bounds: "host:port, divided by commas, 16 at most", Bad: appfile.BadAddresses(maxAgents)}, schema.OnReload,
 		"Agents to ask, in order: the next one is asked where one does not answer, and the first again a minute later."),
 	schema.String("service", func(s *Settings) *string { return &s.Service }, text("slot-keeper"), schema.OnReload,
 		"The service whose instances are the endpoints."),
@@ -72,13 +72,13 @@
 		"A file with the ACL token (service:read and node:read); it is read again before each query."),
 	schema.Choice("consistency", func(s *Settings) *Consistency { return &s.Consistency }, []Consistency{Stale, Default, Consistent}, Stale, false, schema.OnReload,
 		"stale: any server answers, also while there is no leader; default: the leader; consistent: the leader after it asked its peers."),
-	schema.Duration("longest_stale", func(s *Settings) *time.Duration { return &s.LongestStale },
+	schema.Duration("longest_stale", func(s *Settings) *time.Duration { return &s.MaxStaleness },
 		schema.Bounds[time.Duration]{Default: 10 * time.Second, Least: 0, Most: time.Hour}, schema.OnReload,
 		"An answer of a server that has not heard of the leader for longer is doubted, and the next question goes to the leader."),
 	schema.Duration("wait", func(s *Settings) *time.Duration { return &s.Wait },
 		schema.Bounds[time.Duration]{Default: 30 * time.Second, Least: time.Second, Most: 10 * time.Minute}, schema.OnReload,
 		"How long Consul may hold a question while nothing changes; an agent that hangs is noticed a little later."),
-	schema.Duration("pace", func(s *Settings) *time.Duration { return &s.Pace },
+	schema.Duration("pace", func(s *Settings) *time.Duration { return &s.MinInterval },
 		schema.Bounds[time.Duration]{Default: 100 * time.Millisecond, Least: 10 * time.Millisecond, Most: time.Minute}, schema.OnReload,
 		"The least time between two answers, however many changes come."),
 	schema.Bool("consul_tls", func(s *Settings) *bool { return &s.TLS }, false, schema.OnReload,
--- a/internal/network/consul/watch.go
+++ b/internal/network/consul/watch.go
@@ -26,55 +26,55 @@
 )
 
 const (
-	firstWait    = 10 * time.Second // for an answer to a question that Consul does not hold
-	slack        = 2 * time.Second  // for a held one's answer to come, beyond wait and Consul's own jitter
-	dialTimeout  = 2 * time.Second
-	backoffLeast = 100 * time.Millisecond
-	backoffMost  = 10 * time.Second
-	returnAfter  = time.Minute // to the first agent, after another one had to be asked
-	pollEvery    = time.Second // where an agent gives no index to block on
-	// workShare bounds the share of the time that goes into reading answers, as 1/(1+workShare): on one core
+	requestTimeout       = 10 * time.Second // for an answer to a question that Consul does not hold
+	blockingSlack        = 2 * time.Second  // for a held one's answer to come, beyond wait and Consul's own jitter
+	dialTimeout          = 2 * time.Second
+	minBackoff           = 100 * time.Millisecond
+	maxBackoff           = 10 * time.Second
+	defaultFailbackDelay = time.Minute // to the first agent, after another one had to be asked
+	pollInterval         = time.Second // where an agent gives no index to block on
+	// restPerWork bounds the share of the time that goes into reading answers, as 1/(1+restPerWork): on one core
 	// that time is taken from bookings.
-	workShare = 4
+	restPerWork = 4
 )
 
 // Watcher follows one service.
 type Watcher struct {
-	set       Settings
+	settings  Settings
 	resolve   func(string) string
 	qualified bool
 	agents    []string
 	clients   []*api.Client
 
 	transports []*http.Transport
-	// Tell takes what an answer changes, Heard that one came that changes nothing. They must not block for long:
+	// OnAnswer takes what an answer changes, Heard that one came that changes nothing. They must not block for long:
 	// the next question waits for them.
-	Tell  func(endpointsource.ConsulAnswer)
-	Heard func()
+	OnAnswer    func(endpointsource.ConsulAnswer)
+	OnUnchanged func()
 
-	before   map[string]endpointsource.Endpoint
-	doubt    doubt
-	sayMu    sync.Mutex
-	logged   map[string]time.Time // guarded by sayMu
-	leader   bool                 // the next question goes to the leader
-	returnAt time.Time
-	back     time.Duration // see returnAfter
+	known         map[string]endpointsource.Endpoint
+	confirmation  confirmation
+	logMu         sync.Mutex
+	logged        map[string]time.Time // guarded by logMu
+	askLeader     bool                 // the next question goes to the leader
+	failbackAt    time.Time
+	failbackDelay time.Duration // see defaultFailbackDelay
 }
 
 // New makes a watcher; resolve turns a path of the settings into one to open. Files are read when they are
 // needed, but for those of TLS.
 func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
 	w := &Watcher{
-		set: s, resolve: resolve, qualified: mode == endpointsource.ModeConsul, agents: s.agents(),
-		before: map[string]endpointsource.Endpoint{}, logged: map[string]time.Time{}, back: returnAfter,
+		settings: s, resolve: resolve, qualified: mode == endpointsource.ModeConsul, agents: s.agents(),
+		known: map[string]endpointsource.Endpoint{}, logged: map[string]time.Time{}, failbackDelay: defaultFailbackDelay,
 	}
-	w.doubt.w = w
+	w.confirmation.watcher = w
 	var conf *tls.Config
 	scheme := "http"
 	if s.TLS {
 		scheme = "https"
 		var err error
-		if conf, err = w.tls(); err != nil {
+		if conf, err = w.tlsConfig(); err != nil {
 			return nil, err
 		}
 	}
@@ -85,7 +85,7 @@
 			IdleConnTimeout: time.Minute, MaxResponseHeaderBytes: 64 << 10, DisableCompression: true,
 		}
 		c, err := api.NewClient(&api.Config{
-			Address: address, Scheme: scheme, HttpClient: &http.Client{Transport: &bounded{transport}},
+			Address: address, Scheme: scheme, HttpClient: &http.Client{Transport: &boundedTransport{transport}},
 			Namespace: s.Namespace, Partition: s.Partition,
 		})
 		if err != nil {
@@ -96,18 +96,18 @@
 	return w, nil
 }
 
-func (w *Watcher) tls() (*tls.Config, error) {
-	c := &tls.Config{ServerName: w.set.ServerName, MinVersion: tls.VersionTLS12}
-	if w.set.CAFile != "" {
+func (w *Watcher) tlsConfig() (*tls.Config, error) {
+	c := &tls.Config{ServerName: w.settings.ServerName, MinVersion: tls.VersionTLS12}
+	if w.settings.CAFile != "" {
 		var err error
-		if c.RootCAs, err = certfile.LoadPool(w.resolve(w.set.CAFile)); err != nil {
+		if c.RootCAs, err = certfile.LoadPool(w.resolve(w.settings.CAFile)); err != nil {
 			return nil, fmt.Errorf("consul.tls_ca_file: %w", err)
 		}
 	}
-	if w.set.CertFile != "" {
+	if w.settings.CertFile != "" {
 		// Read at each handshake: it may be replaced while running.
 		get := func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return certfile.Load(w.resolve(w.set.CertFile), w.resolve(w.set.KeyFile))
+			return certfile.Load(w.resolve(w.settings.CertFile), w.resolve(w.settings.KeyFile))
 		}
 		if _, err := get(nil); err != nil {
 			return nil, fmt.Errorf("consul.tls_cert_file: %w", err)
@@ -117,38 +117,38 @@
 	return c, nil
 }
 
-// asked goes with a question, in its context: the client library keeps neither the headers of an answer nor
+// exchange goes with a question, in its context: the client library keeps neither the headers of an answer nor
 // the token that it is given apart from the environment's.
-type asked struct {
-	token  string
-	header http.Header
-	came   time.Time
+type exchange struct {
+	token      string
+	header     http.Header
+	receivedAt time.Time
 	// decode reads the body of a good answer. The client library would read it in one go; on one core
 	// bookings wait for as long as that takes, ten milliseconds at each of their steps.
 	decode func(io.Reader) error
 }
 
-type askedKey struct{}
+type exchangeKey struct{}
 
-// bounded is a RoundTripper that bounds answers.
-type bounded struct{ under *http.Transport }
+// boundedTransport is a RoundTripper that bounds answers.
+type boundedTransport struct{ transport *http.Transport }
 
-func (b *bounded) RoundTrip(r *http.Request) (*http.Response, error) {
-	a, _ := r.Context().Value(askedKey{}).(*asked)
+func (b *boundedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	a, _ := r.Context().Value(exchangeKey{}).(*exchange)
 	r = r.Clone(r.Context())
 	r.Header.Del("X-Consul-Token")
 	r.Header.Del("Authorization")
 	if a != nil && a.token != "" {
 		r.Header.Set("X-Consul-Token", a.token)
 	}
-	res, err := b.under.RoundTrip(r)
+	res, err := b.transport.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
 	if a != nil {
-		a.header, a.came = res.Header, time.Now()
+		a.header, a.receivedAt = res.Header, time.Now()
 	}
-	res.Body = &limited{ReadCloser: res.Body, left: mostBody}
+	res.Body = &limitedBody{ReadCloser: res.Body, remaining: maxBodyBytes}
 	if a == nil || res.StatusCode != http.StatusOK {
 		return res, nil
 	}
@@ -161,10 +161,10 @@
 	return res, nil
 }
 
-var errTooLarge = fmt.Errorf("the answer has more than %d MiB", mostBody>>20)
+var errTooLarge = fmt.Errorf("the answer has more than %d MiB", maxBodyBytes>>20)
 
-// each reads the elements of a JSON list one by one, and lets others run in between. A null is an empty list.
-func each[T any](r io.Reader, most int, take func(*T)) error {
+// decodeEach reads the elements of a JSON list one by one, and lets others run in between. A null is an empty list.
+func decodeEach[T any](r io.Reader, most int, take func(*T)) error {
 	d := json.NewDecoder(r)
 	switch open, err := d.Token(); {
 	case err != nil:
@@ -189,62 +189,62 @@
 	return err
 }
 
-// limited fails where a body goes on beyond its bound.
-type limited struct {
+// limitedBody fails where a body goes on beyond its bound.
+type limitedBody struct {
 	io.ReadCloser
-	left int64
+	remaining int64
 }
 
-func (l *limited) Read(b []byte) (int, error) {
-	if l.left <= 0 {
+func (l *limitedBody) Read(b []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := l.ReadCloser.Read(b[:min(int64(len(b)), l.left)])
-	l.left -= int64(n)
+	n, err := l.ReadCloser.Read(b[:min(int64(len(b)), l.remaining)])
+	l.remaining -= int64(n)
 	return n, err
 }
 
-// meta is what an answer's headers say.
-type meta struct {
+// answerMeta is what an answer's headers say.
+type answerMeta struct {
 	index       uint64
 	hash        string
-	leader      bool
+	knownLeader bool
 	lastContact time.Duration
-	came        time.Time // when its headers came: what follows is work
+	receivedAt  time.Time // when its headers came: what follows is work
 }
 
-// ask asks one agent; tags is what a filter calls the instances' tags there. wait of 0 asks for an answer at once.
-func (w *Watcher) ask(ctx context.Context, agent int, path, tags string, index uint64, hash string, wait time.Duration, mode Consistency, decode func(io.Reader) error) (m meta, err error) {
-	a := &asked{decode: decode}
-	if w.set.TokenFile != "" {
-		if a.token, err = secretfile.ReadToken(w.resolve(w.set.TokenFile)); err != nil {
+// query asks one agent; tags is what a filter calls the instances' tags there. wait of 0 asks for an answer at once.
+func (w *Watcher) query(ctx context.Context, agent int, path, tags string, index uint64, hash string, wait time.Duration, mode Consistency, decode func(io.Reader) error) (m answerMeta, err error) {
+	a := &exchange{decode: decode}
+	if w.settings.TokenFile != "" {
+		if a.token, err = secretfile.ReadToken(w.resolve(w.settings.TokenFile)); err != nil {
 			return m, err
 		}
 	}
-	limit := firstWait
+	limit := requestTimeout
 	if index > 0 || hash != "" {
-		limit = wait + wait/16 + slack // Consul adds up to a sixteenth itself
+		limit = wait + wait/16 + blockingSlack // Consul adds up to a sixteenth itself
 	}
-	ctx, cancel := context.WithTimeout(context.WithValue(ctx, askedKey{}, a), limit)
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, exchangeKey{}, a), limit)
 	defer cancel()
 	q := &api.QueryOptions{
-		Datacenter: w.set.Datacenter, Namespace: w.set.Namespace, Partition: w.set.Partition,
+		Datacenter: w.settings.Datacenter, Namespace: w.settings.Namespace, Partition: w.settings.Partition,
 		AllowStale: mode == Stale, RequireConsistent: mode == Consistent, WaitIndex: index, WaitHash: hash,
 	}
 	if index > 0 || hash != "" {
 		q.WaitTime = wait
 	}
-	if w.set.Tag != "" {
-		q.Filter = strconv.Quote(w.set.Tag) + " in " + tags
+	if w.settings.Tag != "" {
+		q.Filter = strconv.Quote(w.settings.Tag) + " in " + tags
 	}
 	var none any
 	if _, err = w.clients[agent].Raw().Query(path, &none, q.WithContext(ctx)); err != nil {
 		return m, err
 	}
-	m.came = a.came
+	m.receivedAt = a.receivedAt
 	m.index, _ = strconv.ParseUint(a.header.Get("X-Consul-Index"), 10, 64)
 	m.hash = a.header.Get("X-Consul-ContentHash")
-	m.leader = a.header.Get("X-Consul-KnownLeader") != "false"
+	m.knownLeader = a.header.Get("X-Consul-KnownLeader") != "false"
 	if ms, err := strconv.ParseInt(a.header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
 		m.lastContact = time.Duration(min(ms, int64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
@@ -261,31 +261,31 @@
 			t.CloseIdleConnections()
 		}
 	}()
-	w.doubt.begin(ctx)
-	defer w.doubt.end()
+	w.confirmation.start(ctx)
+	defer w.confirmation.wait()
 	first := true
 	for ctx.Err() == nil {
-		if agent != 0 && time.Now().After(w.returnAt) {
+		if agent != 0 && time.Now().After(w.failbackAt) {
 			agent, index, hash = 0, 0, ""
 		}
-		mode := w.set.Consistency
-		if w.leader && mode == Stale {
+		mode := w.settings.Consistency
+		if w.askLeader && mode == Stale {
 			mode = Default
 		}
 		after, faults := map[string]endpointsource.Endpoint{}, []string(nil)
-		wait := w.set.Wait - rand.N(w.set.Wait/8+1)
-		path := "/v1/health/service/" + url.PathEscape(w.set.Service)
-		m, err := w.ask(ctx, agent, path, "Service.Tags", index, hash, wait, mode, func(body io.Reader) error {
-			return each(body, mostInstances, func(i *instance) { faults = w.set.add(after, i, w.qualified, faults) })
+		wait := w.settings.Wait - rand.N(w.settings.Wait/8+1)
+		path := "/v1/health/service/" + url.PathEscape(w.settings.Service)
+		m, err := w.query(ctx, agent, path, "Service.Tags", index, hash, wait, mode, func(body io.Reader) error {
+			return decodeEach(body, maxInstances, func(i *instance) { faults = w.settings.addEndpoint(after, i, w.qualified, faults) })
 		})
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			failures++
-			w.say("agent "+w.agents[agent], "consul: agent %s: %s", w.agents[agent], plain(err))
+			w.logOnce("agent "+w.agents[agent], "consul: agent %s: %s", w.agents[agent], errorText(err))
 			agent, index, hash = (agent+1)%len(w.agents), 0, ""
-			w.returnAt = time.Now().Add(w.back)
+			w.failbackAt = time.Now().Add(w.failbackDelay)
 			// The next agent is asked at once; when all have failed there is a pause.
 			if failures%len(w.agents) == 0 {
 				pause(ctx, backoff(failures/len(w.agents)))
@@ -293,53 +293,53 @@
 			continue
 		}
 		if failures > 0 || first {
-			log.Printf("consul: agent %s answers: %d instances of %s", w.agents[agent], len(after), w.set.Service)
-			w.forgetSaid()
+			log.Printf("consul: agent %s answers: %d instances of %s", w.agents[agent], len(after), w.settings.Service)
+			w.resetLogged()
 		}
 		failures, first = 0, false
-		w.take(agent, after, faults, m)
-		work := time.Since(m.came)
+		w.handleAnswer(agent, after, faults, m)
+		work := time.Since(m.receivedAt)
 		switch next := nextIndex(index, m.index); {
 		case m.index == 0 && m.hash != "":
 			index, hash = 0, m.hash
 		case m.index == 0:
 			index, hash = 0, ""
-			pause(ctx, pollEvery/2+rand.N(pollEvery))
+			pause(ctx, pollInterval/2+rand.N(pollInterval))
 		default:
 			index, hash = next, ""
 		}
-		pause(ctx, max(w.set.Pace, workShare*work))
+		pause(ctx, max(w.settings.MinInterval, restPerWork*work))
 	}
 }
 
-// take reads an answer and tells what it changes. What it tells waits for nothing: an answer that lacks too
+// handleAnswer reads an answer and tells what it changes. What it tells waits for nothing: an answer that lacks too
 // many may hold the word that another one is critical.
-func (w *Watcher) take(agent int, after map[string]endpointsource.Endpoint, faults []string, m meta) {
+func (w *Watcher) handleAnswer(agent int, after map[string]endpointsource.Endpoint, faults []string, m answerMeta) {
 	for _, f := range faults {
-		w.say(f, "consul: %s", f)
+		w.logOnce(f, "consul: %s", f)
 	}
-	a := diff(w.before, after)
+	a := diff(w.known, after)
 	a.UnixMS = time.Now().UnixMilli()
-	a.Untrusted = !m.leader || m.lastContact > w.set.LongestStale
-	w.leader = a.Untrusted && m.leader
-	w.before = after
+	a.Untrusted = !m.knownLeader || m.lastContact > w.settings.MaxStaleness
+	w.askLeader = a.Untrusted && m.knownLeader
+	w.known = after
 	if len(a.Changed) == 0 && len(a.Missing) == 0 {
-		w.Heard()
+		w.OnUnchanged()
 		return
 	}
-	w.doubt.note(a, func() { w.Tell(a) })
+	w.confirmation.observe(a, func() { w.OnAnswer(a) })
 	const few = 2 // what membership believes at once, whatever its settings
 	if len(a.Missing) > few || len(a.Missing) > 0 && (a.Untrusted || len(after) == 0) {
-		w.doubt.follow(agent, a.Missing)
+		w.confirmation.confirm(agent, a.Missing)
 	}
 }
 
-// say logs a line unless the same was logged within the last minute.
-func (w *Watcher) say(key, format string, args ...any) {
+// logOnce logs a line unless the same was logged within the last minute.
+func (w *Watcher) logOnce(key, format string, args ...any) {
 	const mostKeys = 1000
 	text := fmt.Sprintf(format, args...)
-	w.sayMu.Lock()
-	defer w.sayMu.Unlock()
+	w.logMu.Lock()
+	defer w.logMu.Unlock()
 	if at, ok := w.logged[key+text]; ok && time.Since(at) < time.Minute {
 		return
 	}
@@ -350,15 +350,15 @@
 	log.Print(text)
 }
 
-// forgetSaid has what is said from here on logged, though it was logged before.
-func (w *Watcher) forgetSaid() {
-	w.sayMu.Lock()
-	defer w.sayMu.Unlock()
+// resetLogged has what is said from here on logged, though it was logged before.
+func (w *Watcher) resetLogged() {
+	w.logMu.Lock()
+	defer w.logMu.Unlock()
 	clear(w.logged)
 }
 
-// plain words an error without what an agent may have put into it at length, and without the question's URL.
-func plain(err error) string {
+// errorText words an error without what an agent may have put into it at length, and without the question's URL.
+func errorText(err error) string {
 	var status api.StatusError
 	switch {
 	case errors.As(err, &status):
@@ -379,8 +379,8 @@
 
 // backoff is the pause after all agents have failed n times, with jitter.
 func backoff(n int) time.Duration {
-	d := backoffLeast << min(n-1, 10)
-	d = min(d, backoffMost)
+	d := minBackoff << min(n-1, 10)
+	d = min(d, maxBackoff)
 	return d/2 + rand.N(d/2+1)
 }
 
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -193,7 +193,7 @@
 			log.Printf("consul: %v", err)
 			return
 		}
-		w.Tell, w.Heard = tell, heard
+		w.OnAnswer, w.OnUnchanged = tell, heard
 		w.Run(ctx)
 	}, nil
 }
