--- a/internal/mesh/assembly/process.go
+++ b/internal/mesh/assembly/process.go
@@ -131,7 +131,7 @@
 func (p *process) reload(apply func(*settings.Settings)) {
 	loaded, err := settings.Load(p.settingsPath)
 	if err != nil {
-		p.log.Warn("assembly: settings are kept as they were: " + err.Error())
+		p.log.WithError(err).Warn("assembly: settings are kept as they were")
 		return
 	}
 	apply(loaded)
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -1,6 +1,3 @@
-// Package transport carries messages between the system's own processes: one TCP connection to a neighbour carries many calls at
-// once, each answered once. Frames are a length of four bytes and a protobuf envelope; what is longer than a piece goes out
-// piece by piece, in turn with all else, so that a large answer does not hold up a small one.
 package transport
 
 import (
@@ -14,39 +11,39 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Bounds of what one connection may hold.
 const (
 	maxChunkBytes   = 16 << 10            // bytes of a message in one frame
-	maxFrameBytes   = maxChunkBytes + 256 // and with its envelope
-	maxMessageBytes = 72 << 20            // bytes of one message, the largest body of a request and its head
-	maxPendingCalls = 4096                // calls of one neighbour at once
-	protocolVersion = 1                   // of this protocol; a higher one in Hello is fine, another major is not spoken
+	maxFrameBytes   = maxChunkBytes + 256 // a chunk with its envelope
+	maxMessageBytes = 72 << 20            // bytes of one message: the largest body of a request, and its header
+	protocolVersion = 1                   // of Hello; a peer with another one is not spoken to
+	lengthBytes     = 4                   // of the length before a frame
 )
 
-// frameKind is what a frame is for.
+// frameKind is the purpose of a frame. The numbers are part of the protocol.
 type frameKind uint64
 
 const (
-	helloFrame  frameKind = 1 + iota
-	callFrame             // a piece of a call
-	replyFrame            // a piece of the reply to a call, by its stream
-	cancelFrame           // the caller has given the call up; the reply says how far it had come
-	pingFrame             // wants a pong; sent when nothing has been heard
-	pongFrame
-	leavingFrame // the sender is about to end: what is under way is answered, nothing new is to come on this connection
+	helloFrame   frameKind = 1 // body: a Hello; the first frame of each side, and only the first
+	callFrame    frameKind = 2 // a chunk of a call
+	replyFrame   frameKind = 3 // a chunk of the reply to the call with the same stream
+	cancelFrame  frameKind = 4 // the caller has cancelled the call; its reply says how far it came
+	pingFrame    frameKind = 5 // asks for a pong
+	pongFrame    frameKind = 6
+	leavingFrame frameKind = 7 // the sender is draining: it replies to what it has, and wants no new calls on this link
 )
 
 // envelope is one frame.
 type envelope struct {
-	kind      uint64
+	kind      uint64 // a frameKind; receivers ignore kinds that they do not know
 	stream    uint64
-	method    uint64
-	last      bool
-	sentAt    time.Duration // the sender's, when it was written
+	method    uint64        // of a call; 0 in other frames
+	last      bool          // the chunk completes its message
+	sentAt    time.Duration // the sender's clock when it wrote the frame
 	expiresAt time.Duration // of a call, on the sender's clock; 0 for never
 	body      []byte
 }
 
+// Fields names the fields of an envelope (codec.Message).
 func (e *envelope) Fields(v *codec.Visitor) {
 	v.Uint64(1, &e.kind)
 	v.Uint64(2, &e.stream)
@@ -57,17 +54,17 @@
 	v.Bytes(7, &e.body)
 }
 
-// Hello is how two processes greet each other; the first frame of each.
+// Hello is the greeting of a process, the first frame that it sends on a link.
 type Hello struct {
-	Version     uint64
-	Incarnation uint64 // random, new at each start
+	Version     uint64 // protocolVersion
+	Incarnation uint64 // random, new at each start of the process
 	Address     string // where its peers reach it
 	Name        string // of its machine, for people
 	Zone        string
 	Service     string // of the endpoint beside it; empty for none
 }
 
-// Fields names the fields of a Hello.
+// Fields names the fields of a Hello (codec.Message).
 func (h *Hello) Fields(v *codec.Visitor) {
 	v.Uint64(1, &h.Version)
 	v.Fixed64(2, &h.Incarnation)
@@ -77,20 +74,23 @@
 	v.String(6, &h.Service)
 }
 
+// appendFrame appends a frame with its length to buf.
 func appendFrame(buf []byte, e *envelope) []byte {
-	at := len(buf)
-	buf = codec.MarshalAppend(append(buf, 0, 0, 0, 0), e)
-	binary.BigEndian.PutUint32(buf[at:], uint32(len(buf)-at-4))
+	start := len(buf)
+	buf = append(buf, 0, 0, 0, 0)
+	buf = codec.MarshalAppend(buf, e)
+	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-lengthBytes))
 	return buf
 }
 
-// readFrame reads one frame; what it holds is the caller's.
+// readFrame reads one frame into e. The body is e's own: no later frame overwrites it. The error is io.EOF where the connection ends
+// between two frames.
 func readFrame(r *bufio.Reader, e *envelope) error {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var length [lengthBytes]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(length[:])
 	if n > maxFrameBytes {
 		return trace.LimitExceeded("a frame of %d bytes, %d at most", n, maxFrameBytes)
 	}
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -101,7 +101,7 @@
 
 func newRawPeer(t *testing.T, conn net.Conn) *rawPeer {
 	t.Helper()
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	qt.Assert(t, conn.SetDeadline(time.Now().Add(20*time.Second)), qt.IsNil)
 	return &rawPeer{C: qt.New(t), conn: conn, r: bufio.NewReader(conn)}
 }
@@ -147,9 +147,8 @@
 // What a hub that was dialled sends on its connection: its greeting, replies, a pong, and that it leaves.
 func TestGoldenAcceptedLink(t *testing.T) {
 	far := goldenHub(t)
-	n, err := net.Listen("tcp4", "127.0.0.1:0")
-	qt.Assert(t, err, qt.IsNil)
-	go far.Listen(n)
+	listener := listen(t)
+	serveUntilEnd(t, far, listener)
 	Handle(far, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
 		return &textMessage{from.Name + " " + l.Text}
 	})
@@ -160,9 +159,7 @@
 			close(withdrawn)
 		})
 	})
-	conn, err := net.Dial("tcp4", n.Addr().String())
-	qt.Assert(t, err, qt.IsNil)
-	p := newRawPeer(t, conn)
+	p := newRawPeer(t, dialRaw(t, listener.Addr().String()))
 	p.send(golden.Read(t, "hello.hex"))
 	p.next()
 	question := codec.MarshalAppend(nil, &textMessage{"question"})
@@ -186,7 +183,7 @@
 		far.Drain(far.Now() + 20*time.Second)
 	}()
 	p.next()
-	p.conn.Close()
+	qt.Assert(t, p.conn.Close(), qt.IsNil)
 	<-drained
 	golden.Hex(t, "accepted-link.hex", p.read)
 }
@@ -194,17 +191,16 @@
 // What a hub that dials sends: its greeting, calls in one frame and in several, and that it gives one up.
 func TestGoldenDialledLink(t *testing.T) {
 	near := goldenHub(t)
-	n, err := net.Listen("tcp4", "127.0.0.1:0")
-	qt.Assert(t, err, qt.IsNil)
-	defer n.Close()
+	listener := listen(t)
+	defer func() { _ = listener.Close() }()
 	type result struct {
 		body []byte
 		err  error
 	}
 	ends := make(chan result, 2)
 	done := func(body []byte, err error) { ends <- result{body, err} }
-	near.Send(n.Addr().String(), 10, []byte("question"), 2*time.Second, done)
-	conn, err := n.Accept()
+	near.Send(listener.Addr().String(), 10, []byte("question"), 2*time.Second, done)
+	conn, err := listener.Accept()
 	qt.Assert(t, err, qt.IsNil)
 	p := newRawPeer(t, conn)
 	p.next() // no call goes out before the peer has greeted
@@ -214,7 +210,7 @@
 	first := <-ends
 	p.Assert(first.err, qt.IsNil)
 	p.Assert(string(first.body), qt.Equals, "answer")
-	call := near.Send(n.Addr().String(), 1, bytes.Repeat([]byte{0xab}, maxChunkBytes+100), 0, done)
+	call := near.Send(listener.Addr().String(), 1, bytes.Repeat([]byte{0xab}, maxChunkBytes+100), 0, done)
 	p.Assert(p.next().body, qt.HasLen, maxChunkBytes)
 	p.Assert(p.next().body, qt.HasLen, 100)
 	call.Cancel()
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -5,170 +5,204 @@
 	"sync"
 	"time"
 
-	"github.com/gammazero/deque"
+	"quincegap/internal/mesh/transport/codec"
 )
 
-// Times of a link.
 const (
-	dialTimeout       = 600 * time.Millisecond  // until a connection that is not up counts as failed
-	pendingPingDelay  = 300 * time.Millisecond  // without a word, while something is awaited: a ping goes out
-	idlePingDelay     = 2 * time.Second         // the same while nothing is
-	idleTimeout       = 30 * time.Second        // without a call: whoever dialled closes it
-	helloTimeout      = 1000 * time.Millisecond // until the peer has greeted on a new connection
-	pongTimeout       = 1000 * time.Millisecond // after a ping without a word: the link is dead
-	suspendThreshold  = 500 * time.Millisecond  // between two looks that should be closer: this process stood still
-	leaveTimeout      = 300 * time.Millisecond  // until a peer has closed the link of a process that leaves
-	checkInterval     = 100 * time.Millisecond
+	dialTimeout       = 600 * time.Millisecond // until a connection that is not established counts as failed
+	idleTimeout       = 30 * time.Second       // without a call: the side that dialled closes the link
+	leaveTimeout      = 300 * time.Millisecond // of a draining process, until its peer has closed the link
 	readBufferBytes   = 4 << 10
-	socketBufferBytes = 128 << 10 // of a socket: what is in it can't be overtaken
+	socketBufferBytes = 128 << 10 // for writing: no later frame can overtake what is in it
 )
 
-// Link is a connection to one neighbour. The side that dialled calls, the side that accepted answers.
+// Why a link ended, or a call got no reply. The texts appear in errors and logs; where a connection fails, its error is the reason.
+const (
+	reasonCancelled    = "withdrawn"
+	reasonClosed       = "closed"
+	reasonIdle         = "idle"
+	reasonLeaving      = "leaving"
+	reasonNoHello      = "no hello"
+	reasonNoPong       = "silent"
+	reasonTooManyCalls = "too many calls at once"
+)
+
+// Link is a connection to one peer. The side that dialled sends calls, the side that accepted replies.
 type Link struct {
 	hub        *Hub
-	peer       string // address, for people
-	conn       net.Conn
-	mu         sync.Mutex
-	writerWake chan struct{}
-	closed     bool
-	// this process dialled it: it sends calls, once the peer has greeted
-	dialled     bool
+	peer       string        // the peer's address, for people; of a dialled link also its key in the hub
+	dialled    bool          // by this process
+	writerWake chan struct{} // holds one: the writer has something to do
+
+	mu          sync.Mutex // guards what follows. It is taken after the hub's and before the shaper's
+	conn        net.Conn   // nil while it is dialled; set once
 	connectedAt time.Duration
-	// closed as idle, or its peer leaves: new calls need another link
-	retired     bool
-	lastCallAt  time.Duration // the last call
-	peerGreeted bool
-	// the writer has bytes that it has not handed to the connection yet
-	writing bool
-	// this side leaves: since when its peer has been told, and whether the sending half is closed
-	leavingSince time.Duration
-	writeClosed  bool
-	closeReason  string
-	peerHello    Hello
-	lastStream   uint64
-	pending      map[uint64]*PendingCall  // by stream
-	incoming     map[uint64]*IncomingCall // whole, and not answered
-	partial      map[uint64]*IncomingCall // not whole yet
-
-	controlFrames deque.Deque[envelope]
-	smallMessages deque.Deque[any] // *PendingCall and *reply that fit into one piece,
-	largeMessages deque.Deque[any] // and those with several left to write, in turn
-
-	lastReceivedAt   time.Duration // when the last frame came
-	pingSentAt       time.Duration // when an unanswered ping went out; 0 for none
-	clockOffset      time.Duration // the least seen of: own clock less the clock in a frame, as it came
-	clockOffsetKnown bool          // there is one
-	lastCheckAt      time.Duration
+	closed      bool
+	closeReason string
+	retired     bool // takes no new calls: it was closed as idle, or its peer is draining
+	peerGreeted bool // the peer's hello has come
+	peerHello   Hello
+	lastCallAt  time.Duration // when this process last made a call
+
+	lastStream uint64                   // the number of this process's last call
+	pending    map[uint64]*PendingCall  // this process's calls without a reply, by stream
+	incoming   map[uint64]*IncomingCall // the peer's complete calls without a reply
+	partial    map[uint64]*IncomingCall // the peer's calls of which chunks are missing
+
+	queue   sendQueue
+	writing bool // the writer has bytes that it has not handed to the connection yet
+
+	liveness  liveness
+	peerClock peerClock
+
+	leavingSince time.Duration // when this draining process told its peer so; 0 for not
+	writeClosed  bool          // the sending half of the connection is closed
 }
 
-func newLink(h *Hub, peer string) *Link {
+func newLink(h *Hub, peer string, dialled bool) *Link {
+	now := h.Now()
 	return &Link{
-		hub: h, peer: peer, writerWake: make(chan struct{}, 1), pending: map[uint64]*PendingCall{}, incoming: map[uint64]*IncomingCall{},
-		partial: map[uint64]*IncomingCall{}, lastReceivedAt: h.Now(), lastCheckAt: h.Now(),
+		hub: h, peer: peer, dialled: dialled, writerWake: make(chan struct{}, 1),
+		pending:  map[uint64]*PendingCall{},
+		incoming: map[uint64]*IncomingCall{},
+		partial:  map[uint64]*IncomingCall{},
+		liveness: liveness{lastReceivedAt: now, lastCheckAt: now},
 	}
 }
 
-// fail ends a link, once.
-func (l *Link) fail(why string) {
-	l.mu.Lock()
-	if l.closed {
-		l.mu.Unlock()
-		return
+// run sends and receives on a connection until the link ends. It returns when its reader has ended.
+func (l *Link) run(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetWriteBuffer(socketBufferBytes) // a hint: the link works with any size
 	}
-	l.closed, l.closeReason = true, why
-	pending, incoming := l.pending, l.incoming
-	for _, c := range l.partial {
-		c.release()
+	if !l.attach(conn) {
+		l.hub.closeConn(conn, l.peer)
+		return
 	}
-	for _, c := range incoming {
-		c.release()
+	l.wakeWriter()
+	l.hub.goroutines.Go(l.writeLoop)
+	l.readLoop(conn)
+}
+
+// attach gives the link its connection, and has the greeting go out first. It reports false if the link was closed meanwhile.
+func (l *Link) attach(conn net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return false
 	}
-	for _, a := range pending {
-		l.hub.reservedBytes.Add(-int64(a.reservedBytes))
+	l.conn = conn
+	l.queue.control.PushFront(envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &l.hub.self)})
+	now := l.hub.Now()
+	l.liveness.lastReceivedAt = now
+	l.connectedAt = now
+	return true
+}
+
+// mayCall reports whether calls may go out. The connection may have been accepted by the kernel of a machine whose process does not
+// run: no call goes there before the process's hello, so that none can begin when it resumes. The lock is held.
+func (l *Link) mayCall() bool { return l.peerGreeted || !l.dialled }
+
+// unanswered is what a link leaves behind when it ends.
+type unanswered struct {
+	conn     net.Conn // nil if there was none yet
+	pending  map[uint64]*PendingCall
+	incoming map[uint64]*IncomingCall
+}
+
+// fail ends the link, once: its calls without a reply end with a ConnectionError, and handlers of the peer's calls are told that these
+// are cancelled. The lock is not held.
+func (l *Link) fail(reason string) {
+	left, ok := l.close(reason)
+	if !ok {
+		return
 	}
-	l.pending, l.incoming, l.partial = map[uint64]*PendingCall{}, map[uint64]*IncomingCall{}, map[uint64]*IncomingCall{}
-	l.smallMessages.Clear()
-	l.dropLargeMessages()
-	l.controlFrames.Clear()
-	l.mu.Unlock()
-	if l.conn != nil {
-		if t, ok := l.conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // what has not arrived yet never shall
+	if left.conn != nil {
+		if tcp, ok := left.conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // what has not arrived yet never shall: no call may begin after its caller was told that it is lost
 		}
-		l.conn.Close()
+		l.hub.closeConn(left.conn, l.peer)
 	}
 	l.wakeWriter()
-	l.hub.removeLink(l, why)
-	for _, c := range incoming {
-		c.cancel()
+	l.hub.removeLink(l, reason)
+	for _, call := range left.incoming {
+		call.cancel()
 	}
-	for _, a := range pending {
-		a.done(nil, &ConnectionError{Peer: l.peer, Reason: why, Sent: a.fullySent})
+	for _, call := range left.pending {
+		call.done(nil, &ConnectionError{Peer: l.peer, Reason: reason, Sent: call.fullySent})
 	}
 }
 
-// drain tells the peer of an accepted link that this process leaves, and whether the link has ended. The peer closes it once it has all its
-// answers; with one that does not, this side closes its sending half after the last answer.
-func (l *Link) drain(now time.Duration) (ended bool) {
+// close marks the link closed, drops what it has to send and gives back the memory of its calls. It reports false if the link was
+// closed before.
+func (l *Link) close(reason string) (left unanswered, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch {
-	case l.closed || l.conn == nil:
-		return true
-	case l.leavingSince == 0:
-		l.leavingSince = now
-		l.controlFrames.PushBack(envelope{kind: uint64(leavingFrame)})
-		l.wakeWriter()
-	case l.writeClosed || now-l.leavingSince < leaveTimeout || l.writing || len(l.incoming)+l.smallMessages.Len()+l.largeMessages.Len()+l.controlFrames.Len() > 0:
-	default:
-		l.writeClosed = true
-		if half, ok := l.conn.(interface{ CloseWrite() error }); ok {
-			_ = half.CloseWrite()
-		} else {
-			l.conn.Close()
-		}
+	if l.closed {
+		return unanswered{}, false
 	}
-	return false
+	l.closed = true
+	l.closeReason = reason
+	for _, call := range l.partial {
+		call.release()
+	}
+	for _, call := range l.incoming {
+		call.release()
+	}
+	for _, call := range l.pending {
+		l.hub.reservedBytes.Add(-int64(call.reservedBytes))
+	}
+	left = unanswered{conn: l.conn, pending: l.pending, incoming: l.incoming}
+	l.pending = map[uint64]*PendingCall{}
+	l.incoming = map[uint64]*IncomingCall{}
+	l.partial = map[uint64]*IncomingCall{}
+	l.queue.clear(&l.hub.shaper)
+	return left, true
 }
 
-// endIfRetired ends a link whose peer leaves, once nothing is under way on it.
+// endIfRetired ends a link whose peer is draining, once no call on it is pending.
 func (l *Link) endIfRetired() {
 	l.mu.Lock()
-	over := l.retired && !l.closed && len(l.pending) == 0
+	unused := l.retired && !l.closed && len(l.pending) == 0
 	l.mu.Unlock()
-	if over {
-		l.fail("leaving")
+	if unused {
+		l.fail(reasonLeaving)
 	}
 }
 
-// checkLiveness pings a peer that has said nothing for a while, and fails a link whose peer stays silent. It is called every checkInterval.
-func (l *Link) checkLiveness(now time.Duration) {
-	l.endIfRetired()
+// drain tells the peer of an accepted link that this process is draining, and reports whether the link has ended. The peer closes it
+// once it has all its replies; if it does not, this side closes its sending half after the last reply. It is called every
+// drainPollInterval.
+func (l *Link) drain(now time.Duration) (ended bool) {
 	l.mu.Lock()
-	woken := now-l.lastCheckAt > suspendThreshold
-	l.lastCheckAt = now
-	if woken { // what the others said meanwhile is still to be read
-		l.lastReceivedAt, l.pingSentAt = now, 0
-	}
-	quiet := idlePingDelay
-	if len(l.pending) > 0 {
-		quiet = pendingPingDelay
-	}
-	switch {
-	case l.closed || l.conn == nil:
-		l.mu.Unlock()
-	case !l.mayCall() && !woken && now-l.connectedAt > helloTimeout:
-		l.mu.Unlock()
-		l.fail("no hello")
-	case l.pingSentAt != 0 && now-l.pingSentAt > pongTimeout:
-		l.mu.Unlock()
-		l.fail("silent")
-	case l.pingSentAt == 0 && now-l.lastReceivedAt > quiet:
-		l.pingSentAt = now
-		l.controlFrames.PushBack(envelope{kind: uint64(pingFrame)})
-		l.mu.Unlock()
+	defer l.mu.Unlock()
+	if l.closed || l.conn == nil {
+		return true
+	}
+	if l.leavingSince == 0 {
+		l.leavingSince = now
+		l.queue.control.PushBack(envelope{kind: uint64(leavingFrame)})
 		l.wakeWriter()
-	default:
-		l.mu.Unlock()
+		return false
+	}
+	if !l.writeClosed && now-l.leavingSince >= leaveTimeout && l.allReplied() {
+		l.closeWrite()
+	}
+	return false
+}
+
+// allReplied reports whether every call of the peer has its reply, down to the last byte. The lock is held.
+func (l *Link) allReplied() bool { return !l.writing && len(l.incoming) == 0 && l.queue.len() == 0 }
+
+// closeWrite closes the sending half of the connection: the peer reads the end after the last reply. The lock is held.
+func (l *Link) closeWrite() {
+	l.writeClosed = true
+	half, ok := l.conn.(interface{ CloseWrite() error })
+	if !ok {
+		l.hub.closeConn(l.conn, l.peer)
+		return
+	}
+	if err := half.CloseWrite(); err != nil {
+		l.hub.log.WithField("peer", l.peer).WithError(err).Debug("transport: the sending half of a link did not close")
 	}
 }
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -40,22 +41,66 @@
 	return len(p), nil
 }
 
-// newTestHub is one that listens on loopback.
-func newTestHub(t *testing.T, name string, most int) (*Hub, string, *logCapture) {
-	n, err := net.Listen("tcp4", "127.0.0.1:0")
+// listen is a listener on loopback.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
+	return listener
+}
+
+// dialRaw is a connection to an address that sends and receives bytes, not frames.
+func dialRaw(t *testing.T, address string) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp4", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	return conn
+}
+
+// awaitLine waits for a line of the log, which is to have a text and the peer.
+func (l *logCapture) awaitLine(t *testing.T, text string) {
+	t.Helper()
+	select {
+	case line := <-l.lines:
+		qt.Assert(t, line, qt.Contains, text)
+		qt.Assert(t, line, qt.Contains, "peer=")
+	case <-time.After(20 * time.Second):
+		t.Fatal("nothing was logged")
+	}
+}
+
+// newTestHub is a hub that listens on loopback, its address and its log.
+func newTestHub(t *testing.T, name string, maxCallBytes int) (*Hub, string, *logCapture) {
+	t.Helper()
+	listener := listen(t)
+	address := listener.Addr().String()
 	out := &logCapture{lines: make(chan string, 16)}
 	log := logrus.New()
 	log.SetOutput(out)
-	h := NewHub(Hello{Incarnation: 7, Address: n.Addr().String(), Name: name}, time.Now(), most, log)
-	go h.Listen(n)
+	h := NewHub(Hello{Incarnation: 7, Address: address, Name: name}, time.Now(), maxCallBytes, log)
+	serveUntilEnd(t, h, listener)
+	return h, address, out
+}
+
+// serveUntilEnd accepts links until the test has ended, and then closes the hub.
+func serveUntilEnd(t *testing.T, h *Hub, listener net.Listener) {
+	t.Helper()
+	ended := make(chan error, 1)
+	go func() { ended <- h.Listen(listener) }()
 	t.Cleanup(func() {
 		h.Close()
-		n.Close()
+		_ = listener.Close() // a drained hub has closed it
+		if err := <-ended; err != nil {
+			t.Errorf("listen: %v", err)
+		}
 	})
-	return h, n.Addr().String(), out
 }
 
 func TestCallsShareALink(t *testing.T) {
@@ -67,12 +112,12 @@
 		return &textMessage{from.Name + " " + l.Text}
 	})
 	far.HandleRaw(2, func(c *IncomingCall) { held <- c })
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	// A large one is under way, and one that nobody answers yet: others pass.
+	// A large call is in flight, and one without a reply yet: others overtake them.
 	large := strings.Repeat("x", 3<<20)
 	got := make(chan int, 1)
-	near.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, err error) { got <- len(body) })
+	near.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, _ error) { got <- len(body) })
 	waits := make(chan error, 1)
 	a := near.Send(address, 2, nil, 0, func(_ []byte, err error) { waits <- err })
 	for range 50 {
@@ -81,7 +126,7 @@
 		c.Assert(r.Text, qt.Equals, "near small")
 	}
 	c.Assert(<-got > len(large), qt.IsTrue)
-	// The asker gives up: the other side hears of it, and its answer still comes.
+	// The caller cancels: the other side is notified, and its reply still comes.
 	call := <-held
 	quit := make(chan struct{})
 	call.OnCancel(func() { close(quit) })
@@ -89,7 +134,7 @@
 	<-quit
 	call.ReplyBytes([]byte("withdrawn"))
 	c.Assert(<-waits, qt.IsNil)
-	// A method that the other side does not know is answered by nothing.
+	// A method that the other side does not know gets the empty reply.
 	r, err := Request[textMessage](ctx, near, address, 99, &textMessage{"?"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(r.Text, qt.Equals, "")
@@ -114,71 +159,81 @@
 	c.Assert(lost.Sent, qt.IsFalse)
 }
 
-// What no peer of ours sends ends its link, is logged with who sent it, and harms nobody else.
+// helloBytes is the first frame of a peer.
+func helloBytes(hello Hello) []byte {
+	return appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &hello)})
+}
+
+// callBytes is a greeting and a call to method 1.
+func callBytes(last bool, body []byte) []byte {
+	hello := helloBytes(Hello{Version: protocolVersion, Name: "bad"})
+	return appendFrame(hello, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: last, body: body})
+}
+
+// What no process of the mesh sends ends its link, is logged with the peer that sent it, and harms no other link.
 func TestInvalidPeersAreDisconnected(t *testing.T) {
-	frame := func(e envelope) []byte { return appendFrame(nil, &e) }
-	greet := frame(envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &Hello{Version: protocolVersion, Name: "bad"})})
-	huge := make([]byte, 4)
-	binary.BigEndian.PutUint32(huge, 2<<30-1)
-	for name, bytes := range map[string][]byte{
-		"a frame of 2 GB":        huge,
-		"a field of another":     append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: []byte{0x08, 1}})...),
-		"a second hello":         append(append([]byte{}, greet...), greet...),
-		"another version's peer": frame(envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &Hello{Version: 9})}),
-		"an ask beyond bounds":   append(append([]byte{}, greet...), frame(envelope{kind: uint64(callFrame), stream: 1, method: 1, body: make([]byte, 2048)})...),
-		"half a frame":           greet[:7],
-		"no protobuf":            {0, 0, 0, 2, 0xff, 0xff},
+	hello := helloBytes(Hello{Version: protocolVersion, Name: "bad"})
+	for _, x := range []struct {
+		name   string
+		bytes  []byte
+		logged string // empty: nothing, as the connection just ended
+	}{
+		{"a frame of 2 GB", binary.BigEndian.AppendUint32(nil, 2<<30-1), "a frame of 2147483647 bytes, 16640 at most"},
+		{"a field of another type", callBytes(true, []byte{0x08, 1}), "field 1 has another type"},
+		{"a second hello", slices.Concat(hello, hello), "a second hello"},
+		{"another version", helloBytes(Hello{Version: 9}), "speaks version 9, this is 1"},
+		{"a call beyond bounds", callBytes(false, make([]byte, 2048)), "a call of over 2048 bytes"},
+		{"half a frame", hello[:7], ""},
+		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, "unexpected EOF"},
 	} {
-		t.Run(name, func(t *testing.T) {
-			c := qt.New(t)
+		t.Run(x.name, func(t *testing.T) {
 			far, address, out := newTestHub(t, "far", 1024)
 			near, _, _ := newTestHub(t, "near", 1024)
-			Handle(far, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
-			conn, err := net.Dial("tcp4", address)
-			c.Assert(err, qt.IsNil)
-			defer conn.Close()
-			_, err = conn.Write(bytes)
-			c.Assert(err, qt.IsNil)
-			if name == "half a frame" {
-				conn.(*net.TCPConn).CloseWrite()
+			Handle(far, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
+			sendUntilDisconnected(t, address, x.bytes, x.logged == "")
+			if x.logged != "" {
+				out.awaitLine(t, x.logged)
 			}
-			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
-			_, err = io.Copy(io.Discard, conn) // until the other side has ended it
-			var timeout net.Error
-			c.Assert(errors.As(err, &timeout) && timeout.Timeout(), qt.IsFalse)
-			if name != "half a frame" {
-				select {
-				case text := <-out.lines:
-					c.Assert(text, qt.Contains, "peer=")
-				case <-time.After(20 * time.Second):
-					t.Fatal("nothing was logged")
-				}
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			r, err := Request[textMessage](ctx, near, address, 1, &textMessage{"still there"})
-			c.Assert(err, qt.IsNil)
-			c.Assert(r.Text, qt.Equals, "still there")
+			qt.Assert(t, err, qt.IsNil)
+			qt.Assert(t, r.Text, qt.Equals, "still there")
 		})
 	}
 }
 
-// A slow machine link is kept free for small messages: large ones take no more than their part of it, and go in turn.
+// sendUntilDisconnected sends bytes to a hub, and nothing more if closeWrite is set, and waits until the hub has ended the connection.
+func sendUntilDisconnected(t *testing.T, address string, data []byte, closeWrite bool) {
+	t.Helper()
+	conn := dialRaw(t, address)
+	_, err := conn.Write(data)
+	qt.Assert(t, err, qt.IsNil)
+	if closeWrite {
+		qt.Assert(t, conn.(*net.TCPConn).CloseWrite(), qt.IsNil)
+	}
+	qt.Assert(t, conn.SetReadDeadline(time.Now().Add(20*time.Second)), qt.IsNil)
+	_, err = io.Copy(io.Discard, conn)
+	var timeout net.Error
+	qt.Assert(t, errors.As(err, &timeout) && timeout.Timeout(), qt.IsFalse)
+}
+
+// A slow uplink is kept free for small messages: large ones take no more than their fraction of it, and go in order.
 func TestLargeMessagesAreShaped(t *testing.T) {
 	c := qt.New(t)
 	s := shaper{rate: linkRateFraction * 8e6 / 8}
-	var line []*transfer
+	var transfers []*transfer
 	for range 8 {
-		line = append(line, s.start(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
+		transfers = append(transfers, s.start(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
 	}
 	now, small, ends := time.Duration(0), 0, []int{}
-	for len(ends) < len(line) {
+	for len(ends) < len(transfers) {
 		if n := int(now/(10*time.Millisecond)) - small; n > 0 { // 100 small ones a second
 			s.spend(now, n*1000)
 			small += n
 		}
 		least := time.Hour
-		for i, l := range line {
+		for i, l := range transfers {
 			if l.remaining == 0 {
 				continue
 			}
@@ -203,8 +258,8 @@
 	c.Assert(rate < 1.01*s.rate && rate > 0.9*s.rate, qt.IsTrue, qt.Commentf("%v of %v", rate, s.rate))
 }
 
-// A process that ends has its large answer go out whole over its slow link before the link closes; the caller gets it, not a
-// lost connection.
+// A draining process sends its large reply completely over its slow uplink before the link closes; the caller gets it, not a
+// ConnectionError.
 func TestDrainLosesNoAnswer(t *testing.T) {
 	c := qt.New(t)
 	far, address, _ := newTestHub(t, "far", 8<<20)
@@ -227,23 +282,21 @@
 	c.Assert(x.body, qt.HasLen, 300_000)
 }
 
-// While a process ends, calls that are on their way to it are answered, and later ones have surely not gone out. A peer that does not
-// know of leaving is let go all the same.
+// While a process drains, calls that are on their way to it get their replies, and later ones have certainly not been sent. The link of a
+// peer that does not know leavingFrame ends all the same.
 func TestDrainLosesNoCall(t *testing.T) {
 	c := qt.New(t)
 	far, address, _ := newTestHub(t, "far", 8<<20)
 	near, _, _ := newTestHub(t, "near", 8<<20)
-	old, err := net.Dial("tcp4", address)
-	c.Assert(err, qt.IsNil)
-	defer old.Close()
-	_, err = old.Write(appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &Hello{Version: protocolVersion, Name: "old"})}))
+	old := dialRaw(t, address)
+	_, err := old.Write(helloBytes(Hello{Version: protocolVersion, Name: "old"}))
 	c.Assert(err, qt.IsNil)
 	go func() { // it closes when the other side has
 		_, _ = io.Copy(io.Discard, old)
-		old.Close()
+		_ = old.Close()
 	}()
 	Handle(far, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	_, err = Request[textMessage](ctx, near, address, 1, &textMessage{"up"})
 	c.Assert(err, qt.IsNil)
@@ -282,21 +335,101 @@
 func TestListenOutlivesErrorsOfTheListener(t *testing.T) {
 	c := qt.New(t)
 	from, _, _ := newTestHub(t, "from", 1<<20)
-	n, err := net.Listen("tcp4", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
+	listener := listen(t)
+	address := listener.Addr().String()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	to := NewHub(Hello{Incarnation: 8, Address: n.Addr().String(), Name: "to"}, time.Now(), 1<<20, log)
+	to := NewHub(Hello{Incarnation: 8, Address: address, Name: "to"}, time.Now(), 1<<20, log)
 	Handle(to, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
-	broken := &brokenListener{Listener: n}
+	broken := &brokenListener{Listener: listener}
 	broken.failures.Store(3)
 	ended := make(chan error, 1)
 	go func() { ended <- to.Listen(broken) }()
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	answer, err := Request[textMessage](ctx, from, n.Addr().String(), 1, &textMessage{"x"})
+	answer, err := Request[textMessage](ctx, from, address, 1, &textMessage{"x"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(answer.Text, qt.Equals, "x")
 	to.Drain(to.Now() + time.Second)
 	c.Assert(<-ended, qt.IsNil)
 }
+
+// Close ends what the hub has started: links in both directions and the check of links. A call after that ends as one that was not sent.
+func TestCloseWaitsForGoroutines(t *testing.T) {
+	far, address, _ := newTestHub(t, "far", 1<<20)
+	Handle(far, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
+	near, _, _ := newTestHub(t, "near", 1<<20)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer cancel()
+	_, err := Request[textMessage](ctx, near, address, 1, &textMessage{"up"})
+	qt.Assert(t, err, qt.IsNil)
+	near.Close()
+	dialled, accepted := near.LinkCounts()
+	qt.Assert(t, dialled+accepted, qt.Equals, 0)
+	_, err = Request[textMessage](ctx, near, address, 1, &textMessage{"late"})
+	var lost *ConnectionError
+	qt.Assert(t, errors.As(err, &lost), qt.IsTrue)
+	qt.Assert(t, *lost, qt.Equals, ConnectionError{Peer: address, Reason: reasonClosed})
+}
+
+// Close ends an attempt to dial, and its call.
+func TestCloseEndsADial(t *testing.T) {
+	h, _, _ := newTestHub(t, "near", 1<<20)
+	dialling := make(chan struct{})
+	h.SetDialer(func(string) (net.Conn, error) {
+		close(dialling)
+		<-h.ctx.Done()
+		return nil, h.ctx.Err()
+	})
+	ended := make(chan error, 1)
+	h.Send("127.0.0.1:1", 1, nil, 0, func(_ []byte, err error) { ended <- err })
+	<-dialling
+	h.Close()
+	var lost *ConnectionError
+	qt.Assert(t, errors.As(<-ended, &lost), qt.IsTrue)
+	qt.Assert(t, *lost, qt.Equals, ConnectionError{Peer: "127.0.0.1:1", Reason: reasonClosed})
+}
+
+// A process that was suspended takes no peer for lost before it has read what came meanwhile.
+func TestLiveness(t *testing.T) {
+	const start = time.Minute
+	for _, x := range []struct {
+		name             string
+		pingSentAt       time.Duration // less start; 0 for none
+		checkedBefore    time.Duration // the check before this one
+		at               time.Duration // less start
+		resumed, overdue bool
+		due              bool // of an idle link
+	}{
+		{name: "quiet", checkedBefore: start + time.Second, at: time.Second + checkInterval},
+		{name: "quiet for long", checkedBefore: start + idlePingDelay, at: idlePingDelay + checkInterval, due: true},
+		{name: "pinged", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay, at: idlePingDelay + checkInterval},
+		{
+			name: "no pong", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay + pongTimeout,
+			at: idlePingDelay + pongTimeout + checkInterval, overdue: true,
+		},
+		{name: "suspended", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay, at: time.Minute, resumed: true},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			v := liveness{lastReceivedAt: start, lastCheckAt: x.checkedBefore}
+			if x.pingSentAt != 0 {
+				v.pingSentAt = start + x.pingSentAt
+			}
+			now := start + x.at
+			qt.Assert(t, v.resumed(now), qt.Equals, x.resumed)
+			qt.Assert(t, v.pongOverdue(now), qt.Equals, x.overdue)
+			qt.Assert(t, v.pingDue(now, idlePingDelay), qt.Equals, x.due)
+		})
+	}
+}
+
+// The offset of a peer's clock is the least that was seen: the frame that was under way for the shortest time.
+func TestPeerClock(t *testing.T) {
+	var c peerClock
+	c.observe(10*time.Second, 3*time.Second)
+	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 11*time.Second)
+	c.observe(11*time.Second, 3*time.Second) // a second on its way
+	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 11*time.Second)
+	c.observe(12*time.Second, 6*time.Second)
+	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 10*time.Second)
+}
--- /dev/null
+++ b/internal/mesh/transport/writer.go
@@ -0,0 +1,200 @@
+package transport
+
+import (
+	"time"
+
+	"github.com/gammazero/deque"
+)
+
+const (
+	maxWriteBytes      = 4 * maxChunkBytes // from which on no further frame is added to one write; the last one may exceed it
+	maxKeptBufferBytes = 8 * maxChunkBytes // of a writer's buffer between two writes
+)
+
+// outgoingMessage is a call or a reply that a link's writer sends in one or more chunks.
+type outgoingMessage interface {
+	// progress is how far it has been sent.
+	progress() *sendProgress
+	// frame is the envelope of its next chunk, without the body.
+	frame() envelope
+	// abandoned reports whether what is left of it is not to be sent.
+	abandoned() bool
+	// completed notes that its last chunk is handed to the writer.
+	completed()
+}
+
+func (s *sendProgress) progress() *sendProgress { return s }
+
+func (p *PendingCall) frame() envelope {
+	return envelope{kind: uint64(callFrame), stream: p.stream, method: p.method, expiresAt: p.expiresAt}
+}
+
+func (p *PendingCall) abandoned() bool { return p.cancelled && !p.fullySent }
+
+func (p *PendingCall) completed() { p.fullySent = true }
+
+func (o *outgoingReply) frame() envelope { return envelope{kind: uint64(replyFrame), stream: o.stream} }
+
+func (o *outgoingReply) abandoned() bool { return false }
+
+func (o *outgoingReply) completed() {}
+
+// sendQueue is what a link has to send: control frames before small messages, these before large ones. The link's lock guards it.
+type sendQueue struct {
+	control deque.Deque[envelope]
+	small   deque.Deque[outgoingMessage] // of one chunk
+	large   deque.Deque[outgoingMessage] // of several; each has a transfer in the shaper
+}
+
+func (q *sendQueue) len() int { return q.control.Len() + q.small.Len() + q.large.Len() }
+
+// clear drops everything.
+func (q *sendQueue) clear(s *shaper) {
+	q.small.Clear()
+	for q.large.Len() > 0 {
+		s.finish(q.large.PopFront().progress().transfer)
+	}
+	q.control.Clear()
+}
+
+// enqueue adds a message to the queue. The lock is held.
+func (l *Link) enqueue(m outgoingMessage) {
+	p := m.progress()
+	if len(p.body) <= maxChunkBytes {
+		l.queue.small.PushBack(m)
+		return
+	}
+	p.transfer = l.hub.shaper.start(l, len(p.body))
+	l.queue.large.PushBack(m)
+}
+
+// wakeWriter has the writer look at the queue. It never blocks.
+func (l *Link) wakeWriter() {
+	select {
+	case l.writerWake <- struct{}{}:
+	default: // it is to look anyway
+	}
+}
+
+// writeLoop is the link's one writer; it ends with the link.
+func (l *Link) writeLoop() {
+	var buf []byte
+	var paced <-chan time.Time // fires when the shaper has room for the next chunk
+	for {
+		select {
+		case <-l.writerWake:
+		case <-paced:
+		}
+		paced = nil
+		wait, ok := l.flush(&buf)
+		if !ok {
+			return
+		}
+		if wait > 0 {
+			paced = time.After(wait)
+		}
+		if cap(buf) > maxKeptBufferBytes {
+			buf = nil
+		}
+	}
+}
+
+// flush writes what may go out now. wait is when there is more: 0 for not before the next wake-up. It reports false once the link has
+// ended.
+func (l *Link) flush(buf *[]byte) (wait time.Duration, ok bool) {
+	for {
+		*buf, wait, ok = l.nextWrite((*buf)[:0])
+		if !ok || len(*buf) == 0 {
+			return wait, ok
+		}
+		l.hub.traffic.sentBytes.Add(uint64(len(*buf)))
+		if _, err := l.conn.Write(*buf); err != nil {
+			l.fail(err.Error())
+			return 0, false
+		}
+	}
+}
+
+// nextWrite appends the frames of the next write to buf: small messages first, then chunks of large ones as far as the shaper allows.
+// wait is when the shaper allows more; 0 if nothing waits for it. It reports false if the link is closed.
+func (l *Link) nextWrite(buf []byte) (_ []byte, wait time.Duration, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return buf, 0, false
+	}
+	now := l.hub.Now()
+	buf = l.appendControlFrames(buf, now)
+	if l.mayCall() {
+		buf = l.appendSmallMessages(buf, now)
+		l.hub.shaper.spend(now, len(buf))
+		buf, wait = l.appendLargeMessages(buf, now)
+	}
+	l.writing = len(buf) > 0
+	return buf, wait, true
+}
+
+func (l *Link) appendControlFrames(buf []byte, now time.Duration) []byte {
+	for l.queue.control.Len() > 0 && len(buf) < maxWriteBytes {
+		e := l.queue.control.PopFront()
+		e.sentAt = now
+		buf = appendFrame(buf, &e)
+		l.hub.traffic.sentFrames.Add(1)
+	}
+	return buf
+}
+
+func (l *Link) appendSmallMessages(buf []byte, now time.Duration) []byte {
+	for l.queue.small.Len() > 0 && len(buf) < maxWriteBytes {
+		buf = l.appendChunk(buf, now, &l.queue.small, maxChunkBytes)
+	}
+	return buf
+}
+
+// appendLargeMessages appends a chunk of each large message for which the shaper has room. wait is the shortest time until it has room
+// for another; 0 if none waits.
+func (l *Link) appendLargeMessages(buf []byte, now time.Duration) (_ []byte, wait time.Duration) {
+	for n := l.queue.large.Len(); n > 0 && len(buf) < maxWriteBytes; n-- {
+		t := l.queue.large.Front().progress().transfer
+		size, pause := l.hub.shaper.reserve(now, t)
+		if pause > 0 {
+			if wait == 0 || pause < wait {
+				wait = pause
+			}
+			l.queue.large.Rotate(1)
+			continue
+		}
+		complete := t.remaining == 0
+		buf = l.appendChunk(buf, now, &l.queue.large, size)
+		if complete {
+			defer l.hub.shaper.finish(t) // after the loop: the next transfer's turn comes with the next write
+		}
+	}
+	return buf, wait
+}
+
+// appendChunk appends a frame with the next chunk, of limit bytes at most, of the message at the front of a queue. A message with more
+// to send goes to the back of the queue; one that is abandoned is dropped.
+func (l *Link) appendChunk(buf []byte, now time.Duration, queue *deque.Deque[outgoingMessage], limit int) []byte {
+	m := queue.PopFront()
+	p := m.progress()
+	if m.abandoned() {
+		if p.transfer != nil {
+			p.transfer.remaining = 0
+		}
+		return buf
+	}
+	e := m.frame()
+	e.sentAt = now
+	e.body = p.body[p.sentBytes:]
+	if len(e.body) > limit {
+		e.body = e.body[:limit]
+		queue.PushBack(m)
+	} else {
+		e.last = true
+		m.completed()
+	}
+	p.sentBytes += len(e.body)
+	l.hub.traffic.sentFrames.Add(1)
+	return appendFrame(buf, &e)
+}
