--- a/internal/mesh/transport/codec/codec_test.go
+++ b/internal/mesh/transport/codec/codec_test.go
@@ -1,6 +1,7 @@
 package codec
 
 import (
+	"io"
 	"math"
 	"testing"
 	"time"
@@ -8,6 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// nestedMessage has fields of most forms, and messages of its own kind.
 type nestedMessage struct {
 	N    uint64
 	I    int64
@@ -37,28 +39,44 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	c := qt.New(t)
-	for _, a := range []nestedMessage{{}, {
-		N: math.MaxUint64, I: math.MinInt64, S: -1, D: -time.Second, B: true, F: 9, X: -0.5,
-		Raw: []byte{0}, T: "é", Ts: []string{"", "a", ""}, Next: []nestedMessage{{}, {T: "x", Next: []nestedMessage{{N: 1}}}},
-	}} {
-		var b nestedMessage
-		c.Assert(Unmarshal(MarshalAppend(nil, &a), &b), qt.IsNil)
-		c.Assert(b, qt.DeepEquals, a)
+	for _, x := range []struct {
+		name  string
+		value nestedMessage
+	}{
+		{"zero", nestedMessage{}},
+		{"every field", nestedMessage{
+			N: math.MaxUint64, I: math.MinInt64, S: -1, D: -time.Second, B: true, F: 9, X: -0.5,
+			Raw: []byte{0}, T: "é", Ts: []string{"", "a", ""},
+			Next: []nestedMessage{{}, {T: "x", Next: []nestedMessage{{N: 1}}}},
+		}},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			var got nestedMessage
+			qt.Assert(t, Unmarshal(MarshalAppend(nil, &x.value), &got), qt.IsNil)
+			qt.Assert(t, got, qt.DeepEquals, x.value)
+		})
 	}
 }
 
-// Every shorter message and every one with a changed byte is read or refused, and never more than that.
+// MarshalAppend keeps what the buffer has.
+func TestMarshalAppends(t *testing.T) {
+	got := MarshalAppend([]byte("before"), &nestedMessage{N: 1})
+	qt.Assert(t, got, qt.DeepEquals, append([]byte("before"), 0x08, 0x01))
+}
+
+// Every shorter message and every one with a changed byte is read or rejected, without a panic and without a read beyond its end.
 func TestCorruptMessagesAreRejected(t *testing.T) {
-	whole := MarshalAppend(nil, &nestedMessage{N: 300, D: time.Second, T: "text", Ts: []string{"a"}, Next: []nestedMessage{{F: 1}}})
-	for i := range whole {
-		var a nestedMessage
-		_ = Unmarshal(whole[:i], &a)
-		for _, x := range []byte{0, 1, 0x7f, 0xff} {
-			spoilt := append([]byte{}, whole...)
-			spoilt[i] ^= x
-			_ = Unmarshal(spoilt, &a)
+	complete := MarshalAppend(nil, &nestedMessage{N: 300, D: time.Second, T: "text", Ts: []string{"a"}, Next: []nestedMessage{{F: 1}}})
+	for i := range complete {
+		var got nestedMessage
+		_ = Unmarshal(complete[:i], &got) // some are messages
+		for _, flipped := range []byte{0, 1, 0x7f, 0xff} {
+			corrupt := append([]byte{}, complete...)
+			corrupt[i] ^= flipped
+			_ = Unmarshal(corrupt, &got)
 		}
 	}
-	qt.Assert(t, Unmarshal([]byte{0x0a, 0xff, 0xff, 0xff, 0xff, 0x0f}, &nestedMessage{}), qt.ErrorMatches, ".*unexpected EOF.*")
+	err := Unmarshal([]byte{0x0a, 0xff, 0xff, 0xff, 0xff, 0x0f}, &nestedMessage{})
+	qt.Assert(t, err, qt.ErrorMatches, ".*unexpected EOF.*")
+	qt.Assert(t, err, qt.ErrorIs, io.ErrUnexpectedEOF)
 }
--- /dev/null
+++ b/internal/mesh/transport/codec/example_test.go
@@ -0,0 +1,50 @@
+package codec_test
+
+import (
+	"fmt"
+	"time"
+
+	"quincegap/internal/mesh/transport/codec"
+)
+
+// Lease is a message with two fields, and LaterLease is what a later version of the program makes of it.
+type Lease struct {
+	Holder string
+	Length time.Duration
+}
+
+// Fields names the fields of a Lease.
+func (l *Lease) Fields(v *codec.Visitor) {
+	v.String(1, &l.Holder)
+	v.Duration(2, &l.Length)
+}
+
+type LaterLease struct {
+	Lease
+	Epoch uint64
+}
+
+// Fields names the fields of a LaterLease: those of before, and a new one.
+func (l *LaterLease) Fields(v *codec.Visitor) {
+	l.Lease.Fields(v)
+	v.Uint64(3, &l.Epoch)
+}
+
+// Two versions of a program exchange a message: the earlier one ignores the field that it does not know.
+func Example() {
+	data := codec.MarshalAppend(nil, &LaterLease{Lease: Lease{Holder: "10.0.0.4:7640", Length: time.Second}, Epoch: 7})
+	var earlier Lease
+	if err := codec.Unmarshal(data, &earlier); err != nil {
+		fmt.Println(err)
+	}
+	fmt.Println(earlier.Holder, earlier.Length)
+
+	var later LaterLease
+	if err := codec.Unmarshal(codec.MarshalAppend(nil, &earlier), &later); err != nil {
+		fmt.Println(err)
+	}
+	fmt.Println(later.Holder, later.Epoch)
+	// Output:
+	// 10.0.0.4:7640 1s
+	// 10.0.0.4:7640 0
+}
