--- /dev/null
+++ b/internal/config/apps/golden_test.go
@@ -0,0 +1,138 @@
+package apps
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"quincegap/internal/config/finding"
+	"quincegap/internal/golden"
+)
+
+// A derived file as today's programs write it, and as all later ones must read it: header, digests, help, trailer.
+func TestGoldenDerivedFile(t *testing.T) {
+	golden.Text(t, "derived.toml", []byte(generate(t, base)))
+
+	text, err := os.ReadFile(filepath.Join("testdata", "golden", "derived.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := ParseWritten(text)
+	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Cut {
+		t.Fatalf("read back as %+v", w)
+	}
+	wantKeys := []string{
+		"sidecar.application", "sidecar.listen", "sidecar.instances", "discovery.address", "limits.cores", "limits.memory", "limits.sockets",
+		"class.c.aim", "class.c.deadline", "class.c.effect",
+	}
+	if !slices.Equal(w.Keys, wantKeys) {
+		t.Errorf("keys %v", w.Keys)
+	}
+	if st := compare(t, base, string(text)); st.Edited() || len(st.Edits) > 0 {
+		t.Errorf("edits %v", st.Edits)
+	}
+}
+
+// How edits by hand are worded, merged and adopted, in both line ends.
+func TestGoldenEdits(t *testing.T) {
+	now := strings.NewReplacer(`"192MiB"`, `"256MiB"`, "instances = 3\n", "", "cores = 1.0 # one", "cores = 4").Replace(base)
+	hand := strings.NewReplacer("sockets = 1024\n", "", `aim = "1s"`, "# why\naim = \"1500ms\" # so",
+		"[discovery]", "[tenant.\"x y\"]\nquota_per_s = 5\n\n[discovery]").Replace(generate(t, base))
+	clashing := strings.NewReplacer("cores = 1.0", "cores = 3", "memory = \"192MiB\"\n", "").Replace(hand)
+
+	var all strings.Builder
+	for _, text := range []string{hand, strings.ReplaceAll(hand, "\n", "\r\n"), clashing} {
+		st := compareLoosely(t, now, text)
+		for _, e := range st.Edits {
+			fmt.Fprintln(&all, e)
+		}
+		if len(st.Clashes()) == 0 {
+			fmt.Fprintf(&all, "-- merged --\n%s", strings.ReplaceAll(string(st.Merge()), "\r", "<CR>"))
+		}
+		var found finding.List
+		adopted := model(t, now).Adopt([]*State{st}, &found)
+		fmt.Fprintf(&all, "-- adopted: %v --\n%s", found.Err(), adopted)
+	}
+	golden.Text(t, "edits.txt", []byte(all.String()))
+}
+
+// compareLoosely is compare for a file whose findings do not matter.
+func compareLoosely(t *testing.T, apps, file string) *State {
+	t.Helper()
+	var found finding.List
+	return Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
+}
+
+// What stands against writing over a file that is there.
+func TestGoldenFilesInTheWay(t *testing.T) {
+	written := generate(t, base)
+	var found finding.List
+	for _, text := range []string{
+		"[sidecar]\n",
+		strings.Replace(written, headBy+"a", headBy+"b", 1),
+		written[:len(written)/2],
+		strings.Replace(written, "cores = 1.0", "cores = 1.0.0", 1),
+	} {
+		Compare(testSchema, model(t, base).Apps[0], "apps.toml", "a.toml", []byte(text), &found)
+	}
+	lost := compareLoosely(t, base, strings.Replace(written, "sockets = 1024\n", "", 1))
+	Lost(lost.Written, lost.File, "a.toml", &found)
+	golden.Text(t, "in-the-way.txt", []byte(found.Err().Error()+"\n"))
+}
+
+// randomInstallation is an apps.toml whose calls, rings, attempts, hosts and addresses come from a seed. Each file is sound by
+// itself, if not beside the others.
+func randomInstallation(seed uint64) string {
+	random := rand.New(rand.NewPCG(seed, 50))
+	n := 2 + random.IntN(7)
+	var all []app
+	for i := range n {
+		a := app{name: fmt.Sprintf("n%d", i), attempts: 1 + random.IntN(3)}
+		for j := range n {
+			if random.IntN(n) > 1 {
+				continue
+			}
+			c := call{to: fmt.Sprintf("n%d", j), per: 1 + random.IntN(2)}
+			if j <= i || random.IntN(4) == 0 {
+				c.mutual = random.IntN(3)
+			}
+			if random.IntN(20) == 0 {
+				c.to = fmt.Sprintf("m%d", j)
+			}
+			a.calls = append(a.calls, c)
+		}
+		all = append(all, a)
+	}
+	file := text(4+random.IntN(30), 2+random.IntN(5), all...)
+	for i := range n {
+		listen := fmt.Sprintf("[apps.n%d.sidecar]\nlisten = \"127.0.0.1:%d\"\n", i, 10000+i)
+		now := fmt.Sprintf("[apps.n%d.sidecar]\nlisten = \"%s:%d\"\nhost = \"h%d\"\n", i, []string{"", "127.0.0.1", "10.0.0.1"}[random.IntN(3)], 10000+random.IntN(2*n), random.IntN(4))
+		file = strings.Replace(file, listen, now, 1)
+	}
+	for h := range 3 {
+		file += fmt.Sprintf("[hosts.h%d]\nhost_cores = %d\nhost_memory = \"%dMiB\"\nhost_sockets = %d\n", h, 1+random.IntN(4), 200+random.IntN(600), 1000+random.IntN(3000))
+	}
+	return file
+}
+
+// The findings across applications and their order: of the first installations in full, of the others a digest.
+func TestGoldenFindingsAcrossApplications(t *testing.T) {
+	const inFull, installations = 12, 600
+	var all strings.Builder
+	rest := sha256.New()
+	for seed := range uint64(installations) {
+		lines := messages(checked(t, randomInstallation(seed)))
+		if seed < inFull {
+			fmt.Fprintf(&all, "-- %d --\n%s\n", seed, lines)
+			continue
+		}
+		fmt.Fprintf(rest, "-- %d --\n%s\n", seed, lines)
+	}
+	fmt.Fprintf(&all, "-- the others --\n%x\n", rest.Sum(nil))
+	golden.Text(t, "across.txt", []byte(all.String()))
+}
--- /dev/null
+++ b/internal/tool/golden_test.go
@@ -0,0 +1,298 @@
+package tool
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"quincegap/internal/config/apps"
+	"quincegap/internal/files/store"
+	"quincegap/internal/golden"
+	"quincegap/internal/modules/endpointsource"
+	"quincegap/internal/modules/idempotency"
+	"quincegap/internal/modules/peers"
+	"quincegap/internal/network/admin"
+)
+
+// transcript keeps command lines with their exit codes and all that they print.
+type transcript struct {
+	strings.Builder
+	dir string // is printed as DIR
+}
+
+func (s *transcript) run(args ...string) {
+	code, out, errs := run(args...)
+	fmt.Fprintf(s, "$ %s\nexit %d\n%s", strings.Join(args, " "), code, out)
+	if errs != "" {
+		fmt.Fprintf(s, "stderr:\n%s", errs)
+	}
+}
+
+func (s *transcript) file(t *testing.T, path string) {
+	t.Helper()
+	fmt.Fprintf(s, "-- %s --\n%s", path, content(t, path))
+}
+
+func (s *transcript) hold(t *testing.T, name string) {
+	t.Helper()
+	golden.Text(t, name, []byte(strings.ReplaceAll(s.String(), s.dir, "DIR")))
+}
+
+// The commands, their flags, defaults and help.
+func TestGoldenHelp(t *testing.T) {
+	var s transcript
+	s.dir = t.TempDir()
+	for _, command := range []string{
+		"", "init", "write", "check", "diff", "adopt", "sample", "reference", "demo", "members", "peers", "rehearse", "fleet", "route",
+		"store", "store verify", "store dump", "store compact", "store repair",
+	} {
+		s.run(append(strings.Fields(command), "--help")...)
+	}
+	s.hold(t, "help.txt")
+}
+
+// A configuration's life: made, written, edited by hand, refused, kept, adopted, discarded.
+func TestGoldenConfiguration(t *testing.T) {
+	s := transcript{dir: t.TempDir()}
+	source := filepath.Join(s.dir, "apps.toml")
+	front, keeper := filepath.Join(s.dir, "booking-front.example.org.toml"), filepath.Join(s.dir, "slot-keeper.example.org.toml")
+	s.run("init", s.dir)
+	s.run("init", s.dir)
+	s.run("check", source)
+	s.run("diff", source)
+	s.run("write", source)
+	s.file(t, front)
+	s.run("write", source)
+	s.run("diff", source)
+
+	replace(t, keeper, "sockets = 1024", "sockets = 512 # at night")
+	replace(t, keeper, "connect_timeout = \"250ms\"\n", "")
+	replace(t, source, "most_attempts = 3", "most_attempts = 2")
+	s.run("write", source)
+	s.run("diff", source)
+	s.run("write", "--keep-edits", source)
+	s.run("diff", source)
+	s.run("adopt", source, keeper)
+	replace(t, keeper, "[limits]", "# a comment\n[limits]")
+	s.run("diff", source)
+	s.run("write", source)
+	replace(t, source, "sockets = 1024", "sockets = 2048")
+	s.run("write", "--keep-edits", source)
+	s.run("diff", source)
+	s.run("write", "--discard-edits", source)
+	replace(t, front, "cores = 1.0", "cores = 2.0")
+	s.run("adopt", source, front)
+	s.run("adopt", source, front, keeper, filepath.Join(s.dir, "none.toml"))
+	s.file(t, source)
+	s.file(t, front)
+	s.hold(t, "configuration.txt")
+}
+
+// Files that stand in the way of write, diff and adopt.
+func TestGoldenFilesInTheWay(t *testing.T) {
+	s := transcript{dir: t.TempDir()}
+	source := filepath.Join(s.dir, "apps.toml")
+	front, keeper := filepath.Join(s.dir, "booking-front.example.org.toml"), filepath.Join(s.dir, "slot-keeper.example.org.toml")
+	must(t, "init", s.dir)
+	must(t, "write", source)
+	written := content(t, front)
+	for _, spoilt := range []string{
+		"[sidecar]\n", written[:len(written)/2], content(t, keeper),
+		strings.Replace(written, "cores = 1.0", "cores = 1.0.0", 1),
+		strings.Replace(written, "deadline = \"6s\"", "deadline = \"7s\"", 1),
+		strings.Replace(written, "for booking-front.example.org", "for nobody.example.org", 1),
+	} {
+		if err := os.WriteFile(front, []byte(spoilt), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		s.run("check", front)
+		s.run("check", "--json", front, keeper)
+		s.run("write", source)
+		s.run("write", "--keep-edits", source)
+		s.run("diff", source)
+		s.run("adopt", source, front)
+		s.run("write", "--discard-edits", source)
+	}
+	s.run("check", "--json", source)
+	s.run("check", filepath.Join(s.dir, "none.toml"), s.dir)
+	s.run("write", filepath.Join(s.dir, "none.toml"))
+	s.hold(t, "in-the-way.txt")
+}
+
+// folderOfFixedLength is a temporary folder whose path is as long in every run: columns are as wide as the paths in them.
+func folderOfFixedLength(t *testing.T) string {
+	t.Helper()
+	const length = 160
+	parent := t.TempDir()
+	dir := filepath.Join(parent, strings.Repeat("d", max(1, length-len(parent))))
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// What route prints for each setting of a route.
+func TestGoldenRoute(t *testing.T) {
+	s := transcript{dir: folderOfFixedLength(t)}
+	file := filepath.Join(s.dir, "sidecar.toml")
+	text := strings.Replace(routedFile, "most_attempts = 4", "most_attempts = 4\nsecond_copies = true", 1) + `come_back = "7s"
+[route.all]
+match_path = "/all"
+whole_time = "2s"
+attempt_time = "500ms"
+route_attempts = 3
+most_open = 9
+retry_share = 0.25
+retry_on = "unconnected, late"
+retry_pause = "25ms"
+route_worth = 2.5
+copy_after = 0.95
+copy_share = 0.02
+[class.pay]
+aim = "1s"
+deadline = "2s"
+effect = "unsafe"
+`
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, args := range [][]string{
+		{"POST", "http://a.org/trips/new", "-H", "X-Lane: book"},
+		{"get", "/trips/7/seats", "-H", "X-Lane: find"},
+		{"GET", "/other", "-H", "X-Lane: find"},
+		{"GET", "/other", "-H", "X-Lane: pay"},
+		{"GET", "/closed/", "-H", "X-Lane: find"},
+		{"GET", "/closed", "-H", "X-Lane: pay"},
+		{"GET", "/all", "-H", "X-Lane: find"},
+		{"GET", "http://a.org", "-H", "X-Lane: find", "-H", "X-Org: north"},
+		{"GET", "/a/../closed", "-H", "X-Lane: find"},
+		{"GET", "/x"},
+		{"GET", "/x", "-H", "X-Lane: fnd"},
+		{"GET", "/x", "-H", "X-Lane"},
+		{"GET", "%zz", "-H", "X-Lane: find"},
+	} {
+		s.run(append([]string{"route", "--config", file}, args...)...)
+	}
+	s.run("route", "GET", "/x")
+	s.run("route", "--config", filepath.Join(s.dir, "none"), "GET", "/x")
+	s.hold(t, "route.txt")
+}
+
+// The views of a running sidecar, as people and as programs read them.
+func TestGoldenViews(t *testing.T) {
+	s := transcript{dir: t.TempDir()}
+	address := "unix:" + filepath.Join(s.dir, "s")
+	own := peers.Report{
+		Name: "front-0", Confidence: "settled", Reachable: 2, GroupSize: 2, Instances: 2, Ordinal: 0, MaxInstances: 2, OwnsName: true, Digest: "d1",
+		DuplicateNames: []string{"front-1", "front-2"}, Rejected: map[string]int{"other key": 3, "another application": 1},
+		Members: []peers.MemberReport{
+			{Name: "front-0", Process: "aa", State: "serving", StateAgeMS: 61500, Address: "10.0.4.7:7946", Zone: "provo", Version: "v1", Reachable: true, InGroup: true},
+			{Name: "front-1", Process: "bb", State: "gone", StateAgeMS: 149},
+		},
+	}
+	other := own
+	other.Name, other.Confidence, other.Members = "front-1", "cut off", own.Members[1:]
+	views := admin.Views{
+		Members: func() (admin.Members, bool) {
+			return admin.Members{Name: "front", Source: "overlay", Endpoints: []endpointsource.Row{
+				{UID: "a", Address: "h:1", State: "ready", Weight: 2, Platform: "ready", Consul: "ready", Why: "the platform says so", AgoMS: 61500},
+				{UID: "b", Address: "h:2", State: "draining", Platform: "ready", Why: `check "http" is critical`, AgoMS: 300},
+			}}, true
+		},
+		Peers: func(all bool) (peers.FleetReport, bool) {
+			f := peers.FleetReport{Own: own}
+			if all {
+				f.Others, f.Unresponsive = []peers.Report{other}, []string{"front-3/00"}
+			}
+			return f, true
+		},
+	}
+	stop, err := admin.Serve(address, views)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer stop()
+	for _, args := range []string{"members", "members --unused", "members --json", "peers", "peers --all", "peers --json", "peers --all --json"} {
+		words := strings.Fields(args)
+		s.run(append([]string{words[0], address}, words[1:]...)...)
+	}
+	own.Instances = 0
+	s.run("peers", address)
+	own.Instances, own.OwnsName = 2, false
+	s.run("peers", address)
+	s.run("members", "nothing")
+	s.hold(t, "views.txt")
+}
+
+// What the store's commands print of requests, endpoints and lists that a sidecar remembers.
+func TestGoldenStore(t *testing.T) {
+	s := transcript{dir: t.TempDir()}
+	kept, err := store.Open(store.Dir(s.dir), store.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	entry := idempotency.Entry{Class: "book-trip", Origin: idempotency.Origin{Zone: "north", Cell: 2, Endpoint: "box-1"}, Retention: time.Hour}
+	id := idempotency.KeyedID("book-trip", "7")
+	records := []struct{ key, value string }{
+		{"r" + string(id[:]), string(entry.Encode())},
+		{"ebox-1", `{"zone":"north"}`},
+		{"ebox-2", "no JSON"},
+		{"l", "7"},
+		{"x", "something else"},
+	}
+	for _, r := range records {
+		if err := kept.Put([]byte(r.key), []byte(r.value), time.Hour); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := kept.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range []string{"verify", "verify --json", "dump", "compact", "repair", "verify"} {
+		words := strings.Fields(line)
+		s.run(append([]string{"store", words[0], s.dir}, words[1:]...)...)
+	}
+	s.run("store", "verify", filepath.Join(s.dir, "nowhere"))
+	s.run("store", "compact", filepath.Join(s.dir, "nowhere"))
+	// What is left of the hour depends on how long the test took.
+	timeLeft := regexp.MustCompile(`("left":"|"At":)[0-9hms.]+`)
+	text := timeLeft.ReplaceAllString(s.String(), "${1}TIME-LEFT")
+	s.Reset()
+	s.WriteString(text)
+	s.hold(t, "store.txt")
+}
+
+// How a change of a text is shown.
+func TestGoldenUnified(t *testing.T) {
+	var all strings.Builder
+	for _, c := range [][2]string{
+		{"a\nb\nc\n", "a\nb\nc\n"},
+		{"a\nb\nc\n", "a\nx\nc\n"},
+		{"a\nb\nc\nd\ne\n", "b\nc\nx\nd\ne\nf\n"},
+		{"a\r\nb\r\n", "a\r\nc\r\n"},
+		{"", "a\n"},
+		{"a", ""},
+		{strings.Repeat("a\n", 2100) + "1", strings.Repeat("b\n", 2100) + "2"},
+	} {
+		text := unified("f", []byte(c[0]), []byte(c[1]))
+		if lines := strings.SplitAfter(text, "\n"); len(lines) > 20 {
+			text = strings.Join(lines[:5], "") + fmt.Sprintf("(%d lines)\n", len(lines)) + strings.Join(lines[len(lines)-3:], "")
+		}
+		all.WriteString(text)
+	}
+	golden.Text(t, "unified.txt", []byte(all.String()))
+}
+
+// The names that programs and scripts match on.
+func TestGoldenNames(t *testing.T) {
+	if Fine != 0 || Findings != 1 || Usage != 2 || Voided != 3 {
+		t.Error("an exit code has another value")
+	}
+	if apps.MostBytes != 64<<20 || apps.MostFileBytes != 1<<20 {
+		t.Error("a bound on a file's size has another value")
+	}
+}
