--- /dev/null
+++ b/internal/golden/values.go
@@ -0,0 +1,91 @@
+package golden
+
+import (
+	"fmt"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Values writes what a value holds as text: numbers, texts and lists in the order of their fields, without the names of types
+// and fields, which may change. Pointers are followed, maps are sorted by key, and functions, channels and interfaces are left
+// out. Each element of a list of structs stands on a line of its own. A value must not refer to itself.
+func Values(v any) []byte {
+	var text strings.Builder
+	writeValue(&text, reflect.ValueOf(v))
+	text.WriteByte('\n')
+	return []byte(text.String())
+}
+
+func writeValue(text *strings.Builder, v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		text.WriteString(strconv.FormatBool(v.Bool()))
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		text.WriteString(strconv.FormatInt(v.Int(), 10))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		text.WriteString(strconv.FormatUint(v.Uint(), 10))
+	case reflect.Float32, reflect.Float64:
+		text.WriteString(strconv.FormatFloat(v.Float(), 'g', -1, 64))
+	case reflect.String:
+		text.WriteString(strconv.Quote(v.String()))
+	case reflect.Pointer:
+		if v.IsNil() {
+			text.WriteString("nil")
+			return
+		}
+		writeValue(text, v.Elem())
+	case reflect.Struct:
+		writeFields(text, v)
+	case reflect.Slice, reflect.Array:
+		writeElements(text, v)
+	case reflect.Map:
+		writeEntries(text, v)
+	default:
+		text.WriteString("-")
+	}
+}
+
+func writeFields(text *strings.Builder, v reflect.Value) {
+	text.WriteByte('{')
+	for i := range v.NumField() {
+		if i > 0 {
+			text.WriteByte(' ')
+		}
+		writeValue(text, v.Field(i))
+	}
+	text.WriteByte('}')
+}
+
+func writeElements(text *strings.Builder, v reflect.Value) {
+	element := v.Type().Elem()
+	if element.Kind() == reflect.Pointer {
+		element = element.Elem()
+	}
+	separator := " "
+	if element.Kind() == reflect.Struct {
+		separator = "\n"
+	}
+	text.WriteByte('[')
+	for i := range v.Len() {
+		if i > 0 {
+			text.WriteString(separator)
+		}
+		writeValue(text, v.Index(i))
+	}
+	text.WriteByte(']')
+}
+
+func writeEntries(text *strings.Builder, v reflect.Value) {
+	var entries []string
+	for _, key := range v.MapKeys() {
+		var entry strings.Builder
+		writeValue(&entry, key)
+		entry.WriteByte(':')
+		writeValue(&entry, v.MapIndex(key))
+		entries = append(entries, entry.String())
+	}
+	slices.Sort(entries)
+	fmt.Fprintf(text, "map[%s]", strings.Join(entries, " "))
+}
