--- /dev/null
+++ b/internal/network/consul/answer_test.go
@@ -0,0 +1,60 @@
+package consul
+
+import (
+	"bytes"
+	"encoding/json"
+	"net"
+	"testing"
+
+	"quincegap/internal/modules/endpointsource"
+)
+
+func TestNextIndex(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		last, got, want uint64
+	}{
+		{"first", 0, 5, 5},
+		{"same", 5, 5, 5},
+		{"later", 5, 9, 9},
+		{"backwards", 9, 5, 0},
+		{"none after one", 5, 0, 0},
+		{"none at all", 0, 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if next := nextIndex(c.last, c.got); next != c.want {
+				t.Errorf("after %d came %d: next is %d, want %d", c.last, c.got, next, c.want)
+			}
+		})
+	}
+}
+
+// Whatever an answer holds, what is taken of it is bounded and sound.
+func FuzzAnswer(f *testing.F) {
+	f.Add([]byte(`[{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},"Service":{"ID":"x","Port":80,"Meta":{"cell":"1"},"Weights":{"Passing":3,"Warning":1},"CreateIndex":7},"Checks":[{"CheckID":"c","Status":"warning"}]}]`))
+	f.Add([]byte(`[{"Service":{"ID":"x","Address":"h","Port":65536}},{"Service":null},null]`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		s := Table.Default()
+		endpoints := map[string]endpointsource.Endpoint{}
+		var faults []string
+		n := 0
+		err := decodeEach(bytes.NewReader(text), 20, func(i *instance) {
+			n++
+			faults = s.addEndpoint(endpoints, i, true, faults)
+		})
+		if len(endpoints) > n || len(faults) > maxFaults || n > 20 {
+			t.Errorf("%d endpoints and %d faults of %d instances", len(endpoints), len(faults), n)
+		}
+		// What the library would decode at once is decoded one by one just the same.
+		var all []instance
+		if want := json.NewDecoder(bytes.NewReader(text)).Decode(&all); want == nil && len(all) <= 20 && (err != nil || n != len(all)) {
+			t.Errorf("%d of %d instances, %v", n, len(all), err)
+		}
+		for uid, e := range endpoints {
+			host, port, err := net.SplitHostPort(e.Address)
+			if uid != e.UID || uid == "" || len(uid) > maxTextBytes || err != nil || host == "" || port == "0" || e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > maxWeight {
+				t.Errorf("%+v", e)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/network/consul/client.go
@@ -0,0 +1,331 @@
+package consul
+
+import (
+	"context"
+	"crypto/tls"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"runtime"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/consul/api"
+
+	"quincegap/internal/files/certfile"
+	"quincegap/internal/files/secretfile"
+)
+
+const (
+	requestTimeout  = 10 * time.Second // of a query that Consul answers at once
+	blockingSlack   = 2 * time.Second  // for the answer to a blocking query to come, beyond wait and Consul's own jitter
+	dialTimeout     = 2 * time.Second
+	idleTimeout     = time.Minute
+	maxHeaderBytes  = 64 << 10
+	maxBodyBytes    = 64 << 20 // of one answer
+	maxAgentConns   = 2        // to one agent: a blocking query of health's and one of the catalogue's
+	consulJitter    = 16       // Consul adds up to a sixteenth to the time that it blocks
+	maxErrorBytes   = 100      // of the body of an agent's error, in a log line
+	maxReportedLast = time.Hour
+)
+
+// The headers of Consul's API, "Blocking Queries" and "Consistency Modes".
+const (
+	headerToken       = "X-Consul-Token"
+	headerIndex       = "X-Consul-Index"
+	headerHash        = "X-Consul-ContentHash"
+	headerKnownLeader = "X-Consul-KnownLeader"
+	headerLastContact = "X-Consul-LastContact"
+)
+
+var (
+	// ErrNoAgents is returned by Find if the settings name no agent.
+	ErrNoAgents = errors.New("consul.agents names none")
+	// errTooLarge ends the reading of an answer.
+	errTooLarge = fmt.Errorf("the answer has more than %d MiB", maxBodyBytes>>20)
+	errNoList   = errors.New("the answer is no list")
+)
+
+// AgentError says which agent did not answer as it should.
+type AgentError struct {
+	Agent string // host:port
+	Err   error
+}
+
+// Error is for people; it holds neither the URL of the query nor a token.
+func (a *AgentError) Error() string { return "consul agent " + a.Agent + ": " + errorText(a.Err) }
+
+// Unwrap gives the client library's error.
+func (a *AgentError) Unwrap() error { return a.Err }
+
+// agent is one Consul agent, with the connections to it.
+type agent struct {
+	address   string
+	client    *api.Client
+	transport *http.Transport
+}
+
+// client asks agents as settings say.
+type client struct {
+	settings Settings
+	resolve  func(string) string // a path of the settings as one to open
+	agents   []agent
+}
+
+func newClient(s Settings, resolve func(string) string) (*client, error) {
+	c := &client{settings: s, resolve: resolve}
+	var tlsConfig *tls.Config
+	scheme := "http"
+	if s.TLS {
+		scheme = "https"
+		var err error
+		if tlsConfig, err = c.tlsConfig(); err != nil {
+			return nil, err
+		}
+	}
+	for _, address := range s.agents() {
+		transport := &http.Transport{
+			DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
+			TLSClientConfig:        tlsConfig,
+			TLSHandshakeTimeout:    dialTimeout,
+			MaxIdleConnsPerHost:    1,
+			MaxConnsPerHost:        maxAgentConns,
+			IdleConnTimeout:        idleTimeout,
+			MaxResponseHeaderBytes: maxHeaderBytes,
+			DisableCompression:     true,
+		}
+		library, err := api.NewClient(&api.Config{
+			Address:    address,
+			Scheme:     scheme,
+			HttpClient: &http.Client{Transport: &boundedTransport{transport}},
+			Namespace:  s.Namespace,
+			Partition:  s.Partition,
+		})
+		if err != nil {
+			return nil, fmt.Errorf("consul agent %s: %w", address, err)
+		}
+		c.agents = append(c.agents, agent{address: address, client: library, transport: transport})
+	}
+	return c, nil
+}
+
+// tlsConfig reads the files of TLS: a certificate authority once, the client's certificate at each handshake, since it may be
+// replaced while the program runs.
+func (c *client) tlsConfig() (*tls.Config, error) {
+	config := &tls.Config{ServerName: c.settings.ServerName, MinVersion: tls.VersionTLS12}
+	if c.settings.CAFile != "" {
+		var err error
+		if config.RootCAs, err = certfile.LoadPool(c.resolve(c.settings.CAFile)); err != nil {
+			return nil, fmt.Errorf("consul.tls_ca_file: %w", err)
+		}
+	}
+	if c.settings.CertFile != "" {
+		load := func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return certfile.Load(c.resolve(c.settings.CertFile), c.resolve(c.settings.KeyFile))
+		}
+		if _, err := load(nil); err != nil {
+			return nil, fmt.Errorf("consul.tls_cert_file: %w", err)
+		}
+		config.GetClientCertificate = load
+	}
+	return config, nil
+}
+
+// closeIdle closes the connections that no query uses.
+func (c *client) closeIdle() {
+	for i := range c.agents {
+		c.agents[i].transport.CloseIdleConnections()
+	}
+}
+
+// question is one query. With neither an index nor a hash it is answered at once, otherwise when there is something newer or wait
+// is over.
+type question struct {
+	path        string
+	tagsField   string // what a filter calls the instances' tags there
+	index       uint64
+	hash        string
+	wait        time.Duration
+	consistency Consistency
+}
+
+func (q *question) blocks() bool { return q.index > 0 || q.hash != "" }
+
+// timeout is how long an answer may take.
+func (q *question) timeout() time.Duration {
+	if q.blocks() {
+		return q.wait + q.wait/consulJitter + blockingSlack
+	}
+	return requestTimeout
+}
+
+// answerMeta is what the headers of an answer say.
+type answerMeta struct {
+	index       uint64 // 0 for none
+	hash        string
+	knownLeader bool
+	lastContact time.Duration // since the server heard of its leader
+	receivedAt  time.Time     // when the headers came: what follows is work
+}
+
+// query asks one agent. decode reads the body of a good answer.
+func (c *client) query(ctx context.Context, a *agent, q question, decode func(io.Reader) error) (answerMeta, error) {
+	x := &exchange{decode: decode}
+	if c.settings.TokenFile != "" {
+		var err error
+		if x.token, err = secretfile.ReadToken(c.resolve(c.settings.TokenFile)); err != nil {
+			return answerMeta{}, err
+		}
+	}
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, exchangeKey{}, x), q.timeout())
+	defer cancel()
+	options := &api.QueryOptions{
+		Datacenter:        c.settings.Datacenter,
+		Namespace:         c.settings.Namespace,
+		Partition:         c.settings.Partition,
+		AllowStale:        q.consistency == Stale,
+		RequireConsistent: q.consistency == Consistent,
+		WaitIndex:         q.index,
+		WaitHash:          q.hash,
+	}
+	if q.blocks() {
+		options.WaitTime = q.wait
+	}
+	if c.settings.Tag != "" {
+		options.Filter = strconv.Quote(c.settings.Tag) + " in " + q.tagsField
+	}
+	var none any // the body is decoded by the exchange
+	if _, err := a.client.Raw().Query(q.path, &none, options.WithContext(ctx)); err != nil {
+		return answerMeta{}, err
+	}
+	return x.meta(), nil
+}
+
+// exchange goes with a query, in its context: the client library keeps neither the headers of an answer nor the token that it is
+// given apart from the environment's.
+type exchange struct {
+	token      string
+	header     http.Header
+	receivedAt time.Time
+	// decode reads the body. The client library would read it in one go; on one core requests wait for as long as that takes,
+	// ten milliseconds at each of their steps.
+	decode func(io.Reader) error
+}
+
+// exchangeKey is the key of an exchange in a context.
+type exchangeKey struct{}
+
+// meta reads the headers. What is missing or malformed counts as not said.
+func (x *exchange) meta() answerMeta {
+	m := answerMeta{
+		hash:        x.header.Get(headerHash),
+		knownLeader: x.header.Get(headerKnownLeader) != "false",
+		receivedAt:  x.receivedAt,
+	}
+	m.index, _ = strconv.ParseUint(x.header.Get(headerIndex), 10, 64) // 0 if there is none
+	if ms, err := strconv.ParseInt(x.header.Get(headerLastContact), 10, 64); err == nil && ms > 0 {
+		m.lastContact = time.Duration(min(ms, maxReportedLast.Milliseconds())) * time.Millisecond
+	}
+	return m
+}
+
+// boundedTransport is a RoundTripper that bounds answers, and sets the exchange's token alone.
+type boundedTransport struct{ transport *http.Transport }
+
+// RoundTrip decodes the body of a good answer, and leaves nothing of it for the client library.
+func (b *boundedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	x, _ := r.Context().Value(exchangeKey{}).(*exchange)
+	r = r.Clone(r.Context())
+	r.Header.Del(headerToken)
+	r.Header.Del("Authorization")
+	if x != nil && x.token != "" {
+		r.Header.Set(headerToken, x.token)
+	}
+	res, err := b.transport.RoundTrip(r)
+	if err != nil {
+		return nil, err
+	}
+	res.Body = &limitedBody{ReadCloser: res.Body, remaining: maxBodyBytes}
+	if x == nil {
+		return res, nil
+	}
+	x.header = res.Header
+	x.receivedAt = time.Now()
+	if res.StatusCode != http.StatusOK {
+		return res, nil
+	}
+	err = x.decode(res.Body)
+	_ = res.Body.Close() // all that matters of it has been read
+	if err != nil {
+		return nil, err
+	}
+	res.Body = io.NopCloser(strings.NewReader("null"))
+	return res, nil
+}
+
+// limitedBody fails with errTooLarge if a body goes on beyond its bound.
+type limitedBody struct {
+	io.ReadCloser
+	remaining int64 // bytes
+}
+
+// Read reads at most what remains.
+func (l *limitedBody) Read(b []byte) (int, error) {
+	if l.remaining <= 0 {
+		return 0, errTooLarge
+	}
+	n, err := l.ReadCloser.Read(b[:min(int64(len(b)), l.remaining)])
+	l.remaining -= int64(n)
+	return n, err
+}
+
+// decodeEach reads the elements of a JSON list one by one, and lets others run in between. A null is an empty list.
+func decodeEach[T any](r io.Reader, maxElements int, take func(*T)) error {
+	d := json.NewDecoder(r)
+	switch open, err := d.Token(); {
+	case err != nil:
+		return err
+	case open == nil:
+		return nil
+	case open != json.Delim('['):
+		return errNoList
+	}
+	for n := 0; d.More(); n++ {
+		var element T
+		if err := d.Decode(&element); err != nil {
+			return err
+		}
+		if n >= maxElements {
+			return fmt.Errorf("the answer has more than %d instances", maxElements)
+		}
+		take(&element)
+		runtime.Gosched()
+	}
+	_, err := d.Token()
+	return err
+}
+
+// errorText words an error without what an agent may have put into it at length, and without the URL of the query.
+func errorText(err error) string {
+	var status api.StatusError
+	switch {
+	case errors.As(err, &status):
+		text := strings.ToValidUTF8(strings.Join(strings.Fields(status.Body), " "), "")
+		if len(text) > maxErrorBytes {
+			text = strings.ToValidUTF8(text[:maxErrorBytes], "") + "..."
+		}
+		return fmt.Sprintf("answered %d (%s)", status.Code, text)
+	case errors.Is(err, context.DeadlineExceeded):
+		return "no answer in time"
+	}
+	var failed *url.Error
+	if errors.As(err, &failed) {
+		return failed.Err.Error()
+	}
+	return err.Error()
+}
--- /dev/null
+++ b/internal/network/consul/client_test.go
@@ -0,0 +1,169 @@
+package consul
+
+import (
+	"encoding/pem"
+	"log"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/url"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"quincegap/internal/modules/endpointsource"
+)
+
+// The settings are asked for, by the names of Consul's API.
+func TestWhatIsAsked(t *testing.T) {
+	asked := make(chan *http.Request, 100)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("X-Consul-Index", "7")
+		w.Header().Set("X-Consul-KnownLeader", "true")
+		select {
+		case asked <- r.Clone(r.Context()):
+		default:
+		}
+		if r.URL.Query().Get("index") != "" {
+			<-r.Context().Done()
+		}
+		_, _ = w.Write([]byte("[]")) // the watcher may be gone
+	}))
+	t.Cleanup(server.Close)
+	token := filepath.Join(t.TempDir(), "token")
+	if err := os.WriteFile(token, []byte("s3cret"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		consistency Consistency
+		want        string
+	}{
+		{Stale, `dc=east&filter="v2" in Service.Tags&ns=transport&partition=south&stale=`},
+		{Default, `dc=east&filter="v2" in Service.Tags&ns=transport&partition=south`},
+		{Consistent, `consistent=&dc=east&filter="v2" in Service.Tags&ns=transport&partition=south`},
+	} {
+		for len(asked) > 0 {
+			<-asked
+		}
+		watcher := watch(t, func(s *Settings) {
+			s.Agents = server.Listener.Addr().String()
+			s.Tag = "v2"
+			s.Datacenter = "east"
+			s.Namespace = "transport"
+			s.Partition = "south"
+			s.Consistency = c.consistency
+			s.TokenFile = token
+		})
+		first, second := <-asked, <-asked
+		query, _ := url.QueryUnescape(first.URL.RawQuery)
+		if first.URL.Path != "/v1/health/service/x" || query != c.want || first.Header.Get("X-Consul-Token") != "s3cret" {
+			t.Errorf("asked %s?%s, want %s; token %q", first.URL.Path, query, c.want, first.Header.Get("X-Consul-Token"))
+		}
+		q := second.URL.Query()
+		if wait, err := time.ParseDuration(q.Get("wait")); q.Get("index") != "7" || err != nil || wait <= 800*time.Millisecond || wait > time.Second {
+			t.Errorf("then asked %s", second.URL.RawQuery)
+		}
+		watcher.stop()
+	}
+}
+
+func TestTokenIsReadAnew(t *testing.T) {
+	agent := serve(t, "a")
+	agent.SetToken("one")
+	file := filepath.Join(t.TempDir(), "token")
+	put := func(token string) {
+		t.Helper()
+		if err := os.WriteFile(file+".new", []byte(token+"\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(file+".new", file); err != nil {
+			t.Fatal(err)
+		}
+	}
+	put("one")
+	t.Setenv("CONSUL_HTTP_TOKEN", "of the environment")
+	var logged lockedText
+	log.SetOutput(&logged)
+	defer log.SetOutput(os.Stderr)
+	watcher := watch(t, func(s *Settings) { s.TokenFile = file }, agent)
+	watcher.knows("a")
+	agent.SetToken("two") // revoked
+	agent.SetStatus("a", "critical")
+	put("two")
+	watcher.knows()
+	watcher.stop()
+	if strings.Contains(logged.String(), "one") || strings.Contains(logged.String(), "two") || !strings.Contains(logged.String(), "answers") {
+		t.Errorf("logged: %s", logged.String())
+	}
+}
+
+func TestTLS(t *testing.T) {
+	agent := serve(t, "a")
+	front := httptest.NewTLSServer(agent)
+	defer front.Close()
+	ca := filepath.Join(t.TempDir(), "ca.pem")
+	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: front.Certificate().Raw})
+	if err := os.WriteFile(ca, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	over := func(name string) func(s *Settings) {
+		return func(s *Settings) {
+			s.TLS = true
+			s.CAFile = ca
+			s.ServerName = name
+			s.Agents = front.Listener.Addr().String()
+		}
+	}
+	watcher := watch(t, over("example.com"), agent)
+	watcher.knows("a")
+	watcher.stop()
+	var logged lockedText
+	log.SetOutput(&logged)
+	defer log.SetOutput(os.Stderr)
+	wrong := watch(t, over("another.example"), serve(t, "a"))
+	wrong.until("a refusal", func() bool {
+		return strings.Contains(logged.String(), "certificate is valid for example.com")
+	})
+	wrong.stop()
+	if len(wrong.answers) > 0 {
+		t.Error("it believed a server by another name")
+	}
+	s := *Table.Default()
+	s.Agents = "127.0.0.1:1"
+	s.TLS = true
+	s.CAFile = filepath.Join(t.TempDir(), "none")
+	if _, err := New(s, endpointsource.ModeConsul, samePath); err == nil {
+		t.Error("a missing CA passes")
+	}
+}
+
+// An agent that nobody answers at, and one that is no HTTP server.
+func TestNoAgent(t *testing.T) {
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var junk sync.WaitGroup
+	junk.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			_, _ = c.Write([]byte("\x00\x01\x02\r\n\r\n")) // the watcher may have closed it
+			_ = c.Close()
+		}
+	})
+	defer func() {
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
+		junk.Wait()
+	}()
+	agent := serve(t, "a")
+	watcher := watch(t, func(s *Settings) { s.Agents = "127.0.0.1:1," + l.Addr().String() + "," + agent.Address() }, agent)
+	watcher.knows("a")
+}
--- /dev/null
+++ b/internal/network/consul/confirmation_test.go
@@ -0,0 +1,106 @@
+package consul
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	standin "quincegap/internal/standin/consul"
+)
+
+// An answer that is empty or half is published at once with what is missing, and the catalogue is followed until it says whether
+// that is so.
+func TestSuspiciousLists(t *testing.T) {
+	all := []string{"a", "b", "c", "d", "e", "f", "g"}
+	for _, c := range []struct {
+		name      string
+		fault     standin.Fault
+		untrusted bool
+		confirmed int // that the catalogue lacks too
+	}{
+		{"empty", standin.Fault{Empty: true, CatalogKnows: true}, false, 0},
+		{"half", standin.Fault{Half: true, CatalogKnows: true}, false, 0},
+		{"gone", standin.Fault{Empty: true}, false, 7},
+		{"half gone", standin.Fault{Half: true}, false, 4},
+		{"no leader", standin.Fault{Empty: true, NoLeader: true}, true, 0},
+		{"stale", standin.Fault{Empty: true, Contact: time.Minute}, true, 7},
+		{"null", standin.Fault{Body: "null", CatalogKnows: true}, false, 0},
+		{"hangs", standin.Fault{Empty: true, CatalogHangs: true}, false, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			agent := serve(t, all...)
+			watcher := watch(t, nil, agent)
+			watcher.knows(all...)
+			agent.Set(c.fault)
+			watcher.until("fewer", func() bool { return len(watcher.known) < 7 })
+			for _, a := range watcher.answers {
+				if len(a.Missing) > 0 && (a.Untrusted != c.untrusted || a.KnownBefore != 7) {
+					t.Errorf("%+v", a)
+				}
+			}
+			watcher.until("the catalogue's answer", func() bool {
+				_, asked := agent.Asked()
+				return asked > 0 && len(watcher.confirmed()) == c.confirmed
+			})
+			// Another answer of health's comes after whatever the catalogue had to say.
+			agent.SetStatus("a", "passing")
+			time.Sleep(50 * time.Millisecond)
+			agent.Set(standin.Fault{})
+			watcher.knows(all...)
+			if got := len(watcher.confirmed()); got != c.confirmed {
+				t.Errorf("the catalogue confirmed %d, want %d", got, c.confirmed)
+			}
+			catalogIsLeftAlone(t, agent, watcher)
+		})
+	}
+}
+
+// catalogIsLeftAlone fails if the catalogue is asked though nothing is missing any more.
+func catalogIsLeftAlone(t *testing.T, agent *standin.Server, watcher *testWatcher) {
+	t.Helper()
+	_, before := agent.Asked()
+	for range 5 {
+		seen := watcher.unchanged + len(watcher.answers)
+		agent.SetStatus("a", "passing")
+		watcher.until("an answer", func() bool { return watcher.unchanged+len(watcher.answers) > seen })
+	}
+	if _, after := agent.Asked(); after > before+1 {
+		t.Errorf("the catalogue was asked %d times more", after-before)
+	}
+}
+
+// The catalogue is followed by blocking queries: what it comes to lack later is published then.
+func TestCatalogueIsFollowed(t *testing.T) {
+	agent := serve(t, "a", "b", "c", "d", "e", "f")
+	watcher := watch(t, nil, agent)
+	watcher.knows("a", "b", "c", "d", "e", "f")
+	agent.Set(standin.Fault{Half: true, CatalogKnows: true})
+	watcher.knows("a", "b", "c")
+	watcher.until("a held question", func() bool { _, n := agent.Asked(); return n >= 2 })
+	if last := watcher.answers[len(watcher.answers)-1]; len(last.ConfirmedMissing) > 0 {
+		t.Errorf("%+v", last)
+	}
+	_, before := agent.Asked()
+	agent.Update(func(all []standin.Instance) []standin.Instance { // health's half shrinks no further by that
+		return append(all[:3:3], all[5])
+	})
+	watcher.until("two are gone", func() bool { return slices.Equal(watcher.confirmed(), []string{"d@n", "e@n"}) })
+	if _, after := agent.Asked(); after > before+4 {
+		t.Errorf("%d questions: it polls", after-before)
+	}
+}
+
+// A critical check in a doubtful answer is published though the catalogue hangs.
+func TestBadNewsBesideDoubt(t *testing.T) {
+	agent := serve(t, "a", "b", "c", "d", "e", "f", "g", "h")
+	watcher := watch(t, nil, agent)
+	watcher.knows("a", "b", "c", "d", "e", "f", "g", "h")
+	agent.Set(standin.Fault{Half: true, CatalogHangs: true})
+	began := time.Now()
+	agent.SetStatus("b", "critical")
+	watcher.knows("a", "c", "d")
+	if took := time.Since(began); took > requestTimeout/2 {
+		t.Errorf("it took %v", took)
+	}
+}
--- /dev/null
+++ b/internal/network/consul/endpoint.go
@@ -0,0 +1,169 @@
+package consul
+
+import (
+	"cmp"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/modules/endpointsource"
+)
+
+// Bounds on what an answer may make grow, and on the numbers in it.
+const (
+	maxInstances    = 20000
+	maxTextBytes    = 255 // of an id, a name or an address
+	maxCheckIDBytes = 64  // in a reason
+	maxWeight       = 65535
+	maxPort         = 65535
+)
+
+// What Consul says of checks.
+const (
+	statusPassing     = "passing"
+	statusWarning     = "warning"
+	statusCritical    = "critical"
+	statusMaintenance = "maintenance"
+	// The checks that stand for a maintenance mode (Consul's API, Agent, "Enable Maintenance Mode").
+	nodeMaintenance    = "_node_maintenance"
+	serviceMaintenance = "_service_maintenance" // and a colon and the service's ID
+)
+
+// check is one health check of an instance or its node.
+type check struct {
+	CheckID string
+	Status  string
+}
+
+// instance is what is read of one element of /v1/health/service/:service (Consul's API, Health, "List Service Instances for
+// Service"). The names of its fields are those of the API; others are skipped.
+type instance struct {
+	Node struct {
+		Node       string
+		Address    string
+		Datacenter string
+	}
+	Service struct {
+		ID          string
+		Address     string
+		Port        int
+		Meta        map[string]string
+		Weights     struct{ Passing, Warning int }
+		CreateIndex uint64
+	}
+	Checks []check
+}
+
+// catalogEntry is what is read of one element of /v1/catalog/service/:service.
+type catalogEntry struct {
+	Node        string
+	ServiceID   string
+	ServiceMeta map[string]string
+}
+
+// uid names an instance. Service IDs are unique on a node only, so a qualified one has the node's name; where the platform's list
+// is overlaid, its names are used.
+func (s *Settings) uid(node, id string, meta map[string]string, qualified bool) string {
+	if u := meta[s.UIDMeta]; s.UIDMeta != "" && u != "" {
+		return u
+	}
+	if qualified {
+		return id + "@" + node
+	}
+	return id
+}
+
+// endpoint maps an instance, or says why it can't be used.
+func (s *Settings) endpoint(i *instance, qualified bool) (e endpointsource.Endpoint, fault string) {
+	e.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
+	host := cmp.Or(i.Service.Address, i.Node.Address)
+	switch {
+	case i.Service.ID == "" || len(e.UID) > maxTextBytes:
+		return e, "its id is missing or too long"
+	case host == "" || len(host) > maxTextBytes || strings.ContainsAny(host, " /\r\n\t"):
+		return e, fmt.Sprintf("its address %.40q is none", host)
+	case i.Service.Port <= 0 || i.Service.Port > maxPort:
+		return e, fmt.Sprintf("its port %d is none", i.Service.Port)
+	}
+	e.Address = net.JoinHostPort(host, strconv.Itoa(i.Service.Port))
+	if fault := s.readMeta(i, &e); fault != "" {
+		return e, fault
+	}
+	e.RegistrationIndex = i.Service.CreateIndex
+	applyChecks(i, &e)
+	return e, ""
+}
+
+// readMeta sets what the service's metadata says, or says why the instance can't be used.
+func (s *Settings) readMeta(i *instance, e *endpointsource.Endpoint) (fault string) {
+	e.Zone = cmp.Or(i.Service.Meta[s.ZoneMeta], i.Node.Datacenter)
+	e.Model = i.Service.Meta[s.ModelMeta]
+	if len(e.Zone) > maxTextBytes || len(e.Model) > maxTextBytes {
+		return "its zone or model is too long"
+	}
+	if text := i.Service.Meta[s.CellMeta]; text != "" {
+		cell, err := strconv.ParseInt(text, 10, 32)
+		if err != nil {
+			return fmt.Sprintf("its cell %.40q is no number", text) // in a wrong cell a repeat would run twice
+		}
+		e.Cell = int(cell)
+	}
+	e.StartUnknown = true
+	if ms, err := strconv.ParseInt(i.Service.Meta[s.StartMeta], 10, 64); err == nil && ms >= 0 {
+		e.StartedMS = ms
+		e.StartUnknown = false
+	}
+	return ""
+}
+
+// applyChecks sets the state, the weight and the reason: by the worst of all checks, the node's and the service's.
+func applyChecks(i *instance, e *endpointsource.Endpoint) {
+	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), maxWeight)
+	warning := min(max(i.Service.Weights.Warning, 0), maxWeight)
+	e.Weight = float64(passing)
+	e.WeightShare = 1
+	warned := "" // the ID of a check that warns
+	for _, c := range i.Checks {
+		switch {
+		case c.maintenance():
+			e.State = balancer.EndpointDraining
+			e.Maintenance = true
+			e.Reason = "in maintenance"
+		case c.Status == statusPassing:
+		case c.Status == statusWarning:
+			warned = c.shortID()
+		default: // critical, and what a later Consul may say
+			e.State = balancer.EndpointDraining
+			if !e.Maintenance {
+				e.Reason = fmt.Sprintf("check %q is %.20s", c.shortID(), c.Status)
+			}
+		}
+	}
+	if e.State != balancer.EndpointReady || warned == "" {
+		return
+	}
+	if warning == 0 {
+		// Consul's own DNS leaves such an instance out.
+		e.State = balancer.EndpointDraining
+		e.Reason = fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
+		return
+	}
+	e.Weight = float64(warning)
+	e.WeightShare = float64(warning) / float64(passing)
+	e.Reason = fmt.Sprintf("check %q warns", warned)
+}
+
+// maintenance tells whether a check stands for a maintenance mode.
+func (c *check) maintenance() bool {
+	return c.CheckID == nodeMaintenance || strings.HasPrefix(c.CheckID, serviceMaintenance) || c.Status == statusMaintenance
+}
+
+// shortID is the ID as it goes into a reason.
+func (c *check) shortID() string {
+	if len(c.CheckID) > maxCheckIDBytes {
+		return strings.ToValidUTF8(c.CheckID[:maxCheckIDBytes], "")
+	}
+	return c.CheckID
+}
--- a/internal/network/consul/golden_test.go
+++ b/internal/network/consul/golden_test.go
@@ -16,7 +16,7 @@
 )
 
 // An answer as Consul 1.20's API documents it, with elements that can't be used.
-const healthAnswer = `[
+const documentedAnswer = `[
  {"Node":{"ID":"40e4a748","Node":"node-1","Address":"10.1.10.12","Datacenter":"dc1","TaggedAddresses":{"lan":"10.1.10.12"}},
   "Service":{"ID":"slot-keeper-1","Service":"slot-keeper","Tags":["v2"],"Address":"10.1.10.13","Port":8000,
    "Meta":{"zone":"provo","model":"m5","cell":"7","started_ms":"1800000000123"},"Weights":{"Passing":10,"Warning":2},"CreateIndex":11},
@@ -42,7 +42,7 @@
 	s := Table.Default()
 	endpoints := map[string]endpointsource.Endpoint{}
 	var faults []string
-	err := decodeEach(strings.NewReader(healthAnswer), maxInstances, func(i *instance) {
+	err := decodeEach(strings.NewReader(documentedAnswer), maxInstances, func(i *instance) {
 		faults = s.addEndpoint(endpoints, i, true, faults)
 		address, ok := i.address()
 		fmt.Fprintf(&text, "%q %v\n", address, ok)
--- /dev/null
+++ b/internal/network/consul/helpers_test.go
@@ -0,0 +1,168 @@
+package consul
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/modules/endpointsource"
+	standin "quincegap/internal/standin/consul"
+)
+
+const testTimeout = 30 * time.Second
+
+func TestMain(m *testing.M) {
+	goleak.VerifyTestMain(m)
+}
+
+// samePath resolves paths of settings as they are.
+func samePath(path string) string { return path }
+
+// testWatcher is a watcher on stand-ins, and what it publishes put together as endpointsource would.
+type testWatcher struct {
+	t         *testing.T
+	events    chan func()
+	known     map[string]endpointsource.Endpoint
+	answers   []endpointsource.ConsulAnswer
+	unchanged int
+	stop      func()
+}
+
+// watch starts a watcher that goes back to its first agent soon. The test's end stops it and the agents.
+func watch(t *testing.T, change func(*Settings), agents ...*standin.Server) *testWatcher {
+	t.Helper()
+	s := *Table.Default()
+	s.Service = "x"
+	s.MinInterval = 10 * time.Millisecond
+	s.Wait = time.Second
+	var addresses []string
+	for _, agent := range agents {
+		addresses = append(addresses, agent.Address())
+	}
+	s.Agents = strings.Join(addresses, ", ")
+	if change != nil {
+		change(&s)
+	}
+	watcher, err := New(s, endpointsource.ModeConsul, samePath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	watcher.failbackDelay = 50 * time.Millisecond
+	w := &testWatcher{t: t, events: make(chan func(), 1000), known: map[string]endpointsource.Endpoint{}}
+	watcher.OnAnswer = func(a endpointsource.ConsulAnswer) { w.events <- func() { w.apply(a) } }
+	watcher.OnUnchanged = func() { w.events <- func() { w.unchanged++ } }
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		watcher.Run(ctx)
+	}()
+	w.stop = func() {
+		cancel()
+		<-done
+	}
+	t.Cleanup(func() {
+		w.stop()
+		for _, agent := range agents {
+			agent.Close()
+		}
+	})
+	return w
+}
+
+// apply takes what an answer changes.
+func (w *testWatcher) apply(a endpointsource.ConsulAnswer) {
+	w.answers = append(w.answers, a)
+	for _, e := range a.Changed {
+		w.known[e.UID] = e
+	}
+	for _, uid := range a.Missing {
+		delete(w.known, uid)
+	}
+}
+
+// confirmed are the UIDs that the catalogue lacks too, in order.
+func (w *testWatcher) confirmed() (uids []string) {
+	for _, a := range w.answers {
+		uids = append(uids, a.ConfirmedMissing...)
+	}
+	slices.Sort(uids)
+	return uids
+}
+
+// until takes events until something holds.
+func (w *testWatcher) until(what string, holds func() bool) {
+	w.t.Helper()
+	timeout := time.NewTimer(testTimeout)
+	defer timeout.Stop()
+	look := time.NewTicker(2 * time.Millisecond) // what is waited for may be no event of the watcher's
+	defer look.Stop()
+	for !holds() {
+		select {
+		case event := <-w.events:
+			event()
+		case <-look.C:
+		case <-timeout.C:
+			w.t.Fatalf("never: %s; known are %v", what, slices.Sorted(maps.Keys(w.known)))
+		}
+	}
+}
+
+// knows waits until the ready instances are these.
+func (w *testWatcher) knows(ids ...string) {
+	w.t.Helper()
+	w.until(fmt.Sprint(ids), func() bool {
+		var ready []string
+		for uid, e := range w.known {
+			if e.State == balancer.EndpointReady {
+				ready = append(ready, strings.TrimSuffix(uid, "@n"))
+			}
+		}
+		slices.Sort(ready)
+		return slices.Equal(ready, ids)
+	})
+}
+
+// instances are on one node, n.
+func instances(ids ...string) (all []standin.Instance) {
+	for i, id := range ids {
+		all = append(all, standin.Instance{Node: "n", ID: id, Address: "127.0.0.1", Port: 1000 + i, Warning: 1})
+	}
+	return all
+}
+
+// serve starts an agent with instances.
+func serve(t *testing.T, ids ...string) *standin.Server {
+	t.Helper()
+	agent, err := standin.Start("", instances(ids...)...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return agent
+}
+
+// lockedText is a log that is read while it grows.
+type lockedText struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (l *lockedText) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
+}
+
+func (l *lockedText) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -1,6 +1,3 @@
-// Package consul reads the endpoints of a service from Consul's health and
-// catalogue over its HTTP API, by blocking queries through the official client.
-// What it reads is judged elsewhere, in membership.
 package consul
 
 import (
@@ -14,14 +11,14 @@
 // Consistency is how a read is answered (Consul's API, Consistency Modes).
 type Consistency string
 
-// The modes.
+// The consistency modes.
 const (
 	Stale      Consistency = "stale"      // by any server, also one without a leader
 	Default    Consistency = "default"    // by the leader
 	Consistent Consistency = "consistent" // by the leader, after it has asked its peers
 )
 
-// Settings says where Consul is and what is asked of it.
+// Settings is the table [consul] of a settings file: where Consul is, and what is asked of it. See Table for each one's meaning.
 type Settings struct {
 	Agents       string // host:port, divided by commas
 	Service      string
@@ -51,9 +48,10 @@
 
 const maxAgents = 16
 
+// text is a setting that holds the name of something in Consul.
 func text(example string) schema.Text { return schema.Text{Example: example, Bad: appfile.BadService} }
 
-// Table is [consul].
+// Table is the table [consul] of a settings file.
 var Table = schema.NewTable("consul", "Where Consul is, and what is asked of it; used unless membership.source is platform.",
 	schema.String("agents", func(s *Settings) *string { return &s.Agents },
 		schema.Text{Example: "127.0.0.1:8500", Type: "addresses", Bounds: "host:port, divided by commas, 16 at most", Bad: appfile.BadAddresses(maxAgents)}, schema.OnReload,
--- /dev/null
+++ b/internal/network/consul/watcher.go
@@ -0,0 +1,178 @@
+package consul
+
+import (
+	"context"
+	"io"
+	"log"
+	"math/rand/v2"
+	"net/url"
+	"time"
+
+	"quincegap/internal/modules/endpointsource"
+)
+
+const (
+	defaultFailbackDelay = time.Minute // until the first agent is asked again, after another one had to be
+	pollInterval         = time.Second // if an agent gives no index to block on
+	// restPerWork is how many times as long as reading an answer took the watcher rests after it: on one core that time is taken
+	// from requests.
+	restPerWork = 4
+	// believedMissing is how many missing instances endpointsource believes at once, whatever its settings.
+	believedMissing = 2
+)
+
+// Watcher follows the instances of one service. Run runs it; nothing else of it may be used meanwhile.
+type Watcher struct {
+	*client
+	qualified bool // UIDs have the name of the node
+
+	// OnAnswer takes what an answer changes, OnUnchanged that one came that changes nothing. They must not block for long: the
+	// next query waits for them. Both are set before Run.
+	OnAnswer    func(endpointsource.ConsulAnswer)
+	OnUnchanged func()
+
+	known         map[string]endpointsource.Endpoint // as of the last answer, by UID
+	askLeader     bool                               // the next query goes to the leader
+	failbackDelay time.Duration
+	failbackAt    time.Time
+	confirmation  *confirmation
+	log           repeatLog
+}
+
+// New makes a watcher; resolve turns a path of the settings into one to open. Files are read when they are needed, but for those of
+// TLS.
+func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
+	c, err := newClient(s, resolve)
+	if err != nil {
+		return nil, err
+	}
+	return &Watcher{
+		client:        c,
+		qualified:     mode == endpointsource.ModeConsul,
+		known:         map[string]endpointsource.Endpoint{},
+		failbackDelay: defaultFailbackDelay,
+		log:           repeatLog{logged: map[string]time.Time{}},
+	}, nil
+}
+
+// cursor is where a watcher is in its stream of answers.
+type cursor struct {
+	agent    int
+	index    uint64 // of the last answer, to block on; 0 for none
+	hash     string // in place of an index
+	failures int    // in a row, of all agents
+	answered bool   // some agent did
+}
+
+// moveTo goes on at another agent, from the beginning: the agents' indexes are not comparable.
+func (c *cursor) moveTo(agent int) {
+	c.agent = agent
+	c.index = 0
+	c.hash = ""
+}
+
+// Run follows the service until the context ends, and waits for all that it has started.
+func (w *Watcher) Run(ctx context.Context) {
+	defer w.closeIdle()
+	w.confirmation = newConfirmation(w)
+	defer w.confirmation.stop()
+	c := &cursor{}
+	for ctx.Err() == nil {
+		if c.agent != 0 && time.Now().After(w.failbackAt) {
+			c.moveTo(0)
+		}
+		h := &healthAnswer{endpoints: map[string]endpointsource.Endpoint{}}
+		m, err := w.queryHealth(ctx, c, h)
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err != nil:
+			w.failOver(ctx, c, err)
+		default:
+			w.accept(ctx, c, h, m)
+		}
+	}
+}
+
+// healthAnswer is what is read of an answer of health's.
+type healthAnswer struct {
+	endpoints map[string]endpointsource.Endpoint // by UID
+	faults    []string                           // why instances were passed over
+}
+
+// queryHealth asks the cursor's agent for the service's instances.
+func (w *Watcher) queryHealth(ctx context.Context, c *cursor, h *healthAnswer) (answerMeta, error) {
+	q := question{
+		path:        "/v1/health/service/" + url.PathEscape(w.settings.Service),
+		tagsField:   "Service.Tags",
+		index:       c.index,
+		hash:        c.hash,
+		wait:        w.settings.Wait - rand.N(w.settings.Wait/8+1),
+		consistency: w.settings.Consistency,
+	}
+	if w.askLeader && q.consistency == Stale {
+		q.consistency = Default
+	}
+	return w.query(ctx, &w.agents[c.agent], q, func(body io.Reader) error {
+		return decodeEach(body, maxInstances, func(i *instance) {
+			h.faults = w.settings.addEndpoint(h.endpoints, i, w.qualified, h.faults)
+		})
+	})
+}
+
+// failOver goes on to the next agent: at once, but for a pause after all of them have failed.
+func (w *Watcher) failOver(ctx context.Context, c *cursor, err error) {
+	c.failures++
+	address := w.agents[c.agent].address
+	w.log.logf("consul: agent %s: %s", address, errorText(err))
+	c.moveTo((c.agent + 1) % len(w.agents))
+	w.failbackAt = time.Now().Add(w.failbackDelay)
+	if c.failures%len(w.agents) == 0 {
+		pause(ctx, backoff(c.failures/len(w.agents)))
+	}
+}
+
+// accept takes an answer, and rests until the next query.
+func (w *Watcher) accept(ctx context.Context, c *cursor, h *healthAnswer, m answerMeta) {
+	if c.failures > 0 || !c.answered {
+		log.Printf("consul: agent %s answers: %d instances of %s", w.agents[c.agent].address, len(h.endpoints), w.settings.Service)
+		w.log.reset()
+	}
+	c.failures = 0
+	c.answered = true
+	w.handleAnswer(ctx, c.agent, h, m)
+	work := time.Since(m.receivedAt)
+	next := nextIndex(c.index, m.index)
+	c.index = 0
+	c.hash = ""
+	switch {
+	case m.index != 0:
+		c.index = next
+	case m.hash != "":
+		c.hash = m.hash
+	default:
+		pause(ctx, pollInterval/2+rand.N(pollInterval))
+	}
+	pause(ctx, max(w.settings.MinInterval, restPerWork*work))
+}
+
+// handleAnswer passes on what an answer changes. It waits for no confirmation: an answer that lacks too many may say that another
+// instance is critical.
+func (w *Watcher) handleAnswer(ctx context.Context, agent int, h *healthAnswer, m answerMeta) {
+	for _, fault := range h.faults {
+		w.log.logf("consul: %s", fault)
+	}
+	a := diff(w.known, h.endpoints)
+	a.UnixMS = time.Now().UnixMilli()
+	a.Untrusted = !m.knownLeader || m.lastContact > w.settings.MaxStaleness
+	w.askLeader = a.Untrusted && m.knownLeader
+	w.known = h.endpoints
+	if len(a.Changed) == 0 && len(a.Missing) == 0 {
+		w.OnUnchanged()
+		return
+	}
+	w.confirmation.observe(a, func() { w.OnAnswer(a) })
+	if doubtful := a.Untrusted || len(h.endpoints) == 0; len(a.Missing) > believedMissing || len(a.Missing) > 0 && doubtful {
+		w.confirmation.confirm(ctx, agent, a.Missing)
+	}
+}
--- /dev/null
+++ b/internal/network/consul/watcher_test.go
@@ -0,0 +1,151 @@
+package consul
+
+import (
+	"testing"
+	"time"
+
+	standin "quincegap/internal/standin/consul"
+)
+
+func TestFollows(t *testing.T) {
+	agent := serve(t, "a", "b", "c")
+	watcher := watch(t, nil, agent)
+	watcher.knows("a", "b", "c")
+	agent.SetStatus("b", "critical")
+	watcher.knows("a", "c")
+	agent.SetStatus("b", "warning")
+	watcher.knows("a", "b", "c")
+	agent.Update(func(all []standin.Instance) []standin.Instance { return all[1:] })
+	watcher.knows("b", "c")
+	if last := watcher.answers[len(watcher.answers)-1]; len(last.Changed) != 0 || len(last.Missing) != 1 || last.KnownBefore != 3 || len(last.ConfirmedMissing) > 0 {
+		t.Errorf("%+v", last)
+	}
+	watcher.until("an answer with nothing new", func() bool { return watcher.unchanged > 0 })
+	health, catalog := agent.Asked()
+	if health > 20 || catalog != 0 {
+		t.Errorf("%d questions, %d to the catalogue", health, catalog)
+	}
+}
+
+// Whatever goes wrong with an answer, nothing is published, and what changed meanwhile is published once all is well.
+func TestFaults(t *testing.T) {
+	for name, f := range map[string]standin.Fault{
+		"refuse": {Refuse: true}, "reset": {Reset: true}, "cut": {Cut: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403},
+		"junk": {Body: "<html>"}, "object": {Body: "{}"}, "words": {Body: `["a","b"]`}, "types": {Body: `[{"Service":{"ID":5}}]`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			agent := serve(t, "a", "b", "c", "d")
+			watcher := watch(t, nil, agent)
+			watcher.knows("a", "b", "c", "d")
+			published := len(watcher.answers)
+			before, _ := agent.Asked()
+			agent.Set(f)
+			agent.SetStatus("a", "critical")
+			watcher.until("some questions", func() bool {
+				now, _ := agent.Asked()
+				return now >= before+4
+			})
+			if len(watcher.answers) != published {
+				t.Errorf("it published %+v", watcher.answers[published:])
+			}
+			agent.Set(standin.Fault{})
+			watcher.knows("b", "c", "d")
+		})
+	}
+}
+
+// Where a server has been out of contact for too long, the leader is asked.
+func TestStaleServer(t *testing.T) {
+	agent := serve(t, "a")
+	watcher := watch(t, nil, agent)
+	watcher.knows("a")
+	agent.Set(standin.Fault{Contact: time.Minute})
+	agent.SetStatus("a", "critical")
+	watcher.knows()
+	agent.SetStatus("a", "passing")
+	watcher.knows("a")
+	watcher.until("the leader's answer", func() bool {
+		if watcher.answers[len(watcher.answers)-1].Untrusted {
+			agent.Update(func(all []standin.Instance) []standin.Instance { all[0].Passing++; return all })
+			time.Sleep(20 * time.Millisecond)
+			return false
+		}
+		return true
+	})
+}
+
+func TestIndexRules(t *testing.T) {
+	agent := serve(t, "a", "b")
+	watcher := watch(t, nil, agent)
+	watcher.knows("a", "b")
+	agent.Set(standin.Fault{IndexBack: 8})
+	agent.SetStatus("b", "critical")
+	watcher.knows("a")
+	agent.Set(standin.Fault{NoIndex: true}) // polled then
+	agent.SetStatus("b", "passing")
+	watcher.knows("a", "b")
+	agent.SetStatus("a", "critical")
+	watcher.knows("b")
+	agent.Set(standin.Fault{Lag: 50 * time.Millisecond})
+	agent.SetStatus("a", "passing")
+	watcher.knows("a", "b")
+}
+
+// Where an agent gives a hash and no index, it is blocked on all the same.
+func TestHashBlocking(t *testing.T) {
+	agent := serve(t, "a", "b")
+	agent.Set(standin.Fault{Hash: true})
+	watcher := watch(t, nil, agent)
+	watcher.knows("a", "b")
+	for _, status := range []string{"critical", "passing", "critical"} {
+		agent.SetStatus("b", status)
+		if status == "critical" {
+			watcher.knows("a")
+		} else {
+			watcher.knows("a", "b")
+		}
+	}
+	if health, _ := agent.Asked(); health > 12 {
+		t.Errorf("%d questions: it polls", health)
+	}
+}
+
+// The next agent is asked when one goes, and one that hangs is noticed by its timeout.
+func TestFailover(t *testing.T) {
+	first := serve(t, "a")
+	second := serve(t, "a", "b")
+	watcher := watch(t, nil, first, second)
+	watcher.knows("a")
+	first.Set(standin.Fault{Hang: true})
+	watcher.knows("a", "b")
+	first.Set(standin.Fault{})
+	watcher.knows("a") // it goes back to the first agent though the other one answers
+	before, _ := second.Asked()
+	first.SetStatus("a", "critical")
+	watcher.knows()
+	if after, _ := second.Asked(); after > before+1 {
+		t.Error("the other agent is still asked")
+	}
+	second.Close()
+	first.SetStatus("a", "passing")
+	watcher.knows("a")
+}
+
+// However fast changes come, answers are taken at the pace.
+func TestPace(t *testing.T) {
+	agent := serve(t, "a", "b")
+	watcher := watch(t, func(s *Settings) { s.MinInterval = 100 * time.Millisecond }, agent)
+	watcher.knows("a", "b")
+	before, _ := agent.Asked()
+	began := time.Now()
+	for i := range 400 {
+		agent.SetStatus("a", []string{"critical", "passing"}[i%2])
+		time.Sleep(time.Millisecond)
+	}
+	took := time.Since(began)
+	after, _ := agent.Asked()
+	if most := int(took/(100*time.Millisecond)) + 2; after-before > most {
+		t.Errorf("%d questions in %v, want %d at most", after-before, took, most)
+	}
+}
