--- /dev/null
+++ b/internal/network/http1/golden_test.go
@@ -0,0 +1,44 @@
+package http1
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"quincegap/internal/golden"
+	"quincegap/internal/network/exchange"
+)
+
+// What endpoints read: requests as they are written on a connection, byte by byte.
+func TestGoldenRequests(t *testing.T) {
+	header := http.Header{
+		"Accept": {"text/html"}, "X-Trip": {"a", "b"}, "Content-Length": {"999"}, "X-Remaining": {"7u"}, "Idempotency-Key": {"k-1"},
+	}
+	var all strings.Builder
+	for _, c := range []struct {
+		request exchange.Inbound
+		left    time.Duration
+	}{
+		{exchange.Inbound{Method: "POST", Target: "/api/book?x=1", Host: "front.example", Header: header, Body: []byte("trip")}, 1500 * time.Millisecond},
+		{exchange.Inbound{Method: "POST", Target: "/api/book", Host: "front.example", Header: http.Header{}}, time.Microsecond},
+		{exchange.Inbound{Method: "GET", Target: "/", Host: "front.example:80", Header: header}, -time.Second},
+	} {
+		all.Write(encode(&c.request, c.left))
+		all.WriteString("\n----\n")
+	}
+	golden.Text(t, "requests.txt", []byte(all.String()))
+}
+
+// What callers read that this protocol adds to answers.
+func TestGoldenAnswerHeaders(t *testing.T) {
+	header := http.Header{}
+	c := &caller{callers: &callers{altSvc: `h3=":443"; ma=60`}}
+	c.Mark(header)
+	c.Last(header)
+	var text strings.Builder
+	if err := header.Write(&text); err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "answer-headers.txt", []byte(text.String()))
+}
