--- a/internal/network/http1/golden_test.go
+++ b/internal/network/http1/golden_test.go
@@ -34,8 +34,8 @@
 func TestGoldenAnswerHeaders(t *testing.T) {
 	header := http.Header{}
 	c := &caller{callers: &callers{altSvc: `h3=":443"; ma=60`}}
-	c.Mark(header)
-	c.Last(header)
+	c.AddHeaders(header)
+	c.CloseAfter(header)
 	var text strings.Builder
 	if err := header.Write(&text); err != nil {
 		t.Fatal(err)
