--- a/internal/network/http1/front.go
+++ b/internal/network/http1/front.go
@@ -21,47 +21,47 @@
 type stage int
 
 const (
-	mute    stage = iota // new, and has said nothing
-	idle                 // its last request is answered
-	reading              // some of a request has come
-	serving              // a request has been read
-	stages
+	stageNew     stage = iota // new, and has said nothing
+	stageIdle                 // its last request is answered
+	stageReading              // some of a request has come
+	stageServing              // a request has been read
+	stageCount
 )
 
-// caller is a connection from a caller.
-type caller struct {
+// callerConn is a connection from a caller.
+type callerConn struct {
 	net.Conn
-	callers *callers
-	stage   stage // callers.mu guards these
-	at      *list.Element
-	began   time.Time // when the request that it brings began, or its connection
-	over    bool      // it came when there was no room
+	listener     *callerListener
+	stage        stage // callers.mu guards these
+	element      *list.Element
+	requestBegan time.Time // when the request that it brings began, or its connection
+	excess       bool      // it came when there was no room
 }
 
-// callers bounds the connections from callers. Accepting never waits: a connection in the backlog may already
+// callerListener bounds the connections from callers. Accepting never waits: a connection in the backlog may already
 // hold a request.
-type callers struct {
+type callerListener struct {
 	net.Listener
-	most   int
-	altSvc string
+	maxOpen int
+	altSvc  string
 
-	mu     sync.Mutex
-	open   int
-	stages [stages]list.List // of *caller, the longest in its stage first
-	newest time.Time         // when the last connection came
+	mu           sync.Mutex
+	open         int
+	stages       [stageCount]list.List // of *caller, the longest in its stage first
+	lastAccepted time.Time             // when the last connection came
 }
 
-// slowAfter is how long a request may take to come before its connection is in the way of others.
-const slowAfter = time.Second
+// slowRequestAfter is how long a request may take to come before its connection is in the way of others.
+const slowRequestAfter = time.Second
 
 // Accept takes the next connection in. It is never one that finds no room.
-func (cs *callers) Accept() (net.Conn, error) {
+func (cs *callerListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := cs.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &caller{Conn: raw, callers: cs, began: time.Now()}
+		c := &callerConn{Conn: raw, listener: cs, requestBegan: time.Now()}
 		if cs.admit(c) {
 			return c, nil
 		}
@@ -72,41 +72,41 @@
 // admit makes room for a connection. Those that have said nothing go first, then idle ones, whose clients may
 // send what crosses that on another, then those whose request takes long to come. If there are none, the new
 // one's request is turned away, for to cut it off would lose it.
-func (cs *callers) admit(c *caller) bool {
+func (cs *callerListener) admit(c *callerConn) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.newest = c.began
-	if cs.open >= cs.most && !cs.makeRoom(c.began) {
-		if cs.open >= cs.most+excessSockets {
+	cs.lastAccepted = c.requestBegan
+	if cs.open >= cs.maxOpen && !cs.evictOne(c.requestBegan) {
+		if cs.open >= cs.maxOpen+excessSockets {
 			return false
 		}
-		c.over = true
+		c.excess = true
 	}
 	cs.open++
-	c.at = cs.stages[mute].PushBack(c)
+	c.element = cs.stages[stageNew].PushBack(c)
 	return true
 }
 
-func (cs *callers) makeRoom(now time.Time) bool {
-	for at := cs.stages[mute].Front(); at != nil; at = at.Next() {
-		if c := at.Value.(*caller); !c.waiting() {
-			cs.drop(c)
+func (cs *callerListener) evictOne(now time.Time) bool {
+	for at := cs.stages[stageNew].Front(); at != nil; at = at.Next() {
+		if c := at.Value.(*callerConn); !c.hasUnread() {
+			cs.closeConn(c)
 			return true
 		}
 	}
-	if at := cs.stages[idle].Front(); at != nil {
-		cs.drop(at.Value.(*caller))
+	if at := cs.stages[stageIdle].Front(); at != nil {
+		cs.closeConn(at.Value.(*callerConn))
 		return true
 	}
-	if at := cs.stages[reading].Front(); at != nil && now.Sub(at.Value.(*caller).began) > slowAfter {
-		cs.drop(at.Value.(*caller))
+	if at := cs.stages[stageReading].Front(); at != nil && now.Sub(at.Value.(*callerConn).requestBegan) > slowRequestAfter {
+		cs.closeConn(at.Value.(*callerConn))
 		return true
 	}
 	return false
 }
 
-// waiting tells whether something has come that its handler has not yet been able to read.
-func (c *caller) waiting() bool {
+// hasUnread tells whether something has come that its handler has not yet been able to read.
+func (c *callerConn) hasUnread() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -115,108 +115,108 @@
 	return n > 0
 }
 
-// drop ends a connection; its handler sees that when it next reads.
-func (cs *callers) drop(c *caller) {
+// closeConn ends a connection; its handler sees that when it next reads.
+func (cs *callerListener) closeConn(c *callerConn) {
 	c.Conn.Close()
-	cs.forget(c)
+	cs.remove(c)
 }
 
-func (cs *callers) forget(c *caller) {
-	if c.at != nil {
-		cs.stages[c.stage].Remove(c.at)
-		c.at = nil
+func (cs *callerListener) remove(c *callerConn) {
+	if c.element != nil {
+		cs.stages[c.stage].Remove(c.element)
+		c.element = nil
 		cs.open--
 	}
 }
 
-// move notes how far a connection has come.
-func (cs *callers) move(c *caller, to stage) {
-	if c.at != nil {
-		cs.stages[c.stage].Remove(c.at)
+// setStage notes how far a connection has come.
+func (cs *callerListener) setStage(c *callerConn, to stage) {
+	if c.element != nil {
+		cs.stages[c.stage].Remove(c.element)
 		c.stage = to
-		c.at = cs.stages[to].PushBack(c)
+		c.element = cs.stages[to].PushBack(c)
 	}
 }
 
 // Read notes when a request begins.
-func (c *caller) Read(b []byte) (int, error) {
+func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.callers.mu.Lock()
-		if c.stage == mute || c.stage == idle {
-			if c.stage == idle {
-				c.began = time.Now()
+		c.listener.mu.Lock()
+		if c.stage == stageNew || c.stage == stageIdle {
+			if c.stage == stageIdle {
+				c.requestBegan = time.Now()
 			}
-			c.callers.move(c, reading)
+			c.listener.setStage(c, stageReading)
 		}
-		c.callers.mu.Unlock()
+		c.listener.mu.Unlock()
 	}
 	return n, err
 }
 
 // CloseWrite lets net/http end its side first, so that a client that is still sending reads its answer.
-func (c *caller) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
+func (c *callerConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// state follows net/http's word of a connection.
-func (cs *callers) state(c net.Conn, state http.ConnState) {
+// connState follows net/http's word of a connection.
+func (cs *callerListener) connState(c net.Conn, state http.ConnState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	switch from := c.(*caller); state {
+	switch from := c.(*callerConn); state {
 	case http.StateIdle:
-		from.began = time.Now() // the next request may have come already
-		cs.move(from, idle)
+		from.requestBegan = time.Now() // the next request may have come already
+		cs.setStage(from, stageIdle)
 	case http.StateClosed, http.StateHijacked:
-		cs.forget(from)
+		cs.remove(from)
 	}
 }
 
 // BeginRequest notes that a request's headers have come, and tells when it began and whether there is room for it.
-func (c *caller) BeginRequest() (began time.Time, over bool) {
-	c.callers.mu.Lock()
-	defer c.callers.mu.Unlock()
-	return c.began, c.over
+func (c *callerConn) BeginRequest() (began time.Time, over bool) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.requestBegan, c.excess
 }
 
 // BodyReceived notes that a request has come whole, and tells how many connections stand idle beside its own.
-func (c *caller) BodyReceived() (idles int) {
-	c.callers.mu.Lock()
-	defer c.callers.mu.Unlock()
-	c.callers.move(c, serving)
-	return c.callers.stages[idle].Len()
+func (c *callerConn) BodyReceived() (idles int) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.listener.setStage(c, stageServing)
+	return c.listener.stages[stageIdle].Len()
 }
 
 // quietFor tells whether no connection is open and none has come for a while.
-func (cs *callers) quietFor(d time.Duration) bool {
+func (cs *callerListener) quietFor(d time.Duration) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.open == 0 && time.Since(cs.newest) >= d
+	return cs.open == 0 && time.Since(cs.lastAccepted) >= d
 }
 
 // CloseAfter is of exchange.Caller.
-func (c *caller) CloseAfter(answer http.Header) { answer.Set("Connection", "close") }
+func (c *callerConn) CloseAfter(answer http.Header) { answer.Set("Connection", "close") }
 
 // AddHeaders is of exchange.Caller.
-func (c *caller) AddHeaders(answer http.Header) {
-	if alt := c.callers.altSvc; alt != "" {
+func (c *callerConn) AddHeaders(answer http.Header) {
+	if alt := c.listener.altSvc; alt != "" {
 		answer.Set("Alt-Svc", alt)
 	}
 }
 
 // Early is of exchange.Caller: there is no early data beneath.
-func (c *caller) Early() bool { return false }
+func (c *callerConn) Early() bool { return false }
 
 // Confirm is of exchange.Caller.
-func (c *caller) Confirm(context.Context) bool { return true }
+func (c *callerConn) Confirm(context.Context) bool { return true }
 
-// withCaller puts a connection into the context of its requests.
-func withCaller(ctx context.Context, c net.Conn) context.Context {
-	return exchange.WithCaller(ctx, c.(*caller))
+// connContext puts a connection into the context of its requests.
+func connContext(ctx context.Context, c net.Conn) context.Context {
+	return exchange.WithCaller(ctx, c.(*callerConn))
 }
 
 // Bounds are a front's.
 type Bounds struct {
-	Connections    int           // at once
-	MaxHeader      int           // bytes of a request's headers
+	MaxConnections int           // at once
+	MaxHeaderBytes int           // bytes of a request's headers
 	RequestTimeout time.Duration // for a whole request
 	IdleTimeout    time.Duration // between two
 	WriteTimeout   time.Duration // from a request's headers to the end of its answer
@@ -225,16 +225,16 @@
 
 // Front takes callers' requests over HTTP/1.1.
 type Front struct {
-	callers callers
+	callers callerListener
 	server  http.Server
 }
 
 // NewFront makes one that hands what comes at a listener to a handler.
 func NewFront(listener net.Listener, handler http.Handler, b Bounds) *Front {
 	f := &Front{}
-	f.callers.Listener, f.callers.most, f.callers.altSvc = listener, b.Connections, b.AltSvc
+	f.callers.Listener, f.callers.maxOpen, f.callers.altSvc = listener, b.MaxConnections, b.AltSvc
 	f.server = http.Server{
-		Handler: handler, ConnContext: withCaller, ConnState: f.callers.state, MaxHeaderBytes: b.MaxHeader,
+		Handler: handler, ConnContext: connContext, ConnState: f.callers.connState, MaxHeaderBytes: b.MaxHeaderBytes,
 		ReadHeaderTimeout: b.RequestTimeout, IdleTimeout: b.IdleTimeout, WriteTimeout: b.WriteTimeout,
 	}
 	return f
@@ -266,12 +266,12 @@
 	for i := range cs.stages {
 		staged += cs.stages[i].Len()
 	}
-	return cs.open, cs.stages[idle].Len(), staged, cs.most
+	return cs.open, cs.stages[stageIdle].Len(), staged, cs.maxOpen
 }
 
-// SetConnections changes how many there may be.
-func (f *Front) SetConnections(n int) {
+// SetMaxConnections changes how many there may be.
+func (f *Front) SetMaxConnections(n int) {
 	f.callers.mu.Lock()
 	defer f.callers.mu.Unlock()
-	f.callers.most = n
+	f.callers.maxOpen = n
 }
--- a/internal/network/http1/golden_test.go
+++ b/internal/network/http1/golden_test.go
@@ -33,7 +33,7 @@
 // What callers read that this protocol adds to answers.
 func TestGoldenAnswerHeaders(t *testing.T) {
 	header := http.Header{}
-	c := &caller{callers: &callers{altSvc: `h3=":443"; ma=60`}}
+	c := &callerConn{listener: &callerListener{altSvc: `h3=":443"; ma=60`}}
 	c.AddHeaders(header)
 	c.CloseAfter(header)
 	var text strings.Builder
--- a/internal/network/http1/transport.go
+++ b/internal/network/http1/transport.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	maxBody        = exchange.MaxBody
-	maxAnswerHead  = 16 << 10
-	maxInformation = 16 // 1xx responses before the final one
-	// settle is how long a connection rests after an answer. Nothing ties an answer to its request, so what an
+	maxBodyBytes     = exchange.MaxBody
+	maxHeadBytes     = 16 << 10
+	maxInformational = 16 // 1xx responses before the final one
+	// settleTime is how long a connection rests after an answer. Nothing ties an answer to its request, so what an
 	// endpoint sends beyond an answer must be seen before the next request is written.
-	settle = time.Millisecond
-	// resetsSpread is how long a process that dies may take to reset all its connections.
-	resetsSpread = 3 * time.Millisecond
+	settleTime = time.Millisecond
+	// resetSpread is how long a process that dies may take to reset all its connections.
+	resetSpread = 3 * time.Millisecond
 )
 
 // conn is a connection to an endpoint; it carries one attempt at a time.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader // of what Read gives
-	left      int           // bytes that may still be read
+	readable  int           // bytes that may still be read
 	idleSince time.Time
 	endpoint  *exchange.Endpoint // while it is idle:
-	idle      *list.Element
+	element   *list.Element
 }
 
 func newConn(raw net.Conn) *conn {
@@ -51,11 +51,11 @@
 
 // Read never brings more than was allowed: an endpoint may go on without end.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.left <= 0 {
+	if c.readable <= 0 {
 		return 0, exchange.ErrBodyTooLarge
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.readable)])
+	c.readable -= n
 	return n, err
 }
 
@@ -90,20 +90,20 @@
 // Transport makes attempts over HTTP/1.1: one on a connection at a time.
 type Transport struct {
 	pool
-	connect time.Duration
+	connectTimeout time.Duration
 }
 
 // NewTransport makes one with its bounds: connections, in use and idle, to all endpoints together; how long
 // one may stand idle; how long making one may take.
 func NewTransport(most int, maxIdle, connect time.Duration) *Transport {
-	return &Transport{pool{idle: map[*exchange.Endpoint][]*conn{}, most: most, maxIdle: maxIdle}, connect}
+	return &Transport{pool{idle: map[*exchange.Endpoint][]*conn{}, maxOpen: most, maxIdle: maxIdle}, connect}
 }
 
 // SetMaxIdle changes how long a connection may stand idle.
 func (t *Transport) SetMaxIdle(d time.Duration) { t.maxIdle = d }
 
 // Counts are the connections: all, and those that stand idle.
-func (t *Transport) Counts() (open, idle int) { return t.open, t.order.Len() }
+func (t *Transport) Counts() (open, idle int) { return t.open, t.idleOrder.Len() }
 
 // IdleAt is how many stand idle to an address.
 func (t *Transport) IdleAt(address string) (n int) {
@@ -146,16 +146,16 @@
 // Run is of exchange.Transport.
 func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) exchange.Result {
 	had, _ := c.(*conn)
-	return (&attempt{a}).run(had, t.connect)
+	return (&attempt{a}).run(had, t.connectTimeout)
 }
 
 // pool holds the idle connections to all endpoints, and bounds all connections to them.
 type pool struct {
-	idle    map[*exchange.Endpoint][]*conn // the most recently used last
-	order   list.List                      // of all idle ones, the longest idle first
-	open    int                            // connections in use, idle or being made
-	most    int
-	maxIdle time.Duration
+	idle      map[*exchange.Endpoint][]*conn // the most recently used last
+	idleOrder list.List                      // of all idle ones, the longest idle first
+	open      int                            // connections in use, idle or being made
+	maxOpen   int
+	maxIdle   time.Duration
 }
 
 // acquire takes the most recently used connection; nil asks for a new one. It is false when there may be no
@@ -163,13 +163,13 @@
 func (p *pool) acquire(e *exchange.Endpoint, now time.Time) (c *conn, ok bool) {
 	if conns := p.idle[e]; len(conns) > 0 {
 		if last := conns[len(conns)-1]; now.Sub(last.idleSince) < p.maxIdle {
-			p.take(last)
+			p.removeIdle(last)
 			return last, true
 		}
 		p.closeIdle(e) // the others are older
 	}
-	if p.open >= p.most {
-		oldest := p.order.Front()
+	if p.open >= p.maxOpen {
+		oldest := p.idleOrder.Front()
 		if oldest == nil {
 			return nil, false
 		}
@@ -190,14 +190,14 @@
 	default:
 		c.idleSince = time.Now()
 		c.endpoint = e
-		c.idle = p.order.PushBack(c)
+		c.element = p.idleOrder.PushBack(c)
 		p.idle[e] = append(p.idle[e], c)
 	}
 }
 
-// take takes a connection out of the idle ones.
-func (p *pool) take(c *conn) {
-	p.order.Remove(c.idle)
+// removeIdle takes a connection out of the idle ones.
+func (p *pool) removeIdle(c *conn) {
+	p.idleOrder.Remove(c.element)
 	conns := p.idle[c.endpoint]
 	i := slices.Index(conns, c)
 	if conns = slices.Delete(conns, i, i+1); len(conns) == 0 {
@@ -209,7 +209,7 @@
 
 // close closes an idle connection.
 func (p *pool) close(c *conn) {
-	p.take(c)
+	p.removeIdle(c)
 	c.Close()
 	p.open--
 }
@@ -222,7 +222,7 @@
 
 // sweep closes connections that have been idle for too long or whose peer has closed them.
 func (p *pool) sweep(now time.Time) {
-	for at := p.order.Front(); at != nil; {
+	for at := p.idleOrder.Front(); at != nil; {
 		c := at.Value.(*conn)
 		at = at.Next()
 		if now.Sub(c.idleSince) >= p.maxIdle || !c.alive() {
@@ -240,7 +240,7 @@
 func (a *attempt) run(c *conn, connectTimeout time.Duration) (res exchange.Result) {
 	defer func() { res.Elapsed = time.Since(a.Sent) }()
 	if c != nil {
-		time.Sleep(time.Until(c.idleSince.Add(settle)))
+		time.Sleep(time.Until(c.idleSince.Add(settleTime)))
 		if !c.alive() {
 			c.Close()
 			c = nil
@@ -252,9 +252,9 @@
 			return exchange.Result{Status: a.UnsentStatus()}
 		}
 	}
-	res = a.over(c)
+	res = a.runOn(c)
 	if res.Status == balancer.StatusReset {
-		a.whatBroke(&res, connectTimeout)
+		a.checkEndpoint(&res, connectTimeout)
 	}
 	return res
 }
@@ -273,11 +273,11 @@
 	return newConn(raw), nil
 }
 
-// whatBroke tells a connection that alone broke from an endpoint that did: one that ends takes all its
+// checkEndpoint tells a connection that alone broke from an endpoint that did: one that ends takes all its
 // connections along and accepts no new ones. Taken for that, one connection would cost a sound endpoint its
 // place, and then a slow start. The new connection takes the broken one's place.
-func (a *attempt) whatBroke(res *exchange.Result, connectTimeout time.Duration) {
-	time.Sleep(resetsSpread)
+func (a *attempt) checkEndpoint(res *exchange.Result, connectTimeout time.Duration) {
+	time.Sleep(resetSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
 		res.Status = balancer.StatusInvalidResponse
 		return
@@ -287,8 +287,8 @@
 	}
 }
 
-// over makes the attempt over a connection.
-func (a *attempt) over(c *conn) exchange.Result {
+// runOn makes the attempt over a connection.
+func (a *attempt) runOn(c *conn) exchange.Result {
 	release := context.AfterFunc(a.Context, func() { c.Close() })
 	res := a.exchange(c)
 	if !release() || res.Conn == nil {
@@ -319,18 +319,18 @@
 }
 
 var (
-	errSpoilt = errors.New("cannot be read")
-	errNoRoom = errors.New("no memory for the body")
+	errMalformed = errors.New("cannot be read")
+	errNoMemory  = errors.New("no memory for the body")
 )
 
 // read takes the response to the request that was written. An error that is not the connection's means that
 // the response cannot be used; its connection is of no more use then.
 func (a *attempt) read(c *conn) (res exchange.Result, err error) {
-	c.left = maxAnswerHead
+	c.readable = maxHeadBytes
 	var code int
 	var header textproto.MIMEHeader
 	var lasting bool
-	for range maxInformation + 1 {
+	for range maxInformational + 1 {
 		if code, header, lasting, err = readHead(c.reader); err != nil {
 			return res, err
 		}
@@ -339,14 +339,14 @@
 		}
 	}
 	if code < http.StatusOK {
-		return res, errSpoilt // its real answer is still to come
+		return res, errMalformed // its real answer is still to come
 	}
-	if !a.Bodies.Reserve(maxBody) {
-		return res, errNoRoom
+	if !a.Bodies.Reserve(maxBodyBytes) {
+		return res, errNoMemory
 	}
 	kept := 0
-	defer func() { a.Bodies.Release(maxBody - kept) }()
-	c.left = maxBody + maxAnswerHead // beside the body, what its chunks take
+	defer func() { a.Bodies.Release(maxBodyBytes - kept) }()
+	c.readable = maxBodyBytes + maxHeadBytes // beside the body, what its chunks take
 	body, err := readBody(c.reader, code, header)
 	if err != nil {
 		return res, err
@@ -372,7 +372,7 @@
 	digits, _, _ := strings.Cut(rest, " ")
 	n, err := strconv.ParseUint(digits, 10, 16)
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || err != nil || len(digits) != 3 || n < 100 {
-		return 0, nil, false, errSpoilt
+		return 0, nil, false, errMalformed
 	}
 	if header, err = text.ReadMIMEHeader(); err != nil {
 		return 0, nil, false, err
@@ -384,7 +384,7 @@
 	return int(n), header, lasting, nil
 }
 
-// readBody reads a response's body of at most maxBody bytes. Where its end is in doubt it is spoilt: lengths
+// readBody reads a response's body of at most maxBodyBytes bytes. Where its end is in doubt it is spoilt: lengths
 // that disagree, or none, so that the connection's end would be the body's.
 func readBody(r *bufio.Reader, code int, header textproto.MIMEHeader) ([]byte, error) {
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
@@ -401,9 +401,9 @@
 	case len(codings) == 0 && len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 63)
 		if err != nil {
-			return nil, errSpoilt
+			return nil, errMalformed
 		}
-		if n > maxBody {
+		if n > maxBodyBytes {
 			return nil, exchange.ErrBodyTooLarge
 		}
 		body, err := exchange.ReadAll(io.LimitReader(r, int64(n)))
@@ -412,11 +412,11 @@
 		}
 		return body, err
 	}
-	return nil, errSpoilt
+	return nil, errMalformed
 }
 
-// written are the headers that encode words itself.
-var written = map[string]bool{"Content-Length": true, "X-Remaining": true}
+// ownHeaders are the headers that encode words itself.
+var ownHeaders = map[string]bool{"Content-Length": true, "X-Remaining": true}
 
 // encode is the request as it goes on to an endpoint, which is told how long its answer is waited for.
 func encode(in *exchange.Inbound, left time.Duration) []byte {
@@ -426,7 +426,7 @@
 	if len(in.Body) > 0 || in.Method != http.MethodGet {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(in.Body))
 	}
-	in.Header.WriteSubset(&b, written)
+	in.Header.WriteSubset(&b, ownHeaders)
 	b.WriteString("\r\n")
 	b.Write(in.Body)
 	return b.Bytes()
--- a/internal/network/http1/transport_test.go
+++ b/internal/network/http1/transport_test.go
@@ -18,7 +18,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func newAttempt(address string, timeout time.Duration, bodies *exchange.Budget) (*attempt, func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -39,9 +39,9 @@
 		go during(cancel)
 	}
 	if c == nil {
-		return a.run(nil, patience)
+		return a.run(nil, testTimeout)
 	}
-	return a.over(newConn(c))
+	return a.runOn(newConn(c))
 }
 
 // roomy is a budget for bodies that is not used up.
@@ -96,9 +96,9 @@
 		"with a report":       {reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
 		"with a bad report":   {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
 		"with an odd report":  {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
-		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation) +
+		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
-		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation+1) +
+		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational+1) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
 		"and a copy":          {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), balancer.StatusOK, false},
 		"and noise":           {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), balancer.StatusOK, false},
@@ -128,7 +128,7 @@
 			c.Close()
 		}, balancer.StatusConnectFailed, false},
 	} {
-		res := tryOut("", true, pipe(t, c.play), patience, nil)
+		res := tryOut("", true, pipe(t, c.play), testTimeout, nil)
 		if res.Status != c.want || (res.Conn != nil) != c.keep {
 			t.Errorf("%s: status %v, kept %v", name, res.Status, res.Conn != nil)
 		}
@@ -164,11 +164,11 @@
 				}
 			}
 		})
-		if res := tryOut("", true, near, patience, nil); res.Status != balancer.StatusInvalidResponse || res.Conn != nil {
+		if res := tryOut("", true, near, testTimeout, nil); res.Status != balancer.StatusInvalidResponse || res.Conn != nil {
 			t.Errorf("%s: status %v", name, res.Status)
 		}
 		near.Close()
-		if most := int64(maxBody + 2*maxAnswerHead + 100); sent.Load() > most {
+		if most := int64(maxBodyBytes + 2*maxHeadBytes + 100); sent.Load() > most {
 			t.Errorf("%s: %d bytes were taken", name, sent.Load())
 		}
 	}
@@ -181,17 +181,17 @@
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
 	try := func(b *exchange.Budget) exchange.Result {
-		a, cancel := newAttempt("", patience, b)
+		a, cancel := newAttempt("", testTimeout, b)
 		defer cancel()
-		return a.over(newConn(pipe(t, answer)))
+		return a.runOn(newConn(pipe(t, answer)))
 	}
 	tight := &exchange.Budget{}
-	tight.Release(maxBody - 1)
-	if res := try(tight); res.Status != balancer.StatusInvalidResponse || tight.Available() != maxBody-1 {
+	tight.Release(maxBodyBytes - 1)
+	if res := try(tight); res.Status != balancer.StatusInvalidResponse || tight.Available() != maxBodyBytes-1 {
 		t.Errorf("status %v, %d bytes left", res.Status, tight.Available())
 	}
 	tight.Release(1)
-	if res := try(tight); res.Status != balancer.StatusOK || tight.Available() != maxBody-2 {
+	if res := try(tight); res.Status != balancer.StatusOK || tight.Available() != maxBodyBytes-2 {
 		t.Errorf("status %v, %d bytes left", res.Status, tight.Available())
 	}
 }
@@ -213,12 +213,12 @@
 		io.WriteString(next, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
 	}()
 	io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold")
-	for end := time.Now().Add(patience); c.alive() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); c.alive() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	a, cancel := newAttempt(l.Addr().String(), patience, roomy())
+	a, cancel := newAttempt(l.Addr().String(), testTimeout, roomy())
 	defer cancel()
-	if res := a.run(c, patience); res.Status != balancer.StatusOK || string(res.Response.Body) != "new" {
+	if res := a.run(c, testTimeout); res.Status != balancer.StatusOK || string(res.Response.Body) != "new" {
 		t.Errorf("status %v, response %+v", res.Status, res.Response)
 	}
 }
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.Status != balancer.StatusNotSent || res.Conn != nil {
+	if res := tryOut(l.Addr().String(), false, nil, testTimeout, nil); res.Status != balancer.StatusNotSent || res.Conn != nil {
 		t.Errorf("status %v, conn %v", res.Status, res.Conn)
 	}
 	c, err := l.Accept()
@@ -268,14 +268,14 @@
 		}
 		defer c.Close()
 	}
-	a, cancel := newAttempt(address, patience, roomy())
+	a, cancel := newAttempt(address, testTimeout, roomy())
 	defer cancel()
 	if res := a.run(nil, 100*time.Millisecond); res.Status != balancer.StatusConnectFailed {
 		t.Errorf("status %v", res.Status)
 	}
 	a, cancel = newAttempt(address, 100*time.Millisecond, roomy())
 	defer cancel()
-	if res := a.run(nil, patience); res.Status != balancer.StatusNotSent {
+	if res := a.run(nil, testTimeout); res.Status != balancer.StatusNotSent {
 		t.Errorf("status %v at the request's deadline", res.Status)
 	}
 }
@@ -287,7 +287,7 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	if res := tryOut(address, true, nil, patience, nil); res.Status != balancer.StatusConnectFailed {
+	if res := tryOut(address, true, nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed {
 		t.Errorf("status %v", res.Status)
 	}
 }
@@ -300,7 +300,7 @@
 		want    balancer.Status
 	}{
 		"time-out": {100 * time.Millisecond, false, balancer.StatusTimeout},
-		"cancel":   {patience, true, balancer.StatusCancelled},
+		"cancel":   {testTimeout, true, balancer.StatusCancelled},
 	} {
 		written, ended := make(chan bool), make(chan bool)
 		near := pipe(t, func(far net.Conn) {
@@ -354,7 +354,7 @@
 	e, other := &exchange.Endpoint{ID: 1}, &exchange.Endpoint{ID: 2}
 	e.Open.Store(true)
 	other.Open.Store(true)
-	p := pool{idle: map[*exchange.Endpoint][]*conn{}, most: 3, maxIdle: time.Minute}
+	p := pool{idle: map[*exchange.Endpoint][]*conn{}, maxOpen: 3, maxIdle: time.Minute}
 	var conns []*conn
 	for range 3 {
 		if c, ok := p.acquire(e, time.Now()); c != nil || !ok {
@@ -403,7 +403,7 @@
 		t.Fatal("a fresh connection is not alive")
 	}
 	io.WriteString(far, "HTTP/1.1 408 Request Timeout\r\n\r\n")
-	for end := time.Now().Add(patience); c.alive(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); c.alive(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("an answer that nobody asked for goes unseen")
 		}
@@ -424,11 +424,11 @@
 		}
 		w.WriteHeader(int(health.Load()))
 	})
-	if got := Probe(e, patience); got != balancer.StatusOK {
+	if got := Probe(e, testTimeout); got != balancer.StatusOK {
 		t.Errorf("healthy: %v", got)
 	}
 	health.Store(http.StatusServiceUnavailable)
-	if got := Probe(e, patience); got != balancer.StatusError {
+	if got := Probe(e, testTimeout); got != balancer.StatusError {
 		t.Errorf("unwell: %v", got)
 	}
 	mute := at(func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -30,7 +30,7 @@
 		return nil, fmt.Errorf("http3_listen: %w", err)
 	}
 	front, err := http3.NewFront(socket, handler, settings, http3.Bounds{
-		MaxHeader: bounds.MaxHeader, RequestTimeout: bounds.RequestTimeout,
+		MaxHeader: bounds.MaxHeaderBytes, RequestTimeout: bounds.RequestTimeout,
 		IdleTimeout: bounds.IdleTimeout, WriteTimeout: bounds.WriteTimeout,
 	}, security)
 	if err != nil {
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -75,8 +75,8 @@
 func (s *server) frontBounds() http1.Bounds {
 	c := s.config.tuning.callers
 	return http1.Bounds{
-		Connections:    int(c.Share * float64(s.config.Limits.Sockets-reservedSockets)),
-		MaxHeader:      int(c.MaxHeader),
+		MaxConnections: int(c.Share * float64(s.config.Limits.Sockets-reservedSockets)),
+		MaxHeaderBytes: int(c.MaxHeader),
 		RequestTimeout: c.RequestTimeout,
 		IdleTimeout:    c.IdleTimeout,
 		WriteTimeout:   s.longestDeadline + writeTimeout,
--- a/internal/standalone/sidecar_test.go
+++ b/internal/standalone/sidecar_test.go
@@ -995,7 +995,7 @@
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.front().SetConnections(2) // as if the machine were that small
+	rg.front().SetMaxConnections(2) // as if the machine were that small
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 		if err != nil {
