--- /dev/null
+++ b/internal/network/http1/attempt_test.go
@@ -0,0 +1,288 @@
+package http1
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/network/exchange"
+)
+
+// outcome is how an endpoint plays its side of an attempt, and what comes of it.
+type outcome struct {
+	play func(net.Conn)
+	want balancer.Status
+	keep bool // the connection
+}
+
+// reply reads the request, sends a text and closes.
+func reply(text string) func(net.Conn) {
+	return func(c net.Conn) {
+		readRequest(c)
+		send(c, text)
+		_ = c.Close()
+	}
+}
+
+// outcomes are those of answers, whole ones and others.
+var outcomes = map[string]outcome{
+	"served":              {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+	"served, then closes": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"), balancer.StatusOK, false},
+	"served, old version": {reply("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, false},
+	"served in chunks":    {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), balancer.StatusOK, true},
+	"after information":   {reply("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+	"with a report":       {reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+	"with a bad report":   {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+	"with an odd report":  {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+	"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational) +
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
+	"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational+1) +
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"and a copy":              {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), balancer.StatusOK, false},
+	"and noise":               {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), balancer.StatusOK, false},
+	"until closed":            {reply("HTTP/1.1 200 OK\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"two lengths":             {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"), balancer.StatusInvalidResponse, false},
+	"length and chunks":       {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), balancer.StatusInvalidResponse, false},
+	"negative length":         {reply("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"length no number":        {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"huge length":             {reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"unknown coding":          {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"broken chunks":           {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"), balancer.StatusInvalidResponse, false},
+	"other version":           {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"status no number":        {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"status long":             {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"no colon":                {reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusInvalidResponse, false},
+	"request at fault":        {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), balancer.StatusInvalidResponse, true},
+	"rejected, malformed":     {reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"), balancer.StatusInvalidResponse, false},
+	"error":                   {reply("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"), balancer.StatusError, true},
+	"rejected":                {reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), balancer.StatusRejected, true},
+	"not said to be rejected": {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.StatusError, true},
+	"cut body":                {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), balancer.StatusReset, false},
+	"no answer":               {reply(""), balancer.StatusReset, false},
+	"nonsense":                {reply("who is there\r\n\r\n"), balancer.StatusInvalidResponse, false},
+	"large answer":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n"), balancer.StatusInvalidResponse, false},
+	"broken before the last byte": {func(c net.Conn) {
+		_, _ = io.ReadFull(c, make([]byte, 10)) // some of the request
+		_ = c.Close()
+	}, balancer.StatusConnectFailed, false},
+}
+
+// The outcome says that a request never ran only if its last byte was certainly not written.
+func TestOutcomes(t *testing.T) {
+	for name, c := range outcomes {
+		t.Run(name, func(t *testing.T) {
+			res := tryOut(t, "", true, pipe(t, c.play), testTimeout, nil)
+			if res.Status != c.want || (res.Conn != nil) != c.keep {
+				t.Errorf("status %v, kept %v", res.Status, res.Conn != nil)
+			}
+			if wantLoad := name == "with a report"; (res.Load != nil) != wantLoad || wantLoad && res.Load.Queue != 2 {
+				t.Errorf("load %+v", res.Load)
+			}
+			if c.want == balancer.StatusOK && string(res.Response.Body) != "ok" {
+				t.Errorf("body %q", res.Response.Body)
+			}
+		})
+	}
+}
+
+// An endpoint that sends without end is given up, long before the attempt's time is, and takes no memory.
+func TestEndlessAnswers(t *testing.T) {
+	for name, c := range map[string]struct{ first, then string }{
+		"head":        {"HTTP/1.1 200 OK\r\n", "X-Pad: pppppppppppppppp\r\n"},
+		"line":        {"HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppppppppppppppppp"},
+		"status":      {"HTTP/1.1 200 O", "KKKKKKKKKKKKKKK"},
+		"information": {"", "HTTP/1.1 102 Wait\r\n\r\n"},
+		"body":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "10\r\n0123456789abcdef\r\n"},
+		"extension":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;", "xxxxxxxxxxxxxxxxxxxxxxxxxxxx"},
+		"trailer":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: pppppppppppppp\r\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var sent atomic.Int64
+			near := pipe(t, func(far net.Conn) {
+				readRequest(far)
+				send(far, c.first)
+				for {
+					n, err := io.WriteString(far, c.then)
+					sent.Add(int64(n))
+					if err != nil {
+						return
+					}
+				}
+			})
+			if res := tryOut(t, "", true, near, testTimeout, nil); res.Status != balancer.StatusInvalidResponse || res.Conn != nil {
+				t.Errorf("status %v", res.Status)
+			}
+			closeAll(t, near)
+			if limit := int64(maxBodyBytes + 2*maxHeadBytes + 100); sent.Load() > limit {
+				t.Errorf("%d bytes were taken", sent.Load())
+			}
+		})
+	}
+}
+
+// An answer that there is no memory for is given up, and what was reserved for others is released.
+func TestAnswersShareTheMemory(t *testing.T) {
+	answer := func(far net.Conn) {
+		readRequest(far)
+		send(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	}
+	try := func(b *exchange.Budget) exchange.Result {
+		a, cancel := newAttempt(t, "", testTimeout, b)
+		defer cancel()
+		return a.runOn(newConn(pipe(t, answer)))
+	}
+	tight := &exchange.Budget{}
+	tight.Release(maxBodyBytes - 1)
+	if res := try(tight); res.Status != balancer.StatusInvalidResponse || tight.Available() != maxBodyBytes-1 {
+		t.Errorf("status %v, %d bytes left", res.Status, tight.Available())
+	}
+	tight.Release(1)
+	if res := try(tight); res.Status != balancer.StatusOK || tight.Available() != maxBodyBytes-2 {
+		t.Errorf("status %v, %d bytes left", res.Status, tight.Available())
+	}
+}
+
+// What comes after an answer, however late, must not be served to the next request.
+func TestLateExtraIsNotServed(t *testing.T) {
+	c, far := tcpPair(t)
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeAll(t, l)
+	go func() {
+		next, err := l.Accept()
+		if err != nil {
+			return // the listener is closed with the test
+		}
+		readRequest(next)
+		send(next, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
+	}()
+	send(far, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold")
+	for end := time.Now().Add(testTimeout); c.alive() && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+	a, cancel := newAttempt(t, l.Addr().String(), testTimeout, largeBudget())
+	defer cancel()
+	if res := a.run(c, testTimeout); res.Status != balancer.StatusOK || string(res.Response.Body) != "new" {
+		t.Errorf("status %v, response %+v", res.Status, res.Response)
+	}
+}
+
+// A dial may outlast a drain: then the connection is closed with nothing sent on it.
+func TestDrainedWhileDialing(t *testing.T) {
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeAll(t, l)
+	if res := tryOut(t, l.Addr().String(), false, nil, testTimeout, nil); res.Status != balancer.StatusNotSent || res.Conn != nil {
+		t.Errorf("status %v, conn %v", res.Status, res.Conn)
+	}
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
+		t.Errorf("endpoint got %q, %v", got, err)
+	}
+}
+
+// A machine that is cut off answers no dial: the connect timeout ends it, and nothing ran. Here a listener
+// whose backlog is full drops what comes.
+func TestSilentDialEndsAtConnectTimeout(t *testing.T) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := syscall.Close(fd); err != nil {
+			t.Error(err)
+		}
+	}()
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	for {
+		c, err := (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext(t.Context(), "tcp", address)
+		if err != nil {
+			break
+		}
+		defer closeAll(t, c)
+	}
+	a, cancel := newAttempt(t, address, testTimeout, largeBudget())
+	defer cancel()
+	if res := a.run(nil, 100*time.Millisecond); res.Status != balancer.StatusConnectFailed {
+		t.Errorf("status %v", res.Status)
+	}
+	a, cancel = newAttempt(t, address, 100*time.Millisecond, largeBudget())
+	defer cancel()
+	if res := a.run(nil, testTimeout); res.Status != balancer.StatusNotSent {
+		t.Errorf("status %v at the request's deadline", res.Status)
+	}
+}
+
+func TestRefusedConnectionNeverRan(t *testing.T) {
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := l.Addr().String()
+	closeAll(t, l)
+	if res := tryOut(t, address, true, nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed {
+		t.Errorf("status %v", res.Status)
+	}
+}
+
+// An attempt that is given up has closed its connection by the time its outcome is known.
+func TestGivenUp(t *testing.T) {
+	for name, c := range map[string]struct {
+		timeout time.Duration
+		cancel  bool
+		want    balancer.Status
+	}{
+		"timeout": {100 * time.Millisecond, false, balancer.StatusTimeout},
+		"cancel":  {testTimeout, true, balancer.StatusCancelled},
+	} {
+		t.Run(name, func(t *testing.T) {
+			written := make(chan struct{})
+			ended := make(chan struct{})
+			near := pipe(t, func(far net.Conn) {
+				defer close(ended)
+				readRequest(far)
+				close(written)
+				if n, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+					t.Errorf("endpoint got %d bytes, %v", n, err)
+				}
+			})
+			res := tryOut(t, "", true, near, c.timeout, func(cancel func()) {
+				<-written
+				if c.cancel {
+					cancel()
+				}
+			})
+			<-ended // else the pipe's own end, closed with the test, may be what it reads
+			if res.Status != c.want || res.Conn != nil {
+				t.Errorf("status %v, conn %v", res.Status, res.Conn)
+			}
+			if _, err := near.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+				t.Errorf("the connection is open: %v", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/network/http1/probe_test.go
@@ -0,0 +1,40 @@
+package http1
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/network/exchange"
+)
+
+func TestProbe(t *testing.T) {
+	var health atomic.Int64
+	health.Store(http.StatusOK)
+	at := func(serve http.HandlerFunc) *exchange.Endpoint {
+		t.Helper()
+		s := httptest.NewServer(serve)
+		t.Cleanup(s.Close)
+		return &exchange.Endpoint{Address: s.Listener.Addr().String()}
+	}
+	e := at(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method != http.MethodGet || r.URL.Path != "/health" {
+			t.Errorf("probed with %s %s", r.Method, r.URL.Path)
+		}
+		w.WriteHeader(int(health.Load()))
+	})
+	if got := Probe(e, testTimeout); got != balancer.StatusOK {
+		t.Errorf("healthy: %v", got)
+	}
+	health.Store(http.StatusServiceUnavailable)
+	if got := Probe(e, testTimeout); got != balancer.StatusError {
+		t.Errorf("unhealthy: %v", got)
+	}
+	unresponsive := at(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	if got := Probe(unresponsive, 100*time.Millisecond); got != balancer.StatusTimeout {
+		t.Errorf("unresponsive: %v", got)
+	}
+}
--- /dev/null
+++ b/internal/network/http1/request.go
@@ -0,0 +1,28 @@
+package http1
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"time"
+
+	"quincegap/internal/network/exchange"
+)
+
+// ownHeaders are the headers that encode writes itself.
+var ownHeaders = map[string]bool{"Content-Length": true, "X-Remaining": true}
+
+// encode is a request as it goes on to an endpoint. X-Remaining tells the endpoint how long its answer is waited for, in
+// microseconds.
+func encode(in *exchange.Inbound, remaining time.Duration) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Remaining: %du\r\n", in.Method, in.Target, in.Host,
+		max(remaining, 0).Microseconds())
+	if len(in.Body) > 0 || in.Method != http.MethodGet {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(in.Body))
+	}
+	_ = in.Header.WriteSubset(&b, ownHeaders) // a buffer returns no error
+	b.WriteString("\r\n")
+	b.Write(in.Body)
+	return b.Bytes()
+}
