--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -24,11 +24,11 @@
 	"quincegap/internal/standin/udp"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func trust(t testing.TB) *authority.Authority {
+func newAuthority(t testing.TB) *authority.Authority {
 	t.Helper()
 	a, err := authority.New()
 	if err != nil {
@@ -37,7 +37,7 @@
 	return a
 }
 
-func pair(t testing.TB, a *authority.Authority, name string) *tls.Certificate {
+func newCertificate(t testing.TB, a *authority.Authority, name string) *tls.Certificate {
 	t.Helper()
 	p, err := a.Pair(name)
 	if err != nil {
@@ -46,37 +46,37 @@
 	return p
 }
 
-// rig is a front with a handler, and a caller.
-type rig struct {
-	t      *testing.T
-	front  *Front
-	served chan error
-	pool   *x509.CertPool
-	set    Callers
-	bounds Bounds
-	sec    Security
-	h      http.Handler
-	close  func()
+// testFront is a front with a handler, and a caller.
+type testFront struct {
+	t        *testing.T
+	front    *Front
+	served   chan error
+	pool     *x509.CertPool
+	settings FrontSettings
+	bounds   Bounds
+	security Security
+	handler  http.Handler
+	close    func()
 }
 
-func open(t *testing.T, h http.HandlerFunc, change func(*Callers, *Bounds, *Security)) *rig {
+func openFront(t *testing.T, h http.HandlerFunc, change func(*FrontSettings, *Bounds, *Security)) *testFront {
 	t.Helper()
-	ca := trust(t)
-	cert := pair(t, ca, "front.example.org")
-	r := &rig{
-		t: t, pool: ca.Pool(), set: *CallersTable.Default(), h: h,
-		bounds: Bounds{MaxHeader: 8 << 10, RequestTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second},
-		sec:    Security{Certificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return cert, nil }},
+	ca := newAuthority(t)
+	cert := newCertificate(t, ca, "front.example.org")
+	r := &testFront{
+		t: t, pool: ca.Pool(), settings: *FrontTable.Default(), handler: h,
+		bounds:   Bounds{MaxHeaderBytes: 8 << 10, RequestTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second},
+		security: Security{Certificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return cert, nil }},
 	}
 	if change != nil {
-		change(&r.set, &r.bounds, &r.sec)
+		change(&r.settings, &r.bounds, &r.security)
 	}
 	r.start("127.0.0.1:0")
 	t.Cleanup(func() { r.close() })
 	return r
 }
 
-func (r *rig) start(address string) {
+func (r *testFront) start(address string) {
 	r.t.Helper()
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	if r.front, err = NewFront(socket, r.h, r.set, r.bounds, r.sec); err != nil {
+	if r.front, err = NewFront(socket, r.handler, r.settings, r.bounds, r.security); err != nil {
 		r.t.Fatal(err)
 	}
 	r.served = make(chan error, 1)
@@ -100,25 +100,25 @@
 	})
 }
 
-// caller is a client over HTTP/3.
-func (r *rig) caller(address string, cache tls.ClientSessionCache) *http3.Transport {
+// callerConn is a client over HTTP/3.
+func (r *testFront) caller(address string, cache tls.ClientSessionCache) *http3.Transport {
 	c := r.client()
 	c.TLSClientConfig.ClientSessionCache = cache
 	r.t.Cleanup(func() { c.Close() })
 	return c
 }
 
-func (r *rig) client() *http3.Transport {
+func (r *testFront) client() *http3.Transport {
 	return &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: r.pool, ServerName: "front.example.org"},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: 10 * time.Second, HandshakeIdleTimeout: patience},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: 10 * time.Second, HandshakeIdleTimeout: testTimeout},
 	}
 }
 
-func (r *rig) at() string { return r.front.Address().String() }
+func (r *testFront) address() string { return r.front.Address().String() }
 
 func ask(c http.RoundTripper, method, url string, body string) (int, string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var b io.Reader
 	if body != "" {
@@ -137,9 +137,9 @@
 	return res.StatusCode, string(text), err
 }
 
-func (r *rig) until(what string, done func() bool) {
+func (r *testFront) until(what string, done func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("never: %s", what)
 		}
@@ -156,10 +156,10 @@
 }
 
 func TestServes(t *testing.T) {
-	r := open(t, echo, nil)
+	r := openFront(t, echo, nil)
 	c := r.caller("", nil)
 	for i := range 3 {
-		if code, text, err := ask(c, "POST", r.at()+"/trips?a=1", "trip"); code != 200 || text != "/trips?a=1 trip" || err != nil {
+		if code, text, err := ask(c, "POST", r.address()+"/trips?a=1", "trip"); code != 200 || text != "/trips?a=1 trip" || err != nil {
 			t.Fatalf("%d: %d %q %v", i, code, text, err)
 		}
 	}
@@ -179,19 +179,19 @@
 // answered.
 func TestThousandStreams(t *testing.T) {
 	var now, most atomic.Int64
-	r := open(t, func(w http.ResponseWriter, q *http.Request) {
+	r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 		if n := now.Add(1); n > most.Load() {
 			most.Store(n)
 		}
 		time.Sleep(time.Millisecond)
 		now.Add(-1)
 		echo(w, q)
-	}, func(c *Callers, _ *Bounds, _ *Security) { c.Streams = 50 })
+	}, func(c *FrontSettings, _ *Bounds, _ *Security) { c.MaxStreams = 50 })
 	c := r.caller("", nil)
 	var all sync.WaitGroup
 	for i := range 1000 {
 		all.Go(func() {
-			if code, text, err := ask(c, "POST", r.at()+fmt.Sprintf("/%d", i), "x"); code != 200 || text != fmt.Sprintf("/%d x", i) || err != nil {
+			if code, text, err := ask(c, "POST", r.address()+fmt.Sprintf("/%d", i), "x"); code != 200 || text != fmt.Sprintf("/%d x", i) || err != nil {
 				t.Errorf("%d: %d %q %v", i, code, text, err)
 			}
 		})
@@ -205,16 +205,16 @@
 // Where connections use up their bound, mute and idle ones go, and busy ones never.
 func TestRoomIsMade(t *testing.T) {
 	serve := make(chan bool)
-	r := open(t, func(w http.ResponseWriter, q *http.Request) {
+	r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/slow" {
 			<-serve
 		}
 		echo(w, q)
-	}, func(c *Callers, _ *Bounds, _ *Security) { c.Connections = 4 })
+	}, func(c *FrontSettings, _ *Bounds, _ *Security) { c.MaxConnections = 4 })
 	busy := r.caller("", nil)
 	answered := make(chan error, 1)
 	go func() {
-		code, _, err := ask(busy, "GET", r.at()+"/slow", "")
+		code, _, err := ask(busy, "GET", r.address()+"/slow", "")
 		if code != 200 && err == nil {
 			err = fmt.Errorf("status %d", code)
 		}
@@ -222,7 +222,7 @@
 	}()
 	r.until("it is busy", func() bool { open, idle, _ := r.front.Counts(); return open == 1 && idle == 0 })
 	for i := range 12 {
-		if code, _, err := ask(r.caller("", nil), "GET", r.at()+"/", ""); code != 200 || err != nil {
+		if code, _, err := ask(r.caller("", nil), "GET", r.address()+"/", ""); code != 200 || err != nil {
 			t.Fatalf("%d: %d %v", i, code, err)
 		}
 	}
@@ -237,12 +237,12 @@
 
 // Half a request, and none at all: the connection goes after its time, though the caller keeps it alive.
 func TestSilenceEnds(t *testing.T) {
-	r := open(t, echo, func(_ *Callers, b *Bounds, _ *Security) {
+	r := openFront(t, echo, func(_ *FrontSettings, b *Bounds, _ *Security) {
 		b.RequestTimeout, b.IdleTimeout = 300*time.Millisecond, 700*time.Millisecond
 	})
 	for name, bytes := range map[string]string{"nothing": "", "half a header": "\x01\x40", "part of a header": "\x01\x20\x00\x00\xd1"} {
 		conf := &tls.Config{RootCAs: r.pool, ServerName: "front.example.org", NextProtos: []string{"h3"}}
-		conn, err := quic.DialAddr(context.Background(), r.at(), conf, &quic.Config{KeepAlivePeriod: 50 * time.Millisecond})
+		conn, err := quic.DialAddr(context.Background(), r.address(), conf, &quic.Config{KeepAlivePeriod: 50 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -253,7 +253,7 @@
 		str.Write([]byte(bytes))
 		select {
 		case <-conn.Context().Done():
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Errorf("%s: it stays", name)
 		}
 		conn.CloseWithError(0, "")
@@ -264,8 +264,10 @@
 // Initials from ever new ports, none of which goes on: handshakes are bounded, and a caller who can answer a
 // Retry gets through all the same.
 func TestFloodOfInitials(t *testing.T) {
-	r := open(t, echo, func(c *Callers, _ *Bounds, _ *Security) { c.Handshakes, c.Handshake = 8, 500*time.Millisecond })
-	relay, err := udp.Start(r.at(), 1)
+	r := openFront(t, echo, func(c *FrontSettings, _ *Bounds, _ *Security) {
+		c.MaxHandshakes, c.HandshakeTimeout = 8, 500*time.Millisecond
+	})
+	relay, err := udp.Start(r.address(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,7 +290,7 @@
 	}
 	r.until("handshakes are under way", func() bool { _, _, n := r.front.Counts(); return n >= 4 })
 	for i := range 5 {
-		if code, _, err := ask(r.caller("", nil), "GET", r.at()+"/", ""); code != 200 || err != nil {
+		if code, _, err := ask(r.caller("", nil), "GET", r.address()+"/", ""); code != 200 || err != nil {
 			t.Errorf("%d: %d %v", i, code, err)
 		}
 		if _, _, n := r.front.Counts(); n > 8 {
@@ -303,14 +305,14 @@
 // On Stop what was taken is answered, what comes then is refused as never looked at, and it ends.
 func TestStop(t *testing.T) {
 	serve := make(chan bool)
-	r := open(t, func(w http.ResponseWriter, q *http.Request) {
+	r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/slow" {
 			<-serve
 		}
 		echo(w, q)
 	}, nil)
 	conf := &tls.Config{RootCAs: r.pool, ServerName: "front.example.org", NextProtos: []string{"h3"}}
-	conn, err := quic.DialAddr(context.Background(), r.at(), conf, nil)
+	conn, err := quic.DialAddr(context.Background(), r.address(), conf, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +321,7 @@
 	client := h3.NewClientConn(conn)
 	answered := make(chan error, 1)
 	go func() {
-		code, _, err := ask(client, "GET", r.at()+"/slow", "")
+		code, _, err := ask(client, "GET", r.address()+"/slow", "")
 		if code != 200 && err == nil {
 			err = fmt.Errorf("status %d", code)
 		}
@@ -328,7 +330,7 @@
 	r.until("it is taken", func() bool { open, idle, _ := r.front.Counts(); return open == 1 && idle == 0 })
 	stopped := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		stopped <- r.front.Stop(ctx)
 	}()
@@ -345,7 +347,7 @@
 		e, ok := errors.AsType[*quic.StreamError](err)
 		return ok && e.Remote && e.ErrorCode == quic.StreamErrorCode(http3.ErrCodeRequestRejected)
 	})
-	if _, _, err := ask(r.caller("", nil), "GET", r.at()+"/", ""); err == nil {
+	if _, _, err := ask(r.caller("", nil), "GET", r.address()+"/", ""); err == nil {
 		t.Error("a new connection is served")
 	}
 	close(serve)
@@ -361,12 +363,12 @@
 func TestRebinding(t *testing.T) {
 	var runs atomic.Int64
 	serve := make(chan bool)
-	r := open(t, func(w http.ResponseWriter, q *http.Request) {
+	r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 		runs.Add(1)
 		<-serve
 		echo(w, q)
 	}, nil)
-	relay, err := udp.Start(r.at(), 1)
+	relay, err := udp.Start(r.address(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -398,7 +400,7 @@
 func TestMigration(t *testing.T) {
 	serve := make(chan bool)
 	var runs atomic.Int64
-	r := open(t, func(w http.ResponseWriter, q *http.Request) {
+	r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 		runs.Add(1)
 		<-serve
 		echo(w, q)
@@ -446,7 +448,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := path.Probe(ctx); err != nil {
 		t.Fatal(err)
@@ -463,15 +465,15 @@
 	}
 }
 
-// early takes a handler's requests apart by when they came; keyed ones wait, as the desk has them do.
-type early struct {
+// earlyCounter takes a handler's requests apart by when they came; keyed ones wait, as the desk has them do.
+type earlyCounter struct {
 	mu           sync.Mutex
 	early, other int // requests that the handler went on with, before the handshake's end and after
 	waiting      int // that it took up before it, and waited for it with
 	refused      int // of those, for which it never came
 }
 
-func (e *early) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *earlyCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := exchange.CallerOf(r)
 	was := c.Early()
 	if r.Method != http.MethodGet && was {
@@ -503,15 +505,15 @@
 // A first flight with a booking in early data, recorded and sent a hundred times more, runs once: no replay ever
 // ends its handshake. Server restarts with the same secret in between, so that the old ticket still holds.
 func TestReplayedFirstFlight(t *testing.T) {
-	e := &early{}
-	r := open(t, e.ServeHTTP, func(c *Callers, _ *Bounds, s *Security) {
+	e := &earlyCounter{}
+	r := openFront(t, e.ServeHTTP, func(c *FrontSettings, _ *Bounds, s *Security) {
 		// All replays of a flight are one connection, for they have one connection ID. Where its handshake timed
 		// out before a busy machine had read the request, there was no other: it stands until the server ends.
-		c.EarlyData, c.Handshake = EarlySafe, time.Minute
-		c.Handshakes = 1000
+		c.EarlyData, c.HandshakeTimeout = EarlySafe, time.Minute
+		c.MaxHandshakes = 1000
 		s.Secret = []byte("0123456789abcdef0123456789abcdef")
 	})
-	address := r.at()
+	address := r.address()
 	cache := tls.NewLRUClientSessionCache(10)
 	first := r.caller("", cache)
 	if code, _, err := ask(first, "GET", address+"/", ""); code != 200 || err != nil {
@@ -599,15 +601,15 @@
 // A safe request is taken early where that is set, and not where it is not.
 func TestEarlySafe(t *testing.T) {
 	for _, choice := range []EarlyData{EarlySafe, EarlyNever} {
-		e := &early{}
-		r := open(t, e.ServeHTTP, func(c *Callers, _ *Bounds, _ *Security) { c.EarlyData = choice })
+		e := &earlyCounter{}
+		r := openFront(t, e.ServeHTTP, func(c *FrontSettings, _ *Bounds, _ *Security) { c.EarlyData = choice })
 		cache := tls.NewLRUClientSessionCache(10)
 		first := r.caller("", cache)
-		if code, _, err := ask(first, "GET", r.at()+"/", ""); code != 200 || err != nil {
+		if code, _, err := ask(first, "GET", r.address()+"/", ""); code != 200 || err != nil {
 			t.Fatal(code, err)
 		}
 		first.Close()
-		relay, err := udp.Start(r.at(), 1)
+		relay, err := udp.Start(r.address(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -634,11 +636,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var runs atomic.Int64
-			r := open(t, func(w http.ResponseWriter, q *http.Request) {
+			r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 				runs.Add(1)
 				echo(w, q)
 			}, nil)
-			relay, err := udp.Start(r.at(), 7)
+			relay, err := udp.Start(r.address(), 7)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -664,7 +666,7 @@
 // One whose answer is not read ends after its time, and others go on meanwhile.
 func TestSlowReader(t *testing.T) {
 	ended := make(chan bool, 1)
-	r := open(t, func(w http.ResponseWriter, q *http.Request) {
+	r := openFront(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path != "/large" {
 			echo(w, q)
 			return
@@ -675,22 +677,22 @@
 			}
 		}
 		ended <- true
-	}, func(_ *Callers, b *Bounds, _ *Security) { b.WriteTimeout = 500 * time.Millisecond })
+	}, func(_ *FrontSettings, b *Bounds, _ *Security) { b.WriteTimeout = 500 * time.Millisecond })
 	c := r.caller("", nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	q, _ := http.NewRequestWithContext(ctx, "GET", "https://"+r.at()+"/large", nil)
+	q, _ := http.NewRequestWithContext(ctx, "GET", "https://"+r.address()+"/large", nil)
 	res, err := c.RoundTrip(q)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer res.Body.Close() // nothing of it is read
-	if code, _, err := ask(c, "GET", r.at()+"/", ""); code != 200 || err != nil {
+	if code, _, err := ask(c, "GET", r.address()+"/", ""); code != 200 || err != nil {
 		t.Errorf("another one: %d %v", code, err)
 	}
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("it goes on writing")
 	}
 }
@@ -706,7 +708,7 @@
 	if ticketKeys([]byte("another secret"), now)[0] == today[0] {
 		t.Error("the secret does not matter")
 	}
-	if derive(secret, "token") == derive(secret, "stateless reset") {
+	if deriveKey(secret, "token") == deriveKey(secret, "stateless reset") {
 		t.Error("one key for two purposes")
 	}
 }
@@ -714,8 +716,8 @@
 // A server that restarts tells its old callers at once that their connections are gone, where it has the same
 // secret.
 func TestRestartResetsOldConnections(t *testing.T) {
-	r := open(t, echo, func(_ *Callers, _ *Bounds, s *Security) { s.Secret = []byte("0123456789abcdef0123456789abcdef") })
-	address := r.at()
+	r := openFront(t, echo, func(_ *FrontSettings, _ *Bounds, s *Security) { s.Secret = []byte("0123456789abcdef0123456789abcdef") })
+	address := r.address()
 	conf := &tls.Config{RootCAs: r.pool, ServerName: "front.example.org", NextProtos: []string{"h3"}}
 	relay, err := udp.Start(address, 1)
 	if err != nil {
@@ -740,7 +742,7 @@
 		if _, ok := errors.AsType[*quic.StatelessResetError](context.Cause(conn.Context())); !ok {
 			t.Errorf("it ended with %v", context.Cause(conn.Context()))
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the old connection goes on")
 	}
 }
@@ -750,12 +752,12 @@
 func TestTicketsAndClocks(t *testing.T) {
 	for _, skew := range []time.Duration{0, 23 * time.Hour, -23 * time.Hour, 72 * time.Hour} {
 		var ahead atomic.Int64
-		r := open(t, echo, func(c *Callers, _ *Bounds, s *Security) {
+		r := openFront(t, echo, func(c *FrontSettings, _ *Bounds, s *Security) {
 			c.EarlyData = EarlySafe
 			s.Secret = []byte("0123456789abcdef0123456789abcdef")
 			s.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 		})
-		address := r.at()
+		address := r.address()
 		cache := tls.NewLRUClientSessionCache(10)
 		c := r.caller("", cache)
 		if code, _, err := ask(c, "GET", address+"/", ""); code != 200 || err != nil {
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -26,8 +26,8 @@
 		f.Add([]byte(seed), []byte("\x00\x04\x00"))
 		f.Add([]byte(seed), []byte(seed))
 	}
-	ca := trust(f)
-	cert := pair(f, ca, "front.example.org")
+	ca := newAuthority(f)
+	cert := newCertificate(f, ca, "front.example.org")
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		f.Fatal(err)
@@ -39,7 +39,7 @@
 		if _, err := exchange.ReadAll(r.Body); err != nil {
 			w.WriteHeader(400)
 		}
-	}), *CallersTable.Default(), Bounds{MaxHeader: 8 << 10, RequestTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: time.Second},
+	}), *FrontTable.Default(), Bounds{MaxHeaderBytes: 8 << 10, RequestTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: time.Second},
 		Security{Certificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return cert, nil }})
 	if err != nil {
 		f.Fatal(err)
@@ -47,10 +47,10 @@
 	go front.Serve()
 	f.Cleanup(func() { front.Close() })
 	conf := &tls.Config{RootCAs: ca.Pool(), ServerName: "front.example.org", NextProtos: []string{"h3"}}
-	good := (&rig{pool: ca.Pool()}).client()
+	good := (&testFront{pool: ca.Pool()}).client()
 	f.Cleanup(func() { good.Close() })
 	f.Fuzz(func(t *testing.T, request, control []byte) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		conn, err := quic.DialAddr(ctx, front.Address().String(), conf, nil)
 		if err != nil {
@@ -64,7 +64,7 @@
 		if s, err := conn.OpenStreamSync(ctx); err == nil {
 			s.Write(request)
 			s.Close()
-			s.SetReadDeadline(time.Now().Add(patience))
+			s.SetReadDeadline(time.Now().Add(testTimeout))
 			io.Copy(io.Discard, s) // an answer, a reset or the connection's end: never silence
 			if ctx.Err() != nil {
 				t.Errorf("silence after %q", request)
@@ -81,8 +81,8 @@
 	for _, seed := range []string{"", "\x01", "\x01\x03\x00\x00\xd9", "\x01\x03\x00\x00\xd9\x00\x02ok", "\x00\x02ok", "\x01\x03\x00\x00\xd9\x00\x40\x40ok", "\x01\x03\x00\x00\xd8", "\x04\x00"} {
 		f.Add([]byte(seed), []byte("\x00\x04\x00"))
 	}
-	ca := trust(f)
-	cert := pair(f, ca, "slot-keeper.example.org")
+	ca := newAuthority(f)
+	cert := newCertificate(f, ca, "slot-keeper.example.org")
 	under, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		f.Fatal(err)
@@ -124,15 +124,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := *EndpointsTable.Default()
-		set.Name, set.Handshake = "slot-keeper.example.org", patience
+		set := *TransportTable.Default()
+		set.ServerName, set.HandshakeTimeout = "slot-keeper.example.org", testTimeout
 		to := NewTransport(socket, set, ca.Pool(), 4, time.Minute)
 		defer to.Close()
 		e := &exchange.Endpoint{Address: l.Addr().String()}
 		e.Open.Store(true)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		a := &exchange.Attempt{Request: &exchange.Inbound{Method: "POST", Target: "/", Host: "h", Body: []byte("trip")}, Endpoint: e, Sent: time.Now(), Context: ctx, Bodies: roomy()}
+		a := &exchange.Attempt{Request: &exchange.Inbound{Method: "POST", Target: "/", Host: "h", Body: []byte("trip")}, Endpoint: e, Sent: time.Now(), Context: ctx, Bodies: largeBudget()}
 		now.Store([2][]byte{answer, control})
 		c, _ := to.Acquire(e, time.Now())
 		res := to.Run(a, c)
--- a/internal/network/http3/golden_test.go
+++ b/internal/network/http3/golden_test.go
@@ -21,7 +21,7 @@
 	var all strings.Builder
 	secret := []byte("0123456789abcdef0123456789abcdef")
 	for _, purpose := range []string{"stateless reset", "token"} {
-		key := derive(secret, purpose)
+		key := deriveKey(secret, purpose)
 		fmt.Fprintf(&all, "%s: %s\n", purpose, hex.EncodeToString(key[:]))
 	}
 	for _, key := range ticketKeys(secret, time.Unix(1_800_000_000, 0)) {
@@ -36,7 +36,7 @@
 		{Method: "GET", Target: "/%7e", Host: "h"},
 	} {
 		for _, early := range []bool{false, true} {
-			r, err := request(&exchange.Attempt{Request: &in, Context: ctx}, early)
+			r, err := newRequest(&exchange.Attempt{Request: &in, Context: ctx}, early)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -20,82 +20,82 @@
 	EarlySafe  EarlyData = "safe"  // safe requests are taken at once; others wait for the handshake's end
 )
 
-// Callers is the front's part.
-type Callers struct {
-	Listen      string
-	Cert        string
-	Key         string
-	Secret      string
-	EarlyData   EarlyData
-	AltSvc      time.Duration
-	Connections int
-	Streams     int
-	Handshakes  int
-	Handshake   time.Duration
-	Window      int64
+// FrontSettings is the front's part.
+type FrontSettings struct {
+	Listen           string
+	CertFile         string
+	KeyFile          string
+	SecretFile       string
+	EarlyData        EarlyData
+	AltSvcMaxAge     time.Duration
+	MaxConnections   int
+	MaxStreams       int
+	MaxHandshakes    int
+	HandshakeTimeout time.Duration
+	ConnectionWindow int64
 }
 
-// CallersTable is [http3].
-var CallersTable = schema.NewTable("http3", "HTTP/3 from callers, beside HTTP/1.1. Off unless http3_listen is set.",
-	schema.Address("http3_listen", func(c *Callers) *string { return &c.Listen }, schema.Text{Example: "127.0.0.1:8443"}, true, schema.AtStart,
+// FrontTable is [http3].
+var FrontTable = schema.NewTable("http3", "HTTP/3 from callers, beside HTTP/1.1. Off unless http3_listen is set.",
+	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen }, schema.Text{Example: "127.0.0.1:8443"}, true, schema.AtStart,
 		"The UDP address. Clients look for it beside a TCP address with the same certificate."),
-	schema.String("http3_cert_file", func(c *Callers) *string { return &c.Cert }, schema.Text{Example: "/etc/quincegap/front.pem"}, schema.AtStart,
+	schema.String("http3_cert_file", func(c *FrontSettings) *string { return &c.CertFile }, schema.Text{Example: "/etc/quincegap/front.pem"}, schema.AtStart,
 		"The certificate and those that signed it, PEM. It may be replaced while running."),
-	schema.SecretFile("http3_key_file", func(c *Callers) *string { return &c.Key }, schema.PrivateKey, "/etc/quincegap/front.key", schema.AtStart,
+	schema.SecretFile("http3_key_file", func(c *FrontSettings) *string { return &c.KeyFile }, schema.PrivateKey, "/etc/quincegap/front.key", schema.AtStart,
 		"Its key, likewise."),
-	schema.SecretFile("http3_secret_file", func(c *Callers) *string { return &c.Secret }, schema.Token, "/etc/quincegap/http3.secret", schema.AtStart,
+	schema.SecretFile("http3_secret_file", func(c *FrontSettings) *string { return &c.SecretFile }, schema.Token, "/etc/quincegap/http3.secret", schema.AtStart,
 		"What stateless resets, Retry tokens and session tickets are made with, 32 characters or more; without it they end with the process."),
-	schema.Choice("early_data", func(c *Callers) *EarlyData { return &c.EarlyData }, []EarlyData{EarlyNever, EarlySafe}, EarlyNever, false, schema.AtStart,
+	schema.Choice("early_data", func(c *FrontSettings) *EarlyData { return &c.EarlyData }, []EarlyData{EarlyNever, EarlySafe}, EarlyNever, false, schema.AtStart,
 		"never: no early data is accepted. safe: requests of safe classes are taken from it at once; all others wait until it cannot be a replay."),
-	schema.Duration("alt_svc", func(c *Callers) *time.Duration { return &c.AltSvc },
+	schema.Duration("alt_svc", func(c *FrontSettings) *time.Duration { return &c.AltSvcMaxAge },
 		schema.Bounds[time.Duration]{Least: 0, Most: 30 * 24 * time.Hour}, schema.AtStart,
 		"Answers over HTTP/1.1 tell of HTTP/3 for so long (Alt-Svc, RFC 7838); 0 for not at all."),
-	schema.Int("http3_connections", func(c *Callers) *int { return &c.Connections },
+	schema.Int("http3_connections", func(c *FrontSettings) *int { return &c.MaxConnections },
 		schema.Bounds[int]{Default: 256, Least: 1, Most: 100000}, schema.AtStart,
 		"Connections at once; they share one socket, and cost memory."),
-	schema.Int("http3_streams", func(c *Callers) *int { return &c.Streams },
+	schema.Int("http3_streams", func(c *FrontSettings) *int { return &c.MaxStreams },
 		schema.Bounds[int]{Default: 64, Least: 1, Most: 10000}, schema.AtStart,
 		"Requests at once on one connection."),
-	schema.Int("http3_handshakes", func(c *Callers) *int { return &c.Handshakes },
+	schema.Int("http3_handshakes", func(c *FrontSettings) *int { return &c.MaxHandshakes },
 		schema.Bounds[int]{Default: 64, Least: 2, Most: 10000}, schema.AtStart,
 		"Handshakes under way; from half of it on addresses have to prove themselves (Retry), beyond it none begins."),
-	schema.Duration("http3_handshake", func(c *Callers) *time.Duration { return &c.Handshake },
+	schema.Duration("http3_handshake", func(c *FrontSettings) *time.Duration { return &c.HandshakeTimeout },
 		schema.Bounds[time.Duration]{Default: 2 * time.Second, Least: 100 * time.Millisecond, Most: time.Minute}, schema.AtStart,
 		"How long a handshake may stand still."),
-	schema.Size("http3_window", func(c *Callers) *int64 { return &c.Window },
+	schema.Size("http3_window", func(c *FrontSettings) *int64 { return &c.ConnectionWindow },
 		schema.Bounds[int64]{Default: 256 << 10, Least: 96 << 10, Most: 16 << 20}, schema.AtStart,
 		"What one connection may have sent that has not been read."),
-).Check(func(f *schema.File, _ string, c *Callers, report schema.Reporter) {
+).Check(func(f *schema.File, _ string, c *FrontSettings, report schema.Reporter) {
 	switch {
-	case c.Listen == "" && (c.Cert != "" || c.Key != "" || c.Secret != "" || c.AltSvc != 0):
+	case c.Listen == "" && (c.CertFile != "" || c.KeyFile != "" || c.SecretFile != "" || c.AltSvcMaxAge != 0):
 		report("http3_listen", "missing, but there are settings for HTTP/3")
-	case c.EarlyData == EarlySafe && noneSafe(f):
+	case c.EarlyData == EarlySafe && noSafeClass(f):
 		report("early_data", "safe, but no class is: nothing would be taken early")
-	case c.Listen != "" && (c.Cert == "" || c.Key == ""):
+	case c.Listen != "" && (c.CertFile == "" || c.KeyFile == ""):
 		report("http3_cert_file", "HTTP/3 needs a certificate and its key: http3_cert_file and http3_key_file")
 	}
 })
 
-// LeastSecret is the least length of the secret, in characters.
-const LeastSecret = 32
+// MinSecretChars is the least length of the secret, in characters.
+const MinSecretChars = 32
 
-// noneSafe tells whether a file has classes, and none that may run any number of times.
-func noneSafe(f *schema.File) bool {
+// noSafeClass tells whether a file has classes, and none that may run any number of times.
+func noSafeClass(f *schema.File) bool {
 	classes := appfile.ClassTable.All(f)
 	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Effect == balancer.Idempotent })
 }
 
-// Endpoints is the transport's part.
-type Endpoints struct {
-	Use       Use
-	CA        string
-	Name      string
-	Early     bool
-	Streams   int
-	Handshake time.Duration
-	Silence   time.Duration
-	Pause     time.Duration
-	Longest   time.Duration
+// TransportSettings is the transport's part.
+type TransportSettings struct {
+	Use                 Use
+	CAFile              string
+	ServerName          string
+	EarlyRequests       bool
+	MaxStreams          int
+	HandshakeTimeout    time.Duration
+	UnresponsiveTimeout time.Duration
+	MinPause            time.Duration
+	MaxPause            time.Duration
 }
 
 // Use tells which endpoints are spoken to over HTTP/3.
@@ -107,33 +107,33 @@
 	Prefer Use = "prefer" // HTTP/3, and HTTP/1.1 where no connection comes about
 )
 
-// EndpointsTable is [http3-endpoints].
-var EndpointsTable = schema.NewTable("http3-endpoints", "HTTP/3 to endpoints, at the UDP port with their address's number.",
-	schema.Choice("http3_to_endpoints", func(e *Endpoints) *Use { return &e.Use }, []Use{Never, Prefer}, Never, false, schema.AtStart,
+// TransportTable is [http3-endpoints].
+var TransportTable = schema.NewTable("http3-endpoints", "HTTP/3 to endpoints, at the UDP port with their address's number.",
+	schema.Choice("http3_to_endpoints", func(e *TransportSettings) *Use { return &e.Use }, []Use{Never, Prefer}, Never, false, schema.AtStart,
 		"never: HTTP/1.1. prefer: HTTP/3, and HTTP/1.1 where no connection over UDP comes about."),
-	schema.String("http3_ca_file", func(e *Endpoints) *string { return &e.CA }, schema.Text{Example: "/etc/quincegap/endpoints-ca.pem"}, schema.AtStart,
+	schema.String("http3_ca_file", func(e *TransportSettings) *string { return &e.CAFile }, schema.Text{Example: "/etc/quincegap/endpoints-ca.pem"}, schema.AtStart,
 		"Certificates that sign the endpoints'; the system's where it is left out."),
-	schema.String("http3_server_name", func(e *Endpoints) *string { return &e.Name }, schema.Text{Example: "slot-keeper.example.org"}, schema.AtStart,
+	schema.String("http3_server_name", func(e *TransportSettings) *string { return &e.ServerName }, schema.Text{Example: "slot-keeper.example.org"}, schema.AtStart,
 		"The name in the endpoints' certificates, where it is not their address."),
-	schema.Bool("http3_early_requests", func(e *Endpoints) *bool { return &e.Early }, false, schema.AtStart,
+	schema.Bool("http3_early_requests", func(e *TransportSettings) *bool { return &e.EarlyRequests }, false, schema.AtStart,
 		"Whether requests of safe classes may go out in early data, where a session is resumed."),
-	schema.Int("http3_endpoint_streams", func(e *Endpoints) *int { return &e.Streams },
+	schema.Int("http3_endpoint_streams", func(e *TransportSettings) *int { return &e.MaxStreams },
 		schema.Bounds[int]{Default: 32, Least: 1, Most: 1000}, schema.AtStart,
 		"Attempts at once on one connection."),
-	schema.Duration("http3_endpoint_handshake", func(e *Endpoints) *time.Duration { return &e.Handshake },
+	schema.Duration("http3_endpoint_handshake", func(e *TransportSettings) *time.Duration { return &e.HandshakeTimeout },
 		schema.Bounds[time.Duration]{Default: 300 * time.Millisecond, Least: 10 * time.Millisecond, Most: 10 * time.Second}, schema.AtStart,
 		"How long a connection may take to come about before the attempt goes over HTTP/1.1."),
-	schema.Duration("http3_silence", func(e *Endpoints) *time.Duration { return &e.Silence },
+	schema.Duration("http3_silence", func(e *TransportSettings) *time.Duration { return &e.UnresponsiveTimeout },
 		schema.Bounds[time.Duration]{Default: 3 * time.Second, Least: 500 * time.Millisecond, Most: time.Minute}, schema.AtStart,
 		"An endpoint that has not been heard of for so long is dead for its connection; it is asked three times meanwhile."),
-	schema.Duration("http3_pause", func(e *Endpoints) *time.Duration { return &e.Pause },
+	schema.Duration("http3_pause", func(e *TransportSettings) *time.Duration { return &e.MinPause },
 		schema.Bounds[time.Duration]{Default: time.Minute, Least: time.Second, Most: 24 * time.Hour}, schema.AtStart,
 		"How long HTTP/3 is not tried with an endpoint after that; twice as long each time in a row."),
-	schema.Duration("http3_longest_pause", func(e *Endpoints) *time.Duration { return &e.Longest },
+	schema.Duration("http3_longest_pause", func(e *TransportSettings) *time.Duration { return &e.MaxPause },
 		schema.Bounds[time.Duration]{Default: time.Hour, Least: time.Second, Most: 24 * time.Hour}, schema.AtStart,
 		"The longest such pause."),
-).Check(func(_ *schema.File, _ string, e *Endpoints, report schema.Reporter) {
-	if e.Longest < e.Pause {
-		report("http3_longest_pause", "%s is shorter than http3_pause, %s", schema.FormatDuration(e.Longest), schema.FormatDuration(e.Pause))
+).Check(func(_ *schema.File, _ string, e *TransportSettings, report schema.Reporter) {
+	if e.MaxPause < e.MinPause {
+		report("http3_longest_pause", "%s is shorter than http3_pause, %s", schema.FormatDuration(e.MaxPause), schema.FormatDuration(e.MinPause))
 	}
 })
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -26,59 +26,59 @@
 )
 
 const (
-	maxAnswerHead = 16 << 10
-	mostTickets   = 1024 // sessions that may be resumed
+	maxHeadBytes = 16 << 10
+	maxTickets   = 1024 // sessions that may be resumed
 )
 
 // Transport makes attempts over HTTP/3: several at once on one connection, each on a stream of its own.
 type Transport struct {
-	set     Endpoints
-	most    int // connections
-	maxIdle time.Duration
-	socket  net.PacketConn
-	quic    *quic.Transport
-	h3      *http3.Transport // makes clients of connections; it makes no connections itself
-	tls     *tls.Config
-	tickets tls.ClientSessionCache
-
-	ending  context.Context // ends with Close
-	end     context.CancelFunc
+	settings     TransportSettings
+	maxOpen      int // connections
+	maxIdle      time.Duration
+	socket       net.PacketConn
+	quic         *quic.Transport
+	h3           *http3.Transport // makes clients of connections; it makes no connections itself
+	tlsConfig    *tls.Config
+	sessionCache tls.ClientSessionCache
+
+	ctx     context.Context // ends with Close
+	cancel  context.CancelFunc
 	dialing sync.WaitGroup
 
-	sessions map[*exchange.Endpoint][]*session // the loop's, like what follows
-	open     int
+	conns map[*exchange.Endpoint][]*endpointConn // the loop's, like what follows
+	open  int
 }
 
 // NewTransport makes one on a UDP socket, for so many connections at once, each kept so long without attempts;
 // pool has the authorities for endpoints' certificates, nil for the system's.
-func NewTransport(socket net.PacketConn, set Endpoints, pool *x509.CertPool, most int, maxIdle time.Duration) *Transport {
+func NewTransport(socket net.PacketConn, set TransportSettings, pool *x509.CertPool, most int, maxIdle time.Duration) *Transport {
 	t := &Transport{
-		set: set, most: most, maxIdle: maxIdle, socket: socket, quic: &quic.Transport{Conn: socket},
-		h3:  &http3.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxAnswerHead},
-		tls: &tls.Config{RootCAs: pool, ServerName: set.Name, MinVersion: tls.VersionTLS13, NextProtos: []string{http3.NextProtoH3}},
+		settings: set, maxOpen: most, maxIdle: maxIdle, socket: socket, quic: &quic.Transport{Conn: socket},
+		h3:        &http3.Transport{DisableCompression: true, MaxResponseHeaderBytes: maxHeadBytes},
+		tlsConfig: &tls.Config{RootCAs: pool, ServerName: set.ServerName, MinVersion: tls.VersionTLS13, NextProtos: []string{http3.NextProtoH3}},
 		// One cache for all: a ticket is of use with the endpoint alone that gave it.
-		tickets: tls.NewLRUClientSessionCache(mostTickets), sessions: map[*exchange.Endpoint][]*session{},
+		sessionCache: tls.NewLRUClientSessionCache(maxTickets), conns: map[*exchange.Endpoint][]*endpointConn{},
 	}
-	t.ending, t.end = context.WithCancel(context.Background())
+	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
 }
 
-// ticketsOf are one address's in the cache of all.
-type ticketsOf struct {
+// addressCache are one address's in the cache of all.
+type addressCache struct {
 	tls.ClientSessionCache
 	address string
 }
 
-func (t ticketsOf) Get(key string) (*tls.ClientSessionState, bool) {
+func (t addressCache) Get(key string) (*tls.ClientSessionState, bool) {
 	return t.ClientSessionCache.Get(t.address + " " + key)
 }
 
-func (t ticketsOf) Put(key string, s *tls.ClientSessionState) {
+func (t addressCache) Put(key string, s *tls.ClientSessionState) {
 	t.ClientSessionCache.Put(t.address+" "+key, s)
 }
 
-// session is a connection to an endpoint, or one that is being made.
-type session struct {
+// endpointConn is a connection to an endpoint, or one that is being made.
+type endpointConn struct {
 	ready  chan struct{} // closed once it has come about, or not
 	conn   *quic.Conn    // valid then, like what follows
 	client *http3.ClientConn
@@ -90,7 +90,7 @@
 }
 
 // usable tells whether it may come to carry another attempt.
-func (s *session) usable() bool {
+func (s *endpointConn) usable() bool {
 	if s.retired {
 		return false
 	}
@@ -104,7 +104,7 @@
 
 // Counts are the connections: all, and those without attempts.
 func (t *Transport) Counts() (open, idle int) {
-	for _, all := range t.sessions {
+	for _, all := range t.conns {
 		for _, s := range all {
 			if s.attempts == 0 {
 				idle++
@@ -116,31 +116,31 @@
 
 // Acquire is of exchange.Transport.
 func (t *Transport) Acquire(e *exchange.Endpoint, now time.Time) (exchange.Conn, bool) {
-	for _, s := range t.sessions[e] {
-		if s.attempts < t.set.Streams && s.usable() {
+	for _, s := range t.conns[e] {
+		if s.attempts < t.settings.MaxStreams && s.usable() {
 			s.attempts++
 			return s, true
 		}
 	}
-	if t.open >= t.most && !t.makeRoom() {
+	if t.open >= t.maxOpen && !t.evictOne() {
 		return nil, false
 	}
-	s := &session{ready: make(chan struct{}), attempts: 1}
-	t.put(e, s)
-	t.dialing.Go(func() { t.dial(s, e.Address, t.set.Early) })
+	s := &endpointConn{ready: make(chan struct{}), attempts: 1}
+	t.add(e, s)
+	t.dialing.Go(func() { t.dial(s, e.Address, t.settings.EarlyRequests) })
 	return s, true
 }
 
-func (t *Transport) put(e *exchange.Endpoint, s *session) {
-	t.sessions[e] = append(t.sessions[e], s)
+func (t *Transport) add(e *exchange.Endpoint, s *endpointConn) {
+	t.conns[e] = append(t.conns[e], s)
 	t.open++
 }
 
-// makeRoom closes the connection that has been idle for the longest.
-func (t *Transport) makeRoom() bool {
-	var oldest *session
+// evictOne closes the connection that has been idle for the longest.
+func (t *Transport) evictOne() bool {
+	var oldest *endpointConn
 	var of *exchange.Endpoint
-	for e, all := range t.sessions {
+	for e, all := range t.conns {
 		for _, s := range all {
 			if s.attempts == 0 && (oldest == nil || s.idleSince.Before(oldest.idleSince)) {
 				oldest, of = s, e
@@ -155,17 +155,17 @@
 }
 
 // close closes a connection without attempts.
-func (t *Transport) close(e *exchange.Endpoint, s *session) {
-	all := slices.DeleteFunc(t.sessions[e], func(x *session) bool { return x == s })
+func (t *Transport) close(e *exchange.Endpoint, s *endpointConn) {
+	all := slices.DeleteFunc(t.conns[e], func(x *endpointConn) bool { return x == s })
 	if t.open--; len(all) > 0 {
-		t.sessions[e] = all
+		t.conns[e] = all
 	} else {
-		delete(t.sessions, e)
+		delete(t.conns, e)
 	}
 	go s.close() // it waits for the connection's own goroutine
 }
 
-func (s *session) close() {
+func (s *endpointConn) close() {
 	<-s.ready
 	if s.err == nil {
 		s.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
@@ -174,19 +174,19 @@
 
 // Release is of exchange.Transport.
 func (t *Transport) Release(e *exchange.Endpoint, acquired, left exchange.Conn) {
-	s, _ := acquired.(*session)
+	s, _ := acquired.(*endpointConn)
 	if s == nil {
 		return
 	}
 	if s.attempts--; s.attempts == 0 {
 		s.idleSince = time.Now()
 	}
-	if other, _ := left.(*session); other != nil && other != s {
+	if other, _ := left.(*endpointConn); other != nil && other != s {
 		// Run made another one, for s was of no more use.
 		s.retired = true
 		other.idleSince = time.Now()
-		t.put(e, other)
-		if !e.Open.Load() || t.open > t.most {
+		t.add(e, other)
+		if !e.Open.Load() || t.open > t.maxOpen {
 			t.close(e, other)
 		}
 	}
@@ -197,7 +197,7 @@
 
 // CloseIdle is of exchange.Transport.
 func (t *Transport) CloseIdle(e *exchange.Endpoint) {
-	for _, s := range slices.Clone(t.sessions[e]) {
+	for _, s := range slices.Clone(t.conns[e]) {
 		if s.attempts == 0 {
 			t.close(e, s)
 		}
@@ -206,7 +206,7 @@
 
 // Sweep is of exchange.Transport.
 func (t *Transport) Sweep(now time.Time) {
-	for e, all := range maps.Clone(t.sessions) {
+	for e, all := range maps.Clone(t.conns) {
 		for _, s := range slices.Clone(all) {
 			if s.attempts == 0 && (now.Sub(s.idleSince) >= t.maxIdle || !s.usable()) {
 				t.close(e, s)
@@ -217,16 +217,16 @@
 
 // Close is of exchange.Transport. Nothing may be acquired any more.
 func (t *Transport) Close() {
-	t.end()
+	t.cancel()
 	t.dialing.Wait()
 	t.quic.Close()
 	t.socket.Close()
 }
 
 // dial makes a connection.
-func (t *Transport) dial(s *session, address string, early bool) {
+func (t *Transport) dial(s *endpointConn, address string, early bool) {
 	defer close(s.ready)
-	ctx, cancel := context.WithTimeout(t.ending, t.set.Handshake)
+	ctx, cancel := context.WithTimeout(t.ctx, t.settings.HandshakeTimeout)
 	defer cancel()
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -234,26 +234,26 @@
 		return
 	}
 	host, _, _ := net.SplitHostPort(address)
-	conf := t.tls.Clone()
-	conf.ServerName = cmp.Or(t.set.Name, host)
-	conf.ClientSessionCache = ticketsOf{t.tickets, address}
+	conf := t.tlsConfig.Clone()
+	conf.ServerName = cmp.Or(t.settings.ServerName, host)
+	conf.ClientSessionCache = addressCache{t.sessionCache, address}
 	dial := t.quic.Dial
 	if early {
 		dial = t.quic.DialEarly
 	}
 	if s.conn, s.err = dial(ctx, at, conf, &quic.Config{
-		HandshakeIdleTimeout: t.set.Handshake, MaxIdleTimeout: t.set.Silence, KeepAlivePeriod: t.set.Silence / 3, MaxIncomingStreams: -1, MaxIncomingUniStreams: 8,
+		HandshakeIdleTimeout: t.settings.HandshakeTimeout, MaxIdleTimeout: t.settings.UnresponsiveTimeout, KeepAlivePeriod: t.settings.UnresponsiveTimeout / 3, MaxIncomingStreams: -1, MaxIncomingUniStreams: 8,
 		DisablePathMTUDiscovery:    true, // as at the front
-		InitialStreamReceiveWindow: 16 << 10, MaxStreamReceiveWindow: exchange.MaxBody + maxAnswerHead,
-		InitialConnectionReceiveWindow: 64 << 10, MaxConnectionReceiveWindow: uint64(t.set.Streams) * (exchange.MaxBody + maxAnswerHead),
+		InitialStreamReceiveWindow: 16 << 10, MaxStreamReceiveWindow: exchange.MaxBody + maxHeadBytes,
+		InitialConnectionReceiveWindow: 64 << 10, MaxConnectionReceiveWindow: uint64(t.settings.MaxStreams) * (exchange.MaxBody + maxHeadBytes),
 	}); s.err == nil {
 		s.client = t.h3.NewClientConn(s.conn)
 	}
 }
 
-// refused tells whether a connection failed for who answered, and not for want of a way: to fall back from
+// isAuthError tells whether a connection failed for who answered, and not for want of a way: to fall back from
 // that to a protocol that proves nothing would be what an impostor is after.
-func refused(err error) bool {
+func isAuthError(err error) bool {
 	if _, bad := errors.AsType[*tls.CertificateVerificationError](err); bad {
 		return true
 	}
@@ -267,31 +267,31 @@
 // Run is of exchange.Transport.
 func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) (res exchange.Result) {
 	defer func() { res.Elapsed = time.Since(a.Sent) }()
-	s := c.(*session)
+	s := c.(*endpointConn)
 	select {
 	case <-s.ready:
 	case <-a.Context.Done():
 		return exchange.Result{Status: a.UnsentStatus()}
 	}
 	if s.err != nil {
-		if a.Context.Err() == nil && !refused(s.err) {
+		if a.Context.Err() == nil && !isAuthError(s.err) {
 			return exchange.Result{Status: balancer.StatusConnectFailed, Unreachable: true}
 		}
 		return exchange.Result{Status: a.UnsentStatus()}
 	}
-	early := a.Request.Safe && t.set.Early
-	res, unsent := t.over(a, s, early)
+	early := a.Request.Safe && t.settings.EarlyRequests
+	res, unsent := t.runOn(a, s, early)
 	if !unsent {
 		return res
 	}
 	// The connection was of no more use, and nothing was sent on it: one more is made, as with an idle
 	// connection of HTTP/1.1 that its endpoint has closed.
-	next := &session{ready: make(chan struct{})}
+	next := &endpointConn{ready: make(chan struct{})}
 	t.dial(next, a.Endpoint.Address, false)
 	if next.err != nil {
-		return exchange.Result{Status: a.UnsentStatus(), Unreachable: a.Context.Err() == nil && !refused(next.err)}
+		return exchange.Result{Status: a.UnsentStatus(), Unreachable: a.Context.Err() == nil && !isAuthError(next.err)}
 	}
-	res, unsent = t.over(a, next, false)
+	res, unsent = t.runOn(a, next, false)
 	if unsent {
 		res = exchange.Result{Status: a.UnsentStatus()}
 	}
@@ -299,8 +299,8 @@
 	return res
 }
 
-// confirmed waits until what is sent cannot be early data any more.
-func (s *session) confirmed(ctx context.Context) error {
+// waitConfirmed waits until what is sent cannot be early data any more.
+func (s *endpointConn) waitConfirmed(ctx context.Context) error {
 	select {
 	case <-s.conn.HandshakeComplete():
 		return nil
@@ -311,11 +311,11 @@
 	}
 }
 
-// over makes the attempt over a connection. unsent tells that nothing was sent, because the connection is of no
+// runOn makes the attempt over a connection. unsent tells that nothing was sent, because the connection is of no
 // more use.
-func (t *Transport) over(a *exchange.Attempt, s *session, early bool) (res exchange.Result, unsent bool) {
+func (t *Transport) runOn(a *exchange.Attempt, s *endpointConn, early bool) (res exchange.Result, unsent bool) {
 	if !early {
-		if err := s.confirmed(a.Context); err != nil {
+		if err := s.waitConfirmed(a.Context); err != nil {
 			return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
 		}
 	}
@@ -333,45 +333,45 @@
 		// with streams numbered anew; what the library then still sends for the old ones gets in their way.
 		s.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
-	case neverSent(err):
+	case isNeverSent(err):
 		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
-	case rejected(err):
+	case isRejected(err):
 		// RFC 9114, section 4.1.1: the request was not processed.
 		res = exchange.Result{Status: balancer.StatusRejected}
 	default:
 		res = exchange.Result{Status: a.IncompleteStatus(s.conn.Context().Err() != nil)}
 		if res.Status == balancer.StatusReset {
-			t.whatBroke(a, &res)
+			t.checkEndpoint(a, &res)
 		}
 	}
 	return res, false
 }
 
-// whatBroke tells a connection that alone broke from an endpoint that did, as over HTTP/1.1. Where no new one
+// checkEndpoint tells a connection that alone broke from an endpoint that did, as over HTTP/1.1. Where no new one
 // comes about by UDP, it may be the way that broke: an endpoint that takes TCP is there.
-func (t *Transport) whatBroke(a *exchange.Attempt, res *exchange.Result) {
+func (t *Transport) checkEndpoint(a *exchange.Attempt, res *exchange.Result) {
 	if a.Endpoint.Waiting.Load() > 0 {
 		res.Status = balancer.StatusInvalidResponse
 		return
 	}
-	next := &session{ready: make(chan struct{})}
+	next := &endpointConn{ready: make(chan struct{})}
 	if t.dial(next, a.Endpoint.Address, false); next.err == nil {
 		res.Status, res.Conn = balancer.StatusInvalidResponse, next
 		return
 	}
-	dialer := net.Dialer{Timeout: t.set.Handshake}
+	dialer := net.Dialer{Timeout: t.settings.HandshakeTimeout}
 	if c, err := dialer.DialContext(a.Context, "tcp", a.Endpoint.Address); err == nil {
 		c.Close()
 		res.Status, res.Blocked = balancer.StatusInvalidResponse, true
 	}
 }
 
-// neverSent tells that no stream could be opened for a request. The library's type for that has no name
+// isNeverSent tells that no stream could be opened for a request. The library's type for that has no name
 // outside it. Where its words should change, this says no: then the attempt counts as one that may have run.
-func neverSent(err error) bool { return strings.HasPrefix(err.Error(), "http3: conn unusable: ") }
+func isNeverSent(err error) bool { return strings.HasPrefix(err.Error(), "http3: conn unusable: ") }
 
-// rejected tells that an endpoint has not looked at a request.
-func rejected(err error) bool {
+// isRejected tells that an endpoint has not looked at a request.
+func isRejected(err error) bool {
 	e, ok := errors.AsType[*http3.Error](err)
 	if !ok || !e.Remote || e.ErrorCode != http3.ErrCodeRequestRejected {
 		return false
@@ -381,12 +381,12 @@
 }
 
 var (
-	errSpoilt = errors.New("cannot be read")
-	errNoRoom = errors.New("no memory for the body")
+	errMalformed = errors.New("cannot be read")
+	errNoMemory  = errors.New("no memory for the body")
 )
 
-// request is what goes out. What the library would add of its own is kept out of it.
-func request(a *exchange.Attempt, early bool) (*http.Request, error) {
+// newRequest is what goes out. What the library would add of its own is kept out of it.
+func newRequest(a *exchange.Attempt, early bool) (*http.Request, error) {
 	in := a.Request
 	deadline, _ := a.Context.Deadline()
 	target := &url.URL{Scheme: "https", Host: in.Host, Opaque: in.Target}
@@ -417,7 +417,7 @@
 
 // exchange sends the request on a stream of its own, and reads the answer.
 func (t *Transport) exchange(a *exchange.Attempt, client *http3.ClientConn, early bool) (res exchange.Result, err error) {
-	r, err := request(a, early)
+	r, err := newRequest(a, early)
 	if err != nil {
 		return res, err
 	}
@@ -427,10 +427,10 @@
 	}
 	defer answer.Body.Close() // what is left of it is called off
 	if answer.StatusCode < http.StatusOK || answer.ContentLength > exchange.MaxBody {
-		return res, errSpoilt
+		return res, errMalformed
 	}
 	if !a.Bodies.Reserve(exchange.MaxBody) {
-		return res, errNoRoom
+		return res, errNoMemory
 	}
 	kept := 0
 	defer func() { a.Bodies.Release(exchange.MaxBody - kept) }()
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -25,22 +25,22 @@
 	"quincegap/internal/standin/udp"
 )
 
-// yard is a transport with an endpoint.
-type yard struct {
-	t    *testing.T
-	ca   *authority.Authority
-	cert *tls.Certificate
-	to   *Transport
-	mu   sync.Mutex // the loop's part
-	e    *exchange.Endpoint
+// testTransport is a transport with an endpoint.
+type testTransport struct {
+	t         *testing.T
+	ca        *authority.Authority
+	cert      *tls.Certificate
+	transport *Transport
+	mu        sync.Mutex // the loop's part
+	endpoint  *exchange.Endpoint
 }
 
-func newYard(t *testing.T, change func(*Endpoints)) *yard {
+func newTestTransport(t *testing.T, change func(*TransportSettings)) *testTransport {
 	t.Helper()
-	y := &yard{t: t, ca: trust(t)}
-	y.cert = pair(t, y.ca, "slot-keeper.example.org")
-	set := *EndpointsTable.Default()
-	set.Name, set.Handshake, set.Silence = "slot-keeper.example.org", 2*time.Second, 500*time.Millisecond
+	y := &testTransport{t: t, ca: newAuthority(t)}
+	y.cert = newCertificate(t, y.ca, "slot-keeper.example.org")
+	set := *TransportTable.Default()
+	set.ServerName, set.HandshakeTimeout, set.UnresponsiveTimeout = "slot-keeper.example.org", 2*time.Second, 500*time.Millisecond
 	if change != nil {
 		change(&set)
 	}
@@ -48,50 +48,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	y.to = NewTransport(socket, set, y.ca.Pool(), 8, time.Minute)
+	y.transport = NewTransport(socket, set, y.ca.Pool(), 8, time.Minute)
 	t.Cleanup(func() {
-		for e := range maps.Clone(y.to.sessions) {
+		for e := range maps.Clone(y.transport.conns) {
 			e.Open.Store(false)
-			y.to.CloseIdle(e)
+			y.transport.CloseIdle(e)
 		}
-		y.to.Close()
+		y.transport.Close()
 	})
 	return y
 }
 
-func (y *yard) serve(address string, o h3.Options, handler http.HandlerFunc) *h3.Endpoint {
+func (y *testTransport) serve(address string, o h3.Options, handler http.HandlerFunc) *h3.Endpoint {
 	y.t.Helper()
 	e, err := h3.Start(address, y.cert, o, handler)
 	if err != nil {
 		y.t.Fatal(err)
 	}
 	y.t.Cleanup(e.Close)
-	y.to_(e.Address())
+	y.target(e.Address())
 	return e
 }
 
-// to_ has attempts go to an address.
-func (y *yard) to_(address string) {
-	y.e = &exchange.Endpoint{Address: address}
-	y.e.Open.Store(true)
+// target has attempts go to an address.
+func (y *testTransport) target(address string) {
+	y.endpoint = &exchange.Endpoint{Address: address}
+	y.endpoint.Open.Store(true)
 }
 
-func roomy() *exchange.Budget {
+func largeBudget() *exchange.Budget {
 	b := &exchange.Budget{}
 	b.Release(1 << 30)
 	return b
 }
 
-// try makes an attempt as the loop does.
-func (y *yard) try(in *exchange.Inbound, timeout time.Duration, during func(cancel func())) exchange.Result {
+// attempt makes an attempt as the loop does.
+func (y *testTransport) attempt(in *exchange.Inbound, timeout time.Duration, during func(cancel func())) exchange.Result {
 	if in == nil {
 		in = &exchange.Inbound{Method: "POST", Target: "/book?a=1", Host: "h", Header: http.Header{"X-Txn": {"1"}}, Body: []byte("trip")}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	a := &exchange.Attempt{Request: in, Endpoint: y.e, Sent: time.Now(), Context: ctx, Bodies: roomy()}
+	a := &exchange.Attempt{Request: in, Endpoint: y.endpoint, Sent: time.Now(), Context: ctx, Bodies: largeBudget()}
 	y.mu.Lock()
-	c, ok := y.to.Acquire(y.e, time.Now())
+	c, ok := y.transport.Acquire(y.endpoint, time.Now())
 	y.mu.Unlock()
 	if !ok {
 		return exchange.Result{Status: balancer.StatusNotSent}
@@ -99,9 +99,9 @@
 	if during != nil {
 		go during(cancel)
 	}
-	res := y.to.Run(a, c)
+	res := y.transport.Run(a, c)
 	y.mu.Lock()
-	y.to.Release(y.e, c, res.Conn)
+	y.transport.Release(y.endpoint, c, res.Conn)
 	y.mu.Unlock()
 	return res
 }
@@ -113,14 +113,14 @@
 }
 
 func TestAttempts(t *testing.T) {
-	y := newYard(t, nil)
+	y := newTestTransport(t, nil)
 	seen := make(chan http.Header, 100)
 	e := y.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header
 		ok(w, r)
 	})
 	for range 5 {
-		res := y.try(nil, patience, nil)
+		res := y.attempt(nil, testTimeout, nil)
 		if res.Status != balancer.StatusOK || string(res.Response.Body) != "POST /book?a=1 h trip" || res.Load == nil || res.Load.Queue != 2 {
 			t.Fatalf("%+v", res)
 		}
@@ -133,7 +133,7 @@
 		t.Errorf("%d connections", e.Connections())
 	}
 	for _, target := range []string{"//a/b", "/%7e%7E?x=%20", "/a|b"} {
-		res := y.try(&exchange.Inbound{Method: "GET", Target: target, Host: "h", Safe: true}, patience, nil)
+		res := y.attempt(&exchange.Inbound{Method: "GET", Target: target, Host: "h", Safe: true}, testTimeout, nil)
 		if res.Status != balancer.StatusOK || string(res.Response.Body) != "GET "+target+" h " {
 			t.Errorf("%s: %v %s", target, res.Status, res.Response.Body)
 		}
@@ -143,7 +143,7 @@
 
 // Many at once share connections, each with a stream of its own, within the bounds.
 func TestAttemptsShareConnections(t *testing.T) {
-	y := newYard(t, func(e *Endpoints) { e.Streams = 10 })
+	y := newTestTransport(t, func(e *TransportSettings) { e.MaxStreams = 10 })
 	var now, most atomic.Int64
 	e := y.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		if n := now.Add(1); n > most.Load() {
@@ -157,7 +157,7 @@
 	var served, moot atomic.Int64
 	for range 100 {
 		all.Go(func() {
-			switch res := y.try(nil, patience, nil); res.Status {
+			switch res := y.attempt(nil, testTimeout, nil); res.Status {
 			case balancer.StatusOK:
 				served.Add(1)
 			case balancer.StatusNotSent:
@@ -175,7 +175,7 @@
 
 // What a reset, a close or a bad answer say of whether the request may have run.
 func TestOutcomes(t *testing.T) {
-	y := newYard(t, nil)
+	y := newTestTransport(t, nil)
 	var play atomic.Value
 	y.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -222,7 +222,7 @@
 			io.WriteString(w, "half")
 		}, balancer.StatusInvalidResponse},
 		{"large answer", func(w http.ResponseWriter, r *http.Request) { w.Write(make([]byte, exchange.MaxBody+1)) }, balancer.StatusInvalidResponse},
-		{"large headers", answer(200, "X-Large", strings.Repeat("x", 2*maxAnswerHead), ""), balancer.StatusInvalidResponse},
+		{"large headers", answer(200, "X-Large", strings.Repeat("x", 2*maxHeadBytes), ""), balancer.StatusInvalidResponse},
 		{"turned away", answer(503, "X-Turned-Away", "1", ""), balancer.StatusRejected},
 		{"no word of it", answer(503, "", "", ""), balancer.StatusError},
 		{"error", answer(500, "", "", ""), balancer.StatusError},
@@ -230,11 +230,11 @@
 		{"too early, though it was not", answer(425, "", "", ""), balancer.StatusInvalidResponse},
 	} {
 		play.Store(c.play)
-		if res := y.try(nil, patience, nil); res.Status != c.want {
+		if res := y.attempt(nil, testTimeout, nil); res.Status != c.want {
 			t.Errorf("%s: %v, want %v", c.name, res.Status, c.want)
 		}
 		play.Store(ok)
-		if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK {
+		if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK {
 			t.Errorf("after %s: %v", c.name, res.Status)
 		}
 	}
@@ -242,7 +242,7 @@
 
 // An attempt that is given up is called off at the endpoint, and others on the connection go on.
 func TestGivenUp(t *testing.T) {
-	y := newYard(t, nil)
+	y := newTestTransport(t, nil)
 	came, off := make(chan bool, 2), make(chan bool, 2)
 	e := y.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fast" {
@@ -258,8 +258,8 @@
 		timeout time.Duration
 		cancel  bool
 		want    balancer.Status
-	}{{300 * time.Millisecond, false, balancer.StatusTimeout}, {patience, true, balancer.StatusCancelled}} {
-		res := y.try(nil, c.timeout, func(cancel func()) {
+	}{{300 * time.Millisecond, false, balancer.StatusTimeout}, {testTimeout, true, balancer.StatusCancelled}} {
+		res := y.attempt(nil, c.timeout, func(cancel func()) {
 			if <-came; c.cancel {
 				cancel()
 			}
@@ -268,7 +268,7 @@
 			t.Errorf("%v, want %v", res.Status, c.want)
 		}
 		<-off
-		if res := y.try(&exchange.Inbound{Method: "GET", Target: "/fast", Host: "h"}, patience, nil); res.Status != balancer.StatusOK {
+		if res := y.attempt(&exchange.Inbound{Method: "GET", Target: "/fast", Host: "h"}, testTimeout, nil); res.Status != balancer.StatusOK {
 			t.Errorf("another one: %v", res.Status)
 		}
 	}
@@ -279,21 +279,21 @@
 
 // An endpoint that drains gets no new stream, on a connection that stands either.
 func TestDrained(t *testing.T) {
-	y := newYard(t, nil)
+	y := newTestTransport(t, nil)
 	var came atomic.Int64
 	y.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		came.Add(1)
 		ok(w, r)
 	})
-	y.try(nil, patience, nil)
-	y.e.Open.Store(false)
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusNotSent || came.Load() != 1 {
+	y.attempt(nil, testTimeout, nil)
+	y.endpoint.Open.Store(false)
+	if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusNotSent || came.Load() != 1 {
 		t.Errorf("%v, %d came", res.Status, came.Load())
 	}
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	y.to.CloseIdle(y.e)
-	if open, _ := y.to.Counts(); open != 0 {
+	y.transport.CloseIdle(y.endpoint)
+	if open, _ := y.transport.Counts(); open != 0 {
 		t.Errorf("%d connections are kept", open)
 	}
 }
@@ -301,7 +301,7 @@
 // One that leaves in order answers what it has; what crosses its GOAWAY has not run, and goes to a new
 // connection if there is one. One that dies is a reset, and its next start is found.
 func TestEndpointLeavesAndDies(t *testing.T) {
-	y := newYard(t, nil)
+	y := newTestTransport(t, nil)
 	secret := h3.Options{Secret: [32]byte{1}}
 	serve, taken := make(chan bool), make(chan bool, 10)
 	t.Cleanup(func() {
@@ -324,17 +324,17 @@
 	e := y.serve("", secret, slow)
 	done := make(chan exchange.Result, 1)
 	out := &exchange.Inbound{Method: "GET", Target: "/slow", Host: "h"}
-	go func() { done <- y.try(out, patience, nil) }()
+	go func() { done <- y.attempt(out, testTimeout, nil) }()
 	<-taken
 	left := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		left <- e.Leave(ctx)
 	}()
 	// Until the GOAWAY is here, attempts are rejected or served; after that they find nobody.
-	for end := time.Now().Add(patience); ; {
-		res := y.try(nil, 300*time.Millisecond, nil)
+	for end := time.Now().Add(testTimeout); ; {
+		res := y.attempt(nil, 300*time.Millisecond, nil)
 		if res.Status == balancer.StatusConnectFailed || res.Status == balancer.StatusNotSent {
 			break
 		}
@@ -353,7 +353,7 @@
 	serve = make(chan bool)
 	address := e.Address()
 	again := y.serve(address, secret, slow)
-	go func() { done <- y.try(out, patience, nil) }()
+	go func() { done <- y.attempt(out, testTimeout, nil) }()
 	<-taken
 	again.Die()
 	third, err := h3.Start(address, y.cert, secret, slow)
@@ -365,8 +365,8 @@
 	if res := <-done; res.Status != balancer.StatusInvalidResponse && res.Status != balancer.StatusReset && res.Status != balancer.StatusTimeout {
 		t.Errorf("what died with it: %v", res.Status)
 	}
-	y.to_(address)
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK {
+	y.target(address)
+	if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK {
 		t.Errorf("its next start: %v", res.Status)
 	}
 }
@@ -374,7 +374,7 @@
 // Where UDP does not get through, nothing is sent, and another protocol may take over; where the wrong one
 // answers, none may.
 func TestNoConnection(t *testing.T) {
-	y := newYard(t, func(e *Endpoints) { e.Handshake = 100 * time.Millisecond })
+	y := newTestTransport(t, func(e *TransportSettings) { e.HandshakeTimeout = 100 * time.Millisecond })
 	var came atomic.Int64
 	e := y.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		came.Add(1)
@@ -386,29 +386,29 @@
 	}
 	defer relay.Close()
 	relay.Set(udp.Fault{Blackhole: true})
-	y.to_(relay.Address())
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
+	y.target(relay.Address())
+	if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
 		t.Errorf("blackholed: %+v", res)
 	}
-	if res := y.try(nil, 20*time.Millisecond, nil); res.Status != balancer.StatusNotSent || res.Unreachable {
+	if res := y.attempt(nil, 20*time.Millisecond, nil); res.Status != balancer.StatusNotSent || res.Unreachable {
 		t.Errorf("at its own deadline: %+v", res)
 	}
 	gone, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	y.to_(gone.LocalAddr().String())
+	y.target(gone.LocalAddr().String())
 	gone.Close()
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
+	if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
 		t.Errorf("nobody there: %+v", res)
 	}
-	for name, cert := range map[string]*tls.Certificate{"another's name": pair(t, y.ca, "other.example.org"), "another authority": pair(t, trust(t), "slot-keeper.example.org")} {
+	for name, cert := range map[string]*tls.Certificate{"another's name": newCertificate(t, y.ca, "other.example.org"), "another authority": newCertificate(t, newAuthority(t), "slot-keeper.example.org")} {
 		wrong, err := h3.Start("", cert, h3.Options{}, func(http.ResponseWriter, *http.Request) { came.Add(1) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		y.to_(wrong.Address())
-		if res := y.try(nil, patience, nil); res.Status != balancer.StatusConnectFailed || res.Unreachable {
+		y.target(wrong.Address())
+		if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || res.Unreachable {
 			t.Errorf("%s: %+v", name, res)
 		}
 		wrong.Close()
@@ -427,7 +427,7 @@
 		wantEarly bool
 	}{{"safe", true, true, true}, {"keyed", true, false, false}, {"rejected", false, true, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			y := newYard(t, func(e *Endpoints) { e.Early = true })
+			y := newTestTransport(t, func(e *TransportSettings) { e.EarlyRequests = true })
 			var early, came atomic.Int64
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if h3.Early(r) {
@@ -444,13 +444,13 @@
 				t.Fatal(err)
 			}
 			defer relay.Close()
-			y.to_(relay.Address())
-			if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK {
+			y.target(relay.Address())
+			if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK {
 				t.Fatal(res.Status)
 			}
 			// The ticket comes after the handshake.
-			for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-				if _, there := (ticketsOf{y.to.tickets, relay.Address()}).Get("slot-keeper.example.org"); there {
+			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+				if _, there := (addressCache{y.transport.sessionCache, relay.Address()}).Get("slot-keeper.example.org"); there {
 					break
 				}
 				if time.Now().After(end) {
@@ -458,19 +458,19 @@
 				}
 			}
 			y.mu.Lock()
-			y.to.CloseIdle(y.e)
+			y.transport.CloseIdle(y.endpoint)
 			y.mu.Unlock()
 			e.Close()
 			if !c.accept {
 				o.Early = false
 			}
 			y.serve(address, o, handler)
-			y.to_(relay.Address())
+			y.target(relay.Address())
 			relay.Set(udp.Fault{Delay: 20 * time.Millisecond})
 			early.Store(0)
 			before := came.Load()
 			in := &exchange.Inbound{Method: "GET", Target: "/find", Host: "h", Safe: c.safe}
-			if res := y.try(in, patience, nil); res.Status != balancer.StatusOK {
+			if res := y.attempt(in, testTimeout, nil); res.Status != balancer.StatusOK {
 				t.Fatalf("%+v", res)
 			}
 			if got := early.Load() == 1; got != c.wantEarly || came.Load() != before+1 {
@@ -482,25 +482,25 @@
 
 // What tells that nothing was sent rests on the library's words: these are they.
 func TestNeverSent(t *testing.T) {
-	y := newYard(t, nil)
+	y := newTestTransport(t, nil)
 	e := y.serve("", h3.Options{}, ok)
-	y.try(nil, patience, nil)
+	y.attempt(nil, testTimeout, nil)
 	y.mu.Lock()
-	c, _ := y.to.Acquire(y.e, time.Now())
-	y.to.Release(y.e, c, nil)
+	c, _ := y.transport.Acquire(y.endpoint, time.Now())
+	y.transport.Release(y.endpoint, c, nil)
 	y.mu.Unlock()
-	s := c.(*session)
+	s := c.(*endpointConn)
 	s.conn.CloseWithError(0x100, "")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a := &exchange.Attempt{Request: &exchange.Inbound{Method: "GET", Target: "/", Host: "h"}, Endpoint: y.e, Sent: time.Now(), Context: ctx, Bodies: roomy()}
-	if _, err := y.to.exchange(a, s.client, false); err == nil || !neverSent(err) {
+	a := &exchange.Attempt{Request: &exchange.Inbound{Method: "GET", Target: "/", Host: "h"}, Endpoint: y.endpoint, Sent: time.Now(), Context: ctx, Bodies: largeBudget()}
+	if _, err := y.transport.exchange(a, s.client, false); err == nil || !isNeverSent(err) {
 		t.Errorf("on a closed connection: %v", err)
 	}
-	if neverSent(errors.New("anything else")) || rejected(&quic.ApplicationError{Remote: true, ErrorCode: 0x10b}) {
+	if isNeverSent(errors.New("anything else")) || isRejected(&quic.ApplicationError{Remote: true, ErrorCode: 0x10b}) {
 		t.Error("what may have run passes for what never ran")
 	}
-	if res := y.try(nil, patience, nil); res.Status != balancer.StatusOK || e.Connections() != 2 {
+	if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK || e.Connections() != 2 {
 		t.Errorf("%v over %d connections", res.Status, e.Connections())
 	}
 }
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -129,19 +129,19 @@
 			found.Add(at.File, at.Pos, "%s.%s: %v", table, key, err)
 		}
 	}
-	if c := http3.CallersTable.In(f); c.Listen != "" && c.Cert != "" && c.Key != "" {
-		if _, err := secretfile.ReadPrivateKey(Resolve(path, c.Key)); err == nil { // else that is reported
-			_, err = certfile.LoadValid(Resolve(path, c.Cert), Resolve(path, c.Key), now)
+	if c := http3.FrontTable.In(f); c.Listen != "" && c.CertFile != "" && c.KeyFile != "" {
+		if _, err := secretfile.ReadPrivateKey(Resolve(path, c.KeyFile)); err == nil { // else that is reported
+			_, err = certfile.LoadValid(Resolve(path, c.CertFile), Resolve(path, c.KeyFile), now)
 			report("http3", "http3_cert_file", err)
 		}
-		if c.Secret != "" {
-			if text, err := secretfile.ReadToken(Resolve(path, c.Secret)); err == nil && len(text) < http3.LeastSecret {
-				report("http3", "http3_secret_file", fmt.Errorf("has %d characters; %d are the least that nobody guesses", len(text), http3.LeastSecret))
+		if c.SecretFile != "" {
+			if text, err := secretfile.ReadToken(Resolve(path, c.SecretFile)); err == nil && len(text) < http3.MinSecretChars {
+				report("http3", "http3_secret_file", fmt.Errorf("has %d characters; %d are the least that nobody guesses", len(text), http3.MinSecretChars))
 			}
 		}
 	}
-	if e := http3.EndpointsTable.In(f); e.Use != http3.Never && e.CA != "" {
-		_, err := certfile.LoadPool(Resolve(path, e.CA))
+	if e := http3.TransportTable.In(f); e.Use != http3.Never && e.CAFile != "" {
+		_, err := certfile.LoadPool(Resolve(path, e.CAFile))
 		report("http3-endpoints", "http3_ca_file", err)
 	}
 }
--- a/internal/standalone/each_test.go
+++ b/internal/standalone/each_test.go
@@ -71,11 +71,11 @@
 			t.Fatal(err)
 		}
 		set := &c.tuning.http3Callers
-		set.Listen, set.Cert, set.Key, set.EarlyData = "127.0.0.1:0", put("cert.pem", cert), put("key.pem", key), http3.EarlySafe
+		set.Listen, set.CertFile, set.KeyFile, set.EarlyData = "127.0.0.1:0", put("cert.pem", cert), put("key.pem", key), http3.EarlySafe
 	}
 	if w.to == "http3" {
 		set := &c.tuning.http3Endpoints
-		set.Use, set.CA, set.Name, set.Early, set.Handshake = http3.Prefer, put("ca.pem", signer.PEM()), endpointName, true, 5*time.Second
+		set.Use, set.CAFile, set.ServerName, set.EarlyRequests, set.HandshakeTimeout = http3.Prefer, put("ca.pem", signer.PEM()), endpointName, true, 5*time.Second
 	}
 }
 
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -30,7 +30,7 @@
 		return nil, fmt.Errorf("http3_listen: %w", err)
 	}
 	front, err := http3.NewFront(socket, handler, settings, http3.Bounds{
-		MaxHeader: bounds.MaxHeaderBytes, RequestTimeout: bounds.RequestTimeout,
+		MaxHeaderBytes: bounds.MaxHeaderBytes, RequestTimeout: bounds.RequestTimeout,
 		IdleTimeout: bounds.IdleTimeout, WriteTimeout: bounds.WriteTimeout,
 	}, security)
 	if err != nil {
@@ -41,16 +41,16 @@
 }
 
 // loadSecurity reads the certificate and the secret that the settings name.
-func loadSecurity(c *Config, settings http3.Callers) (security http3.Security, err error) {
-	pair, err := certfile.NewReloader(c.product.Resolve(settings.Cert), c.product.Resolve(settings.Key), log.Printf)
+func loadSecurity(c *Config, settings http3.FrontSettings) (security http3.Security, err error) {
+	pair, err := certfile.NewReloader(c.product.Resolve(settings.CertFile), c.product.Resolve(settings.KeyFile), log.Printf)
 	if err != nil {
 		return security, err
 	}
 	security.Certificate = pair.GetCertificate
-	if settings.Secret == "" {
+	if settings.SecretFile == "" {
 		return security, nil
 	}
-	secret, err := secretfile.ReadToken(c.product.Resolve(settings.Secret))
+	secret, err := secretfile.ReadToken(c.product.Resolve(settings.SecretFile))
 	if err != nil {
 		return security, err
 	}
@@ -85,9 +85,9 @@
 		return nil, nil
 	}
 	var pool *x509.CertPool
-	if settings.CA != "" {
+	if settings.CAFile != "" {
 		var err error
-		if pool, err = certfile.LoadPool(c.product.Resolve(settings.CA)); err != nil {
+		if pool, err = certfile.LoadPool(c.product.Resolve(settings.CAFile)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -90,8 +90,8 @@
 	}
 	l.transports.preferred = preferred
 	l.transports.tracker.Settings = protocolfallback.Settings{
-		InitialBackoff: c.tuning.http3Endpoints.Pause,
-		MaxBackoff:     c.tuning.http3Endpoints.Longest,
+		InitialBackoff: c.tuning.http3Endpoints.MinPause,
+		MaxBackoff:     c.tuning.http3Endpoints.MaxPause,
 	}
 	return nil
 }
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -66,7 +66,7 @@
 		s.fronts = []exchange.Front{http1.NewFront(listener, s, bounds)}
 		return s, nil
 	}
-	bounds.AltSvc = altSvcHeader(front.Address(), c.tuning.http3Callers.AltSvc)
+	bounds.AltSvc = altSvcHeader(front.Address(), c.tuning.http3Callers.AltSvcMaxAge)
 	s.fronts = []exchange.Front{http1.NewFront(listener, s, bounds), front}
 	return s, nil
 }
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -133,7 +133,7 @@
 
 // Tables are this package's, in the order in which a file has them.
 func Tables() []*schema.Table {
-	return []*schema.Table{CallersTable.Table, EndpointsTable.Table, StopTable.Table, MemoryTable.Table, http3.CallersTable.Table, http3.EndpointsTable.Table}
+	return []*schema.Table{CallersTable.Table, EndpointsTable.Table, StopTable.Table, MemoryTable.Table, http3.FrontTable.Table, http3.TransportTable.Table}
 }
 
 // tuning is what these tables say.
@@ -142,8 +142,8 @@
 	callers        Callers
 	endpoints      Endpoints
 	stop           Stop
-	http3Callers   http3.Callers
-	http3Endpoints http3.Endpoints
+	http3Callers   http3.FrontSettings
+	http3Endpoints http3.TransportSettings
 	memory         Memory
 	routes         *route.Table // nil for none
 }
@@ -156,8 +156,8 @@
 			callers:        *CallersTable.Default(),
 			endpoints:      *EndpointsTable.Default(),
 			stop:           *StopTable.Default(),
-			http3Callers:   *http3.CallersTable.Default(),
-			http3Endpoints: *http3.EndpointsTable.Default(),
+			http3Callers:   *http3.FrontTable.Default(),
+			http3Endpoints: *http3.TransportTable.Default(),
 			memory:         *MemoryTable.Default(),
 		}
 	}
@@ -166,8 +166,8 @@
 		callers:        *CallersTable.In(f),
 		endpoints:      *EndpointsTable.In(f),
 		stop:           *StopTable.In(f),
-		http3Callers:   *http3.CallersTable.In(f),
-		http3Endpoints: *http3.EndpointsTable.In(f),
+		http3Callers:   *http3.FrontTable.In(f),
+		http3Endpoints: *http3.TransportTable.In(f),
 		memory:         *MemoryTable.In(f),
 		routes:         route.Compile(f),
 	}
