--- a/internal/standalone/backlog.go
+++ b/internal/standalone/backlog.go
@@ -41,7 +41,6 @@
 	first()
 }
 
-// add has something done after all that waits: now if nothing does and it is all there is.
 // add has something done after all that waits: now if nothing does and it is all there is.
 func (b *backlog) add(steps ...func()) {
 	if len(b.steps) == 0 && len(steps) == 1 {
--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -12,15 +12,15 @@
 )
 
 // fleetLoop is a loop, that is not run, with a list of n endpoints, numbered from 0.
-func fleetLoop(t testing.TB, n int) *loop {
-	t.Helper()
+func fleetLoop(tb testing.TB, n int) *loop {
+	tb.Helper()
 	config := &Config{Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil)}
 	config.Settings.ConnectTimeout = time.Second
 	config.Settings.Instances = 1
 	config.Settings.Classes = []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent}}
 	l, err := newLoop(config)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	l.handleList(fleetList(1, 0, n), endpointsource.FromFetch)
 	return l
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -99,7 +99,6 @@
 	defaultIdleTimeout = 10 * time.Second
 )
 
-// idleTimeout is how long an idle connection to an endpoint is kept.
 // idleTimeout is how long an idle connection to an endpoint is kept.
 func (c *Config) idleTimeout(t *tuning) time.Duration {
 	switch idle := c.Settings.ConnIdle; {
--- /dev/null
+++ b/internal/standalone/connections_test.go
@@ -0,0 +1,164 @@
+package standalone
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"quincegap/internal/config/appfile"
+)
+
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+	var conns atomic.Int64
+	s := httptest.NewUnstartedServer(http.HandlerFunc(answerOK))
+	closed := make(chan bool, 8)
+	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		switch state {
+		case http.StateNew:
+			conns.Add(1)
+		case http.StateClosed:
+			closed <- true
+		}
+	}
+	s.Start()
+	defer s.Close()
+	rg := start(t, 1024, listedEndpoint{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
+	for range 3 {
+		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
+			t.Fatal(status)
+		}
+		rg.until("the connection is idle", func() (idle bool) {
+			rg.inLoop(func() { _, n := rg.server.loop.http1.Counts(); idle = n == 1 })
+			return idle
+		})
+	}
+	if conns.Load() != 1 {
+		t.Errorf("%d connections for three requests in turn", conns.Load())
+	}
+	s.CloseClientConnections()
+	<-closed
+	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
+		t.Errorf("got %d %q on %d connections", status, body, conns.Load())
+	}
+}
+
+func TestMuteCallersMakeRoom(t *testing.T) {
+	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", answerOK))
+	http.DefaultClient.CloseIdleConnections()
+	usual := rg.dial()
+	ask := func() {
+		t.Helper()
+		usual.post(rg.request("once", 9*time.Second))
+		res, err := usual.next()
+		if err != nil || res.status != 200 {
+			t.Fatalf("the usual client got %v, %v", res, err)
+		}
+	}
+	ask()
+	var crowd []*clientConn
+	for range 5 * rg.maxConnections() {
+		crowd = append(crowd, rg.dial())
+	}
+	ask()
+	if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
+		t.Errorf("a new client got %d", status)
+	}
+	for i, c := range crowd {
+		if got, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatalf("mute connection %d got %q, %v", i, got, err)
+		}
+	}
+}
+
+func TestSlowRequestsEnd(t *testing.T) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { t.Error("it was passed on") }))
+	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
+	ended := make(chan bool)
+	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
+	began := time.Now()
+	for _, text := range texts {
+		go func() {
+			if status, _ := rg.raw(text); status > 0 && status < 400 {
+				t.Errorf("%.80q: got %d", text, status)
+			}
+			ended <- true
+		}()
+	}
+	for range texts {
+		<-ended
+	}
+	if took := time.Since(began); took > CallersTable.Default().RequestTimeout+patience/4 {
+		t.Errorf("took %v", took)
+	}
+}
+
+func TestIdleCallersMakeRoom(t *testing.T) {
+	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", answerOK))
+	var first *clientConn
+	for i := range 3 * rg.maxConnections() {
+		c := rg.dial()
+		if i == 0 {
+			first = c
+		}
+		c.post(rg.request("once", 5*time.Second))
+		res, err := c.next()
+		if err != nil || res.status != 200 {
+			t.Fatalf("connection %d: %v %v", i, res, err)
+		}
+	}
+	first.extend()
+	if n, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the first connection: %d bytes, %v", n, err)
+	}
+	rg.until("open connections are within their share", func() bool {
+		open, _, _, most := rg.front().Counts()
+		return open <= most
+	})
+}
+
+func TestCallerBeyondTheBoundIsAnswered(t *testing.T) {
+	serve := make(chan bool)
+	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+		<-serve
+		write(w, "ok")
+	}))
+	rg.front().SetMaxConnections(2) // as if the machine were that small
+	dial := func() *clientConn {
+		c := rg.dial()
+		c.post(rg.request("once", 9*time.Second))
+		return c
+	}
+	status := func(c *clientConn) int {
+		t.Helper()
+		got, err := c.next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return got.status
+	}
+	var taken []*clientConn
+	for i := range 2 {
+		c := dial()
+		taken = append(taken, c)
+		rg.until("it is taken", func() (done bool) {
+			rg.inLoop(func() { done = len(rg.server.loop.requests) == i+1 })
+			return done
+		})
+	}
+	extra := dial()
+	if got := status(extra); got != http.StatusServiceUnavailable {
+		t.Errorf("got %d", got)
+	}
+	close(serve)
+	for _, c := range taken {
+		if got := status(c); got != http.StatusOK {
+			t.Errorf("a request that was taken got %d", got)
+		}
+	}
+}
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -77,8 +77,6 @@
 
 // start begins to watch for what changes after a version; nil asks for the complete list first. Like stop it
 // never waits.
-// start begins to watch for what changes after a version; nil asks for the whole list first. Like stop it
-// never waits.
 func (w *watcher) start(since *uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
@@ -93,7 +91,6 @@
 	}
 }
 
-// post hands what the watch brought to the loop, unless it has been stopped by then.
 // post hands what the watch brought to the loop, unless it has been stopped by then.
 func (w *watcher) post(ctx context.Context, event func()) {
 	w.loop.post(func() {
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -16,8 +15,8 @@
 	"quincegap/internal/network/exchange"
 )
 
-func ready(uid string, bootMS int64) listedEndpoint {
-	return listedEndpoint{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1, BootMS: bootMS}
+func ready(uid string) listedEndpoint {
+	return listedEndpoint{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1}
 }
 
 // An endpoint's number is the same at every sidecar, in whatever order lists name it, and no two share one.
@@ -55,8 +54,8 @@
 
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
 	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
-	x := ready("s-1", 0)
-	entries, _ := e.apply(endpointList{All: true, Targets: []listedEndpoint{x, ready("s-2", 0)}}.sourceList(endpointsource.FromWatch))
+	x := ready("s-1")
+	entries, _ := e.apply(endpointList{All: true, Targets: []listedEndpoint{x, ready("s-2")}}.sourceList(endpointsource.FromWatch))
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].MachineKind != 0 {
 		t.Fatalf("entries %+v", entries)
 	}
@@ -86,18 +85,18 @@
 
 // Lists reach the Balancer in order: what is older than its list is dropped.
 func TestOlderListsAreDropped(t *testing.T) {
-	rg := start(t, 1024, ready("s-1", 0), ready("s-2", 0))
+	rg := start(t, 1024, ready("s-1"), ready("s-2"))
 	l := rg.server.loop
-	draining := ready("s-1", 0)
+	draining := ready("s-1")
 	draining.State = "Terminating"
 	rg.inLoop(func() {
 		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{draining}}, endpointsource.FromWatch)
-		l.handleList(endpointList{Rev: 4, All: true, Targets: []listedEndpoint{ready("s-1", 0)}}, endpointsource.FromFetch)
-		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{ready("s-1", 0)}}, endpointsource.FromWatch)
+		l.handleList(endpointList{Rev: 4, All: true, Targets: []listedEndpoint{ready("s-1")}}, endpointsource.FromFetch)
+		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{ready("s-1")}}, endpointsource.FromWatch)
 		if l.endpoints.byID[1].Open.Load() || !l.endpoints.byID[2].Open.Load() || l.versionFilter.Version != 5 {
 			t.Error("an older list undid a drain")
 		}
-		l.handleList(endpointList{Rev: 6, All: true, Targets: []listedEndpoint{ready("s-1", 0)}}, endpointsource.FromFetch)
+		l.handleList(endpointList{Rev: 6, All: true, Targets: []listedEndpoint{ready("s-1")}}, endpointsource.FromFetch)
 		if !l.endpoints.byID[1].Open.Load() || l.endpoints.byID[2] != nil {
 			t.Error("a newer list is not followed")
 		}
@@ -112,14 +111,14 @@
 		asked <- r.URL.RawQuery
 		select {
 		case reply := <-replies:
-			fmt.Fprint(w, reply)
+			write(w, reply)
 		case <-r.Context().Done():
 		}
 	}))
 	defer discovery.Close()
 	config := &Config{
 		Discovery: discovery.Listener.Addr().String(), Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil),
-		Known: endpointList{Rev: 41, All: true, Targets: []listedEndpoint{ready("s-1", 0)}},
+		Known: endpointList{Rev: 41, All: true, Targets: []listedEndpoint{ready("s-1")}},
 	}
 	config.Settings.ConnectTimeout = patience
 	config.Settings.Instances = 1
@@ -131,7 +130,7 @@
 	go l.run()
 	defer l.post(func() { l.watcher.stop() })
 	line := func(rev uint64) string {
-		text, _ := json.Marshal(endpointList{Rev: rev, Targets: []listedEndpoint{ready("s-1", 0)}})
+		text, _ := json.Marshal(endpointList{Rev: rev, Targets: []listedEndpoint{ready("s-1")}})
 		return "\n" + string(text) + "\n\n"
 	}
 	for _, step := range []struct{ since, reply string }{
@@ -159,12 +158,12 @@
 	asked := make(chan time.Time, 8)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- time.Now()
-		http.NewResponseController(w).Flush()
+		flush(w)
 		<-r.Context().Done()
 	}))
 	defer silent.Close()
 	defer silent.CloseClientConnections()
-	rg := start(t, 1024, ready("s-1", 0))
+	rg := start(t, 1024, ready("s-1"))
 	rg.inLoop(func() { rg.server.loop.switchDiscovery(silent.Listener.Addr().String(), "") })
 	for range 2 { // the watch and the whole list, that follow asks for
 		<-asked
@@ -179,59 +178,83 @@
 	}
 }
 
-// On SIGHUP the discovery that the file names is followed from its whole list on, whatever its versions;
-// nothing of the old one counts any more, and what was taken goes on. A file that cannot be used changes
-// nothing.
-func TestReloadFollowsAnotherDiscovery(t *testing.T) {
-	came, serve := make(chan bool, 1), make(chan bool)
-	a := startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
-		came <- true
-		<-serve
-		fmt.Fprint(w, "a")
-	})
-	b := startEndpoint(t, "s-2", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "b") })
-	rg := start(t, 1024, a)
-	l := rg.server.loop
-	answered := make(chan string)
-	go func() {
-		_, body := rg.ask(rg.request("once", 9*time.Second))
-		answered <- body
-	}()
-	<-came
-
-	asked := make(chan string, 8)
-	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// startDiscovery is a discovery that lists one endpoint at version 0 to who asks for the complete list, and says no more; asked
+// gets the query of each request.
+func startDiscovery(t *testing.T, endpoint listedEndpoint) (address string, asked chan string) {
+	t.Helper()
+	asked = make(chan string, 8)
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		if r.URL.Query().Get("since") == "" {
-			json.NewEncoder(w).Encode(endpointList{Rev: 0, All: true, Targets: []listedEndpoint{b}})
+			list := endpointList{Rev: 0, All: true, Targets: []listedEndpoint{endpoint}}
+			if err := json.NewEncoder(w).Encode(list); err != nil {
+				t.Error(err)
+			}
 		}
 		if r.URL.Query().Get("follow") == "1" {
-			http.NewResponseController(w).Flush()
+			flush(w)
 			<-r.Context().Done()
 		}
 	}))
-	defer other.Close()
-	defer other.CloseClientConnections()
+	t.Cleanup(func() {
+		discovery.CloseClientConnections()
+		discovery.Close()
+	})
+	return discovery.Listener.Addr().String(), asked
+}
+
+// reloadDiscovery has the sidecar reload a broken file, which has no effect, and one that names another discovery. It returns
+// the watcher of the one before.
+func (rg *rig) reloadDiscovery(address string) (old *watcher) {
+	rg.t.Helper()
+	l := rg.server.loop
 	good, err := os.ReadFile(rg.file)
 	if err != nil {
-		t.Fatal(err)
+		rg.t.Fatal(err)
 	}
-	var old *watcher
-	rg.inLoop(func() { l.versionFilter.Version, old = 7, l.watcher })
-	os.WriteFile(rg.file, good[:len(good)/2], 0o600)
+	rg.inLoop(func() {
+		l.versionFilter.Version = 7
+		old = l.watcher
+	})
+	rg.writeConfig(string(good[:len(good)/2]))
 	rg.reloads <- syscall.SIGHUP
 	rg.inLoop(func() {
 		if l.watcher != old || l.versionFilter.Switched() {
-			t.Error("a broken file had an effect")
+			rg.t.Error("a broken file had an effect")
 		}
 	})
 	was := rg.server.config.getenv("BALANCER_DISCOVERY") // stands in the environment, and in the file
-	os.WriteFile(rg.file, []byte(strings.Replace(string(good), was, other.Listener.Addr().String(), 1)), 0o600)
+	rg.writeConfig(strings.Replace(string(good), was, address, 1))
 	rg.reloads <- syscall.SIGHUP
 	rg.until("the new list is taken in", func() (done bool) {
 		rg.inLoop(func() { done = l.versionFilter.Version == 0 && !l.versionFilter.Switched() && l.watcher != old })
 		return done
 	})
+	return old
+}
+
+// On SIGHUP the discovery that the file names is followed from its complete list on, whatever its versions;
+// nothing of the old one counts any more, and what was taken goes on. A file that cannot be used changes
+// nothing.
+func TestReloadFollowsAnotherDiscovery(t *testing.T) {
+	came, serve := make(chan bool, 1), make(chan bool)
+	a := startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+		came <- true
+		<-serve
+		write(w, "a")
+	})
+	b := startEndpoint(t, "s-2", func(w http.ResponseWriter, _ *http.Request) { write(w, "b") })
+	rg := start(t, 1024, a)
+	l := rg.server.loop
+	answered := make(chan string)
+	go func() {
+		_, body := rg.ask(rg.request("once", 9*time.Second))
+		answered <- body
+	}()
+	<-came
+
+	other, asked := startDiscovery(t, b)
+	old := rg.reloadDiscovery(other)
 	for range 2 {
 		if query := <-asked; strings.Contains(query, "since=7") {
 			t.Errorf("asked the new discovery for changes to the old one's list: %q", query)
@@ -243,8 +266,7 @@
 			t.Error("an endpoint that the new list lacks is open")
 		}
 	})
-	line, _ := json.Marshal(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{a}})
-	rg.lists <- string(line)
+	rg.announce(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{a}})
 	if _, body := rg.ask(rg.request("once", 9*time.Second)); body != "b" {
 		t.Errorf("served %q", body)
 	}
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -1,7 +1,6 @@
 package standalone
 
 import (
-	"fmt"
 	"net/http"
 	"sync"
 	"syscall"
@@ -42,7 +41,7 @@
 	x.mu.Lock()
 	x.of[r.Header.Get("X-Txn")]++
 	x.mu.Unlock()
-	fmt.Fprint(w, "ok")
+	write(w, "ok")
 }
 
 func (x *runs) ran(id string) int {
@@ -51,6 +50,58 @@
 	return x.of[id]
 }
 
+// diskRig is a sidecar on a disk that may fail, and what ran at its endpoints.
+type diskRig struct {
+	*rig
+	runs *runs
+}
+
+// startOnDisk starts a sidecar that remembers on a disk.
+func startOnDisk(t *testing.T, d *disk.Disk, x *runs) *diskRig {
+	t.Helper()
+	onDisk(t, d)
+	return &diskRig{start(t, 1024, startEndpoint(t, "s-1", x.serve), startEndpoint(t, "s-2", x.serve)), x}
+}
+
+// try sends a request of a class, whose answer has to have a status, any where that is 0. It runs once if it is answered and
+// not at all otherwise.
+func (rg *diskRig) try(class string, want int) (id string) {
+	rg.t.Helper()
+	r := rg.request(class, 5*time.Second)
+	id = r.Header.Get("X-Txn")
+	if class == "book" {
+		r.Header.Set("Idempotency-Key", id)
+	}
+	status, _ := rg.ask(r)
+	if want != 0 && status != want {
+		rg.t.Errorf("%s: status %d, wanted %d", class, status, want)
+	}
+	if n := rg.runs.ran(id); (status == http.StatusOK) != (n == 1) || n > 1 {
+		rg.t.Errorf("%s: status %d, and it ran %d times", class, status, n)
+	}
+	return id
+}
+
+// pay sends an unsafe request as often as it takes until one runs: a busy machine may be as slow as a disk.
+func (rg *diskRig) pay() (id string) {
+	rg.t.Helper()
+	rg.until("something is remembered and runs", func() bool {
+		id = rg.try("once", 0)
+		return rg.runs.ran(id) == 1
+	})
+	return id
+}
+
+// checkKnown sends a request once more that ran: it fails, and does not run again.
+func (rg *diskRig) checkKnown(when, id string) {
+	rg.t.Helper()
+	r := rg.request("once", 5*time.Second)
+	r.Header.Set("X-Txn", id)
+	if status, _ := rg.ask(r); status != http.StatusBadGateway || rg.runs.ran(id) != 1 {
+		rg.t.Errorf("a repeat %s: status %d, and it ran %d times", when, status, rg.runs.ran(id))
+	}
+}
+
 // A disk that hangs, and one that fails each write, hold up nothing that need not be remembered. Each class does what
 // its file says, nothing that was refused has run, and all is as before once the disk is well.
 func TestIllDiskOverSockets(t *testing.T) {
@@ -69,61 +120,26 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, x := disk.New(), &runs{of: map[string]int{}}
-			onDisk(t, d)
-			rg := start(t, 1024, startEndpoint(t, "s-1", x.serve), startEndpoint(t, "s-2", x.serve))
-			try := func(class string, want int) (id string) {
-				t.Helper()
-				r := rg.request(class, 5*time.Second)
-				id = r.Header.Get("X-Txn")
-				if class == "book" {
-					r.Header.Set("Idempotency-Key", id)
-				}
-				status, _ := rg.ask(r)
-				if want != 0 && status != want {
-					t.Errorf("%s: status %d, wanted %d", class, status, want)
-				}
-				if n := x.ran(id); (status == http.StatusOK) != (n == 1) || n > 1 {
-					t.Errorf("%s: status %d, and it ran %d times", class, status, n)
-				}
-				return id
-			}
-			pay := func() (id string) { // as often as it takes: a busy machine may be as slow as a disk
-				t.Helper()
-				rg.until("something is remembered and runs", func() bool {
-					id = try("once", 0)
-					return x.ran(id) == 1
-				})
-				return id
-			}
-			paid := pay()
+			d := disk.New()
+			x := &runs{of: map[string]int{}}
+			rg := startOnDisk(t, d, x)
+			paid := rg.pay()
 			well := c.ill(d)
 			defer well()
 			for range 3 {
-				try("read", http.StatusOK)
-				try("book", http.StatusOK)
-				try("once", http.StatusServiceUnavailable)
-			}
-			// What may have run is no less known for it, and is not refused.
-			r := rg.request("once", 5*time.Second)
-			r.Header.Set("X-Txn", paid)
-			if status, _ := rg.ask(r); status != http.StatusBadGateway || x.ran(paid) != 1 {
-				t.Errorf("a repeat of what ran: status %d, and it ran %d times", status, x.ran(paid))
+				rg.try("read", http.StatusOK)
+				rg.try("book", http.StatusOK)
+				rg.try("once", http.StatusServiceUnavailable)
 			}
+			rg.checkKnown("while the disk is ill", paid) // it is no less known for it, and is not refused
 			well()
-			last := pay()
-			try("book", http.StatusOK)
+			last := rg.pay()
+			rg.try("book", http.StatusOK)
 
 			// The next life knows what was remembered, before and after.
-			again := d.AfterCrash()
-			onDisk(t, again)
-			rg = start(t, 1024, startEndpoint(t, "s-1", x.serve), startEndpoint(t, "s-2", x.serve))
+			rg = startOnDisk(t, d.AfterCrash(), x)
 			for _, id := range []string{paid, last} {
-				r := rg.request("once", 5*time.Second)
-				r.Header.Set("X-Txn", id)
-				if status, _ := rg.ask(r); status != http.StatusBadGateway || x.ran(id) != 1 {
-					t.Errorf("a repeat in the next life: status %d, and it ran %d times", status, x.ran(id))
-				}
+				rg.checkKnown("in the next life", id)
 			}
 		})
 	}
--- a/internal/standalone/each_test.go
+++ b/internal/standalone/each_test.go
@@ -32,6 +32,7 @@
 
 // overEach runs a test over every front and transport.
 func overEach(t *testing.T, test func(t *testing.T)) {
+	t.Helper()
 	for _, w := range []protocols{{"http1", "http1"}, {"http3", "http1"}, {"http1", "http3"}, {"http3", "http3"}} {
 		t.Run(w.front+" to "+w.to, func(t *testing.T) {
 			currentProtocols = w
@@ -86,7 +87,7 @@
 	}
 	if rg.h3 == nil {
 		rg.h3 = &qh3.Transport{TLSClientConfig: &tls.Config{RootCAs: signer.Pool(), ServerName: frontName}, QUICConfig: &quic.Config{MaxIdleTimeout: time.Minute}}
-		rg.t.Cleanup(func() { rg.h3.Close() })
+		rg.t.Cleanup(func() { closeNow(rg.h3) })
 	}
 	return rg.h3, "https://" + rg.server.fronts[1].(*http3.Front).Address().String()
 }
@@ -96,7 +97,7 @@
 	t.Helper()
 	behind := serve
 	if currentProtocols.to == "http3" {
-		behind = func(w http.ResponseWriter, r *http.Request) {
+		behind = func(_ http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/health" {
 				t.Errorf("%s came over HTTP/1.1", r.URL.Path)
 			}
@@ -131,12 +132,13 @@
 // then it ends.
 func TestStopOverEach(t *testing.T) {
 	overEach(t, func(t *testing.T) {
+		t.Helper()
 		came, serve := make(chan bool, 10), make(chan bool)
 		rg := startOneOf(t, 2, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 			came <- true
 			select {
 			case <-serve:
-				w.Write([]byte("ok"))
+				write(w, "ok")
 			case <-r.Context().Done():
 			}
 		}))
@@ -168,8 +170,9 @@
 // A proxy in front that takes early data says so; what must not run twice is sent back to be sent again.
 func TestTooEarly(t *testing.T) {
 	overEach(t, func(t *testing.T) {
+		t.Helper()
 		came := make(chan string, 10)
-		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 			came <- r.Header.Get("X-Lane") + r.Header.Get("Early-Data")
 		}))
 		set := *rg.server.tuning.Load()
@@ -190,15 +193,66 @@
 	})
 }
 
+// recordedCaller books over connections that are recorded, each a new one.
+type recordedCaller struct {
+	rg    *rig
+	front *http3.Front
+	relay *udp.Relay
+	tls   *tls.Config
+}
+
+// flight books on a new connection, in early data if there is a ticket, and returns its datagrams.
+func (c *recordedCaller) flight(early bool) [][]byte {
+	t := c.rg.t
+	t.Helper()
+	// With early data the caller hears nothing until its booking has come: on a busy machine the handshake was over
+	// before. And quic-go 0.65.0 reads what the peer allows, when a stream is opened in early data, while it
+	// writes that at the end of the handshake: the race detector told of it now and then.
+	c.relay.Set(udp.Fault{Deaf: early})
+	c.relay.Record()
+	conn, err := quic.DialAddrEarly(t.Context(), c.relay.Address(), c.tls, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.CloseWithError(0x100, "") }()
+	s, err := (&qh3.Transport{DisableCompression: true}).NewClientConn(conn).OpenRequestStream(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := c.rg.request("book", 5*time.Second)
+	r.Body, r.ContentLength = nil, 0
+	if err := s.SendRequestHeader(r); err != nil {
+		t.Fatal(err)
+	}
+	closeNow(s)
+	if early {
+		c.rg.until("the booking came early, and waits", func() bool { open, idle, _ := c.front.Counts(); return open > idle })
+		c.relay.Set(udp.Fault{})
+	}
+	res, err := s.ReadResponse()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeNow(res.Body)
+	if res.StatusCode != http.StatusOK {
+		t.Fatalf("%+v", res)
+	}
+	time.Sleep(50 * time.Millisecond) // for the ticket
+	if conn.ConnectionState().Used0RTT != early {
+		t.Fatalf("early data: %v, wanted %v", conn.ConnectionState().Used0RTT, early)
+	}
+	return c.relay.Recorded()
+}
+
 // A booking in a first flight that is recorded and sent again, to this sidecar and to one that has restarted with
 // the same secret, runs once.
 func TestReplayedBookingRunsOnce(t *testing.T) {
 	currentProtocols = protocols{"http3", "http1"}
 	defer func() { currentProtocols = protocols{"http1", "http1"} }()
 	var runs atomic.Int64
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
-		w.Write([]byte("ok"))
+		write(w, "ok")
 	}))
 	front := rg.server.fronts[1].(*http3.Front)
 	relay, err := udp.Start(front.Address().String(), 1)
@@ -206,45 +260,11 @@
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	conf := &tls.Config{RootCAs: signer.Pool(), ServerName: frontName, NextProtos: []string{"h3"}, ClientSessionCache: tls.NewLRUClientSessionCache(4)}
-	// flight books on a new connection, in early data if there is a ticket, and returns its datagrams.
-	flight := func(early bool) [][]byte {
-		// With early data the caller hears nothing until its booking has come: on a busy machine the handshake was over
-		// before. And quic-go 0.65.0 reads what the peer allows, when a stream is opened in early data, while it
-		// writes that at the end of the handshake: the race detector told of it now and then.
-		relay.Set(udp.Fault{Deaf: early})
-		relay.Record()
-		conn, err := quic.DialAddrEarly(context.Background(), relay.Address(), conf, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.CloseWithError(0x100, "")
-		s, err := (&qh3.Transport{DisableCompression: true}).NewClientConn(conn).OpenRequestStream(context.Background())
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := rg.request("book", 5*time.Second)
-		r.Body, r.ContentLength = nil, 0
-		if err := s.SendRequestHeader(r); err != nil {
-			t.Fatal(err)
-		}
-		s.Close()
-		if early {
-			rg.until("the booking came early, and waits", func() bool { open, idle, _ := front.Counts(); return open > idle })
-			relay.Set(udp.Fault{})
-		}
-		res, err := s.ReadResponse()
-		if err != nil || res.StatusCode != 200 {
-			t.Fatalf("%+v, %v", res, err)
-		}
-		time.Sleep(50 * time.Millisecond) // for the ticket
-		if conn.ConnectionState().Used0RTT != early {
-			t.Fatalf("early data: %v in flight %d", conn.ConnectionState().Used0RTT, runs.Load())
-		}
-		return relay.Recorded()
-	}
-	flight(false)
-	recorded := flight(true)
+	caller := &recordedCaller{rg, front, relay, &tls.Config{
+		RootCAs: signer.Pool(), ServerName: frontName, NextProtos: []string{"h3"}, ClientSessionCache: tls.NewLRUClientSessionCache(4),
+	}}
+	caller.flight(false)
+	recorded := caller.flight(true)
 	// Under the id of a new request, the desk would not know it again by that.
 	rg.inLoop(func() { rg.server.loop.recentIDs = recentIDs{} })
 	for range 100 {
@@ -265,21 +285,18 @@
 // Half a body and silence: the request ends with an error in its time, and nothing of it goes on.
 func TestHalfABody(t *testing.T) {
 	overEach(t, func(t *testing.T) {
+		t.Helper()
 		var came atomic.Int64
 		adjustConfig = func(c *Config) { c.tuning.callers.RequestTimeout = 300 * time.Millisecond }
 		defer func() { adjustConfig = func(*Config) {} }()
-		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
-		read, write := io.Pipe()
-		defer write.Close()
-		go write.Write([]byte("half"))
+		rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { came.Add(1) }))
+		read, half := io.Pipe()
+		defer closeNow(half)
+		go func() { write(half, "half") }()
 		r := rg.request("once", 5*time.Second)
 		r.Body, r.ContentLength = read, 100
-		c, _ := rg.client()
-		if res, err := c.RoundTrip(r); err == nil {
-			if res.StatusCode != 400 {
-				t.Errorf("status %d", res.StatusCode)
-			}
-			res.Body.Close()
+		if got, err := rg.roundTrip(r); got != nil && got.status != 400 {
+			t.Errorf("status %d, %v", got.status, err)
 		}
 		if came.Load() != 0 {
 			t.Error("it went on")
@@ -290,17 +307,15 @@
 // Callers leave just as their answers go out, at every moment: nothing is kept of them.
 func TestCallerLeavesAsTheAnswerComes(t *testing.T) {
 	overEach(t, func(t *testing.T) {
-		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		t.Helper()
+		rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(2 * time.Millisecond)
-			w.Write([]byte("ok"))
+			write(w, "ok")
 		}))
 		full := rg.server.loop.bodyBudget.Available()
 		for i := range 60 {
 			ctx, leave := context.WithTimeout(context.Background(), time.Duration(i)*100*time.Microsecond)
-			c, _ := rg.client()
-			if res, err := c.RoundTrip(rg.request("once", 5*time.Second).WithContext(ctx)); err == nil {
-				res.Body.Close()
-			}
+			_, _ = rg.roundTrip(rg.request("once", 5*time.Second).WithContext(ctx)) // it may come or not
 			leave()
 		}
 		rg.until("nothing is kept", func() (done bool) {
--- a/internal/standalone/endpoint_table.go
+++ b/internal/standalone/endpoint_table.go
@@ -77,7 +77,6 @@
 }
 
 // remove takes an endpoint out of the table and closes it to new attempts.
-// remove takes an endpoint that has gone out of the table.
 func (e *endpointTable) remove(endpoint *exchange.Endpoint) {
 	endpoint.Open.Store(false)
 	delete(e.byID, endpoint.ID)
@@ -143,8 +142,6 @@
 
 // startTime puts a start in Unix time, in milliseconds, on the event clock. It always gives the same for the same start: the
 // Balancer takes a later one for a restart. 0 stands for long past.
-// startTime puts a start in Unix time on the event clock. It always gives the same for the same start: the
-// Balancer takes a later one for a restart.
 func (e *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	m = open()
-	defer m.store.Close()
+	defer m.close()
 	if names, addresses := m.savedGroup(); !slices.Equal(names, []string{"front-0", "front-1"}) || !slices.Equal(addresses, []string{"10.0.4.7:7946"}) {
 		t.Errorf("the next life has %v at %v", names, addresses)
 	}
--- a/internal/standalone/hedging.go
+++ b/internal/standalone/hedging.go
@@ -33,7 +33,6 @@
 }
 
 // tighterLimit is the least of the limits that are set; 0 is none.
-// tighterLimit is the least of the bounds that are set; 0 for none.
 func tighterLimit(a, b int) int {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -42,7 +41,6 @@
 }
 
 // scheduleHedge has a request hedged when its first attempt has been in flight for as long as its route says.
-// scheduleHedge has a first attempt looked at again when it has been out for as long as its route says.
 func (l *loop) scheduleHedge(a *attempt) {
 	r := a.request
 	if a.number > 0 || r.hedge.primary != nil || !l.config.mayHedge(r) {
--- a/internal/standalone/hedging_test.go
+++ b/internal/standalone/hedging_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -24,7 +23,7 @@
 	for i := range 4 {
 		x := startEndpoint(t, fmt.Sprint("s-", i), func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/warm" {
-				fmt.Fprint(w, "ok")
+				write(w, "ok")
 				return
 			}
 			serve(i, w, r)
@@ -34,8 +33,8 @@
 	}
 	rg := start(t, 1024, targets...)
 	for range 120 {
-		if res := rg.reply(rg.at("read", "/warm")); res.StatusCode != http.StatusOK {
-			t.Fatal(res.Status)
+		if res := rg.reply(rg.at("read", "/warm")); res.status != http.StatusOK {
+			t.Fatal(res.status)
 		}
 	}
 	return rg
@@ -60,7 +59,7 @@
 				calledOff.Add(1)
 				return
 			}
-			fmt.Fprint(w, "ok")
+			write(w, "ok")
 		})
 		for _, class := range []string{"read", "book"} {
 			r := rg.at(class, "/x") // with time enough for a busy machine, where an answer is to come
@@ -68,7 +67,7 @@
 				r.Header.Set("X-Remaining", "600m")
 			}
 			id := r.Header.Get("X-Txn")
-			status := rg.reply(r).StatusCode
+			status := rg.reply(r).status
 			mu.Lock()
 			at := boxes[id]
 			mu.Unlock()
@@ -84,7 +83,7 @@
 		r := rg.at("once", "/x")
 		r.Header.Set("X-Remaining", "600m")
 		id := r.Header.Get("X-Txn")
-		status := rg.reply(r).StatusCode
+		status := rg.reply(r).status
 		mu.Lock()
 		if status != http.StatusBadGateway || len(boxes[id]) != 1 {
 			t.Errorf("unsafe: %d, at %v", status, boxes[id])
@@ -98,86 +97,116 @@
 	}
 }
 
+// meeting is a request and its copy, whose endpoints answer when both have come.
+type meeting struct {
+	mu    sync.Mutex
+	came  int
+	both  chan bool
+	kinds [2]string // how the first and the second end
+}
+
+// arrive takes an attempt, and returns how it ends; false where it is given up before the other has come.
+func (m *meeting) arrive(r *http.Request) (kind string, ok bool) {
+	m.mu.Lock()
+	i := m.came
+	m.came++
+	if m.came == 2 {
+		close(m.both)
+	}
+	m.mu.Unlock()
+	select {
+	case <-m.both:
+		return m.kinds[min(i, 1)], true
+	case <-r.Context().Done():
+		return "", false
+	}
+}
+
+// met tells whether both have come.
+func (m *meeting) met() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.came >= 2
+}
+
+// endAs ends an attempt in a way that is named.
+func endAs(kind string, w http.ResponseWriter) {
+	switch kind {
+	case "answer":
+		write(w, "ok")
+	case "fail":
+		w.WriteHeader(http.StatusInternalServerError)
+	case "turn away":
+		w.Header().Set("X-Turned-Away", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case "break":
+		closeConnection(w)
+	}
+}
+
+// meet sends a request of a class whose attempts end so, until it met its copy, and returns its status; false where they
+// did not meet.
+func (rg *rig) meet(class string, kinds [2]string, all *sync.Map) (status int, met bool) {
+	rg.t.Helper()
+	// There may be no copy: too few are saved up, or the first was turned elsewhere. Where 8 fail, their endpoints have lost
+	// their place, by the failures before.
+	for range 8 {
+		for range 25 { // so that the slow ones are few, and a copy is saved up
+			rg.reply(rg.at("read", "/warm"))
+		}
+		r := rg.at(class, "/x")
+		r.Header.Set("X-Remaining", "400m")
+		m := &meeting{both: make(chan bool), kinds: kinds}
+		all.Store(r.Header.Get("X-Txn"), m)
+		status = rg.reply(r).status
+		if m.met() {
+			return status, true
+		}
+	}
+	return 0, false
+}
+
 // A request and its copy that are answered at the same moment, fail, or are turned away, in any order: one final answer,
 // which is an answer if there is one, and promises nothing that is not so.
 func TestCopiesThatMeet(t *testing.T) {
-	type meeting struct {
-		mu    sync.Mutex
-		came  int
-		both  chan bool
-		kinds [2]string
-	}
 	var all sync.Map
-	rg := copying(t, true, "copy_share = 0.25\n", func(box int, w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // until then nobody would see that the caller has gone
+	rg := copying(t, true, "copy_share = 0.25\n", func(_ int, w http.ResponseWriter, r *http.Request) {
+		drain(r.Body) // until then nobody would see that the caller has gone
 		x, _ := all.Load(r.Header.Get("X-Txn"))
-		m := x.(*meeting)
-		m.mu.Lock()
-		i := m.came
-		if m.came++; m.came == 2 {
-			close(m.both)
-		}
-		m.mu.Unlock()
-		select {
-		case <-m.both: // both are here
-		case <-r.Context().Done():
-			return
-		}
-		switch kind := m.kinds[min(i, 1)]; kind {
-		case "answer":
-			fmt.Fprint(w, "ok")
-		case "fail":
-			w.WriteHeader(http.StatusInternalServerError)
-		case "turn away":
-			w.Header().Set("X-Turned-Away", "1")
-			w.WriteHeader(http.StatusServiceUnavailable)
-		case "break":
-			closeConnection(w)
+		if kind, ok := x.(*meeting).arrive(r); ok {
+			endAs(kind, w)
 		}
 	})
+	type pair struct{ class, a, b string }
 	kinds := []string{"answer", "fail", "turn away", "break"}
-	pairs := 0
-	for _, class := range []string{"read", "book"} {
-		for i, a := range kinds {
-			for _, b := range kinds[i:] { // who of the two comes first is by chance
-				if class == "read" && a != "answer" {
-					continue // it may be refused or failed, and both are true
-				}
-				met := false
-				for try := 0; !met; try++ { // there may be no copy: too few are saved up, or the first was turned elsewhere
-					if try == 8 {
-						break // their endpoints have lost their place, by the failures before
-					}
-					for range 25 { // so that the slow ones are few, and a copy is saved up
-						rg.reply(rg.at("read", "/warm"))
-					}
-					r := rg.at(class, "/x")
-					r.Header.Set("X-Remaining", "400m")
-					m := &meeting{both: make(chan bool), kinds: [2]string{a, b}}
-					all.Store(r.Header.Get("X-Txn"), m)
-					status := rg.reply(r).StatusCode
-					m.mu.Lock()
-					met = m.came >= 2
-					m.mu.Unlock()
-					if !met {
-						continue
-					}
-					pairs++
-					if a == "answer" && b == "answer" && status != http.StatusOK {
-						t.Errorf("%s, %s and %s: %d", class, a, b, status)
-					}
-					// Some attempt ran, or may have: what has a key must not be refused.
-					if ran := a != "turn away" || b != "turn away"; class == "book" && ran && status == http.StatusServiceUnavailable {
-						t.Errorf("%s, %s and %s: refused", class, a, b)
-					}
-				}
-			}
+	var pairs []pair
+	for _, b := range kinds {
+		pairs = append(pairs, pair{"read", "answer", b}) // others may be refused or failed, and both are true
+	}
+	for i, a := range kinds {
+		for _, b := range kinds[i:] { // who of the two comes first is by chance
+			pairs = append(pairs, pair{"book", a, b})
+		}
+	}
+	meetings := 0
+	for _, p := range pairs {
+		status, met := rg.meet(p.class, [2]string{p.a, p.b}, &all)
+		if !met {
+			continue
+		}
+		meetings++
+		if p.a == "answer" && p.b == "answer" && status != http.StatusOK {
+			t.Errorf("%s, %s and %s: %d", p.class, p.a, p.b, status)
+		}
+		// Some attempt ran, or may have: what has a key must not be refused.
+		if ran := p.a != "turn away" || p.b != "turn away"; p.class == "book" && ran && status == http.StatusServiceUnavailable {
+			t.Errorf("%s, %s and %s: refused", p.class, p.a, p.b)
 		}
 	}
-	if pairs < 7 {
-		t.Errorf("%d of 14 pairs met: too few to tell", pairs)
+	if meetings < 7 {
+		t.Errorf("%d of %d pairs met: too few to tell", meetings, len(pairs))
 	}
-	t.Logf("%d of 14 pairs met", pairs)
+	t.Logf("%d of %d pairs met", meetings, len(pairs))
 	rg.until("nothing is left", func() (empty bool) {
 		rg.inLoop(func() { empty = len(rg.server.loop.requests) == 0 })
 		return empty
@@ -187,14 +216,14 @@
 // When all endpoints are slow at once the share holds copies down.
 func TestCopiesAreHeldDown(t *testing.T) {
 	var came atomic.Int64
-	rg := copying(t, true, "copy_share = 0.1\n", func(box int, w http.ResponseWriter, r *http.Request) {
+	rg := copying(t, true, "copy_share = 0.1\n", func(_ int, w http.ResponseWriter, _ *http.Request) {
 		came.Add(1)
 		time.Sleep(20 * time.Millisecond)
-		fmt.Fprint(w, "ok")
+		write(w, "ok")
 	})
 	const asked = 200
 	for range asked {
-		if status := rg.reply(rg.at("read", "/x")).StatusCode; status != http.StatusOK {
+		if status := rg.reply(rg.at("read", "/x")).status; status != http.StatusOK {
 			t.Fatal(status)
 		}
 	}
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -69,7 +69,6 @@
 
 // altSvcHeader is the value of Alt-Svc that tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3); empty
 // where they are told nothing.
-// altSvcHeader tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3).
 func altSvcHeader(at net.Addr, lasts time.Duration) string {
 	udp, ok := at.(*net.UDPAddr)
 	if !ok || lasts <= 0 {
--- a/internal/standalone/load.go
+++ b/internal/standalone/load.go
@@ -22,14 +22,10 @@
 // LoadConfig reads the configuration file that BALANCER_CONFIG names.
 // BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY win over the file.
 // Its errors name the file and the field.
-// LoadConfig reads the configuration file that BALANCER_CONFIG names.
-// BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY win over the file.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	return LoadWith(getenv, Product{})
 }
 
-// LoadWith reads the product's file as well. Where BALANCER_CONFIG names a file, that wins: it is the platform's word. Without it the
-// product's file says all.
 // LoadWith reads the product's file as well. Where BALANCER_CONFIG names a file, that wins: it is the platform's word. Without it the
 // product's file says all.
 func LoadWith(getenv func(string) string, product Product) (*Config, error) {
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer closeNow(s)
 	pay := balancer.Class{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}
 	m := &memory{table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false}, classes: []balancer.Class{pay}, zones: nameIndex{}, diskTriedAt: time.Hour}
 	of := func(id string) *request {
--- a/internal/standalone/request.go
+++ b/internal/standalone/request.go
@@ -79,7 +79,6 @@
 	})
 }
 
-// capDeadline cuts the time of a request's further attempts; a zero time leaves it.
 // capDeadline cuts the time of a request's further attempts; a zero time leaves it.
 func (r *request) capDeadline(end time.Time) {
 	if !end.IsZero() && end.Before(r.deadline) {
--- a/internal/standalone/sources.go
+++ b/internal/standalone/sources.go
@@ -30,8 +30,6 @@
 
 // switchDiscovery turns to the discovery at another address. Its versions may count otherwise, so its complete list is
 // asked for, and nothing that the old one still says is heard. Until that comes, the list stays as it is.
-// switchDiscovery turns to the discovery at another address. Its versions may count otherwise, so its whole list is
-// asked for, and nothing that the old one still says is heard. Until that comes, the list stays as it is.
 func (l *loop) switchDiscovery(address, token string) {
 	l.watcher.stop()
 	l.watcher = newWatcher(address, token, l)
@@ -47,7 +45,6 @@
 	l.watcher.start(nil)
 }
 
-// handleList takes a list of the platform's in.
 // handleList takes a list of the platform's in.
 func (l *loop) handleList(got endpointList, from endpointsource.ListOrigin) {
 	l.handlePreparedList(got.prepare(from), from)
--- a/internal/standalone/transports.go
+++ b/internal/standalone/transports.go
@@ -62,5 +62,5 @@
 	}
 }
 
-// remove drops what is known of an endpoint that is listed no more.
+// forget drops what is known of an endpoint that is listed no more.
 func (t *transports) forget(e *exchange.Endpoint) { t.tracker.Forget(e.Address) }
