--- /dev/null
+++ b/internal/simadapter/example_test.go
@@ -0,0 +1,20 @@
+package simadapter_test
+
+import (
+	"fmt"
+	"os"
+	"strings"
+
+	"quincegap/internal/simadapter"
+)
+
+// A batch sets the clock; what is not known is noted and passed over.
+func ExampleRun() {
+	input := strings.NewReader("begin_batch 1000000\nsurprise 1\nover_to_you\nwake 3 7\n")
+	err := simadapter.Run(input, os.Stdout, os.Stdout)
+	fmt.Println(err)
+	// Output:
+	// balancer-sim: unknown event surprise passed over
+	// eor
+	// line 4: wake: field begin_batch: expected at the start of a batch
+}
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -16,9 +16,9 @@
 // cannot be read sets err; what is read after that is zero.
 type lineFields struct {
 	server  *server
-	name    string
-	rest    []byte
-	hasMore bool
+	name    string // of the line
+	rest    []byte // what was not taken yet
+	hasMore bool   // the line has not ended
 	err     error
 }
 
@@ -27,24 +27,42 @@
 	if !f.hasMore {
 		return nil
 	}
-	part, rest, more := bytes.Cut(f.rest, []byte{' '})
-	f.rest, f.hasMore = rest, more
-	return part
+	value, rest, more := bytes.Cut(f.rest, []byte{separator})
+	f.rest = rest
+	f.hasMore = more
+	return value
 }
 
+// fail keeps the first fault of a line.
 func (f *lineFields) fail(field, what string) {
 	if f.err == nil {
 		f.err = f.server.malformed(f.name, field, what)
 	}
 }
 
+// isAbsent reports whether a value stands for none.
+func isAbsent(value []byte) bool { return len(value) == 1 && value[0] == absent }
+
 // value takes a value that must be there.
 func (f *lineFields) value(field string) []byte {
-	p := f.next()
-	if f.err == nil && (len(p) == 0 || len(p) == 1 && p[0] == '-') {
+	value := f.next()
+	if f.err == nil && (len(value) == 0 || isAbsent(value)) {
+		f.fail(field, "missing")
+	}
+	return value
+}
+
+// optionalValue takes a value that may be absent, which gives nil; its field must be there.
+func (f *lineFields) optionalValue(field string) []byte {
+	value := f.next()
+	if len(value) == 0 {
 		f.fail(field, "missing")
+		return nil
+	}
+	if isAbsent(value) {
+		return nil
 	}
-	return p
+	return value
 }
 
 // number takes a whole number that must be there.
@@ -65,48 +83,37 @@
 
 // optional takes a whole number that may be absent, which counts as 0.
 func (f *lineFields) optional(field string) int64 {
-	p := f.next()
-	if len(p) == 1 && p[0] == '-' {
-		return 0
-	}
-	if len(p) == 0 {
-		f.fail(field, "missing")
+	value := f.optionalValue(field)
+	if value == nil {
 		return 0
 	}
-	return f.integer(field, p)
+	return f.integer(field, value)
 }
 
 // optionalText takes a text that may be absent.
-func (f *lineFields) optionalText() string {
-	p := f.next()
-	if len(p) == 0 {
-		f.fail("affinity", "missing")
-	}
-	if len(p) == 1 && p[0] == '-' {
-		return ""
-	}
-	return string(p)
-}
+func (f *lineFields) optionalText(field string) string { return string(f.optionalValue(field)) }
 
+// float takes a number that must be there.
 func (f *lineFields) float(field string) float64 {
-	p := f.value(field)
+	value := f.value(field)
 	if f.err != nil {
 		return 0
 	}
-	v, err := strconv.ParseFloat(string(p), 64)
+	v, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(field, fmt.Sprintf("%q is not a number", p))
+		f.fail(field, fmt.Sprintf("%q is not a number", value))
 		return 0
 	}
 	return v
 }
 
+// time takes a time in microseconds.
 func (f *lineFields) time(field string) time.Duration { return settings.Micros(f.number(field)) }
 
-func (f *lineFields) id(field string) balancer.RequestID {
-	return balancer.RequestID(f.value(field))
-}
+// requestID takes the id of a request.
+func (f *lineFields) requestID() balancer.RequestID { return balancer.RequestID(f.value("corr")) }
 
+// endpoint takes the id of an endpoint.
 func (f *lineFields) endpoint() balancer.EndpointID {
 	n := f.number("endpoint")
 	if f.err == nil && (n < 0 || n > math.MaxUint32) {
@@ -115,6 +122,7 @@
 	return balancer.EndpointID(n)
 }
 
+// flag takes 0 or 1.
 func (f *lineFields) flag(field string) bool {
 	n := f.number(field)
 	if f.err == nil && n != 0 && n != 1 {
@@ -123,70 +131,48 @@
 	return n == 1
 }
 
+// status takes the outcome of an attempt or a health check.
 func (f *lineFields) status() balancer.Status {
-	switch n := f.number("ending"); n {
-	case 100:
-		return balancer.StatusOK
-	case 301:
-		return balancer.StatusError
-	case 302:
-		return balancer.StatusRejected
-	case 303:
-		return balancer.StatusTimeout
-	case 304:
-		return balancer.StatusConnectFailed
-	case 305:
-		return balancer.StatusReset
-	case 306:
-		return balancer.StatusCancelled
-	case 307:
-		return balancer.StatusNotSent
-	default:
+	n := f.number("ending")
+	status, known := statuses[n]
+	if !known {
 		f.fail("ending", fmt.Sprintf("unknown outcome %d", n))
 		return balancer.StatusError
 	}
+	return status
 }
 
+// state takes the state of an endpoint.
 func (f *lineFields) state() balancer.EndpointState {
-	switch n := f.number("mode"); n {
-	case 2:
-		return balancer.EndpointReady
-	case 0:
-		return balancer.EndpointDraining
-	case 1:
-		return balancer.EndpointRemoved
-	default:
+	n := f.number("mode")
+	state, known := states[n]
+	if !known {
 		f.fail("mode", fmt.Sprintf("unknown state %d", n))
 		return balancer.EndpointRemoved
 	}
+	return state
 }
 
 // load reads a load report; nil where there is none.
 func (f *lineFields) load() *balancer.Load {
-	p := f.next()
-	if len(p) == 0 {
-		f.fail("pressure", "missing")
+	value := f.optionalValue("pressure")
+	if value == nil || f.err != nil {
 		return nil
 	}
-	if len(p) == 1 && p[0] == '-' || f.err != nil {
-		return nil
-	}
-	l, err := settings.ParseLoad(string(p), ":")
+	report, err := settings.ParseLoad(string(value), ":")
 	if err != nil {
 		f.fail("pressure", err.Error())
 	}
-	return l
+	return report
 }
 
+// bytes takes data in base64; nil where there is none.
 func (f *lineFields) bytes() []byte {
-	p := f.next()
-	if len(p) == 0 {
-		f.fail("data", "missing")
-	}
-	if len(p) == 1 && p[0] == '-' || f.err != nil {
+	value := f.optionalValue("data")
+	if value == nil || f.err != nil {
 		return nil
 	}
-	data, err := base64.StdEncoding.DecodeString(string(p))
+	data, err := base64.StdEncoding.DecodeString(string(value))
 	if err != nil {
 		f.fail("data", "not base64")
 	}
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -15,7 +15,7 @@
 	`"services":[{"name":"a","aim":1000000,"deadline":2000000,"gain":1,"lateValue":0,"effect":"read_like",` +
 	`"keyScope":"all","window":0,"streamed":false}]}`
 
-// serveBatch wraps events in a batch at the given clock.
+// batch wraps events in a batch at the given clock.
 func batch(clock string, events ...string) string {
 	return "begin_batch " + clock + "\n" + strings.Join(append(events, "over_to_you"), "\n") + "\n"
 }
@@ -135,7 +135,9 @@
 	}
 	s.instances[3].guard(func(*balancer.Balancer) { panic("lost\ncount") })
 	s.instances[3].guard(func(*balancer.Balancer) { t.Error("an instance that failed gets events") })
-	s.out.Flush()
+	if err := s.out.Flush(); err != nil {
+		t.Fatal(err)
+	}
 	if want := "eor\ncrash 3 lost count\n"; o.String() != want {
 		t.Errorf("got %q, want %q", o.String(), want)
 	}
