--- /dev/null
+++ b/internal/network/exchange/headers.go
@@ -0,0 +1,25 @@
+package exchange
+
+import (
+	"net/http"
+	"slices"
+	"strings"
+)
+
+// hopByHop are the headers that belong to one connection (RFC 9110, section 7.6.1).
+var hopByHop = []string{
+	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
+	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
+}
+
+// RemoveHopByHop takes those out that belong to one connection, also by the word of Connection itself.
+func RemoveHopByHop(h http.Header) {
+	for _, line := range slices.Clone(h["Connection"]) {
+		for name := range strings.SplitSeq(line, ",") {
+			h.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range hopByHop {
+		h.Del(name)
+	}
+}
