--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,4 +1,5 @@
-// Command controlplane is the mesh's core process: it keeps the operator's word on disk with its peers, and takes it to every part.
+// Command controlplane is the mesh's process on a core machine: with its peers it replicates the operators' configuration on disk, and
+// distributes it to every process. Package assembly builds it.
 package main
 
 import (
@@ -12,12 +13,13 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
+// options are the command line.
 var options struct {
 	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
 }
 
 func main() {
-	signals := lifecycle.Catch()
+	signals := lifecycle.Catch() // before anything else: a signal that comes earlier ends the process at once
 	kong.Parse(&options, kong.Name("controlplane"), kong.Description("The mesh's core process, which keeps the configuration."),
 		kong.Vars{"variable": settings.EnvironmentVariable})
 	if err := assembly.RunControlPlane(options.Settings, signals); err != nil {
