--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -6,7 +6,7 @@
 )
 
 // CancelRequestsOnDone serves by a handler whose requests' contexts also end when ending does. http.Server.Shutdown waits for requests
-// that are being served, and tells their handlers nothing: one that streams until its client leaves has to be told.
+// that are being served, and does not notify their handlers: one that streams until its client disconnects needs it.
 func CancelRequestsOnDone(ending context.Context, handler http.Handler) http.Handler {
 	//nolint:contextcheck // a request's context derives from the request; ending only cancels it
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/mesh/assembly/controlplane_shutdown.go
+++ b/internal/mesh/assembly/controlplane_shutdown.go
@@ -48,7 +48,7 @@
 	c.hub.Drain(c.hub.Now() + min(drainTimeout, grace/drainDivisor))
 }
 
-// closeServerWithin closes the replicated configuration, and leaves it to the end of the process if its disk hangs.
+// closeServerWithin closes the replicated configuration, and goes on without it if its disk hangs: the end of the process closes it.
 func (c *controlPlane) closeServerWithin(limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/mesh/assembly/doc.go
+++ b/internal/mesh/assembly/doc.go
@@ -6,7 +6,7 @@
 //	process        settings, log, hub of links, HTTP servers, background tasks; both programs have one
 //	sidecar        the data plane: inbound (requests to the endpoint here), outbound (requests of clients and of the endpoint here),
 //	               agent (membership, endpoint lists, configuration), quota client
-//	localEndpoint  which life of the endpoint beside a sidecar is current, and which IDs have ended
+//	localEndpoint  which endpoint ID beside a sidecar is current, and which have ended
 //	controlPlane   the replicated configuration (controlplane.Server), agent, singleton roles
 //
 // Everything that one of them has started, it ends: a process's tasks run until close, which waits for them.
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -91,7 +91,7 @@
 	l.pending[p.stream] = p
 	l.enqueue(p)
 	if len(l.pending) == 1 {
-		l.liveness.lastReceivedAt = now // the peer owes a sign of life from now on, not since its last frame
+		l.liveness.lastReceivedAt = now // the peer has to answer from now on, not from its last frame on
 	}
 	l.wakeWriter()
 	return true
--- a/internal/mesh/transport/connect.go
+++ b/internal/mesh/transport/connect.go
@@ -75,7 +75,7 @@
 }
 
 // Drain ends all links in order, at the given time of the process's clock at the latest, and closes the hub: it accepts no more links,
-// tells each peer that this process is draining, and waits until the peers have their replies and have closed their links. So no call
+// notifies each peer that this process is draining, and waits until the peers have their replies and have closed their links. So no call
 // is lost on its way here.
 func (h *Hub) Drain(until time.Duration) {
 	h.stopListening()
--- a/internal/mesh/transport/doc.go
+++ b/internal/mesh/transport/doc.go
@@ -1,7 +1,7 @@
 // Package transport carries calls between the processes of the mesh.
 //
 // A Hub is a process's end of all its links. A Link is one TCP connection to one peer and multiplexes calls: the side that dialled
-// calls, the side that accepted replies, and each call gets one reply. Calls are told apart by a stream number, which a link never
+// calls, the side that accepted replies, and each call gets one reply. Calls are identified by a stream number, which a link never
 // uses twice. Two processes that call each other have two links.
 //
 // # Frames
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -55,7 +55,7 @@
 	liveness  liveness
 	peerClock peerClock
 
-	leavingSince time.Duration // when this draining process told its peer so; 0 for not
+	leavingSince time.Duration // when this draining process notified its peer; 0 for not yet
 	writeClosed  bool          // the sending half of the connection is closed
 }
 
@@ -103,15 +103,15 @@
 // run: no call goes there before the process's hello, so that none can begin when it resumes. The lock is held.
 func (l *Link) mayCall() bool { return l.peerGreeted || !l.dialled }
 
-// unanswered is what a link leaves behind when it ends.
+// unanswered is what a link has without a reply when it ends.
 type unanswered struct {
 	conn     net.Conn // nil if there was none yet
 	pending  map[uint64]*PendingCall
 	incoming map[uint64]*IncomingCall
 }
 
-// fail ends the link, once: its calls without a reply end with a ConnectionError, and handlers of the peer's calls are told that these
-// are cancelled. The lock is not held.
+// fail ends the link, once: its calls without a reply end with a ConnectionError, and the peer's calls are cancelled for their
+// handlers. The lock is not held.
 func (l *Link) fail(reason string) {
 	left, ok := l.close(reason)
 	if !ok {
@@ -119,7 +119,7 @@
 	}
 	if left.conn != nil {
 		if tcp, ok := left.conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // what has not arrived yet never shall: no call may begin after its caller was told that it is lost
+			_ = tcp.SetLinger(0) // what has not arrived yet never does: no call may begin once its caller counts it as lost
 		}
 		l.hub.closeConn(left.conn, l.peer)
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-// drain tells the peer of an accepted link that this process is draining, and reports whether the link has ended. The peer closes it
+// drain notifies the peer of an accepted link that this process is draining, and reports whether the link has ended. The peer closes it
 // once it has all its replies; if it does not, this side closes its sending half after the last reply. It is called every
 // drainPollInterval.
 func (l *Link) drain(now time.Duration) (ended bool) {
--- a/internal/mesh/transport/liveness.go
+++ b/internal/mesh/transport/liveness.go
@@ -63,7 +63,7 @@
 // checkInterval.
 func (l *Link) checkLiveness(now time.Duration) {
 	l.endIfRetired()
-	pinged, failure := l.probe(now)
+	pinged, failure := l.pingIfDue(now)
 	if pinged {
 		l.wakeWriter()
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// probe queues a ping if one is due. failure is why the peer counts as lost; empty if it does not.
-func (l *Link) probe(now time.Duration) (pinged bool, failure string) {
+// pingIfDue queues a ping if one is due. failure is why the peer counts as lost; empty if it does not.
+func (l *Link) pingIfDue(now time.Duration) (pinged bool, failure string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	suspended := l.liveness.resumed(now)
--- a/internal/mesh/transport/reader.go
+++ b/internal/mesh/transport/reader.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// isConnectionEnd tells an error of the connection from one of what was read on it.
+// isConnectionEnd reports whether err is of the connection, not of what was read on it.
 func isConnectionEnd(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.As(err, &network)
@@ -118,7 +118,7 @@
 	l.wakeWriter()
 }
 
-// handleCancel cancels a call of the peer. A call of which chunks are missing is forgotten; the handler of a complete one is told.
+// handleCancel cancels a call of the peer. A call of which chunks are missing is forgotten; the handler of a complete one is notified.
 func (l *Link) handleCancel(e *envelope) {
 	if call := l.dropPartial(e.stream); call != nil {
 		call.cancel()
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -156,10 +156,10 @@
 func (l *Link) appendLargeMessages(buf []byte, now time.Duration) (_ []byte, wait time.Duration) {
 	for n := l.queue.large.Len(); n > 0 && len(buf) < maxWriteBytes; n-- {
 		t := l.queue.large.Front().progress().transfer
-		size, pause := l.hub.shaper.reserve(now, t)
-		if pause > 0 {
-			if wait == 0 || pause < wait {
-				wait = pause
+		size, delay := l.hub.shaper.reserve(now, t)
+		if delay > 0 {
+			if wait == 0 || delay < wait {
+				wait = delay
 			}
 			l.queue.large.Rotate(1)
 			continue
