--- a/internal/files/store/crash_test.go
+++ b/internal/files/store/crash_test.go
@@ -101,6 +101,59 @@
 	}
 }
 
+// A run of batches cut at every single byte: of each batch all records are there or none.
+func TestBatchCutAtEveryByte(t *testing.T) {
+	const batches, perBatch = 5, 3
+	o := store.Options{Clock: newClock().now}
+	d := disk.New()
+	s := open(t, d, o)
+	for i := range batches {
+		var b store.Batch
+		for j := range perBatch {
+			b.Put(fmt.Appendf(nil, "%d-%d", i, j), []byte("value"), 0)
+		}
+		check(t, s.ApplyAndWait(b))
+	}
+	closeStore(t, s)
+	for u := range d.Units() + 1 {
+		s := open(t, d.CutAt(u), o)
+		got := content(t, s)
+		closeStore(t, s)
+		for i := range batches {
+			found := 0
+			for j := range perBatch {
+				if _, ok := got[fmt.Sprintf("%d-%d", i, j)]; ok {
+					found++
+				}
+			}
+			if found != 0 && found != perBatch {
+				t.Fatalf("cut after %d: %d of the %d records of batch %d", u, found, perBatch, i)
+			}
+		}
+	}
+}
+
+// A record whose write was reported as failed is not believed, though it is complete in the file when the process restarts.
+func TestFailedWriteIsNotBelieved(t *testing.T) {
+	c := newClock()
+	o := store.Options{Clock: c.now, MinBackoff: time.Millisecond}
+	d := disk.New()
+	s := open(t, d, o)
+	put(t, s, "a", "1")
+	d.FailSyncs(1)
+	if err := s.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
+		t.Fatalf("the sync failed, and the error is %v", err)
+	}
+	c.pass(time.Second)
+	put(t, s, "c", "3")
+	crash(s, d)
+	s = open(t, d.AfterCrash(), o)
+	if got := content(t, s); !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
+		t.Errorf("%v", got)
+	}
+	closeStore(t, s)
+}
+
 // The power goes at each call that changes something, with anything left of what was not synced; then again while
 // the store recovers.
 func TestPowerLostAtEveryOperation(t *testing.T) {
--- a/internal/files/store/damage_test.go
+++ b/internal/files/store/damage_test.go
@@ -74,6 +74,28 @@
 	closeStore(t, s)
 }
 
+// A value that holds a copy of the store's own frames is not taken for records where the frame around it is damaged.
+func TestFramesInAValue(t *testing.T) {
+	const segment = "0000000000000001.seg"
+	o := store.Options{Clock: newClock().now}
+	d := disk.New()
+	s := open(t, d, o)
+	put(t, s, "deleted", "1")
+	copied := readRaw(t, d, segment, d.Files()[segment])
+	check(t, s.Delete([]byte("deleted")))
+	before := d.Files()[segment]
+	put(t, s, "copy", string(copied))
+	put(t, s, "after", "2") // so that the copy is known to have been durable
+	const groupFrame = 33   // bytes; the frame of the record follows
+	d = d.AfterCrash()
+	d.FlipBit(segment, 8*(before+groupFrame+4)) // in its checksum
+	s = open(t, d, o)
+	if got := content(t, s); len(got) != 1 || got["after"] != "2" {
+		t.Errorf("believes %v", got)
+	}
+	closeStore(t, s)
+}
+
 // fillDir writes records into a store in several segments, and returns their files.
 func fillDir(t *testing.T, dir string, o store.Options, records int) []string {
 	t.Helper()
--- a/internal/files/store/expiry_test.go
+++ b/internal/files/store/expiry_test.go
@@ -74,6 +74,27 @@
 	closeStore(t, s)
 }
 
+// A record that has expired goes on hiding the one that it superseded in another segment, also where nothing else in its own
+// segment is live.
+func TestExpiredRecordHidesOlder(t *testing.T) {
+	c := newClock()
+	o := store.Options{Clock: c.now}
+	d := disk.New()
+	s := open(t, d, o)
+	check(t, s.Put([]byte("k"), []byte("older"), time.Hour))
+	put(t, s, "other", "keeps the first segment")
+	closeStore(t, s) // which seals the segment
+	s = open(t, d, o)
+	check(t, s.Put([]byte("k"), []byte("newer"), time.Second))
+	closeStore(t, s)
+	c.pass(10 * time.Second)
+	s = open(t, d, o)
+	if got := content(t, s); len(got) != 1 || got["k"] != "" {
+		t.Errorf("%v", got)
+	}
+	closeStore(t, s)
+}
+
 // A key that is written again and again takes no more room than once.
 func TestOneKeyForEver(t *testing.T) {
 	c := newClock()
