--- a/internal/files/store/doc.go
+++ b/internal/files/store/doc.go
@@ -1,7 +1,7 @@
 // Package store is a key-value store on a disk. A write that it has acknowledged is there after a crash of the process or a
 // loss of power. It is a log in segments, with an index in memory and compaction. One process opens a store at a time; within
-// it any number of goroutines read and write. docs/store-design.md says why it is built so, docs/store-format.md what is on
-// the disk.
+// it any number of goroutines read and write. docs/design/store.md says why it is built so, docs/design/store-format.md what
+// is on the disk.
 //
 // # Writing
 //
--- a/internal/files/store/header.go
+++ b/internal/files/store/header.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// The format on disk; docs/store-format.md describes it. All numbers are little endian.
+// The format on disk; docs/design/store-format.md describes it. All numbers are little endian.
 
 // Version is the format that this package writes. It reads this one and those before it.
 const Version = 1
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -115,7 +115,7 @@
 }
 
 // Get returns the value that was last made durable for a key, and after what time it expires; false where there is none. An
-// error says that there is one which cannot be read.
+// error says that there is one which cannot be read. For a record that never expires, timeLeft means nothing.
 func (s *Store) Get(key []byte) (value []byte, timeLeft time.Duration, ok bool, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
