--- a/cmd/quincegap/main.go
+++ b/cmd/quincegap/main.go
@@ -22,7 +22,7 @@
 		fmt.Fprintf(os.Stderr, "quincegap: unknown argument %q; settings come from -config FILE and the environment\n", flag.Arg(0))
 		os.Exit(2)
 	}
-	config, err := product.Sidecar(*file, os.Getenv)
+	config, err := product.SidecarConfig(*file, os.Getenv)
 	if err == nil {
 		err = standalone.Run(config, signals.Terminate, signals.Reload)
 	}
--- a/internal/config/appfile/lists.go
+++ b/internal/config/appfile/lists.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// List is the parts of a value that are divided by commas, without the white space round them.
-func List(text string) (all []string) {
+// SplitList is the parts of a value that are divided by commas, without the white space round them.
+func SplitList(text string) (all []string) {
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
 			all = append(all, part)
@@ -16,10 +16,10 @@
 	return all
 }
 
-// BadAddresses says why a text is no list of one to so many host:port, or "".
-func BadAddresses(most int) func(text string) string {
+// AddressListFault says why a text is no list of one to so many host:port, or "".
+func AddressListFault(most int) func(text string) string {
 	return func(text string) string {
-		all := List(text)
+		all := SplitList(text)
 		if len(all) == 0 || len(all) > most {
 			return fmt.Sprintf("names no address, or more than %d", most)
 		}
@@ -32,8 +32,8 @@
 	}
 }
 
-// BadService says why a text is no name of a service in a catalogue, or "".
-func BadService(text string) string {
+// ServiceNameFault says why a text is no name of a service in a catalogue, or "".
+func ServiceNameFault(text string) string {
 	if strings.ContainsAny(text, "/?#% \"`\\") || len(text) > 128 {
 		return "is no name of a service"
 	}
--- a/internal/config/apps/addresses_test.go
+++ b/internal/config/apps/addresses_test.go
@@ -38,10 +38,10 @@
 		{"discovery", "127.0.0.1:80", "consul", "127.0.0.1:80", false}, // one agent may answer both
 		{"sidecar", "front.example.org:80", "discovery", "Front.example.org.:80", true},
 	} {
-		a, okA := newUse(key(x.a), x.at)
-		b, okB := newUse(key(x.b), x.bt)
-		wrong := okA && okB && a.meets(b) && clash(a, b, "") != ""
-		mirrored := okA && okB && b.meets(a) && clash(b, a, "") != ""
+		a, okA := newAddressUse(key(x.a), x.at)
+		b, okB := newAddressUse(key(x.b), x.bt)
+		wrong := okA && okB && a.overlaps(b) && conflict(a, b, "") != ""
+		mirrored := okA && okB && b.overlaps(a) && conflict(b, a, "") != ""
 		if wrong != x.wrong || mirrored != x.wrong {
 			t.Errorf("%s %s and %s %s: %v, %v", x.a, x.at, x.b, x.bt, wrong, mirrored)
 		}
--- a/internal/config/apps/check.go
+++ b/internal/config/apps/check.go
@@ -15,55 +15,57 @@
 // Check checks the applications of apps.toml against one another.
 func (m *Model) Check(found *finding.List) {
 	for _, a := range m.Apps {
-		Addresses(a.File, found)
+		CheckAddresses(a.File, found)
 	}
-	Check(m.Apps, ChainTable.In(m.Frame), HostTable.All(m.Frame), m.Frame, found)
+	Check(m.Apps, ChainTable.In(m.Installation), HostTable.All(m.Installation), m.Installation, found)
 }
 
 // Check checks applications against one another. Each is expected to be sound by itself. It takes time in
 // proportion to the applications and their calls.
 func Check(apps []*App, chain *Chain, hosts []schema.Named[Host], frame *schema.File, found *finding.List) {
 	g := newGraph(apps, found)
-	g.addresses()
-	g.edges()
-	g.rings()
-	g.attempts(chain, frame)
-	g.tiers(chain, frame)
-	g.hosts(hosts, frame)
+	g.checkAddresses()
+	g.linkCalls()
+	g.findComponents()
+	g.checkAttempts(chain, frame)
+	g.checkTiers(chain, frame)
+	g.checkHosts(hosts, frame)
 }
 
 // node is an application in the graph of calls.
 type node struct {
 	*App
-	sidecar *appfile.Sidecar
-	out     []*edge
-	ring    int // the number of its strongly connected component
-	inRing  bool
+	sidecar   *appfile.Sidecar
+	calls     []*edge
+	component int // the number of its strongly connected component
+	cyclic    bool
 }
 
 // edge is a call.
 type edge struct {
-	from, to *node
-	name     string
-	call     *appfile.Call
-	own      *appfile.Class // that makes the call
-	other    *appfile.Class // that it has there
-	as       string
+	from, to        *node
+	name            string
+	call            *appfile.Call
+	callerClass     *appfile.Class // that makes the call
+	targetClass     *appfile.Class // that it has there
+	targetClassName string
 }
 
-// at is where the edge sets a key.
-func (e *edge) at(key string) schema.Place { return e.from.File.Place("calls", e.name, key) }
+// location is where the edge sets a key.
+func (e *edge) location(key string) schema.Location {
+	return e.from.File.Location("calls", e.name, key)
+}
 
 func (e *edge) report(found *finding.List, key, format string, args ...any) {
-	at := e.at(key)
+	at := e.location(key)
 	found.Add(at.File, at.Pos, "%s", fmt.Sprintf("calls.%s.%s: ", e.name, key)+fmt.Sprintf(format, args...))
 }
 
 type graph struct {
-	nodes  []*node
-	byName map[string]*node
-	found  *finding.List
-	order  [][]*node // strongly connected components, callers first
+	nodes      []*node
+	byName     map[string]*node
+	found      *finding.List
+	components [][]*node // strongly connected components, callers first
 }
 
 func newGraph(apps []*App, found *finding.List) *graph {
@@ -71,7 +73,7 @@
 	for _, a := range apps {
 		n := &node{App: a, sidecar: appfile.SidecarTable.In(a.File)}
 		if other := g.byName[a.Name]; other != nil {
-			found.Add(a.Place.File, a.Place.Pos, "application %s stands twice: first in %s", a.Name, other.Place)
+			found.Add(a.Location.File, a.Location.Pos, "application %s stands twice: first in %s", a.Name, other.Location)
 			continue
 		}
 		g.nodes = append(g.nodes, n)
@@ -80,8 +82,8 @@
 	return g
 }
 
-// edges finds the calls, and checks each against the classes on both of its ends.
-func (g *graph) edges() {
+// linkCalls finds the calls, and checks each against the classes on both of its ends.
+func (g *graph) linkCalls() {
 	names := make([]string, 0, len(g.nodes))
 	for _, n := range g.nodes {
 		names = append(names, n.Name)
@@ -90,68 +92,68 @@
 	looked := 0
 	for _, n := range g.nodes {
 		for _, c := range appfile.CallsTable.All(n.File) {
-			e := &edge{from: n, name: c.Name, call: c.Value, as: cmp.Or(c.Value.As, c.Value.Class)}
-			e.to, e.own = g.byName[c.Value.To], appfile.ClassTable.Get(n.File, c.Value.Class)
+			e := &edge{from: n, name: c.Name, call: c.Value, targetClassName: cmp.Or(c.Value.AsClass, c.Value.Class)}
+			e.to, e.callerClass = g.byName[c.Value.To], appfile.ClassTable.Get(n.File, c.Value.Class)
 			if e.to == nil {
 				var near []string
 				if looked += len(names); looked <= max(nearMost, len(names)) {
 					near = names
 				}
-				e.report(g.found, "to", "%s", finding.Unknown("application", c.Value.To, near))
+				e.report(g.found, "to", "%s", finding.UnknownName("application", c.Value.To, near))
 				continue
 			}
-			if e.own == nil {
+			if e.callerClass == nil {
 				continue // found in the file by itself
 			}
-			if e.other = appfile.ClassTable.Get(e.to.File, e.as); e.other == nil {
+			if e.targetClass = appfile.ClassTable.Get(e.to.File, e.targetClassName); e.targetClass == nil {
 				var classes []string
 				for _, k := range appfile.ClassTable.All(e.to.File) {
 					classes = append(classes, k.Name)
 				}
 				key := "as_class"
-				if c.Value.As == "" {
+				if c.Value.AsClass == "" {
 					key = "for_class"
 				}
-				e.report(g.found, key, "%s at %s", finding.Unknown("class", e.as, classes), e.to.Name)
+				e.report(g.found, key, "%s at %s", finding.UnknownName("class", e.targetClassName, classes), e.to.Name)
 				continue
 			}
-			n.out = append(n.out, e)
-			g.hop(e)
+			n.calls = append(n.calls, e)
+			g.checkCall(e)
 		}
 	}
 }
 
-// strict orders effects by how little may be repeated.
-var strict = map[balancer.Idempotency]int{balancer.Idempotent: 0, balancer.IdempotentWithKey: 1, balancer.NonIdempotent: 2}
+// idempotencyRank orders effects by how little may be repeated.
+var idempotencyRank = map[balancer.Idempotency]int{balancer.Idempotent: 0, balancer.IdempotentWithKey: 1, balancer.NonIdempotent: 2}
 
-// hop checks one call.
-func (g *graph) hop(e *edge) {
-	there := func(key string) schema.Place { return e.to.File.Place("class", e.as, key) }
+// checkCall checks one call.
+func (g *graph) checkCall(e *edge) {
+	there := func(key string) schema.Location { return e.to.File.Location("class", e.targetClassName, key) }
 	format := schema.FormatDuration
-	if e.other.Deadline > e.call.Timeout {
+	if e.targetClass.Deadline > e.call.Timeout {
 		e.report(g.found, "timeout", "%s does not cover the deadline of class %s at %s, %s (%s): it would work on for a caller that has gone",
-			format(e.call.Timeout), e.as, e.to.Name, format(e.other.Deadline), there("deadline"))
+			format(e.call.Timeout), e.targetClassName, e.to.Name, format(e.targetClass.Deadline), there("deadline"))
 	}
-	if n := e.call.PerRequest; n > 1 && int64(n) > int64(e.own.Deadline)/max(1, int64(e.other.Aim)) {
+	if n := e.call.PerRequest; n > 1 && int64(n) > int64(e.callerClass.Deadline)/max(1, int64(e.targetClass.LatencyTarget)) {
 		e.report(g.found, "per_request", "%d calls one after another, of %s each when all goes well (%s), do not fit into the deadline of class %s, %s (%s)",
-			n, format(e.other.Aim), there("aim"), e.call.Class, format(e.own.Deadline), e.from.File.Place("class", e.call.Class, "deadline"))
+			n, format(e.targetClass.LatencyTarget), there("aim"), e.call.Class, format(e.callerClass.Deadline), e.from.File.Location("class", e.call.Class, "deadline"))
 	}
 	switch {
-	case strict[e.other.Effect] > strict[e.own.Effect]:
+	case idempotencyRank[e.targetClass.Idempotency] > idempotencyRank[e.callerClass.Idempotency]:
 		e.report(g.found, "for_class", "class %s is %s (%s) and may go out again, but class %s at %s is %s (%s): it would be called again with it",
-			e.call.Class, e.own.Effect, e.from.File.Place("class", e.call.Class, "effect"), e.as, e.to.Name, e.other.Effect, there("effect"))
-	case e.as == e.call.Class && e.other.Effect != e.own.Effect:
+			e.call.Class, e.callerClass.Idempotency, e.from.File.Location("class", e.call.Class, "effect"), e.targetClassName, e.to.Name, e.targetClass.Idempotency, there("effect"))
+	case e.targetClassName == e.call.Class && e.targetClass.Idempotency != e.callerClass.Idempotency:
 		e.report(g.found, "for_class", "class %s is %s here (%s) but %s at %s (%s): one name, two effects",
-			e.as, e.own.Effect, e.from.File.Place("class", e.call.Class, "effect"), e.other.Effect, e.to.Name, there("effect"))
-	case e.other.Effect == balancer.IdempotentWithKey && e.own.Effect == balancer.IdempotentWithKey && e.other.KeyWindow < e.own.Deadline:
+			e.targetClassName, e.callerClass.Idempotency, e.from.File.Location("class", e.call.Class, "effect"), e.targetClass.Idempotency, e.to.Name, there("effect"))
+	case e.targetClass.Idempotency == balancer.IdempotentWithKey && e.callerClass.Idempotency == balancer.IdempotentWithKey && e.targetClass.KeyWindow < e.callerClass.Deadline:
 		e.report(g.found, "timeout", "class %s at %s drops repeats for %s (%s), but class %s here goes out again for up to %s (%s): a late one would run twice",
-			e.as, e.to.Name, format(e.other.KeyWindow), there("key_window"), e.call.Class, format(e.own.Deadline), e.from.File.Place("class", e.call.Class, "deadline"))
+			e.targetClassName, e.to.Name, format(e.targetClass.KeyWindow), there("key_window"), e.call.Class, format(e.callerClass.Deadline), e.from.File.Location("class", e.call.Class, "deadline"))
 	}
 }
 
-// rings finds applications that call each other, in one step or several (Tarjan's strongly connected
+// findComponents finds applications that call each other, in one step or several (Tarjan's strongly connected
 // components, without recursion), and checks that every call of a ring says so.
-func (g *graph) rings() {
+func (g *graph) findComponents() {
 	type frame struct {
 		n    *node
 		next int
@@ -172,8 +174,8 @@
 				stack = append(stack, f.n)
 				onStack[f.n] = true
 			}
-			if f.next < len(f.n.out) {
-				to := f.n.out[f.next].to
+			if f.next < len(f.n.calls) {
+				to := f.n.calls[f.next].to
 				f.next++
 				if index[to] == 0 {
 					work = append(work, frame{n: to})
@@ -197,28 +199,28 @@
 				stack = stack[:at]
 				for _, m := range part {
 					onStack[m] = false
-					m.ring = len(g.order)
+					m.component = len(g.components)
 				}
-				g.order = append(g.order, part)
+				g.components = append(g.components, part)
 			}
 		}
 	}
-	slices.Reverse(g.order) // Tarjan's comes callees first
-	for i, part := range g.order {
+	slices.Reverse(g.components) // Tarjan's comes callees first
+	for i, part := range g.components {
 		for _, n := range part {
-			n.ring = i
+			n.component = i
 		}
 	}
-	for _, part := range g.order {
-		g.ring(part)
+	for _, part := range g.components {
+		g.checkComponent(part)
 	}
 }
 
-// inside are the calls of a component that stay in it.
-func inside(part []*node) (all []*edge) {
+// internalCalls are the calls of a component that stay in it.
+func internalCalls(part []*node) (all []*edge) {
 	for _, n := range part {
-		for _, e := range n.out {
-			if e.to.ring == n.ring {
+		for _, e := range n.calls {
+			if e.to.component == n.component {
 				all = append(all, e)
 			}
 		}
@@ -226,13 +228,13 @@
 	return all
 }
 
-// spelledOut bounds the rings of a component that are told step by step: each costs a search.
-const spelledOut = 10
+// maxCyclesSpelledOut bounds the rings of a component that are told step by step: each costs a search.
+const maxCyclesSpelledOut = 10
 
-func (g *graph) ring(part []*node) {
-	calls := inside(part)
+func (g *graph) checkComponent(part []*node) {
+	calls := internalCalls(part)
 	if len(calls) == 0 {
-		for _, e := range part[0].out {
+		for _, e := range part[0].calls {
 			if e.call.MutualDepth > 0 {
 				e.report(g.found, "mutual_depth", "nothing that %s calls calls %s again; leave it out", e.to.Name, e.from.Name)
 			}
@@ -242,7 +244,7 @@
 	var first *edge // that states a depth
 	told := 0
 	for _, e := range calls {
-		e.from.inRing = true
+		e.from.cyclic = true
 		if e.call.MutualDepth > 0 && first == nil {
 			first = e
 		}
@@ -251,25 +253,25 @@
 		switch {
 		case e.call.MutualDepth == 0:
 			way := "the two call each other in a ring"
-			if told++; told <= spelledOut {
-				way = back(e)
+			if told++; told <= maxCyclesSpelledOut {
+				way = describeCycle(e)
 			}
 			e.report(g.found, "to", "%s; if that is meant, every call of the ring states it with the same mutual_depth", way)
 		case e.call.MutualDepth != first.call.MutualDepth:
-			e.report(g.found, "mutual_depth", "%d, but the same ring has %d in %s", e.call.MutualDepth, first.call.MutualDepth, first.at("mutual_depth"))
+			e.report(g.found, "mutual_depth", "%d, but the same ring has %d in %s", e.call.MutualDepth, first.call.MutualDepth, first.location("mutual_depth"))
 		}
 	}
 	for _, n := range part {
-		for _, e := range n.out {
-			if e.to.ring != n.ring && e.call.MutualDepth > 0 {
+		for _, e := range n.calls {
+			if e.to.component != n.component && e.call.MutualDepth > 0 {
 				e.report(g.found, "mutual_depth", "nothing that %s calls calls %s again; leave it out", e.to.Name, e.from.Name)
 			}
 		}
 	}
 }
 
-// back tells by which calls a call comes back to where it is made.
-func back(e *edge) string {
+// describeCycle tells by which calls a call comes back to where it is made.
+func describeCycle(e *edge) string {
 	if e.to == e.from {
 		return fmt.Sprintf("%s calls itself", e.from.Name)
 	}
@@ -278,8 +280,8 @@
 	for len(queue) > 0 && came[e.from] == nil {
 		n := queue[0]
 		queue = queue[1:]
-		for _, next := range n.out {
-			if _, seen := came[next.to]; !seen && next.to.ring == e.from.ring {
+		for _, next := range n.calls {
+			if _, seen := came[next.to]; !seen && next.to.component == e.from.component {
 				came[next.to] = next
 				queue = append(queue, next.to)
 			}
@@ -287,7 +289,7 @@
 	}
 	var way []string
 	for n := e.from; came[n] != nil; n = came[n].from {
-		way = append(way, fmt.Sprintf("%s calls %s (%s)", came[n].from.Name, n.Name, came[n].at("to")))
+		way = append(way, fmt.Sprintf("%s calls %s (%s)", came[n].from.Name, n.Name, came[n].location("to")))
 	}
 	slices.Reverse(way)
 	if len(way) > 6 {
@@ -296,64 +298,64 @@
 	return fmt.Sprintf("%s calls %s, and %s", e.from.Name, e.to.Name, strings.Join(way, ", "))
 }
 
-// spot is a class of an application: what a call reaches.
-type spot struct {
-	n     *node
+// classNode is a class of an application: what a call reaches.
+type classNode struct {
+	node  *node
 	class string
 }
 
-// reach is the worst that a request becomes on its way to a spot.
-type reach struct {
+// worstCase is the worst that a request becomes on its way to a spot.
+type worstCase struct {
 	attempts int // at the spot's endpoints
-	by       *edge
-	from     *reach
+	call     *edge
+	previous *worstCase
 }
 
-// attempts reports where the attempts of all tiers multiply past the bound. Components are taken callers
+// checkAttempts reports where the attempts of all tiers multiply past the bound. Components are taken callers
 // first; within one, that is within a ring, the depth bounds how often it is gone round.
-func (g *graph) attempts(chain *Chain, frame *schema.File) {
-	most := chain.Most
-	worst := map[spot]*reach{}
-	calls := map[spot][]*edge{}
-	own := func(n *node) int { return appfile.AttemptsTable.In(n.File).Most }
+func (g *graph) checkAttempts(chain *Chain, frame *schema.File) {
+	most := chain.MaxAttempts
+	worst := map[classNode]*worstCase{}
+	calls := map[classNode][]*edge{}
+	own := func(n *node) int { return appfile.AttemptsTable.In(n.File).Max }
 	for _, n := range g.nodes {
 		if own(n) > most {
-			at := n.File.Place("attempts", "most_attempts")
-			g.found.Add(at.File, at.Pos, "attempts.most_attempts: %d, by itself above %s", own(n), bound(most, frame))
+			at := n.File.Location("attempts", "most_attempts")
+			g.found.Add(at.File, at.Pos, "attempts.most_attempts: %d, by itself above %s", own(n), describeAttemptBound(most, frame))
 		}
-		for _, e := range n.out {
-			at := spot{n, e.call.Class}
+		for _, e := range n.calls {
+			at := classNode{n, e.call.Class}
 			calls[at] = append(calls[at], e)
 		}
 	}
 	// grow follows a call from a reach; it tells whether the call's end is reached worse than before.
-	grow := func(e *edge, from *reach) (spot, bool) {
-		to := spot{e.to, e.as}
+	grow := func(e *edge, from *worstCase) (classNode, bool) {
+		to := classNode{e.to, e.targetClassName}
 		n := from.attempts * e.call.PerRequest * own(e.to) // each below 1e5, so no overflow
 		if n > most {
-			g.tooMany(e, from, n, most, frame)
+			g.reportTooManyAttempts(e, from, n, most, frame)
 			return to, false
 		}
 		if worst[to] == nil || worst[to].attempts < n {
-			worst[to] = &reach{n, e, from}
+			worst[to] = &worstCase{n, e, from}
 			return to, true
 		}
 		return to, false
 	}
-	for _, part := range g.order {
-		var start []spot
+	for _, part := range g.components {
+		var start []classNode
 		for _, n := range part {
 			for _, c := range appfile.ClassTable.All(n.File) {
-				at := spot{n, c.Name}
+				at := classNode{n, c.Name}
 				if worst[at] == nil {
-					worst[at] = &reach{attempts: own(n)} // from outside
+					worst[at] = &worstCase{attempts: own(n)} // from outside
 				}
 				start = append(start, at)
 			}
 		}
 		rounds := 1
-		if part[0].inRing {
-			calls := inside(part)
+		if part[0].cyclic {
+			calls := internalCalls(part)
 			if slices.ContainsFunc(calls, func(e *edge) bool { return e.call.MutualDepth == 0 }) {
 				continue // reported; without a depth there is no worst
 			}
@@ -361,16 +363,16 @@
 		}
 		// Each round goes on from where the last one made it worse.
 		for round := 0; round < rounds && len(start) > 0; round++ {
-			var next []spot
-			seen := map[spot]bool{}
+			var next []classNode
+			seen := map[classNode]bool{}
 			type step struct {
 				e    *edge
-				from *reach
+				from *worstCase
 			}
 			var steps []step
 			for _, at := range start {
 				for _, e := range calls[at] {
-					if e.to.ring == at.n.ring {
+					if e.to.component == at.node.component {
 						steps = append(steps, step{e, worst[at]})
 					}
 				}
@@ -384,71 +386,71 @@
 			start = next
 		}
 		for _, n := range part {
-			for _, e := range n.out {
-				if e.to.ring != n.ring {
-					grow(e, worst[spot{n, e.call.Class}])
+			for _, e := range n.calls {
+				if e.to.component != n.component {
+					grow(e, worst[classNode{n, e.call.Class}])
 				}
 			}
 		}
 	}
 }
 
-// tooMany reports a chain of calls that becomes too many attempts, where its last call is made.
-func (g *graph) tooMany(e *edge, from *reach, n, most int, frame *schema.File) {
-	way, factors := []string{e.to.Name}, []string{fmt.Sprint(appfile.AttemptsTable.In(e.to.File).Most)}
+// reportTooManyAttempts reports a chain of calls that becomes too many attempts, where its last call is made.
+func (g *graph) reportTooManyAttempts(e *edge, from *worstCase, n, most int, frame *schema.File) {
+	way, factors := []string{e.to.Name}, []string{fmt.Sprint(appfile.AttemptsTable.In(e.to.File).Max)}
 	if e.call.PerRequest > 1 {
 		factors[0] = fmt.Sprintf("%d calls of %s", e.call.PerRequest, factors[0])
 	}
 	at := e
-	for r := from; ; r = r.from {
-		factor := fmt.Sprint(appfile.AttemptsTable.In(at.from.File).Most)
-		if r.by != nil && r.by.call.PerRequest > 1 {
-			factor = fmt.Sprintf("%d calls of %s", r.by.call.PerRequest, factor)
+	for r := from; ; r = r.previous {
+		factor := fmt.Sprint(appfile.AttemptsTable.In(at.from.File).Max)
+		if r.call != nil && r.call.call.PerRequest > 1 {
+			factor = fmt.Sprintf("%d calls of %s", r.call.call.PerRequest, factor)
 		}
 		way, factors = append(way, at.from.Name), append(factors, factor)
-		if at = r.by; at == nil || len(way) >= 8 {
+		if at = r.call; at == nil || len(way) >= 8 {
 			break
 		}
 	}
 	slices.Reverse(way)
 	slices.Reverse(factors)
-	e.report(g.found, "to", "attempts multiply to %d (%s) on the way %s, above %s", n, strings.Join(factors, " x "), strings.Join(way, " -> "), bound(most, frame))
+	e.report(g.found, "to", "attempts multiply to %d (%s) on the way %s, above %s", n, strings.Join(factors, " x "), strings.Join(way, " -> "), describeAttemptBound(most, frame))
 }
 
-// bound names the bound on attempts, and where it is set.
-func bound(most int, frame *schema.File) string {
+// describeAttemptBound names the bound on attempts, and where it is set.
+func describeAttemptBound(most int, frame *schema.File) string {
 	text := fmt.Sprintf("chain.most_attempts_in_chain, %d", most)
 	if frame != nil {
 		if s := frame.Setting("chain", "most_attempts_in_chain"); s != nil {
-			text += fmt.Sprintf(" (%s)", s.Place)
+			text += fmt.Sprintf(" (%s)", s.Location)
 		}
 	}
 	return text
 }
 
-// tiers reports ways through more applications than are allowed, each counted once. A ring counts with all
+// checkTiers reports ways through more applications than are allowed, each counted once. A ring counts with all
 // its applications: it can be gone through whole.
-func (g *graph) tiers(chain *Chain, frame *schema.File) {
-	depth := make([]int, len(g.order)) // of the longest way that ends with a component
-	for i, part := range g.order {
+func (g *graph) checkTiers(chain *Chain, frame *schema.File) {
+	depth := make([]int, len(g.components)) // of the longest way that ends with a component
+	for i, part := range g.components {
 		depth[i] += len(part)
 		for _, n := range part {
-			for _, e := range n.out {
-				if e.to.ring == i {
+			for _, e := range n.calls {
+				if e.to.component == i {
 					continue
 				}
-				was := depth[e.to.ring]
-				depth[e.to.ring] = max(was, depth[i])
-				if end := depth[i] + len(g.order[e.to.ring]); end > chain.Depth && depth[i] <= chain.Depth && was < depth[i] {
-					e.report(g.found, "to", "a request passes %d applications on its way through this call, above chain.most_tiers, %d", end, chain.Depth)
+				was := depth[e.to.component]
+				depth[e.to.component] = max(was, depth[i])
+				if end := depth[i] + len(g.components[e.to.component]); end > chain.MaxTiers && depth[i] <= chain.MaxTiers && was < depth[i] {
+					e.report(g.found, "to", "a request passes %d applications on its way through this call, above chain.most_tiers, %d", end, chain.MaxTiers)
 				}
 			}
 		}
 	}
 }
 
-// hosts reports machines whose sidecars may use more than there is.
-func (g *graph) hosts(hosts []schema.Named[Host], frame *schema.File) {
+// checkHosts reports machines whose sidecars may use more than there is.
+func (g *graph) checkHosts(hosts []schema.Named[Host], frame *schema.File) {
 	byName := map[string]*Host{}
 	var names []string
 	for _, h := range hosts {
@@ -469,8 +471,8 @@
 		}
 		if byName[host] == nil {
 			if frame != nil {
-				at := n.File.Place("sidecar", "host")
-				g.found.Add(at.File, at.Pos, "sidecar.host: %s; hosts stand in [hosts.NAME]", finding.Unknown("host", host, names))
+				at := n.File.Location("sidecar", "host")
+				g.found.Add(at.File, at.Pos, "sidecar.host: %s; hosts stand in [hosts.NAME]", finding.UnknownName("host", host, names))
 			}
 			continue
 		}
@@ -495,7 +497,7 @@
 			who += fmt.Sprintf(" and %d more", len(s.apps)-4)
 		}
 		report := func(key, format string, args ...any) {
-			at := frame.Place("hosts", h.Name, key)
+			at := frame.Location("hosts", h.Name, key)
 			g.found.Add(at.File, at.Pos, "hosts.%s.%s: %s (%s)", h.Name, key, fmt.Sprintf(format, args...), who)
 		}
 		if s.cores > h.Value.Cores*(1+1e-9) {
--- a/internal/config/apps/golden_test.go
+++ b/internal/config/apps/golden_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := ParseWritten(text)
-	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Cut {
+	w := ParseProvenance(text)
+	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Truncated {
 		t.Fatalf("read back as %+v", w)
 	}
 	wantKeys := []string{
@@ -51,18 +51,18 @@
 		for _, e := range st.Edits {
 			fmt.Fprintln(&all, e)
 		}
-		if len(st.Clashes()) == 0 {
+		if len(st.Conflicts()) == 0 {
 			fmt.Fprintf(&all, "-- merged --\n%s", strings.ReplaceAll(string(st.Merge()), "\r", "<CR>"))
 		}
 		var found finding.List
-		adopted := model(t, now).Adopt([]*State{st}, &found)
+		adopted := model(t, now).Adopt([]*FileState{st}, &found)
 		fmt.Fprintf(&all, "-- adopted: %v --\n%s", found.Err(), adopted)
 	}
 	golden.Text(t, "edits.txt", []byte(all.String()))
 }
 
 // compareLoosely is compare for a file whose findings do not matter.
-func compareLoosely(t *testing.T, apps, file string) *State {
+func compareLoosely(t *testing.T, apps, file string) *FileState {
 	t.Helper()
 	var found finding.List
 	return Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
@@ -74,14 +74,14 @@
 	var found finding.List
 	for _, text := range []string{
 		"[sidecar]\n",
-		strings.Replace(written, headBy+"a", headBy+"b", 1),
+		strings.Replace(written, headerBy+"a", headerBy+"b", 1),
 		written[:len(written)/2],
 		strings.Replace(written, "cores = 1.0", "cores = 1.0.0", 1),
 	} {
 		Compare(testSchema, model(t, base).Apps[0], "apps.toml", "a.toml", []byte(text), &found)
 	}
 	lost := compareLoosely(t, base, strings.Replace(written, "sockets = 1024\n", "", 1))
-	Lost(lost.Written, lost.File, "a.toml", &found)
+	CheckLostKeys(lost.Provenance, lost.File, "a.toml", &found)
 	golden.Text(t, "in-the-way.txt", []byte(found.Err().Error()+"\n"))
 }
 
--- a/internal/config/apps/written.go
+++ b/internal/config/apps/written.go
@@ -17,14 +17,14 @@
 
 // The header and the trailer of a written file. Their lines are comments to everybody else.
 const (
-	headBy     = "# Written by quincegapctl for "
-	headFrom   = " from "
-	headDigest = "# digest: "
-	trailer    = "# What was written, by which an edit is found (end of the file as it was written):"
-	keyMark    = "#: "
+	headerBy     = "# Written by quincegapctl for "
+	headerFrom   = " from "
+	headerDigest = "# digest: "
+	trailer      = "# What was written, by which an edit is found (end of the file as it was written):"
+	keyPrefix    = "#: "
 )
 
-var headText = []string{
+var headerText = []string{
 	"# Change it there and write again. An edit made here is never lost: quincegapctl diff shows it,",
 	"# write --keep-edits keeps it, and adopt takes it back.",
 }
@@ -33,18 +33,18 @@
 // header with a digest and a trailer with a short digest of each key. The same model gives the same bytes.
 func Generate(app *App, source string) []byte {
 	body := app.File.Text() + "\n" + trailerOf(app.File)
-	return []byte(head(app.Name, source, digest([]byte(body))) + body)
+	return []byte(header(app.Name, source, digest([]byte(body))) + body)
 }
 
-func head(name, source, digest string) string {
-	return headBy + name + headFrom + source + ".\n" + strings.Join(headText, "\n") + "\n" + headDigest + digest + "\n"
+func header(name, source, digest string) string {
+	return headerBy + name + headerFrom + source + ".\n" + strings.Join(headerText, "\n") + "\n" + headerDigest + digest + "\n"
 }
 
 func trailerOf(f *schema.File) string {
 	var b strings.Builder
 	b.WriteString(trailer + "\n")
 	for _, s := range f.Settings() {
-		fmt.Fprintf(&b, "%s%s %s\n", keyMark, short(s.Canonical), s.ID())
+		fmt.Fprintf(&b, "%s%s %s\n", keyPrefix, shortDigest(s.Canonical), s.ID())
 	}
 	return b.String()
 }
@@ -54,28 +54,28 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// short is enough to tell two values of one key apart by mistake, not by malice.
-func short(canonical string) string { return digest([]byte(canonical))[:12] }
+// shortDigest is enough to tell two values of one key apart by mistake, not by malice.
+func shortDigest(canonical string) string { return digest([]byte(canonical))[:12] }
 
-// Written is what a file says of how it was written.
-type Written struct {
-	App    string
-	Source string
-	Base   map[string]string // the short digest of each key that was written
-	Keys   []string          // those keys, in order
-	Edited bool              // the text has changed since, be it in comments only
-	Cut    bool              // its end is missing
+// Provenance is what a file says of how it was written.
+type Provenance struct {
+	App        string
+	Source     string
+	KeyDigests map[string]string // the short digest of each key that was written
+	Keys       []string          // those keys, in order
+	Edited     bool              // the text has changed since, be it in comments only
+	Truncated  bool              // its end is missing
 }
 
-// ParseWritten reads the header and the trailer; it is nil where there is no header of the tool's.
-func ParseWritten(text []byte) *Written {
+// ParseProvenance reads the header and the trailer; it is nil where there is no header of the tool's.
+func ParseProvenance(text []byte) *Provenance {
 	lines := strings.Split(strings.ReplaceAll(string(text), "\r\n", "\n"), "\n")
-	if len(lines) < 4 || !strings.HasPrefix(lines[0], headBy) {
+	if len(lines) < 4 || !strings.HasPrefix(lines[0], headerBy) {
 		return nil
 	}
-	w := &Written{Base: map[string]string{}, Cut: true}
+	w := &Provenance{KeyDigests: map[string]string{}, Truncated: true}
 	var ok bool
-	w.App, w.Source, ok = strings.Cut(strings.TrimPrefix(lines[0], headBy), headFrom)
+	w.App, w.Source, ok = strings.Cut(strings.TrimPrefix(lines[0], headerBy), headerFrom)
 	if !ok {
 		return nil
 	}
@@ -83,13 +83,13 @@
 	want, at := "", 0
 	for i, line := range lines {
 		switch {
-		case want == "" && strings.HasPrefix(line, headDigest):
-			want, at = strings.TrimPrefix(line, headDigest), i+1
+		case want == "" && strings.HasPrefix(line, headerDigest):
+			want, at = strings.TrimPrefix(line, headerDigest), i+1
 		case line == trailer:
-			w.Cut = false
-		case !w.Cut && strings.HasPrefix(line, keyMark):
-			if sum, key, ok := strings.Cut(strings.TrimPrefix(line, keyMark), " "); ok {
-				w.Base[key] = sum
+			w.Truncated = false
+		case !w.Truncated && strings.HasPrefix(line, keyPrefix):
+			if sum, key, ok := strings.Cut(strings.TrimPrefix(line, keyPrefix), " "); ok {
+				w.KeyDigests[key] = sum
 				w.Keys = append(w.Keys, key)
 			}
 		}
@@ -107,111 +107,111 @@
 
 // Edit is a key that was changed by hand in a written file.
 type Edit struct {
-	Path    []string
-	Place   schema.Place
-	Key     *schema.Key
-	Raw     string // as the file has it now; empty where it was taken away
-	Was     string // as apps.toml has it, where that is known to be what was written
-	Now     string // what apps.toml has now, empty where it has none
-	Clashes bool   // apps.toml has changed it too, otherwise
+	Path        []string
+	Location    schema.Location
+	Key         *schema.Key
+	Raw         string // as the file has it now; empty where it was taken away
+	Previous    string // as apps.toml has it, where that is known to be what was written
+	Current     string // what apps.toml has now, empty where it has none
+	Conflicting bool   // apps.toml has changed it too, otherwise
 }
 
 // ID is the key's path as text.
-func (e Edit) ID() string { return doc.Dotted(e.Path) }
+func (e Edit) ID() string { return doc.DottedPath(e.Path) }
 
 // String tells the edit and where it is.
-func (e Edit) String() string { return fmt.Sprintf("%s: %s", e.Place, e.Words()) }
+func (e Edit) String() string { return fmt.Sprintf("%s: %s", e.Location, e.Describe()) }
 
-// Words tells the edit.
-func (e Edit) Words() string {
-	switch now := cmp.Or(e.Now, "nothing"); {
-	case e.Clashes && e.Raw == "":
+// Describe tells the edit.
+func (e Edit) Describe() string {
+	switch now := cmp.Or(e.Current, "nothing"); {
+	case e.Conflicting && e.Raw == "":
 		return fmt.Sprintf("%s was taken away by hand, and apps.toml now says %s", e.ID(), now)
-	case e.Clashes:
+	case e.Conflicting:
 		return fmt.Sprintf("%s = %s was set by hand, and apps.toml now says %s", e.ID(), e.Raw, now)
 	case e.Raw == "":
-		return fmt.Sprintf("%s was taken away by hand (it was %s)", e.ID(), e.Was)
-	case e.Was == "":
+		return fmt.Sprintf("%s was taken away by hand (it was %s)", e.ID(), e.Previous)
+	case e.Previous == "":
 		return fmt.Sprintf("%s = %s was added by hand", e.ID(), e.Raw)
 	}
-	return fmt.Sprintf("%s = %s was set by hand (it was %s)", e.ID(), e.Raw, e.Was)
+	return fmt.Sprintf("%s = %s was set by hand (it was %s)", e.ID(), e.Raw, e.Previous)
 }
 
-// State is a written file beside what would be written now.
-type State struct {
-	App     *App   // as apps.toml has it
-	Path    string // of the file
-	Text    []byte // of the file; nil where there is none
-	New     []byte // what would be written
-	Written *Written
-	File    *schema.File // the file, decoded
-	Doc     *doc.Doc
-	Edits   []Edit
+// FileState is a written file beside what would be written now.
+type FileState struct {
+	App        *App   // as apps.toml has it
+	Path       string // of the file
+	Text       []byte // of the file; nil where there is none
+	Generated  []byte // what would be written
+	Provenance *Provenance
+	File       *schema.File // the file, decoded
+	Doc        *doc.Document
+	Edits      []Edit
 }
 
 // Compare reads an application's file as it is and tells what stands against writing it: findings where it
 // cannot be read, and edits. A text of nil stands for no file.
-func Compare(s *schema.Schema, app *App, source, path string, text []byte, found *finding.List) *State {
-	st := &State{App: app, Path: path, Text: text, New: Generate(app, source)}
-	if text == nil || bytes.Equal(text, st.New) {
+func Compare(s *schema.Schema, app *App, source, path string, text []byte, found *finding.List) *FileState {
+	st := &FileState{App: app, Path: path, Text: text, Generated: Generate(app, source)}
+	if text == nil || bytes.Equal(text, st.Generated) {
 		return st
 	}
-	st.Written = ParseWritten(text)
+	st.Provenance = ParseProvenance(text)
 	switch {
-	case st.Written == nil:
+	case st.Provenance == nil:
 		found.Add(path, finding.Pos{Line: 1, Col: 1}, "was not written by quincegapctl (its header is missing), so it is left alone; move it away first")
 		return st
-	case st.Written.App != app.Name:
-		found.Add(path, finding.Pos{Line: 1, Col: 1}, "was written for %s, not for %s; move it away first", st.Written.App, app.Name)
+	case st.Provenance.App != app.Name:
+		found.Add(path, finding.Pos{Line: 1, Col: 1}, "was written for %s, not for %s; move it away first", st.Provenance.App, app.Name)
 		return st
-	case st.Written.Cut:
+	case st.Provenance.Truncated:
 		found.Add(path, finding.Pos{Line: 1, Col: 1}, "its end is missing: it was cut after it was written; write --discard-edits makes it whole")
 		return st
-	case !st.Written.Edited:
+	case !st.Provenance.Edited:
 		return st
 	}
 	before := found.Len()
-	st.Doc = doc.ReadTOML(text, MostFileBytes, found.In(path))
+	st.Doc = doc.ReadTOML(text, MaxFileBytes, found.ForFile(path))
 	if st.Doc == nil || found.Len() > before {
 		return st
 	}
 	st.File = s.Decode(found, schema.Options{}, schema.Layer{Doc: st.Doc, Table: st.Doc.Root, File: path})
-	st.edits()
+	st.findEdits()
 	return st
 }
 
-// edits finds the keys that were changed by hand.
-func (s *State) edits() {
-	base := func(id string) string { return s.Written.Base[id] }
+// findEdits finds the keys that were changed by hand.
+func (s *FileState) findEdits() {
+	base := func(id string) string { return s.Provenance.KeyDigests[id] }
 	add := func(path []string, key *schema.Key, here *schema.Setting) {
-		id := doc.Dotted(path)
-		e := Edit{Path: path, Key: key, Place: schema.Place{File: s.Path, Pos: finding.Pos{Line: 1, Col: 1}}}
+		id := doc.DottedPath(path)
+		e := Edit{Path: path, Key: key, Location: schema.Location{File: s.Path, Pos: finding.Pos{Line: 1, Col: 1}}}
 		hereSum, nowSum := "", ""
 		if here != nil {
-			e.Raw, e.Place, hereSum = here.Raw, here.Place, short(here.Canonical)
+			e.Raw, e.Location, hereSum = here.Raw, here.Location, shortDigest(here.Canonical)
 		} else {
-			e.Place = s.File.Place(path...)
+			e.Location = s.File.Location(path...)
 		}
 		if now := s.App.File.Setting(path...); now != nil {
-			e.Now, nowSum = now.Raw, short(now.Canonical)
-			if e.Now == "" {
-				e.Now = now.Canonical
+			e.Current, nowSum = now.Raw, shortDigest(now.Canonical)
+			if e.Current == "" {
+				e.Current = now.Canonical
 			}
 		}
 		if hereSum == base(id) || hereSum == nowSum {
 			return // not changed here, or to what is written anyhow
 		}
 		if nowSum == base(id) {
-			e.Was = e.Now
+			e.Previous = e.Current
 		} else {
-			e.Clashes = true
+			e.Conflicting = true
 		}
 		s.Edits = append(s.Edits, e)
 	}
 	for _, setting := range s.File.Settings() {
 		add(setting.Path, setting.Key, setting)
 	}
-	for _, id := range s.Written.Keys {
+	for _, id := range s.Provenance.Keys {
 		if path := splitID(id); path != nil && s.File.Setting(path...) == nil {
 			add(path, nil, nil)
 		}
@@ -231,12 +231,14 @@
 }
 
 // Edited tells whether the file was changed since it was written, be it in comments or spacing only.
-func (s *State) Edited() bool { return s.Written != nil && (s.Written.Edited || s.Written.Cut) }
+func (s *FileState) Edited() bool {
+	return s.Provenance != nil && (s.Provenance.Edited || s.Provenance.Truncated)
+}
 
-// Clashes are the edits to keys that apps.toml has changed otherwise.
-func (s *State) Clashes() (clashes []Edit) {
+// Conflicting are the edits to keys that apps.toml has changed otherwise.
+func (s *FileState) Conflicts() (clashes []Edit) {
 	for _, e := range s.Edits {
-		if e.Clashes {
+		if e.Conflicting {
 			clashes = append(clashes, e)
 		}
 	}
@@ -246,9 +248,9 @@
 // Merge is the file with all that write changes, and the edits kept. It starts from the edited text, so that
 // comments by hand stay. The header goes on telling what apps.toml says, so that edits are known as such.
 // There must be no clash.
-func (s *State) Merge() []byte {
+func (s *FileState) Merge() []byte {
 	if s.File == nil {
-		return s.New // it was not edited
+		return s.Generated // it was not edited
 	}
 	d := s.Doc
 	again := func(text []byte) {
@@ -272,11 +274,11 @@
 			again(d.Delete(setting.Path, setting.Key.Help))
 		}
 	}
-	return restamp(d.Text, s.New)
+	return replaceProvenance(d.Text, s.Generated)
 }
 
-// restamp gives an edited text the header and the trailer of a generated one.
-func restamp(text, generated []byte) []byte {
+// replaceProvenance gives an edited text the header and the trailer of a generated one.
+func replaceProvenance(text, generated []byte) []byte {
 	nl := doc.Newline(text)
 	lines := strings.Split(string(text), "\n")
 	fresh := strings.Split(string(generated), "\n")
@@ -288,17 +290,17 @@
 		}
 		return all
 	}
-	isKey := func(l string) bool { return strings.HasPrefix(l, keyMark) }
+	isKey := func(l string) bool { return strings.HasPrefix(l, keyPrefix) }
 	keys := of(fresh, isKey)
 	var out []string
 	for _, l := range lines {
 		bare := strings.TrimSuffix(l, "\r")
 		switch {
 		case isKey(bare):
-		case strings.HasPrefix(bare, headBy):
+		case strings.HasPrefix(bare, headerBy):
 			out = append(out, fresh[0])
-		case strings.HasPrefix(bare, headDigest):
-			out = append(out, of(fresh, func(l string) bool { return strings.HasPrefix(l, headDigest) })[0])
+		case strings.HasPrefix(bare, headerDigest):
+			out = append(out, of(fresh, func(l string) bool { return strings.HasPrefix(l, headerDigest) })[0])
 		case bare == trailer:
 			out = append(append(out, bare), keys...)
 		default:
@@ -308,12 +310,12 @@
 	return []byte(strings.Join(out, nl))
 }
 
-// Lost are the keys that were written and that the file has no more. Such a key has fallen back to its
+// CheckLostKeys are the keys that were written and that the file has no more. Such a key has fallen back to its
 // default without a word, which a changed one has not.
-func Lost(w *Written, f *schema.File, path string, found *finding.List) {
+func CheckLostKeys(w *Provenance, f *schema.File, path string, found *finding.List) {
 	for _, id := range w.Keys {
 		if p := splitID(id); p != nil && f.Setting(p...) == nil {
-			at := f.Place(p...)
+			at := f.Location(p...)
 			found.Add(path, at.Pos, "%s was written here and is gone; put it back, or take it out of %s and write again", id, w.Source)
 		}
 	}
@@ -321,29 +323,29 @@
 
 // Adopt takes the edits of written files back into apps.toml. It gives the new text of apps.toml; with
 // findings it is not to be used.
-func (m *Model) Adopt(states []*State, found *finding.List) []byte {
+func (m *Model) Adopt(states []*FileState, found *finding.List) []byte {
 	d := m.Doc
 	for _, st := range states {
 		for _, e := range st.Edits {
 			path := append([]string{"apps", st.App.Name}, e.Path...)
 			inherited := d.Root.Lookup(append([]string{"defaults"}, e.Path...)...)
 			switch {
-			case e.Clashes:
-				found.Add(e.Place.File, e.Place.Pos, "%s: edited by hand, and changed in %s since; settle it in one of the two", e.ID(), m.Name)
+			case e.Conflicting:
+				found.Add(e.Location.File, e.Location.Pos, "%s: edited by hand, and changed in %s since; settle it in one of the two", e.ID(), m.FileName)
 				continue
 			case e.ID() == "sidecar.application":
-				found.Add(e.Place.File, e.Place.Pos, "the application's name cannot be adopted: it is its table's in %s", m.Name)
+				found.Add(e.Location.File, e.Location.Pos, "the application's name cannot be adopted: it is its table's in %s", m.FileName)
 				continue
 			case e.Raw == "" && d.Root.Lookup(path...) == nil && inherited != nil:
-				found.Add(e.Place.File, e.Place.Pos, "%s comes from [defaults] in line %d of %s and cannot be taken away for one application; set it to another value",
-					e.ID(), inherited.At.Line, m.Name)
+				found.Add(e.Location.File, e.Location.Pos, "%s comes from [defaults] in line %d of %s and cannot be taken away for one application; set it to another value",
+					e.ID(), inherited.Pos.Line, m.FileName)
 				continue
 			case e.Raw == "":
-				d = reread(d.Delete(path))
+				d = readAgain(d.Delete(path))
 			case inherited != nil && d.Root.Lookup(path...) != nil && inherited.Value.Text == unquoted(e.Raw):
-				d = reread(d.Delete(path)) // the default again
+				d = readAgain(d.Delete(path)) // the default again
 			default:
-				d = reread(d.Set(path, e.Raw))
+				d = readAgain(d.Set(path, e.Raw))
 			}
 		}
 	}
@@ -352,7 +354,7 @@
 
 func unquoted(raw string) string { return strings.Trim(raw, `"'`) }
 
-func reread(text []byte) *doc.Doc {
+func readAgain(text []byte) *doc.Document {
 	return doc.ReadTOML(text, len(text), func(finding.Pos, string, ...any) {})
 }
 
@@ -360,7 +362,7 @@
 func FromFiles(files []*schema.File) (all []*App) {
 	for _, f := range files {
 		name := appfile.SidecarTable.In(f).Application
-		all = append(all, &App{Name: name, File: f, Place: f.Place("sidecar", "application")})
+		all = append(all, &App{Name: name, File: f, Location: f.Location("sidecar", "application")})
 	}
 	return slices.Clip(all)
 }
--- a/internal/config/apps/written_test.go
+++ b/internal/config/apps/written_test.go
@@ -42,7 +42,7 @@
 }
 
 // compare compares a file with what an apps.toml says.
-func compare(t interface{ Fatal(...any) }, apps, file string) *State {
+func compare(t interface{ Fatal(...any) }, apps, file string) *FileState {
 	var found finding.List
 	st := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
 	if found.Len() > 0 {
@@ -60,8 +60,8 @@
 	if file != generate(t, base) {
 		t.Error("two texts")
 	}
-	w := ParseWritten([]byte(file))
-	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Cut || len(w.Base) != 10 {
+	w := ParseProvenance([]byte(file))
+	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Truncated || len(w.KeyDigests) != 10 {
 		t.Errorf("got %+v", w)
 	}
 	if st := compare(t, base, file); st.Edited() || len(st.Edits) > 0 {
@@ -104,7 +104,7 @@
 			}
 			edited = strings.ReplaceAll(edited, "\n", nl)
 			st := compare(t, apps, edited)
-			if !st.Edited() || (len(st.Clashes()) > 0) != c.clash {
+			if !st.Edited() || (len(st.Conflicts()) > 0) != c.clash {
 				t.Errorf("%s: edits %v", c.name, st.Edits)
 				continue
 			}
@@ -156,7 +156,7 @@
 func TestEveryCutIsSeen(t *testing.T) {
 	file := generate(t, base)
 	for n := range len(file) {
-		if w := ParseWritten([]byte(file[:n])); w != nil && !w.Edited && !w.Cut {
+		if w := ParseProvenance([]byte(file[:n])); w != nil && !w.Edited && !w.Truncated {
 			t.Fatalf("cut at %d: passes as it was written", n)
 		}
 	}
@@ -181,7 +181,7 @@
 		edited := strings.Replace(generate(t, c.apps), c.here[0], c.here[1], 1)
 		st := compare(t, c.apps, edited)
 		var found finding.List
-		after := string(model(t, c.apps).Adopt([]*State{st}, &found))
+		after := string(model(t, c.apps).Adopt([]*FileState{st}, &found))
 		if c.fault {
 			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, c.want) {
 				t.Errorf("%s: %v", c.name, found.Err())
@@ -229,9 +229,9 @@
 			for _, k := range keys {
 				switch rapid.SampledFrom([]string{"keep", "keep", "set", "drop"}).Draw(rt, name) {
 				case "set":
-					to[doc.Dotted(k)] = fmt.Sprint(rapid.IntRange(64, 66).Draw(rt, "value"))
+					to[doc.DottedPath(k)] = fmt.Sprint(rapid.IntRange(64, 66).Draw(rt, "value"))
 				case "drop":
-					delete(to, doc.Dotted(k))
+					delete(to, doc.DottedPath(k))
 				}
 			}
 			return to
@@ -239,11 +239,11 @@
 		// apply makes a text say what a map does.
 		apply := func(text string, prefix []string, from, to map[string]string) string {
 			for _, k := range keys {
-				id, path := doc.Dotted(k), append(slices.Clone(prefix), k...)
+				id, path := doc.DottedPath(k), append(slices.Clone(prefix), k...)
 				if from[id] == to[id] {
 					continue
 				}
-				d := reread([]byte(text))
+				d := readAgain([]byte(text))
 				if to[id] == "" {
 					text = string(d.Delete(path, help(k)))
 				} else {
@@ -265,7 +265,7 @@
 		clash := map[string]bool{}
 		want := maps.Clone(there)
 		for _, k := range keys {
-			id := doc.Dotted(k)
+			id := doc.DottedPath(k)
 			switch {
 			case here[id] == first[id] || here[id] == there[id]:
 			case there[id] == first[id]:
@@ -275,7 +275,7 @@
 			}
 		}
 		got := map[string]bool{}
-		for _, e := range st.Clashes() {
+		for _, e := range st.Conflicts() {
 			got[e.ID()] = true
 		}
 		if !maps.Equal(got, clash) {
@@ -287,7 +287,7 @@
 		merged := string(st.Merge())
 		says := compare(rt, nowText, merged)
 		for _, k := range keys {
-			id := doc.Dotted(k)
+			id := doc.DottedPath(k)
 			value := ""
 			if s := says.File.Setting(k...); s != nil {
 				value = s.Canonical
@@ -300,7 +300,7 @@
 			rt.Fatalf("a comment is lost:\n%s", merged)
 		}
 		var found finding.List
-		after := string(model(rt, nowText).Adopt([]*State{st}, &found))
+		after := string(model(rt, nowText).Adopt([]*FileState{st}, &found))
 		if found.Len() > 0 || strings.Count(after, "# ours") != 1 || strings.Count(after, "# one") != 1 {
 			rt.Fatalf("adopt: %v\n%s", found.Err(), after)
 		}
@@ -325,11 +325,11 @@
 	var found finding.List
 	m := Read(testSchema, "apps.toml", []byte(base), &found)
 	f.Add(Generate(m.Apps[0], "apps.toml"))
-	f.Add([]byte(headBy + "a" + headFrom + "b.\n\n\n" + trailer + "\n#: x y\n"))
+	f.Add([]byte(headerBy + "a" + headerFrom + "b.\n\n\n" + trailer + "\n#: x y\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var found finding.List
 		st := Compare(testSchema, m.Apps[0], "apps.toml", "a.toml", text, &found)
-		if found.Len() == 0 && st.File != nil && len(st.Clashes()) == 0 {
+		if found.Len() == 0 && st.File != nil && len(st.Conflicts()) == 0 {
 			st.Merge()
 		}
 	})
--- a/internal/config/doc/doc.go
+++ b/internal/config/doc/doc.go
@@ -34,7 +34,7 @@
 // Value is a value in a document.
 type Value struct {
 	Kind       Kind
-	At         finding.Pos
+	Pos        finding.Pos
 	Start, End int      // bytes of a scalar in the text
 	Text       string   // of a String what it says, of another scalar what is written
 	Items      []*Value // of an Array
@@ -44,7 +44,7 @@
 // Entry is a key with its value.
 type Entry struct {
 	Name   string
-	At     finding.Pos
+	Pos    finding.Pos
 	Value  *Value
 	Start  int    // first byte of its line
 	End    int    // behind its last line, the line end included
@@ -54,15 +54,15 @@
 // Table is a set of keys, in the order of the text.
 type Table struct {
 	Path    []string
-	At      finding.Pos // of its header, or of the key that first names it
+	Pos     finding.Pos // of its header, or of the key that first names it
 	Entries []*Entry
 
-	index  map[string]*Entry
-	header bool // a header defines it
-	dotted bool // a dotted key or an inline table defines it
-	list   bool // an element of an array of tables
-	start  int  // first byte of the header's line
-	last   int  // behind the last line that belongs to the header
+	index        map[string]*Entry
+	hasHeader    bool // a header defines it
+	dotted       bool // a dotted key or an inline table defines it
+	arrayElement bool // an element of an array of tables
+	headerStart  int  // first byte of the header's line
+	bodyEnd      int  // behind the last line that belongs to the header
 }
 
 // Get is the entry of a name, or nil.
@@ -73,8 +73,8 @@
 	return t.index[name]
 }
 
-// Sub is the table of a name, or nil where there is none or a value in its place.
-func (t *Table) Sub(name string) *Table {
+// Subtable is the table of a name, or nil where there is none or a value in its place.
+func (t *Table) Subtable(name string) *Table {
 	if e := t.Get(name); e != nil && e.Value.Kind == TableKind {
 		return e.Value.Table
 	}
@@ -84,7 +84,7 @@
 // Lookup follows a path to an entry, or nil.
 func (t *Table) Lookup(path ...string) *Entry {
 	for _, name := range path[:len(path)-1] {
-		if t = t.Sub(name); t == nil {
+		if t = t.Subtable(name); t == nil {
 			return nil
 		}
 	}
@@ -99,16 +99,16 @@
 	t.Entries = append(t.Entries, e)
 }
 
-// Doc is a document that has been read.
-type Doc struct {
+// Document is a document that has been read.
+type Document struct {
 	Text []byte
 	Root *Table
 
 	lines []int // first byte of each line
 }
 
-func newDoc(text []byte) *Doc {
-	d := &Doc{Text: text, Root: &Table{At: finding.Pos{Line: 1, Col: 1}}, lines: []int{0}}
+func newDocument(text []byte) *Document {
+	d := &Document{Text: text, Root: &Table{Pos: finding.Pos{Line: 1, Col: 1}}, lines: []int{0}}
 	for i, b := range text {
 		if b == '\n' {
 			d.lines = append(d.lines, i+1)
@@ -118,7 +118,7 @@
 }
 
 // Pos is the place of a byte.
-func (d *Doc) Pos(offset int) finding.Pos {
+func (d *Document) Pos(offset int) finding.Pos {
 	offset = min(max(offset, 0), len(d.Text))
 	line := sort.SearchInts(d.lines, offset+1) - 1
 	// What cannot be a character counts one a byte.
@@ -126,18 +126,18 @@
 }
 
 // line is the number, from 0, of the line that a byte stands in.
-func (d *Doc) line(offset int) int { return sort.SearchInts(d.lines, offset+1) - 1 }
+func (d *Document) line(offset int) int { return sort.SearchInts(d.lines, offset+1) - 1 }
 
 // lineEnd is the first byte of the line behind the one that a byte stands in.
-func (d *Doc) lineEnd(offset int) int {
+func (d *Document) lineEnd(offset int) int {
 	if n := d.line(offset) + 1; n < len(d.lines) {
 		return d.lines[n]
 	}
 	return len(d.Text)
 }
 
-// readable reports what makes a text useless as a whole: it is then not read.
-func (d *Doc) readable(most int, report finding.Reporter) bool {
+// checkReadable reports what makes a text useless as a whole: it is then not read.
+func (d *Document) checkReadable(most int, report finding.Reporter) bool {
 	text := d.Text
 	switch {
 	case len(text) > most:
@@ -164,8 +164,8 @@
 	return false
 }
 
-// Dotted writes a path as in a table's header: parts that are no bare key in quotes.
-func Dotted(path []string) string {
+// DottedPath writes a path as in a table's header: parts that are no bare key in quotes.
+func DottedPath(path []string) string {
 	parts := make([]string, len(path))
 	for i, p := range path {
 		parts[i] = QuoteKey(p)
--- a/internal/config/doc/doc_test.go
+++ b/internal/config/doc/doc_test.go
@@ -12,10 +12,10 @@
 )
 
 // read reads TOML and gives the findings as line:column.
-func read(t *testing.T, text string) (*Doc, []string) {
+func read(t *testing.T, text string) (*Document, []string) {
 	t.Helper()
 	var found finding.List
-	d := ReadTOML([]byte(text), 1<<20, found.In("f"))
+	d := ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
 	var at []string
 	for _, f := range found.All() {
 		at = append(at, fmt.Sprintf("%d:%d", f.Line, f.Column))
@@ -55,7 +55,7 @@
 // Behind a header that cannot be read nothing is taken for another table's key.
 func TestKeysBehindABrokenHeaderGoNowhere(t *testing.T) {
 	d, _ := read(t, "[t]\na = 1\n[u\na = 2\nb = 3\n[v]\nc = 4\n")
-	if d.Root.Sub("t").Get("b") != nil || d.Root.Lookup("v", "c") == nil || d.Root.Sub("t").Get("a").Value.Text != "1" {
+	if d.Root.Subtable("t").Get("b") != nil || d.Root.Lookup("v", "c") == nil || d.Root.Subtable("t").Get("a").Value.Text != "1" {
 		t.Error("keys went to the wrong table")
 	}
 }
@@ -68,13 +68,13 @@
 		if line == "%$ nonsense\n" {
 			size = 10 << 20
 		}
-		ReadTOML([]byte(strings.Repeat(line, size/len(line))), 16<<20, found.In("f"))
-		if n := found.Len(); n == 0 || line != "a = '''\n" && n > mostUnread+1 || len(found.All()) > finding.Most {
+		ReadTOML([]byte(strings.Repeat(line, size/len(line))), 16<<20, found.ForFile("f"))
+		if n := found.Len(); n == 0 || line != "a = '''\n" && n > maxUnreadableLines+1 || len(found.All()) > finding.MaxFindings {
 			t.Errorf("%q: %d findings", line, n)
 		}
 	}
 	var found finding.List
-	if ReadTOML(make([]byte, 101), 100, found.In("f")) != nil || found.Len() != 1 {
+	if ReadTOML(make([]byte, 101), 100, found.ForFile("f")) != nil || found.Len() != 1 {
 		t.Error("a text over its bound was read")
 	}
 }
@@ -82,14 +82,14 @@
 func TestPlaces(t *testing.T) {
 	d, _ := read(t, "# first\n[t]\n  key = \"välue\" # so\nü = 3\n")
 	e := d.Root.Lookup("t", "key")
-	if e.At != (finding.Pos{Line: 3, Col: 3}) || e.Value.At != (finding.Pos{Line: 3, Col: 9}) || string(d.Text[e.Value.Start:e.Value.End]) != `"välue"` {
+	if e.Pos != (finding.Pos{Line: 3, Col: 3}) || e.Value.Pos != (finding.Pos{Line: 3, Col: 9}) || string(d.Text[e.Value.Start:e.Value.End]) != `"välue"` {
 		t.Errorf("got %+v %+v", e, e.Value)
 	}
 	j := ReadJSON([]byte("{\n \"a\": [1, {\"b\": true}],\n \"ü\": null}"), 100, func(at finding.Pos, f string, args ...any) { t.Errorf(f, args...) })
-	if b := j.Root.Get("a").Value.Items[1].Table.Get("b"); b.At != (finding.Pos{Line: 2, Col: 12}) || b.Value.At != (finding.Pos{Line: 2, Col: 17}) {
+	if b := j.Root.Get("a").Value.Items[1].Table.Get("b"); b.Pos != (finding.Pos{Line: 2, Col: 12}) || b.Value.Pos != (finding.Pos{Line: 2, Col: 17}) {
 		t.Errorf("got %+v %+v", b, b.Value)
 	}
-	if u := j.Root.Get("ü"); u.Value.Kind != Null || u.Value.At != (finding.Pos{Line: 3, Col: 7}) {
+	if u := j.Root.Get("ü"); u.Value.Kind != Null || u.Value.Pos != (finding.Pos{Line: 3, Col: 7}) {
 		t.Errorf("got %+v", u.Value)
 	}
 }
@@ -98,20 +98,20 @@
 	const text = "# head\ntop = 1\n\n[t] # the table\n# about a\na = 1 # so\nb = 2\n\n[t.u]\nc = 3\n\n[z]\nd = 4\nx.y = 5\n"
 	for _, c := range []struct {
 		name string
-		edit func(d *Doc) []byte
+		edit func(d *Document) []byte
 		want string // of the lines that came and went
 	}{
-		{"replace", func(d *Doc) []byte { return d.Set([]string{"t", "a"}, "9") }, "-a = 1 # so +a = 9 # so"},
-		{"add to a table", func(d *Doc) []byte { return d.Set([]string{"t", "new"}, "9", "help") }, "+# help +new = 9"},
-		{"add at the top", func(d *Doc) []byte { return d.Set([]string{"new"}, "9") }, "+new = 9"},
-		{"add a table beside its likes", func(d *Doc) []byte { return d.Set([]string{"t", "v", "e"}, "9") }, "+[t.v] +e = 9 +"},
-		{"add a table at the end", func(d *Doc) []byte { return d.Set([]string{"q", "e"}, "9") }, "+[q] +e = 9 +"},
-		{"add beside a dotted key", func(d *Doc) []byte { return d.Set([]string{"z", "x", "w"}, "9") }, "+x.w = 9"},
-		{"delete", func(d *Doc) []byte { return d.Delete([]string{"t", "a"}) }, "-a = 1 # so"},
-		{"delete with its help", func(d *Doc) []byte { return d.Delete([]string{"t", "a"}, "about a") }, "-# about a -a = 1 # so"},
-		{"another comment stays", func(d *Doc) []byte { return d.Delete([]string{"t", "a"}, "other") }, "-a = 1 # so"},
-		{"delete the last key", func(d *Doc) []byte { return d.Delete([]string{"t", "u", "c"}) }, "-[t.u] -c = 3 -"},
-		{"delete nothing", func(d *Doc) []byte { return d.Delete([]string{"t", "none"}) }, ""},
+		{"replace", func(d *Document) []byte { return d.Set([]string{"t", "a"}, "9") }, "-a = 1 # so +a = 9 # so"},
+		{"add to a table", func(d *Document) []byte { return d.Set([]string{"t", "new"}, "9", "help") }, "+# help +new = 9"},
+		{"add at the top", func(d *Document) []byte { return d.Set([]string{"new"}, "9") }, "+new = 9"},
+		{"add a table beside its likes", func(d *Document) []byte { return d.Set([]string{"t", "v", "e"}, "9") }, "+[t.v] +e = 9 +"},
+		{"add a table at the end", func(d *Document) []byte { return d.Set([]string{"q", "e"}, "9") }, "+[q] +e = 9 +"},
+		{"add beside a dotted key", func(d *Document) []byte { return d.Set([]string{"z", "x", "w"}, "9") }, "+x.w = 9"},
+		{"delete", func(d *Document) []byte { return d.Delete([]string{"t", "a"}) }, "-a = 1 # so"},
+		{"delete with its help", func(d *Document) []byte { return d.Delete([]string{"t", "a"}, "about a") }, "-# about a -a = 1 # so"},
+		{"another comment stays", func(d *Document) []byte { return d.Delete([]string{"t", "a"}, "other") }, "-a = 1 # so"},
+		{"delete the last key", func(d *Document) []byte { return d.Delete([]string{"t", "u", "c"}) }, "-[t.u] -c = 3 -"},
+		{"delete nothing", func(d *Document) []byte { return d.Delete([]string{"t", "none"}) }, ""},
 	} {
 		for _, nl := range []string{"\n", "\r\n"} {
 			before := strings.ReplaceAll(text, "\n", nl)
@@ -166,7 +166,7 @@
 				rt.Fatalf("unreadable at %v:\n%s", at, text)
 			}
 			path := []string{"a", name.Draw(rt, "table"), "key" + name.Draw(rt, "key")}
-			if id := Dotted(path); rapid.Bool().Draw(rt, "set") {
+			if id := DottedPath(path); rapid.Bool().Draw(rt, "set") {
 				model[id] = fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
 				if path[1] == "k" {
 					delete(model, id) // a value stands there
@@ -200,7 +200,7 @@
 		if e.Value.Kind == TableKind {
 			leaves(e.Value.Table, into)
 		} else {
-			into[Dotted(append(slices.Clone(t.Path), e.Name))] = e.Value.Text
+			into[DottedPath(append(slices.Clone(t.Path), e.Name))] = e.Value.Text
 		}
 	}
 }
@@ -212,7 +212,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var found finding.List
-		d := ReadTOML(text, 1<<16, found.In("f"))
+		d := ReadTOML(text, 1<<16, found.ForFile("f"))
 		lines := strings.Count(string(text), "\n") + 1
 		for _, x := range found.All() {
 			if x.Line < 0 || x.Line > lines || x.Message == "" || strings.Contains(x.Message, "\n") {
@@ -230,7 +230,7 @@
 			return
 		}
 		after := d.Set(path, "42")
-		again := ReadTOML(after, 1<<17, found.In("f"))
+		again := ReadTOML(after, 1<<17, found.ForFile("f"))
 		if again == nil || found.Len() > 0 || again.Root.Lookup(path...) == nil || again.Root.Lookup(path...).Value.Text != "42" {
 			t.Errorf("%q became %q: %v", text, after, found.Err())
 		}
@@ -243,7 +243,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var found finding.List
-		d := ReadJSON(text, 1<<16, found.In("f"))
+		d := ReadJSON(text, 1<<16, found.ForFile("f"))
 		if d == nil && found.Len() == 0 {
 			t.Errorf("%q: neither read nor refused", text)
 		}
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -11,25 +11,25 @@
 
 // ReadJSON reads a text of at most a number of bytes that holds one object. It is nil where it cannot be
 // read: JSON gives no place to go on from.
-func ReadJSON(text []byte, most int, report finding.Reporter) *Doc {
-	d := newDoc(text)
-	if !d.readable(most, report) {
+func ReadJSON(text []byte, most int, report finding.Reporter) *Document {
+	d := newDocument(text)
+	if !d.checkReadable(most, report) {
 		return nil
 	}
-	r := jsonReader{Doc: d, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
+	r := jsonReader{Document: d, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
 	r.decoder.UseNumber()
 	v, err := r.value(nil, 0)
 	if err == nil {
 		if v.Kind != TableKind {
-			report(v.At, "holds %s, not an object", v.Kind)
+			report(v.Pos, "holds %s, not an object", v.Kind)
 			return nil
 		}
-		if r.next(); r.at < len(text) {
+		if r.skipToToken(); r.tokenStart < len(text) {
 			err = errors.New("more text behind the end of the object")
 		}
 	}
 	if err != nil {
-		at := r.at
+		at := r.tokenStart
 		var syntax *json.SyntaxError
 		switch {
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
@@ -45,23 +45,23 @@
 }
 
 type jsonReader struct {
-	*Doc
-	report  finding.Reporter
-	decoder *json.Decoder
-	at      int // where the token that is read begins
+	*Document
+	report     finding.Reporter
+	decoder    *json.Decoder
+	tokenStart int // where the token that is read begins
 }
 
-// next moves to the next token's first byte.
-func (j *jsonReader) next() {
-	for j.at = int(j.decoder.InputOffset()); j.at < len(j.Text); j.at++ {
-		if !bytes.ContainsRune([]byte(" \t\r\n,:"), rune(j.Text[j.at])) {
+// skipToToken moves to the next token's first byte.
+func (j *jsonReader) skipToToken() {
+	for j.tokenStart = int(j.decoder.InputOffset()); j.tokenStart < len(j.Text); j.tokenStart++ {
+		if !bytes.ContainsRune([]byte(" \t\r\n,:"), rune(j.Text[j.tokenStart])) {
 			return
 		}
 	}
 }
 
 func (j *jsonReader) token() (json.Token, error) {
-	j.next()
+	j.skipToToken()
 	return j.decoder.Token()
 }
 
@@ -70,11 +70,11 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Value{At: j.Pos(j.at), Start: j.at, End: int(j.decoder.InputOffset())}
+	v := &Value{Pos: j.Pos(j.tokenStart), Start: j.tokenStart, End: int(j.decoder.InputOffset())}
 	v.Text = string(j.Text[v.Start:v.End])
 	switch x := token.(type) {
 	case json.Delim:
-		if depth >= mostDepth {
+		if depth >= maxDepth {
 			return nil, errors.New("too many lists and objects within one another")
 		}
 		if x == '{' {
@@ -106,23 +106,23 @@
 }
 
 func (j *jsonReader) object(v *Value, path []string, depth int) error {
-	v.Kind, v.Table = TableKind, &Table{Path: path, At: v.At}
+	v.Kind, v.Table = TableKind, &Table{Path: path, Pos: v.Pos}
 	for j.decoder.More() {
 		token, err := j.token()
 		if err != nil {
 			return err
 		}
 		name, _ := token.(string)
-		at := j.Pos(j.at)
+		at := j.Pos(j.tokenStart)
 		inner, err := j.value(append(path[:len(path):len(path)], name), depth+1)
 		if err != nil {
 			return err
 		}
 		if e := v.Table.Get(name); e != nil {
-			j.report(at, "%q stands twice: first in line %d", name, e.At.Line)
+			j.report(at, "%q stands twice: first in line %d", name, e.Pos.Line)
 			continue
 		}
-		v.Table.add(&Entry{Name: name, At: at, Value: inner})
+		v.Table.add(&Entry{Name: name, Pos: at, Value: inner})
 	}
 	_, err := j.token()
 	return err
--- a/internal/config/doc/toml.go
+++ b/internal/config/doc/toml.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// mostUnread bounds the lines that are reported as unreadable: behind so many the file is not TOML, and
+	// maxUnreadableLines bounds the lines that are reported as unreadable: behind so many the file is not TOML, and
 	// each costs a start of the parser; so do those that follow one and are not reported.
-	mostUnread   = 100
-	mostRestarts = 1000
-	// mostDepth bounds tables and lists within one another, and so recursion here and in whoever walks the tree.
-	mostDepth = 16
+	maxUnreadableLines = 100
+	maxParserRestarts  = 1000
+	// maxDepth bounds tables and lists within one another, and so recursion here and in whoever walks the tree.
+	maxDepth = 16
 )
 
 // ReadTOML reads a text of at most a number of bytes. It reports all that cannot be read, and gives the tree
 // of the rest: with findings it is not to be used, but others may be found in it. It is nil only where
 // nothing could be read.
-func ReadTOML(text []byte, most int, report finding.Reporter) *Doc {
-	d := newDoc(text)
-	if !d.readable(most, report) {
+func ReadTOML(text []byte, most int, report finding.Reporter) *Document {
+	d := newDocument(text)
+	if !d.checkReadable(most, report) {
 		return nil
 	}
-	r := reader{Doc: d, report: report, table: d.Root}
+	r := tomlReader{Document: d, report: report, table: d.Root}
 	r.read()
 	return d
 }
 
-// reader reads one document.
-type reader struct {
-	*Doc
-	report finding.Reporter
-	parser unstable.Parser
-	base   int    // where the parser's text begins in the document's
-	table  *Table // which keys go into; nil behind a header that cannot be read
-	done   int    // behind the last line that could be read, but for the end of a list
+// tomlReader reads one document.
+type tomlReader struct {
+	*Document
+	report      finding.Reporter
+	parser      unstable.Parser
+	parserStart int    // where the parser's text begins in the document's
+	table       *Table // which keys go into; nil behind a header that cannot be read
+	readEnd     int    // behind the last line that could be read, but for the end of a list
 }
 
-func (r *reader) read() {
+func (r *tomlReader) read() {
 	unread, restarts, last := 0, 0, -2
-	for r.base < len(r.Text) {
-		r.parser.Reset(r.Text[r.base:len(r.Text):len(r.Text)])
+	for r.parserStart < len(r.Text) {
+		r.parser.Reset(r.Text[r.parserStart:len(r.Text):len(r.Text)])
 		for r.parser.NextExpression() {
 			r.expression(r.parser.Expression())
 		}
@@ -53,28 +53,28 @@
 		if err == nil {
 			return
 		}
-		at := r.base
+		at := r.parserStart
 		var perr *unstable.ParserError
 		if errors.As(err, &perr) && perr.Highlight != nil {
 			at += int(r.parser.Range(perr.Highlight).Offset)
 		}
 		at = min(at, len(r.Text)-1)
-		message := plain(err.Error(), r.Text[r.lines[r.line(at)]:r.lineEnd(at)], at-r.lines[r.line(at)])
-		if began := r.began(at); r.line(began) < r.line(at) {
+		message := explainSyntaxError(err.Error(), r.Text[r.lines[r.line(at)]:r.lineEnd(at)], at-r.lines[r.line(at)])
+		if began := r.expressionStart(at); r.line(began) < r.line(at) {
 			// A list or string over several lines. Where it begins says more than where it was noticed, and the
 			// lines from there on are looked at one by one.
 			at = began
 			message = "what begins here is not closed (" + err.Error() + ")"
 		}
 		line := r.line(at)
-		begins := r.trimmed(line)
+		begins := r.trimmedLine(line)
 		// Behind a list or a string that is not closed, its other lines cannot be read either: they are part of
 		// that finding, unless they look like lines of their own.
-		if line != last+1 || looksWhole(begins) {
+		if line != last+1 || looksLikeStatement(begins) {
 			unread++
 			r.report(r.Pos(at), "cannot be read: %s", message)
 		}
-		if restarts++; unread >= mostUnread || restarts >= mostRestarts {
+		if restarts++; unread >= maxUnreadableLines || restarts >= maxParserRestarts {
 			r.report(r.Pos(at), "too many lines cannot be read; the rest is not looked at")
 			return
 		}
@@ -82,15 +82,15 @@
 			r.table = nil
 		}
 		last = line
-		r.base = r.lineEnd(at)
+		r.parserStart = r.lineEnd(at)
 	}
 }
 
-// began is where the expression began that cannot be read at a byte: the first line behind the last one that
+// expressionStart is where the expression began that cannot be read at a byte: the first line behind the last one that
 // could be, if it looks like the start of one.
-func (r *reader) began(at int) int {
-	for line := r.line(min(max(r.done, r.base), at)); line < r.line(at); line++ {
-		if r.lines[line] >= r.done && looksWhole(r.trimmed(line)) {
+func (r *tomlReader) expressionStart(at int) int {
+	for line := r.line(min(max(r.readEnd, r.parserStart), at)); line < r.line(at); line++ {
+		if r.lines[line] >= r.readEnd && looksLikeStatement(r.trimmedLine(line)) {
 			text := r.Text[r.lines[line]:]
 			return r.lines[line] + len(text) - len(bytes.TrimLeft(text, " \t"))
 		}
@@ -98,17 +98,17 @@
 	return at
 }
 
-func (r *reader) trimmed(line int) string {
+func (r *tomlReader) trimmedLine(line int) string {
 	return strings.TrimSpace(string(r.Text[r.lines[line]:r.lineEnd(r.lines[line])]))
 }
 
-// looksWhole tells whether a line looks like a header or a key with a value, and not like the inside of a list.
-func looksWhole(line string) bool {
+// looksLikeStatement tells whether a line looks like a header or a key with a value, and not like the inside of a list.
+func looksLikeStatement(line string) bool {
 	return strings.HasPrefix(line, "[") || !strings.HasPrefix(line, "#") && strings.Contains(line, "=")
 }
 
-// plain puts the parser's words into plainer ones, where there are such, for an error at a byte of a line.
-func plain(message string, text []byte, at int) string {
+// explainSyntaxError puts the parser's words into plainer ones, where there are such, for an error at a byte of a line.
+func explainSyntaxError(message string, text []byte, at int) string {
 	line := strings.TrimSpace(string(text))
 	equals := bytes.IndexByte(text, '=')
 	switch {
@@ -134,22 +134,22 @@
 	word, _, _ := strings.Cut(value, "#")
 	word = strings.TrimSpace(word)
 	if word != "" && strings.Trim(word, "0123456789.abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ%/:_-+") == "" {
-		return "the value " + clipped(word) + " is neither a number, nor true or false, nor a string in quotes: write " + Quote(clipped(word))
+		return "the value " + truncated(word) + " is neither a number, nor true or false, nor a string in quotes: write " + Quote(truncated(word))
 	}
 	return message
 }
 
-func clipped(s string) string {
+func truncated(s string) string {
 	if len(s) > 40 {
 		return strings.ToValidUTF8(s[:40], "") + "..."
 	}
 	return s
 }
 
-func (r *reader) offset(n *unstable.Node) int { return r.base + int(n.Raw.Offset) }
+func (r *tomlReader) offset(n *unstable.Node) int { return r.parserStart + int(n.Raw.Offset) }
 
-// keys are the parts of a dotted key, with the place of each.
-func (r *reader) keys(it unstable.Iterator) (parts []string, at []int, end int) {
+// keyParts are the parts of a dotted key, with the place of each.
+func (r *tomlReader) keyParts(it unstable.Iterator) (parts []string, at []int, end int) {
 	for it.Next() {
 		n := it.Node()
 		parts, at = append(parts, string(n.Data)), append(at, r.offset(n))
@@ -158,7 +158,7 @@
 	return parts, at, end
 }
 
-func (r *reader) expression(n *unstable.Node) {
+func (r *tomlReader) expression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table, unstable.ArrayTable:
 		r.header(n, n.Kind == unstable.ArrayTable)
@@ -169,13 +169,13 @@
 	}
 }
 
-// header takes up the table that the next keys go into.
-func (r *reader) header(n *unstable.Node, list bool) {
-	parts, at, _ := r.keys(n.Key())
+// hasHeader takes up the table that the next keys go into.
+func (r *tomlReader) header(n *unstable.Node, list bool) {
+	parts, at, _ := r.keyParts(n.Key())
 	pos := r.Pos(at[0])
 	r.table = nil
-	if len(parts) > mostDepth {
-		r.report(pos, "more than %d tables within one another", mostDepth)
+	if len(parts) > maxDepth {
+		r.report(pos, "more than %d tables within one another", maxDepth)
 		return
 	}
 	t := r.Root
@@ -183,88 +183,88 @@
 		last := i == len(parts)-1
 		e := t.Get(part)
 		if e == nil {
-			sub := &Table{Path: append(t.Path[:len(t.Path):len(t.Path)], part), At: pos}
-			v := &Value{Kind: TableKind, At: pos, Table: sub}
+			sub := &Table{Path: append(t.Path[:len(t.Path):len(t.Path)], part), Pos: pos}
+			v := &Value{Kind: TableKind, Pos: pos, Table: sub}
 			if last && list {
-				sub.list = true
-				v = &Value{Kind: Array, At: pos, Items: []*Value{v}}
+				sub.arrayElement = true
+				v = &Value{Kind: Array, Pos: pos, Items: []*Value{v}}
 			}
-			t.add(&Entry{Name: part, At: pos, Value: v, Start: -1})
+			t.add(&Entry{Name: part, Pos: pos, Value: v, Start: -1})
 			t = sub
 			continue
 		}
 		switch {
-		case e.Value.Kind == Array && len(e.Value.Items) > 0 && e.Value.Items[0].Kind == TableKind && e.Value.Items[0].Table.list:
+		case e.Value.Kind == Array && len(e.Value.Items) > 0 && e.Value.Items[0].Kind == TableKind && e.Value.Items[0].Table.arrayElement:
 			if last && list {
-				sub := &Table{Path: append(t.Path[:len(t.Path):len(t.Path)], part), At: pos, list: true}
-				e.Value.Items = append(e.Value.Items, &Value{Kind: TableKind, At: pos, Table: sub})
+				sub := &Table{Path: append(t.Path[:len(t.Path):len(t.Path)], part), Pos: pos, arrayElement: true}
+				e.Value.Items = append(e.Value.Items, &Value{Kind: TableKind, Pos: pos, Table: sub})
 				t = sub
 			} else if last {
-				r.report(pos, "[%s] is a list of tables since line %d", Dotted(parts), e.At.Line)
+				r.report(pos, "[%s] is a list of tables since line %d", DottedPath(parts), e.Pos.Line)
 				return
 			} else {
 				t = e.Value.Items[len(e.Value.Items)-1].Table
 			}
 		case e.Value.Kind != TableKind:
-			r.report(pos, "[%s] is a table, but %s has a value in line %d", Dotted(parts), Dotted(parts[:i+1]), e.At.Line)
+			r.report(pos, "[%s] is a table, but %s has a value in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
 			return
 		case last && list:
-			r.report(pos, "[[%s]] is a list of tables, but a table since line %d", Dotted(parts), e.At.Line)
+			r.report(pos, "[[%s]] is a list of tables, but a table since line %d", DottedPath(parts), e.Pos.Line)
 			return
 		default:
 			t = e.Value.Table
 		}
 	}
-	if t.header || t.dotted {
-		r.report(pos, "the table [%s] stands twice: first in line %d", Dotted(parts), t.At.Line)
+	if t.hasHeader || t.dotted {
+		r.report(pos, "the table [%s] stands twice: first in line %d", DottedPath(parts), t.Pos.Line)
 		// Its keys are looked at all the same, as another table's: each would be a duplicate otherwise.
-		r.table = &Table{Path: t.Path, At: pos}
+		r.table = &Table{Path: t.Path, Pos: pos}
 		return
 	}
-	t.header, t.At = true, pos
-	t.start = r.lines[r.line(at[0])]
-	t.last = r.lineEnd(at[0])
-	r.done = t.last
+	t.hasHeader, t.Pos = true, pos
+	t.headerStart = r.lines[r.line(at[0])]
+	t.bodyEnd = r.lineEnd(at[0])
+	r.readEnd = t.bodyEnd
 	r.table = t
 }
 
 // keyValue puts a key into a table.
-func (r *reader) keyValue(t *Table, n *unstable.Node, depth int) {
-	parts, at, end := r.keys(n.Key())
+func (r *tomlReader) keyValue(t *Table, n *unstable.Node, depth int) {
+	parts, at, end := r.keyParts(n.Key())
 	pos := r.Pos(at[0])
-	if depth+len(parts) > mostDepth {
-		r.report(pos, "more than %d tables within one another", mostDepth)
+	if depth+len(parts) > maxDepth {
+		r.report(pos, "more than %d tables within one another", maxDepth)
 		return
 	}
 	owner := t
 	for i, part := range parts[:len(parts)-1] {
 		e := t.Get(part)
 		if e == nil {
-			sub := &Table{Path: append(t.Path[:len(t.Path):len(t.Path)], part), At: pos, dotted: true}
-			e = &Entry{Name: part, At: pos, Value: &Value{Kind: TableKind, At: pos, Table: sub}, Start: -1}
+			sub := &Table{Path: append(t.Path[:len(t.Path):len(t.Path)], part), Pos: pos, dotted: true}
+			e = &Entry{Name: part, Pos: pos, Value: &Value{Kind: TableKind, Pos: pos, Table: sub}, Start: -1}
 			t.add(e)
 		}
-		if e.Value.Kind != TableKind || e.Value.Table.header {
-			r.report(pos, "%s cannot be set here: %s is set in line %d", Dotted(parts), Dotted(parts[:i+1]), e.At.Line)
+		if e.Value.Kind != TableKind || e.Value.Table.hasHeader {
+			r.report(pos, "%s cannot be set here: %s is set in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
 			return
 		}
 		t = e.Value.Table
 	}
 	name := parts[len(parts)-1]
 	if e := t.Get(name); e != nil {
-		r.report(pos, "%s stands twice: first in line %d", Dotted(parts), e.At.Line)
+		r.report(pos, "%s stands twice: first in line %d", DottedPath(parts), e.Pos.Line)
 		return
 	}
 	for end < len(r.Text) && (r.Text[end] == ' ' || r.Text[end] == '\t' || r.Text[end] == '=') {
 		end++ // to the value
 	}
 	v := r.value(append(t.Path[:len(t.Path):len(t.Path)], name), n.Value(), end, depth+len(parts))
-	e := &Entry{Name: name, At: pos, Value: v, Start: r.lines[r.line(at[0])]}
+	e := &Entry{Name: name, Pos: pos, Value: v, Start: r.lines[r.line(at[0])]}
 	e.prefix = string(r.Text[at[0]:at[len(at)-1]])
 	e.End = r.lineEnd(max(v.End-1, end, at[0]))
 	t.add(e)
-	owner.last = max(owner.last, e.End)
-	r.done = max(r.done, e.End)
+	owner.bodyEnd = max(owner.bodyEnd, e.End)
+	r.readEnd = max(r.readEnd, e.End)
 }
 
 var kinds = map[unstable.Kind]Kind{
@@ -274,16 +274,16 @@
 }
 
 // value reads the value that begins at a byte.
-func (r *reader) value(path []string, n *unstable.Node, start, depth int) *Value {
-	v := &Value{Kind: kinds[n.Kind], At: r.Pos(start), Start: start, End: start + 1}
+func (r *tomlReader) value(path []string, n *unstable.Node, start, depth int) *Value {
+	v := &Value{Kind: kinds[n.Kind], Pos: r.Pos(start), Start: start, End: start + 1}
 	switch v.Kind {
 	case Array, TableKind:
-		if depth >= mostDepth {
-			r.report(v.At, "more than %d lists and tables within one another", mostDepth)
+		if depth >= maxDepth {
+			r.report(v.Pos, "more than %d lists and tables within one another", maxDepth)
 			return v
 		}
 		if v.Kind == TableKind {
-			v.Table = &Table{Path: path, At: v.At, dotted: true}
+			v.Table = &Table{Path: path, Pos: v.Pos, dotted: true}
 		}
 		for it := n.Children(); it.Next(); {
 			child := it.Node()
@@ -305,7 +305,7 @@
 	default:
 		v.Start = r.offset(n)
 		v.End = v.Start + int(n.Raw.Length)
-		v.At = r.Pos(v.Start)
+		v.Pos = r.Pos(v.Start)
 		v.Text = string(n.Data)
 	}
 	return v
@@ -313,7 +313,7 @@
 
 // childStart is where an item of a list begins: lists and tables within it are not told their place by the
 // parser, and count as standing where the outer one does.
-func (r *reader) childStart(n *unstable.Node, outer int) int {
+func (r *tomlReader) childStart(n *unstable.Node, outer int) int {
 	if n.Raw.Length > 0 {
 		return r.offset(n)
 	}
--- a/internal/config/finding/finding.go
+++ b/internal/config/finding/finding.go
@@ -31,16 +31,16 @@
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
 }
 
-// Most bounds the findings of one List. What a file of junk could make grow is
+// MaxFindings bounds the findings of one List. What a file of junk could make grow is
 // bounded so; the count goes on.
-const Most = 1000
+const MaxFindings = 1000
 
 // List collects findings. Findings that are equal are kept once: a value that
 // many applications inherit is wrong in one place only. The zero List is empty.
 type List struct {
-	found []Finding
-	seen  map[Finding]bool
-	more  int
+	findings []Finding
+	seen     map[Finding]bool
+	omitted  int
 }
 
 // Add adds a finding.
@@ -48,19 +48,19 @@
 	f := Finding{File: file, Line: at.Line, Column: at.Col, Message: fmt.Sprintf(format, args...)}
 	switch {
 	case l.seen[f]:
-	case len(l.found) >= Most:
-		l.more++
+	case len(l.findings) >= MaxFindings:
+		l.omitted++
 	default:
 		if l.seen == nil {
 			l.seen = map[Finding]bool{}
 		}
 		l.seen[f] = true
-		l.found = append(l.found, f)
+		l.findings = append(l.findings, f)
 	}
 }
 
-// In is a Reporter for one file.
-func (l *List) In(file string) Reporter {
+// ForFile is a Reporter for one file.
+func (l *List) ForFile(file string) Reporter {
 	return func(at Pos, format string, args ...any) { l.Add(file, at, format, args...) }
 }
 
@@ -68,22 +68,22 @@
 type Reporter func(at Pos, format string, args ...any)
 
 // Len is the number of findings, those that were too many to keep included.
-func (l *List) Len() int { return len(l.found) + l.more }
+func (l *List) Len() int { return len(l.findings) + l.omitted }
 
 // All are the findings by file, line and column. Files keep the order in which
 // they were first named.
 func (l *List) All() []Finding {
 	order := map[string]int{}
-	for _, f := range l.found {
+	for _, f := range l.findings {
 		if _, ok := order[f.File]; !ok {
 			order[f.File] = len(order)
 		}
 	}
-	slices.SortStableFunc(l.found, func(a, b Finding) int {
+	slices.SortStableFunc(l.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(order[a.File], order[b.File]), cmp.Compare(a.Line, b.Line),
 			cmp.Compare(a.Column, b.Column), strings.Compare(a.Message, b.Message))
 	})
-	return l.found
+	return l.findings
 }
 
 // Print writes one line a finding.
@@ -93,8 +93,8 @@
 			return err
 		}
 	}
-	if l.more > 0 {
-		_, err := fmt.Fprintf(w, "and %d more findings\n", l.more)
+	if l.omitted > 0 {
+		_, err := fmt.Fprintf(w, "and %d more findings\n", l.omitted)
 		return err
 	}
 	return nil
@@ -112,7 +112,7 @@
 	return e.Encode(struct {
 		Findings []Finding `json:"findings"`
 		More     int       `json:"more"`
-	}{all, l.more})
+	}{all, l.omitted})
 }
 
 // Err is nil, or an error of all findings, one a line.
--- a/internal/config/finding/finding_test.go
+++ b/internal/config/finding/finding_test.go
@@ -25,7 +25,7 @@
 		a, b string
 		want int
 	}{{"", "", 0}, {"a", "", 1}, {"", "ab", 2}, {"ab", "ba", 1}, {"kitten", "sitting", 3}, {"über", "uber", 1}, {"abcd", "acbd", 1}} {
-		if got := distance(c.a, c.b); got != c.want {
+		if got := editDistance(c.a, c.b); got != c.want {
 			t.Errorf("%q, %q: %d, want %d", c.a, c.b, got, c.want)
 		}
 	}
@@ -43,7 +43,7 @@
 	if want := "b:1:9: early\nb:2:1: late\na: whole\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
-	for i := range 2 * Most {
+	for i := range 2 * MaxFindings {
 		l.Add("c", Pos{i + 1, 1}, "x")
 	}
 	out.Reset()
@@ -52,10 +52,10 @@
 		Findings []Finding
 		More     int
 	}
-	if err := json.Unmarshal(out.Bytes(), &got); err != nil || len(got.Findings) != Most || got.More != Most+3 || l.Len() != 2*Most+3 {
+	if err := json.Unmarshal(out.Bytes(), &got); err != nil || len(got.Findings) != MaxFindings || got.More != MaxFindings+3 || l.Len() != 2*MaxFindings+3 {
 		t.Error(err, len(got.Findings), got.More, l.Len())
 	}
-	if !strings.HasSuffix(l.Err().Error(), fmt.Sprintf("and %d more findings", Most+3)) {
+	if !strings.HasSuffix(l.Err().Error(), fmt.Sprintf("and %d more findings", MaxFindings+3)) {
 		t.Error("the rest is not told")
 	}
 	if (&List{}).Err() != nil {
--- a/internal/config/finding/golden_test.go
+++ b/internal/config/finding/golden_test.go
@@ -79,8 +79,8 @@
 func TestGoldenUnknown(t *testing.T) {
 	var all strings.Builder
 	for _, name := range []string{"idel", "zz", strings.Repeat("y", 100)} {
-		all.WriteString(Unknown("key", name, []string{"idle", "wait"}) + "\n")
-		all.WriteString(Unknown("key", name, nil) + "\n")
+		all.WriteString(UnknownName("key", name, []string{"idle", "wait"}) + "\n")
+		all.WriteString(UnknownName("key", name, nil) + "\n")
 	}
 	golden.Text(t, "unknown.txt", []byte(all.String()))
 }
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -5,33 +5,33 @@
 	"strings"
 )
 
-// longestName bounds what is compared: the cost grows with the square.
-const longestName = 64
+// maxNameBytes bounds what is compared: the cost grows with the square.
+const maxNameBytes = 64
 
 // Nearest is the candidate that a misspelt name most likely means, or "" if
 // none is near: a third of its letters may be wrong, and at least one.
 func Nearest(name string, candidates []string) string {
 	best, least := "", 0
-	if len(name) > longestName {
+	if len(name) > maxNameBytes {
 		return ""
 	}
 	lower := strings.ToLower(name)
 	for _, c := range candidates {
-		if len(c) > longestName {
+		if len(c) > maxNameBytes {
 			continue
 		}
 		allowed := max(1, max(len(name), len(c))/3)
-		if d := distance(lower, strings.ToLower(c)); d <= allowed && (best == "" || d < least) {
+		if d := editDistance(lower, strings.ToLower(c)); d <= allowed && (best == "" || d < least) {
 			best, least = c, d
 		}
 	}
 	return best
 }
 
-// Unknown words a message on a name that is not one of candidates: with the
+// UnknownName words a message on a name that is not one of candidates: with the
 // nearest one, or with all where these are few.
-func Unknown(what, name string, candidates []string) string {
-	text := fmt.Sprintf("unknown %s %q", what, clip(name))
+func UnknownName(what, name string, candidates []string) string {
+	text := fmt.Sprintf("unknown %s %q", what, truncate(name))
 	if n := Nearest(name, candidates); n != "" {
 		return fmt.Sprintf("%s; did you mean %q?", text, n)
 	}
@@ -41,17 +41,17 @@
 	return text
 }
 
-// clip keeps a message to a line that can be read.
-func clip(s string) string {
-	if len(s) <= longestName {
+// truncate keeps a message to a line that can be read.
+func truncate(s string) string {
+	if len(s) <= maxNameBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:longestName], "") + "..."
+	return strings.ToValidUTF8(s[:maxNameBytes], "") + "..."
 }
 
-// distance is the least number of letters to insert, drop, replace or swap
+// editDistance is the least number of letters to insert, drop, replace or swap
 // with their neighbour to turn a into b (optimal string alignment).
-func distance(a, b string) int {
+func editDistance(a, b string) int {
 	x, y := []rune(a), []rune(b)
 	before, last, row := make([]int, len(y)+1), make([]int, len(y)+1), make([]int, len(y)+1)
 	for j := range last {
--- a/internal/config/schema/render.go
+++ b/internal/config/schema/render.go
@@ -11,8 +11,8 @@
 func (s *Schema) Reference() string {
 	var b strings.Builder
 	for _, t := range s.Tables {
-		fmt.Fprintf(&b, "\n## [%s]\n\n%s", t.header(), t.Help)
-		if t.Must {
+		fmt.Fprintf(&b, "\n## [%s]\n\n%s", t.headerName(), t.Help)
+		if t.Required {
 			b.WriteString(" At least one is needed.")
 		}
 		b.WriteString("\n\n| key | type | default | changes at | meaning |\n| --- | --- | --- | --- | --- |\n")
@@ -41,19 +41,19 @@
 func (s *Schema) Sample() string {
 	var b strings.Builder
 	for _, t := range s.Tables {
-		needed := t.Must
+		needed := t.Required
 		for _, k := range t.Keys {
 			needed = needed || k.Required && !t.Named
 		}
 		path := []string{t.Name}
 		if t.Named {
-			path = append(path, t.Like)
+			path = append(path, t.ExampleName)
 		}
 		mark := "# "
 		if needed {
 			mark = ""
 		}
-		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", t.Help, mark, doc.Dotted(path))
+		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", t.Help, mark, doc.DottedPath(path))
 		for _, k := range t.Keys {
 			fmt.Fprintf(&b, "# %s\n", k.Help)
 			switch {
@@ -69,12 +69,12 @@
 	return b.String()
 }
 
-// Text writes the keys that a file sets, in the schema's order, each below its help.
+// StringOptions writes the keys that a file sets, in the schema's order, each below its help.
 func (f *File) Text() string {
 	var b strings.Builder
 	at := ""
 	for _, s := range f.Settings() {
-		if head := doc.Dotted(s.Path[:len(s.Path)-1]); head != at {
+		if head := doc.DottedPath(s.Path[:len(s.Path)-1]); head != at {
 			at = head
 			fmt.Fprintf(&b, "\n# %s\n[%s]\n", f.schema.Table(s.Path[0]).Help, head)
 		}
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -47,9 +47,9 @@
 	Secret   Secret // what the file holds that the value is the path of
 	Change   Change
 
-	unless func(f *File) bool // where it is not required after all
-	decode func(target any, v *doc.Value) (canonical, fault string)
-	preset func(target any)
+	optionalWhen func(f *File) bool // where it is not required after all
+	decode       func(target any, v *doc.Value) (canonical, fault string)
+	setDefault   func(target any)
 }
 
 // KeyOf is a Key that fills a field of a T.
@@ -57,44 +57,44 @@
 
 // Table is a table of keys.
 type Table struct {
-	Name  string
-	Help  string
-	Keys  []*Key
-	Named bool   // [name.ANY], any number
-	Sorts string // of a named one, what its names are, "class"
-	Must  bool   // of a named one, whether at least one is needed
-	Like  string // an example of a name
+	Name        string
+	Help        string
+	Keys        []*Key
+	Named       bool   // [name.ANY], any number
+	NameKind    string // of a named one, what its names are, "class"
+	Required    bool   // of a named one, whether at least one is needed
+	ExampleName string // an example of a name
 
-	byName map[string]*Key
-	fresh  func() any
-	check  func(f *File, name string, value any, report Reporter)
-	bad    func(name string) string
+	byName    map[string]*Key
+	newValue  func() any
+	check     func(f *File, name string, value any, report Reporter)
+	nameFault func(name string) string
 }
 
 // Reporter takes a finding on a key of the table that is checked.
 type Reporter func(key string, format string, args ...any)
 
-// Of is a Table whose keys fill a T.
-type Of[T any] struct{ *Table }
+// TypedTable is a Table whose keys fill a T.
+type TypedTable[T any] struct{ *Table }
 
 // NewTable declares [name].
-func NewTable[T any](name, help string, keys ...KeyOf[T]) Of[T] {
-	return Of[T]{newTable[T](name, help, keys)}
+func NewTable[T any](name, help string, keys ...KeyOf[T]) TypedTable[T] {
+	return TypedTable[T]{newTable[T](name, help, keys)}
 }
 
 // NewNamed declares [name.ANY]; sorts says what ANY is, and example gives one.
-func NewNamed[T any](name, sorts, example, help string, keys ...KeyOf[T]) Of[T] {
+func NewNamed[T any](name, sorts, example, help string, keys ...KeyOf[T]) TypedTable[T] {
 	t := newTable[T](name, help, keys)
-	t.Named, t.Sorts, t.Like = true, sorts, example
-	return Of[T]{t}
+	t.Named, t.NameKind, t.ExampleName = true, sorts, example
+	return TypedTable[T]{t}
 }
 
 func newTable[T any](name, help string, keys []KeyOf[T]) *Table {
 	t := &Table{Name: name, Help: help, byName: map[string]*Key{}}
-	t.fresh = func() any {
+	t.newValue = func() any {
 		v := new(T)
 		for _, k := range keys {
-			k.preset(v)
+			k.setDefault(v)
 		}
 		return v
 	}
@@ -108,33 +108,33 @@
 	return t
 }
 
-// Needed says that at least one table of this sort must be there.
-func (o Of[T]) Needed() Of[T] {
-	o.Must = true
+// RequireOne says that at least one table of this sort must be there.
+func (o TypedTable[T]) RequireOne() TypedTable[T] {
+	o.Required = true
 	return o
 }
 
 // Check adds a check over several keys of a table, run once all could be read. A finding is put where its
 // key is set, or at the table's header.
-func (o Of[T]) Check(check func(f *File, name string, value *T, report Reporter)) Of[T] {
+func (o TypedTable[T]) Check(check func(f *File, name string, value *T, report Reporter)) TypedTable[T] {
 	o.check = func(f *File, name string, value any, report Reporter) { check(f, name, value.(*T), report) }
 	return o
 }
 
-// Unless says of a required key where it may be left out all the same.
-func (o Of[T]) Unless(key string, spared func(f *File) bool) Of[T] {
-	o.byName[key].unless = spared
+// OptionalWhen says of a required key where it may be left out all the same.
+func (o TypedTable[T]) OptionalWhen(key string, spared func(f *File) bool) TypedTable[T] {
+	o.byName[key].optionalWhen = spared
 	return o
 }
 
-// Names checks the names of a named table: what is wrong with one, or "".
-func (o Of[T]) Names(bad func(name string) string) Of[T] {
-	o.bad = bad
+// CheckNames checks the names of a named table: what is wrong with one, or "".
+func (o TypedTable[T]) CheckNames(bad func(name string) string) TypedTable[T] {
+	o.nameFault = bad
 	return o
 }
 
 // In is the table's value in a file: its defaults where the file does not have it.
-func (o Of[T]) In(f *File) *T {
+func (o TypedTable[T]) In(f *File) *T {
 	if v, ok := f.values[o.Name]; ok {
 		return v.(*T)
 	}
@@ -142,7 +142,7 @@
 }
 
 // Default is the table's value where nothing is set.
-func (o Of[T]) Default() *T { return o.fresh().(*T) }
+func (o TypedTable[T]) Default() *T { return o.newValue().(*T) }
 
 // Named is one of several tables of a sort.
 type Named[T any] struct {
@@ -151,7 +151,7 @@
 }
 
 // All are the tables of a sort in a file, in its order.
-func (o Of[T]) All(f *File) []Named[T] {
+func (o TypedTable[T]) All(f *File) []Named[T] {
 	var all []Named[T]
 	for _, name := range f.names[o.Name] {
 		all = append(all, Named[T]{name, f.values[o.Name+"\x00"+name].(*T)})
@@ -160,7 +160,7 @@
 }
 
 // First is the first of several tables of a sort in a file, or nil, and how many there are.
-func (o Of[T]) First(f *File) (first *T, all int) {
+func (o TypedTable[T]) First(f *File) (first *T, all int) {
 	names := f.names[o.Name]
 	if len(names) == 0 {
 		return nil, 0
@@ -169,7 +169,7 @@
 }
 
 // Get is one of several tables of a sort, or nil.
-func (o Of[T]) Get(f *File, name string) *T {
+func (o TypedTable[T]) Get(f *File, name string) *T {
 	v, _ := f.values[o.Name+"\x00"+name].(*T)
 	return v
 }
@@ -200,25 +200,25 @@
 	return s
 }
 
-// Place is where something is set.
-type Place struct {
+// Location is where something is set.
+type Location struct {
 	File string
 	finding.Pos
 }
 
-func (p Place) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
+func (p Location) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
 // Setting is a key that a file sets.
 type Setting struct {
 	Path      []string // table, name where the table is a named one, key
 	Key       *Key
-	Place     Place
+	Location  Location
 	Raw       string // as it is written
 	Canonical string // the same for all ways to write a value
 }
 
 // ID is the setting's path as text.
-func (s Setting) ID() string { return doc.Dotted(s.Path) }
+func (s Setting) ID() string { return doc.DottedPath(s.Path) }
 
 // File is a decoded file.
 type File struct {
@@ -226,54 +226,54 @@
 	values   map[string]any
 	names    map[string][]string
 	settings map[string]*Setting
-	tables   map[string]Place // of the tables that are there, by dotted path
-	root     Place
+	tables   map[string]Location // of the tables that are there, by dotted path
+	root     Location
 }
 
 // Layer is a document's table that holds tables of the schema. Where several are decoded together the later
 // ones win, key by key.
 type Layer struct {
-	Doc   *doc.Doc
+	Doc   *doc.Document
 	Table *doc.Table
 	File  string
-	At    *finding.Pos // the place of all that it holds, of one that is in no file
+	Pos   *finding.Pos // the place of all that it holds, of one that is in no file
 }
 
-// place is that of something in the layer.
-func (l Layer) place(at finding.Pos) Place {
-	if l.At != nil {
-		at = *l.At
+// location is that of something in the layer.
+func (l Layer) location(at finding.Pos) Location {
+	if l.Pos != nil {
+		at = *l.Pos
 	}
-	return Place{l.File, at}
+	return Location{l.File, at}
 }
 
 // Options of Decode.
 type Options struct {
 	// Partial leaves out that keys are missing, and the checks over several keys: for a layer by itself.
 	Partial bool
-	// Elsewhere are tables whose missing keys come from somewhere else.
-	Elsewhere []string
-	// Other are names of tables that stand beside the schema's.
-	Other []string
+	// RequiredElsewhere are tables whose missing keys come from somewhere else.
+	RequiredElsewhere []string
+	// OtherTables are names of tables that stand beside the schema's.
+	OtherTables []string
 }
 
 // Decode reads layers, the lowest first, and reports all that is wrong with them.
 func (s *Schema) Decode(found *finding.List, o Options, layers ...Layer) *File {
 	f := &File{
 		schema: s, values: map[string]any{}, names: map[string][]string{}, settings: map[string]*Setting{},
-		tables: map[string]Place{},
+		tables: map[string]Location{},
 	}
 	before := found.Len()
 	for _, l := range layers {
 		if l.Table != nil {
-			f.root = l.place(l.Table.At)
-			s.layer(f, found, o, l)
+			f.root = l.location(l.Table.Pos)
+			s.decodeLayer(f, found, o, l)
 		}
 	}
 	if o.Partial {
 		return f
 	}
-	s.missing(f, found, o)
+	s.reportMissing(f, found, o)
 	if found.Len() > before {
 		return f // a check over keys that could not be read would mislead
 	}
@@ -282,8 +282,8 @@
 			t.each(f, func(name string, v any) {
 				path := t.path(name)
 				t.check(f, name, v, func(key, format string, args ...any) {
-					at := f.Place(append(path, key)...)
-					found.Add(at.File, at.Pos, "%s%s", prefix(append(path, key)), fmt.Sprintf(format, args...))
+					at := f.Location(append(path, key)...)
+					found.Add(at.File, at.Pos, "%s%s", messagePrefix(append(path, key)), fmt.Sprintf(format, args...))
 				})
 			})
 		}
@@ -291,8 +291,8 @@
 	return f
 }
 
-// prefix names a setting at the head of a message.
-func prefix(path []string) string { return doc.Dotted(path) + ": " }
+// messagePrefix names a setting at the head of a message.
+func messagePrefix(path []string) string { return doc.DottedPath(path) + ": " }
 
 func (t *Table) path(name string) []string {
 	if t.Named {
@@ -312,38 +312,38 @@
 	if v, ok := f.values[t.Name]; ok {
 		do("", v)
 	} else if t.check != nil {
-		do("", t.fresh())
+		do("", t.newValue())
 	}
 }
 
-func (s *Schema) layer(f *File, found *finding.List, o Options, l Layer) {
-	report := found.In(l.File)
+func (s *Schema) decodeLayer(f *File, found *finding.List, o Options, l Layer) {
+	report := found.ForFile(l.File)
 	for _, e := range l.Table.Entries {
 		t := s.byName[e.Name]
 		switch {
-		case t == nil && slices.Contains(o.Other, e.Name):
+		case t == nil && slices.Contains(o.OtherTables, e.Name):
 		case t == nil && e.Value.Kind == doc.TableKind:
-			report(e.At, "%s", finding.Unknown("table", e.Name, append(s.names(), o.Other...)))
+			report(e.Pos, "%s", finding.UnknownName("table", e.Name, append(s.tableNames(), o.OtherTables...)))
 		case t == nil:
-			if in := s.owner(e.Name); in != "" {
-				report(e.At, "%s belongs under [%s]", e.Name, in)
+			if in := s.tableOfKey(e.Name); in != "" {
+				report(e.Pos, "%s belongs under [%s]", e.Name, in)
 				continue
 			}
-			report(e.At, "%s", finding.Unknown("key", e.Name, append(s.names(), s.keys()...)))
+			report(e.Pos, "%s", finding.UnknownName("key", e.Name, append(s.tableNames(), s.keyNames()...)))
 		case e.Value.Kind != doc.TableKind:
-			report(e.At, "%s is a table: write [%s] and each of its keys in a line below", e.Name, t.header())
+			report(e.Pos, "%s is a table: write [%s] and each of its keys in a line below", e.Name, t.headerName())
 		case !t.Named:
 			t.read(f, report, l, []string{t.Name}, e.Value.Table)
 		default:
-			f.tables[t.Name] = l.place(e.At)
+			f.tables[t.Name] = l.location(e.Pos)
 			for _, n := range e.Value.Table.Entries {
 				if n.Value.Kind != doc.TableKind {
-					report(n.At, "%s is to stand in a table of its own, [%s]", n.Name, t.header())
+					report(n.Pos, "%s is to stand in a table of its own, [%s]", n.Name, t.headerName())
 					continue
 				}
-				if t.bad != nil {
-					if fault := t.bad(n.Name); fault != "" {
-						report(n.At, "%s: %s", doc.Dotted([]string{t.Name, n.Name}), fault)
+				if t.nameFault != nil {
+					if fault := t.nameFault(n.Name); fault != "" {
+						report(n.Pos, "%s: %s", doc.DottedPath([]string{t.Name, n.Name}), fault)
 					}
 				}
 				if !slices.Contains(f.names[t.Name], n.Name) {
@@ -360,59 +360,59 @@
 	id := strings.Join(path, "\x00")
 	v := f.values[id]
 	if v == nil {
-		v = t.fresh()
+		v = t.newValue()
 		f.values[id] = v
 	}
-	f.tables[doc.Dotted(path)] = l.place(table.At)
+	f.tables[doc.DottedPath(path)] = l.location(table.Pos)
 	for _, e := range table.Entries {
 		k := t.byName[e.Name]
 		if k == nil {
-			if in := f.schema.owner(e.Name); in != "" {
-				report(e.At, "%s has no key %s; it belongs under [%s]", bracketed(path), e.Name, in)
+			if in := f.schema.tableOfKey(e.Name); in != "" {
+				report(e.Pos, "%s has no key %s; it belongs under [%s]", tableHeader(path), e.Name, in)
 				continue
 			}
-			report(e.At, "%s", finding.Unknown("key", e.Name, t.keys())+" in "+bracketed(path))
+			report(e.Pos, "%s", finding.UnknownName("key", e.Name, t.keyNames())+" in "+tableHeader(path))
 			continue
 		}
 		full := append(path[:len(path):len(path)], e.Name)
 		canonical, fault := k.decode(v, e.Value)
 		if fault != "" {
-			report(e.Value.At, "%s%s", prefix(full), fault)
+			report(e.Value.Pos, "%s%s", messagePrefix(full), fault)
 		}
 		raw := ""
 		if e.Value.End > e.Value.Start {
 			raw = string(l.Doc.Text[e.Value.Start:e.Value.End])
 		}
 		// Kept with a fault too: it is no missing key.
-		f.settings[doc.Dotted(full)] = &Setting{Path: full, Key: k, Place: l.place(e.At), Raw: raw, Canonical: canonical}
+		f.settings[doc.DottedPath(full)] = &Setting{Path: full, Key: k, Location: l.location(e.Pos), Raw: raw, Canonical: canonical}
 	}
 }
 
-func bracketed(path []string) string { return "[" + doc.Dotted(path) + "]" }
+func tableHeader(path []string) string { return "[" + doc.DottedPath(path) + "]" }
 
-// missing reports required keys that no layer has.
-func (s *Schema) missing(f *File, found *finding.List, o Options) {
+// reportMissing reports required keys that no layer has.
+func (s *Schema) reportMissing(f *File, found *finding.List, o Options) {
 	for _, t := range s.Tables {
-		if slices.Contains(o.Elsewhere, t.Name) {
+		if slices.Contains(o.RequiredElsewhere, t.Name) {
 			continue
 		}
-		if t.Must && len(f.names[t.Name]) == 0 {
-			found.Add(f.root.File, f.root.Pos, "there is no [%s]: at least one is needed", t.header())
+		if t.Required && len(f.names[t.Name]) == 0 {
+			found.Add(f.root.File, f.root.Pos, "there is no [%s]: at least one is needed", t.headerName())
 		}
 		look := func(name string) {
 			path := t.path(name)
 			for _, k := range t.Keys {
 				full := append(path[:len(path):len(path)], k.Name)
-				if !k.Required || k.unless != nil && k.unless(f) || f.settings[doc.Dotted(full)] != nil {
+				if !k.Required || k.optionalWhen != nil && k.optionalWhen(f) || f.settings[doc.DottedPath(full)] != nil {
 					continue
 				}
-				at, ok := f.tables[doc.Dotted(path)]
+				at, ok := f.tables[doc.DottedPath(path)]
 				if !ok {
 					at = f.root
-					found.Add(at.File, at.Pos, "there is no [%s], whose key %s is needed, like %s = %s", doc.Dotted(path), k.Name, k.Name, k.Example)
+					found.Add(at.File, at.Pos, "there is no [%s], whose key %s is needed, like %s = %s", doc.DottedPath(path), k.Name, k.Name, k.Example)
 					continue
 				}
-				found.Add(at.File, at.Pos, "[%s] lacks the key %s, like %s = %s", doc.Dotted(path), k.Name, k.Name, k.Example)
+				found.Add(at.File, at.Pos, "[%s] lacks the key %s, like %s = %s", doc.DottedPath(path), k.Name, k.Name, k.Example)
 			}
 		}
 		if !t.Named {
@@ -425,14 +425,14 @@
 	}
 }
 
-func (t *Table) header() string {
+func (t *Table) headerName() string {
 	if t.Named {
-		return t.Name + "." + strings.ToUpper(t.Sorts)
+		return t.Name + "." + strings.ToUpper(t.NameKind)
 	}
 	return t.Name
 }
 
-func (t *Table) keys() []string {
+func (t *Table) keyNames() []string {
 	names := make([]string, len(t.Keys))
 	for i, k := range t.Keys {
 		names[i] = k.Name
@@ -440,7 +440,7 @@
 	return names
 }
 
-func (s *Schema) names() []string {
+func (s *Schema) tableNames() []string {
 	names := make([]string, len(s.Tables))
 	for i, t := range s.Tables {
 		names[i] = t.Name
@@ -448,30 +448,30 @@
 	return names
 }
 
-func (s *Schema) keys() (names []string) {
+func (s *Schema) keyNames() (names []string) {
 	for _, t := range s.Tables {
-		names = append(names, t.keys()...)
+		names = append(names, t.keyNames()...)
 	}
 	return names
 }
 
-// owner is the table that has a key of a name, or "".
-func (s *Schema) owner(key string) string {
+// tableOfKey is the table that has a key of a name, or "".
+func (s *Schema) tableOfKey(key string) string {
 	for _, t := range s.Tables {
 		if t.byName[key] != nil {
-			return t.header()
+			return t.headerName()
 		}
 	}
 	return ""
 }
 
-// Place is where a key is set, or else its table, or else the file.
-func (f *File) Place(path ...string) Place {
-	if s := f.settings[doc.Dotted(path)]; s != nil {
-		return s.Place
+// Location is where a key is set, or else its table, or else the file.
+func (f *File) Location(path ...string) Location {
+	if s := f.settings[doc.DottedPath(path)]; s != nil {
+		return s.Location
 	}
 	for n := len(path) - 1; n > 0; n-- {
-		if p, ok := f.tables[doc.Dotted(path[:n])]; ok {
+		if p, ok := f.tables[doc.DottedPath(path[:n])]; ok {
 			return p
 		}
 	}
@@ -479,14 +479,14 @@
 }
 
 // Setting is what a file says of a key, or nil where it says nothing.
-func (f *File) Setting(path ...string) *Setting { return f.settings[doc.Dotted(path)] }
+func (f *File) Setting(path ...string) *Setting { return f.settings[doc.DottedPath(path)] }
 
 // Settings are all keys that a file sets, in the schema's order and, of named tables, in the file's.
 func (f *File) Settings() []*Setting {
 	var all []*Setting
 	add := func(t *Table, path []string) {
 		for _, k := range t.Keys {
-			if s := f.settings[doc.Dotted(append(path[:len(path):len(path)], k.Name))]; s != nil {
+			if s := f.settings[doc.DottedPath(append(path[:len(path):len(path)], k.Name))]; s != nil {
 				all = append(all, s)
 			}
 		}
@@ -518,7 +518,7 @@
 	for _, s := range before.Settings() {
 		if after.settings[s.ID()] == nil && s.Canonical != s.Key.Default {
 			gone := *s
-			gone.Place = after.Place(s.Path...)
+			gone.Location = after.Location(s.Path...)
 			changed = append(changed, &gone)
 		}
 	}
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -22,14 +22,14 @@
 }
 
 var thingsTable = NewTable("things", "Things.",
-	Duration("wait", func(s *things) *time.Duration { return &s.Wait }, Bounds[time.Duration]{Default: time.Second, Least: time.Millisecond, Most: time.Hour}, OnReload, "Wait."),
-	Int("count", func(s *things) *int { return &s.Count }, Bounds[int]{Default: 3, Least: -5, Most: 100}, AtStart, "Count."),
-	Float("share", func(s *things) *float64 { return &s.Share }, Bounds[float64]{Default: 0.5, Least: 0, Most: 1}, AtStart, "Share."),
-	Size("bytes", func(s *things) *int64 { return &s.Bytes }, Bounds[int64]{Default: 1 << 10, Least: 1, Most: 1 << 30}, AtStart, "Bytes."),
+	Duration("wait", func(s *things) *time.Duration { return &s.Wait }, Bounds[time.Duration]{Default: time.Second, Min: time.Millisecond, Max: time.Hour}, OnReload, "Wait."),
+	Int("count", func(s *things) *int { return &s.Count }, Bounds[int]{Default: 3, Min: -5, Max: 100}, AtStart, "Count."),
+	Float("share", func(s *things) *float64 { return &s.Share }, Bounds[float64]{Default: 0.5, Min: 0, Max: 1}, AtStart, "Share."),
+	Size("bytes", func(s *things) *int64 { return &s.Bytes }, Bounds[int64]{Default: 1 << 10, Min: 1, Max: 1 << 30}, AtStart, "Bytes."),
 	Bool("on", func(s *things) *bool { return &s.On }, true, AtStart, "On."),
 	Choice("word", func(s *things) *string { return &s.Word }, []string{"red", "green"}, "red", false, AtStart, "Word."),
-	String("who", func(s *things) *string { return &s.Who }, Text{Required: true, Example: "me"}, AtStart, "Who."),
-	Address("at", func(s *things) *string { return &s.At }, Text{Example: "127.0.0.1:1"}, false, AtStart, "At."),
+	String("who", func(s *things) *string { return &s.Who }, StringOptions{Required: true, Example: "me"}, AtStart, "Who."),
+	Address("at", func(s *things) *string { return &s.At }, StringOptions{Example: "127.0.0.1:1"}, false, AtStart, "At."),
 ).Check(func(_ *File, _ string, s *things, report Reporter) {
 	if s.Count == 13 {
 		report("count", "unlucky")
@@ -39,13 +39,13 @@
 type part struct{ Size int }
 
 var partTable = NewNamed("part", "part", "p", "Parts.",
-	Int("size", func(p *part) *int { return &p.Size }, Bounds[int]{Least: 1, Most: 9, Required: true, Example: "4"}, OnReload, "Size."))
+	Int("size", func(p *part) *int { return &p.Size }, Bounds[int]{Min: 1, Max: 9, Required: true, Example: "4"}, OnReload, "Size."))
 
 var testSchema = New(thingsTable.Table, partTable.Table)
 
 func decode(text string, o Options) (*File, string) {
 	var found finding.List
-	d := doc.ReadTOML([]byte(text), 1<<20, found.In("f"))
+	d := doc.ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
 	if d == nil {
 		return nil, found.Err().Error()
 	}
@@ -126,7 +126,7 @@
 	if _, fault := decode("", Options{}); fault != `f:1:1: there is no [things], whose key who is needed, like who = "me"` {
 		t.Errorf("got %q", fault)
 	}
-	if _, fault := decode("", Options{Elsewhere: []string{"things"}}); fault != "" {
+	if _, fault := decode("", Options{RequiredElsewhere: []string{"things"}}); fault != "" {
 		t.Errorf("got %q", fault)
 	}
 	if _, fault := decode("who = \"x\"\n", Options{Partial: true}); fault != "f:1:1: who belongs under [things]" {
@@ -139,17 +139,17 @@
 	var found finding.List
 	var layers []Layer
 	for i, text := range []string{"[things]\nwho = \"low\"\ncount = 1\n[part.a]\nsize = 1\n", "[things]\ncount = 2\n[part.b]\nsize = 2\n"} {
-		d := doc.ReadTOML([]byte(text), 1<<20, found.In("f"))
+		d := doc.ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
 		layers = append(layers, Layer{Doc: d, Table: d.Root, File: fmt.Sprint("layer", i)})
 	}
 	f := testSchema.Decode(&found, Options{}, layers...)
 	if got := thingsTable.In(f); found.Err() != nil || got.Who != "low" || got.Count != 2 || len(partTable.All(f)) != 2 {
 		t.Errorf("got %+v, %v", got, found.Err())
 	}
-	if at := f.Place("things", "count"); at.String() != "layer1:2" {
+	if at := f.Location("things", "count"); at.String() != "layer1:2" {
 		t.Errorf("got %v", at)
 	}
-	if at := f.Place("things", "who"); at.String() != "layer0:2" {
+	if at := f.Location("things", "who"); at.String() != "layer0:2" {
 		t.Errorf("got %v", at)
 	}
 }
@@ -173,7 +173,7 @@
 		var ids []string
 		for _, s := range Changed(before, after) {
 			ids = append(ids, s.ID())
-			if s.Place.Line == 0 {
+			if s.Location.Line == 0 {
 				t.Errorf("%s has no line", s.ID())
 			}
 		}
--- a/internal/config/settings/load.go
+++ b/internal/config/settings/load.go
@@ -9,8 +9,8 @@
 	"quincegap/internal/balancer"
 )
 
-// mostLoad is more than any figure of a load report can be.
-const mostLoad = 1e9
+// maxLoadFigure is more than any figure of a load report can be.
+const maxLoadFigure = 1e9
 
 // ParseLoad reads a load report, pairs of a name of feedback.fields and a figure, divided by commas. The
 // sockets and the simulator's wire differ in what stands between the two.
@@ -19,7 +19,7 @@
 	for pair := range strings.SplitSeq(text, ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(pair), between)
 		v, err := strconv.ParseFloat(figure, 64)
-		if !ok || err != nil || !(v >= 0 && v <= mostLoad) {
+		if !ok || err != nil || !(v >= 0 && v <= maxLoadFigure) {
 			return nil, fmt.Errorf("%q is not a load report", text)
 		}
 		switch name {
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -79,13 +79,13 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// effects and scopes translate the wire's words; an unknown word is handed on
+// idempotencyByWord and scopes translate the wire's words; an unknown word is handed on
 // as it is, for the Balancer to reject by name.
 var (
-	effects = map[string]balancer.Idempotency{
+	idempotencyByWord = map[string]balancer.Idempotency{
 		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NonIdempotent,
 	}
-	scopes = map[string]balancer.KeyScope{
+	keyScopeByWord = map[string]balancer.KeyScope{
 		"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell,
 	}
 )
@@ -122,30 +122,30 @@
 		return s, unknown, fmt.Errorf("discovery: unknown word %q", c.Discovery)
 	}
 	s = Settings{
-		Zones: c.Zones, Models: c.Models, ConnIdle: Micros(c.Allowed.ConnIdle),
-		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap,
+		Zones: c.Zones, Models: c.Models, ConnIdle: Microseconds(c.Allowed.ConnIdle),
+		GraceToAnswer: Microseconds(c.Rules.Grace), OpenCap: c.Allowed.OpenCap,
 	}
 	s.Settings = balancer.Settings{
-		Instances: c.Instances, Ordinal: c.Ordinal, Tier: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
+		Instances: c.Instances, Ordinal: c.Ordinal, Tier: c.Stage, Tiers: len(c.Tiers), Quantum: Microseconds(c.Quantum),
 		OverQuotaValueShare: c.OverShareWorth, ValuePerWorkUnit: c.WorthBy == "work",
 		TotalValueWeight: c.Goal.Whole, WorstClassWeight: c.Goal.WorstClass,
 		MayCancel: c.Allowed.Cancel, MayHealthCheck: c.Allowed.MayProbe, MayMessagePeers: c.Allowed.Peers,
 		HedgedRequests: c.Allowed.SecondCopies, MaxAttempts: c.Allowed.SendCap,
-		ConnectTimeout: Micros(c.Allowed.ConnectTimeout),
-		MustSubscribe:  c.Discovery == "ask", ResubscribeInterval: Micros(c.Rules.AskEvery),
+		ConnectTimeout: Microseconds(c.Allowed.ConnectTimeout),
+		MustSubscribe:  c.Discovery == "ask", ResubscribeInterval: Microseconds(c.Rules.AskEvery),
 		PropagatesDeadline: c.FamilyInfo.PassesDeadline == nil || *c.FamilyInfo.PassesDeadline,
 		ClientsMarkRetries: c.ClientHabits.MarksRetry,
-		SlowStartMinShare:  c.Rules.ColdFrom, SlowStartWindow: Micros(c.Rules.Cold),
-		OverloadMultiple: c.Rules.TipMultiple, OverloadDuration: Micros(c.Rules.Fall),
+		SlowStartMinShare:  c.Rules.ColdFrom, SlowStartWindow: Microseconds(c.Rules.Cold),
+		OverloadMultiple: c.Rules.TipMultiple, OverloadDuration: Microseconds(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
-		s.MaxRetryAfter = Micros(c.Allowed.MaxRetryAfter)
+		s.MaxRetryAfter = Microseconds(c.Allowed.MaxRetryAfter)
 	}
 	for _, v := range c.Services {
 		s.Classes = append(s.Classes, balancer.Class{
-			Name: v.Name, LatencyTarget: Micros(v.Aim), Deadline: Micros(v.Deadline), Value: v.Gain,
-			LateValueShare: v.LateValue, Idempotency: translate(effects, v.Effect), KeyScope: translate(scopes, v.KeyScope),
-			KeyWindow: Micros(v.Window), Streaming: v.Streamed,
+			Name: v.Name, LatencyTarget: Microseconds(v.Aim), Deadline: Microseconds(v.Deadline), Value: v.Gain,
+			LateValueShare: v.LateValue, Idempotency: translate(idempotencyByWord, v.Effect), KeyScope: translate(keyScopeByWord, v.KeyScope),
+			KeyWindow: Microseconds(v.Window), Streaming: v.Streamed,
 		})
 	}
 	for _, v := range c.Tenants {
@@ -162,5 +162,5 @@
 	return T(word)
 }
 
-// Micros is a number of microseconds, the unit of all times in the settings.
-func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// Microseconds is a number of microseconds, the unit of all times in the settings.
+func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/modules/route/check_test.go
+++ b/internal/modules/route/check_test.go
@@ -40,11 +40,11 @@
 // read decodes a file.
 func read(text string) (*schema.File, string) {
 	var found finding.List
-	d := doc.ReadTOML([]byte(text), 8<<20, found.In("f"))
+	d := doc.ReadTOML([]byte(text), 8<<20, found.ForFile("f"))
 	if d == nil {
 		return nil, found.Err().Error()
 	}
-	f := whole.Decode(&found, schema.Options{Elsewhere: []string{"sidecar", "discovery", "limits"}}, schema.Layer{Doc: d, Table: d.Root, File: "f"})
+	f := whole.Decode(&found, schema.Options{RequiredElsewhere: []string{"sidecar", "discovery", "limits"}}, schema.Layer{Doc: d, Table: d.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		return f, err.Error()
 	}
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -280,8 +280,8 @@
 		w := &world{t: t, rng: rng, now: time.Second, site: 1 + rng.IntN(5), open: map[balancer.RequestID]*call{}, routes: map[string]*tally{}}
 		for _, c := range appfile.ClassTable.All(f) {
 			w.classes = append(w.classes, balancer.Class{
-				Name: c.Name, LatencyTarget: c.Value.Aim, Deadline: c.Value.Deadline, Value: 1,
-				Idempotency: c.Value.Effect, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow,
+				Name: c.Name, LatencyTarget: c.Value.LatencyTarget, Deadline: c.Value.Deadline, Value: 1,
+				Idempotency: c.Value.Idempotency, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow,
 			})
 		}
 		set := balancer.Settings{
--- a/internal/modules/route/table.go
+++ b/internal/modules/route/table.go
@@ -31,7 +31,7 @@
 )
 
 func word(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
-	return schema.String(name, field, schema.Text{Example: example}, schema.OnReload, help)
+	return schema.String(name, field, schema.StringOptions{Example: example}, schema.OnReload, help)
 }
 
 // Rules is [route.NAME].
@@ -47,44 +47,44 @@
 	schema.Bool("serve", func(r *Rule) *bool { return &r.Serve }, true, schema.OnReload,
 		"false turns all of it away, with Retry-After, and sends none of it on."),
 	schema.Float("route_worth", func(r *Rule) *float64 { return &r.Worth },
-		schema.Bounds[float64]{Least: 0.01, Most: 100, Optional: true, Example: "2"}, schema.OnReload,
+		schema.Bounds[float64]{Min: 0.01, Max: 100, Optional: true, Example: "2"}, schema.OnReload,
 		"How much more it is worth than others of its class when not all can be served; below 1 for less."),
 	duration("whole_time", func(r *Rule) *time.Duration { return &r.Time }, `"2s"`,
 		"The whole time of a request, where that is less than its caller waits."),
 	duration("attempt_time", func(r *Rule) *time.Duration { return &r.Attempt }, `"800ms"`,
 		"The time of one attempt. What takes longer may have run, and goes out again only where its class allows it."),
 	schema.Int("route_attempts", func(r *Rule) *int { return &r.Attempts },
-		schema.Bounds[int]{Least: 1, Most: 20, Optional: true, Example: "2"}, schema.OnReload,
+		schema.Bounds[int]{Min: 1, Max: 20, Optional: true, Example: "2"}, schema.OnReload,
 		"The most attempts of a request, the first one included; no more than the site allows."),
 	schema.Int("most_open", func(r *Rule) *int { return &r.Open },
-		schema.Bounds[int]{Least: 1, Most: 1_000_000, Optional: true, Example: "50"}, schema.OnReload,
+		schema.Bounds[int]{Min: 1, Max: 1_000_000, Optional: true, Example: "50"}, schema.OnReload,
 		"The most requests at once; more are refused, with Retry-After."),
 	word("retry_on", func(r *Rule) *string { return &r.RetryOn }, "turned-away, unconnected",
 		"After which outcomes another attempt may go out, with commas between: turned-away, unconnected, failed, broken, late; all where it is left out. What a class forbids stays forbidden."),
 	duration("retry_pause", func(r *Rule) *time.Duration { return &r.Pause }, `"20ms"`,
 		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and one and a half times."),
 	schema.Float("retry_share", func(r *Rule) *float64 { return &r.Again },
-		schema.Bounds[float64]{Default: noBudget, Least: noBudget, Most: 1}, schema.OnReload,
+		schema.Bounds[float64]{Default: noBudget, Min: noBudget, Max: 1}, schema.OnReload,
 		"Further attempts for each answered request, saved up to retry_reserve; negative for no budget of the route's own."),
 	schema.Int("retry_reserve", func(r *Rule) *int { return &r.Reserve },
-		schema.Bounds[int]{Default: 10, Least: 0, Most: 100_000}, schema.OnReload,
+		schema.Bounds[int]{Default: 10, Min: 0, Max: 100_000}, schema.OnReload,
 		"How many further attempts may be saved up; a start begins with so many."),
 	schema.Float("copy_after", func(r *Rule) *float64 { return &r.CopyAfter },
-		schema.Bounds[float64]{Least: 0.5, Most: 0.999, Optional: true, Example: "0.95"}, schema.OnReload,
+		schema.Bounds[float64]{Min: 0.5, Max: 0.999, Optional: true, Example: "0.95"}, schema.OnReload,
 		"A second copy of a request goes to another endpoint when its answer takes longer than this quantile of the route's answers, like 0.95. Not of unsafe classes; of keyed ones in the same cell. It needs attempts.second_copies, or the platform's leave."),
 	schema.Float("copy_share", func(r *Rule) *float64 { return &r.CopyShare },
-		schema.Bounds[float64]{Default: 0.05, Least: 0.001, Most: 0.25}, schema.OnReload,
+		schema.Bounds[float64]{Default: 0.05, Min: 0.001, Max: 0.25}, schema.OnReload,
 		"The share of the route's requests, at most, that get a second copy."),
 	schema.Duration("come_back", func(r *Rule) *time.Duration { return &r.ComeBack },
-		schema.Bounds[time.Duration]{Default: time.Second, Least: 0, Most: time.Minute}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: time.Second, Min: 0, Max: time.Minute}, schema.OnReload,
 		"Retry-After of what serve or most_open turns away."),
-).Names(badName)
+).CheckNames(badName)
 
 // The check looks at the routes beside the one that is checked.
 func init() { Rules.Check(check) }
 
 func duration(name string, field func(*Rule) *time.Duration, example, help string) schema.KeyOf[Rule] {
-	return schema.Duration(name, field, schema.Bounds[time.Duration]{Least: 10 * time.Millisecond, Most: time.Hour, Optional: true, Example: example}, schema.OnReload, help)
+	return schema.Duration(name, field, schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: example}, schema.OnReload, help)
 }
 
 func badName(name string) string {
@@ -155,9 +155,9 @@
 	switch {
 	case clash.pattern == nil:
 	case p.compare(clash.pattern) == equal:
-		report(place(f, name), "matches just what [route.%s] does (%s)", clash.name, f.Place("route", clash.name, ""))
+		report(place(f, name), "matches just what [route.%s] does (%s)", clash.name, f.Location("route", clash.name, ""))
 	default:
-		report(place(f, name), "overlaps with [route.%s] (%s), and neither is more specific: both match %s", clash.name, f.Place("route", clash.name, ""), common(p, clash.pattern))
+		report(place(f, name), "overlaps with [route.%s] (%s), and neither is more specific: both match %s", clash.name, f.Location("route", clash.name, ""), common(p, clash.pattern))
 	}
 }
 
@@ -181,7 +181,7 @@
 // checkReach finds what no request can match.
 func (r *Rule) checkReach(f *schema.File, p *Pattern, classes []schema.Named[appfile.Class], report schema.Reporter) {
 	method := func(c *appfile.Class) string {
-		if c.Effect == balancer.Idempotent {
+		if c.Idempotency == balancer.Idempotent {
 			return "GET"
 		}
 		return "POST"
@@ -228,7 +228,7 @@
 		if !p.has(p.classes, c.Name) {
 			continue
 		}
-		at := f.Place("class", c.Name, "deadline")
+		at := f.Location("class", c.Name, "deadline")
 		if r.Time > c.Value.Deadline {
 			report("whole_time", "%s is longer than callers of %s wait: its deadline is %s (%s)", d(r.Time), c.Name, d(c.Value.Deadline), at)
 			return
@@ -249,7 +249,7 @@
 			report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out", d(r.Pause), c.Name, d(whole), said)
 			return
 		}
-		if c.Value.Effect == balancer.NonIdempotent && r.Attempt > 0 && len(p.classes) > 0 {
+		if c.Value.Idempotency == balancer.NonIdempotent && r.Attempt > 0 && len(p.classes) > 0 {
 			report("attempt_time", "%s is unsafe: an attempt that is given up may have run and cannot go out again, so a time of its own only fails what would have been answered", c.Name)
 			return
 		}
@@ -275,7 +275,7 @@
 		}
 	}
 	if limits := appfile.LimitsTable.In(f); limits.Sockets > 0 && r.Open > limits.Sockets {
-		report("most_open", "%d cannot be held: limits.sockets is %d (%s)", r.Open, limits.Sockets, f.Place("limits", "sockets"))
+		report("most_open", "%d cannot be held: limits.sockets is %d (%s)", r.Open, limits.Sockets, f.Location("limits", "sockets"))
 	}
 }
 
@@ -287,10 +287,10 @@
 		}
 		return
 	}
-	if attempts := appfile.AttemptsTable.In(f); !attempts.Copies && f.Setting("attempts", "second_copies") != nil {
-		report("copy_after", "two attempts of a request may not be out at once: attempts.second_copies is false (%s)", f.Place("attempts", "second_copies"))
+	if attempts := appfile.AttemptsTable.In(f); !attempts.HedgedRequests && f.Setting("attempts", "second_copies") != nil {
+		report("copy_after", "two attempts of a request may not be out at once: attempts.second_copies is false (%s)", f.Location("attempts", "second_copies"))
 		return
-	} else if !attempts.Copies && len(appfile.ClassTable.All(f)) > 0 {
+	} else if !attempts.HedgedRequests && len(appfile.ClassTable.All(f)) > 0 {
 		report("copy_after", "two attempts of a request may not be out at once unless attempts.second_copies is true")
 		return
 	}
@@ -298,7 +298,7 @@
 		report("copy_after", "means nothing: route_attempts is 1, and a copy is an attempt")
 	}
 	for _, c := range p.classes {
-		if class := appfile.ClassTable.Get(f, c); class != nil && class.Effect == balancer.NonIdempotent {
+		if class := appfile.ClassTable.Get(f, c); class != nil && class.Idempotency == balancer.NonIdempotent {
 			report("copy_after", "%s is unsafe: its effect would happen twice", c)
 			return
 		}
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -27,7 +27,7 @@
 // Table is [admin].
 var Table = schema.NewTable("admin", "A read-only view for people; it is off unless it is set.",
 	schema.String("admin_listen", func(s *Settings) *string { return &s.Listen },
-		schema.Text{Example: "unix:/run/quincegap/front.sock", Type: "address", Bounds: "unix:PATH, or host:port on loopback", Bad: bad}, schema.AtStart,
+		schema.StringOptions{Example: "unix:/run/quincegap/front.sock", Type: "address", Bounds: "unix:PATH, or host:port on loopback", Fault: bad}, schema.AtStart,
 		"Where quincegapctl members asks. A Unix socket is open to this user and group only; on loopback everybody on the machine can read it."),
 )
 
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -44,17 +44,19 @@
 }
 
 // agents are the addresses to ask, in order.
-func (s *Settings) agents() []string { return appfile.List(s.Agents) }
+func (s *Settings) agents() []string { return appfile.SplitList(s.Agents) }
 
 const maxAgents = 16
 
 // text is a setting that holds the name of something in Consul.
-func text(example string) schema.Text { return schema.Text{Example: example, Bad: appfile.BadService} }
+func text(example string) schema.StringOptions {
+	return schema.StringOptions{Example: example, Fault: appfile.ServiceNameFault}
+}
 
 // Table is the table [consul] of a settings file.
 var Table = schema.NewTable("consul", "Where Consul is, and what is asked of it; used unless membership.source is platform.",
 	schema.String("agents", func(s *Settings) *string { return &s.Agents },
-		schema.Text{Example: "127.0.0.1:8500", Type: "addresses", Bounds: "host:port, divided by commas, 16 at most", Bad: appfile.BadAddresses(maxAgents)}, schema.OnReload,
+		schema.StringOptions{Example: "127.0.0.1:8500", Type: "addresses", Bounds: "host:port, divided by commas, 16 at most", Fault: appfile.AddressListFault(maxAgents)}, schema.OnReload,
 		"Agents to ask, in order: the next one is asked where one does not answer, and the first again a minute later."),
 	schema.String("service", func(s *Settings) *string { return &s.Service }, text("slot-keeper"), schema.OnReload,
 		"The service whose instances are the endpoints."),
@@ -71,41 +73,41 @@
 	schema.Choice("consistency", func(s *Settings) *Consistency { return &s.Consistency }, []Consistency{Stale, Default, Consistent}, Stale, false, schema.OnReload,
 		"stale: any server answers, also while there is no leader; default: the leader; consistent: the leader after it asked its peers."),
 	schema.Duration("longest_stale", func(s *Settings) *time.Duration { return &s.MaxStaleness },
-		schema.Bounds[time.Duration]{Default: 10 * time.Second, Least: 0, Most: time.Hour}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 10 * time.Second, Min: 0, Max: time.Hour}, schema.OnReload,
 		"An answer of a server that has not heard of the leader for longer is doubted, and the next question goes to the leader."),
 	schema.Duration("wait", func(s *Settings) *time.Duration { return &s.Wait },
-		schema.Bounds[time.Duration]{Default: 30 * time.Second, Least: time.Second, Most: 10 * time.Minute}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 30 * time.Second, Min: time.Second, Max: 10 * time.Minute}, schema.OnReload,
 		"How long Consul may hold a question while nothing changes; an agent that hangs is noticed a little later."),
 	schema.Duration("pace", func(s *Settings) *time.Duration { return &s.MinInterval },
-		schema.Bounds[time.Duration]{Default: 100 * time.Millisecond, Least: 10 * time.Millisecond, Most: time.Minute}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 100 * time.Millisecond, Min: 10 * time.Millisecond, Max: time.Minute}, schema.OnReload,
 		"The least time between two answers, however many changes come."),
 	schema.Bool("consul_tls", func(s *Settings) *bool { return &s.TLS }, false, schema.OnReload,
 		"Whether agents are asked over TLS."),
-	schema.String("tls_ca_file", func(s *Settings) *string { return &s.CAFile }, schema.Text{Example: "/etc/quincegap/consul-ca.pem"}, schema.OnReload,
+	schema.String("tls_ca_file", func(s *Settings) *string { return &s.CAFile }, schema.StringOptions{Example: "/etc/quincegap/consul-ca.pem"}, schema.OnReload,
 		"Certificates that sign the agents'; the system's where it is left out."),
-	schema.String("tls_cert_file", func(s *Settings) *string { return &s.CertFile }, schema.Text{Example: "/etc/quincegap/consul-client.pem"}, schema.OnReload,
+	schema.String("tls_cert_file", func(s *Settings) *string { return &s.CertFile }, schema.StringOptions{Example: "/etc/quincegap/consul-client.pem"}, schema.OnReload,
 		"This sidecar's certificate, where agents ask for one."),
 	schema.SecretFile("tls_key_file", func(s *Settings) *string { return &s.KeyFile }, schema.PrivateKey, "/etc/quincegap/consul-client.key", schema.OnReload,
 		"The key of that certificate."),
-	schema.String("tls_server_name", func(s *Settings) *string { return &s.ServerName }, schema.Text{Example: "server.dc1.consul"}, schema.OnReload,
+	schema.String("tls_server_name", func(s *Settings) *string { return &s.ServerName }, schema.StringOptions{Example: "server.dc1.consul"}, schema.OnReload,
 		"The name in the agents' certificates, where it is not their address."),
-	schema.String("zone_meta", func(s *Settings) *string { return &s.ZoneMeta }, schema.Text{Default: "zone", Example: "zone"}, schema.OnReload,
+	schema.String("zone_meta", func(s *Settings) *string { return &s.ZoneMeta }, schema.StringOptions{Default: "zone", Example: "zone"}, schema.OnReload,
 		"The field of the service's metadata that names its zone; its datacentre where there is no such field."),
-	schema.String("model_meta", func(s *Settings) *string { return &s.ModelMeta }, schema.Text{Default: "model", Example: "model"}, schema.OnReload,
+	schema.String("model_meta", func(s *Settings) *string { return &s.ModelMeta }, schema.StringOptions{Default: "model", Example: "model"}, schema.OnReload,
 		"The field that names the model of its machine."),
-	schema.String("cell_meta", func(s *Settings) *string { return &s.CellMeta }, schema.Text{Default: "cell", Example: "cell"}, schema.OnReload,
+	schema.String("cell_meta", func(s *Settings) *string { return &s.CellMeta }, schema.StringOptions{Default: "cell", Example: "cell"}, schema.OnReload,
 		"The field with the number of its cell, which drops repeats of one key."),
-	schema.String("start_meta", func(s *Settings) *string { return &s.StartMeta }, schema.Text{Default: "started_ms", Example: "started_ms"}, schema.OnReload,
+	schema.String("start_meta", func(s *Settings) *string { return &s.StartMeta }, schema.StringOptions{Default: "started_ms", Example: "started_ms"}, schema.OnReload,
 		"The field with its latest start, Unix time in milliseconds; without it a new instance counts as cold."),
-	schema.String("uid_meta", func(s *Settings) *string { return &s.UIDMeta }, schema.Text{Example: "uid"}, schema.OnReload,
+	schema.String("uid_meta", func(s *Settings) *string { return &s.UIDMeta }, schema.StringOptions{Example: "uid"}, schema.OnReload,
 		"The field with the name that discovery has for it; its service ID where it is left out."),
 ).Check(func(f *schema.File, _ string, s *Settings, report schema.Reporter) {
 	source := endpointsource.SettingsTable.In(f).Mode
 	switch {
 	case source != endpointsource.ModePlatform && s.Agents == "":
-		report("agents", "missing: membership.source is %s (%s)", source, f.Place("membership", "source"))
+		report("agents", "missing: membership.source is %s (%s)", source, f.Location("membership", "source"))
 	case source != endpointsource.ModePlatform && s.Service == "":
-		report("service", "missing: membership.source is %s (%s)", source, f.Place("membership", "source"))
+		report("service", "missing: membership.source is %s (%s)", source, f.Location("membership", "source"))
 	case (s.CertFile == "") != (s.KeyFile == ""):
 		report("tls_cert_file", "a certificate and its key go together: tls_cert_file and tls_key_file")
 	case !s.TLS && (s.CAFile != "" || s.CertFile != "" || s.ServerName != ""):
--- a/internal/network/gossip/group.go
+++ b/internal/network/gossip/group.go
@@ -91,7 +91,7 @@
 	}
 	g.view = peers.New(g.announced, c.options(c.ExpectedMembers), 0)
 	g.view.Resume(0, c.SettledNames)
-	g.joinSchedule = peers.NewJoinSchedule(2*c.ProbeInterval, maxJoinBackoff, maxLearnedAddresses, appfile.List(c.Join), c.KnownAddresses, g.process)
+	g.joinSchedule = peers.NewJoinSchedule(2*c.ProbeInterval, maxJoinBackoff, maxLearnedAddresses, appfile.SplitList(c.Join), c.KnownAddresses, g.process)
 	g.queue = memberlist.TransmitLimitedQueue{
 		RetransmitMult: suspicionMult, NumNodes: func() int { return max(1, int(g.nodes.Load())) },
 	}
--- a/internal/network/gossip/keys.go
+++ b/internal/network/gossip/keys.go
@@ -25,7 +25,7 @@
 
 // ParseKeys reads the keys of a file's text: base64, divided by commas, of which the first encrypts. No error holds any of them.
 func ParseKeys(text string) (keys [][]byte, err error) {
-	for i, part := range appfile.List(text) {
+	for i, part := range appfile.SplitList(text) {
 		key, err := base64.StdEncoding.DecodeString(part)
 		if err != nil {
 			return nil, fmt.Errorf("key %d is not in base64 (RFC 4648, section 4)", i+1)
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -55,32 +55,32 @@
 // Table is the table [peers] of a settings file.
 var Table = schema.NewTable("peers", "The view of the other sidecars of this application (docs/operate/peers.md); it is off unless peers_listen is set.",
 	schema.String("peers_listen", func(s *Settings) *string { return &s.Listen },
-		schema.Text{Example: "10.0.4.7:7946", Type: "address", Bounds: "IP:port", Bad: badAddress}, schema.AtStart,
+		schema.StringOptions{Example: "10.0.4.7:7946", Type: "address", Bounds: "IP:port", Fault: badAddress}, schema.AtStart,
 		"Where the others reach this one, over UDP and TCP."),
 	schema.String("peers_advertise", func(s *Settings) *string { return &s.Advertise },
-		schema.Text{Example: "192.0.2.7:7946", Type: "address", Bounds: "IP:port", Bad: badAddress}, schema.AtStart,
+		schema.StringOptions{Example: "192.0.2.7:7946", Type: "address", Bounds: "IP:port", Fault: badAddress}, schema.AtStart,
 		"The address that the others are told, where it is not peers_listen."),
 	schema.String("peers_join", func(s *Settings) *string { return &s.Join },
-		schema.Text{Example: "10.0.4.8:7946, 10.0.4.9:7946", Type: "addresses", Bounds: "host:port, divided by commas, 64 at most", Bad: appfile.BadAddresses(maxJoinAddresses)}, schema.AtStart,
+		schema.StringOptions{Example: "10.0.4.8:7946, 10.0.4.9:7946", Type: "addresses", Bounds: "host:port, divided by commas, 64 at most", Fault: appfile.AddressListFault(maxJoinAddresses)}, schema.AtStart,
 		"Some of the others; the rest is learnt from them. Without it this one waits to be found."),
-	schema.String("peers_service", func(s *Settings) *string { return &s.Service }, schema.Text{Example: "booking-front-peers", Bad: appfile.BadService}, schema.AtStart,
+	schema.String("peers_service", func(s *Settings) *string { return &s.Service }, schema.StringOptions{Example: "booking-front-peers", Fault: appfile.ServiceNameFault}, schema.AtStart,
 		"A service in Consul (consul.agents) whose instances are the others' peers_listen; asked while somebody is missing."),
 	schema.SecretFile("peers_key_file", func(s *Settings) *string { return &s.KeyFile }, schema.Token, "/etc/quincegap/peers.key", schema.OnReload,
 		"A file with the key that all share: 16, 24 or 32 random bytes in base64, or several divided by commas, of which the first "+
 			"encrypts and all decrypt. It is read again at SIGHUP."),
-	schema.String("peers_zone", func(s *Settings) *string { return &s.Zone }, schema.Text{Example: "provo", Bad: badZone}, schema.AtStart,
+	schema.String("peers_zone", func(s *Settings) *string { return &s.Zone }, schema.StringOptions{Example: "provo", Fault: badZone}, schema.AtStart,
 		"The zone that this one tells the others."),
 	schema.Duration("peers_pace", func(s *Settings) *time.Duration { return &s.ProbeInterval },
-		schema.Bounds[time.Duration]{Default: 500 * time.Millisecond, Least: 100 * time.Millisecond, Most: 10 * time.Second}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 500 * time.Millisecond, Min: 100 * time.Millisecond, Max: 10 * time.Second}, schema.AtStart,
 		"How often this one asks one of the others whether it is there."),
 	schema.Duration("settle_after", func(s *Settings) *time.Duration { return &s.SettleAfter },
-		schema.Bounds[time.Duration]{Default: time.Second, Least: 100 * time.Millisecond, Most: time.Minute}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: time.Second, Min: 100 * time.Millisecond, Max: time.Minute}, schema.AtStart,
 		"How long nothing must change until subsets and shares follow the view."),
 	schema.Duration("forget_after", func(s *Settings) *time.Duration { return &s.ForgetAfter },
-		schema.Bounds[time.Duration]{Default: 10 * time.Minute, Least: time.Minute, Most: 24 * time.Hour}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 10 * time.Minute, Min: time.Minute, Max: 24 * time.Hour}, schema.AtStart,
 		"How long one that is gone is remembered, so that no old message brings it back."),
 	schema.Int("peers_most", func(s *Settings) *int { return &s.MaxMembers },
-		schema.Bounds[int]{Default: 1000, Least: 2, Most: 4000}, schema.AtStart,
+		schema.Bounds[int]{Default: 1000, Min: 2, Max: 4000}, schema.AtStart,
 		"The most sidecars that are known at once, those that are gone among them."),
 ).Check(func(f *schema.File, _ string, s *Settings, report schema.Reporter) {
 	memory := appfile.LimitsTable.In(f).Memory
@@ -93,12 +93,12 @@
 	case s.Advertise == "" && unspecified(s.Listen):
 		report("peers_advertise", "missing: %s is no address that the others could reach", s.Listen)
 	case memory > 0 && float64(need) > maxMemoryShare*float64(memory):
-		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)", s.MaxMembers, need>>10, f.Place("limits", "memory"))
+		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)", s.MaxMembers, need>>10, f.Location("limits", "memory"))
 	case s.ForgetAfter <= minForgetSettles*s.SettleAfter:
 		report("forget_after", "%s is not above ten times settle_after, %s (%s)", schema.FormatDuration(s.ForgetAfter),
-			schema.FormatDuration(s.SettleAfter), f.Place("peers", "settle_after"))
+			schema.FormatDuration(s.SettleAfter), f.Location("peers", "settle_after"))
 	}
-	for _, a := range appfile.List(s.Join) {
+	for _, a := range appfile.SplitList(s.Join) {
 		if a == s.Advertise { // that it is peers_listen is seen where all addresses are compared
 			report("peers_join", "%s is this sidecar's own address", a)
 		}
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -37,9 +37,9 @@
 
 // FrontTable is [http3].
 var FrontTable = schema.NewTable("http3", "HTTP/3 from callers, beside HTTP/1.1. Off unless http3_listen is set.",
-	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen }, schema.Text{Example: "127.0.0.1:8443"}, true, schema.AtStart,
+	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen }, schema.StringOptions{Example: "127.0.0.1:8443"}, true, schema.AtStart,
 		"The UDP address. Clients look for it beside a TCP address with the same certificate."),
-	schema.String("http3_cert_file", func(c *FrontSettings) *string { return &c.CertFile }, schema.Text{Example: "/etc/quincegap/front.pem"}, schema.AtStart,
+	schema.String("http3_cert_file", func(c *FrontSettings) *string { return &c.CertFile }, schema.StringOptions{Example: "/etc/quincegap/front.pem"}, schema.AtStart,
 		"The certificate and those that signed it, PEM. It may be replaced while running."),
 	schema.SecretFile("http3_key_file", func(c *FrontSettings) *string { return &c.KeyFile }, schema.PrivateKey, "/etc/quincegap/front.key", schema.AtStart,
 		"Its key, likewise."),
@@ -48,22 +48,22 @@
 	schema.Choice("early_data", func(c *FrontSettings) *EarlyData { return &c.EarlyData }, []EarlyData{EarlyNever, EarlySafe}, EarlyNever, false, schema.AtStart,
 		"never: no early data is accepted. safe: requests of safe classes are taken from it at once; all others wait until it cannot be a replay."),
 	schema.Duration("alt_svc", func(c *FrontSettings) *time.Duration { return &c.AltSvcMaxAge },
-		schema.Bounds[time.Duration]{Least: 0, Most: 30 * 24 * time.Hour}, schema.AtStart,
+		schema.Bounds[time.Duration]{Min: 0, Max: 30 * 24 * time.Hour}, schema.AtStart,
 		"Answers over HTTP/1.1 tell of HTTP/3 for so long (Alt-Svc, RFC 7838); 0 for not at all."),
 	schema.Int("http3_connections", func(c *FrontSettings) *int { return &c.MaxConnections },
-		schema.Bounds[int]{Default: 256, Least: 1, Most: 100000}, schema.AtStart,
+		schema.Bounds[int]{Default: 256, Min: 1, Max: 100000}, schema.AtStart,
 		"Connections at once; they share one socket, and cost memory."),
 	schema.Int("http3_streams", func(c *FrontSettings) *int { return &c.MaxStreams },
-		schema.Bounds[int]{Default: 64, Least: 1, Most: 10000}, schema.AtStart,
+		schema.Bounds[int]{Default: 64, Min: 1, Max: 10000}, schema.AtStart,
 		"Requests at once on one connection."),
 	schema.Int("http3_handshakes", func(c *FrontSettings) *int { return &c.MaxHandshakes },
-		schema.Bounds[int]{Default: 64, Least: 2, Most: 10000}, schema.AtStart,
+		schema.Bounds[int]{Default: 64, Min: 2, Max: 10000}, schema.AtStart,
 		"Handshakes under way; from half of it on addresses have to prove themselves (Retry), beyond it none begins."),
 	schema.Duration("http3_handshake", func(c *FrontSettings) *time.Duration { return &c.HandshakeTimeout },
-		schema.Bounds[time.Duration]{Default: 2 * time.Second, Least: 100 * time.Millisecond, Most: time.Minute}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 2 * time.Second, Min: 100 * time.Millisecond, Max: time.Minute}, schema.AtStart,
 		"How long a handshake may stand still."),
 	schema.Size("http3_window", func(c *FrontSettings) *int64 { return &c.ConnectionWindow },
-		schema.Bounds[int64]{Default: 256 << 10, Least: 96 << 10, Most: 16 << 20}, schema.AtStart,
+		schema.Bounds[int64]{Default: 256 << 10, Min: 96 << 10, Max: 16 << 20}, schema.AtStart,
 		"What one connection may have sent that has not been read."),
 ).Check(func(f *schema.File, _ string, c *FrontSettings, report schema.Reporter) {
 	switch {
@@ -82,7 +82,7 @@
 // noSafeClass tells whether a file has classes, and none that may run any number of times.
 func noSafeClass(f *schema.File) bool {
 	classes := appfile.ClassTable.All(f)
-	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Effect == balancer.Idempotent })
+	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Idempotency == balancer.Idempotent })
 }
 
 // TransportSettings is the transport's part.
@@ -111,26 +111,26 @@
 var TransportTable = schema.NewTable("http3-endpoints", "HTTP/3 to endpoints, at the UDP port with their address's number.",
 	schema.Choice("http3_to_endpoints", func(e *TransportSettings) *Use { return &e.Use }, []Use{Never, Prefer}, Never, false, schema.AtStart,
 		"never: HTTP/1.1. prefer: HTTP/3, and HTTP/1.1 where no connection over UDP comes about."),
-	schema.String("http3_ca_file", func(e *TransportSettings) *string { return &e.CAFile }, schema.Text{Example: "/etc/quincegap/endpoints-ca.pem"}, schema.AtStart,
+	schema.String("http3_ca_file", func(e *TransportSettings) *string { return &e.CAFile }, schema.StringOptions{Example: "/etc/quincegap/endpoints-ca.pem"}, schema.AtStart,
 		"Certificates that sign the endpoints'; the system's where it is left out."),
-	schema.String("http3_server_name", func(e *TransportSettings) *string { return &e.ServerName }, schema.Text{Example: "slot-keeper.example.org"}, schema.AtStart,
+	schema.String("http3_server_name", func(e *TransportSettings) *string { return &e.ServerName }, schema.StringOptions{Example: "slot-keeper.example.org"}, schema.AtStart,
 		"The name in the endpoints' certificates, where it is not their address."),
 	schema.Bool("http3_early_requests", func(e *TransportSettings) *bool { return &e.EarlyRequests }, false, schema.AtStart,
 		"Whether requests of safe classes may go out in early data, where a session is resumed."),
 	schema.Int("http3_endpoint_streams", func(e *TransportSettings) *int { return &e.MaxStreams },
-		schema.Bounds[int]{Default: 32, Least: 1, Most: 1000}, schema.AtStart,
+		schema.Bounds[int]{Default: 32, Min: 1, Max: 1000}, schema.AtStart,
 		"Attempts at once on one connection."),
 	schema.Duration("http3_endpoint_handshake", func(e *TransportSettings) *time.Duration { return &e.HandshakeTimeout },
-		schema.Bounds[time.Duration]{Default: 300 * time.Millisecond, Least: 10 * time.Millisecond, Most: 10 * time.Second}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 300 * time.Millisecond, Min: 10 * time.Millisecond, Max: 10 * time.Second}, schema.AtStart,
 		"How long a connection may take to come about before the attempt goes over HTTP/1.1."),
 	schema.Duration("http3_silence", func(e *TransportSettings) *time.Duration { return &e.UnresponsiveTimeout },
-		schema.Bounds[time.Duration]{Default: 3 * time.Second, Least: 500 * time.Millisecond, Most: time.Minute}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 3 * time.Second, Min: 500 * time.Millisecond, Max: time.Minute}, schema.AtStart,
 		"An endpoint that has not been heard of for so long is dead for its connection; it is asked three times meanwhile."),
 	schema.Duration("http3_pause", func(e *TransportSettings) *time.Duration { return &e.MinPause },
-		schema.Bounds[time.Duration]{Default: time.Minute, Least: time.Second, Most: 24 * time.Hour}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: time.Minute, Min: time.Second, Max: 24 * time.Hour}, schema.AtStart,
 		"How long HTTP/3 is not tried with an endpoint after that; twice as long each time in a row."),
 	schema.Duration("http3_longest_pause", func(e *TransportSettings) *time.Duration { return &e.MaxPause },
-		schema.Bounds[time.Duration]{Default: time.Hour, Least: time.Second, Most: 24 * time.Hour}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: time.Hour, Min: time.Second, Max: 24 * time.Hour}, schema.AtStart,
 		"The longest such pause."),
 ).Check(func(_ *schema.File, _ string, e *TransportSettings, report schema.Reporter) {
 	if e.MaxPause < e.MinPause {
--- a/internal/product/peers_test.go
+++ b/internal/product/peers_test.go
@@ -50,7 +50,7 @@
 		if err := os.WriteFile(path, []byte(peersFile+lines+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := Sidecar(path, func(string) string { return "" })
+		_, err := SidecarConfig(path, func(string) string { return "" })
 		switch {
 		case want == "" && err != nil:
 			t.Errorf("%s: %v", lines, err)
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -41,19 +41,19 @@
 func Read(path string, most int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, plain(err)
+		return nil, withoutPath(err)
 	}
 	if !info.Mode().IsRegular() {
 		return nil, errors.New("is no regular file")
 	}
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, plain(err)
+		return nil, withoutPath(err)
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, most+1))
 	if err != nil {
-		return nil, plain(err)
+		return nil, withoutPath(err)
 	}
 	if int64(len(text)) > most {
 		return nil, fmt.Errorf("has more than %d bytes; that is too large for a file of this sort", most)
@@ -61,8 +61,8 @@
 	return text, nil
 }
 
-// plain leaves the path out of an error that is printed behind it.
-func plain(err error) error {
+// withoutPath leaves the path out of an error that is printed behind it.
+func withoutPath(err error) error {
 	var path *fs.PathError
 	if errors.As(err, &path) {
 		return fmt.Errorf("cannot be read: %w", path.Err)
@@ -73,40 +73,40 @@
 // Load reads the file of one application. With overlay, what a platform tells may be missing. It is nil
 // where the file could not be read; with findings it is not to be used.
 func Load(path string, overlay bool, found *finding.List) *schema.File {
-	text, err := Read(path, apps.MostFileBytes)
+	text, err := Read(path, apps.MaxFileBytes)
 	if err != nil {
 		found.Add(path, finding.Pos{}, "%v", err)
 		return nil
 	}
 	before := found.Len()
-	d := doc.ReadTOML(text, apps.MostFileBytes, found.In(path))
+	d := doc.ReadTOML(text, apps.MaxFileBytes, found.ForFile(path))
 	if d == nil {
 		return nil
 	}
-	if apps.Is(d) {
+	if apps.IsInstallation(d) {
 		found.Add(path, finding.Pos{Line: 1, Col: 1}, "describes several applications; quincegapctl write makes a file for each of them")
 		return nil
 	}
 	f := Decode(path, d, overlay, found.Len() == before, found)
-	Secrets(f, path, found)
+	CheckSecrets(f, path, found)
 	return f
 }
 
 // Decode is Load for a document that has been read, without its secrets. What is missing is looked for only
 // where the document could be read whole: it may stand in the lines that could not.
-func Decode(path string, d *doc.Doc, overlay, whole bool, found *finding.List) *schema.File {
+func Decode(path string, d *doc.Document, overlay, whole bool, found *finding.List) *schema.File {
 	o := schema.Options{Partial: !whole}
 	if overlay {
-		o.Elsewhere = appfile.ByPlatform()
+		o.RequiredElsewhere = appfile.PlatformTables()
 	}
 	f := Schema.Decode(found, o, schema.Layer{Doc: d, Table: d.Root, File: path})
-	apps.Addresses(f, found)
+	apps.CheckAddresses(f, found)
 	return f
 }
 
-// Secrets reports files with secrets and certificates that cannot be used. Paths are taken from the folder of the file that
+// CheckSecrets reports files with secrets and certificates that cannot be used. Paths are taken from the folder of the file that
 // names them.
-func Secrets(f *schema.File, path string, found *finding.List) {
+func CheckSecrets(f *schema.File, path string, found *finding.List) {
 	for _, s := range f.Secrets() {
 		at := Resolve(path, s.Unquoted())
 		_, err := secretfile.ReadToken(at)
@@ -114,18 +114,18 @@
 			_, err = secretfile.ReadPrivateKey(at)
 		}
 		if err != nil {
-			found.Add(s.Place.File, s.Place.Pos, "%s: %v", s.ID(), err)
+			found.Add(s.Location.File, s.Location.Pos, "%s: %v", s.ID(), err)
 		}
 	}
-	certificates(f, path, time.Now(), found)
+	checkCertificates(f, path, time.Now(), found)
 }
 
-// certificates reports certificates that HTTP/3 could not start with: files that are missing, a key of another
+// checkCertificates reports certificates that HTTP/3 could not start with: files that are missing, a key of another
 // certificate, one that does not hold now.
-func certificates(f *schema.File, path string, now time.Time, found *finding.List) {
+func checkCertificates(f *schema.File, path string, now time.Time, found *finding.List) {
 	report := func(table, key string, err error) {
 		if err != nil {
-			at := f.Place(table, key)
+			at := f.Location(table, key)
 			found.Add(at.File, at.Pos, "%s.%s: %v", table, key, err)
 		}
 	}
@@ -154,8 +154,8 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// Sidecar is a sidecar's configuration: the product's file, if one is given, under what the platform tells.
-func Sidecar(path string, getenv func(string) string) (*standalone.Config, error) {
+// SidecarConfig is a sidecar's configuration: the product's file, if one is given, under what the platform tells.
+func SidecarConfig(path string, getenv func(string) string) (*standalone.Config, error) {
 	if path == "" {
 		return standalone.LoadConfig(getenv)
 	}
@@ -171,14 +171,14 @@
 			return f, nil
 		},
 		Resolve:   resolve,
-		Follow:    func(f *schema.File) (standalone.Follower, error) { return follow(f, resolve) },
-		Admin:     view,
-		OpenPeers: func(f *schema.File) (standalone.PeersOpener, error) { return among(f, resolve) },
+		Follow:    func(f *schema.File) (standalone.Follower, error) { return endpointFollower(f, resolve) },
+		Admin:     adminOpener,
+		OpenPeers: func(f *schema.File) (standalone.PeersOpener, error) { return peersOpener(f, resolve) },
 	})
 }
 
-// follow is the source that a file asks for beside discovery, nil for none.
-func follow(f *schema.File, resolve func(string) string) (standalone.Follower, error) {
+// endpointFollower is the source that a file asks for beside discovery, nil for none.
+func endpointFollower(f *schema.File, resolve func(string) string) (standalone.Follower, error) {
 	mode := endpointsource.SettingsTable.In(f).Mode
 	if mode == endpointsource.ModePlatform {
 		return nil, nil
@@ -198,8 +198,8 @@
 	}, nil
 }
 
-// view serves the view that a file asks for, nil for none.
-func view(f *schema.File, name string) standalone.Admin {
+// adminOpener serves the view that a file asks for, nil for none.
+func adminOpener(f *schema.File, name string) standalone.Admin {
 	address := admin.Table.In(f).Listen
 	if address == "" {
 		return nil
@@ -212,8 +212,8 @@
 	}
 }
 
-// among opens the view of the other sidecars that a file asks for, nil for none.
-func among(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
+// peersOpener opens the view of the other sidecars that a file asks for, nil for none.
+func peersOpener(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
 	set := *gossip.Table.In(f)
 	if set.Listen == "" {
 		return nil, nil
@@ -221,10 +221,10 @@
 	application := appfile.SidecarTable.In(f).Application
 	if application == "" {
 		return nil, fmt.Errorf("%s: peers_listen is set, and sidecar.application is not: others could not be told from another application's",
-			f.Place("peers", "peers_listen"))
+			f.Location("peers", "peers_listen"))
 	}
 	if set.Service != "" && consul.Table.In(f).Agents == "" {
-		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", f.Place("peers", "peers_service"))
+		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", f.Location("peers", "peers_service"))
 	}
 	keys := func() ([][]byte, error) {
 		if set.KeyFile == "" {
@@ -236,7 +236,7 @@
 		}
 		all, err := gossip.ParseKeys(text)
 		if err != nil {
-			err = fmt.Errorf("%s: peers.peers_key_file: %w", f.Place("peers", "peers_key_file"), err)
+			err = fmt.Errorf("%s: peers.peers_key_file: %w", f.Location("peers", "peers_key_file"), err)
 		}
 		return all, err
 	}
@@ -261,19 +261,19 @@
 		if err != nil {
 			return nil, err
 		}
-		return &rekeyed{g, keys}, nil
+		return &reloadableGroup{g, keys}, nil
 	}, nil
 }
 
-// rekeyed is a Group whose keys are in a file.
-type rekeyed struct {
+// reloadableGroup is a Group whose keys are in a file.
+type reloadableGroup struct {
 	*gossip.Group
-	keys func() ([][]byte, error)
+	readKeys func() ([][]byte, error)
 }
 
 // Reload reads the keys again.
-func (r *rekeyed) Reload() error {
-	keys, err := r.keys()
+func (r *reloadableGroup) Reload() error {
+	keys, err := r.readKeys()
 	if err != nil || keys == nil {
 		return err
 	}
@@ -311,7 +311,7 @@
 
 It holds the tables above under ` + "`[defaults.TABLE]`" + ` for all applications, and under
 ` + "`[apps.\"NAME\".TABLE]`" + ` for one. Beside them stand these:
-` + apps.Frame.Reference()
+` + apps.InstallationSchema.Reference()
 }
 
 // Sample is a sidecar's file with all keys.
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -57,7 +57,7 @@
 		for _, k := range table.Keys {
 			at := []string{table.Name, k.Name}
 			if table.Named {
-				at = []string{table.Name, table.Like, k.Name}
+				at = []string{table.Name, table.ExampleName, k.Name}
 			}
 			if f.Setting(at...) == nil {
 				t.Errorf("%v is not in the sample", at)
--- a/internal/rehearsal/fleet/days.go
+++ b/internal/rehearsal/fleet/days.go
@@ -35,7 +35,7 @@
 	file := path.Join("days", name+".morning")
 	text, err := scripts.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("%s", finding.Unknown("day", name, Days()))
+		return nil, fmt.Errorf("%s", finding.UnknownName("day", name, Days()))
 	}
 	var found finding.List
 	m := morning.Read(file, text, &found)
--- a/internal/rehearsal/morning/morning.go
+++ b/internal/rehearsal/morning/morning.go
@@ -188,7 +188,7 @@
 // Read reads a script; it is nil where there are findings.
 func Read(name string, text []byte, found *finding.List) *Morning {
 	before := found.Len()
-	add := found.In(name)
+	add := found.ForFile(name)
 	m := standard()
 	m.Name = name
 	if len(text) > MostBytes {
@@ -260,7 +260,7 @@
 			at := m.place("tier", t.Name, "calls")
 			switch n := slices.IndexFunc(m.Tiers, func(o *Tier) bool { return o.Name == t.Calls }); {
 			case n < 0:
-				add(at, "%s", finding.Unknown("tier", t.Calls, m.tierNames()))
+				add(at, "%s", finding.UnknownName("tier", t.Calls, m.tierNames()))
 			case n <= i:
 				add(at, "a tier calls only tiers that come after it in the script")
 			case n != i+1:
--- a/internal/rehearsal/morning/plan.go
+++ b/internal/rehearsal/morning/plan.go
@@ -316,7 +316,7 @@
 func (d *drawing) arriving(e *event, n *newBoxes) {
 	t := d.Tier(n.Tier)
 	if t == nil {
-		d.add(pos(n.Pos), "%s", finding.Unknown("tier", n.Tier, d.tierNames()))
+		d.add(pos(n.Pos), "%s", finding.UnknownName("tier", n.Tier, d.tierNames()))
 		return
 	}
 	if n.Count < 1 || len(d.Boxes)+n.Count > MostBoxes {
@@ -359,7 +359,7 @@
 	at, where := time.Duration(e.At), pos(w.Pos)
 	t := d.Tier(w.Tier)
 	if t == nil {
-		d.add(where, "%s", finding.Unknown("tier", w.Tier, d.tierNames()))
+		d.add(where, "%s", finding.UnknownName("tier", w.Tier, d.tierNames()))
 		return nil
 	}
 	var up []int
--- a/internal/rehearsal/morning/settings.go
+++ b/internal/rehearsal/morning/settings.go
@@ -263,7 +263,7 @@
 	case "expect":
 		m.expect(s, add)
 	default:
-		add(at, "%s", finding.Unknown("section", s.Section, sections))
+		add(at, "%s", finding.UnknownName("section", s.Section, sections))
 	}
 }
 
@@ -291,7 +291,7 @@
 		k, ok := keys[name]
 		switch {
 		case !ok:
-			add(pos(values[i].Pos), "%s", finding.Unknown("key", name, slices.Sorted(maps.Keys(keys))))
+			add(pos(values[i].Pos), "%s", finding.UnknownName("key", name, slices.Sorted(maps.Keys(keys))))
 		case i+1 == len(values):
 			add(pos(values[i].Pos), "%s takes %s", name, k.what)
 		default:
@@ -325,7 +325,7 @@
 	bound, ok := s.Values[2].Low.plain()
 	switch {
 	case !slices.Contains(bounds, what):
-		add(pos(s.Values[0].Pos), "%s", finding.Unknown("figure", what, bounds))
+		add(pos(s.Values[0].Pos), "%s", finding.UnknownName("figure", what, bounds))
 	case side != "above" && side != "below":
 		add(pos(s.Values[1].Pos), "%q: above or below", side)
 	case !ok:
--- a/internal/rehearsal/rehearse/liar_test.go
+++ b/internal/rehearsal/rehearse/liar_test.go
@@ -50,7 +50,7 @@
 	if len(os.Args) == 3 && os.Args[1] == "-config" {
 		file = os.Args[2]
 	}
-	config, err := product.Sidecar(file, os.Getenv)
+	config, err := product.SidecarConfig(file, os.Getenv)
 	if err == nil {
 		err = real.Run(config, stop, reload)
 	}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -52,7 +52,7 @@
 	r := balancer.Request{
 		ID: f.requestID(), Class: int(f.number("type")),
 		Tenant: int(f.optional("userGroup")), Key: f.optionalText("affinity"), TimeLeft: f.time("left"),
-		WorkHint: settings.Micros(f.optional("workHint")),
+		WorkHint: settings.Microseconds(f.optional("workHint")),
 	}
 	attrs := f.optional("attrs")
 	if r.Class < 0 || r.Class >= classes {
@@ -135,6 +135,6 @@
 	return balancer.ListEntry{
 		Endpoint: f.endpoint(), Zone: int(f.number("area")),
 		MachineKind: int(f.number("kind")), Cell: int(f.number("stripe")), State: f.state(),
-		Weight: f.float("units"), StartedAt: settings.Micros(f.optional("cameUp")),
+		Weight: f.float("units"), StartedAt: settings.Microseconds(f.optional("cameUp")),
 	}
 }
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -108,7 +108,7 @@
 }
 
 // time takes a time in microseconds.
-func (f *lineFields) time(field string) time.Duration { return settings.Micros(f.number(field)) }
+func (f *lineFields) time(field string) time.Duration { return settings.Microseconds(f.number(field)) }
 
 // requestID takes the id of a request.
 func (f *lineFields) requestID() balancer.RequestID { return balancer.RequestID(f.value("corr")) }
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -84,8 +84,8 @@
 		return fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
 	case c.Limits.MemoryMB <= 0:
 		return fmt.Errorf("limits.memory_mb: %v is not above 0", c.Limits.MemoryMB)
-	case c.Limits.Sockets < appfile.LeastSockets:
-		return fmt.Errorf("limits.sockets: %v is below %d", c.Limits.Sockets, appfile.LeastSockets)
+	case c.Limits.Sockets < appfile.MinSockets:
+		return fmt.Errorf("limits.sockets: %v is below %d", c.Limits.Sockets, appfile.MinSockets)
 	case c.Settings.ConnectTimeout <= 0:
 		return errors.New("settings: allowed.connectTimeout: not above 0")
 	}
--- a/internal/standalone/config_product.go
+++ b/internal/standalone/config_product.go
@@ -48,7 +48,7 @@
 	sidecar := appfile.SidecarTable.In(f)
 	discovery := appfile.DiscoveryTable.In(f)
 	attempts := appfile.AttemptsTable.In(f)
-	warmup := appfile.WarmupTable.In(f)
+	warmup := appfile.SlowStartTable.In(f)
 	s := balancer.Settings{
 		Instances:           sidecar.Instances,
 		Ordinal:             sidecar.Ordinal,
@@ -56,18 +56,18 @@
 		Quantum:             standaloneQuantum,
 		TotalValueWeight:    standaloneTotalValueWeight,
 		MayCancel:           attempts.Cancel,
-		MayHealthCheck:      attempts.Probes,
-		MaxAttempts:         attempts.Most,
-		HedgedRequests:      attempts.Copies,
+		MayHealthCheck:      attempts.HealthChecks,
+		MaxAttempts:         attempts.Max,
+		HedgedRequests:      attempts.HedgedRequests,
 		MaxRetryAfter:       attempts.MaxRetryAfter,
 		ConnectTimeout:      attempts.ConnectTimeout,
-		MustSubscribe:       discovery.Mode == appfile.Ask,
-		ResubscribeInterval: discovery.AskEvery,
+		MustSubscribe:       discovery.Mode == appfile.ModePoll,
+		ResubscribeInterval: discovery.PollInterval,
 		PropagatesDeadline:  true,
-		SlowStartMinShare:   warmup.ColdShare,
-		SlowStartWindow:     warmup.WarmAfter,
-		OverloadMultiple:    warmup.TipMultiple,
-		OverloadDuration:    warmup.TipWindow,
+		SlowStartMinShare:   warmup.MinShare,
+		SlowStartWindow:     warmup.Window,
+		OverloadMultiple:    warmup.OverloadMultiple,
+		OverloadDuration:    warmup.OverloadDuration,
 	}
 	if len(appfile.CallsTable.All(f)) > 0 {
 		s.Tiers = 2 // a call may wait at the applications behind this one too
@@ -75,17 +75,17 @@
 	for _, v := range appfile.ClassTable.All(f) {
 		s.Classes = append(s.Classes, balancer.Class{
 			Name:           v.Name,
-			LatencyTarget:  v.Value.Aim,
+			LatencyTarget:  v.Value.LatencyTarget,
 			Deadline:       v.Value.Deadline,
-			Value:          v.Value.Worth,
-			LateValueShare: v.Value.LateWorth,
-			Idempotency:    v.Value.Effect,
+			Value:          v.Value.Value,
+			LateValueShare: v.Value.LateValueShare,
+			Idempotency:    v.Value.Idempotency,
 			KeyScope:       v.Value.KeyScope,
 			KeyWindow:      v.Value.KeyWindow,
 		})
 	}
 	for _, v := range appfile.TenantTable.All(f) {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.QuotaPerSecond})
 	}
 	return s
 }
--- a/internal/standalone/connections_test.go
+++ b/internal/standalone/connections_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestMuteCallersMakeRoom(t *testing.T) {
-	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", answerOK))
+	rg := start(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
 	http.DefaultClient.CloseIdleConnections()
 	usual := rg.dial()
 	ask := func() {
@@ -99,7 +99,7 @@
 }
 
 func TestIdleCallersMakeRoom(t *testing.T) {
-	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", answerOK))
+	rg := start(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
 	var first *clientConn
 	for i := range 3 * rg.maxConnections() {
 		c := rg.dial()
@@ -124,7 +124,7 @@
 
 func TestCallerBeyondTheBoundIsAnswered(t *testing.T) {
 	serve := make(chan bool)
-	rg := start(t, appfile.LeastSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+	rg := start(t, appfile.MinSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		<-serve
 		write(w, "ok")
 	}))
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -19,7 +19,7 @@
 func onDisk(t *testing.T, d *disk.Disk) {
 	t.Helper()
 	var found finding.List
-	text := doc.ReadTOML([]byte("[class.once]\naim = \"9s\"\ndeadline = \"10s\"\neffect = \"unsafe\"\nwithout_memory = \"refuse\"\n"), 1<<10, found.In("f"))
+	text := doc.ReadTOML([]byte("[class.once]\naim = \"9s\"\ndeadline = \"10s\"\neffect = \"unsafe\"\nwithout_memory = \"refuse\"\n"), 1<<10, found.ForFile("f"))
 	file := schema.New(appfile.ClassTable.Table).Decode(&found, schema.Options{}, schema.Layer{Doc: text, Table: text.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		t.Fatal(err)
--- a/internal/standalone/load.go
+++ b/internal/standalone/load.go
@@ -42,10 +42,10 @@
 	}
 	var refused finding.List
 	for _, s := range schema.Changed(c.file, fresh.file) {
-		if s.Key.Change != schema.AtStart || c.hasPlatform && slices.Contains(appfile.ByPlatform(), s.Path[0]) {
+		if s.Key.Change != schema.AtStart || c.hasPlatform && slices.Contains(appfile.PlatformTables(), s.Path[0]) {
 			continue
 		}
-		refused.Add(s.Place.File, s.Place.Pos, "%s has changed, which takes effect at a start only", s.ID())
+		refused.Add(s.Location.File, s.Location.Pos, "%s has changed, which takes effect at a start only", s.ID())
 	}
 	return fresh, refused.Err()
 }
@@ -59,8 +59,8 @@
 		if s.ID() == "sidecar.application" && c.openPeers != nil {
 			continue // the others go by it
 		}
-		if slices.Contains(appfile.ByPlatform(), s.Path[0]) {
-			log.Printf("%s: %s is not used: the platform's configuration says it", s.Place, s.ID())
+		if slices.Contains(appfile.PlatformTables(), s.Path[0]) {
+			log.Printf("%s: %s is not used: the platform's configuration says it", s.Location, s.ID())
 		}
 	}
 }
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -71,7 +71,7 @@
 	}
 	for _, class := range c.Settings.Classes {
 		of := appfile.ClassTable.Get(c.file, class.Name)
-		m.goesOnWithout = append(m.goesOnWithout, of == nil || of.WithoutMemory == appfile.GoOn)
+		m.goesOnWithout = append(m.goesOnWithout, of == nil || of.OnMemoryFailure == appfile.ContinueWithoutMemory)
 	}
 	logDamage(s.Health())
 	return m, m.restore(now)
--- a/internal/standalone/route_test.go
+++ b/internal/standalone/route_test.go
@@ -16,7 +16,7 @@
 func routesOf(t *testing.T, text string) *route.Table {
 	t.Helper()
 	var found finding.List
-	d := doc.ReadTOML([]byte(text), 1<<16, found.In("f"))
+	d := doc.ReadTOML([]byte(text), 1<<16, found.ForFile("f"))
 	f := schema.New(route.Rules.Table).Decode(&found, schema.Options{Partial: true}, schema.Layer{Doc: d, Table: d.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		t.Fatal(err)
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -24,29 +24,29 @@
 // CallersTable is [callers].
 var CallersTable = schema.NewTable("callers", "Connections and requests from callers.",
 	schema.Duration("idle_timeout", func(c *Callers) *time.Duration { return &c.IdleTimeout },
-		schema.Bounds[time.Duration]{Default: 30 * time.Second, Least: time.Second, Most: time.Hour}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 30 * time.Second, Min: time.Second, Max: time.Hour}, schema.AtStart,
 		"How long a caller's connection may stand idle."),
 	schema.Duration("request_timeout", func(c *Callers) *time.Duration { return &c.RequestTimeout },
-		schema.Bounds[time.Duration]{Default: 2500 * time.Millisecond, Least: 100 * time.Millisecond, Most: time.Minute}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 2500 * time.Millisecond, Min: 100 * time.Millisecond, Max: time.Minute}, schema.AtStart,
 		"How long a whole request may take to come, from its first byte, or from connecting."),
 	schema.Size("max_header", func(c *Callers) *int64 { return &c.MaxHeader },
-		schema.Bounds[int64]{Default: 8 << 10, Least: 1 << 10, Most: 64 << 10}, schema.AtStart,
+		schema.Bounds[int64]{Default: 8 << 10, Min: 1 << 10, Max: 64 << 10}, schema.AtStart,
 		"The headers of one request."),
 	schema.Size("max_body", func(c *Callers) *int64 { return &c.MaxBody },
-		schema.Bounds[int64]{Default: exchange.MaxBody, Least: 0, Most: exchange.MaxBody}, schema.OnReload,
+		schema.Bounds[int64]{Default: exchange.MaxBody, Min: 0, Max: exchange.MaxBody}, schema.OnReload,
 		"The body of one request; a larger one is answered 413."),
 	schema.Float("caller_share", func(c *Callers) *float64 { return &c.Share },
-		schema.Bounds[float64]{Default: 0.6, Least: 0.05, Most: 0.95}, schema.AtStart,
+		schema.Bounds[float64]{Default: 0.6, Min: 0.05, Max: 0.95}, schema.AtStart,
 		"The share of limits.sockets, less the 32 reserved, that callers' connections may use."),
 	schema.Float("body_share", func(c *Callers) *float64 { return &c.BodyShare },
-		schema.Bounds[float64]{Default: 0.25, Least: 0.01, Most: 0.5}, schema.AtStart,
+		schema.Bounds[float64]{Default: 0.25, Min: 0.01, Max: 0.5}, schema.AtStart,
 		"The share of limits.memory that bodies of requests and answers may hold together."),
 	schema.Bool("too_early", func(c *Callers) *bool { return &c.TooEarly }, false, schema.OnReload,
 		"Whether a request with Early-Data: 1 from a proxy in front is answered 425 (RFC 8470) unless its class is safe."),
 ).Check(func(f *schema.File, _ string, c *Callers, report schema.Reporter) {
 	if e := EndpointsTable.In(f); c.Share+e.Share > 1+1e-9 {
 		report("caller_share", "%g and endpoints.endpoint_share, %g (%s), are more than all sockets", c.Share, e.Share,
-			f.Place("endpoints", "endpoint_share"))
+			f.Location("endpoints", "endpoint_share"))
 	}
 })
 
@@ -60,14 +60,14 @@
 // EndpointsTable is [endpoints].
 var EndpointsTable = schema.NewTable("endpoints", "Connections to endpoints.",
 	schema.Float("endpoint_share", func(e *Endpoints) *float64 { return &e.Share },
-		schema.Bounds[float64]{Default: 0.4, Least: 0.05, Most: 0.95}, schema.AtStart,
+		schema.Bounds[float64]{Default: 0.4, Min: 0.05, Max: 0.95}, schema.AtStart,
 		"The share of limits.sockets, less the 32 reserved, that connections to endpoints may use."),
 	schema.Duration("keep_idle", func(e *Endpoints) *time.Duration { return &e.KeepIdle },
-		schema.Bounds[time.Duration]{Least: 10 * time.Millisecond, Most: time.Hour, Optional: true, Example: `"10s"`}, schema.OnReload,
+		schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: `"10s"`}, schema.OnReload,
 		"How long an idle connection to an endpoint is kept; it has to be well below the time after which the endpoint closes it. "+
 			"Where it is left out, half of what the platform tells, or 10s."),
 	schema.Int("subset_most", func(e *Endpoints) *int { return &e.MaxSubsetSize },
-		schema.Bounds[int]{Least: 2, Most: 100_000, Optional: true, Example: "100"}, schema.AtStart,
+		schema.Bounds[int]{Min: 2, Max: 100_000, Optional: true, Example: "100"}, schema.AtStart,
 		"The most endpoints that this sidecar keeps to, so that its connections to them stay open; about seven tenths of the "+
 			"connections that endpoint_share gives is a good figure (docs/operate/fleet.md). All sidecars of an application together have to reach "+
 			"every endpoint: subset_most times their number has to be above the number of endpoints, else the others get no calls."),
@@ -85,21 +85,21 @@
 // StopTable is [stop].
 var StopTable = schema.NewTable("stop", "How the sidecar ends on SIGTERM; it goes on serving until shortly before SIGKILL.",
 	schema.Duration("stop_longest", func(s *Stop) *time.Duration { return &s.MaxDeadline },
-		schema.Bounds[time.Duration]{Default: 3 * time.Second, Least: 0, Most: time.Hour}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 3 * time.Second, Min: 0, Max: time.Hour}, schema.OnReload,
 		"SIGKILL comes no sooner than the longest deadline, or this if it is shorter, and kill_grace after SIGTERM."),
 	schema.Duration("kill_grace", func(s *Stop) *time.Duration { return &s.KillGrace },
-		schema.Bounds[time.Duration]{Default: 700 * time.Millisecond, Least: 50 * time.Millisecond, Most: time.Hour}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 700 * time.Millisecond, Min: 50 * time.Millisecond, Max: time.Hour}, schema.OnReload,
 		"What is added to that."),
 	schema.Duration("kill_margin", func(s *Stop) *time.Duration { return &s.KillMargin },
-		schema.Bounds[time.Duration]{Default: 200 * time.Millisecond, Least: 10 * time.Millisecond, Most: time.Minute}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 200 * time.Millisecond, Min: 10 * time.Millisecond, Max: time.Minute}, schema.OnReload,
 		"How long before SIGKILL all answers are out."),
 	schema.Duration("hand_over", func(s *Stop) *time.Duration { return &s.HandOver },
-		schema.Bounds[time.Duration]{Default: 700 * time.Millisecond, Least: 0, Most: time.Minute}, schema.OnReload,
+		schema.Bounds[time.Duration]{Default: 700 * time.Millisecond, Min: 0, Max: time.Minute}, schema.OnReload,
 		"How long before its end a sidecar among several closes its idle connections, so that callers move on."),
 ).Check(func(f *schema.File, _ string, s *Stop, report schema.Reporter) {
 	if s.KillMargin >= s.KillGrace {
 		report("kill_margin", "%s is no shorter than kill_grace, %s (%s): nothing would be served after SIGTERM",
-			schema.FormatDuration(s.KillMargin), schema.FormatDuration(s.KillGrace), f.Place("stop", "kill_grace"))
+			schema.FormatDuration(s.KillMargin), schema.FormatDuration(s.KillGrace), f.Location("stop", "kill_grace"))
 	}
 })
 
@@ -115,19 +115,19 @@
 // MemoryTable is [memory].
 var MemoryTable = schema.NewTable("memory", "What is remembered on a disk across a death of the sidecar. Off unless memory_dir is set.",
 	schema.String("memory_dir", func(m *Memory) *string { return &m.Dir },
-		schema.Text{Example: "/var/lib/quincegap/front", Type: "path"}, schema.AtStart,
+		schema.StringOptions{Example: "/var/lib/quincegap/front", Type: "path"}, schema.AtStart,
 		"A directory of this sidecar alone, on a disk that lasts."),
 	schema.Int("remembered_requests", func(m *Memory) *int { return &m.MaxRequests },
-		schema.Bounds[int]{Default: 100_000, Least: 100, Most: 10_000_000}, schema.AtStart,
+		schema.Bounds[int]{Default: 100_000, Min: 100, Max: 10_000_000}, schema.AtStart,
 		"Requests that may be remembered at once; each takes about 400 bytes of memory."),
 	schema.Size("memory_size", func(m *Memory) *int64 { return &m.MaxBytes },
-		schema.Bounds[int64]{Default: 64 << 20, Least: 1 << 20, Most: 64 << 30}, schema.AtStart,
+		schema.Bounds[int64]{Default: 64 << 20, Min: 1 << 20, Max: 64 << 30}, schema.AtStart,
 		"What may be remembered, in bytes; the files take up to twice this and 12 MiB."),
 	schema.Duration("memory_wait", func(m *Memory) *time.Duration { return &m.WriteTimeout },
-		schema.Bounds[time.Duration]{Default: 250 * time.Millisecond, Least: time.Millisecond, Most: time.Minute}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: 250 * time.Millisecond, Min: time.Millisecond, Max: time.Minute}, schema.AtStart,
 		"How long an attempt waits at most until it is remembered; then without_memory of its class says what follows."),
 	schema.Duration("list_keep", func(m *Memory) *time.Duration { return &m.ListRetention },
-		schema.Bounds[time.Duration]{Default: time.Hour, Least: 0, Most: 30 * 24 * time.Hour}, schema.AtStart,
+		schema.Bounds[time.Duration]{Default: time.Hour, Min: 0, Max: 30 * 24 * time.Hour}, schema.AtStart,
 		"How old the list of endpoints may be that a start goes on with until discovery answers."),
 )
 
--- a/internal/tool/commands.go
+++ b/internal/tool/commands.go
@@ -18,29 +18,29 @@
 )
 
 //go:embed apps.toml
-var firstApps []byte
+var initialApps []byte
 
-// rights of new files: others may read them, for they hold no secrets, only the paths of some.
-const rights = fs.FileMode(0o644)
+// fileMode of new files: others may read them, for they hold no secrets, only the paths of some.
+const fileMode = fs.FileMode(0o644)
 
-func (c *command) init() *cobra.Command {
+func (c *command) initCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "init DIR", Short: "Write a commented apps.toml for two applications", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			path := filepath.Join(args[0], "apps.toml")
 			if err := os.MkdirAll(args[0], 0o755); err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			unlock, err := atomicfile.Lock(args[0])
 			if err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			defer unlock()
 			if _, err := os.Lstat(path); err == nil {
-				return failure{fmt.Errorf("%s is there already, and stays as it is", path)}
+				return runError{fmt.Errorf("%s is there already, and stays as it is", path)}
 			}
-			if err := atomicfile.Write(c.disk, atomicfile.File{Path: path, Content: firstApps, Mode: rights}); err != nil {
-				return failure{err}
+			if err := atomicfile.Write(c.disk, atomicfile.File{Path: path, Content: initialApps, Mode: fileMode}); err != nil {
+				return runError{err}
 			}
 			fmt.Fprintf(c.out, "wrote %s\n", path)
 			return nil
@@ -48,7 +48,7 @@
 	}
 }
 
-func (c *command) write() *cobra.Command {
+func (c *command) writeCommand() *cobra.Command {
 	var dir string
 	var keep, discard bool
 	cmd := &cobra.Command{
@@ -60,20 +60,20 @@
 			if dir == "" {
 				dir = filepath.Dir(args[0])
 			} else if err := os.MkdirAll(dir, 0o755); err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			unlock, err := atomicfile.Lock(dir)
 			if err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			defer unlock()
 			var found finding.List
-			m := c.model(args[0], &found)
+			m := c.readModel(args[0], &found)
 			if found.Len() > 0 {
 				return c.report(&found)
 			}
 			var spoilt finding.List // what writing anew would mend
-			all := states(m, dir, &found, &spoilt)
+			all := compareFiles(m, dir, &found, &spoilt)
 			for _, f := range spoilt.All() {
 				if discard {
 					fmt.Fprintf(c.out, "discarded: %s\n", f)
@@ -81,7 +81,7 @@
 					found.Add(f.File, finding.Pos{Line: f.Line, Col: f.Column}, "%s", f.Message)
 				}
 			}
-			files, err := c.decide(all, keep, discard, &found)
+			files, err := c.filesToWrite(all, keep, discard, &found)
 			if err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 				return nil
 			}
 			if err := atomicfile.Write(c.disk, files...); err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			for _, f := range files {
 				fmt.Fprintf(c.out, "wrote %s\n", f.Path)
@@ -105,18 +105,18 @@
 	return cmd
 }
 
-// decide tells what to write. It prints what stands against it, for all files.
-func (c *command) decide(all []*apps.State, keep, discard bool, found *finding.List) ([]atomicfile.File, error) {
+// filesToWrite tells what to write. It prints what stands against it, for all files.
+func (c *command) filesToWrite(all []*apps.FileState, keep, discard bool, found *finding.List) ([]atomicfile.File, error) {
 	var files []atomicfile.File
 	for _, st := range all {
-		text := st.New
+		text := st.Generated
 		switch {
-		case st.Written != nil && st.Written.App != st.App.Name:
+		case st.Provenance != nil && st.Provenance.App != st.App.Name:
 			if discard {
-				found.Add(st.Path, finding.Pos{Line: 1, Col: 1}, "was written for %s, so it is not thrown away; move it first", st.Written.App)
+				found.Add(st.Path, finding.Pos{Line: 1, Col: 1}, "was written for %s, so it is not thrown away; move it first", st.Provenance.App)
 			}
 			continue
-		case st.Text != nil && st.Written == nil && string(st.Text) != string(st.New):
+		case st.Text != nil && st.Provenance == nil && string(st.Text) != string(st.Generated):
 			if discard {
 				found.Add(st.Path, finding.Pos{Line: 1, Col: 1}, "was not written by quincegapctl, so it is not thrown away; move it first")
 			}
@@ -127,36 +127,36 @@
 			}
 		case !keep:
 			for _, e := range st.Edits {
-				found.Add(e.Place.File, e.Place.Pos, "%s", e.Words())
+				found.Add(e.Location.File, e.Location.Pos, "%s", e.Describe())
 			}
-			if len(st.Edits) == 0 && !st.Written.Cut {
+			if len(st.Edits) == 0 && !st.Provenance.Truncated {
 				found.Add(st.Path, finding.Pos{Line: 1, Col: 1}, "its comments or spacing were changed by hand, no key was")
 			}
 		case st.File != nil:
-			for _, e := range st.Clashes() {
-				found.Add(e.Place.File, e.Place.Pos, "%s", e.Words())
+			for _, e := range st.Conflicts() {
+				found.Add(e.Location.File, e.Location.Pos, "%s", e.Describe())
 			}
-			if len(st.Clashes()) == 0 {
+			if len(st.Conflicts()) == 0 {
 				text = st.Merge()
-				c.sound(st.Path, text, found)
+				c.checkMerged(st.Path, text, found)
 			}
 		}
 		if string(text) != string(st.Text) {
-			files = append(files, atomicfile.File{Path: st.Path, Content: text, Mode: rights})
+			files = append(files, atomicfile.File{Path: st.Path, Content: text, Mode: fileMode})
 		}
 	}
 	if found.Len() > 0 {
 		err := c.report(found)
-		fmt.Fprintln(c.errs, "nothing was written; see write --keep-edits, write --discard-edits and adopt")
+		fmt.Fprintln(c.errOut, "nothing was written; see write --keep-edits, write --discard-edits and adopt")
 		return nil, err
 	}
 	return files, nil
 }
 
-// sound checks a text that was merged.
-func (c *command) sound(path string, text []byte, found *finding.List) {
+// checkMerged checks a text that was merged.
+func (c *command) checkMerged(path string, text []byte, found *finding.List) {
 	var own finding.List
-	d := doc.ReadTOML(text, apps.MostFileBytes, own.In(path))
+	d := doc.ReadTOML(text, apps.MaxFileBytes, own.ForFile(path))
 	if d != nil {
 		product.Decode(path, d, false, own.Len() == 0, &own)
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-func (c *command) diff() *cobra.Command {
+func (c *command) diffCommand() *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{
 		Use: "diff [-o DIR] apps.toml", Short: "Show what write would change, and what was edited by hand", Args: cobra.ExactArgs(1),
@@ -174,11 +174,11 @@
 				dir = filepath.Dir(args[0])
 			}
 			var found finding.List
-			m := c.model(args[0], &found)
+			m := c.readModel(args[0], &found)
 			if found.Len() > 0 {
 				return c.report(&found)
 			}
-			all := states(m, dir, &found, &found)
+			all := compareFiles(m, dir, &found, &found)
 			differs := false
 			for _, st := range all {
 				for _, e := range st.Edits {
@@ -189,10 +189,10 @@
 				case st.Text == nil:
 					fmt.Fprintf(c.out, "new: %s\n", st.Path)
 					differs = true
-				case string(st.Text) != string(st.New) && (st.Written != nil):
+				case string(st.Text) != string(st.Generated) && (st.Provenance != nil):
 					differs = true
-					next := st.New
-					if st.Edited() && st.File != nil && len(st.Clashes()) == 0 {
+					next := st.Generated
+					if st.Edited() && st.File != nil && len(st.Conflicts()) == 0 {
 						next = st.Merge()
 						if len(st.Edits) == 0 {
 							fmt.Fprintf(c.out, "edited by hand: %s: comments or spacing only\n", st.Path)
@@ -214,7 +214,7 @@
 	return cmd
 }
 
-func (c *command) adopt() *cobra.Command {
+func (c *command) adoptCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "adopt apps.toml FILE...", Short: "Take edits by hand back into apps.toml", Args: cobra.MinimumNArgs(2),
 		Long: "adopt takes the keys that were edited by hand in written files back into apps.toml, whose comments and\n" +
@@ -222,58 +222,58 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			unlock, err := atomicfile.Lock(filepath.Dir(args[0]))
 			if err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			defer unlock()
 			var found finding.List
-			m := c.model(args[0], &found)
+			m := c.readModel(args[0], &found)
 			if found.Len() > 0 {
 				return c.report(&found)
 			}
-			var taken []*apps.State
+			var taken []*apps.FileState
 			for _, path := range args[1:] {
-				text, err := product.Read(path, apps.MostFileBytes)
+				text, err := product.Read(path, apps.MaxFileBytes)
 				if err != nil {
 					found.Add(path, finding.Pos{}, "%v", err)
 					continue
 				}
-				w := apps.ParseWritten(text)
+				w := apps.ParseProvenance(text)
 				if w == nil {
 					found.Add(path, finding.Pos{Line: 1, Col: 1}, "was not written by quincegapctl (its header is missing)")
 					continue
 				}
 				a := m.App(w.App)
 				if a == nil {
-					found.Add(path, finding.Pos{Line: 1, Col: 1}, "was written for %s, which %s does not have", w.App, m.Name)
+					found.Add(path, finding.Pos{Line: 1, Col: 1}, "was written for %s, which %s does not have", w.App, m.FileName)
 					continue
 				}
-				taken = append(taken, apps.Compare(product.Schema, a, filepath.Base(m.Name), path, text, &found))
+				taken = append(taken, apps.Compare(product.Schema, a, filepath.Base(m.FileName), path, text, &found))
 			}
 			text := m.Adopt(taken, &found)
 			if found.Len() > 0 {
 				return c.report(&found)
 			}
-			after := apps.Read(product.Schema, m.Name, text, &found)
+			after := apps.Read(product.Schema, m.FileName, text, &found)
 			if after != nil {
 				checkModel(after, &found)
 			}
 			if found.Len() > 0 {
-				fmt.Fprintln(c.errs, "with these edits apps.toml would not be sound, so nothing was changed:")
+				fmt.Fprintln(c.errOut, "with these edits apps.toml would not be sound, so nothing was changed:")
 				return c.report(&found)
 			}
 			var files []atomicfile.File
 			edits := 0
 			if string(text) != string(m.Doc.Text) {
-				files = append(files, atomicfile.File{Path: m.Name, Content: text, Mode: rights})
+				files = append(files, atomicfile.File{Path: m.FileName, Content: text, Mode: fileMode})
 			}
 			for _, st := range taken {
 				edits += len(st.Edits)
-				again := apps.Compare(product.Schema, after.App(st.App.Name), filepath.Base(m.Name), st.Path, st.Text, &found)
-				if again.File == nil || string(again.New) == string(st.Text) {
+				again := apps.Compare(product.Schema, after.App(st.App.Name), filepath.Base(m.FileName), st.Path, st.Text, &found)
+				if again.File == nil || string(again.Generated) == string(st.Text) {
 					continue
 				}
 				if merged := again.Merge(); string(merged) != string(st.Text) {
-					files = append(files, atomicfile.File{Path: st.Path, Content: merged, Mode: rights})
+					files = append(files, atomicfile.File{Path: st.Path, Content: merged, Mode: fileMode})
 				}
 			}
 			if len(files) == 0 {
@@ -281,20 +281,20 @@
 				return nil
 			}
 			if err := atomicfile.Write(c.disk, files...); err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			for _, st := range taken {
 				for _, e := range st.Edits {
 					fmt.Fprintf(c.out, "adopted: %s\n", e)
 				}
 			}
-			fmt.Fprintf(c.out, "%d edits are now in %s\n", edits, m.Name)
+			fmt.Fprintf(c.out, "%d edits are now in %s\n", edits, m.FileName)
 			return nil
 		},
 	}
 }
 
-func (c *command) check() *cobra.Command {
+func (c *command) checkCommand() *cobra.Command {
 	var asJSON, overlay bool
 	cmd := &cobra.Command{
 		Use: "check [--json] FILE...", Short: "Print every finding in files of any sort", Args: cobra.MinimumNArgs(1),
@@ -305,7 +305,7 @@
 			Check(args, overlay, &found)
 			if asJSON {
 				if err := found.PrintJSON(c.out); err != nil {
-					return failure{err}
+					return runError{err}
 				}
 				if found.Len() > 0 {
 					return errFindings
@@ -329,33 +329,33 @@
 			product.CheckPlatform(path, found)
 			continue
 		}
-		text, err := product.Read(path, apps.MostBytes)
+		text, err := product.Read(path, apps.MaxBytes)
 		if err != nil {
 			found.Add(path, finding.Pos{}, "%v", err)
 			continue
 		}
 		unread := found.Len()
-		d := doc.ReadTOML(text, apps.MostBytes, found.In(path))
+		d := doc.ReadTOML(text, apps.MaxBytes, found.ForFile(path))
 		whole := found.Len() == unread
 		switch {
 		case d == nil:
-		case apps.Is(d) || filepath.Base(path) == "apps.toml":
-			m := apps.Of(product.Schema, path, d, whole, found)
+		case apps.IsInstallation(d) || filepath.Base(path) == "apps.toml":
+			m := apps.FromDocument(product.Schema, path, d, whole, found)
 			if whole {
 				checkModel(m, found)
 			}
 		default:
-			if len(text) > apps.MostFileBytes {
-				found.Add(path, finding.Pos{}, "has %d bytes; at most %d are read of one application's file", len(text), apps.MostFileBytes)
+			if len(text) > apps.MaxFileBytes {
+				found.Add(path, finding.Pos{}, "has %d bytes; at most %d are read of one application's file", len(text), apps.MaxFileBytes)
 				continue
 			}
 			f := product.Decode(path, d, overlay, whole, found)
-			product.Secrets(f, path, found)
-			if w := apps.ParseWritten(text); w != nil && whole {
-				if w.Cut {
+			product.CheckSecrets(f, path, found)
+			if w := apps.ParseProvenance(text); w != nil && whole {
+				if w.Truncated {
 					found.Add(path, finding.Pos{Line: 1, Col: 1}, "its end is missing: the file was cut after it was written")
 				}
-				apps.Lost(w, f, path, found)
+				apps.CheckLostKeys(w, f, path, found)
 			}
 			single = append(single, f)
 		}
@@ -366,7 +366,7 @@
 	}
 }
 
-func (c *command) sample() *cobra.Command {
+func (c *command) sampleCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "sample", Short: "Print a file of one application with all keys", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -376,7 +376,7 @@
 	}
 }
 
-func (c *command) reference() *cobra.Command {
+func (c *command) referenceCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "reference", Short: "Print the reference page of all keys, in Markdown", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
--- a/internal/tool/demo.go
+++ b/internal/tool/demo.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	demoEndpoints = 3
-	demoReady     = 10 * time.Second // for the sidecar to serve
-	demoEnd       = 10 * time.Second // for it to end after it was told to
+	demoEndpoints    = 3
+	demoReadyTimeout = 10 * time.Second // for the sidecar to serve
+	demoStopTimeout  = 10 * time.Second // for it to end after it was told to
 )
 
-func (c *command) demo() *cobra.Command {
+func (c *command) demoCommand() *cobra.Command {
 	var program string
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Run a sidecar with a discovery and three endpoints on loopback", Args: cobra.NoArgs,
@@ -40,12 +40,12 @@
 			if program == "" {
 				self, err := os.Executable()
 				if err != nil {
-					return failure{err}
+					return runError{err}
 				}
 				program = filepath.Join(filepath.Dir(self), "quincegap")
 			}
 			if err := c.runDemo(ctx, program); err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			return nil
 		},
@@ -54,8 +54,8 @@
 	return cmd
 }
 
-// serving is the sidecar's line that tells where it listens.
-var serving = regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`)
+// servingLine is the sidecar's line that tells where it listens.
+var servingLine = regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`)
 
 // runDemo runs the demonstration until the context ends.
 func (c *command) runDemo(ctx context.Context, program string) (err error) {
@@ -81,7 +81,7 @@
 	defer os.RemoveAll(dir)
 	file := filepath.Join(dir, "demo.toml")
 	text := fmt.Sprintf(demoFile, doc.Quote(discovery.Address()))
-	if err := atomicfile.Write(c.disk, atomicfile.File{Path: file, Content: []byte(text), Mode: rights}); err != nil {
+	if err := atomicfile.Write(c.disk, atomicfile.File{Path: file, Content: []byte(text), Mode: fileMode}); err != nil {
 		return err
 	}
 
@@ -101,8 +101,8 @@
 	go func() {
 		lines := bufio.NewScanner(logs)
 		for lines.Scan() {
-			fmt.Fprintln(c.errs, "sidecar: "+lines.Text())
-			if m := serving.FindStringSubmatch(lines.Text()); m != nil {
+			fmt.Fprintln(c.errOut, "sidecar: "+lines.Text())
+			if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
 				select {
 				case address <- m[1]:
 				default:
@@ -119,7 +119,7 @@
 		default:
 		}
 		sidecar.Process.Signal(syscall.SIGTERM)
-		late := time.NewTimer(demoEnd)
+		late := time.NewTimer(demoStopTimeout)
 		defer late.Stop()
 		select {
 		case <-ended:
@@ -130,7 +130,7 @@
 		}
 	}()
 
-	ready, cancel := context.WithTimeout(ctx, demoReady)
+	ready, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
 	var at string
 	select {
@@ -139,12 +139,12 @@
 		ended <- err
 		return fmt.Errorf("the sidecar ended at once: %v", err)
 	case <-ready.Done():
-		return quietly(ctx, errors.New("the sidecar did not come up"))
+		return unlessCancelled(ctx, errors.New("the sidecar did not come up"))
 	}
-	if err := untilReady(ready, "http://"+at+"/ready"); err != nil {
-		return quietly(ctx, err)
+	if err := waitUntilReady(ready, "http://"+at+"/ready"); err != nil {
+		return unlessCancelled(ctx, err)
 	}
-	fmt.Fprintf(c.out, "\nA sidecar serves on %s and balances over %d endpoints. Book a trip:\n\n  %s\n\nCtrl-C ends it.\n", at, demoEndpoints, curl(at))
+	fmt.Fprintf(c.out, "\nA sidecar serves on %s and balances over %d endpoints. Book a trip:\n\n  %s\n\nCtrl-C ends it.\n", at, demoEndpoints, curlCommand(at))
 	select {
 	case <-ctx.Done():
 		fmt.Fprintln(c.out, "\nending")
@@ -155,16 +155,16 @@
 	}
 }
 
-// quietly is nil where the demonstration was ended before it had begun.
-func quietly(ctx context.Context, err error) error {
+// unlessCancelled is nil where the demonstration was ended before it had begun.
+func unlessCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// untilReady waits until a sidecar has a list of endpoints.
-func untilReady(ctx context.Context, url string) error {
+// waitUntilReady waits until a sidecar has a list of endpoints.
+func waitUntilReady(ctx context.Context, url string) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -185,8 +185,8 @@
 	}
 }
 
-// curl is a command line that books a trip: each time with an id of its own, as the protocol asks for.
-func curl(address string) string {
+// curlCommand is a command line that books a trip: each time with an id of its own, as the protocol asks for.
+func curlCommand(address string) string {
 	return `curl -i -d 'trip=dialysis' -H "X-Txn: $RANDOM$RANDOM" -H 'X-Lane: book-trip' -H 'X-Remaining: 6000m' ` +
 		`-H "Idempotency-Key: $RANDOM" http://` + address + `/trips`
 }
--- a/internal/tool/demo_test.go
+++ b/internal/tool/demo_test.go
@@ -54,7 +54,7 @@
 	temp := t.TempDir()
 	t.Setenv("TMPDIR", temp)
 	out, errs := &shared{wrote: make(chan struct{}, 1)}, &shared{wrote: make(chan struct{}, 1)}
-	c := &command{out: out, errs: errs, disk: atomicfile.Disk{}}
+	c := &command{out: out, errOut: errs, disk: atomicfile.Disk{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := make(chan error, 1)
@@ -108,7 +108,7 @@
 
 func TestDemoWithoutASidecar(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	c := &command{out: io.Discard, errs: io.Discard, disk: atomicfile.Disk{}}
+	c := &command{out: io.Discard, errOut: io.Discard, disk: atomicfile.Disk{}}
 	if err := c.runDemo(context.Background(), "/nowhere/quincegap"); err == nil || !strings.Contains(err.Error(), "make builds it") {
 		t.Error(err)
 	}
