--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -24,7 +24,7 @@
 // loadSteps is at how many loads a range is played.
 const loadSteps = 7
 
-func (c *command) experiment() *cobra.Command {
+func (c *command) experimentCommand() *cobra.Command {
 	var seeds, workers int
 	var load, dir string
 	cmd := &cobra.Command{
@@ -101,20 +101,20 @@
 	}
 	runs, err := d.Play(ctx, func(done, of int) {
 		if done == of || done%max(1, of/50) == 0 {
-			fmt.Fprintf(c.errs, "\r%d of %d runs", done, of)
+			fmt.Fprintf(c.errOut, "\r%d of %d runs", done, of)
 		}
 	})
-	fmt.Fprintln(c.errs)
+	fmt.Fprintln(c.errOut)
 	if err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	points := experiment.Sum(runs)
 	if err := report.Table(c.out, d.Mornings, points); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	if dir != "" {
 		if err := c.keepExperiment(dir, d.Mornings, runs, points); err != nil {
-			return failure{err}
+			return runError{err}
 		}
 	}
 	for _, p := range points {
@@ -131,7 +131,7 @@
 		return err
 	}
 	table := filepath.Join(dir, "experiment.csv")
-	f, err := os.OpenFile(table, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, rights)
+	f, err := os.OpenFile(table, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 		return w.Error()
 	}
 	page := filepath.Join(dir, "experiment.html")
-	p, err := os.OpenFile(page, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, rights)
+	p, err := os.OpenFile(page, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -31,11 +31,11 @@
 
 // The bounds of what --subsets measures.
 const (
-	mostMeasured  = 20_000
-	mostInstances = 500
+	maxMeasuredEndpoints = 20_000
+	maxMeasuredInstances = 500
 )
 
-func (c *command) fleet() *cobra.Command {
+func (c *command) fleetCommand() *cobra.Command {
 	var o fleetOptions
 	cmd := &cobra.Command{
 		Use: "fleet [DAY...]", Short: "Play hard days of large fleets in virtual time, or measure subsets of endpoints",
@@ -69,8 +69,8 @@
 				return c.playDays(args, o)
 			case len(args) > 0:
 				return fmt.Errorf("--subsets plays no day: %s", strings.Join(args, " "))
-			case o.endpoints < 1 || o.endpoints > mostMeasured || o.instances < 1 || o.instances > mostInstances:
-				return fmt.Errorf("--endpoints are 1 to %d, --instances 1 to %d", mostMeasured, mostInstances)
+			case o.endpoints < 1 || o.endpoints > maxMeasuredEndpoints || o.instances < 1 || o.instances > maxMeasuredInstances:
+				return fmt.Errorf("--endpoints are 1 to %d, --instances 1 to %d", maxMeasuredEndpoints, maxMeasuredInstances)
 			}
 			return c.measureSubsets(o)
 		},
@@ -89,18 +89,18 @@
 	return cmd
 }
 
-// waveSidecars are the fleets of --waves, and mostSeeds bounds its plays.
+// waveSidecars are the fleets of --waves, and maxWaveSeeds bounds its plays.
 var waveSidecars = []int{2, 4, 10, 12, 16, 24, 32, 40, 120, 200}
 
-const mostSeeds = 100
+const maxWaveSeeds = 100
 
 // restarts are what may restart in a wave.
 var restarts = []string{"all", "boxes", "sidecars", "half"}
 
 // playWaves plays waves of restarts, as many at once as there are processors, and prints them in order.
 func (c *command) playWaves(o fleetOptions) error {
-	if o.seeds < 1 || o.seeds > mostSeeds {
-		return fmt.Errorf("--seeds are 1 to %d", mostSeeds)
+	if o.seeds < 1 || o.seeds > maxWaveSeeds {
+		return fmt.Errorf("--seeds are 1 to %d", maxWaveSeeds)
 	}
 	for _, r := range o.rates {
 		if !(r >= 1 && r <= 20_000) {
@@ -108,11 +108,11 @@
 		}
 	}
 	if !slices.Contains(restarts, o.restart) {
-		return fmt.Errorf("%s", finding.Unknown("restart", o.restart, restarts))
+		return fmt.Errorf("%s", finding.UnknownName("restart", o.restart, restarts))
 	}
 	swells, err := fleet.PlayAll(waveTable(o))
 	if err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	t := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "rate\tsidecars\tfell\tservice\tcold\tvain\tknocks\topened\ttrials\tlisted\tfull use\t")
@@ -128,10 +128,10 @@
 			x.Falls, x.FallsMost, x.Service, x.ServiceLeast, x.Cold, x.Vain, x.Knocks, x.Opened, x.Trials, x.Listed, full)
 	}
 	if err := t.Flush(); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	if fell > 0 {
-		return failure{fmt.Errorf("cold boxes were pushed over")}
+		return runError{fmt.Errorf("cold boxes were pushed over")}
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 	for _, name := range fleet.Days() {
 		m, err := fleet.Day(name)
 		if err != nil {
-			return failure{err}
+			return runError{err}
 		}
 		fmt.Fprintf(c.out, "%-12s %s\n", name, m.Title)
 	}
@@ -186,7 +186,7 @@
 		began := time.Now()
 		r, err := fleet.Play(m, o.seed)
 		if err != nil {
-			return failure{fmt.Errorf("%s: %w", name, err)}
+			return runError{fmt.Errorf("%s: %w", name, err)}
 		}
 		took := time.Since(began)
 		v, s := r.Verdict, r.Spread
@@ -200,7 +200,7 @@
 		plays = append(plays, &report.Play{Plan: r.Plan, Verdict: v, Virtual: true})
 	}
 	if err := w.Flush(); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	for _, p := range plays {
 		if outcome, why := p.Judge(); outcome != report.Kept {
@@ -208,16 +208,16 @@
 			for _, line := range why {
 				fmt.Fprintf(c.out, "  %s\n", line)
 			}
-			for _, b := range p.Verdict.Breaches[:min(len(p.Verdict.Breaches), mostShown)] {
+			for _, b := range p.Verdict.Breaches[:min(len(p.Verdict.Breaches), maxBreachesShown)] {
 				fmt.Fprintf(c.out, "  %8.3f s  %v: %s\n", b.At.Seconds(), audit.Rule(b.Rule), b.Text)
 			}
 		}
 	}
-	return verdictOf(plays)
+	return worstOutcome(plays)
 }
 
-// mostShown is how many breaches of a day are printed.
-const mostShown = 5
+// maxBreachesShown is how many breaches of a day are printed.
+const maxBreachesShown = 5
 
 func (c *command) measureSubsets(o fleetOptions) error {
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -226,13 +226,13 @@
 		for _, scheme := range fleet.Schemes {
 			f, err := fleet.Measure(scheme, change, o.endpoints, o.instances, max(1, o.seed))
 			if err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			fmt.Fprintf(w, "%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n", f.Change, f.Scheme, f.Moved, f.Least, f.Most, f.Load, f.LoadP99, f.Spread)
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	return nil
 }
--- a/internal/tool/fleet_test.go
+++ b/internal/tool/fleet_test.go
@@ -17,7 +17,7 @@
 		return code, out.String(), errs.String()
 	}
 	code, once, errs := run("drained", "--seed", "3")
-	if code != Fine || strings.Count(once, "\n") != 2 || errs != "" {
+	if code != ExitOK || strings.Count(once, "\n") != 2 || errs != "" {
 		t.Fatalf("code %d: %s%s", code, once, errs)
 	}
 	if _, again, _ := run("drained", "--seed", "3"); again != once {
@@ -26,11 +26,11 @@
 	if _, list, _ := run("--list"); strings.Count(list, "\n") != len(fleet.Days()) {
 		t.Errorf("the list is\n%s", list)
 	}
-	if code, out, _ := run("--subsets", "--endpoints", "60", "--instances", "5"); code != Fine || strings.Count(out, "\n") != 1+len(fleet.Changes)*len(fleet.Schemes) {
+	if code, out, _ := run("--subsets", "--endpoints", "60", "--instances", "5"); code != ExitOK || strings.Count(out, "\n") != 1+len(fleet.Changes)*len(fleet.Schemes) {
 		t.Errorf("code %d:\n%s", code, out)
 	}
 	code, table, errs := run("--waves", "--rate", "20", "--seeds", "1")
-	if code != Fine || strings.Count(table, "\n") != 1+len(waveSidecars) || !strings.Contains(table, "0.0 (0)") {
+	if code != ExitOK || strings.Count(table, "\n") != 1+len(waveSidecars) || !strings.Contains(table, "0.0 (0)") {
 		t.Errorf("code %d:\n%s%s", code, table, errs)
 	}
 	for want, args := range map[string][]string{
@@ -42,7 +42,7 @@
 		"--rate is 1 to":         {"--waves", "--rate", "NaN"},
 		`did you mean "boxes"?`:  {"--waves", "--restart", "boxs"},
 	} {
-		if code, _, errs := run(args...); code != Usage || !strings.Contains(errs, want) {
+		if code, _, errs := run(args...); code != ExitUsage || !strings.Contains(errs, want) {
 			t.Errorf("%v: code %d, %q, wanted %q", args, code, errs, want)
 		}
 	}
--- a/internal/tool/golden_test.go
+++ b/internal/tool/golden_test.go
@@ -289,10 +289,10 @@
 
 // The names that programs and scripts match on.
 func TestGoldenNames(t *testing.T) {
-	if Fine != 0 || Findings != 1 || Usage != 2 || Voided != 3 {
+	if ExitOK != 0 || ExitFindings != 1 || ExitUsage != 2 || ExitVoid != 3 {
 		t.Error("an exit code has another value")
 	}
-	if apps.MostBytes != 64<<20 || apps.MostFileBytes != 1<<20 {
+	if apps.MaxBytes != 64<<20 || apps.MaxFileBytes != 1<<20 {
 		t.Error("a bound on a file's size has another value")
 	}
 }
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -14,18 +14,18 @@
 	"quincegap/internal/product"
 )
 
-const mostDump = 64 << 20
+const maxDumpBytes = 64 << 20
 
-func (c *command) members() *cobra.Command {
+func (c *command) membersCommand() *cobra.Command {
 	var asJSON, unused bool
 	cmd := &cobra.Command{
 		Use: "members ADDRESS|FILE", Short: "Show a running sidecar's endpoints, who said so, and why one is not used", Args: cobra.ExactArgs(1),
 		Long: "members asks the admin listener of a running sidecar (unix:PATH or host:port, admin.admin_listen in its\n" +
 			"file), or reads a dump that members --json wrote.",
 		RunE: func(_ *cobra.Command, args []string) error {
-			m, err := look(args[0])
+			m, err := readMembers(args[0])
 			if err != nil {
-				return failure{fmt.Errorf("%s: %w", args[0], err)}
+				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			if asJSON {
 				e := json.NewEncoder(c.out)
@@ -43,10 +43,10 @@
 					}
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n", r.UID, r.Address, r.State, r.Weight,
-					(time.Duration(r.AgoMS) * time.Millisecond).Round(100*time.Millisecond), dash(r.Platform), dash(r.Consul), r.Why)
+					(time.Duration(r.AgoMS) * time.Millisecond).Round(100*time.Millisecond), orDash(r.Platform), orDash(r.Consul), r.Why)
 			}
 			if err := w.Flush(); err != nil {
-				return failure{err}
+				return runError{err}
 			}
 			fmt.Fprintf(c.out, "%s: %d of %d endpoints ready; the source is %s\n", m.Name, ready, len(m.Endpoints), m.Source)
 			return nil
@@ -57,10 +57,10 @@
 	return cmd
 }
 
-// look asks a sidecar, or reads a dump.
-func look(at string) (m admin.Members, err error) {
+// readMembers asks a sidecar, or reads a dump.
+func readMembers(at string) (m admin.Members, err error) {
 	if info, err := os.Stat(at); err == nil && info.Mode().IsRegular() {
-		text, err := product.Read(at, mostDump)
+		text, err := product.Read(at, maxDumpBytes)
 		if err != nil {
 			return m, err
 		}
@@ -72,7 +72,7 @@
 	return admin.Ask(at)
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/tool/members_test.go
+++ b/internal/tool/members_test.go
@@ -40,7 +40,7 @@
 		t.Error(out)
 	}
 	for _, at := range []string{"unix:/nowhere", "nothing", "127.0.0.1:1"} {
-		if code, _, errs := run("members", at); code != Findings || !strings.Contains(errs, at) {
+		if code, _, errs := run("members", at); code != ExitFindings || !strings.Contains(errs, at) {
 			t.Errorf("%s: exit %d, %s", at, code, errs)
 		}
 	}
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/network/admin"
 )
 
-func (c *command) peers() *cobra.Command {
+func (c *command) peersCommand() *cobra.Command {
 	var asJSON, all bool
 	cmd := &cobra.Command{
 		Use: "peers ADDRESS", Short: "Show the other sidecars as a running one sees them, and how far it can be relied on", Args: cobra.ExactArgs(1),
@@ -25,7 +25,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := admin.AskPeers(args[0], all)
 			if err != nil {
-				return failure{fmt.Errorf("%s: %w", args[0], err)}
+				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			if asJSON {
 				e := json.NewEncoder(c.out)
@@ -33,9 +33,9 @@
 				return e.Encode(f)
 			}
 			if all {
-				return c.sideBySide(&f)
+				return c.printPeerViews(&f)
 			}
-			return c.showPeers(&f.Own)
+			return c.printPeers(&f.Own)
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object for programs")
@@ -43,15 +43,15 @@
 	return cmd
 }
 
-func (c *command) showPeers(r *peers.Report) error {
+func (c *command) printPeers(r *peers.Report) error {
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
 	for _, m := range r.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, (time.Duration(m.StateAgeMS) * time.Millisecond).Round(100*time.Millisecond),
-			yes(m.InGroup), yes(m.Reachable), dash(m.Address), dash(m.Zone), dash(m.Version), m.Process)
+			yesNo(m.InGroup), yesNo(m.Reachable), orDash(m.Address), orDash(m.Zone), orDash(m.Version), m.Process)
 	}
 	if err := w.Flush(); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	fmt.Fprintf(c.out, "%s: %s; %d of the %d settled last are in reach\n", r.Name, r.Confidence, r.Reachable, r.GroupSize)
 	switch {
@@ -71,15 +71,15 @@
 	return nil
 }
 
-// sideBySide shows the views of all, a line each.
-func (c *command) sideBySide(f *peers.FleetReport) error {
+// printPeerViews shows the views of all, a line each.
+func (c *command) printPeerViews(f *peers.FleetReport) error {
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
 	for _, r := range append([]peers.Report{f.Own}, f.Others...) {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n", r.Name, r.Confidence, r.Instances, r.Ordinal, r.MaxInstances, r.Reachable, r.GroupSize, r.Digest)
 	}
 	if err := w.Flush(); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	lines := f.Differences()
 	if len(lines) == 0 {
@@ -93,7 +93,7 @@
 	return errFindings
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/internal/tool/peers_test.go
+++ b/internal/tool/peers_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	var text, errs bytes.Buffer
-	if code := Run([]string{"peers", address, "--all"}, &text, &errs); code != Findings {
+	if code := Run([]string{"peers", address, "--all"}, &text, &errs); code != ExitFindings {
 		t.Errorf("views that differ: exit %d, %s", code, errs.String())
 	}
 	for _, want := range []string{"front-1: without front-0, is cut off", "front-3/00: gave no answer"} {
@@ -67,7 +67,7 @@
 	}
 	defer stop2()
 	errs.Reset()
-	if code := Run([]string{"peers", none}, &text, &errs); code != Findings || !strings.Contains(errs.String(), "peers.peers_listen is not set") {
+	if code := Run([]string{"peers", none}, &text, &errs); code != ExitFindings || !strings.Contains(errs.String(), "peers.peers_listen is not set") {
 		t.Errorf("exit %d, %s", code, errs.String())
 	}
 }
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -23,12 +23,12 @@
 	"quincegap/internal/rehearsal/report"
 )
 
-// Voided is the exit code of a rehearsal that says nothing: the emulator itself was too slow.
-const Voided = 3
+// ExitVoid is the exit code of a rehearsal that says nothing: the emulator itself was too slow.
+const ExitVoid = 3
 
 var errVoid = errors.New("void")
 
-type rehearsal struct {
+type rehearsalOptions struct {
 	seed    uint64
 	report  string
 	sidecar string
@@ -39,8 +39,8 @@
 	quiet   bool
 }
 
-func (c *command) rehearse() *cobra.Command {
-	var o rehearsal
+func (c *command) rehearseCommand() *cobra.Command {
+	var o rehearsalOptions
 	cmd := &cobra.Command{
 		Use: "rehearse SCRIPT", Short: "Play a bad morning against real sidecars on loopback", Args: cobra.ExactArgs(1),
 		Long: "rehearse plays a script of rehearsals/ (or your own) with emulated boxes, callers and discovery on loopback,\n" +
@@ -70,7 +70,7 @@
 	var found finding.List
 	text, err := product.Read(path, morning.MostBytes)
 	if err != nil {
-		return nil, failure{fmt.Errorf("%s: %w", path, err)}
+		return nil, runError{fmt.Errorf("%s: %w", path, err)}
 	}
 	m := morning.Read(path, text, &found)
 	if m == nil {
@@ -79,7 +79,7 @@
 	return m, nil
 }
 
-func (c *command) playScript(ctx context.Context, path string, o rehearsal) error {
+func (c *command) playScript(ctx context.Context, path string, o rehearsalOptions) error {
 	m, err := c.readMorning(path)
 	if err != nil {
 		return err
@@ -95,14 +95,14 @@
 	plan := m.Plan(o.seed)
 	if o.plan {
 		if err := plan.Print(c.out); err != nil {
-			return failure{err}
+			return runError{err}
 		}
 		return nil
 	}
 	if o.sidecar == "" {
 		self, err := os.Executable()
 		if err != nil {
-			return failure{err}
+			return runError{err}
 		}
 		o.sidecar = filepath.Join(filepath.Dir(self), "quincegap")
 	}
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		return c.show([]*report.Play{play}, o)
+		return c.showPlays([]*report.Play{play}, o)
 	}
 	for i, program := range []string{o.sidecar, o.compare} {
 		if program == "" {
@@ -124,7 +124,7 @@
 		}
 		plays = append(plays, play)
 	}
-	return c.show(plays, o)
+	return c.showPlays(plays, o)
 }
 
 // playVirtual plays a plan without sockets.
@@ -132,7 +132,7 @@
 	began := time.Now()
 	r, err := dryrun.Run(plan)
 	if err != nil {
-		return nil, failure{err}
+		return nil, runError{err}
 	}
 	took := time.Since(began)
 	return &report.Play{
@@ -141,28 +141,28 @@
 	}, nil
 }
 
-// show prints the verdict, and writes the page where one is asked for.
-func (c *command) show(plays []*report.Play, o rehearsal) error {
+// showPlays prints the verdict, and writes the page where one is asked for.
+func (c *command) showPlays(plays []*report.Play, o rehearsalOptions) error {
 	if err := report.Screen(c.out, plays...); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	if o.report != "" {
 		if err := os.MkdirAll(o.report, 0o700); err != nil {
-			return failure{err}
+			return runError{err}
 		}
 		if err := writeSeconds(filepath.Join(o.report, "seconds.csv"), plays); err != nil {
-			return failure{err}
+			return runError{err}
 		}
 		if err := c.writePage(filepath.Join(o.report, "report.html"), plays); err != nil {
-			return failure{err}
+			return runError{err}
 		}
 	}
-	return verdictOf(plays)
+	return worstOutcome(plays)
 }
 
 // writeSeconds keeps what happened in each second as a table, a row for each second of each play.
 func writeSeconds(path string, plays []*report.Play) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, rights)
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
@@ -182,8 +182,8 @@
 	return w.Error()
 }
 
-// verdictOf is the error that goes with the worst outcome.
-func verdictOf(plays []*report.Play) error {
+// worstOutcome is the error that goes with the worst outcome.
+func worstOutcome(plays []*report.Play) error {
 	worst := report.Kept
 	for _, p := range plays {
 		o, _ := p.Judge()
@@ -198,32 +198,32 @@
 	return errFindings
 }
 
-func (c *command) playOnce(ctx context.Context, m *morning.Morning, plan *morning.Plan, program string, o rehearsal, number int) (*report.Play, error) {
+func (c *command) playOnce(ctx context.Context, m *morning.Morning, plan *morning.Plan, program string, o rehearsalOptions, number int) (*report.Play, error) {
 	dir := o.report
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "quincegap-rehearsal-"); err != nil {
-			return nil, failure{err}
+			return nil, runError{err}
 		}
 		defer os.RemoveAll(dir)
 	}
 	dir = filepath.Join(dir, fmt.Sprintf("build-%d", number+1))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, failure{err}
+		return nil, runError{err}
 	}
 	options := rehearse.Options{Program: program, Dir: dir}
 	if !o.quiet {
-		fmt.Fprintf(c.errs, "playing %s on %s: %v\n", plan.Called(), program, plan.Length)
+		fmt.Fprintf(c.errOut, "playing %s on %s: %v\n", plan.Called(), program, plan.Length)
 		options.Progress = func(p rehearse.Progress) {
-			fmt.Fprintf(c.errs, "\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Attempts)
+			fmt.Fprintf(c.errOut, "\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Attempts)
 		}
 	}
 	result, err := rehearse.Run(ctx, plan, options)
 	if !o.quiet {
-		fmt.Fprintln(c.errs)
+		fmt.Fprintln(c.errOut)
 	}
 	if err != nil {
-		return nil, failure{err}
+		return nil, runError{err}
 	}
 	play := &report.Play{Build: program, Plan: plan, Verdict: result.Verdict, CPU: result.CPU, Memory: result.Memory}
 	if result.Hanging > 0 {
@@ -239,7 +239,7 @@
 }
 
 func (c *command) writePage(path string, plays []*report.Play) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, rights)
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
--- a/internal/tool/rehearse_test.go
+++ b/internal/tool/rehearse_test.go
@@ -45,20 +45,20 @@
 		t.Error("two seeds, one result")
 	}
 	code, out, _ := run("rehearse", script(t, shortMorning+"expect service above 1\nexpect attempts above 3\n"), "--virtual")
-	if code != Findings || !strings.Contains(out, "MISSED") || !strings.Contains(out, "line 10: attempts is") {
+	if code != ExitFindings || !strings.Contains(out, "MISSED") || !strings.Contains(out, "line 10: attempts is") {
 		t.Error(code, out)
 	}
 	code, out, _ = run("rehearse", script(t, shortMorning+"at 1s: 4 boxes die\n"), "--virtual")
-	if code != Findings || !strings.Contains(out, "short.morning:9:8: 4 boxes of keeper are to be hit, and 3 are up") {
+	if code != ExitFindings || !strings.Contains(out, "short.morning:9:8: 4 boxes of keeper are to be hit, and 3 are up") {
 		t.Error(code, out)
 	}
-	if code, _, errs := run("rehearse", "no-such.morning"); code != Findings || !strings.Contains(errs, "no-such.morning") {
+	if code, _, errs := run("rehearse", "no-such.morning"); code != ExitFindings || !strings.Contains(errs, "no-such.morning") {
 		t.Error(code, errs)
 	}
-	if code, _, _ := run("rehearse"); code != Usage {
+	if code, _, _ := run("rehearse"); code != ExitUsage {
 		t.Error(code)
 	}
-	if code, _, errs := run("rehearse", path, "--quiet", "--sidecar", filepath.Join(t.TempDir(), "none")); code != Findings || !strings.Contains(errs, "none") {
+	if code, _, errs := run("rehearse", path, "--quiet", "--sidecar", filepath.Join(t.TempDir(), "none")); code != ExitFindings || !strings.Contains(errs, "none") {
 		t.Error(code, errs)
 	}
 }
@@ -71,10 +71,10 @@
 	}
 	dir := filepath.Join(t.TempDir(), "out")
 	code, out, errs := run("rehearse", script(t, shortMorning), "--sidecar", program, "--compare", program, "--report", dir)
-	if code == Voided {
+	if code == ExitVoid {
 		t.Skip(out)
 	}
-	if code != Fine || strings.Count(out, "KEPT") != 2 || !strings.Contains(errs, "asked ") {
+	if code != ExitOK || strings.Count(out, "KEPT") != 2 || !strings.Contains(errs, "asked ") {
 		t.Fatal(code, out, errs)
 	}
 	for _, name := range []string{"report.html", "build-1/n1.json", "build-1/n1.log", "build-2/n1.log"} {
@@ -111,11 +111,11 @@
 		t.Errorf("\n%s\n%s", first, second)
 	}
 	for _, load := range []string{"0", "x", "2..1", "1,,2", "-1"} {
-		if code, _, errs := run("experiment", path, "--load="+load); code != Usage || !strings.Contains(errs, "--load") {
+		if code, _, errs := run("experiment", path, "--load="+load); code != ExitUsage || !strings.Contains(errs, "--load") {
 			t.Errorf("--load=%s: %d %s", load, code, errs)
 		}
 	}
-	if code, _, _ := run("experiment", path, "--seeds", "0"); code != Usage {
+	if code, _, _ := run("experiment", path, "--seeds", "0"); code != ExitUsage {
 		t.Error(code)
 	}
 	loads, err := parseLoads("0.5..2")
--- a/internal/tool/route.go
+++ b/internal/tool/route.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/product"
 )
 
-func (c *command) route() *cobra.Command {
+func (c *command) routeCommand() *cobra.Command {
 	var config string
 	var headers []string
 	var overlay bool
@@ -52,7 +52,7 @@
 			if found.Len() > 0 || f == nil {
 				return c.report(&found)
 			}
-			return c.explain(f, &route.Request{
+			return c.explainRoute(f, &route.Request{
 				Host: u.Host, Path: path, Method: strings.ToUpper(args[0]),
 				Class: header.Get("X-Lane"), Tenant: header.Get("X-Org"), Header: header,
 			})
@@ -65,15 +65,15 @@
 	return cmd
 }
 
-// explain prints what comes of a request; errFindings where it would be turned away.
-func (c *command) explain(f *schema.File, q *route.Request) error {
+// explainRoute prints what comes of a request; errFindings where it would be turned away.
+func (c *command) explainRoute(f *schema.File, q *route.Request) error {
 	class := appfile.ClassTable.Get(f, q.Class)
 	if classes := appfile.ClassTable.All(f); class == nil && len(classes) > 0 {
 		var names []string
 		for _, x := range classes {
 			names = append(names, x.Name)
 		}
-		return fmt.Errorf("-H 'X-Lane: ...': %s", finding.Unknown("class", q.Class, names))
+		return fmt.Errorf("-H 'X-Lane: ...': %s", finding.UnknownName("class", q.Class, names))
 	}
 	table := route.Compile(f)
 	r, ok := table.Find(q)
@@ -84,21 +84,21 @@
 	if r == nil {
 		fmt.Fprintln(c.out, "no route; its class's values hold")
 	} else {
-		fmt.Fprintf(c.out, "route %s (%s): %v\n", r.Name, f.Place("route", r.Name, ""), r.Pattern())
+		fmt.Fprintf(c.out, "route %s (%s): %v\n", r.Name, f.Location("route", r.Name, ""), r.Pattern())
 	}
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	if table != nil && len(table.Routes) > 0 {
 		fmt.Fprintln(w, "\nOTHER ROUTE\tAT\tWHY NOT")
 		for _, x := range table.Explain(q) {
 			if !x.Taken {
-				fmt.Fprintf(w, "%s\t%v\t%s\n", x.Name, f.Place("route", x.Name, ""), x.Text)
+				fmt.Fprintf(w, "%s\t%v\t%s\n", x.Name, f.Location("route", x.Name, ""), x.Text)
 			}
 		}
 	}
 	fmt.Fprintln(w, "\nVALUE\tIS\tBY")
 	by := func(path ...string) string {
 		if s := f.Setting(path...); s != nil {
-			return fmt.Sprintf("%v %s", s.Place, s.ID())
+			return fmt.Sprintf("%v %s", s.Location, s.ID())
 		}
 		return "default"
 	}
@@ -120,7 +120,7 @@
 		if set.Attempt > 0 {
 			row("one attempt", schema.FormatDuration(set.Attempt), of("attempt_time"))
 		}
-		site := appfile.AttemptsTable.In(f).Most
+		site := appfile.AttemptsTable.In(f).Max
 		if set.Attempts > 0 && set.Attempts <= site {
 			row("attempts", fmt.Sprint(set.Attempts), of("route_attempts"))
 		} else {
@@ -145,12 +145,12 @@
 			row("second copy", fmt.Sprintf("after the %g quantile, at most %g of requests", set.CopyAfter, set.CopyShare), of("copy_after"))
 		}
 		if class != nil {
-			row("again when it may have run", map[string]string{"safe": "anywhere", "keyed": "in its " + cmp.Or(string(class.KeyScope), "cell"), "unsafe": "never"}[string(class.Effect)],
+			row("again when it may have run", map[string]string{"safe": "anywhere", "keyed": "in its " + cmp.Or(string(class.KeyScope), "cell"), "unsafe": "never"}[string(class.Idempotency)],
 				by("class", q.Class, "effect"))
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	if !set.Serve {
 		return errFindings
--- a/internal/tool/route_test.go
+++ b/internal/tool/route_test.go
@@ -51,18 +51,18 @@
 		code int
 		want []string
 	}{
-		{[]string{"POST", "http://a.org/trips/new", "-H", "X-Lane: book"}, Fine, []string{
+		{[]string{"POST", "http://a.org/trips/new", "-H", "X-Lane: book"}, ExitOK, []string{
 			"route new (" + file + ":25): path /trips/new",
 			"trips        " + file + ":21  matches too; new is more specific", "segment 1 of the path is \"trips\", not \"closed\"",
 			"whole time                  6s                                " + file + ":15 class.book.deadline",
 			"one attempt                 500ms", "attempts                    4", file + ":20 attempts.most_attempts", "0.1 for each answer, 10 saved up", "in its cell",
 		}},
-		{[]string{"get", "/trips/7/seats", "-H", "X-Lane: find"}, Fine, []string{"route trips", "whole time                  2s", ":23 route.trips.whole_time", ":24 route.trips.route_attempts", "anywhere"}},
-		{[]string{"GET", "/other", "-H", "X-Lane: find"}, Fine, []string{"no route; its class's values hold", "3s"}},
-		{[]string{"GET", "/closed/", "-H", "X-Lane: find"}, Findings, []string{"served  no: refused with Retry-After 1s", ":31 route.closed.serve"}},
-		{[]string{"GET", "/a/../closed", "-H", "X-Lane: find"}, Findings, []string{"answered 400, and sent nowhere: it has a segment of dots"}},
-		{[]string{"GET", "/x"}, Usage, []string{"unknown class"}},
-		{[]string{"GET", "/x", "-H", "X-Lane"}, Usage, []string{"write \"Name: value\""}},
+		{[]string{"get", "/trips/7/seats", "-H", "X-Lane: find"}, ExitOK, []string{"route trips", "whole time                  2s", ":23 route.trips.whole_time", ":24 route.trips.route_attempts", "anywhere"}},
+		{[]string{"GET", "/other", "-H", "X-Lane: find"}, ExitOK, []string{"no route; its class's values hold", "3s"}},
+		{[]string{"GET", "/closed/", "-H", "X-Lane: find"}, ExitFindings, []string{"served  no: refused with Retry-After 1s", ":31 route.closed.serve"}},
+		{[]string{"GET", "/a/../closed", "-H", "X-Lane: find"}, ExitFindings, []string{"answered 400, and sent nowhere: it has a segment of dots"}},
+		{[]string{"GET", "/x"}, ExitUsage, []string{"unknown class"}},
+		{[]string{"GET", "/x", "-H", "X-Lane"}, ExitUsage, []string{"write \"Name: value\""}},
 	} {
 		code, out, errs := run(append([]string{"route", "--config", file}, c.args...)...)
 		if code != c.code {
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	if code, _, errs := run("route", "GET", "/x"); code != Usage || !strings.Contains(errs, "which file?") {
+	if code, _, errs := run("route", "GET", "/x"); code != ExitUsage || !strings.Contains(errs, "which file?") {
 		t.Errorf("%d %s", code, errs)
 	}
 }
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/modules/idempotency"
 )
 
-func (c *command) store() *cobra.Command {
+func (c *command) storeCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "store", Short: "Look at and mend what a sidecar remembers on its disk (memory.memory_dir)",
 		Long: "verify and dump only read, and may be used beside a running sidecar. compact and repair change the\n" +
@@ -26,16 +26,16 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			r, err := store.Inspect(store.Dir(args[0]), nil, nil)
 			if err != nil {
-				return failure{fmt.Errorf("%s: %w", args[0], err)}
+				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			if asJSON {
 				e := json.NewEncoder(c.out)
 				e.SetIndent("", "  ")
 				if err := e.Encode(r); err != nil {
-					return failure{err}
+					return runError{err}
 				}
-			} else if err := c.storeReport(r); err != nil {
-				return failure{err}
+			} else if err := c.printStoreReport(r); err != nil {
+				return runError{err}
 			}
 			if len(r.Damage) > 0 {
 				return errFindings
@@ -50,7 +50,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			e := json.NewEncoder(c.out)
 			if _, err := store.Inspect(store.Dir(args[0]), nil, func(r store.Record) error { return e.Encode(readable(r)) }); err != nil {
-				return failure{fmt.Errorf("%s: %w", args[0], err)}
+				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			return nil
 		},
@@ -70,7 +70,7 @@
 	return cmd
 }
 
-func (c *command) storeReport(r *store.Report) error {
+func (c *command) printStoreReport(r *store.Report) error {
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
 	for _, s := range r.Segments {
@@ -132,7 +132,7 @@
 
 // rewrite compacts a store that nobody has open.
 func (c *command) rewrite(dir string, repair bool) error {
-	failed := func(err error) error { return failure{fmt.Errorf("%s: %w", dir, err)} }
+	failed := func(err error) error { return runError{fmt.Errorf("%s: %w", dir, err)} }
 	if _, err := os.Stat(dir); err != nil { // opening it would make one
 		return failed(err)
 	}
--- a/internal/tool/store_test.go
+++ b/internal/tool/store_test.go
@@ -39,14 +39,14 @@
 			t.Errorf("%v: code %d:\n%s%s", args, got, out, errs)
 		}
 	}
-	expect(Fine, []string{"10 live records", "a process has it open"}, "store", "verify", dir)
-	expect(Fine, []string{`"kind":"request"`, `"Cell":2`, `"Class":"book-trip"`}, "store", "dump", dir)
-	expect(Findings, []string{"another process has this store open"}, "store", "compact", dir)
-	expect(Findings, []string{"another process has this store open"}, "store", "repair", dir)
+	expect(ExitOK, []string{"10 live records", "a process has it open"}, "store", "verify", dir)
+	expect(ExitOK, []string{`"kind":"request"`, `"Cell":2`, `"Class":"book-trip"`}, "store", "dump", dir)
+	expect(ExitFindings, []string{"another process has this store open"}, "store", "compact", dir)
+	expect(ExitFindings, []string{"another process has this store open"}, "store", "repair", dir)
 	s.Close()
-	expect(Fine, []string{"10 live records", "no process has it open"}, "store", "verify", dir)
-	expect(Fine, []string{"10 live records"}, "store", "compact", dir)
-	expect(Fine, []string{"10 live records in 2 files"}, "store", "verify", dir)
+	expect(ExitOK, []string{"10 live records", "no process has it open"}, "store", "verify", dir)
+	expect(ExitOK, []string{"10 live records"}, "store", "compact", dir)
+	expect(ExitOK, []string{"10 live records in 2 files"}, "store", "verify", dir)
 
 	files, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
 	hit := files[0]
@@ -60,15 +60,15 @@
 	text, _ := os.ReadFile(hit)
 	text[len(text)/2] ^= 4
 	os.WriteFile(hit, text, 0o600)
-	expect(Findings, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "verify", dir)
-	expect(Findings, []string{"1 places are damaged"}, "store", "compact", dir)
-	expect(Fine, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "repair", dir)
-	expect(Fine, []string{"0 places damaged", "9 live records"}, "store", "verify", dir)
+	expect(ExitFindings, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "verify", dir)
+	expect(ExitFindings, []string{"1 places are damaged"}, "store", "compact", dir)
+	expect(ExitOK, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "repair", dir)
+	expect(ExitOK, []string{"0 places damaged", "9 live records"}, "store", "verify", dir)
 	if kept, err := os.ReadFile(hit + ".damaged"); err != nil || string(kept) != string(text) {
 		t.Errorf("the damaged file was not kept: %v", err)
 	}
-	expect(Findings, []string{"there is no store here"}, "store", "verify", filepath.Join(dir, "nowhere"))
-	expect(Findings, []string{"no such file"}, "store", "compact", filepath.Join(dir, "nowhere"))
-	expect(Findings, []string{"there is no store here"}, "store", "verify", t.TempDir())
-	expect(Usage, nil, "store", "verify")
+	expect(ExitFindings, []string{"there is no store here"}, "store", "verify", filepath.Join(dir, "nowhere"))
+	expect(ExitFindings, []string{"no such file"}, "store", "compact", filepath.Join(dir, "nowhere"))
+	expect(ExitFindings, []string{"there is no store here"}, "store", "verify", t.TempDir())
+	expect(ExitUsage, nil, "store", "verify")
 }
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -18,18 +18,18 @@
 
 // The exit codes.
 const (
-	Fine     = 0
-	Findings = 1 // something is wrong with a file, or differs
-	Usage    = 2 // something is wrong with the command line
+	ExitOK       = 0
+	ExitFindings = 1 // something is wrong with a file, or differs
+	ExitUsage    = 2 // something is wrong with the command line
 )
 
 // errFindings ends a command whose findings have been printed.
 var errFindings = errors.New("findings")
 
-// failure is an error that is no wrong usage.
-type failure struct{ error }
+// runError is an error that is no wrong usage.
+type runError struct{ error }
 
-func (f failure) Unwrap() error { return f.error }
+func (f runError) Unwrap() error { return f.error }
 
 // Run runs a command line and returns its exit code.
 func Run(args []string, out, errs io.Writer) int {
@@ -40,32 +40,32 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	c := &command{out: out, errs: errs, disk: atomicfile.Disk{}}
-	root.AddCommand(c.init(), c.write(), c.check(), c.diff(), c.adopt(), c.sample(), c.reference(), c.demo(), c.members(), c.peers(), c.rehearse(), c.experiment(), c.fleet(), c.route(), c.store())
+	c := &command{out: out, errOut: errs, disk: atomicfile.Disk{}}
+	root.AddCommand(c.initCommand(), c.writeCommand(), c.checkCommand(), c.diffCommand(), c.adoptCommand(), c.sampleCommand(), c.referenceCommand(), c.demoCommand(), c.membersCommand(), c.peersCommand(), c.rehearseCommand(), c.experimentCommand(), c.fleetCommand(), c.routeCommand(), c.storeCommand())
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
-	var f failure
+	var f runError
 	switch {
 	case err == nil:
-		return Fine
+		return ExitOK
 	case errors.Is(err, errFindings):
-		return Findings
+		return ExitFindings
 	case errors.Is(err, errVoid):
-		return Voided
+		return ExitVoid
 	case errors.As(err, &f):
 		fmt.Fprintln(errs, "quincegapctl: "+err.Error())
-		return Findings
+		return ExitFindings
 	}
 	fmt.Fprintf(errs, "quincegapctl: %v\nSee quincegapctl --help.\n", err)
-	return Usage
+	return ExitUsage
 }
 
 // command is what all commands share.
 type command struct {
-	out, errs io.Writer
-	disk      atomicfile.FS
+	out, errOut io.Writer
+	disk        atomicfile.FS
 }
 
 // report prints findings; it is nil where there are none.
@@ -74,14 +74,14 @@
 		return nil
 	}
 	if err := found.Print(c.out); err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	return errFindings
 }
 
-// model reads apps.toml and checks it whole.
-func (c *command) model(path string, found *finding.List) *apps.Model {
-	text, err := product.Read(path, apps.MostBytes)
+// readModel reads apps.toml and checks it whole.
+func (c *command) readModel(path string, found *finding.List) *apps.Model {
+	text, err := product.Read(path, apps.MaxBytes)
 	if err != nil {
 		found.Add(path, finding.Pos{}, "%v", err)
 		return nil
@@ -97,24 +97,24 @@
 func checkModel(m *apps.Model, found *finding.List) {
 	m.Check(found)
 	for _, a := range m.Apps {
-		product.Secrets(a.File, m.Name, found)
+		product.CheckSecrets(a.File, m.FileName, found)
 	}
 }
 
-// states compares the file of each application with what would be written. Files that cannot be opened go
+// compareFiles compares the file of each application with what would be written. Files that cannot be opened go
 // into unread, and what is wrong with those that can into found.
-func states(m *apps.Model, dir string, unread, found *finding.List) []*apps.State {
-	var all []*apps.State
+func compareFiles(m *apps.Model, dir string, unread, found *finding.List) []*apps.FileState {
+	var all []*apps.FileState
 	for _, a := range m.Apps {
 		path := filepath.Join(dir, a.Name+".toml")
-		text, err := product.Read(path, apps.MostFileBytes)
+		text, err := product.Read(path, apps.MaxFileBytes)
 		if errors.Is(err, os.ErrNotExist) {
 			text = nil
 		} else if err != nil {
 			unread.Add(path, finding.Pos{}, "%v", err)
 			continue
 		}
-		all = append(all, apps.Compare(product.Schema, a, filepath.Base(m.Name), path, text, found))
+		all = append(all, apps.Compare(product.Schema, a, filepath.Base(m.FileName), path, text, found))
 	}
 	return all
 }
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -36,7 +36,7 @@
 func must(t *testing.T, args ...string) string {
 	t.Helper()
 	code, out, errs := run(args...)
-	if code != Fine {
+	if code != ExitOK {
 		t.Fatalf("%v: exit %d\n%s%s", args, code, out, errs)
 	}
 	return out
@@ -135,7 +135,7 @@
 	}
 	replace(t, front, "deadline = \"6s\"", "dedline = \"6s\"")
 	code, out, _ := run("check", front)
-	if code != Findings || !strings.Contains(out, `unknown key "dedline"; did you mean "deadline"? in [class.book-trip]`) {
+	if code != ExitFindings || !strings.Contains(out, `unknown key "dedline"; did you mean "deadline"? in [class.book-trip]`) {
 		t.Errorf("exit %d: %s", code, out)
 	}
 	line := 0
@@ -154,17 +154,17 @@
 	replace(t, keeper, "sockets = 1024", "sockets = 512 # at night")
 
 	code, out, _ := run("write", source)
-	if code != Findings || !strings.Contains(out, "limits.sockets = 512 was set by hand (it was 1024)") || !strings.Contains(content(t, keeper), "sockets = 512 # at night") {
+	if code != ExitFindings || !strings.Contains(out, "limits.sockets = 512 was set by hand (it was 1024)") || !strings.Contains(content(t, keeper), "sockets = 512 # at night") {
 		t.Errorf("write: exit %d: %s", code, out)
 	}
 	code, out, _ = run("diff", source)
-	if code != Findings || !strings.Contains(out, "edited by hand: ") {
+	if code != ExitFindings || !strings.Contains(out, "edited by hand: ") {
 		t.Errorf("diff: exit %d: %s", code, out)
 	}
 
 	// apps.toml changes another key: kept edits and the change both stand. No file is written where one is refused.
 	replace(t, source, "connect_timeout = \"250ms\"", "connect_timeout = \"300ms\"")
-	if code, _, _ = run("write", source); code != Findings || strings.Contains(content(t, front), "300ms") {
+	if code, _, _ = run("write", source); code != ExitFindings || strings.Contains(content(t, front), "300ms") {
 		t.Error("a file was written beside one that was refused")
 	}
 	must(t, "write", "--keep-edits", source)
@@ -174,10 +174,10 @@
 	// The same key: a conflict, and nothing is written.
 	replace(t, source, "sockets = 1024", "sockets = 2048")
 	code, out, _ = run("write", "--keep-edits", source)
-	if code != Findings || !strings.Contains(out, "limits.sockets = 512 was set by hand, and apps.toml now says 2048") || strings.Contains(content(t, front), "2048") {
+	if code != ExitFindings || !strings.Contains(out, "limits.sockets = 512 was set by hand, and apps.toml now says 2048") || strings.Contains(content(t, front), "2048") {
 		t.Errorf("exit %d: %s", code, out)
 	}
-	if code, out, _ = run("adopt", source, keeper); code != Findings || !strings.Contains(out, "settle it") {
+	if code, out, _ = run("adopt", source, keeper); code != ExitFindings || !strings.Contains(out, "settle it") {
 		t.Errorf("adopt: exit %d: %s", code, out)
 	}
 	replace(t, source, "sockets = 2048", "sockets = 1024")
@@ -208,14 +208,14 @@
 	replace(t, keeper, "deadline = \"5s\"", "deadline = \"5900ms\"")
 	before := content(t, source)
 	code, out, _ := run("adopt", source, keeper)
-	if code != Findings || !strings.Contains(out, "does not cover the deadline") || content(t, source) != before {
+	if code != ExitFindings || !strings.Contains(out, "does not cover the deadline") || content(t, source) != before {
 		t.Errorf("exit %d: %s", code, out)
 	}
 	replace(t, keeper, "deadline = \"5900ms\"", "deadline = \"9s\"")
 	replace(t, source, "deadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"10s\"", "deadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"6s\"")
 	before = content(t, keeper)
 	code, out, _ = run("write", "--keep-edits", source)
-	if code != Findings || !strings.Contains(out, "with the edits kept: class.take-slot.key_window") || content(t, keeper) != before {
+	if code != ExitFindings || !strings.Contains(out, "with the edits kept: class.take-slot.key_window") || content(t, keeper) != before {
 		t.Errorf("exit %d: %s", code, out)
 	}
 }
@@ -237,7 +237,7 @@
 		replace(t, source, "cores = 1.0", "cores = 1.00")
 		kept := content(t, keeper)
 		spoil()
-		if code, out, errs := run("write", source); code != Findings || content(t, keeper) != kept {
+		if code, out, errs := run("write", source); code != ExitFindings || content(t, keeper) != kept {
 			t.Errorf("%s: exit %d: %s%s", name, code, out, errs)
 		}
 		replace(t, source, "cores = 1.00", "cores = 1.0")
@@ -257,7 +257,7 @@
 		os.RemoveAll(front)
 		must(t, "write", source)
 		spoil()
-		if code, out, _ := run("write", "--discard-edits", source); code != Findings || !strings.Contains(out, front) {
+		if code, out, _ := run("write", "--discard-edits", source); code != ExitFindings || !strings.Contains(out, front) {
 			t.Errorf("%s: exit %d: %s", name, code, out)
 		}
 	}
@@ -272,7 +272,7 @@
 	if info, _ := os.Lstat(front); info.Mode()&fs.ModeSymlink == 0 || !strings.Contains(content(t, real), "cores = 2.0") {
 		t.Error("the link was replaced")
 	}
-	if code, _, errs := run("init", dir); code != Findings || !strings.Contains(errs, "is there already") {
+	if code, _, errs := run("init", dir); code != ExitFindings || !strings.Contains(errs, "is there already") {
 		t.Errorf("init: exit %d: %s", code, errs)
 	}
 }
@@ -289,8 +289,8 @@
 	replace(t, source, "cores = 1.0", "cores = 2.0")
 	before := content(t, front)
 	var out, errs bytes.Buffer
-	c := &command{out: &out, errs: &errs, disk: full{}}
-	w := c.write()
+	c := &command{out: &out, errOut: &errs, disk: full{}}
+	w := c.writeCommand()
 	w.SetArgs([]string{source})
 	w.SilenceUsage, w.SilenceErrors = true, true
 	if err := w.Execute(); !errors.Is(err, syscall.ENOSPC) || content(t, front) != before {
@@ -302,7 +302,7 @@
 func TestFolderThatTakesNoFiles(t *testing.T) {
 	_, source, _, _ := first(t)
 	code, out, errs := run("write", "-o", "/proc/self", source)
-	if code != Findings || !strings.Contains(errs, "/proc/self/booking-front.example.org.toml: cannot be written") {
+	if code != ExitFindings || !strings.Contains(errs, "/proc/self/booking-front.example.org.toml: cannot be written") {
 		t.Errorf("exit %d: %s%s", code, out, errs)
 	}
 }
@@ -318,7 +318,7 @@
 	var both sync.WaitGroup
 	for _, path := range []string{source, other, source, other} {
 		both.Go(func() {
-			if code, out, errs := run("write", "-o", dir, path); code != Fine {
+			if code, out, errs := run("write", "-o", dir, path); code != ExitOK {
 				t.Errorf("exit %d: %s%s", code, out, errs)
 			}
 		})
@@ -341,22 +341,22 @@
 		code int
 		want string // in what is printed
 	}{
-		{[]string{"--help"}, Fine, "quincegapctl writes a configuration file"},
-		{[]string{"help", "write"}, Fine, "--keep-edits"},
-		{[]string{"completion", "bash"}, Fine, "__start_quincegapctl"},
-		{nil, Fine, "Available Commands"},
-		{[]string{"chekc"}, Usage, `unknown command "chekc"`},
-		{[]string{"check"}, Usage, "requires at least 1 arg"},
-		{[]string{"check", "--jsn", source}, Usage, "unknown flag"},
-		{[]string{"write", source, front}, Usage, "accepts 1 arg"},
-		{[]string{"write", "--keep-edits", "--discard-edits", source}, Usage, "none of the others"},
-		{[]string{"check", filepath.Join(dir, "none.toml")}, Findings, "none.toml: cannot be read: no such file"},
-		{[]string{"check", dir}, Findings, "is no regular file"},
-		{[]string{"write", "-o", filepath.Join(dir, "new"), source}, Fine, "wrote"},
-		{[]string{"sample"}, Fine, "[sidecar]"},
-		{[]string{"reference"}, Fine, "## [callers]"},
-		{[]string{"adopt", source}, Usage, "requires at least 2"},
-		{[]string{"adopt", source, source}, Findings, "its header is missing"},
+		{[]string{"--help"}, ExitOK, "quincegapctl writes a configuration file"},
+		{[]string{"help", "write"}, ExitOK, "--keep-edits"},
+		{[]string{"completion", "bash"}, ExitOK, "__start_quincegapctl"},
+		{nil, ExitOK, "Available Commands"},
+		{[]string{"chekc"}, ExitUsage, `unknown command "chekc"`},
+		{[]string{"check"}, ExitUsage, "requires at least 1 arg"},
+		{[]string{"check", "--jsn", source}, ExitUsage, "unknown flag"},
+		{[]string{"write", source, front}, ExitUsage, "accepts 1 arg"},
+		{[]string{"write", "--keep-edits", "--discard-edits", source}, ExitUsage, "none of the others"},
+		{[]string{"check", filepath.Join(dir, "none.toml")}, ExitFindings, "none.toml: cannot be read: no such file"},
+		{[]string{"check", dir}, ExitFindings, "is no regular file"},
+		{[]string{"write", "-o", filepath.Join(dir, "new"), source}, ExitOK, "wrote"},
+		{[]string{"sample"}, ExitOK, "[sidecar]"},
+		{[]string{"reference"}, ExitOK, "## [callers]"},
+		{[]string{"adopt", source}, ExitUsage, "requires at least 2"},
+		{[]string{"adopt", source, source}, ExitFindings, "its header is missing"},
 	} {
 		code, out, errs := run(c.args...)
 		if code != c.code || !strings.Contains(out+errs, c.want) {
@@ -366,10 +366,10 @@
 	replace(t, front, "cores = 1.0", "cores = -1.0")
 	code, out, _ := run("check", "--json", front, source)
 	var got struct{ Findings []finding.Finding }
-	if err := json.Unmarshal([]byte(out), &got); err != nil || code != Findings || len(got.Findings) != 1 || got.Findings[0].Line == 0 || got.Findings[0].File != front {
+	if err := json.Unmarshal([]byte(out), &got); err != nil || code != ExitFindings || len(got.Findings) != 1 || got.Findings[0].Line == 0 || got.Findings[0].File != front {
 		t.Errorf("exit %d, %v: %s", code, err, out)
 	}
-	if code, out, _ = run("check", "--json", source); code != Fine || !strings.Contains(out, `"findings": []`) {
+	if code, out, _ = run("check", "--json", source); code != ExitOK || !strings.Contains(out, `"findings": []`) {
 		t.Errorf("exit %d: %s", code, out)
 	}
 }
@@ -380,12 +380,12 @@
 	replace(t, keeper, `listen = "127.0.0.1:8081"`, `listen = "127.0.0.1:8080"`)
 	must(t, "check", front)
 	must(t, "check", keeper)
-	if code, out, _ := run("check", front, keeper); code != Findings || !strings.Contains(out, "is taken by booking-front.example.org") {
+	if code, out, _ := run("check", front, keeper); code != ExitFindings || !strings.Contains(out, "is taken by booking-front.example.org") {
 		t.Errorf("exit %d: %s", code, out)
 	}
 	overlay := filepath.Join(filepath.Dir(source), "overlay.toml")
 	os.WriteFile(overlay, []byte("[callers]\nmax_body = \"32KiB\"\n"), 0o644)
-	if code, _, _ := run("check", overlay); code != Findings {
+	if code, _, _ := run("check", overlay); code != ExitFindings {
 		t.Error("a file that says not who it is passes by itself")
 	}
 	must(t, "check", "--overlay", overlay)
@@ -492,7 +492,7 @@
 }
 
 // free tells whether the last part of a header is a name that people choose.
-func free(d *doc.Doc) bool {
+func free(d *doc.Document) bool {
 	t, path := d.Root, []string(nil)
 	for len(t.Entries) > 0 {
 		path = append(path, t.Entries[0].Name)
@@ -521,7 +521,7 @@
 
 // Whatever a file holds, checking it ends, with places inside it.
 func FuzzCheck(f *testing.F) {
-	f.Add(firstApps)
+	f.Add(initialApps)
 	f.Add([]byte(product.Sample()))
 	f.Add([]byte("[apps.a.calls.b]\nto = \"a\"\nmutual_depth = 2\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -533,7 +533,7 @@
 					// What is sound is written, and what is written is sound.
 					var again finding.List
 					file := apps.Generate(a, "f")
-					d := doc.ReadTOML(file, apps.MostFileBytes, again.In("w"))
+					d := doc.ReadTOML(file, apps.MaxFileBytes, again.ForFile("w"))
 					if d != nil {
 						product.Decode("w", d, false, true, &again)
 					}
@@ -550,7 +550,7 @@
 			}
 		}
 		var single finding.List
-		if d := doc.ReadTOML(text, apps.MostFileBytes, single.In("f")); d != nil {
+		if d := doc.ReadTOML(text, apps.MaxFileBytes, single.ForFile("f")); d != nil {
 			product.Decode("f", d, false, single.Len() == 0, &single)
 		}
 	})
--- a/internal/tool/unified.go
+++ b/internal/tool/unified.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// mostCompared bounds the product of the lines that differ: the table below grows with it.
-const mostCompared = 4 << 20
+// maxComparedCells bounds the product of the lines that differ: the table below grows with it.
+const maxComparedCells = 4 << 20
 
 // unified shows how a text would change, lines that go with -, lines that come with +, and the line that a
 // change begins at. It follows the longest common subsequence of the lines between the first and the last
@@ -27,7 +27,7 @@
 	}
 	out := fmt.Sprintf("--- %s\n+++ %s (as write would make it)\n", path, path)
 	common := make([][]int32, len(x)+1)
-	if len(x)*len(y) <= mostCompared {
+	if len(x)*len(y) <= maxComparedCells {
 		for i := range common {
 			common[i] = make([]int32, len(y)+1)
 		}
