--- a/internal/config/finding/finding_test.go
+++ b/internal/config/finding/finding_test.go
@@ -22,16 +22,16 @@
 
 func TestDistance(t *testing.T) {
 	for _, c := range []struct {
-		a, b string
-		want int
+		from, to string
+		want     int
 	}{{"", "", 0}, {"a", "", 1}, {"", "ab", 2}, {"ab", "ba", 1}, {"kitten", "sitting", 3}, {"über", "uber", 1}, {"abcd", "acbd", 1}} {
-		if got := editDistance(c.a, c.b); got != c.want {
-			t.Errorf("%q, %q: %d, want %d", c.a, c.b, got, c.want)
+		if got := editDistance(c.from, c.to); got != c.want {
+			t.Errorf("%q, %q: %d, want %d", c.from, c.to, got, c.want)
 		}
 	}
 }
 
-// Findings come by place, each once, and their number is bounded; the count goes on.
+// Findings are ordered by position, each is kept once, and their number is bounded; those beyond are counted.
 func TestList(t *testing.T) {
 	var l List
 	l.Add("b", Pos{2, 1}, "late")
@@ -39,7 +39,9 @@
 	l.Add("b", Pos{2, 1}, "late")
 	l.Add("a", Pos{}, "whole")
 	var out bytes.Buffer
-	l.Print(&out)
+	if err := l.Print(&out); err != nil {
+		t.Fatal(err)
+	}
 	if want := "b:1:9: early\nb:2:1: late\na: whole\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
@@ -47,7 +49,9 @@
 		l.Add("c", Pos{i + 1, 1}, "x")
 	}
 	out.Reset()
-	l.PrintJSON(&out)
+	if err := l.PrintJSON(&out); err != nil {
+		t.Fatal(err)
+	}
 	var got struct {
 		Findings []Finding
 		More     int
@@ -56,7 +60,7 @@
 		t.Error(err, len(got.Findings), got.More, l.Len())
 	}
 	if !strings.HasSuffix(l.Err().Error(), fmt.Sprintf("and %d more findings", MaxFindings+3)) {
-		t.Error("the rest is not told")
+		t.Error("the number of those beyond is missing")
 	}
 	if (&List{}).Err() != nil {
 		t.Error("an empty list is an error")
--- /dev/null
+++ b/internal/config/finding/list.go
@@ -0,0 +1,107 @@
+package finding
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+)
+
+// MaxFindings bounds the findings that one List keeps, so that a file of junk costs bounded memory. Those beyond are counted.
+const MaxFindings = 1000
+
+// List collects findings. Equal findings are kept once, because a value that many applications inherit is wrong in one place only.
+// The zero List is empty and ready for use. It is not safe for concurrent use.
+type List struct {
+	findings []Finding
+	seen     map[Finding]bool
+	omitted  int // findings beyond MaxFindings
+}
+
+// Reporter takes the findings of one file.
+type Reporter func(at Pos, format string, args ...any)
+
+// Add adds a finding whose message is formatted like fmt.Sprintf's.
+func (l *List) Add(file string, at Pos, format string, args ...any) {
+	f := Finding{File: file, Line: at.Line, Column: at.Col, Message: fmt.Sprintf(format, args...)}
+	switch {
+	case l.seen[f]:
+	case len(l.findings) >= MaxFindings:
+		l.omitted++
+	default:
+		if l.seen == nil {
+			l.seen = map[Finding]bool{}
+		}
+		l.seen[f] = true
+		l.findings = append(l.findings, f)
+	}
+}
+
+// ForFile is a Reporter that adds findings of one file to the list.
+func (l *List) ForFile(file string) Reporter {
+	return func(at Pos, format string, args ...any) { l.Add(file, at, format, args...) }
+}
+
+// Len is the number of findings, including those beyond MaxFindings.
+func (l *List) Len() int { return len(l.findings) + l.omitted }
+
+// All sorts the findings by file, line, column and message, and returns them. Files keep the order in which they were first named.
+func (l *List) All() []Finding {
+	fileOrder := map[string]int{}
+	for _, f := range l.findings {
+		if _, ok := fileOrder[f.File]; !ok {
+			fileOrder[f.File] = len(fileOrder)
+		}
+	}
+	slices.SortStableFunc(l.findings, func(a, b Finding) int {
+		return cmp.Or(
+			cmp.Compare(fileOrder[a.File], fileOrder[b.File]),
+			cmp.Compare(a.Line, b.Line),
+			cmp.Compare(a.Column, b.Column),
+			strings.Compare(a.Message, b.Message),
+		)
+	})
+	return l.findings
+}
+
+// Print writes one line per finding, and the number of those beyond MaxFindings. Its error is the writer's.
+func (l *List) Print(w io.Writer) error {
+	_, err := io.WriteString(w, l.text())
+	return err
+}
+
+func (l *List) text() string {
+	var text strings.Builder
+	for _, f := range l.All() {
+		text.WriteString(f.String() + "\n")
+	}
+	if l.omitted > 0 {
+		fmt.Fprintf(&text, "and %d more findings\n", l.omitted)
+	}
+	return text.String()
+}
+
+// PrintJSON writes one object {"findings":[...],"more":N} for other programs; N counts the findings beyond MaxFindings. Its error is
+// the writer's.
+func (l *List) PrintJSON(w io.Writer) error {
+	all := l.All()
+	if all == nil {
+		all = []Finding{} // an empty array, not null
+	}
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(struct {
+		Findings []Finding `json:"findings"`
+		More     int       `json:"more"`
+	}{all, l.omitted})
+}
+
+// Err is nil for an empty list, or an Error with all findings.
+func (l *List) Err() error {
+	if l.Len() == 0 {
+		return nil
+	}
+	return Error(strings.TrimSuffix(l.text(), "\n"))
+}
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -5,43 +5,49 @@
 	"strings"
 )
 
-// maxNameBytes bounds what is compared: the cost grows with the square.
-const maxNameBytes = 64
+const (
+	// maxNameBytes bounds the names that are compared, since the cost grows with the square of their length, and what a message quotes.
+	maxNameBytes = 64
+	// maxNamesListed bounds the candidates that a message lists.
+	maxNamesListed = 8
+)
 
-// Nearest is the candidate that a misspelt name most likely means, or "" if
-// none is near: a third of its letters may be wrong, and at least one.
+// Nearest is the candidate that a misspelt name most likely means, or "" if none is near: up to a third of its letters may differ, and
+// at least one. Case does not count. Among equals the first wins.
 func Nearest(name string, candidates []string) string {
-	best, least := "", 0
 	if len(name) > maxNameBytes {
 		return ""
 	}
+	nearest := ""
+	leastDistance := 0
 	lower := strings.ToLower(name)
-	for _, c := range candidates {
-		if len(c) > maxNameBytes {
+	for _, candidate := range candidates {
+		if len(candidate) > maxNameBytes {
 			continue
 		}
-		allowed := max(1, max(len(name), len(c))/3)
-		if d := editDistance(lower, strings.ToLower(c)); d <= allowed && (best == "" || d < least) {
-			best, least = c, d
+		allowed := max(1, max(len(name), len(candidate))/3)
+		distance := editDistance(lower, strings.ToLower(candidate))
+		if distance <= allowed && (nearest == "" || distance < leastDistance) {
+			nearest = candidate
+			leastDistance = distance
 		}
 	}
-	return best
+	return nearest
 }
 
-// UnknownName words a message on a name that is not one of candidates: with the
-// nearest one, or with all where these are few.
+// UnknownName is the message on a name that is not among the candidates. It proposes the nearest, or lists all where these are few.
 func UnknownName(what, name string, candidates []string) string {
 	text := fmt.Sprintf("unknown %s %q", what, truncate(name))
-	if n := Nearest(name, candidates); n != "" {
-		return fmt.Sprintf("%s; did you mean %q?", text, n)
+	if nearest := Nearest(name, candidates); nearest != "" {
+		return fmt.Sprintf("%s; did you mean %q?", text, nearest)
 	}
-	if 0 < len(candidates) && len(candidates) <= 8 {
+	if 0 < len(candidates) && len(candidates) <= maxNamesListed {
 		return text + "; known are " + strings.Join(candidates, ", ")
 	}
 	return text
 }
 
-// truncate keeps a message to a line that can be read.
+// truncate keeps a message short enough to read.
 func truncate(s string) string {
 	if len(s) <= maxNameBytes {
 		return s
@@ -49,27 +55,31 @@
 	return strings.ToValidUTF8(s[:maxNameBytes], "") + "..."
 }
 
-// editDistance is the least number of letters to insert, drop, replace or swap
-// with their neighbour to turn a into b (optimal string alignment).
-func editDistance(a, b string) int {
-	x, y := []rune(a), []rune(b)
-	before, last, row := make([]int, len(y)+1), make([]int, len(y)+1), make([]int, len(y)+1)
+// editDistance is the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
+// (optimal string alignment distance).
+func editDistance(from, to string) int {
+	a := []rune(from)
+	b := []rune(to)
+	// Three rows of the table of distances between prefixes are enough.
+	beforeLast := make([]int, len(b)+1)
+	last := make([]int, len(b)+1)
+	row := make([]int, len(b)+1)
 	for j := range last {
 		last[j] = j
 	}
-	for i := range x {
+	for i := range a {
 		row[0] = i + 1
-		for j := range y {
+		for j := range b {
 			cost := 1
-			if x[i] == y[j] {
+			if a[i] == b[j] {
 				cost = 0
 			}
 			row[j+1] = min(last[j+1]+1, row[j]+1, last[j]+cost)
-			if i > 0 && j > 0 && x[i] == y[j-1] && x[i-1] == y[j] {
-				row[j+1] = min(row[j+1], before[j-1]+1)
+			if i > 0 && j > 0 && a[i] == b[j-1] && a[i-1] == b[j] {
+				row[j+1] = min(row[j+1], beforeLast[j-1]+1)
 			}
 		}
-		before, last, row = last, row, before
+		beforeLast, last, row = last, row, beforeLast
 	}
-	return last[len(y)]
+	return last[len(b)]
 }
