--- a/internal/config/settings/load.go
+++ b/internal/config/settings/load.go
@@ -9,29 +9,41 @@
 	"quincegap/internal/balancer"
 )
 
-// maxLoadFigure is more than any figure of a load report can be.
-const maxLoadFigure = 1e9
+// The names of figures in a load report. Others are ignored.
+const (
+	loadInFlight    = "inflight"
+	loadQueue       = "queue"
+	loadUtilization = "util"
+	loadLatency     = "latency_ms"
+)
+
+const (
+	// maxLoadFigure is more than any figure of a load report can be.
+	maxLoadFigure = 1e9
+	// loadUnknown is the value of a figure that a report does not have.
+	loadUnknown = -1
+)
 
-// ParseLoad reads a load report, pairs of a name of feedback.fields and a figure, divided by commas. The
-// sockets and the simulator's wire differ in what stands between the two.
-func ParseLoad(text, between string) (*balancer.Load, error) {
-	l := &balancer.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: -1}
+// ParseLoad reads a load report: pairs of a name of feedback.fields and a number, separated by commas, with separator between name and
+// number ("=" in headers of HTTP, ":" on the simulator's wire). Figures that it does not have are -1.
+func ParseLoad(text, separator string) (*balancer.Load, error) {
+	load := &balancer.Load{InFlight: loadUnknown, Queue: loadUnknown, Utilization: loadUnknown, ServiceTime: loadUnknown}
 	for pair := range strings.SplitSeq(text, ",") {
-		name, figure, ok := strings.Cut(strings.TrimSpace(pair), between)
-		v, err := strconv.ParseFloat(figure, 64)
-		if !ok || err != nil || !(v >= 0 && v <= maxLoadFigure) {
+		name, number, ok := strings.Cut(strings.TrimSpace(pair), separator)
+		figure, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || !(figure >= 0 && figure <= maxLoadFigure) { // not a number fails both comparisons
 			return nil, fmt.Errorf("%q is not a load report", text)
 		}
 		switch name {
-		case "inflight":
-			l.InFlight = v
-		case "queue":
-			l.Queue = v
-		case "util":
-			l.Utilization = v
-		case "latency_ms":
-			l.ServiceTime = time.Duration(v * float64(time.Millisecond))
+		case loadInFlight:
+			load.InFlight = figure
+		case loadQueue:
+			load.Queue = figure
+		case loadUtilization:
+			load.Utilization = figure
+		case loadLatency:
+			load.ServiceTime = time.Duration(figure * float64(time.Millisecond))
 		}
 	}
-	return l, nil
+	return load, nil
 }
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,18 +1,21 @@
-// Package settings decodes the JSON object that starts an instance. The
-// simulator's adapter and the sidecar both read it here.
+// Package settings decodes the JSON object that starts an instance of the load balancer, and load reports of endpoints. The
+// simulator's adapter and the standalone sidecar share it.
+//
+// Times in the object are whole microseconds. Keys keep the words of the users' pages; Settings has the field's terms for them.
 package settings
 
 import (
 	"encoding/json"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"quincegap/internal/balancer"
 )
 
-// config mirrors the JSON object that starts an instance. Keys that are not
-// listed here are passed over.
+// config mirrors the JSON object. Its keys, and its name and those of its fields in errors of encoding/json, are data. Keys that
+// are not listed here are ignored.
 type config struct {
 	Allowed struct {
 		Cancel         bool  `json:"cancel"`
@@ -79,8 +82,15 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// idempotencyByWord and scopes translate the wire's words; an unknown word is handed on
-// as it is, for the Balancer to reject by name.
+// The words of the object that choose between ways to work.
+const (
+	discoveryPush = "push" // the endpoint list comes by itself
+	discoveryAsk  = "ask"  // the endpoint list has to be asked for
+	worthByWork   = "work" // an answer's value grows with its work units
+)
+
+// idempotencyByWord and keyScopeByWord translate the object's words. An unknown word is passed on as it is, for the Balancer to reject
+// by name.
 var (
 	idempotencyByWord = map[string]balancer.Idempotency{
 		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NonIdempotent,
@@ -90,71 +100,95 @@
 	}
 )
 
-// Settings is what a Balancer is started with, and what only the program round it needs.
+// Settings is what a Balancer is started with, and what only the program around it needs.
 type Settings struct {
 	balancer.Settings
-	Zones         []string // names; the Balancer knows their indexes
-	Models        []string
-	ConnIdle      time.Duration // an endpoint closes a connection that stood idle so long; 0 if not told
+	Zones         []string      // names; the Balancer knows their indexes
+	Models        []string      // names of the endpoints' models
+	ConnIdle      time.Duration // an endpoint closes a connection that was idle for so long; 0 if unknown
 	GraceToAnswer time.Duration // how long after the client's deadline an answer still counts
 	OpenCap       int           // requests that may be open at once; 0 for no limit
 }
 
-// Parse reads an instance's settings and lists the keys it passed over.
+// Parse reads the object and lists the top-level keys that it ignored, sorted. It fails where the text is no such object, or names an
+// unknown way of discovery; all else is for the Balancer to judge.
 func Parse(text []byte) (s Settings, unknown []string, err error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
-		return s, nil, fmt.Errorf("not a settings object: %v", err)
+		return s, nil, fmt.Errorf("not a settings object: %w", err)
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(text, &keys); err != nil {
-		return s, nil, fmt.Errorf("not a settings object: %v", err)
+		return s, nil, fmt.Errorf("not a settings object: %w", err)
 	}
-	for k := range keys {
-		if !knownKeys[k] {
-			unknown = append(unknown, k)
+	for _, key := range slices.Sorted(maps.Keys(keys)) {
+		if !knownKeys[key] {
+			unknown = append(unknown, key)
 		}
 	}
-	sort.Strings(unknown)
-	switch c.Discovery {
-	case "push", "ask":
-	default:
+	if c.Discovery != discoveryPush && c.Discovery != discoveryAsk {
 		return s, unknown, fmt.Errorf("discovery: unknown word %q", c.Discovery)
 	}
-	s = Settings{
-		Zones: c.Zones, Models: c.Models, ConnIdle: Microseconds(c.Allowed.ConnIdle),
-		GraceToAnswer: Microseconds(c.Rules.Grace), OpenCap: c.Allowed.OpenCap,
-	}
-	s.Settings = balancer.Settings{
-		Instances: c.Instances, Ordinal: c.Ordinal, Tier: c.Stage, Tiers: len(c.Tiers), Quantum: Microseconds(c.Quantum),
-		OverQuotaValueShare: c.OverShareWorth, ValuePerWorkUnit: c.WorthBy == "work",
-		TotalValueWeight: c.Goal.Whole, WorstClassWeight: c.Goal.WorstClass,
-		MayCancel: c.Allowed.Cancel, MayHealthCheck: c.Allowed.MayProbe, MayMessagePeers: c.Allowed.Peers,
-		HedgedRequests: c.Allowed.SecondCopies, MaxAttempts: c.Allowed.SendCap,
-		ConnectTimeout: Microseconds(c.Allowed.ConnectTimeout),
-		MustSubscribe:  c.Discovery == "ask", ResubscribeInterval: Microseconds(c.Rules.AskEvery),
-		PropagatesDeadline: c.FamilyInfo.PassesDeadline == nil || *c.FamilyInfo.PassesDeadline,
-		ClientsMarkRetries: c.ClientHabits.MarksRetry,
-		SlowStartMinShare:  c.Rules.ColdFrom, SlowStartWindow: Microseconds(c.Rules.Cold),
-		OverloadMultiple: c.Rules.TipMultiple, OverloadDuration: Microseconds(c.Rules.Fall),
+	return Settings{
+		Settings:      c.balancerSettings(),
+		Zones:         c.Zones,
+		Models:        c.Models,
+		ConnIdle:      Microseconds(c.Allowed.ConnIdle),
+		GraceToAnswer: Microseconds(c.Rules.Grace),
+		OpenCap:       c.Allowed.OpenCap,
+	}, unknown, nil
+}
+
+// balancerSettings is the part of the object that the Balancer is started with.
+func (c *config) balancerSettings() balancer.Settings {
+	s := balancer.Settings{
+		Instances:           c.Instances,
+		Ordinal:             c.Ordinal,
+		Tier:                c.Stage,
+		Tiers:               len(c.Tiers),
+		Quantum:             Microseconds(c.Quantum),
+		OverQuotaValueShare: c.OverShareWorth,
+		ValuePerWorkUnit:    c.WorthBy == worthByWork,
+		TotalValueWeight:    c.Goal.Whole,
+		WorstClassWeight:    c.Goal.WorstClass,
+		MayCancel:           c.Allowed.Cancel,
+		MayHealthCheck:      c.Allowed.MayProbe,
+		MayMessagePeers:     c.Allowed.Peers,
+		HedgedRequests:      c.Allowed.SecondCopies,
+		MaxAttempts:         c.Allowed.SendCap,
+		ConnectTimeout:      Microseconds(c.Allowed.ConnectTimeout),
+		MustSubscribe:       c.Discovery == discoveryAsk,
+		ResubscribeInterval: Microseconds(c.Rules.AskEvery),
+		PropagatesDeadline:  c.FamilyInfo.PassesDeadline == nil || *c.FamilyInfo.PassesDeadline,
+		ClientsMarkRetries:  c.ClientHabits.MarksRetry,
+		SlowStartMinShare:   c.Rules.ColdFrom,
+		SlowStartWindow:     Microseconds(c.Rules.Cold),
+		OverloadMultiple:    c.Rules.TipMultiple,
+		OverloadDuration:    Microseconds(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
 		s.MaxRetryAfter = Microseconds(c.Allowed.MaxRetryAfter)
 	}
-	for _, v := range c.Services {
+	for _, service := range c.Services {
 		s.Classes = append(s.Classes, balancer.Class{
-			Name: v.Name, LatencyTarget: Microseconds(v.Aim), Deadline: Microseconds(v.Deadline), Value: v.Gain,
-			LateValueShare: v.LateValue, Idempotency: translate(idempotencyByWord, v.Effect), KeyScope: translate(keyScopeByWord, v.KeyScope),
-			KeyWindow: Microseconds(v.Window), Streaming: v.Streamed,
+			Name:           service.Name,
+			LatencyTarget:  Microseconds(service.Aim),
+			Deadline:       Microseconds(service.Deadline),
+			Value:          service.Gain,
+			LateValueShare: service.LateValue,
+			Idempotency:    translate(idempotencyByWord, service.Effect),
+			KeyScope:       translate(keyScopeByWord, service.KeyScope),
+			KeyWindow:      Microseconds(service.Window),
+			Streaming:      service.Streamed,
 		})
 	}
-	for _, v := range c.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.QuotaPerS})
+	for _, tenant := range c.Tenants {
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerS})
 	}
-	return s, unknown, nil
+	return s
 }
 
-// translate looks a word up and hands an unknown one on unchanged.
+// translate looks a word up, and passes an unknown one on unchanged.
 func translate[T ~string](words map[string]T, word string) T {
 	if v, ok := words[word]; ok {
 		return v
@@ -162,5 +196,5 @@
 	return T(word)
 }
 
-// Microseconds is a number of microseconds, the unit of all times in the settings.
+// Microseconds is a duration of n microseconds, the unit of all times in the settings.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
