--- a/internal/config/doc/doc_test.go
+++ b/internal/config/doc/doc_test.go
@@ -85,7 +85,7 @@
 	if e.Pos != (finding.Pos{Line: 3, Col: 3}) || e.Value.Pos != (finding.Pos{Line: 3, Col: 9}) || string(d.Text[e.Value.Start:e.Value.End]) != `"välue"` {
 		t.Errorf("got %+v %+v", e, e.Value)
 	}
-	j := ReadJSON([]byte("{\n \"a\": [1, {\"b\": true}],\n \"ü\": null}"), 100, func(at finding.Pos, f string, args ...any) { t.Errorf(f, args...) })
+	j := ReadJSON([]byte("{\n \"a\": [1, {\"b\": true}],\n \"ü\": null}"), 100, func(_ finding.Pos, f string, args ...any) { t.Errorf(f, args...) })
 	if b := j.Root.Get("a").Value.Items[1].Table.Get("b"); b.Pos != (finding.Pos{Line: 2, Col: 12}) || b.Value.Pos != (finding.Pos{Line: 2, Col: 17}) {
 		t.Errorf("got %+v %+v", b, b.Value)
 	}
@@ -156,45 +156,55 @@
 // Random edits against a map: the text always says what the map does, and all comments stay.
 func TestEditsFollowAMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		nl := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(rt, "nl")
-		text := strings.ReplaceAll("# one\n[a]\nk = 0 # two\n# three\n[a.b]\nk = 0\n", "\n", nl)
+		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(rt, "nl")
+		text := strings.ReplaceAll("# one\n[a]\nk = 0 # two\n# three\n[a.b]\nk = 0\n", "\n", newline)
 		model := map[string]string{"a.k": "0", "a.b.k": "0"}
-		name := rapid.SampledFrom([]string{"a", "b", "k", "with space", "q\"uote", "d.ot"})
 		for range rapid.IntRange(1, 12).Draw(rt, "edits") {
-			d, at := read(t, text)
-			if len(at) > 0 {
-				rt.Fatalf("unreadable at %v:\n%s", at, text)
-			}
-			path := []string{"a", name.Draw(rt, "table"), "key" + name.Draw(rt, "key")}
-			if id := DottedPath(path); rapid.Bool().Draw(rt, "set") {
-				model[id] = fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
-				if path[1] == "k" {
-					delete(model, id) // a value stands there
-					continue
-				}
-				text = string(d.Set(path, model[id]))
-			} else {
-				delete(model, id)
-				text = string(d.Delete(path))
-			}
-		}
-		d, at := read(t, text)
-		if len(at) > 0 {
-			rt.Fatalf("unreadable at %v:\n%s", at, text)
+			text = randomEdit(t, rt, text, model)
 		}
 		got := map[string]string{}
-		leaves(d.Root, got)
+		leaves(mustRead(t, rt, text).Root, got)
 		if fmt.Sprint(got) != fmt.Sprint(model) {
 			rt.Fatalf("text says %v, map %v:\n%s", got, model, text)
 		}
-		for _, c := range []string{"# one", "# two", "# three"} {
-			if strings.Count(text, c) != 1 {
-				rt.Fatalf("%s is lost:\n%s", c, text)
+		for _, comment := range []string{"# one", "# two", "# three"} {
+			if strings.Count(text, comment) != 1 {
+				rt.Fatalf("%s is lost:\n%s", comment, text)
 			}
 		}
 	})
 }
 
+// mustRead reads a text that has no findings.
+func mustRead(t *testing.T, rt *rapid.T, text string) *Document {
+	t.Helper()
+	d, at := read(t, text)
+	if len(at) > 0 {
+		rt.Fatalf("unreadable at %v:\n%s", at, text)
+	}
+	return d
+}
+
+// randomEdit sets or deletes a key of a text and of a map.
+func randomEdit(t *testing.T, rt *rapid.T, text string, model map[string]string) string {
+	t.Helper()
+	name := rapid.SampledFrom([]string{"a", "b", "k", "with space", "q\"uote", "d.ot"})
+	d := mustRead(t, rt, text)
+	path := []string{"a", name.Draw(rt, "table"), "key" + name.Draw(rt, "key")}
+	id := DottedPath(path)
+	if !rapid.Bool().Draw(rt, "set") {
+		delete(model, id)
+		return string(d.Delete(path))
+	}
+	value := fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
+	if path[1] == "k" {
+		delete(model, id) // a value stands there
+		return text
+	}
+	model[id] = value
+	return string(d.Set(path, value))
+}
+
 func leaves(t *Table, into map[string]string) {
 	for _, e := range t.Entries {
 		if e.Value.Kind == TableKind {
@@ -213,20 +223,14 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var found finding.List
 		d := ReadTOML(text, 1<<16, found.ForFile("f"))
-		lines := strings.Count(string(text), "\n") + 1
+		checkPlaces(t, text, &found)
 		for _, x := range found.All() {
-			if x.Line < 0 || x.Line > lines || x.Message == "" || strings.Contains(x.Message, "\n") {
-				t.Errorf("finding %q in a text of %d lines", x, lines)
+			if strings.Contains(x.Message, "\n") {
+				t.Errorf("finding %q is not one line", x)
 			}
 		}
-		if d == nil || found.Len() > 0 {
-			return
-		}
 		path := []string{"t", "a"}
-		if e := d.Root.Get("t"); e != nil && (e.Value.Kind != TableKind || e.Value.Start > 0) {
-			return // no table with lines of its own
-		}
-		if e := d.Root.Lookup(path...); e != nil && e.Value.Kind == TableKind || e != nil && e.Value.Kind == Array {
+		if d == nil || found.Len() > 0 || !editable(d, path) {
 			return
 		}
 		after := d.Set(path, "42")
@@ -237,6 +241,26 @@
 	})
 }
 
+// checkPlaces holds findings to lines that a text has.
+func checkPlaces(t *testing.T, text []byte, found *finding.List) {
+	t.Helper()
+	lines := strings.Count(string(text), "\n") + 1
+	for _, x := range found.All() {
+		if x.Line < 0 || x.Line > lines || x.Message == "" {
+			t.Errorf("finding %q in a text of %d lines", x, lines)
+		}
+	}
+}
+
+// editable tells whether a key can be set as a scalar in a table with lines of its own.
+func editable(d *Document, path []string) bool {
+	if e := d.Root.Get(path[0]); e != nil && (e.Value.Kind != TableKind || e.Value.Start > 0) {
+		return false // no table with lines of its own
+	}
+	e := d.Root.Lookup(path...)
+	return e == nil || e.Value.Kind != TableKind && e.Value.Kind != Array
+}
+
 func FuzzJSON(f *testing.F) {
 	for _, s := range []string{`{"a": [1, 2.5, null, true, "x"]}`, `{"a": {"a": 1, "a": 2}}`, `{`, `[]`, `{"a":1} x`} {
 		f.Add([]byte(s))
@@ -247,11 +271,6 @@
 		if d == nil && found.Len() == 0 {
 			t.Errorf("%q: neither read nor refused", text)
 		}
-		lines := strings.Count(string(text), "\n") + 1
-		for _, x := range found.All() {
-			if x.Line < 0 || x.Line > lines || x.Message == "" {
-				t.Errorf("finding %q in a text of %d lines", x, lines)
-			}
-		}
+		checkPlaces(t, text, &found)
 	})
 }
--- /dev/null
+++ b/internal/config/doc/document.go
@@ -0,0 +1,87 @@
+package doc
+
+import (
+	"bytes"
+	"sort"
+	"unicode/utf8"
+
+	"quincegap/internal/config/finding"
+)
+
+// Document is a text with the tree that was read from it.
+type Document struct {
+	Text []byte
+	Root *Table
+
+	lines []int // offset of each line's first byte
+}
+
+func newDocument(text []byte) *Document {
+	d := &Document{Text: text, Root: &Table{Pos: finding.Pos{Line: 1, Col: 1}}, lines: []int{0}}
+	for i, b := range text {
+		if b == '\n' {
+			d.lines = append(d.lines, i+1)
+		}
+	}
+	return d
+}
+
+// Pos is the position of an offset. A byte that is no part of a character counts as one.
+func (d *Document) Pos(offset int) finding.Pos {
+	offset = min(max(offset, 0), len(d.Text))
+	line := d.line(offset)
+	return finding.Pos{Line: line + 1, Col: utf8.RuneCount(d.Text[d.lines[line]:offset]) + 1}
+}
+
+// line is the number, from 0, of the line that an offset is in.
+func (d *Document) line(offset int) int { return sort.SearchInts(d.lines, offset+1) - 1 }
+
+// lineEnd is the offset of the line behind the one that an offset is in.
+func (d *Document) lineEnd(offset int) int {
+	if n := d.line(offset) + 1; n < len(d.lines) {
+		return d.lines[n]
+	}
+	return len(d.Text)
+}
+
+// checkReadable reports what makes a text useless as a whole, and whether it can be read.
+func (d *Document) checkReadable(maxBytes int, report finding.Reporter) bool {
+	text := d.Text
+	start := finding.Pos{Line: 1, Col: 1}
+	switch {
+	case len(text) > maxBytes:
+		report(finding.Pos{}, "has %d bytes; at most %d are read", len(text), maxBytes)
+	case bytes.HasPrefix(text, []byte("\xef\xbb\xbf")):
+		report(start, "begins with a byte order mark (BOM); save it as UTF-8 without one")
+	case bytes.HasPrefix(text, []byte("\xff\xfe")) || bytes.HasPrefix(text, []byte("\xfe\xff")):
+		report(start, "is UTF-16; save it as UTF-8")
+	case !utf8.Valid(text):
+		at := firstInvalidByte(text)
+		report(d.Pos(at), "the byte 0x%02x is not UTF-8", text[at])
+	case bytes.IndexByte(text, 0) >= 0:
+		report(d.Pos(bytes.IndexByte(text, 0)), "a NUL byte: this is no text file")
+	default:
+		return true
+	}
+	return false
+}
+
+// firstInvalidByte is the offset of the first byte that is not UTF-8, in a text that has one.
+func firstInvalidByte(text []byte) int {
+	at := 0
+	for {
+		r, size := utf8.DecodeRune(text[at:])
+		if r == utf8.RuneError && size <= 1 {
+			return at
+		}
+		at += size
+	}
+}
+
+// Newline is the line end that a text uses: CR LF if it has one, else LF.
+func Newline(text []byte) string {
+	if bytes.Contains(text, []byte("\r\n")) {
+		return "\r\n"
+	}
+	return "\n"
+}
--- a/internal/config/doc/edit.go
+++ b/internal/config/doc/edit.go
@@ -6,36 +6,39 @@
 	"strings"
 )
 
-// Set gives the text with a key's value replaced, or the key added: behind the last key of its table, or in a
-// new table behind the one nearest to it. The value is TOML; comment lines go above a key that is added. All
-// other lines stay as they are. Set must not be used on a document with findings.
+// Set returns the text with a key's value replaced, or with the key added: behind the last key of its table, or in a new table behind
+// the one nearest to it. The value is TOML; comment lines go above a key that is added. All other lines stay as they are. Set must not
+// be used on a document with findings.
 func (d *Document) Set(path []string, value string, comment ...string) []byte {
 	if e := d.Root.Lookup(path...); e != nil {
 		return d.splice(e.Value.Start, e.Value.End, value)
 	}
-	nl := Newline(d.Text)
-	name := QuoteKey(path[len(path)-1])
-	lines := ""
+	newline := Newline(d.Text)
+	comments := ""
 	for _, c := range comment {
-		lines += "# " + c + nl
+		comments += "# " + c + newline
 	}
+	assignment := QuoteKey(path[len(path)-1]) + " = " + value + newline
 	parent := path[:len(path)-1]
-	t := d.table(parent)
+	table := d.table(parent)
 	switch {
-	case t != nil && (t.hasHeader || len(parent) == 0):
-		at := t.bodyEnd
-		if len(t.Entries) == 0 && len(parent) == 0 {
+	case table != nil && (table.hasHeader || len(parent) == 0):
+		at := table.bodyEnd
+		if len(table.Entries) == 0 && len(parent) == 0 {
 			at = 0
 		}
-		return d.insert(at, lines+name+" = "+value+nl)
-	case t != nil && t.dotted && len(t.Entries) > 0 && t.Entries[len(t.Entries)-1].Start >= 0:
+		return d.insert(at, comments+assignment)
+	case table != nil && table.dotted && len(table.Entries) > 0 && table.lastEntry().Start != generatedStart:
 		// A header must not define it again: the key goes beside its dotted ones.
-		last := t.Entries[len(t.Entries)-1]
-		return d.insert(last.End, lines+last.prefix+name+" = "+value+nl)
+		last := table.lastEntry()
+		return d.insert(last.End, comments+last.prefix+assignment)
 	}
-	return d.insert(d.tableInsertion(parent), nl+"["+DottedPath(parent)+"]"+nl+lines+name+" = "+value+nl)
+	header := newline + "[" + DottedPath(parent) + "]" + newline
+	return d.insert(d.tableInsertion(parent), header+comments+assignment)
 }
 
+func (t *Table) lastEntry() *Entry { return t.Entries[len(t.Entries)-1] }
+
 // table is the table of a path, or nil.
 func (d *Document) table(path []string) *Table {
 	t := d.Root
@@ -47,7 +50,7 @@
 	return t
 }
 
-// tableInsertion is where a new table goes: behind the last table that shares the most of its path, or at the end.
+// tableInsertion is the offset at which a new table goes: behind the last table that shares the most of its path, or at the end.
 func (d *Document) tableInsertion(path []string) int {
 	for n := len(path) - 1; n > 0; n-- {
 		if t := d.table(path[:n]); t != nil {
@@ -59,7 +62,7 @@
 	return len(d.Text)
 }
 
-// endWithSubtables is behind the last line of a table and those within it.
+// endWithSubtables is the offset behind the last line of a table and those within it.
 func (t *Table) endWithSubtables() int {
 	end := t.bodyEnd
 	for _, e := range t.Entries {
@@ -71,14 +74,26 @@
 	return end
 }
 
-// Delete gives the text without a key, and without the comment lines directly above it that are given. A
-// table that is left empty goes too.
+// Delete returns the text without a key, and without the given comment lines where they are directly above it. A table that is left
+// empty goes too, with one empty line above its header.
 func (d *Document) Delete(path []string, comment ...string) []byte {
 	e := d.Root.Lookup(path...)
 	if e == nil {
 		return d.Text
 	}
-	start := e.Start
+	start := d.commentStart(e.Start, comment)
+	table := d.table(path[:len(path)-1])
+	if table.hasHeader && len(table.Entries) == 1 && d.isBlank(d.lineEnd(table.headerStart), start) {
+		start = table.headerStart
+		if line := d.line(start); line > 0 && d.isBlank(d.lines[line-1], start) {
+			start = d.lines[line-1]
+		}
+	}
+	return d.splice(start, e.End, "")
+}
+
+// commentStart is where the given comment lines begin that are directly above a line, or the line itself.
+func (d *Document) commentStart(start int, comment []string) int {
 	for _, c := range slices.Backward(comment) {
 		line := d.line(start)
 		if line == 0 || strings.TrimRight(string(d.Text[d.lines[line-1]:start]), "\r\n") != "# "+c {
@@ -86,18 +101,12 @@
 		}
 		start = d.lines[line-1]
 	}
-	end := e.End
-	if t := d.table(path[:len(path)-1]); t.hasHeader && len(t.Entries) == 1 &&
-		len(bytes.TrimSpace(d.Text[d.lineEnd(t.headerStart):start])) == 0 {
-		start = t.headerStart
-		if line := d.line(start); line > 0 && len(bytes.TrimSpace(d.Text[d.lines[line-1]:start])) == 0 {
-			start = d.lines[line-1] // the empty line above its header
-		}
-	}
-	return d.splice(start, end, "")
+	return start
 }
 
-// insert puts lines in front of the one that begins at a byte. A last line without an end gets one.
+func (d *Document) isBlank(start, end int) bool { return len(bytes.TrimSpace(d.Text[start:end])) == 0 }
+
+// insert puts lines in front of the line that begins at an offset. A last line without a line end gets one.
 func (d *Document) insert(at int, lines string) []byte {
 	if at > 0 && d.Text[at-1] != '\n' {
 		lines = Newline(d.Text) + lines
@@ -105,6 +114,7 @@
 	return d.splice(at, at, lines)
 }
 
-func (d *Document) splice(start, end int, by string) []byte {
-	return slices.Concat(d.Text[:start], []byte(by), d.Text[end:])
+// splice replaces the bytes from start to end.
+func (d *Document) splice(start, end int, replacement string) []byte {
+	return slices.Concat(d.Text[:start], []byte(replacement), d.Text[end:])
 }
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -9,46 +9,69 @@
 	"quincegap/internal/config/finding"
 )
 
-// ReadJSON reads a text of at most a number of bytes that holds one object. It is nil where it cannot be
-// read: JSON gives no place to go on from.
-func ReadJSON(text []byte, most int, report finding.Reporter) *Document {
+// ReadJSON reads a text of at most maxBytes bytes that holds one object. It is nil where the text cannot be read, which is reported:
+// JSON has no place to go on from.
+func ReadJSON(text []byte, maxBytes int, report finding.Reporter) *Document {
 	d := newDocument(text)
-	if !d.checkReadable(most, report) {
+	if !d.checkReadable(maxBytes, report) {
 		return nil
 	}
 	r := jsonReader{Document: d, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
 	r.decoder.UseNumber()
-	v, err := r.value(nil, 0)
-	if err == nil {
-		if v.Kind != TableKind {
-			report(v.Pos, "holds %s, not an object", v.Kind)
-			return nil
-		}
-		if r.skipToToken(); r.tokenStart < len(text) {
-			err = errors.New("more text behind the end of the object")
-		}
-	}
+	root, err := r.document()
 	if err != nil {
-		at := r.tokenStart
-		var syntax *json.SyntaxError
-		switch {
-		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-			at, err = len(bytes.TrimRight(text, " \t\r\n")), errors.New("it ends before the object does")
-		case errors.As(err, &syntax):
-			at = max(at, int(syntax.Offset)-1)
-		}
-		report(d.Pos(at), "cannot be read: %v", err)
+		at, message := r.locate(err)
+		report(d.Pos(at), "cannot be read: %s", message)
 		return nil
 	}
-	d.Root = v.Table
+	if root.Kind != TableKind {
+		report(root.Pos, "holds %s, not an object", root.Kind)
+		return nil
+	}
+	d.Root = root.Table
 	return d
 }
 
+// Errors of a text beside the decoder's. Their texts are parts of findings.
+var (
+	errTrailingText = errors.New("more text behind the end of the object")
+	errTooDeep      = errors.New("too many lists and objects within one another")
+)
+
+// endedEarly is the message on a text that ends within its object.
+const endedEarly = "it ends before the object does"
+
+// jsonReader reads one document. The decoder gives tokens; where each begins is found in the text.
 type jsonReader struct {
 	*Document
 	report     finding.Reporter
 	decoder    *json.Decoder
-	tokenStart int // where the token that is read begins
+	tokenStart int // offset of the token that is read
+}
+
+// document reads the only value of the text, and that nothing is behind an object.
+func (j *jsonReader) document() (*Value, error) {
+	root, err := j.value(nil, 0)
+	if err != nil || root.Kind != TableKind {
+		return root, err
+	}
+	j.skipToToken()
+	if j.tokenStart < len(j.Text) {
+		return nil, errTrailingText
+	}
+	return root, nil
+}
+
+// locate is the offset of an error of the decoder, and its message.
+func (j *jsonReader) locate(err error) (at int, message string) {
+	var syntax *json.SyntaxError
+	switch {
+	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
+		return len(bytes.TrimRight(j.Text, " \t\r\n")), endedEarly
+	case errors.As(err, &syntax):
+		return max(j.tokenStart, int(syntax.Offset)-1), err.Error()
+	}
+	return j.tokenStart, err.Error()
 }
 
 // skipToToken moves to the next token's first byte.
@@ -65,6 +88,7 @@
 	return j.decoder.Token()
 }
 
+// value reads one value. depth is how many lists and objects it is within.
 func (j *jsonReader) value(path []string, depth int) (*Value, error) {
 	token, err := j.token()
 	if err != nil {
@@ -72,29 +96,21 @@
 	}
 	v := &Value{Pos: j.Pos(j.tokenStart), Start: j.tokenStart, End: int(j.decoder.InputOffset())}
 	v.Text = string(j.Text[v.Start:v.End])
-	switch x := token.(type) {
+	switch token := token.(type) {
 	case json.Delim:
 		if depth >= maxDepth {
-			return nil, errors.New("too many lists and objects within one another")
+			return nil, errTooDeep
 		}
-		if x == '{' {
+		if token == '{' {
 			return v, j.object(v, path, depth)
 		}
-		v.Kind = Array
-		for j.decoder.More() {
-			item, err := j.value(path, depth+1)
-			if err != nil {
-				return nil, err
-			}
-			v.Items = append(v.Items, item)
-		}
-		_, err = j.token()
-		return v, err
+		return v, j.array(v, path, depth)
 	case string:
-		v.Kind, v.Text = String, x
+		v.Kind = String
+		v.Text = token
 	case json.Number:
 		v.Kind = Integer
-		if bytes.ContainsAny([]byte(x), ".eE") {
+		if bytes.ContainsAny([]byte(token), ".eE") {
 			v.Kind = Float
 		}
 	case bool:
@@ -105,24 +121,40 @@
 	return v, nil
 }
 
+// array reads the items of a list and its end.
+func (j *jsonReader) array(v *Value, path []string, depth int) error {
+	v.Kind = Array
+	for j.decoder.More() {
+		item, err := j.value(path, depth+1)
+		if err != nil {
+			return err
+		}
+		v.Items = append(v.Items, item)
+	}
+	_, err := j.token()
+	return err
+}
+
+// object reads the keys of an object and its end. Of a key that stands twice the first counts.
 func (j *jsonReader) object(v *Value, path []string, depth int) error {
-	v.Kind, v.Table = TableKind, &Table{Path: path, Pos: v.Pos}
+	v.Kind = TableKind
+	v.Table = &Table{Path: path, Pos: v.Pos}
 	for j.decoder.More() {
 		token, err := j.token()
 		if err != nil {
 			return err
 		}
 		name, _ := token.(string)
-		at := j.Pos(j.tokenStart)
-		inner, err := j.value(append(path[:len(path):len(path)], name), depth+1)
+		pos := j.Pos(j.tokenStart)
+		inner, err := j.value(v.Table.pathOf(name), depth+1)
 		if err != nil {
 			return err
 		}
 		if e := v.Table.Get(name); e != nil {
-			j.report(at, "%q stands twice: first in line %d", name, e.Pos.Line)
+			j.report(pos, "%q stands twice: first in line %d", name, e.Pos.Line)
 			continue
 		}
-		v.Table.add(&Entry{Name: name, Pos: at, Value: inner})
+		v.Table.add(&Entry{Name: name, Pos: pos, Value: inner})
 	}
 	_, err := j.token()
 	return err
--- /dev/null
+++ b/internal/config/doc/quote.go
@@ -0,0 +1,62 @@
+package doc
+
+import "strings"
+
+// DottedPath writes a path as in a table's header, with quotes around the parts that are no bare key.
+func DottedPath(path []string) string {
+	parts := make([]string, len(path))
+	for i, part := range path {
+		parts[i] = QuoteKey(part)
+	}
+	return strings.Join(parts, ".")
+}
+
+// QuoteKey writes a key, with quotes around it where TOML needs them.
+func QuoteKey(key string) string {
+	if key == "" {
+		return Quote(key)
+	}
+	for i := range len(key) {
+		if !isBareKeyByte(key[i]) {
+			return Quote(key)
+		}
+	}
+	return key
+}
+
+// isBareKeyByte tells whether a byte may be in a key without quotes.
+func isBareKeyByte(c byte) bool {
+	switch {
+	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
+		return true
+	}
+	return c == '_' || c == '-'
+}
+
+// Quote writes a TOML basic string.
+func Quote(s string) string {
+	const hex = "0123456789ABCDEF"
+	var b strings.Builder
+	b.WriteByte('"')
+	for _, r := range s {
+		switch {
+		case r == '"' || r == '\\':
+			b.WriteByte('\\')
+			b.WriteRune(r)
+		case r == '\t':
+			b.WriteString(`\t`)
+		case r == '\n':
+			b.WriteString(`\n`)
+		case r == '\r':
+			b.WriteString(`\r`)
+		case r < 0x20 || r == 0x7f:
+			b.WriteString(`\u00`)
+			b.WriteByte(hex[r>>4])
+			b.WriteByte(hex[r&15])
+		default:
+			b.WriteRune(r)
+		}
+	}
+	b.WriteByte('"')
+	return b.String()
+}
--- /dev/null
+++ b/internal/config/doc/toml_tree.go
@@ -0,0 +1,207 @@
+package doc
+
+import (
+	"github.com/pelletier/go-toml/v2/unstable"
+
+	"quincegap/internal/config/finding"
+)
+
+func (r *tomlReader) expression(n *unstable.Node) {
+	switch n.Kind {
+	case unstable.Table, unstable.ArrayTable:
+		r.header(n, n.Kind == unstable.ArrayTable)
+	case unstable.KeyValue:
+		if r.table != nil {
+			r.keyValue(r.table, n, 0)
+		}
+	}
+}
+
+// offset is where a node that the parser knows the place of begins in the document.
+func (r *tomlReader) offset(n *unstable.Node) int { return r.parserStart + int(n.Raw.Offset) }
+
+// keyParts are the parts of a dotted key with the offset of each, and the offset behind the last.
+func (r *tomlReader) keyParts(it unstable.Iterator) (parts []string, starts []int, end int) {
+	for it.Next() {
+		n := it.Node()
+		parts = append(parts, string(n.Data))
+		starts = append(starts, r.offset(n))
+		end = r.offset(n) + int(n.Raw.Length)
+	}
+	return parts, starts, end
+}
+
+// header finds or makes the table that the next keys go into; list is set for an element of an array of tables. Where the header
+// contradicts the text above it, they go nowhere.
+func (r *tomlReader) header(n *unstable.Node, list bool) {
+	parts, starts, _ := r.keyParts(n.Key())
+	pos := r.Pos(starts[0])
+	r.table = nil
+	if len(parts) > maxDepth {
+		r.report(pos, "more than %d tables within one another", maxDepth)
+		return
+	}
+	t := r.Root
+	for i := range parts {
+		if t = r.headerStep(t, parts, i, list, starts[0]); t == nil {
+			return
+		}
+	}
+	if t.hasHeader || t.dotted {
+		r.report(pos, "the table [%s] stands twice: first in line %d", DottedPath(parts), t.Pos.Line)
+		// Its keys are looked at all the same, as another table's: each would be a duplicate otherwise.
+		r.table = &Table{Path: t.Path, Pos: pos}
+		return
+	}
+	t.hasHeader = true
+	t.Pos = pos
+	t.headerStart = r.lines[r.line(starts[0])]
+	t.bodyEnd = r.lineEnd(starts[0])
+	r.readEnd = t.bodyEnd
+	r.table = t
+}
+
+// headerStep follows part i of a header at an offset from a table to the one within it. It reports what contradicts the header, and
+// returns nil then.
+func (r *tomlReader) headerStep(t *Table, parts []string, i int, list bool, start int) *Table {
+	pos := r.Pos(start)
+	last := i == len(parts)-1
+	e := t.Get(parts[i])
+	if e == nil {
+		return t.addSubtable(parts[i], pos, last && list)
+	}
+	switch {
+	case isTableArray(e.Value) && last && list:
+		sub := &Table{Path: t.pathOf(parts[i]), Pos: pos, arrayElement: true}
+		e.Value.Items = append(e.Value.Items, &Value{Kind: TableKind, Pos: pos, Table: sub})
+		return sub
+	case isTableArray(e.Value) && last:
+		r.report(pos, "[%s] is a list of tables since line %d", DottedPath(parts), e.Pos.Line)
+		return nil
+	case isTableArray(e.Value):
+		return e.Value.Items[len(e.Value.Items)-1].Table
+	case e.Value.Kind != TableKind:
+		r.report(pos, "[%s] is a table, but %s has a value in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
+		return nil
+	case last && list:
+		r.report(pos, "[[%s]] is a list of tables, but a table since line %d", DottedPath(parts), e.Pos.Line)
+		return nil
+	}
+	return e.Value.Table
+}
+
+// keyValue puts a key with its value into a table. depth is how many tables and lists the table is within.
+func (r *tomlReader) keyValue(t *Table, n *unstable.Node, depth int) {
+	parts, starts, end := r.keyParts(n.Key())
+	pos := r.Pos(starts[0])
+	if depth+len(parts) > maxDepth {
+		r.report(pos, "more than %d tables within one another", maxDepth)
+		return
+	}
+	owner := t
+	for i, part := range parts[:len(parts)-1] {
+		e := t.Get(part)
+		if e == nil {
+			t.addSubtable(part, pos, false).dotted = true
+			e = t.Get(part)
+		}
+		if e.Value.Kind != TableKind || e.Value.Table.hasHeader {
+			r.report(pos, "%s cannot be set here: %s is set in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
+			return
+		}
+		t = e.Value.Table
+	}
+	name := parts[len(parts)-1]
+	if e := t.Get(name); e != nil {
+		r.report(pos, "%s stands twice: first in line %d", DottedPath(parts), e.Pos.Line)
+		return
+	}
+	for end < len(r.Text) && (r.Text[end] == ' ' || r.Text[end] == '\t' || r.Text[end] == '=') {
+		end++ // to the value
+	}
+	value := r.value(t.pathOf(name), n.Value(), end, depth+len(parts))
+	e := &Entry{
+		Name:   name,
+		Pos:    pos,
+		Value:  value,
+		Start:  r.lines[r.line(starts[0])],
+		End:    r.lineEnd(max(value.End-1, end, starts[0])),
+		prefix: string(r.Text[starts[0]:starts[len(starts)-1]]),
+	}
+	t.add(e)
+	owner.bodyEnd = max(owner.bodyEnd, e.End)
+	r.readEnd = max(r.readEnd, e.End)
+}
+
+// addSubtable adds a table that a header or a dotted key implies, or, with list, an array of tables with it as its first element.
+func (t *Table) addSubtable(name string, pos finding.Pos, list bool) *Table {
+	sub := &Table{Path: t.pathOf(name), Pos: pos, arrayElement: list}
+	v := &Value{Kind: TableKind, Pos: pos, Table: sub}
+	if list {
+		v = &Value{Kind: Array, Pos: pos, Items: []*Value{v}}
+	}
+	t.add(&Entry{Name: name, Pos: pos, Value: v, Start: generatedStart})
+	return sub
+}
+
+// isTableArray tells whether a value is an array of tables that headers made, and not one written inline.
+func isTableArray(v *Value) bool {
+	if v.Kind != Array || len(v.Items) == 0 {
+		return false
+	}
+	first := v.Items[0]
+	return first.Kind == TableKind && first.Table.arrayElement
+}
+
+// kindOfNode translates the parser's kinds of values.
+var kindOfNode = map[unstable.Kind]Kind{
+	unstable.String: String, unstable.Integer: Integer, unstable.Float: Float, unstable.Bool: Bool,
+	unstable.LocalDate: Time, unstable.LocalTime: Time, unstable.LocalDateTime: Time, unstable.DateTime: Time,
+	unstable.Array: Array, unstable.InlineTable: TableKind,
+}
+
+// value reads the value that begins at an offset. depth is how many tables and lists it is within.
+func (r *tomlReader) value(path []string, n *unstable.Node, start, depth int) *Value {
+	v := &Value{Kind: kindOfNode[n.Kind], Pos: r.Pos(start), Start: start, End: start + 1}
+	if v.Kind != Array && v.Kind != TableKind {
+		v.Start = r.offset(n)
+		v.End = v.Start + int(n.Raw.Length)
+		v.Pos = r.Pos(v.Start)
+		v.Text = string(n.Data)
+		return v
+	}
+	if depth >= maxDepth {
+		r.report(v.Pos, "more than %d lists and tables within one another", maxDepth)
+		return v
+	}
+	if v.Kind == TableKind {
+		v.Table = &Table{Path: path, Pos: v.Pos, dotted: true}
+	}
+	for it := n.Children(); it.Next(); {
+		child := it.Node()
+		switch {
+		case child.Kind == unstable.Comment:
+		case v.Kind == TableKind:
+			r.keyValue(v.Table, child, depth)
+		default:
+			item := r.value(path, child, r.childStart(child, start), depth+1)
+			v.Items = append(v.Items, item)
+			v.End = max(v.End, item.End)
+		}
+	}
+	if v.Table != nil {
+		for _, e := range v.Table.Entries {
+			v.End = max(v.End, e.Value.End)
+		}
+	}
+	return v
+}
+
+// childStart is where an item of a list begins. The parser does not say it of lists and tables, which count as beginning where the
+// outer one does.
+func (r *tomlReader) childStart(n *unstable.Node, outer int) int {
+	if n.Raw.Length > 0 {
+		return r.offset(n)
+	}
+	return outer
+}
