--- /dev/null
+++ b/internal/config/schema/decode.go
@@ -0,0 +1,234 @@
+package schema
+
+import (
+	"fmt"
+	"slices"
+
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+)
+
+// Layer is a document's table that holds tables of the schema. Where several are decoded together the later ones win, key by key.
+type Layer struct {
+	Doc   *doc.Document
+	Table *doc.Table
+	File  string
+	Pos   *finding.Pos // the position of all that it holds, for a layer that is in no file
+}
+
+// location is that of something in the layer.
+func (l Layer) location(pos finding.Pos) Location {
+	if l.Pos != nil {
+		pos = *l.Pos
+	}
+	return Location{l.File, pos}
+}
+
+// Options of Decode.
+type Options struct {
+	// Partial leaves out that keys are missing, and the checks over several keys: for a layer by itself.
+	Partial bool
+	// RequiredElsewhere are names of tables whose missing keys come from somewhere else.
+	RequiredElsewhere []string
+	// OtherTables are names of tables that are beside the schema's.
+	OtherTables []string
+}
+
+// decoding is one run of Decode.
+type decoding struct {
+	*File
+	options Options
+	found   *finding.List
+}
+
+// Decode reads layers, the lowest first, and reports all that is wrong with them. With findings the file is not to be used, but more
+// faults may be found in it. Layers without a table are ignored.
+func (s *Schema) Decode(found *finding.List, o Options, layers ...Layer) *File {
+	d := decoding{
+		File: &File{
+			schema:   s,
+			values:   map[string]any{},
+			names:    map[string][]string{},
+			settings: map[string]*Setting{},
+			tables:   map[string]Location{},
+		},
+		options: o,
+		found:   found,
+	}
+	before := found.Len()
+	for _, l := range layers {
+		if l.Table != nil {
+			d.root = l.location(l.Table.Pos)
+			d.layer(l)
+		}
+	}
+	if o.Partial {
+		return d.File
+	}
+	for _, t := range s.Tables {
+		if !slices.Contains(o.RequiredElsewhere, t.Name) {
+			d.reportMissing(t)
+		}
+	}
+	if found.Len() > before {
+		return d.File // a check over keys that could not be read would mislead
+	}
+	for _, t := range s.Tables {
+		if t.check != nil {
+			d.check(t)
+		}
+	}
+	return d.File
+}
+
+// layer reads the tables of one layer.
+func (d *decoding) layer(l Layer) {
+	report := d.found.ForFile(l.File)
+	for _, e := range l.Table.Entries {
+		t := d.schema.byName[e.Name]
+		switch {
+		case t == nil:
+			d.reportUnknown(e, report)
+		case e.Value.Kind != doc.TableKind:
+			report(e.Pos, "%s is a table: write [%s] and each of its keys in a line below", e.Name, t.headerName())
+		case t.Named:
+			d.tables[t.Name] = l.location(e.Pos)
+			d.namedTables(l, t, e.Value.Table, report)
+		default:
+			d.table(l, t, t.path(""), e.Value.Table, report)
+		}
+	}
+}
+
+// reportUnknown reports an entry at the top of a layer that is none of the schema's tables.
+func (d *decoding) reportUnknown(e *doc.Entry, report finding.Reporter) {
+	if slices.Contains(d.options.OtherTables, e.Name) {
+		return
+	}
+	if e.Value.Kind == doc.TableKind {
+		report(e.Pos, "%s", finding.UnknownName("table", e.Name, append(d.schema.tableNames(), d.options.OtherTables...)))
+		return
+	}
+	if header := d.schema.tableOfKey(e.Name); header != "" {
+		report(e.Pos, "%s belongs under [%s]", e.Name, header)
+		return
+	}
+	report(e.Pos, "%s", finding.UnknownName("key", e.Name, append(d.schema.tableNames(), d.schema.keyNames()...)))
+}
+
+// namedTables reads the tables [NAME.ANY] of one layer.
+func (d *decoding) namedTables(l Layer, t *Table, all *doc.Table, report finding.Reporter) {
+	for _, e := range all.Entries {
+		if e.Value.Kind != doc.TableKind {
+			report(e.Pos, "%s is to stand in a table of its own, [%s]", e.Name, t.headerName())
+			continue
+		}
+		path := t.path(e.Name)
+		if t.nameFault != nil {
+			if fault := t.nameFault(e.Name); fault != "" {
+				report(e.Pos, "%s%s", messagePrefix(path), fault)
+			}
+		}
+		if !slices.Contains(d.names[t.Name], e.Name) {
+			d.names[t.Name] = append(d.names[t.Name], e.Name)
+		}
+		d.table(l, t, path, e.Value.Table, report)
+	}
+}
+
+// table fills the value of one table.
+func (d *decoding) table(l Layer, t *Table, path []string, table *doc.Table, report finding.Reporter) {
+	id := valueID(path...)
+	value := d.values[id]
+	if value == nil {
+		value = t.newValue()
+		d.values[id] = value
+	}
+	d.tables[doc.DottedPath(path)] = l.location(table.Pos)
+	for _, e := range table.Entries {
+		k := t.byName[e.Name]
+		if k == nil {
+			d.reportUnknownKey(t, path, e, report)
+			continue
+		}
+		setting := &Setting{Path: keyPath(path, e.Name), Key: k, Location: l.location(e.Pos)}
+		var fault string
+		setting.Canonical, fault = k.decode(value, e.Value)
+		if fault != "" {
+			report(e.Value.Pos, "%s%s", messagePrefix(setting.Path), fault)
+		}
+		if e.Value.End > e.Value.Start {
+			setting.Raw = string(l.Doc.Text[e.Value.Start:e.Value.End])
+		}
+		// Kept with a fault too: the key is not missing.
+		d.settings[setting.ID()] = setting
+	}
+}
+
+func (d *decoding) reportUnknownKey(t *Table, path []string, e *doc.Entry, report finding.Reporter) {
+	if header := d.schema.tableOfKey(e.Name); header != "" {
+		report(e.Pos, "%s has no key %s; it belongs under [%s]", tableHeader(path), e.Name, header)
+		return
+	}
+	report(e.Pos, "%s", finding.UnknownName("key", e.Name, t.keyNames())+" in "+tableHeader(path))
+}
+
+// reportMissing reports required keys of a table that no layer has.
+func (d *decoding) reportMissing(t *Table) {
+	if t.Required && len(d.names[t.Name]) == 0 {
+		d.found.Add(d.root.File, d.root.Pos, "there is no [%s]: at least one is needed", t.headerName())
+	}
+	for _, path := range d.pathsOf(t) {
+		for _, k := range t.Keys {
+			if d.isMissing(path, k) {
+				d.reportMissingKey(doc.DottedPath(path), k)
+			}
+		}
+	}
+}
+
+func (d *decoding) isMissing(table []string, k *Key) bool {
+	if !k.Required || d.settings[keyID(table, k)] != nil {
+		return false
+	}
+	return k.optionalWhen == nil || !k.optionalWhen(d.File)
+}
+
+func (d *decoding) reportMissingKey(table string, k *Key) {
+	location, ok := d.tables[table]
+	if !ok {
+		d.found.Add(d.root.File, d.root.Pos, "there is no [%s], whose key %s is needed, like %s = %s", table, k.Name, k.Name, k.Example)
+		return
+	}
+	d.found.Add(location.File, location.Pos, "[%s] lacks the key %s, like %s = %s", table, k.Name, k.Name, k.Example)
+}
+
+// check runs the check over several keys of a table, also of one that the file does not have.
+func (d *decoding) check(t *Table) {
+	if !t.Named {
+		value, ok := d.values[valueID(t.Name)]
+		if !ok {
+			value = t.newValue()
+		}
+		t.check(d.File, "", value, d.keyReporter(t.path("")))
+		return
+	}
+	for _, name := range d.names[t.Name] {
+		path := t.path(name)
+		t.check(d.File, name, d.values[valueID(path...)], d.keyReporter(path))
+	}
+}
+
+// keyReporter is a Reporter for the keys of the table at a path.
+func (d *decoding) keyReporter(table []string) Reporter {
+	return func(key, format string, args ...any) {
+		path := keyPath(table, key)
+		location := d.Location(path...)
+		d.found.Add(location.File, location.Pos, "%s%s", messagePrefix(path), fmt.Sprintf(format, args...))
+	}
+}
+
+// messagePrefix names a setting at the head of a message.
+func messagePrefix(path []string) string { return doc.DottedPath(path) + ": " }
+
+func tableHeader(path []string) string { return "[" + doc.DottedPath(path) + "]" }
--- /dev/null
+++ b/internal/config/schema/doc.go
@@ -0,0 +1,19 @@
+// Package schema declares the keys of a configuration file, each once: its type, default, bounds, help and when a change of it takes
+// effect. Decoding, checks, the reference page, the sample file and the comments in derived files all come from these declarations.
+// The package does no I/O and holds no state: a Schema is made at the start of a program and not changed after.
+//
+// A subsystem declares a table with the struct that it fills:
+//
+//	type Callers struct{ IdleTimeout time.Duration }
+//
+//	var CallersTable = schema.NewTable("callers", "Connections from callers.",
+//		schema.Duration("idle_timeout", func(c *Callers) *time.Duration { return &c.IdleTimeout },
+//			schema.Bounds[time.Duration]{Default: 30 * time.Second, Min: time.Second, Max: time.Hour},
+//			schema.AtStart, "How long a connection may stand idle."))
+//
+// and after file := s.Decode(...) reads it with CallersTable.In(file). A file comes in layers, of which the later win key by key:
+//
+//	documents --> Decode: each layer's keys --> missing keys --> checks over several keys --> File
+//	                         |                      |                     |
+//	                      findings               findings       findings, if there are none yet
+package schema
--- a/internal/config/schema/render.go
+++ b/internal/config/schema/render.go
@@ -17,20 +17,20 @@
 		}
 		b.WriteString("\n\n| key | type | default | changes at | meaning |\n| --- | --- | --- | --- | --- |\n")
 		for _, k := range t.Keys {
-			sort := k.Type
+			typeName := k.Type
 			if k.Bounds != "" {
-				sort += ", " + strings.ReplaceAll(k.Bounds, `"`, "")
+				typeName += ", " + strings.ReplaceAll(k.Bounds, `"`, "")
 			}
-			preset := "`" + k.Default + "`"
+			defaultText := "`" + k.Default + "`"
 			switch {
 			case k.Required:
-				preset = "needed, like `" + k.Example + "`"
+				defaultText = "needed, like `" + k.Example + "`"
 			case k.Default == "" && k.Example != "":
-				preset = "none; like `" + k.Example + "`"
+				defaultText = "none; like `" + k.Example + "`"
 			case k.Default == "":
-				preset = "none"
+				defaultText = "none"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.Name, sort, preset, k.Change, k.Help)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.Name, typeName, defaultText, k.Change, k.Help)
 		}
 	}
 	return b.String()
@@ -41,23 +41,23 @@
 func (s *Schema) Sample() string {
 	var b strings.Builder
 	for _, t := range s.Tables {
-		needed := t.Required
+		required := t.Required
 		for _, k := range t.Keys {
-			needed = needed || k.Required && !t.Named
+			required = required || k.Required && !t.Named
 		}
 		path := []string{t.Name}
 		if t.Named {
 			path = append(path, t.ExampleName)
 		}
-		mark := "# "
-		if needed {
-			mark = ""
+		comment := "# "
+		if required {
+			comment = ""
 		}
-		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", t.Help, mark, doc.DottedPath(path))
+		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", t.Help, comment, doc.DottedPath(path))
 		for _, k := range t.Keys {
 			fmt.Fprintf(&b, "# %s\n", k.Help)
 			switch {
-			case k.Required && needed:
+			case k.Required && required:
 				fmt.Fprintf(&b, "%s = %s\n", k.Name, k.Example)
 			case k.Required || k.Default == "":
 				fmt.Fprintf(&b, "# %s = %s\n", k.Name, k.Example)
@@ -69,20 +69,24 @@
 	return b.String()
 }
 
-// StringOptions writes the keys that a file sets, in the schema's order, each below its help.
+// Text writes the keys that a file sets, in the schema's order, each below its help.
 func (f *File) Text() string {
 	var b strings.Builder
-	at := ""
+	lastHeader := ""
 	for _, s := range f.Settings() {
-		if head := doc.DottedPath(s.Path[:len(s.Path)-1]); head != at {
-			at = head
-			fmt.Fprintf(&b, "\n# %s\n[%s]\n", f.schema.Table(s.Path[0]).Help, head)
+		if header := doc.DottedPath(s.Path[:len(s.Path)-1]); header != lastHeader {
+			lastHeader = header
+			fmt.Fprintf(&b, "\n# %s\n[%s]\n", f.schema.Table(s.Path[0]).Help, header)
 		}
-		raw := s.Raw
-		if raw == "" || strings.ContainsAny(raw, "\r\n") {
-			raw = s.Canonical
-		}
-		fmt.Fprintf(&b, "# %s\n%s = %s\n", s.Key.Help, doc.QuoteKey(s.Key.Name), raw)
+		fmt.Fprintf(&b, "# %s\n%s = %s\n", s.Key.Help, doc.QuoteKey(s.Key.Name), s.OneLine())
 	}
 	return b.String()
 }
+
+// OneLine is the setting's value as TOML: as it is written, or its canonical form where that takes several lines.
+func (s *Setting) OneLine() string {
+	if s.Raw == "" || strings.ContainsAny(s.Raw, "\r\n") {
+		return s.Canonical
+	}
+	return s.Raw
+}
--- /dev/null
+++ b/internal/config/schema/size.go
@@ -0,0 +1,70 @@
+package schema
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+
+	"quincegap/internal/config/doc"
+)
+
+// sizeUnits are the units of sizes, the largest first.
+var sizeUnits = []struct {
+	unit  string
+	bytes int64
+}{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
+
+// Size is a key whose value is a number of bytes with its unit.
+func Size[T any](name string, field func(*T) *int64, b Bounds[int64], change Change, help string) KeyOf[T] {
+	return numberKey(name, "size", field, b, change, help, readSize, func(n int64) string {
+		for _, s := range sizeUnits {
+			if n%s.bytes == 0 && (n != 0 || s.bytes == 1) {
+				return doc.Quote(strconv.FormatInt(n/s.bytes, 10) + s.unit)
+			}
+		}
+		return ""
+	})
+}
+
+// misspeltSizeUnits maps units that people write to those that are read.
+var misspeltSizeUnits = map[string]string{
+	"b": "B",
+	"K": "KiB", "KB": "KiB", "k": "KiB", "kB": "KiB", "kb": "KiB", "kib": "KiB",
+	"M": "MiB", "MB": "MiB", "m": "MiB", "mb": "MiB", "mib": "MiB",
+	"G": "GiB", "GB": "GiB", "g": "GiB", "gb": "GiB", "gib": "GiB",
+}
+
+// readSize reads a number of bytes, or says what is wrong with it.
+func readSize(v *doc.Value) (int64, string) {
+	const want = `a size with its unit (like "64KiB" or "32MiB")`
+	switch v.Kind {
+	case doc.Integer, doc.Float:
+		return 0, fmt.Sprintf("%s has no unit; write \"%sB\", \"%sKiB\" or \"%sMiB\"", quoteValue(v), v.Text, v.Text, v.Text)
+	case doc.String:
+	default:
+		return 0, wrongKind(v, want)
+	}
+	unit := strings.TrimLeft(v.Text, "+-0123456789._")
+	digits := strings.TrimSuffix(v.Text, unit)
+	for _, s := range sizeUnits {
+		if unit != s.unit {
+			continue
+		}
+		n, err := strconv.ParseInt(digits, 10, 64)
+		switch {
+		case err != nil && strings.ContainsAny(digits, "._"):
+			return 0, fmt.Sprintf("%s is not a whole number of %s", quoteValue(v), s.unit)
+		case err != nil || n > math.MaxInt64/s.bytes || n < math.MinInt64/s.bytes:
+			return 0, fmt.Sprintf("%s is no size that can be used", quoteValue(v))
+		}
+		return n * s.bytes, ""
+	}
+	switch trimmed := strings.TrimSpace(unit); {
+	case unit == "":
+		return 0, fmt.Sprintf("%s has no unit; write B, KiB, MiB or GiB behind it", quoteValue(v))
+	case misspeltSizeUnits[trimmed] != "":
+		return 0, fmt.Sprintf("%s has the unknown unit %q; did you mean %q?", quoteValue(v), trimmed, misspeltSizeUnits[trimmed])
+	}
+	return 0, fmt.Sprintf("%s is no size; units are B, KiB, MiB and GiB, as in \"64KiB\"", quoteValue(v))
+}
--- /dev/null
+++ b/internal/config/schema/text.go
@@ -0,0 +1,84 @@
+package schema
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+)
+
+// StringOptions is a string's default and what it may be.
+type StringOptions struct {
+	Default  string
+	Required bool
+	Example  string // as it is, without quotes
+	Type     string // in words; "string" if empty
+	Bounds   string // in words
+	// Fault says what is wrong with a value, or "". It may be nil.
+	Fault func(string) string
+}
+
+// MaxStringBytes bounds a string, in bytes.
+const MaxStringBytes = 4096
+
+// String is a key whose value is a string that is not empty and has no control characters.
+func String[T any](name string, field func(*T) *string, s StringOptions, change Change, help string) KeyOf[T] {
+	k := &Key{Name: name, Type: cmp.Or(s.Type, "string"), Bounds: s.Bounds, Help: help, Change: change, Required: s.Required}
+	if s.Example != "" {
+		k.Example = doc.Quote(s.Example)
+	}
+	if s.Default != "" {
+		k.Default = doc.Quote(s.Default)
+	}
+	k.setDefault = func(target any) { *field(target.(*T)) = s.Default }
+	k.decode = func(target any, v *doc.Value) (string, string) {
+		switch {
+		case v.Kind != doc.String:
+			return "", wrongKind(v, "a string")
+		case len(v.Text) > MaxStringBytes:
+			return "", fmt.Sprintf("has %d bytes; at most %d are read", len(v.Text), MaxStringBytes)
+		case strings.ContainsFunc(v.Text, func(r rune) bool { return r < 0x20 || r == 0x7f }):
+			return "", "has a control character in it"
+		case v.Text == "":
+			return "", "is empty; leave the key out instead"
+		case s.Fault != nil:
+			if fault := s.Fault(v.Text); fault != "" {
+				return "", quoteValue(v) + " " + fault
+			}
+		}
+		*field(target.(*T)) = v.Text
+		return doc.Quote(v.Text), ""
+	}
+	return KeyOf[T]{k}
+}
+
+// Choice is a key whose value is one of several words. required makes it one that has to be set.
+func Choice[T any, S ~string](name string, field func(*T) *S, words []S, preset S, required bool, change Change, help string) KeyOf[T] {
+	names := make([]string, len(words))
+	for i, w := range words {
+		names[i] = string(w)
+	}
+	k := &Key{
+		Name: name, Type: "word", Bounds: strings.Join(names, ", "), Help: help, Change: change, Required: required,
+		Example: doc.Quote(names[0]),
+	}
+	if preset != "" {
+		k.Default = doc.Quote(string(preset))
+	}
+	k.setDefault = func(target any) { *field(target.(*T)) = preset }
+	k.decode = func(target any, v *doc.Value) (string, string) {
+		if v.Kind != doc.String {
+			return "", wrongKind(v, "one of "+strings.Join(names, ", "))
+		}
+		for _, w := range words {
+			if v.Text == string(w) {
+				*field(target.(*T)) = w
+				return doc.Quote(v.Text), ""
+			}
+		}
+		return "", finding.UnknownName("word", v.Text, names)
+	}
+	return KeyOf[T]{k}
+}
