--- /dev/null
+++ b/internal/config/appfile/class.go
@@ -0,0 +1,99 @@
+package appfile
+
+import (
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+)
+
+// Class is a class of request that the application serves.
+type Class struct {
+	LatencyTarget   time.Duration
+	Deadline        time.Duration // of the client, over all its attempts
+	Value           float64       // of an answer in time, beside those of other classes
+	LateValueShare  float64       // of the value, after the latency target
+	Idempotency     balancer.Idempotency
+	KeyScope        balancer.KeyScope
+	KeyWindow       time.Duration // how long repeats of a key are dropped, from the first attempt
+	OnMemoryFailure MemoryFailurePolicy
+}
+
+// MemoryFailurePolicy says what happens to requests of a class that cannot be recorded on disk.
+type MemoryFailurePolicy string
+
+// The choices.
+const (
+	ContinueWithoutMemory MemoryFailurePolicy = "go-on"
+	RejectWithoutMemory   MemoryFailurePolicy = "refuse"
+)
+
+// ClassTable is [class.NAME].
+var ClassTable = schema.NewNamed("class", "class", "find-trip", "A class of request that the application serves, by the name in X-Lane.",
+	schema.Duration("aim", func(c *Class) *time.Duration { return &c.LatencyTarget },
+		schema.Bounds[time.Duration]{Min: time.Millisecond, Max: time.Hour, Required: true, Example: `"2500ms"`}, schema.AtStart,
+		"An answer within this time is worth all."),
+	schema.Duration("deadline", func(c *Class) *time.Duration { return &c.Deadline },
+		schema.Bounds[time.Duration]{Min: 50 * time.Millisecond, Max: time.Hour, Required: true, Example: `"6s"`}, schema.AtStart,
+		"How long a client waits, over all its tries."),
+	schema.Choice("effect", func(c *Class) *balancer.Idempotency { return &c.Idempotency },
+		[]balancer.Idempotency{balancer.Idempotent, balancer.IdempotentWithKey, balancer.NonIdempotent}, "", true, schema.AtStart,
+		"safe: may run any number of times; keyed: endpoints drop repeats of an Idempotency-Key; unsafe: must not run twice."),
+	schema.Choice("key_scope", func(c *Class) *balancer.KeyScope { return &c.KeyScope },
+		[]balancer.KeyScope{balancer.KeyScopeCell, balancer.KeyScopeZone, balancer.KeyScopeAll}, "", false, schema.AtStart,
+		"Of a keyed class: which endpoints drop the repeats, those of one cell, of one zone, or all."),
+	schema.Duration("key_window", func(c *Class) *time.Duration { return &c.KeyWindow },
+		schema.Bounds[time.Duration]{Min: 0, Max: 24 * time.Hour, Optional: true, Example: `"10s"`}, schema.AtStart,
+		"Of a keyed class: how long after the first attempt repeats are dropped."),
+	schema.Float("worth", func(c *Class) *float64 { return &c.Value },
+		schema.Bounds[float64]{Default: 1, Min: 0, Max: 1e6}, schema.AtStart,
+		"What an answer is worth beside one of another class, when not all can be served."),
+	schema.Float("late_worth", func(c *Class) *float64 { return &c.LateValueShare },
+		schema.Bounds[float64]{Default: 0, Min: 0, Max: 1}, schema.AtStart,
+		"The share of that which an answer after the aim still has."),
+	schema.Choice("without_memory", func(c *Class) *MemoryFailurePolicy { return &c.OnMemoryFailure }, []MemoryFailurePolicy{ContinueWithoutMemory, RejectWithoutMemory}, ContinueWithoutMemory, false, schema.AtStart,
+		"Of a class that is not safe, where memory.memory_dir is set and the disk does not take what has to be remembered: go-on: its attempts go out all the same, and the log says so; refuse: it is refused until the disk is well."),
+).RequireOne().CheckNames(nameFault).Check(checkClass)
+
+// checkClass checks the keys of one class beside one another.
+func checkClass(f *schema.File, name string, c *Class, report schema.Reporter) {
+	isSet := func(key string) bool { return f.Setting("class", name, key) != nil }
+	keyed := c.Idempotency == balancer.IdempotentWithKey
+	switch {
+	case c.LatencyTarget > c.Deadline:
+		report("aim", "%s is longer than the deadline of %s", schema.FormatDuration(c.LatencyTarget), schema.FormatDuration(c.Deadline))
+	case keyed && c.KeyScope == "":
+		report("key_scope", "missing: a keyed class has to say which endpoints drop repeats, cell, zone or all")
+	case keyed && !isSet("key_window"):
+		report("key_window", "missing: a keyed class has to say how long repeats are dropped")
+	case !keyed && isSet("key_scope"):
+		report("key_scope", "means nothing: the effect is %s, not keyed", c.Idempotency)
+	case !keyed && isSet("key_window"):
+		report("key_window", "means nothing: the effect is %s, not keyed", c.Idempotency)
+	case keyed && c.KeyWindow < c.Deadline:
+		report("key_window", "%s is shorter than the %s in which attempts may go out (the deadline): a late one would run twice",
+			schema.FormatDuration(c.KeyWindow), schema.FormatDuration(c.Deadline))
+	}
+}
+
+// Tenant is one of several customers that share the application.
+type Tenant struct {
+	QuotaPerSecond float64 // requests a second, over all sidecars
+}
+
+// TenantTable is [tenant.NAME].
+var TenantTable = schema.NewNamed("tenant", "tenant", "north-clinics", "A customer that shares the application with others, by the name in X-Org.",
+	schema.Float("quota_per_s", func(t *Tenant) *float64 { return &t.QuotaPerSecond },
+		schema.Bounds[float64]{Min: 0, Max: 1e9, Required: true, Example: "50"}, schema.AtStart,
+		"Requests a second within its share, over all sidecars; what goes beyond is worth little."),
+).CheckNames(nameFault)
+
+// unknownClass is the message on a class that a file does not serve.
+func unknownClass(f *schema.File, class string) string {
+	var names []string
+	for _, c := range ClassTable.All(f) {
+		names = append(names, c.Name)
+	}
+	return finding.UnknownName("class", class, names)
+}
--- /dev/null
+++ b/internal/config/appfile/faults.go
@@ -0,0 +1,41 @@
+package appfile
+
+import "strings"
+
+// The bounds of names, in bytes.
+const (
+	maxHostNameBytes  = 253 // RFC 1123, section 2.1
+	maxHostLabelBytes = 63
+	maxNameBytes      = 128
+	maxSeedDigits     = 16
+)
+
+// HostNameFault says why a text is no host name (RFC 1123, section 2.1), or "".
+func HostNameFault(s string) string {
+	if len(s) > maxHostNameBytes {
+		return "is longer than the 253 characters of a host name"
+	}
+	for label := range strings.SplitSeq(s, ".") {
+		if label == "" || len(label) > maxHostLabelBytes || strings.HasPrefix(label, "-") || strings.HasSuffix(label, "-") ||
+			strings.Trim(label, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
+			return "is no host name in small letters, like slot-keeper.example.org"
+		}
+	}
+	return ""
+}
+
+// nameFault says why a text is no name of a class, call, host or the like, or "".
+func nameFault(s string) string {
+	if len(s) > maxNameBytes || strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_.-") != "" || s == "" {
+		return "is no name of up to 128 letters, digits, dots, - and _"
+	}
+	return ""
+}
+
+// seedFault says why a text is no seed, or "".
+func seedFault(s string) string {
+	if len(s) > maxSeedDigits || strings.Trim(s, "0123456789abcdefABCDEF") != "" {
+		return "is no hexadecimal number of up to 16 digits"
+	}
+	return ""
+}
--- a/internal/config/appfile/lists.go
+++ b/internal/config/appfile/lists.go
@@ -17,11 +17,11 @@
 }
 
 // AddressListFault says why a text is no list of one to so many host:port, or "".
-func AddressListFault(most int) func(text string) string {
+func AddressListFault(maxAddresses int) func(text string) string {
 	return func(text string) string {
 		all := SplitList(text)
-		if len(all) == 0 || len(all) > most {
-			return fmt.Sprintf("names no address, or more than %d", most)
+		if len(all) == 0 || len(all) > maxAddresses {
+			return fmt.Sprintf("names no address, or more than %d", maxAddresses)
 		}
 		for _, a := range all {
 			if host, port, err := net.SplitHostPort(a); err != nil || host == "" || strings.Trim(port, "0123456789") != "" || port == "" {
@@ -34,7 +34,7 @@
 
 // ServiceNameFault says why a text is no name of a service in a catalogue, or "".
 func ServiceNameFault(text string) string {
-	if strings.ContainsAny(text, "/?#% \"`\\") || len(text) > 128 {
+	if strings.ContainsAny(text, "/?#% \"`\\") || len(text) > maxNameBytes {
 		return "is no name of a service"
 	}
 	return ""
