--- a/internal/config/apps/addresses.go
+++ b/internal/config/apps/addresses.go
@@ -9,23 +9,23 @@
 	"quincegap/internal/config/schema"
 )
 
-// addressUse is one address that a file names: where a sidecar takes connections, or where it asks.
+// addressUse is one address that a file names: where a sidecar listens, or which it dials.
 type addressUse struct {
 	key     addressKey
 	text    string
 	network string // tcp, udp or unix
-	host    string // "*" for all of a machine, a path with unix
+	host    string // "*" for all of a machine; a path with unix
 	port    string
-	local   bool // it means the machine itself, and is nobody else's
+	local   bool // it means the machine itself, and is no other machine's
 }
 
 // addressKey is a key of the product's file that holds addresses.
 type addressKey struct {
 	table, name string
 	network     string
-	dials       bool // it is asked there; the others listen
-	list        bool // several, divided by commas
-	purpose     string
+	dials       bool   // the sidecar connects to it; else it listens there
+	list        bool   // it holds several, separated by commas
+	purpose     string // what a sidecar does there, in messages
 }
 
 // addressKeys are all keys that hold addresses of processes.
@@ -60,6 +60,7 @@
 	return all
 }
 
+// newAddressUse normalizes an address; it is false for one that cannot be compared.
 func newAddressUse(k addressKey, text string) (addressUse, bool) {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		return addressUse{key: k, text: text, network: "unix", host: path, local: true}, true
@@ -129,57 +130,3 @@
 		}
 	}
 }
-
-// checkAddresses reports addresses that applications would take from one another, and those where one asks what only
-// another one's callers are served. Those of one file are checked with that file.
-func (g *graph) checkAddresses() {
-	type of struct {
-		addressUse
-		node *node
-	}
-	type place struct{ host, ip, network, port string }
-	// What can meet an address stands at its machine or, where it is no machine's own, at the address itself. Who
-	// only asks stands apart: thousands may ask at one place.
-	listens, asks := map[place][]of{}, map[place][]of{}
-	places := func(n *node, u addressUse) []place {
-		all := []place{{host: n.sidecar.Host, network: u.network, port: u.port}}
-		if !u.local {
-			all = append(all, place{"", u.host, u.network, u.port})
-		}
-		return all
-	}
-	first := func(n *node, u addressUse) (of, string) {
-		for _, at := range places(n, u) {
-			for _, met := range []map[place][]of{listens, asks} {
-				if u.key.dials {
-					met = listens
-				}
-				for _, o := range met[at] {
-					if why := conflict(u, o.addressUse, o.node.Name); why != "" && u.overlaps(o.addressUse) {
-						return o, why
-					}
-				}
-			}
-		}
-		return of{}, ""
-	}
-	for _, n := range g.nodes {
-		own := addressesOf(n.File)
-		for _, u := range own {
-			if o, why := first(n, u); why != "" {
-				at := n.File.Location(u.key.table, u.key.name)
-				g.found.Add(at.File, at.Pos, "%s.%s: %s %s (%s)", u.key.table, u.key.name, u.text, why,
-					o.node.File.Location(o.key.table, o.key.name))
-			}
-		}
-		for _, u := range own {
-			kind := listens
-			if u.key.dials {
-				kind = asks
-			}
-			for _, at := range places(n, u) {
-				kind[at] = append(kind[at], of{u, n})
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/config/apps/adopt.go
@@ -0,0 +1,60 @@
+package apps
+
+import (
+	"strings"
+
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+)
+
+// Adopt takes the edits of derived files back into apps.toml, and returns its new text. With findings that is not to be used.
+func (m *Model) Adopt(states []*FileState, found *finding.List) []byte {
+	d := m.Doc
+	for _, state := range states {
+		for _, e := range state.Edits {
+			if m.isAdoptable(d, state.App, e, found) {
+				d = adopt(d, state.App, e)
+			}
+		}
+	}
+	return d.Text
+}
+
+// inherited is the value of an edited key under [defaults], or nil.
+func inherited(d *doc.Document, e Edit) *doc.Entry {
+	return d.Root.Lookup(append([]string{layerDefaults}, e.Path...)...)
+}
+
+// ownPath is the path of an edited key under the application's own table.
+func ownPath(app *App, e Edit) []string { return append([]string{layerApps, app.Name}, e.Path...) }
+
+// isAdoptable reports an edit that cannot be adopted.
+func (m *Model) isAdoptable(d *doc.Document, app *App, e Edit, found *finding.List) bool {
+	byDefault := inherited(d, e)
+	switch {
+	case e.Conflicting:
+		found.Add(e.Location.File, e.Location.Pos, "%s: edited by hand, and changed in %s since; settle it in one of the two", e.ID(), m.FileName)
+	case e.ID() == "sidecar.application":
+		found.Add(e.Location.File, e.Location.Pos, "the application's name cannot be adopted: it is its table's in %s", m.FileName)
+	case e.Raw == "" && d.Root.Lookup(ownPath(app, e)...) == nil && byDefault != nil:
+		found.Add(e.Location.File, e.Location.Pos, "%s comes from [defaults] in line %d of %s and cannot be taken away for one application; set it to another value",
+			e.ID(), byDefault.Pos.Line, m.FileName)
+	default:
+		return true
+	}
+	return false
+}
+
+// adopt is apps.toml with one edit. A key that is set to its default again is removed from the application's own table.
+func adopt(d *doc.Document, app *App, e Edit) *doc.Document {
+	path := ownPath(app, e)
+	byDefault := inherited(d, e)
+	isDefault := byDefault != nil && byDefault.Value.Text == unquoted(e.Raw)
+	if e.Raw == "" || isDefault && d.Root.Lookup(path...) != nil {
+		return readAgain(d.Delete(path))
+	}
+	return readAgain(d.Set(path, e.Raw))
+}
+
+// unquoted is the text of a TOML value without the quotes of a string.
+func unquoted(raw string) string { return strings.Trim(raw, `"'`) }
--- /dev/null
+++ b/internal/config/apps/components.go
@@ -0,0 +1,184 @@
+package apps
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+const (
+	// maxCyclesSpelledOut bounds the rings of a component that are told step by step: each costs a search.
+	maxCyclesSpelledOut = 10
+	// maxStepsTold bounds the calls of a ring that are told; of a longer one the first three and the last two are.
+	maxStepsTold   = 6
+	firstStepsTold = 3
+	lastStepsTold  = 2
+)
+
+// findComponents finds applications that call each other, in one step or several, and checks that every call of such a ring says so.
+func (g *graph) findComponents() {
+	search := componentSearch{index: map[*node]int{}, lowest: map[*node]int{}, onStack: map[*node]bool{}}
+	for _, n := range g.nodes {
+		if search.index[n] == 0 {
+			search.from(n)
+		}
+	}
+	g.components = search.components
+	slices.Reverse(g.components) // Tarjan's algorithm finds callees first
+	for i, component := range g.components {
+		for _, n := range component {
+			n.component = i
+		}
+	}
+	for _, component := range g.components {
+		g.checkComponent(component)
+	}
+}
+
+// componentSearch finds strongly connected components with Tarjan's algorithm. It keeps a stack of its own instead of recursion, since
+// chains of calls may have tens of thousands of applications.
+type componentSearch struct {
+	index      map[*node]int // in the order of visits, from 1
+	lowest     map[*node]int // the least index that can be reached by way of the stack
+	stack      []*node       // visited, and not yet in a component
+	onStack    map[*node]bool
+	visits     []visit
+	components [][]*node
+}
+
+// visit is a node whose calls are being followed.
+type visit struct {
+	node *node
+	next int // index of the call that is followed next
+}
+
+// from searches everything that can be reached from a node and has not been visited.
+func (c *componentSearch) from(root *node) {
+	c.visits = []visit{{node: root}}
+	for len(c.visits) > 0 {
+		v := &c.visits[len(c.visits)-1]
+		if v.next == 0 {
+			c.enter(v.node)
+		}
+		if v.next < len(v.node.calls) {
+			to := v.node.calls[v.next].to
+			v.next++
+			c.follow(v.node, to)
+			continue
+		}
+		c.leave(v.node)
+	}
+}
+
+func (c *componentSearch) enter(n *node) {
+	c.index[n] = len(c.index) + 1
+	c.lowest[n] = c.index[n]
+	c.stack = append(c.stack, n)
+	c.onStack[n] = true
+}
+
+func (c *componentSearch) follow(n, to *node) {
+	if c.index[to] == 0 {
+		c.visits = append(c.visits, visit{node: to})
+		return
+	}
+	if c.onStack[to] {
+		c.lowest[n] = min(c.lowest[n], c.index[to])
+	}
+}
+
+// leave ends the visit of a node. Where nothing visited before it can be reached from it, it and all above it on the stack are a
+// component.
+func (c *componentSearch) leave(n *node) {
+	c.visits = c.visits[:len(c.visits)-1]
+	if len(c.visits) > 0 {
+		caller := c.visits[len(c.visits)-1].node
+		c.lowest[caller] = min(c.lowest[caller], c.lowest[n])
+	}
+	if c.lowest[n] != c.index[n] {
+		return
+	}
+	start := len(c.stack) - 1
+	for c.stack[start] != n {
+		start--
+	}
+	component := slices.Clone(c.stack[start:])
+	c.stack = c.stack[:start]
+	for _, member := range component {
+		c.onStack[member] = false
+	}
+	c.components = append(c.components, component)
+}
+
+// internalCalls are the calls of a component that stay in it.
+func internalCalls(component []*node) (all []*edge) {
+	for _, n := range component {
+		for _, e := range n.calls {
+			if e.staysInComponent() {
+				all = append(all, e)
+			}
+		}
+	}
+	return all
+}
+
+// checkComponent checks that the calls of a ring, and no others, state one and the same mutual_depth.
+func (g *graph) checkComponent(component []*node) {
+	calls := internalCalls(component)
+	var first *edge // that states a depth
+	for _, e := range calls {
+		e.from.cyclic = true
+		if e.call.MutualDepth > 0 && first == nil {
+			first = e
+		}
+	}
+	spelledOut := 0
+	for _, e := range calls {
+		switch {
+		case e.call.MutualDepth == 0:
+			cycle := "the two call each other in a ring"
+			if spelledOut++; spelledOut <= maxCyclesSpelledOut {
+				cycle = describeCycle(e)
+			}
+			e.report(g.found, "to", "%s; if that is meant, every call of the ring states it with the same mutual_depth", cycle)
+		case e.call.MutualDepth != first.call.MutualDepth:
+			e.report(g.found, "mutual_depth", "%d, but the same ring has %d in %s", e.call.MutualDepth, first.call.MutualDepth, first.location("mutual_depth"))
+		}
+	}
+	for _, n := range component {
+		for _, e := range n.calls {
+			if !e.staysInComponent() && e.call.MutualDepth > 0 {
+				e.report(g.found, "mutual_depth", "nothing that %s calls calls %s again; leave it out", e.to.Name, e.from.Name)
+			}
+		}
+	}
+}
+
+// describeCycle tells by which calls a call comes back to where it is made, on a shortest way.
+func describeCycle(e *edge) string {
+	if e.to == e.from {
+		return fmt.Sprintf("%s calls itself", e.from.Name)
+	}
+	reachedBy := map[*node]*edge{e.to: nil}
+	queue := []*node{e.to}
+	for len(queue) > 0 && reachedBy[e.from] == nil {
+		n := queue[0]
+		queue = queue[1:]
+		for _, next := range n.calls {
+			if _, seen := reachedBy[next.to]; !seen && next.to.component == e.from.component {
+				reachedBy[next.to] = next
+				queue = append(queue, next.to)
+			}
+		}
+	}
+	var steps []string
+	for n := e.from; reachedBy[n] != nil; n = reachedBy[n].from {
+		steps = append(steps, fmt.Sprintf("%s calls %s (%s)", reachedBy[n].from.Name, n.Name, reachedBy[n].location("to")))
+	}
+	slices.Reverse(steps)
+	if len(steps) > maxStepsTold {
+		left := fmt.Sprintf("... (%d more)", len(steps)-firstStepsTold-lastStepsTold)
+		steps = slices.Concat(steps[:firstStepsTold], []string{left}, steps[len(steps)-lastStepsTold:])
+	}
+	return fmt.Sprintf("%s calls %s, and %s", e.from.Name, e.to.Name, strings.Join(steps, ", "))
+}
--- a/internal/config/apps/written_test.go
+++ b/internal/config/apps/edits_test.go
@@ -69,15 +69,18 @@
 	}
 }
 
+// mergeCase is an edit of a derived file beside a change of apps.toml.
+type mergeCase struct {
+	name       string
+	here, apps [2]string // what is replaced, and by what
+	clash      bool
+	want       []string // in the merged file
+}
+
 // An edit on a line above, below or beside one that write changes is merged; on the same key it clashes
 // unless both say the same.
 func TestMerge(t *testing.T) {
-	for _, c := range []struct {
-		name       string
-		here, apps [2]string // what is replaced, and by what
-		clash      bool
-		want       []string
-	}{
+	for _, c := range []mergeCase{
 		{"above", [2]string{"cores = 1.0", "cores = 2"}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{"cores = 2\n", `memory = "256MiB"`}},
 		{"below", [2]string{"sockets = 1024", "sockets = 512"}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{"sockets = 512\n", `memory = "256MiB"`}},
 		{"on it", [2]string{`"192MiB"`, `"128MiB"`}, [2]string{`"192MiB"`, `"256MiB"`}, true, nil},
@@ -95,42 +98,46 @@
 		{"a table there", [2]string{"cores = 1.0", "cores = 2"}, [2]string{"[apps.a.discovery]", "[apps.a.tenant.x]\nquota_per_s = 5\n[apps.a.discovery]"}, false, []string{"[tenant.x]\n", "quota_per_s = 5\n", "cores = 2"}},
 		{"a table gone there", [2]string{"cores = 1.0", "cores = 2"}, [2]string{"instances = 3\n", ""}, false, []string{"cores = 2"}},
 	} {
-		for _, nl := range []string{"\n", "\r\n"} {
-			written := generate(t, base)
-			edited := strings.Replace(written, c.here[0], c.here[1], 1)
-			apps := strings.Replace(base, c.apps[0], c.apps[1], 1)
-			if edited == written || apps == base {
-				t.Fatal(c.name, "replaces nothing")
-			}
-			edited = strings.ReplaceAll(edited, "\n", nl)
-			st := compare(t, apps, edited)
-			if !st.Edited() || (len(st.Conflicts()) > 0) != c.clash {
-				t.Errorf("%s: edits %v", c.name, st.Edits)
-				continue
-			}
-			if c.clash {
-				continue
-			}
-			merged := string(st.Merge())
-			if nl == "\r\n" && strings.Count(merged, "\n") != strings.Count(merged, "\r\n") {
-				t.Errorf("%s: line ends are mixed", c.name)
-			}
-			plain := strings.ReplaceAll(merged, "\r", "")
-			for _, w := range c.want {
-				if !strings.Contains(plain, w) {
-					t.Errorf("%s: %q is missing in\n%s", c.name, w, plain)
-				}
-			}
-			// Merging again changes nothing, and the edits are still known as such.
-			again := compare(t, apps, merged)
-			if got := string(again.Merge()); got != merged {
-				t.Errorf("%s: no fixed point:\n%s", c.name, got)
-			}
-			for _, e := range st.Edits {
-				if !slices.ContainsFunc(again.Edits, func(f Edit) bool { return f.ID() == e.ID() }) {
-					t.Errorf("%s: the edit of %s is forgotten", c.name, e.ID())
-				}
-			}
+		t.Run(c.name, func(t *testing.T) {
+			checkMerge(t, c, "\n")
+			checkMerge(t, c, "\r\n")
+		})
+	}
+}
+
+func checkMerge(t *testing.T, c mergeCase, newline string) {
+	t.Helper()
+	written := generate(t, base)
+	edited := strings.Replace(written, c.here[0], c.here[1], 1)
+	apps := strings.Replace(base, c.apps[0], c.apps[1], 1)
+	if edited == written || apps == base {
+		t.Fatal("replaces nothing")
+	}
+	state := compare(t, apps, strings.ReplaceAll(edited, "\n", newline))
+	if !state.Edited() || (len(state.Conflicts()) > 0) != c.clash {
+		t.Fatalf("edits %v", state.Edits)
+	}
+	if c.clash {
+		return
+	}
+	merged := string(state.Merge())
+	if newline == "\r\n" && strings.Count(merged, "\n") != strings.Count(merged, "\r\n") {
+		t.Error("line ends are mixed")
+	}
+	plain := strings.ReplaceAll(merged, "\r", "")
+	for _, want := range c.want {
+		if !strings.Contains(plain, want) {
+			t.Errorf("%q is missing in\n%s", want, plain)
+		}
+	}
+	// Merging again changes nothing, and the edits are still known as such.
+	again := compare(t, apps, merged)
+	if got := string(again.Merge()); got != merged {
+		t.Errorf("no fixed point:\n%s", got)
+	}
+	for _, edit := range state.Edits {
+		if !slices.ContainsFunc(again.Edits, func(other Edit) bool { return other.ID() == edit.ID() }) {
+			t.Errorf("the edit of %s is forgotten", edit.ID())
 		}
 	}
 }
@@ -219,95 +226,118 @@
 	return strings.Join(out, " ")
 }
 
+// mergedKeys are the keys that random edits change.
+var mergedKeys = [][]string{
+	{"sidecar", "instances"}, {"limits", "sockets"}, {"attempts", "most_attempts"}, {"tenant", "x", "quota_per_s"}, {"tenant", "y", "quota_per_s"},
+}
+
+// drawChanges keeps, sets or drops each key of a map.
+func drawChanges(rt *rapid.T, name string, from map[string]string) map[string]string {
+	to := maps.Clone(from)
+	for _, key := range mergedKeys {
+		switch rapid.SampledFrom([]string{"keep", "keep", "set", "drop"}).Draw(rt, name) {
+		case "set":
+			to[doc.DottedPath(key)] = fmt.Sprint(rapid.IntRange(64, 66).Draw(rt, "value"))
+		case "drop":
+			delete(to, doc.DottedPath(key))
+		}
+	}
+	return to
+}
+
+// applyChanges makes a text say what a map does.
+func applyChanges(text string, prefix []string, from, to map[string]string) string {
+	for _, key := range mergedKeys {
+		id := doc.DottedPath(key)
+		if from[id] == to[id] {
+			continue
+		}
+		d := readAgain([]byte(text))
+		path := append(slices.Clone(prefix), key...)
+		if to[id] == "" {
+			text = string(d.Delete(path, help(key)))
+		} else {
+			text = string(d.Set(path, to[id]))
+		}
+	}
+	return text
+}
+
+// mergeMaps merges as Merge should, and gives the keys that conflict.
+func mergeMaps(first, here, there map[string]string) (want map[string]string, conflicts map[string]bool) {
+	want = maps.Clone(there)
+	conflicts = map[string]bool{}
+	for _, key := range mergedKeys {
+		id := doc.DottedPath(key)
+		switch {
+		case here[id] == first[id] || here[id] == there[id]:
+		case there[id] == first[id]:
+			want[id] = here[id]
+		default:
+			conflicts[id] = true
+		}
+	}
+	return want, conflicts
+}
+
 // Random edits on both sides, against maps: merging takes each key from the side that changed it, refuses
 // just where both did otherwise, loses no comment, and adopting leaves no edit.
 func TestMergeFollowsMaps(t *testing.T) {
-	keys := [][]string{{"sidecar", "instances"}, {"limits", "sockets"}, {"attempts", "most_attempts"}, {"tenant", "x", "quota_per_s"}, {"tenant", "y", "quota_per_s"}}
 	rapid.Check(t, func(rt *rapid.T) {
-		side := func(name string, from map[string]string) map[string]string {
-			to := maps.Clone(from)
-			for _, k := range keys {
-				switch rapid.SampledFrom([]string{"keep", "keep", "set", "drop"}).Draw(rt, name) {
-				case "set":
-					to[doc.DottedPath(k)] = fmt.Sprint(rapid.IntRange(64, 66).Draw(rt, "value"))
-				case "drop":
-					delete(to, doc.DottedPath(k))
-				}
-			}
-			return to
-		}
-		// apply makes a text say what a map does.
-		apply := func(text string, prefix []string, from, to map[string]string) string {
-			for _, k := range keys {
-				id, path := doc.DottedPath(k), append(slices.Clone(prefix), k...)
-				if from[id] == to[id] {
-					continue
-				}
-				d := readAgain([]byte(text))
-				if to[id] == "" {
-					text = string(d.Delete(path, help(k)))
-				} else {
-					text = string(d.Set(path, to[id]))
-				}
-			}
-			return text
-		}
 		start := strings.Replace(strings.Replace(base, "instances = 3\n", "", 1), "sockets = 1024\n", "", 1)
-		first := side("base", map[string]string{})
-		appsText := apply(start, []string{"apps", "a"}, nil, first)
-		here, there := side("here", first), side("there", first)
-		written := generate(rt, appsText)
-		edited := apply(written, nil, first, here)
+		first := drawChanges(rt, "base", map[string]string{})
+		appsText := applyChanges(start, []string{"apps", "a"}, nil, first)
+		here := drawChanges(rt, "here", first)
+		there := drawChanges(rt, "there", first)
+		edited := applyChanges(generate(rt, appsText), nil, first, here)
 		edited = strings.Replace(edited, "[limits]", "# by hand\n[limits]", 1)
-		nowText := apply(appsText, []string{"apps", "a"}, first, there)
+		nowText := applyChanges(appsText, []string{"apps", "a"}, first, there)
 
-		st := compare(rt, nowText, edited)
-		clash := map[string]bool{}
-		want := maps.Clone(there)
-		for _, k := range keys {
-			id := doc.DottedPath(k)
-			switch {
-			case here[id] == first[id] || here[id] == there[id]:
-			case there[id] == first[id]:
-				want[id] = here[id]
-			default:
-				clash[id] = true
-			}
-		}
+		state := compare(rt, nowText, edited)
+		want, conflicts := mergeMaps(first, here, there)
 		got := map[string]bool{}
-		for _, e := range st.Conflicts() {
+		for _, e := range state.Conflicts() {
 			got[e.ID()] = true
 		}
-		if !maps.Equal(got, clash) {
-			rt.Fatalf("clashes %v, want %v\nbase %v here %v there %v", got, clash, first, here, there)
+		if !maps.Equal(got, conflicts) {
+			rt.Fatalf("conflicts %v, want %v\nbase %v here %v there %v", got, conflicts, first, here, there)
 		}
-		if len(clash) > 0 {
+		if len(conflicts) > 0 {
 			return
 		}
-		merged := string(st.Merge())
-		says := compare(rt, nowText, merged)
-		for _, k := range keys {
-			id := doc.DottedPath(k)
-			value := ""
-			if s := says.File.Setting(k...); s != nil {
-				value = s.Canonical
-			}
-			if value != want[id] {
-				rt.Fatalf("%s is %q, want %q\nbase %v here %v there %v\n%s", id, value, want[id], first, here, there, merged)
-			}
-		}
-		if strings.Count(merged, "# by hand") != 1 {
-			rt.Fatalf("a comment is lost:\n%s", merged)
-		}
-		var found finding.List
-		after := string(model(rt, nowText).Adopt([]*FileState{st}, &found))
-		if found.Len() > 0 || strings.Count(after, "# ours") != 1 || strings.Count(after, "# one") != 1 {
-			rt.Fatalf("adopt: %v\n%s", found.Err(), after)
+		merged := string(state.Merge())
+		checkMerged(rt, nowText, merged, want)
+		checkAdopted(rt, nowText, merged, state)
+	})
+}
+
+// checkMerged holds a merged file to the values that it should have.
+func checkMerged(rt *rapid.T, appsText, merged string, want map[string]string) {
+	says := compare(rt, appsText, merged)
+	for _, key := range mergedKeys {
+		value := ""
+		if s := says.File.Setting(key...); s != nil {
+			value = s.Canonical
 		}
-		if left := compare(rt, after, merged); len(left.Edits) > 0 {
-			rt.Fatalf("adopt leaves %v", left.Edits)
+		if id := doc.DottedPath(key); value != want[id] {
+			rt.Fatalf("%s is %q, want %q\n%s", id, value, want[id], merged)
 		}
-	})
+	}
+	if strings.Count(merged, "# by hand") != 1 {
+		rt.Fatalf("a comment is lost:\n%s", merged)
+	}
+}
+
+// checkAdopted adopts edits, after which a merged file has none.
+func checkAdopted(rt *rapid.T, appsText, merged string, state *FileState) {
+	var found finding.List
+	after := string(model(rt, appsText).Adopt([]*FileState{state}, &found))
+	if found.Len() > 0 || strings.Count(after, "# ours") != 1 || strings.Count(after, "# one") != 1 {
+		rt.Fatalf("adopt: %v\n%s", found.Err(), after)
+	}
+	if left := compare(rt, after, merged); len(left.Edits) > 0 {
+		rt.Fatalf("adopt leaves %v", left.Edits)
+	}
 }
 
 // help is what stands above a key in a written file.
@@ -326,7 +356,7 @@
 	m := Read(testSchema, "apps.toml", []byte(base), &found)
 	f.Add(Generate(m.Apps[0], "apps.toml"))
 	f.Add([]byte(headerBy + "a" + headerFrom + "b.\n\n\n" + trailer + "\n#: x y\n"))
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(_ *testing.T, text []byte) {
 		var found finding.List
 		st := Compare(testSchema, m.Apps[0], "apps.toml", "a.toml", text, &found)
 		if found.Len() == 0 && st.File != nil && len(st.Conflicts()) == 0 {
--- a/internal/config/apps/golden_test.go
+++ b/internal/config/apps/golden_test.go
@@ -131,7 +131,7 @@
 			fmt.Fprintf(&all, "-- %d --\n%s\n", seed, lines)
 			continue
 		}
-		fmt.Fprintf(rest, "-- %d --\n%s\n", seed, lines)
+		rest.Write(fmt.Appendf(nil, "-- %d --\n%s\n", seed, lines)) // never fails
 	}
 	fmt.Fprintf(&all, "-- the others --\n%x\n", rest.Sum(nil))
 	golden.Text(t, "across.txt", []byte(all.String()))
--- /dev/null
+++ b/internal/config/apps/graph.go
@@ -0,0 +1,119 @@
+package apps
+
+import (
+	"cmp"
+	"fmt"
+
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+)
+
+// maxNamesSearched bounds the names that are looked through for one that is near an unknown one, over all calls of an installation.
+const maxNamesSearched = 10000
+
+// graph is the applications with their calls.
+type graph struct {
+	nodes      []*node
+	byName     map[string]*node
+	found      *finding.List
+	components [][]*node // strongly connected ones, callers first
+}
+
+// node is an application.
+type node struct {
+	*App
+	sidecar   *appfile.Sidecar
+	calls     []*edge
+	component int  // index of its strongly connected component
+	cyclic    bool // its component has calls within it
+}
+
+// edge is a call from a class of one application to a class of another.
+type edge struct {
+	from, to        *node
+	name            string
+	call            *appfile.Call
+	callerClass     *appfile.Class
+	targetClass     *appfile.Class
+	targetClassName string
+}
+
+// location is where the call sets a key.
+func (e *edge) location(key string) schema.Location {
+	return e.from.File.Location("calls", e.name, key)
+}
+
+func (e *edge) report(found *finding.List, key, format string, args ...any) {
+	at := e.location(key)
+	found.Add(at.File, at.Pos, "%s", fmt.Sprintf("calls.%s.%s: ", e.name, key)+fmt.Sprintf(format, args...))
+}
+
+// staysInComponent tells whether the call is part of a ring.
+func (e *edge) staysInComponent() bool { return e.to.component == e.from.component }
+
+func newGraph(apps []*App, found *finding.List) *graph {
+	g := &graph{byName: map[string]*node{}, found: found}
+	for _, a := range apps {
+		if other := g.byName[a.Name]; other != nil {
+			found.Add(a.Location.File, a.Location.Pos, "application %s stands twice: first in %s", a.Name, other.Location)
+			continue
+		}
+		n := &node{App: a, sidecar: appfile.SidecarTable.In(a.File)}
+		g.nodes = append(g.nodes, n)
+		g.byName[a.Name] = n
+	}
+	return g
+}
+
+// linkCalls finds the calls, and checks each against the classes on both of its ends.
+func (g *graph) linkCalls() {
+	names := make([]string, 0, len(g.nodes))
+	for _, n := range g.nodes {
+		names = append(names, n.Name)
+	}
+	searched := 0
+	for _, n := range g.nodes {
+		for _, c := range appfile.CallsTable.All(n.File) {
+			e := &edge{
+				from:            n,
+				to:              g.byName[c.Value.To],
+				name:            c.Name,
+				call:            c.Value,
+				callerClass:     appfile.ClassTable.Get(n.File, c.Value.Class),
+				targetClassName: cmp.Or(c.Value.AsClass, c.Value.Class),
+			}
+			if e.to == nil {
+				var candidates []string
+				if searched += len(names); searched <= max(maxNamesSearched, len(names)) {
+					candidates = names
+				}
+				e.report(g.found, "to", "%s", finding.UnknownName("application", c.Value.To, candidates))
+				continue
+			}
+			if e.callerClass == nil {
+				continue // reported with the application's own file
+			}
+			e.targetClass = appfile.ClassTable.Get(e.to.File, e.targetClassName)
+			if e.targetClass == nil {
+				g.reportUnknownClass(e)
+				continue
+			}
+			n.calls = append(n.calls, e)
+			g.checkCall(e)
+		}
+	}
+}
+
+// reportUnknownClass reports a call to a class that the other application does not have.
+func (g *graph) reportUnknownClass(e *edge) {
+	var classes []string
+	for _, c := range appfile.ClassTable.All(e.to.File) {
+		classes = append(classes, c.Name)
+	}
+	key := "as_class"
+	if e.call.AsClass == "" {
+		key = "for_class"
+	}
+	e.report(g.found, key, "%s at %s", finding.UnknownName("class", e.targetClassName, classes), e.to.Name)
+}
--- /dev/null
+++ b/internal/config/apps/hosts.go
@@ -0,0 +1,83 @@
+package apps
+
+import (
+	"fmt"
+	"strings"
+
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+)
+
+// maxAppsTold bounds the applications that a finding on a host names.
+const maxAppsTold = 4
+
+// roundingSlack is how far the sum of the sidecars' cores may be off by rounding, as a share.
+const roundingSlack = 1e-9
+
+// hostLoad is what all sidecars of a host may use together.
+type hostLoad struct {
+	cores   float64
+	memory  int64 // bytes
+	sockets int
+	apps    []string
+}
+
+// checkHosts reports machines whose sidecars may use more than there is. Without a frame hosts are not declared, and none is unknown.
+func (g *graph) checkHosts(hosts []schema.Named[Host], frame *schema.File) {
+	loads := map[string]*hostLoad{}
+	var names []string
+	for _, h := range hosts {
+		loads[h.Name] = &hostLoad{}
+		names = append(names, h.Name)
+	}
+	for _, n := range g.nodes {
+		host := n.sidecar.Host
+		switch {
+		case host == "":
+		case loads[host] != nil:
+			loads[host].add(n)
+		case frame != nil:
+			at := n.File.Location("sidecar", "host")
+			g.found.Add(at.File, at.Pos, "sidecar.host: %s; hosts stand in [hosts.NAME]", finding.UnknownName("host", host, names))
+		}
+	}
+	for _, h := range hosts {
+		if load := loads[h.Name]; len(load.apps) > 0 {
+			g.checkHost(h, load, frame)
+		}
+	}
+}
+
+func (l *hostLoad) add(n *node) {
+	limits := appfile.LimitsTable.In(n.File)
+	l.cores += limits.Cores
+	l.memory += limits.Memory
+	l.sockets += limits.Sockets
+	l.apps = append(l.apps, n.Name)
+}
+
+// describeApps names the applications whose sidecars run on a host.
+func (l *hostLoad) describeApps() string {
+	text := strings.Join(l.apps[:min(maxAppsTold, len(l.apps))], ", ")
+	if len(l.apps) > maxAppsTold {
+		text += fmt.Sprintf(" and %d more", len(l.apps)-maxAppsTold)
+	}
+	return text
+}
+
+func (g *graph) checkHost(h schema.Named[Host], load *hostLoad, frame *schema.File) {
+	report := func(key, format string, args ...any) {
+		at := frame.Location("hosts", h.Name, key)
+		g.found.Add(at.File, at.Pos, "hosts.%s.%s: %s (%s)", h.Name, key, fmt.Sprintf(format, args...), load.describeApps())
+	}
+	if load.cores > h.Value.Cores*(1+roundingSlack) {
+		report("host_cores", "its sidecars may use %.4g cores of %.4g", load.cores, h.Value.Cores)
+	}
+	if load.memory > h.Value.Memory {
+		report("host_memory", "its sidecars may use %d MiB of %d MiB", load.memory>>20, h.Value.Memory>>20)
+	}
+	if load.sockets > h.Value.Sockets {
+		report("host_sockets", "its sidecars may use %d sockets of %d", load.sockets, h.Value.Sockets)
+	}
+}
--- a/internal/config/apps/apps.go
+++ b/internal/config/apps/model.go
@@ -1,8 +1,3 @@
-// Package apps reads apps.toml, which describes all applications of an
-// installation, derives the file of each, and checks them against one another:
-// who calls whom, with which times and attempts. It also tells what was edited
-// by hand in a derived file, merges such edits and takes them back. It does no
-// I/O: texts go in, texts and findings come out.
 package apps
 
 import (
@@ -15,16 +10,16 @@
 )
 
 const (
-	// MaxBytes bounds apps.toml: some tens of thousands of applications.
+	// MaxBytes bounds apps.toml, in bytes: some tens of thousands of applications.
 	MaxBytes = 64 << 20
-	// MaxFileBytes bounds the file of one application.
+	// MaxFileBytes bounds the file of one application, in bytes.
 	MaxFileBytes = 1 << 20
 )
 
 // Chain bounds what a request may cost on its way through the tiers.
 type Chain struct {
-	MaxAttempts int
-	MaxTiers    int
+	MaxAttempts int // that one request may at worst become at any application
+	MaxTiers    int // applications that a request may pass one after another
 }
 
 // ChainTable is [chain].
@@ -40,8 +35,8 @@
 // Host is a machine that sidecars run on.
 type Host struct {
 	Cores   float64
-	Memory  int64
-	Sockets int
+	Memory  int64 // bytes
+	Sockets int   // file descriptors
 }
 
 // HostTable is [hosts.NAME].
@@ -57,12 +52,18 @@
 		"Its file descriptors for sidecars."),
 )
 
-// Installation are the tables that apps.toml has beside [defaults] and [apps.NAME].
+// InstallationSchema is the tables that apps.toml has beside [defaults] and [apps.NAME].
 var InstallationSchema = schema.New(ChainTable.Table, HostTable.Table)
 
-var layerNames = []string{"defaults", "apps"}
+// The tables of apps.toml that hold tables of applications.
+const (
+	layerDefaults = "defaults"
+	layerApps     = "apps"
+)
 
-// App is one application.
+var layerNames = []string{layerDefaults, layerApps}
+
+// App is one application of the installation, with what its file says.
 type App struct {
 	Name     string
 	File     *schema.File
@@ -72,9 +73,9 @@
 // Model is what apps.toml says.
 type Model struct {
 	Schema       *schema.Schema
-	FileName     string // of the file
+	FileName     string // path of apps.toml
 	Doc          *doc.Document
-	Installation *schema.File
+	Installation *schema.File // its tables [chain] and [hosts.NAME]
 	Apps         []*App
 }
 
@@ -90,49 +91,58 @@
 	return FromDocument(s, file, d, found.Len() == before, found)
 }
 
-// FromDocument is Read for a document that has been read, whole or in part. What is missing is looked for only in a
-// whole one: it may stand in the lines that could not be read.
-func FromDocument(s *schema.Schema, file string, d *doc.Document, whole bool, found *finding.List) *Model {
+// FromDocument is Read for a document that has been read, completely or in part. What is missing is looked for only in a complete one:
+// it may be in the lines that could not be read. It is nil for a document that is nil.
+func FromDocument(s *schema.Schema, file string, d *doc.Document, complete bool, found *finding.List) *Model {
 	if d == nil {
 		return nil
 	}
 	m := &Model{Schema: s, FileName: file, Doc: d}
-	m.Installation = InstallationSchema.Decode(found, schema.Options{OtherTables: layerNames, Partial: !whole}, schema.Layer{Doc: d, Table: d.Root, File: file})
+	m.Installation = InstallationSchema.Decode(found, schema.Options{OtherTables: layerNames, Partial: !complete},
+		schema.Layer{Doc: d, Table: d.Root, File: file})
 	report := found.ForFile(file)
 	for _, name := range layerNames {
 		if e := d.Root.Get(name); e != nil && e.Value.Kind != doc.TableKind {
 			report(e.Pos, "%s is a table", name)
 		}
 	}
-	defaults := schema.Layer{Doc: d, Table: d.Root.Subtable("defaults"), File: file}
+	defaults := schema.Layer{Doc: d, Table: d.Root.Subtable(layerDefaults), File: file}
 	s.Decode(found, schema.Options{Partial: true}, defaults)
-	all := d.Root.Subtable("apps")
+	all := d.Root.Subtable(layerApps)
 	if all == nil || len(all.Entries) == 0 {
 		report(d.Root.Pos, "there is no application: at least one [apps.\"NAME\"] is needed")
 		return m
 	}
 	for _, e := range all.Entries {
-		if e.Value.Kind != doc.TableKind {
-			report(e.Pos, "an application is a table: write [apps.%s.sidecar] and its keys below", doc.QuoteKey(e.Name))
+		if !isApplication(e, report) {
 			continue
 		}
-		if fault := appfile.HostNameFault(e.Name); fault != "" {
-			report(e.Pos, "application %q %s", e.Name, fault)
-			continue
-		}
-		table := e.Value.Table
-		if at := table.Lookup("sidecar", "application"); at != nil && at.Value.Text != e.Name {
-			report(at.Pos, "the application's name is %q, after its table; leave this key out", e.Name)
-		}
-		own := schema.Layer{Doc: d, Table: table, File: file}
+		own := schema.Layer{Doc: d, Table: e.Value.Table, File: file}
 		m.Apps = append(m.Apps, &App{
-			Name: e.Name, Location: schema.Location{File: file, Pos: e.Pos},
-			File: s.Decode(found, schema.Options{Partial: !whole}, appfile.NameLayer(e.Name, file, e.Pos), defaults, own),
+			Name:     e.Name,
+			Location: schema.Location{File: file, Pos: e.Pos},
+			File:     s.Decode(found, schema.Options{Partial: !complete}, appfile.NameLayer(e.Name, file, e.Pos), defaults, own),
 		})
 	}
 	return m
 }
 
+// isApplication reports an entry under [apps] that is none, or whose own name contradicts its table's.
+func isApplication(e *doc.Entry, report finding.Reporter) bool {
+	if e.Value.Kind != doc.TableKind {
+		report(e.Pos, "an application is a table: write [apps.%s.sidecar] and its keys below", doc.QuoteKey(e.Name))
+		return false
+	}
+	if fault := appfile.HostNameFault(e.Name); fault != "" {
+		report(e.Pos, "application %q %s", e.Name, fault)
+		return false
+	}
+	if own := e.Value.Table.Lookup("sidecar", "application"); own != nil && own.Value.Text != e.Name {
+		report(own.Pos, "the application's name is %q, after its table; leave this key out", e.Name)
+	}
+	return true
+}
+
 // App is an application by its name, or nil.
 func (m *Model) App(name string) *App {
 	for _, a := range m.Apps {
@@ -142,3 +152,12 @@
 	}
 	return nil
 }
+
+// FromFiles are applications of files of single ones, for checking them together.
+func FromFiles(files []*schema.File) []*App {
+	all := make([]*App, 0, len(files))
+	for _, f := range files {
+		all = append(all, &App{Name: appfile.SidecarTable.In(f).Application, File: f, Location: f.Location("sidecar", "application")})
+	}
+	return all
+}
--- /dev/null
+++ b/internal/config/apps/provenance.go
@@ -0,0 +1,177 @@
+package apps
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"strings"
+
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+)
+
+// The header and the trailer of a derived file. Their lines are comments to everybody else, and data: files that other versions have
+// written are read by them.
+const (
+	headerBy     = "# Written by quincegapctl for "
+	headerFrom   = " from "
+	headerDigest = "# digest: "
+	trailer      = "# What was written, by which an edit is found (end of the file as it was written):"
+	keyPrefix    = "#: "
+)
+
+// headerText tells people how to change the file.
+var headerText = []string{
+	"# Change it there and write again. An edit made here is never lost: quincegapctl diff shows it,",
+	"# write --keep-edits keeps it, and adopt takes it back.",
+}
+
+// headerLines is the least number of lines of a header.
+const headerLines = 4
+
+// shortDigestLength is enough to tell two values of one key apart by mistake, not by malice. In hexadecimal digits.
+const shortDigestLength = 12
+
+// Generate is an application's derived file: the keys that apps.toml sets for it, each with its help, between a header with a digest and
+// a trailer with a short digest of each key. The same model gives the same bytes.
+func Generate(app *App, source string) []byte {
+	body := app.File.Text() + "\n" + trailerOf(app.File)
+	return []byte(header(app.Name, source, digest([]byte(body))) + body)
+}
+
+// header is the first lines of a derived file; source is the name of apps.toml.
+func header(name, source, digest string) string {
+	return headerBy + name + headerFrom + source + ".\n" + strings.Join(headerText, "\n") + "\n" + headerDigest + digest + "\n"
+}
+
+func trailerOf(f *schema.File) string {
+	var b strings.Builder
+	b.WriteString(trailer + "\n")
+	for _, s := range f.Settings() {
+		fmt.Fprintf(&b, "%s%s %s\n", keyPrefix, shortDigest(s.Canonical), s.ID())
+	}
+	return b.String()
+}
+
+// digest is the SHA-256 of a text, in hexadecimal.
+func digest(text []byte) string {
+	sum := sha256.Sum256(text)
+	return hex.EncodeToString(sum[:])
+}
+
+func shortDigest(canonical string) string { return digest([]byte(canonical))[:shortDigestLength] }
+
+// Provenance is what a derived file says of how it was written.
+type Provenance struct {
+	App        string
+	Source     string            // name of apps.toml
+	KeyDigests map[string]string // the short digest of each key that was written, by the key's ID
+	Keys       []string          // IDs of those keys, in order
+	Edited     bool              // the text has changed since, if only in comments
+	Truncated  bool              // its end is missing
+}
+
+// ParseProvenance reads the header and the trailer of a file; it is nil where the file has no header of quincegapctl's.
+func ParseProvenance(text []byte) *Provenance {
+	lines := strings.Split(strings.ReplaceAll(string(text), "\r\n", "\n"), "\n")
+	if len(lines) < headerLines || !strings.HasPrefix(lines[0], headerBy) {
+		return nil
+	}
+	app, source, ok := strings.Cut(strings.TrimPrefix(lines[0], headerBy), headerFrom)
+	if !ok {
+		return nil
+	}
+	p := &Provenance{App: app, Source: strings.TrimSuffix(source, "."), KeyDigests: map[string]string{}, Truncated: true}
+	wantDigest := ""
+	linesAbove := 0 // up to the digest, which is that of the text below
+	for i, line := range lines {
+		switch {
+		case wantDigest == "" && strings.HasPrefix(line, headerDigest):
+			wantDigest = strings.TrimPrefix(line, headerDigest)
+			linesAbove = i + 1
+		case line == trailer:
+			p.Truncated = false
+		case !p.Truncated && strings.HasPrefix(line, keyPrefix):
+			p.addKey(strings.TrimPrefix(line, keyPrefix))
+		}
+	}
+	// By the text itself, not by the lines above: a change of line ends is an edit too.
+	for range linesAbove {
+		_, text, _ = bytes.Cut(text, []byte("\n"))
+	}
+	p.Edited = wantDigest == "" || digest(text) != wantDigest
+	return p
+}
+
+// addKey takes up a line of the trailer: a short digest and a key.
+func (p *Provenance) addKey(line string) {
+	if sum, key, ok := strings.Cut(line, " "); ok {
+		p.KeyDigests[key] = sum
+		p.Keys = append(p.Keys, key)
+	}
+}
+
+// replaceProvenance gives an edited text the header and the trailer of a generated one, with the line ends of the edited.
+func replaceProvenance(text, generated []byte) []byte {
+	newHeader := ""
+	newDigest := ""
+	var newKeys []string
+	for i, line := range strings.Split(string(generated), "\n") {
+		line = strings.TrimSuffix(line, "\r")
+		switch {
+		case i == 0:
+			newHeader = line
+		case newDigest == "" && strings.HasPrefix(line, headerDigest):
+			newDigest = line
+		case strings.HasPrefix(line, keyPrefix):
+			newKeys = append(newKeys, line)
+		}
+	}
+	var lines []string
+	for line := range strings.SplitSeq(string(text), "\n") {
+		line = strings.TrimSuffix(line, "\r")
+		switch {
+		case strings.HasPrefix(line, keyPrefix):
+		case strings.HasPrefix(line, headerBy):
+			lines = append(lines, newHeader)
+		case strings.HasPrefix(line, headerDigest):
+			lines = append(lines, newDigest)
+		case line == trailer:
+			lines = append(lines, line)
+			lines = append(lines, newKeys...)
+		default:
+			lines = append(lines, line)
+		}
+	}
+	return []byte(strings.Join(lines, doc.Newline(text)))
+}
+
+// CheckLostKeys reports keys that were written and that the file does not have any more. Such a key has fallen back to its default
+// without a word, which a changed one has not.
+func CheckLostKeys(p *Provenance, f *schema.File, path string, found *finding.List) {
+	for _, id := range p.Keys {
+		if key := splitID(id); key != nil && f.Setting(key...) == nil {
+			at := f.Location(key...)
+			found.Add(path, at.Pos, "%s was written here and is gone; put it back, or take it out of %s and write again", id, p.Source)
+		}
+	}
+}
+
+// splitID is the path that doc.DottedPath made the text of, or nil.
+func splitID(id string) (path []string) {
+	d := readAgain([]byte(id + " = 0\n"))
+	if d == nil {
+		return nil
+	}
+	for t := d.Root; t != nil && len(t.Entries) == 1; t = t.Entries[0].Value.Table {
+		path = append(path, t.Entries[0].Name)
+	}
+	return path
+}
+
+// readAgain reads a text that is known to be sound, or whose findings do not matter.
+func readAgain(text []byte) *doc.Document {
+	return doc.ReadTOML(text, len(text), func(finding.Pos, string, ...any) {})
+}
