--- a/internal/product/golden_test.go
+++ b/internal/product/golden_test.go
@@ -47,7 +47,7 @@
 		"bad-value.toml":     {`listen = "127.0.0.1:8080"`, `listen = "8080"`},
 		"bad-duration.toml":  {"[class.", "[callers]\nidle_timeout = \"30\"\n\n[class."},
 		"missing-key.toml":   {`address = "127.0.0.1:8500"`, ""},
-		"misspelt-key.toml":  {"[discovery]", "[discovery]\nadress = \"127.0.0.1:1\""},
+		"misspelt-key.toml":  {"[discovery]", "[discovery]\nadress = \"127.0.0.1:1\""}, //nolint:misspell // the key is misspelt on purpose
 		"unknown-table.toml": {"[discovery]", "[discoveries]"},
 		"cut.toml":           {`application = "booking-front.example.org"`, `application = "booking-front`},
 	} {
--- /dev/null
+++ b/internal/product/peer_group.go
@@ -0,0 +1,94 @@
+package product
+
+import (
+	"context"
+	"fmt"
+
+	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/files/secretfile"
+	"quincegap/internal/network/consul"
+	"quincegap/internal/network/gossip"
+	"quincegap/internal/standalone"
+)
+
+// peersOpener opens the group of the other sidecars that a file asks for; it is nil for none. It fails for settings that cannot work.
+func peersOpener(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
+	settings := *gossip.Table.In(f)
+	if settings.Listen == "" {
+		return nil, nil
+	}
+	application := appfile.SidecarTable.In(f).Application
+	if application == "" {
+		return nil, fmt.Errorf("%s: peers_listen is set, and sidecar.application is not: others could not be told from another application's",
+			f.Location("peers", "peers_listen"))
+	}
+	if settings.Service != "" && consul.Table.In(f).Agents == "" {
+		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", f.Location("peers", "peers_service"))
+	}
+	readKeys := func() ([][]byte, error) { return readPeerKeys(f, settings.KeyFile, resolve) }
+	if _, err := readKeys(); err != nil {
+		return nil, err
+	}
+	return func(in standalone.PeersConfig) (standalone.Peers, error) {
+		keys, err := readKeys()
+		if err != nil {
+			return nil, err
+		}
+		var findAddresses func() ([]string, error)
+		if settings.Service != "" {
+			findAddresses = func() ([]string, error) {
+				return consul.Find(context.Background(), *consul.Table.In(f), settings.Service, resolve)
+			}
+		}
+		group, err := gossip.Open(gossip.Config{
+			Settings:        settings,
+			FindAddresses:   findAddresses,
+			Name:            in.Name,
+			Application:     application,
+			Version:         Version(),
+			ExpectedMembers: in.Instances,
+			Keys:            keys,
+			SettledNames:    in.Names,
+			KnownAddresses:  in.Addresses,
+			Ready:           in.Ready,
+			OnShare:         in.Changed,
+			OnSettled:       in.Save,
+		})
+		if err != nil {
+			return nil, err
+		}
+		return &reloadableGroup{group, readKeys}, nil
+	}, nil
+}
+
+// readPeerKeys reads the keys of the group from the file that the settings name; without a file there are none.
+func readPeerKeys(f *schema.File, keyFile string, resolve func(string) string) ([][]byte, error) {
+	if keyFile == "" {
+		return nil, nil
+	}
+	text, err := secretfile.ReadToken(resolve(keyFile))
+	if err != nil {
+		return nil, err
+	}
+	keys, err := gossip.ParseKeys(text)
+	if err != nil {
+		return keys, fmt.Errorf("%s: peers.peers_key_file: %w", f.Location("peers", "peers_key_file"), err)
+	}
+	return keys, nil
+}
+
+// reloadableGroup is a group whose keys are in a file.
+type reloadableGroup struct {
+	*gossip.Group
+	readKeys func() ([][]byte, error)
+}
+
+// Reload reads the keys again. Without a file of keys it does nothing.
+func (r *reloadableGroup) Reload() error {
+	keys, err := r.readKeys()
+	if err != nil || keys == nil {
+		return err
+	}
+	return r.ReplaceKeys(keys)
+}
--- /dev/null
+++ b/internal/product/platform_shape.go
@@ -0,0 +1,129 @@
+package product
+
+import (
+	"fmt"
+	"strconv"
+
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+)
+
+// maxNumber bounds the numbers of the platform's JSON, on both sides of 0.
+const maxNumber = 1e18
+
+// shape is what a value of the platform's JSON may be. The platform may add keys, so unknown ones pass, unless one is near a known one
+// that is missing.
+type shape struct {
+	kind     doc.Kind // of the value
+	number   bool     // any number
+	keys     map[string]*shape
+	item     *shape // of a list
+	required []string
+}
+
+// The shapes of values.
+
+func stringShape() *shape          { return &shape{kind: doc.String} }
+func numberShape() *shape          { return &shape{kind: doc.Integer, number: true} }
+func boolShape() *shape            { return &shape{kind: doc.Bool} }
+func listShape(item *shape) *shape { return &shape{kind: doc.Array, item: item} }
+func objectShape(keys map[string]*shape, needed ...string) *shape {
+	return &shape{kind: doc.TableKind, keys: keys, required: needed}
+}
+
+func numberShapes(names ...string) map[string]*shape {
+	m := map[string]*shape{}
+	for _, n := range names {
+		m[n] = numberShape()
+	}
+	return m
+}
+
+func withShapes(m map[string]*shape, sort func() *shape, names ...string) map[string]*shape {
+	for _, n := range names {
+		m[n] = sort()
+	}
+	return m
+}
+
+var platformShape = objectShape(map[string]*shape{
+	"name": stringShape(), "listen": stringShape(), "discovery": stringShape(), "seed": stringShape(), "peer_listen": stringShape(), "peers_all": stringShape(),
+	"peers":  listShape(stringShape()),
+	"limits": objectShape(numberShapes("cores", "memory_mb", "sockets"), "cores", "memory_mb", "sockets"),
+	"known": objectShape(map[string]*shape{
+		"rev": numberShape(), "all": boolShape(),
+		"targets": listShape(objectShape(withShapes(numberShapes("pod_group", "capacity_hint", "boot_ms"), stringShape, "uid", "endpoint", "az", "model", "state"), "uid", "state")),
+	}),
+	"settings": objectShape(map[string]*shape{
+		"allowed": objectShape(withShapes(numberShapes("connIdle", "connectTimeout", "cpuUsPerRequest", "cpuUsPerS", "maxRetryAfter", "maxStreams",
+			"openCap", "sendCap"), boolShape, "cancel", "mayProbe", "peers", "retryAfter", "secondCopies"), "connectTimeout"),
+		"clientHabits": objectShape(withShapes(map[string]*shape{}, boolShape, "marksRetry")),
+		"discovery":    stringShape(), "family": stringShape(), "weights": stringShape(), "worthBy": stringShape(),
+		"familyInfo": objectShape(withShapes(map[string]*shape{}, boolShape, "passesDeadline", "warmKeys")),
+		"feedback":   objectShape(map[string]*shape{"fields": listShape(stringShape()), "how": stringShape()}),
+		"goal":       objectShape(numberShapes("whole", "worstClass", "worstTenant", "worstWindow")),
+		"instances":  numberShape(), "ordinal": numberShape(), "stage": numberShape(), "quantum": numberShape(), "myZone": numberShape(), "overShareWorth": numberShape(),
+		"models": listShape(stringShape()), "zones": listShape(stringShape()), "tiers": listShape(stringShape()),
+		"prices": objectShape(numberShapes("connection", "crossZone", "discovery", "fleet", "handshake", "lateFail", "moves", "origin", "peer", "probe", "waste")),
+		"rules":  objectShape(numberShapes("askEvery", "cold", "coldFrom", "drainGrace", "fall", "graceToAnswer", "tipMultiple")),
+		"services": listShape(objectShape(withShapes(withShapes(numberShapes("aim", "aimStretch", "deadline", "gain", "lateValue", "window"),
+			stringShape, "effect", "keyScope", "name"), boolShape, "streamed"), "name", "aim", "deadline", "effect")),
+		"tenants": listShape(objectShape(withShapes(numberShapes("quotaPerS", "share"), stringShape, "name"), "name")),
+	}, "discovery", "services", "instances"),
+}, "name", "listen", "discovery", "seed", "limits", "settings")
+
+// check checks a value against a shape. path names the value in findings.
+func (s *shape) check(v *doc.Value, path string, report finding.Reporter) {
+	if s.number && (v.Kind == doc.Integer || v.Kind == doc.Float) {
+		if n, err := strconv.ParseFloat(v.Text, 64); err != nil || n > maxNumber || n < -maxNumber {
+			report(v.Pos, "%s: %.40s is too large a number", path, v.Text)
+		}
+		return
+	}
+	if v.Kind != s.kind {
+		report(v.Pos, "%s: %s is wanted, not %s", path, s.kind, v.Kind)
+		return
+	}
+	if s.item != nil {
+		for i, item := range v.Items {
+			s.item.check(item, fmt.Sprintf("%s[%d]", path, i), report)
+		}
+	}
+	if s.keys != nil && v.Table != nil {
+		s.checkKeys(v, path, report)
+	}
+}
+
+// checkKeys checks the keys of an object.
+func (s *shape) checkKeys(v *doc.Value, path string, report finding.Reporter) {
+	keyPrefix := path
+	if keyPrefix != "" {
+		keyPrefix += "."
+	}
+	var absent []string
+	for key := range s.keys {
+		if v.Table.Get(key) == nil {
+			absent = append(absent, key)
+		}
+	}
+	for _, e := range v.Table.Entries {
+		if inner := s.keys[e.Name]; inner != nil {
+			inner.check(e.Value, keyPrefix+e.Name, report)
+		} else if nearest := finding.Nearest(e.Name, absent); nearest != "" {
+			report(e.Pos, "%sunknown key %q; did you mean %q?", pathPrefix(path), e.Name, nearest)
+		}
+	}
+	for _, key := range s.required {
+		if v.Table.Get(key) == nil {
+			report(v.Pos, "%slacks the key %q", pathPrefix(path), key)
+		}
+	}
+}
+
+// pathPrefix names a value at the head of a message; the object as a whole has no name.
+func pathPrefix(path string) string {
+	if path == "" {
+		return ""
+	}
+	return path + ": "
+}
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -20,7 +21,7 @@
 	}
 }
 
-// Every key has what the reference page needs, and its default is within its own bounds.
+// Every key has what the reference page needs.
 func TestDeclarations(t *testing.T) {
 	for _, table := range Schema.Tables {
 		for _, k := range table.Keys {
@@ -32,7 +33,10 @@
 			}
 		}
 	}
-	// All keys at once, each with its default or example.
+}
+
+// All keys at once, each with its default or example: each is in the sample, and within its own bounds.
+func TestSampleHasAllKeys(t *testing.T) {
 	text := strings.NewReplacer("\n# ", "\n").Replace(Sample())
 	var lines []string
 	for line := range strings.Lines(text) {
@@ -46,10 +50,10 @@
 	}
 	var found finding.List
 	f := Load(path, false, &found)
+	// The sample's safe class has the keys of a keyed one, its call names another class, and its secret is not here.
+	expected := []string{"means nothing", "for_class", "_file", "settings for TLS", "second_copies is false"}
 	for _, x := range found.All() {
-		// The sample's safe class has the keys of a keyed one, its call names another class, and its secret is not here.
-		if !strings.Contains(x.Message, "means nothing") && !strings.Contains(x.Message, "for_class") && !strings.Contains(x.Message, "_file") &&
-			!strings.Contains(x.Message, "settings for TLS") && !strings.Contains(x.Message, "second_copies is false") {
+		if !slices.ContainsFunc(expected, func(part string) bool { return strings.Contains(x.Message, part) }) {
 			t.Error(x)
 		}
 	}
@@ -78,7 +82,9 @@
 		}
 	}
 	large := filepath.Join(dir, "large")
-	os.WriteFile(large, make([]byte, 11), 0o600)
+	if err := os.WriteFile(large, make([]byte, 11), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := Read(large, 10); err == nil {
 		t.Error("a file over its bound was read")
 	}
@@ -102,7 +108,9 @@
 		if err := os.WriteFile(filepath.Join(dir, "token"), []byte("t0ken"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		os.Chmod(filepath.Join(dir, "token"), c.mode)
+		if err := os.Chmod(filepath.Join(dir, "token"), c.mode); err != nil {
+			t.Fatal(err)
+		}
 		var found finding.List
 		Load(path, false, &found)
 		if c.want == "" && found.Len() > 0 || c.want != "" && (found.Len() != 1 || !strings.Contains(found.All()[0].Message, c.want) || found.All()[0].Line == 0) {
--- /dev/null
+++ b/internal/product/secrets.go
@@ -0,0 +1,67 @@
+package product
+
+import (
+	"fmt"
+	"time"
+
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/files/certfile"
+	"quincegap/internal/files/secretfile"
+	"quincegap/internal/network/http3"
+)
+
+// CheckSecrets reports files with secrets and certificates that cannot be used. Paths are taken from the folder of the file that
+// names them.
+func CheckSecrets(f *schema.File, path string, found *finding.List) {
+	for _, s := range f.Secrets() {
+		secret := Resolve(path, s.Unquoted())
+		_, err := secretfile.ReadToken(secret)
+		if s.Key.Secret == schema.PrivateKey {
+			_, err = secretfile.ReadPrivateKey(secret)
+		}
+		if err != nil {
+			found.Add(s.Location.File, s.Location.Pos, "%s: %v", s.ID(), err)
+		}
+	}
+	checkCertificates(f, path, time.Now(), found)
+}
+
+// checkCertificates reports certificates that HTTP/3 could not start with: files that are missing, a key of another certificate, one that
+// is not valid now.
+func checkCertificates(f *schema.File, path string, now time.Time, found *finding.List) {
+	report := func(table, key string, err error) {
+		if err != nil {
+			at := f.Location(table, key)
+			found.Add(at.File, at.Pos, "%s.%s: %v", table, key, err)
+		}
+	}
+	if c := http3.FrontTable.In(f); c.Listen != "" && c.CertFile != "" && c.KeyFile != "" {
+		report("http3", "http3_cert_file", checkCertificate(Resolve(path, c.CertFile), Resolve(path, c.KeyFile), now))
+		if c.SecretFile != "" {
+			report("http3", "http3_secret_file", checkSecretLength(Resolve(path, c.SecretFile)))
+		}
+	}
+	if e := http3.TransportTable.In(f); e.Use != http3.Never && e.CAFile != "" {
+		_, err := certfile.LoadPool(Resolve(path, e.CAFile))
+		report("http3-endpoints", "http3_ca_file", err)
+	}
+}
+
+// checkCertificate is what is wrong with a certificate whose key can be read; a key that cannot is reported as a secret.
+func checkCertificate(certificate, key string, now time.Time) error {
+	if _, err := secretfile.ReadPrivateKey(key); err != nil {
+		return nil // reported already
+	}
+	_, err := certfile.LoadValid(certificate, key, now)
+	return err
+}
+
+// checkSecretLength is what is wrong with a secret that can be read; one that cannot is reported as a secret.
+func checkSecretLength(path string) error {
+	text, err := secretfile.ReadToken(path)
+	if err == nil && len(text) < http3.MinSecretChars {
+		return fmt.Errorf("has %d characters; %d are the least that nobody guesses", len(text), http3.MinSecretChars)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/product/sidecar.go
@@ -0,0 +1,75 @@
+package product
+
+import (
+	"context"
+	"log"
+
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/modules/endpointsource"
+	"quincegap/internal/modules/peers"
+	"quincegap/internal/network/admin"
+	"quincegap/internal/network/consul"
+	"quincegap/internal/standalone"
+)
+
+// SidecarConfig is a standalone sidecar's configuration: the product's file at a path, if one is given, under what a platform's
+// configuration says. getenv looks up environment variables, as os.Getenv does.
+func SidecarConfig(path string, getenv func(string) string) (*standalone.Config, error) {
+	if path == "" {
+		return standalone.LoadConfig(getenv)
+	}
+	overlay := getenv("BALANCER_CONFIG") != ""
+	resolve := func(named string) string { return Resolve(path, named) }
+	return standalone.LoadWith(getenv, standalone.Product{
+		Load: func() (*schema.File, error) {
+			var found finding.List
+			f := Load(path, overlay, &found)
+			if err := found.Err(); err != nil {
+				return nil, err
+			}
+			return f, nil
+		},
+		Resolve:   resolve,
+		Follow:    func(f *schema.File) (standalone.Follower, error) { return endpointFollower(f, resolve) },
+		Admin:     adminOpener,
+		OpenPeers: func(f *schema.File) (standalone.PeersOpener, error) { return peersOpener(f, resolve) },
+	})
+}
+
+// endpointFollower follows the source that a file asks for beside discovery; it is nil for none.
+func endpointFollower(f *schema.File, resolve func(string) string) (standalone.Follower, error) {
+	mode := endpointsource.SettingsTable.In(f).Mode
+	if mode == endpointsource.ModePlatform {
+		return nil, nil
+	}
+	settings := *consul.Table.In(f)
+	if _, err := consul.New(settings, mode, resolve); err != nil {
+		return nil, err
+	}
+	return func(ctx context.Context, onAnswer func(endpointsource.ConsulAnswer), onUnchanged func()) {
+		watcher, err := consul.New(settings, mode, resolve)
+		if err != nil { // a moment ago there was none: a file has been removed since
+			log.Printf("consul: %v", err)
+			return
+		}
+		watcher.OnAnswer = onAnswer
+		watcher.OnUnchanged = onUnchanged
+		watcher.Run(ctx)
+	}, nil
+}
+
+// adminOpener serves the views that a file asks for; it is nil for none.
+func adminOpener(f *schema.File, name string) standalone.Admin {
+	address := admin.Table.In(f).Listen
+	if address == "" {
+		return nil
+	}
+	return func(endpoints func() (string, []endpointsource.Row, bool), peerViews func(bool) (peers.FleetReport, bool)) (func(), error) {
+		members := func() (admin.Members, bool) {
+			source, rows, ok := endpoints()
+			return admin.Members{Name: name, Source: source, Endpoints: rows}, ok
+		}
+		return admin.Serve(address, admin.Views{Members: members, Peers: peerViews})
+	}
+}
