--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -48,8 +48,8 @@
 }
 
 var faults = map[string]consul.Fault{
-	"none": {}, "hang": {Hang: true}, "refuse": {Refuse: true}, "empty": {Empty: true}, "half": {Half: true}, "noleader": {NoLeader: true},
-	"noindex": {NoIndex: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403}, "reset": {Reset: true}, "cut": {Cut: true},
+	"none": {}, "hang": {Hang: true}, "refuse": {Refuse: true}, "empty": {Empty: true}, "half": {FirstHalf: true}, "noleader": {NoLeader: true},
+	"noindex": {NoIndex: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403}, "reset": {Reset: true}, "cut": {Truncate: true},
 }
 
 func order(s *consul.Server, words []string) error {
@@ -57,7 +57,7 @@
 	case len(words) == 0:
 	case words[0] == "add" && len(words) == 3 && strings.Contains(words[2], ":"):
 		s.Update(func(all []consul.Instance) []consul.Instance {
-			return append(all, consul.Instance{Node: "node", ID: words[1], Passing: 1, Warning: 1}.At(words[2]))
+			return append(all, consul.Instance{Node: "node", ID: words[1], PassingWeight: 1, WarningWeight: 1}.WithAddress(words[2]))
 		})
 	case words[0] == "remove" && len(words) == 2:
 		s.Update(func(all []consul.Instance) []consul.Instance {
@@ -76,7 +76,7 @@
 		if !ok {
 			return fmt.Errorf("no such fault")
 		}
-		s.Set(f)
+		s.SetFault(f)
 	default:
 		return fmt.Errorf("not understood at %s\n%s", time.Now().Format(time.TimeOnly), help)
 	}
--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -53,10 +53,10 @@
 		}
 		go server.Serve(l)
 		all = append(all, consul.Instance{
-			Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), Passing: 1, Warning: 1,
+			Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), PassingWeight: 1, WarningWeight: 1,
 			Meta: map[string]string{"zone": "salt-lake", "cell": fmt.Sprint(i % 10), "model": "m"}, Tags: []string{"v2"},
 			Checks: []consul.Check{{CheckID: fmt.Sprintf("service:slot-keeper-%d", i), Name: "HTTP check", Status: "passing"}},
-		}.At(l.Addr().String()))
+		}.WithAddress(l.Addr().String()))
 	}
 	c, err := consul.Start("", all...)
 	if err != nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	measure := func(name string, during func()) {
-		questions, _ := c.Asked()
+		questions, _ := c.Queries()
 		cpu := ticks(b, cmd.Process.Pid)
 		began := time.Now()
 		done := make(chan struct{})
@@ -132,7 +132,7 @@
 		close(done)
 		callers.Wait()
 		span := time.Since(began)
-		after, _ := c.Asked()
+		after, _ := c.Queries()
 		slices.Sort(took)
 		if failed > 0 {
 			b.Errorf("%s: %d of %d bookings were not served", name, failed, len(took))
@@ -193,7 +193,7 @@
 	for range 10 * b.N {
 		index := tn.consul.SetStatus("box-1", "critical")
 		var told time.Time
-		tn.until("told", func() (ok bool) { told, ok = tn.consul.Told(index); return ok })
+		tn.until("told", func() (ok bool) { told, ok = tn.consul.AnsweredAt(index); return ok })
 		time.Sleep(300 * time.Millisecond)
 		all = append(all, max(0, tn.boxes[1].came().Sub(told)))
 		// So long that its coming back is no flap.
--- a/cmd/quincegap/consul_cold_test.go
+++ b/cmd/quincegap/consul_cold_test.go
@@ -158,7 +158,7 @@
 		for i := range n {
 			b := startSlowBox(t, fmt.Sprintf("box-%d", i))
 			boxes = append(boxes, b)
-			all = append(all, consul.Instance{Node: "n", ID: b.Name, Passing: 1, Warning: 1}.At(b.Target().Address))
+			all = append(all, consul.Instance{Node: "n", ID: b.Name, PassingWeight: 1, WarningWeight: 1}.WithAddress(b.Target().Address))
 		}
 		return all
 	})
@@ -178,7 +178,7 @@
 	fresh := startSlowBox(t, "fresh")
 	fresh.restart()
 	tn.consul.Update(func(all []consul.Instance) []consul.Instance {
-		return append(all, consul.Instance{Node: "n", ID: "fresh", Passing: 1, Warning: 1}.At(fresh.Target().Address))
+		return append(all, consul.Instance{Node: "n", ID: "fresh", PassingWeight: 1, WarningWeight: 1}.WithAddress(fresh.Target().Address))
 	})
 	time.Sleep(warmAfter + tipWindow)
 	all, refused := end()
--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -114,7 +114,7 @@
 `
 
 func inst(b *box, id string) consul.Instance {
-	return consul.Instance{Node: "n", ID: id, Passing: 1, Warning: 1}.At(b.Target().Address)
+	return consul.Instance{Node: "n", ID: id, PassingWeight: 1, WarningWeight: 1}.WithAddress(b.Target().Address)
 }
 
 func build(t testing.TB, n int) *town {
@@ -195,7 +195,7 @@
 func (t *town) drained(b *box, index uint64) {
 	t.t.Helper()
 	var told time.Time
-	t.until("the answer is out", func() (ok bool) { told, ok = t.consul.Told(index); return ok })
+	t.until("the answer is out", func() (ok bool) { told, ok = t.consul.AnsweredAt(index); return ok })
 	// Bookings that come after this would have been seen by then.
 	time.Sleep(time.Until(told.Add(400 * time.Millisecond)))
 	t.goOn(50)
@@ -231,9 +231,9 @@
 // Consul goes away in each way for a while: the last good list serves, and it is followed again afterwards.
 func TestConsulVanishes(t *testing.T) {
 	for name, f := range map[string]consul.Fault{
-		"refuses": {Refuse: true}, "hangs": {Hang: true}, "resets": {Reset: true}, "cuts answers short": {Cut: true}, "answers 429": {Status: 429},
+		"refuses": {Refuse: true}, "hangs": {Hang: true}, "resets": {Reset: true}, "cuts answers short": {Truncate: true}, "answers 429": {Status: 429},
 		"answers 500": {Status: 500}, "revokes the token": {Status: 403}, "loses its leader": {NoLeader: true, Empty: true},
-		"answers an empty list": {Empty: true, CatalogKnows: true}, "has lost all data": {Empty: true}, "answers half a list": {Half: true, CatalogKnows: true},
+		"answers an empty list": {Empty: true, CatalogUnaffected: true}, "has lost all data": {Empty: true}, "answers half a list": {FirstHalf: true, CatalogUnaffected: true},
 		"answers junk": {Body: "<html>no</html>"}, "jumps its index back": {IndexBack: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -243,7 +243,7 @@
 			all := []string{"box-0", "box-1", "box-2", "box-3", "box-4", "box-5"}
 			tn.shows(all...)
 			tn.goOn(50)
-			tn.consul.Set(f)
+			tn.consul.SetFault(f)
 			began := time.Now()
 			for time.Since(began) < 1500*time.Millisecond {
 				tn.goOn(20)
@@ -251,7 +251,7 @@
 			if got := tn.ready(); !slices.Equal(got, all) {
 				t.Errorf("ready are %v", got)
 			}
-			tn.consul.Set(consul.Fault{})
+			tn.consul.SetFault(consul.Fault{})
 			tn.shows(all...)
 			tn.drained(tn.boxes[0], tn.consul.SetStatus("box-0", "critical"))
 			tn.shows(all[1:]...)
@@ -264,7 +264,7 @@
 func TestConsulUnreachableFromTheStart(t *testing.T) {
 	t.Parallel()
 	tn := build(t, 3)
-	tn.consul.Set(consul.Fault{Refuse: true})
+	tn.consul.SetFault(consul.Fault{Refuse: true})
 	target := tn.boxes[0].Target()
 	platform := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"a1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -278,7 +278,7 @@
 	tn.open(overlay[strings.Index(overlay, "[membership]"):], "BALANCER_CONFIG="+platform)
 	tn.goOn(100)
 	tn.shows("known")
-	tn.consul.Set(consul.Fault{})
+	tn.consul.SetFault(consul.Fault{})
 	tn.shows("box-0", "box-1", "box-2")
 	tn.goOn(100)
 	tn.calm()
@@ -397,7 +397,7 @@
 	d.Set(targets[2])
 	tn.shows("box-3")
 	tn.consul.Update(func([]consul.Instance) []consul.Instance { return nil }) // it knows of nobody: that says nothing
-	tn.consul.Set(consul.Fault{Refuse: true})
+	tn.consul.SetFault(consul.Fault{Refuse: true})
 	tn.goOn(100)
 	tn.calm()
 }
@@ -461,10 +461,10 @@
 	tn.goOn(50)
 	reload(`"rehearsal"`, `"platform"`)
 	tn.shows("box-0", "box-1")
-	health, _ := other.Asked()
+	health, _ := other.Queries()
 	tn.goOn(50)
 	time.Sleep(1500 * time.Millisecond) // longer than a question is held
-	if again, _ := other.Asked(); again > health+1 {
+	if again, _ := other.Queries(); again > health+1 {
 		t.Error("consul is asked though nothing is to come of it")
 	}
 	tn.calm()
@@ -474,7 +474,7 @@
 func TestConsulRestartDuringFault(t *testing.T) {
 	for name, f := range map[string]consul.Fault{
 		"500": {Status: 500}, "empty": {Empty: true}, "hangs": {Hang: true}, "refuses": {Refuse: true},
-		"half": {Half: true}, "no leader": {NoLeader: true, Empty: true}, "403": {Status: 403}, "cut": {Cut: true},
+		"half": {FirstHalf: true}, "no leader": {NoLeader: true, Empty: true}, "403": {Status: 403}, "cut": {Truncate: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -483,8 +483,8 @@
 			tn.goOn(50)
 			tn.calm()
 			tn.p.kill()
-			tn.consul.Set(f)
-			mend := time.AfterFunc(300*time.Millisecond, func() { tn.consul.Set(consul.Fault{}) })
+			tn.consul.SetFault(f)
+			mend := time.AfterFunc(300*time.Millisecond, func() { tn.consul.SetFault(consul.Fault{}) })
 			defer mend.Stop()
 			tn.open(tn.text("127.0.0.1:1", "consul")) // waits until it is ready
 			tn.goOn(50)
--- a/cmd/quincegap/exchange_bench_test.go
+++ b/cmd/quincegap/exchange_bench_test.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		over3, err := h3.Start(e.Target().Address, cert, h3.Options{Streams: 1000}, func(w http.ResponseWriter, r *http.Request) {
+		over3, err := h3.Start(e.Target().Address, cert, h3.Options{MaxStreams: 1000}, func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
 			io.WriteString(w, "ok")
 		})
@@ -134,7 +134,7 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(relay.Close)
-			relay.Set(udp.Fault{Loss: loss, Delay: 5 * time.Millisecond})
+			relay.SetFault(udp.Fault{LossShare: loss, Delay: 5 * time.Millisecond})
 			x.load("http3", relay.Address(), 32, 300)
 		})
 	}
@@ -243,7 +243,7 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(relay.Close)
-			relay.Set(udp.Fault{Delay: 5 * time.Millisecond})
+			relay.SetFault(udp.Fault{Delay: 5 * time.Millisecond})
 			if kind != "http1" {
 				c := x.d.caller(cache)
 				if err := find(c, "GET", "https://"+relay.Address()); err != nil {
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -251,7 +251,7 @@
 	if over3.Load() != 20 || over1.Load() != 0 {
 		t.Fatalf("%d over HTTP/3, %d over HTTP/1.1", over3.Load(), over1.Load())
 	}
-	relay.Set(udp.Fault{Blackhole: true})
+	relay.SetFault(udp.Fault{Blackhole: true})
 	// What is sent now may have run; the class allows a repeat with its key, and the box is the same.
 	before := over1.Load()
 	for end := time.Now().Add(patience); over1.Load() == before; {
@@ -268,7 +268,7 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("50 bookings took %v: HTTP/3 is tried again each time", took)
 	}
-	relay.Set(udp.Fault{})
+	relay.SetFault(udp.Fault{})
 	if n := over3.Load(); n != 20 {
 		t.Errorf("%d over HTTP/3", n)
 	}
@@ -389,7 +389,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(relay.Close)
-	relay.Set(udp.Fault{Deaf: true})
+	relay.SetFault(udp.Fault{DropReplies: true})
 	conf := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"h3"}}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	var still sync.WaitGroup
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -51,7 +51,7 @@
 					}
 					v := r.Verdict
 					uncalled, longest := 0, 0
-					for _, seconds := range v.Loads {
+					for _, seconds := range v.AttemptsByServer {
 						run, most := 0, 0
 						for s := 10; s < min(30, len(seconds)); s++ {
 							if run++; seconds[s] > 0 {
@@ -66,14 +66,14 @@
 					if found == "yes" {
 						known := lastKnown(b, dir, begins)
 						b.ReportMetric(known.Seconds()-10, "known-s")
-						b.ReportMetric(uncalledAfter(events, len(v.Loads), known, 30*time.Second).Seconds(), "uncalled-after-known-s")
+						b.ReportMetric(uncalledAfter(events, len(v.AttemptsByServer), known, 30*time.Second).Seconds(), "uncalled-after-known-s")
 					}
 					b.ReportMetric(100*v.Service, "service-%")
-					b.ReportMetric(100*v.Worst, "worst10s-%")
+					b.ReportMetric(100*v.WorstService, "worst10s-%")
 					b.ReportMetric(float64(uncalled), "uncalled")
 					b.ReportMetric(float64(longest), "longest-s")
 					b.ReportMetric(float64(len(v.Breaches)), "breaches")
-					b.ReportMetric(v.LateMax.Seconds()*1000, "emulator-late-ms")
+					b.ReportMetric(v.MaxLateness.Seconds()*1000, "emulator-late-ms")
 				}
 			})
 		}
@@ -116,8 +116,8 @@
 		first[i] = end
 	}
 	for _, e := range events {
-		if e.Kind == audit.Sent && e.Box >= 0 && e.Box < boxes && e.At >= from {
-			first[e.Box] = min(first[e.Box], e.At)
+		if e.Kind == audit.AttemptReceived && e.Server >= 0 && e.Server < boxes && e.At >= from {
+			first[e.Server] = min(first[e.Server], e.At)
 		}
 	}
 	return slices.Max(first) - from
@@ -163,8 +163,8 @@
 				g.start(n - 1)
 				timed("join", peers.Settled, all, all)
 				still()
-				g.net.Cut(names[:n/2], names[n/2:], true)
-				g.net.Cut(names[n/2:], names[:n/2], true)
+				g.net.Partition(names[:n/2], names[n/2:], true)
+				g.net.Partition(names[n/2:], names[:n/2], true)
 				larger := peers.Settled
 				if n%2 == 0 {
 					larger = peers.Partitioned
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -30,7 +30,7 @@
 type ground struct {
 	t       testing.TB
 	dir     string
-	net     *relay.Net
+	net     *relay.Network
 	texts   []string
 	members []*process // nil for one that is dead
 	urls    []atomic.Pointer[string]
@@ -90,7 +90,7 @@
 	for i := range n {
 		own = append(own, free(t, fmt.Sprintf("127.0.7.%d", i+1)))
 		fronts = append(fronts, free(t, fmt.Sprintf("127.0.8.%d", i+1)))
-		if err := g.net.Join(name(i), fronts[i], own[i]); err != nil {
+		if err := g.net.AddMember(name(i), fronts[i], own[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -242,8 +242,8 @@
 	g.start(all...)
 	g.until("seven are settled", peers.Settled, all, all...)
 	got, calm := g.callers(6)
-	g.net.Cut(names[:3], names[3:], true)
-	g.net.Cut(names[3:], names[:3], true)
+	g.net.Partition(names[:3], names[3:], true)
+	g.net.Partition(names[3:], names[:3], true)
 	g.say("cut into three and four")
 	g.until("four are settled", peers.Settled, all[3:], all[3:]...)
 	g.until("three know that they are a part", peers.Partitioned, all[:3], all[:3]...)
@@ -252,7 +252,7 @@
 	g.until("seven are one again", peers.Settled, all, all...)
 
 	g.say("front-4 is heard by none")
-	g.net.Cut(names[4:5], names, true)
+	g.net.Partition(names[4:5], names, true)
 	rest := slices.Delete(slices.Clone(all), 4, 5)
 	g.until("six without it", peers.Settled, rest, rest...)
 	g.net.Heal()
@@ -265,7 +265,7 @@
 	g.members[2].signal(syscall.SIGCONT)
 	g.until("it is back", peers.Settled, all, all...)
 
-	g.net.Set(relay.Fault{Loss: 0.1, Double: 0.1, Late: 30 * time.Millisecond})
+	g.net.SetFault(relay.Fault{LossShare: 0.1, DuplicateShare: 0.1, MaxDelay: 30 * time.Millisecond})
 	g.say("datagrams are lost, doubled and late")
 	g.kill(0, 1, 3, 5, 6)
 	g.until("two know that they are what is left", peers.Partitioned, []int{2, 4}, 2, 4)
@@ -334,7 +334,7 @@
 	}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			lines := morning.Faults(seed+1, 7, time.Second, 16*time.Second)
+			lines := morning.RandomFaults(seed+1, 7, time.Second, 16*time.Second)
 			script := fmt.Sprintf(faultyMorning, strings.Join(lines, "\n"))
 			var found finding.List
 			m := morning.Read("faults", []byte(script), &found)
@@ -349,10 +349,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Apart != "" {
-				t.Errorf("they are not one in the end:\n%s%s", r.Apart, script)
+			if r.DivergentViews != "" {
+				t.Errorf("they are not one in the end:\n%s%s", r.DivergentViews, script)
 			}
-			if b := r.Verdict.Breaches; len(b) > 0 && r.Verdict.Void == "" {
+			if b := r.Verdict.Breaches; len(b) > 0 && r.Verdict.VoidReason == "" {
 				t.Errorf("%v\n%s", b, script)
 			}
 			if c := r.Verdict.Crashes; len(c) > 0 {
--- a/internal/mesh/assembly/inflight_test.go
+++ b/internal/mesh/assembly/inflight_test.go
@@ -24,7 +24,7 @@
 	endpoints := []string{"access-2", "access-3"}
 	count := func() (runs, abandoned int) {
 		for _, name := range endpoints {
-			runs += len(m.applications[name].Runs())
+			runs += len(m.applications[name].Executions())
 			abandoned += m.applications[name].Abandoned()
 		}
 		return runs, abandoned
@@ -32,7 +32,7 @@
 	// One endpoint alone does not run all of the requests at once: the client's sidecar has to know both.
 	m.waitFor("both endpoints have run a request", func() bool {
 		m.send("access-0", "GET", "/read/x", "k1", nil)
-		return len(m.applications["access-2"].Runs()) > 0 && len(m.applications["access-3"].Runs()) > 0
+		return len(m.applications["access-2"].Executions()) > 0 && len(m.applications["access-3"].Executions()) > 0
 	})
 	for _, name := range endpoints {
 		defer m.applications[name].Hold()()
@@ -68,7 +68,7 @@
 	endpoints := []string{"access-0", "access-1"}
 	runs := func() (n int) {
 		for _, name := range endpoints {
-			n += len(m.applications[name].Runs())
+			n += len(m.applications[name].Executions())
 		}
 		return n
 	}
--- a/internal/mesh/assembly/scenarios_test.go
+++ b/internal/mesh/assembly/scenarios_test.go
@@ -67,7 +67,7 @@
 		}
 		return true
 	})
-	t.Assert(t.applications["access-2"].Leave(), qt.IsTrue)
+	t.Assert(t.applications["access-2"].Deregister(), qt.IsTrue)
 	// The other crashes, and an endpoint with a new ID starts at the first one's address.
 	t.applications["access-3"].Crash()
 	t.startApplication(t.machines["access-2"], "i-new")
@@ -126,7 +126,7 @@
 	m.Helper()
 	runs := map[string]int{}
 	for _, a := range m.applications {
-		for id, n := range a.Runs() {
+		for id, n := range a.Executions() {
 			runs[id] += n
 		}
 	}
@@ -193,7 +193,7 @@
 func TestSidecarShutsDownGracefully(t *testing.T) {
 	m := newMesh(t, 3)
 	m.waitReady()
-	before := len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs())
+	before := len(m.applications["access-0"].Executions()) + len(m.applications["access-1"].Executions())
 	release := m.applications["access-0"].Hold()
 	other := m.applications["access-1"].Hold()
 	answers := make(chan response, 4)
@@ -209,7 +209,7 @@
 			m.Fatalf("a request was answered %d %s", a.status, a.body)
 		default:
 		}
-		return len(m.applications["access-0"].Runs())+len(m.applications["access-1"].Runs()) == before+4
+		return len(m.applications["access-0"].Executions())+len(m.applications["access-1"].Executions()) == before+4
 	})
 	x := m.machines["access-2"]
 	m.Assert(x.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
--- a/internal/mesh/assembly/shutdown_test.go
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -180,7 +180,7 @@
 	m.Helper()
 	ran := map[string]bool{}
 	for _, a := range m.applications {
-		for id := range a.Runs() {
+		for id := range a.Executions() {
 			ran[id] = true
 		}
 	}
@@ -213,7 +213,9 @@
 	for _, name := range []string{"access-0", "access-1"} {
 		defer m.applications[name].Hold()()
 	}
-	runs := func() int { return len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs()) }
+	runs := func() int {
+		return len(m.applications["access-0"].Executions()) + len(m.applications["access-1"].Executions())
+	}
 	before := runs()
 	load := &clientLoad{stop: make(chan struct{})}
 	for range 2 {
@@ -250,7 +252,7 @@
 	release := map[string]func(){}
 	before := map[string]int{}
 	for _, name := range []string{"access-0", "access-1"} {
-		release[name], before[name] = m.applications[name].Hold(), len(m.applications[name].Runs())
+		release[name], before[name] = m.applications[name].Hold(), len(m.applications[name].Executions())
 	}
 	answers := make(chan clientExchange, 1)
 	go func() {
@@ -262,7 +264,7 @@
 	at := ""
 	m.waitFor("the request is under way", func() bool {
 		for name, n := range before {
-			if len(m.applications[name].Runs()) > n {
+			if len(m.applications[name].Executions()) > n {
 				at = name
 			}
 		}
--- a/internal/mesh/assembly/signals_test.go
+++ b/internal/mesh/assembly/signals_test.go
@@ -58,7 +58,7 @@
 	m.waitFirstConfiguration(longRoute, "k1")
 	m.waitServed("access-2", "/book/x")
 	hold := []func(){m.applications["access-0"].Hold(), m.applications["access-1"].Hold()}
-	before := len(m.applications["access-0"].Runs()) + len(m.applications["access-1"].Runs())
+	before := len(m.applications["access-0"].Executions()) + len(m.applications["access-1"].Executions())
 	answers := make(chan clientExchange, 4)
 	for range 4 {
 		go func() {
@@ -69,7 +69,7 @@
 		}()
 	}
 	m.waitFor("requests are under way", func() bool {
-		return len(m.applications["access-0"].Runs())+len(m.applications["access-1"].Runs()) == before+4
+		return len(m.applications["access-0"].Executions())+len(m.applications["access-1"].Executions()) == before+4
 	})
 	x := m.machines["access-2"]
 	m.signal(x, syscall.SIGTERM)
--- a/internal/mesh/assembly/testmesh_test.go
+++ b/internal/mesh/assembly/testmesh_test.go
@@ -109,7 +109,7 @@
 func (t *testMesh) startApplication(x *testMachine, id string) {
 	a, err := application.Start(application.Options{
 		ID: id, Service: x.service, Zone: x.zone, Address: x.ip + ":8103", Slots: 4,
-		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"}, Every: 150 * time.Millisecond,
+		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"}, HeartbeatInterval: 150 * time.Millisecond,
 	})
 	t.Assert(err, qt.IsNil)
 	t.applications[x.name] = a
@@ -175,7 +175,7 @@
 			t.Fatalf("%s: not within twenty seconds", what)
 		}
 		select {
-		case <-t.applications["access-0"].Acked():
+		case <-t.applications["access-0"].Acknowledged():
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/internal/network/consul/confirmation_test.go
+++ b/internal/network/consul/confirmation_test.go
@@ -18,13 +18,13 @@
 		untrusted bool
 		confirmed int // that the catalogue lacks too
 	}{
-		{"empty", standin.Fault{Empty: true, CatalogKnows: true}, false, 0},
-		{"half", standin.Fault{Half: true, CatalogKnows: true}, false, 0},
+		{"empty", standin.Fault{Empty: true, CatalogUnaffected: true}, false, 0},
+		{"half", standin.Fault{FirstHalf: true, CatalogUnaffected: true}, false, 0},
 		{"gone", standin.Fault{Empty: true}, false, 7},
-		{"half gone", standin.Fault{Half: true}, false, 4},
+		{"half gone", standin.Fault{FirstHalf: true}, false, 4},
 		{"no leader", standin.Fault{Empty: true, NoLeader: true}, true, 0},
-		{"stale", standin.Fault{Empty: true, Contact: time.Minute}, true, 7},
-		{"null", standin.Fault{Body: "null", CatalogKnows: true}, false, 0},
+		{"stale", standin.Fault{Empty: true, LastContact: time.Minute}, true, 7},
+		{"null", standin.Fault{Body: "null", CatalogUnaffected: true}, false, 0},
 		{"hangs", standin.Fault{Empty: true, CatalogHangs: true}, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 			agent := serve(t, all...)
 			watcher := watch(t, nil, agent)
 			watcher.knows(all...)
-			agent.Set(c.fault)
+			agent.SetFault(c.fault)
 			watcher.until("fewer", func() bool { return len(watcher.known) < 7 })
 			for _, a := range watcher.answers {
 				if len(a.Missing) > 0 && (a.Untrusted != c.untrusted || a.KnownBefore != 7) {
@@ -40,13 +40,13 @@
 				}
 			}
 			watcher.until("the catalogue's answer", func() bool {
-				_, asked := agent.Asked()
+				_, asked := agent.Queries()
 				return asked > 0 && len(watcher.confirmed()) == c.confirmed
 			})
 			// Another answer of health's comes after whatever the catalogue had to say.
 			agent.SetStatus("a", "passing")
 			time.Sleep(50 * time.Millisecond)
-			agent.Set(standin.Fault{})
+			agent.SetFault(standin.Fault{})
 			watcher.knows(all...)
 			if got := len(watcher.confirmed()); got != c.confirmed {
 				t.Errorf("the catalogue confirmed %d, want %d", got, c.confirmed)
@@ -59,13 +59,13 @@
 // catalogIsLeftAlone fails if the catalogue is asked though nothing is missing any more.
 func catalogIsLeftAlone(t *testing.T, agent *standin.Server, watcher *testWatcher) {
 	t.Helper()
-	_, before := agent.Asked()
+	_, before := agent.Queries()
 	for range 5 {
 		seen := watcher.unchanged + len(watcher.answers)
 		agent.SetStatus("a", "passing")
 		watcher.until("an answer", func() bool { return watcher.unchanged+len(watcher.answers) > seen })
 	}
-	if _, after := agent.Asked(); after > before+1 {
+	if _, after := agent.Queries(); after > before+1 {
 		t.Errorf("the catalogue was asked %d times more", after-before)
 	}
 }
@@ -75,18 +75,18 @@
 	agent := serve(t, "a", "b", "c", "d", "e", "f")
 	watcher := watch(t, nil, agent)
 	watcher.knows("a", "b", "c", "d", "e", "f")
-	agent.Set(standin.Fault{Half: true, CatalogKnows: true})
+	agent.SetFault(standin.Fault{FirstHalf: true, CatalogUnaffected: true})
 	watcher.knows("a", "b", "c")
-	watcher.until("a held question", func() bool { _, n := agent.Asked(); return n >= 2 })
+	watcher.until("a held question", func() bool { _, n := agent.Queries(); return n >= 2 })
 	if last := watcher.answers[len(watcher.answers)-1]; len(last.ConfirmedMissing) > 0 {
 		t.Errorf("%+v", last)
 	}
-	_, before := agent.Asked()
+	_, before := agent.Queries()
 	agent.Update(func(all []standin.Instance) []standin.Instance { // health's half shrinks no further by that
 		return append(all[:3:3], all[5])
 	})
 	watcher.until("two are gone", func() bool { return slices.Equal(watcher.confirmed(), []string{"d@n", "e@n"}) })
-	if _, after := agent.Asked(); after > before+4 {
+	if _, after := agent.Queries(); after > before+4 {
 		t.Errorf("%d questions: it polls", after-before)
 	}
 }
@@ -96,7 +96,7 @@
 	agent := serve(t, "a", "b", "c", "d", "e", "f", "g", "h")
 	watcher := watch(t, nil, agent)
 	watcher.knows("a", "b", "c", "d", "e", "f", "g", "h")
-	agent.Set(standin.Fault{Half: true, CatalogHangs: true})
+	agent.SetFault(standin.Fault{FirstHalf: true, CatalogHangs: true})
 	began := time.Now()
 	agent.SetStatus("b", "critical")
 	watcher.knows("a", "c", "d")
--- a/internal/network/consul/find_test.go
+++ b/internal/network/consul/find_test.go
@@ -13,8 +13,8 @@
 // The addresses of a service's instances that no check has as critical.
 func ExampleFind() {
 	agent, err := standin.Start("",
-		standin.Instance{Node: "n", ID: "a", Address: "10.0.0.1", Port: 7946, Warning: 1},
-		standin.Instance{Node: "n", ID: "b", Address: "10.0.0.2", Port: 7946, Warning: 1},
+		standin.Instance{Node: "n", ID: "a", Address: "10.0.0.1", Port: 7946, WarningWeight: 1},
+		standin.Instance{Node: "n", ID: "b", Address: "10.0.0.2", Port: 7946, WarningWeight: 1},
 	)
 	if err != nil {
 		fmt.Println(err)
--- a/internal/network/consul/helpers_test.go
+++ b/internal/network/consul/helpers_test.go
@@ -134,7 +134,7 @@
 // instances are on one node, n.
 func instances(ids ...string) (all []standin.Instance) {
 	for i, id := range ids {
-		all = append(all, standin.Instance{Node: "n", ID: id, Address: "127.0.0.1", Port: 1000 + i, Warning: 1})
+		all = append(all, standin.Instance{Node: "n", ID: id, Address: "127.0.0.1", Port: 1000 + i, WarningWeight: 1})
 	}
 	return all
 }
--- a/internal/network/consul/watcher_test.go
+++ b/internal/network/consul/watcher_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("%+v", last)
 	}
 	watcher.until("an answer with nothing new", func() bool { return watcher.unchanged > 0 })
-	health, catalog := agent.Asked()
+	health, catalog := agent.Queries()
 	if health > 20 || catalog != 0 {
 		t.Errorf("%d questions, %d to the catalogue", health, catalog)
 	}
@@ -30,7 +30,7 @@
 // Whatever goes wrong with an answer, nothing is published, and what changed meanwhile is published once all is well.
 func TestFaults(t *testing.T) {
 	for name, f := range map[string]standin.Fault{
-		"refuse": {Refuse: true}, "reset": {Reset: true}, "cut": {Cut: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403},
+		"refuse": {Refuse: true}, "reset": {Reset: true}, "cut": {Truncate: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403},
 		"junk": {Body: "<html>"}, "object": {Body: "{}"}, "words": {Body: `["a","b"]`}, "types": {Body: `[{"Service":{"ID":5}}]`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,17 +39,17 @@
 			watcher := watch(t, nil, agent)
 			watcher.knows("a", "b", "c", "d")
 			published := len(watcher.answers)
-			before, _ := agent.Asked()
-			agent.Set(f)
+			before, _ := agent.Queries()
+			agent.SetFault(f)
 			agent.SetStatus("a", "critical")
 			watcher.until("some questions", func() bool {
-				now, _ := agent.Asked()
+				now, _ := agent.Queries()
 				return now >= before+4
 			})
 			if len(watcher.answers) != published {
 				t.Errorf("it published %+v", watcher.answers[published:])
 			}
-			agent.Set(standin.Fault{})
+			agent.SetFault(standin.Fault{})
 			watcher.knows("b", "c", "d")
 		})
 	}
@@ -60,14 +60,14 @@
 	agent := serve(t, "a")
 	watcher := watch(t, nil, agent)
 	watcher.knows("a")
-	agent.Set(standin.Fault{Contact: time.Minute})
+	agent.SetFault(standin.Fault{LastContact: time.Minute})
 	agent.SetStatus("a", "critical")
 	watcher.knows()
 	agent.SetStatus("a", "passing")
 	watcher.knows("a")
 	watcher.until("the leader's answer", func() bool {
 		if watcher.answers[len(watcher.answers)-1].Untrusted {
-			agent.Update(func(all []standin.Instance) []standin.Instance { all[0].Passing++; return all })
+			agent.Update(func(all []standin.Instance) []standin.Instance { all[0].PassingWeight++; return all })
 			time.Sleep(20 * time.Millisecond)
 			return false
 		}
@@ -79,15 +79,15 @@
 	agent := serve(t, "a", "b")
 	watcher := watch(t, nil, agent)
 	watcher.knows("a", "b")
-	agent.Set(standin.Fault{IndexBack: 8})
+	agent.SetFault(standin.Fault{IndexBack: 8})
 	agent.SetStatus("b", "critical")
 	watcher.knows("a")
-	agent.Set(standin.Fault{NoIndex: true}) // polled then
+	agent.SetFault(standin.Fault{NoIndex: true}) // polled then
 	agent.SetStatus("b", "passing")
 	watcher.knows("a", "b")
 	agent.SetStatus("a", "critical")
 	watcher.knows("b")
-	agent.Set(standin.Fault{Lag: 50 * time.Millisecond})
+	agent.SetFault(standin.Fault{Lag: 50 * time.Millisecond})
 	agent.SetStatus("a", "passing")
 	watcher.knows("a", "b")
 }
@@ -95,7 +95,7 @@
 // Where an agent gives a hash and no index, it is blocked on all the same.
 func TestHashBlocking(t *testing.T) {
 	agent := serve(t, "a", "b")
-	agent.Set(standin.Fault{Hash: true})
+	agent.SetFault(standin.Fault{ContentHash: true})
 	watcher := watch(t, nil, agent)
 	watcher.knows("a", "b")
 	for _, status := range []string{"critical", "passing", "critical"} {
@@ -106,7 +106,7 @@
 			watcher.knows("a", "b")
 		}
 	}
-	if health, _ := agent.Asked(); health > 12 {
+	if health, _ := agent.Queries(); health > 12 {
 		t.Errorf("%d questions: it polls", health)
 	}
 }
@@ -117,14 +117,14 @@
 	second := serve(t, "a", "b")
 	watcher := watch(t, nil, first, second)
 	watcher.knows("a")
-	first.Set(standin.Fault{Hang: true})
+	first.SetFault(standin.Fault{Hang: true})
 	watcher.knows("a", "b")
-	first.Set(standin.Fault{})
+	first.SetFault(standin.Fault{})
 	watcher.knows("a") // it goes back to the first agent though the other one answers
-	before, _ := second.Asked()
+	before, _ := second.Queries()
 	first.SetStatus("a", "critical")
 	watcher.knows()
-	if after, _ := second.Asked(); after > before+1 {
+	if after, _ := second.Queries(); after > before+1 {
 		t.Error("the other agent is still asked")
 	}
 	second.Close()
@@ -137,14 +137,14 @@
 	agent := serve(t, "a", "b")
 	watcher := watch(t, func(s *Settings) { s.MinInterval = 100 * time.Millisecond }, agent)
 	watcher.knows("a", "b")
-	before, _ := agent.Asked()
+	before, _ := agent.Queries()
 	began := time.Now()
 	for i := range 400 {
 		agent.SetStatus("a", []string{"critical", "passing"}[i%2])
 		time.Sleep(time.Millisecond)
 	}
 	took := time.Since(began)
-	after, _ := agent.Asked()
+	after, _ := agent.Queries()
 	if most := int(took/(100*time.Millisecond)) + 2; after-before > most {
 		t.Errorf("%d questions in %v, want %d at most", after-before, took, most)
 	}
--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -272,7 +272,7 @@
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	relay.Set(udp.Fault{Deaf: true})
+	relay.SetFault(udp.Fault{DropReplies: true})
 	ctx, stop := context.WithCancel(context.Background())
 	var flood sync.WaitGroup
 	for range 8 {
@@ -382,8 +382,8 @@
 	}()
 	r.until("it is taken", func() bool { return runs.Load() == 1 })
 	relay.Rebind()
-	carried := relay.Carried()
-	r.until("packets come from the new port", func() bool { return relay.Carried() > carried+2 })
+	carried := relay.Received()
+	r.until("packets come from the new port", func() bool { return relay.Received() > carried+2 })
 	if open, _, _ := r.front.Counts(); open != 1 {
 		t.Errorf("%d connections", open)
 	}
@@ -531,8 +531,8 @@
 	// The caller's own flight: a booking in early data, by a client that does what browsers do not.
 	// It hears nothing until the server has its booking: on a busy machine the handshake was over before the caller
 	// came to send that, the flight held no early data, and no replay of it was ever taken up.
-	relay.Set(udp.Fault{Deaf: true})
-	relay.Record()
+	relay.SetFault(udp.Fault{DropReplies: true})
+	relay.StartRecording()
 	conf := &tls.Config{RootCAs: r.pool, ServerName: "front.example.org", NextProtos: []string{"h3"}, ClientSessionCache: cache}
 	conn, err := quic.DialAddrEarly(context.Background(), relay.Address(), conf, nil)
 	if err != nil {
@@ -553,8 +553,8 @@
 		defer e.mu.Unlock()
 		return e.waiting == 1
 	})
-	flight := relay.Recorded()
-	relay.Set(udp.Fault{})
+	flight := relay.StopRecording()
+	relay.SetFault(udp.Fault{})
 	res, err := str.ReadResponse()
 	if err != nil || res.StatusCode != 200 {
 		t.Fatalf("%v %v", res, err)
@@ -614,7 +614,7 @@
 			t.Fatal(err)
 		}
 		// The caller's second flight, that ends the handshake, comes late.
-		relay.Set(udp.Fault{Delay: 20 * time.Millisecond})
+		relay.SetFault(udp.Fault{Delay: 20 * time.Millisecond})
 		if code, _, err := ask(r.caller("", cache), http3.MethodGet0RTT, relay.Address()+"/x", ""); code != 200 || err != nil {
 			t.Fatal(code, err)
 		}
@@ -630,8 +630,8 @@
 // Loss, reordering, doubled datagrams and a path whose MTU shrinks cost time, and no answer.
 func TestBadPaths(t *testing.T) {
 	for name, f := range map[string]udp.Fault{
-		"loss":  {Loss: 0.05, Delay: time.Millisecond},
-		"chaos": {Loss: 0.02, Double: 0.1, Reorder: 0.2, Delay: 2 * time.Millisecond},
+		"loss":  {LossShare: 0.05, Delay: time.Millisecond},
+		"chaos": {LossShare: 0.02, DuplicateShare: 0.1, ReorderShare: 0.2, Delay: 2 * time.Millisecond},
 		"mtu":   {MTU: 1300},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -650,7 +650,7 @@
 			body := strings.Repeat("trip ", 2000)
 			for i := range 30 {
 				if i == 10 {
-					relay.Set(f)
+					relay.SetFault(f)
 				}
 				if code, text, err := ask(c, "POST", relay.Address()+"/a", body); code != 200 || text != "/a "+body || err != nil {
 					t.Fatalf("%d: %d, %d bytes, %v", i, code, len(text), err)
@@ -732,11 +732,11 @@
 	if code, _, err := ask((&http3.Transport{}).NewClientConn(conn), "GET", relay.Address()+"/", ""); code != 200 || err != nil {
 		t.Fatal(code, err)
 	}
-	relay.Set(udp.Fault{Blackhole: true}) // as with SIGKILL: nobody says goodbye
-	relay.Rebind()                        // nor does what waits at the old port come through later
+	relay.SetFault(udp.Fault{Blackhole: true}) // as with SIGKILL: nobody says goodbye
+	relay.Rebind()                             // nor does what waits at the old port come through later
 	r.close()
 	r.start(address)
-	relay.Set(udp.Fault{})
+	relay.SetFault(udp.Fault{})
 	select {
 	case <-conn.Context().Done():
 		if _, ok := errors.AsType[*quic.StatelessResetError](context.Cause(conn.Context())); !ok {
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -189,11 +189,11 @@
 				w.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			}
-			h3.Reset(w, code)
+			h3.ResetStream(w, code)
 		}
 	}
 	drop := func(code http3.ErrCode) func(http.ResponseWriter, *http.Request) {
-		return func(_ http.ResponseWriter, r *http.Request) { h3.Drop(r, code) }
+		return func(_ http.ResponseWriter, r *http.Request) { h3.CloseConnection(r, code) }
 	}
 	answer := func(code int, header, value, body string) func(http.ResponseWriter, *http.Request) {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -302,7 +302,7 @@
 // connection if there is one. One that dies is a reset, and its next start is found.
 func TestEndpointLeavesAndDies(t *testing.T) {
 	y := newTestTransport(t, nil)
-	secret := h3.Options{Secret: [32]byte{1}}
+	secret := h3.Options{ResetSecret: [32]byte{1}}
 	serve, taken := make(chan bool), make(chan bool, 10)
 	t.Cleanup(func() {
 		select {
@@ -330,7 +330,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		left <- e.Leave(ctx)
+		left <- e.Shutdown(ctx)
 	}()
 	// Until the GOAWAY is here, attempts are rejected or served; after that they find nobody.
 	for end := time.Now().Add(testTimeout); ; {
@@ -355,7 +355,7 @@
 	again := y.serve(address, secret, slow)
 	go func() { done <- y.attempt(out, testTimeout, nil) }()
 	<-taken
-	again.Die()
+	again.Kill()
 	third, err := h3.Start(address, y.cert, secret, slow)
 	if err != nil {
 		t.Fatal(err)
@@ -385,7 +385,7 @@
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	relay.Set(udp.Fault{Blackhole: true})
+	relay.SetFault(udp.Fault{Blackhole: true})
 	y.target(relay.Address())
 	if res := y.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
 		t.Errorf("blackholed: %+v", res)
@@ -430,13 +430,13 @@
 			y := newTestTransport(t, func(e *TransportSettings) { e.EarlyRequests = true })
 			var early, came atomic.Int64
 			handler := func(w http.ResponseWriter, r *http.Request) {
-				if h3.Early(r) {
+				if h3.IsEarly(r) {
 					early.Add(1)
 				}
 				came.Add(1)
 				ok(w, r)
 			}
-			o := h3.Options{Secret: [32]byte{2}, Early: true}
+			o := h3.Options{ResetSecret: [32]byte{2}, EarlyData: true}
 			e := y.serve("", o, handler)
 			address := e.Address()
 			relay, err := udp.Start(address, 1)
@@ -462,11 +462,11 @@
 			y.mu.Unlock()
 			e.Close()
 			if !c.accept {
-				o.Early = false
+				o.EarlyData = false
 			}
 			y.serve(address, o, handler)
 			y.target(relay.Address())
-			relay.Set(udp.Fault{Delay: 20 * time.Millisecond})
+			relay.SetFault(udp.Fault{Delay: 20 * time.Millisecond})
 			early.Store(0)
 			before := came.Load()
 			in := &exchange.Inbound{Method: "GET", Target: "/find", Host: "h", Safe: c.safe}
--- a/internal/rehearsal/dryrun/box.go
+++ b/internal/rehearsal/dryrun/box.go
@@ -18,402 +18,402 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// box is one server.
-type box struct {
-	s      *sim
-	index  int
-	own    *instance // its sidecar for calls; nil if it makes none
-	life   int
-	model  *emulator.Box // nil while it is down or silent
-	silent bool
-	calls  map[uint64]*attempt // that it holds, whatever becomes of them
-	faults map[string]float64
-	random *rand.Rand
-	armed  time.Duration // when it is looked at next
-	news                 // what discovery knows
-	before []news        // what it knew, oldest first, where some hear of it late
+// server is one server.
+type server struct {
+	sim            *sim
+	index          int
+	sidecar        *instance // its sidecar for calls; nil if it makes none
+	incarnation    int
+	model          *emulator.Server // nil while it is down or silent
+	silent         bool
+	calls          map[uint64]*attempt // that it holds, whatever becomes of them
+	faults         map[string]float64
+	random         *rand.Rand
+	scheduledAt    time.Duration    // when it is looked at next
+	discoveryState                  // what discovery knows
+	previousStates []discoveryState // what it knew, oldest first, where some hear of it late
 }
 
-// news is what discovery knows of a box from a time on.
-type news struct {
+// discoveryState is what discovery knows of a box from a time on.
+type discoveryState struct {
 	at     time.Duration
 	weight float64
-	told   string // its state; empty if it does not know the box
+	state  string // its state; empty if it does not know the box
 	boot   time.Duration
 }
 
-// as is what discovery knew at a time.
-func (b *box) as(at time.Duration) news {
-	if b.news.at <= at || b.s.plan.Discovery.Late == 0 {
-		return b.news
+// stateAt is what discovery knew at a time.
+func (b *server) stateAt(at time.Duration) discoveryState {
+	if b.discoveryState.at <= at || b.sim.plan.Discovery.LateDelay == 0 {
+		return b.discoveryState
 	}
-	for _, n := range slices.Backward(b.before) {
+	for _, n := range slices.Backward(b.previousStates) {
 		if n.at <= at {
 			return n
 		}
 	}
-	return news{}
+	return discoveryState{}
 }
 
-// learn has discovery know something else of a box.
-func (b *box) learn(n news) {
-	if b.s.plan.Discovery.Late > 0 {
-		b.before = append(b.before, b.news)
+// updateState has discovery know something else of a box.
+func (b *server) updateState(n discoveryState) {
+	if b.sim.plan.Discovery.LateDelay > 0 {
+		b.previousStates = append(b.previousStates, b.discoveryState)
 	}
-	n.at = b.s.now
-	b.news = n
+	n.at = b.sim.now
+	b.discoveryState = n
 }
 
-func (b *box) plan() *morning.Box { return &b.s.plan.Boxes[b.index] }
-func (b *box) tier() int          { return b.plan().Tier }
+func (b *server) spec() *morning.Server { return &b.sim.plan.Servers[b.index] }
+func (b *server) tier() int             { return b.spec().Tier }
 
-func (b *box) start(cold bool) {
-	b.life++
+func (b *server) start(cold bool) {
+	b.incarnation++
 	b.silent = false
 	b.calls = map[uint64]*attempt{}
-	b.model = emulator.NewBox(b.plan().Spec, b.s.now, cold)
+	b.model = emulator.NewServer(b.spec().Spec, b.sim.now, cold)
 	if cold {
-		b.s.add(audit.Event{Kind: audit.Began, Box: b.index, Sidecar: -1, Origin: -1})
+		b.sim.record(audit.Event{Kind: audit.ServerStarted, Server: b.index, Sidecar: -1, Origin: -1})
 	} else {
-		b.told, b.news.at = "Ready", math.MinInt64
+		b.state, b.discoveryState.at = "Ready", math.MinInt64
 	}
 }
 
-// kept has the box's keeper start it again after a fall, if nothing has happened to it since.
-func (b *box) kept(life int) {
-	if b.life != life {
+// restartAfterCollapse has the box's keeper start it again after a fall, if nothing has happened to it since.
+func (b *server) restartAfterCollapse(life int) {
+	if b.incarnation != life {
 		return
 	}
-	b.down()
+	b.stop()
 	b.start(true)
-	boot := b.s.now
-	b.s.after(b.s.plan.Discovery.Add, func() {
-		if b.life == life+2 && b.told == "Ready" { // down and start count
-			b.learn(news{weight: b.weight, told: "Ready", boot: boot})
-			b.s.tell(b)
+	boot := b.sim.now
+	b.sim.scheduleAfter(b.sim.plan.Discovery.AddDelay, func() {
+		if b.incarnation == life+2 && b.state == "Ready" { // down and start count
+			b.updateState(discoveryState{weight: b.weight, state: "Ready", boot: boot})
+			b.sim.notifyAll(b)
 		}
 	})
 }
 
-// down ends the box; its connections break.
-func (b *box) down() {
+// stop ends the box; its connections break.
+func (b *server) stop() {
 	held := b.calls
-	b.life++
+	b.incarnation++
 	b.model, b.silent, b.calls = nil, false, nil
 	for _, id := range slices.Sorted(maps.Keys(held)) {
 		a := held[id]
-		a.done(audit.Dropped)
-		b.s.after(toBox, func() { a.end(balancer.StatusReset) })
+		a.finishAtServer(audit.Dropped)
+		b.sim.scheduleAfter(toServer, func() { a.finishAtInstance(balancer.StatusReset) })
 	}
 }
 
-// arm has the box looked at when it wants to be.
-func (b *box) arm() {
+// scheduleAdvance has the box looked at when it wants to be.
+func (b *server) scheduleAdvance() {
 	if b.model == nil {
 		return
 	}
 	next, ok := b.model.Next()
-	if !ok || next == b.armed {
+	if !ok || next == b.scheduledAt {
 		return
 	}
-	b.armed = next
-	life := b.life
-	b.s.at(next, func() {
-		if b.life != life || b.model == nil {
+	b.scheduledAt = next
+	life := b.incarnation
+	b.sim.schedule(next, func() {
+		if b.incarnation != life || b.model == nil {
 			return
 		}
-		if b.armed == b.s.now {
-			b.armed = -1
+		if b.scheduledAt == b.sim.now {
+			b.scheduledAt = -1
 		}
 		b.advance()
-		b.arm()
+		b.scheduleAdvance()
 	})
 }
 
-func (b *box) advance() { b.settle(b.model.Advance(b.s.now)) }
+func (b *server) advance() { b.complete(b.model.Advance(b.sim.now)) }
 
-func (b *box) settle(done []emulator.Done) {
+func (b *server) complete(done []emulator.Completion) {
 	for _, d := range done {
 		a := b.calls[d.ID]
-		if a == nil || !a.job {
-			b.settle(b.model.Release(b.s.now, d.ID))
+		if a == nil || !a.inModel {
+			b.complete(b.model.Release(b.sim.now, d.ID))
 			continue
 		}
 		if d.Expired {
-			a.back(audit.TurnedAway)
+			a.answer(audit.Rejected)
 			continue
 		}
-		a.work += b.model.Got(d.ID)
-		if b.s.plan.Tiers[b.tier()].Calls != "" && !a.second {
-			b.callOn(a, 0)
+		a.work += b.model.WorkDone(d.ID)
+		if b.sim.plan.Tiers[b.tier()].Calls != "" && !a.afterCalls {
+			b.callNextTier(a, 0)
 			continue
 		}
-		more := b.model.Release(b.s.now, d.ID)
-		a.back(audit.Served)
-		b.settle(more)
+		more := b.model.Release(b.sim.now, d.ID)
+		a.answer(audit.Served)
+		b.complete(more)
 	}
 }
 
-// callOn makes the k-th call to the next tier, and then the others; after them comes the rest of the work.
-func (b *box) callOn(a *attempt, k int) {
-	s, life := b.s, b.life
-	here := func() bool { return b.life == life && b.model != nil && b.calls[a.id] == a }
-	left := a.r.deadline - s.now
-	if left <= 0 || b.own == nil {
-		b.failed(a)
+// callNextTier makes the k-th call to the next tier, and then the others; after them comes the rest of the work.
+func (b *server) callNextTier(a *attempt, k int) {
+	s, life := b.sim, b.incarnation
+	here := func() bool { return b.incarnation == life && b.model != nil && b.calls[a.id] == a }
+	left := a.request.deadline - s.now
+	if left <= 0 || b.sidecar == nil {
+		b.fail(a)
 		return
 	}
-	q := &ask{request: fmt.Sprintf("%s.%d-%d", a.r.request, a.id, k), class: a.r.class, left: left, origin: a.r.origin}
-	b.own.ask(q, func(r reply) {
+	q := &call{request: fmt.Sprintf("%s.%d-%d", a.request.request, a.id, k), class: a.request.class, timeLeft: left, origin: a.request.origin}
+	b.sidecar.handle(q, func(r reply) {
 		switch {
 		case !here():
 		case r.status != 200:
 			b.advance()
-			b.failed(a)
-			b.arm()
-		case k+1 < s.plan.Tiers[b.tier()].Times:
-			b.callOn(a, k+1)
+			b.fail(a)
+			b.scheduleAdvance()
+		case k+1 < s.plan.Tiers[b.tier()].CallsPerRequest:
+			b.callNextTier(a, k+1)
 		default:
 			b.advance()
-			a.second = true
-			b.model.Resume(s.now, a.id, a.after)
-			b.arm()
+			a.afterCalls = true
+			b.model.Resume(s.now, a.id, a.workAfterCalls)
+			b.scheduleAdvance()
 		}
 	})
 }
 
-func (b *box) failed(a *attempt) {
-	more := b.model.Release(b.s.now, a.id)
-	a.back(audit.Erred)
-	b.settle(more)
+func (b *server) fail(a *attempt) {
+	more := b.model.Release(b.sim.now, a.id)
+	a.answer(audit.Failed)
+	b.complete(more)
 }
 
-// come brings an attempt to its box.
-func (a *attempt) come() {
-	b, s, i := a.box, a.r.in.s, a.r.in
-	if a.over {
+// arrive brings an attempt to its box.
+func (a *attempt) arrive() {
+	b, s, i := a.server, a.request.instance.sim, a.request.instance
+	if a.finished {
 		return // withdrawn on its way: it was never written
 	}
 	if b.model == nil {
-		s.add(audit.Event{Kind: audit.Knocked, Request: a.r.request, Sidecar: i.index, Box: b.index, Origin: a.r.origin})
+		s.record(audit.Event{Kind: audit.AttemptUnreachable, Request: a.request.request, Sidecar: i.index, Server: b.index, Origin: a.request.origin})
 	}
 	switch {
-	case b.silent && !i.connsTo(b).met:
-		s.at(a.sent+s.plan.Rules.Connect, func() { a.end(balancer.StatusConnectFailed) })
+	case b.silent && !i.connectionsTo(b).established:
+		s.schedule(a.sentAt+s.plan.Rules.ConnectTimeout, func() { a.finishAtInstance(balancer.StatusConnectFailed) })
 		return
 	case b.model == nil && !b.silent:
-		s.after(toBox, func() { a.end(balancer.StatusConnectFailed) })
+		s.scheduleAfter(toServer, func() { a.finishAtInstance(balancer.StatusConnectFailed) })
 		return
 	}
-	a.life = b.life
+	a.incarnation = b.incarnation
 	a.connect()
 	b.calls[a.id] = a
-	s.add(audit.Event{Kind: audit.Sent, Request: a.r.request, First: s.now, Attempt: a.id, Box: b.index, Sidecar: -1, Origin: a.r.origin})
+	s.record(audit.Event{Kind: audit.AttemptReceived, Request: a.request.request, FirstByteAt: s.now, AttemptID: a.id, Server: b.index, Sidecar: -1, Origin: a.request.origin})
 	chance := func(what string) bool { return b.faults[what] > 0 && b.random.Float64() < b.faults[what] }
 	switch {
 	case b.silent || chance("lose"):
-		a.mute = true
+		a.muted = true
 		return
 	case chance("reset"):
-		a.done(audit.Dropped)
-		s.after(toBox, func() { a.end(balancer.StatusReset) })
+		a.finishAtServer(audit.Dropped)
+		s.scheduleAfter(toServer, func() { a.finishAtInstance(balancer.StatusReset) })
 		return
 	case chance("refuse"):
-		a.back(audit.TurnedAway)
+		a.answer(audit.Rejected)
 		return
 	case chance("fail"):
-		a.back(audit.Erred)
+		a.answer(audit.Failed)
 		return
 	}
-	s.memory[a.r.request]++
-	before, after := s.plan.Works(a.r.request, b.tier(), s.memory[a.r.request])
-	a.after = after
+	s.attemptsSeen[a.request.request]++
+	before, after := s.plan.WorkOf(a.request.request, b.tier(), s.attemptsSeen[a.request.request])
+	a.workAfterCalls = after
 	b.advance()
-	switch b.model.Offer(s.now, a.id, before, a.r.deadline) {
-	case emulator.Taken:
-		a.job = true
-		b.arm()
-	case emulator.TurnedAway:
-		a.back(audit.TurnedAway)
-	case emulator.Fell:
-		s.add(audit.Event{Kind: audit.Fell, Box: b.index, Sidecar: -1, Origin: -1})
-		b.down()
-		if life, keeper := b.life, s.plan.Tiers[b.tier()].FallenFor; keeper > 0 {
-			s.after(keeper, func() { b.kept(life) })
+	switch b.model.Offer(s.now, a.id, before, a.request.deadline) {
+	case emulator.Accepted:
+		a.inModel = true
+		b.scheduleAdvance()
+	case emulator.Rejected:
+		a.answer(audit.Rejected)
+	case emulator.Collapsed:
+		s.record(audit.Event{Kind: audit.ServerCollapsed, Server: b.index, Sidecar: -1, Origin: -1})
+		b.stop()
+		if life, keeper := b.incarnation, s.plan.Tiers[b.tier()].RestartAfterCollapse; keeper > 0 {
+			s.scheduleAfter(keeper, func() { b.restartAfterCollapse(life) })
 		}
 	}
 }
 
-// done notes the end of an attempt at its box.
-func (a *attempt) done(how audit.How) {
-	if a.ended || a.life == 0 {
+// finishAtServer notes the end of an attempt at its box.
+func (a *attempt) finishAtServer(how audit.AttemptResult) {
+	if a.endedAtServer || a.incarnation == 0 {
 		return
 	}
-	a.ended = true
-	if a.box.life == a.life {
-		delete(a.box.calls, a.id)
+	a.endedAtServer = true
+	if a.server.incarnation == a.incarnation {
+		delete(a.server.calls, a.id)
 	}
-	a.r.in.s.add(audit.Event{Kind: audit.Ended, Request: a.r.request, Attempt: a.id, Box: a.box.index, Sidecar: -1, How: how, Work: a.work, Origin: a.r.origin})
+	a.request.instance.sim.record(audit.Event{Kind: audit.AttemptEnded, Request: a.request.request, AttemptID: a.id, Server: a.server.index, Sidecar: -1, Result: how, Work: a.work, Origin: a.request.origin})
 }
 
-// back sends the answer of the box.
-func (a *attempt) back(how audit.How) {
-	if a.mute {
+// answer sends the answer of the box.
+func (a *attempt) answer(how audit.AttemptResult) {
+	if a.muted {
 		return
 	}
-	b, s := a.box, a.r.in.s
+	b, s := a.server, a.request.instance.sim
 	if how == audit.Served && b.faults["garble"] > 0 && b.random.Float64() < b.faults["garble"] {
-		how = audit.Spoilt
+		how = audit.Garbled
 	}
-	a.done(how)
-	status := map[audit.How]balancer.Status{
-		audit.Served: balancer.StatusOK, audit.Erred: balancer.StatusError,
-		audit.TurnedAway: balancer.StatusRejected, audit.Spoilt: balancer.StatusInvalidResponse,
+	a.finishAtServer(how)
+	status := map[audit.AttemptResult]balancer.Status{
+		audit.Served: balancer.StatusOK, audit.Failed: balancer.StatusError,
+		audit.Rejected: balancer.StatusRejected, audit.Garbled: balancer.StatusInvalidResponse,
 	}[how]
-	life := b.life
-	s.after(toBox, func() {
-		if c := a.conns; c != nil && b.life == life {
-			c.met = true
+	life := b.incarnation
+	s.scheduleAfter(toServer, func() {
+		if c := a.connections; c != nil && b.incarnation == life {
+			c.established = true
 		}
-		a.end(status)
+		a.finishAtInstance(status)
 	})
 }
 
-// withdraw takes an attempt back that its instance does not want any more.
-func (a *attempt) withdraw() {
-	b, s := a.box, a.r.in.s
-	s.after(toBox, func() {
-		if a.ended || a.life == 0 || b.life != a.life {
+// cancel takes an attempt back that its instance does not want any more.
+func (a *attempt) cancel() {
+	b, s := a.server, a.request.instance.sim
+	s.scheduleAfter(toServer, func() {
+		if a.endedAtServer || a.incarnation == 0 || b.incarnation != a.incarnation {
 			return
 		}
-		if a.job && b.model != nil {
+		if a.inModel && b.model != nil {
 			b.advance()
-			if a.ended {
-				b.arm()
+			if a.endedAtServer {
+				b.scheduleAdvance()
 				return
 			}
-			got := b.model.Got(a.id)
+			got := b.model.WorkDone(a.id)
 			stopped, expired := b.model.Cancel(s.now, a.id)
 			if !stopped {
 				got = 0
-				a.work += a.after
+				a.work += a.workAfterCalls
 			}
 			a.work += got
-			a.done(audit.Withdrawn)
-			b.settle(expired)
-			b.arm()
+			a.finishAtServer(audit.Canceled)
+			b.complete(expired)
+			b.scheduleAdvance()
 			return
 		}
-		a.done(audit.Withdrawn)
+		a.finishAtServer(audit.Canceled)
 	})
 }
 
-// end is the end of an attempt at its instance.
-func (a *attempt) end(status balancer.Status) {
-	r, i := a.r, a.r.in
-	if a.over || r.out != a || i.requests[balancer.RequestID(r.request)] != r {
+// finishAtInstance is the end of an attempt at its instance.
+func (a *attempt) finishAtInstance(status balancer.Status) {
+	r, i := a.request, a.request.instance
+	if a.finished || r.pending != a || i.requests[balancer.RequestID(r.request)] != r {
 		return
 	}
-	a.over = true
-	a.part(status == balancer.StatusOK || status == balancer.StatusError || status == balancer.StatusRejected)
-	r.out = nil
+	a.finished = true
+	a.releaseConnection(status == balancer.StatusOK || status == balancer.StatusError || status == balancer.StatusRejected)
+	r.pending = nil
 	if status == balancer.StatusTimeout || status == balancer.StatusCancelled {
-		a.withdraw()
+		a.cancel()
 	}
 	final := r.answered
 	if status == balancer.StatusOK && !r.answered {
 		final = true
 		r.answer(200, 0, true)
 	}
-	i.s.decisions++
-	i.b.HandleOutcome(i.clock(), balancer.Outcome{
-		ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.box.index + 1),
-		Attempt: a.number, Final: final, Elapsed: i.s.now - a.sent, Status: status,
+	i.sim.decisions++
+	i.balancer.HandleOutcome(i.clock(), balancer.Outcome{
+		ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.server.index + 1),
+		Attempt: a.number, Final: final, Elapsed: i.sim.now - a.sentAt, Status: status,
 	})
-	r.forget()
+	r.release()
 }
 
-// step plays one step of the plan.
-func (s *sim) step(x morning.Step) {
-	switch x.Do {
-	case morning.Crash:
-		b := s.boxes[x.Box]
-		if b.own != nil {
-			b.own.kill()
+// playStep plays one step of the plan.
+func (s *sim) playStep(x morning.Step) {
+	switch x.Kind {
+	case morning.ServerCrash:
+		b := s.servers[x.Server]
+		if b.sidecar != nil {
+			b.sidecar.kill()
 		}
-		b.down()
-	case morning.Silence:
-		b := s.boxes[x.Box]
+		b.stop()
+	case morning.ServerSilence:
+		b := s.servers[x.Server]
 		if b.model == nil {
 			return
 		}
 		b.silent, b.model = true, nil
 		for _, a := range b.calls {
-			a.mute = true
+			a.muted = true
 		}
-		if b.own != nil {
-			b.own.kill()
+		if b.sidecar != nil {
+			b.sidecar.kill()
 		}
-	case morning.Start:
-		b := s.boxes[x.Box]
-		b.down()
+	case morning.ServerStart:
+		b := s.servers[x.Server]
+		b.stop()
 		b.start(true)
-		if b.own != nil {
-			b.own.kill()
-			s.revive(b.own)
+		if b.sidecar != nil {
+			b.sidecar.kill()
+			s.restart(b.sidecar)
 		}
-	case morning.Pause, morning.Slow:
-		b := s.boxes[x.Box]
+	case morning.ServerPause, morning.ServerSlowdown:
+		b := s.servers[x.Server]
 		if b.model == nil {
 			return
 		}
 		b.advance()
-		if x.Do == morning.Pause {
+		if x.Kind == morning.ServerPause {
 			b.model.Pause(s.now, x.Until)
 		} else {
-			b.model.Slow(s.now, x.By)
+			b.model.Slow(s.now, x.Amount)
 		}
-		b.arm()
-	case morning.Fault:
-		s.boxes[x.Box].faults[x.What] = x.By
-	case morning.Tell:
-		b := s.boxes[x.Box]
-		b.learn(news{weight: b.weight, told: x.State, boot: x.Boot})
-		s.tell(b)
-	case morning.Weigh:
-		b := s.boxes[x.Box]
-		if b.learn(news{weight: x.By, told: b.told, boot: b.boot}); b.told != "" && b.told != "Gone" {
-			s.tell(b)
+		b.scheduleAdvance()
+	case morning.ServerFault:
+		s.servers[x.Server].faults[x.Name] = x.Amount
+	case morning.DiscoveryUpdate:
+		b := s.servers[x.Server]
+		b.updateState(discoveryState{weight: b.weight, state: x.State, boot: x.Boot})
+		s.notifyAll(b)
+	case morning.DiscoveryWeight:
+		b := s.servers[x.Server]
+		if b.updateState(discoveryState{weight: x.Amount, state: b.state, boot: b.boot}); b.state != "" && b.state != "Gone" {
+			s.notifyAll(b)
 		}
-	case morning.Again:
-		s.again = x.By > 0
-	case morning.Signal:
-		switch i := s.instances[x.Sidecar]; x.What {
+	case morning.DiscoveryRepeat:
+		s.repeats = x.Amount > 0
+	case morning.SidecarSignal:
+		switch i := s.instances[x.Sidecar]; x.Name {
 		case "SIGTERM":
-			i.stop()
+			i.shutDown()
 		case "SIGKILL", "SIGSTOP":
 			i.kill()
 		}
-	case morning.Revive:
-		s.revive(s.instances[x.Sidecar])
+	case morning.SidecarRestart:
+		s.restart(s.instances[x.Sidecar])
 	}
 }
 
-// tell has all instances hear of a box; twice where discovery repeats itself.
-func (s *sim) tell(b *box) {
+// notifyAll has all instances hear of a box; twice where discovery repeats itself.
+func (s *sim) notifyAll(b *server) {
 	for _, i := range s.instances {
-		i.hear(b)
-		if s.again {
-			s.after(repeatAfter, func() { i.hear(b) })
+		i.notify(b)
+		if s.repeats {
+			s.scheduleAfter(repeatDelay, func() { i.notify(b) })
 		}
 	}
 }
 
-// revive starts an instance again, once it has ended.
-func (s *sim) revive(i *instance) {
+// restart starts an instance again, once it has ended.
+func (s *sim) restart(i *instance) {
 	if i.up {
 		if i.endsAt > 0 { // else it serves already
-			s.at(i.endsAt+200*time.Millisecond, func() { s.revive(i) })
+			s.schedule(i.endsAt+200*time.Millisecond, func() { s.restart(i) })
 		}
 		return
 	}
--- a/internal/rehearsal/dryrun/dryrun_test.go
+++ b/internal/rehearsal/dryrun/dryrun_test.go
@@ -18,7 +18,7 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-func read(t testing.TB, name, text string) *morning.Morning {
+func read(t testing.TB, name, text string) *morning.Scenario {
 	t.Helper()
 	var found finding.List
 	m := morning.Read(name, []byte(text), &found)
@@ -37,13 +37,13 @@
 	return r
 }
 
-func library(t testing.TB) map[string]*morning.Morning {
+func library(t testing.TB) map[string]*morning.Scenario {
 	t.Helper()
 	names, err := filepath.Glob("../../../rehearsals/*.morning")
 	if err != nil || len(names) == 0 {
 		t.Fatal("no rehearsals", err)
 	}
-	all := map[string]*morning.Morning{}
+	all := map[string]*morning.Scenario{}
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -79,13 +79,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := run(t, m.Plan(0)).Verdict
-			if len(v.Breaches) > 0 || v.Void != "" {
-				t.Errorf("%s %v", v.Void, v.Breaches[:min(5, len(v.Breaches))])
+			if len(v.Breaches) > 0 || v.VoidReason != "" {
+				t.Errorf("%s %v", v.VoidReason, v.Breaches[:min(5, len(v.Breaches))])
 			}
-			for _, e := range m.Expect {
-				got := map[string]float64{"service": v.Service, "worst": v.Worst, "attempts": v.PerCall}[e.What]
+			for _, e := range m.Expectations {
+				got := map[string]float64{"service": v.Service, "worst": v.WorstService, "attempts": v.AttemptsPerCall}[e.Figure]
 				if e.Above == (got < e.Bound) {
-					t.Errorf("line %d: %s is %v, bound %v", e.At.Line, e.What, got, e.Bound)
+					t.Errorf("line %d: %s is %v, bound %v", e.Position.Line, e.Figure, got, e.Bound)
 				}
 			}
 		})
@@ -113,10 +113,10 @@
 			}
 			withdrawn := map[string]time.Duration{}
 			for _, e := range r.Events {
-				if e.Kind == audit.GaveUp || e.Kind == audit.Ended && e.How == audit.Withdrawn {
+				if e.Kind == audit.CallerTimedOut || e.Kind == audit.AttemptEnded && e.Result == audit.Canceled {
 					withdrawn[e.Request] = e.At
 				}
-				if e.Kind == audit.Ended && e.How == audit.Served && e.At > 2900*time.Millisecond && e.At < 3100*time.Millisecond {
+				if e.Kind == audit.AttemptEnded && e.Result == audit.Served && e.At > 2900*time.Millisecond && e.At < 3100*time.Millisecond {
 					crossed++
 				}
 			}
@@ -139,8 +139,8 @@
 	share := func(from, to int) float64 {
 		var fresh, all float64
 		for s := from; s < to; s++ {
-			for box := range r.Plan().Boxes {
-				n := float64(r.Verdict.Loads[box][s])
+			for box := range r.Plan().Servers {
+				n := float64(r.Verdict.AttemptsByServer[box][s])
 				all += n
 				if box == 6 {
 					fresh += n
@@ -191,7 +191,7 @@
 		if len(v.Breaches) > 0 {
 			t.Fatalf("%s%v", text, v.Breaches)
 		}
-		if n := v.InTime + v.Late + v.Refused + v.Failed; n != v.Requests || v.Requests != len(r.Plan().Arrivals) {
+		if n := v.InTime + v.Late + v.Rejected + v.Failed; n != v.Requests || v.Requests != len(r.Plan().Arrivals) {
 			t.Fatalf("%d of %d requests are counted", n, v.Requests)
 		}
 	})
@@ -212,10 +212,10 @@
 	sent, n := map[uint64]time.Duration{}, 0
 	for _, e := range r.Events {
 		switch e.Kind {
-		case audit.Sent:
-			sent[e.Attempt] = e.At
-		case audit.Ended:
-			sum += e.At - sent[e.Attempt]
+		case audit.AttemptReceived:
+			sent[e.AttemptID] = e.At
+		case audit.AttemptEnded:
+			sum += e.At - sent[e.AttemptID]
 			n++
 		}
 	}
@@ -231,9 +231,9 @@
 	p := m.Plan(0)
 	r := run(t, p)
 	rules := p.AuditRules()
-	rules.Attempts = 1
+	rules.MaxAttempts = 1
 	v := audit.Judge(rules, r.Events, 0)
-	if v.Broken[audit.OnceOnly] == 0 || !slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return strings.Contains(b.Text, "attempt 2; 1 are allowed") }) {
+	if v.BreachesByRule[audit.AtMostOnce] == 0 || !slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return strings.Contains(b.Message, "attempt 2; 1 are allowed") }) {
 		t.Error("no second attempt was seen in a morning of errors")
 	}
 }
--- a/internal/rehearsal/emulator/box.go
+++ b/internal/rehearsal/emulator/box.go
@@ -28,18 +28,18 @@
 	Thrash   float64
 	ThrashAt int
 
-	// A box that starts has ColdFrom of its capacity (above 0, to 1), which rises evenly to the whole within Warm.
-	ColdFrom float64
-	Warm     time.Duration
-	// While it warms up, more than TipMultiple times its capacity, sent to it within TipWindow, makes it fall over
+	// A box that starts has ColdShare of its capacity (above 0, to 1), which rises evenly to the whole within Warm.
+	ColdShare float64
+	WarmUp    time.Duration
+	// While it warms up, more than OverloadFactor times its capacity, sent to it within OverloadWindow, makes it fall over
 	// for good. 0 for never.
-	TipMultiple float64
-	TipWindow   time.Duration
+	OverloadFactor float64
+	OverloadWindow time.Duration
 
-	CancelStops  bool // a cancel stops work in progress, not only waiting work
-	DropsExpired bool // a job whose time is up when it would get a slot is dropped
+	CancelStopsWork bool // a cancel stops work in progress, not only waiting work
+	DropsExpired    bool // a job whose time is up when it would get a slot is dropped
 
-	Choke *Choke // nil for never
+	Congestion *Congestion // nil for never
 
 	ReportEvery time.Duration // of load reports; 0 for none
 	ReportDelay time.Duration // how old a report is before it can be seen
@@ -48,18 +48,18 @@
 	HandshakeWork time.Duration // that a new connection costs it
 }
 
-// Choke is how a box turns slow when it is crowded for too long, and recovers.
-type Choke struct {
-	Held   int           // so many jobs held,
-	Over   time.Duration // for so long without a break, choke it;
-	Slower float64       // its speed is divided by this,
-	Below  float64       // until less than this share of its cores was busy
-	Rest   time.Duration // for so long,
-	Most   time.Duration // or this time is up.
+// Congestion is how a box turns slow when it is crowded for too long, and recovers.
+type Congestion struct {
+	MinJobs             int           // so many jobs held,
+	After               time.Duration // for so long without a break, choke it;
+	SlowdownFactor      float64       // its speed is divided by this,
+	RecoveryUtilization float64       // until less than this share of its cores was busy
+	RecoveryTime        time.Duration // for so long,
+	MaxDuration         time.Duration // or this time is up.
 }
 
-// Check tells why a Spec cannot be, nil if it can.
-func (s *Spec) Check() error {
+// Validate tells why a Spec cannot be, nil if it can.
+func (s *Spec) Validate() error {
 	for _, f := range []struct {
 		name string
 		ok   bool
@@ -68,12 +68,12 @@
 		{"speed: not above 0", s.Speed > 0 && !math.IsInf(s.Speed, 0)},
 		{"slots: below 1", s.Slots >= 1},
 		{"queue: below 0", s.Queue >= 0},
-		{"cold: not above 0 and at most 1", s.ColdFrom > 0 && s.ColdFrom <= 1},
-		{"warm: below 0", s.Warm >= 0},
+		{"cold: not above 0 and at most 1", s.ColdShare > 0 && s.ColdShare <= 1},
+		{"warm: below 0", s.WarmUp >= 0},
 		{"thrash: not from 0 to 1", s.Thrash >= 0 && s.Thrash <= 1},
 		{"thrash_at: below 1", s.Thrash == 0 || s.ThrashAt >= 1},
-		{"tip_window: not above 0", s.TipMultiple == 0 || s.TipMultiple > 0 && s.TipWindow > 0},
-		{"choke: slower: below 1", s.Choke == nil || s.Choke.Slower >= 1},
+		{"tip_window: not above 0", s.OverloadFactor == 0 || s.OverloadFactor > 0 && s.OverloadWindow > 0},
+		{"choke: slower: below 1", s.Congestion == nil || s.Congestion.SlowdownFactor >= 1},
 	} {
 		if !f.ok {
 			return fmt.Errorf("%s", f.name)
@@ -82,211 +82,211 @@
 	return nil
 }
 
-// Report is a load report, as a box makes them now and then.
-type Report struct {
-	InFlight int     // jobs held
-	Queue    int     // of these, waiting for a slot
-	Util     float64 // share of the cores that was busy since the report before
+// LoadReport is a load report, as a box makes them now and then.
+type LoadReport struct {
+	InFlight    int     // jobs held
+	Queued      int     // of these, waiting for a slot
+	Utilization float64 // share of the cores that was busy since the report before
 }
 
-type where int
+type jobState int
 
 const (
-	queued   where = iota
-	working        // shares the cores
-	waiting        // holds a slot, and waits for somebody else
-	orphaned       // working, and nobody wants it
-	chore          // shares the cores, and needs no slot
+	queued   jobState = iota
+	working           // shares the cores
+	blocked           // holds a slot, and waits for somebody else
+	orphaned          // working, and nobody wants it
+	overhead          // shares the cores, and needs no slot
 )
 
 type job struct {
-	id      uint64
-	work    float64 // seconds of one core of speed 1
-	finish  float64 // what attained has to reach
-	at      int     // in the heap
-	order   uint64
-	where   where
-	expires time.Duration
-}
-
-// leastSpeed is the share of its speed that thrashing leaves a box at least.
-const leastSpeed = 0.25
-
-// tipSlack is how much more than the multiple makes a cold box fall, for chance.
-const tipSlack = 1.1
-
-// Box is one server. Its methods take the time; see the package.
-type Box struct {
-	spec    Spec
-	now     time.Duration
-	started time.Duration // it is cold from here on
-	warm    bool          // it has been up for long
-
-	jobs     map[uint64]*job
-	line     []*job // the queue, and what was cancelled in it
-	waiting  int    // jobs in line that still want a slot
-	busy     byFinish
-	attained float64 // what each job that shares the cores has got since the start, in seconds at speed 1
-	order    uint64
-
-	slowed  float64 // divides its speed; 1 or more
-	pausing time.Duration
-	fallen  bool
-	sent    []sent // while it is cold, newest last
-
-	crowded time.Duration // since when it holds too much; -1 if not
-	calm    time.Duration // since when it is mostly idle; -1 if not
-	choked  time.Duration // until when at most; 0 if not
-	chokes  int
-
-	reports  []stamped
-	nextSnap time.Duration
-	worked   float64 // core seconds since the last snapshot
-	total    float64 // core seconds, since the start
-}
-
-type sent struct {
+	id        uint64
+	work      float64 // seconds of one core of speed 1
+	finish    float64 // what attained has to reach
+	heapIndex int     // in the heap
+	order     uint64
+	state     jobState
+	expires   time.Duration
+}
+
+// minThrashShare is the share of its speed that thrashing leaves a box at least.
+const minThrashShare = 0.25
+
+// overloadTolerance is how much more than the multiple makes a cold box fall, for chance.
+const overloadTolerance = 1.1
+
+// Server is one server. Its methods take the time; see the package.
+type Server struct {
+	spec      Spec
+	now       time.Duration
+	startedAt time.Duration // it is cold from here on
+	warmedUp  bool          // it has been up for long
+
+	jobs       map[uint64]*job
+	queue      []*job // the queue, and what was cancelled in it
+	queuedJobs int    // jobs in line that still want a slot
+	running    finishHeap
+	attained   float64 // what each job that shares the cores has got since the start, in seconds at speed 1
+	order      uint64
+
+	slowdown    float64 // divides its speed; 1 or more
+	pausedUntil time.Duration
+	collapsed   bool
+	offered     []offeredWork // while it is cold, newest last
+
+	crowdedSince   time.Duration // since when it holds too much; -1 if not
+	idleSince      time.Duration // since when it is mostly idle; -1 if not
+	congestedUntil time.Duration // until when at most; 0 if not
+	congestions    int
+
+	reports           []timedReport
+	nextReport        time.Duration
+	workedSinceReport float64 // core seconds since the last snapshot
+	worked            float64 // core seconds, since the start
+}
+
+type offeredWork struct {
 	at   time.Duration
 	work float64
 }
 
-type stamped struct {
+type timedReport struct {
 	at time.Duration
-	Report
+	LoadReport
 }
 
-// NewBox is a box that has been up for long, or, with cold set, one that starts now.
-func NewBox(spec Spec, now time.Duration, cold bool) *Box {
-	return &Box{
-		spec: spec, now: now, started: now, warm: !cold, jobs: map[uint64]*job{}, slowed: 1, crowded: -1, calm: -1,
-		nextSnap: now + spec.ReportEvery,
+// NewServer is a box that has been up for long, or, with cold set, one that starts now.
+func NewServer(spec Spec, now time.Duration, cold bool) *Server {
+	return &Server{
+		spec: spec, now: now, startedAt: now, warmedUp: !cold, jobs: map[uint64]*job{}, slowdown: 1, crowdedSince: -1, idleSince: -1,
+		nextReport: now + spec.ReportEvery,
 	}
 }
 
-// share is the part of its capacity that a box has at a time, for it is cold.
-func (b *Box) share(at time.Duration) float64 {
-	if b.warm || at >= b.started+b.spec.Warm {
+// warmShare is the part of its capacity that a box has at a time, for it is cold.
+func (b *Server) warmShare(at time.Duration) float64 {
+	if b.warmedUp || at >= b.startedAt+b.spec.WarmUp {
 		return 1
 	}
-	return b.spec.ColdFrom + (1-b.spec.ColdFrom)*float64(at-b.started)/float64(b.spec.Warm)
+	return b.spec.ColdShare + (1-b.spec.ColdShare)*float64(at-b.startedAt)/float64(b.spec.WarmUp)
 }
 
-// rate is what one job gets a second, but for the cold.
-func (b *Box) rate() float64 {
-	n := len(b.busy)
-	if n == 0 || b.now < b.pausing {
+// jobRate is what one job gets a second, but for the cold.
+func (b *Server) jobRate() float64 {
+	n := len(b.running)
+	if n == 0 || b.now < b.pausedUntil {
 		return 0
 	}
-	r := b.spec.Speed / b.slowed
-	if held := b.Held(); b.spec.Thrash > 0 && held > b.spec.ThrashAt {
-		r *= max(leastSpeed, 1-b.spec.Thrash*float64(held-b.spec.ThrashAt)/float64(b.spec.ThrashAt))
+	r := b.spec.Speed / b.slowdown
+	if held := b.Jobs(); b.spec.Thrash > 0 && held > b.spec.ThrashAt {
+		r *= max(minThrashShare, 1-b.spec.Thrash*float64(held-b.spec.ThrashAt)/float64(b.spec.ThrashAt))
 	}
-	if b.choked > 0 {
-		r /= b.spec.Choke.Slower
+	if b.congestedUntil > 0 {
+		r /= b.spec.Congestion.SlowdownFactor
 	}
 	return r * min(1, float64(b.spec.Cores)/float64(n))
 }
 
-// gained is what a job of rate 1 gets from now until then: the area under share.
-func (b *Box) gained(to time.Duration) float64 {
-	from, full := b.now, b.started+b.spec.Warm
-	if b.warm || from >= full {
+// progressUntil is what a job of rate 1 gets from now until then: the area under share.
+func (b *Server) progressUntil(to time.Duration) float64 {
+	from, full := b.now, b.startedAt+b.spec.WarmUp
+	if b.warmedUp || from >= full {
 		return (to - from).Seconds()
 	}
 	if to <= full {
-		return (to - from).Seconds() * (b.share(from) + b.share(to)) / 2
+		return (to - from).Seconds() * (b.warmShare(from) + b.warmShare(to)) / 2
 	}
-	return (full-from).Seconds()*(b.share(from)+1)/2 + (to - full).Seconds()
+	return (full-from).Seconds()*(b.warmShare(from)+1)/2 + (to - full).Seconds()
 }
 
-// until is when a job of rate 1 will have got so much from now on, rounded up: at that time it has.
-func (b *Box) until(amount float64) time.Duration {
+// finishTime is when a job of rate 1 will have got so much from now on, rounded up: at that time it has.
+func (b *Server) finishTime(amount float64) time.Duration {
 	if amount <= 0 {
 		return b.now
 	}
-	full := b.started + b.spec.Warm
-	if b.warm || b.now >= full {
-		return after(b.now, amount)
+	full := b.startedAt + b.spec.WarmUp
+	if b.warmedUp || b.now >= full {
+		return addSeconds(b.now, amount)
 	}
-	if ramp := b.gained(full); amount > ramp {
-		return after(full, amount-ramp)
+	if ramp := b.progressUntil(full); amount > ramp {
+		return addSeconds(full, amount-ramp)
 	}
 	// amount = s*t + k*t*t/2
-	s, k := b.share(b.now), (1-b.spec.ColdFrom)/b.spec.Warm.Seconds()
+	s, k := b.warmShare(b.now), (1-b.spec.ColdShare)/b.spec.WarmUp.Seconds()
 	if k == 0 {
-		return after(b.now, amount/s)
+		return addSeconds(b.now, amount/s)
 	}
-	return after(b.now, 2*amount/(s+math.Sqrt(s*s+2*k*amount)))
+	return addSeconds(b.now, 2*amount/(s+math.Sqrt(s*s+2*k*amount)))
 }
 
 // never is later than any rehearsal.
 const never = time.Duration(math.MaxInt64)
 
-func after(t time.Duration, seconds float64) time.Duration {
+func addSeconds(t time.Duration, seconds float64) time.Duration {
 	if seconds > 1e6 {
 		return never
 	}
 	return t + time.Duration(math.Ceil(seconds*1e9))
 }
 
-// progress brings all work up to a time at which nothing happens before it.
-func (b *Box) progress(to time.Duration) {
-	for b.spec.ReportEvery > 0 && b.nextSnap <= to {
-		b.run(b.nextSnap)
+// advanceReports brings all work up to a time at which nothing happens before it.
+func (b *Server) advanceReports(to time.Duration) {
+	for b.spec.ReportEvery > 0 && b.nextReport <= to {
+		b.advanceWork(b.nextReport)
 		period := b.spec.ReportEvery.Seconds() * float64(b.spec.Cores)
-		b.reports = append(b.reports, stamped{b.now, Report{b.Held(), b.waiting, min(1, b.worked/period)}})
-		b.worked = 0
-		b.nextSnap += b.spec.ReportEvery
+		b.reports = append(b.reports, timedReport{b.now, LoadReport{b.Jobs(), b.queuedJobs, min(1, b.workedSinceReport/period)}})
+		b.workedSinceReport = 0
+		b.nextReport += b.spec.ReportEvery
 		for len(b.reports) > 1 && b.reports[1].at+b.spec.ReportDelay <= b.now {
 			b.reports = b.reports[1:]
 		}
 	}
-	b.run(to)
+	b.advanceWork(to)
 }
 
-func (b *Box) run(to time.Duration) {
+func (b *Server) advanceWork(to time.Duration) {
 	if to <= b.now {
 		return
 	}
-	if r := b.rate(); r > 0 {
-		b.attained += r * b.gained(to)
-		cores := (to - b.now).Seconds() * float64(min(len(b.busy), b.spec.Cores))
+	if r := b.jobRate(); r > 0 {
+		b.attained += r * b.progressUntil(to)
+		cores := (to - b.now).Seconds() * float64(min(len(b.running), b.spec.Cores))
+		b.workedSinceReport += cores
 		b.worked += cores
-		b.total += cores
 	}
 	b.now = to
 }
 
-// nextInside is when a box changes next by itself.
-func (b *Box) nextInside() time.Duration {
+// nextChange is when a box changes next by itself.
+func (b *Server) nextChange() time.Duration {
 	next := never
-	if b.now < b.pausing {
-		next = b.pausing
-	} else if r := b.rate(); r > 0 {
-		next = b.until((b.busy[0].finish - b.attained) / r)
+	if b.now < b.pausedUntil {
+		next = b.pausedUntil
+	} else if r := b.jobRate(); r > 0 {
+		next = b.finishTime((b.running[0].finish - b.attained) / r)
 	}
-	if c := b.spec.Choke; c != nil {
+	if c := b.spec.Congestion; c != nil {
 		switch {
-		case b.choked > 0:
-			next = min(next, b.choked)
-			if b.calm >= 0 {
-				next = min(next, b.calm+c.Rest)
+		case b.congestedUntil > 0:
+			next = min(next, b.congestedUntil)
+			if b.idleSince >= 0 {
+				next = min(next, b.idleSince+c.RecoveryTime)
 			}
-		case b.crowded >= 0:
-			next = min(next, b.crowded+c.Over)
+		case b.crowdedSince >= 0:
+			next = min(next, b.crowdedSince+c.After)
 		}
 	}
 	return next
 }
 
 // Next is when the box wants to be looked at; false if nothing will happen by itself.
-func (b *Box) Next() (time.Duration, bool) {
-	next := b.nextInside()
+func (b *Server) Next() (time.Duration, bool) {
+	next := b.nextChange()
 	return next, next < never
 }
 
-// Done is a job whose work has ended.
-type Done struct {
+// Completion is a job whose work has ended.
+type Completion struct {
 	ID uint64
 	At time.Duration
 	// Expired tells that its time was up before it got a slot: nothing was done of it, and it has left.
@@ -295,160 +295,160 @@
 
 // Advance brings the box up to a time and returns, in order, the jobs that have ended their work. Each keeps its
 // slot until Release or Resume, unless it expired.
-func (b *Box) Advance(now time.Duration) []Done {
-	var done []Done
-	if b.fallen {
+func (b *Server) Advance(now time.Duration) []Completion {
+	var done []Completion
+	if b.collapsed {
 		b.now = max(b.now, now)
 		return nil
 	}
 	for {
-		next := b.nextInside()
+		next := b.nextChange()
 		if next > now {
 			break
 		}
-		b.progress(next)
-		for len(b.busy) > 0 && b.now >= b.pausing && b.busy[0].finish <= b.attained*(1+1e-12)+1e-12 {
-			j := heap.Pop(&b.busy).(*job)
-			switch j.where {
-			case chore:
+		b.advanceReports(next)
+		for len(b.running) > 0 && b.now >= b.pausedUntil && b.running[0].finish <= b.attained*(1+1e-12)+1e-12 {
+			j := heap.Pop(&b.running).(*job)
+			switch j.state {
+			case overhead:
 			case orphaned:
-				b.leave(j, &done)
+				b.remove(j, &done)
 			default:
-				j.where = waiting
-				done = append(done, Done{ID: j.id, At: b.now})
+				j.state = blocked
+				done = append(done, Completion{ID: j.id, At: b.now})
 			}
 		}
-		b.mood()
+		b.updateCongestion()
 	}
-	b.progress(now)
+	b.advanceReports(now)
 	return done
 }
 
-// mood follows whether the box is crowded, and when it chokes and recovers.
-func (b *Box) mood() {
-	c := b.spec.Choke
+// updateCongestion follows whether the box is crowded, and when it chokes and recovers.
+func (b *Server) updateCongestion() {
+	c := b.spec.Congestion
 	if c == nil {
 		return
 	}
-	if b.Held() < c.Held {
-		b.crowded = -1
-	} else if b.crowded < 0 {
-		b.crowded = b.now
+	if b.Jobs() < c.MinJobs {
+		b.crowdedSince = -1
+	} else if b.crowdedSince < 0 {
+		b.crowdedSince = b.now
 	}
-	if float64(len(b.busy)) >= c.Below*float64(b.spec.Cores) {
-		b.calm = -1
-	} else if b.calm < 0 {
-		b.calm = b.now
+	if float64(len(b.running)) >= c.RecoveryUtilization*float64(b.spec.Cores) {
+		b.idleSince = -1
+	} else if b.idleSince < 0 {
+		b.idleSince = b.now
 	}
 	switch {
-	case b.choked > 0 && (b.now >= b.choked || b.calm >= 0 && b.now >= b.calm+c.Rest):
-		b.choked, b.crowded = 0, -1
-	case b.choked == 0 && b.crowded >= 0 && b.now >= b.crowded+c.Over:
-		b.choked = b.now + c.Most
-		b.chokes++
+	case b.congestedUntil > 0 && (b.now >= b.congestedUntil || b.idleSince >= 0 && b.now >= b.idleSince+c.RecoveryTime):
+		b.congestedUntil, b.crowdedSince = 0, -1
+	case b.congestedUntil == 0 && b.crowdedSince >= 0 && b.now >= b.crowdedSince+c.After:
+		b.congestedUntil = b.now + c.MaxDuration
+		b.congestions++
 	}
 }
 
-// Answer is what a box says to a job that it is offered.
-type Answer int
+// Admission is what a box says to a job that it is offered.
+type Admission int
 
 // The answers of a box.
 const (
-	Taken      Answer = iota
-	TurnedAway        // no room: nothing of it will run
-	Fell              // it was too much for a cold box, which has fallen over with all that it held
+	Accepted  Admission = iota
+	Rejected            // no room: nothing of it will run
+	Collapsed           // it was too much for a cold box, which has fallen over with all that it held
 )
 
 // Offer brings a job. expires is when nobody waits for it any more; 0 for never. Ids are the caller's, and may not be
 // used again while a job has one. As with all calls, Advance to the same time comes first: what ended before is heard of late otherwise.
-func (b *Box) Offer(now time.Duration, id uint64, work, expires time.Duration) Answer {
-	b.progress(now)
-	if b.fallen {
-		return TurnedAway
+func (b *Server) Offer(now time.Duration, id uint64, work, expires time.Duration) Admission {
+	b.advanceReports(now)
+	if b.collapsed {
+		return Rejected
 	}
-	if b.tips(work.Seconds()) {
-		b.fall()
-		return Fell
+	if b.overloads(work.Seconds()) {
+		b.collapse()
+		return Collapsed
 	}
-	if b.used() >= b.spec.Slots && b.waiting >= b.spec.Queue {
-		return TurnedAway
+	if b.usedSlots() >= b.spec.Slots && b.queuedJobs >= b.spec.Queue {
+		return Rejected
 	}
 	b.order++
 	j := &job{id: id, work: work.Seconds(), order: b.order, expires: expires}
-	free := b.used() < b.spec.Slots
+	free := b.usedSlots() < b.spec.Slots
 	b.jobs[id] = j
 	if free {
 		b.begin(j)
 	} else {
-		j.where = queued
-		b.line = append(b.line, j)
-		b.waiting++
+		j.state = queued
+		b.queue = append(b.queue, j)
+		b.queuedJobs++
 	}
-	b.mood()
-	return Taken
+	b.updateCongestion()
+	return Accepted
 }
 
-// Spend has the box do work that is no job: a handshake or a probe.
-func (b *Box) Spend(now time.Duration, work time.Duration) Answer {
-	b.progress(now)
-	if b.fallen || work <= 0 {
-		return Taken
+// AddOverhead has the box do work that is no job: a handshake or a probe.
+func (b *Server) AddOverhead(now time.Duration, work time.Duration) Admission {
+	b.advanceReports(now)
+	if b.collapsed || work <= 0 {
+		return Accepted
 	}
-	if b.tips(work.Seconds()) {
-		b.fall()
-		return Fell
+	if b.overloads(work.Seconds()) {
+		b.collapse()
+		return Collapsed
 	}
 	b.order++
-	heap.Push(&b.busy, &job{work: work.Seconds(), order: b.order, where: chore, finish: b.attained + work.Seconds()})
-	b.mood()
-	return Taken
+	heap.Push(&b.running, &job{work: work.Seconds(), order: b.order, state: overhead, finish: b.attained + work.Seconds()})
+	b.updateCongestion()
+	return Accepted
 }
 
-// tips tells whether so much more, all at once, makes a cold box fall over.
-func (b *Box) tips(work float64) bool {
-	if b.warm || b.spec.TipMultiple == 0 || b.now >= b.started+b.spec.Warm {
-		b.sent = nil
+// overloads tells whether so much more, all at once, makes a cold box fall over.
+func (b *Server) overloads(work float64) bool {
+	if b.warmedUp || b.spec.OverloadFactor == 0 || b.now >= b.startedAt+b.spec.WarmUp {
+		b.offered = nil
 		return false
 	}
-	for len(b.sent) > 0 && b.sent[0].at <= b.now-b.spec.TipWindow {
-		b.sent = b.sent[1:]
+	for len(b.offered) > 0 && b.offered[0].at <= b.now-b.spec.OverloadWindow {
+		b.offered = b.offered[1:]
 	}
 	sum := work
-	for _, s := range b.sent {
+	for _, s := range b.offered {
 		sum += s.work
 	}
-	b.sent = append(b.sent, sent{b.now, work})
+	b.offered = append(b.offered, offeredWork{b.now, work})
 	// One job alone never tips a box, however large it is.
-	return len(b.sent) > 1 && sum > tipSlack*b.spec.TipMultiple*float64(b.spec.Cores)*b.spec.Speed*b.share(b.now)*b.spec.TipWindow.Seconds()
+	return len(b.offered) > 1 && sum > overloadTolerance*b.spec.OverloadFactor*float64(b.spec.Cores)*b.spec.Speed*b.warmShare(b.now)*b.spec.OverloadWindow.Seconds()
 }
 
-func (b *Box) fall() {
-	b.fallen = true
-	b.jobs, b.line, b.waiting, b.busy = map[uint64]*job{}, nil, 0, nil
+func (b *Server) collapse() {
+	b.collapsed = true
+	b.jobs, b.queue, b.queuedJobs, b.running = map[uint64]*job{}, nil, 0, nil
 }
 
-func (b *Box) used() int { return len(b.jobs) - b.waiting }
+func (b *Server) usedSlots() int { return len(b.jobs) - b.queuedJobs }
 
 // begin gives a job a slot and the cores.
-func (b *Box) begin(j *job) {
-	j.where, j.finish = working, b.attained+j.work
-	heap.Push(&b.busy, j)
+func (b *Server) begin(j *job) {
+	j.state, j.finish = working, b.attained+j.work
+	heap.Push(&b.running, j)
 }
 
-// leave takes a job out, and gives its slot to who waits longest.
-func (b *Box) leave(j *job, done *[]Done) {
+// remove takes a job out, and gives its slot to who waits longest.
+func (b *Server) remove(j *job, done *[]Completion) {
 	delete(b.jobs, j.id)
-	for b.used() < b.spec.Slots && b.waiting > 0 {
-		next := b.line[0]
-		b.line = b.line[1:]
+	for b.usedSlots() < b.spec.Slots && b.queuedJobs > 0 {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
 		if b.jobs[next.id] != next {
 			continue // cancelled in the queue
 		}
-		b.waiting--
+		b.queuedJobs--
 		if b.spec.DropsExpired && next.expires > 0 && b.now >= next.expires {
 			delete(b.jobs, next.id)
 			if done != nil {
-				*done = append(*done, Done{ID: next.id, At: b.now, Expired: true})
+				*done = append(*done, Completion{ID: next.id, At: b.now, Expired: true})
 			}
 			continue
 		}
@@ -457,157 +457,157 @@
 }
 
 // Release ends a job whose work has ended: its slot is free. What expired in the queue as that came to pass is returned.
-func (b *Box) Release(now time.Duration, id uint64) []Done {
-	b.progress(now)
+func (b *Server) Release(now time.Duration, id uint64) []Completion {
+	b.advanceReports(now)
 	j := b.jobs[id]
-	if j == nil || j.where != waiting {
+	if j == nil || j.state != blocked {
 		return nil
 	}
-	var done []Done
-	b.leave(j, &done)
-	b.mood()
+	var done []Completion
+	b.remove(j, &done)
+	b.updateCongestion()
 	return done
 }
 
 // Resume gives a job whose work had ended more work; it has kept its slot.
-func (b *Box) Resume(now time.Duration, id uint64, work time.Duration) {
-	b.progress(now)
+func (b *Server) Resume(now time.Duration, id uint64, work time.Duration) {
+	b.advanceReports(now)
 	j := b.jobs[id]
-	if j == nil || j.where != waiting {
+	if j == nil || j.state != blocked {
 		return
 	}
 	j.work = work.Seconds()
 	b.begin(j)
-	b.mood()
+	b.updateCongestion()
 }
 
 // Cancel withdraws a job. One that waits leaves; one in work leaves where the box stops such work, and else goes on
 // for nobody. Stopped tells which; what expired in the queue as its slot became free is returned.
-func (b *Box) Cancel(now time.Duration, id uint64) (stopped bool, expired []Done) {
-	b.progress(now)
+func (b *Server) Cancel(now time.Duration, id uint64) (stopped bool, expired []Completion) {
+	b.advanceReports(now)
 	j := b.jobs[id]
 	if j == nil {
 		return true, nil
 	}
-	switch j.where {
+	switch j.state {
 	case queued:
-		b.waiting--
+		b.queuedJobs--
 		delete(b.jobs, id)
-		b.tidy()
-	case waiting:
-		b.leave(j, &expired)
+		b.compactQueue()
+	case blocked:
+		b.remove(j, &expired)
 	case working:
-		if !b.spec.CancelStops {
-			j.where = orphaned
+		if !b.spec.CancelStopsWork {
+			j.state = orphaned
 			return false, nil
 		}
-		heap.Remove(&b.busy, j.at)
-		b.leave(j, &expired)
+		heap.Remove(&b.running, j.heapIndex)
+		b.remove(j, &expired)
 	case orphaned:
 		return false, nil
 	}
-	b.mood()
+	b.updateCongestion()
 	return true, expired
 }
 
-// tidy drops what was cancelled in the queue, once that is the larger part of it.
-func (b *Box) tidy() {
-	if len(b.line) <= 2*b.waiting+8 {
+// compactQueue drops what was cancelled in the queue, once that is the larger part of it.
+func (b *Server) compactQueue() {
+	if len(b.queue) <= 2*b.queuedJobs+8 {
 		return
 	}
-	kept := make([]*job, 0, b.waiting)
-	for _, j := range b.line {
+	kept := make([]*job, 0, b.queuedJobs)
+	for _, j := range b.queue {
 		if b.jobs[j.id] == j {
 			kept = append(kept, j)
 		}
 	}
-	b.line = kept
+	b.queue = kept
 }
 
 // Slow divides the speed of a box, from now on; 1 is its own.
-func (b *Box) Slow(now time.Duration, by float64) {
-	b.progress(now)
-	b.slowed = max(1, by)
+func (b *Server) Slow(now time.Duration, by float64) {
+	b.advanceReports(now)
+	b.slowdown = max(1, by)
 }
 
 // Pause stops all work until a time, as a collector of garbage does.
-func (b *Box) Pause(now, until time.Duration) {
-	b.progress(now)
-	b.pausing = max(b.pausing, until)
+func (b *Server) Pause(now, until time.Duration) {
+	b.advanceReports(now)
+	b.pausedUntil = max(b.pausedUntil, until)
 }
 
-// Got is the work that a job has been given so far, of what it was offered or resumed with last.
-func (b *Box) Got(id uint64) time.Duration {
+// WorkDone is the work that a job has been given so far, of what it was offered or resumed with last.
+func (b *Server) WorkDone(id uint64) time.Duration {
 	j := b.jobs[id]
 	switch {
-	case j == nil || j.where == queued:
+	case j == nil || j.state == queued:
 		return 0
-	case j.where == waiting:
+	case j.state == blocked:
 		return time.Duration(j.work * 1e9)
 	}
 	return time.Duration(max(0, min(j.work, j.work-(j.finish-b.attained))) * 1e9)
 }
 
-// Held is how many jobs it holds, in work and waiting.
-func (b *Box) Held() int { return len(b.jobs) }
+// Jobs is how many jobs it holds, in work and waiting.
+func (b *Server) Jobs() int { return len(b.jobs) }
 
-// Queued is how many wait for a slot.
-func (b *Box) Queued() int { return b.waiting }
+// QueueLength is how many wait for a slot.
+func (b *Server) QueueLength() int { return b.queuedJobs }
 
-// Fallen tells whether it has fallen over.
-func (b *Box) Fallen() bool { return b.fallen }
+// Collapsed tells whether it has fallen over.
+func (b *Server) Collapsed() bool { return b.collapsed }
 
-// Chokes is how often it has choked.
-func (b *Box) Chokes() int { return b.chokes }
+// Congestions is how often it has choked.
+func (b *Server) Congestions() int { return b.congestions }
 
-// Busy is the time that its cores have been busy, together.
-func (b *Box) Busy() time.Duration { return time.Duration(b.total * 1e9) }
+// BusyTime is the time that its cores have been busy, together.
+func (b *Server) BusyTime() time.Duration { return time.Duration(b.worked * 1e9) }
 
 // Capacity is what it can do now in a second, in seconds of work.
-func (b *Box) Capacity() float64 {
-	if b.fallen {
+func (b *Server) Capacity() float64 {
+	if b.collapsed {
 		return 0
 	}
-	c := float64(b.spec.Cores) * b.spec.Speed / b.slowed * b.share(b.now)
-	if b.choked > 0 {
-		c /= b.spec.Choke.Slower
+	c := float64(b.spec.Cores) * b.spec.Speed / b.slowdown * b.warmShare(b.now)
+	if b.congestedUntil > 0 {
+		c /= b.spec.Congestion.SlowdownFactor
 	}
 	return c
 }
 
-// Seen is the newest load report that can be seen, false if there is none.
-func (b *Box) Seen() (Report, bool) {
+// LoadReport is the newest load report that can be seen, false if there is none.
+func (b *Server) LoadReport() (LoadReport, bool) {
 	for i := len(b.reports) - 1; i >= 0; i-- {
 		if b.reports[i].at+b.spec.ReportDelay <= b.now {
-			return b.reports[i].Report, true
+			return b.reports[i].LoadReport, true
 		}
 	}
-	return Report{}, false
+	return LoadReport{}, false
 }
 
-// byFinish is a heap of the jobs that share the cores.
-type byFinish []*job
+// finishHeap is a heap of the jobs that share the cores.
+type finishHeap []*job
 
-func (b byFinish) Len() int { return len(b) }
-func (b byFinish) Less(i, j int) bool {
+func (b finishHeap) Len() int { return len(b) }
+func (b finishHeap) Less(i, j int) bool {
 	if b[i].finish != b[j].finish {
 		return b[i].finish < b[j].finish
 	}
 	return b[i].order < b[j].order
 }
 
-func (b byFinish) Swap(i, j int) {
+func (b finishHeap) Swap(i, j int) {
 	b[i], b[j] = b[j], b[i]
-	b[i].at, b[j].at = i, j
+	b[i].heapIndex, b[j].heapIndex = i, j
 }
 
-func (b *byFinish) Push(x any) {
+func (b *finishHeap) Push(x any) {
 	j := x.(*job)
-	j.at = len(*b)
+	j.heapIndex = len(*b)
 	*b = append(*b, j)
 }
 
-func (b *byFinish) Pop() any {
+func (b *finishHeap) Pop() any {
 	old := *b
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/rehearsal/emulator/box_test.go
+++ b/internal/rehearsal/emulator/box_test.go
@@ -16,11 +16,11 @@
 const second = time.Second
 
 // play sends jobs to a box with exponential gaps and returns how long each took.
-func play(t testing.TB, spec Spec, perSecond float64, work Work, jobs int, seed uint64) (took []float64, b *Box, end time.Duration) {
-	b = NewBox(spec, 0, false)
-	gaps, works := rand.New(Source(seed, "gaps")), Source(seed, "work")
+func play(t testing.TB, spec Spec, perSecond float64, work WorkDistribution, jobs int, seed uint64) (took []float64, b *Server, end time.Duration) {
+	b = NewServer(spec, 0, false)
+	gaps, works := rand.New(RandomSource(seed, "gaps")), RandomSource(seed, "work")
 	arrived := map[uint64]time.Duration{}
-	settle := func(done []Done) {
+	settle := func(done []Completion) {
 		for _, d := range done {
 			took = append(took, (d.At - arrived[d.ID]).Seconds())
 			b.Release(d.At, d.ID)
@@ -40,15 +40,15 @@
 	}
 	for i := range jobs {
 		until(now + time.Duration(gaps.ExpFloat64()/perSecond*1e9))
-		if b.Offer(now, uint64(i), work.Draw(works), 0) != Taken {
+		if b.Offer(now, uint64(i), work.Draw(works), 0) != Accepted {
 			t.Fatal("turned away")
 		}
 		arrived[uint64(i)] = now
 	}
 	end = now
 	until(now + time.Hour)
-	if len(took) != jobs || b.Held() != 0 {
-		t.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, b.Held())
+	if len(took) != jobs || b.Jobs() != 0 {
+		t.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, b.Jobs())
 	}
 	return took, b, end
 }
@@ -75,12 +75,12 @@
 		perSecond := c.load * float64(c.cores) / mean.Seconds()
 		a := perSecond * mean.Seconds()
 		want := mean.Seconds() + erlangC(c.cores, a)/(float64(c.cores)/mean.Seconds()-perSecond)
-		took, b, end := play(t, Spec{Cores: c.cores, Speed: 1, Slots: c.cores, Queue: 1 << 20, ColdFrom: 1}, perSecond,
-			Work{mean, Exponential, 0}, 200_000, 1)
+		took, b, end := play(t, Spec{Cores: c.cores, Speed: 1, Slots: c.cores, Queue: 1 << 20, ColdShare: 1}, perSecond,
+			WorkDistribution{mean, Exponential, 0}, 200_000, 1)
 		if got := stat.Mean(took, nil); math.Abs(got/want-1) > 0.04 {
 			t.Errorf("M/M/%d at %v: %.4f s in the system, want %.4f", c.cores, c.load, got, want)
 		}
-		if util := b.Busy().Seconds() / end.Seconds() / float64(c.cores); math.Abs(util/c.load-1) > 0.02 {
+		if util := b.BusyTime().Seconds() / end.Seconds() / float64(c.cores); math.Abs(util/c.load-1) > 0.02 {
 			t.Errorf("M/M/%d: %.3f of the cores busy, want %v", c.cores, util, c.load)
 		}
 	}
@@ -88,10 +88,10 @@
 
 // With slots for all, jobs share the core: the mean time in the system of M/G/1-PS depends on the mean work alone.
 func TestAgainstProcessorSharing(t *testing.T) {
-	for _, w := range []Work{{Shape: Exponential}, {Shape: Fixed}, {Shape: Lognormal, CV: 1.5}} {
+	for _, w := range []WorkDistribution{{Shape: Exponential}, {Shape: Fixed}, {Shape: Lognormal, CV: 1.5}} {
 		w.Mean = 50 * time.Millisecond
 		const load = 0.6
-		took, _, _ := play(t, Spec{Cores: 1, Speed: 1, Slots: 1 << 20, ColdFrom: 1}, load/w.Mean.Seconds(), w, 200_000, 2)
+		took, _, _ := play(t, Spec{Cores: 1, Speed: 1, Slots: 1 << 20, ColdShare: 1}, load/w.Mean.Seconds(), w, 200_000, 2)
 		want := w.Mean.Seconds() / (1 - load)
 		if got := stat.Mean(took, nil); math.Abs(got/want-1) > 0.05 {
 			t.Errorf("%s: %.4f s in the system, want %.4f", w.Shape, got, want)
@@ -101,8 +101,8 @@
 
 // Draws have the mean and the spread that they are asked for.
 func TestDraws(t *testing.T) {
-	for _, w := range []Work{{100 * time.Millisecond, Exponential, 0}, {100 * time.Millisecond, Lognormal, 0.9}, {100 * time.Millisecond, Pareto, 0.6}} {
-		src := Source(3, "draws")
+	for _, w := range []WorkDistribution{{100 * time.Millisecond, Exponential, 0}, {100 * time.Millisecond, Lognormal, 0.9}, {100 * time.Millisecond, Pareto, 0.6}} {
+		src := RandomSource(3, "draws")
 		var xs []float64
 		for range 400_000 {
 			xs = append(xs, w.Draw(src).Seconds())
@@ -116,15 +116,15 @@
 			t.Errorf("%s: mean %.4f, cv %.3f, want 0.1 and %v", w.Shape, mean, sd/mean, cv)
 		}
 	}
-	if d := (Work{Mean: second, Shape: Lognormal}).Draw(Source(1, "")); d != second {
+	if d := (WorkDistribution{Mean: second, Shape: Lognormal}).Draw(RandomSource(1, "")); d != second {
 		t.Errorf("without a spread: %v", d)
 	}
 }
 
 // A cold box does its share, rising evenly: the work done while it warms up is the area under that.
 func TestWarmingUp(t *testing.T) {
-	spec := Spec{Cores: 1, Speed: 2, Slots: 1, Queue: 10, ColdFrom: 0.3, Warm: 10 * second}
-	b := NewBox(spec, 5*second, true)
+	spec := Spec{Cores: 1, Speed: 2, Slots: 1, Queue: 10, ColdShare: 0.3, WarmUp: 10 * second}
+	b := NewServer(spec, 5*second, true)
 	b.Advance(5 * second)
 	// 2 * (0.3*4 + 0.07*16/2) = 3.52 s of work take 4 s.
 	b.Offer(5*second, 1, 3520*time.Millisecond, 0)
@@ -149,9 +149,9 @@
 // A cold box that is sent more than the multiple of its capacity falls over and stays down; a warm one does not,
 // nor does a cold one that is sent as much over a longer time.
 func TestFallingOver(t *testing.T) {
-	spec := Spec{Cores: 2, Speed: 1, Slots: 100, ColdFrom: 0.5, Warm: 10 * second, TipMultiple: 3, TipWindow: second}
-	send := func(cold bool, gap time.Duration) *Box {
-		b := NewBox(spec, 0, cold)
+	spec := Spec{Cores: 2, Speed: 1, Slots: 100, ColdShare: 0.5, WarmUp: 10 * second, OverloadFactor: 3, OverloadWindow: second}
+	send := func(cold bool, gap time.Duration) *Server {
+		b := NewServer(spec, 0, cold)
 		for i := range 40 {
 			now := time.Duration(i) * gap
 			b.Advance(now)
@@ -160,44 +160,44 @@
 		return b
 	}
 	// Cold: 2 * 0.5 * 3 * 1.1 = 3.3 s of work within a second.
-	if b := send(true, 10*time.Millisecond); !b.Fallen() || b.Held() != 0 || b.Offer(2*second, 99, second, 0) != TurnedAway {
+	if b := send(true, 10*time.Millisecond); !b.Collapsed() || b.Jobs() != 0 || b.Offer(2*second, 99, second, 0) != Rejected {
 		t.Error("stands")
 	}
-	if send(false, 10*time.Millisecond).Fallen() || send(true, 60*time.Millisecond).Fallen() {
+	if send(false, 10*time.Millisecond).Collapsed() || send(true, 60*time.Millisecond).Collapsed() {
 		t.Error("fell")
 	}
-	b := NewBox(spec, 0, true)
-	if b.Offer(0, 1, time.Hour, 0) != Taken {
+	b := NewServer(spec, 0, true)
+	if b.Offer(0, 1, time.Hour, 0) != Accepted {
 		t.Error("one job alone tips it")
 	}
 }
 
 func TestQueueTurnsAwayAndExpires(t *testing.T) {
-	b := NewBox(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2, ColdFrom: 1, DropsExpired: true}, 0, false)
-	for i, want := range []Answer{Taken, Taken, Taken, TurnedAway} {
+	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2, ColdShare: 1, DropsExpired: true}, 0, false)
+	for i, want := range []Admission{Accepted, Accepted, Accepted, Rejected} {
 		if got := b.Offer(0, uint64(i), second, 1500*time.Millisecond); got != want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
 	done := b.Advance(second)
-	if len(done) != 1 || done[0] != (Done{ID: 0, At: second}) {
+	if len(done) != 1 || done[0] != (Completion{ID: 0, At: second}) {
 		t.Fatal(done)
 	}
-	if b.Release(second, 0) != nil || b.Queued() != 1 {
+	if b.Release(second, 0) != nil || b.QueueLength() != 1 {
 		t.Error("the next one is not in work")
 	}
 	if done = b.Advance(2 * second); len(done) != 1 || done[0].ID != 1 {
 		t.Fatal(done)
 	}
-	if done = b.Release(2*second, 1); len(done) != 1 || done[0] != (Done{2, 2 * second, true}) || b.Held() != 0 {
-		t.Errorf("expired: %v, %d held", done, b.Held())
+	if done = b.Release(2*second, 1); len(done) != 1 || done[0] != (Completion{2, 2 * second, true}) || b.Jobs() != 0 {
+		t.Errorf("expired: %v, %d held", done, b.Jobs())
 	}
 }
 
 // A cancel drops what waits; work in progress stops or goes on, as the box is.
 func TestCancel(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		b := NewBox(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5, ColdFrom: 1, CancelStops: stops}, 0, false)
+		b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5, ColdShare: 1, CancelStopsWork: stops}, 0, false)
 		for i := range 3 {
 			b.Offer(0, uint64(i), second, 0)
 		}
@@ -220,13 +220,13 @@
 
 // A job that waits for the next tier keeps its slot and no core.
 func TestWaitingForTheNextTier(t *testing.T) {
-	b := NewBox(Spec{Cores: 1, Speed: 1, Slots: 2, Queue: 5, ColdFrom: 1}, 0, false)
+	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 2, Queue: 5, ColdShare: 1}, 0, false)
 	for i := range 3 {
 		b.Offer(0, uint64(i), second, 0)
 	}
 	done := b.Advance(2 * second) // two share the core
-	if len(done) != 2 || b.Queued() != 1 {
-		t.Fatalf("%v, %d wait", done, b.Queued())
+	if len(done) != 2 || b.QueueLength() != 1 {
+		t.Fatalf("%v, %d wait", done, b.QueueLength())
 	}
 	b.Advance(5 * second)
 	b.Resume(5*second, 0, second)
@@ -234,16 +234,16 @@
 		t.Fatal(done)
 	}
 	b.Release(6*second, 0)
-	if b.Queued() != 0 || b.Held() != 2 {
-		t.Errorf("%d wait, %d held", b.Queued(), b.Held())
+	if b.QueueLength() != 0 || b.Jobs() != 2 {
+		t.Errorf("%d wait, %d held", b.QueueLength(), b.Jobs())
 	}
-	if stopped, _ := b.Cancel(6*second, 1); !stopped || b.Held() != 1 {
+	if stopped, _ := b.Cancel(6*second, 1); !stopped || b.Jobs() != 1 {
 		t.Error("one that waits for others cannot be cancelled")
 	}
 }
 
 func TestPauseAndSlow(t *testing.T) {
-	b := NewBox(Spec{Cores: 1, Speed: 1, Slots: 1, ColdFrom: 1}, 0, false)
+	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, ColdShare: 1}, 0, false)
 	b.Offer(0, 1, second, 0)
 	b.Advance(500 * time.Millisecond)
 	b.Pause(500*time.Millisecond, 3*second)
@@ -257,32 +257,32 @@
 // A box that is crowded for too long turns slow until it has rested.
 func TestChoking(t *testing.T) {
 	spec := Spec{
-		Cores: 1, Speed: 1, Slots: 100, ColdFrom: 1,
-		Choke: &Choke{Held: 5, Over: second, Slower: 2, Below: 0.5, Rest: 2 * second, Most: 20 * second},
+		Cores: 1, Speed: 1, Slots: 100, ColdShare: 1,
+		Congestion: &Congestion{MinJobs: 5, After: second, SlowdownFactor: 2, RecoveryUtilization: 0.5, RecoveryTime: 2 * second, MaxDuration: 20 * second},
 	}
-	b := NewBox(spec, 0, false)
+	b := NewServer(spec, 0, false)
 	for i := range 5 {
 		b.Offer(0, uint64(i), second, 0)
 	}
 	// 1 s at full speed, the other 4 s of work at half.
 	done := b.Advance(60 * second)
-	if len(done) != 5 || (done[0].At-9*second).Abs() > time.Microsecond || b.Chokes() != 1 {
-		t.Fatalf("%v, %d chokes", done, b.Chokes())
+	if len(done) != 5 || (done[0].At-9*second).Abs() > time.Microsecond || b.Congestions() != 1 {
+		t.Fatalf("%v, %d chokes", done, b.Congestions())
 	}
 	if c := b.Capacity(); c != 1 {
 		t.Errorf("capacity %v after its rest", c)
 	}
-	b = NewBox(spec, 0, false)
+	b = NewServer(spec, 0, false)
 	for i := range 4 {
 		b.Offer(0, uint64(i), second, 0)
 	}
-	if b.Advance(60 * second); b.Chokes() != 0 {
+	if b.Advance(60 * second); b.Congestions() != 0 {
 		t.Error("choked below its bound")
 	}
 }
 
 func TestThrashing(t *testing.T) {
-	b := NewBox(Spec{Cores: 1, Speed: 1, Slots: 100, ColdFrom: 1, Thrash: 0.5, ThrashAt: 2}, 0, false)
+	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 100, ColdShare: 1, Thrash: 0.5, ThrashAt: 2}, 0, false)
 	for i := range 4 {
 		b.Offer(0, uint64(i), second, 0)
 	}
@@ -294,40 +294,40 @@
 
 // Reports are of a moment that has passed, and their utilization is that of the period before.
 func TestReports(t *testing.T) {
-	b := NewBox(Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 9, ColdFrom: 1, ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}, 0, false)
+	b := NewServer(Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 9, ColdShare: 1, ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}, 0, false)
 	b.Advance(120 * time.Millisecond)
-	if _, ok := b.Seen(); ok {
+	if _, ok := b.LoadReport(); ok {
 		t.Error("seen too early")
 	}
 	for i := range 3 {
 		b.Offer(120*time.Millisecond, uint64(i), second, 0)
 	}
 	b.Advance(240 * time.Millisecond)
-	if r, ok := b.Seen(); !ok || r != (Report{}) {
+	if r, ok := b.LoadReport(); !ok || r != (LoadReport{}) {
 		t.Errorf("%v %v", r, ok)
 	}
 	b.Advance(260 * time.Millisecond)
-	if r, _ := b.Seen(); r.InFlight != 3 || r.Queue != 1 || math.Abs(r.Util-0.8) > 1e-6 {
+	if r, _ := b.LoadReport(); r.InFlight != 3 || r.Queued != 1 || math.Abs(r.Utilization-0.8) > 1e-6 {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestMemoryOfKeys(t *testing.T) {
-	m := Memory{Window: 10 * second}
+	m := KeyMemory{Window: 10 * second}
 	for i, c := range []struct {
 		at   time.Duration
 		key  string
 		want bool
 	}{{0, "a", true}, {second, "a", false}, {second, "b", true}, {10 * second, "a", true}, {10*second + 1, "b", false}, {11 * second, "b", true}} {
-		if got := m.Run(c.at, c.key); got != c.want {
+		if got := m.Execute(c.at, c.key); got != c.want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
-	for i := range 2 * mostKeys {
-		m.Run(12*second, fmt.Sprint(i))
+	for i := range 2 * maxKeys {
+		m.Execute(12*second, fmt.Sprint(i))
 	}
-	if len(m.first) > mostKeys || len(m.order) > mostKeys {
-		t.Errorf("%d keys", len(m.first))
+	if len(m.executedAt) > maxKeys || len(m.order) > maxKeys {
+		t.Errorf("%d keys", len(m.executedAt))
 	}
 }
 
@@ -338,16 +338,16 @@
 		spec := Spec{
 			Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
 			Slots: rapid.IntRange(1, 5).Draw(t, "slots"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"),
-			ColdFrom: rapid.Float64Range(0.1, 1).Draw(t, "cold"), Warm: 3 * second, CancelStops: rapid.Bool().Draw(t, "stops"),
+			ColdShare: rapid.Float64Range(0.1, 1).Draw(t, "cold"), WarmUp: 3 * second, CancelStopsWork: rapid.Bool().Draw(t, "stops"),
 			DropsExpired: rapid.Bool().Draw(t, "drops"), Thrash: 0.1, ThrashAt: 2,
-			Choke: &Choke{Held: 3, Over: 500 * time.Millisecond, Slower: 2, Below: 0.5, Rest: second, Most: 4 * second},
+			Congestion: &Congestion{MinJobs: 3, After: 500 * time.Millisecond, SlowdownFactor: 2, RecoveryUtilization: 0.5, RecoveryTime: second, MaxDuration: 4 * second},
 		}
 		cold := rapid.Bool().Draw(t, "starts cold")
-		b, often := NewBox(spec, 0, cold), NewBox(spec, 0, cold)
+		b, often := NewServer(spec, 0, cold), NewServer(spec, 0, cold)
 		ended := map[uint64]time.Duration{}
 		held := map[uint64]bool{}
 		var now time.Duration
-		settle := func(done []Done) {
+		settle := func(done []Completion) {
 			for _, d := range done {
 				if _, ok := ended[d.ID]; ok {
 					t.Fatalf("%d ends twice", d.ID)
@@ -357,7 +357,7 @@
 			}
 		}
 		look := func(to time.Duration) {
-			var more []Done
+			var more []Completion
 			for at := now; at < to; at += 31 * time.Millisecond {
 				more = append(more, often.Advance(at)...)
 			}
@@ -383,7 +383,7 @@
 			case 0, 1, 2:
 				work := time.Duration(rapid.IntRange(1, 900).Draw(t, "work")) * time.Millisecond
 				expires := now + time.Duration(rapid.IntRange(1, 2000).Draw(t, "expires"))*time.Millisecond
-				if b.Offer(now, id, work, expires) == Taken {
+				if b.Offer(now, id, work, expires) == Accepted {
 					taken = append(taken, id)
 				}
 				often.Offer(now, id, work, expires)
@@ -414,8 +414,8 @@
 					delete(held, id)
 				}
 			}
-			if b.used() > spec.Slots || b.Queued() > spec.Queue || b.Held() != b.used()+b.Queued() {
-				t.Fatalf("%d in slots, %d wait", b.used(), b.Queued())
+			if b.usedSlots() > spec.Slots || b.QueueLength() > spec.Queue || b.Jobs() != b.usedSlots()+b.QueueLength() {
+				t.Fatalf("%d in slots, %d wait", b.usedSlots(), b.QueueLength())
 			}
 		}
 		for range 40 {
@@ -428,8 +428,8 @@
 				delete(held, id)
 			}
 		}
-		if b.Held() != 0 {
-			t.Fatalf("%d held at the end", b.Held())
+		if b.Jobs() != 0 {
+			t.Fatalf("%d held at the end", b.Jobs())
 		}
 		for _, id := range taken {
 			if _, ok := ended[id]; !ok {
--- a/internal/rehearsal/emulator/work.go
+++ b/internal/rehearsal/emulator/work.go
@@ -11,31 +11,31 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Shape is a family of distributions.
-type Shape string
+// DistributionFamily is a family of distributions.
+type DistributionFamily string
 
 // The shapes that work may have.
 const (
-	Fixed       Shape = "fixed"
-	Exponential Shape = "exponential"
-	Lognormal   Shape = "lognormal"
-	Pareto      Shape = "pareto"
+	Fixed       DistributionFamily = "fixed"
+	Exponential DistributionFamily = "exponential"
+	Lognormal   DistributionFamily = "lognormal"
+	Pareto      DistributionFamily = "pareto"
 )
 
-// Shapes are all of them.
-func Shapes() []string {
+// Families are all of them.
+func Families() []string {
 	return []string{string(Fixed), string(Exponential), string(Lognormal), string(Pareto)}
 }
 
-// Work is a distribution of the work of jobs.
-type Work struct {
+// WorkDistribution is a distribution of the work of jobs.
+type WorkDistribution struct {
 	Mean  time.Duration
-	Shape Shape
+	Shape DistributionFamily
 	CV    float64 // standard deviation over mean, of a Lognormal or a Pareto; above 0
 }
 
-// Source is a stream of random numbers that belongs to a seed and a name: the same, whatever was drawn for others.
-func Source(seed uint64, name string) rand.Source {
+// RandomSource is a stream of random numbers that belongs to a seed and a name: the same, whatever was drawn for others.
+func RandomSource(seed uint64, name string) rand.Source {
 	h := fnv.New64a()
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
@@ -44,8 +44,8 @@
 	return rand.NewPCG(seed, h.Sum64())
 }
 
-// dist is the distribution, in seconds.
-func (w Work) dist(src rand.Source) (interface {
+// distribution is the distribution, in seconds.
+func (w WorkDistribution) distribution(src rand.Source) (interface {
 	Rand() float64
 	CDF(float64) float64
 }, error,
@@ -65,8 +65,8 @@
 }
 
 // Draw is the work of one job. What is no shape, or has no spread, is Fixed.
-func (w Work) Draw(src rand.Source) time.Duration {
-	d, err := w.dist(src)
+func (w WorkDistribution) Draw(src rand.Source) time.Duration {
+	d, err := w.distribution(src)
 	if err != nil || w.Mean <= 0 || w.CV <= 0 && w.Shape != Exponential {
 		return w.Mean
 	}
--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -19,67 +19,67 @@
 
 // Design is what is to be played: each morning at each load with each seed.
 type Design struct {
-	Mornings []*morning.Morning
-	Loads    []float64 // multiples of each morning's rate
-	Seeds    int       // the first is 1
-	Workers  int       // at once
+	Scenarios []*morning.Scenario
+	Loads     []float64 // multiples of each morning's rate
+	Seeds     int       // the first is 1
+	Workers   int       // at once
 }
 
-// Most bounds the runs of one experiment.
-const Most = 100_000
+// MaxRuns bounds the runs of one experiment.
+const MaxRuns = 100_000
 
 // Run is one playing.
 type Run struct {
-	Morning  int // index
-	Load     float64
-	Seed     uint64
-	Requests int
-	Service  float64
-	Worst    float64
-	Refused  float64 // shares of the requests
-	Failed   float64
-	PerCall  float64
-	Waste    float64
-	P50, P99 time.Duration
-	Breaches int
+	Scenario        int // index
+	Load            float64
+	Seed            uint64
+	Requests        int
+	Service         float64
+	WorstService    float64
+	Rejected        float64 // shares of the requests
+	Failed          float64
+	AttemptsPerCall float64
+	WastedShare     float64
+	P50, P99        time.Duration
+	Breaches        int
 }
 
 // Point sums up the runs of one morning at one load.
 type Point struct {
-	Morning  int
-	Load     float64
-	Runs     int
-	Service  Figure
-	Worst    Figure
-	Refused  Figure
-	Failed   Figure
-	PerCall  Figure
-	P99      Figure // seconds
-	Breaches int
+	Scenario        int
+	Load            float64
+	Runs            int
+	Service         Figure
+	WorstService    Figure
+	Rejected        Figure
+	Failed          Figure
+	AttemptsPerCall Figure
+	P99             Figure // seconds
+	Breaches        int
 }
 
 // Figure is a mean over seeds.
 type Figure struct {
 	Mean, SD, Min, Max float64
-	Half               float64 // of the interval that holds the mean with 95% (Student's t); 0 for one run
+	HalfInterval       float64 // of the interval that holds the mean with 95% (Student's t); 0 for one run
 }
 
-// Check tells why a design cannot be played.
-func (d *Design) Check() error {
-	n := len(d.Mornings) * len(d.Loads) * d.Seeds
+// Validate tells why a design cannot be played.
+func (d *Design) Validate() error {
+	n := len(d.Scenarios) * len(d.Loads) * d.Seeds
 	switch {
 	case n < 1:
 		return fmt.Errorf("no morning, load or seed: nothing to play")
-	case n > Most:
-		return fmt.Errorf("%d runs, %d at most", n, Most)
+	case n > MaxRuns:
+		return fmt.Errorf("%d runs, %d at most", n, MaxRuns)
 	}
-	for _, m := range d.Mornings {
+	for _, m := range d.Scenarios {
 		for _, l := range d.Loads {
 			if !(l > 0) || math.IsInf(l, 0) {
 				return fmt.Errorf("load %v: above 0 is wanted", l)
 			}
-			if r := m.Callers.Rate * l * m.Length.Seconds(); r > morning.MostRequests {
-				return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", m.Name, l, r, morning.MostRequests)
+			if r := m.Callers.Rate * l * m.Length.Seconds(); r > morning.MaxRequests {
+				return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", m.Name, l, r, morning.MaxRequests)
 			}
 		}
 	}
@@ -88,14 +88,14 @@
 
 // Play plays a design. progress is told how many runs have ended, one call at a time; nil for none.
 func (d *Design) Play(ctx context.Context, progress func(done, of int)) ([]Run, error) {
-	if err := d.Check(); err != nil {
+	if err := d.Validate(); err != nil {
 		return nil, err
 	}
 	var runs []Run
-	for i := range d.Mornings {
+	for i := range d.Scenarios {
 		for _, l := range d.Loads {
 			for seed := range d.Seeds {
-				runs = append(runs, Run{Morning: i, Load: l, Seed: uint64(seed + 1)})
+				runs = append(runs, Run{Scenario: i, Load: l, Seed: uint64(seed + 1)})
 			}
 		}
 	}
@@ -117,11 +117,11 @@
 				if stop || i >= len(runs) {
 					return
 				}
-				err := d.one(&runs[i])
+				err := d.playRun(&runs[i])
 				mu.Lock()
 				done++
 				if err != nil && first == nil {
-					first = fmt.Errorf("%s, load %v, seed %d: %w", d.Mornings[runs[i].Morning].Name, runs[i].Load, runs[i].Seed, err)
+					first = fmt.Errorf("%s, load %v, seed %d: %w", d.Scenarios[runs[i].Scenario].Name, runs[i].Load, runs[i].Seed, err)
 				}
 				if progress != nil {
 					progress(done, len(runs))
@@ -137,23 +137,23 @@
 	return runs, first
 }
 
-func (d *Design) one(r *Run) error {
-	res, err := dryrun.Run(d.Mornings[r.Morning].AtLoad(r.Load).Plan(r.Seed))
+func (d *Design) playRun(r *Run) error {
+	res, err := dryrun.Run(d.Scenarios[r.Scenario].AtLoad(r.Load).Plan(r.Seed))
 	if err != nil {
 		return err
 	}
 	v := res.Verdict
 	share := func(n int) float64 { return float64(n) / float64(max(1, v.Requests)) }
-	r.Requests, r.Service, r.Worst, r.PerCall, r.Waste = v.Requests, v.Service, v.Worst, v.PerCall, v.Waste
-	r.Refused, r.Failed, r.P50, r.P99, r.Breaches = share(v.Refused), share(v.Failed), v.P50, v.P99, len(v.Breaches)
+	r.Requests, r.Service, r.WorstService, r.AttemptsPerCall, r.WastedShare = v.Requests, v.Service, v.WorstService, v.AttemptsPerCall, v.WastedShare
+	r.Rejected, r.Failed, r.P50, r.P99, r.Breaches = share(v.Rejected), share(v.Failed), v.P50, v.P99, len(v.Breaches)
 	return nil
 }
 
-// Sum sums runs up, in their order.
-func Sum(runs []Run) (points []Point) {
+// Summarize sums runs up, in their order.
+func Summarize(runs []Run) (points []Point) {
 	for from := 0; from < len(runs); {
 		to := from
-		for to < len(runs) && runs[to].Morning == runs[from].Morning && runs[to].Load == runs[from].Load {
+		for to < len(runs) && runs[to].Scenario == runs[from].Scenario && runs[to].Load == runs[from].Load {
 			to++
 		}
 		part := runs[from:to]
@@ -162,13 +162,13 @@
 			for i, r := range part {
 				xs[i] = f(r)
 			}
-			return figure(xs)
+			return figureOf(xs)
 		}
 		p := Point{
-			Morning: part[0].Morning, Load: part[0].Load, Runs: len(part),
-			Service: of(func(r Run) float64 { return r.Service }), Worst: of(func(r Run) float64 { return r.Worst }),
-			Refused: of(func(r Run) float64 { return r.Refused }), Failed: of(func(r Run) float64 { return r.Failed }),
-			PerCall: of(func(r Run) float64 { return r.PerCall }), P99: of(func(r Run) float64 { return r.P99.Seconds() }),
+			Scenario: part[0].Scenario, Load: part[0].Load, Runs: len(part),
+			Service: of(func(r Run) float64 { return r.Service }), WorstService: of(func(r Run) float64 { return r.WorstService }),
+			Rejected: of(func(r Run) float64 { return r.Rejected }), Failed: of(func(r Run) float64 { return r.Failed }),
+			AttemptsPerCall: of(func(r Run) float64 { return r.AttemptsPerCall }), P99: of(func(r Run) float64 { return r.P99.Seconds() }),
 		}
 		for _, r := range part {
 			p.Breaches += r.Breaches
@@ -179,7 +179,7 @@
 	return points
 }
 
-func figure(xs []float64) Figure {
+func figureOf(xs []float64) Figure {
 	f := Figure{Min: math.Inf(1), Max: math.Inf(-1)}
 	for _, x := range xs {
 		f.Min, f.Max = min(f.Min, x), max(f.Max, x)
@@ -190,6 +190,6 @@
 	}
 	f.Mean, f.SD = stat.MeanStdDev(xs, nil)
 	n := float64(len(xs))
-	f.Half = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * f.SD / math.Sqrt(n)
+	f.HalfInterval = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * f.SD / math.Sqrt(n)
 	return f
 }
--- a/internal/rehearsal/experiment/experiment_test.go
+++ b/internal/rehearsal/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-func small(t *testing.T) *morning.Morning {
+func small(t *testing.T) *morning.Scenario {
 	t.Helper()
 	var found finding.List
 	m := morning.Read("small", []byte(`length 4s
@@ -31,7 +31,7 @@
 // The result is the same however many run at once, and in the order of the design.
 // Three boxes answer 60 calls a second: five times the load, 100 a second, must leave some unserved whatever the module does.
 func TestSameOnAnyNumberOfCores(t *testing.T) {
-	d := Design{Mornings: []*morning.Morning{small(t), small(t)}, Loads: []float64{0.5, 5}, Seeds: 4}
+	d := Design{Scenarios: []*morning.Scenario{small(t), small(t)}, Loads: []float64{0.5, 5}, Seeds: 4}
 	var results [][]Run
 	for _, d.Workers = range []int{1, 2, 7} {
 		calls := 0
@@ -48,11 +48,11 @@
 	if !reflect.DeepEqual(results[0], results[1]) || !reflect.DeepEqual(results[0], results[2]) {
 		t.Error("results differ")
 	}
-	points := Sum(results[0])
-	if len(points) != 4 || points[0].Load != 0.5 || points[1].Load != 5 || points[3].Morning != 1 || points[0].Runs != 4 {
+	points := Summarize(results[0])
+	if len(points) != 4 || points[0].Load != 0.5 || points[1].Load != 5 || points[3].Scenario != 1 || points[0].Runs != 4 {
 		t.Fatalf("%+v", points)
 	}
-	if points[0].Service.Mean <= points[1].Service.Mean || points[1].Refused.Mean+points[1].Failed.Mean == 0 {
+	if points[0].Service.Mean <= points[1].Service.Mean || points[1].Rejected.Mean+points[1].Failed.Mean == 0 {
 		t.Errorf("half the load: service %v, five times: %v", points[0].Service, points[1].Service)
 	}
 	for _, r := range results[0][:4] {
@@ -64,11 +64,11 @@
 
 // The interval is that of Student's t: for 1, 2, 3, 4 the mean is 2.5, and t(3, 0.975) is 3.1824.
 func TestInterval(t *testing.T) {
-	f := figure([]float64{1, 2, 3, 4})
-	if want := 3.182446 * math.Sqrt(5.0/3) / 2; f.Mean != 2.5 || math.Abs(f.Half-want) > 1e-4 || f.Min != 1 || f.Max != 4 {
+	f := figureOf([]float64{1, 2, 3, 4})
+	if want := 3.182446 * math.Sqrt(5.0/3) / 2; f.Mean != 2.5 || math.Abs(f.HalfInterval-want) > 1e-4 || f.Min != 1 || f.Max != 4 {
 		t.Errorf("%+v, want %v", f, want)
 	}
-	if f = figure([]float64{7}); f.Mean != 7 || f.Half != 0 || f.SD != 0 {
+	if f = figureOf([]float64{7}); f.Mean != 7 || f.HalfInterval != 0 || f.SD != 0 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -77,9 +77,9 @@
 	m := small(t)
 	for want, d := range map[string]Design{
 		"nothing to play":        {Loads: []float64{1}, Seeds: 1},
-		"100000 at most":         {Mornings: []*morning.Morning{m}, Loads: []float64{1}, Seeds: Most + 1},
-		"load 0":                 {Mornings: []*morning.Morning{m}, Loads: []float64{0}, Seeds: 1},
-		"requests, 300000 at mo": {Mornings: []*morning.Morning{m}, Loads: []float64{1e6}, Seeds: 1},
+		"100000 at most":         {Scenarios: []*morning.Scenario{m}, Loads: []float64{1}, Seeds: MaxRuns + 1},
+		"load 0":                 {Scenarios: []*morning.Scenario{m}, Loads: []float64{0}, Seeds: 1},
+		"requests, 300000 at mo": {Scenarios: []*morning.Scenario{m}, Loads: []float64{1e6}, Seeds: 1},
 	} {
 		if _, err := d.Play(context.Background(), nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -87,7 +87,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	d := Design{Mornings: []*morning.Morning{m}, Loads: []float64{1}, Seeds: 3, Workers: 2}
+	d := Design{Scenarios: []*morning.Scenario{m}, Loads: []float64{1}, Seeds: 3, Workers: 2}
 	if _, err := d.Play(ctx, nil); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
--- a/internal/rehearsal/fleet/days.go
+++ b/internal/rehearsal/fleet/days.go
@@ -31,7 +31,7 @@
 }
 
 // Day is the script of a day.
-func Day(name string) (*morning.Morning, error) {
+func Day(name string) (*morning.Scenario, error) {
 	file := path.Join("days", name+".morning")
 	text, err := scripts.ReadFile(file)
 	if err != nil {
@@ -47,15 +47,15 @@
 
 // Outcome is what came of a day.
 type Outcome struct {
-	Plan      *morning.Plan
-	Verdict   *audit.Verdict
-	Vain      float64 // attempts that no answer came of, over all
-	Spread    Spread
-	Decisions int // calls of the modules
+	Plan            *morning.Plan
+	Verdict         *audit.Verdict
+	UnansweredShare float64 // attempts that no answer came of, over all
+	Spread          Spread
+	Decisions       int // calls of the modules
 }
 
 // Play plays a day in virtual time, with a seed; 0 takes the script's. The same day and seed give the same outcome.
-func Play(m *morning.Morning, seed uint64) (*Outcome, error) {
+func Play(m *morning.Scenario, seed uint64) (*Outcome, error) {
 	plan := m.Plan(seed)
 	r, err := dryrun.Run(plan)
 	if err != nil {
@@ -64,12 +64,12 @@
 	o := &Outcome{Plan: plan, Verdict: r.Verdict, Decisions: r.Decisions, Spread: spreadOf(plan, r.Events)}
 	good := 0
 	for _, e := range r.Events {
-		if e.Kind == audit.Answered && e.Good {
+		if e.Kind == audit.AnswerReceived && e.Authentic {
 			good++
 		}
 	}
-	if n := r.Verdict.Attempts; n > 0 {
-		o.Vain = max(0, 1-float64(good)/float64(n))
+	if n := r.Verdict.ServerAttempts; n > 0 {
+		o.UnansweredShare = max(0, 1-float64(good)/float64(n))
 	}
 	return o, nil
 }
@@ -77,7 +77,7 @@
 // Spread is how evenly attempts fell on the boxes while they were alike: up, listed, warm and unharmed, of the weight
 // that they had at first. The boxes have to be of one speed.
 type Spread struct {
-	Boxes    int           // that were so for at least half as long as the one that was so longest
+	Servers  int           // that were so for at least half as long as the one that was so longest
 	Mean     float64       // attempts a second at a box
 	Max, P99 float64       // over the mean
 	Exposure time.Duration // how long they were so on average
@@ -86,44 +86,44 @@
 	ChanceMax, ChanceP99 float64
 }
 
-// stretch is a time in which a box is like any other.
-type stretch struct{ from, to time.Duration }
+// interval is a time in which a box is like any other.
+type interval struct{ from, to time.Duration }
 
-// alike finds when each box is like the others.
-func alike(p *morning.Plan) [][]stretch {
-	all := make([][]stretch, len(p.Boxes))
+// comparableIntervals finds when each box is like the others.
+func comparableIntervals(p *morning.Plan) [][]interval {
+	all := make([][]interval, len(p.Servers))
 	// A box that has been harmed, or starts, is alike again once it is as warm as it gets: isolated ones ramp as long.
-	since := make([]time.Duration, len(p.Boxes)) // from when on it is alike; never while it is not
+	since := make([]time.Duration, len(p.Servers)) // from when on it is alike; never while it is not
 	const never = time.Duration(1<<63 - 1)
 	warm := func(box int, at time.Duration) time.Duration {
-		return at + max(p.Tiers[p.Boxes[box].Tier].Warm, 2*time.Second)
+		return at + max(p.Tiers[p.Servers[box].Tier].WarmUp, 2*time.Second)
 	}
-	listed := make([]bool, len(p.Boxes))
-	for i, b := range p.Boxes {
-		if listed[i] = b.From == 0; !listed[i] {
+	listed := make([]bool, len(p.Servers))
+	for i, b := range p.Servers {
+		if listed[i] = b.StartsAt == 0; !listed[i] {
 			since[i] = never
 		}
 	}
 	for _, s := range p.Steps {
-		if s.Do > morning.Tell && s.Do != morning.Weigh {
+		if s.Kind > morning.DiscoveryUpdate && s.Kind != morning.DiscoveryWeight {
 			continue
 		}
-		i := s.Box
+		i := s.Server
 		if s.At > since[i] {
-			all[i] = append(all[i], stretch{since[i], s.At})
+			all[i] = append(all[i], interval{since[i], s.At})
 		}
 		switch {
-		case s.Do == morning.Weigh, s.Do == morning.Crash, s.Do == morning.Silence:
+		case s.Kind == morning.DiscoveryWeight, s.Kind == morning.ServerCrash, s.Kind == morning.ServerSilence:
 			since[i] = never
-		case s.Do == morning.Pause:
+		case s.Kind == morning.ServerPause:
 			since[i] = warm(i, s.Until)
-		case s.Do == morning.Tell:
+		case s.Kind == morning.DiscoveryUpdate:
 			if listed[i] = s.State == "Ready"; !listed[i] {
 				since[i] = never
 			} else if since[i] == never || since[i] < s.At {
 				since[i] = warm(i, s.At)
 			}
-		case s.Do == morning.Slow && s.By > 1, s.Do == morning.Fault && s.By > 0:
+		case s.Kind == morning.ServerSlowdown && s.Amount > 1, s.Kind == morning.ServerFault && s.Amount > 0:
 			since[i] = never
 		case listed[i]: // a start, or the end of a harm
 			since[i] = warm(i, s.At)
@@ -131,7 +131,7 @@
 	}
 	for i, from := range since {
 		if from < p.Length {
-			all[i] = append(all[i], stretch{from, p.Length})
+			all[i] = append(all[i], interval{from, p.Length})
 		}
 	}
 	return all
@@ -139,22 +139,22 @@
 
 // spreadOf measures the spread over the boxes of the first tier.
 func spreadOf(p *morning.Plan, events []audit.Event) (s Spread) {
-	times := alike(p)
-	counts := make([]float64, len(p.Boxes))
+	times := comparableIntervals(p)
+	counts := make([]float64, len(p.Servers))
 	for _, e := range events {
-		if e.Kind != audit.Sent || e.Box < 0 {
+		if e.Kind != audit.AttemptReceived || e.Server < 0 {
 			continue
 		}
-		for _, t := range times[e.Box] {
+		for _, t := range times[e.Server] {
 			if e.At >= t.from && e.At < t.to {
-				counts[e.Box]++
+				counts[e.Server]++
 			}
 		}
 	}
-	exposed := make([]float64, len(p.Boxes))
+	exposed := make([]float64, len(p.Servers))
 	longest := 0.0
 	for i, ts := range times {
-		if p.Boxes[i].Tier != 0 {
+		if p.Servers[i].Tier != 0 {
 			continue
 		}
 		for _, t := range ts {
@@ -174,7 +174,7 @@
 		return s
 	}
 	slices.Sort(rates)
-	s.Boxes, s.Mean = len(rates), attempts/seconds
+	s.Servers, s.Mean = len(rates), attempts/seconds
 	s.Max = rates[len(rates)-1] / s.Mean
 	s.P99 = stat.Quantile(0.99, stat.Empirical, rates, nil) / s.Mean
 	each := seconds / float64(len(rates))
--- a/internal/rehearsal/fleet/days_test.go
+++ b/internal/rehearsal/fleet/days_test.go
@@ -22,21 +22,21 @@
 				t.Fatal(err)
 			}
 			for i, b := range o.Verdict.Breaches {
-				if t.Errorf("%v: %v: %s", b.At, b.Rule, b.Text); i > 5 {
+				if t.Errorf("%v: %v: %s", b.At, b.Rule, b.Message); i > 5 {
 					break
 				}
 			}
-			if o.Verdict.Void != "" || len(o.Verdict.Crashes) > 0 {
-				t.Errorf("void %q, crashes %v", o.Verdict.Void, o.Verdict.Crashes)
+			if o.Verdict.VoidReason != "" || len(o.Verdict.Crashes) > 0 {
+				t.Errorf("void %q, crashes %v", o.Verdict.VoidReason, o.Verdict.Crashes)
 			}
-			for _, e := range o.Plan.Expect {
-				if got, met := e.Met(o.Verdict); !met {
-					t.Errorf("%s is %.4f, expected %v", e.What, got, e.Bound)
+			for _, e := range o.Plan.Expectations {
+				if got, met := e.Evaluate(o.Verdict); !met {
+					t.Errorf("%s is %.4f, expected %v", e.Figure, got, e.Bound)
 				}
 			}
 			s := o.Spread
-			t.Logf("service %.4f, in vain %.4f, spread %+v", o.Verdict.Service, o.Vain, s)
-			if s.Boxes > 0 && s.P99 > 2*s.ChanceP99 {
+			t.Logf("service %.4f, in vain %.4f, spread %+v", o.Verdict.Service, o.UnansweredShare, s)
+			if s.Servers > 0 && s.P99 > 2*s.ChanceP99 {
 				t.Errorf("the load of 99 in 100 boxes is up to %.2f times the mean, by chance %.2f", s.P99, s.ChanceP99)
 			}
 		})
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return fmt.Sprint(o.Verdict.Service, o.Verdict.Attempts, o.Vain, o.Spread, o.Decisions, o.Verdict.Loads)
+		return fmt.Sprint(o.Verdict.Service, o.Verdict.ServerAttempts, o.UnansweredShare, o.Spread, o.Decisions, o.Verdict.AttemptsByServer)
 	}
 	if a, b := print(0), print(0); a != b {
 		t.Error("the same seed came to something else")
@@ -73,17 +73,17 @@
 	p := m.Plan(0)
 	hit := map[int]bool{}
 	for _, s := range p.Steps {
-		if s.Do == morning.Fault {
-			hit[s.Box] = true
+		if s.Kind == morning.ServerFault {
+			hit[s.Server] = true
 		}
 	}
 	if len(hit) != 500 {
 		t.Fatalf("%d boxes are hit", len(hit))
 	}
-	for i, ts := range alike(p) {
-		want := []stretch{{0, p.Length}}
+	for i, ts := range comparableIntervals(p) {
+		want := []interval{{0, p.Length}}
 		if hit[i] { // from 5 s to 13 s, and then as long as it takes to be warm
-			want = []stretch{{0, 5e9}, {18e9, p.Length}}
+			want = []interval{{0, 5e9}, {18e9, p.Length}}
 		}
 		if fmt.Sprint(ts) != fmt.Sprint(want) {
 			t.Fatalf("box %d, hit %v: %v", i, hit[i], ts)
--- a/internal/rehearsal/fleet/golden_test.go
+++ b/internal/rehearsal/fleet/golden_test.go
@@ -23,7 +23,7 @@
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&dump, "%s %d: verdict %x, in vain %v, %d decisions, spread %s", name, seed,
-				sha256.Sum256(golden.Values(o.Verdict)), o.Vain, o.Decisions, golden.Values(o.Spread))
+				sha256.Sum256(golden.Values(o.Verdict)), o.UnansweredShare, o.Decisions, golden.Values(o.Spread))
 		}
 	}
 	golden.Text(t, "days.txt", dump.Bytes())
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -16,63 +16,63 @@
 )
 
 // A scheme shares endpoints out among instances. Its endpoints are all alike.
-type scheme interface {
-	// take changes the list.
-	take(gone, come []uint32)
+type subsetting interface {
+	// update changes the list.
+	update(gone, come []uint32)
 	// subset gives an instance's endpoints, each with the share of the instance's calls that it gets.
 	subset(instance int) map[uint32]float64
 }
 
-// Schemes are those that can be measured, by name.
-var Schemes = []string{"module", "tiles", "shuffled", "arcs", "bounded"}
+// SubsettingSchemes are those that can be measured, by name.
+var SubsettingSchemes = []string{"module", "tiles", "shuffled", "arcs", "bounded"}
 
-// callers is how many instances call each endpoint, in every scheme.
-const callers = 3
+// instancesPerEndpoint is how many instances call each endpoint, in every scheme.
+const instancesPerEndpoint = 3
 
-func newScheme(name string, instances int) (scheme, error) {
+func newScheme(name string, instances int) (subsetting, error) {
 	switch name {
 	case "module":
 		return newModules(instances)
 	case "tiles":
-		return &tiles{sorted{}, instances}, nil
+		return &tiling{sortedEndpoints{}, instances}, nil
 	case "shuffled":
-		return &shuffled{sorted{}, instances}, nil
+		return &shuffling{sortedEndpoints{}, instances}, nil
 	case "arcs":
-		return &arcs{sorted{}, instances}, nil
+		return &ringArcs{sortedEndpoints{}, instances}, nil
 	case "bounded":
-		return &bounded{sorted: sorted{}, instances: instances}, nil
+		return &boundedRing{sortedEndpoints: sortedEndpoints{}, instances: instances}, nil
 	}
 	return nil, fmt.Errorf("no scheme %q", name)
 }
 
-// modules are instances of the decision module.
-type modules struct {
+// balancerModules are instances of the decision module.
+type balancerModules struct {
 	all []*balancer.Balancer
 	now time.Duration
 }
 
-// quiet is a host that does nothing.
-type quiet struct{}
+// silentHost is a host that does nothing.
+type silentHost struct{}
 
-func (quiet) Send(balancer.RequestID, balancer.EndpointID, time.Duration) {}
-func (quiet) Reject(balancer.RequestID, time.Duration)                    {}
-func (quiet) Fail(balancer.RequestID)                                     {}
-func (quiet) Cancel(balancer.RequestID, int)                              {}
-func (quiet) SetTimer(uint64, time.Duration)                              {}
-func (quiet) HealthCheck(balancer.EndpointID)                             {}
-func (quiet) SendToPeer(int, []byte)                                      {}
-func (quiet) WatchEndpoints(bool)                                         {}
-func (quiet) FetchEndpoints()                                             {}
-func (quiet) CloseIdleConnections(balancer.EndpointID)                    {}
-func (quiet) Log(string)                                                  {}
+func (silentHost) Send(balancer.RequestID, balancer.EndpointID, time.Duration) {}
+func (silentHost) Reject(balancer.RequestID, time.Duration)                    {}
+func (silentHost) Fail(balancer.RequestID)                                     {}
+func (silentHost) Cancel(balancer.RequestID, int)                              {}
+func (silentHost) SetTimer(uint64, time.Duration)                              {}
+func (silentHost) HealthCheck(balancer.EndpointID)                             {}
+func (silentHost) SendToPeer(int, []byte)                                      {}
+func (silentHost) WatchEndpoints(bool)                                         {}
+func (silentHost) FetchEndpoints()                                             {}
+func (silentHost) CloseIdleConnections(balancer.EndpointID)                    {}
+func (silentHost) Log(string)                                                  {}
 
-func newModules(instances int) (*modules, error) {
-	m := &modules{now: time.Hour}
+func newModules(instances int) (*balancerModules, error) {
+	m := &balancerModules{now: time.Hour}
 	for i := range instances {
 		b, err := balancer.New(balancer.Settings{
 			Instances: instances, Ordinal: i,
 			Classes: []balancer.Class{{Name: "a", Idempotency: balancer.Idempotent, LatencyTarget: time.Second, Deadline: time.Second}},
-		}, uint64(i), quiet{})
+		}, uint64(i), silentHost{})
 		if err != nil {
 			return nil, err
 		}
@@ -81,7 +81,7 @@
 	return m, nil
 }
 
-func (m *modules) take(gone, come []uint32) {
+func (m *balancerModules) update(gone, come []uint32) {
 	var l balancer.EndpointList
 	for _, id := range gone {
 		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), State: balancer.EndpointRemoved})
@@ -95,7 +95,7 @@
 	}
 }
 
-func (m *modules) subset(i int) map[uint32]float64 {
+func (m *balancerModules) subset(i int) map[uint32]float64 {
 	s, sum := map[uint32]float64{}, 0.0
 	for id, part := range m.all[i].Subset() {
 		s[uint32(id)] = part
@@ -107,10 +107,10 @@
 	return s
 }
 
-// sorted are the ids of the list in their order.
-type sorted struct{ ids []uint32 }
+// sortedEndpoints are the ids of the list in their order.
+type sortedEndpoints struct{ ids []uint32 }
 
-func (s *sorted) take(gone, come []uint32) {
+func (s *sortedEndpoints) update(gone, come []uint32) {
 	lost := map[uint32]bool{}
 	for _, id := range gone {
 		lost[id] = true
@@ -120,16 +120,16 @@
 	slices.Sort(s.ids)
 }
 
-// tiles are stretches of a ring of all, by ordinal, kept to exactly.
-type tiles struct {
-	sorted
+// tiling are stretches of a ring of all, by ordinal, kept to exactly.
+type tiling struct {
+	sortedEndpoints
 	instances int
 }
 
-func (t *tiles) subset(i int) map[uint32]float64 {
+func (t *tiling) subset(i int) map[uint32]float64 {
 	n := float64(len(t.ids))
-	need := min(callers*n/float64(t.instances), n)
-	_, at := math.Modf(float64(i) * callers / float64(t.instances))
+	need := min(instancesPerEndpoint*n/float64(t.instances), n)
+	_, at := math.Modf(float64(i) * instancesPerEndpoint / float64(t.instances))
 	at *= n
 	got, first := map[uint32]float64{}, 1-(at-math.Floor(at))
 	for k, left := int(at), need; left > 1e-9; k++ {
@@ -140,15 +140,15 @@
 	return got
 }
 
-// shuffled is deterministic subsetting: Site Reliability Engineering (O'Reilly, 2016), chapter 20. In each round
+// shuffling is deterministic subsetting: Site Reliability Engineering (O'Reilly, 2016), chapter 20. In each round
 // the list is shuffled anew, and the instances of that round share it out.
-type shuffled struct {
-	sorted
+type shuffling struct {
+	sortedEndpoints
 	instances int
 }
 
-func (s *shuffled) subset(i int) map[uint32]float64 {
-	size := max(1, (callers*len(s.ids)+s.instances-1)/s.instances)
+func (s *shuffling) subset(i int) map[uint32]float64 {
+	size := max(1, (instancesPerEndpoint*len(s.ids)+s.instances-1)/s.instances)
 	subsets := max(1, len(s.ids)/size)
 	list := slices.Clone(s.ids)
 	rand.New(rand.NewPCG(uint64(i/subsets), 1)).Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
@@ -159,21 +159,21 @@
 	return got
 }
 
-// arcs have each endpoint at a point of a circle, by its hash, and each instance an arc of it, by its ordinal.
-type arcs struct {
-	sorted
+// ringArcs have each endpoint at a point of a circle, by its hash, and each instance an arc of it, by its ordinal.
+type ringArcs struct {
+	sortedEndpoints
 	instances int
 }
 
-func (a *arcs) subset(i int) map[uint32]float64 {
+func (a *ringArcs) subset(i int) map[uint32]float64 {
 	got := map[uint32]float64{}
-	_, from := math.Modf(float64(i) * callers / float64(a.instances))
+	_, from := math.Modf(float64(i) * instancesPerEndpoint / float64(a.instances))
 	for _, id := range a.ids {
 		off := float64(rendezvous.Mix(uint64(id)))/math.MaxUint64 - from
 		if off < 0 {
 			off++
 		}
-		if off < callers/float64(a.instances) {
+		if off < instancesPerEndpoint/float64(a.instances) {
 			got[id] = 1
 		}
 	}
@@ -183,54 +183,54 @@
 	return got
 }
 
-// bounded is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam: SODA 2018): each endpoint
+// boundedRing is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam: SODA 2018): each endpoint
 // goes to the first instances, on a ring of them, that have not got an eighth more than their share yet.
-type bounded struct {
-	sorted
+type boundedRing struct {
+	sortedEndpoints
 	instances int
-	got       []map[uint32]float64
+	subsets   []map[uint32]float64
 }
 
-func (s *bounded) take(gone, come []uint32) {
-	s.sorted.take(gone, come)
-	s.got = nil
+func (s *boundedRing) update(gone, come []uint32) {
+	s.sortedEndpoints.update(gone, come)
+	s.subsets = nil
 }
 
-func (s *bounded) subset(i int) map[uint32]float64 {
-	if s.got == nil {
-		s.share()
+func (s *boundedRing) subset(i int) map[uint32]float64 {
+	if s.subsets == nil {
+		s.assign()
 	}
 	got := map[uint32]float64{}
-	for id := range s.got[i] {
-		got[id] = 1 / float64(len(s.got[i]))
+	for id := range s.subsets[i] {
+		got[id] = 1 / float64(len(s.subsets[i]))
 	}
 	return got
 }
 
-func (s *bounded) share() {
+func (s *boundedRing) assign() {
 	type point struct {
 		at       uint64
 		instance int
 	}
 	const points = 50 // of each instance
 	var ring []point
-	s.got = nil
+	s.subsets = nil
 	for i := range s.instances {
-		s.got = append(s.got, map[uint32]float64{})
+		s.subsets = append(s.subsets, map[uint32]float64{})
 		for k := range points {
 			ring = append(ring, point{rendezvous.Mix(uint64(i)<<32 | uint64(k)), i})
 		}
 	}
 	slices.SortFunc(ring, func(a, b point) int { return cmp.Compare(a.at, b.at) })
-	most := int(math.Ceil(1.125 * callers * float64(len(s.ids)) / float64(s.instances)))
+	most := int(math.Ceil(1.125 * instancesPerEndpoint * float64(len(s.ids)) / float64(s.instances)))
 	order := slices.Clone(s.ids)
 	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(rendezvous.Mix(uint64(a)), rendezvous.Mix(uint64(b))) })
 	for _, id := range order {
-		for k := range callers {
+		for k := range instancesPerEndpoint {
 			at := rendezvous.Mix(uint64(id) | uint64(k+1)<<40)
 			from, _ := slices.BinarySearchFunc(ring, at, func(p point, at uint64) int { return cmp.Compare(p.at, at) })
 			for step := range ring {
-				g := s.got[ring[(from+step)%len(ring)].instance]
+				g := s.subsets[ring[(from+step)%len(ring)].instance]
 				if _, has := g[id]; !has && len(g) < most {
 					g[id] = 1
 					break
@@ -241,15 +241,15 @@
 }
 
 // A Change is one of what the schemes are measured under.
-type Change struct {
+type Churn struct {
 	Name string
 	// Each step takes some away and adds some, by the ids that are there.
 	steps func(ids []uint32, rng *rand.Rand) [][2][]uint32
 }
 
-// Changes are: a release that replaces a share of the endpoints one at a time, the loss of a third at once, and as many
+// Churns are: a release that replaces a share of the endpoints one at a time, the loss of a third at once, and as many
 // again coming one at a time.
-var Changes = []Change{
+var Churns = []Churn{
 	{"2% replaced, one at a time", func(ids []uint32, rng *rand.Rand) (steps [][2][]uint32) {
 		for range max(1, len(ids)/50) {
 			i := rng.IntN(len(ids))
@@ -271,15 +271,15 @@
 	}},
 }
 
-// Figures are what a scheme comes to under a change.
-type Figures struct {
+// SubsetFigures are what a scheme comes to under a change.
+type SubsetFigures struct {
 	Scheme, Change string
 	// Moved is how many endpoints came into the subset of some instance, over all steps, for each endpoint that
 	// came or went. No scheme can do with fewer than callers for each that came, and for each that went where
 	// subsets stay as large as they are.
 	Moved float64
-	// Least and Most are how many instances reach an endpoint at the end.
-	Least, Most int
+	// MinInstances and Most are how many instances reach an endpoint at the end.
+	MinInstances, MaxInstances int
 	// Load is what the endpoint with most gets, and the one that 99 in 100 stay under, over the mean, when all
 	// instances are sent the same.
 	Load, LoadP99 float64
@@ -287,8 +287,8 @@
 	Spread float64
 }
 
-// Measure plays a change.
-func Measure(name string, c Change, endpoints, instances int, seed uint64) (f Figures, err error) {
+// MeasureSubsets plays a change.
+func MeasureSubsets(name string, c Churn, endpoints, instances int, seed uint64) (f SubsetFigures, err error) {
 	s, err := newScheme(name, instances)
 	if err != nil {
 		return f, err
@@ -302,14 +302,14 @@
 			ids = append(ids, id)
 		}
 	}
-	s.take(nil, ids)
+	s.update(nil, ids)
 	before := make([]map[uint32]float64, instances)
 	for i := range before {
 		before[i] = s.subset(i)
 	}
 	moved, changed := 0, 0
 	for _, step := range c.steps(slices.Clone(ids), rng) {
-		s.take(step[0], step[1])
+		s.update(step[0], step[1])
 		changed += max(len(step[0]), len(step[1]))
 		for i := range before {
 			now := s.subset(i)
@@ -327,7 +327,7 @@
 			have[id] = true
 		}
 	}
-	f = Figures{Scheme: name, Change: c.Name, Moved: float64(moved) / float64(changed), Least: math.MaxInt}
+	f = SubsetFigures{Scheme: name, Change: c.Name, Moved: float64(moved) / float64(changed), MinInstances: math.MaxInt}
 	reach, load, total := map[uint32]int{}, map[uint32]float64{}, 0
 	largest := 0
 	for _, got := range before {
@@ -340,7 +340,7 @@
 	}
 	var loads []float64
 	for id := range have {
-		f.Least, f.Most = min(f.Least, reach[id]), max(f.Most, reach[id])
+		f.MinInstances, f.MaxInstances = min(f.MinInstances, reach[id]), max(f.MaxInstances, reach[id])
 		loads = append(loads, load[id]*float64(len(have))/float64(instances))
 	}
 	slices.Sort(loads)
--- a/internal/rehearsal/fleet/subsets_test.go
+++ b/internal/rehearsal/fleet/subsets_test.go
@@ -7,22 +7,22 @@
 // Every scheme reaches every endpoint, and the module moves little with each change and keeps loads even.
 func TestSubsetsUnderChange(t *testing.T) {
 	const endpoints, instances = 1500, 40
-	for _, c := range Changes {
-		of := map[string]Figures{}
-		for _, name := range Schemes {
-			f, err := Measure(name, c, endpoints, instances, 5)
+	for _, c := range Churns {
+		of := map[string]SubsetFigures{}
+		for _, name := range SubsettingSchemes {
+			f, err := MeasureSubsets(name, c, endpoints, instances, 5)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if again, _ := Measure(name, c, endpoints, instances, 5); again != f {
+			if again, _ := MeasureSubsets(name, c, endpoints, instances, 5); again != f {
 				t.Errorf("%s: the same seed gives %+v and %+v", name, f, again)
 			}
 			of[name] = f
 			t.Logf("%+v", f)
 		}
 		m := of["module"]
-		if m.Least < 2 || m.Most > 5 {
-			t.Errorf("%s: an endpoint is reached by %d instances, one by %d", c.Name, m.Least, m.Most)
+		if m.MinInstances < 2 || m.MaxInstances > 5 {
+			t.Errorf("%s: an endpoint is reached by %d instances, one by %d", c.Name, m.MinInstances, m.MaxInstances)
 		}
 		if m.Load > 1.4 {
 			t.Errorf("%s: an endpoint gets %.2f times the mean", c.Name, m.Load)
@@ -34,7 +34,7 @@
 }
 
 func TestUnknownScheme(t *testing.T) {
-	if _, err := Measure("dice", Changes[0], 10, 2, 1); err == nil {
+	if _, err := MeasureSubsets("dice", Churns[0], 10, 2, 1); err == nil {
 		t.Error("no error")
 	}
 }
--- a/internal/rehearsal/fleet/waves_test.go
+++ b/internal/rehearsal/fleet/waves_test.go
@@ -18,15 +18,15 @@
 	for i := range n {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			w := AnyWave(rand.New(rand.NewPCG(uint64(i), 5)))
+			w := RandomWave(rand.New(rand.NewPCG(uint64(i), 5)))
 			s, err := w.Play()
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, b := range s.Verdict.Breaches[:min(3, len(s.Verdict.Breaches))] {
-				t.Errorf("%v: %v: %s (%+v)", b.At, b.Rule, b.Text, *w)
+				t.Errorf("%v: %v: %s (%+v)", b.At, b.Rule, b.Message, *w)
 			}
-			if v := s.Verdict; v.InTime+v.Late+v.Refused+v.Failed != v.Requests || v.Requests == 0 {
+			if v := s.Verdict; v.InTime+v.Late+v.Rejected+v.Failed != v.Requests || v.Requests == 0 {
 				t.Errorf("%d requests, not all of which are counted: %+v", v.Requests, *w)
 			}
 		})
@@ -49,28 +49,28 @@
 		for sidecars, service := range kind.service {
 			t.Run(fmt.Sprint(kind.name, " ", sidecars), func(t *testing.T) {
 				t.Parallel()
-				var waves []*Wave
+				var waves []*RestartWave
 				for seed := uint64(3); seed <= 5; seed++ {
-					waves = append(waves, &Wave{Sidecars: sidecars, Rate: 1300, Seed: seed, Boxes: kind.boxes})
+					waves = append(waves, &RestartWave{Sidecars: sidecars, Rate: 1300, Seed: seed, ServerShare: kind.boxes})
 				}
-				swells, err := PlayAll(waves)
+				swells, err := PlayWaves(waves)
 				if err != nil {
 					t.Fatal(err)
 				}
-				x := Summary(swells)
+				x := Summarize(swells)
 				t.Logf("%+v", x)
 				for _, sum := range []struct {
 					what      string
 					got, most float64
 				}{
-					{"boxes fell", float64(x.FallsMost), 0},
-					{"of what a cold box bears were sent to one", x.Cold, 0.95},
+					{"boxes fell", float64(x.MaxCollapses), 0},
+					{"of what a cold box bears were sent to one", x.ColdLoad, 0.95},
 					// 20 a second come for each box; one that serves 12 a second at first turns away no more than twice as many.
-					{"attempts within a second were turned away by one box", float64(x.Vain), 30},
-					{"attempts within a second came to a box that was not there", float64(x.Knocks), 40},
-					{"attempts within a second came from those that had isolated the box", float64(x.Trials), 30},
-					{"lists were asked for within a second", float64(x.Listed), 40},
-					{"connections were opened to one box within a second", float64(x.Opened), 45},
+					{"attempts within a second were turned away by one box", float64(x.MaxRejected), 30},
+					{"attempts within a second came to a box that was not there", float64(x.MaxUnreachable), 40},
+					{"attempts within a second came from those that had isolated the box", float64(x.MaxEjectedAttempts), 30},
+					{"lists were asked for within a second", float64(x.MaxListRequests), 40},
+					{"connections were opened to one box within a second", float64(x.MaxConnectionsOpened), 45},
 				} {
 					if sum.got > sum.most {
 						t.Errorf("%.2f %s, at most %v wanted", sum.got, sum.what, sum.most)
@@ -80,7 +80,7 @@
 					t.Errorf("service %.4f, %v wanted", x.Service, service)
 				}
 				for _, w := range swells {
-					if use := w.Sums.FullUse; use == 0 || use > 5*time.Second {
+					if use := w.Totals.RecoveryTime; use == 0 || use > 5*time.Second {
 						t.Errorf("seed %d: in full use %v after the boxes were back", w.Wave.Seed, use)
 					}
 				}
@@ -92,17 +92,17 @@
 // Calls that are bound to a cell, for they broke off there, do not push it over when it comes back cold beside warm ones.
 func TestKeyedCallsOfAColdCell(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
-		w := Wave{Sidecars: sidecars, Rate: 1600, Seed: 5, Cells: 2, Keyed: true, Length: 16 * time.Second}
+		w := RestartWave{Sidecars: sidecars, Rate: 1600, Seed: 5, Cells: 2, Keyed: true, Length: 16 * time.Second}
 		s, err := w.Play()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d sidecars: service %.3f, %+v", sidecars, s.Verdict.Service, *s.Sums)
-		if len(s.Verdict.Breaches) > 0 || s.Sums.Cold == 0 || s.Sums.Cold > 0.95 || s.Verdict.Service < 0.97 {
-			t.Errorf("%d sidecars: %v, cold %.2f, service %.3f", sidecars, s.Verdict.Breaches, s.Sums.Cold, s.Verdict.Service)
+		t.Logf("%d sidecars: service %.3f, %+v", sidecars, s.Verdict.Service, *s.Totals)
+		if len(s.Verdict.Breaches) > 0 || s.Totals.ColdLoad == 0 || s.Totals.ColdLoad > 0.95 || s.Verdict.Service < 0.97 {
+			t.Errorf("%d sidecars: %v, cold %.2f, service %.3f", sidecars, s.Verdict.Breaches, s.Totals.ColdLoad, s.Verdict.Service)
 		}
-		if s.Sums.Trials > 30 || s.Sums.Knocks > 40 {
-			t.Errorf("%d sidecars: %d trials, %d attempts at a box that was not there", sidecars, s.Sums.Trials, s.Sums.Knocks)
+		if s.Totals.MaxEjectedAttempts > 30 || s.Totals.MaxUnreachable > 40 {
+			t.Errorf("%d sidecars: %d trials, %d attempts at a box that was not there", sidecars, s.Totals.MaxEjectedAttempts, s.Totals.MaxUnreachable)
 		}
 	}
 }
@@ -111,17 +111,17 @@
 // more than they can do fall by chance, whoever sends.
 func TestWayBackAfterFalls(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
-		w := Wave{Sidecars: sidecars, Rate: 650, Seed: 4, FallenFor: 2 * time.Second, TipBy: 0.8, Length: 40 * time.Second}
+		w := RestartWave{Sidecars: sidecars, Rate: 650, Seed: 4, RestartAfterCollapse: 2 * time.Second, OverloadFactor: 0.8, Length: 40 * time.Second}
 		s, err := w.Play()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d sidecars: %d falls until %v, in full use %v after", sidecars, s.Sums.Falls, s.Sums.LastFall, s.Sums.Back)
-		if s.Sums.Falls < 20 {
-			t.Errorf("%d sidecars: only %d falls: this shows nothing", sidecars, s.Sums.Falls)
+		t.Logf("%d sidecars: %d falls until %v, in full use %v after", sidecars, s.Totals.Collapses, s.Totals.LastCollapse, s.Totals.CollapseRecoveryTime)
+		if s.Totals.Collapses < 20 {
+			t.Errorf("%d sidecars: only %d falls: this shows nothing", sidecars, s.Totals.Collapses)
 		}
-		if s.Sums.Back == 0 || s.Sums.Back > 8*time.Second {
-			t.Errorf("%d sidecars: in full use %v after the last fall at %v", sidecars, s.Sums.Back, s.Sums.LastFall)
+		if s.Totals.CollapseRecoveryTime == 0 || s.Totals.CollapseRecoveryTime > 8*time.Second {
+			t.Errorf("%d sidecars: in full use %v after the last fall at %v", sidecars, s.Totals.CollapseRecoveryTime, s.Totals.LastCollapse)
 		}
 	}
 }
--- a/internal/rehearsal/morning/golden_test.go
+++ b/internal/rehearsal/morning/golden_test.go
@@ -31,7 +31,7 @@
 			t.Fatal(found.Err())
 		}
 		exported := *m
-		exported.events, exported.places = nil, nil // the plans hold what comes of them
+		exported.events, exported.positions = nil, nil // the plans hold what comes of them
 		fmt.Fprintf(&dump, "== %s\n%s", filepath.Base(file), golden.Values(exported))
 		settings, err := json.Marshal(m.Plan(0).Settings(0, 0, 2))
 		if err != nil {
@@ -41,7 +41,7 @@
 		for _, seed := range []uint64{0, 7, 99} {
 			plan := m.Plan(seed)
 			var words bytes.Buffer
-			if err := plan.Print(&words); err != nil {
+			if err := plan.WriteText(&words); err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&dump, "seed %d: plan %x, in words %x, rules %x\n", seed, sha256.Sum256(golden.Values(plan)),
@@ -55,7 +55,7 @@
 func TestGoldenFaults(t *testing.T) {
 	var dump bytes.Buffer
 	for seed := range uint64(5) {
-		for _, line := range Faults(seed, 5, 2e9, 25e9) {
+		for _, line := range RandomFaults(seed, 5, 2e9, 25e9) {
 			fmt.Fprintf(&dump, "%d: %s\n", seed, line)
 		}
 	}
--- a/internal/rehearsal/morning/grammar.go
+++ b/internal/rehearsal/morning/grammar.go
@@ -14,7 +14,7 @@
 
 // A script is read line by line, so that one line that cannot be read hides no other.
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var scriptLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#.*`},
 	{Name: "Space", Pattern: `[ \t\r\n]+`},
 	{Name: "String", Pattern: `"[^"]*"`},
@@ -57,33 +57,33 @@
 	Text     *string  `parser:"| @String"`
 }
 
-// event is what happens at a time.
+// planEvent is what happens at a time.
 type event struct {
 	Pos lexer.Position
 	At  span `parser:"'at' @Duration ':'"`
 
-	New       *newBoxes     `parser:"( @@"`
-	Rude      *rude         `parser:"| @@"`
-	Boxes     *boxEvent     `parser:"| @@"`
-	Link      *linkEvent    `parser:"| @@"`
-	Sidecars  *sidecarEvent `parser:"| @@"`
-	Load      *loadEvent    `parser:"| @@"`
-	Discovery *listEvent    `parser:"| @@ )"`
+	NewServers    *newServers     `parser:"( @@"`
+	FaultyCallers *faultyCallers  `parser:"| @@"`
+	Servers       *serverEvent    `parser:"| @@"`
+	Link          *linkEvent      `parser:"| @@"`
+	Sidecars      *sidecarEvent   `parser:"| @@"`
+	Load          *loadEvent      `parser:"| @@"`
+	Discovery     *discoveryEvent `parser:"| @@ )"`
 }
 
-type newBoxes struct {
+type newServers struct {
 	Pos   lexer.Position
 	Count int    `parser:"@Number 'new' ('boxes' | 'box')"`
 	Tier  string `parser:"('of' @Word)?"`
 }
 
-type rude struct {
+type faultyCallers struct {
 	Pos   lexer.Position
 	Count int  `parser:"@Number 'rude' ('callers' | 'caller')"`
 	For   span `parser:"'for' @Duration"`
 }
 
-type who struct {
+type serverSelector struct {
 	Pos   lexer.Position
 	All   bool     `parser:"( @'all' 'boxes'"`
 	One   *int     `parser:"| 'box' @Number"`
@@ -92,8 +92,8 @@
 	Tier  string   `parser:"('of' @Word)?"`
 }
 
-type boxEvent struct {
-	Who *who `parser:"@@"`
+type serverEvent struct {
+	Targets *serverSelector `parser:"@@"`
 
 	Silent  *span    `parser:"( ('go' | 'goes') 'silent' 'for' @Duration"`
 	Pause   *span    `parser:"| ('pause' | 'pauses') 'for' @Duration"`
@@ -135,16 +135,16 @@
 
 // linkEvent is what befalls what sidecars tell one another.
 type linkEvent struct {
-	Pos   lexer.Position
-	Cut   *cut     `parser:"( @@"`
-	Mute  *int     `parser:"| 'sidecar' @Number 'is' 'heard' 'by' 'none'"`
-	Lost  *percent `parser:"| 'messages' 'are' ( @Percent 'lost'"`
-	Twice *percent `parser:"| @Percent 'doubled'"`
-	Late  *span    `parser:"| 'late' 'by' @Duration ) )"`
-	For   span     `parser:"'for' @Duration"`
+	Pos        lexer.Position
+	Partition  *partition `parser:"( @@"`
+	Mute       *int       `parser:"| 'sidecar' @Number 'is' 'heard' 'by' 'none'"`
+	Lost       *percent   `parser:"| 'messages' 'are' ( @Percent 'lost'"`
+	Duplicated *percent   `parser:"| @Percent 'doubled'"`
+	Delayed    *span      `parser:"| 'late' 'by' @Duration ) )"`
+	For        span       `parser:"'for' @Duration"`
 }
 
-type cut struct {
+type partition struct {
 	From int `parser:"'sidecars' @Number '..'"`
 	To   int `parser:"@Number 'are' 'cut' 'off'"`
 }
@@ -155,12 +155,12 @@
 	For   span    `parser:"'for' @Duration"`
 }
 
-type listEvent struct {
-	Pos    lexer.Position
-	Again  bool  `parser:"'discovery' ( @'repeats' 'itself'"`
-	Silent bool  `parser:"| 'is' ( @'silent'"`
-	Behind *span `parser:"| @Duration 'behind' ) )"`
-	For    span  `parser:"'for' @Duration"`
+type discoveryEvent struct {
+	Pos     lexer.Position
+	Repeats bool  `parser:"'discovery' ( @'repeats' 'itself'"`
+	Silent  bool  `parser:"| 'is' ( @'silent'"`
+	Behind  *span `parser:"| @Duration 'behind' ) )"`
+	For     span  `parser:"'for' @Duration"`
 }
 
 // span is a time, as "9s" or "250ms".
@@ -185,13 +185,13 @@
 const lookahead = 6
 
 var (
-	options  = []participle.Option{participle.Lexer(words), participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(lookahead)}
-	events   = participle.MustBuild[event](options...)
-	settings = participle.MustBuild[setting](options...)
+	parserOptions = []participle.Option{participle.Lexer(scriptLexer), participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(lookahead)}
+	eventParser   = participle.MustBuild[event](parserOptions...)
+	settingParser = participle.MustBuild[setting](parserOptions...)
 )
 
-// examples are shown where an event cannot be read, by the word that its kind goes by.
-var examples = []struct{ word, example string }{
+// eventExamples are shown where an event cannot be read, by the word that its kind goes by.
+var eventExamples = []struct{ word, example string }{
 	{"silent", "at 12s: 11% of boxes go silent for 9s"},
 	{"pause", "at 12s: box 3 pauses for 800ms"},
 	{"restart", "at 12s: 2 boxes of slot-keeper restart taking 3s"},
@@ -216,8 +216,8 @@
 	{"rude", "at 12s: 40 rude callers for 10s"},
 }
 
-// unread words a message on a line that is no statement.
-func unread(line string, err error) (col int, message string) {
+// describeParseError words a message on a line that is no statement.
+func describeParseError(line string, err error) (col int, message string) {
 	col, message = 1, err.Error()
 	var at participle.Error
 	if errors.As(err, &at) {
@@ -231,23 +231,23 @@
 		}
 	}
 	if strings.Fields(line)[0] == "at" {
-		for _, e := range examples {
+		for _, e := range eventExamples {
 			if strings.Contains(line, e.word) {
 				return col, message + "; one that can be read: " + e.example
 			}
 		}
-		message += "; one that can be read: " + examples[0].example
+		message += "; one that can be read: " + eventExamples[0].example
 	}
 	return col, message
 }
 
-// parse reads the lines of a script. Positions count characters as the file has them.
-func parse(text string, add finding.Reporter) (all []*statement) {
+// parseScript reads the lines of a script. Positions count characters as the file has them.
+func parseScript(text string, add finding.Reporter) (all []*statement) {
 	n := 0
 	for line := range strings.Lines(text) {
 		n++
-		if n > mostLines {
-			add(finding.Pos{Line: n, Col: 1}, "more than %d lines", mostLines)
+		if n > maxLines {
+			add(finding.Pos{Line: n, Col: 1}, "more than %d lines", maxLines)
 			break
 		}
 		line = strings.TrimRight(line, "\r\n")
@@ -258,12 +258,12 @@
 		placed := strings.Repeat("\n", n-1) + line
 		s, err := &statement{}, error(nil)
 		if strings.Fields(line)[0] == "at" {
-			s.event, err = events.ParseString("", placed)
+			s.event, err = eventParser.ParseString("", placed)
 		} else {
-			s.setting, err = settings.ParseString("", placed)
+			s.setting, err = settingParser.ParseString("", placed)
 		}
 		if err != nil {
-			col, message := unread(line, err)
+			col, message := describeParseError(line, err)
 			add(finding.Pos{Line: n, Col: col}, "%s", message)
 			continue
 		}
@@ -272,4 +272,4 @@
 	return all
 }
 
-func pos(p lexer.Position) finding.Pos { return finding.Pos{Line: p.Line, Col: p.Column} }
+func positionOf(p lexer.Position) finding.Pos { return finding.Pos{Line: p.Line, Col: p.Column} }
--- a/internal/rehearsal/morning/links.go
+++ b/internal/rehearsal/morning/links.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// link draws what befalls what sidecars tell one another.
-func (d *drawing) link(e *event, l *linkEvent) {
+// planLink draws what befalls what sidecars tell one another.
+func (d *planner) planLink(e *event, l *linkEvent) {
 	n := d.Sidecars.Count
 	if !d.Sidecars.Peers {
-		d.add(pos(l.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
+		d.add(positionOf(l.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
 		return
 	}
-	s := Step{At: time.Duration(e.At), Do: Link, Line: e.Pos.Line}
+	s := Step{At: time.Duration(e.At), Kind: LinkFault, Line: e.Pos.Line}
 	switch {
-	case l.Cut != nil:
-		if l.Cut.From < 1 || l.Cut.To < l.Cut.From || l.Cut.To > n || l.Cut.To-l.Cut.From+1 == n {
-			d.add(pos(l.Pos), "sidecars %d..%d of %d cannot be cut off from the others", l.Cut.From, l.Cut.To, n)
+	case l.Partition != nil:
+		if l.Partition.From < 1 || l.Partition.To < l.Partition.From || l.Partition.To > n || l.Partition.To-l.Partition.From+1 == n {
+			d.add(positionOf(l.Pos), "sidecars %d..%d of %d cannot be cut off from the others", l.Partition.From, l.Partition.To, n)
 			return
 		}
-		s.What, s.Sidecar, s.By = "cut", l.Cut.From-1, float64(l.Cut.To-l.Cut.From+1)
+		s.Name, s.Sidecar, s.Amount = "cut", l.Partition.From-1, float64(l.Partition.To-l.Partition.From+1)
 	case l.Mute != nil:
 		if *l.Mute < 1 || *l.Mute > n {
-			d.add(pos(l.Pos), "there is no sidecar %d: there are %d", *l.Mute, n)
+			d.add(positionOf(l.Pos), "there is no sidecar %d: there are %d", *l.Mute, n)
 			return
 		}
-		s.What, s.Sidecar, s.By = "mute", *l.Mute-1, 1
+		s.Name, s.Sidecar, s.Amount = "mute", *l.Mute-1, 1
 	case l.Lost != nil:
-		s.What, s.By = "lost", float64(*l.Lost)
-	case l.Twice != nil:
-		s.What, s.By = "doubled", float64(*l.Twice)
-	case l.Late != nil:
-		s.What, s.By = "late", time.Duration(*l.Late).Seconds()
+		s.Name, s.Amount = "lost", float64(*l.Lost)
+	case l.Duplicated != nil:
+		s.Name, s.Amount = "doubled", float64(*l.Duplicated)
+	case l.Delayed != nil:
+		s.Name, s.Amount = "late", time.Duration(*l.Delayed).Seconds()
 	}
-	if (l.Lost != nil || l.Twice != nil) && s.By > 1 {
-		d.add(pos(l.Pos), "%v%% of the messages is more than there are", s.By*100)
+	if (l.Lost != nil || l.Duplicated != nil) && s.Amount > 1 {
+		d.add(positionOf(l.Pos), "%v%% of the messages is more than there are", s.Amount*100)
 		return
 	}
-	d.step(s)
-	d.window(e, time.Duration(l.For), "%s", s.link())
-	s.At, s.By = s.At+time.Duration(l.For), -s.By
-	d.step(s)
+	d.addStep(s)
+	d.addWindow(e, time.Duration(l.For), "%s", s.describeLink())
+	s.At, s.Amount = s.At+time.Duration(l.For), -s.Amount
+	d.addStep(s)
 }
 
-// link puts a step into words; By is below 0 when it ends.
-func (s *Step) link() string {
-	by, over := s.By, ""
+// planLink puts a step into words; By is below 0 when it ends.
+func (s *Step) describeLink() string {
+	by, over := s.Amount, ""
 	if by < 0 {
 		by, over = -by, "no more: "
 	}
-	switch s.What {
+	switch s.Name {
 	case "cut":
 		return fmt.Sprintf("%ssidecars %d..%d are cut off", over, s.Sidecar+1, s.Sidecar+int(by))
 	case "mute":
@@ -58,12 +58,12 @@
 	case "late":
 		return fmt.Sprintf("%smessages are late by %v", over, time.Duration(by*float64(time.Second)))
 	}
-	return fmt.Sprintf("%smessages: %v%% %s", over, by*100, s.What)
+	return fmt.Sprintf("%smessages: %v%% %s", over, by*100, s.Name)
 }
 
-// Faults draws lines of a script by a seed: what befalls sidecars that find one another, one thing after another, between two
+// RandomFaults draws lines of a script by a seed: what befalls sidecars that find one another, one thing after another, between two
 // times; the same seed draws the same lines. Signals of sidecars are among them.
-func Faults(seed uint64, sidecars int, from, to time.Duration) (lines []string) {
+func RandomFaults(seed uint64, sidecars int, from, to time.Duration) (lines []string) {
 	rng := rand.New(rand.NewPCG(seed, 0x6661))
 	say := func(at time.Duration, format string, args ...any) {
 		lines = append(lines, fmt.Sprintf("at %dms: ", at.Milliseconds())+fmt.Sprintf(format, args...))
--- a/internal/rehearsal/morning/morning.go
+++ b/internal/rehearsal/morning/morning.go
@@ -20,197 +20,197 @@
 
 // The bounds of a script.
 const (
-	MostBytes    = 256 << 10
-	mostLines    = 2000
-	MostLength   = 10 * time.Minute
-	MostBoxes    = 25_000
-	MostSidecars = 256 // in virtual time; internal/rehearsal/rehearse has a bound of its own
-	MostRequests = 300_000
+	MaxBytes    = 256 << 10
+	maxLines    = 2000
+	MaxLength   = 10 * time.Minute
+	MaxServers  = 25_000
+	MaxSidecars = 256 // in virtual time; internal/rehearsal/rehearse has a bound of its own
+	MaxRequests = 300_000
 )
 
 // Range is what a figure is drawn from, evenly.
 type Range struct{ Low, High float64 }
 
-// Morning is a script that has been read.
-type Morning struct {
-	Name      string // of its file
-	Title     string
-	Length    time.Duration // of the time in which callers come
-	Seed      uint64
-	Tiers     []*Tier
-	Classes   []*Class
-	Sidecars  Sidecars
-	Callers   Callers
-	Discovery Discovery
-	Rules     Rules
-	Expect    []Expect
+// Scenario is a script that has been read.
+type Scenario struct {
+	Name         string // of its file
+	Title        string
+	Length       time.Duration // of the time in which callers come
+	Seed         uint64
+	Tiers        []*Tier
+	Classes      []*Class
+	Sidecars     Sidecars
+	Callers      Callers
+	Discovery    Discovery
+	Rules        Rules
+	Expectations []Expectation
 
-	events []*event
-	places map[string]finding.Pos // of "section key" or "section name key"
+	events    []*event
+	positions map[string]finding.Pos // of "section key" or "section name key"
 }
 
 // Tier is the boxes of one application.
 type Tier struct {
-	Name      string
-	Boxes     int // at the start
-	CellSize  int
-	Cores     int
-	Speed     Range // of a core
-	Slots     int
-	Queue     int
-	Work      emulator.Work // of a request
-	Noise     float64       // standard deviation over mean of an attempt, round the work of its request
-	Cold      Range         // the share that a box starts with
-	Warm      time.Duration
-	Thrash    float64
-	ThrashAt  int
-	ChokeHeld int // 0 for never
-	ChokeOver time.Duration
-	ChokeBy   float64
-	Calls     string // the tier that its boxes call; empty for none
-	Times     int    // calls a request, one after another
-	Before    float64
-	Cancel    bool // stops work in progress
-	Expired   bool // drops what is overdue in the queue
-	Conns     int
-	Handshake time.Duration
-	Report    time.Duration // every; 0 for none
-	HTTP3     bool          // beside HTTP/1.1
-	FallenFor time.Duration // after which a box that fell over is started again; 0 for never
+	Name                 string
+	Servers              int // at the start
+	CellSize             int
+	Cores                int
+	Speed                Range // of a core
+	Slots                int
+	Queue                int
+	Work                 emulator.WorkDistribution // of a request
+	Noise                float64                   // standard deviation over mean of an attempt, round the work of its request
+	ColdShare            Range                     // the share that a box starts with
+	WarmUp               time.Duration
+	Thrash               float64
+	ThrashAt             int
+	CongestionJobs       int // 0 for never
+	CongestionAfter      time.Duration
+	CongestionSlowdown   float64
+	Calls                string // the tier that its boxes call; empty for none
+	CallsPerRequest      int    // calls a request, one after another
+	WorkBeforeCalls      float64
+	CancelStopsWork      bool // stops work in progress
+	DropsExpired         bool // drops what is overdue in the queue
+	MaxConnections       int
+	HandshakeWork        time.Duration
+	ReportInterval       time.Duration // every; 0 for none
+	HTTP3                bool          // beside HTTP/1.1
+	RestartAfterCollapse time.Duration // after which a box that fell over is started again; 0 for never
 }
 
 // Class is a class of request.
 type Class struct {
-	Name     string
-	Effect   balancer.Idempotency
-	Scope    balancer.KeyScope
-	Window   time.Duration
-	Aim      time.Duration
-	Deadline time.Duration
-	Worth    float64
-	Share    float64 // of all requests; the shares are scaled to sum 1
+	Name          string
+	Idempotency   balancer.Idempotency
+	Scope         balancer.KeyScope
+	Window        time.Duration
+	LatencyTarget time.Duration
+	Deadline      time.Duration
+	Value         float64
+	Share         float64 // of all requests; the shares are scaled to sum 1
 }
 
 // Sidecars are those of the first tier. Each box of a tier that calls has one of its own.
 type Sidecars struct {
-	Count    int
-	MemoryMB int
-	Sockets  int
-	Told     int  // how many each is told there are; 0 for the truth
-	Peers    bool // they find one another; on sockets alone
+	Count          int
+	MemoryMB       int
+	Sockets        int
+	AnnouncedCount int  // how many each is told there are; 0 for the truth
+	Peers          bool // they find one another; on sockets alone
 }
 
 // Callers are clients from outside.
 type Callers struct {
-	Rate     float64 // requests a second
-	Shape    string  // steady, bursty or wave
-	Swing    float64 // of a shape that is not steady
-	Retries  int
-	Patience Range // the share of the deadline after which a try is given up
-	Backoff  time.Duration
-	Honour   float64 // the share that waits as long as Retry-After says
-	AtFirst  float64 // the share that comes to the first sidecar, while it is there; the others are dealt out as ever
+	Rate              float64 // requests a second
+	Shape             string  // steady, bursty or wave
+	Swing             float64 // of a shape that is not steady
+	Retries           int
+	Patience          Range // the share of the deadline after which a try is given up
+	Backoff           time.Duration
+	HonoursRetryAfter float64 // the share that waits as long as Retry-After says
+	FirstSidecarShare float64 // the share that comes to the first sidecar, while it is there; the others are dealt out as ever
 }
 
 // Discovery is how late the list is.
 type Discovery struct {
-	Consul       bool          // Consul tells, not the platform
-	Notice       time.Duration // until it tells of what ends or drains
-	SilentNotice time.Duration // until it misses a silent box
-	Add          time.Duration // until it tells of a new one
-	Late         time.Duration // how much later still a part of the sidecars of the first tier hears of it all
-	LateShare    float64       // that part; the last ones
-	Boot         Boot
+	Consul            bool          // Consul tells, not the platform
+	NoticeDelay       time.Duration // until it tells of what ends or drains
+	SilentNoticeDelay time.Duration // until it misses a silent box
+	AddDelay          time.Duration // until it tells of a new one
+	LateDelay         time.Duration // how much later still a part of the sidecars of the first tier hears of it all
+	LateShare         float64       // that part; the last ones
+	BootTime          BootTime
 }
 
-// Boot is what discovery says of when a box started.
-type Boot string
+// BootTime is what discovery says of when a box started.
+type BootTime string
 
 // What it may say.
 const (
-	BootTrue  Boot = "true"  // when it did
-	BootNone  Boot = "none"  // nothing: long ago, of each
-	BootAhead Boot = "ahead" // a minute later than it did, which is still to come: its clock is wrong
+	BootTimeTrue  BootTime = "true"  // when it did
+	BootTimeNone  BootTime = "none"  // nothing: long ago, of each
+	BootTimeAhead BootTime = "ahead" // a minute later than it did, which is still to come: its clock is wrong
 )
 
-// Ahead is how far the clock of BootAhead is.
-const Ahead = time.Minute
+// BootTimeSkew is how far the clock of BootTimeAhead is.
+const BootTimeSkew = time.Minute
 
-// LateFor is how much later than others a sidecar hears of boxes.
-func (p *Plan) LateFor(s Sender) time.Duration {
-	if s.Box >= 0 || float64(s.Number) < float64(s.Of)*(1-p.Discovery.LateShare) {
+// NotificationDelay is how much later than others a sidecar hears of boxes.
+func (p *Plan) NotificationDelay(s SidecarSpec) time.Duration {
+	if s.Server >= 0 || float64(s.Number) < float64(s.Count)*(1-p.Discovery.LateShare) {
 		return 0
 	}
-	return p.Discovery.Late
+	return p.Discovery.LateDelay
 }
 
 // Rules are the platform's figures.
 type Rules struct {
-	Drain     time.Duration
-	TipBy     float64
-	TipWindow time.Duration
-	Attempts  int
-	Copies    bool
-	Connect   time.Duration
-	Slack     time.Duration
-	Kill      time.Duration // SIGKILL comes so long after SIGTERM
+	Drain          time.Duration
+	OverloadFactor float64
+	OverloadWindow time.Duration
+	MaxAttempts    int
+	Hedging        bool
+	ConnectTimeout time.Duration
+	Slack          time.Duration
+	KillDelay      time.Duration // SIGKILL comes so long after SIGTERM
 }
 
-// Expect is what a morning has to reach.
-type Expect struct {
-	At    finding.Pos
-	What  string // service, worst, refused, failed or attempts
-	Above bool
-	Bound float64
+// Expectation is what a morning has to reach.
+type Expectation struct {
+	Position finding.Pos
+	Figure   string // service, worst, refused, failed or attempts
+	Above    bool
+	Bound    float64
 }
 
-func standard() *Morning {
-	return &Morning{
-		Length: 30 * time.Second, Seed: 1, places: map[string]finding.Pos{},
+func defaults() *Scenario {
+	return &Scenario{
+		Length: 30 * time.Second, Seed: 1, positions: map[string]finding.Pos{},
 		Sidecars:  Sidecars{Count: 2, MemoryMB: 192, Sockets: 1024},
-		Callers:   Callers{Rate: 50, Shape: "steady", Swing: 0.3, Retries: 2, Patience: Range{0.6, 0.6}, Backoff: 300 * time.Millisecond, Honour: 1},
-		Discovery: Discovery{Notice: 2 * time.Second, SilentNotice: 8 * time.Second, Add: time.Second, LateShare: 1.0 / 3, Boot: BootTrue},
+		Callers:   Callers{Rate: 50, Shape: "steady", Swing: 0.3, Retries: 2, Patience: Range{0.6, 0.6}, Backoff: 300 * time.Millisecond, HonoursRetryAfter: 1},
+		Discovery: Discovery{NoticeDelay: 2 * time.Second, SilentNoticeDelay: 8 * time.Second, AddDelay: time.Second, LateShare: 1.0 / 3, BootTime: BootTimeTrue},
 		Rules: Rules{
-			Drain: 250 * time.Millisecond, TipBy: 3, TipWindow: time.Second, Attempts: 5, Connect: 250 * time.Millisecond,
-			Slack: 50 * time.Millisecond, Kill: 3700 * time.Millisecond,
+			Drain: 250 * time.Millisecond, OverloadFactor: 3, OverloadWindow: time.Second, MaxAttempts: 5, ConnectTimeout: 250 * time.Millisecond,
+			Slack: 50 * time.Millisecond, KillDelay: 3700 * time.Millisecond,
 		},
 	}
 }
 
 func newTier(name string) *Tier {
 	return &Tier{
-		Name: name, Boxes: 3, CellSize: 4, Cores: 2, Speed: Range{1, 1}, Slots: 2, Queue: 4,
-		Work: emulator.Work{Mean: 50 * time.Millisecond, Shape: emulator.Exponential, CV: 1}, Cold: Range{0.4, 0.4}, Warm: 5 * time.Second,
-		ChokeOver: 2 * time.Second, ChokeBy: 2.5, Times: 1, Before: 0.5, Cancel: true, Conns: 64, Handshake: 3 * time.Millisecond,
+		Name: name, Servers: 3, CellSize: 4, Cores: 2, Speed: Range{1, 1}, Slots: 2, Queue: 4,
+		Work: emulator.WorkDistribution{Mean: 50 * time.Millisecond, Shape: emulator.Exponential, CV: 1}, ColdShare: Range{0.4, 0.4}, WarmUp: 5 * time.Second,
+		CongestionAfter: 2 * time.Second, CongestionSlowdown: 2.5, CallsPerRequest: 1, WorkBeforeCalls: 0.5, CancelStopsWork: true, MaxConnections: 64, HandshakeWork: 3 * time.Millisecond,
 	}
 }
 
 // Read reads a script; it is nil where there are findings.
-func Read(name string, text []byte, found *finding.List) *Morning {
+func Read(name string, text []byte, found *finding.List) *Scenario {
 	before := found.Len()
 	add := found.ForFile(name)
-	m := standard()
+	m := defaults()
 	m.Name = name
-	if len(text) > MostBytes {
-		add(finding.Pos{}, "larger than %d KiB", MostBytes>>10)
+	if len(text) > MaxBytes {
+		add(finding.Pos{}, "larger than %d KiB", MaxBytes>>10)
 		return nil
 	}
-	for _, s := range parse(string(text), add) {
+	for _, s := range parseScript(string(text), add) {
 		if s.event != nil {
 			m.events = append(m.events, s.event)
 			continue
 		}
-		m.set(s.setting, add)
+		m.applySetting(s.setting, add)
 	}
 	if found.Len() > before {
 		return nil
 	}
-	m.check(add)
+	m.validate(add)
 	if found.Len() > before {
 		return nil
 	}
 	// Drawing the plan finds what is impossible: it is the same for every seed who is there, but not who is hit.
-	draw(m, m.Seed, add)
+	drawPlan(m, m.Seed, add)
 	if found.Len() > before {
 		return nil
 	}
@@ -218,7 +218,7 @@
 }
 
 // Tier is the tier of a name, or nil; the first for an empty one.
-func (m *Morning) Tier(name string) *Tier {
+func (m *Scenario) Tier(name string) *Tier {
 	if name == "" && len(m.Tiers) > 0 {
 		return m.Tiers[0]
 	}
@@ -228,14 +228,14 @@
 	return nil
 }
 
-// index is a tier's place.
-func (m *Morning) index(t *Tier) int { return slices.Index(m.Tiers, t) }
+// tierIndex is a tier's place.
+func (m *Scenario) tierIndex(t *Tier) int { return slices.Index(m.Tiers, t) }
 
-// place is where something was set, as "section key" or "section name key"; the whole file if nowhere.
-func (m *Morning) place(path ...string) finding.Pos { return m.places[strings.Join(path, " ")] }
+// position is where something was set, as "section key" or "section name key"; the whole file if nowhere.
+func (m *Scenario) position(path ...string) finding.Pos { return m.positions[strings.Join(path, " ")] }
 
-// check looks at the settings with one another.
-func (m *Morning) check(add finding.Reporter) {
+// validate looks at the settings with one another.
+func (m *Scenario) validate(add finding.Reporter) {
 	if len(m.Tiers) == 0 {
 		add(finding.Pos{}, "no tier: a line like 'tier booking-front boxes 8' says what boxes there are")
 		return
@@ -247,17 +247,17 @@
 	boxes, callers := 0, m.Sidecars.Count
 	called := map[string]bool{}
 	for i, t := range m.Tiers {
-		boxes += t.Boxes
-		if t.Boxes > MostBoxes {
-			add(m.place("tier", t.Name, "boxes"), "more than %d boxes", MostBoxes)
+		boxes += t.Servers
+		if t.Servers > MaxServers {
+			add(m.position("tier", t.Name, "boxes"), "more than %d boxes", MaxServers)
 			return
 		}
 		if t.Calls != "" {
-			if t.FallenFor > 0 {
-				add(m.place("tier", t.Name, "fallen_for"), "boxes that call others have a sidecar each, and are not started again after a fall")
+			if t.RestartAfterCollapse > 0 {
+				add(m.position("tier", t.Name, "fallen_for"), "boxes that call others have a sidecar each, and are not started again after a fall")
 			}
-			callers += t.Boxes
-			at := m.place("tier", t.Name, "calls")
+			callers += t.Servers
+			at := m.position("tier", t.Name, "calls")
 			switch n := slices.IndexFunc(m.Tiers, func(o *Tier) bool { return o.Name == t.Calls }); {
 			case n < 0:
 				add(at, "%s", finding.UnknownName("tier", t.Calls, m.tierNames()))
@@ -269,47 +269,47 @@
 			called[t.Calls] = true
 		}
 		if i > 0 && !called[t.Name] {
-			add(m.place("tier", t.Name), "no tier calls %s: put 'calls %s' to %s", t.Name, t.Name, m.Tiers[i-1].Name)
+			add(m.position("tier", t.Name), "no tier calls %s: put 'calls %s' to %s", t.Name, t.Name, m.Tiers[i-1].Name)
 		}
-		if spec := m.spec(t, 1, t.Cold.Low); spec.Check() != nil {
-			add(m.place("tier", t.Name), "%v", spec.Check())
+		if spec := m.serverSpec(t, 1, t.ColdShare.Low); spec.Validate() != nil {
+			add(m.position("tier", t.Name), "%v", spec.Validate())
 		}
 	}
-	if boxes > MostBoxes {
-		add(m.place("tier", m.Tiers[0].Name), "%d boxes in all, %d at most", boxes, MostBoxes)
+	if boxes > MaxServers {
+		add(m.position("tier", m.Tiers[0].Name), "%d boxes in all, %d at most", boxes, MaxServers)
 	}
-	if callers > MostSidecars {
-		add(m.place("sidecars"), "%d sidecars, %d at most: %d for callers, and one for each box of a tier that calls another", callers, MostSidecars, m.Sidecars.Count)
+	if callers > MaxSidecars {
+		add(m.position("sidecars"), "%d sidecars, %d at most: %d for callers, and one for each box of a tier that calls another", callers, MaxSidecars, m.Sidecars.Count)
 	}
-	if n := m.Callers.Rate * m.Length.Seconds(); n > MostRequests {
-		add(m.place("callers", "rate"), "about %.0f requests, %d at most", n, MostRequests)
+	if n := m.Callers.Rate * m.Length.Seconds(); n > MaxRequests {
+		add(m.position("callers", "rate"), "about %.0f requests, %d at most", n, MaxRequests)
 	}
 	for _, c := range m.Classes {
-		if c.Aim > c.Deadline {
-			add(m.place("class", c.Name, "aim"), "the aim, %v, lies beyond the deadline, %v", c.Aim, c.Deadline)
+		if c.LatencyTarget > c.Deadline {
+			add(m.position("class", c.Name, "aim"), "the aim, %v, lies beyond the deadline, %v", c.LatencyTarget, c.Deadline)
 		}
-		if c.Effect == balancer.IdempotentWithKey && c.Window < c.Deadline {
-			add(m.place("class", c.Name), "boxes remember keys for %v, and callers repeat them for up to %v: a repeat would run twice", c.Window, c.Deadline)
+		if c.Idempotency == balancer.IdempotentWithKey && c.Window < c.Deadline {
+			add(m.position("class", c.Name), "boxes remember keys for %v, and callers repeat them for up to %v: a repeat would run twice", c.Window, c.Deadline)
 		}
 	}
 }
 
-func (m *Morning) tierNames() (names []string) {
+func (m *Scenario) tierNames() (names []string) {
 	for _, t := range m.Tiers {
 		names = append(names, t.Name)
 	}
 	return names
 }
 
-// spec is a box of a tier.
-func (m *Morning) spec(t *Tier, speed, cold float64) emulator.Spec {
+// serverSpec is a box of a tier.
+func (m *Scenario) serverSpec(t *Tier, speed, cold float64) emulator.Spec {
 	s := emulator.Spec{
 		Cores: t.Cores, Speed: speed, Slots: t.Slots, Queue: t.Queue, Thrash: t.Thrash, ThrashAt: t.ThrashAt,
-		ColdFrom: cold, Warm: t.Warm, TipMultiple: m.Rules.TipBy, TipWindow: m.Rules.TipWindow, CancelStops: t.Cancel, DropsExpired: t.Expired,
-		ReportEvery: t.Report, ReportDelay: t.Report / 4, Connections: t.Conns, HandshakeWork: t.Handshake,
+		ColdShare: cold, WarmUp: t.WarmUp, OverloadFactor: m.Rules.OverloadFactor, OverloadWindow: m.Rules.OverloadWindow, CancelStopsWork: t.CancelStopsWork, DropsExpired: t.DropsExpired,
+		ReportEvery: t.ReportInterval, ReportDelay: t.ReportInterval / 4, Connections: t.MaxConnections, HandshakeWork: t.HandshakeWork,
 	}
-	if t.ChokeHeld > 0 {
-		s.Choke = &emulator.Choke{Held: t.ChokeHeld, Over: t.ChokeOver, Slower: t.ChokeBy, Below: 0.4, Rest: 3 * time.Second, Most: 20 * time.Second}
+	if t.CongestionJobs > 0 {
+		s.Congestion = &emulator.Congestion{MinJobs: t.CongestionJobs, After: t.CongestionAfter, SlowdownFactor: t.CongestionSlowdown, RecoveryUtilization: 0.4, RecoveryTime: 3 * time.Second, MaxDuration: 20 * time.Second}
 	}
 	return s
 }
@@ -322,7 +322,7 @@
 	return fmt.Sprintf("%v..%v", r.Low, r.High)
 }
 
-func (r Range) at(u float64) float64 { return r.Low + u*(r.High-r.Low) }
+func (r Range) interpolate(u float64) float64 { return r.Low + u*(r.High-r.Low) }
 
-// whole tells whether a number is one.
-func whole(f float64) bool { return f == math.Trunc(f) && math.Abs(f) < 1e15 }
+// isInteger tells whether a number is one.
+func isInteger(f float64) bool { return f == math.Trunc(f) && math.Abs(f) < 1e15 }
--- a/internal/rehearsal/morning/morning_test.go
+++ b/internal/rehearsal/morning/morning_test.go
@@ -26,7 +26,7 @@
 callers rate 100/s retries 2 patience 0.42..0.8
 `
 
-func read(t *testing.T, text string) (*Morning, string) {
+func read(t *testing.T, text string) (*Scenario, string) {
 	t.Helper()
 	var found finding.List
 	m := Read("m", []byte(text), &found)
@@ -128,10 +128,10 @@
 	if _, got := read(t, "tier a\n"); !strings.Contains(got, "no class") {
 		t.Error(got)
 	}
-	if _, got := read(t, strings.Repeat("#", MostBytes+1)); !strings.Contains(got, "larger than") {
+	if _, got := read(t, strings.Repeat("#", MaxBytes+1)); !strings.Contains(got, "larger than") {
 		t.Error(got)
 	}
-	if _, got := read(t, strings.Repeat("x y\n", mostLines+5)); !strings.Contains(got, "more than") {
+	if _, got := read(t, strings.Repeat("x y\n", maxLines+5)); !strings.Contains(got, "more than") {
 		t.Error(got)
 	}
 	if _, got := read(t, strings.Replace(wholeScript, "100/s", "20000/s", 1)); !strings.Contains(got, "8:14: about 400000 requests") {
@@ -153,9 +153,9 @@
 	text := func(seed uint64) string {
 		p := m.Plan(seed)
 		var b bytes.Buffer
-		p.Print(&b)
-		fmt.Fprint(&b, p.Boxes, p.Arrivals, p.Windows)
-		before, after := p.Works("r1t1", 0, 1)
+		p.WriteText(&b)
+		fmt.Fprint(&b, p.Servers, p.Arrivals, p.Windows)
+		before, after := p.WorkOf("r1t1", 0, 1)
 		fmt.Fprint(&b, before, after)
 		return b.String()
 	}
@@ -204,8 +204,8 @@
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
-	old, fresh := p.Boxes[slices.IndexFunc(p.Boxes, func(b Box) bool { return b.Tier == 1 && b.Number == 6 })], p.Boxes[len(p.Boxes)-1]
-	if fresh.Slot != old.Slot || fresh.Cell != old.Cell || fresh.UID == old.UID || fresh.From != 17*time.Second {
+	old, fresh := p.Servers[slices.IndexFunc(p.Servers, func(b Server) bool { return b.Tier == 1 && b.Number == 6 })], p.Servers[len(p.Servers)-1]
+	if fresh.Slot != old.Slot || fresh.Cell != old.Cell || fresh.UID == old.UID || fresh.StartsAt != 17*time.Second {
 		t.Errorf("%+v replaces %+v", fresh, old)
 	}
 }
@@ -234,18 +234,18 @@
 	m, _ := read(t, wholeScript+"at 3s: all boxes of slot-keeper are replaced at their addresses over 5s\nat 12s: all boxes of slot-keeper are replaced at new addresses\n")
 	p := m.Plan(0)
 	ids, last := map[string]bool{}, map[int]time.Duration{}
-	for _, b := range p.Boxes {
+	for _, b := range p.Servers {
 		if ids[b.UID] {
 			t.Errorf("%s twice", b.UID)
 		}
 		ids[b.UID] = true
-		if from, ok := last[b.Slot]; ok && b.From <= from {
+		if from, ok := last[b.Slot]; ok && b.StartsAt <= from {
 			t.Errorf("two at address %d", b.Slot)
 		}
-		last[b.Slot] = b.From
+		last[b.Slot] = b.StartsAt
 	}
-	if len(p.Boxes) != 9+20*3 {
-		t.Errorf("%d boxes", len(p.Boxes))
+	if len(p.Servers) != 9+20*3 {
+		t.Errorf("%d boxes", len(p.Servers))
 	}
 }
 
--- a/internal/rehearsal/morning/parts.go
+++ b/internal/rehearsal/morning/parts.go
@@ -11,53 +11,53 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// heard is when news count as told, whether or not they were written (the platform's protocol).
-const heard = 6 * time.Second
+// notifyWithin is when news count as told, whether or not they were written (the platform's protocol).
+const notifyWithin = 6 * time.Second
 
 // AuditRules are what a plan is judged by; the names of the sidecars are to be added.
 func (p *Plan) AuditRules() audit.Rules {
 	r := audit.Rules{
-		Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, Heard: heard, Attempts: p.Rules.Attempts, Copies: p.Rules.Copies,
-		TipBy: p.Rules.TipBy, TipWindow: p.Rules.TipWindow,
+		Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, NotifyWithin: notifyWithin, MaxAttempts: p.Rules.MaxAttempts, Hedging: p.Rules.Hedging,
+		OverloadFactor: p.Rules.OverloadFactor, OverloadWindow: p.Rules.OverloadWindow,
 	}
 	for _, c := range p.Classes {
-		r.Classes = append(r.Classes, audit.Class{Name: c.Name, Effect: string(c.Effect), Scope: string(c.Scope), Window: c.Window, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth})
+		r.Classes = append(r.Classes, audit.Class{Name: c.Name, Idempotency: string(c.Idempotency), Scope: string(c.Scope), Window: c.Window, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline, Value: c.Value})
 	}
-	for i, b := range p.Boxes {
-		x := audit.Box{
+	for i, b := range p.Servers {
+		x := audit.Server{
 			Name: p.Name(i), Tier: b.Tier, Cell: b.Cell,
-			Capacity: float64(b.Spec.Cores) * b.Spec.Speed, ColdFrom: b.Spec.ColdFrom, Warm: b.Spec.Warm, Work: p.Tiers[b.Tier].Work.Mean,
+			Capacity: float64(b.Spec.Cores) * b.Spec.Speed, ColdShare: b.Spec.ColdShare, WarmUp: b.Spec.WarmUp, Work: p.Tiers[b.Tier].Work.Mean,
 		}
 		if t := p.Tiers[b.Tier]; t.Calls != "" {
-			x.Work = time.Duration(t.Before * float64(x.Work))
+			x.Work = time.Duration(t.WorkBeforeCalls * float64(x.Work))
 		}
-		r.Boxes = append(r.Boxes, x)
+		r.Servers = append(r.Servers, x)
 	}
 	for _, s := range p.Steps {
-		if s.Do == Tell {
-			r.News = append(r.News, audit.News{At: s.At, Box: s.Box, State: s.State})
+		if s.Kind == DiscoveryUpdate {
+			r.StateUpdates = append(r.StateUpdates, audit.StateUpdate{At: s.At, Server: s.Server, State: s.State})
 		}
 	}
 	for _, a := range p.Arrivals {
-		r.Asks = append(r.Asks, audit.Asks{At: a.At, Class: a.Class})
+		r.Arrivals = append(r.Arrivals, audit.Arrival{At: a.At, Class: a.Class})
 	}
 	return r
 }
 
-// Met tells whether a morning reached what was expected, and the figure that it came to.
-func (e Expect) Met(v *audit.Verdict) (got float64, met bool) {
+// Evaluate tells whether a morning reached what was expected, and the figure that it came to.
+func (e Expectation) Evaluate(v *audit.Verdict) (got float64, met bool) {
 	share := func(n int) float64 { return float64(n) / float64(max(1, v.Requests)) }
-	switch e.What {
+	switch e.Figure {
 	case "service":
 		got = v.Service
 	case "worst":
-		got = v.Worst
+		got = v.WorstService
 	case "refused":
-		got = share(v.Refused)
+		got = share(v.Rejected)
 	case "failed":
 		got = share(v.Failed)
 	default:
-		got = v.PerCall
+		got = v.AttemptsPerCall
 	}
 	return got, e.Above && got >= e.Bound || !e.Above && got <= e.Bound
 }
@@ -72,8 +72,8 @@
 	var services []map[string]any
 	for _, c := range p.Classes {
 		services = append(services, map[string]any{
-			"name": c.Name, "aim": us(c.Aim), "deadline": us(c.Deadline), "gain": c.Worth, "lateValue": 0,
-			"effect":   map[balancer.Idempotency]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}[c.Effect],
+			"name": c.Name, "aim": us(c.LatencyTarget), "deadline": us(c.Deadline), "gain": c.Value, "lateValue": 0,
+			"effect":   map[balancer.Idempotency]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}[c.Idempotency],
 			"keyScope": string(c.Scope), "window": us(c.Window), "streamed": false,
 		})
 	}
@@ -88,34 +88,34 @@
 		"goal":       map[string]any{"whole": 0.9, "worstClass": 0},
 		"familyInfo": map[string]any{"passesDeadline": true}, "clientHabits": map[string]any{"marksRetry": false},
 		"allowed": map[string]any{
-			"cancel": true, "connIdle": us(30 * time.Second), "connectTimeout": us(rules.Connect), "maxRetryAfter": us(2 * time.Second),
-			"mayProbe": true, "openCap": 20000, "peers": false, "retryAfter": true, "secondCopies": rules.Copies, "sendCap": rules.Attempts,
+			"cancel": true, "connIdle": us(30 * time.Second), "connectTimeout": us(rules.ConnectTimeout), "maxRetryAfter": us(2 * time.Second),
+			"mayProbe": true, "openCap": 20000, "peers": false, "retryAfter": true, "secondCopies": rules.Hedging, "sendCap": rules.MaxAttempts,
 		},
 		"rules": map[string]any{
-			"askEvery": 0, "cold": us(t.Warm), "coldFrom": t.Cold.Low, "fall": us(rules.TipWindow),
-			"tipMultiple": rules.TipBy, "graceToAnswer": 0,
+			"askEvery": 0, "cold": us(t.WarmUp), "coldFrom": t.ColdShare.Low, "fall": us(rules.OverloadWindow),
+			"tipMultiple": rules.OverloadFactor, "graceToAnswer": 0,
 		},
 	}
 }
 
-// Sender is a sidecar of the plan.
-type Sender struct {
+// SidecarSpec is a sidecar of the plan.
+type SidecarSpec struct {
 	Name   string
 	Tier   int // that it sends to
 	Number int // among its like
-	Of     int
-	Box    int // whose calls it takes; -1 for callers from outside
+	Count  int
+	Server int // whose calls it takes; -1 for callers from outside
 }
 
-// Senders are all sidecars: those for callers first, then one for each box that calls.
-func (p *Plan) Senders() (all []Sender) {
+// SidecarSpecs are all sidecars: those for callers first, then one for each box that calls.
+func (p *Plan) SidecarSpecs() (all []SidecarSpec) {
 	for i := range p.Sidecars.Count {
-		of := cmp.Or(p.Sidecars.Told, p.Sidecars.Count)
-		all = append(all, Sender{fmt.Sprintf("n%d", i+1), 0, i % of, of, -1})
+		of := cmp.Or(p.Sidecars.AnnouncedCount, p.Sidecars.Count)
+		all = append(all, SidecarSpec{fmt.Sprintf("n%d", i+1), 0, i % of, of, -1})
 	}
-	for i, b := range p.Boxes {
+	for i, b := range p.Servers {
 		if t := p.Tiers[b.Tier]; t.Calls != "" {
-			all = append(all, Sender{fmt.Sprintf("%s-%d", t.Name, b.Number), b.Tier + 1, (b.Number - 1) % t.Boxes, t.Boxes, i})
+			all = append(all, SidecarSpec{fmt.Sprintf("%s-%d", t.Name, b.Number), b.Tier + 1, (b.Number - 1) % t.Servers, t.Servers, i})
 		}
 	}
 	return all
@@ -123,57 +123,57 @@
 
 // Caller is one that comes from outside: it decides when it tries, and when it tries no more.
 type Caller struct {
-	arrival *Arrival
-	class   *Class
-	callers *Callers
-	random  *rand.Rand
-	end     time.Duration
-	tries   int
+	arrival  *Arrival
+	class    *Class
+	callers  *Callers
+	random   *rand.Rand
+	end      time.Duration
+	attempts int
 }
 
 // Caller is the n-th arrival, who began at a time.
 func (p *Plan) Caller(n int, began time.Duration) *Caller {
 	a := &p.Arrivals[n]
 	c := p.Classes[a.Class]
-	return &Caller{arrival: a, class: c, callers: &p.Callers, random: rand.New(emulator.Source(p.Seed, fmt.Sprint("caller ", n))), end: began + c.Deadline}
+	return &Caller{arrival: a, class: c, callers: &p.Callers, random: rand.New(emulator.RandomSource(p.Seed, fmt.Sprint("caller ", n))), end: began + c.Deadline}
 }
 
-// AtFirst tells whether an arrival comes to the first sidecar, while that is there.
-func (p *Plan) AtFirst(n int) bool {
-	share := p.Callers.AtFirst
-	return share > 0 && rand.New(emulator.Source(p.Seed, fmt.Sprint("at first ", n))).Float64() < share
+// PrefersFirstSidecar tells whether an arrival comes to the first sidecar, while that is there.
+func (p *Plan) PrefersFirstSidecar(n int) bool {
+	share := p.Callers.FirstSidecarShare
+	return share > 0 && rand.New(emulator.RandomSource(p.Seed, fmt.Sprint("at first ", n))).Float64() < share
 }
 
-// Try begins the next try: its number from 1, and how long the caller waits; false if its time is up.
-func (c *Caller) Try(now time.Duration) (try int, left time.Duration, ok bool) {
-	c.tries++
+// NextAttempt begins the next try: its number from 1, and how long the caller waits; false if its time is up.
+func (c *Caller) NextAttempt(now time.Duration) (try int, left time.Duration, ok bool) {
+	c.attempts++
 	left = min(time.Duration(c.arrival.Patience*float64(c.class.Deadline)), c.end-now)
-	return c.tries, left, left > 0
+	return c.attempts, left, left > 0
 }
 
-// Refused tells whether a status promises that trying again is harmless.
-func Refused(status int) bool {
+// IsRejected tells whether a status promises that trying again is harmless.
+func IsRejected(status int) bool {
 	return status == 503 || status == 429
 }
 
-// Again is how long the caller waits before it tries again, after a status (0 for none) and what Retry-After said; false
+// RetryAfter is how long the caller waits before it tries again, after a status (0 for none) and what Retry-After said; false
 // if it does not.
-func (c *Caller) Again(now time.Duration, status int, after time.Duration) (wait time.Duration, ok bool) {
-	if status == 200 || c.tries > c.callers.Retries {
+func (c *Caller) RetryAfter(now time.Duration, status int, after time.Duration) (wait time.Duration, ok bool) {
+	if status == 200 || c.attempts > c.callers.Retries {
 		return 0, false
 	}
-	if c.class.Effect == balancer.NonIdempotent && !Refused(status) {
+	if c.class.Idempotency == balancer.NonIdempotent && !IsRejected(status) {
 		return 0, false // it may have run
 	}
-	wait = time.Duration((0.5 + c.random.Float64()) * float64(c.callers.Backoff) * float64(int(1)<<(c.tries-1)))
-	if Refused(status) && c.arrival.Honours {
+	wait = time.Duration((0.5 + c.random.Float64()) * float64(c.callers.Backoff) * float64(int(1)<<(c.attempts-1)))
+	if IsRejected(status) && c.arrival.HonoursRetryAfter {
 		wait = max(wait, after)
 	}
 	return wait, now+wait < c.end
 }
 
-// Key is the Idempotency-Key of the n-th arrival, the same at each try.
-func Key(n int) string { return fmt.Sprint("k", n) }
+// IdempotencyKey is the Idempotency-Key of the n-th arrival, the same at each try.
+func IdempotencyKey(n int) string { return fmt.Sprint("k", n) }
 
-// Request is the id of a try.
-func Request(n, try int) string { return fmt.Sprintf("r%dt%d", n, try) }
+// RequestID is the id of a try.
+func RequestID(n, try int) string { return fmt.Sprintf("r%dt%d", n, try) }
