--- a/internal/rehearsal/morning/settings.go
+++ b/internal/rehearsal/morning/settings.go
@@ -13,16 +13,16 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// key is one setting: what may stand behind its name, and where it goes.
-type key[T any] struct {
-	what string // what is expected, for messages
-	set  func(at *T, v *value) bool
+// settingKey is one setting: what may stand behind its name, and where it goes.
+type settingKey[T any] struct {
+	expected string // what is expected, for messages
+	set      func(at *T, v *value) bool
 }
 
-func count[T any](field func(*T) *int, least, most int) key[T] {
-	return key[T]{fmt.Sprintf("a whole number from %d to %d", least, most), func(at *T, v *value) bool {
+func integerKey[T any](field func(*T) *int, least, most int) settingKey[T] {
+	return settingKey[T]{fmt.Sprintf("a whole number from %d to %d", least, most), func(at *T, v *value) bool {
 		n := v.Low.Number
-		if v.High != nil || n == nil || !whole(*n) || int(*n) < least || int(*n) > most {
+		if v.High != nil || n == nil || !isInteger(*n) || int(*n) < least || int(*n) > most {
 			return false
 		}
 		*field(at) = int(*n)
@@ -30,8 +30,8 @@
 	}}
 }
 
-func duration[T any](field func(*T) *time.Duration, least, most time.Duration) key[T] {
-	return key[T]{fmt.Sprintf("a time from %v to %v, like 250ms or 9s", least, most), func(at *T, v *value) bool {
+func durationKey[T any](field func(*T) *time.Duration, least, most time.Duration) settingKey[T] {
+	return settingKey[T]{fmt.Sprintf("a time from %v to %v, like 250ms or 9s", least, most), func(at *T, v *value) bool {
 		d := v.Low.Duration
 		if v.High != nil || d == nil || time.Duration(*d) < least || time.Duration(*d) > most {
 			return false
@@ -41,8 +41,8 @@
 	}}
 }
 
-// plain is a number or a percentage.
-func (s *scalar) plain() (float64, bool) {
+// number is a number or a percentage.
+func (s *scalar) number() (float64, bool) {
 	switch {
 	case s.Number != nil:
 		return *s.Number, true
@@ -52,9 +52,9 @@
 	return 0, false
 }
 
-func figure[T any](field func(*T) *float64, least, most float64) key[T] {
-	return key[T]{fmt.Sprintf("a number from %v to %v", least, most), func(at *T, v *value) bool {
-		f, ok := v.Low.plain()
+func numberKey[T any](field func(*T) *float64, least, most float64) settingKey[T] {
+	return settingKey[T]{fmt.Sprintf("a number from %v to %v", least, most), func(at *T, v *value) bool {
+		f, ok := v.Low.number()
 		if v.High != nil || !ok || f < least || f > most {
 			return false
 		}
@@ -63,12 +63,12 @@
 	}}
 }
 
-func span2[T any](field func(*T) *Range, least, most float64) key[T] {
-	return key[T]{fmt.Sprintf("a number or a range like 0.6..1.5, from %v to %v", least, most), func(at *T, v *value) bool {
-		low, ok := v.Low.plain()
+func rangeKey[T any](field func(*T) *Range, least, most float64) settingKey[T] {
+	return settingKey[T]{fmt.Sprintf("a number or a range like 0.6..1.5, from %v to %v", least, most), func(at *T, v *value) bool {
+		low, ok := v.Low.number()
 		high := low
 		if ok && v.High != nil {
-			high, ok = v.High.plain()
+			high, ok = v.High.number()
 		}
 		if !ok || low < least || high > most || low > high {
 			return false
@@ -78,8 +78,8 @@
 	}}
 }
 
-func word[T any](set func(*T, string), known ...string) key[T] {
-	return key[T]{"one of " + strings.Join(known, ", "), func(at *T, v *value) bool {
+func wordKey[T any](set func(*T, string), known ...string) settingKey[T] {
+	return settingKey[T]{"one of " + strings.Join(known, ", "), func(at *T, v *value) bool {
 		if v.High != nil || v.Low.Word == nil || len(known) > 0 && !slices.Contains(known, *v.Low.Word) {
 			return false
 		}
@@ -88,56 +88,56 @@
 	}}
 }
 
-func yes[T any](field func(*T) *bool) key[T] {
-	return word(func(at *T, w string) { *field(at) = w == "yes" }, "yes", "no")
+func boolKey[T any](field func(*T) *bool) settingKey[T] {
+	return wordKey(func(at *T, w string) { *field(at) = w == "yes" }, "yes", "no")
 }
 
-var tierKeys = map[string]key[Tier]{
-	"boxes":      count(func(t *Tier) *int { return &t.Boxes }, 1, MostBoxes),
-	"cells":      count(func(t *Tier) *int { return &t.CellSize }, 1, MostBoxes),
-	"cores":      count(func(t *Tier) *int { return &t.Cores }, 1, 256),
-	"speed":      span2(func(t *Tier) *Range { return &t.Speed }, 0.01, 100),
-	"slots":      count(func(t *Tier) *int { return &t.Slots }, 1, 100_000),
-	"queue":      count(func(t *Tier) *int { return &t.Queue }, 0, 100_000),
-	"work":       duration(func(t *Tier) *time.Duration { return &t.Work.Mean }, 10*time.Microsecond, time.Minute),
-	"shape":      word(func(t *Tier, w string) { t.Work.Shape = emulator.Shape(w) }, emulator.Shapes()...),
-	"cv":         figure(func(t *Tier) *float64 { return &t.Work.CV }, 0.01, 10),
-	"noise":      figure(func(t *Tier) *float64 { return &t.Noise }, 0, 10),
-	"cold":       span2(func(t *Tier) *Range { return &t.Cold }, 0.01, 1),
-	"warm":       duration(func(t *Tier) *time.Duration { return &t.Warm }, 0, 10*time.Minute),
-	"thrash":     figure(func(t *Tier) *float64 { return &t.Thrash }, 0, 1),
-	"thrash_at":  count(func(t *Tier) *int { return &t.ThrashAt }, 1, 100_000),
-	"choke_held": count(func(t *Tier) *int { return &t.ChokeHeld }, 0, 100_000),
-	"choke_over": duration(func(t *Tier) *time.Duration { return &t.ChokeOver }, time.Millisecond, time.Minute),
-	"choke_by":   figure(func(t *Tier) *float64 { return &t.ChokeBy }, 1, 100),
-	"calls":      {"the name of a tier", func(t *Tier, v *value) bool { return v.name(&t.Calls) }},
-	"times":      count(func(t *Tier) *int { return &t.Times }, 1, 20),
-	"before":     figure(func(t *Tier) *float64 { return &t.Before }, 0, 1),
-	"cancel":     word(func(t *Tier, w string) { t.Cancel = w == "all" }, "queued", "all"),
-	"expired":    word(func(t *Tier, w string) { t.Expired = w == "dropped" }, "dropped", "served"),
-	"protocol":   word(func(t *Tier, w string) { t.HTTP3 = w == "http3" }, "http1", "http3"),
-	"conns":      count(func(t *Tier) *int { return &t.Conns }, 0, 100_000),
-	"handshake":  duration(func(t *Tier) *time.Duration { return &t.Handshake }, 0, time.Second),
-	"fallen_for": duration(func(t *Tier) *time.Duration { return &t.FallenFor }, 0, time.Minute),
-	"report":     duration(func(t *Tier) *time.Duration { return &t.Report }, 0, 10*time.Second),
+var tierKeys = map[string]settingKey[Tier]{
+	"boxes":      integerKey(func(t *Tier) *int { return &t.Servers }, 1, MaxServers),
+	"cells":      integerKey(func(t *Tier) *int { return &t.CellSize }, 1, MaxServers),
+	"cores":      integerKey(func(t *Tier) *int { return &t.Cores }, 1, 256),
+	"speed":      rangeKey(func(t *Tier) *Range { return &t.Speed }, 0.01, 100),
+	"slots":      integerKey(func(t *Tier) *int { return &t.Slots }, 1, 100_000),
+	"queue":      integerKey(func(t *Tier) *int { return &t.Queue }, 0, 100_000),
+	"work":       durationKey(func(t *Tier) *time.Duration { return &t.Work.Mean }, 10*time.Microsecond, time.Minute),
+	"shape":      wordKey(func(t *Tier, w string) { t.Work.Shape = emulator.DistributionFamily(w) }, emulator.Families()...),
+	"cv":         numberKey(func(t *Tier) *float64 { return &t.Work.CV }, 0.01, 10),
+	"noise":      numberKey(func(t *Tier) *float64 { return &t.Noise }, 0, 10),
+	"cold":       rangeKey(func(t *Tier) *Range { return &t.ColdShare }, 0.01, 1),
+	"warm":       durationKey(func(t *Tier) *time.Duration { return &t.WarmUp }, 0, 10*time.Minute),
+	"thrash":     numberKey(func(t *Tier) *float64 { return &t.Thrash }, 0, 1),
+	"thrash_at":  integerKey(func(t *Tier) *int { return &t.ThrashAt }, 1, 100_000),
+	"choke_held": integerKey(func(t *Tier) *int { return &t.CongestionJobs }, 0, 100_000),
+	"choke_over": durationKey(func(t *Tier) *time.Duration { return &t.CongestionAfter }, time.Millisecond, time.Minute),
+	"choke_by":   numberKey(func(t *Tier) *float64 { return &t.CongestionSlowdown }, 1, 100),
+	"calls":      {"the name of a tier", func(t *Tier, v *value) bool { return v.readName(&t.Calls) }},
+	"times":      integerKey(func(t *Tier) *int { return &t.CallsPerRequest }, 1, 20),
+	"before":     numberKey(func(t *Tier) *float64 { return &t.WorkBeforeCalls }, 0, 1),
+	"cancel":     wordKey(func(t *Tier, w string) { t.CancelStopsWork = w == "all" }, "queued", "all"),
+	"expired":    wordKey(func(t *Tier, w string) { t.DropsExpired = w == "dropped" }, "dropped", "served"),
+	"protocol":   wordKey(func(t *Tier, w string) { t.HTTP3 = w == "http3" }, "http1", "http3"),
+	"conns":      integerKey(func(t *Tier) *int { return &t.MaxConnections }, 0, 100_000),
+	"handshake":  durationKey(func(t *Tier) *time.Duration { return &t.HandshakeWork }, 0, time.Second),
+	"fallen_for": durationKey(func(t *Tier) *time.Duration { return &t.RestartAfterCollapse }, 0, time.Minute),
+	"report":     durationKey(func(t *Tier) *time.Duration { return &t.ReportInterval }, 0, 10*time.Second),
 }
 
-var classKeys = map[string]key[Class]{
-	"effect":   word(func(c *Class, w string) { c.Effect = balancer.Idempotency(w) }, "safe", "keyed", "unsafe"),
-	"scope":    word(func(c *Class, w string) { c.Scope = balancer.KeyScope(w) }, "cell", "zone", "all"),
-	"window":   duration(func(c *Class) *time.Duration { return &c.Window }, time.Millisecond, time.Hour),
-	"aim":      duration(func(c *Class) *time.Duration { return &c.Aim }, time.Millisecond, time.Minute),
-	"deadline": duration(func(c *Class) *time.Duration { return &c.Deadline }, 10*time.Millisecond, time.Minute),
-	"worth":    figure(func(c *Class) *float64 { return &c.Worth }, 0, 1000),
-	"share":    figure(func(c *Class) *float64 { return &c.Share }, 0.0001, 1000),
+var classKeys = map[string]settingKey[Class]{
+	"effect":   wordKey(func(c *Class, w string) { c.Idempotency = balancer.Idempotency(w) }, "safe", "keyed", "unsafe"),
+	"scope":    wordKey(func(c *Class, w string) { c.Scope = balancer.KeyScope(w) }, "cell", "zone", "all"),
+	"window":   durationKey(func(c *Class) *time.Duration { return &c.Window }, time.Millisecond, time.Hour),
+	"aim":      durationKey(func(c *Class) *time.Duration { return &c.LatencyTarget }, time.Millisecond, time.Minute),
+	"deadline": durationKey(func(c *Class) *time.Duration { return &c.Deadline }, 10*time.Millisecond, time.Minute),
+	"worth":    numberKey(func(c *Class) *float64 { return &c.Value }, 0, 1000),
+	"share":    numberKey(func(c *Class) *float64 { return &c.Share }, 0.0001, 1000),
 }
 
-var sidecarKeys = map[string]key[Morning]{
-	"count":   count(func(m *Morning) *int { return &m.Sidecars.Count }, 1, MostSidecars),
-	"told":    count(func(m *Morning) *int { return &m.Sidecars.Told }, 0, 10*MostSidecars),
-	"peers":   yes(func(m *Morning) *bool { return &m.Sidecars.Peers }),
-	"sockets": count(func(m *Morning) *int { return &m.Sidecars.Sockets }, 64, 65536),
-	"memory": {"a size like 192MiB", func(m *Morning, v *value) bool {
+var sidecarKeys = map[string]settingKey[Scenario]{
+	"count":   integerKey(func(m *Scenario) *int { return &m.Sidecars.Count }, 1, MaxSidecars),
+	"told":    integerKey(func(m *Scenario) *int { return &m.Sidecars.AnnouncedCount }, 0, 10*MaxSidecars),
+	"peers":   boolKey(func(m *Scenario) *bool { return &m.Sidecars.Peers }),
+	"sockets": integerKey(func(m *Scenario) *int { return &m.Sidecars.Sockets }, 64, 65536),
+	"memory": {"a size like 192MiB", func(m *Scenario, v *value) bool {
 		if v.High != nil || v.Low.Size == nil {
 			return false
 		}
@@ -147,8 +147,8 @@
 	}},
 }
 
-var callerKeys = map[string]key[Morning]{
-	"rate": {"a rate like 150/s, above 0", func(m *Morning, v *value) bool {
+var callerKeys = map[string]settingKey[Scenario]{
+	"rate": {"a rate like 150/s, above 0", func(m *Scenario, v *value) bool {
 		if v.High != nil || v.Low.Rate == nil {
 			return false
 		}
@@ -156,42 +156,42 @@
 		m.Callers.Rate = f
 		return err == nil && f > 0 && f <= 20_000
 	}},
-	"shape":    word(func(m *Morning, w string) { m.Callers.Shape = w }, "steady", "bursty", "wave"),
-	"swing":    figure(func(m *Morning) *float64 { return &m.Callers.Swing }, 0, 1),
-	"retries":  count(func(m *Morning) *int { return &m.Callers.Retries }, 0, 10),
-	"patience": span2(func(m *Morning) *Range { return &m.Callers.Patience }, 0.01, 1),
-	"backoff":  duration(func(m *Morning) *time.Duration { return &m.Callers.Backoff }, 0, time.Minute),
-	"at_first": figure(func(m *Morning) *float64 { return &m.Callers.AtFirst }, 0, 1),
-	"honour":   figure(func(m *Morning) *float64 { return &m.Callers.Honour }, 0, 1),
+	"shape":    wordKey(func(m *Scenario, w string) { m.Callers.Shape = w }, "steady", "bursty", "wave"),
+	"swing":    numberKey(func(m *Scenario) *float64 { return &m.Callers.Swing }, 0, 1),
+	"retries":  integerKey(func(m *Scenario) *int { return &m.Callers.Retries }, 0, 10),
+	"patience": rangeKey(func(m *Scenario) *Range { return &m.Callers.Patience }, 0.01, 1),
+	"backoff":  durationKey(func(m *Scenario) *time.Duration { return &m.Callers.Backoff }, 0, time.Minute),
+	"at_first": numberKey(func(m *Scenario) *float64 { return &m.Callers.FirstSidecarShare }, 0, 1),
+	"honour":   numberKey(func(m *Scenario) *float64 { return &m.Callers.HonoursRetryAfter }, 0, 1),
 }
 
-var discoveryKeys = map[string]key[Morning]{
-	"by":            word(func(m *Morning, w string) { m.Discovery.Consul = w == "consul" }, "platform", "consul"),
-	"notice":        duration(func(m *Morning) *time.Duration { return &m.Discovery.Notice }, 0, time.Minute),
-	"silent_notice": duration(func(m *Morning) *time.Duration { return &m.Discovery.SilentNotice }, 0, time.Minute),
-	"late":          duration(func(m *Morning) *time.Duration { return &m.Discovery.Late }, 0, 5*time.Second),
-	"late_share":    figure(func(m *Morning) *float64 { return &m.Discovery.LateShare }, 0, 1),
-	"boot":          word(func(m *Morning, w string) { m.Discovery.Boot = Boot(w) }, string(BootTrue), string(BootNone), string(BootAhead)),
-	"add":           duration(func(m *Morning) *time.Duration { return &m.Discovery.Add }, 0, time.Minute),
+var discoveryKeys = map[string]settingKey[Scenario]{
+	"by":            wordKey(func(m *Scenario, w string) { m.Discovery.Consul = w == "consul" }, "platform", "consul"),
+	"notice":        durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.NoticeDelay }, 0, time.Minute),
+	"silent_notice": durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.SilentNoticeDelay }, 0, time.Minute),
+	"late":          durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.LateDelay }, 0, 5*time.Second),
+	"late_share":    numberKey(func(m *Scenario) *float64 { return &m.Discovery.LateShare }, 0, 1),
+	"boot":          wordKey(func(m *Scenario, w string) { m.Discovery.BootTime = BootTime(w) }, string(BootTimeTrue), string(BootTimeNone), string(BootTimeAhead)),
+	"add":           durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.AddDelay }, 0, time.Minute),
 }
 
-var ruleKeys = map[string]key[Morning]{
-	"drain":      duration(func(m *Morning) *time.Duration { return &m.Rules.Drain }, 0, time.Minute),
-	"tip_by":     figure(func(m *Morning) *float64 { return &m.Rules.TipBy }, 0, 1000),
-	"tip_window": duration(func(m *Morning) *time.Duration { return &m.Rules.TipWindow }, time.Millisecond, time.Minute),
-	"attempts":   count(func(m *Morning) *int { return &m.Rules.Attempts }, 1, 100),
-	"copies":     yes(func(m *Morning) *bool { return &m.Rules.Copies }),
-	"connect":    duration(func(m *Morning) *time.Duration { return &m.Rules.Connect }, time.Millisecond, time.Minute),
-	"slack":      duration(func(m *Morning) *time.Duration { return &m.Rules.Slack }, 0, time.Second),
-	"kill":       duration(func(m *Morning) *time.Duration { return &m.Rules.Kill }, 0, time.Minute),
+var ruleKeys = map[string]settingKey[Scenario]{
+	"drain":      durationKey(func(m *Scenario) *time.Duration { return &m.Rules.Drain }, 0, time.Minute),
+	"tip_by":     numberKey(func(m *Scenario) *float64 { return &m.Rules.OverloadFactor }, 0, 1000),
+	"tip_window": durationKey(func(m *Scenario) *time.Duration { return &m.Rules.OverloadWindow }, time.Millisecond, time.Minute),
+	"attempts":   integerKey(func(m *Scenario) *int { return &m.Rules.MaxAttempts }, 1, 100),
+	"copies":     boolKey(func(m *Scenario) *bool { return &m.Rules.Hedging }),
+	"connect":    durationKey(func(m *Scenario) *time.Duration { return &m.Rules.ConnectTimeout }, time.Millisecond, time.Minute),
+	"slack":      durationKey(func(m *Scenario) *time.Duration { return &m.Rules.Slack }, 0, time.Second),
+	"kill":       durationKey(func(m *Scenario) *time.Duration { return &m.Rules.KillDelay }, 0, time.Minute),
 }
 
-var topKeys = map[string]key[Morning]{
-	"title":  {"a text in quotation marks", func(m *Morning, v *value) bool { return v.High == nil && v.Low.text(&m.Title) }},
-	"length": duration(func(m *Morning) *time.Duration { return &m.Length }, time.Second, MostLength),
-	"seed": {"a whole number", func(m *Morning, v *value) bool {
+var topKeys = map[string]settingKey[Scenario]{
+	"title":  {"a text in quotation marks", func(m *Scenario, v *value) bool { return v.High == nil && v.Low.readText(&m.Title) }},
+	"length": durationKey(func(m *Scenario) *time.Duration { return &m.Length }, time.Second, MaxLength),
+	"seed": {"a whole number", func(m *Scenario, v *value) bool {
 		n := v.Low.Number
-		if v.High != nil || n == nil || !whole(*n) {
+		if v.High != nil || n == nil || !isInteger(*n) {
 			return false
 		}
 		m.Seed = uint64(*n)
@@ -199,7 +199,7 @@
 	}},
 }
 
-func (s *scalar) text(to *string) bool {
+func (s *scalar) readText(to *string) bool {
 	if s.Text == nil {
 		return false
 	}
@@ -207,7 +207,7 @@
 	return true
 }
 
-func (v *value) name(to *string) bool {
+func (v *value) readName(to *string) bool {
 	if v.High != nil || v.Low.Word == nil {
 		return false
 	}
@@ -215,122 +215,122 @@
 	return true
 }
 
-// sections are the words that a setting may begin with.
-var sections = []string{"title", "length", "seed", "tier", "class", "sidecars", "callers", "discovery", "rules", "expect", "at"}
+// sectionNames are the words that a setting may begin with.
+var sectionNames = []string{"title", "length", "seed", "tier", "class", "sidecars", "callers", "discovery", "rules", "expect", "at"}
 
-// set takes one line of settings.
-func (m *Morning) set(s *setting, add finding.Reporter) {
-	at := pos(s.Pos)
+// applySetting takes one line of settings.
+func (m *Scenario) applySetting(s *setting, add finding.Reporter) {
+	at := positionOf(s.Pos)
 	switch s.Section {
 	case "title", "length", "seed":
 		if len(s.Values) != 1 {
-			add(at, "%s takes %s", s.Section, topKeys[s.Section].what)
+			add(at, "%s takes %s", s.Section, topKeys[s.Section].expected)
 			return
 		}
-		one(m, m, "", s.Section, topKeys[s.Section], s.Values[0], add)
+		applyOne(m, m, "", s.Section, topKeys[s.Section], s.Values[0], add)
 	case "tier":
-		if name, rest, ok := named(s, add); ok {
+		if name, rest, ok := splitName(s, add); ok {
 			t := m.Tier(name)
 			if t == nil {
 				t = newTier(name)
 				m.Tiers = append(m.Tiers, t)
-				m.places["tier "+name] = at
+				m.positions["tier "+name] = at
 			}
-			pairs(m, t, "tier "+name+" ", tierKeys, rest, add)
+			applyPairs(m, t, "tier "+name+" ", tierKeys, rest, add)
 		}
 	case "class":
-		if name, rest, ok := named(s, add); ok {
+		if name, rest, ok := splitName(s, add); ok {
 			i := slices.IndexFunc(m.Classes, func(c *Class) bool { return c.Name == name })
 			if i < 0 {
 				i = len(m.Classes)
 				m.Classes = append(m.Classes, &Class{
-					Name: name, Effect: balancer.Idempotent, Scope: balancer.KeyScopeCell,
-					Window: 10 * time.Second, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Share: 1,
+					Name: name, Idempotency: balancer.Idempotent, Scope: balancer.KeyScopeCell,
+					Window: 10 * time.Second, LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1, Share: 1,
 				})
-				m.places["class "+name] = at
+				m.positions["class "+name] = at
 			}
-			pairs(m, m.Classes[i], "class "+name+" ", classKeys, rest, add)
+			applyPairs(m, m.Classes[i], "class "+name+" ", classKeys, rest, add)
 		}
 	case "sidecars":
-		m.places["sidecars"] = at
-		pairs(m, m, "sidecars ", sidecarKeys, s.Values, add)
+		m.positions["sidecars"] = at
+		applyPairs(m, m, "sidecars ", sidecarKeys, s.Values, add)
 	case "callers":
-		pairs(m, m, "callers ", callerKeys, s.Values, add)
+		applyPairs(m, m, "callers ", callerKeys, s.Values, add)
 	case "discovery":
-		pairs(m, m, "discovery ", discoveryKeys, s.Values, add)
+		applyPairs(m, m, "discovery ", discoveryKeys, s.Values, add)
 	case "rules":
-		pairs(m, m, "rules ", ruleKeys, s.Values, add)
+		applyPairs(m, m, "rules ", ruleKeys, s.Values, add)
 	case "expect":
-		m.expect(s, add)
+		m.addExpectation(s, add)
 	default:
-		add(at, "%s", finding.UnknownName("section", s.Section, sections))
+		add(at, "%s", finding.UnknownName("section", s.Section, sectionNames))
 	}
 }
 
-// named splits the name off a line like "tier booking-front boxes 8".
-func named(s *setting, add finding.Reporter) (name string, rest []*value, ok bool) {
-	if len(s.Values) == 0 || !s.Values[0].name(&name) {
-		add(pos(s.Pos), "%s needs a name behind it", s.Section)
+// splitName splits the name off a line like "tier booking-front boxes 8".
+func splitName(s *setting, add finding.Reporter) (name string, rest []*value, ok bool) {
+	if len(s.Values) == 0 || !s.Values[0].readName(&name) {
+		add(positionOf(s.Pos), "%s needs a name behind it", s.Section)
 		return "", nil, false
 	}
 	if _, key := tierKeys[name]; key && s.Section == "tier" {
-		add(pos(s.Values[0].Pos), "%q is a key: the name of the tier comes first", name)
+		add(positionOf(s.Values[0].Pos), "%q is a key: the name of the tier comes first", name)
 		return "", nil, false
 	}
 	return name, s.Values[1:], true
 }
 
-// pairs takes keys with their values.
-func pairs[T any](m *Morning, to *T, path string, keys map[string]key[T], values []*value, add finding.Reporter) {
+// applyPairs takes keys with their values.
+func applyPairs[T any](m *Scenario, to *T, path string, keys map[string]settingKey[T], values []*value, add finding.Reporter) {
 	for i := 0; i < len(values); i += 2 {
 		var name string
-		if !values[i].name(&name) {
-			add(pos(values[i].Pos), "the name of a key is expected here")
+		if !values[i].readName(&name) {
+			add(positionOf(values[i].Pos), "the name of a key is expected here")
 			return
 		}
 		k, ok := keys[name]
 		switch {
 		case !ok:
-			add(pos(values[i].Pos), "%s", finding.UnknownName("key", name, slices.Sorted(maps.Keys(keys))))
+			add(positionOf(values[i].Pos), "%s", finding.UnknownName("key", name, slices.Sorted(maps.Keys(keys))))
 		case i+1 == len(values):
-			add(pos(values[i].Pos), "%s takes %s", name, k.what)
+			add(positionOf(values[i].Pos), "%s takes %s", name, k.expected)
 		default:
-			one(m, to, path, name, k, values[i+1], add)
+			applyOne(m, to, path, name, k, values[i+1], add)
 		}
 	}
 }
 
-func one[T any](m *Morning, to *T, path, name string, k key[T], v *value, add finding.Reporter) {
-	at := pos(v.Pos)
-	if old, ok := m.places[path+name]; ok {
+func applyOne[T any](m *Scenario, to *T, path, name string, k settingKey[T], v *value, add finding.Reporter) {
+	at := positionOf(v.Pos)
+	if old, ok := m.positions[path+name]; ok {
 		add(at, "%s%s is set twice, first in line %d", path, name, old.Line)
 		return
 	}
-	m.places[path+name] = at
+	m.positions[path+name] = at
 	if !k.set(to, v) {
-		add(at, "%s takes %s", name, k.what)
+		add(at, "%s takes %s", name, k.expected)
 	}
 }
 
-// bounds are what can be expected of a morning.
-var bounds = []string{"service", "worst", "refused", "failed", "attempts"}
+// figureNames are what can be expected of a morning.
+var figureNames = []string{"service", "worst", "refused", "failed", "attempts"}
 
-// expect takes a line like "expect service above 0.95".
-func (m *Morning) expect(s *setting, add finding.Reporter) {
+// addExpectation takes a line like "expect service above 0.95".
+func (m *Scenario) addExpectation(s *setting, add finding.Reporter) {
 	var what, side string
-	if len(s.Values) != 3 || !s.Values[0].name(&what) || !s.Values[1].name(&side) || s.Values[2].High != nil {
-		add(pos(s.Pos), "an expectation is like 'expect service above 0.95'")
+	if len(s.Values) != 3 || !s.Values[0].readName(&what) || !s.Values[1].readName(&side) || s.Values[2].High != nil {
+		add(positionOf(s.Pos), "an expectation is like 'expect service above 0.95'")
 		return
 	}
-	bound, ok := s.Values[2].Low.plain()
+	bound, ok := s.Values[2].Low.number()
 	switch {
-	case !slices.Contains(bounds, what):
-		add(pos(s.Values[0].Pos), "%s", finding.UnknownName("figure", what, bounds))
+	case !slices.Contains(figureNames, what):
+		add(positionOf(s.Values[0].Pos), "%s", finding.UnknownName("figure", what, figureNames))
 	case side != "above" && side != "below":
-		add(pos(s.Values[1].Pos), "%q: above or below", side)
+		add(positionOf(s.Values[1].Pos), "%q: above or below", side)
 	case !ok:
-		add(pos(s.Values[2].Pos), "a number is expected here")
+		add(positionOf(s.Values[2].Pos), "a number is expected here")
 	default:
-		m.Expect = append(m.Expect, Expect{pos(s.Pos), what, side == "above", bound})
+		m.Expectations = append(m.Expectations, Expectation{positionOf(s.Pos), what, side == "above", bound})
 	}
 }
--- a/internal/rehearsal/rehearse/box.go
+++ b/internal/rehearsal/rehearse/box.go
@@ -21,80 +21,80 @@
 	"quincegap/internal/standin/h3"
 )
 
-// box is one server on a socket, on top of its model.
-type box struct {
-	w     *world
+// server is one server on a socket, on top of its model.
+type server struct {
+	world *rehearsal
 	index int
-	plan  *morning.Box
-
-	mu        sync.Mutex
-	model     *emulator.Box // nil while it is down
-	listener  *net.TCPListener
-	conns     map[*conn]bool
-	calls     map[uint64]*call // in the model
-	timer     *time.Timer
-	life      int           // counts its starts: what belongs to an earlier one is void
-	silent    bool          // its machine is away
-	accepting chan struct{} // closed when nothing is accepted any more
-	wake      chan struct{} // closed when a silence ends
-	stuffing  []net.Conn    // connections that fill the backlog of a silent machine
-	faults    map[string]float64
-	random    *rand.Rand
-
-	http3   *h3.Endpoint      // nil where its tier speaks HTTP/1.1 alone
-	streams map[*stream]*call // that are open on it
-	dying   chan struct{}     // closed when an earlier life has let go of its UDP socket
-	muted   atomic.Bool       // nothing comes to its UDP socket, and nothing leaves it
-}
-
-// conn is a connection from a sidecar.
-type conn struct {
+	spec  *morning.Server
+
+	mu          sync.Mutex
+	model       *emulator.Server // nil while it is down
+	listener    *net.TCPListener
+	connections map[*connection]bool
+	calls       map[uint64]*attempt // in the model
+	timer       *time.Timer
+	incarnation int           // counts its starts: what belongs to an earlier one is void
+	silent      bool          // its machine is away
+	accepting   chan struct{} // closed when nothing is accepted any more
+	wake        chan struct{} // closed when a silence ends
+	backlogFill []net.Conn    // connections that fill the backlog of a silent machine
+	faults      map[string]float64
+	random      *rand.Rand
+
+	http3         *h3.Endpoint         // nil where its tier speaks HTTP/1.1 alone
+	streams       map[*stream]*attempt // that are open on it
+	previousEnded chan struct{}        // closed when an earlier life has let go of its UDP socket
+	muted         atomic.Bool          // nothing comes to its UDP socket, and nothing leaves it
+}
+
+// connection is a connection from a sidecar.
+type connection struct {
 	net.Conn
-	box  *box
-	life int
-	call *call // that is out on it; box.mu guards it
+	server      *server
+	incarnation int
+	attempt     *attempt // that is out on it; box.mu guards it
 }
 
-// wire is what an attempt came on: a connection of HTTP/1.1, or a stream of HTTP/3. Its methods are called with
+// responder is what an attempt came on: a connection of HTTP/1.1, or a stream of HTTP/3. Its methods are called with
 // box.mu held, and do not wait.
-type wire interface {
+type responder interface {
 	answer(status int, turnedAway bool, load, body string)
-	spoil()     // an answer that cannot be used
-	reset()     // an end without an answer
-	over(*call) // the call on it has ended
-}
-
-// call is an attempt that a box works on.
-type call struct {
-	id      uint64 // of the attempt, and in the model
-	wire    wire
-	life    int // of the box, when its connection began
-	request string
-	key     string
-	class   int
-	origin  int
-	expires time.Duration
-	after   time.Duration // work that comes after its calls
-	second  bool          // it does the work after its calls
-	work    time.Duration // that it has had done
-	mute    bool          // it gets no answer: its machine is away, or loses it
-	over    chan struct{} // closed when it ended
-}
-
-func newBox(w *world, index int) *box {
-	b := &box{
-		w: w, index: index, plan: &w.plan.Boxes[index], conns: map[*conn]bool{}, streams: map[*stream]*call{}, calls: map[uint64]*call{}, faults: map[string]float64{},
-		random: rand.New(emulator.Source(w.plan.Seed, fmt.Sprint("faults ", index))),
-	}
-	b.timer = time.AfterFunc(time.Hour, b.due)
+	garble()          // an answer that cannot be used
+	reset()           // an end without an answer
+	release(*attempt) // the call on it has ended
+}
+
+// callThrough is an attempt that a box works on.
+type attempt struct {
+	id             uint64 // of the attempt, and in the model
+	responder      responder
+	incarnation    int // of the box, when its connection began
+	request        string
+	key            string
+	class          int
+	origin         int
+	expires        time.Duration
+	workAfterCalls time.Duration // work that comes after its calls
+	afterCalls     bool          // it does the work after its calls
+	work           time.Duration // that it has had done
+	muted          bool          // it gets no answer: its machine is away, or loses it
+	ended          chan struct{} // closed when it ended
+}
+
+func newServer(w *rehearsal, index int) *server {
+	b := &server{
+		world: w, index: index, spec: &w.plan.Servers[index], connections: map[*connection]bool{}, streams: map[*stream]*attempt{}, calls: map[uint64]*attempt{}, faults: map[string]float64{},
+		random: rand.New(emulator.RandomSource(w.plan.Seed, fmt.Sprint("faults ", index))),
+	}
+	b.timer = time.AfterFunc(time.Hour, b.handleTimer)
 	b.timer.Stop()
 	return b
 }
 
 // start brings the box up.
-func (b *box) start(cold bool) error {
-	b.gone(b.w.ctx)
-	address, err := net.ResolveTCPAddr("tcp", b.w.boxAddress(b.plan.Slot))
+func (b *server) start(cold bool) error {
+	b.awaitPreviousEnd(b.world.ctx)
+	address, err := net.ResolveTCPAddr("tcp", b.world.serverAddress(b.spec.Slot))
 	if err != nil {
 		return err
 	}
@@ -103,13 +103,13 @@
 		return err
 	}
 	b.mu.Lock()
-	b.life++
+	b.incarnation++
 	b.silent = false
-	b.model = emulator.NewBox(b.plan.Spec, max(0, b.w.now()), cold)
+	b.model = emulator.NewServer(b.spec.Spec, max(0, b.world.now()), cold)
 	b.listener = l
-	life := b.life
+	life := b.incarnation
 	if cold {
-		b.w.add(audit.Event{At: b.w.now(), Kind: audit.Began, Box: b.index, Sidecar: -1, Origin: -1})
+		b.world.record(audit.Event{At: b.world.now(), Kind: audit.ServerStarted, Server: b.index, Sidecar: -1, Origin: -1})
 	}
 	b.mu.Unlock()
 	accepting := make(chan struct{})
@@ -120,26 +120,26 @@
 		defer close(accepting)
 		b.accept(l, life)
 	}()
-	return b.http3Up(life)
+	return b.startHTTP3(life)
 }
 
-func (b *box) accept(l *net.TCPListener, life int) {
+func (b *server) accept(l *net.TCPListener, life int) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return // closed, or told to stop by a deadline
 		}
 		b.mu.Lock()
-		if b.life != life || b.silent {
+		if b.incarnation != life || b.silent {
 			b.mu.Unlock()
 			c.Close()
 			return
 		}
-		k := &conn{Conn: c, box: b, life: life}
-		full := b.plan.Spec.Connections > 0 && len(b.conns) >= b.plan.Spec.Connections
+		k := &connection{Conn: c, server: b, incarnation: life}
+		full := b.spec.Spec.Connections > 0 && len(b.connections) >= b.spec.Spec.Connections
 		if !full {
-			b.conns[k] = true
-			b.spend(b.plan.Spec.HandshakeWork)
+			b.connections[k] = true
+			b.addOverhead(b.spec.Spec.HandshakeWork)
 		}
 		b.mu.Unlock()
 		if full {
@@ -158,44 +158,44 @@
 }
 
 // stop ends the box: its listener and connections, these with a reset. What it had in work is lost.
-func (b *box) stop() {
+func (b *server) stop() {
 	b.mu.Lock()
-	b.down()
+	b.stopLocked()
 	b.mu.Unlock()
 }
 
-// down is stop with b.mu held.
-func (b *box) down() {
-	b.life++
+// stopLocked is stop with b.mu held.
+func (b *server) stopLocked() {
+	b.incarnation++
 	b.model = nil
 	b.timer.Stop()
 	if b.listener != nil {
 		b.listener.Close()
 		b.listener = nil
 	}
-	for _, c := range b.stuffing {
+	for _, c := range b.backlogFill {
 		c.Close()
 	}
-	b.stuffing = nil
+	b.backlogFill = nil
 	if b.wake != nil {
 		close(b.wake)
 		b.wake = nil
 	}
-	for c := range b.conns {
-		if c.call != nil {
-			b.ended(c.call, audit.Dropped)
+	for c := range b.connections {
+		if c.attempt != nil {
+			b.finish(c.attempt, audit.Dropped)
 		}
 		reset(c.Conn)
-		delete(b.conns, c)
+		delete(b.connections, c)
 	}
-	b.http3Down()
+	b.stopHTTP3()
 	clear(b.calls)
 }
 
 // silence takes the machine away: open connections stay open, nothing that comes is answered, and no new connection
 // comes up. For the last, its backlog is made as short as can be and filled with connections of our own, after
 // which the kernel drops the first packet of others.
-func (b *box) silence() {
+func (b *server) silence() {
 	b.mu.Lock()
 	if b.model == nil || b.silent {
 		b.mu.Unlock()
@@ -205,16 +205,16 @@
 	b.timer.Stop()
 	b.wake = make(chan struct{})
 	clear(b.calls)
-	for c := range b.conns {
-		if c.call != nil {
-			c.call.mute = true
+	for c := range b.connections {
+		if c.attempt != nil {
+			c.attempt.muted = true
 		}
 	}
 	for _, k := range b.streams {
-		k.mute = true
+		k.muted = true
 	}
 	b.muted.Store(true)
-	l, life := b.listener, b.life
+	l, life := b.listener, b.incarnation
 	l.SetDeadline(time.Unix(1, 0)) // accept returns, and takes no more
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
@@ -231,133 +231,133 @@
 		}
 		failed = 0
 		b.mu.Lock()
-		if b.life != life || !b.silent {
+		if b.incarnation != life || !b.silent {
 			b.mu.Unlock()
 			c.Close()
 			return
 		}
-		b.stuffing = append(b.stuffing, c)
+		b.backlogFill = append(b.backlogFill, c)
 		b.mu.Unlock()
 	}
 }
 
-// spend has the model do work that is no job.
-func (b *box) spend(work time.Duration) {
+// addOverhead has the model do work that is no job.
+func (b *server) addOverhead(work time.Duration) {
 	if b.model == nil || work <= 0 {
 		return
 	}
 	b.advance()
-	if b.model != nil && b.model.Spend(b.w.now(), work) == emulator.Fell {
-		b.fell()
+	if b.model != nil && b.model.AddOverhead(b.world.now(), work) == emulator.Collapsed {
+		b.collapse()
 	}
-	b.arm()
+	b.resetTimer()
 }
 
-func (b *box) fell() {
-	b.w.add(audit.Event{At: b.w.now(), Kind: audit.Fell, Box: b.index, Sidecar: -1, Origin: -1})
-	b.down()
-	if life, keeper := b.life, b.w.plan.Tiers[b.plan.Tier].FallenFor; keeper > 0 {
-		time.AfterFunc(keeper, func() { b.kept(life) })
+func (b *server) collapse() {
+	b.world.record(audit.Event{At: b.world.now(), Kind: audit.ServerCollapsed, Server: b.index, Sidecar: -1, Origin: -1})
+	b.stopLocked()
+	if life, keeper := b.incarnation, b.world.plan.Tiers[b.spec.Tier].RestartAfterCollapse; keeper > 0 {
+		time.AfterFunc(keeper, func() { b.restartAfterCollapse(life) })
 	}
 }
 
-// kept has the box's keeper start it again after a fall, if nothing has happened to it since. Discovery hears of it as
+// restartAfterCollapse has the box's keeper start it again after a fall, if nothing has happened to it since. Discovery hears of it as
 // of any start.
-func (b *box) kept(life int) {
+func (b *server) restartAfterCollapse(life int) {
 	b.mu.Lock()
-	same := b.life == life
+	same := b.incarnation == life
 	b.mu.Unlock()
-	if !same || b.w.ctx.Err() != nil || b.start(true) != nil {
+	if !same || b.world.ctx.Err() != nil || b.start(true) != nil {
 		return
 	}
-	boot := b.w.now()
-	time.AfterFunc(b.w.plan.Discovery.Add, func() {
+	boot := b.world.now()
+	time.AfterFunc(b.world.plan.Discovery.AddDelay, func() {
 		b.mu.Lock()
-		same := b.life == life+1
+		same := b.incarnation == life+1
 		b.mu.Unlock()
 		if same {
-			b.w.news[b.plan.Tier].tell(b.index, "Ready", boot)
+			b.world.discovery[b.spec.Tier].update(b.index, "Ready", boot)
 		}
 	})
 }
 
-// arm sets the timer to when the model wants to be looked at.
-func (b *box) arm() {
+// resetTimer sets the timer to when the model wants to be looked at.
+func (b *server) resetTimer() {
 	if b.model == nil {
 		return
 	}
 	if next, ok := b.model.Next(); ok {
-		b.timer.Reset(max(0, next-b.w.now()))
+		b.timer.Reset(max(0, next-b.world.now()))
 	}
 }
 
-// due is the timer's.
-func (b *box) due() {
+// handleTimer is the timer's.
+func (b *server) handleTimer() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.model == nil {
 		return
 	}
 	if next, ok := b.model.Next(); ok {
-		if late := b.w.now() - next; late > lateFrom {
-			b.w.add(audit.Event{At: b.w.now(), Kind: audit.Late, Left: late, Box: b.index, Sidecar: -1, Origin: -1})
+		if late := b.world.now() - next; late > lateThreshold {
+			b.world.record(audit.Event{At: b.world.now(), Kind: audit.EmulatorLate, Duration: late, Server: b.index, Sidecar: -1, Origin: -1})
 		}
 	}
 	b.advance()
-	b.arm()
+	b.resetTimer()
 }
 
 // advance brings the model up to now and goes on with what has ended its work. b.mu is held.
-func (b *box) advance() {
-	b.settle(b.model.Advance(b.w.now()))
+func (b *server) advance() {
+	b.complete(b.model.Advance(b.world.now()))
 }
 
-func (b *box) settle(done []emulator.Done) {
+func (b *server) complete(done []emulator.Completion) {
 	for _, d := range done {
 		c := b.calls[d.ID]
 		if c == nil {
 			if b.model != nil {
-				b.settle(b.model.Release(b.w.now(), d.ID))
+				b.complete(b.model.Release(b.world.now(), d.ID))
 			}
 			continue
 		}
 		if d.Expired {
-			b.answer(c, audit.TurnedAway)
+			b.answer(c, audit.Rejected)
 			continue
 		}
-		c.work += b.model.Got(d.ID)
-		tier := b.w.plan.Tiers[b.plan.Tier]
-		if tier.Calls != "" && !c.second {
-			b.w.calls.Add(1)
-			go b.callOn(c)
+		c.work += b.model.WorkDone(d.ID)
+		tier := b.world.plan.Tiers[b.spec.Tier]
+		if tier.Calls != "" && !c.afterCalls {
+			b.world.calls.Add(1)
+			go b.callNextTier(c)
 			continue
 		}
-		more := b.model.Release(b.w.now(), d.ID)
+		more := b.model.Release(b.world.now(), d.ID)
 		b.answer(c, audit.Served)
 		if b.model != nil {
-			b.settle(more)
+			b.complete(more)
 		}
 	}
 }
 
-// callOn makes a call's own calls to the next tier, one after another, and then goes on with its work.
-func (b *box) callOn(c *call) {
-	defer b.w.calls.Done()
-	tier := b.w.plan.Tiers[b.plan.Tier]
-	for i := range tier.Times {
+// callNextTier makes a call's own calls to the next tier, one after another, and then goes on with its work.
+func (b *server) callNextTier(c *attempt) {
+	defer b.world.calls.Done()
+	tier := b.world.plan.Tiers[b.spec.Tier]
+	for i := range tier.CallsPerRequest {
 		key := ""
 		if c.key != "" {
 			key = fmt.Sprintf("%s.%d", c.key, i)
 		}
-		left := c.expires - b.w.now()
-		ok := left > 0 && b.w.call(b.index, ask{request: fmt.Sprintf("%s.%d-%d", c.request, c.id, i), class: c.class, key: key, left: left, origin: c.origin}, c.over)
+		left := c.expires - b.world.now()
+		ok := left > 0 && b.world.callThrough(b.index, callerRequest{request: fmt.Sprintf("%s.%d-%d", c.request, c.id, i), class: c.class, key: key, timeLeft: left, origin: c.origin}, c.ended)
 		if !ok {
 			b.mu.Lock()
 			if b.calls[c.id] == c {
-				more := b.model.Release(b.w.now(), c.id)
-				b.answer(c, audit.Erred)
-				b.settle(more)
-				b.arm()
+				more := b.model.Release(b.world.now(), c.id)
+				b.answer(c, audit.Failed)
+				b.complete(more)
+				b.resetTimer()
 			}
 			b.mu.Unlock()
 			return
@@ -369,53 +369,53 @@
 		return // withdrawn meanwhile, or the box has ended
 	}
 	b.advance()
-	c.second = true
-	b.model.Resume(b.w.now(), c.id, c.after)
-	b.arm()
+	c.afterCalls = true
+	b.model.Resume(b.world.now(), c.id, c.workAfterCalls)
+	b.resetTimer()
 }
 
-// ended notes the end of an attempt.
-func (b *box) ended(c *call, how audit.How) {
+// finish notes the end of an attempt.
+func (b *server) finish(c *attempt, how audit.AttemptResult) {
 	select {
-	case <-c.over:
+	case <-c.ended:
 		return
 	default:
 	}
-	close(c.over)
-	b.w.add(audit.Event{At: b.w.now(), Kind: audit.Ended, Request: c.request, Attempt: c.id, Box: b.index, Sidecar: -1, How: how, Work: c.work, Origin: c.origin})
+	close(c.ended)
+	b.world.record(audit.Event{At: b.world.now(), Kind: audit.AttemptEnded, Request: c.request, AttemptID: c.id, Server: b.index, Sidecar: -1, Result: how, Work: c.work, Origin: c.origin})
 	delete(b.calls, c.id)
-	c.wire.over(c)
+	c.responder.release(c)
 }
 
 // answer ends a call with its answer.
-func (b *box) answer(c *call, how audit.How) {
-	if c.mute {
+func (b *server) answer(c *attempt, how audit.AttemptResult) {
+	if c.muted {
 		delete(b.calls, c.id)
 		return
 	}
 	if how == audit.Served && b.random.Float64() < b.faults["garble"] {
-		how = audit.Spoilt
-	}
-	b.ended(c, how)
-	switch body := fmt.Sprintf("served %s by %s\n", c.request, b.plan.UID); how {
-	case audit.Erred:
-		c.wire.answer(http.StatusInternalServerError, false, b.report(), "failed\n")
-	case audit.TurnedAway:
-		c.wire.answer(http.StatusServiceUnavailable, true, b.report(), "no room\n")
-	case audit.Spoilt:
-		c.wire.spoil()
+		how = audit.Garbled
+	}
+	b.finish(c, how)
+	switch body := fmt.Sprintf("served %s by %s\n", c.request, b.spec.UID); how {
+	case audit.Failed:
+		c.responder.answer(http.StatusInternalServerError, false, b.loadReport(), "failed\n")
+	case audit.Rejected:
+		c.responder.answer(http.StatusServiceUnavailable, true, b.loadReport(), "no room\n")
+	case audit.Garbled:
+		c.responder.garble()
 	default:
-		c.wire.answer(http.StatusOK, false, b.report(), body)
+		c.responder.answer(http.StatusOK, false, b.loadReport(), body)
 	}
 }
 
-func (c *conn) over(k *call) {
-	if c.call == k {
-		c.call = nil
+func (c *connection) release(k *attempt) {
+	if c.attempt == k {
+		c.attempt = nil
 	}
 }
 
-func (c *conn) answer(status int, turnedAway bool, load, body string) {
+func (c *connection) answer(status int, turnedAway bool, load, body string) {
 	extra := ""
 	if load != "" {
 		extra = "X-Pressure: " + load + "\r\n"
@@ -427,34 +427,36 @@
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), extra, body)
 }
 
-// spoil is a head that cannot be read, and nothing behind it.
-func (c *conn) spoil() { io.WriteString(c, "HTTP/1.1 2oo \x00\x01 fine\r\nContent-Length: -7\r\n\r\n") }
+// garble is a head that cannot be read, and nothing behind it.
+func (c *connection) garble() {
+	io.WriteString(c, "HTTP/1.1 2oo \x00\x01 fine\r\nContent-Length: -7\r\n\r\n")
+}
 
-func (c *conn) reset() { reset(c.Conn) }
+func (c *connection) reset() { reset(c.Conn) }
 
-// report is the load of the box, where it tells of it.
-func (b *box) report() string {
-	if b.model == nil || b.plan.Spec.ReportEvery == 0 {
+// loadReport is the load of the box, where it tells of it.
+func (b *server) loadReport() string {
+	if b.model == nil || b.spec.Spec.ReportEvery == 0 {
 		return ""
 	}
-	if r, ok := b.model.Seen(); ok {
-		return fmt.Sprintf("inflight=%d,queue=%d,util=%.3f", r.InFlight, r.Queue, r.Util)
+	if r, ok := b.model.LoadReport(); ok {
+		return fmt.Sprintf("inflight=%d,queue=%d,util=%.3f", r.InFlight, r.Queued, r.Utilization)
 	}
 	return ""
 }
 
-const mostBody = 64 << 10
+const maxBodyBytes = 64 << 10
 
 // serve reads the requests of one connection.
-func (c *conn) serve() {
-	b := c.box
+func (c *connection) serve() {
+	b := c.server
 	defer c.Close()
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.conns, c)
-		if c.call != nil {
-			b.withdrawn(c.call)
+		delete(b.connections, c)
+		if c.attempt != nil {
+			b.cancel(c.attempt)
 		}
 	}()
 	r := bufio.NewReader(c.Conn)
@@ -462,20 +464,20 @@
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		first := b.w.now()
+		first := b.world.now()
 		req, err := http.ReadRequest(r)
 		var body []byte
 		if err == nil {
-			body, err = io.ReadAll(io.LimitReader(req.Body, mostBody+1))
+			body, err = io.ReadAll(io.LimitReader(req.Body, maxBodyBytes+1))
 		}
-		if err != nil || len(body) > mostBody {
+		if err != nil || len(body) > maxBodyBytes {
 			if req != nil && !errors.Is(err, io.EOF) {
-				c.cut(first, req)
+				c.recordTruncated(first, req)
 			}
 			return
 		}
 		b.mu.Lock()
-		ok := c.take(first, req)
+		ok := c.handle(first, req)
 		b.mu.Unlock()
 		if !ok {
 			return
@@ -483,115 +485,115 @@
 	}
 }
 
-// cut notes an attempt whose end never came: it never ran.
-func (c *conn) cut(first time.Duration, req *http.Request) {
-	b := c.box
-	id := b.w.attempts.Add(1)
-	e := audit.Event{At: b.w.now(), First: first, Request: req.Header.Get("X-Txn"), Attempt: id, Box: c.box.index, Sidecar: -1, Origin: -1, Kind: audit.Sent}
+// recordTruncated notes an attempt whose end never came: it never ran.
+func (c *connection) recordTruncated(first time.Duration, req *http.Request) {
+	b := c.server
+	id := b.world.attempts.Add(1)
+	e := audit.Event{At: b.world.now(), FirstByteAt: first, Request: req.Header.Get("X-Txn"), AttemptID: id, Server: c.server.index, Sidecar: -1, Origin: -1, Kind: audit.AttemptReceived}
 	if e.Request == "" {
 		return
 	}
-	b.w.add(e)
-	e.Kind, e.How = audit.Ended, audit.Cut
-	b.w.add(e)
+	b.world.record(e)
+	e.Kind, e.Result = audit.AttemptEnded, audit.Truncated
+	b.world.record(e)
 }
 
-// withdrawn ends a call that its sidecar has given up.
-func (b *box) withdrawn(k *call) {
+// cancel ends a call that its sidecar has given up.
+func (b *server) cancel(k *attempt) {
 	if b.model != nil && b.calls[k.id] == k {
 		b.advance()
 		if b.calls[k.id] != k { // it ended just now
-			b.arm()
+			b.resetTimer()
 			return
 		}
-		got := b.model.Got(k.id)
-		stopped, expired := b.model.Cancel(b.w.now(), k.id)
+		got := b.model.WorkDone(k.id)
+		stopped, expired := b.model.Cancel(b.world.now(), k.id)
 		if !stopped {
 			got = 0 // it goes on for nobody: the whole of it is done
-			k.work += k.after
+			k.work += k.workAfterCalls
 		}
 		k.work += got
-		b.ended(k, audit.Withdrawn)
-		b.settle(expired)
-		b.arm()
+		b.finish(k, audit.Canceled)
+		b.complete(expired)
+		b.resetTimer()
 		return
 	}
-	b.ended(k, audit.Withdrawn)
+	b.finish(k, audit.Canceled)
 }
 
-// take takes a request; false ends the connection. b.mu is held.
-func (c *conn) take(first time.Duration, req *http.Request) bool {
-	b := c.box
+// handle takes a request; false ends the connection. b.mu is held.
+func (c *connection) handle(first time.Duration, req *http.Request) bool {
+	b := c.server
 	if req.URL.Path == "/health" && req.Header.Get("X-Txn") == "" {
 		if !b.silent {
-			b.spend(30 * time.Microsecond)
+			b.addOverhead(30 * time.Microsecond)
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 		return true
 	}
-	if c.call != nil {
+	if c.attempt != nil {
 		return false // two at once on one connection: no sidecar does that
 	}
-	k := b.newCall(c, c.life, req.Header)
-	c.call = k
-	return b.begin(k, first, req.Header)
+	k := b.newAttempt(c, c.incarnation, req.Header)
+	c.attempt = k
+	return b.beginAttempt(k, first, req.Header)
 }
 
-// newCall is an attempt that has come whole.
-func (b *box) newCall(by wire, life int, h http.Header) *call {
-	k := &call{id: b.w.attempts.Add(1), wire: by, life: life, request: h.Get("X-Txn"), key: h.Get("Idempotency-Key"), over: make(chan struct{}), origin: originOf(h.Get("X-Txn"))}
-	k.class, _ = b.w.class(h.Get("X-Lane"))
-	if left, err := remaining(h.Get("X-Remaining")); err == nil {
-		k.expires = b.w.now() + left
+// newAttempt is an attempt that has come whole.
+func (b *server) newAttempt(by responder, life int, h http.Header) *attempt {
+	k := &attempt{id: b.world.attempts.Add(1), responder: by, incarnation: life, request: h.Get("X-Txn"), key: h.Get("Idempotency-Key"), ended: make(chan struct{}), origin: arrivalOf(h.Get("X-Txn"))}
+	k.class, _ = b.world.class(h.Get("X-Lane"))
+	if left, err := parseRemaining(h.Get("X-Remaining")); err == nil {
+		k.expires = b.world.now() + left
 	}
 	return k
 }
 
-// begin notes an attempt, and has it served or not; false if its connection is to end. b.mu is held.
-func (b *box) begin(k *call, first time.Duration, h http.Header) bool {
-	now := b.w.now()
-	b.w.counters.attempts.Add(1)
-	b.w.add(audit.Event{At: now, First: first, Kind: audit.Sent, Request: k.request, Attempt: k.id, Box: b.index, Sidecar: -1, Origin: k.origin})
+// beginAttempt notes an attempt, and has it served or not; false if its connection is to end. b.mu is held.
+func (b *server) beginAttempt(k *attempt, first time.Duration, h http.Header) bool {
+	now := b.world.now()
+	b.world.counters.attempts.Add(1)
+	b.world.record(audit.Event{At: now, FirstByteAt: first, Kind: audit.AttemptReceived, Request: k.request, AttemptID: k.id, Server: b.index, Sidecar: -1, Origin: k.origin})
 	chance := func(what string) bool { return b.faults[what] > 0 && b.random.Float64() < b.faults[what] }
 	switch {
-	case b.silent || k.life != b.life || b.model == nil:
-		k.mute = true
+	case b.silent || k.incarnation != b.incarnation || b.model == nil:
+		k.muted = true
 		return true
 	case k.class < 0:
-		b.answer(k, audit.Erred)
+		b.answer(k, audit.Failed)
 		return true
 	case chance("lose"):
-		k.mute = true
+		k.muted = true
 		return true
 	case chance("reset"):
-		b.ended(k, audit.Dropped)
-		k.wire.reset()
+		b.finish(k, audit.Dropped)
+		k.responder.reset()
 		return false
 	case chance("refuse"):
-		b.answer(k, audit.TurnedAway)
+		b.answer(k, audit.Rejected)
 		return true
 	case chance("fail"):
-		b.answer(k, audit.Erred)
+		b.answer(k, audit.Failed)
 		return true
 	}
-	before, after := b.w.plan.Works(k.request, b.plan.Tier, b.w.try(k.request))
-	k.after = after
+	before, after := b.world.plan.WorkOf(k.request, b.spec.Tier, b.world.countAttempt(k.request))
+	k.workAfterCalls = after
 	b.advance()
 	switch b.model.Offer(now, k.id, before, k.expires) {
-	case emulator.Taken:
+	case emulator.Accepted:
 		b.calls[k.id] = k
-		b.w.run(b, k.key, b.w.plan.Classes[k.class])
-		b.arm()
-	case emulator.TurnedAway:
-		b.answer(k, audit.TurnedAway)
-	case emulator.Fell:
-		b.fell()
+		b.world.recordExecution(b, k.key, b.world.plan.Classes[k.class])
+		b.resetTimer()
+	case emulator.Rejected:
+		b.answer(k, audit.Rejected)
+	case emulator.Collapsed:
+		b.collapse()
 	}
 	return true
 }
 
-// remaining reads X-Remaining.
-func remaining(text string) (time.Duration, error) {
+// parseRemaining reads X-Remaining.
+func parseRemaining(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(text, "m")
 	if !ok {
@@ -602,8 +604,8 @@
 	return time.Duration(f * float64(unit)), err
 }
 
-// originOf reads the arrival from the id of a request that a caller of ours, or one of our boxes, has made.
-func originOf(request string) int {
+// arrivalOf reads the arrival from the id of a request that a caller of ours, or one of our boxes, has made.
+func arrivalOf(request string) int {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(request, "r"), "t")
 	n, err := strconv.Atoi(digits)
 	if err != nil {
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -20,61 +20,61 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-// ask is one request to a sidecar.
-type ask struct {
-	request string
-	class   int
-	key     string
-	left    time.Duration
-	origin  int
-	try     int // 0 for the call of a box
+// callerRequest is one request to a sidecar.
+type callerRequest struct {
+	request       string
+	class         int
+	key           string
+	timeLeft      time.Duration
+	origin        int
+	callerAttempt int // 0 for the call of a box
 }
 
-// reply is what came of it.
-type reply struct {
-	status int // 0 if none
-	after  time.Duration
-	good   bool
+// callerAnswer is what came of it.
+type callerAnswer struct {
+	status     int // 0 if none
+	retryAfter time.Duration
+	authentic  bool
 }
 
-// line is a caller's connection to a sidecar. One goroutine reads it, and knows what is owed on it.
-type line struct {
+// callerConnection is a caller's connection to a sidecar. One goroutine reads it, and knows what is owed on it.
+type callerConnection struct {
 	net.Conn
-	to      *sidecar
-	replies chan reply    // of the request that is out
-	closed  chan struct{} // closed when it has ended
+	sidecar *sidecar
+	answers chan callerAnswer // of the request that is out
+	closed  chan struct{}     // closed when it has ended
 	mu      sync.Mutex
-	out     *ask // that is out on it
+	pending *callerRequest // that is out on it
 }
 
 const dialTimeout = time.Second
 
-func (s *sidecar) dial() (*line, error) {
+func (s *sidecar) dial() (*callerConnection, error) {
 	c, err := net.DialTimeout("tcp", s.address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	l := &line{Conn: c, to: s, replies: make(chan reply, 1), closed: make(chan struct{})}
+	l := &callerConnection{Conn: c, sidecar: s, answers: make(chan callerAnswer, 1), closed: make(chan struct{})}
 	go l.read()
 	return l, nil
 }
 
-// pool is connections on which no request is out. Callers from outside share one over all sidecars of the first tier:
+// connectionPool is connections on which no request is out. Callers from outside share one over all sidecars of the first tier:
 // they go on using the connections that they have for as long as these stay open, whatever the front does with new ones.
-type pool struct {
-	mu    sync.Mutex
-	lines []*line
+type connectionPool struct {
+	mu   sync.Mutex
+	idle []*callerConnection
 }
 
-// take is an idle connection, drawn at random so that all sidecars are used alike; nil if there is none.
-func (p *pool) take() *line {
+// handle is an idle connection, drawn at random so that all sidecars are used alike; nil if there is none.
+func (p *connectionPool) take() *callerConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for n := len(p.lines); n > 0; n-- {
+	for n := len(p.idle); n > 0; n-- {
 		i := rand.IntN(n)
-		l := p.lines[i]
-		p.lines[i] = p.lines[n-1]
-		p.lines = p.lines[:n-1]
+		l := p.idle[i]
+		p.idle[i] = p.idle[n-1]
+		p.idle = p.idle[:n-1]
 		select {
 		case <-l.closed:
 		default:
@@ -84,23 +84,23 @@
 	return nil
 }
 
-func (p *pool) give(l *line) {
+func (p *connectionPool) put(l *callerConnection) {
 	p.mu.Lock()
-	p.lines = append(p.lines, l)
+	p.idle = append(p.idle, l)
 	p.mu.Unlock()
 }
 
-func (p *pool) close() {
+func (p *connectionPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.lines {
+	for _, l := range p.idle {
 		l.Close()
 	}
-	p.lines = nil
+	p.idle = nil
 }
 
 // read takes answers until the connection ends. What comes while nothing is owed is noted: nobody asked for it.
-func (l *line) read() {
+func (l *callerConnection) read() {
 	defer close(l.closed)
 	defer l.Close()
 	r := bufio.NewReader(l.Conn)
@@ -109,11 +109,11 @@
 			return
 		}
 		l.mu.Lock()
-		out := l.out
+		out := l.pending
 		l.mu.Unlock()
 		if out == nil {
 			some, _ := r.Peek(min(r.Buffered(), 40))
-			l.to.w.add(audit.Event{At: l.to.w.now(), Kind: audit.Stray, Sidecar: l.to.index, Box: -1, Origin: -1, Text: strconv.Quote(string(some))})
+			l.sidecar.rehearsal.record(audit.Event{At: l.sidecar.rehearsal.now(), Kind: audit.UnsolicitedBytes, Sidecar: l.sidecar.index, Server: -1, Origin: -1, Text: strconv.Quote(string(some))})
 			return
 		}
 		answer, err := http.ReadResponse(r, nil)
@@ -129,29 +129,29 @@
 			after = time.Duration(f * float64(time.Second))
 		}
 		good := bytes.HasPrefix(body, []byte("served "+out.request+" "))
-		l.to.w.add(audit.Event{
-			At: l.to.w.now(), Kind: audit.Answered, Request: out.request, Status: answer.StatusCode, Left: after, Good: good,
-			Sidecar: l.to.index, Box: -1, Origin: out.origin, Try: out.try,
+		l.sidecar.rehearsal.record(audit.Event{
+			At: l.sidecar.rehearsal.now(), Kind: audit.AnswerReceived, Request: out.request, Status: answer.StatusCode, Duration: after, Authentic: good,
+			Sidecar: l.sidecar.index, Server: -1, Origin: out.origin, CallerAttempt: out.callerAttempt,
 		})
 		l.mu.Lock()
-		l.out = nil
+		l.pending = nil
 		l.mu.Unlock()
-		l.replies <- reply{answer.StatusCode, after, good}
+		l.answers <- callerAnswer{answer.StatusCode, after, good}
 		if answer.Close {
 			return
 		}
 	}
 }
 
-// send asks, and waits for the answer until the request's time is up or nobody wants it any more. It is sent once more
+// sendRequest asks, and waits for the answer until the request's time is up or nobody wants it any more. It is sent once more
 // on a new connection where the one before, used already, ends with nothing said: the sidecar closed it between
 // requests. pick is the sidecar for a new connection, nil where there is none.
-func (w *world) send(a ask, from *pool, pick func() *sidecar, gone <-chan struct{}) reply {
-	give := time.NewTimer(a.left + 2*w.plan.Rules.Slack)
+func (w *rehearsal) sendRequest(a callerRequest, from *connectionPool, pick func() *sidecar, gone <-chan struct{}) callerAnswer {
+	give := time.NewTimer(a.timeLeft + 2*w.plan.Rules.Slack)
 	defer give.Stop()
 	began := w.now()
 	for again := false; ; again = true {
-		var l *line
+		var l *callerConnection
 		if !again {
 			l = from.take()
 		}
@@ -159,63 +159,63 @@
 		if l == nil {
 			s := pick()
 			if s == nil {
-				return reply{}
+				return callerAnswer{}
 			}
 			var err error
 			if l, err = s.dial(); err != nil {
-				return reply{}
+				return callerAnswer{}
 			}
 		}
-		left := a.left - (w.now() - began)
+		left := a.timeLeft - (w.now() - began)
 		if left <= 0 {
-			from.give(l)
-			return reply{}
+			from.put(l)
+			return callerAnswer{}
 		}
 		note := func(k audit.Kind) audit.Event {
-			return audit.Event{At: w.now(), Kind: k, Request: a.request, Sidecar: l.to.index, Box: -1, Origin: a.origin, Try: a.try, Class: a.class}
+			return audit.Event{At: w.now(), Kind: k, Request: a.request, Sidecar: l.sidecar.index, Server: -1, Origin: a.origin, CallerAttempt: a.callerAttempt, Class: a.class}
 		}
 		l.mu.Lock()
-		l.out = &a
+		l.pending = &a
 		l.mu.Unlock()
-		asked := note(audit.Asked)
-		asked.Left = left
-		w.add(asked)
+		asked := note(audit.RequestSent)
+		asked.Duration = left
+		w.record(asked)
 		l.Write(text(w.plan.Classes[a.class], &a, left))
 		select {
-		case r := <-l.replies:
-			from.give(l)
+		case r := <-l.answers:
+			from.put(l)
 			return r
 		case <-give.C:
-			w.add(note(audit.GaveUp))
+			w.record(note(audit.CallerTimedOut))
 			l.Close()
-			return reply{}
+			return callerAnswer{}
 		case <-gone:
-			w.add(note(audit.GaveUp))
+			w.record(note(audit.CallerTimedOut))
 			l.Close()
-			return reply{}
+			return callerAnswer{}
 		case <-l.closed:
 			select {
-			case r := <-l.replies: // the last on its connection
+			case r := <-l.answers: // the last on its connection
 				return r
 			default:
 			}
-			w.add(note(audit.Closed))
+			w.record(note(audit.ConnectionClosed))
 			if !used {
-				return reply{}
+				return callerAnswer{}
 			}
 		}
 	}
 }
 
 // text is a request as it goes out.
-func text(class *morning.Class, a *ask, left time.Duration) []byte {
+func text(class *morning.Class, a *callerRequest, left time.Duration) []byte {
 	method, body := "POST", "trip=dialysis\n"
-	if class.Effect == balancer.Idempotent {
+	if class.Idempotency == balancer.Idempotent {
 		method, body = "GET", ""
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /trips HTTP/1.1\r\nHost: api.internal\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining: %du\r\n", method, a.request, class.Name, left.Microseconds())
-	if class.Effect == balancer.IdempotentWithKey {
+	if class.Idempotency == balancer.IdempotentWithKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.key)
 	}
 	if body != "" {
@@ -225,26 +225,26 @@
 	return []byte(b.String())
 }
 
-// call is the call of a box through its own sidecar; false if it was not served.
-func (w *world) call(box int, a ask, gone <-chan struct{}) bool {
-	s := w.behind[box]
+// callThrough is the call of a box through its own sidecar; false if it was not served.
+func (w *rehearsal) callThrough(box int, a callerRequest, gone <-chan struct{}) bool {
+	s := w.sidecarOf[box]
 	if s == nil {
 		return false
 	}
-	r := w.send(a, &s.idle, func() *sidecar { return s }, gone)
-	return r.status == http.StatusOK && r.good
+	r := w.sendRequest(a, &s.idle, func() *sidecar { return s }, gone)
+	return r.status == http.StatusOK && r.authentic
 }
 
 // front deals callers out among the sidecars of the first tier. It notices only after a while that one has died.
 type front struct {
-	idle pool
+	idle connectionPool
 	mu   sync.Mutex
 	up   []*sidecar
 	next int
 }
 
-// notice is how long the front goes on sending to a sidecar that has died.
-const notice = 2 * time.Second
+// failureNotice is how long the front goes on sending to a sidecar that has died.
+const failureNotice = 2 * time.Second
 
 func (f *front) add(s *sidecar) {
 	f.mu.Lock()
@@ -289,14 +289,14 @@
 	return of
 }
 
-// arrive plays one arrival: its tries, with waits between them, until it is served or gives up.
-func (w *world) arrive(n int) {
+// playArrival plays one arrival: its tries, with waits between them, until it is served or gives up.
+func (w *rehearsal) playArrival(n int) {
 	caller := w.plan.Caller(n, w.now())
 	class := w.plan.Arrivals[n].Class
 	w.counters.asked.Add(1)
-	last, toFirst := 0, w.plan.AtFirst(n)
+	last, toFirst := 0, w.plan.PrefersFirstSidecar(n)
 	for {
-		try, left, ok := caller.Try(w.now())
+		try, left, ok := caller.NextAttempt(w.now())
 		if !ok {
 			break
 		}
@@ -304,9 +304,9 @@
 		if to := w.sidecars[0]; toFirst && w.front.first(to) != nil {
 			idle, pick = &to.idle, func() *sidecar { return w.front.first(to) }
 		}
-		r := w.send(ask{request: morning.Request(n, try), class: class, key: morning.Key(n), left: left, origin: n, try: try}, idle, pick, w.ctx.Done())
+		r := w.sendRequest(callerRequest{request: morning.RequestID(n, try), class: class, key: morning.IdempotencyKey(n), timeLeft: left, origin: n, callerAttempt: try}, idle, pick, w.ctx.Done())
 		last = r.status
-		wait, ok := caller.Again(w.now(), r.status, r.after)
+		wait, ok := caller.RetryAfter(w.now(), r.status, r.retryAfter)
 		if !ok {
 			break
 		}
@@ -319,19 +319,19 @@
 	switch {
 	case last == http.StatusOK:
 		w.counters.served.Add(1)
-	case morning.Refused(last):
+	case morning.IsRejected(last):
 		w.counters.refused.Add(1)
 	default:
 		w.counters.failed.Add(1)
 	}
 }
 
-// Rude callers send what cannot be read, half of it, or nothing. rudeWait is what a sidecar has to answer or close.
-const rudeWait = 8 * time.Second
+// Rude callers send what cannot be read, half of it, or nothing. faultyCallerTimeout is what a sidecar has to answer or close.
+const faultyCallerTimeout = 8 * time.Second
 
-const rudenesses = 10
+const faultyRequestCount = 10
 
-var rudeness = [rudenesses]string{
+var faultyRequests = [faultyRequestCount]string{
 	"", "\x16\x03\x01\x02\x00\x01\x00", "GET / HTTP/1.1\r\n", "POST /trips HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\n",
 	"POST /trips HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999\r\n\r\n",
 	"POST /trips HTTP/1.1\r\nHost: a\r\nX-Txn: x\r\nContent-Length: 50\r\n\r\nhalf",
@@ -341,10 +341,10 @@
 	"GET /trips HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X-Long: "+strings.Repeat("a", 1000)+"\r\n", 40) + "\r\n",
 }
 
-// beRude plays one rude caller until it is not wanted any more.
-func (w *world) beRude(i int) {
-	random := rand.New(emulator.Source(w.plan.Seed, fmt.Sprint("rude ", i)))
-	for w.ctx.Err() == nil && int64(i) < w.rude.Load() {
+// runFaultyCaller plays one rude caller until it is not wanted any more.
+func (w *rehearsal) runFaultyCaller(i int) {
+	random := rand.New(emulator.RandomSource(w.plan.Seed, fmt.Sprint("rude ", i)))
+	for w.ctx.Err() == nil && int64(i) < w.faultyCallers.Load() {
 		s := w.front.pick()
 		if s == nil {
 			time.Sleep(50 * time.Millisecond)
@@ -355,12 +355,12 @@
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		how := random.IntN(len(rudeness))
-		io.WriteString(c, rudeness[how])
-		c.SetReadDeadline(time.Now().Add(rudeWait))
+		how := random.IntN(len(faultyRequests))
+		io.WriteString(c, faultyRequests[how])
+		c.SetReadDeadline(time.Now().Add(faultyCallerTimeout))
 		if n, err := io.Copy(io.Discard, io.LimitReader(c, 1<<20)); err != nil && n == 0 {
 			if e, ok := err.(net.Error); ok && e.Timeout() && w.ctx.Err() == nil && s.serving() {
-				w.hanging[how].Add(1)
+				w.unanswered[how].Add(1)
 			}
 		}
 		c.Close()
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -12,33 +12,33 @@
 	"quincegap/internal/standin/consul"
 )
 
-// agency is a stand-in Consul agent on the machine of one sidecar. What an answer told is noted when it has been
+// consulAgent is a stand-in Consul agent on the machine of one sidecar. What an answer told is noted when it has been
 // written.
-type agency struct {
-	news    *news
+type consulAgent struct {
+	news    *tierDiscovery
 	sidecar int
 	server  *consul.Server
 	http    http.Server
 
-	mu   sync.Mutex
-	owed []owed // changes that no answer has told of yet, in the order of their indexes
+	mu      sync.Mutex
+	pending []pendingUpdate // changes that no answer has told of yet, in the order of their indexes
 }
 
-// owed is a change, and the index from which on answers have it.
-type owed struct {
-	index uint64
-	box   int
-	state string
+// pendingUpdate is a change, and the index from which on answers have it.
+type pendingUpdate struct {
+	index  uint64
+	server int
+	state  string
 }
 
-// startAgency serves at the address that the sidecar's discovery has otherwise.
-func startAgency(n *news, sidecar int) (*agency, error) {
-	a := &agency{news: n, sidecar: sidecar}
+// startConsulAgent serves at the address that the sidecar's discovery has otherwise.
+func startConsulAgent(n *tierDiscovery, sidecar int) (*consulAgent, error) {
+	a := &consulAgent{news: n, sidecar: sidecar}
 	var all []consul.Instance
 	n.mu.Lock()
 	for _, i := range n.order {
 		all = append(all, a.instance(i, n.entries[i]))
-		a.owed = append(a.owed, owed{0, i, n.entries[i].state})
+		a.pending = append(a.pending, pendingUpdate{0, i, n.entries[i].state})
 	}
 	n.mu.Unlock()
 	var err error
@@ -55,33 +55,33 @@
 	return a, nil
 }
 
-func (a *agency) close() {
+func (a *consulAgent) close() {
 	a.http.Close()
 	a.server.Close()
 }
 
 // instance is a box as Consul has it: passing, critical while it drains, and not there at all once it has gone.
-func (a *agency) instance(box int, e entry) consul.Instance {
+func (a *consulAgent) instance(box int, e entry) consul.Instance {
 	w := a.news.w
-	b := &w.plan.Boxes[box]
+	b := &w.plan.Servers[box]
 	status := "passing"
 	if e.state != "Ready" {
 		status = "critical"
 	}
 	i := consul.Instance{
-		Service: w.plan.Tiers[b.Tier].Name, Node: fmt.Sprint("m", b.Slot), ID: b.UID, Passing: 1, Warning: 1,
+		Service: w.plan.Tiers[b.Tier].Name, Node: fmt.Sprint("m", b.Slot), ID: b.UID, PassingWeight: 1, WarningWeight: 1,
 		Checks: []consul.Check{{CheckID: "up", Name: "up", Status: status}},
 		Meta:   map[string]string{"zone": morning.Zone, "model": w.plan.Tiers[b.Tier].Name, "cell": strconv.Itoa(b.Cell), "uid": b.UID},
 	}
 	if e.boot > 0 {
 		i.Meta["started_ms"] = strconv.FormatInt(w.wall(e.boot).UnixMilli(), 10)
 	}
-	return i.At(w.boxAddress(b.Slot))
+	return i.WithAddress(w.serverAddress(b.Slot))
 }
 
-// tell changes what Consul knows of a box.
-func (a *agency) tell(box int, e entry) {
-	uid := a.news.w.plan.Boxes[box].UID
+// update changes what Consul knows of a box.
+func (a *consulAgent) update(box int, e entry) {
+	uid := a.news.w.plan.Servers[box].UID
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	index := a.server.Update(func(all []consul.Instance) []consul.Instance {
@@ -91,14 +91,14 @@
 		}
 		return all
 	})
-	a.owed = append(a.owed, owed{index, box, e.state})
+	a.pending = append(a.pending, pendingUpdate{index, box, e.state})
 }
 
-// silent makes Consul answer nothing, or answer again.
-func (a *agency) silent(on bool) { a.server.Set(consul.Fault{Hang: on}) }
+// setSilent makes Consul answer nothing, or answer again.
+func (a *consulAgent) setSilent(on bool) { a.server.SetFault(consul.Fault{Hang: on}) }
 
 // ServeHTTP answers as the stand-in does. A whole list of health tells all changes up to its index.
-func (a *agency) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *consulAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.server.ServeHTTP(w, r)
 	if http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
 		return
@@ -111,12 +111,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
-	for n < len(a.owed) && a.owed[n].index <= index {
-		o := a.owed[n]
-		a.news.w.add(audit.Event{At: now, Kind: audit.Told, Sidecar: a.sidecar, Box: o.box, Text: o.state, Origin: -1})
+	for n < len(a.pending) && a.pending[n].index <= index {
+		o := a.pending[n]
+		a.news.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: a.sidecar, Server: o.server, Text: o.state, Origin: -1})
 		n++
 	}
-	a.owed = a.owed[n:]
+	a.pending = a.pending[n:]
 }
 
 // consulFile is the product's file of a sidecar that follows Consul alone.
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -13,89 +13,89 @@
 	"quincegap/internal/standin/booking"
 )
 
-// news is what discovery knows of the boxes of one tier.
-type news struct {
-	w    *world
+// tierDiscovery is what discovery knows of the boxes of one tier.
+type tierDiscovery struct {
+	w    *rehearsal
 	tier int
 
-	mu       sync.Mutex
-	rev      uint64
-	entries  map[int]entry // by box
-	order    []int
-	quiet    bool
-	again    bool          // everything is said twice, and what was said before it once more in between
-	agencies []*agency     // that tell of it, where Consul does
-	changed  chan struct{} // closed at the next change
+	mu           sync.Mutex
+	revision     uint64
+	entries      map[int]entry // by box
+	order        []int
+	silent       bool
+	repeats      bool           // everything is said twice, and what was said before it once more in between
+	consulAgents []*consulAgent // that tell of it, where Consul does
+	changed      chan struct{}  // closed at the next change
 }
 
 type entry struct {
-	state string
-	boot  time.Duration // 0 for long ago
-	rev   uint64
-	light float64 // how much less than 1 it weighs, so that 0 is the usual
+	state         string
+	boot          time.Duration // 0 for long ago
+	revision      uint64
+	weightDeficit float64 // how much less than 1 it weighs, so that 0 is the usual
 }
 
-func newNews(w *world, tier int) *news {
-	n := &news{w: w, tier: tier, rev: 1, entries: map[int]entry{}, changed: make(chan struct{})}
-	for i, b := range w.plan.Boxes {
-		if b.Tier == tier && b.From == 0 {
-			n.entries[i] = entry{state: "Ready", rev: 1}
+func newTierDiscovery(w *rehearsal, tier int) *tierDiscovery {
+	n := &tierDiscovery{w: w, tier: tier, revision: 1, entries: map[int]entry{}, changed: make(chan struct{})}
+	for i, b := range w.plan.Servers {
+		if b.Tier == tier && b.StartsAt == 0 {
+			n.entries[i] = entry{state: "Ready", revision: 1}
 			n.order = append(n.order, i)
 		}
 	}
 	return n
 }
 
-// tell has discovery know of a box's state.
-func (n *news) tell(box int, state string, boot time.Duration) {
+// update has discovery know of a box's state.
+func (n *tierDiscovery) update(box int, state string, boot time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rev++
+	n.revision++
 	if _, ok := n.entries[box]; !ok {
 		n.order = append(n.order, box)
 	}
-	n.entries[box] = entry{state, boot, n.rev, n.entries[box].light}
-	for _, a := range n.agencies {
-		a.tell(box, n.entries[box])
+	n.entries[box] = entry{state, boot, n.revision, n.entries[box].weightDeficit}
+	for _, a := range n.consulAgents {
+		a.update(box, n.entries[box])
 	}
-	n.wake()
+	n.wakeWatchers()
 }
 
-// weigh has discovery know of a box's weight.
-func (n *news) weigh(box int, weight float64) {
+// setWeight has discovery know of a box's weight.
+func (n *tierDiscovery) setWeight(box int, weight float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	e, ok := n.entries[box]
 	if !ok {
 		return
 	}
-	n.rev++
-	e.rev, e.light = n.rev, 1-weight
+	n.revision++
+	e.revision, e.weightDeficit = n.revision, 1-weight
 	n.entries[box] = e
-	n.wake()
+	n.wakeWatchers()
 }
 
-// repeat makes discovery say everything twice, or once again.
-func (n *news) repeat(on bool) {
+// setRepeats makes discovery say everything twice, or once again.
+func (n *tierDiscovery) setRepeats(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.again = on
+	n.repeats = on
 }
 
-func (n *news) wake() {
+func (n *tierDiscovery) wakeWatchers() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// silent makes discovery say nothing, or speak again.
-func (n *news) silent(on bool) {
+// setSilent makes discovery say nothing, or speak again.
+func (n *tierDiscovery) setSilent(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.quiet = on
-	for _, a := range n.agencies {
-		a.silent(on)
+	n.silent = on
+	for _, a := range n.consulAgents {
+		a.setSilent(on)
 	}
-	n.wake()
+	n.wakeWatchers()
 }
 
 type message struct {
@@ -104,24 +104,24 @@
 	Targets []booking.Target `json:"targets"`
 }
 
-// since is what changed after a revision, or all for 0, with the boxes and states that it tells of. n.mu is held.
-func (n *news) since(rev uint64) (m message, told map[int]string) {
-	m, told = message{Rev: n.rev, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
+// changesSince is what changed after a revision, or all for 0, with the boxes and states that it tells of. n.mu is held.
+func (n *tierDiscovery) changesSince(rev uint64) (m message, told map[int]string) {
+	m, told = message{Rev: n.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
 	for _, i := range n.order {
 		e := n.entries[i]
-		if e.rev <= rev {
+		if e.revision <= rev {
 			continue
 		}
 		told[i] = e.state
 		if m.All && e.state == "Gone" {
 			continue
 		}
-		b := &n.w.plan.Boxes[i]
-		t := booking.Target{UID: b.UID, Address: n.w.boxAddress(b.Slot), Zone: morning.Zone, Model: n.w.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.light}
-		switch boot := n.w.plan.Discovery.Boot; {
-		case e.boot == 0, boot == morning.BootNone:
-		case boot == morning.BootAhead:
-			t.BootMS = n.w.wall(e.boot + morning.Ahead).UnixMilli()
+		b := &n.w.plan.Servers[i]
+		t := booking.Target{UID: b.UID, Address: n.w.serverAddress(b.Slot), Zone: morning.Zone, Model: n.w.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
+		switch boot := n.w.plan.Discovery.BootTime; {
+		case e.boot == 0, boot == morning.BootTimeNone:
+		case boot == morning.BootTimeAhead:
+			t.BootMS = n.w.wall(e.boot + morning.BootTimeSkew).UnixMilli()
 		default:
 			t.BootMS = n.w.wall(e.boot).UnixMilli()
 		}
@@ -130,30 +130,30 @@
 	return m, told
 }
 
-// still is how often a watch says that nothing has changed.
-const still = 2 * time.Second
+// watchInterval is how often a watch says that nothing has changed.
+const watchInterval = 2 * time.Second
 
-// agent is discovery as one sidecar has it.
-type agent struct {
-	news    *news
+// discovery is discovery as one sidecar has it.
+type discoveryAgent struct {
+	news    *tierDiscovery
 	sidecar int
 	late    time.Duration
 	server  http.Server
 }
 
-func startAgent(n *news, sidecar int, late time.Duration) (*agent, error) {
+func startDiscoveryAgent(n *tierDiscovery, sidecar int, late time.Duration) (*discoveryAgent, error) {
 	l, err := listen(n.w.discoveryAddress(sidecar))
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{news: n, sidecar: sidecar, late: late}
+	a := &discoveryAgent{news: n, sidecar: sidecar, late: late}
 	a.server.Handler = a
 	go a.server.Serve(l)
 	return a, nil
 }
 
 // ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch. While discovery is silent it says nothing.
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
 		return
@@ -162,16 +162,16 @@
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	watch := r.URL.Query().Get("follow") != ""
 	control, encoder := http.NewResponseController(w), json.NewEncoder(w)
-	tick := time.NewTicker(still)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	var before message
 	for first := true; ; first = false {
 		n.mu.Lock()
-		quiet, changed, again := n.quiet, n.changed, n.again
-		if since > n.rev {
+		quiet, changed, again := n.silent, n.changed, n.repeats
+		if since > n.revision {
 			since = 0 // of another discovery
 		}
-		m, told := n.since(since)
+		m, told := n.changesSince(since)
 		n.mu.Unlock()
 		if !quiet && (first || len(told) > 0) {
 			if encoder.Encode(m) != nil || again && !first && (encoder.Encode(before) != nil || encoder.Encode(m) != nil) || control.Flush() != nil {
@@ -183,7 +183,7 @@
 				told = nil // what the platform says does not count
 			}
 			for box, state := range told {
-				n.w.add(audit.Event{At: now, Kind: audit.Told, Sidecar: a.sidecar, Box: box, Text: state, Origin: -1})
+				n.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: a.sidecar, Server: box, Text: state, Origin: -1})
 			}
 			since = m.Rev
 			if !watch {
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -16,25 +16,25 @@
 	"quincegap/internal/standin/h3"
 )
 
-// boxName is in the certificates of boxes that speak HTTP/3.
-const boxName = "boxes.rehearsal.example.org"
+// serverCertificateName is in the certificates of boxes that speak HTTP/3.
+const serverCertificateName = "boxes.rehearsal.example.org"
 
 // stream is an attempt that came over HTTP/3. Its handler waits for what is to be said.
 type stream struct {
-	say chan func(http.ResponseWriter) // holds one
+	response chan func(http.ResponseWriter) // holds one
 }
 
-func (s *stream) put(f func(http.ResponseWriter)) {
+func (s *stream) respond(f func(http.ResponseWriter)) {
 	select {
-	case s.say <- f:
+	case s.response <- f:
 	default: // something has been said
 	}
 }
 
-func (s *stream) over(*call) {}
+func (s *stream) release(*attempt) {}
 
 func (s *stream) answer(status int, turnedAway bool, load, body string) {
-	s.put(func(w http.ResponseWriter) {
+	s.respond(func(w http.ResponseWriter) {
 		if load != "" {
 			w.Header().Set("X-Pressure", load)
 		}
@@ -47,9 +47,9 @@
 	})
 }
 
-// spoil says that more comes than does.
-func (s *stream) spoil() {
-	s.put(func(w http.ResponseWriter) {
+// garble says that more comes than does.
+func (s *stream) garble() {
+	s.respond(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Length", "500")
 		io.WriteString(w, "served")
 		http.NewResponseController(w).Flush()
@@ -58,16 +58,16 @@
 }
 
 func (s *stream) reset() {
-	s.put(func(w http.ResponseWriter) { h3.Reset(w, qh3.ErrCodeInternalError) })
+	s.respond(func(w http.ResponseWriter) { h3.ResetStream(w, qh3.ErrCodeInternalError) })
 }
 
-// http3Up has the box speak HTTP/3 beside HTTP/1.1, where its tier does.
-func (b *box) http3Up(life int) error {
-	if !b.w.plan.Tiers[b.plan.Tier].HTTP3 {
+// startHTTP3 has the box speak HTTP/3 beside HTTP/1.1, where its tier does.
+func (b *server) startHTTP3(life int) error {
+	if !b.world.plan.Tiers[b.spec.Tier].HTTP3 {
 		return nil
 	}
 	b.muted.Store(false)
-	e, err := h3.Start(b.w.boxAddress(b.plan.Slot), b.w.certificate, h3.Options{Muted: &b.muted}, func(w http.ResponseWriter, r *http.Request) { b.stream(w, r, life) })
+	e, err := h3.Start(b.world.serverAddress(b.spec.Slot), b.world.certificate, h3.Options{Muted: &b.muted}, func(w http.ResponseWriter, r *http.Request) { b.stream(w, r, life) })
 	if err != nil {
 		return err
 	}
@@ -77,11 +77,11 @@
 	return nil
 }
 
-// http3Down ends it without a word. b.mu is held.
-func (b *box) http3Down() {
+// stopHTTP3 ends it without a word. b.mu is held.
+func (b *server) stopHTTP3() {
 	for s, k := range b.streams {
-		b.ended(k, audit.Dropped)
-		s.put(func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
+		b.finish(k, audit.Dropped)
+		s.respond(func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
 		delete(b.streams, s)
 	}
 	if e := b.http3; e != nil {
@@ -89,28 +89,28 @@
 		b.muted.Store(true) // no word of its end gets out
 		done := make(chan struct{})
 		go func() {
-			e.Die()
+			e.Kill()
 			close(done)
 		}()
-		b.dying = done
+		b.previousEnded = done
 	}
 }
 
 // stream serves one request over HTTP/3.
-func (b *box) stream(w http.ResponseWriter, r *http.Request, life int) {
-	first := b.w.now()
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
-	if err != nil || len(body) > mostBody {
+func (b *server) stream(w http.ResponseWriter, r *http.Request, life int) {
+	first := b.world.now()
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(body) > maxBodyBytes {
 		return
 	}
-	s := &stream{say: make(chan func(http.ResponseWriter), 1)}
-	b.w.counters.http3.Add(1)
+	s := &stream{response: make(chan func(http.ResponseWriter), 1)}
+	b.world.counters.http3.Add(1)
 	b.mu.Lock()
-	k := b.newCall(s, life, r.Header)
-	if b.life == life {
+	k := b.newAttempt(s, life, r.Header)
+	if b.incarnation == life {
 		b.streams[s] = k
 	}
-	b.begin(k, first, r.Header)
+	b.beginAttempt(k, first, r.Header)
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
@@ -118,30 +118,30 @@
 		b.mu.Unlock()
 	}()
 	select {
-	case f := <-s.say:
+	case f := <-s.response:
 		f(w)
 	case <-r.Context().Done():
 		b.mu.Lock()
-		b.withdrawn(k)
+		b.cancel(k)
 		b.mu.Unlock()
 	}
 }
 
-// certify makes the certificate of all boxes, and a file with its authority for sidecars; the file's name is returned.
-func (w *world) certify(dir string) (string, error) {
+// createCertificate makes the certificate of all boxes, and a file with its authority for sidecars; the file's name is returned.
+func (w *rehearsal) createCertificate(dir string) (string, error) {
 	a, err := authority.New()
 	if err != nil {
 		return "", err
 	}
-	if w.certificate, err = a.Pair(boxName); err != nil {
+	if w.certificate, err = a.Pair(serverCertificateName); err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "boxes-ca.pem")
 	return path, os.WriteFile(path, a.PEM(), 0o600)
 }
 
-// speaksHTTP3 tells whether a tier does.
-func (w *world) speaksHTTP3() bool {
+// usesHTTP3 tells whether a tier does.
+func (w *rehearsal) usesHTTP3() bool {
 	for _, t := range w.plan.Tiers {
 		if t.HTTP3 {
 			return true
@@ -159,10 +159,10 @@
 
 `
 
-// gone waits until an earlier life of the box has let go of its UDP socket.
-func (b *box) gone(ctx context.Context) {
+// awaitPreviousEnd waits until an earlier life of the box has let go of its UDP socket.
+func (b *server) awaitPreviousEnd(ctx context.Context) {
 	b.mu.Lock()
-	dying := b.dying
+	dying := b.previousEnded
 	b.mu.Unlock()
 	if dying == nil {
 		return
--- a/internal/rehearsal/rehearse/liar_test.go
+++ b/internal/rehearsal/rehearse/liar_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// ready are the boxes that may be sent to.
+// waitReady are the boxes that may be sent to.
 func (l *liar) ready() (all []booking.Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +183,7 @@
 			far = t
 		}
 	}
-	left, _ := remaining(r.Header.Get("X-Remaining"))
+	left, _ := parseRemaining(r.Header.Get("X-Remaining"))
 	ctx := context.Background()
 	say := func(status int, body []byte) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -27,15 +27,15 @@
 
 `
 
-func (w *world) linkAddress(at, i int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.net, at, i+firstHost, port)
+func (w *rehearsal) linkAddress(at, i int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", w.network, at, i+firstHost, port)
 }
 
-// link puts a relay before each sidecar of the first tier.
-func (w *world) link() error {
+// startLinks puts a relay before each sidecar of the first tier.
+func (w *rehearsal) startLinks() error {
 	w.links = relay.New(w.plan.Seed)
 	for i, s := range w.sidecars[:w.plan.Sidecars.Count] {
-		if err := w.links.Join(s.name, w.linkAddress(relayAt, i), w.linkAddress(peersAt, i)); err != nil {
+		if err := w.links.AddMember(s.name, w.linkAddress(relayRow, i), w.linkAddress(peersRow, i)); err != nil {
 			w.links.Close()
 			return err
 		}
@@ -45,12 +45,12 @@
 
 func (s *sidecar) peersFile(dir string) string {
 	var join []string
-	for i := range min(3, s.w.plan.Sidecars.Count) {
+	for i := range min(3, s.rehearsal.plan.Sidecars.Count) {
 		if i != s.index {
-			join = append(join, s.w.linkAddress(relayAt, i))
+			join = append(join, s.rehearsal.linkAddress(relayRow, i))
 		}
 	}
-	text := fmt.Sprintf(peersFile, s.admin(dir), s.w.linkAddress(peersAt, s.index), s.w.linkAddress(relayAt, s.index), strings.Join(join, ","))
+	text := fmt.Sprintf(peersFile, s.admin(dir), s.rehearsal.linkAddress(peersRow, s.index), s.rehearsal.linkAddress(relayRow, s.index), strings.Join(join, ","))
 	if len(join) == 0 {
 		text = strings.Replace(text, "peers_join = \"\"\n", "", 1)
 	}
@@ -59,9 +59,9 @@
 
 func (s *sidecar) admin(dir string) string { return filepath.Join(dir, s.name+".sock") }
 
-// befall plays a step of the links.
-func (w *world) befall(s morning.Step) {
-	by, on := max(s.By, -s.By), s.By > 0
+// applyLinkFault plays a step of the links.
+func (w *rehearsal) applyLinkFault(s morning.Step) {
+	by, on := max(s.Amount, -s.Amount), s.Amount > 0
 	var some, others []string
 	for i, o := range w.sidecars[:w.plan.Sidecars.Count] {
 		if i >= s.Sidecar && i < s.Sidecar+int(by) {
@@ -70,36 +70,36 @@
 			others = append(others, o.name)
 		}
 	}
-	switch s.What {
+	switch s.Name {
 	case "cut":
-		w.links.Cut(some, others, on)
-		w.links.Cut(others, some, on)
+		w.links.Partition(some, others, on)
+		w.links.Partition(others, some, on)
 	case "mute":
-		w.links.Cut(some, others, on)
+		w.links.Partition(some, others, on)
 	default:
-		w.links.Change(func(f *relay.Fault) {
+		w.links.ChangeFault(func(f *relay.Fault) {
 			if !on {
 				by = 0
 			}
-			switch s.What {
+			switch s.Name {
 			case "lost":
-				f.Loss = by
+				f.LossShare = by
 			case "doubled":
-				f.Double = by
+				f.DuplicateShare = by
 			case "late":
-				f.Late = time.Duration(by * float64(time.Second))
+				f.MaxDelay = time.Duration(by * float64(time.Second))
 			}
 		})
 	}
 }
 
-// oneWithin is how long sidecars that all live have, once nothing befalls them any more, until they have one view.
-const oneWithin = 90 * time.Second
+// convergenceTimeout is how long sidecars that all live have, once nothing befalls them any more, until they have one view.
+const convergenceTimeout = 90 * time.Second
 
-// apart waits until all sidecars that serve have one view, settled, and returns "", or the views that they have.
-func (w *world) apart(ctx context.Context, p *program) string {
+// waitForOneView waits until all sidecars that serve have one view, settled, and returns "", or the views that they have.
+func (w *rehearsal) waitForOneView(ctx context.Context, p *program) string {
 	w.links.Heal()
-	for end := time.Now().Add(oneWithin); ; {
+	for end := time.Now().Add(convergenceTimeout); ; {
 		var views strings.Builder
 		one, alive := true, 0
 		for _, s := range w.sidecars[:w.plan.Sidecars.Count] {
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -74,14 +74,14 @@
 		{"stale", safe, audit.FinalAnswer, "no box made"},
 		{"doubles", safe, audit.FinalAnswer, "nobody had asked for"},
 		{"after", safe, audit.FinalAnswer, "after its final answer"},
-		{"twice", keyed, audit.OnceOnly, "while another attempt was out"},
-		{"again", unsafe, audit.OnceOnly, "after an attempt that may have run"},
-		{"withdraws", unsafe, audit.OnceOnly, "after an attempt that may have run"},
-		{"far", keyed, audit.OnceOnly, "outside the group"},
-		{"refuses", unsafe, audit.OnceOnly, "trying again is harmless"},
-		{"many", safe + fewSlots, audit.OnceOnly, "3 are allowed"},
-		{"drains", safe + "at 400ms: 2 boxes drain for 1500ms\n", audit.Drains, "that it is Terminating"},
-		{"cold", safe + "at 300ms: 1 new boxes\n", audit.ColdBoxes, "fell over"},
+		{"twice", keyed, audit.AtMostOnce, "while another attempt was out"},
+		{"again", unsafe, audit.AtMostOnce, "after an attempt that may have run"},
+		{"withdraws", unsafe, audit.AtMostOnce, "after an attempt that may have run"},
+		{"far", keyed, audit.AtMostOnce, "outside the group"},
+		{"refuses", unsafe, audit.AtMostOnce, "trying again is harmless"},
+		{"many", safe + fewSlots, audit.AtMostOnce, "3 are allowed"},
+		{"drains", safe + "at 400ms: 2 boxes drain for 1500ms\n", audit.DrainRespected, "that it is Terminating"},
+		{"cold", safe + "at 300ms: 1 new boxes\n", audit.SlowStartRespected, "fell over"},
 	} {
 		t.Run(c.lie, func(t *testing.T) {
 			t.Parallel()
@@ -94,8 +94,8 @@
 			}
 			r, _ := rehearse(t, c.lie, script+c.script)
 			v := r.Verdict
-			if v.Void != "" {
-				t.Skip(v.Void) // this machine is too busy to tell
+			if v.VoidReason != "" {
+				t.Skip(v.VoidReason) // this machine is too busy to tell
 			}
 			if c.want == "" {
 				if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < 0.99 {
@@ -103,11 +103,11 @@
 				}
 				return
 			}
-			ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return b.Rule == c.rule && strings.Contains(b.Text, c.want) })
-			if !ok || v.Broken[c.rule] == 0 {
+			ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return b.Rule == c.rule && strings.Contains(b.Message, c.want) })
+			if !ok || v.BreachesByRule[c.rule] == 0 {
 				t.Errorf("not caught: %v", v.Breaches[:min(5, len(v.Breaches))])
 			}
-			for rule, n := range v.Broken {
+			for rule, n := range v.BreachesByRule {
 				// The second answer and what comes after an answer are seen by the next rule too, or not.
 				if audit.Rule(rule) != c.rule && n > 0 && c.lie != "after" {
 					t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, v.Breaches[:min(5, len(v.Breaches))])
@@ -171,17 +171,17 @@
 			t.Parallel()
 			r, _ := rehearse(t, "true", strings.Replace(small, "slack 60ms", "slack 250ms", 1)+c.script)
 			v := r.Verdict
-			if v.Void != "" {
-				t.Skip(v.Void)
+			if v.VoidReason != "" {
+				t.Skip(v.VoidReason)
 			}
 			if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < c.least {
 				t.Errorf("service %v, breaches %v, crashes %v", v.Service, v.Breaches, v.Crashes)
 			}
-			if over := strings.Contains(name, "HTTP/3"); over != (r.HTTP3 > int64(v.Attempts)/2) {
-				t.Errorf("%d of %d attempts came over HTTP/3", r.HTTP3, v.Attempts)
+			if over := strings.Contains(name, "HTTP/3"); over != (r.HTTP3 > int64(v.ServerAttempts)/2) {
+				t.Errorf("%d of %d attempts came over HTTP/3", r.HTTP3, v.ServerAttempts)
 			}
-			if r.Hanging > 0 {
-				t.Errorf("rude callers hang: %v", r.HungOn)
+			if r.UnansweredFaultyCallers > 0 {
+				t.Errorf("rude callers hang: %v", r.UnansweredInputs)
 			}
 		})
 	}
@@ -191,7 +191,7 @@
 func TestNothingGoesOn(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	rehearse(t, "true", small+keyed+"tier slot-keeper protocol http3\ndiscovery by consul\nat 300ms: 20 rude callers for 5s\nat 500ms: 1 boxes go silent for 9s\n")
-	asking.CloseIdleConnections()
+	readinessClient.CloseIdleConnections()
 	goleak.VerifyNone(t, before)
 }
 
@@ -207,30 +207,30 @@
 at 800ms: box 1 of slot-keeper dies
 `)
 	v := r.Verdict
-	if v.Void != "" {
-		t.Skip(v.Void)
+	if v.VoidReason != "" {
+		t.Skip(v.VoidReason)
 	}
-	if len(v.Breaches) > 0 || v.Service < 0.9 || v.PerCall < 0.9 || v.PerCall > 1.3 || v.Attempts < 2*v.Requests {
+	if len(v.Breaches) > 0 || v.Service < 0.9 || v.AttemptsPerCall < 0.9 || v.AttemptsPerCall > 1.3 || v.ServerAttempts < 2*v.Requests {
 		t.Errorf("%+v", v)
 	}
 	tiers := map[int]int{}
 	for _, e := range events {
-		if e.Kind == audit.Sent {
-			tiers[r.Plan.Boxes[e.Box].Tier]++
+		if e.Kind == audit.AttemptReceived {
+			tiers[r.Plan.Servers[e.Server].Tier]++
 		}
 	}
 	if tiers[0] < v.InTime || tiers[1] < 2*v.InTime {
 		t.Errorf("attempts by tier: %v, %d requests", tiers, v.InTime)
 	}
-	if len(v.Stories) == 0 || !slices.ContainsFunc(v.Stories[0].Lines, func(l audit.Line) bool {
+	if len(v.Traces) == 0 || !slices.ContainsFunc(v.Traces[0].Lines, func(l audit.TraceLine) bool {
 		return strings.Contains(l.Text, "box") && strings.Contains(l.Text, "slot-keeper")
 	}) {
-		t.Errorf("%+v", v.Stories)
+		t.Errorf("%+v", v.Traces)
 	}
 }
 
 // oneBox is the first box of a script on its socket, with the clock at 0 and nobody else there.
-func oneBox(t *testing.T, script string) (*world, *box) {
+func oneBox(t *testing.T, script string) (*rehearsal, *server) {
 	t.Helper()
 	var found finding.List
 	m := morning.Read("m", []byte(script), &found)
@@ -238,13 +238,13 @@
 		t.Fatal(found.Err())
 	}
 	w := newWorld(context.Background(), m.Plan(0))
-	if err := w.claim(); err != nil {
+	if err := w.claimNetwork(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { w.guard.Close() })
-	w.begins.Store(0)
-	w.begins.Store(int64(w.now()))
-	b := newBox(w, 0)
+	w.clockOffset.Store(0)
+	w.clockOffset.Store(int64(w.now()))
+	b := newServer(w, 0)
 	if err := b.start(false); err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +256,7 @@
 // then is another life's.
 func TestSilence(t *testing.T) {
 	w, b := oneBox(t, small+safe)
-	address := w.boxAddress(0)
+	address := w.serverAddress(0)
 	open := dialBox(t, address)
 	open.ask(t, "r1t1")
 	if got := open.read(t, time.Second); !strings.Contains(got, "served r1t1 ") {
@@ -286,9 +286,9 @@
 		t.Errorf("%q", got)
 	}
 	events, _ := w.log.Events()
-	swallowed := slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.Sent && e.Request == "r2t1" })
+	swallowed := slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.AttemptReceived && e.Request == "r2t1" })
 	answered := slices.ContainsFunc(events, func(e audit.Event) bool {
-		return e.Kind == audit.Ended && e.Request == "r2t1" && e.How != audit.Dropped
+		return e.Kind == audit.AttemptEnded && e.Request == "r2t1" && e.Result != audit.Dropped
 	})
 	if !swallowed || answered {
 		t.Errorf("what a silent machine was sent: seen %v, answered %v", swallowed, answered)
@@ -298,12 +298,12 @@
 // A box closes what is half sent, turns away beyond its connections, and tells of its load.
 func TestBoxOnItsSocket(t *testing.T) {
 	w, _ := oneBox(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
-	one, two := dialBox(t, w.boxAddress(0)), dialBox(t, w.boxAddress(0))
+	one, two := dialBox(t, w.serverAddress(0)), dialBox(t, w.serverAddress(0))
 	two.ask(t, "r7t1")
 	two.read(t, time.Second)
 	one.ask(t, "r8t1")
 	one.read(t, time.Second)
-	three := dialBox(t, w.boxAddress(0))
+	three := dialBox(t, w.serverAddress(0))
 	if got := three.read(t, time.Second); !strings.Contains(got, "reset") && !strings.Contains(got, "EOF") {
 		t.Errorf("a connection too many: %q", got)
 	}
@@ -317,19 +317,21 @@
 	one.CloseWrite()
 	one.read(t, time.Second)
 	events, _ := w.log.Events()
-	if !slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.Ended && e.Request == "r5t1" && e.How == audit.Cut }) {
+	if !slices.ContainsFunc(events, func(e audit.Event) bool {
+		return e.Kind == audit.AttemptEnded && e.Request == "r5t1" && e.Result == audit.Truncated
+	}) {
 		t.Error("half a request is not noted as cut off")
 	}
 	// A keyed repeat in its cell has no second effect.
-	if w.again != 0 || len(w.effects) != 1 {
-		t.Errorf("%d effects, %d beyond the first", len(w.effects), w.again)
+	if w.repeatedEffects != 0 || len(w.effects) != 1 {
+		t.Errorf("%d effects, %d beyond the first", len(w.effects), w.repeatedEffects)
 	}
 }
 
 // The watch on the emulator itself sees that it was late.
 func TestLateEmulatorIsSeen(t *testing.T) {
 	w, b := oneBox(t, small+safe)
-	c := dialBox(t, w.boxAddress(0))
+	c := dialBox(t, w.serverAddress(0))
 	c.ask(t, "r1t1")
 	c.read(t, time.Second)
 	c.ask(t, "r2t1")
@@ -344,7 +346,7 @@
 	}
 	c.read(t, time.Second)
 	events, _ := w.log.Events()
-	if !slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.Late && e.Left > 100*time.Millisecond }) {
+	if !slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.EmulatorLate && e.Duration > 100*time.Millisecond }) {
 		t.Error("not seen")
 	}
 }
@@ -367,16 +369,16 @@
 at 3s: all sidecars get SIGKILL and are back after 2s
 `)
 	v := r.Verdict
-	sums := audit.Sum(r.Plan.AuditRules(), events)
+	sums := audit.Totals(r.Plan.AuditRules(), events)
 	t.Logf("service %.3f, %+v, %d sidecars", v.Service, *sums, len(r.Processes))
-	if v.Void != "" {
-		t.Skip(v.Void)
+	if v.VoidReason != "" {
+		t.Skip(v.VoidReason)
 	}
 	if len(v.Breaches) > 0 || len(v.Crashes) > 0 {
 		t.Errorf("%v, %v", v.Breaches[:min(5, len(v.Breaches))], v.Crashes)
 	}
-	if sums.Falls > 0 || sums.Cold == 0 {
-		t.Errorf("%d boxes fell; %.2f of what a cold box bears", sums.Falls, sums.Cold)
+	if sums.Collapses > 0 || sums.ColdLoad == 0 {
+		t.Errorf("%d boxes fell; %.2f of what a cold box bears", sums.Collapses, sums.ColdLoad)
 	}
 	if v.Service < 0.3 {
 		t.Errorf("service %v", v.Service)
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -13,8 +13,8 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-// mostSidecars are played on sockets, each a process.
-const mostSidecars = 64
+// maxSidecars are played on sockets, each a process.
+const maxSidecars = 64
 
 // Options are how a rehearsal is run.
 type Options struct {
@@ -33,26 +33,26 @@
 
 // Result is what came of one.
 type Result struct {
-	Plan    *morning.Plan
-	Verdict *audit.Verdict
-	CPU     time.Duration // of all sidecars together
-	Memory  int64         // of the largest, in bytes
-	Hanging int64         // rude callers that got neither an answer nor a close in time
-	HungOn  []string
-	HTTP3   int64 // attempts that came over HTTP/3
+	Plan                    *morning.Plan
+	Verdict                 *audit.Verdict
+	CPU                     time.Duration // of all sidecars together
+	Memory                  int64         // of the largest, in bytes
+	UnansweredFaultyCallers int64         // rude callers that got neither an answer nor a close in time
+	UnansweredInputs        []string
+	HTTP3                   int64 // attempts that came over HTTP/3
 	// Processes are the sidecars' that were started; all have ended.
-	Processes []int
-	Apart     string // the views of sidecars that find one another, where they were not one and settled in the end
-	Again     int    // effects of a key beyond its first, callers' own repeats included
+	Processes       []int
+	DivergentViews  string // the views of sidecars that find one another, where they were not one and settled in the end
+	RepeatedEffects int    // effects of a key beyond its first, callers' own repeats included
 }
 
-// Check tells why a plan can be played in virtual time alone, nil if it can be on sockets too.
-func Check(plan *morning.Plan) error {
-	if n := len(plan.Senders()); n > mostSidecars {
-		return fmt.Errorf("%d sidecars are more than the %d that are played on sockets", n, mostSidecars)
+// CheckSockets tells why a plan can be played in virtual time alone, nil if it can be on sockets too.
+func CheckSockets(plan *morning.Plan) error {
+	if n := len(plan.SidecarSpecs()); n > maxSidecars {
+		return fmt.Errorf("%d sidecars are more than the %d that are played on sockets", n, maxSidecars)
 	}
-	if plan.Boxes[len(plan.Boxes)-1].Slot >= mostBoxSlots {
-		return fmt.Errorf("more addresses of boxes than the %d that there are on sockets", mostBoxSlots)
+	if plan.Servers[len(plan.Servers)-1].Slot >= maxServerSlots {
+		return fmt.Errorf("more addresses of boxes than the %d that there are on sockets", maxServerSlots)
 	}
 	return nil
 }
@@ -62,10 +62,10 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := newWorld(ctx, plan)
-	if err := Check(plan); err != nil {
+	if err := CheckSockets(plan); err != nil {
 		return nil, err
 	}
-	if err := w.claim(); err != nil {
+	if err := w.claimNetwork(); err != nil {
 		return nil, err
 	}
 	defer w.guard.Close()
@@ -79,41 +79,41 @@
 	program := newProgram(path, o.Dir)
 	program.env = o.Env
 	defer close(program.starter)
-	w.sidecarsOf(plan)
+	w.createSidecars(plan)
 	for i := range plan.Tiers {
-		w.news = append(w.news, newNews(w, i))
+		w.discovery = append(w.discovery, newTierDiscovery(w, i))
 	}
-	for i := range plan.Boxes {
-		w.boxes = append(w.boxes, newBox(w, i))
+	for i := range plan.Servers {
+		w.servers = append(w.servers, newServer(w, i))
 	}
 	defer func() {
-		for _, b := range w.boxes {
+		for _, b := range w.servers {
 			b.stop()
 		}
 	}()
-	if w.speaksHTTP3() {
-		if w.authority, err = w.certify(o.Dir); err != nil {
+	if w.usesHTTP3() {
+		if w.authority, err = w.createCertificate(o.Dir); err != nil {
 			return nil, err
 		}
 	}
 	if plan.Sidecars.Peers {
-		if err := w.link(); err != nil {
+		if err := w.startLinks(); err != nil {
 			return nil, err
 		}
 		defer w.links.Close()
 	}
 	defer func() { w.endAll(program) }() // also where it could not all be started: no process is left
-	if err := w.open(ctx, program); err != nil {
+	if err := w.startAll(ctx, program); err != nil {
 		return nil, err
 	}
 	w.play(ctx, program, o.Progress)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	w.hangs(ctx)
+	w.findHanging(ctx)
 	result = &Result{Plan: plan}
 	if w.links != nil {
-		result.Apart = w.apart(ctx, program)
+		result.DivergentViews = w.waitForOneView(ctx, program)
 	}
 	cancel()
 	w.endAll(program)
@@ -126,11 +126,11 @@
 	for _, s := range w.sidecars {
 		rules.Sidecars = append(rules.Sidecars, s.name)
 	}
-	result.Verdict, result.Again, result.HTTP3 = audit.Judge(rules, events, lost), w.again, w.counters.http3.Load()
-	for i := range w.hanging {
-		if n := w.hanging[i].Load(); n > 0 {
-			result.Hanging += n
-			result.HungOn = append(result.HungOn, fmt.Sprintf("%d that sent %.40q", n, rudeness[i]))
+	result.Verdict, result.RepeatedEffects, result.HTTP3 = audit.Judge(rules, events, lost), w.repeatedEffects, w.counters.http3.Load()
+	for i := range w.unanswered {
+		if n := w.unanswered[i].Load(); n > 0 {
+			result.UnansweredFaultyCallers += n
+			result.UnansweredInputs = append(result.UnansweredInputs, fmt.Sprintf("%d that sent %.40q", n, faultyRequests[i]))
 		}
 	}
 	for _, s := range w.sidecars {
@@ -141,10 +141,10 @@
 	return result, nil
 }
 
-// open starts all that is there from the beginning: boxes, discovery, then the sidecars, those behind first.
-func (w *world) open(ctx context.Context, p *program) error {
-	for i, b := range w.boxes {
-		if w.plan.Boxes[i].From == 0 {
+// startAll starts all that is there from the beginning: boxes, discovery, then the sidecars, those behind first.
+func (w *rehearsal) startAll(ctx context.Context, p *program) error {
+	for i, b := range w.servers {
+		if w.plan.Servers[i].StartsAt == 0 {
 			if err := b.start(false); err != nil {
 				return fmt.Errorf("%s: %w", w.plan.Name(i), err)
 			}
@@ -152,24 +152,24 @@
 	}
 	for i, s := range w.sidecars {
 		var err error
-		if s.agent, err = startAgent(w.news[s.tier], i, s.late); err != nil {
+		if s.discovery, err = startDiscoveryAgent(w.discovery[s.tier], i, s.notificationDelay); err != nil {
 			return err
 		}
 		if !w.plan.Discovery.Consul {
 			continue
 		}
-		n := w.news[s.tier]
-		if s.agency, err = startAgency(n, i); err != nil {
+		n := w.discovery[s.tier]
+		if s.consulAgent, err = startConsulAgent(n, i); err != nil {
 			return err
 		}
 		n.mu.Lock()
-		n.agencies = append(n.agencies, s.agency)
+		n.consulAgents = append(n.consulAgents, s.consulAgent)
 		n.mu.Unlock()
 	}
 	var wg sync.WaitGroup
 	errs := make([]error, len(w.sidecars))
 	for i, s := range w.sidecars {
-		if box := w.boxBefore(s); box >= 0 && w.plan.Boxes[box].From > 0 {
+		if box := w.serverOf(s); box >= 0 && w.plan.Servers[box].StartsAt > 0 {
 			continue // it starts with its box
 		}
 		wg.Go(func() { errs[i] = s.start(ctx, p) })
@@ -184,9 +184,9 @@
 	return nil
 }
 
-// boxBefore is the box whose calls go through a sidecar, or -1.
-func (w *world) boxBefore(s *sidecar) int {
-	for box, o := range w.behind {
+// serverOf is the box whose calls go through a sidecar, or -1.
+func (w *rehearsal) serverOf(s *sidecar) int {
+	for box, o := range w.sidecarOf {
 		if o == s {
 			return box
 		}
@@ -195,24 +195,24 @@
 }
 
 // play runs the steps and the arrivals in real time, and waits until every caller has ended.
-func (w *world) play(ctx context.Context, p *program, progress func(Progress)) {
+func (w *rehearsal) play(ctx context.Context, p *program, progress func(Progress)) {
 	// Some time to settle, then the clock begins. What was noted before lies below 0.
 	const settle = 300 * time.Millisecond
-	w.begins.Store(int64(time.Since(w.made) + settle))
+	w.clockOffset.Store(int64(time.Since(w.createdAt) + settle))
 	watching, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
 	defer func() {
 		stop()
 		watchers.Wait() // progress is told to nobody who has gone
 	}()
-	watchers.Go(func() { w.watch(watching) })
+	watchers.Go(func() { w.watchLateness(watching) })
 	if progress != nil {
-		watchers.Go(func() { w.tellProgress(watching, progress) })
+		watchers.Go(func() { w.reportProgress(watching, progress) })
 	}
 	var callers, steps sync.WaitGroup
 	steps.Go(func() {
 		for _, s := range w.plan.Steps {
-			if s.At > w.plan.Length || !w.until(ctx, s.At) {
+			if s.At > w.plan.Length || !w.waitUntil(ctx, s.At) {
 				return
 			}
 			w.noteLate(w.now() - s.At) // a box that ought to be down by now takes calls
@@ -220,17 +220,17 @@
 		}
 	})
 	for n := range w.plan.Arrivals {
-		if !w.until(ctx, w.plan.Arrivals[n].At) {
+		if !w.waitUntil(ctx, w.plan.Arrivals[n].At) {
 			break
 		}
-		callers.Go(func() { w.arrive(n) })
+		callers.Go(func() { w.playArrival(n) })
 	}
 	callers.Wait()
-	w.rude.Store(0)
+	w.faultyCallers.Store(0)
 	steps.Wait()
 }
 
-func (w *world) until(ctx context.Context, at time.Duration) bool {
+func (w *rehearsal) waitUntil(ctx context.Context, at time.Duration) bool {
 	if wait := at - w.now(); wait > 0 {
 		select {
 		case <-time.After(wait):
@@ -241,112 +241,112 @@
 	return ctx.Err() == nil
 }
 
-func (w *world) tellProgress(ctx context.Context, progress func(Progress)) {
-	for s := 1; w.until(ctx, time.Duration(s)*time.Second); s++ {
+func (w *rehearsal) reportProgress(ctx context.Context, progress func(Progress)) {
+	for s := 1; w.waitUntil(ctx, time.Duration(s)*time.Second); s++ {
 		c := &w.counters
 		progress(Progress{w.now().Truncate(time.Second), c.asked.Load(), c.served.Load(), c.refused.Load(), c.failed.Load(), c.attempts.Load()})
 	}
 }
 
 // step plays one step of the plan.
-func (w *world) step(ctx context.Context, p *program, s morning.Step, steps *sync.WaitGroup) {
+func (w *rehearsal) step(ctx context.Context, p *program, s morning.Step, steps *sync.WaitGroup) {
 	failed := func(err error) {
 		if err != nil && ctx.Err() == nil {
-			w.add(audit.Event{At: w.now(), Kind: audit.Died, Sidecar: s.Sidecar, Box: s.Box, Origin: -1, Text: err.Error()})
+			w.record(audit.Event{At: w.now(), Kind: audit.SidecarDied, Sidecar: s.Sidecar, Server: s.Server, Origin: -1, Text: err.Error()})
 		}
 	}
-	var b *box
-	if s.Do <= morning.Tell || s.Do == morning.Weigh {
-		b = w.boxes[s.Box]
+	var b *server
+	if s.Kind <= morning.DiscoveryUpdate || s.Kind == morning.DiscoveryWeight {
+		b = w.servers[s.Server]
 	}
-	switch s.Do {
-	case morning.Crash:
-		if own := w.behind[s.Box]; own != nil {
+	switch s.Kind {
+	case morning.ServerCrash:
+		if own := w.sidecarOf[s.Server]; own != nil {
 			own.signal("SIGKILL")
 		}
 		b.stop()
-	case morning.Silence:
-		if own := w.behind[s.Box]; own != nil {
+	case morning.ServerSilence:
+		if own := w.sidecarOf[s.Server]; own != nil {
 			own.signal("SIGSTOP")
 		}
 		steps.Go(b.silence)
-	case morning.Start:
+	case morning.ServerStart:
 		b.stop()
 		if err := b.start(true); err != nil {
-			failed(fmt.Errorf("%s cannot start: %w", w.plan.Name(s.Box), err))
+			failed(fmt.Errorf("%s cannot start: %w", w.plan.Name(s.Server), err))
 			return
 		}
-		if own := w.behind[s.Box]; own != nil {
+		if own := w.sidecarOf[s.Server]; own != nil {
 			own.signal("SIGKILL") // it went silent with its box
 			own.mu.Lock()
 			own.stopped = false
 			own.mu.Unlock()
-			steps.Go(func() { failed(own.revive(ctx, p)) })
+			steps.Go(func() { failed(own.restart(ctx, p)) })
 		}
-	case morning.Pause, morning.Slow:
+	case morning.ServerPause, morning.ServerSlowdown:
 		b.mu.Lock()
 		if b.model != nil {
 			b.advance()
-			if s.Do == morning.Pause {
+			if s.Kind == morning.ServerPause {
 				b.model.Pause(w.now(), s.Until)
 			} else {
-				b.model.Slow(w.now(), s.By)
+				b.model.Slow(w.now(), s.Amount)
 			}
-			b.arm()
+			b.resetTimer()
 		}
 		b.mu.Unlock()
-	case morning.Fault:
+	case morning.ServerFault:
 		b.mu.Lock()
-		b.faults[s.What] = s.By
+		b.faults[s.Name] = s.Amount
 		b.mu.Unlock()
-	case morning.Tell:
-		w.news[w.plan.Boxes[s.Box].Tier].tell(s.Box, s.State, s.Boot)
-	case morning.Weigh:
-		w.news[w.plan.Boxes[s.Box].Tier].weigh(s.Box, s.By)
-	case morning.Again:
-		for _, n := range w.news {
-			n.repeat(s.By > 0)
+	case morning.DiscoveryUpdate:
+		w.discovery[w.plan.Servers[s.Server].Tier].update(s.Server, s.State, s.Boot)
+	case morning.DiscoveryWeight:
+		w.discovery[w.plan.Servers[s.Server].Tier].setWeight(s.Server, s.Amount)
+	case morning.DiscoveryRepeat:
+		for _, n := range w.discovery {
+			n.setRepeats(s.Amount > 0)
 		}
-	case morning.Quiet:
-		for _, n := range w.news {
-			n.silent(s.By > 0)
+	case morning.DiscoverySilence:
+		for _, n := range w.discovery {
+			n.setSilent(s.Amount > 0)
 		}
-	case morning.Signal:
-		w.sidecars[s.Sidecar].signal(s.What)
-	case morning.Revive:
+	case morning.SidecarSignal:
+		w.sidecars[s.Sidecar].signal(s.Name)
+	case morning.SidecarRestart:
 		own := w.sidecars[s.Sidecar]
 		steps.Go(func() {
-			if err := own.revive(ctx, p); err != nil {
+			if err := own.restart(ctx, p); err != nil {
 				failed(err)
 				return
 			}
 			w.front.add(own)
 		})
-	case morning.Link:
-		w.befall(s)
-	case morning.Rude:
-		before := int(w.rude.Swap(int64(s.By)))
-		for i := before; i < int(s.By); i++ {
-			w.calls.Go(func() { w.beRude(i) })
+	case morning.LinkFault:
+		w.applyLinkFault(s)
+	case morning.FaultyCallerCount:
+		before := int(w.faultyCallers.Swap(int64(s.Amount)))
+		for i := before; i < int(s.Amount); i++ {
+			w.calls.Go(func() { w.runFaultyCaller(i) })
 		}
 	}
 }
 
-// hangs finds sidecars that are there and do not answer.
-func (w *world) hangs(ctx context.Context) {
+// findHanging finds sidecars that are there and do not answer.
+func (w *rehearsal) findHanging(ctx context.Context) {
 	for _, s := range w.sidecars {
 		if s.serving() && !s.answers(ctx) {
 			select {
 			case <-s.ended:
 			default:
-				w.add(audit.Event{At: w.now(), Kind: audit.Died, Sidecar: s.index, Box: -1, Origin: -1, Text: "hangs: GET /ready is not answered"})
+				w.record(audit.Event{At: w.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: "hangs: GET /ready is not answered"})
 			}
 		}
 	}
 }
 
 // endAll ends all sidecars and their discovery.
-func (w *world) endAll(p *program) {
+func (w *rehearsal) endAll(p *program) {
 	// A sidecar that was told to end waits for callers that are connected.
 	w.front.idle.close()
 	for _, s := range w.sidecars {
@@ -354,15 +354,15 @@
 	}
 	var wg sync.WaitGroup
 	for _, s := range w.sidecars {
-		wg.Go(func() { s.end(p) })
+		wg.Go(func() { s.terminate(p) })
 	}
 	wg.Wait()
 	for _, s := range w.sidecars {
-		if s.agent != nil {
-			s.agent.server.Close()
+		if s.discovery != nil {
+			s.discovery.server.Close()
 		}
-		if s.agency != nil {
-			s.agency.close()
+		if s.consulAgent != nil {
+			s.consulAgent.close()
 		}
 	}
 }
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -22,23 +22,23 @@
 
 // sidecar is a process of the program that is rehearsed, with its files and its discovery.
 type sidecar struct {
-	w       *world
-	index   int
-	name    string
-	address string
-	tier    int           // that it sends to
-	late    time.Duration // behind others in what it hears of boxes
-	number  int           // among its tier's
-	of      int           // how many these are
-	config  string
-	agent   *agent
-	agency  *agency // nil where the platform tells of boxes
-	idle    pool    // of the box before it
+	rehearsal         *rehearsal
+	index             int
+	name              string
+	address           string
+	tier              int           // that it sends to
+	notificationDelay time.Duration // behind others in what it hears of boxes
+	number            int           // among its tier's
+	count             int           // how many these are
+	config            string
+	discovery         *discoveryAgent
+	consulAgent       *consulAgent   // nil where the platform tells of boxes
+	idle              connectionPool // of the box before it
 
 	mu       sync.Mutex
 	process  *exec.Cmd
 	ended    chan struct{} // closed when the process has ended
-	told     bool          // it was told to end, so that its end is no crash
+	stopping bool          // it was told to end, so that its end is no crash
 	stopped  bool          // SIGSTOP: it stands still
 	starts   int
 	pids     []int
@@ -72,17 +72,17 @@
 func (s *sidecar) start(ctx context.Context, p *program) error {
 	s.mu.Lock()
 	s.starts++
-	seed, starts := uint64(s.index)<<32^s.w.plan.Seed, s.starts
+	seed, starts := uint64(s.index)<<32^s.rehearsal.plan.Seed, s.starts
 	s.mu.Unlock()
 	config := map[string]any{
-		"name": s.name, "listen": s.address, "discovery": s.w.discoveryAddress(s.index), "seed": fmt.Sprintf("%016x", seed+uint64(starts)),
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.w.plan.Sidecars.MemoryMB, "sockets": s.w.plan.Sidecars.Sockets},
-		"settings": s.w.plan.Settings(s.tier, s.number, s.of),
+		"name": s.name, "listen": s.address, "discovery": s.rehearsal.discoveryAddress(s.index), "seed": fmt.Sprintf("%016x", seed+uint64(starts)),
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.rehearsal.plan.Sidecars.MemoryMB, "sockets": s.rehearsal.plan.Sidecars.Sockets},
+		"settings": s.rehearsal.plan.Settings(s.tier, s.number, s.count),
 	}
 	if starts > 1 {
-		n := s.w.news[s.tier]
+		n := s.rehearsal.discovery[s.tier]
 		n.mu.Lock()
-		config["known"], _ = n.since(0)
+		config["known"], _ = n.changesSince(0)
 		n.mu.Unlock()
 	}
 	text, err := json.Marshal(config)
@@ -93,7 +93,7 @@
 	if err := os.WriteFile(s.config, text, 0o600); err != nil {
 		return err
 	}
-	args, err := s.file(p.dir)
+	args, err := s.writeConfigFile(p.dir)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	}
 	ended := make(chan struct{})
 	s.mu.Lock()
-	s.process, s.ended, s.told, s.stopped = cmd, ended, false, false
+	s.process, s.ended, s.stopping, s.stopped = cmd, ended, false, false
 	s.pids = append(s.pids, cmd.Process.Pid)
 	s.mu.Unlock()
 	go func() {
@@ -138,31 +138,31 @@
 		err := cmd.Wait()
 		pipe.Close()
 		s.mu.Lock()
-		told, last := s.told, s.lastLine
+		told, last := s.stopping, s.lastLine
 		if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 			s.memory = max(s.memory, use.Maxrss<<10)
 		}
 		s.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		s.mu.Unlock()
 		if !told {
-			s.w.front.remove(s)
-			s.w.add(audit.Event{At: s.w.now(), Kind: audit.Died, Sidecar: s.index, Box: -1, Origin: -1, Text: fmt.Sprintf("ended by itself (%v); its last line: %s", errorOf(err), last)})
+			s.rehearsal.front.remove(s)
+			s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: fmt.Sprintf("ended by itself (%v); its last line: %s", exitText(err), last)})
 		}
 		close(ended)
 	}()
-	return s.ready(ctx, ended)
+	return s.waitReady(ctx, ended)
 }
 
-// file writes the product's file where the morning needs one, and returns the arguments that name it.
-func (s *sidecar) file(dir string) (args []string, err error) {
-	text, tier := "", s.w.plan.Tiers[s.tier]
+// writeConfigFile writes the product's file where the morning needs one, and returns the arguments that name it.
+func (s *sidecar) writeConfigFile(dir string) (args []string, err error) {
+	text, tier := "", s.rehearsal.plan.Tiers[s.tier]
 	if tier.HTTP3 {
-		text += fmt.Sprintf(http3File, s.w.authority, boxName)
+		text += fmt.Sprintf(http3File, s.rehearsal.authority, serverCertificateName)
 	}
-	if s.w.plan.Discovery.Consul {
-		text += fmt.Sprintf(consulFile, s.w.consulAddress(s.index), tier.Name)
+	if s.rehearsal.plan.Discovery.Consul {
+		text += fmt.Sprintf(consulFile, s.rehearsal.consulAddress(s.index), tier.Name)
 	}
-	if s.w.links != nil && s.tier == 0 {
+	if s.rehearsal.links != nil && s.tier == 0 {
 		text += s.peersFile(dir)
 	}
 	if text == "" {
@@ -172,41 +172,41 @@
 	return []string{"-config", path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
-func errorOf(err error) string {
+func exitText(err error) string {
 	if err == nil {
 		return "exit code 0"
 	}
 	return err.Error()
 }
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-// ready waits until the sidecar serves.
-func (s *sidecar) ready(ctx context.Context, ended <-chan struct{}) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+// waitReady waits until the sidecar serves.
+func (s *sidecar) waitReady(ctx context.Context, ended <-chan struct{}) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		if s.answers(ctx) {
-			s.w.add(audit.Event{At: s.w.now(), Kind: audit.Up, Sidecar: s.index, Box: -1, Origin: -1})
+			s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: audit.SidecarUp, Sidecar: s.index, Server: -1, Origin: -1})
 			return nil
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("%s ended before it served: %s", s.name, s.last())
+			return fmt.Errorf("%s ended before it served: %s", s.name, s.lastLogLine())
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not serve after %v: %s", s.name, readyWithin, s.last())
+			return fmt.Errorf("%s does not serve after %v: %s", s.name, readyTimeout, s.lastLogLine())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-func (s *sidecar) last() string {
+func (s *sidecar) lastLogLine() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastLine
 }
 
-var asking = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
+var readinessClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 
 // answers tells whether GET /ready is answered 200.
 func (s *sidecar) answers(ctx context.Context) bool {
@@ -214,7 +214,7 @@
 	if err != nil {
 		return false
 	}
-	res, err := asking.Do(r)
+	res, err := readinessClient.Do(r)
 	if err != nil {
 		return false
 	}
@@ -226,7 +226,7 @@
 func (s *sidecar) serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.process != nil && !s.told && !s.stopped
+	return s.process != nil && !s.stopping && !s.stopped
 }
 
 // signal sends one. After SIGTERM comes SIGKILL, when the platform's time is up.
@@ -237,28 +237,28 @@
 		return
 	}
 	note := func(k audit.Kind) {
-		s.w.add(audit.Event{At: s.w.now(), Kind: k, Sidecar: s.index, Box: -1, Origin: -1})
+		s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: k, Sidecar: s.index, Server: -1, Origin: -1})
 	}
 	process, ended := s.process.Process, s.ended
 	switch name {
 	case "SIGHUP":
 		process.Signal(syscall.SIGHUP)
 	case "SIGSTOP":
-		note(audit.Killed)
-		s.stopped, s.told = true, true
+		note(audit.SidecarKilled)
+		s.stopped, s.stopping = true, true
 		process.Signal(syscall.SIGSTOP)
-		time.AfterFunc(notice, func() { s.w.front.remove(s) })
+		time.AfterFunc(failureNotice, func() { s.rehearsal.front.remove(s) })
 	case "SIGKILL":
-		note(audit.Killed)
-		s.told = true
+		note(audit.SidecarKilled)
+		s.stopping = true
 		process.Kill()
-		time.AfterFunc(notice, func() { s.w.front.removeEnded(s, process) })
+		time.AfterFunc(failureNotice, func() { s.rehearsal.front.removeEnded(s, process) })
 	case "SIGTERM":
-		note(audit.Stopping)
-		s.told = true
+		note(audit.SidecarStopping)
+		s.stopping = true
 		process.Signal(syscall.SIGTERM)
-		time.AfterFunc(drainsWithin, func() { s.w.front.removeEnded(s, process) })
-		time.AfterFunc(s.w.plan.Rules.Kill, func() {
+		time.AfterFunc(drainNotice, func() { s.rehearsal.front.removeEnded(s, process) })
+		time.AfterFunc(s.rehearsal.plan.Rules.KillDelay, func() {
 			select {
 			case <-ended:
 			default:
@@ -268,8 +268,8 @@
 	}
 }
 
-// drainsWithin is how long new connections come to a sidecar that was told to end.
-const drainsWithin = 300 * time.Millisecond
+// drainNotice is how long new connections come to a sidecar that was told to end.
+const drainNotice = 300 * time.Millisecond
 
 // removeEnded takes a sidecar out of the front, unless it has been started again since.
 func (f *front) removeEnded(s *sidecar, process *os.Process) {
@@ -281,10 +281,10 @@
 	}
 }
 
-// revive starts a sidecar that has ended again, or lets one that stands still go on. One that has not ended yet is waited for.
-func (s *sidecar) revive(ctx context.Context, p *program) error {
+// restart starts a sidecar that has ended again, or lets one that stands still go on. One that has not ended yet is waited for.
+func (s *sidecar) restart(ctx context.Context, p *program) error {
 	s.mu.Lock()
-	process, ended, stopped, told := s.process, s.ended, s.stopped, s.told
+	process, ended, stopped, told := s.process, s.ended, s.stopped, s.stopping
 	s.mu.Unlock()
 	if process != nil && !told {
 		select {
@@ -296,9 +296,9 @@
 	if stopped {
 		process.Process.Signal(syscall.SIGCONT)
 		s.mu.Lock()
-		s.stopped, s.told = false, false
+		s.stopped, s.stopping = false, false
 		s.mu.Unlock()
-		return s.ready(ctx, ended)
+		return s.waitReady(ctx, ended)
 	}
 	if ended != nil {
 		select {
@@ -310,13 +310,13 @@
 	return s.start(ctx, p)
 }
 
-const endsWithin = 2 * time.Second
+const terminationMargin = 2 * time.Second
 
-// end ends the process for good. One that goes on after SIGTERM for longer than the platform lets it is killed, and said to hang.
-func (s *sidecar) end(p *program) {
+// terminate ends the process for good. One that goes on after SIGTERM for longer than the platform lets it is killed, and said to hang.
+func (s *sidecar) terminate(p *program) {
 	s.mu.Lock()
-	process, ended, told, stopped := s.process, s.ended, s.told, s.stopped
-	s.told = true
+	process, ended, told, stopped := s.process, s.ended, s.stopping, s.stopped
+	s.stopping = true
 	s.mu.Unlock()
 	if process == nil {
 		return
@@ -333,20 +333,20 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(s.w.plan.Rules.Kill + endsWithin):
-		s.w.add(audit.Event{At: s.w.now(), Kind: audit.Died, Sidecar: s.index, Box: -1, Origin: -1, Text: "did not end after SIGTERM, and was killed"})
+	case <-time.After(s.rehearsal.plan.Rules.KillDelay + terminationMargin):
+		s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: "did not end after SIGTERM, and was killed"})
 		syscall.Kill(-process.Process.Pid, syscall.SIGKILL)
 		<-ended
 	}
 }
 
-// sidecarsOf makes the sidecars of a plan.
-func (w *world) sidecarsOf(plan *morning.Plan) {
-	for i, x := range plan.Senders() {
-		s := &sidecar{w: w, index: i, name: x.Name, address: w.sidecarAddress(i), tier: x.Tier, number: x.Number, of: x.Of, late: plan.LateFor(x)}
+// createSidecars makes the sidecars of a plan.
+func (w *rehearsal) createSidecars(plan *morning.Plan) {
+	for i, x := range plan.SidecarSpecs() {
+		s := &sidecar{rehearsal: w, index: i, name: x.Name, address: w.sidecarAddress(i), tier: x.Tier, number: x.Number, count: x.Count, notificationDelay: plan.NotificationDelay(x)}
 		w.sidecars = append(w.sidecars, s)
-		if x.Box >= 0 {
-			w.behind[x.Box] = s
+		if x.Server >= 0 {
+			w.sidecarOf[x.Server] = s
 		}
 	}
 }
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -18,8 +18,8 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-// short is the name of a morning's file.
-func short(m *morning.Morning) string {
+// scenarioName is the name of a morning's file.
+func scenarioName(m *morning.Scenario) string {
 	return strings.TrimSuffix(path.Base(m.Name), ".morning")
 }
 
@@ -29,15 +29,15 @@
 	figure func(p experiment.Point) experiment.Figure
 }{
 	{"service", func(p experiment.Point) experiment.Figure { return p.Service }},
-	{"worst 10 s", func(p experiment.Point) experiment.Figure { return p.Worst }},
-	{"refused", func(p experiment.Point) experiment.Figure { return p.Refused }},
+	{"worst 10 s", func(p experiment.Point) experiment.Figure { return p.WorstService }},
+	{"refused", func(p experiment.Point) experiment.Figure { return p.Rejected }},
 	{"failed", func(p experiment.Point) experiment.Figure { return p.Failed }},
-	{"attempts a call", func(p experiment.Point) experiment.Figure { return p.PerCall }},
+	{"attempts a call", func(p experiment.Point) experiment.Figure { return p.AttemptsPerCall }},
 	{"p99, s", func(p experiment.Point) experiment.Figure { return p.P99 }},
 }
 
-// Table writes the points of an experiment, mean and half of the 95% interval.
-func Table(w io.Writer, mornings []*morning.Morning, points []experiment.Point) error {
+// WriteTable writes the points of an experiment, mean and half of the 95% interval.
+func WriteTable(w io.Writer, mornings []*morning.Scenario, points []experiment.Point) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-24s %6s %5s", "morning", "load", "runs")
 	for _, c := range columns {
@@ -45,10 +45,10 @@
 	}
 	fmt.Fprintf(&b, " %9s %9s\n", "least", "breaches")
 	for _, p := range points {
-		fmt.Fprintf(&b, "%-24s %6.3g %5d", short(mornings[p.Morning]), p.Load, p.Runs)
+		fmt.Fprintf(&b, "%-24s %6.3g %5d", scenarioName(mornings[p.Scenario]), p.Load, p.Runs)
 		for _, c := range columns {
 			f := c.figure(p)
-			fmt.Fprintf(&b, "   %7.4f ±%6.4f", f.Mean, f.Half)
+			fmt.Fprintf(&b, "   %7.4f ±%6.4f", f.Mean, f.HalfInterval)
 		}
 		fmt.Fprintf(&b, " %9.4f %9d\n", p.Service.Min, p.Breaches)
 	}
@@ -56,20 +56,20 @@
 	return err
 }
 
-// bars are means with their intervals.
-type bars struct {
+// errorBars are means with their intervals.
+type errorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// curve draws the service over the load, a line for each morning.
-func curve(mornings []*morning.Morning, points []experiment.Point) (template.HTML, error) {
+// serviceCurve draws the service over the load, a line for each morning.
+func serviceCurve(mornings []*morning.Scenario, points []experiment.Point) (template.HTML, error) {
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "load, multiples of the script's rate", "service, mean and 95% interval"
 	c.Y.Min, c.Y.Max = 0, 1.02
 	c.X.Scale, c.X.Tick.Marker = plot.LogScale{}, plot.TickerFunc(func(low, high float64) (ticks []plot.Tick) {
 		for _, p := range points {
-			if p.Morning == points[0].Morning { // the others have the same loads
+			if p.Scenario == points[0].Scenario { // the others have the same loads
 				ticks = append(ticks, plot.Tick{Value: p.Load, Label: fmt.Sprintf("%.3g", p.Load)})
 			}
 		}
@@ -80,11 +80,11 @@
 	c.Add(plotter.NewGrid())
 	palette := []color.RGBA{blue, green, orange, red, purple, grey}
 	for i, m := range mornings {
-		var b bars
+		var b errorBars
 		for _, p := range points {
-			if p.Morning == i {
+			if p.Scenario == i {
 				b.XYs = append(b.XYs, plotter.XY{X: p.Load, Y: p.Service.Mean})
-				b.YErrors = append(b.YErrors, struct{ Low, High float64 }{p.Service.Half, p.Service.Half})
+				b.YErrors = append(b.YErrors, struct{ Low, High float64 }{p.Service.HalfInterval, p.Service.HalfInterval})
 			}
 		}
 		line, dots, err := plotter.NewLinePoints(b.XYs)
@@ -103,13 +103,13 @@
 			line.Dashes = []vg.Length{vg.Points(4), vg.Points(float64(i / len(palette) * 2))}
 		}
 		c.Add(line, dots, errs)
-		c.Legend.Add(short(m), line, dots)
+		c.Legend.Add(scenarioName(m), line, dots)
 	}
-	return svg(c)
+	return renderSVG(c)
 }
 
-// ExperimentPage writes an experiment as one page of HTML.
-func ExperimentPage(w io.Writer, made time.Time, mornings []*morning.Morning, points []experiment.Point) error {
+// WriteExperimentPage writes an experiment as one page of HTML.
+func WriteExperimentPage(w io.Writer, made time.Time, mornings []*morning.Scenario, points []experiment.Point) error {
 	type line struct {
 		Name, Load string
 		Runs       int
@@ -119,10 +119,10 @@
 	var lines []line
 	loads := map[float64]bool{}
 	for _, p := range points {
-		l := line{Name: short(mornings[p.Morning]), Load: fmt.Sprintf("%.3g", p.Load), Runs: p.Runs, Breaches: p.Breaches}
+		l := line{Name: scenarioName(mornings[p.Scenario]), Load: fmt.Sprintf("%.3g", p.Load), Runs: p.Runs, Breaches: p.Breaches}
 		for _, c := range columns {
 			f := c.figure(p)
-			l.Cells = append(l.Cells, fmt.Sprintf("%.4f ± %.4f", f.Mean, f.Half))
+			l.Cells = append(l.Cells, fmt.Sprintf("%.4f ± %.4f", f.Mean, f.HalfInterval))
 		}
 		l.Cells = append(l.Cells, fmt.Sprintf("%.4f", p.Service.Min))
 		lines = append(lines, l)
@@ -131,7 +131,7 @@
 	var chart template.HTML
 	if len(loads) > 1 {
 		var err error
-		if chart, err = curve(mornings, points); err != nil {
+		if chart, err = serviceCurve(mornings, points); err != nil {
 			return err
 		}
 	}
--- a/internal/rehearsal/report/marks.go
+++ b/internal/rehearsal/report/marks.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-// stepMarks are the steps that are marked on the chart of their box, by colour.
-var stepMarks = map[morning.Do]color.RGBA{
-	morning.Crash: red, morning.Silence: red, morning.Start: green, morning.Pause: orange, morning.Slow: orange, morning.Fault: orange,
+// stepColors are the steps that are marked on the chart of their box, by colour.
+var stepColors = map[morning.StepKind]color.RGBA{
+	morning.ServerCrash: red, morning.ServerSilence: red, morning.ServerStart: green, morning.ServerPause: orange, morning.ServerSlowdown: orange, morning.ServerFault: orange,
 }
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -21,13 +21,13 @@
 
 // The colours of the charts: those of Okabe and Ito, which people who see few colours can tell apart.
 var (
-	blue   = color.RGBA{0, 114, 178, 255}
-	green  = color.RGBA{0, 158, 115, 255}
-	orange = color.RGBA{230, 159, 0, 255}
-	red    = color.RGBA{213, 94, 0, 255}
-	purple = color.RGBA{204, 121, 167, 255}
-	grey   = color.RGBA{120, 120, 120, 255}
-	shade  = color.RGBA{0, 0, 0, 24}
+	blue        = color.RGBA{0, 114, 178, 255}
+	green       = color.RGBA{0, 158, 115, 255}
+	orange      = color.RGBA{230, 159, 0, 255}
+	red         = color.RGBA{213, 94, 0, 255}
+	purple      = color.RGBA{204, 121, 167, 255}
+	grey        = color.RGBA{120, 120, 120, 255}
+	windowShade = color.RGBA{0, 0, 0, 24}
 )
 
 const (
@@ -43,8 +43,8 @@
 	at    func(s audit.Second) float64
 }
 
-// chart draws lines by second over the windows of the script.
-func (p *Play) chart(unit string, lines []series) (template.HTML, error) {
+// secondsChart draws lines by second over the windows of the script.
+func (p *Run) secondsChart(unit string, lines []series) (template.HTML, error) {
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "seconds", unit
 	c.X.Min, c.X.Max = 0, p.Plan.Length.Seconds()
@@ -79,11 +79,11 @@
 	for _, l := range drawn {
 		c.Add(l)
 	}
-	return svg(c)
+	return renderSVG(c)
 }
 
 // shadeWindows puts a shade where the script has something going on; where windows overlap, one.
-func (p *Play) shadeWindows(c *plot.Plot) error {
+func (p *Run) shadeWindows(c *plot.Plot) error {
 	var merged [][2]float64
 	for _, w := range p.Plan.Windows { // in the order of their beginnings
 		from, to := w.From.Seconds(), min(max(w.To.Seconds(), w.From.Seconds()+0.1), c.X.Max)
@@ -99,29 +99,29 @@
 		if err != nil {
 			return err
 		}
-		box.Color, box.LineStyle.Width = shade, 0
+		box.Color, box.LineStyle.Width = windowShade, 0
 		c.Add(box)
 	}
 	return nil
 }
 
-// heat is the attempts that each box of a tier got in each second.
-type heat struct {
-	boxes []int
-	loads [][]int
+// heatMap is the attempts that each box of a tier got in each second.
+type heatMap struct {
+	servers []int
+	loads   [][]int
 }
 
-func (h heat) Dims() (c, r int) { return len(h.loads[h.boxes[0]]), len(h.boxes) }
-func (h heat) Z(c, r int) float64 {
-	return float64(h.loads[h.boxes[r]][c])
+func (h heatMap) Dims() (c, r int) { return len(h.loads[h.servers[0]]), len(h.servers) }
+func (h heatMap) Z(c, r int) float64 {
+	return float64(h.loads[h.servers[r]][c])
 }
-func (h heat) X(c int) float64 { return float64(c) + 0.5 }
-func (h heat) Y(r int) float64 { return float64(r) + 1 }
+func (h heatMap) X(c int) float64 { return float64(c) + 0.5 }
+func (h heatMap) Y(r int) float64 { return float64(r) + 1 }
 
-// whites is a palette from white to blue.
-type whites struct{}
+// bluePalette is a palette from white to blue.
+type bluePalette struct{}
 
-func (whites) Colors() []color.Color {
+func (bluePalette) Colors() []color.Color {
 	const n = 24
 	all := make([]color.Color, n)
 	for i := range all {
@@ -131,39 +131,39 @@
 	return all
 }
 
-// mostRows bounds a chart by box: beyond that a box has no row of its own.
-const mostRows = 120
+// maxHeatMapRows bounds a chart by box: beyond that a box has no row of its own.
+const maxHeatMapRows = 120
 
-func (p *Play) boxChart(tier int) (template.HTML, error) {
-	h := heat{loads: p.Verdict.Loads}
-	for i, b := range p.Plan.Boxes {
-		if b.Tier == tier && len(h.boxes) < mostRows {
-			h.boxes = append(h.boxes, i)
+func (p *Run) serverChart(tier int) (template.HTML, error) {
+	h := heatMap{loads: p.Verdict.AttemptsByServer}
+	for i, b := range p.Plan.Servers {
+		if b.Tier == tier && len(h.servers) < maxHeatMapRows {
+			h.servers = append(h.servers, i)
 		}
 	}
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "seconds", "box"
 	c.X.Min, c.X.Max = 0, p.Plan.Length.Seconds()
 	most := 0
-	for _, i := range h.boxes {
+	for _, i := range h.servers {
 		for _, n := range h.loads[i] {
 			most = max(most, n)
 		}
 	}
-	if cols, _ := h.Dims(); cols < 2 || len(h.boxes) < 2 || most == 0 {
+	if cols, _ := h.Dims(); cols < 2 || len(h.servers) < 2 || most == 0 {
 		return "", nil // a map needs two rows and columns, and something on it
 	}
-	m := plotter.NewHeatMap(h, whites{})
+	m := plotter.NewHeatMap(h, bluePalette{})
 	m.Min, m.Max = 0, float64(most)
 	c.Add(m)
 	// What befell each box, as a line along its row.
 	rows := map[int]int{}
-	for r, i := range h.boxes {
+	for r, i := range h.servers {
 		rows[i] = r
 	}
 	for _, s := range p.Plan.Steps {
-		r, ok := rows[s.Box]
-		text, marked := stepMarks[s.Do]
+		r, ok := rows[s.Server]
+		text, marked := stepColors[s.Kind]
 		if !ok || !marked || s.At > p.Plan.Length {
 			continue
 		}
@@ -174,32 +174,32 @@
 		dot.GlyphStyle = draw.GlyphStyle{Color: text, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
 		c.Add(dot)
 	}
-	return svg(c)
+	return renderSVG(c)
 }
 
-// xmlHead is what a picture in a page must not begin with.
-var xmlHead = regexp.MustCompile(`(?s)^.*?(<svg)`)
+// svgPrefix is what a picture in a page must not begin with.
+var svgPrefix = regexp.MustCompile(`(?s)^.*?(<svg)`)
 
-func svg(c *plot.Plot) (template.HTML, error) {
+func renderSVG(c *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(chartWidth, chartHeight)
 	c.Draw(draw.New(canvas))
 	var b bytes.Buffer
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", err
 	}
-	return template.HTML(xmlHead.ReplaceAllString(b.String(), "$1")), nil
+	return template.HTML(svgPrefix.ReplaceAllString(b.String(), "$1")), nil
 }
 
 type view struct {
-	*Play
+	*Run
 	Outcome  Outcome
 	Why      []string
 	Rows     []row
-	Charts   []named
+	Charts   []chart
 	Breaches []string
 }
 
-type named struct {
+type chart struct {
 	Name string
 	SVG  template.HTML
 }
@@ -207,37 +207,37 @@
 func (r row) Name() string  { return r.name }
 func (r row) Value() string { return r.value }
 
-// Page writes one page of HTML on one or several plays of a morning.
-func Page(w io.Writer, made time.Time, plays ...*Play) error {
+// WritePage writes one page of HTML on one or several plays of a morning.
+func WritePage(w io.Writer, made time.Time, plays ...*Run) error {
 	var views []view
 	for _, p := range plays {
-		v := view{Play: p, Rows: p.rows()}
-		v.Outcome, v.Why = p.Judge()
+		v := view{Run: p, Rows: p.rows()}
+		v.Outcome, v.Why = p.Outcome()
 		for _, b := range p.Verdict.Breaches {
-			v.Breaches = append(v.Breaches, p.breach(b))
+			v.Breaches = append(v.Breaches, p.describeBreach(b))
 		}
-		calls, err := p.chart("requests a second", []series{
+		calls, err := p.secondsChart("requests a second", []series{
 			{"offered", grey, true, func(s audit.Second) float64 { return float64(s.Offered) }},
 			{"served in time", green, false, func(s audit.Second) float64 { return float64(s.Served) }},
 			{"served late", orange, false, func(s audit.Second) float64 { return float64(s.Late) }},
-			{"refused", purple, false, func(s audit.Second) float64 { return float64(s.Refused) }},
+			{"refused", purple, false, func(s audit.Second) float64 { return float64(s.Rejected) }},
 			{"failed", red, false, func(s audit.Second) float64 { return float64(s.Failed) }},
 		})
 		if err != nil {
 			return err
 		}
-		attempts, err := p.chart("attempts a second", []series{{"attempts at boxes of all tiers", blue, false, func(s audit.Second) float64 { return float64(s.Attempts) }}})
+		attempts, err := p.secondsChart("attempts a second", []series{{"attempts at boxes of all tiers", blue, false, func(s audit.Second) float64 { return float64(s.Attempts) }}})
 		if err != nil {
 			return err
 		}
-		v.Charts = append(v.Charts, named{"What callers got, by the second in which they first asked", calls}, named{"Attempts", attempts})
+		v.Charts = append(v.Charts, chart{"What callers got, by the second in which they first asked", calls}, chart{"Attempts", attempts})
 		for i, t := range p.Plan.Tiers {
-			boxes, err := p.boxChart(i)
+			boxes, err := p.serverChart(i)
 			if err != nil {
 				return err
 			}
 			if boxes != "" {
-				v.Charts = append(v.Charts, named{fmt.Sprintf("Attempts a second at each box of %s, and what befell it", t.Name), boxes})
+				v.Charts = append(v.Charts, chart{fmt.Sprintf("Attempts a second at each box of %s, and what befell it", t.Name), boxes})
 			}
 		}
 		views = append(views, v)
@@ -246,7 +246,7 @@
 		Title string
 		Made  string
 		Plays []view
-	}{plays[0].Plan.Called(), made.UTC().Format("2006-01-02 15:04 UTC"), views})
+	}{plays[0].Plan.DisplayName(), made.UTC().Format("2006-01-02 15:04 UTC"), views})
 }
 
 func seconds(d time.Duration) string {
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-func play(t *testing.T, more string) *Play {
+func play(t *testing.T, more string) *Run {
 	t.Helper()
 	var found finding.List
 	m := morning.Read("short.morning", []byte(`title "Boxes <b>go</b> & come"
@@ -35,26 +35,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Play{Build: "quincegap", Plan: m.Plan(0), Verdict: r.Verdict}
+	return &Run{Program: "quincegap", Plan: m.Plan(0), Verdict: r.Verdict}
 }
 
 // The word on a play is the worst that there is to say of it, and a void run says nothing else.
 func TestOutcome(t *testing.T) {
 	p := play(t, "expect service above 0.2\n")
-	if o, why := p.Judge(); o != Kept || len(why) > 0 {
+	if o, why := p.Outcome(); o != OutcomeKept || len(why) > 0 {
 		t.Fatal(o, why)
 	}
 	p = play(t, "expect service above 0.2\nexpect attempts below 0.5\n")
-	if o, why := p.Judge(); o != Missed || len(why) != 1 || !strings.Contains(why[0], "line 10: attempts is 1.") || !strings.Contains(why[0], "expected below 0.5") {
+	if o, why := p.Outcome(); o != OutcomeMissed || len(why) != 1 || !strings.Contains(why[0], "line 10: attempts is 1.") || !strings.Contains(why[0], "expected below 0.5") {
 		t.Fatal(o, why)
 	}
 	p.Verdict.Crashes = []string{"1.000 s: n1 ended by itself"}
-	p.Verdict.Broken[audit.Drains] = 2
-	if o, why := p.Judge(); o != Broken || len(why) != 3 {
+	p.Verdict.BreachesByRule[audit.DrainRespected] = 2
+	if o, why := p.Outcome(); o != OutcomeBroken || len(why) != 3 {
 		t.Fatal(o, why)
 	}
-	p.Verdict.Void = "too slow"
-	if o, why := p.Judge(); o != Void || len(why) != 1 {
+	p.Verdict.VoidReason = "too slow"
+	if o, why := p.Outcome(); o != OutcomeVoid || len(why) != 1 {
 		t.Fatal(o, why)
 	}
 }
@@ -62,14 +62,14 @@
 // The screen names the second, the request and the box of a breach, and shows two builds side by side.
 func TestScreen(t *testing.T) {
 	p, q := play(t, ""), play(t, "")
-	q.Build, q.Notes = "other", []string{"a note"}
-	q.Verdict.Broken[audit.OnceOnly] = 7
+	q.Program, q.Notes = "other", []string{"a note"}
+	q.Verdict.BreachesByRule[audit.AtMostOnce] = 7
 	for i := range 7 {
-		q.Verdict.Breaches = append(q.Verdict.Breaches, audit.Breach{Rule: audit.OnceOnly, At: 1234 * time.Millisecond, Request: fmt.Sprintf("r%dt1", i), Box: 4, Text: "sent again"})
+		q.Verdict.Breaches = append(q.Verdict.Breaches, audit.Breach{Rule: audit.AtMostOnce, At: 1234 * time.Millisecond, Request: fmt.Sprintf("r%dt1", i), Server: 4, Message: "sent again"})
 	}
 	q.Verdict.Excused = 3
 	var b bytes.Buffer
-	if err := Screen(&b, p, q); err != nil {
+	if err := WriteScreen(&b, p, q); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
@@ -102,7 +102,7 @@
 // The page is one file that needs nothing beside it, with charts, events and stories; what a script says is text in it.
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
-	if err := Page(&b, time.Unix(0, 0), play(t, ""), play(t, "")); err != nil {
+	if err := WritePage(&b, time.Unix(0, 0), play(t, ""), play(t, "")); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	if err := Page(&b, time.Now(), &Play{Plan: m.Plan(0), Verdict: r.Verdict, Virtual: true}); err != nil {
+	if err := WritePage(&b, time.Now(), &Run{Plan: m.Plan(0), Verdict: r.Verdict, Virtual: true}); err != nil {
 		t.Fatal(err)
 	}
 	wellFormed(t, b.String())
@@ -139,21 +139,21 @@
 
 func TestExperimentPage(t *testing.T) {
 	p := play(t, "")
-	mornings := []*morning.Morning{p.Plan.Morning}
-	points := []experiment.Point{{Load: 0.5, Runs: 3, Service: experiment.Figure{Mean: 0.99, Half: 0.01, Min: 0.98}}, {Load: 2, Runs: 3, Service: experiment.Figure{Mean: 0.5, Half: 0.1, Min: 0.4}, Breaches: 1}}
+	mornings := []*morning.Scenario{p.Plan.Scenario}
+	points := []experiment.Point{{Load: 0.5, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}}, {Load: 2, Runs: 3, Service: experiment.Figure{Mean: 0.5, HalfInterval: 0.1, Min: 0.4}, Breaches: 1}}
 	var page, table bytes.Buffer
-	if err := ExperimentPage(&page, time.Now(), mornings, points); err != nil {
+	if err := WriteExperimentPage(&page, time.Now(), mornings, points); err != nil {
 		t.Fatal(err)
 	}
 	wellFormed(t, page.String())
 	if strings.Count(page.String(), "<svg") != 1 || !strings.Contains(page.String(), `class="bad">1`) || !strings.Contains(page.String(), "0.9900 ± 0.0100") {
 		t.Error(page.String())
 	}
-	if err := Table(&table, mornings, points); err != nil || strings.Count(table.String(), "\n") != 3 || !strings.Contains(table.String(), "short") {
+	if err := WriteTable(&table, mornings, points); err != nil || strings.Count(table.String(), "\n") != 3 || !strings.Contains(table.String(), "short") {
 		t.Error(err, table.String())
 	}
 	page.Reset()
-	if err := ExperimentPage(&page, time.Now(), mornings, points[:1]); err != nil || strings.Contains(page.String(), "<svg") {
+	if err := WriteExperimentPage(&page, time.Now(), mornings, points[:1]); err != nil || strings.Contains(page.String(), "<svg") {
 		t.Error("a curve of one point", err)
 	}
 }
--- a/internal/standalone/each_test.go
+++ b/internal/standalone/each_test.go
@@ -111,7 +111,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			e, err := h3.Start(address, cert, h3.Options{Early: true}, serve)
+			e, err := h3.Start(address, cert, h3.Options{EarlyData: true}, serve)
 			if err != nil { // the port is another's for UDP
 				s.Close()
 				continue
@@ -208,8 +208,8 @@
 	// With early data the caller hears nothing until its booking has come: on a busy machine the handshake was over
 	// before. And quic-go 0.65.0 reads what the peer allows, when a stream is opened in early data, while it
 	// writes that at the end of the handshake: the race detector told of it now and then.
-	c.relay.Set(udp.Fault{Deaf: early})
-	c.relay.Record()
+	c.relay.SetFault(udp.Fault{DropReplies: early})
+	c.relay.StartRecording()
 	conn, err := quic.DialAddrEarly(t.Context(), c.relay.Address(), c.tls, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -227,7 +227,7 @@
 	closeNow(s)
 	if early {
 		c.rg.until("the booking came early, and waits", func() bool { open, idle, _ := c.front.Counts(); return open > idle })
-		c.relay.Set(udp.Fault{})
+		c.relay.SetFault(udp.Fault{})
 	}
 	res, err := s.ReadResponse()
 	if err != nil {
@@ -241,7 +241,7 @@
 	if conn.ConnectionState().Used0RTT != early {
 		t.Fatalf("early data: %v, wanted %v", conn.ConnectionState().Used0RTT, early)
 	}
-	return c.relay.Recorded()
+	return c.relay.StopRecording()
 }
 
 // A booking in a first flight that is recorded and sent again, to this sidecar and to one that has restarted with
--- a/internal/standalone/rig_test.go
+++ b/internal/standalone/rig_test.go
@@ -385,7 +385,7 @@
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		closeNow(c)
 	} else {
-		h3.Reset(w, qh3.ErrCodeInternalError)
+		h3.ResetStream(w, qh3.ErrCodeInternalError)
 	}
 }
 
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -21,24 +21,24 @@
 	Control           []string // where its beats go: its own sidecar first
 	Outbound          string   // where its own calls go: its sidecar's address for requests
 	Slots             int
-	Work              time.Duration // of a request
-	Every             time.Duration // between two beats
+	ServiceTime       time.Duration // of a request
+	HeartbeatInterval time.Duration // between two beats
 }
 
 // Endpoint is one life.
 type Endpoint struct {
-	o         Options
-	server    *http.Server
-	mu        sync.Mutex
-	runs      map[string]int // by attempt
-	seq       uint64
-	draining  bool
-	slots     chan struct{}
-	stop      chan struct{}
-	once      sync.Once
-	acked     chan struct{} // gets one when a beat was acknowledged
-	hold      chan struct{} // requests wait here while it is not nil
-	abandoned int           // requests whose connections were closed while they waited
+	options      Options
+	server       *http.Server
+	mu           sync.Mutex
+	executions   map[string]int // by attempt
+	sequence     uint64
+	draining     bool
+	slots        chan struct{}
+	stopped      chan struct{}
+	stopOnce     sync.Once
+	acknowledged chan struct{} // gets one when a beat was acknowledged
+	gate         chan struct{} // requests wait here while it is not nil
+	abandoned    int           // requests whose connections were closed while they waited
 }
 
 // Start begins a life.
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	e := &Endpoint{
-		o: o, runs: map[string]int{}, slots: make(chan struct{}, o.Slots), stop: make(chan struct{}),
-		acked: make(chan struct{}, 1),
+		options: o, executions: map[string]int{}, slots: make(chan struct{}, o.Slots), stopped: make(chan struct{}),
+		acknowledged: make(chan struct{}, 1),
 	}
 	e.server = &http.Server{Handler: http.HandlerFunc(e.serve)}
 	go e.server.Serve(l)
-	go e.beat()
+	go e.sendHeartbeats()
 	return e, nil
 }
 
@@ -61,8 +61,8 @@
 func (e *Endpoint) serve(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("Attempt-Id")
 	w.Header().Set("Attempt-Id", id)
-	if t := q.Header.Get("Target-Endpoint"); t != "" && t != e.o.ID {
-		w.Header().Set("Answering-Endpoint", e.o.ID)
+	if t := q.Header.Get("Target-Endpoint"); t != "" && t != e.options.ID {
+		w.Header().Set("Answering-Endpoint", e.options.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -79,8 +79,8 @@
 	}
 	defer func() { <-e.slots }()
 	e.mu.Lock()
-	e.runs[id]++
-	hold := e.hold
+	e.executions[id]++
+	hold := e.gate
 	e.mu.Unlock()
 	if hold != nil {
 		select {
@@ -92,22 +92,22 @@
 			return
 		}
 	}
-	if e.o.Work > 0 {
-		time.Sleep(e.o.Work)
+	if e.options.ServiceTime > 0 {
+		time.Sleep(e.options.ServiceTime)
 	}
 	if path := q.URL.Query().Get("call"); path != "" && !e.ownCall(q.Host, path, id) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set("Endpoint-Seal", e.o.ID+"."+id)
+	w.Header().Set("Endpoint-Seal", e.options.ID+"."+id)
 	defer writePadding(w, q.URL.Query().Get("bytes"))
-	fmt.Fprintf(w, "%s %s %s %s from %s for %q: %d bytes", e.o.ID, e.o.Service, q.Method, q.RequestURI,
+	fmt.Fprintf(w, "%s %s %s %s from %s for %q: %d bytes", e.options.ID, e.options.Service, q.Method, q.RequestURI,
 		q.Header.Get("Calling-Service"), q.Header.Get("Subscriber-Id"), len(body))
 }
 
 // ownCall makes a call of the endpoint's own, without a tenant's key, amid a request; it tells whether it was served.
 func (e *Endpoint) ownCall(host, path, id string) bool {
-	q, err := http.NewRequest(http.MethodGet, "http://"+e.o.Outbound+path, nil)
+	q, err := http.NewRequest(http.MethodGet, "http://"+e.options.Outbound+path, nil)
 	if err != nil {
 		return false
 	}
@@ -134,11 +134,11 @@
 func (e *Endpoint) Hold() (release func()) {
 	hold := make(chan struct{})
 	e.mu.Lock()
-	e.hold = hold
+	e.gate = hold
 	e.mu.Unlock()
 	return sync.OnceFunc(func() {
 		e.mu.Lock()
-		e.hold = nil
+		e.gate = nil
 		e.mu.Unlock()
 		close(hold)
 	})
@@ -151,55 +151,55 @@
 	return e.abandoned
 }
 
-// Runs is how often each attempt ran.
-func (e *Endpoint) Runs() map[string]int {
+// Executions is how often each attempt ran.
+func (e *Endpoint) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := map[string]int{}
-	for id, n := range e.runs {
+	for id, n := range e.executions {
 		out[id] = n
 	}
 	return out
 }
 
-func (e *Endpoint) beat() {
-	t := time.NewTicker(e.o.Every)
+func (e *Endpoint) sendHeartbeats() {
+	t := time.NewTicker(e.options.HeartbeatInterval)
 	defer t.Stop()
 	for {
-		if e.tell() {
+		if e.sendHeartbeat() {
 			select {
-			case e.acked <- struct{}{}:
+			case e.acknowledged <- struct{}{}:
 			default:
 			}
 		}
 		select {
 		case <-t.C:
-		case <-e.stop:
+		case <-e.stopped:
 			return
 		}
 	}
 }
 
-// tell sends one beat to whoever takes it.
-func (e *Endpoint) tell() bool {
+// sendHeartbeat sends one beat to whoever takes it.
+func (e *Endpoint) sendHeartbeat() bool {
 	e.mu.Lock()
-	e.seq++
+	e.sequence++
 	state := "in_service"
 	if e.draining {
 		state = "draining"
 	}
 	body, _ := json.Marshal(map[string]any{
-		"serviceName": e.o.Service, "address": e.o.Address, "zone": e.o.Zone,
-		"configVersion": "v1", "slotCount": e.o.Slots, "state": state, "coldRemaining": "0ms", "callSequence": e.seq,
+		"serviceName": e.options.Service, "address": e.options.Address, "zone": e.options.Zone,
+		"configVersion": "v1", "slotCount": e.options.Slots, "state": state, "coldRemaining": "0ms", "callSequence": e.sequence,
 	})
 	e.mu.Unlock()
-	return e.call("keepalive", body)
+	return e.postControl("keepalive", body)
 }
 
-func (e *Endpoint) call(what string, body []byte) bool {
+func (e *Endpoint) postControl(what string, body []byte) bool {
 	client := http.Client{Timeout: time.Second}
-	for _, address := range e.o.Control {
-		r, err := client.Post("http://"+address+"/endpoints/"+e.o.ID+"/"+what, "application/json", bytes.NewReader(body))
+	for _, address := range e.options.Control {
+		r, err := client.Post("http://"+address+"/endpoints/"+e.options.ID+"/"+what, "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
 		}
@@ -211,26 +211,26 @@
 	return false
 }
 
-// Acked gets a value when a beat has been acknowledged.
-func (e *Endpoint) Acked() <-chan struct{} { return e.acked }
+// Acknowledged gets a value when a beat has been acknowledged.
+func (e *Endpoint) Acknowledged() <-chan struct{} { return e.acknowledged }
 
 // Drain says that it is about to leave, and returns when that is acknowledged; false if nobody took it.
 func (e *Endpoint) Drain() bool {
 	e.mu.Lock()
 	e.draining = true
 	e.mu.Unlock()
-	return e.tell()
+	return e.sendHeartbeat()
 }
 
-// Leave ends it in order: it deregisters, and is gone.
-func (e *Endpoint) Leave() bool {
-	ok := e.call("deregister", nil)
+// Deregister ends it in order: it deregisters, and is gone.
+func (e *Endpoint) Deregister() bool {
+	ok := e.postControl("deregister", nil)
 	e.Crash()
 	return ok
 }
 
 // Crash ends it without a word.
 func (e *Endpoint) Crash() {
-	e.once.Do(func() { close(e.stop) })
+	e.stopOnce.Do(func() { close(e.stopped) })
 	e.server.Close()
 }
--- a/internal/standin/application/golden_test.go
+++ b/internal/standin/application/golden_test.go
@@ -20,13 +20,13 @@
 	}))
 	defer control.Close()
 	e := &Endpoint{
-		o: Options{
+		options: Options{
 			ID: "e1", Service: "trips", Zone: "z1", Address: "127.0.0.1:7", Control: []string{control.Listener.Addr().String()},
-			Slots: 2, Every: time.Second,
+			Slots: 2, HeartbeatInterval: time.Second,
 		},
-		runs: map[string]int{}, slots: make(chan struct{}, 1), stop: make(chan struct{}), server: &http.Server{},
+		executions: map[string]int{}, slots: make(chan struct{}, 1), stopped: make(chan struct{}), server: &http.Server{},
 	}
-	if !e.tell() || !e.Drain() || !e.Leave() {
+	if !e.sendHeartbeat() || !e.Drain() || !e.Deregister() {
 		t.Error("nobody took a message")
 	}
 	for _, target := range []string{"e1", "e2"} {
--- a/internal/standin/booking/booking.go
+++ b/internal/standin/booking/booking.go
@@ -26,32 +26,32 @@
 }
 
 type list struct {
-	Rev     uint64   `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+	Revision uint64   `json:"rev"`
+	Complete bool     `json:"all"`
+	Targets  []Target `json:"targets"`
 }
 
-// quiet is how often a watch says that nothing has changed.
-const quiet = 2 * time.Second
+// watchInterval is how often a watch says that nothing has changed.
+const watchInterval = 2 * time.Second
 
 // Discovery serves the list of endpoints. Its zero value is not to be used.
 type Discovery struct {
 	// Token is the bearer token that callers must show; none if empty.
 	Token string
 
-	mu      sync.Mutex
-	rev     uint64
-	targets map[string]Target
-	order   []string
-	changed chan struct{} // closed at the next change
-	server  *server
+	mu       sync.Mutex
+	revision uint64
+	targets  map[string]Target
+	order    []string
+	changed  chan struct{} // closed at the next change
+	server   *server
 }
 
 // StartDiscovery serves on a loopback address, or on a free port if it is empty.
 func StartDiscovery(address string, targets ...Target) (*Discovery, error) {
-	d := &Discovery{targets: map[string]Target{}, changed: make(chan struct{}), rev: 1}
+	d := &Discovery{targets: map[string]Target{}, changed: make(chan struct{}), revision: 1}
 	for _, t := range targets {
-		d.set(t)
+		d.put(t)
 	}
 	var err error
 	d.server, err = start(address, d)
@@ -64,7 +64,7 @@
 // Close ends it and all watches.
 func (d *Discovery) Close() { d.server.Close() }
 
-func (d *Discovery) set(t Target) {
+func (d *Discovery) put(t Target) {
 	if _, ok := d.targets[t.UID]; !ok {
 		d.order = append(d.order, t.UID)
 	}
@@ -76,18 +76,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range targets {
-		d.set(t)
+		d.put(t)
 	}
-	d.rev++
+	d.revision++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// all is the whole list, and what closes when it changes.
-func (d *Discovery) all() (list, chan struct{}) {
+// snapshot is the whole list, and what closes when it changes.
+func (d *Discovery) snapshot() (list, chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := list{Rev: d.rev, All: true, Targets: []Target{}}
+	l := list{Revision: d.revision, Complete: true, Targets: []Target{}}
 	for _, uid := range d.order {
 		if t := d.targets[uid]; t.State != "Gone" {
 			l.Targets = append(l.Targets, t)
@@ -106,14 +106,14 @@
 		http.NotFound(w, r)
 		return
 	}
-	l, changed := d.all()
+	l, changed := d.snapshot()
 	encoder := json.NewEncoder(w)
 	encoder.Encode(l)
 	if r.URL.Query().Get("follow") == "" {
 		return
 	}
 	control := http.NewResponseController(w)
-	still := time.NewTicker(quiet)
+	still := time.NewTicker(watchInterval)
 	defer still.Stop()
 	for {
 		if control.Flush() != nil {
@@ -121,7 +121,7 @@
 		}
 		select {
 		case <-changed:
-			l, changed = d.all()
+			l, changed = d.snapshot()
 			encoder.Encode(l)
 		case <-still.C:
 			io.WriteString(w, "\n")
--- a/internal/standin/booking/golden_test.go
+++ b/internal/standin/booking/golden_test.go
@@ -10,7 +10,7 @@
 
 // The list has the form of the platform's protocol.
 func TestGoldenList(t *testing.T) {
-	d := &Discovery{targets: map[string]Target{}, changed: make(chan struct{}), rev: 1}
+	d := &Discovery{targets: map[string]Target{}, changed: make(chan struct{}), revision: 1}
 	d.Set(Target{UID: "a", Address: "127.0.0.1:1", Zone: "z", Model: "m", Cell: 2, State: "Ready", Weight: 1.5, BootMS: 12})
 	d.Set(Target{UID: "b", State: "Terminating"}, Target{UID: "c", State: "Gone"})
 	answer := httptest.NewRecorder()
--- a/internal/standin/consul/consul.go
+++ b/internal/standin/consul/consul.go
@@ -26,22 +26,22 @@
 
 // Instance is one instance of a service, on a node.
 type Instance struct {
-	Service string // of one service alone; of all if empty
-	Node    string
-	ID      string
-	Address string
-	Port    int
-	Meta    map[string]string
-	Tags    []string
-	Passing int // weights; 1 if 0
-	Warning int
-	Checks  []Check
+	Service       string // of one service alone; of all if empty
+	Node          string
+	ID            string
+	Address       string
+	Port          int
+	Meta          map[string]string
+	Tags          []string
+	PassingWeight int // weights; 1 if 0
+	WarningWeight int
+	Checks        []Check
 
 	createIndex uint64
 }
 
-// At fills in where an instance is from a host:port.
-func (i Instance) At(hostPort string) Instance {
+// WithAddress fills in where an instance is from a host:port.
+func (i Instance) WithAddress(hostPort string) Instance {
 	host, port, err := net.SplitHostPort(hostPort)
 	if err != nil {
 		panic(err)
@@ -53,44 +53,44 @@
 
 // Fault is a way of doing wrong.
 type Fault struct {
-	Hang      bool          // answer nothing, until the fault is gone
-	Refuse    bool          // close the connection at once
-	Status    int           // answer with this status
-	Reset     bool          // reset in the middle of the body
-	Cut       bool          // end the body in the middle, as if it were whole
-	Empty     bool          // an empty list with 200, from health and, unless CatalogKnows, from the catalogue
-	Half      bool          // the first half of the list, likewise
-	NoLeader  bool          // X-Consul-KnownLeader: false
-	NoIndex   bool          // no X-Consul-Index
-	Hash      bool          // X-Consul-ContentHash in place of it, to block on
-	Contact   time.Duration // X-Consul-LastContact of stale reads
-	Lag       time.Duration // changes are seen so late
-	IndexBack uint64        // the index is so much lower than it was
-	Body      string        // this instead of the list
-	// CatalogKnows says that the catalogue is right all the same, CatalogHangs that it answers nothing.
-	CatalogKnows bool
-	CatalogHangs bool
+	Hang        bool          // answer nothing, until the fault is gone
+	Refuse      bool          // close the connection at once
+	Status      int           // answer with this status
+	Reset       bool          // reset in the middle of the body
+	Truncate    bool          // end the body in the middle, as if it were whole
+	Empty       bool          // an empty list with 200, from health and, unless CatalogUnaffected, from the catalogue
+	FirstHalf   bool          // the first half of the list, likewise
+	NoLeader    bool          // X-Consul-KnownLeader: false
+	NoIndex     bool          // no X-Consul-Index
+	ContentHash bool          // X-Consul-ContentHash in place of it, to block on
+	LastContact time.Duration // X-Consul-LastContact of stale reads
+	Lag         time.Duration // changes are seen so late
+	IndexBack   uint64        // the index is so much lower than it was
+	Body        string        // this instead of the list
+	// CatalogUnaffected says that the catalogue is right all the same, CatalogHangs that it answers nothing.
+	CatalogUnaffected bool
+	CatalogHangs      bool
 }
 
 // Server is the stand-in.
 type Server struct {
 	Token string // that questions must carry; none if empty. Guarded by Set
 
-	mu        sync.Mutex
-	index     uint64
-	instances []Instance
-	shown     []Instance // as of Lag ago
-	shownAt   uint64     // and the index then
-	fault     Fault
-	changed   chan struct{}
-	asked     map[string]int // questions by path's second part: health, catalog
-	told      []telling      // answers with ever higher indexes
-	gone      chan struct{}
-	closed    bool
+	mu           sync.Mutex
+	index        uint64
+	instances    []Instance
+	visible      []Instance // as of Lag ago
+	visibleIndex uint64     // and the index then
+	fault        Fault
+	changed      chan struct{}
+	queries      map[string]int  // questions by path's second part: health, catalog
+	answered     []answeredIndex // answers with ever higher indexes
+	closing      chan struct{}
+	closed       bool
 
-	listener net.Listener
-	http     http.Server
-	ended    chan struct{}
+	listener   net.Listener
+	httpServer http.Server
+	served     chan struct{}
 }
 
 // Start serves on a loopback address, or on a free port if it is empty.
@@ -102,12 +102,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{index: 10, changed: make(chan struct{}), gone: make(chan struct{}), listener: listener, ended: make(chan struct{}), asked: map[string]int{}}
+	s := &Server{index: 10, changed: make(chan struct{}), closing: make(chan struct{}), listener: listener, served: make(chan struct{}), queries: map[string]int{}}
 	s.Update(func(all []Instance) []Instance { return instances })
-	s.http.Handler = s
+	s.httpServer.Handler = s
 	go func() {
-		defer close(s.ended)
-		s.http.Serve(listener)
+		defer close(s.served)
+		s.httpServer.Serve(listener)
 	}()
 	return s, nil
 }
@@ -120,15 +120,15 @@
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
-		close(s.gone)
+		close(s.closing)
 	}
 	s.mu.Unlock()
-	s.http.Close()
-	<-s.ended
+	s.httpServer.Close()
+	<-s.served
 }
 
-// wake lets all held questions look again. The lock is held.
-func (s *Server) wake() {
+// wakeWatchers lets all held questions look again. The lock is held.
+func (s *Server) wakeWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -154,17 +154,17 @@
 	s.instances = next
 	index := s.index
 	if s.fault.Lag == 0 {
-		s.shown, s.shownAt = next, index
-		s.wake()
+		s.visible, s.visibleIndex = next, index
+		s.wakeWatchers()
 		return index
 	}
 	time.AfterFunc(s.fault.Lag, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if index > s.shownAt {
-			s.shown, s.shownAt = next, index
+		if index > s.visibleIndex {
+			s.visible, s.visibleIndex = next, index
 		}
-		s.wake()
+		s.wakeWatchers()
 	})
 	return index
 }
@@ -181,16 +181,16 @@
 	})
 }
 
-// Set changes how it does wrong; the zero Fault does right.
-func (s *Server) Set(f Fault) {
+// SetFault changes how it does wrong; the zero Fault does right.
+func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 	s.index++
 	if f.Lag == 0 {
-		s.shown, s.shownAt = s.instances, s.index
+		s.visible, s.visibleIndex = s.instances, s.index
 	}
-	s.wake()
+	s.wakeWatchers()
 }
 
 // SetToken changes the token that questions must carry. Questions that are held are answered as before.
@@ -199,31 +199,31 @@
 	defer s.mu.Unlock()
 	s.Token = token
 	s.index++
-	s.shownAt = s.index
-	s.wake()
+	s.visibleIndex = s.index
+	s.wakeWatchers()
 }
 
-// Asked is how many questions came, for health and for the catalogue.
-func (s *Server) Asked() (health, catalog int) {
+// Queries is how many questions came, for health and for the catalogue.
+func (s *Server) Queries() (health, catalog int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked["health"], s.asked["catalog"]
+	return s.queries["health"], s.queries["catalog"]
 }
 
-// telling is when an answer went out.
-type telling struct {
+// answeredIndex is when an answer went out.
+type answeredIndex struct {
 	index uint64
 	at    time.Time
 }
 
-// mostTold bounds what is kept of answers.
-const mostTold = 100000
+// maxAnswered bounds what is kept of answers.
+const maxAnswered = 100000
 
-// Told is when the first answer went out that told of an index; false if none has.
-func (s *Server) Told(index uint64) (at time.Time, ok bool) {
+// AnsweredAt is when the first answer went out that told of an index; false if none has.
+func (s *Server) AnsweredAt(index uint64) (at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.told {
+	for _, t := range s.answered {
 		if t.index >= index {
 			return t.at, true
 		}
@@ -231,11 +231,11 @@
 	return at, false
 }
 
-// seen is what a question sees now.
-func (s *Server) seen() (index uint64, all []Instance, f Fault, changed chan struct{}, token string) {
+// view is what a question sees now.
+func (s *Server) view() (index uint64, all []Instance, f Fault, changed chan struct{}, token string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shownAt - min(s.fault.IndexBack, s.shownAt-1), s.shown, s.fault, s.changed, s.Token
+	return s.visibleIndex - min(s.fault.IndexBack, s.visibleIndex-1), s.visible, s.fault, s.changed, s.Token
 }
 
 // ServeHTTP answers GET /v1/health/service/:service and /v1/catalog/service/:service.
@@ -246,7 +246,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.asked[parts[1]]++
+	s.queries[parts[1]]++
 	s.mu.Unlock()
 	q := r.URL.Query()
 	last, _ := strconv.ParseUint(q.Get("index"), 10, 64)
@@ -258,7 +258,7 @@
 	deadline := time.NewTimer(wait + rand.N(wait/16+1))
 	defer deadline.Stop()
 	for {
-		index, all, fault, changed, token := s.seen()
+		index, all, fault, changed, token := s.view()
 		if token != "" && r.Header.Get("X-Consul-Token") != token {
 			http.Error(w, "Permission denied: token lacks permission 'service:read'", http.StatusForbidden)
 			return
@@ -276,7 +276,7 @@
 			case <-limit:
 			case <-r.Context().Done():
 				return
-			case <-s.gone:
+			case <-s.closing:
 				return
 			}
 		}
@@ -294,33 +294,33 @@
 		http.Error(w, "as the script says", f.Status)
 		return
 	}
-	if sort == "health" || !f.CatalogKnows {
+	if sort == "health" || !f.CatalogUnaffected {
 		if f.Empty {
 			all = nil
 		}
-		if f.Half {
+		if f.FirstHalf {
 			all = all[:len(all)/2]
 		}
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	switch {
-	case f.Hash:
+	case f.ContentHash:
 		h.Set("X-Consul-ContentHash", contentHash(index))
 	case !f.NoIndex:
 		h.Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	}
 	h.Set("X-Consul-KnownLeader", strconv.FormatBool(!f.NoLeader))
-	contact := f.Contact
+	contact := f.LastContact
 	if !r.URL.Query().Has("stale") {
 		contact = 0
 	}
 	h.Set("X-Consul-LastContact", strconv.FormatInt(contact.Milliseconds(), 10))
 	body := []byte(f.Body)
-	if f.Body == "" || sort == "catalog" && f.CatalogKnows {
+	if f.Body == "" || sort == "catalog" && f.CatalogUnaffected {
 		body = encode(sort, all)
 	}
-	if f.Reset || f.Cut {
+	if f.Reset || f.Truncate {
 		if f.Reset {
 			h.Set("Content-Length", strconv.Itoa(len(body)))
 		}
@@ -334,8 +334,8 @@
 	w.Write(body)
 	if sort == "health" {
 		s.mu.Lock()
-		if n := len(s.told); n < mostTold && (n == 0 || index > s.told[n-1].index) {
-			s.told = append(s.told, telling{index, time.Now()})
+		if n := len(s.answered); n < maxAnswered && (n == 0 || index > s.answered[n-1].index) {
+			s.answered = append(s.answered, answeredIndex{index, time.Now()})
 		}
 		s.mu.Unlock()
 	}
@@ -363,7 +363,7 @@
 			"Node": m{"ID": "", "Node": i.Node, "Address": i.Address, "Datacenter": "dc1"},
 			"Service": m{
 				"ID": i.ID, "Service": "service", "Address": i.Address, "Port": i.Port, "Meta": i.Meta, "Tags": i.Tags,
-				"Weights": m{"Passing": max(i.Passing, 1), "Warning": i.Warning}, "CreateIndex": i.createIndex, "ModifyIndex": i.createIndex,
+				"Weights": m{"Passing": max(i.PassingWeight, 1), "Warning": i.WarningWeight}, "CreateIndex": i.createIndex, "ModifyIndex": i.createIndex,
 			},
 			"Checks": checks,
 		})
--- a/internal/standin/h3/h3.go
+++ b/internal/standin/h3/h3.go
@@ -24,32 +24,32 @@
 	server    *http3.Server
 	served    chan struct{}
 
-	mu    sync.Mutex
-	conns int
+	mu          sync.Mutex
+	connections int
 }
 
-type connKey struct{}
+type connectionKey struct{}
 
 // Options are what an endpoint may have beside a handler.
 type Options struct {
-	Secret  [32]byte     // for stateless resets and session tickets, the same after a restart; none if zero
-	Early   bool         // early data is accepted
-	Streams int64        // requests at once on one connection; 100 if 0
-	Muted   *atomic.Bool // while it is true nothing is heard and nothing is said; nil for never
+	ResetSecret [32]byte     // for stateless resets and session tickets, the same after a restart; none if zero
+	EarlyData   bool         // early data is accepted
+	MaxStreams  int64        // requests at once on one connection; 100 if 0
+	Muted       *atomic.Bool // while it is true nothing is heard and nothing is said; nil for never
 }
 
-// muffled is a socket that can be muted, as that of a machine that is away.
-type muffled struct {
+// mutedConn is a socket that can be muted, as that of a machine that is away.
+type mutedConn struct {
 	net.PacketConn
 	muted *atomic.Bool
 }
 
 // SetReadBuffer and SetWriteBuffer are asked for by the library, which does with less if it must.
-func (m muffled) SetReadBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetReadBuffer(n) }
+func (m mutedConn) SetReadBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetReadBuffer(n) }
 
-func (m muffled) SetWriteBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetWriteBuffer(n) }
+func (m mutedConn) SetWriteBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetWriteBuffer(n) }
 
-func (m muffled) ReadFrom(b []byte) (n int, from net.Addr, err error) {
+func (m mutedConn) ReadFrom(b []byte) (n int, from net.Addr, err error) {
 	for {
 		if n, from, err = m.PacketConn.ReadFrom(b); err != nil || !m.muted.Load() {
 			return n, from, err
@@ -57,7 +57,7 @@
 	}
 }
 
-func (m muffled) WriteTo(b []byte, to net.Addr) (int, error) {
+func (m mutedConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	if m.muted.Load() {
 		return len(b), nil
 	}
@@ -79,23 +79,23 @@
 	}
 	e.transport = &quic.Transport{Conn: e.socket}
 	if o.Muted != nil {
-		e.transport.Conn = muffled{e.socket, o.Muted}
+		e.transport.Conn = mutedConn{e.socket, o.Muted}
 	}
 	conf := &tls.Config{Certificates: []tls.Certificate{*cert}, NextProtos: []string{http3.NextProtoH3}}
-	if o.Secret != [32]byte{} {
-		key := quic.StatelessResetKey(o.Secret)
+	if o.ResetSecret != [32]byte{} {
+		key := quic.StatelessResetKey(o.ResetSecret)
 		e.transport.StatelessResetKey = &key
-		conf.SetSessionTicketKeys([][32]byte{o.Secret})
+		conf.SetSessionTicketKeys([][32]byte{o.ResetSecret})
 	}
-	if e.listener, err = e.transport.ListenEarly(conf, &quic.Config{Allow0RTT: o.Early, MaxIncomingStreams: o.Streams}); err != nil {
+	if e.listener, err = e.transport.ListenEarly(conf, &quic.Config{Allow0RTT: o.EarlyData, MaxIncomingStreams: o.MaxStreams}); err != nil {
 		e.socket.Close()
 		return nil, err
 	}
 	e.server = &http3.Server{Handler: handler, ConnContext: func(ctx context.Context, c *quic.Conn) context.Context {
 		e.mu.Lock()
-		e.conns++
+		e.connections++
 		e.mu.Unlock()
-		return context.WithValue(ctx, connKey{}, c)
+		return context.WithValue(ctx, connectionKey{}, c)
 	}}
 	go func() {
 		defer close(e.served)
@@ -111,18 +111,18 @@
 func (e *Endpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.conns
+	return e.connections
 }
 
-// Leave says GOAWAY, answers what it has, and ends with the context at the latest.
-func (e *Endpoint) Leave(ctx context.Context) error {
+// Shutdown says GOAWAY, answers what it has, and ends with the context at the latest.
+func (e *Endpoint) Shutdown(ctx context.Context) error {
 	e.listener.Close() // nobody new
 	err := e.server.Shutdown(ctx)
 	return errors.Join(err, e.end())
 }
 
-// Die ends it without a word to anybody, as SIGKILL does.
-func (e *Endpoint) Die() {
+// Kill ends it without a word to anybody, as SIGKILL does.
+func (e *Endpoint) Kill() {
 	e.socket.Close()
 	e.end()
 }
@@ -139,9 +139,9 @@
 	return err
 }
 
-// Reset resets the stream of a request, nothing of whose answer has been written, with a code (RFC 9114,
+// ResetStream resets the stream of a request, nothing of whose answer has been written, with a code (RFC 9114,
 // section 8.1). Later on a handler may panic with http.ErrAbortHandler, for H3_INTERNAL_ERROR.
-func Reset(w http.ResponseWriter, code http3.ErrCode) {
+func ResetStream(w http.ResponseWriter, code http3.ErrCode) {
 	s, err := w.(http3.HTTPStreamer).HTTPStream()
 	if err != nil {
 		panic(err)
@@ -150,15 +150,15 @@
 	s.CancelWrite(quic.StreamErrorCode(code))
 }
 
-// Drop closes the connection of a request.
-func Drop(r *http.Request, code http3.ErrCode) {
-	r.Context().Value(connKey{}).(*quic.Conn).CloseWithError(quic.ApplicationErrorCode(code), "as the script says")
+// CloseConnection closes the connection of a request.
+func CloseConnection(r *http.Request, code http3.ErrCode) {
+	r.Context().Value(connectionKey{}).(*quic.Conn).CloseWithError(quic.ApplicationErrorCode(code), "as the script says")
 }
 
-// Early tells whether a request came before its handshake was complete.
-func Early(r *http.Request) bool {
+// IsEarly tells whether a request came before its handshake was complete.
+func IsEarly(r *http.Request) bool {
 	select {
-	case <-r.Context().Value(connKey{}).(*quic.Conn).HandshakeComplete():
+	case <-r.Context().Value(connectionKey{}).(*quic.Conn).HandshakeComplete():
 		return false
 	default:
 		return true
--- a/internal/standin/udp/udp.go
+++ b/internal/standin/udp/udp.go
@@ -13,13 +13,13 @@
 
 // Fault is what happens to datagrams, in both directions.
 type Fault struct {
-	Loss      float64       // share that is lost
-	Double    float64       // share that comes twice
-	Reorder   float64       // share that comes after Delay more than the others
-	Delay     time.Duration // of each
-	MTU       int           // larger ones are lost; 0 for no bound
-	Blackhole bool          // all are lost
-	Deaf      bool          // callers hear nothing
+	LossShare      float64       // share that is lost
+	DuplicateShare float64       // share that comes twice
+	ReorderShare   float64       // share that comes after Delay more than the others
+	Delay          time.Duration // of each
+	MTU            int           // larger ones are lost; 0 for no bound
+	Blackhole      bool          // all are lost
+	DropReplies    bool          // callers hear nothing
 }
 
 // Relay is between callers and one server.
@@ -27,21 +27,21 @@
 	server *net.UDPAddr
 	front  *net.UDPConn // callers send here
 
-	mu      sync.Mutex
-	fault   Fault
-	rand    *rand.Rand
-	flows   map[string]*flow
-	record  bool
-	records [][]byte
-	carried int // datagrams from callers
-	closed  bool
-	running sync.WaitGroup
+	mu        sync.Mutex
+	fault     Fault
+	random    *rand.Rand
+	flows     map[string]*flow
+	recording bool
+	recorded  [][]byte
+	received  int // datagrams from callers
+	closed    bool
+	running   sync.WaitGroup
 }
 
-// flow is one caller, as the server sees it.
+// flowOf is one caller, as the server sees it.
 type flow struct {
-	caller *net.UDPAddr
-	back   *net.UDPConn
+	client   *net.UDPAddr
+	upstream *net.UDPConn
 }
 
 // Start relays from a free loopback port to a server. What is left to chance follows the seed.
@@ -61,41 +61,41 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{server: to, front: front, rand: rand.New(rand.NewPCG(seed, 1)), flows: map[string]*flow{}}
-	r.running.Go(r.forth)
+	r := &Relay{server: to, front: front, random: rand.New(rand.NewPCG(seed, 1)), flows: map[string]*flow{}}
+	r.running.Go(r.forwardRequests)
 	return r, nil
 }
 
 // Address is where callers send.
 func (r *Relay) Address() string { return r.front.LocalAddr().String() }
 
-// Set changes what happens to datagrams from now on.
-func (r *Relay) Set(f Fault) {
+// SetFault changes what happens to datagrams from now on.
+func (r *Relay) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// Carried is how many datagrams callers have sent.
-func (r *Relay) Carried() int {
+// Received is how many datagrams callers have sent.
+func (r *Relay) Received() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.carried
+	return r.received
 }
 
-// Record keeps a copy of what callers send from now on.
-func (r *Relay) Record() {
+// StartRecording keeps a copy of what callers send from now on.
+func (r *Relay) StartRecording() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record, r.records = true, nil
+	r.recording, r.recorded = true, nil
 }
 
-// Recorded ends the recording.
-func (r *Relay) Recorded() [][]byte {
+// StopRecording ends the recording.
+func (r *Relay) StopRecording() [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record = false
-	return r.records
+	r.recording = false
+	return r.recorded
 }
 
 // Replay sends datagrams to the server from a new port, as whoever recorded them can; what comes back is
@@ -120,7 +120,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flows {
-		f.back.Close()
+		f.upstream.Close()
 	}
 	clear(r.flows)
 }
@@ -130,15 +130,15 @@
 	r.mu.Lock()
 	r.closed = true
 	for _, f := range r.flows {
-		f.back.Close()
+		f.upstream.Close()
 	}
 	r.mu.Unlock()
 	r.front.Close()
 	r.running.Wait()
 }
 
-// flow is the flow of a caller.
-func (r *Relay) flow(from *net.UDPAddr) *flow {
+// flowOf is the flow of a caller.
+func (r *Relay) flowOf(from *net.UDPAddr) *flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.flows[from.String()]
@@ -149,63 +149,63 @@
 		}
 		f = &flow{from, back}
 		r.flows[from.String()] = f
-		r.running.Go(func() { r.back(f) })
+		r.running.Go(func() { r.forwardReplies(f) })
 	}
 	return f
 }
 
-func (r *Relay) forth() {
+func (r *Relay) forwardRequests() {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, from, err := r.front.ReadFromUDP(buffer)
 		if err != nil {
-			if r.over() {
+			if r.isClosed() {
 				return
 			}
 			continue // a port that is gone makes itself known here
 		}
 		r.mu.Lock()
-		r.carried++
-		if r.record {
-			r.records = append(r.records, append([]byte(nil), buffer[:n]...))
+		r.received++
+		if r.recording {
+			r.recorded = append(r.recorded, append([]byte(nil), buffer[:n]...))
 		}
 		r.mu.Unlock()
-		if f := r.flow(from); f != nil {
-			r.carry(buffer[:n], false, func(d []byte) { f.back.Write(d) })
+		if f := r.flowOf(from); f != nil {
+			r.forward(buffer[:n], false, func(d []byte) { f.upstream.Write(d) })
 		}
 	}
 }
 
-func (r *Relay) back(f *flow) {
+func (r *Relay) forwardReplies(f *flow) {
 	buffer := make([]byte, 64<<10)
 	for {
-		n, err := f.back.Read(buffer)
+		n, err := f.upstream.Read(buffer)
 		if err != nil {
 			r.mu.Lock()
-			current := r.flows[f.caller.String()] == f
+			current := r.flows[f.client.String()] == f
 			r.mu.Unlock()
-			if r.over() || !current {
+			if r.isClosed() || !current {
 				return
 			}
 			time.Sleep(time.Millisecond) // the server's port is gone for now
 			continue
 		}
-		r.carry(buffer[:n], true, func(d []byte) { r.front.WriteToUDP(d, f.caller) })
+		r.forward(buffer[:n], true, func(d []byte) { r.front.WriteToUDP(d, f.client) })
 	}
 }
 
-func (r *Relay) over() bool {
+func (r *Relay) isClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closed
 }
 
-// carry does what the fault says to a datagram.
-func (r *Relay) carry(d []byte, back bool, send func([]byte)) {
+// forward does what the fault says to a datagram.
+func (r *Relay) forward(d []byte, back bool, send func([]byte)) {
 	r.mu.Lock()
 	f := r.fault
-	lost := f.Blackhole || f.Deaf && back || f.MTU > 0 && len(d) > f.MTU || r.rand.Float64() < f.Loss
-	late, twice := r.rand.Float64() < f.Reorder, r.rand.Float64() < f.Double
+	lost := f.Blackhole || f.DropReplies && back || f.MTU > 0 && len(d) > f.MTU || r.random.Float64() < f.LossShare
+	late, twice := r.random.Float64() < f.ReorderShare, r.random.Float64() < f.DuplicateShare
 	r.mu.Unlock()
 	if lost {
 		return
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -43,7 +43,7 @@
 				if err != nil {
 					return err
 				}
-				d.Mornings = append(d.Mornings, m)
+				d.Scenarios = append(d.Scenarios, m)
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -96,7 +96,7 @@
 }
 
 func (c *command) runExperiment(ctx context.Context, d *experiment.Design, dir string) error {
-	if err := d.Check(); err != nil {
+	if err := d.Validate(); err != nil {
 		return err
 	}
 	runs, err := d.Play(ctx, func(done, of int) {
@@ -108,12 +108,12 @@
 	if err != nil {
 		return runError{err}
 	}
-	points := experiment.Sum(runs)
-	if err := report.Table(c.out, d.Mornings, points); err != nil {
+	points := experiment.Summarize(runs)
+	if err := report.WriteTable(c.out, d.Scenarios, points); err != nil {
 		return runError{err}
 	}
 	if dir != "" {
-		if err := c.keepExperiment(dir, d.Mornings, runs, points); err != nil {
+		if err := c.keepExperiment(dir, d.Scenarios, runs, points); err != nil {
 			return runError{err}
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // keepExperiment writes every run as a line of a table, and a page.
-func (c *command) keepExperiment(dir string, mornings []*morning.Morning, runs []experiment.Run, points []experiment.Point) error {
+func (c *command) keepExperiment(dir string, mornings []*morning.Scenario, runs []experiment.Run, points []experiment.Point) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -141,8 +141,8 @@
 	for _, r := range runs {
 		n := func(x float64) string { return strconv.FormatFloat(x, 'f', 5, 64) }
 		w.Write([]string{
-			mornings[r.Morning].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests), n(r.Service), n(r.Worst),
-			n(r.Refused), n(r.Failed), n(r.PerCall), n(r.Waste), n(r.P50.Seconds()), n(r.P99.Seconds()), strconv.Itoa(r.Breaches),
+			mornings[r.Scenario].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests), n(r.Service), n(r.WorstService),
+			n(r.Rejected), n(r.Failed), n(r.AttemptsPerCall), n(r.WastedShare), n(r.P50.Seconds()), n(r.P99.Seconds()), strconv.Itoa(r.Breaches),
 		})
 	}
 	if w.Flush(); w.Error() != nil {
@@ -154,7 +154,7 @@
 		return err
 	}
 	defer p.Close()
-	if err := report.ExperimentPage(p, time.Now(), mornings, points); err != nil {
+	if err := report.WriteExperimentPage(p, time.Now(), mornings, points); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%s\n%s\n", table, page)
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -110,7 +110,7 @@
 	if !slices.Contains(restarts, o.restart) {
 		return fmt.Errorf("%s", finding.UnknownName("restart", o.restart, restarts))
 	}
-	swells, err := fleet.PlayAll(waveTable(o))
+	swells, err := fleet.PlayWaves(waveTable(o))
 	if err != nil {
 		return runError{err}
 	}
@@ -118,14 +118,14 @@
 	fmt.Fprintln(t, "rate\tsidecars\tfell\tservice\tcold\tvain\tknocks\topened\ttrials\tlisted\tfull use\t")
 	fell := 0
 	for i := 0; i < len(swells); i += o.seeds {
-		x := fleet.Summary(swells[i : i+o.seeds])
-		fell += x.FallsMost
+		x := fleet.Summarize(swells[i : i+o.seeds])
+		fell += x.MaxCollapses
 		full := "never"
-		if x.FullUse > 0 {
-			full = x.FullUse.Round(100 * time.Millisecond).String()
+		if x.RecoveryTime > 0 {
+			full = x.RecoveryTime.Round(100 * time.Millisecond).String()
 		}
 		fmt.Fprintf(t, "%v\t%d\t%.1f (%d)\t%.3f (%.3f)\t%.2f\t%d\t%d\t%d\t%d\t%d\t%s\t\n", swells[i].Wave.Rate, swells[i].Wave.Sidecars,
-			x.Falls, x.FallsMost, x.Service, x.ServiceLeast, x.Cold, x.Vain, x.Knocks, x.Opened, x.Trials, x.Listed, full)
+			x.Collapses, x.MaxCollapses, x.Service, x.MinService, x.ColdLoad, x.MaxRejected, x.MaxUnreachable, x.MaxConnectionsOpened, x.MaxEjectedAttempts, x.MaxListRequests, full)
 	}
 	if err := t.Flush(); err != nil {
 		return runError{err}
@@ -136,18 +136,18 @@
 	return nil
 }
 
-func waveTable(o fleetOptions) (waves []*fleet.Wave) {
+func waveTable(o fleetOptions) (waves []*fleet.RestartWave) {
 	for _, rate := range o.rates {
 		for _, sidecars := range waveSidecars {
 			for i := range o.seeds {
-				w := &fleet.Wave{Sidecars: sidecars, Rate: rate, Seed: cmp.Or(o.seed, 3) + uint64(i)}
+				w := &fleet.RestartWave{Sidecars: sidecars, Rate: rate, Seed: cmp.Or(o.seed, 3) + uint64(i)}
 				switch o.restart {
 				case "boxes":
-					w.Boxes = 1
+					w.ServerShare = 1
 				case "sidecars":
-					w.Senders = 1
+					w.SidecarShare = 1
 				case "half":
-					w.Boxes, w.Senders = 0.5, 0.5
+					w.ServerShare, w.SidecarShare = 0.5, 0.5
 				}
 				waves = append(waves, w)
 			}
@@ -177,7 +177,7 @@
 		fmt.Fprint(w, "us each\t")
 	}
 	fmt.Fprintln(w)
-	var plays []*report.Play
+	var plays []*report.Run
 	for _, name := range names {
 		m, err := fleet.Day(name)
 		if err != nil {
@@ -191,25 +191,25 @@
 		took := time.Since(began)
 		v, s := r.Verdict, r.Spread
 		share := func(n int) float64 { return 100 * float64(n) / float64(max(1, v.Requests)) }
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.3f\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f\t(%.2f)\t%.2f\t(%.2f)\t%d\t%d\t", name, len(r.Plan.Boxes), len(r.Plan.Senders()),
-			v.Requests, v.Service, share(v.Refused), share(v.Failed), 100*r.Vain, s.Max, s.ChanceMax, s.P99, s.ChanceP99, len(v.Breaches), r.Decisions)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.3f\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f\t(%.2f)\t%.2f\t(%.2f)\t%d\t%d\t", name, len(r.Plan.Servers), len(r.Plan.SidecarSpecs()),
+			v.Requests, v.Service, share(v.Rejected), share(v.Failed), 100*r.UnansweredShare, s.Max, s.ChanceMax, s.P99, s.ChanceP99, len(v.Breaches), r.Decisions)
 		if o.cpu {
 			fmt.Fprintf(w, "%.1f\t", float64(took.Microseconds())/float64(max(1, r.Decisions)))
 		}
 		fmt.Fprintln(w)
-		plays = append(plays, &report.Play{Plan: r.Plan, Verdict: v, Virtual: true})
+		plays = append(plays, &report.Run{Plan: r.Plan, Verdict: v, Virtual: true})
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
 	}
 	for _, p := range plays {
-		if outcome, why := p.Judge(); outcome != report.Kept {
-			fmt.Fprintf(c.out, "%s: %v\n", p.Plan.Called(), outcome)
+		if outcome, why := p.Outcome(); outcome != report.OutcomeKept {
+			fmt.Fprintf(c.out, "%s: %v\n", p.Plan.DisplayName(), outcome)
 			for _, line := range why {
 				fmt.Fprintf(c.out, "  %s\n", line)
 			}
 			for _, b := range p.Verdict.Breaches[:min(len(p.Verdict.Breaches), maxBreachesShown)] {
-				fmt.Fprintf(c.out, "  %8.3f s  %v: %s\n", b.At.Seconds(), audit.Rule(b.Rule), b.Text)
+				fmt.Fprintf(c.out, "  %8.3f s  %v: %s\n", b.At.Seconds(), audit.Rule(b.Rule), b.Message)
 			}
 		}
 	}
@@ -222,13 +222,13 @@
 func (c *command) measureSubsets(o fleetOptions) error {
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "change\tscheme\tmoved\treached\tload\tp99\tsubset\t")
-	for _, change := range fleet.Changes {
-		for _, scheme := range fleet.Schemes {
-			f, err := fleet.Measure(scheme, change, o.endpoints, o.instances, max(1, o.seed))
+	for _, change := range fleet.Churns {
+		for _, scheme := range fleet.SubsettingSchemes {
+			f, err := fleet.MeasureSubsets(scheme, change, o.endpoints, o.instances, max(1, o.seed))
 			if err != nil {
 				return runError{err}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n", f.Change, f.Scheme, f.Moved, f.Least, f.Most, f.Load, f.LoadP99, f.Spread)
+			fmt.Fprintf(w, "%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n", f.Change, f.Scheme, f.Moved, f.MinInstances, f.MaxInstances, f.Load, f.LoadP99, f.Spread)
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/tool/fleet_test.go
+++ b/internal/tool/fleet_test.go
@@ -26,7 +26,7 @@
 	if _, list, _ := run("--list"); strings.Count(list, "\n") != len(fleet.Days()) {
 		t.Errorf("the list is\n%s", list)
 	}
-	if code, out, _ := run("--subsets", "--endpoints", "60", "--instances", "5"); code != ExitOK || strings.Count(out, "\n") != 1+len(fleet.Changes)*len(fleet.Schemes) {
+	if code, out, _ := run("--subsets", "--endpoints", "60", "--instances", "5"); code != ExitOK || strings.Count(out, "\n") != 1+len(fleet.Churns)*len(fleet.SubsettingSchemes) {
 		t.Errorf("code %d:\n%s", code, out)
 	}
 	code, table, errs := run("--waves", "--rate", "20", "--seeds", "1")
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -66,9 +66,9 @@
 }
 
 // readMorning reads a script; findings are printed.
-func (c *command) readMorning(path string) (*morning.Morning, error) {
+func (c *command) readMorning(path string) (*morning.Scenario, error) {
 	var found finding.List
-	text, err := product.Read(path, morning.MostBytes)
+	text, err := product.Read(path, morning.MaxBytes)
 	if err != nil {
 		return nil, runError{fmt.Errorf("%s: %w", path, err)}
 	}
@@ -85,7 +85,7 @@
 		return err
 	}
 	if o.check {
-		if err := rehearse.Check(m.Plan(o.seed)); err != nil {
+		if err := rehearse.CheckSockets(m.Plan(o.seed)); err != nil {
 			fmt.Fprintf(c.out, "%s: can be played with --virtual alone: %v\n", path, err)
 			return nil
 		}
@@ -94,7 +94,7 @@
 	}
 	plan := m.Plan(o.seed)
 	if o.plan {
-		if err := plan.Print(c.out); err != nil {
+		if err := plan.WriteText(c.out); err != nil {
 			return runError{err}
 		}
 		return nil
@@ -106,13 +106,13 @@
 		}
 		o.sidecar = filepath.Join(filepath.Dir(self), "quincegap")
 	}
-	var plays []*report.Play
+	var plays []*report.Run
 	if o.virtual {
 		play, err := playVirtual(plan)
 		if err != nil {
 			return err
 		}
-		return c.showPlays([]*report.Play{play}, o)
+		return c.showPlays([]*report.Run{play}, o)
 	}
 	for i, program := range []string{o.sidecar, o.compare} {
 		if program == "" {
@@ -128,22 +128,22 @@
 }
 
 // playVirtual plays a plan without sockets.
-func playVirtual(plan *morning.Plan) (*report.Play, error) {
+func playVirtual(plan *morning.Plan) (*report.Run, error) {
 	began := time.Now()
 	r, err := dryrun.Run(plan)
 	if err != nil {
 		return nil, runError{err}
 	}
 	took := time.Since(began)
-	return &report.Play{
+	return &report.Run{
 		Plan: plan, Verdict: r.Verdict, Virtual: true,
 		Notes: []string{fmt.Sprintf("in virtual time, the decision module alone; played in %v", took.Round(time.Millisecond))},
 	}, nil
 }
 
 // showPlays prints the verdict, and writes the page where one is asked for.
-func (c *command) showPlays(plays []*report.Play, o rehearsalOptions) error {
-	if err := report.Screen(c.out, plays...); err != nil {
+func (c *command) showPlays(plays []*report.Run, o rehearsalOptions) error {
+	if err := report.WriteScreen(c.out, plays...); err != nil {
 		return runError{err}
 	}
 	if o.report != "" {
@@ -161,7 +161,7 @@
 }
 
 // writeSeconds keeps what happened in each second as a table, a row for each second of each play.
-func writeSeconds(path string, plays []*report.Play) error {
+func writeSeconds(path string, plays []*report.Run) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
@@ -171,8 +171,8 @@
 	w.Write([]string{"build", "second", "offered", "in_time", "late", "refused", "failed", "attempts", "emulator_late"})
 	for _, p := range plays {
 		for i, s := range p.Verdict.Seconds {
-			row := []string{p.Build}
-			for _, n := range []int{i, s.Offered, s.Served, s.Late, s.Refused, s.Failed, s.Attempts} {
+			row := []string{p.Program}
+			for _, n := range []int{i, s.Offered, s.Served, s.Late, s.Rejected, s.Failed, s.Attempts} {
 				row = append(row, strconv.Itoa(n))
 			}
 			w.Write(append(row, strconv.FormatBool(s.Doubtful)))
@@ -183,22 +183,22 @@
 }
 
 // worstOutcome is the error that goes with the worst outcome.
-func worstOutcome(plays []*report.Play) error {
-	worst := report.Kept
+func worstOutcome(plays []*report.Run) error {
+	worst := report.OutcomeKept
 	for _, p := range plays {
-		o, _ := p.Judge()
+		o, _ := p.Outcome()
 		worst = max(worst, o)
 	}
 	switch worst {
-	case report.Kept:
+	case report.OutcomeKept:
 		return nil
-	case report.Void:
+	case report.OutcomeVoid:
 		return errVoid
 	}
 	return errFindings
 }
 
-func (c *command) playOnce(ctx context.Context, m *morning.Morning, plan *morning.Plan, program string, o rehearsalOptions, number int) (*report.Play, error) {
+func (c *command) playOnce(ctx context.Context, m *morning.Scenario, plan *morning.Plan, program string, o rehearsalOptions, number int) (*report.Run, error) {
 	dir := o.report
 	if dir == "" {
 		var err error
@@ -213,7 +213,7 @@
 	}
 	options := rehearse.Options{Program: program, Dir: dir}
 	if !o.quiet {
-		fmt.Fprintf(c.errOut, "playing %s on %s: %v\n", plan.Called(), program, plan.Length)
+		fmt.Fprintf(c.errOut, "playing %s on %s: %v\n", plan.DisplayName(), program, plan.Length)
 		options.Progress = func(p rehearse.Progress) {
 			fmt.Fprintf(c.errOut, "\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Attempts)
 		}
@@ -225,25 +225,25 @@
 	if err != nil {
 		return nil, runError{err}
 	}
-	play := &report.Play{Build: program, Plan: plan, Verdict: result.Verdict, CPU: result.CPU, Memory: result.Memory}
-	if result.Hanging > 0 {
-		play.Notes = append(play.Notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s", result.Hanging, strings.Join(result.HungOn, "; ")))
+	play := &report.Run{Program: program, Plan: plan, Verdict: result.Verdict, CPU: result.CPU, Memory: result.Memory}
+	if result.UnansweredFaultyCallers > 0 {
+		play.Notes = append(play.Notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s", result.UnansweredFaultyCallers, strings.Join(result.UnansweredInputs, "; ")))
 	}
 	if result.HTTP3 > 0 {
 		play.Notes = append(play.Notes, fmt.Sprintf("%d attempts came over HTTP/3", result.HTTP3))
 	}
-	if result.Again > 0 {
-		play.Notes = append(play.Notes, fmt.Sprintf("%d effects beyond the first of a key; callers' own repeats are among them", result.Again))
+	if result.RepeatedEffects > 0 {
+		play.Notes = append(play.Notes, fmt.Sprintf("%d effects beyond the first of a key; callers' own repeats are among them", result.RepeatedEffects))
 	}
 	return play, nil
 }
 
-func (c *command) writePage(path string, plays []*report.Play) error {
+func (c *command) writePage(path string, plays []*report.Run) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
-	if err := report.Page(f, time.Now(), plays...); err != nil {
+	if err := report.WritePage(f, time.Now(), plays...); err != nil {
 		f.Close()
 		return err
 	}
