--- a/internal/rehearsal/audit/event.go
+++ b/internal/rehearsal/audit/event.go
@@ -50,8 +50,8 @@
 	Truncated                          // the connection ended before the last byte of the request: it never ran
 )
 
-func (h AttemptResult) String() string {
-	return [...]string{"is still out", "served", "failed with 500", "turned away", "withdrawn by the sidecar", "dropped by the box", "answered with a spoilt answer", "cut off before its end"}[h]
+func (a AttemptResult) String() string {
+	return [...]string{"is still out", "served", "failed with 500", "turned away", "withdrawn by the sidecar", "dropped by the box", "answered with a spoilt answer", "cut off before its end"}[a]
 }
 
 // Event is one thing that was seen.
--- a/internal/rehearsal/audit/sums.go
+++ b/internal/rehearsal/audit/sums.go
@@ -95,7 +95,7 @@
 }
 
 // addColdAttempt takes one more attempt at a cold box into the sums, and returns those within the window.
-func (s *FleetTotals) addColdAttempt(rules *Rules, began time.Duration, sent []coldAttempt, e *Event) []coldAttempt {
+func (f *FleetTotals) addColdAttempt(rules *Rules, began time.Duration, sent []coldAttempt, e *Event) []coldAttempt {
 	b := &rules.Servers[e.Server]
 	if rules.OverloadFactor == 0 || b.Capacity == 0 || e.At >= began+b.WarmUp {
 		return nil
@@ -105,13 +105,13 @@
 	}
 	share := b.ColdShare + (1-b.ColdShare)*float64(e.At-began)/float64(b.WarmUp)
 	allowed := rules.OverloadFactor * b.Capacity * share * rules.OverloadWindow.Seconds()
-	if got := float64(len(sent)) * b.Work.Seconds() / allowed; got > s.ColdLoad {
-		s.ColdLoad, s.ColdServer, s.ColdAt, s.ColdAttempts = got, e.Server, e.At, len(sent)
+	if got := float64(len(sent)) * b.Work.Seconds() / allowed; got > f.ColdLoad {
+		f.ColdLoad, f.ColdServer, f.ColdAt, f.ColdAttempts = got, e.Server, e.At, len(sent)
 		own := map[int]int{}
-		s.ColdAttemptsOfOne = 0
+		f.ColdAttemptsOfOne = 0
 		for _, x := range sent {
 			own[x.sidecar]++
-			s.ColdAttemptsOfOne = max(s.ColdAttemptsOfOne, own[x.sidecar])
+			f.ColdAttemptsOfOne = max(f.ColdAttemptsOfOne, own[x.sidecar])
 		}
 	}
 	return sent
@@ -143,8 +143,8 @@
 // countsPerSecond counts events by box and second.
 type countsPerSecond map[[2]int64]int
 
-func (p countsPerSecond) add(most *int, box int, at time.Duration) {
+func (c countsPerSecond) add(most *int, box int, at time.Duration) {
 	k := [2]int64{int64(box), int64(at / time.Second)}
-	p[k]++
-	*most = max(*most, p[k])
+	c[k]++
+	*most = max(*most, c[k])
 }
--- a/internal/rehearsal/emulator/box.go
+++ b/internal/rehearsal/emulator/box.go
@@ -588,29 +588,29 @@
 // finishHeap is a heap of the jobs that share the cores.
 type finishHeap []*job
 
-func (b finishHeap) Len() int { return len(b) }
-func (b finishHeap) Less(i, j int) bool {
-	if b[i].finish != b[j].finish {
-		return b[i].finish < b[j].finish
+func (f finishHeap) Len() int { return len(f) }
+func (f finishHeap) Less(i, j int) bool {
+	if f[i].finish != f[j].finish {
+		return f[i].finish < f[j].finish
 	}
-	return b[i].order < b[j].order
+	return f[i].order < f[j].order
 }
 
-func (b finishHeap) Swap(i, j int) {
-	b[i], b[j] = b[j], b[i]
-	b[i].heapIndex, b[j].heapIndex = i, j
+func (f finishHeap) Swap(i, j int) {
+	f[i], f[j] = f[j], f[i]
+	f[i].heapIndex, f[j].heapIndex = i, j
 }
 
-func (b *finishHeap) Push(x any) {
+func (f *finishHeap) Push(x any) {
 	j := x.(*job)
-	j.heapIndex = len(*b)
-	*b = append(*b, j)
+	j.heapIndex = len(*f)
+	*f = append(*f, j)
 }
 
-func (b *finishHeap) Pop() any {
-	old := *b
+func (f *finishHeap) Pop() any {
+	old := *f
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
-	*b = old[:len(old)-1]
+	*f = old[:len(old)-1]
 	return j
 }
--- a/internal/rehearsal/emulator/memory.go
+++ b/internal/rehearsal/emulator/memory.go
@@ -20,18 +20,18 @@
 const maxKeys = 1 << 16
 
 // Execute notes that a request with a key runs, and tells whether that has an effect: not, if the key is remembered.
-func (m *KeyMemory) Execute(now time.Duration, key string) (effect bool) {
-	if m.executedAt == nil {
-		m.executedAt = map[string]time.Duration{}
+func (k *KeyMemory) Execute(now time.Duration, key string) (effect bool) {
+	if k.executedAt == nil {
+		k.executedAt = map[string]time.Duration{}
 	}
-	for len(m.order) > 0 && (m.order[0].at+m.Window <= now || len(m.order) >= maxKeys) {
-		delete(m.executedAt, m.order[0].key)
-		m.order = m.order[1:]
+	for len(k.order) > 0 && (k.order[0].at+k.Window <= now || len(k.order) >= maxKeys) {
+		delete(k.executedAt, k.order[0].key)
+		k.order = k.order[1:]
 	}
-	if _, ok := m.executedAt[key]; ok {
+	if _, ok := k.executedAt[key]; ok {
 		return false
 	}
-	m.executedAt[key] = now
-	m.order = append(m.order, keyExecution{key, now})
+	k.executedAt[key] = now
+	k.order = append(k.order, keyExecution{key, now})
 	return true
 }
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -165,15 +165,15 @@
 	instances int
 }
 
-func (a *ringArcs) subset(i int) map[uint32]float64 {
+func (r *ringArcs) subset(i int) map[uint32]float64 {
 	got := map[uint32]float64{}
-	_, from := math.Modf(float64(i) * instancesPerEndpoint / float64(a.instances))
-	for _, id := range a.ids {
+	_, from := math.Modf(float64(i) * instancesPerEndpoint / float64(r.instances))
+	for _, id := range r.ids {
 		off := float64(rendezvous.Mix(uint64(id)))/math.MaxUint64 - from
 		if off < 0 {
 			off++
 		}
-		if off < instancesPerEndpoint/float64(a.instances) {
+		if off < instancesPerEndpoint/float64(r.instances) {
 			got[id] = 1
 		}
 	}
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -44,35 +44,35 @@
 )
 
 // Script is the morning of a wave, as a person would write it.
-func (w *RestartWave) Script() string {
-	boxes, senders := w.ServerShare, w.SidecarShare
-	if boxes == 0 && senders == 0 && w.Cells == 0 {
+func (r *RestartWave) Script() string {
+	boxes, senders := r.ServerShare, r.SidecarShare
+	if boxes == 0 && senders == 0 && r.Cells == 0 {
 		boxes, senders = 1, 1
 	}
-	length := w.Length
+	length := r.Length
 	if length == 0 {
 		length = 24 * time.Second
 	}
 	var s strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
-	line("title \"A wave of restarts\"\nlength %v\nseed %d", length, w.Seed)
+	line("title \"A wave of restarts\"\nlength %v\nseed %d", length, r.Seed)
 	line("tier slot-keeper boxes 64 cells 4 cores 2 slots 2 queue 4 conns 400 cold 0.35..0.5 warm 5s")
 	line("tier slot-keeper work 60ms shape lognormal cv 0.8")
-	if w.OverloadFactor > 0 {
-		line("rules tip_by %v", w.OverloadFactor)
+	if r.OverloadFactor > 0 {
+		line("rules tip_by %v", r.OverloadFactor)
 	}
-	if w.RestartAfterCollapse > 0 {
-		line("tier slot-keeper fallen_for %v", w.RestartAfterCollapse)
+	if r.RestartAfterCollapse > 0 {
+		line("tier slot-keeper fallen_for %v", r.RestartAfterCollapse)
 	}
-	if !w.Keyed {
+	if !r.Keyed {
 		line("class find-slot effect safe aim 2s deadline 5s share 2")
 	}
 	line("class take-slot effect keyed scope cell window 20s aim 2s deadline 5s")
-	line("sidecars count %d memory 192MiB sockets 1024 told %d", w.Sidecars, w.AnnouncedCount)
-	line("callers rate %v/s shape steady retries 1 patience 0.8 backoff 300ms at_first %v", w.Rate, w.FirstSidecarShare)
-	line("discovery notice 1s silent_notice 20s add 1s late %v", w.NotificationDelay)
-	if w.BootTime != "" {
-		line("discovery boot %s", w.BootTime)
+	line("sidecars count %d memory 192MiB sockets 1024 told %d", r.Sidecars, r.AnnouncedCount)
+	line("callers rate %v/s shape steady retries 1 patience 0.8 backoff 300ms at_first %v", r.Rate, r.FirstSidecarShare)
+	line("discovery notice 1s silent_notice 20s add 1s late %v", r.NotificationDelay)
+	if r.BootTime != "" {
+		line("discovery boot %s", r.BootTime)
 	}
 	who := func(share float64, all, what string) string {
 		if share >= 1 {
@@ -80,17 +80,17 @@
 		}
 		return fmt.Sprintf("%.4g%% of %s", share*100, what)
 	}
-	for i := range 4 * w.Cells {
+	for i := range 4 * r.Cells {
 		line("at %v: box %d of slot-keeper restart taking %v", waveAt, i+1, waveRestart)
 	}
-	if boxes > 0 && w.Cells == 0 {
+	if boxes > 0 && r.Cells == 0 {
 		line("at %v: %s restart taking %v", waveAt, who(boxes, "boxes", "boxes"), waveRestart)
 	}
 	if senders > 0 {
 		line("at %v: %s get SIGKILL and are back after %v", waveAt, who(senders, "sidecars", "the sidecars"), waveRestart)
 	}
-	if w.SecondWaveAfter > 0 {
-		line("at %v: all boxes restart taking %v", waveAt+waveRestart+w.SecondWaveAfter, waveRestart)
+	if r.SecondWaveAfter > 0 {
+		line("at %v: all boxes restart taking %v", waveAt+waveRestart+r.SecondWaveAfter, waveRestart)
 	}
 	return s.String()
 }
@@ -103,18 +103,18 @@
 }
 
 // Play plays the wave in virtual time. The same wave gives the same.
-func (w *RestartWave) Play() (*WaveResult, error) {
+func (r *RestartWave) Play() (*WaveResult, error) {
 	var found finding.List
-	m := morning.Read("wave", []byte(w.Script()), &found)
+	m := morning.Read("wave", []byte(r.Script()), &found)
 	if m == nil {
 		return nil, found.Err()
 	}
-	plan := m.Plan(w.Seed)
-	r, err := dryrun.Run(plan)
+	plan := m.Plan(r.Seed)
+	result, err := dryrun.Run(plan)
 	if err != nil {
 		return nil, err
 	}
-	return &WaveResult{w, r.Verdict, audit.Totals(plan.AuditRules(), r.Events)}, nil
+	return &WaveResult{r, result.Verdict, audit.Totals(plan.AuditRules(), result.Events)}, nil
 }
 
 // PlayWaves plays waves, as many at once as there are processors, and returns what came of them in their order.
--- a/internal/rehearsal/morning/links.go
+++ b/internal/rehearsal/morning/links.go
@@ -7,23 +7,23 @@
 )
 
 // planLink draws what befalls what sidecars tell one another.
-func (d *planner) planLink(e *event, l *linkEvent) {
-	n := d.Sidecars.Count
-	if !d.Sidecars.Peers {
-		d.add(positionOf(l.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
+func (p *planner) planLink(e *event, l *linkEvent) {
+	n := p.Sidecars.Count
+	if !p.Sidecars.Peers {
+		p.add(positionOf(l.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
 		return
 	}
 	s := Step{At: time.Duration(e.At), Kind: LinkFault, Line: e.Pos.Line}
 	switch {
 	case l.Partition != nil:
 		if l.Partition.From < 1 || l.Partition.To < l.Partition.From || l.Partition.To > n || l.Partition.To-l.Partition.From+1 == n {
-			d.add(positionOf(l.Pos), "sidecars %d..%d of %d cannot be cut off from the others", l.Partition.From, l.Partition.To, n)
+			p.add(positionOf(l.Pos), "sidecars %d..%d of %d cannot be cut off from the others", l.Partition.From, l.Partition.To, n)
 			return
 		}
 		s.Name, s.Sidecar, s.Amount = "cut", l.Partition.From-1, float64(l.Partition.To-l.Partition.From+1)
 	case l.Mute != nil:
 		if *l.Mute < 1 || *l.Mute > n {
-			d.add(positionOf(l.Pos), "there is no sidecar %d: there are %d", *l.Mute, n)
+			p.add(positionOf(l.Pos), "there is no sidecar %d: there are %d", *l.Mute, n)
 			return
 		}
 		s.Name, s.Sidecar, s.Amount = "mute", *l.Mute-1, 1
@@ -35,13 +35,13 @@
 		s.Name, s.Amount = "late", time.Duration(*l.Delayed).Seconds()
 	}
 	if (l.Lost != nil || l.Duplicated != nil) && s.Amount > 1 {
-		d.add(positionOf(l.Pos), "%v%% of the messages is more than there are", s.Amount*100)
+		p.add(positionOf(l.Pos), "%v%% of the messages is more than there are", s.Amount*100)
 		return
 	}
-	d.addStep(s)
-	d.addWindow(e, time.Duration(l.For), "%s", s.describeLink())
+	p.addStep(s)
+	p.addWindow(e, time.Duration(l.For), "%s", s.describeLink())
 	s.At, s.Amount = s.At+time.Duration(l.For), -s.Amount
-	d.addStep(s)
+	p.addStep(s)
 }
 
 // planLink puts a step into words; By is below 0 when it ends.
--- a/internal/rehearsal/morning/plan.go
+++ b/internal/rehearsal/morning/plan.go
@@ -172,31 +172,31 @@
 }
 
 // newServer draws a box; slot -1 is a new address.
-func (d *planner) newServer(tier, slot int, from time.Duration) int {
-	t := d.Tiers[tier]
+func (p *planner) newServer(tier, slot int, from time.Duration) int {
+	t := p.Tiers[tier]
 	if slot < 0 {
-		slot = d.slots
-		d.slots++
+		slot = p.slots
+		p.slots++
 	}
-	n := d.counts[tier]
-	d.counts[tier]++
-	hash := emulator.RandomSource(d.Seed, fmt.Sprintf("box %s %d", t.Name, n)).Uint64()
+	n := p.counts[tier]
+	p.counts[tier]++
+	hash := emulator.RandomSource(p.Seed, fmt.Sprintf("box %s %d", t.Name, n)).Uint64()
 	cell := n / t.CellSize
-	if old := slices.IndexFunc(d.Servers, func(b Server) bool { return b.Slot == slot }); from > 0 && old >= 0 {
-		cell = d.Servers[old].Cell // whoever takes a box's place serves the same desk
+	if old := slices.IndexFunc(p.Servers, func(b Server) bool { return b.Slot == slot }); from > 0 && old >= 0 {
+		cell = p.Servers[old].Cell // whoever takes a box's place serves the same desk
 	}
 	// The last half is its number among all, so that no two share an id.
-	id := uint32(hash)&0xffff0000 | uint32(len(d.Servers))&0xffff
-	d.Servers = append(d.Servers, Server{
+	id := uint32(hash)&0xffff0000 | uint32(len(p.Servers))&0xffff
+	p.Servers = append(p.Servers, Server{
 		Tier: tier, Number: n + 1, UID: fmt.Sprintf("s-%08x", id), Cell: cell, Slot: slot, StartsAt: from,
-		Spec: d.serverSpec(t, t.Speed.interpolate(d.serverRandom.Float64()), t.ColdShare.interpolate(d.serverRandom.Float64())),
+		Spec: p.serverSpec(t, t.Speed.interpolate(p.serverRandom.Float64()), t.ColdShare.interpolate(p.serverRandom.Float64())),
 	})
-	d.servers = append(d.servers, &serverState{goneAt: -1, startedAt: from})
-	if len(d.Servers) > MaxServers+1 {
-		d.Servers = d.Servers[:MaxServers+1] // it is reported where it is asked for
-		d.servers = d.servers[:MaxServers+1]
+	p.servers = append(p.servers, &serverState{goneAt: -1, startedAt: from})
+	if len(p.Servers) > MaxServers+1 {
+		p.Servers = p.Servers[:MaxServers+1] // it is reported where it is asked for
+		p.servers = p.servers[:MaxServers+1]
 	}
-	return len(d.Servers) - 1
+	return len(p.Servers) - 1
 }
 
 // Name is what people call a box.
@@ -205,84 +205,84 @@
 	return fmt.Sprintf("box %d of %s", b.Number, p.Tiers[b.Tier].Name)
 }
 
-func (d *planner) addStep(s Step) { d.Steps = append(d.Steps, s) }
+func (p *planner) addStep(s Step) { p.Steps = append(p.Steps, s) }
 
-func (d *planner) addWindow(e *event, length time.Duration, format string, args ...any) {
+func (p *planner) addWindow(e *event, length time.Duration, format string, args ...any) {
 	at := time.Duration(e.At)
-	d.Windows = append(d.Windows, Window{at, at + length, fmt.Sprintf(format, args...)})
+	p.Windows = append(p.Windows, Window{at, at + length, fmt.Sprintf(format, args...)})
 }
 
 // planDiscovery notes when the list is silent or late.
-func (d *planner) planDiscovery(e *event, l *discoveryEvent) {
+func (p *planner) planDiscovery(e *event, l *discoveryEvent) {
 	from, to := time.Duration(e.At), time.Duration(e.At+l.For)
 	if l.Repeats {
-		d.addStep(Step{At: from, Kind: DiscoveryRepeat, Amount: 1, Line: e.Pos.Line})
-		d.addStep(Step{At: to, Kind: DiscoveryRepeat, Line: e.Pos.Line})
-		d.addWindow(e, time.Duration(l.For), "discovery repeats itself")
+		p.addStep(Step{At: from, Kind: DiscoveryRepeat, Amount: 1, Line: e.Pos.Line})
+		p.addStep(Step{At: to, Kind: DiscoveryRepeat, Line: e.Pos.Line})
+		p.addWindow(e, time.Duration(l.For), "discovery repeats itself")
 		return
 	}
 	if l.Silent {
-		d.silences = append(d.silences, Window{From: from, To: to})
-		d.addStep(Step{At: from, Kind: DiscoverySilence, Amount: 1, Line: e.Pos.Line})
-		d.addStep(Step{At: to, Kind: DiscoverySilence, Line: e.Pos.Line})
-		d.addWindow(e, time.Duration(l.For), "discovery is silent")
+		p.silences = append(p.silences, Window{From: from, To: to})
+		p.addStep(Step{At: from, Kind: DiscoverySilence, Amount: 1, Line: e.Pos.Line})
+		p.addStep(Step{At: to, Kind: DiscoverySilence, Line: e.Pos.Line})
+		p.addWindow(e, time.Duration(l.For), "discovery is silent")
 		return
 	}
-	d.delays = append(d.delays, discoveryDelay{from, to, time.Duration(*l.Behind)})
-	d.addWindow(e, time.Duration(l.For), "discovery is %v behind", time.Duration(*l.Behind))
+	p.delays = append(p.delays, discoveryDelay{from, to, time.Duration(*l.Behind)})
+	p.addWindow(e, time.Duration(l.For), "discovery is %v behind", time.Duration(*l.Behind))
 }
 
 // notify has discovery hear of a box, later where it is behind, and after its silence.
-func (d *planner) notify(at time.Duration, box int, state string, boot time.Duration, line int) {
-	for _, l := range d.delays {
+func (p *planner) notify(at time.Duration, box int, state string, boot time.Duration, line int) {
+	for _, l := range p.delays {
 		if at >= l.from && at < l.to {
 			at += l.amount
 		}
 	}
-	for _, w := range d.silences {
+	for _, w := range p.silences {
 		if at >= w.From && at < w.To {
 			at = w.To
 		}
 	}
-	l := d.servers[box]
+	l := p.servers[box]
 	at = max(at, l.notifiedAt) // news of one box keep their order
 	l.notifiedAt = at
-	d.addStep(Step{At: at, Kind: DiscoveryUpdate, Server: box, State: state, Boot: boot, Line: line})
+	p.addStep(Step{At: at, Kind: DiscoveryUpdate, Server: box, State: state, Boot: boot, Line: line})
 }
 
 // planEvent draws one event of the script.
-func (d *planner) planEvent(e *event) {
+func (p *planner) planEvent(e *event) {
 	at := time.Duration(e.At)
-	if at >= d.Length {
-		d.add(positionOf(e.Pos), "at %v the morning is over: it is %v long", at, d.Length)
+	if at >= p.Length {
+		p.add(positionOf(e.Pos), "at %v the morning is over: it is %v long", at, p.Length)
 		return
 	}
 	switch {
 	case e.NewServers != nil:
-		d.planNewServers(e, e.NewServers)
+		p.planNewServers(e, e.NewServers)
 	case e.Servers != nil:
-		from := len(d.Windows)
-		hit := d.selectServers(e, e.Servers.Targets)
+		from := len(p.Windows)
+		hit := p.selectServers(e, e.Servers.Targets)
 		for i, box := range hit {
-			d.planServerEvent(e, e.Servers, i, box)
+			p.planServerEvent(e, e.Servers, i, box)
 		}
-		d.mergeWindows(from, hit)
+		p.mergeWindows(from, hit)
 	case e.Link != nil:
-		d.planLink(e, e.Link)
+		p.planLink(e, e.Link)
 	case e.Sidecars != nil:
-		d.planSignals(e, e.Sidecars)
+		p.planSignals(e, e.Sidecars)
 	case e.Load != nil:
 		if e.Load.Times > 100 {
-			d.add(positionOf(e.Load.Pos), "load is 100 times at most")
+			p.add(positionOf(e.Load.Pos), "load is 100 times at most")
 		}
-		d.addWindow(e, time.Duration(e.Load.For), "load is %v times", e.Load.Times)
+		p.addWindow(e, time.Duration(e.Load.For), "load is %v times", e.Load.Times)
 	case e.FaultyCallers != nil:
 		if e.FaultyCallers.Count < 1 || e.FaultyCallers.Count > 1000 {
-			d.add(positionOf(e.FaultyCallers.Pos), "%d rude callers: 1 to 1000 can be played", e.FaultyCallers.Count)
+			p.add(positionOf(e.FaultyCallers.Pos), "%d rude callers: 1 to 1000 can be played", e.FaultyCallers.Count)
 		}
-		d.addStep(Step{At: at, Kind: FaultyCallerCount, Amount: float64(e.FaultyCallers.Count), Line: e.Pos.Line})
-		d.addStep(Step{At: at + time.Duration(e.FaultyCallers.For), Kind: FaultyCallerCount, Line: e.Pos.Line})
-		d.addWindow(e, time.Duration(e.FaultyCallers.For), "%d rude callers", e.FaultyCallers.Count)
+		p.addStep(Step{At: at, Kind: FaultyCallerCount, Amount: float64(e.FaultyCallers.Count), Line: e.Pos.Line})
+		p.addStep(Step{At: at + time.Duration(e.FaultyCallers.For), Kind: FaultyCallerCount, Line: e.Pos.Line})
+		p.addWindow(e, time.Duration(e.FaultyCallers.For), "%d rude callers", e.FaultyCallers.Count)
 	}
 }
 
@@ -290,54 +290,54 @@
 const maxNamedServers = 4
 
 // mergeWindows makes one window of those that an event's boxes have had each.
-func (d *planner) mergeWindows(from int, hit []int) {
-	if len(d.Windows) == from {
+func (p *planner) mergeWindows(from int, hit []int) {
+	if len(p.Windows) == from {
 		return
 	}
-	all := d.Windows[from:]
+	all := p.Windows[from:]
 	one := all[0]
 	for _, w := range all {
 		one.From, one.To = min(one.From, w.From), max(one.To, w.To)
 	}
-	tier := d.Tiers[d.Servers[hit[0]].Tier].Name
+	tier := p.Tiers[p.Servers[hit[0]].Tier].Name
 	who := fmt.Sprintf("%d boxes of %s", len(hit), tier)
 	if len(hit) <= maxNamedServers {
 		var numbers []string
 		for _, i := range hit {
-			numbers = append(numbers, fmt.Sprint(d.Servers[i].Number))
+			numbers = append(numbers, fmt.Sprint(p.Servers[i].Number))
 		}
 		who = fmt.Sprintf("%s %s", tier, strings.Join(numbers, ", "))
 	}
 	one.Text = who + ": " + one.Text
-	d.Windows = append(d.Windows[:from], one)
+	p.Windows = append(p.Windows[:from], one)
 }
 
 // planNewServers adds boxes.
-func (d *planner) planNewServers(e *event, n *newServers) {
-	t := d.Tier(n.Tier)
+func (p *planner) planNewServers(e *event, n *newServers) {
+	t := p.Tier(n.Tier)
 	if t == nil {
-		d.add(positionOf(n.Pos), "%s", finding.UnknownName("tier", n.Tier, d.tierNames()))
+		p.add(positionOf(n.Pos), "%s", finding.UnknownName("tier", n.Tier, p.tierNames()))
 		return
 	}
-	if n.Count < 1 || len(d.Servers)+n.Count > MaxServers {
-		d.add(positionOf(n.Pos), "%d new boxes: 1 or more, and %d in all at most", n.Count, MaxServers)
+	if n.Count < 1 || len(p.Servers)+n.Count > MaxServers {
+		p.add(positionOf(n.Pos), "%d new boxes: 1 or more, and %d in all at most", n.Count, MaxServers)
 		return
 	}
-	if t.Calls != "" && d.sidecarCount()+n.Count > MaxSidecars {
-		d.add(positionOf(n.Pos), "%d more sidecars, one for each of these boxes: %d at most", n.Count, MaxSidecars)
+	if t.Calls != "" && p.sidecarCount()+n.Count > MaxSidecars {
+		p.add(positionOf(n.Pos), "%d more sidecars, one for each of these boxes: %d at most", n.Count, MaxSidecars)
 		return
 	}
 	for range n.Count {
-		d.startServer(time.Duration(e.At), d.newServer(d.tierIndex(t), -1, time.Duration(e.At)), e.Pos.Line)
+		p.startServer(time.Duration(e.At), p.newServer(p.tierIndex(t), -1, time.Duration(e.At)), e.Pos.Line)
 	}
-	d.addWindow(e, 0, "%d new of %s", n.Count, t.Name)
+	p.addWindow(e, 0, "%d new of %s", n.Count, t.Name)
 }
 
 // sidecarCount is how many sidecars there are at most.
-func (d *planner) sidecarCount() int {
-	n := d.Sidecars.Count
-	for _, b := range d.Servers {
-		if d.Tiers[b.Tier].Calls != "" {
+func (p *planner) sidecarCount() int {
+	n := p.Sidecars.Count
+	for _, b := range p.Servers {
+		if p.Tiers[b.Tier].Calls != "" {
 			n++
 		}
 	}
@@ -345,28 +345,28 @@
 }
 
 // startServer starts a box, cold.
-func (d *planner) startServer(at time.Duration, box, line int) {
+func (p *planner) startServer(at time.Duration, box, line int) {
 	at = max(at, time.Millisecond) // 0 is long ago
-	if d.Servers[box].StartsAt > 0 || d.servers[box].startedAt == 0 && d.Servers[box].StartsAt == 0 {
-		d.servers[box].startedAt = at
+	if p.Servers[box].StartsAt > 0 || p.servers[box].startedAt == 0 && p.Servers[box].StartsAt == 0 {
+		p.servers[box].startedAt = at
 	}
-	d.addStep(Step{At: at, Kind: ServerStart, Server: box, Line: line})
-	d.notify(at+d.Discovery.AddDelay, box, "Ready", at, line)
+	p.addStep(Step{At: at, Kind: ServerStart, Server: box, Line: line})
+	p.notify(at+p.Discovery.AddDelay, box, "Ready", at, line)
 }
 
 // selectServers draws the boxes that an event hits: such as are there, up, and not hit by another one already.
-func (d *planner) selectServers(e *event, w *serverSelector) []int {
+func (p *planner) selectServers(e *event, w *serverSelector) []int {
 	at, where := time.Duration(e.At), positionOf(w.Pos)
-	t := d.Tier(w.Tier)
+	t := p.Tier(w.Tier)
 	if t == nil {
-		d.add(where, "%s", finding.UnknownName("tier", w.Tier, d.tierNames()))
+		p.add(where, "%s", finding.UnknownName("tier", w.Tier, p.tierNames()))
 		return nil
 	}
 	var up []int
 	total := 0
-	for i := range d.Servers {
-		l := d.servers[i]
-		if d.Servers[i].Tier != d.tierIndex(t) || d.Servers[i].StartsAt > at || l.goneAt >= 0 && at >= l.goneAt {
+	for i := range p.Servers {
+		l := p.servers[i]
+		if p.Servers[i].Tier != p.tierIndex(t) || p.Servers[i].StartsAt > at || l.goneAt >= 0 && at >= l.goneAt {
 			continue
 		}
 		total++
@@ -375,23 +375,23 @@
 		}
 	}
 	if w.One != nil {
-		for i, b := range d.Servers {
-			if b.Tier != d.tierIndex(t) || b.Number != *w.One {
+		for i, b := range p.Servers {
+			if b.Tier != p.tierIndex(t) || b.Number != *w.One {
 				continue
 			}
-			switch l := d.servers[i]; {
+			switch l := p.servers[i]; {
 			case b.StartsAt > at:
-				d.add(where, "box %d of %s starts at %v only", *w.One, t.Name, b.StartsAt)
+				p.add(where, "box %d of %s starts at %v only", *w.One, t.Name, b.StartsAt)
 			case l.goneAt >= 0 && at >= l.goneAt:
-				d.add(where, "box %d of %s is gone since %v (line %d)", *w.One, t.Name, l.goneAt, l.goneLine)
+				p.add(where, "box %d of %s is gone since %v (line %d)", *w.One, t.Name, l.goneAt, l.goneLine)
 			case at < l.busyUntil:
-				d.add(where, "box %d of %s is busy with line %d until %v", *w.One, t.Name, l.busyLine, l.busyUntil)
+				p.add(where, "box %d of %s is busy with line %d until %v", *w.One, t.Name, l.busyLine, l.busyUntil)
 			default:
 				return []int{i}
 			}
 			return nil
 		}
-		d.add(where, "there is no box %d of %s: it has %d", *w.One, t.Name, d.counts[d.tierIndex(t)])
+		p.add(where, "there is no box %d of %s: it has %d", *w.One, t.Name, p.counts[p.tierIndex(t)])
 		return nil
 	}
 	n := len(up)
@@ -400,28 +400,28 @@
 		n = *w.Count
 	case w.Share != nil:
 		if *w.Share > 1 {
-			d.add(where, "%v%% of the boxes is more than there are", float64(*w.Share)*100)
+			p.add(where, "%v%% of the boxes is more than there are", float64(*w.Share)*100)
 			return nil
 		}
 		// The nearest whole number: a share that is named hits somebody.
 		n = max(1, int(math.Round(float64(*w.Share)*float64(total))))
 	}
 	if n < 1 || n > len(up) {
-		d.add(where, "%d boxes of %s are to be hit, and %d are up and not hit by another line at %v", n, t.Name, len(up), at)
+		p.add(where, "%d boxes of %s are to be hit, and %d are up and not hit by another line at %v", n, t.Name, len(up), at)
 		return nil
 	}
-	d.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+	p.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	hit := up[:n]
 	slices.Sort(hit)
 	return hit
 }
 
 // planServerEvent draws what one box suffers; i counts those of the event.
-func (d *planner) planServerEvent(e *event, b *serverEvent, i, box int) {
-	at, line, l := time.Duration(e.At), e.Pos.Line, d.servers[box]
+func (p *planner) planServerEvent(e *event, b *serverEvent, i, box int) {
+	at, line, l := time.Duration(e.At), e.Pos.Line, p.servers[box]
 	step := func(s Step) {
 		s.Server, s.Line = box, line
-		d.addStep(s)
+		p.addStep(s)
 	}
 	busy := func(until time.Duration) { l.busyUntil, l.busyLine = until, line }
 	ends := func(when time.Duration) { l.goneAt, l.goneLine = when, line }
@@ -430,68 +430,68 @@
 		back := at + time.Duration(*b.Silent)
 		busy(back)
 		step(Step{At: at, Kind: ServerSilence})
-		if missed := at + d.Discovery.SilentNoticeDelay; missed < back {
-			d.notify(missed, box, "Gone", l.startedAt, line)
+		if missed := at + p.Discovery.SilentNoticeDelay; missed < back {
+			p.notify(missed, box, "Gone", l.startedAt, line)
 		}
-		d.startServer(back, box, line)
-		d.addWindow(e, time.Duration(*b.Silent), "silent")
+		p.startServer(back, box, line)
+		p.addWindow(e, time.Duration(*b.Silent), "silent")
 	case b.Restart != nil:
 		back := at + time.Duration(*b.Restart)
 		busy(back)
 		step(Step{At: at, Kind: ServerCrash})
-		if noticed := at + d.Discovery.NoticeDelay; noticed < back {
-			d.notify(noticed, box, "Gone", l.startedAt, line)
+		if noticed := at + p.Discovery.NoticeDelay; noticed < back {
+			p.notify(noticed, box, "Gone", l.startedAt, line)
 		}
-		d.startServer(back, box, line)
-		d.addWindow(e, time.Duration(*b.Restart), "restart")
+		p.startServer(back, box, line)
+		p.addWindow(e, time.Duration(*b.Restart), "restart")
 	case b.Die:
 		ends(at)
 		step(Step{At: at, Kind: ServerCrash})
-		d.notify(at+d.Discovery.NoticeDelay, box, "Gone", l.startedAt, line)
-		d.addWindow(e, 0, "gone for good")
+		p.notify(at+p.Discovery.NoticeDelay, box, "Gone", l.startedAt, line)
+		p.addWindow(e, 0, "gone for good")
 	case b.Drain != nil:
-		d.drainServer(at, at+time.Duration(*b.Drain), box, line)
-		d.addWindow(e, time.Duration(*b.Drain), "drain")
+		p.drainServer(at, at+time.Duration(*b.Drain), box, line)
+		p.addWindow(e, time.Duration(*b.Drain), "drain")
 	case b.Replace != nil:
-		tier := d.Servers[box].Tier
-		if len(d.Servers) >= MaxServers || d.Tiers[tier].Calls != "" && d.sidecarCount() >= MaxSidecars {
-			d.add(positionOf(e.Pos), "there would be more boxes or sidecars in all than %d or %d", MaxServers, MaxSidecars)
+		tier := p.Servers[box].Tier
+		if len(p.Servers) >= MaxServers || p.Tiers[tier].Calls != "" && p.sidecarCount() >= MaxSidecars {
+			p.add(positionOf(e.Pos), "there would be more boxes or sidecars in all than %d or %d", MaxServers, MaxSidecars)
 			return
 		}
 		when := at
 		if b.Replace.Over != nil {
-			when += time.Duration(i) * time.Duration(*b.Replace.Over) / time.Duration(max(1, d.Tiers[tier].Servers))
+			when += time.Duration(i) * time.Duration(*b.Replace.Over) / time.Duration(max(1, p.Tiers[tier].Servers))
 		}
 		if b.Replace.Same {
 			ends(when)
-			d.addStep(Step{At: when, Kind: ServerCrash, Server: box, Line: line})
-			d.notify(when+d.Discovery.NoticeDelay, box, "Gone", l.startedAt, line)
-			d.startServer(when+replaceGap, d.newServer(tier, d.Servers[box].Slot, when+replaceGap), line)
+			p.addStep(Step{At: when, Kind: ServerCrash, Server: box, Line: line})
+			p.notify(when+p.Discovery.NoticeDelay, box, "Gone", l.startedAt, line)
+			p.startServer(when+replaceGap, p.newServer(tier, p.Servers[box].Slot, when+replaceGap), line)
 		} else {
-			d.startServer(when, d.newServer(tier, -1, when), line)
-			d.drainServer(when, when+drainFor, box, line)
+			p.startServer(when, p.newServer(tier, -1, when), line)
+			p.drainServer(when, when+drainFor, box, line)
 		}
-		d.addWindow(e, when-at+replaceGap, "replaced")
+		p.addWindow(e, when-at+replaceGap, "replaced")
 	case b.Pause != nil:
 		until := at + time.Duration(*b.Pause)
 		busy(until)
 		step(Step{At: at, Kind: ServerPause, Until: until})
-		d.addWindow(e, time.Duration(*b.Pause), "stand still")
+		p.addWindow(e, time.Duration(*b.Pause), "stand still")
 	case b.Slow != nil:
 		if b.Slow.By < 1 || b.Slow.By > 1000 {
-			d.add(positionOf(e.Pos), "%v times slower: 1 to 1000 can be played", b.Slow.By)
+			p.add(positionOf(e.Pos), "%v times slower: 1 to 1000 can be played", b.Slow.By)
 		}
 		until := at + time.Duration(b.Slow.For)
 		busy(until)
 		step(Step{At: at, Kind: ServerSlowdown, Amount: b.Slow.By})
 		step(Step{At: until, Kind: ServerSlowdown, Amount: 1})
-		d.addWindow(e, time.Duration(b.Slow.For), "%v times slower", b.Slow.By)
+		p.addWindow(e, time.Duration(b.Slow.For), "%v times slower", b.Slow.By)
 	case b.Weigh != nil:
 		if *b.Weigh > maxWeight {
-			d.add(positionOf(e.Pos), "a weight is %d at most", maxWeight)
+			p.add(positionOf(e.Pos), "a weight is %d at most", maxWeight)
 		}
-		d.addStep(Step{At: max(at+d.Discovery.AddDelay, l.notifiedAt), Kind: DiscoveryWeight, Server: box, Amount: *b.Weigh, Line: line})
-		d.addWindow(e, 0, "weigh %v", *b.Weigh)
+		p.addStep(Step{At: max(at+p.Discovery.AddDelay, l.notifiedAt), Kind: DiscoveryWeight, Server: box, Amount: *b.Weigh, Line: line})
+		p.addWindow(e, 0, "weigh %v", *b.Weigh)
 	case b.Fault != nil:
 		f := b.Fault
 		what := map[byte]string{'l': "lose", 'f': "fail", 'g': "garble"}[f.What[0]]
@@ -502,28 +502,28 @@
 			}
 		}
 		if *f.Of > 1 {
-			d.add(positionOf(f.Pos), "%v%% is more than all", float64(*f.Of)*100)
+			p.add(positionOf(f.Pos), "%v%% is more than all", float64(*f.Of)*100)
 		}
 		until := at + time.Duration(f.For)
 		busy(until)
 		step(Step{At: at, Kind: ServerFault, Name: what, Amount: float64(*f.Of)})
 		step(Step{At: until, Kind: ServerFault, Name: what})
-		d.addWindow(e, time.Duration(f.For), "%s %v%% of calls", what, float64(*f.Of)*100)
+		p.addWindow(e, time.Duration(f.For), "%s %v%% of calls", what, float64(*f.Of)*100)
 	}
 }
 
 // drainServer has a box finish what it has, and end.
-func (d *planner) drainServer(at, end time.Duration, box, line int) {
-	l := d.servers[box]
+func (p *planner) drainServer(at, end time.Duration, box, line int) {
+	l := p.servers[box]
 	l.goneAt, l.goneLine = at, line
-	d.notify(at+d.Discovery.NoticeDelay, box, "Terminating", l.startedAt, line)
-	d.addStep(Step{At: end, Kind: ServerCrash, Server: box, Line: line})
-	d.notify(end+d.Discovery.NoticeDelay, box, "Gone", l.startedAt, line)
+	p.notify(at+p.Discovery.NoticeDelay, box, "Terminating", l.startedAt, line)
+	p.addStep(Step{At: end, Kind: ServerCrash, Server: box, Line: line})
+	p.notify(end+p.Discovery.NoticeDelay, box, "Gone", l.startedAt, line)
 }
 
 // planSignals draws the sidecars that get one.
-func (d *planner) planSignals(e *event, s *sidecarEvent) {
-	n := d.Sidecars.Count
+func (p *planner) planSignals(e *event, s *sidecarEvent) {
+	n := p.Sidecars.Count
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -531,49 +531,49 @@
 	switch {
 	case s.One != nil:
 		if *s.One < 1 || *s.One > n {
-			d.add(positionOf(s.Pos), "there is no sidecar %d: there are %d", *s.One, n)
+			p.add(positionOf(s.Pos), "there is no sidecar %d: there are %d", *s.One, n)
 			return
 		}
 		all = []int{*s.One - 1}
-		if d.sidecarsDownUntil[*s.One-1] > time.Duration(e.At) {
-			d.add(positionOf(s.Pos), "sidecar %d is down until %v, by another line", *s.One, d.sidecarsDownUntil[*s.One-1])
+		if p.sidecarsDownUntil[*s.One-1] > time.Duration(e.At) {
+			p.add(positionOf(s.Pos), "sidecar %d is down until %v, by another line", *s.One, p.sidecarsDownUntil[*s.One-1])
 			return
 		}
 	case s.Share != nil:
 		if *s.Share > 1 {
-			d.add(positionOf(s.Pos), "%v%% of the sidecars is more than there are", float64(*s.Share)*100)
+			p.add(positionOf(s.Pos), "%v%% of the sidecars is more than there are", float64(*s.Share)*100)
 			return
 		}
-		d.random.Shuffle(n, func(i, j int) { all[i], all[j] = all[j], all[i] })
+		p.random.Shuffle(n, func(i, j int) { all[i], all[j] = all[j], all[i] })
 		all = all[:max(1, int(math.Round(float64(*s.Share)*float64(n))))]
 		slices.Sort(all)
 	}
 	if s.Signal == "SIGHUP" && s.Back != nil {
-		d.add(positionOf(s.Pos), "SIGHUP ends no sidecar: there is nothing to come back")
+		p.add(positionOf(s.Pos), "SIGHUP ends no sidecar: there is nothing to come back")
 		return
 	}
 	if s.Signal == "SIGSTOP" && s.Back == nil {
-		d.add(positionOf(s.Pos), "a sidecar that stands still for good is no morning: say 'and is back after'")
+		p.add(positionOf(s.Pos), "a sidecar that stands still for good is no morning: say 'and is back after'")
 		return
 	}
 	at := time.Duration(e.At)
 	for _, i := range all {
-		if d.sidecarsDownUntil[i] > at {
+		if p.sidecarsDownUntil[i] > at {
 			continue // by another line; "all" are those that are up
 		}
 		if s.Signal != "SIGHUP" {
-			d.sidecarsDownUntil[i] = never
+			p.sidecarsDownUntil[i] = never
 			if s.Back != nil {
-				d.sidecarsDownUntil[i] = at + time.Duration(*s.Back)
+				p.sidecarsDownUntil[i] = at + time.Duration(*s.Back)
 			}
 		}
-		d.addStep(Step{At: at, Kind: SidecarSignal, Sidecar: i, Name: s.Signal, Line: e.Pos.Line})
+		p.addStep(Step{At: at, Kind: SidecarSignal, Sidecar: i, Name: s.Signal, Line: e.Pos.Line})
 		var length time.Duration
 		if s.Back != nil {
 			length = time.Duration(*s.Back)
-			d.addStep(Step{At: at + length, Kind: SidecarRestart, Sidecar: i, Line: e.Pos.Line})
+			p.addStep(Step{At: at + length, Kind: SidecarRestart, Sidecar: i, Line: e.Pos.Line})
 		}
-		d.addWindow(e, length, "sidecar %d: %s", i+1, s.Signal)
+		p.addWindow(e, length, "sidecar %d: %s", i+1, s.Signal)
 	}
 }
 
@@ -584,19 +584,19 @@
 )
 
 // drawArrivals draws when callers come: a Poisson process by thinning.
-func (d *planner) drawArrivals(events []*event) {
-	r := rand.New(emulator.RandomSource(d.Seed, "arrivals"))
+func (p *planner) drawArrivals(events []*event) {
+	r := rand.New(emulator.RandomSource(p.Seed, "arrivals"))
 	var bursts []float64
-	for at := time.Duration(0); at < d.Length; at += burstLength {
-		bursts = append(bursts, 1+d.Callers.Swing*(2*r.Float64()-1))
+	for at := time.Duration(0); at < p.Length; at += burstLength {
+		bursts = append(bursts, 1+p.Callers.Swing*(2*r.Float64()-1))
 	}
 	factor := func(at time.Duration) float64 {
 		f := 1.0
-		switch d.Callers.Shape {
+		switch p.Callers.Shape {
 		case "bursty":
 			f = bursts[at/burstLength]
 		case "wave":
-			f = 1 + d.Callers.Swing*math.Sin(2*math.Pi*float64(at)/float64(wavePeriod))
+			f = 1 + p.Callers.Swing*math.Sin(2*math.Pi*float64(at)/float64(wavePeriod))
 		}
 		for _, e := range events {
 			if e.Load != nil && at >= time.Duration(e.At) && at < time.Duration(e.At+e.Load.For) {
@@ -605,38 +605,38 @@
 		}
 		return f
 	}
-	most := 1 + d.Callers.Swing
+	most := 1 + p.Callers.Swing
 	for _, e := range events {
 		if e.Load != nil {
 			most *= max(1, e.Load.Times)
 		}
 	}
 	var shares float64
-	for _, c := range d.Classes {
+	for _, c := range p.Classes {
 		shares += c.Share
 	}
 	if most > 1e6 {
 		return // reported with the event
 	}
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() / (d.Callers.Rate * most) * 1e9)
-		if at >= d.Length {
+		at += time.Duration(r.ExpFloat64() / (p.Callers.Rate * most) * 1e9)
+		if at >= p.Length {
 			return
 		}
 		u, pick, patience, honour := r.Float64(), r.Float64()*shares, r.Float64(), r.Float64()
 		if u*most >= factor(at) {
 			continue
 		}
-		if len(d.Arrivals) == MaxRequests {
-			d.add(d.position("callers", "rate"), "more than %d requests", MaxRequests)
+		if len(p.Arrivals) == MaxRequests {
+			p.add(p.position("callers", "rate"), "more than %d requests", MaxRequests)
 			return
 		}
 		class := 0
-		for class < len(d.Classes)-1 && pick >= d.Classes[class].Share {
-			pick -= d.Classes[class].Share
+		for class < len(p.Classes)-1 && pick >= p.Classes[class].Share {
+			pick -= p.Classes[class].Share
 			class++
 		}
-		d.Arrivals = append(d.Arrivals, Arrival{at, class, d.Callers.Patience.interpolate(patience), honour < d.Callers.HonoursRetryAfter})
+		p.Arrivals = append(p.Arrivals, Arrival{at, class, p.Callers.Patience.interpolate(patience), honour < p.Callers.HonoursRetryAfter})
 	}
 }
 
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -67,14 +67,14 @@
 }
 
 // handle is an idle connection, drawn at random so that all sidecars are used alike; nil if there is none.
-func (p *connectionPool) take() *callerConnection {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for n := len(p.idle); n > 0; n-- {
+func (c *connectionPool) take() *callerConnection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for n := len(c.idle); n > 0; n-- {
 		i := rand.IntN(n)
-		l := p.idle[i]
-		p.idle[i] = p.idle[n-1]
-		p.idle = p.idle[:n-1]
+		l := c.idle[i]
+		c.idle[i] = c.idle[n-1]
+		c.idle = c.idle[:n-1]
 		select {
 		case <-l.closed:
 		default:
@@ -84,36 +84,36 @@
 	return nil
 }
 
-func (p *connectionPool) put(l *callerConnection) {
-	p.mu.Lock()
-	p.idle = append(p.idle, l)
-	p.mu.Unlock()
+func (c *connectionPool) put(l *callerConnection) {
+	c.mu.Lock()
+	c.idle = append(c.idle, l)
+	c.mu.Unlock()
 }
 
-func (p *connectionPool) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, l := range p.idle {
+func (c *connectionPool) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, l := range c.idle {
 		l.Close()
 	}
-	p.idle = nil
+	c.idle = nil
 }
 
 // read takes answers until the connection ends. What comes while nothing is owed is noted: nobody asked for it.
-func (l *callerConnection) read() {
-	defer close(l.closed)
-	defer l.Close()
-	r := bufio.NewReader(l.Conn)
+func (c *callerConnection) read() {
+	defer close(c.closed)
+	defer c.Close()
+	r := bufio.NewReader(c.Conn)
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		l.mu.Lock()
-		out := l.pending
-		l.mu.Unlock()
+		c.mu.Lock()
+		out := c.pending
+		c.mu.Unlock()
 		if out == nil {
 			some, _ := r.Peek(min(r.Buffered(), 40))
-			l.sidecar.rehearsal.record(audit.Event{At: l.sidecar.rehearsal.now(), Kind: audit.UnsolicitedBytes, Sidecar: l.sidecar.index, Server: -1, Origin: -1, Text: strconv.Quote(string(some))})
+			c.sidecar.rehearsal.record(audit.Event{At: c.sidecar.rehearsal.now(), Kind: audit.UnsolicitedBytes, Sidecar: c.sidecar.index, Server: -1, Origin: -1, Text: strconv.Quote(string(some))})
 			return
 		}
 		answer, err := http.ReadResponse(r, nil)
@@ -129,14 +129,14 @@
 			after = time.Duration(f * float64(time.Second))
 		}
 		good := bytes.HasPrefix(body, []byte("served "+out.request+" "))
-		l.sidecar.rehearsal.record(audit.Event{
-			At: l.sidecar.rehearsal.now(), Kind: audit.AnswerReceived, Request: out.request, Status: answer.StatusCode, Duration: after, Authentic: good,
-			Sidecar: l.sidecar.index, Server: -1, Origin: out.origin, CallerAttempt: out.callerAttempt,
+		c.sidecar.rehearsal.record(audit.Event{
+			At: c.sidecar.rehearsal.now(), Kind: audit.AnswerReceived, Request: out.request, Status: answer.StatusCode, Duration: after, Authentic: good,
+			Sidecar: c.sidecar.index, Server: -1, Origin: out.origin, CallerAttempt: out.callerAttempt,
 		})
-		l.mu.Lock()
-		l.pending = nil
-		l.mu.Unlock()
-		l.answers <- callerAnswer{answer.StatusCode, after, good}
+		c.mu.Lock()
+		c.pending = nil
+		c.mu.Unlock()
+		c.answers <- callerAnswer{answer.StatusCode, after, good}
 		if answer.Close {
 			return
 		}
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -55,14 +55,14 @@
 	return a, nil
 }
 
-func (a *consulAgent) close() {
-	a.http.Close()
-	a.server.Close()
+func (c *consulAgent) close() {
+	c.http.Close()
+	c.server.Close()
 }
 
 // instance is a box as Consul has it: passing, critical while it drains, and not there at all once it has gone.
-func (a *consulAgent) instance(box int, e entry) consul.Instance {
-	w := a.news.w
+func (c *consulAgent) instance(box int, e entry) consul.Instance {
+	w := c.news.w
 	b := &w.plan.Servers[box]
 	status := "passing"
 	if e.state != "Ready" {
@@ -80,26 +80,26 @@
 }
 
 // update changes what Consul knows of a box.
-func (a *consulAgent) update(box int, e entry) {
-	uid := a.news.w.plan.Servers[box].UID
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	index := a.server.Update(func(all []consul.Instance) []consul.Instance {
+func (c *consulAgent) update(box int, e entry) {
+	uid := c.news.w.plan.Servers[box].UID
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	index := c.server.Update(func(all []consul.Instance) []consul.Instance {
 		all = slices.DeleteFunc(slices.Clone(all), func(i consul.Instance) bool { return i.ID == uid })
 		if e.state != "Gone" {
-			all = append(all, a.instance(box, e))
+			all = append(all, c.instance(box, e))
 		}
 		return all
 	})
-	a.pending = append(a.pending, pendingUpdate{index, box, e.state})
+	c.pending = append(c.pending, pendingUpdate{index, box, e.state})
 }
 
 // setSilent makes Consul answer nothing, or answer again.
-func (a *consulAgent) setSilent(on bool) { a.server.SetFault(consul.Fault{Hang: on}) }
+func (c *consulAgent) setSilent(on bool) { c.server.SetFault(consul.Fault{Hang: on}) }
 
 // ServeHTTP answers as the stand-in does. A whole list of health tells all changes up to its index.
-func (a *consulAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.server.ServeHTTP(w, r)
+func (c *consulAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.server.ServeHTTP(w, r)
 	if http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
 		return
 	}
@@ -107,16 +107,16 @@
 	if err != nil {
 		return
 	}
-	now := a.news.w.now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	now := c.news.w.now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for n < len(a.pending) && a.pending[n].index <= index {
-		o := a.pending[n]
-		a.news.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: a.sidecar, Server: o.server, Text: o.state, Origin: -1})
+	for n < len(c.pending) && c.pending[n].index <= index {
+		o := c.pending[n]
+		c.news.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: c.sidecar, Server: o.server, Text: o.state, Origin: -1})
 		n++
 	}
-	a.pending = a.pending[n:]
+	c.pending = c.pending[n:]
 }
 
 // consulFile is the product's file of a sidecar that follows Consul alone.
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -47,55 +47,55 @@
 }
 
 // update has discovery know of a box's state.
-func (n *tierDiscovery) update(box int, state string, boot time.Duration) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.revision++
-	if _, ok := n.entries[box]; !ok {
-		n.order = append(n.order, box)
+func (t *tierDiscovery) update(box int, state string, boot time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.revision++
+	if _, ok := t.entries[box]; !ok {
+		t.order = append(t.order, box)
 	}
-	n.entries[box] = entry{state, boot, n.revision, n.entries[box].weightDeficit}
-	for _, a := range n.consulAgents {
-		a.update(box, n.entries[box])
+	t.entries[box] = entry{state, boot, t.revision, t.entries[box].weightDeficit}
+	for _, a := range t.consulAgents {
+		a.update(box, t.entries[box])
 	}
-	n.wakeWatchers()
+	t.wakeWatchers()
 }
 
 // setWeight has discovery know of a box's weight.
-func (n *tierDiscovery) setWeight(box int, weight float64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	e, ok := n.entries[box]
+func (t *tierDiscovery) setWeight(box int, weight float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, ok := t.entries[box]
 	if !ok {
 		return
 	}
-	n.revision++
-	e.revision, e.weightDeficit = n.revision, 1-weight
-	n.entries[box] = e
-	n.wakeWatchers()
+	t.revision++
+	e.revision, e.weightDeficit = t.revision, 1-weight
+	t.entries[box] = e
+	t.wakeWatchers()
 }
 
 // setRepeats makes discovery say everything twice, or once again.
-func (n *tierDiscovery) setRepeats(on bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.repeats = on
+func (t *tierDiscovery) setRepeats(on bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.repeats = on
 }
 
-func (n *tierDiscovery) wakeWatchers() {
-	close(n.changed)
-	n.changed = make(chan struct{})
+func (t *tierDiscovery) wakeWatchers() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
 // setSilent makes discovery say nothing, or speak again.
-func (n *tierDiscovery) setSilent(on bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.silent = on
-	for _, a := range n.consulAgents {
+func (t *tierDiscovery) setSilent(on bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.silent = on
+	for _, a := range t.consulAgents {
 		a.setSilent(on)
 	}
-	n.wakeWatchers()
+	t.wakeWatchers()
 }
 
 type message struct {
@@ -105,10 +105,10 @@
 }
 
 // changesSince is what changed after a revision, or all for 0, with the boxes and states that it tells of. n.mu is held.
-func (n *tierDiscovery) changesSince(rev uint64) (m message, told map[int]string) {
-	m, told = message{Rev: n.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
-	for _, i := range n.order {
-		e := n.entries[i]
+func (t *tierDiscovery) changesSince(rev uint64) (m message, told map[int]string) {
+	m, told = message{Rev: t.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
+	for _, i := range t.order {
+		e := t.entries[i]
 		if e.revision <= rev {
 			continue
 		}
@@ -116,16 +116,16 @@
 		if m.All && e.state == "Gone" {
 			continue
 		}
-		b := &n.w.plan.Servers[i]
-		t := booking.Target{UID: b.UID, Address: n.w.serverAddress(b.Slot), Zone: morning.Zone, Model: n.w.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
-		switch boot := n.w.plan.Discovery.BootTime; {
+		b := &t.w.plan.Servers[i]
+		target := booking.Target{UID: b.UID, Address: t.w.serverAddress(b.Slot), Zone: morning.Zone, Model: t.w.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
+		switch boot := t.w.plan.Discovery.BootTime; {
 		case e.boot == 0, boot == morning.BootTimeNone:
 		case boot == morning.BootTimeAhead:
-			t.BootMS = n.w.wall(e.boot + morning.BootTimeSkew).UnixMilli()
+			target.BootMS = t.w.wall(e.boot + morning.BootTimeSkew).UnixMilli()
 		default:
-			t.BootMS = n.w.wall(e.boot).UnixMilli()
+			target.BootMS = t.w.wall(e.boot).UnixMilli()
 		}
-		m.Targets = append(m.Targets, t)
+		m.Targets = append(m.Targets, target)
 	}
 	return m, told
 }
@@ -153,12 +153,12 @@
 }
 
 // ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch. While discovery is silent it says nothing.
-func (a *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
 		return
 	}
-	n := a.news
+	n := d.news
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	watch := r.URL.Query().Get("follow") != ""
 	control, encoder := http.NewResponseController(w), json.NewEncoder(w)
@@ -183,7 +183,7 @@
 				told = nil // what the platform says does not count
 			}
 			for box, state := range told {
-				n.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: a.sidecar, Server: box, Text: state, Origin: -1})
+				n.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: d.sidecar, Server: box, Text: state, Origin: -1})
 			}
 			since = m.Rev
 			if !watch {
@@ -195,7 +195,7 @@
 		select {
 		case <-changed:
 			select { // what changes meanwhile is told with it, less late
-			case <-time.After(a.late):
+			case <-time.After(d.late):
 			case <-r.Context().Done():
 				return
 			}
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -44,12 +44,12 @@
 }
 
 // applyTo makes the change in a directory.
-func (c *nameChange) applyTo(names map[string]*inode) {
-	if c.from != "" {
-		delete(names, c.from)
+func (n *nameChange) applyTo(names map[string]*inode) {
+	if n.from != "" {
+		delete(names, n.from)
 	}
-	if c.to != "" {
-		names[c.to] = c.file
+	if n.to != "" {
+		names[n.to] = n.file
 	}
 }
 
--- a/internal/standin/disk/later.go
+++ b/internal/standin/disk/later.go
@@ -27,9 +27,9 @@
 }
 
 // afterPowerLoss returns what is durable with some of what is pending.
-func (n *inode) afterPowerLoss(rng *rand.Rand) []byte {
-	data := slices.Clone(n.durable)
-	for _, w := range n.pending {
+func (i *inode) afterPowerLoss(rng *rand.Rand) []byte {
+	data := slices.Clone(i.durable)
+	for _, w := range i.pending {
 		kept := len(w.data)
 		switch rng.IntN(3) {
 		case 0:
