--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -1,12 +1,18 @@
-// Package application stands in for an application endpoint beside a sidecar: it works on requests in slots, tells the sidecar
-// that it is there, drains and leaves in order, and remembers which attempts it ran.
+// Package application stands in for an application endpoint beside a sidecar, for tests. It works on requests in slots, sends
+// heartbeats to the sidecar's control address, drains and deregisters, and counts how often each attempt ran.
+//
+//	Start ── in_service ── Drain ── draining ── Deregister ── stopped
+//	             └──────────── Crash ────────────────────────────┘
+//
+// It keeps no configuration and checks no certificate: all of it is plain HTTP on loopback.
 package application
 
 import (
-	"bytes"
-	"encoding/json"
+	"context"
+	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"strconv"
@@ -14,59 +20,75 @@
 	"time"
 )
 
+// ownCallTimeout bounds a call that an endpoint makes itself.
+const ownCallTimeout = 2 * time.Second
+
 // Options are what an endpoint is made of.
 type Options struct {
 	ID, Service, Zone string
-	Address           string   // to listen on
-	Control           []string // where its beats go: its own sidecar first
-	Outbound          string   // where its own calls go: its sidecar's address for requests
-	Slots             int
+	Address           string        // host:port to listen on
+	Control           []string      // addresses that take heartbeats, in the order in which they are tried: its own sidecar first
+	Outbound          string        // address for its own calls: its sidecar's
+	Slots             int           // requests that it works on at once; further ones are rejected
 	ServiceTime       time.Duration // of a request
-	HeartbeatInterval time.Duration // between two beats
+	HeartbeatInterval time.Duration
 }
 
-// Endpoint is one life.
+// Endpoint is one process of an application, from its start to its end.
 type Endpoint struct {
 	options      Options
 	server       *http.Server
-	mu           sync.Mutex
-	executions   map[string]int // by attempt
-	sequence     uint64
-	draining     bool
 	slots        chan struct{}
-	stopped      chan struct{}
-	stopOnce     sync.Once
-	acknowledged chan struct{} // gets one when a beat was acknowledged
-	gate         chan struct{} // requests wait here while it is not nil
-	abandoned    int           // requests whose connections were closed while they waited
+	acknowledged chan struct{} // gets a value when a heartbeat was acknowledged
+	context      context.Context
+	cancel       context.CancelFunc
+	running      sync.WaitGroup // the server and the heartbeats
+
+	mu         sync.Mutex
+	executions map[string]int // by attempt
+	sequence   uint64         // of heartbeats
+	draining   bool
+	gate       chan struct{} // requests wait for it to be closed; nil for none
+	abandoned  int           // requests whose connections were closed while they waited at the gate
 }
 
-// Start begins a life.
-func Start(o Options) (*Endpoint, error) {
-	l, err := net.Listen("tcp4", o.Address)
+// Start listens, and begins to serve and to send heartbeats. Deregister or Crash ends it.
+func Start(options Options) (*Endpoint, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", options.Address)
 	if err != nil {
-		return nil, err
+		cancel()
+		return nil, fmt.Errorf("endpoint %s: %w", options.ID, err)
 	}
+	e := newEndpoint(ctx, cancel, options)
+	e.running.Go(func() {
+		if err := e.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			panic(fmt.Sprintf("endpoint %s: %v", options.ID, err))
+		}
+	})
+	e.running.Go(e.sendHeartbeats)
+	return e, nil
+}
+
+func newEndpoint(ctx context.Context, cancel context.CancelFunc, options Options) *Endpoint {
 	e := &Endpoint{
-		options: o, executions: map[string]int{}, slots: make(chan struct{}, o.Slots), stopped: make(chan struct{}),
-		acknowledged: make(chan struct{}, 1),
+		options: options, slots: make(chan struct{}, options.Slots), acknowledged: make(chan struct{}, 1),
+		context: ctx, cancel: cancel, executions: map[string]int{},
 	}
 	e.server = &http.Server{Handler: http.HandlerFunc(e.serve)}
-	go e.server.Serve(l)
-	go e.sendHeartbeats()
-	return e, nil
+	return e
 }
 
 // serve works on one request.
-func (e *Endpoint) serve(w http.ResponseWriter, q *http.Request) {
-	id := q.Header.Get("Attempt-Id")
-	w.Header().Set("Attempt-Id", id)
-	if t := q.Header.Get("Target-Endpoint"); t != "" && t != e.options.ID {
+func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
+	attempt := r.Header.Get("Attempt-Id")
+	w.Header().Set("Attempt-Id", attempt)
+	if target := r.Header.Get("Target-Endpoint"); target != "" && target != e.options.ID {
 		w.Header().Set("Answering-Endpoint", e.options.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
@@ -78,159 +100,98 @@
 		return
 	}
 	defer func() { <-e.slots }()
+	if !e.execute(r.Context(), attempt) {
+		return
+	}
+	if path := r.URL.Query().Get("call"); path != "" && !e.ownCall(r.Context(), r.Host, path, attempt) {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Endpoint-Seal", e.options.ID+"."+attempt)
+	defer writePadding(w, r.URL.Query().Get("bytes"))
+	_, _ = fmt.Fprintf(w, "%s %s %s %s from %s for %q: %d bytes", e.options.ID, e.options.Service, r.Method, r.RequestURI,
+		r.Header.Get("Calling-Service"), r.Header.Get("Subscriber-Id"), len(body)) // the client may be gone: the run counts
+}
+
+// execute counts an attempt and works on it; false if its connection was closed while it waited at the gate.
+func (e *Endpoint) execute(ctx context.Context, attempt string) bool {
 	e.mu.Lock()
-	e.executions[id]++
-	hold := e.gate
+	e.executions[attempt]++
+	gate := e.gate
 	e.mu.Unlock()
-	if hold != nil {
+	if gate != nil {
 		select {
-		case <-hold:
-		case <-q.Context().Done(): // its connection was closed
+		case <-gate:
+		case <-ctx.Done():
 			e.mu.Lock()
 			e.abandoned++
 			e.mu.Unlock()
-			return
+			return false
 		}
 	}
 	if e.options.ServiceTime > 0 {
 		time.Sleep(e.options.ServiceTime)
 	}
-	if path := q.URL.Query().Get("call"); path != "" && !e.ownCall(q.Host, path, id) {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Endpoint-Seal", e.options.ID+"."+id)
-	defer writePadding(w, q.URL.Query().Get("bytes"))
-	fmt.Fprintf(w, "%s %s %s %s from %s for %q: %d bytes", e.options.ID, e.options.Service, q.Method, q.RequestURI,
-		q.Header.Get("Calling-Service"), q.Header.Get("Subscriber-Id"), len(body))
+	return true
 }
 
-// ownCall makes a call of the endpoint's own, without a tenant's key, amid a request; it tells whether it was served.
-func (e *Endpoint) ownCall(host, path, id string) bool {
-	q, err := http.NewRequest(http.MethodGet, "http://"+e.options.Outbound+path, nil)
+// ownCall makes a call of the endpoint's own, without a tenant's key, amid a request; it reports whether the call was served.
+func (e *Endpoint) ownCall(ctx context.Context, host, path, attempt string) bool {
+	// A call goes on when the request that it belongs to has been given up, as in a server that does not look.
+	ctx = context.WithoutCancel(ctx)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.options.Outbound+path, nil)
 	if err != nil {
 		return false
 	}
-	q.Host = host
-	q.Header.Set("Attempt-Id", id+"-call")
-	q.Header.Set("Time-Remaining", "1000")
-	client := http.Client{Timeout: 2 * time.Second}
-	answer, err := client.Do(q)
+	request.Host = host
+	request.Header.Set("Attempt-Id", attempt+"-call")
+	request.Header.Set("Time-Remaining", "1000")
+	client := http.Client{Timeout: ownCallTimeout}
+	answer, err := client.Do(request)
 	if err != nil {
 		return false
 	}
-	answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	return answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
 }
 
 // writePadding makes an answer longer by as many bytes as a request's query asks for.
 func writePadding(w io.Writer, bytes string) {
 	if n, err := strconv.Atoi(bytes); err == nil && n > 0 {
-		_, _ = w.Write(make([]byte, n))
+		_, _ = w.Write(make([]byte, n)) // the client may be gone
 	}
 }
 
-// Hold has requests that come from now on wait until the function that it returns is called.
+// Hold makes requests that come from now on wait until the function that it returns is called.
 func (e *Endpoint) Hold() (release func()) {
-	hold := make(chan struct{})
+	gate := make(chan struct{})
 	e.mu.Lock()
-	e.gate = hold
+	e.gate = gate
 	e.mu.Unlock()
 	return sync.OnceFunc(func() {
 		e.mu.Lock()
 		e.gate = nil
 		e.mu.Unlock()
-		close(hold)
+		close(gate)
 	})
 }
 
-// Abandoned is how many requests were given up while they were held: their connections were closed.
+// Abandoned returns how many requests were given up while Hold kept them: their connections were closed.
 func (e *Endpoint) Abandoned() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.abandoned
 }
 
-// Executions is how often each attempt ran.
+// Executions returns how often each attempt ran.
 func (e *Endpoint) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := map[string]int{}
-	for id, n := range e.executions {
-		out[id] = n
-	}
-	return out
-}
-
-func (e *Endpoint) sendHeartbeats() {
-	t := time.NewTicker(e.options.HeartbeatInterval)
-	defer t.Stop()
-	for {
-		if e.sendHeartbeat() {
-			select {
-			case e.acknowledged <- struct{}{}:
-			default:
-			}
-		}
-		select {
-		case <-t.C:
-		case <-e.stopped:
-			return
-		}
-	}
-}
-
-// sendHeartbeat sends one beat to whoever takes it.
-func (e *Endpoint) sendHeartbeat() bool {
-	e.mu.Lock()
-	e.sequence++
-	state := "in_service"
-	if e.draining {
-		state = "draining"
-	}
-	body, _ := json.Marshal(map[string]any{
-		"serviceName": e.options.Service, "address": e.options.Address, "zone": e.options.Zone,
-		"configVersion": "v1", "slotCount": e.options.Slots, "state": state, "coldRemaining": "0ms", "callSequence": e.sequence,
-	})
-	e.mu.Unlock()
-	return e.postControl("keepalive", body)
-}
-
-func (e *Endpoint) postControl(what string, body []byte) bool {
-	client := http.Client{Timeout: time.Second}
-	for _, address := range e.options.Control {
-		r, err := client.Post("http://"+address+"/endpoints/"+e.options.ID+"/"+what, "application/json", bytes.NewReader(body))
-		if err != nil {
-			continue
-		}
-		r.Body.Close()
-		if r.StatusCode/100 == 2 {
-			return true
-		}
-	}
-	return false
-}
-
-// Acknowledged gets a value when a beat has been acknowledged.
-func (e *Endpoint) Acknowledged() <-chan struct{} { return e.acknowledged }
-
-// Drain says that it is about to leave, and returns when that is acknowledged; false if nobody took it.
-func (e *Endpoint) Drain() bool {
-	e.mu.Lock()
-	e.draining = true
-	e.mu.Unlock()
-	return e.sendHeartbeat()
-}
-
-// Deregister ends it in order: it deregisters, and is gone.
-func (e *Endpoint) Deregister() bool {
-	ok := e.postControl("deregister", nil)
-	e.Crash()
-	return ok
+	return maps.Clone(e.executions)
 }
 
-// Crash ends it without a word.
+// Crash ends the endpoint without a message to anybody: its listener and connections are closed.
 func (e *Endpoint) Crash() {
-	e.stopOnce.Do(func() { close(e.stopped) })
-	e.server.Close()
+	e.cancel()
+	_ = e.server.Close() // a listener that can't be closed again has been closed before
+	e.running.Wait()
 }
--- a/internal/standin/authority/authority.go
+++ b/internal/standin/authority/authority.go
@@ -1,5 +1,5 @@
-// Package authority signs certificates that hold for an hour on loopback, for
-// tests and for people to try things out.
+// Package authority signs certificates for names on loopback, for tests and for people to try things out. Its own certificate is
+// valid for an hour.
 package authority
 
 import (
@@ -10,79 +10,93 @@
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
+	"fmt"
 	"math/big"
 	"net"
 	"sync/atomic"
 	"time"
 )
 
-// Authority signs.
+// validity of the authority's own certificate, and of those that Pair makes.
+const validity = time.Hour
+
+// Authority is a certificate authority with a key of its own, kept in memory. Its methods may be called by several goroutines.
 type Authority struct {
-	cert   *x509.Certificate
-	key    *ecdsa.PrivateKey
-	serial atomic.Int64
+	certificate *x509.Certificate // nil until it has signed its own
+	key         *ecdsa.PrivateKey
+	serial      atomic.Int64 // of the latest certificate
 }
 
-// New makes one.
+// New returns an authority with a new key.
 func New() (*Authority, error) {
 	a := &Authority{}
-	der, key, err := a.sign(&x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, Subject: pkix.Name{CommonName: "stand-in"}}, time.Hour)
+	template := &x509.Certificate{
+		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, Subject: pkix.Name{CommonName: "stand-in"},
+	}
+	der, key, err := a.sign(template, validity)
 	if err != nil {
 		return nil, err
 	}
 	a.key = key
-	a.cert, err = x509.ParseCertificate(der)
+	a.certificate, err = x509.ParseCertificate(der)
 	return a, err
 }
 
-func (a *Authority) sign(c *x509.Certificate, lasts time.Duration) ([]byte, *ecdsa.PrivateKey, error) {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+// sign makes a key, and signs a certificate for it; with the key itself as long as the authority has none.
+func (a *Authority) sign(template *x509.Certificate, lifetime time.Duration) (der []byte, key *ecdsa.PrivateKey, err error) {
+	key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(a.serial.Add(1)), time.Now().Add(-time.Hour), time.Now().Add(lasts)
-	parent, by := a.cert, a.key
+	now := time.Now()
+	template.SerialNumber = big.NewInt(a.serial.Add(1))
+	template.NotBefore = now.Add(-validity) // clocks differ
+	template.NotAfter = now.Add(lifetime)
+	parent, signer := a.certificate, a.key
 	if parent == nil {
-		parent, by = c, key
+		parent, signer = template, key
 	}
-	der, err := x509.CreateCertificate(rand.Reader, c, parent, &key.PublicKey, by)
+	der, err = x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	return der, key, err
 }
 
-// Issue makes a certificate for a name and 127.0.0.1, that holds for so long from now; both in PEM.
-func (a *Authority) Issue(name string, lasts time.Duration) (cert, key []byte, err error) {
-	der, k, err := a.sign(&x509.Certificate{
+// Issue makes a certificate for a name and 127.0.0.1 that is valid for so long from now, for servers and clients. Both results
+// are PEM.
+func (a *Authority) Issue(name string, lifetime time.Duration) (certificate, key []byte, err error) {
+	der, privateKey, err := a.sign(&x509.Certificate{
 		Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
-	}, lasts)
+	}, lifetime)
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("certificate of %s: %w", name, err)
 	}
-	text, err := x509.MarshalPKCS8PrivateKey(k)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("key of %s: %w", name, err)
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text}), nil
+	certificate = pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
+	key = pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
+	return certificate, key, nil
 }
 
-// Pair is Issue for an hour, ready for use.
+// Pair is Issue for an hour, ready for use in a tls.Config.
 func (a *Authority) Pair(name string) (*tls.Certificate, error) {
-	cert, key, err := a.Issue(name, time.Hour)
+	certificate, key, err := a.Issue(name, validity)
 	if err != nil {
 		return nil, err
 	}
-	pair, err := tls.X509KeyPair(cert, key)
+	pair, err := tls.X509KeyPair(certificate, key)
 	return &pair, err
 }
 
-// Pool trusts it.
+// Pool returns a pool that trusts the authority alone.
 func (a *Authority) Pool() *x509.CertPool {
-	p := x509.NewCertPool()
-	p.AddCert(a.cert)
-	return p
+	pool := x509.NewCertPool()
+	pool.AddCert(a.certificate)
+	return pool
 }
 
-// PEM is its own certificate.
+// PEM returns the authority's own certificate.
 func (a *Authority) PEM() []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw})
+	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.certificate.Raw})
 }
--- a/internal/standin/booking/golden_test.go
+++ b/internal/standin/booking/golden_test.go
@@ -10,10 +10,10 @@
 
 // The list has the form of the platform's protocol.
 func TestGoldenList(t *testing.T) {
-	d := &Discovery{targets: map[string]Target{}, changed: make(chan struct{}), revision: 1}
+	d := newDiscovery()
 	d.Set(Target{UID: "a", Address: "127.0.0.1:1", Zone: "z", Model: "m", Cell: 2, State: "Ready", Weight: 1.5, BootMS: 12})
 	d.Set(Target{UID: "b", State: "Terminating"}, Target{UID: "c", State: "Gone"})
 	answer := httptest.NewRecorder()
-	d.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/v1/endpoints", nil))
+	d.ServeHTTP(answer, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/v1/endpoints", nil))
 	golden.Text(t, "list.json", answer.Body.Bytes())
 }
