--- a/internal/standin/h3/h3.go
+++ b/internal/standin/h3/h3.go
@@ -1,12 +1,12 @@
-// Package h3 is a stand-in for an endpoint that speaks HTTP/3 on loopback, and
-// does wrong on demand: its handler may reset a stream, drop a connection, or
-// the whole endpoint may say GOAWAY, die or come back.
+// Package h3 is a stand-in for an endpoint that speaks HTTP/3 on loopback, with faults on demand: its handler may reset a stream
+// or close a connection, and the endpoint as a whole may send GOAWAY, be killed, be muted or come back at the same address.
 package h3
 
 import (
 	"context"
 	"crypto/tls"
 	"errors"
+	"fmt"
 	"net"
 	"net/http"
 	"sync"
@@ -16,39 +16,46 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// Endpoint is one.
+// Endpoint is an HTTP/3 server on a UDP socket of its own.
 type Endpoint struct {
 	socket    *net.UDPConn
 	transport *quic.Transport
 	listener  *quic.EarlyListener
 	server    *http3.Server
-	served    chan struct{}
+	served    chan struct{} // closed when nothing is accepted any more
 
 	mu          sync.Mutex
 	connections int
 }
 
+// connectionKey is the key of a request's connection in its context.
 type connectionKey struct{}
 
 // Options are what an endpoint may have beside a handler.
 type Options struct {
-	ResetSecret [32]byte     // for stateless resets and session tickets, the same after a restart; none if zero
+	ResetSecret [32]byte     // for stateless resets and session tickets, the same after a restart; zero for none
 	EarlyData   bool         // early data is accepted
-	MaxStreams  int64        // requests at once on one connection; 100 if 0
-	Muted       *atomic.Bool // while it is true nothing is heard and nothing is said; nil for never
+	MaxStreams  int64        // requests at once on one connection; 0 for 100
+	Muted       *atomic.Bool // while it is true nothing is received and nothing is sent; nil for never
 }
 
-// mutedConn is a socket that can be muted, as that of a machine that is away.
+// mutedConn is a socket that can be muted, like that of a machine that has lost its network.
 type mutedConn struct {
 	net.PacketConn
 	muted *atomic.Bool
 }
 
-// SetReadBuffer and SetWriteBuffer are asked for by the library, which does with less if it must.
-func (m mutedConn) SetReadBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetReadBuffer(n) }
+// SetReadBuffer is asked for by the library, which does with less if it must.
+func (m mutedConn) SetReadBuffer(bytes int) error {
+	return m.PacketConn.(*net.UDPConn).SetReadBuffer(bytes)
+}
 
-func (m mutedConn) SetWriteBuffer(n int) error { return m.PacketConn.(*net.UDPConn).SetWriteBuffer(n) }
+// SetWriteBuffer is asked for by the library, which does with less if it must.
+func (m mutedConn) SetWriteBuffer(bytes int) error {
+	return m.PacketConn.(*net.UDPConn).SetWriteBuffer(bytes)
+}
 
+// ReadFrom drops what comes while the socket is muted.
 func (m mutedConn) ReadFrom(b []byte) (n int, from net.Addr, err error) {
 	for {
 		if n, from, err = m.PacketConn.ReadFrom(b); err != nil || !m.muted.Load() {
@@ -57,6 +64,7 @@
 	}
 }
 
+// WriteTo drops what is sent while the socket is muted.
 func (m mutedConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	if m.muted.Load() {
 		return len(b), nil
@@ -64,77 +72,90 @@
 	return m.PacketConn.WriteTo(b, to)
 }
 
-// Start serves at an address, a free one if it is empty.
-func Start(address string, cert *tls.Certificate, o Options, handler http.HandlerFunc) (*Endpoint, error) {
+// Start serves at an address, a free loopback port if it is empty.
+func Start(address string, certificate *tls.Certificate, options Options, handler http.HandlerFunc) (*Endpoint, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	at, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("HTTP/3 endpoint: %w", err)
 	}
 	e := &Endpoint{served: make(chan struct{})}
-	if e.socket, err = net.ListenUDP("udp", at); err != nil {
-		return nil, err
+	if e.socket, err = net.ListenUDP("udp", udpAddress); err != nil {
+		return nil, fmt.Errorf("HTTP/3 endpoint: %w", err)
 	}
-	e.transport = &quic.Transport{Conn: e.socket}
-	if o.Muted != nil {
-		e.transport.Conn = mutedConn{e.socket, o.Muted}
-	}
-	conf := &tls.Config{Certificates: []tls.Certificate{*cert}, NextProtos: []string{http3.NextProtoH3}}
-	if o.ResetSecret != [32]byte{} {
-		key := quic.StatelessResetKey(o.ResetSecret)
-		e.transport.StatelessResetKey = &key
-		conf.SetSessionTicketKeys([][32]byte{o.ResetSecret})
+	if err := e.listen(certificate, &options); err != nil {
+		return nil, fmt.Errorf("HTTP/3 endpoint: %w", errors.Join(err, e.socket.Close()))
 	}
-	if e.listener, err = e.transport.ListenEarly(conf, &quic.Config{Allow0RTT: o.EarlyData, MaxIncomingStreams: o.MaxStreams}); err != nil {
-		e.socket.Close()
-		return nil, err
-	}
-	e.server = &http3.Server{Handler: handler, ConnContext: func(ctx context.Context, c *quic.Conn) context.Context {
-		e.mu.Lock()
-		e.connections++
-		e.mu.Unlock()
-		return context.WithValue(ctx, connectionKey{}, c)
-	}}
+	e.server = &http3.Server{Handler: handler, ConnContext: e.withConnection}
 	go func() {
 		defer close(e.served)
-		e.server.ServeListener(e.listener)
+		_ = e.server.ServeListener(e.listener) // ends with an error whenever the listener is closed
 	}()
 	return e, nil
 }
 
-// Address is where it serves.
+// listen sets the transport and the listener up, on the socket.
+func (e *Endpoint) listen(certificate *tls.Certificate, options *Options) error {
+	e.transport = &quic.Transport{Conn: e.socket}
+	if options.Muted != nil {
+		e.transport.Conn = mutedConn{e.socket, options.Muted}
+	}
+	tlsConfig := &tls.Config{Certificates: []tls.Certificate{*certificate}, NextProtos: []string{http3.NextProtoH3}}
+	if options.ResetSecret != [32]byte{} {
+		key := quic.StatelessResetKey(options.ResetSecret)
+		e.transport.StatelessResetKey = &key
+		tlsConfig.SetSessionTicketKeys([][32]byte{options.ResetSecret})
+	}
+	quicConfig := &quic.Config{Allow0RTT: options.EarlyData, MaxIncomingStreams: options.MaxStreams}
+	var err error
+	e.listener, err = e.transport.ListenEarly(tlsConfig, quicConfig)
+	return err
+}
+
+// withConnection counts a connection, and has its requests' contexts carry it.
+func (e *Endpoint) withConnection(ctx context.Context, connection *quic.Conn) context.Context {
+	e.mu.Lock()
+	e.connections++
+	e.mu.Unlock()
+	return context.WithValue(ctx, connectionKey{}, connection)
+}
+
+// Address returns the host:port where it serves.
 func (e *Endpoint) Address() string { return e.socket.LocalAddr().String() }
 
-// Connections is how many there were.
+// Connections returns how many have been opened so far.
 func (e *Endpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.connections
 }
 
-// Shutdown says GOAWAY, answers what it has, and ends with the context at the latest.
+// Shutdown sends GOAWAY, answers the requests that it has, and ends with the context at the latest.
 func (e *Endpoint) Shutdown(ctx context.Context) error {
-	e.listener.Close() // nobody new
-	err := e.server.Shutdown(ctx)
-	return errors.Join(err, e.end())
+	closing := e.listener.Close() // no new connections
+	shutdown := e.server.Shutdown(ctx)
+	return errors.Join(closing, shutdown, e.end())
 }
 
-// Kill ends it without a word to anybody, as SIGKILL does.
+// Kill ends the endpoint without a packet to anybody, as SIGKILL does.
 func (e *Endpoint) Kill() {
-	e.socket.Close()
-	e.end()
+	_ = e.socket.Close() // what is closed can't be told of its end,
+	_ = e.end()          // and fails at that
 }
 
-// Close ends it.
-func (e *Endpoint) Close() { e.end() }
+// Close ends the endpoint and its connections.
+func (e *Endpoint) Close() {
+	_ = e.end() // nobody is left who could do something about it
+}
 
 func (e *Endpoint) end() error {
 	err := e.server.Close()
-	e.listener.Close()
-	e.transport.Close()
-	e.socket.Close()
+	// Each of the others is closed already where the one before has closed it.
+	_ = e.listener.Close()
+	_ = e.transport.Close()
+	_ = e.socket.Close()
 	<-e.served
 	return err
 }
@@ -142,25 +163,27 @@
 // ResetStream resets the stream of a request, nothing of whose answer has been written, with a code (RFC 9114,
 // section 8.1). Later on a handler may panic with http.ErrAbortHandler, for H3_INTERNAL_ERROR.
 func ResetStream(w http.ResponseWriter, code http3.ErrCode) {
-	s, err := w.(http3.HTTPStreamer).HTTPStream()
+	stream, err := w.(http3.HTTPStreamer).HTTPStream()
 	if err != nil {
 		panic(err)
 	}
-	s.CancelRead(quic.StreamErrorCode(code))
-	s.CancelWrite(quic.StreamErrorCode(code))
+	stream.CancelRead(quic.StreamErrorCode(code))
+	stream.CancelWrite(quic.StreamErrorCode(code))
 }
 
 // CloseConnection closes the connection of a request.
 func CloseConnection(r *http.Request, code http3.ErrCode) {
-	r.Context().Value(connectionKey{}).(*quic.Conn).CloseWithError(quic.ApplicationErrorCode(code), "as the script says")
+	_ = connectionOf(r).CloseWithError(quic.ApplicationErrorCode(code), "as the script says") // always nil, by its documentation
 }
 
-// IsEarly tells whether a request came before its handshake was complete.
+// IsEarly reports whether a request came before its handshake was complete.
 func IsEarly(r *http.Request) bool {
 	select {
-	case <-r.Context().Value(connectionKey{}).(*quic.Conn).HandshakeComplete():
+	case <-connectionOf(r).HandshakeComplete():
 		return false
 	default:
 		return true
 	}
 }
+
+func connectionOf(r *http.Request) *quic.Conn { return r.Context().Value(connectionKey{}).(*quic.Conn) }
