--- /dev/null
+++ b/internal/rehearsal/emulator/congestion.go
@@ -0,0 +1,49 @@
+package emulator
+
+import (
+	"time"
+)
+
+// updateCongestion follows whether the server is crowded, and when congestion begins and ends.
+func (s *Server) updateCongestion() {
+	c := s.spec.Congestion
+	if c == nil {
+		return
+	}
+	if s.Jobs() < c.MinJobs {
+		s.crowdedSince = -1
+	} else if s.crowdedSince < 0 {
+		s.crowdedSince = s.now
+	}
+	if float64(len(s.running)) >= c.RecoveryUtilization*float64(s.spec.Cores) {
+		s.idleSince = -1
+	} else if s.idleSince < 0 {
+		s.idleSince = s.now
+	}
+	switch {
+	case s.congestedUntil > 0 && (s.now >= s.congestedUntil || s.idleSince >= 0 && s.now >= s.idleSince+c.RecoveryTime):
+		s.congestedUntil, s.crowdedSince = 0, -1
+	case s.congestedUntil == 0 && s.crowdedSince >= 0 && s.now >= s.crowdedSince+c.After:
+		s.congestedUntil = s.now + c.MaxDuration
+		s.congestions++
+	}
+}
+
+// nextCongestionChange returns when congestion begins or ends next, if nothing else changes.
+func (s *Server) nextCongestionChange() time.Duration {
+	c := s.spec.Congestion
+	switch {
+	case c == nil:
+		return never
+	case s.congestedUntil > 0 && s.idleSince >= 0:
+		return min(s.congestedUntil, s.idleSince+c.RecoveryTime)
+	case s.congestedUntil > 0:
+		return s.congestedUntil
+	case s.crowdedSince >= 0:
+		return s.crowdedSince + c.After
+	}
+	return never
+}
+
+// Congestions returns how often the server was congested.
+func (s *Server) Congestions() int { return s.congestions }
--- a/internal/rehearsal/emulator/memory.go
+++ b/internal/rehearsal/emulator/keymemory.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// KeyMemory is what the boxes of one cell remember of keyed requests: a key that comes again within the window has
-// no second effect. It holds maxKeys at most; beyond that the oldest are forgotten early.
+// KeyMemory is what the servers of one cell remember of keyed requests: a key that comes again within the window has
+// no second effect. It holds 65,536 keys at most; beyond that the oldest are forgotten early.
 type KeyMemory struct {
-	Window time.Duration
+	Window time.Duration // how long a key is remembered
 
 	executedAt map[string]time.Duration
 	order      []keyExecution
 }
 
+// keyExecution is the first run of a key.
 type keyExecution struct {
 	key string
 	at  time.Duration
@@ -19,7 +20,7 @@
 // maxKeys bounds a Memory.
 const maxKeys = 1 << 16
 
-// Execute notes that a request with a key runs, and tells whether that has an effect: not, if the key is remembered.
+// Execute notes that a request with a key runs, and reports whether that has an effect: not, if the key is remembered.
 func (k *KeyMemory) Execute(now time.Duration, key string) (effect bool) {
 	if k.executedAt == nil {
 		k.executedAt = map[string]time.Duration{}
--- /dev/null
+++ b/internal/rehearsal/emulator/overload.go
@@ -0,0 +1,46 @@
+package emulator
+
+import (
+	"time"
+)
+
+// overloadTolerance is how much more than the allowed multiple a cold server bears, for arrivals are random.
+const overloadTolerance = 1.1
+
+// offeredWork is what was sent to a cold server, in seconds of work.
+type offeredWork struct {
+	at   time.Duration
+	work float64
+}
+
+// overloads reports whether so much more work (seconds), all at once, makes a cold server collapse. One job alone never does, however
+// large it is.
+func (s *Server) overloads(work float64) bool {
+	if s.warmedUp || s.spec.OverloadFactor == 0 || s.now >= s.startedAt+s.spec.WarmUp {
+		s.offered = nil
+		return false
+	}
+	for len(s.offered) > 0 && s.offered[0].at <= s.now-s.spec.OverloadWindow {
+		s.offered = s.offered[1:]
+	}
+	sum := work
+	for _, earlier := range s.offered {
+		sum += earlier.work
+	}
+	s.offered = append(s.offered, offeredWork{s.now, work})
+	allowed := overloadTolerance * s.spec.OverloadFactor * float64(s.spec.Cores) * s.spec.Speed * s.warmShare(s.now) *
+		s.spec.OverloadWindow.Seconds()
+	return len(s.offered) > 1 && sum > allowed
+}
+
+// collapse ends the server with all that it holds.
+func (s *Server) collapse() {
+	s.collapsed = true
+	s.jobs = map[uint64]*job{}
+	s.queue = nil
+	s.queuedJobs = 0
+	s.running = nil
+}
+
+// Collapsed reports whether the server has collapsed.
+func (s *Server) Collapsed() bool { return s.collapsed }
--- a/internal/rehearsal/emulator/box_test.go
+++ b/internal/rehearsal/emulator/server_test.go
@@ -15,8 +15,9 @@
 
 const second = time.Second
 
-// play sends jobs to a box with exponential gaps and returns how long each took.
-func play(t testing.TB, spec Spec, perSecond float64, work WorkDistribution, jobs int, seed uint64) (took []float64, b *Server, end time.Duration) {
+// play sends jobs to a server with exponential gaps and returns how long each took.
+func play(tb testing.TB, spec Spec, perSecond float64, work WorkDistribution, jobs int, seed uint64) (took []float64, b *Server, end time.Duration) {
+	tb.Helper()
 	b = NewServer(spec, 0, false)
 	gaps, works := rand.New(RandomSource(seed, "gaps")), RandomSource(seed, "work")
 	arrived := map[uint64]time.Duration{}
@@ -41,14 +42,14 @@
 	for i := range jobs {
 		until(now + time.Duration(gaps.ExpFloat64()/perSecond*1e9))
 		if b.Offer(now, uint64(i), work.Draw(works), 0) != Accepted {
-			t.Fatal("turned away")
+			tb.Fatal("turned away")
 		}
 		arrived[uint64(i)] = now
 	}
 	end = now
 	until(now + time.Hour)
 	if len(took) != jobs || b.Jobs() != 0 {
-		t.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, b.Jobs())
+		tb.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, b.Jobs())
 	}
 	return took, b, end
 }
@@ -331,110 +332,140 @@
 	}
 }
 
-// Whatever is done to a box: no slot is lost, no job ends twice, nothing is held without end, and being looked at
+// Whatever is done to a server: no slot is lost, no job ends twice, nothing is held without end, and being looked at
 // more often changes nothing.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		spec := Spec{
-			Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
-			Slots: rapid.IntRange(1, 5).Draw(t, "slots"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"),
-			ColdShare: rapid.Float64Range(0.1, 1).Draw(t, "cold"), WarmUp: 3 * second, CancelStopsWork: rapid.Bool().Draw(t, "stops"),
-			DropsExpired: rapid.Bool().Draw(t, "drops"), Thrash: 0.1, ThrashAt: 2,
-			Congestion: &Congestion{MinJobs: 3, After: 500 * time.Millisecond, SlowdownFactor: 2, RecoveryUtilization: 0.5, RecoveryTime: second, MaxDuration: 4 * second},
-		}
+		spec := drawSpec(t)
 		cold := rapid.Bool().Draw(t, "starts cold")
-		b, often := NewServer(spec, 0, cold), NewServer(spec, 0, cold)
-		ended := map[uint64]time.Duration{}
-		held := map[uint64]bool{}
-		var now time.Duration
-		settle := func(done []Completion) {
-			for _, d := range done {
-				if _, ok := ended[d.ID]; ok {
-					t.Fatalf("%d ends twice", d.ID)
-				}
-				ended[d.ID] = d.At
-				held[d.ID] = !d.Expired
-			}
-		}
-		look := func(to time.Duration) {
-			var more []Completion
-			for at := now; at < to; at += 31 * time.Millisecond {
-				more = append(more, often.Advance(at)...)
-			}
-			more = append(more, often.Advance(to)...)
-			done := b.Advance(to)
-			if len(done) != len(more) {
-				t.Fatalf("looked at once: %v, often: %v", done, more)
-			}
-			for i := range done {
-				if done[i].ID != more[i].ID || (done[i].At-more[i].At).Abs() > time.Microsecond {
-					t.Fatalf("looked at once: %v, often: %v", done, more)
-				}
-			}
-			settle(done)
-			now = to
+		c := &modelCheck{
+			t: t, server: NewServer(spec, 0, cold), often: NewServer(spec, 0, cold),
+			ended: map[uint64]time.Duration{}, held: map[uint64]bool{},
 		}
-		var taken []uint64
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			// Never at a whole millisecond, at which a job may end: rounding would tell on which side of it.
-			look(now + time.Duration(rapid.IntRange(0, 800).Draw(t, "ms"))*time.Millisecond + 1371)
-			id := uint64(i)
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
-			case 0, 1, 2:
-				work := time.Duration(rapid.IntRange(1, 900).Draw(t, "work")) * time.Millisecond
-				expires := now + time.Duration(rapid.IntRange(1, 2000).Draw(t, "expires"))*time.Millisecond
-				if b.Offer(now, id, work, expires) == Accepted {
-					taken = append(taken, id)
-				}
-				often.Offer(now, id, work, expires)
-			case 3:
-				if len(taken) > 0 {
-					id = taken[rapid.IntRange(0, len(taken)-1).Draw(t, "which")]
-					_, expired := b.Cancel(now, id)
-					often.Cancel(now, id)
-					settle(expired)
-					if _, ok := ended[id]; !ok {
-						ended[id] = now
-					}
-					delete(held, id)
-				}
-			case 4:
-				until := now + time.Duration(rapid.IntRange(1, 500).Draw(t, "pause"))*time.Millisecond
-				b.Pause(now, until)
-				often.Pause(now, until)
-			case 5:
-				by := rapid.Float64Range(1, 4).Draw(t, "slow")
-				b.Slow(now, by)
-				often.Slow(now, by)
-			}
-			for _, id := range slices.Sorted(maps.Keys(held)) {
-				if held[id] && rapid.Bool().Draw(t, "release") {
-					settle(b.Release(now, id))
-					often.Release(now, id)
-					delete(held, id)
-				}
-			}
-			if b.usedSlots() > spec.Slots || b.QueueLength() > spec.Queue || b.Jobs() != b.usedSlots()+b.QueueLength() {
-				t.Fatalf("%d in slots, %d wait", b.usedSlots(), b.QueueLength())
+			c.look(c.now + time.Duration(rapid.IntRange(0, 800).Draw(t, "ms"))*time.Millisecond + 1371)
+			c.step(uint64(i))
+			c.release(func() bool { return rapid.Bool().Draw(t, "release") })
+			s := c.server
+			if s.usedSlots() > spec.Slots || s.QueueLength() > spec.Queue || s.Jobs() != s.usedSlots()+s.QueueLength() {
+				t.Fatalf("%d in slots, %d wait", s.usedSlots(), s.QueueLength())
 			}
 		}
 		for range 40 {
-			look(now + 3*second)
-			for _, id := range slices.Sorted(maps.Keys(held)) {
-				if held[id] {
-					settle(b.Release(now, id))
-					often.Release(now, id)
-				}
-				delete(held, id)
-			}
+			c.look(c.now + 3*second)
+			c.release(func() bool { return true })
+			clear(c.held)
 		}
-		if b.Jobs() != 0 {
-			t.Fatalf("%d held at the end", b.Jobs())
+		if jobs := c.server.Jobs(); jobs != 0 {
+			t.Fatalf("%d held at the end", jobs)
 		}
-		for _, id := range taken {
-			if _, ok := ended[id]; !ok {
+		for _, id := range c.accepted {
+			if _, ok := c.ended[id]; !ok {
 				t.Fatalf("%d never ended", id)
 			}
 		}
 	})
 }
+
+func drawSpec(t *rapid.T) Spec {
+	return Spec{
+		Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
+		Slots: rapid.IntRange(1, 5).Draw(t, "slots"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"),
+		ColdShare: rapid.Float64Range(0.1, 1).Draw(t, "cold"), WarmUp: 3 * second, CancelStopsWork: rapid.Bool().Draw(t, "stops"),
+		DropsExpired: rapid.Bool().Draw(t, "drops"), Thrash: 0.1, ThrashAt: 2,
+		Congestion: &Congestion{
+			MinJobs: 3, After: 500 * time.Millisecond, SlowdownFactor: 2, RecoveryUtilization: 0.5, RecoveryTime: second, MaxDuration: 4 * second,
+		},
+	}
+}
+
+// modelCheck does the same to two servers, of which one is looked at more often.
+type modelCheck struct {
+	t             *rapid.T
+	server, often *Server
+	now           time.Duration
+	ended         map[uint64]time.Duration
+	held          map[uint64]bool // jobs that have ended and keep their slot; false if they expired
+	accepted      []uint64
+}
+
+// settle notes jobs that have ended.
+func (c *modelCheck) settle(done []Completion) {
+	for _, d := range done {
+		if _, ok := c.ended[d.ID]; ok {
+			c.t.Fatalf("%d ends twice", d.ID)
+		}
+		c.ended[d.ID] = d.At
+		c.held[d.ID] = !d.Expired
+	}
+}
+
+// look brings both servers up to a time, and compares what has ended.
+func (c *modelCheck) look(to time.Duration) {
+	var more []Completion
+	for at := c.now; at < to; at += 31 * time.Millisecond {
+		more = append(more, c.often.Advance(at)...)
+	}
+	more = append(more, c.often.Advance(to)...)
+	done := c.server.Advance(to)
+	if len(done) != len(more) {
+		c.t.Fatalf("looked at once: %v, often: %v", done, more)
+	}
+	for i := range done {
+		if done[i].ID != more[i].ID || (done[i].At-more[i].At).Abs() > time.Microsecond {
+			c.t.Fatalf("looked at once: %v, often: %v", done, more)
+		}
+	}
+	c.settle(done)
+	c.now = to
+}
+
+// step does one thing to both.
+func (c *modelCheck) step(id uint64) {
+	switch rapid.IntRange(0, 5).Draw(c.t, "what") {
+	case 0, 1, 2:
+		work := time.Duration(rapid.IntRange(1, 900).Draw(c.t, "work")) * time.Millisecond
+		expires := c.now + time.Duration(rapid.IntRange(1, 2000).Draw(c.t, "expires"))*time.Millisecond
+		if c.server.Offer(c.now, id, work, expires) == Accepted {
+			c.accepted = append(c.accepted, id)
+		}
+		c.often.Offer(c.now, id, work, expires)
+	case 3:
+		c.cancel()
+	case 4:
+		until := c.now + time.Duration(rapid.IntRange(1, 500).Draw(c.t, "pause"))*time.Millisecond
+		c.server.Pause(c.now, until)
+		c.often.Pause(c.now, until)
+	case 5:
+		by := rapid.Float64Range(1, 4).Draw(c.t, "slow")
+		c.server.Slow(c.now, by)
+		c.often.Slow(c.now, by)
+	}
+}
+
+// cancel cancels one of the jobs that were accepted.
+func (c *modelCheck) cancel() {
+	if len(c.accepted) == 0 {
+		return
+	}
+	id := c.accepted[rapid.IntRange(0, len(c.accepted)-1).Draw(c.t, "which")]
+	_, expired := c.server.Cancel(c.now, id)
+	c.often.Cancel(c.now, id)
+	c.settle(expired)
+	if _, ok := c.ended[id]; !ok {
+		c.ended[id] = c.now
+	}
+	delete(c.held, id)
+}
+
+// release gives up the slots of jobs that have ended, of those that are chosen.
+func (c *modelCheck) release(choose func() bool) {
+	for _, id := range slices.Sorted(maps.Keys(c.held)) {
+		if c.held[id] && choose() {
+			c.settle(c.server.Release(c.now, id))
+			c.often.Release(c.now, id)
+			delete(c.held, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/emulator/slots.go
@@ -0,0 +1,178 @@
+package emulator
+
+import (
+	"container/heap"
+	"time"
+)
+
+// Admission is what a server says to a job that it is offered.
+type Admission int
+
+// The answers of a server.
+const (
+	Accepted  Admission = iota
+	Rejected            // there is no room: nothing of the job will run
+	Collapsed           // it was too much for a cold server, which has collapsed with all that it held
+)
+
+// Offer brings a job with its work. expires is when nobody waits for it any more; 0 for never. Ids are the caller's, and may not be used
+// again while a job has one. As with all calls, Advance to the same time comes first: what ended before is reported late otherwise.
+func (s *Server) Offer(now time.Duration, id uint64, work, expires time.Duration) Admission {
+	s.advanceReports(now)
+	if s.collapsed {
+		return Rejected
+	}
+	if s.overloads(work.Seconds()) {
+		s.collapse()
+		return Collapsed
+	}
+	if s.usedSlots() >= s.spec.Slots && s.queuedJobs >= s.spec.Queue {
+		return Rejected
+	}
+	s.order++
+	j := &job{id: id, work: work.Seconds(), order: s.order, expires: expires}
+	free := s.usedSlots() < s.spec.Slots
+	s.jobs[id] = j
+	if free {
+		s.begin(j)
+	} else {
+		j.state = queued
+		s.queue = append(s.queue, j)
+		s.queuedJobs++
+	}
+	s.updateCongestion()
+	return Accepted
+}
+
+// AddOverhead gives the server work that is no job: a handshake or a health check.
+func (s *Server) AddOverhead(now time.Duration, work time.Duration) Admission {
+	s.advanceReports(now)
+	if s.collapsed || work <= 0 {
+		return Accepted
+	}
+	if s.overloads(work.Seconds()) {
+		s.collapse()
+		return Collapsed
+	}
+	s.order++
+	heap.Push(&s.running, &job{work: work.Seconds(), order: s.order, state: overhead, finish: s.attained + work.Seconds()})
+	s.updateCongestion()
+	return Accepted
+}
+
+// Release ends a job whose work has ended: its slot is free. It returns what expired in the queue at that.
+func (s *Server) Release(now time.Duration, id uint64) []Completion {
+	s.advanceReports(now)
+	j := s.jobs[id]
+	if j == nil || j.state != blocked {
+		return nil
+	}
+	var done []Completion
+	s.remove(j, &done)
+	s.updateCongestion()
+	return done
+}
+
+// Resume gives a job whose work had ended more work; it has kept its slot.
+func (s *Server) Resume(now time.Duration, id uint64, work time.Duration) {
+	s.advanceReports(now)
+	j := s.jobs[id]
+	if j == nil || j.state != blocked {
+		return
+	}
+	j.work = work.Seconds()
+	s.begin(j)
+	s.updateCongestion()
+}
+
+// Cancel takes a job back. One that waits leaves; one in work leaves where the server stops such work, and otherwise goes on for
+// nobody: stopped is false. It returns what expired in the queue as the slot became free.
+func (s *Server) Cancel(now time.Duration, id uint64) (stopped bool, expired []Completion) {
+	s.advanceReports(now)
+	j := s.jobs[id]
+	if j == nil {
+		return true, nil
+	}
+	switch j.state {
+	case queued:
+		s.queuedJobs--
+		delete(s.jobs, id)
+		s.compactQueue()
+	case blocked:
+		s.remove(j, &expired)
+	case working:
+		if !s.spec.CancelStopsWork {
+			j.state = orphaned
+			return false, nil
+		}
+		heap.Remove(&s.running, j.heapIndex)
+		s.remove(j, &expired)
+	case orphaned:
+		return false, nil
+	}
+	s.updateCongestion()
+	return true, expired
+}
+
+// usedSlots returns how many jobs have a slot.
+func (s *Server) usedSlots() int { return len(s.jobs) - s.queuedJobs }
+
+// begin gives a job the cores; it has a slot.
+func (s *Server) begin(j *job) {
+	j.state = working
+	j.finish = s.attained + j.work
+	heap.Push(&s.running, j)
+}
+
+// remove takes a job out, and gives its slot to the one that has waited longest. What expired meanwhile is added to done.
+func (s *Server) remove(j *job, done *[]Completion) {
+	delete(s.jobs, j.id)
+	for s.usedSlots() < s.spec.Slots && s.queuedJobs > 0 {
+		next := s.queue[0]
+		s.queue = s.queue[1:]
+		if s.jobs[next.id] != next {
+			continue // cancelled in the queue
+		}
+		s.queuedJobs--
+		if s.spec.DropsExpired && next.expires > 0 && s.now >= next.expires {
+			delete(s.jobs, next.id)
+			if done != nil {
+				*done = append(*done, Completion{ID: next.id, At: s.now, Expired: true})
+			}
+			continue
+		}
+		s.begin(next)
+	}
+}
+
+// compactQueue drops what was cancelled in the queue, once that is the larger part of it.
+func (s *Server) compactQueue() {
+	if len(s.queue) <= 2*s.queuedJobs+8 {
+		return
+	}
+	kept := make([]*job, 0, s.queuedJobs)
+	for _, j := range s.queue {
+		if s.jobs[j.id] == j {
+			kept = append(kept, j)
+		}
+	}
+	s.queue = kept
+}
+
+// WorkDone returns the work that a job has been given so far, of what it was offered or resumed with last.
+func (s *Server) WorkDone(id uint64) time.Duration {
+	j := s.jobs[id]
+	switch {
+	case j == nil || j.state == queued:
+		return 0
+	case j.state == blocked:
+		return time.Duration(j.work * 1e9)
+	}
+	return time.Duration(max(0, min(j.work, j.work-(j.finish-s.attained))) * 1e9)
+}
+
+// Jobs returns how many jobs the server holds, in slots and in the queue.
+func (s *Server) Jobs() int { return len(s.jobs) }
+
+// QueueLength returns how many jobs wait for a slot.
+func (s *Server) QueueLength() int { return s.queuedJobs }
