--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -1,12 +1,14 @@
-// Package experiment plays mornings many times in virtual time, with several seeds
-// and at several loads, and sums up how they end. It does no I/O; the result does
-// not depend on how many run at once.
+// Package experiment plays scenarios many times in virtual time, with several seeds and at several loads, and sums up how they end.
+// It does no I/O; the result does not depend on how many run at once.
 package experiment
 
 import (
+	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"math"
+	"slices"
 	"sync"
 	"time"
 
@@ -17,179 +19,224 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-// Design is what is to be played: each morning at each load with each seed.
+// Design is what is to be played: each scenario at each load with each seed.
 type Design struct {
 	Scenarios []*morning.Scenario
-	Loads     []float64 // multiples of each morning's rate
-	Seeds     int       // the first is 1
-	Workers   int       // at once
+	Loads     []float64 // multiples of each scenario's rate
+	Seeds     int       // how many; the first is 1
+	Workers   int       // runs at once; below 1 for one
 }
 
 // MaxRuns bounds the runs of one experiment.
 const MaxRuns = 100_000
 
-// Run is one playing.
+// Run is one playing of a scenario.
 type Run struct {
-	Scenario        int // index
+	Scenario        int // index into Design.Scenarios
 	Load            float64
 	Seed            uint64
 	Requests        int
-	Service         float64
+	Service         float64 // as audit.Verdict has it, like the others
 	WorstService    float64
-	Rejected        float64 // shares of the requests
-	Failed          float64
+	Rejected        float64 // share of the requests
+	Failed          float64 // share of the requests
 	AttemptsPerCall float64
 	WastedShare     float64
 	P50, P99        time.Duration
 	Breaches        int
 }
 
-// Point sums up the runs of one morning at one load.
+// Point sums up the runs of one scenario at one load.
 type Point struct {
-	Scenario        int
+	Scenario        int // index into Design.Scenarios
 	Load            float64
 	Runs            int
 	Service         Figure
 	WorstService    Figure
-	Rejected        Figure
-	Failed          Figure
+	Rejected        Figure // shares of the requests
+	Failed          Figure // shares of the requests
 	AttemptsPerCall Figure
 	P99             Figure // seconds
-	Breaches        int
+	Breaches        int    // of all runs
 }
 
 // Figure is a mean over seeds.
 type Figure struct {
 	Mean, SD, Min, Max float64
-	HalfInterval       float64 // of the interval that holds the mean with 95% (Student's t); 0 for one run
+	HalfInterval       float64 // half of the interval that holds the mean with 95% (Student's t); 0 for one run
 }
 
-// Validate tells why a design cannot be played.
+// Validate returns why a design can't be played, nil if it can.
 func (d *Design) Validate() error {
-	n := len(d.Scenarios) * len(d.Loads) * d.Seeds
+	runs := len(d.Scenarios) * len(d.Loads) * d.Seeds
 	switch {
-	case n < 1:
-		return fmt.Errorf("no morning, load or seed: nothing to play")
-	case n > MaxRuns:
-		return fmt.Errorf("%d runs, %d at most", n, MaxRuns)
-	}
-	for _, m := range d.Scenarios {
-		for _, l := range d.Loads {
-			if !(l > 0) || math.IsInf(l, 0) {
-				return fmt.Errorf("load %v: above 0 is wanted", l)
-			}
-			if r := m.Callers.Rate * l * m.Length.Seconds(); r > morning.MaxRequests {
-				return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", m.Name, l, r, morning.MaxRequests)
+	case runs < 1:
+		return errors.New("no morning, load or seed: nothing to play")
+	case runs > MaxRuns:
+		return fmt.Errorf("%d runs, %d at most", runs, MaxRuns)
+	}
+	for _, scenario := range d.Scenarios {
+		for _, load := range d.Loads {
+			if err := validateLoad(scenario, load); err != nil {
+				return err
 			}
 		}
 	}
 	return nil
 }
 
-// Play plays a design. progress is told how many runs have ended, one call at a time; nil for none.
+// validateLoad returns why a scenario can't be played at a load, nil if it can.
+func validateLoad(scenario *morning.Scenario, load float64) error {
+	if !(load > 0) || math.IsInf(load, 0) {
+		return fmt.Errorf("load %v: above 0 is wanted", load)
+	}
+	if requests := scenario.Callers.Rate * load * scenario.Length.Seconds(); requests > morning.MaxRequests {
+		return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", scenario.Name, load, requests, morning.MaxRequests)
+	}
+	return nil
+}
+
+// Play plays a design, and returns its runs in order of scenarios, loads and seeds. progress is called with how many runs have
+// ended, one call at a time; nil for none. It ends early with the context, or with the first run that can't be played.
 func (d *Design) Play(ctx context.Context, progress func(done, of int)) ([]Run, error) {
 	if err := d.Validate(); err != nil {
 		return nil, err
 	}
-	var runs []Run
-	for i := range d.Scenarios {
-		for _, l := range d.Loads {
+	q := &runQueue{runs: d.runs(), progress: progress}
+	var workers sync.WaitGroup
+	for range max(1, min(d.Workers, len(q.runs))) {
+		workers.Go(func() {
+			for run := q.take(ctx); run != nil; run = q.take(ctx) {
+				q.finish(d.describe(run, d.playRun(run)))
+			}
+		})
+	}
+	workers.Wait()
+	return q.runs, cmp.Or(q.failed, ctx.Err())
+}
+
+// runs returns the runs that are to be played.
+func (d *Design) runs() (runs []Run) {
+	for scenario := range d.Scenarios {
+		for _, load := range d.Loads {
 			for seed := range d.Seeds {
-				runs = append(runs, Run{Scenario: i, Load: l, Seed: uint64(seed + 1)})
+				runs = append(runs, Run{Scenario: scenario, Load: load, Seed: uint64(seed + 1)})
 			}
 		}
 	}
-	var (
-		wg    sync.WaitGroup
-		mu    sync.Mutex
-		next  int
-		done  int
-		first error
-	)
-	for range max(1, min(d.Workers, len(runs))) {
-		wg.Go(func() {
-			for {
-				mu.Lock()
-				i := next
-				next++
-				stop := first != nil || ctx.Err() != nil
-				mu.Unlock()
-				if stop || i >= len(runs) {
-					return
-				}
-				err := d.playRun(&runs[i])
-				mu.Lock()
-				done++
-				if err != nil && first == nil {
-					first = fmt.Errorf("%s, load %v, seed %d: %w", d.Scenarios[runs[i].Scenario].Name, runs[i].Load, runs[i].Seed, err)
-				}
-				if progress != nil {
-					progress(done, len(runs))
-				}
-				mu.Unlock()
-			}
-		})
+	return runs
+}
+
+// describe names the run in its error, if it has one.
+func (d *Design) describe(run *Run, err error) error {
+	if err == nil {
+		return nil
 	}
-	wg.Wait()
-	if first == nil {
-		first = ctx.Err()
+	return fmt.Errorf("%s, load %v, seed %d: %w", d.Scenarios[run.Scenario].Name, run.Load, run.Seed, err)
+}
+
+// runQueue deals runs out to workers.
+type runQueue struct {
+	mu       sync.Mutex
+	runs     []Run
+	next     int // the first that was not dealt out
+	done     int
+	failed   error // the first
+	progress func(done, of int)
+}
+
+// take returns the next run to be played; nil if there is none, or the rest is not to be played.
+func (q *runQueue) take(ctx context.Context) *Run {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.failed != nil || ctx.Err() != nil || q.next == len(q.runs) {
+		return nil
 	}
-	return runs, first
+	run := &q.runs[q.next]
+	q.next++
+	return run
 }
 
-func (d *Design) playRun(r *Run) error {
-	res, err := dryrun.Run(d.Scenarios[r.Scenario].AtLoad(r.Load).Plan(r.Seed))
+// finish notes the end of a run.
+func (q *runQueue) finish(err error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.done++
+	if err != nil && q.failed == nil {
+		q.failed = err
+	}
+	if q.progress != nil {
+		q.progress(q.done, len(q.runs))
+	}
+}
+
+// playRun plays one run, and fills in what came of it.
+func (d *Design) playRun(run *Run) error {
+	result, err := dryrun.Run(d.Scenarios[run.Scenario].AtLoad(run.Load).Plan(run.Seed))
 	if err != nil {
 		return err
 	}
-	v := res.Verdict
+	v := result.Verdict
 	share := func(n int) float64 { return float64(n) / float64(max(1, v.Requests)) }
-	r.Requests, r.Service, r.WorstService, r.AttemptsPerCall, r.WastedShare = v.Requests, v.Service, v.WorstService, v.AttemptsPerCall, v.WastedShare
-	r.Rejected, r.Failed, r.P50, r.P99, r.Breaches = share(v.Rejected), share(v.Failed), v.P50, v.P99, len(v.Breaches)
+	run.Requests = v.Requests
+	run.Service = v.Service
+	run.WorstService = v.WorstService
+	run.AttemptsPerCall = v.AttemptsPerCall
+	run.WastedShare = v.WastedShare
+	run.Rejected = share(v.Rejected)
+	run.Failed = share(v.Failed)
+	run.P50 = v.P50
+	run.P99 = v.P99
+	run.Breaches = len(v.Breaches)
 	return nil
 }
 
-// Summarize sums runs up, in their order.
+// Summarize sums runs up by scenario and load, in their order.
 func Summarize(runs []Run) (points []Point) {
 	for from := 0; from < len(runs); {
 		to := from
 		for to < len(runs) && runs[to].Scenario == runs[from].Scenario && runs[to].Load == runs[from].Load {
 			to++
 		}
-		part := runs[from:to]
-		of := func(f func(r Run) float64) Figure {
-			xs := make([]float64, len(part))
-			for i, r := range part {
-				xs[i] = f(r)
-			}
-			return figureOf(xs)
-		}
-		p := Point{
-			Scenario: part[0].Scenario, Load: part[0].Load, Runs: len(part),
-			Service: of(func(r Run) float64 { return r.Service }), WorstService: of(func(r Run) float64 { return r.WorstService }),
-			Rejected: of(func(r Run) float64 { return r.Rejected }), Failed: of(func(r Run) float64 { return r.Failed }),
-			AttemptsPerCall: of(func(r Run) float64 { return r.AttemptsPerCall }), P99: of(func(r Run) float64 { return r.P99.Seconds() }),
-		}
-		for _, r := range part {
-			p.Breaches += r.Breaches
-		}
-		points = append(points, p)
+		points = append(points, pointOf(runs[from:to]))
 		from = to
 	}
 	return points
 }
 
-func figureOf(xs []float64) Figure {
-	f := Figure{Min: math.Inf(1), Max: math.Inf(-1)}
-	for _, x := range xs {
-		f.Min, f.Max = min(f.Min, x), max(f.Max, x)
+// pointOf sums up the runs of one scenario at one load.
+func pointOf(runs []Run) Point {
+	figure := func(value func(r Run) float64) Figure {
+		values := make([]float64, len(runs))
+		for i, r := range runs {
+			values[i] = value(r)
+		}
+		return figureOf(values)
 	}
-	if len(xs) == 1 {
-		f.Mean = xs[0]
+	point := Point{
+		Scenario: runs[0].Scenario, Load: runs[0].Load, Runs: len(runs),
+		Service:         figure(func(r Run) float64 { return r.Service }),
+		WorstService:    figure(func(r Run) float64 { return r.WorstService }),
+		Rejected:        figure(func(r Run) float64 { return r.Rejected }),
+		Failed:          figure(func(r Run) float64 { return r.Failed }),
+		AttemptsPerCall: figure(func(r Run) float64 { return r.AttemptsPerCall }),
+		P99:             figure(func(r Run) float64 { return r.P99.Seconds() }),
+	}
+	for _, r := range runs {
+		point.Breaches += r.Breaches
+	}
+	return point
+}
+
+// figureOf returns the mean of values, one or more, with its interval.
+func figureOf(values []float64) Figure {
+	f := Figure{Min: slices.Min(values), Max: slices.Max(values)}
+	if len(values) == 1 {
+		f.Mean = values[0]
 		return f
 	}
-	f.Mean, f.SD = stat.MeanStdDev(xs, nil)
-	n := float64(len(xs))
+	f.Mean, f.SD = stat.MeanStdDev(values, nil)
+	n := float64(len(values))
 	f.HalfInterval = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * f.SD / math.Sqrt(n)
 	return f
 }
--- a/internal/rehearsal/experiment/experiment_test.go
+++ b/internal/rehearsal/experiment/experiment_test.go
@@ -35,7 +35,7 @@
 	var results [][]Run
 	for _, d.Workers = range []int{1, 2, 7} {
 		calls := 0
-		runs, err := d.Play(context.Background(), func(done, of int) {
+		runs, err := d.Play(t.Context(), func(done, of int) {
 			if calls++; done != calls || of != 16 {
 				t.Errorf("progress %d of %d at call %d", done, of, calls)
 			}
@@ -81,11 +81,11 @@
 		"load 0":                 {Scenarios: []*morning.Scenario{m}, Loads: []float64{0}, Seeds: 1},
 		"requests, 300000 at mo": {Scenarios: []*morning.Scenario{m}, Loads: []float64{1e6}, Seeds: 1},
 	} {
-		if _, err := d.Play(context.Background(), nil); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := d.Play(t.Context(), nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	d := Design{Scenarios: []*morning.Scenario{m}, Loads: []float64{1}, Seeds: 3, Workers: 2}
 	if _, err := d.Play(ctx, nil); !errors.Is(err, context.Canceled) {
