--- /dev/null
+++ b/internal/rehearsal/report/chart.go
@@ -0,0 +1,50 @@
+package report
+
+import (
+	"bytes"
+	"html/template"
+	"image/color"
+	"regexp"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+)
+
+// The colours of the charts: those of Okabe and Ito, which people who see few colours can tell apart.
+var (
+	blue        = color.RGBA{0, 114, 178, 255}
+	green       = color.RGBA{0, 158, 115, 255}
+	orange      = color.RGBA{230, 159, 0, 255}
+	red         = color.RGBA{213, 94, 0, 255}
+	purple      = color.RGBA{204, 121, 167, 255}
+	grey        = color.RGBA{120, 120, 120, 255}
+	windowShade = color.RGBA{0, 0, 0, 24}
+)
+
+// The size of a chart.
+const (
+	chartWidth  = 25 * vg.Centimeter
+	chartHeight = 6.5 * vg.Centimeter
+)
+
+// chart is a drawing with its heading.
+type chart struct {
+	Name string
+	SVG  template.HTML
+}
+
+// svgPrefix is what an SVG file has before its picture, and a page must not have.
+var svgPrefix = regexp.MustCompile(`(?s)^.*?(<svg)`)
+
+// renderSVG draws a chart as an element of a page.
+func renderSVG(c *plot.Plot) (template.HTML, error) {
+	canvas := vgsvg.New(chartWidth, chartHeight)
+	c.Draw(draw.New(canvas))
+	var b bytes.Buffer
+	if _, err := canvas.WriteTo(&b); err != nil {
+		return "", err
+	}
+	return template.HTML(svgPrefix.ReplaceAllString(b.String(), "$1")), nil
+}
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -18,7 +18,7 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-// scenarioName is the name of a morning's file.
+// scenarioName returns the name of a scenario's file.
 func scenarioName(m *morning.Scenario) string {
 	return strings.TrimSuffix(path.Base(m.Name), ".morning")
 }
@@ -37,22 +37,22 @@
 }
 
 // WriteTable writes the points of an experiment, mean and half of the 95% interval.
-func WriteTable(w io.Writer, mornings []*morning.Scenario, points []experiment.Point) error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%-24s %6s %5s", "morning", "load", "runs")
-	for _, c := range columns {
-		fmt.Fprintf(&b, " %17s", c.name)
+func WriteTable(w io.Writer, scenarios []*morning.Scenario, points []experiment.Point) error {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%-24s %6s %5s", "morning", "load", "runs")
+	for _, column := range columns {
+		fmt.Fprintf(&text, " %17s", column.name)
 	}
-	fmt.Fprintf(&b, " %9s %9s\n", "least", "breaches")
-	for _, p := range points {
-		fmt.Fprintf(&b, "%-24s %6.3g %5d", scenarioName(mornings[p.Scenario]), p.Load, p.Runs)
-		for _, c := range columns {
-			f := c.figure(p)
-			fmt.Fprintf(&b, "   %7.4f ±%6.4f", f.Mean, f.HalfInterval)
+	fmt.Fprintf(&text, " %9s %9s\n", "least", "breaches")
+	for _, point := range points {
+		fmt.Fprintf(&text, "%-24s %6.3g %5d", scenarioName(scenarios[point.Scenario]), point.Load, point.Runs)
+		for _, column := range columns {
+			figure := column.figure(point)
+			fmt.Fprintf(&text, "   %7.4f ±%6.4f", figure.Mean, figure.HalfInterval)
 		}
-		fmt.Fprintf(&b, " %9.4f %9d\n", p.Service.Min, p.Breaches)
+		fmt.Fprintf(&text, " %9.4f %9d\n", point.Service.Min, point.Breaches)
 	}
-	_, err := io.WriteString(w, b.String())
+	_, err := io.WriteString(w, text.String())
 	return err
 }
 
@@ -62,91 +62,111 @@
 	plotter.YErrors
 }
 
-// serviceCurve draws the service over the load, a line for each morning.
-func serviceCurve(mornings []*morning.Scenario, points []experiment.Point) (template.HTML, error) {
+// palette is the colours of scenarios. Beyond them lines are dashed.
+var palette = []color.RGBA{blue, green, orange, red, purple, grey}
+
+// serviceCurve draws the service over the load, a line for each scenario.
+func serviceCurve(scenarios []*morning.Scenario, points []experiment.Point) (template.HTML, error) {
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "load, multiples of the script's rate", "service, mean and 95% interval"
 	c.Y.Min, c.Y.Max = 0, 1.02
-	c.X.Scale, c.X.Tick.Marker = plot.LogScale{}, plot.TickerFunc(func(low, high float64) (ticks []plot.Tick) {
-		for _, p := range points {
-			if p.Scenario == points[0].Scenario { // the others have the same loads
-				ticks = append(ticks, plot.Tick{Value: p.Load, Label: fmt.Sprintf("%.3g", p.Load)})
-			}
-		}
-		return ticks
-	})
+	c.X.Scale = plot.LogScale{}
+	c.X.Tick.Marker = plot.TickerFunc(func(_, _ float64) []plot.Tick { return loadTicks(points) })
 	c.Legend.Left = true
 	c.Legend.Padding = vg.Points(2)
 	c.Add(plotter.NewGrid())
-	palette := []color.RGBA{blue, green, orange, red, purple, grey}
-	for i, m := range mornings {
-		var b errorBars
-		for _, p := range points {
-			if p.Scenario == i {
-				b.XYs = append(b.XYs, plotter.XY{X: p.Load, Y: p.Service.Mean})
-				b.YErrors = append(b.YErrors, struct{ Low, High float64 }{p.Service.HalfInterval, p.Service.HalfInterval})
-			}
-		}
-		line, dots, err := plotter.NewLinePoints(b.XYs)
-		if err != nil {
+	for i, scenario := range scenarios {
+		if err := addServiceLine(c, i, scenario, points); err != nil {
 			return "", err
 		}
-		errs, err := plotter.NewYErrorBars(b)
-		if err != nil {
-			return "", err
+	}
+	return renderSVG(c)
+}
+
+// loadTicks returns the loads of an experiment, which are the same for all scenarios.
+func loadTicks(points []experiment.Point) (ticks []plot.Tick) {
+	for _, p := range points {
+		if p.Scenario == points[0].Scenario {
+			ticks = append(ticks, plot.Tick{Value: p.Load, Label: fmt.Sprintf("%.3g", p.Load)})
 		}
-		at := palette[i%len(palette)]
-		line.Color, dots.Color, errs.Color = at, at, at
-		dots.Shape, dots.Radius = draw.CircleGlyph{}, vg.Points(2)
-		line.Width = vg.Points(1.3)
-		if i >= len(palette) {
-			line.Dashes = []vg.Length{vg.Points(4), vg.Points(float64(i / len(palette) * 2))}
+	}
+	return ticks
+}
+
+// addServiceLine adds the line of one scenario, with its intervals.
+func addServiceLine(c *plot.Plot, index int, scenario *morning.Scenario, points []experiment.Point) error {
+	var bars errorBars
+	for _, p := range points {
+		if p.Scenario == index {
+			bars.XYs = append(bars.XYs, plotter.XY{X: p.Load, Y: p.Service.Mean})
+			bars.YErrors = append(bars.YErrors, struct{ Low, High float64 }{p.Service.HalfInterval, p.Service.HalfInterval})
 		}
-		c.Add(line, dots, errs)
-		c.Legend.Add(scenarioName(m), line, dots)
 	}
-	return renderSVG(c)
+	line, dots, err := plotter.NewLinePoints(bars.XYs)
+	if err != nil {
+		return err
+	}
+	intervals, err := plotter.NewYErrorBars(bars)
+	if err != nil {
+		return err
+	}
+	shade := palette[index%len(palette)]
+	line.Color, dots.Color, intervals.Color = shade, shade, shade
+	dots.Shape = draw.CircleGlyph{}
+	dots.Radius = vg.Points(2)
+	line.Width = vg.Points(1.3)
+	if index >= len(palette) {
+		line.Dashes = []vg.Length{vg.Points(4), vg.Points(float64(index / len(palette) * 2))}
+	}
+	c.Add(line, dots, intervals)
+	c.Legend.Add(scenarioName(scenario), line, dots)
+	return nil
+}
+
+// experimentRow is a point as the page shows it.
+type experimentRow struct {
+	Name, Load string
+	Runs       int
+	Cells      []string
+	Breaches   int
 }
 
 // WriteExperimentPage writes an experiment as one page of HTML.
-func WriteExperimentPage(w io.Writer, made time.Time, mornings []*morning.Scenario, points []experiment.Point) error {
-	type line struct {
-		Name, Load string
-		Runs       int
-		Cells      []string
-		Breaches   int
-	}
-	var lines []line
+func WriteExperimentPage(w io.Writer, made time.Time, scenarios []*morning.Scenario, points []experiment.Point) error {
+	var rows []experimentRow
 	loads := map[float64]bool{}
-	for _, p := range points {
-		l := line{Name: scenarioName(mornings[p.Scenario]), Load: fmt.Sprintf("%.3g", p.Load), Runs: p.Runs, Breaches: p.Breaches}
-		for _, c := range columns {
-			f := c.figure(p)
-			l.Cells = append(l.Cells, fmt.Sprintf("%.4f ± %.4f", f.Mean, f.HalfInterval))
+	for _, point := range points {
+		row := experimentRow{
+			Name: scenarioName(scenarios[point.Scenario]), Load: fmt.Sprintf("%.3g", point.Load), Runs: point.Runs, Breaches: point.Breaches,
+		}
+		for _, column := range columns {
+			figure := column.figure(point)
+			row.Cells = append(row.Cells, fmt.Sprintf("%.4f ± %.4f", figure.Mean, figure.HalfInterval))
 		}
-		l.Cells = append(l.Cells, fmt.Sprintf("%.4f", p.Service.Min))
-		lines = append(lines, l)
-		loads[p.Load] = true
+		row.Cells = append(row.Cells, fmt.Sprintf("%.4f", point.Service.Min))
+		rows = append(rows, row)
+		loads[point.Load] = true
 	}
-	var chart template.HTML
+	var curve template.HTML
 	if len(loads) > 1 {
 		var err error
-		if chart, err = serviceCurve(mornings, points); err != nil {
+		if curve, err = serviceCurve(scenarios, points); err != nil {
 			return err
 		}
 	}
 	var heads []string
-	for _, c := range columns {
-		heads = append(heads, c.name)
+	for _, column := range columns {
+		heads = append(heads, column.name)
 	}
 	return experimentPage.Execute(w, struct {
 		Made  string
 		Heads []string
-		Lines []line
+		Lines []experimentRow
 		Chart template.HTML
-	}{made.UTC().Format("2006-01-02 15:04 UTC"), append(heads, "least service"), lines, chart})
+	}{made.UTC().Format("2006-01-02 15:04 UTC"), append(heads, "least service"), rows, curve})
 }
 
+// experimentPage is the template of WriteExperimentPage.
 var experimentPage = template.Must(template.New("experiment").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"/><meta name="viewport" content="width=device-width"/><title>Experiment</title>
 <style>
--- /dev/null
+++ b/internal/rehearsal/report/heatmap.go
@@ -0,0 +1,106 @@
+package report
+
+import (
+	"html/template"
+	"image/color"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+
+	"quincegap/internal/rehearsal/morning"
+)
+
+// maxHeatMapRows bounds a chart by server: beyond that a server has no row of its own.
+const maxHeatMapRows = 120
+
+// stepColors are the colours of the steps that are marked on the chart of their server.
+var stepColors = map[morning.StepKind]color.RGBA{
+	morning.ServerCrash: red, morning.ServerSilence: red, morning.ServerStart: green, morning.ServerPause: orange, morning.ServerSlowdown: orange, morning.ServerFault: orange,
+}
+
+// heatMap is the attempts that each server of a tier got in each second. Its methods are those of plotter.GridXYZ.
+type heatMap struct {
+	servers []int   // a row each
+	loads   [][]int // by server and second
+}
+
+// Dims returns how many columns and rows there are.
+func (h heatMap) Dims() (c, r int) { return len(h.loads[h.servers[0]]), len(h.servers) }
+
+// Z returns the attempts of a server in a second.
+func (h heatMap) Z(c, r int) float64 {
+	return float64(h.loads[h.servers[r]][c])
+}
+
+// X returns the middle of a second.
+func (h heatMap) X(c int) float64 { return float64(c) + 0.5 }
+
+// Y returns the middle of a row.
+func (h heatMap) Y(r int) float64 { return float64(r) + 1 }
+
+// bluePalette is a palette from white to blue.
+type bluePalette struct{}
+
+// Colors returns the palette from low to high.
+func (bluePalette) Colors() []color.Color {
+	const n = 24
+	all := make([]color.Color, n)
+	for i := range all {
+		part := func(to uint8) uint8 { return uint8(255 - (255-int(to))*i/(n-1)) }
+		all[i] = color.RGBA{part(blue.R), part(blue.G), part(blue.B), 255}
+	}
+	return all
+}
+
+// serverChart draws the attempts at each server of a tier, and what happened to it; empty where there is nothing to see.
+func (r *Run) serverChart(tier int) (template.HTML, error) {
+	h := heatMap{loads: r.Verdict.AttemptsByServer}
+	for i, server := range r.Plan.Servers {
+		if server.Tier == tier && len(h.servers) < maxHeatMapRows {
+			h.servers = append(h.servers, i)
+		}
+	}
+	highest := 0
+	for _, server := range h.servers {
+		for _, attempts := range h.loads[server] {
+			highest = max(highest, attempts)
+		}
+	}
+	if columns, _ := h.Dims(); columns < 2 || len(h.servers) < 2 || highest == 0 {
+		return "", nil // a map needs two rows and columns, and something on it
+	}
+	c := plot.New()
+	c.X.Label.Text, c.Y.Label.Text = "seconds", "box"
+	c.X.Min, c.X.Max = 0, r.Plan.Length.Seconds()
+	m := plotter.NewHeatMap(h, bluePalette{})
+	m.Min, m.Max = 0, float64(highest)
+	c.Add(m)
+	if err := r.markSteps(c, h.servers); err != nil {
+		return "", err
+	}
+	return renderSVG(c)
+}
+
+// markSteps puts a dot for each step that happened to a server of a heat map, on its row.
+func (r *Run) markSteps(c *plot.Plot, servers []int) error {
+	rows := map[int]int{}
+	for row, server := range servers {
+		rows[server] = row
+	}
+	for _, step := range r.Plan.Steps {
+		row, ok := rows[step.Server]
+		color, marked := stepColors[step.Kind]
+		if !ok || !marked || step.At > r.Plan.Length {
+			continue
+		}
+		dot, err := plotter.NewScatter(plotter.XYs{{X: step.At.Seconds(), Y: float64(row) + 1}})
+		if err != nil {
+			return err
+		}
+		dot.GlyphStyle = draw.GlyphStyle{Color: color, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
+		c.Add(dot)
+	}
+	return nil
+}
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/xml"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -91,7 +92,7 @@
 	d := xml.NewDecoder(strings.NewReader(strings.Replace(page, "<!doctype html>", "", 1)))
 	d.Strict, d.AutoClose, d.Entity = true, xml.HTMLAutoClose, xml.HTMLEntity
 	for {
-		if _, err := d.Token(); err == io.EOF {
+		if _, err := d.Token(); errors.Is(err, io.EOF) {
 			return
 		} else if err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/rehearsal/report/run.go
@@ -0,0 +1,116 @@
+package report
+
+import (
+	"fmt"
+	"time"
+
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
+)
+
+// Run is one playing of a scenario.
+type Run struct {
+	Program string // that was played
+	Plan    *morning.Plan
+	Verdict *audit.Verdict
+	Virtual bool          // in virtual time, the decision module alone
+	CPU     time.Duration // of all sidecars
+	Memory  int64         // bytes of the largest sidecar
+	Notes   []string
+}
+
+// Outcome is the word on a run.
+type Outcome int
+
+// The outcomes, the best first.
+const (
+	OutcomeKept   Outcome = iota
+	OutcomeMissed         // an expectation of the script was not met
+	OutcomeBroken         // a rule was broken, or a sidecar crashed
+	OutcomeVoid           // the emulator was too slow: the run says nothing of the sidecar
+)
+
+// String returns the outcome as the screen has it.
+func (o Outcome) String() string {
+	return [...]string{"KEPT", "MISSED", "BROKEN", "VOID"}[o]
+}
+
+// Outcome returns the worst that there is to say of the run, with the reasons.
+func (r *Run) Outcome() (outcome Outcome, reasons []string) {
+	v := r.Verdict
+	if v.VoidReason != "" {
+		return OutcomeVoid, []string{v.VoidReason}
+	}
+	for _, expectation := range r.Plan.Expectations {
+		got, met := expectation.Evaluate(v)
+		if met {
+			continue
+		}
+		outcome = OutcomeMissed
+		side := "below"
+		if expectation.Above {
+			side = "above"
+		}
+		reasons = append(reasons, fmt.Sprintf("line %d: %s is %.4f, expected %s %v",
+			expectation.Position.Line, expectation.Figure, got, side, expectation.Bound))
+	}
+	if len(v.Crashes) > 0 {
+		outcome = OutcomeBroken
+		reasons = append(reasons, v.Crashes...)
+	}
+	for rule, breaches := range v.BreachesByRule {
+		if breaches > 0 {
+			outcome = OutcomeBroken
+			reasons = append(reasons, fmt.Sprintf("%s: broken %d times", audit.Rule(rule), breaches))
+		}
+	}
+	return outcome, reasons
+}
+
+// row is a figure with its name.
+type row struct{ name, value string }
+
+// Name is for the page.
+func (r row) Name() string { return r.name }
+
+// Value is for the page.
+func (r row) Value() string { return r.value }
+
+// rows returns the figures of the run.
+func (r *Run) rows() []row {
+	v := r.Verdict
+	share := func(n int) string {
+		return fmt.Sprintf("%d (%.2f%%)", n, 100*float64(n)/float64(max(1, v.Requests)))
+	}
+	rows := []row{
+		{"service (worth in time / worth asked)", fmt.Sprintf("%.4f", v.Service)},
+		{"worst 10 s", fmt.Sprintf("%.4f, from %v", v.WorstService, v.WorstFrom)},
+		{"requests", fmt.Sprint(v.Requests)},
+		{"served in time", share(v.InTime)},
+		{"served late", share(v.Late)},
+		{"refused", share(v.Rejected)},
+		{"failed", share(v.Failed)},
+		{"tries of callers", fmt.Sprint(v.CallerAttempts)},
+		{"attempts at boxes, a call", fmt.Sprintf("%d, %.4f", v.ServerAttempts, v.AttemptsPerCall)},
+		{"work wasted", fmt.Sprintf("%.2f%%", 100*v.WastedShare)},
+		{"median, 99th percentile", fmt.Sprintf("%v, %v", v.P50.Round(time.Millisecond), v.P99.Round(time.Millisecond))},
+	}
+	if !r.Virtual {
+		rows = append(rows,
+			row{"sidecars' CPU, largest memory", fmt.Sprintf("%v, %d MiB", r.CPU.Round(10*time.Millisecond), r.Memory>>20)},
+			row{"emulator late by at most", v.MaxLateness.Round(time.Millisecond).String()})
+	}
+	return rows
+}
+
+// describeBreach names the second, the request and the server of a breach.
+func (r *Run) describeBreach(b audit.Breach) string {
+	text := fmt.Sprintf("%.3f s: %s: ", b.At.Seconds(), b.Rule)
+	if b.Request != "" {
+		text += b.Request + ": "
+	}
+	if b.Server >= 0 && b.Server < len(r.Plan.Servers) {
+		text += r.Plan.Name(b.Server) + ": "
+	}
+	return text + b.Message
+}
--- /dev/null
+++ b/internal/rehearsal/report/seconds.go
@@ -0,0 +1,107 @@
+package report
+
+import (
+	"html/template"
+	"image/color"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+
+	"quincegap/internal/rehearsal/audit"
+)
+
+// series is one line of a chart, by second.
+type series struct {
+	name  string
+	color color.RGBA
+	dash  bool
+	at    func(s audit.Second) float64
+}
+
+// callerSeries are the lines of what callers got.
+var callerSeries = []series{
+	{"offered", grey, true, func(s audit.Second) float64 { return float64(s.Offered) }},
+	{"served in time", green, false, func(s audit.Second) float64 { return float64(s.Served) }},
+	{"served late", orange, false, func(s audit.Second) float64 { return float64(s.Late) }},
+	{"refused", purple, false, func(s audit.Second) float64 { return float64(s.Rejected) }},
+	{"failed", red, false, func(s audit.Second) float64 { return float64(s.Failed) }},
+}
+
+// attemptSeries is the line of what servers got.
+var attemptSeries = []series{
+	{"attempts at boxes of all tiers", blue, false, func(s audit.Second) float64 { return float64(s.Attempts) }},
+}
+
+// secondsChart draws lines by second, over the windows in which something of the script goes on.
+func (r *Run) secondsChart(unit string, lines []series) (template.HTML, error) {
+	c := plot.New()
+	c.X.Label.Text, c.Y.Label.Text = "seconds", unit
+	c.X.Min, c.X.Max = 0, r.Plan.Length.Seconds()
+	c.Y.Min = 0
+	c.Legend.Top, c.Legend.Left = true, true
+	c.Add(plotter.NewGrid())
+	c.Legend.Padding = vg.Points(1.5)
+	c.Legend.TextStyle.Font.Size = vg.Points(9)
+	top := 0.0
+	var drawn []plot.Plotter
+	for _, s := range lines {
+		line, highest, err := s.line(r.Verdict.Seconds)
+		if err != nil {
+			return "", err
+		}
+		top = max(top, highest)
+		drawn = append(drawn, line)
+		c.Legend.Add(s.name, line)
+	}
+	c.Y.Max = max(1, top*1.45) // the legend stands above the lines
+	if err := r.shadeWindows(c); err != nil {
+		return "", err
+	}
+	c.Add(drawn...)
+	return renderSVG(c)
+}
+
+// line returns the line of a series, and its highest value.
+func (s *series) line(seconds []audit.Second) (line *plotter.Line, highest float64, err error) {
+	points := make(plotter.XYs, len(seconds))
+	for i, second := range seconds {
+		points[i].X = float64(i) + 0.5
+		points[i].Y = s.at(second)
+		highest = max(highest, points[i].Y)
+	}
+	if line, err = plotter.NewLine(points); err != nil {
+		return nil, 0, err
+	}
+	line.Color = s.color
+	line.Width = vg.Points(1.4)
+	if s.dash {
+		line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+	}
+	return line, highest, nil
+}
+
+// shadeWindows puts a shade where something of the script goes on; one where windows overlap.
+func (r *Run) shadeWindows(c *plot.Plot) error {
+	var merged [][2]float64
+	for _, w := range r.Plan.Windows { // in the order of their beginnings
+		from := w.From.Seconds()
+		to := min(max(w.To.Seconds(), from+0.1), c.X.Max)
+		if n := len(merged); n > 0 && from <= merged[n-1][1] {
+			merged[n-1][1] = max(merged[n-1][1], to)
+		} else if from < to {
+			merged = append(merged, [2]float64{from, to})
+		}
+	}
+	for _, m := range merged {
+		from, to := m[0], m[1]
+		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: c.Y.Max}, {X: from, Y: c.Y.Max}})
+		if err != nil {
+			return err
+		}
+		area.Color = windowShade
+		area.Width = 0
+		c.Add(area)
+	}
+	return nil
+}
