--- a/internal/mesh/dataplane/inbound/connection.go
+++ b/internal/mesh/dataplane/inbound/connection.go
@@ -20,8 +20,8 @@
 	idleMargin = 1500 * time.Millisecond
 	// maxAnnouncedIdle bounds the seconds of an endpoint's Keep-Alive that are taken seriously.
 	maxAnnouncedIdle = 3600
-	// maxRejectedAttempts is how many requests the endpoint may reject on one connection before it is given up.
-	maxRejectedAttempts = 8
+	// maxRejections is how many requests the endpoint may reject on one connection before it is given up.
+	maxRejections = 8
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
 )
@@ -33,9 +33,9 @@
 	idleUntil time.Duration // it may be used again until then
 	used      bool          // it has carried a request
 	unusable  bool          // it is not to carry another one
-	// rejectedAttempts are the IDs of the requests that the endpoint rejected on it. Such an answer may come twice, the second time in
-	// the place of the next one; so the same request never goes out on this connection again.
-	rejectedAttempts []string
+	// rejectedIDs are the Attempt-Ids of the requests that the endpoint rejected on it. A rejection may come twice, the second time in
+	// the place of the next answer; so a request with the same ID never goes out on this connection again.
+	rejectedIDs []string
 }
 
 func newConnection(conn net.Conn) *connection {
@@ -45,9 +45,9 @@
 // discard closes the connection. An error of Close has nothing to say: nothing more is sent or read.
 func (c *connection) discard() { _ = c.Close() }
 
-// mayCarry reports whether an answer on the connection can only be the answer to this sending of a request.
+// mayCarry reports whether a request may go out on the connection: no late rejection of an earlier attempt with its ID can come here.
 func (c *connection) mayCarry(attemptID string) bool {
-	return !slices.Contains(c.rejectedAttempts, attemptID)
+	return !slices.Contains(c.rejectedIDs, attemptID)
 }
 
 // reusable reports whether an idle connection may carry one more request: its time is not up, nothing has come on it, and it is not
@@ -76,7 +76,7 @@
 
 // updateKeepAlive notes after an answer whether, and for how long, the connection may be kept.
 func (c *connection) updateKeepAlive(answer *endpointAnswer, now time.Duration) {
-	if answer.closes || c.reader.Buffered() > 0 || len(c.rejectedAttempts) > maxRejectedAttempts {
+	if answer.closes || c.reader.Buffered() > 0 || len(c.rejectedIDs) > maxRejections {
 		c.unusable = true
 		return
 	}
--- a/internal/mesh/dataplane/inbound/headers.go
+++ b/internal/mesh/dataplane/inbound/headers.go
@@ -2,7 +2,7 @@
 
 // Header fields of the protocol between clients, sidecars and endpoints, in canonical form. Their names are fixed by the protocol.
 const (
-	HeaderAttemptID         = "Attempt-Id"         // names one request of a client; an endpoint's answer bears it
+	HeaderAttemptID         = "Attempt-Id"         // names one attempt of a client, which is one request to sidecars; an endpoint's answer bears it
 	HeaderTargetEndpoint    = "Target-Endpoint"    // the endpoint that was chosen
 	HeaderCallingService    = "Calling-Service"    // the service of the machine where the request began
 	HeaderSubscriberID      = "Subscriber-Id"      // the tenant
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -20,8 +20,8 @@
 	Host            string
 	Header          []string // names and values in turn
 	Body            []byte
-	HasBody         bool // it came with a body, which may be empty
-	AttemptID       string
+	HasBody         bool   // it came with a body, which may be empty
+	AttemptID       string // the client's Attempt-Id: one request here, with the same ID in each attempt that sidecars make of it
 	CallingService  string // service of the machine where the request began
 	Tenant          string // empty for none
 	Priority        int    // 0 is highest
--- a/internal/mesh/dataplane/inbound/proxy.go
+++ b/internal/mesh/dataplane/inbound/proxy.go
@@ -57,18 +57,18 @@
 
 // serveForward takes a request that a peer sidecar forwards.
 func (p *Proxy) serveForward(call *transport.IncomingCall) {
-	var r ForwardRequest
-	if err := codec.Unmarshal(call.Body, &r); err != nil {
+	var request ForwardRequest
+	if err := codec.Unmarshal(call.Body, &request); err != nil {
 		p.log.WithField("peer", call.From.Name).WithError(err).Warn("inbound: forwarded request cannot be decoded")
 		call.Reply(&ForwardResponse{Kind: outcome.Misdirected}) // it can't serve this caller
 		return
 	}
-	deadline := p.now() + r.TimeRemaining
+	deadline := p.now() + request.TimeRemaining
 	if call.ExpiresAt != 0 {
 		deadline = min(deadline, call.ExpiresAt)
 	}
-	targetDeadline := deadline - r.TimeRemaining + r.TargetRemaining
-	cancel := p.forward(&r, targetDeadline, deadline, true, func(response *ForwardResponse) { call.Reply(response) })
+	targetDeadline := deadline - request.TimeRemaining + request.TargetRemaining
+	cancel := p.forward(&request, targetDeadline, deadline, true, func(response *ForwardResponse) { call.Reply(response) })
 	call.OnCancel(cancel)
 }
 
@@ -98,44 +98,50 @@
 
 // Forward takes a request of this machine's own clients, with the moments on the proxy's clock after which its answer is worth little,
 // and nothing. done is called once, on another goroutine. cancel gives the request up; its outcome still comes.
-func (p *Proxy) Forward(r *ForwardRequest, targetDeadline, deadline time.Duration, done func(*ForwardResponse)) (cancel func()) {
-	return p.forward(r, targetDeadline, deadline, false, done)
+func (p *Proxy) Forward(request *ForwardRequest, targetDeadline, deadline time.Duration, done func(*ForwardResponse)) (cancel func()) {
+	return p.forward(request, targetDeadline, deadline, false, done)
 }
 
-// forward is Forward. The answer to a remote request goes back over the machine's link, which may be the bottleneck.
-func (p *Proxy) forward(r *ForwardRequest, targetDeadline, deadline time.Duration, remote bool, done func(*ForwardResponse)) (cancel func()) {
+// forward is Forward, also for a remote request, whose answer goes back over the machine's link. That may be the bottleneck: where a large
+// answer is expected, the time that it takes over the link is taken off both deadlines.
+func (p *Proxy) forward(request *ForwardRequest, targetDeadline, deadline time.Duration, remote bool, done func(*ForwardResponse)) (cancel func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastToken++
-	large := 0.0
+	answerBytes := 0.0 // unless it is large
 	if remote && p.linkBacklog != nil {
-		large = p.sizes.large(r.Route)
+		answerBytes = p.sizes.largeSize(request.Route)
 	}
-	if large > 0 {
-		wayBack := p.linkBacklog(p.sizes.expected + large)
+	if answerBytes > 0 {
+		wayBack := p.linkBacklog(p.sizes.expected + answerBytes)
 		targetDeadline -= wayBack
 		deadline -= wayBack
 		if p.now()+p.controller.ServiceTime() > targetDeadline { // a late one would only keep the link from others
-			response := &ForwardResponse{Kind: outcome.AtCapacity}
-			p.reportLoad(response)
-			go done(response)
+			p.rejectUnqueued(done)
 			return func() {}
 		}
 	}
-	pending := &pendingRequest{token: p.lastToken, request: r, deadline: deadline, done: done, expectedBytes: large}
-	p.sizes.expect(large)
-	p.pending[pending.token] = pending
+	r := &pendingRequest{token: p.lastToken, request: request, deadline: deadline, done: done, expectedBytes: answerBytes}
+	p.sizes.expect(answerBytes)
+	p.pending[r.token] = r
 	p.apply(p.controller.Submit(p.now(), admission.Request{
-		Token:          pending.token,
-		EndpointID:     r.EndpointID,
-		Service:        r.Service,
-		Priority:       r.Priority,
-		Nested:         r.Nested,
+		Token:          r.token,
+		EndpointID:     request.EndpointID,
+		Service:        request.Service,
+		Priority:       request.Priority,
+		Nested:         request.Nested,
 		TargetDeadline: targetDeadline,
 		Deadline:       deadline,
 	}))
 	p.scheduleExpiry()
-	return func() { p.cancel(pending) }
+	return func() { p.cancel(r) }
+}
+
+// rejectUnqueued rejects a request before the admission controller knows of it. The lock is held.
+func (p *Proxy) rejectUnqueued(done func(*ForwardResponse)) {
+	response := &ForwardResponse{Kind: outcome.AtCapacity}
+	p.reportLoad(response)
+	go done(response)
 }
 
 // apply carries out the admission controller's decisions. The lock is held.
--- a/internal/mesh/dataplane/inbound/response_sizes.go
+++ b/internal/mesh/dataplane/inbound/response_sizes.go
@@ -16,8 +16,8 @@
 	expected float64            // bytes of the large answers to requests under way
 }
 
-// large returns the expected size in bytes of the answer to a request of a route; 0 unless it is large.
-func (s *responseSizes) large(route string) float64 {
+// largeSize returns the expected size in bytes of the answer to a request of a route if it is large; 0 if not.
+func (s *responseSizes) largeSize(route string) float64 {
 	if size := s.mean[route]; size > largeResponse {
 		return size
 	}
--- a/internal/mesh/dataplane/inbound/response_sizes_test.go
+++ b/internal/mesh/dataplane/inbound/response_sizes_test.go
@@ -16,12 +16,12 @@
 	c := qt.New(t)
 	sizes := responseSizes{mean: map[string]float64{}}
 	sizes.observe("pull", 100_000)
-	c.Check(sizes.large("pull"), qt.Equals, 100_000.0)
+	c.Check(sizes.largeSize("pull"), qt.Equals, 100_000.0)
 	sizes.observe("pull", 0)
-	c.Check(sizes.large("pull"), qt.Equals, 90_000.0)
+	c.Check(sizes.largeSize("pull"), qt.Equals, 90_000.0)
 	sizes.observe("read", largeResponse)
-	c.Check(sizes.large("read"), qt.Equals, 0.0)
-	c.Check(sizes.large("unknown"), qt.Equals, 0.0)
+	c.Check(sizes.largeSize("read"), qt.Equals, 0.0)
+	c.Check(sizes.largeSize("unknown"), qt.Equals, 0.0)
 
 	sizes.expect(90_000)
 	sizes.release(90_000)
--- a/internal/mesh/dataplane/inbound/round_trip.go
+++ b/internal/mesh/dataplane/inbound/round_trip.go
@@ -24,7 +24,7 @@
 	response.ServiceTime = now() - began
 	classify(&response, r, &answer)
 	if response.Kind.NotExecuted() {
-		c.rejectedAttempts = append(c.rejectedAttempts, r.AttemptID)
+		c.rejectedIDs = append(c.rejectedIDs, r.AttemptID)
 	}
 	c.updateKeepAlive(&answer, now())
 	return response
--- a/internal/mesh/dataplane/outbound/admit.go
+++ b/internal/mesh/dataplane/outbound/admit.go
@@ -20,7 +20,9 @@
 	fieldOverhead       = 4
 )
 
-// admit finds a request's route, tenant and service; the kind says why the request is rejected.
+// admit decides whether this sidecar takes a client's request, in this order: its header, route, time until the process ends, tenant,
+// id and the tenant's rate limit, whose token it waits for. It fills the request in as far as it gets; the kind says why it is rejected.
+// Whether the request can be served in time is for others: the service's balancer, and package admission at the endpoint's sidecar.
 func (p *Proxy) admit(config *configuration.Config, req *http.Request) (*request, outcome.Kind) {
 	now := p.Now()
 	r := &request{results: make(chan result, 1)}
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -9,7 +9,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// maxAttempts bounds the attempts of one request, those among them that were surely not executed.
+// maxAttempts bounds the attempts of one request, those too that reached no endpoint: these cost nothing of the retry budget, and would
+// else go on until the deadline.
 const maxAttempts = 8
 
 // attempt is one sending of a request. The balancer knows one at a time; one that it has cancelled in favour of another is superseded:
@@ -89,7 +90,7 @@
 // endpoint may be executing it, and the other may never be served. Where the route or the retry budget allows no other, nothing
 // changes, and the balancer hears how the attempt ends.
 func (b *serviceBalancer) supersede(r *request) {
-	if r.attempts.sent >= maxAttempts || !b.acquireRetry(b.dispatcher.now(), r, 1) {
+	if r.attempts.sent >= maxAttempts || !b.acquireRetry(b.dispatcher.now(), r) {
 		return
 	}
 	a := r.attempts.active
@@ -127,7 +128,7 @@
 			Final:    final,
 			Elapsed:  now - a.sentAt,
 			Status:   balancerStatus(response, a.cancelled),
-			NoRetry:  b.noRetry(now, r, response, next, final),
+			NoRetry:  !b.allowNextAttempt(now, r, response, next, final),
 		})
 	}
 	if r.answered {
--- a/internal/mesh/dataplane/outbound/request.go
+++ b/internal/mesh/dataplane/outbound/request.go
@@ -19,8 +19,8 @@
 	targetDeadline time.Duration          // an answer later than this is worth little
 	deadline       time.Duration          // an answer later than this is worth nothing
 	attempts       attempts
-	concluded      bool          // the balancer has given it up, with
-	retryAfter     time.Duration // when the client is to come back
+	concluded      bool          // the balancer has given it up
+	retryAfter     time.Duration // when the client is to come back, as the balancer said when it gave the request up
 	answered       bool          // its result was sent
 	expired        bool          // it was given up for its deadline, its client or the end of the process
 	results        chan result   // has room for its one result
@@ -38,17 +38,25 @@
 
 // attempts is what has become of a request's attempts so far.
 type attempts struct {
-	sent            int                      // whether or not they reached an endpoint
-	reached         int                      // those that have ended, and reached an endpoint
-	active          *attempt                 // the one under way that the balancer knows; nil for none
-	superseded      []*attempt               // those under way in whose place the balancer has sent another
-	last            *inbound.ForwardResponse // of the attempt that ended last, but for cancelled ones; nil for none
+	sent            int                      // all of them, whether or not they reached an endpoint
+	reached         int                      // how many of those that have ended reached an endpoint
+	active          *attempt                 // the one under way that the balancer knows of; nil for none
+	superseded      []*attempt               // others under way: the balancer counts them as cancelled, and sends the request again
+	last            *inbound.ForwardResponse // how the latest to end has ended; cancelled ones don't count; nil for none
 	endpointFailure *inbound.ForwardResponse // an endpoint's own failure: the answer, unless a later attempt is served
 	mayHaveExecuted bool                     // some attempt was, or may have been, executed
 }
 
 // outstanding reports whether any attempt has not ended.
-func (a *attempts) outstanding() bool { return a.active != nil || len(a.superseded) > 0 }
+func (a *attempts) outstanding() bool { return a.underWay() > 0 }
+
+// underWay returns how many attempts have not ended.
+func (a *attempts) underWay() int {
+	if a.active == nil {
+		return len(a.superseded)
+	}
+	return len(a.superseded) + 1
+}
 
 // supersede puts the active attempt behind one that is yet to come.
 func (a *attempts) supersede() {
@@ -57,7 +65,7 @@
 	a.active = nil
 }
 
-// end takes an attempt out that has ended, and remembers what its response says of the request.
+// end removes an attempt that has ended, and remembers what its response says of the request.
 func (a *attempts) end(ended *attempt, response *inbound.ForwardResponse) {
 	if a.active == ended {
 		a.active = nil
--- a/internal/mesh/dataplane/outbound/retry.go
+++ b/internal/mesh/dataplane/outbound/retry.go
@@ -7,27 +7,30 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// noRetry reports whether no further attempt may follow one that ended so. It acquires a retry out of the fleet's budget if one may.
-func (b *serviceBalancer) noRetry(now time.Duration, r *request, response *inbound.ForwardResponse, next outcome.Next, final bool) bool {
+// allowNextAttempt decides whether the balancer may make a further attempt after one that ended so. If that attempt reached an endpoint,
+// the next one has to be acquired out of the fleet's retry budget. After a final outcome the balancer makes none, and none is acquired.
+func (b *serviceBalancer) allowNextAttempt(now time.Duration, r *request, response *inbound.ForwardResponse, next outcome.Next, final bool) bool {
+	unsafe := r.attempts.mayHaveExecuted && !r.route.Kind.IsIdempotent()
 	switch {
-	case r.expired || next == outcome.Stop || r.attempts.mayHaveExecuted && !r.route.Kind.IsIdempotent():
-		return true
-	case final:
+	case r.expired || next == outcome.Stop || unsafe:
 		return false
-	case r.attempts.sent >= maxAttempts:
+	case final:
 		return true
-	case !response.ReachedEndpoint:
+	case r.attempts.sent >= maxAttempts:
 		return false
+	case !response.ReachedEndpoint:
+		return true
 	}
-	return !b.acquireRetry(now, r, 0)
+	return b.acquireRetry(now, r)
 }
 
-// acquireRetry reports whether a request may reach one more endpoint: by its route's bound on attempts, and by the fleet's retry budget,
-// out of which it acquires one. An attempt that is under way counts as one that reaches an endpoint: more is how many there are beside
-// the superseded ones.
-func (b *serviceBalancer) acquireRetry(now time.Duration, r *request, more int) bool {
+// acquireRetry acquires one more attempt for a request that has reached an endpoint, or may yet: within its route's bound on attempts
+// that reach one, and out of the fleet's retry budget. False if there is none to be had. An attempt that is under way counts as one that
+// reaches an endpoint.
+func (b *serviceBalancer) acquireRetry(now time.Duration, r *request) bool {
+	if r.attempts.reached+r.attempts.underWay() >= max(r.route.MaxAttempts, 1) {
+		return false
+	}
 	bounds := &b.dispatcher.options.Bounds
-	reaching := r.attempts.reached + len(r.attempts.superseded) + more
-	return reaching < max(r.route.MaxAttempts, 1) &&
-		b.retryBudget.Acquire(now, bounds.RetryBudgetRatio, bounds.RetryBudgetSlack, b.dispatcher.sidecarCount)
+	return b.retryBudget.Acquire(now, bounds.RetryBudgetRatio, bounds.RetryBudgetSlack, b.dispatcher.sidecarCount)
 }
--- a/internal/mesh/dataplane/outbound/shutdown.go
+++ b/internal/mesh/dataplane/outbound/shutdown.go
@@ -7,14 +7,15 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// minTargetsBeforeShutdown is how many times the latency target of its route a request needs before the end of the process to be taken.
+// minTargetsBeforeShutdown is the time, in latency targets of its route, that must be left until answersDue for a request to be taken whose
+// own deadline is later.
 const minTargetsBeforeShutdown = 2
 
 // shutdown is what the end of this process means for clients' requests.
 type shutdown struct {
 	answersDue atomic.Pointer[time.Duration] // on the steady clock: every request has its answer by then; nil for no end planned
 	rejecting  atomic.Bool                   // no new request is taken
-	due        chan struct{}                 // closed when answersDue is near
+	due        chan struct{}                 // closed expiryMargin before answersDue: requests that wait expire then
 }
 
 func newShutdown() shutdown { return shutdown{due: make(chan struct{})} }
