--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -30,20 +30,20 @@
 	tickInterval time.Duration
 	tickArmed    bool
 	shutdownAt   time.Duration // when this instance ends; never where that is not known
-	quotaDivisor float64       // instances that what all together may do is divided by
+	quotaDivisor float64       // number of instances by which limits that hold for all of them together are divided
 
 	// Requests, from their arrival to their final answer and last outcome.
 	requests    map[RequestID]*request
 	classes     []*class
 	quotas      quotas
-	pending     []*request                    // that wait to be sent
-	pendingTime timeShare                     // of late in which some were pending
-	backoffs    deadlinequeue.Queue[*request] // to be pending when their backoff is over
-	// retryElapsed is the mean time, in seconds, that had elapsed for clients' retries where they show it.
+	pending     []*request                    // those that wait to be sent
+	pendingTime timeShare                     // share of recent time in which some were pending
+	backoffs    deadlinequeue.Queue[*request] // those that are pending again when their backoff is over
+	// retryElapsed is the mean time, in seconds, that had elapsed for a client when its retry came, of the retries that show it.
 	retryElapsed float64
 
 	// Limits.
-	inFlight    int               // attempts, but those at ejected endpoints
+	inFlight    int               // attempts in flight, except those at ejected endpoints
 	concurrency concurrency       // on attempts in flight
 	sends       sendLimiter       // on the rate of sends
 	rejections  throttle.Throttle // on attempts that end without having run
@@ -52,12 +52,12 @@
 	// Endpoints.
 	endpointsByID   map[EndpointID]*endpoint
 	listed          []*endpoint // in the order of their ids
-	added           []*endpoint // that the list which is taken in names first
-	busy            busySet     // that have attempts in flight
+	added           []*endpoint // those that were not known before the list that is being handled
+	busy            busySet     // those that have attempts in flight
 	index           endpointIndex
 	subset          subset
 	pools           drawPools
-	scanLimit       int // endpoints that are scanned one by one; of more they are drawn from pools
+	scanLimit       int // up to so many endpoints are scanned one by one; where there are more, candidates are drawn from pools
 	exhausted       exhaustion
 	candidateBuffer []*endpoint
 
@@ -67,16 +67,16 @@
 	outliers    outliers
 	losses      losses
 	trials      deadlinequeue.Queue[*endpoint] // ejected ones without an attempt in flight, by when a trial is due
-	slowStarts  deadlinequeue.Queue[*endpoint] // by when their bound is to be looked at
+	slowStarts  deadlinequeue.Queue[*endpoint] // those in slow start, by when their capacity share is to be looked at again
 	// warmSendRate is the requests a second that are sent to available endpoints, for each unit of their draw weight.
 	warmSendRate  decayingRate
-	noneAvailable bool // in the subset, at the latest tick
+	noneAvailable bool // no endpoint of the subset was available at the latest tick
 
 	requestRate decayingRate // requests a second
 	servedRate  decayingRate // answers a second
 
-	nextFetchAt  time.Duration // no fetch of the list before
-	watchBackoff time.Duration
+	nextFetchAt  time.Duration // the list is not fetched again before then
+	watchBackoff time.Duration // bound of the random wait for the next subscription; it doubles with each failure
 }
 
 // New makes a Balancer, or returns an error that names the setting that it cannot act on. The seed is that of all its random
--- a/internal/balancer/class.go
+++ b/internal/balancer/class.go
@@ -8,23 +8,23 @@
 	meanLatencyWeight = 0.05 // of one answer in the mean latency
 	minWindowSamples  = 16   // answers, and one rate window, that are averaged for one step of the base latency
 	skippedWindows    = 1    // first windows that do not count
-	baseLatencyFall   = 0.3  // part of the way that base and usual latency go towards a lower mean,
-	baseLatencyRise   = 0.02 // and the base latency towards a higher one: slowly, so that an overload is not taken for normal
-	usualLatencyRise  = 0.08 // and the usual latency, that pressure is measured against
+	baseLatencyFall   = 0.3  // part of the way that base and usual latency go towards a lower mean
+	baseLatencyRise   = 0.02 // part that the base latency goes towards a higher one: little, so that an overload is not taken for normal
+	usualLatencyRise  = 0.08 // part that the usual latency goes towards a higher one
 
 	initialTailRatio = 6.0 // first guess of the latency that tailQuantile of all answers exceed, in mean latencies
 	tailQuantile     = 0.01
 	tailStep         = 0.3 // how far one answer moves that guess, in mean latencies
 
 	classHistoryRequests = 100 // requests of a class over which the share that is answered in time is remembered
-	minClassRequests     = 5   // and requests from which it counts
+	minClassRequests     = 5   // requests of a class from which that share counts
 )
 
 // latencyEstimate is what was seen of a class's latency, in seconds.
 type latencyEstimate struct {
 	mean      float64 // smoothed; 0 before the first answer
 	base      float64 // under little load
-	usual     float64 // under the usual load
+	usual     float64 // under the usual load: pressure is measured against it
 	tailRatio float64 // mean latencies that tailQuantile of all answers exceed
 
 	windowSum     float64 // of the latencies in the window
@@ -81,8 +81,8 @@
 	Class
 	latency     latencyEstimate
 	maxTimeLeft time.Duration // the longest that a request arrived with
-	requests    float64       // of late,
-	onTime      float64       // and those of them that were answered within the latency target
+	requests    float64       // how many came lately; halved now and then
+	onTime      float64       // how many of these were answered within the latency target
 	// marginalValue is what answering one more unit of its work adds to what is optimized.
 	marginalValue float64
 }
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -9,25 +9,28 @@
 // here, is answered late, and may saturate endpoints.
 
 const (
-	initialQueue      = 0.75  // requests for each endpoint and tier at first, and within these bounds:
-	minQueue          = 0.6   // so little never saturated one
+	// The queue that endpoints may hold, in requests for each endpoint and tier.
+	initialQueue      = 0.75
+	minQueue          = 0.6   // so little never saturated an endpoint
 	maxQueue          = 1.6   // more only delays
 	queueGrowth       = 0.012 // part that the queue grows by in a rate window in which requests were pending
 	queueShrinkFactor = 0.6   // part that is left when an endpoint saturates
-	saturatedRatio    = 1.7   // times its kind's latency: an endpoint is saturated,
-	recoveredRatio    = 1.3   // and has recovered
+	saturatedRatio    = 1.7   // an endpoint is saturated from so many times its kind's latency on
+	recoveredRatio    = 1.3   // a saturated endpoint has recovered below so many times its kind's latency
 
 	maxQueueShare           = 0.8 // of what is answered at base latency
 	targetShare             = 0.5 // of the time from base latency to latency target; the rest is for slow answers
-	initialCallsPerEndpoint = 5.0 // the limit at first, for each endpoint that is this instance's share of the tier
-	minCallsPerEndpoint     = 1.2 // and the least it may come to
+	initialCallsPerEndpoint = 5.0 // the limit while no latency is known, for each listed endpoint, divided by the instances
+	minCallsPerEndpoint     = 1.2 // the least limit later, counted in the same way
 	concurrencySlack        = 2.0 // requests that any endpoint, and the fleet, may hold beyond its share
 	maxEndpointShare        = 1.5 // of an even share of the limit, that one endpoint may hold
 
-	maxRejectionsPerResponse = 0.6 // attempts that may end without having run, for each answer,
-	rejectionReserve         = 1.0 // beyond the limit on what is in flight while none is answered,
-	rejectionsPerEndpoint    = 1.0 // and all instances', for each endpoint and overload duration,
-	rejectionShare           = 0.2 // or a share of what was answered at the best rate of late, whichever is more
+	// How many attempts may end without having run (updateRejectionThrottle): what answers earn, a reserve, and what is earned by time,
+	// which is the more of rejectionsPerEndpoint and rejectionShare.
+	maxRejectionsPerResponse = 0.6 // earned by one answer, at most
+	rejectionReserve         = 1.0 // beyond the limit on what is in flight, while nothing is answered
+	rejectionsPerEndpoint    = 1.0 // by all instances together, for each endpoint and rate window
+	rejectionShare           = 0.2 // of what was answered at the best rate of late
 )
 
 // concurrency limits the attempts in flight.
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -40,7 +40,7 @@
 	rejectsUntil   time.Duration // it rejected a request: passed over until then
 	saturated      bool          // far slower than its kind, and not yet recovered
 	errorRate      float64       // smoothed share of answers that are errors
-	lossRate       float64       // and of attempts that it lost
+	lossRate       float64       // smoothed share of attempts that it lost
 
 	connectionBroke bool // it may have restarted, and begin with a slow start
 	trialAt         time.Duration
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -5,7 +5,8 @@
 // RequestID names a request; the Balancer returns it unchanged.
 type RequestID string
 
-// EndpointID names an endpoint; it stays the same when its process restarts.
+// EndpointID names an endpoint. Where it stays the same when the endpoint's process restarts, ListEntry.StartedAt tells of that; the mesh
+// gives each start a number of its own.
 type EndpointID uint32
 
 // Request is one client request as it arrives.
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -27,8 +27,8 @@
 	cell    int
 	zone    int
 
-	weight float64 // in weightCounts,
-	listed bool    // if it is counted there
+	weight float64 // the listed weight under which weightCounts counts it
+	listed bool    // weightCounts counts it
 
 	pool, slot      int
 	pooled          bool
--- a/internal/balancer/losses.go
+++ b/internal/balancer/losses.go
@@ -6,19 +6,23 @@
 // overtaken. That serves for lost answers, mute connections and stuck tiers below alike.
 
 const (
-	lossRateWeight   = 0.05 // of one attempt in an endpoint's share of lost ones: two in a row pass lossyRate
-	lossyRate        = 0.12 // share of attempts that an endpoint loses, not one that is slow now and then
-	stuckTails       = 0.6  // tail latencies until an attempt that so many later ones overtook leaves room,
-	lostTails        = 1.1  // and until it counts as lost
-	overdueTails     = 1.5  // and until it is retried, where most that count as lost get no answer until then
-	overdueWeight    = 0.3  // of one attempt that counts as lost, in the fleet's share of those that do
-	overdueThreshold = 0.6  // that share from which on it is; at first it is taken for a half
+	lossRateWeight = 0.05 // of one attempt in an endpoint's share of lost ones: two in a row pass lossyRate
+	lossyRate      = 0.12 // share of attempts that an endpoint loses, not one that is slow now and then
+
+	// The age, in tail latencies, of an attempt that minOtherResponses later ones overtook.
+	stuckTails   = 0.6 // from then on it does not use up the limits
+	lostTails    = 1.1 // from then on it counts as lost
+	overdueTails = 1.5 // from then on it is overdue
+
+	// Where most lost attempts come to be overdue, those that are get retried, also at endpoints that lose few.
+	overdueWeight    = 0.3 // of one lost attempt in the share of these that come to be overdue; the share begins at a half
+	overdueThreshold = 0.6 // share from which on they are retried
 )
 
 // losses is what the detection of lost attempts goes by beside the endpoints' own state.
 type losses struct {
 	inFlight     int     // attempts in flight that no answer is expected for
-	overdueShare float64 // smoothed share of the lost ones that are out for longer still
+	overdueShare float64 // smoothed share of the lost ones that come to be overdue
 }
 
 // recordAnswer takes in that an attempt was answered.
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -12,13 +12,13 @@
 	// Unresponsive: no response of any kind since an attempt was sent, while others respond.
 	suspectMeans      = 3.0 // mean latencies until an endpoint is passed over
 	unresponsiveTails = 4.0 // tail latencies until one attempt ejects
-	unresponsiveCalls = 2   // so many attempts eject at suspectMeans already
+	unresponsiveCalls = 2   // attempts that eject at suspectMeans already, if none of them gets a response
 	minOtherResponses = 4   // responses of others in that time that make it a fault of the endpoint's own
 
 	// Errors: an endpoint is judged against the fleet, for the tier below may be at fault.
 	endpointErrorWeight = 0.3  // of one answer in an endpoint's error rate: two in a row pass ejectionErrorRate
 	fleetErrorWeight    = 0.02 // of one answer in the fleet's
-	ejectionErrorRate   = 0.45 // error rate that ejects
+	ejectionErrorRate   = 0.45 // an error rate ejects that is at least so high
 	ejectionFleetRatio  = 3.0  // and at least so many times the fleet's
 	maxEjectedShare     = 0.5  // of the list that errors and unresponsiveness may eject
 	errorPenalty        = 5.0  // base latencies that a failed attempt still counts as in flight
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -7,15 +7,17 @@
 // back.
 
 const (
-	pressureUsualMultiple = 1.5  // usual latencies that answers should take at most on average,
-	pressureTargetShare   = 0.55 // and part of the latency target
-	maxPressureWeight     = 0.12 // of one answer at most,
-	pressureWindowTargets = 2.0  // and all those of so many latency targets count alike
+	// What answers should take on average at most: the smaller of so many usual latencies and such a part of the latency target.
+	pressureUsualMultiple = 1.5
+	pressureTargetShare   = 0.55
+
+	pressureWindowTargets = 2.0  // latency targets over which the pressure is smoothed
+	maxPressureWeight     = 0.12 // most weight that one answer has in it, where few come
+	maxPressureSample     = 4.0  // most that one answer counts, in what it should take
 	pressureGain          = 1.5  // part of the rate that one second of a pressure of 2 takes off
-	maxPressureSample     = 4.0  // the most that one answer may count
-	maxSendRateMultiple   = 1.5  // of the peak rate of requests: the rate when nothing is held back
-	minSendRateShare      = 0.15 // and the least, of that
-	sendBurst             = 2.0  // requests that may be sent at once, or those of half a second
+	maxSendRateMultiple   = 1.5  // most sends a second, in peak rates of requests: the rate when nothing is held back
+	minSendRateShare      = 0.15 // least sends a second, as a part of the most
+	sendBurst             = 2.0  // requests that may be sent at once; where half a second's are more, so many
 )
 
 // sendLimiter limits the rate at which requests are sent while the pressure is above 1. The zero value has no limit.
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -5,10 +5,10 @@
 // This file meters tenants' requests against their quotas.
 
 const (
-	minBurst           = 8.0 // requests that chance may bring together, at any rate,
-	initialTokens      = 2.0 // and at the start
-	tenantBurstSeconds = 4.0 // of its rate that a tenant may save up,
-	totalBurstSeconds  = 1.0 // and all tenants together
+	minBurst           = 8.0 // requests that a full bucket holds beside the seconds of its rate: low rates bring as many at once by chance
+	initialTokens      = 2.0 // requests that a new bucket holds
+	tenantBurstSeconds = 4.0 // seconds of its rate that a tenant may save up
+	totalBurstSeconds  = 1.0 // seconds of their rate that all tenants together may save up
 )
 
 // tokenBucket meters requests: tokens are earned at a rate, up to a capacity, and each request takes one.
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -24,10 +24,11 @@
 	streaming      bool
 	done           bool // it has its final answer
 
-	mayHaveRun bool // an attempt may have run:
-	ranInZone  int  // where, when it was sent
-	ranInCell  int
-	ranAt      time.Duration // and when the first one was
+	mayHaveRun bool // an attempt may have run
+	// Of the first attempt that may have run: its endpoint's zone and cell as they were then, and when it was sent.
+	ranInZone int
+	ranInCell int
+	ranAt     time.Duration
 
 	// Of the attempt that is in flight.
 	endpoint        *endpoint // nil while there is none
@@ -36,8 +37,8 @@
 	trial           bool // it ends an ejection if it is served
 	cancelled       bool // by us: the outcome is still to come
 	overtaken       int  // answers to attempts that were sent later
-	lost            bool // it will hardly be answered,
-	overdue         bool // and was not for longer still
+	lost            bool // it will hardly be answered: it is out for lostTails
+	overdue         bool // it is out for overdueTails
 }
 
 // unrestricted reports whether a request may go to any endpoint, as far as the rules go.
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -6,7 +6,7 @@
 
 const (
 	retryBudgetShare = 0.2  // retries earned by each answer
-	maxRetryBudget   = 10.0 // and how many may be saved up
+	maxRetryBudget   = 10.0 // retries that may be saved up
 )
 
 // retryBudget bounds retries by a share of the answers.
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -60,8 +60,8 @@
 	Classes             []Class
 	Tenants             []Tenant
 	ValuePerWorkUnit    bool    // a class's Value is that of a unit of work, not of a request
-	TotalValueWeight    float64 // weight of the value of all answers in what is optimized,
-	WorstClassWeight    float64 // and of the answered share of the worst-served class
+	TotalValueWeight    float64 // weight of the value of all answers in what is optimized
+	WorstClassWeight    float64 // weight of the answered share of the worst-served class in what is optimized
 	OverQuotaValueShare float64 // part of its class's Value that a request beyond its tenant's quota has
 
 	// What the environment permits.
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -38,14 +38,14 @@
 
 // subset is the endpoints that this instance calls.
 type subset struct {
-	members []*endpoint // unless
-	all     bool        // it holds all there are
+	all     bool        // it holds all endpoints there are; members is not used then
+	members []*endpoint // those in it
 	stale   bool        // it is to be worked out again
 	size    float64     // in endpoints' worth of weight
 
-	byHash bool            // it is by the endpoints' ids,
-	share  hashring.Share  // those that this share has
-	group  *hashring.Group // that shares go by; nil for ordinals
+	byHash bool            // it goes by the endpoints' ids alone
+	share  hashring.Share  // by hash: the share of all ids whose endpoints are in it
+	group  *hashring.Group // by hash: the instances that divide the ids; nil to go by their ordinals
 
 	previous          []*endpoint // buffer: the members before it was worked out again
 	unreachedReported bool        // it was reported that instances together do not reach all endpoints
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -6,8 +6,8 @@
 // the latency of their answers.
 
 const (
-	kindLatencyWeight     = 0.02 // of one answer in the latency of a kind,
-	endpointLatencyWeight = 0.1  // and of an endpoint
+	kindLatencyWeight     = 0.02 // of one answer in the latency of its endpoint's kind
+	endpointLatencyWeight = 0.1  // of one answer in the latency of its endpoint
 	serviceTimeWeight     = 0.3  // of one report in an endpoint's service time
 	kindTrustSamples      = 4.0  // answers that the latency of its kind counts for
 )
@@ -16,8 +16,8 @@
 type serviceTimes struct {
 	kinds            []movingAverage // by kind
 	inverseSum       movingAverage   // of 1 / mean over the kinds that report
-	reporting        int             // how many kinds report,
-	settledReporting int             // and how many did when all endpoints were last refreshed
+	reporting        int             // how many kinds report
+	settledReporting int             // how many reported when all endpoints were last refreshed
 }
 
 // add takes a service time in: short ones count more.
