--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -155,7 +155,8 @@
 	return a.publisher.publishOnBehalf(ctx, e)
 }
 
-// ApplyRecord takes a record of an endpoint into the registry, as if a sidecar had published it to this process.
+// ApplyRecord takes a record of an endpoint into the registry, as if a sidecar had published it to this process. It is for tests of
+// programs.
 func (a *Agent) ApplyRecord(e discovery.Endpoint) { a.directory.applyAsOwner(e) }
 
 // Refresh asks the registry owners of a service for all that they hold of it. It does not wait for the answers.
--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -10,8 +10,10 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// expiryInterval is the time between two looks at the leases of endpoint records.
-const expiryInterval = time.Second
+const (
+	expiryInterval = time.Second       // between two looks at the leases of endpoint records
+	ownersFollowed = ownersPerZone + 1 // of each service: one more, which is asked in place of one that is unresponsive
+)
 
 // endpointDirectory holds the endpoint records that this process knows, in both of its parts: as a registry owner that sidecars publish
 // to and subscribers subscribe at, and as a subscriber that follows the services it wants. Its fields are guarded by environment.mu.
@@ -24,7 +26,7 @@
 	subscriptions *discovery.Subscription // of this process, at registry owners
 	subscribers   *discovery.Subscribers  // at this process
 	services      []string                // whose endpoints this process wants to know
-	changed       map[string]uint64       // registry's version before the first change that is not notified, by service
+	changed       map[string]uint64       // services with changes that nobody was notified of yet; the registry's version before the first
 	nextExpiry    time.Duration
 }
 
@@ -83,7 +85,7 @@
 func (d *endpointDirectory) updateOwnersLocked(now time.Duration) {
 	for _, service := range d.services {
 		var owners []discovery.RegistryOwner
-		for _, m := range d.members.ownZoneOwnersLocked(service, ownersPerZone+1) {
+		for _, m := range d.members.ownZoneOwnersLocked(service, ownersFollowed) {
 			owners = append(owners, discovery.RegistryOwner{Address: m.Address, Incarnation: m.Incarnation})
 		}
 		d.subscriptions.SetOwners(now, service, owners)
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -68,8 +68,8 @@
 	return &publishRequest{Accepted: k.deliver(ctx, p.Endpoint)}
 }
 
-// answer acknowledges a keepalive. That an endpoint leaves is acknowledged only if all that have to know it will: the endpoint calls
-// another process otherwise.
+// answer acknowledges a keepalive. That an endpoint leaves is acknowledged only once its sidecar, or registry owners in every zone, have
+// taken it; the answer is 503 otherwise, and the endpoint calls another process.
 func (k *keepaliveServer) answer(ctx context.Context, w http.ResponseWriter, e discovery.Endpoint) {
 	target := ""
 	if !k.deliver(ctx, e) {
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -24,9 +24,8 @@
 	zoneLastSeen map[string]time.Duration // when a zone last had members
 	sidecarCount int                      // as last reported
 
-	// handledChanges is 1 more than the view's count of changes at which viewChangedLocked last reported one; 0 has it report one
-	// again.
-	handledChanges uint64
+	changesHandled bool   // viewChangedLocked has reported all changes up to handledChanges
+	handledChanges uint64 // as counted by the view
 }
 
 // versionExchange is what shuffles carry of the configuration.
@@ -117,18 +116,20 @@
 	return reply
 }
 
-// viewChangedLocked reports whether what depends on the members is to be worked out anew, once for each change.
+// viewChangedLocked reports whether what depends on the members is to be worked out anew: at first, after each change of the view and
+// after invalidateLocked, once each.
 func (m *memberTracker) viewChangedLocked() bool {
-	changes := m.view.ChangeCount() + 1
-	if m.handledChanges == changes {
+	changes := m.view.ChangeCount()
+	if m.changesHandled && m.handledChanges == changes {
 		return false
 	}
+	m.changesHandled = true
 	m.handledChanges = changes
 	return true
 }
 
 // invalidateLocked has viewChangedLocked report a change.
-func (m *memberTracker) invalidateLocked() { m.handledChanges = 0 }
+func (m *memberTracker) invalidateLocked() { m.changesHandled = false }
 
 // reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. Without that callback nothing is counted.
 func (m *memberTracker) reportSidecarCountLocked() {
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -13,7 +13,7 @@
 	methodUpdate        = 13 // endpointList: what has changed, from a registry owner to a subscriber; answered by an acknowledgement
 	methodVersionNotice = 14 // versionNotice: the sender holds a version of the configuration; answered by an acknowledgement
 	methodConfiguration = 15 // configurationText: a request for the newest configuration; answered by another
-	methodConsensus     = 16 // opaqueMessage: a request to another core process's consensus.Replica, and its reply
+	methodConsensus     = 16 // opaqueMessage: a consensus.Request to another core process; answered by another, with a consensus.Reply
 	methodKeepalive     = 17 // publishRequest: a keepalive that another process received, for the endpoint's own sidecar; answered by another
 	methodLease         = 18 // lease.Request to a core process; answered by a lease.Reply
 	methodTokens        = 19 // ratelimit.AllocationRequest to the allocator, or to a sidecar that forwards it; answered by an AllocationReply
--- a/internal/mesh/assembly/sidecar_shutdown.go
+++ b/internal/mesh/assembly/sidecar_shutdown.go
@@ -13,7 +13,7 @@
 const (
 	readinessNotice      = 2400 * time.Millisecond // the platform probes each second, and sends no clients after two failures
 	answerMargin         = 900 * time.Millisecond  // for answers that are being written to go out, also over a slow link
-	answerDivisor        = 7                       // the margin's part of a short grace time: requests may run for five sixths of it
+	answerDivisor        = 7                       // a seventh of a short grace time: requests are to have five sixths of it at least
 	exitMargin           = 250 * time.Millisecond
 	exitDivisor          = 12
 	shutdownPollInterval = 20 * time.Millisecond
@@ -42,9 +42,9 @@
 	s.local.shutDown()
 	s.outbound.ShutDownBy(plan.answersDue)
 	if endpoint, _ := s.inbound.Endpoint(); endpoint.ID != "" {
-		s.agent.PublishEnd(endpoint.ID, discovery.Crashed)
+		s.agent.PublishEnd(endpoint.ID, discovery.Crashed) // not Deregistered: it may go on under the sidecar's next start
 	}
-	s.waitUntil(plan.rejectFrom, func() bool { return false })
+	s.waitUntil(plan.rejectFrom, func() bool { return false }) // the whole time: readiness probes are to fail first
 	s.rejectNewRequests()
 	s.waitUntil(plan.answersDue, func() bool { return s.outbound.OpenRequests() == 0 && s.inbound.Pending() == 0 })
 	s.closeListener(clients)
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -83,7 +83,7 @@
 	r.Kind = ReplyKind(kind)
 	visitor.Message(2, &r.Ballot)
 	visitor.Uint64(3, &r.DiskIncarnation)
-	r.DiskIncarnations.fields(visitor)
+	r.DiskIncarnations.fields(visitor) // field 4
 	visitor.Message(5, &r.Promised)
 	visitor.Message(6, &r.Vote)
 	visitor.Message(8, &r.VoterSet)
--- a/internal/mesh/control/consensus/record.go
+++ b/internal/mesh/control/consensus/record.go
@@ -18,7 +18,7 @@
 	visitor.Strings(1, &r.Voters)
 	visitor.Bool(2, &r.Ready)
 	visitor.Uint64(3, &r.DiskIncarnation)
-	r.DiskIncarnations.fields(visitor)
+	r.DiskIncarnations.fields(visitor) // field 4
 	visitor.Message(5, &r.Promised)
 	visitor.Uint64(6, &r.Epoch)
 	visitor.Strings(7, &r.Previous)
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -16,7 +16,7 @@
 	Stale                          // ended: NewerVoters are decided; another round under them is needed
 )
 
-// expects is the reply that takes a round in this state further.
+// expects is the reply that takes a round in this state further. A round that has ended takes none (Step), so the default does not matter.
 func (s RoundState) expects() ReplyKind {
 	switch s {
 	case Reading:
@@ -52,14 +52,14 @@
 	jointVoters []string // voters of a value of the next epoch, whose majority is needed as well; nil for none
 	ballot      Ballot   // zero for a read
 	change      *Change  // nil for none
-	knownVote   Vote
-	verdict     Verdict // holds once proposal is committed
+	knownVote   Vote     // a committed vote: the caller's, and once Done, or Stale by this round's own value, the newest
+	verdict     Verdict  // holds once proposal is committed
 	proposal    Value
 	replies     map[string]*Reply // of the current phase, by voter
 }
 
-// NewReadRound starts a round that only reads, and returns the request to send. known is a vote whose value the caller
-// has, so that replies need not carry it.
+// NewReadRound starts a round that only reads, and returns the request to send. known is the newest committed vote whose
+// value the caller has, so that replies need not carry it.
 func NewReadRound(voters VoterSet, known Vote) (*Round, *Request) {
 	r := &Round{State: Reading, voterSet: voters, knownVote: known, replies: map[string]*Reply{}}
 	return r, &Request{Kind: ReadVote, KnownBallot: known.Ballot, Epoch: voters.Epoch, VoterSet: voters}
--- a/internal/mesh/control/controlplane/operator_api.go
+++ b/internal/mesh/control/controlplane/operator_api.go
@@ -27,8 +27,8 @@
 	retryAfterSeconds = "0.2"                  // for the header Retry-After
 )
 
-// operatorAPI serves the operators' calls over HTTP. It has no state. 200, 400, 404, 412 and 413 are final; 503 says that nothing
-// is known, and when to call again.
+// operatorAPI serves the operators' calls over HTTP. It has no state. 200, 400, 404, 412 and 413 are final; 408 says that the body did
+// not come completely, and 503 that nothing is known, and when to call again.
 type operatorAPI struct {
 	register *register
 	log      *logrus.Logger
--- a/internal/mesh/control/controlplane/proposer.go
+++ b/internal/mesh/control/controlplane/proposer.go
@@ -56,7 +56,8 @@
 	return consensus.Ballot{Number: p.highest, Proposer: p.id}
 }
 
-// run plays rounds until one is done or the context ends. A read needs a ballot only if the answers differ.
+// run plays rounds until one is done or the context ends. A read is played without a ballot first, which writes nothing. If its votes
+// differ, one round with a ballot follows at once; if that is preempted, the next one reads without a ballot again.
 func (p *proposer) run(ctx context.Context, reading bool, change *consensus.Change) (*consensus.Round, error) {
 	delay := minBackoff
 	timeout := minPhaseTimeout
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -20,14 +20,14 @@
 
 // Options are what a Server is opened with. Self, Transport and Log are required.
 type Options struct {
-	Self         string                // name (control address) of this process, as in the seeds
-	Seeds        []string              // of the settings: at the first start of the whole system they become the voters
-	Tolerated    int                   // machines that may be lost at once, which sets how many voters there should be
-	Cores        func() []string       // names of the core processes that run; nil: the voter set never changes
-	InitialStart bool                  // the whole system starts for the first time
-	Folder       string                // for the acceptor's record
-	Transport    Transport             // to other core processes
-	Log          *logrus.Logger        //
+	Self         string          // name (control address) of this process, as in the seeds
+	Seeds        []string        // of the settings: at the first start of the whole system they become the voters
+	Tolerated    int             // machines that may be lost at once, which sets how many voters there should be
+	Cores        func() []string // names of the core processes that run; nil: the voter set never changes
+	InitialStart bool            // the whole system starts for the first time
+	Folder       string          // for the acceptor's record
+	Transport    Transport       // to other core processes
+	Log          *logrus.Logger
 	Seed         uint64                // of random waits and of ballots
 	OnCommit     func(consensus.Value) // called by one goroutine, with newer values only; may be nil
 
@@ -138,7 +138,7 @@
 // Committed is the newest value that this process knows is committed, if there is any. Newer ones may be committed already.
 func (s *Server) Committed() (consensus.Value, bool) { return s.learner.newestValue() }
 
-// LearnCommitted notes that a value is committed, by the word of another process.
+// LearnCommitted notes that a value is committed, as another process says.
 func (s *Server) LearnCommitted(value consensus.Value) {
 	s.learner.learnVote(consensus.Vote{Value: value})
 }
