--- a/internal/balancer/class.go
+++ b/internal/balancer/class.go
@@ -28,7 +28,7 @@
 	tailRatio float64 // mean latencies that tailQuantile of all answers exceed
 
 	windowSum     float64 // of the latencies in the window
-	windowSamples int     // and their number
+	windowSamples int     // how many latencies that is the sum of
 	windowStart   time.Duration
 	windows       int // that have been closed
 }
--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -108,7 +108,7 @@
 // SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
 func (a *Agent) SetSeeds(addresses []string) { a.members.setSeeds(addresses) }
 
-// MemberAt is the newest member at an IP address; false if none is known there.
+// MemberAt is the member at an IP address: a sidecar before others, of several the newest; false if none is known there.
 func (a *Agent) MemberAt(ip string) (membership.Member, bool) { return a.members.at(ip) }
 
 // Members are the processes that run, as far as this one knows, itself among them.
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -169,7 +169,7 @@
 // allLocked is all with the lock held.
 func (m *memberTracker) allLocked() []membership.Member { return m.view.Members() }
 
-// at is the newest member at an IP address.
+// at is the member at an IP address (Agent.MemberAt).
 func (m *memberTracker) at(ip string) (membership.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -63,13 +63,13 @@
 // Acquire takes a token for a request of a tenant. done is called exactly once, soon: with ok if the request is admitted, else with the time
 // after which the tenant may retry. It may be called before Acquire returns. It must not block or call the client.
 func (q *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) {
-	if !q.admit(tenant, done) {
+	if !q.acquireCached(tenant, done) {
 		q.wake()
 	}
 }
 
-// admit reports whether done has been called already.
-func (q *QuotaClient) admit(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) bool {
+// acquireCached takes a token that is here already, or has the request wait for one. It reports whether done has been called.
+func (q *QuotaClient) acquireCached(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) bool {
 	answered := false // guarded by mu, as done may be called later
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -127,7 +127,9 @@
 	q.inFlight.Go(func() { q.request(ctx, now, target, request) })
 }
 
-// targetLocked is the process to ask: the one that granted last; after a failure a core process, in turn with another sidecar.
+// targetLocked chooses the process to ask: the sidecar that forwards requests, until it is time to try the allocator itself again; else
+// the allocator that granted last; after failures, by turns, another sidecar, which may reach the allocator, and a core process, which
+// may be the allocator or name it.
 func (q *QuotaClient) targetLocked(now time.Duration) string {
 	if q.forwarder != "" && now < q.directRetryAt {
 		return q.forwarder
--- a/internal/mesh/control/configuration/configuration.go
+++ b/internal/mesh/control/configuration/configuration.go
@@ -71,13 +71,13 @@
 // TenantByKey is the tenant that holds a key, nil if none does.
 func (c *Config) TenantByKey(key string) *Tenant { return c.tenantsByKey[key] }
 
-// PickService picks a service in proportion to the weights, for a random number from 0 up to but not including 1.
-func (r *Route) PickService(random float64) string {
+// PickService picks a service in proportion to the weights, for a number from 0 up to but not including 1 that its caller draws evenly.
+func (r *Route) PickService(drawn float64) string {
 	var sum float64
 	for i := range r.Split {
 		sum += r.Split[i].Weight
 	}
-	rest := random * sum
+	rest := drawn * sum
 	var picked string
 	for i := range r.Split {
 		candidate := &r.Split[i]
--- a/internal/mesh/control/configuration/parse.go
+++ b/internal/mesh/control/configuration/parse.go
@@ -67,17 +67,17 @@
 		p.addFault(fieldLimitSet, "an object, not %s", describe(v))
 		return
 	}
-	size := func(name string, missing int64) int64 {
+	size := func(name string, defaultValue int64) int64 {
 		if n := p.number(fieldLimitSet+"."+name, v.Get(name), 0); n >= 1 {
 			return int64(min(n, 1<<62))
 		}
-		return missing
+		return defaultValue
 	}
-	duration := func(name string, missing time.Duration) time.Duration {
+	duration := func(name string, defaultValue time.Duration) time.Duration {
 		if d := p.duration(fieldLimitSet+"."+name, v.Get(name), 0); d > 0 {
 			return d
 		}
-		return missing
+		return defaultValue
 	}
 	c.Limits = Limits{
 		HeaderMax:     size(fieldHeaderMaxBytes, defaultMaxHeaderBytes),
--- a/internal/mesh/control/configuration/parse_routes.go
+++ b/internal/mesh/control/configuration/parse_routes.go
@@ -16,7 +16,7 @@
 		c.Routes = append(c.Routes, p.parseRoute(path, v, services))
 		paths = append(paths, path)
 	})
-	for i := range c.Routes { // which don't move any more
+	for i := range c.Routes { // only now, as the index points at them: append may have moved them before
 		if other := c.addToIndex(&c.Routes[i]); other != nil {
 			p.addFault(paths[i], "a host and a prefix of its own, not those of %q: %q %q", other.Name, other.Host, other.Prefix)
 		}
--- a/internal/mesh/control/configuration/parser.go
+++ b/internal/mesh/control/configuration/parser.go
@@ -125,25 +125,27 @@
 	return s
 }
 
-func (p *parser) number(path string, v gjson.Result, missing float64) float64 {
+// number is a number; the default if it is missing or a fault.
+func (p *parser) number(path string, v gjson.Result, defaultValue float64) float64 {
 	if !isPresent(v) {
-		return missing
+		return defaultValue
 	}
 	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || math.IsNaN(v.Num) {
 		p.addFault(path, "a number, not %s", describe(v))
-		return missing
+		return defaultValue
 	}
 	return v.Num
 }
 
 // integer is a number without its fraction, cut to what an int32 holds.
-func (p *parser) integer(path string, v gjson.Result, missing int) int {
-	return int(max(math.MinInt32, min(math.MaxInt32, p.number(path, v, float64(missing)))))
+func (p *parser) integer(path string, v gjson.Result, defaultValue int) int {
+	return int(max(math.MinInt32, min(math.MaxInt32, p.number(path, v, float64(defaultValue)))))
 }
 
-func (p *parser) duration(path string, v gjson.Result, missing time.Duration) time.Duration {
+// duration is a time with its unit; the default if it is missing.
+func (p *parser) duration(path string, v gjson.Result, defaultValue time.Duration) time.Duration {
 	if !isPresent(v) {
-		return missing
+		return defaultValue
 	}
 	d, ok := parseDuration(v.Str)
 	if v.Type != gjson.String || !ok {
@@ -168,6 +170,7 @@
 	return time.Duration(max(-1<<62, min(1<<62, math.Round(x*unit)))), true
 }
 
+// boolean is true or false; false if it is missing.
 func (p *parser) boolean(path string, v gjson.Result) bool {
 	if isPresent(v) && !v.IsBool() {
 		p.addFault(path, "true or false, not %s", describe(v))
--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -74,12 +74,12 @@
 	sidecar.lastSeen = now
 	a.sweep(now)
 	var grants []TokenGrant
-	for _, tokens := range request.Requests {
-		limit, ok := a.limits(tokens.Tenant)
+	for _, tokenRequest := range request.Requests {
+		limit, ok := a.limits(tokenRequest.Tenant)
 		if !ok || limit.Rate <= 0 {
 			continue
 		}
-		grants = append(grants, a.grant(now, request, tokens, limit))
+		grants = append(grants, a.grant(now, request, tokenRequest, limit))
 	}
 	return grants
 }
@@ -113,16 +113,16 @@
 	}
 }
 
-// grant answers one request: tokens out of the tenant's bucket, and a fallback share.
-func (a *Allocator) grant(now time.Duration, sidecar *AllocationRequest, request TokenRequest, limit Limit) TokenGrant {
+// grant answers one of a sidecar's requests: tokens out of the tenant's bucket, and a fallback share.
+func (a *Allocator) grant(now time.Duration, from *AllocationRequest, request TokenRequest, limit Limit) TokenGrant {
 	bucket := a.bucket(request.Tenant, limit)
 	bucket.recomputeSums(now, a.sidecars)
-	share := bucket.shareOf(sidecar.Sidecar)
+	share := bucket.shareOf(from.Sidecar)
 	reported := 0.0 // what the sidecar holds by its own report, which is the truth
 	if request.ShareRemaining > 0 {
 		reported = max(request.FallbackShare, 0)
 	}
-	share.incarnation = sidecar.Incarnation
+	share.incarnation = from.Incarnation
 	bucket.setShare(share, reported, max(request.Demand, 0))
 	grant := a.grantTokens(now, bucket, request, limit)
 	grant.FallbackShare = a.allotShare(now, bucket, share, limit)
--- a/internal/mesh/control/ratelimit/retry_budget.go
+++ b/internal/mesh/control/ratelimit/retry_budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Inner calls of a retried call count as retries at the service that they go to, and calls are up to three deep today: so
-// each sidecar uses a fraction of the ratio, and of the slack, at each service.
+// The nested calls of a request that is retried are retries too, at the services that they go to, and no sidecar sees that. Calls are
+// nested up to three deep today: so each sidecar uses only a fraction of the ratio, and of the slack, at each service.
 const (
 	ratioFraction = 0.4
 	slackFraction = 0.6
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -137,7 +137,7 @@
 	r.lastExpire = now
 	for _, id := range r.sortedIDs() {
 		rec := r.records[id]
-		if rec.hasEnded() || now < rec.leaseEnd && !r.isSupplanted(now, rec) {
+		if rec.hasEnded() || now < rec.leaseEnd && !r.isTakenOver(now, rec) {
 			continue
 		}
 		rec.expired = true
@@ -167,8 +167,9 @@
 	}
 }
 
-// isSupplanted reports whether another endpoint at a record's address is renewed and the record isn't.
-func (r *Registry) isSupplanted(now time.Duration, rec *record) bool {
+// isTakenOver reports whether another endpoint has taken a record's address over: it is renewed, and the record is not any more. Unlike
+// supersede this goes by time alone, as the two may have different publishers.
+func (r *Registry) isTakenOver(now time.Duration, rec *record) bool {
 	if now-rec.renewedAt < r.config.TakeoverTimeout {
 		return false
 	}
--- a/internal/modules/endpointsource/merger.go
+++ b/internal/modules/endpointsource/merger.go
@@ -27,8 +27,8 @@
 
 	ready     bool          // as judged by itself, without regard to whether any other is
 	published *Endpoint     // what the balancer was given, nil if nothing or gone
-	since     time.Duration // that is so
-	reason    string        // and why
+	since     time.Duration // when it was last changed, or taken away
+	reason    string        // why it is judged so now
 }
 
 // Merger merges the sources. The zero value is not to be used. It is not safe for concurrent use.
