--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -129,7 +129,7 @@
 func goldenState() State {
 	return State{
 		Node: "core-1", Version: "r12", Confirmed: true, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
-		Roles:   []RoleState{{Name: roleAllocator, Holder: "10.1.0.44:7640", Epoch: 9, RemainingMs: 1500}, {Name: "other"}},
+		Roles:   []RoleState{{Name: roleAllocator, Holder: "10.1.0.44:7640", FencingToken: 9, RemainingMs: 1500}, {Name: "other"}},
 		Members: []MemberState{{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 40}, {Role: "core"}},
 		Endpoints: []EndpointState{{
 			ID: "ep-1", Service: "orders", Zone: "north-a", State: stateNames[discovery.Serving], Address: "10.1.0.40:8103",
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -32,10 +32,10 @@
 
 // RoleState says which process has a singleton role.
 type RoleState struct {
-	Name        string `json:"name"`
-	Holder      string `json:"holder"`           // internal address of the lease holder; empty if it is not known
-	Epoch       uint64 `json:"epoch,omitempty"`  // fencing token; known to the holder alone
-	RemainingMs int64  `json:"leftMs,omitempty"` // milliseconds of the lease, if it isn't renewed; known to the holder alone
+	Name         string `json:"name"`
+	Holder       string `json:"holder"`           // internal address of the lease holder; empty if it is not known
+	FencingToken uint64 `json:"epoch,omitempty"`  // known to the holder alone
+	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds of the lease, if it isn't renewed; known to the holder alone
 }
 
 // MemberState is a process that runs.
@@ -125,10 +125,10 @@
 	now := s.agent.now()
 	token, _ := s.allocatorLease.Holds(now)
 	return RoleState{
-		Name:        roleAllocator,
-		Holder:      s.allocatorLease.Holder(now),
-		Epoch:       token,
-		RemainingMs: s.allocatorLease.Remaining(now).Milliseconds(),
+		Name:         roleAllocator,
+		Holder:       s.allocatorLease.Holder(now),
+		FencingToken: token,
+		RemainingMs:  s.allocatorLease.Remaining(now).Milliseconds(),
 	}
 }
 
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -136,7 +136,7 @@
 		h.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", "/mesh/state", nil))
 		var s agent.State
 		qt.Assert(t, json.Unmarshal(w.Body.Bytes(), &s), qt.IsNil)
-		if s.Confirmed && s.Ready && s.Version == version && len(s.Roles) == 1 && s.Roles[0].Epoch > 0 {
+		if s.Confirmed && s.Ready && s.Version == version && len(s.Roles) == 1 && s.Roles[0].FencingToken > 0 {
 			return
 		}
 		if time.Now().After(end) {
@@ -229,7 +229,7 @@
 	const file = "mesh-state.json"
 	state := agent.State{
 		Node: "core-a", Version: "r7", Confirmed: true, Voters: []string{"127.0.0.1:8105"}, Ready: true,
-		Roles:   []agent.RoleState{{Name: "allocator", Holder: "127.0.0.1:7640", Epoch: 3, RemainingMs: 1500}, {Name: "idle"}},
+		Roles:   []agent.RoleState{{Name: "allocator", Holder: "127.0.0.1:7640", FencingToken: 3, RemainingMs: 1500}, {Name: "idle"}},
 		Members: []agent.MemberState{{Address: "127.0.0.1:7640", Zone: "a", Role: "access", Service: "desk", AgeMs: 20}, {Role: "core"}},
 		Endpoints: []agent.EndpointState{{
 			ID: "i-1", Service: "desk", Zone: "a", State: "in_service", Address: "127.0.0.1:8103",
--- a/internal/mesh/operations/meshctl/golden_test.go
+++ b/internal/mesh/operations/meshctl/golden_test.go
@@ -24,7 +24,7 @@
 func goldenState(confirmed bool) agent.State {
 	return agent.State{
 		Node: "core-1", Version: "r12", Confirmed: confirmed, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
-		Roles: []agent.RoleState{{Name: "allocator", Holder: "10.1.0.44:7640", Epoch: 9, RemainingMs: 1500}},
+		Roles: []agent.RoleState{{Name: "allocator", Holder: "10.1.0.44:7640", FencingToken: 9, RemainingMs: 1500}},
 		Members: []agent.MemberState{
 			{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 1040},
 			{Address: "10.1.0.44:7640", Zone: "north-a", Role: "core"},
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -58,7 +58,7 @@
 	}
 	t := table{columns: []string{"DUTY", "HOLDER", "NUMBER"}}
 	for _, r := range s.Roles {
-		t.add(r.Name, r.Holder, strconv.FormatUint(r.Epoch, 10))
+		t.add(r.Name, r.Holder, strconv.FormatUint(r.FencingToken, 10))
 	}
 	for _, voter := range s.Voters {
 		t.add("voter", voter, "")
