--- a/internal/balancer/pools.go
+++ b/internal/balancer/pools.go
@@ -22,19 +22,19 @@
 // weights. An endpoint's bound is moved with its own changes. Its kind's only raise the slack, by which all bounds are multiplied
 // when something is drawn, until they have gone so far that all of the kind are refreshed.
 const (
-	boundHeadroom      = 1.2 // times the weight: a new bound
-	maxBoundRatio      = 2.0 // times the weight: a bound that wastes draws
-	maxDrift           = 2.0 // times what it was: a kind whose endpoints are refreshed
+	boundHeadroom      = 1.2 // a new bound, in draw weights of its endpoint
+	maxBoundRatio      = 2.0 // a bound of more draw weights is set anew: draws by it are mostly in vain
+	maxDrift           = 2.0 // a kind whose latency moves by this ratio has its endpoints refreshed
 	slackCheckInterval = 64  // answers between two looks at the slack over all kinds
-	maxScanned         = 32  // endpoints that are scanned one by one before draws from the pools are cheaper
+	maxScanned         = 32  // most endpoints that are scanned one by one: of more, draws from the pools are cheaper
 	maxPoolDraws       = 24  // draws from the pools that may be in vain before all are scanned
 )
 
 // drawPools are the endpoints that may be drawn, with bounds of their draw weights.
 type drawPools struct {
 	pools           [poolCount]weightedsample.Pool[*endpoint]
-	availableWeight float64 // of the draw weights in availablePool, as they were when they were refreshed
-	boundSlack      float64 // that bounds are multiplied by, at least 1
+	availableWeight float64 // sum of the draw weights in availablePool, as they were when they were refreshed
+	boundSlack      float64 // factor of all bounds, at least 1
 	slackChecks     int     // answers since the slack was looked at over all kinds
 }
 
