--- a/internal/mesh/agent/environment.go
+++ b/internal/mesh/agent/environment.go
@@ -26,7 +26,8 @@
 	// publish to and to subscribe at, and a shuffle carries the version.
 	//
 	// Rules:
-	//   - A method whose name ends in Locked is called with mu held, any other one without it.
+	//   - A method whose name ends in Locked is called with mu held, any other one without it. Those of QuotaClient and SingletonRoles
+	//     go by their own mu.
 	//   - Nothing waits under mu: no message is sent, no event recorded, and no callback called but OnSidecarCount.
 	//   - Order of locks: configurationUpdater.applyMu, then SingletonRoles.mu or QuotaClient.mu, then mu. eventRecorder.mu comes last,
 	//     and is never taken under mu.
--- a/internal/mesh/agent/tenant_limits.go
+++ b/internal/mesh/agent/tenant_limits.go
@@ -21,7 +21,7 @@
 	c.tenantLimits.Store(&limits)
 }
 
-// hasTenantLimits reports whether a configuration has been applied.
+// hasTenantLimits reports whether limits are known: whether any configuration has been applied.
 func (c *configurationUpdater) hasTenantLimits() bool { return c.tenantLimits.Load() != nil }
 
 // tenantLimit is a tenant's limit by the applied configuration, of which there must be one; false if it has no such tenant.
--- a/internal/mesh/dataplane/outbound/retry.go
+++ b/internal/mesh/dataplane/outbound/retry.go
@@ -24,9 +24,8 @@
 	return b.acquireRetry(now, r)
 }
 
-// acquireRetry acquires one more attempt for a request that has reached an endpoint, or may yet: within its route's bound on attempts
-// that reach one, and out of the fleet's retry budget. False if there is none to be had. An attempt that is under way counts as one that
-// reaches an endpoint.
+// acquireRetry acquires one more attempt for a request: within its route's bound on attempts that reach an endpoint, and out of the
+// fleet's retry budget. It returns false if there is none to be had. An attempt that is under way counts as one that reaches an endpoint.
 func (b *serviceBalancer) acquireRetry(now time.Duration, r *request) bool {
 	if r.attempts.reached+r.attempts.underWay() >= max(r.route.MaxAttempts, 1) {
 		return false
