--- /dev/null
+++ b/internal/network/http3/attempt.go
@@ -0,0 +1,164 @@
+package http3
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/quic-go/quic-go"
+	"github.com/quic-go/quic-go/http3"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/network/exchange"
+)
+
+var (
+	errMalformed = errors.New("cannot be read")
+	errNoMemory  = errors.New("no memory for the body")
+)
+
+// Run is of exchange.Transport.
+func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) (res exchange.Result) {
+	defer func() { res.Elapsed = time.Since(a.Sent) }()
+	acquired := c.(*endpointConn)
+	select {
+	case <-acquired.ready:
+	case <-a.Context.Done():
+		return exchange.Result{Status: a.UnsentStatus()}
+	}
+	if acquired.err != nil {
+		if a.Context.Err() == nil && !isAuthError(acquired.err) {
+			return exchange.Result{Status: balancer.StatusConnectFailed, Unreachable: true}
+		}
+		return exchange.Result{Status: a.UnsentStatus()}
+	}
+	early := a.Request.Safe && t.settings.EarlyRequests
+	res, unsent := t.runOn(a, acquired, early)
+	if !unsent {
+		return res
+	}
+	// The connection was of no more use, and nothing was sent on it: one more is made, as with an idle connection of HTTP/1.1 that its
+	// endpoint has closed.
+	next := t.dialNow(a.Endpoint.Address)
+	if next.err != nil {
+		return exchange.Result{Status: a.UnsentStatus(), Unreachable: a.Context.Err() == nil && !isAuthError(next.err)}
+	}
+	res, unsent = t.runOn(a, next, false)
+	if unsent {
+		res = exchange.Result{Status: a.UnsentStatus()}
+	}
+	res.Conn = next
+	return res
+}
+
+// dialNow makes a connection without early data, and waits for it. It goes by the transport's context: the connection outlives the
+// attempt.
+func (t *Transport) dialNow(address string) *endpointConn {
+	c := &endpointConn{ready: make(chan struct{})}
+	t.dial(c, address, false)
+	return c
+}
+
+// runOn makes the attempt on a connection. unsent tells that nothing was sent, because the connection is of no more use.
+func (t *Transport) runOn(a *exchange.Attempt, c *endpointConn, early bool) (res exchange.Result, unsent bool) {
+	if !early {
+		if err := c.waitConfirmed(a.Context); err != nil {
+			return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
+		}
+	}
+	// The endpoint may be draining since the handshake began.
+	if !a.Endpoint.Open.Load() || a.Context.Err() != nil {
+		return exchange.Result{Status: balancer.StatusNotSent}, false
+	}
+	a.Endpoint.Waiting.Add(1)
+	res, err := t.exchange(a, c.client, early)
+	a.Endpoint.Waiting.Add(-1)
+	switch {
+	case err == nil:
+	case errors.Is(err, quic.Err0RTTRejected):
+		// All early data is as if it had never been sent (RFC 9001, section 4.6.2). The connection could go on, with streams
+		// numbered anew; what the library then still sends for the old ones gets in their way.
+		c.abandon()
+		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
+	case isNeverSent(err):
+		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
+	case isRejected(err):
+		// RFC 9114, section 4.1.1: the request was not processed.
+		res = exchange.Result{Status: balancer.StatusRejected}
+	default:
+		res = exchange.Result{Status: a.IncompleteStatus(c.conn.Context().Err() != nil)}
+		if res.Status == balancer.StatusReset {
+			t.checkEndpoint(a, &res)
+		}
+	}
+	return res, false
+}
+
+// checkEndpoint tells a connection that alone broke from an endpoint that ended, as over HTTP/1.1. If no new one comes about over
+// UDP, it may be the path that broke: an endpoint that takes TCP is there.
+func (t *Transport) checkEndpoint(a *exchange.Attempt, res *exchange.Result) {
+	if a.Endpoint.Waiting.Load() > 0 {
+		res.Status = balancer.StatusInvalidResponse
+		return
+	}
+	if next := t.dialNow(a.Endpoint.Address); next.err == nil {
+		res.Status = balancer.StatusInvalidResponse
+		res.Conn = next
+		return
+	}
+	dialer := net.Dialer{Timeout: t.settings.HandshakeTimeout}
+	if c, err := dialer.DialContext(a.Context, "tcp", a.Endpoint.Address); err == nil {
+		_ = c.Close() // nothing was sent on it
+		res.Status = balancer.StatusInvalidResponse
+		res.Blocked = true
+	}
+}
+
+// isNeverSent tells that no stream could be opened for a request. The library's type for that has no name outside it. If its words
+// should change, this says no: then the attempt counts as one that may have run.
+func isNeverSent(err error) bool { return strings.HasPrefix(err.Error(), "http3: conn unusable: ") }
+
+// isRejected tells that an endpoint has not looked at a request.
+func isRejected(err error) bool {
+	e, ok := errors.AsType[*http3.Error](err)
+	if !ok || !e.Remote || e.ErrorCode != http3.ErrCodeRequestRejected {
+		return false
+	}
+	_, stream := errors.AsType[*quic.StreamError](err)
+	return stream
+}
+
+// exchange sends the request on a stream of its own, and reads the answer.
+func (t *Transport) exchange(a *exchange.Attempt, client *http3.ClientConn, early bool) (res exchange.Result, err error) {
+	r, err := newRequest(a, early)
+	if err != nil {
+		return res, err
+	}
+	answer, err := client.RoundTrip(r)
+	if err != nil {
+		return res, err
+	}
+	defer func() { _ = answer.Body.Close() }() // cancels what is left of it
+	if answer.StatusCode < http.StatusOK || answer.ContentLength > exchange.MaxBody {
+		return res, errMalformed
+	}
+	if !a.Bodies.Reserve(exchange.MaxBody) {
+		return res, errNoMemory
+	}
+	kept := 0
+	defer func() { a.Bodies.Release(exchange.MaxBody - kept) }()
+	body, err := exchange.ReadAll(answer.Body)
+	if err != nil {
+		return res, err
+	}
+	res = exchange.ResultOf(answer.StatusCode, answer.Header, body)
+	if res.Response != nil {
+		kept = len(body)
+	}
+	if answer.StatusCode == http.StatusTooEarly && early {
+		res.Status = balancer.StatusRejected // it has not run (RFC 8470, section 5.2)
+	}
+	return res, nil
+}
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -1,5 +1,3 @@
-// Package http3 speaks HTTP/3 (RFC 9114) over QUIC (RFC 9000): a front for
-// callers and a transport to endpoints, on quic-go.
 package http3
 
 import (
@@ -14,13 +12,13 @@
 // EarlyData is what becomes of requests that come in early data (RFC 8470).
 type EarlyData string
 
-// The choices.
+// What may become of them.
 const (
 	EarlyNever EarlyData = "never" // none is accepted: each handshake takes its round trip
 	EarlySafe  EarlyData = "safe"  // safe requests are taken at once; others wait for the handshake's end
 )
 
-// FrontSettings is the front's part.
+// FrontSettings is the table [http3] of a settings file, for callers. See FrontTable for each one's meaning.
 type FrontSettings struct {
 	Listen           string
 	CertFile         string
@@ -35,7 +33,7 @@
 	ConnectionWindow int64
 }
 
-// FrontTable is [http3].
+// FrontTable is the table [http3] of a settings file.
 var FrontTable = schema.NewTable("http3", "HTTP/3 from callers, beside HTTP/1.1. Off unless http3_listen is set.",
 	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen }, schema.StringOptions{Example: "127.0.0.1:8443"}, true, schema.AtStart,
 		"The UDP address. Clients look for it beside a TCP address with the same certificate."),
@@ -85,7 +83,7 @@
 	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Idempotency == balancer.Idempotent })
 }
 
-// TransportSettings is the transport's part.
+// TransportSettings is the table [http3-endpoints] of a settings file. See TransportTable for each one's meaning.
 type TransportSettings struct {
 	Use                 Use
 	CAFile              string
@@ -101,13 +99,13 @@
 // Use tells which endpoints are spoken to over HTTP/3.
 type Use string
 
-// The choices.
+// Which endpoints they may be.
 const (
 	Never  Use = "never"
 	Prefer Use = "prefer" // HTTP/3, and HTTP/1.1 where no connection comes about
 )
 
-// TransportTable is [http3-endpoints].
+// TransportTable is the table [http3-endpoints] of a settings file.
 var TransportTable = schema.NewTable("http3-endpoints", "HTTP/3 to endpoints, at the UDP port with their address's number.",
 	schema.Choice("http3_to_endpoints", func(e *TransportSettings) *Use { return &e.Use }, []Use{Never, Prefer}, Never, false, schema.AtStart,
 		"never: HTTP/1.1. prefer: HTTP/3, and HTTP/1.1 where no connection over UDP comes about."),
