--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -179,7 +179,7 @@
 }
 
 func (t *town) ready() (ready []string) {
-	m, err := admin.Ask(t.admin)
+	m, err := admin.AskMembers(t.admin)
 	if err != nil {
 		return nil
 	}
@@ -296,7 +296,7 @@
 		return all
 	})
 	tn.until("it says why", func() bool {
-		m, err := admin.Ask(tn.admin)
+		m, err := admin.AskMembers(tn.admin)
 		return err == nil && len(m.Endpoints) == 3 && strings.Contains(m.Endpoints[0].Why, "not believed")
 	})
 	tn.goOn(200)
@@ -344,7 +344,7 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	tn.shows("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
-	m, err := admin.Ask(tn.admin)
+	m, err := admin.AskMembers(tn.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -27,12 +27,12 @@
 // Table is [admin].
 var Table = schema.NewTable("admin", "A read-only view for people; it is off unless it is set.",
 	schema.String("admin_listen", func(s *Settings) *string { return &s.Listen },
-		schema.StringOptions{Example: "unix:/run/quincegap/front.sock", Type: "address", Bounds: "unix:PATH, or host:port on loopback", Fault: bad}, schema.AtStart,
+		schema.StringOptions{Example: "unix:/run/quincegap/front.sock", Type: "address", Bounds: "unix:PATH, or host:port on loopback", Fault: badAddress}, schema.AtStart,
 		"Where quincegapctl members asks. A Unix socket is open to this user and group only; on loopback everybody on the machine can read it."),
 )
 
-// bad refuses addresses that others than this machine could reach.
-func bad(text string) string {
+// badAddress refuses addresses that others than this machine could reach.
+func badAddress(text string) string {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		if path == "" || len(path) > 100 {
 			return "names no path of a socket, or one of over 100 characters"
@@ -122,7 +122,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.Serve(&few{Listener: listener, slots: make(chan struct{}, mostConns)})
+		s.Serve(&boundedListener{Listener: listener, slots: make(chan struct{}, maxConns)})
 	}()
 	return func() {
 		s.Close()
@@ -130,41 +130,41 @@
 	}, nil
 }
 
-// mostConns bounds the connections to the view, which come out of the reserved sockets.
-const mostConns = 4
+// maxConns bounds the connections to the view, which come out of the reserved sockets.
+const maxConns = 4
 
-// few is a listener that holds few connections at once; further ones wait in the backlog.
-type few struct {
+// boundedListener is a listener that holds few connections at once; further ones wait in the backlog.
+type boundedListener struct {
 	net.Listener
 	slots chan struct{}
 }
 
-func (f *few) Accept() (net.Conn, error) {
+func (f *boundedListener) Accept() (net.Conn, error) {
 	f.slots <- struct{}{}
 	c, err := f.Listener.Accept()
 	if err != nil {
 		<-f.slots
 		return nil, err
 	}
-	return &one{Conn: c, done: func() { <-f.slots }}, nil
+	return &boundedConn{Conn: c, release: func() { <-f.slots }}, nil
 }
 
-type one struct {
+type boundedConn struct {
 	net.Conn
-	once sync.Once
-	done func()
+	once    sync.Once
+	release func()
 }
 
-func (o *one) Close() error {
-	defer o.once.Do(o.done) // net/http may close twice
+func (o *boundedConn) Close() error {
+	defer o.once.Do(o.release) // net/http may close twice
 	return o.Conn.Close()
 }
 
-const mostAnswer = 64 << 20
+const maxAnswerBytes = 64 << 20
 
-// Ask asks a sidecar's view.
-func Ask(address string) (m Members, err error) {
-	err = ask(address, "members", &m)
+// AskMembers asks a sidecar's view.
+func AskMembers(address string) (m Members, err error) {
+	err = get(address, "members", &m)
 	return m, err
 }
 
@@ -174,11 +174,11 @@
 	if all {
 		what = "peers?all=1"
 	}
-	err = ask(address, what, &f)
+	err = get(address, what, &f)
 	return f, err
 }
 
-func ask(address, what string, into any) error {
+func get(address, what string, into any) error {
 	dial := (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	network, at := "tcp", address
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
@@ -194,7 +194,7 @@
 		why, _ := io.ReadAll(io.LimitReader(res.Body, 300))
 		return fmt.Errorf("%s answered %s: %s", address, res.Status, strings.TrimSpace(string(why)))
 	}
-	return json.NewDecoder(io.LimitReader(res.Body, mostAnswer)).Decode(into)
+	return json.NewDecoder(io.LimitReader(res.Body, maxAnswerBytes)).Decode(into)
 }
 
 type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func look() (Members, bool) {
+func testMembers() (Members, bool) {
 	return Members{Name: "front", Source: "consul", Endpoints: []endpointsource.Row{{UID: "a", State: "ready", Weight: 1}}}, true
 }
 
@@ -32,16 +32,16 @@
 			address = l.Addr().String()
 			l.Close()
 		}
-		stop, err := Serve(address, Views{Members: look})
+		stop, err := Serve(address, Views{Members: testMembers})
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, err := Ask(address)
+		m, err := AskMembers(address)
 		if err != nil || m.Name != "front" || len(m.Endpoints) != 1 || m.Endpoints[0].UID != "a" {
 			t.Errorf("%s: %+v, %v", address, m, err)
 		}
 		stop()
-		if _, err := Ask(address); err == nil {
+		if _, err := AskMembers(address); err == nil {
 			t.Errorf("%s answers after its end", address)
 		}
 	}
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	defer stop()
-	if _, err := Ask(address); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := AskMembers(address); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Error(err)
 	}
 	c, err := net.Dial("unix", strings.TrimPrefix(address, "unix:"))
@@ -77,12 +77,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Serve("unix:"+path, Views{Members: look}); err == nil || !strings.Contains(err.Error(), "another process") {
+	if _, err := Serve("unix:"+path, Views{Members: testMembers}); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Error(err)
 	}
 	l.SetUnlinkOnClose(false)
 	l.Close()
-	stop, err := Serve("unix:"+path, Views{Members: look})
+	stop, err := Serve("unix:"+path, Views{Members: testMembers})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	stop()
 	file := filepath.Join(t.TempDir(), "f")
 	os.WriteFile(file, []byte("x"), 0o600)
-	if _, err := Serve("unix:"+file, Views{Members: look}); err == nil {
+	if _, err := Serve("unix:"+file, Views{Members: testMembers}); err == nil {
 		t.Error("a file was taken for a socket")
 	}
 	if text, _ := os.ReadFile(file); string(text) != "x" {
@@ -103,12 +103,12 @@
 // Who holds connections and says nothing keeps others out for a while only.
 func TestMuteClients(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
-	stop, err := Serve(address, Views{Members: look})
+	stop, err := Serve(address, Views{Members: testMembers})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stop()
-	for range 3 * mostConns {
+	for range 3 * maxConns {
 		c, err := net.Dial("unix", strings.TrimPrefix(address, "unix:"))
 		if err != nil {
 			t.Fatal(err)
@@ -132,8 +132,8 @@
 		"unix:/run/x": true, "127.0.0.1:80": true, "[::1]:80": true, "0.0.0.0:80": false, ":80": false, "10.0.0.1:80": false,
 		"unix:": false, "localhost": false, "host.example:80": false, "unix:" + strings.Repeat("x", 200): false, "127.0.0.1:": false,
 	} {
-		if got := bad(address) == ""; got != ok {
-			t.Errorf("%s: %q", address, bad(address))
+		if got := badAddress(address) == ""; got != ok {
+			t.Errorf("%s: %q", address, badAddress(address))
 		}
 	}
 }
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -68,7 +68,7 @@
 	ask("peers")
 	ask("peers?all=1")
 	ask("other")
-	if got, err := Ask(address); err != nil || !reflect.DeepEqual(got, members) {
+	if got, err := AskMembers(address); err != nil || !reflect.DeepEqual(got, members) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
 	if got, err := AskPeers(address, true); err != nil || !reflect.DeepEqual(got, fleet) {
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -69,7 +69,7 @@
 	if !strings.HasPrefix(at, "unix:") && !strings.Contains(at, ":") {
 		return m, fmt.Errorf("is neither unix:PATH, nor host:port, nor a file")
 	}
-	return admin.Ask(at)
+	return admin.AskMembers(at)
 }
 
 func orDash(s string) string {
