--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -17,20 +17,44 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testMembers is a page of one endpoint.
 func testMembers() (Members, bool) {
 	return Members{Name: "front", Source: "consul", Endpoints: []endpointsource.Row{{UID: "a", State: "ready", Weight: 1}}}, true
 }
 
+// freeAddress is one on loopback that nothing listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return l.Addr().String()
+}
+
+// dial connects to a Unix socket; the test's end closes the connection.
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", strings.TrimPrefix(address, unixPrefix))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := c.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return c
+}
+
 func TestServeAndAsk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	for _, address := range []string{"unix:" + path, "127.0.0.1:0"} {
 		if address == "127.0.0.1:0" {
-			l, err := net.Listen("tcp", address)
-			if err != nil {
-				t.Fatal(err)
-			}
-			address = l.Addr().String()
-			l.Close()
+			address = freeAddress(t)
 		}
 		stop, err := Serve(address, Views{Members: testMembers})
 		if err != nil {
@@ -58,19 +82,20 @@
 	if _, err := AskMembers(address); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Error(err)
 	}
-	c, err := net.Dial("unix", strings.TrimPrefix(address, "unix:"))
+	c := dial(t, address)
+	if _, err := io.WriteString(c, "POST /members HTTP/1.0\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	io.WriteString(c, "POST /members HTTP/1.0\r\n\r\n")
-	answer, _ := io.ReadAll(c)
 	if !strings.Contains(string(answer), "405") {
 		t.Errorf("%.80s", answer)
 	}
 }
 
-// A socket that a killed process left is replaced; a living one's, and a file, are not.
+// A socket that a killed process left is replaced; that of one that runs, and a file, are not.
 func TestSocketInTheWay(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -81,7 +106,9 @@
 		t.Error(err)
 	}
 	l.SetUnlinkOnClose(false)
-	l.Close()
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
 	stop, err := Serve("unix:"+path, Views{Members: testMembers})
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +118,9 @@
 	}
 	stop()
 	file := filepath.Join(t.TempDir(), "f")
-	os.WriteFile(file, []byte("x"), 0o600)
+	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := Serve("unix:"+file, Views{Members: testMembers}); err == nil {
 		t.Error("a file was taken for a socket")
 	}
@@ -100,7 +129,7 @@
 	}
 }
 
-// Who holds connections and says nothing keeps others out for a while only.
+// Clients that hold connections and send nothing keep others out for a while only.
 func TestMuteClients(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{Members: testMembers})
@@ -109,31 +138,45 @@
 	}
 	defer stop()
 	for range 3 * maxConns {
-		c, err := net.Dial("unix", strings.TrimPrefix(address, "unix:"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		dial(t, address)
 	}
 	began := time.Now()
-	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialTo((&net.Dialer{}).DialContext, "unix", strings.TrimPrefix(address, "unix:"))}}
-	res, err := c.Get("http://sidecar/members")
+	client := &http.Client{Transport: newTransport(address)}
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://sidecar/members", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	res.Body.Close()
-	if took := time.Since(began); res.StatusCode != 200 || took > 20*time.Second {
+	res, err := client.Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := res.Body.Close(); err != nil {
+		t.Error(err)
+	}
+	if took := time.Since(began); res.StatusCode != http.StatusOK || took > 20*time.Second {
 		t.Errorf("%s after %v", res.Status, took)
 	}
 }
 
 func TestAddresses(t *testing.T) {
 	for address, ok := range map[string]bool{
-		"unix:/run/x": true, "127.0.0.1:80": true, "[::1]:80": true, "0.0.0.0:80": false, ":80": false, "10.0.0.1:80": false,
-		"unix:": false, "localhost": false, "host.example:80": false, "unix:" + strings.Repeat("x", 200): false, "127.0.0.1:": false,
+		"unix:/run/x":     true,
+		"127.0.0.1:80":    true,
+		"[::1]:80":        true,
+		"0.0.0.0:80":      false,
+		":80":             false,
+		"10.0.0.1:80":     false,
+		"unix:":           false,
+		"localhost":       false,
+		"host.example:80": false,
+		"127.0.0.1:":      false,
+
+		"unix:" + strings.Repeat("x", 200): false,
 	} {
-		if got := badAddress(address) == ""; got != ok {
-			t.Errorf("%s: %q", address, badAddress(address))
-		}
+		t.Run(address, func(t *testing.T) {
+			if got := badAddress(address) == ""; got != ok {
+				t.Errorf("%q", badAddress(address))
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/network/admin/client.go
@@ -0,0 +1,69 @@
+package admin
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"quincegap/internal/modules/peers"
+)
+
+const (
+	dialTimeout    = 2 * time.Second
+	askTimeout     = 10 * time.Second
+	maxAnswerBytes = 64 << 20
+	maxFaultBytes  = 300 // of what a sidecar says of why it gives no page
+)
+
+// AskMembers asks a sidecar for its endpoints.
+func AskMembers(address string) (m Members, err error) {
+	err = get(address, "members", &m)
+	return m, err
+}
+
+// AskPeers asks a sidecar for its view of the others; with all, for theirs too.
+func AskPeers(address string, all bool) (f peers.FleetReport, err error) {
+	page := "peers"
+	if all {
+		page = "peers?all=1"
+	}
+	err = get(address, page, &f)
+	return f, err
+}
+
+// get reads a page. Its errors are those of the connection, or name the address and the sidecar's answer.
+func get(address, page string, into any) error {
+	client := &http.Client{Timeout: askTimeout, Transport: newTransport(address)}
+	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://sidecar/"+page, nil)
+	if err != nil {
+		return err
+	}
+	res, err := client.Do(r)
+	if err != nil {
+		return errors.Unwrap(err) // without the URL, which names no address
+	}
+	defer func() { _ = res.Body.Close() }()
+	if res.StatusCode != http.StatusOK {
+		fault, _ := io.ReadAll(io.LimitReader(res.Body, maxFaultBytes)) // as much of it as there is
+		return fmt.Errorf("%s answered %s: %s", address, res.Status, strings.TrimSpace(string(fault)))
+	}
+	return json.NewDecoder(io.LimitReader(res.Body, maxAnswerBytes)).Decode(into)
+}
+
+// newTransport connects to one address, whatever host is asked for.
+func newTransport(address string) *http.Transport {
+	network, target := splitAddress(address)
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	return &http.Transport{
+		DisableKeepAlives: true,
+		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return dialer.DialContext(ctx, network, target)
+		},
+	}
+}
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -1,9 +1,7 @@
 package admin
 
 import (
-	"context"
 	"io"
-	"net"
 	"net/http"
 	"path/filepath"
 	"reflect"
@@ -46,23 +44,10 @@
 		t.Fatal(err)
 	}
 	defer stop()
-	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return (&net.Dialer{}).DialContext(ctx, "unix", strings.TrimPrefix(address, "unix:"))
-	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
 	var all strings.Builder
-	ask := func(what string) {
+	ask := func(page string) {
 		t.Helper()
-		res, err := client.Get("http://sidecar/" + what)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer res.Body.Close()
-		body, err := io.ReadAll(res.Body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		all.WriteString("--- /" + what + ": " + res.Status + ", " + res.Header.Get("Content-Type") + "\n" + string(body))
+		all.WriteString(readPage(t, address, page))
 	}
 	ask("members")
 	ask("peers")
@@ -79,3 +64,22 @@
 	ask("peers")
 	golden.Text(t, "views.txt", []byte(all.String()))
 }
+
+// readPage is an answer with its status, its type and its body.
+func readPage(t *testing.T, address, page string) string {
+	t.Helper()
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://sidecar/"+page, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	res, err := (&http.Client{Transport: newTransport(address)}).Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = res.Body.Close() }()
+	body, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return "--- /" + page + ": " + res.Status + ", " + res.Header.Get("Content-Type") + "\n" + string(body)
+}
