--- /dev/null
+++ b/internal/modules/route/golden_test.go
@@ -0,0 +1,59 @@
+package route
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/golden"
+)
+
+// What people read of routes: patterns, why a route is taken or not, requests that two match; and the numbers that limits give.
+func TestGoldenTexts(t *testing.T) {
+	var all strings.Builder
+	d := draws{rand.New(rand.NewPCG(4, 2))}
+	var words []Words
+	for range 12 {
+		words = append(words, d.words())
+	}
+	table := newTable(routesOf(t, words...))
+	requests := []Request{{Path: "//a"}, {Path: "/a/%2e%2e/b", Host: "a.org"}}
+	for range 12 {
+		requests = append(requests, d.request())
+	}
+	for i := range requests {
+		q := &requests[i]
+		fmt.Fprintf(&all, "%s %s %s %q %q %v\n", q.Method, q.Host, q.Path, q.Class, q.Tenant, q.Header)
+		for _, r := range table.Explain(q) {
+			fmt.Fprintf(&all, "  %s: %s: %v %s\n", r.Name, r.Pattern(), r.Taken, r.Text)
+		}
+	}
+	for i, r := range table.Routes {
+		for _, o := range table.Routes[:i] {
+			if r.pattern.compare(o.pattern) != disjoint {
+				all.WriteString(common(r.pattern, o.pattern) + "\n")
+			}
+		}
+	}
+	bits, fault := readOutcomes("late, turned-away")
+	s := &Settings{outcomes: bits, Pause: 20 * time.Millisecond, CopyAfter: 0.95, CopyShare: 0.05}
+	fmt.Fprintf(&all, "%s %q %v %v\n", s.Outcomes(), fault, s.Allows(balancer.StatusTimeout), s.Allows(balancer.StatusError))
+	for attempt := range 14 {
+		fmt.Fprintf(&all, "%v ", s.PauseAfter(attempt, 0.25))
+	}
+	r := &Route{Settings: s, State: &State{}}
+	for i := range 5000 {
+		r.Took(time.Duration(i%977) * 100 * time.Microsecond)
+		r.asked()
+	}
+	after, ok := r.CopyAfter()
+	made := 0
+	for r.Copy() {
+		made++
+	}
+	fmt.Fprintf(&all, "\n%v %v %d %d\n", after, ok, made, r.State.Copies)
+	golden.Text(t, "texts.txt", []byte(all.String()))
+}
