--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,4 +1,4 @@
-// Command balancer-sim runs Balancer instances on the simulator's wire, from
+// Command balancer-sim runs instances of the load balancer on the simulator's protocol (package simadapter), from
 // standard input to standard output.
 package main
 
--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -5,15 +5,19 @@
 
 import (
 	"bufio"
+	"errors"
 	"flag"
 	"fmt"
+	"net/http"
 	"os"
+	"slices"
 	"strings"
 	"time"
 
 	"quincegap/internal/standin/consul"
 )
 
+// help lists the orders.
 const help = `orders, one a line:
   add ID HOST:PORT       register an instance, passing
   remove ID              deregister it
@@ -22,6 +26,9 @@
   quit
 `
 
+// errNoSuchFault answers an order that names none of faults.
+var errNoSuchFault = errors.New("no such fault")
+
 func main() {
 	listen := flag.String("listen", "127.0.0.1:8500", "loopback address to serve on")
 	flag.Parse()
@@ -36,7 +43,12 @@
 	}
 	defer s.Close()
 	fmt.Printf("a stand-in for Consul serves on %s\n%s", s.Address(), help)
-	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
+	takeOrders(s, bufio.NewScanner(os.Stdin))
+}
+
+// takeOrders carries out orders until quit or the end of input.
+func takeOrders(s *consul.Server, lines *bufio.Scanner) {
+	for lines.Scan() {
 		words := strings.Fields(lines.Text())
 		if len(words) == 1 && words[0] == "quit" {
 			return
@@ -45,13 +57,28 @@
 			fmt.Println(err)
 		}
 	}
+	if err := lines.Err(); err != nil {
+		fmt.Fprintln(os.Stderr, "consul-standin: standard input:", err)
+	}
 }
 
+// faults are those that an order names.
 var faults = map[string]consul.Fault{
-	"none": {}, "hang": {Hang: true}, "refuse": {Refuse: true}, "empty": {Empty: true}, "half": {FirstHalf: true}, "noleader": {NoLeader: true},
-	"noindex": {NoIndex: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403}, "reset": {Reset: true}, "cut": {Truncate: true},
+	"none":     {},
+	"hang":     {Hang: true},
+	"refuse":   {Refuse: true},
+	"empty":    {Empty: true},
+	"half":     {FirstHalf: true},
+	"noleader": {NoLeader: true},
+	"noindex":  {NoIndex: true},
+	"429":      {Status: http.StatusTooManyRequests},
+	"500":      {Status: http.StatusInternalServerError},
+	"403":      {Status: http.StatusForbidden},
+	"reset":    {Reset: true},
+	"cut":      {Truncate: true},
 }
 
+// order carries out one order; an empty line is none.
 func order(s *consul.Server, words []string) error {
 	switch {
 	case len(words) == 0:
@@ -61,20 +88,14 @@
 		})
 	case words[0] == "remove" && len(words) == 2:
 		s.Update(func(all []consul.Instance) []consul.Instance {
-			kept := all[:0]
-			for _, i := range all {
-				if i.ID != words[1] {
-					kept = append(kept, i)
-				}
-			}
-			return kept
+			return slices.DeleteFunc(all, func(i consul.Instance) bool { return i.ID == words[1] })
 		})
 	case words[0] == "status" && len(words) == 3:
 		s.SetStatus(words[1], words[2])
 	case words[0] == "fault" && len(words) == 2:
 		f, ok := faults[words[1]]
 		if !ok {
-			return fmt.Errorf("no such fault")
+			return errNoSuchFault
 		}
 		s.SetFault(f)
 	default:
--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -41,145 +40,158 @@
 	floodSteps   = 100
 )
 
+// floodRun is a sidecar that follows a Consul with many instances.
+type floodRun struct {
+	b      *testing.B
+	consul *consul.Server
+	cmd    *exec.Cmd
+	p      *process
+}
+
+// flood measures the sidecar with n instances, quiet and in a flood of changes.
 func flood(b *testing.B, program string, n int) {
+	b.Helper()
 	// Each instance has an address of its own on loopback; the same little server is behind all.
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte("ok")) })}
-	defer server.Close()
-	var all []consul.Instance
-	for i := range n {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", i>>8, i&255))
-		if err != nil {
-			b.Fatal(err)
-		}
-		go server.Serve(l)
-		all = append(all, consul.Instance{
-			Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), PassingWeight: 1, WarningWeight: 1,
-			Meta: map[string]string{"zone": "salt-lake", "cell": fmt.Sprint(i % 10), "model": "m"}, Tags: []string{"v2"},
-			Checks: []consul.Check{{CheckID: fmt.Sprintf("service:slot-keeper-%d", i), Name: "HTTP check", Status: "passing"}},
-		}.WithAddress(l.Addr().String()))
-	}
-	c, err := consul.Start("", all...)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { write(w, "ok") })}
+	defer closeNow(server)
+	c, err := consul.Start("", floodInstances(b, server, n)...)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer c.Close()
 	address := freePort(b)
 	file := filepath.Join(b.TempDir(), "sidecar.toml")
-	text := strings.Replace(fmt.Sprintf(goodFile, "127.0.0.1:1"), "127.0.0.1:0", address, 1) + fmt.Sprintf(`
+	putFile(b, file, strings.Replace(fmt.Sprintf(goodFile, "127.0.0.1:1"), "127.0.0.1:0", address, 1)+fmt.Sprintf(`
 [membership]
 source = "consul"
 [consul]
 agents = %q
 service = "slot-keeper"
-`, c.Address())
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+`, c.Address()))
+	f := &floodRun{b, c, command(program, "-config", file), &process{t: b, url: "http://" + address}}
+	f.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=")
+	if err := f.cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	cmd := exec.Command(program, "-config", file)
-	cmd.Env = append(os.Environ(), "BALANCER_CONFIG=")
-	if err := cmd.Start(); err != nil {
-		b.Fatal(err)
-	}
-	defer func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	}()
-	p := &process{t: b, url: "http://" + address}
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		if res, err := http.Get(p.url + "/ready"); err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
-				break
-			}
-		}
-		if time.Now().After(end) {
-			b.Fatal("never ready")
+	defer killNow(f.cmd)
+	awaitReady(b, http.DefaultClient, f.p.url, 5*time.Millisecond)
+	f.measure("quiet", func() { time.Sleep(floodTime) })
+	f.measure("flood", func() { f.change(n) })
+	status := processStatus(b, f.cmd.Process.Pid)
+	b.ReportMetric(kilobytes(status, "VmHWM:")/1024, "MiB-peak")
+	b.ReportMetric(kilobytes(status, "VmRSS:")/1024, "MiB-rss")
+	b.ReportMetric(0, "ns/op")
+}
+
+// floodInstances are n instances of a server, each at an address of its own.
+func floodInstances(b *testing.B, server *http.Server, n int) (all []consul.Instance) {
+	b.Helper()
+	for i := range n {
+		l, err := listen(fmt.Sprintf("127.77.%d.%d:0", i>>8, i&255))
+		if err != nil {
+			b.Fatal(err)
 		}
+		go func() { _ = server.Serve(l) }() // until the server is closed
+		all = append(all, consul.Instance{
+			Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), PassingWeight: 1, WarningWeight: 1,
+			Meta: map[string]string{"zone": "salt-lake", "cell": fmt.Sprint(i % 10), "model": "m"}, Tags: []string{"v2"},
+			Checks: []consul.Check{{CheckID: fmt.Sprintf("service:slot-keeper-%d", i), Name: "HTTP check", Status: "passing"}},
+		}.WithAddress(l.Addr().String()))
 	}
-	measure := func(name string, during func()) {
-		questions, _ := c.Queries()
-		cpu := ticks(b, cmd.Process.Pid)
-		began := time.Now()
-		done := make(chan struct{})
-		var mu sync.Mutex
-		var took []time.Duration
-		failed := 0
-		var callers sync.WaitGroup
-		for range 8 {
-			callers.Go(func() {
-				client := &http.Client{Transport: &http.Transport{}}
-				defer client.CloseIdleConnections()
-				pace := time.NewTicker(10 * time.Millisecond)
-				defer pace.Stop()
-				for {
-					select {
-					case <-done:
-						return
-					case <-pace.C:
-					}
-					sent := time.Now()
-					status, err := p.book(client, "trip")
-					mu.Lock()
-					took = append(took, time.Since(sent))
-					if err != nil || status != http.StatusOK {
-						failed++
-					}
-					mu.Unlock()
-				}
-			})
+	return all
+}
+
+// measure has 8 callers book while something happens, and reports under a name.
+func (f *floodRun) measure(name string, during func()) {
+	b := f.b
+	b.Helper()
+	questions, _ := f.consul.Queries()
+	cpu := ticks(b, f.cmd.Process.Pid)
+	began := time.Now()
+	done := make(chan struct{})
+	figures := &floodFigures{}
+	var callers sync.WaitGroup
+	for range 8 {
+		callers.Go(func() { figures.book(f.p, done) })
+	}
+	during()
+	close(done)
+	callers.Wait()
+	span := time.Since(began)
+	after, _ := f.consul.Queries()
+	took := figures.took
+	slices.Sort(took)
+	if figures.failed > 0 {
+		b.Errorf("%s: %d of %d bookings were not served", name, figures.failed, len(took))
+	}
+	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, name+"-p50-ms")
+	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, name+"-p99-ms")
+	b.ReportMetric(100*(ticks(b, f.cmd.Process.Pid)-cpu)/span.Seconds(), name+"-cpu-%")
+	b.ReportMetric(float64(after-questions)*60/span.Seconds(), name+"-questions/min")
+}
+
+// floodFigures are how long bookings took, and how many were not served.
+type floodFigures struct {
+	mu     sync.Mutex
+	took   []time.Duration
+	failed int
+}
+
+// book books every 10 ms until done is closed.
+func (f *floodFigures) book(p *process, done <-chan struct{}) {
+	client := &http.Client{Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	pace := time.NewTicker(10 * time.Millisecond)
+	defer pace.Stop()
+	for {
+		select {
+		case <-done:
+			return
+		case <-pace.C:
 		}
-		during()
-		close(done)
-		callers.Wait()
-		span := time.Since(began)
-		after, _ := c.Queries()
-		slices.Sort(took)
-		if failed > 0 {
-			b.Errorf("%s: %d of %d bookings were not served", name, failed, len(took))
+		sent := time.Now()
+		status, err := p.book(client, "trip")
+		f.mu.Lock()
+		f.took = append(f.took, time.Since(sent))
+		if err != nil || status != http.StatusOK {
+			f.failed++
 		}
-		b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, name+"-p50-ms")
-		b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, name+"-p99-ms")
-		b.ReportMetric(100*(ticks(b, cmd.Process.Pid)-cpu)/span.Seconds(), name+"-cpu-%")
-		b.ReportMetric(float64(after-questions)*60/span.Seconds(), name+"-questions/min")
+		f.mu.Unlock()
 	}
-	measure("quiet", func() { time.Sleep(floodTime) })
-	measure("flood", func() {
-		step := time.NewTicker(floodTime / floodSteps)
-		defer step.Stop()
-		for s := range floodSteps {
-			<-step.C
-			c.Update(func(all []consul.Instance) []consul.Instance {
-				for k := range floodChanges / floodSteps {
-					i := (s*floodChanges/floodSteps + k) % n
-					status := "critical"
-					if all[i].Checks[0].Status == "critical" {
-						status = "passing"
-					}
-					all[i].Checks = []consul.Check{{CheckID: all[i].Checks[0].CheckID, Name: "HTTP check", Status: status}}
+}
+
+// change turns the checks of all n instances over and over.
+func (f *floodRun) change(n int) {
+	step := time.NewTicker(floodTime / floodSteps)
+	defer step.Stop()
+	for s := range floodSteps {
+		<-step.C
+		f.consul.Update(func(all []consul.Instance) []consul.Instance {
+			for k := range floodChanges / floodSteps {
+				i := (s*floodChanges/floodSteps + k) % n
+				status := "critical"
+				if all[i].Checks[0].Status == "critical" {
+					status = "passing"
 				}
-				return all
-			})
-		}
-	})
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
-	if err != nil {
-		b.Fatal(err)
+				all[i].Checks = []consul.Check{{CheckID: all[i].Checks[0].CheckID, Name: "HTTP check", Status: status}}
+			}
+			return all
+		})
 	}
-	b.ReportMetric(kilobytes(string(status), "VmHWM:")/1024, "MiB-peak")
-	b.ReportMetric(kilobytes(string(status), "VmRSS:")/1024, "MiB-rss")
-	b.ReportMetric(0, "ns/op")
 }
 
 // ticks is the processor time that a process has used, in seconds.
-func ticks(b *testing.B, pid int) float64 {
+func ticks(tb testing.TB, pid int) float64 {
+	tb.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	var user, system float64
-	fmt.Sscan(fields[11], &user)
-	fmt.Sscan(fields[12], &system)
+	if _, err := fmt.Sscan(fields[11]+" "+fields[12], &user, &system); err != nil {
+		tb.Fatal(err)
+	}
 	return (user + system) / 100
 }
 
--- a/cmd/quincegap/consul_cold_test.go
+++ b/cmd/quincegap/consul_cold_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/http"
 	"slices"
 	"strings"
@@ -53,11 +52,11 @@
 		b.mu.Lock()
 		b.came = append(b.came, now)
 		b.mu.Unlock()
-		io.Copy(io.Discard, r.Body)
+		drain(r.Body)
 		b.room <- struct{}{}
 		time.Sleep(warmTakes)
 		<-b.room
-		io.WriteString(w, name)
+		write(w, name)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -27,8 +26,8 @@
 	n    int
 }
 
-func startBox(t testing.TB, name string) *box {
-	t.Helper()
+func startBox(tb testing.TB, name string) *box {
+	tb.Helper()
 	b := &box{}
 	var err error
 	b.Endpoint, err = booking.StartEndpoint(name, func(w http.ResponseWriter, r *http.Request) {
@@ -36,13 +35,13 @@
 		b.last = time.Now()
 		b.n++
 		b.mu.Unlock()
-		io.Copy(io.Discard, r.Body)
-		io.WriteString(w, name)
+		drain(r.Body)
+		write(w, name)
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(b.Close)
+	tb.Cleanup(b.Close)
 	return b
 }
 
@@ -117,20 +116,20 @@
 	return consul.Instance{Node: "n", ID: id, PassingWeight: 1, WarningWeight: 1}.WithAddress(b.Target().Address)
 }
 
-func build(t testing.TB, n int) *town {
-	t.Helper()
-	tn := &town{t: t, admin: "unix:" + filepath.Join(t.TempDir(), "s"), stalls: &stalls{}}
+func build(tb testing.TB, n int) *town {
+	tb.Helper()
+	tn := &town{t: tb, admin: "unix:" + filepath.Join(tb.TempDir(), "s"), stalls: &stalls{}}
 	var all []consul.Instance
 	for i := range n {
-		b := startBox(t, fmt.Sprintf("box-%d", i))
+		b := startBox(tb, fmt.Sprintf("box-%d", i))
 		tn.boxes = append(tn.boxes, b)
 		all = append(all, inst(b, b.Name))
 	}
 	var err error
 	if tn.consul, err = consul.Start("", all...); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(tn.consul.Close)
+	tb.Cleanup(tn.consul.Close)
 	return tn
 }
 
@@ -275,7 +274,8 @@
 		t.Fatal(err)
 	}
 	overlay := tn.text("127.0.0.1:1", "consul")
-	tn.open(overlay[strings.Index(overlay, "[membership]"):], "BALANCER_CONFIG="+platform)
+	_, sources, _ := strings.Cut(overlay, "[membership]")
+	tn.open("[membership]"+sources, "BALANCER_CONFIG="+platform)
 	tn.goOn(100)
 	tn.shows("known")
 	tn.consul.SetFault(consul.Fault{})
@@ -429,9 +429,9 @@
 	t.Cleanup(other.Close)
 	text := tn.text(d.Address(), "platform")
 	tn.open(text)
-	reload := func(old, new string) {
+	reload := func(before, after string) {
 		t.Helper()
-		text = strings.Replace(text, old, new, 1)
+		text = strings.Replace(text, before, after, 1)
 		tn.p.put(text)
 		tn.p.signal(syscall.SIGHUP)
 		tn.p.said("reload: discovery is")
@@ -494,58 +494,50 @@
 	}
 }
 
+// amidst is a state of Consul and the platform in the middle of which a sidecar starts.
+type amidst struct {
+	name, source string
+	change       func(tn *town, all []consul.Instance) []consul.Instance
+	platform     []string // ids that discovery lists too
+	want         []string // that are ready
+}
+
+// withStatus sets the status of an instance's check, or of all where the id is empty.
+func withStatus(all []consul.Instance, id, status string) []consul.Instance {
+	for i := range all {
+		if all[i].ID == id || id == "" {
+			all[i].Checks = []consul.Check{{CheckID: "c", Status: status}}
+		}
+	}
+	return all
+}
+
 // The sidecar is killed and starts again in the middle of what Consul and the platform may say, and comes to the
 // same view as before.
 func TestConsulRestartAmidst(t *testing.T) {
-	one := func(all []consul.Instance, id, status string) []consul.Instance {
-		for i := range all {
-			if all[i].ID == id || id == "" {
-				all[i].Checks = []consul.Check{{CheckID: "c", Status: status}}
-			}
-		}
-		return all
-	}
-	for _, c := range []struct {
-		name, source string
-		change       func(tn *town, all []consul.Instance) []consul.Instance
-		platform     []string // ids that discovery lists too
-		want         []string
-	}{
+	firstCritical := func(_ *town, all []consul.Instance) []consul.Instance { return withStatus(all, "box-0", "critical") }
+	for _, c := range []amidst{
 		{"two at one address", "consul", func(tn *town, all []consul.Instance) []consul.Instance {
 			return append(all, inst(tn.boxes[0], "again"))
 		}, nil, []string{"again", "box-1", "box-2"}},
-		{"all critical", "consul", func(tn *town, all []consul.Instance) []consul.Instance {
-			return one(all, "", "critical")
+		{"all critical", "consul", func(_ *town, all []consul.Instance) []consul.Instance {
+			return withStatus(all, "", "critical")
 		}, nil, []string{"box-0", "box-1", "box-2"}},
-		{"all but one critical", "consul", func(tn *town, all []consul.Instance) []consul.Instance {
-			return one(one(all, "", "critical"), "box-1", "passing")
+		{"all but one critical", "consul", func(_ *town, all []consul.Instance) []consul.Instance {
+			return withStatus(withStatus(all, "", "critical"), "box-1", "passing")
 		}, nil, []string{"box-1"}},
-		{"overlay", "overlay", func(tn *town, all []consul.Instance) []consul.Instance {
-			return one(all, "box-0", "critical")
-		}, []string{"box-0", "box-1"}, []string{"box-1"}},
+		{"overlay", "overlay", firstCritical, []string{"box-0", "box-1"}, []string{"box-1"}},
 		{
-			"overlay of nobody", "overlay", func(tn *town, all []consul.Instance) []consul.Instance { return nil },
+			"overlay of nobody", "overlay", func(*town, []consul.Instance) []consul.Instance { return nil },
 			[]string{"box-0", "box-1"},
 			[]string{"box-0", "box-1"},
 		},
-		{"rehearsal", "rehearsal", func(tn *town, all []consul.Instance) []consul.Instance {
-			return one(all, "box-0", "critical")
-		}, []string{"box-0", "box-1"}, []string{"box-0", "box-1"}},
+		{"rehearsal", "rehearsal", firstCritical, []string{"box-0", "box-1"}, []string{"box-0", "box-1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			tn := build(t, 3)
-			discovery := "127.0.0.1:1"
-			if c.platform != nil {
-				var targets []booking.Target
-				for _, b := range tn.boxes {
-					if slices.Contains(c.platform, b.Name) {
-						targets = append(targets, b.Target())
-					}
-				}
-				d := listing(t, targets...)
-				discovery = d.Address()
-			}
+			discovery := c.discovery(t, tn)
 			tn.open(tn.text(discovery, c.source))
 			tn.goOn(30)
 			tn.consul.Update(func(all []consul.Instance) []consul.Instance { return c.change(tn, all) })
@@ -558,25 +550,43 @@
 				tn.shows(c.want...)
 				tn.goOn(30)
 			}
-			// Nothing goes to those that it does not show, though it has just started.
-			var idle []int
-			busy := func(b *box) bool {
-				return slices.Contains(c.want, b.Name) || b == tn.boxes[0] && slices.Contains(c.want, "again")
-			}
-			for _, b := range tn.boxes {
-				idle = append(idle, b.count())
-			}
-			tn.goOn(50)
-			for i, b := range tn.boxes {
-				if got := b.count() - idle[i]; got > 0 && !busy(b) {
-					t.Errorf("%s got %d bookings", b.Name, got)
-				}
-			}
+			c.checkIdle(t, tn)
 			tn.calm()
 		})
 	}
 }
 
+// discovery is the address of a discovery that lists the boxes of platform; of none where that is nil.
+func (c *amidst) discovery(t *testing.T, tn *town) (address string) {
+	t.Helper()
+	if c.platform == nil {
+		return "127.0.0.1:1"
+	}
+	var targets []booking.Target
+	for _, b := range tn.boxes {
+		if slices.Contains(c.platform, b.Name) {
+			targets = append(targets, b.Target())
+		}
+	}
+	return listing(t, targets...).Address()
+}
+
+// checkIdle looks whether nothing goes to those that the sidecar does not show, though it has just started.
+func (c *amidst) checkIdle(t *testing.T, tn *town) {
+	t.Helper()
+	var before []int
+	for _, b := range tn.boxes {
+		before = append(before, b.count())
+	}
+	tn.goOn(50)
+	for i, b := range tn.boxes {
+		busy := slices.Contains(c.want, b.Name) || b == tn.boxes[0] && slices.Contains(c.want, "again")
+		if got := b.count() - before[i]; got > 0 && !busy {
+			t.Errorf("%s got %d bookings", b.Name, got)
+		}
+	}
+}
+
 // The sidecar is killed and starts again while a check flaps and the fleet's ids change their addresses.
 func TestConsulRestartDuringChanges(t *testing.T) {
 	t.Parallel()
--- a/cmd/quincegap/crowd_bench_test.go
+++ b/cmd/quincegap/crowd_bench_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"net/http/httputil"
 	"net/url"
 	"os"
-	"os/exec"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -31,18 +29,20 @@
 		p.Transport = transport
 		targets = append(targets, p)
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := listen("127.0.0.1:0")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	fmt.Println(listener.Addr())
-	http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	err = http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/ready" {
 			return
 		}
 		targets[next.Add(1)%uint64(len(targets))].ServeHTTP(w, r)
 	}))
+	fmt.Fprintln(os.Stderr, err)
+	os.Exit(1)
 }
 
 // BenchmarkCrowd has callers book in step, the next booking of each when all have their answers, at endpoints that
@@ -53,17 +53,7 @@
 		b.Skip("CROWD is not set")
 	}
 	for _, endpoints := range []int{8, 64, 1000} {
-		var targets []booking.Target
-		var hosts []string
-		for len(targets) < endpoints {
-			e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", len(targets)), nil)
-			if err != nil {
-				b.Fatal(err)
-			}
-			b.Cleanup(e.Close)
-			targets = append(targets, e.Target())
-			hosts = append(hosts, e.Target().Address)
-		}
+		targets := crowdEndpoints(b, endpoints)
 		for _, callers := range []int{32, 256, 512, 1024} {
 			b.Run(fmt.Sprintf("quincegap/%d-endpoints/%d", endpoints, callers), func(b *testing.B) {
 				program := os.Getenv("QUINCEGAP")
@@ -74,57 +64,88 @@
 				crowd(b, run(b, program, text), callers)
 			})
 			b.Run(fmt.Sprintf("proxy/%d-endpoints/%d", endpoints, callers), func(b *testing.B) {
-				p := &process{t: b, cmd: exec.Command(os.Args[0])}
-				p.cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "BE_PROXY="+strings.Join(hosts, ","))
-				out, err := p.cmd.StdoutPipe()
-				if err != nil {
-					b.Fatal(err)
-				}
-				if err := p.cmd.Start(); err != nil {
-					b.Fatal(err)
-				}
-				b.Cleanup(func() {
-					p.cmd.Process.Kill()
-					p.cmd.Wait()
-				})
-				var at string
-				if _, err := fmt.Fscanln(out, &at); err != nil {
-					b.Fatal(err)
-				}
-				p.url = "http://" + at
-				crowd(b, p, callers)
+				crowd(b, startProxy(b, targets), callers)
 			})
 		}
 	}
 }
 
+// crowdEndpoints starts n endpoints that answer at once.
+func crowdEndpoints(b *testing.B, n int) (targets []booking.Target) {
+	b.Helper()
+	for i := range n {
+		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i), nil)
+		if err != nil {
+			b.Fatal(err)
+		}
+		b.Cleanup(e.Close)
+		targets = append(targets, e.Target())
+	}
+	return targets
+}
+
+// startProxy runs net/http's reverse proxy over endpoints, on one core; see beProxy.
+func startProxy(b *testing.B, targets []booking.Target) *process {
+	b.Helper()
+	var hosts []string
+	for _, target := range targets {
+		hosts = append(hosts, target.Address)
+	}
+	p := &process{t: b, cmd: command(os.Args[0])}
+	p.cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "BE_PROXY="+strings.Join(hosts, ","))
+	out, err := p.cmd.StdoutPipe()
+	if err != nil {
+		b.Fatal(err)
+	}
+	if err := p.cmd.Start(); err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { killNow(p.cmd) })
+	var at string
+	if _, err := fmt.Fscanln(out, &at); err != nil {
+		b.Fatal(err)
+	}
+	p.url = "http://" + at
+	return p
+}
+
+// crowdFigures count how bookings ended.
+type crowdFigures struct {
+	refused, served, failed atomic.Int64
+}
+
+// book books once for each step, on a connection of its own, and says so each time.
+func (f *crowdFigures) book(b *testing.B, p *process, step <-chan struct{}, done chan<- struct{}) {
+	b.Helper()
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport}
+	for range step {
+		status, err := p.book(client, "trip")
+		switch {
+		case err == nil && status == http.StatusOK:
+			f.served.Add(1)
+		case err == nil && status == http.StatusServiceUnavailable:
+			f.refused.Add(1)
+		default:
+			if f.failed.Add(1) == 1 {
+				b.Logf("failed: status %d, %v", status, err)
+			}
+		}
+		done <- struct{}{}
+	}
+}
+
 // crowd has callers book in step for a while, each on a connection of its own, and reports.
 func crowd(b *testing.B, p *process, callers int) {
-	var refused, served, failed atomic.Int64
+	b.Helper()
+	var figures crowdFigures
 	var all sync.WaitGroup
 	step := make([]chan struct{}, callers)
 	done := make(chan struct{}, callers)
 	for i := range step {
 		step[i] = make(chan struct{}, 1)
-		all.Go(func() {
-			transport := &http.Transport{}
-			defer transport.CloseIdleConnections()
-			client := &http.Client{Transport: transport}
-			for range step[i] {
-				status, err := p.book(client, "trip")
-				switch {
-				case err == nil && status == http.StatusOK:
-					served.Add(1)
-				case err == nil && status == http.StatusServiceUnavailable:
-					refused.Add(1)
-				default:
-					if failed.Add(1) == 1 {
-						b.Logf("failed: status %d, %v", status, err)
-					}
-				}
-				done <- struct{}{}
-			}
-		})
+		all.Go(func() { figures.book(b, p, step[i], done) })
 	}
 	before := ticks(b, p.cmd.Process.Pid)
 	for end := time.Now().Add(crowdTime); time.Now().Before(end); {
@@ -140,12 +161,12 @@
 		close(s)
 	}
 	all.Wait()
-	if served.Load() == 0 {
+	if figures.served.Load() == 0 {
 		b.Fatal("nothing was served")
 	}
-	b.ReportMetric(float64(refused.Load()), "refused")
-	b.ReportMetric(float64(failed.Load()), "failed")
-	b.ReportMetric(float64(served.Load())/crowdTime.Seconds(), "requests/s")
-	b.ReportMetric(1e6*cpu/float64(served.Load()), "cpu-us/request")
+	b.ReportMetric(float64(figures.refused.Load()), "refused")
+	b.ReportMetric(float64(figures.failed.Load()), "failed")
+	b.ReportMetric(float64(figures.served.Load())/crowdTime.Seconds(), "requests/s")
+	b.ReportMetric(1e6*cpu/float64(figures.served.Load()), "cpu-us/request")
 	b.ReportMetric(0, "ns/op")
 }
--- a/cmd/quincegap/exchange_bench_test.go
+++ b/cmd/quincegap/exchange_bench_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -56,10 +55,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		over3, err := h3.Start(e.Target().Address, cert, h3.Options{MaxStreams: 1000}, func(w http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body)
-			io.WriteString(w, "ok")
-		})
+		over3, err := h3.Start(e.Target().Address, cert, h3.Options{MaxStreams: 1000}, answerOK)
 		if err != nil {
 			e.Close()
 			continue
@@ -86,7 +82,7 @@
 		return &process{t: b.b, url: b.url, by: t}, t.CloseIdleConnections
 	}
 	c := b.d.caller(nil)
-	return b.over(c, address), func() { c.Close() }
+	return b.over(c, address), func() { closeNow(c) }
 }
 
 // BenchmarkExchange measures what a booking costs on one core, by protocol on both sides and by the number of
@@ -110,11 +106,15 @@
 			b.Run(fmt.Sprintf("%s/%d", how, callers), func(b *testing.B) {
 				more := ""
 				if how == "with" {
-					dir, err := os.MkdirTemp(os.Getenv("STORE_DIR"), "remembering")
+					dir, err := os.MkdirTemp(os.Getenv("STORE_DIR"), "remembering") //nolint:usetesting // on the disk that is measured
 					if err != nil {
 						b.Fatal(err)
 					}
-					b.Cleanup(func() { os.RemoveAll(dir) })
+					b.Cleanup(func() {
+						if err := os.RemoveAll(dir); err != nil {
+							b.Error(err)
+						}
+					})
 					more = fmt.Sprintf("[memory]\nmemory_dir = %q\n", dir)
 				}
 				x := openBench(b, "http1", more)
@@ -140,11 +140,45 @@
 	}
 }
 
+// loadFigures are how bookings at a rate ended.
+type loadFigures struct {
+	b                      *bench
+	refused, failed, count atomic.Int64
+
+	mu   sync.Mutex
+	took []time.Duration // of those that were served
+}
+
+// book books at a pace until a time, and notes what became of it.
+func (f *loadFigures) book(c *process, client *http.Client, every time.Duration, end time.Time) {
+	var own []time.Duration
+	pace := time.NewTicker(every)
+	defer pace.Stop()
+	for time.Now().Before(end) {
+		<-pace.C
+		sent := time.Now()
+		status, err := c.book(client, "trip")
+		f.count.Add(1)
+		switch {
+		case f.b.may && err == nil && status == http.StatusBadGateway:
+			f.failed.Add(1)
+		case err != nil || status != http.StatusOK && status != http.StatusServiceUnavailable:
+			f.b.b.Errorf("a booking: status %d, %v", status, err)
+			return
+		case status == http.StatusOK:
+			own = append(own, time.Since(sent))
+		default:
+			f.refused.Add(1)
+		}
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.took = append(f.took, own...)
+}
+
 // load has callers book at a rate, and reports.
 func (b *bench) load(front, address string, callers, rate int) (asked int64) {
-	var mu sync.Mutex
-	var took []time.Duration
-	var refused, failed, count atomic.Int64
+	figures := &loadFigures{b: b}
 	var all sync.WaitGroup
 	ready := make(chan bool, callers)
 	begin := make(chan struct{})
@@ -154,32 +188,10 @@
 			c, done := b.caller(front, address)
 			defer done()
 			client := &http.Client{}
-			c.book(client, "trip") // the connection
+			_, _ = c.book(client, "trip") // for the connection: what is measured follows
 			ready <- true
 			<-begin
-			var own []time.Duration
-			pace := time.NewTicker(time.Duration(callers) * time.Second / time.Duration(rate))
-			defer pace.Stop()
-			for time.Now().Before(end) {
-				<-pace.C
-				sent := time.Now()
-				status, err := c.book(client, "trip")
-				count.Add(1)
-				switch {
-				case b.may && err == nil && status == http.StatusBadGateway:
-					failed.Add(1)
-				case err != nil || status != http.StatusOK && status != http.StatusServiceUnavailable:
-					b.b.Errorf("a booking: status %d, %v", status, err)
-					return
-				case status == http.StatusOK:
-					own = append(own, time.Since(sent))
-				default:
-					refused.Add(1)
-				}
-			}
-			mu.Lock()
-			took = append(took, own...)
-			mu.Unlock()
+			figures.book(c, client, time.Duration(callers)*time.Second/time.Duration(rate), end)
 		})
 	}
 	for range callers {
@@ -190,6 +202,7 @@
 	close(begin)
 	all.Wait()
 	cpu = ticks(b.b, b.cmd.Process.Pid) - cpu
+	took := figures.took
 	if len(took) == 0 {
 		b.b.Fatal("nothing was served")
 	}
@@ -198,12 +211,12 @@
 	b.b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
 	b.b.ReportMetric(1e6*cpu/float64(len(took)), "cpu-us/request")
 	b.b.ReportMetric(float64(len(took))/exchangeTime.Seconds(), "requests/s")
-	b.b.ReportMetric(float64(refused.Load()), "refused")
+	b.b.ReportMetric(float64(figures.refused.Load()), "refused")
 	if b.may {
-		b.b.ReportMetric(float64(failed.Load()), "failed")
+		b.b.ReportMetric(float64(figures.failed.Load()), "failed")
 	}
 	b.b.ReportMetric(0, "ns/op")
-	return count.Load() + int64(callers)
+	return figures.count.Load() + int64(callers)
 }
 
 // find is a safe request on a connection of its own.
@@ -221,9 +234,12 @@
 	if err != nil {
 		return err
 	}
-	defer res.Body.Close()
-	if _, err := io.Copy(io.Discard, res.Body); err != nil || res.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d, %v", res.StatusCode, err)
+	defer closeNow(res.Body)
+	if _, err := io.Copy(io.Discard, res.Body); err != nil {
+		return fmt.Errorf("status %d: %w", res.StatusCode, err)
+	}
+	if res.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", res.StatusCode)
 	}
 	return nil
 }
@@ -231,65 +247,71 @@
 // BenchmarkHandshake measures a connection with one safe request, 5 ms away: what it costs the sidecar, and the time
 // until the answer.
 func BenchmarkHandshake(b *testing.B) {
-	const n = 300
 	for _, kind := range []string{"http1", "full", "resumed", "0-RTT"} {
 		b.Run(kind, func(b *testing.B) {
 			x := openBench(b, "http1")
-			var took []time.Duration
-			var cpu float64
-			cache := tls.NewLRUClientSessionCache(8)
 			relay, err := udp.Start(x.udp, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(relay.Close)
 			relay.SetFault(udp.Fault{Delay: 5 * time.Millisecond})
-			if kind != "http1" {
-				c := x.d.caller(cache)
-				if err := find(c, "GET", "https://"+relay.Address()); err != nil {
-					b.Fatal(err)
-				}
-				time.Sleep(50 * time.Millisecond) // for the ticket
-				c.Close()
-			}
-			before := ticks(b, x.cmd.Process.Pid)
-			for range n {
-				var rt http.RoundTripper
-				var done func()
-				method, url := "GET", "https://"+relay.Address()
-				switch kind {
-				case "http1":
-					t := &http.Transport{}
-					rt, url, done = t, x.url, t.CloseIdleConnections
-				case "full":
-					c := x.d.caller(nil)
-					rt, done = c, func() { c.Close() }
-				default:
-					c := x.d.caller(cache)
-					rt, done = c, func() { c.Close() }
-					if kind == "0-RTT" {
-						method = http3.MethodGet0RTT
-					}
-				}
-				sent := time.Now()
-				if err := find(rt, method, url); err != nil {
-					b.Fatal(err)
-				}
-				took = append(took, time.Since(sent))
-				if kind == "resumed" || kind == "0-RTT" {
-					time.Sleep(15 * time.Millisecond) // for the next ticket
-				}
-				done()
-			}
-			cpu = ticks(b, x.cmd.Process.Pid) - before
-			slices.Sort(took)
-			b.ReportMetric(float64(took[n/2].Microseconds())/1000, "p50-ms")
-			b.ReportMetric(1e6*cpu/n, "cpu-us/connection")
-			b.ReportMetric(0, "ns/op")
+			x.handshakes(kind, relay.Address())
 		})
 	}
 }
 
+// handshakes measures connections of a kind, one after the other.
+func (b *bench) handshakes(kind, address string) {
+	const n = 300
+	b.b.Helper()
+	cache := tls.NewLRUClientSessionCache(8)
+	if kind != "http1" {
+		c := b.d.caller(cache)
+		if err := find(c, http.MethodGet, "https://"+address); err != nil {
+			b.b.Fatal(err)
+		}
+		time.Sleep(50 * time.Millisecond) // for the ticket
+		closeNow(c)
+	}
+	var took []time.Duration
+	before := ticks(b.b, b.cmd.Process.Pid)
+	for range n {
+		rt, done, method, url := b.handshake(kind, address, cache)
+		sent := time.Now()
+		if err := find(rt, method, url); err != nil {
+			b.b.Fatal(err)
+		}
+		took = append(took, time.Since(sent))
+		if kind == "resumed" || kind == "0-RTT" {
+			time.Sleep(15 * time.Millisecond) // for the next ticket
+		}
+		done()
+	}
+	cpu := ticks(b.b, b.cmd.Process.Pid) - before
+	slices.Sort(took)
+	b.b.ReportMetric(float64(took[n/2].Microseconds())/1000, "p50-ms")
+	b.b.ReportMetric(1e6*cpu/n, "cpu-us/connection")
+	b.b.ReportMetric(0, "ns/op")
+}
+
+// handshake is a caller of a kind without a connection, how it is closed, and what it asks for.
+func (b *bench) handshake(kind, address string, cache tls.ClientSessionCache) (rt http.RoundTripper, done func(), method, url string) {
+	if kind == "http1" {
+		t := &http.Transport{}
+		return t, t.CloseIdleConnections, http.MethodGet, b.url
+	}
+	if kind == "full" {
+		cache = nil
+	}
+	method = http.MethodGet
+	if kind == "0-RTT" {
+		method = http3.MethodGet0RTT
+	}
+	c := b.d.caller(cache)
+	return c, func() { closeNow(c) }, method, "https://" + address
+}
+
 // BenchmarkIdle measures what memory an idle connection from a caller takes.
 func BenchmarkIdle(b *testing.B) {
 	const n = 200
@@ -297,11 +319,7 @@
 		b.Run(front, func(b *testing.B) {
 			x := openBench(b, "http1")
 			memory := func() float64 {
-				status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", x.cmd.Process.Pid))
-				if err != nil {
-					b.Fatal(err)
-				}
-				return kilobytes(string(status), "VmRSS:")
+				return kilobytes(processStatus(b, x.cmd.Process.Pid), "VmRSS:")
 			}
 			client := &http.Client{}
 			connect := func(n int) {
@@ -330,28 +348,16 @@
 	b.Helper()
 	at := freePort(b)
 	file := filepath.Join(b.TempDir(), "sidecar.toml")
-	if err := os.WriteFile(file, []byte(strings.Replace(text, "127.0.0.1:0", at, 1)), 0o600); err != nil {
-		b.Fatal(err)
-	}
+	putFile(b, file, strings.Replace(text, "127.0.0.1:0", at, 1))
 	p := &process{t: b, url: "http://" + at}
-	p.cmd = exec.Command(program, "-config", file)
+	p.cmd = command(program, "-config", file)
 	p.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=", "GOMAXPROCS=1")
 	if err := p.cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		p.cmd.Process.Kill()
-		p.cmd.Wait()
+		killNow(p.cmd)
 	})
-	for until := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		if res, err := http.Get(p.url + "/ready"); err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
-				return p
-			}
-		}
-		if time.Now().After(until) {
-			b.Fatal("never ready")
-		}
-	}
+	awaitReady(b, http.DefaultClient, p.url, 5*time.Millisecond)
+	return p
 }
--- a/cmd/quincegap/file_test.go
+++ b/cmd/quincegap/file_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -57,24 +57,24 @@
 // kill ends the program at once, and waits until it has: until then its sockets are open, and the next one that
 // wants them finds them taken.
 func (p *process) kill() {
-	p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill() // it may have ended already
 	<-p.read
-	p.cmd.Wait()
+	_ = p.cmd.Wait() // it ends with an error
 }
 
 // launch starts the program with a text for its file, and waits until it serves.
-func launch(t testing.TB, text string, env ...string) *process {
-	t.Helper()
-	p := &process{t: t, file: filepath.Join(t.TempDir(), "sidecar.toml"), log: make(chan string, 10000), read: make(chan struct{})}
+func launch(tb testing.TB, text string, env ...string) *process {
+	tb.Helper()
+	p := &process{t: tb, file: filepath.Join(tb.TempDir(), "sidecar.toml"), log: make(chan string, 10000), read: make(chan struct{})}
 	p.put(text)
-	p.cmd = exec.Command(os.Args[0], "-config", p.file)
+	p.cmd = command(os.Args[0], "-config", p.file)
 	p.cmd.Env = append(append(os.Environ(), "BE_QUINCEGAP=1"), env...)
 	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	go func() {
 		defer close(p.read)
@@ -83,20 +83,11 @@
 		}
 		close(p.log)
 	}()
-	t.Cleanup(p.kill)
+	tb.Cleanup(p.kill)
 	p.start = p.said("serving on")
 	p.url = "http://" + regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`).FindStringSubmatch(p.start)[1]
-	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
-		if res, err := http.Get(p.url + "/ready"); err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
-				return p
-			}
-		}
-		if time.Now().After(end) {
-			t.Fatal("never ready")
-		}
-	}
+	awaitReady(tb, http.DefaultClient, p.url, 2*time.Millisecond)
+	return p
 }
 
 // put replaces the program's file at one stroke.
@@ -137,6 +128,14 @@
 	}
 }
 
+// crash kills the program, which has to live until then, and waits until it has ended.
+func (p *process) crash() {
+	p.t.Helper()
+	p.signal(syscall.SIGKILL)
+	_ = p.cmd.Wait() // it ends with an error
+}
+
+// txn numbers the requests of all tests.
 var txn atomic.Int64
 
 // book sends a booking and returns the status.
@@ -150,7 +149,7 @@
 
 // post sends a request, and returns the status and how its answer ended: with a status there may be an error too.
 func post(client *http.Client, url, class, txn, key, body string) (status int, err error) {
-	r, err := http.NewRequest(http.MethodPost, url+"/trips", strings.NewReader(body))
+	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url+"/trips", strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
@@ -164,7 +163,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer res.Body.Close()
+	defer closeNow(res.Body)
 	_, err = io.Copy(io.Discard, res.Body)
 	return res.StatusCode, err
 }
@@ -200,18 +199,18 @@
 }
 
 // site is a discovery with endpoints.
-func site(t testing.TB, n int) *booking.Discovery {
-	t.Helper()
+func site(tb testing.TB, n int) *booking.Discovery {
+	tb.Helper()
 	var targets []booking.Target
 	for i := range n {
 		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i), nil)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
-		t.Cleanup(e.Close)
+		tb.Cleanup(e.Close)
 		targets = append(targets, e.Target())
 	}
-	d := listing(t, targets...)
+	d := listing(tb, targets...)
 	return d
 }
 
@@ -243,15 +242,14 @@
 // A file that cannot be used ends the program with the messages of quincegapctl check, before it listens.
 func TestBadFileEndsTheProgram(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "sidecar.toml")
-	os.WriteFile(file, []byte("[sidecar]\nlisten = \"127.0.0.1\"\n[limts]\n"), 0o600)
+	putFile(t, file, "[sidecar]\nlisten = \"127.0.0.1\"\n[limts]\n")
 	for args, want := range map[string][]string{
 		"-config " + file:            {file + `:2:10: sidecar.listen: "127.0.0.1" has no port`, file + `:3:2: unknown table "limts"; did you mean "limits"?`},
 		"-config /nowhere":           {"/nowhere: cannot be read: no such file or directory"},
 		"-config " + file + " extra": {`unknown argument "extra"`},
 		"-confg " + file:             {"flag provided but not defined"},
 	} {
-		cmd := exec.Command(os.Args[0], strings.Fields(args)...)
-		cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG=")
+		cmd := ownProgram("", strings.Fields(args)...)
 		out, err := cmd.CombinedOutput()
 		if err == nil {
 			t.Errorf("%s: it started", args)
@@ -356,17 +354,16 @@
 
 // A file on which only the listener is taken fails with its address.
 func TestListenerTaken(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	taken, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer closeNow(taken)
 	d := site(t, 1)
 	file := filepath.Join(t.TempDir(), "sidecar.toml")
 	text := strings.Replace(fmt.Sprintf(goodFile, d.Address()), "127.0.0.1:0", taken.Addr().String(), 1)
-	os.WriteFile(file, []byte(text), 0o600)
-	cmd := exec.Command(os.Args[0], "-config", file)
-	cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG=")
+	putFile(t, file, text)
+	cmd := ownProgram("", "-config", file)
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), taken.Addr().String()) {
 		t.Errorf("%v: %s", err, out)
 	}
@@ -383,14 +380,13 @@
 	}
 	d := site(b, 3)
 	dir := b.TempDir()
-	platform, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "sidecar.toml")
+	platform, file, overlay := filepath.Join(dir, "config.json"), filepath.Join(dir, "sidecar.toml"), filepath.Join(dir, "overlay.toml")
 	address := freePort(b)
-	os.WriteFile(platform, []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"a1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+	putFile(b, platform, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"a1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 		"settings":{"allowed":{"connectTimeout":2000000},"discovery":"push","instances":1,"services":[{"name":"book-trip","aim":1000000,
-		"deadline":6000000,"effect":"idempotency_key","keyScope":"all","window":10000000,"gain":1}],"tiers":["front"],"zones":["z"],"models":["m"]}}`, address, d.Address())), 0o600)
-	os.WriteFile(file, []byte(strings.Replace(fmt.Sprintf(goodFile, d.Address()), "127.0.0.1:0", address, 1)), 0o600)
-	overlay := filepath.Join(dir, "overlay.toml")
-	os.WriteFile(overlay, []byte("[callers]\nmax_body = \"32KiB\"\n"), 0o600)
+		"deadline":6000000,"effect":"idempotency_key","keyScope":"all","window":10000000,"gain":1}],"tiers":["front"],"zones":["z"],"models":["m"]}}`, address, d.Address()))
+	putFile(b, file, strings.Replace(fmt.Sprintf(goodFile, d.Address()), "127.0.0.1:0", address, 1))
+	putFile(b, overlay, "[callers]\nmax_body = \"32KiB\"\n")
 	for _, c := range []struct {
 		name string
 		args []string
@@ -403,32 +399,18 @@
 		b.Run(c.name, func(b *testing.B) {
 			var rss, peak float64
 			for range b.N {
-				cmd := exec.Command(program, c.args...)
+				cmd := command(program, c.args...)
 				cmd.Env = append(os.Environ(), c.env)
 				if err := cmd.Start(); err != nil {
 					b.Fatal(err)
 				}
 				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-				for end := time.Now().Add(patience); ; time.Sleep(200 * time.Microsecond) {
-					if res, err := client.Get("http://" + address + "/ready"); err == nil {
-						res.Body.Close()
-						if res.StatusCode == http.StatusOK {
-							break
-						}
-					}
-					if time.Now().After(end) {
-						b.Fatal("never ready")
-					}
-				}
+				awaitReady(b, client, "http://"+address, 200*time.Microsecond)
 				b.StopTimer()
-				status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
-				if err != nil {
-					b.Fatal(err)
-				}
-				rss += kilobytes(string(status), "VmRSS:")
-				peak += kilobytes(string(status), "VmHWM:")
-				cmd.Process.Kill()
-				cmd.Wait()
+				status := processStatus(b, cmd.Process.Pid)
+				rss += kilobytes(status, "VmRSS:")
+				peak += kilobytes(status, "VmHWM:")
+				killNow(cmd)
 				b.StartTimer()
 			}
 			b.ReportMetric(rss/float64(b.N)/1024, "MiB-rss")
@@ -438,31 +420,42 @@
 	}
 }
 
+// processStatus is what the system says of a process.
+func processStatus(tb testing.TB, pid int) string {
+	tb.Helper()
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return string(status)
+}
+
+// kilobytes is a figure of a process's status; 0 where it is missing.
 func kilobytes(status, name string) (kb float64) {
 	if _, rest, ok := strings.Cut(status, name); ok {
-		fmt.Sscan(rest, &kb)
+		_, _ = fmt.Sscan(rest, &kb) // 0 where it is no number
 	}
 	return kb
 }
 
 // freePort is a loopback address that nobody listens at.
-func freePort(t testing.TB) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func freePort(tb testing.TB) string {
+	tb.Helper()
+	l, err := listen("127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	defer l.Close()
+	defer closeNow(l)
 	return l.Addr().String()
 }
 
 // listing is a discovery with endpoints.
-func listing(t testing.TB, targets ...booking.Target) *booking.Discovery {
-	t.Helper()
+func listing(tb testing.TB, targets ...booking.Target) *booking.Discovery {
+	tb.Helper()
 	d, err := booking.StartDiscovery("", targets...)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(d.Close)
+	tb.Cleanup(d.Close)
 	return d
 }
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -5,7 +5,6 @@
 	"crypto/tls"
 	"crypto/x509"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"os"
@@ -47,8 +46,9 @@
 	seen      sync.Map // names of certificates that were shown
 }
 
-func newDesk(t testing.TB) *desk {
-	d := &desk{t: t, ca: trust(t), dir: t.TempDir()}
+func newDesk(tb testing.TB) *desk {
+	tb.Helper()
+	d := &desk{t: tb, ca: trust(tb), dir: tb.TempDir()}
 	d.secret = d.put("secret", []byte(strings.Repeat("s3cret", 6)))
 	d.renew("front.example.org")
 	return d
@@ -93,7 +93,7 @@
 		},
 	}
 	c := &http3.Transport{TLSClientConfig: conf, QUICConfig: &quic.Config{MaxIdleTimeout: 10 * time.Second, KeepAlivePeriod: 200 * time.Millisecond}}
-	d.t.Cleanup(func() { c.Close() })
+	d.t.Cleanup(func() { closeNow(c) })
 	return c
 }
 
@@ -129,13 +129,12 @@
 	}
 	reach(&served, 100)
 	reach(&plain, 100)
-	res, err := http.Get(p.url + "/nothing")
+	status, header, err := get(http.DefaultClient, p.url+"/nothing")
 	if err != nil {
 		t.Fatal(err)
 	}
-	res.Body.Close()
 	_, port, _ := net.SplitHostPort(at)
-	if got, want := res.Header.Get("Alt-Svc"), fmt.Sprintf(`h3=":%s"; ma=3600`, port); res.StatusCode == 400 && got != want && got != "" {
+	if got, want := header.Get("Alt-Svc"), fmt.Sprintf(`h3=":%s"; ma=3600`, port); status == 400 && got != want && got != "" {
 		t.Errorf("Alt-Svc: %q, want %q", got, want)
 	}
 	d.renew("second.example.org")
@@ -190,46 +189,57 @@
 	}
 }
 
-// UDP to an endpoint is cut off in the middle of the day: attempts go over HTTP/1.1, nothing that may have run goes
-// out twice, and HTTP/3 is not tried again for a while.
-func TestHTTP3BlockedToEndpoint(t *testing.T) {
-	t.Parallel()
-	ca := trust(t)
+// twoWays is an endpoint that is reached by HTTP/1.1 and, behind a relay at the same port, by HTTP/3.
+type twoWays struct {
+	over1, over3 atomic.Int64 // requests
+	plain        *booking.Endpoint
+	relay        *udp.Relay
+}
+
+// countingOK answers each request and counts them.
+func countingOK(n *atomic.Int64) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		n.Add(1)
+		answerOK(w, r)
+	}
+}
+
+// startTwoWays starts an endpoint with a certificate that an authority signs.
+func startTwoWays(t *testing.T, ca *authority.Authority) *twoWays {
+	t.Helper()
 	cert, err := ca.Pair("slot-keeper.example.org")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var over1, over3 atomic.Int64
-	count := func(n *atomic.Int64) http.HandlerFunc {
-		return func(w http.ResponseWriter, r *http.Request) {
-			n.Add(1)
-			io.Copy(io.Discard, r.Body)
-			io.WriteString(w, "ok")
-		}
-	}
+	x := &twoWays{}
 	// The relay has the endpoint's UDP port; behind it is the endpoint at another one.
-	e, err := h3.Start("", cert, h3.Options{}, count(&over3))
+	e, err := h3.Start("", cert, h3.Options{}, countingOK(&x.over3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	var relay *udp.Relay
-	var plain *booking.Endpoint
-	for relay == nil {
-		if plain, err = booking.StartEndpoint("box-0", count(&over1)); err != nil {
+	for x.relay == nil {
+		if x.plain, err = booking.StartEndpoint("box-0", countingOK(&x.over1)); err != nil {
 			t.Fatal(err)
 		}
-		if relay, err = udp.StartAt(plain.Target().Address, e.Address(), 1); err != nil {
-			plain.Close()
+		if x.relay, err = udp.StartAt(x.plain.Target().Address, e.Address(), 1); err != nil {
+			x.plain.Close()
 		}
 	}
-	t.Cleanup(plain.Close)
-	t.Cleanup(relay.Close)
-	disc := listing(t, plain.Target())
+	t.Cleanup(x.plain.Close)
+	t.Cleanup(x.relay.Close)
+	return x
+}
+
+// UDP to an endpoint is cut off in the middle of the day: attempts go over HTTP/1.1, nothing that may have run goes
+// out twice, and HTTP/3 is not tried again for a while.
+func TestHTTP3BlockedToEndpoint(t *testing.T) {
+	t.Parallel()
+	ca := trust(t)
+	x := startTwoWays(t, ca)
+	disc := listing(t, x.plain.Target())
 	file := filepath.Join(t.TempDir(), "ca.pem")
-	if err := os.WriteFile(file, ca.PEM(), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	putFile(t, file, string(ca.PEM()))
 	p := launch(t, fmt.Sprintf(goodFile, disc.Address())+fmt.Sprintf(`
 [http3-endpoints]
 http3_to_endpoints = "prefer"
@@ -248,14 +258,14 @@
 	for range 20 {
 		book()
 	}
-	if over3.Load() != 20 || over1.Load() != 0 {
-		t.Fatalf("%d over HTTP/3, %d over HTTP/1.1", over3.Load(), over1.Load())
+	if x.over3.Load() != 20 || x.over1.Load() != 0 {
+		t.Fatalf("%d over HTTP/3, %d over HTTP/1.1", x.over3.Load(), x.over1.Load())
 	}
-	relay.SetFault(udp.Fault{Blackhole: true})
+	x.relay.SetFault(udp.Fault{Blackhole: true})
 	// What is sent now may have run; the class allows a repeat with its key, and the box is the same.
-	before := over1.Load()
-	for end := time.Now().Add(patience); over1.Load() == before; {
-		p.book(client, "trip")
+	before := x.over1.Load()
+	for end := time.Now().Add(patience); x.over1.Load() == before; {
+		_, _ = p.book(client, "trip") // it may fail
 		if time.Now().After(end) {
 			t.Fatal("nothing comes over HTTP/1.1")
 		}
@@ -268,97 +278,111 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("50 bookings took %v: HTTP/3 is tried again each time", took)
 	}
-	relay.SetFault(udp.Fault{})
-	if n := over3.Load(); n != 20 {
+	x.relay.SetFault(udp.Fault{})
+	if n := x.over3.Load(); n != 20 {
 		t.Errorf("%d over HTTP/3", n)
 	}
 }
 
+// ending is callers over HTTP/3 of a sidecar that gets a signal, and what ran at its endpoint.
+type ending struct {
+	t         *testing.T
+	d         *desk
+	at        string   // the sidecar's UDP address
+	answered  sync.Map // the status, by id
+	late      sync.Map // whether it began after the signal, by id
+	signalled atomic.Bool
+	served    atomic.Int64
+
+	mu  sync.Mutex
+	ran map[string]int // how often, by id
+}
+
+// serve is the endpoint.
+func (e *ending) serve(w http.ResponseWriter, r *http.Request) {
+	drain(r.Body)
+	e.mu.Lock()
+	e.ran[r.Header.Get("X-Txn")]++
+	e.mu.Unlock()
+	time.Sleep(5 * time.Millisecond)
+	write(w, "ok")
+}
+
+// book books on a connection of its own until the sidecar has gone.
+func (e *ending) book() {
+	c := e.d.caller(nil)
+	c.QUICConfig.MaxIdleTimeout = 2 * time.Second
+	client := &http.Client{Transport: c, Timeout: patience}
+	for {
+		id := fmt.Sprintf("e%d", txn.Add(1))
+		after := e.signalled.Load()
+		e.late.Store(id, after)
+		status, _ := post(client, "https://"+e.at, "book-trip", id, id, "trip")
+		if status == 0 {
+			return // it has gone
+		}
+		e.answered.Store(id, status)
+		switch {
+		case status == http.StatusOK:
+			e.served.Add(1)
+		case status == http.StatusServiceUnavailable, status == http.StatusBadGateway && after:
+		default:
+			e.t.Errorf("status %d", status)
+		}
+	}
+}
+
+// check looks at what ran and what was answered, after the signal.
+func (e *ending) check(signal syscall.Signal) {
+	e.t.Helper()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for id, n := range e.ran {
+		status, ok := e.answered.Load(id)
+		after, _ := e.late.Load(id)
+		if n != 1 || signal == syscall.SIGTERM && (!ok || status != http.StatusOK && after != true) {
+			e.t.Errorf("%s, begun after the signal %v, ran %d times, answered %v", id, after, n, status)
+		}
+	}
+	e.answered.Range(func(id, status any) bool {
+		want := map[any]int{http.StatusOK: 1, http.StatusServiceUnavailable: 0}
+		if n, ok := want[status]; ok && e.ran[id.(string)] != n {
+			e.t.Errorf("%v was answered %v and ran %d times", id, status, e.ran[id.(string)])
+		}
+		return true
+	})
+}
+
 // SIGTERM while callers book over HTTP/3 without pause, and SIGKILL: each booking that was served ran once. After SIGTERM
 // each that had begun before it and ran was served; of those that began later, when there may not be the time to serve
 // them, each that ran got its final answer, which may be that it may have run.
 func TestHTTP3Ends(t *testing.T) {
-	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		t.Run(end.String(), func(t *testing.T) {
+	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
+		t.Run(signal.String(), func(t *testing.T) {
 			t.Parallel()
-			var mu sync.Mutex
-			ran := map[string]int{}
-			e, err := booking.StartEndpoint("box-0", func(w http.ResponseWriter, r *http.Request) {
-				io.Copy(io.Discard, r.Body)
-				mu.Lock()
-				ran[r.Header.Get("X-Txn")]++
-				mu.Unlock()
-				time.Sleep(5 * time.Millisecond)
-				io.WriteString(w, "ok")
-			})
+			x := &ending{t: t, ran: map[string]int{}}
+			e, err := booking.StartEndpoint("box-0", x.serve)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(e.Close)
 			disc := listing(t, e.Target())
-			d := newDesk(t)
-			p := launch(t, d.text(disc.Address(), "127.0.0.1:0")+"\n[stop]\nstop_longest = \"2s\"\n")
-			at := udpOf(p)
+			x.d = newDesk(t)
+			p := launch(t, x.d.text(disc.Address(), "127.0.0.1:0")+"\n[stop]\nstop_longest = \"2s\"\n")
+			x.at = udpOf(p)
 			var callers sync.WaitGroup
-			var answered sync.Map // the status, by id
-			var late sync.Map     // ids of those that began after the signal
-			var signalled atomic.Bool
-			var served atomic.Int64
 			for range 6 {
-				callers.Go(func() {
-					c := d.caller(nil)
-					c.QUICConfig.MaxIdleTimeout = 2 * time.Second
-					client := &http.Client{Transport: c, Timeout: patience}
-					for {
-						r, _ := http.NewRequest("POST", "https://"+at+"/trips", strings.NewReader("trip"))
-						id := fmt.Sprintf("e%d", txn.Add(1))
-						r.Header.Set("X-Txn", id)
-						r.Header.Set("X-Lane", "book-trip")
-						r.Header.Set("X-Remaining", "6000m")
-						r.Header.Set("Idempotency-Key", id)
-						after := signalled.Load()
-						late.Store(id, after)
-						res, err := client.Do(r)
-						if err != nil {
-							return // it has gone
-						}
-						io.Copy(io.Discard, res.Body)
-						res.Body.Close()
-						answered.Store(id, res.StatusCode)
-						switch {
-						case res.StatusCode == http.StatusOK:
-							served.Add(1)
-						case res.StatusCode == http.StatusServiceUnavailable, res.StatusCode == http.StatusBadGateway && after:
-						default:
-							t.Errorf("status %d", res.StatusCode)
-						}
-					}
-				})
+				callers.Go(x.book)
 			}
-			for until := time.Now().Add(patience); served.Load() < 100; time.Sleep(time.Millisecond) {
+			for until := time.Now().Add(patience); x.served.Load() < 100; time.Sleep(time.Millisecond) {
 				if time.Now().After(until) {
 					t.Fatal("no bookings")
 				}
 			}
-			signalled.Store(true)
-			p.signal(end)
+			x.signalled.Store(true)
+			p.signal(signal)
 			callers.Wait()
-			mu.Lock()
-			defer mu.Unlock()
-			for id, n := range ran {
-				status, ok := answered.Load(id)
-				after, _ := late.Load(id)
-				if n != 1 || end == syscall.SIGTERM && (!ok || status != http.StatusOK && after != true) {
-					t.Errorf("%s, begun after the signal %v, ran %d times, answered %v", id, after, n, status)
-				}
-			}
-			answered.Range(func(id, status any) bool {
-				want := map[any]int{http.StatusOK: 1, http.StatusServiceUnavailable: 0}
-				if n, ok := want[status]; ok && ran[id.(string)] != n {
-					t.Errorf("%v was answered %v and ran %d times", id, status, ran[id.(string)])
-				}
-				return true
-			})
+			x.check(signal)
 		})
 	}
 }
@@ -369,12 +393,12 @@
 	t.Parallel()
 	came, serve := make(chan bool, 1), make(chan bool)
 	e, err := booking.StartEndpoint("box-0", func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+		drain(r.Body)
 		if strings.Contains(r.Header.Get("X-Txn"), "t") {
 			came <- true
 			<-serve
 		}
-		io.WriteString(w, "ok")
+		write(w, "ok")
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -390,13 +414,33 @@
 	}
 	t.Cleanup(relay.Close)
 	relay.SetFault(udp.Fault{DropReplies: true})
+	dialUnfinished(t, relay.Address(), at)
+	answered := make(chan string, 1)
+	out := p.over(d.caller(nil), at)
+	go func() {
+		status, err := out.book(nil, "trip")
+		answered <- fmt.Sprint(status, err)
+	}()
+	<-came
+	p.signal(syscall.SIGTERM)
+	time.AfterFunc(300*time.Millisecond, func() { close(serve) })
+	if got := <-answered; got != "200<nil>" && got != "200 <nil>" {
+		t.Errorf("what was out: %s", got)
+	}
+	p.checkEnds(5 * time.Second)
+}
+
+// dialUnfinished has callers connect who do not finish: one whose handshake stands still, at deaf, one that says nothing and one
+// that sends half a request.
+func dialUnfinished(t *testing.T, deaf, address string) {
+	t.Helper()
 	conf := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"h3"}}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	var still sync.WaitGroup
 	still.Go(func() {
-		if conn, err := quic.DialAddr(ctx, relay.Address(), conf, nil); err == nil {
+		if conn, err := quic.DialAddr(ctx, deaf, conf, nil); err == nil {
 			t.Error("a deaf caller ended its handshake")
-			conn.CloseWithError(0, "")
+			_ = conn.CloseWithError(0, "")
 		}
 	})
 	t.Cleanup(func() {
@@ -404,41 +448,39 @@
 		still.Wait()
 	})
 	for _, text := range []string{"", "\x01\x40"} {
-		conn, err := quic.DialAddr(ctx, at, conf, &quic.Config{KeepAlivePeriod: 100 * time.Millisecond})
+		conn, err := quic.DialAddr(ctx, address, conf, &quic.Config{KeepAlivePeriod: 100 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { conn.CloseWithError(0, "") })
-		if s, err := conn.OpenStreamSync(ctx); err != nil {
+		t.Cleanup(func() { _ = conn.CloseWithError(0, "") })
+		s, err := conn.OpenStreamSync(ctx)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if text == "" {
+			continue
+		}
+		if _, err := s.Write([]byte(text)); err != nil {
 			t.Fatal(err)
-		} else if text != "" {
-			s.Write([]byte(text))
 		}
 	}
-	answered := make(chan string, 1)
-	out := p.over(d.caller(nil), at)
-	go func() {
-		status, err := out.book(nil, "trip")
-		answered <- fmt.Sprint(status, err)
-	}()
-	<-came
-	p.signal(syscall.SIGTERM)
-	time.AfterFunc(300*time.Millisecond, func() { close(serve) })
-	if got := <-answered; got != "200<nil>" && got != "200 <nil>" {
-		t.Errorf("what was out: %s", got)
-	}
+}
+
+// checkEnds looks whether the program ends by itself, in good order and within a time.
+func (p *process) checkEnds(within time.Duration) {
+	p.t.Helper()
 	ended := make(chan error, 1)
 	began := time.Now()
 	go func() { ended <- p.cmd.Wait() }()
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			p.t.Errorf("it ended with %v", err)
 		}
 	case <-time.After(patience):
-		t.Fatal("it does not end")
+		p.t.Fatal("it does not end")
 	}
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it took %v to end", took)
+	if took := time.Since(began); took > within {
+		p.t.Errorf("it took %v to end", took)
 	}
 }
--- a/cmd/quincegap/main_test.go
+++ b/cmd/quincegap/main_test.go
@@ -33,8 +33,7 @@
 // A configuration that cannot be used is named in one line, and the exit status says that nothing runs.
 func TestBadConfigurationEndsTheProgram(t *testing.T) {
 	for _, config := range []string{"", "/nowhere/config.json"} {
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG="+config)
+		cmd := ownProgram(config)
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
 		err := cmd.Run()
@@ -58,9 +57,10 @@
 }
 
 func startSignalled(t *testing.T) *signalled {
+	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`+"\n")
-		http.NewResponseController(w).Flush()
+		write(w, `{"rev":1,"all":true,"targets":[]}`+"\n")
+		_ = http.NewResponseController(w).Flush()
 		if r.URL.Query().Has("follow") {
 			<-r.Context().Done()
 		}
@@ -75,8 +75,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG="+file)
+	cmd := ownProgram(file)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +83,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended already
 	return &signalled{T: t, cmd: cmd, stderr: stderr, lines: bufio.NewScanner(stderr)}
 }
 
@@ -129,7 +128,7 @@
 func TestSignalsWithoutAReaderOfTheLog(t *testing.T) {
 	s := startSignalled(t)
 	s.says("serving on")
-	s.stderr.Close()
+	closeNow(s.stderr)
 	s.signal(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
 	time.Sleep(300 * time.Millisecond) // it is logged
 	s.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGQUIT, syscall.SIGINT)
--- a/cmd/quincegap/memory_test.go
+++ b/cmd/quincegap/memory_test.go
@@ -2,17 +2,14 @@
 
 import (
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -29,7 +26,7 @@
 
 func (l *ledger) serve(cell int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+		drain(r.Body)
 		key := r.Header.Get("Idempotency-Key")
 		l.mu.Lock()
 		if key == "" {
@@ -40,7 +37,7 @@
 		}
 		l.mu.Unlock()
 		time.Sleep(5 * time.Millisecond) // the work, in the midst of which sidecars die
-		io.WriteString(w, "ok")
+		write(w, "ok")
 	}
 }
 
@@ -57,13 +54,14 @@
 }
 
 // cells starts some cells of some endpoints each.
-func cells(t testing.TB, l *ledger, n, size int) (targets []booking.Target) {
+func cells(tb testing.TB, l *ledger, n, size int) (targets []booking.Target) {
+	tb.Helper()
 	for i := range n * size {
 		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i), l.serve(i/size))
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
-		t.Cleanup(e.Close)
+		tb.Cleanup(e.Close)
 		target := e.Target()
 		target.Cell = i / size
 		targets = append(targets, target)
@@ -89,57 +87,69 @@
 	return status, err
 }
 
+// restarted is a sidecar that is killed and started again and again, and those who book at it.
+type restarted struct {
+	at     atomic.Pointer[process]
+	done   atomic.Bool
+	served atomic.Int64
+}
+
+// book books until done is set: keyed, or unsafe for callers of odd numbers.
+func (r *restarted) book(caller int) {
+	for n := 0; !r.done.Load(); n++ {
+		class, key := "book-trip", fmt.Sprintf("key-%d-%d", caller, n)
+		if caller%2 == 1 {
+			class, key = "pay-trip", ""
+		}
+		r.insist(class, fmt.Sprintf("t-%d-%d", caller, n), key)
+	}
+}
+
+// insist sends a booking again while its connection breaks or it is refused. Of a keyed one each has another id.
+func (r *restarted) insist(class, id, key string) {
+	for try := range 200 {
+		txn := id
+		if key != "" {
+			txn += fmt.Sprint("-", try)
+		}
+		status, err := send(r.at.Load().url, class, txn, key)
+		if err == nil && status != http.StatusServiceUnavailable {
+			if status == http.StatusOK {
+				r.served.Add(1)
+			}
+			return // a failure promises nothing, so an unsafe one is not sent again
+		}
+		if r.done.Load() && err != nil {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
 // killed plays bookings, keyed and unsafe, at a sidecar that is killed and started again and again. Clients whose
 // connection breaks send the same again, as their library or a proxy in front does, and after a refusal too, for
 // that says that it is harmless.
 func killed(t *testing.T, kills int, memory string) (twice, all int) {
+	t.Helper()
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
 	d := listing(t, cells(t, l, 2, 2)...)
 	text := fmt.Sprintf(goodFile, d.Address()) + unsafeClass + memory
-	var at atomic.Pointer[process]
-	at.Store(launch(t, text))
-	var all8 sync.WaitGroup
-	var done atomic.Bool
-	var served atomic.Int64
+	var r restarted
+	r.at.Store(launch(t, text))
+	var callers sync.WaitGroup
 	for c := range 8 {
-		all8.Go(func() {
-			for n := 0; !done.Load(); n++ {
-				class, key := "book-trip", fmt.Sprintf("key-%d-%d", c, n)
-				if c%2 == 1 {
-					class, key = "pay-trip", ""
-				}
-				for try := 0; try < 200; try++ {
-					id := fmt.Sprintf("t-%d-%d", c, n)
-					if key != "" {
-						id += fmt.Sprint("-", try)
-					}
-					status, err := send(at.Load().url, class, id, key)
-					if err == nil && status != http.StatusServiceUnavailable {
-						if status == http.StatusOK {
-							served.Add(1)
-						}
-						break // a failure promises nothing, so an unsafe one is not sent again
-					}
-					if done.Load() && err != nil {
-						break
-					}
-					time.Sleep(5 * time.Millisecond)
-				}
-			}
-		})
+		callers.Go(func() { r.book(c) })
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range kills {
-		for before := served.Load(); served.Load() < before+int64(20+rng.IntN(40)); {
+		for before := r.served.Load(); r.served.Load() < before+int64(20+rng.IntN(40)); {
 			time.Sleep(time.Millisecond)
 		}
-		p := at.Load()
-		p.signal(syscall.SIGKILL)
-		p.cmd.Wait()
-		at.Store(launch(t, text))
+		r.at.Load().crash()
+		r.at.Store(launch(t, text))
 	}
-	done.Store(true)
-	all8.Wait()
+	r.done.Store(true)
+	callers.Wait()
 	return l.twice()
 }
 
@@ -172,8 +182,7 @@
 	if status, err := send(p.url, "book-trip", "a", "a"); err != nil || status != http.StatusOK {
 		t.Fatal(status, err)
 	}
-	p.signal(syscall.SIGKILL)
-	p.cmd.Wait()
+	p.crash()
 	d.Close()
 	p = launch(t, text) // which waits until it is ready
 	if word := "begins with 4 endpoints as they were"; !strings.Contains(p.start, word) {
@@ -210,8 +219,7 @@
 		t.Error("what was refused ran")
 	}
 	// What has run is never refused, whatever the disk does: that would say that a repeat is harmless.
-	p.signal(syscall.SIGKILL)
-	p.cmd.Wait()
+	p.crash()
 	p = launch(t, text)
 	if status, err := send(p.url, "book-trip", "again", "again"); err != nil || status != http.StatusOK {
 		t.Errorf("it goes on: %d, %v", status, err)
@@ -241,8 +249,6 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(os.Args[0], "-config", file)
-	cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG=")
-	out, err := cmd.CombinedOutput()
+	out, err := ownProgram("", "-config", file).CombinedOutput()
 	return string(out), err
 }
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -36,52 +35,69 @@
 			b.Run(fmt.Sprintf("%s/peers=%s", strings.TrimSuffix(rate, "/s"), found), func(b *testing.B) {
 				for range b.N {
 					script := strings.NewReplacer("peers yes", "peers "+found, "700/s", rate).Replace(string(text))
-					var list finding.List
-					m := morning.Read("seven", []byte(script), &list)
-					if m == nil {
-						b.Fatal(list.Err())
-					}
-					dir, begins, events := b.TempDir(), time.Time{}, []audit.Event(nil)
-					r, err := rehearse.Run(context.Background(), m.Plan(0), rehearse.Options{
-						Program: program, Dir: dir,
-						Progress: func(p rehearse.Progress) { begins = time.Now().Add(-p.At) }, Events: func(e []audit.Event) { events = e },
-					})
-					if err != nil {
-						b.Fatal(err)
-					}
-					v := r.Verdict
-					uncalled, longest := 0, 0
-					for _, seconds := range v.AttemptsByServer {
-						run, most := 0, 0
-						for s := 10; s < min(30, len(seconds)); s++ {
-							if run++; seconds[s] > 0 {
-								run = 0
-							}
-							most = max(most, run)
-						}
-						if longest = max(longest, most); most >= 3 {
-							uncalled++
-						}
-					}
-					if found == "yes" {
-						known := lastKnown(b, dir, begins)
-						b.ReportMetric(known.Seconds()-10, "known-s")
-						b.ReportMetric(uncalledAfter(events, len(v.AttemptsByServer), known, 30*time.Second).Seconds(), "uncalled-after-known-s")
-					}
-					b.ReportMetric(100*v.Service, "service-%")
-					b.ReportMetric(100*v.WorstService, "worst10s-%")
-					b.ReportMetric(float64(uncalled), "uncalled")
-					b.ReportMetric(float64(longest), "longest-s")
-					b.ReportMetric(float64(len(v.Breaches)), "breaches")
-					b.ReportMetric(v.MaxLateness.Seconds()*1000, "emulator-late-ms")
+					playSeven(b, program, script, found == "yes")
 				}
 			})
 		}
 	}
 }
 
+// playSeven plays a script, in which sidecars find one another or not, and reports.
+func playSeven(b *testing.B, program, script string, found bool) {
+	b.Helper()
+	var list finding.List
+	m := morning.Read("seven", []byte(script), &list)
+	if m == nil {
+		b.Fatal(list.Err())
+	}
+	dir := b.TempDir()
+	var begins time.Time
+	var events []audit.Event
+	r, err := rehearse.Run(b.Context(), m.Plan(0), rehearse.Options{
+		Program: program, Dir: dir,
+		Progress: func(p rehearse.Progress) { begins = time.Now().Add(-p.At) }, Events: func(e []audit.Event) { events = e },
+	})
+	if err != nil {
+		b.Fatal(err)
+	}
+	v := r.Verdict
+	uncalled, longest := uncalledBoxes(v.AttemptsByServer)
+	if found {
+		known := lastKnown(b, dir, begins)
+		b.ReportMetric(known.Seconds()-10, "known-s")
+		b.ReportMetric(uncalledAfter(events, len(v.AttemptsByServer), known, 30*time.Second).Seconds(), "uncalled-after-known-s")
+	}
+	b.ReportMetric(100*v.Service, "service-%")
+	b.ReportMetric(100*v.WorstService, "worst10s-%")
+	b.ReportMetric(float64(uncalled), "uncalled")
+	b.ReportMetric(float64(longest), "longest-s")
+	b.ReportMetric(float64(len(v.Breaches)), "breaches")
+	b.ReportMetric(v.MaxLateness.Seconds()*1000, "emulator-late-ms")
+}
+
+// uncalledBoxes counts the boxes that nobody called for 3 s or longer while the seven were dead, by their calls a second; longest
+// is how many seconds that was at most.
+func uncalledBoxes(loads [][]int) (uncalled, longest int) {
+	for _, seconds := range loads {
+		run, most := 0, 0
+		for s := 10; s < min(30, len(seconds)); s++ {
+			run++
+			if seconds[s] > 0 {
+				run = 0
+			}
+			most = max(most, run)
+		}
+		longest = max(longest, most)
+		if most >= 3 {
+			uncalled++
+		}
+	}
+	return uncalled, longest
+}
+
 // lastKnown is when the last death of the seven was known to the last sidecar that lived on, by their logs.
 func lastKnown(b *testing.B, dir string, begins time.Time) (known time.Duration) {
+	b.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(logs) == 0 {
 		b.Fatal("no logs", err)
@@ -150,11 +166,7 @@
 				resident := 0.0
 				for _, m := range g.members {
 					used += ticks(b, m.cmd.Process.Pid)
-					status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.cmd.Process.Pid))
-					if err != nil {
-						b.Fatal(err)
-					}
-					resident = max(resident, kilobytes(string(status), "VmRSS:"))
+					resident = max(resident, kilobytes(processStatus(b, m.cmd.Process.Pid), "VmRSS:"))
 				}
 				b.ReportMetric(1000*used/float64(n)/quiet.Seconds(), "cpu-ms/s")
 				b.ReportMetric(resident/1024, "rss-MiB")
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -57,41 +57,41 @@
 // quick are settings by which a test has not to wait for long; with none a bench plays by the defaults.
 const quick = "peers_pace = \"200ms\"\nsettle_after = \"400ms\""
 
-func free(t testing.TB, ip string) string {
-	t.Helper()
+func free(tb testing.TB, ip string) string {
+	tb.Helper()
 	for range 100 {
-		l, err := net.Listen("tcp", ip+":0")
+		l, err := listen(ip + ":0")
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		at := l.Addr().String()
-		l.Close()
-		u, err := net.ListenPacket("udp", at) // a port that is free for TCP may be another test's for UDP
+		closeNow(l)
+		u, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp", at) // a port that is free for TCP may be another test's for UDP
 		if err == nil {
-			u.Close()
+			closeNow(u)
 			return at
 		}
 	}
-	t.Fatalf("no port of %s is free", ip)
+	tb.Fatalf("no port of %s is free", ip)
 	return ""
 }
 
-func newGround(t testing.TB, n int, seed uint64, pace string) *ground {
-	t.Helper()
+func newGround(tb testing.TB, n int, seed uint64, pace string) *ground {
+	tb.Helper()
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
-	g := &ground{t: t, dir: t.TempDir(), net: relay.New(seed), ledger: l, members: make([]*process, n), urls: make([]atomic.Pointer[string], n), began: time.Now()}
-	t.Cleanup(g.net.Close)
-	d := listing(t, cells(t, l, 3, 4)...)
+	g := &ground{t: tb, dir: tb.TempDir(), net: relay.New(seed), ledger: l, members: make([]*process, n), urls: make([]atomic.Pointer[string], n), began: time.Now()}
+	tb.Cleanup(g.net.Close)
+	d := listing(tb, cells(tb, l, 3, 4)...)
 	key := filepath.Join(g.dir, "key")
 	if err := os.WriteFile(key, []byte(base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	var own, fronts []string
 	for i := range n {
-		own = append(own, free(t, fmt.Sprintf("127.0.7.%d", i+1)))
-		fronts = append(fronts, free(t, fmt.Sprintf("127.0.8.%d", i+1)))
+		own = append(own, free(tb, fmt.Sprintf("127.0.7.%d", i+1)))
+		fronts = append(fronts, free(tb, fmt.Sprintf("127.0.8.%d", i+1)))
 		if err := g.net.AddMember(name(i), fronts[i], own[i]); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	for i := range n {
@@ -189,33 +189,7 @@
 				if c%2 == 1 {
 					class, key = "pay-trip", ""
 				}
-				for try := 0; try < 50; try++ {
-					url := g.urls[rng.IntN(len(g.urls))].Load()
-					if url == nil {
-						time.Sleep(time.Millisecond)
-						continue
-					}
-					id := fmt.Sprintf("t-%d-%d", c, k) // of an unsafe one the same, for the ledger goes by it
-					if key != "" {
-						id += fmt.Sprint("-", try)
-					}
-					status, err := post(client, *url, class, id, key, "trip")
-					switch {
-					case err != nil:
-						got.broken.Add(1) // killed under it, or before: nothing is promised
-					case status == http.StatusOK:
-						got.served.Add(1)
-					case status == http.StatusServiceUnavailable:
-						got.refused.Add(1)
-					default:
-						got.failed.Add(1)
-					}
-					if err == nil && status == http.StatusServiceUnavailable {
-						time.Sleep(5 * time.Millisecond)
-						continue
-					}
-					break
-				}
+				g.insist(client, rng, got, class, fmt.Sprintf("t-%d-%d", c, k), key)
 			}
 		})
 	}
@@ -225,6 +199,42 @@
 	}
 }
 
+// insist sends a booking to one that lives, drawn each time, again while it is refused. Of a keyed one each has another id; of an
+// unsafe one the same, for the ledger goes by it.
+func (g *ground) insist(client *http.Client, rng *rand.Rand, got *tally, class, id, key string) {
+	for try := range 50 {
+		url := g.urls[rng.IntN(len(g.urls))].Load()
+		if url == nil {
+			time.Sleep(time.Millisecond)
+			continue
+		}
+		txn := id
+		if key != "" {
+			txn += fmt.Sprint("-", try)
+		}
+		status, err := post(client, *url, class, txn, key, "trip")
+		got.count(status, err)
+		if err != nil || status != http.StatusServiceUnavailable {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// count counts what a caller got.
+func (t *tally) count(status int, err error) {
+	switch {
+	case err != nil:
+		t.broken.Add(1) // killed under it, or before: nothing is promised
+	case status == http.StatusOK:
+		t.served.Add(1)
+	case status == http.StatusServiceUnavailable:
+		t.refused.Add(1)
+	default:
+		t.failed.Add(1)
+	}
+}
+
 func several(n int) (is []int, names []string) {
 	for i := range n {
 		is, names = append(is, i), append(names, name(i))
@@ -333,34 +343,38 @@
 		seeds = 12
 	}
 	for seed := range uint64(seeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			lines := morning.RandomFaults(seed+1, 7, time.Second, 16*time.Second)
-			script := fmt.Sprintf(faultyMorning, strings.Join(lines, "\n"))
-			var found finding.List
-			m := morning.Read("faults", []byte(script), &found)
-			if m == nil {
-				t.Fatalf("%v\n%s", found.Err(), script)
-			}
-			self, err := os.Executable()
-			if err != nil {
-				t.Fatal(err)
-			}
-			r, err := rehearse.Run(context.Background(), m.Plan(seed+1), rehearse.Options{Program: self, Env: []string{"BE_QUINCEGAP=1"}, Dir: t.TempDir()})
-			if err != nil {
-				t.Fatal(err)
-			}
-			if r.DivergentViews != "" {
-				t.Errorf("they are not one in the end:\n%s%s", r.DivergentViews, script)
-			}
-			if b := r.Verdict.Breaches; len(b) > 0 && r.Verdict.VoidReason == "" {
-				t.Errorf("%v\n%s", b, script)
-			}
-			if c := r.Verdict.Crashes; len(c) > 0 {
-				t.Errorf("%v\n%s", c, script)
-			}
-			t.Logf("service %.3f, %d requests, worst memory %d MiB", r.Verdict.Service, r.Verdict.Requests, r.Memory>>20)
-		})
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { rehearseFaults(t, seed+1) })
+	}
+}
+
+// rehearseFaults plays faulty sidecars as a seed draws them.
+func rehearseFaults(t *testing.T, seed uint64) {
+	t.Helper()
+	lines := morning.RandomFaults(seed, 7, time.Second, 16*time.Second)
+	script := fmt.Sprintf(faultyMorning, strings.Join(lines, "\n"))
+	var found finding.List
+	m := morning.Read("faults", []byte(script), &found)
+	if m == nil {
+		t.Fatalf("%v\n%s", found.Err(), script)
+	}
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := rehearse.Run(t.Context(), m.Plan(seed), rehearse.Options{Program: self, Env: []string{"BE_QUINCEGAP=1"}, Dir: t.TempDir()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if r.DivergentViews != "" {
+		t.Errorf("they are not one in the end:\n%s%s", r.DivergentViews, script)
+	}
+	if b := r.Verdict.Breaches; len(b) > 0 && r.Verdict.VoidReason == "" {
+		t.Errorf("%v\n%s", b, script)
+	}
+	if c := r.Verdict.Crashes; len(c) > 0 {
+		t.Errorf("%v\n%s", c, script)
 	}
+	t.Logf("service %.3f, %d requests, worst memory %d MiB", r.Verdict.Service, r.Verdict.Requests, r.Memory>>20)
 }
 
 const faultyMorning = `
--- a/cmd/quincegap/route_bench_test.go
+++ b/cmd/quincegap/route_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net/http"
 	"os"
@@ -47,7 +46,7 @@
 		b.Run(what, func(b *testing.B) {
 			var came atomic.Int64
 			x := routed(b, more, func(w http.ResponseWriter, r *http.Request) {
-				io.Copy(io.Discard, r.Body)
+				drain(r.Body)
 				came.Add(1)
 				serve(w)
 			})
@@ -56,7 +55,7 @@
 			b.ReportMetric(float64(came.Load())/float64(asked), "attempts/request")
 		})
 	}
-	ok := func(w http.ResponseWriter) { io.WriteString(w, "ok") }
+	ok := func(w http.ResponseWriter) { write(w, "ok") }
 	at("cost/without", "", exchangeRate, ok)
 	at("cost/100-routes", many.String(), exchangeRate, ok)
 	slow := func(w http.ResponseWriter) {
@@ -65,7 +64,7 @@
 			d = 200 * time.Millisecond
 		}
 		time.Sleep(d)
-		io.WriteString(w, "ok")
+		write(w, "ok")
 	}
 	at("tail/without", "", 400, slow)
 	at("tail/copies", copies, 400, slow)
@@ -74,7 +73,7 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		io.WriteString(w, "ok")
+		write(w, "ok")
 	}
 	at("storm/without", "", 400, fails)
 	at("storm/budget", "[route.all]\nmatch_path = \"/{rest...}\"\nretry_share = 0.05\nretry_reserve = 5\n", 400, fails)
--- a/cmd/quincegap/route_test.go
+++ b/cmd/quincegap/route_test.go
@@ -11,12 +11,61 @@
 	"time"
 )
 
+// tripsOff is a route that is off.
+const tripsOff = "[route.trips]\nmatch_path = \"/trips/{rest...}\"\nserve = false\n"
+
+// routedCallers book without pause, and count what became of it.
+type routedCallers struct {
+	t               *testing.T
+	p               *process
+	all             sync.WaitGroup
+	done            atomic.Bool
+	served, refused atomic.Int64
+}
+
+// book books until done is set; each booking is served or refused.
+func (c *routedCallers) book() {
+	client := &http.Client{Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	for !c.done.Load() {
+		switch status, err := c.p.book(client, "trip"); {
+		case err != nil:
+			c.t.Error(err)
+			return
+		case status == http.StatusOK:
+			c.served.Add(1)
+		case status == http.StatusServiceUnavailable:
+			c.refused.Add(1)
+		default:
+			c.t.Errorf("status %d", status)
+		}
+	}
+}
+
+// more waits until some more have come to a count.
+func (c *routedCallers) more(n *atomic.Int64) {
+	c.t.Helper()
+	before := n.Load()
+	for end := time.Now().Add(patience); n.Load() < before+5; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) || c.t.Failed() {
+			c.t.Fatal("no more bookings")
+		}
+	}
+}
+
+// take has the program read a file again, and returns what it says of it up to a word.
+func (p *process) take(text, word string) string {
+	p.t.Helper()
+	p.put(text)
+	p.signal(syscall.SIGHUP)
+	return p.said(word)
+}
+
 // Routes come and go by SIGHUP, while callers book without pause: each booking is served or, by a route that is off,
 // refused; a file whose routes are ambiguous changes nothing.
 func TestRoutesBySIGHUP(t *testing.T) {
 	d := site(t, 3)
 	good := fmt.Sprintf(goodFile, d.Address())
-	off := "[route.trips]\nmatch_path = \"/trips/{rest...}\"\nserve = false\n"
 	p := launch(t, good)
 	book := func(want int) {
 		t.Helper()
@@ -24,60 +73,28 @@
 			t.Errorf("%d, %v, wanted %d", status, err, want)
 		}
 	}
-	take := func(text, said string) string {
-		t.Helper()
-		p.put(text)
-		p.signal(syscall.SIGHUP)
-		return p.said(said)
-	}
 	book(http.StatusOK)
-	take(good+off, "reload: discovery is")
+	p.take(good+tripsOff, "reload: discovery is")
 	book(http.StatusServiceUnavailable)
-	if said := take(good+off+"[route.books]\nmatch_classes = \"book-trip\"\n", "the old configuration stays"); !strings.Contains(said, "overlaps with [route.trips]") {
+	said := p.take(good+tripsOff+"[route.books]\nmatch_classes = \"book-trip\"\n", "the old configuration stays")
+	if !strings.Contains(said, "overlaps with [route.trips]") {
 		t.Errorf("said %s", said)
 	}
 	book(http.StatusServiceUnavailable)
-	take(good+"[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"3s\"\nmost_open = 100\n", "reload: discovery is")
+	p.take(good+"[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"3s\"\nmost_open = 100\n", "reload: discovery is")
 	book(http.StatusOK)
 
-	var all sync.WaitGroup
-	var done atomic.Bool
-	var served, refused atomic.Int64
+	callers := &routedCallers{t: t, p: p}
 	for range 4 {
-		all.Go(func() {
-			client := &http.Client{Transport: &http.Transport{}}
-			defer client.CloseIdleConnections()
-			for !done.Load() {
-				switch status, err := p.book(client, "trip"); {
-				case err != nil:
-					t.Error(err)
-					return
-				case status == http.StatusOK:
-					served.Add(1)
-				case status == http.StatusServiceUnavailable:
-					refused.Add(1)
-				default:
-					t.Errorf("status %d", status)
-				}
-			}
-		})
-	}
-	more := func(n *atomic.Int64) { // until some more have come to that
-		t.Helper()
-		before := n.Load()
-		for end := time.Now().Add(patience); n.Load() < before+5; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) || t.Failed() {
-				t.Fatal("no more bookings")
-			}
-		}
+		callers.all.Go(callers.book)
 	}
 	for range 10 {
-		take(good+off, "reload: discovery is")
-		more(&refused)
-		take(good, "reload: discovery is")
-		more(&served)
+		p.take(good+tripsOff, "reload: discovery is")
+		callers.more(&callers.refused)
+		p.take(good, "reload: discovery is")
+		callers.more(&callers.served)
 	}
-	done.Store(true)
-	all.Wait()
+	callers.done.Store(true)
+	callers.all.Wait()
 	book(http.StatusOK)
 }
--- a/cmd/quincegapctl/main.go
+++ b/cmd/quincegapctl/main.go
@@ -1,5 +1,5 @@
-// Command quincegapctl writes and checks the configuration of quincegap's
-// sidecars.
+// Command quincegapctl writes and checks the configuration of the standalone
+// sidecars; see package tool.
 package main
 
 import (
