--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -155,78 +154,94 @@
 	}
 }
 
+// recordAnswer sends a request on a connection of its own and writes what comes, but for the date, under a name. Where the request
+// is cut short the caller closes its side; of any other it would have gone then, and get no answer.
+func (rg *rig) recordAnswer(all *bytes.Buffer, what, request string, cutShort bool) {
+	rg.t.Helper()
+	c := rg.dial()
+	if _, err := io.WriteString(c, request); err != nil {
+		rg.t.Fatal(err)
+	}
+	if cutShort {
+		if err := c.CloseWrite(); err != nil {
+			rg.t.Fatal(err)
+		}
+	}
+	fmt.Fprintf(all, "--- %s\n", what)
+	body := make([]byte, rg.recordHeaders(all, what, c.reader))
+	if _, err := io.ReadFull(c.reader, body); err != nil {
+		rg.t.Fatalf("%s: %v", what, err)
+	}
+	all.Write(body)
+	if !bytes.HasSuffix(all.Bytes(), []byte("\n")) {
+		all.WriteByte('\n')
+	}
+}
+
+// recordHeaders writes an answer's status and headers, but for the date, and returns the length of its body.
+func (rg *rig) recordHeaders(all *bytes.Buffer, what string, reader *bufio.Reader) (length int) {
+	rg.t.Helper()
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			rg.t.Fatalf("%s: %v", what, err)
+		}
+		line = strings.TrimRight(line, "\r\n")
+		if text, ok := strings.CutPrefix(line, "Content-Length: "); ok {
+			if length, err = strconv.Atoi(text); err != nil {
+				rg.t.Fatalf("%s: %v", what, err)
+			}
+		}
+		if !strings.HasPrefix(line, "Date: ") {
+			all.WriteString(line + "\n")
+		}
+		if line == "" {
+			return length
+		}
+	}
+}
+
+// recordedHead are the headers of a request that nothing is wrong with.
+const recordedHead = "Host: h\r\nX-Txn: txn1\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
+
+// headWithout is recordedHead without a header.
+func headWithout(name string) string {
+	var kept strings.Builder
+	for line := range strings.Lines(recordedHead) {
+		if !strings.HasPrefix(line, name+":") {
+			kept.WriteString(line)
+		}
+	}
+	return kept.String()
+}
+
 // What the front answers by itself, byte by byte but for the date: when it is ready, and to requests that go nowhere.
 func TestGoldenRecordedAnswers(t *testing.T) {
 	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+		drain(r.Body)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
-	const head = "Host: h\r\nX-Txn: txn1\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 	post := func(headers string) string { return "POST /api HTTP/1.1\r\n" + headers + "Content-Length: 0\r\n\r\n" }
 	var all bytes.Buffer
 	ask := func(what, request string) {
 		t.Helper()
-		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, request)
-		if what == "cut short" { // a client that closes its side of any other has gone, and gets no answer
-			c.(*net.TCPConn).CloseWrite()
-		}
-		fmt.Fprintf(&all, "--- %s\n", what)
-		reader, length := bufio.NewReader(c), 0
-		for {
-			line, err := reader.ReadString('\n')
-			if err != nil {
-				t.Fatalf("%s: %v", what, err)
-			}
-			line = strings.TrimRight(line, "\r\n")
-			if text, ok := strings.CutPrefix(line, "Content-Length: "); ok {
-				length, _ = strconv.Atoi(text)
-			}
-			if !strings.HasPrefix(line, "Date: ") {
-				all.WriteString(line + "\n")
-			}
-			if line == "" {
-				break
-			}
-		}
-		body := make([]byte, length)
-		if _, err := io.ReadFull(reader, body); err != nil {
-			t.Fatalf("%s: %v", what, err)
-		}
-		all.Write(body)
-		if !bytes.HasSuffix(all.Bytes(), []byte("\n")) {
-			all.WriteByte('\n')
-		}
-	}
-	without := func(name string) string {
-		var kept strings.Builder
-		for line := range strings.Lines(head) {
-			if !strings.HasPrefix(line, name+":") {
-				kept.WriteString(line)
-			}
-		}
-		return kept.String()
+		rg.recordAnswer(&all, what, request, what == "cut short")
 	}
-	with := func(name, value string) string { return without(name) + name + ": " + value + "\r\n" }
+	const head = recordedHead
 	ask("ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	ask("chunked", "POST /api HTTP/1.1\r\n"+head+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	ask("too large", "POST /api HTTP/1.1\r\n"+head+"Content-Length: 65537\r\n\r\n")
 	ask("cut short", "POST /api HTTP/1.1\r\n"+head+"Content-Length: 10\r\n\r\n123")
 	ask("of another host", strings.Replace(post(head), "/api", "http://other/api", 1))
 	ask("repeated", post(head+"X-Lane: read\r\n"))
-	ask("no id", post(without("X-Txn")))
-	ask("no class", post(without("X-Lane")))
-	ask("no time", post(without("X-Remaining")))
-	ask("no key", post(without("Idempotency-Key")))
+	ask("no id", post(headWithout("X-Txn")))
+	ask("no class", post(headWithout("X-Lane")))
+	ask("no time", post(headWithout("X-Remaining")))
+	ask("no key", post(headWithout("Idempotency-Key")))
 	ask("another method", strings.Replace(post(head), "POST", "PUT", 1))
 	ask("GET of a class that is not safe", strings.Replace(post(head), "POST", "GET", 1))
 	ask("no HTTP", "hello\r\n\r\n")
-	ask("no time left", post(with("X-Remaining", "0m")+"Connection: close\r\n"))
+	ask("no time left", post(headWithout("X-Remaining")+"X-Remaining: 0m\r\n"+"Connection: close\r\n"))
 	ask("the endpoint failed", post(head))
 	rg.server.loop.ready.Store(false)
 	ask("not ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
