--- a/internal/modules/route/check_test.go
+++ b/internal/modules/route/check_test.go
@@ -37,7 +37,7 @@
 
 var whole = schema.New(append(appfile.Tables(), route.Rules.Table)...)
 
-// read decodes a file.
+// isCompiled decodes a file.
 func read(text string) (*schema.File, string) {
 	var found finding.List
 	d := doc.ReadTOML([]byte(text), 8<<20, found.ForFile("f"))
@@ -191,7 +191,7 @@
 func TestMostRoutes(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(base)
-	for i := range route.MostRoutes {
+	for i := range route.MaxRoutes {
 		fmt.Fprintf(&b, "[route.r%d]\nmatch_path = \"/svc%d/{id}\"\n", i, i)
 	}
 	f, fault := read(b.String())
@@ -199,7 +199,7 @@
 		t.Fatal(fault)
 	}
 	table := route.Compile(f)
-	for _, i := range []int{0, 17, route.MostRoutes - 1} {
+	for _, i := range []int{0, 17, route.MaxRoutes - 1} {
 		if r, ok := table.Find(&route.Request{Path: fmt.Sprintf("/svc%d/8", i)}); !ok || r == nil || r.Name != fmt.Sprint("r", i) {
 			t.Errorf("%d: %v", i, r)
 		}
--- a/internal/modules/route/explain.go
+++ b/internal/modules/route/explain.go
@@ -18,13 +18,13 @@
 func (t *Table) Explain(q *Request) (all []Reason) {
 	best, _ := t.Find(q)
 	for _, r := range t.Routes {
-		switch why := r.pattern.misses(q); {
+		switch why := r.pattern.mismatch(q); {
 		case r == best:
 			all = append(all, Reason{r, true, "taken"})
 		case why != "":
 			all = append(all, Reason{r, false, why})
 		case best == nil:
-			all = append(all, Reason{r, false, "the path goes nowhere: " + OddPath(q.Path)})
+			all = append(all, Reason{r, false, "the path goes nowhere: " + AmbiguousPath(q.Path)})
 		default:
 			all = append(all, Reason{r, false, "matches too; " + best.Name + " is more specific"})
 		}
@@ -32,8 +32,8 @@
 	return all
 }
 
-// misses is what of a pattern a request does not match first, or "".
-func (p *Pattern) misses(q *Request) string {
+// mismatch is what of a pattern a request does not match first, or "".
+func (p *Pattern) mismatch(q *Request) string {
 	var room [256]byte
 	host := string(hostName(q.Host, room[:0]))
 	if p.host != "" && p.host != host && !(strings.HasPrefix(p.host, "*") && strings.HasSuffix(host, p.host[1:])) {
--- a/internal/modules/route/golden_test.go
+++ b/internal/modules/route/golden_test.go
@@ -15,7 +15,7 @@
 func TestGoldenTexts(t *testing.T) {
 	var all strings.Builder
 	d := draws{rand.New(rand.NewPCG(4, 2))}
-	var words []Words
+	var words []PatternText
 	for range 12 {
 		words = append(words, d.words())
 	}
@@ -34,26 +34,26 @@
 	for i, r := range table.Routes {
 		for _, o := range table.Routes[:i] {
 			if r.pattern.compare(o.pattern) != disjoint {
-				all.WriteString(common(r.pattern, o.pattern) + "\n")
+				all.WriteString(exampleRequest(r.pattern, o.pattern) + "\n")
 			}
 		}
 	}
 	bits, fault := readOutcomes("late, turned-away")
-	s := &Settings{outcomes: bits, Pause: 20 * time.Millisecond, CopyAfter: 0.95, CopyShare: 0.05}
-	fmt.Fprintf(&all, "%s %q %v %v\n", s.Outcomes(), fault, s.Allows(balancer.StatusTimeout), s.Allows(balancer.StatusError))
+	s := &Settings{retryable: bits, RetryBackoff: 20 * time.Millisecond, HedgeQuantile: 0.95, HedgeShare: 0.05}
+	fmt.Fprintf(&all, "%s %q %v %v\n", s.RetryOutcomes(), fault, s.AllowsRetry(balancer.StatusTimeout), s.AllowsRetry(balancer.StatusError))
 	for attempt := range 14 {
-		fmt.Fprintf(&all, "%v ", s.PauseAfter(attempt, 0.25))
+		fmt.Fprintf(&all, "%v ", s.Backoff(attempt, 0.25))
 	}
 	r := &Route{Settings: s, State: &State{}}
 	for i := range 5000 {
-		r.Took(time.Duration(i%977) * 100 * time.Microsecond)
-		r.asked()
+		r.RecordLatency(time.Duration(i%977) * 100 * time.Microsecond)
+		r.earnHedge()
 	}
-	after, ok := r.CopyAfter()
+	after, ok := r.HedgeDelay()
 	made := 0
-	for r.Copy() {
+	for r.TakeHedge() {
 		made++
 	}
-	fmt.Fprintf(&all, "\n%v %v %d %d\n", after, ok, made, r.State.Copies)
+	fmt.Fprintf(&all, "\n%v %v %d %d\n", after, ok, made, r.State.Hedges)
 	golden.Text(t, "texts.txt", []byte(all.String()))
 }
--- a/internal/modules/route/index.go
+++ b/internal/modules/route/index.go
@@ -31,43 +31,43 @@
 
 // Table finds the route of a request. It does not change.
 type Table struct {
-	Routes []*Route // in the order of the file
-	hosts  map[string]*node
-	under  map[string]*node // of "*.x", by x
-	any    *node
-	odd    bool // some route asks for a path
+	Routes      []*Route // in the order of the file
+	hosts       map[string]*node
+	subdomains  map[string]*node // of "*.x", by x
+	anyHost     *node
+	checksPaths bool // some route asks for a path
 }
 
 // node is a place in paths.
 type node struct {
-	texts map[string]*node
-	any   *node
-	here  *leaf // of patterns that end here,
-	rest  *leaf // and of those that go on
-	top   int   // the deepest route at it or below
+	children map[string]*node
+	wildcard *node
+	exact    *leaf // of patterns that end here,
+	rest     *leaf // and of those that go on
+	maxDepth int   // the deepest route at it or below
 }
 
 // leaf has the routes of one host and path, by what else they ask for.
 type leaf struct {
-	routes map[words][]*Route // the deepest first
-	asks   [8]bool            // by which of the words some route asks for
-	top    int
+	routes   map[criteria][]*Route // the deepest first
+	used     [8]bool               // by which of the words some route asks for
+	maxDepth int
 }
 
-// words are a method, a class and a tenant; "" for any.
-type words struct{ method, class, tenant string }
+// criteria are a method, a class and a tenant; "" for any.
+type criteria struct{ method, class, tenant string }
 
 // newTable compiles routes; they must not clash.
 func newTable(routes []*Route) *Table {
-	t := &Table{Routes: routes, hosts: map[string]*node{}, under: map[string]*node{}}
+	t := &Table{Routes: routes, hosts: map[string]*node{}, subdomains: map[string]*node{}}
 	// With the widest first, a route's depth is one more than the greatest of those that are wider than it. A route
 	// that asks for more is never wider, so ordering by how much is asked is enough.
 	order := slices.Clone(routes)
-	slices.SortStableFunc(order, func(a, b *Route) int { return a.pattern.asked() - b.pattern.asked() })
-	var before shelf[*Route]
+	slices.SortStableFunc(order, func(a, b *Route) int { return a.pattern.specificity() - b.pattern.specificity() })
+	var before prefixIndex[*Route]
 	for _, r := range order {
 		r.depth = 1
-		for w := range before.near(r.pattern) {
+		for w := range before.candidates(r.pattern) {
 			if w.depth >= r.depth && r.pattern.compare(w.pattern) == narrower {
 				r.depth = w.depth + 1
 			}
@@ -80,8 +80,8 @@
 	return t
 }
 
-// asked is more for a pattern than for any that is wider than it.
-func (p *Pattern) asked() (n int) {
+// specificity is more for a pattern than for any that is wider than it.
+func (p *Pattern) specificity() (n int) {
 	switch {
 	case strings.HasPrefix(p.host, "*"):
 		n += 1 + len(p.host)
@@ -98,7 +98,7 @@
 	}
 	for _, set := range [][]string{p.methods, p.classes, p.tenants} {
 		if len(set) > 0 {
-			n += mostWords + 1 - len(set)
+			n += maxWords + 1 - len(set)
 		}
 	}
 	for _, c := range p.headers {
@@ -114,40 +114,40 @@
 	var n *node
 	switch name, under := strings.CutPrefix(p.host, "*."); {
 	case p.host == "":
-		if t.any == nil {
-			t.any = &node{}
+		if t.anyHost == nil {
+			t.anyHost = &node{}
 		}
-		n = t.any
+		n = t.anyHost
 	case under:
-		n = child(t.under, name)
+		n = child(t.subdomains, name)
 	default:
 		n = child(t.hosts, name)
 	}
 	if !p.rest || len(p.segments) > 0 {
-		t.odd = true
+		t.checksPaths = true
 	}
-	n.top = max(n.top, r.depth)
+	n.maxDepth = max(n.maxDepth, r.depth)
 	for _, s := range p.segments {
 		switch {
-		case s.any && n.any == nil:
-			n.any = &node{}
+		case s.any && n.wildcard == nil:
+			n.wildcard = &node{}
 			fallthrough
 		case s.any:
-			n = n.any
+			n = n.wildcard
 		default:
-			if n.texts == nil {
-				n.texts = map[string]*node{}
+			if n.children == nil {
+				n.children = map[string]*node{}
 			}
-			n = child(n.texts, s.text)
+			n = child(n.children, s.text)
 		}
-		n.top = max(n.top, r.depth)
+		n.maxDepth = max(n.maxDepth, r.depth)
 	}
-	at := &n.here
+	at := &n.exact
 	if p.rest {
 		at = &n.rest
 	}
 	if *at == nil {
-		*at = &leaf{routes: map[words][]*Route{}}
+		*at = &leaf{routes: map[criteria][]*Route{}}
 	}
 	(*at).add(r)
 }
@@ -173,11 +173,11 @@
 			asks |= 1 << i
 		}
 	}
-	l.asks[asks], l.top = true, max(l.top, r.depth)
+	l.used[asks], l.maxDepth = true, max(l.maxDepth, r.depth)
 	for _, m := range or(p.methods) {
 		for _, c := range or(p.classes) {
 			for _, t := range or(p.tenants) {
-				k := words{m, c, t}
+				k := criteria{m, c, t}
 				l.routes[k] = append(l.routes[k], r)
 				slices.SortStableFunc(l.routes[k], func(a, b *Route) int { return b.depth - a.depth })
 			}
@@ -191,12 +191,12 @@
 	if t == nil || len(t.Routes) == 0 {
 		return nil, true
 	}
-	if t.odd && OddPath(q.Path) != "" {
+	if t.checksPaths && AmbiguousPath(q.Path) != "" {
 		return nil, false
 	}
-	s := search{q: q}
+	s := search{request: q}
 	path := strings.TrimSuffix(strings.TrimPrefix(q.Path, "/"), "/")
-	if len(t.hosts) > 0 || len(t.under) > 0 {
+	if len(t.hosts) > 0 || len(t.subdomains) > 0 {
 		var room [256]byte
 		host := hostName(q.Host, room[:0])
 		if n := t.hosts[string(host)]; n != nil {
@@ -204,14 +204,14 @@
 		}
 		for i := range host {
 			if host[i] == '.' {
-				if n := t.under[string(host[i+1:])]; n != nil {
+				if n := t.subdomains[string(host[i+1:])]; n != nil {
 					s.walk(n, path, path == "")
 				}
 			}
 		}
 	}
-	if t.any != nil {
-		s.walk(t.any, path, path == "")
+	if t.anyHost != nil {
+		s.walk(t.anyHost, path, path == "")
 	}
 	return s.best, true
 }
@@ -241,67 +241,67 @@
 // search looks for the deepest route that matches: of those that match one request each is wider or narrower than
 // each other, so the deepest is the narrowest.
 type search struct {
-	q    *Request
-	best *Route
-	room [mostSegment]byte
+	request *Request
+	best    *Route
+	room    [maxSegmentBytes]byte
 }
 
-func (s *search) better(top int) bool { return s.best == nil || top > s.best.depth }
+func (s *search) canImprove(top int) bool { return s.best == nil || top > s.best.depth }
 
 // walk looks at a node with the segments that are left; end says that there are none.
 func (s *search) walk(n *node, path string, end bool) {
-	if !s.better(n.top) {
+	if !s.canImprove(n.maxDepth) {
 		return
 	}
 	if n.rest != nil {
-		s.look(n.rest)
+		s.visit(n.rest)
 	}
 	if end {
-		if n.here != nil {
-			s.look(n.here)
+		if n.exact != nil {
+			s.visit(n.exact)
 		}
 		return
 	}
 	text, left, more := strings.Cut(path, "/")
-	if len(n.texts) > 0 {
+	if len(n.children) > 0 {
 		var next *node
 		if strings.IndexByte(text, '%') < 0 {
-			next = n.texts[text]
+			next = n.children[text]
 		} else if b, ok := unescape(text, s.room[:0]); ok {
-			next = n.texts[string(b)]
+			next = n.children[string(b)]
 		}
 		if next != nil {
 			s.walk(next, left, !more)
 		}
 	}
-	if n.any != nil {
-		s.walk(n.any, left, !more)
+	if n.wildcard != nil {
+		s.walk(n.wildcard, left, !more)
 	}
 }
 
-func (s *search) look(l *leaf) {
-	if !s.better(l.top) {
+func (s *search) visit(l *leaf) {
+	if !s.canImprove(l.maxDepth) {
 		return
 	}
-	for asks, some := range l.asks {
+	for asks, some := range l.used {
 		if !some {
 			continue
 		}
-		var k words
+		var k criteria
 		if asks&1 > 0 {
-			k.method = s.q.Method
+			k.method = s.request.Method
 		}
 		if asks&2 > 0 {
-			k.class = s.q.Class
+			k.class = s.request.Class
 		}
 		if asks&4 > 0 {
-			k.tenant = s.q.Tenant
+			k.tenant = s.request.Tenant
 		}
 		for _, r := range l.routes[k] {
-			if !s.better(r.depth) {
+			if !s.canImprove(r.depth) {
 				break
 			}
-			if r.pattern.hasHeaders(s.q.Header) {
+			if r.pattern.hasHeaders(s.request.Header) {
 				s.best = r
 				break
 			}
@@ -321,16 +321,16 @@
 	return true
 }
 
-// OddPath says why two readers may take an escaped path for different ones, or "". Such a path would be matched by one
+// AmbiguousPath says why two readers may take an escaped path for different ones, or "". Such a path would be matched by one
 // route here and served as that of another behind.
-func OddPath(path string) string {
+func AmbiguousPath(path string) string {
 	if path == "" || path[0] != '/' {
 		return "it does not begin with /"
 	}
 	from := 1 // of the segment
 	for i := 1; i <= len(path); i++ {
 		if i == len(path) || path[i] == '/' {
-			if text := oddSegment(path[from:i], i == len(path)); text != "" {
+			if text := ambiguousSegment(path[from:i], i == len(path)); text != "" {
 				return text
 			}
 			from = i + 1
@@ -339,7 +339,7 @@
 	return ""
 }
 
-func oddSegment(s string, last bool) string {
+func ambiguousSegment(s string, last bool) string {
 	if s == "" && !last {
 		return "it has // in it"
 	}
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -97,14 +97,14 @@
 		w.t.Fatalf("%s is sent %d times, the site allows %d", id, c.attempts, w.site)
 	}
 	if r := c.tally; r != nil {
-		if set := r.Settings; set.Attempts > 0 && c.attempts > set.Attempts {
-			w.t.Fatalf("%s is sent %d times, its route allows %d", id, c.attempts, set.Attempts)
+		if set := r.Settings; set.MaxAttempts > 0 && c.attempts > set.MaxAttempts {
+			w.t.Fatalf("%s is sent %d times, its route allows %d", id, c.attempts, set.MaxAttempts)
 		}
-		if set := r.Settings; set.Attempt > 0 && (timeout <= 0 && c.deadline-w.now > set.Attempt || timeout > set.Attempt) {
-			w.t.Fatalf("%s: an attempt of %v, its route allows %v", id, timeout, set.Attempt)
+		if set := r.Settings; set.AttemptTimeout > 0 && (timeout <= 0 && c.deadline-w.now > set.AttemptTimeout || timeout > set.AttemptTimeout) {
+			w.t.Fatalf("%s: an attempt of %v, its route allows %v", id, timeout, set.AttemptTimeout)
 		}
 		if c.attempts > 1 {
-			if r.again++; r.Settings.Again >= 0 && float64(r.again) > float64(r.Settings.Reserve)+r.Settings.Again*float64(r.answered)+1e-6 {
+			if r.again++; r.Settings.RetryShare >= 0 && float64(r.again) > float64(r.Settings.RetryReserve)+r.Settings.RetryShare*float64(r.answered)+1e-6 {
 				w.t.Fatalf("route %s: %d further attempts after %d answers", r.Name, r.again, r.answered)
 			}
 		}
@@ -133,13 +133,13 @@
 	}
 	last, pause := false, time.Duration(0)
 	if c.tally != nil && !c.final && status != balancer.StatusOK {
-		if allowed := c.tally.Settings.Allows(status); allowed {
-			c.credit = c.credit || c.tally.Repeat()
+		if allowed := c.tally.Settings.AllowsRetry(status); allowed {
+			c.credit = c.credit || c.tally.TakeRetry()
 		} else {
 			c.over = true
 		}
 		last = !c.credit
-		pause = c.tally.Settings.PauseAfter(c.attempts, w.rng.Float64())
+		pause = c.tally.Settings.Backoff(c.attempts, w.rng.Float64())
 		c.rests = w.now + pause
 	}
 	final := c.final
@@ -169,10 +169,10 @@
 	}
 	delete(w.open, id)
 	if c.credit {
-		c.tally.Unused()
+		c.tally.ReturnRetry()
 	}
 	if c.tally != nil {
-		c.tally.Leave()
+		c.tally.Done()
 		c.tally.open--
 	}
 }
@@ -222,17 +222,17 @@
 			x = &tally{Route: r}
 			w.routes[r.Name] = x
 		}
-		full := r.Settings.Open > 0 && x.open >= r.Settings.Open
-		if entered := r.Enter(); entered == (full || !r.Settings.Serve) {
+		full := r.Settings.MaxOpen > 0 && x.open >= r.Settings.MaxOpen
+		if entered := r.Admit(); entered == (full || !r.Settings.Serve) {
 			w.t.Fatalf("route %s: %d in, entered %v", r.Name, x.open, entered)
 		} else if !entered {
 			return false
 		}
 		x.open++
 		c.tally = x
-		q.MaxAttempts, q.AttemptTimeout, q.ValueFactor = r.Settings.Attempts, r.Settings.Attempt, r.Settings.Worth
-		if r.Settings.Time > 0 {
-			q.TimeLeft = min(q.TimeLeft, r.Settings.Time)
+		q.MaxAttempts, q.AttemptTimeout, q.ValueFactor = r.Settings.MaxAttempts, r.Settings.AttemptTimeout, r.Settings.Value
+		if r.Settings.Timeout > 0 {
+			q.TimeLeft = min(q.TimeLeft, r.Settings.Timeout)
 		}
 	}
 	c.deadline = w.now + q.TimeLeft
--- a/internal/modules/route/pattern.go
+++ b/internal/modules/route/pattern.go
@@ -20,9 +20,9 @@
 
 // The bounds of a pattern.
 const (
-	MostSegments = 32
-	mostSegment  = 256 // bytes of a segment
-	mostWords    = 64  // methods, classes, tenants or headers
+	MaxSegments     = 32
+	maxSegmentBytes = 256 // bytes of a segment
+	maxWords        = 64  // methods, classes, tenants or headers
 )
 
 // Pattern is what a route matches. The zero value matches everything.
@@ -48,8 +48,8 @@
 	value string // "" for any
 }
 
-// Words are a pattern as a file has it; an empty one is any.
-type Words struct {
+// PatternText are a pattern as a file has it; an empty one is any.
+type PatternText struct {
 	Host    string // "x.example.org", or "*.example.org"
 	Path    string // "/a/b", "/a/{x}", "/a/{rest...}"
 	Methods string // with commas between
@@ -62,7 +62,7 @@
 type fault struct{ key, text string }
 
 // newPattern reads words.
-func newPattern(w Words) (p *Pattern, faults []fault) {
+func newPattern(w PatternText) (p *Pattern, faults []fault) {
 	p = &Pattern{}
 	bad := func(key, format string, args ...any) {
 		faults = append(faults, fault{key, fmt.Sprintf(format, args...)})
@@ -123,8 +123,8 @@
 		return nil, false, ""
 	}
 	parts := strings.Split(path[1:], "/")
-	if len(parts) > MostSegments {
-		return nil, false, fmt.Sprintf("has more than %d segments", MostSegments)
+	if len(parts) > MaxSegments {
+		return nil, false, fmt.Sprintf("has more than %d segments", MaxSegments)
 	}
 	names := map[string]bool{}
 	for i, part := range parts {
@@ -155,8 +155,8 @@
 			return nil, false, "ends in /: write it without (it matches both), or end it in /{rest...}"
 		case part == "" || part == "." || part == "..":
 			return nil, false, fmt.Sprintf("has the segment %q, which no path that is routed has", part)
-		case len(part) > mostSegment:
-			return nil, false, fmt.Sprintf("has a segment of more than %d bytes", mostSegment)
+		case len(part) > maxSegmentBytes:
+			return nil, false, fmt.Sprintf("has a segment of more than %d bytes", maxSegmentBytes)
 		case strings.ContainsAny(part, "{}*?#%\\") || strings.ContainsFunc(part, func(r rune) bool { return r <= ' ' || r == 0x7f }):
 			return nil, false, fmt.Sprintf("%q: write characters as they are, not escaped; { } * ? # %% and \\ cannot be in it", part)
 		}
@@ -178,8 +178,8 @@
 		}
 		words = append(words, part)
 	}
-	if len(words) > mostWords {
-		return nil, fmt.Sprintf("has more than %d words", mostWords)
+	if len(words) > maxWords {
+		return nil, fmt.Sprintf("has more than %d words", maxWords)
 	}
 	slices.Sort(words)
 	return words, ""
@@ -343,8 +343,8 @@
 	return r
 }
 
-// first is the text that a path of the pattern begins with; false where it can begin with any.
-func (p *Pattern) first() (text string, ok bool) {
+// firstSegment is the text that a path of the pattern begins with; false where it can begin with any.
+func (p *Pattern) firstSegment() (text string, ok bool) {
 	switch {
 	case len(p.segments) > 0:
 		return p.segments[0].text, !p.segments[0].any
@@ -354,15 +354,15 @@
 	return "/", true
 }
 
-// shelf holds things by what the paths of their patterns begin with, so that those that have nothing in common are not
+// prefixIndex holds things by what the paths of their patterns begin with, so that those that have nothing in common are not
 // compared.
-type shelf[T any] struct {
+type prefixIndex[T any] struct {
 	texts map[string][]T
 	wild  []T
 }
 
-func (s *shelf[T]) add(p *Pattern, x T) {
-	if text, ok := p.first(); ok {
+func (s *prefixIndex[T]) add(p *Pattern, x T) {
+	if text, ok := p.firstSegment(); ok {
 		if s.texts == nil {
 			s.texts = map[string][]T{}
 		}
@@ -372,15 +372,15 @@
 	}
 }
 
-// near gives those that a pattern may have requests in common with, and all that may be wider.
-func (s *shelf[T]) near(p *Pattern) iter.Seq[T] {
+// candidates gives those that a pattern may have requests in common with, and all that may be wider.
+func (s *prefixIndex[T]) candidates(p *Pattern) iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for _, x := range s.wild {
 			if !yield(x) {
 				return
 			}
 		}
-		text, ok := p.first()
+		text, ok := p.firstSegment()
 		if ok {
 			for _, x := range s.texts[text] {
 				if !yield(x) {
@@ -399,8 +399,8 @@
 	}
 }
 
-// common is a request, in words, that both patterns match; they must not be disjoint.
-func common(p, q *Pattern) string {
+// exampleRequest is a request, in words, that both patterns match; they must not be disjoint.
+func exampleRequest(p, q *Pattern) string {
 	one := func(a, b []string, preset string) string {
 		switch {
 		case len(a) > 0 && len(b) > 0:
--- a/internal/modules/route/route_test.go
+++ b/internal/modules/route/route_test.go
@@ -8,7 +8,7 @@
 )
 
 // routesOf makes routes, numbered in their order; those that clash with one before are left out.
-func routesOf(t testing.TB, all ...Words) (routes []*Route) {
+func routesOf(t testing.TB, all ...PatternText) (routes []*Route) {
 	t.Helper()
 next:
 	for i, w := range all {
@@ -28,7 +28,7 @@
 
 // The most specific route is taken, whatever its place in the file, and paths that are written otherwise take the same.
 func TestMostSpecific(t *testing.T) {
-	all := []Words{
+	all := []PatternText{
 		{},
 		{Path: "/{rest...}", Classes: "book-trip"},
 		{Path: "/trips/{rest...}"},
@@ -45,7 +45,7 @@
 	}
 	for seed := range uint64(20) {
 		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(all))
-		shuffled := make([]Words, len(all))
+		shuffled := make([]PatternText, len(all))
 		for i, at := range order {
 			shuffled[at] = all[i]
 		}
@@ -76,7 +76,7 @@
 			{[]int{0, 12}, Request{Path: "/süd/1"}, 12},
 			{[]int{0, 1}, Request{Path: "/x", Class: "book-trip"}, 1},
 		} {
-			var use []Words
+			var use []PatternText
 			for _, i := range order {
 				for _, u := range c.use {
 					if u == i {
@@ -109,7 +109,7 @@
 
 // What two readers may take for different paths goes nowhere; what is merely written otherwise does.
 func TestOddPaths(t *testing.T) {
-	table := newTable(routesOf(t, Words{Path: "/{rest...}"}, Words{Path: "/pay/{id}"}))
+	table := newTable(routesOf(t, PatternText{Path: "/{rest...}"}, PatternText{Path: "/pay/{id}"}))
 	for _, path := range []string{
 		"", "pay/1", "//pay/1", "/pay//1", "/pay/1//", "/./pay/1", "/x/../pay/1", "/x/%2e%2e/pay/1", "/x/.%2E/pay/1", "/%2e/pay",
 		"/pay%2F1", "/pay%2f1", "/pay%5c1", "/pay\\1", "/pay/%", "/pay/%1", "/pay/%zz", "/pay/%00", "/pay/%0a", "/pay/1#x", "/pay/%252e", "/pay/..", "/..",
@@ -124,7 +124,7 @@
 		}
 	}
 	// Where no route asks for a path, none is refused for its.
-	table = newTable(routesOf(t, Words{Classes: "a"}))
+	table = newTable(routesOf(t, PatternText{Classes: "a"}))
 	if r, ok := table.Find(&Request{Path: "//x/..", Class: "a"}); !ok || r == nil {
 		t.Error("a path was looked at that no route asks for")
 	}
@@ -159,8 +159,8 @@
 	return strings.Join(set, ",")
 }
 
-func (d draws) words() Words {
-	return Words{
+func (d draws) words() PatternText {
+	return PatternText{
 		Host: []string{"", "", "", "a.org", "*.org", "*.a.org", "b.a.org"}[d.IntN(7)], Path: d.path([]string{"a", "b", "c"}, 3, true),
 		Methods: d.some("GET", "POST"), Classes: d.some("x", "y", "z"), Tenants: d.some("n", "s"), Headers: d.some("A: 1", "B", "C: 2"),
 	}
@@ -210,7 +210,7 @@
 	found, deep := 0, 0
 	for seed := range uint64(300) {
 		d := draws{rand.New(rand.NewPCG(seed, 2))}
-		var all []Words
+		var all []PatternText
 		for range 40 {
 			all = append(all, d.words())
 		}
@@ -261,7 +261,7 @@
 				}
 			}
 			if rel != disjoint {
-				if text := common(p, o); !strings.Contains(text, " http://") {
+				if text := exampleRequest(p, o); !strings.Contains(text, " http://") {
 					t.Fatal(text)
 				}
 			}
@@ -274,39 +274,39 @@
 
 // A route's limits: what is turned away, what may go out again, and that a reload leaves them as they stand.
 func TestLimits(t *testing.T) {
-	r := &Route{Settings: &Settings{Serve: true, Open: 2, Again: 0.5, Reserve: 2}, State: &State{}}
+	r := &Route{Settings: &Settings{Serve: true, MaxOpen: 2, RetryShare: 0.5, RetryReserve: 2}, State: &State{}}
 	for i := range 3 {
-		if got := r.Enter(); got != (i < 2) {
+		if got := r.Admit(); got != (i < 2) {
 			t.Errorf("two may come in, and no third: the %dth %v", i+1, got)
 		}
 	}
-	if r.Leave(); !r.Enter() {
+	if r.Done(); !r.Admit() {
 		t.Error("one has left")
 	}
 	for range 2 {
-		if !r.Repeat() {
+		if !r.TakeRetry() {
 			t.Error("it begins with what may be saved")
 		}
 	}
-	if r.Repeat() {
+	if r.TakeRetry() {
 		t.Error("none is left")
 	}
-	if r.Unused(); !r.Repeat() {
+	if r.ReturnRetry(); !r.TakeRetry() {
 		t.Error("one was given back")
 	}
 	r.Answered()
-	if r.Repeat() {
+	if r.TakeRetry() {
 		t.Error("one answer earns half of one")
 	}
 	r.Answered()
-	if !r.Repeat() {
+	if !r.TakeRetry() {
 		t.Error("two answers earn one")
 	}
 	later := &Route{Settings: &Settings{Serve: false}, State: r.State}
-	if later.Enter() {
+	if later.Admit() {
 		t.Error("a route that is off lets something in")
 	}
-	if r.Leave(); later.State.Open != 1 || later.State.Refused != 2 || r.State.Denied != 2 {
+	if r.Done(); later.State.Open != 1 || later.State.Rejected != 2 || r.State.Denied != 2 {
 		t.Errorf("%+v", *later.State)
 	}
 }
@@ -314,7 +314,7 @@
 // No path, however it is written, makes the table fail, take long, or find a route that matches it not.
 func FuzzFind(f *testing.F) {
 	d := draws{rand.New(rand.NewPCG(1, 2))}
-	var all []Words
+	var all []PatternText
 	for range 60 {
 		all = append(all, d.words())
 	}
@@ -325,8 +325,8 @@
 	f.Fuzz(func(t *testing.T, path string) {
 		q := Request{Path: path, Method: "GET", Class: "x", Tenant: "n", Host: "a.org"}
 		r, ok := table.Find(&q)
-		if ok != (OddPath(path) == "") {
-			t.Errorf("%q: %v, %q", path, ok, OddPath(path))
+		if ok != (AmbiguousPath(path) == "") {
+			t.Errorf("%q: %v, %q", path, ok, AmbiguousPath(path))
 		}
 		if r == nil || strings.ContainsAny(path, "%") {
 			return
@@ -342,7 +342,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var routes []*Route
 			for i := range n {
-				w := Words{Path: fmt.Sprintf("/svc%d/trips/{id}/seats", i/4), Methods: []string{"GET", "POST"}[i%2]}
+				w := PatternText{Path: fmt.Sprintf("/svc%d/trips/{id}/seats", i/4), Methods: []string{"GET", "POST"}[i%2]}
 				if i%4 >= 2 {
 					w.Classes = "book-trip"
 				}
--- a/internal/modules/route/table.go
+++ b/internal/modules/route/table.go
@@ -13,21 +13,21 @@
 
 // Rule is one [route.NAME].
 type Rule struct {
-	Words
+	PatternText
 	Settings
 	RetryOn string
 
-	pattern *Pattern // once it was read; nil where it cannot be
-	read    bool
+	pattern    *Pattern // once it was read; nil where it cannot be
+	isCompiled bool
 
-	before *shelf[named] // of a file's first rule: those that were checked
-	count  int
+	checked      *prefixIndex[checkedRoute] // of a file's first rule: those that were checked
+	checkedCount int
 }
 
 // The bounds of a file's routes.
 const (
-	MostRoutes = 5000
-	noBudget   = -1.0
+	MaxRoutes = 5000
+	noBudget  = -1.0
 )
 
 func word(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
@@ -46,36 +46,36 @@
 	word("match_headers", func(r *Rule) *string { return &r.Headers }, "X-Canary: 1", "Headers that have to be there, \"Name: value\" once with that value, \"Name\" with any."),
 	schema.Bool("serve", func(r *Rule) *bool { return &r.Serve }, true, schema.OnReload,
 		"false turns all of it away, with Retry-After, and sends none of it on."),
-	schema.Float("route_worth", func(r *Rule) *float64 { return &r.Worth },
+	schema.Float("route_worth", func(r *Rule) *float64 { return &r.Value },
 		schema.Bounds[float64]{Min: 0.01, Max: 100, Optional: true, Example: "2"}, schema.OnReload,
 		"How much more it is worth than others of its class when not all can be served; below 1 for less."),
-	duration("whole_time", func(r *Rule) *time.Duration { return &r.Time }, `"2s"`,
+	duration("whole_time", func(r *Rule) *time.Duration { return &r.Timeout }, `"2s"`,
 		"The whole time of a request, where that is less than its caller waits."),
-	duration("attempt_time", func(r *Rule) *time.Duration { return &r.Attempt }, `"800ms"`,
+	duration("attempt_time", func(r *Rule) *time.Duration { return &r.AttemptTimeout }, `"800ms"`,
 		"The time of one attempt. What takes longer may have run, and goes out again only where its class allows it."),
-	schema.Int("route_attempts", func(r *Rule) *int { return &r.Attempts },
+	schema.Int("route_attempts", func(r *Rule) *int { return &r.MaxAttempts },
 		schema.Bounds[int]{Min: 1, Max: 20, Optional: true, Example: "2"}, schema.OnReload,
 		"The most attempts of a request, the first one included; no more than the site allows."),
-	schema.Int("most_open", func(r *Rule) *int { return &r.Open },
+	schema.Int("most_open", func(r *Rule) *int { return &r.MaxOpen },
 		schema.Bounds[int]{Min: 1, Max: 1_000_000, Optional: true, Example: "50"}, schema.OnReload,
 		"The most requests at once; more are refused, with Retry-After."),
 	word("retry_on", func(r *Rule) *string { return &r.RetryOn }, "turned-away, unconnected",
 		"After which outcomes another attempt may go out, with commas between: turned-away, unconnected, failed, broken, late; all where it is left out. What a class forbids stays forbidden."),
-	duration("retry_pause", func(r *Rule) *time.Duration { return &r.Pause }, `"20ms"`,
+	duration("retry_pause", func(r *Rule) *time.Duration { return &r.RetryBackoff }, `"20ms"`,
 		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and one and a half times."),
-	schema.Float("retry_share", func(r *Rule) *float64 { return &r.Again },
+	schema.Float("retry_share", func(r *Rule) *float64 { return &r.RetryShare },
 		schema.Bounds[float64]{Default: noBudget, Min: noBudget, Max: 1}, schema.OnReload,
 		"Further attempts for each answered request, saved up to retry_reserve; negative for no budget of the route's own."),
-	schema.Int("retry_reserve", func(r *Rule) *int { return &r.Reserve },
+	schema.Int("retry_reserve", func(r *Rule) *int { return &r.RetryReserve },
 		schema.Bounds[int]{Default: 10, Min: 0, Max: 100_000}, schema.OnReload,
 		"How many further attempts may be saved up; a start begins with so many."),
-	schema.Float("copy_after", func(r *Rule) *float64 { return &r.CopyAfter },
+	schema.Float("copy_after", func(r *Rule) *float64 { return &r.HedgeQuantile },
 		schema.Bounds[float64]{Min: 0.5, Max: 0.999, Optional: true, Example: "0.95"}, schema.OnReload,
 		"A second copy of a request goes to another endpoint when its answer takes longer than this quantile of the route's answers, like 0.95. Not of unsafe classes; of keyed ones in the same cell. It needs attempts.second_copies, or the platform's leave."),
-	schema.Float("copy_share", func(r *Rule) *float64 { return &r.CopyShare },
+	schema.Float("copy_share", func(r *Rule) *float64 { return &r.HedgeShare },
 		schema.Bounds[float64]{Default: 0.05, Min: 0.001, Max: 0.25}, schema.OnReload,
 		"The share of the route's requests, at most, that get a second copy."),
-	schema.Duration("come_back", func(r *Rule) *time.Duration { return &r.ComeBack },
+	schema.Duration("come_back", func(r *Rule) *time.Duration { return &r.RetryAfter },
 		schema.Bounds[time.Duration]{Default: time.Second, Min: 0, Max: time.Minute}, schema.OnReload,
 		"Retry-After of what serve or most_open turns away."),
 ).CheckNames(badName)
@@ -94,18 +94,18 @@
 	return ""
 }
 
-// compiled is the rule's pattern, read once; nil where it cannot be.
-func (r *Rule) compiled() (*Pattern, []fault) {
-	if r.read {
+// compile is the rule's pattern, read once; nil where it cannot be.
+func (r *Rule) compile() (*Pattern, []fault) {
+	if r.isCompiled {
 		return r.pattern, nil
 	}
-	r.read = true
-	p, faults := newPattern(r.Words)
+	r.isCompiled = true
+	p, faults := newPattern(r.PatternText)
 	bits, bad := readOutcomes(r.RetryOn)
 	if bad != "" {
 		faults = append(faults, fault{"retry_on", bad})
 	}
-	r.outcomes = bits
+	r.retryable = bits
 	if len(faults) == 0 {
 		r.pattern = p
 	}
@@ -115,13 +115,13 @@
 // check finds what of a route could break a rule, reaches nothing, or clashes with a route before it.
 func check(f *schema.File, name string, r *Rule, report schema.Reporter) {
 	first, n := Rules.First(f)
-	if n > MostRoutes {
+	if n > MaxRoutes {
 		if r == first {
-			report(place(f, name), "%d routes are more than %d", n, MostRoutes)
+			report(findingKey(f, name), "%d routes are more than %d", n, MaxRoutes)
 		}
 		return
 	}
-	p, faults := r.compiled()
+	p, faults := r.compile()
 	for _, x := range faults {
 		key := "match_" + x.key
 		if f.Setting("route", name, x.key) != nil {
@@ -138,38 +138,38 @@
 	r.checkLimits(f, name, report)
 	r.checkCopies(f, name, p, report)
 	if r == first {
-		r.before = &shelf[named]{}
+		r.checked = &prefixIndex[checkedRoute]{}
 	}
-	if first.before == nil { // the first one cannot be read
-		first.before = &shelf[named]{}
+	if first.checked == nil { // the first one cannot be read
+		first.checked = &prefixIndex[checkedRoute]{}
 	}
 	// The earliest in the file is named, so that the same file always gives the same findings.
-	var clash named
-	for o := range first.before.near(p) {
+	var clash checkedRoute
+	for o := range first.checked.candidates(p) {
 		if rel := p.compare(o.pattern); (rel == equal || rel == overlaps) && (clash.pattern == nil || o.number < clash.number) {
 			clash = o
 		}
 	}
-	first.count++
-	first.before.add(p, named{name, first.count, p})
+	first.checkedCount++
+	first.checked.add(p, checkedRoute{name, first.checkedCount, p})
 	switch {
 	case clash.pattern == nil:
 	case p.compare(clash.pattern) == equal:
-		report(place(f, name), "matches just what [route.%s] does (%s)", clash.name, f.Location("route", clash.name, ""))
+		report(findingKey(f, name), "matches just what [route.%s] does (%s)", clash.name, f.Location("route", clash.name, ""))
 	default:
-		report(place(f, name), "overlaps with [route.%s] (%s), and neither is more specific: both match %s", clash.name, f.Location("route", clash.name, ""), common(p, clash.pattern))
+		report(findingKey(f, name), "overlaps with [route.%s] (%s), and neither is more specific: both match %s", clash.name, f.Location("route", clash.name, ""), exampleRequest(p, clash.pattern))
 	}
 }
 
-// named is a pattern that was checked.
-type named struct {
+// checkedRoute is a pattern that was checked.
+type checkedRoute struct {
 	name    string
 	number  int
 	pattern *Pattern
 }
 
-// place is the key of a route that a finding on all of its match stands at.
-func place(f *schema.File, name string) string {
+// findingKey is the key of a route that a finding on all of its match stands at.
+func findingKey(f *schema.File, name string) string {
 	for _, key := range []string{"match_path", "match_host", "match_classes", "match_methods", "match_tenants", "match_headers"} {
 		if f.Setting("route", name, key) != nil {
 			return key
@@ -229,27 +229,27 @@
 			continue
 		}
 		at := f.Location("class", c.Name, "deadline")
-		if r.Time > c.Value.Deadline {
-			report("whole_time", "%s is longer than callers of %s wait: its deadline is %s (%s)", d(r.Time), c.Name, d(c.Value.Deadline), at)
+		if r.Timeout > c.Value.Deadline {
+			report("whole_time", "%s is longer than callers of %s wait: its deadline is %s (%s)", d(r.Timeout), c.Name, d(c.Value.Deadline), at)
 			return
 		}
-		whole, said := cmp.Or(r.Time, c.Value.Deadline), "its deadline"
-		if r.Time > 0 {
+		whole, said := cmp.Or(r.Timeout, c.Value.Deadline), "its deadline"
+		if r.Timeout > 0 {
 			said = "whole_time"
 		}
-		if r.Attempt > whole {
-			report("attempt_time", "%s is longer than the whole time of %s, %s (%s)", d(r.Attempt), c.Name, d(whole), said)
+		if r.AttemptTimeout > whole {
+			report("attempt_time", "%s is longer than the whole time of %s, %s (%s)", d(r.AttemptTimeout), c.Name, d(whole), said)
 			return
 		}
-		if r.Attempt > 0 && r.Attempts > 1 && r.Attempt*time.Duration(r.Attempts) > whole {
-			report("route_attempts", "%d attempts of %s each take longer than the whole time of %s, %s (%s)", r.Attempts, d(r.Attempt), c.Name, d(whole), said)
+		if r.AttemptTimeout > 0 && r.MaxAttempts > 1 && r.AttemptTimeout*time.Duration(r.MaxAttempts) > whole {
+			report("route_attempts", "%d attempts of %s each take longer than the whole time of %s, %s (%s)", r.MaxAttempts, d(r.AttemptTimeout), c.Name, d(whole), said)
 			return
 		}
-		if r.Pause >= whole {
-			report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out", d(r.Pause), c.Name, d(whole), said)
+		if r.RetryBackoff >= whole {
+			report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out", d(r.RetryBackoff), c.Name, d(whole), said)
 			return
 		}
-		if c.Value.Idempotency == balancer.NonIdempotent && r.Attempt > 0 && len(p.classes) > 0 {
+		if c.Value.Idempotency == balancer.NonIdempotent && r.AttemptTimeout > 0 && len(p.classes) > 0 {
 			report("attempt_time", "%s is unsafe: an attempt that is given up may have run and cannot go out again, so a time of its own only fails what would have been answered", c.Name)
 			return
 		}
@@ -266,22 +266,22 @@
 		}
 		return
 	}
-	if f.Setting("route", name, "retry_reserve") != nil && r.Again < 0 {
+	if f.Setting("route", name, "retry_reserve") != nil && r.RetryShare < 0 {
 		report("retry_reserve", "means nothing without retry_share")
 	}
 	for _, key := range []string{"retry_share", "retry_on", "retry_pause"} {
-		if r.Attempts == 1 && f.Setting("route", name, key) != nil {
+		if r.MaxAttempts == 1 && f.Setting("route", name, key) != nil {
 			report(key, "means nothing: route_attempts is 1")
 		}
 	}
-	if limits := appfile.LimitsTable.In(f); limits.Sockets > 0 && r.Open > limits.Sockets {
-		report("most_open", "%d cannot be held: limits.sockets is %d (%s)", r.Open, limits.Sockets, f.Location("limits", "sockets"))
+	if limits := appfile.LimitsTable.In(f); limits.Sockets > 0 && r.MaxOpen > limits.Sockets {
+		report("most_open", "%d cannot be held: limits.sockets is %d (%s)", r.MaxOpen, limits.Sockets, f.Location("limits", "sockets"))
 	}
 }
 
 // checkCopies finds second copies that a rule forbids, or that would never be made.
 func (r *Rule) checkCopies(f *schema.File, name string, p *Pattern, report schema.Reporter) {
-	if r.CopyAfter <= 0 {
+	if r.HedgeQuantile <= 0 {
 		if f.Setting("route", name, "copy_share") != nil && r.Serve {
 			report("copy_share", "means nothing without copy_after")
 		}
@@ -294,7 +294,7 @@
 		report("copy_after", "two attempts of a request may not be out at once unless attempts.second_copies is true")
 		return
 	}
-	if r.Attempts == 1 {
+	if r.MaxAttempts == 1 {
 		report("copy_after", "means nothing: route_attempts is 1, and a copy is an attempt")
 	}
 	for _, c := range p.classes {
@@ -316,7 +316,7 @@
 	}
 	var routes []*Route
 	for _, x := range all {
-		p, _ := x.Value.compiled()
+		p, _ := x.Value.compile()
 		if p == nil {
 			continue // it was reported
 		}
@@ -325,9 +325,9 @@
 	return newTable(routes)
 }
 
-// Keep has routes go on as those of the same names stood before, when a file is read again. It has to be called before
+// KeepStates has routes go on as those of the same names stood before, when a file is read again. It has to be called before
 // the table is used.
-func (t *Table) Keep(before *Table) {
+func (t *Table) KeepStates(before *Table) {
 	if t == nil || before == nil {
 		return
 	}
--- a/internal/standalone/attempt.go
+++ b/internal/standalone/attempt.go
@@ -123,8 +123,8 @@
 
 // planRetry asks the request's route whether it may be sent again after an attempt ended so, and after what pause.
 func (r *request) planRetry(status balancer.Status) (noRetry bool, backoff time.Duration) {
-	if r.route.Settings.Allows(status) {
-		r.retryReserved = r.retryReserved || r.route.Repeat()
+	if r.route.Settings.AllowsRetry(status) {
+		r.retryReserved = r.retryReserved || r.route.TakeRetry()
 	}
-	return !r.retryReserved, r.route.Settings.PauseAfter(r.attempts, rand.Float64())
+	return !r.retryReserved, r.route.Settings.Backoff(r.attempts, rand.Float64())
 }
--- a/internal/standalone/hedging.go
+++ b/internal/standalone/hedging.go
@@ -25,11 +25,11 @@
 
 // mayHedge reports whether a request may be hedged. Unsafe ones never are: each attempt has an effect.
 func (c *Config) mayHedge(r *request) bool {
-	if !c.Settings.HedgedRequests || r.route == nil || r.route.Settings.CopyAfter <= 0 {
+	if !c.Settings.HedgedRequests || r.route == nil || r.route.Settings.HedgeQuantile <= 0 {
 		return false
 	}
 	return c.Settings.Classes[r.Class].Idempotency != balancer.NonIdempotent &&
-		tighterLimit(r.route.Settings.Attempts, c.Settings.MaxAttempts) != 1
+		tighterLimit(r.route.Settings.MaxAttempts, c.Settings.MaxAttempts) != 1
 }
 
 // tighterLimit is the least of the limits that are set; 0 is none.
@@ -47,7 +47,7 @@
 		return
 	}
 	r.hedge.firstSentAt = time.Now()
-	if after, ok := r.route.CopyAfter(); ok && time.Now().Add(after).Before(r.deadline) {
+	if after, ok := r.route.HedgeDelay(); ok && time.Now().Add(after).Before(r.deadline) {
 		time.AfterFunc(after, func() { l.post(func() { l.sendHedge(a) }) })
 	}
 }
@@ -55,7 +55,7 @@
 // sendHedge makes the second copy of the request of an attempt that is still in flight.
 func (l *loop) sendHedge(a *attempt) {
 	r := a.request
-	if r.answered || r.inFlight != a || r.hedge.secondary != nil || !r.route.Copy() {
+	if r.answered || r.inFlight != a || r.hedge.secondary != nil || !r.route.TakeHedge() {
 		return
 	}
 	c := &request{Request: r.Request, Inbound: r.Inbound, deadline: r.deadline, answer: make(chan answer, 1), hedge: hedge{primary: r}}
@@ -130,7 +130,7 @@
 func (l *loop) cancelOther(r *request) {
 	if primary := r.hedge.primary; primary != nil {
 		if primary.inFlight != nil {
-			primary.route.Took(time.Since(primary.hedge.firstSentAt))
+			primary.route.RecordLatency(time.Since(primary.hedge.firstSentAt))
 			primary.inFlight.cancel()
 		}
 		l.balancer.HandleClientGone(l.now(), primary.ID)
@@ -148,5 +148,5 @@
 	if r.route == nil || r.hedge.primary != nil || r.answered || result.Status != balancer.StatusOK {
 		return
 	}
-	r.route.Took(result.Elapsed)
+	r.route.RecordLatency(result.Elapsed)
 }
--- a/internal/standalone/hedging_test.go
+++ b/internal/standalone/hedging_test.go
@@ -232,7 +232,7 @@
 		t.Errorf("%d attempts of %d requests", n, asked)
 	}
 	var copies uint64
-	rg.inLoop(func() { copies = rg.server.tuning.Load().routes.Routes[0].State.Copies })
+	rg.inLoop(func() { copies = rg.server.tuning.Load().routes.Routes[0].State.Hedges })
 	if copies == 0 || copies > 10+(120+asked)/10 {
 		t.Errorf("%d copies", copies)
 	}
--- a/internal/standalone/parse.go
+++ b/internal/standalone/parse.go
@@ -134,19 +134,19 @@
 	}
 	var ok bool
 	if req.route, ok = routes.Find(&asked); !ok {
-		return "path: it cannot be told what is meant: " + route.OddPath(path)
+		return "path: it cannot be told what is meant: " + route.AmbiguousPath(path)
 	}
 	if req.route == nil {
 		return ""
 	}
 	set := req.route.Settings
-	if set.Time > 0 {
-		req.TimeLeft = min(req.TimeLeft, set.Time)
+	if set.Timeout > 0 {
+		req.TimeLeft = min(req.TimeLeft, set.Timeout)
 	}
-	req.MaxAttempts = set.Attempts
-	req.AttemptTimeout = set.Attempt
-	req.ValueFactor = set.Worth
-	if limit := tighterLimit(set.Attempts, s.config.Settings.MaxAttempts); limit > 0 && s.config.mayHedge(req) {
+	req.MaxAttempts = set.MaxAttempts
+	req.AttemptTimeout = set.AttemptTimeout
+	req.ValueFactor = set.Value
+	if limit := tighterLimit(set.MaxAttempts, s.config.Settings.MaxAttempts); limit > 0 && s.config.mayHedge(req) {
 		req.MaxAttempts = limit - 1 // the hedged copy is one of them
 	}
 	return ""
--- a/internal/standalone/request.go
+++ b/internal/standalone/request.go
@@ -54,9 +54,9 @@
 	if l.memory != nil && l.memory.rejects(l.now(), r) {
 		return answer{rejected: true, retryAfter: time.Second}, false
 	}
-	if r.route != nil && !r.route.Enter() {
+	if r.route != nil && !r.route.Admit() {
 		// A rejection says that a repeat is harmless, which is not so of what may have run.
-		return answer{rejected: !r.Prior.MayHaveRun, retryAfter: r.route.Settings.ComeBack}, false
+		return answer{rejected: !r.Prior.MayHaveRun, retryAfter: r.route.Settings.RetryAfter}, false
 	}
 	return answer{}, true
 }
@@ -137,10 +137,10 @@
 	delete(l.requests, r.ID)
 	l.recentIDs.add(r.ID, l.now())
 	if r.retryReserved {
-		r.route.Unused()
+		r.route.ReturnRetry()
 	}
 	if r.route != nil {
-		r.route.Leave()
+		r.route.Done()
 	}
 }
 
--- a/internal/standalone/route_test.go
+++ b/internal/standalone/route_test.go
@@ -225,7 +225,7 @@
 	take := func(text string) {
 		fresh := *rg.server.tuning.Load()
 		fresh.routes = routesOf(t, text)
-		fresh.routes.Keep(rg.server.tuning.Load().routes)
+		fresh.routes.KeepStates(rg.server.tuning.Load().routes)
 		rg.server.tuning.Store(&fresh)
 	}
 	done := make(chan int, 1)
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -100,7 +100,7 @@
 		return
 	}
 	// One event for the loop and one pointer for the handlers: no half of it is ever in force.
-	c.tuning.routes.Keep(s.tuning.Load().routes)
+	c.tuning.routes.KeepStates(s.tuning.Load().routes)
 	s.tuning.Store(c.tuning)
 	followAnew := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, c.file), namesFollower)
 	s.loop.post(func() {
--- a/internal/tool/route.go
+++ b/internal/tool/route.go
@@ -78,7 +78,7 @@
 	table := route.Compile(f)
 	r, ok := table.Find(q)
 	if !ok {
-		fmt.Fprintf(c.out, "answered 400, and sent nowhere: %s\n", route.OddPath(q.Path))
+		fmt.Fprintf(c.out, "answered 400, and sent nowhere: %s\n", route.AmbiguousPath(q.Path))
 		return errFindings
 	}
 	if r == nil {
@@ -103,46 +103,46 @@
 		return "default"
 	}
 	row := func(name, value, from string) { fmt.Fprintf(w, "%s\t%s\t%s\n", name, value, from) }
-	set := &route.Settings{Serve: true, Again: -1}
+	set := &route.Settings{Serve: true, RetryShare: -1}
 	if r != nil {
 		set = r.Settings
 	}
 	of := func(key string) string { return by("route", r.Name, key) }
 	switch {
 	case !set.Serve:
-		row("served", "no: refused with Retry-After "+schema.FormatDuration(set.ComeBack), of("serve"))
-	case set.Time > 0:
-		row("whole time", schema.FormatDuration(set.Time), of("whole_time"))
+		row("served", "no: refused with Retry-After "+schema.FormatDuration(set.RetryAfter), of("serve"))
+	case set.Timeout > 0:
+		row("whole time", schema.FormatDuration(set.Timeout), of("whole_time"))
 	case class != nil:
 		row("whole time", schema.FormatDuration(class.Deadline), by("class", q.Class, "deadline"))
 	}
 	if set.Serve {
-		if set.Attempt > 0 {
-			row("one attempt", schema.FormatDuration(set.Attempt), of("attempt_time"))
+		if set.AttemptTimeout > 0 {
+			row("one attempt", schema.FormatDuration(set.AttemptTimeout), of("attempt_time"))
 		}
 		site := appfile.AttemptsTable.In(f).Max
-		if set.Attempts > 0 && set.Attempts <= site {
-			row("attempts", fmt.Sprint(set.Attempts), of("route_attempts"))
+		if set.MaxAttempts > 0 && set.MaxAttempts <= site {
+			row("attempts", fmt.Sprint(set.MaxAttempts), of("route_attempts"))
 		} else {
 			row("attempts", fmt.Sprint(site), by("attempts", "most_attempts"))
 		}
-		if set.Open > 0 {
-			row("at once", fmt.Sprint(set.Open), of("most_open"))
+		if set.MaxOpen > 0 {
+			row("at once", fmt.Sprint(set.MaxOpen), of("most_open"))
 		}
-		if set.Again >= 0 {
-			row("further attempts", fmt.Sprintf("%g for each answer, %d saved up", set.Again, set.Reserve), of("retry_share"))
+		if set.RetryShare >= 0 {
+			row("further attempts", fmt.Sprintf("%g for each answer, %d saved up", set.RetryShare, set.RetryReserve), of("retry_share"))
 		}
-		if outcomes := set.Outcomes(); r != nil && f.Setting("route", r.Name, "retry_on") != nil {
+		if outcomes := set.RetryOutcomes(); r != nil && f.Setting("route", r.Name, "retry_on") != nil {
 			row("again after", outcomes, of("retry_on"))
 		}
-		if set.Pause > 0 {
-			row("pause before", "about "+schema.FormatDuration(set.Pause)+", twice as long each time", of("retry_pause"))
+		if set.RetryBackoff > 0 {
+			row("pause before", "about "+schema.FormatDuration(set.RetryBackoff)+", twice as long each time", of("retry_pause"))
 		}
-		if set.Worth > 0 {
-			row("worth", fmt.Sprintf("%g times that of its class", set.Worth), of("route_worth"))
+		if set.Value > 0 {
+			row("worth", fmt.Sprintf("%g times that of its class", set.Value), of("route_worth"))
 		}
-		if set.CopyAfter > 0 {
-			row("second copy", fmt.Sprintf("after the %g quantile, at most %g of requests", set.CopyAfter, set.CopyShare), of("copy_after"))
+		if set.HedgeQuantile > 0 {
+			row("second copy", fmt.Sprintf("after the %g quantile, at most %g of requests", set.HedgeQuantile, set.HedgeShare), of("copy_after"))
 		}
 		if class != nil {
 			row("again when it may have run", map[string]string{"safe": "anywhere", "keyed": "in its " + cmp.Or(string(class.KeyScope), "cell"), "unsafe": "never"}[string(class.Idempotency)],
