--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -198,23 +198,23 @@
 // BenchmarkDrain measures, ten times each run, how long after the answer that tells of a failing check the last
 // booking still comes to its box, while bookings come without pause.
 func BenchmarkDrain(b *testing.B) {
-	tn := build(b, 4)
+	tn := startConsulRig(b, 4)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1", "box-2", "box-3")
+	tn.awaitReady("box-0", "box-1", "box-2", "box-3")
 	var all []time.Duration
 	for range 10 * b.N {
 		index := tn.consul.SetStatus("box-1", "critical")
 		var told time.Time
 		tn.until("told", func() (ok bool) { told, ok = tn.consul.AnsweredAt(index); return ok })
 		time.Sleep(300 * time.Millisecond)
-		all = append(all, max(0, tn.boxes[1].came().Sub(told)))
+		all = append(all, max(0, tn.endpoints[1].lastCame().Sub(told)))
 		// So long that its coming back is no flap.
 		time.Sleep(200 * time.Millisecond)
-		before := tn.boxes[1].count()
+		before := tn.endpoints[1].count()
 		tn.consul.SetStatus("box-1", "passing")
-		tn.until("back", func() bool { return tn.boxes[1].count() > before })
+		tn.until("back", func() bool { return tn.endpoints[1].count() > before })
 	}
-	tn.calm()
+	tn.stopCallers()
 	slices.Sort(all)
 	b.ReportMetric(float64(all[len(all)/2].Microseconds())/1000, "median-ms")
 	b.ReportMetric(float64(all[len(all)-1].Microseconds())/1000, "most-ms")
--- a/cmd/quincegap/consul_cold_test.go
+++ b/cmd/quincegap/consul_cold_test.go
@@ -32,9 +32,9 @@
 tip_window = "1s"
 `
 
-// slowBox is a box with a capacity: so many bookings at once, each taking its time. While it is cold it can take
+// slowEndpoint is a box with a capacity: so many bookings at once, each taking its time. While it is cold it can take
 // less, and does not show it: one that answered more slowly would be spared for that alone.
-type slowBox struct {
+type slowEndpoint struct {
 	*booking.Endpoint
 	room chan struct{}
 
@@ -43,9 +43,9 @@
 	came    []time.Time
 }
 
-func startSlowBox(t *testing.T, name string) *slowBox {
+func startSlowEndpoint(t *testing.T, name string) *slowEndpoint {
 	t.Helper()
-	b := &slowBox{room: make(chan struct{}, slots)}
+	b := &slowEndpoint{room: make(chan struct{}, slots)}
 	var err error
 	b.Endpoint, err = booking.StartEndpoint(name, func(w http.ResponseWriter, r *http.Request) {
 		now := time.Now()
@@ -66,7 +66,7 @@
 }
 
 // share is the share of its capacity that it has at a time. The lock is held.
-func (s *slowBox) share(at time.Time) float64 {
+func (s *slowEndpoint) share(at time.Time) float64 {
 	if s.started.IsZero() || at.Sub(s.started) >= warmAfter {
 		return 1
 	}
@@ -74,7 +74,7 @@
 }
 
 // restart makes it cold from now on.
-func (s *slowBox) restart() {
+func (s *slowEndpoint) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started = time.Now()
@@ -82,7 +82,7 @@
 
 // audit holds what came since its start against the rule's budget: in no window more than the multiple of what
 // it could do in that window. It returns how full the fullest one was.
-func (s *slowBox) audit(t *testing.T) (worst float64) {
+func (s *slowEndpoint) audit(t *testing.T) (worst float64) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,13 +149,13 @@
 	}
 }
 
-func coldTown(t *testing.T, n int) (*town, []*slowBox) {
+func startColdRig(t *testing.T, n int) (*consulRig, []*slowEndpoint) {
 	t.Helper()
-	tn := build(t, 0)
-	var boxes []*slowBox
+	tn := startConsulRig(t, 0)
+	var boxes []*slowEndpoint
 	tn.consul.Update(func(all []consul.Instance) []consul.Instance {
 		for i := range n {
-			b := startSlowBox(t, fmt.Sprintf("box-%d", i))
+			b := startSlowEndpoint(t, fmt.Sprintf("box-%d", i))
 			boxes = append(boxes, b)
 			all = append(all, consul.Instance{Node: "n", ID: b.Name, PassingWeight: 1, WarningWeight: 1}.WithAddress(b.Target().Address))
 		}
@@ -170,11 +170,11 @@
 // nothing of its start.
 func TestConsulColdBudget(t *testing.T) {
 	t.Parallel()
-	tn, _ := coldTown(t, 3)
-	tn.shows("box-0", "box-1", "box-2")
+	tn, _ := startColdRig(t, 3)
+	tn.awaitReady("box-0", "box-1", "box-2")
 	end := tn.p.stream(5 * time.Millisecond)
 	time.Sleep(2 * time.Second) // of bookings, to learn from
-	fresh := startSlowBox(t, "fresh")
+	fresh := startSlowEndpoint(t, "fresh")
 	fresh.restart()
 	tn.consul.Update(func(all []consul.Instance) []consul.Instance {
 		return append(all, consul.Instance{Node: "n", ID: "fresh", PassingWeight: 1, WarningWeight: 1}.WithAddress(fresh.Target().Address))
@@ -194,8 +194,8 @@
 // The whole fleet restarts, one box after another: each is critical for a while, and cold when it comes back.
 func TestConsulRollingRestartBudget(t *testing.T) {
 	t.Parallel()
-	tn, boxes := coldTown(t, 5)
-	tn.shows("box-0", "box-1", "box-2", "box-3", "box-4")
+	tn, boxes := startColdRig(t, 5)
+	tn.awaitReady("box-0", "box-1", "box-2", "box-3", "box-4")
 	end := tn.p.stream(8 * time.Millisecond)
 	time.Sleep(2 * time.Second)
 	for _, b := range boxes {
--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -18,17 +18,17 @@
 	"quincegap/internal/standin/consul"
 )
 
-// box is an endpoint that notes when bookings come.
-type box struct {
+// countedEndpoint is an endpoint that notes when bookings come.
+type countedEndpoint struct {
 	*booking.Endpoint
 	mu   sync.Mutex
 	last time.Time // when the last booking came
 	n    int
 }
 
-func startBox(tb testing.TB, name string) *box {
+func startCountedEndpoint(tb testing.TB, name string) *countedEndpoint {
 	tb.Helper()
-	b := &box{}
+	b := &countedEndpoint{}
 	var err error
 	b.Endpoint, err = booking.StartEndpoint(name, func(w http.ResponseWriter, r *http.Request) {
 		b.mu.Lock()
@@ -45,29 +45,29 @@
 	return b
 }
 
-func (b *box) count() int {
+func (b *countedEndpoint) count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.n
 }
 
-// came is when the last booking came.
-func (b *box) came() time.Time {
+// lastCame is when the last booking came.
+func (b *countedEndpoint) lastCame() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
 }
 
-// town is a stand-in Consul with boxes, a sidecar that follows it, and callers who book without pause.
-type town struct {
-	t      testing.TB
-	consul *consul.Server
-	boxes  []*box
-	p      *process
-	admin  string
-	served atomic.Int64
-	calm   func() // ends the callers, and checks that every booking was served
-	stalls *stalls
+// consulRig is a stand-in Consul with boxes, a sidecar that follows it, and callers who book without pause.
+type consulRig struct {
+	t           testing.TB
+	consul      *consul.Server
+	endpoints   []*countedEndpoint
+	p           *process
+	admin       string
+	served      atomic.Int64
+	stopCallers func() // ends the callers, and checks that every booking was served
+	stalls      *stalls
 }
 
 // stalls measures how long this machine keeps a goroutine waiting that has nothing to do: what a noisy machine
@@ -112,17 +112,17 @@
 admin_listen = %q
 `
 
-func inst(b *box, id string) consul.Instance {
+func inst(b *countedEndpoint, id string) consul.Instance {
 	return consul.Instance{Node: "n", ID: id, PassingWeight: 1, WarningWeight: 1}.WithAddress(b.Target().Address)
 }
 
-func build(tb testing.TB, n int) *town {
+func startConsulRig(tb testing.TB, n int) *consulRig {
 	tb.Helper()
-	tn := &town{t: tb, admin: "unix:" + filepath.Join(tb.TempDir(), "s"), stalls: &stalls{}}
+	tn := &consulRig{t: tb, admin: "unix:" + filepath.Join(tb.TempDir(), "s"), stalls: &stalls{}}
 	var all []consul.Instance
 	for i := range n {
-		b := startBox(tb, fmt.Sprintf("box-%d", i))
-		tn.boxes = append(tn.boxes, b)
+		b := startCountedEndpoint(tb, fmt.Sprintf("box-%d", i))
+		tn.endpoints = append(tn.endpoints, b)
 		all = append(all, inst(b, b.Name))
 	}
 	var err error
@@ -133,12 +133,12 @@
 	return tn
 }
 
-func (t *town) text(discovery, source string) string {
+func (t *consulRig) text(discovery, source string) string {
 	return fmt.Sprintf(consulFile, discovery, source, t.consul.Address(), t.admin)
 }
 
 // open starts the sidecar, and callers.
-func (t *town) open(text string, env ...string) {
+func (t *consulRig) open(text string, env ...string) {
 	t.t.Helper()
 	t.p = launch(t.t, text, env...)
 	calm := t.p.callers(3, &t.served)
@@ -147,22 +147,22 @@
 		defer close(ended)
 		t.stalls.run(done)
 	}()
-	t.calm = sync.OnceFunc(func() {
+	t.stopCallers = sync.OnceFunc(func() {
 		calm()
 		close(done)
 		<-ended
 	})
-	t.t.Cleanup(t.calm)
+	t.t.Cleanup(t.stopCallers)
 }
 
-// goOn waits until so many more bookings have been served.
-func (t *town) goOn(n int64) {
+// awaitServed waits until so many more bookings have been served.
+func (t *consulRig) awaitServed(n int64) {
 	t.t.Helper()
 	want := t.served.Load() + n
 	t.until("bookings go on", func() bool { return t.served.Load() >= want })
 }
 
-func (t *town) until(what string, done func() bool) {
+func (t *consulRig) until(what string, done func() bool) {
 	t.t.Helper()
 	for end := time.Now().Add(patience); !done(); time.Sleep(2 * time.Millisecond) {
 		if t.t.Failed() || time.Now().After(end) {
@@ -171,13 +171,13 @@
 	}
 }
 
-// shows waits until the sidecar's view has just these ready.
-func (t *town) shows(ids ...string) {
+// awaitReady waits until the sidecar's view has just these ready.
+func (t *consulRig) awaitReady(ids ...string) {
 	t.t.Helper()
 	t.until(fmt.Sprint("ready ", ids), func() bool { return slices.Equal(t.ready(), ids) })
 }
 
-func (t *town) ready() (ready []string) {
+func (t *consulRig) ready() (ready []string) {
 	m, err := admin.AskMembers(t.admin)
 	if err != nil {
 		return nil
@@ -190,41 +190,41 @@
 	return ready
 }
 
-// drained checks that nothing new came to a box later than 250 ms after the answer that told of an index.
-func (t *town) drained(b *box, index uint64) {
+// checkDrained checks that nothing new came to a box later than 250 ms after the answer that told of an index.
+func (t *consulRig) checkDrained(b *countedEndpoint, index uint64) {
 	t.t.Helper()
 	var told time.Time
 	t.until("the answer is out", func() (ok bool) { told, ok = t.consul.AnsweredAt(index); return ok })
 	// Bookings that come after this would have been seen by then.
 	time.Sleep(time.Until(told.Add(400 * time.Millisecond)))
-	t.goOn(50)
-	if late := b.came().Sub(told); late > 250*time.Millisecond+t.stalls.longest() {
+	t.awaitServed(50)
+	if late := b.lastCame().Sub(told); late > 250*time.Millisecond+t.stalls.longest() {
 		t.t.Errorf("%s got a booking %v after the answer that told of it (the machine stalled for %v)", b.Name, late, t.stalls.longest())
 	}
 }
 
 func TestConsulCheckFails(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 4)
+	tn := startConsulRig(t, 4)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1", "box-2", "box-3")
-	tn.goOn(100)
+	tn.awaitReady("box-0", "box-1", "box-2", "box-3")
+	tn.awaitServed(100)
 	index := tn.consul.SetStatus("box-1", "critical")
-	tn.drained(tn.boxes[1], index)
-	tn.shows("box-0", "box-2", "box-3")
+	tn.checkDrained(tn.endpoints[1], index)
+	tn.awaitReady("box-0", "box-2", "box-3")
 	index = tn.consul.Update(func(all []consul.Instance) []consul.Instance {
 		all[2].Checks = []consul.Check{{CheckID: "_service_maintenance:box-2", Status: "critical"}}
 		return all
 	})
-	tn.drained(tn.boxes[2], index)
+	tn.checkDrained(tn.endpoints[2], index)
 	index = tn.consul.Update(func(all []consul.Instance) []consul.Instance { return all[:3] }) // deregistered
-	tn.drained(tn.boxes[3], index)
-	tn.shows("box-0")
+	tn.checkDrained(tn.endpoints[3], index)
+	tn.awaitReady("box-0")
 	tn.consul.SetStatus("box-1", "passing")
-	tn.shows("box-0", "box-1")
-	before := tn.boxes[1].count()
-	tn.until("box-1 is used again", func() bool { return tn.boxes[1].count() > before })
-	tn.calm()
+	tn.awaitReady("box-0", "box-1")
+	before := tn.endpoints[1].count()
+	tn.until("box-1 is used again", func() bool { return tn.endpoints[1].count() > before })
+	tn.stopCallers()
 }
 
 // Consul goes away in each way for a while: the last good list serves, and it is followed again afterwards.
@@ -237,24 +237,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tn := build(t, 6)
+			tn := startConsulRig(t, 6)
 			tn.open(tn.text("127.0.0.1:1", "consul"))
 			all := []string{"box-0", "box-1", "box-2", "box-3", "box-4", "box-5"}
-			tn.shows(all...)
-			tn.goOn(50)
+			tn.awaitReady(all...)
+			tn.awaitServed(50)
 			tn.consul.SetFault(f)
 			began := time.Now()
 			for time.Since(began) < 1500*time.Millisecond {
-				tn.goOn(20)
+				tn.awaitServed(20)
 			}
 			if got := tn.ready(); !slices.Equal(got, all) {
 				t.Errorf("ready are %v", got)
 			}
 			tn.consul.SetFault(consul.Fault{})
-			tn.shows(all...)
-			tn.drained(tn.boxes[0], tn.consul.SetStatus("box-0", "critical"))
-			tn.shows(all[1:]...)
-			tn.calm()
+			tn.awaitReady(all...)
+			tn.checkDrained(tn.endpoints[0], tn.consul.SetStatus("box-0", "critical"))
+			tn.awaitReady(all[1:]...)
+			tn.stopCallers()
 		})
 	}
 }
@@ -262,9 +262,9 @@
 // Consul cannot be reached from the start: the last known list serves, and Consul's takes over when it comes.
 func TestConsulUnreachableFromTheStart(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
+	tn := startConsulRig(t, 3)
 	tn.consul.SetFault(consul.Fault{Refuse: true})
-	target := tn.boxes[0].Target()
+	target := tn.endpoints[0].Target()
 	platform := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"a1","limits":{"cores":1,"memory_mb":64,"sockets":256},
 		"known":{"rev":3,"all":true,"targets":[{"uid":"known","endpoint":%q,"az":"z","model":"m","pod_group":1,"state":"Ready","capacity_hint":1}]},
@@ -276,19 +276,19 @@
 	overlay := tn.text("127.0.0.1:1", "consul")
 	_, sources, _ := strings.Cut(overlay, "[membership]")
 	tn.open("[membership]"+sources, "BALANCER_CONFIG="+platform)
-	tn.goOn(100)
-	tn.shows("known")
+	tn.awaitServed(100)
+	tn.awaitReady("known")
 	tn.consul.SetFault(consul.Fault{})
-	tn.shows("box-0", "box-1", "box-2")
-	tn.goOn(100)
-	tn.calm()
+	tn.awaitReady("box-0", "box-1", "box-2")
+	tn.awaitServed(100)
+	tn.stopCallers()
 }
 
 func TestConsulAllCritical(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
+	tn := startConsulRig(t, 3)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1", "box-2")
+	tn.awaitReady("box-0", "box-1", "box-2")
 	tn.consul.Update(func(all []consul.Instance) []consul.Instance {
 		for i := range all {
 			all[i].Checks = []consul.Check{{CheckID: "c", Status: "critical"}}
@@ -299,38 +299,38 @@
 		m, err := admin.AskMembers(tn.admin)
 		return err == nil && len(m.Endpoints) == 3 && strings.Contains(m.Endpoints[0].Why, "not believed")
 	})
-	tn.goOn(200)
-	tn.drained(tn.boxes[0], tn.consul.SetStatus("box-1", "passing"))
-	tn.shows("box-1")
-	tn.calm()
+	tn.awaitServed(200)
+	tn.checkDrained(tn.endpoints[0], tn.consul.SetStatus("box-1", "passing"))
+	tn.awaitReady("box-1")
+	tn.stopCallers()
 }
 
 func TestConsulFlaps(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
+	tn := startConsulRig(t, 3)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1", "box-2")
+	tn.awaitReady("box-0", "box-1", "box-2")
 	var index uint64
 	for i := range 15 {
 		index = tn.consul.SetStatus("box-1", []string{"critical", "passing"}[i%2])
 		time.Sleep(200 * time.Millisecond)
 	}
-	tn.drained(tn.boxes[1], index)
+	tn.checkDrained(tn.endpoints[1], index)
 	tn.consul.SetStatus("box-1", "passing")
-	tn.goOn(50)
+	tn.awaitServed(50)
 	if got := tn.ready(); len(got) != 2 {
 		t.Errorf("a flapping check is believed at once: %v", got)
 	}
-	tn.calm()
+	tn.stopCallers()
 }
 
 // The whole fleet restarts: each box leaves and comes back at another's address, under its own id. The boxes
 // themselves never stop, so that each booking has to be served.
 func TestConsulWholeFleetRestarts(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 6)
+	tn := startConsulRig(t, 6)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
+	tn.awaitReady("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
 	for i := range 6 {
 		tn.consul.SetStatus(fmt.Sprintf("box-%d", i), "critical")
 		time.Sleep(30 * time.Millisecond)
@@ -338,91 +338,91 @@
 	for i := range 6 {
 		tn.consul.Update(func(all []consul.Instance) []consul.Instance {
 			n := slices.IndexFunc(all, func(x consul.Instance) bool { return x.ID == fmt.Sprintf("box-%d", i) })
-			all[n] = inst(tn.boxes[(i+1)%6], all[n].ID)
+			all[n] = inst(tn.endpoints[(i+1)%6], all[n].ID)
 			return all
 		})
 		time.Sleep(30 * time.Millisecond)
 	}
-	tn.shows("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
+	tn.awaitReady("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
 	m, err := admin.AskMembers(tn.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, r := range m.Endpoints {
-		if r.Address != tn.boxes[(i+1)%6].Target().Address {
+		if r.Address != tn.endpoints[(i+1)%6].Target().Address {
 			t.Errorf("%s is at %s", r.UID, r.Address)
 		}
 	}
-	tn.goOn(100)
-	tn.calm()
+	tn.awaitServed(100)
+	tn.stopCallers()
 }
 
 func TestConsulOneAddressTwice(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 2)
+	tn := startConsulRig(t, 2)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1")
-	tn.consul.Update(func(all []consul.Instance) []consul.Instance { return append(all, inst(tn.boxes[0], "again")) })
-	tn.shows("again", "box-1")
-	third := startBox(t, "third")
-	before := tn.boxes[1].count()
+	tn.awaitReady("box-0", "box-1")
+	tn.consul.Update(func(all []consul.Instance) []consul.Instance { return append(all, inst(tn.endpoints[0], "again")) })
+	tn.awaitReady("again", "box-1")
+	third := startCountedEndpoint(t, "third")
+	before := tn.endpoints[1].count()
 	index := tn.consul.Update(func(all []consul.Instance) []consul.Instance { // box-1 moves
 		all[1] = inst(third, "box-1")
 		return all
 	})
-	tn.drained(tn.boxes[1], index)
+	tn.checkDrained(tn.endpoints[1], index)
 	tn.until("the new address is used", func() bool { return third.count() > 0 })
 	if before == 0 {
 		t.Error("box-1 was never used")
 	}
-	tn.calm()
+	tn.stopCallers()
 }
 
 // Over the platform's list Consul's bad news count, the platform's too, and each alone.
 func TestConsulOverlay(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 4)
+	tn := startConsulRig(t, 4)
 	var targets []booking.Target
-	for _, b := range tn.boxes {
+	for _, b := range tn.endpoints {
 		targets = append(targets, b.Target())
 	}
-	d := listing(t, targets...)
+	d := startDiscovery(t, targets...)
 	tn.open(tn.text(d.Address(), "overlay"))
-	tn.shows("box-0", "box-1", "box-2", "box-3")
-	tn.drained(tn.boxes[0], tn.consul.SetStatus("box-0", "critical"))
+	tn.awaitReady("box-0", "box-1", "box-2", "box-3")
+	tn.checkDrained(tn.endpoints[0], tn.consul.SetStatus("box-0", "critical"))
 	targets[1].State = "Terminating" // and Consul has it passing
 	d.Set(targets[1])
-	tn.shows("box-2", "box-3")
+	tn.awaitReady("box-2", "box-3")
 	targets[2].State = "Gone"
 	d.Set(targets[2])
-	tn.shows("box-3")
+	tn.awaitReady("box-3")
 	tn.consul.Update(func([]consul.Instance) []consul.Instance { return nil }) // it knows of nobody: that says nothing
 	tn.consul.SetFault(consul.Fault{Refuse: true})
-	tn.goOn(100)
-	tn.calm()
+	tn.awaitServed(100)
+	tn.stopCallers()
 }
 
 // A rehearsal serves by the platform and logs where Consul differs.
 func TestConsulRehearsal(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
-	d := listing(t, tn.boxes[0].Target(), tn.boxes[1].Target())
+	tn := startConsulRig(t, 3)
+	d := startDiscovery(t, tn.endpoints[0].Target(), tn.endpoints[1].Target())
 	tn.open(tn.text(d.Address(), "rehearsal"))
-	tn.shows("box-0", "box-1")
-	tn.p.said("rehearsal: box-2: only consul lists it")
+	tn.awaitReady("box-0", "box-1")
+	tn.p.awaitLog("rehearsal: box-2: only consul lists it")
 	tn.consul.SetStatus("box-0", "critical")
-	tn.p.said("rehearsal: box-0: the platform has it ready, consul draining")
-	before := tn.boxes[0].count()
-	tn.until("box-0 goes on", func() bool { return tn.boxes[0].count() > before+20 })
-	tn.calm()
+	tn.p.awaitLog("rehearsal: box-0: the platform has it ready, consul draining")
+	before := tn.endpoints[0].count()
+	tn.until("box-0 goes on", func() bool { return tn.endpoints[0].count() > before+20 })
+	tn.stopCallers()
 }
 
 // SIGHUP changes the mode, the service and the agents under load.
 func TestConsulReload(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
-	d := listing(t, tn.boxes[0].Target(), tn.boxes[1].Target())
-	other, err := consul.Start("", inst(tn.boxes[1], "other-1"), inst(tn.boxes[2], "other-2"))
+	tn := startConsulRig(t, 3)
+	d := startDiscovery(t, tn.endpoints[0].Target(), tn.endpoints[1].Target())
+	other, err := consul.Start("", inst(tn.endpoints[1], "other-1"), inst(tn.endpoints[2], "other-2"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -432,18 +432,18 @@
 	reload := func(before, after string) {
 		t.Helper()
 		text = strings.Replace(text, before, after, 1)
-		tn.p.put(text)
+		tn.p.writeFile(text)
 		tn.p.signal(syscall.SIGHUP)
-		tn.p.said("reload: discovery is")
+		tn.p.awaitLog("reload: discovery is")
 	}
-	tn.shows("box-0", "box-1")
+	tn.awaitReady("box-0", "box-1")
 	reload(`"platform"`, `"consul"`)
-	tn.shows("box-0", "box-1", "box-2")
-	tn.goOn(50)
+	tn.awaitReady("box-0", "box-1", "box-2")
+	tn.awaitServed(50)
 	reload(tn.consul.Address(), other.Address())
-	tn.shows("other-1", "other-2")
-	tn.goOn(50)
-	third := startBox(t, "third")
+	tn.awaitReady("other-1", "other-2")
+	tn.awaitServed(50)
+	third := startCountedEndpoint(t, "third")
 	other.Update(func(all []consul.Instance) []consul.Instance {
 		for i := range all {
 			all[i].Service = "slot-keeper"
@@ -453,21 +453,21 @@
 		return append(all, next)
 	})
 	reload(`service = "slot-keeper"`, `service = "slot-keeper-v2"`)
-	tn.shows("third") // the old ones are not doubted away: the catalogue lacks them too, or time tells
-	tn.goOn(50)
+	tn.awaitReady("third") // the old ones are not doubted away: the catalogue lacks them too, or time tells
+	tn.awaitServed(50)
 	reload(`"consul"`, `"overlay"`)
-	tn.shows("box-0", "box-1")
+	tn.awaitReady("box-0", "box-1")
 	reload(`"overlay"`, `"rehearsal"`)
-	tn.goOn(50)
+	tn.awaitServed(50)
 	reload(`"rehearsal"`, `"platform"`)
-	tn.shows("box-0", "box-1")
+	tn.awaitReady("box-0", "box-1")
 	health, _ := other.Queries()
-	tn.goOn(50)
+	tn.awaitServed(50)
 	time.Sleep(1500 * time.Millisecond) // longer than a question is held
 	if again, _ := other.Queries(); again > health+1 {
 		t.Error("consul is asked though nothing is to come of it")
 	}
-	tn.calm()
+	tn.stopCallers()
 }
 
 // The sidecar is killed and starts again while Consul does wrong, and serves as soon as Consul does.
@@ -478,18 +478,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tn := build(t, 4)
+			tn := startConsulRig(t, 4)
 			tn.open(tn.text("127.0.0.1:1", "consul"))
-			tn.goOn(50)
-			tn.calm()
+			tn.awaitServed(50)
+			tn.stopCallers()
 			tn.p.kill()
 			tn.consul.SetFault(f)
 			mend := time.AfterFunc(300*time.Millisecond, func() { tn.consul.SetFault(consul.Fault{}) })
 			defer mend.Stop()
 			tn.open(tn.text("127.0.0.1:1", "consul")) // waits until it is ready
-			tn.goOn(50)
-			tn.shows("box-0", "box-1", "box-2", "box-3")
-			tn.calm()
+			tn.awaitServed(50)
+			tn.awaitReady("box-0", "box-1", "box-2", "box-3")
+			tn.stopCallers()
 		})
 	}
 }
@@ -497,7 +497,7 @@
 // amidst is a state of Consul and the platform in the middle of which a sidecar starts.
 type amidst struct {
 	name, source string
-	change       func(tn *town, all []consul.Instance) []consul.Instance
+	change       func(tn *consulRig, all []consul.Instance) []consul.Instance
 	platform     []string // ids that discovery lists too
 	want         []string // that are ready
 }
@@ -515,20 +515,22 @@
 // The sidecar is killed and starts again in the middle of what Consul and the platform may say, and comes to the
 // same view as before.
 func TestConsulRestartAmidst(t *testing.T) {
-	firstCritical := func(_ *town, all []consul.Instance) []consul.Instance { return withStatus(all, "box-0", "critical") }
+	firstCritical := func(_ *consulRig, all []consul.Instance) []consul.Instance {
+		return withStatus(all, "box-0", "critical")
+	}
 	for _, c := range []amidst{
-		{"two at one address", "consul", func(tn *town, all []consul.Instance) []consul.Instance {
-			return append(all, inst(tn.boxes[0], "again"))
+		{"two at one address", "consul", func(tn *consulRig, all []consul.Instance) []consul.Instance {
+			return append(all, inst(tn.endpoints[0], "again"))
 		}, nil, []string{"again", "box-1", "box-2"}},
-		{"all critical", "consul", func(_ *town, all []consul.Instance) []consul.Instance {
+		{"all critical", "consul", func(_ *consulRig, all []consul.Instance) []consul.Instance {
 			return withStatus(all, "", "critical")
 		}, nil, []string{"box-0", "box-1", "box-2"}},
-		{"all but one critical", "consul", func(_ *town, all []consul.Instance) []consul.Instance {
+		{"all but one critical", "consul", func(_ *consulRig, all []consul.Instance) []consul.Instance {
 			return withStatus(withStatus(all, "", "critical"), "box-1", "passing")
 		}, nil, []string{"box-1"}},
 		{"overlay", "overlay", firstCritical, []string{"box-0", "box-1"}, []string{"box-1"}},
 		{
-			"overlay of nobody", "overlay", func(*town, []consul.Instance) []consul.Instance { return nil },
+			"overlay of nobody", "overlay", func(*consulRig, []consul.Instance) []consul.Instance { return nil },
 			[]string{"box-0", "box-1"},
 			[]string{"box-0", "box-1"},
 		},
@@ -536,51 +538,51 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			tn := build(t, 3)
+			tn := startConsulRig(t, 3)
 			discovery := c.discovery(t, tn)
 			tn.open(tn.text(discovery, c.source))
-			tn.goOn(30)
+			tn.awaitServed(30)
 			tn.consul.Update(func(all []consul.Instance) []consul.Instance { return c.change(tn, all) })
-			tn.shows(c.want...)
-			tn.goOn(30)
+			tn.awaitReady(c.want...)
+			tn.awaitServed(30)
 			for range 2 {
-				tn.calm()
+				tn.stopCallers()
 				tn.p.kill()
 				tn.open(tn.text(discovery, c.source))
-				tn.shows(c.want...)
-				tn.goOn(30)
+				tn.awaitReady(c.want...)
+				tn.awaitServed(30)
 			}
 			c.checkIdle(t, tn)
-			tn.calm()
+			tn.stopCallers()
 		})
 	}
 }
 
 // discovery is the address of a discovery that lists the boxes of platform; of none where that is nil.
-func (c *amidst) discovery(t *testing.T, tn *town) (address string) {
+func (c *amidst) discovery(t *testing.T, tn *consulRig) (address string) {
 	t.Helper()
 	if c.platform == nil {
 		return "127.0.0.1:1"
 	}
 	var targets []booking.Target
-	for _, b := range tn.boxes {
+	for _, b := range tn.endpoints {
 		if slices.Contains(c.platform, b.Name) {
 			targets = append(targets, b.Target())
 		}
 	}
-	return listing(t, targets...).Address()
+	return startDiscovery(t, targets...).Address()
 }
 
 // checkIdle looks whether nothing goes to those that the sidecar does not show, though it has just started.
-func (c *amidst) checkIdle(t *testing.T, tn *town) {
+func (c *amidst) checkIdle(t *testing.T, tn *consulRig) {
 	t.Helper()
 	var before []int
-	for _, b := range tn.boxes {
+	for _, b := range tn.endpoints {
 		before = append(before, b.count())
 	}
-	tn.goOn(50)
-	for i, b := range tn.boxes {
-		busy := slices.Contains(c.want, b.Name) || b == tn.boxes[0] && slices.Contains(c.want, "again")
+	tn.awaitServed(50)
+	for i, b := range tn.endpoints {
+		busy := slices.Contains(c.want, b.Name) || b == tn.endpoints[0] && slices.Contains(c.want, "again")
 		if got := b.count() - before[i]; got > 0 && !busy {
 			t.Errorf("%s got %d bookings", b.Name, got)
 		}
@@ -590,7 +592,7 @@
 // The sidecar is killed and starts again while a check flaps and the fleet's ids change their addresses.
 func TestConsulRestartDuringChanges(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 4)
+	tn := startConsulRig(t, 4)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -609,39 +611,39 @@
 		}
 	}()
 	for range 3 {
-		tn.goOn(50)
-		tn.calm()
+		tn.awaitServed(50)
+		tn.stopCallers()
 		tn.p.kill()
 		tn.open(tn.text("127.0.0.1:1", "consul"))
 	}
-	tn.goOn(50)
+	tn.awaitServed(50)
 	close(stop)
 	<-ended
 	tn.consul.SetStatus("box-0", "critical")
-	tn.shows("box-1", "box-2", "box-3")
-	tn.calm()
+	tn.awaitReady("box-1", "box-2", "box-3")
+	tn.stopCallers()
 }
 
 // A new instance without a start time counts as cold and is spared; one that says it started long ago is not.
 // Over many bookings the two are told apart by far more than chance.
 func TestConsulNewInstanceIsSpared(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
+	tn := startConsulRig(t, 3)
 	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.shows("box-0", "box-1", "box-2")
-	tn.goOn(500) // so that the module knows what warm boxes take
-	cold, warm := startBox(t, "cold"), startBox(t, "warm")
+	tn.awaitReady("box-0", "box-1", "box-2")
+	tn.awaitServed(500) // so that the module knows what warm boxes take
+	cold, warm := startCountedEndpoint(t, "cold"), startCountedEndpoint(t, "warm")
 	tn.consul.Update(func(all []consul.Instance) []consul.Instance {
 		old := inst(warm, "warm")
 		old.Meta = map[string]string{"started_ms": "1"}
 		return append(all, inst(cold, "cold"), old)
 	})
-	tn.shows("box-0", "box-1", "box-2", "cold", "warm")
+	tn.awaitReady("box-0", "box-1", "box-2", "cold", "warm")
 	a, b := cold.count(), warm.count()
-	tn.goOn(1500)
+	tn.awaitServed(1500)
 	a, b = cold.count()-a, warm.count()-b
 	if a == 0 || 10*a > 8*b {
 		t.Errorf("of 1,500 bookings the cold box got %d, the warm one %d", a, b)
 	}
-	tn.calm()
+	tn.stopCallers()
 }
--- a/cmd/quincegap/consul_tls_test.go
+++ b/cmd/quincegap/consul_tls_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/standin/authority"
 )
 
-func trust(tb testing.TB) *authority.Authority {
+func newAuthority(tb testing.TB) *authority.Authority {
 	tb.Helper()
 	a, err := authority.New()
 	if err != nil {
@@ -45,9 +45,9 @@
 }
 
 // startTLSFront serves a town's Consul over TLS.
-func startTLSFront(t *testing.T, tn *town) *tlsFront {
+func startTLSFront(t *testing.T, tn *consulRig) *tlsFront {
 	t.Helper()
-	f := &tlsFront{t: t, ca: trust(t), dir: t.TempDir(), seen: map[string]int{}}
+	f := &tlsFront{t: t, ca: newAuthority(t), dir: t.TempDir(), seen: map[string]int{}}
 	own, err := f.ca.Pair("consul.example.org")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	return f.seen[name]
 }
 
-// put replaces a file at one stroke.
+// writeFile replaces a file at one stroke.
 func (f *tlsFront) put(name string, text []byte) string {
 	f.t.Helper()
 	at := filepath.Join(f.dir, name)
@@ -94,36 +94,36 @@
 // runs out; the new one goes with the next connection.
 func TestConsulOverTLS(t *testing.T) {
 	t.Parallel()
-	tn := build(t, 3)
+	tn := startConsulRig(t, 3)
 	front := startTLSFront(t, tn)
 	cert, key := front.renew(front.ca, "first")
 	file := strings.Replace(tn.text("127.0.0.1:1", "consul"), tn.consul.Address(), front.Listener.Addr().String(), 1)
 	file = strings.Replace(file, "[consul]\n", fmt.Sprintf("[consul]\nconsul_tls = true\ntls_ca_file = %q\ntls_cert_file = %q\ntls_key_file = %q\ntls_server_name = \"consul.example.org\"\n",
 		front.put("ca.pem", front.ca.PEM()), cert, key), 1)
 	tn.open(file)
-	tn.shows("box-0", "box-1", "box-2")
-	tn.goOn(50)
-	tn.drained(tn.boxes[0], tn.consul.SetStatus("box-0", "critical"))
+	tn.awaitReady("box-0", "box-1", "box-2")
+	tn.awaitServed(50)
+	tn.checkDrained(tn.endpoints[0], tn.consul.SetStatus("box-0", "critical"))
 	if front.asked("first") == 0 {
 		t.Error("the certificate was not asked for")
 	}
 	front.renew(front.ca, "second")
 	front.CloseClientConnections()
 	tn.until("the new certificate is used", func() bool { return front.asked("second") > 0 })
-	tn.drained(tn.boxes[1], tn.consul.SetStatus("box-1", "critical"))
-	tn.shows("box-2")
+	tn.checkDrained(tn.endpoints[1], tn.consul.SetStatus("box-1", "critical"))
+	tn.awaitReady("box-2")
 
 	// One that another authority signed is refused, and what is known goes on.
-	front.renew(trust(t), "stranger")
+	front.renew(newAuthority(t), "stranger")
 	front.CloseClientConnections()
-	tn.p.said("consul: agent " + front.Listener.Addr().String() + ":")
-	tn.goOn(100)
+	tn.p.awaitLog("consul: agent " + front.Listener.Addr().String() + ":")
+	tn.awaitServed(100)
 	if n := front.asked("stranger"); n > 0 {
 		t.Errorf("%d questions of a stranger were heard", n)
 	}
 	front.renew(front.ca, "third")
 	tn.until("it is heard again", func() bool { return front.asked("third") > 0 })
 	tn.consul.SetStatus("box-0", "passing")
-	tn.shows("box-0", "box-2")
-	tn.calm()
+	tn.awaitReady("box-0", "box-2")
+	tn.stopCallers()
 }
--- a/cmd/quincegap/crowd_bench_test.go
+++ b/cmd/quincegap/crowd_bench_test.go
@@ -60,7 +60,7 @@
 				if program == "" {
 					b.Skip("QUINCEGAP names no program")
 				}
-				text := fmt.Sprintf(goodFile, listing(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 4096\n"
+				text := fmt.Sprintf(goodFile, startDiscovery(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 4096\n"
 				crowd(b, run(b, program, text), callers)
 			})
 			b.Run(fmt.Sprintf("proxy/%d-endpoints/%d", endpoints, callers), func(b *testing.B) {
--- a/cmd/quincegap/exchange_bench_test.go
+++ b/cmd/quincegap/exchange_bench_test.go
@@ -32,7 +32,7 @@
 type bench struct {
 	*process
 	b   *testing.B
-	d   *desk
+	d   *http3Rig
 	udp string
 	may bool // bookings may fail, which is reported
 }
@@ -44,7 +44,7 @@
 	if program == "" {
 		b.Skip("QUINCEGAP names no program")
 	}
-	d := newDesk(b)
+	d := newHTTP3Rig(b)
 	cert, err := d.ca.Pair("slot-keeper.example.org")
 	if err != nil {
 		b.Fatal(err)
@@ -64,7 +64,7 @@
 		b.Cleanup(over3.Close)
 		targets = append(targets, e.Target())
 	}
-	disc := listing(b, targets...)
+	disc := startDiscovery(b, targets...)
 	x := &bench{b: b, d: d, udp: freePort(b)}
 	text := d.text(disc.Address(), x.udp) + "http3_connections = 1000\n"
 	if toEndpoints == "http3" {
--- a/cmd/quincegap/file_test.go
+++ b/cmd/quincegap/file_test.go
@@ -66,7 +66,7 @@
 func launch(tb testing.TB, text string, env ...string) *process {
 	tb.Helper()
 	p := &process{t: tb, file: filepath.Join(tb.TempDir(), "sidecar.toml"), log: make(chan string, 10000), read: make(chan struct{})}
-	p.put(text)
+	p.writeFile(text)
 	p.cmd = command(os.Args[0], "-config", p.file)
 	p.cmd.Env = append(append(os.Environ(), "BE_QUINCEGAP=1"), env...)
 	stderr, err := p.cmd.StderrPipe()
@@ -84,14 +84,14 @@
 		close(p.log)
 	}()
 	tb.Cleanup(p.kill)
-	p.start = p.said("serving on")
+	p.start = p.awaitLog("serving on")
 	p.url = "http://" + regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`).FindStringSubmatch(p.start)[1]
 	awaitReady(tb, http.DefaultClient, p.url, 2*time.Millisecond)
 	return p
 }
 
-// put replaces the program's file at one stroke.
-func (p *process) put(text string) {
+// writeFile replaces the program's file at one stroke.
+func (p *process) writeFile(text string) {
 	p.t.Helper()
 	if err := os.WriteFile(p.file+".new", []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
@@ -101,8 +101,8 @@
 	}
 }
 
-// said waits for a line of the log that holds a word, and returns all up to it.
-func (p *process) said(word string) string {
+// awaitLog waits for a line of the log that holds a word, and returns all up to it.
+func (p *process) awaitLog(word string) string {
 	p.t.Helper()
 	late := time.After(patience)
 	var lines []string
@@ -198,8 +198,8 @@
 	return calm
 }
 
-// site is a discovery with endpoints.
-func site(tb testing.TB, n int) *booking.Discovery {
+// startSite is a discovery with endpoints.
+func startSite(tb testing.TB, n int) *booking.Discovery {
 	tb.Helper()
 	var targets []booking.Target
 	for i := range n {
@@ -210,13 +210,13 @@
 		tb.Cleanup(e.Close)
 		targets = append(targets, e.Target())
 	}
-	d := listing(tb, targets...)
+	d := startDiscovery(tb, targets...)
 	return d
 }
 
 // With the product's file alone, and no platform, the program serves, and takes a token along to discovery.
 func TestProductFileAlone(t *testing.T) {
-	d := site(t, 2)
+	d := startSite(t, 2)
 	d.Token = "t0ken"
 	dir := t.TempDir()
 	token := filepath.Join(dir, "token")
@@ -229,7 +229,7 @@
 		t.Errorf("status %d, %v", status, err)
 	}
 	p.signal(syscall.SIGTERM)
-	if said := p.said("stopping"); strings.Contains(said, "t0ken") {
+	if said := p.awaitLog("stopping"); strings.Contains(said, "t0ken") {
 		t.Error("the token is in the log")
 	}
 	for range p.log {
@@ -265,7 +265,7 @@
 // With a platform's configuration the product's file needs to say nothing of what that says, and the platform
 // wins.
 func TestProductFileUnderAPlatform(t *testing.T) {
-	d := site(t, 1)
+	d := startSite(t, 1)
 	platform := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"a1","limits":{"cores":1,"memory_mb":64,"sockets":256},
 		"settings":{"allowed":{"connectTimeout":2000000},"discovery":"push","instances":1,"services":[{"name":"book-trip","aim":1000000,
@@ -277,9 +277,9 @@
 	if !strings.Contains(p.start, p.file+":4: limits.sockets is not used") {
 		t.Errorf("it said\n%s", p.start)
 	}
-	p.put("[callers]\nmax_body = \"1KiB\"\n[limits]\nsockets = 98\n") // not used, so free to change
+	p.writeFile("[callers]\nmax_body = \"1KiB\"\n[limits]\nsockets = 98\n") // not used, so free to change
 	p.signal(syscall.SIGHUP)
-	p.said("reload: discovery is " + d.Address())
+	p.awaitLog("reload: discovery is " + d.Address())
 	if status, err := p.book(http.DefaultClient, strings.Repeat("x", 1025)); err != nil || status != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d, %v", status, err)
 	}
@@ -295,7 +295,7 @@
 	if err != nil || len(broken) < 80 {
 		t.Fatalf("%d broken files, %v", len(broken), err)
 	}
-	d := site(t, 3)
+	d := startSite(t, 3)
 	good := fmt.Sprintf(goodFile, d.Address())
 	p := launch(t, good)
 
@@ -304,7 +304,7 @@
 	refused := func(what string, wants ...string) {
 		t.Helper()
 		p.signal(syscall.SIGHUP)
-		said := p.said("the old configuration stays")
+		said := p.awaitLog("the old configuration stays")
 		for _, want := range wants {
 			if !strings.Contains(said, want) {
 				t.Errorf("%s: said\n%s\nwant %q", what, said, want)
@@ -316,16 +316,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.put(string(text))
+		p.writeFile(string(text))
 		refused(path, p.file+":")
 	}
 	if err := os.Remove(p.file); err != nil {
 		t.Fatal(err)
 	}
 	refused("no file", "no such file")
-	p.put(good + "[limits]\nsockets = 999\n[callers]\nmax_body = \"2KiB\"\n")
+	p.writeFile(good + "[limits]\nsockets = 999\n[callers]\nmax_body = \"2KiB\"\n")
 	refused("sockets", fmt.Sprintf("%s:20:1: limits.sockets has changed, which takes effect at a start only", p.file))
-	p.put(strings.Replace(good, "[class.find-trip]\naim = \"2s\"\ndeadline = \"6s\"\neffect = \"safe\"\n", "", 1))
+	p.writeFile(strings.Replace(good, "[class.find-trip]\naim = \"2s\"\ndeadline = \"6s\"\neffect = \"safe\"\n", "", 1))
 	refused("a class gone", "class.find-trip.aim has changed")
 
 	// Nothing of these was taken up: a body of 3 KiB still passes.
@@ -333,10 +333,10 @@
 		t.Errorf("status %d, %v", status, err)
 	}
 	// A good file is taken up whole: the bound, and another discovery.
-	other := site(t, 2)
-	p.put(strings.Replace(good, d.Address(), other.Address(), 1) + "[callers]\nmax_body = \"2KiB\"\n")
+	other := startSite(t, 2)
+	p.writeFile(strings.Replace(good, d.Address(), other.Address(), 1) + "[callers]\nmax_body = \"2KiB\"\n")
 	p.signal(syscall.SIGHUP)
-	p.said("reload: discovery is " + other.Address())
+	p.awaitLog("reload: discovery is " + other.Address())
 	if status, err := p.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d, %v", status, err)
 	}
@@ -359,7 +359,7 @@
 		t.Fatal(err)
 	}
 	defer closeNow(taken)
-	d := site(t, 1)
+	d := startSite(t, 1)
 	file := filepath.Join(t.TempDir(), "sidecar.toml")
 	text := strings.Replace(fmt.Sprintf(goodFile, d.Address()), "127.0.0.1:0", taken.Addr().String(), 1)
 	putFile(t, file, text)
@@ -378,7 +378,7 @@
 	if program == "" {
 		b.Skip("QUINCEGAP names no program")
 	}
-	d := site(b, 3)
+	d := startSite(b, 3)
 	dir := b.TempDir()
 	platform, file, overlay := filepath.Join(dir, "config.json"), filepath.Join(dir, "sidecar.toml"), filepath.Join(dir, "overlay.toml")
 	address := freePort(b)
@@ -449,8 +449,8 @@
 	return l.Addr().String()
 }
 
-// listing is a discovery with endpoints.
-func listing(tb testing.TB, targets ...booking.Target) *booking.Discovery {
+// startDiscovery is a discovery with endpoints.
+func startDiscovery(tb testing.TB, targets ...booking.Target) *booking.Discovery {
 	tb.Helper()
 	d, err := booking.StartDiscovery("", targets...)
 	if err != nil {
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -36,8 +36,8 @@
 alt_svc = "1h"
 `
 
-// desk is a clinic's: callers over HTTP/3 of a sidecar.
-type desk struct {
+// http3Rig is a clinic's: callers over HTTP/3 of a sidecar.
+type http3Rig struct {
 	t         testing.TB
 	ca        *authority.Authority
 	dir       string
@@ -46,15 +46,15 @@
 	seen      sync.Map // names of certificates that were shown
 }
 
-func newDesk(tb testing.TB) *desk {
+func newHTTP3Rig(tb testing.TB) *http3Rig {
 	tb.Helper()
-	d := &desk{t: tb, ca: trust(tb), dir: tb.TempDir()}
+	d := &http3Rig{t: tb, ca: newAuthority(tb), dir: tb.TempDir()}
 	d.secret = d.put("secret", []byte(strings.Repeat("s3cret", 6)))
 	d.renew("front.example.org")
 	return d
 }
 
-func (d *desk) put(name string, text []byte) string {
+func (d *http3Rig) put(name string, text []byte) string {
 	d.t.Helper()
 	at := filepath.Join(d.dir, name)
 	if err := os.WriteFile(at+".new", text, 0o600); err != nil {
@@ -67,13 +67,13 @@
 }
 
 // renew puts a new certificate in the place of the one before.
-func (d *desk) renew(name string) {
+func (d *http3Rig) renew(name string) {
 	cert, key := issue(d.t, d.ca, name)
 	d.key = d.put("key.pem", key)
 	d.cert = d.put("cert.pem", cert)
 }
 
-func (d *desk) text(discovery, listen string) string {
+func (d *http3Rig) text(discovery, listen string) string {
 	return fmt.Sprintf(goodFile, discovery) + fmt.Sprintf(http3File, listen, d.cert, d.key, d.secret)
 }
 
@@ -83,7 +83,7 @@
 }
 
 // caller is a client over HTTP/3; it takes any name that the authority has signed.
-func (d *desk) caller(cache tls.ClientSessionCache) *http3.Transport {
+func (d *http3Rig) caller(cache tls.ClientSessionCache) *http3.Transport {
 	conf := &tls.Config{
 		InsecureSkipVerify: true, ClientSessionCache: cache, ServerName: "front.example.org",
 		VerifyConnection: func(s tls.ConnectionState) error {
@@ -97,7 +97,7 @@
 	return c
 }
 
-func (d *desk) shown(name string) bool {
+func (d *http3Rig) shown(name string) bool {
 	_, ok := d.seen.Load(name)
 	return ok
 }
@@ -111,8 +111,8 @@
 // is lost.
 func TestHTTP3Day(t *testing.T) {
 	t.Parallel()
-	d := newDesk(t)
-	s := site(t, 3)
+	d := newHTTP3Rig(t)
+	s := startSite(t, 3)
 	p := launch(t, d.text(s.Address(), "127.0.0.1:0"))
 	at := udpOf(p)
 	var served, plain atomic.Int64
@@ -148,12 +148,12 @@
 		}
 	}
 	p.signal(syscall.SIGHUP)
-	p.said("reload: discovery is")
+	p.awaitLog("reload: discovery is")
 	reach(&served, 100)
 	// A change of what takes effect at a start only is refused.
-	p.put(strings.Replace(d.text(s.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
+	p.writeFile(strings.Replace(d.text(s.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
 	p.signal(syscall.SIGHUP)
-	p.said("reload: refused")
+	p.awaitLog("reload: refused")
 	reach(&served, 100)
 	calm()
 	calmPlain()
@@ -163,8 +163,8 @@
 // tickets hold.
 func TestHTTP3Killed(t *testing.T) {
 	t.Parallel()
-	d := newDesk(t)
-	s := site(t, 2)
+	d := newHTTP3Rig(t)
+	s := startSite(t, 2)
 	p := launch(t, d.text(s.Address(), "127.0.0.1:0"))
 	at := udpOf(p)
 	cache := tls.NewLRUClientSessionCache(4)
@@ -235,9 +235,9 @@
 // out twice, and HTTP/3 is not tried again for a while.
 func TestHTTP3BlockedToEndpoint(t *testing.T) {
 	t.Parallel()
-	ca := trust(t)
+	ca := newAuthority(t)
 	x := startTwoWays(t, ca)
-	disc := listing(t, x.plain.Target())
+	disc := startDiscovery(t, x.plain.Target())
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	putFile(t, file, string(ca.PEM()))
 	p := launch(t, fmt.Sprintf(goodFile, disc.Address())+fmt.Sprintf(`
@@ -270,7 +270,7 @@
 			t.Fatal("nothing comes over HTTP/1.1")
 		}
 	}
-	p.said("HTTP/1.1 for 1m0s")
+	p.awaitLog("HTTP/1.1 for 1m0s")
 	began := time.Now()
 	for range 50 {
 		book()
@@ -287,7 +287,7 @@
 // ending is callers over HTTP/3 of a sidecar that gets a signal, and what ran at its endpoint.
 type ending struct {
 	t         *testing.T
-	d         *desk
+	d         *http3Rig
 	at        string   // the sidecar's UDP address
 	answered  sync.Map // the status, by id
 	late      sync.Map // whether it began after the signal, by id
@@ -366,8 +366,8 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(e.Close)
-			disc := listing(t, e.Target())
-			x.d = newDesk(t)
+			disc := startDiscovery(t, e.Target())
+			x.d = newHTTP3Rig(t)
 			p := launch(t, x.d.text(disc.Address(), "127.0.0.1:0")+"\n[stop]\nstop_longest = \"2s\"\n")
 			x.at = udpOf(p)
 			var callers sync.WaitGroup
@@ -404,8 +404,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	disc := listing(t, e.Target())
-	d := newDesk(t)
+	disc := startDiscovery(t, e.Target())
+	d := newHTTP3Rig(t)
 	p := launch(t, d.text(disc.Address(), "127.0.0.1:0")+"\n[stop]\nstop_longest = \"2s\"\n")
 	at := udpOf(p)
 	relay, err := udp.Start(at, 1)
--- a/cmd/quincegap/main_test.go
+++ b/cmd/quincegap/main_test.go
@@ -48,15 +48,15 @@
 	}
 }
 
-// signalled is the program, started for a test of signals, with what it logs.
-type signalled struct {
+// signalledProgram is the program, started for a test of signals, with what it logs.
+type signalledProgram struct {
 	*testing.T
 	cmd    *exec.Cmd
 	stderr io.ReadCloser
 	lines  *bufio.Scanner
 }
 
-func startSignalled(t *testing.T) *signalled {
+func startSignalled(t *testing.T) *signalledProgram {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		write(w, `{"rev":1,"all":true,"targets":[]}`+"\n")
@@ -84,11 +84,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended already
-	return &signalled{T: t, cmd: cmd, stderr: stderr, lines: bufio.NewScanner(stderr)}
+	return &signalledProgram{T: t, cmd: cmd, stderr: stderr, lines: bufio.NewScanner(stderr)}
 }
 
-// says waits until the program has logged a word.
-func (s *signalled) says(word string) {
+// awaitLog waits until the program has logged a word.
+func (s *signalledProgram) awaitLog(word string) {
 	s.Helper()
 	for s.lines.Scan() {
 		if strings.Contains(s.lines.Text(), word) {
@@ -98,7 +98,7 @@
 	s.Fatalf("it ended before it said %q", word)
 }
 
-func (s *signalled) signal(signals ...os.Signal) {
+func (s *signalledProgram) signal(signals ...os.Signal) {
 	s.Helper()
 	for _, x := range signals {
 		if err := s.cmd.Process.Signal(x); err != nil {
@@ -110,11 +110,11 @@
 // SIGHUP makes the program read its file again; uncaught it would end it. After SIGTERM it ends by itself.
 func TestSignals(t *testing.T) {
 	s := startSignalled(t)
-	s.says("serving on")
+	s.awaitLog("serving on")
 	s.signal(syscall.SIGHUP)
-	s.says("reload: discovery is")
+	s.awaitLog("reload: discovery is")
 	s.signal(syscall.SIGHUP)
-	s.says("reload: discovery is")
+	s.awaitLog("reload: discovery is")
 	s.signal(syscall.SIGTERM)
 	for s.lines.Scan() {
 	}
@@ -127,7 +127,7 @@
 // program ends: it ends by itself all the same.
 func TestSignalsWithoutAReaderOfTheLog(t *testing.T) {
 	s := startSignalled(t)
-	s.says("serving on")
+	s.awaitLog("serving on")
 	closeNow(s.stderr)
 	s.signal(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
 	time.Sleep(300 * time.Millisecond) // it is logged
--- a/cmd/quincegap/memory_test.go
+++ b/cmd/quincegap/memory_test.go
@@ -132,7 +132,7 @@
 func killed(t *testing.T, kills int, memory string) (twice, all int) {
 	t.Helper()
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
-	d := listing(t, cells(t, l, 2, 2)...)
+	d := startDiscovery(t, cells(t, l, 2, 2)...)
 	text := fmt.Sprintf(goodFile, d.Address()) + unsafeClass + memory
 	var r restarted
 	r.at.Store(launch(t, text))
@@ -176,7 +176,7 @@
 // A sidecar that starts while discovery is away goes on with the endpoints that it had.
 func TestListIsRemembered(t *testing.T) {
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
-	d := listing(t, cells(t, l, 2, 2)...)
+	d := startDiscovery(t, cells(t, l, 2, 2)...)
 	text := fmt.Sprintf(goodFile, d.Address()) + fmt.Sprintf("[memory]\nmemory_dir = %q\n", t.TempDir())
 	p := launch(t, text)
 	if status, err := send(p.url, "book-trip", "a", "a"); err != nil || status != http.StatusOK {
@@ -186,7 +186,7 @@
 	d.Close()
 	p = launch(t, text) // which waits until it is ready
 	if word := "begins with 4 endpoints as they were"; !strings.Contains(p.start, word) {
-		p.said(word)
+		p.awaitLog(word)
 	}
 	if status, err := send(p.url, "book-trip", "b", "b"); err != nil || status != http.StatusOK {
 		t.Errorf("%d, %v", status, err)
@@ -196,7 +196,7 @@
 // Where no more can be remembered, a class goes on or is refused, as its file says.
 func TestMemoryIsFull(t *testing.T) {
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
-	d := listing(t, cells(t, l, 2, 2)...)
+	d := startDiscovery(t, cells(t, l, 2, 2)...)
 	dir := t.TempDir()
 	text := fmt.Sprintf(goodFile, d.Address()) + unsafeClass + fmt.Sprintf("[memory]\nmemory_dir = %q\nremembered_requests = 100\n", dir)
 	p := launch(t, text)
@@ -211,7 +211,7 @@
 	if status, err := send(p.url, "book-trip", "more", "more"); err != nil || status != http.StatusOK {
 		t.Errorf("it goes on: %d, %v", status, err)
 	}
-	p.said("NOT REMEMBERED")
+	p.awaitLog("NOT REMEMBERED")
 	if status, err := send(p.url, "pay-trip", "pay", ""); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("it is refused: %d, %v", status, err)
 	}
@@ -224,7 +224,7 @@
 	if status, err := send(p.url, "book-trip", "again", "again"); err != nil || status != http.StatusOK {
 		t.Errorf("it goes on: %d, %v", status, err)
 	}
-	p.said("NOT REMEMBERED")
+	p.awaitLog("NOT REMEMBERED")
 	if status, err := send(p.url, "pay-trip", "paid", ""); err != nil || status != http.StatusBadGateway || l.runs["paid"] != 1 {
 		t.Errorf("a repeat of what has run: %d, %v; it ran %d times", status, err, l.runs["paid"])
 	}
@@ -233,7 +233,7 @@
 // A second sidecar on the same directory does not start.
 func TestMemoryIsTaken(t *testing.T) {
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
-	d := listing(t, cells(t, l, 2, 2)...)
+	d := startDiscovery(t, cells(t, l, 2, 2)...)
 	text := fmt.Sprintf(goodFile, d.Address()) + fmt.Sprintf("[memory]\nmemory_dir = %q\n", t.TempDir())
 	launch(t, text)
 	out, err := startOnce(t, text)
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -147,8 +147,8 @@
 	for _, n := range []int{3, 10, 20} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				g := newGround(b, n, 1, "")
-				all, names := several(n)
+				g := newPeersRig(b, n, 1, "")
+				all, names := firstMembers(n)
 				still := func() { time.Sleep(25 * time.Second) } // above DampFor: nobody comes and goes too often
 				timed := func(what string, confidence peers.Confidence, of, ask []int) {
 					began := time.Now()
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -25,9 +25,9 @@
 	"quincegap/internal/standin/relay"
 )
 
-// ground is a proving ground: sidecar processes that find one another through relays, before the endpoints of one
+// peersRig is a proving ground: sidecar processes that find one another through relays, before the endpoints of one
 // application, with callers.
-type ground struct {
+type peersRig struct {
 	t       testing.TB
 	dir     string
 	net     *relay.Network
@@ -36,10 +36,10 @@
 	urls    []atomic.Pointer[string]
 	ledger  *ledger
 	began   time.Time
-	story   []string
+	events  []string
 }
 
-const groundFile = `
+const peersFile = `
 [admin]
 admin_listen = "unix:%s"
 
@@ -54,10 +54,10 @@
 %s
 `
 
-// quick are settings by which a test has not to wait for long; with none a bench plays by the defaults.
-const quick = "peers_pace = \"200ms\"\nsettle_after = \"400ms\""
+// quickSettings are settings by which a test has not to wait for long; with none a bench plays by the defaults.
+const quickSettings = "peers_pace = \"200ms\"\nsettle_after = \"400ms\""
 
-func free(tb testing.TB, ip string) string {
+func freePortAt(tb testing.TB, ip string) string {
 	tb.Helper()
 	for range 100 {
 		l, err := listen(ip + ":0")
@@ -76,45 +76,45 @@
 	return ""
 }
 
-func newGround(tb testing.TB, n int, seed uint64, pace string) *ground {
+func newPeersRig(tb testing.TB, n int, seed uint64, pace string) *peersRig {
 	tb.Helper()
 	l := &ledger{seen: map[string]bool{}, runs: map[string]int{}}
-	g := &ground{t: tb, dir: tb.TempDir(), net: relay.New(seed), ledger: l, members: make([]*process, n), urls: make([]atomic.Pointer[string], n), began: time.Now()}
+	g := &peersRig{t: tb, dir: tb.TempDir(), net: relay.New(seed), ledger: l, members: make([]*process, n), urls: make([]atomic.Pointer[string], n), began: time.Now()}
 	tb.Cleanup(g.net.Close)
-	d := listing(tb, cells(tb, l, 3, 4)...)
+	d := startDiscovery(tb, cells(tb, l, 3, 4)...)
 	key := filepath.Join(g.dir, "key")
 	if err := os.WriteFile(key, []byte(base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))), 0o600); err != nil {
 		tb.Fatal(err)
 	}
 	var own, fronts []string
 	for i := range n {
-		own = append(own, free(tb, fmt.Sprintf("127.0.7.%d", i+1)))
-		fronts = append(fronts, free(tb, fmt.Sprintf("127.0.8.%d", i+1)))
-		if err := g.net.AddMember(name(i), fronts[i], own[i]); err != nil {
+		own = append(own, freePortAt(tb, fmt.Sprintf("127.0.7.%d", i+1)))
+		fronts = append(fronts, freePortAt(tb, fmt.Sprintf("127.0.8.%d", i+1)))
+		if err := g.net.AddMember(memberName(i), fronts[i], own[i]); err != nil {
 			tb.Fatal(err)
 		}
 	}
 	for i := range n {
 		join := slices.DeleteFunc([]string{fronts[0], fronts[1]}, func(a string) bool { return a == fronts[i] })
-		text := strings.Replace(fmt.Sprintf(goodFile, d.Address()), "[discovery]", fmt.Sprintf("instance = %q\ninstances = %d\nordinal = %d\n\n[discovery]", name(i), n, i), 1) + unsafeClass +
-			fmt.Sprintf(groundFile, g.admin(i), filepath.Join(g.dir, fmt.Sprint("m", i)), own[i], fronts[i], strings.Join(join, ","), key, pace)
+		text := strings.Replace(fmt.Sprintf(goodFile, d.Address()), "[discovery]", fmt.Sprintf("instance = %q\ninstances = %d\nordinal = %d\n\n[discovery]", memberName(i), n, i), 1) + unsafeClass +
+			fmt.Sprintf(peersFile, g.admin(i), filepath.Join(g.dir, fmt.Sprint("m", i)), own[i], fronts[i], strings.Join(join, ","), key, pace)
 		g.texts = append(g.texts, text)
 	}
 	return g
 }
 
-func name(i int) string { return fmt.Sprintf("front-%02d", i) }
+func memberName(i int) string { return fmt.Sprintf("front-%02d", i) }
 
-func (g *ground) admin(i int) string { return filepath.Join(g.dir, fmt.Sprint("s", i)) }
+func (g *peersRig) admin(i int) string { return filepath.Join(g.dir, fmt.Sprint("s", i)) }
 
-func (g *ground) say(format string, args ...any) {
-	g.story = append(g.story, fmt.Sprintf("%6.2fs ", time.Since(g.began).Seconds())+fmt.Sprintf(format, args...))
+func (g *peersRig) say(format string, args ...any) {
+	g.events = append(g.events, fmt.Sprintf("%6.2fs ", time.Since(g.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (g *ground) start(is ...int) {
+func (g *peersRig) start(is ...int) {
 	g.t.Helper()
 	for _, i := range is {
-		g.say("%s starts", name(i))
+		g.say("%s starts", memberName(i))
 		g.members[i] = launch(g.t, g.texts[i])
 		g.urls[i].Store(&g.members[i].url)
 		go func(p *process) { // nobody reads on: a full log would hold the program up
@@ -124,9 +124,9 @@
 	}
 }
 
-func (g *ground) kill(is ...int) {
+func (g *peersRig) kill(is ...int) {
 	for _, i := range is {
-		g.say("%s is killed", name(i))
+		g.say("%s is killed", memberName(i))
 		g.urls[i].Store(nil)
 		g.members[i].kill()
 		g.members[i] = nil
@@ -134,13 +134,13 @@
 }
 
 // view is a member's; false where it gives none.
-func (g *ground) view(i int) (peers.Report, bool) {
+func (g *peersRig) view(i int) (peers.Report, bool) {
 	f, err := admin.AskPeers("unix:"+g.admin(i), false)
 	return f.Own, err == nil
 }
 
 // until waits until each of some members has a view of just those, of a confidence.
-func (g *ground) until(what string, confidence peers.Confidence, of []int, ask ...int) {
+func (g *peersRig) until(what string, confidence peers.Confidence, of []int, ask ...int) {
 	g.t.Helper()
 	holds := func() bool {
 		for _, i := range ask {
@@ -156,9 +156,9 @@
 			var views strings.Builder
 			for _, i := range ask {
 				r, ok := g.view(i)
-				fmt.Fprintf(&views, "%s: %v %+v\n", name(i), ok, r)
+				fmt.Fprintf(&views, "%s: %v %+v\n", memberName(i), ok, r)
 			}
-			g.t.Fatalf("%s: never\n%s\n%s", what, strings.Join(g.story, "\n"), views.String())
+			g.t.Fatalf("%s: never\n%s\n%s", what, strings.Join(g.events, "\n"), views.String())
 		}
 	}
 	g.say("%s", what)
@@ -171,7 +171,7 @@
 
 // callers book through all that live, keyed and unsafe, until calm is called. A refusal promises that the call did not run;
 // so an unsafe one that is refused is sent again, and must not have happened twice.
-func (g *ground) callers(n int) (got *tally, calm func()) {
+func (g *peersRig) callers(n int) (got *tally, calm func()) {
 	got = &tally{}
 	done := make(chan struct{})
 	var all sync.WaitGroup
@@ -201,7 +201,7 @@
 
 // insist sends a booking to one that lives, drawn each time, again while it is refused. Of a keyed one each has another id; of an
 // unsafe one the same, for the ledger goes by it.
-func (g *ground) insist(client *http.Client, rng *rand.Rand, got *tally, class, id, key string) {
+func (g *peersRig) insist(client *http.Client, rng *rand.Rand, got *tally, class, id, key string) {
 	for try := range 50 {
 		url := g.urls[rng.IntN(len(g.urls))].Load()
 		if url == nil {
@@ -235,9 +235,9 @@
 	}
 }
 
-func several(n int) (is []int, names []string) {
+func firstMembers(n int) (is []int, names []string) {
 	for i := range n {
-		is, names = append(is, i), append(names, name(i))
+		is, names = append(is, i), append(names, memberName(i))
 	}
 	return is, names
 }
@@ -247,8 +247,8 @@
 func TestSevenSidecarsUnderFaults(t *testing.T) {
 	t.Parallel()
 	const n = 7
-	g := newGround(t, n, 1, quick)
-	all, names := several(n)
+	g := newPeersRig(t, n, 1, quickSettings)
+	all, names := firstMembers(n)
 	g.start(all...)
 	g.until("seven are settled", peers.Settled, all, all...)
 	got, calm := g.callers(6)
@@ -298,13 +298,13 @@
 	if twice > 0 || int64(ran) < got.served.Load() {
 		t.Errorf("%d of %d happened twice; %d were served", twice, ran, got.served.Load())
 	}
-	t.Log(strings.Join(g.story, "\n"))
+	t.Log(strings.Join(g.events, "\n"))
 }
 
 // Two processes started from one file: the second one is told apart, and gets nobody's share.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	t.Parallel()
-	g := newGround(t, 3, 1, quick)
+	g := newPeersRig(t, 3, 1, quickSettings)
 	second := strings.Replace(g.texts[0], "front-00", "front-01", 1) // of the name of another, elsewhere
 	second = strings.Replace(second, "ordinal = 0", "ordinal = 1", 1)
 	g.texts[0] = second
--- a/cmd/quincegap/route_bench_test.go
+++ b/cmd/quincegap/route_bench_test.go
@@ -29,7 +29,7 @@
 		b.Cleanup(e.Close)
 		targets = append(targets, e.Target())
 	}
-	text := fmt.Sprintf(goodFile, listing(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 2048\n" + more
+	text := fmt.Sprintf(goodFile, startDiscovery(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 2048\n" + more
 	return &bench{b: b, process: run(b, program, text)}
 }
 
--- a/cmd/quincegap/route_test.go
+++ b/cmd/quincegap/route_test.go
@@ -56,15 +56,15 @@
 // take has the program read a file again, and returns what it says of it up to a word.
 func (p *process) take(text, word string) string {
 	p.t.Helper()
-	p.put(text)
+	p.writeFile(text)
 	p.signal(syscall.SIGHUP)
-	return p.said(word)
+	return p.awaitLog(word)
 }
 
 // Routes come and go by SIGHUP, while callers book without pause: each booking is served or, by a route that is off,
 // refused; a file whose routes are ambiguous changes nothing.
 func TestRoutesBySIGHUP(t *testing.T) {
-	d := site(t, 3)
+	d := startSite(t, 3)
 	good := fmt.Sprintf(goodFile, d.Address())
 	p := launch(t, good)
 	book := func(want int) {
