--- a/internal/standalone/attempt.go
+++ b/internal/standalone/attempt.go
@@ -110,7 +110,7 @@
 }
 
 // recordOutcome remembers how an attempt ended, and reports whether that ended its request: one that could not be remembered
-// beforehand did not go out, and its caller is told so.
+// beforehand did not go out, and its caller gets the rejection.
 func (l *loop) recordOutcome(a *attempt, status balancer.Status) (final bool) {
 	r := a.request
 	mayRun := l.memory.endAttempt(l.now(), a, status, status == balancer.StatusOK && !r.answered)
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration of a sidecar, as LoadConfig and LoadWith read it.
 type Config struct {
 	Name      string       // of this sidecar, in logs and among others
 	Listen    string       // host:port of HTTP/1.1
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Idle connections to endpoints are kept for idleTimeoutShare of what the platform tells, or defaultIdleTimeout: a request
-// that is written while the endpoint closes its connection would be lost as a reset.
+// Idle connections to endpoints are kept for idleTimeoutShare of what the platform configures, or for
+// defaultIdleTimeout: a request that is written while the endpoint closes its connection would be lost as a reset.
 const (
 	idleTimeoutShare   = 0.5
 	defaultIdleTimeout = 10 * time.Second
--- a/internal/standalone/config_platform.go
+++ b/internal/standalone/config_platform.go
@@ -28,7 +28,7 @@
 	return c, nil
 }
 
-// CheckPlatform tells why a sidecar would not run with a platform's configuration, nil if it would.
+// CheckPlatform returns why a sidecar would not run with a platform's configuration, nil if it would.
 func CheckPlatform(text []byte) error {
 	c, err := parsePlatform(text, func(string) string { return "" }, false)
 	if err == nil {
--- a/internal/standalone/config_product.go
+++ b/internal/standalone/config_product.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// What holds where no platform tells.
+// The settings that only a platform has, where there is none.
 const (
 	// standaloneGrace is how long after the client's deadline an answer still counts.
 	standaloneGrace = 20 * time.Millisecond
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// watch follows the list until the connection ends, and tells whether it brought anything and what version
+// watch follows the list until the connection ends, and returns whether it brought anything and which version
 // it reached, so that the next watch misses nothing. Its error is never nil.
 func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, heard bool, err error) {
 	watchCtx, cancel := context.WithCancel(ctx)
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -100,7 +100,7 @@
 	return g
 }
 
-// announceLeave tells the others that this one ends.
+// announceLeave notifies the others that this one ends.
 func (g *group) announceLeave() {
 	if g.peers != nil {
 		g.peers.Leave()
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -67,8 +67,8 @@
 	return net.ListenUDP("udp", at)
 }
 
-// altSvcHeader is the value of Alt-Svc that tells callers over HTTP/1.1 of HTTP/3 at the same host (RFC 7838, section 3); empty
-// where they are told nothing.
+// altSvcHeader is the value of Alt-Svc that announces HTTP/3 at the same host to callers over HTTP/1.1 (RFC 7838, section 3);
+// empty for no announcement.
 func altSvcHeader(at net.Addr, lasts time.Duration) string {
 	udp, ok := at.(*net.UDPAddr)
 	if !ok || lasts <= 0 {
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -102,7 +102,7 @@
 // post hands an event to the loop. Only other goroutines may call it.
 func (l *loop) post(event func()) { l.events <- event }
 
-// run handles events for the life of the process.
+// run handles events until the process ends.
 func (l *loop) run() {
 	l.loadLastKnown()
 	if !l.config.Settings.MustSubscribe && l.config.Discovery != "" {
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -18,7 +18,7 @@
 const (
 	requestKeyPrefix  = 'r' // and the id of an entry of the request table
 	endpointKeyPrefix = 'e' // and the uid of an endpoint of the saved list
-	listKey           = 'l' // its time to live tells when the saved list was last said to be so
+	listKey           = 'l' // its time to live gives when the saved list was last confirmed
 	groupKey          = 'g' // the group of sidecars that was settled last
 )
 
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -117,7 +117,7 @@
 	log.Printf("reload: discovery is %s", c.Discovery)
 }
 
-// namesFollower reports whether a setting tells which source is followed beside discovery, and how.
+// namesFollower reports whether a setting configures the source that is followed beside discovery.
 func namesFollower(x *schema.Setting) bool {
 	return x.Path[0] == "consul" || x.Path[0] == endpointsource.SettingsTable.Name && x.Key.Name == "source"
 }
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -53,7 +53,7 @@
 // Endpoints bounds connections to endpoints.
 type Endpoints struct {
 	Share         float64       // of limits.sockets, for connections to endpoints
-	KeepIdle      time.Duration // of an idle connection; 0 for what the platform tells, or the default
+	KeepIdle      time.Duration // of an idle connection; 0 for what the platform configures, or the default
 	MaxSubsetSize int           // endpoints that this sidecar keeps to; 0 for all
 }
 
