--- /dev/null
+++ b/internal/tool/adopt.go
@@ -0,0 +1,110 @@
+package tool
+
+import (
+	"path/filepath"
+
+	"github.com/spf13/cobra"
+
+	"quincegap/internal/config/apps"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/files/atomicfile"
+	"quincegap/internal/product"
+)
+
+func (c *command) adoptCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "adopt apps.toml FILE...", Short: "Take edits by hand back into apps.toml", Args: cobra.MinimumNArgs(2),
+		Long: "adopt takes the keys that were edited by hand in written files back into apps.toml, whose comments and\n" +
+			"other lines stay. All files are checked with the new apps.toml first; with a finding nothing changes.",
+		RunE: func(_ *cobra.Command, args []string) error { return c.adoptEdits(args[0], args[1:]) },
+	}
+}
+
+// adoptEdits takes the edits of derived files back into apps.toml, and merges the files with what it says then.
+func (c *command) adoptEdits(source string, paths []string) error {
+	unlock, err := atomicfile.Lock(filepath.Dir(source))
+	if err != nil {
+		return runError{err}
+	}
+	defer unlock()
+	var found finding.List
+	m := c.readModel(source, &found)
+	if found.Len() > 0 {
+		return c.report(&found)
+	}
+	states := readEdited(m, paths, &found)
+	text := m.Adopt(states, &found)
+	if found.Len() > 0 {
+		return c.report(&found)
+	}
+	after := apps.Read(product.Schema, m.FileName, text, &found)
+	if after != nil {
+		checkModel(after, &found)
+	}
+	if found.Len() > 0 {
+		c.errOut.println("with these edits apps.toml would not be sound, so nothing was changed:")
+		return c.report(&found)
+	}
+	files := adoptedFiles(m, after, text, states, &found)
+	if len(files) == 0 {
+		c.out.println("there is nothing to adopt")
+		return nil
+	}
+	if err := atomicfile.Write(c.disk, files...); err != nil {
+		return runError{err}
+	}
+	edits := 0
+	for _, state := range states {
+		for _, e := range state.Edits {
+			c.out.printf("adopted: %s\n", e)
+			edits++
+		}
+	}
+	c.out.printf("%d edits are now in %s\n", edits, m.FileName)
+	return nil
+}
+
+// readEdited compares derived files with what apps.toml says.
+func readEdited(m *apps.Model, paths []string, found *finding.List) []*apps.FileState {
+	var states []*apps.FileState
+	for _, path := range paths {
+		text, err := product.Read(path, apps.MaxFileBytes)
+		if err != nil {
+			found.Add(path, finding.Pos{}, "%v", err)
+			continue
+		}
+		provenance := apps.ParseProvenance(text)
+		if provenance == nil {
+			found.Add(path, fileStart, "was not written by quincegapctl (its header is missing)")
+			continue
+		}
+		app := m.App(provenance.App)
+		if app == nil {
+			found.Add(path, fileStart, "was written for %s, which %s does not have", provenance.App, m.FileName)
+			continue
+		}
+		states = append(states, apps.Compare(product.Schema, app, filepath.Base(m.FileName), path, text, found))
+	}
+	return states
+}
+
+// adoptedFiles are apps.toml, if its text changed, and the derived files that change with it.
+func adoptedFiles(before, after *apps.Model, text []byte, states []*apps.FileState, found *finding.List) []atomicfile.File {
+	var files []atomicfile.File
+	add := func(path string, content []byte) {
+		files = append(files, atomicfile.File{Path: path, Content: content, Mode: fileMode})
+	}
+	if string(text) != string(before.Doc.Text) {
+		add(before.FileName, text)
+	}
+	for _, state := range states {
+		again := apps.Compare(product.Schema, after.App(state.App.Name), filepath.Base(before.FileName), state.Path, state.Text, found)
+		if again.File == nil || string(again.Generated) == string(state.Text) {
+			continue
+		}
+		if merged := again.Merge(); string(merged) != string(state.Text) {
+			add(state.Path, merged)
+		}
+	}
+	return files
+}
--- /dev/null
+++ b/internal/tool/check.go
@@ -0,0 +1,93 @@
+package tool
+
+import (
+	"path/filepath"
+
+	"github.com/spf13/cobra"
+
+	"quincegap/internal/config/apps"
+	"quincegap/internal/config/doc"
+	"quincegap/internal/config/finding"
+	"quincegap/internal/config/schema"
+	"quincegap/internal/product"
+)
+
+func (c *command) checkCommand() *cobra.Command {
+	var asJSON, overlay bool
+	cmd := &cobra.Command{
+		Use: "check [--json] FILE...", Short: "Print every finding in files of any sort", Args: cobra.MinimumNArgs(1),
+		Long: "check takes apps.toml, files of single applications (together, they are checked against one another),\n" +
+			"and a platform's JSON configuration. It prints every finding as FILE:LINE:COLUMN: message.",
+		RunE: func(_ *cobra.Command, args []string) error {
+			var found finding.List
+			Check(args, overlay, &found)
+			if asJSON {
+				if err := found.PrintJSON(c.out); err != nil {
+					return runError{err}
+				}
+				if found.Len() > 0 {
+					return errFindings
+				}
+				return nil
+			}
+			return c.report(&found)
+		},
+	}
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object for programs")
+	cmd.Flags().BoolVar(&overlay, "overlay", false, "the files are used under a platform's configuration, which says who the sidecar is")
+	return cmd
+}
+
+// Check reports what is wrong with files of any sort: apps.toml, files of single applications, which are checked against one another, and
+// a platform's JSON configuration. With overlay the files of applications are used under such a configuration.
+func Check(paths []string, overlay bool, found *finding.List) {
+	var single []*schema.File
+	before := found.Len()
+	for _, path := range paths {
+		if filepath.Ext(path) == ".json" {
+			product.CheckPlatform(path, found)
+			continue
+		}
+		if f := checkTOML(path, overlay, found); f != nil {
+			single = append(single, f)
+		}
+	}
+	// Among findings of single files those across files would mislead.
+	if len(single) > 1 && found.Len() == before {
+		apps.Check(apps.FromFiles(single), apps.ChainTable.Default(), nil, nil, found)
+	}
+}
+
+// checkTOML checks one file, and returns it where it is that of a single application.
+func checkTOML(path string, overlay bool, found *finding.List) *schema.File {
+	text, err := product.Read(path, apps.MaxBytes)
+	if err != nil {
+		found.Add(path, finding.Pos{}, "%v", err)
+		return nil
+	}
+	before := found.Len()
+	d := doc.ReadTOML(text, apps.MaxBytes, found.ForFile(path))
+	complete := found.Len() == before
+	switch {
+	case d == nil:
+		return nil
+	case apps.IsInstallation(d) || filepath.Base(path) == "apps.toml":
+		m := apps.FromDocument(product.Schema, path, d, complete, found)
+		if complete {
+			checkModel(m, found)
+		}
+		return nil
+	case len(text) > apps.MaxFileBytes:
+		found.Add(path, finding.Pos{}, "has %d bytes; at most %d are read of one application's file", len(text), apps.MaxFileBytes)
+		return nil
+	}
+	f := product.Decode(path, d, overlay, complete, found)
+	product.CheckSecrets(f, path, found)
+	if provenance := apps.ParseProvenance(text); provenance != nil && complete {
+		if provenance.Truncated {
+			found.Add(path, fileStart, "its end is missing: the file was cut after it was written")
+		}
+		apps.CheckLostKeys(provenance, f, path, found)
+	}
+	return f
+}
--- a/internal/tool/demo.go
+++ b/internal/tool/demo.go
@@ -24,8 +24,9 @@
 
 const (
 	demoEndpoints    = 3
-	demoReadyTimeout = 10 * time.Second // for the sidecar to serve
-	demoStopTimeout  = 10 * time.Second // for it to end after it was told to
+	demoReadyTimeout = 10 * time.Second      // for the sidecar to serve
+	demoStopTimeout  = 10 * time.Second      // for it to end after it was told to
+	demoPollInterval = 20 * time.Millisecond // of its readiness
 )
 
 func (c *command) demoCommand() *cobra.Command {
@@ -78,81 +79,124 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	file := filepath.Join(dir, "demo.toml")
 	text := fmt.Sprintf(demoFile, doc.Quote(discovery.Address()))
 	if err := atomicfile.Write(c.disk, atomicfile.File{Path: file, Content: []byte(text), Mode: fileMode}); err != nil {
 		return err
 	}
-
-	sidecar := exec.Command(program, "-config", file)
-	// Without a platform's configuration, and not in this process's group: Ctrl-C is for this one to pass on.
-	sidecar.Env = append(os.Environ(), "BALANCER_CONFIG=", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
-	sidecar.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	logs, err := sidecar.StderrPipe()
+	sidecar, err := startDemoSidecar(ctx, program, file, c.errOut)
 	if err != nil {
 		return err
 	}
-	if err := sidecar.Start(); err != nil {
-		return fmt.Errorf("the sidecar cannot be started (make builds it): %w", err)
-	}
-	address := make(chan string, 1)
-	ended := make(chan error, 1)
-	go func() {
-		lines := bufio.NewScanner(logs)
-		for lines.Scan() {
-			fmt.Fprintln(c.errOut, "sidecar: "+lines.Text())
-			if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
-				select {
-				case address <- m[1]:
-				default:
-				}
-			}
-		}
-		io.Copy(io.Discard, logs) // a line too long to show
-		ended <- sidecar.Wait()
-	}()
-	defer func() {
-		select {
-		case <-ended:
-			return
-		default:
-		}
-		sidecar.Process.Signal(syscall.SIGTERM)
-		late := time.NewTimer(demoStopTimeout)
-		defer late.Stop()
-		select {
-		case <-ended:
-		case <-late.C:
-			sidecar.Process.Kill()
-			<-ended
-			err = errors.Join(err, errors.New("the sidecar did not end by itself"))
-		}
-	}()
+	defer func() { err = errors.Join(err, sidecar.stop()) }()
+	return c.showDemo(ctx, sidecar)
+}
 
+// showDemo waits until the sidecar serves, says how to try it, and waits for the end.
+func (c *command) showDemo(ctx context.Context, sidecar *demoSidecar) error {
 	ready, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
-	var at string
+	var address string
 	select {
-	case at = <-address:
-	case err := <-ended:
-		ended <- err
-		return fmt.Errorf("the sidecar ended at once: %v", err)
+	case address = <-sidecar.address:
+	case <-sidecar.ended:
+		return fmt.Errorf("the sidecar ended at once: %w", sidecar.result())
 	case <-ready.Done():
 		return unlessCancelled(ctx, errors.New("the sidecar did not come up"))
 	}
-	if err := waitUntilReady(ready, "http://"+at+"/ready"); err != nil {
+	if err := waitUntilReady(ready, "http://"+address+"/ready"); err != nil {
 		return unlessCancelled(ctx, err)
 	}
-	fmt.Fprintf(c.out, "\nA sidecar serves on %s and balances over %d endpoints. Book a trip:\n\n  %s\n\nCtrl-C ends it.\n", at, demoEndpoints, curlCommand(at))
+	c.out.printf("\nA sidecar serves on %s and balances over %d endpoints. Book a trip:\n\n  %s\n\nCtrl-C ends it.\n",
+		address, demoEndpoints, curlCommand(address))
 	select {
 	case <-ctx.Done():
-		fmt.Fprintln(c.out, "\nending")
+		c.out.println("\nending")
+		return nil
+	case <-sidecar.ended:
+		return fmt.Errorf("the sidecar ended: %w", sidecar.result())
+	}
+}
+
+// demoSidecar is a sidecar's process. It belongs to who started it, who stops it.
+type demoSidecar struct {
+	process *exec.Cmd
+	address chan string   // where it listens, once it says so
+	ended   chan struct{} // closed when it has ended
+	err     error         // of its end; to be read after ended
+}
+
+// errEndedByItself is the result of a sidecar that ended without an error, though nobody asked it to.
+var errEndedByItself = errors.New("by itself, without an error")
+
+// startDemoSidecar starts a sidecar and passes its log on.
+func startDemoSidecar(ctx context.Context, program, file string, log printer) (*demoSidecar, error) {
+	// It outlives the context: stop ends it in order.
+	process := exec.CommandContext(context.WithoutCancel(ctx), program, "-config", file)
+	// Without a platform's configuration, and not in this process's group: Ctrl-C is for this one to pass on.
+	process.Env = append(os.Environ(), "BALANCER_CONFIG=", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
+	process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	logs, err := process.StderrPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := process.Start(); err != nil {
+		return nil, fmt.Errorf("the sidecar cannot be started (make builds it): %w", err)
+	}
+	s := &demoSidecar{process: process, address: make(chan string, 1), ended: make(chan struct{})}
+	go func() {
+		defer close(s.ended)
+		s.passLog(logs, log)
+		s.err = process.Wait()
+	}()
+	return s, nil
+}
+
+// passLog passes the sidecar's log on until its end, and finds where it listens.
+func (s *demoSidecar) passLog(logs io.Reader, log printer) {
+	lines := bufio.NewScanner(logs)
+	for lines.Scan() {
+		log.println("sidecar: " + lines.Text())
+		if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
+			select {
+			case s.address <- m[1]:
+			default: // it is known already
+			}
+		}
+	}
+	// Behind a line that is too long to show the log goes on; it has to be read for the sidecar to go on. An error is its end.
+	_, _ = io.Copy(io.Discard, logs)
+}
+
+// result is the error of a sidecar that has ended.
+func (s *demoSidecar) result() error {
+	if s.err == nil {
+		return errEndedByItself
+	}
+	return s.err
+}
+
+// stop ends the sidecar and waits for it. It is killed, which is an error, where it takes longer than demoStopTimeout.
+func (s *demoSidecar) stop() error {
+	select {
+	case <-s.ended:
+		return nil
+	default:
+	}
+	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		return err
+	}
+	late := time.NewTimer(demoStopTimeout)
+	defer late.Stop()
+	select {
+	case <-s.ended:
 		return nil
-	case err := <-ended:
-		ended <- err
-		return fmt.Errorf("the sidecar ended: %v", err)
+	case <-late.C:
 	}
+	err := s.process.Process.Kill()
+	<-s.ended
+	return errors.Join(errors.New("the sidecar did not end by itself"), err)
 }
 
 // unlessCancelled is nil where the demonstration was ended before it had begun.
@@ -171,16 +215,15 @@
 		if err != nil {
 			return err
 		}
-		if res, err := client.Do(r); err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
+		if answer, err := client.Do(r); err == nil {
+			if err := answer.Body.Close(); err == nil && answer.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return errors.New("the sidecar did not become ready")
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(demoPollInterval):
 		}
 	}
 }
--- a/internal/tool/demo_test.go
+++ b/internal/tool/demo_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -48,13 +49,13 @@
 func TestDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	program := filepath.Join(t.TempDir(), "quincegap")
-	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	temp := t.TempDir()
 	t.Setenv("TMPDIR", temp)
 	out, errs := &shared{wrote: make(chan struct{}, 1)}, &shared{wrote: make(chan struct{}, 1)}
-	c := &command{out: out, errOut: errs, disk: atomicfile.Disk{}}
+	c := &command{out: printer{out}, errOut: printer{errs}, disk: atomicfile.Disk{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := make(chan error, 1)
@@ -74,7 +75,7 @@
 	// What curl would send, for not every machine has it.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 20 {
-		r, err := http.NewRequest(http.MethodPost, "http://"+match[2], strings.NewReader("trip=dialysis"))
+		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+match[2], strings.NewReader("trip=dialysis"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,8 +86,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, _ := io.ReadAll(res.Body)
-		res.Body.Close()
+		body, err := io.ReadAll(res.Body)
+		if err := errors.Join(err, res.Body.Close()); err != nil {
+			t.Fatal(err)
+		}
 		if res.StatusCode != http.StatusOK || !strings.Contains(string(body), "served POST /trips (13 bytes)") {
 			t.Errorf("got %d %q", res.StatusCode, body)
 		}
@@ -108,7 +111,7 @@
 
 func TestDemoWithoutASidecar(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	c := &command{out: io.Discard, errOut: io.Discard, disk: atomicfile.Disk{}}
+	c := &command{out: printer{io.Discard}, errOut: printer{io.Discard}, disk: atomicfile.Disk{}}
 	if err := c.runDemo(context.Background(), "/nowhere/quincegap"); err == nil || !strings.Contains(err.Error(), "make builds it") {
 		t.Error(err)
 	}
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"encoding/csv"
 	"fmt"
+	"io"
 	"math"
 	"os"
 	"os/signal"
@@ -101,10 +101,10 @@
 	}
 	runs, err := d.Play(ctx, func(done, of int) {
 		if done == of || done%max(1, of/50) == 0 {
-			fmt.Fprintf(c.errOut, "\r%d of %d runs", done, of)
+			c.errOut.printf("\r%d of %d runs", done, of)
 		}
 	})
-	fmt.Fprintln(c.errOut)
+	c.errOut.println()
 	if err != nil {
 		return runError{err}
 	}
@@ -125,38 +125,36 @@
 	return nil
 }
 
-// keepExperiment writes every run as a line of a table, and a page.
+// keepExperiment writes every run as a line of a table, and a page with charts.
 func (c *command) keepExperiment(dir string, mornings []*morning.Scenario, runs []experiment.Run, points []experiment.Point) error {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	if err := os.MkdirAll(dir, reportDirMode); err != nil {
 		return err
 	}
-	table := filepath.Join(dir, "experiment.csv")
-	f, err := os.OpenFile(table, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
-	if err != nil {
+	tablePath := filepath.Join(dir, "experiment.csv")
+	if err := writeCSV(tablePath, experimentRows(mornings, runs)); err != nil {
 		return err
 	}
-	defer f.Close()
-	w := csv.NewWriter(f)
-	w.Write([]string{"morning", "load", "seed", "requests", "service", "worst_10s", "refused", "failed", "attempts_a_call", "waste", "p50_s", "p99_s", "breaches"})
-	for _, r := range runs {
-		n := func(x float64) string { return strconv.FormatFloat(x, 'f', 5, 64) }
-		w.Write([]string{
-			mornings[r.Scenario].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests), n(r.Service), n(r.WorstService),
-			n(r.Rejected), n(r.Failed), n(r.AttemptsPerCall), n(r.WastedShare), n(r.P50.Seconds()), n(r.P99.Seconds()), strconv.Itoa(r.Breaches),
-		})
-	}
-	if w.Flush(); w.Error() != nil {
-		return w.Error()
-	}
-	page := filepath.Join(dir, "experiment.html")
-	p, err := os.OpenFile(page, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+	pagePath := filepath.Join(dir, "experiment.html")
+	err := writeFile(pagePath, func(w io.Writer) error { return report.WriteExperimentPage(w, time.Now(), mornings, points) })
 	if err != nil {
 		return err
 	}
-	defer p.Close()
-	if err := report.WriteExperimentPage(p, time.Now(), mornings, points); err != nil {
-		return err
-	}
-	fmt.Fprintf(c.out, "%s\n%s\n", table, page)
+	c.out.printf("%s\n%s\n", tablePath, pagePath)
 	return nil
 }
+
+// experimentRows are a header and a row for each run. Other tools read the columns by name.
+func experimentRows(mornings []*morning.Scenario, runs []experiment.Run) [][]string {
+	rows := [][]string{{
+		"morning", "load", "seed", "requests", "service", "worst_10s", "refused", "failed", "attempts_a_call", "waste", "p50_s", "p99_s", "breaches",
+	}}
+	figure := func(x float64) string { return strconv.FormatFloat(x, 'f', 5, 64) }
+	for _, r := range runs {
+		rows = append(rows, []string{
+			mornings[r.Scenario].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests),
+			figure(r.Service), figure(r.WorstService), figure(r.Rejected), figure(r.Failed), figure(r.AttemptsPerCall), figure(r.WastedShare),
+			figure(r.P50.Seconds()), figure(r.P99.Seconds()), strconv.Itoa(r.Breaches),
+		})
+	}
+	return rows
+}
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -5,17 +5,16 @@
 	"fmt"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"quincegap/internal/config/finding"
-	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/fleet"
 	"quincegap/internal/rehearsal/report"
 )
 
+// fleetOptions are the flags of fleet.
 type fleetOptions struct {
 	seed      uint64
 	subsets   bool
@@ -36,7 +35,7 @@
 )
 
 func (c *command) fleetCommand() *cobra.Command {
-	var o fleetOptions
+	var options fleetOptions
 	cmd := &cobra.Command{
 		Use: "fleet [DAY...]", Short: "Play hard days of large fleets in virtual time, or measure subsets of endpoints",
 		Long: "fleet plays days with up to 20,000 endpoints or 200 sidecars, with the decision module alone and no socket:\n" +
@@ -59,33 +58,33 @@
 			"Exit codes: 0 all kept, 1 a rule was broken or a day did not reach what it should, 2 wrong usage.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			switch {
-			case o.list:
+			case options.list:
 				return c.listDays()
-			case o.waves && (o.subsets || len(args) > 0):
+			case options.waves && (options.subsets || len(args) > 0):
 				return fmt.Errorf("--waves goes with no day and with no --subsets")
-			case o.waves:
-				return c.playWaves(o)
-			case !o.subsets:
-				return c.playDays(args, o)
+			case options.waves:
+				return c.playWaves(options)
+			case !options.subsets:
+				return c.playDays(args, options)
 			case len(args) > 0:
 				return fmt.Errorf("--subsets plays no day: %s", strings.Join(args, " "))
-			case o.endpoints < 1 || o.endpoints > maxMeasuredEndpoints || o.instances < 1 || o.instances > maxMeasuredInstances:
+			case options.endpoints < 1 || options.endpoints > maxMeasuredEndpoints || options.instances < 1 || options.instances > maxMeasuredInstances:
 				return fmt.Errorf("--endpoints are 1 to %d, --instances 1 to %d", maxMeasuredEndpoints, maxMeasuredInstances)
 			}
-			return c.measureSubsets(o)
+			return c.measureSubsets(options)
 		},
 	}
 	f := cmd.Flags()
-	f.Uint64Var(&o.seed, "seed", 0, "another seed than the day's")
-	f.BoolVar(&o.list, "list", false, "list the days, and play nothing")
-	f.BoolVar(&o.waves, "waves", false, "restart a fleet at once, with 4 to 200 sidecars")
-	f.Float64SliceVar(&o.rates, "rate", []float64{650, 1000, 1300, 1600}, "requests a second, of --waves")
-	f.StringVar(&o.restart, "restart", "all", "what restarts in --waves: "+strings.Join(restarts, ", "))
-	f.IntVar(&o.seeds, "seeds", 5, "of --waves, from --seed (3 if that is not set) on")
-	f.BoolVar(&o.subsets, "subsets", false, "measure subsets")
-	f.IntVar(&o.endpoints, "endpoints", 1500, "of --subsets")
-	f.IntVar(&o.instances, "instances", 40, "of --subsets")
-	f.BoolVar(&o.cpu, "cpu", false, "print the time that a decision took, all that was emulated included, as the last column")
+	f.Uint64Var(&options.seed, "seed", 0, "another seed than the day's")
+	f.BoolVar(&options.list, "list", false, "list the days, and play nothing")
+	f.BoolVar(&options.waves, "waves", false, "restart a fleet at once, with 4 to 200 sidecars")
+	f.Float64SliceVar(&options.rates, "rate", []float64{650, 1000, 1300, 1600}, "requests a second, of --waves")
+	f.StringVar(&options.restart, "restart", "all", "what restarts in --waves: "+strings.Join(restarts, ", "))
+	f.IntVar(&options.seeds, "seeds", 5, "of --waves, from --seed (3 if that is not set) on")
+	f.BoolVar(&options.subsets, "subsets", false, "measure subsets")
+	f.IntVar(&options.endpoints, "endpoints", 1500, "of --subsets")
+	f.IntVar(&options.instances, "instances", 40, "of --subsets")
+	f.BoolVar(&options.cpu, "cpu", false, "print the time that a decision took, all that was emulated included, as the last column")
 	return cmd
 }
 
@@ -98,33 +97,33 @@
 var restarts = []string{"all", "boxes", "sidecars", "half"}
 
 // playWaves plays waves of restarts, as many at once as there are processors, and prints them in order.
-func (c *command) playWaves(o fleetOptions) error {
-	if o.seeds < 1 || o.seeds > maxWaveSeeds {
+func (c *command) playWaves(options fleetOptions) error {
+	if options.seeds < 1 || options.seeds > maxWaveSeeds {
 		return fmt.Errorf("--seeds are 1 to %d", maxWaveSeeds)
 	}
-	for _, r := range o.rates {
+	for _, r := range options.rates {
 		if !(r >= 1 && r <= 20_000) {
 			return fmt.Errorf("--rate is 1 to 20000 a second, not %v", r)
 		}
 	}
-	if !slices.Contains(restarts, o.restart) {
-		return fmt.Errorf("%s", finding.UnknownName("restart", o.restart, restarts))
+	if !slices.Contains(restarts, options.restart) {
+		return fmt.Errorf("%s", finding.UnknownName("restart", options.restart, restarts))
 	}
-	swells, err := fleet.PlayWaves(waveTable(o))
+	swells, err := fleet.PlayWaves(waveTable(options))
 	if err != nil {
 		return runError{err}
 	}
-	t := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "rate\tsidecars\tfell\tservice\tcold\tvain\tknocks\topened\ttrials\tlisted\tfull use\t")
+	t := newFigureTable(c.out)
+	t.println("rate\tsidecars\tfell\tservice\tcold\tvain\tknocks\topened\ttrials\tlisted\tfull use\t")
 	fell := 0
-	for i := 0; i < len(swells); i += o.seeds {
-		x := fleet.Summarize(swells[i : i+o.seeds])
+	for i := 0; i < len(swells); i += options.seeds {
+		x := fleet.Summarize(swells[i : i+options.seeds])
 		fell += x.MaxCollapses
 		full := "never"
 		if x.RecoveryTime > 0 {
 			full = x.RecoveryTime.Round(100 * time.Millisecond).String()
 		}
-		fmt.Fprintf(t, "%v\t%d\t%.1f (%d)\t%.3f (%.3f)\t%.2f\t%d\t%d\t%d\t%d\t%d\t%s\t\n", swells[i].Wave.Rate, swells[i].Wave.Sidecars,
+		t.printf("%v\t%d\t%.1f (%d)\t%.3f (%.3f)\t%.2f\t%d\t%d\t%d\t%d\t%d\t%s\t\n", swells[i].Wave.Rate, swells[i].Wave.Sidecars,
 			x.Collapses, x.MaxCollapses, x.Service, x.MinService, x.ColdLoad, x.MaxRejected, x.MaxUnreachable, x.MaxConnectionsOpened, x.MaxEjectedAttempts, x.MaxListRequests, full)
 	}
 	if err := t.Flush(); err != nil {
@@ -136,18 +135,20 @@
 	return nil
 }
 
-func waveTable(o fleetOptions) (waves []*fleet.RestartWave) {
-	for _, rate := range o.rates {
+// waveTable is all waves: each rate with each number of sidecars, played with each seed.
+func waveTable(options fleetOptions) (waves []*fleet.RestartWave) {
+	for _, rate := range options.rates {
 		for _, sidecars := range waveSidecars {
-			for i := range o.seeds {
-				w := &fleet.RestartWave{Sidecars: sidecars, Rate: rate, Seed: cmp.Or(o.seed, 3) + uint64(i)}
-				switch o.restart {
+			for i := range options.seeds {
+				w := &fleet.RestartWave{Sidecars: sidecars, Rate: rate, Seed: cmp.Or(options.seed, 3) + uint64(i)}
+				switch options.restart {
 				case "boxes":
 					w.ServerShare = 1
 				case "sidecars":
 					w.SidecarShare = 1
 				case "half":
-					w.ServerShare, w.SidecarShare = 0.5, 0.5
+					w.ServerShare = 0.5
+					w.SidecarShare = 0.5
 				}
 				waves = append(waves, w)
 			}
@@ -156,27 +157,29 @@
 	return waves
 }
 
+// listDays prints the names and titles of all days.
 func (c *command) listDays() error {
 	for _, name := range fleet.Days() {
 		m, err := fleet.Day(name)
 		if err != nil {
 			return runError{err}
 		}
-		fmt.Fprintf(c.out, "%-12s %s\n", name, m.Title)
+		c.out.printf("%-12s %s\n", name, m.Title)
 	}
 	return nil
 }
 
-func (c *command) playDays(names []string, o fleetOptions) error {
+// playDays plays days one after another, and prints a line for each.
+func (c *command) playDays(names []string, options fleetOptions) error {
 	if len(names) == 0 {
 		names = fleet.Days()
 	}
-	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "day\tendpoints\tsidecars\trequests\tservice\trefused\tfailed\tin vain\tmax\t\tp99\t\tbreaches\tdecisions\t")
-	if o.cpu {
-		fmt.Fprint(w, "us each\t")
+	w := newFigureTable(c.out)
+	w.printf("day\tendpoints\tsidecars\trequests\tservice\trefused\tfailed\tin vain\tmax\t\tp99\t\tbreaches\tdecisions\t")
+	if options.cpu {
+		w.printf("us each\t")
 	}
-	fmt.Fprintln(w)
+	w.println()
 	var plays []*report.Run
 	for _, name := range names {
 		m, err := fleet.Day(name)
@@ -184,51 +187,61 @@
 			return err
 		}
 		began := time.Now()
-		r, err := fleet.Play(m, o.seed)
+		r, err := fleet.Play(m, options.seed)
 		if err != nil {
 			return runError{fmt.Errorf("%s: %w", name, err)}
 		}
 		took := time.Since(began)
-		v, s := r.Verdict, r.Spread
+		v := r.Verdict
+		s := r.Spread
 		share := func(n int) float64 { return 100 * float64(n) / float64(max(1, v.Requests)) }
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.3f\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f\t(%.2f)\t%.2f\t(%.2f)\t%d\t%d\t", name, len(r.Plan.Servers), len(r.Plan.SidecarSpecs()),
+		w.printf("%s\t%d\t%d\t%d\t%.3f\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f\t(%.2f)\t%.2f\t(%.2f)\t%d\t%d\t", name, len(r.Plan.Servers), len(r.Plan.SidecarSpecs()),
 			v.Requests, v.Service, share(v.Rejected), share(v.Failed), 100*r.UnansweredShare, s.Max, s.ChanceMax, s.P99, s.ChanceP99, len(v.Breaches), r.Decisions)
-		if o.cpu {
-			fmt.Fprintf(w, "%.1f\t", float64(took.Microseconds())/float64(max(1, r.Decisions)))
+		if options.cpu {
+			w.printf("%.1f\t", float64(took.Microseconds())/float64(max(1, r.Decisions)))
 		}
-		fmt.Fprintln(w)
+		w.println()
 		plays = append(plays, &report.Run{Plan: r.Plan, Verdict: v, Virtual: true})
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
 	}
+	c.printBreaches(plays)
+	return worstOutcome(plays)
+}
+
+// printBreaches prints why plays were not kept, with the first breaches of each.
+func (c *command) printBreaches(plays []*report.Run) {
 	for _, p := range plays {
-		if outcome, why := p.Outcome(); outcome != report.OutcomeKept {
-			fmt.Fprintf(c.out, "%s: %v\n", p.Plan.DisplayName(), outcome)
-			for _, line := range why {
-				fmt.Fprintf(c.out, "  %s\n", line)
-			}
-			for _, b := range p.Verdict.Breaches[:min(len(p.Verdict.Breaches), maxBreachesShown)] {
-				fmt.Fprintf(c.out, "  %8.3f s  %v: %s\n", b.At.Seconds(), audit.Rule(b.Rule), b.Message)
-			}
+		outcome, why := p.Outcome()
+		if outcome == report.OutcomeKept {
+			continue
+		}
+		c.out.printf("%s: %v\n", p.Plan.DisplayName(), outcome)
+		for _, line := range why {
+			c.out.printf("  %s\n", line)
+		}
+		breaches := p.Verdict.Breaches
+		for _, b := range breaches[:min(len(breaches), maxBreachesShown)] {
+			c.out.printf("  %8.3f s  %v: %s\n", b.At.Seconds(), b.Rule, b.Message)
 		}
 	}
-	return worstOutcome(plays)
 }
 
 // maxBreachesShown is how many breaches of a day are printed.
 const maxBreachesShown = 5
 
-func (c *command) measureSubsets(o fleetOptions) error {
-	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "change\tscheme\tmoved\treached\tload\tp99\tsubset\t")
+// measureSubsets prints how many endpoints move, and how even the load is, for each way to choose subsets.
+func (c *command) measureSubsets(options fleetOptions) error {
+	w := newFigureTable(c.out)
+	w.println("change\tscheme\tmoved\treached\tload\tp99\tsubset\t")
 	for _, change := range fleet.Churns {
 		for _, scheme := range fleet.SubsettingSchemes {
-			f, err := fleet.MeasureSubsets(scheme, change, o.endpoints, o.instances, max(1, o.seed))
+			f, err := fleet.MeasureSubsets(scheme, change, options.endpoints, options.instances, max(1, options.seed))
 			if err != nil {
 				return runError{err}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n", f.Change, f.Scheme, f.Moved, f.MinInstances, f.MaxInstances, f.Load, f.LoadP99, f.Spread)
+			w.printf("%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n", f.Change, f.Scheme, f.Moved, f.MinInstances, f.MaxInstances, f.Load, f.LoadP99, f.Spread)
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/tool/golden_test.go
+++ b/internal/tool/golden_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -26,15 +27,15 @@
 
 func (s *transcript) run(args ...string) {
 	code, out, errs := run(args...)
-	fmt.Fprintf(s, "$ %s\nexit %d\n%s", strings.Join(args, " "), code, out)
+	s.WriteString("$ " + strings.Join(args, " ") + "\nexit " + strconv.Itoa(code) + "\n" + out)
 	if errs != "" {
-		fmt.Fprintf(s, "stderr:\n%s", errs)
+		s.WriteString("stderr:\n" + errs)
 	}
 }
 
 func (s *transcript) file(t *testing.T, path string) {
 	t.Helper()
-	fmt.Fprintf(s, "-- %s --\n%s", path, content(t, path))
+	s.WriteString("-- " + path + " --\n" + content(t, path))
 }
 
 func (s *transcript) hold(t *testing.T, name string) {
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -33,8 +32,8 @@
 				return e.Encode(m)
 			}
 			ready := 0
-			w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
+			w := newTable(c.out)
+			w.println("ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
 			for _, r := range m.Endpoints {
 				if r.State == "ready" {
 					ready++
@@ -42,13 +41,13 @@
 						continue
 					}
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n", r.UID, r.Address, r.State, r.Weight,
+				w.printf("%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n", r.UID, r.Address, r.State, r.Weight,
 					(time.Duration(r.AgoMS) * time.Millisecond).Round(100*time.Millisecond), orDash(r.Platform), orDash(r.Consul), r.Why)
 			}
 			if err := w.Flush(); err != nil {
 				return runError{err}
 			}
-			fmt.Fprintf(c.out, "%s: %d of %d endpoints ready; the source is %s\n", m.Name, ready, len(m.Endpoints), m.Source)
+			c.out.printf("%s: %d of %d endpoints ready; the source is %s\n", m.Name, ready, len(m.Endpoints), m.Source)
 			return nil
 		},
 	}
--- /dev/null
+++ b/internal/tool/pages.go
@@ -0,0 +1,29 @@
+package tool
+
+import (
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"quincegap/internal/product"
+)
+
+func (c *command) sampleCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "sample", Short: "Print a file of one application with all keys", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			_, err := fmt.Fprint(c.out, product.Sample())
+			return err
+		},
+	}
+}
+
+func (c *command) referenceCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "reference", Short: "Print the reference page of all keys, in Markdown", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			_, err := fmt.Fprint(c.out, product.Reference())
+			return err
+		},
+	}
+}
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -6,7 +6,6 @@
 	"maps"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -44,51 +43,51 @@
 }
 
 func (c *command) printPeers(r *peers.Report) error {
-	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
+	w := newTable(c.out)
+	w.println("NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, (time.Duration(m.StateAgeMS) * time.Millisecond).Round(100*time.Millisecond),
+		w.printf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, (time.Duration(m.StateAgeMS) * time.Millisecond).Round(100*time.Millisecond),
 			yesNo(m.InGroup), yesNo(m.Reachable), orDash(m.Address), orDash(m.Zone), orDash(m.Version), m.Process)
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
 	}
-	fmt.Fprintf(c.out, "%s: %s; %d of the %d settled last are in reach\n", r.Name, r.Confidence, r.Reachable, r.GroupSize)
+	c.out.printf("%s: %s; %d of the %d settled last are in reach\n", r.Name, r.Confidence, r.Reachable, r.GroupSize)
 	switch {
 	case r.Instances == 0:
-		fmt.Fprintln(c.out, "it goes by the numbers of its file until the view has settled once")
+		c.out.println("it goes by the numbers of its file until the view has settled once")
 	case !r.OwnsName:
-		fmt.Fprintf(c.out, "it has no place of its own among %d: it does not serve, comes and goes, or another process has its name\n", r.Instances-1)
+		c.out.printf("it has no place of its own among %d: it does not serve, comes and goes, or another process has its name\n", r.Instances-1)
 	default:
-		fmt.Fprintf(c.out, "it is number %d of %d, and divides limits by %d\n", r.Ordinal, r.Instances, r.MaxInstances)
+		c.out.printf("it is number %d of %d, and divides limits by %d\n", r.Ordinal, r.Instances, r.MaxInstances)
 	}
 	if len(r.DuplicateNames) > 0 {
-		fmt.Fprintf(c.out, "several processes under one name: %s\n", strings.Join(r.DuplicateNames, ", "))
+		c.out.printf("several processes under one name: %s\n", strings.Join(r.DuplicateNames, ", "))
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.Rejected)) {
-		fmt.Fprintf(c.out, "refused, %s: %d\n", reason, r.Rejected[reason])
+		c.out.printf("refused, %s: %d\n", reason, r.Rejected[reason])
 	}
 	return nil
 }
 
 // printPeerViews shows the views of all, a line each.
 func (c *command) printPeerViews(f *peers.FleetReport) error {
-	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
+	w := newTable(c.out)
+	w.println("NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
 	for _, r := range append([]peers.Report{f.Own}, f.Others...) {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n", r.Name, r.Confidence, r.Instances, r.Ordinal, r.MaxInstances, r.Reachable, r.GroupSize, r.Digest)
+		w.printf("%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n", r.Name, r.Confidence, r.Instances, r.Ordinal, r.MaxInstances, r.Reachable, r.GroupSize, r.Digest)
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
 	}
 	lines := f.Differences()
 	if len(lines) == 0 {
-		fmt.Fprintf(c.out, "all %d agree\n", 1+len(f.Others))
+		c.out.printf("all %d agree\n", 1+len(f.Others))
 		return nil
 	}
-	fmt.Fprintf(c.out, "beside %s:\n", f.Own.Name)
+	c.out.printf("beside %s:\n", f.Own.Name)
 	for _, l := range lines {
-		fmt.Fprintln(c.out, "  "+l)
+		c.out.println("  " + l)
 	}
 	return errFindings
 }
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -2,9 +2,9 @@
 
 import (
 	"context"
-	"encoding/csv"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -26,8 +26,10 @@
 // ExitVoid is the exit code of a rehearsal that says nothing: the emulator itself was too slow.
 const ExitVoid = 3
 
+// errVoid ends a command whose rehearsal says nothing.
 var errVoid = errors.New("void")
 
+// rehearsalOptions are the flags of rehearse.
 type rehearsalOptions struct {
 	seed    uint64
 	report  string
@@ -40,7 +42,7 @@
 }
 
 func (c *command) rehearseCommand() *cobra.Command {
-	var o rehearsalOptions
+	var options rehearsalOptions
 	cmd := &cobra.Command{
 		Use: "rehearse SCRIPT", Short: "Play a bad morning against real sidecars on loopback", Args: cobra.ExactArgs(1),
 		Long: "rehearse plays a script of rehearsals/ (or your own) with emulated boxes, callers and discovery on loopback,\n" +
@@ -50,18 +52,18 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return c.playScript(ctx, args[0], o)
+			return c.playScript(ctx, args[0], options)
 		},
 	}
 	f := cmd.Flags()
-	f.Uint64Var(&o.seed, "seed", 0, "another seed than the script's: other boxes are hit, others come")
-	f.StringVar(&o.report, "report", "", "a directory for the page, the plan and the sidecars' logs")
-	f.StringVar(&o.sidecar, "sidecar", "", "the sidecar's program (quincegap beside this one)")
-	f.StringVar(&o.compare, "compare", "", "another build, which plays the same morning after the first")
-	f.BoolVar(&o.virtual, "virtual", false, "in virtual time, with the decision module alone and no socket: the same seed gives the same run")
-	f.BoolVar(&o.plan, "plan", false, "print what will happen when, and play nothing")
-	f.BoolVar(&o.check, "check", false, "check the script, and play nothing")
-	f.BoolVar(&o.quiet, "quiet", false, "no progress")
+	f.Uint64Var(&options.seed, "seed", 0, "another seed than the script's: other boxes are hit, others come")
+	f.StringVar(&options.report, "report", "", "a directory for the page, the plan and the sidecars' logs")
+	f.StringVar(&options.sidecar, "sidecar", "", "the sidecar's program (quincegap beside this one)")
+	f.StringVar(&options.compare, "compare", "", "another build, which plays the same morning after the first")
+	f.BoolVar(&options.virtual, "virtual", false, "in virtual time, with the decision module alone and no socket: the same seed gives the same run")
+	f.BoolVar(&options.plan, "plan", false, "print what will happen when, and play nothing")
+	f.BoolVar(&options.check, "check", false, "check the script, and play nothing")
+	f.BoolVar(&options.quiet, "quiet", false, "no progress")
 	return cmd
 }
 
@@ -79,52 +81,53 @@
 	return m, nil
 }
 
-func (c *command) playScript(ctx context.Context, path string, o rehearsalOptions) error {
+// playScript plays a script, or what of it the flags ask for.
+func (c *command) playScript(ctx context.Context, path string, options rehearsalOptions) error {
 	m, err := c.readMorning(path)
 	if err != nil {
 		return err
 	}
-	if o.check {
-		if err := rehearse.CheckSockets(m.Plan(o.seed)); err != nil {
-			fmt.Fprintf(c.out, "%s: can be played with --virtual alone: %v\n", path, err)
+	if options.check {
+		if err := rehearse.CheckSockets(m.Plan(options.seed)); err != nil {
+			c.out.printf("%s: can be played with --virtual alone: %v\n", path, err)
 			return nil
 		}
-		fmt.Fprintf(c.out, "%s: can be played\n", path)
+		c.out.printf("%s: can be played\n", path)
 		return nil
 	}
-	plan := m.Plan(o.seed)
-	if o.plan {
+	plan := m.Plan(options.seed)
+	if options.plan {
 		if err := plan.WriteText(c.out); err != nil {
 			return runError{err}
 		}
 		return nil
 	}
-	if o.sidecar == "" {
+	if options.sidecar == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return runError{err}
 		}
-		o.sidecar = filepath.Join(filepath.Dir(self), "quincegap")
+		options.sidecar = filepath.Join(filepath.Dir(self), "quincegap")
 	}
 	var plays []*report.Run
-	if o.virtual {
+	if options.virtual {
 		play, err := playVirtual(plan)
 		if err != nil {
 			return err
 		}
-		return c.showPlays([]*report.Run{play}, o)
+		return c.showPlays([]*report.Run{play}, options)
 	}
-	for i, program := range []string{o.sidecar, o.compare} {
+	for i, program := range []string{options.sidecar, options.compare} {
 		if program == "" {
 			continue
 		}
-		play, err := c.playOnce(ctx, m, plan, program, o, i)
+		play, err := c.playOnce(ctx, plan, program, options, i)
 		if err != nil {
 			return err
 		}
 		plays = append(plays, play)
 	}
-	return c.showPlays(plays, o)
+	return c.showPlays(plays, options)
 }
 
 // playVirtual plays a plan without sockets.
@@ -142,44 +145,37 @@
 }
 
 // showPlays prints the verdict, and writes the page where one is asked for.
-func (c *command) showPlays(plays []*report.Run, o rehearsalOptions) error {
+func (c *command) showPlays(plays []*report.Run, options rehearsalOptions) error {
 	if err := report.WriteScreen(c.out, plays...); err != nil {
 		return runError{err}
 	}
-	if o.report != "" {
-		if err := os.MkdirAll(o.report, 0o700); err != nil {
+	if options.report != "" {
+		if err := os.MkdirAll(options.report, reportDirMode); err != nil {
 			return runError{err}
 		}
-		if err := writeSeconds(filepath.Join(o.report, "seconds.csv"), plays); err != nil {
+		if err := writeSeconds(filepath.Join(options.report, "seconds.csv"), plays); err != nil {
 			return runError{err}
 		}
-		if err := c.writePage(filepath.Join(o.report, "report.html"), plays); err != nil {
+		if err := c.writePage(filepath.Join(options.report, "report.html"), plays); err != nil {
 			return runError{err}
 		}
 	}
 	return worstOutcome(plays)
 }
 
-// writeSeconds keeps what happened in each second as a table, a row for each second of each play.
+// writeSeconds keeps what happened in each second as a table, a row for each second of each play. Other tools read the columns by name.
 func writeSeconds(path string, plays []*report.Run) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	w := csv.NewWriter(f)
-	w.Write([]string{"build", "second", "offered", "in_time", "late", "refused", "failed", "attempts", "emulator_late"})
+	rows := [][]string{{"build", "second", "offered", "in_time", "late", "refused", "failed", "attempts", "emulator_late"}}
 	for _, p := range plays {
 		for i, s := range p.Verdict.Seconds {
 			row := []string{p.Program}
 			for _, n := range []int{i, s.Offered, s.Served, s.Late, s.Rejected, s.Failed, s.Attempts} {
 				row = append(row, strconv.Itoa(n))
 			}
-			w.Write(append(row, strconv.FormatBool(s.Doubtful)))
+			rows = append(rows, append(row, strconv.FormatBool(s.Doubtful)))
 		}
 	}
-	w.Flush()
-	return w.Error()
+	return writeCSV(path, rows)
 }
 
 // worstOutcome is the error that goes with the worst outcome.
@@ -198,58 +194,62 @@
 	return errFindings
 }
 
-func (c *command) playOnce(ctx context.Context, m *morning.Scenario, plan *morning.Plan, program string, o rehearsalOptions, number int) (*report.Run, error) {
-	dir := o.report
+// playOnce plays a plan with one build of the sidecar; number counts builds from 0.
+func (c *command) playOnce(ctx context.Context, plan *morning.Plan, program string, options rehearsalOptions, number int) (play *report.Run, err error) {
+	dir := options.report
 	if dir == "" {
-		var err error
 		if dir, err = os.MkdirTemp("", "quincegap-rehearsal-"); err != nil {
 			return nil, runError{err}
 		}
-		defer os.RemoveAll(dir)
+		defer func() {
+			if removeErr := os.RemoveAll(dir); removeErr != nil {
+				err = errors.Join(err, runError{removeErr})
+			}
+		}()
 	}
-	dir = filepath.Join(dir, fmt.Sprintf("build-%d", number+1))
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	buildDir := filepath.Join(dir, fmt.Sprintf("build-%d", number+1))
+	if err := os.MkdirAll(buildDir, reportDirMode); err != nil {
 		return nil, runError{err}
 	}
-	options := rehearse.Options{Program: program, Dir: dir}
-	if !o.quiet {
-		fmt.Fprintf(c.errOut, "playing %s on %s: %v\n", plan.DisplayName(), program, plan.Length)
-		options.Progress = func(p rehearse.Progress) {
-			fmt.Fprintf(c.errOut, "\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Attempts)
+	run := rehearse.Options{Program: program, Dir: buildDir}
+	if !options.quiet {
+		c.errOut.printf("playing %s on %s: %v\n", plan.DisplayName(), program, plan.Length)
+		run.Progress = func(p rehearse.Progress) {
+			c.errOut.printf("\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Attempts)
 		}
 	}
-	result, err := rehearse.Run(ctx, plan, options)
-	if !o.quiet {
-		fmt.Fprintln(c.errOut)
+	result, err := rehearse.Run(ctx, plan, run)
+	if !options.quiet {
+		c.errOut.println()
 	}
 	if err != nil {
 		return nil, runError{err}
 	}
-	play := &report.Run{Program: program, Plan: plan, Verdict: result.Verdict, CPU: result.CPU, Memory: result.Memory}
+	return &report.Run{
+		Program: program, Plan: plan, Verdict: result.Verdict, CPU: result.CPU, Memory: result.Memory, Notes: notesOf(result),
+	}, nil
+}
+
+// notesOf is what a result has to say beside its verdict.
+func notesOf(result *rehearse.Result) (notes []string) {
 	if result.UnansweredFaultyCallers > 0 {
-		play.Notes = append(play.Notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s", result.UnansweredFaultyCallers, strings.Join(result.UnansweredInputs, "; ")))
+		notes = append(notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s", result.UnansweredFaultyCallers, strings.Join(result.UnansweredInputs, "; ")))
 	}
 	if result.HTTP3 > 0 {
-		play.Notes = append(play.Notes, fmt.Sprintf("%d attempts came over HTTP/3", result.HTTP3))
+		notes = append(notes, fmt.Sprintf("%d attempts came over HTTP/3", result.HTTP3))
 	}
 	if result.RepeatedEffects > 0 {
-		play.Notes = append(play.Notes, fmt.Sprintf("%d effects beyond the first of a key; callers' own repeats are among them", result.RepeatedEffects))
+		notes = append(notes, fmt.Sprintf("%d effects beyond the first of a key; callers' own repeats are among them", result.RepeatedEffects))
 	}
-	return play, nil
+	return notes
 }
 
+// writePage writes the page of plays.
 func (c *command) writePage(path string, plays []*report.Run) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+	err := writeFile(path, func(w io.Writer) error { return report.WritePage(w, time.Now(), plays...) })
 	if err != nil {
 		return err
 	}
-	if err := report.WritePage(f, time.Now(), plays...); err != nil {
-		f.Close()
-		return err
-	}
-	if err := f.Close(); err != nil {
-		return err
-	}
-	fmt.Fprintf(c.out, "%s\n", path)
+	c.out.printf("%s\n", path)
 	return nil
 }
--- a/internal/tool/rehearse_test.go
+++ b/internal/tool/rehearse_test.go
@@ -66,7 +66,7 @@
 // The real program, twice, side by side: one screen, and a directory with page, table, configuration and logs.
 func TestRehearseOnSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "quincegap")
-	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	dir := filepath.Join(t.TempDir(), "out")
@@ -86,7 +86,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	if rows, err := csv.NewReader(f).ReadAll(); err != nil || len(rows) != 1+2*2 {
 		t.Errorf("%d rows, %v", len(rows), err)
 	}
@@ -103,7 +107,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	if rows, err := csv.NewReader(f).ReadAll(); err != nil || len(rows) != 1+6 || len(rows[3]) != 13 || rows[6][1] != "1" || rows[6][2] != "3" {
 		t.Errorf("%v, %v", rows, err)
 	}
--- /dev/null
+++ b/internal/tool/report_files.go
@@ -0,0 +1,27 @@
+package tool
+
+import (
+	"encoding/csv"
+	"errors"
+	"io"
+	"io/fs"
+	"os"
+)
+
+// reportDirMode is the mode of new folders for reports: they hold logs of sidecars.
+const reportDirMode = fs.FileMode(0o700)
+
+// writeFile writes a file anew, and looks at the error of closing it too.
+func writeFile(path string, write func(io.Writer) error) (err error) {
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, f.Close()) }()
+	return write(f)
+}
+
+// writeCSV writes a table anew.
+func writeCSV(path string, rows [][]string) error {
+	return writeFile(path, func(w io.Writer) error { return csv.NewWriter(w).WriteAll(rows) })
+}
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -71,26 +70,26 @@
 }
 
 func (c *command) printStoreReport(r *store.Report) error {
-	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
+	w := newTable(c.out)
+	w.println("FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
 	for _, s := range r.Segments {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%t\t%d\n", s.File, s.Bytes, s.Records, s.FirstSeq, s.LastSeq, s.Sealed, s.Replaces)
+		w.printf("%s\t%d\t%d\t%d\t%d\t%t\t%d\n", s.File, s.Bytes, s.Records, s.FirstSeq, s.LastSeq, s.Sealed, s.Replaces)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	for _, d := range r.Damage {
-		fmt.Fprintf(c.out, "damaged: %v\n", d)
+		c.out.printf("damaged: %v\n", d)
 	}
 	if r.TornBytes > 0 {
 		why := "an append that was cut, or damage to the last one"
 		if r.InUse {
 			why = "an append that is under way, or was cut"
 		}
-		fmt.Fprintf(c.out, "%d bytes: %s\n", r.TornBytes, why)
+		c.out.printf("%d bytes: %s\n", r.TornBytes, why)
 	}
 	for _, name := range r.Leftovers {
-		fmt.Fprintf(c.out, "left over, removed at the next start: %s\n", name)
+		c.out.printf("left over, removed at the next start: %s\n", name)
 	}
 	state := "no process has it open"
 	if r.InUse {
@@ -130,37 +129,42 @@
 	return line
 }
 
-// rewrite compacts a store that nobody has open.
+// bounds of a store that a command opens: far beyond any that a sidecar keeps.
+const (
+	maxStoreRecords = 1 << 30
+	maxStoreBytes   = 1 << 50
+)
+
+// rewrite compacts a store that nobody has open; with repair, also one that is damaged.
 func (c *command) rewrite(dir string, repair bool) error {
 	failed := func(err error) error { return runError{fmt.Errorf("%s: %w", dir, err)} }
 	if _, err := os.Stat(dir); err != nil { // opening it would make one
 		return failed(err)
 	}
-	s, err := store.Open(store.Dir(dir), store.Options{MaxRecords: 1 << 30, MaxBytes: 1 << 50})
+	s, err := store.Open(store.Dir(dir), store.Options{MaxRecords: maxStoreRecords, MaxBytes: maxStoreBytes})
 	if err != nil {
 		return failed(err)
 	}
 	before := s.Health()
 	if len(before.Damage) > 0 && !repair {
-		s.Close()
-		return failed(fmt.Errorf("%d places are damaged: see store verify; store repair keeps what can be read", len(before.Damage)))
+		damaged := fmt.Errorf("%d places are damaged: see store verify; store repair keeps what can be read", len(before.Damage))
+		return failed(errors.Join(damaged, s.Close()))
 	}
 	for _, d := range before.Damage {
-		fmt.Fprintf(c.out, "damaged: %v\n", d)
+		c.out.printf("damaged: %v\n", d)
 	}
-	size := s.Size()
-	err = errors.Join(s.Compact(), s.Close())
-	if err != nil {
+	sizeBefore := s.Size()
+	if err := errors.Join(s.Compact(), s.Close()); err != nil {
 		return failed(err)
 	}
-	r, err := store.Inspect(store.Dir(dir), nil, nil)
+	report, err := store.Inspect(store.Dir(dir), nil, nil)
 	if err != nil {
 		return failed(err)
 	}
-	left := int64(0)
-	for _, x := range r.Segments {
-		left += x.Bytes
+	size := int64(0)
+	for _, segment := range report.Segments {
+		size += segment.Bytes
 	}
-	fmt.Fprintf(c.out, "%d live records; %d bytes, %d before\n", r.LiveRecords, left, size)
+	c.out.printf("%d live records; %d bytes, %d before\n", report.LiveRecords, size, sizeBefore)
 	return nil
 }
--- a/internal/tool/store_test.go
+++ b/internal/tool/store_test.go
@@ -43,7 +43,9 @@
 	expect(ExitOK, []string{`"kind":"request"`, `"Cell":2`, `"Class":"book-trip"`}, "store", "dump", dir)
 	expect(ExitFindings, []string{"another process has this store open"}, "store", "compact", dir)
 	expect(ExitFindings, []string{"another process has this store open"}, "store", "repair", dir)
-	s.Close()
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
 	expect(ExitOK, []string{"10 live records", "no process has it open"}, "store", "verify", dir)
 	expect(ExitOK, []string{"10 live records"}, "store", "compact", dir)
 	expect(ExitOK, []string{"10 live records in 2 files"}, "store", "verify", dir)
@@ -59,7 +61,9 @@
 	}
 	text, _ := os.ReadFile(hit)
 	text[len(text)/2] ^= 4
-	os.WriteFile(hit, text, 0o600)
+	if err := os.WriteFile(hit, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	expect(ExitFindings, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "verify", dir)
 	expect(ExitFindings, []string{"1 places are damaged"}, "store", "compact", dir)
 	expect(ExitOK, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "repair", dir)
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -3,7 +3,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -23,6 +22,9 @@
 	ExitUsage    = 2 // something is wrong with the command line
 )
 
+// fileStart is where findings on a file as a whole point to.
+var fileStart = finding.Pos{Line: 1, Col: 1}
+
 // errFindings ends a command whose findings have been printed.
 var errFindings = errors.New("findings")
 
@@ -40,7 +42,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	c := &command{out: out, errOut: errs, disk: atomicfile.Disk{}}
+	c := &command{out: printer{out}, errOut: printer{errs}, disk: atomicfile.Disk{}}
 	root.AddCommand(c.initCommand(), c.writeCommand(), c.checkCommand(), c.diffCommand(), c.adoptCommand(), c.sampleCommand(), c.referenceCommand(), c.demoCommand(), c.membersCommand(), c.peersCommand(), c.rehearseCommand(), c.experimentCommand(), c.fleetCommand(), c.routeCommand(), c.storeCommand())
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -55,16 +57,16 @@
 	case errors.Is(err, errVoid):
 		return ExitVoid
 	case errors.As(err, &f):
-		fmt.Fprintln(errs, "quincegapctl: "+err.Error())
+		c.errOut.println("quincegapctl: " + err.Error())
 		return ExitFindings
 	}
-	fmt.Fprintf(errs, "quincegapctl: %v\nSee quincegapctl --help.\n", err)
+	c.errOut.printf("quincegapctl: %v\nSee quincegapctl --help.\n", err)
 	return ExitUsage
 }
 
 // command is what all commands share.
 type command struct {
-	out, errOut io.Writer
+	out, errOut printer
 	disk        atomicfile.FS
 }
 
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -9,6 +9,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -42,54 +43,69 @@
 	return out
 }
 
+const (
+	mistakesFolder = "testdata/mistakes"
+	mistakesWanted = "testdata/mistakes.want"
+)
+
 // Every file of the collection is refused, with just the findings that want.txt lists for it. A sidecar's own
 // file is refused by the sidecar too, and a platform's by its loader.
 func TestMistakes(t *testing.T) {
-	dir := filepath.Join("testdata", "mistakes")
-	entries, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(mistakesFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	wanted := map[string]string{}
-	text, err := os.ReadFile(filepath.Join("testdata", "mistakes.want"))
-	if err != nil && !*update {
-		t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
-		name, _, _ := strings.Cut(line, ":")
-		wanted[name] += line
+	if len(entries) < 80 {
+		t.Errorf("only %d files", len(entries))
 	}
+	wanted := readWantedFindings(t)
 	var all strings.Builder
 	for _, e := range entries {
 		name := e.Name()
-		path := filepath.Join(dir, name)
-		var found finding.List
-		Check([]string{path}, false, &found)
-		var got strings.Builder
-		found.Print(&got)
-		lines := strings.ReplaceAll(got.String(), dir+string(filepath.Separator), "")
+		lines := findingsOfMistake(t, name)
 		all.WriteString(lines)
-		if found.Len() == 0 {
-			t.Errorf("%s: passes", name)
-		}
 		if lines != wanted[name] && !*update {
 			t.Errorf("%s: got\n%swant\n%s", name, lines, wanted[name])
 		}
-		if !strings.Contains(name, "apps-") && !strings.HasSuffix(name, ".json") {
-			var own finding.List
-			if product.Load(path, false, &own); own.Len() == 0 {
-				t.Errorf("%s: the sidecar would take it", name)
-			}
+		if strings.Contains(name, "apps-") || strings.HasSuffix(name, ".json") {
+			continue
+		}
+		var own finding.List
+		if product.Load(filepath.Join(mistakesFolder, name), false, &own); own.Len() == 0 {
+			t.Errorf("%s: the sidecar would take it", name)
 		}
-	}
-	if len(entries) < 80 {
-		t.Errorf("only %d files", len(entries))
 	}
 	if *update {
-		if err := os.WriteFile(filepath.Join("testdata", "mistakes.want"), []byte(all.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
+		check(t, os.WriteFile(mistakesWanted, []byte(all.String()), 0o644))
+	}
+}
+
+// readWantedFindings reads the findings that each file is to have, by its name.
+func readWantedFindings(t *testing.T) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(mistakesWanted)
+	if err != nil && !*update {
+		t.Fatal(err)
 	}
+	wanted := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, _, _ := strings.Cut(line, ":")
+		wanted[name] += line
+	}
+	return wanted
+}
+
+// findingsOfMistake are the findings of a file of the collection, with its name alone; there has to be one.
+func findingsOfMistake(t *testing.T, name string) string {
+	t.Helper()
+	var found finding.List
+	Check([]string{filepath.Join(mistakesFolder, name)}, false, &found)
+	if found.Len() == 0 {
+		t.Errorf("%s: passes", name)
+	}
+	var text strings.Builder
+	check(t, found.Print(&text))
+	return strings.ReplaceAll(text.String(), mistakesFolder+string(filepath.Separator), "")
 }
 
 // first makes a folder with apps.toml as init writes it, and the files of its applications.
@@ -114,6 +130,14 @@
 	}
 }
 
+// check fails a test whose own steps fail.
+func check(t *testing.T, errs ...error) {
+	t.Helper()
+	if err := errors.Join(errs...); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func content(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -223,16 +247,15 @@
 func TestFilesThatStandInTheWay(t *testing.T) {
 	dir, source, front, keeper := first(t)
 	for name, spoil := range map[string]func(){
-		"not ours":   func() { os.WriteFile(front, []byte("[sidecar]\n"), 0o644) },
-		"cut":        func() { os.Truncate(front, int64(len(content(t, front))/2)) },
+		"not ours":   func() { check(t, os.WriteFile(front, []byte("[sidecar]\n"), 0o644)) },
+		"cut":        func() { check(t, os.Truncate(front, int64(len(content(t, front))/2))) },
 		"unreadable": func() { replace(t, front, "cores = 1.0", "cores = 1.0.0") },
-		"a folder":   func() { os.Remove(front); os.Mkdir(front, 0o755) },
+		"a folder":   func() { check(t, os.Remove(front), os.Mkdir(front, 0o755)) },
 		"a link to nothing": func() {
-			os.Remove(front)
-			os.Symlink("nothing", front)
+			check(t, os.Remove(front), os.Symlink("nothing", front))
 		},
 	} {
-		os.RemoveAll(front)
+		check(t, os.RemoveAll(front))
 		must(t, "write", source)
 		replace(t, source, "cores = 1.0", "cores = 1.00")
 		kept := content(t, keeper)
@@ -243,33 +266,32 @@
 		replace(t, source, "cores = 1.00", "cores = 1.0")
 	}
 	// What cannot be read is thrown away only when told to, and printed; what is not this application's never.
-	os.RemoveAll(front)
+	check(t, os.RemoveAll(front))
 	must(t, "write", source)
 	replace(t, front, "cores = 1.0", "cores = 1.0.0")
 	if out := must(t, "write", "--discard-edits", source); !strings.Contains(out, "discarded: "+front+":") || !strings.Contains(out, "1.0.0") {
 		t.Errorf("discarded without a word: %s", out)
 	}
 	for name, spoil := range map[string]func(){
-		"a folder":      func() { os.Remove(front); os.Mkdir(front, 0o755) },
-		"another app's": func() { os.WriteFile(front, []byte(content(t, keeper)), 0o644) },
-		"not ours":      func() { os.WriteFile(front, []byte("[sidecar]\n"), 0o644) },
+		"a folder":      func() { check(t, os.Remove(front), os.Mkdir(front, 0o755)) },
+		"another app's": func() { check(t, os.WriteFile(front, []byte(content(t, keeper)), 0o644)) },
+		"not ours":      func() { check(t, os.WriteFile(front, []byte("[sidecar]\n"), 0o644)) },
 	} {
-		os.RemoveAll(front)
+		check(t, os.RemoveAll(front))
 		must(t, "write", source)
 		spoil()
 		if code, out, _ := run("write", "--discard-edits", source); code != ExitFindings || !strings.Contains(out, front) {
 			t.Errorf("%s: exit %d: %s", name, code, out)
 		}
 	}
-	os.RemoveAll(front)
+	check(t, os.RemoveAll(front))
 	// A symlink to a file that is there stays, and its file is written.
-	real := filepath.Join(dir, "elsewhere.toml")
+	target := filepath.Join(dir, "elsewhere.toml")
 	must(t, "write", source)
-	os.Rename(front, real)
-	os.Symlink("elsewhere.toml", front)
+	check(t, os.Rename(front, target), os.Symlink("elsewhere.toml", front))
 	replace(t, source, "cores = 1.0", "cores = 2.0")
 	must(t, "write", source)
-	if info, _ := os.Lstat(front); info.Mode()&fs.ModeSymlink == 0 || !strings.Contains(content(t, real), "cores = 2.0") {
+	if info, _ := os.Lstat(front); info.Mode()&fs.ModeSymlink == 0 || !strings.Contains(content(t, target), "cores = 2.0") {
 		t.Error("the link was replaced")
 	}
 	if code, _, errs := run("init", dir); code != ExitFindings || !strings.Contains(errs, "is there already") {
@@ -289,7 +311,7 @@
 	replace(t, source, "cores = 1.0", "cores = 2.0")
 	before := content(t, front)
 	var out, errs bytes.Buffer
-	c := &command{out: &out, errOut: &errs, disk: full{}}
+	c := &command{out: printer{&out}, errOut: printer{&errs}, disk: full{}}
 	w := c.writeCommand()
 	w.SetArgs([]string{source})
 	w.SilenceUsage, w.SilenceErrors = true, true
@@ -314,7 +336,7 @@
 	if err := os.Mkdir(filepath.Dir(other), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	os.WriteFile(other, []byte(strings.Replace(content(t, source), "cores = 1.0", "cores = 3.0", 1)), 0o644)
+	check(t, os.WriteFile(other, []byte(strings.Replace(content(t, source), "cores = 1.0", "cores = 3.0", 1)), 0o644))
 	var both sync.WaitGroup
 	for _, path := range []string{source, other, source, other} {
 		both.Go(func() {
@@ -384,13 +406,22 @@
 		t.Errorf("exit %d: %s", code, out)
 	}
 	overlay := filepath.Join(filepath.Dir(source), "overlay.toml")
-	os.WriteFile(overlay, []byte("[callers]\nmax_body = \"32KiB\"\n"), 0o644)
+	check(t, os.WriteFile(overlay, []byte("[callers]\nmax_body = \"32KiB\"\n"), 0o644))
 	if code, _, _ := run("check", overlay); code != ExitFindings {
 		t.Error("a file that says not who it is passes by itself")
 	}
 	must(t, "check", "--overlay", overlay)
 }
 
+// spoiling is a file with one line misspelt, doubled or dropped.
+type spoiling struct {
+	lines    []string // of the good file
+	line     int      // index of the line that was spoilt
+	how      string
+	derived  bool // the file is a derived one, whose keys are known by its trailer
+	findings *finding.List
+}
+
 // Spoil any one line of a good file, and check names it: misspelt or doubled, its own line, or the first of
 // the two; taken away, the line of the table it stood in, or what the loss led to below.
 func TestAnySpoiltLineIsNamed(t *testing.T) {
@@ -401,94 +432,109 @@
 	spoilt := filepath.Join(dir, "spoilt.toml")
 	rapid.Check(t, func(rt *rapid.T) {
 		path := rapid.SampledFrom([]string{source, front}).Draw(rt, "file")
-		lines := good[path]
-		var candidates []int
-		for i, l := range lines {
-			if l != "" && !strings.HasPrefix(l, "#") {
-				candidates = append(candidates, i)
-			}
-		}
-		n := rapid.SampledFrom(candidates).Draw(rt, "line")
-		line := lines[n]
-		how := rapid.SampledFrom([]string{"misspell", "double", "drop"}).Draw(rt, "how")
-		changed := append([]string(nil), lines[:n]...)
-		switch how {
-		case "misspell":
-			// In the key, or in the last part of a header.
-			end := strings.IndexAny(line, "=]")
-			name := strings.TrimRight(strings.TrimRight(line[:end], " "), `"`)
-			begin := strings.LastIndexAny(name, `[."`) + 1
-			if strings.Contains(line, "=") {
-				begin = 0
-			}
-			at := begin + rapid.IntRange(0, len(name)-begin-1).Draw(rt, "letter")
-			changed = append(changed, line[:at]+"q"+line[at:])
-		case "double":
-			changed = append(changed, line, line)
-		}
-		changed = append(changed, lines[n+1:]...)
-		if err := os.WriteFile(spoilt, []byte(strings.Join(changed, "\n")), 0o644); err != nil {
+		s := spoiling{lines: good[path], derived: path == front, findings: &finding.List{}}
+		text := s.draw(rt)
+		if err := os.WriteFile(spoilt, []byte(text), 0o644); err != nil {
 			rt.Fatal(err)
 		}
-		var found finding.List
-		Check([]string{spoilt}, false, &found)
-		var at []int
-		for _, f := range found.All() {
-			at = append(at, f.Line)
+		Check([]string{spoilt}, false, s.findings)
+		s.checkNamed(rt)
+	})
+}
+
+func (s *spoiling) text() string { return s.lines[s.line] }
+
+// draw chooses a line and how it is spoilt, and gives the text with it.
+func (s *spoiling) draw(rt *rapid.T) string {
+	var candidates []int
+	for i, l := range s.lines {
+		if l != "" && !strings.HasPrefix(l, "#") {
+			candidates = append(candidates, i)
 		}
-		named := func(line int) bool {
-			for _, l := range at {
-				if l == line {
-					return true
-				}
-			}
-			return false
+	}
+	s.line = rapid.SampledFrom(candidates).Draw(rt, "line")
+	s.how = rapid.SampledFrom([]string{"misspell", "double", "drop"}).Draw(rt, "how")
+	line := s.text()
+	changed := append([]string(nil), s.lines[:s.line]...)
+	switch s.how {
+	case "misspell":
+		// In the key, or in the last part of a header.
+		end := strings.IndexAny(line, "=]")
+		name := strings.TrimRight(strings.TrimRight(line[:end], " "), `"`)
+		begin := strings.LastIndexAny(name, `[."`) + 1
+		if strings.Contains(line, "=") {
+			begin = 0
 		}
-		header := n // of the table that the line stands in
-		for header > 0 && !strings.HasPrefix(lines[header], "[") {
-			header--
+		at := begin + rapid.IntRange(0, len(name)-begin-1).Draw(rt, "letter")
+		changed = append(changed, line[:at]+"q"+line[at:])
+	case "double":
+		changed = append(changed, line, line)
+	}
+	changed = append(changed, s.lines[s.line+1:]...)
+	return strings.Join(changed, "\n")
+}
+
+// names tells whether a finding is on a line, counted from 1.
+func (s *spoiling) names(line int) bool {
+	return slices.ContainsFunc(s.findings.All(), func(f finding.Finding) bool { return f.Line == line })
+}
+
+// headerLine is the number of the header, from 1, of the table that the line stands in.
+func (s *spoiling) headerLine() int {
+	header := s.line
+	for header > 0 && !strings.HasPrefix(s.lines[header], "[") {
+		header--
+	}
+	return header + 1
+}
+
+func (s *spoiling) checkNamed(rt *rapid.T) {
+	isHeader := strings.HasPrefix(s.text(), "[")
+	switch {
+	case s.how == "double":
+		if !s.names(s.line + 2) {
+			rt.Fatalf("%q doubled in line %d: %v", s.text(), s.line+2, s.findings.Err())
 		}
-		isHeader := strings.HasPrefix(line, "[")
-		switch {
-		case how == "double":
-			if !named(n + 2) {
-				rt.Fatalf("%q doubled in line %d: %v", line, n+2, found.Err())
-			}
-		case how == "misspell" && !isHeader:
-			if !named(n + 1) {
-				rt.Fatalf("%q misspelt in line %d: %v", line, n+1, found.Err())
-			}
-		case how == "misspell":
-			// A name that is free to choose, of a class, a call or an application, is not misspelt by itself: where
-			// it is used tells. The name of a table is.
-			last := doc.ReadTOML([]byte(line+"\n"), 1<<10, func(finding.Pos, string, ...any) {})
-			if free(last) && path == front && strings.Contains(line, "calls.") {
-				return // the call's own name, which nothing refers to
-			}
-			if free(last) && strings.Contains(line, "calls.") {
-				return
-			}
-			if len(at) == 0 && !strings.Contains(line, "find-trip") {
-				rt.Fatalf("header %q misspelt: passes", line)
-			}
-			if !free(last) && !named(n+1) {
-				rt.Fatalf("header %q misspelt in line %d: %v", line, n+1, found.Err())
-			}
-		case !isHeader && path == front:
-			// The table of the written file, or, where it is needed, of the class or call.
-			if !named(header + 1) {
-				rt.Fatalf("%q dropped under line %d: %v", line, header+1, found.Err())
-			}
-		case !isHeader && needed(line):
-			if !named(header+1) && !named(1) {
-				rt.Fatalf("%q dropped under line %d: %v", line, header+1, found.Err())
-			}
-		case isHeader:
-			if len(at) == 0 {
-				rt.Fatalf("header %q dropped: passes", line)
-			}
+	case s.how == "misspell" && isHeader:
+		s.checkMisspeltHeader(rt)
+	case s.how == "misspell":
+		if !s.names(s.line + 1) {
+			rt.Fatalf("%q misspelt in line %d: %v", s.text(), s.line+1, s.findings.Err())
 		}
-	})
+	case isHeader:
+		if s.findings.Len() == 0 {
+			rt.Fatalf("header %q dropped: passes", s.text())
+		}
+	default:
+		s.checkDroppedKey(rt)
+	}
+}
+
+// A name that is free to choose, of a class, a call or an application, is not misspelt by itself: where it is used tells. The name of a
+// table is.
+func (s *spoiling) checkMisspeltHeader(rt *rapid.T) {
+	line := s.text()
+	isFree := free(doc.ReadTOML([]byte(line+"\n"), 1<<10, func(finding.Pos, string, ...any) {}))
+	if isFree && strings.Contains(line, "calls.") {
+		return // the call's own name, which nothing refers to
+	}
+	if s.findings.Len() == 0 && !strings.Contains(line, "find-trip") {
+		rt.Fatalf("header %q misspelt: passes", line)
+	}
+	if !isFree && !s.names(s.line+1) {
+		rt.Fatalf("header %q misspelt in line %d: %v", line, s.line+1, s.findings.Err())
+	}
+}
+
+// A key that is dropped is missed in its table of a derived file; in apps.toml only where it is needed, there or in the file as a whole.
+func (s *spoiling) checkDroppedKey(rt *rapid.T) {
+	isNamed := s.names(s.headerLine())
+	if !s.derived {
+		isNamed = isNamed || s.names(1) || !needed(s.text())
+	}
+	if !isNamed {
+		rt.Fatalf("%q dropped under line %d: %v", s.text(), s.headerLine(), s.findings.Err())
+	}
 }
 
 // free tells whether the last part of a header is a name that people choose.
@@ -529,18 +575,7 @@
 		if m := apps.Read(product.Schema, "f", text, &found); m != nil {
 			m.Check(&found)
 			if found.Len() == 0 {
-				for _, a := range m.Apps {
-					// What is sound is written, and what is written is sound.
-					var again finding.List
-					file := apps.Generate(a, "f")
-					d := doc.ReadTOML(file, apps.MaxFileBytes, again.ForFile("w"))
-					if d != nil {
-						product.Decode("w", d, false, true, &again)
-					}
-					if again.Len() > 0 {
-						t.Errorf("%s\n%s", again.Err(), file)
-					}
-				}
+				checkDerivedFiles(t, m)
 			}
 		}
 		lines := bytes.Count(text, []byte("\n")) + 1
@@ -555,3 +590,18 @@
 		}
 	})
 }
+
+// checkDerivedFiles holds that what is sound is written, and what is written is sound.
+func checkDerivedFiles(t *testing.T, m *apps.Model) {
+	t.Helper()
+	for _, a := range m.Apps {
+		var found finding.List
+		file := apps.Generate(a, "f")
+		if d := doc.ReadTOML(file, apps.MaxFileBytes, found.ForFile("w")); d != nil {
+			product.Decode("w", d, false, true, &found)
+		}
+		if found.Len() > 0 {
+			t.Errorf("%s\n%s", found.Err(), file)
+		}
+	}
+}
