--- a/internal/network/http3/security_test.go
+++ b/internal/network/http3/security_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(code, err)
 	}
 	relay.SetFault(udp.Fault{Blackhole: true}) // as with SIGKILL: nobody says goodbye
-	relay.Rebind()                        // nor does what waits at the old port come through later
+	relay.Rebind()                             // nor does what waits at the old port come through later
 	test.close()
 	test.start(address)
 	relay.SetFault(udp.Fault{})
