--- a/internal/modules/route/explain.go
+++ b/internal/modules/route/explain.go
@@ -13,69 +13,91 @@
 	Text  string
 }
 
-// Explain says of each route, in the order of the file, why it is taken or not. It looks at all of them: it is for
-// people.
+// Explain says of each route, in the order of the file, why it is taken or not. It looks at all of them: it is for people.
 func (t *Table) Explain(q *Request) (all []Reason) {
 	best, _ := t.Find(q)
 	for _, r := range t.Routes {
-		switch why := r.pattern.mismatch(q); {
+		reason := Reason{Route: r}
+		switch mismatch := r.pattern.mismatch(q); {
 		case r == best:
-			all = append(all, Reason{r, true, "taken"})
-		case why != "":
-			all = append(all, Reason{r, false, why})
+			reason.Taken = true
+			reason.Text = "taken"
+		case mismatch != "":
+			reason.Text = mismatch
 		case best == nil:
-			all = append(all, Reason{r, false, "the path goes nowhere: " + AmbiguousPath(q.Path)})
+			reason.Text = "the path goes nowhere: " + AmbiguousPath(q.Path)
 		default:
-			all = append(all, Reason{r, false, "matches too; " + best.Name + " is more specific"})
+			reason.Text = "matches too; " + best.Name + " is more specific"
 		}
+		all = append(all, reason)
 	}
 	return all
 }
 
 // mismatch is what of a pattern a request does not match first, or "".
 func (p *Pattern) mismatch(q *Request) string {
-	var room [256]byte
-	host := string(hostName(q.Host, room[:0]))
-	if p.host != "" && p.host != host && !(strings.HasPrefix(p.host, "*") && strings.HasSuffix(host, p.host[1:])) {
-		return fmt.Sprintf("host %s is not %s", q.Host, p.host)
+	if text := p.hostMismatch(q); text != "" {
+		return text
 	}
+	if text := p.pathMismatch(q); text != "" {
+		return text
+	}
+	for _, c := range []struct {
+		name, value string
+		allowed     []string
+	}{{"method", q.Method, p.methods}, {"class", q.Class, p.classes}, {"tenant", q.Tenant, p.tenants}} {
+		if len(c.allowed) > 0 && !slices.Contains(c.allowed, c.value) {
+			return fmt.Sprintf("%s %q is not %s", c.name, c.value, strings.Join(c.allowed, " or "))
+		}
+	}
+	for _, c := range p.headers {
+		if text := c.mismatch(q.Header); text != "" {
+			return text
+		}
+	}
+	return ""
+}
+
+func (p *Pattern) hostMismatch(q *Request) string {
+	var buffer [256]byte
+	host := string(hostName(q.Host, buffer[:0]))
+	underWildcard := strings.HasPrefix(p.host, "*") && strings.HasSuffix(host, strings.TrimPrefix(p.host, "*"))
+	if p.host == "" || p.host == host || underWildcard {
+		return ""
+	}
+	return fmt.Sprintf("host %s is not %s", q.Host, p.host)
+}
+
+func (p *Pattern) pathMismatch(q *Request) string {
 	var path []string
-	if trimmed := strings.TrimSuffix(strings.TrimPrefix(q.Path, "/"), "/"); trimmed != "" {
+	if trimmed := trimPath(q.Path); trimmed != "" {
 		path = strings.Split(trimmed, "/")
 	}
+	var buffer [256]byte
 	for i, s := range p.segments {
 		if i >= len(path) {
 			return fmt.Sprintf("the path has %d segments, at least %d are asked for", len(path), len(p.segments))
 		}
-		if text, ok := unescape(path[i], room[:0]); !s.any && (!ok || string(text) != s.text) {
+		if text, ok := unescape(path[i], buffer[:0]); !s.any && (!ok || string(text) != s.text) {
 			return fmt.Sprintf("segment %d of the path is %q, not %q", i+1, path[i], s.text)
 		}
 	}
 	if len(path) > len(p.segments) && !p.rest {
 		return fmt.Sprintf("the path has %d segments, %d are asked for", len(path), len(p.segments))
 	}
-	for _, x := range []struct {
-		what, word string
-		set        []string
-	}{{"method", q.Method, p.methods}, {"class", q.Class, p.classes}, {"tenant", q.Tenant, p.tenants}} {
-		if len(x.set) > 0 && !slices.Contains(x.set, x.word) {
-			return fmt.Sprintf("%s %q is not %s", x.what, x.word, strings.Join(x.set, " or "))
-		}
-	}
-	for _, c := range p.headers {
-		if !p.only(c).hasHeaders(q.Header) {
-			switch got := q.Header[c.name]; {
-			case len(got) == 0:
-				return "there is no header " + c.name
-			case len(got) > 1:
-				return fmt.Sprintf("header %s is there %d times", c.name, len(got))
-			default:
-				return fmt.Sprintf("header %s is %q, not %q", c.name, got[0], c.value)
-			}
-		}
-	}
 	return ""
 }
 
-// only is a pattern that asks for one header.
-func (p *Pattern) only(c condition) *Pattern { return &Pattern{headers: []condition{c}} }
+func (c *condition) mismatch(header map[string][]string) string {
+	if c.holds(header) {
+		return ""
+	}
+	switch got := header[c.name]; len(got) {
+	case 0:
+		return "there is no header " + c.name
+	case 1:
+		return fmt.Sprintf("header %s is %q, not %q", c.name, got[0], c.value)
+	default:
+		return fmt.Sprintf("header %s is there %d times", c.name, len(got))
+	}
+}
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -10,6 +10,7 @@
 
 	"quincegap/internal/balancer"
 	"quincegap/internal/config/appfile"
+	"quincegap/internal/config/schema"
 	"quincegap/internal/modules/route"
 )
 
@@ -79,8 +80,35 @@
 
 func cellOf(e balancer.EndpointID) int { return int(e) / 3 }
 
+// Send is of balancer.Actions: it audits an attempt, and draws what becomes of it.
 func (w *world) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	c := w.open[id]
+	w.auditSend(id, c, to)
+	c.attempts++
+	if c.attempts > w.site {
+		w.t.Fatalf("%s is sent %d times, the site allows %d", id, c.attempts, w.site)
+	}
+	if c.tally != nil {
+		w.auditRoute(id, c, timeout)
+	}
+	c.out = true
+	c.credit = false
+	number := c.attempts - 1
+	took, status := w.drawOutcome()
+	left := c.deadline - w.now
+	if timeout > 0 {
+		left = min(left, timeout)
+	}
+	if status == balancer.StatusTimeout || took >= left {
+		took = left
+		status = balancer.StatusTimeout
+	}
+	w.after(took, func() { w.ended(id, c, to, number, took, status) })
+}
+
+// auditSend fails for an attempt that a class or the time does not allow.
+func (w *world) auditSend(id balancer.RequestID, c *call, to balancer.EndpointID) {
+	w.t.Helper()
 	switch {
 	case c == nil || c.final || c.out:
 		w.t.Fatalf("%s is sent after its end, or twice at once", id)
@@ -93,43 +121,48 @@
 	case w.now >= c.deadline:
 		w.t.Fatalf("%s is sent after its time", id)
 	}
-	if c.attempts++; c.attempts > w.site {
-		w.t.Fatalf("%s is sent %d times, the site allows %d", id, c.attempts, w.site)
+}
+
+// auditRoute fails for an attempt that its route does not allow.
+func (w *world) auditRoute(id balancer.RequestID, c *call, timeout time.Duration) {
+	w.t.Helper()
+	r := c.tally
+	settings := r.Settings
+	if settings.MaxAttempts > 0 && c.attempts > settings.MaxAttempts {
+		w.t.Fatalf("%s is sent %d times, its route allows %d", id, c.attempts, settings.MaxAttempts)
 	}
-	if r := c.tally; r != nil {
-		if set := r.Settings; set.MaxAttempts > 0 && c.attempts > set.MaxAttempts {
-			w.t.Fatalf("%s is sent %d times, its route allows %d", id, c.attempts, set.MaxAttempts)
-		}
-		if set := r.Settings; set.AttemptTimeout > 0 && (timeout <= 0 && c.deadline-w.now > set.AttemptTimeout || timeout > set.AttemptTimeout) {
-			w.t.Fatalf("%s: an attempt of %v, its route allows %v", id, timeout, set.AttemptTimeout)
-		}
-		if c.attempts > 1 {
-			if r.again++; r.Settings.RetryShare >= 0 && float64(r.again) > float64(r.Settings.RetryReserve)+r.Settings.RetryShare*float64(r.answered)+1e-6 {
-				w.t.Fatalf("route %s: %d further attempts after %d answers", r.Name, r.again, r.answered)
-			}
-		}
+	limit := settings.AttemptTimeout
+	if limit > 0 && (timeout <= 0 && c.deadline-w.now > limit || timeout > limit) {
+		w.t.Fatalf("%s: an attempt of %v, its route allows %v", id, timeout, limit)
 	}
-	c.out, c.credit = true, false
-	number := c.attempts - 1
-	took, status := time.Duration(w.rng.ExpFloat64()*float64(60*ms)), balancer.StatusOK
-	if w.rng.IntN(3) == 0 {
-		status = []balancer.Status{balancer.StatusError, balancer.StatusRejected, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusInvalidResponse, balancer.StatusTimeout}[w.rng.IntN(6)]
+	if c.attempts == 1 {
+		return
 	}
-	left := c.deadline - w.now
-	if timeout > 0 {
-		left = min(left, timeout)
+	r.again++
+	budget := float64(settings.RetryReserve) + settings.RetryShare*float64(r.answered)
+	if settings.RetryShare >= 0 && float64(r.again) > budget+1e-6 {
+		w.t.Fatalf("route %s: %d further attempts after %d answers", r.Name, r.again, r.answered)
 	}
-	if status == balancer.StatusTimeout || took >= left {
-		took, status = left, balancer.StatusTimeout
+}
+
+// drawOutcome draws how long an attempt takes, and how it ends.
+func (w *world) drawOutcome() (took time.Duration, status balancer.Status) {
+	took = time.Duration(w.rng.ExpFloat64() * float64(60*ms))
+	if w.rng.IntN(3) != 0 {
+		return took, balancer.StatusOK
 	}
-	w.after(took, func() { w.ended(id, c, to, number, took, status) })
+	faults := []balancer.Status{
+		balancer.StatusError, balancer.StatusRejected, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusInvalidResponse, balancer.StatusTimeout,
+	}
+	return took, faults[w.rng.IntN(len(faults))]
 }
 
 // ended is the loop's closed.
 func (w *world) ended(id balancer.RequestID, c *call, to balancer.EndpointID, number int, took time.Duration, status balancer.Status) {
 	c.out = false
 	if !status.NeverRan() && !c.mayRun {
-		c.mayRun, c.cell = true, cellOf(to)
+		c.mayRun = true
+		c.cell = cellOf(to)
 	}
 	last, pause := false, time.Duration(0)
 	if c.tally != nil && !c.final && status != balancer.StatusOK {
@@ -158,7 +191,8 @@
 	if c.final {
 		w.t.Fatalf("%s has two final answers", id)
 	}
-	if c.final = true; w.now > c.deadline+10*ms {
+	c.final = true
+	if w.now > c.deadline+10*ms {
 		w.t.Fatalf("%s ends %v after its time", id, w.now-c.deadline)
 	}
 }
@@ -180,7 +214,7 @@
 func (w *world) Reject(id balancer.RequestID, _ time.Duration) {
 	c := w.open[id]
 	if c.mayRun && c.class.Idempotency != balancer.Idempotent {
-		w.t.Fatalf("%s may have run and is refused", id)
+		w.t.Fatalf("%s may have run and is rejected", id)
 	}
 	w.finish(id, c)
 	w.forget(id, c)
@@ -212,7 +246,7 @@
 	}
 	r, ok := table.Find(&route.Request{Host: "a.org", Path: []string{"/a", "/a/b", "/c/d/e", "/"}[w.rng.IntN(4)], Method: method, Class: c.class.Name})
 	if !ok {
-		w.t.Fatal("a sound path is odd")
+		w.t.Fatal("an unambiguous path goes nowhere")
 	}
 	left := time.Duration(1+w.rng.IntN(3000)) * ms
 	q := balancer.Request{ID: id, Class: class, TimeLeft: min(left, c.class.Deadline)}
@@ -230,7 +264,9 @@
 		}
 		x.open++
 		c.tally = x
-		q.MaxAttempts, q.AttemptTimeout, q.ValueFactor = r.Settings.MaxAttempts, r.Settings.AttemptTimeout, r.Settings.Value
+		q.MaxAttempts = r.Settings.MaxAttempts
+		q.AttemptTimeout = r.Settings.AttemptTimeout
+		q.ValueFactor = r.Settings.Value
 		if r.Settings.Timeout > 0 {
 			q.TimeLeft = min(q.TimeLeft, r.Settings.Timeout)
 		}
@@ -265,10 +301,76 @@
 	return b.String()
 }
 
-// A file that the checks accept never breaks a rule, whatever endpoints do: one final answer in time; nothing that may
-// have run goes out again but where its class allows it, nor is refused; and the route's own bounds hold exactly.
+// newWorld is one with a file's classes and 12 endpoints.
+func newWorld(t *testing.T, f *schema.File, rng *rand.Rand, seed uint64) *world {
+	t.Helper()
+	w := &world{t: t, rng: rng, now: time.Second, site: 1 + rng.IntN(5), open: map[balancer.RequestID]*call{}, routes: map[string]*tally{}}
+	for _, c := range appfile.ClassTable.All(f) {
+		w.classes = append(w.classes, balancer.Class{
+			Name: c.Name, LatencyTarget: c.Value.LatencyTarget, Deadline: c.Value.Deadline, Value: 1,
+			Idempotency: c.Value.Idempotency, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow,
+		})
+	}
+	settings := balancer.Settings{
+		Instances: 1, Quantum: 2 * ms, Classes: w.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: w.site,
+		ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PropagatesDeadline: true,
+	}
+	var err error
+	if w.b, err = balancer.New(settings, seed, w); err != nil {
+		t.Fatal(err)
+	}
+	l := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
+	for e := balancer.EndpointID(1); e <= 12; e++ {
+		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: e, Cell: cellOf(e), Weight: 1})
+	}
+	w.b.HandleEndpoints(w.now, l)
+	return w
+}
+
+// play brings 300 requests, and goes on until nothing happens any more.
+func (w *world) play(table *route.Table, seed uint64) {
+	w.t.Helper()
+	n := 0
+	var next func()
+	next = func() {
+		n++
+		if n > 300 {
+			return
+		}
+		w.arrive(balancer.RequestID(fmt.Sprint("r", n)), table)
+		w.after(time.Duration(w.rng.ExpFloat64()*float64(15*ms)), next)
+	}
+	w.after(0, next)
+	for steps := 0; len(w.events) > 0 && w.now < time.Minute; steps++ {
+		x := heap.Pop(&w.events).(happening)
+		w.now = x.at
+		x.do()
+		if steps > 200_000 {
+			w.t.Fatalf("seed %d: it goes round in circles at %v", seed, w.now)
+		}
+	}
+}
+
+// audit fails for a request without an answer, and for a route that still counts one.
+func (w *world) audit(seed uint64) (answered, again int) {
+	w.t.Helper()
+	for id, c := range w.open {
+		w.t.Fatalf("seed %d: %s has no final answer: %+v", seed, id, c)
+	}
+	for name, x := range w.routes {
+		if x.State.Open != 0 || x.open != 0 {
+			w.t.Fatalf("seed %d: route %s: %d are still in", seed, name, x.State.Open)
+		}
+		answered += x.answered
+		again += x.again
+	}
+	return answered, again
+}
+
+// A file that the checks accept never breaks a rule, whatever endpoints do: one final answer in time; nothing that may have run goes
+// out again unless its class allows it, nor is rejected; and the route's own bounds hold exactly.
 func TestAcceptedFilesBreakNoRule(t *testing.T) {
-	played, sent, again := 0, 0, 0
+	played, answered, again := 0, 0, 0
 	for seed := uint64(0); played < 150; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f, fault := read(base + randomRules(rng))
@@ -276,57 +378,14 @@
 			continue
 		}
 		played++
-		table := route.Compile(f)
-		w := &world{t: t, rng: rng, now: time.Second, site: 1 + rng.IntN(5), open: map[balancer.RequestID]*call{}, routes: map[string]*tally{}}
-		for _, c := range appfile.ClassTable.All(f) {
-			w.classes = append(w.classes, balancer.Class{
-				Name: c.Name, LatencyTarget: c.Value.LatencyTarget, Deadline: c.Value.Deadline, Value: 1,
-				Idempotency: c.Value.Idempotency, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow,
-			})
-		}
-		set := balancer.Settings{
-			Instances: 1, Quantum: 2 * ms, Classes: w.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: w.site,
-			ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PropagatesDeadline: true,
-		}
-		var err error
-		if w.b, err = balancer.New(set, seed, w); err != nil {
-			t.Fatal(err)
-		}
-		l := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
-		for e := balancer.EndpointID(1); e <= 12; e++ {
-			l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: e, Cell: cellOf(e), Weight: 1})
-		}
-		w.b.HandleEndpoints(w.now, l)
-		n := 0
-		var next func()
-		next = func() {
-			if n++; n > 300 {
-				return
-			}
-			w.arrive(balancer.RequestID(fmt.Sprint("r", n)), table)
-			w.after(time.Duration(rng.ExpFloat64()*float64(15*ms)), next)
-		}
-		w.after(0, next)
-		for steps := 0; len(w.events) > 0 && w.now < time.Minute; steps++ {
-			x := heap.Pop(&w.events).(happening)
-			w.now = x.at
-			x.do()
-			if steps > 200_000 {
-				t.Fatalf("seed %d: it goes round in circles at %v", seed, w.now)
-			}
-		}
-		for id, c := range w.open {
-			t.Fatalf("seed %d: %s has no final answer: %+v", seed, id, c)
-		}
-		for name, x := range w.routes {
-			if x.State.Open != 0 || x.open != 0 {
-				t.Fatalf("seed %d: route %s: %d are still in", seed, name, x.State.Open)
-			}
-			sent, again = sent+x.answered, again+x.again
-		}
+		w := newWorld(t, f, rng, seed)
+		w.play(route.Compile(f), seed)
+		a, r := w.audit(seed)
+		answered += a
+		again += r
 	}
-	t.Logf("%d files, %d answers, %d further attempts", played, sent, again)
-	if sent < 5000 || again < 500 {
-		t.Errorf("%d answers, %d further attempts: too few to tell", sent, again)
+	t.Logf("%d files, %d answers, %d further attempts", played, answered, again)
+	if answered < 5000 || again < 500 {
+		t.Errorf("%d answers, %d further attempts: too few to tell", answered, again)
 	}
 }
--- a/internal/modules/route/route_test.go
+++ b/internal/modules/route/route_test.go
@@ -3,108 +3,117 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
 
 // routesOf makes routes, numbered in their order; those that clash with one before are left out.
-func routesOf(t testing.TB, all ...PatternText) (routes []*Route) {
-	t.Helper()
-next:
-	for i, w := range all {
-		p, faults := newPattern(w)
+func routesOf(tb testing.TB, all ...PatternText) (routes []*Route) {
+	tb.Helper()
+	for i, text := range all {
+		p, faults := newPattern(text)
 		if len(faults) > 0 {
-			t.Fatalf("%+v: %v", w, faults)
+			tb.Fatalf("%+v: %v", text, faults)
 		}
-		for _, o := range routes {
-			if r := p.compare(o.pattern); r == equal || r == overlaps {
-				continue next
-			}
+		clashes := slices.ContainsFunc(routes, func(other *Route) bool {
+			r := p.compare(other.pattern)
+			return r == equal || r == overlaps
+		})
+		if !clashes {
+			routes = append(routes, &Route{Name: strconv.Itoa(i), Settings: &Settings{Serve: true}, State: &State{}, pattern: p})
 		}
-		routes = append(routes, &Route{Name: fmt.Sprint(i), Settings: &Settings{Serve: true}, State: &State{}, pattern: p})
 	}
 	return routes
 }
 
+// somePatterns are those that specificityCases take some of by their numbers.
+var somePatterns = []PatternText{
+	{},
+	{Path: "/{rest...}", Classes: "book-trip"},
+	{Path: "/trips/{rest...}"},
+	{Path: "/trips/{id}"},
+	{Path: "/trips/new"},
+	{Path: "/trips/{id}/seats"},
+	{Path: "/trips/new", Methods: "POST"},
+	{Path: "/trips/new", Methods: "POST", Tenants: "north"},
+	{Path: "/trips/new", Methods: "POST", Tenants: "north", Headers: "X-Canary: 1"},
+	{Host: "*.example.org", Path: "/trips/{rest...}"},
+	{Host: "a.example.org", Path: "/trips/{rest...}"},
+	{Path: "/"},
+	{Path: "/süd/{id}"},
+}
+
+// specificityCases are patterns that must hold together, a request, and the pattern that it takes; -1 for none.
+var specificityCases = []struct {
+	use     []int
+	request Request
+	want    int
+}{
+	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1"}}}, 8},
+	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1", "1"}}}, 7},
+	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "south"}, 6},
+	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "GET"}, 4},
+	{[]int{0, 2, 3, 4}, Request{Path: "/trips/n%65w/", Method: "GET"}, 4},
+	{[]int{0, 2, 3, 4}, Request{Path: "/trips/NEW"}, 3},
+	{[]int{0, 2, 3, 4, 5}, Request{Path: "/trips/7/seats"}, 5},
+	{[]int{0, 2, 3, 4, 5}, Request{Path: "/trips/7/seats/2"}, 2},
+	{[]int{0, 2, 3}, Request{Path: "/trips"}, 2},
+	{[]int{0, 2, 3}, Request{Path: "/trips/"}, 2},
+	{[]int{0, 2, 3}, Request{Path: "/trip"}, 0},
+	{[]int{0, 2, 11}, Request{Path: "/"}, 11},
+	{[]int{2, 3}, Request{Path: "/other"}, -1},
+	{[]int{0, 2, 9, 10}, Request{Host: "A.Example.org.:80", Path: "/trips/1"}, 10},
+	{[]int{0, 2, 9, 10}, Request{Host: "b.c.example.org", Path: "/trips/1"}, 9},
+	{[]int{0, 2, 9, 10}, Request{Host: "example.org", Path: "/trips/1"}, 2},
+	{[]int{0, 2, 9, 10}, Request{Host: "[::1]:80", Path: "/trips/1"}, 2},
+	{[]int{0, 12}, Request{Path: "/s%C3%BCd/1"}, 12},
+	{[]int{0, 12}, Request{Path: "/süd/1"}, 12},
+	{[]int{0, 1}, Request{Path: "/x", Class: "book-trip"}, 1},
+}
+
 // The most specific route is taken, whatever its place in the file, and paths that are written otherwise take the same.
 func TestMostSpecific(t *testing.T) {
-	all := []PatternText{
-		{},
-		{Path: "/{rest...}", Classes: "book-trip"},
-		{Path: "/trips/{rest...}"},
-		{Path: "/trips/{id}"},
-		{Path: "/trips/new"},
-		{Path: "/trips/{id}/seats"},
-		{Path: "/trips/new", Methods: "POST"},
-		{Path: "/trips/new", Methods: "POST", Tenants: "north"},
-		{Path: "/trips/new", Methods: "POST", Tenants: "north", Headers: "X-Canary: 1"},
-		{Host: "*.example.org", Path: "/trips/{rest...}"},
-		{Host: "a.example.org", Path: "/trips/{rest...}"},
-		{Path: "/"},
-		{Path: "/süd/{id}"},
-	}
 	for seed := range uint64(20) {
-		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(all))
-		shuffled := make([]PatternText, len(all))
-		for i, at := range order {
-			shuffled[at] = all[i]
-		}
-		// Only those that do not clash are kept, so the lists that must hold together are tried by themselves.
-		for _, c := range []struct {
-			use  []int
-			q    Request
-			want int
-		}{
-			{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1"}}}, 8},
-			{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1", "1"}}}, 7},
-			{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "south"}, 6},
-			{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "GET"}, 4},
-			{[]int{0, 2, 3, 4}, Request{Path: "/trips/n%65w/", Method: "GET"}, 4},
-			{[]int{0, 2, 3, 4}, Request{Path: "/trips/NEW"}, 3},
-			{[]int{0, 2, 3, 4, 5}, Request{Path: "/trips/7/seats"}, 5},
-			{[]int{0, 2, 3, 4, 5}, Request{Path: "/trips/7/seats/2"}, 2},
-			{[]int{0, 2, 3}, Request{Path: "/trips"}, 2},
-			{[]int{0, 2, 3}, Request{Path: "/trips/"}, 2},
-			{[]int{0, 2, 3}, Request{Path: "/trip"}, 0},
-			{[]int{0, 2, 11}, Request{Path: "/"}, 11},
-			{[]int{2, 3}, Request{Path: "/other"}, -1},
-			{[]int{0, 2, 9, 10}, Request{Host: "A.Example.org.:80", Path: "/trips/1"}, 10},
-			{[]int{0, 2, 9, 10}, Request{Host: "b.c.example.org", Path: "/trips/1"}, 9},
-			{[]int{0, 2, 9, 10}, Request{Host: "example.org", Path: "/trips/1"}, 2},
-			{[]int{0, 2, 9, 10}, Request{Host: "[::1]:80", Path: "/trips/1"}, 2},
-			{[]int{0, 12}, Request{Path: "/s%C3%BCd/1"}, 12},
-			{[]int{0, 12}, Request{Path: "/süd/1"}, 12},
-			{[]int{0, 1}, Request{Path: "/x", Class: "book-trip"}, 1},
-		} {
-			var use []PatternText
+		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(somePatterns))
+		for _, c := range specificityCases {
+			var use []int // in the order of this seed
 			for _, i := range order {
-				for _, u := range c.use {
-					if u == i {
-						use = append(use, all[i])
-					}
-				}
-			}
-			table := newTable(routesOf(t, use...))
-			if len(table.Routes) != len(c.use) {
-				t.Fatalf("%v: some clash", c.use)
-			}
-			r, ok := table.Find(&c.q)
-			got := -1
-			for i, w := range all {
-				if r != nil && use[atoi(r.Name)] == w {
-					got = i
+				if slices.Contains(c.use, i) {
+					use = append(use, i)
 				}
 			}
-			if !ok || got != c.want {
-				t.Errorf("%+v: route %d, should be %d", c.q, got, c.want)
+			if got := takenOf(t, use, &c.request); got != c.want {
+				t.Errorf("%+v: route %d, should be %d", c.request, got, c.want)
 			}
 		}
 	}
 }
 
-func atoi(s string) (n int) {
-	fmt.Sscan(s, &n)
-	return n
+// takenOf is the number of the pattern that a request takes, of those in use; -1 for none.
+func takenOf(t *testing.T, use []int, q *Request) int {
+	t.Helper()
+	var texts []PatternText
+	for _, i := range use {
+		texts = append(texts, somePatterns[i])
+	}
+	table := newTable(routesOf(t, texts...))
+	if len(table.Routes) != len(use) {
+		t.Fatalf("%v: some clash", use)
+	}
+	r, ok := table.Find(q)
+	if !ok {
+		t.Fatalf("%+v goes nowhere", q)
+	}
+	if r == nil {
+		return -1
+	}
+	number, err := strconv.Atoi(r.Name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return use[number]
 }
 
 // What two readers may take for different paths goes nowhere; what is merely written otherwise does.
@@ -185,7 +194,7 @@
 // matches is whether a pattern matches, by looking at it alone.
 func (p *Pattern) matches(q *Request) bool {
 	host := strings.ToLower(q.Host)
-	if p.host != "" && p.host != host && !(strings.HasPrefix(p.host, "*") && strings.HasSuffix(host, p.host[1:])) {
+	if p.host != "" && p.host != host && (!strings.HasPrefix(p.host, "*") || !strings.HasSuffix(host, p.host[1:])) {
 		return false
 	}
 	var path []string
@@ -200,12 +209,11 @@
 			return false
 		}
 	}
-	return p.has(p.methods, q.Method) && p.has(p.classes, q.Class) && p.has(p.tenants, q.Tenant) && p.hasHeaders(q.Header)
+	return p.allows(p.methods, q.Method) && p.allows(p.classes, q.Class) && p.allows(p.tenants, q.Tenant) && p.hasHeaders(q.Header)
 }
 
-// With random routes and requests the table finds what a look at all of them does; two that are said to be disjoint
-// match nothing in common, one that is narrower nothing that the wider does not, and of those that match a request none
-// overlap.
+// With random routes and requests the table finds what a look at all of them does; two that are said to be disjoint match nothing in
+// common, one that is narrower nothing that the wider does not, and of those that match a request none overlap.
 func TestFindIsAsALookAtAll(t *testing.T) {
 	found, deep := 0, 0
 	for seed := range uint64(300) {
@@ -217,24 +225,7 @@
 		table := newTable(routesOf(t, all...))
 		for range 200 {
 			q := d.request()
-			var best *Route
-			matching := 0
-			for _, r := range table.Routes {
-				if !r.pattern.matches(&q) {
-					continue
-				}
-				if matching++; best == nil {
-					best = r
-					continue
-				}
-				switch rel := r.pattern.compare(best.pattern); rel {
-				case narrower:
-					best = r
-				case wider:
-				default:
-					t.Fatalf("%+v is matched by %v and %v, which are %d to each other", q, r.pattern, best.pattern, rel)
-				}
-			}
+			best, matching := narrowestOf(t, table.Routes, &q)
 			if got, ok := table.Find(&q); !ok || got != best {
 				t.Fatalf("seed %d: %+v: %v, should be %v", seed, q, got, best)
 			}
@@ -246,25 +237,7 @@
 			}
 		}
 		for range 100 {
-			a, b := d.words(), d.words()
-			p, _ := newPattern(a)
-			o, _ := newPattern(b)
-			rel, back := p.compare(o), o.compare(p)
-			if back != map[relation]relation{equal: equal, narrower: wider, wider: narrower, disjoint: disjoint, overlaps: overlaps}[rel] {
-				t.Fatalf("%v to %v: %d, and back %d", p, o, rel, back)
-			}
-			for range 30 {
-				q := d.request()
-				x, y := p.matches(&q), o.matches(&q)
-				if rel == equal && x != y || rel == narrower && x && !y || rel == wider && y && !x || rel == disjoint && x && y {
-					t.Fatalf("%v to %v: %d, but %+v is matched %v and %v", p, o, rel, q, x, y)
-				}
-			}
-			if rel != disjoint {
-				if text := exampleRequest(p, o); !strings.Contains(text, " http://") {
-					t.Fatal(text)
-				}
-			}
+			checkRelation(t, d)
 		}
 	}
 	if found < 10000 || deep < 200 {
@@ -272,7 +245,58 @@
 	}
 }
 
-// A route's limits: what is turned away, what may go out again, and that a reload leaves them as they stand.
+// narrowestOf looks at all routes, and also counts those that match.
+func narrowestOf(t *testing.T, routes []*Route, q *Request) (best *Route, matching int) {
+	t.Helper()
+	for _, r := range routes {
+		if !r.pattern.matches(q) {
+			continue
+		}
+		matching++
+		if best == nil {
+			best = r
+			continue
+		}
+		switch rel := r.pattern.compare(best.pattern); rel {
+		case narrower:
+			best = r
+		case wider:
+		default:
+			t.Fatalf("%+v is matched by %v and %v, which are %d to each other", q, r.pattern, best.pattern, rel)
+		}
+	}
+	return best, matching
+}
+
+// inverse is the relation the other way round.
+var inverse = map[relation]relation{equal: equal, narrower: wider, wider: narrower, disjoint: disjoint, overlaps: overlaps}
+
+// checkRelation draws two patterns, and tries their relation by requests.
+func checkRelation(t *testing.T, d draws) {
+	t.Helper()
+	p, _ := newPattern(d.words())
+	o, _ := newPattern(d.words())
+	rel := p.compare(o)
+	if back := o.compare(p); back != inverse[rel] {
+		t.Fatalf("%v to %v: %d, and back %d", p, o, rel, back)
+	}
+	for range 30 {
+		q := d.request()
+		x := p.matches(&q)
+		y := o.matches(&q)
+		if rel == equal && x != y || rel == narrower && x && !y || rel == wider && y && !x || rel == disjoint && x && y {
+			t.Fatalf("%v to %v: %d, but %+v is matched %v and %v", p, o, rel, q, x, y)
+		}
+	}
+	if rel == disjoint {
+		return
+	}
+	if text := exampleRequest(p, o); !strings.Contains(text, " http://") {
+		t.Fatal(text)
+	}
+}
+
+// A route's limits: what is rejected, what may go out again, and that a reload leaves them as they stand.
 func TestLimits(t *testing.T) {
 	r := &Route{Settings: &Settings{Serve: true, MaxOpen: 2, RetryShare: 0.5, RetryReserve: 2}, State: &State{}}
 	for i := range 3 {
--- /dev/null
+++ b/internal/modules/route/rules.go
@@ -0,0 +1,136 @@
+package route
+
+import (
+	"strings"
+	"time"
+
+	"quincegap/internal/config/schema"
+)
+
+// Rule is one table [route.NAME] of a settings file.
+type Rule struct {
+	PatternText
+	Settings
+	RetryOn string // outcomes, with commas between
+
+	pattern    *Pattern // once it is compiled; nil if it has faults
+	isCompiled bool
+
+	// Of a file's first rule: the routes that were checked, and how many.
+	checked      *prefixIndex[checkedRoute]
+	checkedCount int
+}
+
+const (
+	// MaxRoutes bounds the routes of a file.
+	MaxRoutes = 5000
+	// noBudget is the share of retries of a route without a budget of its own.
+	noBudget = -1.0
+	// maxNameBytes bounds the name of a route.
+	maxNameBytes = 64
+)
+
+// word is a setting that holds a text.
+func word(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
+	return schema.String(name, field, schema.StringOptions{Example: example}, schema.OnReload, help)
+}
+
+// Rules are the tables [route.NAME] of a settings file.
+var Rules = schema.NewNamed("route", "route", "book-north",
+	"What is set for some requests beyond their class. Of the routes that match a request the most specific is taken: the one "+
+		"whose requests all the others match too. Two that have requests in common, neither more specific, are refused.",
+	word("match_host", func(r *Rule) *string { return &r.Host }, "booking.example.org", "The Host, or *.example.org for those under it."),
+	word("match_path", func(r *Rule) *string { return &r.Path }, "/trips/{id}", "The path: /trips exactly, /trips/{id} with one segment, /trips/{rest...} with any number, none too. Escapes and a final / make no difference."),
+	word("match_methods", func(r *Rule) *string { return &r.Methods }, "GET", "Methods, with commas between."),
+	word("match_classes", func(r *Rule) *string { return &r.Classes }, "find-trip", "Classes, with commas between."),
+	word("match_tenants", func(r *Rule) *string { return &r.Tenants }, "north-clinics", "Tenants, with commas between."),
+	word("match_headers", func(r *Rule) *string { return &r.Headers }, "X-Canary: 1", "Headers that have to be there, \"Name: value\" once with that value, \"Name\" with any."),
+	schema.Bool("serve", func(r *Rule) *bool { return &r.Serve }, true, schema.OnReload,
+		"false turns all of it away, with Retry-After, and sends none of it on."),
+	schema.Float("route_worth", func(r *Rule) *float64 { return &r.Value },
+		schema.Bounds[float64]{Min: 0.01, Max: 100, Optional: true, Example: "2"}, schema.OnReload,
+		"How much more it is worth than others of its class when not all can be served; below 1 for less."),
+	duration("whole_time", func(r *Rule) *time.Duration { return &r.Timeout }, `"2s"`,
+		"The whole time of a request, where that is less than its caller waits."),
+	duration("attempt_time", func(r *Rule) *time.Duration { return &r.AttemptTimeout }, `"800ms"`,
+		"The time of one attempt. What takes longer may have run, and goes out again only where its class allows it."),
+	schema.Int("route_attempts", func(r *Rule) *int { return &r.MaxAttempts },
+		schema.Bounds[int]{Min: 1, Max: 20, Optional: true, Example: "2"}, schema.OnReload,
+		"The most attempts of a request, the first one included; no more than the site allows."),
+	schema.Int("most_open", func(r *Rule) *int { return &r.MaxOpen },
+		schema.Bounds[int]{Min: 1, Max: 1_000_000, Optional: true, Example: "50"}, schema.OnReload,
+		"The most requests at once; more are refused, with Retry-After."),
+	word("retry_on", func(r *Rule) *string { return &r.RetryOn }, "turned-away, unconnected",
+		"After which outcomes another attempt may go out, with commas between: turned-away, unconnected, failed, broken, late; all where it is left out. What a class forbids stays forbidden."),
+	duration("retry_pause", func(r *Rule) *time.Duration { return &r.RetryBackoff }, `"20ms"`,
+		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and one and a half times."),
+	schema.Float("retry_share", func(r *Rule) *float64 { return &r.RetryShare },
+		schema.Bounds[float64]{Default: noBudget, Min: noBudget, Max: 1}, schema.OnReload,
+		"Further attempts for each answered request, saved up to retry_reserve; negative for no budget of the route's own."),
+	schema.Int("retry_reserve", func(r *Rule) *int { return &r.RetryReserve },
+		schema.Bounds[int]{Default: 10, Min: 0, Max: 100_000}, schema.OnReload,
+		"How many further attempts may be saved up; a start begins with so many."),
+	schema.Float("copy_after", func(r *Rule) *float64 { return &r.HedgeQuantile },
+		schema.Bounds[float64]{Min: 0.5, Max: 0.999, Optional: true, Example: "0.95"}, schema.OnReload,
+		"A second copy of a request goes to another endpoint when its answer takes longer than this quantile of the route's answers, like 0.95. Not of unsafe classes; of keyed ones in the same cell. It needs attempts.second_copies, or the platform's leave."),
+	schema.Float("copy_share", func(r *Rule) *float64 { return &r.HedgeShare },
+		schema.Bounds[float64]{Default: 0.05, Min: 0.001, Max: 0.25}, schema.OnReload,
+		"The share of the route's requests, at most, that get a second copy."),
+	schema.Duration("come_back", func(r *Rule) *time.Duration { return &r.RetryAfter },
+		schema.Bounds[time.Duration]{Default: time.Second, Min: 0, Max: time.Minute}, schema.OnReload,
+		"Retry-After of what serve or most_open turns away."),
+).CheckNames(badName)
+
+// The check looks at the routes beside the one that is checked, by way of Rules.
+func init() { Rules.Check(check) }
+
+// duration is a setting that holds a time.
+func duration(name string, field func(*Rule) *time.Duration, example, help string) schema.KeyOf[Rule] {
+	return schema.Duration(name, field, schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: example}, schema.OnReload, help)
+}
+
+// badName says what is wrong with the name of a route.
+func badName(name string) string {
+	if len(name) > maxNameBytes || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
+		return "is no name of a route: up to 64 printable characters without spaces"
+	}
+	return ""
+}
+
+// compile gives the rule's pattern, read once; nil if it has faults.
+func (r *Rule) compile() (*Pattern, []fault) {
+	if r.isCompiled {
+		return r.pattern, nil
+	}
+	r.isCompiled = true
+	p, faults := newPattern(r.PatternText)
+	retryable, text := readOutcomes(r.RetryOn)
+	if text != "" {
+		faults = append(faults, fault{"retry_on", text})
+	}
+	r.retryable = retryable
+	if len(faults) == 0 {
+		r.pattern = p
+	}
+	return r.pattern, faults
+}
+
+// Compile makes the table of a file that was checked; nil for one without routes, and for no file.
+func Compile(f *schema.File) *Table {
+	if f == nil {
+		return nil
+	}
+	all := Rules.All(f)
+	if len(all) == 0 {
+		return nil
+	}
+	var routes []*Route
+	for _, rule := range all {
+		p, _ := rule.Value.compile()
+		if p == nil {
+			continue // its faults were reported
+		}
+		routes = append(routes, &Route{Name: rule.Name, Settings: &rule.Value.Settings, State: &State{}, pattern: p})
+	}
+	return newTable(routes)
+}
