--- /dev/null
+++ b/internal/rehearsal/dryrun/attempt.go
@@ -0,0 +1,199 @@
+package dryrun
+
+import (
+	"net/http"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/emulator"
+)
+
+// attempt is one attempt of a request at a server.
+type attempt struct {
+	id             uint64
+	number         int // among those of its request, from 0
+	request        *request
+	server         *server
+	incarnation    int // of the server, when it came there; 0 before
+	connections    *connections
+	sentAt         time.Duration
+	finished       bool // at the instance
+	endedAtServer  bool // at the server
+	inModel        bool // the model works on it
+	afterCalls     bool // it does the work after its calls
+	muted          bool // it gets no answer
+	workAfterCalls time.Duration
+	work           time.Duration // that it has had done
+}
+
+// arrive brings an attempt to its server.
+func (a *attempt) arrive() {
+	if a.finished {
+		return // cancelled on its way: it was never written
+	}
+	server, instance := a.server, a.request.instance
+	sim := instance.sim
+	if server.model == nil {
+		sim.record(audit.Event{
+			Kind: audit.AttemptUnreachable, Request: a.request.request, Sidecar: instance.index, Server: server.index, Origin: a.request.origin,
+		})
+	}
+	switch {
+	case server.silent && !instance.connectionsTo(server).established:
+		sim.schedule(a.sentAt+sim.plan.Rules.ConnectTimeout, func() { a.finishAtInstance(balancer.StatusConnectFailed) })
+		return
+	case server.model == nil && !server.silent:
+		sim.scheduleAfter(toServer, func() { a.finishAtInstance(balancer.StatusConnectFailed) })
+		return
+	}
+	a.incarnation = server.incarnation
+	a.connect()
+	server.calls[a.id] = a
+	sim.record(audit.Event{
+		Kind: audit.AttemptReceived, Request: a.request.request, FirstByteAt: sim.now, AttemptID: a.id, Server: server.index, Sidecar: -1,
+		Origin: a.request.origin,
+	})
+	if !a.suffersFault() {
+		a.offer()
+	}
+}
+
+// suffersFault draws whether a fault of the server befalls the attempt, and has it do so.
+func (a *attempt) suffersFault() bool {
+	server := a.server
+	switch {
+	case server.silent || server.drawFault("lose"):
+		a.muted = true
+	case server.drawFault("reset"):
+		a.finishAtServer(audit.Dropped)
+		server.sim.scheduleAfter(toServer, func() { a.finishAtInstance(balancer.StatusReset) })
+	case server.drawFault("refuse"):
+		a.answer(audit.Rejected)
+	case server.drawFault("fail"):
+		a.answer(audit.Failed)
+	default:
+		return false
+	}
+	return true
+}
+
+// offer offers the attempt to the model of its server.
+func (a *attempt) offer() {
+	server := a.server
+	sim := server.sim
+	sim.attemptsSeen[a.request.request]++
+	var before time.Duration
+	before, a.workAfterCalls = sim.plan.WorkOf(a.request.request, server.tier(), sim.attemptsSeen[a.request.request])
+	server.advance()
+	switch server.model.Offer(sim.now, a.id, before, a.request.deadline) {
+	case emulator.Accepted:
+		a.inModel = true
+		server.scheduleAdvance()
+	case emulator.Rejected:
+		a.answer(audit.Rejected)
+	case emulator.Collapsed:
+		server.collapse()
+	}
+}
+
+// finishAtServer notes the end of an attempt at its server.
+func (a *attempt) finishAtServer(result audit.AttemptResult) {
+	if a.endedAtServer || a.incarnation == 0 {
+		return
+	}
+	a.endedAtServer = true
+	if a.server.incarnation == a.incarnation {
+		delete(a.server.calls, a.id)
+	}
+	a.server.sim.record(audit.Event{
+		Kind: audit.AttemptEnded, Request: a.request.request, AttemptID: a.id, Server: a.server.index, Sidecar: -1, Result: result,
+		Work: a.work, Origin: a.request.origin,
+	})
+}
+
+// answerStatus is what an instance sees of the end of an attempt that is answered.
+var answerStatus = map[audit.AttemptResult]balancer.Status{
+	audit.Served: balancer.StatusOK, audit.Failed: balancer.StatusError,
+	audit.Rejected: balancer.StatusRejected, audit.Garbled: balancer.StatusInvalidResponse,
+}
+
+// answer sends the answer of the server.
+func (a *attempt) answer(result audit.AttemptResult) {
+	if a.muted {
+		return
+	}
+	server := a.server
+	if result == audit.Served && server.drawFault("garble") {
+		result = audit.Garbled
+	}
+	a.finishAtServer(result)
+	incarnation := server.incarnation
+	server.sim.scheduleAfter(toServer, func() {
+		if a.connections != nil && server.incarnation == incarnation {
+			a.connections.established = true
+		}
+		a.finishAtInstance(answerStatus[result])
+	})
+}
+
+// cancel takes an attempt back that its instance does not want any more.
+func (a *attempt) cancel() {
+	server := a.server
+	server.sim.scheduleAfter(toServer, func() {
+		if a.endedAtServer || a.incarnation == 0 || server.incarnation != a.incarnation {
+			return
+		}
+		if a.inModel && server.model != nil {
+			a.cancelInModel()
+			return
+		}
+		a.finishAtServer(audit.Canceled)
+	})
+}
+
+// cancelInModel takes an attempt back from the model, unless it ends just now.
+func (a *attempt) cancelInModel() {
+	server := a.server
+	server.advance()
+	if a.endedAtServer {
+		server.scheduleAdvance()
+		return
+	}
+	done := server.model.WorkDone(a.id)
+	stopped, expired := server.model.Cancel(server.sim.now, a.id)
+	if !stopped { // it goes on for nobody: all of it is done
+		done = 0
+		a.work += a.workAfterCalls
+	}
+	a.work += done
+	a.finishAtServer(audit.Canceled)
+	server.complete(expired)
+	server.scheduleAdvance()
+}
+
+// finishAtInstance notes the end of an attempt at its instance, and reports it to the decision module.
+func (a *attempt) finishAtInstance(status balancer.Status) {
+	r := a.request
+	i := r.instance
+	if a.finished || r.pending != a || i.requests[balancer.RequestID(r.request)] != r {
+		return
+	}
+	a.finished = true
+	a.releaseConnection(status == balancer.StatusOK || status == balancer.StatusError || status == balancer.StatusRejected)
+	r.pending = nil
+	if status == balancer.StatusTimeout || status == balancer.StatusCancelled {
+		a.cancel()
+	}
+	final := r.answered
+	if status == balancer.StatusOK && !r.answered {
+		final = true
+		r.answer(http.StatusOK, 0, true)
+	}
+	i.sim.decisions++
+	i.balancer.HandleOutcome(i.clock(), balancer.Outcome{
+		ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.server.index + 1),
+		Attempt: a.number, Final: final, Elapsed: i.sim.now - a.sentAt, Status: status,
+	})
+	r.release()
+}
--- /dev/null
+++ b/internal/rehearsal/dryrun/callers.go
@@ -0,0 +1,72 @@
+package dryrun
+
+import (
+	"quincegap/internal/rehearsal/morning"
+)
+
+// playArrival plays one arrival: its attempts, with waits between them.
+func (s *sim) playArrival(n int) {
+	caller, toFirst := s.plan.Caller(n, s.now), s.plan.PrefersFirstSidecar(n)
+	var attempt func()
+	attempt = func() {
+		number, left, ok := caller.NextAttempt(s.now)
+		if !ok {
+			return
+		}
+		retry := func(r reply) {
+			if wait, ok := caller.RetryAfter(s.now, r.status, r.retryAfter); ok {
+				s.scheduleAfter(wait, attempt)
+			}
+		}
+		sidecar := s.pickSidecar(toFirst)
+		if sidecar == nil {
+			retry(reply{})
+			return
+		}
+		sidecar.handle(&call{
+			request: morning.RequestID(n, number), class: s.plan.Arrivals[n].Class, timeLeft: left, origin: n, callerAttempt: number,
+		}, retry)
+	}
+	attempt()
+}
+
+// pickSidecar returns where a caller from outside sends its request: on a connection that stands idle, drawn at random, whether or
+// not its sidecar gets new ones; or on a new one, to the next of the sidecars in rotation. It is nil if there is none.
+func (s *sim) pickSidecar(toFirst bool) *instance {
+	outside := s.instances[:s.plan.Sidecars.Count]
+	if toFirst && outside[0].inRotation {
+		return outside[0]
+	}
+	if idle := s.drawIdle(outside); idle != nil {
+		return idle
+	}
+	var inRotation []*instance
+	for _, i := range outside {
+		if i.inRotation {
+			inRotation = append(inRotation, i)
+		}
+	}
+	if len(inRotation) == 0 {
+		return nil
+	}
+	s.nextSidecar++
+	return inRotation[s.nextSidecar%len(inRotation)]
+}
+
+// drawIdle draws one of all idle connections of callers, and returns its sidecar; nil, and nothing drawn, if there is none.
+func (s *sim) drawIdle(outside []*instance) *instance {
+	idle := 0
+	for _, i := range outside {
+		idle += i.idleConnections()
+	}
+	if idle == 0 {
+		return nil
+	}
+	drawn := s.callers.IntN(idle)
+	for _, i := range outside {
+		if drawn -= i.idleConnections(); drawn < 0 {
+			return i
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/rehearsal/dryrun/connections.go
@@ -0,0 +1,53 @@
+package dryrun
+
+import (
+	"quincegap/internal/rehearsal/audit"
+)
+
+// connections are an instance's connections to one incarnation of a server.
+type connections struct {
+	incarnation, open, busy int
+	established             bool // one has been answered on, so that it stands
+}
+
+// connectionsTo returns those to the present incarnation of a server.
+func (i *instance) connectionsTo(server *server) *connections {
+	c := i.connections[server.index]
+	if c == nil || c.incarnation != server.incarnation {
+		c = &connections{incarnation: server.incarnation}
+		i.connections[server.index] = c
+	}
+	return c
+}
+
+// connect has an attempt that comes to its server use a connection that stands idle, or a new one.
+func (a *attempt) connect() {
+	i := a.request.instance
+	c := i.connectionsTo(a.server)
+	a.connections = c
+	c.busy++
+	if c.busy > c.open {
+		c.open = c.busy
+		i.sim.record(audit.Event{Kind: audit.ConnectionOpened, Sidecar: i.index, Server: a.server.index, Origin: -1})
+	}
+}
+
+// releaseConnection ends an attempt's use of its connection, which stands on after an answer.
+func (a *attempt) releaseConnection(answered bool) {
+	if a.connections == nil {
+		return
+	}
+	a.connections.busy--
+	if !answered {
+		a.connections.open--
+	}
+	a.connections = nil
+}
+
+// idleConnections returns how many callers' connections to the instance have no request on them.
+func (i *instance) idleConnections() int {
+	if !i.up {
+		return 0
+	}
+	return i.open - i.busy
+}
--- /dev/null
+++ b/internal/rehearsal/dryrun/discovery.go
@@ -0,0 +1,102 @@
+package dryrun
+
+import (
+	"slices"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/rehearsal/morning"
+)
+
+// The states of a server, as discovery has them.
+const (
+	stateReady       = "Ready"
+	stateTerminating = "Terminating"
+	stateGone        = "Gone"
+)
+
+// discoveryState is what discovery knows of a server from a time on.
+type discoveryState struct {
+	at     time.Duration
+	weight float64
+	state  string        // Ready, Terminating or Gone; empty if it does not know the server
+	boot   time.Duration // when it started; 0 for long ago
+}
+
+// stateAt returns what discovery knew at a time.
+func (s *server) stateAt(at time.Duration) discoveryState {
+	if s.known.at <= at || s.sim.plan.Discovery.LateDelay == 0 {
+		return s.known
+	}
+	for _, earlier := range slices.Backward(s.wasKnown) {
+		if earlier.at <= at {
+			return earlier
+		}
+	}
+	return discoveryState{}
+}
+
+// updateState has discovery know something else of the server.
+func (s *server) updateState(next discoveryState) {
+	if s.sim.plan.Discovery.LateDelay > 0 {
+		s.wasKnown = append(s.wasKnown, s.known)
+	}
+	next.at = s.sim.now
+	s.known = next
+}
+
+// notificationDelay returns how much later than others the instance is notified.
+func (i *instance) notificationDelay() time.Duration {
+	return i.sim.plan.NotificationDelay(i.SidecarSpec)
+}
+
+// endpointStates are the states of discovery as the decision module has them.
+var endpointStates = map[string]balancer.EndpointState{
+	stateReady: balancer.EndpointReady, stateTerminating: balancer.EndpointDraining, stateGone: balancer.EndpointRemoved,
+}
+
+// listEntry returns a server in the module's list, as discovery knows it.
+func (i *instance) listEntry(server *server, known discoveryState) balancer.ListEntry {
+	id := balancer.EndpointID(server.index + 1)
+	i.serverByID[id] = server.index
+	spec := server.spec()
+	entry := balancer.ListEntry{
+		Endpoint: id, MachineKind: spec.Tier, Cell: spec.Cell, Weight: known.weight, State: endpointStates[known.state],
+	}
+	switch bootTime := i.sim.plan.Discovery.BootTime; {
+	case known.boot == 0, bootTime == morning.BootTimeNone:
+	case bootTime == morning.BootTimeAhead:
+		entry.StartedAt = clockStart + known.boot + morning.BootTimeSkew
+	default:
+		entry.StartedAt = clockStart + known.boot
+	}
+	return entry
+}
+
+// notify takes an update of one server, late or at once.
+func (i *instance) notify(server *server) {
+	known := server.known
+	delay := i.notificationDelay()
+	if delay == 0 {
+		i.applyUpdate(server, known)
+		return
+	}
+	incarnation := i.incarnation
+	i.sim.scheduleAfter(delay, func() {
+		if i.incarnation == incarnation { // a later one has a list of its own
+			i.applyUpdate(server, known)
+		}
+	})
+}
+
+// applyUpdate gives the decision module what discovery knows of a server.
+func (i *instance) applyUpdate(server *server, known discoveryState) {
+	if !i.up || server.tier() != i.Tier || known.state == "" {
+		return
+	}
+	i.recordNotification(server, known)
+	i.sim.decisions++
+	i.balancer.HandleEndpoints(i.clock(), balancer.EndpointList{
+		Kind: balancer.ListDelta, Version: i.sim.seq, Entries: []balancer.ListEntry{i.listEntry(server, known)},
+	})
+}
--- a/internal/rehearsal/dryrun/dryrun_test.go
+++ b/internal/rehearsal/dryrun/dryrun_test.go
@@ -18,38 +18,38 @@
 	"quincegap/internal/rehearsal/morning"
 )
 
-func read(t testing.TB, name, text string) *morning.Scenario {
-	t.Helper()
+func read(tb testing.TB, name, text string) *morning.Scenario {
+	tb.Helper()
 	var found finding.List
 	m := morning.Read(name, []byte(text), &found)
 	if m == nil {
-		t.Fatal(found.Err())
+		tb.Fatal(found.Err())
 	}
 	return m
 }
 
-func run(t testing.TB, plan *morning.Plan) *Result {
-	t.Helper()
+func run(tb testing.TB, plan *morning.Plan) *Result {
+	tb.Helper()
 	r, err := Run(plan)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return r
 }
 
-func library(t testing.TB) map[string]*morning.Scenario {
-	t.Helper()
+func library(tb testing.TB) map[string]*morning.Scenario {
+	tb.Helper()
 	names, err := filepath.Glob("../../../rehearsals/*.morning")
 	if err != nil || len(names) == 0 {
-		t.Fatal("no rehearsals", err)
+		tb.Fatal("no rehearsals", err)
 	}
 	all := map[string]*morning.Scenario{}
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
-		all[strings.TrimSuffix(filepath.Base(name), ".morning")] = read(t, name, string(text))
+		all[strings.TrimSuffix(filepath.Base(name), ".morning")] = read(tb, name, string(text))
 	}
 	return all
 }
@@ -111,15 +111,7 @@
 			if len(r.Verdict.Breaches) > 0 {
 				t.Errorf("%s, %d ms: %v", effect, ms, r.Verdict.Breaches)
 			}
-			withdrawn := map[string]time.Duration{}
-			for _, e := range r.Events {
-				if e.Kind == audit.CallerTimedOut || e.Kind == audit.AttemptEnded && e.Result == audit.Canceled {
-					withdrawn[e.Request] = e.At
-				}
-				if e.Kind == audit.AttemptEnded && e.Result == audit.Served && e.At > 2900*time.Millisecond && e.At < 3100*time.Millisecond {
-					crossed++
-				}
-			}
+			crossed += servedBetween(r, 2900*time.Millisecond, 3100*time.Millisecond)
 		}
 		if crossed == 0 {
 			t.Errorf("%s: no answer came near the time at which sidecars give up", effect)
@@ -127,6 +119,16 @@
 	}
 }
 
+// servedBetween counts the attempts that were served between two times.
+func servedBetween(r *Result, from, to time.Duration) (count int) {
+	for _, e := range r.Events {
+		if e.Kind == audit.AttemptEnded && e.Result == audit.Served && e.At > from && e.At < to {
+			count++
+		}
+	}
+	return count
+}
+
 // A freshly started box that is slow for its first minute is spared: it does not fall over, and while it is cold it
 // gets well below its share.
 func TestSlowFirstMinute(t *testing.T) {
@@ -167,7 +169,9 @@
 	}
 	effects := []string{"unsafe", "keyed scope cell window 10s", "keyed scope all window 10s", "safe"}
 	if os.Getenv("SOAK") == "" {
-		flag.Set("rapid.checks", "25") // make soak plays 100
+		if err := flag.Set("rapid.checks", "25"); err != nil { // make soak plays 100
+			t.Fatal(err)
+		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		text := base + "class ask aim 500ms deadline 2s effect " + rapid.SampledFrom(effects).Draw(t, "effect") + "\n"
--- a/internal/rehearsal/dryrun/golden_test.go
+++ b/internal/rehearsal/dryrun/golden_test.go
@@ -28,7 +28,9 @@
 			result := run(t, plan)
 			events := sha256.New()
 			for _, e := range result.Events {
-				fmt.Fprintln(events, e)
+				if _, err := fmt.Fprintln(events, e); err != nil {
+					t.Fatal(err)
+				}
 			}
 			verdict := result.Verdict
 			fmt.Fprintf(&dump, "%s %d: %d events %x, verdict %x, sums %x, %d decisions, service %v, %d breaches\n", name, seed, len(result.Events),
--- /dev/null
+++ b/internal/rehearsal/dryrun/host.go
@@ -0,0 +1,85 @@
+package dryrun
+
+import (
+	"net/http"
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/rehearsal/audit"
+)
+
+// Send is the host's: it sends an attempt.
+func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	s, r := i.sim, i.requests[id]
+	s.attempts++
+	if i.balancer.Ejected(to) {
+		s.record(audit.Event{Kind: audit.EjectedAttempted, Request: r.request, Sidecar: i.index, Server: i.serverByID[to], Origin: r.origin})
+	}
+	a := &attempt{id: s.attempts, number: r.attempts, request: r, server: s.servers[i.serverByID[to]], sentAt: s.now}
+	r.attempts++
+	r.pending = a
+	deadline := r.deadline
+	if timeout > 0 {
+		deadline = min(deadline, s.now+timeout)
+	}
+	s.scheduleAfter(toServer, a.arrive)
+	s.schedule(deadline, func() { a.finishAtInstance(balancer.StatusTimeout) })
+}
+
+// Reject is the host's: it answers that nothing was done.
+func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	if r := i.requests[id]; r != nil {
+		r.answer(http.StatusServiceUnavailable, retryAfter, false)
+		r.release()
+	}
+}
+
+// Fail is the host's: it answers that the request failed.
+func (i *instance) Fail(id balancer.RequestID) {
+	if r := i.requests[id]; r != nil {
+		r.answer(http.StatusBadGateway, 0, false)
+		r.release()
+	}
+}
+
+// Cancel is the host's: it takes an attempt back.
+func (i *instance) Cancel(id balancer.RequestID, number int) {
+	if r := i.requests[id]; r != nil && r.pending != nil && r.pending.number == number {
+		a := r.pending
+		i.sim.scheduleAfter(0, func() { a.finishAtInstance(balancer.StatusCancelled) }) // the module must not be called back into
+	}
+}
+
+// SetTimer is the host's.
+func (i *instance) SetTimer(token uint64, after time.Duration) {
+	incarnation := i.incarnation
+	i.sim.scheduleAfter(after, func() {
+		if i.incarnation == incarnation && i.up {
+			i.sim.decisions++
+			i.balancer.HandleTimer(i.clock(), token)
+		}
+	})
+}
+
+// recordListRequest notes that the instance asks for a list. Updates are pushed to it anyway.
+func (i *instance) recordListRequest() {
+	i.sim.record(audit.Event{Kind: audit.ListRequested, Sidecar: i.index, Server: -1, Origin: -1})
+}
+
+// HealthCheck is the host's; there are none in virtual time.
+func (i *instance) HealthCheck(balancer.EndpointID) {}
+
+// SendToPeer is the host's; instances don't find one another in virtual time.
+func (i *instance) SendToPeer(int, []byte) {}
+
+// WatchEndpoints is the host's.
+func (i *instance) WatchEndpoints(bool) { i.recordListRequest() }
+
+// FetchEndpoints is the host's.
+func (i *instance) FetchEndpoints() { i.recordListRequest() }
+
+// CloseIdleConnections is the host's; idle connections cost nothing here.
+func (i *instance) CloseIdleConnections(balancer.EndpointID) {}
+
+// Log is the host's; lines are not kept.
+func (i *instance) Log(string) {}
--- /dev/null
+++ b/internal/rehearsal/dryrun/request.go
@@ -0,0 +1,134 @@
+package dryrun
+
+import (
+	"time"
+
+	"quincegap/internal/balancer"
+	"quincegap/internal/rehearsal/audit"
+)
+
+// call is a request to an instance.
+type call struct {
+	request       string
+	class         int
+	timeLeft      time.Duration
+	origin        int // the arrival
+	callerAttempt int // 0 for the call of a server
+}
+
+// reply is what came of a call.
+type reply struct {
+	status     int // 0 for none
+	retryAfter time.Duration
+}
+
+// request is a call that an instance has taken.
+type request struct {
+	*call
+	instance  *instance
+	deadline  time.Duration
+	attempts  int      // so far
+	pending   *attempt // that is in flight; nil if none is
+	answered  bool
+	abandoned bool // nobody waits for it any more
+	reply     func(reply)
+}
+
+// handle takes a call, and has done called when it has ended for its caller.
+func (i *instance) handle(c *call, done func(reply)) {
+	s := i.sim
+	if !i.up {
+		s.scheduleAfter(toSidecar, func() { done(reply{}) })
+		return
+	}
+	s.record(audit.Event{
+		Kind: audit.RequestSent, Request: c.request, Sidecar: i.index, Server: -1, Origin: c.origin, CallerAttempt: c.callerAttempt,
+		Class: c.class, Duration: c.timeLeft,
+	})
+	incarnation := i.incarnation
+	i.busy++
+	i.open = max(i.open, i.busy)
+	r := &request{call: c, instance: i, deadline: s.now + c.timeLeft - time.Millisecond}
+	r.reply = func(answer reply) {
+		if i.incarnation == incarnation {
+			i.busy--
+		}
+		done(answer)
+	}
+	s.scheduleAfter(toSidecar, func() { i.take(r, incarnation) })
+	s.scheduleAfter(c.timeLeft+2*s.plan.Rules.Slack, func() {
+		if !r.answered && !r.abandoned && i.incarnation == incarnation {
+			r.recordEnd(audit.CallerTimedOut)
+			r.abandon()
+			r.reply(reply{})
+		}
+	})
+}
+
+// take gives a request that has come to the instance to the decision module, unless the instance has ended since it was sent.
+func (i *instance) take(r *request, incarnation int) {
+	if i.incarnation != incarnation {
+		r.abandoned = true
+		r.recordEnd(audit.ConnectionClosed)
+		r.reply(reply{})
+		return
+	}
+	if i.endsAt > 0 {
+		r.deadline = min(r.deadline, i.endsAt)
+	}
+	id := balancer.RequestID(r.request)
+	i.requests[id] = r
+	i.sim.decisions++
+	i.balancer.HandleRequest(i.clock(), balancer.Request{
+		ID: id, Class: r.class, TimeLeft: r.deadline - i.sim.now, IdleConnections: i.idleConnections(),
+	})
+}
+
+// recordEnd notes how a request ended without an answer.
+func (r *request) recordEnd(kind audit.Kind) {
+	r.instance.sim.record(audit.Event{Kind: kind, Request: r.request, Sidecar: r.instance.index, Server: -1, Origin: r.origin})
+}
+
+// abandon notes that the caller has gone, and reports it to the decision module.
+func (r *request) abandon() {
+	i := r.instance
+	if r.abandoned || r.answered || i.requests[balancer.RequestID(r.request)] != r {
+		return
+	}
+	r.abandoned = true
+	r.answered = true
+	if a := r.pending; a != nil {
+		i.sim.scheduleAfter(0, func() { a.finishAtInstance(balancer.StatusCancelled) })
+	}
+	i.sim.decisions++
+	i.balancer.HandleClientGone(i.clock(), balancer.RequestID(r.request))
+	r.release()
+}
+
+// answer gives the final answer.
+func (r *request) answer(status int, retryAfter time.Duration, authentic bool) {
+	if r.answered {
+		return
+	}
+	r.answered = true
+	i := r.instance
+	s := i.sim
+	s.scheduleAfter(toSidecar, func() {
+		if r.abandoned {
+			return
+		}
+		r.abandoned = true
+		s.record(audit.Event{
+			Kind: audit.AnswerReceived, Request: r.request, Status: status, Duration: retryAfter, Authentic: authentic, Sidecar: i.index,
+			Server: -1, Origin: r.origin, CallerAttempt: r.callerAttempt,
+		})
+		r.reply(reply{status, retryAfter})
+	})
+}
+
+// release forgets a request that is answered and has no attempt in flight.
+func (r *request) release() {
+	if r.answered && r.pending == nil {
+		delete(r.instance.requests, balancer.RequestID(r.request))
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/dryrun/run.go
@@ -0,0 +1,42 @@
+package dryrun
+
+import (
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
+)
+
+// Result is what came of a run.
+type Result struct {
+	Verdict   *audit.Verdict
+	Events    []audit.Event
+	Decisions int // calls of the decision modules
+	plan      *morning.Plan
+}
+
+// Plan returns what was played.
+func (r *Result) Plan() *morning.Plan { return r.plan }
+
+// Run plays a plan.
+func Run(plan *morning.Plan) (*Result, error) {
+	s, err := newSim(plan)
+	if err != nil {
+		return nil, err
+	}
+	for _, step := range plan.Steps {
+		if step.At <= plan.Length {
+			s.schedule(step.At, func() { s.playStep(step) })
+		}
+	}
+	for n, arrival := range plan.Arrivals {
+		s.schedule(arrival.At, func() { s.playArrival(n) })
+	}
+	if err := s.run(); err != nil {
+		return nil, err
+	}
+	events, lost := s.log.Events()
+	rules := plan.AuditRules()
+	for _, i := range s.instances {
+		rules.Sidecars = append(rules.Sidecars, i.Name)
+	}
+	return &Result{Verdict: audit.Judge(rules, events, lost), Events: events, Decisions: s.decisions, plan: plan}, nil
+}
--- /dev/null
+++ b/internal/rehearsal/dryrun/sim.go
@@ -0,0 +1,139 @@
+package dryrun
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/emulator"
+	"quincegap/internal/rehearsal/morning"
+)
+
+// The network, one way.
+const (
+	toSidecar = 100 * time.Microsecond
+	toServer  = 150 * time.Microsecond
+)
+
+// How a sidecar ends, and what notices it.
+const (
+	failureNotice  = 2 * time.Second        // after which no new connections go to one that was killed
+	drainNotice    = 300 * time.Millisecond // after which no new connections go to one that was asked to end
+	maxDrain       = 3 * time.Second        // that requests have, at most
+	drainMargin    = 500 * time.Millisecond // beside the longest deadline
+	exitDelay      = 100 * time.Millisecond // from the end of the last request to the end of the process
+	restartBackoff = 200 * time.Millisecond // from the end of requests to the next start
+)
+
+// repeatDelay is how late the second update is where discovery sends each twice.
+const repeatDelay = 200 * time.Millisecond
+
+// clockStart is the module's clock when callers begin to come: well above 0, which stands for long past.
+const clockStart = 24 * time.Hour
+
+// maxEvents bounds a run: what the largest scenario takes, several times over.
+const maxEvents = 200_000_000
+
+// sim is one run.
+type sim struct {
+	plan         *morning.Plan
+	now          time.Duration
+	queue        eventQueue
+	seq          uint64 // of events
+	log          audit.Log
+	servers      []*server
+	instances    []*instance
+	nextSidecar  int        // in rotation
+	callers      *rand.Rand // of which connections they use
+	attempts     uint64
+	attemptsSeen map[string]int // by request, at all servers
+	decisions    int
+	repeats      bool  // discovery sends each update twice
+	err          error // the first that ends the run
+}
+
+// newSim returns a run with the servers and sidecars that are there from the start.
+func newSim(plan *morning.Plan) (*sim, error) {
+	s := &sim{plan: plan, attemptsSeen: map[string]int{}, callers: rand.New(emulator.RandomSource(plan.Seed, "connections"))}
+	for i := range plan.Servers {
+		server := &server{
+			sim: s, index: i, known: discoveryState{weight: 1}, faults: map[string]float64{},
+			random: rand.New(emulator.RandomSource(plan.Seed, fmt.Sprint("faults ", i))),
+		}
+		s.servers = append(s.servers, server)
+		if plan.Servers[i].StartsAt == 0 {
+			server.start(false)
+		}
+	}
+	for _, spec := range plan.SidecarSpecs() {
+		i := &instance{sim: s, SidecarSpec: spec, index: len(s.instances)}
+		s.instances = append(s.instances, i)
+		if spec.Server >= 0 {
+			s.servers[spec.Server].sidecar = i
+		}
+		if spec.Server < 0 || plan.Servers[spec.Server].StartsAt == 0 {
+			if err := i.start(); err != nil {
+				return nil, err
+			}
+		}
+	}
+	return s, nil
+}
+
+// run plays events until there are no more.
+func (s *sim) run() error {
+	for n := 0; s.queue.Len() > 0; n++ {
+		if n > maxEvents {
+			return fmt.Errorf("at %v the run has had %d events: something goes round in circles", s.now, n)
+		}
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
+		next.do()
+	}
+	return s.err
+}
+
+// schedule has something happen at a time; what is scheduled earlier comes first among equals.
+func (s *sim) schedule(when time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{max(when, s.now), s.seq, do})
+}
+
+// scheduleAfter is schedule after a delay.
+func (s *sim) scheduleAfter(d time.Duration, do func()) { s.schedule(s.now+d, do) }
+
+// record adds an event that happens now.
+func (s *sim) record(e audit.Event) {
+	e.At = s.now
+	s.log.Add(e)
+}
+
+// event is something that is to happen.
+type event struct {
+	at  time.Duration
+	seq uint64
+	do  func()
+}
+
+// eventQueue is a heap of events, the next one on top.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	old[len(old)-1] = event{}
+	*q = old[:len(old)-1]
+	return last
+}
--- /dev/null
+++ b/internal/rehearsal/dryrun/steps.go
@@ -0,0 +1,96 @@
+package dryrun
+
+import (
+	"quincegap/internal/rehearsal/morning"
+)
+
+// playStep plays one step of the plan.
+func (s *sim) playStep(step morning.Step) {
+	switch step.Kind {
+	case morning.ServerCrash, morning.ServerSilence, morning.ServerStart, morning.ServerPause, morning.ServerSlowdown, morning.ServerFault:
+		s.playServerStep(s.servers[step.Server], &step)
+	case morning.DiscoveryUpdate:
+		server := s.servers[step.Server]
+		server.updateState(discoveryState{weight: server.known.weight, state: step.State, boot: step.Boot})
+		s.notifyAll(server)
+	case morning.DiscoveryWeight:
+		server := s.servers[step.Server]
+		server.updateState(discoveryState{weight: step.Amount, state: server.known.state, boot: server.known.boot})
+		if server.known.state != "" && server.known.state != stateGone {
+			s.notifyAll(server)
+		}
+	case morning.DiscoveryRepeat:
+		s.repeats = step.Amount > 0
+	case morning.SidecarSignal:
+		s.playSignal(s.instances[step.Sidecar], step.Name)
+	case morning.SidecarRestart:
+		s.restart(s.instances[step.Sidecar])
+	}
+}
+
+// playServerStep plays a step that happens to a server, and to its sidecar with it.
+func (s *sim) playServerStep(server *server, step *morning.Step) {
+	switch step.Kind {
+	case morning.ServerCrash:
+		if server.sidecar != nil {
+			server.sidecar.kill()
+		}
+		server.stop()
+	case morning.ServerSilence:
+		server.silence()
+	case morning.ServerStart:
+		server.stop()
+		server.start(true)
+		if server.sidecar != nil {
+			server.sidecar.kill()
+			s.restart(server.sidecar)
+		}
+	case morning.ServerPause:
+		if server.model != nil {
+			server.advance()
+			server.model.Pause(s.now, step.Until)
+			server.scheduleAdvance()
+		}
+	case morning.ServerSlowdown:
+		if server.model != nil {
+			server.advance()
+			server.model.Slow(s.now, step.Amount)
+			server.scheduleAdvance()
+		}
+	default:
+		server.faults[step.Name] = step.Amount
+	}
+}
+
+// playSignal has an instance get a signal. SIGHUP changes nothing here.
+func (s *sim) playSignal(i *instance, name string) {
+	switch name {
+	case "SIGTERM":
+		i.shutDown()
+	case "SIGKILL", "SIGSTOP":
+		i.kill()
+	}
+}
+
+// notifyAll has all instances notified of a server; twice where discovery repeats itself.
+func (s *sim) notifyAll(server *server) {
+	for _, i := range s.instances {
+		i.notify(server)
+		if s.repeats {
+			s.scheduleAfter(repeatDelay, func() { i.notify(server) })
+		}
+	}
+}
+
+// restart starts an instance again, once it has ended.
+func (s *sim) restart(i *instance) {
+	if i.up {
+		if i.endsAt > 0 { // else it serves already
+			s.schedule(i.endsAt+restartBackoff, func() { s.restart(i) })
+		}
+		return
+	}
+	if err := i.start(); err != nil && s.err == nil {
+		s.err = err
+	}
+}
