--- /dev/null
+++ b/internal/rehearsal/rehearse/golden_test.go
@@ -0,0 +1,103 @@
+package rehearse
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"quincegap/internal/config/finding"
+	"quincegap/internal/golden"
+	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/standin/relay"
+)
+
+const goldenScript = `length 10s
+tier front boxes 3 cells 2 calls keeper protocol http3
+tier keeper boxes 4 cells 2
+class find effect safe aim 1s deadline 2s
+class take effect keyed scope cell window 20s aim 1s deadline 2s
+class once effect unsafe aim 1s deadline 2s
+sidecars count 3 peers yes
+discovery by consul
+callers rate 5/s
+at 1s: 1 new boxes of keeper
+`
+
+// What sidecars are given to read, and what callers and discovery send them, has the form that it always had.
+func TestGoldenMessages(t *testing.T) {
+	var found finding.List
+	scenario := morning.Read("golden", []byte(goldenScript), &found)
+	if scenario == nil {
+		t.Fatal(found.Err())
+	}
+	w := newWorld(t.Context(), scenario.Plan(3))
+	w.createdAt = time.UnixMilli(1_700_000_000_000)
+	w.clockOffset.Store(0)
+	w.network = 64
+	w.authority = "ca.pem"
+	w.links = relay.New(1)
+	defer w.links.Close()
+	w.createSidecars(w.plan)
+	var dump bytes.Buffer
+	writeFiles(t, &dump, w)
+	for i, class := range w.plan.Classes {
+		request := callerRequest{request: "r4t2", class: i, key: "k4"}
+		fmt.Fprintf(&dump, "%q\n", text(class, &request, 1234567*time.Microsecond))
+	}
+	writeDiscovery(t, &dump, w)
+	golden.Text(t, "messages.txt", dump.Bytes())
+}
+
+// writeFiles writes the files of the product that name what sidecars find where.
+func writeFiles(t *testing.T, dump *bytes.Buffer, w *rehearsal) {
+	t.Helper()
+	dir := t.TempDir()
+	for _, s := range w.sidecars[:4] {
+		args, err := s.writeConfigFile(dir)
+		if err != nil {
+			t.Fatal(err)
+		}
+		content, err := os.ReadFile(filepath.Join(dir, s.name+".toml"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		content = bytes.ReplaceAll(content, []byte(dir), []byte("DIR"))
+		fmt.Fprintf(dump, "%s %s %d of %d at %s, %d arguments\n%s", s.name, args[0], s.number, s.count, s.address, len(args), content)
+	}
+}
+
+// writeDiscovery writes what discovery says, and Consul's form of it, after some updates.
+func writeDiscovery(t *testing.T, dump *bytes.Buffer, w *rehearsal) {
+	t.Helper()
+	d := newTierDiscovery(w, 1)
+	d.update(3, "Terminating", 0)
+	d.update(4, "Gone", 0)
+	d.update(7, "Ready", 1500*time.Millisecond)
+	d.setWeight(5, 2.5)
+	for _, since := range []uint64{0, 2, 4} {
+		list, told := d.changesSince(since)
+		content, err := json.Marshal(list)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(dump, "since %d: %s %v\n", since, content, told)
+	}
+	a := &consulAgent{news: d}
+	for _, server := range d.order {
+		content, err := json.Marshal(a.instance(server, d.entries[server]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(dump, "%s\n", content)
+	}
+	fmt.Fprintln(dump, parseRemainingText("1500m"), parseRemainingText("250u"), arrivalOf("r12t3.4-0"), arrivalOf("x"))
+}
+
+func parseRemainingText(text string) string {
+	d, err := parseRemaining(text)
+	return fmt.Sprint(d, err)
+}
