--- a/internal/rehearsal/dryrun/dryrun_test.go
+++ b/internal/rehearsal/dryrun/dryrun_test.go
@@ -157,7 +157,7 @@
 }
 
 // Lost machines, dead sidecars and what else there is, drawn at random: no rule breaks, and every request comes to an end.
-func TestAnyMorning(t *testing.T) {
+func TestAnyScenario(t *testing.T) {
 	events := []string{
 		"%d boxes go silent for 1s", "%d boxes restart taking 700ms", "%d boxes drain for 1s", "%d boxes pause for 600ms", "%d boxes die",
 		"%d boxes are replaced at their addresses", "%d boxes are replaced at new addresses", "%d boxes lose 40%% of calls for 1s", "%d boxes reset 40%% of calls for 1s",
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -180,7 +180,7 @@
 		asked := note(audit.RequestSent)
 		asked.Duration = left
 		w.record(asked)
-		l.Write(text(w.plan.Classes[a.class], &a, left))
+		l.Write(encodeRequest(w.plan.Classes[a.class], &a, left))
 		select {
 		case r := <-l.answers:
 			from.put(l)
@@ -207,8 +207,8 @@
 	}
 }
 
-// text is a request as it goes out.
-func text(class *morning.Class, a *callerRequest, left time.Duration) []byte {
+// encodeRequest is a request as it goes out.
+func encodeRequest(class *morning.Class, a *callerRequest, left time.Duration) []byte {
 	method, body := "POST", "trip=dialysis\n"
 	if class.Idempotency == balancer.Idempotent {
 		method, body = "GET", ""
@@ -235,55 +235,55 @@
 	return r.status == http.StatusOK && r.authentic
 }
 
-// front deals callers out among the sidecars of the first tier. It notices only after a while that one has died.
-type front struct {
-	idle connectionPool
-	mu   sync.Mutex
-	up   []*sidecar
-	next int
+// rotation deals callers out among the sidecars of the first tier. It notices only after a while that one has died.
+type rotation struct {
+	idle    connectionPool
+	mu      sync.Mutex
+	serving []*sidecar
+	next    int
 }
 
 // failureNotice is how long the front goes on sending to a sidecar that has died.
 const failureNotice = 2 * time.Second
 
-func (f *front) add(s *sidecar) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.removeLocked(s)
-	f.up = append(f.up, s)
+func (r *rotation) add(s *sidecar) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.removeLocked(s)
+	r.serving = append(r.serving, s)
 }
 
-func (f *front) remove(s *sidecar) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.removeLocked(s)
+func (r *rotation) remove(s *sidecar) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.removeLocked(s)
 }
 
-func (f *front) removeLocked(s *sidecar) {
-	kept := f.up[:0:0]
-	for _, o := range f.up {
+func (r *rotation) removeLocked(s *sidecar) {
+	kept := r.serving[:0:0]
+	for _, o := range r.serving {
 		if o != s {
 			kept = append(kept, o)
 		}
 	}
-	f.up = kept
+	r.serving = kept
 }
 
-func (f *front) pick() *sidecar {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.up) == 0 {
+func (r *rotation) pick() *sidecar {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.serving) == 0 {
 		return nil
 	}
-	f.next++
-	return f.up[f.next%len(f.up)]
+	r.next++
+	return r.serving[r.next%len(r.serving)]
 }
 
-// first is the first sidecar, if it is in the front.
-func (f *front) first(of *sidecar) *sidecar {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !slices.Contains(f.up, of) {
+// firstIfServing is the first sidecar, if it is in the front.
+func (r *rotation) firstIfServing(of *sidecar) *sidecar {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !slices.Contains(r.serving, of) {
 		return nil
 	}
 	return of
@@ -293,16 +293,16 @@
 func (w *rehearsal) playArrival(n int) {
 	caller := w.plan.Caller(n, w.now())
 	class := w.plan.Arrivals[n].Class
-	w.counters.asked.Add(1)
+	w.counters.requests.Add(1)
 	last, toFirst := 0, w.plan.PrefersFirstSidecar(n)
 	for {
 		try, left, ok := caller.NextAttempt(w.now())
 		if !ok {
 			break
 		}
-		idle, pick := &w.front.idle, w.front.pick
-		if to := w.sidecars[0]; toFirst && w.front.first(to) != nil {
-			idle, pick = &to.idle, func() *sidecar { return w.front.first(to) }
+		idle, pick := &w.rotation.idle, w.rotation.pick
+		if to := w.sidecars[0]; toFirst && w.rotation.firstIfServing(to) != nil {
+			idle, pick = &to.idle, func() *sidecar { return w.rotation.firstIfServing(to) }
 		}
 		r := w.sendRequest(callerRequest{request: morning.RequestID(n, try), class: class, key: morning.IdempotencyKey(n), timeLeft: left, origin: n, callerAttempt: try}, idle, pick, w.ctx.Done())
 		last = r.status
@@ -320,7 +320,7 @@
 	case last == http.StatusOK:
 		w.counters.served.Add(1)
 	case morning.IsRejected(last):
-		w.counters.refused.Add(1)
+		w.counters.rejected.Add(1)
 	default:
 		w.counters.failed.Add(1)
 	}
@@ -345,7 +345,7 @@
 func (w *rehearsal) runFaultyCaller(i int) {
 	random := rand.New(emulator.RandomSource(w.plan.Seed, fmt.Sprint("rude ", i)))
 	for w.ctx.Err() == nil && int64(i) < w.faultyCallers.Load() {
-		s := w.front.pick()
+		s := w.rotation.pick()
 		if s == nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -15,10 +15,10 @@
 // consulAgent is a stand-in Consul agent on the machine of one sidecar. What an answer told is noted when it has been
 // written.
 type consulAgent struct {
-	news    *tierDiscovery
-	sidecar int
-	server  *consul.Server
-	http    http.Server
+	discovery *tierDiscovery
+	sidecar   int
+	server    *consul.Server
+	http      http.Server
 
 	mu      sync.Mutex
 	pending []pendingUpdate // changes that no answer has told of yet, in the order of their indexes
@@ -33,7 +33,7 @@
 
 // startConsulAgent serves at the address that the sidecar's discovery has otherwise.
 func startConsulAgent(n *tierDiscovery, sidecar int) (*consulAgent, error) {
-	a := &consulAgent{news: n, sidecar: sidecar}
+	a := &consulAgent{discovery: n, sidecar: sidecar}
 	var all []consul.Instance
 	n.mu.Lock()
 	for _, i := range n.order {
@@ -45,7 +45,7 @@
 	if a.server, err = consul.Start("", all...); err != nil {
 		return nil, err
 	}
-	l, err := listen(n.w.consulAddress(sidecar))
+	l, err := listen(n.rehearsal.consulAddress(sidecar))
 	if err != nil {
 		a.server.Close()
 		return nil, err
@@ -61,8 +61,8 @@
 }
 
 // instance is a box as Consul has it: passing, critical while it drains, and not there at all once it has gone.
-func (c *consulAgent) instance(box int, e entry) consul.Instance {
-	w := c.news.w
+func (c *consulAgent) instance(box int, e listEntry) consul.Instance {
+	w := c.discovery.rehearsal
 	b := &w.plan.Servers[box]
 	status := "passing"
 	if e.state != "Ready" {
@@ -80,8 +80,8 @@
 }
 
 // update changes what Consul knows of a box.
-func (c *consulAgent) update(box int, e entry) {
-	uid := c.news.w.plan.Servers[box].UID
+func (c *consulAgent) update(box int, e listEntry) {
+	uid := c.discovery.rehearsal.plan.Servers[box].UID
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index := c.server.Update(func(all []consul.Instance) []consul.Instance {
@@ -107,13 +107,13 @@
 	if err != nil {
 		return
 	}
-	now := c.news.w.now()
+	now := c.discovery.rehearsal.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for n < len(c.pending) && c.pending[n].index <= index {
 		o := c.pending[n]
-		c.news.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: c.sidecar, Server: o.server, Text: o.state, Origin: -1})
+		c.discovery.rehearsal.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: c.sidecar, Server: o.server, Text: o.state, Origin: -1})
 		n++
 	}
 	c.pending = c.pending[n:]
--- a/internal/rehearsal/rehearse/dial_test.go
+++ b/internal/rehearsal/rehearse/dial_test.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// boxConn is a connection of a test to a box.
-type boxConn struct{ *net.TCPConn }
+// serverConn is a connection of a test to a box.
+type serverConn struct{ *net.TCPConn }
 
 func dialFor(address string, limit time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", address, limit)
 }
 
-func dialBox(t *testing.T, address string) boxConn {
+func dialServer(t *testing.T, address string) serverConn {
 	t.Helper()
 	c, err := dialFor(address, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return boxConn{c.(*net.TCPConn)}
+	return serverConn{c.(*net.TCPConn)}
 }
 
-func (c boxConn) ask(t *testing.T, request string) {
+func (s serverConn) ask(t *testing.T, request string) {
 	t.Helper()
-	if _, err := fmt.Fprintf(c, "GET /trips HTTP/1.1\r\nHost: a\r\nX-Txn: %s\r\nX-Lane: ask\r\nX-Remaining: 1000m\r\nIdempotency-Key: k\r\n\r\n", request); err != nil {
+	if _, err := fmt.Fprintf(s, "GET /trips HTTP/1.1\r\nHost: a\r\nX-Txn: %s\r\nX-Lane: ask\r\nX-Remaining: 1000m\r\nIdempotency-Key: k\r\n\r\n", request); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // read is what comes next, "nothing" if nothing does, or the error.
-func (c boxConn) read(t *testing.T, limit time.Duration) string {
+func (s serverConn) read(t *testing.T, limit time.Duration) string {
 	t.Helper()
 	b := make([]byte, 4096)
-	c.SetReadDeadline(time.Now().Add(limit))
-	n, err := c.Read(b)
+	s.SetReadDeadline(time.Now().Add(limit))
+	n, err := s.Read(b)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
 		return "nothing"
 	}
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -15,12 +15,12 @@
 
 // tierDiscovery is what discovery knows of the boxes of one tier.
 type tierDiscovery struct {
-	w    *rehearsal
-	tier int
+	rehearsal *rehearsal
+	tier      int
 
 	mu           sync.Mutex
 	revision     uint64
-	entries      map[int]entry // by box
+	entries      map[int]listEntry // by box
 	order        []int
 	silent       bool
 	repeats      bool           // everything is said twice, and what was said before it once more in between
@@ -28,7 +28,7 @@
 	changed      chan struct{}  // closed at the next change
 }
 
-type entry struct {
+type listEntry struct {
 	state         string
 	boot          time.Duration // 0 for long ago
 	revision      uint64
@@ -36,10 +36,10 @@
 }
 
 func newTierDiscovery(w *rehearsal, tier int) *tierDiscovery {
-	n := &tierDiscovery{w: w, tier: tier, revision: 1, entries: map[int]entry{}, changed: make(chan struct{})}
+	n := &tierDiscovery{rehearsal: w, tier: tier, revision: 1, entries: map[int]listEntry{}, changed: make(chan struct{})}
 	for i, b := range w.plan.Servers {
 		if b.Tier == tier && b.StartsAt == 0 {
-			n.entries[i] = entry{state: "Ready", revision: 1}
+			n.entries[i] = listEntry{state: "Ready", revision: 1}
 			n.order = append(n.order, i)
 		}
 	}
@@ -54,7 +54,7 @@
 	if _, ok := t.entries[box]; !ok {
 		t.order = append(t.order, box)
 	}
-	t.entries[box] = entry{state, boot, t.revision, t.entries[box].weightDeficit}
+	t.entries[box] = listEntry{state, boot, t.revision, t.entries[box].weightDeficit}
 	for _, a := range t.consulAgents {
 		a.update(box, t.entries[box])
 	}
@@ -98,15 +98,15 @@
 	t.wakeWatchers()
 }
 
-type message struct {
+type listMessage struct {
 	Rev     uint64           `json:"rev"`
 	All     bool             `json:"all"`
 	Targets []booking.Target `json:"targets"`
 }
 
 // changesSince is what changed after a revision, or all for 0, with the boxes and states that it tells of. n.mu is held.
-func (t *tierDiscovery) changesSince(rev uint64) (m message, told map[int]string) {
-	m, told = message{Rev: t.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
+func (t *tierDiscovery) changesSince(rev uint64) (m listMessage, told map[int]string) {
+	m, told = listMessage{Rev: t.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
 	for _, i := range t.order {
 		e := t.entries[i]
 		if e.revision <= rev {
@@ -116,14 +116,14 @@
 		if m.All && e.state == "Gone" {
 			continue
 		}
-		b := &t.w.plan.Servers[i]
-		target := booking.Target{UID: b.UID, Address: t.w.serverAddress(b.Slot), Zone: morning.Zone, Model: t.w.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
-		switch boot := t.w.plan.Discovery.BootTime; {
+		b := &t.rehearsal.plan.Servers[i]
+		target := booking.Target{UID: b.UID, Address: t.rehearsal.serverAddress(b.Slot), Zone: morning.Zone, Model: t.rehearsal.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
+		switch boot := t.rehearsal.plan.Discovery.BootTime; {
 		case e.boot == 0, boot == morning.BootTimeNone:
 		case boot == morning.BootTimeAhead:
-			target.BootMS = t.w.wall(e.boot + morning.BootTimeSkew).UnixMilli()
+			target.BootMS = t.rehearsal.wall(e.boot + morning.BootTimeSkew).UnixMilli()
 		default:
-			target.BootMS = t.w.wall(e.boot).UnixMilli()
+			target.BootMS = t.rehearsal.wall(e.boot).UnixMilli()
 		}
 		m.Targets = append(m.Targets, target)
 	}
@@ -135,18 +135,18 @@
 
 // discovery is discovery as one sidecar has it.
 type discoveryAgent struct {
-	news    *tierDiscovery
-	sidecar int
-	late    time.Duration
-	server  http.Server
+	discovery *tierDiscovery
+	sidecar   int
+	late      time.Duration
+	server    http.Server
 }
 
 func startDiscoveryAgent(n *tierDiscovery, sidecar int, late time.Duration) (*discoveryAgent, error) {
-	l, err := listen(n.w.discoveryAddress(sidecar))
+	l, err := listen(n.rehearsal.discoveryAddress(sidecar))
 	if err != nil {
 		return nil, err
 	}
-	a := &discoveryAgent{news: n, sidecar: sidecar, late: late}
+	a := &discoveryAgent{discovery: n, sidecar: sidecar, late: late}
 	a.server.Handler = a
 	go a.server.Serve(l)
 	return a, nil
@@ -158,13 +158,13 @@
 		http.NotFound(w, r)
 		return
 	}
-	n := d.news
+	n := d.discovery
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	watch := r.URL.Query().Get("follow") != ""
 	control, encoder := http.NewResponseController(w), json.NewEncoder(w)
 	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	var before message
+	var before listMessage
 	for first := true; ; first = false {
 		n.mu.Lock()
 		quiet, changed, again := n.silent, n.changed, n.repeats
@@ -178,12 +178,12 @@
 				return
 			}
 			before = m
-			now := n.w.now()
-			if n.w.plan.Discovery.Consul {
+			now := n.rehearsal.now()
+			if n.rehearsal.plan.Discovery.Consul {
 				told = nil // what the platform says does not count
 			}
 			for box, state := range told {
-				n.w.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: d.sidecar, Server: box, Text: state, Origin: -1})
+				n.rehearsal.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: d.sidecar, Server: box, Text: state, Origin: -1})
 			}
 			since = m.Rev
 			if !watch {
--- a/internal/rehearsal/rehearse/liar_test.go
+++ b/internal/rehearsal/rehearse/faultyproxy_test.go
@@ -32,17 +32,17 @@
 	case lie == "" || os.Getenv("BALANCER_CONFIG") == "":
 		os.Exit(m.Run())
 	case lie == "true":
-		truth()
+		runProduct()
 	default:
-		if err := (&liar{lie: lie}).run(); err != nil {
+		if err := (&faultyProxy{fault: lie}).run(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 	}
 }
 
-// truth is cmd/quincegap's main.
-func truth() {
+// runProduct is cmd/quincegap's main.
+func runProduct() {
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -59,18 +59,18 @@
 	}
 }
 
-// liar is a proxy that sends each request to one box at random, but for its lie.
-type liar struct {
-	lie    string
+// faultyProxy is a proxy that sends each request to one box at random, but for its lie.
+type faultyProxy struct {
+	fault  string
 	client http.Client
 	asked  atomic.Int64
 
-	mu    sync.Mutex
-	known map[string]booking.Target
-	order []string
+	mu      sync.Mutex
+	targets map[string]booking.Target
+	order   []string
 }
 
-func (l *liar) run() error {
+func (f *faultyProxy) run() error {
 	var config struct{ Listen, Discovery string }
 	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
 	if err != nil {
@@ -79,10 +79,10 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
 	}
-	l.known = map[string]booking.Target{}
-	l.client.Transport = &http.Transport{DisableKeepAlives: true}
+	f.targets = map[string]booking.Target{}
+	f.client.Transport = &http.Transport{DisableKeepAlives: true}
 	first := make(chan bool)
-	go l.follow(config.Discovery, first)
+	go f.follow(config.Discovery, first)
 	<-first
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -92,35 +92,35 @@
 	signal.Notify(stop, syscall.SIGTERM)
 	go func() {
 		<-stop
-		if l.lie != "deaf" {
+		if f.fault != "deaf" {
 			os.Exit(0)
 		}
 	}()
-	return http.Serve(listener, l)
+	return http.Serve(listener, f)
 }
 
 // follow keeps the list; one that does not heed it keeps its first.
-func (l *liar) follow(address string, first chan bool) {
+func (f *faultyProxy) follow(address string, first chan bool) {
 	res, err := http.Get("http://" + address + "/v1/endpoints?follow=1&since=0")
 	if err != nil {
 		log.Fatal(err)
 	}
 	lines := bufio.NewScanner(res.Body)
 	for lines.Scan() {
-		var m message
+		var m listMessage
 		if json.Unmarshal(lines.Bytes(), &m) != nil {
 			continue
 		}
-		l.mu.Lock()
+		f.mu.Lock()
 		for _, t := range m.Targets {
-			if _, ok := l.known[t.UID]; !ok {
-				l.order = append(l.order, t.UID)
+			if _, ok := f.targets[t.UID]; !ok {
+				f.order = append(f.order, t.UID)
 			}
-			if l.lie != "drains" || t.State == "Ready" {
-				l.known[t.UID] = t
+			if f.fault != "drains" || t.State == "Ready" {
+				f.targets[t.UID] = t
 			}
 		}
-		l.mu.Unlock()
+		f.mu.Unlock()
 		if first != nil {
 			close(first)
 			first = nil
@@ -129,19 +129,19 @@
 }
 
 // waitReady are the boxes that may be sent to.
-func (l *liar) ready() (all []booking.Target) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, uid := range l.order {
-		if t := l.known[uid]; t.State == "Ready" {
+func (f *faultyProxy) ready() (all []booking.Target) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, uid := range f.order {
+		if t := f.targets[uid]; t.State == "Ready" {
 			all = append(all, t)
 		}
 	}
 	return all
 }
 
-// attempt sends a request to a box, and returns what came.
-func (l *liar) attempt(ctx context.Context, r *http.Request, to booking.Target) (int, []byte) {
+// current sends a request to a box, and returns what came.
+func (f *faultyProxy) attempt(ctx context.Context, r *http.Request, to booking.Target) (int, []byte) {
 	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+to.Address+r.RequestURI, nil)
 	if err != nil {
 		return 0, nil
@@ -150,7 +150,7 @@
 		q.Body, q.ContentLength = io.NopCloser(strings.NewReader("trip=dialysis\n")), int64(len("trip=dialysis\n"))
 	}
 	q.Header = r.Header.Clone()
-	res, err := l.client.Do(q)
+	res, err := f.client.Do(q)
 	if err != nil {
 		return 0, nil
 	}
@@ -165,16 +165,16 @@
 	return res.StatusCode, body
 }
 
-func (l *liar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *faultyProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ready" {
-		if l.lie == "hang" && l.asked.Load() > 0 {
+		if f.fault == "hang" && f.asked.Load() > 0 {
 			select {}
 		}
 		return
 	}
-	n := l.asked.Add(1)
+	n := f.asked.Add(1)
 	io.Copy(io.Discard, r.Body)
-	ready := l.ready()
+	ready := f.ready()
 	at := rand.IntN(len(ready))
 	to, other := ready[at], ready[(at+1)%len(ready)]
 	far := to
@@ -200,62 +200,62 @@
 	whole := func(body []byte) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	switch l.lie {
+	switch f.fault {
 	case "silent":
 		<-r.Context().Done()
 	case "hang":
 		select {}
 	case "late":
-		status, body := l.attempt(ctx, r, to)
+		status, body := f.attempt(ctx, r, to)
 		time.Sleep(left + 65*time.Millisecond)
 		say(status, body)
 	case "closes":
-		l.attempt(ctx, r, to)
+		f.attempt(ctx, r, to)
 		raw().Close()
 	case "invents":
 		say(200, []byte("your trip is booked\n"))
 	case "stale": // the answer to another request
-		_, body := l.attempt(ctx, r, to)
+		_, body := f.attempt(ctx, r, to)
 		say(200, []byte(strings.Replace(string(body), "served r", "served r1", 1)))
 	case "doubles":
-		_, body := l.attempt(ctx, r, to)
+		_, body := f.attempt(ctx, r, to)
 		c := raw()
 		io.WriteString(c, whole(body)+whole(body))
 		time.Sleep(100 * time.Millisecond)
 		c.Close()
 	case "twice":
-		go l.attempt(ctx, r, other)
-		say(l.attempt(ctx, r, to))
+		go f.attempt(ctx, r, other)
+		say(f.attempt(ctx, r, to))
 	case "again": // an answer is thrown away
-		l.attempt(ctx, r, to)
+		f.attempt(ctx, r, to)
 		time.Sleep(5 * time.Millisecond)
-		say(l.attempt(ctx, r, to))
+		say(f.attempt(ctx, r, to))
 	case "withdraws": // and sends again at once
 		short, cancel := context.WithTimeout(ctx, 5*time.Millisecond)
-		status, _ := l.attempt(short, r, to)
+		status, _ := f.attempt(short, r, to)
 		cancel()
 		if status == 0 {
-			say(l.attempt(ctx, r, other))
+			say(f.attempt(ctx, r, other))
 		} else {
 			say(502, nil)
 		}
 	case "far":
-		l.attempt(ctx, r, to)
-		say(l.attempt(ctx, r, far))
+		f.attempt(ctx, r, to)
+		say(f.attempt(ctx, r, far))
 	case "refuses":
-		l.attempt(ctx, r, to)
+		f.attempt(ctx, r, to)
 		say(503, nil)
 	case "after":
-		status, body := l.attempt(ctx, r, to)
+		status, body := f.attempt(ctx, r, to)
 		say(status, body)
 		w.(http.Flusher).Flush()
 		time.Sleep(120 * time.Millisecond)
-		l.attempt(ctx, r, to)
+		f.attempt(ctx, r, to)
 	case "many":
 		for range 8 {
-			l.attempt(ctx, r, to)
+			f.attempt(ctx, r, to)
 		}
-		say(l.attempt(ctx, r, to))
+		say(f.attempt(ctx, r, to))
 	case "cold": // all to the newest
 		newest := ready[0]
 		for _, t := range ready {
@@ -263,7 +263,7 @@
 				newest = t
 			}
 		}
-		status, body := l.attempt(ctx, r, newest)
+		status, body := f.attempt(ctx, r, newest)
 		say(max(status, 429), body)
 	case "crash":
 		if n == 10 {
@@ -273,9 +273,9 @@
 			fmt.Fprintln(os.Stderr, "cannot go on")
 			os.Exit(7)
 		}
-		say(l.attempt(ctx, r, to))
+		say(f.attempt(ctx, r, to))
 	default: // honest, deaf, drains
-		status, body := l.attempt(ctx, r, to)
+		status, body := f.attempt(ctx, r, to)
 		if status == 0 {
 			status = 502
 		}
--- a/internal/rehearsal/rehearse/golden_test.go
+++ b/internal/rehearsal/rehearse/golden_test.go
@@ -34,7 +34,7 @@
 	if scenario == nil {
 		t.Fatal(found.Err())
 	}
-	w := newWorld(t.Context(), scenario.Plan(3))
+	w := newRehearsal(t.Context(), scenario.Plan(3))
 	w.createdAt = time.UnixMilli(1_700_000_000_000)
 	w.clockOffset.Store(0)
 	w.network = 64
@@ -46,7 +46,7 @@
 	writeFiles(t, &dump, w)
 	for i, class := range w.plan.Classes {
 		request := callerRequest{request: "r4t2", class: i, key: "k4"}
-		fmt.Fprintf(&dump, "%q\n", text(class, &request, 1234567*time.Microsecond))
+		fmt.Fprintf(&dump, "%q\n", encodeRequest(class, &request, 1234567*time.Microsecond))
 	}
 	writeDiscovery(t, &dump, w)
 	golden.Text(t, "messages.txt", dump.Bytes())
@@ -86,7 +86,7 @@
 		}
 		fmt.Fprintf(dump, "since %d: %s %v\n", since, content, told)
 	}
-	a := &consulAgent{news: d}
+	a := &consulAgent{discovery: d}
 	for _, server := range d.order {
 		content, err := json.Marshal(a.instance(server, d.entries[server]))
 		if err != nil {
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -63,16 +63,16 @@
 
 // startHTTP3 has the box speak HTTP/3 beside HTTP/1.1, where its tier does.
 func (b *server) startHTTP3(life int) error {
-	if !b.world.plan.Tiers[b.spec.Tier].HTTP3 {
+	if !b.rehearsal.plan.Tiers[b.spec.Tier].HTTP3 {
 		return nil
 	}
 	b.muted.Store(false)
-	e, err := h3.Start(b.world.serverAddress(b.spec.Slot), b.world.certificate, h3.Options{Muted: &b.muted}, func(w http.ResponseWriter, r *http.Request) { b.stream(w, r, life) })
+	e, err := h3.Start(b.rehearsal.serverAddress(b.spec.Slot), b.rehearsal.certificate, h3.Options{Muted: &b.muted}, func(w http.ResponseWriter, r *http.Request) { b.stream(w, r, life) })
 	if err != nil {
 		return err
 	}
 	b.mu.Lock()
-	b.http3 = e
+	b.http3Endpoint = e
 	b.mu.Unlock()
 	return nil
 }
@@ -84,8 +84,8 @@
 		s.respond(func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
 		delete(b.streams, s)
 	}
-	if e := b.http3; e != nil {
-		b.http3 = nil
+	if e := b.http3Endpoint; e != nil {
+		b.http3Endpoint = nil
 		b.muted.Store(true) // no word of its end gets out
 		done := make(chan struct{})
 		go func() {
@@ -98,13 +98,13 @@
 
 // stream serves one request over HTTP/3.
 func (b *server) stream(w http.ResponseWriter, r *http.Request, life int) {
-	first := b.world.now()
+	first := b.rehearsal.now()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || len(body) > maxBodyBytes {
 		return
 	}
 	s := &stream{response: make(chan func(http.ResponseWriter), 1)}
-	b.world.counters.http3.Add(1)
+	b.rehearsal.counters.http3.Add(1)
 	b.mu.Lock()
 	k := b.newAttempt(s, life, r.Header)
 	if b.incarnation == life {
--- a/internal/rehearsal/rehearse/world.go
+++ b/internal/rehearsal/rehearse/rehearsal.go
@@ -48,7 +48,7 @@
 
 	servers       []*server
 	discovery     []*tierDiscovery // by tier
-	front         front
+	rotation      rotation
 	sidecars      []*sidecar // those of the first tier, then one for each box that calls
 	sidecarOf     map[int]*sidecar
 	faultyCallers atomic.Int64                     // how many rude callers are wanted
@@ -57,14 +57,14 @@
 	counters      counters
 }
 
-func newWorld(ctx context.Context, plan *morning.Plan) *rehearsal {
+func newRehearsal(ctx context.Context, plan *morning.Plan) *rehearsal {
 	w := &rehearsal{plan: plan, createdAt: time.Now(), ctx: ctx, attemptsSeen: map[string]int{}, memories: map[[2]int]*emulator.KeyMemory{}, effects: map[string]int{}, sidecarOf: map[int]*sidecar{}}
 	w.clockOffset.Store(int64(beforeStart))
 	return w
 }
 
 // counters are for the lines of progress.
-type counters struct{ http3, asked, served, refused, failed, attempts atomic.Int64 }
+type counters struct{ http3, requests, served, rejected, failed, attempts atomic.Int64 }
 
 // beforeStart is when the clock begins as long as that is not known.
 const beforeStart = time.Hour
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -59,7 +59,7 @@
 }
 
 // Each way to break a rule is caught on sockets, by its rule and in its words; an honest proxy is not blamed.
-func TestLiars(t *testing.T) {
+func TestFaultyProxies(t *testing.T) {
 	const fewSlots = "at 10ms: all boxes refuse 100% of calls for 5s\n"
 	for _, c := range []struct {
 		lie, script string
@@ -229,15 +229,15 @@
 	}
 }
 
-// oneBox is the first box of a script on its socket, with the clock at 0 and nobody else there.
-func oneBox(t *testing.T, script string) (*rehearsal, *server) {
+// startOneServer is the first box of a script on its socket, with the clock at 0 and nobody else there.
+func startOneServer(t *testing.T, script string) (*rehearsal, *server) {
 	t.Helper()
 	var found finding.List
 	m := morning.Read("m", []byte(script), &found)
 	if m == nil {
 		t.Fatal(found.Err())
 	}
-	w := newWorld(context.Background(), m.Plan(0))
+	w := newRehearsal(context.Background(), m.Plan(0))
 	if err := w.claimNetwork(); err != nil {
 		t.Fatal(err)
 	}
@@ -255,9 +255,9 @@
 // A silent machine is no reset: open connections stay open, and new ones do not come up, until it is back. Its address
 // then is another life's.
 func TestSilence(t *testing.T) {
-	w, b := oneBox(t, small+safe)
+	w, b := startOneServer(t, small+safe)
 	address := w.serverAddress(0)
-	open := dialBox(t, address)
+	open := dialServer(t, address)
 	open.ask(t, "r1t1")
 	if got := open.read(t, time.Second); !strings.Contains(got, "served r1t1 ") {
 		t.Fatalf("%q", got)
@@ -280,7 +280,7 @@
 	if got := open.read(t, time.Second); !strings.Contains(got, "reset") {
 		t.Errorf("an old connection: %q", got)
 	}
-	again := dialBox(t, address)
+	again := dialServer(t, address)
 	again.ask(t, "r3t1")
 	if got := again.read(t, time.Second); !strings.Contains(got, "served r3t1 ") {
 		t.Errorf("%q", got)
@@ -296,14 +296,14 @@
 }
 
 // A box closes what is half sent, turns away beyond its connections, and tells of its load.
-func TestBoxOnItsSocket(t *testing.T) {
-	w, _ := oneBox(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
-	one, two := dialBox(t, w.serverAddress(0)), dialBox(t, w.serverAddress(0))
+func TestServerOnItsSocket(t *testing.T) {
+	w, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
+	one, two := dialServer(t, w.serverAddress(0)), dialServer(t, w.serverAddress(0))
 	two.ask(t, "r7t1")
 	two.read(t, time.Second)
 	one.ask(t, "r8t1")
 	one.read(t, time.Second)
-	three := dialBox(t, w.serverAddress(0))
+	three := dialServer(t, w.serverAddress(0))
 	if got := three.read(t, time.Second); !strings.Contains(got, "reset") && !strings.Contains(got, "EOF") {
 		t.Errorf("a connection too many: %q", got)
 	}
@@ -330,8 +330,8 @@
 
 // The watch on the emulator itself sees that it was late.
 func TestLateEmulatorIsSeen(t *testing.T) {
-	w, b := oneBox(t, small+safe)
-	c := dialBox(t, w.serverAddress(0))
+	w, b := startOneServer(t, small+safe)
+	c := dialServer(t, w.serverAddress(0))
 	c.ask(t, "r1t1")
 	c.read(t, time.Second)
 	c.ask(t, "r2t1")
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -27,8 +27,8 @@
 
 // Progress is how far a rehearsal has come.
 type Progress struct {
-	At                                       time.Duration
-	Asked, Served, Refused, Failed, Attempts int64 // so far
+	At                                           time.Duration
+	Requests, Served, Rejected, Failed, Attempts int64 // so far
 }
 
 // Result is what came of one.
@@ -61,7 +61,7 @@
 func Run(ctx context.Context, plan *morning.Plan, o Options) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := newWorld(ctx, plan)
+	w := newRehearsal(ctx, plan)
 	if err := CheckSockets(plan); err != nil {
 		return nil, err
 	}
@@ -179,7 +179,7 @@
 		return err
 	}
 	for _, s := range w.sidecars[:w.plan.Sidecars.Count] {
-		w.front.add(s)
+		w.rotation.add(s)
 	}
 	return nil
 }
@@ -216,7 +216,7 @@
 				return
 			}
 			w.noteLate(w.now() - s.At) // a box that ought to be down by now takes calls
-			w.step(ctx, p, s, &steps)
+			w.playStep(ctx, p, s, &steps)
 		}
 	})
 	for n := range w.plan.Arrivals {
@@ -244,12 +244,12 @@
 func (w *rehearsal) reportProgress(ctx context.Context, progress func(Progress)) {
 	for s := 1; w.waitUntil(ctx, time.Duration(s)*time.Second); s++ {
 		c := &w.counters
-		progress(Progress{w.now().Truncate(time.Second), c.asked.Load(), c.served.Load(), c.refused.Load(), c.failed.Load(), c.attempts.Load()})
+		progress(Progress{w.now().Truncate(time.Second), c.requests.Load(), c.served.Load(), c.rejected.Load(), c.failed.Load(), c.attempts.Load()})
 	}
 }
 
-// step plays one step of the plan.
-func (w *rehearsal) step(ctx context.Context, p *program, s morning.Step, steps *sync.WaitGroup) {
+// playStep plays one step of the plan.
+func (w *rehearsal) playStep(ctx context.Context, p *program, s morning.Step, steps *sync.WaitGroup) {
 	failed := func(err error) {
 		if err != nil && ctx.Err() == nil {
 			w.record(audit.Event{At: w.now(), Kind: audit.SidecarDied, Sidecar: s.Sidecar, Server: s.Server, Origin: -1, Text: err.Error()})
@@ -320,7 +320,7 @@
 				failed(err)
 				return
 			}
-			w.front.add(own)
+			w.rotation.add(own)
 		})
 	case morning.LinkFault:
 		w.applyLinkFault(s)
@@ -348,7 +348,7 @@
 // endAll ends all sidecars and their discovery.
 func (w *rehearsal) endAll(p *program) {
 	// A sidecar that was told to end waits for callers that are connected.
-	w.front.idle.close()
+	w.rotation.idle.close()
 	for _, s := range w.sidecars {
 		s.idle.close()
 	}
--- a/internal/rehearsal/rehearse/box.go
+++ b/internal/rehearsal/rehearse/server.go
@@ -23,9 +23,9 @@
 
 // server is one server on a socket, on top of its model.
 type server struct {
-	world *rehearsal
-	index int
-	spec  *morning.Server
+	rehearsal *rehearsal
+	index     int
+	spec      *morning.Server
 
 	mu          sync.Mutex
 	model       *emulator.Server // nil while it is down
@@ -41,7 +41,7 @@
 	faults      map[string]float64
 	random      *rand.Rand
 
-	http3         *h3.Endpoint         // nil where its tier speaks HTTP/1.1 alone
+	http3Endpoint *h3.Endpoint         // nil where its tier speaks HTTP/1.1 alone
 	streams       map[*stream]*attempt // that are open on it
 	previousEnded chan struct{}        // closed when an earlier life has let go of its UDP socket
 	muted         atomic.Bool          // nothing comes to its UDP socket, and nothing leaves it
@@ -52,7 +52,7 @@
 	net.Conn
 	server      *server
 	incarnation int
-	attempt     *attempt // that is out on it; box.mu guards it
+	current     *attempt // that is out on it; box.mu guards it
 }
 
 // responder is what an attempt came on: a connection of HTTP/1.1, or a stream of HTTP/3. Its methods are called with
@@ -83,7 +83,7 @@
 
 func newServer(w *rehearsal, index int) *server {
 	b := &server{
-		world: w, index: index, spec: &w.plan.Servers[index], connections: map[*connection]bool{}, streams: map[*stream]*attempt{}, calls: map[uint64]*attempt{}, faults: map[string]float64{},
+		rehearsal: w, index: index, spec: &w.plan.Servers[index], connections: map[*connection]bool{}, streams: map[*stream]*attempt{}, calls: map[uint64]*attempt{}, faults: map[string]float64{},
 		random: rand.New(emulator.RandomSource(w.plan.Seed, fmt.Sprint("faults ", index))),
 	}
 	b.timer = time.AfterFunc(time.Hour, b.handleTimer)
@@ -93,8 +93,8 @@
 
 // start brings the box up.
 func (b *server) start(cold bool) error {
-	b.awaitPreviousEnd(b.world.ctx)
-	address, err := net.ResolveTCPAddr("tcp", b.world.serverAddress(b.spec.Slot))
+	b.awaitPreviousEnd(b.rehearsal.ctx)
+	address, err := net.ResolveTCPAddr("tcp", b.rehearsal.serverAddress(b.spec.Slot))
 	if err != nil {
 		return err
 	}
@@ -105,11 +105,11 @@
 	b.mu.Lock()
 	b.incarnation++
 	b.silent = false
-	b.model = emulator.NewServer(b.spec.Spec, max(0, b.world.now()), cold)
+	b.model = emulator.NewServer(b.spec.Spec, max(0, b.rehearsal.now()), cold)
 	b.listener = l
 	life := b.incarnation
 	if cold {
-		b.world.record(audit.Event{At: b.world.now(), Kind: audit.ServerStarted, Server: b.index, Sidecar: -1, Origin: -1})
+		b.rehearsal.record(audit.Event{At: b.rehearsal.now(), Kind: audit.ServerStarted, Server: b.index, Sidecar: -1, Origin: -1})
 	}
 	b.mu.Unlock()
 	accepting := make(chan struct{})
@@ -182,8 +182,8 @@
 		b.wake = nil
 	}
 	for c := range b.connections {
-		if c.attempt != nil {
-			b.finish(c.attempt, audit.Dropped)
+		if c.current != nil {
+			b.finish(c.current, audit.Dropped)
 		}
 		reset(c.Conn)
 		delete(b.connections, c)
@@ -206,8 +206,8 @@
 	b.wake = make(chan struct{})
 	clear(b.calls)
 	for c := range b.connections {
-		if c.attempt != nil {
-			c.attempt.muted = true
+		if c.current != nil {
+			c.current.muted = true
 		}
 	}
 	for _, k := range b.streams {
@@ -247,16 +247,16 @@
 		return
 	}
 	b.advance()
-	if b.model != nil && b.model.AddOverhead(b.world.now(), work) == emulator.Collapsed {
+	if b.model != nil && b.model.AddOverhead(b.rehearsal.now(), work) == emulator.Collapsed {
 		b.collapse()
 	}
 	b.resetTimer()
 }
 
 func (b *server) collapse() {
-	b.world.record(audit.Event{At: b.world.now(), Kind: audit.ServerCollapsed, Server: b.index, Sidecar: -1, Origin: -1})
+	b.rehearsal.record(audit.Event{At: b.rehearsal.now(), Kind: audit.ServerCollapsed, Server: b.index, Sidecar: -1, Origin: -1})
 	b.stopLocked()
-	if life, keeper := b.incarnation, b.world.plan.Tiers[b.spec.Tier].RestartAfterCollapse; keeper > 0 {
+	if life, keeper := b.incarnation, b.rehearsal.plan.Tiers[b.spec.Tier].RestartAfterCollapse; keeper > 0 {
 		time.AfterFunc(keeper, func() { b.restartAfterCollapse(life) })
 	}
 }
@@ -267,16 +267,16 @@
 	b.mu.Lock()
 	same := b.incarnation == life
 	b.mu.Unlock()
-	if !same || b.world.ctx.Err() != nil || b.start(true) != nil {
+	if !same || b.rehearsal.ctx.Err() != nil || b.start(true) != nil {
 		return
 	}
-	boot := b.world.now()
-	time.AfterFunc(b.world.plan.Discovery.AddDelay, func() {
+	boot := b.rehearsal.now()
+	time.AfterFunc(b.rehearsal.plan.Discovery.AddDelay, func() {
 		b.mu.Lock()
 		same := b.incarnation == life+1
 		b.mu.Unlock()
 		if same {
-			b.world.discovery[b.spec.Tier].update(b.index, "Ready", boot)
+			b.rehearsal.discovery[b.spec.Tier].update(b.index, "Ready", boot)
 		}
 	})
 }
@@ -287,7 +287,7 @@
 		return
 	}
 	if next, ok := b.model.Next(); ok {
-		b.timer.Reset(max(0, next-b.world.now()))
+		b.timer.Reset(max(0, next-b.rehearsal.now()))
 	}
 }
 
@@ -299,8 +299,8 @@
 		return
 	}
 	if next, ok := b.model.Next(); ok {
-		if late := b.world.now() - next; late > lateThreshold {
-			b.world.record(audit.Event{At: b.world.now(), Kind: audit.EmulatorLate, Duration: late, Server: b.index, Sidecar: -1, Origin: -1})
+		if late := b.rehearsal.now() - next; late > lateThreshold {
+			b.rehearsal.record(audit.Event{At: b.rehearsal.now(), Kind: audit.EmulatorLate, Duration: late, Server: b.index, Sidecar: -1, Origin: -1})
 		}
 	}
 	b.advance()
@@ -309,7 +309,7 @@
 
 // advance brings the model up to now and goes on with what has ended its work. b.mu is held.
 func (b *server) advance() {
-	b.complete(b.model.Advance(b.world.now()))
+	b.complete(b.model.Advance(b.rehearsal.now()))
 }
 
 func (b *server) complete(done []emulator.Completion) {
@@ -317,7 +317,7 @@
 		c := b.calls[d.ID]
 		if c == nil {
 			if b.model != nil {
-				b.complete(b.model.Release(b.world.now(), d.ID))
+				b.complete(b.model.Release(b.rehearsal.now(), d.ID))
 			}
 			continue
 		}
@@ -326,13 +326,13 @@
 			continue
 		}
 		c.work += b.model.WorkDone(d.ID)
-		tier := b.world.plan.Tiers[b.spec.Tier]
+		tier := b.rehearsal.plan.Tiers[b.spec.Tier]
 		if tier.Calls != "" && !c.afterCalls {
-			b.world.calls.Add(1)
+			b.rehearsal.calls.Add(1)
 			go b.callNextTier(c)
 			continue
 		}
-		more := b.model.Release(b.world.now(), d.ID)
+		more := b.model.Release(b.rehearsal.now(), d.ID)
 		b.answer(c, audit.Served)
 		if b.model != nil {
 			b.complete(more)
@@ -342,19 +342,19 @@
 
 // callNextTier makes a call's own calls to the next tier, one after another, and then goes on with its work.
 func (b *server) callNextTier(c *attempt) {
-	defer b.world.calls.Done()
-	tier := b.world.plan.Tiers[b.spec.Tier]
+	defer b.rehearsal.calls.Done()
+	tier := b.rehearsal.plan.Tiers[b.spec.Tier]
 	for i := range tier.CallsPerRequest {
 		key := ""
 		if c.key != "" {
 			key = fmt.Sprintf("%s.%d", c.key, i)
 		}
-		left := c.expires - b.world.now()
-		ok := left > 0 && b.world.callThrough(b.index, callerRequest{request: fmt.Sprintf("%s.%d-%d", c.request, c.id, i), class: c.class, key: key, timeLeft: left, origin: c.origin}, c.ended)
+		left := c.expires - b.rehearsal.now()
+		ok := left > 0 && b.rehearsal.callThrough(b.index, callerRequest{request: fmt.Sprintf("%s.%d-%d", c.request, c.id, i), class: c.class, key: key, timeLeft: left, origin: c.origin}, c.ended)
 		if !ok {
 			b.mu.Lock()
 			if b.calls[c.id] == c {
-				more := b.model.Release(b.world.now(), c.id)
+				more := b.model.Release(b.rehearsal.now(), c.id)
 				b.answer(c, audit.Failed)
 				b.complete(more)
 				b.resetTimer()
@@ -370,7 +370,7 @@
 	}
 	b.advance()
 	c.afterCalls = true
-	b.model.Resume(b.world.now(), c.id, c.workAfterCalls)
+	b.model.Resume(b.rehearsal.now(), c.id, c.workAfterCalls)
 	b.resetTimer()
 }
 
@@ -382,7 +382,7 @@
 	default:
 	}
 	close(c.ended)
-	b.world.record(audit.Event{At: b.world.now(), Kind: audit.AttemptEnded, Request: c.request, AttemptID: c.id, Server: b.index, Sidecar: -1, Result: how, Work: c.work, Origin: c.origin})
+	b.rehearsal.record(audit.Event{At: b.rehearsal.now(), Kind: audit.AttemptEnded, Request: c.request, AttemptID: c.id, Server: b.index, Sidecar: -1, Result: how, Work: c.work, Origin: c.origin})
 	delete(b.calls, c.id)
 	c.responder.release(c)
 }
@@ -410,8 +410,8 @@
 }
 
 func (c *connection) release(k *attempt) {
-	if c.attempt == k {
-		c.attempt = nil
+	if c.current == k {
+		c.current = nil
 	}
 }
 
@@ -455,8 +455,8 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		delete(b.connections, c)
-		if c.attempt != nil {
-			b.cancel(c.attempt)
+		if c.current != nil {
+			b.cancel(c.current)
 		}
 	}()
 	r := bufio.NewReader(c.Conn)
@@ -464,7 +464,7 @@
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		first := b.world.now()
+		first := b.rehearsal.now()
 		req, err := http.ReadRequest(r)
 		var body []byte
 		if err == nil {
@@ -488,14 +488,14 @@
 // recordTruncated notes an attempt whose end never came: it never ran.
 func (c *connection) recordTruncated(first time.Duration, req *http.Request) {
 	b := c.server
-	id := b.world.attempts.Add(1)
-	e := audit.Event{At: b.world.now(), FirstByteAt: first, Request: req.Header.Get("X-Txn"), AttemptID: id, Server: c.server.index, Sidecar: -1, Origin: -1, Kind: audit.AttemptReceived}
+	id := b.rehearsal.attempts.Add(1)
+	e := audit.Event{At: b.rehearsal.now(), FirstByteAt: first, Request: req.Header.Get("X-Txn"), AttemptID: id, Server: c.server.index, Sidecar: -1, Origin: -1, Kind: audit.AttemptReceived}
 	if e.Request == "" {
 		return
 	}
-	b.world.record(e)
+	b.rehearsal.record(e)
 	e.Kind, e.Result = audit.AttemptEnded, audit.Truncated
-	b.world.record(e)
+	b.rehearsal.record(e)
 }
 
 // cancel ends a call that its sidecar has given up.
@@ -507,7 +507,7 @@
 			return
 		}
 		got := b.model.WorkDone(k.id)
-		stopped, expired := b.model.Cancel(b.world.now(), k.id)
+		stopped, expired := b.model.Cancel(b.rehearsal.now(), k.id)
 		if !stopped {
 			got = 0 // it goes on for nobody: the whole of it is done
 			k.work += k.workAfterCalls
@@ -531,29 +531,29 @@
 		}
 		return true
 	}
-	if c.attempt != nil {
+	if c.current != nil {
 		return false // two at once on one connection: no sidecar does that
 	}
 	k := b.newAttempt(c, c.incarnation, req.Header)
-	c.attempt = k
+	c.current = k
 	return b.beginAttempt(k, first, req.Header)
 }
 
 // newAttempt is an attempt that has come whole.
 func (b *server) newAttempt(by responder, life int, h http.Header) *attempt {
-	k := &attempt{id: b.world.attempts.Add(1), responder: by, incarnation: life, request: h.Get("X-Txn"), key: h.Get("Idempotency-Key"), ended: make(chan struct{}), origin: arrivalOf(h.Get("X-Txn"))}
-	k.class, _ = b.world.class(h.Get("X-Lane"))
+	k := &attempt{id: b.rehearsal.attempts.Add(1), responder: by, incarnation: life, request: h.Get("X-Txn"), key: h.Get("Idempotency-Key"), ended: make(chan struct{}), origin: arrivalOf(h.Get("X-Txn"))}
+	k.class, _ = b.rehearsal.class(h.Get("X-Lane"))
 	if left, err := parseRemaining(h.Get("X-Remaining")); err == nil {
-		k.expires = b.world.now() + left
+		k.expires = b.rehearsal.now() + left
 	}
 	return k
 }
 
 // beginAttempt notes an attempt, and has it served or not; false if its connection is to end. b.mu is held.
 func (b *server) beginAttempt(k *attempt, first time.Duration, h http.Header) bool {
-	now := b.world.now()
-	b.world.counters.attempts.Add(1)
-	b.world.record(audit.Event{At: now, FirstByteAt: first, Kind: audit.AttemptReceived, Request: k.request, AttemptID: k.id, Server: b.index, Sidecar: -1, Origin: k.origin})
+	now := b.rehearsal.now()
+	b.rehearsal.counters.attempts.Add(1)
+	b.rehearsal.record(audit.Event{At: now, FirstByteAt: first, Kind: audit.AttemptReceived, Request: k.request, AttemptID: k.id, Server: b.index, Sidecar: -1, Origin: k.origin})
 	chance := func(what string) bool { return b.faults[what] > 0 && b.random.Float64() < b.faults[what] }
 	switch {
 	case b.silent || k.incarnation != b.incarnation || b.model == nil:
@@ -576,13 +576,13 @@
 		b.answer(k, audit.Failed)
 		return true
 	}
-	before, after := b.world.plan.WorkOf(k.request, b.spec.Tier, b.world.countAttempt(k.request))
+	before, after := b.rehearsal.plan.WorkOf(k.request, b.spec.Tier, b.rehearsal.countAttempt(k.request))
 	k.workAfterCalls = after
 	b.advance()
 	switch b.model.Offer(now, k.id, before, k.expires) {
 	case emulator.Accepted:
 		b.calls[k.id] = k
-		b.world.recordExecution(b, k.key, b.world.plan.Classes[k.class])
+		b.rehearsal.recordExecution(b, k.key, b.rehearsal.plan.Classes[k.class])
 		b.resetTimer()
 	case emulator.Rejected:
 		b.answer(k, audit.Rejected)
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -145,7 +145,7 @@
 		s.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		s.mu.Unlock()
 		if !told {
-			s.rehearsal.front.remove(s)
+			s.rehearsal.rotation.remove(s)
 			s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: fmt.Sprintf("ended by itself (%v); its last line: %s", exitText(err), last)})
 		}
 		close(ended)
@@ -247,17 +247,17 @@
 		note(audit.SidecarKilled)
 		s.stopped, s.stopping = true, true
 		process.Signal(syscall.SIGSTOP)
-		time.AfterFunc(failureNotice, func() { s.rehearsal.front.remove(s) })
+		time.AfterFunc(failureNotice, func() { s.rehearsal.rotation.remove(s) })
 	case "SIGKILL":
 		note(audit.SidecarKilled)
 		s.stopping = true
 		process.Kill()
-		time.AfterFunc(failureNotice, func() { s.rehearsal.front.removeEnded(s, process) })
+		time.AfterFunc(failureNotice, func() { s.rehearsal.rotation.removeEnded(s, process) })
 	case "SIGTERM":
 		note(audit.SidecarStopping)
 		s.stopping = true
 		process.Signal(syscall.SIGTERM)
-		time.AfterFunc(drainNotice, func() { s.rehearsal.front.removeEnded(s, process) })
+		time.AfterFunc(drainNotice, func() { s.rehearsal.rotation.removeEnded(s, process) })
 		time.AfterFunc(s.rehearsal.plan.Rules.KillDelay, func() {
 			select {
 			case <-ended:
@@ -272,12 +272,12 @@
 const drainNotice = 300 * time.Millisecond
 
 // removeEnded takes a sidecar out of the front, unless it has been started again since.
-func (f *front) removeEnded(s *sidecar, process *os.Process) {
+func (r *rotation) removeEnded(s *sidecar, process *os.Process) {
 	s.mu.Lock()
 	same := s.process != nil && s.process.Process == process
 	s.mu.Unlock()
 	if same {
-		f.remove(s)
+		r.remove(s)
 	}
 }
 
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -215,7 +215,7 @@
 	if !options.quiet {
 		c.errOut.printf("playing %s on %s: %v\n", plan.DisplayName(), program, plan.Length)
 		run.Progress = func(p rehearse.Progress) {
-			c.errOut.printf("\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.Attempts)
+			c.errOut.printf("\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.Attempts)
 		}
 	}
 	result, err := rehearse.Run(ctx, plan, run)
