--- a/internal/tool/adopt.go
+++ b/internal/tool/adopt.go
@@ -11,6 +11,7 @@
 	"quincegap/internal/product"
 )
 
+// adoptCommand declares adopt.
 func (c *command) adoptCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "adopt apps.toml FILE...", Short: "Take edits by hand back into apps.toml", Args: cobra.MinimumNArgs(2),
--- a/internal/tool/check.go
+++ b/internal/tool/check.go
@@ -12,6 +12,7 @@
 	"quincegap/internal/product"
 )
 
+// checkCommand declares check.
 func (c *command) checkCommand() *cobra.Command {
 	var asJSON, overlay bool
 	cmd := &cobra.Command{
--- a/internal/tool/demo.go
+++ b/internal/tool/demo.go
@@ -25,10 +25,11 @@
 const (
 	demoEndpoints    = 3
 	demoReadyTimeout = 10 * time.Second      // for the sidecar to serve
-	demoStopTimeout  = 10 * time.Second      // for it to end after it was told to
+	demoStopTimeout  = 10 * time.Second      // for it to end after SIGTERM
 	demoPollInterval = 20 * time.Millisecond // of its readiness
 )
 
+// demoCommand declares demo.
 func (c *command) demoCommand() *cobra.Command {
 	var program string
 	cmd := &cobra.Command{
@@ -62,14 +63,14 @@
 func (c *command) runDemo(ctx context.Context, program string) (err error) {
 	var targets []booking.Target
 	for i := range demoEndpoints {
-		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i+1), nil)
+		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i+1), nil) //nolint:contextcheck // it runs until it is closed
 		if err != nil {
 			return err
 		}
 		defer e.Close()
 		targets = append(targets, e.Target())
 	}
-	discovery, err := booking.StartDiscovery("", targets...)
+	discovery, err := booking.StartDiscovery("", targets...) //nolint:contextcheck // it runs until it is closed
 	if err != nil {
 		return err
 	}
--- a/internal/tool/diff.go
+++ b/internal/tool/diff.go
@@ -9,6 +9,7 @@
 	"quincegap/internal/config/finding"
 )
 
+// diffCommand declares diff.
 func (c *command) diffCommand() *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -24,6 +24,7 @@
 // loadSteps is at how many loads a range is played.
 const loadSteps = 7
 
+// experimentCommand declares experiment.
 func (c *command) experimentCommand() *cobra.Command {
 	var seeds, workers int
 	var load, dir string
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -34,6 +34,7 @@
 	maxMeasuredInstances = 500
 )
 
+// fleetCommand declares fleet.
 func (c *command) fleetCommand() *cobra.Command {
 	var options fleetOptions
 	cmd := &cobra.Command{
--- a/internal/tool/init.go
+++ b/internal/tool/init.go
@@ -18,6 +18,7 @@
 // fileMode is the mode of new files: others may read them, since they hold no secrets, only the paths of some.
 const fileMode = fs.FileMode(0o644)
 
+// initCommand declares init.
 func (c *command) initCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "init DIR", Short: "Write a commented apps.toml for two applications", Args: cobra.ExactArgs(1),
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -13,8 +14,13 @@
 	"quincegap/internal/product"
 )
 
+// maxDumpBytes bounds a dump of members.
 const maxDumpBytes = 64 << 20
 
+// readyState is the state of an endpoint that gets work.
+const readyState = "ready"
+
+// membersCommand declares members.
 func (c *command) membersCommand() *cobra.Command {
 	var asJSON, unused bool
 	cmd := &cobra.Command{
@@ -27,28 +33,9 @@
 				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			if asJSON {
-				e := json.NewEncoder(c.out)
-				e.SetIndent("", "  ")
-				return e.Encode(m)
-			}
-			ready := 0
-			w := newTable(c.out)
-			w.println("ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
-			for _, r := range m.Endpoints {
-				if r.State == "ready" {
-					ready++
-					if unused {
-						continue
-					}
-				}
-				w.printf("%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n", r.UID, r.Address, r.State, r.Weight,
-					(time.Duration(r.AgoMS) * time.Millisecond).Round(100*time.Millisecond), orDash(r.Platform), orDash(r.Consul), r.Why)
-			}
-			if err := w.Flush(); err != nil {
-				return runError{err}
+				return c.printJSON(m)
 			}
-			c.out.printf("%s: %d of %d endpoints ready; the source is %s\n", m.Name, ready, len(m.Endpoints), m.Source)
-			return nil
+			return c.printMembers(&m, unused)
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object for programs, or for a dump")
@@ -56,7 +43,35 @@
 	return cmd
 }
 
-// readMembers asks a sidecar, or reads a dump.
+// printMembers prints a line for each endpoint; with unused only for those that get no work.
+func (c *command) printMembers(m *admin.Members, unused bool) error {
+	ready := 0
+	w := newTable(c.out)
+	w.println("ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
+	for _, r := range m.Endpoints {
+		isReady := r.State == readyState
+		if isReady {
+			ready++
+		}
+		if isReady && unused {
+			continue
+		}
+		w.printf("%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n",
+			r.UID, r.Address, r.State, r.Weight, formatAge(r.AgoMS), orDash(r.Platform), orDash(r.Consul), r.Why)
+	}
+	if err := w.Flush(); err != nil {
+		return runError{err}
+	}
+	c.out.printf("%s: %d of %d endpoints ready; the source is %s\n", m.Name, ready, len(m.Endpoints), m.Source)
+	return nil
+}
+
+// formatAge is a time in milliseconds, rounded to tenths of a second.
+func formatAge(milliseconds int64) string {
+	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
+}
+
+// readMembers asks the sidecar at an address, or reads a dump.
 func readMembers(at string) (m admin.Members, err error) {
 	if info, err := os.Stat(at); err == nil && info.Mode().IsRegular() {
 		text, err := product.Read(at, maxDumpBytes)
@@ -66,11 +81,12 @@
 		return m, json.Unmarshal(text, &m)
 	}
 	if !strings.HasPrefix(at, "unix:") && !strings.Contains(at, ":") {
-		return m, fmt.Errorf("is neither unix:PATH, nor host:port, nor a file")
+		return m, errors.New("is neither unix:PATH, nor host:port, nor a file")
 	}
 	return admin.AskMembers(at)
 }
 
+// orDash is a text, or a dash for none.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
--- a/internal/tool/pages.go
+++ b/internal/tool/pages.go
@@ -8,6 +8,7 @@
 	"quincegap/internal/product"
 )
 
+// sampleCommand declares sample.
 func (c *command) sampleCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "sample", Short: "Print a file of one application with all keys", Args: cobra.NoArgs,
@@ -18,6 +19,7 @@
 	}
 }
 
+// referenceCommand declares reference.
 func (c *command) referenceCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "reference", Short: "Print the reference page of all keys, in Markdown", Args: cobra.NoArgs,
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -1,12 +1,10 @@
 package tool
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -14,6 +12,7 @@
 	"quincegap/internal/network/admin"
 )
 
+// peersCommand declares peers.
 func (c *command) peersCommand() *cobra.Command {
 	var asJSON, all bool
 	cmd := &cobra.Command{
@@ -27,9 +26,7 @@
 				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			if asJSON {
-				e := json.NewEncoder(c.out)
-				e.SetIndent("", "  ")
-				return e.Encode(f)
+				return c.printJSON(f)
 			}
 			if all {
 				return c.printPeerViews(&f)
@@ -42,11 +39,12 @@
 	return cmd
 }
 
+// printPeers prints one sidecar's view of the others.
 func (c *command) printPeers(r *peers.Report) error {
 	w := newTable(c.out)
 	w.println("NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
 	for _, m := range r.Members {
-		w.printf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, (time.Duration(m.StateAgeMS) * time.Millisecond).Round(100*time.Millisecond),
+		w.printf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, formatAge(m.StateAgeMS),
 			yesNo(m.InGroup), yesNo(m.Reachable), orDash(m.Address), orDash(m.Zone), orDash(m.Version), m.Process)
 	}
 	if err := w.Flush(); err != nil {
@@ -70,7 +68,7 @@
 	return nil
 }
 
-// printPeerViews shows the views of all, a line each.
+// printPeerViews shows the views of all, a line each, and returns errFindings where they differ.
 func (c *command) printPeerViews(f *peers.FleetReport) error {
 	w := newTable(c.out)
 	w.println("NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
@@ -92,6 +90,7 @@
 	return errFindings
 }
 
+// yesNo is a truth value for people.
 func yesNo(b bool) string {
 	if b {
 		return "yes"
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -41,6 +41,7 @@
 	quiet   bool
 }
 
+// rehearseCommand declares rehearse.
 func (c *command) rehearseCommand() *cobra.Command {
 	var options rehearsalOptions
 	cmd := &cobra.Command{
--- a/internal/tool/route.go
+++ b/internal/tool/route.go
@@ -19,6 +19,7 @@
 	tenantHeader = "X-Org"
 )
 
+// routeCommand declares route.
 func (c *command) routeCommand() *cobra.Command {
 	var config string
 	var headers []string
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -13,12 +13,30 @@
 	"quincegap/internal/modules/idempotency"
 )
 
+// storeCommand declares store and its commands.
 func (c *command) storeCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "store", Short: "Look at and mend what a sidecar remembers on its disk (memory.memory_dir)",
 		Long: "verify and dump only read, and may be used beside a running sidecar. compact and repair change the\n" +
 			"directory, and are refused while a process has it open.",
 	}
+	compact := &cobra.Command{
+		Use: "compact DIR", Short: "Write all live records into one file, and remove the others", Args: cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error { return c.rewrite(args[0], false) },
+	}
+	repair := &cobra.Command{
+		Use: "repair DIR", Short: "Keep what can be read, and put damaged files aside", Args: cobra.ExactArgs(1),
+		Long: "repair writes all records that can be read into one file. Damaged files are not removed: they are renamed to\n" +
+			"end in .damaged. Whoever runs it has to know that requests that stood in the damaged places may have run, and\n" +
+			"will not be known again.",
+		RunE: func(_ *cobra.Command, args []string) error { return c.rewrite(args[0], true) },
+	}
+	cmd.AddCommand(c.storeVerifyCommand(), c.storeDumpCommand(), compact, repair)
+	return cmd
+}
+
+// storeVerifyCommand declares store verify.
+func (c *command) storeVerifyCommand() *cobra.Command {
 	var asJSON bool
 	verify := &cobra.Command{
 		Use: "verify DIR", Short: "Read every record, and name what cannot be read", Args: cobra.ExactArgs(1),
@@ -28,9 +46,7 @@
 				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			if asJSON {
-				e := json.NewEncoder(c.out)
-				e.SetIndent("", "  ")
-				if err := e.Encode(r); err != nil {
+				if err := c.printJSON(r); err != nil {
 					return runError{err}
 				}
 			} else if err := c.printStoreReport(r); err != nil {
@@ -43,7 +59,12 @@
 		},
 	}
 	verify.Flags().BoolVar(&asJSON, "json", false, "print one JSON object for programs")
-	dump := &cobra.Command{
+	return verify
+}
+
+// storeDumpCommand declares store dump.
+func (c *command) storeDumpCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "dump DIR", Short: "Print each live record as a line of JSON", Args: cobra.ExactArgs(1),
 		Long: "dump prints each live record as a line of JSON. Keys of requests are digests: what a family's key was cannot\nbe read from them.",
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -54,21 +75,9 @@
 			return nil
 		},
 	}
-	compact := &cobra.Command{
-		Use: "compact DIR", Short: "Write all live records into one file, and remove the others", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return c.rewrite(args[0], false) },
-	}
-	repair := &cobra.Command{
-		Use: "repair DIR", Short: "Keep what can be read, and put damaged files aside", Args: cobra.ExactArgs(1),
-		Long: "repair writes all records that can be read into one file. Damaged files are not removed: they are renamed to\n" +
-			"end in .damaged. Whoever runs it has to know that requests that stood in the damaged places may have run, and\n" +
-			"will not be known again.",
-		RunE: func(_ *cobra.Command, args []string) error { return c.rewrite(args[0], true) },
-	}
-	cmd.AddCommand(verify, dump, compact, repair)
-	return cmd
 }
 
+// printStoreReport prints the files of a store, and what is wrong with them.
 func (c *command) printStoreReport(r *store.Report) error {
 	w := newTable(c.out)
 	w.println("FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
@@ -99,37 +108,49 @@
 	return err
 }
 
-// readable is a record as people read it.
-func readable(r store.Record) any {
-	line := struct {
-		Seq     uint64             `json:"seq"`
-		File    string             `json:"file"`
-		Left    string             `json:"left,omitempty"`
-		Kind    string             `json:"kind"`
-		Key     string             `json:"key"`
-		Request *idempotency.Entry `json:"request,omitempty"`
-		Value   json.RawMessage    `json:"value,omitempty"`
-	}{Seq: r.Seq, File: r.File, Kind: "other", Key: fmt.Sprintf("%x", r.Key)}
+// storedRecord is a record as people and other programs read it.
+type storedRecord struct {
+	Seq     uint64             `json:"seq"`
+	File    string             `json:"file"`
+	Left    string             `json:"left,omitempty"` // how long it is still kept
+	Kind    string             `json:"kind"`
+	Key     string             `json:"key"`
+	Request *idempotency.Entry `json:"request,omitempty"`
+	Value   json.RawMessage    `json:"value,omitempty"`
+}
+
+// The first byte of a key says what its record is of. These are data on disk.
+const (
+	requestKey  = 'r'
+	endpointKey = 'e'
+	listKey     = 'l'
+)
+
+// readable is a record in its printed form.
+func readable(r store.Record) storedRecord {
+	line := storedRecord{Seq: r.Seq, File: r.File, Kind: "other", Key: fmt.Sprintf("%x", r.Key)}
 	if r.TimeLeft >= 0 {
 		line.Left = r.TimeLeft.Round(time.Millisecond).String()
 	}
 	switch r.Key[0] {
-	case 'r':
+	case requestKey:
 		if e, err := idempotency.Decode(r.Value, r.TimeLeft, r.TimeLeft); err == nil {
-			line.Kind, line.Request = "request", &e
+			line.Kind = "request"
+			line.Request = &e
 		}
-	case 'e':
-		line.Kind, line.Key = "endpoint", string(r.Key[1:])
+	case endpointKey:
+		line.Kind = "endpoint"
+		line.Key = string(r.Key[1:])
 		if json.Valid(r.Value) {
 			line.Value = r.Value
 		}
-	case 'l':
+	case listKey:
 		line.Kind = "list was current"
 	}
 	return line
 }
 
-// bounds of a store that a command opens: far beyond any that a sidecar keeps.
+// The bounds of a store that a command opens: far beyond any that a sidecar keeps.
 const (
 	maxStoreRecords = 1 << 30
 	maxStoreBytes   = 1 << 50
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,7 +1,7 @@
-// Package tool is the command line of quincegapctl.
 package tool
 
 import (
+	"encoding/json"
 	"errors"
 	"io"
 	"os"
@@ -15,9 +15,9 @@
 	"quincegap/internal/product"
 )
 
-// The exit codes.
+// The exit codes. ExitVoid is that of rehearsals.
 const (
-	ExitOK       = 0
+	ExitOK       = 0 // also where help was asked for
 	ExitFindings = 1 // something is wrong with a file, or differs
 	ExitUsage    = 2 // something is wrong with the command line
 )
@@ -28,27 +28,34 @@
 // errFindings ends a command whose findings have been printed.
 var errFindings = errors.New("findings")
 
-// runError is an error that is no wrong usage.
+// runError is an error of a command that was used as it should be; all others but errFindings and errVoid are wrong usage.
 type runError struct{ error }
 
-func (f runError) Unwrap() error { return f.error }
+func (r runError) Unwrap() error { return r.error }
 
-// Run runs a command line and returns its exit code.
+// Run runs a command line, without the program's name, and returns its exit code. What the command says goes to out, what is wrong with
+// its use or its run to errs.
 func Run(args []string, out, errs io.Writer) int {
 	root := &cobra.Command{
-		Use:           "quincegapctl",
-		Short:         "Write and check the configuration of quincegap's sidecars",
-		Long:          "quincegapctl writes a configuration file for each application from one apps.toml,\nchecks files before a sidecar sees them, and keeps track of edits by hand.\n\nExit codes: 0 fine, 1 findings, 2 wrong usage, 3 a rehearsal that is void.",
+		Use:   "quincegapctl",
+		Short: "Write and check the configuration of quincegap's sidecars",
+		Long: "quincegapctl writes a configuration file for each application from one apps.toml,\n" +
+			"checks files before a sidecar sees them, and keeps track of edits by hand.\n\n" +
+			"Exit codes: 0 fine, 1 findings, 2 wrong usage, 3 a rehearsal that is void.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	c := &command{out: printer{out}, errOut: printer{errs}, disk: atomicfile.Disk{}}
-	root.AddCommand(c.initCommand(), c.writeCommand(), c.checkCommand(), c.diffCommand(), c.adoptCommand(), c.sampleCommand(), c.referenceCommand(), c.demoCommand(), c.membersCommand(), c.peersCommand(), c.rehearseCommand(), c.experimentCommand(), c.fleetCommand(), c.routeCommand(), c.storeCommand())
+	root.AddCommand(
+		c.initCommand(), c.writeCommand(), c.checkCommand(), c.diffCommand(), c.adoptCommand(), c.sampleCommand(), c.referenceCommand(),
+		c.demoCommand(), c.membersCommand(), c.peersCommand(), c.routeCommand(), c.storeCommand(),
+		c.rehearseCommand(), c.experimentCommand(), c.fleetCommand(),
+	)
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
-	var f runError
+	var failed runError
 	switch {
 	case err == nil:
 		return ExitOK
@@ -56,7 +63,7 @@
 		return ExitFindings
 	case errors.Is(err, errVoid):
 		return ExitVoid
-	case errors.As(err, &f):
+	case errors.As(err, &failed):
 		c.errOut.println("quincegapctl: " + err.Error())
 		return ExitFindings
 	}
@@ -67,10 +74,17 @@
 // command is what all commands share.
 type command struct {
 	out, errOut printer
-	disk        atomicfile.FS
+	disk        atomicfile.FS // a test's disk may be full
 }
 
-// report prints findings; it is nil where there are none.
+// printJSON prints one object for other programs.
+func (c *command) printJSON(value any) error {
+	encoder := json.NewEncoder(c.out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
+
+// report prints findings and returns errFindings, or nil where there are none.
 func (c *command) report(found *finding.List) error {
 	if found.Len() == 0 {
 		return nil
@@ -81,7 +95,7 @@
 	return errFindings
 }
 
-// readModel reads apps.toml and checks it whole.
+// readModel reads apps.toml and checks all of it. It is nil where nothing could be read.
 func (c *command) readModel(path string, found *finding.List) *apps.Model {
 	text, err := product.Read(path, apps.MaxBytes)
 	if err != nil {
@@ -103,8 +117,8 @@
 	}
 }
 
-// compareFiles compares the file of each application with what would be written. Files that cannot be opened go
-// into unread, and what is wrong with those that can into found.
+// compareFiles compares the file of each application with what would be written. Files that cannot be opened go into unread, and what
+// is wrong with those that can into found.
 func compareFiles(m *apps.Model, dir string, unread, found *finding.List) []*apps.FileState {
 	var all []*apps.FileState
 	for _, a := range m.Apps {
--- a/internal/tool/write.go
+++ b/internal/tool/write.go
@@ -20,6 +20,7 @@
 	discard bool   // discard edits by hand
 }
 
+// writeCommand declares write.
 func (c *command) writeCommand() *cobra.Command {
 	var options writeOptions
 	cmd := &cobra.Command{
