--- a/internal/config/apps/address_graph.go
+++ b/internal/config/apps/address_graph.go
@@ -42,6 +42,7 @@
 	return addressOwner{}, ""
 }
 
+// add takes up an address of an application.
 func (x *addressIndex) add(n *node, u addressUse) {
 	index := x.listeners
 	if u.key.dials {
--- a/internal/config/apps/components.go
+++ b/internal/config/apps/components.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// enter begins the visit of a node.
 func (c *componentSearch) enter(n *node) {
 	c.index[n] = len(c.index) + 1
 	c.lowest[n] = c.index[n]
@@ -77,6 +78,7 @@
 	c.onStack[n] = true
 }
 
+// follow follows a call to a node, which is visited next unless it has been.
 func (c *componentSearch) follow(n, to *node) {
 	if c.index[to] == 0 {
 		c.visits = append(c.visits, visit{node: to})
--- a/internal/config/apps/graph.go
+++ b/internal/config/apps/graph.go
@@ -44,6 +44,7 @@
 	return e.from.File.Location("calls", e.name, key)
 }
 
+// report adds a finding on a key of the call.
 func (e *edge) report(found *finding.List, key, format string, args ...any) {
 	at := e.location(key)
 	found.Add(at.File, at.Pos, "%s", fmt.Sprintf("calls.%s.%s: ", e.name, key)+fmt.Sprintf(format, args...))
@@ -52,6 +53,7 @@
 // staysInComponent tells whether the call is part of a ring.
 func (e *edge) staysInComponent() bool { return e.to.component == e.from.component }
 
+// newGraph has the applications as nodes, without their calls. Of two with one name the second is reported and left out.
 func newGraph(apps []*App, found *finding.List) *graph {
 	g := &graph{byName: map[string]*node{}, found: found}
 	for _, a := range apps {
--- a/internal/config/apps/hosts.go
+++ b/internal/config/apps/hosts.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// add adds what an application's sidecar may use.
 func (l *hostLoad) add(n *node) {
 	limits := appfile.LimitsTable.In(n.File)
 	l.cores += limits.Cores
@@ -66,6 +67,7 @@
 	return text
 }
 
+// checkHost reports where the sidecars of one host may use more than it has.
 func (g *graph) checkHost(h schema.Named[Host], load *hostLoad, frame *schema.File) {
 	report := func(key, format string, args ...any) {
 		at := frame.Location("hosts", h.Name, key)
--- a/internal/config/apps/provenance.go
+++ b/internal/config/apps/provenance.go
@@ -46,6 +46,7 @@
 	return headerBy + name + headerFrom + source + ".\n" + strings.Join(headerText, "\n") + "\n" + headerDigest + digest + "\n"
 }
 
+// trailerOf is the last lines of a derived file: a short digest of each key.
 func trailerOf(f *schema.File) string {
 	var b strings.Builder
 	b.WriteString(trailer + "\n")
@@ -61,6 +62,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
+// shortDigest is the digest of a key's value in the trailer.
 func shortDigest(canonical string) string { return digest([]byte(canonical))[:shortDigestLength] }
 
 // Provenance is what a derived file says of how it was written.
--- a/internal/config/doc/document.go
+++ b/internal/config/doc/document.go
@@ -16,6 +16,7 @@
 	lines []int // offset of each line's first byte
 }
 
+// newDocument is a text that has not been read, with an empty root.
 func newDocument(text []byte) *Document {
 	d := &Document{Text: text, Root: &Table{Pos: finding.Pos{Line: 1, Col: 1}}, lines: []int{0}}
 	for i, b := range text {
--- a/internal/config/doc/edit.go
+++ b/internal/config/doc/edit.go
@@ -37,6 +37,7 @@
 	return d.insert(d.tableInsertion(parent), header+comments+assignment)
 }
 
+// lastEntry is the last key of a table that has one.
 func (t *Table) lastEntry() *Entry { return t.Entries[len(t.Entries)-1] }
 
 // table is the table of a path, or nil.
@@ -104,6 +105,7 @@
 	return start
 }
 
+// isBlank tells whether there is only white space from start to end.
 func (d *Document) isBlank(start, end int) bool { return len(bytes.TrimSpace(d.Text[start:end])) == 0 }
 
 // insert puts lines in front of the line that begins at an offset. A last line without a line end gets one.
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// token reads the next token; tokenStart is its offset then.
 func (j *jsonReader) token() (json.Token, error) {
 	j.skipToToken()
 	return j.decoder.Token()
--- a/internal/config/doc/toml.go
+++ b/internal/config/doc/toml.go
@@ -48,6 +48,7 @@
 	lastSkipped int // number of the line that was skipped last
 }
 
+// read reads all expressions, and goes on behind each line that cannot be read.
 func (r *tomlReader) read() {
 	for r.parserStart < len(r.Text) {
 		r.parser.Reset(r.Text[r.parserStart:len(r.Text):len(r.Text)])
@@ -118,6 +119,7 @@
 	return at
 }
 
+// trimmedLine is a line by its number, without the white space around it.
 func (r *tomlReader) trimmedLine(line int) string {
 	return strings.TrimSpace(string(r.Text[r.lines[line]:r.lineEnd(r.lines[line])]))
 }
--- a/internal/config/doc/toml_error.go
+++ b/internal/config/doc/toml_error.go
@@ -56,6 +56,7 @@
 	return message
 }
 
+// truncated keeps what a message quotes short.
 func truncated(s string) string {
 	if len(s) > maxQuoted {
 		return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
--- a/internal/config/doc/toml_tree.go
+++ b/internal/config/doc/toml_tree.go
@@ -6,6 +6,7 @@
 	"quincegap/internal/config/finding"
 )
 
+// expression takes up a header, or a key with its value.
 func (r *tomlReader) expression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table, unstable.ArrayTable:
--- a/internal/config/doc/tree.go
+++ b/internal/config/doc/tree.go
@@ -86,6 +86,7 @@
 	return t.Get(path[len(path)-1])
 }
 
+// add adds an entry whose name the table does not have.
 func (t *Table) add(e *Entry) {
 	if t.index == nil {
 		t.index = map[string]*Entry{}
--- a/internal/config/finding/finding.go
+++ b/internal/config/finding/finding.go
@@ -26,4 +26,5 @@
 // Error is the text of all findings of a List, one per line.
 type Error string
 
+// Error is one line per finding.
 func (e Error) Error() string { return string(e) }
--- a/internal/config/finding/list.go
+++ b/internal/config/finding/list.go
@@ -72,6 +72,7 @@
 	return err
 }
 
+// text is what Print writes.
 func (l *List) text() string {
 	var text strings.Builder
 	for _, f := range l.All() {
--- a/internal/config/schema/decode.go
+++ b/internal/config/schema/decode.go
@@ -165,6 +165,7 @@
 	}
 }
 
+// reportUnknownKey reports a key that the table does not have.
 func (d *decoding) reportUnknownKey(t *Table, path []string, e *doc.Entry, report finding.Reporter) {
 	if header := d.schema.tableOfKey(e.Name); header != "" {
 		report(e.Pos, "%s has no key %s; it belongs under [%s]", tableHeader(path), e.Name, header)
@@ -187,6 +188,7 @@
 	}
 }
 
+// isMissing tells whether no layer has a key that is required.
 func (d *decoding) isMissing(table []string, k *Key) bool {
 	if !k.Required || d.settings[keyID(table, k)] != nil {
 		return false
@@ -194,6 +196,7 @@
 	return k.optionalWhen == nil || !k.optionalWhen(d.File)
 }
 
+// reportMissingKey reports a missing key at its table's header, or at the file where that is missing too.
 func (d *decoding) reportMissingKey(table string, k *Key) {
 	location, ok := d.tables[table]
 	if !ok {
@@ -231,4 +234,5 @@
 // messagePrefix names a setting at the head of a message.
 func messagePrefix(path []string) string { return doc.DottedPath(path) + ": " }
 
+// tableHeader is a table's header as it is written.
 func tableHeader(path []string) string { return "[" + doc.DottedPath(path) + "]" }
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -73,6 +73,7 @@
 	return TypedTable[T]{t}
 }
 
+// newTable panics for keys of one name: it runs at the start of a program.
 func newTable[T any](name, help string, keys []KeyOf[T]) *Table {
 	t := &Table{Name: name, Help: help, byName: map[string]*Key{}}
 	t.newValue = func() any {
@@ -203,6 +204,7 @@
 	return t.Name
 }
 
+// keyNames are the names of the table's keys, in order.
 func (t *Table) keyNames() []string {
 	names := make([]string, len(t.Keys))
 	for i, k := range t.Keys {
@@ -211,6 +213,7 @@
 	return names
 }
 
+// tableNames are the names of all tables, in order.
 func (s *Schema) tableNames() []string {
 	names := make([]string, len(s.Tables))
 	for i, t := range s.Tables {
@@ -219,6 +222,7 @@
 	return names
 }
 
+// keyNames are the names of the keys of all tables, in order.
 func (s *Schema) keyNames() (names []string) {
 	for _, t := range s.Tables {
 		names = append(names, t.keyNames()...)
--- a/internal/product/platform_shape.go
+++ b/internal/product/platform_shape.go
@@ -27,10 +27,13 @@
 func numberShape() *shape          { return &shape{kind: doc.Integer, number: true} }
 func boolShape() *shape            { return &shape{kind: doc.Bool} }
 func listShape(item *shape) *shape { return &shape{kind: doc.Array, item: item} }
+
+// objectShape is the shape of an object, with the names of the keys that it must have.
 func objectShape(keys map[string]*shape, needed ...string) *shape {
 	return &shape{kind: doc.TableKind, keys: keys, required: needed}
 }
 
+// numberShapes are keys whose values are numbers.
 func numberShapes(names ...string) map[string]*shape {
 	m := map[string]*shape{}
 	for _, n := range names {
@@ -39,6 +42,7 @@
 	return m
 }
 
+// withShapes adds keys of one shape to others, and returns all.
 func withShapes(m map[string]*shape, sort func() *shape, names ...string) map[string]*shape {
 	for _, n := range names {
 		m[n] = sort()
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -96,6 +96,7 @@
 	return loads, nil
 }
 
+// runExperiment plays a design and prints its points; with a folder it keeps them there. It returns errFindings where a rule was broken.
 func (c *command) runExperiment(ctx context.Context, d *experiment.Design, dir string) error {
 	if err := d.Validate(); err != nil {
 		return err
--- a/internal/tool/output.go
+++ b/internal/tool/output.go
@@ -25,6 +25,7 @@
 // columnPadding is the white space between two columns, in characters.
 const columnPadding = 2
 
+// newTable is a table whose cells are aligned at their left.
 func newTable(w io.Writer) *table {
 	return &table{writer: tabwriter.NewWriter(w, 0, 8, columnPadding, ' ', 0)}
 }
--- a/internal/tool/route_explain.go
+++ b/internal/tool/route_explain.go
@@ -66,6 +66,7 @@
 	settings *route.Settings
 }
 
+// print prints the values in the order in which they matter to a request.
 func (v *routeValues) print() {
 	v.table.println("\nVALUE\tIS\tBY")
 	v.printTime()
@@ -93,6 +94,7 @@
 // byRoute is where a key of the route is set.
 func (v *routeValues) byRoute(key string) string { return v.by("route", v.route, key) }
 
+// printTime prints whether the request is served, and its time.
 func (v *routeValues) printTime() {
 	set := v.settings
 	switch {
@@ -105,6 +107,7 @@
 	}
 }
 
+// printAttempts prints what bounds attempts and requests at once.
 func (v *routeValues) printAttempts() {
 	set := v.settings
 	if set.AttemptTimeout > 0 {
@@ -121,6 +124,7 @@
 	}
 }
 
+// printRetries prints when a request is retried or hedged.
 func (v *routeValues) printRetries() {
 	set := v.settings
 	if set.RetryShare >= 0 {
@@ -140,6 +144,7 @@
 	}
 }
 
+// printIdempotency prints where a request may be retried that may have run.
 func (v *routeValues) printIdempotency() {
 	if v.class == nil {
 		return
--- a/internal/tool/unified.go
+++ b/internal/tool/unified.go
@@ -39,6 +39,7 @@
 	text     strings.Builder
 }
 
+// write walks along both texts, by their common lines where these are known.
 func (d *lineDiff) write(removed, added []string) {
 	common := commonSubsequences(removed, added)
 	i := 0
--- a/internal/tool/write.go
+++ b/internal/tool/write.go
@@ -127,6 +127,7 @@
 	return state.Generated, true
 }
 
+// reportEdits adds edits as findings.
 func reportEdits(edits []apps.Edit, found *finding.List) {
 	for _, e := range edits {
 		found.Add(e.Location.File, e.Location.Pos, "%s", e.Describe())
