--- a/internal/rehearsal/audit/finalanswer.go
+++ b/internal/rehearsal/audit/finalanswer.go
@@ -1,7 +1,6 @@
 package audit
 
 import (
-	"net/http"
 	"time"
 )
 
@@ -20,7 +19,7 @@
 		late := (answer.At - r.sent.At - r.sent.Duration).Round(time.Millisecond)
 		a.addBreach(breachOf(FinalAnswer, answer.At, r, -1, "the answer came %v after the request's time", late))
 	}
-	if answer.Status == http.StatusOK && !answer.Authentic {
+	if answer.Status == statusOK && !answer.Authentic {
 		a.addBreach(breachOf(FinalAnswer, answer.At, r, -1, "served with what no box made for this request"))
 	}
 	for _, attempt := range r.attempts {
@@ -49,5 +48,5 @@
 
 // rejected reports whether a status promises that the request had no effect.
 func rejected(status int) bool {
-	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	return status == statusTooManyRequests || status == statusServiceUnavailable
 }
--- a/internal/rehearsal/audit/service.go
+++ b/internal/rehearsal/audit/service.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"net/http"
 	"slices"
 	"time"
 
@@ -25,15 +24,15 @@
 		second.Offered++
 		wanted[index] += class.Value
 		at, status := a.bestAnswer(origin)
-		if status == http.StatusOK {
+		if status == statusOK {
 			latencies = append(latencies, (at - arrival.At).Seconds())
 		}
 		switch {
-		case status == http.StatusOK && at <= arrival.At+class.LatencyTarget:
+		case status == statusOK && at <= arrival.At+class.LatencyTarget:
 			v.InTime++
 			second.Served++
 			gained[index] += class.Value
-		case status == http.StatusOK:
+		case status == statusOK:
 			v.Late++
 			second.Late++
 		case rejected(status):
@@ -91,9 +90,9 @@
 			continue
 		}
 		switch answer := &r.answers[0]; {
-		case answer.Status == http.StatusOK && (status != http.StatusOK || answer.At < at):
-			at, status = answer.At, http.StatusOK
-		case status != http.StatusOK:
+		case answer.Status == statusOK && (status != statusOK || answer.At < at):
+			at, status = answer.At, statusOK
+		case status != statusOK:
 			at, status = answer.At, answer.Status
 		}
 	}
@@ -108,7 +107,7 @@
 		if !r.unknown {
 			requests++
 		}
-		answered := len(r.answers) > 0 && r.answers[0].Status == http.StatusOK
+		answered := len(r.answers) > 0 && r.answers[0].Status == statusOK
 		for _, attempt := range r.attempts {
 			if attempt.ended == nil {
 				continue
--- a/internal/rehearsal/audit/totals.go
+++ b/internal/rehearsal/audit/totals.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"net/http"
 	"time"
 )
 
@@ -81,7 +80,7 @@
 	case RequestSent:
 		t.sender[e.Request] = e.Sidecar
 	case AnswerReceived:
-		if e.Status == http.StatusOK && e.CallerAttempt > 0 {
+		if e.Status == statusOK && e.CallerAttempt > 0 {
 			t.served[int64(e.At/recoveryStep)]++
 		}
 	case ServerStarted:
--- a/internal/rehearsal/audit/trace.go
+++ b/internal/rehearsal/audit/trace.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"fmt"
 	"math"
-	"net/http"
 	"slices"
 	"time"
 )
@@ -52,7 +51,7 @@
 // rankUnbreached ranks an arrival by how it failed, or how long its answer took.
 func (a *auditor) rankUnbreached(origin int) badRequest {
 	at, status := a.bestAnswer(origin)
-	if status == http.StatusOK {
+	if status == statusOK {
 		latency := (at - a.Arrivals[origin].At).Seconds()
 		return badRequest{origin, latency, fmt.Sprintf("answered after %.3f s", latency)}
 	}
--- a/internal/rehearsal/dryrun/attempt.go
+++ b/internal/rehearsal/dryrun/attempt.go
@@ -1,7 +1,6 @@
 package dryrun
 
 import (
-	"net/http"
 	"time"
 
 	"quincegap/internal/balancer"
@@ -188,7 +187,7 @@
 	final := r.answered
 	if status == balancer.StatusOK && !r.answered {
 		final = true
-		r.answer(http.StatusOK, 0, true)
+		r.answer(statusOK, 0, true)
 	}
 	i.sim.decisions++
 	i.balancer.HandleOutcome(i.clock(), balancer.Outcome{
--- a/internal/rehearsal/dryrun/host.go
+++ b/internal/rehearsal/dryrun/host.go
@@ -1,7 +1,6 @@
 package dryrun
 
 import (
-	"net/http"
 	"time"
 
 	"quincegap/internal/balancer"
@@ -29,7 +28,7 @@
 // Reject is the host's: it answers that nothing was done.
 func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := i.requests[id]; r != nil {
-		r.answer(http.StatusServiceUnavailable, retryAfter, false)
+		r.answer(statusServiceUnavailable, retryAfter, false)
 		r.release()
 	}
 }
@@ -37,7 +36,7 @@
 // Fail is the host's: it answers that the request failed.
 func (i *instance) Fail(id balancer.RequestID) {
 	if r := i.requests[id]; r != nil {
-		r.answer(http.StatusBadGateway, 0, false)
+		r.answer(statusBadGateway, 0, false)
 		r.release()
 	}
 }
--- a/internal/rehearsal/dryrun/server.go
+++ b/internal/rehearsal/dryrun/server.go
@@ -5,7 +5,6 @@
 	"maps"
 	"math"
 	"math/rand/v2"
-	"net/http"
 	"slices"
 	"time"
 
@@ -176,7 +175,7 @@
 	s.sidecar.handle(next, func(r reply) {
 		switch {
 		case !inFlight():
-		case r.status != http.StatusOK:
+		case r.status != statusOK:
 			s.advance()
 			s.fail(a)
 			s.scheduleAdvance()
--- /dev/null
+++ b/internal/rehearsal/dryrun/status.go
@@ -0,0 +1,8 @@
+package dryrun
+
+// HTTP statuses of simulated answers. The package does no I/O, and so does not import net/http.
+const (
+	statusOK                 = 200
+	statusBadGateway         = 502
+	statusServiceUnavailable = 503
+)
