--- a/cmd/quincegap/consul_tls_test.go
+++ b/cmd/quincegap/consul_tls_test.go
@@ -71,7 +71,7 @@
 	return f.seen[name]
 }
 
-// writeFile replaces a file at one stroke.
+// put replaces a file at one stroke.
 func (f *tlsFront) put(name string, text []byte) string {
 	f.t.Helper()
 	at := filepath.Join(f.dir, name)
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// sourceState plays half a second.
+// step plays half a second.
 func (s *schedule) step() {
 	s.now += 500 * time.Millisecond
 	if s.rng.IntN(3) == 0 {
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -112,7 +112,7 @@
 	r.Assert(err, qt.IsNil)
 }
 
-// lastStream reads a frame, other than the pings of a slow machine, and notes it.
+// next reads a frame, other than the pings of a slow machine, and notes it.
 func (r *rawPeer) next() envelope {
 	r.Helper()
 	for {
--- a/internal/modules/route/check_test.go
+++ b/internal/modules/route/check_test.go
@@ -37,7 +37,7 @@
 
 var whole = schema.New(append(appfile.Tables(), route.Rules.Table)...)
 
-// isCompiled decodes a file.
+// read decodes a file.
 func read(text string) (*schema.File, string) {
 	var found finding.List
 	d := doc.ReadTOML([]byte(text), 8<<20, found.ForFile("f"))
--- a/internal/rehearsal/morning/morning_test.go
+++ b/internal/rehearsal/morning/morning_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// whole is a script that can be played; tests break it.
+// wholeScript is a script that can be played; tests break it.
 const wholeScript = `title "A test"
 length 20s
 seed 7
