--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -29,7 +29,7 @@
 	file   *schema.File // the product's file; nil without one
 
 	consulOnly  bool // there is no discovery: all endpoints are in Consul
-	hasPlatform bool // a platform says what appfile.ByPlatform has
+	hasPlatform bool // a platform says what appfile.PlatformTables has
 
 	follower  Follower    // a source of endpoints beside discovery; nil for none
 	admin     Admin       // nil for none
