--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -27,7 +28,7 @@
 	key           string
 	timeLeft      time.Duration
 	origin        int
-	callerAttempt int // 0 for the call of a box
+	callerAttempt int // 0 for the call of a server
 }
 
 // callerAnswer is what came of it.
@@ -49,8 +50,9 @@
 
 const dialTimeout = time.Second
 
-func (s *sidecar) dial() (*callerConnection, error) {
-	c, err := net.DialTimeout("tcp", s.address, dialTimeout)
+// connect opens a connection of callers to the sidecar.
+func (s *sidecar) connect() (*callerConnection, error) {
+	c, err := s.rehearsal.dial(s.address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -84,17 +86,19 @@
 	return nil
 }
 
+// put gives back a connection on which no request is out.
 func (c *connectionPool) put(l *callerConnection) {
 	c.mu.Lock()
 	c.idle = append(c.idle, l)
 	c.mu.Unlock()
 }
 
+// close closes all connections that are idle.
 func (c *connectionPool) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, l := range c.idle {
-		l.Close()
+		closeConn(l)
 	}
 	c.idle = nil
 }
@@ -102,7 +106,7 @@
 // read takes answers until the connection ends. What comes while nothing is owed is noted: nobody asked for it.
 func (c *callerConnection) read() {
 	defer close(c.closed)
-	defer c.Close()
+	defer closeConn(c)
 	r := bufio.NewReader(c.Conn)
 	for {
 		if _, err := r.Peek(1); err != nil {
@@ -116,7 +120,7 @@
 			c.sidecar.rehearsal.record(audit.Event{At: c.sidecar.rehearsal.now(), Kind: audit.UnsolicitedBytes, Sidecar: c.sidecar.index, Server: -1, Origin: -1, Text: strconv.Quote(string(some))})
 			return
 		}
-		answer, err := http.ReadResponse(r, nil)
+		answer, err := http.ReadResponse(r, nil) //nolint:bodyclose // the connection is read to its end, and closed
 		if err != nil {
 			return
 		}
@@ -143,68 +147,86 @@
 	}
 }
 
-// sendRequest asks, and waits for the answer until the request's time is up or nobody wants it any more. It is sent once more
-// on a new connection where the one before, used already, ends with nothing said: the sidecar closed it between
-// requests. pick is the sidecar for a new connection, nil where there is none.
-func (w *rehearsal) sendRequest(a callerRequest, from *connectionPool, pick func() *sidecar, gone <-chan struct{}) callerAnswer {
-	give := time.NewTimer(a.timeLeft + 2*w.plan.Rules.Slack)
-	defer give.Stop()
+// sendRequest sends a request, and waits for the answer until the request's time is up or nobody wants it any more. It is sent once
+// more on a new connection where the one before, used already, ends without an answer: the sidecar closed it between requests. pick
+// returns the sidecar for a new connection, nil where there is none.
+func (w *rehearsal) sendRequest(request callerRequest, idle *connectionPool, pick func() *sidecar, gone <-chan struct{}) callerAnswer {
+	deadline := time.NewTimer(request.timeLeft + 2*w.plan.Rules.Slack)
+	defer deadline.Stop()
 	began := w.now()
-	for again := false; ; again = true {
-		var l *callerConnection
-		if !again {
-			l = from.take()
-		}
-		used := l != nil
-		if l == nil {
-			s := pick()
-			if s == nil {
-				return callerAnswer{}
-			}
-			var err error
-			if l, err = s.dial(); err != nil {
+	c := idle.take()
+	for used := c != nil; ; used = false {
+		if c == nil {
+			if c = connectTo(pick()); c == nil {
 				return callerAnswer{}
 			}
 		}
-		left := a.timeLeft - (w.now() - began)
+		left := request.timeLeft - (w.now() - began)
 		if left <= 0 {
-			from.put(l)
+			idle.put(c)
 			return callerAnswer{}
 		}
-		note := func(k audit.Kind) audit.Event {
-			return audit.Event{At: w.now(), Kind: k, Request: a.request, Sidecar: l.sidecar.index, Server: -1, Origin: a.origin, CallerAttempt: a.callerAttempt, Class: a.class}
-		}
-		l.mu.Lock()
-		l.pending = &a
-		l.mu.Unlock()
-		asked := note(audit.RequestSent)
-		asked.Duration = left
-		w.record(asked)
-		l.Write(encodeRequest(w.plan.Classes[a.class], &a, left))
+		c.send(&request, left)
 		select {
-		case r := <-l.answers:
-			from.put(l)
-			return r
-		case <-give.C:
-			w.record(note(audit.CallerTimedOut))
-			l.Close()
+		case answer := <-c.answers:
+			idle.put(c)
+			return answer
+		case <-deadline.C:
+			c.giveUp(&request)
 			return callerAnswer{}
 		case <-gone:
-			w.record(note(audit.CallerTimedOut))
-			l.Close()
+			c.giveUp(&request)
 			return callerAnswer{}
-		case <-l.closed:
-			select {
-			case r := <-l.answers: // the last on its connection
-				return r
-			default:
-			}
-			w.record(note(audit.ConnectionClosed))
-			if !used {
-				return callerAnswer{}
-			}
+		case <-c.closed:
 		}
+		select {
+		case answer := <-c.answers: // the last on its connection
+			return answer
+		default:
+		}
+		w.record(c.event(audit.ConnectionClosed, &request))
+		if !used {
+			return callerAnswer{}
+		}
+		c = nil
+	}
+}
+
+// connectTo opens a connection to a sidecar; nil if there is none, or it can't be reached.
+func connectTo(s *sidecar) *callerConnection {
+	if s == nil {
+		return nil
+	}
+	c, err := s.connect()
+	if err != nil {
+		return nil
 	}
+	return c
+}
+
+// event returns what happens to a request on the connection now.
+func (c *callerConnection) event(kind audit.Kind, r *callerRequest) audit.Event {
+	return audit.Event{
+		At: c.sidecar.rehearsal.now(), Kind: kind, Request: r.request, Sidecar: c.sidecar.index, Server: -1, Origin: r.origin,
+		CallerAttempt: r.callerAttempt, Class: r.class,
+	}
+}
+
+// send writes a request, with the time that is left for it.
+func (c *callerConnection) send(r *callerRequest, left time.Duration) {
+	c.mu.Lock()
+	c.pending = r
+	c.mu.Unlock()
+	sent := c.event(audit.RequestSent, r)
+	sent.Duration = left
+	c.sidecar.rehearsal.record(sent)
+	_, _ = c.Write(encodeRequest(c.sidecar.rehearsal.plan.Classes[r.class], r, left)) // what can't be written ends the connection
+}
+
+// giveUp ends the connection of a request whose time is up, or that nobody wants any more.
+func (c *callerConnection) giveUp(r *callerRequest) {
+	c.sidecar.rehearsal.record(c.event(audit.CallerTimedOut, r))
+	closeConn(c)
 }
 
 // encodeRequest is a request as it goes out.
@@ -225,7 +247,7 @@
 	return []byte(b.String())
 }
 
-// callThrough is the call of a box through its own sidecar; false if it was not served.
+// callThrough is the call of a server through its own sidecar; false if it was not served.
 func (w *rehearsal) callThrough(box int, a callerRequest, gone <-chan struct{}) bool {
 	s := w.sidecarOf[box]
 	if s == nil {
@@ -341,7 +363,7 @@
 	"GET /trips HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X-Long: "+strings.Repeat("a", 1000)+"\r\n", 40) + "\r\n",
 }
 
-// runFaultyCaller plays one rude caller until it is not wanted any more.
+// runFaultyCaller plays one faulty caller until it is not wanted any more.
 func (w *rehearsal) runFaultyCaller(i int) {
 	random := rand.New(emulator.RandomSource(w.plan.Seed, fmt.Sprint("rude ", i)))
 	for w.ctx.Err() == nil && int64(i) < w.faultyCallers.Load() {
@@ -350,20 +372,20 @@
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		c, err := net.DialTimeout("tcp", s.address, dialTimeout)
+		c, err := w.dial(s.address, dialTimeout)
 		if err != nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
 		how := random.IntN(len(faultyRequests))
-		io.WriteString(c, faultyRequests[how])
-		c.SetReadDeadline(time.Now().Add(faultyCallerTimeout))
+		_, _ = io.WriteString(c, faultyRequests[how])              // a sidecar that has closed has done what it should
+		_ = c.SetReadDeadline(time.Now().Add(faultyCallerTimeout)) // likewise
 		if n, err := io.Copy(io.Discard, io.LimitReader(c, 1<<20)); err != nil && n == 0 {
-			if e, ok := err.(net.Error); ok && e.Timeout() && w.ctx.Err() == nil && s.serving() {
+			if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() && w.ctx.Err() == nil && s.serving() {
 				w.unanswered[how].Add(1)
 			}
 		}
-		c.Close()
+		closeConn(c)
 		time.Sleep(time.Duration(10+random.IntN(40)) * time.Millisecond)
 	}
 }
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -19,6 +19,7 @@
 	sidecar   int
 	server    *consul.Server
 	http      http.Server
+	served    chan struct{} // closed when nothing is accepted any more
 
 	mu      sync.Mutex
 	pending []pendingUpdate // changes that no answer has told of yet, in the order of their indexes
@@ -33,7 +34,7 @@
 
 // startConsulAgent serves at the address that the sidecar's discovery has otherwise.
 func startConsulAgent(n *tierDiscovery, sidecar int) (*consulAgent, error) {
-	a := &consulAgent{discovery: n, sidecar: sidecar}
+	a := &consulAgent{served: make(chan struct{}), discovery: n, sidecar: sidecar}
 	var all []consul.Instance
 	n.mu.Lock()
 	for _, i := range n.order {
@@ -45,22 +46,26 @@
 	if a.server, err = consul.Start("", all...); err != nil {
 		return nil, err
 	}
-	l, err := listen(n.rehearsal.consulAddress(sidecar))
+	l, err := n.rehearsal.listen(n.rehearsal.consulAddress(sidecar))
 	if err != nil {
 		a.server.Close()
 		return nil, err
 	}
 	a.http.Handler = a
-	go a.http.Serve(l)
+	go func() {
+		defer close(a.served)
+		_ = a.http.Serve(l) // ends with http.ErrServerClosed, for nothing else closes the listener
+	}()
 	return a, nil
 }
 
 func (c *consulAgent) close() {
-	c.http.Close()
+	_ = c.http.Close() // of the listener and its connections, which have no data that could be lost
+	<-c.served
 	c.server.Close()
 }
 
-// instance is a box as Consul has it: passing, critical while it drains, and not there at all once it has gone.
+// instance is a server as Consul has it: passing, critical while it drains, and not there at all once it has gone.
 func (c *consulAgent) instance(box int, e listEntry) consul.Instance {
 	w := c.discovery.rehearsal
 	b := &w.plan.Servers[box]
@@ -79,7 +84,7 @@
 	return i.WithAddress(w.serverAddress(b.Slot))
 }
 
-// update changes what Consul knows of a box.
+// update changes what Consul knows of a server.
 func (c *consulAgent) update(box int, e listEntry) {
 	uid := c.discovery.rehearsal.plan.Servers[box].UID
 	c.mu.Lock()
--- a/internal/rehearsal/rehearse/dial_test.go
+++ b/internal/rehearsal/rehearse/dial_test.go
@@ -1,6 +1,8 @@
 package rehearse
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"net"
 	"testing"
@@ -11,7 +13,7 @@
 type serverConn struct{ *net.TCPConn }
 
 func dialFor(address string, limit time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", address, limit)
+	return (&net.Dialer{Timeout: limit}).DialContext(context.Background(), "tcp", address)
 }
 
 func dialServer(t *testing.T, address string) serverConn {
@@ -20,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { closeConn(c) })
 	return serverConn{c.(*net.TCPConn)}
 }
 
@@ -35,9 +37,11 @@
 func (s serverConn) read(t *testing.T, limit time.Duration) string {
 	t.Helper()
 	b := make([]byte, 4096)
-	s.SetReadDeadline(time.Now().Add(limit))
+	if err := s.SetReadDeadline(time.Now().Add(limit)); err != nil {
+		return err.Error()
+	}
 	n, err := s.Read(b)
-	if e, ok := err.(net.Error); ok && e.Timeout() {
+	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 		return "nothing"
 	}
 	if err != nil {
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -13,14 +13,14 @@
 	"quincegap/internal/standin/booking"
 )
 
-// tierDiscovery is what discovery knows of the boxes of one tier.
+// tierDiscovery is what discovery knows of the servers of one tier.
 type tierDiscovery struct {
 	rehearsal *rehearsal
 	tier      int
 
 	mu           sync.Mutex
 	revision     uint64
-	entries      map[int]listEntry // by box
+	entries      map[int]listEntry // by server
 	order        []int
 	silent       bool
 	repeats      bool           // everything is said twice, and what was said before it once more in between
@@ -35,6 +35,7 @@
 	weightDeficit float64 // how much less than 1 it weighs, so that 0 is the usual
 }
 
+// newTierDiscovery returns what discovery knows at the start.
 func newTierDiscovery(w *rehearsal, tier int) *tierDiscovery {
 	n := &tierDiscovery{rehearsal: w, tier: tier, revision: 1, entries: map[int]listEntry{}, changed: make(chan struct{})}
 	for i, b := range w.plan.Servers {
@@ -46,7 +47,7 @@
 	return n
 }
 
-// update has discovery know of a box's state.
+// update has discovery know of a server's state.
 func (t *tierDiscovery) update(box int, state string, boot time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +62,7 @@
 	t.wakeWatchers()
 }
 
-// setWeight has discovery know of a box's weight.
+// setWeight has discovery know of a server's weight.
 func (t *tierDiscovery) setWeight(box int, weight float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +105,7 @@
 	Targets []booking.Target `json:"targets"`
 }
 
-// changesSince is what changed after a revision, or all for 0, with the boxes and states that it tells of. n.mu is held.
+// changesSince is what changed after a revision, or all for 0, with the servers and states that it tells of. n.mu is held.
 func (t *tierDiscovery) changesSince(rev uint64) (m listMessage, told map[int]string) {
 	m, told = listMessage{Rev: t.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
 	for _, i := range t.order {
@@ -139,16 +140,27 @@
 	sidecar   int
 	late      time.Duration
 	server    http.Server
+	served    chan struct{} // closed when nothing is accepted any more
 }
 
+// close ends the agent and all watches.
+func (d *discoveryAgent) close() {
+	_ = d.server.Close() // of the listener and its connections, which have no data that could be lost
+	<-d.served
+}
+
+// startDiscoveryAgent serves at the address that a sidecar is given.
 func startDiscoveryAgent(n *tierDiscovery, sidecar int, late time.Duration) (*discoveryAgent, error) {
-	l, err := listen(n.rehearsal.discoveryAddress(sidecar))
+	l, err := n.rehearsal.listen(n.rehearsal.discoveryAddress(sidecar))
 	if err != nil {
 		return nil, err
 	}
-	a := &discoveryAgent{discovery: n, sidecar: sidecar, late: late}
+	a := &discoveryAgent{served: make(chan struct{}), discovery: n, sidecar: sidecar, late: late}
 	a.server.Handler = a
-	go a.server.Serve(l)
+	go func() {
+		defer close(a.served)
+		_ = a.server.Serve(l) // ends with http.ErrServerClosed, for nothing else closes the listener
+	}()
 	return a, nil
 }
 
@@ -158,56 +170,103 @@
 		http.NotFound(w, r)
 		return
 	}
-	n := d.discovery
-	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
+	s := &discoveryWatch{agent: d, control: http.NewResponseController(w), encoder: json.NewEncoder(w), writer: w}
+	if since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64); err == nil {
+		s.since = since
+	}
 	watch := r.URL.Query().Get("follow") != ""
-	control, encoder := http.NewResponseController(w), json.NewEncoder(w)
-	tick := time.NewTicker(watchInterval)
-	defer tick.Stop()
-	var before listMessage
-	for first := true; ; first = false {
-		n.mu.Lock()
-		quiet, changed, again := n.silent, n.changed, n.repeats
-		if since > n.revision {
-			since = 0 // of another discovery
-		}
-		m, told := n.changesSince(since)
-		n.mu.Unlock()
-		if !quiet && (first || len(told) > 0) {
-			if encoder.Encode(m) != nil || again && !first && (encoder.Encode(before) != nil || encoder.Encode(m) != nil) || control.Flush() != nil {
-				return
-			}
-			before = m
-			now := n.rehearsal.now()
-			if n.rehearsal.plan.Discovery.Consul {
-				told = nil // what the platform says does not count
-			}
-			for box, state := range told {
-				n.rehearsal.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: d.sidecar, Server: box, Text: state, Origin: -1})
-			}
-			since = m.Rev
-			if !watch {
-				return
-			}
-		} else if first {
-			first = false // nothing has been said yet: the first word is still owed
+	unchanged := time.NewTicker(watchInterval)
+	defer unchanged.Stop()
+	for {
+		silent, changed, err := s.sendChanges()
+		if err != nil || s.sent && !watch {
+			return
 		}
 		select {
 		case <-changed:
-			select { // what changes meanwhile is told with it, less late
+			select { // what changes meanwhile is sent with it, less late
 			case <-time.After(d.late):
 			case <-r.Context().Done():
 				return
 			}
-		case <-tick.C:
-			if !quiet {
-				io.WriteString(w, "\n")
-				if control.Flush() != nil {
-					return
-				}
+		case <-unchanged.C:
+			if !silent && s.sendUnchanged() != nil {
+				return
 			}
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
+
+// discoveryWatch is one answer of an agent, which goes on as long as its caller follows.
+type discoveryWatch struct {
+	agent   *discoveryAgent
+	writer  io.Writer
+	encoder *json.Encoder
+	control *http.ResponseController
+	since   uint64 // the newest revision that was sent
+	looped  bool   // it has looked at the list before
+	sent    bool   // a list was
+	before  listMessage
+}
+
+// sendChanges sends what has changed, the whole list at first, unless discovery is silent. changed is closed at the next change.
+func (s *discoveryWatch) sendChanges() (silent bool, changed <-chan struct{}, err error) {
+	tier := s.agent.discovery
+	tier.mu.Lock()
+	silent, changed = tier.silent, tier.changed
+	repeats := tier.repeats
+	if s.since > tier.revision {
+		s.since = 0 // of another discovery
+	}
+	list, states := tier.changesSince(s.since)
+	tier.mu.Unlock()
+	if silent || s.looped && len(states) == 0 {
+		s.looped = true
+		return silent, changed, nil
+	}
+	if err := s.send(list, repeats && s.looped); err != nil {
+		return silent, changed, err
+	}
+	s.looped = true
+	s.sent = true
+	s.before = list
+	s.since = list.Rev
+	s.agent.recordNotifications(states)
+	return silent, changed, nil
+}
+
+// send writes a list; with repeat the one before and the same one once more after it.
+func (s *discoveryWatch) send(list listMessage, repeat bool) error {
+	lists := []listMessage{list}
+	if repeat {
+		lists = append(lists, s.before, list)
+	}
+	for _, l := range lists {
+		if err := s.encoder.Encode(l); err != nil {
+			return err
+		}
+	}
+	return s.control.Flush()
+}
+
+// sendUnchanged writes an empty line.
+func (s *discoveryWatch) sendUnchanged() error {
+	if _, err := io.WriteString(s.writer, "\n"); err != nil {
+		return err
+	}
+	return s.control.Flush()
+}
+
+// recordNotifications notes what the sidecar was notified of; where Consul has the list, what the platform says does not count.
+func (d *discoveryAgent) recordNotifications(states map[int]string) {
+	r := d.discovery.rehearsal
+	if r.plan.Discovery.Consul {
+		return
+	}
+	now := r.now()
+	for server, state := range states {
+		r.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: d.sidecar, Server: server, Text: state, Origin: -1})
+	}
+}
--- a/internal/rehearsal/rehearse/faultyproxy_test.go
+++ b/internal/rehearsal/rehearse/faultyproxy_test.go
@@ -84,7 +84,7 @@
 	first := make(chan bool)
 	go f.follow(config.Discovery, first)
 	<-first
-	listener, err := net.Listen("tcp", config.Listen)
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", config.Listen)
 	if err != nil {
 		return err
 	}
@@ -101,10 +101,15 @@
 
 // follow keeps the list; one that does not heed it keeps its first.
 func (f *faultyProxy) follow(address string, first chan bool) {
-	res, err := http.Get("http://" + address + "/v1/endpoints?follow=1&since=0")
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/v1/endpoints?follow=1&since=0", nil)
 	if err != nil {
 		log.Fatal(err)
 	}
+	res, err := http.DefaultClient.Do(request)
+	if err != nil {
+		log.Fatal(err)
+	}
+	defer func() { _ = res.Body.Close() }() // with the process, at the latest
 	lines := bufio.NewScanner(res.Body)
 	for lines.Scan() {
 		var m listMessage
@@ -154,7 +159,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }() // it has been read to its end
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, nil
@@ -172,113 +177,170 @@
 		}
 		return
 	}
-	n := f.asked.Add(1)
-	io.Copy(io.Discard, r.Body)
+	number := f.asked.Add(1)
+	if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		return
+	}
+	x := f.newExchange(w, r, number)
+	play := proxyFaults[f.fault]
+	if play == nil {
+		play = (*exchange).honest // also deaf and drains
+	}
+	play(x)
+}
+
+// exchange is a request to the proxy, with the servers that it may go to.
+type exchange struct {
+	proxy          *faultyProxy
+	w              http.ResponseWriter
+	r              *http.Request
+	number         int64
+	ready          []booking.Target
+	to, other, far booking.Target // at random, another one, and one of another cell
+	left           time.Duration
+}
+
+func (f *faultyProxy) newExchange(w http.ResponseWriter, r *http.Request, number int64) *exchange {
 	ready := f.ready()
 	at := rand.IntN(len(ready))
-	to, other := ready[at], ready[(at+1)%len(ready)]
-	far := to
+	x := &exchange{proxy: f, w: w, r: r, number: number, ready: ready, to: ready[at], other: ready[(at+1)%len(ready)]}
+	x.far = x.to
 	for _, t := range ready {
-		if t.Cell != to.Cell {
-			far = t
+		if t.Cell != x.to.Cell {
+			x.far = t
 		}
 	}
-	left, _ := parseRemaining(r.Header.Get("X-Remaining"))
-	ctx := context.Background()
-	say := func(status int, body []byte) {
-		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
-		w.WriteHeader(status)
-		w.Write(body)
+	if left, err := parseRemaining(r.Header.Get("X-Remaining")); err == nil {
+		x.left = left
 	}
-	raw := func() net.Conn {
-		c, _, err := w.(http.Hijacker).Hijack()
-		if err != nil {
-			log.Fatal(err)
-		}
-		return c
-	}
-	whole := func(body []byte) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	return x
+}
+
+// send sends the request to a server, whether or not the caller is still there.
+func (x *exchange) send(to booking.Target) (int, []byte) {
+	return x.proxy.attempt(context.WithoutCancel(x.r.Context()), x.r, to)
+}
+
+// answer answers the caller.
+func (x *exchange) answer(status int, body []byte) {
+	x.w.Header().Set("Content-Length", fmt.Sprint(len(body)))
+	x.w.WriteHeader(status)
+	_, _ = x.w.Write(body) // the caller may have gone
+}
+
+// raw takes the connection of the caller.
+func (x *exchange) raw() net.Conn {
+	c, _, err := x.w.(http.Hijacker).Hijack()
+	if err != nil {
+		log.Fatal(err)
 	}
-	switch f.fault {
-	case "silent":
-		<-r.Context().Done()
-	case "hang":
-		select {}
-	case "late":
-		status, body := f.attempt(ctx, r, to)
-		time.Sleep(left + 65*time.Millisecond)
-		say(status, body)
-	case "closes":
-		f.attempt(ctx, r, to)
-		raw().Close()
-	case "invents":
-		say(200, []byte("your trip is booked\n"))
-	case "stale": // the answer to another request
-		_, body := f.attempt(ctx, r, to)
-		say(200, []byte(strings.Replace(string(body), "served r", "served r1", 1)))
-	case "doubles":
-		_, body := f.attempt(ctx, r, to)
-		c := raw()
-		io.WriteString(c, whole(body)+whole(body))
-		time.Sleep(100 * time.Millisecond)
-		c.Close()
-	case "twice":
-		go f.attempt(ctx, r, other)
-		say(f.attempt(ctx, r, to))
-	case "again": // an answer is thrown away
-		f.attempt(ctx, r, to)
+	return c
+}
+
+// proxyFaults are what a proxy does instead of sending a request once and answering it, by name.
+var proxyFaults = map[string]func(x *exchange){
+	"silent": func(x *exchange) { <-x.r.Context().Done() },
+	"hang":   func(*exchange) { select {} },
+	"late": func(x *exchange) {
+		status, body := x.send(x.to)
+		time.Sleep(x.left + 65*time.Millisecond)
+		x.answer(status, body)
+	},
+	"closes": func(x *exchange) {
+		x.send(x.to)
+		closeConn(x.raw())
+	},
+	"invents": func(x *exchange) { x.answer(http.StatusOK, []byte("your trip is booked\n")) },
+	"stale": func(x *exchange) { // the answer to another request
+		_, body := x.send(x.to)
+		x.answer(http.StatusOK, []byte(strings.Replace(string(body), "served r", "served r1", 1)))
+	},
+	"doubles":   (*exchange).doubles,
+	"withdraws": (*exchange).withdraws,
+	"cold":      (*exchange).toNewest,
+	"crash":     (*exchange).crash,
+	"twice": func(x *exchange) {
+		go x.send(x.other)
+		x.answer(x.send(x.to))
+	},
+	"again": func(x *exchange) { // an answer is thrown away
+		x.send(x.to)
 		time.Sleep(5 * time.Millisecond)
-		say(f.attempt(ctx, r, to))
-	case "withdraws": // and sends again at once
-		short, cancel := context.WithTimeout(ctx, 5*time.Millisecond)
-		status, _ := f.attempt(short, r, to)
-		cancel()
-		if status == 0 {
-			say(f.attempt(ctx, r, other))
-		} else {
-			say(502, nil)
-		}
-	case "far":
-		f.attempt(ctx, r, to)
-		say(f.attempt(ctx, r, far))
-	case "refuses":
-		f.attempt(ctx, r, to)
-		say(503, nil)
-	case "after":
-		status, body := f.attempt(ctx, r, to)
-		say(status, body)
-		w.(http.Flusher).Flush()
+		x.answer(x.send(x.to))
+	},
+	"far": func(x *exchange) {
+		x.send(x.to)
+		x.answer(x.send(x.far))
+	},
+	"refuses": func(x *exchange) {
+		x.send(x.to)
+		x.answer(http.StatusServiceUnavailable, nil)
+	},
+	"after": func(x *exchange) {
+		x.answer(x.send(x.to))
+		x.w.(http.Flusher).Flush()
 		time.Sleep(120 * time.Millisecond)
-		f.attempt(ctx, r, to)
-	case "many":
+		x.send(x.to)
+	},
+	"many": func(x *exchange) {
 		for range 8 {
-			f.attempt(ctx, r, to)
-		}
-		say(f.attempt(ctx, r, to))
-	case "cold": // all to the newest
-		newest := ready[0]
-		for _, t := range ready {
-			if t.BootMS > newest.BootMS {
-				newest = t
-			}
-		}
-		status, body := f.attempt(ctx, r, newest)
-		say(max(status, 429), body)
-	case "crash":
-		if n == 10 {
-			panic(http.ErrAbortHandler)
+			x.send(x.to)
 		}
-		if n == 20 {
-			fmt.Fprintln(os.Stderr, "cannot go on")
-			os.Exit(7)
-		}
-		say(f.attempt(ctx, r, to))
-	default: // honest, deaf, drains
-		status, body := f.attempt(ctx, r, to)
-		if status == 0 {
-			status = 502
+		x.answer(x.send(x.to))
+	},
+}
+
+// doubles answers twice.
+func (x *exchange) doubles() {
+	_, body := x.send(x.to)
+	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	c := x.raw()
+	_, _ = io.WriteString(c, answer+answer) // the caller may have gone
+	time.Sleep(100 * time.Millisecond)
+	closeConn(c)
+}
+
+// withdraws cancels its attempt, and sends again at once.
+func (x *exchange) withdraws() {
+	short, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), 5*time.Millisecond)
+	status, _ := x.proxy.attempt(short, x.r, x.to)
+	cancel()
+	if status == 0 {
+		x.answer(x.send(x.other))
+	} else {
+		x.answer(http.StatusBadGateway, nil)
+	}
+}
+
+// toNewest sends all to the server that has started last.
+func (x *exchange) toNewest() {
+	newest := x.ready[0]
+	for _, t := range x.ready {
+		if t.BootMS > newest.BootMS {
+			newest = t
 		}
-		say(status, body)
 	}
+	status, body := x.send(newest)
+	x.answer(max(status, http.StatusTooManyRequests), body)
+}
+
+// crash ends the proxy amid its work.
+func (x *exchange) crash() {
+	if x.number == 10 {
+		panic(http.ErrAbortHandler)
+	}
+	if x.number == 20 {
+		fmt.Fprintln(os.Stderr, "cannot go on")
+		os.Exit(7)
+	}
+	x.answer(x.send(x.to))
+}
+
+// honest sends once, and answers what came.
+func (x *exchange) honest() {
+	status, body := x.send(x.to)
+	if status == 0 {
+		status = http.StatusBadGateway
+	}
+	x.answer(status, body)
 }
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/standin/h3"
 )
 
-// serverCertificateName is in the certificates of boxes that speak HTTP/3.
+// serverCertificateName is in the certificates of servers that speak HTTP/3.
 const serverCertificateName = "boxes.rehearsal.example.org"
 
 // stream is an attempt that came over HTTP/3. Its handler waits for what is to be said.
@@ -43,7 +43,7 @@
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		w.WriteHeader(status)
-		io.WriteString(w, body)
+		_, _ = io.WriteString(w, body) // the sidecar may have gone
 	})
 }
 
@@ -51,8 +51,8 @@
 func (s *stream) garble() {
 	s.respond(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Length", "500")
-		io.WriteString(w, "served")
-		http.NewResponseController(w).Flush()
+		_, _ = io.WriteString(w, "served")        // the stream is aborted in any case,
+		_ = http.NewResponseController(w).Flush() // once this is out
 		panic(http.ErrAbortHandler)
 	})
 }
@@ -61,7 +61,7 @@
 	s.respond(func(w http.ResponseWriter) { h3.ResetStream(w, qh3.ErrCodeInternalError) })
 }
 
-// startHTTP3 has the box speak HTTP/3 beside HTTP/1.1, where its tier does.
+// startHTTP3 has the server speak HTTP/3 beside HTTP/1.1, where its tier does.
 func (b *server) startHTTP3(life int) error {
 	if !b.rehearsal.plan.Tiers[b.spec.Tier].HTTP3 {
 		return nil
@@ -81,7 +81,7 @@
 func (b *server) stopHTTP3() {
 	for s, k := range b.streams {
 		b.finish(k, audit.Dropped)
-		s.respond(func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
+		s.respond(func(http.ResponseWriter) { panic(http.ErrAbortHandler) })
 		delete(b.streams, s)
 	}
 	if e := b.http3Endpoint; e != nil {
@@ -110,7 +110,7 @@
 	if b.incarnation == life {
 		b.streams[s] = k
 	}
-	b.beginAttempt(k, first, r.Header)
+	b.beginAttempt(k, first)
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// createCertificate makes the certificate of all boxes, and a file with its authority for sidecars; the file's name is returned.
+// createCertificate makes the certificate of all servers, and a file with its authority for sidecars; the file's name is returned.
 func (w *rehearsal) createCertificate(dir string) (string, error) {
 	a, err := authority.New()
 	if err != nil {
@@ -150,7 +150,7 @@
 	return false
 }
 
-// http3File is what the product's file of a sidecar says whose boxes speak HTTP/3.
+// http3File is what the product's file of a sidecar says whose servers speak HTTP/3.
 const http3File = `[http3-endpoints]
 http3_to_endpoints = "prefer"
 http3_ca_file = %q
@@ -159,7 +159,7 @@
 
 `
 
-// awaitPreviousEnd waits until an earlier life of the box has let go of its UDP socket.
+// awaitPreviousEnd waits until an earlier incarnation of the server has let go of its UDP socket.
 func (b *server) awaitPreviousEnd(ctx context.Context) {
 	b.mu.Lock()
 	dying := b.previousEnded
--- a/internal/rehearsal/rehearse/rehearsal.go
+++ b/internal/rehearsal/rehearse/rehearsal.go
@@ -1,10 +1,3 @@
-// Package rehearse plays a morning on sockets: boxes on the models of
-// internal/rehearsal/emulator, callers, discovery, and real sidecars as processes of their
-// own. All that crosses a socket is noted, and judged by internal/rehearsal/audit.
-//
-// Everything stays on loopback: a rehearsal takes one network 127.A.0.0/16 for
-// itself, so that each box has an address of its own and two rehearsals on one
-// machine do not meet.
 package rehearse
 
 import (
@@ -36,7 +29,7 @@
 	guard       net.Listener
 
 	links       *relay.Network   // between sidecars that find one another; nil where they do not
-	certificate *tls.Certificate // of boxes that speak HTTP/3; nil where none does
+	certificate *tls.Certificate // of servers that speak HTTP/3; nil where none does
 	authority   string           // the file with who signed it
 
 	attempts        atomic.Uint64 // numbers them
@@ -49,14 +42,15 @@
 	servers       []*server
 	discovery     []*tierDiscovery // by tier
 	rotation      rotation
-	sidecars      []*sidecar // those of the first tier, then one for each box that calls
+	sidecars      []*sidecar // those of the first tier, then one for each server that calls
 	sidecarOf     map[int]*sidecar
-	faultyCallers atomic.Int64                     // how many rude callers are wanted
-	unanswered    [faultyRequestCount]atomic.Int64 // rude callers that got neither an answer nor a close, by what they did
+	faultyCallers atomic.Int64                     // how many faulty callers are wanted
+	unanswered    [faultyRequestCount]atomic.Int64 // faulty callers that got neither an answer nor a close, by what they did
 	calls         sync.WaitGroup
 	counters      counters
 }
 
+// newRehearsal returns a rehearsal whose clock has not begun.
 func newRehearsal(ctx context.Context, plan *morning.Plan) *rehearsal {
 	w := &rehearsal{plan: plan, createdAt: time.Now(), ctx: ctx, attemptsSeen: map[string]int{}, memories: map[[2]int]*emulator.KeyMemory{}, effects: map[string]int{}, sidecarOf: map[int]*sidecar{}}
 	w.clockOffset.Store(int64(beforeStart))
@@ -87,7 +81,7 @@
 // claimNetwork takes a network that no other rehearsal on this machine has.
 func (w *rehearsal) claimNetwork() error {
 	for a := firstNetwork; a <= lastNetwork; a++ {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", a, port))
+		l, err := w.listen(fmt.Sprintf("127.%d.255.254:%d", a, port))
 		if err == nil {
 			w.network, w.guard = a, l
 			return nil
@@ -124,7 +118,15 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", w.network, consulRow, i+firstHost, port)
 }
 
-func listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+// listen listens on TCP.
+func (w *rehearsal) listen(address string) (net.Listener, error) {
+	return new(net.ListenConfig).Listen(w.ctx, "tcp", address)
+}
+
+// dial connects on TCP.
+func (w *rehearsal) dial(address string, timeout time.Duration) (net.Conn, error) {
+	return (&net.Dialer{Timeout: timeout}).DialContext(w.ctx, "tcp", address)
+}
 
 // countAttempt numbers the attempts of one request, from 1.
 func (w *rehearsal) countAttempt(request string) int {
@@ -134,7 +136,7 @@
 	return w.attemptsSeen[request]
 }
 
-// recordExecution notes that a keyed request runs at a box.
+// recordExecution notes that a keyed request runs at a server.
 func (w *rehearsal) recordExecution(b *server, key string, class *morning.Class) {
 	if key == "" || class == nil {
 		return
@@ -167,7 +169,7 @@
 }
 
 // The emulator watches itself: a tick that comes late tells that this process did not get the processor, and what
-// boxes and callers did then is not to be believed.
+// servers and callers did then is not to be believed.
 const (
 	watchTick     = 5 * time.Millisecond
 	lateThreshold = 20 * time.Millisecond
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"io"
 	"os"
 	"slices"
 	"strings"
@@ -58,14 +58,38 @@
 	return r, events
 }
 
+// proxyCase is a proxy that breaks a rule in some way.
+type proxyCase struct {
+	lie, script string
+	rule        audit.Rule
+	want        string // in a breach; empty if there is to be none
+}
+
+// check fails the test unless the rule is found to be broken, and no other.
+func (c *proxyCase) check(t *testing.T, v *audit.Verdict) {
+	t.Helper()
+	if c.want == "" {
+		if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < 0.99 {
+			t.Errorf("service %v, %v, %v", v.Service, v.Breaches, v.Crashes)
+		}
+		return
+	}
+	ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return b.Rule == c.rule && strings.Contains(b.Message, c.want) })
+	if !ok || v.BreachesByRule[c.rule] == 0 {
+		t.Errorf("not caught: %v", v.Breaches[:min(5, len(v.Breaches))])
+	}
+	for rule, n := range v.BreachesByRule {
+		// The second answer and what comes after an answer are seen by the next rule too, or not.
+		if audit.Rule(rule) != c.rule && n > 0 && c.lie != "after" {
+			t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, v.Breaches[:min(5, len(v.Breaches))])
+		}
+	}
+}
+
 // Each way to break a rule is caught on sockets, by its rule and in its words; an honest proxy is not blamed.
 func TestFaultyProxies(t *testing.T) {
 	const fewSlots = "at 10ms: all boxes refuse 100% of calls for 5s\n"
-	for _, c := range []struct {
-		lie, script string
-		rule        audit.Rule
-		want        string
-	}{
+	for _, c := range []proxyCase{
 		{"honest", keyed, 0, ""},
 		{"silent", safe, audit.FinalAnswer, "no answer in"},
 		{"late", safe, audit.FinalAnswer, "after the request's time"},
@@ -93,26 +117,10 @@
 				script = strings.Replace(small, "work 10ms", "work 150ms", 1)
 			}
 			r, _ := rehearse(t, c.lie, script+c.script)
-			v := r.Verdict
-			if v.VoidReason != "" {
-				t.Skip(v.VoidReason) // this machine is too busy to tell
-			}
-			if c.want == "" {
-				if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < 0.99 {
-					t.Errorf("service %v, %v, %v", v.Service, v.Breaches, v.Crashes)
-				}
-				return
-			}
-			ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return b.Rule == c.rule && strings.Contains(b.Message, c.want) })
-			if !ok || v.BreachesByRule[c.rule] == 0 {
-				t.Errorf("not caught: %v", v.Breaches[:min(5, len(v.Breaches))])
-			}
-			for rule, n := range v.BreachesByRule {
-				// The second answer and what comes after an answer are seen by the next rule too, or not.
-				if audit.Rule(rule) != c.rule && n > 0 && c.lie != "after" {
-					t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, v.Breaches[:min(5, len(v.Breaches))])
-				}
+			if r.Verdict.VoidReason != "" {
+				t.Skip(r.Verdict.VoidReason) // this machine is too busy to tell
 			}
+			c.check(t, r.Verdict)
 		})
 	}
 }
@@ -241,7 +249,11 @@
 	if err := w.claimNetwork(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.guard.Close() })
+	t.Cleanup(func() {
+		if err := w.guard.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	w.clockOffset.Store(0)
 	w.clockOffset.Store(int64(w.now()))
 	b := newServer(w, 0)
@@ -268,7 +280,7 @@
 		t.Errorf("a silent machine says %q", got)
 	}
 	if c, err := dialFor(address, 200*time.Millisecond); err == nil {
-		c.Close()
+		closeConn(c)
 		t.Error("a connection to a silent machine comes up")
 	} else if !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a connection to a silent machine is refused: %v", err)
@@ -313,8 +325,13 @@
 		t.Errorf("no load report: %q", got)
 	}
 	// Half a request, and the end: it never ran.
-	fmt.Fprint(one, "POST /trips HTTP/1.1\r\nHost: a\r\nX-Txn: r5t1\r\nX-Lane: ask\r\nContent-Length: 99\r\n\r\nhalf")
-	one.CloseWrite()
+	half := "POST /trips HTTP/1.1\r\nHost: a\r\nX-Txn: r5t1\r\nX-Lane: ask\r\nContent-Length: 99\r\n\r\nhalf"
+	if _, err := io.WriteString(one, half); err != nil {
+		t.Fatal(err)
+	}
+	if err := one.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
 	one.read(t, time.Second)
 	events, _ := w.log.Events()
 	if !slices.ContainsFunc(events, func(e audit.Event) bool {
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -37,7 +37,7 @@
 	Verdict                 *audit.Verdict
 	CPU                     time.Duration // of all sidecars together
 	Memory                  int64         // of the largest, in bytes
-	UnansweredFaultyCallers int64         // rude callers that got neither an answer nor a close in time
+	UnansweredFaultyCallers int64         // faulty callers that got neither an answer nor a close in time
 	UnansweredInputs        []string
 	HTTP3                   int64 // attempts that came over HTTP/3
 	// Processes are the sidecars' that were started; all have ended.
@@ -58,7 +58,7 @@
 }
 
 // Run plays a plan. It returns an error where it could not be played; a sidecar that does wrong is in the verdict.
-func Run(ctx context.Context, plan *morning.Plan, o Options) (result *Result, err error) {
+func Run(ctx context.Context, plan *morning.Plan, options Options) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := newRehearsal(ctx, plan)
@@ -68,45 +68,24 @@
 	if err := w.claimNetwork(); err != nil {
 		return nil, err
 	}
-	defer w.guard.Close()
-	path, err := filepath.Abs(o.Program)
+	defer func() { err = errors.Join(err, w.guard.Close()) }()
+	program, err := findProgram(&options)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := os.Stat(path); err != nil {
-		return nil, fmt.Errorf("the sidecar's program: %w (make builds it)", err)
-	}
-	program := newProgram(path, o.Dir)
-	program.env = o.Env
 	defer close(program.starter)
-	w.createSidecars(plan)
-	for i := range plan.Tiers {
-		w.discovery = append(w.discovery, newTierDiscovery(w, i))
-	}
-	for i := range plan.Servers {
-		w.servers = append(w.servers, newServer(w, i))
-	}
-	defer func() {
-		for _, b := range w.servers {
-			b.stop()
-		}
-	}()
-	if w.usesHTTP3() {
-		if w.authority, err = w.createCertificate(o.Dir); err != nil {
-			return nil, err
-		}
+	defer w.stopServers()
+	if err := w.create(ctx, options.Dir); err != nil {
+		return nil, err
 	}
-	if plan.Sidecars.Peers {
-		if err := w.startLinks(); err != nil {
-			return nil, err
-		}
+	if w.links != nil {
 		defer w.links.Close()
 	}
-	defer func() { w.endAll(program) }() // also where it could not all be started: no process is left
+	defer w.endAll() // also where it could not all be started: no process is left
 	if err := w.startAll(ctx, program); err != nil {
 		return nil, err
 	}
-	w.play(ctx, program, o.Progress)
+	w.play(ctx, program, options.Progress)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -116,17 +95,66 @@
 		result.DivergentViews = w.waitForOneView(ctx, program)
 	}
 	cancel()
-	w.endAll(program)
+	w.endAll()
 	w.calls.Wait()
+	w.judge(result, options.Events)
+	return result, nil
+}
+
+// findProgram returns the sidecar to start; the error says how to build it.
+func findProgram(options *Options) (*program, error) {
+	path, err := filepath.Abs(options.Program)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := os.Stat(path); err != nil {
+		return nil, fmt.Errorf("the sidecar's program: %w (make builds it)", err)
+	}
+	p := newProgram(path, options.Dir)
+	p.env = options.Env
+	return p, nil
+}
+
+// create makes all that there ever is, without starting it.
+func (w *rehearsal) create(ctx context.Context, dir string) (err error) {
+	w.createSidecars(w.plan)
+	for tier := range w.plan.Tiers {
+		w.discovery = append(w.discovery, newTierDiscovery(w, tier))
+	}
+	for index := range w.plan.Servers {
+		w.servers = append(w.servers, newServer(w, index))
+	}
+	if w.usesHTTP3() {
+		if w.authority, err = w.createCertificate(dir); err != nil {
+			return err
+		}
+	}
+	if w.plan.Sidecars.Peers {
+		return w.startLinks() //nolint:contextcheck // the relays end with Close, which waits for them
+	}
+	return ctx.Err()
+}
+
+// stopServers ends all servers.
+func (w *rehearsal) stopServers() {
+	for _, server := range w.servers {
+		server.stop()
+	}
+}
+
+// judge judges what has been seen, and adds up what the sidecars used. All have ended.
+func (w *rehearsal) judge(result *Result, eventsTo func([]audit.Event)) {
 	events, lost := w.log.Events()
-	if o.Events != nil {
-		o.Events(events)
+	if eventsTo != nil {
+		eventsTo(events)
 	}
-	rules := plan.AuditRules()
+	rules := w.plan.AuditRules()
 	for _, s := range w.sidecars {
 		rules.Sidecars = append(rules.Sidecars, s.name)
 	}
-	result.Verdict, result.RepeatedEffects, result.HTTP3 = audit.Judge(rules, events, lost), w.repeatedEffects, w.counters.http3.Load()
+	result.Verdict = audit.Judge(rules, events, lost)
+	result.RepeatedEffects = w.repeatedEffects
+	result.HTTP3 = w.counters.http3.Load()
 	for i := range w.unanswered {
 		if n := w.unanswered[i].Load(); n > 0 {
 			result.UnansweredFaultyCallers += n
@@ -138,10 +166,9 @@
 		result.CPU += s.cpu
 		result.Memory = max(result.Memory, s.memory)
 	}
-	return result, nil
 }
 
-// startAll starts all that is there from the beginning: boxes, discovery, then the sidecars, those behind first.
+// startAll starts all that is there from the beginning: servers, discovery, then the sidecars, those behind first.
 func (w *rehearsal) startAll(ctx context.Context, p *program) error {
 	for i, b := range w.servers {
 		if w.plan.Servers[i].StartsAt == 0 {
@@ -159,7 +186,7 @@
 			continue
 		}
 		n := w.discovery[s.tier]
-		if s.consulAgent, err = startConsulAgent(n, i); err != nil {
+		if s.consulAgent, err = startConsulAgent(n, i); err != nil { //nolint:contextcheck // the agent ends with close, which waits for it
 			return err
 		}
 		n.mu.Lock()
@@ -170,7 +197,7 @@
 	errs := make([]error, len(w.sidecars))
 	for i, s := range w.sidecars {
 		if box := w.serverOf(s); box >= 0 && w.plan.Servers[box].StartsAt > 0 {
-			continue // it starts with its box
+			continue // it starts with its server
 		}
 		wg.Go(func() { errs[i] = s.start(ctx, p) })
 	}
@@ -184,7 +211,7 @@
 	return nil
 }
 
-// serverOf is the box whose calls go through a sidecar, or -1.
+// serverOf is the server whose calls go through a sidecar, or -1.
 func (w *rehearsal) serverOf(s *sidecar) int {
 	for box, o := range w.sidecarOf {
 		if o == s {
@@ -215,7 +242,7 @@
 			if s.At > w.plan.Length || !w.waitUntil(ctx, s.At) {
 				return
 			}
-			w.noteLate(w.now() - s.At) // a box that ought to be down by now takes calls
+			w.noteLate(w.now() - s.At) // a server that ought to be down by now takes calls
 			w.playStep(ctx, p, s, &steps)
 		}
 	})
@@ -248,90 +275,6 @@
 	}
 }
 
-// playStep plays one step of the plan.
-func (w *rehearsal) playStep(ctx context.Context, p *program, s morning.Step, steps *sync.WaitGroup) {
-	failed := func(err error) {
-		if err != nil && ctx.Err() == nil {
-			w.record(audit.Event{At: w.now(), Kind: audit.SidecarDied, Sidecar: s.Sidecar, Server: s.Server, Origin: -1, Text: err.Error()})
-		}
-	}
-	var b *server
-	if s.Kind <= morning.DiscoveryUpdate || s.Kind == morning.DiscoveryWeight {
-		b = w.servers[s.Server]
-	}
-	switch s.Kind {
-	case morning.ServerCrash:
-		if own := w.sidecarOf[s.Server]; own != nil {
-			own.signal("SIGKILL")
-		}
-		b.stop()
-	case morning.ServerSilence:
-		if own := w.sidecarOf[s.Server]; own != nil {
-			own.signal("SIGSTOP")
-		}
-		steps.Go(b.silence)
-	case morning.ServerStart:
-		b.stop()
-		if err := b.start(true); err != nil {
-			failed(fmt.Errorf("%s cannot start: %w", w.plan.Name(s.Server), err))
-			return
-		}
-		if own := w.sidecarOf[s.Server]; own != nil {
-			own.signal("SIGKILL") // it went silent with its box
-			own.mu.Lock()
-			own.stopped = false
-			own.mu.Unlock()
-			steps.Go(func() { failed(own.restart(ctx, p)) })
-		}
-	case morning.ServerPause, morning.ServerSlowdown:
-		b.mu.Lock()
-		if b.model != nil {
-			b.advance()
-			if s.Kind == morning.ServerPause {
-				b.model.Pause(w.now(), s.Until)
-			} else {
-				b.model.Slow(w.now(), s.Amount)
-			}
-			b.resetTimer()
-		}
-		b.mu.Unlock()
-	case morning.ServerFault:
-		b.mu.Lock()
-		b.faults[s.Name] = s.Amount
-		b.mu.Unlock()
-	case morning.DiscoveryUpdate:
-		w.discovery[w.plan.Servers[s.Server].Tier].update(s.Server, s.State, s.Boot)
-	case morning.DiscoveryWeight:
-		w.discovery[w.plan.Servers[s.Server].Tier].setWeight(s.Server, s.Amount)
-	case morning.DiscoveryRepeat:
-		for _, n := range w.discovery {
-			n.setRepeats(s.Amount > 0)
-		}
-	case morning.DiscoverySilence:
-		for _, n := range w.discovery {
-			n.setSilent(s.Amount > 0)
-		}
-	case morning.SidecarSignal:
-		w.sidecars[s.Sidecar].signal(s.Name)
-	case morning.SidecarRestart:
-		own := w.sidecars[s.Sidecar]
-		steps.Go(func() {
-			if err := own.restart(ctx, p); err != nil {
-				failed(err)
-				return
-			}
-			w.rotation.add(own)
-		})
-	case morning.LinkFault:
-		w.applyLinkFault(s)
-	case morning.FaultyCallerCount:
-		before := int(w.faultyCallers.Swap(int64(s.Amount)))
-		for i := before; i < int(s.Amount); i++ {
-			w.calls.Go(func() { w.runFaultyCaller(i) })
-		}
-	}
-}
-
 // findHanging finds sidecars that are there and do not answer.
 func (w *rehearsal) findHanging(ctx context.Context) {
 	for _, s := range w.sidecars {
@@ -339,14 +282,14 @@
 			select {
 			case <-s.ended:
 			default:
-				w.record(audit.Event{At: w.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: "hangs: GET /ready is not answered"})
+				s.recordDeath("hangs: GET /ready is not answered")
 			}
 		}
 	}
 }
 
 // endAll ends all sidecars and their discovery.
-func (w *rehearsal) endAll(p *program) {
+func (w *rehearsal) endAll() {
 	// A sidecar that was told to end waits for callers that are connected.
 	w.rotation.idle.close()
 	for _, s := range w.sidecars {
@@ -354,12 +297,12 @@
 	}
 	var wg sync.WaitGroup
 	for _, s := range w.sidecars {
-		wg.Go(func() { s.terminate(p) })
+		wg.Go(func() { s.terminate() })
 	}
 	wg.Wait()
 	for _, s := range w.sidecars {
 		if s.discovery != nil {
-			s.discovery.server.Close()
+			s.discovery.close()
 		}
 		if s.consulAgent != nil {
 			s.consulAgent.close()
--- a/internal/rehearsal/rehearse/server.go
+++ b/internal/rehearsal/rehearse/server.go
@@ -43,7 +43,7 @@
 
 	http3Endpoint *h3.Endpoint         // nil where its tier speaks HTTP/1.1 alone
 	streams       map[*stream]*attempt // that are open on it
-	previousEnded chan struct{}        // closed when an earlier life has let go of its UDP socket
+	previousEnded chan struct{}        // closed when an earlier incarnation has let go of its UDP socket
 	muted         atomic.Bool          // nothing comes to its UDP socket, and nothing leaves it
 }
 
@@ -52,11 +52,11 @@
 	net.Conn
 	server      *server
 	incarnation int
-	current     *attempt // that is out on it; box.mu guards it
+	current     *attempt // that is out on it; server.mu guards it
 }
 
 // responder is what an attempt came on: a connection of HTTP/1.1, or a stream of HTTP/3. Its methods are called with
-// box.mu held, and do not wait.
+// server.mu held, and do not wait.
 type responder interface {
 	answer(status int, turnedAway bool, load, body string)
 	garble()          // an answer that cannot be used
@@ -64,11 +64,11 @@
 	release(*attempt) // the call on it has ended
 }
 
-// callThrough is an attempt that a box works on.
+// callThrough is an attempt that a server works on.
 type attempt struct {
 	id             uint64 // of the attempt, and in the model
 	responder      responder
-	incarnation    int // of the box, when its connection began
+	incarnation    int // of the server, when its connection began
 	request        string
 	key            string
 	class          int
@@ -91,7 +91,7 @@
 	return b
 }
 
-// start brings the box up.
+// start brings the server up.
 func (b *server) start(cold bool) error {
 	b.awaitPreviousEnd(b.rehearsal.ctx)
 	address, err := net.ResolveTCPAddr("tcp", b.rehearsal.serverAddress(b.spec.Slot))
@@ -132,7 +132,7 @@
 		b.mu.Lock()
 		if b.incarnation != life || b.silent {
 			b.mu.Unlock()
-			c.Close()
+			closeConn(c)
 			return
 		}
 		k := &connection{Conn: c, server: b, incarnation: life}
@@ -150,14 +150,18 @@
 	}
 }
 
+// reset closes a connection with a reset.
 func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+	if tcp, ok := c.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails where the connection is closed already
 	}
-	c.Close()
+	closeConn(c)
 }
 
-// stop ends the box: its listener and connections, these with a reset. What it had in work is lost.
+// closeConn closes a connection that may be closed already: nothing is waiting to be written on it.
+func closeConn(c net.Conn) { _ = c.Close() }
+
+// stop ends the server: its listener and connections, these with a reset. What it had in work is lost.
 func (b *server) stop() {
 	b.mu.Lock()
 	b.stopLocked()
@@ -170,11 +174,11 @@
 	b.model = nil
 	b.timer.Stop()
 	if b.listener != nil {
-		b.listener.Close()
+		_ = b.listener.Close() // open, or closed with nothing to lose
 		b.listener = nil
 	}
 	for _, c := range b.backlogFill {
-		c.Close()
+		closeConn(c)
 	}
 	b.backlogFill = nil
 	if b.wake != nil {
@@ -215,16 +219,16 @@
 	}
 	b.muted.Store(true)
 	l, life := b.listener, b.incarnation
-	l.SetDeadline(time.Unix(1, 0)) // accept returns, and takes no more
+	_ = l.SetDeadline(time.Unix(1, 0)) // accept returns, and takes no more; it has where the listener is closed
 	if raw, err := l.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // the backlog is filled below, whatever its length
 	}
 	accepting := b.accepting
 	b.mu.Unlock()
 	<-accepting // it would make room again
 	// One that does not come up in time may be this machine's slowness; two in a row are a backlog that is full.
 	for tries, failed := 0, 0; tries < 16 && failed < 2; tries++ {
-		c, err := net.DialTimeout("tcp", l.Addr().String(), 60*time.Millisecond)
+		c, err := b.rehearsal.dial(l.Addr().String(), 60*time.Millisecond)
 		if err != nil {
 			failed++
 			continue
@@ -233,7 +237,7 @@
 		b.mu.Lock()
 		if b.incarnation != life || !b.silent {
 			b.mu.Unlock()
-			c.Close()
+			closeConn(c)
 			return
 		}
 		b.backlogFill = append(b.backlogFill, c)
@@ -261,7 +265,7 @@
 	}
 }
 
-// restartAfterCollapse has the box's keeper start it again after a fall, if nothing has happened to it since. Discovery hears of it as
+// restartAfterCollapse has the server's keeper start it again after a fall, if nothing has happened to it since. Discovery hears of it as
 // of any start.
 func (b *server) restartAfterCollapse(life int) {
 	b.mu.Lock()
@@ -366,7 +370,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.calls[c.id] != c {
-		return // withdrawn meanwhile, or the box has ended
+		return // cancelled meanwhile, or the server has ended
 	}
 	b.advance()
 	c.afterCalls = true
@@ -423,18 +427,18 @@
 	if turnedAway {
 		extra += "X-Turned-Away: 1\r\n"
 	}
-	c.SetWriteDeadline(time.Now().Add(time.Second))
-	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), extra, body)
+	_ = c.SetWriteDeadline(time.Now().Add(time.Second))                                                                                // on a connection that is closed, writing fails as well
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), extra, body) // the sidecar may have gone: it is not told then
 }
 
 // garble is a head that cannot be read, and nothing behind it.
 func (c *connection) garble() {
-	io.WriteString(c, "HTTP/1.1 2oo \x00\x01 fine\r\nContent-Length: -7\r\n\r\n")
+	_, _ = io.WriteString(c, "HTTP/1.1 2oo \x00\x01 fine\r\nContent-Length: -7\r\n\r\n") // the sidecar may have gone
 }
 
 func (c *connection) reset() { reset(c.Conn) }
 
-// loadReport is the load of the box, where it tells of it.
+// loadReport is the load of the server, where it tells of it.
 func (b *server) loadReport() string {
 	if b.model == nil || b.spec.Spec.ReportEvery == 0 {
 		return ""
@@ -450,7 +454,7 @@
 // serve reads the requests of one connection.
 func (c *connection) serve() {
 	b := c.server
-	defer c.Close()
+	defer closeConn(c)
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -527,7 +531,7 @@
 	if req.URL.Path == "/health" && req.Header.Get("X-Txn") == "" {
 		if !b.silent {
 			b.addOverhead(30 * time.Microsecond)
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // the sidecar may have gone
 		}
 		return true
 	}
@@ -536,7 +540,7 @@
 	}
 	k := b.newAttempt(c, c.incarnation, req.Header)
 	c.current = k
-	return b.beginAttempt(k, first, req.Header)
+	return b.beginAttempt(k, first)
 }
 
 // newAttempt is an attempt that has come whole.
@@ -550,7 +554,7 @@
 }
 
 // beginAttempt notes an attempt, and has it served or not; false if its connection is to end. b.mu is held.
-func (b *server) beginAttempt(k *attempt, first time.Duration, h http.Header) bool {
+func (b *server) beginAttempt(k *attempt, first time.Duration) bool {
 	now := b.rehearsal.now()
 	b.rehearsal.counters.attempts.Add(1)
 	b.rehearsal.record(audit.Event{At: now, FirstByteAt: first, Kind: audit.AttemptReceived, Request: k.request, AttemptID: k.id, Server: b.index, Sidecar: -1, Origin: k.origin})
@@ -604,7 +608,7 @@
 	return time.Duration(f * float64(unit)), err
 }
 
-// arrivalOf reads the arrival from the id of a request that a caller of ours, or one of our boxes, has made.
+// arrivalOf reads the arrival from the id of a request that a caller of ours, or one of our servers, has made.
 func arrivalOf(request string) int {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(request, "r"), "t")
 	n, err := strconv.Atoi(digits)
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -27,13 +28,13 @@
 	name              string
 	address           string
 	tier              int           // that it sends to
-	notificationDelay time.Duration // behind others in what it hears of boxes
+	notificationDelay time.Duration // behind others in what it hears of servers
 	number            int           // among its tier's
 	count             int           // how many these are
 	config            string
 	discovery         *discoveryAgent
-	consulAgent       *consulAgent   // nil where the platform tells of boxes
-	idle              connectionPool // of the box before it
+	consulAgent       *consulAgent   // nil where the platform tells of servers
+	idle              connectionPool // of the server before it
 
 	mu       sync.Mutex
 	process  *exec.Cmd
@@ -57,6 +58,7 @@
 	starter chan func()
 }
 
+// newProgram returns a program with its starter, which ends when its channel is closed.
 func newProgram(path, dir string) *program {
 	p := &program{path: path, dir: dir, starter: make(chan func())}
 	go func() {
@@ -72,25 +74,9 @@
 func (s *sidecar) start(ctx context.Context, p *program) error {
 	s.mu.Lock()
 	s.starts++
-	seed, starts := uint64(s.index)<<32^s.rehearsal.plan.Seed, s.starts
+	starts := s.starts
 	s.mu.Unlock()
-	config := map[string]any{
-		"name": s.name, "listen": s.address, "discovery": s.rehearsal.discoveryAddress(s.index), "seed": fmt.Sprintf("%016x", seed+uint64(starts)),
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.rehearsal.plan.Sidecars.MemoryMB, "sockets": s.rehearsal.plan.Sidecars.Sockets},
-		"settings": s.rehearsal.plan.Settings(s.tier, s.number, s.count),
-	}
-	if starts > 1 {
-		n := s.rehearsal.discovery[s.tier]
-		n.mu.Lock()
-		config["known"], _ = n.changesSince(0)
-		n.mu.Unlock()
-	}
-	text, err := json.Marshal(config)
-	if err != nil {
-		return err
-	}
-	s.config = filepath.Join(p.dir, s.name+".json")
-	if err := os.WriteFile(s.config, text, 0o600); err != nil {
+	if err := s.writeSettings(p.dir, starts); err != nil {
 		return err
 	}
 	args, err := s.writeConfigFile(p.dir)
@@ -101,59 +87,110 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(p.path, args...)
-	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+s.config, "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
-	cmd.Env = append(cmd.Env, p.env...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	r, pipe := io.Pipe()
-	cmd.Stdout, cmd.Stderr = pipe, pipe
-	started := make(chan error, 1)
-	p.starter <- func() { started <- cmd.Start() }
-	if err := <-started; err != nil {
-		pipe.Close()
-		logs.Close()
-		return fmt.Errorf("%s cannot be started: %w", p.path, err)
+	output, input := io.Pipe()
+	cmd := p.command(s.config, args, input) //nolint:contextcheck // it ends by signals, not with a context
+	if err := p.start(cmd); err != nil {
+		return errors.Join(fmt.Errorf("%s cannot be started: %w", p.path, err), input.Close(), logs.Close())
 	}
 	ended := make(chan struct{})
 	s.mu.Lock()
-	s.process, s.ended, s.stopping, s.stopped = cmd, ended, false, false
+	s.process = cmd
+	s.ended = ended
+	s.stopping = false
+	s.stopped = false
 	s.pids = append(s.pids, cmd.Process.Pid)
 	s.mu.Unlock()
-	go func() {
-		defer logs.Close()
-		for lines := bufio.NewReader(r); ; {
-			line, err := lines.ReadString('\n')
-			io.WriteString(logs, line)
-			if line = strings.TrimSpace(line); line != "" {
-				s.mu.Lock()
-				s.lastLine = line
-				s.mu.Unlock()
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
-	go func() {
-		err := cmd.Wait()
-		pipe.Close()
-		s.mu.Lock()
-		told, last := s.stopping, s.lastLine
-		if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			s.memory = max(s.memory, use.Maxrss<<10)
+	go s.copyLog(output, logs)
+	go s.await(cmd, input, ended)
+	return s.waitReady(ctx, ended)
+}
+
+// writeSettings writes the file with the platform's settings; from the second start on it has the list that is known.
+func (s *sidecar) writeSettings(dir string, starts int) error {
+	plan := s.rehearsal.plan
+	seed := uint64(s.index)<<32 ^ plan.Seed
+	config := map[string]any{
+		"name": s.name, "listen": s.address, "discovery": s.rehearsal.discoveryAddress(s.index),
+		"seed":     fmt.Sprintf("%016x", seed+uint64(starts)),
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": plan.Sidecars.MemoryMB, "sockets": plan.Sidecars.Sockets},
+		"settings": plan.Settings(s.tier, s.number, s.count),
+	}
+	if starts > 1 {
+		tier := s.rehearsal.discovery[s.tier]
+		tier.mu.Lock()
+		config["known"], _ = tier.changesSince(0)
+		tier.mu.Unlock()
+	}
+	text, err := json.Marshal(config)
+	if err != nil {
+		return fmt.Errorf("settings of %s: %w", s.name, err)
+	}
+	s.config = filepath.Join(dir, s.name+".json")
+	return os.WriteFile(s.config, text, 0o600)
+}
+
+// command returns the process of a sidecar, which is not started. It ends by itself or by signals, not with a context: its end is
+// part of what is rehearsed.
+func (p *program) command(config string, args []string, output io.Writer) *exec.Cmd {
+	cmd := exec.CommandContext(context.Background(), p.path, args...)
+	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config, "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
+	cmd.Env = append(cmd.Env, p.env...)
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	cmd.Stdout = output
+	cmd.Stderr = output
+	return cmd
+}
+
+// start starts a process on the thread of the starter.
+func (p *program) start(cmd *exec.Cmd) error {
+	started := make(chan error, 1)
+	p.starter <- func() { started <- cmd.Start() }
+	return <-started
+}
+
+// copyLog copies what the process writes to its log, and keeps the last line.
+func (s *sidecar) copyLog(output io.Reader, logs io.WriteCloser) {
+	defer func() { _ = logs.Close() }() // the log is for people; what is judged doesn't depend on it
+	for lines := bufio.NewReader(output); ; {
+		line, err := lines.ReadString('\n')
+		_, _ = io.WriteString(logs, line) // likewise
+		if line = strings.TrimSpace(line); line != "" {
+			s.mu.Lock()
+			s.lastLine = line
+			s.mu.Unlock()
 		}
-		s.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		s.mu.Unlock()
-		if !told {
-			s.rehearsal.rotation.remove(s)
-			s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: fmt.Sprintf("ended by itself (%v); its last line: %s", exitText(err), last)})
+		if err != nil {
+			return
 		}
-		close(ended)
-	}()
-	return s.waitReady(ctx, ended)
+	}
 }
 
-// writeConfigFile writes the product's file where the morning needs one, and returns the arguments that name it.
+// await waits for the end of the process, and notes it where nobody has asked for it.
+func (s *sidecar) await(cmd *exec.Cmd, output io.Closer, ended chan<- struct{}) {
+	defer close(ended)
+	err := cmd.Wait()
+	_ = output.Close() // of a pipe in memory, which never fails
+	s.mu.Lock()
+	expected, last := s.stopping, s.lastLine
+	if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+		s.memory = max(s.memory, use.Maxrss<<10)
+	}
+	s.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+	s.mu.Unlock()
+	if !expected {
+		s.rehearsal.rotation.remove(s)
+		s.recordDeath(fmt.Sprintf("ended by itself (%v); its last line: %s", exitText(err), last))
+	}
+}
+
+// recordDeath notes that the sidecar ended by itself, or hangs.
+func (s *sidecar) recordDeath(text string) {
+	s.rehearsal.record(audit.Event{
+		At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: text,
+	})
+}
+
+// writeConfigFile writes the product's file where the scenario needs one, and returns the arguments that name it.
 func (s *sidecar) writeConfigFile(dir string) (args []string, err error) {
 	text, tier := "", s.rehearsal.plan.Tiers[s.tier]
 	if tier.HTTP3 {
@@ -172,6 +209,7 @@
 	return []string{"-config", path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
+// exitText words how a process ended.
 func exitText(err error) string {
 	if err == nil {
 		return "exit code 0"
@@ -179,6 +217,7 @@
 	return err.Error()
 }
 
+// readyTimeout is how long a sidecar has until it serves.
 const readyTimeout = 10 * time.Second
 
 // waitReady waits until the sidecar serves.
@@ -206,6 +245,7 @@
 	return s.lastLine
 }
 
+// readinessClient asks sidecars whether they are ready.
 var readinessClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 
 // answers tells whether GET /ready is answered 200.
@@ -218,8 +258,7 @@
 	if err != nil {
 		return false
 	}
-	res.Body.Close()
-	return res.StatusCode == http.StatusOK
+	return res.Body.Close() == nil && res.StatusCode == http.StatusOK
 }
 
 // serving tells whether its process is there and was not told to end.
@@ -242,32 +281,35 @@
 	process, ended := s.process.Process, s.ended
 	switch name {
 	case "SIGHUP":
-		process.Signal(syscall.SIGHUP)
+		sendSignal(process, syscall.SIGHUP)
 	case "SIGSTOP":
 		note(audit.SidecarKilled)
 		s.stopped, s.stopping = true, true
-		process.Signal(syscall.SIGSTOP)
+		sendSignal(process, syscall.SIGSTOP)
 		time.AfterFunc(failureNotice, func() { s.rehearsal.rotation.remove(s) })
 	case "SIGKILL":
 		note(audit.SidecarKilled)
 		s.stopping = true
-		process.Kill()
+		sendSignal(process, syscall.SIGKILL)
 		time.AfterFunc(failureNotice, func() { s.rehearsal.rotation.removeEnded(s, process) })
 	case "SIGTERM":
 		note(audit.SidecarStopping)
 		s.stopping = true
-		process.Signal(syscall.SIGTERM)
+		sendSignal(process, syscall.SIGTERM)
 		time.AfterFunc(drainNotice, func() { s.rehearsal.rotation.removeEnded(s, process) })
 		time.AfterFunc(s.rehearsal.plan.Rules.KillDelay, func() {
 			select {
 			case <-ended:
 			default:
-				process.Kill()
+				sendSignal(process, syscall.SIGKILL)
 			}
 		})
 	}
 }
 
+// sendSignal sends a signal to a process, which may have ended already: its end is waited for elsewhere.
+func sendSignal(process *os.Process, signal syscall.Signal) { _ = process.Signal(signal) }
+
 // drainNotice is how long new connections come to a sidecar that was told to end.
 const drainNotice = 300 * time.Millisecond
 
@@ -294,7 +336,7 @@
 		}
 	}
 	if stopped {
-		process.Process.Signal(syscall.SIGCONT)
+		sendSignal(process.Process, syscall.SIGCONT)
 		s.mu.Lock()
 		s.stopped, s.stopping = false, false
 		s.mu.Unlock()
@@ -310,10 +352,11 @@
 	return s.start(ctx, p)
 }
 
+// terminationMargin is how much longer than the platform lets it a sidecar has to end.
 const terminationMargin = 2 * time.Second
 
 // terminate ends the process for good. One that goes on after SIGTERM for longer than the platform lets it is killed, and said to hang.
-func (s *sidecar) terminate(p *program) {
+func (s *sidecar) terminate() {
 	s.mu.Lock()
 	process, ended, told, stopped := s.process, s.ended, s.stopping, s.stopped
 	s.stopping = true
@@ -327,15 +370,15 @@
 	default:
 	}
 	if stopped {
-		process.Process.Kill()
+		sendSignal(process.Process, syscall.SIGKILL)
 	} else if !told {
-		process.Process.Signal(syscall.SIGTERM)
+		sendSignal(process.Process, syscall.SIGTERM)
 	}
 	select {
 	case <-ended:
 	case <-time.After(s.rehearsal.plan.Rules.KillDelay + terminationMargin):
-		s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: "did not end after SIGTERM, and was killed"})
-		syscall.Kill(-process.Process.Pid, syscall.SIGKILL)
+		s.recordDeath("did not end after SIGTERM, and was killed")
+		_ = syscall.Kill(-process.Process.Pid, syscall.SIGKILL) // all that it has started, too; it may end just now
 		<-ended
 	}
 }
--- /dev/null
+++ b/internal/rehearsal/rehearse/steps.go
@@ -0,0 +1,110 @@
+package rehearse
+
+import (
+	"context"
+	"fmt"
+	"sync"
+
+	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/morning"
+)
+
+// playStep plays one step of the plan. What takes longer goes on among steps.
+func (w *rehearsal) playStep(ctx context.Context, p *program, step morning.Step, steps *sync.WaitGroup) {
+	switch step.Kind {
+	case morning.ServerCrash, morning.ServerSilence, morning.ServerStart, morning.ServerPause, morning.ServerSlowdown, morning.ServerFault:
+		w.playServerStep(ctx, p, &step, steps)
+	case morning.DiscoveryUpdate:
+		w.discovery[w.plan.Servers[step.Server].Tier].update(step.Server, step.State, step.Boot)
+	case morning.DiscoveryWeight:
+		w.discovery[w.plan.Servers[step.Server].Tier].setWeight(step.Server, step.Amount)
+	case morning.DiscoveryRepeat:
+		for _, tier := range w.discovery {
+			tier.setRepeats(step.Amount > 0)
+		}
+	case morning.DiscoverySilence:
+		for _, tier := range w.discovery {
+			tier.setSilent(step.Amount > 0)
+		}
+	case morning.SidecarSignal:
+		w.sidecars[step.Sidecar].signal(step.Name)
+	case morning.SidecarRestart:
+		sidecar := w.sidecars[step.Sidecar]
+		steps.Go(func() {
+			if err := sidecar.restart(ctx, p); err != nil {
+				w.recordFailure(ctx, &step, err)
+				return
+			}
+			w.rotation.add(sidecar)
+		})
+	case morning.LinkFault:
+		w.applyLinkFault(step)
+	case morning.FaultyCallerCount:
+		before := int(w.faultyCallers.Swap(int64(step.Amount)))
+		for i := before; i < int(step.Amount); i++ {
+			w.calls.Go(func() { w.runFaultyCaller(i) })
+		}
+	}
+}
+
+// recordFailure notes that a step could not be played, unless the rehearsal is over.
+func (w *rehearsal) recordFailure(ctx context.Context, step *morning.Step, err error) {
+	if err == nil || ctx.Err() != nil {
+		return
+	}
+	w.record(audit.Event{
+		At: w.now(), Kind: audit.SidecarDied, Sidecar: step.Sidecar, Server: step.Server, Origin: -1, Text: err.Error(),
+	})
+}
+
+// playServerStep plays a step that happens to a server, and to its sidecar with it.
+func (w *rehearsal) playServerStep(ctx context.Context, p *program, step *morning.Step, steps *sync.WaitGroup) {
+	server, sidecar := w.servers[step.Server], w.sidecarOf[step.Server]
+	switch step.Kind {
+	case morning.ServerCrash:
+		if sidecar != nil {
+			sidecar.signal("SIGKILL")
+		}
+		server.stop()
+	case morning.ServerSilence:
+		if sidecar != nil {
+			sidecar.signal("SIGSTOP")
+		}
+		steps.Go(server.silence)
+	case morning.ServerStart:
+		server.stop()
+		if err := server.start(true); err != nil {
+			w.recordFailure(ctx, step, fmt.Errorf("%s cannot start: %w", w.plan.Name(step.Server), err))
+			return
+		}
+		if sidecar != nil {
+			sidecar.signal("SIGKILL") // it went silent with its server
+			sidecar.mu.Lock()
+			sidecar.stopped = false
+			sidecar.mu.Unlock()
+			steps.Go(func() { w.recordFailure(ctx, step, sidecar.restart(ctx, p)) })
+		}
+	case morning.ServerPause, morning.ServerSlowdown:
+		server.slow(step)
+	default:
+		server.mu.Lock()
+		server.faults[step.Name] = step.Amount
+		server.mu.Unlock()
+	}
+}
+
+// slow has the model of a server pause, or change its speed.
+func (b *server) slow(step *morning.Step) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.model == nil {
+		return
+	}
+	b.advance()
+	if step.Kind == morning.ServerPause {
+		b.model.Pause(b.rehearsal.now(), step.Until)
+	} else {
+		b.model.Slow(b.rehearsal.now(), step.Amount)
+	}
+	b.resetTimer()
+}
