--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -178,7 +178,7 @@
 }
 
 func (t *consulRig) ready() (ready []string) {
-	m, err := admin.AskMembers(t.admin)
+	m, err := admin.AskMembers(t.t.Context(), t.admin)
 	if err != nil {
 		return nil
 	}
@@ -296,7 +296,7 @@
 		return all
 	})
 	tn.until("it says why", func() bool {
-		m, err := admin.AskMembers(tn.admin)
+		m, err := admin.AskMembers(tn.t.Context(), tn.admin)
 		return err == nil && len(m.Endpoints) == 3 && strings.Contains(m.Endpoints[0].Why, "not believed")
 	})
 	tn.awaitServed(200)
@@ -344,7 +344,7 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	tn.awaitReady("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
-	m, err := admin.AskMembers(tn.admin)
+	m, err := admin.AskMembers(tn.t.Context(), tn.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -135,7 +135,7 @@
 
 // view is a member's; false where it gives none.
 func (g *peersRig) view(i int) (peers.Report, bool) {
-	f, err := admin.AskPeers("unix:"+g.admin(i), false)
+	f, err := admin.AskPeers(g.t.Context(), "unix:"+g.admin(i), false)
 	return f.Own, err == nil
 }
 
@@ -289,7 +289,7 @@
 	g.start(0, 1, 3, 5, 6)
 	g.until("all are back", peers.Settled, all, all...)
 	calm()
-	f, err := admin.AskPeers("unix:"+g.admin(0), true)
+	f, err := admin.AskPeers(g.t.Context(), "unix:"+g.admin(0), true)
 	if err != nil || len(f.Others) != n-1 || len(f.Differences()) > 0 {
 		t.Errorf("all asked: %d others, %v, %v", len(f.Others), f.Differences(), err)
 	}
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -60,12 +60,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, err := AskMembers(address)
+		m, err := AskMembers(t.Context(), address)
 		if err != nil || m.Name != "front" || len(m.Endpoints) != 1 || m.Endpoints[0].UID != "a" {
 			t.Errorf("%s: %+v, %v", address, m, err)
 		}
 		stop()
-		if _, err := AskMembers(address); err == nil {
+		if _, err := AskMembers(t.Context(), address); err == nil {
 			t.Errorf("%s answers after its end", address)
 		}
 	}
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	defer stop()
-	if _, err := AskMembers(address); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := AskMembers(t.Context(), address); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Error(err)
 	}
 	c := dial(t, address)
--- a/internal/network/admin/client.go
+++ b/internal/network/admin/client.go
@@ -22,25 +22,25 @@
 )
 
 // AskMembers asks a sidecar for its endpoints.
-func AskMembers(address string) (m Members, err error) {
-	err = get(address, "members", &m)
+func AskMembers(ctx context.Context, address string) (m Members, err error) {
+	err = get(ctx, address, "members", &m)
 	return m, err
 }
 
 // AskPeers asks a sidecar for its view of the others; with all, for theirs too.
-func AskPeers(address string, all bool) (f peers.FleetReport, err error) {
+func AskPeers(ctx context.Context, address string, all bool) (f peers.FleetReport, err error) {
 	page := "peers"
 	if all {
 		page = "peers?all=1"
 	}
-	err = get(address, page, &f)
+	err = get(ctx, address, page, &f)
 	return f, err
 }
 
 // get reads a page. Its errors are those of the connection, or name the address and the sidecar's answer.
-func get(address, page string, into any) error {
+func get(ctx context.Context, address, page string, into any) error {
 	client := &http.Client{Timeout: askTimeout, Transport: newTransport(address)}
-	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://sidecar/"+page, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://sidecar/"+page, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/network/admin/example_test.go
+++ b/internal/network/admin/example_test.go
@@ -1,6 +1,7 @@
 package admin_test
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -26,7 +27,7 @@
 		return
 	}
 	defer stop()
-	members, err := admin.AskMembers(address)
+	members, err := admin.AskMembers(context.Background(), address)
 	fmt.Println(members.Name, len(members.Endpoints), err)
 	// Output: front-0 1 <nil>
 }
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -53,10 +53,10 @@
 	ask("peers")
 	ask("peers?all=1")
 	ask("other")
-	if got, err := AskMembers(address); err != nil || !reflect.DeepEqual(got, members) {
+	if got, err := AskMembers(t.Context(), address); err != nil || !reflect.DeepEqual(got, members) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
-	if got, err := AskPeers(address, true); err != nil || !reflect.DeepEqual(got, fleet) {
+	if got, err := AskPeers(t.Context(), address, true); err != nil || !reflect.DeepEqual(got, fleet) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
 	there = false
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -111,7 +111,7 @@
 			if !s.serving() {
 				continue
 			}
-			f, err := admin.AskPeers("unix:"+s.admin(p.dir), false)
+			f, err := admin.AskPeers(ctx, "unix:"+s.admin(p.dir), false)
 			r := f.Own
 			one = one && err == nil && r.Confidence == peers.Settled.String() && r.Instances == alive && r.OwnsName
 			fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n", s.name, r.Confidence, r.Ordinal, r.Instances, r.Reachable, r.GroupSize, err)
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -1,6 +1,7 @@
 package tool
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -27,8 +28,8 @@
 		Use: "members ADDRESS|FILE", Short: "Show a running sidecar's endpoints, who said so, and why one is not used", Args: cobra.ExactArgs(1),
 		Long: "members asks the admin listener of a running sidecar (unix:PATH or host:port, admin.admin_listen in its\n" +
 			"file), or reads a dump that members --json wrote.",
-		RunE: func(_ *cobra.Command, args []string) error {
-			m, err := readMembers(args[0])
+		RunE: func(cmd *cobra.Command, args []string) error {
+			m, err := readMembers(cmd.Context(), args[0])
 			if err != nil {
 				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
@@ -72,7 +73,7 @@
 }
 
 // readMembers asks the sidecar at an address, or reads a dump.
-func readMembers(at string) (m admin.Members, err error) {
+func readMembers(ctx context.Context, at string) (m admin.Members, err error) {
 	if info, err := os.Stat(at); err == nil && info.Mode().IsRegular() {
 		text, err := product.Read(at, maxDumpBytes)
 		if err != nil {
@@ -83,7 +84,7 @@
 	if !strings.HasPrefix(at, "unix:") && !strings.Contains(at, ":") {
 		return m, errors.New("is neither unix:PATH, nor host:port, nor a file")
 	}
-	return admin.AskMembers(at)
+	return admin.AskMembers(ctx, at)
 }
 
 // orDash is a text, or a dash for none.
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -20,8 +20,8 @@
 		Long: "peers asks the admin listener of a running sidecar (unix:PATH or host:port, admin.admin_listen in its\n" +
 			"file) for its view of the others (docs/operate/peers.md). With --all it has that one ask the others for theirs,\n" +
 			"shows them side by side, and ends with 1 where they differ.",
-		RunE: func(_ *cobra.Command, args []string) error {
-			f, err := admin.AskPeers(args[0], all)
+		RunE: func(cmd *cobra.Command, args []string) error {
+			f, err := admin.AskPeers(cmd.Context(), args[0], all)
 			if err != nil {
 				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
