--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/config/finding"
 	"quincegap/internal/modules/peers"
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
 	"quincegap/internal/rehearsal/rehearse"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // BenchmarkSevenInTenDie plays rehearsals/seven-in-ten-die.morning with sidecar processes that find one another, and with such
@@ -46,7 +46,7 @@
 func playSeven(b *testing.B, program, script string, found bool) {
 	b.Helper()
 	var list finding.List
-	m := morning.Read("seven", []byte(script), &list)
+	m := scenario.Read("seven", []byte(script), &list)
 	if m == nil {
 		b.Fatal(list.Err())
 	}
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -20,8 +20,8 @@
 	"quincegap/internal/config/finding"
 	"quincegap/internal/modules/peers"
 	"quincegap/internal/network/admin"
-	"quincegap/internal/rehearsal/morning"
 	"quincegap/internal/rehearsal/rehearse"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/relay"
 )
 
@@ -350,10 +350,10 @@
 // rehearseFaults plays faulty sidecars as a seed draws them.
 func rehearseFaults(t *testing.T, seed uint64) {
 	t.Helper()
-	lines := morning.RandomFaults(seed, 7, time.Second, 16*time.Second)
+	lines := scenario.RandomFaults(seed, 7, time.Second, 16*time.Second)
 	script := fmt.Sprintf(faultyMorning, strings.Join(lines, "\n"))
 	var found finding.List
-	m := morning.Read("faults", []byte(script), &found)
+	m := scenario.Read("faults", []byte(script), &found)
 	if m == nil {
 		t.Fatalf("%v\n%s", found.Err(), script)
 	}
--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -43,7 +43,7 @@
 		{"rehearse", "report"},
 		{"experiment", "fleet"},
 		{"dryrun"},
-		{"morning"},
+		{"scenario"},
 		{"emulator", "audit"},
 	}},
 	{"internal/standalone", [][]string{{"."}}},
--- a/internal/rehearsal/dryrun/callers.go
+++ b/internal/rehearsal/dryrun/callers.go
@@ -1,7 +1,7 @@
 package dryrun
 
 import (
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // playArrival plays one arrival: its attempts, with waits between them.
@@ -24,7 +24,7 @@
 			return
 		}
 		sidecar.handle(&call{
-			request: morning.RequestID(n, number), class: s.plan.Arrivals[n].Class, timeLeft: left, origin: n, callerAttempt: number,
+			request: scenario.RequestID(n, number), class: s.plan.Arrivals[n].Class, timeLeft: left, origin: n, callerAttempt: number,
 		}, retry)
 	}
 	attempt()
--- a/internal/rehearsal/dryrun/discovery.go
+++ b/internal/rehearsal/dryrun/discovery.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"quincegap/internal/balancer"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // The states of a server, as discovery has them.
@@ -64,9 +64,9 @@
 		Endpoint: id, MachineKind: spec.Tier, Cell: spec.Cell, Weight: known.weight, State: endpointStates[known.state],
 	}
 	switch bootTime := i.sim.plan.Discovery.BootTime; {
-	case known.boot == 0, bootTime == morning.BootTimeNone:
-	case bootTime == morning.BootTimeAhead:
-		entry.StartedAt = clockStart + known.boot + morning.BootTimeSkew
+	case known.boot == 0, bootTime == scenario.BootTimeNone:
+	case bootTime == scenario.BootTimeAhead:
+		entry.StartedAt = clockStart + known.boot + scenario.BootTimeSkew
 	default:
 		entry.StartedAt = clockStart + known.boot
 	}
--- a/internal/rehearsal/dryrun/dryrun_test.go
+++ b/internal/rehearsal/dryrun/dryrun_test.go
@@ -15,20 +15,20 @@
 
 	"quincegap/internal/config/finding"
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
-func read(tb testing.TB, name, text string) *morning.Scenario {
+func read(tb testing.TB, name, text string) *scenario.Scenario {
 	tb.Helper()
 	var found finding.List
-	m := morning.Read(name, []byte(text), &found)
+	m := scenario.Read(name, []byte(text), &found)
 	if m == nil {
 		tb.Fatal(found.Err())
 	}
 	return m
 }
 
-func run(tb testing.TB, plan *morning.Plan) *Result {
+func run(tb testing.TB, plan *scenario.Plan) *Result {
 	tb.Helper()
 	r, err := Run(plan)
 	if err != nil {
@@ -37,13 +37,13 @@
 	return r
 }
 
-func library(tb testing.TB) map[string]*morning.Scenario {
+func library(tb testing.TB) map[string]*scenario.Scenario {
 	tb.Helper()
 	names, err := filepath.Glob("../../../rehearsals/*.morning")
 	if err != nil || len(names) == 0 {
 		tb.Fatal("no rehearsals", err)
 	}
-	all := map[string]*morning.Scenario{}
+	all := map[string]*scenario.Scenario{}
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -183,7 +183,7 @@
 			text += fmt.Sprintf("at %dms: %s\n", 500+900*i+rapid.IntRange(0, 800).Draw(t, "when"), e)
 		}
 		var found finding.List
-		m := morning.Read("any", []byte(text), &found)
+		m := scenario.Read("any", []byte(text), &found)
 		if m == nil {
 			return // it asks for the impossible
 		}
--- a/internal/rehearsal/dryrun/example_test.go
+++ b/internal/rehearsal/dryrun/example_test.go
@@ -5,13 +5,13 @@
 
 	"quincegap/internal/config/finding"
 	"quincegap/internal/rehearsal/dryrun"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // A calm scenario in which every request is served in time.
 func Example() {
 	var found finding.List
-	scenario := morning.Read("calm", []byte("length 5s\ntier one boxes 4 work 10ms\nclass ask\ncallers rate 20/s\n"), &found)
+	scenario := scenario.Read("calm", []byte("length 5s\ntier one boxes 4 work 10ms\nclass ask\ncallers rate 20/s\n"), &found)
 	result, err := dryrun.Run(scenario.Plan(1))
 	if err != nil {
 		panic(err)
--- a/internal/rehearsal/dryrun/instance.go
+++ b/internal/rehearsal/dryrun/instance.go
@@ -10,12 +10,12 @@
 	"quincegap/internal/balancer"
 	"quincegap/internal/config/settings"
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // instance is a sidecar: the decision module with what the program around it does.
 type instance struct {
-	morning.SidecarSpec
+	scenario.SidecarSpec
 	sim         *sim
 	index       int
 	incarnation int // grows with each start and each end
--- a/internal/rehearsal/dryrun/run.go
+++ b/internal/rehearsal/dryrun/run.go
@@ -2,7 +2,7 @@
 
 import (
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // Result is what came of a run.
@@ -10,14 +10,14 @@
 	Verdict   *audit.Verdict
 	Events    []audit.Event
 	Decisions int // calls of the decision modules
-	plan      *morning.Plan
+	plan      *scenario.Plan
 }
 
 // Plan returns what was played.
-func (r *Result) Plan() *morning.Plan { return r.plan }
+func (r *Result) Plan() *scenario.Plan { return r.plan }
 
 // Run plays a plan.
-func Run(plan *morning.Plan) (*Result, error) {
+func Run(plan *scenario.Plan) (*Result, error) {
 	s, err := newSim(plan)
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/dryrun/server.go
+++ b/internal/rehearsal/dryrun/server.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/balancer"
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/emulator"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // server is one emulated server, with what discovery knows of it.
@@ -32,7 +32,7 @@
 }
 
 // spec returns what the plan says of the server.
-func (s *server) spec() *morning.Server { return &s.sim.plan.Servers[s.index] }
+func (s *server) spec() *scenario.Server { return &s.sim.plan.Servers[s.index] }
 
 // tier returns the index of the server's tier.
 func (s *server) tier() int { return s.spec().Tier }
--- a/internal/rehearsal/dryrun/sim.go
+++ b/internal/rehearsal/dryrun/sim.go
@@ -8,7 +8,7 @@
 
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/emulator"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // The network, one way.
@@ -38,7 +38,7 @@
 
 // sim is one run.
 type sim struct {
-	plan         *morning.Plan
+	plan         *scenario.Plan
 	now          time.Duration
 	queue        eventQueue
 	seq          uint64 // of events
@@ -55,7 +55,7 @@
 }
 
 // newSim returns a run with the servers and sidecars that are there from the start.
-func newSim(plan *morning.Plan) (*sim, error) {
+func newSim(plan *scenario.Plan) (*sim, error) {
 	s := &sim{plan: plan, attemptsSeen: map[string]int{}, callers: rand.New(emulator.RandomSource(plan.Seed, "connections"))}
 	for i := range plan.Servers {
 		server := &server{
--- a/internal/rehearsal/dryrun/steps.go
+++ b/internal/rehearsal/dryrun/steps.go
@@ -1,57 +1,57 @@
 package dryrun
 
 import (
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // playStep plays one step of the plan.
-func (s *sim) playStep(step morning.Step) {
+func (s *sim) playStep(step scenario.Step) {
 	switch step.Kind {
-	case morning.ServerCrash, morning.ServerSilence, morning.ServerStart, morning.ServerPause, morning.ServerSlowdown, morning.ServerFault:
+	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart, scenario.ServerPause, scenario.ServerSlowdown, scenario.ServerFault:
 		s.playServerStep(s.servers[step.Server], &step)
-	case morning.DiscoveryUpdate:
+	case scenario.DiscoveryUpdate:
 		server := s.servers[step.Server]
 		server.updateState(discoveryState{weight: server.known.weight, state: step.State, boot: step.Boot})
 		s.notifyAll(server)
-	case morning.DiscoveryWeight:
+	case scenario.DiscoveryWeight:
 		server := s.servers[step.Server]
 		server.updateState(discoveryState{weight: step.Amount, state: server.known.state, boot: server.known.boot})
 		if server.known.state != "" && server.known.state != stateGone {
 			s.notifyAll(server)
 		}
-	case morning.DiscoveryRepeat:
+	case scenario.DiscoveryRepeat:
 		s.repeats = step.Amount > 0
-	case morning.SidecarSignal:
+	case scenario.SidecarSignal:
 		s.playSignal(s.instances[step.Sidecar], step.Name)
-	case morning.SidecarRestart:
+	case scenario.SidecarRestart:
 		s.restart(s.instances[step.Sidecar])
 	}
 }
 
 // playServerStep plays a step that happens to a server, and to its sidecar with it.
-func (s *sim) playServerStep(server *server, step *morning.Step) {
+func (s *sim) playServerStep(server *server, step *scenario.Step) {
 	switch step.Kind {
-	case morning.ServerCrash:
+	case scenario.ServerCrash:
 		if server.sidecar != nil {
 			server.sidecar.kill()
 		}
 		server.stop()
-	case morning.ServerSilence:
+	case scenario.ServerSilence:
 		server.silence()
-	case morning.ServerStart:
+	case scenario.ServerStart:
 		server.stop()
 		server.start(true)
 		if server.sidecar != nil {
 			server.sidecar.kill()
 			s.restart(server.sidecar)
 		}
-	case morning.ServerPause:
+	case scenario.ServerPause:
 		if server.model != nil {
 			server.advance()
 			server.model.Pause(s.now, step.Until)
 			server.scheduleAdvance()
 		}
-	case morning.ServerSlowdown:
+	case scenario.ServerSlowdown:
 		if server.model != nil {
 			server.advance()
 			server.model.Slow(s.now, step.Amount)
--- a/internal/rehearsal/experiment/example_test.go
+++ b/internal/rehearsal/experiment/example_test.go
@@ -6,14 +6,14 @@
 
 	"quincegap/internal/config/finding"
 	"quincegap/internal/rehearsal/experiment"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // One scenario at half of its load and at ten times of it.
 func Example() {
 	var found finding.List
-	scenario := morning.Read("example", []byte("length 3s\ntier one boxes 2 cores 1 slots 1 work 50ms\nclass ask\ncallers rate 10/s\n"), &found)
-	design := experiment.Design{Scenarios: []*morning.Scenario{scenario}, Loads: []float64{0.5, 10}, Seeds: 2, Workers: 2}
+	played := scenario.Read("example", []byte("length 3s\ntier one boxes 2 cores 1 slots 1 work 50ms\nclass ask\ncallers rate 10/s\n"), &found)
+	design := experiment.Design{Scenarios: []*scenario.Scenario{played}, Loads: []float64{0.5, 10}, Seeds: 2, Workers: 2}
 	runs, err := design.Play(context.Background(), nil)
 	points := experiment.Summarize(runs)
 	fmt.Println(err, len(runs), len(points), points[0].Service.Mean > points[1].Service.Mean)
--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -16,12 +16,12 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"quincegap/internal/rehearsal/dryrun"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // Design is what is to be played: each scenario at each load with each seed.
 type Design struct {
-	Scenarios []*morning.Scenario
+	Scenarios []*scenario.Scenario
 	Loads     []float64 // multiples of each scenario's rate
 	Seeds     int       // how many; the first is 1
 	Workers   int       // runs at once; below 1 for one
@@ -86,12 +86,12 @@
 }
 
 // validateLoad returns why a scenario can't be played at a load, nil if it can.
-func validateLoad(scenario *morning.Scenario, load float64) error {
+func validateLoad(played *scenario.Scenario, load float64) error {
 	if !(load > 0) || math.IsInf(load, 0) {
 		return fmt.Errorf("load %v: above 0 is wanted", load)
 	}
-	if requests := scenario.Callers.Rate * load * scenario.Length.Seconds(); requests > morning.MaxRequests {
-		return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", scenario.Name, load, requests, morning.MaxRequests)
+	if requests := played.Callers.Rate * load * played.Length.Seconds(); requests > scenario.MaxRequests {
+		return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", played.Name, load, requests, scenario.MaxRequests)
 	}
 	return nil
 }
--- a/internal/rehearsal/experiment/experiment_test.go
+++ b/internal/rehearsal/experiment/experiment_test.go
@@ -9,13 +9,13 @@
 	"testing"
 
 	"quincegap/internal/config/finding"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
-func small(t *testing.T) *morning.Scenario {
+func small(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	var found finding.List
-	m := morning.Read("small", []byte(`length 4s
+	m := scenario.Read("small", []byte(`length 4s
 tier one boxes 3 cores 1 slots 1 queue 3 work 50ms
 class ask aim 500ms deadline 2s
 sidecars count 1
@@ -31,7 +31,7 @@
 // The result is the same however many run at once, and in the order of the design.
 // Three boxes answer 60 calls a second: five times the load, 100 a second, must leave some unserved whatever the module does.
 func TestSameOnAnyNumberOfCores(t *testing.T) {
-	d := Design{Scenarios: []*morning.Scenario{small(t), small(t)}, Loads: []float64{0.5, 5}, Seeds: 4}
+	d := Design{Scenarios: []*scenario.Scenario{small(t), small(t)}, Loads: []float64{0.5, 5}, Seeds: 4}
 	var results [][]Run
 	for _, d.Workers = range []int{1, 2, 7} {
 		calls := 0
@@ -77,9 +77,9 @@
 	m := small(t)
 	for want, d := range map[string]Design{
 		"nothing to play":        {Loads: []float64{1}, Seeds: 1},
-		"100000 at most":         {Scenarios: []*morning.Scenario{m}, Loads: []float64{1}, Seeds: MaxRuns + 1},
-		"load 0":                 {Scenarios: []*morning.Scenario{m}, Loads: []float64{0}, Seeds: 1},
-		"requests, 300000 at mo": {Scenarios: []*morning.Scenario{m}, Loads: []float64{1e6}, Seeds: 1},
+		"100000 at most":         {Scenarios: []*scenario.Scenario{m}, Loads: []float64{1}, Seeds: MaxRuns + 1},
+		"load 0":                 {Scenarios: []*scenario.Scenario{m}, Loads: []float64{0}, Seeds: 1},
+		"requests, 300000 at mo": {Scenarios: []*scenario.Scenario{m}, Loads: []float64{1e6}, Seeds: 1},
 	} {
 		if _, err := d.Play(t.Context(), nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -87,7 +87,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	d := Design{Scenarios: []*morning.Scenario{m}, Loads: []float64{1}, Seeds: 3, Workers: 2}
+	d := Design{Scenarios: []*scenario.Scenario{m}, Loads: []float64{1}, Seeds: 3, Workers: 2}
 	if _, err := d.Play(ctx, nil); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
--- a/internal/rehearsal/fleet/days.go
+++ b/internal/rehearsal/fleet/days.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/config/finding"
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/dryrun"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 //go:embed days/*.morning
@@ -34,14 +34,14 @@
 }
 
 // Day returns the scenario of a day; the error names those that there are.
-func Day(name string) (*morning.Scenario, error) {
+func Day(name string) (*scenario.Scenario, error) {
 	file := path.Join(daysFolder, name+daySuffix)
 	text, err := scripts.ReadFile(file)
 	if err != nil {
 		return nil, errors.New(finding.UnknownName("day", name, Days()))
 	}
 	var found finding.List
-	scenario := morning.Read(file, text, &found)
+	scenario := scenario.Read(file, text, &found)
 	if scenario == nil {
 		return nil, found.Err()
 	}
@@ -50,7 +50,7 @@
 
 // Outcome is what came of a day.
 type Outcome struct {
-	Plan            *morning.Plan
+	Plan            *scenario.Plan
 	Verdict         *audit.Verdict
 	UnansweredShare float64 // attempts that no authentic answer came of, over all
 	Spread          Spread
@@ -58,7 +58,7 @@
 }
 
 // Play plays a day in virtual time, with a seed; 0 takes the script's. The same day and seed give the same outcome.
-func Play(scenario *morning.Scenario, seed uint64) (*Outcome, error) {
+func Play(scenario *scenario.Scenario, seed uint64) (*Outcome, error) {
 	plan := scenario.Plan(seed)
 	result, err := dryrun.Run(plan)
 	if err != nil {
--- a/internal/rehearsal/fleet/days_test.go
+++ b/internal/rehearsal/fleet/days_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // On every hard day the rules are kept, what its script expects is reached, and the boxes that were alike were loaded
@@ -85,7 +85,7 @@
 	p := m.Plan(0)
 	hit := map[int]bool{}
 	for _, s := range p.Steps {
-		if s.Kind == morning.ServerFault {
+		if s.Kind == scenario.ServerFault {
 			hit[s.Server] = true
 		}
 	}
--- a/internal/rehearsal/fleet/spread.go
+++ b/internal/rehearsal/fleet/spread.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // Spread is how evenly attempts fell on the servers of the first tier while they were alike: up, listed, warm and unharmed, of the
@@ -28,7 +28,7 @@
 type interval struct{ from, to time.Duration }
 
 // comparableIntervals finds when each server is like the others.
-func comparableIntervals(plan *morning.Plan) [][]interval {
+func comparableIntervals(plan *scenario.Plan) [][]interval {
 	c := &comparison{
 		plan: plan, intervals: make([][]interval, len(plan.Servers)), since: make([]time.Duration, len(plan.Servers)),
 		listed: make([]bool, len(plan.Servers)),
@@ -40,7 +40,7 @@
 		}
 	}
 	for i := range plan.Steps {
-		if step := &plan.Steps[i]; step.Kind <= morning.DiscoveryUpdate || step.Kind == morning.DiscoveryWeight {
+		if step := &plan.Steps[i]; step.Kind <= scenario.DiscoveryUpdate || step.Kind == scenario.DiscoveryWeight {
 			c.take(step)
 		}
 	}
@@ -60,27 +60,27 @@
 
 // comparison follows the steps of a plan.
 type comparison struct {
-	plan      *morning.Plan
+	plan      *scenario.Plan
 	intervals [][]interval    // by server
 	since     []time.Duration // from when on it is like the others; never while it is not
 	listed    []bool
 }
 
 // take ends the interval of a server at a step, and says when the next one begins.
-func (c *comparison) take(step *morning.Step) {
+func (c *comparison) take(step *scenario.Step) {
 	server := step.Server
 	if step.At > c.since[server] {
 		c.intervals[server] = append(c.intervals[server], interval{c.since[server], step.At})
 	}
 	switch step.Kind {
-	case morning.DiscoveryWeight, morning.ServerCrash, morning.ServerSilence:
+	case scenario.DiscoveryWeight, scenario.ServerCrash, scenario.ServerSilence:
 		c.since[server] = never
-	case morning.ServerPause:
+	case scenario.ServerPause:
 		c.since[server] = c.warm(server, step.Until)
-	case morning.DiscoveryUpdate:
+	case scenario.DiscoveryUpdate:
 		c.takeUpdate(step)
 	default:
-		harmed := step.Kind == morning.ServerSlowdown && step.Amount > 1 || step.Kind == morning.ServerFault && step.Amount > 0
+		harmed := step.Kind == scenario.ServerSlowdown && step.Amount > 1 || step.Kind == scenario.ServerFault && step.Amount > 0
 		if harmed {
 			c.since[server] = never
 		} else if c.listed[server] { // a start, or the end of a harm
@@ -90,7 +90,7 @@
 }
 
 // takeUpdate follows what discovery says of a server.
-func (c *comparison) takeUpdate(step *morning.Step) {
+func (c *comparison) takeUpdate(step *scenario.Step) {
 	server := step.Server
 	c.listed[server] = step.State == "Ready"
 	if !c.listed[server] {
@@ -106,7 +106,7 @@
 }
 
 // spreadOf measures the spread over the servers of the first tier.
-func spreadOf(plan *morning.Plan, events []audit.Event) Spread {
+func spreadOf(plan *scenario.Plan, events []audit.Event) Spread {
 	times := comparableIntervals(plan)
 	counts := countAttempts(times, events)
 	exposed, longest := exposures(plan, times)
@@ -149,7 +149,7 @@
 }
 
 // exposures returns for how many seconds each server of the first tier was like the others, and the most of them.
-func exposures(plan *morning.Plan, times [][]interval) (exposed []float64, longest float64) {
+func exposures(plan *scenario.Plan, times [][]interval) (exposed []float64, longest float64) {
 	exposed = make([]float64, len(times))
 	for i, intervals := range times {
 		if plan.Servers[i].Tier != 0 {
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/config/finding"
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/dryrun"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // RestartWave is a restart of much of a fleet at once: 64 servers whose cold capacity is a little over a third, and so many
@@ -24,17 +24,17 @@
 	Rate     float64 // requests a second, above 0
 	Seed     uint64  // above 0
 
-	ServerShare, SidecarShare float64          // shares of the servers and of the sidecars that restart; 0 of both is all of both
-	SecondWaveAfter           time.Duration    // after the first, all servers restart once more; 0 for never
-	AnnouncedCount            int              // how many instances there are said to be to each sidecar; 0 for the truth
-	FirstSidecarShare         float64          // share of the requests that go to the first sidecar
-	NotificationDelay         time.Duration    // how much later than others a third of the sidecars is notified
-	BootTime                  morning.BootTime // what the list says of starts; empty for the truth
-	RestartAfterCollapse      time.Duration    // after which a server that collapsed is started again; 0 for never
-	Cells                     int              // cells of four servers that restart, in place of ServerShare
-	OverloadFactor            float64          // times its capacity that a cold server bears; 0 for 3
-	Keyed                     bool             // all requests are keyed to a cell, else half of them
-	Length                    time.Duration    // 0 for 24 s
+	ServerShare, SidecarShare float64           // shares of the servers and of the sidecars that restart; 0 of both is all of both
+	SecondWaveAfter           time.Duration     // after the first, all servers restart once more; 0 for never
+	AnnouncedCount            int               // how many instances there are said to be to each sidecar; 0 for the truth
+	FirstSidecarShare         float64           // share of the requests that go to the first sidecar
+	NotificationDelay         time.Duration     // how much later than others a third of the sidecars is notified
+	BootTime                  scenario.BootTime // what the list says of starts; empty for the truth
+	RestartAfterCollapse      time.Duration     // after which a server that collapsed is started again; 0 for never
+	Cells                     int               // cells of four servers that restart, in place of ServerShare
+	OverloadFactor            float64           // times its capacity that a cold server bears; 0 for 3
+	Keyed                     bool              // all requests are keyed to a cell, else half of them
+	Length                    time.Duration     // 0 for 24 s
 }
 
 // The wave comes so long after the start, and what restarts is away for so long.
@@ -105,7 +105,7 @@
 // Play plays the wave in virtual time. The same wave gives the same result.
 func (r *RestartWave) Play() (*WaveResult, error) {
 	var found finding.List
-	m := morning.Read("wave", []byte(r.Script()), &found)
+	m := scenario.Read("wave", []byte(r.Script()), &found)
 	if m == nil {
 		return nil, found.Err()
 	}
@@ -197,7 +197,7 @@
 	case 4:
 		w.Cells, w.SidecarShare = 1+random.IntN(8), pick(0, 0.5)
 	case 5:
-		w.BootTime = []morning.BootTime{morning.BootTimeNone, morning.BootTimeAhead}[random.IntN(2)]
+		w.BootTime = []scenario.BootTime{scenario.BootTimeNone, scenario.BootTimeAhead}[random.IntN(2)]
 	}
 	if alone := w.SidecarShare > 0 && w.ServerShare == 0 && w.Cells == 0; !alone && random.IntN(4) == 0 {
 		w.SecondWaveAfter = 1200 * time.Millisecond
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -18,7 +18,7 @@
 	"quincegap/internal/balancer"
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/emulator"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // callerRequest is one request to a sidecar.
@@ -230,7 +230,7 @@
 }
 
 // encodeRequest is a request as it goes out.
-func encodeRequest(class *morning.Class, a *callerRequest, left time.Duration) []byte {
+func encodeRequest(class *scenario.Class, a *callerRequest, left time.Duration) []byte {
 	method, body := "POST", "trip=dialysis\n"
 	if class.Idempotency == balancer.Idempotent {
 		method, body = "GET", ""
@@ -326,7 +326,7 @@
 		if to := w.sidecars[0]; toFirst && w.rotation.firstIfServing(to) != nil {
 			idle, pick = &to.idle, func() *sidecar { return w.rotation.firstIfServing(to) }
 		}
-		r := w.sendRequest(callerRequest{request: morning.RequestID(n, try), class: class, key: morning.IdempotencyKey(n), timeLeft: left, origin: n, callerAttempt: try}, idle, pick, w.ctx.Done())
+		r := w.sendRequest(callerRequest{request: scenario.RequestID(n, try), class: class, key: scenario.IdempotencyKey(n), timeLeft: left, origin: n, callerAttempt: try}, idle, pick, w.ctx.Done())
 		last = r.status
 		wait, ok := caller.RetryAfter(w.now(), r.status, r.retryAfter)
 		if !ok {
@@ -341,7 +341,7 @@
 	switch {
 	case last == http.StatusOK:
 		w.counters.served.Add(1)
-	case morning.IsRejected(last):
+	case scenario.IsRejected(last):
 		w.counters.rejected.Add(1)
 	default:
 		w.counters.failed.Add(1)
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/consul"
 )
 
@@ -76,7 +76,7 @@
 	i := consul.Instance{
 		Service: w.plan.Tiers[b.Tier].Name, Node: fmt.Sprint("m", b.Slot), ID: b.UID, PassingWeight: 1, WarningWeight: 1,
 		Checks: []consul.Check{{CheckID: "up", Name: "up", Status: status}},
-		Meta:   map[string]string{"zone": morning.Zone, "model": w.plan.Tiers[b.Tier].Name, "cell": strconv.Itoa(b.Cell), "uid": b.UID},
+		Meta:   map[string]string{"zone": scenario.Zone, "model": w.plan.Tiers[b.Tier].Name, "cell": strconv.Itoa(b.Cell), "uid": b.UID},
 	}
 	if e.boot > 0 {
 		i.Meta["started_ms"] = strconv.FormatInt(w.wall(e.boot).UnixMilli(), 10)
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/booking"
 )
 
@@ -118,11 +118,11 @@
 			continue
 		}
 		b := &t.rehearsal.plan.Servers[i]
-		target := booking.Target{UID: b.UID, Address: t.rehearsal.serverAddress(b.Slot), Zone: morning.Zone, Model: t.rehearsal.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
+		target := booking.Target{UID: b.UID, Address: t.rehearsal.serverAddress(b.Slot), Zone: scenario.Zone, Model: t.rehearsal.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
 		switch boot := t.rehearsal.plan.Discovery.BootTime; {
-		case e.boot == 0, boot == morning.BootTimeNone:
-		case boot == morning.BootTimeAhead:
-			target.BootMS = t.rehearsal.wall(e.boot + morning.BootTimeSkew).UnixMilli()
+		case e.boot == 0, boot == scenario.BootTimeNone:
+		case boot == scenario.BootTimeAhead:
+			target.BootMS = t.rehearsal.wall(e.boot + scenario.BootTimeSkew).UnixMilli()
 		default:
 			target.BootMS = t.rehearsal.wall(e.boot).UnixMilli()
 		}
--- a/internal/rehearsal/rehearse/golden_test.go
+++ b/internal/rehearsal/rehearse/golden_test.go
@@ -11,7 +11,7 @@
 
 	"quincegap/internal/config/finding"
 	"quincegap/internal/golden"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/relay"
 )
 
@@ -30,7 +30,7 @@
 // What sidecars are given to read, and what callers and discovery send them, has the form that it always had.
 func TestGoldenMessages(t *testing.T) {
 	var found finding.List
-	scenario := morning.Read("golden", []byte(goldenScript), &found)
+	scenario := scenario.Read("golden", []byte(goldenScript), &found)
 	if scenario == nil {
 		t.Fatal(found.Err())
 	}
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -9,7 +9,7 @@
 
 	"quincegap/internal/modules/peers"
 	"quincegap/internal/network/admin"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/relay"
 )
 
@@ -60,7 +60,7 @@
 func (s *sidecar) admin(dir string) string { return filepath.Join(dir, s.name+".sock") }
 
 // applyLinkFault plays a step of the links.
-func (w *rehearsal) applyLinkFault(s morning.Step) {
+func (w *rehearsal) applyLinkFault(s scenario.Step) {
 	by, on := max(s.Amount, -s.Amount), s.Amount > 0
 	var some, others []string
 	for i, o := range w.sidecars[:w.plan.Sidecars.Count] {
--- a/internal/rehearsal/rehearse/rehearsal.go
+++ b/internal/rehearsal/rehearse/rehearsal.go
@@ -11,7 +11,7 @@
 
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/emulator"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/relay"
 )
 
@@ -20,7 +20,7 @@
 
 // rehearsal is one rehearsal while it runs.
 type rehearsal struct {
-	plan        *morning.Plan
+	plan        *scenario.Plan
 	log         audit.Log
 	createdAt   time.Time
 	clockOffset atomic.Int64 // when its clock stands at 0, in nanoseconds from made: when callers begin to come
@@ -51,7 +51,7 @@
 }
 
 // newRehearsal returns a rehearsal whose clock has not begun.
-func newRehearsal(ctx context.Context, plan *morning.Plan) *rehearsal {
+func newRehearsal(ctx context.Context, plan *scenario.Plan) *rehearsal {
 	w := &rehearsal{plan: plan, createdAt: time.Now(), ctx: ctx, attemptsSeen: map[string]int{}, memories: map[[2]int]*emulator.KeyMemory{}, effects: map[string]int{}, sidecarOf: map[int]*sidecar{}}
 	w.clockOffset.Store(int64(beforeStart))
 	return w
@@ -137,7 +137,7 @@
 }
 
 // recordExecution notes that a keyed request runs at a server.
-func (w *rehearsal) recordExecution(b *server, key string, class *morning.Class) {
+func (w *rehearsal) recordExecution(b *server, key string, class *scenario.Class) {
 	if key == "" || class == nil {
 		return
 	}
@@ -159,7 +159,7 @@
 }
 
 // class is a class by its name, or nil.
-func (w *rehearsal) class(name string) (int, *morning.Class) {
+func (w *rehearsal) class(name string) (int, *scenario.Class) {
 	for i, c := range w.plan.Classes {
 		if c.Name == name {
 			return i, c
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -14,7 +14,7 @@
 
 	"quincegap/internal/config/finding"
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // small is a morning for tests: two cells of two boxes, which are never busy. The slack is large, so that a slow
@@ -37,7 +37,7 @@
 func rehearse(t *testing.T, program, script string) (*Result, []audit.Event) {
 	t.Helper()
 	var found finding.List
-	m := morning.Read(t.Name(), []byte(script), &found)
+	m := scenario.Read(t.Name(), []byte(script), &found)
 	if m == nil {
 		t.Fatal(found.Err())
 	}
@@ -142,7 +142,7 @@
 	}
 	t.Run("cannot start", func(t *testing.T) {
 		var found finding.List
-		m := morning.Read("m", []byte(small+safe), &found)
+		m := scenario.Read("m", []byte(small+safe), &found)
 		_, err := Run(context.Background(), m.Plan(0), Options{Program: "/bin/false", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "ended before it served") {
 			t.Error(err)
@@ -241,7 +241,7 @@
 func startOneServer(t *testing.T, script string) (*rehearsal, *server) {
 	t.Helper()
 	var found finding.List
-	m := morning.Read("m", []byte(script), &found)
+	m := scenario.Read("m", []byte(script), &found)
 	if m == nil {
 		t.Fatal(found.Err())
 	}
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // maxSidecars are played on sockets, each a process.
@@ -33,7 +33,7 @@
 
 // Result is what came of one.
 type Result struct {
-	Plan                    *morning.Plan
+	Plan                    *scenario.Plan
 	Verdict                 *audit.Verdict
 	CPU                     time.Duration // of all sidecars together
 	Memory                  int64         // of the largest, in bytes
@@ -47,7 +47,7 @@
 }
 
 // CheckSockets tells why a plan can be played in virtual time alone, nil if it can be on sockets too.
-func CheckSockets(plan *morning.Plan) error {
+func CheckSockets(plan *scenario.Plan) error {
 	if n := len(plan.SidecarSpecs()); n > maxSidecars {
 		return fmt.Errorf("%d sidecars are more than the %d that are played on sockets", n, maxSidecars)
 	}
@@ -58,7 +58,7 @@
 }
 
 // Run plays a plan. It returns an error where it could not be played; a sidecar that does wrong is in the verdict.
-func Run(ctx context.Context, plan *morning.Plan, options Options) (result *Result, err error) {
+func Run(ctx context.Context, plan *scenario.Plan, options Options) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := newRehearsal(ctx, plan)
--- a/internal/rehearsal/rehearse/server.go
+++ b/internal/rehearsal/rehearse/server.go
@@ -17,7 +17,7 @@
 
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/emulator"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/h3"
 )
 
@@ -25,7 +25,7 @@
 type server struct {
 	rehearsal *rehearsal
 	index     int
-	spec      *morning.Server
+	spec      *scenario.Server
 
 	mu          sync.Mutex
 	model       *emulator.Server // nil while it is down
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // sidecar is a process of the program that is rehearsed, with its files and its discovery.
@@ -384,7 +384,7 @@
 }
 
 // createSidecars makes the sidecars of a plan.
-func (w *rehearsal) createSidecars(plan *morning.Plan) {
+func (w *rehearsal) createSidecars(plan *scenario.Plan) {
 	for i, x := range plan.SidecarSpecs() {
 		s := &sidecar{rehearsal: w, index: i, name: x.Name, address: w.sidecarAddress(i), tier: x.Tier, number: x.Number, count: x.Count, notificationDelay: plan.NotificationDelay(x)}
 		w.sidecars = append(w.sidecars, s)
--- a/internal/rehearsal/rehearse/steps.go
+++ b/internal/rehearsal/rehearse/steps.go
@@ -6,29 +6,29 @@
 	"sync"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // playStep plays one step of the plan. What takes longer goes on among steps.
-func (w *rehearsal) playStep(ctx context.Context, p *program, step morning.Step, steps *sync.WaitGroup) {
+func (w *rehearsal) playStep(ctx context.Context, p *program, step scenario.Step, steps *sync.WaitGroup) {
 	switch step.Kind {
-	case morning.ServerCrash, morning.ServerSilence, morning.ServerStart, morning.ServerPause, morning.ServerSlowdown, morning.ServerFault:
+	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart, scenario.ServerPause, scenario.ServerSlowdown, scenario.ServerFault:
 		w.playServerStep(ctx, p, &step, steps)
-	case morning.DiscoveryUpdate:
+	case scenario.DiscoveryUpdate:
 		w.discovery[w.plan.Servers[step.Server].Tier].update(step.Server, step.State, step.Boot)
-	case morning.DiscoveryWeight:
+	case scenario.DiscoveryWeight:
 		w.discovery[w.plan.Servers[step.Server].Tier].setWeight(step.Server, step.Amount)
-	case morning.DiscoveryRepeat:
+	case scenario.DiscoveryRepeat:
 		for _, tier := range w.discovery {
 			tier.setRepeats(step.Amount > 0)
 		}
-	case morning.DiscoverySilence:
+	case scenario.DiscoverySilence:
 		for _, tier := range w.discovery {
 			tier.setSilent(step.Amount > 0)
 		}
-	case morning.SidecarSignal:
+	case scenario.SidecarSignal:
 		w.sidecars[step.Sidecar].signal(step.Name)
-	case morning.SidecarRestart:
+	case scenario.SidecarRestart:
 		sidecar := w.sidecars[step.Sidecar]
 		steps.Go(func() {
 			if err := sidecar.restart(ctx, p); err != nil {
@@ -37,9 +37,9 @@
 			}
 			w.rotation.add(sidecar)
 		})
-	case morning.LinkFault:
+	case scenario.LinkFault:
 		w.applyLinkFault(step)
-	case morning.FaultyCallerCount:
+	case scenario.FaultyCallerCount:
 		before := int(w.faultyCallers.Swap(int64(step.Amount)))
 		for i := before; i < int(step.Amount); i++ {
 			w.calls.Go(func() { w.runFaultyCaller(i) })
@@ -48,7 +48,7 @@
 }
 
 // recordFailure notes that a step could not be played, unless the rehearsal is over.
-func (w *rehearsal) recordFailure(ctx context.Context, step *morning.Step, err error) {
+func (w *rehearsal) recordFailure(ctx context.Context, step *scenario.Step, err error) {
 	if err == nil || ctx.Err() != nil {
 		return
 	}
@@ -58,20 +58,20 @@
 }
 
 // playServerStep plays a step that happens to a server, and to its sidecar with it.
-func (w *rehearsal) playServerStep(ctx context.Context, p *program, step *morning.Step, steps *sync.WaitGroup) {
+func (w *rehearsal) playServerStep(ctx context.Context, p *program, step *scenario.Step, steps *sync.WaitGroup) {
 	server, sidecar := w.servers[step.Server], w.sidecarOf[step.Server]
 	switch step.Kind {
-	case morning.ServerCrash:
+	case scenario.ServerCrash:
 		if sidecar != nil {
 			sidecar.signal("SIGKILL")
 		}
 		server.stop()
-	case morning.ServerSilence:
+	case scenario.ServerSilence:
 		if sidecar != nil {
 			sidecar.signal("SIGSTOP")
 		}
 		steps.Go(server.silence)
-	case morning.ServerStart:
+	case scenario.ServerStart:
 		server.stop()
 		if err := server.start(true); err != nil {
 			w.recordFailure(ctx, step, fmt.Errorf("%s cannot start: %w", w.plan.Name(step.Server), err))
@@ -84,7 +84,7 @@
 			sidecar.mu.Unlock()
 			steps.Go(func() { w.recordFailure(ctx, step, sidecar.restart(ctx, p)) })
 		}
-	case morning.ServerPause, morning.ServerSlowdown:
+	case scenario.ServerPause, scenario.ServerSlowdown:
 		server.slow(step)
 	default:
 		server.mu.Lock()
@@ -94,14 +94,14 @@
 }
 
 // slow has the model of a server pause, or change its speed.
-func (b *server) slow(step *morning.Step) {
+func (b *server) slow(step *scenario.Step) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.model == nil {
 		return
 	}
 	b.advance()
-	if step.Kind == morning.ServerPause {
+	if step.Kind == scenario.ServerPause {
 		b.model.Pause(b.rehearsal.now(), step.Until)
 	} else {
 		b.model.Slow(b.rehearsal.now(), step.Amount)
--- a/internal/rehearsal/report/example_test.go
+++ b/internal/rehearsal/report/example_test.go
@@ -4,13 +4,13 @@
 	"os"
 
 	"quincegap/internal/rehearsal/experiment"
-	"quincegap/internal/rehearsal/morning"
 	"quincegap/internal/rehearsal/report"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // One point of an experiment, for a screen.
 func ExampleWriteTable() {
-	scenarios := []*morning.Scenario{{Name: "rehearsals/calm.morning"}}
+	scenarios := []*scenario.Scenario{{Name: "rehearsals/calm.morning"}}
 	points := []experiment.Point{{Load: 1, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}}}
 	if err := report.WriteTable(os.Stdout, scenarios, points); err != nil {
 		panic(err)
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -15,11 +15,11 @@
 	"gonum.org/v1/plot/vg/draw"
 
 	"quincegap/internal/rehearsal/experiment"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // scenarioName returns the name of a scenario's file.
-func scenarioName(m *morning.Scenario) string {
+func scenarioName(m *scenario.Scenario) string {
 	return strings.TrimSuffix(path.Base(m.Name), ".morning")
 }
 
@@ -37,7 +37,7 @@
 }
 
 // WriteTable writes the points of an experiment, mean and half of the 95% interval.
-func WriteTable(w io.Writer, scenarios []*morning.Scenario, points []experiment.Point) error {
+func WriteTable(w io.Writer, scenarios []*scenario.Scenario, points []experiment.Point) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %6s %5s", "morning", "load", "runs")
 	for _, column := range columns {
@@ -66,7 +66,7 @@
 var palette = []color.RGBA{blue, green, orange, red, purple, grey}
 
 // serviceCurve draws the service over the load, a line for each scenario.
-func serviceCurve(scenarios []*morning.Scenario, points []experiment.Point) (template.HTML, error) {
+func serviceCurve(scenarios []*scenario.Scenario, points []experiment.Point) (template.HTML, error) {
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "load, multiples of the script's rate", "service, mean and 95% interval"
 	c.Y.Min, c.Y.Max = 0, 1.02
@@ -94,7 +94,7 @@
 }
 
 // addServiceLine adds the line of one scenario, with its intervals.
-func addServiceLine(c *plot.Plot, index int, scenario *morning.Scenario, points []experiment.Point) error {
+func addServiceLine(c *plot.Plot, index int, scenario *scenario.Scenario, points []experiment.Point) error {
 	var bars errorBars
 	for _, p := range points {
 		if p.Scenario == index {
@@ -132,7 +132,7 @@
 }
 
 // WriteExperimentPage writes an experiment as one page of HTML.
-func WriteExperimentPage(w io.Writer, made time.Time, scenarios []*morning.Scenario, points []experiment.Point) error {
+func WriteExperimentPage(w io.Writer, made time.Time, scenarios []*scenario.Scenario, points []experiment.Point) error {
 	var rows []experimentRow
 	loads := map[float64]bool{}
 	for _, point := range points {
--- a/internal/rehearsal/report/golden_test.go
+++ b/internal/rehearsal/report/golden_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/golden"
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/experiment"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // The screen and the page of a fixed run are what they always were; of each chart the page's file holds a digest.
@@ -35,7 +35,7 @@
 }
 
 func TestGoldenExperimentPage(t *testing.T) {
-	mornings := []*morning.Scenario{play(t, "").Plan.Scenario}
+	mornings := []*scenario.Scenario{play(t, "").Plan.Scenario}
 	points := []experiment.Point{
 		{Load: 0.5, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}},
 		{Load: 2, Runs: 3, Service: experiment.Figure{Mean: 0.5, HalfInterval: 0.1, Min: 0.4}, Breaches: 1},
--- a/internal/rehearsal/report/heatmap.go
+++ b/internal/rehearsal/report/heatmap.go
@@ -9,15 +9,15 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // maxHeatMapRows bounds a chart by server: beyond that a server has no row of its own.
 const maxHeatMapRows = 120
 
 // stepColors are the colours of the steps that are marked on the chart of their server.
-var stepColors = map[morning.StepKind]color.RGBA{
-	morning.ServerCrash: red, morning.ServerSilence: red, morning.ServerStart: green, morning.ServerPause: orange, morning.ServerSlowdown: orange, morning.ServerFault: orange,
+var stepColors = map[scenario.StepKind]color.RGBA{
+	scenario.ServerCrash: red, scenario.ServerSilence: red, scenario.ServerStart: green, scenario.ServerPause: orange, scenario.ServerSlowdown: orange, scenario.ServerFault: orange,
 }
 
 // heatMap is the attempts that each server of a tier got in each second. Its methods are those of plotter.GridXYZ.
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -14,13 +14,13 @@
 	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/dryrun"
 	"quincegap/internal/rehearsal/experiment"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 func play(t *testing.T, more string) *Run {
 	t.Helper()
 	var found finding.List
-	m := morning.Read("short.morning", []byte(`title "Boxes <b>go</b> & come"
+	m := scenario.Read("short.morning", []byte(`title "Boxes <b>go</b> & come"
 length 6s
 tier front boxes 4 cells 2 cores 2 slots 20 queue 5 work 20ms calls keeper
 tier keeper boxes 5 cells 2 cores 2 slots 4 queue 5 work 15ms
@@ -126,7 +126,7 @@
 // A morning of one second, or of one box, has a page too.
 func TestPageOfLittle(t *testing.T) {
 	var found finding.List
-	m := morning.Read("m", []byte("length 1s\ntier a boxes 1\nclass ask\ncallers rate 2/s\n"), &found)
+	m := scenario.Read("m", []byte("length 1s\ntier a boxes 1\nclass ask\ncallers rate 2/s\n"), &found)
 	r, err := dryrun.Run(m.Plan(0))
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 
 func TestExperimentPage(t *testing.T) {
 	p := play(t, "")
-	mornings := []*morning.Scenario{p.Plan.Scenario}
+	mornings := []*scenario.Scenario{p.Plan.Scenario}
 	points := []experiment.Point{{Load: 0.5, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}}, {Load: 2, Runs: 3, Service: experiment.Figure{Mean: 0.5, HalfInterval: 0.1, Min: 0.4}, Breaches: 1}}
 	var page, table bytes.Buffer
 	if err := WriteExperimentPage(&page, time.Now(), mornings, points); err != nil {
--- a/internal/rehearsal/report/run.go
+++ b/internal/rehearsal/report/run.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"quincegap/internal/rehearsal/audit"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // Run is one playing of a scenario.
 type Run struct {
 	Program string // that was played
-	Plan    *morning.Plan
+	Plan    *scenario.Plan
 	Verdict *audit.Verdict
 	Virtual bool          // in virtual time, the decision module alone
 	CPU     time.Duration // of all sidecars
--- a/internal/rehearsal/morning/example_test.go
+++ b/internal/rehearsal/scenario/example_test.go
@@ -1,18 +1,18 @@
-package morning_test
+package scenario_test
 
 import (
 	"fmt"
 	"os"
 
 	"quincegap/internal/config/finding"
-	"quincegap/internal/rehearsal/morning"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // A script, and the plan that it gives with its seed.
 func Example() {
 	const script = "title \"Two boxes\"\nlength 10s\nseed 3\ntier one boxes 2\nclass ask\ncallers rate 10/s\nat 2s: box 1 restarts taking 500ms\n"
 	var found finding.List
-	scenario := morning.Read("two.morning", []byte(script), &found)
+	scenario := scenario.Read("two.morning", []byte(script), &found)
 	if scenario == nil {
 		fmt.Println(found.Err())
 		return
--- a/internal/rehearsal/morning/sidecarevents.go
+++ b/internal/rehearsal/scenario/sidecarevents.go
@@ -1,4 +1,4 @@
-package morning
+package scenario
 
 import (
 	"math"
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 
 	"quincegap/internal/rehearsal/experiment"
-	"quincegap/internal/rehearsal/morning"
 	"quincegap/internal/rehearsal/report"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // loadSteps is at how many loads a range is played.
@@ -128,7 +128,7 @@
 }
 
 // keepExperiment writes every run as a line of a table, and a page with charts.
-func (c *command) keepExperiment(dir string, mornings []*morning.Scenario, runs []experiment.Run, points []experiment.Point) error {
+func (c *command) keepExperiment(dir string, mornings []*scenario.Scenario, runs []experiment.Run, points []experiment.Point) error {
 	if err := os.MkdirAll(dir, reportDirMode); err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 }
 
 // experimentRows are a header and a row for each run. Other tools read the columns by name.
-func experimentRows(mornings []*morning.Scenario, runs []experiment.Run) [][]string {
+func experimentRows(mornings []*scenario.Scenario, runs []experiment.Run) [][]string {
 	rows := [][]string{{
 		"morning", "load", "seed", "requests", "service", "worst_10s", "refused", "failed", "attempts_a_call", "waste", "p50_s", "p99_s", "breaches",
 	}}
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -18,9 +18,9 @@
 	"quincegap/internal/config/finding"
 	"quincegap/internal/product"
 	"quincegap/internal/rehearsal/dryrun"
-	"quincegap/internal/rehearsal/morning"
 	"quincegap/internal/rehearsal/rehearse"
 	"quincegap/internal/rehearsal/report"
+	"quincegap/internal/rehearsal/scenario"
 )
 
 // ExitVoid is the exit code of a rehearsal that says nothing: the emulator itself was too slow.
@@ -69,13 +69,13 @@
 }
 
 // readMorning reads a script; findings are printed.
-func (c *command) readMorning(path string) (*morning.Scenario, error) {
+func (c *command) readMorning(path string) (*scenario.Scenario, error) {
 	var found finding.List
-	text, err := product.Read(path, morning.MaxBytes)
+	text, err := product.Read(path, scenario.MaxBytes)
 	if err != nil {
 		return nil, runError{fmt.Errorf("%s: %w", path, err)}
 	}
-	m := morning.Read(path, text, &found)
+	m := scenario.Read(path, text, &found)
 	if m == nil {
 		return nil, c.report(&found)
 	}
@@ -132,7 +132,7 @@
 }
 
 // playVirtual plays a plan without sockets.
-func playVirtual(plan *morning.Plan) (*report.Run, error) {
+func playVirtual(plan *scenario.Plan) (*report.Run, error) {
 	began := time.Now()
 	r, err := dryrun.Run(plan)
 	if err != nil {
@@ -196,7 +196,7 @@
 }
 
 // playOnce plays a plan with one build of the sidecar; number counts builds from 0.
-func (c *command) playOnce(ctx context.Context, plan *morning.Plan, program string, options rehearsalOptions, number int) (play *report.Run, err error) {
+func (c *command) playOnce(ctx context.Context, plan *scenario.Plan, program string, options rehearsalOptions, number int) (play *report.Run, err error) {
 	dir := options.report
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "quincegap-rehearsal-"); err != nil {
