--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -89,10 +89,11 @@
 	var own, fronts []string
 	for i := range n {
 		own = append(own, freePortAt(tb, fmt.Sprintf("127.0.7.%d", i+1)))
-		fronts = append(fronts, freePortAt(tb, fmt.Sprintf("127.0.8.%d", i+1)))
-		if err := g.net.AddMember(memberName(i), fronts[i], own[i]); err != nil {
+		front, err := g.net.AddMember(memberName(i), fmt.Sprintf("127.0.8.%d:0", i+1), own[i])
+		if err != nil {
 			tb.Fatal(err)
 		}
+		fronts = append(fronts, front)
 	}
 	for i := range n {
 		join := slices.DeleteFunc([]string{fronts[0], fronts[1]}, func(a string) bool { return a == fronts[i] })
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -35,7 +35,7 @@
 func (w *rehearsal) startLinks() error {
 	w.links = relay.New(w.plan.Seed)
 	for i, s := range w.sidecars[:w.plan.Sidecars.Count] {
-		if err := w.links.AddMember(s.name, w.linkAddress(relayRow, i), w.linkAddress(peersRow, i)); err != nil {
+		if _, err := w.links.AddMember(s.name, w.linkAddress(relayRow, i), w.linkAddress(peersRow, i)); err != nil {
 			w.links.Close()
 			return err
 		}
--- a/internal/standin/relay/example_test.go
+++ b/internal/standin/relay/example_test.go
@@ -25,8 +25,8 @@
 	}()
 	network := relay.New(1)
 	defer network.Close()
-	const front = "127.77.0.2:45871"
-	if err := network.AddMember("m", front, member.Addr().String()); err != nil {
+	front, err := network.AddMember("m", "127.77.0.2:0", member.Addr().String())
+	if err != nil {
 		panic(err)
 	}
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", front)
--- a/internal/standin/relay/network.go
+++ b/internal/standin/relay/network.go
@@ -8,9 +8,13 @@
 	"math/rand/v2"
 	"net"
 	"sync"
+	"syscall"
 	"time"
 )
 
+// maxPortAttempts bounds how many ports are tried for a relay that takes any.
+const maxPortAttempts = 100
+
 // Fault is what happens to what one member sends another.
 type Fault struct {
 	Partitioned    bool          // nothing gets through
@@ -79,23 +83,17 @@
 	n.changed.Broadcast()
 }
 
-// AddMember starts a relay at one address (host:port) for a member that listens at another, on UDP and TCP.
-func (n *Network) AddMember(name, front, member string) error {
-	listenAt, err := net.ResolveUDPAddr("udp", front)
-	if err != nil {
-		return fmt.Errorf("relay of %s: %w", name, err)
-	}
+// AddMember starts a relay at one address (host:port) for a member that listens at another, on UDP and TCP, and returns the relay's
+// address. With port 0 the relay takes a port that is free for both protocols: a test that looks for a free port by itself, closes it
+// and then names it here can lose it in between, as a process that is being started holds copies of all sockets until its exec.
+func (n *Network) AddMember(name, front, member string) (string, error) {
 	forwardTo, err := net.ResolveUDPAddr("udp", member)
 	if err != nil {
-		return fmt.Errorf("relay of %s: %w", name, err)
+		return "", fmt.Errorf("relay of %s: %w", name, err)
 	}
-	datagrams, err := net.ListenUDP("udp", listenAt)
+	datagrams, streams, err := listenBoth(front)
 	if err != nil {
-		return fmt.Errorf("relay of %s: %w", name, err)
-	}
-	streams, err := new(net.ListenConfig).Listen(context.Background(), "tcp", front)
-	if err != nil {
-		return fmt.Errorf("relay of %s: %w", name, errors.Join(err, datagrams.Close()))
+		return "", fmt.Errorf("relay of %s: %w", name, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +101,29 @@
 	n.closers = append(n.closers, datagrams, streams)
 	n.running.Go(func() { n.forwardDatagrams(name, datagrams, forwardTo) })
 	n.running.Go(func() { n.acceptStreams(name, streams, member) })
-	return nil
+	return streams.Addr().String(), nil
+}
+
+// listenBoth listens at an address on UDP and TCP. With port 0 it tries ports until one is free for both.
+func listenBoth(address string) (*net.UDPConn, net.Listener, error) {
+	at, err := net.ResolveUDPAddr("udp", address)
+	if err != nil {
+		return nil, nil, err
+	}
+	for attempt := 1; ; attempt++ {
+		datagrams, err := net.ListenUDP("udp", at)
+		if err != nil {
+			return nil, nil, err
+		}
+		streams, err := new(net.ListenConfig).Listen(context.Background(), "tcp", datagrams.LocalAddr().String())
+		if err == nil {
+			return datagrams, streams, nil
+		}
+		err = errors.Join(err, datagrams.Close())
+		if at.Port != 0 || attempt == maxPortAttempts || !errors.Is(err, syscall.EADDRINUSE) {
+			return nil, nil, err
+		}
+	}
 }
 
 // Close ends all relays and their streams, and waits for what forwards them; datagrams that are delayed are lost.
