--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# What it needs beside Go comes from go.mod, its tools from tools/go.mod.
+# Needs Go 1.26 and Linux. Dependencies are in go.mod, tools in tools/go.mod.
 GO_FILES := $(shell find . -name '*.go' -not -path './journal/*')
 PACKAGES := ./internal/... ./cmd/...
 TOOL := go tool -modfile=tools/go.mod
 
-# Days in virtual time and orders of messages are simulated by one goroutine: the race detector finds nothing there, and takes ten
-# times as long. They make much garbage, and are given the memory for it.
+# Packages that simulate days, or orders of messages, in virtual time. One goroutine runs a simulation: the race detector would find
+# nothing there, and take ten times as long. They allocate much, so GOGC is raised for them.
 ALONE := /internal/(rehearsal/(dryrun|fleet)|mesh/(control/(consensus|lease|ratelimit)|discovery|discovery/membership|dataplane/admission))$$
 
 # The files that make the load balancer's decisions, as deploy/balancer.toml lists them.
@@ -30,7 +30,7 @@
 	GOGC=400 go test -count=1 $$(go list ./internal/... | grep -E '$(ALONE)')
 	go test -count=1 -run '$(POWER)' ./internal/mesh/control/storage
 
-# golangci-lint with .golangci.yml, which names the linters and, by package, what is not yet held to them.
+# golangci-lint with the linters of .golangci.yml; no package is excluded.
 lint:
 	go mod tidy -diff
 	$(TOOL) golangci-lint run
@@ -39,7 +39,7 @@
 format:
 	$(TOOL) golangci-lint fmt
 
-# The long simulations, a few minutes: more random days, more crashes of the store, 50 kills amid bookings.
+# The long simulations, a few minutes: more random days, more crashes of the store, 50 kills while requests are in flight.
 soak:
 	SOAK=1 KILLS=50 go test -race -count=1 -timeout 30m ./internal/balancer ./internal/rehearsal/dryrun ./internal/files/store ./internal/modules/idempotency
 	SOAK=1 go test -count=1 -timeout 30m ./internal/rehearsal/fleet ./internal/network/gossip ./internal/mesh/control/consensus \
