--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -130,8 +130,14 @@
 	if ep.rejectsUntil > now || ep.availability == warmingUp && !b.slowStartAllows(now, ep) {
 		return false
 	}
-	// An endpoint in slow start that had an available one's requests in flight would answer none of them in time.
-	limit := (maxEndpointShare*b.concurrency.limit/max(b.subset.size, 1)/b.weights.latencyRatio(ep) + concurrencySlack) *
-		b.capacityShare(now, ep)
-	return float64(ep.outstanding(now)-ep.lostCalls) < max(limit, concurrencySlack)
+	return float64(ep.outstanding(now)-ep.lostCalls) < b.maxOutstanding(now, ep)
+}
+
+// maxOutstanding is how many of this instance's requests one endpoint may hold: maxEndpointShare times its even share of the limit on
+// what is in flight, less if it is slower than the fleet, and concurrencySlack more. In slow start it is a part of that: an endpoint
+// that held as many requests as an available one would answer none of them in time. It is concurrencySlack at least.
+func (b *Balancer) maxOutstanding(now time.Duration, ep *endpoint) float64 {
+	share := maxEndpointShare * b.concurrency.limit / max(b.subset.size, 1)
+	limit := share/b.weights.latencyRatio(ep) + concurrencySlack
+	return max(limit*b.capacityShare(now, ep), concurrencySlack)
 }
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -10,7 +10,7 @@
 //	HandleRequest ── quota.go ── shutdown.go ──┬─► Host.Reject, Host.Fail
 //	      │                                    │
 //	      ▼                                    │
-//	 pending requests ── admission.go ─────────┤ too late, too many
+//	 pending requests ── pending.go ───────────┤ too late, too many
 //	      │                                    │
 //	   dispatch ── concurrency.go, pressure.go │ limits on what is in flight
 //	      │                                    │
--- a/internal/balancer/admission.go
+++ b/internal/balancer/pending.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// This file decides which pending requests are sent first (admission queue), and which are rejected (load shedding).
+// This file orders the pending requests, and decides which of them are rejected (load shedding).
 
 const (
 	targetSlackMeans     = 1.8  // mean latencies that must be left until the latency target when a request is sent
