--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -33,6 +33,7 @@
 	t.Helper()
 	address := serve(t, proxy)
 	conn := dial(t, address)
+	qt.Assert(t, conn.SetDeadline(time.Now().Add(10*time.Second)), qt.IsNil)
 	_, err := fmt.Fprintf(conn, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\n", bytes, headers)
 	qt.Assert(t, err, qt.IsNil)
 	send(conn, make([]byte, bytes))
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -10,9 +10,10 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// A dozen sidecars draw 300 requests of a route together, in turn and each for itself: every part has its share within three in a
-// hundred; and of each hundred of one sidecar, within three requests. Where the sidecars begin is seeded: one in some 3,400 sets of a
-// dozen beginnings drawn at random misses the first bound by a request.
+// A dozen sidecars choose the services of 300 requests of a route, in turn and each by a sequence of its own: every service gets its
+// share within three in a hundred, and of each hundred requests of one sidecar within three requests. The dozen's sequences begin at
+// seeded points: of sets of a dozen random points, one in some 3,400 misses the bound by a request. One sidecar's bound holds wherever its
+// sequence begins, so that one begins at random, as in production.
 func TestServicesOfASplitRouteGetTheirShares(t *testing.T) {
 	c := qt.New(t)
 	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{
@@ -36,7 +37,7 @@
 			c.Assert(off < 0.03, qt.IsTrue, qt.Commentf("%s: %v of 300", s.Service, count[s.Service]))
 		}
 	}
-	one := splitSequences{start: random.Float64}
+	var one splitSequences
 	for range 20 {
 		count := map[string]float64{}
 		for range 100 {
