--- a/internal/mesh/dataplane/inbound/answer.go
+++ b/internal/mesh/dataplane/inbound/answer.go
@@ -29,10 +29,10 @@
 
 // readResponse reads the answer to a request, past interim ones and those to other requests; the kind says why there is none. An
 // answer is accepted only if it is complete and bears the request's ID: surplus ones come late, in the place of the next.
-func readResponse(c *connection, r *ForwardRequest) (endpointAnswer, outcome.Kind) {
-	onlyRequest := !c.used // no answer to an earlier request can come on the connection
+func readResponse(conn *connection, request *ForwardRequest) (endpointAnswer, outcome.Kind) {
+	onlyRequest := !conn.used // no answer to an earlier request can come on the connection
 	for range maxMismatchedResponses {
-		answer, kind := readOne(c.reader, r.Method)
+		answer, kind := readOne(conn.reader, request.Method)
 		if kind != outcome.None {
 			return endpointAnswer{}, kind
 		}
@@ -40,10 +40,10 @@
 			continue
 		}
 		id := answer.header.Get(HeaderAttemptID)
-		if id == r.AttemptID {
+		if id == request.AttemptID {
 			return answer, outcome.None
 		}
-		c.unusable = true // it is unknown what else comes
+		conn.unusable = true // it is unknown what else comes
 		if id == "" {
 			if onlyRequest && reportsNotExecuted(&answer) {
 				return answer, outcome.None
--- a/internal/mesh/dataplane/inbound/attempt.go
+++ b/internal/mesh/dataplane/inbound/attempt.go
@@ -10,27 +10,27 @@
 const maxConnectTime = 400 * time.Millisecond
 
 // attempt sends a request, once: a connection that took nothing of it gives way to another.
-func (p *Proxy) attempt(r *pendingRequest) ForwardResponse {
+func (p *Proxy) attempt(pending *pendingRequest) ForwardResponse {
 	for {
-		c, kind := p.acquireConnection(r)
+		c, kind := p.acquireConnection(pending)
 		if kind != outcome.None {
 			return ForwardResponse{Kind: kind}
 		}
-		remaining := r.deadline - p.now()
+		remaining := pending.deadline - p.now()
 		if remaining <= 0 {
 			return ForwardResponse{Kind: outcome.Expired}
 		}
 		_ = c.SetDeadline(time.Now().Add(remaining)) // fails on a closed connection alone, and so does the write
 		reused := c.used
-		response := roundTrip(c, r.request, appendRequest(nil, r.request, remaining), p.now)
+		response := roundTrip(c, pending.request, appendRequest(nil, pending.request, remaining), p.now)
 		c.used = true
 		switch {
 		case !response.ReachedEndpoint && reused:
-			p.discardConnection(r)
+			p.discardConnection(pending)
 			continue
 		case !response.ReachedEndpoint: // accepted, and reset before it took anything: an endpoint that is at capacity does so
 			response.Kind = outcome.AtCapacity
-		case response.Kind == outcome.EndpointReset && p.now() >= r.deadline-time.Millisecond: // the deadline of the connection
+		case response.Kind == outcome.EndpointReset && p.now() >= pending.deadline-time.Millisecond: // the deadline of the connection
 			response.Kind = outcome.TimedOut
 		}
 		return response
@@ -38,35 +38,35 @@
 }
 
 // acquireConnection returns an idle connection that may carry a request, or a new one; the kind says why there is none.
-func (p *Proxy) acquireConnection(r *pendingRequest) (*connection, outcome.Kind) {
+func (p *Proxy) acquireConnection(pending *pendingRequest) (*connection, outcome.Kind) {
 	for {
-		c, cancelled := p.claimIdle(r)
+		c, cancelled := p.claimIdle(pending)
 		switch {
 		case cancelled:
 			return nil, outcome.Cancelled
 		case c == nil:
-			return p.connect(r)
+			return p.connect(pending)
 		case c.reusable(p.now()):
 			return c, outcome.None
 		}
-		p.discardConnection(r)
+		p.discardConnection(pending)
 	}
 }
 
 // claimIdle gives a request an idle connection that may carry it, if there is one and the request is not cancelled.
-func (p *Proxy) claimIdle(r *pendingRequest) (c *connection, cancelled bool) {
+func (p *Proxy) claimIdle(pending *pendingRequest) (c *connection, cancelled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.cancelled {
+	if pending.cancelled {
 		return nil, true
 	}
-	r.conn = p.connections.take(r.request.AttemptID)
-	return r.conn, false
+	pending.conn = p.connections.take(pending.request.AttemptID)
+	return pending.conn, false
 }
 
 // connect gives a request a new connection; the kind says why there is none.
-func (p *Proxy) connect(r *pendingRequest) (*connection, outcome.Kind) {
-	timeout := min(maxConnectTime, r.deadline-p.now())
+func (p *Proxy) connect(pending *pendingRequest) (*connection, outcome.Kind) {
+	timeout := min(maxConnectTime, pending.deadline-p.now())
 	if timeout <= 0 {
 		return nil, outcome.Expired
 	}
@@ -78,31 +78,31 @@
 		return nil, outcome.Unreachable
 	}
 	c := newConnection(conn)
-	if r.cancelled {
+	if pending.cancelled {
 		c.discard()
 		return nil, outcome.Cancelled
 	}
-	r.conn = c
+	pending.conn = c
 	return c, outcome.None
 }
 
 // discardConnection closes a request's connection.
-func (p *Proxy) discardConnection(r *pendingRequest) {
+func (p *Proxy) discardConnection(pending *pendingRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.conn.discard()
-	r.conn = nil
+	pending.conn.discard()
+	pending.conn = nil
 }
 
 // releaseConnection takes the connection of a request that has ended: it is kept for the next one if its answer was read completely
 // and nothing else can come on it. The lock is held.
-func (p *Proxy) releaseConnection(r *pendingRequest, response *ForwardResponse) {
-	c := r.conn
+func (p *Proxy) releaseConnection(pending *pendingRequest, response *ForwardResponse) {
+	c := pending.conn
 	if c == nil {
 		return
 	}
-	r.conn = nil
-	if c.unusable || r.cancelled || !response.ReachedEndpoint || leavesAnswerUnread(response.Kind) {
+	pending.conn = nil
+	if c.unusable || pending.cancelled || !response.ReachedEndpoint || leavesAnswerUnread(response.Kind) {
 		c.discard()
 		return
 	}
--- a/internal/mesh/dataplane/inbound/classify.go
+++ b/internal/mesh/dataplane/inbound/classify.go
@@ -17,7 +17,7 @@
 }
 
 // classify fills in what an answer means for its request.
-func classify(response *ForwardResponse, r *ForwardRequest, answer *endpointAnswer) {
+func classify(response *ForwardResponse, request *ForwardRequest, answer *endpointAnswer) {
 	response.Status = answer.status
 	response.Kind = classifyKind(answer)
 	switch response.Kind {
@@ -25,7 +25,7 @@
 		response.RetryAfter = parseRetryAfter(answer.header.Get(headerRetryAfter))
 	case outcome.Answered:
 		response.Body = answer.body
-		response.Header = endToEndHeader(answer.header, r.Method)
+		response.Header = endToEndHeader(answer.header, request.Method)
 	}
 }
 
--- a/internal/mesh/dataplane/inbound/encode.go
+++ b/internal/mesh/dataplane/inbound/encode.go
@@ -6,21 +6,21 @@
 )
 
 // appendRequest appends a request to a buffer in the form in which it goes to the endpoint.
-func appendRequest(buf []byte, r *ForwardRequest, remaining time.Duration) []byte {
-	buf = fmt.Appendf(buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
-	for i := 0; i+1 < len(r.Header); i += 2 {
-		buf = appendField(buf, r.Header[i], r.Header[i+1])
+func appendRequest(buf []byte, request *ForwardRequest, remaining time.Duration) []byte {
+	buf = fmt.Appendf(buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.URI, request.Host)
+	for i := 0; i+1 < len(request.Header); i += 2 {
+		buf = appendField(buf, request.Header[i], request.Header[i+1])
 	}
-	buf = appendOptionalField(buf, HeaderAttemptID, r.AttemptID)
-	buf = appendOptionalField(buf, HeaderTargetEndpoint, r.EndpointID)
-	buf = appendOptionalField(buf, HeaderCallingService, r.CallingService)
-	buf = appendOptionalField(buf, HeaderSubscriberID, r.Tenant)
+	buf = appendOptionalField(buf, HeaderAttemptID, request.AttemptID)
+	buf = appendOptionalField(buf, HeaderTargetEndpoint, request.EndpointID)
+	buf = appendOptionalField(buf, HeaderCallingService, request.CallingService)
+	buf = appendOptionalField(buf, HeaderSubscriberID, request.Tenant)
 	buf = fmt.Appendf(buf, HeaderTimeRemaining+": %d\r\n", max(remaining.Milliseconds(), 1))
-	if r.HasBody || len(r.Body) > 0 {
-		buf = fmt.Appendf(buf, headerContentLength+": %d\r\n", len(r.Body))
+	if request.HasBody || len(request.Body) > 0 {
+		buf = fmt.Appendf(buf, headerContentLength+": %d\r\n", len(request.Body))
 	}
 	buf = append(buf, "\r\n"...)
-	return append(buf, r.Body...)
+	return append(buf, request.Body...)
 }
 
 func appendField(buf []byte, name, value string) []byte {
--- a/internal/mesh/dataplane/inbound/proxy.go
+++ b/internal/mesh/dataplane/inbound/proxy.go
@@ -121,11 +121,11 @@
 			return func() {}
 		}
 	}
-	r := &pendingRequest{token: p.lastToken, request: request, deadline: deadline, done: done, expectedBytes: answerBytes}
+	pending := &pendingRequest{token: p.lastToken, request: request, deadline: deadline, done: done, expectedBytes: answerBytes}
 	p.sizes.expect(answerBytes)
-	p.pending[r.token] = r
+	p.pending[pending.token] = pending
 	p.apply(p.controller.Submit(p.now(), admission.Request{
-		Token:          r.token,
+		Token:          pending.token,
 		EndpointID:     request.EndpointID,
 		Service:        request.Service,
 		Priority:       request.Priority,
@@ -134,7 +134,7 @@
 		Deadline:       deadline,
 	}))
 	p.scheduleExpiry()
-	return func() { p.cancel(r) }
+	return func() { p.cancel(pending) }
 }
 
 // rejectUnqueued rejects a request before the admission controller knows of it. The lock is held.
@@ -147,28 +147,28 @@
 // apply carries out the admission controller's decisions. The lock is held.
 func (p *Proxy) apply(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		r := p.pending[decision.Token]
-		if r == nil {
+		pending := p.pending[decision.Token]
+		if pending == nil {
 			continue
 		}
 		if decision.Kind != outcome.None {
-			p.finish(r, &ForwardResponse{Kind: decision.Kind})
+			p.finish(pending, &ForwardResponse{Kind: decision.Kind})
 			continue
 		}
-		r.running = true
-		go p.run(r)
+		pending.running = true
+		go p.run(pending)
 	}
 }
 
 // finish gives a request its outcome. The lock is held.
-func (p *Proxy) finish(r *pendingRequest, response *ForwardResponse) {
-	if p.pending[r.token] != r {
+func (p *Proxy) finish(pending *pendingRequest, response *ForwardResponse) {
+	if p.pending[pending.token] != pending {
 		return
 	}
-	delete(p.pending, r.token)
-	p.sizes.release(r.expectedBytes)
+	delete(p.pending, pending.token)
+	p.sizes.release(pending.expectedBytes)
 	p.reportLoad(response)
-	go r.done(response)
+	go pending.done(response)
 }
 
 // reportLoad adds the endpoint's load to a response. The lock is held.
@@ -178,20 +178,20 @@
 }
 
 // cancel gives a request up. One that waits ends at once; one that runs has its connection closed, on which most endpoints drop it.
-func (p *Proxy) cancel(r *pendingRequest) {
+func (p *Proxy) cancel(pending *pendingRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pending[r.token] != r || r.cancelled {
+	if p.pending[pending.token] != pending || pending.cancelled {
 		return
 	}
-	r.cancelled = true
-	if !r.running {
-		p.controller.Cancel(r.token)
-		p.finish(r, &ForwardResponse{Kind: outcome.Cancelled})
+	pending.cancelled = true
+	if !pending.running {
+		p.controller.Cancel(pending.token)
+		p.finish(pending, &ForwardResponse{Kind: outcome.Cancelled})
 		return
 	}
-	if r.conn != nil {
-		r.conn.discard()
+	if pending.conn != nil {
+		pending.conn.discard()
 	}
 }
 
--- a/internal/mesh/dataplane/inbound/round_trip.go
+++ b/internal/mesh/dataplane/inbound/round_trip.go
@@ -7,25 +7,25 @@
 )
 
 // roundTrip sends a request, already in the form for the endpoint, on a connection and reads its answer.
-func roundTrip(c *connection, r *ForwardRequest, encoded []byte, now func() time.Duration) ForwardResponse {
+func roundTrip(conn *connection, request *ForwardRequest, encoded []byte, now func() time.Duration) ForwardResponse {
 	began := now()
-	if n, err := c.Write(encoded); err != nil {
+	if n, err := conn.Write(encoded); err != nil {
 		if n == 0 { // nothing of it was sent
 			return ForwardResponse{Kind: outcome.Unreachable}
 		}
 		return ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true}
 	}
 	response := ForwardResponse{ReachedEndpoint: true}
-	answer, kind := readResponse(c, r)
+	answer, kind := readResponse(conn, request)
 	if kind != outcome.None {
 		response.Kind = kind
 		return response
 	}
 	response.ServiceTime = now() - began
-	classify(&response, r, &answer)
+	classify(&response, request, &answer)
 	if response.Kind.NotExecuted() {
-		c.rejectedIDs = append(c.rejectedIDs, r.AttemptID)
+		conn.rejectedIDs = append(conn.rejectedIDs, request.AttemptID)
 	}
-	c.updateKeepAlive(&answer, now())
+	conn.updateKeepAlive(&answer, now())
 	return response
 }
--- a/internal/mesh/dataplane/outbound/admit.go
+++ b/internal/mesh/dataplane/outbound/admit.go
@@ -11,69 +11,71 @@
 )
 
 const (
-	// minQuotaRetryAfter is the least time after which a client that was rejected by its rate limit is to come back.
+	// minQuotaRetryAfter is the least Retry-After of a request that its tenant's rate limit rejects.
 	minQuotaRetryAfter = 50 * time.Millisecond
-	// maxTimeRemaining bounds the milliseconds of a client's Time-Remaining that are taken seriously.
+	// maxTimeRemaining bounds a client's Time-Remaining, in milliseconds; a header with more is ignored.
 	maxTimeRemaining = 1e9
-	// requestLineOverhead and fieldOverhead are the bytes of a header beside its names and values.
+	// requestLineOverhead and fieldOverhead are bytes of a header other than its names and values: separators and line ends.
 	requestLineOverhead = 20
 	fieldOverhead       = 4
 )
 
-// admit decides whether this sidecar takes a client's request, in this order: its header, route, time until the process ends, tenant,
-// id and the tenant's rate limit, whose token it waits for. It fills the request in as far as it gets; the kind says why it is rejected.
-// Whether the request can be served in time is for others: the service's balancer, and package admission at the endpoint's sidecar.
+// admit checks a client's request, in this order: its header, its route, the time until this process ends, its tenant, its ID and the
+// tenant's rate limit, for whose token it waits. It returns the request with the fields that were set before a check failed, and why it
+// is rejected; outcome.None if it is admitted.
+//
+// Whether the request can be served in time is decided by the service's balancer and, at the endpoint's sidecar, by package admission.
 func (p *Proxy) admit(config *configuration.Config, req *http.Request) (*request, outcome.Kind) {
 	now := p.Now()
-	r := &request{results: make(chan result, 1)}
+	pending := &request{results: make(chan result, 1)}
 	if kind := checkHeader(config, req); kind != outcome.None {
-		return r, kind
+		return pending, kind
 	}
-	r.route = config.Match(req.Host, req.URL.EscapedPath())
-	if r.route == nil {
-		return r, outcome.NoRoute
+	pending.route = config.Match(req.Host, req.URL.EscapedPath())
+	if pending.route == nil {
+		return pending, outcome.NoRoute
 	}
-	r.forward.Nested = isNestedCall(config, req)
-	r.setTimes(now, req.Header.Get(inbound.HeaderTimeRemaining))
-	if kind := p.shutdown.bound(r, now); kind != outcome.None {
-		return r, kind
+	pending.forward.Nested = isNestedCall(config, req)
+	pending.setTimes(now, req.Header.Get(inbound.HeaderTimeRemaining))
+	if kind := p.shutdown.bound(pending, now); kind != outcome.None {
+		return pending, kind
 	}
-	tenant, kind := findTenant(config, r.route, req.Header[inbound.HeaderKey])
+	tenant, kind := findTenant(config, pending.route, req.Header[inbound.HeaderKey])
 	if kind != outcome.None {
-		return r, kind
+		return pending, kind
 	}
 	ids := req.Header[inbound.HeaderAttemptID]
 	if len(ids) != 1 || ids[0] == "" {
-		return r, outcome.Malformed
+		return pending, outcome.Malformed
 	}
-	r.forward.Priority = r.route.Priority
+	pending.forward.Priority = pending.route.Priority
 	if tenant != nil {
-		r.forward.Tenant = tenant.Name
-		r.forward.Priority = tenant.Priority
-		r.quotaRetryAfter = p.acquireQuota(tenant)
-		if r.quotaRetryAfter > 0 {
-			return r, outcome.QuotaExceeded
+		pending.forward.Tenant = tenant.Name
+		pending.forward.Priority = tenant.Priority
+		pending.quotaRetryAfter = p.acquireQuota(tenant)
+		if pending.quotaRetryAfter > 0 {
+			return pending, outcome.QuotaExceeded
 		}
 	}
-	p.fillForward(r, req, ids[0])
-	return r, outcome.None
+	p.fillForward(pending, req, ids[0])
+	return pending, outcome.None
 }
 
-// fillForward fills in what goes to the endpoint of a request that is admitted. It draws the service of a split route.
-func (p *Proxy) fillForward(r *request, req *http.Request, attemptID string) {
-	forward := &r.forward
-	forward.Route = r.route.Name
+// fillForward sets what is forwarded to the endpoint. It chooses the service of a split route.
+func (p *Proxy) fillForward(pending *request, req *http.Request, attemptID string) {
+	forward := &pending.forward
+	forward.Route = pending.route.Name
 	forward.AttemptID = attemptID
 	forward.Method = req.Method
 	forward.URI = req.RequestURI
 	forward.Host = req.Host
 	forward.CallingService = p.options.Service
-	forward.Idempotent = r.route.Kind.IsIdempotent()
-	forward.Service = p.trafficSplits.chooseService(r.route)
+	forward.Idempotent = pending.route.Kind.IsIdempotent()
+	forward.Service = p.trafficSplits.chooseService(pending.route)
 	forward.Header = forwardedHeader(req.Header)
 }
 
-// checkHeader looks at what does not depend on the route.
+// checkHeader checks what does not depend on the route.
 func checkHeader(config *configuration.Config, req *http.Request) outcome.Kind {
 	if headerBytes(req) > config.Limits.HeaderMax {
 		return outcome.HeaderTooLarge
@@ -84,7 +86,7 @@
 	return outcome.None
 }
 
-// headerBytes returns the size of a request's header, by the names and values that the server has read.
+// headerBytes returns the size in bytes of a request's header, computed from the names and values that the server has parsed.
 func headerBytes(req *http.Request) (n int64) {
 	n = int64(len(req.Method) + len(req.RequestURI) + len(req.Host) + requestLineOverhead)
 	for name, values := range req.Header {
@@ -95,12 +97,12 @@
 	return n
 }
 
-// isNestedCall reports whether a request is a call of an endpoint, amid a request that it executes: those carry no tenant's key.
+// isNestedCall reports whether a request was made by an endpoint that is executing another one: such calls carry no tenant's key.
 func isNestedCall(config *configuration.Config, req *http.Request) bool {
 	return config.HasTenantTable && len(req.Header[inbound.HeaderKey]) == 0
 }
 
-// findTenant returns the tenant that holds a request's key; nil where the request needs none.
+// findTenant returns the tenant of a request's key; nil if the request needs none. The kind is outcome.Unauthorized if it needs one.
 func findTenant(config *configuration.Config, route *configuration.Route, keys []string) (*configuration.Tenant, outcome.Kind) {
 	if !config.HasTenantTable {
 		return nil, outcome.None
@@ -116,14 +118,14 @@
 	return nil, outcome.Unauthorized
 }
 
-// setTimes sets a request's deadlines by its route, and by what the client says that it has left, in milliseconds.
+// setTimes sets a request's deadlines by its route, and by the client's Time-Remaining: the milliseconds until the client gives up.
 func (r *request) setTimes(now time.Duration, timeRemaining string) {
 	remaining := r.route.Timeout
-	var spent time.Duration // by the client, on attempts of its own
+	var spent time.Duration // by the client, on earlier attempts of its own
 	ms, err := strconv.ParseFloat(timeRemaining, 64)
 	if err == nil && ms >= 0 && ms < maxTimeRemaining {
 		remaining = min(remaining, time.Duration(ms*float64(time.Millisecond)))
-		if !r.forward.Nested { // a client that retries has less left, and its target counts from its first attempt
+		if !r.forward.Nested { // a client that retries has less time left, and the latency target counts from its first attempt
 			spent = r.route.Timeout - remaining
 		}
 	}
@@ -133,12 +135,12 @@
 		r.targetDeadline = r.deadline
 	case spent < target:
 		r.targetDeadline = min(r.deadline, now+target-spent)
-	default: // it is late already: it may wait, but not as long as those that can still be in time
+	default: // the target is missed already: the request may wait, but less than those that can still meet theirs
 		r.targetDeadline = min(r.deadline, now+target/2)
 	}
 }
 
-// acquireQuota takes a request out of a tenant's rate limit. It returns 0, or when to come back if the limit is reached.
+// acquireQuota takes one request out of a tenant's rate limit. It returns 0, or the time after which to retry if the limit is reached.
 func (p *Proxy) acquireQuota(tenant *configuration.Tenant) (retryAfter time.Duration) {
 	if p.options.AcquireQuota == nil || tenant.Rate <= 0 {
 		return 0
@@ -154,7 +156,7 @@
 	return <-answers
 }
 
-// rejectionRetryAfter returns when the client of a request that was rejected is to come back.
+// rejectionRetryAfter returns the Retry-After of a request that accept or readBody has rejected.
 func (r *request) rejectionRetryAfter(kind outcome.Kind) time.Duration {
 	if kind == outcome.QuotaExceeded {
 		return max(r.quotaRetryAfter, minQuotaRetryAfter)
--- a/internal/mesh/dataplane/outbound/answer.go
+++ b/internal/mesh/dataplane/outbound/answer.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// writeAnswer writes a request's answer. An error of writing is the client's loss alone, and is not looked at.
+// writeAnswer writes a request's answer. Errors are ignored: the client has gone, and the request's outcome is decided.
 func (p *Proxy) writeAnswer(w http.ResponseWriter, res result) {
 	header := w.Header()
 	if p.shutdown.rejecting.Load() {
@@ -16,7 +16,7 @@
 	} else {
 		p.connections.advertiseIdleTimeout(header)
 	}
-	// The server adds neither of its own: an answer has those of the endpoint, or none.
+	// Nil keeps the server from adding these two: an answer has the endpoint's, or none.
 	header[headerContentType] = nil
 	header[headerDate] = nil
 	if res.kind == outcome.Answered {
@@ -26,7 +26,7 @@
 	writeTableAnswer(w, res)
 }
 
-// writeEndpointAnswer writes the endpoint's answer as it came.
+// writeEndpointAnswer writes the endpoint's answer.
 func writeEndpointAnswer(w http.ResponseWriter, response *inbound.ForwardResponse) {
 	header := w.Header()
 	for i := 0; i+1 < len(response.Header); i += 2 {
@@ -34,14 +34,14 @@
 		header[name] = append(header[name], value)
 	}
 	bodiless := response.Status == http.StatusNoContent || response.Status == http.StatusNotModified
-	if !bodiless && header[headerContentLength] == nil { // that of an answer to HEAD is the endpoint's
+	if !bodiless && header[headerContentLength] == nil { // an answer to HEAD has the endpoint's
 		header[headerContentLength] = []string{strconv.Itoa(len(response.Body))}
 	}
 	w.WriteHeader(response.Status)
 	_, _ = w.Write(response.Body)
 }
 
-// writeTableAnswer writes the answer that the table of package outcome has for a kind.
+// writeTableAnswer writes the answer to a request without an endpoint's answer, by the table of package outcome.
 func writeTableAnswer(w http.ResponseWriter, res result) {
 	header := w.Header()
 	entry := res.kind.Entry()
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -12,24 +12,24 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// Bounds of the bodies of clients' requests, beyond those of the configuration.
+// Bounds on the bodies of clients' requests, in addition to those of the configuration.
 const (
-	// initialBodyCapacity bounds the bytes that are allocated for a body before it comes.
+	// initialBodyCapacity bounds the bytes that are allocated for a body before any of it is read.
 	initialBodyCapacity = 64 << 10
-	// maxDiscardBytes bounds what is still read of the body of a request that was rejected.
+	// maxDiscardBytes bounds how much of the body of a rejected request is still read.
 	maxDiscardBytes = 1 << 20
-	// discardTimeout bounds the time in which it is awaited.
+	// discardTimeout bounds the time for that.
 	discardTimeout = time.Second
 )
 
-// errBodyCapacity says that the bodies of all requests together have reached Options.MaxBodyBytes.
+// errBodyCapacity is returned when the bodies of all requests together exceed Options.MaxBodyBytes.
 var errBodyCapacity = errors.New("the bodies of requests under way have reached their bound")
 
-// readBody reads a request's body completely: only then can it go to an endpoint, and to another one after that. The kind says why the
-// request is rejected. What is counted for the body is to be given back by releaseBody.
-func (p *Proxy) readBody(config *configuration.Config, w http.ResponseWriter, req *http.Request, r *request) outcome.Kind {
+// readBody reads a request's body completely, as the body may have to be sent more than once. It returns why the request is rejected;
+// outcome.None if it is not. releaseBody is to be called in any case.
+func (p *Proxy) readBody(config *configuration.Config, w http.ResponseWriter, req *http.Request, pending *request) outcome.Kind {
 	declaredEmpty := req.ContentLength == 0 && len(req.Header[headerContentLength]) > 0
-	r.forward.HasBody = req.ContentLength > 0 || len(req.TransferEncoding) > 0 || declaredEmpty
+	pending.forward.HasBody = req.ContentLength > 0 || len(req.TransferEncoding) > 0 || declaredEmpty
 	if req.Body == nil || req.Body == http.NoBody {
 		return outcome.None
 	}
@@ -37,27 +37,27 @@
 		return outcome.BodyTooLarge
 	}
 	controller := http.NewResponseController(w)
-	p.bodyReads.begin(controller, time.Now().Add(r.deadline-p.Now()))
+	p.bodyReads.begin(controller, time.Now().Add(pending.deadline-p.Now()))
 	defer p.bodyReads.end(controller)
 	var body []byte
 	if req.ContentLength >= 0 {
 		body = make([]byte, 0, min(req.ContentLength+1, initialBodyCapacity))
 	}
 	body, err := readAll(http.MaxBytesReader(w, req.Body, config.Limits.BodyMax), body, func(n int) bool {
-		r.bodyBytes += int64(n)
+		pending.bodyBytes += int64(n)
 		return p.bodyBytes.Add(int64(n)) <= p.options.MaxBodyBytes
 	})
 	if err != nil {
 		return p.classifyBodyError(err)
 	}
-	r.forward.Body = body
+	pending.forward.Body = body
 	return outcome.None
 }
 
-// releaseBody gives back what is counted for a request's body.
+// releaseBody releases the capacity that readBody has reserved for a request's body.
 func (p *Proxy) releaseBody(r *request) { p.bodyBytes.Add(-r.bodyBytes) }
 
-// classifyBodyError returns how a request ends whose body could not be read.
+// classifyBodyError returns the outcome of a request whose body could not be read.
 func (p *Proxy) classifyBodyError(err error) outcome.Kind {
 	var tooLarge *http.MaxBytesError
 	var netError net.Error
@@ -75,8 +75,8 @@
 	return outcome.Malformed
 }
 
-// readAll appends what a reader has to a buffer. reserve is called with the number of bytes as they come, and
-// returns whether there is room for them; if there is not the error is errBodyCapacity.
+// readAll appends all that a reader has to a buffer. It calls reserve with the number of bytes of each read; if that returns false, the
+// error is errBodyCapacity.
 func readAll(reader io.Reader, buf []byte, reserve func(n int) bool) ([]byte, error) {
 	for {
 		if len(buf) == cap(buf) {
@@ -96,26 +96,26 @@
 	}
 }
 
-// discardBody reads what comes of the body of a request that is answered already, within bounds. A connection that is closed with bytes
-// unread is reset, and a reset takes an answer away that the client has not read yet.
+// discardBody reads the rest of the body of a request that is answered already, within bounds. The kernel resets a connection that is
+// closed with unread bytes, and a reset may discard the answer before the client has read it.
 func discardBody(w http.ResponseWriter, req *http.Request) {
 	if req.Header.Get(headerExpect) != "" { // the client waits for a go-ahead before it sends any
 		return
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout)) // fails on a closed connection alone
-	_, _ = io.CopyN(io.Discard, req.Body, maxDiscardBytes)                            // the connection ends if there is more, or it breaks
+	_, _ = io.CopyN(io.Discard, req.Body, maxDiscardBytes)                            // if there is more, the server closes the connection
 }
 
-// bodyReads are the requests whose bodies are being read. Once this process is about to end none is waited for any more, so that each
-// such request has an answer too. SetReadDeadline fails on a closed connection alone, on which reading fails as well; so its errors are
-// not looked at.
+// bodyReads tracks the bodies that are being read, by the controllers of their connections, and bounds the time for each. On shutdown all
+// of them are interrupted, so that their requests are answered in time too. Errors of SetReadDeadline are ignored: it fails only on a
+// closed connection, on which reads fail as well.
 type bodyReads struct {
 	mu      sync.Mutex
 	stopped bool
 	open    map[*http.ResponseController]struct{}
 }
 
-// begin bounds the reading of a body by a time.
+// begin starts to track a body, which is to be read by a deadline.
 func (b *bodyReads) begin(controller *http.ResponseController, deadline time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -129,7 +129,8 @@
 	_ = controller.SetReadDeadline(deadline)
 }
 
-// end takes the bound back: it would count as the end of the client while its request is served.
+// end stops to track a body and resets the deadline, which the server would otherwise take for the end of the client while the request is
+// served.
 func (b *bodyReads) end(controller *http.ResponseController) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,7 +138,7 @@
 	_ = controller.SetReadDeadline(time.Time{})
 }
 
-// stop ends the reading of all bodies, now and from now on.
+// stop interrupts the reading of all bodies, now and from now on.
 func (b *bodyReads) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/mesh/dataplane/outbound/classes.go
+++ b/internal/mesh/dataplane/outbound/classes.go
@@ -11,17 +11,17 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// maxClasses bounds the classes of a service's requests.
+// maxClasses bounds the number of classes of a service's requests.
 const maxClasses = 256
 
-// classKey is what makes requests alike for the balancer.
+// classKey identifies a class: requests with the same key are alike to the balancer.
 type classKey struct {
 	kind            configuration.RouteKind
 	target, timeout time.Duration
 }
 
-// classTable numbers the classes of one service's requests for its balancer. Each change of a route's times may ask for a new class;
-// once there are too many, routes share those that are most like theirs.
+// classTable numbers the classes of one service's requests for its balancer. Each change of a route's times may need a new class; once
+// there are maxClasses, routes share those with the nearest times.
 type classTable struct {
 	balancer *balancer.Balancer
 	log      *logrus.Logger
@@ -64,8 +64,8 @@
 	return class
 }
 
-// nearest returns the class of the same kind of requests whose times are nearest to a key's; 0, whose requests are not idempotent, if
-// there is none of its kind.
+// nearest returns the class of the same route kind whose times are nearest to a key's; if there is none, class 0, whose requests are not
+// idempotent.
 func (t *classTable) nearest(key classKey) (number int) {
 	nearest := time.Duration(math.MaxInt64)
 	for other, candidate := range t.numbers {
--- a/internal/mesh/dataplane/outbound/connections.go
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// sweepInterval is the time between two looks at idle connections.
+	// sweepInterval is the time between two checks of idle connections.
 	sweepInterval = 500 * time.Millisecond
-	// shutdownSweepInterval is the same while the process ends.
+	// shutdownSweepInterval is the same during shutdown.
 	shutdownSweepInterval = 20 * time.Millisecond
-	// idleTimeoutMargin is how much shorter the idle time-out is that clients are told than the one that is kept.
+	// idleTimeoutMargin is by how much the idle time-out that is advertised to clients is shorter than the real one.
 	idleTimeoutMargin = time.Second
-	// defaultIdleTimeout holds until there is a configuration.
+	// defaultIdleTimeout applies until there is a configuration.
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// clientConnection is what is known of one connection of a client.
+// clientConnection is the state of a client's connection.
 type clientConnection struct {
 	state     http.ConnState
-	idleUntil time.Time // it is kept open so long without a request
+	idleUntil time.Time // when it is closed if it is still idle
 	expired   bool      // sweep has set a read deadline in the past
 }
 
-// shouldClose reports whether a connection is to be closed now: it has no request under way, and none is awaited any more.
+// shouldClose reports whether a connection is to be closed now: no request is in flight on it, and it has been idle for too long or the
+// phase demands so.
 func (c clientConnection) shouldClose(now time.Time, phase closingPhase) bool {
 	switch c.state {
 	case http.StateNew:
@@ -37,89 +38,88 @@
 	return false
 }
 
-// closingPhase is which connections are closed because the process ends.
+// closingPhase determines which connections are closed for the shutdown of the process.
 type closingPhase int
 
 const (
 	closingNone closingPhase = iota
-	closingIdle              // those that have had a request; on a new one the request is still read, and rejected
-	closingAll               // new ones too
+	closingIdle              // those that have carried a request; on a new one the first request is still read, and rejected
+	closingAll               // also new ones
 )
 
 // clientConnections tracks the clients' open connections, and closes those that have been idle for too long.
 type clientConnections struct {
-	idleTimeout func() time.Duration // how long a connection may stay idle, at present
+	idleTimeout func() time.Duration // the idle time-out in force
 
 	mu       sync.Mutex
 	open     map[net.Conn]clientConnection
-	sweeping bool // sweep will be called
+	sweeping bool // a call of sweep is scheduled
 	phase    closingPhase
 }
 
-// track follows a connection's state (http.Server.ConnState).
-func (t *clientConnections) track(conn net.Conn, state http.ConnState) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// track records a change of a connection's state (http.Server.ConnState).
+func (c *clientConnections) track(conn net.Conn, state http.ConnState) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
-		delete(t.open, conn)
+		delete(c.open, conn)
 		return
 	}
-	if t.open == nil {
-		t.open = map[net.Conn]clientConnection{}
+	if c.open == nil {
+		c.open = map[net.Conn]clientConnection{}
 	}
-	if state == http.StateActive && t.open[conn].expired {
-		_ = conn.SetReadDeadline(time.Time{}) // its request was read all the same; the deadline would count as the client's end
+	if state == http.StateActive && c.open[conn].expired {
+		_ = conn.SetReadDeadline(time.Time{}) // a request was read all the same; to the server the deadline would mean that the client has gone
 	}
-	t.open[conn] = clientConnection{state: state, idleUntil: time.Now().Add(t.idleTimeout())}
-	if !t.sweeping {
-		t.sweeping = true
-		time.AfterFunc(sweepInterval, t.sweep)
+	c.open[conn] = clientConnection{state: state, idleUntil: time.Now().Add(c.idleTimeout())}
+	if !c.sweeping {
+		c.sweeping = true
+		time.AfterFunc(sweepInterval, c.sweep)
 	}
 }
 
-// sweep ends connections that have been idle for too long, or all idle ones if the process is about to end. It does so by a read
-// deadline in the past, not by Close: the server's own reader then either has a complete request, and answers it, or has not, and
-// closes. So a request that was read is never dropped. The deadline may be set after the server has read a request and before it
-// reports so to track, which takes it back then.
-func (t *clientConnections) sweep() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// sweep ends the connections for which shouldClose reports true, by a read deadline in the past instead of Close: the server's reader then
+// either has a complete request, and answers it, or has none, and closes the connection. So a request that was read is never dropped.
+// The deadline may be set after the server has read a request and before it calls track, which resets it then.
+func (c *clientConnections) sweep() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	for conn, known := range t.open {
-		if known.shouldClose(now, t.phase) {
+	for conn, known := range c.open {
+		if known.shouldClose(now, c.phase) {
 			_ = conn.SetReadDeadline(now.Add(-time.Second)) // fails on a closed connection alone
 			known.expired = true
-			t.open[conn] = known
+			c.open[conn] = known
 		}
 	}
 	interval := sweepInterval
-	if t.phase != closingNone {
+	if c.phase != closingNone {
 		interval = shutdownSweepInterval
 	}
-	t.sweeping = len(t.open) > 0
-	if t.sweeping {
-		time.AfterFunc(interval, t.sweep)
+	c.sweeping = len(c.open) > 0
+	if c.sweeping {
+		time.AfterFunc(interval, c.sweep)
 	}
 }
 
-// close ends connections once they have no request under way, from now on.
-func (t *clientConnections) close(phase closingPhase) {
-	t.mu.Lock()
-	t.phase = phase
-	t.mu.Unlock()
-	t.sweep()
+// close closes connections, now and from now on, as the phase demands.
+func (c *clientConnections) close(phase closingPhase) {
+	c.mu.Lock()
+	c.phase = phase
+	c.mu.Unlock()
+	c.sweep()
 }
 
-// count returns how many connections are open.
-func (t *clientConnections) count() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.open)
+// count returns the number of open connections.
+func (c *clientConnections) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.open)
 }
 
-// advertiseIdleTimeout tells the client how many seconds it may keep its connection idle.
-func (t *clientConnections) advertiseIdleTimeout(header http.Header) {
-	if seconds := int((t.idleTimeout() - idleTimeoutMargin) / time.Second); seconds > 0 {
+// advertiseIdleTimeout sets the Keep-Alive header field, by which the client knows for how many seconds its connection may stay idle.
+func (c *clientConnections) advertiseIdleTimeout(header http.Header) {
+	if seconds := int((c.idleTimeout() - idleTimeoutMargin) / time.Second); seconds > 0 {
 		header[headerKeepAlive] = []string{"timeout=" + strconv.Itoa(seconds)}
 	}
 }
--- a/internal/mesh/dataplane/outbound/dispatcher.go
+++ b/internal/mesh/dataplane/outbound/dispatcher.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// nestedCallValue is the value of a nested call: this many times that of a client's request of the highest priority. The request
-	// that waits for it holds a slot, and what was executed of it already is lost without the call.
+	// nestedCallValue is the value of a nested call, in values of a client's request of the highest priority. The request that waits for
+	// the call occupies a slot, and its execution so far is wasted if the call fails.
 	nestedCallValue = 4
-	// minPriorityRank is the lowest priority that makes a difference; each is worth half of the one before.
-	minPriorityRank = 16
+	// maxPriorityRank bounds the rank of a priority, 0 for the highest: a request has half the value of one a rank higher.
+	maxPriorityRank = 16
 	// requestIDBase is the base in which requests are numbered for the balancer.
 	requestIDBase = 36
 )
 
-// dispatcher serves the requests that were admitted, by one balancer for each service.
+// dispatcher hands the requests that were accepted to the balancers, one for each service.
 type dispatcher struct {
 	options *Options
 
-	mu           sync.Mutex // guards what follows, the balancers and their requests
-	balancers    map[string]*serviceBalancer
-	zoneNumbers  map[string]int
-	deferred     []func(now time.Duration)
-	lastRequest  uint64
-	sidecarCount int // that share the fleet's retry budget
+	mu           sync.Mutex                  // guards what follows, the balancers and their requests
+	balancers    map[string]*serviceBalancer // by service
+	zoneNumbers  map[string]int              // by zone
+	deferred     []func(now time.Duration)   // by deferLocked, in order
+	lastRequest  uint64                      // number of the last request
+	sidecarCount int                         // sidecars that share the fleet's retry budget; 1 at least
 }
 
 func newDispatcher(options *Options) *dispatcher {
@@ -43,7 +43,7 @@
 
 func (d *dispatcher) now() time.Duration { return d.options.Hub.Now() }
 
-// runLocked runs a function with the lock held, and then what was deferred, in its order.
+// runLocked calls f with the lock held, and then the deferred functions in order.
 func (d *dispatcher) runLocked(f func(now time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,8 +55,8 @@
 	}
 }
 
-// deferLocked has a function run once the event that is being handled is done, with the lock still held: balancers take no event
-// while they ask for actions.
+// deferLocked calls f after the event that is being handled, with the lock still held: a balancer must not be called while it calls its
+// host.
 func (d *dispatcher) deferLocked(f func(now time.Duration)) { d.deferred = append(d.deferred, f) }
 
 // zoneNumber returns the number by which balancers know a zone. The lock is held.
@@ -83,7 +83,7 @@
 	return b
 }
 
-// updateEndpoints takes the complete list of a service's endpoints.
+// updateEndpoints replaces the list of a service's endpoints.
 func (d *dispatcher) updateEndpoints(service string, endpoints []discovery.Endpoint) {
 	d.runLocked(func(now time.Duration) {
 		if b := d.balancerFor(service); b != nil {
@@ -97,7 +97,7 @@
 	d.runLocked(func(time.Duration) { d.sidecarCount = max(n, 1) })
 }
 
-// submit has a request served; its result comes once on its channel.
+// submit hands a request to its service's balancer. The result is sent once, on r.results.
 func (d *dispatcher) submit(r *request) {
 	d.runLocked(func(now time.Duration) {
 		b := d.balancerFor(r.forward.Service)
@@ -112,17 +112,17 @@
 	})
 }
 
-// value returns the value of a request to the balancer, beside others of its class.
+// value returns the value of a request relative to others of its class.
 func (r *request) value() float64 {
 	if r.forward.Nested {
 		return nestedCallValue
 	}
-	rank := min(max(r.forward.Priority, 0), minPriorityRank)
+	rank := min(max(r.forward.Priority, 0), maxPriorityRank)
 	return 1 / float64(int(1)<<rank)
 }
 
-// expire gives a request up: its client has gone, or its time is nearly up. Its attempts are cancelled, and their outcomes say how far
-// they had come.
+// expire gives up a request that has not been answered, and cancels its attempts. Their outcomes, which are still reported, decide on its
+// answer.
 func (d *dispatcher) expire(r *request) {
 	d.runLocked(func(now time.Duration) {
 		if r.balancer == nil || r.answered || r.expired {
@@ -137,7 +137,7 @@
 	})
 }
 
-// abandon ends an expired request whose attempts have not reported how far they came.
+// abandon answers an expired request without waiting for the outcomes of its cancelled attempts.
 func (d *dispatcher) abandon(r *request) {
 	d.runLocked(func(time.Duration) {
 		if r.balancer != nil && !r.answered {
--- a/internal/mesh/dataplane/outbound/endpoints.go
+++ b/internal/mesh/dataplane/outbound/endpoints.go
@@ -7,13 +7,13 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// knownEndpoint is one endpoint as the balancer knows it, by a number.
+// knownEndpoint is an endpoint, with the number by which the balancer knows it.
 type knownEndpoint struct {
 	number balancer.EndpointID
 	discovery.Endpoint
 }
 
-// endpointTable holds the endpoints of one service. A new start of an endpoint's process has another ID, and gets another number.
+// endpointTable numbers the endpoints of one service. A new incarnation of an endpoint has another ID, and gets another number.
 type endpointTable struct {
 	byNumber    map[balancer.EndpointID]*knownEndpoint
 	byID        map[string]*knownEndpoint
@@ -25,7 +25,7 @@
 	return endpointTable{byNumber: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{}}
 }
 
-// update takes the complete list of the service's endpoints, and returns it as the balancer takes it. Those that are gone are left out.
+// update replaces the endpoints by the complete list, and returns that in the balancer's form, without those that have crashed or left.
 func (t *endpointTable) update(now time.Duration, endpoints []discovery.Endpoint, zoneNumber func(string) int) balancer.EndpointList {
 	t.listVersion++
 	list := balancer.EndpointList{Kind: balancer.ListFull, Version: t.listVersion}
@@ -48,7 +48,7 @@
 	return list
 }
 
-// find returns what is known of an endpoint, a new entry with the next number if nothing is.
+// find returns the entry of an endpoint; a new one, with the next number, if there is none.
 func (t *endpointTable) find(id string) *knownEndpoint {
 	if known := t.byID[id]; known != nil {
 		return known
@@ -60,7 +60,7 @@
 	return known
 }
 
-// listEntry is an endpoint's entry in the balancer's list.
+// listEntry returns an endpoint's entry in the balancer's list.
 func listEntry(now time.Duration, endpoint *knownEndpoint, zone int) balancer.ListEntry {
 	entry := balancer.ListEntry{Endpoint: endpoint.number, Zone: zone, Weight: 1}
 	if endpoint.State == discovery.Draining {
--- a/internal/mesh/dataplane/outbound/headers.go
+++ b/internal/mesh/dataplane/outbound/headers.go
@@ -20,7 +20,7 @@
 	headerRetryAfter    = "Retry-After"
 )
 
-// systemHeaders are header fields that the system alone sets, whatever a client sent.
+// systemHeaders are the header fields that only the mesh sets: a client's are not forwarded. In canonical form.
 var systemHeaders = map[string]bool{
 	inbound.HeaderAttemptID:      true,
 	inbound.HeaderBaseVersion:    true,
@@ -33,7 +33,7 @@
 	headerHost:                   true,
 }
 
-// forwardedHeader returns the header fields that go on to the endpoint, names and values in turn.
+// forwardedHeader returns the header fields that are forwarded to the endpoint: each name, followed by its value.
 func forwardedHeader(header http.Header) (fields []string) {
 	connectionFields := namedByConnection(header)
 	for name, values := range header {
--- a/internal/mesh/dataplane/outbound/host.go
+++ b/internal/mesh/dataplane/outbound/host.go
@@ -6,17 +6,18 @@
 	"quincegap/internal/balancer"
 )
 
-// The methods of this file make serviceBalancer the balancer's host (balancer.Host). The dispatcher's lock is held.
+// The methods of this file implement balancer.Host: the balancer calls them to act. They are called with the dispatcher's lock held.
 var _ balancer.Host = (*serviceBalancer)(nil)
 
-// Send makes an attempt of a request.
+// Send starts an attempt of a request.
 func (b *serviceBalancer) Send(id balancer.RequestID, to balancer.EndpointID, _ time.Duration) {
 	if r := b.requests[id]; r != nil {
 		b.startAttempt(r, to)
 	}
 }
 
-// Cancel gives up an attempt of a request that the balancer wants to send elsewhere, or that has no client any more.
+// Cancel gives up an attempt of a request, because the balancer wants to send the request to another endpoint or the request has ended.
+// In the former case the attempt is superseded, not cancelled.
 func (b *serviceBalancer) Cancel(id balancer.RequestID, number int) {
 	r := b.requests[id]
 	if r == nil || r.attempts.active == nil || r.attempts.active.number != number {
@@ -29,15 +30,16 @@
 	b.supersede(r)
 }
 
-// Reject is the balancer's final answer to a request that no endpoint serves.
+// Reject ends a request that no endpoint serves. The client is to retry after a time.
 func (b *serviceBalancer) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	b.conclude(id, retryAfter)
 }
 
-// Fail is the balancer's final answer to a request of which it promises nothing.
+// Fail ends a request that may have been executed.
 func (b *serviceBalancer) Fail(id balancer.RequestID) { b.conclude(id, 0) }
 
-// conclude takes the balancer's final answer. While a superseded attempt is under way, its endpoint may still answer.
+// conclude notes that the balancer has given a request up. It is answered at once, unless a superseded attempt is outstanding, whose
+// endpoint may still answer.
 func (b *serviceBalancer) conclude(id balancer.RequestID, retryAfter time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.answered {
@@ -50,21 +52,22 @@
 	}
 }
 
-// SetTimer has the balancer's HandleTimer called after a time. Its timers are never stopped; one that comes late does nothing.
+// SetTimer calls the balancer's HandleTimer with a token after a time. Timers are never stopped; the balancer ignores a token that is of
+// no use any more.
 func (b *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		b.dispatcher.runLocked(func(now time.Duration) { b.balancer.HandleTimer(now, token) })
 	})
 }
 
-// FetchEndpoints fetches the list of endpoints anew from the service's registry owners.
+// FetchEndpoints fetches the service's list of endpoints anew from the owners of its registry.
 func (b *serviceBalancer) FetchEndpoints() {
 	if refresh := b.dispatcher.options.RefreshEndpoints; refresh != nil {
 		go refresh(b.service)
 	}
 }
 
-// Log writes what the balancer has to say.
+// Log logs a message of the balancer.
 func (b *serviceBalancer) Log(text string) {
 	b.dispatcher.options.Log.WithField("service", b.service).Info("balancer: " + text)
 }
--- a/internal/mesh/dataplane/outbound/proxy.go
+++ b/internal/mesh/dataplane/outbound/proxy.go
@@ -14,43 +14,49 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// Options are what a proxy is made of.
+// Options configure a Proxy. Hub, Inbound and Log are required.
 type Options struct {
-	Hub              *transport.Hub
-	Inbound          *inbound.Proxy // to the endpoint on this machine
-	Bounds           settings.Bounds
-	Service          string // of the endpoint on this machine: where requests begin
-	Log              *logrus.Logger
-	Seed             uint64               // of the balancers' random draws
-	MaxBodyBytes     int64                // of the bodies of all clients' requests under way together
-	RefreshEndpoints func(service string) // fetches the endpoints of a service anew; nil for nobody to ask
-	// AcquireQuota takes a request out of a tenant's rate limit. done is called once; if the limit is reached, with when to come back.
-	// nil for no limits.
+	Hub     *transport.Hub
+	Inbound *inbound.Proxy // to the endpoint on this machine
+	Bounds  settings.Bounds
+	Service string // of the endpoint on this machine; sent to endpoints as the calling service
+	Log     *logrus.Logger
+	Seed    uint64 // of the balancers' random draws
+
+	// MaxBodyBytes bounds the bytes of the bodies of all clients' requests in flight together. A request whose body would exceed it is
+	// rejected as outcome.Overloaded.
+	MaxBodyBytes int64
+
+	// RefreshEndpoints fetches the endpoints of a service anew. It is called on a goroutine of its own; nil for no such call.
+	RefreshEndpoints func(service string)
+
+	// AcquireQuota takes one request out of a tenant's rate limit. It calls done once: with ok, or with the time after which the client
+	// is to retry. nil for no rate limits.
 	AcquireQuota func(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration))
 }
 
-// Proxy takes clients' requests. It is safe for concurrent use.
+// Proxy serves clients' requests. It is safe for concurrent use.
 type Proxy struct {
 	options       *Options
-	configMu      sync.Mutex // of changes of config
+	configMu      sync.Mutex // serializes Configure
 	config        atomic.Pointer[configuration.Config]
 	trafficSplits splitSequences
 	dispatcher    *dispatcher
-	openRequests  atomic.Int64 // requests under way
-	bodyBytes     atomic.Int64 // bytes of their bodies
+	openRequests  atomic.Int64 // clients' requests in flight
+	bodyBytes     atomic.Int64 // bytes of their bodies that have been read
 	bodyReads     bodyReads
 	connections   clientConnections
 	shutdown      shutdown
 }
 
-// New makes a proxy that knows no configuration yet.
+// New returns a proxy without a configuration: it rejects all requests as outcome.NotReady until Configure is called.
 func New(options Options) *Proxy {
 	p := &Proxy{options: &options, dispatcher: newDispatcher(&options), shutdown: newShutdown()}
 	p.connections.idleTimeout = p.idleTimeout
 	return p
 }
 
-// Now returns the time on the hub's steady clock.
+// Now returns the time on the hub's monotonic clock.
 func (p *Proxy) Now() time.Duration { return p.options.Hub.Now() }
 
 // Configure puts a configuration in force; one that is no newer than the one in force changes nothing.
@@ -67,7 +73,7 @@
 // Config returns the configuration in force; nil for none.
 func (p *Proxy) Config() *configuration.Config { return p.config.Load() }
 
-// UpdateEndpoints takes the complete list of a service's endpoints.
+// UpdateEndpoints replaces the list of a service's endpoints. endpoints is the complete list.
 func (p *Proxy) UpdateEndpoints(service string, endpoints []discovery.Endpoint) {
 	p.dispatcher.updateEndpoints(service, endpoints)
 }
@@ -75,14 +81,14 @@
 // SetSidecarCount sets how many sidecars share the fleet's retry budget.
 func (p *Proxy) SetSidecarCount(n int) { p.dispatcher.setSidecarCount(n) }
 
-// OpenRequests returns how many clients' requests are under way.
+// OpenRequests returns the number of clients' requests in flight.
 func (p *Proxy) OpenRequests() int { return int(p.openRequests.Load()) }
 
-// OpenConnections returns how many connections of clients are open.
+// OpenConnections returns the number of clients' open connections.
 func (p *Proxy) OpenConnections() int { return p.connections.count() }
 
-// CloseConnections closes the connections that have no request under way, also those that never had one. It is to be called once
-// nobody accepts connections any more; OpenConnections returns how many are left.
+// CloseConnections closes each client's connection as soon as no request is in flight on it, those included that never carried one. The
+// caller has closed the listener before; OpenConnections returns how many connections are left.
 func (p *Proxy) CloseConnections() { p.connections.close(closingAll) }
 
 // idleTimeout returns how long a client's connection may stay idle, by the configuration in force.
--- a/internal/mesh/dataplane/outbound/request.go
+++ b/internal/mesh/dataplane/outbound/request.go
@@ -16,41 +16,42 @@
 	route          *configuration.Route
 	balancer       *serviceBalancer       // nil until it is submitted
 	forward        inbound.ForwardRequest // what every attempt sends
-	targetDeadline time.Duration          // an answer later than this is worth little
-	deadline       time.Duration          // an answer later than this is worth nothing
+	targetDeadline time.Duration          // by which the latency target is met; a later answer has little value
+	deadline       time.Duration          // a later answer has no value
 	attempts       attempts
 	concluded      bool          // the balancer has given it up
-	retryAfter     time.Duration // when the client is to come back, as the balancer said when it gave the request up
+	retryAfter     time.Duration // of a concluded request: when the client is to retry, by the balancer
 	answered       bool          // its result was sent
-	expired        bool          // it was given up for its deadline, its client or the end of the process
-	results        chan result   // has room for its one result
+	expired        bool          // its deadline was near, its client had gone or the process was shutting down
+	results        chan result   // buffered, for its one result
 
-	bodyBytes       int64         // bytes of its body that are counted in the proxy
-	quotaRetryAfter time.Duration // when to come back, of a request beyond its tenant's rate limit
+	bodyBytes       int64         // bytes of its body that are counted in Proxy.bodyBytes
+	quotaRetryAfter time.Duration // when the client is to retry, if its tenant's rate limit is reached; else 0
 }
 
-// result is what a client is answered.
+// result is how a request ended, from which its answer is written.
 type result struct {
 	kind       outcome.Kind
-	response   *inbound.ForwardResponse // of outcome.Answered
-	retryAfter time.Duration            // at the least; 0 for what the table says
+	response   *inbound.ForwardResponse // the endpoint's answer, for outcome.Answered
+	retryAfter time.Duration            // the least for the Retry-After of a rejection; 0 for that of package outcome's table
 }
 
-// attempts is what has become of a request's attempts so far.
+// attempts is the state of a request's attempts.
 type attempts struct {
-	sent            int                      // all of them, whether or not they reached an endpoint
-	reached         int                      // how many of those that have ended reached an endpoint
-	active          *attempt                 // the one under way that the balancer knows of; nil for none
-	superseded      []*attempt               // others under way: the balancer counts them as cancelled, and sends the request again
-	last            *inbound.ForwardResponse // how the latest to end has ended; cancelled ones don't count; nil for none
-	endpointFailure *inbound.ForwardResponse // an endpoint's own failure: the answer, unless a later attempt is served
-	mayHaveExecuted bool                     // some attempt was, or may have been, executed
+	sent            int        // attempts that were started, whether or not they reached an endpoint
+	reached         int        // attempts that have ended and had reached an endpoint
+	active          *attempt   // the attempt in flight that the balancer knows of; nil for none
+	superseded      []*attempt // other attempts in flight; to the balancer they were cancelled
+	mayHaveExecuted bool       // an endpoint has executed the request, or may have
+
+	last            *inbound.ForwardResponse // of the attempt that ended last, but for cancelled ones; nil for none
+	endpointFailure *inbound.ForwardResponse // an endpoint's own failure: the answer, unless a later attempt is served; nil for none
 }
 
 // outstanding reports whether any attempt has not ended.
 func (a *attempts) outstanding() bool { return a.underWay() > 0 }
 
-// underWay returns how many attempts have not ended.
+// underWay returns the number of attempts that have not ended.
 func (a *attempts) underWay() int {
 	if a.active == nil {
 		return len(a.superseded)
@@ -58,14 +59,14 @@
 	return len(a.superseded) + 1
 }
 
-// supersede puts the active attempt behind one that is yet to come.
+// supersede makes the active attempt a superseded one; the balancer will start another.
 func (a *attempts) supersede() {
 	a.active.superseded = true
 	a.superseded = append(a.superseded, a.active)
 	a.active = nil
 }
 
-// end removes an attempt that has ended, and remembers what its response says of the request.
+// end removes an attempt that has ended, and records what its response means for the request.
 func (a *attempts) end(ended *attempt, response *inbound.ForwardResponse) {
 	if a.active == ended {
 		a.active = nil
@@ -81,11 +82,11 @@
 		a.last = response
 	}
 	if response.Kind == outcome.Answered {
-		a.endpointFailure = response // if it is no failure, the request is answered by it
+		a.endpointFailure = response // unless it is a success, which answers the request anyway
 	}
 }
 
-// kindOnExpiry returns how a request ends that has expired, as far as its attempts are known.
+// kindOnExpiry returns the outcome of a request that has expired.
 func (a *attempts) kindOnExpiry() outcome.Kind {
 	switch {
 	case a.endpointFailure != nil:
@@ -96,8 +97,8 @@
 	return outcome.Expired
 }
 
-// kindOnConclusion returns how a request ends that the balancer has given up, as far as its attempts are known: that it was given up
-// is no promise that it was not executed.
+// kindOnConclusion returns the outcome of a request that the balancer has given up. It promises that the request was not executed only
+// where no attempt may have been.
 func (a *attempts) kindOnConclusion() outcome.Kind {
 	switch {
 	case a.endpointFailure != nil:
@@ -112,7 +113,7 @@
 	return outcome.Overloaded
 }
 
-// answer gives the request its result, once. The dispatcher's lock is held.
+// answer sends the request's result, once. The dispatcher's lock is held.
 func (r *request) answer(res result) {
 	if r.answered {
 		return
--- a/internal/mesh/dataplane/outbound/response.go
+++ b/internal/mesh/dataplane/outbound/response.go
@@ -11,20 +11,20 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// The statuses of an answer that can be written to a client.
+// The range of HTTP statuses that an endpoint's answer may have.
 const (
 	minStatus = 200
 	maxStatus = 999
 )
 
-// parseResponse returns what the end of a call to the endpoint's sidecar says of the attempt.
+// parseResponse returns the response to an attempt from the reply to the call of the endpoint's sidecar, or from the call's error.
 func parseResponse(body []byte, err error) *inbound.ForwardResponse {
 	switch {
 	case err != nil && mayHaveBeenSent(err):
 		return &inbound.ForwardResponse{Kind: outcome.ConnectionLost, ReachedEndpoint: true}
 	case err != nil:
 		return &inbound.ForwardResponse{Kind: outcome.Unreachable}
-	case len(body) == 0: // the sidecar has no room for the call, or does not know it: not executed
+	case len(body) == 0: // the sidecar has no memory for the call, or does not know its method: not executed
 		return &inbound.ForwardResponse{Kind: outcome.AtCapacity}
 	}
 	response := &inbound.ForwardResponse{}
@@ -34,14 +34,13 @@
 	return response
 }
 
-// mayHaveBeenSent reports whether a call that failed may have reached the peer, which is certain not to be so for some errors of the
-// connection alone.
+// mayHaveBeenSent reports whether a call that ended with an error may have reached the peer. Only a ConnectionError rules that out.
 func mayHaveBeenSent(err error) bool {
 	var lost *transport.ConnectionError
 	return !errors.As(err, &lost) || lost.Sent
 }
 
-// isAttemptResponse reports whether a response is one that an attempt can have.
+// isAttemptResponse reports whether a response is valid for an attempt: its kind ends attempts, and its status can be written.
 func isAttemptResponse(response *inbound.ForwardResponse) bool {
 	if response.Kind == outcome.None || !response.Kind.Entry().EndsAttempt {
 		return false
@@ -49,8 +48,8 @@
 	return response.Kind != outcome.Answered || response.Status >= minStatus && response.Status <= maxStatus
 }
 
-// balancerStatus returns what a response is to the balancer. What was surely not executed is that to the balancer too, whether or not
-// the attempt was cancelled.
+// balancerStatus returns the balancer's status for a response. Kinds that were certainly not executed map to statuses that never ran,
+// whether or not the attempt was cancelled.
 func balancerStatus(response *inbound.ForwardResponse, cancelled bool) balancer.Status {
 	switch response.Kind {
 	case outcome.Answered:
@@ -69,7 +68,7 @@
 		return balancer.StatusNotSent
 	case outcome.ConnectionLost:
 		return balancer.StatusReset
-	case outcome.InvalidResponse, outcome.EndpointReset: // of one connection; the endpoint's own sidecar reports if it is down
+	case outcome.InvalidResponse, outcome.EndpointReset: // concerns one connection; the endpoint's own sidecar reports if it is down
 		return balancer.StatusInvalidResponse
 	}
 	if cancelled {
--- a/internal/mesh/dataplane/outbound/retry.go
+++ b/internal/mesh/dataplane/outbound/retry.go
@@ -7,27 +7,30 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// allowNextAttempt decides whether the balancer may make a further attempt after one that ended so. If that attempt reached an endpoint,
-// the next one has to be acquired out of the fleet's retry budget. After a final outcome the balancer makes none, and none is acquired.
-func (b *serviceBalancer) allowNextAttempt(now time.Duration, r *request, response *inbound.ForwardResponse, next outcome.Next, final bool) bool {
-	unsafe := r.attempts.mayHaveExecuted && !r.route.Kind.IsIdempotent()
+// allowNextAttempt reports whether the balancer may start another attempt of a request after a response. next is what may follow the
+// response; final reports whether the request is answered, so that no attempt follows and none is taken out of the retry budget. If the
+// attempt has reached an endpoint, the next one is taken out of the fleet's retry budget.
+func (b *serviceBalancer) allowNextAttempt(
+	now time.Duration, pending *request, response *inbound.ForwardResponse, next outcome.Next, final bool,
+) bool {
+	unsafe := pending.attempts.mayHaveExecuted && !pending.route.Kind.IsIdempotent()
 	switch {
-	case r.expired || next == outcome.Stop || unsafe:
+	case pending.expired || next == outcome.Stop || unsafe:
 		return false
 	case final:
 		return true
-	case r.attempts.sent >= maxAttempts:
+	case pending.attempts.sent >= maxAttempts:
 		return false
 	case !response.ReachedEndpoint:
 		return true
 	}
-	return b.acquireRetry(now, r)
+	return b.acquireRetry(now, pending)
 }
 
-// acquireRetry acquires one more attempt for a request: within its route's bound on attempts that reach an endpoint, and out of the
-// fleet's retry budget. It returns false if there is none to be had. An attempt that is under way counts as one that reaches an endpoint.
-func (b *serviceBalancer) acquireRetry(now time.Duration, r *request) bool {
-	if r.attempts.reached+r.attempts.underWay() >= max(r.route.MaxAttempts, 1) {
+// acquireRetry takes one attempt for a request out of the fleet's retry budget. It returns false if the budget is exhausted, or if the
+// request has as many attempts that reach an endpoint as its route allows; an attempt in flight counts as one that does.
+func (b *serviceBalancer) acquireRetry(now time.Duration, pending *request) bool {
+	if pending.attempts.reached+pending.attempts.underWay() >= max(pending.route.MaxAttempts, 1) {
 		return false
 	}
 	bounds := &b.dispatcher.options.Bounds
--- a/internal/mesh/dataplane/outbound/server.go
+++ b/internal/mesh/dataplane/outbound/server.go
@@ -10,17 +10,18 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// Bounds of what clients may do, beyond those of the configuration.
+// Bounds on clients, in addition to those of the configuration.
 const (
-	// maxHeaderBytes bounds the header that is read at all.
+	// maxHeaderBytes is the largest header that the server reads; one beyond the configuration's bound, but within this, is answered.
 	maxHeaderBytes = 256 << 10
-	// headerTimeout bounds the time in which a header must come.
+	// headerTimeout bounds the time in which a client must have sent a header.
 	headerTimeout = 5 * time.Second
-	// maxIdleTime bounds the time that a connection may stay idle.
+	// maxIdleTime bounds the configured idle time-out of clients' connections.
 	maxIdleTime = 90 * time.Second
-	// expiryMargin is how long before its deadline a request expires, so that its answer is there in time.
+	// expiryMargin is how long before its deadline a request expires, so that its answer reaches the client in time.
 	expiryMargin = 30 * time.Millisecond
-	// expiryWait is how long the cancelled attempts of an expired request have to say how far they had come.
+	// expiryWait is how long the cancelled attempts of an expired request have to report how far they came. It is shorter than
+	// expiryMargin.
 	expiryWait = 22 * time.Millisecond
 )
 
@@ -32,11 +33,11 @@
 		IdleTimeout:       maxIdleTime,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         p.connections.track,
-		ErrorLog:          log.New(io.Discard, "", 0), // what clients do wrong is theirs to log
+		ErrorLog:          log.New(io.Discard, "", 0), // clients' errors are not logged here
 	}
 }
 
-// serve takes one request from its header to its answer, and what comes of its body after that.
+// serve answers one request, and then reads the rest of its body.
 func (p *Proxy) serve(w http.ResponseWriter, req *http.Request) {
 	if bodyRead := p.answerRequest(w, req); !bodyRead {
 		discardBody(w, req)
@@ -60,7 +61,7 @@
 	return false
 }
 
-// handle has a request served, or rejected; bodyRead reports whether its body was read completely.
+// handle returns the result of a request once it was served or rejected; bodyRead reports whether its body was read completely.
 func (p *Proxy) handle(w http.ResponseWriter, req *http.Request) (res result, bodyRead bool) {
 	bodyRead = req.Body == nil || req.Body == http.NoBody
 	config := p.config.Load()
@@ -70,20 +71,20 @@
 	if p.shutdown.rejecting.Load() && !p.servesNestedCall(config, req) {
 		return result{kind: outcome.ShuttingDown}, bodyRead
 	}
-	r, kind := p.admit(config, req)
+	pending, kind := p.admit(config, req)
 	if kind == outcome.None {
-		kind = p.readBody(config, w, req, r)
-		defer p.releaseBody(r)
+		kind = p.readBody(config, w, req, pending)
+		defer p.releaseBody(pending)
 	}
 	if kind != outcome.None {
-		return result{kind: kind, retryAfter: r.rejectionRetryAfter(kind)}, bodyRead
+		return result{kind: kind, retryAfter: pending.rejectionRetryAfter(kind)}, bodyRead
 	}
-	p.dispatcher.submit(r)
-	return p.await(r, req.Context().Done()), true
+	p.dispatcher.submit(pending)
+	return p.await(pending, req.Context().Done()), true
 }
 
-// servesNestedCall reports whether a request is served although this process rejects others: a call of the endpoint here while it
-// executes requests. Without it a request that was taken before would fail.
+// servesNestedCall reports whether a request is served although this process rejects others: a nested call of the endpoint on this
+// machine, while that endpoint executes requests. If it were rejected, the request that waits for it, accepted before, would fail.
 func (p *Proxy) servesNestedCall(config *configuration.Config, req *http.Request) bool {
 	select {
 	case <-p.shutdown.due:
@@ -93,25 +94,26 @@
 	}
 }
 
-// await returns a request's result: as it comes, or what is known of it when its time is up, its client has gone or this process
-// ends. There is always one: a client that has closed only its sending half still reads it.
-func (p *Proxy) await(r *request, clientGone <-chan struct{}) result {
-	timer := time.NewTimer(r.deadline - p.Now() - expiryMargin)
+// await waits for a request's result. If the deadline is near, the client has gone or this process shuts down before, the request expires
+// and the result is what is known of its attempts. There is a result even if the client seems to have gone: one that has closed only its
+// sending half still reads the answer.
+func (p *Proxy) await(pending *request, clientGone <-chan struct{}) result {
+	timer := time.NewTimer(pending.deadline - p.Now() - expiryMargin)
 	defer timer.Stop()
 	select {
-	case res := <-r.results:
+	case res := <-pending.results:
 		return res
 	case <-timer.C:
 	case <-p.shutdown.due:
 	case <-clientGone:
 	}
-	p.dispatcher.expire(r)
+	p.dispatcher.expire(pending)
 	timer.Reset(expiryWait)
 	select {
-	case res := <-r.results:
+	case res := <-pending.results:
 		return res
 	case <-timer.C:
 	}
-	p.dispatcher.abandon(r)
-	return <-r.results
+	p.dispatcher.abandon(pending)
+	return <-pending.results
 }
--- a/internal/mesh/dataplane/outbound/service_balancer.go
+++ b/internal/mesh/dataplane/outbound/service_balancer.go
@@ -10,45 +10,45 @@
 
 // Settings of the balancer that are the mesh's, not the operator's.
 const (
-	// decisionInterval is the least time between two rounds of the balancer's events.
+	// decisionInterval is the shortest time between two rounds of the balancer's events.
 	decisionInterval = 5 * time.Millisecond
-	// slowStartWindow is how long after its start an endpoint is warming up, and slowStartMinShare its share of requests at first. What
-	// is left of the window comes with the endpoint's heartbeats.
+	// slowStartWindow is how long after its start an endpoint is warming up, and slowStartMinShare its share of requests at first. The
+	// endpoint's heartbeats report how much of the window remains.
 	slowStartWindow   = 3 * time.Second
 	slowStartMinShare = 0.4
 	// overloadMultiple and overloadDuration are how many times its usual latency, and for how long, make an endpoint overloaded.
 	overloadMultiple = 2.5
 	overloadDuration = time.Second
-	// maxRetryAfter bounds the time after which a rejected client is to come back.
+	// maxRetryAfter bounds the balancer's retry-after of rejected requests.
 	maxRetryAfter = time.Second
-	// connectTimeout is what an attempt may take until it has reached the endpoint's sidecar.
+	// connectTimeout bounds the time until an attempt has reached the endpoint's sidecar.
 	connectTimeout = 250 * time.Millisecond
-	// lateValueShare is the share of an answer's value that is left after its latency target.
+	// lateValueShare is the share of an answer's value that remains once the latency target is missed.
 	lateValueShare = 0.2
-	// defaultTarget and defaultDeadline are those of the class 0, for requests whose own class could not be made.
+	// defaultTarget and defaultDeadline are those of class 0, for requests whose own class could not be added.
 	defaultTarget   = time.Second
 	defaultDeadline = 2 * time.Second
 )
 
-// serviceBalancer serves the requests of one service: it is the host of the balancer that picks the endpoints. The dispatcher's lock
-// guards it.
+// serviceBalancer serves the requests of one service. It carries out the decisions of the balancer that picks the endpoints, as its
+// balancer.Host. The dispatcher's lock guards it.
 type serviceBalancer struct {
 	dispatcher  *dispatcher
 	service     string
 	balancer    *balancer.Balancer
 	endpoints   endpointTable
 	classes     classTable
-	requests    map[balancer.RequestID]*request // that are not answered, or have attempts outstanding
+	requests    map[balancer.RequestID]*request // not answered yet, or with outstanding attempts
 	retryBudget *ratelimit.RetryBudget
 }
 
-func newServiceBalancer(d *dispatcher, service string, seed uint64) (*serviceBalancer, error) {
-	b := &serviceBalancer{
-		dispatcher:  d,
+func newServiceBalancer(dispatcher *dispatcher, service string, seed uint64) (*serviceBalancer, error) {
+	host := &serviceBalancer{
+		dispatcher:  dispatcher,
 		service:     service,
 		endpoints:   newEndpointTable(),
 		requests:    map[balancer.RequestID]*request{},
-		retryBudget: ratelimit.NewRetryBudget(d.options.Bounds.RetryBudgetWindow),
+		retryBudget: ratelimit.NewRetryBudget(dispatcher.options.Bounds.RetryBudgetWindow),
 	}
 	settings := balancer.Settings{
 		Instances:         1,
@@ -72,12 +72,12 @@
 		}},
 	}
 	var err error
-	b.balancer, err = balancer.New(settings, seed, b)
-	b.classes = classTable{balancer: b.balancer, log: d.options.Log, numbers: map[classKey]int{}}
-	return b, err
+	host.balancer, err = balancer.New(settings, seed, host)
+	host.classes = classTable{balancer: host.balancer, log: dispatcher.options.Log, numbers: map[classKey]int{}}
+	return host, err
 }
 
-// updateEndpoints takes the complete list of the service's endpoints.
+// updateEndpoints replaces the list of the service's endpoints.
 func (b *serviceBalancer) updateEndpoints(now time.Duration, endpoints []discovery.Endpoint) {
 	b.balancer.HandleEndpoints(now, b.endpoints.update(now, endpoints, b.dispatcher.zoneNumber))
 }
--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -11,9 +11,9 @@
 // goldenStep is the fractional part of the golden ratio: multiples of it, taken modulo one, are spread evenly over any number of steps.
 const goldenStep = math.Phi - 1
 
-// splitSequences draw the services of routes that are split by weights. Independent draws would leave a service's share of 300 requests
-// 3 in 100 off, in the mean; in a sequence each sidecar is off by one request or two. Each sidecar begins at random, so that their
-// sequences do not agree.
+// splitSequences choose the services of routes that are split by weights, each route's by a low-discrepancy sequence. Independent random
+// draws would miss a service's share of 300 requests by 3 in 100, in the mean; with a sequence each sidecar misses it by one request or
+// two. Sequences begin at random, so that those of different sidecars differ.
 type splitSequences struct {
 	start func() float64 // draws where a sequence begins, from 0 up to but not including 1; nil for the global random source
 	mu    sync.Mutex
--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -110,17 +110,17 @@
 }
 
 // serve writes events until the request is answered, or the client has gone. The error is the source's.
-func (h *handler) serve(ctx context.Context, r *request, w *eventWriter) error {
+func (h *handler) serve(ctx context.Context, request *request, writer *eventWriter) error {
 	idle := time.NewTimer(maxWait)
 	defer idle.Stop()
 	for {
-		found, next, more, err := h.source.After(r.cursor, maxBatch, r.filter)
+		found, next, more, err := h.source.After(request.cursor, maxBatch, request.filter)
 		if err != nil {
 			return err
 		}
-		r.cursor = next
+		request.cursor = next
 		if len(found) > 0 {
-			if w.write(found) != nil || !r.follow {
+			if writer.write(found) != nil || !request.follow {
 				return nil
 			}
 			continue
@@ -130,7 +130,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-idle.C:
-			if !r.follow || w.keepAlive() != nil {
+			if !request.follow || writer.keepAlive() != nil {
 				return nil
 			}
 			idle.Reset(maxWait)
--- a/internal/mesh/operations/eventlog/follow.go
+++ b/internal/mesh/operations/eventlog/follow.go
@@ -29,21 +29,21 @@
 
 // Follow follows the feeds of core processes, one at a time, until ctx ends. cores are their control addresses. It begins with the one that
 // the log has followed, if there is one, and goes on to the next one when a core process brings nothing.
-func Follow(ctx context.Context, l *Log, cores []string, log *logrus.Logger) {
+func Follow(ctx context.Context, eventLog *Log, cores []string, log *logrus.Logger) {
 	delay := minRetryDelay
-	for i := 0; ctx.Err() == nil; i++ {
-		core := cores[i%len(cores)]
-		if followed, _ := l.Followed(); i == 0 && followed != "" {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		core := cores[attempt%len(cores)]
+		if followed, _ := eventLog.Followed(); attempt == 0 && followed != "" {
 			core = followed // the cursor is of this process
 		}
-		received, err := followCore(ctx, l, core, log)
+		received, err := followCore(ctx, eventLog, core, log)
 		if err != nil && ctx.Err() == nil {
 			log.WithField("core", core).WithError(err).Warn("eventlog: a core process's feed has ended")
 		}
 		delay = min(2*delay, maxRetryDelay)
 		if received > 0 {
 			delay = minRetryDelay
-			i-- // the same one again: it may only have restarted
+			attempt-- // the same one again: it may only have restarted
 		}
 		wait(ctx, delay)
 	}
@@ -60,12 +60,12 @@
 }
 
 // followCore follows one core process to the end of a stream, and returns the number of events that it brought. The error is never nil.
-func followCore(ctx context.Context, l *Log, core string, log *logrus.Logger) (received int, err error) {
-	followed, cursor := l.Followed()
+func followCore(ctx context.Context, eventLog *Log, core string, log *logrus.Logger) (received int, err error) {
+	followed, cursor := eventLog.Followed()
 	if core != followed && followed != "" {
 		// Another process has seen other events in another order: what lies between is not known here.
 		cursor = ""
-		if err := l.Add(changeOfCore(core), core, ""); err != nil {
+		if err := eventLog.Add(changeOfCore(core), core, ""); err != nil {
 			log.WithField("core", core).WithError(err).Warn("eventlog: a gap can't be kept")
 		}
 	}
@@ -78,7 +78,7 @@
 		return 0, err
 	}
 	defer func() { _ = stream.Close() }() // has nothing to add to the end of the stream
-	return readStream(stream, l, core, func() { deadline.Reset(streamTimeout) })
+	return readStream(stream, eventLog, core, func() { deadline.Reset(streamTimeout) })
 }
 
 // changeOfCore is the gap before the events of another core process.
@@ -111,7 +111,7 @@
 
 // readStream adds the events of a stream to the log until the stream ends, and returns how many it has added. alive is called with each
 // line. The error is never nil: errStreamEnded, the link's, the log's, or trace.BadParameter for a line that is no event.
-func readStream(stream io.Reader, l *Log, core string, alive func()) (added int, err error) {
+func readStream(stream io.Reader, eventLog *Log, core string, alive func()) (added int, err error) {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	for lines.Scan() {
@@ -123,7 +123,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			return added, trace.BadParameter("%s: line %d: %v", core, added+1, err)
 		}
-		if err := l.Add(e, core, e.Cursor); err != nil {
+		if err := eventLog.Add(e, core, e.Cursor); err != nil {
 			return added, trace.Wrap(err)
 		}
 		added++
--- a/internal/mesh/operations/eventlog/log.go
+++ b/internal/mesh/operations/eventlog/log.go
@@ -59,24 +59,24 @@
 
 // OpenLog opens the log in a store. capacity is how many events are kept, one at least. A log that is not there yet is made, with the
 // incarnation. The error is the store's, or a *RecordError.
-func OpenLog(s Store, capacity, incarnation uint64) (*Log, error) {
-	l := &Log{
-		store:    s,
+func OpenLog(store Store, capacity, incarnation uint64) (*Log, error) {
+	log := &Log{
+		store:    store,
 		capacity: max(capacity, 1),
 		head:     head{Incarnation: incarnation, Next: 1},
 		added:    make(chan struct{}),
 	}
-	data, err := s.Get(headKey)
+	data, err := store.Get(headKey)
 	if err != nil && !trace.IsNotFound(err) {
 		return nil, trace.Wrap(err)
 	}
 	if len(data) == 0 {
-		return l, nil
+		return log, nil
 	}
-	if err := json.Unmarshal(data, &l.head); err != nil {
+	if err := json.Unmarshal(data, &log.head); err != nil {
 		return nil, &RecordError{Key: headKey, Err: err}
 	}
-	return l, nil
+	return log, nil
 }
 
 // eventKey is the key of an event's record. The record of a later event takes its place.
--- a/internal/mesh/operations/events/cursor.go
+++ b/internal/mesh/operations/events/cursor.go
@@ -35,21 +35,21 @@
 }
 
 // ParseCursor parses a cursor's text. An empty one is the zero value. The error is a *CursorError.
-func ParseCursor(s string) (Cursor, error) {
-	if s == "" {
+func ParseCursor(text string) (Cursor, error) {
+	if text == "" {
 		return Cursor{}, nil
 	}
-	incarnationText, numberText, found := strings.Cut(s, "-")
+	incarnationText, numberText, found := strings.Cut(text, "-")
 	if !found {
-		return Cursor{}, &CursorError{Text: s}
+		return Cursor{}, &CursorError{Text: text}
 	}
 	incarnation, err := strconv.ParseUint(incarnationText, incarnationBase, 64)
 	if err != nil {
-		return Cursor{}, &CursorError{Text: s}
+		return Cursor{}, &CursorError{Text: text}
 	}
 	number, err := strconv.ParseUint(numberText, numberBase, 64)
 	if err != nil {
-		return Cursor{}, &CursorError{Text: s}
+		return Cursor{}, &CursorError{Text: text}
 	}
 	return Cursor{Incarnation: incarnation, Number: number}, nil
 }
--- a/internal/mesh/operations/meshctl/why.go
+++ b/internal/mesh/operations/meshctl/why.go
@@ -16,55 +16,55 @@
 
 // Run prints the route, the tenant and the endpoints that the request would get, or the status that it would be rejected with.
 func (w WhyCommand) Run(ctx context.Context, client *Client) error {
-	conf, err := client.configuration(ctx)
+	config, err := client.configuration(ctx)
 	if err != nil {
 		return err
 	}
-	s, err := client.state(ctx)
+	state, err := client.state(ctx)
 	if err != nil {
 		return err
 	}
-	if conf == nil {
+	if config == nil {
 		client.printf("503: there is no configuration yet\n")
 		return nil
 	}
-	r := conf.Match(w.Host, w.Path)
-	if r == nil {
-		client.printf("404: no route of %s begins %q (%s, %d routes)\n", w.Host, w.Path, conf.Version, len(conf.Routes))
+	route := config.Match(w.Host, w.Path)
+	if route == nil {
+		client.printf("404: no route of %s begins %q (%s, %d routes)\n", w.Host, w.Path, config.Version, len(config.Routes))
 		return nil
 	}
-	client.printf("route %s: %s%s, timeout %v, aim %v, at most %d endpoints\n", r.Name, r.Host, r.Prefix, r.Timeout, r.Target, r.MaxAttempts)
-	if w.explainTenant(client, conf, r) {
-		explainEndpoints(client, r, s.Endpoints)
+	client.printf("route %s: %s%s, timeout %v, aim %v, at most %d endpoints\n", route.Name, route.Host, route.Prefix, route.Timeout, route.Target, route.MaxAttempts)
+	if w.explainTenant(client, config, route) {
+		explainEndpoints(client, route, state.Endpoints)
 	}
 	return nil
 }
 
 // explainTenant reports whether a request with the key is admitted on a route.
-func (w WhyCommand) explainTenant(client *Client, conf *configuration.Config, r *configuration.Route) bool {
-	if !conf.HasTenantTable {
+func (w WhyCommand) explainTenant(client *Client, config *configuration.Config, route *configuration.Route) bool {
+	if !config.HasTenantTable {
 		return true
 	}
-	t := conf.TenantByKey(w.Key)
+	tenant := config.TenantByKey(w.Key)
 	switch {
-	case t == nil && !r.Public:
+	case tenant == nil && !route.Public:
 		client.printf("401: the key is not known\n")
 		return false
-	case t == nil:
+	case tenant == nil:
 		client.printf("no tenant: the route is public\n")
 	default:
-		client.printf("tenant %s: rank %d, %v a second and %v at once (0: no limit)\n", t.Name, t.Priority, t.Rate, t.Burst)
+		client.printf("tenant %s: rank %d, %v a second and %v at once (0: no limit)\n", tenant.Name, tenant.Priority, tenant.Rate, tenant.Burst)
 	}
 	return true
 }
 
 // explainEndpoints prints the services that a route is split over, with their endpoints.
-func explainEndpoints(client *Client, r *configuration.Route, endpoints []agent.EndpointState) {
+func explainEndpoints(client *Client, route *configuration.Route, endpoints []agent.EndpointState) {
 	total := 0.0
-	for _, share := range r.Split {
+	for _, share := range route.Split {
 		total += share.Weight
 	}
-	for _, share := range r.Split {
+	for _, share := range route.Split {
 		inService := count(endpoints, share.Service, agent.StateInService)
 		draining := count(endpoints, share.Service, agent.StateDraining)
 		client.printf("%3.0f%% to %s: %d endpoints in service, %d draining\n", 100*share.Weight/total, share.Service, inService, draining)
--- a/internal/mesh/operations/settings/parse.go
+++ b/internal/mesh/operations/settings/parse.go
@@ -108,19 +108,19 @@
 		return nil, trace.BadParameter("%v", err)
 	}
 	p := parser{root: gjson.ParseBytes(text)}
-	var s Settings
-	p.node(&s)
-	p.listenAddresses(&s)
-	s.KeepaliveInterval = p.duration(pathKeepalive, defaultKeepalive)
-	s.ToleratedMachines = int(p.number(pathToleratedMachines, 0))
-	s.Bounds = p.bounds()
-	s.InternalPorts = p.ports()
-	s.Seeds = p.seeds()
-	s.RegionOfZone = p.zones()
+	var settings Settings
+	p.node(&settings)
+	p.listenAddresses(&settings)
+	settings.KeepaliveInterval = p.duration(pathKeepalive, defaultKeepalive)
+	settings.ToleratedMachines = int(p.number(pathToleratedMachines, 0))
+	settings.Bounds = p.bounds()
+	settings.InternalPorts = p.ports()
+	settings.Seeds = p.seeds()
+	settings.RegionOfZone = p.zones()
 	if len(p.faults) > 0 {
 		return nil, &InvalidError{Fields: p.faults}
 	}
-	return &s, nil
+	return &settings, nil
 }
 
 // parser reads fields and collects all faults.
@@ -130,28 +130,28 @@
 }
 
 // node parses the process's own table.
-func (p *parser) node(s *Settings) {
-	s.Name = p.requiredText(pathName)
-	s.Role = p.text(pathRole)
-	s.MachineClass = p.text(pathMachineClass)
-	s.IP = p.requiredText(pathIP)
-	s.Zone = p.requiredText(pathZone)
-	s.Region = p.text(pathRegion)
-	s.InitialStart = p.flag(pathInitialStart)
-	s.DataDirectory = p.text(pathDataDirectory)
-	s.ApplicationAddress = p.address(pathApplicationAddress)
-	s.Service = p.text(pathService)
-	s.MemoryMB = int(p.number(pathMemoryMB, defaultMemoryMB))
-	s.FileDescriptors = int(p.number(pathFileDescriptors, defaultFileDescriptors))
-	s.LinkMbps = p.number(pathLinkMbps, 0)
+func (p *parser) node(settings *Settings) {
+	settings.Name = p.requiredText(pathName)
+	settings.Role = p.text(pathRole)
+	settings.MachineClass = p.text(pathMachineClass)
+	settings.IP = p.requiredText(pathIP)
+	settings.Zone = p.requiredText(pathZone)
+	settings.Region = p.text(pathRegion)
+	settings.InitialStart = p.flag(pathInitialStart)
+	settings.DataDirectory = p.text(pathDataDirectory)
+	settings.ApplicationAddress = p.address(pathApplicationAddress)
+	settings.Service = p.text(pathService)
+	settings.MemoryMB = int(p.number(pathMemoryMB, defaultMemoryMB))
+	settings.FileDescriptors = int(p.number(pathFileDescriptors, defaultFileDescriptors))
+	settings.LinkMbps = p.number(pathLinkMbps, 0)
 }
 
 // listenAddresses parses where the process listens.
-func (p *parser) listenAddresses(s *Settings) {
-	s.InboundAddress = p.address(pathInbound)
-	s.OutboundAddress = p.address(pathOutbound)
-	s.ReadinessAddress = p.address(pathReadiness)
-	s.ControlAddress = p.address(pathControl)
+func (p *parser) listenAddresses(settings *Settings) {
+	settings.InboundAddress = p.address(pathInbound)
+	settings.OutboundAddress = p.address(pathOutbound)
+	settings.ReadinessAddress = p.address(pathReadiness)
+	settings.ControlAddress = p.address(pathControl)
 }
 
 // bounds parses the figures of the rules.
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -55,25 +55,25 @@
 }
 
 // cancelCall cancels a pending call. It reports whether the call has ended by that, without a reply to come.
-func (l *Link) cancelCall(p *PendingCall) (ended bool) {
+func (l *Link) cancelCall(call *PendingCall) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p.cancelled || l.pending[p.stream] != p {
+	if call.cancelled || l.pending[call.stream] != call {
 		return false
 	}
-	p.cancelled = true
-	if p.sentBytes > 0 || p.fullySent {
-		l.queue.control.PushBack(envelope{kind: uint64(cancelFrame), stream: p.stream})
+	call.cancelled = true
+	if call.sentBytes > 0 || call.fullySent {
+		l.queue.control.PushBack(envelope{kind: uint64(cancelFrame), stream: call.stream})
 	}
-	if !p.fullySent {
-		delete(l.pending, p.stream)
+	if !call.fullySent {
+		delete(l.pending, call.stream)
 	}
 	l.wakeWriter()
-	return !p.fullySent
+	return !call.fullySent
 }
 
 // startCall queues a call. It reports false if the link takes no more calls, and the caller needs another link.
-func (l *Link) startCall(p *PendingCall) bool {
+func (l *Link) startCall(call *PendingCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.retired {
@@ -82,14 +82,14 @@
 	now := l.hub.Now()
 	l.lastCallAt = now
 	if reason := l.cannotCall(); reason != "" {
-		go p.done(nil, &ConnectionError{Peer: l.peer, Reason: reason})
+		go call.done(nil, &ConnectionError{Peer: l.peer, Reason: reason})
 		return true
 	}
 	l.lastStream++
-	p.link = l
-	p.stream = l.lastStream
-	l.pending[p.stream] = p
-	l.enqueue(p)
+	call.link = l
+	call.stream = l.lastStream
+	l.pending[call.stream] = call
+	l.enqueue(call)
 	if len(l.pending) == 1 {
 		l.liveness.lastReceivedAt = now // the peer has to answer from now on, not from its last frame on
 	}
--- a/internal/mesh/transport/codec/codec.go
+++ b/internal/mesh/transport/codec/codec.go
@@ -14,17 +14,17 @@
 const expectedFields = 24
 
 // MarshalAppend appends a message to buf.
-func MarshalAppend(buf []byte, m Message) []byte {
-	v := Visitor{out: buf}
-	m.Fields(&v)
-	return v.out
+func MarshalAppend(buf []byte, message Message) []byte {
+	visitor := Visitor{out: buf}
+	message.Fields(&visitor)
+	return visitor.out
 }
 
 // Unmarshal reads a message from data, which must not change afterwards: fields of bytes point into it. The error names the field, and
 // the byte at which data ends too early. What was read before an error is in m.
-func Unmarshal(data []byte, m Message) error {
+func Unmarshal(data []byte, message Message) error {
 	var room [expectedFields]rawField
-	v := Visitor{reading: true, fields: room[:0]}
+	visitor := Visitor{reading: true, fields: room[:0]}
 	for at := 0; at < len(data); {
 		num, typ, n := protowire.ConsumeTag(data[at:])
 		if n < 0 {
@@ -36,10 +36,10 @@
 			return fmt.Errorf("field %d at byte %d: %w", num, at, protowire.ParseError(n))
 		}
 		at += n
-		v.fields = append(v.fields, f)
+		visitor.fields = append(visitor.fields, f)
 	}
-	m.Fields(&v)
-	return v.err
+	message.Fields(&visitor)
+	return visitor.err
 }
 
 // rawField is a field as it is on the wire.
--- a/internal/mesh/transport/codec/list.go
+++ b/internal/mesh/transport/codec/list.go
@@ -35,28 +35,28 @@
 
 // List writes or reads a list, each element as a field with bytes of its own, for which element is called with a visitor of its own.
 // Elements that are read are added to the list. An element that can't be read is an error, and added as far as it was read.
-func List[T any](v *Visitor, num protowire.Number, x *[]T, element func(v *Visitor, t *T)) {
-	if !v.reading {
-		for i := range *x {
-			v.appendNested(num, func(nested *Visitor) { element(nested, &(*x)[i]) })
+func List[T any](visitor *Visitor, num protowire.Number, list *[]T, element func(visitor *Visitor, t *T)) {
+	if !visitor.reading {
+		for i := range *list {
+			visitor.appendNested(num, func(nested *Visitor) { element(nested, &(*list)[i]) })
 		}
 		return
 	}
-	for i := range v.fields {
-		if v.fields[i].num != num {
+	for i := range visitor.fields {
+		if visitor.fields[i].num != num {
 			continue
 		}
-		if v.fields[i].typ != protowire.BytesType {
-			v.failType(num)
+		if visitor.fields[i].typ != protowire.BytesType {
+			visitor.failType(num)
 			return
 		}
 		var t T
-		nested := Visitor{reading: true, fields: v.fields[i : i+1]}
+		nested := Visitor{reading: true, fields: visitor.fields[i : i+1]}
 		element(&nested, &t)
 		if nested.err != nil {
-			v.setError(fmt.Errorf("field %d: %w", num, nested.err))
+			visitor.setError(fmt.Errorf("field %d: %w", num, nested.err))
 		}
-		*x = append(*x, t)
+		*list = append(*list, t)
 	}
 }
 
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -75,17 +75,17 @@
 }
 
 // appendFrame appends a frame with its length to buf.
-func appendFrame(buf []byte, e *envelope) []byte {
+func appendFrame(buf []byte, frame *envelope) []byte {
 	start := len(buf)
 	buf = append(buf, 0, 0, 0, 0)
-	buf = codec.MarshalAppend(buf, e)
+	buf = codec.MarshalAppend(buf, frame)
 	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-lengthBytes))
 	return buf
 }
 
 // readFrame reads one frame into e. The body is e's own: no later frame overwrites it. The error is io.EOF where the connection ends
 // between two frames.
-func readFrame(r *bufio.Reader, e *envelope) error {
+func readFrame(r *bufio.Reader, frame *envelope) error {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return err
@@ -98,6 +98,6 @@
 	if _, err := io.ReadFull(r, data); err != nil {
 		return trace.Wrap(err, "half a frame")
 	}
-	*e = envelope{}
-	return trace.Wrap(codec.Unmarshal(data, e), "frame")
+	*frame = envelope{}
+	return trace.Wrap(codec.Unmarshal(data, frame), "frame")
 }
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -168,19 +168,19 @@
 	return true
 }
 
-func (h *Hub) markIdle(l *Link, now time.Duration) bool {
+func (h *Hub) markIdle(link *Link, now time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	idle := h.links[l.peer] == l && l.peerGreeted && !l.closed && len(l.pending) == 0 && now-l.lastCallAt > idleTimeout
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	idle := h.links[link.peer] == link && link.peerGreeted && !link.closed && len(link.pending) == 0 && now-link.lastCallAt > idleTimeout
 	if !idle {
 		return false
 	}
-	delete(h.links, l.peer)
-	l.closed = true
-	l.retired = true
-	l.closeReason = reasonIdle
+	delete(h.links, link.peer)
+	link.closed = true
+	link.retired = true
+	link.closeReason = reasonIdle
 	return true
 }
 
--- a/internal/mesh/transport/methods.go
+++ b/internal/mesh/transport/methods.go
@@ -10,10 +10,10 @@
 )
 
 // HandleRaw has f called for each call of a method, on its link's reader: it must not block.
-func (h *Hub) HandleRaw(method uint64, f func(*IncomingCall)) {
+func (h *Hub) HandleRaw(method uint64, handler func(*IncomingCall)) {
 	h.handlersMu.Lock()
 	defer h.handlersMu.Unlock()
-	h.handlers[method] = f
+	h.handlers[method] = handler
 }
 
 // dispatch hands a complete call to its method's handler. A method of a later version gets the empty reply, which says nothing.
@@ -37,7 +37,7 @@
 }, PA interface {
 	*A
 	codec.Message
-}](h *Hub, method uint64, f func(ctx context.Context, from *Hello, q *Q) *A) {
+}](h *Hub, method uint64, handler func(ctx context.Context, from *Hello, q *Q) *A) {
 	h.HandleRaw(method, func(call *IncomingCall) {
 		var request Q
 		if err := codec.Unmarshal(call.Body, PQ(&request)); err != nil {
@@ -49,7 +49,7 @@
 		go func() {
 			ctx, cancel := context.WithCancel(h.ctx)
 			defer cancel()
-			if reply := f(ctx, call.From, &request); reply != nil {
+			if reply := handler(ctx, call.From, &request); reply != nil {
 				call.Reply(PA(reply))
 			} else {
 				call.ReplyBytes(nil)
--- a/internal/mesh/transport/reader.go
+++ b/internal/mesh/transport/reader.go
@@ -149,27 +149,27 @@
 
 // assembleReply adds a chunk to the reply of a pending call. It returns the call once its reply is complete, and nil before. A reply to
 // a call that has ended meanwhile is dropped.
-func (l *Link) assembleReply(e *envelope) (*PendingCall, error) {
+func (l *Link) assembleReply(chunk *envelope) (*PendingCall, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	call := l.pending[e.stream]
+	call := l.pending[chunk.stream]
 	if call == nil {
 		return nil, nil
 	}
-	if len(call.reply)+len(e.body) > maxMessageBytes {
+	if len(call.reply)+len(chunk.body) > maxMessageBytes {
 		return nil, trace.LimitExceeded("a reply of over %d bytes", maxMessageBytes)
 	}
 	if call.reply == nil {
-		call.reply = e.body
+		call.reply = chunk.body
 	} else {
-		call.reply = append(call.reply, e.body...)
+		call.reply = append(call.reply, chunk.body...)
 	}
-	if !e.last { // a complete reply is the caller's; the chunks of an incomplete one are counted here
-		l.hub.reservedBytes.Add(int64(len(e.body)))
-		call.reservedBytes += len(e.body)
+	if !chunk.last { // a complete reply is the caller's; the chunks of an incomplete one are counted here
+		l.hub.reservedBytes.Add(int64(len(chunk.body)))
+		call.reservedBytes += len(chunk.body)
 		return nil, nil
 	}
-	delete(l.pending, e.stream)
+	delete(l.pending, chunk.stream)
 	l.hub.reservedBytes.Add(-int64(call.reservedBytes))
 	return call, nil
 }
@@ -190,33 +190,33 @@
 
 // assembleCall adds a chunk to a call of the peer. It returns the call once it is complete, and nil before. A single call that is too
 // large is the peer's error; where all calls together are, the call is marked overLimit.
-func (l *Link) assembleCall(e *envelope) (*IncomingCall, error) {
+func (l *Link) assembleCall(chunk *envelope) (*IncomingCall, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	call := l.partial[e.stream]
+	call := l.partial[chunk.stream]
 	if call == nil {
 		if len(l.incoming)+len(l.partial) >= maxPendingCalls {
 			return nil, trace.LimitExceeded("over %d calls at once", maxPendingCalls)
 		}
-		call = l.newIncomingCall(e)
+		call = l.newIncomingCall(chunk)
 	} else {
-		call.Body = append(call.Body, e.body...)
+		call.Body = append(call.Body, chunk.body...)
 	}
 	if len(call.Body) > maxMessageBytes || len(call.Body) > l.hub.maxCallBytes {
 		return nil, trace.LimitExceeded("a call of over %d bytes", len(call.Body))
 	}
-	call.reservedBytes += len(e.body)
-	if l.hub.reservedBytes.Add(int64(len(e.body))) > int64(l.hub.maxCallBytes) {
+	call.reservedBytes += len(chunk.body)
+	if l.hub.reservedBytes.Add(int64(len(chunk.body))) > int64(l.hub.maxCallBytes) {
 		call.overLimit = true
 		call.Body = nil
 		call.release()
 	}
-	if !e.last {
-		l.partial[e.stream] = call
+	if !chunk.last {
+		l.partial[chunk.stream] = call
 		return nil, nil
 	}
-	delete(l.partial, e.stream)
-	l.incoming[e.stream] = call
+	delete(l.partial, chunk.stream)
+	l.incoming[chunk.stream] = call
 	return call, nil
 }
 
--- a/internal/mesh/transport/shaper.go
+++ b/internal/mesh/transport/shaper.go
@@ -102,23 +102,23 @@
 }
 
 // reserve takes tokens for the next chunk of a transfer, of n bytes, or says how long to wait for them.
-func (s *shaper) reserve(now time.Duration, t *transfer) (n int, wait time.Duration) {
+func (s *shaper) reserve(now time.Duration, transfer *transfer) (size int, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n = min(t.remaining, s.maxChunk())
+	size = min(transfer.remaining, s.maxChunk())
 	if s.rate > 0 {
-		if slices.Index(s.transfers, t) >= maxActiveTransfers {
+		if slices.Index(s.transfers, transfer) >= maxActiveTransfers {
 			return 0, transferRecheckInterval
 		}
 		s.refill(now)
-		if missing := float64(n) - s.tokens; missing > 0 {
+		if missing := float64(size) - s.tokens; missing > 0 {
 			return 0, max(time.Duration(missing/s.rate*float64(time.Second)), minShapingWait)
 		}
-		s.tokens -= float64(n)
+		s.tokens -= float64(size)
 	}
-	t.remaining -= n
-	s.backlogBytes -= n
-	return n, 0
+	transfer.remaining -= size
+	s.backlogBytes -= size
+	return size, 0
 }
 
 // finish removes a transfer whose message has gone out, or whose link has ended, and wakes the link of the one whose turn it is now.
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -155,8 +155,8 @@
 // for another; 0 if none waits.
 func (l *Link) appendLargeMessages(buf []byte, now time.Duration) (_ []byte, wait time.Duration) {
 	for n := l.queue.large.Len(); n > 0 && len(buf) < maxWriteBytes; n-- {
-		t := l.queue.large.Front().progress().transfer
-		size, delay := l.hub.shaper.reserve(now, t)
+		transfer := l.queue.large.Front().progress().transfer
+		size, delay := l.hub.shaper.reserve(now, transfer)
 		if delay > 0 {
 			if wait == 0 || delay < wait {
 				wait = delay
@@ -164,10 +164,10 @@
 			l.queue.large.Rotate(1)
 			continue
 		}
-		complete := t.remaining == 0
+		complete := transfer.remaining == 0
 		buf = l.appendChunk(buf, now, &l.queue.large, size)
 		if complete {
-			defer l.hub.shaper.finish(t) // after the loop: the next transfer's turn comes with the next write
+			defer l.hub.shaper.finish(transfer) // after the loop: the next transfer's turn comes with the next write
 		}
 	}
 	return buf, wait
@@ -176,25 +176,25 @@
 // appendChunk appends a frame with the next chunk, of limit bytes at most, of the message at the front of a queue. A message with more
 // to send goes to the back of the queue; one that is abandoned is dropped.
 func (l *Link) appendChunk(buf []byte, now time.Duration, queue *deque.Deque[outgoingMessage], limit int) []byte {
-	m := queue.PopFront()
-	p := m.progress()
-	if m.abandoned() {
-		if p.transfer != nil {
-			p.transfer.remaining = 0
+	message := queue.PopFront()
+	progress := message.progress()
+	if message.abandoned() {
+		if progress.transfer != nil {
+			progress.transfer.remaining = 0
 		}
 		return buf
 	}
-	e := m.frame()
-	e.sentAt = now
-	e.body = p.body[p.sentBytes:]
-	if len(e.body) > limit {
-		e.body = e.body[:limit]
-		queue.PushBack(m)
+	frame := message.frame()
+	frame.sentAt = now
+	frame.body = progress.body[progress.sentBytes:]
+	if len(frame.body) > limit {
+		frame.body = frame.body[:limit]
+		queue.PushBack(message)
 	} else {
-		e.last = true
-		m.completed()
+		frame.last = true
+		message.completed()
 	}
-	p.sentBytes += len(e.body)
+	progress.sentBytes += len(frame.body)
 	l.hub.traffic.sentFrames.Add(1)
-	return appendFrame(buf, &e)
+	return appendFrame(buf, &frame)
 }
