--- a/internal/mesh/dataplane/outbound/admit.go
+++ b/internal/mesh/dataplane/outbound/accept.go
@@ -20,12 +20,13 @@
 	fieldOverhead       = 4
 )
 
-// admit checks a client's request, in this order: its header, its route, the time until this process ends, its tenant, its ID and the
+// accept checks a client's request, in this order: its header, its route, the time until this process ends, its tenant, its ID and the
 // tenant's rate limit, for whose token it waits. It returns the request with the fields that were set before a check failed, and why it
-// is rejected; outcome.None if it is admitted.
+// is rejected; outcome.None if it is accepted.
 //
-// Whether the request can be served in time is decided by the service's balancer and, at the endpoint's sidecar, by package admission.
-func (p *Proxy) admit(config *configuration.Config, req *http.Request) (*request, outcome.Kind) {
+// Accepting a request is not admitting it: whether it can be served in time is decided by the service's balancer and, at the endpoint's
+// sidecar, by package admission.
+func (p *Proxy) accept(config *configuration.Config, req *http.Request) (*request, outcome.Kind) {
 	now := p.Now()
 	pending := &request{results: make(chan result, 1)}
 	if kind := checkHeader(config, req); kind != outcome.None {
--- a/internal/mesh/dataplane/outbound/doc.go
+++ b/internal/mesh/dataplane/outbound/doc.go
@@ -1,7 +1,7 @@
 // Package outbound serves the HTTP requests of clients. It finds each request's route, tenant and service by the configuration in force,
 // and lets the balancer of that service pick an endpoint for each attempt.
 //
-//	client --HTTP--> Proxy.serve: admit, read the body
+//	client --HTTP--> Proxy.serve: accept, read the body
 //	                     |
 //	                 dispatcher.submit ----> serviceBalancer ----> balancer.Balancer: which endpoint, when to retry
 //	                     |                        |
--- a/internal/mesh/dataplane/outbound/server.go
+++ b/internal/mesh/dataplane/outbound/server.go
@@ -71,7 +71,7 @@
 	if p.shutdown.rejecting.Load() && !p.servesNestedCall(config, req) {
 		return result{kind: outcome.ShuttingDown}, bodyRead
 	}
-	pending, kind := p.admit(config, req)
+	pending, kind := p.accept(config, req)
 	if kind == outcome.None {
 		kind = p.readBody(config, w, req, pending)
 		defer p.releaseBody(pending)
--- a/internal/mesh/operations/meshctl/why.go
+++ b/internal/mesh/operations/meshctl/why.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// explainTenant reports whether a request with the key is admitted on a route.
+// explainTenant reports whether a request with the key is accepted on a route.
 func (w WhyCommand) explainTenant(client *Client, config *configuration.Config, route *configuration.Route) bool {
 	if !config.HasTenantTable {
 		return true
