--- a/internal/mesh/dataplane/admission/controller.go
+++ b/internal/mesh/dataplane/admission/controller.go
@@ -10,33 +10,34 @@
 const (
 	// serviceTimeWeight is the weight of one execution in the mean service time.
 	serviceTimeWeight = 0.05
-	// initialServiceTime stands for the mean service time before anything was executed.
+	// initialServiceTime is the assumed mean service time before the first execution.
 	initialServiceTime = 60 * time.Millisecond
-	// maxWaitFraction is the fraction of the time until its answer is useless that a request may be expected to wait.
+	// maxWaitFraction is the largest fraction of a request's slack that it may be expected to wait. More of it rejects fewer requests,
+	// and answers more of them late.
 	maxWaitFraction = 0.5
-	// minWait is what a request may always be expected to wait.
+	// minWait is the expected wait below which no request is shed.
 	minWait = 20 * time.Millisecond
-	// drainGrace is how long after it has begun to drain an endpoint still takes requests, of senders that have not heard of it.
+	// drainGrace is how long a draining endpoint still gets requests, of senders that have not been notified yet.
 	drainGrace = 1500 * time.Millisecond
-	// maxQueue bounds the requests that wait.
+	// maxQueue bounds the queued requests.
 	maxQueue = 2048
-	// responseMargin is what an answer's way back takes.
+	// responseMargin is the time that an answer needs on its way back.
 	responseMargin = 10 * time.Millisecond
 )
 
-// Controller admits requests to one endpoint. It is not safe for concurrent use. The decisions that a method returns concern the
-// request that it was called with and any others, in the order in which they are to be carried out.
+// Controller admits requests to one endpoint. It is not safe for concurrent use. The decisions that a method returns may concern other
+// requests than its argument, and are to be carried out in their order.
 type Controller struct {
 	endpoint      Endpoint
 	state         State
-	drainingSince time.Duration            // of Draining
-	running       map[uint64]time.Duration // when each request that the endpoint executes was admitted, by token
+	drainingSince time.Duration            // valid in state Draining
+	running       map[uint64]time.Duration // by token: when each request that occupies a slot was admitted
 	queue         queue
-	serviceTime   time.Duration // smoothed mean
-	decisions     []Decision    // of the call that is under way
+	serviceTime   time.Duration // exponentially weighted mean
+	decisions     []Decision    // of the method that is being executed
 }
 
-// New makes a controller that rejects everything until UpdateEndpoint has named an endpoint.
+// New returns a controller that rejects all requests until UpdateEndpoint is called.
 func New() *Controller {
 	return &Controller{running: map[uint64]time.Duration{}, serviceTime: initialServiceTime}
 }
@@ -44,17 +45,16 @@
 // State returns the endpoint's state.
 func (c *Controller) State() State { return c.state }
 
-// Endpoint returns the endpoint that is known.
+// Endpoint returns the endpoint.
 func (c *Controller) Endpoint() Endpoint { return c.endpoint }
 
-// Load returns how many requests the endpoint executes, and how many wait.
+// Load returns the number of requests that occupy a slot, and of those that are queued.
 func (c *Controller) Load() (running, waiting int) { return len(c.running), len(c.queue) }
 
-// ServiceTime returns the mean time for which a request holds its slot.
+// ServiceTime returns the mean time for which a request occupies its slot.
 func (c *Controller) ServiceTime() time.Duration { return c.serviceTime }
 
-// UpdateEndpoint takes what was heard of the endpoint; nothing else changes what is known of it. For the endpoint that is known a state
-// that it has left behind changes nothing.
+// UpdateEndpoint sets the endpoint and its state. A state that the same endpoint has passed already is ignored, with all of the update.
 func (c *Controller) UpdateEndpoint(now time.Duration, endpoint Endpoint, state State) []Decision {
 	c.decisions = nil
 	switch {
@@ -74,19 +74,19 @@
 	return c.decisions
 }
 
-// replaceEndpoint puts another endpoint in the place of the one that is known.
+// replaceEndpoint replaces the endpoint by another one, and rejects what is queued for it.
 func (c *Controller) replaceEndpoint(now time.Duration, endpoint Endpoint, state State) {
 	c.rejectAll(outcome.Misdirected)
 	c.endpoint = endpoint
 	c.state = state
 	c.drainingSince = now
-	if state == Draining { // it announced so to an earlier process of this sidecar, nobody knows when: the grace period is over
+	if state == Draining { // it began to drain before this process started, at an unknown time: the grace period counts as over
 		c.drainingSince = now - drainGrace - 1
 	}
 	c.running = map[uint64]time.Duration{}
 }
 
-// Submit takes a request: it is admitted, queued (no decision yet) or rejected. Other requests may be shed for it.
+// Submit submits a request: it is admitted, queued (without a decision) or rejected. Other requests may be shed in favour of it.
 func (c *Controller) Submit(now time.Duration, r Request) []Decision {
 	c.decisions = nil
 	if kind := c.rejection(now, &r); kind != outcome.None {
@@ -99,7 +99,7 @@
 	return c.decisions
 }
 
-// rejection returns why a request can't even be queued; outcome.None if it can.
+// rejection returns why a request can't be queued; outcome.None if it can.
 func (c *Controller) rejection(now time.Duration, r *Request) outcome.Kind {
 	if kind := c.closedReason(now); kind != outcome.None {
 		return kind
@@ -115,7 +115,7 @@
 	return outcome.None
 }
 
-// Done frees the slot of a request that was admitted and has ended; the next one takes it.
+// Done frees the slot of an admitted request that has ended, and admits the next one.
 func (c *Controller) Done(now time.Duration, token uint64) []Decision {
 	c.decisions = nil
 	if admitted, ok := c.running[token]; ok {
@@ -126,11 +126,11 @@
 	return c.decisions
 }
 
-// Cancel takes a request out of the queue. It returns false if the request was admitted, or is not there.
+// Cancel removes a request from the queue. It returns false if the request is not queued, as it was admitted or has ended.
 func (c *Controller) Cancel(token uint64) bool { return c.queue.removeToken(token) }
 
-// Expire rejects the queued requests that can't be answered before their deadlines any more, and all of them once the endpoint takes
-// none. It is to be called every few milliseconds while requests wait.
+// Expire rejects the queued requests that can't be answered before their deadlines any more, and all of them once the endpoint accepts
+// none. It is to be called every few milliseconds while requests are queued.
 func (c *Controller) Expire(now time.Duration) []Decision {
 	c.decisions = nil
 	if kind := c.closedReason(now); kind != outcome.None {
@@ -149,12 +149,12 @@
 	return c.decisions
 }
 
-// decide adds a decision to those of the call that is under way.
+// decide adds a decision to those that the method being executed returns.
 func (c *Controller) decide(token uint64, kind outcome.Kind) {
 	c.decisions = append(c.decisions, Decision{Token: token, Kind: kind})
 }
 
-// rejectAll ends all queued requests in one way.
+// rejectAll rejects all queued requests.
 func (c *Controller) rejectAll(kind outcome.Kind) {
 	for i := range c.queue {
 		c.decide(c.queue[i].Token, kind)
@@ -162,7 +162,7 @@
 	c.queue = nil
 }
 
-// closedReason returns why the endpoint takes no requests; outcome.None while it does.
+// closedReason returns why the endpoint accepts no requests; outcome.None if it does.
 func (c *Controller) closedReason(now time.Duration) outcome.Kind {
 	switch {
 	case c.state == Unknown || c.state == Terminated:
@@ -173,7 +173,7 @@
 	return outcome.None
 }
 
-// admitQueued admits queued requests, first come first, while there are free slots.
+// admitQueued admits queued requests, in the order of the queue, while there are free slots.
 func (c *Controller) admitQueued(now time.Duration) {
 	for len(c.queue) > 0 && len(c.running) < c.endpoint.Slots {
 		if kind := c.closedReason(now); kind != outcome.None {
@@ -191,12 +191,12 @@
 	}
 }
 
-// shed rejects the queued requests that are not expected to begin in time, and those beyond the bound of the queue.
+// shed rejects the queued requests that are not expected to start in time, and those beyond maxQueue.
 func (c *Controller) shed() {
 	if c.endpoint.Slots == 0 {
 		return
 	}
-	interval := float64(c.serviceTime) / float64(c.endpoint.Slots) // between two slots that come free
+	interval := float64(c.serviceTime) / float64(c.endpoint.Slots) // expected time between two slots becoming free
 	for i := 0; i < len(c.queue); {
 		r := &c.queue[i]
 		expectedWait := time.Duration(interval * float64(i+1))
--- a/internal/mesh/dataplane/admission/doc.go
+++ b/internal/mesh/dataplane/admission/doc.go
@@ -1,8 +1,11 @@
-// Package admission decides which requests go on to an endpoint, and when. Requests wait in a queue at the endpoint's own sidecar,
-// and none reaches the endpoint without passing it. The Controller alone knows the endpoint's identity, its slots and since when it
-// drains, so a request that it rejects has surely not been executed.
+// Package admission decides which requests are sent to an endpoint, and when. Requests are queued at the endpoint's own sidecar until one
+// of the endpoint's slots is free; none reaches the endpoint otherwise. Since the Controller knows the endpoint's identity, its slots and
+// since when it drains, a request that it rejects was certainly not executed.
 //
-// The states of an endpoint, and what each means for requests:
+// To admit a request means just this, in all of the data plane: to let it occupy a slot. That a client's sidecar accepts a request is
+// package outbound's concern.
+//
+// The states of an endpoint, and what happens to requests in each:
 //
 //	Unknown ----> Serving ----> Draining ----> Terminated
 //	rejected      admitted      admitted       rejected
@@ -10,13 +13,12 @@
 //	                            period, then
 //	                            rejected
 //
-// A state is never taken back for one endpoint ID: one that drains does not serve again, and one that is terminated is over. An
-// endpoint with another ID, which is a new start of the process, begins in whatever state it is reported in; whatever waits for its
-// predecessor is rejected.
+// An endpoint ID never goes back to an earlier state. An endpoint with another ID, which is a new incarnation of the process, starts in
+// the state in which it is reported; the requests that are queued for its predecessor are rejected.
 //
-// A request is queued while all slots are taken: nested calls first, then by priority, then by arrival. Those that are not expected
-// to begin in time are shed at once, by the mean service time; those whose deadline comes while they wait are rejected by Expire.
+// The queue is ordered by nested calls first, then by priority, then by arrival. A request that is not expected to start in time, by the
+// mean service time, is shed at once; one whose deadline passes while it is queued is rejected by Expire.
 //
-// Times are durations on a steady clock of the caller's choice, which it passes to every call. The package does no I/O, starts no
-// goroutine and takes no lock: its caller calls it under one.
+// Times are durations on a monotonic clock of the caller's choice, which passes the time to each method. The package does no I/O, starts
+// no goroutines and takes no locks.
 package admission
--- a/internal/mesh/dataplane/admission/endpoint.go
+++ b/internal/mesh/dataplane/admission/endpoint.go
@@ -1,19 +1,19 @@
 package admission
 
-// State is what an endpoint is open to.
+// State is the state of the endpoint beside a sidecar.
 type State uint8
 
-// The states of the endpoint beside this sidecar, as far as it is known, in the order in which it goes through them.
+// The states, in the order in which an endpoint passes through them.
 const (
-	Unknown    State = iota // nothing has been heard of an endpoint
-	Serving                 // it takes requests
-	Draining                // it has announced that it leaves; what it executes may end
-	Terminated              // it is deregistered, or was found dead
+	Unknown    State = iota // no endpoint has registered yet
+	Serving                 // it accepts requests
+	Draining                // it has announced its shutdown, and completes the requests that it executes
+	Terminated              // it was deregistered, or found to be down
 )
 
-// Endpoint is one start of the process beside this sidecar.
+// Endpoint is one incarnation of the application process beside a sidecar.
 type Endpoint struct {
-	ID      string // differs from one start to the next
+	ID      string // unique to the incarnation
 	Service string
-	Slots   int // requests that it executes at once
+	Slots   int // number of requests that it executes concurrently
 }
--- a/internal/mesh/dataplane/admission/queue.go
+++ b/internal/mesh/dataplane/admission/queue.go
@@ -11,8 +11,8 @@
 	queuedAt time.Duration
 }
 
-// usefulUntil returns when an answer comes too late to be of use: for a nested call when its deadline has passed, as the request that
-// waits for it is lost without it.
+// usefulUntil returns the time until which an answer is of use. For a nested call that is the deadline, not the latency target, as the
+// request that waits for it fails without it.
 func (r *queuedRequest) usefulUntil() time.Duration {
 	if r.Nested {
 		return r.Deadline
@@ -20,7 +20,7 @@
 	return r.TargetDeadline
 }
 
-// goesBefore reports whether a request is admitted before another, whichever came first.
+// goesBefore reports whether a request is admitted before another one regardless of their arrival.
 func (r *queuedRequest) goesBefore(other *queuedRequest) bool {
 	if r.Nested != other.Nested {
 		return r.Nested
@@ -28,11 +28,11 @@
 	return r.Priority < other.Priority
 }
 
-// queue holds the requests that wait, in the order in which they are admitted: nested calls first, as the requests that wait for
-// them hold slots; then by priority, then by arrival.
+// queue holds the queued requests in the order in which they will be admitted: nested calls first, as the requests that wait for them
+// occupy slots; then by priority, then by arrival.
 type queue []queuedRequest
 
-// insert puts a request in its place, behind all that it does not go before.
+// insert inserts a request behind all requests that it does not go before.
 func (q *queue) insert(r queuedRequest) {
 	i, _ := slices.BinarySearchFunc(*q, r, func(queued, inserted queuedRequest) int {
 		if inserted.goesBefore(&queued) {
@@ -43,10 +43,10 @@
 	*q = slices.Insert(*q, i, r)
 }
 
-// remove takes out the request at an index.
+// remove removes the request at an index.
 func (q *queue) remove(i int) { *q = slices.Delete(*q, i, i+1) }
 
-// removeToken takes out the request with a token, and reports whether it was there.
+// removeToken removes the request with a token, and reports whether it was queued.
 func (q *queue) removeToken(token uint64) bool {
 	for i := range *q {
 		if (*q)[i].Token == token {
--- a/internal/mesh/dataplane/inbound/answer.go
+++ b/internal/mesh/dataplane/inbound/answer.go
@@ -11,10 +11,10 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// Bounds of what the endpoint may answer to one request.
+// Bounds on the endpoint's answers to one request.
 const (
-	maxResponseBytes       = 64 << 20 // of one answer's body
-	maxMismatchedResponses = 4        // answers that are read for one request, interim ones and those to other requests among them
+	maxResponseBytes = 64 << 20 // of an answer's body
+	maxResponses     = 4        // answers that are read for a request, including interim ones and those to other requests
 )
 
 var errResponseTooLarge = errors.New("the body of the answer is too large")
@@ -27,11 +27,12 @@
 	closes bool // the endpoint closes the connection after it
 }
 
-// readResponse reads the answer to a request, past interim ones and those to other requests; the kind says why there is none. An
-// answer is accepted only if it is complete and bears the request's ID: surplus ones come late, in the place of the next.
+// readResponse reads the answer to a request, and skips interim answers and those to other requests. The kind is outcome.None, or why
+// there is no answer. Only a complete answer with the request's ID is accepted, since an endpoint may answer an earlier request twice, and
+// the second answer comes before that to the next request. A rejection without an ID is accepted if no other request can be meant.
 func readResponse(conn *connection, request *ForwardRequest) (endpointAnswer, outcome.Kind) {
 	onlyRequest := !conn.used // no answer to an earlier request can come on the connection
-	for range maxMismatchedResponses {
+	for range maxResponses {
 		answer, kind := readOne(conn.reader, request.Method)
 		if kind != outcome.None {
 			return endpointAnswer{}, kind
@@ -43,7 +44,7 @@
 		if id == request.AttemptID {
 			return answer, outcome.None
 		}
-		conn.unusable = true // it is unknown what else comes
+		conn.unusable = true // further answers to other requests may come
 		if id == "" {
 			if onlyRequest && reportsNotExecuted(&answer) {
 				return answer, outcome.None
@@ -55,7 +56,8 @@
 	return endpointAnswer{}, outcome.InvalidResponse
 }
 
-// readOne reads the next answer on a connection, completely unless it is an interim one; the kind says why there is none.
+// readOne reads the next answer on a connection, with its body unless it is an interim one. The kind is outcome.None, or why there is no
+// answer.
 func readOne(reader *bufio.Reader, method string) (endpointAnswer, outcome.Kind) {
 	resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
@@ -64,7 +66,7 @@
 		}
 		return endpointAnswer{}, outcome.InvalidResponse
 	}
-	defer resp.Body.Close() //nolint:errcheck // reads what is left of the body; whoever reads on finds the error
+	defer resp.Body.Close() //nolint:errcheck // it reads the rest of the body; the next read on the connection returns the error
 	answer := endpointAnswer{status: resp.StatusCode, header: resp.Header, closes: resp.Close}
 	if answer.status < http.StatusOK {
 		return answer, outcome.None
@@ -76,8 +78,8 @@
 	return answer, outcome.None
 }
 
-// readBody reads an answer's body completely. One that has neither a length nor chunks ends with its connection: it is complete if the
-// endpoint closed that in order, and not if it was reset.
+// readBody reads an answer's body completely. A body with neither a length nor chunks ends with the connection: it is complete if the
+// endpoint has closed the connection, and incomplete if it was reset.
 func readBody(resp *http.Response, method string) ([]byte, error) {
 	if method == http.MethodHead {
 		return nil, nil
@@ -97,7 +99,7 @@
 	return body, err
 }
 
-// isConnectionError tells a connection that broke from bytes that are no answer.
+// isConnectionError reports whether an error is one of the connection, as opposed to bytes that are not an HTTP response.
 func isConnectionError(err error) bool {
 	var netError net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netError) ||
--- a/internal/mesh/dataplane/inbound/attempt.go
+++ b/internal/mesh/dataplane/inbound/attempt.go
@@ -6,10 +6,11 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// maxConnectTime bounds the time for a connection to the endpoint, which is on the same machine.
+// maxConnectTime bounds the time to connect to the endpoint, which is on the same machine.
 const maxConnectTime = 400 * time.Millisecond
 
-// attempt sends a request, once: a connection that took nothing of it gives way to another.
+// attempt sends a request to the endpoint and returns the response. If nothing of the request could be written to a reused connection, it
+// is sent on another one, so that it reaches the endpoint once at most.
 func (p *Proxy) attempt(pending *pendingRequest) ForwardResponse {
 	for {
 		c, kind := p.acquireConnection(pending)
@@ -20,7 +21,7 @@
 		if remaining <= 0 {
 			return ForwardResponse{Kind: outcome.Expired}
 		}
-		_ = c.SetDeadline(time.Now().Add(remaining)) // fails on a closed connection alone, and so does the write
+		_ = c.SetDeadline(time.Now().Add(remaining)) // it fails only on a closed connection, where the write fails too
 		reused := c.used
 		response := roundTrip(c, pending.request, appendRequest(nil, pending.request, remaining), p.now)
 		c.used = true
@@ -28,16 +29,17 @@
 		case !response.ReachedEndpoint && reused:
 			p.discardConnection(pending)
 			continue
-		case !response.ReachedEndpoint: // accepted, and reset before it took anything: an endpoint that is at capacity does so
+		case !response.ReachedEndpoint: // a new connection that was reset before anything was written: an endpoint at capacity does so
 			response.Kind = outcome.AtCapacity
-		case response.Kind == outcome.EndpointReset && p.now() >= pending.deadline-time.Millisecond: // the deadline of the connection
+		case response.Kind == outcome.EndpointReset && p.now() >= pending.deadline-time.Millisecond: // the connection's deadline, set above
 			response.Kind = outcome.TimedOut
 		}
 		return response
 	}
 }
 
-// acquireConnection returns an idle connection that may carry a request, or a new one; the kind says why there is none.
+// acquireConnection returns an idle connection that may carry a request, or else a new one. The kind is outcome.None, or why there is no
+// connection.
 func (p *Proxy) acquireConnection(pending *pendingRequest) (*connection, outcome.Kind) {
 	for {
 		c, cancelled := p.claimIdle(pending)
@@ -53,7 +55,8 @@
 	}
 }
 
-// claimIdle gives a request an idle connection that may carry it, if there is one and the request is not cancelled.
+// claimIdle assigns an idle connection that may carry a request to it, and returns the connection; nil if there is none, or if the
+// request is cancelled.
 func (p *Proxy) claimIdle(pending *pendingRequest) (c *connection, cancelled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +67,7 @@
 	return pending.conn, false
 }
 
-// connect gives a request a new connection; the kind says why there is none.
+// connect assigns a new connection to a request, and returns it. The kind is outcome.None, or why there is no connection.
 func (p *Proxy) connect(pending *pendingRequest) (*connection, outcome.Kind) {
 	timeout := min(maxConnectTime, pending.deadline-p.now())
 	if timeout <= 0 {
@@ -94,8 +97,8 @@
 	pending.conn = nil
 }
 
-// releaseConnection takes the connection of a request that has ended: it is kept for the next one if its answer was read completely
-// and nothing else can come on it. The lock is held.
+// releaseConnection returns the connection of a request that has ended to the pool if the answer was read completely and no other answer
+// can come on the connection; else it closes the connection. The lock is held.
 func (p *Proxy) releaseConnection(pending *pendingRequest, response *ForwardResponse) {
 	c := pending.conn
 	if c == nil {
@@ -109,7 +112,7 @@
 	p.connections.put(c)
 }
 
-// leavesAnswerUnread reports whether an answer, or the rest of one, may still come on the connection of a request that ended so.
+// leavesAnswerUnread reports whether an answer, or the rest of one, may still come on a connection after a request with that outcome.
 func leavesAnswerUnread(kind outcome.Kind) bool {
 	switch kind {
 	case outcome.EndpointReset, outcome.InvalidResponse, outcome.TimedOut:
--- a/internal/mesh/dataplane/inbound/classify.go
+++ b/internal/mesh/dataplane/inbound/classify.go
@@ -8,15 +8,15 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// maxRetryAfter is the most seconds of an endpoint's Retry-After that are taken seriously.
+// maxRetryAfter bounds the seconds of an endpoint's Retry-After; a header with more is ignored.
 const maxRetryAfter = 3600
 
-// reportsNotExecuted reports whether the endpoint says with an answer that it has not executed the request.
+// reportsNotExecuted reports whether an answer declares that the endpoint has not executed the request.
 func reportsNotExecuted(answer *endpointAnswer) bool {
 	return answer.header.Get(HeaderNotExecuted) != "" || answer.status == http.StatusMisdirectedRequest
 }
 
-// classify fills in what an answer means for its request.
+// classify sets the fields of a response that follow from the endpoint's answer.
 func classify(response *ForwardResponse, request *ForwardRequest, answer *endpointAnswer) {
 	response.Status = answer.status
 	response.Kind = classifyKind(answer)
@@ -29,7 +29,7 @@
 	}
 }
 
-// classifyKind returns how a request ended that got an answer.
+// classifyKind returns the outcome of a request by the endpoint's answer.
 func classifyKind(answer *endpointAnswer) outcome.Kind {
 	header := answer.header
 	switch {
@@ -39,13 +39,13 @@
 		return outcome.Misdirected
 	case answer.status/100 == 2 && (header.Get(HeaderEndpointSeal) == "" || header.Get(headerContentEncoding) != ""):
 		return outcome.InvalidResponse
-	case promisesNotExecuted(answer.status): // without Not-Executed it may have been executed
+	case promisesNotExecuted(answer.status): // without the header Not-Executed it may have been executed
 		return outcome.InvalidResponse
 	}
 	return outcome.Answered
 }
 
-// promisesNotExecuted reports whether a client would take a status for the promise that its request was not executed.
+// promisesNotExecuted reports whether a status promises to a client that its request was not executed.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -54,10 +54,10 @@
 	return false
 }
 
-// endToEndHeader returns the header fields of an answer that go on to the client, names and values in turn.
+// endToEndHeader returns the header fields of an answer that are passed on to the client: each name, followed by its value.
 func endToEndHeader(header http.Header, method string) (fields []string) {
 	for name, values := range header {
-		lengthOfHead := name == headerContentLength && method == http.MethodHead // of a body that does not come
+		lengthOfHead := name == headerContentLength && method == http.MethodHead // there is no body that has this length
 		if HopByHopHeaders[name] && !lengthOfHead {
 			continue
 		}
@@ -68,7 +68,7 @@
 	return fields
 }
 
-// parseRetryAfter returns the time of a Retry-After header field in seconds; 0 for none, or one that is no such number.
+// parseRetryAfter parses a Retry-After header field, in seconds with an optional fraction; 0 if it is empty, invalid or out of bounds.
 func parseRetryAfter(value string) time.Duration {
 	seconds, err := strconv.ParseFloat(value, 64)
 	if err != nil || seconds < 0 || seconds > maxRetryAfter {
--- a/internal/mesh/dataplane/inbound/connection.go
+++ b/internal/mesh/dataplane/inbound/connection.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// Bounds of one connection to the endpoint.
+// Bounds on a connection to the endpoint.
 const (
-	// defaultIdleTime is how long a connection may stay idle where the endpoint does not say how long it keeps it.
+	// defaultIdleTime is how long a connection may stay idle if the endpoint announces no time-out.
 	defaultIdleTime = 4 * time.Second
-	// idleMargin is how much earlier than the endpoint a connection is given up: a request that crosses the close would be lost.
+	// idleMargin is how long before the announced time-out a connection is given up: a request that is sent while the endpoint closes
+	// the connection would be lost.
 	idleMargin = 1500 * time.Millisecond
-	// maxAnnouncedIdle bounds the seconds of an endpoint's Keep-Alive that are taken seriously.
+	// maxAnnouncedIdle bounds the seconds of an endpoint's Keep-Alive; a header with as many or more is ignored.
 	maxAnnouncedIdle = 3600
-	// maxRejections is how many requests the endpoint may reject on one connection before it is given up.
+	// maxRejections is how many requests the endpoint may reject on a connection before it is not used any more.
 	maxRejections = 8
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
 )
 
-// connection is one to the endpoint; it carries one request at a time.
+// connection is a connection to the endpoint. It carries one request at a time.
 type connection struct {
 	net.Conn
 	reader    *bufio.Reader
-	idleUntil time.Duration // it may be used again until then
+	idleUntil time.Duration // on the proxy's clock: until then it may be reused
 	used      bool          // it has carried a request
-	unusable  bool          // it is not to carry another one
-	// rejectedIDs are the Attempt-Ids of the requests that the endpoint rejected on it. A rejection may come twice, the second time in
-	// the place of the next answer; so a request with the same ID never goes out on this connection again.
+	unusable  bool          // it must not carry another one
+	// rejectedIDs are the attempt IDs of the requests that the endpoint has rejected on this connection. An endpoint may send a rejection
+	// twice, and the second one would be read in place of the next answer; so no request with the same ID is sent on it again.
 	rejectedIDs []string
 }
 
@@ -42,22 +43,22 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 }
 
-// discard closes the connection. An error of Close has nothing to say: nothing more is sent or read.
+// discard closes the connection. Its error is ignored, as nothing more is sent or read.
 func (c *connection) discard() { _ = c.Close() }
 
-// mayCarry reports whether a request may go out on the connection: no late rejection of an earlier attempt with its ID can come here.
+// mayCarry reports whether a request may be sent on the connection: no second rejection of an earlier attempt with its ID can be read.
 func (c *connection) mayCarry(attemptID string) bool {
 	return !slices.Contains(c.rejectedIDs, attemptID)
 }
 
-// reusable reports whether an idle connection may carry one more request: its time is not up, nothing has come on it, and it is not
-// closed.
+// reusable reports whether an idle connection may carry another request: its time is not over, no byte has been received on it, and the
+// endpoint has not closed it.
 func (c *connection) reusable(now time.Duration) bool {
 	if now >= c.idleUntil || c.reader.Buffered() > 0 {
 		return false
 	}
 	socket, ok := c.Conn.(syscall.Conn)
-	if !ok { // not a socket, as in tests: there is no way to look
+	if !ok { // not a socket, as in tests: it can't be checked
 		return true
 	}
 	raw, err := socket.SyscallConn()
@@ -74,7 +75,7 @@
 	return err == nil && quiet
 }
 
-// updateKeepAlive notes after an answer whether, and for how long, the connection may be kept.
+// updateKeepAlive determines after an answer whether the connection may be reused, and until when.
 func (c *connection) updateKeepAlive(answer *endpointAnswer, now time.Duration) {
 	if answer.closes || c.reader.Buffered() > 0 || len(c.rejectedIDs) > maxRejections {
 		c.unusable = true
@@ -87,7 +88,8 @@
 	}
 }
 
-// parseKeepAlive returns the time-out of a Keep-Alive header field, such as "timeout=5, max=100"; the last one that is valid counts.
+// parseKeepAlive returns the time-out of a Keep-Alive header field, such as "timeout=5, max=100". The last valid one counts; ok reports
+// whether there is one.
 func parseKeepAlive(value string) (timeout time.Duration, ok bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, text, found := strings.Cut(textproto.TrimString(parameter), "=")
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -7,32 +7,32 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// MethodForward is the number of the call that brings a request to the sidecar beside its endpoint. It goes over the wire and never
-// changes.
+// MethodForward is the number of the method by which a request is forwarded to the sidecar beside its endpoint. It is part of the wire
+// protocol.
 const MethodForward = 1
 
-// ForwardRequest is a request on its way from the sidecar beside the client to the one beside the endpoint.
+// ForwardRequest is a client's request, as its sidecar forwards it to the sidecar beside the endpoint: one attempt.
 type ForwardRequest struct {
 	EndpointID      string // the endpoint that was chosen
 	Service         string
 	Method          string
 	URI             string // path and query as they came
 	Host            string
-	Header          []string // names and values in turn
+	Header          []string // names and values in turn, without the hop-by-hop fields
 	Body            []byte
-	HasBody         bool   // it came with a body, which may be empty
-	AttemptID       string // the client's Attempt-Id: one request here, with the same ID in each attempt that sidecars make of it
-	CallingService  string // service of the machine where the request began
-	Tenant          string // empty for none
+	HasBody         bool   // the client sent a body, which may be empty
+	AttemptID       string // the client's Attempt-Id; the same in all attempts that sidecars make of one request
+	CallingService  string // the service on the machine of the client's sidecar; empty for none
+	Tenant          string // name; empty for none
 	Priority        int    // 0 is highest
-	Nested          bool   // a call amid a request that an endpoint is executing
+	Nested          bool   // made by an endpoint that is executing another request
 	Idempotent      bool
-	TargetRemaining time.Duration // left until an answer is worth little, when it was sent; negative if that has passed
-	TimeRemaining   time.Duration // left until the client gives up, when it was sent
-	Route           string        // its name: requests of one route are expected to have answers of like size
+	TargetRemaining time.Duration // until the latency target is missed, from when it was sent; negative if it was missed before
+	TimeRemaining   time.Duration // until the client gives up, from when it was sent
+	Route           string        // name; answers to requests of one route are expected to be of similar size
 }
 
-// Fields names the fields of a ForwardRequest.
+// Fields implements codec.Message.
 func (r *ForwardRequest) Fields(v *codec.Visitor) {
 	v.String(1, &r.EndpointID)
 	v.String(2, &r.Service)
@@ -53,21 +53,22 @@
 	v.String(17, &r.Route)
 }
 
-// ForwardResponse is how a ForwardRequest ended.
+// ForwardResponse is the response to a ForwardRequest. Its RetryAfter is set only for outcome.Rejected; Status, Header and Body are the
+// endpoint's answer.
 type ForwardResponse struct {
 	Kind            outcome.Kind
-	Status          int      // of the endpoint's answer; 0 for none
-	Header          []string // names and values in turn, as the endpoint gave them, without the hop-by-hop ones
+	Status          int      // HTTP status of the endpoint's answer; 0 without one
+	Header          []string // names and values in turn, of the endpoint's answer, without the hop-by-hop fields
 	Body            []byte
-	ServiceTime     time.Duration // from the request's way to the endpoint until its answer was complete
+	ServiceTime     time.Duration // from when the request was sent to the endpoint until the answer was complete
 	Slots           int           // of the endpoint
-	Running         int           // requests that hold a slot
-	Waiting         int           // requests that wait for a slot
-	RetryAfter      time.Duration // when to ask again, by the endpoint's own answer; 0 for none
-	ReachedEndpoint bool          // some of the request was sent to the endpoint, whether it was executed or not
+	Running         int           // requests that occupy a slot
+	Waiting         int           // requests that are queued for a slot
+	RetryAfter      time.Duration // of the endpoint's answer; 0 for none
+	ReachedEndpoint bool          // part of the request at least was sent to the endpoint
 }
 
-// Fields names the fields of a ForwardResponse.
+// Fields implements codec.Message.
 func (r *ForwardResponse) Fields(v *codec.Visitor) {
 	v.Uint64(1, (*uint64)(&r.Kind))
 	v.Int(2, &r.Status)
--- a/internal/mesh/dataplane/inbound/pending.go
+++ b/internal/mesh/dataplane/inbound/pending.go
@@ -7,19 +7,19 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// pendingRequest is one request from its arrival to its outcome. The proxy's lock guards all that changes.
+// pendingRequest is a request without an outcome yet. The proxy's lock guards conn, cancelled and running.
 type pendingRequest struct {
-	token         uint64
+	token         uint64 // of the request, to the admission controller
 	request       *ForwardRequest
-	deadline      time.Duration
+	deadline      time.Duration // on the proxy's clock
 	done          func(*ForwardResponse)
-	conn          *connection // that carries it; nil for none
+	conn          *connection // that it is sent on; nil for none
 	cancelled     bool
 	running       bool    // it was admitted
-	expectedBytes float64 // of its answer, if that waits for its turn on the machine's link; else 0
+	expectedBytes float64 // that its answer is expected to add to the link's backlog; 0 unless large
 }
 
-// run brings an admitted request to the endpoint and its outcome back.
+// run sends an admitted request to the endpoint, and completes it with the response.
 func (p *Proxy) run(pending *pendingRequest) {
 	response := p.attempt(pending)
 	if down := p.complete(pending, &response); down != "" && p.onEndpointDown != nil {
@@ -27,11 +27,12 @@
 	}
 }
 
-// complete takes the response to a request that was admitted. It returns the endpoint's ID if the endpoint is found to be down.
+// complete ends an admitted request with its response, and frees its slot. It returns the endpoint's ID if the endpoint is found to be
+// down; else it returns an empty string.
 func (p *Proxy) complete(pending *pendingRequest, response *ForwardResponse) (downEndpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if response.Kind == outcome.EndpointReset && pending.cancelled { // the proxy itself closed the connection
+	if response.Kind == outcome.EndpointReset && pending.cancelled { // cancel has closed the connection
 		response.Kind = outcome.TimedOut
 	}
 	p.releaseConnection(pending, response)
@@ -44,8 +45,8 @@
 	return p.detectDown(pending)
 }
 
-// detectDown marks the endpoint as terminated if it refuses connections, and returns its ID then. It does so only for a request that
-// was meant for this endpoint. The lock is held.
+// detectDown marks the endpoint as terminated, and returns its ID, if it refuses connections and the request was meant for it; else it
+// returns an empty string. The lock is held.
 func (p *Proxy) detectDown(pending *pendingRequest) (downEndpoint string) {
 	if !p.connections.endpointDown() {
 		return ""
--- a/internal/mesh/dataplane/inbound/pool.go
+++ b/internal/mesh/dataplane/inbound/pool.go
@@ -7,18 +7,18 @@
 	"github.com/gammazero/deque"
 )
 
-// A Dialer connects to an address, within a time.
+// A Dialer connects to an address, and fails after a time-out.
 type Dialer func(address string, timeout time.Duration) (net.Conn, error)
 
-// maxConnectFailures is how many attempts to connect may fail in a row before the endpoint counts as down.
+// maxConnectFailures is the number of failures to connect in a row at which the endpoint counts as down.
 const maxConnectFailures = 2
 
-// connectionPool holds the idle connections to the endpoint, and what dials new ones. The proxy's lock guards it, but for dial and
-// address, which do not change once there are requests.
+// connectionPool keeps the idle connections to the endpoint, and counts failures to connect. The proxy's lock guards it, except for dial
+// and address, which do not change once there are requests.
 type connectionPool struct {
 	address         string
 	dial            Dialer                   // set before the first request
-	idle            deque.Deque[*connection] // the longest idle first
+	idle            deque.Deque[*connection] // the one that has been idle for longest at the front
 	connectFailures int                      // in a row
 }
 
@@ -27,7 +27,7 @@
 	return d.Dial("tcp4", address)
 }
 
-// take takes out the connection that was used last, of those that may carry an attempt; nil for none.
+// take removes and returns the connection that was used last of those that may carry an attempt; nil for none.
 func (p *connectionPool) take(attemptID string) *connection {
 	for i := p.idle.Len() - 1; i >= 0; i-- {
 		if c := p.idle.At(i); c.mayCarry(attemptID) {
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// put puts a connection back that may carry another request.
+// put returns a connection that may carry another request to the pool.
 func (p *connectionPool) put(c *connection) {
-	_ = c.SetDeadline(time.Time{}) // fails on a closed connection alone, which reusable finds
+	_ = c.SetDeadline(time.Time{}) // it fails only on a closed connection, which reusable detects
 	p.idle.PushBack(c)
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// recordConnect takes the end of an attempt to connect.
+// recordConnect records the result of an attempt to connect.
 func (p *connectionPool) recordConnect(err error) {
 	if err != nil {
 		p.connectFailures++
@@ -60,5 +60,5 @@
 	p.connectFailures = 0
 }
 
-// endpointDown reports whether the endpoint has refused too many connections in a row.
+// endpointDown reports whether maxConnectFailures attempts to connect, or more, have failed in a row.
 func (p *connectionPool) endpointDown() bool { return p.connectFailures >= maxConnectFailures }
--- a/internal/mesh/dataplane/inbound/proxy.go
+++ b/internal/mesh/dataplane/inbound/proxy.go
@@ -12,18 +12,18 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// expiryInterval is the time between two looks at the deadlines of requests that wait.
+// expiryInterval is the time between two checks of the deadlines of queued requests.
 const expiryInterval = 20 * time.Millisecond
 
-// Proxy is the way to one endpoint. It is safe for concurrent use.
+// Proxy forwards requests to one endpoint. It is safe for concurrent use.
 type Proxy struct {
 	now            func() time.Duration
 	log            *logrus.Logger
 	onEndpointDown func(endpointID string)
-	// linkBacklog returns how long the bytes that wait for the machine's link, and some more, take; nil, until Register, for no time.
+	// linkBacklog returns the time until the bytes that wait for the machine's link, and more bytes, have been sent; nil before Register.
 	linkBacklog func(moreBytes float64) time.Duration
 
-	mu              sync.Mutex // guards what follows; onEndpointDown, done functions and dialling are outside of it
+	mu              sync.Mutex // guards what follows; it is not held by onEndpointDown, done functions and dialling
 	controller      *admission.Controller
 	lastToken       uint64
 	pending         map[uint64]*pendingRequest // by token
@@ -32,8 +32,8 @@
 	sizes           responseSizes
 }
 
-// New makes the proxy to an endpoint's address, on a steady clock. onEndpointDown is called, without locks, when the endpoint refuses
-// connections; nil for nobody to call.
+// New returns a proxy to the endpoint at an address. now is a monotonic clock. onEndpointDown is called without locks when the endpoint
+// refuses connections; it may be nil.
 func New(address string, now func() time.Duration, log *logrus.Logger, onEndpointDown func(endpointID string)) *Proxy {
 	return &Proxy{
 		now:            now,
@@ -46,21 +46,22 @@
 	}
 }
 
-// SetDialer has connections to the endpoint dialled by a function in place of TCP. It is called before the first request.
+// SetDialer replaces the function that dials the endpoint, TCP by default. It must be called before the first request.
 func (p *Proxy) SetDialer(dial Dialer) { p.connections.dial = dial }
 
-// Register declares the method by which peer sidecars forward requests. It is called before the first request.
+// Register registers MethodForward with a hub, so that peer sidecars can forward requests here. It must be called before the first
+// request.
 func (p *Proxy) Register(h *transport.Hub) {
 	p.linkBacklog = h.Backlog
 	h.HandleRaw(MethodForward, p.serveForward)
 }
 
-// serveForward takes a request that a peer sidecar forwards.
+// serveForward handles a request that a peer sidecar forwards.
 func (p *Proxy) serveForward(call *transport.IncomingCall) {
 	var request ForwardRequest
 	if err := codec.Unmarshal(call.Body, &request); err != nil {
 		p.log.WithField("peer", call.From.Name).WithError(err).Warn("inbound: forwarded request cannot be decoded")
-		call.Reply(&ForwardResponse{Kind: outcome.Misdirected}) // it can't serve this caller
+		call.Reply(&ForwardResponse{Kind: outcome.Misdirected}) // this process can't serve requests of that caller
 		return
 	}
 	deadline := p.now() + request.TimeRemaining
@@ -72,7 +73,7 @@
 	call.OnCancel(cancel)
 }
 
-// UpdateEndpoint takes what was heard of the endpoint.
+// UpdateEndpoint updates the endpoint and its state, by the endpoint's registration, heartbeats or deregistration.
 func (p *Proxy) UpdateEndpoint(endpoint admission.Endpoint, state admission.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,41 +83,44 @@
 	p.apply(p.controller.UpdateEndpoint(p.now(), endpoint, state))
 }
 
-// Endpoint returns the endpoint that is known, and its state.
+// Endpoint returns the endpoint and its state, by the last UpdateEndpoint or as found to be down.
 func (p *Proxy) Endpoint() (admission.Endpoint, admission.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.controller.Endpoint(), p.controller.State()
 }
 
-// Pending returns how many requests run or wait.
+// Pending returns the number of requests that are running or queued.
 func (p *Proxy) Pending() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.pending)
 }
 
-// Forward takes a request of this machine's own clients, with the moments on the proxy's clock after which its answer is worth little,
-// and nothing. done is called once, on another goroutine. cancel gives the request up; its outcome still comes.
+// Forward forwards a request of a client on this machine. targetDeadline and deadline are times on the proxy's clock: an answer after the
+// former has little value, one after the latter none. done is called once, on another goroutine, with the response. cancel cancels the
+// request; done is still called.
 func (p *Proxy) Forward(request *ForwardRequest, targetDeadline, deadline time.Duration, done func(*ForwardResponse)) (cancel func()) {
 	return p.forward(request, targetDeadline, deadline, false, done)
 }
 
-// forward is Forward, also for a remote request, whose answer goes back over the machine's link. That may be the bottleneck: where a large
-// answer is expected, the time that it takes over the link is taken off both deadlines.
-func (p *Proxy) forward(request *ForwardRequest, targetDeadline, deadline time.Duration, remote bool, done func(*ForwardResponse)) (cancel func()) {
+// forward is Forward, also for a remote request, whose answer is sent over the machine's link. The link may be the bottleneck: if a large
+// answer is expected, the time to send it is subtracted from both deadlines.
+func (p *Proxy) forward(
+	request *ForwardRequest, targetDeadline, deadline time.Duration, remote bool, done func(*ForwardResponse),
+) (cancel func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastToken++
-	answerBytes := 0.0 // unless it is large
+	answerBytes := 0.0 // unless a large answer is expected
 	if remote && p.linkBacklog != nil {
 		answerBytes = p.sizes.largeSize(request.Route)
 	}
 	if answerBytes > 0 {
-		wayBack := p.linkBacklog(p.sizes.expected + answerBytes)
-		targetDeadline -= wayBack
-		deadline -= wayBack
-		if p.now()+p.controller.ServiceTime() > targetDeadline { // a late one would only keep the link from others
+		sendTime := p.linkBacklog(p.sizes.expected + answerBytes)
+		targetDeadline -= sendTime
+		deadline -= sendTime
+		if p.now()+p.controller.ServiceTime() > targetDeadline { // a late answer would only delay others on the link
 			p.rejectUnqueued(done)
 			return func() {}
 		}
@@ -137,14 +141,14 @@
 	return func() { p.cancel(pending) }
 }
 
-// rejectUnqueued rejects a request before the admission controller knows of it. The lock is held.
+// rejectUnqueued rejects a request that was not submitted to the admission controller. The lock is held.
 func (p *Proxy) rejectUnqueued(done func(*ForwardResponse)) {
 	response := &ForwardResponse{Kind: outcome.AtCapacity}
 	p.reportLoad(response)
 	go done(response)
 }
 
-// apply carries out the admission controller's decisions. The lock is held.
+// apply carries out decisions of the admission controller. The lock is held.
 func (p *Proxy) apply(decisions []admission.Decision) {
 	for _, decision := range decisions {
 		pending := p.pending[decision.Token]
@@ -160,7 +164,7 @@
 	}
 }
 
-// finish gives a request its outcome. The lock is held.
+// finish ends a request with its response. The lock is held.
 func (p *Proxy) finish(pending *pendingRequest, response *ForwardResponse) {
 	if p.pending[pending.token] != pending {
 		return
@@ -177,7 +181,8 @@
 	response.Running, response.Waiting = p.controller.Load()
 }
 
-// cancel gives a request up. One that waits ends at once; one that runs has its connection closed, on which most endpoints drop it.
+// cancel cancels a request. A queued one ends at once; for a running one the connection is closed, upon which most endpoints abandon the
+// request.
 func (p *Proxy) cancel(pending *pendingRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +200,7 @@
 	}
 }
 
-// scheduleExpiry has the deadlines of the requests that wait looked at again and again, until none waits. The lock is held.
+// scheduleExpiry schedules the next check of deadlines, if requests are queued and none is scheduled. The lock is held.
 func (p *Proxy) scheduleExpiry() {
 	if _, waiting := p.controller.Load(); p.expiryScheduled || waiting == 0 {
 		return
@@ -204,7 +209,7 @@
 	time.AfterFunc(expiryInterval, p.expire)
 }
 
-// expire rejects the requests that have waited too long.
+// expire rejects the queued requests that can't be answered in time any more.
 func (p *Proxy) expire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/dataplane/inbound/round_trip.go
+++ b/internal/mesh/dataplane/inbound/round_trip.go
@@ -6,11 +6,11 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// roundTrip sends a request, already in the form for the endpoint, on a connection and reads its answer.
+// roundTrip writes an encoded request to a connection and reads its answer.
 func roundTrip(conn *connection, request *ForwardRequest, encoded []byte, now func() time.Duration) ForwardResponse {
 	began := now()
 	if n, err := conn.Write(encoded); err != nil {
-		if n == 0 { // nothing of it was sent
+		if n == 0 { // nothing was sent
 			return ForwardResponse{Kind: outcome.Unreachable}
 		}
 		return ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true}
--- a/internal/mesh/dataplane/outcome/doc.go
+++ b/internal/mesh/dataplane/outcome/doc.go
@@ -1,14 +1,13 @@
-// Package outcome holds the closed list of how a request, or one attempt of it, can end. Every part of the mesh names an end by a
-// Kind of this list; the sidecar beside the client maps it to an HTTP answer by Kind.Entry alone, and decides by Kind.Next alone
-// whether a retry is safe.
+// Package outcome enumerates how a request, or one attempt of it, can end. All parts of the mesh use its Kinds. The client's sidecar
+// derives the HTTP answer from Kind.Entry alone, and whether a retry is safe from Kind.Next alone.
 //
-// The list falls into three groups:
+// There are three groups of kinds:
 //
-//	Answered        the endpoint's own answer
-//	not executed    the endpoint has surely not executed the request and never will: any request may be retried
-//	may have run    the endpoint may have executed it: only an idempotent request may be retried
+//	Answered               the endpoint's own answer
+//	not executed           no endpoint has executed the request, and none will: any request may be retried
+//	may have been executed an endpoint may have executed it: only an idempotent request may be retried
 //
-// Only kinds that are surely not executed map to statuses that promise so to the client (408, 429, 503).
+// Only kinds that were certainly not executed have statuses that promise so to the client (408, 429, 503).
 //
-// The package does not decide whether a retry is made: that is for the balancer and the retry budget, within what Next allows.
+// The package does not decide whether a request is retried: the balancer and the retry budget do, within what Next allows.
 package outcome
--- a/internal/mesh/dataplane/outcome/next.go
+++ b/internal/mesh/dataplane/outcome/next.go
@@ -6,19 +6,19 @@
 // Next is what may follow an attempt.
 type Next uint8
 
-// What may follow. Whether a retry is made is for the balancer, within this.
+// What may follow an attempt.
 const (
 	Stop            Next = iota // no retry: the request is answered by the table
-	Deliver                     // the endpoint's answer is the request's
-	Retry                       // the attempt was not executed: any request may be retried
-	RetryIdempotent             // it was, or may have been, executed: a retry may execute it again, within the retry budget
+	Deliver                     // the endpoint's answer is passed on to the client
+	Retry                       // the request was not executed: it may be retried
+	RetryIdempotent             // the request may have been executed, and is idempotent: it may be retried, within the retry budget
 )
 
-// String names what may follow, for tests and logs.
+// String returns a name for tests and logs.
 func (n Next) String() string { return [...]string{"stop", "deliver", "send again", "repeat"}[n] }
 
-// Next is the one rule of when a request may be retried: by how an attempt ended, the HTTP status of the endpoint's answer (0 for
-// none), and whether the request is idempotent. The page control-safety.md has it as a table.
+// Next returns what may follow an attempt that ended with this kind. status is the HTTP status of the endpoint's answer, 0 without one. The
+// page control-safety.md, section 5, has the rule as a table.
 func (k Kind) Next(status int, idempotent bool) Next {
 	e := k.Entry()
 	switch {
--- a/internal/mesh/dataplane/outcome/outcome.go
+++ b/internal/mesh/dataplane/outcome/outcome.go
@@ -5,54 +5,54 @@
 // Kind is how a request, or one attempt of it, ended.
 type Kind uint64
 
-// None stands for no outcome yet: the request goes on. It is never sent.
+// None means that there is no outcome yet. It is never sent.
 const None Kind = 0
 
 // The kinds. Their numbers go over the wire between sidecars and never change.
 const (
-	Answered Kind = 1 + iota // the endpoint's answer, as it came
+	Answered Kind = 1 + iota // the endpoint has answered; the answer may be a failure
 
-	// Not executed, and never will be.
+	// The request was not executed, and will not be.
 
-	AtCapacity    // the endpoint has no slot for it in time
-	Draining      // the endpoint drains and takes nothing new
-	Misdirected   // another endpoint, or none, is at that address now
-	Unreachable   // no connection came about, or the request was not sent completely
-	Rejected      // the endpoint itself reported that it did not execute the request
-	Expired       // its deadline passed before an endpoint began
-	Cancelled     // the caller gave it up before an endpoint began
+	AtCapacity    // the endpoint will have no free slot in time
+	Draining      // the endpoint is draining and accepts no new requests
+	Misdirected   // the endpoint is not, or not any more, at that sidecar
+	Unreachable   // no connection could be established, or the request was not sent completely
+	Rejected      // the endpoint itself has reported that it did not execute the request
+	Expired       // its deadline passed before it was sent to an endpoint
+	Cancelled     // its caller cancelled it before it was sent to an endpoint
 	Overloaded    // no endpoint of the service can serve it in time
-	QuotaExceeded // beyond its tenant's rate limit
+	QuotaExceeded // its tenant's rate limit is reached
 	NotReady      // this process has no configuration yet
-	ShuttingDown  // this process is about to end
+	ShuttingDown  // this process is shutting down
 
-	// May have been executed.
+	// The request may have been executed.
 
 	ConnectionLost  // the connection to the peer sidecar ended after the request had been sent
-	InvalidResponse // what came back is not an answer to this request
+	InvalidResponse // the response is not a valid answer to this request
 	TimedOut        // no answer in time
 
-	// Faults of the request itself; it was not executed.
+	// The request itself is faulty; it was not executed.
 
 	NoRoute        // no route matches its host and path
-	Unauthorized   // it bears no key of a tenant, and its route is not public
-	Malformed      // it can't be understood
-	BodyTooLarge   // its body exceeds the configured limit
-	HeaderTooLarge // its header exceeds the configured limit
-	BodyTimeout    // its body did not arrive completely in time
+	Unauthorized   // it has no tenant's key, and its route is not public
+	Malformed      // it can't be parsed, or lacks an attempt ID
+	BodyTooLarge   // its body exceeds the configured bound
+	HeaderTooLarge // its header exceeds the configured bound
+	BodyTimeout    // its body was not received completely in time
 
-	// May have been executed; numbered last as it was added last.
+	// The request may have been executed. The number is the last one, as the kind was added last.
 
-	EndpointReset // the endpoint broke its connection, while its sidecar stands
+	EndpointReset // the endpoint has closed the connection before it answered
 )
 
-// unknownStatus is the HTTP status for kinds of later versions, which promises nothing.
+// unknownStatus is the HTTP status for kinds of later versions. It does not promise that the request was not executed.
 const unknownStatus = 502
 
-// Entry is what the table says of a Kind.
+// Entry has the properties of a Kind.
 type Entry struct {
 	Name   string // in logs; never changes
-	Status int    // HTTP status of the answer
+	Status int    // HTTP status of the answer; of Answered the endpoint's status is used
 
 	// NotExecuted: no endpoint has executed the request, and none will.
 	NotExecuted bool
@@ -60,20 +60,26 @@
 	// SuspectsEndpoint: the endpoint, or its sidecar, may be down; the balancer ejects it.
 	SuspectsEndpoint bool
 
-	// EndsAttempt: an attempt can end so. The other kinds end requests that were sent to no endpoint.
+	// EndsAttempt: an attempt can have this outcome. The other kinds are outcomes of requests that were sent to no endpoint.
 	EndsAttempt bool
 
-	// RetryAfter is when a rejected client is to ask again; 0 if asking again is not worth it.
+	// RetryAfter is the least time after which a rejected client is to retry; 0 if it is not advised to.
 	RetryAfter time.Duration
 }
 
 var table = map[Kind]Entry{
 	Answered: {Name: "answered", Status: 200, EndsAttempt: true},
 
-	AtCapacity:    {Name: "full", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 250 * time.Millisecond},
-	Draining:      {Name: "leaving", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 100 * time.Millisecond},
-	Misdirected:   {Name: "mistaken", Status: 503, NotExecuted: true, SuspectsEndpoint: true, EndsAttempt: true, RetryAfter: 100 * time.Millisecond},
-	Unreachable:   {Name: "unreachable", Status: 503, NotExecuted: true, SuspectsEndpoint: true, EndsAttempt: true, RetryAfter: 200 * time.Millisecond},
+	AtCapacity: {Name: "full", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 250 * time.Millisecond},
+	Draining:   {Name: "leaving", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 100 * time.Millisecond},
+	Misdirected: {
+		Name: "mistaken", Status: 503, NotExecuted: true, SuspectsEndpoint: true, EndsAttempt: true,
+		RetryAfter: 100 * time.Millisecond,
+	},
+	Unreachable: {
+		Name: "unreachable", Status: 503, NotExecuted: true, SuspectsEndpoint: true, EndsAttempt: true,
+		RetryAfter: 200 * time.Millisecond,
+	},
 	Rejected:      {Name: "turned away", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 250 * time.Millisecond},
 	Expired:       {Name: "late", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 300 * time.Millisecond},
 	Cancelled:     {Name: "withdrawn", Status: 503, NotExecuted: true, EndsAttempt: true, RetryAfter: 300 * time.Millisecond},
@@ -95,7 +101,7 @@
 	BodyTimeout:    {Name: "slow", Status: 408, NotExecuted: true},
 }
 
-// Entry returns what the table says of a kind. One that is not of the list, from a later version, counts as may have been executed.
+// Entry returns the properties of a kind. An unknown kind, of a later version, may have been executed.
 func (k Kind) Entry() Entry {
 	if e, ok := table[k]; ok {
 		return e
@@ -106,8 +112,8 @@
 // String returns the kind's name.
 func (k Kind) String() string { return k.Entry().Name }
 
-// NotExecuted reports whether no endpoint has executed a request that ended so, and none will.
+// NotExecuted reports whether a request with this outcome was executed by no endpoint, and will be by none.
 func (k Kind) NotExecuted() bool { return k.Entry().NotExecuted }
 
-// RetryAfter returns when a rejected client is to ask again; 0 for kinds that are not worth asking again.
+// RetryAfter returns the least time after which a rejected client is to retry; 0 if it is not advised to.
 func (k Kind) RetryAfter() time.Duration { return k.Entry().RetryAfter }
