--- a/internal/structures/deadlinequeue/deadlinequeue.go
+++ b/internal/structures/deadlinequeue/deadlinequeue.go
@@ -1,18 +1,19 @@
-// Package deadlinequeue keeps items in the order of their deadlines: a binary heap with the items' positions. It
-// reads no clock.
+// Package deadlinequeue implements a priority queue of items by deadline. It is a binary heap that also knows the position of
+// each item, so that a deadline can be changed and an item removed. It reads no clock: deadlines are offsets from whatever start
+// the caller measures time from.
 package deadlinequeue
 
 import "time"
 
-// Queue holds distinct items, each with a deadline. Putting, changing and removing one take time that grows with the logarithm
-// of their number. The zero value is empty and ready for use. It is not safe for concurrent use.
+// Queue is a priority queue of distinct items, the earliest deadline first. Put and Remove take logarithmic time. The zero value
+// is empty and ready for use. It is not safe for concurrent use.
 type Queue[T comparable] struct {
-	// Less orders items that have the same deadline, so that the same events give the same order; nil for any order. It must
-	// not change while the queue holds items.
+	// Less orders items that have the same deadline, so that equal sequences of calls give equal orders. If it is nil, the order
+	// of such items is unspecified. It must not change while the queue has items.
 	Less func(a, b T) bool
 
 	heap      []item[T]
-	positions map[T]int // in heap
+	positions map[T]int // index in heap, by item
 }
 
 type item[T comparable] struct {
@@ -20,10 +21,10 @@
 	deadline time.Duration
 }
 
-// Len is how many items there are.
+// Len returns the number of items.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Peek returns the item of the earliest deadline; false where there is none.
+// Peek returns the item with the earliest deadline, without removing it. ok is false if the queue is empty.
 func (q *Queue[T]) Peek() (value T, deadline time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return value, 0, false
@@ -32,7 +33,7 @@
 	return first.value, first.deadline, true
 }
 
-// Deadline is that of an item; false where it is not in the queue.
+// Deadline returns the deadline of an item. ok is false if the item is not in the queue.
 func (q *Queue[T]) Deadline(value T) (deadline time.Duration, ok bool) {
 	i, ok := q.positions[value]
 	if !ok {
@@ -41,7 +42,7 @@
 	return q.heap[i].deadline, true
 }
 
-// Put adds an item, or changes its deadline.
+// Put adds an item, or changes its deadline if it is in the queue already.
 func (q *Queue[T]) Put(value T, deadline time.Duration) {
 	if i, ok := q.positions[value]; ok {
 		q.heap[i].deadline = deadline
@@ -57,7 +58,7 @@
 	q.siftUp(last)
 }
 
-// Remove takes an item out, if it is in the queue.
+// Remove removes an item. It does nothing if the item is not in the queue.
 func (q *Queue[T]) Remove(value T) {
 	i, ok := q.positions[value]
 	if !ok {
@@ -73,6 +74,7 @@
 	}
 }
 
+// less reports whether the item at position i comes before the one at position j.
 func (q *Queue[T]) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
 	if a.deadline != b.deadline || q.Less == nil {
@@ -81,12 +83,13 @@
 	return q.Less(a.value, b.value)
 }
 
+// swap exchanges the items at two positions.
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
 	q.positions[q.heap[i].value], q.positions[q.heap[j].value] = i, j
 }
 
-// siftUp moves an item up to where its parent is not after it, and returns its new position.
+// siftUp moves the item at position i towards the root until its parent does not come after it. It returns the new position.
 func (q *Queue[T]) siftUp(i int) int {
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -99,7 +102,7 @@
 	return i
 }
 
-// siftDown moves an item down to where no child is before it.
+// siftDown moves the item at position i towards the leaves until no child comes before it.
 func (q *Queue[T]) siftDown(i int) {
 	for {
 		first := i
--- a/internal/structures/deadlinequeue/deadlinequeue_test.go
+++ b/internal/structures/deadlinequeue/deadlinequeue_test.go
@@ -9,27 +9,28 @@
 	"pgregory.net/rapid"
 )
 
-// checkAgainst compares a queue with a map of the same deadlines.
+// checkAgainst compares a queue with a map of the expected deadlines.
 func checkAgainst(t *rapid.T, q *Queue[int], deadlines map[int]time.Duration) {
+	t.Helper()
 	first, ok := 0, false
 	for value, deadline := range deadlines {
 		if !ok || deadline < deadlines[first] || deadline == deadlines[first] && value < first {
 			first, ok = value, true
 		}
-		if got, here := q.Deadline(value); !here || got != deadline {
-			t.Fatalf("%d has the deadline %v, %v, want %v", value, got, here, deadline)
+		if got, found := q.Deadline(value); !found || got != deadline {
+			t.Fatalf("%d has the deadline %v, %v, want %v", value, got, found, deadline)
 		}
 	}
-	got, deadline, here := q.Peek()
-	if here != ok || q.Len() != len(deadlines) {
-		t.Fatalf("first is %v, of %d; want %v of %v", here, q.Len(), ok, deadlines)
+	got, deadline, found := q.Peek()
+	if found != ok || q.Len() != len(deadlines) {
+		t.Fatalf("there is a first item: %v, of %d; want %v of %v", found, q.Len(), ok, deadlines)
 	}
 	if ok && (got != first || deadline != deadlines[first]) {
 		t.Fatalf("first is %d at %v, want %d of %v", got, deadline, first, deadlines)
 	}
 }
 
-// Against a map that is walked each time.
+// After random changes the queue agrees with a map that is searched in full each time.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := Queue[int]{Less: func(a, b int) bool { return a < b }}
--- a/internal/structures/deadlinequeue/golden_test.go
+++ b/internal/structures/deadlinequeue/golden_test.go
@@ -12,26 +12,26 @@
 	"quincegap/internal/golden"
 )
 
-// The order in which items are due, with many at the same time, over random changes.
+// The order of items with many equal deadlines, over random changes, is the same in every version.
 func TestGoldenOrder(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		q := Queue[int]{Less: func(a, b int) bool { return a < b }}
+		queue := Queue[int]{Less: func(a, b int) bool { return a < b }}
 		var output bytes.Buffer
 		for range 3000 {
 			switch rng.IntN(5) {
 			case 0, 1, 2:
-				q.Put(rng.IntN(400), time.Duration(rng.IntN(50))*time.Second)
+				queue.Put(rng.IntN(400), time.Duration(rng.IntN(50))*time.Second)
 			case 3:
-				q.Remove(rng.IntN(400))
+				queue.Remove(rng.IntN(400))
 			case 4:
-				x, at, ok := q.Peek()
-				fmt.Fprintln(&output, x, at, ok, q.Len())
-				q.Remove(x)
+				value, deadline, ok := queue.Peek()
+				fmt.Fprintln(&output, value, deadline, ok, queue.Len())
+				queue.Remove(value)
 			}
 		}
-		fmt.Fprintf(&text, "seed %d: %d left\n%x\n", seed, q.Len(), sha256.Sum256(output.Bytes()))
+		fmt.Fprintf(&text, "seed %d: %d left\n%x\n", seed, queue.Len(), sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "order.txt", []byte(text.String()))
 }
--- a/internal/structures/hashring/example_test.go
+++ b/internal/structures/hashring/example_test.go
@@ -22,16 +22,16 @@
 	// Output: [427 384 354 386 409]
 }
 
-// When one of a group goes, only its items move.
+// When a member leaves a group, the others keep their items and take over its own.
 func ExampleGroup() {
 	before := hashring.Share{Replicas: 1, Group: hashring.NewGroup(1, []uint64{1, 2, 3, 4})}
 	after := hashring.Share{Replicas: 1, Group: hashring.NewGroup(1, []uint64{1, 2, 3})}
 	lost, gained := 0, 0
 	for id := range uint32(1000) {
-		switch was, is := before.Owns(id), after.Owns(id); {
-		case was && !is:
+		switch ownedBefore, ownedAfter := before.Owns(id), after.Owns(id); {
+		case ownedBefore && !ownedAfter:
 			lost++
-		case is && !was:
+		case ownedAfter && !ownedBefore:
 			gained++
 		}
 	}
--- a/internal/structures/hashring/golden_test.go
+++ b/internal/structures/hashring/golden_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/golden"
 )
 
-// Which owner has which item is agreed on by instances that do not talk to one another: it must be the same in every version.
+// Instances that do not communicate have to agree on the owners of an item, so that these must be the same in every version.
 func TestGoldenShares(t *testing.T) {
 	members := []uint64{0, 7, 1 << 20, 1 << 40, 99, 1<<64 - 1}
 	var text strings.Builder
@@ -28,17 +28,17 @@
 		{"group without itself", Share{Owners: 6, Replicas: 1, Group: NewGroup(8, members)}},
 	} {
 		var output bytes.Buffer
-		n := 0
+		owned := 0
 		var first []uint32
 		for id := range uint32(5000) {
 			if c.share.Owns(id) {
 				fmt.Fprintln(&output, id)
-				if n++; n <= 8 {
+				if owned++; owned <= 8 {
 					first = append(first, id)
 				}
 			}
 		}
-		fmt.Fprintf(&text, "%s: %d of 5000, first %v\n%x\n", c.name, n, first, sha256.Sum256(output.Bytes()))
+		fmt.Fprintf(&text, "%s: %d of 5000, first %v\n%x\n", c.name, owned, first, sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "shares.txt", []byte(text.String()))
 }
--- a/internal/structures/rendezvous/example_test.go
+++ b/internal/structures/rendezvous/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// Three members agree on who comes first for an item, without a message.
+// Three members agree on their order for an item without communicating.
 func ExampleRanking() {
 	members := []uint64{10, 20, 30}
 	item := rendezvous.Mix(7)
--- a/internal/structures/rendezvous/golden_test.go
+++ b/internal/structures/rendezvous/golden_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/golden"
 )
 
-// The order of members for an item is agreed on by processes of all versions.
+// Processes of different versions have to agree on the order of the members for an item.
 func TestGoldenOrder(t *testing.T) {
 	var text strings.Builder
 	for _, x := range []uint64{0, 1, 2, 1 << 32, 1<<64 - 1} {
@@ -18,12 +18,12 @@
 	}
 	members := []uint64{5, 3, 3, 1 << 50, 77, 0}
 	for _, self := range []uint64{5, 77, 78} {
-		r := New(self, members)
+		ranking := New(self, members)
 		var output bytes.Buffer
 		for item := range uint64(2000) {
-			fmt.Fprintln(&output, r.Rank(Mix(item)), r.InFirst(Mix(item), 2))
+			fmt.Fprintln(&output, ranking.Rank(Mix(item)), ranking.InFirst(Mix(item), 2))
 		}
-		fmt.Fprintf(&text, "member %d of %d\n%x\n", self, r.Len(), sha256.Sum256(output.Bytes()))
+		fmt.Fprintf(&text, "member %d of %d\n%x\n", self, ranking.Len(), sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "order.txt", []byte(text.String()))
 }
--- a/internal/structures/rendezvous/rendezvous.go
+++ b/internal/structures/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous ranks members for an item by hash (Thaler, Ravishankar: Using Name-Based Mappings to Increase Hit Rates,
-// 1998): each item has an order of its own, and when a member comes or goes the others keep theirs.
+// Package rendezvous ranks the members of a group for an item by rendezvous hashing (Thaler, Ravishankar: Using Name-Based Mappings
+// to Increase Hit Rates, 1998). Each item has its own order of the members, and a member that joins or leaves does not change the
+// order of the others.
 package rendezvous
 
 import (
@@ -7,16 +8,17 @@
 	"slices"
 )
 
-// Ranking is one member's knowledge of all members, by numbers that all agree on. Members that agree on these agree on the order
-// for each item.
+// Ranking computes the rank of one member, self, among all. Members are identified by numbers. Members that use the same numbers
+// compute the same order for each item without communicating.
 type Ranking struct {
 	self        uint64
-	others      []uint64
+	others      []uint64 // sorted, each once
 	selfHash    uint64
 	otherHashes []uint64 // in the order of others
 }
 
-// New makes the Ranking of a member: its own number, and all, itself among them or not, in any order and more than once.
+// New returns the Ranking of the member self. all are the numbers of all members in any order, with or without self; duplicates
+// count once.
 func New(self uint64, all []uint64) Ranking {
 	others := slices.Compact(slices.Sorted(slices.Values(all)))
 	if i, ok := slices.BinarySearch(others, self); ok {
@@ -29,23 +31,24 @@
 	return r
 }
 
-// Len is how many members there are.
+// Len returns the number of members, including self.
 func (r *Ranking) Len() int { return 1 + len(r.others) }
 
-// InFirst reports whether this member is one of the first n for an item. Items should be spread over all 64 bits, as Mix does.
+// InFirst reports whether this member is one of the first n for an item. The item is a hash that should use all 64 bits, such as
+// Mix returns.
 func (r *Ranking) InFirst(item uint64, n int) bool { return r.countAhead(item, n) < n }
 
-// Rank is this member's rank for an item, from 0.
+// Rank returns the rank of this member for an item, from 0. The item is a hash as for InFirst.
 func (r *Ranking) Rank(item uint64) int { return r.countAhead(item, r.Len()) }
 
-// countAhead counts the members that come before this one, up to a number.
+// countAhead returns how many members come before this one for an item. It stops counting at limit.
 func (r *Ranking) countAhead(item uint64, limit int) (ahead int) {
 	own := Mix(item ^ r.selfHash)
 	for i, hash := range r.otherHashes {
 		if ahead >= limit {
 			break
 		}
-		// Mix is a bijection: different members never score alike, but for numbers that are alike.
+		// Mix is a bijection, so that only equal hashes give equal scores; the numbers then decide.
 		if cmp.Or(cmp.Compare(Mix(item^hash), own), cmp.Compare(r.others[i], r.self)) > 0 {
 			ahead++
 		}
@@ -53,8 +56,8 @@
 	return ahead
 }
 
-// Mix spreads a number over 64 bits, each number to another one: the finalizer of SplitMix64 (Steele, Lea, Flood: Fast
-// Splittable Pseudorandom Number Generators, 2014).
+// Mix hashes a number to 64 bits, without collisions. It is the finalizer of SplitMix64 (Steele, Lea, Flood: Fast Splittable
+// Pseudorandom Number Generators, 2014).
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/structures/rendezvous/rendezvous_test.go
+++ b/internal/structures/rendezvous/rendezvous_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Members that agree on all have each rank once, whatever the item, and the first ones are those of the lowest ranks.
+// For any item each rank is taken by exactly one member, and the first n members are those with the lowest ranks.
 func TestRanksAreAPermutation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.Uint64(), 1, 40, rapid.ID[uint64]).Draw(t, "members")
@@ -26,16 +26,16 @@
 	})
 }
 
-// A member that leaves moves no others past one another.
+// A member that leaves does not change the order of the others.
 func TestLeavingMovesNoOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.Uint64(), 3, 40, rapid.ID[uint64]).Draw(t, "members")
 		item := rapid.Uint64().Draw(t, "item")
-		left := New(members[0], members)
+		leaving := New(members[0], members)
 		for _, member := range members[1:] {
 			before, after := New(member, members), New(member, members[1:])
 			want := before.Rank(item)
-			if want > left.Rank(item) {
+			if want > leaving.Rank(item) {
 				want--
 			}
 			if got := after.Rank(item); got != want {
--- a/internal/structures/throttle/example_test.go
+++ b/internal/structures/throttle/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/structures/throttle"
 )
 
-// A client whose attempts are all rejected is held to half an attempt a second.
+// A client whose attempts are all rejected may make half an attempt a second.
 func ExampleThrottle() {
 	var t throttle.Throttle
 	attempts := 0
--- a/internal/structures/throttle/golden_test.go
+++ b/internal/structures/throttle/golden_test.go
@@ -12,28 +12,28 @@
 	"quincegap/internal/golden"
 )
 
-// When attempts are allowed over random events.
+// Over random events, attempts are allowed at the same times in every version.
 func TestGoldenCourse(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var x Throttle
+		var throttle Throttle
 		var now time.Duration
 		var output bytes.Buffer
-		open := 0
+		attempts := 0
 		for range 3000 {
 			now += time.Duration(rng.IntN(int(time.Second)))
-			x.Update(now, rng.Float64(), 4, 1+10*rng.Float64())
-			if x.Allowed() {
-				open++
-				x.RecordAttempt()
+			throttle.Update(now, rng.Float64(), 4, 1+10*rng.Float64())
+			if throttle.Allowed() {
+				attempts++
+				throttle.RecordAttempt()
 			}
 			if rng.IntN(3) == 0 {
-				x.RecordResponse(rng.Float64())
+				throttle.RecordResponse(rng.Float64())
 			}
-			fmt.Fprintln(&output, x.Allowed())
+			fmt.Fprintln(&output, throttle.Allowed())
 		}
-		fmt.Fprintf(&text, "seed %d: %d of 3000 allowed\n%x\n", seed, open, sha256.Sum256(output.Bytes()))
+		fmt.Fprintf(&text, "seed %d: %d of 3000 allowed\n%x\n", seed, attempts, sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "course.txt", []byte(text.String()))
 }
--- a/internal/structures/throttle/throttle.go
+++ b/internal/structures/throttle/throttle.go
@@ -1,27 +1,27 @@
-// Package throttle bounds the attempts that come to nothing by those that do not: client-side throttling, as in Site Reliability
-// Engineering (Beyer, Jones, Petoff, Murphy 2016), chapter 21, kept as a count of attempts that may yet come to nothing. It reads
-// no clock.
+// Package throttle implements client-side throttling: it limits a client's rejected attempts in proportion to its successful ones
+// (Beyer, Jones, Petoff, Murphy: Site Reliability Engineering, 2016, chapter 21). It is a token bucket that responses refill, and
+// it reads no clock.
 //
-// What it is for: clients that each go on at once with the next server when one rejects them are harmless alone. Many of them
-// before servers that are full send these several times what they were asked for, the more the more clients there are, for each
-// finds out for itself which servers are full. Counts that are earned by responses add up to the responses, whatever the number
-// of clients.
+// A client that retries a rejected request at once with the next server does no harm alone. With many such clients, servers without
+// capacity receive a multiple of the requests, and the factor grows with the number of clients, as each client finds out by itself
+// which servers reject. Tokens that are earned by responses sum up to the number of responses, however many clients there are.
 package throttle
 
 import "time"
 
-// Throttle is one client's. The zero value is ready for use: its first Update fills it. It is not safe for concurrent use.
+// Throttle limits the attempts of one client. Each attempt costs a token. The zero value has no tokens until the first Update. It
+// is not safe for concurrent use.
 type Throttle struct {
-	tokens, capacity float64 // attempts that may come to nothing
-	rate             float64 // of tokens that are earned by time alone, a second
+	tokens, capacity float64
+	rate             float64 // tokens a second that are earned by time alone
 	updatedAt        time.Duration
-	initialized      bool
+	initialized      bool // Update was called
 }
 
-// Update brings the throttle up to a time and sets what it goes by from then on: how many attempts may come to nothing without a
-// response in between (capacity), and how many more each second allows by itself (rate), without which a client that has no
-// responses would never ask again. The first call allows as many as first says: who has just started has earned nothing yet. All
-// are 0 or above; the time must not go back.
+// Update advances the throttle to the time now, and sets the limits from then on. capacity bounds the tokens, and so the attempts
+// without any response. rate is the tokens a second that are added without a response; with a rate of 0, a client that gets no
+// response would never try again. The first call sets the tokens to first, since a new client has earned none. No argument may be
+// negative, and now must not decrease.
 func (t *Throttle) Update(now time.Duration, rate, first, capacity float64) {
 	if t.initialized {
 		t.tokens += t.rate * (now - t.updatedAt).Seconds()
@@ -35,8 +35,8 @@
 // Allowed reports whether an attempt may be made.
 func (t *Throttle) Allowed() bool { return t.tokens >= 1 }
 
-// RecordAttempt counts an attempt, which may come to nothing.
+// RecordAttempt takes the token of an attempt.
 func (t *Throttle) RecordAttempt() { t.tokens-- }
 
-// RecordResponse counts an attempt that came to something, and how many more that allows besides itself.
-func (t *Throttle) RecordResponse(more float64) { t.tokens = min(t.tokens+1+more, t.capacity) }
+// RecordResponse returns the token of an attempt that was not rejected, and adds extra tokens for further attempts.
+func (t *Throttle) RecordResponse(extra float64) { t.tokens = min(t.tokens+1+extra, t.capacity) }
--- a/internal/structures/weightedring/example_test.go
+++ b/internal/structures/weightedring/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/structures/weightedring"
 )
 
-// Three quarters round a ring of three items, the sum of the weights falls on the third.
+// Three quarters of the total weight of a ring of three items are reached at the third one.
 func ExampleRing() {
 	var ring weightedring.Ring[string]
 	ring.Put(30, 2, "c")
--- a/internal/structures/weightedring/golden_test.go
+++ b/internal/structures/weightedring/golden_test.go
@@ -11,34 +11,35 @@
 	"quincegap/internal/golden"
 )
 
-// Where sums of weights fall over random changes. The sums are of floating-point numbers: their order shows.
+// Over random changes, Seek finds the same items in every version. A changed order of the additions of floating-point numbers would
+// show as another digest.
 func TestGoldenPlaces(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var r Ring[uint32]
+		var ring Ring[uint32]
 		var output bytes.Buffer
 		for range 4000 {
 			switch rng.IntN(6) {
 			case 0, 1, 2:
 				key := rng.Uint32N(900)
-				r.Put(key, rng.ExpFloat64(), key)
+				ring.Put(key, rng.ExpFloat64(), key)
 			case 3:
-				r.Remove(rng.Uint32N(900))
+				ring.Remove(rng.Uint32N(900))
 			case 4:
 				if rng.IntN(50) == 0 {
-					r.Reweigh(func(key uint32) float64 { return float64(key%7) / 3 })
+					ring.Reweigh(func(key uint32) float64 { return float64(key%7) / 3 })
 				}
 			case 5:
-				c, left := r.Seek(r.Total()*rng.Float64(), 1e-9)
+				cursor, left := ring.Seek(ring.Total()*rng.Float64(), 1e-9)
 				for range 3 {
-					x, weight, ok := c.Next()
-					fmt.Fprintln(&output, x, weight, ok, left)
+					item, weight, ok := cursor.Next()
+					fmt.Fprintln(&output, item, weight, ok, left)
 				}
 			}
 		}
-		fmt.Fprintln(&output, r.Append(nil))
-		fmt.Fprintf(&text, "seed %d: %d items, total %v\n%x\n", seed, r.Len(), r.Total(), sha256.Sum256(output.Bytes()))
+		fmt.Fprintln(&output, ring.Append(nil))
+		fmt.Fprintf(&text, "seed %d: %d items, total %v\n%x\n", seed, ring.Len(), ring.Total(), sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "places.txt", []byte(text.String()))
 }
--- a/internal/structures/weightedring/weightedring.go
+++ b/internal/structures/weightedring/weightedring.go
@@ -1,5 +1,5 @@
-// Package weightedring keeps items in the order of their keys, each with a weight, and finds which of them a running sum of the
-// weights falls on. The items are a ring: after the last comes the first.
+// Package weightedring keeps weighted items in the order of their keys, and finds the item at which the running sum of the weights
+// reaches a given value. The items form a ring: the first one follows the last.
 package weightedring
 
 import (
@@ -9,27 +9,27 @@
 	"sort"
 )
 
-// maxBlockItems is how many items a block holds before it is split in two. After a change one block is summed anew, and then all
-// blocks' sums: with 10,000 items about as much of the one as of the other.
+// maxBlockItems is the number of items above which a block is split in two. A change sums the items of one block and then the sums
+// of all blocks. With 10,000 items both take about as long.
 const maxBlockItems = 128
 
-// Ring holds items by key. A change takes time that grows with the square root of their number, and so does finding a place in
-// the sum; going on from there costs the same for each item. The zero value is empty and ready for use. It is not safe for
-// concurrent use.
+// Ring holds items by key. A change and a Seek take time in the order of the square root of the number of items, and each Next
+// takes constant time. The zero value is empty and ready for use. It is not safe for concurrent use.
 //
-// Sums are always computed anew from the weights below them, never moved by differences, so that no error of rounding builds up;
-// and only when one is asked for, so that many changes at once cost one sum.
+// Sums are always recomputed from the weights, not adjusted by differences, so that rounding errors do not accumulate. They are
+// recomputed only when one is needed, so that many changes in a row cost one summation.
 type Ring[T any] struct {
-	blocks []*block[T] // none is empty
-	count  int
-	total  float64
-	stale  bool // the total is, and some blocks' sums may be
+	blocks []*block[T] // in the order of their keys; none is empty
+	count  int         // of items
+	total  float64     // of all weights
+	stale  bool        // total and perhaps the sums of some blocks have to be recomputed
 }
 
+// block holds neighbouring items.
 type block[T any] struct {
-	items []item[T]
-	sum   float64
-	stale bool
+	items []item[T] // in the order of their keys
+	sum   float64   // of their weights
+	stale bool      // sum has to be recomputed
 }
 
 type item[T any] struct {
@@ -38,10 +38,10 @@
 	value  T
 }
 
-// Len is how many items there are.
+// Len returns the number of items.
 func (r *Ring[T]) Len() int { return r.count }
 
-// Total is the sum of all weights.
+// Total returns the sum of all weights.
 func (r *Ring[T]) Total() float64 {
 	if !r.stale {
 		return r.total
@@ -56,7 +56,8 @@
 	return r.total
 }
 
-// find returns the index of the block that has a key or would have it, and the index in it. There must be a block.
+// find returns the position of a key: the index of the block, and that of the item in the block. If found is false, it is the
+// position at which the key has to be inserted. There must be a block.
 func (r *Ring[T]) find(key uint32) (blockIndex, i int, found bool) {
 	blockIndex = sort.Search(len(r.blocks), func(i int) bool {
 		items := r.blocks[i].items
@@ -72,21 +73,21 @@
 	return blockIndex, i, found
 }
 
-// Put takes an item in, or changes the one that has its key. Weights below 0, and those that are no number, count as 0.
+// Put adds an item, or replaces the one with the same key. A weight that is negative or NaN counts as 0.
 func (r *Ring[T]) Put(key uint32, weight float64, value T) {
-	weight = orZero(weight)
+	weight = validWeight(weight)
 	if len(r.blocks) == 0 {
 		first := &block[T]{items: []item[T]{{key, weight, value}}, stale: true}
 		r.blocks = append(r.blocks, first)
 		r.count, r.stale = 1, true
 		return
 	}
-	at, i, found := r.find(key)
-	b := r.blocks[at]
+	blockIndex, i, found := r.find(key)
+	b := r.blocks[blockIndex]
 	if found {
-		was := b.items[i].weight
+		oldWeight := b.items[i].weight
 		b.items[i].weight, b.items[i].value = weight, value
-		if was != weight {
+		if oldWeight != weight {
 			b.stale, r.stale = true, true
 		}
 		return
@@ -94,20 +95,20 @@
 	b.items = slices.Insert(b.items, i, item[T]{key, weight, value})
 	r.count++
 	if len(b.items) > maxBlockItems {
-		r.blocks = slices.Insert(r.blocks, at+1, b.split())
+		r.blocks = slices.Insert(r.blocks, blockIndex+1, b.split())
 	}
 	b.stale, r.stale = true, true
 }
 
-// orZero is a weight; 0 where it is below that, or no number.
-func orZero(weight float64) float64 {
+// validWeight returns the weight, or 0 if it is negative or NaN.
+func validWeight(weight float64) float64 {
 	if weight > 0 {
 		return weight
 	}
 	return 0
 }
 
-// split takes the second half of a block's items from it, into a block of their own.
+// split moves the second half of a block's items to a new block, and returns that.
 func (b *block[T]) split() *block[T] {
 	half := len(b.items) / 2
 	right := &block[T]{items: slices.Clone(b.items[half:]), stale: true}
@@ -116,35 +117,36 @@
 	return right
 }
 
-// Remove takes an item out, if it is here.
+// Remove removes the item with a key. It does nothing if there is none.
 func (r *Ring[T]) Remove(key uint32) {
 	if len(r.blocks) == 0 {
 		return
 	}
-	at, i, found := r.find(key)
+	blockIndex, i, found := r.find(key)
 	if !found {
 		return
 	}
-	b := r.blocks[at]
+	b := r.blocks[blockIndex]
 	b.items = slices.Delete(b.items, i, i+1)
 	r.count--
 	if len(b.items) == 0 {
-		r.blocks = slices.Delete(r.blocks, at, at+1)
+		r.blocks = slices.Delete(r.blocks, blockIndex, blockIndex+1)
 	}
 	b.stale, r.stale = true, true
 }
 
-// Reweigh sets the weight of each item.
+// Reweigh sets the weight of each item to what a function returns for it.
 func (r *Ring[T]) Reweigh(weight func(T) float64) {
 	for _, b := range r.blocks {
 		for i := range b.items {
-			b.items[i].weight = orZero(weight(b.items[i].value))
+			b.items[i].weight = validWeight(weight(b.items[i].value))
 		}
 		b.stale = true
 	}
 	r.stale = true
 }
 
+// sumItems recomputes the sum of a block.
 func (b *block[T]) sumItems() {
 	b.stale, b.sum = false, 0
 	for i := range b.items {
@@ -152,7 +154,7 @@
 	}
 }
 
-// All gives the items in the order of their keys.
+// All iterates over the items in the order of their keys.
 func (r *Ring[T]) All() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for _, b := range r.blocks {
@@ -165,7 +167,7 @@
 	}
 }
 
-// Append appends the items, in the order of their keys, to a list.
+// Append appends the items, in the order of their keys, to a slice, and returns the extended slice.
 func (r *Ring[T]) Append(to []T) []T {
 	for _, b := range r.blocks {
 		for i := range b.items {
@@ -175,26 +177,27 @@
 	return to
 }
 
-// Cursor goes round a ring. It is void once items of the ring come or go.
+// Cursor iterates over the items of a ring without end. Put of a new item and Remove invalidate it.
 type Cursor[T any] struct {
 	ring     *Ring[T]
 	block, i int
 }
 
-// Seek returns a cursor at the first item that a sum of weights, counted from the first key, does not pass by more than a
-// tolerance, and what is left of the sum there. Beyond the total it stands at the first item, with the rest.
+// Seek returns a cursor at the item at which the running sum of the weights, from the first key on, exceeds sum by at least the
+// tolerance. left is sum minus the weights of the items before it. If sum is not below the total, the cursor is at the first item,
+// and left is what remains after all weights.
 func (r *Ring[T]) Seek(sum, tolerance float64) (c Cursor[T], left float64) {
-	r.Total() // brings the sums up to date
-	for at, b := range r.blocks {
-		// A block's sum may differ, by its rounding, from what the loop below makes of it: then that loop runs
-		// over its end, and on into the next block.
-		if sum > b.sum-tolerance && at < len(r.blocks)-1 {
+	r.Total() // recomputes the sums that are stale
+	for blockIndex, b := range r.blocks {
+		// The sum of a block may differ, by rounding, from the result of the subtractions below. These may then reach the end of
+		// the block without a result, and go on with the next one.
+		if sum > b.sum-tolerance && blockIndex < len(r.blocks)-1 {
 			sum -= b.sum
 			continue
 		}
 		for i := range b.items {
 			if sum <= b.items[i].weight-tolerance {
-				return Cursor[T]{r, at, i}, sum
+				return Cursor[T]{r, blockIndex, i}, sum
 			}
 			sum -= b.items[i].weight
 		}
@@ -202,18 +205,18 @@
 	return Cursor[T]{ring: r}, sum
 }
 
-// Next returns the item that the cursor stands at, with its weight, and moves on to the next one; after the last comes the first.
-// An empty ring has none.
+// Next returns the item at the cursor with its weight, and advances the cursor; the first item follows the last. ok is false if
+// the ring is empty.
 func (c *Cursor[T]) Next() (value T, weight float64, ok bool) {
 	if c.ring == nil || c.ring.count == 0 {
 		return value, 0, false
 	}
 	items := c.ring.blocks[c.block].items
-	at := &items[c.i]
+	current := &items[c.i]
 	c.i++
 	if c.i == len(items) {
 		c.i = 0
 		c.block = (c.block + 1) % len(c.ring.blocks)
 	}
-	return at.value, at.weight, true
+	return current.value, current.weight, true
 }
--- a/internal/structures/weightedring/weightedring_test.go
+++ b/internal/structures/weightedring/weightedring_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// naive is the reference: a sorted list.
+// naive is the reference implementation: a sorted slice of keys.
 type naive struct {
 	keys    []uint32
 	weights map[uint32]float64
@@ -35,8 +35,8 @@
 	return sum
 }
 
-// seek is where a sum falls, and what is left of it there.
-func (n *naive) seek(sum float64) (at int, left float64) {
+// seek returns the index of the key that Seek has to find, and what is left of the sum there.
+func (n *naive) seek(sum float64) (index int, left float64) {
 	for i, k := range n.keys {
 		if sum <= n.weights[k]-1e-9 {
 			return i, sum
@@ -46,9 +46,9 @@
 	return 0, sum
 }
 
-// change makes random changes of a ring and of the reference.
+// change applies random changes to a ring and to the reference.
 func change(t *rapid.T, r *Ring[uint32], n *naive) {
-	// Whole numbers, so that sums are the same in whatever order they are made.
+	// The weights are integers, so that their sum does not depend on the order of the additions.
 	weight := rapid.Custom(func(t *rapid.T) float64 { return float64(rapid.IntRange(0, 9).Draw(t, "weight")) })
 	keys := rapid.Uint32Range(0, 700)
 	for range rapid.IntRange(0, 1200).Draw(t, "changes") {
@@ -70,76 +70,76 @@
 	}
 }
 
-// Under any changes the ring is as a sorted list is, and its cursor goes round that list.
+// After any changes the ring agrees with a sorted slice, and a cursor iterates over it in that order.
 func TestAsASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Ring[uint32]
-		n := &naive{weights: map[uint32]float64{}}
-		change(t, &r, n)
-		if got := slices.Collect(r.All()); !slices.Equal(got, n.keys) {
-			t.Fatalf("%v, should be %v", got, n.keys)
+		var ring Ring[uint32]
+		want := &naive{weights: map[uint32]float64{}}
+		change(t, &ring, want)
+		if got := slices.Collect(ring.All()); !slices.Equal(got, want.keys) {
+			t.Fatalf("%v, want %v", got, want.keys)
 		}
-		if r.Len() != len(n.keys) || r.Total() != n.total() {
-			t.Fatalf("%d, sum %v; should be %d, sum %v", r.Len(), r.Total(), len(n.keys), n.total())
+		if ring.Len() != len(want.keys) || ring.Total() != want.total() {
+			t.Fatalf("%d, sum %v; want %d, sum %v", ring.Len(), ring.Total(), len(want.keys), want.total())
 		}
-		sum := rapid.Float64Range(0, n.total()).Draw(t, "sum")
-		c, left := r.Seek(sum, 1e-9)
-		at, want := n.seek(sum)
-		if math.Abs(left-want) > 1e-6 {
-			t.Fatalf("%v left, should be %v", left, want)
+		sum := rapid.Float64Range(0, want.total()).Draw(t, "sum")
+		cursor, left := ring.Seek(sum, 1e-9)
+		index, wantLeft := want.seek(sum)
+		if math.Abs(left-wantLeft) > 1e-6 {
+			t.Fatalf("%v left, want %v", left, wantLeft)
 		}
-		for i := range 2 * len(n.keys) {
-			key := n.keys[(at+i)%len(n.keys)]
-			if got, weight, ok := c.Next(); !ok || got != key || weight != n.weights[key] {
-				t.Fatalf("after %d: %d with %v, should be %d with %v", i, got, weight, key, n.weights[key])
+		for i := range 2 * len(want.keys) {
+			key := want.keys[(index+i)%len(want.keys)]
+			if got, weight, ok := cursor.Next(); !ok || got != key || weight != want.weights[key] {
+				t.Fatalf("after %d: %d with %v, want %d with %v", i, got, weight, key, want.weights[key])
 			}
 		}
 	})
 }
 
-// Seek's answer rests on sums that rounding may have made a little different from the running one.
+// Seek finds the right item although the sums of the blocks are rounded differently from the running sum.
 func TestSeekAmidRounding(t *testing.T) {
-	var r Ring[int]
-	const n = 1000
-	for i := range n {
-		r.Put(uint32(i), 0.1, i)
+	var ring Ring[int]
+	const items = 1000
+	for i := range items {
+		ring.Put(uint32(i), 0.1, i)
 	}
-	for i := range n {
-		c, left := r.Seek(r.Total()*float64(i)/n, r.Total()*1e-9)
-		if x, _, _ := c.Next(); x != i || left > 1e-6 {
-			t.Fatalf("share %d: item %d, %v left", i, x, left)
+	for i := range items {
+		cursor, left := ring.Seek(ring.Total()*float64(i)/items, ring.Total()*1e-9)
+		if got, _, _ := cursor.Next(); got != i || left > 1e-6 {
+			t.Fatalf("share %d: item %d, %v left", i, got, left)
 		}
 	}
 }
 
 func TestOddWeightsCountAsNone(t *testing.T) {
-	var r Ring[int]
-	r.Put(1, math.NaN(), 1)
-	r.Put(2, -3, 2)
-	r.Put(3, 2, 3)
-	if r.Total() != 2 {
-		t.Errorf("sum %v", r.Total())
+	var ring Ring[int]
+	ring.Put(1, math.NaN(), 1)
+	ring.Put(2, -3, 2)
+	ring.Put(3, 2, 3)
+	if ring.Total() != 2 {
+		t.Errorf("sum %v", ring.Total())
 	}
-	r.Reweigh(func(int) float64 { return math.NaN() })
-	if r.Total() != 0 {
-		t.Errorf("sum %v", r.Total())
+	ring.Reweigh(func(int) float64 { return math.NaN() })
+	if ring.Total() != 0 {
+		t.Errorf("sum %v", ring.Total())
 	}
 	var empty Ring[int]
-	c, _ := empty.Seek(0, 0)
-	if _, _, ok := c.Next(); ok {
+	cursor, _ := empty.Seek(0, 0)
+	if _, _, ok := cursor.Next(); ok {
 		t.Error("an empty ring has an item")
 	}
 	empty.Remove(4)
 }
 
 func BenchmarkPut(b *testing.B) {
-	var r Ring[int]
+	var ring Ring[int]
 	for i := range 10000 {
-		r.Put(uint32(i), 1, i)
+		ring.Put(uint32(i), 1, i)
 	}
 	for i := 0; b.Loop(); i++ {
-		k := uint32(i*7919) % 10000
-		r.Remove(k)
-		r.Put(k, 1, int(k))
+		key := uint32(i*7919) % 10000
+		ring.Remove(key)
+		ring.Put(key, 1, int(key))
 	}
 }
--- a/internal/structures/weightedsample/weightedsample.go
+++ b/internal/structures/weightedsample/weightedsample.go
@@ -1,31 +1,31 @@
-// Package weightedsample draws items at random by their weights, without a walk over all of them. Who calls it says what the weights
-// are, and brings the random numbers.
+// Package weightedsample draws items at random, each with a probability proportional to its weight, in logarithmic time. It generates
+// no random numbers: the caller passes them, so that draws can be replayed.
 package weightedsample
 
-// Sampler holds weights by slot. Slots are small numbers; those that were removed are used again. Setting a weight and drawing
-// take time that grows with the logarithm of the number of slots. The zero value is empty and ready for use. It is not safe for
-// concurrent use.
+// Sampler holds weights in slots, which are small integers. Slots that were removed are used again. Set and Draw take logarithmic
+// time. The zero value is empty and ready for use. It is not safe for concurrent use.
 //
-// It is a tree of sums. A node is always the sum of the two below it, computed anew on each change, so that no error of rounding
-// builds up, however often weights change.
+// It is a binary tree of sums. Each node is the sum of its two children and is recomputed at each change, so that rounding errors
+// do not accumulate.
 type Sampler struct {
-	// sums[1] is the root, sums[2i] and sums[2i+1] are below sums[i]; the leaves begin at leaves.
+	// sums[1] is the root; sums[2i] and sums[2i+1] are the children of sums[i]. The leaves are sums[leaves:].
 	sums   []float64
 	leaves int
 	free   []int // slots that were removed, the latest last
-	unused int   // slots from here on were never used
+	unused int   // the first slot that was never used
 }
 
-// minLeaves is how many slots the tree has room for at first.
+// minLeaves is the initial number of leaves.
 const minLeaves = 8
 
-// Add takes a weight in and returns its slot. Weights below 0, and those that are no number, count as 0.
+// Add adds a weight and returns its slot. A weight that is negative or NaN counts as 0.
 func (s *Sampler) Add(weight float64) (slot int) {
 	slot = s.takeSlot()
 	s.Set(slot, weight)
 	return slot
 }
 
+// takeSlot returns a slot that is not in use.
 func (s *Sampler) takeSlot() int {
 	if last := len(s.free) - 1; last >= 0 {
 		slot := s.free[last]
@@ -40,7 +40,7 @@
 	return slot
 }
 
-// grow doubles the room.
+// grow doubles the number of leaves.
 func (s *Sampler) grow() {
 	leaves := max(2*s.leaves, minLeaves)
 	sums := make([]float64, 2*leaves)
@@ -51,15 +51,15 @@
 	s.sums, s.leaves = sums, leaves
 }
 
-// Remove frees a slot, that Add may return again. A slot that is free must not be removed.
+// Remove frees a slot, which Add may then return again. The slot must be in use.
 func (s *Sampler) Remove(slot int) {
 	s.Set(slot, 0)
 	s.free = append(s.free, slot)
 }
 
-// Set changes the weight of a slot.
+// Set changes the weight of a slot. A weight that is negative or NaN counts as 0.
 func (s *Sampler) Set(slot int, weight float64) {
-	if !(weight > 0) { // or no number
+	if !(weight > 0) { // also true for NaN
 		weight = 0
 	}
 	i := s.leaves + slot
@@ -72,10 +72,10 @@
 	}
 }
 
-// Weight is that of a slot.
+// Weight returns the weight of a slot.
 func (s *Sampler) Weight(slot int) float64 { return s.sums[s.leaves+slot] }
 
-// Total is the sum of all weights.
+// Total returns the sum of all weights.
 func (s *Sampler) Total() float64 {
 	if s.leaves == 0 {
 		return 0
@@ -83,8 +83,8 @@
 	return s.sums[1]
 }
 
-// Draw returns the slot that a number from 0 to below 1 falls on, each by its weight; false where all weights are 0. A slot with
-// weight 0 is never drawn.
+// Draw returns a slot. x is a random number in [0, 1), and selects each slot with a probability proportional to its weight. A slot
+// with weight 0 is never drawn. ok is false if all weights are 0.
 func (s *Sampler) Draw(x float64) (slot int, ok bool) {
 	if !(s.Total() > 0) {
 		return 0, false
@@ -93,7 +93,7 @@
 	i := 1
 	for i < s.leaves {
 		i *= 2
-		// Rounding may leave x at or beyond all that is on the right: then what there is on the left has it.
+		// By rounding, x may reach the sum of the left child although the right one is 0; the draw then stays on the left.
 		if left, right := s.sums[i], s.sums[i+1]; x >= left && right > 0 {
 			x -= left
 			i++
@@ -104,23 +104,23 @@
 	return i - s.leaves, true
 }
 
-// DrawTwo returns two slots by two numbers, the second drawn from what is left without the first. second is -1 where there is but
-// one.
+// DrawTwo returns two different slots, drawn by two random numbers as Draw does; the second is drawn from the others. second is -1
+// if only one slot has a weight above 0. ok is false if none has.
 func (s *Sampler) DrawTwo(x, y float64) (first, second int, ok bool) {
 	if first, ok = s.Draw(x); !ok {
 		return 0, -1, false
 	}
 	weight := s.Weight(first)
 	s.Set(first, 0)
-	second, more := s.Draw(y)
+	second, found := s.Draw(y)
 	s.Set(first, weight)
-	if !more {
+	if !found {
 		second = -1
 	}
 	return first, second, true
 }
 
-// Pool is a Sampler that holds the items themselves. The zero value is empty and ready for use. It is not safe for concurrent
+// Pool is a Sampler together with the items in its slots. The zero value is empty and ready for use. It is not safe for concurrent
 // use.
 type Pool[T any] struct {
 	sampler Sampler
@@ -128,13 +128,13 @@
 	count   int
 }
 
-// Len is how many items there are.
+// Len returns the number of items.
 func (p *Pool[T]) Len() int { return p.count }
 
-// Total is the sum of all weights.
+// Total returns the sum of all weights.
 func (p *Pool[T]) Total() float64 { return p.sampler.Total() }
 
-// Add takes an item in and returns its slot.
+// Add adds an item and returns its slot.
 func (p *Pool[T]) Add(item T, weight float64) (slot int) {
 	slot = p.sampler.Add(weight)
 	if slot == len(p.items) {
@@ -148,7 +148,7 @@
 // Set changes the weight of the item in a slot.
 func (p *Pool[T]) Set(slot int, weight float64) { p.sampler.Set(slot, weight) }
 
-// Remove takes the item in a slot out. The slot must hold one.
+// Remove removes the item in a slot, which must be in use.
 func (p *Pool[T]) Remove(slot int) {
 	var none T
 	p.sampler.Remove(slot)
@@ -156,7 +156,7 @@
 	p.count--
 }
 
-// Draw returns the item that a number from 0 to below 1 falls on, each by its weight; false where all weights are 0.
+// Draw returns an item, selected by a random number as Sampler.Draw does. ok is false if all weights are 0.
 func (p *Pool[T]) Draw(x float64) (item T, ok bool) {
 	slot, ok := p.sampler.Draw(x)
 	if !ok {
--- a/internal/structures/weightedsample/weightedsample_test.go
+++ b/internal/structures/weightedsample/weightedsample_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// naive is the reference: weights by slot, and a walk over all.
+// naive is the reference implementation: weights by slot, summed one by one.
 type naive map[int]float64
 
 func (n naive) total() (sum float64) {
@@ -21,7 +21,7 @@
 	return sum
 }
 
-// set sets a weight as a Sampler counts it.
+// set sets a weight, or 0 for one that is negative or NaN.
 func (n naive) set(slot int, weight float64) {
 	n[slot] = 0
 	if weight > 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// change makes a random change of a sampler and of the reference.
+// change applies a random change to a sampler and to the reference.
 func change(t *rapid.T, s *Sampler, all naive) {
 	weights := rapid.SampledFrom([]float64{0, 0, 1, 0.3, 1e-12, 1e12, -1, math.NaN(), 7})
 	slots := slices.Sorted(maps.Keys(all))
@@ -37,8 +37,8 @@
 	case event == 0 || len(slots) == 0:
 		weight := weights.Draw(t, "weight")
 		slot := s.Add(weight)
-		if _, twice := all[slot]; twice {
-			t.Fatalf("slot %d is given twice", slot)
+		if _, inUse := all[slot]; inUse {
+			t.Fatalf("slot %d is in use already", slot)
 		}
 		all.set(slot, weight)
 	case event == 1:
@@ -52,8 +52,9 @@
 	}
 }
 
-// checkDraws draws by some numbers: what has no weight must not be drawn.
+// checkDraws draws by some numbers, and checks that no slot without a weight is drawn.
 func checkDraws(t *rapid.T, s *Sampler, all naive) {
+	t.Helper()
 	for _, x := range []float64{0, 0.5, math.Nextafter(1, 0), rapid.Float64Range(0, 0.999).Draw(t, "x")} {
 		slot, ok := s.Draw(x)
 		if ok != (all.total() > 0) || ok && !(all[slot] > 0) {
@@ -66,8 +67,8 @@
 	}
 }
 
-// Whatever is added, changed and removed, totals and weights are the reference's, slots are not given twice, and what
-// has no weight is never drawn.
+// After any changes, the total and the weights agree with the reference, no slot is used twice, and no slot without a weight is
+// drawn.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var s Sampler
@@ -88,7 +89,7 @@
 	})
 }
 
-// Draws follow the weights: chi-square at a fixed seed, for one and for the second of two.
+// The first and the second draw follow the weights, by a chi-square test with a fixed seed.
 func TestDistribution(t *testing.T) {
 	weights := []float64{1, 2, 0, 5, 0.5, 100, 3, 3, 0, 7, 1, 12}
 	var s Sampler
@@ -105,25 +106,25 @@
 		first[a]++
 		second[b]++
 	}
-	chi := func(seen []float64, want func(i int) float64) (sum float64, degrees int) {
-		for i, got := range seen {
-			w := n * want(i)
-			if w == 0 {
+	chiSquare := func(drawn []float64, probability func(i int) float64) (sum float64, degrees int) {
+		for i, got := range drawn {
+			want := n * probability(i)
+			if want == 0 {
 				if got > 0 {
 					t.Errorf("%d was drawn %v times", i, got)
 				}
 				continue
 			}
-			sum += (got - w) * (got - w) / w
+			sum += (got - want) * (got - want) / want
 			degrees++
 		}
 		return sum, degrees - 1
 	}
-	limit := 29.6 // 0.1% of chi-square at 10 degrees
-	if sum, degrees := chi(first, func(i int) float64 { return weights[i] / total }); sum > limit || degrees != 9 {
+	const limit = 29.6 // exceeded with a probability of 0.1% at 10 degrees of freedom
+	if sum, degrees := chiSquare(first, func(i int) float64 { return weights[i] / total }); sum > limit || degrees != 9 {
 		t.Errorf("the first: %.1f at %d degrees", sum, degrees)
 	}
-	if sum, _ := chi(second, func(i int) (p float64) {
+	if sum, _ := chiSquare(second, func(i int) (p float64) {
 		for j, x := range weights {
 			if j != i {
 				p += x / total * weights[i] / (total - x)
@@ -133,8 +134,8 @@
 	}); sum > limit {
 		t.Errorf("the second: %.1f", sum)
 	}
-	// And the test can fail.
-	if sum, _ := chi(first, func(i int) float64 { return 1 / float64(len(weights)-2) * min(weights[i], 1) }); sum < limit {
+	// The test fails for draws that do not follow the weights.
+	if sum, _ := chiSquare(first, func(i int) float64 { return 1 / float64(len(weights)-2) * min(weights[i], 1) }); sum < limit {
 		t.Errorf("even weights pass: %.1f", sum)
 	}
 }
