--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,17 +1,16 @@
-// Package simadapter runs the load balancer on the simulator's text protocol: it reads batches of events, hands each to the
-// Balancer of the instance that it concerns, and writes the actions that those take. It makes no decisions.
+// Package simadapter runs the load balancer on the simulator's text protocol. It reads batches of events, delivers each event to
+// the Balancer of its instance, and writes the actions of the Balancers. It makes no decisions and reads no clock.
 //
-// A batch is lines of words between begin_batch, which sets the clock, and over_to_you; its reply is lines of actions that end
-// with eor:
+// A batch begins with begin_batch, which sets the time, and ends with over_to_you. The reply is the actions, one a line, and eor:
 //
-//	begin_batch TS            ──▶ clock, in microseconds
-//	new_instance N SEED JSON  ──▶ a Balancer with those settings
-//	ledger B ROWS, item ...   ──▶ list number B, for the targets that follow
+//	begin_batch TS            ──▶ the time, in microseconds
+//	new_instance N SEED JSON  ──▶ makes instance N: a Balancer with these settings
+//	ledger B ROWS, item ...   ──▶ defines endpoint list B, to which later targets events refer
 //	targets, knock, ...       ──▶ events of instance N
-//	halt N                    ──▶ instance N is gone
-//	over_to_you               ──▶ reply: actions, eor
+//	halt N                    ──▶ removes instance N
+//	over_to_you               ──▶ the reply: actions, eor
 //
-// Times are in microseconds, a value that is absent is a dash. What is not known is noted once and passed over; what is malformed
-// ends the run with an error that names line and field. An instance whose Balancer panics is reported by a crash line and gets
-// no further events.
+// All times are in microseconds. A dash stands for an absent value. An unknown event or settings key is noted once and skipped. A
+// malformed line ends the run with an error that names the line and the field. If a Balancer panics, the reply has a crash line,
+// and the instance gets no further events.
 package simadapter
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -9,7 +9,8 @@
 	"quincegap/internal/config/settings"
 )
 
-// decode reads an event's fields and returns its delivery to a Balancer.
+// decode reads the fields of an event, and returns the function that delivers it to a Balancer. The result is valid only if f.err
+// is nil.
 func (s *server) decode(f *lineFields, in *instance) func(*balancer.Balancer) {
 	now := s.now
 	switch f.name {
@@ -36,8 +37,10 @@
 		return func(b *balancer.Balancer) { b.HandleTimer(now, token) }
 	case lineHealthCheck:
 		result := balancer.HealthCheckResult{
-			Endpoint: f.endpoint(), Status: f.status(), Elapsed: f.time("elapsed"),
-			Load: f.load(),
+			Endpoint: f.endpoint(),
+			Status:   f.status(),
+			Elapsed:  f.time("elapsed"),
+			Load:     f.load(),
 		}
 		return func(b *balancer.Balancer) { b.HandleHealthCheck(now, result) }
 	default: // linePeerMessage
@@ -47,11 +50,14 @@
 	}
 }
 
-// decodeRequest reads the fields of a knock, for an instance with so many classes. The order is the line's.
+// decodeRequest reads the fields of a request, in the order of the line. The class must be below the number of classes.
 func decodeRequest(f *lineFields, classes int) balancer.Request {
 	r := balancer.Request{
-		ID: f.requestID(), Class: int(f.number("type")),
-		Tenant: int(f.optional("userGroup")), Key: f.optionalText("affinity"), TimeLeft: f.time("left"),
+		ID:       f.requestID(),
+		Class:    int(f.number("type")),
+		Tenant:   int(f.optional("userGroup")),
+		Key:      f.optionalText("affinity"),
+		TimeLeft: f.time("left"),
 		WorkHint: settings.Microseconds(f.optional("workHint")),
 	}
 	attrs := f.optional("attrs")
@@ -66,15 +72,21 @@
 	return r
 }
 
-// decodeOutcome reads the fields of a closed_attempt. The order is the line's.
+// decodeOutcome reads the fields of an outcome, in the order of the line.
 func decodeOutcome(f *lineFields) balancer.Outcome {
 	return balancer.Outcome{
-		ID: f.requestID(), Endpoint: f.endpoint(), Final: f.flag("final"),
-		Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load(),
+		ID:       f.requestID(),
+		Endpoint: f.endpoint(),
+		Final:    f.flag("final"),
+		Elapsed:  f.time("elapsed"),
+		Status:   f.status(),
+		Attempt:  int(f.number("n")),
+		Load:     f.load(),
 	}
 }
 
-// endpointList reads the fields of a targets event and resolves its list number.
+// endpointList reads the fields of an update of the endpoints, and resolves the number of the list that it refers to. It reports
+// faults in f.err.
 func (s *server) endpointList(f *lineFields) balancer.EndpointList {
 	var list balancer.EndpointList
 	kind := f.number("kind")
@@ -98,7 +110,7 @@
 	return list
 }
 
-// readList handles a ledger and the item lines that follow it.
+// readList handles the definition of a list: its own line, and the item lines that follow.
 func (s *server) readList(f *lineFields) error {
 	number := f.number("buffer")
 	rows := f.number("rows")
@@ -111,7 +123,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	var entries []balancer.ListEntry // a fresh one: a Balancer may still hold the old
+	var entries []balancer.ListEntry // always a new slice, as a Balancer may keep the old one
 	for i := range rows {
 		item, err := s.readLine()
 		if errors.Is(err, io.EOF) || err == nil && item.name != lineListItem {
@@ -130,11 +142,15 @@
 	return nil
 }
 
-// decodeItem reads the fields of an item of a list. The order is the line's.
+// decodeItem reads the fields of a list item, in the order of the line.
 func decodeItem(f *lineFields) balancer.ListEntry {
 	return balancer.ListEntry{
-		Endpoint: f.endpoint(), Zone: int(f.number("area")),
-		MachineKind: int(f.number("kind")), Cell: int(f.number("stripe")), State: f.state(),
-		Weight: f.float("units"), StartedAt: settings.Microseconds(f.optional("cameUp")),
+		Endpoint:    f.endpoint(),
+		Zone:        int(f.number("area")),
+		MachineKind: int(f.number("kind")),
+		Cell:        int(f.number("stripe")),
+		State:       f.state(),
+		Weight:      f.float("units"),
+		StartedAt:   settings.Microseconds(f.optional("cameUp")),
 	}
 }
--- a/internal/simadapter/example_test.go
+++ b/internal/simadapter/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/simadapter"
 )
 
-// A batch sets the clock; what is not known is noted and passed over.
+// An unknown event is noted and skipped. A malformed line ends the run.
 func ExampleRun() {
 	input := strings.NewReader("begin_batch 1000000\nsurprise 1\nover_to_you\nwake 3 7\n")
 	err := simadapter.Run(input, os.Stdout, os.Stdout)
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -12,17 +12,17 @@
 	"quincegap/internal/config/settings"
 )
 
-// lineFields takes the values off a line one by one. The first that is missing or
-// cannot be read sets err; what is read after that is zero.
+// lineFields reads the values of a line one after another. The first value that is missing or malformed sets err, and further reads
+// return zero values. The parameter field of its methods is the name of the field in error messages.
 type lineFields struct {
-	server  *server
-	name    string // of the line
-	rest    []byte // what was not taken yet
-	hasMore bool   // the line has not ended
+	server  *server // for the line number in errors
+	name    string  // first word of the line
+	rest    []byte  // values that were not read yet
+	hasMore bool    // the line has not ended
 	err     error
 }
 
-// next splits off the next value; nil where the line has ended.
+// next returns the next value, or nil at the end of the line.
 func (f *lineFields) next() []byte {
 	if !f.hasMore {
 		return nil
@@ -33,17 +33,17 @@
 	return value
 }
 
-// fail keeps the first fault of a line.
-func (f *lineFields) fail(field, what string) {
+// fail sets err, unless it is set already.
+func (f *lineFields) fail(field, fault string) {
 	if f.err == nil {
-		f.err = f.server.malformed(f.name, field, what)
+		f.err = f.server.malformed(f.name, field, fault)
 	}
 }
 
-// isAbsent reports whether a value stands for none.
+// isAbsent reports whether a value is the dash that stands for an absent one.
 func isAbsent(value []byte) bool { return len(value) == 1 && value[0] == absent }
 
-// value takes a value that must be there.
+// value reads a required value.
 func (f *lineFields) value(field string) []byte {
 	value := f.next()
 	if f.err == nil && (len(value) == 0 || isAbsent(value)) {
@@ -52,7 +52,7 @@
 	return value
 }
 
-// optionalValue takes a value that may be absent, which gives nil; its field must be there.
+// optionalValue reads an optional value, and returns nil for a dash. A line that ends before the field is a fault.
 func (f *lineFields) optionalValue(field string) []byte {
 	value := f.next()
 	if len(value) == 0 {
@@ -65,35 +65,35 @@
 	return value
 }
 
-// number takes a whole number that must be there.
-func (f *lineFields) number(field string) int64 { return f.integer(field, f.value(field)) }
+// number reads a required integer.
+func (f *lineFields) number(field string) int64 { return f.parseInteger(field, f.value(field)) }
 
-// integer reads a whole number.
-func (f *lineFields) integer(field string, p []byte) int64 {
+// parseInteger parses an integer that was read.
+func (f *lineFields) parseInteger(field string, value []byte) int64 {
 	if f.err != nil {
 		return 0
 	}
-	n, err := strconv.ParseInt(string(p), 10, 64)
+	n, err := strconv.ParseInt(string(value), 10, 64)
 	if err != nil {
-		f.fail(field, fmt.Sprintf("%q is not a whole number", p))
+		f.fail(field, fmt.Sprintf("%q is not a whole number", value))
 		return 0
 	}
 	return n
 }
 
-// optional takes a whole number that may be absent, which counts as 0.
+// optional reads an optional integer, and returns 0 for a dash.
 func (f *lineFields) optional(field string) int64 {
 	value := f.optionalValue(field)
 	if value == nil {
 		return 0
 	}
-	return f.integer(field, value)
+	return f.parseInteger(field, value)
 }
 
-// optionalText takes a text that may be absent.
+// optionalText reads an optional word, and returns an empty string for a dash.
 func (f *lineFields) optionalText(field string) string { return string(f.optionalValue(field)) }
 
-// float takes a number that must be there.
+// float reads a required finite number.
 func (f *lineFields) float(field string) float64 {
 	value := f.value(field)
 	if f.err != nil {
@@ -107,13 +107,13 @@
 	return v
 }
 
-// time takes a time in microseconds.
+// time reads a required time in microseconds.
 func (f *lineFields) time(field string) time.Duration { return settings.Microseconds(f.number(field)) }
 
-// requestID takes the id of a request.
+// requestID reads the ID of a request.
 func (f *lineFields) requestID() balancer.RequestID { return balancer.RequestID(f.value("corr")) }
 
-// endpoint takes the id of an endpoint.
+// endpoint reads the ID of an endpoint.
 func (f *lineFields) endpoint() balancer.EndpointID {
 	n := f.number("endpoint")
 	if f.err == nil && (n < 0 || n > math.MaxUint32) {
@@ -122,7 +122,7 @@
 	return balancer.EndpointID(n)
 }
 
-// flag takes 0 or 1.
+// flag reads 0 or 1, and reports whether it is 1.
 func (f *lineFields) flag(field string) bool {
 	n := f.number(field)
 	if f.err == nil && n != 0 && n != 1 {
@@ -131,7 +131,7 @@
 	return n == 1
 }
 
-// status takes the outcome of an attempt or a health check.
+// status reads the status of an attempt or of a health check.
 func (f *lineFields) status() balancer.Status {
 	n := f.number("ending")
 	status, known := statuses[n]
@@ -142,7 +142,7 @@
 	return status
 }
 
-// state takes the state of an endpoint.
+// state reads the state of an endpoint.
 func (f *lineFields) state() balancer.EndpointState {
 	n := f.number("mode")
 	state, known := states[n]
@@ -153,7 +153,7 @@
 	return state
 }
 
-// load reads a load report; nil where there is none.
+// load reads an optional load report, and returns nil for a dash.
 func (f *lineFields) load() *balancer.Load {
 	value := f.optionalValue("pressure")
 	if value == nil || f.err != nil {
@@ -166,7 +166,7 @@
 	return report
 }
 
-// bytes takes data in base64; nil where there is none.
+// bytes reads optional data in base64, and returns nil for a dash.
 func (f *lineFields) bytes() []byte {
 	value := f.optionalValue("data")
 	if value == nil || f.err != nil {
--- a/internal/simadapter/golden_format_test.go
+++ b/internal/simadapter/golden_format_test.go
@@ -11,47 +11,53 @@
 	"quincegap/internal/golden"
 )
 
-// Every action of a Balancer has a line of its own form.
+// writeActions writes a line of each action of a Host for instance 3, in an order that the golden files have. One message goes to
+// peer 1 with data, and one to emptyPeer without.
+func writeActions(in *instance, peerData string, emptyPeer int, logText string) {
+	in.Send("t/a", 77, 1500*time.Microsecond)
+	in.Reject("t/a", 2*time.Second)
+	in.Fail("t/a")
+	in.Cancel("t/a", 2)
+	in.SetTimer(9, 4*time.Millisecond)
+	in.HealthCheck(77)
+	in.SendToPeer(1, []byte(peerData))
+	in.SendToPeer(emptyPeer, nil)
+	in.WatchEndpoints(true)
+	in.WatchEndpoints(false)
+	in.FetchEndpoints()
+	in.CloseIdleConnections(77)
+	in.Log(logText)
+}
+
+// Each action, and the crash of an instance, has the same line in every version.
 func TestActionLinesKeepTheirForm(t *testing.T) {
 	var out, notes bytes.Buffer
 	s := newServer(strings.NewReader(""), &out, &notes)
-	i := &instance{server: s, number: 3}
-	i.Send("t/a", 77, 1500*time.Microsecond)
-	i.Reject("t/a", 2*time.Second)
-	i.Fail("t/a")
-	i.Cancel("t/a", 2)
-	i.SetTimer(9, 4*time.Millisecond)
-	i.HealthCheck(77)
-	i.SendToPeer(1, []byte("hi 7"))
-	i.SendToPeer(1, nil)
-	i.WatchEndpoints(true)
-	i.WatchEndpoints(false)
-	i.FetchEndpoints()
-	i.CloseIdleConnections(77)
-	i.Log("a line of text")
-	i.balancer = &balancer.Balancer{}
-	i.guard(func(*balancer.Balancer) { panic("lost\ncount") })
+	in := &instance{server: s, number: 3}
+	writeActions(in, "hi 7", 1, "a line of text")
+	in.balancer = &balancer.Balancer{}
+	in.guard(func(*balancer.Balancer) { panic("lost\ncount") })
 	if err := s.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	golden.Text(t, "actions.txt", out.Bytes())
 }
 
-// The numbers of outcomes, states and kinds of lists mean what they always did.
+// The numbers of statuses, states and kinds of lists have the same meaning in every version.
 func TestCodesKeepTheirMeaning(t *testing.T) {
 	var text strings.Builder
 	s := newServer(strings.NewReader(""), &text, &text)
-	read := func(code int) *lineFields {
+	fieldsOf := func(code int) *lineFields {
 		return &lineFields{server: s, name: "line", rest: fmt.Append(nil, code), hasMore: true}
 	}
 	for code := range 400 {
-		if f := read(code); f.status() != balancer.StatusError || f.err == nil {
-			fmt.Fprintf(&text, "ending %d is status %d\n", code, read(code).status())
+		if f := fieldsOf(code); f.status() != balancer.StatusError || f.err == nil {
+			fmt.Fprintf(&text, "ending %d is status %d\n", code, fieldsOf(code).status())
 		}
 	}
 	for code := range 10 {
-		if f := read(code); f.state() >= 0 && f.err == nil {
-			fmt.Fprintf(&text, "mode %d is state %d\n", code, read(code).state())
+		if f := fieldsOf(code); f.state() >= 0 && f.err == nil {
+			fmt.Fprintf(&text, "mode %d is state %d\n", code, fieldsOf(code).state())
 		}
 	}
 	for code, kind := range listKinds {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,16 +10,15 @@
 	"quincegap/internal/balancer"
 )
 
-// instance is one sidecar's Balancer and its Host.
+// instance is a Balancer with its Host.
 type instance struct {
 	server   *server
-	number   int64
+	number   int64              // that the protocol calls sidecar
 	balancer *balancer.Balancer // nil after a panic
-	classes  int
+	classes  int                // number of classes in its settings
 }
 
-// guard delivers an event and reports a panic of the Balancer on the wire; the
-// instance it struck gets no further events.
+// guard delivers an event. If the Balancer panics, guard writes a crash line, and the instance gets no further events.
 func (i *instance) guard(deliver func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -38,9 +37,9 @@
 	}
 }
 
-// writeAction writes one action line: its name, the instance and the values; an empty id is left out.
+// writeAction writes the line of an action: its name, the number of the instance, the request ID unless it is empty, and the values.
 func (i *instance) writeAction(name, id string, values ...int64) {
-	line := append(i.server.actionBuffer[:0], name...) //nolint:gocritic // the buffer's space is used again, and kept below if it grew
+	line := append(i.server.actionBuffer[:0], name...) //nolint:gocritic // the buffer is reused, and stored again below in case it grew
 	line = append(line, separator)
 	line = strconv.AppendInt(line, i.number, 10)
 	if id != "" {
@@ -56,14 +55,14 @@
 	_, _ = i.server.out.Write(line) // see server.out
 }
 
-// The methods below are the balancer.Host: an action line each.
+// The methods below implement balancer.Host. Each writes one line of the reply.
 
 // Send sends the next attempt of a request to an endpoint.
 func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	i.writeAction(actionSend, string(id), int64(to), timeout.Microseconds())
 }
 
-// Reject answers a request that has not run.
+// Reject answers a request that no endpoint has run.
 func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	i.writeAction(actionReject, string(id), retryAfter.Microseconds())
 }
@@ -76,17 +75,17 @@
 	i.writeAction(actionCancel, string(id), int64(attempt))
 }
 
-// SetTimer has the Balancer called after a while.
+// SetTimer has the Balancer's HandleTimer called with the token after some time.
 func (i *instance) SetTimer(token uint64, after time.Duration) {
 	i.writeAction(actionSetTimer, "", int64(token), after.Microseconds())
 }
 
-// HealthCheck asks an endpoint how it is.
+// HealthCheck sends a health check to an endpoint.
 func (i *instance) HealthCheck(to balancer.EndpointID) {
 	i.writeAction(actionHealthCheck, "", int64(to))
 }
 
-// SendToPeer sends data, which may be empty, to another instance.
+// SendToPeer sends data to another instance. Empty data is a dash on the line.
 func (i *instance) SendToPeer(peer int, data []byte) {
 	text := string(absent)
 	if len(data) > 0 {
@@ -95,22 +94,22 @@
 	i.server.reply("%s %d %d %s", actionSendToPeer, i.number, peer, text)
 }
 
-// WatchEndpoints begins or ends the watch on discovery.
+// WatchEndpoints begins or ends the subscription to updates of the endpoint list.
 func (i *instance) WatchEndpoints(on bool) {
-	v := int64(0)
+	flag := int64(0)
 	if on {
-		v = 1
+		flag = 1
 	}
-	i.writeAction(actionWatchEndpoints, "", v)
+	i.writeAction(actionWatchEndpoints, "", flag)
 }
 
-// FetchEndpoints asks discovery for the complete list.
+// FetchEndpoints requests the complete endpoint list.
 func (i *instance) FetchEndpoints() { i.writeAction(actionFetchEndpoints, "") }
 
-// CloseIdleConnections closes idle connections to an endpoint.
+// CloseIdleConnections closes the idle connections to an endpoint.
 func (i *instance) CloseIdleConnections(to balancer.EndpointID) {
 	i.writeAction(actionCloseIdleConnections, "", int64(to))
 }
 
-// Log writes a line of the Balancer's.
+// Log writes a log line of the Balancer.
 func (i *instance) Log(text string) { i.server.reply("%s %d %s", actionLog, i.number, text) }
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -2,7 +2,7 @@
 
 import "quincegap/internal/balancer"
 
-// The lines of a batch, which are data.
+// The first words of the lines of a batch, and other parts of the protocol. They are data.
 const (
 	lineBeginBatch  = "begin_batch"
 	lineEndBatch    = "over_to_you"
@@ -19,12 +19,12 @@
 	lineHealthCheck = "echo"
 	linePeerMessage = "inbox"
 	lineEndOfReply  = "eor"
-	absent          = '-' // a value that is not there
+	absent          = '-' // in the place of an absent value
 	separator       = ' ' // of values
 	lineEnds        = "\r\n"
 )
 
-// The lines of a reply: actions of an instance, which are data.
+// The first words of the lines of a reply, one for each action of an instance. They are data.
 const (
 	actionSend                 = "dispatch"
 	actionReject               = "overload_reply"
@@ -40,17 +40,17 @@
 	actionCrash                = "crash"
 )
 
-// The bits of a request's attrs.
+// The bits of the field attrs of a request.
 const (
 	attrHasWorkHint = 1 << iota
 	attrRetry
 	attrWrite
 )
 
-// listKinds are the protocol's kinds of lists, by their numbers.
+// listKinds are the kinds of endpoint lists by their numbers in the protocol.
 var listKinds = []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}
 
-// statuses are the protocol's outcomes of attempts, by their numbers.
+// statuses are the statuses of attempts by their numbers in the protocol.
 var statuses = map[int64]balancer.Status{
 	100: balancer.StatusOK,
 	301: balancer.StatusError,
@@ -62,7 +62,7 @@
 	307: balancer.StatusNotSent,
 }
 
-// states are the protocol's states of endpoints, by their numbers.
+// states are the states of endpoints by their numbers in the protocol.
 var states = map[int64]balancer.EndpointState{
 	0: balancer.EndpointDraining,
 	1: balancer.EndpointRemoved,
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/server.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// listCount is how many numbered lists the protocol has.
+	// listCount is the number of endpoint lists that a batch can refer to.
 	listCount = 16
-	// bufferSize is that of input and output, in bytes. Lines may be longer.
+	// bufferSize is the size of the input and the output buffer, in bytes. Lines may be longer.
 	bufferSize = 1 << 16
 )
 
-// server hosts the instances of one process.
+// server hosts the instances of one simulation.
 type server struct {
 	in           *bufio.Reader
-	out          *bufio.Writer // an error sticks in it and shows at Flush
+	out          *bufio.Writer // keeps its first write error, which Flush returns
 	notes        io.Writer
-	line         int           // the number of the line that was read last, from 1
-	now          time.Duration // of the batch
+	line         int           // number of the line that was read last, from 1
+	now          time.Duration // time of the batch
 	instances    map[int64]*instance
 	lists        [listCount][]balancer.ListEntry
 	listDefined  [listCount]bool
-	noted        map[string]bool
-	lineBuffer   []byte // the line being read
-	actionBuffer []byte // the action being written
+	noted        map[string]bool // notes that were printed
+	lineBuffer   []byte          // the line being read
+	actionBuffer []byte          // the action being written
 }
 
-// Run serves the protocol until the input ends. It returns nil at a clean end
-// and an error that names line and field when the input is malformed.
+// Run serves the protocol until the end of the input. It writes replies to out, and notes for people to notes. It returns nil if the
+// input ends after a batch, and an error that names the line and the field if the input is malformed.
 func Run(in io.Reader, out, notes io.Writer) error {
 	s := newServer(in, out, notes)
 	for {
@@ -52,7 +52,7 @@
 	}
 }
 
-// newServer makes a server without instances.
+// newServer returns a server without instances.
 func newServer(in io.Reader, out, notes io.Writer) *server {
 	return &server{
 		in:        bufio.NewReaderSize(in, bufferSize),
@@ -63,7 +63,7 @@
 	}
 }
 
-// serveBatch reads one batch and writes its reply; false at the end of input.
+// serveBatch reads one batch and writes the reply to the output buffer. It returns false at the end of the input.
 func (s *server) serveBatch() (bool, error) {
 	f, err := s.readLine()
 	if errors.Is(err, io.EOF) {
@@ -97,12 +97,12 @@
 	}
 }
 
-// readLine reads a line and splits off its name. It returns io.EOF at the end of input.
+// readLine reads a line and its first word. The values are valid until the next call. It returns io.EOF at the end of the input.
 func (s *server) readLine() (*lineFields, error) {
 	s.lineBuffer = s.lineBuffer[:0]
 	for {
-		piece, err := s.in.ReadSlice('\n')
-		s.lineBuffer = append(s.lineBuffer, piece...)
+		part, err := s.in.ReadSlice('\n')
+		s.lineBuffer = append(s.lineBuffer, part...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
@@ -118,25 +118,25 @@
 	return f, nil
 }
 
-// malformed is the error that ends the run at the line that was read last.
+// malformed returns the error for a fault in the line that was read last.
 func (s *server) malformed(name, field, fault string) error {
 	return fmt.Errorf("line %d: %s: field %s: %s", s.line, name, field, fault)
 }
 
-// noteOnce prints a note the first time its text comes up.
+// noteOnce prints a note, unless it has printed the same text before.
 func (s *server) noteOnce(text string) {
 	if !s.noted[text] {
 		s.noted[text] = true
-		_, _ = fmt.Fprintln(s.notes, "balancer-sim: "+text) // notes are for people: without them the run goes on
+		_, _ = fmt.Fprintln(s.notes, "balancer-sim: "+text) // a note that cannot be written does not end the run
 	}
 }
 
 // reply writes a line of the reply.
 func (s *server) reply(format string, values ...any) {
-	_, _ = fmt.Fprintf(s.out, format+"\n", values...) // see server.out
+	_, _ = fmt.Fprintf(s.out, format+"\n", values...) // Flush returns the error: see server.out
 }
 
-// handleEvent handles one line of a batch.
+// handleEvent handles one event of a batch.
 func (s *server) handleEvent(f *lineFields) error {
 	switch f.name {
 	case lineList:
@@ -148,16 +148,16 @@
 		s.noteOnce("unknown event " + f.name + " passed over")
 		return nil
 	}
-	n := f.number("sidecar")
+	number := f.number("sidecar")
 	if f.err != nil {
 		return f.err
 	}
-	in := s.instances[n]
+	in := s.instances[number]
 	if in == nil {
-		return s.malformed(f.name, "sidecar", fmt.Sprintf("instance %d was never started", n))
+		return s.malformed(f.name, "sidecar", fmt.Sprintf("instance %d was never started", number))
 	}
 	if f.name == lineHalt {
-		delete(s.instances, n)
+		delete(s.instances, number)
 		return nil
 	}
 	deliver := s.decode(f, in)
@@ -168,9 +168,9 @@
 	return nil
 }
 
-// startInstance handles new_instance.
+// startInstance makes an instance, in the place of one with the same number.
 func (s *server) startInstance(f *lineFields) error {
-	n := f.number("sidecar")
+	number := f.number("sidecar")
 	seed := f.number("seed")
 	if f.err == nil && !f.hasMore {
 		f.fail("config", "missing")
@@ -182,14 +182,14 @@
 	if err != nil {
 		return s.malformed(f.name, "config", err.Error())
 	}
-	for _, k := range unknown {
-		s.noteOnce("unknown settings key " + k + " passed over")
+	for _, key := range unknown {
+		s.noteOnce("unknown settings key " + key + " passed over")
 	}
-	in := &instance{server: s, number: n, classes: len(config.Classes)}
+	in := &instance{server: s, number: number, classes: len(config.Classes)}
 	in.balancer, err = balancer.New(config.Settings, uint64(seed), in)
 	if err != nil {
 		return s.malformed(f.name, "config", err.Error())
 	}
-	s.instances[n] = in
+	s.instances[number] = in
 	return nil
 }
