--- a/internal/files/atomicfile/atomicfile.go
+++ b/internal/files/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces files so that each is complete at all times, the old one or the new one, whatever fails in
-// between. It does not make several files change at once: see Write.
+// Package atomicfile replaces files atomically: whatever fails, each file is complete, either the old one or the new one. It does
+// not replace several files in one step: see Write. Lock coordinates writers of one directory.
 package atomicfile
 
 import (
@@ -10,23 +10,23 @@
 	"path/filepath"
 )
 
-// File is a file's new content.
+// File is a file to write.
 type File struct {
 	Path    string
 	Content []byte
-	Mode    fs.FileMode // of a file that does not exist yet; one that does keeps its own
+	Mode    fs.FileMode // permissions of a new file; an existing file keeps its own
 }
 
-// replacement is a temporary file on its way to the name of the file that it replaces.
+// replacement is a temporary file that is to replace another.
 type replacement struct {
 	file   File
-	temp   string
-	target string
+	temp   string // path of the temporary file
+	target string // path that it is renamed to
 }
 
-// Write replaces files. All new ones are complete and synced before the first takes its place, so that a full disk, the
-// likeliest failure, leaves every old file. Should a rename fail all the same, the files before it stay replaced, and the
-// error says how many. A symlink stays, and the file that it names is replaced.
+// Write replaces files. All temporary files are complete and synced before the first one is renamed, so that a full disk, the most
+// likely failure, changes no file. If a rename fails nevertheless, the files before it are replaced, and the error says how many.
+// A path that is a symlink stays one, and the file that it refers to is replaced. Errors name the file.
 func Write(disk FS, files ...File) (err error) {
 	replacements, err := prepare(disk, files)
 	renamed := 0
@@ -34,7 +34,7 @@
 		renamed, err = rename(disk, replacements)
 	}
 	for _, r := range replacements[renamed:] {
-		_ = disk.Remove(r.temp) // the error that is returned matters more; the name says that the file is temporary
+		_ = disk.Remove(r.temp) // the error of the write is more important, and the suffix marks the file as temporary
 	}
 	if err != nil {
 		return err
@@ -42,26 +42,26 @@
 	return syncDirs(disk, replacements)
 }
 
-// prepare writes the temporary files. After an error it returns those that exist all the same, complete or not.
-func prepare(disk FS, files []File) (made []replacement, err error) {
+// prepare writes the temporary files. If it fails, it returns those that were created, complete or not, for removal.
+func prepare(disk FS, files []File) (prepared []replacement, err error) {
 	for _, f := range files {
 		target, mode, err := resolveTarget(f)
 		if err != nil {
-			return made, err
+			return prepared, err
 		}
-		t, err := disk.CreateTemp(filepath.Dir(target), "."+filepath.Base(target)+".*.tmp")
+		temp, err := disk.CreateTemp(filepath.Dir(target), "."+filepath.Base(target)+".*.tmp")
 		if err != nil {
-			return made, fmt.Errorf("%s: cannot be written: %w", f.Path, withoutPath(err))
+			return prepared, fmt.Errorf("%s: cannot be written: %w", f.Path, withoutPath(err))
 		}
-		made = append(made, replacement{file: f, temp: t.Name(), target: target})
-		if err := writeTemp(t, f.Content, mode); err != nil {
-			return made, fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, withoutPath(err))
+		prepared = append(prepared, replacement{file: f, temp: temp.Name(), target: target})
+		if err := writeTemp(temp, f.Content, mode); err != nil {
+			return prepared, fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, withoutPath(err))
 		}
 	}
-	return made, nil
+	return prepared, nil
 }
 
-// rename gives the temporary files the names of their targets, and returns how many have got them.
+// rename renames the temporary files to their targets, and returns how many it has renamed.
 func rename(disk FS, replacements []replacement) (renamed int, err error) {
 	for i, r := range replacements {
 		err := disk.Rename(r.temp, r.target)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// resolveTarget finds the file to replace, and the mode that its replacement is to have.
+// resolveTarget returns the path of the file to replace, with symlinks resolved, and the permissions of the new one.
 func resolveTarget(f File) (target string, mode fs.FileMode, err error) {
 	info, err := os.Stat(f.Path)
 	switch {
@@ -110,20 +110,20 @@
 	return target, info.Mode().Perm(), nil
 }
 
-// writeTemp fills a temporary file, makes it durable and closes it.
-func writeTemp(t TempFile, content []byte, mode fs.FileMode) error {
-	_, err := t.Write(content)
+// writeTemp writes the content of a temporary file, syncs it and closes it.
+func writeTemp(temp TempFile, content []byte, mode fs.FileMode) error {
+	_, err := temp.Write(content)
 	if err == nil {
-		err = t.Chmod(mode)
+		err = temp.Chmod(mode)
 	}
 	if err == nil {
-		err = t.Sync()
+		err = temp.Sync()
 	}
-	return errors.Join(err, t.Close())
+	return errors.Join(err, temp.Close())
 }
 
-// withoutPath strips the name of a file from an error of the os package: it may be a temporary one, which means nothing to
-// the reader.
+// withoutPath removes the path from an error of package os. It may be that of a temporary file, which would mislead the reader; the
+// callers name the target.
 func withoutPath(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/files/atomicfile/atomicfile_test.go
+++ b/internal/files/atomicfile/atomicfile_test.go
@@ -11,107 +11,110 @@
 	"testing"
 )
 
-// faulty is the real file system up to its Nth call, which fails; a write that fails has written half.
-type faulty struct {
+// faultyFS is the real file system with one call that fails. A write that fails has written half of its data.
+type faultyFS struct {
 	Disk
-	left int
-	err  error
-	what string // the call that failed
-	all  []string
+	callsLeft int // until the call that fails, with that one
+	err       error
+	calls     []string // so far
+	failed    string   // the call that failed
 }
 
-func (f *faulty) fail(what string) error {
-	f.all = append(f.all, what)
-	if f.left--; f.left == 0 {
-		f.what = what
+// fail counts a call, and returns the error of the one that has to fail.
+func (f *faultyFS) fail(call string) error {
+	f.calls = append(f.calls, call)
+	if f.callsLeft--; f.callsLeft == 0 {
+		f.failed = call
 		return f.err
 	}
 	return nil
 }
 
-func (f *faulty) CreateTemp(dir, pattern string) (TempFile, error) {
+func (f *faultyFS) CreateTemp(dir, pattern string) (TempFile, error) {
 	if err := f.fail("create"); err != nil {
 		return nil, &fs.PathError{Op: "open", Path: dir, Err: err}
 	}
-	t, err := f.Disk.CreateTemp(dir, pattern)
-	return &faultyTemp{t, f}, err
+	file, err := f.Disk.CreateTemp(dir, pattern)
+	return &faultyTempFile{file, f}, err
 }
 
-func (f *faulty) Rename(from, to string) error {
+func (f *faultyFS) Rename(from, to string) error {
 	if err := f.fail("rename"); err != nil {
 		return &os.LinkError{Op: "rename", Old: from, New: to, Err: err}
 	}
 	return f.Disk.Rename(from, to)
 }
 
-func (f *faulty) SyncDir(dir string) error {
+func (f *faultyFS) SyncDir(dir string) error {
 	if err := f.fail("sync dir"); err != nil {
 		return err
 	}
 	return f.Disk.SyncDir(dir)
 }
 
-type faultyTemp struct {
+// faultyTempFile is a temporary file of a faultyFS.
+type faultyTempFile struct {
 	TempFile
-	f *faulty
+	fs *faultyFS
 }
 
-func (f *faultyTemp) Write(b []byte) (int, error) {
-	if err := f.f.fail("write"); err != nil {
+func (f *faultyTempFile) Write(b []byte) (int, error) {
+	if err := f.fs.fail("write"); err != nil {
 		n, _ := f.TempFile.Write(b[:len(b)/2])
 		return n, &fs.PathError{Op: "write", Path: f.Name(), Err: err}
 	}
 	return f.TempFile.Write(b)
 }
 
-func (f *faultyTemp) Chmod(m fs.FileMode) error {
-	if err := f.f.fail("chmod"); err != nil {
+func (f *faultyTempFile) Chmod(mode fs.FileMode) error {
+	if err := f.fs.fail("chmod"); err != nil {
 		return err
 	}
-	return f.TempFile.Chmod(m)
+	return f.TempFile.Chmod(mode)
 }
 
-func (f *faultyTemp) Sync() error {
-	if err := f.f.fail("sync"); err != nil {
+func (f *faultyTempFile) Sync() error {
+	if err := f.fs.fail("sync"); err != nil {
 		return err
 	}
 	return f.TempFile.Sync()
 }
 
-func (f *faultyTemp) Close() error {
+func (f *faultyTempFile) Close() error {
 	err := f.TempFile.Close()
-	if fault := f.f.fail("close"); fault != nil {
-		return fault
+	if failure := f.fs.fail("close"); failure != nil {
+		return failure
 	}
 	return err
 }
 
-func read(t *testing.T, path string) string {
+// readFile returns the content of a file, or an empty string if there is none.
+func readFile(t *testing.T, path string) string {
 	t.Helper()
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		t.Fatal(err)
 	}
-	return string(text)
+	return string(content)
 }
 
-// At whatever call the disk fails, each file is complete, old or new; before the first rename all are old; no
-// temporary file is left; and the error names a file or its folder.
+// At whichever call the disk fails, each file is complete, old or new; before the first rename all are old; no temporary file
+// remains; and the error names a file or its directory.
 func TestAFullDiskLeavesWholeFiles(t *testing.T) {
-	for n := 1; ; n++ {
-		disk := &faulty{left: n, err: syscall.ENOSPC}
+	for call := 1; ; call++ {
+		disk := &faultyFS{callsLeft: call, err: syscall.ENOSPC}
 		if done := checkFailingWrite(t, disk); done {
-			if n < 15 {
-				t.Errorf("only %d calls can fail", n)
+			if call < 15 {
+				t.Errorf("only %d calls can fail", call)
 			}
 			return
 		}
 	}
 }
 
-// checkFailingWrite replaces two files and makes a third on a disk that fails at one call. It returns true where that call
-// was never reached.
-func checkFailingWrite(t *testing.T, disk *faulty) (done bool) {
+// checkFailingWrite replaces two files and creates a third on a disk where one call fails. It returns true if that call was never
+// made.
+func checkFailingWrite(t *testing.T, disk *faultyFS) (done bool) {
 	t.Helper()
 	const oldContent, newContent = "old", "a new text that is longer"
 	dir := t.TempDir()
@@ -126,32 +129,33 @@
 		files = append(files, File{path, []byte(newContent), 0o644})
 	}
 	err := Write(disk, files...)
-	if disk.left > 0 {
+	if disk.callsLeft > 0 {
 		if err != nil {
 			t.Errorf("nothing failed, and the error is %v", err)
 		}
 		return true
 	}
 	if !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), dir) || strings.Contains(err.Error(), ".tmp") {
-		t.Errorf("%s fails: %v", disk.what, err)
+		t.Errorf("%s fails: %v", disk.failed, err)
 	}
 	renamed := 0
 	for i, path := range paths {
-		got := read(t, path)
+		got := readFile(t, path)
 		isOld := got == oldContent || i == 2 && got == ""
 		if got == newContent {
 			renamed++
 		} else if !isOld {
-			t.Errorf("%s fails: %s holds %q", disk.what, path, got)
+			t.Errorf("%s fails: %s contains %q", disk.failed, path, got)
 		}
 	}
-	if disk.what != "rename" && disk.what != "sync dir" && renamed > 0 {
-		t.Errorf("%s fails: %d files are new", disk.what, renamed)
+	if disk.failed != "rename" && disk.failed != "sync dir" && renamed > 0 {
+		t.Errorf("%s fails: %d files are new", disk.failed, renamed)
 	}
-	checkNoTemporaryFile(t, dir, disk.what)
+	checkNoTemporaryFile(t, dir, disk.failed)
 	return false
 }
 
+// checkNoTemporaryFile checks that no temporary file remains after a call has failed.
 func checkNoTemporaryFile(t *testing.T, dir, failed string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -165,16 +169,17 @@
 	}
 }
 
-// Each file is synced before any takes its place, and the folder after all have: in any other order a loss of
-// power could leave an empty file where a whole one was.
+// Each file is synced before the first rename, and the directory after the last one. In any other order a loss of power could leave
+// an empty file in the place of a complete one.
 func TestOrderOfCalls(t *testing.T) {
 	dir := t.TempDir()
-	disk := &faulty{left: -1}
-	if err := Write(disk, File{filepath.Join(dir, "a"), []byte("a"), 0o600}, File{filepath.Join(dir, "b"), []byte("b"), 0o600}); err != nil {
+	disk := &faultyFS{callsLeft: -1}
+	first, second := filepath.Join(dir, "a"), filepath.Join(dir, "b")
+	if err := Write(disk, File{first, []byte("a"), 0o600}, File{second, []byte("b"), 0o600}); err != nil {
 		t.Fatal(err)
 	}
 	const want = "create write chmod sync close create write chmod sync close rename rename sync dir"
-	if got := strings.Join(disk.all, " "); got != want {
+	if got := strings.Join(disk.calls, " "); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
@@ -192,22 +197,26 @@
 		t.Fatal(err)
 	}
 	info, err := os.Lstat(link)
-	if err != nil || info.Mode()&fs.ModeSymlink == 0 || read(t, target) != "x" {
-		t.Error("the link was replaced, not its file")
+	if err != nil || info.Mode()&fs.ModeSymlink == 0 || readFile(t, target) != "x" {
+		t.Error("the symlink was replaced, not its target")
 	}
 	if info, _ := os.Stat(target); info.Mode().Perm() != 0o640 {
-		t.Errorf("rights became %v", info.Mode())
+		t.Errorf("the permissions became %v", info.Mode())
 	}
 	if err := Write(Disk{}, File{filepath.Join(dir, "new"), []byte("x"), 0o604}); err != nil {
 		t.Fatal(err)
 	}
 	if info, _ := os.Stat(filepath.Join(dir, "new")); info.Mode().Perm() != 0o604 {
-		t.Errorf("rights of a new file are %v", info.Mode())
+		t.Errorf("the permissions of a new file are %v", info.Mode())
 	}
 	if err := os.Remove(target); err != nil {
 		t.Fatal(err)
 	}
-	for path, want := range map[string]string{link: "a symlink to a file that is not there", dir: "no regular file", filepath.Join(dir, "none", "x"): "cannot be written"} {
+	for path, want := range map[string]string{
+		link:                            "a symlink to a file that is not there",
+		dir:                             "no regular file",
+		filepath.Join(dir, "none", "x"): "cannot be written",
+	} {
 		if err := Write(Disk{}, File{path, []byte("x"), 0o600}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", path, err)
 		}
@@ -216,7 +225,7 @@
 
 func TestReadOnlyFolder(t *testing.T) {
 	if os.Getuid() == 0 {
-		t.Skip("root may write everywhere")
+		t.Skip("root may write to any directory")
 	}
 	dir := t.TempDir()
 	if err := os.Chmod(dir, 0o500); err != nil {
@@ -232,29 +241,29 @@
 	}
 }
 
-// Writers that come together go one after another: none sees another's half.
+// Concurrent writers take turns, so that each sees the complete result of the one before.
 func TestLock(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n")
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		writers.Go(func() {
 			unlock, err := Lock(dir)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer unlock()
-			if err := Write(Disk{}, File{path, []byte(read(t, path) + "x"), 0o600}); err != nil {
+			if err := Write(Disk{}, File{path, []byte(readFile(t, path) + "x"), 0o600}); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	all.Wait()
-	if got := read(t, path); got != "xxxxxxxx" {
+	writers.Wait()
+	if got := readFile(t, path); got != "xxxxxxxx" {
 		t.Errorf("got %q", got)
 	}
 	if _, err := Lock(filepath.Join(dir, "none")); err == nil {
-		t.Error("a folder that is not there was locked")
+		t.Error("a directory that does not exist was locked")
 	}
 }
--- a/internal/files/atomicfile/disk.go
+++ b/internal/files/atomicfile/disk.go
@@ -7,12 +7,13 @@
 	"syscall"
 )
 
-// FS is the part of a file system that Write needs. Tests put one in its place that fails.
+// FS is the part of a file system that Write needs. Disk implements it; tests use one that fails.
 type FS interface {
-	// CreateTemp makes a new file whose name is the pattern with a random string for its star, as os.CreateTemp does.
+	// CreateTemp creates a file whose name is the pattern with its star replaced by a random string, as os.CreateTemp does.
 	CreateTemp(dir, pattern string) (TempFile, error)
-	// Rename gives a file another name, and replaces one that has it.
+	// Rename renames a file, and replaces an existing one.
 	Rename(from, to string) error
+	// Remove deletes a file.
 	Remove(path string) error
 	// SyncDir makes the renames in a directory durable.
 	SyncDir(dir string) error
@@ -30,24 +31,24 @@
 // Disk is the real file system.
 type Disk struct{}
 
-// CreateTemp is os.CreateTemp.
+// CreateTemp calls os.CreateTemp.
 func (Disk) CreateTemp(dir, pattern string) (TempFile, error) { return os.CreateTemp(dir, pattern) }
 
-// Rename is os.Rename.
+// Rename calls os.Rename.
 func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove is os.Remove.
+// Remove calls os.Remove.
 func (Disk) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir makes the changes of names in a directory durable, where its file system can.
+// SyncDir makes the renames, creations and removals in a directory durable, if its file system supports that.
 func (Disk) SyncDir(dir string) error {
-	d, err := os.Open(dir)
+	file, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = d.Close() }() // nothing was written to it
-	err = d.Sync()
-	if errors.Is(err, syscall.EINVAL) { // some file systems sync no directories
+	defer func() { _ = file.Close() }() // nothing was written to it
+	err = file.Sync()
+	if errors.Is(err, syscall.EINVAL) { // the file system cannot sync a directory
 		return nil
 	}
 	return err
--- a/internal/files/certfile/certfile.go
+++ b/internal/files/certfile/certfile.go
@@ -1,5 +1,6 @@
-// Package certfile reads certificates with their keys, and pools of authorities, from PEM files. A Reloader follows two files
-// that are replaced while the program runs.
+// Package certfile loads certificates with their private keys, and pools of certificate authorities, from PEM files. A Reloader
+// loads a certificate again when its files are replaced while the program runs. The package issues no certificates, and checks
+// neither names nor chains.
 package certfile
 
 import (
@@ -12,13 +13,13 @@
 	"quincegap/internal/files/secretfile"
 )
 
-// maxBytes bounds a file with certificates.
+// maxBytes is the largest size of a file with certificates.
 const maxBytes = 1 << 20
 
-// validityFormat is how an error names the minute from or until which a certificate is valid.
+// validityFormat formats the start and the end of a certificate's validity in error messages.
 const validityFormat = "2006-01-02 15:04 MST"
 
-// LoadValid is Load for a certificate that has to be valid at a given time.
+// LoadValid loads a certificate as Load does, and fails if it is not valid at the given time.
 func LoadValid(certPath, keyPath string, now time.Time) (*tls.Certificate, error) {
 	pair, err := Load(certPath, keyPath)
 	if err != nil {
@@ -33,8 +34,8 @@
 	return pair, nil
 }
 
-// Load reads a certificate and its key, and sets Leaf. It fails for files that cannot be read, a key file that others can
-// read (see secretfile), and a key that belongs to another certificate. It does not check when the certificate is valid.
+// Load loads a certificate and its key, and sets Leaf. It fails if a file cannot be read, if everybody may read the key file (see
+// package secretfile), or if the key does not match the certificate. It does not check the period of validity.
 func Load(certPath, keyPath string) (*tls.Certificate, error) {
 	key, err := secretfile.ReadPrivateKey(keyPath)
 	if err != nil {
@@ -48,7 +49,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s with %s: %w", certPath, keyPath, err)
 	}
-	if pair.Leaf == nil { // with GODEBUG=x509keypairleaf=0
+	if pair.Leaf == nil { // only with GODEBUG=x509keypairleaf=0
 		if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
 			return nil, fmt.Errorf("%s: %w", certPath, err)
 		}
@@ -56,7 +57,7 @@
 	return &pair, nil
 }
 
-// LoadPool reads the certificates of authorities from a file with one or more of them.
+// LoadPool loads the certificates of certificate authorities from a file that has one or more of them.
 func LoadPool(path string) (*x509.CertPool, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -69,6 +70,7 @@
 	return pool, nil
 }
 
+// readFile reads a regular file of at most maxBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/files/secretfile/secretfile.go
+++ b/internal/files/secretfile/secretfile.go
@@ -1,5 +1,5 @@
-// Package secretfile reads secrets from files, and says which files are not fit to hold one: files that everybody can read or
-// write, and files with content that is no secret. No error carries any of a file's content.
+// Package secretfile reads tokens and private keys from files. It rejects files that everybody may read or write, and files whose
+// content is not a secret of the expected form. No error contains any of the content of a file.
 package secretfile
 
 import (
@@ -12,20 +12,20 @@
 	"strings"
 )
 
-// MaxBytes bounds a file with a secret.
+// MaxBytes is the largest size of a file with a secret.
 const MaxBytes = 16 << 10
 
-// Rights that a file with a secret must not have. Those of the group are left to the operator: some programs run under a
-// group of their own for it.
+// Permissions that a file with a secret must not have. Those of the group are the operator's choice, as some programs run with a
+// group of their own for this purpose.
 const (
 	worldWritable fs.FileMode = 0o002
 	worldReadable fs.FileMode = 0o004
 )
 
-// pemTypeEncryptedKey is the type of a PEM block that needs a password (RFC 7468, section 11).
+// pemTypeEncryptedKey is the type of the PEM block of a key with a password (RFC 7468, section 11).
 const pemTypeEncryptedKey = "ENCRYPTED PRIVATE KEY"
 
-// ReadToken reads the token in a file, without the white space around it. A token is one word of printable ASCII characters.
+// ReadToken reads a token from a file, without the white space around it. A token is one word of printable ASCII characters.
 func ReadToken(path string) (string, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -41,10 +41,11 @@
 	return token, nil
 }
 
+// notPrintable reports whether a character is not a printable ASCII character other than a space.
 func notPrintable(r rune) bool { return r <= ' ' || r >= 0x7f }
 
-// ReadPrivateKey reads a file with a private key in PEM (RFC 7468, section 10). It returns the whole file, other blocks
-// included. A key under a password is an error: there is nobody to ask for it.
+// ReadPrivateKey reads a file with a private key in PEM (RFC 7468, section 10). It returns the complete content, other PEM blocks
+// included. A key with a password is an error, as the programs have nobody to ask for it.
 func ReadPrivateKey(path string) ([]byte, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -65,13 +66,13 @@
 	}
 }
 
-// readFile reads a file whose rights and size are fit for a secret.
+// readFile reads a file, if its permissions and its size are acceptable for a secret.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
 	}
-	defer func() { _ = f.Close() }() // only read: an error loses nothing
+	defer func() { _ = f.Close() }() // nothing was written to it
 	info, err := f.Stat()
 	if err != nil {
 		return nil, fmt.Errorf("the secret cannot be read: %w", err)
@@ -89,7 +90,7 @@
 	return content, nil
 }
 
-// checkMode guards against a secret that others can read, or put in place of the real one.
+// checkMode returns an error if everybody may read the secret, or may replace it.
 func checkMode(info fs.FileInfo) error {
 	mode := info.Mode()
 	switch {
--- a/internal/files/secretfile/secretfile_test.go
+++ b/internal/files/secretfile/secretfile_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// secretMark stands in each file that is read, and must stand in no error.
+// secretMark is part of the content of each file, and must not be part of any error.
 const secretMark = "s3cret"
 
+// writeFile writes a file with the given permissions, whatever the umask is.
 func writeFile(t *testing.T, path, content string, mode os.FileMode) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -21,7 +22,7 @@
 	}
 }
 
-// checkError compares an error with the text that it has to contain; none is expected where that is empty.
+// checkError checks that an error contains a text and no secret. It expects no error if the text is empty.
 func checkError(t *testing.T, err error, want string) {
 	t.Helper()
 	if want == "" {
@@ -75,6 +76,7 @@
 	}
 }
 
+// pemBlock returns a PEM block whose content is the secret.
 func pemBlock(blockType string) string {
 	return string(pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: []byte(secretMark)}))
 }
