--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -25,26 +25,27 @@
 	events        *eventRecorder // nil on sidecars
 }
 
-// New makes an Agent and registers its methods with the hub, which may serve already. Run has it work.
+// New returns an Agent, and registers its methods with the hub, which may serve already. The agent answers peers from then on; it sends
+// nothing by itself before Run.
 func New(config Config) *Agent {
 	env := newEnvironment(config)
-	a := &Agent{environment: env}
+	agent := &Agent{environment: env}
 	if config.Role == membership.RoleCore {
-		a.events = newEventRecorder(config.Hub.Self().Incarnation)
+		agent.events = newEventRecorder(config.Hub.Self().Incarnation)
 	}
-	a.members = newMemberTracker(env)
-	a.directory = newEndpointDirectory(env, a.members, a.events)
-	a.publisher = newRecordPublisher(env, a.members, a.directory)
-	a.configuration = newConfigurationUpdater(env, a.members, a.directory, a.events)
-	a.members.versions = a.configuration
-	a.members.register()
-	a.directory.register()
-	a.configuration.register()
-	config.Hub.OnLinkLost(a.handleLinkLost)
-	return a
+	agent.members = newMemberTracker(env)
+	agent.directory = newEndpointDirectory(env, agent.members, agent.events)
+	agent.publisher = newRecordPublisher(env, agent.members, agent.directory)
+	agent.configuration = newConfigurationUpdater(env, agent.members, agent.directory, agent.events)
+	agent.members.versions = agent.configuration
+	agent.members.register()
+	agent.directory.register()
+	agent.configuration.register()
+	config.Hub.OnLinkLost(agent.handleLinkLost)
+	return agent
 }
 
-// Run sends what is due until ctx ends, and returns when no configuration is being applied any more.
+// Run sends what is due until ctx ends. It returns once the last configuration that was fetched is no longer being applied.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.configuration.stop()
 	tick := time.NewTicker(tickInterval)
@@ -72,13 +73,13 @@
 
 // dueMessages are those that are to be sent now.
 type dueMessages struct {
-	peers         []string // that get the shuffle
+	peers         []string // addresses to send the shuffle to
 	shuffle       *membership.Shuffle
 	records       []discovery.Announcement
 	subscriptions []discovery.SubscribeRequest
 }
 
-// takeDue advances all that depends on the time.
+// takeDue advances the parts of the agent to the present time, and returns what they have to send.
 func (a *Agent) takeDue() dueMessages {
 	now := a.now()
 	a.mu.Lock()
@@ -95,7 +96,7 @@
 	return due
 }
 
-// handleLinkLost takes note that a link to an address has ended.
+// handleLinkLost informs the parts of the agent that the link to an address has ended: the process there may have ended too.
 func (a *Agent) handleLinkLost(address, _ string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,13 +109,14 @@
 // SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
 func (a *Agent) SetSeeds(addresses []string) { a.members.setSeeds(addresses) }
 
-// MemberAt is the member at an IP address: a sidecar before others, of several the newest; false if none is known there.
+// MemberAt returns the member at an IP address: a sidecar before a core process, and of several the one that arrived last. It reports
+// false if none is known there.
 func (a *Agent) MemberAt(ip string) (membership.Member, bool) { return a.members.at(ip) }
 
-// Members are the processes that run, as far as this one knows, itself among them.
+// Members returns the processes that run, as far as this one knows, itself included, ordered by address.
 func (a *Agent) Members() []membership.Member { return a.members.all() }
 
-// CoreAddresses are the control addresses of the core processes among the members. All machines have the same ports.
+// CoreAddresses returns the control addresses of the core processes among the members. All machines have the same ports.
 func (a *Agent) CoreAddresses() []string {
 	_, port, err := net.SplitHostPort(a.settings.ControlAddress)
 	if err != nil {
@@ -129,46 +131,55 @@
 	return addresses
 }
 
-// ApplyCommitted takes a configuration that a majority of the voters is known to have on disk, has it applied in this process, and
-// announces the version to others. A configuration is applied in no other way. One that is not newer than the applied one changes
-// nothing. One that can't be parsed, or whose text names another version, is logged and not applied.
+// ApplyCommitted applies a committed configuration in this process, and announces its version to peers. The caller guarantees that a
+// majority of the voters has the configuration on disk; there is no other way to apply one. A version that is not above the applied one
+// changes nothing. A text that can't be parsed, or that names another version, is logged and not applied.
 func (a *Agent) ApplyCommitted(version uint64, text []byte) { a.configuration.apply(version, text) }
 
-// Configuration is the version and the text of the configuration that is applied here; version 0 for none.
+// Configuration returns the version and the text of the configuration that is applied in this process; version 0 if there is none.
 func (a *Agent) Configuration() (version uint64, text []byte) { return a.configuration.applied() }
 
-// Publish publishes the endpoint beside this process as it is now. It only notes the record for Run, and may be called with locks held
-// that OnEndpointLeaving or OnEndpointsChanged takes: this process may own the record's service, and would call these.
+// Publish publishes the endpoint beside this process as it is now. It only queues the record, which Run sends. It may therefore be
+// called with locks held that OnEndpointLeaving or OnEndpointsChanged takes: where this process is a registry owner of the service, the
+// record leads to these callbacks.
 func (a *Agent) Publish(e discovery.Endpoint) { a.publisher.set(e) }
 
-// PublishEnd publishes that an endpoint that was beside this process has ended, as Crashed or Deregistered. Like Publish it only notes that.
+// PublishEnd publishes that an endpoint that was beside this process has ended, as Crashed or Deregistered. Like Publish it only queues
+// the record.
 func (a *Agent) PublishEnd(id string, s discovery.State) { a.publisher.end(id, s) }
 
-// AwaitConfirmed waits until a registry owner on another machine knows an endpoint as it was last published, for 250 ms at most. An
-// endpoint's call that is acknowledged after that outlives this process.
+// AwaitConfirmed waits until a registry owner on another machine has acknowledged an endpoint as it was last published, for 250 ms at
+// most. What the endpoint reported is not lost if this process ends after that.
 func (a *Agent) AwaitConfirmed(ctx context.Context, id string) { a.publisher.awaitConfirmed(ctx, id) }
 
-// PublishOnBehalf publishes a record that this process received in place of the endpoint's own sidecar, which could not be reached. It
-// reports whether a registry owner in every zone has acknowledged it, so that all callers learn of it: also in zones that had
-// members lately, which may be partitioned. This process alone is not enough. It returns when ctx ends at the latest.
+// PublishOnBehalf publishes a record that this process received because the endpoint's own sidecar could not be reached. It reports
+// whether another process has acknowledged it, and a registry owner in every zone, so that all callers are notified. Zones that had
+// members within the last two minutes count: they may only be partitioned from this process. It returns when ctx ends at the latest.
 func (a *Agent) PublishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
 	return a.publisher.publishOnBehalf(ctx, e)
 }
 
-// ApplyRecord takes a record of an endpoint into the registry, as if a sidecar had published it to this process. It is for tests of
-// programs.
+// ApplyRecord applies a record of an endpoint to this process's registry, as if a sidecar had published it to this process. It is for
+// tests of the programs.
 func (a *Agent) ApplyRecord(e discovery.Endpoint) { a.directory.applyAsOwner(e) }
 
-// Refresh asks the registry owners of a service for all that they hold of it. It does not wait for the answers.
+// Refresh requests the complete endpoint list of a service from its registry owners. It does not wait for the answers.
 func (a *Agent) Refresh(service string) { a.directory.refresh(service) }
 
-// EventsHandler serves the feed of events to tools (package eventfeed). It is for core processes.
+// EventsHandler returns the handler that serves the feed of events to tools (package eventfeed). It is for core processes only: a
+// sidecar records no events.
 func (a *Agent) EventsHandler() http.Handler { return eventfeed.Handler(a.events) }
 
-// KeepaliveHandler serves the calls of endpoints over HTTP: POST /endpoints/{id}/keepalive and POST /endpoints/{id}/deregister. local is
-// the endpoint beside this process, nil where there is none; keepalives that other processes forward are delivered to it too.
+// KeepaliveHandler returns the handler of endpoints' calls over HTTP: POST /endpoints/{id}/keepalive and POST /endpoints/{id}/deregister.
+// local is the endpoint beside this process, nil if there is none; keepalives that other processes forward are delivered to it too.
 func (a *Agent) KeepaliveHandler(local LocalEndpoint) http.Handler {
-	k := &keepaliveServer{environment: a.environment, members: a.members, directory: a.directory, publisher: a.publisher, local: local}
+	k := &keepaliveServer{
+		environment: a.environment,
+		members:     a.members,
+		directory:   a.directory,
+		publisher:   a.publisher,
+		local:       local,
+	}
 	if local != nil {
 		transport.Handle(a.hub, methodKeepalive, k.handleForwarded)
 	}
--- a/internal/mesh/agent/allocator.go
+++ b/internal/mesh/agent/allocator.go
@@ -9,13 +9,14 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// roleAllocator is the name, on the wire and in State, of the role that grants tokens of tenants' limits.
+// roleAllocator is the name, on the wire and in State, of the singleton role that grants tokens of tenants' rate limits.
 const roleAllocator = "allocator"
 
-// initialStartGrace is the time after the system's first start within which no earlier allocator can have granted anything.
+// initialStartGrace is how long after the first start of the whole system a new allocator may assume that no earlier one has granted
+// tokens.
 const initialStartGrace = 6 * time.Second
 
-// startAllocatorLocked begins the role.
+// startAllocatorLocked makes this process the allocator. Its lease has just been granted.
 func (s *SingletonRoles) startAllocatorLocked(now time.Duration) {
 	token, _ := s.allocatorLease.Holds(now)
 	s.agent.events.recordRoleAcquired(s.agent.address(), fmt.Sprintf("%s, under number %d", roleAllocator, token))
@@ -24,7 +25,7 @@
 	s.updateSidecarsLocked(now, s.agent.Members())
 }
 
-// stopAllocatorLocked ends the role, if this process has it.
+// stopAllocatorLocked ends the role of this process, if it is the allocator.
 func (s *SingletonRoles) stopAllocatorLocked() {
 	if s.allocator == nil {
 		return
@@ -33,9 +34,11 @@
 	s.agent.events.recordRoleLost(s.agent.address(), roleAllocator)
 }
 
-// handleAllocation answers a sidecar's request for tokens. A process that is not the allocator, or whose fencing token is below one that the
-// sidecar knows of, grants nothing and names the allocator, if it knows it.
-func (s *SingletonRoles) handleAllocation(_ context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+// handleAllocation answers a sidecar's request for tokens. A process that is not the allocator, or whose fencing token is below the
+// highest one that the sidecar has seen, grants nothing and names the allocator, if it is known.
+func (s *SingletonRoles) handleAllocation(
+	_ context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest,
+) *ratelimit.AllocationReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.agent.now()
--- a/internal/mesh/agent/configuration.go
+++ b/internal/mesh/agent/configuration.go
@@ -17,45 +17,47 @@
 )
 
 const (
-	noticePeers  = 4 // others that hear of a new version at once; the rest hear from them, and by shuffles
-	fetchTimeout = 300 * time.Millisecond
+	noticePeers  = 4                      // members, drawn at random, that are notified of a new version at once; gossip reaches the rest
+	fetchTimeout = 300 * time.Millisecond // until a version whose text has not come may be fetched again
 
-	// versionOnly is named as the held version by a process that asks for a peer's version without its text: no text is newer.
+	// versionOnly stands for the requester's version in a request for a peer's version without its text: no text is newer than that.
 	versionOnly = math.MaxUint64
 )
 
-// configurationUpdater holds the committed configuration that is applied in this process. It learns of newer versions from peers, fetches
-// them, applies them one after the other, and announces them.
+// configurationUpdater holds the committed configuration that is applied in this process. It discovers newer versions at peers, fetches
+// them, applies them one after the other, and announces them. Invariant: the applied version only rises.
 type configurationUpdater struct {
 	*environment
 	members   *memberTracker
 	directory *endpointDirectory
 	events    *eventRecorder // may be nil
 
-	applyMu      sync.Mutex // held while a configuration is applied
-	tenantLimits atomic.Pointer[map[string]ratelimit.Limit]
-	applying     sync.WaitGroup // fetched configurations
+	applyMu      sync.Mutex                                 // held while a configuration is being applied
+	tenantLimits atomic.Pointer[map[string]ratelimit.Limit] // by the tenant's name; nil before a configuration is applied
+	applying     sync.WaitGroup                             // goroutines of applyFetched
 
 	// Guarded by environment.mu.
-	current       configurationText
-	poll          versionPoll // while no configuration is held
-	fetching      uint64      // version that is being fetched
-	fetchDeadline time.Duration
-	stopped       bool // fetched configurations are not applied any more
+	current       configurationText // the applied one
+	poll          versionPoll       // used while none is applied
+	fetching      uint64            // version that is being fetched
+	fetchDeadline time.Duration     // of that fetch
+	stopped       bool              // fetched configurations are not applied any more
 }
 
-// newConfigurationUpdater makes an updater that holds no configuration.
-func newConfigurationUpdater(env *environment, members *memberTracker, directory *endpointDirectory, recorder *eventRecorder) *configurationUpdater {
+// newConfigurationUpdater returns an updater without a configuration.
+func newConfigurationUpdater(
+	env *environment, members *memberTracker, directory *endpointDirectory, recorder *eventRecorder,
+) *configurationUpdater {
 	return &configurationUpdater{environment: env, members: members, directory: directory, events: recorder}
 }
 
-// register registers the methods by which peers announce versions and ask for the configuration.
+// register registers the methods by which peers announce versions and request the configuration.
 func (c *configurationUpdater) register() {
 	transport.Handle(c.hub, methodVersionNotice, c.handleVersionNotice)
 	transport.Handle(c.hub, methodConfiguration, c.handleRequest)
 }
 
-// stop waits until no fetched configuration is being applied, and has none applied from then on.
+// stop ends the applying of fetched configurations: it waits for the one that is being applied, and none is applied after that.
 func (c *configurationUpdater) stop() {
 	c.mu.Lock()
 	c.stopped = true
@@ -63,15 +65,15 @@
 	c.applying.Wait()
 }
 
-// apply applies a committed configuration (Agent.ApplyCommitted). It returns when OnConfiguration has.
+// apply applies a committed configuration (Agent.ApplyCommitted). It calls OnConfiguration, and returns after that has returned.
 func (c *configurationUpdater) apply(version uint64, text []byte) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
-	if held, _ := c.applied(); version <= held {
+	if present, _ := c.applied(); version <= present {
 		return
 	}
 	conf, err := parseVersion(version, text)
-	if err != nil { // a later version of this program may have committed it, that allows more
+	if err != nil { // it may have been committed by a newer release of the program, which accepts more
 		c.log.WithField("version", version).WithError(err).Error("agent: a committed configuration can't be read")
 		return
 	}
@@ -86,7 +88,7 @@
 	c.wake()
 }
 
-// parseVersion parses a text that was sent as a version.
+// parseVersion parses the text of a version. The error is trace.BadParameter if the text names another version.
 func parseVersion(version uint64, text []byte) (*configuration.Config, error) {
 	conf, err := configuration.Parse(text)
 	if err != nil {
@@ -98,7 +100,7 @@
 	return conf, nil
 }
 
-// store keeps a configuration for peers that ask for it, and returns those that are to be notified of it.
+// store makes a configuration the applied one, which peers can request, and returns the addresses of the peers to notify of it.
 func (c *configurationUpdater) store(conf *configuration.Config, text []byte) (notify []string) {
 	services := make([]string, len(conf.Services))
 	for i, s := range conf.Services {
@@ -112,8 +114,8 @@
 	return c.peersToNotifyLocked()
 }
 
-// peersToNotifyLocked are those that this process notifies of a new version: all other core processes, if it is one, and a few other
-// members at random.
+// peersToNotifyLocked returns the addresses that this process notifies of a new version: all other core processes, if it is one itself,
+// and noticePeers other members, drawn at random.
 func (c *configurationUpdater) peersToNotifyLocked() []string {
 	self := c.address()
 	var core, rest []string
@@ -129,7 +131,7 @@
 	return append(core, c.sampleLocked(rest, noticePeers)...)
 }
 
-// applied is the version and the text of the applied configuration; version 0 for none.
+// applied returns the version and the text of the applied configuration; version 0 if there is none.
 func (c *configurationUpdater) applied() (version uint64, text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,45 +141,45 @@
 // versionLocked implements versionExchange.
 func (c *configurationUpdater) versionLocked() uint64 { return c.current.Version }
 
-// learnVersion implements versionExchange: a newer version is fetched from the peer that holds it. A process that holds none polls other
-// members first.
+// learnVersion implements versionExchange: a version above the applied one is fetched from the peer that has it. A process without a
+// configuration polls other members first.
 func (c *configurationUpdater) learnVersion(peer string, version uint64) {
-	var ask []string
+	var peersToPoll []string
 	c.mu.Lock()
-	held := c.current.Version
-	if held == 0 && version > 0 {
-		ask = c.poll.observe(c.now(), peer, version, c.pollCandidatesLocked)
+	present := c.current.Version
+	if present == 0 && version > 0 {
+		peersToPoll = c.poll.observe(c.now(), peer, version, c.pollCandidatesLocked)
 	}
 	c.mu.Unlock()
 	switch {
-	case held >= version:
-	case held > 0:
+	case present >= version:
+	case present > 0:
 		c.fetch(peer, version)
 	default:
-		c.pollVersions(ask)
+		c.pollVersions(peersToPoll)
 		c.finishPoll()
 	}
 }
 
-// pollCandidatesLocked are the other members in random order.
+// pollCandidatesLocked returns the addresses of the other members in random order.
 func (c *configurationUpdater) pollCandidatesLocked() []string {
 	others := c.members.othersLocked()
 	return c.sampleLocked(others, len(others))
 }
 
-// pollVersions asks peers which version they hold.
+// pollVersions requests the applied versions of peers.
 func (c *configurationUpdater) pollVersions(peers []string) {
 	for _, peer := range peers {
 		c.send(peer, methodConfiguration, &configurationText{Version: versionOnly}, func(body []byte) {
-			var held configurationText
-			if len(body) == 0 || codec.Unmarshal(body, &held) == nil {
-				c.recordPollAnswer(peer, held.Version)
+			var answer configurationText
+			if len(body) == 0 || codec.Unmarshal(body, &answer) == nil {
+				c.recordPollAnswer(peer, answer.Version)
 			}
 		})
 	}
 }
 
-// recordPollAnswer takes the version that a polled peer holds.
+// recordPollAnswer records the applied version of a peer that was polled.
 func (c *configurationUpdater) recordPollAnswer(peer string, version uint64) {
 	c.mu.Lock()
 	c.poll.record(peer, version)
@@ -185,7 +187,7 @@
 	c.finishPoll()
 }
 
-// finishPoll fetches the newest version that the version poll has found, once it is over.
+// finishPoll fetches the newest version that the version poll has found, if the poll is complete.
 func (c *configurationUpdater) finishPoll() {
 	c.mu.Lock()
 	peer, version, ok := c.poll.finish(c.now())
@@ -195,23 +197,23 @@
 	}
 }
 
-// fetch fetches a version from a peer that holds it, unless it is held or being fetched already. It is applied on a goroutine of its
-// own, since that may take long.
+// fetch requests a version from a peer that has it, unless it is applied or being fetched already. The answer is applied on a goroutine
+// of its own, as OnConfiguration may take long and the link's reader must not wait.
 func (c *configurationUpdater) fetch(peer string, version uint64) {
-	held, ok := c.beginFetch(version)
+	present, ok := c.beginFetch(version)
 	if !ok {
 		return
 	}
-	c.send(peer, methodConfiguration, &configurationText{Version: held}, func(body []byte) {
-		var got configurationText
-		if len(body) > 0 && codec.Unmarshal(body, &got) == nil && got.Version > 0 && len(got.Text) > 0 {
-			c.applyFetched(&got)
+	c.send(peer, methodConfiguration, &configurationText{Version: present}, func(body []byte) {
+		var fetched configurationText
+		if len(body) > 0 && codec.Unmarshal(body, &fetched) == nil && fetched.Version > 0 && len(fetched.Text) > 0 {
+			c.applyFetched(&fetched)
 		}
 	})
 }
 
-// beginFetch notes that a version is being fetched, and returns the one held; false if there is nothing to fetch.
-func (c *configurationUpdater) beginFetch(version uint64) (held uint64, ok bool) {
+// beginFetch marks a version as being fetched, and returns the applied one. It reports false if there is nothing to fetch.
+func (c *configurationUpdater) beginFetch(version uint64) (present uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -233,17 +235,17 @@
 	}
 }
 
-// handleVersionNotice learns of the version that a peer announces.
+// handleVersionNotice handles the version that a peer announces.
 func (c *configurationUpdater) handleVersionNotice(_ context.Context, from *transport.Hello, n *versionNotice) *acknowledgement {
 	c.learnVersion(from.Address, n.Version)
 	return &acknowledgement{Accepted: true}
 }
 
-// handleRequest answers a peer with the configuration, if the peer holds an older one, else with the version alone.
-func (c *configurationUpdater) handleRequest(_ context.Context, _ *transport.Hello, held *configurationText) *configurationText {
+// handleRequest answers a peer with the applied configuration, or with its version alone if that is not above the peer's.
+func (c *configurationUpdater) handleRequest(_ context.Context, _ *transport.Hello, request *configurationText) *configurationText {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current.Version <= held.Version {
+	if c.current.Version <= request.Version {
 		return &configurationText{Version: c.current.Version}
 	}
 	return &configurationText{Version: c.current.Version, Text: c.current.Text}
--- a/internal/mesh/agent/configuration_test.go
+++ b/internal/mesh/agent/configuration_test.go
@@ -13,17 +13,17 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// configurationOf is the text of a configuration without routes.
+// configurationOf returns the text of a configuration without routes.
 func configurationOf(version uint64) []byte {
 	return fmt.Appendf(nil, `{"configVersion":"r%d","routeTable":[]}`, version)
 }
 
-// Whoever sends which version when, in a process the applied versions only rise, the newest one sent is applied in the end, and a text that
-// is not of the version it is sent under never is.
+// Whatever versions arrive in whatever order, the versions that are applied only rise, and the newest that arrived is applied in the end.
+// A text that names another version than it is sent as is never applied.
 func TestVersionsOnlyRise(t *testing.T) {
 	const newest = 50
 	for seed := range uint64(20) {
-		var applied []configuration.Version // one at a time
+		var applied []configuration.Version // without a lock: configurations are applied one at a time
 		a := New(Config{
 			Settings:        &settings.Settings{Service: "s"},
 			Hub:             newTestHub(t, 1, "127.9.1.1:7401"),
@@ -39,7 +39,7 @@
 				for range 30 {
 					version := 1 + rng.Uint64N(newest)
 					a.ApplyCommitted(version, configurationOf(version))
-					a.ApplyCommitted(100+version, configurationOf(version)) // sent under another version
+					a.ApplyCommitted(100+version, configurationOf(version)) // sent as another version
 				}
 				a.ApplyCommitted(newest, configurationOf(newest))
 			})
@@ -49,14 +49,14 @@
 			qt.Assert(t, i == 0 || applied[i] > applied[i-1], qt.IsTrue, qt.Commentf("%v", applied))
 		}
 		qt.Assert(t, applied[len(applied)-1], qt.Equals, configuration.Version(newest))
-		held, _ := a.Configuration()
-		qt.Assert(t, held, qt.Equals, uint64(newest))
+		version, _ := a.Configuration()
+		qt.Assert(t, version, qt.Equals, uint64(newest))
 	}
 }
 
-// A process that ends waits for the fetched configuration that it applies, and applies no further one.
+// A process that shuts down waits for the fetched configuration that it is applying, and applies no further one.
 func TestStopWaitsForFetchedConfigurations(t *testing.T) {
-	applying, goOn := make(chan struct{}), make(chan struct{})
+	applying, finish := make(chan struct{}), make(chan struct{})
 	a := New(Config{
 		Settings: &settings.Settings{Service: "s"},
 		Hub:      newTestHub(t, 1, "127.9.1.3:7401"),
@@ -64,7 +64,7 @@
 		Log:      discardLog(),
 		OnConfiguration: func(*configuration.Config) {
 			close(applying) // a second call would panic
-			<-goOn
+			<-finish
 		},
 	})
 	a.configuration.applyFetched(&configurationText{Version: 1, Text: configurationOf(1)})
@@ -85,7 +85,7 @@
 	default:
 	}
 	a.configuration.applyFetched(&configurationText{Version: 2, Text: configurationOf(2)})
-	close(goOn)
+	close(finish)
 	<-stopped
 	version, _ := a.Configuration()
 	qt.Assert(t, version, qt.Equals, uint64(1))
--- a/internal/mesh/agent/consensus.go
+++ b/internal/mesh/agent/consensus.go
@@ -8,8 +8,8 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// ConsensusTransport carries requests of the consensus between core processes, which are named by their control addresses, as in the
-// settings (control/controlplane.Transport).
+// ConsensusTransport sends requests of the consensus to other core processes, which are named by their control addresses as in the
+// settings. It implements control/controlplane.Transport.
 type ConsensusTransport struct{ agent *Agent }
 
 // ServeConsensus registers the method by which other core processes call serve. An error of serve is not sent: the caller learns only
@@ -24,11 +24,11 @@
 	})
 }
 
-// ConsensusTransport is the way to other core processes.
+// ConsensusTransport returns the transport of this agent.
 func (a *Agent) ConsensusTransport() ConsensusTransport { return ConsensusTransport{a} }
 
-// Ask sends a request to a core process and waits for its reply, until ctx ends. The error is trace.BadParameter if node is no address,
-// trace.ConnectionProblem if the process has no reply, else the link's.
+// Ask sends a request to a core process and waits for its reply, until ctx ends. The error is trace.BadParameter if node is not an
+// address, trace.ConnectionProblem if the process can't answer the request, else the error of the link.
 func (c ConsensusTransport) Ask(ctx context.Context, node string, request []byte) ([]byte, error) {
 	peer := c.agent.peerAddress(node)
 	if peer == "" {
--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	expiryInterval = time.Second       // between two looks at the leases of endpoint records
-	ownersFollowed = ownersPerZone + 1 // of each service: one more, which is asked in place of one that is unresponsive
+	expiryInterval = time.Second       // between two checks of the leases of endpoint records
+	ownersFollowed = ownersPerZone + 1 // of each service: the additional one replaces one that is unresponsive
 )
 
-// endpointDirectory holds the endpoint records that this process knows, in both of its parts: as a registry owner that sidecars publish
-// to and subscribers subscribe at, and as a subscriber that follows the services it wants. Its fields are guarded by environment.mu.
+// endpointDirectory holds the endpoint records that this process knows. The process is a registry owner of some services, to which
+// sidecars publish and other processes subscribe, and a subscriber to the services that it wants itself. Both use the one registry. The
+// fields are guarded by environment.mu.
 type endpointDirectory struct {
 	*environment
 	members *memberTracker
@@ -25,12 +26,12 @@
 	registry      *discovery.Registry
 	subscriptions *discovery.Subscription // of this process, at registry owners
 	subscribers   *discovery.Subscribers  // at this process
-	services      []string                // whose endpoints this process wants to know
-	changed       map[string]uint64       // services with changes that nobody was notified of yet; the registry's version before the first
-	nextExpiry    time.Duration
+	services      []string                // that this process wants to know the endpoints of
+	changed       map[string]uint64       // by service with pending notifications: the registry's version before the first change
+	nextExpiry    time.Duration           // next check of the leases
 }
 
-// newEndpointDirectory makes a directory without records. A sidecar wants its own service until a configuration names others.
+// newEndpointDirectory returns a directory without records. A sidecar wants its own service until a configuration names others.
 func newEndpointDirectory(env *environment, members *memberTracker, recorder *eventRecorder) *endpointDirectory {
 	d := &endpointDirectory{
 		environment:   env,
@@ -54,14 +55,14 @@
 	transport.Handle(d.hub, methodUpdate, d.handleUpdate)
 }
 
-// tickLocked ends leases that have run out, and returns the subscribe requests that are to be sent now.
+// tickLocked expires leases, and returns the subscribe requests that are to be sent now.
 func (d *endpointDirectory) tickLocked(now time.Duration) []discovery.SubscribeRequest {
 	due := d.subscriptions.Tick(now)
 	d.expireLocked(now)
 	return due
 }
 
-// expireLocked ends leases that have run out, each expiryInterval.
+// expireLocked expires leases, once in an expiryInterval.
 func (d *endpointDirectory) expireLocked(now time.Duration) {
 	if now < d.nextExpiry {
 		return
@@ -73,15 +74,15 @@
 	}
 }
 
-// linkLostLocked takes note that the link to an address has ended: the other registry owners are asked at once.
+// linkLostLocked marks the registry owner at an address unresponsive, as the link to it has ended: the other owners are asked at once.
 func (d *endpointDirectory) linkLostLocked(now time.Duration, address string) {
 	d.subscriptions.ConnectionLost(now, address)
 }
 
-// wantLocked replaces the services that this process wants to know the endpoints of.
+// wantLocked replaces the list of the services that this process wants to know the endpoints of.
 func (d *endpointDirectory) wantLocked(services []string) { d.services = services }
 
-// updateOwnersLocked has the wanted services' registry owners be those of the present members.
+// updateOwnersLocked determines the registry owners of the wanted services anew, from the present members.
 func (d *endpointDirectory) updateOwnersLocked(now time.Duration) {
 	for _, service := range d.services {
 		var owners []discovery.RegistryOwner
@@ -92,7 +93,7 @@
 	}
 }
 
-// sendSubscriptions sends subscribe requests. Where this process is the registry owner itself, it has the records already.
+// sendSubscriptions sends subscribe requests. One to this process itself, as a registry owner, is answered at once: the records are here.
 func (d *endpointDirectory) sendSubscriptions(requests []discovery.SubscribeRequest) {
 	self := d.address()
 	for _, r := range requests {
@@ -103,11 +104,16 @@
 			d.mu.Unlock()
 			continue
 		}
-		d.requestList(r.To, &subscribeRequest{Subscriber: self, Service: r.Service, Since: r.SinceVersion, OwnerIncarnation: r.Incarnation})
+		d.requestList(r.To, &subscribeRequest{
+			Subscriber:       self,
+			Service:          r.Service,
+			Since:            r.SinceVersion,
+			OwnerIncarnation: r.Incarnation,
+		})
 	}
 }
 
-// refresh asks the registry owners of a service for all that they hold of it.
+// refresh requests the complete endpoint list of a service from its registry owners (Agent.Refresh).
 func (d *endpointDirectory) refresh(service string) {
 	d.mu.Lock()
 	owners := d.members.ownZoneOwnersLocked(service, ownersPerZone)
@@ -120,7 +126,7 @@
 	}
 }
 
-// requestList sends a subscribe request to a registry owner, and applies its endpoint list.
+// requestList sends a subscribe request to a registry owner, and applies the endpoint list that it answers with.
 func (d *endpointDirectory) requestList(owner string, request *subscribeRequest) {
 	d.send(owner, methodSubscribe, request, func(body []byte) {
 		var list endpointList
@@ -139,14 +145,15 @@
 	d.notifyChanges()
 }
 
-// handleUpdate applies what a registry owner says has changed.
+// handleUpdate applies the records that a registry owner sends because they have changed.
 func (d *endpointDirectory) handleUpdate(_ context.Context, _ *transport.Hello, list *endpointList) *acknowledgement {
 	d.apply(list.Endpoints...)
 	d.notifyChanges()
 	return &acknowledgement{Accepted: true}
 }
 
-// handleSubscribe answers a subscriber with what has changed since the version that it knows, and notifies it of changes from now on.
+// handleSubscribe answers a subscriber with the records that have changed since the version that it has, and makes it one that is
+// notified of later changes.
 func (d *endpointDirectory) handleSubscribe(_ context.Context, _ *transport.Hello, s *subscribeRequest) *endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,32 +162,32 @@
 	incarnation := d.hub.Self().Incarnation
 	since := s.Since
 	if s.OwnerIncarnation != incarnation {
-		since = 0 // versions count within one incarnation
+		since = 0 // a version is one of a single incarnation's registry
 	}
 	endpoints, version, _ := d.registry.ChangedSince(now, s.Service, since)
 	return &endpointList{Service: s.Service, Version: version, Endpoints: endpoints, OwnerIncarnation: incarnation}
 }
 
-// handlePublish takes the record that a sidecar publishes to this process as a registry owner.
+// handlePublish applies the record that a sidecar publishes to this process as a registry owner.
 func (d *endpointDirectory) handlePublish(_ context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
 	d.applyAsOwner(p.Endpoint)
 	return &publishRequest{Accepted: true}
 }
 
-// applyAsOwner takes a record as a registry owner: subscribers are notified.
+// applyAsOwner applies a record to the registry, and notifies the subscribers if that has changed anything.
 func (d *endpointDirectory) applyAsOwner(e discovery.Endpoint) {
 	d.apply(e)
 	d.notifyChanges()
 }
 
-// apply takes records into the registry. Nobody is notified yet.
+// apply applies records to the registry. Subscribers are notified by the next notifyChanges.
 func (d *endpointDirectory) apply(records ...discovery.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.applyLocked(records)
 }
 
-// applyLocked is apply with the lock held.
+// applyLocked is apply for callers that hold the lock.
 func (d *endpointDirectory) applyLocked(records []discovery.Endpoint) {
 	now := d.now()
 	for _, e := range records {
@@ -191,10 +198,10 @@
 	}
 }
 
-// allLocked are the records of all services that this process knows.
+// allLocked returns the records of all services that this process knows, ordered by ID.
 func (d *endpointDirectory) allLocked() []discovery.Endpoint { return d.registry.All(d.now()) }
 
-// complete completes a record that has only an id and a state by what is known of its endpoint, if anything is.
+// complete fills in a record that has only an ID and a state from the record that the registry has of the endpoint, if there is one.
 func (d *endpointDirectory) complete(e discovery.Endpoint) discovery.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/mesh/agent/directory_changes.go
+++ b/internal/mesh/agent/directory_changes.go
@@ -2,22 +2,22 @@
 
 import "quincegap/internal/mesh/discovery"
 
-// serviceChange is what has changed of one service.
+// serviceChange describes the changes of one service that are to be notified.
 type serviceChange struct {
 	service     string
-	endpoints   []discovery.Endpoint // all that is known of it
-	update      []discovery.Endpoint // what has changed, for subscribers: the complete list to each would fill an owner's link
-	subscribers []string
+	endpoints   []discovery.Endpoint // the complete list, as far as it is known
+	update      []discovery.Endpoint // those that have changed, for subscribers: complete lists for all would fill an owner's link
+	subscribers []string             // addresses
 }
 
-// markChangedLocked has drainChanges return what changed of a service after a version of the registry.
+// markChangedLocked records that a service has changed, for drainChanges; before is the registry's version before the change.
 func (d *endpointDirectory) markChangedLocked(service string, before uint64) {
 	if _, ok := d.changed[service]; !ok {
 		d.changed[service] = before
 	}
 }
 
-// drainChanges returns what is to be notified since the last call.
+// drainChanges returns the changes since the last call.
 func (d *endpointDirectory) drainChanges() []serviceChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,7 +36,7 @@
 	return changes
 }
 
-// notifyChanges notifies the subscribers, this process and the event feed of services whose endpoints have changed.
+// notifyChanges notifies the subscribers, the callbacks and the event recorder of the services whose endpoints have changed.
 func (d *endpointDirectory) notifyChanges() {
 	for _, c := range d.drainChanges() {
 		for _, subscriber := range c.subscribers {
@@ -50,8 +50,8 @@
 	}
 }
 
-// reportLeaving reports what others know of the endpoint beside this process, if they have it draining or deregistered. That it
-// serves is believed of the endpoint itself only: others that remember it may not know yet that it leaves.
+// reportLeaving calls OnEndpointLeaving for records of the endpoint beside this process that have it draining or deregistered. A record
+// that has it serving is ignored: it may be outdated, and only the endpoint's own keepalive shows that it serves.
 func (d *endpointDirectory) reportLeaving(endpoints []discovery.Endpoint) {
 	if d.config.OnEndpointLeaving == nil {
 		return
--- a/internal/mesh/agent/doc.go
+++ b/internal/mesh/agent/doc.go
@@ -1,22 +1,22 @@
-// Package agent is the part that each process of the mesh, sidecar or core process, takes in the control plane. It knows the members
-// of the mesh, the endpoints of the services that it wants and the committed configuration; it publishes the endpoint beside it,
-// requests tenants' tokens (sidecars) and contends for singleton roles (core processes).
+// Package agent connects a process of the mesh, sidecar or core process, to the control plane. An Agent knows the members of the mesh,
+// the endpoints of the services that its process wants, and the committed configuration. It publishes the endpoint beside the process;
+// a sidecar also requests tenants' tokens (QuotaClient), and a core process contends for singleton roles (SingletonRoles).
 //
-// What decides is pure and lies in packages of its own: discovery/membership (who runs), discovery (endpoint records), control/lease
-// (singleton roles), control/ratelimit (tokens). The agent adds the clock, the messages between processes, the callbacks and one lock.
+// The decisions are made by packages without I/O: discovery/membership (who runs), discovery (endpoint records), control/lease
+// (singleton roles) and control/ratelimit (tokens). The agent adds the clock, the messages between processes, the callbacks and one lock.
 //
 // # Parts
 //
-//	Agent                 composes the parts, and runs their timers
-//	├─ environment        settings, links, clock, random numbers, the lock
-//	├─ memberTracker      the view of the members; owners of services in it
-//	├─ endpointDirectory  the endpoint records of this process, as a registry owner and as a subscriber
-//	├─ recordPublisher    records of the endpoint beside this process, on their way to the registry owners
-//	├─ configurationUpdater  the committed configuration: learns of versions, fetches, applies and announces them
-//	├─ keepaliveServer    keepalives of endpoints over HTTP, and those that other processes forward
-//	└─ eventRecorder      what has changed, for tools (core processes only)
-//	QuotaClient           a sidecar's requests for tokens
-//	SingletonRoles        a core process's leases, and the allocator of tokens while it holds that lease
+//	Agent                    composes the parts, and runs their timers
+//	├─ environment           settings, links, clock, random numbers, the lock
+//	├─ memberTracker         the view of the members, and the registry owners that follow from it
+//	├─ endpointDirectory     the endpoint records of this process, as a registry owner and as a subscriber
+//	├─ recordPublisher       records of the endpoint beside this process, until the registry owners have acknowledged them
+//	├─ configurationUpdater  the applied configuration: discovers newer versions, fetches, applies and announces them
+//	├─ keepaliveServer       keepalives of endpoints over HTTP, and those that other processes forward
+//	└─ eventRecorder         changes as events, for tools (core processes only)
+//	QuotaClient              a sidecar's requests for tokens
+//	SingletonRoles           a core process's leases, and the allocator of tokens while the process holds its lease
 //
 // # A configuration in a process
 //
@@ -24,15 +24,23 @@
 //	                                                                      ^                  │
 //	                                                                      └──newer version───┘
 //
-// Versions only rise: a text that is not newer than the applied one changes nothing.
+// Three words are kept apart:
+//
+//   - A configuration is committed once a majority of the voters has it on disk. control/controlplane decides that; the agent is only
+//     ever given committed ones.
+//   - It is applied in a process once OnConfiguration has returned and the tenants' limits are set. Only then may peers fetch it from
+//     this process. The applied version only rises: a text whose version is not above it changes nothing.
+//   - "In force" is the users' word for applied. It stays in the event configuration_in_force, which each core process records.
+//
+// Records of endpoints are applied, too, but to the registry of endpoints, and nobody commits them.
 //
 // # Units
 //
 // Times are durations on the hub's steady clock, with any start; only events carry wall-clock time (RFC 3339, UTC). Versions of the
 // configuration are counted from 1; 0 is none. Incarnations are random, new at each start of a process, and never 0.
 //
-// # Not here
+// # What it does not do
 //
-// The agent neither decides on a configuration (control/controlplane does, among the core processes) nor stores anything on disk, and
-// does not carry users' requests (dataplane).
+// The agent doesn't decide on a configuration (control/controlplane does, among the core processes), stores nothing on disk, and doesn't
+// forward users' requests (dataplane).
 package agent
--- a/internal/mesh/agent/environment.go
+++ b/internal/mesh/agent/environment.go
@@ -21,13 +21,13 @@
 	log      *logrus.Logger
 	wakeup   chan struct{} // holds a value if something is to be sent before the next tick
 
-	// mu guards what the parts of the agent know: the view of the members, the registry of endpoints, publications, subscriptions,
-	// the version of the configuration and rng. They stand under one lock since they change together: a new view changes the owners to
-	// publish to and to subscribe at, and a shuffle carries the version.
+	// mu guards the state of all parts of the agent: the view of the members, the registry of endpoints, publications, subscriptions,
+	// the applied configuration and rng. One lock guards them all since they change together: a new view changes the owners to publish
+	// and to subscribe to, and a shuffle carries the applied version.
 	//
 	// Rules:
-	//   - A method whose name ends in Locked is called with mu held, any other one without it. Those of QuotaClient and SingletonRoles
-	//     go by their own mu.
+	//   - A method whose name ends in Locked is called with mu held, any other one without it. For methods of QuotaClient and
+	//     SingletonRoles the same holds of their own mu.
 	//   - Nothing waits under mu: no message is sent, no event recorded, and no callback called but OnSidecarCount.
 	//   - Order of locks: configurationUpdater.applyMu, then SingletonRoles.mu or QuotaClient.mu, then mu. eventRecorder.mu comes last,
 	//     and is never taken under mu.
@@ -35,7 +35,7 @@
 	rng *rand.Rand
 }
 
-// newEnvironment makes the environment of an agent.
+// newEnvironment returns the environment of an agent.
 func newEnvironment(config Config) *environment {
 	return &environment{
 		config:   config,
@@ -47,13 +47,13 @@
 	}
 }
 
-// now is the time on the steady clock of this process.
+// now returns the time on the steady clock of this process.
 func (e *environment) now() time.Duration { return e.hub.Now() }
 
-// address is the one at which other processes reach this one.
+// address returns the internal address of this process, at which other processes reach it.
 func (e *environment) address() string { return e.hub.Self().Address }
 
-// wake has Agent.Run send what is due at once, on its own goroutine.
+// wake makes Agent.Run send what is due at once, rather than at its next tick. It does not wait for that.
 func (e *environment) wake() {
 	select {
 	case e.wakeup <- struct{}{}:
@@ -61,8 +61,8 @@
 	}
 }
 
-// send sends a message to an address. If an answer comes, answered is called with its bytes, on the link's reader: it must not block.
-// answered may be nil.
+// send sends a message to an address. If an answer comes, answered is called with its bytes by the link's reader, so it must not block.
+// answered may be nil. Errors are dropped: whatever matters is sent again at a later tick.
 func (e *environment) send(address string, method uint64, m codec.Message, answered func(body []byte)) {
 	e.hub.Send(address, method, codec.MarshalAppend(nil, m), 0, func(body []byte, err error) {
 		if err == nil && answered != nil {
@@ -71,7 +71,7 @@
 	})
 }
 
-// peerAddress is the internal address of the process with a control address; empty if that is no address.
+// peerAddress returns the internal address of the process with a control address; empty if the argument isn't an address.
 func (e *environment) peerAddress(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
@@ -80,17 +80,17 @@
 	return e.settings.PeerAddress(host)
 }
 
-// randomUint64Locked is a random number.
+// randomUint64Locked draws a random number.
 func (e *environment) randomUint64Locked() uint64 { return e.rng.Uint64() }
 
-// randomFraction is a random number from 0 to 1.
+// randomFraction draws a random number from 0 to 1, without 1.
 func (e *environment) randomFraction() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.rng.Float64()
 }
 
-// sampleLocked draws up to n elements at random. It changes the order of the list, and gives a part of it.
+// sampleLocked draws up to n elements of a list at random. It reorders the list, and returns a part of it.
 func (e *environment) sampleLocked(list []string, n int) []string {
 	n = min(n, len(list))
 	for i := range n {
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxEvents              = 4096             // kept
-	quotaExhaustedInterval = 10 * time.Second // between two events of one tenant's quota
+	maxEvents              = 4096             // that the feed keeps; the oldest are dropped
+	quotaExhaustedInterval = 10 * time.Second // at least, between two events of one tenant's exhausted quota
 )
 
-// eventRecorder keeps what a core process has seen as events, for tools. It is an eventfeed.Source. A nil recorder, as sidecars have,
-// records nothing.
+// eventRecorder records the changes that a core process sees as events, for tools. It implements eventfeed.Source. A nil recorder, which
+// sidecars have, records nothing.
 type eventRecorder struct {
 	mu             sync.Mutex
 	feed           *events.Feed
@@ -26,7 +26,7 @@
 	quotaExhausted map[string]time.Duration     // when last recorded, by tenant
 }
 
-// newEventRecorder makes a recorder whose feed has the incarnation of this process.
+// newEventRecorder returns a recorder whose cursors carry the incarnation of this process.
 func newEventRecorder(incarnation uint64) *eventRecorder {
 	return &eventRecorder{
 		feed:           events.NewFeed(incarnation, maxEvents),
@@ -45,7 +45,7 @@
 	return found, next, r.added, nil
 }
 
-// add adds an event to the feed with the present wall-clock time, and wakes those that wait for one.
+// add adds an event to the feed with the present wall-clock time, and wakes readers that wait for one.
 func (r *eventRecorder) add(e events.Event) {
 	e.Time = time.Now().UTC().Format(time.RFC3339Nano)
 	r.mu.Lock()
@@ -55,6 +55,7 @@
 	r.added = make(chan struct{})
 }
 
+// endpointEventKinds holds the kind of the event that records an endpoint's change to a state.
 var endpointEventKinds = map[discovery.State]string{
 	discovery.Serving:      events.EndpointServing,
 	discovery.Draining:     events.EndpointDraining,
@@ -62,20 +63,26 @@
 	discovery.Deregistered: events.EndpointGone,
 }
 
-// recordEndpoints records what has changed of a service's endpoints. The end of an endpoint that was never recorded as running is not
-// recorded either.
+// recordEndpoints records the endpoints whose states have changed since they were last recorded. The end of an endpoint that was never
+// recorded as running is not recorded either.
 func (r *eventRecorder) recordEndpoints(endpoints []discovery.Endpoint) {
 	if r == nil {
 		return
 	}
 	for _, e := range endpoints {
 		if r.endpointChanged(&e) {
-			r.add(events.Event{Kind: endpointEventKinds[e.State], Service: e.Service, Endpoint: e.ID, Zone: e.Zone, Node: e.SidecarAddress})
+			r.add(events.Event{
+				Kind:     endpointEventKinds[e.State],
+				Service:  e.Service,
+				Endpoint: e.ID,
+				Zone:     e.Zone,
+				Node:     e.SidecarAddress,
+			})
 		}
 	}
 }
 
-// endpointChanged keeps an endpoint's state, and reports whether it is to be recorded.
+// endpointChanged stores an endpoint's state, and reports whether the change is to be recorded.
 func (r *eventRecorder) endpointChanged(e *discovery.Endpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +98,7 @@
 	return e.State < discovery.Crashed
 }
 
-// recordMembers records which members are new, and which are no longer there.
+// recordMembers records which members have arrived and which have departed since the last call.
 func (r *eventRecorder) recordMembers(members []membership.Member) {
 	if r == nil {
 		return
@@ -108,7 +115,7 @@
 	r.recordMissing(events.MemberUnreachable, last, current)
 }
 
-// recordMissing records each member that is in one set and not in the other.
+// recordMissing records an event of a kind for each member that is in one set and not in the other.
 func (r *eventRecorder) recordMissing(kind string, in, notIn map[uint64]membership.Member) {
 	for incarnation, m := range in {
 		if _, ok := notIn[incarnation]; !ok {
@@ -117,14 +124,14 @@
 	}
 }
 
-// recordQuotaExhausted records that a tenant's tokens are used up, once in a quotaExhaustedInterval.
+// recordQuotaExhausted records that a tenant's quota is exhausted, at most once in a quotaExhaustedInterval.
 func (r *eventRecorder) recordQuotaExhausted(now time.Duration, tenant string) {
 	if r != nil && r.quotaEventDue(now, tenant) {
 		r.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
 	}
 }
 
-// quotaEventDue reports whether an exhausted quota is to be recorded, and notes that it is.
+// quotaEventDue reports whether an exhausted quota is to be recorded; if so, the tenant's interval starts anew.
 func (r *eventRecorder) quotaEventDue(now time.Duration, tenant string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,14 +150,14 @@
 	}
 }
 
-// recordRoleAcquired records that a process, this one, has a singleton role from now on. detail says which.
+// recordRoleAcquired records that this process, node, has acquired a singleton role. detail names the role and its fencing token.
 func (r *eventRecorder) recordRoleAcquired(node, detail string) {
 	if r != nil {
 		r.add(events.Event{Kind: events.RoleAcquired, Node: node, Detail: detail})
 	}
 }
 
-// recordRoleLost records that a process, this one, has a singleton role no longer.
+// recordRoleLost records that this process, node, has lost a singleton role. detail names the role.
 func (r *eventRecorder) recordRoleLost(node, detail string) {
 	if r != nil {
 		r.add(events.Event{Kind: events.RoleLost, Node: node, Detail: detail})
--- a/internal/mesh/agent/example_test.go
+++ b/internal/mesh/agent/example_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// A sidecar that has no peers yet: it applies a configuration that it is given, and publishes the endpoint beside it.
+// A sidecar without peers applies a committed configuration, and publishes the endpoint beside it.
 func ExampleAgent() {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -29,7 +29,11 @@
 		ApplicationAddress: "127.9.40.1:8080",
 		Service:            "orders",
 	}
-	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: own.InternalAddress(), Zone: own.Zone}, time.Now(), 1<<20, log)
+	hub := transport.NewHub(transport.Hello{
+		Incarnation: 1,
+		Address:     own.InternalAddress(),
+		Zone:        own.Zone,
+	}, time.Now(), 1<<20, log)
 	defer hub.Close()
 	a := agent.New(agent.Config{
 		Settings:        own,
@@ -45,7 +49,13 @@
 
 	a.ApplyCommitted(7, []byte(`{"configVersion":"r7","routeTable":[]}`))
 	a.ApplyCommitted(6, []byte(`{"configVersion":"r6","routeTable":[]}`)) // older: nothing changes
-	a.Publish(discovery.Endpoint{ID: "endpoint-1", Service: "orders", AppAddress: "127.9.40.1:8080", Zone: "north", Slots: 8})
+	a.Publish(discovery.Endpoint{
+		ID:         "endpoint-1",
+		Service:    "orders",
+		AppAddress: "127.9.40.1:8080",
+		Zone:       "north",
+		Slots:      8,
+	})
 	version, _ := a.Configuration()
 	fmt.Println("held:", version, "by", a.Members()[0].Address)
 
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -20,18 +20,30 @@
 	"quincegap/internal/mesh/discovery/membership"
 	"quincegap/internal/mesh/operations/events"
 	"quincegap/internal/mesh/operations/settings"
+	"quincegap/internal/mesh/transport"
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// goldenEndpoint is an endpoint with a value in each field.
+// goldenEndpoint returns a record with a value in each field.
 func goldenEndpoint() discovery.Endpoint {
 	return discovery.Endpoint{
-		ID: "ep-1", Service: "orders", SidecarAddress: "10.1.0.40:7640", SidecarIncarnation: 0x0102030405060708, AppAddress: "10.1.0.40:8103",
-		Zone: "north-a", Slots: 12, State: discovery.Draining, WarmupRemaining: 1500 * time.Millisecond, Sequence: 77, Revision: 5, LeaseRemaining: 9 * time.Second,
+		ID:                 "ep-1",
+		Service:            "orders",
+		SidecarAddress:     "10.1.0.40:7640",
+		SidecarIncarnation: 0x0102030405060708,
+		AppAddress:         "10.1.0.40:8103",
+		Zone:               "north-a",
+		Slots:              12,
+		State:              discovery.Draining,
+		WarmupRemaining:    1500 * time.Millisecond,
+		Sequence:           77,
+		Revision:           5,
+		LeaseRemaining:     9 * time.Second,
 	}
 }
 
-// testGoldenMessage checks that full, which has a value in each field, is written as the file has it, and that the file is read as full.
+// testGoldenMessage checks that a message with a value in each field is marshaled to the bytes in its golden file, and that these bytes
+// are unmarshaled to the message.
 func testGoldenMessage[T any, P interface {
 	*T
 	codec.Message
@@ -49,9 +61,16 @@
 	second := goldenEndpoint()
 	second.ID, second.State = "ep-2", discovery.Deregistered
 	testGoldenMessage(t, "published", publishRequest{Endpoint: goldenEndpoint(), Accepted: true})
-	testGoldenMessage(t, "subscription", subscribeRequest{Subscriber: "10.1.0.41:7640", Service: "orders", Since: 300, OwnerIncarnation: 0xfffefdfcfbfaf9f8})
+	testGoldenMessage(t, "subscription", subscribeRequest{
+		Subscriber:       "10.1.0.41:7640",
+		Service:          "orders",
+		Since:            300,
+		OwnerIncarnation: 0xfffefdfcfbfaf9f8,
+	})
 	testGoldenMessage(t, "listing", endpointList{
-		Service: "orders", Version: 301, Endpoints: []discovery.Endpoint{goldenEndpoint(), second},
+		Service:          "orders",
+		Version:          301,
+		Endpoints:        []discovery.Endpoint{goldenEndpoint(), second},
 		OwnerIncarnation: 0x1122334455667788,
 	})
 	testGoldenMessage(t, "notice", versionNotice{Version: 1 << 40})
@@ -60,80 +79,152 @@
 	testGoldenMessage(t, "acknowledgement", acknowledgement{Accepted: true})
 }
 
-// goldenLocal is an endpoint beside a process that takes what has its id.
+// goldenLocal is the LocalEndpoint with the ID own.
 type goldenLocal struct{}
 
 // Keepalive implements LocalEndpoint.
 func (goldenLocal) Keepalive(e discovery.Endpoint) bool { return e.ID == "own" }
 
-// A process answers the methods of these numbers with these bytes, and no others.
-func TestGoldenMethods(t *testing.T) {
-	c := qt.New(t)
-	ip := testNetwork + ".201.1"
-	own := &settings.Settings{Name: "core-1", IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: ip + ":7402"}
+// goldenCoreIP is the IP address in golden files of a core process, which accepts no links there.
+const goldenCoreIP = "127.9.31.1"
+
+// goldenCore returns the agent of a core process at an IP address, which accepts no links yet.
+func goldenCore(t *testing.T, ip string) *Agent {
+	t.Helper()
+	own := &settings.Settings{
+		Name:           "core-1",
+		IP:             ip,
+		Zone:           "z",
+		Region:         "r",
+		InternalPorts:  [2]int{7401, 7401},
+		ControlAddress: ip + ":7402",
+	}
 	hub := newTestHub(t, 7, own.InternalAddress())
-	a := New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
-	a.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
-	roles := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{own.ControlAddress}}, accepted: 3}, true)
-	asked := hub.Now() + time.Minute // another process holds the lease that is asked for
-	c.Assert(roles.allocatorLease.Tick(asked, 1, 0), qt.IsNotNil)
-	roles.handleReply(asked, 0, own.ControlAddress, &lease.Reply{Grants: []lease.Grant{{Role: "allocator", FencingToken: 4, Holder: "127.9.30.3:7401", Remaining: time.Hour}}})
-	a.ServeConsensus(func(_ context.Context, request []byte) ([]byte, error) { return append([]byte("re:"), request...), nil })
-	a.KeepaliveHandler(goldenLocal{})
-	serveHub(t, hub)
-	caller := newTestHub(t, 8, "127.9.30.2:7401")
+	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
+}
+
+// goldenRoles returns the singleton roles of a core process that is the only voter.
+func goldenRoles(core *Agent) *SingletonRoles {
+	voters := consensus.VoterSet{Voters: []string{core.settings.ControlAddress}}
+	return core.NewSingletonRoles(&fakeRegister{known: voters, accepted: 3}, true)
+}
+
+// serveGoldenCore serves all methods of a core process until the test ends. Another process is the allocator.
+func serveGoldenCore(t *testing.T, core *Agent) {
+	t.Helper()
+	core.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
+	roles := goldenRoles(core)
+	requested := core.now() + time.Minute
+	qt.Assert(t, roles.allocatorLease.Tick(requested, 1, 0), qt.IsNotNil)
+	roles.handleReply(requested, 0, core.settings.ControlAddress, &lease.Reply{Grants: []lease.Grant{{
+		Role:         "allocator",
+		FencingToken: 4,
+		Holder:       "127.9.30.3:7401",
+		Remaining:    time.Hour,
+	}}})
+	core.ServeConsensus(func(_ context.Context, request []byte) ([]byte, error) { return append([]byte("re:"), request...), nil })
+	core.KeepaliveHandler(goldenLocal{})
+	serveHub(t, core.hub)
+}
 
-	elsewhere := goldenEndpoint()
-	elsewhere.LeaseRemaining = 0 // what is left of a lease is of the time of the answer
-	requests := map[uint64]codec.Message{
-		11: &publishRequest{Endpoint: elsewhere},
+// goldenRequests returns a request for each method, by number.
+func goldenRequests() map[uint64]codec.Message {
+	record := goldenEndpoint()
+	record.LeaseRemaining = 0 // in an answer it would depend on the time
+	return map[uint64]codec.Message{
+		11: &publishRequest{Endpoint: record},
 		12: &subscribeRequest{Subscriber: "127.9.30.2:7401", Service: "none"},
-		13: &endpointList{Service: "orders", Endpoints: []discovery.Endpoint{elsewhere}},
+		13: &endpointList{Service: "orders", Endpoints: []discovery.Endpoint{record}},
 		14: &versionNotice{Version: 1},
 		15: &configurationText{},
 		16: &opaqueMessage{Body: []byte("ballot")},
 		17: &publishRequest{Endpoint: discovery.Endpoint{ID: "own"}},
-		18: &lease.Request{Holder: "127.9.30.2:7401", Incarnation: 8, Roles: []lease.RoleRequest{{Role: "allocator", FencingToken: 4}}},
-		19: &ratelimit.AllocationRequest{Sidecar: "127.9.30.2:7401", Incarnation: 8, Requests: []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}}},
+		18: &lease.Request{
+			Holder:      "127.9.30.2:7401",
+			Incarnation: 8,
+			Roles:       []lease.RoleRequest{{Role: "allocator", FencingToken: 4}},
+		},
+		19: &ratelimit.AllocationRequest{
+			Sidecar:     "127.9.30.2:7401",
+			Incarnation: 8,
+			Requests:    []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}},
+		},
 	}
+}
+
+// A process answers these methods with these bytes, and it has no others.
+func TestGoldenMethods(t *testing.T) {
+	core := goldenCore(t, testNetwork+".201.1")
+	serveGoldenCore(t, core)
+	caller := newTestHub(t, 8, "127.9.30.2:7401")
+	requests := goldenRequests()
 	var lines strings.Builder
 	for method := uint64(9); method <= 20; method++ {
 		var body []byte
 		if m := requests[method]; m != nil {
 			body = codec.MarshalAppend(nil, m)
 		}
-		type answer struct {
-			body []byte
-			err  error
-		}
-		answered := make(chan answer, 1)
-		caller.Send(own.InternalAddress(), method, body, 0, func(body []byte, err error) { answered <- answer{body, err} })
-		select {
-		case x := <-answered:
-			switch {
-			case x.err != nil:
-				fmt.Fprintf(&lines, "%d: no such method\n", method)
-			case method == methodShuffle:
-				fmt.Fprintf(&lines, "%d: %t\n", method, len(x.body) > 0) // the members as they are, with their ages
-			default:
-				fmt.Fprintf(&lines, "%d: %x\n", method, x.body)
-			}
-		case <-time.After(20 * time.Second):
-			t.Fatalf("no answer to method %d", method)
+		answer, err := callMethod(t, caller, core.address(), method, body)
+		switch {
+		case err != nil:
+			fmt.Fprintf(&lines, "%d: no such method\n", method)
+		case method == methodShuffle:
+			fmt.Fprintf(&lines, "%d: %t\n", method, len(answer) > 0) // its bytes depend on the ages of heartbeats
+		default:
+			fmt.Fprintf(&lines, "%d: %x\n", method, answer)
 		}
 	}
 	golden.Text(t, "methods.txt", []byte(lines.String()))
 }
 
-// goldenState is a core process's state with a value in each field.
+// callMethod calls a method of the process at an address, and returns its answer.
+func callMethod(t *testing.T, caller *transport.Hub, address string, method uint64, body []byte) ([]byte, error) {
+	t.Helper()
+	type answer struct {
+		body []byte
+		err  error
+	}
+	answered := make(chan answer, 1)
+	caller.Send(address, method, body, 0, func(body []byte, err error) { answered <- answer{body, err} })
+	select {
+	case a := <-answered:
+		return a.body, a.err
+	case <-time.After(maxWaitInTests):
+		t.Fatalf("no answer to method %d", method)
+		return nil, nil
+	}
+}
+
+// goldenState returns a core process's state with a value in each field.
 func goldenState() State {
 	return State{
-		Node: "core-1", Version: "r12", Confirmed: true, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
-		Roles:   []RoleState{{Name: roleAllocator, Holder: "10.1.0.44:7640", FencingToken: 9, RemainingMs: 1500}, {Name: "other"}},
-		Members: []MemberState{{Address: "10.1.0.40:7640", Zone: "north-a", Role: "access", Service: "orders", AgeMs: 40}, {Role: "core"}},
+		Node:      "core-1",
+		Version:   "r12",
+		Confirmed: true,
+		Voters:    []string{"10.1.0.44:8105", "10.2.0.35:8105"},
+		Ready:     true,
+		Roles: []RoleState{{
+			Name:         roleAllocator,
+			Holder:       "10.1.0.44:7640",
+			FencingToken: 9,
+			RemainingMs:  1500,
+		}, {Name: "other"}},
+		Members: []MemberState{{
+			Address: "10.1.0.40:7640",
+			Zone:    "north-a",
+			Role:    "access",
+			Service: "orders",
+			AgeMs:   40,
+		}, {Role: "core"}},
 		Endpoints: []EndpointState{{
-			ID: "ep-1", Service: "orders", Zone: "north-a", State: stateNames[discovery.Serving], Address: "10.1.0.40:8103",
-			Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000,
+			ID:      "ep-1",
+			Service: "orders",
+			Zone:    "north-a",
+			State:   stateNames[discovery.Serving],
+			Address: "10.1.0.40:8103",
+			Sidecar: "10.1.0.40:7640",
+			Slots:   12,
+			LeaseMs: 9000,
 		}},
 	}
 }
@@ -151,23 +242,15 @@
 		discovery.Serving: "in_service", discovery.Draining: "draining",
 		discovery.Crashed: "crashed", discovery.Deregistered: "gone",
 	})
-	c.Assert([]string{roleAllocator, StatePath, roleNameAccess, roleNameCore}, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
+	names := []string{roleAllocator, StatePath, roleNameAccess, roleNameCore}
+	c.Assert(names, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
 }
 
-// goldenCore is a core process without links, whose sidecars and endpoints are known to it.
-func goldenCore(t *testing.T) *Agent {
-	t.Helper()
-	own := &settings.Settings{Name: "core-1", IP: "127.9.31.1", Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.31.1:7402"}
-	hub := newTestHub(t, 7, own.InternalAddress())
-	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
-}
-
-// What a core process says of itself over HTTP, and to calls that it does not serve. Ages and what is left of leases are left out.
+// A core process answers GET /mesh/state with its state, and other calls with an error. Ages and remaining leases are left out.
 func TestGoldenStateAnswers(t *testing.T) {
-	a := goldenCore(t)
-	e := goldenEndpoint()
-	a.directory.apply(e)
-	handler := a.NewSingletonRoles(&fakeRegister{known: consensus.VoterSet{Voters: []string{"127.9.31.1:7402"}}, accepted: 3}, true).Handler()
+	core := goldenCore(t, goldenCoreIP)
+	core.directory.apply(goldenEndpoint())
+	handler := goldenRoles(core).Handler()
 	var lines strings.Builder
 	for _, call := range []string{"GET /mesh/state", "POST /mesh/state", "GET /mesh/other"} {
 		method, path, _ := strings.Cut(call, " ")
@@ -191,11 +274,13 @@
 	golden.Text(t, "state_answers.txt", []byte(lines.String()))
 }
 
-// goldenKeepalives are bodies of keepalives, the first ones good.
+// goldenKeepalives are bodies of keepalives. The first three are valid.
 var goldenKeepalives = []string{
 	`{"serviceName":"orders","address":"10.0.0.4:8080","zone":"z","slotCount":4,"state":"in_service","callSequence":7}`,
-	`{"serviceName":"orders","address":"10.0.0.4:8080","zone":"z","slotCount":4,"state":"draining","callSequence":8,"coldRemaining":"1500ms"}`,
-	`{"serviceName":"orders","address":"10.0.0.4:8080","slotCount":4000000000,"state":"in_service","callSequence":9,"coldRemaining":"9h","more":1}`,
+	`{"serviceName":"orders","address":"10.0.0.4:8080","zone":"z","slotCount":4,"state":"draining","callSequence":8,` +
+		`"coldRemaining":"1500ms"}`,
+	`{"serviceName":"orders","address":"10.0.0.4:8080","slotCount":4000000000,"state":"in_service","callSequence":9,` +
+		`"coldRemaining":"9h","more":1}`,
 	`not JSON`,
 	`{}`,
 	`{"serviceName":"","address":"10.0.0.4","zone":3,"slotCount":-1,"state":"asleep","callSequence":"7","coldRemaining":"-1s"}`,
@@ -204,18 +289,19 @@
 
 func TestGoldenKeepalives(t *testing.T) {
 	var lines strings.Builder
-	handler := goldenCore(t).KeepaliveHandler(goldenLocal{})
+	handler := goldenCore(t, goldenCoreIP).KeepaliveHandler(goldenLocal{})
 	for _, body := range goldenKeepalives {
 		e, err := ParseKeepalive("own", []byte(body))
 		fmt.Fprintf(&lines, "%s\n", body)
 		if err != nil {
 			fmt.Fprintf(&lines, "error: %v\n", err)
 		} else {
-			fmt.Fprintf(&lines, "service %q app %q zone %q slots %d state %d cold %v sequence %d\n", e.Service, e.AppAddress, e.Zone, e.Slots, e.State, e.WarmupRemaining,
-				e.Sequence)
+			fmt.Fprintf(&lines, "service %q app %q zone %q slots %d state %d cold %v sequence %d\n",
+				e.Service, e.AppAddress, e.Zone, e.Slots, e.State, e.WarmupRemaining, e.Sequence)
 		}
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/endpoints/own/keepalive", strings.NewReader(body)))
+		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/endpoints/own/keepalive", strings.NewReader(body))
+		handler.ServeHTTP(w, r)
 		fmt.Fprintf(&lines, "%d %s %s\n", w.Code, w.Header().Get("Content-Type"), strings.TrimSpace(w.Body.String()))
 	}
 	for _, call := range []string{
@@ -239,30 +325,38 @@
 	})
 }
 
-// What a core process records as events, and how its feed gives them.
+// A core process records these events, and its feed writes them in this form.
 func TestGoldenEvents(t *testing.T) {
-	a := goldenCore(t)
-	a.events.recordMembers([]membership.Member{{Incarnation: 1, Address: "10.1.0.40:7640", Zone: "north-a", Service: "orders"}})
-	a.events.recordMembers([]membership.Member{{Incarnation: 2, Address: "10.1.0.41:7640", Zone: "south-b"}})
-	for _, state := range []discovery.State{discovery.Serving, discovery.Serving, discovery.Draining, discovery.Crashed, discovery.Deregistered} {
+	core := goldenCore(t, goldenCoreIP)
+	core.events.recordMembers([]membership.Member{{
+		Incarnation: 1,
+		Address:     "10.1.0.40:7640",
+		Zone:        "north-a",
+		Service:     "orders",
+	}})
+	core.events.recordMembers([]membership.Member{{Incarnation: 2, Address: "10.1.0.41:7640", Zone: "south-b"}})
+	states := []discovery.State{
+		discovery.Serving, discovery.Serving, discovery.Draining, discovery.Crashed, discovery.Deregistered,
+	}
+	for _, state := range states {
 		e := goldenEndpoint()
 		e.State = state
-		a.events.recordEndpoints([]discovery.Endpoint{e})
+		core.events.recordEndpoints([]discovery.Endpoint{e})
 	}
-	late := goldenEndpoint()
-	late.ID, late.State = "ep-2", discovery.Deregistered
-	a.events.recordEndpoints([]discovery.Endpoint{late}) // nobody knew of it while it served
-	a.events.recordQuotaExhausted(0, "north")
-	a.events.recordQuotaExhausted(quotaExhaustedInterval-1, "north")
-	a.events.recordQuotaExhausted(quotaExhaustedInterval, "north")
-	a.ApplyCommitted(3, []byte(`{"configVersion":"r3","routeTable":[]}`))
-	d := a.NewSingletonRoles(&fakeRegister{}, true)
-	d.mu.Lock()
-	d.startAllocatorLocked(0)
-	d.stopAllocatorLocked()
-	d.mu.Unlock()
+	unseen := goldenEndpoint()
+	unseen.ID, unseen.State = "ep-2", discovery.Deregistered
+	core.events.recordEndpoints([]discovery.Endpoint{unseen}) // it was never recorded as running
+	core.events.recordQuotaExhausted(0, "north")
+	core.events.recordQuotaExhausted(quotaExhaustedInterval-1, "north")
+	core.events.recordQuotaExhausted(quotaExhaustedInterval, "north")
+	core.ApplyCommitted(3, []byte(`{"configVersion":"r3","routeTable":[]}`))
+	roles := core.NewSingletonRoles(&fakeRegister{}, true)
+	roles.mu.Lock()
+	roles.startAllocatorLocked(0)
+	roles.stopAllocatorLocked()
+	roles.mu.Unlock()
 	w := httptest.NewRecorder()
-	a.EventsHandler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
+	core.EventsHandler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
 	var lines strings.Builder
 	for line := range strings.Lines(w.Body.String()) {
 		var e events.Event
--- a/internal/mesh/agent/helpers_test.go
+++ b/internal/mesh/agent/helpers_test.go
@@ -16,21 +16,21 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// maxWaitInTests is for what is to happen soon, on a busy machine too.
+// maxWaitInTests is how long a test waits for an event that is to happen soon. It is long enough for a busy machine.
 const maxWaitInTests = 20 * time.Second
 
-// testNetwork is a part of the loopback network that this test process has for itself, so that several may run on a machine at once.
-// Another two numbers follow it.
+// testNetwork is the prefix of the loopback addresses that this test process uses, so that several may run on a machine at once. Two more
+// numbers follow it.
 var testNetwork = fmt.Sprintf("127.%d", 100+os.Getpid()%150)
 
-// discardLog is a logger that writes nothing.
+// discardLog returns a logger that writes nothing.
 func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// newTestHub is a hub whose clock began an hour ago. It is closed with the test.
+// newTestHub returns a hub whose clock started an hour ago. It is closed when the test ends.
 func newTestHub(tb testing.TB, incarnation uint64, address string) *transport.Hub {
 	tb.Helper()
 	hello := transport.Hello{Incarnation: incarnation, Address: address, Zone: "z"}
@@ -39,7 +39,7 @@
 	return hub
 }
 
-// serveHub has a hub take links at its own address until the test ends.
+// serveHub makes a hub accept links at its own address until the test ends.
 func serveHub(tb testing.TB, hub *transport.Hub) {
 	tb.Helper()
 	listener, err := new(net.ListenConfig).Listen(tb.Context(), "tcp4", hub.Self().Address)
@@ -55,16 +55,19 @@
 	})
 }
 
-// newTestSidecar is an agent of a sidecar that nobody can reach.
+// newTestSidecar returns the agent of a sidecar that accepts no links.
 func newTestSidecar(tb testing.TB, address string, seed uint64) *Agent {
 	tb.Helper()
 	return New(Config{
-		Settings: &settings.Settings{Service: "s"}, Hub: newTestHub(tb, 1, address), Role: membership.RoleAccess,
-		Log: discardLog(), Seed: seed,
+		Settings: &settings.Settings{Service: "s"},
+		Hub:      newTestHub(tb, 1, address),
+		Role:     membership.RoleAccess,
+		Log:      discardLog(),
+		Seed:     seed,
 	})
 }
 
-// eventually waits until done, and fails the test if that takes too long.
+// eventually waits until done returns true, and fails the test after maxWaitInTests. what names the condition.
 func eventually(tb testing.TB, what string, done func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(maxWaitInTests); !done(); time.Sleep(5 * time.Millisecond) {
--- a/internal/mesh/agent/idle_mesh_test.go
+++ b/internal/mesh/agent/idle_mesh_test.go
@@ -24,7 +24,8 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// idleMeshSize is the shape of an idleMesh. Processes are numbered: those below core are core processes, the others sidecars.
+// idleMeshSize holds the numbers of core processes, zones and services of an idleMesh. Of its processes, which are numbered from 0, those
+// below core are core processes and the others sidecars.
 type idleMeshSize struct{ core, zones, services int }
 
 // idleMesh is a mesh of sidecars without clients and of core processes without disks, in one process.
@@ -32,15 +33,15 @@
 	testing.TB
 	size     idleMeshSize
 	seeds    []string
-	agents   []*Agent
-	stops    []func()
-	applied  atomic.Int64 // sidecars that have applied the version
-	drained  atomic.Int64 // sidecars that know that the endpoint drains
-	version  atomic.Uint64
-	draining atomic.Pointer[string] // id of the endpoint
+	agents   []*Agent               // by number
+	stops    []func()               // by number
+	version  atomic.Uint64          // that applied counts
+	applied  atomic.Int64           // sidecars that have applied the version
+	draining atomic.Pointer[string] // ID of the endpoint that drained counts
+	drained  atomic.Int64           // sidecars that know that the endpoint is draining
 }
 
-// newIdleMesh is a mesh without processes. Those that are started end with the test.
+// newIdleMesh returns a mesh without processes. Those that are started later are stopped when the test ends.
 func newIdleMesh(tb testing.TB, size idleMeshSize) *idleMesh {
 	tb.Helper()
 	m := &idleMesh{TB: tb, size: size}
@@ -50,16 +51,21 @@
 	return m
 }
 
-// idleMeshIP is the address of process i on loopback. Other tests have numbers from 200 on in the place of i/250.
+// idleMeshIP returns the loopback address of process i. Other tests of the package use addresses whose third number is 200 or more.
 func idleMeshIP(i int) string { return fmt.Sprintf("%s.%d.%d", testNetwork, i/250, i%250+1) }
 
-// start starts process i, which is the next one.
+// start starts process i. Processes are started in the order of their numbers.
 func (m *idleMesh) start(i int) *Agent {
 	m.Helper()
 	ip := idleMeshIP(i)
 	own := &settings.Settings{
-		Name: ip, IP: ip, Zone: fmt.Sprintf("zone-%d", i%m.size.zones), Region: "r", InternalPorts: [2]int{7301, 7301},
-		Seeds: m.seeds, ControlAddress: ip + ":7302",
+		Name:           ip,
+		IP:             ip,
+		Zone:           fmt.Sprintf("zone-%d", i%m.size.zones),
+		Region:         "r",
+		InternalPorts:  [2]int{7301, 7301},
+		Seeds:          m.seeds,
+		ControlAddress: ip + ":7302",
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
@@ -79,7 +85,7 @@
 	return a
 }
 
-// run has a process work until it is stopped.
+// run runs a process until it is stopped.
 func (m *idleMesh) run(a *Agent, hub *transport.Hub) {
 	m.Helper()
 	listener, err := new(net.ListenConfig).Listen(m.Context(), "tcp4", hub.Self().Address)
@@ -105,14 +111,14 @@
 // stop stops process i.
 func (m *idleMesh) stop(i int) { m.stops[i]() }
 
-// countApplied counts a sidecar that has applied the version.
+// countApplied is the OnConfiguration of all sidecars. It counts those that have applied the version.
 func (m *idleMesh) countApplied(c *configuration.Config) {
 	if uint64(c.Version) == m.version.Load() {
 		m.applied.Add(1)
 	}
 }
 
-// countDrained counts one sidecar once it knows that the endpoint drains.
+// countDrained returns the OnEndpointsChanged of one sidecar, which counts it once it knows that the endpoint is draining.
 func (m *idleMesh) countDrained() func(service string, endpoints []discovery.Endpoint) {
 	var known atomic.Bool
 	return func(_ string, endpoints []discovery.Endpoint) {
@@ -128,7 +134,7 @@
 	}
 }
 
-// commit has a core process apply a version, and returns the time until all sidecars have.
+// commit makes a core process apply a version, and returns the time until all sidecars have applied it.
 func (m *idleMesh) commit(version uint64, text []byte) time.Duration {
 	m.Helper()
 	m.applied.Store(0)
@@ -137,7 +143,7 @@
 	return m.waitForSidecars("configuration", &m.applied)
 }
 
-// waitForSidecars waits until the count is that of the sidecars, and returns the time it took.
+// waitForSidecars waits until a count is the number of sidecars, and returns the time that took.
 func (m *idleMesh) waitForSidecars(what string, count *atomic.Int64) time.Duration {
 	m.Helper()
 	sidecars := len(m.agents) - m.size.core
@@ -152,7 +158,7 @@
 	return time.Since(began)
 }
 
-// traffic is that of all sidecars together, and the number of their links.
+// traffic returns the sum of all sidecars' traffic, and the number of their links.
 func (m *idleMesh) traffic() (total transport.Traffic, links int) {
 	for _, a := range m.agents[m.size.core:] {
 		t := a.hub.Traffic()
@@ -165,14 +171,14 @@
 	return total, links
 }
 
-// processorTime is what this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapSize is what this process holds, in bytes.
+// heapSize returns the size of this process's heap and stacks, in bytes, after a garbage collection.
 func heapSize() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -180,7 +186,7 @@
 	return float64(stats.HeapAlloc) + float64(stats.StackInuse)
 }
 
-// idleMeshConfiguration is the text of a configuration with so many services and routes.
+// idleMeshConfiguration returns the text of a configuration with the given numbers of services and routes.
 func idleMeshConfiguration(version uint64, services, routes int) []byte {
 	var routeTable, serviceTable []string
 	for i := range services {
@@ -188,8 +194,9 @@
 			`{"name":"service-%d","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}`, i))
 	}
 	for i := range routes {
-		routeTable = append(routeTable, fmt.Sprintf(`{"name":"r-%d","hostName":"h%d.example","pathPrefix":"/p%d/","routeKind":"idempotent",`+
-			`"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"service-%d","maxAttempts":2,"publicAccess":false}`,
+		routeTable = append(routeTable, fmt.Sprintf(`{"name":"r-%d","hostName":"h%d.example","pathPrefix":"/p%d/",`+
+			`"routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"service-%d",`+
+			`"maxAttempts":2,"publicAccess":false}`,
 			i, i%100, i, i%services))
 	}
 	return fmt.Appendf(nil, `{"configVersion":"r%d","routeTable":[%s],"serviceTable":[%s],"limitSet":{"headerMaxBytes":16384,`+
@@ -198,9 +205,9 @@
 		version, strings.Join(routeTable, ","), strings.Join(serviceTable, ","))
 }
 
-// BenchmarkIdleMesh measures sidecars that nobody calls, all in this process, over loopback: processor, heap and bytes of each
-// and second while quiet, and how long a configuration and the draining of an endpoint take to all. HOLLOW names further sizes, as
-// sidecars,services,routes apart by spaces.
+// BenchmarkIdleMesh measures sidecars without requests, all in this process, over loopback: CPU, heap and traffic of each sidecar per
+// second while the mesh is quiet, and the time until all sidecars know a configuration and a draining endpoint. The environment variable
+// HOLLOW replaces the size by others, written as sidecars,services,routes and separated by spaces.
 func BenchmarkIdleMesh(b *testing.B) {
 	sizes := []string{"20,3,10"}
 	if more := os.Getenv("HOLLOW"); more != "" {
@@ -222,7 +229,7 @@
 	}
 }
 
-// measureIdleMesh plays a mesh for some 20 seconds, and reports what its sidecars have used.
+// measureIdleMesh runs a mesh for some 20 seconds, and reports what its sidecars have used.
 func measureIdleMesh(b *testing.B, sidecars, services, routes int) {
 	b.Helper()
 	const core = 3
@@ -268,7 +275,7 @@
 	b.ReportMetric(float64(mesh.waitForSidecars("draining", &mesh.drained).Milliseconds()), "ms/drain")
 }
 
-// publisherOf returns a function that has a sidecar publish an endpoint in a state.
+// publisherOf returns a function by which a sidecar publishes an endpoint in a state, each time as of a new keepalive.
 func publisherOf(a *Agent, id string) func(discovery.State) {
 	sequence := uint64(0)
 	return func(s discovery.State) {
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	maxKeepaliveBytes       = 16 << 10 // of a body
-	keepaliveForwardTimeout = 250 * time.Millisecond
-	forwardedRecordLease    = 9 * time.Second // of a record made from a keepalive that another process received
+	maxKeepaliveBytes       = 16 << 10               // bytes of a keepalive's body
+	keepaliveForwardTimeout = 250 * time.Millisecond // for the endpoint's own sidecar to answer, and then for the registry owners
+	forwardedRecordLease    = 9 * time.Second        // lease of the record of a keepalive that another process than the sidecar received
 )
 
 // LocalEndpoint is the endpoint beside this process.
 type LocalEndpoint interface {
-	// Keepalive takes a keepalive, or a deregistration (state Deregistered). It reports false if that is not of the endpoint beside this
-	// process.
+	// Keepalive handles a keepalive, or a deregistration (state Deregistered). It reports whether that came from the endpoint beside
+	// this process.
 	Keepalive(e discovery.Endpoint) bool
 }
 
-// keepaliveServer answers the calls of endpoints. An endpoint calls the sidecar beside it; if it can't reach that, it calls any other
-// process, which forwards the keepalive.
+// keepaliveServer answers the calls of endpoints. An endpoint calls the sidecar beside it; if it can't reach the sidecar, it calls any
+// other process, which forwards the keepalive.
 type keepaliveServer struct {
 	*environment
 	members   *memberTracker
@@ -34,7 +34,7 @@
 	local     LocalEndpoint // may be nil
 }
 
-// handler serves the calls by their paths.
+// handler returns the handler of the calls, by their paths.
 func (k *keepaliveServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", k.serveKeepalive)
@@ -42,7 +42,7 @@
 	return mux
 }
 
-// serveKeepalive answers a keepalive; 400 and 413 say that its body can't be used.
+// serveKeepalive answers a keepalive: 413 if its body is too large or can't be read, 400 if the body can't be parsed.
 func (k *keepaliveServer) serveKeepalive(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKeepaliveBytes))
 	if err != nil {
@@ -58,7 +58,7 @@
 	k.answer(r.Context(), w, e)
 }
 
-// serveDeregistration answers an endpoint that ends in order. Its id is all that it sends.
+// serveDeregistration answers an endpoint that deregisters. The ID in the path is all that it sends.
 func (k *keepaliveServer) serveDeregistration(w http.ResponseWriter, r *http.Request) {
 	k.answer(r.Context(), w, discovery.Endpoint{ID: r.PathValue("id"), State: discovery.Deregistered})
 }
@@ -68,8 +68,8 @@
 	return &publishRequest{Accepted: k.deliver(ctx, p.Endpoint)}
 }
 
-// answer acknowledges a keepalive. That an endpoint leaves is acknowledged only once its sidecar, or registry owners in every zone, have
-// taken it; the answer is 503 otherwise, and the endpoint calls another process.
+// answer acknowledges a keepalive. Draining and deregistration are acknowledged only once the endpoint's own sidecar, or a registry owner
+// in every zone, has accepted them; the answer is 503 otherwise, and the endpoint calls another process.
 func (k *keepaliveServer) answer(ctx context.Context, w http.ResponseWriter, e discovery.Endpoint) {
 	target := ""
 	if !k.deliver(ctx, e) {
@@ -85,11 +85,12 @@
 		text = `{"` + fieldKeepaliveTarget + `":"` + target + `"}`
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = io.WriteString(w, text) // an endpoint that has gone away gets none
+	_, _ = io.WriteString(w, text) // the endpoint may have closed the connection
 }
 
-// deliver hands a keepalive to the endpoint beside this process; false if it is not that endpoint's. One that leaves is acknowledged
-// only once another machine knows: else the update would be lost with this process.
+// deliver passes a keepalive to LocalEndpoint, and reports whether it came from the endpoint beside this process. If the endpoint is
+// draining or has deregistered, deliver waits until a registry owner on another machine has the record: with this process alone the
+// update would be lost if the process ended.
 func (k *keepaliveServer) deliver(ctx context.Context, e discovery.Endpoint) bool {
 	if k.local == nil || !k.local.Keepalive(e) {
 		return false
@@ -100,30 +101,30 @@
 	return true
 }
 
-// forward forwards a keepalive that this process received to the endpoint's own sidecar, or, if that can't be reached, publishes it
-// to the registry owners of the service on the sidecar's behalf. It reports whether the keepalive was accepted; if the own sidecar has
-// accepted it, target is the control address of that, for later keepalives.
-func (k *keepaliveServer) forward(ctx context.Context, e discovery.Endpoint) (target string, accepted bool) {
-	if e.AppAddress == "" { // deregistered: only its id is known
-		e = k.directory.complete(e)
+// forward forwards a keepalive to the endpoint's own sidecar or, if the sidecar can't be reached, publishes its record to the registry
+// owners of the service on the sidecar's behalf. It reports whether the keepalive was accepted. If the sidecar has accepted it, target is
+// the sidecar's control address, to which the endpoint is to send later keepalives.
+func (k *keepaliveServer) forward(ctx context.Context, record discovery.Endpoint) (target string, accepted bool) {
+	if record.AppAddress == "" { // a deregistration, which has only an ID
+		record = k.directory.complete(record)
 	}
-	ip, _, err := net.SplitHostPort(e.AppAddress)
+	ip, _, err := net.SplitHostPort(record.AppAddress)
 	if err != nil {
 		return "", false
 	}
-	e.LeaseRemaining = forwardedRecordLease
-	e.SidecarAddress = k.settings.PeerAddress(ip)
+	record.LeaseRemaining = forwardedRecordLease
+	record.SidecarAddress = k.settings.PeerAddress(ip)
 	if m, ok := k.members.at(ip); ok {
-		e.SidecarAddress = m.Address
-		e.SidecarIncarnation = m.Incarnation
+		record.SidecarAddress = m.Address
+		record.SidecarIncarnation = m.Incarnation
 	}
-	if k.forwardToSidecar(ctx, e) {
+	if k.forwardToSidecar(ctx, record) {
 		return k.controlAddress(ip), true
 	}
-	// The time that the sidecar was given may have used up the endpoint's call; the owners are to know nevertheless.
+	// The endpoint may have given up its call while the sidecar was waited for. The owners are to get the record nevertheless.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepaliveForwardTimeout)
 	defer cancel()
-	return "", k.publisher.publishOnBehalf(ctx, e)
+	return "", k.publisher.publishOnBehalf(ctx, record)
 }
 
 // forwardToSidecar reports whether the endpoint's own sidecar has accepted a keepalive in time.
@@ -134,7 +135,7 @@
 	return err == nil && answer.Accepted
 }
 
-// controlAddress is the control address of the process at an IP address: all machines have the same ports.
+// controlAddress returns the control address of the process at an IP address: all machines have the same ports.
 func (k *keepaliveServer) controlAddress(ip string) string {
 	_, port, _ := net.SplitHostPort(k.settings.ControlAddress) // checked when the settings were parsed
 	return net.JoinHostPort(ip, port)
--- a/internal/mesh/agent/keepalive_body.go
+++ b/internal/mesh/agent/keepalive_body.go
@@ -24,47 +24,47 @@
 )
 
 const (
-	maxTextBytes = 256     // of a field
-	maxSlots     = 1 << 20 // more are taken for so many
-	maxSlowStart = time.Hour
+	maxTextBytes = 256       // bytes of a field; a longer one is rejected
+	maxSlots     = 1 << 20   // a higher number is reduced to this
+	maxSlowStart = time.Hour // a longer slow start is reduced to this
 )
 
-// ParseKeepalive parses the JSON body of a keepalive of the endpoint with an id. Fields that it does not know are ignored. The error is
-// trace.BadParameter and names each field that can't be used.
+// ParseKeepalive parses the JSON body of a keepalive of the endpoint with an ID. Unknown fields are ignored. The error is
+// trace.BadParameter, and names each field that can't be used.
 func ParseKeepalive(id string, body []byte) (discovery.Endpoint, error) {
-	e := discovery.Endpoint{ID: id}
+	endpoint := discovery.Endpoint{ID: id}
 	if !gjson.ValidBytes(body) {
-		return e, trace.BadParameter("not JSON")
+		return endpoint, trace.BadParameter("not JSON")
 	}
 	k := keepaliveBody{root: gjson.ParseBytes(body)}
-	e.Service = k.text(fieldService)
-	e.AppAddress = k.text(fieldAddress)
-	e.Zone = k.root.Get(fieldZone).String()
-	e.Slots = int(min(k.number(fieldSlots), maxSlots))
-	e.Sequence = uint64(k.number(fieldSequence))
-	if _, _, err := net.SplitHostPort(e.AppAddress); err != nil {
+	endpoint.Service = k.text(fieldService)
+	endpoint.AppAddress = k.text(fieldAddress)
+	endpoint.Zone = k.root.Get(fieldZone).String()
+	endpoint.Slots = int(min(k.number(fieldSlots), maxSlots))
+	endpoint.Sequence = uint64(k.number(fieldSequence))
+	if _, _, err := net.SplitHostPort(endpoint.AppAddress); err != nil {
 		k.fault(fieldAddress, "one like 10.0.0.4:8080")
 	}
-	e.State = k.state()
-	e.WarmupRemaining = k.slowStart()
+	endpoint.State = k.state()
+	endpoint.WarmupRemaining = k.slowStart()
 	if len(k.faults) > 0 {
-		return e, trace.BadParameter("%s", strings.Join(k.faults, "; "))
+		return endpoint, trace.BadParameter("%s", strings.Join(k.faults, "; "))
 	}
-	return e, nil
+	return endpoint, nil
 }
 
-// keepaliveBody reads the fields of a body, and collects all faults.
+// keepaliveBody reads the fields of a body, and collects the faults of all of them.
 type keepaliveBody struct {
 	root   gjson.Result
 	faults []string
 }
 
-// fault notes that a field can't be used.
+// fault records that a field can't be used, and what is wanted instead.
 func (k *keepaliveBody) fault(field, wanted string) {
 	k.faults = append(k.faults, field+": wanted "+wanted)
 }
 
-// text is a field that must be a text, not empty and of up to maxTextBytes.
+// text returns a field that must be a string of 1 to maxTextBytes bytes.
 func (k *keepaliveBody) text(field string) string {
 	value := k.root.Get(field)
 	if value.Type != gjson.String || value.String() == "" || len(value.String()) > maxTextBytes {
@@ -73,7 +73,7 @@
 	return value.String()
 }
 
-// number is a field that must be a number, not negative; a fraction is cut off.
+// number returns a field that must be a number of 0 or more, truncated to an integer.
 func (k *keepaliveBody) number(field string) int64 {
 	value := k.root.Get(field)
 	if value.Type != gjson.Number || value.Int() < 0 {
@@ -82,7 +82,7 @@
 	return value.Int()
 }
 
-// state is the endpoint's state, which only these two can be while it sends keepalives.
+// state returns the endpoint's state. An endpoint that sends keepalives is in one of two states.
 func (k *keepaliveBody) state() discovery.State {
 	switch k.text(fieldState) {
 	case StateInService:
@@ -94,7 +94,7 @@
 	return discovery.Serving
 }
 
-// slowStart is how long the endpoint still warms up; 0 if the field is not there.
+// slowStart returns what is left of the endpoint's slow start; 0 if the field is missing.
 func (k *keepaliveBody) slowStart() time.Duration {
 	value := k.root.Get(fieldSlowStart)
 	if !value.Exists() {
--- a/internal/mesh/agent/keepalive_test.go
+++ b/internal/mesh/agent/keepalive_test.go
@@ -13,17 +13,18 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// callKeepalive has an endpoint call a process, and returns the status of the answer.
+// callKeepalive makes an endpoint's call to a process, and returns the status of the answer.
 func callKeepalive(t *testing.T, a *Agent, id, call, state string) int {
 	t.Helper()
-	body := fmt.Sprintf(`{"serviceName":"service-0","address":"127.7.9.9:8080","zone":"zone-0","slotCount":4,"state":%q,"callSequence":7}`, state)
+	body := fmt.Sprintf(`{"serviceName":"service-0","address":"127.7.9.9:8080","zone":"zone-0","slotCount":4,"state":%q,`+
+		`"callSequence":7}`, state)
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/endpoints/"+id+"/"+call, strings.NewReader(body))
 	w := httptest.NewRecorder()
 	a.KeepaliveHandler(nil).ServeHTTP(w, r)
 	return w.Code
 }
 
-// knows reports whether a process knows an endpoint in a state.
+// knows reports whether a process has a record of an endpoint in a state.
 func knows(a *Agent, id string, state discovery.State) bool {
 	for _, e := range a.snapshot().endpoints {
 		if e.ID == id {
@@ -33,8 +34,9 @@
 	return false
 }
 
-// An endpoint whose own sidecar can't be reached calls a core process when it leaves. That is acknowledged only if registry owners in
-// every zone know of it: a core process that is partitioned, or does not know the endpoint, answers 503, and the endpoint calls another.
+// An endpoint that can't reach its own sidecar reports to a core process that it is draining or deregisters. The call is acknowledged only
+// if registry owners in every zone have the record: a core process that is partitioned, or doesn't know the endpoint, answers 503, and
+// the endpoint calls another process.
 func TestALeavingEndpointIsAcknowledgedOnlyIfItIsKnown(t *testing.T) {
 	c := qt.New(t)
 	mesh := newIdleMesh(t, idleMeshSize{core: 1, zones: 2, services: 1})
@@ -55,21 +57,22 @@
 	c.Check(knows(second, "i-3", discovery.Draining), qt.IsTrue)
 }
 
-// What is acknowledged to an endpoint is known to another machine first: the update outlives the process that took it.
+// A record counts as acknowledged elsewhere only once an owner on another machine has its newest revision, so that it is not lost with
+// the process that received it.
 func TestALeavingEndpointsOwnSidecarWaitsForAnOwner(t *testing.T) {
 	c := qt.New(t)
 	p := discovery.NewPublisher(discovery.Config{})
-	e := discovery.Endpoint{ID: "x", Service: "s", AppAddress: "a:1", SidecarIncarnation: 1}
+	endpoint := discovery.Endpoint{ID: "x", Service: "s", AppAddress: "a:1", SidecarIncarnation: 1}
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
 	p.SetOwners(0, []string{"self"})
-	p.Set(0, e)
+	p.Set(0, endpoint)
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other owner"))
 	p.SetOwners(0, []string{"self", "one", "two"})
-	e.State = discovery.Draining
-	p.Set(time.Second, e)
+	endpoint.State = discovery.Draining
+	p.Set(time.Second, endpoint)
 	revision := uint64(0)
-	for _, s := range p.Tick(time.Second) {
-		revision = s.Endpoint.Revision
+	for _, announcement := range p.Tick(time.Second) {
+		revision = announcement.Endpoint.Revision
 	}
 	p.Acknowledged(time.Second, "self", "x", revision)
 	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse)
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	ownersPerZone = 2               // registry owners that a service has in each zone
-	zoneRetention = 2 * time.Minute // for which a zone counts that has no members any more
+	ownersPerZone = 2               // registry owners of a service in each zone
+	zoneRetention = 2 * time.Minute // for which a zone counts as one after its last member has departed
 )
 
 // memberTracker keeps the view of the members and exchanges it with others. Its fields are guarded by environment.mu.
@@ -25,22 +25,22 @@
 	sidecarCount int                      // as last reported
 
 	changesHandled bool   // viewChangedLocked has reported all changes up to handledChanges
-	handledChanges uint64 // as counted by the view
+	handledChanges uint64 // membership.View.ChangeCount then
 }
 
-// versionExchange is what shuffles carry of the configuration.
+// versionExchange provides the version of the configuration that shuffles carry, and receives those of peers.
 type versionExchange interface {
-	// versionLocked is the version that this process holds.
+	// versionLocked returns the version that is applied in this process; 0 if there is none.
 	versionLocked() uint64
-	// learnVersion is called with the version that a peer holds.
+	// learnVersion is called with the version that is applied at a peer.
 	learnVersion(peer string, version uint64)
 }
 
-// newMemberTracker makes a tracker whose view has this process as its only member, and the seeds of the settings.
+// newMemberTracker returns a tracker whose view has this process as its only member, and the seeds of the settings.
 func newMemberTracker(env *environment) *memberTracker {
 	self := env.hub.Self()
 	rng := rand.New(rand.NewPCG(env.config.Seed, self.Incarnation))
-	m := &memberTracker{
+	tracker := &memberTracker{
 		environment: env,
 		view: membership.New(membership.Member{
 			Incarnation: self.Incarnation,
@@ -54,10 +54,10 @@
 		zoneLastSeen: map[string]time.Duration{},
 	}
 	for zone, region := range env.settings.RegionOfZone {
-		m.view.SetRegion(zone, region)
+		tracker.view.SetRegion(zone, region)
 	}
-	m.view.SetSeeds(0, env.settings.SeedAddresses())
-	return m
+	tracker.view.SetSeeds(0, env.settings.SeedAddresses())
+	return tracker
 }
 
 // register registers the method by which peers exchange views.
@@ -65,7 +65,7 @@
 	transport.Handle(m.hub, methodShuffle, m.handleShuffle)
 }
 
-// tickLocked advances the view, and returns the shuffle that is to be sent to peers now, if there is one.
+// tickLocked advances the view, and returns the shuffle that is to be sent now, if there is one, and the peers that it goes to.
 func (m *memberTracker) tickLocked(now time.Duration) (peers []string, shuffle *membership.Shuffle) {
 	peers, shuffle = m.view.Tick(now)
 	if shuffle != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleShuffle answers a peer's shuffle with one.
+// handleShuffle answers a peer's shuffle; with an empty one if the view has no reply.
 func (m *memberTracker) handleShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
 	if reply := m.merge(s); reply != nil {
 		return reply
@@ -95,7 +95,7 @@
 	return &membership.Shuffle{Reply: true}
 }
 
-// merge merges a peer's view, and learns of the version of the configuration that it holds. The reply may be nil.
+// merge merges a shuffle into the view, and passes the peer's version of the configuration on. The reply may be nil.
 func (m *memberTracker) merge(s *membership.Shuffle) *membership.Shuffle {
 	if s.From.Incarnation == 0 {
 		return nil
@@ -105,7 +105,7 @@
 	return reply
 }
 
-// mergeView merges a peer's view, and returns the reply with the version of the configuration held here.
+// mergeView merges a shuffle into the view, and returns the reply, which carries the version that is applied here.
 func (m *memberTracker) mergeView(s *membership.Shuffle) *membership.Shuffle {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,8 +116,8 @@
 	return reply
 }
 
-// viewChangedLocked reports whether what depends on the members is to be worked out anew: at first, after each change of the view and
-// after invalidateLocked, once each.
+// viewChangedLocked reports whether what depends on the members has to be computed anew: at the first call, and at the first one after
+// a change of the view or a call of invalidateLocked.
 func (m *memberTracker) viewChangedLocked() bool {
 	changes := m.view.ChangeCount()
 	if m.changesHandled && m.handledChanges == changes {
@@ -128,10 +128,10 @@
 	return true
 }
 
-// invalidateLocked has viewChangedLocked report a change.
+// invalidateLocked makes the next viewChangedLocked report a change.
 func (m *memberTracker) invalidateLocked() { m.changesHandled = false }
 
-// reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. Without that callback nothing is counted.
+// reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. Without that callback sidecarCount stays 0.
 func (m *memberTracker) reportSidecarCountLocked() {
 	count := len(sidecarAddresses(m.allLocked()))
 	if count != m.sidecarCount && m.config.OnSidecarCount != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// sidecars is the number of sidecars as last reported.
+// sidecars returns the number of sidecars that was last reported.
 func (m *memberTracker) sidecars() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,29 +154,29 @@
 	m.view.SetSeeds(m.now(), addresses)
 }
 
-// linkLostLocked takes note that the link to an address has ended: its process may have ended too.
+// linkLostLocked marks the member at an address unreachable, as the link to it has ended.
 func (m *memberTracker) linkLostLocked(now time.Duration, address string) {
 	m.view.ConnectionLost(now, address)
 }
 
-// all are the processes that run, as far as this one knows, itself among them.
+// all returns the processes that run, as far as this one knows, itself included.
 func (m *memberTracker) all() []membership.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.allLocked()
 }
 
-// allLocked is all with the lock held.
+// allLocked is all for callers that hold the lock.
 func (m *memberTracker) allLocked() []membership.Member { return m.view.Members() }
 
-// at is the member at an IP address (Agent.MemberAt).
+// at returns the member at an IP address (Agent.MemberAt).
 func (m *memberTracker) at(ip string) (membership.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.MemberAt(ip)
 }
 
-// othersLocked are the addresses of all members but this process.
+// othersLocked returns the addresses of all members but this process.
 func (m *memberTracker) othersLocked() []string {
 	self := m.address()
 	var others []string
@@ -188,7 +188,7 @@
 	return others
 }
 
-// ownersLocked are the registry owners of a service in all zones.
+// ownersLocked returns the registry owners of a service in all zones.
 func (m *memberTracker) ownersLocked(service string) []membership.Member {
 	var owners []membership.Member
 	for _, zone := range m.view.Zones() {
@@ -197,19 +197,19 @@
 	return owners
 }
 
-// ownZoneOwnersLocked are up to n registry owners of a service in this process's zone.
+// ownZoneOwnersLocked returns up to n registry owners of a service in this process's zone.
 func (m *memberTracker) ownZoneOwnersLocked(service string, n int) []membership.Member {
 	return m.view.RegistryOwners(service, m.settings.Zone, n)
 }
 
-// recordZonesLocked takes note of the zones that have members now.
+// recordZonesLocked records the present time for each zone that has members.
 func (m *memberTracker) recordZonesLocked(now time.Duration) {
 	for _, zone := range m.view.Zones() {
 		m.zoneLastSeen[zone] = now
 	}
 }
 
-// recentZonesLocked is the set of the zones that have members, or had some within zoneRetention. The caller may change the set.
+// recentZonesLocked returns the set of the zones that have members, or had some within zoneRetention. The caller may change the set.
 func (m *memberTracker) recentZonesLocked() map[string]bool {
 	now := m.now()
 	m.recordZonesLocked(now)
@@ -224,7 +224,7 @@
 	return recent
 }
 
-// coreRank is this process's place, from 0, among the core processes in order of their addresses.
+// coreRank returns this process's position, from 0, among the core processes in the order of their addresses.
 func (m *memberTracker) coreRank(members []membership.Member) int {
 	self := m.address()
 	rank := 0
@@ -236,7 +236,7 @@
 	return rank
 }
 
-// sidecarAddresses are the internal addresses of the sidecars among members.
+// sidecarAddresses returns the internal addresses of the sidecars among members.
 func sidecarAddresses(members []membership.Member) []string {
 	var addresses []string
 	for _, member := range members {
--- a/internal/mesh/agent/message.go
+++ b/internal/mesh/agent/message.go
@@ -5,24 +5,25 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Methods of the control plane between processes. Their numbers, and those of the messages' fields, never change.
+// Methods of the control plane between processes: the type of the request, what it is, and the type of the reply. The numbers, and those
+// of the messages' fields, never change.
 const (
-	methodShuffle       = 10 // membership.Shuffle; answered by one
-	methodPublish       = 11 // publishRequest: a sidecar's record of its endpoint, for a registry owner; answered by another
-	methodSubscribe     = 12 // subscribeRequest: a request to be notified of a service, for a registry owner; answered by an endpointList
-	methodUpdate        = 13 // endpointList: what has changed, from a registry owner to a subscriber; answered by an acknowledgement
-	methodVersionNotice = 14 // versionNotice: the sender holds a version of the configuration; answered by an acknowledgement
-	methodConfiguration = 15 // configurationText: a request for the newest configuration; answered by another
-	methodConsensus     = 16 // opaqueMessage: a consensus.Request to another core process; answered by another, with a consensus.Reply
-	methodKeepalive     = 17 // publishRequest: a keepalive that another process received, for the endpoint's own sidecar; answered by another
-	methodLease         = 18 // lease.Request to a core process; answered by a lease.Reply
-	methodTokens        = 19 // ratelimit.AllocationRequest to the allocator, or to a sidecar that forwards it; answered by an AllocationReply
+	methodShuffle       = 10 // membership.Shuffle, a part of the sender's view; Shuffle
+	methodPublish       = 11 // publishRequest, a sidecar's record of its endpoint, to a registry owner; publishRequest
+	methodSubscribe     = 12 // subscribeRequest, to a registry owner; endpointList
+	methodUpdate        = 13 // endpointList, the records that have changed, from a registry owner to a subscriber; acknowledgement
+	methodVersionNotice = 14 // versionNotice, the version that is applied at the sender; acknowledgement
+	methodConfiguration = 15 // configurationText, a request for the newest configuration; configurationText
+	methodConsensus     = 16 // opaqueMessage, a consensus.Request to another core process; opaqueMessage, a consensus.Reply
+	methodKeepalive     = 17 // publishRequest, a keepalive that is forwarded to the endpoint's own sidecar; publishRequest
+	methodLease         = 18 // lease.Request, to a core process; lease.Reply
+	methodTokens        = 19 // ratelimit.AllocationRequest, to the allocator or a sidecar that forwards it; ratelimit.AllocationReply
 )
 
-// publishRequest is an endpoint's record on its way to a registry owner, and the owner's acknowledgement.
+// publishRequest is the record of an endpoint, and in the reply the acknowledgement of it.
 type publishRequest struct {
 	Endpoint discovery.Endpoint
-	Accepted bool // in the acknowledgement
+	Accepted bool // in a reply: the receiver has accepted the record
 }
 
 // Fields implements codec.Message.
@@ -35,8 +36,8 @@
 type subscribeRequest struct {
 	Subscriber       string // its internal address
 	Service          string
-	Since            uint64 // version of the owner's registry up to which the subscriber knows the service
-	OwnerIncarnation uint64 // of the owner whose registry has that version
+	Since            uint64 // version of the owner's registry up to which the subscriber has the service's records
+	OwnerIncarnation uint64 // incarnation of the owner that the version is from
 }
 
 // Fields implements codec.Message.
@@ -47,7 +48,7 @@
 	v.Fixed64(4, &s.OwnerIncarnation)
 }
 
-// endpointList is what a registry owner knows of a service, or what of it has changed.
+// endpointList holds records of a service at a registry owner: those that have changed since a version, or all of them.
 type endpointList struct {
 	Service          string
 	Version          uint64 // of the owner's registry; 0 in an update
@@ -63,16 +64,16 @@
 	v.Fixed64(4, &e.OwnerIncarnation)
 }
 
-// versionNotice says which version of the configuration its sender holds.
+// versionNotice announces the version of the configuration that is applied at its sender.
 type versionNotice struct{ Version uint64 }
 
 // Fields implements codec.Message.
 func (n *versionNotice) Fields(v *codec.Visitor) { v.Uint64(1, &n.Version) }
 
-// configurationText is the newest configuration that its sender knows to be committed. In a request the text is left out, in an answer
-// too if the version is not newer than the requester's.
+// configurationText is the configuration that is applied at its sender. A request has no text; nor has a reply whose version is not above
+// the requester's.
 type configurationText struct {
-	Version uint64
+	Version uint64 // 0 for none
 	Text    []byte // JSON, as it was submitted
 }
 
@@ -82,13 +83,13 @@
 	v.Bytes(2, &c.Text)
 }
 
-// opaqueMessage carries what another package has encoded.
+// opaqueMessage carries a message that another package has encoded.
 type opaqueMessage struct{ Body []byte }
 
 // Fields implements codec.Message.
 func (o *opaqueMessage) Fields(v *codec.Visitor) { v.Bytes(1, &o.Body) }
 
-// acknowledgement says that a message was processed.
+// acknowledgement reports that a message was processed.
 type acknowledgement struct{ Accepted bool }
 
 // Fields implements codec.Message.
--- a/internal/mesh/agent/publisher.go
+++ b/internal/mesh/agent/publisher.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// confirmationTimeout is how long a registry owner has to acknowledge a record that an endpoint waits for.
+// confirmationTimeout is how long an endpoint's call waits for a registry owner to acknowledge its record.
 const confirmationTimeout = 250 * time.Millisecond
 
 // recordPublisher publishes records of the endpoint beside this process to the registry owners of its service, in all zones. Its fields
@@ -26,7 +26,7 @@
 	acknowledged      chan struct{}     // closed, and replaced, when an owner has acknowledged a record
 }
 
-// newRecordPublisher makes a publisher without records.
+// newRecordPublisher returns a publisher without records.
 func newRecordPublisher(env *environment, members *memberTracker, directory *endpointDirectory) *recordPublisher {
 	return &recordPublisher{
 		environment:       env,
@@ -57,16 +57,15 @@
 	p.wake()
 }
 
-// linkLostLocked has the owner at an address get all records again.
+// linkLostLocked makes all records due again for the owner at an address, as the link to it has ended: it may have restarted.
 func (p *recordPublisher) linkLostLocked(address string) { p.records.ForgetOwner(address) }
 
-// tickLocked returns the records that are to be sent now, to each owner that has not acknowledged them.
+// tickLocked returns the records that are to be sent now: changes, those that an owner has not acknowledged, and renewals.
 func (p *recordPublisher) tickLocked(now time.Duration) []discovery.Announcement {
 	return p.records.Tick(now)
 }
 
-// updateOwnersLocked has the records be published to the owners among the present members. An owner that has restarted gets all of
-// them again.
+// updateOwnersLocked determines the registry owners anew, from the present members. An owner that has restarted gets all records again.
 func (p *recordPublisher) updateOwnersLocked(now time.Duration) {
 	if p.config.Role != membership.RoleAccess || p.settings.Service == "" {
 		return
@@ -82,7 +81,7 @@
 	p.records.SetOwners(now, addresses)
 }
 
-// sendRecords sends records to their owners, of which this process may be one.
+// sendRecords sends records to the registry owners, of which this process may be one.
 func (p *recordPublisher) sendRecords(records []discovery.Announcement) {
 	for _, r := range records {
 		if r.To == p.address() {
@@ -99,7 +98,7 @@
 	}
 }
 
-// recordAcknowledgement notes that an owner has a record, and wakes those that wait for that.
+// recordAcknowledgement records that an owner has acknowledged a record, and wakes awaitConfirmed.
 func (p *recordPublisher) recordAcknowledgement(r discovery.Announcement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,17 +134,17 @@
 }
 
 // publishOnBehalf publishes a record in place of the endpoint's own sidecar (Agent.PublishOnBehalf).
-func (p *recordPublisher) publishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
+func (p *recordPublisher) publishOnBehalf(ctx context.Context, record discovery.Endpoint) bool {
 	p.mu.Lock()
-	owners := p.members.ownersLocked(e.Service)
+	owners := p.members.ownersLocked(record.Service)
 	missing := p.members.recentZonesLocked()
 	p.mu.Unlock()
-	p.directory.applyAsOwner(e)
+	p.directory.applyAsOwner(record)
 
 	ctx, cancel := context.WithCancel(ctx)
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	defer cancel() // those that need not be waited for
+	defer cancel() // the requests that are still open when the result is known
 	answers := make(chan ownerAnswer, len(owners))
 	others := 0
 	for _, owner := range owners {
@@ -155,13 +154,13 @@
 		}
 		others++
 		requests.Go(func() {
-			answer, err := transport.Request[publishRequest](ctx, p.hub, owner.Address, methodPublish, &publishRequest{Endpoint: e})
+			answer, err := transport.Request[publishRequest](ctx, p.hub, owner.Address, methodPublish, &publishRequest{Endpoint: record})
 			answers <- ownerAnswer{zone: owner.Zone, accepted: err == nil && answer.Accepted}
 		})
 	}
 	accepted := false
 	for range others {
-		answer := <-answers // each comes before ctx ends
+		answer := <-answers // every request ends when ctx does, at the latest
 		if answer.accepted {
 			accepted = true
 			delete(missing, answer.zone)
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -13,37 +13,40 @@
 )
 
 const (
-	tokenInterval       = 40 * time.Millisecond  // between two looks at what is to be requested
-	tokenTimeout        = 120 * time.Millisecond // until requests without an answer go to another process
-	directRetryInterval = time.Second            // while a peer forwards requests: the allocator itself is tried again
+	tokenInterval       = 40 * time.Millisecond  // between two checks whether tokens are to be requested
+	tokenTimeout        = 120 * time.Millisecond // for a reply; without one the next request goes to another process
+	directRetryInterval = time.Second            // between two attempts to reach the allocator while a peer forwards requests to it
 )
 
-// QuotaClient is a sidecar's way to tenants' tokens. It requests them from the allocator, or, while it can't reach that, from another
-// sidecar that forwards its requests. Its methods may be called from any goroutine.
+// QuotaClient gets tenants' tokens for a sidecar. It requests them from the allocator or, while it can't reach the allocator, from
+// another sidecar that forwards its requests. Its methods may be called from any goroutine.
 type QuotaClient struct {
 	agent    *Agent
 	wakeup   chan struct{}  // holds a value if users' requests wait for tokens
 	inFlight sync.WaitGroup // requests for tokens
 
-	// mu guards what follows. environment.mu may be taken under it.
+	// mu guards the fields below. environment.mu may be taken under it.
 	mu            sync.Mutex
 	tokenCache    *ratelimit.TokenCache
-	allocator     string        // address of the one that granted last, or that was named as such
-	forwarder     string        // the sidecar that forwards requests; empty if the allocator is asked directly
-	directRetryAt time.Duration // when the allocator itself is tried again
-	failures      int           // in a row
+	allocator     string        // address of the allocator, by the newest reply that named it; empty if it isn't known
+	forwarder     string        // address of the sidecar that forwards requests; empty while the allocator is asked directly
+	directRetryAt time.Duration // when the allocator is asked directly again
+	failures      int           // requests in a row that were granted nothing
 }
 
-// NewQuotaClient makes a sidecar's client of the allocator, and registers the method by which it forwards other sidecars' requests. It
-// is called once; Run has it work.
+// NewQuotaClient returns a sidecar's client of the allocator, and registers the method by which it forwards other sidecars' requests. It
+// is called once for an Agent. Tokens are requested while Run runs.
 func (a *Agent) NewQuotaClient() *QuotaClient {
 	q := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), wakeup: make(chan struct{}, 1)}
 	transport.Handle(a.hub, methodTokens, q.handleForwarded)
 	return q
 }
 
-// handleForwarded forwards another sidecar's requests to the allocator, unless they have been forwarded once.
-func (q *QuotaClient) handleForwarded(ctx context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+// handleForwarded forwards another sidecar's request to the allocator, unless it was forwarded to this process: a request is forwarded
+// once at most.
+func (q *QuotaClient) handleForwarded(
+	ctx context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest,
+) *ratelimit.AllocationReply {
 	q.mu.Lock()
 	allocator := q.allocator
 	q.mu.Unlock()
@@ -60,17 +63,18 @@
 	return reply
 }
 
-// Acquire takes a token for a request of a tenant. done is called exactly once, soon: with ok if the request is admitted, else with the time
-// after which the tenant may retry. It may be called before Acquire returns. It must not block or call the client.
+// Acquire takes a token for a request of a tenant. done is called exactly once, within a bounded time: with ok if the request is
+// admitted, else with the time after which the tenant may retry. It may be called before Acquire returns, with the client's lock held:
+// it must neither block nor call the client.
 func (q *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) {
 	if !q.acquireCached(tenant, done) {
 		q.wake()
 	}
 }
 
-// acquireCached takes a token that is here already, or has the request wait for one. It reports whether done has been called.
+// acquireCached takes a token from the cache, or queues the request if there is none. It reports whether done has been called.
 func (q *QuotaClient) acquireCached(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) bool {
-	answered := false // guarded by mu, as done may be called later
+	answered := false // guarded by mu: the cache may call the function after this one has returned
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	limit := limitFor(&q.agent.settings.Bounds, tenant)
@@ -81,7 +85,7 @@
 	return answered
 }
 
-// wake has Run request tokens at once.
+// wake makes Run request tokens at once, rather than at its next tick. It does not wait for that.
 func (q *QuotaClient) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
@@ -89,7 +93,7 @@
 	}
 }
 
-// Run requests tokens until ctx ends, and returns when the last request has ended.
+// Run requests tokens until ctx ends. It returns once the last request has ended.
 func (q *QuotaClient) Run(ctx context.Context) {
 	defer q.inFlight.Wait()
 	tick := time.NewTicker(tokenInterval)
@@ -105,7 +109,7 @@
 	}
 }
 
-// sendRequests requests the tokens that are due, on a goroutine of its own.
+// sendRequests sends a request for tokens if one is due. A goroutine of its own waits for the reply.
 func (q *QuotaClient) sendRequests(ctx context.Context) {
 	now := q.agent.now()
 	sidecars := q.agent.members.sidecars()
@@ -127,9 +131,9 @@
 	q.inFlight.Go(func() { q.request(ctx, now, target, request) })
 }
 
-// targetLocked chooses the process to ask: the sidecar that forwards requests, until it is time to try the allocator itself again; else
-// the allocator that granted last; after failures, by turns, another sidecar, which may reach the allocator, and a core process, which
-// may be the allocator or name it.
+// targetLocked chooses the process to send a request to: the forwarder until directRetryAt, else the allocator. After failures, or if
+// the allocator isn't known, it draws in turn another sidecar, which may reach the allocator, and a core process, which may be the
+// allocator or name it.
 func (q *QuotaClient) targetLocked(now time.Duration) string {
 	if q.forwarder != "" && now < q.directRetryAt {
 		return q.forwarder
@@ -154,9 +158,10 @@
 	return candidates[q.agent.randomUint64Locked()%uint64(len(candidates))].Address
 }
 
-// request sends a request for tokens to a process, and takes the reply. One that is under way when ctx ends is still answered.
+// request sends a request for tokens to a process, and handles the reply. It waits for the reply also if ctx ends in between, as the
+// tokens may be needed for users' requests that are still pending.
 func (q *QuotaClient) request(ctx context.Context, sent time.Duration, to string, request *ratelimit.AllocationRequest) {
-	reply := q.ask(context.WithoutCancel(ctx), to, request)
+	reply := q.call(context.WithoutCancel(ctx), to, request)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.agent.now()
@@ -175,8 +180,8 @@
 	}
 }
 
-// ask is a process's reply; nil if none came, or to is empty.
-func (q *QuotaClient) ask(ctx context.Context, to string, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
+// call sends a request to a process, and returns its reply; nil if none came in time, or if to is empty.
+func (q *QuotaClient) call(ctx context.Context, to string, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
 	if to == "" {
 		return nil
 	}
@@ -189,7 +194,8 @@
 	return reply
 }
 
-// recordFailureLocked notes that a process granted nothing. Its reply, which may be nil, may name the allocator.
+// recordFailureLocked records that a process has granted nothing. If its reply, which may be nil, names another process as the allocator,
+// that one is asked at once.
 func (q *QuotaClient) recordFailureLocked(now time.Duration, asked string, reply *ratelimit.AllocationReply) {
 	q.failures++
 	q.tokenCache.HandleFailure(now)
--- a/internal/mesh/agent/quota_client_test.go
+++ b/internal/mesh/agent/quota_client_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/mesh/control/ratelimit"
 )
 
-// Requests are answered once each, by tokens that come while others are being taken in; the race detector looks on.
+// Each request is answered exactly once while replies with tokens arrive concurrently. The race detector makes this test stricter.
 func TestTakeWhileTokensCome(t *testing.T) {
 	client := newTestSidecar(t, "127.9.2.1:7401", 0).NewQuotaClient()
 	tenant := &configuration.Tenant{Name: "t", Rate: 1000, Burst: 1000}
@@ -40,7 +40,7 @@
 	granting.Wait()
 }
 
-// grantTokens has a client take a reply that grants a tenant some tokens.
+// grantTokens passes a client a reply that grants a tenant some tokens.
 func grantTokens(client *QuotaClient, tenant string) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
--- a/internal/mesh/agent/roles.go
+++ b/internal/mesh/agent/roles.go
@@ -15,41 +15,44 @@
 )
 
 const (
-	leaseCheckInterval  = 50 * time.Millisecond  // between two looks at the leases
-	memberCheckInterval = 300 * time.Millisecond // between two looks at the members
-	learnVotersTimeout  = time.Second            // for a read of the newest set of voters
+	leaseCheckInterval  = 50 * time.Millisecond  // between two checks of the leases
+	memberCheckInterval = 300 * time.Millisecond // between two checks of the members
+	learnVotersTimeout  = time.Second            // for a read of the newest voter set
 )
 
-// Voters is the consensus register (control/controlplane.Server), whose voters grant leases too.
+// Voters is the consensus register (control/controlplane.Server). Its voters also grant leases.
 type Voters interface {
-	// VoterSet is the newest set of voters, by control addresses, that this process knows as committed.
+	// VoterSet returns the newest voter set, of control addresses, that this process knows to be committed.
 	VoterSet() consensus.VoterSet
-	// Accepted is the epoch of this process's newest vote; ready is false while its record isn't known.
+	// Accepted returns the epoch of the voter set in the newest vote of this process. ready is false while the process's record is not
+	// read from disk, or is lost.
 	Accepted() (epoch uint64, ready bool)
-	// ReadLatest reads the register from a majority, and learns of a newer set of voters by that.
+	// ReadLatest reads the register from a majority of the voters. If that finds a newer voter set, VoterSet returns it from then on.
 	ReadLatest(ctx context.Context) (consensus.Value, error)
 }
 
-// SingletonRoles are the roles that one core process has at a time, under leases that the voters grant. There is one role, the
-// allocator. Each core process votes on leases if it is a voter, and contends for the roles. Its methods may be called from any goroutine.
+// SingletonRoles is a core process's part in the singleton roles: those that one core process has at a time, under a lease that the
+// voters grant. There is one such role, the allocator. Each core process contends for it, and votes on leases if it is a voter. The
+// methods may be called from any goroutine.
 type SingletonRoles struct {
 	agent        *Agent
 	voters       Voters
-	initialStart bool          // of the whole system: there was no earlier allocator
-	newerVoters  chan struct{} // holds a value if a newer set of voters is to be read
+	initialStart bool          // the whole system starts for the first time: there was no earlier allocator
+	newerVoters  chan struct{} // holds a value if a newer voter set is to be read
 
-	// mu guards what follows. environment.mu and eventRecorder.mu may be taken under it.
+	// mu guards the fields below. environment.mu and eventRecorder.mu may be taken under it.
 	mu               sync.Mutex
 	voter            *lease.Voter
 	allocatorLease   *lease.Candidate
 	allocator        *ratelimit.Allocator // nil while this process doesn't hold the lease
 	lastSeen         ratelimit.LastSeen   // of sidecars
 	membersCheckedAt time.Duration
-	learningVoters   bool // the newest set of voters is being read, or will be next
+	learningVoters   bool // a read of the newest voter set is pending or running
 }
 
-// NewSingletonRoles makes a core process's part in the singleton roles, and registers its methods. initialStart is true if the whole
-// system starts for the first time. It is called once; Run has it work.
+// NewSingletonRoles returns a core process's part in the singleton roles, and registers its methods. initialStart is true if the whole
+// system starts for the first time. It is called once for an Agent. The process votes on leases from then on, and contends for the roles
+// while Run runs.
 func (a *Agent) NewSingletonRoles(voters Voters, initialStart bool) *SingletonRoles {
 	self := a.hub.Self()
 	s := &SingletonRoles{
@@ -65,7 +68,7 @@
 	return s
 }
 
-// Run contends for the roles, and has them, until ctx ends.
+// Run contends for the roles and renews the leases of those that it has, until ctx ends. It doesn't release them (see Release).
 func (s *SingletonRoles) Run(ctx context.Context) {
 	var learner sync.WaitGroup
 	learner.Go(func() { s.learnVoters(ctx) })
@@ -82,7 +85,7 @@
 	}
 }
 
-// checkLeases requests or renews leases when it is time, and ends the role whose lease has run out.
+// checkLeases sends requests for leases, or to renew them, if they are due, and ends a role whose lease has expired.
 func (s *SingletonRoles) checkLeases() {
 	voters := s.voters.VoterSet()
 	now := s.agent.now()
@@ -92,7 +95,7 @@
 	}
 }
 
-// tickLeases returns the request that is to be sent to all voters now; nil for none.
+// tickLeases returns the request that is to be sent to all voters now; nil if there is none. It ends a role whose lease has expired.
 func (s *SingletonRoles) tickLeases(now time.Duration, voters consensus.VoterSet) *lease.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +106,7 @@
 	return request
 }
 
-// checkMembers takes note of the members, each memberCheckInterval.
+// checkMembers passes the present members to the event recorder, the lease and the allocator, once in a memberCheckInterval.
 func (s *SingletonRoles) checkMembers(now time.Duration) {
 	s.mu.Lock()
 	due := now >= s.membersCheckedAt+memberCheckInterval
@@ -136,7 +139,7 @@
 	}
 }
 
-// handleReply takes a voter's reply to a request that was sent at a time, under the set of voters of an epoch.
+// handleReply handles a voter's reply to a request that was sent at a time, to the voter set of an epoch.
 func (s *SingletonRoles) handleReply(sent time.Duration, epoch uint64, voter string, reply *lease.Reply) {
 	if reply.VoterSetEpoch > epoch {
 		s.requestVoters()
@@ -154,7 +157,7 @@
 	return s.vote(request)
 }
 
-// vote answers a request for leases. What the record knows is read before the grant is made, as package lease requires.
+// vote answers a request for leases as a voter. The epochs are read before the grant is made, as package lease requires.
 func (s *SingletonRoles) vote(request *lease.Request) *lease.Reply {
 	accepted, ready := s.voters.Accepted()
 	status := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.voters.VoterSet().Epoch)}
@@ -169,7 +172,7 @@
 	return s.voter.Handle(now, status, request)
 }
 
-// requestVoters has learnVoters read the newest set of voters, unless it does so already.
+// requestVoters makes learnVoters read the newest voter set, unless a read is pending or running.
 func (s *SingletonRoles) requestVoters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,11 +180,11 @@
 		return
 	}
 	s.learningVoters = true
-	s.newerVoters <- struct{}{} // there is room: learningVoters says that none is there
+	s.newerVoters <- struct{}{} // never blocks: learningVoters was false, so the channel is empty
 }
 
-// learnVoters reads the newest set of voters, on request and at once, until ctx ends: a holder that goes on under the old set would lose
-// its lease.
+// learnVoters reads the newest voter set whenever requestVoters asks for it, until ctx ends. A lease holder that kept to an old voter set
+// would lose its lease, as the voters reject its requests.
 func (s *SingletonRoles) learnVoters(ctx context.Context) {
 	for {
 		select {
@@ -193,7 +196,7 @@
 	}
 }
 
-// readVoters reads the register once; the voters are learned of by that.
+// readVoters reads the register once, so that VoterSet returns the newest voter set.
 func (s *SingletonRoles) readVoters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, learnVotersTimeout)
 	defer cancel()
@@ -205,8 +208,8 @@
 	s.learningVoters = false
 }
 
-// Release gives up all leases for good, notifies the voters and the other core processes, and waits for their answers until ctx ends, so
-// that the next holder can start at once. It is for a process that is about to end. Once nothing is held, it does nothing.
+// Release releases all leases, for good, so that the next holder need not wait until they expire. It notifies the voters and the other
+// core processes, and waits for their answers until ctx ends. It is for a process that is shutting down. Without a lease it does nothing.
 func (s *SingletonRoles) Release(ctx context.Context) {
 	request := s.resign()
 	if request == nil {
@@ -217,7 +220,7 @@
 	answered := make(chan struct{}, len(peers))
 	for _, peer := range peers {
 		s.agent.hub.Send(s.agent.peerAddress(peer), methodLease, codec.MarshalAppend(nil, request), 0, func([]byte, error) {
-			answered <- struct{}{} // one that can't be reached counts too
+			answered <- struct{}{} // an error counts, too: there is nothing to wait for
 		})
 	}
 	for range peers {
@@ -229,7 +232,7 @@
 	}
 }
 
-// resign ends all roles, and returns the request that releases the leases; nil if there are none.
+// resign ends the roles of this process, and returns the request that releases their leases; nil if it has none.
 func (s *SingletonRoles) resign() *lease.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,14 +241,14 @@
 	return request
 }
 
-// otherCores are the control addresses of the voters and of the core processes among the members, each once, without this process.
+// otherCores returns the control addresses of the voters and of the core processes among the members, each once, without this process.
 func (s *SingletonRoles) otherCores() []string {
 	cores := append(slices.Clone(s.voters.VoterSet().Voters), s.agent.CoreAddresses()...)
 	slices.Sort(cores)
 	return slices.DeleteFunc(slices.Compact(cores), func(core string) bool { return core == s.agent.settings.ControlAddress })
 }
 
-// updateSidecarsLocked takes note of the sidecars among the members, for the allocator.
+// updateSidecarsLocked records which members are sidecars, and passes those that were seen lately to the allocator.
 func (s *SingletonRoles) updateSidecarsLocked(now time.Duration, members []membership.Member) {
 	recent := s.lastSeen.Update(now, sidecarAddresses(members))
 	if s.allocator != nil {
--- a/internal/mesh/agent/roles_test.go
+++ b/internal/mesh/agent/roles_test.go
@@ -15,11 +15,11 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// fakeRegister stands in for the consensus register of one core process: what it knows as committed, and what all have accepted.
+// fakeRegister is the consensus register of one core process, without consensus: the test sets what the process knows.
 type fakeRegister struct {
 	mu       sync.Mutex
-	known    consensus.VoterSet
-	accepted uint64
+	known    consensus.VoterSet  // newest that the process knows to be committed
+	accepted uint64              // epoch of the process's vote
 	newest   *consensus.VoterSet // that a read finds; nil for the known one
 }
 
@@ -47,14 +47,14 @@
 	return consensus.Value{VoterSet: r.known}, nil
 }
 
-// testCore is a few core processes on loopback, without disks. The first three are the voters.
+// testCore holds a few core processes on loopback, without disks. The first three are the voters.
 type testCore struct {
 	*qt.C
 	registers []*fakeRegister
 	roles     []*SingletonRoles
 }
 
-// newTestCore starts n core processes that end with the test.
+// newTestCore starts n core processes, which are stopped when the test ends.
 func newTestCore(t *testing.T, n int) *testCore {
 	t.Helper()
 	core := &testCore{C: qt.New(t)}
@@ -66,7 +66,12 @@
 	for i := range n {
 		ip := ipOf(i)
 		own := &settings.Settings{
-			Name: ip, IP: ip, Zone: "z", Region: "r", InternalPorts: [2]int{7401, 7401}, Seeds: addresses,
+			Name:           ip,
+			IP:             ip,
+			Zone:           "z",
+			Region:         "r",
+			InternalPorts:  [2]int{7401, 7401},
+			Seeds:          addresses,
 			ControlAddress: addresses[i],
 		}
 		hub := newTestHub(t, uint64(i+1), own.InternalAddress())
@@ -88,25 +93,26 @@
 	return core
 }
 
-// holder waits until one of the processes is the allocator, and returns its place and fencing token.
-func (c *testCore) holder() (i int, token uint64) {
+// holder waits until one of the processes holds the allocator's lease, and returns its index and fencing token.
+func (c *testCore) holder() (process int, token uint64) {
 	c.Helper()
 	eventually(c, "a process holds the lease", func() bool {
-		for place, roles := range c.roles {
+		for i, roles := range c.roles {
 			roles.mu.Lock()
-			held, ok := roles.allocatorLease.Holds(roles.agent.now())
+			holding, ok := roles.allocatorLease.Holds(roles.agent.now())
 			roles.mu.Unlock()
 			if ok {
-				i, token = place, held
+				process, token = i, holding
 				return true
 			}
 		}
 		return false
 	})
-	return i, token
+	return process, token
 }
 
-// A holder that releases its lease is followed by another one, under a higher fencing token, and requests it no more.
+// After a holder has released its lease, another process acquires it, with a higher fencing token. The former holder doesn't request it
+// again.
 func TestSingletonRoleIsReleased(t *testing.T) {
 	c := newTestCore(t, 4)
 	first, token := c.holder()
@@ -118,10 +124,11 @@
 	t.Logf("the next holder came %v after the release", time.Since(began).Round(time.Millisecond))
 	c.Assert(next != first, qt.IsTrue)
 	c.Assert(higher > token, qt.IsTrue)
-	c.roles[first].Release(ctx) // once more changes nothing
+	c.roles[first].Release(ctx) // a second call does nothing
 }
 
-// Voters that accepted a newer set refuse the holder's request, and by that it learns of the set and renews under it.
+// Voters that have accepted a newer voter set reject the holder's request. The holder then reads the newer set, and renews its lease with
+// those voters.
 func TestHolderLearnsOfNewVoters(t *testing.T) {
 	c := newTestCore(t, 4)
 	first, token := c.holder()
@@ -138,13 +145,13 @@
 		r.mu.Unlock()
 	}
 	eventually(t, "the holder knows the new voters", func() bool { return c.registers[first].VoterSet().Epoch > 0 })
-	again, higher := c.holder()
-	t.Logf("process %d under %d, then %d under %d", first, token, again, higher)
+	second, higher := c.holder()
+	t.Logf("process %d under %d, then %d under %d", first, token, second, higher)
 	c.Assert(higher >= token, qt.IsTrue)
 }
 
-// A holder whose fencing token is below one that a sidecar knows, as all voters have forgotten it, grants nothing until it has raised
-// its own, and goes on as the holder.
+// A sidecar may have seen a higher fencing token than the holder's, if all voters have lost their state since. The holder then grants
+// nothing until it has raised its own token, and remains the holder.
 func TestAllocatorRaisesItsNumber(t *testing.T) {
 	c := newTestCore(t, 3)
 	for _, roles := range c.roles {
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -14,15 +14,15 @@
 // StatePath is the path of State over HTTP.
 const StatePath = "/mesh/state"
 
-// confirmationReadTimeout is how long State waits for a majority of the voters.
+// confirmationReadTimeout is how long SingletonRoles.State waits for a majority of the voters.
 const confirmationReadTimeout = 500 * time.Millisecond
 
-// State is what a core process holds of the mesh, for operators: with ages, and the process that each fact comes from. The keys of its
-// JSON are part of the interface to tools (meshctl).
+// State is the state of the mesh as one core process knows it, for operators. The keys of its JSON are part of the interface to tools
+// (meshctl).
 type State struct {
 	Node      string          `json:"node"`          // name of the process, as in its settings
-	Version   string          `json:"configVersion"` // newest committed version known, like "r12"; "0" for none
-	Confirmed bool            `json:"confirmed"`     // a majority of the voters was reached: the version is the newest there is
+	Version   string          `json:"configVersion"` // newest committed version that is known, like "r12"; "0" for none
+	Confirmed bool            `json:"confirmed"`     // a majority of the voters was reached: there is no newer committed version
 	Voters    []string        `json:"voters"`        // control addresses
 	Ready     bool            `json:"ready"`         // this process has its consensus record, and votes if it is a voter
 	Roles     []RoleState     `json:"duties"`
@@ -35,7 +35,7 @@
 	Name         string `json:"name"`
 	Holder       string `json:"holder"`           // internal address of the lease holder; empty if it is not known
 	FencingToken uint64 `json:"epoch,omitempty"`  // known to the holder alone
-	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds of the lease, if it isn't renewed; known to the holder alone
+	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds until the lease expires if it isn't renewed; known to the holder alone
 }
 
 // MemberState is a process that runs.
@@ -44,7 +44,7 @@
 	Zone    string `json:"zone"`
 	Role    string `json:"role"`              // "access" for a sidecar, or "core"
 	Service string `json:"service,omitempty"` // of the endpoint beside it
-	AgeMs   int64  `json:"ageMs"`             // milliseconds since its newest heartbeat known here
+	AgeMs   int64  `json:"ageMs"`             // milliseconds since its newest heartbeat that the core process knows
 }
 
 // EndpointState is an endpoint's record.
@@ -54,9 +54,9 @@
 	Zone    string `json:"zone"`
 	State   string `json:"state"` // one of the State constants
 	Address string `json:"address"`
-	Sidecar string `json:"witness"` // internal address of the sidecar that reports the endpoint
-	Slots   int    `json:"slots"`   // requests that it serves at once
-	LeaseMs int64  `json:"leaseMs"` // milliseconds that are left of the record's lease
+	Sidecar string `json:"witness"` // internal address of the sidecar that publishes the record
+	Slots   int    `json:"slots"`   // requests that the endpoint serves at once
+	LeaseMs int64  `json:"leaseMs"` // milliseconds until the record's lease expires
 }
 
 // Names of the states of endpoints, in keepalives (the first two) and in State.
@@ -73,6 +73,7 @@
 	roleNameCore   = "core"
 )
 
+// stateNames holds the names of the states of endpoints.
 var stateNames = map[discovery.State]string{
 	discovery.Serving:      StateInService,
 	discovery.Draining:     StateDraining,
@@ -80,34 +81,34 @@
 	discovery.Deregistered: StateDeregistered,
 }
 
-// State gathers what this core process holds. It asks a majority of the voters first, for half a second at most: a process that is
-// partitioned from them can't tell whether what it holds is the newest, and says so (Confirmed).
+// State collects the state of the mesh as this core process knows it. It reads the register from a majority of the voters first, for half
+// a second at most. Confirmed is false if that fails: a newer version may then be committed that this process doesn't know.
 func (s *SingletonRoles) State(ctx context.Context) State {
 	ctx, cancel := context.WithTimeout(ctx, confirmationReadTimeout)
 	defer cancel()
 	newest, err := s.voters.ReadLatest(ctx)
 	_, ready := s.voters.Accepted()
-	held := s.agent.snapshot()
+	known := s.agent.snapshot()
 	return State{
 		Node:      s.agent.settings.Name,
-		Version:   max(held.version, newest.Version).String(),
+		Version:   max(known.version, newest.Version).String(),
 		Confirmed: err == nil,
 		Voters:    s.voters.VoterSet().Voters,
 		Ready:     ready,
 		Roles:     []RoleState{s.allocatorState()},
-		Members:   memberStates(held.members),
-		Endpoints: endpointStates(held.endpoints),
+		Members:   memberStates(known.members),
+		Endpoints: endpointStates(known.endpoints),
 	}
 }
 
-// snapshot is what an agent knows at one moment.
+// snapshot is the state of an agent at one moment.
 type snapshot struct {
-	version   configuration.Version
+	version   configuration.Version // the applied one
 	members   []membership.Member
 	endpoints []discovery.Endpoint
 }
 
-// snapshot is taken under one lock, so that its parts fit together.
+// snapshot returns the present state of the agent. It is read under one lock, so that its parts are consistent with each other.
 func (a *Agent) snapshot() snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// allocatorState is the allocator's lease as this process knows it.
+// allocatorState returns the state of the allocator's lease as this process knows it.
 func (s *SingletonRoles) allocatorState() RoleState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// memberStates are members as State shows them; nil for none.
+// memberStates returns members as State shows them; nil for none.
 func memberStates(members []membership.Member) []MemberState {
 	var states []MemberState
 	for _, m := range members {
@@ -151,7 +152,7 @@
 	return states
 }
 
-// endpointStates are endpoint records as State shows them; nil for none.
+// endpointStates returns endpoint records as State shows them; nil for none.
 func endpointStates(endpoints []discovery.Endpoint) []EndpointState {
 	var states []EndpointState
 	for _, e := range endpoints {
@@ -169,7 +170,7 @@
 	return states
 }
 
-// Handler serves GET StatePath: State as JSON.
+// Handler returns the handler of GET StatePath, which answers with State as JSON.
 func (s *SingletonRoles) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet || r.URL.Path != StatePath {
@@ -177,6 +178,6 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.State(r.Context())) // a client that has gone away gets none
+		_ = json.NewEncoder(w).Encode(s.State(r.Context())) // the client may have closed the connection
 	})
 }
--- a/internal/mesh/agent/tenant_limits.go
+++ b/internal/mesh/agent/tenant_limits.go
@@ -6,13 +6,14 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// limitFor is a tenant's limit, with what the bounds let pass beyond it.
+// limitFor returns a tenant's rate limit. Its overage is the number of requests that the bounds of the settings let pass beyond it: a
+// fraction of those that the limit allows in a quota window, and a constant slack.
 func limitFor(b *settings.Bounds, t *configuration.Tenant) ratelimit.Limit {
 	allowed := t.Rate*b.QuotaWindow.Seconds() + t.Burst
 	return ratelimit.Limit{Rate: t.Rate, Burst: t.Burst, Overage: b.QuotaOverage*allowed + b.QuotaSlack}
 }
 
-// setTenantLimits puts the limits of a configuration in use.
+// setTenantLimits replaces the tenants' limits by those of a configuration.
 func (c *configurationUpdater) setTenantLimits(conf *configuration.Config) {
 	limits := map[string]ratelimit.Limit{}
 	for i := range conf.Tenants {
@@ -21,10 +22,11 @@
 	c.tenantLimits.Store(&limits)
 }
 
-// hasTenantLimits reports whether limits are known: whether any configuration has been applied.
+// hasTenantLimits reports whether a configuration has been applied, so that tenantLimit may be called.
 func (c *configurationUpdater) hasTenantLimits() bool { return c.tenantLimits.Load() != nil }
 
-// tenantLimit is a tenant's limit by the applied configuration, of which there must be one; false if it has no such tenant.
+// tenantLimit returns a tenant's limit by the applied configuration. It reports false if the configuration has no such tenant, and panics
+// if none has been applied (hasTenantLimits).
 func (c *configurationUpdater) tenantLimit(tenant string) (ratelimit.Limit, bool) {
 	limit, ok := (*c.tenantLimits.Load())[tenant]
 	return limit, ok
--- a/internal/mesh/agent/version_poll.go
+++ b/internal/mesh/agent/version_poll.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	pollPeers   = 4                      // that are asked for their version
-	pollTimeout = 250 * time.Millisecond // until the answers that have not come are not waited for
+	pollPeers   = 4                      // that are asked for their versions
+	pollTimeout = 250 * time.Millisecond // after which the poll ends without the missing answers
 )
 
-// versionPoll is how a process that holds no configuration chooses its first one. The first peer that it learns of a version from may
-// have been partitioned from the core processes for long, and hold an old one; so a few peers are asked for their versions, and the newest of
-// these is fetched. Once a process holds a configuration, it fetches newer ones as it learns of them. The zero value is ready for use.
+// versionPoll chooses the first configuration of a process that has none. The first peer that reports a version may have been
+// partitioned from the core processes for long, and have an old one. Therefore a few peers are asked for their versions, and the newest
+// is fetched. A process with a configuration needs no poll: it fetches every newer version that a peer reports. The zero value is ready
+// for use.
 type versionPoll struct {
 	running    bool
 	startedAt  time.Duration
 	unanswered map[string]bool // peers that were asked and have not answered
-	newest     uint64          // version found so far
-	newestPeer string          // that holds it
+	newest     uint64          // version that was reported so far
+	newestPeer string          // that reported it
 }
 
-// observe takes a version that a peer holds. If no poll runs, a new one starts, and ask are the peers to ask, out of the candidates in
-// their order.
+// observe records a version that a peer reports. If no poll runs, it starts one, and returns the peers to ask: the first of the
+// candidates.
 func (v *versionPoll) observe(now time.Duration, peer string, version uint64, candidates func() []string) (ask []string) {
 	if !v.running {
 		ask = v.start(now, peer, candidates())
@@ -28,7 +29,7 @@
 	return ask
 }
 
-// start starts a poll of up to pollPeers candidates, each once, without the peer that is known already.
+// start starts a poll of up to pollPeers candidates, each once, without the peer whose version is known already.
 func (v *versionPoll) start(now time.Duration, except string, candidates []string) (ask []string) {
 	v.running = true
 	v.startedAt = now
@@ -43,7 +44,7 @@
 	return ask
 }
 
-// record takes a peer's answer; version 0 says that it holds none.
+// record records a peer's answer; version 0 means that the peer has no configuration.
 func (v *versionPoll) record(peer string, version uint64) {
 	if !v.running {
 		return
@@ -55,8 +56,8 @@
 	}
 }
 
-// finish returns the newest version found and a peer that holds it, once all have answered or the time is over; false before, and if
-// no poll runs.
+// finish ends the poll if all peers have answered or pollTimeout is over, and returns the newest version that was reported and the peer
+// that has it. It reports false if the poll isn't over, if no poll runs, or if no peer has a configuration.
 func (v *versionPoll) finish(now time.Duration) (peer string, version uint64, ok bool) {
 	if !v.running || len(v.unanswered) > 0 && now-v.startedAt < pollTimeout {
 		return "", 0, false
--- a/internal/mesh/agent/version_poll_test.go
+++ b/internal/mesh/agent/version_poll_test.go
@@ -9,15 +9,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A process that starts beside a partitioned peer takes the newest version that one of the asked peers holds, whoever answers, in
-// whatever order, and it waits no longer than the timeout.
+// A process that first meets a peer that was partitioned finds the newest version among the peers it asks, whichever of them answer and
+// in whatever order, and it doesn't wait longer than the timeout.
 func TestVersionPollFindsTheNewest(t *testing.T) {
 	for seed := range uint64(2000) {
 		checkVersionPoll(t, rand.New(rand.NewPCG(seed, 1)))
 	}
 }
 
-// checkVersionPoll plays one poll with random peers, answers and times.
+// checkVersionPoll runs one poll with random peers, answers and times.
 func checkVersionPoll(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	const partitioned, oldVersion = "partitioned", 5
@@ -27,7 +27,7 @@
 	}
 	now := time.Duration(rng.Int64N(1e9))
 	began := now
-	newest, holder := uint64(oldVersion), partitioned
+	newest, newestPeer := uint64(oldVersion), partitioned
 	var poll versionPoll
 	ask := poll.observe(now, partitioned, oldVersion, func() []string { return append(peers, partitioned, partitioned) })
 	qt.Assert(t, len(ask), qt.Equals, min(len(peers), pollPeers))
@@ -40,7 +40,7 @@
 		version := uint64(rng.IntN(12))
 		poll.record(peer, version)
 		if version > newest {
-			newest, holder = version, peer
+			newest, newestPeer = version, peer
 		}
 		if rng.IntN(4) == 0 {
 			qt.Assert(t, poll.observe(now, partitioned, oldVersion, nil), qt.HasLen, 0) // once more: the same poll
@@ -54,10 +54,10 @@
 	peer, version, ok := poll.finish(now)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, version, qt.Equals, newest)
-	qt.Assert(t, peer, qt.Equals, holder)
+	qt.Assert(t, peer, qt.Equals, newestPeer)
 	poll.record("late", 99)
 	_, _, ok = poll.finish(now)
 	qt.Assert(t, ok, qt.IsFalse) // it is over
 	qt.Assert(t, poll.observe(now, partitioned, oldVersion, func() []string { return peers }), qt.HasLen, min(len(peers), pollPeers))
-	poll.record("peer0", 0) // one that holds none has answered too
+	poll.record("peer0", 0) // a peer without a configuration has answered, too
 }
