--- a/internal/mesh/discovery/config.go
+++ b/internal/mesh/discovery/config.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Config holds the settings of all parts. A field that is zero has its default.
+// Config holds the settings of the package's types. A field that is zero has its default.
 type Config struct {
-	// LeaseDuration is how long a record lasts at a registry unless it is renewed, which its publisher does three times in that time.
-	// Default 9 s. A shorter one notices a failed sidecar sooner; a longer one lasts through a longer partition.
+	// LeaseDuration is the lease under which a publisher announces a record; it renews the lease after a third of that. Default 9 s. With a
+	// shorter one a failed sidecar is noticed sooner; with a longer one records survive a longer partition.
 	LeaseDuration time.Duration
 
-	// TombstoneRetention is how long an endpoint that ended is remembered. Default 1 min. It is to be longer than any record may be on its
-	// way.
+	// TombstoneRetention is how long an endpoint that ended is remembered. Default 1 min. It must be longer than any record takes to
+	// arrive: a record that arrives later brings the endpoint back until its lease expires.
 	TombstoneRetention time.Duration
 
-	// MaxTombstones bounds the endpoints that ended and are remembered. Default 4,096. Once one is forgotten, subscribers that
-	// are behind its last change take the complete list.
+	// MaxTombstones bounds the number of endpoints that ended and are remembered. Default 4,096. Once one is forgotten, a subscriber whose
+	// version is older than the endpoint's last change gets the complete list.
 	MaxTombstones int
 
-	// TakeoverTimeout is how long an endpoint must not have been renewed until it yields to another one at its address that is.
-	// Default half of LeaseDuration.
+	// TakeoverTimeout is how long an endpoint must have been without a renewal until it is taken for crashed because another one at its
+	// address is renewed. Default half of LeaseDuration.
 	TakeoverTimeout time.Duration
 
-	// FreezeThreshold is a time between two calls of Registry.Expire that means that this process was frozen, so that renewals may lie
-	// unread. Default 3 s. It must be well above the time between calls.
+	// FreezeThreshold is the time between two calls of Registry.Expire above which this process is assumed to have been frozen, so that
+	// renewals may have arrived and not been processed yet. Default 3 s. It must be well above the regular time between calls.
 	FreezeThreshold time.Duration
 
-	// RetryInterval is the time until what wasn't acknowledged or answered is sent again. Default 300 ms. It is to be longer than a round
-	// trip.
+	// RetryInterval is the time until an announcement that wasn't acknowledged, or a request that wasn't answered, is sent again. Default
+	// 300 ms. It is to be longer than a round trip.
 	RetryInterval time.Duration
 
-	// PollInterval is the time between two requests of a subscriber to an owner that answers. Default 2 s. Changes are notified in between:
-	// a longer one only delays a change whose notification was dropped.
+	// PollInterval is the time between two requests of a subscriber to an owner that answers. Default 2 s. The owner also notifies the
+	// subscriber of each change, so a longer interval only delays changes whose notifications were lost.
 	PollInterval time.Duration
 
-	// SubscriptionLease is how long a request keeps a subscriber at an owner. Default 6 s, three polls.
+	// SubscriptionLease is how long an owner notifies a subscriber after a request of it. Default 6 s, three polls.
 	SubscriptionLease time.Duration
 
-	// OwnersQueried is how many owners of each service a subscriber asks. Default 2: with one, its failure delays changes until it is
-	// noticed.
+	// OwnersQueried is the number of owners of each service that a subscriber polls. Default 2: with a single one, changes would be delayed
+	// after its failure until that is noticed.
 	OwnersQueried int
 }
 
--- a/internal/mesh/discovery/doc.go
+++ b/internal/mesh/discovery/doc.go
@@ -1,5 +1,5 @@
-// Package discovery is the directory of endpoints: which there are, in what states, and who is to be notified of changes. Records of
-// endpoints are soft state under leases, and nobody votes on them.
+// Package discovery is the directory of endpoints: which endpoints there are, in what states, and which processes are to be notified of
+// changes. Records of endpoints are soft state under leases; they are not agreed on by consensus.
 //
 // # Parts
 //
@@ -11,10 +11,11 @@
 //	                                   │ Subscribers │ ◀───────────────────── │ Subscription │
 //	                                   └─────────────┘                        └──────────────┘
 //
-// The Publisher announces the record of the endpoint beside a sidecar to the registry owners of its service, a few processes that
-// rendezvous hashing selects (see membership.View.RegistryOwners). The owners keep it in a Registry under its lease, and the
-// publisher renews it. A caller's Subscription polls the owners of the services that it wants for what changed since a version of their
-// registries. Each request renews its lease among the Subscribers, whom the owner notifies of changes in between.
+// The Publisher announces the record of the endpoint beside a sidecar to the registry owners of its service, a few processes that are
+// selected by rendezvous hashing (see membership.View.RegistryOwners). The owners keep the record in a Registry under its lease, and the
+// publisher renews the lease. A caller's Subscription polls the owners of the services that it wants for the records that have changed
+// since a version of the owner's registry. Each poll renews the caller's lease among the owner's Subscribers, which the owner notifies
+// of changes between the polls.
 //
 // # States of an endpoint
 //
@@ -27,21 +28,25 @@
 //
 //	any state ──▶ Deregistered, for good
 //
-// It is taken for crashed when its sidecar saw it crash, when its lease runs out, and when it isn't renewed while another endpoint at
-// its address is. It is deregistered when it said so, and when a later endpoint beside the same sidecar superseded it.
+// An endpoint is taken for crashed when its sidecar reports that, when its lease expires, and when it isn't renewed while another endpoint
+// at its address is. It is deregistered when it has reported that itself, and when a later endpoint beside the same sidecar has
+// superseded it.
 //
-// An endpoint ID stands for one run of an endpoint. Draining is never left for Serving: a record that says so is outdated, whatever the
-// order in which records arrive. Endpoints that ended are remembered as tombstones, so that outdated records don't bring them back.
+// An endpoint ID stands for one run of an endpoint. A draining endpoint never serves again: a record that has it serving is outdated,
+// whatever the order in which the records arrive. Endpoints that ended are remembered as tombstones, so that outdated records don't
+// bring them back.
 //
 // # Order of records
 //
-// Of two records of an endpoint the one with the higher call sequence is newer, then the one with the higher revision, then the one
-// in the worse state. Registries that took the same records, in any order and any number of times, agree on all but leases.
+// Of two records of an endpoint the one with the higher call sequence is newer; if these are equal, the one with the higher revision,
+// and then the one in the worse state. Registries to which the same records were applied, in any order and any number of times, agree
+// on everything but the leases.
 //
 // # Units and limits
 //
-// The package does no I/O, starts no goroutine and reads no clock. Time is an argument, on a steady clock with any start. What is sent
-// between processes is time left, not points in time. Its types aren't safe for concurrent use.
+// The package does no I/O, starts no goroutine and reads no clock. Time is an argument: a duration on a steady clock with any start.
+// Records carry the time that is left (of a lease, of a slow start) instead of points in time, since the clocks of processes differ. The
+// types aren't safe for concurrent use.
 //
-// It doesn't choose registry owners, send anything, or decide which endpoint gets a request.
+// The package doesn't choose registry owners, doesn't send anything, and doesn't decide which endpoint gets a request.
 package discovery
--- a/internal/mesh/discovery/endpoint.go
+++ b/internal/mesh/discovery/endpoint.go
@@ -12,11 +12,11 @@
 const (
 	// Serving endpoints take requests.
 	Serving State = 0
-	// Draining endpoints end soon, and take no new requests.
+	// Draining endpoints will end soon, and take no new requests.
 	Draining State = 1
-	// Crashed endpoints ended unannounced, as far as is known: a newer keepalive brings them back.
+	// Crashed endpoints have ended without announcing it, as far as is known: a newer keepalive brings them back.
 	Crashed State = 2
-	// Deregistered endpoints ended in order or were superseded, for good.
+	// Deregistered endpoints have announced their end or were superseded. They never come back.
 	Deregistered State = 3
 )
 
@@ -30,13 +30,13 @@
 	Zone               string
 	Slots              int // requests that it works on at a time
 	State              State
-	WarmupRemaining    time.Duration // of its slow start, when it is sent
-	Sequence           uint64        // callSequence of the newest keepalive that this rests on
-	Revision           uint64        // raised by its publisher at each change beyond Sequence, over all endpoints that it publishes
-	LeaseRemaining     time.Duration // when it is sent
+	WarmupRemaining    time.Duration // what is left of its slow start when the record is sent
+	Sequence           uint64        // callSequence of the newest keepalive that the record is based on
+	Revision           uint64        // counts the changes, beyond Sequence, of all records of its publisher
+	LeaseRemaining     time.Duration // what is left of the record's lease when it is sent
 }
 
-// Fields implements codec.Message. A state that isn't known is read as the worst.
+// Fields implements codec.Message. An unknown state, of a newer release, is read as Deregistered, the worst.
 func (e *Endpoint) Fields(v *codec.Visitor) {
 	v.String(1, &e.ID)
 	v.String(2, &e.Service)
--- a/internal/mesh/discovery/example_test.go
+++ b/internal/mesh/discovery/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// A publisher announces its endpoint to the registry owner, again until that is acknowledged, and renews its lease.
+// A publisher announces its endpoint to the registry owner until that is acknowledged, and renews its lease.
 func ExamplePublisher() {
 	p := discovery.NewPublisher(discovery.Config{})
 	p.SetOwners(0, []string{"10.0.0.9:7400"})
@@ -28,7 +28,7 @@
 	// due after a third of the lease: 1
 }
 
-// A lease that isn't renewed runs out: the endpoint is taken for crashed, and remembered as that for a while.
+// A lease that isn't renewed expires: the endpoint is taken for crashed, and remembered in that state for a while.
 func ExampleRegistry() {
 	r := discovery.NewRegistry(discovery.Config{})
 	r.Apply(0, discovery.Endpoint{ID: "i-1", Service: "checkout", Sequence: 1, LeaseRemaining: 2 * time.Second})
@@ -45,7 +45,7 @@
 	// 1 changed since version 1; nothing is missing: true
 }
 
-// A caller asks the registry owners of a service for what changed since the version that it has.
+// A subscriber requests the records that have changed since the version that it has.
 func ExampleSubscription() {
 	owner := discovery.RegistryOwner{Address: "10.0.0.9:7400", Incarnation: 1}
 	s := discovery.NewSubscription(discovery.Config{})
@@ -63,7 +63,7 @@
 	// ask 10.0.0.9:7400 for checkout since 17
 }
 
-// A registry owner notifies the subscribers whose requests are recent.
+// A registry owner notifies the subscribers whose leases haven't expired.
 func ExampleSubscribers() {
 	s := discovery.NewSubscribers(discovery.Config{})
 	s.Renew(0, "checkout", "10.0.0.1:7400")
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -15,12 +15,22 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// An endpoint, all of whose fields are set, is the bytes that other versions send, in both directions.
+// An endpoint with a value in each field is marshaled to the bytes that other releases send, and these are unmarshaled to the endpoint.
 func TestGoldenEndpoint(t *testing.T) {
 	for name, value := range map[string]Endpoint{
 		"endpoint.hex": {
-			ID: "checkout-7", Service: "checkout", SidecarAddress: "10.1.2.3:7400", SidecarIncarnation: 0x0123456789abcdef, AppAddress: "10.1.2.3:8080",
-			Zone: "zone-a", Slots: 12, State: Crashed, WarmupRemaining: 2500 * time.Millisecond, Sequence: 4711, Revision: 12, LeaseRemaining: 9*time.Second + 1,
+			ID:                 "checkout-7",
+			Service:            "checkout",
+			SidecarAddress:     "10.1.2.3:7400",
+			SidecarIncarnation: 0x0123456789abcdef,
+			AppAddress:         "10.1.2.3:8080",
+			Zone:               "zone-a",
+			Slots:              12,
+			State:              Crashed,
+			WarmupRemaining:    2500 * time.Millisecond,
+			Sequence:           4711,
+			Revision:           12,
+			LeaseRemaining:     9*time.Second + 1,
 		},
 		"endpoint-empty.hex": {},
 	} {
@@ -33,7 +43,7 @@
 	}
 }
 
-// The states are numbers on the wire; one that a newer version may add is read as the worst.
+// The states are numbers on the wire. An unknown one, which a newer release may add, is read as the worst.
 func TestGoldenStates(t *testing.T) {
 	qt.Check(t, []State{Serving, Draining, Crashed, Deregistered}, qt.DeepEquals, []State{0, 1, 2, 3})
 	read := Endpoint{}
@@ -43,30 +53,36 @@
 	qt.Check(t, read.State, qt.Equals, Deregistered)
 }
 
-// schedule plays a publisher for each of three sidecars, a registry at each of three owners and a subscriber, on drawn events, and takes
-// a digest of all that they return, in order.
+// schedule runs a publisher for each of three sidecars, a registry at each of three owners, and one subscriber, in virtual time with random
+// events. It computes a digest of everything that they return, in order.
 type schedule struct {
 	rng          *rand.Rand
 	now          time.Duration
 	sum          hash.Hash
-	owners       []string // their addresses, which are in the digests
+	owners       []string // addresses, which are part of the digests
 	registries   map[string]*Registry
 	subscribers  map[string]*Subscribers
-	callers      *Registry
+	callers      *Registry // the subscriber's
 	subscription *Subscription
-	publishers   []*Publisher
-	newest       []Endpoint
-	pausedUntil  []time.Duration // no publisher sends before its time
+	publishers   []*Publisher    // by sidecar, as are the next two
+	newest       []Endpoint      // the sidecar's endpoint
+	pausedUntil  []time.Duration // the publisher sends nothing before that
 	sends        int
-	changes      int
+	expired      int
 }
 
+// scheduleService is the service of all endpoints.
 const scheduleService = "s"
 
+// newSchedule returns a schedule in which each sidecar has started an endpoint.
 func newSchedule(seed uint64) *schedule {
 	s := &schedule{
-		rng: rand.New(rand.NewPCG(seed, 7)), sum: sha256.New(), owners: []string{"home-a", "home-b", "home-c"},
-		registries: map[string]*Registry{}, subscribers: map[string]*Subscribers{}, callers: NewRegistry(Config{}),
+		rng:          rand.New(rand.NewPCG(seed, 7)),
+		sum:          sha256.New(),
+		owners:       []string{"home-a", "home-b", "home-c"},
+		registries:   map[string]*Registry{},
+		subscribers:  map[string]*Subscribers{},
+		callers:      NewRegistry(Config{}),
 		subscription: NewSubscription(Config{}),
 	}
 	var owners []RegistryOwner
@@ -85,10 +101,12 @@
 	return s
 }
 
+// note adds values to the digest.
 func (s *schedule) note(what string, values ...any) {
 	s.sum.Write(fmt.Appendln(nil, s.now, what, values))
 }
 
+// noteEndpoints adds endpoints to the digest.
 func (s *schedule) noteEndpoints(what string, all []Endpoint) {
 	for i := range all {
 		s.note(what, codec.MarshalAppend(nil, &all[i]))
@@ -98,47 +116,53 @@
 // restart starts a new endpoint in place of a sidecar's last one.
 func (s *schedule) restart(i int) {
 	s.newest[i] = Endpoint{
-		ID: fmt.Sprintf("%d-%x", i, s.rng.Uint64()), Service: scheduleService, SidecarAddress: fmt.Sprintf("10.0.0.%d:1", i), SidecarIncarnation: uint64(i / 2),
-		AppAddress: fmt.Sprintf("10.0.0.%d:8080", i/2), Zone: "z", Slots: 1 + s.rng.IntN(8), WarmupRemaining: time.Duration(s.rng.IntN(3000)) * time.Millisecond,
-		Sequence: 1,
+		ID:                 fmt.Sprintf("%d-%x", i, s.rng.Uint64()),
+		Service:            scheduleService,
+		SidecarAddress:     fmt.Sprintf("10.0.0.%d:1", i),
+		SidecarIncarnation: uint64(i / 2),
+		AppAddress:         fmt.Sprintf("10.0.0.%d:8080", i/2),
+		Zone:               "z",
+		Slots:              1 + s.rng.IntN(8),
+		WarmupRemaining:    time.Duration(s.rng.IntN(3000)) * time.Millisecond,
+		Sequence:           1,
 	}
 	s.publishers[i].Set(s.now, s.newest[i])
 }
 
-// event draws what happens to one sidecar.
+// event draws an event, and the sidecar and the owner that it happens to.
 func (s *schedule) event() {
-	i := s.rng.IntN(len(s.publishers))
-	p, e := s.publishers[i], &s.newest[i]
+	sidecar := s.rng.IntN(len(s.publishers))
+	publisher, endpoint := s.publishers[sidecar], &s.newest[sidecar]
 	owner := s.owners[s.rng.IntN(len(s.owners))]
 	switch s.rng.IntN(16) {
 	case 0:
-		s.restart(i)
+		s.restart(sidecar)
 	case 1:
-		p.End(s.now, e.ID, Crashed)
+		publisher.End(s.now, endpoint.ID, Crashed)
 	case 2:
-		p.End(s.now, e.ID, Deregistered)
+		publisher.End(s.now, endpoint.ID, Deregistered)
 	case 3:
-		e.Sequence++
-		e.State = Draining
-		p.Set(s.now, *e)
+		endpoint.Sequence++
+		endpoint.State = Draining
+		publisher.Set(s.now, *endpoint)
 	case 4:
-		p.ForgetOwner(owner)
+		publisher.ForgetOwner(owner)
 		s.subscription.ConnectionLost(s.now, owner)
 		s.subscribers[owner].ConnectionLost("caller")
 	case 5:
-		p.SetOwners(s.now, s.owners[:1+s.rng.IntN(3)])
+		publisher.SetOwners(s.now, s.owners[:1+s.rng.IntN(3)])
 	case 6:
 		s.now += time.Duration(s.rng.IntN(12)) * time.Second
 	case 7:
-		s.pausedUntil[i] = s.now + time.Duration(s.rng.IntN(20))*time.Second
+		s.pausedUntil[sidecar] = s.now + time.Duration(s.rng.IntN(20))*time.Second
 	default:
-		e.Sequence++
-		e.State, e.Slots = Serving, 1+s.rng.IntN(2)
-		p.Set(s.now, *e)
+		endpoint.Sequence++
+		endpoint.State, endpoint.Slots = Serving, 1+s.rng.IntN(2)
+		publisher.Set(s.now, *endpoint)
 	}
 }
 
-// deliver sends what is due, loses some of it and some of the answers.
+// deliver sends the announcements and requests that are due. It loses some of them, and some of the answers.
 func (s *schedule) deliver() {
 	for i, p := range s.publishers {
 		if s.now < s.pausedUntil[i] {
@@ -173,7 +197,7 @@
 	}
 }
 
-// step plays half a second.
+// step advances the time by half a second.
 func (s *schedule) step() {
 	s.now += 500 * time.Millisecond
 	if s.rng.IntN(3) == 0 {
@@ -182,7 +206,7 @@
 	s.deliver()
 	for _, owner := range s.owners {
 		changed := s.registries[owner].Expire(s.now)
-		s.changes += len(changed)
+		s.expired += len(changed)
 		s.noteEndpoints("expired at "+owner, changed)
 		s.note("notify", s.subscribers[owner].Active(s.now, scheduleService))
 	}
@@ -195,7 +219,7 @@
 	}
 }
 
-// The same seed gives the same run: what is sent, asked, merged and expired, in the same order.
+// The same seed gives the same run: the same announcements, requests, changes and expiries, in the same order.
 func TestGoldenSchedules(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(4) {
@@ -203,8 +227,8 @@
 		for i := range 400 {
 			s.step()
 			if i%80 == 79 {
-				fmt.Fprintf(&text, "seed %d at %v: %d sent, %d expired, version %d, %x\n", seed, s.now, s.sends, s.changes, s.callers.Version(),
-					s.sum.Sum(nil)[:12])
+				fmt.Fprintf(&text, "seed %d at %v: %d sent, %d expired, version %d, %x\n",
+					seed, s.now, s.sends, s.expired, s.callers.Version(), s.sum.Sum(nil)[:12])
 			}
 		}
 	}
--- a/internal/mesh/discovery/publisher.go
+++ b/internal/mesh/discovery/publisher.go
@@ -7,67 +7,68 @@
 
 // Announcement is a record that is to be sent to a registry owner.
 type Announcement struct {
-	To       string
+	To       string // address of the owner
 	Endpoint Endpoint
 }
 
-// Publisher announces the endpoint beside this process to the registry owners of its service, and earlier endpoints there until all
-// owners know that they ended. Make one with NewPublisher.
+// Publisher announces the endpoint beside this process to the registry owners of its service. It announces earlier endpoints there, too,
+// until all owners have acknowledged that they ended. NewPublisher makes one.
 type Publisher struct {
 	config       Config
-	revision     uint64         // the highest that was given
+	revision     uint64         // the highest of any publication
 	publications []*publication // in the order in which their endpoints started
-	owners       []string       // addresses, in order
+	owners       []string       // addresses, sorted
 }
 
-// publication is one endpoint that is published.
+// publication is the record of one endpoint that is published, and what the owners know of it.
 type publication struct {
 	Endpoint
-	updatedAt  time.Duration // its record, or its state
+	updatedAt  time.Duration // last change of the record
 	warmupEnd  time.Duration
-	drainSeen  bool                 // it was draining, and never serves again
+	drainSeen  bool                 // the endpoint was draining, and never serves again
 	deliveries map[string]*delivery // by the owner's address
 }
 
-// delivery is what one owner was sent of one publication.
+// delivery records the announcements of one publication to one owner.
 type delivery struct {
 	wasSent              bool
-	sentAt               time.Duration // last
-	sentRevision         uint64        // last
-	acknowledgedRevision uint64        // last
-	acknowledgedSentAt   time.Duration // when the announcement was sent that was acknowledged last
+	sentAt               time.Duration // of the last announcement
+	sentRevision         uint64        // of the last announcement
+	acknowledgedRevision uint64        // of the last announcement that was acknowledged
+	acknowledgedSentAt   time.Duration // of the last announcement that was acknowledged
 }
 
-// NewPublisher makes a publisher without endpoints.
+// NewPublisher returns a publisher without endpoints.
 func NewPublisher(config Config) *Publisher { return &Publisher{config: config.WithDefaults()} }
 
-// Set takes the endpoint as its newest keepalive has it, or as it ended, and gives it its revision. A new endpoint ends the earlier
-// ones. A record that is older than the one held only counts if it says that the endpoint ends.
-func (p *Publisher) Set(now time.Duration, e Endpoint) {
-	pub := p.find(e.ID)
+// Set publishes the endpoint as its newest keepalive describes it, or its end. The publisher sets the record's revision. A new endpoint
+// ID deregisters the earlier ones. A record with a lower sequence than the present one is outdated: it changes the state alone, and is
+// ignored if it has the endpoint serving.
+func (p *Publisher) Set(now time.Duration, endpoint Endpoint) {
+	pub := p.find(endpoint.ID)
 	if pub == nil {
-		p.add(now, e)
+		p.add(now, endpoint)
 		return
 	}
-	outdated := e.Sequence < pub.Sequence
-	if pub.State == Deregistered || outdated && e.State == Serving {
+	outdated := endpoint.Sequence < pub.Sequence
+	if pub.State == Deregistered || outdated && endpoint.State == Serving {
 		return
 	}
-	p.transition(now, pub, e.State)
+	p.transition(now, pub, endpoint.State)
 	if outdated {
 		return
 	}
-	if pub.Slots != e.Slots {
+	if pub.Slots != endpoint.Slots {
 		p.revise(pub)
 	}
-	e.State = pub.State
-	e.Revision = pub.Revision
-	pub.Endpoint = e
+	endpoint.State = pub.State
+	endpoint.Revision = pub.Revision
+	pub.Endpoint = endpoint
 	pub.updatedAt = now
-	pub.warmupEnd = now + e.WarmupRemaining
+	pub.warmupEnd = now + endpoint.WarmupRemaining
 }
 
-// add begins to publish an endpoint, which ends all earlier ones.
+// add starts to publish a new endpoint, and deregisters all earlier ones.
 func (p *Publisher) add(now time.Duration, e Endpoint) {
 	for _, earlier := range p.publications {
 		p.transition(now, earlier, Deregistered)
@@ -83,7 +84,7 @@
 	p.publications = append(p.publications, pub)
 }
 
-// End reports that an endpoint deregistered or crashed.
+// End publishes that an endpoint has deregistered or crashed.
 func (p *Publisher) End(now time.Duration, id string, s State) {
 	if pub := p.find(id); pub != nil {
 		p.transition(now, pub, s)
@@ -99,7 +100,7 @@
 	return p.publications[i]
 }
 
-// transition changes the state of a publication, as far as its present one allows.
+// transition changes the state of a publication. A deregistered endpoint keeps its state, and one that was draining never serves again.
 func (p *Publisher) transition(now time.Duration, pub *publication, to State) {
 	pub.drainSeen = pub.drainSeen || to == Draining
 	if to == Serving && pub.drainSeen {
@@ -113,13 +114,13 @@
 	pub.updatedAt = now
 }
 
-// revise gives a publication the next revision, so that it is announced anew.
+// revise gives a publication the next revision, so that it is announced to all owners again.
 func (p *Publisher) revise(pub *publication) {
 	p.revision++
 	pub.Revision = p.revision
 }
 
-// SetOwners gives the addresses of the registry owners as they are now, in any order and more than once.
+// SetOwners replaces the addresses of the registry owners. They may be in any order, and may contain duplicates.
 func (p *Publisher) SetOwners(_ time.Duration, owners []string) {
 	p.owners = slices.Clone(owners)
 	slices.Sort(p.owners)
@@ -133,14 +134,15 @@
 	}
 }
 
-// ForgetOwner has everything announced to an owner again: it has restarted, or the connection to it broke.
+// ForgetOwner makes all records due again for an owner that has restarted, or to which the connection broke.
 func (p *Publisher) ForgetOwner(owner string) {
 	for _, pub := range p.publications {
 		delete(pub.deliveries, owner)
 	}
 }
 
-// Tick returns what is to be announced now: changes and records for new owners at once, what wasn't acknowledged again, and renewals.
+// Tick returns the announcements that are due: changes and records for new owners at once, announcements that weren't acknowledged after
+// RetryInterval, and renewals.
 func (p *Publisher) Tick(now time.Duration) []Announcement {
 	p.publications = slices.DeleteFunc(p.publications, func(pub *publication) bool { return p.isDone(now, pub) })
 	var due []Announcement
@@ -160,7 +162,8 @@
 	return due
 }
 
-// isDone reports whether a publication has ended, and all owners know or it is long ago.
+// isDone reports whether the endpoint of a publication has ended, and it need not be announced any more: all owners have acknowledged its
+// deregistration, or TombstoneRetention is over.
 func (p *Publisher) isDone(now time.Duration, pub *publication) bool {
 	if !pub.State.hasEnded() {
 		return false
@@ -168,7 +171,7 @@
 	return now-pub.updatedAt >= p.config.TombstoneRetention || pub.State == Deregistered && p.acknowledgedByAll(pub)
 }
 
-// isDue reports whether a publication is to be sent to an owner now.
+// isDue reports whether a publication is to be announced to an owner now.
 func (p *Publisher) isDue(now time.Duration, pub *publication, d *delivery) bool {
 	changed := !d.wasSent || d.sentRevision != pub.Revision
 	acknowledged := d.acknowledgedRevision == pub.Revision && d.acknowledgedSentAt == d.sentAt
@@ -182,13 +185,14 @@
 	}
 }
 
+// send records that a revision is announced now.
 func (d *delivery) send(now time.Duration, revision uint64) {
 	d.wasSent = true
 	d.sentAt = now
 	d.sentRevision = revision
 }
 
-// snapshot is the record as it is sent now, under a lease.
+// snapshot returns the record as it is sent now, under a lease.
 func (p *publication) snapshot(now, lease time.Duration) Endpoint {
 	e := p.Endpoint
 	e.WarmupRemaining = max(p.warmupEnd-now, 0)
@@ -196,7 +200,7 @@
 	return e
 }
 
-// Acknowledged reports that an owner holds a revision of an endpoint. One that isn't the revision sent last doesn't count.
+// Acknowledged records that an owner has acknowledged a revision of an endpoint. It is ignored unless that revision was the last one sent.
 func (p *Publisher) Acknowledged(_ time.Duration, owner, id string, revision uint64) {
 	pub := p.find(id)
 	if pub == nil {
@@ -208,8 +212,8 @@
 	}
 }
 
-// AcknowledgedElsewhere reports whether an owner other than self has acknowledged an endpoint as it is now. It holds for an endpoint that
-// isn't published, too, and if there is no other owner.
+// AcknowledgedElsewhere reports whether an owner other than self has acknowledged the present revision of an endpoint. It also reports
+// true if the endpoint isn't published, or if there is no other owner: there is nothing to wait for then.
 func (p *Publisher) AcknowledgedElsewhere(id, self string) bool {
 	pub := p.find(id)
 	if pub == nil {
@@ -228,11 +232,12 @@
 	return others == 0
 }
 
+// acknowledgedByAll reports whether there are owners, and all of them have acknowledged the present revision.
 func (p *Publisher) acknowledgedByAll(pub *publication) bool {
 	return len(p.owners) > 0 && !slices.ContainsFunc(p.owners, func(owner string) bool { return !pub.acknowledgedBy(owner) })
 }
 
-// acknowledgedBy reports whether an owner has acknowledged the present revision.
+// acknowledgedBy reports whether an owner has acknowledged the present revision of the endpoint.
 func (p *publication) acknowledgedBy(owner string) bool {
 	d := p.deliveries[owner]
 	return d != nil && d.acknowledgedRevision == p.Revision
--- a/internal/mesh/discovery/record.go
+++ b/internal/mesh/discovery/record.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// record is what a registry holds of one endpoint.
+// record is a registry's record of one endpoint. The embedded Endpoint is the newest one that was applied; its state is only a part of
+// the endpoint's state (effectiveState).
 type record struct {
 	Endpoint
 	leaseEnd     time.Duration
 	warmupEnd    time.Duration
-	renewedAt    time.Duration
-	endedAt      time.Duration // when it came to have ended
-	drainSeen    bool          // some record of it was draining
-	deregistered bool          // some record of it was, or it was superseded
-	expired      bool          // its lease ran out here, or another endpoint at its address is renewed and it isn't
-	inTombstones bool          // it is in the registry's tombstones
-	version      uint64        // of the registry at its last change or renewal
+	renewedAt    time.Duration // last
+	endedAt      time.Duration // last change to a state in which it has ended
+	drainSeen    bool          // an endpoint record in state Draining was applied
+	deregistered bool          // an endpoint record in state Deregistered was applied, or the endpoint was superseded
+	expired      bool          // the lease expired at this registry, or another endpoint has taken the address over
+	inTombstones bool          // the record is in Registry.tombstones
+	version      uint64        // of the registry at the record's last change or renewal
 }
 
 func newRecord(now time.Duration, e Endpoint) *record {
@@ -30,7 +31,7 @@
 	}
 }
 
-// effectiveState is the state that others see.
+// effectiveState returns the state of the endpoint, as others are sent it.
 func (r *record) effectiveState() State {
 	switch {
 	case r.deregistered:
@@ -45,7 +46,7 @@
 
 func (r *record) hasEnded() bool { return r.effectiveState().hasEnded() }
 
-// snapshot is the record as it is sent now.
+// snapshot returns the record as it is sent now.
 func (r *record) snapshot(now time.Duration) Endpoint {
 	e := r.Endpoint
 	e.State = r.effectiveState()
@@ -54,9 +55,10 @@
 	return e
 }
 
-// merge is the only place where a record that was sent changes one held here. It reports whether anything was taken.
+// merge merges an endpoint record that a publisher sent. Nothing else changes a record because of a message. It reports whether the
+// endpoint record was newer, or renewed the lease.
 func (r *record) merge(now time.Duration, e Endpoint) (taken bool) {
-	e.AppAddress = r.AppAddress // these stay for an endpoint ID
+	e.AppAddress = r.AppAddress // invariant: address and service never change for an endpoint ID
 	e.Service = r.Service
 	r.drainSeen = r.drainSeen || e.State == Draining
 	r.deregistered = r.deregistered || e.State == Deregistered
@@ -74,12 +76,13 @@
 	return renews || order > 0
 }
 
-// compareRecords orders records of one endpoint, the newer one higher.
+// compareRecords orders the records of one endpoint from the oldest to the newest.
 func compareRecords(a, b *Endpoint) int {
 	return cmp.Or(cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.State, b.State))
 }
 
-// visible is what of a record is an update for others; leases, sequences and warm-up times change all the time.
+// visible holds the parts of a record whose changes are updates for other processes. Leases, sequences and warm-up times change all the
+// time, and are not among them.
 type visible struct {
 	state              State
 	revision           uint64
@@ -92,4 +95,9 @@
 	return visible{r.effectiveState(), r.Revision, r.Slots, r.SidecarAddress, r.SidecarIncarnation}
 }
 
+// isSupersededBy reports whether other is a later endpoint beside the same incarnation of a sidecar.
+func (r *record) isSupersededBy(other *record) bool {
+	return r.SidecarIncarnation != 0 && r.SidecarIncarnation == other.SidecarIncarnation && r.Revision < other.Revision
+}
+
 func compareID(r *record, id string) int { return cmp.Compare(r.ID, id) }
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Registry is what one process knows of endpoints. Make one with NewRegistry.
+// Registry holds the records of the endpoints that one process knows. NewRegistry makes one.
 type Registry struct {
 	config           Config
 	records          map[string]*record   // by ID
 	byAppAddress     map[string][]*record // in the order of their arrival
 	byService        map[string][]*record // ordered by ID
 	version          uint64               // counts changes and renewals
-	forgottenVersion map[string]uint64    // by service: what was forgotten had this version at most
-	tombstones       []*record            // those that ended, the oldest first, and some that came back
-	lastExpire       time.Duration        // call of Expire
+	forgottenVersion map[string]uint64    // by service: the highest version of a record that was forgotten
+	tombstones       []*record            // endpoints that ended, the oldest first; some may have come back
+	lastExpire       time.Duration        // last call of Expire
 }
 
-// NewRegistry makes an empty registry.
+// NewRegistry returns an empty registry.
 func NewRegistry(config Config) *Registry {
 	return &Registry{
 		config:           config.WithDefaults(),
@@ -30,8 +30,8 @@
 	}
 }
 
-// Apply merges a record; changed reports whether more than its lease, its sequence and its warm-up time did. One without an ID is
-// ignored.
+// Apply applies a record that was received, and reports whether that changed anything that others are to be notified of: more than
+// leases, sequences and warm-up times. A record without an ID is ignored.
 func (r *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
 	if e.ID == "" {
 		return false
@@ -71,7 +71,8 @@
 	rec.version = r.version
 }
 
-// noteChange advances the version of a record that was changed. If it ended, it becomes a tombstone, and the oldest may be forgotten.
+// noteChange advances the version of a record that has changed. If the endpoint has ended, the record becomes a tombstone, for which the
+// oldest one may be forgotten.
 func (r *Registry) noteChange(now time.Duration, rec *record) {
 	r.advanceVersion(rec)
 	if rec.hasEnded() {
@@ -86,7 +87,7 @@
 	}
 }
 
-// forgetOldestTombstone forgets the endpoint that ended first, unless it came back.
+// forgetOldestTombstone removes the oldest tombstone, and forgets its endpoint unless that has come back.
 func (r *Registry) forgetOldestTombstone() {
 	rec := r.tombstones[0]
 	r.tombstones = r.tombstones[1:]
@@ -109,7 +110,8 @@
 	index[key] = rest
 }
 
-// supersede deregisters endpoints at an address whose own publisher has announced a later endpoint there.
+// supersede deregisters the endpoints at an address whose own publisher has announced a later endpoint there. It reports whether there
+// were any.
 func (r *Registry) supersede(now time.Duration, appAddress string) (changed bool) {
 	atAddress := r.byAppAddress[appAddress]
 	for _, rec := range atAddress {
@@ -124,12 +126,9 @@
 	return changed
 }
 
-func (r *record) isSupersededBy(other *record) bool {
-	return r.SidecarIncarnation != 0 && r.SidecarIncarnation == other.SidecarIncarnation && r.Revision < other.Revision
-}
-
-// Expire ends leases that ran out, has endpoints yield to renewed ones at their address, and forgets what ended long ago. It
-// returns those that changed, ordered by ID. It is to be called at least each second: a gap counts as this process's own freeze.
+// Expire takes endpoints for crashed whose leases have expired or whose addresses were taken over, and forgets those that ended long ago.
+// It returns the endpoints that have crashed, ordered by ID. It is to be called every second at least: after a gap of FreezeThreshold
+// this process is assumed to have been frozen, and leases are extended.
 func (r *Registry) Expire(now time.Duration) (changed []Endpoint) {
 	if now-r.lastExpire > r.config.FreezeThreshold {
 		r.extendLeases(now)
@@ -148,7 +147,7 @@
 	return changed
 }
 
-// extendLeases gives renewals that may lie unread, as this process was frozen, the time to be read.
+// extendLeases extends the leases after this process was frozen, so that renewals that have arrived meanwhile can be processed.
 func (r *Registry) extendLeases(now time.Duration) {
 	for _, rec := range r.records {
 		rec.leaseEnd = max(rec.leaseEnd, now+r.config.TakeoverTimeout)
@@ -156,7 +155,7 @@
 	}
 }
 
-// forgetOldTombstones forgets endpoints from the oldest on, up to one that ended within TombstoneRetention.
+// forgetOldTombstones forgets the endpoints that ended TombstoneRetention ago or earlier.
 func (r *Registry) forgetOldTombstones(now time.Duration) {
 	for len(r.tombstones) > 0 {
 		oldest := r.tombstones[0]
@@ -167,8 +166,8 @@
 	}
 }
 
-// isTakenOver reports whether another endpoint has taken a record's address over: it is renewed, and the record is not any more. Unlike
-// supersede this goes by time alone, as the two may have different publishers.
+// isTakenOver reports whether another endpoint has taken over the address of a record: the other is renewed, and the record no longer is.
+// It depends on the time alone, as the revisions that supersede compares mean nothing if the two have different publishers.
 func (r *Registry) isTakenOver(now time.Duration, rec *record) bool {
 	if now-rec.renewedAt < r.config.TakeoverTimeout {
 		return false
@@ -185,13 +184,13 @@
 	return ids
 }
 
-// List returns what is known of a service's endpoints, ordered by ID, those that ended too while they are remembered, with leases and
-// warm-up times as left now.
+// List returns the records of a service's endpoints, ordered by ID, also of those that have ended while they are remembered. Leases and
+// warm-up times are what is left of them now.
 func (r *Registry) List(now time.Duration, service string) []Endpoint {
 	return r.changedAfter(now, service, 0)
 }
 
-// changedAfter is what of a service changed or was renewed after a version.
+// changedAfter returns the records of a service that were changed or renewed after a version.
 func (r *Registry) changedAfter(now time.Duration, service string, version uint64) []Endpoint {
 	var changed []Endpoint
 	for _, rec := range r.byService[service] {
@@ -202,7 +201,7 @@
 	return changed
 }
 
-// All returns what is known of all services, ordered by ID.
+// All returns the records of all services, ordered by ID.
 func (r *Registry) All(now time.Duration) []Endpoint {
 	var all []Endpoint
 	for _, id := range r.sortedIDs() {
@@ -211,11 +210,12 @@
 	return all
 }
 
-// Version counts the changes and renewals so far.
+// Version returns the number of changes and renewals so far.
 func (r *Registry) Version() uint64 { return r.version }
 
-// ChangedSince returns what of a service changed or was renewed after a version of this registry, and the version now. If ok is false,
-// what was forgotten in between matters, or the version is of another registry, and this is the complete list.
+// ChangedSince returns the records of a service that were changed or renewed after a version of this registry, and the present version.
+// If ok is false, changed is the complete list instead: records that have changed since the version are forgotten, or the version is
+// higher than the present one, and thus of another registry.
 func (r *Registry) ChangedSince(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
 	if version < r.forgottenVersion[service] || version > r.version {
 		return r.List(now, service), r.version, false
@@ -223,8 +223,8 @@
 	return r.changedAfter(now, service, version), r.version, true
 }
 
-// EndpointAt returns the endpoint at an address: of several one that hasn't ended, then the one renewed last. It reports false if none is
-// known there.
+// EndpointAt returns the endpoint at an address: of several, one that hasn't ended, and of these the one that was renewed last. It
+// reports false if none is known there.
 func (r *Registry) EndpointAt(now time.Duration, appAddress string) (Endpoint, bool) {
 	atAddress := r.byAppAddress[appAddress]
 	if len(atAddress) == 0 {
@@ -233,7 +233,7 @@
 	return slices.MinFunc(atAddress, compareAtAddress).snapshot(now), true
 }
 
-// compareAtAddress orders records at one address, the one that requests go to first.
+// compareAtAddress orders the records at one address: the first is the one that EndpointAt returns.
 func compareAtAddress(a, b *record) int {
 	if a.hasEnded() != b.hasEnded() {
 		if a.hasEnded() {
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -14,15 +14,24 @@
 
 const lease = 9 * time.Second
 
-// testEndpoint is an endpoint of service s at address a:1, beside incarnation 7 of a sidecar.
+// testEndpoint returns a record of an endpoint of service s at address a:1, beside incarnation 7 of a sidecar.
 func testEndpoint(id string, s State, sequence, revision uint64) Endpoint {
 	return Endpoint{
-		ID: id, Service: "s", SidecarAddress: "h:1", SidecarIncarnation: 7, AppAddress: "a:1", Zone: "z", Slots: 4, State: s,
-		Sequence: sequence, Revision: revision, LeaseRemaining: lease,
+		ID:                 id,
+		Service:            "s",
+		SidecarAddress:     "h:1",
+		SidecarIncarnation: 7,
+		AppAddress:         "a:1",
+		Zone:               "z",
+		Slots:              4,
+		State:              s,
+		Sequence:           sequence,
+		Revision:           revision,
+		LeaseRemaining:     lease,
 	}
 }
 
-// forEachOrder calls f with each order of the numbers below n.
+// forEachOrder calls f with each permutation of the numbers below n.
 func forEachOrder(n int, f func(order []int)) {
 	var extend func(order []int)
 	extend = func(order []int) {
@@ -39,7 +48,7 @@
 	extend(nil)
 }
 
-// essence is what registries must agree on.
+// essence returns the parts of a registry's records that registries must agree on.
 func essence(r *Registry) (out []string) {
 	for _, e := range r.All(0) {
 		out = append(out, fmt.Sprintf("%s %d %d.%d %d", e.ID, e.State, e.Sequence, e.Revision, e.Slots))
@@ -47,8 +56,8 @@
 	return out
 }
 
-// All orders of an endpoint's messages, each of them twice at any place, on one registry; and the same once on another: they agree in
-// the end, and neither shows an endpoint as serving after it was draining, or anything after its end.
+// Records are applied to a registry in all orders, and in all orders with one of them twice. The registry has the same endpoints in the
+// end each time, and never has an endpoint serving after it was draining, or in another state after it deregistered.
 func TestRegistriesAgreeInAllOrders(t *testing.T) {
 	first := testEndpoint("x", Serving, 1, 1)
 	resized := testEndpoint("x", Serving, 1, 2)
@@ -70,34 +79,35 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := orderCheck{messages: messages}
+			checker := orderCheck{messages: messages}
 			forEachOrder(len(messages), func(order []int) {
-				a.check(t, order)
+				checker.check(t, order)
 				for twice := range messages {
 					for at := range len(order) + 1 {
-						a.check(t, slices.Insert(slices.Clone(order), at, twice))
+						checker.check(t, slices.Insert(slices.Clone(order), at, twice))
 					}
 				}
 			})
-			t.Logf("%d orders, in the end %q", a.orders, a.want)
+			t.Logf("%d orders, in the end %q", checker.orders, checker.want)
 		})
 	}
 }
 
-// orderCheck holds what a registry has in the end, which is the same in all orders of its messages.
+// orderCheck checks that a registry has the same endpoints in the end whatever the order of the records that are applied.
 type orderCheck struct {
 	messages []Endpoint
-	want     []string // of the first order
-	orders   int
+	want     []string // essence of the registry after the first order
+	orders   int      // that were checked
 }
 
-func (a *orderCheck) check(t *testing.T, order []int) {
+// check applies the messages in one order.
+func (o *orderCheck) check(t *testing.T, order []int) {
 	t.Helper()
-	r := NewRegistry(Config{})
-	worst := map[string]State{}
+	registry := NewRegistry(Config{})
+	worst := map[string]State{} // by endpoint ID, without Crashed
 	for _, i := range order {
-		r.Apply(0, a.messages[i])
-		for _, e := range r.All(0) {
+		registry.Apply(0, o.messages[i])
+		for _, e := range registry.All(0) {
 			before := worst[e.ID]
 			if before == Draining && e.State == Serving || before == Deregistered && e.State != Deregistered {
 				t.Fatalf("order %v: %s went from %d to %d", order, e.ID, before, e.State)
@@ -107,14 +117,14 @@
 			}
 		}
 	}
-	if a.want == nil {
-		a.want = essence(r)
+	if o.want == nil {
+		o.want = essence(registry)
 	}
-	qt.Assert(t, essence(r), qt.DeepEquals, a.want, qt.Commentf("order %v", order))
-	a.orders++
+	qt.Assert(t, essence(registry), qt.DeepEquals, o.want, qt.Commentf("order %v", order))
+	o.orders++
 }
 
-// expire plays time up to now, second by second, and returns what changed in it.
+// expire calls Expire every second from a time up to now, and returns all endpoints that changed.
 func expire(r *Registry, from, now time.Duration) (changed []Endpoint) {
 	for at := from; at <= now; at += time.Second {
 		changed = append(changed, r.Expire(at)...)
@@ -124,36 +134,37 @@
 
 func TestLeases(t *testing.T) {
 	c := qt.New(t)
-	r := NewRegistry(Config{})
+	registry := NewRegistry(Config{})
 	older := testEndpoint("x", Serving, 1, 1)
 	newer := testEndpoint("y", Serving, 1, 1)
 	newer.SidecarIncarnation = 8 // announced by another incarnation of the sidecar, which never knew of x
-	c.Assert(r.Apply(0, older), qt.IsTrue)
-	c.Assert(r.Apply(0, older), qt.IsFalse)
-	c.Assert(expire(r, 0, 4*time.Second), qt.HasLen, 0)
-	r.Apply(4*time.Second, newer)
-	c.Assert(r.Expire(4*time.Second), qt.HasLen, 0)
-	c.Assert(r.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that isn't renewed yields"))
-	at, _ := r.EndpointAt(5*time.Second, "a:1")
+	c.Assert(registry.Apply(0, older), qt.IsTrue)
+	c.Assert(registry.Apply(0, older), qt.IsFalse)
+	c.Assert(expire(registry, 0, 4*time.Second), qt.HasLen, 0)
+	registry.Apply(4*time.Second, newer)
+	c.Assert(registry.Expire(4*time.Second), qt.HasLen, 0)
+	c.Assert(registry.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that isn't renewed yields"))
+	at, _ := registry.EndpointAt(5*time.Second, "a:1")
 	c.Assert(at.ID, qt.Equals, "y")
 	older.Sequence++
-	c.Assert(r.Apply(6*time.Second, older), qt.IsTrue, qt.Commentf("it was alive after all"))
-	c.Assert(expire(r, 6*time.Second, 9*time.Second), qt.HasLen, 1, qt.Commentf("now the other one yields"))
-	c.Assert(expire(r, 10*time.Second, 14*time.Second), qt.HasLen, 0)
-	c.Assert(r.Expire(15*time.Second), qt.HasLen, 1)
-	c.Assert(r.List(15*time.Second, "s")[0].State, qt.Equals, Crashed)
+	c.Assert(registry.Apply(6*time.Second, older), qt.IsTrue, qt.Commentf("it was alive after all"))
+	c.Assert(expire(registry, 6*time.Second, 9*time.Second), qt.HasLen, 1, qt.Commentf("now the other one yields"))
+	c.Assert(expire(registry, 10*time.Second, 14*time.Second), qt.HasLen, 0)
+	c.Assert(registry.Expire(15*time.Second), qt.HasLen, 1)
+	c.Assert(registry.List(15*time.Second, "s")[0].State, qt.Equals, Crashed)
 
-	_, version, ok := r.ChangedSince(15*time.Second, "s", 0)
+	_, version, ok := registry.ChangedSince(15*time.Second, "s", 0)
 	c.Assert(ok, qt.IsTrue)
-	expire(r, 16*time.Second, 80*time.Second)
-	c.Assert(r.All(80*time.Second), qt.HasLen, 0)
-	_, _, ok = r.ChangedSince(80*time.Second, "s", version)
+	expire(registry, 16*time.Second, 80*time.Second)
+	c.Assert(registry.All(80*time.Second), qt.HasLen, 0)
+	_, _, ok = registry.ChangedSince(80*time.Second, "s", version)
 	c.Assert(ok, qt.IsTrue, qt.Commentf("this one had been notified of the ends"))
-	_, _, ok = r.ChangedSince(80*time.Second, "s", 1)
+	_, _, ok = registry.ChangedSince(80*time.Second, "s", 1)
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A process that was frozen gives renewals that lie unread the time to be read, and ends what isn't renewed after that.
+// After a freeze of its process a registry gives renewals that have arrived meanwhile the time to be processed, and only takes endpoints
+// for crashed that aren't renewed by then.
 func TestFrozenRegistryEndsNobody(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(Config{})
@@ -163,33 +174,33 @@
 	c.Assert(r.Expire(25*time.Second), qt.HasLen, 1)
 }
 
-// What is remembered of endpoints that ended is bounded, and the indexes with it.
+// The number of endpoints that ended and are remembered is bounded, and so are the indexes.
 func TestTombstonesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	r := NewRegistry(Config{MaxTombstones: 10})
+	registry := NewRegistry(Config{MaxTombstones: 10})
 	for i := range 100 {
-		e := testEndpoint(strconv.Itoa(i), Serving, 1, 1)
-		e.AppAddress = strconv.Itoa(i)
-		e.SidecarIncarnation = uint64(i)
-		r.Apply(0, e)
+		endpoint := testEndpoint(strconv.Itoa(i), Serving, 1, 1)
+		endpoint.AppAddress = strconv.Itoa(i)
+		endpoint.SidecarIncarnation = uint64(i)
+		registry.Apply(0, endpoint)
 		for range 3 { // it crashes and comes back
-			e.Sequence++
-			e.State = Crashed
-			r.Apply(0, e)
-			e.Sequence++
-			e.State = Serving
-			r.Apply(0, e)
+			endpoint.Sequence++
+			endpoint.State = Crashed
+			registry.Apply(0, endpoint)
+			endpoint.Sequence++
+			endpoint.State = Serving
+			registry.Apply(0, endpoint)
 		}
-		e.State = Deregistered
-		r.Apply(0, e)
+		endpoint.State = Deregistered
+		registry.Apply(0, endpoint)
 	}
-	c.Assert(len(r.records) <= 10 && len(r.tombstones) <= 10, qt.IsTrue,
-		qt.Commentf("%d records, %d tombstones", len(r.records), len(r.tombstones)))
-	r.Expire(time.Hour)
-	c.Assert(len(r.records)+len(r.byAppAddress)+len(r.byService)+len(r.tombstones), qt.Equals, 0)
+	c.Assert(len(registry.records) <= 10 && len(registry.tombstones) <= 10, qt.IsTrue,
+		qt.Commentf("%d records, %d tombstones", len(registry.records), len(registry.tombstones)))
+	registry.Expire(time.Hour)
+	c.Assert(len(registry.records)+len(registry.byAppAddress)+len(registry.byService)+len(registry.tombstones), qt.Equals, 0)
 }
 
-// A subscriber that takes what changed since its version has what the owner has, whatever happens in between.
+// A subscriber that applies the changes since its version has the same endpoints as the owner, whenever it polls.
 func TestChangedSinceIsEnough(t *testing.T) {
 	messages := []Endpoint{
 		testEndpoint("x", Serving, 1, 1), testEndpoint("x", Draining, 2, 2), testEndpoint("x", Deregistered, 2, 3),
@@ -202,6 +213,7 @@
 	})
 }
 
+// checkChangedSince applies messages to an owner in one order, and lets a subscriber poll after those whose bit is set, and at the end.
 func checkChangedSince(t *testing.T, messages []Endpoint, order []int, polls int) {
 	t.Helper()
 	owner := NewRegistry(Config{})
--- a/internal/mesh/discovery/subscribers.go
+++ b/internal/mesh/discovery/subscribers.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Subscribers is a registry owner's side: who is to be notified of changes of which services. Make one with NewSubscribers.
+// Subscribers is a registry owner's list of the processes that are to be notified of changes, by service. NewSubscribers makes one.
 type Subscribers struct {
 	config    Config
 	leaseEnds map[string]map[string]time.Duration // by service and subscriber
 }
 
-// NewSubscribers makes an empty list of subscribers.
+// NewSubscribers returns an empty list of subscribers.
 func NewSubscribers(config Config) *Subscribers {
 	return &Subscribers{config: config.WithDefaults(), leaseEnds: map[string]map[string]time.Duration{}}
 }
 
-// Renew takes a request of a subscriber, which renews its subscription.
+// Renew subscribes a process to a service, or renews its subscription, because of its request.
 func (s *Subscribers) Renew(now time.Duration, service, subscriber string) {
 	if s.leaseEnds[service] == nil {
 		s.leaseEnds[service] = map[string]time.Duration{}
@@ -24,7 +24,7 @@
 	s.leaseEnds[service][subscriber] = now + s.config.SubscriptionLease
 }
 
-// ConnectionLost reports that the connection to a subscriber broke, which ends its subscriptions.
+// ConnectionLost ends the subscriptions of a process to which the connection broke.
 func (s *Subscribers) ConnectionLost(subscriber string) {
 	for service := range s.leaseEnds {
 		s.remove(service, subscriber)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Active returns the subscribers of a service now, in order.
+// Active returns the subscribers of a service whose leases have not expired, sorted.
 func (s *Subscribers) Active(now time.Duration, service string) []string {
 	var active []string
 	for subscriber, leaseEnd := range s.leaseEnds[service] {
--- a/internal/mesh/discovery/subscription.go
+++ b/internal/mesh/discovery/subscription.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// RegistryOwner is a process that holds a service's endpoints, in one of its incarnations: versions of a registry count within one.
+// RegistryOwner is one incarnation of a process that holds the records of a service's endpoints. Each incarnation has a registry of its
+// own, with versions of its own.
 type RegistryOwner struct {
 	Address     string
 	Incarnation uint64
 }
 
-// SubscribeRequest asks an owner for what changed of a service since a version of its registry, and renews the subscription.
+// SubscribeRequest asks an owner for the records of a service that have changed since a version of its registry, and renews the
+// subscription.
 type SubscribeRequest struct {
-	To           string
-	Incarnation  uint64 // of the owner that SinceVersion is of: another one takes it for 0
+	To           string // address of the owner
+	Incarnation  uint64 // of the owner that has SinceVersion; another incarnation answers as if that were 0
 	Service      string
 	SinceVersion uint64
 }
 
-// Subscription is a caller's side: it asks the owners of the services that the caller wants. Make one with NewSubscription.
+// Subscription is a subscriber's side: it polls the owners of the services that the subscriber wants. NewSubscription makes one.
 type Subscription struct {
 	config         Config
-	services       map[string][]*source // in the order of preference
-	sortedServices []string
+	services       map[string][]*source // by service, in the order of preference
+	sortedServices []string             // the keys of services
 }
 
 // source is one owner of one service.
 type source struct {
 	RegistryOwner
 	state       sourceState
-	version     uint64        // of its registry, up to which everything was received
-	answeredAt  time.Duration // last, or when it was first asked
-	nextRequest time.Duration
+	version     uint64        // of its registry, up to which all records were received
+	answeredAt  time.Duration // last answer, or the first request
+	nextRequest time.Duration // not used while notAsked: the first request is due at once
 }
 
-// sourceState is what is known of a source; only transition changes it.
+// sourceState is the state of a source; only transition changes it.
 //
 //	notAsked ──▶ awaitingAnswer ──▶ answered
 //	                  │                │ ▲
@@ -50,19 +52,19 @@
 	unresponsive // the connection broke, or there was no answer for two poll intervals
 )
 
-// transition changes the state, and has the next request sent after a while.
+// transition changes the state, and makes the next request due after a time.
 func (s *source) transition(now time.Duration, to sourceState, untilRequest time.Duration) {
 	s.state = to
 	s.nextRequest = now + untilRequest
 }
 
-// NewSubscription makes a subscription to nothing.
+// NewSubscription returns a subscription without services.
 func NewSubscription(config Config) *Subscription {
 	return &Subscription{config: config.WithDefaults(), services: map[string][]*source{}}
 }
 
-// SetOwners gives the registry owners of a service as they are now, the preferred ones first; without any, the subscription to it ends.
-// The first OwnersQueried that aren't unresponsive are asked.
+// SetOwners replaces the registry owners of a service, the preferred ones first; without any, the subscription to the service ends. The
+// first OwnersQueried of them that aren't unresponsive are polled.
 func (s *Subscription) SetOwners(_ time.Duration, service string, owners []RegistryOwner) {
 	var sources []*source
 	for _, owner := range owners {
@@ -84,7 +86,7 @@
 	slices.Sort(s.sortedServices)
 }
 
-// Tick returns the requests that are due: to new owners at once, to the others at intervals.
+// Tick returns the requests that are due: to new owners at once, to others after PollInterval, or RetryInterval without an answer.
 func (s *Subscription) Tick(now time.Duration) []SubscribeRequest {
 	var due []SubscribeRequest
 	for _, service := range s.sortedServices {
@@ -93,7 +95,8 @@
 	return due
 }
 
-// appendDue appends the requests for one service: to the first OwnersQueried that respond, and to the unresponsive ones before them.
+// appendDue appends the requests for one service: to the first OwnersQueried that aren't unresponsive, and to the unresponsive ones that
+// precede them, which may respond again.
 func (s *Subscription) appendDue(now time.Duration, due []SubscribeRequest, service string) []SubscribeRequest {
 	left := s.config.OwnersQueried
 	for _, src := range s.services[service] {
@@ -112,7 +115,7 @@
 	return due
 }
 
-// checkTimeout takes a source for unresponsive that didn't answer for so long; it is asked at once.
+// checkTimeout makes a source unresponsive that hasn't answered for the time-out. The next request to it is due at once.
 func (s *source) checkTimeout(now, timeout time.Duration) {
 	if (s.state == answered || s.state == awaitingAnswer) && now-s.answeredAt >= timeout {
 		s.transition(now, unresponsive, 0)
@@ -123,7 +126,7 @@
 	return SubscribeRequest{To: s.Address, Incarnation: s.Incarnation, Service: service, SinceVersion: s.version}
 }
 
-// noteRequest schedules the request after one that is sent now.
+// noteRequest records that a request is sent now, and schedules the next one.
 func (s *source) noteRequest(now time.Duration, config *Config) {
 	switch s.state {
 	case notAsked:
@@ -136,7 +139,7 @@
 	}
 }
 
-// Received reports that an owner, in one of its incarnations, sent what it holds up to a version of its registry.
+// Received records that an owner has answered with the records up to a version of its registry.
 func (s *Subscription) Received(now time.Duration, from RegistryOwner, service string, version uint64) {
 	for _, src := range s.services[service] {
 		if src.RegistryOwner != from {
@@ -150,7 +153,8 @@
 	}
 }
 
-// ConnectionLost reports that the connection to an owner broke: the others are asked at once.
+// ConnectionLost makes the owner at an address unresponsive, as the connection to it broke. The other owners of its services are asked at
+// once.
 func (s *Subscription) ConnectionLost(now time.Duration, address string) {
 	for _, sources := range s.services {
 		if !slices.ContainsFunc(sources, func(src *source) bool { return src.Address == address }) {
