--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -40,8 +40,8 @@
 	return reply, r, unsynced
 }
 
-// rejectVoterSet rejects a request whose voter set is not the one that is known here to be decided. A replica that
-// recovers is answered under any epoch, as it learns the newest one by the reply.
+// rejectVoterSet returns the rejection of a request whose voter set is older than, or conflicts with, the one that is
+// known here to be decided. A recovering replica is answered under any epoch, as it learns the newest one from the reply.
 func (r *Record) rejectVoterSet(request *Request) (Reply, bool) {
 	decided := r.DecidedVoters()
 	if decided.conflictsWith(&request.VoterSet) {
@@ -77,8 +77,8 @@
 	return r.reply(Accepted, request), unsynced
 }
 
-// handleRecover notes the disk incarnation that a replica begins, and reports what it needs to know. The note has to be
-// on disk before the reply leaves, as the recovery relies on this voter to report it to proposers.
+// handleRecover records the disk incarnation that a replica begins, and reports what the replica needs. The incarnation
+// has to be on disk before the reply leaves, as the recovery relies on this voter to report it to proposers.
 func (r *Record) handleRecover(request *Request) (Reply, Unsynced) {
 	if request.DiskIncarnation <= r.State.DiskIncarnations[request.Node] {
 		return r.replyToRecover(r.reply(Rejected, request)), Unsynced{}
@@ -87,8 +87,8 @@
 	return r.replyToRecover(r.replyWithVote(Reported, request)), Unsynced{State: true}
 }
 
-// noteDiskIncarnation remembers a replica's incarnation, in a copy as r's map is shared with the record before. Those of
-// voters that take part in rounds under the decided voter set, or the one before or after it, are never dropped.
+// noteDiskIncarnation records a replica's disk incarnation in a copy of the map, which r shares with the previous record.
+// The incarnations of voters in the decided voter set, and in the ones before and after it, are never dropped.
 func (r *Record) noteDiskIncarnation(node string, number uint64) {
 	incarnations := maps.Clone(r.State.DiskIncarnations)
 	if incarnations == nil {
@@ -103,7 +103,7 @@
 	r.State.DiskIncarnations = incarnations
 }
 
-// reply is what every reply of a ready acceptor has.
+// reply returns a reply with the fields that every reply of a ready acceptor has.
 func (r *Record) reply(kind ReplyKind, request *Request) Reply {
 	return Reply{
 		Kind:             kind,
@@ -114,7 +114,7 @@
 	}
 }
 
-// replyWithVote is a reply that reports the vote, without its value if the sender has that already.
+// replyWithVote returns a reply that reports the vote, without its value if the sender already has it.
 func (r *Record) replyWithVote(kind ReplyKind, request *Request) Reply {
 	reply := r.reply(kind, request)
 	reply.Vote = r.Vote
@@ -124,7 +124,7 @@
 	return reply
 }
 
-// replyToRecover adds to a reply what only a recovery reads.
+// replyToRecover adds the fields that only a recovery reads.
 func (r *Record) replyToRecover(reply Reply) Reply {
 	reply.VoterSet = r.DecidedVoters()
 	reply.System = r.State.System
--- a/internal/mesh/control/consensus/change.go
+++ b/internal/mesh/control/consensus/change.go
@@ -17,28 +17,28 @@
 	nextVoters    *VoterSet // nil unless it is a change of the voters; the other fields are empty then
 }
 
-// NewChange makes an operator's change.
+// NewChange returns an operator's change, with the digest of its body.
 func NewChange(base, version configuration.Version, body []byte) *Change {
 	sum := sha256.Sum256(body)
 	return &Change{Base: base, Version: version, Body: body, digest: Digest(sum[:len(Digest{})])}
 }
 
-// entry is what a value remembers of the change.
+// entry returns the change as it stands in a value's History or Refused.
 func (c *Change) entry() VersionDigest {
 	return VersionDigest{Version: uint64(c.Version), Digest: c.digest}
 }
 
-// Verdict is what became of a change.
+// Verdict is the outcome of a change.
 type Verdict uint8
 
-// The verdicts. Applied and Conflict are for good.
+// The verdicts. Applied and Conflict are final.
 const (
 	Unknown  Verdict = iota // it may be in force, or come into force later, or not
 	Applied                 // it is in force, or was
 	Conflict                // it never was in force and never will be
 )
 
-// String is the verdict in lower case.
+// String returns the verdict in lower case.
 func (v Verdict) String() string {
 	switch v {
 	case Unknown:
@@ -52,8 +52,8 @@
 	}
 }
 
-// evaluate decides on a change on the newest value, and returns the value that has to be committed before the verdict
-// holds: newest itself, or another one. The package's documentation has the reasons.
+// evaluate returns the verdict on a change to the newest value, and the value that has to be committed before the verdict
+// holds: newest itself, or its successor. The package documentation gives the reasons for each case.
 func (c *Change) evaluate(newest *Value) (Verdict, *Value) {
 	if c.nextVoters != nil {
 		return c.evaluateVoterChange(newest)
--- a/internal/mesh/control/consensus/crash_test.go
+++ b/internal/mesh/control/consensus/crash_test.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	crashWarmUpSteps = 1500 // steps, at most, before the change that the loss follows
-	crashWaitSteps   = 4000 // steps until a change is acknowledged
+	crashWarmUpSteps = 1500 // steps before the change that the crash follows, at most
+	crashWaitSteps   = 4000 // steps until a change is acknowledged, at most
 )
 
-// crashAfterCommit is a loss at the moment at which a change was acknowledged: some disks are lost, and all other processes
-// lose power, voters or not. Messages in flight are lost with them.
+// crashAfterCommit is a crash at the moment at which a change is acknowledged: some disks are lost, and all other processes
+// lose power, voters or not. Messages in flight are lost as well.
 type crashAfterCommit struct {
 	tolerated int  // disks that may be lost at once
 	aimed     bool // at the disks with the newest votes
 }
 
-// victims are the replicas whose disks are lost: those that hold the newest votes, or any by chance. Disks that are lost already
-// count.
+// victims returns the replicas whose disks are lost: those that hold the newest votes, or random ones. Disks that are already
+// lost count as well.
 func (c crashAfterCommit) victims(m *model) []*modelReplica {
 	left := c.tolerated
 	var candidates []*modelReplica
@@ -39,7 +39,7 @@
 	return candidates[:max(min(left, len(candidates)), 0)]
 }
 
-// crash has the loss happen, and returns how many disks were lost.
+// crash stops all processes and returns how many disks were lost.
 func (c crashAfterCommit) crash(m *model) (disks int) {
 	victims := c.victims(m)
 	for _, process := range m.replicas {
@@ -53,7 +53,7 @@
 	return len(victims)
 }
 
-// tolerance is how many disks the voters that were decided last may lose at once.
+// tolerance returns how many disks the newest decided voters may lose at once.
 func (m *model) tolerance() int {
 	var newest VoterSet
 	for _, process := range m.replicas {
@@ -64,10 +64,14 @@
 	return (len(newest.Voters) - 1) / 2
 }
 
-// crashes counts what happened in the runs of a test.
-type crashes struct{ crashes, disks, severalDisks int }
+// crashes counts the crashes in the runs of a test.
+type crashes struct {
+	crashes      int
+	disks        int // that were lost
+	severalDisks int // crashes in which more than one disk was lost
+}
 
-// playCrash plays a model until a change was acknowledged, and crashes it then. Once the processes are back, all of them have to
+// playCrash runs a model until a change is acknowledged, and then crashes it. Once the processes are back, all of them have to
 // read what was acknowledged, and the next change has to be applied. It reports whether a change was acknowledged in time.
 func (c *crashes) playCrash(m *model) bool {
 	for step := m.rng.IntN(crashWarmUpSteps); step > 0 && m.spec.fault == ""; step-- {
@@ -91,9 +95,9 @@
 	return true
 }
 
-// Right after a change was acknowledged, as many disks are lost as may be, those with the newest votes among them, and all other
-// processes lose power at the same moment. Once they are back, every process reads what was acknowledged, and the next change
-// is applied; then the same happens once more.
+// At the moment at which a change is acknowledged, as many disks are lost as the voters tolerate, often those with the newest
+// votes, and all other processes lose power. Once they are back, every process reads what was acknowledged, and the next
+// change is applied. Then the same happens once more.
 func TestDisksLostWhileAllOthersLosePower(t *testing.T) {
 	seeds := uint64(300)
 	if os.Getenv("SOAK") != "" {
@@ -102,7 +106,7 @@
 	var total crashes
 	for seed := range seeds {
 		m := newModel(seed, []int{3, 5, 3, 4, 5}[seed%5], 1+int(seed/5%2), seed%4 == 3)
-		m.diskLosses = 0 // before it; one disk more would be one too many
+		m.diskLosses = 0 // apart from the crash: another one could exceed what the voters tolerate
 		for range 2 {
 			if crashed := total.playCrash(m); !crashed || m.spec.fault != "" {
 				break
--- a/internal/mesh/control/consensus/doc.go
+++ b/internal/mesh/control/consensus/doc.go
@@ -2,9 +2,9 @@
 // voters out of the core processes. It is CASPaxos: a value only changes by a proposal that reads it first, any core
 // process may propose, and there is no leader.
 //
-// The package is a pure state machine. It does no I/O, knows no clock, starts no goroutine and takes no lock. The
+// The package is a pure state machine. It does no I/O, reads no clock, starts no goroutine and takes no lock. The
 // caller (package controlplane) sends the messages, syncs the records and decides when to stop waiting; tests drive the
-// same code through every order of messages. docs/design/consensus-proof.md has the proofs behind what is said here.
+// same code through every order of messages. docs/design/consensus-proof.md proves the claims made here.
 //
 // # Roles
 //
@@ -37,20 +37,24 @@
 //	}
 //	// Until round.Finished(); after a time-out: round.StopWaiting().
 //
-// What follows depends on round.State: a caller that is Done has the verdict and sends Commit to the recipients, one that
-// is Preempted tries again after a back-off with a ballot above round.HighestBallot, one that is Inconclusive starts a
-// round with a ballot, and one that is Stale starts again under round.NewerVoters. A recovery is driven like a round,
-// until Step returns a record.
+// What follows depends on round.State:
+//
+//   - Done: the caller has the verdict, and sends Commit to the recipients.
+//   - Preempted: it tries again after a backoff, with a ballot above round.HighestBallot.
+//   - Inconclusive: it starts a round with a ballot.
+//   - Stale: it starts again under round.NewerVoters.
+//
+// A recovery is driven like a round, until Step returns a record.
 //
 // All messages implement codec.Message; the numbers of their fields and kinds never change. Records use the same format.
 //
 // # How a value is chosen
 //
 // A proposer picks a ballot that was never used and asks the voters to promise it (Prepare). A voter that promises
-// reports what it accepted last and takes part in no lower ballot any more. With promises from a majority the proposer
-// knows the newest value that may have been chosen, evaluates its change on it, and asks the voters to accept the
-// outcome under its ballot (Accept). A value that a majority accepted under one ballot is committed. Any two majorities
-// share a voter, so every later ballot finds it. Commit then notifies the voters, and needs no reply.
+// reports its newest vote, and rejects lower ballots from then on. With promises from a majority the proposer knows the
+// newest value that may have been chosen, evaluates its change on it, and asks the voters to accept the outcome under its
+// ballot (Accept). A value that a majority accepted under one ballot is committed. Any two majorities share a voter, so
+// every later ballot finds it. Commit then notifies the voters, and needs no reply.
 //
 // The states of a round:
 //
@@ -101,6 +105,6 @@
 //
 // # What the package does not do
 //
-// It keeps no log of commands: one value is replaced by the next. It does not choose when to retry, with which back-off,
-// or when a peer counts as unresponsive; [PeerStatus] is input. It does not authenticate messages.
+// It keeps no log of commands: one value is replaced by the next. It decides neither when to retry, nor with which backoff,
+// nor when a peer counts as unresponsive: [PeerStatus] is input. It does not authenticate messages.
 package consensus
--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// The numbers of kinds go over the wire, and those of verdicts and states stand in other packages' answers.
+// The numbers of kinds are sent in messages, and those of verdicts and states are part of other packages' output.
 func TestNumbersOfKinds(t *testing.T) {
 	qt.Check(t, numbers([]RequestKind{ReadVote, Prepare, Accept, Recover, Describe, Commit}), qt.Equals, "1 2 3 4 5 6")
 	qt.Check(t, numbers([]ReplyKind{NotReady, Reported, Promise, Accepted, Rejected, StaleEpoch, ConflictingVoters, ForeignSystem}),
@@ -122,7 +122,7 @@
 	return strings.Join(texts, " ")
 }
 
-// What two versions must agree on beside the form of messages.
+// Values that two versions must agree on, besides the format of messages.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check(uint64(NewSystemID([]string{"core-1", "core-2", "core-3"})), qt.Equals, uint64(0x69e7195655d432f9))
@@ -133,7 +133,7 @@
 	c.Check([]int{TargetVoters(0), TargetVoters(1), TargetVoters(2), TargetVoters(7)}, qt.DeepEquals, []int{3, 3, 5, 9})
 }
 
-// digestOf is a short hash of messages' encodings.
+// digestOf returns a short hash of messages' encodings, in hexadecimal.
 func digestOf(messages ...codec.Message) string {
 	h := sha256.New()
 	for _, m := range messages {
@@ -168,7 +168,7 @@
 	golden.Text(t, "model-runs.txt", []byte(text.String()))
 }
 
-// The same seed gives the same schedule of the worlds in which every request is in sight.
+// The same seed gives the same sequence of steps from each world.
 func TestGoldenSchedules(t *testing.T) {
 	worlds := map[string]*world{
 		"two changes on a base":        newWorld(3, 0, []int{2, 2}, one, two),
@@ -185,23 +185,24 @@
 			world.randomSteps(rng, 150)
 			qt.Assert(t, world.fault(), qt.Equals, "")
 			fmt.Fprintf(&text, "%s, seed %d: %d in flight, next draw %d\n", name, seed, len(world.inFlight), rng.Uint64())
-			for _, e := range world.conclusions {
-				fmt.Fprintf(&text, "  proposer %d: %v %s\n", e.proposer, e.verdict, digestOf(&e.value))
+			for _, end := range world.conclusions {
+				fmt.Fprintf(&text, "  proposer %d: %v %s\n", end.proposer, end.verdict, digestOf(&end.value))
 			}
-			for v := range world.records {
-				fmt.Fprintf(&text, "  %s: %s\n", world.voters[v], digestOf(&world.records[v].State, &world.records[v].Vote))
+			for i := range world.records {
+				record := &world.records[i]
+				fmt.Fprintf(&text, "  %s: %s\n", world.voters[i], digestOf(&record.State, &record.Vote))
 			}
 		}
 	}
 	golden.Text(t, "schedules.txt", []byte(text.String()))
 }
 
-// The number of states that all orders of a few steps lead to.
+// The number of states that all sequences of a few steps lead to.
 func TestGoldenStates(t *testing.T) {
 	var text strings.Builder
 	for _, test := range []struct {
 		name  string
-		w     *world
+		start *world
 		depth int
 	}{
 		{"two changes on a base", newWorld(3, 0, []int{1, 1}, one, two), 6},
@@ -210,7 +211,7 @@
 		{"a voter is exchanged", newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, swapV0), 5},
 		{"a rival list that one has", rivalVoterSet(), 4},
 	} {
-		fmt.Fprintf(&text, "%s, %d steps: %d states\n", test.name, test.depth, explore(t, test.w, test.depth))
+		fmt.Fprintf(&text, "%s, %d steps: %d states\n", test.name, test.depth, explore(t, test.start, test.depth))
 	}
 	golden.Text(t, "states.txt", []byte(text.String()))
 }
--- a/internal/mesh/control/consensus/history.go
+++ b/internal/mesh/control/consensus/history.go
@@ -6,11 +6,11 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Digest is the first 8 bytes of the SHA-256 of a body. It tells apart the few bodies that are sent under one version,
-// and is short as every message with a value holds hundreds.
+// Digest is the first 8 bytes of the SHA-256 of a body. It distinguishes the few bodies that are sent under one version.
+// It is short because every message with a value holds hundreds of digests.
 type Digest = [8]byte
 
-// VersionDigest names one change: the version that it makes, and its body.
+// VersionDigest identifies one change by the version that it makes and by its body.
 type VersionDigest struct {
 	Version uint64
 	Digest  Digest
@@ -34,7 +34,7 @@
 	packedHistoryField = 6
 )
 
-// historyField is the field of a value's history.
+// historyField encodes or decodes the field of a value's history.
 func (v *Value) historyField(visitor *codec.Visitor) {
 	if visitor.Reading() {
 		v.unpackHistory(visitor)
@@ -44,8 +44,8 @@
 	visitor.Bytes(packedHistoryField, &packed)
 }
 
-// decodeLegacyHistory reads the history of a record that was written when 64 versions were remembered, without a note of
-// what was dropped: any version before the first one may have been.
+// decodeLegacyHistory reads the history of a record from the time when a value remembered 64 versions and did not record
+// which one it dropped last. Any version before the first remembered one may have been dropped.
 func (v *Value) decodeLegacyHistory(visitor *codec.Visitor) {
 	codec.Messages(visitor, 3, &v.History)
 	if len(v.History) > 0 {
@@ -53,8 +53,8 @@
 	}
 }
 
-// packHistory encodes a history: for each entry how far its version is above that of the entry before, as a varint, and
-// the digest.
+// packHistory encodes a history: for each entry the difference between its version and that of the entry before, as a
+// varint, and the digest.
 func packHistory(history []VersionDigest) []byte {
 	var packed []byte
 	version := uint64(0)
@@ -66,7 +66,7 @@
 	return packed
 }
 
-// unpackHistory reads what packHistory wrote.
+// unpackHistory decodes the output of packHistory.
 func (v *Value) unpackHistory(visitor *codec.Visitor) {
 	var packed []byte
 	visitor.Bytes(packedHistoryField, &packed)
--- a/internal/mesh/control/consensus/incarnations.go
+++ b/internal/mesh/control/consensus/incarnations.go
@@ -42,7 +42,7 @@
 	return lowest
 }
 
-// fields is field 4 of the messages that have disk incarnations.
+// fields encodes or decodes field 4 of the messages that have disk incarnations, in the order of the nodes' names.
 func (d *DiskIncarnations) fields(visitor *codec.Visitor) {
 	const number = 4
 	var entries []diskIncarnation
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -2,7 +2,7 @@
 
 import "quincegap/internal/mesh/transport/codec"
 
-// RequestKind is what a request asks for. The numbers are part of the wire format.
+// RequestKind is the kind of a request. The numbers are part of the wire format.
 type RequestKind uint8
 
 // The kinds of requests.
@@ -10,12 +10,12 @@
 	ReadVote RequestKind = 1 + iota // report the vote; nothing changes
 	Prepare                         // promise Ballot
 	Accept                          // accept Value under Ballot
-	Recover                         // report what Node, which lost its disk, needs to begin DiskIncarnation
+	Recover                         // report what Node, which has no record, needs to begin DiskIncarnation
 	Describe                        // report the voter set; any process that knows it answers
 	Commit                          // notification that the value accepted under Ballot is committed; needs no reply
 )
 
-// Request is sent by a proposer, or by a replica that lost its disk.
+// Request is sent by a proposer, or by a replica that recovers.
 type Request struct {
 	Kind            RequestKind
 	Ballot          Ballot
@@ -56,7 +56,7 @@
 	Accepted                           // to Accept: accepted
 	Rejected                           // a higher ballot is Promised; to Recover: as high an incarnation was seen
 	StaleEpoch                         // a newer epoch is decided: VoterSet
-	ConflictingVoters                  // the request names other voters than VoterSet for an epoch that is known here
+	ConflictingVoters                  // the request names other voters than VoterSet for the same epoch
 	ForeignSystem                      // the sender belongs to another system than System
 )
 
@@ -65,13 +65,13 @@
 	Kind             ReplyKind
 	Ballot           Ballot           // of the request
 	DiskIncarnation  uint64           // the voter's own
-	DiskIncarnations DiskIncarnations // of other voters, as far as they were reported to this one
+	DiskIncarnations DiskIncarnations // of other voters, as reported to this one
 	Promised         Ballot           // the highest ballot that the voter promised
 	Vote             Vote             // the voter's own; without its value if the request's KnownBallot is that of the vote
 
 	VoterSet     VoterSet // the newest one that the voter knows to be decided
 	Ready        bool     // to Describe: the sender may be made a voter
-	BlankDisk    bool     // NotReady because there was nothing at all on the disk
+	BlankDisk    bool     // with NotReady: the disk was completely empty
 	System       SystemID
 	Unresponsive []string // to Describe: voters that have not answered the sender for ReplaceDelay
 }
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -8,21 +8,30 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
+// Decoding an encoded message returns every field. The literals have no field names, so that a new field does not compile
+// before it has a value here.
 func TestMessagesAreDecoded(t *testing.T) {
 	c := qt.New(t)
 	entry := VersionDigest{7, Digest{1, 2, 7: 3}}
 	ballot := Ballot{3, "a#1"}
 	voters := VoterSet{3, []string{"x", "y"}, []string{"x"}, []string{"z"}}
 	value := Value{7, []byte("body"), []VersionDigest{{2, Digest{}}, entry}, 1, []VersionDigest{entry}, voters}
-	request, requestRead := Request{Accept, ballot, Ballot{2, "b"}, value, "x", 4, 5, voters, 6, "y"}, Request{}
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &request), &requestRead), qt.IsNil)
-	c.Assert(requestRead, qt.DeepEquals, request)
-	reply, replyRead := Reply{Rejected, ballot, 5, DiskIncarnations{"x": 2, "y": 3}, ballot, Vote{ballot, value, true}, voters, true, true, 7, []string{"w"}}, Reply{}
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &reply), &replyRead), qt.IsNil)
-	c.Assert(replyRead, qt.DeepEquals, reply)
-	state, stateRead := ReplicaState{voters, true, 2, DiskIncarnations{"y": 1}, ballot, 8}, ReplicaState{}
-	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &state), &stateRead), qt.IsNil)
-	c.Assert(stateRead, qt.DeepEquals, state)
+
+	request := Request{Accept, ballot, Ballot{2, "b"}, value, "x", 4, 5, voters, 6, "y"}
+	var decodedRequest Request
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &request), &decodedRequest), qt.IsNil)
+	c.Assert(decodedRequest, qt.DeepEquals, request)
+
+	incarnations := DiskIncarnations{"x": 2, "y": 3}
+	reply := Reply{Rejected, ballot, 5, incarnations, ballot, Vote{ballot, value, true}, voters, true, true, 7, []string{"w"}}
+	var decodedReply Reply
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &reply), &decodedReply), qt.IsNil)
+	c.Assert(decodedReply, qt.DeepEquals, reply)
+
+	state := ReplicaState{voters, true, 2, DiskIncarnations{"y": 1}, ballot, 8}
+	var decodedState ReplicaState
+	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &state), &decodedState), qt.IsNil)
+	c.Assert(decodedState, qt.DeepEquals, state)
 }
 
 // A record written before voters could change has the voter set of the first start.
@@ -34,6 +43,7 @@
 	c.Assert(state, qt.DeepEquals, ReplicaState{VoterSet{Voters: []string{"x", "y"}}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}, 0})
 }
 
+// legacyReplicaState is a ReplicaState in the format of versions whose voters could not change.
 type legacyReplicaState struct {
 	voters           []string
 	ready            bool
@@ -42,10 +52,10 @@
 	promised         Ballot
 }
 
-func (o *legacyReplicaState) Fields(visitor *codec.Visitor) {
-	visitor.Strings(1, &o.voters)
-	visitor.Bool(2, &o.ready)
-	visitor.Uint64(3, &o.diskIncarnation)
-	o.diskIncarnations.fields(visitor)
-	visitor.Message(5, &o.promised)
+func (l *legacyReplicaState) Fields(visitor *codec.Visitor) {
+	visitor.Strings(1, &l.voters)
+	visitor.Bool(2, &l.ready)
+	visitor.Uint64(3, &l.diskIncarnation)
+	l.diskIncarnations.fields(visitor) // field 4
+	visitor.Message(5, &l.promised)
 }
--- a/internal/mesh/control/consensus/model_calls_test.go
+++ b/internal/mesh/control/consensus/model_calls_test.go
@@ -7,16 +7,16 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// modelCall is a read or a change: rounds until one is done.
+// modelCall is a read or a change: it runs rounds until one is Done.
 type modelCall struct {
-	round         *Round // nil: it waits for the next one
-	phase         int
+	round         *Round // nil between two rounds
+	phase         int    // of all rounds so far; tells replies of earlier phases apart
 	attempts      int
-	isRead        bool // without a change, and by asking at first
-	withoutBallot bool // the next round has no ballot
-	change        *Change
-	version       configuration.Version // committed when the call began
-	epoch         uint64
+	isRead        bool                  // without a change; its first round has no ballot
+	withoutBallot bool                  // the next round has no ballot
+	change        *Change               // may be nil
+	version       configuration.Version // the newest committed when the call began
+	epoch         uint64                // the same, of the voter set
 }
 
 // startRound starts a call's next round (as controlplane does).
@@ -25,7 +25,7 @@
 		return
 	}
 	if call.attempts++; call.attempts > modelAttempts && !m.faultless {
-		m.abandon(process, call) // the caller hears nothing
+		m.abandon(process, call) // the caller gets no answer
 		return
 	}
 	var request *Request
@@ -34,7 +34,8 @@
 	} else {
 		process.ballotCall = call
 		process.highestBallot++
-		call.round, request = NewRound(process.voterSet, Ballot{process.highestBallot, fmt.Sprint(process.name, "#", process.starts)}, call.change, process.knownVote)
+		ballot := Ballot{process.highestBallot, fmt.Sprint(process.name, "#", process.starts)}
+		call.round, request = NewRound(process.voterSet, ballot, call.change, process.knownVote)
 	}
 	call.phase++
 	m.send(process, call.round.Recipients(), request, call, nil)
@@ -44,10 +45,10 @@
 	if process.ballotCall == call {
 		process.ballotCall = nil
 	}
-	process.calls = slices.DeleteFunc(process.calls, func(o *modelCall) bool { return o == call })
+	process.calls = slices.DeleteFunc(process.calls, func(other *modelCall) bool { return other == call })
 }
 
-// roundFinished goes on after a round.
+// roundFinished learns from a finished round, and ends the call or starts its next round.
 func (m *model) roundFinished(process *modelReplica, call *modelCall) {
 	round := call.round
 	process.observeBallot(round.HighestBallot)
@@ -76,7 +77,7 @@
 	}
 }
 
-// conclude hands a call's end to the specification.
+// conclude counts a call's outcome and has the specification check it.
 func (m *model) conclude(call *modelCall, round *Round) {
 	switch {
 	case call.change == nil:
@@ -93,7 +94,7 @@
 	m.startRound(process, call)
 }
 
-// sendOrder has an operator send an order, or one of those before again.
+// sendOrder sends an operator's new order to a process, or repeats an earlier one.
 func (m *model) sendOrder(process *modelReplica) {
 	if len(m.orders) > 0 && m.chance(50) {
 		recent := m.orders[max(0, len(m.orders)-8):]
@@ -115,7 +116,7 @@
 	m.startCall(process, &modelCall{change: change})
 }
 
-// reconfigure has a process change the voters.
+// reconfigure starts a change of the voters at a process, if one is possible.
 func (m *model) reconfigure(process *modelReplica) {
 	voters := process.voterSet
 	if len(voters.Voters) == 0 || voters.Epoch == 0 && m.chance(50) {
@@ -151,7 +152,7 @@
 	m.roundFinished(process, call)
 }
 
-// finishCall plays a call to its end.
+// finishCall runs a call to its end.
 func (m *model) finishCall(process *modelReplica, call *modelCall) {
 	m.startCall(process, call)
 	for range 40 {
--- a/internal/mesh/control/consensus/model_network_test.go
+++ b/internal/mesh/control/consensus/model_network_test.go
@@ -8,17 +8,17 @@
 
 // envelope is a request, or the reply to it, in flight.
 type envelope struct {
-	from, to *modelReplica // of the request
-	start    int           // of from
-	call     *modelCall    // nil: for from's recovery, or no reply is needed
-	phase    int
-	recovery *Recovery
+	from, to *modelReplica // of the request, also in a reply
+	start    int           // modelReplica.starts of from: a reply to an earlier start is dropped
+	call     *modelCall    // nil for a recovery, and if no reply is needed
+	phase    int           // of the call
+	recovery *Recovery     // nil unless it is a recovery's
 	request  *Request
-	reply    *Reply
-	dueStep  int // the step before which it doesn't arrive
+	reply    *Reply // nil in a request
+	dueStep  int    // the first step at which it may arrive
 }
 
-// throughCodec is a message as it is read again, if this model encodes.
+// throughCodec returns a message, after encoding and decoding it if this model encodes.
 func throughCodec[T any, P interface {
 	*T
 	codec.Message
@@ -44,7 +44,7 @@
 	}
 }
 
-// post sends a message; some are slow, so that a process may be killed and recover before they arrive.
+// post puts a message in flight. Some are slow, so that a process may be killed and recover before they arrive.
 func (m *model) post(message *envelope) {
 	if message.dueStep = m.steps; m.chance(m.slowPercent) {
 		message.dueStep += m.rng.IntN(maxDelaySteps)
@@ -62,7 +62,7 @@
 	}
 }
 
-// deliver delivers a message. It may be lost, and it may come again.
+// deliver delivers a message, or loses it. The message may stay in flight, to be delivered once more.
 func (m *model) deliver(at int) {
 	message := m.inFlight[at]
 	if m.faultless || !m.chance(4) {
@@ -72,29 +72,49 @@
 		return
 	}
 	if message.reply == nil {
-		if message.to.up {
-			if reply, ok := m.serve(message.to, message.request); ok && (message.call != nil || message.recovery != nil) {
-				answer := *message
-				reply = throughCodec(m, &reply)
-				answer.reply = &reply
-				m.post(&answer)
-			}
-		}
+		m.deliverRequest(message)
+	} else {
+		m.deliverReply(message)
+	}
+}
+
+// deliverRequest has the recipient answer a request, and puts the reply in flight if the sender waits for one.
+func (m *model) deliverRequest(message *envelope) {
+	if !message.to.up {
 		return
 	}
+	reply, ok := m.serve(message.to, message.request)
+	if !ok || message.call == nil && message.recovery == nil {
+		return
+	}
+	answer := *message
+	reply = throughCodec(m, &reply)
+	answer.reply = &reply
+	m.post(&answer)
+}
+
+// deliverReply hands a reply to the recovery or the round that waits for it, if it still does.
+func (m *model) deliverReply(message *envelope) {
 	process := message.from
-	switch {
-	case !process.up || process.starts != message.start:
-	case message.recovery != nil && message.recovery == process.recovery:
-		m.stepRecovery(process, message)
-	case message.call != nil && message.call.round != nil && message.phase == message.call.phase && slices.Contains(process.calls, message.call):
-		if next := message.call.round.Step(message.to.name, message.reply); next != nil {
-			message.call.phase++
-			m.send(process, message.call.round.Recipients(), next, message.call, nil)
-		}
-		if message.call.round.Finished() {
-			m.roundFinished(process, message.call)
+	if !process.up || process.starts != message.start {
+		return
+	}
+	if message.recovery != nil {
+		if message.recovery == process.recovery {
+			m.stepRecovery(process, message)
 		}
+		return
+	}
+	call := message.call
+	if call.round == nil || message.phase != call.phase || !slices.Contains(process.calls, call) {
+		return
+	}
+	if next := call.round.Step(message.to.name, message.reply); next != nil {
+		call.phase++
+		m.send(process, call.round.Recipients(), next, call, nil)
+	}
+	if call.round.Finished() {
+		m.roundFinished(process, call)
 	}
 }
 
--- a/internal/mesh/control/consensus/model_process_test.go
+++ b/internal/mesh/control/consensus/model_process_test.go
@@ -10,19 +10,19 @@
 type modelReplica struct {
 	name     string
 	disk     Record // as of the last sync
-	diskLost bool   // the disk was lost, and the record isn't made again yet
+	diskLost bool   // the disk was lost, and the recovery has not finished
 
 	up              bool
-	starts          int // how often it started
-	record          Record
-	needsRecord     bool // the record has to be made
-	diskIncarnation uint64
-	recovery        *Recovery
-	voterSet        VoterSet // without voters while not known
-	knownVote       Vote
-	highestBallot   uint64
+	starts          int       // how often it has started
+	record          Record    // in memory
+	needsRecord     bool      // a recovery has to make the record
+	diskIncarnation uint64    // of the next recovery
+	recovery        *Recovery // nil unless one is in progress
+	voterSet        VoterSet  // the newest known; without voters while none is known
+	knownVote       Vote      // the newest that is known to be committed
+	highestBallot   uint64    // number of the highest ballot that was seen
 	calls           []*modelCall
-	ballotCall      *modelCall // has a ballot
+	ballotCall      *modelCall // the one whose round has a ballot; nil for none
 }
 
 func (m *model) replica(name string) *modelReplica {
@@ -31,9 +31,17 @@
 
 // start starts a process with what its disk holds (as controlplane does).
 func (m *model) start(process *modelReplica) {
-	*process = modelReplica{name: process.name, disk: process.disk, diskLost: process.diskLost, up: true, starts: process.starts + 1, record: process.disk}
+	*process = modelReplica{
+		name:        process.name,
+		disk:        process.disk,
+		diskLost:    process.diskLost,
+		up:          true,
+		starts:      process.starts + 1,
+		record:      process.disk,
+		needsRecord: !process.disk.State.Ready,
+	}
 	process.adoptVoters(process.record.DecidedVoters())
-	if process.needsRecord = !process.disk.State.Ready; process.needsRecord {
+	if process.needsRecord {
 		process.diskIncarnation = 1 + m.rng.Uint64N(1000) // by a clock that may have been set back
 		return
 	}
@@ -59,7 +67,7 @@
 	}
 }
 
-// learn notes a vote that is said to be committed.
+// learn adopts a vote that is said to be committed.
 func (m *model) learn(process *modelReplica, vote Vote) {
 	if vote.Ballot.Compare(process.knownVote.Ballot) > 0 {
 		vote.Learned = false
@@ -69,8 +77,8 @@
 	process.adoptVoters(vote.Value.VoterSet)
 }
 
-// persistRecord syncs what changed of a record, the vote first; if the power goes, a part may be there or nothing, and the process
-// is gone.
+// persistRecord syncs the changed parts of a record, the vote first, and reports whether the process survived. If power is
+// lost meanwhile, the disk may hold a part of the change or none, and the process is down.
 func (m *model) persistRecord(process *modelReplica, next Record, changed Unsynced) bool {
 	if !changed.Any() {
 		return true
@@ -95,7 +103,7 @@
 	return true
 }
 
-// replaceRecord syncs a whole record that was made anew, in its steps (as controlplane does).
+// replaceRecord syncs the record that a recovery made, step by step as controlplane does.
 func (m *model) replaceRecord(process *modelReplica, record Record) {
 	written := 3
 	if !m.faultless && m.chance(10) {
@@ -112,14 +120,17 @@
 		m.stop(process)
 		return
 	}
-	process.record, process.needsRecord, process.diskLost, process.recovery = record, false, false, nil
+	process.record = record
+	process.needsRecord = false
+	process.diskLost = false
+	process.recovery = nil
 	process.adoptVoters(record.DecidedVoters())
 	process.observeBallot(record.State.Promised)
 	process.observeBallot(record.Vote.Ballot)
 	m.counts["records made"]++
 }
 
-// serve answers a request, if the process survives it.
+// serve answers a request, and reports whether the process survived to send the reply.
 func (m *model) serve(process *modelReplica, request *Request) (Reply, bool) {
 	process.observeBallot(request.Ballot)
 	if process.needsRecord {
@@ -141,7 +152,7 @@
 	return reply, m.persistRecord(process, next, changed)
 }
 
-// startRecovery goes on with a record that has to be made (as controlplane does).
+// startRecovery starts an attempt to recover as controlplane does, or first learns a voter set from another process.
 func (m *model) startRecovery(process *modelReplica) {
 	if len(process.voterSet.Voters) == 0 {
 		process.adoptVoters(pickOne(m.rng, m.replicas).voterSet)
@@ -155,7 +166,7 @@
 	m.send(process, process.recovery.Recipients(), request, nil, process.recovery)
 }
 
-// stepRecovery takes a reply to a recovery.
+// stepRecovery hands a reply to a recovery.
 func (m *model) stepRecovery(process *modelReplica, message *envelope) {
 	before := process.recovery.Recipients()
 	if record, ok := process.recovery.Step(message.to.name, message.reply); ok {
@@ -169,7 +180,7 @@
 	}
 }
 
-// restart starts a process again, and has one that needs a record try to make it.
+// restart starts a process if it is down, and starts an attempt at each one that needs a record.
 func (m *model) restart() {
 	process := pickOne(m.rng, m.replicas)
 	if !process.up {
@@ -182,12 +193,13 @@
 	}
 }
 
-// loseDisk loses a disk, if no other one is lost.
+// loseDisk loses a disk, unless another one is lost.
 func (m *model) loseDisk(process *modelReplica) {
 	if slices.ContainsFunc(m.replicas, func(other *modelReplica) bool { return other.diskLost }) {
 		return
 	}
 	m.counts["disks lost"]++
 	m.stop(process)
-	process.disk, process.diskLost = Record{}, true
+	process.disk = Record{}
+	process.diskLost = true
 }
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -14,10 +14,10 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// The model is a core of several processes, as package controlplane runs them, without time: one step after the other is
-// drawn by chance. Requests and replies are lost, late and doubled; processes are killed, alone or all at once, also between
-// a write and its sync; disks are lost, one at a time until its replica has recovered; voters are added, removed and
-// exchanged; operators send orders, and send them again, to any process. specification says what has to hold of it.
+// model simulates several core processes as package controlplane runs them, without time: each step is drawn at random.
+// Requests and replies are lost, delayed and duplicated. Processes are killed, alone or all at once, also between a write
+// and its sync. Disks are lost, but not a second one until the first one's replica has recovered. Voters are added, removed
+// and exchanged. Operators send orders, and send them again, to any process. specification checks the outcome.
 type model struct {
 	rng         *rand.Rand
 	replicas    []*modelReplica
@@ -25,38 +25,40 @@
 	orders      []*Change
 	spec        specification
 	steps       int
-	faultless   bool // no more faults
-	encoded     bool // all that is sent or synced goes through the codec
-	slowPercent int  // of messages
-	diskLosses  int  // in 1000 steps, at most
-	counts      map[string]int
-	digest      hash.Hash // of all requests and their replies, unless nil
+	faultless   bool           // there are no more faults
+	encoded     bool           // all that is sent or synced goes through the codec
+	slowPercent int            // of messages
+	diskLosses  int            // in 1000 steps, at most
+	counts      map[string]int // of events, by name
+	digest      hash.Hash      // of all requests and their replies; may be nil
 }
 
 const (
 	modelSteps     = 2000
-	modelAttempts  = 8    // rounds of a call
+	modelAttempts  = 8    // rounds of a call, at most
 	maxDelaySteps  = 300  // steps that a slow message is in flight, at most
 	modelExchanges = true // one voter is exchanged for another in one step
 	modelPrefilled = maxHistory + 40
 )
 
-// prefilled are the orders that a register has seen which has forgotten some of them, and the value that they left.
+// prefilled returns orders, so many that the register has dropped some of them from its history, and the value after them.
 var prefilled = sync.OnceValues(func() ([]*Change, Value) {
 	var orders []*Change
 	var value Value
 	for n := 1; n <= modelPrefilled; n++ {
 		change := NewChange(configuration.Version(n-1), configuration.Version(n), fmt.Appendf(nil, "prefilled %d", n))
 		_, next := change.evaluate(&value)
-		orders, value = append(orders, change), *next
+		orders = append(orders, change)
+		value = *next
 	}
 	return orders, value
 })
 
-// newModel makes a core of so many voters and standbys, with an empty or a prefilled register.
+// newModel returns a core of voters and standbys, with an empty or a prefilled register.
 func newModel(seed uint64, voters, standbys int, isPrefilled bool) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 3)), counts: map[string]int{}, encoded: seed%8 == 0}
-	m.slowPercent, m.diskLosses = pickOne(m.rng, []int{3, 10, 25}), pickOne(m.rng, []int{2, 4, 12})
+	m.slowPercent = pickOne(m.rng, []int{3, 10, 25})
+	m.diskLosses = pickOne(m.rng, []int{2, 4, 12})
 	m.spec = specification{refused: map[VersionDigest]bool{}, voters: map[uint64][]string{}}
 	first := firstVoterSet(voters)
 	var value Value
@@ -84,17 +86,18 @@
 
 func pickOne[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
 
-// gossip has a process hear of the newest voter set that another knows, and write it down.
+// gossip lets a process learn the voter set that another one knows, and sync it.
 func (m *model) gossip(process *modelReplica) {
 	if other := pickOne(m.rng, m.replicas); other.up {
 		process.adoptVoters(other.voterSet)
 	}
-	if next, changed := process.record.LearnVoters(process.voterSet); !process.needsRecord {
+	if !process.needsRecord {
+		next, changed := process.record.LearnVoters(process.voterSet)
 		m.persistRecord(process, next, changed)
 	}
 }
 
-// step does one thing by chance.
+// step takes one random step.
 func (m *model) step() {
 	m.steps++
 	process := pickOne(m.rng, m.replicas)
@@ -130,7 +133,7 @@
 	}
 }
 
-// endFaults ends all faults, has every process make its record, read, and have an order taken.
+// endFaults ends all faults. Every process then has to make its record and to read, and an order has to be applied.
 func (m *model) endFaults() {
 	m.faultless, m.inFlight = true, nil
 	for _, process := range m.replicas {
@@ -162,7 +165,7 @@
 	}
 }
 
-// TestModel plays the model with many seeds; a fault names its seed.
+// TestModel runs the model with many seeds; a failure names its seed.
 func TestModel(t *testing.T) {
 	seeds := uint64(400)
 	if os.Getenv("SOAK") != "" {
@@ -177,14 +180,14 @@
 		if m.endFaults(); m.spec.fault != "" {
 			t.Fatalf("seed %d: %s", seed, m.spec.fault)
 		}
-		for what, step := range m.counts {
-			counts[what] += step
+		for event, n := range m.counts {
+			counts[event] += n
 		}
 		counts["versions"] += len(m.spec.chain)
 		counts["epochs"] += int(m.spec.epoch)
 	}
 	t.Logf("%d seeds: %v", seeds, counts)
-	for _, what := range []string{"applied", "conflict", "unknown", "disks lost", "power lost in a write", "records made", "epochs"} {
-		qt.Assert(t, counts[what] > int(seeds)/10, qt.IsTrue, qt.Commentf(what))
+	for _, event := range []string{"applied", "conflict", "unknown", "disks lost", "power lost in a write", "records made", "epochs"} {
+		qt.Assert(t, counts[event] > int(seeds)/10, qt.IsTrue, qt.Commentf(event))
 	}
 }
--- a/internal/mesh/control/consensus/plan.go
+++ b/internal/mesh/control/consensus/plan.go
@@ -18,7 +18,7 @@
 	ReplaceDelay = 2 * time.Second
 )
 
-// PeerStatus is what is known of a process of the core.
+// PeerStatus is the status of a core process, as the planning process sees it.
 type PeerStatus struct {
 	Node                string
 	Responsive          bool          // it has answered within ReplaceDelay
@@ -34,10 +34,10 @@
 	return !p.Responsive && p.StateDuration >= ReplaceDelay && p.UnresponsiveReports >= majority(voters)
 }
 
-// PlanVoterChange decides on the next change of the voters; the zero change is none. The aim is one voter more than twice
-// the losses that are to be tolerated, as soon as there are as many processes; until then an odd number, as an even one
-// tolerates no more. A voter that must be replaced is exchanged for a standby in one step. Without a standby it stays, and
-// may come back.
+// PlanVoterChange returns the next change of the voters; the zero change is none. The target is one voter more than twice
+// the number of losses to tolerate (TargetVoters). While there are fewer processes than that, the target is an odd number,
+// as an even one tolerates no more losses. A voter that must be replaced is exchanged for a standby in one step. Without a
+// standby it stays a voter, and may come back.
 func PlanVoterChange(voters VoterSet, core []PeerStatus, tolerated int) VoterChange {
 	available := standbys(voters, core)
 	lost := voterToReplace(voters, core)
@@ -56,7 +56,7 @@
 	return VoterChange{}
 }
 
-// voterToReplace is the first voter, by name, that must be replaced; "" for none.
+// voterToReplace returns the first voter, by name, that must be replaced; "" for none.
 func voterToReplace(voters VoterSet, core []PeerStatus) string {
 	lost := ""
 	for i := range core {
@@ -71,17 +71,17 @@
 	return lost
 }
 
-// canGrow reports whether the standbys are enough for the target, or at least for a higher odd number of voters.
+// canGrow reports whether there are enough standbys for the target, or at least for a higher odd number of voters.
 func canGrow(current, available, target int) bool {
 	reachable := current + available
 	highestOdd := reachable - 1 + reachable%2
 	return reachable >= target || highestOdd > current
 }
 
-// TargetVoters is how many voters tolerate so many losses, within what is allowed.
+// TargetVoters returns the number of voters that tolerates the given number of losses, between minVoters and maxVoters.
 func TargetVoters(tolerated int) int { return min(max(2*tolerated+1, minVoters), maxVoters) }
 
-// PlanHandover decides who takes a voter's place before it shuts down; the zero change is none.
+// PlanHandover returns the change that gives the place of a leaving voter to a standby; the zero change is none.
 func PlanHandover(voters VoterSet, core []PeerStatus, leaving string) VoterChange {
 	others := slices.DeleteFunc(slices.Clone(core), func(p PeerStatus) bool { return p.Node == leaving })
 	available := standbys(voters, others)
@@ -91,8 +91,8 @@
 	return VoterChange{Add: available[0].Node, Remove: leaving}
 }
 
-// standbys are the processes that may be made voters, the best first: those that the operator's seeds still name, then
-// those that have been responsive longest, to the second.
+// standbys returns the processes that may be made voters, best first: those that the operator's seeds still name, then
+// those that have been responsive longest, to the second, then by name.
 func standbys(voters VoterSet, core []PeerStatus) (available []PeerStatus) {
 	for _, peer := range core {
 		excluded := voters.Contains(peer.Node) || slices.Contains(voters.Retired, peer.Node)
@@ -110,7 +110,7 @@
 	return available
 }
 
-// seedRank sorts processes that the operator removed from the seeds last.
+// seedRank returns the sort key that puts processes which the operator removed from the seeds last.
 func seedRank(peer PeerStatus) int {
 	if peer.RemovedFromSeeds {
 		return 1
--- a/internal/mesh/control/consensus/plan_test.go
+++ b/internal/mesh/control/consensus/plan_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// responsiveCore is so many responsive processes, of which some have another status.
+// responsiveCore returns n responsive processes; others replace the statuses of the processes that they name.
 func responsiveCore(n int, others ...PeerStatus) (core []PeerStatus) {
 	for i := range n {
 		core = append(core, PeerStatus{Node: fmt.Sprint("v", i), Responsive: true, Ready: true, StateDuration: 10 * time.Second})
@@ -23,7 +23,7 @@
 	return core
 }
 
-// unresponsive is the status of a voter that two report as unresponsive.
+// unresponsive returns the status of v0 if two voters report it as unresponsive.
 func unresponsive(duration time.Duration) PeerStatus {
 	return PeerStatus{Node: "v0", StateDuration: duration, UnresponsiveReports: 2}
 }
@@ -41,40 +41,50 @@
 // notReady is the status of a process that may not be made a voter.
 var notReady = PeerStatus{Node: "v3", Responsive: true, StateDuration: time.Hour}
 
+// The planned change by the number of voters, the status of each core process and the number of losses to tolerate.
 func TestPlanVoterChange(t *testing.T) {
-	hourOld := PeerStatus{Node: "v3", Responsive: true, Ready: true, StateDuration: time.Hour}
+	const long = time.Hour
+	none := VoterChange{}
+	v3ForV0 := VoterChange{Add: "v3", Remove: "v0"}
+	v4ForV0 := VoterChange{Add: "v4", Remove: "v0"}
+	v5ForV0 := VoterChange{Add: "v5", Remove: "v0"}
+	lost := unresponsive(long) // v0
+	stillHere := PeerStatus{Node: "v0", Responsive: true, StateDuration: long}
+	justStarted := PeerStatus{Node: "v4", Responsive: true, Ready: true}
+	longStandby := PeerStatus{Node: "v3", Responsive: true, Ready: true, StateDuration: long}
+	longestStandby := PeerStatus{Node: "v5", Responsive: true, Ready: true, StateDuration: long}
 	for name, test := range map[string]struct {
 		voters    int
 		core      []PeerStatus
 		tolerated int
 		change    VoterChange
 	}{
-		"three are enough for one": {3, responsiveCore(5), 1, VoterChange{}},
+		"three are enough for one": {3, responsiveCore(5), 1, none},
 		"two want five":            {3, responsiveCore(5), 2, VoterChange{Add: "v3"}},
 		"and the fifth":            {4, responsiveCore(5), 2, VoterChange{Add: "v4"}},
-		"and no more":              {5, responsiveCore(9), 2, VoterChange{}},
-		"not four of four":         {3, responsiveCore(4), 2, VoterChange{}},
-		"nine are the most":        {9, responsiveCore(12), 7, VoterChange{}},
+		"and no more":              {5, responsiveCore(9), 2, none},
+		"not four of four":         {3, responsiveCore(4), 2, none},
+		"nine are the most":        {9, responsiveCore(12), 7, none},
 		"from a single one":        {1, responsiveCore(3), 0, VoterChange{Add: "v1"}},
-		"a single one stays":       {1, responsiveCore(1), 0, VoterChange{}},
-		"two stay two":             {2, responsiveCore(2), 1, VoterChange{}},
-		"a process that has just started is not added":          {3, responsiveCore(5, PeerStatus{Node: "v4", Responsive: true, Ready: true}), 2, VoterChange{}},
-		"a process that is not ready is not added":              {3, responsiveCore(4, unresponsive(time.Hour), notReady), 1, VoterChange{}},
-		"unresponsive for a short time":                         {3, responsiveCore(4, unresponsive(ReplaceDelay-1)), 1, VoterChange{}},
-		"unresponsive, with a standby":                          {3, responsiveCore(4, unresponsive(ReplaceDelay)), 1, VoterChange{Add: "v3", Remove: "v0"}},
-		"unresponsive, and only one reports it":                 {3, responsiveCore(4, reportedBy(unresponsive(time.Hour), 1)), 1, VoterChange{}},
-		"unresponsive, and two of five report it":               {5, responsiveCore(6, unresponsive(time.Hour)), 2, VoterChange{}},
-		"unresponsive, and three of five report it":             {5, responsiveCore(6, reportedBy(unresponsive(time.Hour), 3)), 2, VoterChange{Add: "v5", Remove: "v0"}},
-		"unresponsive, without a standby":                       {3, responsiveCore(3, unresponsive(time.Hour)), 1, VoterChange{}},
-		"unresponsive of five, without a standby":               {5, responsiveCore(5, reportedBy(unresponsive(time.Hour), 3)), 2, VoterChange{}},
-		"one too many, and it is unresponsive":                  {4, responsiveCore(4, reportedBy(unresponsive(time.Hour), 3)), 1, VoterChange{Remove: "v0"}},
-		"one too many, and all are responsive":                  {4, responsiveCore(5), 1, VoterChange{}},
-		"removed from the seeds, but responsive":                {3, responsiveCore(4, removedFromSeeds(PeerStatus{Node: "v0", Responsive: true, StateDuration: time.Hour})), 1, VoterChange{}},
-		"a standby in the seeds comes first":                    {3, responsiveCore(5, unresponsive(time.Hour), removedFromSeeds(hourOld)), 1, VoterChange{Add: "v4", Remove: "v0"}},
-		"but one removed from the seeds is better than none":    {3, responsiveCore(4, unresponsive(time.Hour), removedFromSeeds(hourOld)), 1, VoterChange{Add: "v3", Remove: "v0"}},
-		"unresponsive while the voters grow":                    {3, responsiveCore(5, unresponsive(time.Minute)), 2, VoterChange{Add: "v3", Remove: "v0"}},
-		"nothing is known of a voter":                           {3, responsiveCore(4)[1:], 1, VoterChange{}},
-		"the standby that has been responsive longest is added": {3, responsiveCore(6, PeerStatus{Node: "v5", Responsive: true, Ready: true, StateDuration: time.Hour}), 2, VoterChange{Add: "v5"}},
+		"a single one stays":       {1, responsiveCore(1), 0, none},
+		"two stay two":             {2, responsiveCore(2), 1, none},
+		"a process that has just started is not added":          {3, responsiveCore(5, justStarted), 2, none},
+		"a process that is not ready is not added":              {3, responsiveCore(4, lost, notReady), 1, none},
+		"unresponsive for a short time":                         {3, responsiveCore(4, unresponsive(ReplaceDelay-1)), 1, none},
+		"unresponsive, with a standby":                          {3, responsiveCore(4, unresponsive(ReplaceDelay)), 1, v3ForV0},
+		"unresponsive, and only one reports it":                 {3, responsiveCore(4, reportedBy(lost, 1)), 1, none},
+		"unresponsive, and two of five report it":               {5, responsiveCore(6, lost), 2, none},
+		"unresponsive, and three of five report it":             {5, responsiveCore(6, reportedBy(lost, 3)), 2, v5ForV0},
+		"unresponsive, without a standby":                       {3, responsiveCore(3, lost), 1, none},
+		"unresponsive of five, without a standby":               {5, responsiveCore(5, reportedBy(lost, 3)), 2, none},
+		"one too many, and it is unresponsive":                  {4, responsiveCore(4, reportedBy(lost, 3)), 1, VoterChange{Remove: "v0"}},
+		"one too many, and all are responsive":                  {4, responsiveCore(5), 1, none},
+		"removed from the seeds, but responsive":                {3, responsiveCore(4, removedFromSeeds(stillHere)), 1, none},
+		"a standby in the seeds comes first":                    {3, responsiveCore(5, lost, removedFromSeeds(longStandby)), 1, v4ForV0},
+		"but one removed from the seeds is better than none":    {3, responsiveCore(4, lost, removedFromSeeds(longStandby)), 1, v3ForV0},
+		"unresponsive while the voters grow":                    {3, responsiveCore(5, unresponsive(time.Minute)), 2, v3ForV0},
+		"nothing is known of a voter":                           {3, responsiveCore(4)[1:], 1, none},
+		"the standby that has been responsive longest is added": {3, responsiveCore(6, longestStandby), 2, VoterChange{Add: "v5"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, PlanVoterChange(firstVoterSet(test.voters), test.core, test.tolerated), qt.Equals, test.change)
--- a/internal/mesh/control/consensus/quorum.go
+++ b/internal/mesh/control/consensus/quorum.go
@@ -1,6 +1,6 @@
 package consensus
 
-// majority is the smallest number of n voters of which any two sets share a voter.
+// majority returns the smallest size at which any two sets of n voters share a voter.
 func majority(n int) int { return n/2 + 1 }
 
 // hasMajority reports whether the voters for which has holds are a majority of all.
@@ -14,20 +14,20 @@
 	return n >= majority(len(voters))
 }
 
-// hasQuorum reports whether replies hold majorities of all voter sets that the round needs.
+// hasQuorum reports whether replies come from majorities of all voter sets that the round needs.
 func (r *Round) hasQuorum(replies map[string]*Reply) bool {
 	has := func(node string) bool { return replies[node] != nil }
 	return hasMajority(r.voterSet.Voters, has) && (r.jointVoters == nil || hasMajority(r.jointVoters, has))
 }
 
-// quorumImpossible reports whether so many voters have rejected the ballot that a quorum cannot be reached any more.
+// quorumImpossible reports whether too many voters have rejected the ballot for a quorum to be reached any more.
 func (r *Round) quorumImpossible() bool {
 	open := func(node string) bool { return r.replies[node] == nil || r.replies[node].Kind != Rejected }
 	return !hasMajority(r.voterSet.Voters, open) || r.jointVoters != nil && !hasMajority(r.jointVoters, open)
 }
 
-// countedReplies are the replies that count towards a quorum: those that do not reject, and of whose voter no other reply
-// knows a newer disk incarnation, by which the voter has forgotten its reply.
+// countedReplies returns the replies that count towards a quorum. A rejection does not count, and neither does the reply
+// of a voter of which another reply reports a newer disk incarnation: that voter has lost its disk since.
 func (r *Round) countedReplies() map[string]*Reply {
 	counted := map[string]*Reply{}
 	for node, reply := range r.replies {
@@ -42,7 +42,7 @@
 	return counted
 }
 
-// newestVote is the vote with the highest ballot, and whether a majority of the voter set holds it.
+// newestVote returns the vote with the highest ballot, and whether a majority of the voter set has accepted it.
 func (r *Round) newestVote(counted map[string]*Reply) (newest Vote, committed bool) {
 	for _, reply := range counted {
 		if reply.Vote.Ballot.Compare(newest.Ballot) > 0 {
@@ -56,7 +56,7 @@
 	return newest, r.countVotes(counted, newest.Ballot) >= majority(len(r.voterSet.Voters))
 }
 
-// countVotes is how many of the voter set have accepted under a ballot, by their replies. Learned votes do not count.
+// countVotes returns how many voters have accepted under a ballot, by their replies. Learned votes do not count.
 func (r *Round) countVotes(counted map[string]*Reply, ballot Ballot) int {
 	n := 0
 	for _, voter := range r.voterSet.Voters {
@@ -67,7 +67,7 @@
 	return n
 }
 
-// agreementPossible reports whether the replies that are still missing could complete a majority for the newest vote.
+// agreementPossible reports whether the missing replies could still complete a majority for the newest vote.
 func (r *Round) agreementPossible(counted map[string]*Reply) bool {
 	newest, _ := r.newestVote(counted)
 	voters := len(r.voterSet.Voters)
--- a/internal/mesh/control/consensus/record.go
+++ b/internal/mesh/control/consensus/record.go
@@ -26,15 +26,15 @@
 	visitor.Fixed64(9, (*uint64)(&r.System))
 }
 
-// Record is all that a replica keeps on disk. Both parts are written on their own: if the vote is there without the state
-// that came with it, the vote's ballot counts as promised.
+// Record is all that a replica keeps on disk. Its two parts are written separately. If a vote is on disk without the state
+// that belongs to it, the vote's ballot counts as promised.
 type Record struct {
 	State ReplicaState
 	Vote  Vote
 }
 
-// InitialRecord is that of a process at the first start of the whole system, whose voters are given. The process is ready
-// if it is one of them.
+// InitialRecord returns the record of a process at the first start of the whole system, whose voters are given. The process
+// is ready if it is one of them.
 func InitialRecord(self string, voters []string) Record {
 	first := VoterSet{Voters: voters}
 	return Record{State: ReplicaState{
@@ -45,7 +45,7 @@
 	}}
 }
 
-// DecidedVoters is the newest voter set that the record shows to be decided. A vote of epoch n+1 shows that n is decided.
+// DecidedVoters returns the newest voter set that the record shows to be decided. A vote of epoch n+1 shows that n is decided.
 func (r *Record) DecidedVoters() VoterSet {
 	if voted := &r.Vote.Value.VoterSet; voted.Epoch > r.State.Epoch+1 {
 		return voted.previousSet()
@@ -53,7 +53,7 @@
 	return r.State.VoterSet
 }
 
-// LearnVoters returns the record with the knowledge that a voter set is decided. r itself stays as it is.
+// LearnVoters returns the record that knows a voter set to be decided. r itself does not change.
 func (r Record) LearnVoters(decided VoterSet) (Record, Unsynced) {
 	known := r.DecidedVoters()
 	if decided.Epoch <= known.Epoch || len(decided.Voters) == 0 {
@@ -63,8 +63,8 @@
 	return r, Unsynced{State: true}
 }
 
-// promised is the highest ballot that the replica has promised, by a Prepare or by accepting under it. A learned vote was
-// accepted by others and promises nothing.
+// promised returns the highest ballot that the replica has promised, by a Prepare or by accepting a value under it. A
+// learned vote was accepted by others and promises nothing.
 func (r *Record) promised() Ballot {
 	if r.Vote.Ballot.Compare(r.State.Promised) > 0 && !r.Vote.Learned {
 		return r.Vote.Ballot
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -3,21 +3,21 @@
 import "slices"
 
 // Recovery makes the record of a replica that has none: a voter that lost its disk, or a process that is to become a
-// voter. Such a replica does not know what it promised or accepted in an earlier disk incarnation, so it answers nobody
-// until it has read from enough voters and has written down the highest promise and the newest vote that they reported.
-// Of n voters, enough are n-m+1 of the others (m is a majority of n) if the replica is one of them, and a majority if it
-// is not. If the newest vote has a voter set that may be decided, enough voters of that set have to reply, too.
+// voter. Such a replica does not know what it promised or accepted in an earlier disk incarnation. It answers nobody until
+// it has read from enough voters, and has synced the highest promise and the newest vote that they reported. If the replica
+// is one of n voters, n-m+1 of the others are enough, where m is a majority of n; if it is not a voter, a majority is
+// enough. If the newest vote has a voter set that may be decided, enough voters of that set have to reply as well.
 //
-// The replica starts a new disk incarnation. Every voter that it reads from writes that down before it replies, and
-// reports it in all its replies from then on; a proposer that hears of a newer incarnation of a voter does not count that
-// voter's earlier replies (Round.countedReplies).
+// The replica starts a new disk incarnation. Every voter that it reads from syncs that incarnation before it replies, and
+// reports it in all later replies. A proposer that learns of a newer incarnation of a voter does not count that voter's
+// earlier replies (Round.countedReplies).
 //
 // A voter with a blank disk, on which there was nothing at all, may have been killed at the system's first start before
 // its first record was written. It also starts anew if all others of the first voter set reply and each has accepted
 // nothing or has a blank disk too.
 //
-// What is taken over was not accepted by this replica: the vote is Learned, which a proposer must respect as the newest
-// vote, and which does not count towards a majority for its ballot. docs/design/consensus-proof.md shows why this is
+// The replica did not itself accept the vote that it takes over, so the vote is Learned: a proposer must respect it as the
+// newest vote, but it does not count towards a majority for its ballot. docs/design/consensus-proof.md shows why this is
 // enough. A recovery is not safe for concurrent use.
 type Recovery struct {
 	self            string
@@ -29,15 +29,15 @@
 }
 
 // NewRecovery starts an attempt under a disk incarnation above all that were reported so far, and returns the request to
-// send to Recipients. voters is the newest voter set that is known to be decided; blankDisk says that there was nothing at
-// all on the disk.
+// send to Recipients. voters is the newest voter set that is known to be decided; blankDisk is true if the disk was
+// completely empty.
 func NewRecovery(self string, voters VoterSet, incarnation uint64, blankDisk bool) (*Recovery, *Request) {
 	return &Recovery{self: self, voterSet: voters, blankDisk: blankDisk, diskIncarnation: incarnation, replies: map[string]*Reply{}},
 		&Request{Kind: Recover, Node: self, DiskIncarnation: incarnation, VoterSet: voters}
 }
 
-// Recipients are the nodes that have to be asked, as far as is known. Step may add to them; a voter answers the request
-// of one attempt once only.
+// Recipients returns the nodes to which the request goes, without the replica itself. Step may add nodes. A voter answers
+// the request of one attempt only once.
 func (r *Recovery) Recipients() (nodes []string) {
 	for _, voter := range append(slices.Clone(r.voterSet.Voters), r.pendingVoters...) {
 		if voter != r.self && !slices.Contains(nodes, voter) {
@@ -47,8 +47,8 @@
 	return nodes
 }
 
-// Step takes a voter's reply, and returns the record once there are enough. The record has to be on disk before the
-// replica answers anything. If the attempt fails, NextDiskIncarnation is for another one.
+// Step takes a voter's reply and returns the record once there are enough replies. The record has to be on disk before the
+// replica answers any request. If the attempt fails, start another one under NextDiskIncarnation.
 func (r *Recovery) Step(node string, reply *Reply) (Record, bool) {
 	if node == r.self || r.replies[node] != nil || !r.isUsable(reply) {
 		return Record{}, false
@@ -66,7 +66,7 @@
 	return record, enough || r.registerUnused()
 }
 
-// isUsable reports whether a reply says something about the register.
+// isUsable reports whether a reply may be merged: it describes the register, or reports a blank disk.
 func (r *Recovery) isUsable(reply *Reply) bool {
 	if reply.Kind == NotReady {
 		return reply.BlankDisk
@@ -74,8 +74,8 @@
 	return reply.Kind != ForeignSystem
 }
 
-// mergeReplies makes a record of all replies: the highest promise, the newest vote, and every disk incarnation. It also
-// notes the newest voter set that they show to be decided.
+// mergeReplies returns a record with the highest promise, the newest vote and every disk incarnation of all replies. It
+// also adopts the newest voter set that they show to be decided.
 func (r *Recovery) mergeReplies() Record {
 	record := Record{State: ReplicaState{Ready: true, DiskIncarnation: r.diskIncarnation, DiskIncarnations: DiskIncarnations{}}}
 	for voter, reply := range r.replies {
@@ -97,7 +97,7 @@
 	return record
 }
 
-// mergeIncarnations raises known to the disk incarnations that a reply reports, without those of this replica.
+// mergeIncarnations raises the known disk incarnations to those that a reply reports, except for this replica's own.
 func (r *Recovery) mergeIncarnations(known DiskIncarnations, voter string, reply *Reply) {
 	known[voter] = max(known[voter], reply.DiskIncarnation)
 	for node, incarnation := range reply.DiskIncarnations {
@@ -107,7 +107,7 @@
 	}
 }
 
-// adoptVoters notes a newer voter set that a reply shows to be decided. A vote of epoch n+1 shows that n is decided.
+// adoptVoters adopts a newer voter set that a reply shows to be decided. A vote of epoch n+1 shows that n is decided.
 func (r *Recovery) adoptVoters(reply *Reply) {
 	if reply.VoterSet.Epoch > r.voterSet.Epoch {
 		r.voterSet = reply.VoterSet
@@ -117,8 +117,8 @@
 	}
 }
 
-// hasEnough reports whether so many of the voters have replied that one of them is in every majority of the voters with
-// this replica.
+// hasEnough reports whether enough of the voters have replied: every majority that includes this replica has to contain
+// one of them.
 func (r *Recovery) hasEnough(voters []string) bool {
 	n := 0
 	for _, voter := range voters {
@@ -132,7 +132,7 @@
 	return n >= len(voters)-majority(len(voters))+1
 }
 
-// registerUnused reports whether it is known that nobody has accepted anything yet.
+// registerUnused reports whether the replies show that no voter of the first voter set has accepted anything yet.
 func (r *Recovery) registerUnused() bool {
 	if !r.blankDisk || r.voterSet.Epoch > 0 || !r.voterSet.Contains(r.self) {
 		return false
@@ -146,7 +146,7 @@
 	return true
 }
 
-// NextDiskIncarnation is one above this attempt's and all that were reported of this replica.
+// NextDiskIncarnation returns an incarnation above this attempt's and above all that were reported of this replica.
 func (r *Recovery) NextDiskIncarnation() uint64 {
 	highest := r.diskIncarnation
 	for _, reply := range r.replies {
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -16,7 +16,8 @@
 	Stale                          // ended: NewerVoters are decided; another round under them is needed
 )
 
-// expects is the reply that takes a round in this state further. A round that has ended takes none (Step), so the default does not matter.
+// expects returns the kind of reply by which a round in this state advances. Step ignores all replies once a round has
+// ended, so the default does not matter.
 func (s RoundState) expects() ReplyKind {
 	switch s {
 	case Reading:
@@ -35,21 +36,21 @@
 //
 // # Why a read may do without a ballot
 //
-// If a majority reports one ballot b as its newest vote, its value was committed, as they all accepted it under b. And no
-// newer value was committed before the read began: a majority would have accepted that under a higher ballot, and one of
-// them is among those asked. So a read writes nothing unless the votes differ; then it commits the newest value again,
-// under a ballot of its own. The same holds for promises: with one ballot at a majority the value needs no further
-// acceptance, and a change that was applied already, or that conflicts, gets its verdict after one exchange. A learned
-// vote does not count in this, as the voter that holds it may have promised a higher ballot before.
+// If a majority reports the same ballot b as its newest vote, the value of that vote is committed, as all of them accepted
+// it under b. No newer value was committed before the read began: a majority would have accepted it under a higher ballot,
+// and at least one voter of that majority has replied. So a read writes nothing unless the votes differ; in that case it
+// commits the newest value again, under a ballot of its own. The same holds for promises: if a majority reports one ballot,
+// the value needs no further acceptance, and a change that was already applied, or that conflicts, gets its verdict after
+// one round trip. A learned vote does not count here, as the voter that holds it may have promised a higher ballot before.
 type Round struct {
 	State         RoundState
 	Verdict       Verdict  // once Done
 	Value         Value    // once Done: the newest committed
-	HighestBallot Ballot   // of all that the replies had promised
+	HighestBallot Ballot   // the highest that the replies report as promised
 	NewerVoters   VoterSet // once Stale, or Done by a change of the voters
 
 	voterSet    VoterSet
-	jointVoters []string // voters of a value of the next epoch, whose majority is needed as well; nil for none
+	jointVoters []string // voters of the next epoch, of whom a majority is needed as well (a joint step); nil for none
 	ballot      Ballot   // zero for a read
 	change      *Change  // nil for none
 	knownVote   Vote     // a committed vote: the caller's, and once Done, or Stale by this round's own value, the newest
@@ -76,13 +77,13 @@
 	return &Request{Kind: Prepare, Ballot: r.ballot, KnownBallot: r.knownVote.Ballot, Epoch: r.voterSet.Epoch, VoterSet: r.voterSet}
 }
 
-// VoterSet is the voter set of the round's epoch.
+// VoterSet returns the voter set under which the round runs.
 func (r *Round) VoterSet() VoterSet { return r.voterSet }
 
-// CommittedVote is the newest vote that is known to be committed, once the round has ended.
+// CommittedVote returns the newest vote that is known to be committed, once the round has ended.
 func (r *Round) CommittedVote() Vote { return r.knownVote }
 
-// Recipients are the nodes to which the round's requests go: the voters, and those of a voter set that may follow.
+// Recipients returns the nodes to which the round's requests go: its voters, and those of a joint step.
 func (r *Round) Recipients() []string {
 	nodes := slices.Clone(r.voterSet.Voters)
 	for _, voter := range r.jointVoters {
@@ -110,7 +111,7 @@
 	}
 }
 
-// Step takes a voter's reply. The request that it returns, if any, is to be sent to all Recipients. Replies that do not
+// Step takes a voter's reply and returns the next request to send to all Recipients, nil for none. Replies that do not
 // belong to the round's current phase have no effect.
 func (r *Round) Step(node string, reply *Reply) *Request {
 	if r.Finished() || reply.Ballot != r.ballot || r.replies[node] != nil || !slices.Contains(r.Recipients(), node) {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// advance goes on to the next state if the newest reply completes a quorum.
+// advance moves the round to its next state if the newest reply completes a quorum.
 func (r *Round) advance(newest *Reply) *Request {
 	if voted := &newest.Vote.Value.VoterSet; voted.Epoch > r.voterSet.Epoch+1 {
 		r.becomeStale(voted.previousSet())
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// concludeRead decides on a read to which a majority has replied.
+// concludeRead ends a read to which a majority has replied, unless further replies may make it definite.
 func (r *Round) concludeRead(counted map[string]*Reply) {
 	newest, committed := r.newestVote(counted)
 	switch epoch := newest.Value.VoterSet.Epoch; {
@@ -170,8 +171,8 @@
 	}
 }
 
-// concludePrepare decides what is proposed, once a majority has promised. If the newest vote has a newer voter set, a
-// majority of that has to promise as well; voters that have promised already promise the same again.
+// concludePrepare returns the request that follows the promises of a majority. If the newest vote has a newer voter set, a
+// majority of that set has to promise as well; voters that have already promised repeat their promise.
 func (r *Round) concludePrepare(counted map[string]*Reply) *Request {
 	newest, committed := r.newestVote(counted)
 	next := &newest.Value.VoterSet
@@ -190,8 +191,8 @@
 	return r.propose(newest, committed)
 }
 
-// propose evaluates the change on the newest value once all promises are there, and asks for acceptance unless the
-// outcome is committed already.
+// propose evaluates the change on the newest value, once there are enough promises, and returns the request to accept the
+// outcome, or nil if the outcome is already committed.
 func (r *Round) propose(newest Vote, committed bool) *Request {
 	r.proposal = newest.Value
 	if r.jointVoters != nil {
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// explore plays all orders of up to so many steps, and gives the number of states.
+// explore takes all sequences of up to depth steps, checks each state, and returns the number of states.
 func explore(t *testing.T, start *world, depth int) int {
 	t.Helper()
 	type node struct {
@@ -44,8 +44,8 @@
 	return len(seen)
 }
 
-// playRandom plays random orders to their end.
-func playRandom(t *testing.T, start *world, runs int) (ends int) {
+// playRandom takes random sequences of steps to their ends, and returns the number of conclusions.
+func playRandom(t *testing.T, start *world, runs int) (conclusions int) {
 	t.Helper()
 	for seed := range runs {
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -60,12 +60,12 @@
 				t.Fatalf("%s in run %d", fault, seed)
 			}
 		}
-		ends += len(world.conclusions)
+		conclusions += len(world.conclusions)
 	}
-	return ends
+	return conclusions
 }
 
-// firstVoterSet is a voter set of v0, v1 and so on.
+// firstVoterSet returns the voter set of n voters v0, v1 and so on.
 func firstVoterSet(n int) (voters VoterSet) {
 	for i := range n {
 		voters.Voters = append(voters.Voters, fmt.Sprint("v", i))
@@ -73,23 +73,24 @@
 	return voters
 }
 
-// voterChanges is the last of some changes of a voter set, each made on the one before.
-func voterChanges(voters VoterSet, moves ...VoterChange) *Change {
-	var change *Change
-	for _, move := range moves {
-		change = NewVoterChange(voters, move)
-		voters = *change.nextVoters
+// voterChanges returns the last of several changes of a voter set, each of which is made to the outcome of the one before.
+func voterChanges(voters VoterSet, changes ...VoterChange) *Change {
+	var last *Change
+	for _, change := range changes {
+		last = NewVoterChange(voters, change)
+		voters = *last.nextVoters
 	}
-	return change
+	return last
 }
 
-// playRound has a proposer play a round with some voters to its end.
+// playRound starts a proposer's round, and delivers messages between it and some voters until it is Done.
 func (w *world) playRound(proposer int, voters ...int) *world {
 	w.propose(proposer)
 	for w.proposers[proposer].round.State != Done {
 		before := len(w.inFlight)
-		for _, v := range voters {
-			if i := slices.IndexFunc(w.inFlight, func(message message) bool { return message.proposer == proposer && message.voter == v }); i >= 0 {
+		for _, voter := range voters {
+			isNext := func(message message) bool { return message.proposer == proposer && message.voter == voter }
+			if i := slices.IndexFunc(w.inFlight, isNext); i >= 0 {
 				w.step(2 * i)
 			}
 		}
@@ -112,7 +113,7 @@
 	three = NewChange(1, 3, []byte("three"))
 )
 
-// startRound has a proposer start a round, and two voters hear of it.
+// startRound starts a proposer's round, and delivers its first request to two voters.
 func (w *world) startRound(proposer, a, b int) *world {
 	w.propose(proposer)
 	w.deliverTo(proposer, a)
@@ -120,18 +121,18 @@
 	return w
 }
 
-// deliverTo delivers the last request of a proposer to a voter.
+// deliverTo delivers the newest request of a proposer to a voter.
 func (w *world) deliverTo(proposer, voter int) {
-	at := -1
+	newest := -1
 	for i, message := range w.inFlight {
-		if message.proposer == proposer && message.voter == voter && (at < 0 || message.request.Kind == Accept) {
-			at = i
+		if message.proposer == proposer && message.voter == voter && (newest < 0 || message.request.Kind == Accept) {
+			newest = i
 		}
 	}
-	w.step(2 * at)
+	w.step(2 * newest)
 }
 
-// learnedVote is a world in which the disk that will be lost gets back a vote below what it promised.
+// learnedVote returns a world in which the recovery of the voter that may lose its disk learns a vote below its last promise.
 func learnedVote() *world {
 	w := newWorld(3, 1, []int{1, 1, 1}, one, two, nil).startRound(0, 0, 1)
 	w.deliverTo(0, 0)
@@ -147,8 +148,8 @@
 	addV3dropV0 = voterChanges(firstVoterSet(3), VoterChange{Add: "v3"}, VoterChange{Remove: "v0"})
 )
 
-// outOfDate is a world in which v3 was added and v0 removed, of which v0 and v1 know the half, or nothing: a proposer that only
-// knows the first voter set races with one that knows the last.
+// outOfDate returns a world in which v3 was added and then v0 removed. v1 to v3 took part in both changes, v0 in neither. A
+// proposer that only knows the first voter set races with one that knows the last.
 func outOfDate() *world {
 	w := newWorldWithStandbys(3, 4, 0, []int{1, 1, 2, 1}, addV3, addV3dropV0, one, two).playRound(0, 1, 2, 3).dropMessages()
 	w.proposers[1].knownVoters = *addV3.nextVoters
@@ -157,7 +158,8 @@
 	return w
 }
 
-// comesBack is a world in which v3 was removed without hearing of it, and proposes with its old voter set.
+// comesBack returns a world in which v3 was removed without its knowledge. A proposer that only knows the old voter set
+// races with one that knows the new one.
 func comesBack() *world {
 	drop := voterChanges(firstVoterSet(4), VoterChange{Remove: "v3"})
 	w := newWorldWithStandbys(4, 4, 0, []int{1, 2, 1}, drop, one, two).playRound(0, 0, 1, 2).dropMessages()
@@ -165,22 +167,25 @@
 	return w
 }
 
-// rivalVoterSet is a world in which one voter accepted a voter set that was not chosen, and a proposer saw that; then another one was
-// chosen without that voter, of which a majority meets no majority of the first one.
+// rivalVoterSet returns a world in which one voter accepted a voter set that was not chosen, and a proposer has seen that. Then
+// another voter set was chosen without that voter; the two sets have majorities that share no voter.
 func rivalVoterSet() *world {
 	drop := voterChanges(firstVoterSet(4), VoterChange{Remove: "v3"})
-	w := newWorldWithStandbys(4, 5, 0, []int{1, 1, 1, 2}, voterChanges(firstVoterSet(4), VoterChange{Add: "v4"}), drop, one, two).startRound(0, 1, 2)
+	add := voterChanges(firstVoterSet(4), VoterChange{Add: "v4"})
+	w := newWorldWithStandbys(4, 5, 0, []int{1, 1, 1, 2}, add, drop, one, two).startRound(0, 1, 2)
 	w.deliverTo(0, 3)
 	w.deliverTo(0, 3)
 	w.proposers[3].ballotNumber = 1
 	w.startRound(3, 1, 2).deliverTo(3, 3)
 	w.proposers[1].ballotNumber = 2
 	w.playRound(1, 0, 1, 2).dropMessages()
-	w.proposers[2].knownVoters, w.proposers[2].ballotNumber, w.proposers[3].ballotNumber = *drop.nextVoters, 3, 4
+	w.proposers[2].knownVoters = *drop.nextVoters
+	w.proposers[2].ballotNumber = 3
+	w.proposers[3].ballotNumber = 4
 	return w
 }
 
-// lostWhileAdded is a world in which a voter's disk may be lost when another is being added.
+// lostWhileAdded returns a world in which v3 is being added, and may lose its disk meanwhile.
 func lostWhileAdded() *world {
 	w := newWorldWithStandbys(3, 4, 1, []int{1, 1, 1}, voterChanges(firstVoterSet(3), VoterChange{Add: "v3"}), one, two)
 	w.propose(0)
@@ -190,7 +195,8 @@
 	return w
 }
 
-// exchanging is a world in which v0 is being exchanged for v3; two of the others have promised, and one voter's disk may be lost.
+// exchanging returns a world in which v0 is being exchanged for v3. Two voters have promised, a and b have received the next
+// request, and the loser may lose its disk.
 func exchanging(loser, a, b int) *world {
 	w := newWorldWithStandbys(3, 4, 0, []int{1, 1, 1}, swapV0, one, two).mayLose(loser, 1)
 	w.startRound(0, 1, 2)
@@ -199,8 +205,9 @@
 	return w
 }
 
-// rivalExchange is a world in which v1 accepted a voter set with v3 in place of v0 that was not chosen, and one with v3 in place of v2
-// is about to be: v3 accepted it and may lose its disk then. A majority of either set without v3 need not meet those who chose.
+// rivalExchange returns a world in which v1 accepted a voter set with v3 in place of v0 that was not chosen, and a set with v3 in
+// place of v2 is about to be chosen: v3 has accepted it, and may lose its disk. A majority of either set without v3 need not
+// include a voter that accepted the other.
 func rivalExchange() *world {
 	w := newWorldWithStandbys(3, 4, 0, []int{1, 1, 1, 1}, voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v0"}),
 		voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v2"}), one, two).mayLose(3, 1)
@@ -212,9 +219,12 @@
 	return w
 }
 
+// All sequences of steps, up to a depth, keep the guarantees that world.fault checks.
 func TestAllOrders(t *testing.T) {
+	behind := newWorldWithStandbys(3, 4, 0, []int{1, 1, 2}, addV3, one, two).playRound(0, 0, 1, 3).dropMessages()
+	exchanged := newWorldWithStandbys(3, 4, 0, []int{1, 2, 1}, swapV0, one, two).playRound(0, 1, 2, 3).dropMessages()
 	for name, test := range map[string]struct {
-		w     *world
+		start *world
 		depth int
 	}{
 		"two changes on a base":     {newWorld(3, 0, []int{1, 1}, one, two), 100},
@@ -225,7 +235,7 @@
 		"a voter is added":               {newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, addV3), 8},
 		"a voter is removed":             {newWorldWithStandbys(3, 3, 0, []int{1, 1}, one, dropV2), 9},
 		"one is added, another removed":  {newWorldWithStandbys(3, 4, 0, []int{1, 1}, addV3, dropV2), 8},
-		"a proposer that is out of date": {newWorldWithStandbys(3, 4, 0, []int{1, 1, 2}, addV3, one, two).playRound(0, 0, 1, 3).dropMessages(), 7},
+		"a proposer that is out of date": {behind, 7},
 		"two epochs out of date":         {outOfDate(), 7},
 		"a removed voter comes back":     {comesBack(), 7},
 		"a rival list that one has":      {rivalVoterSet(), 8},
@@ -236,18 +246,19 @@
 		"who joins loses its disk":          {exchanging(3, 1, 3), 6},
 		"who joins loses its disk, rival":   {rivalExchange(), 6},
 		"who stays loses its disk":          {exchanging(1, 1, 3), 6},
-		"who was exchanged, and knows less": {newWorldWithStandbys(3, 4, 0, []int{1, 2, 1}, swapV0, one, two).playRound(0, 1, 2, 3).dropMessages(), 7},
+		"who was exchanged, and knows less": {exchanged, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			states := explore(t, test.w, test.depth)
+			states := explore(t, test.start, test.depth)
 			t.Logf("%d states", states)
 			qt.Assert(t, states > 1000, qt.IsTrue)
 		})
 	}
 }
 
+// Long random sequences of steps keep the same guarantees.
 func TestRandomOrders(t *testing.T) {
-	for name, w := range map[string]*world{
+	for name, start := range map[string]*world{
 		"a change twice, and another": newWorld(3, 0, []int{3, 3, 3}, one, two, one),
 		"a base that comes later":     newWorld(3, 0, []int{3, 3, 3}, one, three, three),
 		"a lost disk":                 newWorld(3, 2, []int{3, 3, 3}, one, two, nil),
@@ -255,67 +266,75 @@
 		"a lost disk of five":         newWorld(5, 2, []int{3, 3, 3}, one, two, nil),
 	} {
 		t.Run(name, func(t *testing.T) {
-			ends := playRandom(t, w, 2000)
-			t.Logf("%d conclusions", ends)
+			conclusions := playRandom(t, start, 2000)
+			t.Logf("%d conclusions", conclusions)
 		})
 	}
 }
 
-// While the voters change, in orders in which most messages arrive, so that rounds end and epochs follow each other.
+// While the voters change, random sequences of steps in which most messages arrive, so that rounds end and epochs follow one
+// another, keep the same guarantees.
 func TestRandomOrdersOfMoves(t *testing.T) {
-	plays := 1000
+	runs := 1000
 	if os.Getenv("SOAK") != "" {
-		plays = 3000
+		runs = 3000
 	}
-	many := []int{4, 4, 4, 4, 4}
-	drop := func(n int, node string) *Change { return voterChanges(firstVoterSet(n), VoterChange{Remove: node}) }
-	for name, world := range map[string]*world{
-		"three become five":             newWorldWithStandbys(3, 5, 0, many, one, addV3, addV4, two, three),
-		"three become five, a disk":     newWorldWithStandbys(3, 5, 0, many, one, addV3, addV4, two, three).mayLose(0, 2),
-		"voters are exchanged":          newWorldWithStandbys(3, 4, 0, many, one, addV3, addV3dropV0, two, three),
-		"voters are exchanged, a disk":  newWorldWithStandbys(3, 4, 0, many, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
-		"exchanged in one step":         newWorldWithStandbys(3, 4, 0, many, one, swapV0, swapV1, two, three),
-		"exchanged, who joins, a disk":  newWorldWithStandbys(3, 4, 0, many, one, swapV0, swapV1, two, three).mayLose(3, 2),
-		"exchanged, who stays, a disk":  newWorldWithStandbys(3, 4, 0, many, one, swapV0, voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v0"}, VoterChange{Add: "v0", Remove: "v1"}), two, three).mayLose(2, 2),
-		"exchanged, who leaves, a disk": newWorldWithStandbys(3, 4, 0, many, one, swapV0, voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v0"}, VoterChange{Add: "v0", Remove: "v1"}), two, three).mayLose(0, 2),
-		"rivals of four":                newWorldWithStandbys(4, 5, 0, many, voterChanges(firstVoterSet(4), VoterChange{Add: "v4"}), drop(4, "v3"), one, two, three),
-		"rivals of four, a disk": newWorldWithStandbys(4, 5, 0, many, voterChanges(firstVoterSet(4), VoterChange{Add: "v4"}), drop(4, "v3"), one, two, three).
-			mayLose(0, 2),
-		"five become two": newWorldWithStandbys(5, 5, 0, many, drop(5, "v4"), voterChanges(firstVoterSet(5), VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"}),
-			voterChanges(firstVoterSet(5), VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"}), one, two),
-		"rivals grow and shrink": newWorldWithStandbys(4, 6, 0, many, voterChanges(firstVoterSet(4), VoterChange{Add: "v4"}), drop(4, "v3"),
-			voterChanges(firstVoterSet(4), VoterChange{Add: "v4"}, VoterChange{Add: "v5"}), voterChanges(firstVoterSet(4), VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"}), one),
+	attempts := []int{4, 4, 4, 4, 4}
+	swapTwice := voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v0"}, VoterChange{Add: "v0", Remove: "v1"})
+	four, five := firstVoterSet(4), firstVoterSet(5)
+	addV4ToFour := voterChanges(four, VoterChange{Add: "v4"})
+	addTwoToFour := voterChanges(four, VoterChange{Add: "v4"}, VoterChange{Add: "v5"})
+	dropOneOfFour := voterChanges(four, VoterChange{Remove: "v3"})
+	dropTwoOfFour := voterChanges(four, VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"})
+	dropOneOfFive := voterChanges(five, VoterChange{Remove: "v4"})
+	dropTwoOfFive := voterChanges(five, VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"})
+	dropThreeOfFive := voterChanges(five, VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"})
+	for name, start := range map[string]*world{
+		"three become five":             newWorldWithStandbys(3, 5, 0, attempts, one, addV3, addV4, two, three),
+		"three become five, a disk":     newWorldWithStandbys(3, 5, 0, attempts, one, addV3, addV4, two, three).mayLose(0, 2),
+		"voters are exchanged":          newWorldWithStandbys(3, 4, 0, attempts, one, addV3, addV3dropV0, two, three),
+		"voters are exchanged, a disk":  newWorldWithStandbys(3, 4, 0, attempts, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
+		"exchanged in one step":         newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapV1, two, three),
+		"exchanged, who joins, a disk":  newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapV1, two, three).mayLose(3, 2),
+		"exchanged, who stays, a disk":  newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapTwice, two, three).mayLose(2, 2),
+		"exchanged, who leaves, a disk": newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapTwice, two, three).mayLose(0, 2),
+		"rivals of four":                newWorldWithStandbys(4, 5, 0, attempts, addV4ToFour, dropOneOfFour, one, two, three),
+		"rivals of four, a disk":        newWorldWithStandbys(4, 5, 0, attempts, addV4ToFour, dropOneOfFour, one, two, three).mayLose(0, 2),
+		"five become two":               newWorldWithStandbys(5, 5, 0, attempts, dropOneOfFive, dropTwoOfFive, dropThreeOfFive, one, two),
+		"rivals grow and shrink":        newWorldWithStandbys(4, 6, 0, attempts, addV4ToFour, dropOneOfFour, addTwoToFour, dropTwoOfFour, one),
 	} {
 		t.Run(name, func(t *testing.T) {
-			ends, epochs := 0, map[uint64]int{}
-			for seed := range plays {
+			conclusions := 0
+			runsByEpoch := map[uint64]int{}
+			for seed := range runs {
 				rng := rand.New(rand.NewPCG(uint64(seed), 2))
-				world := world.clone()
+				world := start.clone()
 				world.randomSteps(rng, 120)
 				if fault := world.fault(); fault != "" {
 					t.Fatalf("%s in run %d", fault, seed)
 				}
-				ends += len(world.conclusions)
+				conclusions += len(world.conclusions)
 				newest := uint64(0)
 				for _, conclusion := range world.conclusions {
 					newest = max(newest, conclusion.value.VoterSet.Epoch)
 				}
-				epochs[newest]++
+				runsByEpoch[newest]++
 			}
-			t.Logf("%d conclusions, runs by epoch: %v", ends, epochs)
-			qt.Assert(t, ends > plays, qt.IsTrue)
+			t.Logf("%d conclusions, runs by epoch: %v", conclusions, runsByEpoch)
+			qt.Assert(t, conclusions > runs, qt.IsTrue)
 		})
 	}
 }
 
-// mayLose lets a voter lose its disk so often.
+// mayLose allows a voter, and no other one, to lose its disk a number of times.
 func (w *world) mayLose(voter, losses int) *world {
-	w.loser, w.diskLosses = voter, losses
+	w.loser = voter
+	w.diskLosses = losses
 	w.distinguished[w.voters[voter]] = true
 	return w
 }
 
-// randomSteps does so many steps by chance, or fewer if there is none to do.
+// randomSteps takes random steps, fewer if no further one is possible.
 func (w *world) randomSteps(rng *rand.Rand, steps int) {
 	for range steps {
 		if !w.randomStep(rng) {
@@ -324,25 +343,26 @@
 	}
 }
 
-// randomStep does a step by chance; it reports whether there was one to do.
+// randomStep takes a random step, and reports whether one was possible. Most steps deliver a message and its reply.
 func (w *world) randomStep(rng *rand.Rand) bool {
 	for range 50 {
-		flight := len(w.inFlight)
+		messages := len(w.inFlight)
 		draw := rng.IntN(100)
 		switch {
-		case flight > 0 && draw < 70:
-			w.step(2 * rng.IntN(flight))
+		case messages > 0 && draw < 70:
+			w.step(2 * rng.IntN(messages))
 			return true
-		case flight > 0 && draw < 74:
-			w.step(2*rng.IntN(flight) + 1)
+		case messages > 0 && draw < 74:
+			w.step(2*rng.IntN(messages) + 1)
 			return true
-		case flight > 0 && draw < 80:
-			i := rng.IntN(flight)
+		case messages > 0 && draw < 80:
+			i := rng.IntN(messages)
 			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 			return true
 		case draw < 97:
 			i := rng.IntN(len(w.proposers))
-			if proposer := &w.proposers[i]; (proposer.round == nil || proposer.round.Finished() || rng.IntN(4) == 0) && w.propose(i) {
+			round := w.proposers[i].round
+			if (round == nil || round.Finished() || rng.IntN(4) == 0) && w.propose(i) {
 				return true
 			}
 		case w.diskLosses > 0 && w.recoveries[w.loser] == nil:
--- a/internal/mesh/control/consensus/specification_test.go
+++ b/internal/mesh/control/consensus/specification_test.go
@@ -7,8 +7,8 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// specification is what has to hold, whatever happens: committed values are one history; what was acknowledged stays in it,
-// what was refused is never in it; and who reads sees at least what was committed before the read began.
+// specification checks what has to hold, whatever happens: the committed values form one history; what was acknowledged
+// stays in it; what was refused is never in it; a read sees at least what was committed before it began.
 type specification struct {
 	chain   []VersionDigest // all versions that were in force, oldest first
 	refused map[VersionDigest]bool
@@ -27,7 +27,7 @@
 
 func (s *specification) contains(entry VersionDigest) bool { return slices.Contains(s.chain, entry) }
 
-// observe checks a value that a process takes for committed.
+// observe checks a value that a process considers committed.
 func (s *specification) observe(value *Value) {
 	if value.Version > 0 {
 		s.extend(value.History)
@@ -52,7 +52,7 @@
 	}
 }
 
-// extend compares a history with the chain, and adds what is new in it.
+// extend compares a history with the chain, and appends its new entries to the chain.
 func (s *specification) extend(history []VersionDigest) {
 	at := 0
 	if len(s.chain) > 0 {
@@ -74,14 +74,15 @@
 	}
 }
 
-// observeEnd takes the end of a call.
+// observeEnd checks the round with which a call ended.
 func (s *specification) observeEnd(call *modelCall, round *Round) {
 	value := &round.Value
 	s.observe(value)
 	if value.Version < call.version || value.VoterSet.Epoch < call.epoch {
 		s.fail("a call that began at version %v, epoch %d ended at %v, epoch %d", call.version, call.epoch, value.Version, value.VoterSet.Epoch)
 	}
-	s.version, s.epoch = max(s.version, value.Version), max(s.epoch, value.VoterSet.Epoch)
+	s.version = max(s.version, value.Version)
+	s.epoch = max(s.epoch, value.VoterSet.Epoch)
 	if call.change != nil && call.change.nextVoters == nil {
 		s.checkVerdict(call.change, round.Verdict, value)
 	}
--- a/internal/mesh/control/consensus/systemid.go
+++ b/internal/mesh/control/consensus/systemid.go
@@ -2,9 +2,9 @@
 
 import "hash/fnv"
 
-// SystemID tells the processes of one system from those of another, whose voter sets and values must not mix: a folder
-// may have been copied from elsewhere, or an address may now belong to another system. It is derived from the voters of
-// the system's first start. Zero means not known: records of earlier versions have none.
+// SystemID identifies a system. Voter sets and values of two systems must not mix, which could happen if a folder was
+// copied from elsewhere, or if an address now belongs to another system. The ID is derived from the voters of the system's
+// first start. Zero is unknown: records of earlier versions have no ID.
 type SystemID uint64
 
 // NewSystemID returns the ID of the system whose first voters are these. It is never zero.
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -7,15 +7,14 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Value is the register's content: the newest configuration, what is remembered of earlier changes, and the voters. The
-// zero Value is that of a register in which nothing was ever chosen. A Value is never changed, only replaced: its slices
-// are shared by copies.
+// Value is the register's content: the newest configuration, a bounded history of changes, and the voters. The zero Value
+// is that of a register in which nothing was ever chosen. A Value is immutable, as copies share its slices.
 type Value struct {
 	Version          configuration.Version
 	Body             []byte
-	History          []VersionDigest // the last versions that were in force, oldest first, this one the last
-	TruncatedVersion uint64          // the newest version that History may lack; 0: it is complete
-	Refused          []VersionDigest // changes that were refused although their base may still come
+	History          []VersionDigest // the newest versions that were in force, oldest first, this one included; at most maxHistory
+	TruncatedVersion uint64          // the newest version that History may lack; 0: History is complete
+	Refused          []VersionDigest // refused changes whose base is a version still to come; at most maxRefused
 
 	VoterSet VoterSet
 }
@@ -33,7 +32,8 @@
 	visitor.Uint64(7, &v.TruncatedVersion)
 }
 
-// recordRefusal remembers a refusal that v.Version alone does not rule out. Without room for it the verdict is Unknown.
+// recordRefusal returns Conflict and the value that remembers a refused change whose base may still come. If v.Refused is
+// full, the refusal could be forgotten, so it returns Unknown and v.
 func (v *Value) recordRefusal(entry VersionDigest) (Verdict, *Value) {
 	if len(v.Refused) >= maxRefused {
 		return Unknown, v
@@ -43,7 +43,7 @@
 	return Conflict, &next
 }
 
-// successor is the value in which a change on v is in force.
+// successor returns the value in which a change to v is in force.
 func (v *Value) successor(body []byte, entry VersionDigest) *Value {
 	next := Value{
 		Version:          configuration.Version(entry.Version),
@@ -64,5 +64,5 @@
 	return &next
 }
 
-// lastEntries copies the last n elements, or all if there are fewer.
+// lastEntries returns a copy of the last n elements, or of all if there are fewer.
 func lastEntries[T any](list []T, n int) []T { return append([]T{}, list[max(0, len(list)-n):]...) }
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -12,12 +12,12 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// nthChange is the change that the nth operator's order of a long day makes: n on the version before.
+// nthChange returns the change from version n-1 to version n.
 func nthChange(n int) *Change {
 	return NewChange(configuration.Version(n-1), configuration.Version(n), fmt.Appendf(nil, "body %d", n))
 }
 
-// valueAfter is the value after so many orders.
+// valueAfter returns the value after the first changes of nthChange.
 func valueAfter(c *qt.C, orders int) *Value {
 	value := &Value{VoterSet: firstVoterSet(3)}
 	for n := 1; n <= orders; n++ {
@@ -28,7 +28,7 @@
 	return value
 }
 
-// A repeat of any age is acknowledged or unknown, and what surely never was in force stays a conflict.
+// A repeat of a change, however old, is Applied or Unknown. A change that certainly was never in force stays a Conflict.
 func TestBoundedHistory(t *testing.T) {
 	c := qt.New(t)
 	const orders = 1000
@@ -114,7 +114,7 @@
 	}
 }
 
-// legacyValue is a value as it was written when it remembered 64 versions by their whole SHA-256.
+// legacyValue is a Value in the format of versions that remembered 64 versions, each by the complete SHA-256 of its body.
 type legacyValue struct {
 	version uint64
 	body    []byte
@@ -122,11 +122,11 @@
 	refused []legacyDigest
 }
 
-func (o *legacyValue) Fields(visitor *codec.Visitor) {
-	visitor.Uint64(1, &o.version)
-	visitor.Bytes(2, &o.body)
-	codec.Messages(visitor, 3, &o.history)
-	codec.Messages(visitor, 4, &o.refused)
+func (l *legacyValue) Fields(visitor *codec.Visitor) {
+	visitor.Uint64(1, &l.version)
+	visitor.Bytes(2, &l.body)
+	codec.Messages(visitor, 3, &l.history)
+	codec.Messages(visitor, 4, &l.refused)
 }
 
 type legacyDigest struct {
@@ -134,9 +134,9 @@
 	sum     [sha256.Size]byte
 }
 
-func (o *legacyDigest) Fields(visitor *codec.Visitor) {
-	visitor.Uint64(1, &o.version)
-	sum := o.sum[:]
+func (l *legacyDigest) Fields(visitor *codec.Visitor) {
+	visitor.Uint64(1, &l.version)
+	sum := l.sum[:]
 	visitor.Bytes(2, &sum)
 }
 
@@ -170,13 +170,13 @@
 	value := Value{Version: 300, History: []VersionDigest{{1, Digest{1}}, {300, Digest{2}}}}
 	data := codec.MarshalAppend(nil, &value)
 	at := slices.Index(data, 6<<3|2) + 1 // the length of the history; it is last
-	whole := int(data[at])
-	for n := 1; n < whole; n++ {
-		short := slices.Clone(data[:at+1+n])
-		short[at] = byte(n)
-		err := codec.Unmarshal(short, &Value{})
+	length := int(data[at])
+	for n := 1; n < length; n++ {
+		truncated := slices.Clone(data[:at+1+n])
+		truncated[at] = byte(n)
+		err := codec.Unmarshal(truncated, &Value{})
 		if n == 1+len(Digest{}) {
-			c.Assert(err, qt.IsNil) // an entry less
+			c.Assert(err, qt.IsNil) // it ends after the first of the two entries
 			continue
 		}
 		c.Assert(err, qt.ErrorMatches, "field 6 ends within.*", qt.Commentf("%d bytes", n))
--- a/internal/mesh/control/consensus/vote.go
+++ b/internal/mesh/control/consensus/vote.go
@@ -3,8 +3,8 @@
 import "quincegap/internal/mesh/transport/codec"
 
 // Vote is a value that was accepted under a ballot. A Learned vote was not accepted by the voter that holds it: that
-// voter lost its disk, or is new, and read the vote from others. It must not be forgotten, and does not count towards a
-// majority.
+// voter lost its disk, or is new, and read the vote from others. A proposer must respect a learned vote, but it does not
+// count towards a majority.
 type Vote struct {
 	Ballot  Ballot
 	Value   Value
--- a/internal/mesh/control/consensus/voterset.go
+++ b/internal/mesh/control/consensus/voterset.go
@@ -9,8 +9,8 @@
 // VoterSet is the voters of one epoch. It is a part of the register's value and changes as the value does, by
 // compare-and-set on its Epoch. A change adds a voter, removes one, or exchanges one for another; it is accepted by
 // majorities of the old and of the new voters (a joint step). An epoch is decided once a value that has it was chosen. A
-// value of epoch 0 does not hold the voters: they are those of the system's first start and stand in each replica's
-// record. A VoterSet without Voters is one that is not known.
+// value of epoch 0 does not hold the voters: they are those of the system's first start, which each replica's record
+// holds. A VoterSet without Voters is not known.
 //
 // docs/design/consensus-proof.md shows why two decided sets can't both choose a value, and why a replica may join.
 type VoterSet struct {
@@ -39,7 +39,7 @@
 	return v.Epoch == other.Epoch && len(v.Voters) > 0 && len(other.Voters) > 0 && !slices.Equal(v.Voters, other.Voters)
 }
 
-// previousSet is the voter set of the epoch before. It is decided, as an epoch is only proposed after the one before.
+// previousSet returns the voter set of the previous epoch. It is decided: an epoch is only proposed after the one before.
 func (v *VoterSet) previousSet() VoterSet {
 	return VoterSet{Epoch: v.Epoch - 1, Voters: v.Previous, Retired: v.Retired}
 }
@@ -51,7 +51,8 @@
 	Retire      bool // the removed voter is not to be added again by the planner
 }
 
-// NewVoterChange makes the proposal that changes base; nil if there is nothing to change, or if nobody would be left.
+// NewVoterChange returns the proposal that applies change to base; nil if there is nothing to change, or if no voter would be
+// left.
 func NewVoterChange(base VoterSet, change VoterChange) *Change {
 	add := change.Add != "" && !base.Contains(change.Add)
 	remove := change.Remove != "" && base.Contains(change.Remove)
@@ -75,7 +76,7 @@
 	return &Change{nextVoters: &next}
 }
 
-// evaluateVoterChange is evaluate for a change of the voters. newest is of the round's epoch.
+// evaluateVoterChange is the part of evaluate for changes of the voters. newest has the round's epoch.
 func (c *Change) evaluateVoterChange(newest *Value) (Verdict, *Value) {
 	current := &newest.VoterSet
 	if current.Epoch == c.nextVoters.Epoch && slices.Equal(current.Voters, c.nextVoters.Voters) {
--- a/internal/mesh/control/consensus/world_test.go
+++ b/internal/mesh/control/consensus/world_test.go
@@ -12,72 +12,83 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// world is a core of which every request is in sight. One may be delivered at any time; one that is lost is one that is never
-// delivered. Its reply comes at once or never: what a late reply leads to is the same as if it had come at once, and what
-// was sent then had been late, or as if it was lost, when the round went on without it. A voter that is killed before its
-// record is on disk has lost the request, after that the reply.
+// world is a state of a core, with every request that is in flight, from which a test can take each possible step. A request
+// may be delivered at any time; a lost one is never delivered. Its reply arrives at once or never. This covers late replies:
+// a reply that arrives late has the same effect as one that arrived at once and whose consequences were late, or, if the
+// round went on without it, as one that was lost. A voter that is killed before its record is on disk has lost the request;
+// one that is killed after that has lost the reply.
 type world struct {
-	voters        []string // all who have a record; those of first vote at first
+	voters        []string // all processes that have a record; those of firstVoters vote at first
 	firstVoters   VoterSet
-	distinguished map[string]bool // voters that are not like the others
-	records       []Record        // what is on disk
+	distinguished map[string]bool // by voter: a state in which it changes places with another one is a different state
+	records       []Record        // on disk, by voter
 	codes         []uint64        // of records
-	recoveries    []*Recovery     // of voters that lost their disk
+	recoveries    []*Recovery     // by voter; nil unless it lost its disk
 	proposers     []proposer
 	inFlight      []message    // sorted
 	conclusions   []conclusion // of rounds, in their order
-	diskLosses    int          // disks that may still be lost, of the loser
-	loser         int
+	diskLosses    int          // how often the loser's disk may still be lost
+	loser         int          // index of the only voter that may lose its disk
 }
 
+// proposer is a process that makes one change, or reads.
 type proposer struct {
-	change       *Change // nil: it reads, by asking, and if it starts again also with a ballot
-	round        *Round
-	attempts     int // that are left
-	before       int // conclusions when the round began
+	change       *Change // nil: it reads, in every other round with a ballot
+	round        *Round  // nil before the first one
+	attempts     int     // that are left
+	before       int     // conclusions when the round began
 	ballotNumber uint64
-	replyCodes   [8]uint64 // codes of the replies of this phase, by voter, and of the value that is to be accepted
+	replyCodes   [8]uint64 // codes of the replies of this phase, by voter; the last is that of the value to be accepted
 	knownVoters  VoterSet
 }
 
+// message is a request in flight.
 type message struct {
-	proposer int // or, for the recovery of a voter, -voter-1
-	voter    int
+	proposer int // index of the sender; for the recovery of a voter it is -voter-1
+	voter    int // index of the recipient
 	request  *Request
 	code     string // identifies and sorts the messages to a voter
 }
 
+// conclusion is the end of a round by which a value is known to be committed.
 type conclusion struct {
 	proposer int
 	before   int // conclusions when its round began
 	verdict  Verdict
 	value    Value
-	code     uint64
+	code     uint64 // of value
 }
 
 var seed = maphash.MakeSeed()
 
-// code is a hash of what messages hold.
-func code(list ...codec.Message) uint64 {
-	var b []byte
-	for _, m := range list {
-		b = append(codec.MarshalAppend(b, m), 255)
+// code returns a hash of messages.
+func code(messages ...codec.Message) uint64 {
+	var encoded []byte
+	for _, message := range messages {
+		encoded = append(codec.MarshalAppend(encoded, message), 255)
 	}
-	return maphash.Bytes(seed, b)
+	return maphash.Bytes(seed, encoded)
 }
 
-func (w *world) setRecord(v int, r Record) {
-	w.records[v], w.codes[v] = r, code(&r.State, &r.Vote)
+func (w *world) setRecord(voter int, record Record) {
+	w.records[voter] = record
+	w.codes[voter] = code(&record.State, &record.Vote)
 }
 
+// newWorld returns a world without standbys.
 func newWorld(voters, losses int, attempts []int, changes ...*Change) *world {
 	return newWorldWithStandbys(voters, voters, losses, attempts, changes...)
 }
 
-// newWorldWithStandbys makes a world in which only the first so many of all vote at first, and the others are ready to.
+// newWorldWithStandbys returns a world of all processes v0, v1 and so on, of which the first ones vote and the others are
+// ready to. The last one may lose its disk. There is a proposer for each change, with its number of attempts.
 func newWorldWithStandbys(voters, all, losses int, attempts []int, changes ...*Change) *world {
 	world := &world{
-		diskLosses: losses, loser: all - 1, recoveries: make([]*Recovery, all), records: make([]Record, all), codes: make([]uint64, all),
+		diskLosses:    losses,
+		loser:         all - 1,
+		recoveries:    make([]*Recovery, all),
+		records:       make([]Record, all),
+		codes:         make([]uint64, all),
 		distinguished: map[string]bool{},
 	}
 	for i := range all {
@@ -94,20 +105,27 @@
 	}
 	for i, change := range changes {
 		world.proposers = append(world.proposers, proposer{change: change, attempts: attempts[i], knownVoters: world.firstVoters})
-		if change != nil && change.nextVoters != nil {
-			for _, voter := range world.voters {
-				world.distinguished[voter] = world.distinguished[voter] || slices.Contains(change.nextVoters.Voters, voter) != slices.Contains(change.nextVoters.Previous, voter)
-			}
+		if change == nil || change.nextVoters == nil {
+			continue
+		}
+		for _, voter := range world.voters {
+			isNext := slices.Contains(change.nextVoters.Voters, voter)
+			wasVoter := slices.Contains(change.nextVoters.Previous, voter)
+			world.distinguished[voter] = world.distinguished[voter] || isNext != wasVoter
 		}
 	}
 	return world
 }
 
-// clone copies what steps change.
+// clone returns a copy of the world; steps of one do not change the other.
 func (w *world) clone() *world {
 	clone := *w
-	clone.records, clone.recoveries, clone.proposers = slices.Clone(w.records), slices.Clone(w.recoveries), slices.Clone(w.proposers)
-	clone.inFlight, clone.conclusions, clone.codes = slices.Clone(w.inFlight), slices.Clone(w.conclusions), slices.Clone(w.codes)
+	clone.records = slices.Clone(w.records)
+	clone.recoveries = slices.Clone(w.recoveries)
+	clone.proposers = slices.Clone(w.proposers)
+	clone.inFlight = slices.Clone(w.inFlight)
+	clone.conclusions = slices.Clone(w.conclusions)
+	clone.codes = slices.Clone(w.codes)
 	for i := range clone.proposers {
 		if round := clone.proposers[i].round; round != nil {
 			copied := *round
@@ -125,28 +143,31 @@
 	return &clone
 }
 
-// steps is how many steps there may be; step does one of them, and reports whether it could be done and changed anything.
+// steps returns the number of steps that may be taken: two for each message in flight, whose reply arrives or not, one for
+// each proposer, and one for each disk that may be lost.
 func (w *world) steps() int { return 2*len(w.inFlight) + len(w.proposers) + w.diskLosses }
 
-func (w *world) step(i int) bool {
-	if i < 2*len(w.inFlight) {
-		message := w.inFlight[i/2]
-		w.inFlight = slices.Delete(w.inFlight, i/2, i/2+1)
-		return w.deliver(message, i%2 == 0)
+// step takes a step, by its number from 0, and reports whether it was possible and changed anything.
+func (w *world) step(number int) bool {
+	if number < 2*len(w.inFlight) {
+		message := w.inFlight[number/2]
+		w.inFlight = slices.Delete(w.inFlight, number/2, number/2+1)
+		return w.deliver(message, number%2 == 0)
 	}
-	if i -= 2 * len(w.inFlight); i < len(w.proposers) {
-		return w.propose(i)
+	if proposer := number - 2*len(w.inFlight); proposer < len(w.proposers) {
+		return w.propose(proposer)
 	}
 	return w.loseDisk(w.loser)
 }
 
-// propose starts a proposer's next round.
+// propose starts a proposer's next round, and reports whether there was one left.
 func (w *world) propose(proposerIndex int) bool {
 	proposer := &w.proposers[proposerIndex]
 	if proposer.attempts == 0 || proposer.round != nil && proposer.round.State == Done {
 		return false
 	}
-	if proposer.attempts--; proposer.round != nil {
+	proposer.attempts--
+	if proposer.round != nil {
 		proposer.ballotNumber = max(proposer.ballotNumber, proposer.round.HighestBallot.Number)
 	}
 	if proposer.round != nil && proposer.round.NewerVoters.Epoch > proposer.knownVoters.Epoch {
@@ -154,34 +175,42 @@
 	}
 	proposer.ballotNumber++
 	var request *Request
-	if proposer.round, request = NewReadRound(proposer.knownVoters, Vote{}); proposer.change != nil || proposer.attempts%2 == 1 {
-		proposer.round, request = NewRound(proposer.knownVoters, Ballot{proposer.ballotNumber, fmt.Sprint("p", proposerIndex)}, proposer.change, Vote{})
-	}
-	proposer.before, proposer.replyCodes = len(w.conclusions), [8]uint64{}
+	if proposer.change != nil || proposer.attempts%2 == 1 {
+		ballot := Ballot{proposer.ballotNumber, fmt.Sprint("p", proposerIndex)}
+		proposer.round, request = NewRound(proposer.knownVoters, ballot, proposer.change, Vote{})
+	} else {
+		proposer.round, request = NewReadRound(proposer.knownVoters, Vote{})
+	}
+	proposer.before = len(w.conclusions)
+	proposer.replyCodes = [8]uint64{}
 	w.send(proposerIndex, request, proposer.round.Recipients())
 	return true
 }
 
-func (w *world) send(proposer int, request *Request, to []string) {
-	for v, name := range w.voters {
-		if proposer != -v-1 && slices.Contains(to, name) {
+// send puts a request in flight to each recipient except the recovering voter that sends it.
+func (w *world) send(proposer int, request *Request, recipients []string) {
+	for voter, name := range w.voters {
+		if proposer != -voter-1 && slices.Contains(recipients, name) {
 			code := string(codec.MarshalAppend([]byte{byte(proposer)}, request))
-			w.inFlight = append(w.inFlight, message{proposer, v, request, code})
+			w.inFlight = append(w.inFlight, message{proposer, voter, request, code})
 		}
 	}
 	slices.SortFunc(w.inFlight, func(a, b message) int { return cmp.Or(strings.Compare(a.code, b.code), a.voter-b.voter) })
 }
 
+// loseDisk loses a voter's disk and starts its recovery, under a disk incarnation that was never used. A process finds one by
+// several attempts.
 func (w *world) loseDisk(voter int) bool {
 	w.diskLosses--
 	w.setRecord(voter, Record{})
-	var request *Request
-	w.recoveries[voter], request = NewRecovery(w.voters[voter], w.firstVoters, uint64(10-w.diskLosses), false) // an incarnation of its own, found by trying otherwise
-	w.send(-voter-1, request, w.recoveries[voter].Recipients())
+	incarnation := uint64(10 - w.diskLosses)
+	recovery, request := NewRecovery(w.voters[voter], w.firstVoters, incarnation, false)
+	w.recoveries[voter] = recovery
+	w.send(-voter-1, request, recovery.Recipients())
 	return true
 }
 
-// deliver hands a request to its voter, and the reply to its sender, unless that is lost.
+// deliver hands a request to its voter, and the reply to the sender if it arrives. It reports whether anything changed.
 func (w *world) deliver(message message, replyArrives bool) bool {
 	name := w.voters[message.voter]
 	reply, record, changed := w.records[message.voter].Handle(message.request)
@@ -189,7 +218,7 @@
 		w.setRecord(message.voter, record)
 	}
 	if !replyArrives {
-		return changed.Any() // or it is as if the request was lost
+		return changed.Any() // if not, this equals the loss of the request
 	}
 	if message.proposer < 0 {
 		w.stepRecovery(message, name, &reply)
@@ -212,15 +241,20 @@
 	}
 	switch {
 	case round.State == Done:
-		w.conclusions = append(w.conclusions, conclusion{message.proposer, proposer.before, round.Verdict, round.Value, code(&round.Value)})
+		w.conclude(message.proposer, round.Verdict, round.Value)
 	case round.State == Stale && round.CommittedVote().Ballot == round.ballot:
-		value := round.CommittedVote().Value
-		w.conclusions = append(w.conclusions, conclusion{message.proposer, proposer.before, Unknown, value, code(&value)})
+		w.conclude(message.proposer, Unknown, round.CommittedVote().Value)
 	}
 	return true
 }
 
-// stepRecovery hands a reply to the voter that recovers, if it still does.
+// conclude notes that a proposer's round has ended with a committed value.
+func (w *world) conclude(proposer int, verdict Verdict, value Value) {
+	before := w.proposers[proposer].before
+	w.conclusions = append(w.conclusions, conclusion{proposer, before, verdict, value, code(&value)})
+}
+
+// stepRecovery hands a reply to a recovering voter, unless its recovery has ended.
 func (w *world) stepRecovery(message message, name string, reply *Reply) {
 	voter := -message.proposer - 1
 	recovery := w.recoveries[voter]
@@ -238,7 +272,8 @@
 	}))
 }
 
-// key identifies a state. Voters that only differ by name may change places, except the one that may lose its disk.
+// key returns a hash that identifies the state. States in which voters have changed places have one key, except for
+// distinguished voters.
 func (w *world) key() uint64 {
 	keys := make([]uint64, len(w.voters))
 	for voter := range w.voters {
@@ -268,7 +303,7 @@
 	return digest.Sum64()
 }
 
-// voterKey is what tells one voter's state from another's: its record, which of its replies have arrived, and what is sent to it.
+// voterKey returns a hash of a voter's state: its record, its replies that have arrived, and the requests to it in flight.
 func (w *world) voterKey(voter int) uint64 {
 	var digest maphash.Hash
 	digest.SetSeed(seed)
@@ -293,13 +328,14 @@
 	return digest.Sum64()
 }
 
-// extends reports whether b is a or was made from it.
+// extends reports whether b is the same value as a, or a later one that was made from it.
 func extends(a, b *Value) bool {
 	return len(a.History) <= len(b.History) && slices.Equal(a.History, b.History[:len(a.History)]) &&
 		a.VoterSet.Epoch <= b.VoterSet.Epoch &&
 		(a.VoterSet.Epoch < b.VoterSet.Epoch || slices.Equal(a.VoterSet.Voters, b.VoterSet.Voters))
 }
 
+// contains reports whether a proposer's change is in force in a value, or was before.
 func (w *world) contains(value *Value, proposer int) bool {
 	change := w.proposers[proposer].change
 	if change != nil && change.nextVoters != nil {
@@ -308,7 +344,7 @@
 	return change != nil && slices.Contains(value.History, VersionDigest{uint64(change.Version), change.digest})
 }
 
-// areRivals reports whether no more than one of two changes may be acknowledged.
+// areRivals reports whether at most one of two changes may be acknowledged.
 func areRivals(a, b *Change) bool {
 	if a.nextVoters != nil && b.nextVoters != nil {
 		return a.nextVoters.Epoch == b.nextVoters.Epoch && !slices.Equal(a.nextVoters.Voters, b.nextVoters.Voters)
@@ -316,8 +352,8 @@
 	return a.nextVoters == nil && b.nextVoters == nil && a.Base == b.Base && a.digest != b.digest
 }
 
-// fault is what is wrong with the world; "" for nothing: two conclusions that contradict each other, or a read, from any
-// majority, that does not show what was acknowledged or shows what was refused.
+// fault describes a violated guarantee, "" for none: two conclusions contradict each other, or a read from some majority
+// does not return what was acknowledged, or returns what was refused.
 func (w *world) fault() string {
 	if fault := w.faultOfConclusions(); fault != "" || len(w.conclusions) == 0 {
 		return fault
@@ -337,7 +373,7 @@
 	return ""
 }
 
-// faultOfConclusions is what is wrong with the conclusions by themselves.
+// faultOfConclusions describes a fault that the conclusions alone show; "" for none.
 func (w *world) faultOfConclusions() string {
 	for i := range w.conclusions {
 		later := &w.conclusions[i]
@@ -359,7 +395,7 @@
 	return ""
 }
 
-// faultOfRead is what is wrong with a value that was read; nil if no value could be read.
+// faultOfRead describes what is wrong with a value that was read, "" for nothing. A read without an answer has a nil value.
 func (w *world) faultOfRead(value *Value) string {
 	if value == nil {
 		return ""
@@ -376,8 +412,8 @@
 	return ""
 }
 
-// read reads from a set of voters at once, by a bit for each: under a ballot, or without one. It leaves the world as it
-// is. It starts with the first voter set, and goes on with a newer one as a proposer would. Nil is that there was no answer.
+// read reads from a set of voters, which has a bit for each, with or without a ballot, and returns nil if there is no answer.
+// It does not change the world. It starts with the first voter set, and goes on with newer ones as a proposer would.
 func (w *world) read(voters int, withBallot bool) *Value {
 	records := slices.Clone(w.records)
 	known := w.firstVoters
@@ -399,8 +435,8 @@
 	}
 }
 
-// broadcast delivers a round's request to those of its recipients that are in a set of voters, and their replies to the
-// round. It returns the round's next request; nil for none.
+// broadcast delivers a round's request to those recipients that are in a set of voters, and their replies to the round. It
+// returns the round's next request, nil for none.
 func (w *world) broadcast(records []Record, voters int, round *Round, request *Request) (next *Request) {
 	for _, name := range round.Recipients() {
 		voter := slices.Index(w.voters, name)
