--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// fleetLoop is a loop, that is not run, with a list of n endpoints, numbered from 0.
+// fleetLoop returns a loop that does not run, with a list of n endpoints, numbered from 0.
 func fleetLoop(tb testing.TB, n int) *loop {
 	tb.Helper()
 	config := &Config{Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil)}
@@ -26,20 +26,21 @@
 	return l
 }
 
+// fleetList is a complete list of n endpoints, numbered from a number on.
 func fleetList(rev uint64, from, n int) endpointList {
 	l := endpointList{Rev: rev, All: true}
 	for i := from; i < from+n; i++ {
 		l.Targets = append(l.Targets, listedEndpoint{
-			UID: fmt.Sprintf("box-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:80", 1+i/62500, i/250%250, i%250+1),
+			UID: fmt.Sprintf("s-%08x", i+1), Address: fmt.Sprintf("127.%d.%d.%d:80", 1+i/62500, i/250%250, i%250+1),
 			State: "Ready", Weight: 1, Cell: i / 2,
 		})
 	}
 	return l
 }
 
-// A long list is taken in between other events: its bad news at once, before the next event, the rest in its order,
-// and a later list after it.
-func TestLongListIsTakenInParts(t *testing.T) {
+// A long list is applied in chunks, with other events in between: endpoints that drain or are gone first, then the others, and a
+// later list after it.
+func TestLongListIsAppliedInChunks(t *testing.T) {
 	const n = 3 * maxChunkEntries
 	l := fleetLoop(t, n)
 	if len(l.endpoints.byID) != n || l.backlog.ready() != nil {
@@ -50,14 +51,14 @@
 	l.handleList(next, endpointsource.FromWatch)
 	l.handleList(endpointList{Rev: 3, Targets: []listedEndpoint{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
 	if l.backlog.ready() == nil {
-		t.Fatal("all was taken in at once")
+		t.Fatal("the list was applied at once")
 	}
-	bad := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // what drains, and what is missing
-	for range bad {
+	urgent := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // chunks of what drains, and of what is missing
+	for range urgent {
 		l.backlog.next()
 	}
 	if got := len(l.endpoints.byID); got != n/2 {
-		t.Errorf("%d are left when the bad news are in, should be %d", got, n/2)
+		t.Errorf("%d are left after the urgent chunks, should be %d", got, n/2)
 	}
 	if e := l.endpoints.byID[balancer.EndpointID(n/2+1)]; e == nil || e.Open.Load() {
 		t.Error("one that drains is open")
@@ -77,19 +78,19 @@
 	for i := range 3 * maxBacklogSteps {
 		b.add(func() { got = append(got, 2*i) }, func() { got = append(got, 2*i+1) })
 		if len(b.steps) > maxBacklogSteps {
-			t.Fatalf("%d wait", len(b.steps))
+			t.Fatalf("%d steps wait", len(b.steps))
 		}
 	}
 	for b.ready() != nil {
 		b.next()
 	}
 	if len(got) != 6*maxBacklogSteps || !slices.IsSorted(got) {
-		t.Errorf("%d of %d were done, in order %v", len(got), 6*maxBacklogSteps, slices.IsSorted(got))
+		t.Errorf("%d of %d steps ran, in order %v", len(got), 6*maxBacklogSteps, slices.IsSorted(got))
 	}
 }
 
-// BenchmarkLongList is a whole list of 10,000 endpoints at a sidecar's loop: how long all of it takes, and the longest
-// that it keeps other events waiting.
+// BenchmarkLongList measures how long the loop takes to apply a complete list of 10,000 endpoints, and for how long at most it delays
+// other events.
 func BenchmarkLongList(b *testing.B) {
 	const n = 10000
 	for _, c := range []struct {
@@ -103,9 +104,9 @@
 			for i := 0; b.Loop(); i++ {
 				rev++
 				lists[i%2].Rev = rev
-				d := lists[i%2].prepare(endpointsource.FromWatch) // beside the loop
+				prepared := lists[i%2].prepare(endpointsource.FromWatch) // outside of the loop
 				began := time.Now()
-				l.handlePreparedList(d, endpointsource.FromWatch)
+				l.handlePreparedList(prepared, endpointsource.FromWatch)
 				worst = max(worst, time.Since(began))
 				for l.backlog.ready() != nil {
 					began := time.Now()
@@ -118,11 +119,11 @@
 	}
 }
 
-// BenchmarkUnusedEndpoints is what a sidecar holds for each endpoint that it knows and has sent nothing to.
+// BenchmarkUnusedEndpoints measures the memory for each endpoint that a sidecar knows and has sent nothing to.
 func BenchmarkUnusedEndpoints(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			held := 0.0
+			perEndpoint := 0.0
 			for b.Loop() {
 				var before, after runtime.MemStats
 				runtime.GC()
@@ -130,10 +131,10 @@
 				l := fleetLoop(b, n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				held = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
+				perEndpoint = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
 				runtime.KeepAlive(l)
 			}
-			b.ReportMetric(held, "B/endpoint")
+			b.ReportMetric(perEndpoint, "B/endpoint")
 		})
 	}
 }
--- a/internal/standalone/config_test.go
+++ b/internal/standalone/config_test.go
@@ -7,8 +7,10 @@
 	"testing"
 )
 
+// The error for each fault of a configuration file names the field.
 func TestConfigFaultsAreNamed(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1","limits":{"cores":1,"memory_mb":9,"sockets":99},"settings":` + settingsText + `}`
+	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1",` +
+		`"limits":{"cores":1,"memory_mb":9,"sockets":99},"settings":` + settingsText + `}`
 	file := filepath.Join(t.TempDir(), "c.json")
 	load := func(text string) error {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/internal/standalone/connections_test.go
+++ b/internal/standalone/connections_test.go
@@ -29,13 +29,13 @@
 	}
 	s.Start()
 	defer s.Close()
-	rg := start(t, 1024, listedEndpoint{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
+	sidecar := startSidecar(t, 1024, listedEndpoint{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
 	for range 3 {
-		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
+		if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
 			t.Fatal(status)
 		}
-		rg.until("the connection is idle", func() (idle bool) {
-			rg.inLoop(func() { _, n := rg.server.loop.http1.Counts(); idle = n == 1 })
+		sidecar.waitUntil("the connection is idle", func() (idle bool) {
+			sidecar.onLoop(func() { _, n := sidecar.server.loop.http1.Counts(); idle = n == 1 })
 			return idle
 		})
 	}
@@ -44,50 +44,50 @@
 	}
 	s.CloseClientConnections()
 	<-closed
-	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
+	if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
 		t.Errorf("got %d %q on %d connections", status, body, conns.Load())
 	}
 }
 
 // Connections without a request do not displace others: they are closed before idle ones, and in time.
-func TestMuteCallersMakeRoom(t *testing.T) {
-	rg := start(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
+func TestFreshConnectionsMakeRoom(t *testing.T) {
+	sidecar := startSidecar(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
 	http.DefaultClient.CloseIdleConnections()
-	usual := rg.dial()
-	ask := func() {
+	used := sidecar.dial()
+	send := func() {
 		t.Helper()
-		usual.post(rg.request("once", 9*time.Second))
-		res, err := usual.next()
+		used.post(sidecar.request("once", 9*time.Second))
+		res, err := used.next()
 		if err != nil || res.status != 200 {
-			t.Fatalf("the usual client got %v, %v", res, err)
+			t.Fatalf("the connection that is in use got %v, %v", res, err)
 		}
 	}
-	ask()
-	var crowd []*clientConn
-	for range 5 * rg.maxConnections() {
-		crowd = append(crowd, rg.dial())
+	send()
+	var fresh []*clientConn
+	for range 5 * sidecar.maxConnections() {
+		fresh = append(fresh, sidecar.dial())
 	}
-	ask()
-	if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
-		t.Errorf("a new client got %d", status)
+	send()
+	if status, _ := sidecar.call(sidecar.request("once", 9*time.Second)); status != 200 {
+		t.Errorf("a new caller got %d", status)
 	}
-	for i, c := range crowd {
+	for i, c := range fresh {
 		if got, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("mute connection %d got %q, %v", i, got, err)
+			t.Fatalf("connection %d without a request got %q, %v", i, got, err)
 		}
 	}
 }
 
 // A request that is not complete in time gets an error or a close, wherever it stops.
 func TestSlowRequestsEnd(t *testing.T) {
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { t.Error("it was passed on") }))
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { t.Error("it was forwarded") }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	ended := make(chan bool)
 	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
 	began := time.Now()
 	for _, text := range texts {
 		go func() {
-			if status, _ := rg.raw(text); status > 0 && status < 400 {
+			if status, _ := sidecar.sendRaw(text); status > 0 && status < 400 {
 				t.Errorf("%.80q: got %d", text, status)
 			}
 			ended <- true
@@ -103,14 +103,14 @@
 
 // Connections are accepted also when they use up their share: the one that has been idle the longest is closed.
 func TestIdleCallersMakeRoom(t *testing.T) {
-	rg := start(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
+	sidecar := startSidecar(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
 	var first *clientConn
-	for i := range 3 * rg.maxConnections() {
-		c := rg.dial()
+	for i := range 3 * sidecar.maxConnections() {
+		c := sidecar.dial()
 		if i == 0 {
 			first = c
 		}
-		c.post(rg.request("once", 5*time.Second))
+		c.post(sidecar.request("once", 5*time.Second))
 		res, err := c.next()
 		if err != nil || res.status != 200 {
 			t.Fatalf("connection %d: %v %v", i, res, err)
@@ -120,24 +120,24 @@
 	if n, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the first connection: %d bytes, %v", n, err)
 	}
-	rg.until("open connections are within their share", func() bool {
-		open, _, _, most := rg.front().Counts()
-		return open <= most
+	sidecar.waitUntil("open connections are within their share", func() bool {
+		open, _, _, limit := sidecar.http1Front().Counts()
+		return open <= limit
 	})
 }
 
 // When all connections are busy, the next caller gets an answer all the same: closing its connection would lose what it has sent.
 // Nothing of its request has run, so it is rejected.
 func TestCallerBeyondTheBoundIsAnswered(t *testing.T) {
-	serve := make(chan bool)
-	rg := start(t, appfile.MinSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		<-serve
+	release := make(chan bool)
+	sidecar := startSidecar(t, appfile.MinSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+		<-release
 		write(w, "ok")
 	}))
-	rg.front().SetMaxConnections(2) // as if the machine were that small
+	sidecar.http1Front().SetMaxConnections(2) // as if the machine were that small
 	dial := func() *clientConn {
-		c := rg.dial()
-		c.post(rg.request("once", 9*time.Second))
+		c := sidecar.dial()
+		c.post(sidecar.request("once", 9*time.Second))
 		return c
 	}
 	status := func(c *clientConn) int {
@@ -148,12 +148,12 @@
 		}
 		return got.status
 	}
-	var taken []*clientConn
+	var accepted []*clientConn
 	for i := range 2 {
 		c := dial()
-		taken = append(taken, c)
-		rg.until("it is taken", func() (done bool) {
-			rg.inLoop(func() { done = len(rg.server.loop.requests) == i+1 })
+		accepted = append(accepted, c)
+		sidecar.waitUntil("its request is accepted", func() (done bool) {
+			sidecar.onLoop(func() { done = len(sidecar.server.loop.requests) == i+1 })
 			return done
 		})
 	}
@@ -161,10 +161,10 @@
 	if got := status(extra); got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
-	close(serve)
-	for _, c := range taken {
+	close(release)
+	for _, c := range accepted {
 		if got := status(c); got != http.StatusOK {
-			t.Errorf("a request that was taken got %d", got)
+			t.Errorf("a request that was accepted got %d", got)
 		}
 	}
 }
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -15,11 +15,12 @@
 	"quincegap/internal/network/exchange"
 )
 
+// ready is an endpoint that is listed as ready.
 func ready(uid string) listedEndpoint {
 	return listedEndpoint{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1}
 }
 
-// An endpoint's number is the same at every sidecar, in whatever order lists name it, and no two share one.
+// The number of an endpoint is the same at every sidecar, in whatever order lists name it, and no two share one.
 func TestEndpointIDs(t *testing.T) {
 	a, b := newEndpoints(nil, nil, time.Now()), newEndpoints(nil, nil, time.Now())
 	put := func(t *endpointTable, uid string) balancer.EndpointID {
@@ -31,15 +32,15 @@
 		t.Error("the uid's own number is not used")
 	}
 	b.endpointID("s-5be2a07c")
-	if b.endpointID("s-00000001") != a.endpointID("s-00000001") || a.endpointID("box.west") != b.endpointID("box.west") {
-		t.Error("the order tells")
+	if b.endpointID("s-00000001") != a.endpointID("s-00000001") || a.endpointID("host.west") != b.endpointID("host.west") {
+		t.Error("the numbers depend on the order")
 	}
 	if x, y := put(a, "s-1"), put(a, "t-1"); x == y || x != a.endpointID("s-1") || y != a.endpointID("t-1") {
 		t.Errorf("two uids have %d and %d", x, y)
 	}
 }
 
-// Starts are put on the event clock, alike each time: a later one means a restart.
+// Start times are converted to the event clock, with the same result each time: a later one means a restart.
 func TestStarts(t *testing.T) {
 	now := time.Now()
 	e := newEndpoints(nil, nil, now.Add(-clockStart))
@@ -52,6 +53,7 @@
 	}
 }
 
+// An endpoint that is listed at another address or with another start replaces the one before.
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
 	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
 	x := ready("s-1")
@@ -71,7 +73,7 @@
 			t.Errorf("after a change: %+v", e.byID[1])
 		}
 		if x.BootMS > 0 && entries[0].StartedAt == 0 {
-			t.Error("the start is not told")
+			t.Error("the entry has no start")
 		}
 	}
 	if first.Open.Load() || !e.byID[2].Open.Load() {
@@ -79,17 +81,17 @@
 	}
 	e.apply(endpointList{All: true, Targets: []listedEndpoint{x}}.sourceList(endpointsource.FromWatch))
 	if e.byID[2] != nil || len(e.ids) != 1 {
-		t.Error("an endpoint that left the whole list is open")
+		t.Error("an endpoint that a complete list lacks is open")
 	}
 }
 
-// Lists reach the Balancer in order: what is older than its list is dropped.
+// Lists reach the Balancer in order: those older than its list are dropped.
 func TestOlderListsAreDropped(t *testing.T) {
-	rg := start(t, 1024, ready("s-1"), ready("s-2"))
-	l := rg.server.loop
+	sidecar := startSidecar(t, 1024, ready("s-1"), ready("s-2"))
+	l := sidecar.server.loop
 	draining := ready("s-1")
 	draining.State = "Terminating"
-	rg.inLoop(func() {
+	sidecar.onLoop(func() {
 		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{draining}}, endpointsource.FromWatch)
 		l.handleList(endpointList{Rev: 4, All: true, Targets: []listedEndpoint{ready("s-1")}}, endpointsource.FromFetch)
 		l.handleList(endpointList{Rev: 5, Targets: []listedEndpoint{ready("s-1")}}, endpointsource.FromWatch)
@@ -103,7 +105,7 @@
 	})
 }
 
-// A watch that ends is taken up where it ended; after a line that cannot be read, the whole list is asked for.
+// A watch that ends is resumed at the version that it reached; after a line that cannot be parsed, the complete list is requested.
 func TestWatchReconnects(t *testing.T) {
 	asked := make(chan string, 8)
 	replies := make(chan string, 8)
@@ -146,40 +148,40 @@
 				t.Errorf("asked %q, want %q", query, want)
 			}
 		case <-time.After(patience):
-			t.Fatal("the watch is not taken up")
+			t.Fatal("the watch is not resumed")
 		}
 		replies <- step.reply
 	}
 }
 
-// A watch may fall silent and stay open. Another one is taken up before what changed meanwhile counts as told.
-func TestSilentWatchIsReplaced(t *testing.T) {
-	const told = 6 * time.Second
+// A watch that stays open without a line is replaced before the time after which changes count as known.
+func TestUnresponsiveWatchIsReplaced(t *testing.T) {
+	const countsAsKnown = 6 * time.Second
 	asked := make(chan time.Time, 8)
-	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	unresponsive := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- time.Now()
 		flush(w)
 		<-r.Context().Done()
 	}))
-	defer silent.Close()
-	defer silent.CloseClientConnections()
-	rg := start(t, 1024, ready("s-1"))
-	rg.inLoop(func() { rg.server.loop.switchDiscovery(silent.Listener.Addr().String(), "") })
-	for range 2 { // the watch and the whole list, that follow asks for
+	defer unresponsive.Close()
+	defer unresponsive.CloseClientConnections()
+	sidecar := startSidecar(t, 1024, ready("s-1"))
+	sidecar.onLoop(func() { sidecar.server.loop.switchDiscovery(unresponsive.Listener.Addr().String(), "") })
+	for range 2 { // the watch, and the fetch of the complete list
 		<-asked
 	}
 	began := time.Now()
 	select {
-	case <-asked: // the list again, or the watch
+	case <-asked: // the fetch again, or the watch
 	case <-time.After(patience):
 	}
-	if took := time.Since(began); took > told-500*time.Millisecond {
-		t.Errorf("silent for %v", took)
+	if took := time.Since(began); took > countsAsKnown-500*time.Millisecond {
+		t.Errorf("replaced after %v", took)
 	}
 }
 
-// startDiscovery is a discovery that lists one endpoint at version 0 to who asks for the complete list, and says no more; asked
-// gets the query of each request.
+// startDiscovery starts a discovery server whose complete list has one endpoint, at version 0, and never changes. The channel gets
+// the query of each request.
 func startDiscovery(t *testing.T, endpoint listedEndpoint) (address string, asked chan string) {
 	t.Helper()
 	asked = make(chan string, 8)
@@ -203,80 +205,79 @@
 	return discovery.Listener.Addr().String(), asked
 }
 
-// reloadDiscovery has the sidecar reload a broken file, which has no effect, and one that names another discovery. It returns
-// the watcher of the one before.
-func (rg *rig) reloadDiscovery(address string) (old *watcher) {
-	rg.t.Helper()
-	l := rg.server.loop
-	good, err := os.ReadFile(rg.file)
+// reloadDiscovery reloads a broken file, and checks that this has no effect, and then a file that names another discovery. It
+// returns the watcher of the one before.
+func (s *testSidecar) reloadDiscovery(address string) (old *watcher) {
+	s.t.Helper()
+	l := s.server.loop
+	good, err := os.ReadFile(s.file)
 	if err != nil {
-		rg.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	rg.inLoop(func() {
+	s.onLoop(func() {
 		l.versionFilter.Version = 7
 		old = l.watcher
 	})
-	rg.writeConfig(string(good[:len(good)/2]))
-	rg.reloads <- syscall.SIGHUP
-	rg.inLoop(func() {
+	s.writeConfig(string(good[:len(good)/2]))
+	s.reloads <- syscall.SIGHUP
+	s.onLoop(func() {
 		if l.watcher != old || l.versionFilter.Switched() {
-			rg.t.Error("a broken file had an effect")
+			s.t.Error("a broken file had an effect")
 		}
 	})
-	was := rg.server.config.getenv("BALANCER_DISCOVERY") // stands in the environment, and in the file
-	rg.writeConfig(strings.Replace(string(good), was, address, 1))
-	rg.reloads <- syscall.SIGHUP
-	rg.until("the new list is taken in", func() (done bool) {
-		rg.inLoop(func() { done = l.versionFilter.Version == 0 && !l.versionFilter.Switched() && l.watcher != old })
+	was := s.server.config.getenv("BALANCER_DISCOVERY") // the file has the same address
+	s.writeConfig(strings.Replace(string(good), was, address, 1))
+	s.reloads <- syscall.SIGHUP
+	s.waitUntil("the new list is applied", func() (done bool) {
+		s.onLoop(func() { done = l.versionFilter.Version == 0 && !l.versionFilter.Switched() && l.watcher != old })
 		return done
 	})
 	return old
 }
 
-// On SIGHUP the discovery that the file names is followed from its complete list on, whatever its versions;
-// nothing of the old one counts any more, and what was taken goes on. A file that cannot be used changes
-// nothing.
+// On SIGHUP the sidecar follows the discovery that the file names, from its complete list on, whatever its versions. Late lists of
+// the old discovery are ignored, and requests in flight go on. A file with faults changes nothing.
 func TestReloadFollowsAnotherDiscovery(t *testing.T) {
-	came, serve := make(chan bool, 1), make(chan bool)
+	arrived, release := make(chan bool, 1), make(chan bool)
 	a := startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+		arrived <- true
+		<-release
 		write(w, "a")
 	})
 	b := startEndpoint(t, "s-2", func(w http.ResponseWriter, _ *http.Request) { write(w, "b") })
-	rg := start(t, 1024, a)
-	l := rg.server.loop
+	sidecar := startSidecar(t, 1024, a)
+	l := sidecar.server.loop
 	answered := make(chan string)
 	go func() {
-		_, body := rg.ask(rg.request("once", 9*time.Second))
+		_, body := sidecar.call(sidecar.request("once", 9*time.Second))
 		answered <- body
 	}()
-	<-came
+	<-arrived
 
 	other, asked := startDiscovery(t, b)
-	old := rg.reloadDiscovery(other)
+	old := sidecar.reloadDiscovery(other)
 	for range 2 {
 		if query := <-asked; strings.Contains(query, "since=7") {
 			t.Errorf("asked the new discovery for changes to the old one's list: %q", query)
 		}
 	}
-	rg.inLoop(func() {
+	sidecar.onLoop(func() {
 		old.fetch() // a late answer of the old discovery
 		if l.endpoints.byID[1] != nil && l.endpoints.byID[1].Open.Load() {
 			t.Error("an endpoint that the new list lacks is open")
 		}
 	})
-	rg.announce(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{a}})
-	if _, body := rg.ask(rg.request("once", 9*time.Second)); body != "b" {
+	sidecar.announce(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{a}})
+	if _, body := sidecar.call(sidecar.request("once", 9*time.Second)); body != "b" {
 		t.Errorf("served %q", body)
 	}
-	close(serve)
+	close(release)
 	if got := <-answered; got != "a" {
-		t.Errorf("the request that was taken before got %q", got)
+		t.Errorf("the request in flight got %q", got)
 	}
-	rg.inLoop(func() {
+	sidecar.onLoop(func() {
 		if l.versionFilter.Version != 0 {
-			t.Error("the old discovery was heard")
+			t.Error("a list of the old discovery was applied")
 		}
 	})
 }
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -14,100 +14,107 @@
 	"quincegap/internal/standin/disk"
 )
 
-// onDisk has the sidecars that a test starts remember on a disk; what is of class once is refused where it cannot
-// be remembered, and the others go on.
+// onDisk gives the sidecars that a test starts a memory on a disk. Where it fails, requests of class once are rejected, and those of
+// other classes are served without it.
 func onDisk(t *testing.T, d *disk.Disk) {
 	t.Helper()
 	var found finding.List
-	text := doc.ReadTOML([]byte("[class.once]\naim = \"9s\"\ndeadline = \"10s\"\neffect = \"unsafe\"\nwithout_memory = \"refuse\"\n"), 1<<10, found.ForFile("f"))
+	const classes = "[class.once]\naim = \"9s\"\ndeadline = \"10s\"\neffect = \"unsafe\"\nwithout_memory = \"refuse\"\n"
+	text := doc.ReadTOML([]byte(classes), 1<<10, found.ForFile("f"))
 	file := schema.New(appfile.ClassTable.Table).Decode(&found, schema.Options{}, schema.Layer{Doc: text, Table: text.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		t.Fatal(err)
 	}
 	adjustConfig = func(c *Config) {
-		c.file, c.storeFS = file, d
-		c.tuning.memory.Dir, c.tuning.memory.WriteTimeout = "unused", 250*time.Millisecond
+		c.file = file
+		c.storeFS = d
+		c.tuning.memory.Dir = "unused"
+		c.tuning.memory.WriteTimeout = 250 * time.Millisecond
 	}
 	t.Cleanup(func() { adjustConfig = func(*Config) {} })
 }
 
-// runs counts how often each request ran.
-type runs struct {
-	mu sync.Mutex
-	of map[string]int
+// runCounter counts how often each request ran at the endpoints.
+type runCounter struct {
+	mu     sync.Mutex
+	counts map[string]int // by the request's id
 }
 
-func (x *runs) serve(w http.ResponseWriter, r *http.Request) {
-	x.mu.Lock()
-	x.of[r.Header.Get("X-Txn")]++
-	x.mu.Unlock()
+// serve is the handler of the endpoints.
+func (r *runCounter) serve(w http.ResponseWriter, got *http.Request) {
+	r.mu.Lock()
+	r.counts[got.Header.Get("X-Txn")]++
+	r.mu.Unlock()
 	write(w, "ok")
 }
 
-func (x *runs) ran(id string) int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.of[id]
+// count is how often the request of an id ran.
+func (r *runCounter) count(id string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.counts[id]
 }
 
-// diskRig is a sidecar on a disk that may fail, and what ran at its endpoints.
-type diskRig struct {
-	*rig
-	runs *runs
+// diskSidecar is a sidecar with its memory on a disk that may fail.
+type diskSidecar struct {
+	*testSidecar
+	runs *runCounter
 }
 
-// startOnDisk starts a sidecar that remembers on a disk.
-func startOnDisk(t *testing.T, d *disk.Disk, x *runs) *diskRig {
+// startOnDisk starts a sidecar with its memory on a disk. Its endpoints count what runs.
+func startOnDisk(t *testing.T, d *disk.Disk, counter *runCounter) *diskSidecar {
 	t.Helper()
 	onDisk(t, d)
-	return &diskRig{start(t, 1024, startEndpoint(t, "s-1", x.serve), startEndpoint(t, "s-2", x.serve)), x}
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", counter.serve), startEndpoint(t, "s-2", counter.serve))
+	return &diskSidecar{testSidecar: sidecar, runs: counter}
 }
 
-// try sends a request of a class, whose answer has to have a status, any where that is 0. It runs once if it is answered and
-// not at all otherwise.
-func (rg *diskRig) try(class string, want int) (id string) {
-	rg.t.Helper()
-	r := rg.request(class, 5*time.Second)
+// callExpecting sends a request of a class and checks the status of its answer, unless want is 0. It also checks that the request ran
+// once if it was answered, and not at all otherwise. It returns the request's id.
+func (d *diskSidecar) callExpecting(class string, want int) (id string) {
+	d.t.Helper()
+	r := d.request(class, 5*time.Second)
 	id = r.Header.Get("X-Txn")
 	if class == "book" {
 		r.Header.Set("Idempotency-Key", id)
 	}
-	status, _ := rg.ask(r)
+	status, _ := d.call(r)
 	if want != 0 && status != want {
-		rg.t.Errorf("%s: status %d, wanted %d", class, status, want)
+		d.t.Errorf("%s: status %d, wanted %d", class, status, want)
 	}
-	if n := rg.runs.ran(id); (status == http.StatusOK) != (n == 1) || n > 1 {
-		rg.t.Errorf("%s: status %d, and it ran %d times", class, status, n)
+	if n := d.runs.count(id); (status == http.StatusOK) != (n == 1) || n > 1 {
+		d.t.Errorf("%s: status %d, and it ran %d times", class, status, n)
 	}
 	return id
 }
 
-// pay sends an unsafe request as often as it takes until one runs: a busy machine may be as slow as a disk.
-func (rg *diskRig) pay() (id string) {
-	rg.t.Helper()
-	rg.until("something is remembered and runs", func() bool {
-		id = rg.try("once", 0)
-		return rg.runs.ran(id) == 1
+// sendUntilRun sends requests that are not idempotent until one runs, and returns its id: on a busy machine even a healthy disk may
+// be too slow.
+func (d *diskSidecar) sendUntilRun() (id string) {
+	d.t.Helper()
+	d.waitUntil("a request is remembered and runs", func() bool {
+		id = d.callExpecting("once", 0)
+		return d.runs.count(id) == 1
 	})
 	return id
 }
 
-// checkKnown sends a request once more that ran: it fails, and does not run again.
-func (rg *diskRig) checkKnown(when, id string) {
-	rg.t.Helper()
-	r := rg.request("once", 5*time.Second)
+// checkRepeatFails sends a request again that ran, and checks that the repeat fails and does not run.
+func (d *diskSidecar) checkRepeatFails(when, id string) {
+	d.t.Helper()
+	r := d.request("once", 5*time.Second)
 	r.Header.Set("X-Txn", id)
-	if status, _ := rg.ask(r); status != http.StatusBadGateway || rg.runs.ran(id) != 1 {
-		rg.t.Errorf("a repeat %s: status %d, and it ran %d times", when, status, rg.runs.ran(id))
+	if status, _ := d.call(r); status != http.StatusBadGateway || d.runs.count(id) != 1 {
+		d.t.Errorf("a repeat %s: status %d, and it ran %d times", when, status, d.runs.count(id))
 	}
 }
 
-// A disk that hangs, and one that fails each write, hold up nothing that need not be remembered. Each class does what
-// its file says, nothing that was refused has run, and all is as before once the disk is well.
-func TestIllDiskOverSockets(t *testing.T) {
+// A disk that hangs, that fails each write or that is full delays no request that need not be remembered. Each class behaves as its
+// file says, no rejected request has run, and all is as before once the disk works again.
+func TestFailingDiskOverSockets(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ill  func(d *disk.Disk) (well func())
+		fail func(d *disk.Disk) (repair func())
 	}{
 		{"slow", func(d *disk.Disk) func() { return d.BlockSyncs() }},
 		{"failing", func(d *disk.Disk) func() {
@@ -120,26 +127,26 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := disk.New()
-			x := &runs{of: map[string]int{}}
-			rg := startOnDisk(t, d, x)
-			paid := rg.pay()
-			well := c.ill(d)
-			defer well()
+			fs := disk.New()
+			counter := &runCounter{counts: map[string]int{}}
+			sidecar := startOnDisk(t, fs, counter)
+			first := sidecar.sendUntilRun()
+			repair := c.fail(fs)
+			defer repair()
 			for range 3 {
-				rg.try("read", http.StatusOK)
-				rg.try("book", http.StatusOK)
-				rg.try("once", http.StatusServiceUnavailable)
+				sidecar.callExpecting("read", http.StatusOK)
+				sidecar.callExpecting("book", http.StatusOK)
+				sidecar.callExpecting("once", http.StatusServiceUnavailable)
 			}
-			rg.checkKnown("while the disk is ill", paid) // it is no less known for it, and is not refused
-			well()
-			last := rg.pay()
-			rg.try("book", http.StatusOK)
+			sidecar.checkRepeatFails("while the disk fails", first) // it is still known, so it is not rejected
+			repair()
+			last := sidecar.sendUntilRun()
+			sidecar.callExpecting("book", http.StatusOK)
 
-			// The next life knows what was remembered, before and after.
-			rg = startOnDisk(t, d.AfterCrash(), x)
-			for _, id := range []string{paid, last} {
-				rg.checkKnown("in the next life", id)
+			// After a crash the next process knows what was remembered, before the failure and after it.
+			sidecar = startOnDisk(t, fs.AfterCrash(), counter)
+			for _, id := range []string{first, last} {
+				sidecar.checkRepeatFails("after a crash", id)
 			}
 		})
 	}
--- a/internal/standalone/golden_format_test.go
+++ b/internal/standalone/golden_format_test.go
@@ -34,7 +34,7 @@
 func (plainCaller) Confirm(context.Context) bool    { return true }
 func (plainCaller) Early() bool                     { return false }
 
-// Callers tell answers of endpoints, refusals and failures apart by their status and headers.
+// Callers tell answers of endpoints, rejections and failures apart by their status and headers.
 func TestAnswersKeepTheirForm(t *testing.T) {
 	s := &server{}
 	var text strings.Builder
@@ -58,7 +58,7 @@
 	golden.Text(t, "answers.txt", []byte(text.String()))
 }
 
-// What is wrong with a request is said by status and text, in the order in which it is looked for.
+// Requests with a fault are answered with a status and a text, for the first fault in a fixed order.
 func TestFaultsOfRequestsKeepTheirForm(t *testing.T) {
 	l := fleetLoop(t, 1)
 	l.config.Settings.Classes = []balancer.Class{
@@ -67,13 +67,14 @@
 	}
 	l.config.Settings.Tenants = []balancer.Tenant{{Name: "org"}}
 	s := &server{loop: l, config: l.config, classes: map[string]int{"read": 0, "book": 1}, tenants: map[string]int{"org": 0}}
-	set := *l.config.tuning
-	set.callers.TooEarly = true
-	s.tuning.Store(&set)
+	headers := map[string]string{"X-Txn": "a", "X-Lane": "book", "X-Org": "org", "X-Remaining": "900m", "Idempotency-Key": "k"}
+	tuning := *l.config.tuning
+	tuning.callers.TooEarly = true
+	s.tuning.Store(&tuning)
 	var text strings.Builder
 	for _, c := range []struct {
-		name  string
-		spoil func(r *http.Request)
+		name   string
+		change func(r *http.Request)
 	}{
 		{"chunked", func(r *http.Request) { r.TransferEncoding = []string{"chunked"} }},
 		{"no length", func(r *http.Request) { r.ContentLength = -1 }},
@@ -90,17 +91,17 @@
 		{"none", func(*http.Request) {}},
 	} {
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/api", strings.NewReader("trip"))
-		for name, value := range map[string]string{"X-Txn": "a", "X-Lane": "book", "X-Org": "org", "X-Remaining": "900m", "Idempotency-Key": "k"} {
+		for name, value := range headers {
 			r.Header.Set(name, value)
 		}
-		c.spoil(r)
+		c.change(r)
 		_, status, fault := s.parse(r)
 		fmt.Fprintf(&text, "%s: %d %s\n", c.name, status, fault)
 	}
 	golden.Text(t, "faults.txt", []byte(text.String()))
 }
 
-// logged returns what a function logs, without times.
+// logged returns the log lines of a function, without times.
 func logged(t *testing.T, f func()) string {
 	t.Helper()
 	var text strings.Builder
@@ -115,21 +116,23 @@
 	return text.String()
 }
 
-// What is remembered on the disk is found by later versions under the same keys; people find what the log says of it.
+// Later versions find the records on the disk under the same keys, and people match the log lines.
 func TestMemoryKeepsItsForm(t *testing.T) {
 	s, err := store.Open(store.Dir(t.TempDir()), store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := &memory{
-		settings: Memory{ListRetention: time.Hour, WriteTimeout: time.Second}, table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false},
+		settings: Memory{ListRetention: time.Hour, WriteTimeout: time.Second},
+		table:    idempotency.NewTable(10), store: s, goesOnWithout: []bool{false},
 		classes: []balancer.Class{{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}},
 		zones:   nameIndex{}, savedUIDs: map[string]bool{}, diskTriedAt: time.Hour,
 	}
 	defer m.close()
 	m.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
 	all := map[balancer.EndpointID]*exchange.Endpoint{1: {ID: 1, UID: "s-1"}}
-	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: []endpointsource.Endpoint{{UID: "s-1", Address: "10.0.0.1:80", Zone: "z"}}}, all)
+	listed := []endpointsource.Endpoint{{UID: "s-1", Address: "10.0.0.1:80", Zone: "z"}}
+	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: listed}, all)
 	r := &request{Request: balancer.Request{ID: "txn1"}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	if g := m.beginAttempt(0, r, all[1]); g == nil || !g.pass(t.Context()) {
 		t.Fatal("the request is not remembered")
@@ -156,7 +159,7 @@
 	golden.Text(t, "memory.txt", []byte(strings.Join(lines, "\n")))
 }
 
-// Discovery's lists have these keys.
+// The lists of discovery have these keys.
 func TestListKeepsItsForm(t *testing.T) {
 	list := endpointList{Rev: 7, All: true, Targets: []listedEndpoint{{
 		UID: "s-00000001", Address: "10.0.0.1:80", Zone: "z", Model: "m", Cell: 2, State: "Ready", Weight: 1.5, BootMS: 1700000000000,
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -24,7 +24,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-// goldenRead is a golden file as it stands.
+// goldenRead returns the content of a golden file.
 func goldenRead(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -34,11 +34,12 @@
 	return text
 }
 
-// The list of endpoints as [memory] keeps it, key by key: a sidecar of another version starts with it.
+// The saved list of endpoints, key by key, as [memory] has it: a sidecar of another version starts with it.
 func TestGoldenRecordedKeptList(t *testing.T) {
 	endpoints := []endpointsource.Endpoint{
 		{
-			UID: "slot-keeper-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123,
+			UID: "slot-keeper-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3,
+			State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123,
 			Maintenance: true, WeightShare: 0.5, RegistrationIndex: 77, StartUnknown: true, Reason: "warning",
 		},
 		{UID: "slot-keeper-2", Address: "10.0.0.2:8080", State: balancer.EndpointDraining, Weight: 1},
@@ -56,7 +57,7 @@
 
 	m := open()
 	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
-	if err := m.store.Put([]byte{'?'}, nil, time.Second); err != nil { // it is durable once this is
+	if err := m.store.Put([]byte{'?'}, nil, time.Second); err != nil { // writes are durable in their order
 		t.Fatal(err)
 	}
 	var lines []string
@@ -90,7 +91,7 @@
 	}
 }
 
-// What discovery sends, and a platform's configuration has under known.
+// The list that discovery sends, and that a platform's configuration has under known.
 func TestGoldenRecordedDiscoveryList(t *testing.T) {
 	want := endpointList{Rev: 41, All: true, Targets: []listedEndpoint{
 		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 1_800_000_000_123},
@@ -107,18 +108,22 @@
 	if err := json.Unmarshal(goldenRead(t, "recorded/discovery-list.json"), &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
-	judged := []endpointsource.Endpoint{
-		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123},
+	endpoints := []endpointsource.Endpoint{
+		{
+			UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3,
+			State: balancer.EndpointReady, Weight: 1.5, StartedMS: 1_800_000_000_123,
+		},
 		{UID: "s-2", Address: "10.0.0.2:8080", State: balancer.EndpointDraining, Weight: 1},
 		{UID: "s-3", Address: "10.0.0.3:8080", State: balancer.EndpointRemoved},
 		{UID: "s-4", Address: "10.0.0.4:8080", State: endpointsource.StateUnknown, Reason: "Odd"},
 	}
-	if l := got.sourceList(endpointsource.FromWatch); !reflect.DeepEqual(l, endpointsource.List{Kind: balancer.ListFull, Version: 41, Endpoints: judged}) {
-		t.Errorf("taken as %+v", l)
+	wantList := endpointsource.List{Kind: balancer.ListFull, Version: 41, Endpoints: endpoints}
+	if list := got.sourceList(endpointsource.FromWatch); !reflect.DeepEqual(list, wantList) {
+		t.Errorf("converted to %+v", list)
 	}
 }
 
-// A platform's configuration with all keys, and what the variables beside it win over.
+// A platform's configuration with all keys, some of them overridden by variables of the environment.
 func TestGoldenRecordedPlatformConfiguration(t *testing.T) {
 	env := map[string]string{"BALANCER_NAME": "n7", "BALANCER_LISTEN": "127.0.0.1:81", "BALANCER_DISCOVERY": "127.0.0.1:82"}
 	got, err := parsePlatform(goldenRead(t, "recorded/platform.json"), func(name string) string { return env[name] }, true)
@@ -129,17 +134,26 @@
 	want := &Config{
 		Name: "n7", Listen: "127.0.0.1:81", Discovery: "127.0.0.1:82", Seed: 0x8c1f30d27a5be964,
 		Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 1024},
-		Known:  endpointList{Rev: 41, All: true, Targets: []listedEndpoint{{UID: "s-1", Address: "10.0.0.1:8080", Zone: "z1", Model: "m1", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 123}}},
+		Known: endpointList{Rev: 41, All: true, Targets: []listedEndpoint{
+			{UID: "s-1", Address: "10.0.0.1:8080", Zone: "z1", Model: "m1", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 123},
+		}},
 		Settings: settings.Settings{
 			Zones: []string{"z1", "z2"}, Models: []string{"m1"}, ConnIdle: 30 * s, GraceToAnswer: 20 * ms, OpenCap: 1000,
 			Settings: balancer.Settings{
 				Instances: 3, Ordinal: 1, Tier: 1, Tiers: 2, Quantum: 5 * ms, OverQuotaValueShare: 0.1, ValuePerWorkUnit: true,
-				TotalValueWeight: 0.9, WorstClassWeight: 0.1, MayCancel: true, MayHealthCheck: true, MayMessagePeers: true, HedgedRequests: true, MaxAttempts: 5,
+				TotalValueWeight: 0.9, WorstClassWeight: 0.1,
+				MayCancel: true, MayHealthCheck: true, MayMessagePeers: true, HedgedRequests: true, MaxAttempts: 5,
 				MaxRetryAfter: 2 * s, ConnectTimeout: 100 * ms, MustSubscribe: true, ResubscribeInterval: 10 * s, ClientsMarkRetries: true,
 				SlowStartMinShare: 0.3, SlowStartWindow: s, OverloadMultiple: 3, OverloadDuration: 250 * ms,
 				Classes: []balancer.Class{
-					{Name: "read", LatencyTarget: s, Deadline: 2 * s, Value: 1, LateValueShare: 0.5, Idempotency: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, Streaming: true},
-					{Name: "book", LatencyTarget: s, Deadline: 2 * s, Value: 3, Idempotency: balancer.IdempotentWithKey, KeyScope: balancer.KeyScopeCell, KeyWindow: 10 * s},
+					{
+						Name: "read", LatencyTarget: s, Deadline: 2 * s, Value: 1, LateValueShare: 0.5,
+						Idempotency: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, Streaming: true,
+					},
+					{
+						Name: "book", LatencyTarget: s, Deadline: 2 * s, Value: 3,
+						Idempotency: balancer.IdempotentWithKey, KeyScope: balancer.KeyScopeCell, KeyWindow: 10 * s,
+					},
 					{Name: "pay", LatencyTarget: s, Deadline: 2 * s, Value: 2, Idempotency: balancer.NonIdempotent, KeyScope: balancer.KeyScopeZone},
 				},
 				Tenants: []balancer.Tenant{{Name: "t0", QuotaPerSecond: 100}},
@@ -154,23 +168,23 @@
 	}
 }
 
-// recordAnswer sends a request on a connection of its own and writes what comes, but for the date, under a name. Where the request
-// is cut short the caller closes its side; of any other it would have gone then, and get no answer.
-func (rg *rig) recordAnswer(all *bytes.Buffer, what, request string, cutShort bool) {
-	rg.t.Helper()
-	c := rg.dial()
+// recordAnswer sends a request on a new connection and writes the answer, without the date, under a name. After a request that is cut
+// short it closes its side of the connection; after a complete one that would mean that the caller has gone.
+func (s *testSidecar) recordAnswer(all *bytes.Buffer, what, request string, cutShort bool) {
+	s.t.Helper()
+	c := s.dial()
 	if _, err := io.WriteString(c, request); err != nil {
-		rg.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	if cutShort {
 		if err := c.CloseWrite(); err != nil {
-			rg.t.Fatal(err)
+			s.t.Fatal(err)
 		}
 	}
 	fmt.Fprintf(all, "--- %s\n", what)
-	body := make([]byte, rg.recordHeaders(all, what, c.reader))
+	body := make([]byte, s.recordHeaders(all, what, c.reader))
 	if _, err := io.ReadFull(c.reader, body); err != nil {
-		rg.t.Fatalf("%s: %v", what, err)
+		s.t.Fatalf("%s: %v", what, err)
 	}
 	all.Write(body)
 	if !bytes.HasSuffix(all.Bytes(), []byte("\n")) {
@@ -178,18 +192,18 @@
 	}
 }
 
-// recordHeaders writes an answer's status and headers, but for the date, and returns the length of its body.
-func (rg *rig) recordHeaders(all *bytes.Buffer, what string, reader *bufio.Reader) (length int) {
-	rg.t.Helper()
+// recordHeaders writes the status and the headers of an answer, without the date, and returns the length of its body.
+func (s *testSidecar) recordHeaders(all *bytes.Buffer, what string, reader *bufio.Reader) (length int) {
+	s.t.Helper()
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			rg.t.Fatalf("%s: %v", what, err)
+			s.t.Fatalf("%s: %v", what, err)
 		}
 		line = strings.TrimRight(line, "\r\n")
 		if text, ok := strings.CutPrefix(line, "Content-Length: "); ok {
 			if length, err = strconv.Atoi(text); err != nil {
-				rg.t.Fatalf("%s: %v", what, err)
+				s.t.Fatalf("%s: %v", what, err)
 			}
 		}
 		if !strings.HasPrefix(line, "Date: ") {
@@ -201,7 +215,7 @@
 	}
 }
 
-// recordedHead are the headers of a request that nothing is wrong with.
+// recordedHead are the headers of a request without a fault.
 const recordedHead = "Host: h\r\nX-Txn: txn1\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 
 // headWithout is recordedHead without a header.
@@ -215,17 +229,17 @@
 	return kept.String()
 }
 
-// What the front answers by itself, byte by byte but for the date: when it is ready, and to requests that go nowhere.
+// The answers that the front gives by itself, byte by byte without the date: to readiness requests, and to requests with a fault.
 func TestGoldenRecordedAnswers(t *testing.T) {
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
-		drain(r.Body)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		drainBody(r.Body)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	post := func(headers string) string { return "POST /api HTTP/1.1\r\n" + headers + "Content-Length: 0\r\n\r\n" }
 	var all bytes.Buffer
 	ask := func(what, request string) {
 		t.Helper()
-		rg.recordAnswer(&all, what, request, what == "cut short")
+		sidecar.recordAnswer(&all, what, request, what == "cut short")
 	}
 	const head = recordedHead
 	ask("ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
@@ -243,8 +257,8 @@
 	ask("no HTTP", "hello\r\n\r\n")
 	ask("no time left", post(headWithout("X-Remaining")+"X-Remaining: 0m\r\n"+"Connection: close\r\n"))
 	ask("the endpoint failed", post(head))
-	rg.server.loop.ready.Store(false)
+	sidecar.server.loop.ready.Store(false)
 	ask("not ready", "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-	rg.server.loop.ready.Store(true)
+	sidecar.server.loop.ready.Store(true)
 	golden.Text(t, "recorded/answers.txt", all.Bytes())
 }
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -11,8 +11,8 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The group that was settled last is there in the next life, and no group is where none was kept.
-func TestGroupIsKept(t *testing.T) {
+// The group that was settled last is found by the next process, and none where none was saved.
+func TestGroupIsSaved(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *memory {
 		s, err := store.Open(store.Dir(dir), store.Options{})
@@ -23,7 +23,7 @@
 	}
 	m := open()
 	if names, addresses := m.savedGroup(); names != nil || addresses != nil {
-		t.Errorf("a first life has %v at %v", names, addresses)
+		t.Errorf("the first process has %v at %v", names, addresses)
 	}
 	m.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
 	if err := m.store.Close(); err != nil {
@@ -31,12 +31,13 @@
 	}
 	m = open()
 	defer m.close()
-	if names, addresses := m.savedGroup(); !slices.Equal(names, []string{"front-0", "front-1"}) || !slices.Equal(addresses, []string{"10.0.4.7:7946"}) {
-		t.Errorf("the next life has %v at %v", names, addresses)
+	names, addresses := m.savedGroup()
+	if !slices.Equal(names, []string{"front-0", "front-1"}) || !slices.Equal(addresses, []string{"10.0.4.7:7946"}) {
+		t.Errorf("the next process has %v at %v", names, addresses)
 	}
 }
 
-// All members give a share the same numbers, whatever their place in it; the Balancer takes each.
+// All members compute the same member numbers from a share, whatever their ordinal, and the Balancer accepts each group.
 func TestShareIsAGroup(t *testing.T) {
 	names := []string{"front-0", "front-1", "front-2"}
 	b, err := balancer.New(balancer.Settings{Instances: 9, Classes: []balancer.Class{{Idempotency: balancer.Idempotent}}}, 1, &loop{})
--- a/internal/standalone/hedging_test.go
+++ b/internal/standalone/hedging_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// copying starts a sidecar with four endpoints in two cells and a route that makes second copies; all has been answered
-// often enough for that.
-func copying(t *testing.T, allowed bool, more string, serve func(box int, w http.ResponseWriter, r *http.Request)) *rig {
+// startHedging starts a sidecar with four endpoints in two cells and a route that hedges. It has served enough requests for the
+// quantile of their latencies. Paths other than /warm are served by a function that is given the number of the endpoint.
+func startHedging(t *testing.T, allowed bool, more string, serve func(endpoint int, w http.ResponseWriter, r *http.Request)) *testSidecar {
 	t.Helper()
 	withRoutes(t, "[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\n"+more)
 	table := adjustConfig
@@ -21,55 +21,55 @@
 	}
 	var targets []listedEndpoint
 	for i := range 4 {
-		x := startEndpoint(t, fmt.Sprint("s-", i), func(w http.ResponseWriter, r *http.Request) {
+		value := startEndpoint(t, fmt.Sprint("s-", i), func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/warm" {
 				write(w, "ok")
 				return
 			}
 			serve(i, w, r)
 		})
-		x.Cell = i / 2
-		targets = append(targets, x)
+		value.Cell = i / 2
+		targets = append(targets, value)
 	}
-	rg := start(t, 1024, targets...)
+	sidecar := startSidecar(t, 1024, targets...)
 	for range 120 {
-		if res := rg.reply(rg.at("read", "/warm")); res.status != http.StatusOK {
+		if res := sidecar.mustRoundTrip(sidecar.requestTo("read", "/warm")); res.status != http.StatusOK {
 			t.Fatal(res.status)
 		}
 	}
-	return rg
+	return sidecar
 }
 
-// A request whose endpoint does not answer gets its answer from a second copy at another one, in its cell where it has a
-// key, and the first attempt is called off. Unsafe ones get none, nor any where the platform forbids it.
-func TestSecondCopies(t *testing.T) {
+// A request whose endpoint does not answer is hedged: another endpoint answers it, of the same cell if it has an idempotency key,
+// and the first attempt is cancelled. Requests that are not idempotent are not hedged, nor is any if the platform forbids it.
+func TestHedgedRequests(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		var mu sync.Mutex
-		boxes := map[string][]int{}
-		var calledOff atomic.Int64
-		// A share that outlasts what the answers before took of it: one in ten is slower than the quantile.
-		rg := copying(t, allowed, "copy_share = 0.25\n", func(box int, w http.ResponseWriter, r *http.Request) {
+		endpoints := map[string][]int{}
+		var cancelled atomic.Int64
+		// The budget must not be used up by the requests before: one in ten of them is slower than the quantile.
+		sidecar := startHedging(t, allowed, "copy_share = 0.25\n", func(endpoint int, w http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Txn")
 			mu.Lock()
-			boxes[id] = append(boxes[id], box)
-			first := len(boxes[id]) == 1
+			endpoints[id] = append(endpoints[id], endpoint)
+			first := len(endpoints[id]) == 1
 			mu.Unlock()
 			if first {
 				awaitCancel(r)
-				calledOff.Add(1)
+				cancelled.Add(1)
 				return
 			}
 			write(w, "ok")
 		})
 		for _, class := range []string{"read", "book"} {
-			r := rg.at(class, "/x") // with time enough for a busy machine, where an answer is to come
+			r := sidecar.requestTo(class, "/x") // with enough time for a busy machine, unless no answer is expected
 			if !allowed {
 				r.Header.Set("X-Remaining", "600m")
 			}
 			id := r.Header.Get("X-Txn")
-			status := rg.reply(r).status
+			status := sidecar.mustRoundTrip(r).status
 			mu.Lock()
-			at := boxes[id]
+			at := endpoints[id]
 			mu.Unlock()
 			switch {
 			case !allowed && (status == http.StatusOK || len(at) != 1):
@@ -77,61 +77,61 @@
 			case allowed && (status != http.StatusOK || len(at) != 2 || at[0] == at[1]):
 				t.Errorf("%s: %d, at %v", class, status, at)
 			case allowed && class == "book" && at[0]/2 != at[1]/2:
-				t.Errorf("a keyed copy went to another cell: %v", at)
+				t.Errorf("a hedge with a key went to another cell: %v", at)
 			}
 		}
-		r := rg.at("once", "/x")
+		r := sidecar.requestTo("once", "/x")
 		r.Header.Set("X-Remaining", "600m")
 		id := r.Header.Get("X-Txn")
-		status := rg.reply(r).status
+		status := sidecar.mustRoundTrip(r).status
 		mu.Lock()
-		if status != http.StatusBadGateway || len(boxes[id]) != 1 {
-			t.Errorf("unsafe: %d, at %v", status, boxes[id])
+		if status != http.StatusBadGateway || len(endpoints[id]) != 1 {
+			t.Errorf("not idempotent: %d, at %v", status, endpoints[id])
 		}
 		mu.Unlock()
-		rg.until("all that is not wanted is called off", func() bool { return calledOff.Load() == 3 })
-		rg.until("nothing is left", func() (empty bool) {
-			rg.inLoop(func() { empty = len(rg.server.loop.requests) == 0 })
+		sidecar.waitUntil("the unanswered attempts are cancelled", func() bool { return cancelled.Load() == 3 })
+		sidecar.waitUntil("no request is in flight", func() (empty bool) {
+			sidecar.onLoop(func() { empty = len(sidecar.server.loop.requests) == 0 })
 			return empty
 		})
 	}
 }
 
-// meeting is a request and its copy, whose endpoints answer when both have come.
-type meeting struct {
-	mu    sync.Mutex
-	came  int
-	both  chan bool
-	kinds [2]string // how the first and the second end
+// hedgedPair is the two attempts of a hedged request. Their endpoints answer when both attempts have arrived.
+type hedgedPair struct {
+	mu       sync.Mutex
+	arrived  int
+	together chan bool // closed when both have arrived
+	outcomes [2]string // of the first and of the second to arrive; see writeOutcome
 }
 
-// arrive takes an attempt, and returns how it ends; false where it is given up before the other has come.
-func (m *meeting) arrive(r *http.Request) (kind string, ok bool) {
-	m.mu.Lock()
-	i := m.came
-	m.came++
-	if m.came == 2 {
-		close(m.both)
+// arrive waits until both attempts have arrived, and returns the outcome of this one; false if it was cancelled before.
+func (h *hedgedPair) arrive(r *http.Request) (outcome string, ok bool) {
+	h.mu.Lock()
+	i := h.arrived
+	h.arrived++
+	if h.arrived == 2 {
+		close(h.together)
 	}
-	m.mu.Unlock()
+	h.mu.Unlock()
 	select {
-	case <-m.both:
-		return m.kinds[min(i, 1)], true
+	case <-h.together:
+		return h.outcomes[min(i, 1)], true
 	case <-r.Context().Done():
 		return "", false
 	}
 }
 
-// met tells whether both have come.
-func (m *meeting) met() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.came >= 2
+// bothArrived reports whether both attempts have arrived.
+func (h *hedgedPair) bothArrived() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.arrived >= 2
 }
 
-// endAs ends an attempt in a way that is named.
-func endAs(kind string, w http.ResponseWriter) {
-	switch kind {
+// writeOutcome answers an attempt as its outcome says.
+func writeOutcome(outcome string, w http.ResponseWriter) {
+	switch outcome {
 	case "answer":
 		write(w, "ok")
 	case "fail":
@@ -144,96 +144,96 @@
 	}
 }
 
-// meet sends a request of a class whose attempts end so, until it met its copy, and returns its status; false where they
-// did not meet.
-func (rg *rig) meet(class string, kinds [2]string, all *sync.Map) (status int, met bool) {
-	rg.t.Helper()
-	// There may be no copy: too few are saved up, or the first was turned elsewhere. Where 8 fail, their endpoints have lost
-	// their place, by the failures before.
+// sendUntilHedged sends requests of a class until one is hedged and both of its attempts arrive. It returns the status of the answer,
+// and false if no request was hedged. The endpoints find the pair in pairs, by the request's id.
+func (s *testSidecar) sendUntilHedged(class string, outcomes [2]string, pairs *sync.Map) (status int, hedged bool) {
+	s.t.Helper()
+	// A request may not be hedged: the budget is empty, or its first attempt was rejected. Where 8 are not, the endpoints are
+	// ejected by the failures before.
 	for range 8 {
-		for range 25 { // so that the slow ones are few, and a copy is saved up
-			rg.reply(rg.at("read", "/warm"))
+		for range 25 { // so that slow answers are few, and the budget covers a hedge
+			s.mustRoundTrip(s.requestTo("read", "/warm"))
 		}
-		r := rg.at(class, "/x")
+		r := s.requestTo(class, "/x")
 		r.Header.Set("X-Remaining", "400m")
-		m := &meeting{both: make(chan bool), kinds: kinds}
-		all.Store(r.Header.Get("X-Txn"), m)
-		status = rg.reply(r).status
-		if m.met() {
+		pair := &hedgedPair{together: make(chan bool), outcomes: outcomes}
+		pairs.Store(r.Header.Get("X-Txn"), pair)
+		status = s.mustRoundTrip(r).status
+		if pair.bothArrived() {
 			return status, true
 		}
 	}
 	return 0, false
 }
 
-// A request and its copy that are answered at the same moment, fail, or are turned away, in any order: one final answer,
-// which is an answer if there is one, and promises nothing that is not so.
-func TestCopiesThatMeet(t *testing.T) {
-	var all sync.Map
-	rg := copying(t, true, "copy_share = 0.25\n", func(_ int, w http.ResponseWriter, r *http.Request) {
-		drain(r.Body) // until then nobody would see that the caller has gone
-		x, _ := all.Load(r.Header.Get("X-Txn"))
-		if kind, ok := x.(*meeting).arrive(r); ok {
-			endAs(kind, w)
+// The two attempts of a hedged request are answered, fail or are rejected at the same moment, in either order. There is one final
+// answer, which is an endpoint's if there is one, and no rejection of a request that may have run.
+func TestHedgedAttemptsEndTogether(t *testing.T) {
+	var sent sync.Map // *hedgedPair by the request's id
+	sidecar := startHedging(t, true, "copy_share = 0.25\n", func(_ int, w http.ResponseWriter, r *http.Request) {
+		drainBody(r.Body) // until then the server does not see that the sidecar cancels
+		value, _ := sent.Load(r.Header.Get("X-Txn"))
+		if outcome, ok := value.(*hedgedPair).arrive(r); ok {
+			writeOutcome(outcome, w)
 		}
 	})
 	type pair struct{ class, a, b string }
-	kinds := []string{"answer", "fail", "turn away", "break"}
+	outcomes := []string{"answer", "fail", "turn away", "break"}
 	var pairs []pair
-	for _, b := range kinds {
-		pairs = append(pairs, pair{"read", "answer", b}) // others may be refused or failed, and both are true
+	for _, b := range outcomes {
+		pairs = append(pairs, pair{"read", "answer", b}) // without an answer a rejection and a failure are both true
 	}
-	for i, a := range kinds {
-		for _, b := range kinds[i:] { // who of the two comes first is by chance
+	for i, a := range outcomes {
+		for _, b := range outcomes[i:] { // which of the two arrives first is by chance
 			pairs = append(pairs, pair{"book", a, b})
 		}
 	}
-	meetings := 0
+	hedged := 0
 	for _, p := range pairs {
-		status, met := rg.meet(p.class, [2]string{p.a, p.b}, &all)
-		if !met {
+		status, ok := sidecar.sendUntilHedged(p.class, [2]string{p.a, p.b}, &sent)
+		if !ok {
 			continue
 		}
-		meetings++
+		hedged++
 		if p.a == "answer" && p.b == "answer" && status != http.StatusOK {
 			t.Errorf("%s, %s and %s: %d", p.class, p.a, p.b, status)
 		}
-		// Some attempt ran, or may have: what has a key must not be refused.
+		// An attempt ran, or may have: a request with a key must not be rejected.
 		if ran := p.a != "turn away" || p.b != "turn away"; p.class == "book" && ran && status == http.StatusServiceUnavailable {
-			t.Errorf("%s, %s and %s: refused", p.class, p.a, p.b)
+			t.Errorf("%s, %s and %s: rejected", p.class, p.a, p.b)
 		}
 	}
-	if meetings < 7 {
-		t.Errorf("%d of %d pairs met: too few to tell", meetings, len(pairs))
+	if hedged < 7 {
+		t.Errorf("%d of %d pairs were hedged, want at least 7", hedged, len(pairs))
 	}
-	t.Logf("%d of %d pairs met", meetings, len(pairs))
-	rg.until("nothing is left", func() (empty bool) {
-		rg.inLoop(func() { empty = len(rg.server.loop.requests) == 0 })
+	t.Logf("%d of %d pairs were hedged", hedged, len(pairs))
+	sidecar.waitUntil("no request is in flight", func() (empty bool) {
+		sidecar.onLoop(func() { empty = len(sidecar.server.loop.requests) == 0 })
 		return empty
 	})
 }
 
-// When all endpoints are slow at once the share holds copies down.
-func TestCopiesAreHeldDown(t *testing.T) {
-	var came atomic.Int64
-	rg := copying(t, true, "copy_share = 0.1\n", func(_ int, w http.ResponseWriter, _ *http.Request) {
-		came.Add(1)
+// When all endpoints are slow at once, copy_share limits hedged requests.
+func TestHedgesAreLimited(t *testing.T) {
+	var arrived atomic.Int64
+	sidecar := startHedging(t, true, "copy_share = 0.1\n", func(_ int, w http.ResponseWriter, _ *http.Request) {
+		arrived.Add(1)
 		time.Sleep(20 * time.Millisecond)
 		write(w, "ok")
 	})
-	const asked = 200
-	for range asked {
-		if status := rg.reply(rg.at("read", "/x")).status; status != http.StatusOK {
+	const requests = 200
+	for range requests {
+		if status := sidecar.mustRoundTrip(sidecar.requestTo("read", "/x")).status; status != http.StatusOK {
 			t.Fatal(status)
 		}
 	}
-	// Ten may have been saved up before.
-	if n := came.Load(); n <= asked || n > asked+10+asked/10+1 {
-		t.Errorf("%d attempts of %d requests", n, asked)
+	// The budget may cover ten from before.
+	if n := arrived.Load(); n <= requests || n > requests+10+requests/10+1 {
+		t.Errorf("%d attempts of %d requests", n, requests)
 	}
-	var copies uint64
-	rg.inLoop(func() { copies = rg.server.tuning.Load().routes.Routes[0].State.Hedges })
-	if copies == 0 || copies > 10+(120+asked)/10 {
-		t.Errorf("%d copies", copies)
+	var hedges uint64
+	sidecar.onLoop(func() { hedges = sidecar.server.tuning.Load().routes.Routes[0].State.Hedges })
+	if hedges == 0 || hedges > 10+(120+requests)/10 {
+		t.Errorf("%d hedged requests", hedges)
 	}
 }
--- a/internal/standalone/lifetime_test.go
+++ b/internal/standalone/lifetime_test.go
@@ -11,12 +11,12 @@
 
 // Endpoints, connections and requests come and go; nothing is kept of what has gone.
 func TestTablesEndEmpty(t *testing.T) {
-	rg := start(t, 1024, ready("s-ffffffff"))
-	l := rg.server.loop
-	tell := func(rev uint64, all bool, targets ...listedEndpoint) {
-		rg.announce(endpointList{Rev: rev, All: all, Targets: targets})
-		rg.until("the list is taken in", func() (done bool) {
-			rg.inLoop(func() { done = l.versionFilter.Version == rev })
+	sidecar := startSidecar(t, 1024, ready("s-ffffffff"))
+	l := sidecar.server.loop
+	announce := func(rev uint64, all bool, targets ...listedEndpoint) {
+		sidecar.announce(endpointList{Rev: rev, All: all, Targets: targets})
+		sidecar.waitUntil("the list is applied", func() (done bool) {
+			sidecar.onLoop(func() { done = l.versionFilter.Version == rev })
 			return done
 		})
 	}
@@ -25,33 +25,33 @@
 	for i := range 20 {
 		x := startEndpoint(t, fmt.Sprintf("s-%08x", i), answerOK)
 		rev++
-		tell(rev, i%2 == 0, x)
-		if status, body := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
+		announce(rev, i%2 == 0, x)
+		if status, body := sidecar.call(sidecar.request("once", 9*time.Second)); status != 200 {
 			t.Fatalf("got %d %q", status, body)
 		}
 		if rev++; i%4 < 2 {
 			x.State = "Gone"
-			tell(rev, false, x)
+			announce(rev, false, x)
 		} else {
-			tell(rev, true)
+			announce(rev, true)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
-	rg.until("all is forgotten", func() (done bool) {
-		rg.inLoop(func() {
+	sidecar.waitUntil("all tables are empty", func() (done bool) {
+		sidecar.onLoop(func() {
 			e := l.endpoints
 			open, idle := l.http1.Counts()
 			done = len(e.byID)+len(e.ids)+idle+open+len(l.requests) == 0 && l.bodyBudget.Available() == full
 		})
-		open, _, staged, _ := rg.front().Counts()
+		open, _, staged, _ := sidecar.http1Front().Counts()
 		return done && staged == 0 && open == 0
 	})
-	var past recentIDs
+	var ids recentIDs
 	for i := range 3 * maxRecentIDs {
-		past.add(balancer.RequestID(fmt.Sprint(i)), 0)
+		ids.add(balancer.RequestID(fmt.Sprint(i)), 0)
 	}
-	past.add("last", 2*recentIDRetention)
-	if len(past.endedAt) != 1 || len(past.ids) != 1 || past.has("1", 2*recentIDRetention) || !past.has("last", 2*recentIDRetention) {
-		t.Errorf("%d ids are kept", len(past.endedAt))
+	ids.add("last", 2*recentIDRetention)
+	if len(ids.endedAt) != 1 || len(ids.ids) != 1 || ids.has("1", 2*recentIDRetention) || !ids.has("last", 2*recentIDRetention) {
+		t.Errorf("%d ids are kept", len(ids.endedAt))
 	}
 }
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -19,24 +19,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(s)
+	defer closeQuietly(s)
 	pay := balancer.Class{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}
-	m := &memory{table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false}, classes: []balancer.Class{pay}, zones: nameIndex{}, diskTriedAt: time.Hour}
-	of := func(id string) *request {
+	m := &memory{
+		table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false}, classes: []balancer.Class{pay}, zones: nameIndex{},
+		diskTriedAt: time.Hour,
+	}
+	requestOf := func(id string) *request {
 		return &request{Request: balancer.Request{ID: balancer.RequestID(id)}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	}
-	id, _ := m.entryID(of("ran"))
+	id, _ := m.entryID(requestOf("ran"))
 	if err := m.table.Restore(id, idempotency.Entry{SentAt: time.Hour, Retention: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	if m.rejects(time.Hour, of("new")) {
-		t.Error("refused while the disk is well")
+	if m.rejects(time.Hour, requestOf("new")) {
+		t.Error("rejected while the disk works")
 	}
-	m.reportWrite(errors.New("ill"))
-	if !m.rejects(time.Hour, of("new")) {
-		t.Error("what cannot be remembered was taken")
+	m.reportWrite(errors.New("no space left"))
+	if !m.rejects(time.Hour, requestOf("new")) {
+		t.Error("a request that cannot be remembered was admitted")
 	}
-	if r := of("ran"); m.rejects(time.Hour, r) || !r.Prior.MayHaveRun {
-		t.Errorf("what may have run was refused: %+v", r.Prior)
+	if r := requestOf("ran"); m.rejects(time.Hour, r) || !r.Prior.MayHaveRun {
+		t.Errorf("a request that may have run was rejected: %+v", r.Prior)
 	}
 }
--- a/internal/standalone/requests_test.go
+++ b/internal/standalone/requests_test.go
@@ -14,11 +14,11 @@
 	"quincegap/internal/network/exchange"
 )
 
-func TestRequestGoesOnUnchanged(t *testing.T) { overEach(t, ruleRequestGoesOnUnchanged) }
+func TestRequestGoesOnUnchanged(t *testing.T) { forEachProtocol(t, testRequestGoesOnUnchanged) }
 
-func ruleRequestGoesOnUnchanged(t *testing.T) {
+func testRequestGoesOnUnchanged(t *testing.T) {
 	t.Helper()
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		left, ok := parseRemaining(r.Header.Get("X-Remaining"))
 		if !ok || left <= 0 || left >= 5*time.Second {
@@ -26,20 +26,19 @@
 		}
 		write(w, r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Txn"), " ", r.Header.Get("Idempotency-Key"), " ", string(body))
 	}))
-	status, body := rg.ask(rg.request("book", 5*time.Second))
+	status, body := sidecar.call(sidecar.request("book", 5*time.Second))
 	if want := "POST /api?x=1&y=%2F txn1 k1 trip"; status != 200 || body != want {
 		t.Errorf("got %d %q, want %q", status, body, want)
 	}
-	if status, body = rg.ask(rg.request("read", 5*time.Second)); status != 200 || body != "GET /api?x=1&y=%2F txn2  " {
+	if status, body = sidecar.call(sidecar.request("read", 5*time.Second)); status != 200 || body != "GET /api?x=1&y=%2F txn2  " {
 		t.Errorf("got %d %q", status, body)
 	}
 }
 
-// What stands in the body of a request with both lengths is not to be taken for a request by anybody: the
-// request goes nowhere, and its connection ends.
+// A request whose length can be read in two ways may hide another one in its body. It is not forwarded, and its connection is closed.
 func TestRequestInsideAnotherIsNotPassedOn(t *testing.T) {
-	var came atomic.Int64
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { came.Add(1) }))
+	var arrived atomic.Int64
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { arrived.Add(1) }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
 	for _, framing := range []string{
@@ -51,7 +50,7 @@
 		"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + inner,
 		"Content-Length: -1\r\n\r\n" + inner,
 	} {
-		status, c := rg.raw(fmt.Sprintf(head, "outer") + framing)
+		status, c := sidecar.sendRaw(fmt.Sprintf(head, "outer") + framing)
 		if status < 400 {
 			t.Errorf("%.60q: answered %d", framing, status)
 		}
@@ -59,21 +58,21 @@
 			t.Errorf("%.60q: a second answer %q", framing, rest)
 		}
 	}
-	if came.Load() != 0 {
-		t.Errorf("%d requests reached the endpoint", came.Load())
+	if arrived.Load() != 0 {
+		t.Errorf("%d requests reached the endpoint", arrived.Load())
 	}
 }
 
-// A client that closes its side has gone away; an empty 200 would be an answer that no endpoint made.
+// A caller that closes its side of the connection has gone away. An empty 200 would be an answer that no endpoint made.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
-	came := make(chan bool)
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		close(came)
+	arrived := make(chan bool)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
+		close(arrived)
 		awaitCancel(r)
 	}))
-	c := rg.dial()
-	c.post(rg.request("once", 9*time.Second))
-	<-came
+	c := sidecar.dial()
+	c.post(sidecar.request("once", 9*time.Second))
+	<-arrived
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -83,17 +82,17 @@
 }
 
 func TestBadInputNeverReachesAnEndpoint(t *testing.T) {
-	overEach(t, ruleBadInputNeverReachesAnEndpoint)
+	forEachProtocol(t, testBadInputNeverReachesAnEndpoint)
 }
 
-func ruleBadInputNeverReachesAnEndpoint(t *testing.T) {
+func testBadInputNeverReachesAnEndpoint(t *testing.T) {
 	t.Helper()
-	var came atomic.Int64
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { came.Add(1) }))
+	var arrived atomic.Int64
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { arrived.Add(1) }))
 	large := strings.Repeat("x", exchange.MaxBody+1)
 	for name, c := range map[string]struct {
-		spoil func(r *http.Request)
-		want  int
+		change func(r *http.Request)
+		want   int
 	}{
 		"unknown class":         {func(r *http.Request) { r.Header.Set("X-Lane", "freight") }, 400},
 		"no class":              {func(r *http.Request) { r.Header.Del("X-Lane") }, 400},
@@ -120,80 +119,83 @@
 		}, 411},
 	} {
 		if name == "other host" && currentProtocols.front == "http3" {
-			continue // it cannot be said there
+			continue // HTTP/3 has no such request line
 		}
-		r := rg.request("book", 5*time.Second)
-		c.spoil(r)
-		if status, body := rg.ask(r); status != c.want {
+		r := sidecar.request("book", 5*time.Second)
+		c.change(r)
+		if status, body := sidecar.call(r); status != c.want {
 			t.Errorf("%s: got %d %q, want %d", name, status, body, c.want)
 		}
 	}
-	if came.Load() != 0 {
-		t.Errorf("%d requests reached the endpoint", came.Load())
+	if arrived.Load() != 0 {
+		t.Errorf("%d requests reached the endpoint", arrived.Load())
 	}
 }
 
-// A request that may have run is not sent again by itself, not even with an Idempotency-Key, and is not refused.
-func TestResetIsNotResent(t *testing.T) { overEach(t, ruleResetIsNotResent) }
+// A request of a class that is not idempotent is not retried once it may have run, not even with an Idempotency-Key, and is not
+// rejected.
+func TestResetIsNotResent(t *testing.T) { forEachProtocol(t, testResetIsNotResent) }
 
-func ruleResetIsNotResent(t *testing.T) {
+func testResetIsNotResent(t *testing.T) {
 	t.Helper()
-	var came atomic.Int64
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
-		if came.Add(1) == 1 {
-			write(w, "warm") // so that the next one goes out on a connection that has been used
+	var arrived atomic.Int64
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		if arrived.Add(1) == 1 {
+			write(w, "ok") // the next request is sent on a connection that was used before
 			return
 		}
-		drain(r.Body)
+		drainBody(r.Body)
 		closeConnection(w)
 	}))
-	if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
+	if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
 		t.Fatal(status)
 	}
-	r := rg.request("once", 5*time.Second)
+	r := sidecar.request("once", 5*time.Second)
 	r.Header.Set("Idempotency-Key", "k")
-	if status, body := rg.ask(r); status != 502 || came.Load() != 2 {
-		t.Errorf("got %d %q after %d requests", status, body, came.Load())
+	if status, body := sidecar.call(r); status != 502 || arrived.Load() != 2 {
+		t.Errorf("got %d %q after %d requests", status, body, arrived.Load())
 	}
 }
 
-// A keyed request that may have run goes on in the group that drops its repeats only.
-func TestKeyedRetryStaysInItsCell(t *testing.T) { overEach(t, ruleKeyedRetryStaysInItsCell) }
+// A request with an idempotency key that may have run is retried only in the cell that recognises the key.
+func TestKeyedRetryStaysInItsCell(t *testing.T) { forEachProtocol(t, testKeyedRetryStaysInItsCell) }
 
-func ruleKeyedRetryStaysInItsCell(t *testing.T) {
+func testKeyedRetryStaysInItsCell(t *testing.T) {
 	t.Helper()
-	var tries, strays atomic.Int64
-	broken := func(w http.ResponseWriter, r *http.Request) {
-		drain(r.Body)
-		if tries.Add(1) == 1 {
+	var inCell, outsideCell atomic.Int64
+	breakFirst := func(w http.ResponseWriter, r *http.Request) {
+		drainBody(r.Body)
+		if inCell.Add(1) == 1 {
 			closeConnection(w)
 			return
 		}
 		write(w, "ok")
 	}
-	a, b := startEndpoint(t, "s-1", broken), startEndpoint(t, "s-2", broken)
+	a, b := startEndpoint(t, "s-1", breakFirst), startEndpoint(t, "s-2", breakFirst)
 	other := startEndpoint(t, "s-3", func(w http.ResponseWriter, _ *http.Request) {
-		strays.Add(1)
+		outsideCell.Add(1)
 		write(w, "ok")
 	})
 	other.Cell = 2
-	rg := start(t, 1024, a, b, other)
-	for i := 0; tries.Load() == 0 && i < 100; i++ {
-		strays.Store(0)
-		if status, body := rg.ask(rg.request("book", 9*time.Second)); status != 200 {
+	sidecar := startSidecar(t, 1024, a, b, other)
+	for i := 0; inCell.Load() == 0 && i < 100; i++ {
+		outsideCell.Store(0)
+		if status, body := sidecar.call(sidecar.request("book", 9*time.Second)); status != 200 {
 			t.Fatalf("got %d %q", status, body)
 		}
 	}
-	if tries.Load() != 2 || strays.Load() != 0 {
-		t.Errorf("%d tries in the cell, %d outside of it", tries.Load(), strays.Load())
+	if inCell.Load() != 2 || outsideCell.Load() != 0 {
+		t.Errorf("%d attempts in the cell, %d outside of it", inCell.Load(), outsideCell.Load())
 	}
 }
 
-func TestTurnedAwayGoesElsewhereAndPlain503MayHaveRun(t *testing.T) {
-	overEach(t, ruleTurnedAwayGoesElsewhereAndPlain503MayHaveRun)
+// A request that an endpoint rejects with X-Turned-Away has not run and is sent to another endpoint. After a 503 without that header
+// it may have run.
+func TestRejectedGoesElsewhereAndPlain503MayHaveRun(t *testing.T) {
+	forEachProtocol(t, testRejectedGoesElsewhereAndPlain503MayHaveRun)
 }
 
-func ruleTurnedAwayGoesElsewhereAndPlain503MayHaveRun(t *testing.T) {
+func testRejectedGoesElsewhereAndPlain503MayHaveRun(t *testing.T) {
 	t.Helper()
 	var plain atomic.Bool
 	full := func(w http.ResponseWriter, _ *http.Request) {
@@ -202,37 +204,39 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	rg := start(t, 1024, startEndpoint(t, "s-1", full), startEndpoint(t, "s-2", answerOK))
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", full), startEndpoint(t, "s-2", answerOK))
 	for range 10 {
-		if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
+		if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
 			t.Fatalf("got %d %q", status, body)
 		}
 	}
-	rg = start(t, 1024, startEndpoint(t, "s-1", full))
+	sidecar = startSidecar(t, 1024, startEndpoint(t, "s-1", full))
 	plain.Store(true)
-	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 502 {
-		t.Errorf("got %d %q: a refusal promises that it has not run", status, body)
+	if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 502 {
+		t.Errorf("got %d %q: a rejection promises that it has not run", status, body)
 	}
 }
 
-// What a mute endpoint leaves unanswered fails, and what was never sent is refused, before the deadline.
-func TestAnswerIsOutBeforeTheDeadline(t *testing.T) { overEach(t, ruleAnswerIsOutBeforeTheDeadline) }
+// A request that its endpoint does not answer fails before its deadline, and one that could not be sent is rejected before it.
+func TestAnswerIsOutBeforeTheDeadline(t *testing.T) {
+	forEachProtocol(t, testAnswerIsOutBeforeTheDeadline)
+}
 
-func ruleAnswerIsOutBeforeTheDeadline(t *testing.T) {
+func testAnswerIsOutBeforeTheDeadline(t *testing.T) {
 	t.Helper()
 	const left = 1500 * time.Millisecond
-	mute := startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) })
-	draining := mute
+	unresponsive := startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) })
+	draining := unresponsive
 	draining.State = "Terminating"
-	for want, targets := range map[int][]listedEndpoint{502: {mute}, 503: {draining}} {
-		rg := start(t, 1024, targets...)
-		// The caller's time counts from when it can send: a handshake beforehand is not the sidecar's to answer for.
-		ready := rg.request("read", left)
+	for want, targets := range map[int][]listedEndpoint{502: {unresponsive}, 503: {draining}} {
+		sidecar := startSidecar(t, 1024, targets...)
+		// The caller's time counts from when it can send, so the handshake is done beforehand.
+		ready := sidecar.request("read", left)
 		ready.URL.Path = "/ready"
 		ready.Header.Del("X-Txn")
-		rg.ask(ready)
+		sidecar.call(ready)
 		sent := time.Now()
-		if status, body := rg.ask(rg.request("once", left)); status != want {
+		if status, body := sidecar.call(sidecar.request("once", left)); status != want {
 			t.Errorf("got %d %q, want %d", status, body, want)
 		}
 		if took := time.Since(sent); took >= left {
@@ -241,48 +245,48 @@
 	}
 }
 
-// The endpoint must see that nobody waits any more, and the Balancer too.
-func TestClientGoneEndsTheAttempt(t *testing.T) { overEach(t, ruleClientGoneEndsTheAttempt) }
+// When a caller disconnects, its attempt is cancelled at the endpoint and its request is forgotten.
+func TestClientGoneEndsTheAttempt(t *testing.T) { forEachProtocol(t, testClientGoneEndsTheAttempt) }
 
-func ruleClientGoneEndsTheAttempt(t *testing.T) {
+func testClientGoneEndsTheAttempt(t *testing.T) {
 	t.Helper()
-	came, ended := make(chan bool), make(chan bool)
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		close(came)
+	arrived, cancelled := make(chan bool), make(chan bool)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
+		close(arrived)
 		awaitCancel(r)
-		close(ended)
+		close(cancelled)
 	}))
-	request := rg.request("once", 9*time.Second)
-	ctx, leave := context.WithCancel(t.Context())
-	left := make(chan bool)
+	request := sidecar.request("once", 9*time.Second)
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnected := make(chan bool)
 	go func() {
-		defer close(left)
-		if got, _ := rg.roundTrip(request.WithContext(ctx)); got != nil {
+		defer close(disconnected)
+		if got, _ := sidecar.roundTrip(request.WithContext(ctx)); got != nil {
 			t.Errorf("answered %d", got.status)
 		}
 	}()
-	<-came
-	leave()
-	<-left
+	<-arrived
+	disconnect()
+	<-disconnected
 	select {
-	case <-ended:
+	case <-cancelled:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the attempt is still out")
+		t.Fatal("the attempt is still in flight")
 	}
-	rg.until("the request is forgotten", func() bool {
+	sidecar.waitUntil("the request is forgotten", func() bool {
 		n := 0
-		rg.inLoop(func() {
-			open, _ := rg.server.loop.http1.Counts()
-			n = len(rg.server.loop.requests) + open
+		sidecar.onLoop(func() {
+			open, _ := sidecar.server.loop.http1.Counts()
+			n = len(sidecar.server.loop.requests) + open
 		})
 		return n == 0
 	})
 }
 
-// Once discovery says that an endpoint drains, nothing new goes there.
-func TestDrainIsKept(t *testing.T) { overEach(t, ruleDrainIsKept) }
+// Once discovery lists an endpoint as draining, it gets no new requests.
+func TestDrainIsKept(t *testing.T) { forEachProtocol(t, testDrainIsKept) }
 
-func ruleDrainIsKept(t *testing.T) {
+func testDrainIsKept(t *testing.T) {
 	t.Helper()
 	count := func(n *atomic.Int64) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -290,74 +294,74 @@
 			write(w, "ok")
 		}
 	}
-	var old, other atomic.Int64
-	a, b := startEndpoint(t, "s-1", count(&old)), startEndpoint(t, "s-2", count(&other))
-	rg := start(t, 1024, a, b)
-	for old.Load() == 0 {
-		rg.ask(rg.request("once", 5*time.Second))
+	var atDraining, atOther atomic.Int64
+	a, b := startEndpoint(t, "s-1", count(&atDraining)), startEndpoint(t, "s-2", count(&atOther))
+	sidecar := startSidecar(t, 1024, a, b)
+	for atDraining.Load() == 0 {
+		sidecar.call(sidecar.request("once", 5*time.Second))
 	}
 	a.State = "Terminating"
-	rg.announce(endpointList{Rev: 2, Targets: []listedEndpoint{a}})
-	rg.until("the change is taken in", func() (done bool) {
-		rg.inLoop(func() { done = rg.server.loop.versionFilter.Version == 2 })
+	sidecar.announce(endpointList{Rev: 2, Targets: []listedEndpoint{a}})
+	sidecar.waitUntil("the change is applied", func() (done bool) {
+		sidecar.onLoop(func() { done = sidecar.server.loop.versionFilter.Version == 2 })
 		return done
 	})
-	before := old.Load()
+	before := atDraining.Load()
 	for range 10 {
-		rg.ask(rg.request("once", 5*time.Second))
+		sidecar.call(sidecar.request("once", 5*time.Second))
 	}
-	if old.Load() != before || other.Load() == 0 {
-		t.Errorf("%d requests went to the draining endpoint", old.Load()-before)
+	if atDraining.Load() != before || atOther.Load() == 0 {
+		t.Errorf("%d requests went to the draining endpoint", atDraining.Load()-before)
 	}
-	idle := true
-	rg.inLoop(func() {
-		idle = rg.server.loop.http1.IdleAt(a.Address) == 0
-	})
-	if !idle {
-		t.Error("connections to it are kept")
+	idle := -1
+	sidecar.onLoop(func() { idle = sidecar.server.loop.http1.IdleAt(a.Address) })
+	if idle != 0 {
+		t.Errorf("%d idle connections to it are kept", idle)
 	}
 }
 
-// A call that its endpoint never answers, though it answers others, goes to another one while there is time.
-func TestLostCallsGoElsewhere(t *testing.T) { overEach(t, ruleLostCallsGoElsewhere) }
+// A request that its endpoint does not answer, though it answers others, is retried at another one while there is time.
+func TestUnansweredRequestsAreRetriedElsewhere(t *testing.T) {
+	forEachProtocol(t, testUnansweredRequestsAreRetriedElsewhere)
+}
 
-func ruleLostCallsGoElsewhere(t *testing.T) {
+func testUnansweredRequestsAreRetriedElsewhere(t *testing.T) {
 	t.Helper()
 	const deadline = 9 * time.Second
-	var lose atomic.Int32 // so many calls
-	serve := func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Lane") == "book" && lose.Add(-1) >= 0 {
+	var unanswered atomic.Int32 // how many further requests get no answer
+	release := func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("X-Lane") == "book" && unanswered.Add(-1) >= 0 {
 			awaitCancel(r)
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 		write(w, "ok")
 	}
-	rg := start(t, 1024, startEndpoint(t, "s-1", serve), startEndpoint(t, "s-2", serve))
-	for range 20 { // so that it is known how long calls take
-		rg.ask(rg.request("book", deadline))
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", release), startEndpoint(t, "s-2", release))
+	for range 20 { // so that the usual latency is known
+		sidecar.call(sidecar.request("book", deadline))
 	}
 	var others sync.WaitGroup
 	defer others.Wait()
 	done := make(chan bool)
 	defer close(done)
 	for range 4 {
-		others.Go(func() { // overtake the lost ones, at both endpoints
+		others.Go(func() { // overtake the unanswered ones, at both endpoints
 			for {
 				select {
 				case <-done:
 					return
 				default:
-					rg.ask(rg.request("read", deadline))
+					sidecar.call(sidecar.request("read", deadline))
 				}
 			}
 		})
 	}
-	lose.Store(2)
+	unanswered.Store(2)
 	began, answer := time.Now(), make(chan int)
 	for range 2 {
 		go func() {
-			status, _ := rg.ask(rg.request("book", deadline))
+			status, _ := sidecar.call(sidecar.request("book", deadline))
 			answer <- status
 		}()
 	}
@@ -368,40 +372,40 @@
 	}
 }
 
-// An id is one request's. Another request with it, while it is out or shortly after, is turned away and goes
-// nowhere: endpoints would run it twice, or blame themselves for it.
-func TestTakenIDIsTurnedAway(t *testing.T) { overEach(t, ruleTakenIDIsTurnedAway) }
+// The id of a request is unique. Another request with it fails and is not forwarded, while the first one is in flight and shortly
+// after: endpoints would run it twice, or reject it.
+func TestDuplicateIDFails(t *testing.T) { forEachProtocol(t, testDuplicateIDFails) }
 
-func ruleTakenIDIsTurnedAway(t *testing.T) {
+func testDuplicateIDFails(t *testing.T) {
 	t.Helper()
-	came, serve := make(chan bool, 8), make(chan bool)
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+	arrived, release := make(chan bool, 8), make(chan bool)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- true
+		<-release
 		write(w, "ok")
 	}))
-	first := rg.request("once", 9*time.Second)
+	first := sidecar.request("once", 9*time.Second)
 	id := first.Header.Get("X-Txn")
 	done := make(chan int)
 	go func() {
-		status, _ := rg.ask(first)
+		status, _ := sidecar.call(first)
 		done <- status
 	}()
-	<-came
+	<-arrived
 	again := func() int {
-		r := rg.request("once", 9*time.Second)
+		r := sidecar.request("once", 9*time.Second)
 		r.Header.Set("X-Txn", id)
-		status, _ := rg.ask(r)
+		status, _ := sidecar.call(r)
 		return status
 	}
 	if status := again(); status != http.StatusBadGateway {
 		t.Errorf("got %d while the first is open", status)
 	}
-	close(serve)
+	close(release)
 	if status := <-done; status != http.StatusOK {
 		t.Errorf("the first one got %d", status)
 	}
-	if status := again(); status != http.StatusBadGateway || len(came) > 0 {
-		t.Errorf("got %d after the first, with %d requests more at the endpoint", status, len(came))
+	if status := again(); status != http.StatusBadGateway || len(arrived) > 0 {
+		t.Errorf("got %d after the first, with %d more requests at the endpoint", status, len(arrived))
 	}
 }
--- a/internal/standalone/route_test.go
+++ b/internal/standalone/route_test.go
@@ -13,6 +13,7 @@
 	"quincegap/internal/modules/route"
 )
 
+// routesOf compiles the routes of a settings file.
 func routesOf(t *testing.T, text string) *route.Table {
 	t.Helper()
 	var found finding.List
@@ -24,7 +25,7 @@
 	return route.Compile(f)
 }
 
-// withRoutes has the sidecars that a test starts know routes.
+// withRoutes sets the routes of the sidecars that a test starts.
 func withRoutes(t *testing.T, text string) {
 	t.Helper()
 	table := routesOf(t, text)
@@ -32,8 +33,9 @@
 	t.Cleanup(func() { adjustConfig = func(*Config) {} })
 }
 
-func (rg *rig) at(class, path string) *http.Request {
-	r := rg.request(class, 5*time.Second)
+// requestTo returns a request of a class for a path, with an idempotency key of its own if the class needs one.
+func (s *testSidecar) requestTo(class, path string) *http.Request {
+	r := s.request(class, 5*time.Second)
 	r.URL.Opaque = path
 	if class == "book" {
 		r.Header.Set("Idempotency-Key", r.Header.Get("X-Txn"))
@@ -41,6 +43,7 @@
 	return r
 }
 
+// routesText has one route for each setting, named for what it does.
 const routesText = `
 [route.off]
 match_path = "/off/{rest...}"
@@ -70,139 +73,141 @@
 retry_reserve = 1
 `
 
-// routedEndpoints serve the routes of routesText, each as its setting needs.
-type routedEndpoints struct {
-	runs atomic.Int64 // requests in all
-	sick atomic.Int64 // requests that were to fail, some of them once only
-	came chan bool    // a request to /few has come,
-	held chan bool    // and waits
+// routeEndpoints is the state of the endpoints that serve the routes of routesText, each as the test of its setting needs.
+type routeEndpoints struct {
+	requests atomic.Int64
+	failures atomic.Int64 // requests to paths that fail, always or the first time
+	arrived  chan bool    // gets a value for each request to /few,
+	release  chan bool    // which is answered when this has a value
 }
 
-func (e *routedEndpoints) serve(w http.ResponseWriter, r *http.Request) {
-	e.runs.Add(1)
+// serve is the handler of the endpoints.
+func (e *routeEndpoints) serve(w http.ResponseWriter, r *http.Request) {
+	e.requests.Add(1)
 	switch r.URL.Path {
 	case "/short":
 		awaitCancel(r)
 		return
 	case "/paused":
-		if e.sick.Add(1) == 1 {
+		if e.failures.Add(1) == 1 {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
 	case "/once", "/saved", "/picky":
-		e.sick.Add(1)
+		e.failures.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	case "/quick":
-		if e.sick.Add(1) == 1 {
+		if e.failures.Add(1) == 1 {
 			awaitCancel(r)
 			return
 		}
 	case "/few":
-		e.came <- true
-		<-e.held
+		e.arrived <- true
+		<-e.release
 	}
 	write(w, "ok")
 }
 
-// routedRig is a sidecar with the routes of routesText, and its endpoints.
-type routedRig struct {
-	*rig
-	routedEndpoints
+// routedSidecar is a sidecar with the routes of routesText and endpoints that serve them.
+type routedSidecar struct {
+	*testSidecar
+	routeEndpoints
 }
 
-// try sends a request, whose answer has to have a status.
-func (rg *routedRig) try(class, path string, want int) *reply {
-	rg.t.Helper()
-	res := rg.reply(rg.at(class, path))
+// callExpecting sends a request and checks the status of its answer.
+func (r *routedSidecar) callExpecting(class, path string, want int) *reply {
+	r.t.Helper()
+	res := r.mustRoundTrip(r.requestTo(class, path))
 	if res.status != want {
-		rg.t.Errorf("%s: %d, wanted %d", path, res.status, want)
+		r.t.Errorf("%s: %d, wanted %d", path, res.status, want)
 	}
 	return res
 }
 
 // Each setting of a route has its effect on its own requests, and none on others.
-func TestRoutesOverSockets(t *testing.T) { overEach(t, ruleRoutesOverSockets) }
+func TestRoutesOverSockets(t *testing.T) { forEachProtocol(t, testRoutesOverSockets) }
 
-func ruleRoutesOverSockets(t *testing.T) {
+func testRoutesOverSockets(t *testing.T) {
 	t.Helper()
 	withRoutes(t, routesText)
-	rg := &routedRig{routedEndpoints: routedEndpoints{came: make(chan bool, 10), held: make(chan bool)}}
-	// So many that one is always in good health: what fails here costs endpoints their place.
+	sidecar := &routedSidecar{routeEndpoints: routeEndpoints{arrived: make(chan bool, 10), release: make(chan bool)}}
+	// Endpoints are ejected for the failures of this test: of so many one is always healthy.
 	var targets []listedEndpoint
 	for i := range 8 {
-		targets = append(targets, startEndpoint(t, fmt.Sprint("s-", i), rg.serve))
+		targets = append(targets, startEndpoint(t, fmt.Sprint("s-", i), sidecar.serve))
 	}
-	rg.rig = start(t, 1024, targets...)
-	for range 20 { // what is answered earns further attempts, for all routes
-		rg.try("read", "/other", http.StatusOK)
+	sidecar.testSidecar = startSidecar(t, 1024, targets...)
+	for range 20 { // answers earn the retries of all routes
+		sidecar.callExpecting("read", "/other", http.StatusOK)
 	}
-	rg.runs.Store(0)
-	checkRoutesThatAreOff(rg)
-	checkAttemptsOfRoutes(rg)
-	checkRouteThatTakesOne(rg)
+	sidecar.requests.Store(0)
+	sidecar.checkMatching()
+	sidecar.checkAttempts()
+	sidecar.checkMaxOpen()
 }
 
-// checkRoutesThatAreOff looks at which paths are a route's, and which may be none's.
-func checkRoutesThatAreOff(rg *routedRig) {
-	rg.t.Helper()
-	if res := rg.try("book", "/off/x", http.StatusServiceUnavailable); res.header.Get("Retry-After") != "3.000" || rg.runs.Load() != 0 {
-		rg.t.Errorf("a route that is off: Retry-After %q, and %d runs", res.header.Get("Retry-After"), rg.runs.Load())
-	}
-	rg.try("read", "/off", http.StatusServiceUnavailable)
-	rg.try("read", "/offer", http.StatusOK)
-	rg.try("read", "/x//off", http.StatusBadRequest)
-	rg.try("read", "/x/../off/y", http.StatusBadRequest)
-	rg.try("read", "/%6fff/y", http.StatusServiceUnavailable)
+// checkMatching checks which paths a route matches, and which are rejected because they are ambiguous.
+func (r *routedSidecar) checkMatching() {
+	r.t.Helper()
+	retryAfter := r.callExpecting("book", "/off/x", http.StatusServiceUnavailable).header.Get("Retry-After")
+	if retryAfter != "3.000" || r.requests.Load() != 0 {
+		r.t.Errorf("a route that is off: Retry-After %q, and %d runs", retryAfter, r.requests.Load())
+	}
+	r.callExpecting("read", "/off", http.StatusServiceUnavailable)
+	r.callExpecting("read", "/offer", http.StatusOK)
+	r.callExpecting("read", "/x//off", http.StatusBadRequest)
+	r.callExpecting("read", "/x/../off/y", http.StatusBadRequest)
+	r.callExpecting("read", "/%6fff/y", http.StatusServiceUnavailable)
 }
 
-// checkAttemptsOfRoutes looks at how many attempts routes allow, when and for how long.
-func checkAttemptsOfRoutes(rg *routedRig) {
-	rg.t.Helper()
+// checkAttempts checks how many attempts routes allow, after which outcomes, and with which timeouts and backoffs.
+func (r *routedSidecar) checkAttempts() {
+	r.t.Helper()
 	began := time.Now()
-	if rg.try("book", "/short", http.StatusBadGateway); time.Since(began) > 3*time.Second {
-		rg.t.Errorf("a whole time of 200 ms took %v", time.Since(began))
+	if r.callExpecting("book", "/short", http.StatusBadGateway); time.Since(began) > 3*time.Second {
+		r.t.Errorf("a request with a timeout of 200 ms took %v", time.Since(began))
 	}
-	if rg.try("read", "/once", http.StatusServiceUnavailable); rg.sick.Swap(0) != 1 {
-		rg.t.Error("a route of one attempt was sent more than once")
+	if r.callExpecting("read", "/once", http.StatusServiceUnavailable); r.failures.Swap(0) != 1 {
+		r.t.Error("a route of one attempt was sent more than once")
 	}
-	if rg.try("read", "/quick", http.StatusOK); rg.sick.Swap(0) != 2 {
-		rg.t.Error("an attempt that is given up after its time goes out once more")
+	if r.callExpecting("read", "/quick", http.StatusOK); r.failures.Swap(0) != 2 {
+		r.t.Error("an attempt that exceeded its timeout was not retried once")
 	}
-	if rg.try("read", "/picky", http.StatusServiceUnavailable); rg.sick.Swap(0) != 1 {
-		rg.t.Error("an outcome that its route does not name was followed by another attempt")
+	if r.callExpecting("read", "/picky", http.StatusServiceUnavailable); r.failures.Swap(0) != 1 {
+		r.t.Error("an outcome that its route does not name was followed by another attempt")
 	}
 	began = time.Now()
-	if rg.try("read", "/paused", http.StatusOK); rg.sick.Swap(0) != 2 || time.Since(began) < 150*time.Millisecond {
-		rg.t.Errorf("a pause of 150 to 450 ms took %v", time.Since(began))
+	if r.callExpecting("read", "/paused", http.StatusOK); r.failures.Swap(0) != 2 || time.Since(began) < 150*time.Millisecond {
+		r.t.Errorf("a backoff of 150 to 450 ms took %v", time.Since(began))
 	}
-	if rg.try("read", "/saved", http.StatusServiceUnavailable); rg.sick.Swap(0) != 2 {
-		rg.t.Error("one further attempt is saved up")
+	if r.callExpecting("read", "/saved", http.StatusServiceUnavailable); r.failures.Swap(0) != 2 {
+		r.t.Error("one retry is in reserve")
 	}
-	if rg.try("read", "/saved", http.StatusServiceUnavailable); rg.sick.Swap(0) != 1 {
-		rg.t.Error("none is saved up any more")
+	if r.callExpecting("read", "/saved", http.StatusServiceUnavailable); r.failures.Swap(0) != 1 {
+		r.t.Error("no retry is left in reserve")
 	}
 }
 
-// checkRouteThatTakesOne has a route that takes one request at a time turn another away, and take the next when that has ended.
-func checkRouteThatTakesOne(rg *routedRig) {
-	rg.t.Helper()
+// checkMaxOpen checks that a route that admits one request at a time rejects another, and admits the next when the first has ended.
+func (r *routedSidecar) checkMaxOpen() {
+	r.t.Helper()
 	done := make(chan int, 1)
-	go func() { done <- rg.reply(rg.at("read", "/few")).status }()
-	<-rg.came
-	if res := rg.try("read", "/few", http.StatusServiceUnavailable); res.header.Get("Retry-After") != "1.000" {
-		rg.t.Errorf("Retry-After is %q", res.header.Get("Retry-After"))
+	go func() { done <- r.mustRoundTrip(r.requestTo("read", "/few")).status }()
+	<-r.arrived
+	if res := r.callExpecting("read", "/few", http.StatusServiceUnavailable); res.header.Get("Retry-After") != "1.000" {
+		r.t.Errorf("Retry-After is %q", res.header.Get("Retry-After"))
 	}
-	rg.try("read", "/other", http.StatusOK)
-	rg.held <- true
+	r.callExpecting("read", "/other", http.StatusOK)
+	r.release <- true
 	if status := <-done; status != http.StatusOK {
-		rg.t.Errorf("the one that was in: %d", status)
+		r.t.Errorf("the request that was admitted: %d", status)
 	}
-	rg.until("its place is free", func() bool {
-		go func() { done <- rg.reply(rg.at("read", "/few")).status }()
+	r.waitUntil("the next request is admitted", func() bool {
+		go func() { done <- r.mustRoundTrip(r.requestTo("read", "/few")).status }()
 		select {
-		case <-rg.came:
-			rg.held <- true
+		case <-r.arrived:
+			r.release <- true
 			return <-done == http.StatusOK
 		case <-done:
 			return false
@@ -210,42 +215,42 @@
 	})
 }
 
-// A reload takes all routes at once. What has come in keeps the route that it came with, and a route of the same name
-// goes on as it stands.
+// A reload replaces all routes at once. A request that was admitted keeps its route, and a route keeps its state under the same
+// name.
 func TestRoutesAreReloaded(t *testing.T) {
 	withRoutes(t, "[route.few]\nmatch_path = \"/few\"\nmost_open = 1\n")
-	came, held := make(chan bool, 10), make(chan bool)
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	arrived, release := make(chan bool, 10), make(chan bool)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/few" {
-			came <- true
-			<-held
+			arrived <- true
+			<-release
 		}
 		write(w, "ok")
 	}))
-	take := func(text string) {
-		fresh := *rg.server.tuning.Load()
+	applyRoutes := func(text string) {
+		fresh := *sidecar.server.tuning.Load()
 		fresh.routes = routesOf(t, text)
-		fresh.routes.KeepStates(rg.server.tuning.Load().routes)
-		rg.server.tuning.Store(&fresh)
+		fresh.routes.KeepStates(sidecar.server.tuning.Load().routes)
+		sidecar.server.tuning.Store(&fresh)
 	}
 	done := make(chan int, 1)
-	go func() { done <- rg.reply(rg.at("read", "/few")).status }()
-	<-came
-	take("[route.few]\nmatch_path = \"/{rest...}\"\nmost_open = 1\n")
-	if res := rg.reply(rg.at("read", "/other")); res.status != http.StatusServiceUnavailable {
-		t.Errorf("one is in, and it takes one: %d", res.status)
+	go func() { done <- sidecar.mustRoundTrip(sidecar.requestTo("read", "/few")).status }()
+	<-arrived
+	applyRoutes("[route.few]\nmatch_path = \"/{rest...}\"\nmost_open = 1\n")
+	if res := sidecar.mustRoundTrip(sidecar.requestTo("read", "/other")); res.status != http.StatusServiceUnavailable {
+		t.Errorf("the route admits one, which is in flight: %d", res.status)
 	}
-	take("[route.none]\nmatch_path = \"/none\"\nserve = false\n") // the route of the one that is in is gone
-	if res := rg.reply(rg.at("read", "/other")); res.status != http.StatusOK {
-		t.Errorf("no route any more: %d", res.status)
+	applyRoutes("[route.none]\nmatch_path = \"/none\"\nserve = false\n") // the route of the request in flight is gone
+	if res := sidecar.mustRoundTrip(sidecar.requestTo("read", "/other")); res.status != http.StatusOK {
+		t.Errorf("without a route: %d", res.status)
 	}
-	held <- true
+	release <- true
 	if status := <-done; status != http.StatusOK {
-		t.Errorf("the one that was in: %d", status)
+		t.Errorf("the request in flight: %d", status)
 	}
 	open := -1
-	rg.until("it has left its route", func() bool {
-		rg.inLoop(func() { open = len(rg.server.loop.requests) })
+	sidecar.waitUntil("no request is in flight", func() bool {
+		sidecar.onLoop(func() { open = len(sidecar.server.loop.requests) })
 		return open == 0
 	})
 }
--- a/internal/standalone/shutdown_test.go
+++ b/internal/standalone/shutdown_test.go
@@ -11,103 +11,108 @@
 // A sidecar that is shutting down goes on serving callers on the connections that they have: they may know no other sidecar. It
 // accepts new connections, loses no request, and ends when all callers have disconnected.
 func TestStopServesOpenConnections(t *testing.T) {
-	came, serve := make(chan bool), make(chan bool)
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+	arrived, release := make(chan bool), make(chan bool)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- true
+		<-release
 		write(w, "ok")
 	}))
-	rg.server.quietPeriod = time.Millisecond
-	rg.setShutdown(time.Hour, 0)
-	idles := rg.connect(5)
+	sidecar.server.quietPeriod = time.Millisecond
+	sidecar.setShutdown(time.Hour, 0)
+	connections := sidecar.connectIdle(5)
 	answer := make(chan *reply)
-	ask := func(c *clientConn) { answer <- c.send(rg.request("once", 9*time.Second)) }
-	go ask(idles[0])
-	<-came
-	rg.stop()
-	close(serve)
+	send := func(c *clientConn) { answer <- c.send(sidecar.request("once", 9*time.Second)) }
+	go send(connections[0])
+	<-arrived
+	sidecar.beginShutdown()
+	close(release)
 	if res := <-answer; res == nil || res.status != 200 {
-		t.Errorf("what was out at the signal: answer %+v", res)
+		t.Errorf("in flight at the signal: answer %+v", res)
 	}
 	for range 3 {
-		go ask(idles[1])
-		<-came
+		go send(connections[1])
+		<-arrived
 		if res := <-answer; res == nil || res.status != 200 || res.close {
 			t.Errorf("on an open connection: answer %+v", res)
 		}
 	}
-	late := rg.dial()
-	go ask(late)
-	<-came
+	late := sidecar.dial()
+	go send(late)
+	<-arrived
 	if res := <-answer; res == nil || res.status != 200 {
 		t.Errorf("on a new connection: answer %+v", res)
 	}
-	closeNow(late)
-	for _, c := range idles {
-		closeNow(c)
+	closeQuietly(late)
+	for _, c := range connections {
+		closeQuietly(c)
 	}
-	rg.awaitEnd()
+	sidecar.waitForEnd()
 }
 
 // All requests that a sidecar has accepted are answered before it is killed: requests from before the signal are cancelled at the
 // end of the shutdown, and the attempts of later ones carry no more time than is left.
 func TestStopAnswersAllInTime(t *testing.T) {
-	const linger = 3 * time.Second
-	came, gaveUp := make(chan string, 2), make(chan bool, 2)
-	rg := start(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		came <- r.Header.Get("X-Remaining")
+	const serveFor = 3 * time.Second
+	arrived, cancelled := make(chan string, 2), make(chan bool, 2)
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
+		arrived <- r.Header.Get("X-Remaining")
 		awaitCancel(r)
-		gaveUp <- true
+		cancelled <- true
 	}))
-	rg.setShutdown(linger, 700*time.Millisecond)
-	idles := rg.connect(5)
+	sidecar.setShutdown(serveFor, 700*time.Millisecond)
+	connections := sidecar.connectIdle(5)
 	answer := make(chan *reply, 2)
-	ask := func(c *clientConn) { answer <- c.send(rg.request("once", time.Minute)) }
-	go ask(idles[0])
-	<-came
-	rg.stop()
-	go ask(idles[1])
-	if left, ok := parseRemaining(<-came); !ok || left > linger {
-		t.Errorf("an endpoint is told of %v", left)
+	send := func(c *clientConn) { answer <- c.send(sidecar.request("once", time.Minute)) }
+	go send(connections[0])
+	<-arrived
+	sidecar.beginShutdown()
+	go send(connections[1])
+	if left, ok := parseRemaining(<-arrived); !ok || left > serveFor {
+		t.Errorf("an attempt carries %v, more than is left", left)
 	}
 	for range 2 {
-		// Nothing but the sidecar's end ends these: the endpoint is silent.
+		// Only the end of the shutdown ends these: the endpoint does not answer.
 		if res := <-answer; res == nil || res.status != http.StatusBadGateway || !res.close {
 			t.Errorf("answer %+v", res)
 		}
-		<-gaveUp
+		<-cancelled
 	}
-	if now := time.Now(); now.Before(*rg.server.shutdownAt.Load()) || now.After(rg.server.shutdownAt.Load().Add(linger)) {
-		t.Errorf("given up %v after the end", now.Sub(*rg.server.shutdownAt.Load()))
+	if now := time.Now(); now.Before(*sidecar.server.shutdownAt.Load()) || now.After(sidecar.server.shutdownAt.Load().Add(serveFor)) {
+		t.Errorf("cancelled %v after the end", now.Sub(*sidecar.server.shutdownAt.Load()))
 	}
-	rg.awaitEnd()
+	sidecar.waitForEnd()
 }
 
 // Callers open no new connections to a sidecar that is shutting down. A caller whose connections are all in use would reach no
 // sidecar, so the only sidecar rejects requests, with Retry-After, before that.
 func TestStopKeepsConnectionsIdle(t *testing.T) {
-	came := make(chan bool, 1)
-	one := startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
+	arrived := make(chan bool, 1)
+	endpoint := startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "read" {
-			came <- true
+			arrived <- true
 			awaitCancel(r)
 		}
 	})
-	for _, c := range []struct{ idles, instances, status int }{
-		{2, 1, http.StatusServiceUnavailable}, {3, 1, http.StatusOK}, {0, 2, http.StatusOK},
+	for _, c := range []struct {
+		name                    string
+		idle, instances, status int
+	}{
+		{"few idle connections and no replica", 2, 1, http.StatusServiceUnavailable},
+		{"enough idle connections", 3, 1, http.StatusOK},
+		{"a replica", 0, 2, http.StatusOK},
 	} {
-		rg := startOneOf(t, c.instances, 1024, one)
-		rg.setShutdown(time.Hour, 700*time.Millisecond)
-		if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != http.StatusOK {
-			t.Fatalf("before the stop: %d", status)
+		sidecar := startReplica(t, c.instances, 1024, endpoint)
+		sidecar.setShutdown(time.Hour, 700*time.Millisecond)
+		if status, _ := sidecar.call(sidecar.request("once", 9*time.Second)); status != http.StatusOK {
+			t.Fatalf("%s: before the shutdown: %d", c.name, status)
 		}
-		conns := rg.connect(2 + c.idles)
-		go conns[0].send(rg.request("read", 9*time.Second))
-		<-came
-		rg.stop()
-		res := conns[1].send(rg.request("once", 9*time.Second))
+		connections := sidecar.connectIdle(2 + c.idle)
+		go connections[0].send(sidecar.request("read", 9*time.Second))
+		<-arrived
+		sidecar.beginShutdown()
+		res := connections[1].send(sidecar.request("once", 9*time.Second))
 		if res == nil || res.status != c.status || (res.header.Get("Retry-After") == "") != (c.status == 200) {
-			t.Errorf("with %d idle and %d instances: %+v", c.idles, c.instances, res)
+			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
 }
@@ -115,26 +120,26 @@
 // Where there are other sidecars, one that is shutting down closes idle connections, so that callers move on, while it still
 // answers the requests in flight.
 func TestStopHandsOver(t *testing.T) {
-	came, serve := make(chan bool), make(chan bool)
-	rg := startOneOf(t, 2, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+	arrived, release := make(chan bool), make(chan bool)
+	sidecar := startReplica(t, 2, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- true
+		<-release
 		write(w, "ok")
 	}))
-	rg.server.quietPeriod = time.Millisecond
-	rg.setShutdown(time.Hour, time.Hour)
-	idles := rg.connect(2)
+	sidecar.server.quietPeriod = time.Millisecond
+	sidecar.setShutdown(time.Hour, time.Hour)
+	connections := sidecar.connectIdle(2)
 	answer := make(chan *reply)
-	go func() { answer <- idles[0].send(rg.request("once", 9*time.Second)) }()
-	<-came
-	rg.stop()
-	idles[1].extend()
-	if _, err := idles[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	go func() { answer <- connections[0].send(sidecar.request("once", 9*time.Second)) }()
+	<-arrived
+	sidecar.beginShutdown()
+	connections[1].extend()
+	if _, err := connections[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v", err)
 	}
-	close(serve)
+	close(release)
 	if res := <-answer; res == nil || res.status != 200 || !res.close {
 		t.Errorf("answer %+v", res)
 	}
-	rg.awaitEnd()
+	sidecar.waitForEnd()
 }
