--- a/internal/rehearsal/rehearse/faultyproxy_test.go
+++ b/internal/rehearsal/rehearse/faultyproxy_test.go
@@ -24,17 +24,17 @@
 	"quincegap/internal/standin/booking"
 )
 
-// The test binary is also the sidecars of its rehearsals: the true one, or a liar that breaks one rule in one way.
-const lieVariable = "REHEARSE_TEST_SIDECAR"
+// sidecarVariable selects which sidecar the test binary is in a rehearsal that it has started: the product, or a proxy with a fault.
+const sidecarVariable = "REHEARSE_TEST_SIDECAR"
 
 func TestMain(m *testing.M) {
-	switch lie := os.Getenv(lieVariable); {
-	case lie == "" || os.Getenv("BALANCER_CONFIG") == "":
+	switch sidecar := os.Getenv(sidecarVariable); {
+	case sidecar == "" || os.Getenv("BALANCER_CONFIG") == "":
 		os.Exit(m.Run())
-	case lie == "true":
+	case sidecar == "true":
 		runProduct()
 	default:
-		if err := (&faultyProxy{fault: lie}).run(); err != nil {
+		if err := (&faultyProxy{fault: sidecar}).run(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-// faultyProxy is a proxy that sends each request to one box at random, but for its lie.
+// faultyProxy is a proxy that sends each request to one server at random, and breaks one rule in one way: its fault.
 type faultyProxy struct {
 	fault  string
 	client http.Client
@@ -99,7 +99,7 @@
 	return http.Serve(listener, f)
 }
 
-// follow keeps the list; one that does not heed it keeps its first.
+// follow keeps the list of servers up to date; first is closed once there is one. With the fault "drains" states other than Ready are ignored.
 func (f *faultyProxy) follow(address string, first chan bool) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/v1/endpoints?follow=1&since=0", nil)
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// waitReady are the boxes that may be sent to.
+// ready returns the servers that may be sent to.
 func (f *faultyProxy) ready() (all []booking.Target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,7 +145,7 @@
 	return all
 }
 
-// current sends a request to a box, and returns what came.
+// attempt sends a request to a server, and returns the status and body of its answer; status 0 if there was none.
 func (f *faultyProxy) attempt(ctx context.Context, r *http.Request, to booking.Target) (int, []byte) {
 	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+to.Address+r.RequestURI, nil)
 	if err != nil {
@@ -178,169 +178,170 @@
 		return
 	}
 	number := f.asked.Add(1)
-	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return
-	}
-	x := f.newExchange(w, r, number)
-	play := proxyFaults[f.fault]
-	if play == nil {
-		play = (*exchange).honest // also deaf and drains
+	_, _ = io.Copy(io.Discard, r.Body) // the fault does not depend on the body
+	e := f.newExchange(w, r, number)
+	serve := proxyFaults[f.fault]
+	if serve == nil {
+		serve = (*exchange).honest // also deaf, whose fault is in run, and drains, whose fault is in follow
 	}
-	play(x)
+	serve(e)
 }
 
-// exchange is a request to the proxy, with the servers that it may go to.
+// exchange is one request to the proxy, with the servers that it may go to.
 type exchange struct {
 	proxy          *faultyProxy
-	w              http.ResponseWriter
-	r              *http.Request
+	response       http.ResponseWriter
+	request        *http.Request
 	number         int64
 	ready          []booking.Target
-	to, other, far booking.Target // at random, another one, and one of another cell
-	left           time.Duration
+	to, other, far booking.Target // a server drawn at random, the one after it, and one of another cell
+	left           time.Duration  // that the caller waits; 0 if it does not say
 }
 
 func (f *faultyProxy) newExchange(w http.ResponseWriter, r *http.Request, number int64) *exchange {
 	ready := f.ready()
 	at := rand.IntN(len(ready))
-	x := &exchange{proxy: f, w: w, r: r, number: number, ready: ready, to: ready[at], other: ready[(at+1)%len(ready)]}
-	x.far = x.to
+	e := &exchange{
+		proxy: f, response: w, request: r, number: number, ready: ready,
+		to: ready[at], other: ready[(at+1)%len(ready)],
+	}
+	e.far = e.to
 	for _, t := range ready {
-		if t.Cell != x.to.Cell {
-			x.far = t
+		if t.Cell != e.to.Cell {
+			e.far = t
 		}
 	}
 	if left, err := parseRemaining(r.Header.Get("X-Remaining")); err == nil {
-		x.left = left
+		e.left = left
 	}
-	return x
+	return e
 }
 
 // send sends the request to a server, whether or not the caller is still there.
-func (x *exchange) send(to booking.Target) (int, []byte) {
-	return x.proxy.attempt(context.WithoutCancel(x.r.Context()), x.r, to)
+func (e *exchange) send(to booking.Target) (int, []byte) {
+	return e.proxy.attempt(context.WithoutCancel(e.request.Context()), e.request, to)
 }
 
 // answer answers the caller.
-func (x *exchange) answer(status int, body []byte) {
-	x.w.Header().Set("Content-Length", fmt.Sprint(len(body)))
-	x.w.WriteHeader(status)
-	_, _ = x.w.Write(body) // the caller may have gone
+func (e *exchange) answer(status int, body []byte) {
+	e.response.Header().Set("Content-Length", fmt.Sprint(len(body)))
+	e.response.WriteHeader(status)
+	_, _ = e.response.Write(body) // the caller may have gone
 }
 
-// raw takes the connection of the caller.
-func (x *exchange) raw() net.Conn {
-	c, _, err := x.w.(http.Hijacker).Hijack()
+// hijack takes over the connection of the caller.
+func (e *exchange) hijack() net.Conn {
+	c, _, err := e.response.(http.Hijacker).Hijack()
 	if err != nil {
 		log.Fatal(err)
 	}
 	return c
 }
 
-// proxyFaults are what a proxy does instead of sending a request once and answering it, by name.
-var proxyFaults = map[string]func(x *exchange){
-	"silent": func(x *exchange) { <-x.r.Context().Done() },
+// proxyFaults are what a proxy does instead of sending a request once and answering it, by the name of the fault.
+var proxyFaults = map[string]func(e *exchange){
+	"silent": func(e *exchange) { <-e.request.Context().Done() },
 	"hang":   func(*exchange) { select {} },
-	"late": func(x *exchange) {
-		status, body := x.send(x.to)
-		time.Sleep(x.left + 65*time.Millisecond)
-		x.answer(status, body)
+	"late": func(e *exchange) {
+		status, body := e.send(e.to)
+		time.Sleep(e.left + 65*time.Millisecond)
+		e.answer(status, body)
 	},
-	"closes": func(x *exchange) {
-		x.send(x.to)
-		closeConn(x.raw())
+	"closes": func(e *exchange) {
+		e.send(e.to)
+		closeConn(e.hijack())
 	},
-	"invents": func(x *exchange) { x.answer(http.StatusOK, []byte("your trip is booked\n")) },
-	"stale": func(x *exchange) { // the answer to another request
-		_, body := x.send(x.to)
-		x.answer(http.StatusOK, []byte(strings.Replace(string(body), "served r", "served r1", 1)))
+	"invents": func(e *exchange) { e.answer(http.StatusOK, []byte("your trip is booked\n")) },
+	"stale": func(e *exchange) { // the answer to another request
+		_, body := e.send(e.to)
+		e.answer(http.StatusOK, []byte(strings.Replace(string(body), "served r", "served r1", 1)))
 	},
 	"doubles":   (*exchange).doubles,
 	"withdraws": (*exchange).withdraws,
 	"cold":      (*exchange).toNewest,
 	"crash":     (*exchange).crash,
-	"twice": func(x *exchange) {
-		go x.send(x.other)
-		x.answer(x.send(x.to))
+	"twice": func(e *exchange) {
+		go e.send(e.other)
+		e.answer(e.send(e.to))
 	},
-	"again": func(x *exchange) { // an answer is thrown away
-		x.send(x.to)
+	"again": func(e *exchange) { // an answer is thrown away
+		e.send(e.to)
 		time.Sleep(5 * time.Millisecond)
-		x.answer(x.send(x.to))
+		e.answer(e.send(e.to))
 	},
-	"far": func(x *exchange) {
-		x.send(x.to)
-		x.answer(x.send(x.far))
+	"far": func(e *exchange) {
+		e.send(e.to)
+		e.answer(e.send(e.far))
 	},
-	"refuses": func(x *exchange) {
-		x.send(x.to)
-		x.answer(http.StatusServiceUnavailable, nil)
+	"refuses": func(e *exchange) {
+		e.send(e.to)
+		e.answer(http.StatusServiceUnavailable, nil)
 	},
-	"after": func(x *exchange) {
-		x.answer(x.send(x.to))
-		x.w.(http.Flusher).Flush()
+	"after": func(e *exchange) {
+		e.answer(e.send(e.to))
+		e.response.(http.Flusher).Flush()
 		time.Sleep(120 * time.Millisecond)
-		x.send(x.to)
+		e.send(e.to)
 	},
-	"many": func(x *exchange) {
+	"many": func(e *exchange) {
 		for range 8 {
-			x.send(x.to)
+			e.send(e.to)
 		}
-		x.answer(x.send(x.to))
+		e.answer(e.send(e.to))
 	},
 }
 
 // doubles answers twice.
-func (x *exchange) doubles() {
-	_, body := x.send(x.to)
+func (e *exchange) doubles() {
+	_, body := e.send(e.to)
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	c := x.raw()
+	c := e.hijack()
 	_, _ = io.WriteString(c, answer+answer) // the caller may have gone
 	time.Sleep(100 * time.Millisecond)
 	closeConn(c)
 }
 
 // withdraws cancels its attempt, and sends again at once.
-func (x *exchange) withdraws() {
-	short, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), 5*time.Millisecond)
-	status, _ := x.proxy.attempt(short, x.r, x.to)
+func (e *exchange) withdraws() {
+	short, cancel := context.WithTimeout(context.WithoutCancel(e.request.Context()), 5*time.Millisecond)
+	status, _ := e.proxy.attempt(short, e.request, e.to)
 	cancel()
 	if status == 0 {
-		x.answer(x.send(x.other))
+		e.answer(e.send(e.other))
 	} else {
-		x.answer(http.StatusBadGateway, nil)
+		e.answer(http.StatusBadGateway, nil)
 	}
 }
 
 // toNewest sends all to the server that has started last.
-func (x *exchange) toNewest() {
-	newest := x.ready[0]
-	for _, t := range x.ready {
+func (e *exchange) toNewest() {
+	newest := e.ready[0]
+	for _, t := range e.ready {
 		if t.BootMS > newest.BootMS {
 			newest = t
 		}
 	}
-	status, body := x.send(newest)
-	x.answer(max(status, http.StatusTooManyRequests), body)
+	status, body := e.send(newest)
+	e.answer(max(status, http.StatusTooManyRequests), body)
 }
 
-// crash ends the proxy amid its work.
-func (x *exchange) crash() {
-	if x.number == 10 {
+// crash aborts the tenth request, and ends the process at the twentieth.
+func (e *exchange) crash() {
+	if e.number == 10 {
 		panic(http.ErrAbortHandler)
 	}
-	if x.number == 20 {
+	if e.number == 20 {
 		fmt.Fprintln(os.Stderr, "cannot go on")
 		os.Exit(7)
 	}
-	x.answer(x.send(x.to))
+	e.answer(e.send(e.to))
 }
 
 // honest sends once, and answers what came.
-func (x *exchange) honest() {
-	status, body := x.send(x.to)
+func (e *exchange) honest() {
+	status, body := e.send(e.to)
 	if status == 0 {
 		status = http.StatusBadGateway
 	}
-	x.answer(status, body)
+	e.answer(status, body)
 }
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	var events []audit.Event
-	r, err := Run(context.Background(), m.Plan(0), Options{Program: self, Env: []string{lieVariable + "=" + program}, Dir: t.TempDir(), Events: func(e []audit.Event) { events = e }})
+	r, err := Run(context.Background(), m.Plan(0), Options{Program: self, Env: []string{sidecarVariable + "=" + program}, Dir: t.TempDir(), Events: func(e []audit.Event) { events = e }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,9 +60,33 @@
 
 // proxyCase is a proxy that breaks a rule in some way.
 type proxyCase struct {
-	lie, script string
-	rule        audit.Rule
-	want        string // in a breach; empty if there is to be none
+	fault, script string
+	rule          audit.Rule
+	want          string // in a breach; empty if there is to be none
+}
+
+// maxPlays bounds how often a scenario is played until the emulator was on time.
+const maxPlays = 5
+
+// play plays the scenario, and plays it again while the emulator was too late to tell. The verdict of the last play stands.
+func (c *proxyCase) play(t *testing.T, script string) *audit.Verdict {
+	t.Helper()
+	for play := 1; ; play++ {
+		r, _ := rehearse(t, c.fault, script)
+		if play == maxPlays || !c.undecided(r.Verdict) {
+			return r.Verdict
+		}
+		t.Logf("played again: %d breaches do not count, %s", r.Verdict.Excused, r.Verdict.VoidReason)
+	}
+}
+
+// undecided reports whether nothing can be said, because the emulator was late. One late second does not void a scenario of two
+// seconds, but excuses what is broken in that second and the next: all of it, as a rule.
+func (c *proxyCase) undecided(v *audit.Verdict) bool {
+	if v.VoidReason != "" {
+		return true
+	}
+	return c.want != "" && v.Excused > 0 && len(v.Breaches) == 0
 }
 
 // check fails the test unless the rule is found to be broken, and no other.
@@ -80,7 +104,7 @@
 	}
 	for rule, n := range v.BreachesByRule {
 		// The second answer and what comes after an answer are seen by the next rule too, or not.
-		if audit.Rule(rule) != c.rule && n > 0 && c.lie != "after" {
+		if audit.Rule(rule) != c.rule && n > 0 && c.fault != "after" {
 			t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, v.Breaches[:min(5, len(v.Breaches))])
 		}
 	}
@@ -107,34 +131,34 @@
 		{"drains", safe + "at 400ms: 2 boxes drain for 1500ms\n", audit.DrainRespected, "that it is Terminating"},
 		{"cold", safe + "at 300ms: 1 new boxes\n", audit.SlowStartRespected, "fell over"},
 	} {
-		t.Run(c.lie, func(t *testing.T) {
+		t.Run(c.fault, func(t *testing.T) {
 			t.Parallel()
 			script := small
-			if c.lie == "cold" {
+			if c.fault == "cold" {
 				script = strings.Replace(small, "cores 8 slots 40 queue 40 work 10ms", "cores 1 slots 40 queue 40 work 40ms cold 0.1 warm 30s", 1)
 			}
-			if c.lie == "twice" || c.lie == "withdraws" {
+			if c.fault == "twice" || c.fault == "withdraws" {
 				script = strings.Replace(small, "work 10ms", "work 150ms", 1)
 			}
-			r, _ := rehearse(t, c.lie, script+c.script)
-			if r.Verdict.VoidReason != "" {
-				t.Skip(r.Verdict.VoidReason) // this machine is too busy to tell
+			v := c.play(t, script+c.script)
+			if v.VoidReason != "" {
+				t.Skip(v.VoidReason) // this machine is too busy to tell
 			}
-			c.check(t, r.Verdict)
+			c.check(t, v)
 		})
 	}
 }
 
 // A sidecar that crashes, hangs, or does not end when it is told to is found and cleaned up.
 func TestCrashesAreFound(t *testing.T) {
-	for lie, want := range map[string]string{
+	for fault, want := range map[string]string{
 		"crash": "n1 ended by itself (exit status 7); its last line: cannot go on",
 		"hang":  "n1 hangs: GET /ready is not answered",
 		"deaf":  "n1 did not end after SIGTERM",
 	} {
-		t.Run(lie, func(t *testing.T) {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r, _ := rehearse(t, lie, small+safe+"rules kill 500ms\n")
+			r, _ := rehearse(t, fault, small+safe+"rules kill 500ms\n")
 			if c := r.Verdict.Crashes; len(c) == 0 || !slices.ContainsFunc(c, func(s string) bool { return strings.Contains(s, want) }) {
 				t.Errorf("%q, want %q", c, want)
 			}
