--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -6,44 +6,44 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// maxPendingCalls is how many calls of one peer may be without a reply at once.
+// maxPendingCalls bounds the calls without a reply on a link.
 const maxPendingCalls = 4096
 
-// ConnectionError reports that a call got no reply because its link ended, or because it was cancelled before it was sent.
+// ConnectionError reports that a call got no reply: its link has ended, or it was cancelled before it was sent completely.
 type ConnectionError struct {
 	Peer   string // the peer's address
 	Reason string // why the link ended, for people
-	// Sent reports whether the last chunk of the call was handed to the connection. Peers execute complete calls only: a call that
-	// was not sent has certainly not been executed, one that was sent may have been.
+	// Sent reports whether the last chunk of the call was handed to the connection. Peers execute complete calls only: a call that was not
+	// sent has certainly not been executed, one that was sent may have been.
 	Sent bool
 }
 
-// Error names the peer and the reason.
+// Error implements error.
 func (c *ConnectionError) Error() string { return "link to " + c.Peer + " lost: " + c.Reason }
 
-// sendProgress is how far a message has been sent. Its link's lock guards it.
+// sendProgress is a message that is being sent, and how much of it was sent. Its link's lock guards it.
 type sendProgress struct {
 	stream    uint64
 	body      []byte
-	sentBytes int       // bytes of the body that were handed to the writer
+	sentBytes int       // bytes of the body that were added to a write
 	transfer  *transfer // of a message of several chunks; nil for others
 }
 
-// PendingCall is a call of this process that has no reply yet.
+// PendingCall is a call of this process without a reply yet.
 type PendingCall struct {
 	sendProgress
 	link          *Link
 	method        uint64
 	expiresAt     time.Duration // on this process's clock; 0 for never
 	done          func(body []byte, err error)
-	reply         []byte // the chunks of the reply so far
-	reservedBytes int    // bytes of the reply that are counted in the hub
-	fullySent     bool   // the whole body was handed to the writer
+	reply         []byte // the chunks of the reply that were received
+	reservedBytes int    // bytes of the reply that are counted in Hub.reservedBytes
+	fullySent     bool   // the last chunk was added to a write
 	cancelled     bool
 }
 
-// Cancel gives a call up. A call that was not sent completely never will be: it ends at once with a ConnectionError. For one that was
-// sent, the peer is asked to cancel it, and its reply says how far it came.
+// Cancel cancels a call. A call that was not sent completely ends at once with a ConnectionError, and the rest of it is not sent. For one
+// that was sent, the peer's handler is notified, and done still gets its reply.
 func (p *PendingCall) Cancel() {
 	l := p.link
 	if l == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// cancelCall cancels a pending call. It reports whether the call has ended by that, without a reply to come.
+// cancelCall cancels a pending call. It reports whether the call has ended by that, so that no reply will come.
 func (l *Link) cancelCall(call *PendingCall) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	return !call.fullySent
 }
 
-// startCall queues a call. It reports false if the link takes no more calls, and the caller needs another link.
+// startCall queues a call. It returns false if the link is retired, so that another link is needed.
 func (l *Link) startCall(call *PendingCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,13 +91,13 @@
 	l.pending[call.stream] = call
 	l.enqueue(call)
 	if len(l.pending) == 1 {
-		l.liveness.lastReceivedAt = now // the peer has to answer from now on, not from its last frame on
+		l.liveness.lastReceivedAt = now // the peer is expected to send from now on, not since its last frame
 	}
 	l.wakeWriter()
 	return true
 }
 
-// cannotCall is why no call can be made; empty if one can. The lock is held.
+// cannotCall returns the reason why no call can be made; empty if one can. The lock is held.
 func (l *Link) cannotCall() string {
 	switch {
 	case l.closed:
@@ -109,10 +109,10 @@
 	}
 }
 
-// IncomingCall is a call of a peer that this process has to reply to.
+// IncomingCall is a call of a peer. It needs one reply, by Reply or ReplyBytes.
 type IncomingCall struct {
-	From      *Hello        // the peer
-	Body      []byte        // the handler's
+	From      *Hello        // of the peer
+	Body      []byte        // may be kept and changed by the handler
 	ExpiresAt time.Duration // on this process's clock; 0 for never
 
 	link          *Link
@@ -120,12 +120,12 @@
 	method        uint64
 	onCancel      func() // set by OnCancel; called at most once
 	cancelled     bool   // the caller has cancelled the call, or its link has ended
-	reservedBytes int    // bytes of Body that are counted in the hub
-	overLimit     bool   // the process has no memory for it: it gets an empty reply, and no handler sees it
+	reservedBytes int    // bytes of Body that are counted in Hub.reservedBytes
+	overLimit     bool   // beyond maxCallBytes with other calls: it gets the empty reply, and no handler is called
 }
 
-// OnCancel has f called once when the caller has cancelled the call or its link has ended; at once if that is so already. f is called
-// without locks.
+// OnCancel sets a function that is called once, without locks, when the caller cancels the call or its link ends; at once if that has
+// happened already.
 func (i *IncomingCall) OnCancel(f func()) {
 	i.link.mu.Lock()
 	i.onCancel = f
@@ -136,10 +136,10 @@
 	}
 }
 
-// Reply replies to a call. A second reply to a call, and one whose link has ended, is dropped.
+// Reply sends the reply to the call. It has no effect if there was a reply before, or if the link has ended.
 func (i *IncomingCall) Reply(m codec.Message) { i.ReplyBytes(codec.MarshalAppend(nil, m)) }
 
-// ReplyBytes is Reply for a message that is marshalled already. Nil is the reply that says nothing: all fields are zero.
+// ReplyBytes is Reply for a message that is marshalled already. Nil is the empty reply, all of whose fields are zero.
 func (i *IncomingCall) ReplyBytes(body []byte) {
 	l := i.link
 	l.mu.Lock()
@@ -153,7 +153,7 @@
 	l.wakeWriter()
 }
 
-// cancel notes that the caller has cancelled the call, or that its link has ended. The link's lock is not held.
+// cancel marks the call as cancelled, and calls the function of OnCancel. The link's lock is not held.
 func (i *IncomingCall) cancel() {
 	i.link.mu.Lock()
 	notify := i.onCancel
@@ -165,11 +165,11 @@
 	}
 }
 
-// release gives the memory back that is reserved for the call's body. The link's lock is held.
+// release releases the memory that is reserved for the call's body. The link's lock is held.
 func (i *IncomingCall) release() {
 	i.link.hub.reservedBytes.Add(-int64(i.reservedBytes))
 	i.reservedBytes = 0
 }
 
-// outgoingReply is a reply on its way out.
+// outgoingReply is a reply that is being sent.
 type outgoingReply struct{ sendProgress }
--- a/internal/mesh/transport/codec/codec.go
+++ b/internal/mesh/transport/codec/codec.go
@@ -6,22 +6,21 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Message is what can be marshalled and unmarshalled. Fields calls one method of the visitor for each field, with numbers that never
-// change.
+// Message is a message that can be marshalled and unmarshalled. Its method Fields calls one method of the visitor for each field.
 type Message interface{ Fields(v *Visitor) }
 
-// expectedFields is how many fields of a message are unmarshalled without a further allocation.
+// expectedFields is the number of fields up to which a message is unmarshalled without an allocation for them.
 const expectedFields = 24
 
-// MarshalAppend appends a message to buf.
+// MarshalAppend appends the encoding of a message to buf.
 func MarshalAppend(buf []byte, message Message) []byte {
 	visitor := Visitor{out: buf}
 	message.Fields(&visitor)
 	return visitor.out
 }
 
-// Unmarshal reads a message from data, which must not change afterwards: fields of bytes point into it. The error names the field, and
-// the byte at which data ends too early. What was read before an error is in m.
+// Unmarshal decodes a message from data, which must not change afterwards: fields of bytes point into it. The error names the field, or the
+// byte at which data is invalid. After an error the message may have been decoded in part.
 func Unmarshal(data []byte, message Message) error {
 	var room [expectedFields]rawField
 	visitor := Visitor{reading: true, fields: room[:0]}
@@ -42,15 +41,15 @@
 	return visitor.err
 }
 
-// rawField is a field as it is on the wire.
+// rawField is a field as encoded on the wire.
 type rawField struct {
 	num   protowire.Number
 	typ   protowire.Type
 	value uint64 // of a varint or a fixed64
-	bytes []byte // of a field with a length; they point into the message
+	bytes []byte // of a field with a length; they point into the data
 }
 
-// parseValue reads the field's value from the front of data. It gives the number of its bytes, or an error code of protowire below 0.
+// parseValue parses the field's value at the start of data. It returns the number of bytes, or a negative error code of protowire.
 func (r *rawField) parseValue(data []byte) (n int) {
 	switch r.typ {
 	case protowire.VarintType:
@@ -59,7 +58,7 @@
 		r.bytes, n = protowire.ConsumeBytes(data)
 	case protowire.Fixed64Type:
 		r.value, n = protowire.ConsumeFixed64(data)
-	default: // no field of ours: it is ignored
+	default: // of a type that no message of the mesh has: it is skipped
 		n = protowire.ConsumeFieldValue(r.num, r.typ, data)
 	}
 	return n
--- a/internal/mesh/transport/codec/list.go
+++ b/internal/mesh/transport/codec/list.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Strings are strings, in their order.
+// Strings visits a list of strings.
 func (v *Visitor) Strings(num protowire.Number, x *[]string) {
 	List(v, num, x, func(v *Visitor, s *string) {
 		if v.reading {
@@ -17,7 +17,7 @@
 	})
 }
 
-// Messages are messages within another, in their order: a list of T, whose pointer is a Message.
+// Messages visits a list of nested messages of type T; *T implements Message.
 func Messages[T any, P interface {
 	*T
 	Message
@@ -33,8 +33,9 @@
 	})
 }
 
-// List writes or reads a list, each element as a field with bytes of its own, for which element is called with a visitor of its own.
-// Elements that are read are added to the list. An element that can't be read is an error, and added as far as it was read.
+// List visits a list, each element of which is a field of its own with bytes, in the order of the list. It calls element for each, with a
+// visitor for the element's bytes. Elements that are read are appended to the list. An element that can't be read is an error, and is
+// appended all the same, decoded in part.
 func List[T any](visitor *Visitor, num protowire.Number, list *[]T, element func(visitor *Visitor, t *T)) {
 	if !visitor.reading {
 		for i := range *list {
@@ -60,5 +61,5 @@
 	}
 }
 
-// elementBytes are the bytes of an element that is read.
+// elementBytes returns the bytes of the element that is read.
 func (v *Visitor) elementBytes() []byte { return v.fields[0].bytes }
--- a/internal/mesh/transport/codec/visitor.go
+++ b/internal/mesh/transport/codec/visitor.go
@@ -8,32 +8,31 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Visitor writes the fields of a message, or reads them. Each of its methods takes the field's number and a pointer to its value. Where
-// a field comes more than once, the last one counts; lists keep all. A field on the wire with another type than the method's is an
-// error.
+// Visitor writes the fields of a message, or reads them. Each of its methods takes the number of a field and a pointer to its value. If a
+// field occurs more than once the last one counts; a list has all of them. A field whose type on the wire is not the method's is an error.
 type Visitor struct {
-	out     []byte // what is written
+	out     []byte // that was written
 	reading bool
-	fields  []rawField // what is read
+	fields  []rawField // of the message that is read
 	err     error      // the first one
 }
 
-// Reading reports whether fields are read, not written.
+// Reading reports whether fields are read, as opposed to written.
 func (v *Visitor) Reading() bool { return v.reading }
 
-// Fail says that what was read for a field is not what it should be. The first such error is the one that Unmarshal returns.
+// Fail reports that the value that was read for a field is invalid. Unmarshal returns the first error that is reported.
 func (v *Visitor) Fail(num protowire.Number, reason string) {
 	v.setError(fmt.Errorf("field %d %s", num, reason))
 }
 
-// setError notes an error if it is the first one.
+// setError records an error if it is the first one.
 func (v *Visitor) setError(err error) {
 	if v.err == nil {
 		v.err = err
 	}
 }
 
-// lastField is the last field with a number; nil if there is none, or if it has another type, which is an error.
+// lastField returns the last field with a number; nil if there is none, or if it has another type, which is reported as an error.
 func (v *Visitor) lastField(num protowire.Number, typ protowire.Type) *rawField {
 	for i := len(v.fields) - 1; i >= 0; i-- {
 		f := &v.fields[i]
@@ -51,7 +50,7 @@
 
 func (v *Visitor) failType(num protowire.Number) { v.Fail(num, "has another type") }
 
-// Uint64 is a number that is not negative (uint64).
+// Uint64 visits a number that is not negative (uint64).
 func (v *Visitor) Uint64(num protowire.Number, x *uint64) {
 	if v.reading {
 		if f := v.lastField(num, protowire.VarintType); f != nil {
@@ -65,7 +64,7 @@
 	}
 }
 
-// Int64 is a number that may be negative (sint64).
+// Int64 visits a number that may be negative (sint64).
 func (v *Visitor) Int64(num protowire.Number, x *int64) {
 	u := protowire.EncodeZigZag(*x)
 	v.Uint64(num, &u)
@@ -74,17 +73,17 @@
 	}
 }
 
-// Int is an int that may be negative (sint64).
+// Int visits an int that may be negative (sint64).
 func (v *Visitor) Int(num protowire.Number, x *int) {
 	i := int64(*x)
 	v.Int64(num, &i)
 	*x = int(i)
 }
 
-// Duration is a time in nanoseconds (sint64).
+// Duration visits a duration, in nanoseconds on the wire (sint64).
 func (v *Visitor) Duration(num protowire.Number, x *time.Duration) { v.Int64(num, (*int64)(x)) }
 
-// Bool is true or false (bool); any number but 0 is read as true.
+// Bool visits a truth value (bool). Any number but 0 is read as true.
 func (v *Visitor) Bool(num protowire.Number, x *bool) {
 	var u uint64
 	if *x {
@@ -94,7 +93,7 @@
 	*x = u != 0
 }
 
-// Fixed64 is a number that is seldom small, such as a random one (fixed64).
+// Fixed64 visits a number that is rarely small, such as a random one (fixed64).
 func (v *Visitor) Fixed64(num protowire.Number, x *uint64) {
 	if v.reading {
 		if f := v.lastField(num, protowire.Fixed64Type); f != nil {
@@ -108,14 +107,14 @@
 	}
 }
 
-// Float64 is a double. Negative zero is written.
+// Float64 visits a floating-point number (double). Negative zero is written.
 func (v *Visitor) Float64(num protowire.Number, x *float64) {
 	u := math.Float64bits(*x)
 	v.Fixed64(num, &u)
 	*x = math.Float64frombits(u)
 }
 
-// Bytes are bytes; those that are read point into the data that is unmarshalled.
+// Bytes visits bytes. Those that are read point into the data that is unmarshalled.
 func (v *Visitor) Bytes(num protowire.Number, x *[]byte) {
 	if v.reading {
 		if f := v.lastField(num, protowire.BytesType); f != nil {
@@ -129,7 +128,7 @@
 	}
 }
 
-// String is a string. It is not checked to be UTF-8.
+// String visits a string, which is not checked to be UTF-8.
 func (v *Visitor) String(num protowire.Number, x *string) {
 	if v.reading {
 		if f := v.lastField(num, protowire.BytesType); f != nil {
@@ -143,7 +142,7 @@
 	}
 }
 
-// Message is a message within another. Unlike other fields it is written if all its fields are zero, too.
+// Message visits a nested message. Unlike other fields it is written even if all its fields are zero.
 func (v *Visitor) Message(num protowire.Number, m Message) {
 	if !v.reading {
 		v.appendNested(num, m.Fields)
@@ -158,7 +157,7 @@
 	}
 }
 
-// appendNested writes a field whose bytes are what write writes to a visitor of its own.
+// appendNested writes a field whose bytes are those that write adds to a visitor of its own.
 func (v *Visitor) appendNested(num protowire.Number, write func(nested *Visitor)) {
 	var nested Visitor
 	write(&nested)
--- a/internal/mesh/transport/connect.go
+++ b/internal/mesh/transport/connect.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	drainPollInterval = 10 * time.Millisecond  // between two looks at the links of a draining process
-	minAcceptBackoff  = 5 * time.Millisecond   // after a connection could not be accepted; it doubles while that goes on
+	drainPollInterval = 10 * time.Millisecond  // between two checks of the links of a draining process
+	minAcceptBackoff  = 5 * time.Millisecond   // after the first connection that could not be accepted; it doubles with each failure
 	maxAcceptBackoff  = 500 * time.Millisecond // its bound
 )
 
-// dialTCP dials a peer. Close ends an attempt.
+// dialTCP dials a peer. Close interrupts it.
 func (h *Hub) dialTCP(address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // pings find out that a peer is lost
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // pings detect that a peer is lost
 	return d.DialContext(h.ctx, "tcp4", address)
 }
 
@@ -30,8 +30,9 @@
 	l.run(conn)
 }
 
-// Listen accepts links until the hub drains, and returns nil then, or until the listener is closed by another, which is an error. Any
-// other error of the listener, such as that the process has no file descriptors left, passes: it is logged, and links that are up go on.
+// Listen accepts links until the hub drains or is closed, and then returns nil. If the listener is closed otherwise, it returns the
+// listener's error, net.ErrClosed. Other errors, such as that the process has no file descriptors left, are logged and retried; links that
+// are up are not affected.
 func (h *Hub) Listen(listener net.Listener) error {
 	h.mu.Lock()
 	h.listeners = append(h.listeners, listener)
@@ -55,7 +56,7 @@
 	}
 }
 
-// accept runs a link that a peer has dialled.
+// accept starts a link that a peer has dialled.
 func (h *Hub) accept(conn net.Conn) {
 	l := newLink(h, conn.RemoteAddr().String(), false)
 	h.mu.Lock()
@@ -74,9 +75,9 @@
 	return h.closing
 }
 
-// Drain ends all links in order, at the given time of the process's clock at the latest, and closes the hub: it accepts no more links,
-// notifies each peer that this process is draining, and waits until the peers have their replies and have closed their links. So no call
-// is lost on its way here.
+// Drain shuts the hub down gracefully and closes it, at the latest at a time on the process's clock. It stops accepting links, notifies
+// each peer that this process is draining, and waits until the peers have received their replies and closed their links, so that no call
+// is lost in transit.
 func (h *Hub) Drain(until time.Duration) {
 	h.stopListening()
 	for h.Now() < until && !h.drainLinks() {
@@ -96,7 +97,7 @@
 	}
 }
 
-// drainLinks takes each accepted link a step towards its end, and reports whether all have ended.
+// drainLinks advances the draining of each accepted link, and reports whether all have ended.
 func (h *Hub) drainLinks() bool {
 	links, _ := h.allLinks()
 	ended := true
--- a/internal/mesh/transport/doc.go
+++ b/internal/mesh/transport/doc.go
@@ -1,8 +1,8 @@
 // Package transport carries calls between the processes of the mesh.
 //
-// A Hub is a process's end of all its links. A Link is one TCP connection to one peer and multiplexes calls: the side that dialled
-// calls, the side that accepted replies, and each call gets one reply. Calls are identified by a stream number, which a link never
-// uses twice. Two processes that call each other have two links.
+// A Hub manages all links of a process. A Link is one TCP connection to one peer, and multiplexes calls: the side that dialled sends
+// calls, the side that accepted sends replies, and each call gets one reply. A call is identified by its stream number, which is never
+// used twice on a link. Two processes that call each other have two links.
 //
 // # Frames
 //
@@ -24,23 +24,22 @@
 //	                              +------------------------------------------------------+
 //	                                no hello within a second
 //
-// A dialled link sends no call before the peer's hello: the kernel of a machine whose process does not run may have accepted the
-// connection, and a call that was not sent has certainly not been executed. A retired link completes the calls that it has, and the
-// next call dials a new one.
+// A dialled link sends no call before the peer's hello: the kernel accepts connections for a process that is suspended, and a call that
+// was not sent has certainly not been executed. A retired link completes its pending calls; the next call dials a new link.
 //
 // # Clocks
 //
-// All times are durations on the process's own monotonic clock, which starts with the process. Each frame carries its sender's clock.
-// The smallest difference that a link has seen between the two clocks translates the expiry of a call; the error is at most the
-// shortest time that a frame was under way.
+// All times are durations on the process's own monotonic clock, which starts with the process. Each frame carries the time on its sender's
+// clock. A call's expiry is translated by the smallest difference between the two clocks that the link has seen; the error is at most the
+// shortest time that a frame was in transit.
 //
 // # Pacing
 //
-// Chunks of large messages share a token bucket over all links of the process (shaper), so that they take at most nine tenths of the
-// machine's uplink and small messages find it free.
+// Chunks of large messages share one token bucket for all links of the process (shaper). It limits them to nine tenths of the machine's
+// uplink, so that small messages are not delayed.
 //
 // # What it does not do
 //
-// It does not authenticate peers, does not retry, and does not know what a method means: package agent and package inbound number the
-// methods. It bounds memory (Hub's maxCallBytes, maxMessageBytes), not the number of links.
+// It does not authenticate peers, does not retry calls, and does not define methods: packages agent and inbound do. It bounds the memory
+// of calls (Hub's maxCallBytes, maxMessageBytes), not the number of links.
 package transport
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxChunkBytes   = 16 << 10            // bytes of a message in one frame
-	maxFrameBytes   = maxChunkBytes + 256 // a chunk with its envelope
-	maxMessageBytes = 72 << 20            // bytes of one message: the largest body of a request, and its header
-	protocolVersion = 1                   // of Hello; a peer with another one is not spoken to
-	lengthBytes     = 4                   // of the length before a frame
+	maxChunkBytes   = 16 << 10            // of a message's bytes in one frame
+	maxFrameBytes   = maxChunkBytes + 256 // a chunk and its envelope
+	maxMessageBytes = 72 << 20            // of a complete message: the largest body of a request, and its header
+	protocolVersion = 1                   // in Hello; a link to a peer with another version is closed
+	lengthBytes     = 4                   // of the length that precedes a frame
 )
 
 // frameKind is the purpose of a frame. The numbers are part of the protocol.
@@ -26,24 +26,24 @@
 	helloFrame   frameKind = 1 // body: a Hello; the first frame of each side, and only the first
 	callFrame    frameKind = 2 // a chunk of a call
 	replyFrame   frameKind = 3 // a chunk of the reply to the call with the same stream
-	cancelFrame  frameKind = 4 // the caller has cancelled the call; its reply says how far it came
-	pingFrame    frameKind = 5 // asks for a pong
+	cancelFrame  frameKind = 4 // the caller has cancelled the call, which still gets a reply
+	pingFrame    frameKind = 5 // requests a pong
 	pongFrame    frameKind = 6
-	leavingFrame frameKind = 7 // the sender is draining: it replies to what it has, and wants no new calls on this link
+	leavingFrame frameKind = 7 // the sender is draining: it replies to the calls that it has, and accepts no new ones on this link
 )
 
-// envelope is one frame.
+// envelope is a frame without its length.
 type envelope struct {
-	kind      uint64 // a frameKind; receivers ignore kinds that they do not know
-	stream    uint64
-	method    uint64        // of a call; 0 in other frames
+	kind      uint64        // a frameKind; receivers ignore unknown kinds
+	stream    uint64        // of the call
+	method    uint64        // of the call; 0 in frames of other kinds
 	last      bool          // the chunk completes its message
-	sentAt    time.Duration // the sender's clock when it wrote the frame
+	sentAt    time.Duration // on the sender's clock
 	expiresAt time.Duration // of a call, on the sender's clock; 0 for never
-	body      []byte
+	body      []byte        // a chunk, or a Hello
 }
 
-// Fields names the fields of an envelope (codec.Message).
+// Fields implements codec.Message.
 func (e *envelope) Fields(v *codec.Visitor) {
 	v.Uint64(1, &e.kind)
 	v.Uint64(2, &e.stream)
@@ -54,17 +54,17 @@
 	v.Bytes(7, &e.body)
 }
 
-// Hello is the greeting of a process, the first frame that it sends on a link.
+// Hello identifies a process to its peer. It is the body of the first frame that a process sends on a link.
 type Hello struct {
 	Version     uint64 // protocolVersion
 	Incarnation uint64 // random, new at each start of the process
-	Address     string // where its peers reach it
-	Name        string // of its machine, for people
+	Address     string // host:port at which its peers reach it
+	Name        string // of its machine, for logs
 	Zone        string
 	Service     string // of the endpoint beside it; empty for none
 }
 
-// Fields names the fields of a Hello (codec.Message).
+// Fields implements codec.Message.
 func (h *Hello) Fields(v *codec.Visitor) {
 	v.Uint64(1, &h.Version)
 	v.Fixed64(2, &h.Incarnation)
@@ -83,8 +83,7 @@
 	return buf
 }
 
-// readFrame reads one frame into e. The body is e's own: no later frame overwrites it. The error is io.EOF where the connection ends
-// between two frames.
+// readFrame reads a frame. Its body is not overwritten by later frames. The error is io.EOF if the connection ends between two frames.
 func readFrame(r *bufio.Reader, frame *envelope) error {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -11,42 +11,43 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Hub holds a process's links: those that it dialled, by address, and those that it accepted.
+// Hub manages a process's links: those that it has dialled, by address, and those that it has accepted. It is safe for concurrent use.
 //
-// Close ends the goroutines of the hub and its links, and waits for them. Handlers and the functions that are given to Send run
-// on: what they reply goes nowhere.
+// Close ends the goroutines of the hub and its links, and waits for them. It does not wait for handlers that were registered with Handle,
+// nor for functions that were passed to Send; replies after Close are dropped.
 type Hub struct {
 	log          *logrus.Logger
 	self         Hello
-	startedAt    time.Time // the process's clock counts from here
-	maxCallBytes int       // of the peers' calls, one or all together
+	startedAt    time.Time // zero of the process's clock
+	maxCallBytes int       // of the memory of peers' calls, for one call and for all together
 	shaper       shaper
 
 	ctx        context.Context // done once the hub is closed
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup // monitorLinks, and each link's reader and writer
 
-	// reservedBytes counts peers' calls that have no reply, and replies of which chunks are missing.
+	// reservedBytes are the bytes of peers' calls without a reply, and of incomplete replies to this process's calls.
 	reservedBytes atomic.Int64
 	traffic       trafficCounters
 
-	handlersMu sync.RWMutex // methods may be added while links are up
+	handlersMu sync.RWMutex // methods may be registered while links are up
 	handlers   map[uint64]func(*IncomingCall)
 
 	// These two are set before the first link.
 	onLinkLost func(address, reason string)
 	dialConn   func(address string) (net.Conn, error)
 
-	mu        sync.Mutex       // guards what follows; it is taken before a link's
-	links     map[string]*Link // that take calls, by the address that this process dialled
-	accepted  map[*Link]bool   // the links that peers dialled, and the retired ones
+	mu        sync.Mutex       // guards what follows; locked before a link's mutex
+	links     map[string]*Link // dialled, and not retired, by address
+	accepted  map[*Link]bool   // accepted links, and retired ones
 	listeners []net.Listener
-	closing   bool // draining or closed: no link that ends is reported as lost
-	closed    bool // no goroutine starts any more
+	closing   bool // draining or closed: links that end are not reported as lost
+	closed    bool // no goroutine may be started
 }
 
-// NewHub makes a hub and starts its check of links; Close ends it. Its clock counts from start. maxCallBytes bounds the memory of the
-// peers' calls, one or all together.
+// NewHub returns a hub that sends self as its Hello. The hub's clock starts at start. maxCallBytes bounds the memory of peers' calls, for
+// one call (beyond it the link is closed) and for all together (beyond it a call gets the empty reply). Close must be called to end the
+// hub's goroutines.
 func NewHub(self Hello, start time.Time, maxCallBytes int, log *logrus.Logger) *Hub {
 	self.Version = protocolVersion
 	h := &Hub{
@@ -61,38 +62,38 @@
 	return h
 }
 
-// Now is the process's monotonic clock.
+// Now returns the time on the process's monotonic clock.
 func (h *Hub) Now() time.Duration { return time.Since(h.startedAt) }
 
-// Self is how this process greets others.
+// Self returns the Hello of this process.
 func (h *Hub) Self() Hello { return h.self }
 
-// OnLinkLost has f called, without locks, when a link that this process dialled ends or its peer drains, unless the link was closed
-// here as idle. It is set before the first call.
+// OnLinkLost sets a function that is called, without locks, when a link that this process dialled ends or its peer drains, unless this
+// process closed the link because it was idle. It must be set before the first call.
 func (h *Hub) OnLinkLost(f func(address, reason string)) { h.onLinkLost = f }
 
-// SetDialer has links dialled by f in place of TCP. It is set before the first call.
+// SetDialer replaces the function that dials peers, TCP by default. It must be set before the first call.
 func (h *Hub) SetDialer(f func(address string) (net.Conn, error)) { h.dialConn = f }
 
-// LimitRate bounds what large messages take of the machine's uplink, in bits a second; 0 for no bound.
+// LimitRate sets the rate of the machine's uplink, in bits per second, of which large messages take nine tenths at most; 0 for no bound.
 func (h *Hub) LimitRate(bitsPerSecond float64) { h.shaper.limitRate(bitsPerSecond) }
 
-// Backlog is the time until all large messages that wait, and as many bytes more, have gone out; 0 without a bound on the rate.
+// Backlog returns the time until all queued large messages, and moreBytes more, have been sent; 0 if the rate is not bounded.
 func (h *Hub) Backlog(moreBytes float64) time.Duration { return h.shaper.backlog(moreBytes) }
 
-// LinkCounts is the number of links that this process dialled, and of those that it accepted or has retired.
+// LinkCounts returns the number of dialled links that are not retired, and the number of accepted and of retired links.
 func (h *Hub) LinkCounts() (dialled, accepted int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.links), len(h.accepted)
 }
 
-// Traffic is what all links of a hub have carried: frames, and their bytes without the headers of TCP and IP.
+// Traffic counts the frames that a hub's links have sent and received, and their bytes, without the headers of TCP and IP.
 type Traffic struct{ SentBytes, SentFrames, ReceivedBytes, ReceivedFrames uint64 }
 
 type trafficCounters struct{ sentBytes, sentFrames, receivedBytes, receivedFrames atomic.Uint64 }
 
-// Traffic is what the hub's links have carried so far.
+// Traffic returns the traffic of all links since the hub was made.
 func (h *Hub) Traffic() Traffic {
 	return Traffic{
 		SentBytes:      h.traffic.sentBytes.Load(),
@@ -102,7 +103,7 @@
 	}
 }
 
-// linkTo is the link to an address, dialled if there is none.
+// linkTo returns the link to an address, and dials it if there is none. In a closed hub it returns a closed link.
 func (h *Hub) linkTo(address string) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,7 +121,7 @@
 	return l
 }
 
-// removeLink forgets a link that has ended.
+// removeLink removes a link that has ended, and reports it as lost if it was in use.
 func (h *Hub) removeLink(l *Link, reason string) {
 	h.mu.Lock()
 	current := h.links[l.peer] == l
@@ -135,7 +136,7 @@
 	}
 }
 
-// retire keeps a dialled link for its pending calls only: its peer is draining, and the next call needs another link.
+// retire takes a dialled link out of use for new calls, as its peer is draining. Its pending calls are completed.
 func (h *Hub) retire(l *Link) {
 	if h.markRetired(l) && h.onLinkLost != nil {
 		h.onLinkLost(l.peer, reasonLeaving)
@@ -143,7 +144,8 @@
 	l.endIfRetired()
 }
 
-// markRetired reports whether the link took calls until now, in a hub that is not closing.
+// markRetired moves a link from links to accepted. It reports whether the link is to be reported as lost: it was in use, and the hub is not
+// closing.
 func (h *Hub) markRetired(l *Link) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,7 +160,7 @@
 	return !h.closing
 }
 
-// closeIfIdle closes a dialled link without a call for idleTimeout, and reports whether it did. The next call dials anew.
+// closeIfIdle closes a dialled link that has had no call for idleTimeout, and reports whether it did. The next call dials a new link.
 func (h *Hub) closeIfIdle(l *Link, now time.Duration) bool {
 	if !h.markIdle(l, now) {
 		return false
@@ -168,6 +170,7 @@
 	return true
 }
 
+// markIdle marks a dialled link as closed if it is idle, and reports whether it did.
 func (h *Hub) markIdle(link *Link, now time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -207,7 +210,7 @@
 	}
 }
 
-// allLinks is every link, and whether the hub drains or is closed.
+// allLinks returns all links, and whether the hub is draining or closed.
 func (h *Hub) allLinks() (links []*Link, closing bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -221,7 +224,7 @@
 	return links, h.closing
 }
 
-// Close ends all links and waits for their goroutines. It is not called by a handler, nor by a function that was given to Send.
+// Close closes all links and waits for their goroutines. It must not be called by a handler, nor by a function that was passed to Send.
 func (h *Hub) Close() {
 	h.mu.Lock()
 	h.closing = true
@@ -231,11 +234,11 @@
 	for _, l := range links {
 		l.fail(reasonClosed)
 	}
-	h.cancel() // after the links, whose calls end because the hub is closed, not because they could not be dialled
+	h.cancel() // after the links, so that the calls of a link being dialled end with reasonClosed, not with the dialler's error
 	h.goroutines.Wait()
 }
 
-// closeConn closes a connection that is of no further use. An error changes nothing for its link, which has ended.
+// closeConn closes the connection of a link that has ended. An error has no consequence, and is logged only.
 func (h *Hub) closeConn(conn net.Conn, peer string) {
 	if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		h.log.WithField("peer", peer).WithError(err).Debug("transport: a connection did not close")
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	dialTimeout       = 600 * time.Millisecond // until a connection that is not established counts as failed
-	idleTimeout       = 30 * time.Second       // without a call: the side that dialled closes the link
-	leaveTimeout      = 300 * time.Millisecond // of a draining process, until its peer has closed the link
+	dialTimeout       = 600 * time.Millisecond // to establish a connection
+	idleTimeout       = 30 * time.Second       // since the last call, after which the side that dialled closes the link
+	leaveTimeout      = 300 * time.Millisecond // for the peer of a draining process to close the link, before its sending half is closed
 	readBufferBytes   = 4 << 10
-	socketBufferBytes = 128 << 10 // for writing: no later frame can overtake what is in it
+	socketBufferBytes = 128 << 10 // of the kernel's write buffer; small, as no frame can overtake the bytes in it
 )
 
-// Why a link ended, or a call got no reply. The texts appear in errors and logs; where a connection fails, its error is the reason.
+// Reasons why a link ended, or a call got no reply. They appear in errors and logs. If a connection fails its error is the reason.
 const (
 	reasonCancelled    = "withdrawn"
 	reasonClosed       = "closed"
@@ -30,32 +30,32 @@
 // Link is a connection to one peer. The side that dialled sends calls, the side that accepted replies.
 type Link struct {
 	hub        *Hub
-	peer       string        // the peer's address, for people; of a dialled link also its key in the hub
+	peer       string        // the peer's address; of a dialled link also its key in the hub
 	dialled    bool          // by this process
-	writerWake chan struct{} // holds one: the writer has something to do
+	writerWake chan struct{} // of capacity 1; wakes the writer
 
-	mu          sync.Mutex // guards what follows. It is taken after the hub's and before the shaper's
-	conn        net.Conn   // nil while it is dialled; set once
+	mu          sync.Mutex // guards what follows; locked after the hub's mutex and before the shaper's
+	conn        net.Conn   // nil until the connection is established; set once
 	connectedAt time.Duration
 	closed      bool
 	closeReason string
-	retired     bool // takes no new calls: it was closed as idle, or its peer is draining
-	peerGreeted bool // the peer's hello has come
+	retired     bool // no new calls are sent on it: it was closed as idle, or its peer is draining
+	peerGreeted bool // the peer's hello was received
 	peerHello   Hello
 	lastCallAt  time.Duration // when this process last made a call
 
-	lastStream uint64                   // the number of this process's last call
-	pending    map[uint64]*PendingCall  // this process's calls without a reply, by stream
-	incoming   map[uint64]*IncomingCall // the peer's complete calls without a reply
-	partial    map[uint64]*IncomingCall // the peer's calls of which chunks are missing
+	lastStream uint64                   // of this process's last call
+	pending    map[uint64]*PendingCall  // by stream: this process's calls without a reply
+	incoming   map[uint64]*IncomingCall // by stream: the peer's complete calls without a reply
+	partial    map[uint64]*IncomingCall // by stream: the peer's incomplete calls
 
 	queue   sendQueue
-	writing bool // the writer has bytes that it has not handed to the connection yet
+	writing bool // the writer has taken bytes from the queue that it has not written to the connection yet
 
 	liveness  liveness
 	peerClock peerClock
 
-	leavingSince time.Duration // when this draining process notified its peer; 0 for not yet
+	leavingSince time.Duration // when the leavingFrame was queued; 0 for not yet
 	writeClosed  bool          // the sending half of the connection is closed
 }
 
@@ -70,10 +70,10 @@
 	}
 }
 
-// run sends and receives on a connection until the link ends. It returns when its reader has ended.
+// run serves the link on a connection until the link ends. It returns when the reader has ended.
 func (l *Link) run(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(socketBufferBytes) // a hint: the link works with any size
+		_ = tcp.SetWriteBuffer(socketBufferBytes) // the link works with any size
 	}
 	if !l.attach(conn) {
 		l.hub.closeConn(conn, l.peer)
@@ -84,7 +84,7 @@
 	l.readLoop(conn)
 }
 
-// attach gives the link its connection, and has the greeting go out first. It reports false if the link was closed meanwhile.
+// attach sets the link's connection, and queues the hello as the first frame. It returns false if the link was closed meanwhile.
 func (l *Link) attach(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,19 +99,19 @@
 	return true
 }
 
-// mayCall reports whether calls may go out. The connection may have been accepted by the kernel of a machine whose process does not
-// run: no call goes there before the process's hello, so that none can begin when it resumes. The lock is held.
+// mayCall reports whether calls may be sent. The kernel accepts connections for a suspended process: no call is sent before the process's
+// hello, so that none is executed late when the process resumes. The lock is held.
 func (l *Link) mayCall() bool { return l.peerGreeted || !l.dialled }
 
-// unanswered is what a link has without a reply when it ends.
+// unanswered has the calls without a reply of a link that has ended, and its connection.
 type unanswered struct {
 	conn     net.Conn // nil if there was none yet
 	pending  map[uint64]*PendingCall
 	incoming map[uint64]*IncomingCall
 }
 
-// fail ends the link, once: its calls without a reply end with a ConnectionError, and the peer's calls are cancelled for their
-// handlers. The lock is not held.
+// fail ends the link; later calls have no effect. This process's pending calls end with a ConnectionError, and the peer's calls are
+// cancelled. The lock is not held.
 func (l *Link) fail(reason string) {
 	left, ok := l.close(reason)
 	if !ok {
@@ -119,7 +119,7 @@
 	}
 	if left.conn != nil {
 		if tcp, ok := left.conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // what has not arrived yet never does: no call may begin once its caller counts it as lost
+			_ = tcp.SetLinger(0) // the kernel drops unsent bytes: no call may arrive after it has ended with a ConnectionError
 		}
 		l.hub.closeConn(left.conn, l.peer)
 	}
@@ -133,8 +133,7 @@
 	}
 }
 
-// close marks the link closed, drops what it has to send and gives back the memory of its calls. It reports false if the link was
-// closed before.
+// close marks the link as closed, drops its queue and releases the memory of its calls. It returns false if the link was closed before.
 func (l *Link) close(reason string) (left unanswered, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +159,7 @@
 	return left, true
 }
 
-// endIfRetired ends a link whose peer is draining, once no call on it is pending.
+// endIfRetired ends a retired link without pending calls.
 func (l *Link) endIfRetired() {
 	l.mu.Lock()
 	unused := l.retired && !l.closed && len(l.pending) == 0
@@ -170,9 +169,9 @@
 	}
 }
 
-// drain notifies the peer of an accepted link that this process is draining, and reports whether the link has ended. The peer closes it
-// once it has all its replies; if it does not, this side closes its sending half after the last reply. It is called every
-// drainPollInterval.
+// drain advances the draining of an accepted link, and reports whether the link has ended. First it notifies the peer, which closes the
+// link once it has received all replies. If the peer has not done so within leaveTimeout, this side closes its sending half after the
+// last reply. It is called every drainPollInterval.
 func (l *Link) drain(now time.Duration) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,10 +190,10 @@
 	return false
 }
 
-// allReplied reports whether every call of the peer has its reply, down to the last byte. The lock is held.
+// allReplied reports whether the replies to all calls of the peer were written completely. The lock is held.
 func (l *Link) allReplied() bool { return !l.writing && len(l.incoming) == 0 && l.queue.len() == 0 }
 
-// closeWrite closes the sending half of the connection: the peer reads the end after the last reply. The lock is held.
+// closeWrite closes the sending half of the connection: the peer reads EOF after the last reply. The lock is held.
 func (l *Link) closeWrite() {
 	l.writeClosed = true
 	half, ok := l.conn.(interface{ CloseWrite() error })
--- a/internal/mesh/transport/liveness.go
+++ b/internal/mesh/transport/liveness.go
@@ -4,28 +4,28 @@
 
 const (
 	checkInterval    = 100 * time.Millisecond  // between two checks of all links
-	pendingPingDelay = 300 * time.Millisecond  // without a frame while a reply is awaited: a ping goes out
-	idlePingDelay    = 2 * time.Second         // the same while none is
+	pendingPingDelay = 300 * time.Millisecond  // since the last frame, after which a ping is sent while calls are pending
+	idlePingDelay    = 2 * time.Second         // the same while none are
 	helloTimeout     = 1000 * time.Millisecond // from the connection to the peer's hello
 	pongTimeout      = 1000 * time.Millisecond // from a ping to any frame of the peer
-	suspendThreshold = 500 * time.Millisecond  // between two checks: this process was suspended meanwhile
+	suspendThreshold = 500 * time.Millisecond  // between two checks, above which this process counts as having been suspended
 )
 
-// liveness tells a quiet peer from a lost one. Its link's lock guards it; times are on this process's clock.
+// liveness determines whether a peer that sends nothing is idle or lost. Its link's lock guards it; times are on this process's clock.
 type liveness struct {
-	lastReceivedAt time.Duration // when the last frame came
-	pingSentAt     time.Duration // when a ping went out that no frame has followed; 0 for none
+	lastReceivedAt time.Duration // when the last frame was received
+	pingSentAt     time.Duration // when a ping was sent, if no frame was received since; 0 for none
 	lastCheckAt    time.Duration
 }
 
-// received notes a frame of the peer.
+// received records a frame of the peer.
 func (v *liveness) received(now time.Duration) {
 	v.lastReceivedAt = now
 	v.pingSentAt = 0
 }
 
-// resumed reports whether this process was suspended since the last check. If so, time-outs start anew: what the peer sent meanwhile
-// is still to be read.
+// resumed reports whether this process was suspended since the last check. If so, it resets the time-outs, as the frames that the peer has
+// sent meanwhile are not read yet.
 func (v *liveness) resumed(now time.Duration) bool {
 	suspended := now-v.lastCheckAt > suspendThreshold
 	v.lastCheckAt = now
@@ -39,14 +39,14 @@
 	return v.pingSentAt != 0 && now-v.pingSentAt > pongTimeout
 }
 
-// pingDue reports whether a ping is to go out: none is unanswered, and the peer has sent nothing for longer than delay.
+// pingDue reports whether a ping is to be sent: no pong is outstanding, and the peer has sent nothing for longer than delay.
 func (v *liveness) pingDue(now, delay time.Duration) bool {
 	return v.pingSentAt == 0 && now-v.lastReceivedAt > delay
 }
 
 // peerClock translates times on a peer's clock to this process's. Its link's lock guards it.
 type peerClock struct {
-	offset time.Duration // the least seen of: this process's clock less the one in a frame, as the frame came
+	offset time.Duration // smallest difference seen between this clock, when a frame was received, and the frame's sentAt
 	known  bool
 }
 
@@ -59,7 +59,7 @@
 
 func (c *peerClock) toLocal(peerTime time.Duration) time.Duration { return peerTime + c.offset }
 
-// checkLiveness pings a peer that has sent nothing for a while, and ends the link of one that does not answer. It is called every
+// checkLiveness pings a peer that has sent nothing for a while, and ends the link if the peer does not respond. It is called every
 // checkInterval.
 func (l *Link) checkLiveness(now time.Duration) {
 	l.endIfRetired()
@@ -72,7 +72,7 @@
 	}
 }
 
-// pingIfDue queues a ping if one is due. failure is why the peer counts as lost; empty if it does not.
+// pingIfDue queues a ping if one is due. failure is the reason why the peer counts as lost; empty if it does not.
 func (l *Link) pingIfDue(now time.Duration) (pinged bool, failure string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/mesh/transport/methods.go
+++ b/internal/mesh/transport/methods.go
@@ -9,14 +9,14 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// HandleRaw has f called for each call of a method, on its link's reader: it must not block.
+// HandleRaw registers the handler of a method. It is called on the goroutine that reads the link, and must not block.
 func (h *Hub) HandleRaw(method uint64, handler func(*IncomingCall)) {
 	h.handlersMu.Lock()
 	defer h.handlersMu.Unlock()
 	h.handlers[method] = handler
 }
 
-// dispatch hands a complete call to its method's handler. A method of a later version gets the empty reply, which says nothing.
+// dispatch calls the handler of a complete call. A call of an unknown method, of a later version, gets the empty reply.
 func (h *Hub) dispatch(call *IncomingCall) {
 	h.handlersMu.RLock()
 	handler := h.handlers[call.method]
@@ -28,9 +28,9 @@
 	handler(call)
 }
 
-// Handle has f called for each call of a method, on a goroutine of its own: it may block. ctx ends with the call's handling and when
-// the hub is closed. A nil reply is the empty one, which says nothing. A request that can't be unmarshalled ends the link, with the
-// cause in the log.
+// Handle registers the handler of a method, with the types of its request and reply. The handler is called on a goroutine of its own, and
+// may block. ctx ends when the handler returns or the hub is closed. If the handler returns nil, the call gets the empty reply, all fields
+// of which are zero. A request that can't be unmarshalled closes the link, and is logged.
 func Handle[Q, A any, PQ interface {
 	*Q
 	codec.Message
@@ -58,9 +58,9 @@
 	})
 }
 
-// Send calls a method of the process at an address. done is called once, on a goroutine of the hub's and never before Send returns,
-// with the reply or with a ConnectionError; it must not block. The other side does not begin with the call after expiresAt, a time of
-// this process's clock; 0 for never.
+// Send calls a method of the process at an address, and dials a link if there is none. done is called once, on another goroutine, with the
+// reply or a ConnectionError; it must not block. The peer does not start to execute the call after expiresAt, a time on this process's
+// clock; 0 for no expiry.
 func (h *Hub) Send(address string, method uint64, body []byte, expiresAt time.Duration,
 	done func(body []byte, err error),
 ) *PendingCall {
@@ -69,12 +69,12 @@
 		if h.linkTo(address).startCall(call) {
 			return call
 		}
-		// The link was retired between the two steps; the next one takes the call.
+		// The link was retired after linkTo returned it; the next call of linkTo returns another one.
 	}
 }
 
-// Request calls a method of the process at an address and waits for the reply. The error is a ConnectionError, that of ctx, or one that
-// says that the reply can't be unmarshalled. A call whose ctx ends is cancelled.
+// Request calls a method of the process at an address and waits for the reply. The error is a *ConnectionError, ctx.Err(), or that of
+// codec.Unmarshal for the reply, wrapped. If ctx ends the call is cancelled.
 func Request[A any, PA interface {
 	*A
 	codec.Message
--- a/internal/mesh/transport/reader.go
+++ b/internal/mesh/transport/reader.go
@@ -17,15 +17,14 @@
 	hub *Hub
 }
 
-// Read reads from the connection (io.Reader).
+// Read implements io.Reader.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.hub.traffic.receivedBytes.Add(uint64(n))
 	return n, err
 }
 
-// readLoop is the link's one reader. It ends with the link, and ends the link if the connection fails or the peer sends what no peer
-// may send.
+// readLoop reads and handles frames until the link ends. It ends the link if the connection fails or the peer violates the protocol.
 func (l *Link) readLoop(conn net.Conn) {
 	r := bufio.NewReaderSize(countingConn{conn, l.hub}, readBufferBytes)
 	for {
@@ -46,25 +45,25 @@
 	}
 }
 
-// isConnectionEnd reports whether err is of the connection, not of what was read on it.
+// isConnectionEnd reports whether err is an error of the connection, as opposed to an invalid frame.
 func isConnectionEnd(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.As(err, &network)
 }
 
-// warnInvalid logs that the peer sent what no process of the mesh sends.
+// warnInvalid logs that the peer has violated the protocol.
 func (l *Link) warnInvalid(err error) {
 	l.hub.log.WithField("peer", l.peer).WithField("name", l.peerName()).WithError(err).Warn("transport: invalid frame, the link is closed")
 }
 
-// peerName is the name of the peer's machine; empty before its hello.
+// peerName returns the name of the peer's machine; empty before its hello.
 func (l *Link) peerName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peerHello.Name
 }
 
-// handleFrame applies a frame of the peer to the link. An error means that the link is of no further use.
+// handleFrame handles a frame of the peer. An error means that the peer has violated the protocol.
 func (l *Link) handleFrame(e *envelope) error {
 	l.observe(e)
 	switch frameKind(e.kind) {
@@ -80,12 +79,12 @@
 		l.handlePing()
 	case leavingFrame:
 		l.hub.retire(l)
-	default: // a pong, which observe has noted, or a kind of a later version
+	default: // a pong, which observe has recorded, or a kind of a later version
 	}
 	return nil
 }
 
-// observe notes that the peer is alive, and its clock.
+// observe records that a frame was received, and its sender's clock.
 func (l *Link) observe(e *envelope) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +106,7 @@
 		return trace.BadParameter("speaks version %d, this is %d", l.peerHello.Version, protocolVersion)
 	}
 	l.peerGreeted = true
-	l.wakeWriter() // calls may go out now
+	l.wakeWriter() // calls may be sent now
 	return nil
 }
 
@@ -118,14 +117,14 @@
 	l.wakeWriter()
 }
 
-// handleCancel cancels a call of the peer. A call of which chunks are missing is forgotten; the handler of a complete one is notified.
+// handleCancel cancels a call of the peer. An incomplete call is dropped; the handler of a complete one is notified.
 func (l *Link) handleCancel(e *envelope) {
 	if call := l.dropPartial(e.stream); call != nil {
 		call.cancel()
 	}
 }
 
-// dropPartial forgets a call that is not complete, and returns one that is; nil if there is none with that stream.
+// dropPartial drops the incomplete call with a stream, if there is one. It returns the complete call with the stream; nil if there is none.
 func (l *Link) dropPartial(stream uint64) *IncomingCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +135,7 @@
 	return l.incoming[stream]
 }
 
-// handleReply takes a chunk of a reply, and ends the call with the last one.
+// handleReply handles a chunk of a reply. The last chunk ends the call.
 func (l *Link) handleReply(e *envelope) error {
 	call, err := l.assembleReply(e)
 	if err != nil || call == nil {
@@ -147,8 +146,8 @@
 	return nil
 }
 
-// assembleReply adds a chunk to the reply of a pending call. It returns the call once its reply is complete, and nil before. A reply to
-// a call that has ended meanwhile is dropped.
+// assembleReply appends a chunk to the reply of a pending call. It returns the call if its reply is complete; nil if not. A reply to a call
+// that has ended is dropped.
 func (l *Link) assembleReply(chunk *envelope) (*PendingCall, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +163,7 @@
 	} else {
 		call.reply = append(call.reply, chunk.body...)
 	}
-	if !chunk.last { // a complete reply is the caller's; the chunks of an incomplete one are counted here
+	if !chunk.last { // only incomplete replies count: a complete one is handed over to the caller
 		l.hub.reservedBytes.Add(int64(len(chunk.body)))
 		call.reservedBytes += len(chunk.body)
 		return nil, nil
@@ -174,7 +173,7 @@
 	return call, nil
 }
 
-// handleCall takes a chunk of a call, and hands the call to its method's handler with the last one.
+// handleCall handles a chunk of a call. The last chunk dispatches the call.
 func (l *Link) handleCall(e *envelope) error {
 	call, err := l.assembleCall(e)
 	switch {
@@ -188,8 +187,8 @@
 	return nil
 }
 
-// assembleCall adds a chunk to a call of the peer. It returns the call once it is complete, and nil before. A single call that is too
-// large is the peer's error; where all calls together are, the call is marked overLimit.
+// assembleCall appends a chunk to a call of the peer. It returns the call if it is complete; nil if not. A call beyond maxMessageBytes or
+// maxCallBytes is an error. If all calls together are beyond maxCallBytes, the call is marked overLimit.
 func (l *Link) assembleCall(chunk *envelope) (*IncomingCall, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +219,7 @@
 	return call, nil
 }
 
-// newIncomingCall begins a call with its first chunk. The lock is held.
+// newIncomingCall returns a call with its first chunk. The lock is held.
 func (l *Link) newIncomingCall(e *envelope) *IncomingCall {
 	call := &IncomingCall{link: l, stream: e.stream, From: &l.peerHello, method: e.method, Body: e.body}
 	if e.expiresAt != 0 {
--- a/internal/mesh/transport/shaper.go
+++ b/internal/mesh/transport/shaper.go
@@ -7,44 +7,45 @@
 )
 
 const (
-	// linkRateFraction is the part of the machine's uplink that large messages may take, all links together, so that none of them
-	// queues there before small messages.
+	// linkRateFraction is the fraction of the machine's uplink that large messages of all links together may use. The rest keeps the queue
+	// of the uplink short for small messages.
 	linkRateFraction = 0.9
-	// maxActiveTransfers is how many large messages are sent at once, in the order in which they came: if all shared a link that is
-	// full evenly, all of them would be late.
+	// maxActiveTransfers is the number of large messages that are sent at once, in the order in which they were queued: if all of them
+	// shared a full link evenly, all would be late.
 	maxActiveTransfers = 3
-	// maxChunkTime is how long one chunk may occupy the uplink: small messages wait no longer.
+	// maxChunkTime is how long a chunk may occupy the uplink, and so how long a small message waits for one at most.
 	maxChunkTime  = 4 * time.Millisecond
 	minChunkBytes = 2 << 10
-	// transferRecheckInterval is when the writer of a link looks again at a transfer that waits for its turn; finish wakes it before.
+	// transferRecheckInterval is the time after which a writer checks again whether an inactive transfer has become active, if finish has
+	// not woken it before.
 	transferRecheckInterval = 250 * time.Millisecond
-	// minShapingWait bounds how often a writer asks for the next chunk.
+	// minShapingWait is the shortest time until a writer tries again to reserve a chunk.
 	minShapingWait = time.Millisecond
-	// burstChunks is the size of the token bucket, and maxDebtBursts how far small messages may overdraw it, in buckets.
+	// burstChunks is the size of the token bucket in chunks, and maxDebtBursts how far small messages may overdraw it, in buckets.
 	burstChunks   = 2
 	maxDebtBursts = 4
 	bitsPerByte   = 8
 )
 
-// transfer is a large message that is on its way out. The shaper's lock guards it.
+// transfer is a large message that is being sent. The shaper's lock guards it.
 type transfer struct {
 	link      *Link
-	remaining int // bytes that no chunk has been reserved for
+	remaining int // bytes for which no chunk was reserved yet
 }
 
-// shaper paces the large messages of a process by a token bucket over all its links. Its zero value does not pace. Its lock is taken
-// after a link's.
+// shaper paces the large messages of a process by a token bucket for all its links. Its zero value does not pace. Its mutex is locked after
+// a link's.
 type shaper struct {
 	mu           sync.Mutex
-	rate         float64 // bytes a second; 0 for no bound
-	tokens       float64 // bytes that may go out now; below 0 after small messages
+	rate         float64 // bytes per second; 0 for no bound
+	tokens       float64 // bytes that may be sent now; negative if small messages have overdrawn the bucket
 	refilledAt   time.Duration
-	transfers    []*transfer // in the order of their start
-	backlogBytes int         // remaining of all transfers
-	chunkBytes   int         // of one chunk; 0 for maxChunkBytes
+	transfers    []*transfer // in the order of their start; the first maxActiveTransfers are active
+	backlogBytes int         // sum of remaining over all transfers
+	chunkBytes   int         // of a chunk; 0 for maxChunkBytes
 }
 
-// limitRate sets the uplink's rate in bits a second; 0 for no bound.
+// limitRate sets the uplink's rate in bits per second; 0 for no bound.
 func (s *shaper) limitRate(bitsPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// backlog is the time until all transfers, and as many bytes more, have gone out; 0 without a bound on the rate.
+// backlog returns the time until all transfers, and moreBytes more, have been sent; 0 if the rate is not bounded.
 func (s *shaper) backlog(moreBytes float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +65,7 @@
 	return time.Duration((float64(s.backlogBytes) + moreBytes) / s.rate * float64(time.Second))
 }
 
-// maxChunk is the most bytes of one chunk.
+// maxChunk returns the bound on a chunk in bytes.
 func (s *shaper) maxChunk() int {
 	if s.chunkBytes == 0 {
 		return maxChunkBytes
@@ -72,16 +73,16 @@
 	return s.chunkBytes
 }
 
-// burst is the size of the token bucket in bytes.
+// burst returns the size of the token bucket in bytes.
 func (s *shaper) burst() float64 { return float64(burstChunks * s.maxChunk()) }
 
-// refill adds the tokens of the time since the last refill. The lock is held.
+// refill adds the tokens for the time since the last refill. The lock is held.
 func (s *shaper) refill(now time.Duration) {
 	s.tokens = min(s.tokens+s.rate*(now-s.refilledAt).Seconds(), s.burst())
 	s.refilledAt = now
 }
 
-// spend takes tokens for n bytes of small messages, which never wait for them.
+// spend takes tokens for n bytes of small messages, which do not wait for tokens.
 func (s *shaper) spend(now time.Duration, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// start adds a large message of a link.
+// start adds a transfer for a large message of a link, of size bytes.
 func (s *shaper) start(l *Link, size int) *transfer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,7 @@
 	return t
 }
 
-// reserve takes tokens for the next chunk of a transfer, of n bytes, or says how long to wait for them.
+// reserve takes tokens for the next chunk of a transfer and returns the size of the chunk in bytes, or the time after which to try again.
 func (s *shaper) reserve(now time.Duration, transfer *transfer) (size int, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,14 +122,14 @@
 	return size, 0
 }
 
-// finish removes a transfer whose message has gone out, or whose link has ended, and wakes the link of the one whose turn it is now.
+// finish removes a transfer whose message was sent, or whose link has ended, and wakes the writer of the transfer that becomes active.
 func (s *shaper) finish(t *transfer) {
 	if next := s.remove(t); next != nil {
 		next.wakeWriter()
 	}
 }
 
-// remove is the link of the transfer that became active by the removal; nil if none did.
+// remove removes a transfer. It returns the link of the transfer that becomes active by that; nil if none does.
 func (s *shaper) remove(t *transfer) (next *Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	maxWriteBytes      = 4 * maxChunkBytes // from which on no further frame is added to one write; the last one may exceed it
-	maxKeptBufferBytes = 8 * maxChunkBytes // of a writer's buffer between two writes
+	maxWriteBytes      = 4 * maxChunkBytes // at which no further frame is added to a write; the last frame may exceed it
+	maxKeptBufferBytes = 8 * maxChunkBytes // above which a writer's buffer is not kept for the next write
 )
 
 // outgoingMessage is a call or a reply that a link's writer sends in one or more chunks.
 type outgoingMessage interface {
-	// progress is how far it has been sent.
+	// progress returns the part that it has in common with other messages: its body, and how much of it was sent.
 	progress() *sendProgress
-	// frame is the envelope of its next chunk, without the body.
+	// frame returns the envelope of its next chunk, without the body.
 	frame() envelope
-	// abandoned reports whether what is left of it is not to be sent.
+	// abandoned reports whether the rest of it is not to be sent.
 	abandoned() bool
-	// completed notes that its last chunk is handed to the writer.
+	// completed is called when its last chunk is added to a write.
 	completed()
 }
 
@@ -39,7 +39,7 @@
 
 func (o *outgoingReply) completed() {}
 
-// sendQueue is what a link has to send: control frames before small messages, these before large ones. The link's lock guards it.
+// sendQueue holds what a link has to send: control frames first, then small messages, then large ones. The link's lock guards it.
 type sendQueue struct {
 	control deque.Deque[envelope]
 	small   deque.Deque[outgoingMessage] // of one chunk
@@ -48,7 +48,7 @@
 
 func (q *sendQueue) len() int { return q.control.Len() + q.small.Len() + q.large.Len() }
 
-// clear drops everything.
+// clear drops all frames and messages, and ends the transfers of large ones.
 func (q *sendQueue) clear(s *shaper) {
 	q.small.Clear()
 	for q.large.Len() > 0 {
@@ -57,7 +57,7 @@
 	q.control.Clear()
 }
 
-// enqueue adds a message to the queue. The lock is held.
+// enqueue adds a message to the queue, and starts a transfer if it is large. The lock is held.
 func (l *Link) enqueue(m outgoingMessage) {
 	p := m.progress()
 	if len(p.body) <= maxChunkBytes {
@@ -68,18 +68,18 @@
 	l.queue.large.PushBack(m)
 }
 
-// wakeWriter has the writer look at the queue. It never blocks.
+// wakeWriter wakes the writer, which then checks the queue. It never blocks.
 func (l *Link) wakeWriter() {
 	select {
 	case l.writerWake <- struct{}{}:
-	default: // it is to look anyway
+	default: // a wake-up is pending
 	}
 }
 
-// writeLoop is the link's one writer; it ends with the link.
+// writeLoop writes what is queued until the link ends.
 func (l *Link) writeLoop() {
 	var buf []byte
-	var paced <-chan time.Time // fires when the shaper has room for the next chunk
+	var paced <-chan time.Time // fires when the shaper allows the next chunk
 	for {
 		select {
 		case <-l.writerWake:
@@ -99,8 +99,8 @@
 	}
 }
 
-// flush writes what may go out now. wait is when there is more: 0 for not before the next wake-up. It reports false once the link has
-// ended.
+// flush writes all that may be sent now. wait is the time until the shaper allows more; 0 if only a wake-up brings more. ok is false if the
+// link has ended.
 func (l *Link) flush(buf *[]byte) (wait time.Duration, ok bool) {
 	for {
 		*buf, wait, ok = l.nextWrite((*buf)[:0])
@@ -115,8 +115,8 @@
 	}
 }
 
-// nextWrite appends the frames of the next write to buf: small messages first, then chunks of large ones as far as the shaper allows.
-// wait is when the shaper allows more; 0 if nothing waits for it. It reports false if the link is closed.
+// nextWrite appends the frames of the next write to buf: control frames, then small messages, then chunks of large ones that the shaper
+// allows. wait is the time until the shaper allows more; 0 if nothing waits for it. ok is false if the link is closed.
 func (l *Link) nextWrite(buf []byte) (_ []byte, wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,8 +151,8 @@
 	return buf
 }
 
-// appendLargeMessages appends a chunk of each large message for which the shaper has room. wait is the shortest time until it has room
-// for another; 0 if none waits.
+// appendLargeMessages appends a chunk of each large message for which the shaper allows one. wait is the shortest time until it allows
+// another; 0 if none waits.
 func (l *Link) appendLargeMessages(buf []byte, now time.Duration) (_ []byte, wait time.Duration) {
 	for n := l.queue.large.Len(); n > 0 && len(buf) < maxWriteBytes; n-- {
 		transfer := l.queue.large.Front().progress().transfer
@@ -167,14 +167,14 @@
 		complete := transfer.remaining == 0
 		buf = l.appendChunk(buf, now, &l.queue.large, size)
 		if complete {
-			defer l.hub.shaper.finish(transfer) // after the loop: the next transfer's turn comes with the next write
+			defer l.hub.shaper.finish(transfer) // after the loop, so that the next transfer becomes active with the next write
 		}
 	}
 	return buf, wait
 }
 
-// appendChunk appends a frame with the next chunk, of limit bytes at most, of the message at the front of a queue. A message with more
-// to send goes to the back of the queue; one that is abandoned is dropped.
+// appendChunk appends a frame with the next chunk, of limit bytes at most, of the message at the front of a queue. If more of the message
+// is to be sent it moves to the back of the queue; if it is abandoned it is dropped.
 func (l *Link) appendChunk(buf []byte, now time.Duration, queue *deque.Deque[outgoingMessage], limit int) []byte {
 	message := queue.PopFront()
 	progress := message.progress()
