--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -1,5 +1,5 @@
-// Package eventfeed serves a feed of events over HTTP: as JSON lines, or as server-sent events to clients that accept those. It keeps no
-// events itself: a Source does. Each reader has a cursor, so that a slow one misses only events that are no longer kept.
+// Package eventfeed serves a feed of events over HTTP: as JSON lines, or as server-sent events to clients that accept those. It does not
+// keep events; a Source does. Each reader has a cursor, so that a slow reader misses only events that are no longer kept.
 package eventfeed
 
 import (
@@ -13,19 +13,19 @@
 )
 
 const (
-	maxBatch   = 256              // events in one answer, or one write of a stream
-	maxWait    = 25 * time.Second // for an event, and for a reader to read
-	maxReaders = 32               // at once
+	maxBatch   = 256              // events in an answer, or in one write of a stream
+	maxWait    = 25 * time.Second // until an event occurs, and for a write to a reader
+	maxReaders = 32               // concurrently
 )
 
-// Names in a request, beside the path.
+// Query parameters and header fields of a request.
 const (
 	queryAfter        = "after" // a cursor
 	queryFollow       = "follow"
 	queryService      = "service"
 	queryTenant       = "tenant"
 	queryZone         = "zone"
-	headerLastEventID = "Last-Event-ID" // a cursor, of a server-sent stream that is taken up again
+	headerLastEventID = "Last-Event-ID" // a cursor, of a client that resumes a server-sent stream
 )
 
 // Content types of answers.
@@ -34,35 +34,35 @@
 	typeJSONLines  = "application/x-ndjson"
 )
 
-// Source is what keeps events. It may be used from several goroutines.
+// Source keeps events. It is safe for concurrent use.
 type Source interface {
-	// After returns up to limit events after a cursor that pass a filter, and the cursor to go on from. more is closed when there are
+	// After returns up to limit events after a cursor that pass a filter, and the cursor for the next call. more is closed when there are
 	// newer events.
 	After(c events.Cursor, limit int, f events.Filter) (found []events.Event, next events.Cursor, more <-chan struct{}, err error)
 }
 
-// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events there are, and waits
-// for one up to 25 s if there are none. With follow it goes on until the client leaves, with an empty line (or comment) where there was
-// nothing to send for 25 s. A slow reader misses only events that are no longer kept, and gets a gap for these.
+// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events after the cursor, and
+// waits for one up to 25 s if there are none. With follow it streams events until the client disconnects, and sends an empty line (or a
+// comment) after 25 s without an event. A slow reader misses only events that are no longer kept, and gets a gap for these.
 //
-// It answers 400 to what is no cursor, 405 to other methods, 503 to more than 32 readers at once, 500 if the source fails.
+// It answers 400 to an invalid cursor, 405 to other methods, 503 beyond 32 concurrent readers, and 500 if the source fails.
 func Handler(source Source) http.Handler { return &handler{source: source} }
 
-// handler serves a source, and counts its readers.
+// handler serves a source, and counts the readers.
 type handler struct {
 	source  Source
 	readers atomic.Int64
 }
 
-// request is what a reader asks for.
+// request has the parameters of a reader's request, and its progress.
 type request struct {
-	cursor     events.Cursor
+	cursor     events.Cursor // after the last event that was read from the source
 	filter     events.Filter
 	follow     bool
 	serverSent bool
 }
 
-// parseRequest reads what a client asks for. The error is an *events.CursorError.
+// parseRequest parses a reader's request. The error is an *events.CursorError.
 func parseRequest(r *http.Request) (*request, error) {
 	query := r.URL.Query()
 	after := query.Get(queryAfter)
@@ -77,7 +77,7 @@
 	return &request{
 		cursor:     cursor,
 		filter:     events.Filter{Service: query.Get(queryService), Tenant: query.Get(queryTenant), Zone: query.Get(queryZone)},
-		follow:     follow && err == nil, // what can't be parsed does not follow
+		follow:     follow && err == nil, // an invalid value counts as false
 		serverSent: r.Header.Get("Accept") == typeServerSent,
 	}, nil
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-// serve writes events until the request is answered, or the client has gone. The error is the source's.
+// serve writes events until the request is answered or the client has disconnected. The error is the source's.
 func (h *handler) serve(ctx context.Context, request *request, writer *eventWriter) error {
 	idle := time.NewTimer(maxWait)
 	defer idle.Stop()
--- a/internal/mesh/operations/eventfeed/writer.go
+++ b/internal/mesh/operations/eventfeed/writer.go
@@ -10,19 +10,19 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// eventWriter writes events to one reader. Its errors say that the reader has gone, or does not read.
+// eventWriter writes events to one reader. Its errors mean that the reader has disconnected, or does not read.
 type eventWriter struct {
 	out        io.Writer
 	controller *http.ResponseController
 	serverSent bool
 }
 
-// newEventWriter makes the writer of one answer.
+// newEventWriter returns the writer of an answer.
 func newEventWriter(w http.ResponseWriter, serverSent bool) *eventWriter {
 	return &eventWriter{out: w, controller: http.NewResponseController(w), serverSent: serverSent}
 }
 
-// write writes a batch, and sends it.
+// write writes a batch of events, and flushes it.
 func (w *eventWriter) write(batch []events.Event) error {
 	w.extendDeadline()
 	for i := range batch {
@@ -33,7 +33,7 @@
 	return w.controller.Flush()
 }
 
-// writeEvent writes one event, which may stay in the buffer.
+// writeEvent writes an event, without flushing it.
 func (w *eventWriter) writeEvent(e *events.Event) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return err
 }
 
-// keepAlive writes something that is no event, so that the reader knows that the stream is there.
+// keepAlive sends an empty line, or a comment of a server-sent stream, by which the reader knows that the stream is alive.
 func (w *eventWriter) keepAlive() error {
 	w.extendDeadline()
 	text := "\n"
@@ -60,7 +60,7 @@
 	return w.controller.Flush()
 }
 
-// extendDeadline has the stream of a reader that does not read end maxWait from now.
+// extendDeadline sets the deadline for writing to maxWait from now, so that the stream of a reader that does not read ends.
 func (w *eventWriter) extendDeadline() {
 	_ = w.controller.SetWriteDeadline(time.Now().Add(maxWait)) // not supported in tests without a connection
 }
--- a/internal/mesh/operations/eventlog/follow.go
+++ b/internal/mesh/operations/eventlog/follow.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	minRetryDelay = 200 * time.Millisecond // between two attempts to follow; it doubles while they bring nothing
-	maxRetryDelay = 5 * time.Second
-	streamTimeout = 40 * time.Second // without a line; a stream sends one every 25 s
+	minRetryDelay = 200 * time.Millisecond // between two attempts to follow; it doubles with each attempt without an event
+	maxRetryDelay = 5 * time.Second        // its bound
+	streamTimeout = 40 * time.Second       // since the last line; a core process sends one every 25 s
 	maxLineBytes  = 64 << 10
 
 	initialLineBytes = 4 << 10 // of the buffer
 )
 
-// errStreamEnded says that a core process has ended a stream in order, as it does when it shuts down.
+// errStreamEnded means that a core process has ended a stream regularly, as it does when it shuts down.
 var errStreamEnded = trace.ConnectionProblem(nil, "the stream ended")
 
-// Follow follows the feeds of core processes, one at a time, until ctx ends. cores are their control addresses. It begins with the one that
-// the log has followed, if there is one, and goes on to the next one when a core process brings nothing.
+// Follow follows the feeds of core processes, one at a time, until ctx ends, and adds their events to a log. cores are their control
+// addresses. It starts with the core process that the log has followed, if there is one, and changes to the next one when a stream has
+// ended without an event.
 func Follow(ctx context.Context, eventLog *Log, cores []string, log *logrus.Logger) {
 	delay := minRetryDelay
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		core := cores[attempt%len(cores)]
 		if followed, _ := eventLog.Followed(); attempt == 0 && followed != "" {
-			core = followed // the cursor is of this process
+			core = followed // the log's cursor is valid there
 		}
 		received, err := followCore(ctx, eventLog, core, log)
 		if err != nil && ctx.Err() == nil {
@@ -59,11 +60,11 @@
 	}
 }
 
-// followCore follows one core process to the end of a stream, and returns the number of events that it brought. The error is never nil.
+// followCore follows a core process until the stream ends, and returns the number of events that it has added. The error is never nil.
 func followCore(ctx context.Context, eventLog *Log, core string, log *logrus.Logger) (received int, err error) {
 	followed, cursor := eventLog.Followed()
 	if core != followed && followed != "" {
-		// Another process has seen other events in another order: what lies between is not known here.
+		// Another process has observed other events, in another order: it is not known which ones are missing.
 		cursor = ""
 		if err := eventLog.Add(changeOfCore(core), core, ""); err != nil {
 			log.WithField("core", core).WithError(err).Warn("eventlog: a gap can't be kept")
@@ -77,11 +78,11 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = stream.Close() }() // has nothing to add to the end of the stream
+	defer func() { _ = stream.Close() }() // an error is of no consequence after the end of the stream
 	return readStream(stream, eventLog, core, func() { deadline.Reset(streamTimeout) })
 }
 
-// changeOfCore is the gap before the events of another core process.
+// changeOfCore returns the gap before the events of another core process.
 func changeOfCore(core string) events.Event {
 	return events.Event{
 		Kind:   events.Gap,
@@ -103,14 +104,14 @@
 		return nil, trace.Wrap(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // has nothing to add to the status
+		_ = response.Body.Close() // the status is the error
 		return nil, trace.BadParameter("%s answers %s", core, response.Status)
 	}
 	return response.Body, nil
 }
 
-// readStream adds the events of a stream to the log until the stream ends, and returns how many it has added. alive is called with each
-// line. The error is never nil: errStreamEnded, the link's, the log's, or trace.BadParameter for a line that is no event.
+// readStream adds the events of a stream to the log until the stream ends, and returns how many it has added. alive is called for each
+// line. The error is never nil: errStreamEnded, that of the connection or of the log, or trace.BadParameter for an invalid line.
 func readStream(stream io.Reader, eventLog *Log, core string, alive func()) (added int, err error) {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
--- a/internal/mesh/operations/eventlog/log.go
+++ b/internal/mesh/operations/eventlog/log.go
@@ -11,20 +11,21 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// Keys of records: the head, and the prefix of an event's.
+// Keys of records: that of the head, and the prefix of an event's.
 const (
 	headKey        = "head"
 	eventKeyPrefix = "event/"
 )
 
-// Store is where records are kept, each under its key (control/storage.Store). Put returns when the record is on disk. The error of Get
-// for a key without a record is trace.NotFound.
+// Store keeps records by their keys (control/storage.Store).
 type Store interface {
+	// Get returns a record. The error for a key without a record is trace.NotFound.
 	Get(key string) ([]byte, error)
+	// Put writes a record, and returns when it is on disk.
 	Put(key string, data []byte) error
 }
 
-// RecordError says that a record on disk can't be parsed. For package trace it is a BadParameter.
+// RecordError reports a record on disk that can't be parsed. To package trace it is a BadParameter.
 type RecordError struct {
 	Key string // of the record
 	Err error
@@ -33,31 +34,31 @@
 // Error implements error.
 func (e *RecordError) Error() string { return fmt.Sprintf("record %q: %v", e.Key, e.Err) }
 
-// Unwrap is the parser's error, and one that has trace.IsBadParameter report true.
+// Unwrap returns the parser's error, and one by which trace.IsBadParameter reports true.
 func (e *RecordError) Unwrap() []error {
 	return []error{e.Err, &trace.BadParameterError{Message: e.Error()}}
 }
 
-// Log keeps the newest events under numbers of its own, in a ring of records. It is an eventfeed.Source. Its methods may be called from
-// any goroutine, and wait for the disk.
+// Log keeps the newest events under numbers of its own, in a ring of records. It implements eventfeed.Source. It is safe for concurrent
+// use; its methods wait for the disk.
 type Log struct {
 	store    Store
-	capacity uint64 // events kept
+	capacity uint64 // events that are kept
 
 	mu    sync.Mutex
 	head  head
 	added chan struct{} // closed, and replaced, when an event has been added
 }
 
-// head is the first record: what the log holds, and how far it has come with the core process. Its keys are those of logs on disk.
+// head is the record of the log's state. Its JSON keys are part of the format on disk.
 type head struct {
-	Incarnation uint64 `json:"life"` // of the log, new when its folder was empty
+	Incarnation uint64 `json:"life"` // of the log; drawn anew for an empty store
 	Next        uint64 `json:"next"` // number of the next event
-	CoreCursor  string `json:"core"` // at the core process
-	CoreAddress string `json:"from"` // control address of that process
+	CoreCursor  string `json:"core"` // of the last event, at the core process
+	CoreAddress string `json:"from"` // control address of the core process
 }
 
-// OpenLog opens the log in a store. capacity is how many events are kept, one at least. A log that is not there yet is made, with the
+// OpenLog opens the log in a store, which keeps up to capacity events, one at least. For an empty store it returns a new log, of the given
 // incarnation. The error is the store's, or a *RecordError.
 func OpenLog(store Store, capacity, incarnation uint64) (*Log, error) {
 	log := &Log{
@@ -79,13 +80,13 @@
 	return log, nil
 }
 
-// eventKey is the key of an event's record. The record of a later event takes its place.
+// eventKey returns the key of an event's record, which a later event will replace.
 func (l *Log) eventKey(number uint64) string {
 	return eventKeyPrefix + strconv.FormatUint(number%l.capacity, 10)
 }
 
-// Add keeps an event that a core process sent, with the cursor at that process. The event is on disk before the head counts it; one
-// that was written and not counted is written again after a crash, under the same number.
+// Add adds an event of a core process, with the event's cursor at that process. The event is written before the head: after a crash between
+// the two writes, the event is received again, and gets the same number.
 func (l *Log) Add(e events.Event, coreAddress, coreCursor string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,15 +116,15 @@
 	return trace.Wrap(l.store.Put(key, text))
 }
 
-// Followed is the control address of the core process that the log follows, and its cursor there; empty if it has followed none.
+// Followed returns the control address of the core process from which the last event came, and the event's cursor there; both are empty
+// for a new log.
 func (l *Log) Followed() (coreAddress, coreCursor string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.head.CoreAddress, l.head.CoreCursor
 }
 
-// After returns up to limit events after a cursor that the filter lets pass, the cursor to go on from, and a channel that is closed when
-// there are more. The error is the store's, or a *RecordError.
+// After implements eventfeed.Source. The error is the store's, or a *RecordError.
 func (l *Log) After(c events.Cursor, limit int, filter events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +145,7 @@
 	return found, events.Cursor{Incarnation: l.head.Incarnation, Number: number - 1}, l.added, nil
 }
 
-// windowLocked is what the log keeps now.
+// windowLocked returns the range of events that the log keeps.
 func (l *Log) windowLocked() *events.Window {
 	w := &events.Window{
 		Incarnation:      l.head.Incarnation,
@@ -159,7 +160,7 @@
 	return w
 }
 
-// read reads the event of a number that is kept.
+// read reads the event with a number, which must be in the window.
 func (l *Log) read(number uint64) (*events.Event, error) {
 	key := l.eventKey(number)
 	data, err := l.store.Get(key)
--- a/internal/mesh/operations/events/cursor.go
+++ b/internal/mesh/operations/events/cursor.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Bases of the numbers in a cursor's text.
+// Number bases in a cursor's text.
 const (
 	incarnationBase = 36
 	numberBase      = 10
@@ -19,14 +19,14 @@
 	Number      uint64
 }
 
-// String is the cursor's text, like 1a2b-17.
+// String returns the cursor's text, like 1a2b-17.
 func (c Cursor) String() string {
 	return strconv.FormatUint(c.Incarnation, incarnationBase) + "-" + strconv.FormatUint(c.Number, numberBase)
 }
 
-// CursorError is the error of ParseCursor.
+// CursorError reports a text that is not a cursor.
 type CursorError struct {
-	Text string // that is no cursor
+	Text string
 }
 
 // Error implements error.
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("cursor %q: wanted one that the feed gave, like 1a2b-17", e.Text)
 }
 
-// ParseCursor parses a cursor's text. An empty one is the zero value. The error is a *CursorError.
+// ParseCursor parses a cursor's text. The empty text is the zero Cursor. The error is a *CursorError.
 func ParseCursor(text string) (Cursor, error) {
 	if text == "" {
 		return Cursor{}, nil
--- a/internal/mesh/operations/events/feed.go
+++ b/internal/mesh/operations/events/feed.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Window is what a feed keeps: the events from number First on, below Next.
+// Window is the range of events that a feed keeps: numbers First to Next-1.
 type Window struct {
 	Incarnation uint64
 	First, Next uint64
 
-	// OtherIncarnation and Ahead are the details of the gap where a cursor is of another incarnation, or beyond the window.
+	// OtherIncarnation is the Detail of the gap for a cursor of another incarnation; Ahead is that for a cursor beyond the window.
 	OtherIncarnation, Ahead string
 }
 
-// Resume returns the number of the event that a reader with a cursor gets first. If it has missed events, gap is the event to put before
-// that one; else it is nil.
+// Resume returns the number of the first event for a reader with a cursor. gap is the event that the reader gets before that one if it
+// has missed events; else nil.
 func (w *Window) Resume(c Cursor) (number uint64, gap *Event) {
 	switch {
 	case c == Cursor{}:
@@ -27,7 +27,7 @@
 	return c.Number + 1, nil
 }
 
-// gap is the event before the oldest one that is kept.
+// gap returns a gap before the oldest event that is kept.
 func (w *Window) gap(detail string) *Event {
 	before := Cursor{Incarnation: w.Incarnation, Number: w.First - 1}
 	return &Event{Cursor: before.String(), Kind: Gap, Detail: detail}
@@ -40,12 +40,12 @@
 	ring        []Event
 }
 
-// NewFeed makes a feed that keeps up to capacity events, of which there must be one at least.
+// NewFeed returns an empty feed that keeps up to capacity events. capacity must be positive.
 func NewFeed(incarnation uint64, capacity int) *Feed {
 	return &Feed{incarnation: incarnation, next: 1, ring: make([]Event, capacity)}
 }
 
-// Add adds an event and gives it its cursor.
+// Add adds an event, and returns it with its cursor.
 func (f *Feed) Add(e Event) Event {
 	e.Cursor = Cursor{Incarnation: f.incarnation, Number: f.next}.String()
 	*f.slot(f.next) = e
@@ -53,10 +53,10 @@
 	return e
 }
 
-// slot is where the event of a number is kept.
+// slot returns the slot of the ring for an event's number.
 func (f *Feed) slot(number uint64) *Event { return &f.ring[number%uint64(len(f.ring))] }
 
-// After returns up to limit events after a cursor that pass the filter, and the cursor to go on from. A gap comes first if the reader
+// After returns up to limit events after a cursor that pass the filter, and the cursor for the next call. A gap comes first if the reader
 // has missed events.
 func (f *Feed) After(c Cursor, limit int, filter Filter) (found []Event, next Cursor) {
 	number, gap := f.window().Resume(c)
@@ -71,7 +71,7 @@
 	return found, Cursor{Incarnation: f.incarnation, Number: number - 1}
 }
 
-// window is what the feed keeps now.
+// window returns the range of events that the feed keeps.
 func (f *Feed) window() *Window {
 	w := &Window{
 		Incarnation:      f.incarnation,
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -1,8 +1,8 @@
-// Package logging keeps a process's log in a ring in memory, and writes it out when something has gone wrong, so that the moments
-// before the fault can be read and little else is written: writing takes processor time too.
+// Package logging keeps a process's log in a ring in memory, and writes it out when a fault is logged. So the entries before a fault can
+// be read, at all levels, and the processor time for writing all others is saved.
 //
-// An entry at level error has the ring written out at once, one at level warning too unless that happened within the last ten
-// seconds. What was written out is dropped from the ring. Keys and bodies are never logged: callers see to that.
+// An entry of level error, or a more severe one, dumps the ring at once. A warning does so too, unless another dump for an entry was within
+// the last ten seconds. Entries that were written out are removed from the ring. Callers must not log keys or bodies.
 package logging
 
 import (
@@ -16,24 +16,23 @@
 
 const (
 	maxEntries      = 1024             // kept in memory
-	minDumpInterval = 10 * time.Second // between two dumps because of warnings
-	maxMessageBytes = 512              // of one message; a longer one is truncated
+	minDumpInterval = 10 * time.Second // from a dump for an entry to a dump for a warning
+	maxMessageBytes = 512              // of a message; a longer one is truncated
 )
 
-// Ring is a logrus hook that keeps the newest entries. The logger's own output is to be discarded, as New sees to. Its methods may be
-// called from any goroutine.
+// Ring is a logrus hook that keeps the newest entries. The logger's own output is discarded (New). It is safe for concurrent use.
 type Ring struct {
 	out    io.Writer
 	format logrus.TextFormatter
 
 	mu         sync.Mutex
 	entries    []*logrus.Entry
-	next       int       // place of the next entry
-	lastDump   time.Time // because of an entry
-	suppressed int       // warnings since then that were not dumped at once
+	next       int       // index of the next entry
+	lastDump   time.Time // for an entry, not by Dump
+	suppressed int       // number of warnings since the last dump that did not dump the ring
 }
 
-// New makes a logger whose entries of all levels go into a ring, which is written to out.
+// New returns a logger and the ring that keeps its entries of all levels. The ring is dumped to out.
 func New(out io.Writer) (*logrus.Logger, *Ring) {
 	ring := &Ring{
 		out:     out,
@@ -48,7 +47,7 @@
 	return log, ring
 }
 
-// discardFormatter formats nothing: entries are formatted when they are written out.
+// discardFormatter does not format entries: the ring formats those that it writes out.
 type discardFormatter struct{}
 
 // Format implements logrus.Formatter.
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// addLocked keeps an entry, in place of the oldest one if the ring is full.
+// addLocked adds an entry, and replaces the oldest one if the ring is full.
 func (r *Ring) addLocked(e *logrus.Entry) {
 	if len(r.entries) < maxEntries {
 		r.entries = append(r.entries, e)
@@ -81,7 +80,7 @@
 	r.next = (r.next + 1) % maxEntries
 }
 
-// dumpDueLocked reports whether an entry has the ring dumped.
+// dumpDueLocked reports whether the ring is to be dumped for an entry. It counts a warning for which it is not.
 func (r *Ring) dumpDueLocked(e *logrus.Entry) bool {
 	switch {
 	case e.Level > logrus.WarnLevel: // less severe
@@ -95,7 +94,7 @@
 	return false
 }
 
-// truncate is a message of up to maxMessageBytes, with dots where it went on.
+// truncate returns the first maxMessageBytes of a message, with dots if there was more.
 func truncate(s string) string {
 	if len(s) > maxMessageBytes {
 		return s[:maxMessageBytes] + "..."
@@ -103,14 +102,14 @@
 	return s
 }
 
-// Dump writes the ring out on request. reason is written before it.
+// Dump writes the ring out, after a line with the reason.
 func (r *Ring) Dump(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dumpLocked(reason)
 }
 
-// dumpLocked empties the ring into out, the oldest entry first. Entries that can't be written are lost.
+// dumpLocked writes the entries to out, the oldest first, and empties the ring. If out fails the rest of the entries is lost.
 func (r *Ring) dumpLocked(reason string) {
 	if reason != "" {
 		_, _ = fmt.Fprintf(r.out, "-- log written out: %s\n", reason)
--- a/internal/mesh/operations/meshctl/client.go
+++ b/internal/mesh/operations/meshctl/client.go
@@ -24,7 +24,7 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// Client asks the core processes, and prints what they answer.
+// Client calls the core processes, and prints the output of commands.
 type Client struct {
 	Cores  []string // control addresses
 	JSON   bool     // output is for programs
@@ -32,11 +32,11 @@
 	HTTP   http.Client
 }
 
-// printf prints for people. Like fmt.Printf it is not asked whether anybody reads it.
+// printf prints for people. Errors are ignored, as callers of fmt.Printf do.
 func (c *Client) printf(format string, args ...any) { _, _ = fmt.Fprintf(c.Output, format, args...) }
 
-// request asks the first core process that answers with anything but a server error. The error is an unavailableError if there is none,
-// trace.BadParameter for an address that can't be used.
+// request sends a request to the core processes in turn, until one answers with anything but a server error. The error is an
+// unavailableError if none does, or trace.BadParameter for an invalid address.
 func (c *Client) request(ctx context.Context, method, path string, header http.Header, body []byte) (status int, answer []byte, err error) {
 	var failures []string
 	for _, core := range c.Cores {
@@ -56,13 +56,13 @@
 	return 0, nil, unavailableError{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(failures, "; "))}
 }
 
-// send asks one core process. failure says why there is no answer; it is empty if there is one.
+// send sends a request to one core process. failure is the reason why there is no answer; empty if there is one.
 func (c *Client) send(request *http.Request) (status int, answer []byte, failure string) {
 	response, err := c.HTTP.Do(request)
 	if err != nil {
 		return 0, nil, err.Error()
 	}
-	defer func() { _ = response.Body.Close() }() // what was read counts
+	defer func() { _ = response.Body.Close() }() // an error is of no consequence once the body was read
 	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil || response.StatusCode >= http.StatusInternalServerError {
 		return 0, nil, fmt.Sprintf("%s: %s %s", request.URL.Host, response.Status, strings.TrimSpace(string(answer)))
@@ -70,23 +70,23 @@
 	return response.StatusCode, answer, ""
 }
 
-// state is what a core process holds. People are warned if it may be out of date; programs find that in the JSON.
+// state returns the state of a core process. Output for people gets a warning if it may be out of date; the JSON has a field for that.
 func (c *Client) state(ctx context.Context) (*agent.State, error) {
 	_, answer, err := c.request(ctx, http.MethodGet, agent.StatePath, nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	var s agent.State
-	if err := json.Unmarshal(answer, &s); err != nil {
+	var state agent.State
+	if err := json.Unmarshal(answer, &state); err != nil {
 		return nil, trace.Wrap(err, "answer")
 	}
-	if !s.Confirmed && !c.JSON {
-		c.printf("%s reaches no majority of the voters: what follows may be out of date\n", s.Node)
+	if !state.Confirmed && !c.JSON {
+		c.printf("%s reaches no majority of the voters: what follows may be out of date\n", state.Node)
 	}
-	return &s, nil
+	return &state, nil
 }
 
-// configuration is the newest one as the core has it; nil if there is none yet.
+// configuration returns the newest configuration; nil if there is none yet.
 func (c *Client) configuration(ctx context.Context) (*configuration.Config, error) {
 	status, answer, err := c.request(ctx, http.MethodGet, pathRetrieve, nil, nil)
 	if err != nil {
@@ -94,8 +94,8 @@
 	}
 	switch status {
 	case http.StatusOK:
-		conf, err := configuration.Parse(answer)
-		return conf, trace.Wrap(err)
+		config, err := configuration.Parse(answer)
+		return config, trace.Wrap(err)
 	case http.StatusNotFound:
 		return nil, nil
 	default:
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -11,10 +11,10 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// maxSends is how often a change without a clear answer is sent.
+// maxSends bounds how often a change is submitted while there is no clear answer.
 const maxSends = 5
 
-// ConfigCommand holds the commands of the configuration.
+// ConfigCommand has the commands that concern the configuration.
 type ConfigCommand struct {
 	Get   ConfigGetCommand   `cmd:"" help:"Print the newest configuration."`
 	Check ConfigCheckCommand `cmd:"" help:"Check a file: every fault at once."`
@@ -25,42 +25,43 @@
 // ConfigGetCommand prints the newest configuration.
 type ConfigGetCommand struct{}
 
-// Run prints it byte for byte as it was submitted.
+// Run prints the configuration, byte for byte as it was submitted.
 func (ConfigGetCommand) Run(ctx context.Context, client *Client) error {
-	conf, err := client.configuration(ctx)
+	config, err := client.configuration(ctx)
 	if err != nil {
 		return err
 	}
-	if conf == nil {
+	if config == nil {
 		return trace.NotFound("there is no configuration yet")
 	}
-	_, err = client.Output.Write(conf.Raw)
+	_, err = client.Output.Write(config.Raw)
 	return trace.Wrap(err)
 }
 
-// ConfigCheckCommand checks a file. It asks no core process.
+// ConfigCheckCommand checks a file. It calls no core process.
 type ConfigCheckCommand struct {
 	File string `arg:"" type:"existingfile"`
 }
 
-// Run checks it by the function by which the core processes do.
+// Run checks the file by the function that the core processes use, and prints a summary.
 func (c ConfigCheckCommand) Run(client *Client) error {
-	conf, err := readFile(c.File)
+	config, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
-	client.printf("%s: %s, %d routes, %d services, %d tenants\n", c.File, conf.Version, len(conf.Routes), len(conf.Services), len(conf.Tenants))
+	client.printf("%s: %s, %d routes, %d services, %d tenants\n",
+		c.File, config.Version, len(config.Routes), len(config.Services), len(config.Tenants))
 	return nil
 }
 
-// readFile reads and checks a file. The error names it.
+// readFile reads and checks a configuration file. The error names the file.
 func readFile(file string) (*configuration.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	conf, err := configuration.Parse(text)
-	return conf, trace.Wrap(err, "%s", file)
+	config, err := configuration.Parse(text)
+	return config, trace.Wrap(err, "%s", file)
 }
 
 // ConfigDiffCommand shows what a file changes.
@@ -70,7 +71,7 @@
 
 // Run prints one line for each change.
 func (c ConfigDiffCommand) Run(ctx context.Context, client *Client) error {
-	conf, err := readFile(c.File)
+	config, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -78,11 +79,11 @@
 	if err != nil {
 		return err
 	}
-	client.printChanges(current, conf)
+	client.printChanges(current, config)
 	return nil
 }
 
-// printChanges prints what a configuration changes against the current one, which may be nil.
+// printChanges prints the differences between the current configuration, which may be nil, and the next one.
 func (c *Client) printChanges(current, next *configuration.Config) {
 	for _, change := range Diff(current, next) {
 		c.printf("%s\n", change)
@@ -95,9 +96,9 @@
 	Base string `help:"The version that it builds on; what is in force now if left out."`
 }
 
-// Run checks the file, prints what it changes, and submits it until there is a clear answer.
+// Run checks the file, prints what it changes, and submits it.
 func (c ConfigApplyCommand) Run(ctx context.Context, client *Client) error {
-	conf, err := readFile(c.File)
+	config, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -116,15 +117,16 @@
 			return trace.BadParameter("--base %s: wanted a version like r12", c.Base)
 		}
 	}
-	client.printChanges(now, conf)
-	return client.submit(ctx, conf, base, current)
+	client.printChanges(now, config)
+	return client.submit(ctx, config, base, current)
 }
 
-// submit sends a configuration until there is a clear answer. base is the version that it builds on, current the one that was read last.
-func (c *Client) submit(ctx context.Context, conf *configuration.Config, base, current configuration.Version) error {
+// submit submits a configuration until there is a clear answer, maxSends times at most. base is the version that it builds on, current the
+// one that was read last. The error is a conflictError, an unavailableError, or trace.BadParameter if the configuration was refused.
+func (c *Client) submit(ctx context.Context, config *configuration.Config, base, current configuration.Version) error {
 	header := http.Header{headerBaseVersion: {base.String()}, "Content-Type": {"application/json"}}
 	for range maxSends {
-		status, answer, err := c.request(ctx, http.MethodPost, pathReplace, header, conf.Raw)
+		status, answer, err := c.request(ctx, http.MethodPost, pathReplace, header, config.Raw)
 		if err != nil {
 			continue
 		}
@@ -132,14 +134,14 @@
 		case http.StatusRequestTimeout, http.StatusTooManyRequests:
 			continue
 		case http.StatusOK:
-			c.printf("%s is on a majority of disks\n", conf.Version)
+			c.printf("%s is on a majority of disks\n", config.Version)
 			return nil
 		case http.StatusPreconditionFailed:
 			return conflictError{trace.CompareFailed("%s builds on %s, and another version is in place (%s when last read): %s",
-				conf.Version, base, current, strings.TrimSpace(string(answer)))}
+				config.Version, base, current, strings.TrimSpace(string(answer)))}
 		default:
 			return trace.BadParameter("refused with %d: %s", status, strings.TrimSpace(string(answer)))
 		}
 	}
-	return unavailableError{trace.ConnectionProblem(nil, "no clear answer: %s may be in force or not; apply it once more", conf.Version)}
+	return unavailableError{trace.ConnectionProblem(nil, "no clear answer: %s may be in force or not; apply it once more", config.Version)}
 }
--- a/internal/mesh/operations/meshctl/diff.go
+++ b/internal/mesh/operations/meshctl/diff.go
@@ -8,8 +8,8 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// Diff is what one configuration changes against another, which may be nil: a line for each change, in the order of the tables. Tenants'
-// keys are said to change, and never printed.
+// Diff returns the differences between two configurations, a line for each, in the order of the tables. from may be nil. Changes of
+// tenants' keys are mentioned; the keys themselves are never printed.
 func Diff(from, to *configuration.Config) []string {
 	if from == nil {
 		from = &configuration.Config{}
@@ -28,8 +28,8 @@
 	return lines
 }
 
-// diffByName compares two tables: what is new (+) or other (~), in the order of the later table, then what is no longer there (-), in
-// the order of the earlier one.
+// diffByName compares two tables by the names of their rows. It returns added (+) and changed (~) rows in the order of to, then removed
+// ones (-) in the order of from.
 func diffByName[T any](from, to []T, name, text func(T) string) []string {
 	old := map[string]string{}
 	for _, x := range from {
@@ -55,7 +55,7 @@
 	return lines
 }
 
-// diffKeys says which tenants' keys change.
+// diffKeys returns a line for each tenant whose keys change.
 func diffKeys(from, to []configuration.Tenant) []string {
 	keys := map[string][]string{}
 	for _, t := range from {
@@ -70,37 +70,37 @@
 	return lines
 }
 
-// routeName is how a change names a route: by where its requests come in.
+// routeName returns how a change names a route: by its host and path prefix.
 func routeName(r configuration.Route) string { return "route " + r.Host + r.Prefix }
 
-// serviceName is how a change names a service.
+// serviceName returns how a change names a service.
 func serviceName(s configuration.Service) string { return "service " + s.Name }
 
-// tenantName is how a change names a tenant.
+// tenantName returns how a change names a tenant.
 func tenantName(t configuration.Tenant) string { return "tenant " + t.Name }
 
-// routeText is what a person reads of a route that changes. The names in this text, and in those that follow, are part of the output,
-// whatever the fields are called.
+// routeText returns a route as it is printed. The names in this text, and in those of the functions that follow, are part of the output and
+// do not change with the fields' names.
 func routeText(r configuration.Route) string {
 	split := make([]string, len(r.Split))
 	for i, share := range r.Split {
 		split[i] = fmt.Sprintf("{Service:%s Weight:%v}", share.Service, share.Weight)
 	}
-	return fmt.Sprintf("{Name:%s Host:%s Prefix:%s Kind:%d Timeout:%v Target:%v Priority:%d MaxAttempts:%d Split:[%s] Public:%t}", r.Name, r.Host,
-		r.Prefix, r.Kind, r.Timeout, r.Target, r.Priority, r.MaxAttempts, strings.Join(split, " "), r.Public)
+	return fmt.Sprintf("{Name:%s Host:%s Prefix:%s Kind:%d Timeout:%v Target:%v Priority:%d MaxAttempts:%d Split:[%s] Public:%t}",
+		r.Name, r.Host, r.Prefix, r.Kind, r.Timeout, r.Target, r.Priority, r.MaxAttempts, strings.Join(split, " "), r.Public)
 }
 
-// serviceText is what a person reads of a service that changes.
+// serviceText returns a service as it is printed.
 func serviceText(s configuration.Service) string {
 	return fmt.Sprintf("{Name:%s HealthPath:%s ConnectionCap:%d}", s.Name, s.HealthPath, s.ConnectionCap)
 }
 
-// tenantText is what a person reads of a tenant that changes, without its keys.
+// tenantText returns a tenant as it is printed, without its keys.
 func tenantText(t configuration.Tenant) string {
 	return fmt.Sprintf("rank %d, rate %v, burst %v", t.Priority, t.Rate, t.Burst)
 }
 
-// limitsText is what a person reads of limits that change.
+// limitsText returns limits as they are printed.
 func limitsText(l configuration.Limits) string {
 	return fmt.Sprintf("{HeaderMax:%d BodyMax:%d HeaderTimeout:%v IdleTimeout:%v}", l.HeaderMax, l.BodyMax, l.HeaderTimeout, l.IdleTimeout)
 }
--- a/internal/mesh/operations/meshctl/example_test.go
+++ b/internal/mesh/operations/meshctl/example_test.go
@@ -11,11 +11,11 @@
 func ExampleDiff() {
 	parse := func(version, key string, rate int) *configuration.Config {
 		text := fmt.Sprintf(`{"configVersion":%q,"routeTable":[],"tenantTable":[{"name":"north","accessKeys":[%q],"ratePerS":%d}]}`, version, key, rate)
-		conf, err := configuration.Parse([]byte(text))
+		config, err := configuration.Parse([]byte(text))
 		if err != nil {
 			fmt.Println(err)
 		}
-		return conf
+		return config
 	}
 	for _, line := range meshctl.Diff(parse("r1", "secret1", 5), parse("r2", "secret2", 8)) {
 		fmt.Println(line)
--- a/internal/mesh/operations/meshctl/exitcode.go
+++ b/internal/mesh/operations/meshctl/exitcode.go
@@ -2,23 +2,23 @@
 
 import "github.com/gravitational/trace"
 
-// Exit codes beside 0 for done and 1 for everything else. Of those only ExitInvalid is seen by scripts today: see ExitCode.
+// Exit codes other than 0 for success and 1 for any other error. At present only ExitInvalid occurs in practice: see ExitCode.
 const (
-	ExitInvalid     = 2 // the configuration, or a flag, can't be used
-	ExitConflict    = 3 // another change was there first
-	ExitUnavailable = 4 // no core process gave a clear answer: the same may be tried again
+	ExitInvalid     = 2 // the configuration, or a flag, is invalid
+	ExitConflict    = 3 // another change was applied before
+	ExitUnavailable = 4 // no core process gave a clear answer: the command may be repeated
 )
 
-// unavailableError says that no core process gave a clear answer.
+// unavailableError means that no core process gave a clear answer.
 type unavailableError struct{ error }
 
-// conflictError says that another change was there first.
+// conflictError means that another change was applied before.
 type conflictError struct{ error }
 
-// ExitCode is the exit code of a command's error. The errors that kong returns are joined ones, in which it finds neither a conflict nor
-// that no core process answered: both are 1 (testdata/golden/output).
+// ExitCode returns the exit code for a command's error. The error of a command that kong runs is a joined one, in which ExitCode finds
+// neither a conflictError nor an unavailableError: both give 1 (testdata/golden/output).
 func ExitCode(err error) int {
-	switch trace.Unwrap(err).(type) { //nolint:errorlint // kong joins errors: codes 3 and 4 don't come through it yet, and that is to stay for now
+	switch trace.Unwrap(err).(type) { //nolint:errorlint // that errors joined by kong give 1 is known behaviour, and stays
 	case nil:
 		return 0
 	case unavailableError:
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// CommandLine is the command line, as kong parses it. The fields' names and tags are the commands and flags.
+// CommandLine is the command line as kong parses it: its fields are the flags and the commands.
 type CommandLine struct {
 	Core []string `help:"Control addresses of core processes; the first that answers is asked." env:"QUINCEGAP_CORE" required:"" sep:","`
 	JSON bool     `help:"JSON for programs."`
@@ -18,10 +18,10 @@
 	Why       WhyCommand       `cmd:"" help:"Where a request would go, be refused or wait."`
 }
 
-// requestTimeout is for one core process to answer one request.
+// requestTimeout bounds the time for a core process to answer a request.
 const requestTimeout = 3 * time.Second
 
-// Client makes the client that a command line asks for, which prints to out.
+// Client returns the client for a command line. It prints to out.
 func (l *CommandLine) Client(out io.Writer) *Client {
 	return &Client{Cores: l.Core, JSON: l.JSON, Output: out, HTTP: http.Client{Timeout: requestTimeout}}
 }
--- a/internal/mesh/operations/meshctl/table.go
+++ b/internal/mesh/operations/meshctl/table.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// table is a command's output for people.
+// table is the output of a command for people.
 type table struct {
 	columns []string
 	rows    [][]string
@@ -18,7 +18,7 @@
 // add adds a row.
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// printTable prints a table for people, or the value for programs.
+// printTable prints a table for people, or a value as JSON for programs.
 func (c *Client) printTable(t *table, value any) error {
 	if c.JSON {
 		encoder := json.NewEncoder(c.Output)
--- a/internal/mesh/operations/meshctl/why.go
+++ b/internal/mesh/operations/meshctl/why.go
@@ -7,14 +7,14 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// WhyCommand explains what the mesh would do with a request.
+// WhyCommand explains how the mesh would handle a request.
 type WhyCommand struct {
 	Host string `arg:"" help:"The Host header."`
 	Path string `arg:"" help:"The path."`
 	Key  string `help:"The tenant's key; it is not printed."`
 }
 
-// Run prints the route, the tenant and the endpoints that the request would get, or the status that it would be rejected with.
+// Run prints the route, the tenant and the endpoints of the request, or the status with which it would be rejected.
 func (w WhyCommand) Run(ctx context.Context, client *Client) error {
 	config, err := client.configuration(ctx)
 	if err != nil {
@@ -33,14 +33,15 @@
 		client.printf("404: no route of %s begins %q (%s, %d routes)\n", w.Host, w.Path, config.Version, len(config.Routes))
 		return nil
 	}
-	client.printf("route %s: %s%s, timeout %v, aim %v, at most %d endpoints\n", route.Name, route.Host, route.Prefix, route.Timeout, route.Target, route.MaxAttempts)
+	client.printf("route %s: %s%s, timeout %v, aim %v, at most %d endpoints\n",
+		route.Name, route.Host, route.Prefix, route.Timeout, route.Target, route.MaxAttempts)
 	if w.explainTenant(client, config, route) {
 		explainEndpoints(client, route, state.Endpoints)
 	}
 	return nil
 }
 
-// explainTenant reports whether a request with the key is accepted on a route.
+// explainTenant prints the tenant of the key, and reports whether a request with the key is accepted on a route.
 func (w WhyCommand) explainTenant(client *Client, config *configuration.Config, route *configuration.Route) bool {
 	if !config.HasTenantTable {
 		return true
@@ -58,7 +59,7 @@
 	return true
 }
 
-// explainEndpoints prints the services that a route is split over, with their endpoints.
+// explainEndpoints prints the services among which a route is split, with the numbers of their endpoints.
 func explainEndpoints(client *Client, route *configuration.Route, endpoints []agent.EndpointState) {
 	total := 0.0
 	for _, share := range route.Split {
@@ -74,7 +75,7 @@
 	}
 }
 
-// count is how many endpoints of a service are in a state.
+// count returns the number of endpoints of a service in a state.
 func count(endpoints []agent.EndpointState, service, state string) int {
 	n := 0
 	for _, e := range endpoints {
--- a/internal/mesh/operations/settings/doc.go
+++ b/internal/mesh/operations/settings/doc.go
@@ -1,6 +1,6 @@
-// Package settings parses the settings file (TOML) that the platform writes for each process; the environment variable QUINCEGAP_NODE_FILE
-// holds its path. Fields that the package does not know are ignored: later platforms may add some. All faults of a file are reported at
-// once, each with the field's path.
+// Package settings parses the settings file (TOML) that the platform writes for each process. The environment variable QUINCEGAP_NODE_FILE
+// has its path. Unknown fields are ignored, as later platforms may add some. All invalid fields of a file are reported at once, each with
+// its path.
 //
-// The package reads the file once, on request; package assembly reloads it when it has changed.
+// The package does not watch the file: package assembly loads it again when it has changed.
 package settings
--- a/internal/mesh/transport/codec/doc.go
+++ b/internal/mesh/transport/codec/doc.go
@@ -11,6 +11,6 @@
 // a field that is missing in the data keeps the value that it had. Unknown fields are ignored, so that two versions can communicate.
 //
 // Fields are encoded as the protocol buffers types uint64 (Uint64, Bool), sint64 (Int64, Int, Duration), fixed64 (Fixed64), double
-// (Float64), bytes and string (Bytes, String, Strings, Message, Messages, List). Packed lists, groups, maps and fixed32 are not written, and
-// are ignored when read.
+// (Float64), bytes and string (Bytes, String, Strings, Message, Messages, List). Packed lists, groups, maps and fixed32 are not written,
+// and are ignored when read.
 package codec
