--- a/internal/mesh/dataplane/admission/admission_test.go
+++ b/internal/mesh/dataplane/admission/admission_test.go
@@ -23,13 +23,13 @@
 	stepCount
 )
 
-// fate is what became of a request.
-type fate struct {
+// submitted is a request that was submitted, and how it ended.
+type submitted struct {
 	endpoint           string // the endpoint that was chosen for it
 	admitted, rejected bool
 }
 
-// orderRun is one run of a controller through a sequence of steps, and what it decided so far.
+// orderRun is one run of a controller through a sequence of steps, with its decisions so far.
 type orderRun struct {
 	*testing.T
 	steps      []int
@@ -37,11 +37,11 @@
 	now        time.Duration
 	drained    time.Duration // when the endpoint began to drain; 0 for not at all
 	lastToken  uint64
-	fates      map[uint64]*fate
+	submitted  map[uint64]*submitted // by token
 	running    map[uint64]bool
 }
 
-// apply takes decisions, and checks each.
+// apply carries out decisions, and checks each.
 func (r *orderRun) apply(decisions []Decision) {
 	for _, d := range decisions {
 		if d.Kind == outcome.None {
@@ -53,28 +53,28 @@
 }
 
 func (r *orderRun) reject(d Decision) {
-	f := r.fates[d.Token]
-	if f.admitted || f.rejected {
+	request := r.submitted[d.Token]
+	if request.admitted || request.rejected {
 		r.Fatalf("%v: request %d ends twice", r.steps, d.Token)
 	}
 	if !d.Kind.NotExecuted() {
-		r.Fatalf("%v: %s is no promise", r.steps, d.Kind)
+		r.Fatalf("%v: %s does not promise that the request was not executed", r.steps, d.Kind)
 	}
-	f.rejected = true
+	request.rejected = true
 }
 
 func (r *orderRun) admit(token uint64) {
-	f, endpoint, state := r.fates[token], r.controller.Endpoint().ID, r.controller.State()
-	if f.admitted || f.rejected || f.endpoint != endpoint {
-		r.Fatalf("%v: request %d goes on to %q after %+v", r.steps, token, endpoint, *f)
+	request, endpoint, state := r.submitted[token], r.controller.Endpoint().ID, r.controller.State()
+	if request.admitted || request.rejected || request.endpoint != endpoint {
+		r.Fatalf("%v: request %d is admitted to %q after %+v", r.steps, token, endpoint, *request)
 	}
 	if state == Terminated || state == Unknown || r.drained != 0 && r.now-r.drained > drainGrace {
-		r.Fatalf("%v: goes on in state %d, %v after it began to drain", r.steps, state, r.now-r.drained)
+		r.Fatalf("%v: admitted in state %d, %v after it began to drain", r.steps, state, r.now-r.drained)
 	}
-	f.admitted = true
+	request.admitted = true
 	r.running[token] = true
 	if len(r.running) > 1 {
-		r.Fatalf("%v: %d go on to one slot", r.steps, len(r.running))
+		r.Fatalf("%v: %d are admitted to one slot", r.steps, len(r.running))
 	}
 }
 
@@ -91,7 +91,7 @@
 
 func (r *orderRun) submit(endpoint string) {
 	r.lastToken++
-	r.fates[r.lastToken] = &fate{endpoint: endpoint}
+	r.submitted[r.lastToken] = &submitted{endpoint: endpoint}
 	r.apply(r.controller.Submit(r.now, Request{
 		Token: r.lastToken, EndpointID: endpoint,
 		TargetDeadline: r.now + time.Second, Deadline: r.now + 3*time.Second,
@@ -125,7 +125,7 @@
 		r.finish()
 	case cancelLast:
 		if r.lastToken > 0 && r.controller.Cancel(r.lastToken) {
-			r.fates[r.lastToken].rejected = true
+			r.submitted[r.lastToken].rejected = true
 		}
 	case passTime:
 		r.now += drainGrace + time.Millisecond
@@ -140,9 +140,9 @@
 		r.apply(r.controller.Done(r.now, token))
 	}
 	r.apply(r.controller.Expire(r.now))
-	for token, f := range r.fates {
-		if !f.admitted && !f.rejected {
-			r.Fatalf("%v: request %d has no end", r.steps, token)
+	for token, request := range r.submitted {
+		if !request.admitted && !request.rejected {
+			r.Fatalf("%v: request %d has no outcome", r.steps, token)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 			}
 			return
 		}
-		run := &orderRun{T: t, steps: steps, controller: New(), fates: map[uint64]*fate{}, running: map[uint64]bool{}}
+		run := &orderRun{T: t, steps: steps, controller: New(), submitted: map[uint64]*submitted{}, running: map[uint64]bool{}}
 		for _, step := range steps {
 			run.step(step)
 		}
@@ -169,7 +169,7 @@
 	playAll(nil)
 }
 
-// newServing is a controller whose endpoint "one" of service "s" serves.
+// newServing returns a controller whose endpoint "one" of service "s" is serving.
 func newServing(slots int) *Controller {
 	controller := New()
 	controller.UpdateEndpoint(0, Endpoint{ID: "one", Service: "s", Slots: slots}, Serving)
@@ -221,7 +221,7 @@
 	c.Assert(time.Duration(waiting)*controller.ServiceTime()/2 < 200*time.Millisecond, qt.IsTrue)
 }
 
-// An endpoint that a sidecar first hears of as draining announced so to an earlier process, nobody knows when: nothing is admitted.
+// An endpoint that a sidecar first sees as draining began to drain before the sidecar started, at an unknown time: nothing is admitted.
 func TestEndpointFirstSeenAsDraining(t *testing.T) {
 	c := qt.New(t)
 	controller := New()
@@ -233,8 +233,8 @@
 	c.Assert(decisions, qt.DeepEquals, []Decision{{Token: 1, Kind: outcome.Draining}})
 }
 
-// The slots are taken by long executions. A request with a near target deadline is rejected, as it would be late; a call that a request
-// under way waits for may wait as long as its answer is of use.
+// The slots are occupied by long executions. A request with a short latency target is rejected, as it would be late; a nested call may wait
+// until its deadline.
 func TestNestedRequestsWaitUntilTheirDeadline(t *testing.T) {
 	c := qt.New(t)
 	controller := newServing(1)
--- a/internal/mesh/dataplane/admission/golden_test.go
+++ b/internal/mesh/dataplane/admission/golden_test.go
@@ -10,43 +10,46 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// A scripted day of a gate: each step and the decisions that it led to, in their order. It holds the states' numbers, the order of
-// the queue, the estimate of the time that runs take and every bound.
+// A scripted run of a controller: each step, and the decisions that follow from it in their order. The file pins the states' numbers, the
+// order of the queue, the mean service time and every bound.
 func TestGoldenDecisions(t *testing.T) {
 	const ms = time.Millisecond
 	var text strings.Builder
 	controller := New()
-	note := func(now time.Duration, what string, steps []Decision) {
+	note := func(now time.Duration, what string, decisions []Decision) {
 		running, waiting := controller.Load()
-		fmt.Fprintf(&text, "%v %s: state %d, running %d, waiting %d, work %v;", now, what, controller.State(), running, waiting, controller.ServiceTime())
-		for _, s := range steps {
-			if s.Kind == 0 {
-				fmt.Fprintf(&text, " %d goes on", s.Token)
+		fmt.Fprintf(&text, "%v %s: state %d, running %d, waiting %d, work %v;",
+			now, what, controller.State(), running, waiting, controller.ServiceTime())
+		for _, d := range decisions {
+			if d.Kind == outcome.None {
+				fmt.Fprintf(&text, " %d goes on", d.Token)
 			} else {
-				fmt.Fprintf(&text, " %d %s", s.Token, s.Kind)
+				fmt.Fprintf(&text, " %d %s", d.Token, d.Kind)
 			}
 		}
 		fmt.Fprintln(&text)
 	}
 	one := Endpoint{ID: "one", Service: "s", Slots: 2}
 	token := uint64(0)
-	arrive := func(now time.Duration, priority int, nested bool, target, deadline time.Duration) {
+	submit := func(now time.Duration, priority int, nested bool, target, deadline time.Duration) {
 		token++
-		steps := controller.Submit(now, Request{
+		decisions := controller.Submit(now, Request{
 			Token: token, EndpointID: "one", Service: "s", Priority: priority, Nested: nested, TargetDeadline: now + target,
 			Deadline: now + deadline,
 		})
-		note(now, fmt.Sprintf("arrives %d, priority %d, inner %t, aim %v, deadline %v", token, priority, nested, target, deadline), steps)
+		note(now, fmt.Sprintf("arrives %d, priority %d, inner %t, aim %v, deadline %v", token, priority, nested, target, deadline), decisions)
 	}
-	arrive(0, 1, false, 500*ms, time.Second)
+	submit(0, 1, false, 500*ms, time.Second)
 	note(0, "serves", controller.UpdateEndpoint(0, one, Serving))
 	for i := range 12 {
-		arrive(time.Duration(i)*ms, i%3, i%5 == 4, 500*ms, time.Second)
+		submit(time.Duration(i)*ms, i%3, i%5 == 4, 500*ms, time.Second)
 	}
-	arrive(20*ms, 0, false, 15*ms, time.Second)
-	arrive(20*ms, 0, false, time.Second, 9*ms)
-	note(21*ms, "another endpoint", controller.Submit(21*ms, Request{Token: 90, EndpointID: "two", TargetDeadline: time.Second, Deadline: time.Second}))
-	note(21*ms, "another service", controller.Submit(21*ms, Request{Token: 91, Service: "r", TargetDeadline: time.Second, Deadline: time.Second}))
+	submit(20*ms, 0, false, 15*ms, time.Second)
+	submit(20*ms, 0, false, time.Second, 9*ms)
+	otherEndpoint := Request{Token: 90, EndpointID: "two", TargetDeadline: time.Second, Deadline: time.Second}
+	note(21*ms, "another endpoint", controller.Submit(21*ms, otherEndpoint))
+	otherService := Request{Token: 91, Service: "r", TargetDeadline: time.Second, Deadline: time.Second}
+	note(21*ms, "another service", controller.Submit(21*ms, otherService))
 	note(22*ms, fmt.Sprintf("withdraws 4: %t", controller.Cancel(4)), nil)
 	note(22*ms, fmt.Sprintf("withdraws 2: %t", controller.Cancel(2)), nil)
 	for i, done := range []uint64{2, 3, 6, 11, 77} {
@@ -57,18 +60,18 @@
 	note(2*time.Second, "time passes", controller.Expire(2*time.Second))
 	note(3*time.Second, "drains", controller.UpdateEndpoint(3*time.Second, one, Draining))
 	note(3*time.Second, "serves", controller.UpdateEndpoint(3*time.Second, one, Serving))
-	arrive(3*time.Second, 0, false, time.Second, 2*time.Second)
-	arrive(4500*ms, 0, false, time.Second, 2*time.Second)
-	arrive(4501*ms, 0, false, time.Second, 2*time.Second)
+	submit(3*time.Second, 0, false, time.Second, 2*time.Second)
+	submit(4500*ms, 0, false, time.Second, 2*time.Second)
+	submit(4501*ms, 0, false, time.Second, 2*time.Second)
 	note(4501*ms, "time passes", controller.Expire(4501*ms))
 	note(5*time.Second, "gone", controller.UpdateEndpoint(5*time.Second, one, Terminated))
 	note(6*time.Second, "a new life", controller.UpdateEndpoint(6*time.Second, Endpoint{ID: "two", Service: "s", Slots: 1}, Serving))
 	note(7*time.Second, "a new life", controller.UpdateEndpoint(7*time.Second, Endpoint{ID: "three", Service: "s", Slots: 1}, Draining))
-	arrive(7*time.Second, 0, false, time.Second, 2*time.Second)
+	submit(7*time.Second, 0, false, time.Second, 2*time.Second)
 	golden.Text(t, "decisions.txt", []byte(text.String()))
 }
 
-// The numbers of the states, in the order in which an endpoint goes through them.
+// The numbers of the states, in the order in which an endpoint passes through them.
 func TestGoldenStates(t *testing.T) {
 	for number, state := range []State{Unknown, Serving, Draining, Terminated} {
 		if int(state) != number {
@@ -76,33 +79,33 @@
 		}
 	}
 	if outcome.Kind(0).Entry().Name != "unknown" {
-		t.Error("kind 0 has a line of its own: a step of kind 0 lets a request on")
+		t.Error("kind 0 has an entry of its own, although a decision of kind 0 admits a request")
 	}
 }
 
-// The allocations of a request that goes on at once, of one that waits, and of a look at the queue.
+// The allocations for a request that is admitted at once, for one that is queued, and for a check of the queue.
 func TestAllocations(t *testing.T) {
 	controller := New()
 	controller.UpdateEndpoint(0, Endpoint{ID: "one", Slots: 1}, Serving)
 	token := uint64(0)
-	arrive := func() uint64 {
+	submit := func() uint64 {
 		token++
 		controller.Submit(0, Request{Token: token, TargetDeadline: time.Second, Deadline: time.Second})
 		return token
 	}
-	check := func(what string, most float64, f func()) {
+	check := func(what string, limit float64, f func()) {
 		t.Helper()
-		if n := testing.AllocsPerRun(1000, f); n > most {
-			t.Errorf("%s: %v allocations, want %v at most", what, n, most)
+		if n := testing.AllocsPerRun(1000, f); n > limit {
+			t.Errorf("%s: %v allocations, want %v at most", what, n, limit)
 		}
 	}
-	check("on at once", 1, func() { controller.Done(0, arrive()) })
-	first := arrive()
-	check("waits", 1, func() {
-		next := arrive()
+	check("admitted at once", 1, func() { controller.Done(0, submit()) })
+	first := submit()
+	check("queued", 1, func() {
+		next := submit()
 		controller.Done(0, first)
 		first = next
 	})
-	check("withdrawn", 0, func() { controller.Cancel(arrive()) })
-	check("look", 0, func() { controller.Expire(0) })
+	check("cancelled", 0, func() { controller.Cancel(submit()) })
+	check("check of the queue", 0, func() { controller.Expire(0) })
 }
--- a/internal/mesh/dataplane/inbound/connection_test.go
+++ b/internal/mesh/dataplane/inbound/connection_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestKeepAliveIsParsed(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		value   string
 		timeout time.Duration
 		ok      bool
@@ -22,10 +22,10 @@
 		{"timeout=3600", 0, false},
 		{"timeout", 0, false},
 	} {
-		t.Run(x.value, func(t *testing.T) {
-			timeout, ok := parseKeepAlive(x.value)
-			qt.Check(t, timeout, qt.Equals, x.timeout)
-			qt.Check(t, ok, qt.Equals, x.ok)
+		t.Run(test.value, func(t *testing.T) {
+			timeout, ok := parseKeepAlive(test.value)
+			qt.Check(t, timeout, qt.Equals, test.timeout)
+			qt.Check(t, ok, qt.Equals, test.ok)
 		})
 	}
 }
--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -26,27 +26,28 @@
 	}
 }
 
-func goldenOutcome() ForwardResponse {
+func goldenResponse() ForwardResponse {
 	return ForwardResponse{
 		Kind: outcome.Rejected, Status: 503, Header: []string{"Content-Type", "text/plain", "X-Empty", ""},
-		Body: []byte("full\x00\xfe"), ServiceTime: 12345678, Slots: 8, Running: 7, Waiting: 3, RetryAfter: 250 * time.Millisecond, ReachedEndpoint: true,
+		Body: []byte("full\x00\xfe"), ServiceTime: 12345678, Slots: 8, Running: 7, Waiting: 3, RetryAfter: 250 * time.Millisecond,
+		ReachedEndpoint: true,
 	}
 }
 
 // Both messages, each of their fields set, written and read back.
 func TestGoldenMessages(t *testing.T) {
-	request, out := goldenRequest(), goldenOutcome()
+	request, response := goldenRequest(), goldenResponse()
 	golden.Hex(t, "forward_request.hex", codec.MarshalAppend(nil, &request))
-	golden.Hex(t, "outcome.hex", codec.MarshalAppend(nil, &out))
+	golden.Hex(t, "outcome.hex", codec.MarshalAppend(nil, &response))
 	golden.Hex(t, "forward_request_zero.hex", codec.MarshalAppend(nil, &ForwardRequest{}))
 	golden.Hex(t, "outcome_zero.hex", codec.MarshalAppend(nil, &ForwardResponse{}))
 
 	var readRequest ForwardRequest
 	qt.Assert(t, codec.Unmarshal(golden.Read(t, "forward_request.hex"), &readRequest), qt.IsNil)
 	qt.Check(t, readRequest, qt.DeepEquals, request)
-	var readOutcome ForwardResponse
-	qt.Assert(t, codec.Unmarshal(golden.Read(t, "outcome.hex"), &readOutcome), qt.IsNil)
-	qt.Check(t, readOutcome, qt.DeepEquals, out)
+	var readResponse ForwardResponse
+	qt.Assert(t, codec.Unmarshal(golden.Read(t, "outcome.hex"), &readResponse), qt.IsNil)
+	qt.Check(t, readResponse, qt.DeepEquals, response)
 }
 
 // Names and numbers that other processes rely on.
@@ -60,16 +61,16 @@
 			"Attempt-Id", "Target-Endpoint", "Calling-Service", "Subscriber-Id", "Time-Remaining",
 			"Not-Executed", "Endpoint-Seal", "Answering-Endpoint", "Key", "Base-Version",
 		})
-	var hop []string
-	for name, is := range HopByHopHeaders {
-		qt.Check(t, is, qt.IsTrue)
-		hop = append(hop, name)
+	var hopByHop []string
+	for name, isHopByHop := range HopByHopHeaders {
+		qt.Check(t, isHopByHop, qt.IsTrue)
+		hopByHop = append(hopByHop, name)
 	}
-	slices.Sort(hop)
-	golden.Text(t, "hop_headers.txt", []byte(strings.Join(hop, "\n")+"\n"))
+	slices.Sort(hopByHop)
+	golden.Text(t, "hop_headers.txt", []byte(strings.Join(hopByHop, "\n")+"\n"))
 }
 
-// What goes out to an endpoint, byte by byte; net/http reads the same.
+// The bytes of requests to an endpoint; net/http parses the same from them.
 func TestGoldenRequestToTheEndpoint(t *testing.T) {
 	full := goldenRequest()
 	bare := ForwardRequest{EndpointID: "e", Method: "GET", URI: "/", Host: "h", AttemptID: "a", HasBody: true}
@@ -84,7 +85,7 @@
 	qt.Check(t, q.ContentLength, qt.Equals, int64(4))
 }
 
-// What each answer of an endpoint is taken for.
+// The outcome and the connection's state after each kind of answer of an endpoint.
 func TestGoldenJudgements(t *testing.T) {
 	const seal = "Attempt-Id: a-1\r\nEndpoint-Seal: s\r\n"
 	var text strings.Builder
@@ -137,33 +138,33 @@
 // The allocations of writing a request to an endpoint, and of both messages between sidecars. The race detector
 // empties the pools of fmt at random, so it adds some to the first.
 func TestAllocations(t *testing.T) {
-	request, out := goldenRequest(), goldenOutcome()
-	room := make([]byte, 0, 1024)
-	requestBytes, outBytes := codec.MarshalAppend(nil, &request), codec.MarshalAppend(nil, &out)
-	for _, x := range []struct {
-		name       string
-		most, race float64
-		f          func()
+	request, response := goldenRequest(), goldenResponse()
+	buffer := make([]byte, 0, 1024)
+	requestBytes, responseBytes := codec.MarshalAppend(nil, &request), codec.MarshalAppend(nil, &response)
+	for _, test := range []struct {
+		name             string
+		limit, raceLimit float64
+		f                func()
 	}{
 		{"request to the endpoint", 7, 12, func() { appendRequest(nil, &request, time.Second) }},
-		{"request to the endpoint, with room", 4, 9, func() { appendRequest(room, &request, time.Second) }},
-		{"writes a forward request", 18, 18, func() { codec.MarshalAppend(nil, &request) }},
-		{"writes an outcome", 12, 12, func() { codec.MarshalAppend(nil, &out) }},
-		{"reads a forward request", 33, 33, func() {
-			var p ForwardRequest
-			_ = codec.Unmarshal(requestBytes, &p)
+		{"request to the endpoint, into a buffer", 4, 9, func() { appendRequest(buffer, &request, time.Second) }},
+		{"marshals a request", 18, 18, func() { codec.MarshalAppend(nil, &request) }},
+		{"marshals a response", 12, 12, func() { codec.MarshalAppend(nil, &response) }},
+		{"unmarshals a request", 33, 33, func() {
+			var got ForwardRequest
+			_ = codec.Unmarshal(requestBytes, &got)
 		}},
-		{"reads an outcome", 17, 17, func() {
-			var o ForwardResponse
-			_ = codec.Unmarshal(outBytes, &o)
+		{"unmarshals a response", 17, 17, func() {
+			var got ForwardResponse
+			_ = codec.Unmarshal(responseBytes, &got)
 		}},
 	} {
-		most := x.most
+		limit := test.limit
 		if raceDetector {
-			most = x.race
+			limit = test.raceLimit
 		}
-		if n := testing.AllocsPerRun(1000, x.f); n > most {
-			t.Errorf("%s: %v allocations, want %v at most", x.name, n, most)
+		if n := testing.AllocsPerRun(1000, test.f); n > limit {
+			t.Errorf("%s: %v allocations, want %v at most", test.name, n, limit)
 		}
 	}
 }
--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -19,24 +19,24 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// startEndpoint starts an endpoint that answers each request by what a function writes; the function hears how many requests came
-// before on the connection. It returns the endpoint's address.
+// startEndpoint starts an endpoint that calls a function to answer each request, with the number of earlier requests on the connection. It
+// returns the endpoint's address.
 func startEndpoint(t *testing.T, answer func(conn net.Conn, r *http.Request, before int)) string {
 	t.Helper()
 	var listen net.ListenConfig
-	l, err := listen.Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	listener, err := listen.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { qt.Check(t, l.Close(), qt.IsNil) })
+	t.Cleanup(func() { qt.Check(t, listener.Close(), qt.IsNil) })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go serveConnection(conn, answer)
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 func serveConnection(conn net.Conn, answer func(conn net.Conn, r *http.Request, before int)) {
@@ -85,70 +85,86 @@
 	return <-got
 }
 
-// What an endpoint may send, and what becomes of the request; the next request on the same connection gets its own answer.
+// The outcome of a request by the bytes that the endpoint sends; the next request on the same connection gets its own answer.
 func TestResponsesAreClassified(t *testing.T) {
-	complete := func(id, body string) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
-	}
-	const unframed = "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\n\r\nbody"
-	head := "HTTP/1.1 %s\r\nAttempt-Id: ID\r\nContent-Length: 0\r\n\r\n"
-	for name, x := range map[string]struct {
-		bytes string // ID stands for the attempt's id
-		end   bool   // the connection is closed after them
+	const (
+		header   = "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\n"
+		chunked  = header + "Transfer-Encoding: chunked\r\n\r\n"
+		noLength = header + "\r\nbody"
+
+		rejected    = "HTTP/1.1 503 Full\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+		misdirected = "HTTP/1.1 421 Misdirected\r\nAnswering-Endpoint: i-2\r\nContent-Length: 0\r\n\r\n"
+	)
+	valid := complete("ID", "body")
+	encoded := strings.Replace(valid, "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1)
+	empty := "HTTP/1.1 %s\r\nAttempt-Id: ID\r\nContent-Length: 0\r\n\r\n"
+	for name, test := range map[string]struct {
+		bytes string // with ID in place of the attempt's ID
+		close bool   // the endpoint closes the connection after the bytes
 		kind  outcome.Kind
 	}{
-		"complete":                    {complete("ID", "body"), false, outcome.Answered},
-		"in chunks":                   {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", false, outcome.Answered},
-		"after an interim one":        {"HTTP/1.1 102 Processing\r\n\r\n" + complete("ID", "body"), false, outcome.Answered},
-		"after another's":             {complete("other", "theirs") + complete("ID", "body"), false, outcome.Answered},
-		"and a surplus one":           {complete("ID", "body") + complete("ID", "again"), false, outcome.Answered},
-		"its own failure":             {fmt.Sprintf(head, "500 Oops"), false, outcome.Answered},
-		"rejected":                    {"HTTP/1.1 503 Full\r\nAttempt-Id: ID\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", false, outcome.Rejected},
-		"another endpoint":            {"HTTP/1.1 421 Misdirected\r\nAnswering-Endpoint: i-2\r\nContent-Length: 0\r\n\r\n", false, outcome.Misdirected},
-		"a promise that is none":      {fmt.Sprintf(head, "503 Full"), false, outcome.InvalidResponse},
-		"no seal":                     {strings.Replace(complete("ID", "body"), "Endpoint-Seal", "X", 1), false, outcome.InvalidResponse},
-		"encoded":                     {strings.Replace(complete("ID", "body"), "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1), false, outcome.InvalidResponse},
+		"complete":                    {valid, false, outcome.Answered},
+		"in chunks":                   {chunked + "4\r\nbody\r\n0\r\n\r\n", false, outcome.Answered},
+		"after an interim one":        {"HTTP/1.1 102 Processing\r\n\r\n" + valid, false, outcome.Answered},
+		"after another's":             {complete("other", "theirs") + valid, false, outcome.Answered},
+		"and a surplus one":           {valid + complete("ID", "again"), false, outcome.Answered},
+		"its own failure":             {fmt.Sprintf(empty, "500 Oops"), false, outcome.Answered},
+		"rejected":                    {rejected, false, outcome.Rejected},
+		"another endpoint":            {misdirected, false, outcome.Misdirected},
+		"503 without Not-Executed":    {fmt.Sprintf(empty, "503 Full"), false, outcome.InvalidResponse},
+		"no seal":                     {strings.Replace(valid, "Endpoint-Seal", "X", 1), false, outcome.InvalidResponse},
+		"encoded":                     {encoded, false, outcome.InvalidResponse},
 		"another's alone, then ended": {complete("other", "theirs"), true, outcome.EndpointReset},
-		"cut short":                   {complete("ID", "body")[:len(complete("ID", "body"))-2], true, outcome.InvalidResponse},
-		"a chunk cut short":           {"HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbo", true, outcome.InvalidResponse},
-		"without length, ended":       {unframed, true, outcome.Answered},
-		"no answer in the protocol":   {"\x00\x01 garbage\r\n\r\n", true, outcome.InvalidResponse},
-		"no id":                       {strings.Replace(complete("ID", "body"), "Attempt-Id", "X", 1), false, outcome.InvalidResponse},
+		"truncated":                   {valid[:len(valid)-2], true, outcome.InvalidResponse},
+		"a truncated chunk":           {chunked + "4\r\nbo", true, outcome.InvalidResponse},
+		"without length, ended":       {noLength, true, outcome.Answered},
+		"not HTTP":                    {"\x00\x01 garbage\r\n\r\n", true, outcome.InvalidResponse},
+		"no ID":                       {strings.Replace(valid, "Attempt-Id", "X", 1), false, outcome.InvalidResponse},
 		"nothing, then ended":         {"", true, outcome.EndpointReset},
 		"nothing":                     {"", false, outcome.TimedOut},
 	} {
-		t.Run(name, func(t *testing.T) {
-			c := qt.New(t)
-			address := startEndpoint(t, func(conn net.Conn, r *http.Request, _ int) {
-				id := r.Header.Get(HeaderAttemptID)
-				if id == "next" {
-					write(conn, "%s", complete(id, "next"))
-					return
-				}
-				write(conn, "%s", strings.ReplaceAll(x.bytes, "ID", id))
-				if x.end {
-					closeQuietly(conn)
-				}
-			})
-			proxy := newProxy(address)
-			remaining := 10 * time.Second
-			if x.kind == outcome.TimedOut {
-				remaining = 100 * time.Millisecond
-			}
-			response := perform(proxy, "first", remaining)
-			c.Assert(response.Kind, qt.Equals, x.kind)
-			c.Assert(response.ReachedEndpoint, qt.IsTrue)
-			if response.Kind == outcome.Answered && response.Status == 200 {
-				c.Assert(string(response.Body), qt.Equals, "body")
-			}
-			next := perform(proxy, "next", 10*time.Second)
-			c.Assert(next.Kind, qt.Equals, outcome.Answered)
-			c.Assert(string(next.Body), qt.Equals, "next")
-		})
+		t.Run(name, func(t *testing.T) { checkClassified(t, test.bytes, test.close, test.kind) })
+	}
+}
+
+// complete returns a valid answer to a request.
+func complete(id, body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
+}
+
+// checkClassified checks the outcome of a request to which the endpoint sends bytes, with the attempt's ID in place of ID, and then closes
+// the connection if closes is set. A second request gets a valid answer.
+func checkClassified(t *testing.T, bytes string, closes bool, kind outcome.Kind) {
+	t.Helper()
+	c := qt.New(t)
+	address := startEndpoint(t, func(conn net.Conn, r *http.Request, _ int) {
+		id := r.Header.Get(HeaderAttemptID)
+		if id == "next" {
+			write(conn, "%s", complete(id, "next"))
+			return
+		}
+		write(conn, "%s", strings.ReplaceAll(bytes, "ID", id))
+		if closes {
+			closeQuietly(conn)
+		}
+	})
+	proxy := newProxy(address)
+	remaining := 10 * time.Second
+	if kind == outcome.TimedOut {
+		remaining = 100 * time.Millisecond
+	}
+	response := perform(proxy, "first", remaining)
+	c.Assert(response.Kind, qt.Equals, kind)
+	c.Assert(response.ReachedEndpoint, qt.IsTrue)
+	if response.Kind == outcome.Answered && response.Status == 200 {
+		c.Assert(string(response.Body), qt.Equals, "body")
 	}
+	next := perform(proxy, "next", 10*time.Second)
+	c.Assert(next.Kind, qt.Equals, outcome.Answered)
+	c.Assert(string(next.Body), qt.Equals, "next")
 }
 
-// An answer that has no length ends with its connection. One that is reset on the way is not complete, however many bytes came.
+// An answer without a length ends with its connection. If the connection is reset the answer is incomplete, however many bytes were read.
 func TestAResetDoesNotCompleteAResponse(t *testing.T) {
 	c := qt.New(t)
 	read := make(chan struct{}, 1)
@@ -175,11 +191,11 @@
 	read chan struct{}
 }
 
-func (t *readNotifier) Read(b []byte) (int, error) {
-	n, err := t.Conn.Read(b)
+func (r *readNotifier) Read(b []byte) (int, error) {
+	n, err := r.Conn.Read(b)
 	if n > 0 {
 		select {
-		case t.read <- struct{}{}:
+		case r.read <- struct{}{}:
 		default:
 		}
 	}
@@ -224,7 +240,7 @@
 	})
 }
 
-// The answer to HEAD has the length of a body that does not come.
+// The answer to HEAD has the length of a body that is not sent.
 func TestResponseToHead(t *testing.T) {
 	c := qt.New(t)
 	proxy := newProxy(startEndpoint(t, func(conn net.Conn, r *http.Request, _ int) {
@@ -238,7 +254,7 @@
 	}
 }
 
-// Nothing of a request went out on a connection: the request is sent on another one, and if there is none either it was surely not
+// If nothing of a request can be written to a connection, the request is sent on another one. If that fails too it was certainly not
 // executed.
 func TestARequestThatWasNotSentWasNotExecuted(t *testing.T) {
 	c := qt.New(t)
@@ -246,33 +262,33 @@
 		write(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 0\r\n\r\n", r.Header.Get(HeaderAttemptID))
 	})
 	proxy := newProxy(address)
-	deaf := false // of connections yet to come
+	broken := false // of connections yet to come
 	var conns []*refusingConn
 	proxy.SetDialer(func(address string, timeout time.Duration) (net.Conn, error) {
 		conn, err := dialPatiently(address, timeout)
-		refusing := &refusingConn{Conn: conn, deaf: deaf}
+		refusing := &refusingConn{Conn: conn, broken: broken}
 		conns = append(conns, refusing)
 		return refusing, err
 	})
 	c.Assert(perform(proxy, "a", 10*time.Second).Kind, qt.Equals, outcome.Answered)
-	conns[0].deaf = true
+	conns[0].broken = true
 	c.Assert(perform(proxy, "b", 10*time.Second).Kind, qt.Equals, outcome.Answered)
 	c.Assert(conns, qt.HasLen, 2)
-	conns[1].deaf = true
-	deaf = true
+	conns[1].broken = true
+	broken = true
 	response := perform(proxy, "c", 10*time.Second)
 	c.Assert(response.Kind, qt.Equals, outcome.AtCapacity)
 	c.Assert(response.ReachedEndpoint, qt.IsFalse)
 }
 
-// refusingConn takes nothing once it is deaf.
+// refusingConn fails to write anything once it is broken.
 type refusingConn struct {
 	net.Conn
-	deaf bool
+	broken bool
 }
 
 func (r *refusingConn) Write(b []byte) (int, error) {
-	if r.deaf {
+	if r.broken {
 		return 0, syscall.ECONNRESET
 	}
 	return r.Conn.Write(b)
@@ -296,7 +312,7 @@
 	c.Assert(perform(proxy, "b", 10*time.Second).Kind, qt.Equals, outcome.Misdirected)
 }
 
-// All slots are taken: a request that waits and is cancelled never reaches the endpoint, one that runs is cut off.
+// All slots are occupied: a queued request that is cancelled never reaches the endpoint; the connection of a running one is closed.
 func TestCancelled(t *testing.T) {
 	c := qt.New(t)
 	came := make(chan string, 8)
--- a/internal/mesh/dataplane/inbound/response_sizes_test.go
+++ b/internal/mesh/dataplane/inbound/response_sizes_test.go
@@ -33,8 +33,8 @@
 	c.Check(sizes.mean, qt.HasLen, maxTrackedRoutes)
 }
 
-// A peer's request whose answer would wait on the machine's link for longer than it is of use is rejected at once; a client on this
-// machine, whose answer does not take that way, has it served.
+// A peer's request whose answer would be late because of the machine's link is rejected at once. The same request of a client on this
+// machine, whose answer is not sent over the link, is served.
 func TestALargeAnswerThatWouldBeLateIsRejected(t *testing.T) {
 	c := qt.New(t)
 	proxy := New("", func() time.Duration { return time.Hour }, logrus.New(), nil)
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -17,98 +17,99 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// The kernel of a process that stands still takes connections: a call goes out only once the process itself has greeted, so what
-// was meant for it was not executed and is rejected as such, and nothing begins when it wakes.
+// The kernel accepts connections for a suspended process. A call is sent only after the process's own hello, so requests for a suspended
+// process are not executed, are rejected as such, and are not executed late when it resumes.
 func TestNoCallGoesToAProcessThatStandsStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p := startPair(t)
-		defer p.close()
-		p.n.node("b").freeze(4 * time.Second)
-		c.Assert(p.ask(t, "POST", "one", 2*time.Second), qt.Equals, 503)
+		pair := startPair(t)
+		defer pair.close()
+		pair.n.node("b").freeze(4 * time.Second)
+		c.Assert(pair.ask(t, "POST", "one", 2*time.Second), qt.Equals, 503)
 		time.Sleep(5 * time.Second)
-		c.Assert(p.executions("one"), qt.Equals, 0)
-		c.Assert(p.ask(t, "POST", "two", 2*time.Second), qt.Equals, 200)
-		c.Assert(p.executions("two"), qt.Equals, 1)
+		c.Assert(pair.executions("one"), qt.Equals, 0)
+		c.Assert(pair.ask(t, "POST", "two", 2*time.Second), qt.Equals, 200)
+		c.Assert(pair.executions("two"), qt.Equals, 1)
 	})
 }
 
-// A process that stands still with calls in its buffers begins none of them when it wakes, if their time is up. The caller could
-// not know, and promises nothing.
+// A process that is suspended with calls in its buffers executes none of them when it resumes, if they have expired. The caller does not
+// know that, and does not promise that they were not executed.
 func TestAFrozenProcessBeginsNothingLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p := startPair(t)
-		defer p.close()
-		c.Assert(p.ask(t, "POST", "first", 2*time.Second), qt.Equals, 200)
-		p.n.node("b").freeze(900 * time.Millisecond)
-		c.Assert(p.ask(t, "POST", "late", 400*time.Millisecond), qt.Equals, 504)
+		pair := startPair(t)
+		defer pair.close()
+		c.Assert(pair.ask(t, "POST", "first", 2*time.Second), qt.Equals, 200)
+		pair.n.node("b").freeze(900 * time.Millisecond)
+		c.Assert(pair.ask(t, "POST", "late", 400*time.Millisecond), qt.Equals, 504)
 		time.Sleep(5 * time.Second)
-		c.Assert(p.executions("late"), qt.Equals, 0)
+		c.Assert(pair.executions("late"), qt.Equals, 0)
 	})
 }
 
-// The answer to HEAD is taken without its body, also from an endpoint that sends one: those bytes are no other request's answer.
+// The answer to HEAD is read without a body, even from an endpoint that sends one, whose bytes are not taken for another request's answer.
 func TestHeadGoesThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := startPair(t)
-		defer p.close()
-		qt.Assert(t, p.ask(t, "HEAD", "head", 2*time.Second), qt.Equals, 200)
-		qt.Assert(t, p.ask(t, "GET", "next", 2*time.Second), qt.Equals, 200)
+		pair := startPair(t)
+		defer pair.close()
+		qt.Assert(t, pair.ask(t, "HEAD", "head", 2*time.Second), qt.Equals, 200)
+		qt.Assert(t, pair.ask(t, "GET", "next", 2*time.Second), qt.Equals, 200)
 	})
 }
 
-// A client that closes its sending half, or goes, gets what is known of its request, never an answer that nobody gave.
+// A client that closes its sending half, or disconnects, gets the outcome of its request as far as it is known, never an empty success.
 func TestAClientThatHasGoneGetsNoEmptySuccess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p := startPair(t)
-		defer p.close()
-		p.n.node("b").freeze(2 * time.Second)
+		pair := startPair(t)
+		defer pair.close()
+		pair.n.node("b").freeze(2 * time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		r := httptest.NewRequestWithContext(ctx, "POST", "/non_idempotent/x", nil)
-		r.Host = "h"
-		r.Header.Set("Attempt-Id", "gone")
-		w := httptest.NewRecorder()
-		p.a.server.Handler.ServeHTTP(w, r)
-		c.Assert(w.Code, qt.Equals, 503)
+		request := httptest.NewRequestWithContext(ctx, "POST", "/non_idempotent/x", nil)
+		request.Host = "h"
+		request.Header.Set("Attempt-Id", "gone")
+		recorder := httptest.NewRecorder()
+		pair.a.server.Handler.ServeHTTP(recorder, request)
+		c.Assert(recorder.Code, qt.Equals, 503)
 		time.Sleep(3 * time.Second)
-		c.Assert(p.executions("gone"), qt.Equals, 0)
+		c.Assert(pair.executions("gone"), qt.Equals, 0)
 	})
 }
 
-// A process that is about to end takes a request if twice its target of 500 ms fits before the end. What it has taken, before or
-// since, is answered by then.
+// A process that shuts down accepts a request if twice the latency target of 500 ms fits before the end. The requests that it has accepted,
+// before or after the shutdown began, are answered by then.
 func TestRequestsNearTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p := startPair(t)
-		defer p.close()
-		c.Assert(p.ask(t, "POST", "served", 2*time.Second), qt.Equals, 200)
-		p.n.node("b").freeze(5 * time.Second)
+		pair := startPair(t)
+		defer pair.close()
+		c.Assert(pair.ask(t, "POST", "served", 2*time.Second), qt.Equals, 200)
+		pair.n.node("b").freeze(5 * time.Second)
 		before := make(chan int, 1)
-		go func() { before <- p.ask(t, "POST", "taken before", 2*time.Second) }()
+		go func() { before <- pair.ask(t, "POST", "accepted before", 2*time.Second) }()
 		synctest.Wait()
-		end := p.a.hub.Now() + 1200*time.Millisecond
-		p.a.outbound.ShutDownBy(end)
-		held := make(chan int, 1)
-		go func() { held <- p.ask(t, "POST", "held", 2*time.Second) }()
+		end := pair.a.hub.Now() + 1200*time.Millisecond
+		pair.a.outbound.ShutDownBy(end)
+		pending := make(chan int, 1)
+		go func() { pending <- pair.ask(t, "POST", "pending", 2*time.Second) }()
 		time.Sleep(300 * time.Millisecond)
-		asked := p.a.hub.Now()
-		c.Assert(p.ask(t, "POST", "does not fit", 2*time.Second), qt.Equals, 503)
-		c.Assert(p.a.hub.Now()-asked < 10*time.Millisecond, qt.IsTrue)
-		c.Assert(<-held, qt.Equals, 504)
+		asked := pair.a.hub.Now()
+		c.Assert(pair.ask(t, "POST", "does not fit", 2*time.Second), qt.Equals, 503)
+		c.Assert(pair.a.hub.Now()-asked < 10*time.Millisecond, qt.IsTrue)
+		c.Assert(<-pending, qt.Equals, 504)
 		c.Assert(<-before, qt.Equals, 504)
-		c.Assert(p.a.hub.Now() <= end, qt.IsTrue, qt.Commentf("%v", p.a.hub.Now()))
-		c.Assert(p.ask(t, "POST", "after", 2*time.Second), qt.Equals, 503)
+		c.Assert(pair.a.hub.Now() <= end, qt.IsTrue, qt.Commentf("%v", pair.a.hub.Now()))
+		c.Assert(pair.ask(t, "POST", "after", 2*time.Second), qt.Equals, 503)
 		time.Sleep(6 * time.Second)
-		c.Assert(p.executions("taken before")+p.executions("held")+p.executions("does not fit")+p.executions("after"), qt.Equals, 0)
+		for _, id := range []string{"accepted before", "pending", "does not fit", "after"} {
+			c.Assert(pair.executions(id), qt.Equals, 0, qt.Commentf("%s", id))
+		}
 	})
 }
 
-// Each outcome of an attempt, by each kind of request, through the proxies: how often the request is sent, and what its client is
-// answered.
+// For each outcome of an attempt and each kind of route, through the proxies: how often the request is sent, and the client's answer.
 func TestEachEndOfAnAttemptByKindOfRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
@@ -122,7 +123,7 @@
 	})
 }
 
-// checkOutcome has the first attempt of a request end in one way, and others be served.
+// checkOutcome plays a request whose first attempt has one outcome, and whose other attempts are served.
 func checkOutcome(t *testing.T, kind outcome.Kind, route string) {
 	t.Helper()
 	status := http.StatusOK
@@ -145,7 +146,7 @@
 	return &inbound.ForwardResponse{Kind: outcome.Answered, Status: http.StatusOK, ReachedEndpoint: true}
 }
 
-// An endpoint's own failure is the answer to a request of which no later attempt is served: it is not hidden behind one of ours.
+// An endpoint's own failure is the answer if no later attempt is served: it is not replaced by one of the mesh's answers.
 func TestAnEndpointsFailureIsNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, later := range []outcome.Kind{outcome.AtCapacity, outcome.ConnectionLost, outcome.TimedOut, outcome.InvalidResponse} {
@@ -156,15 +157,15 @@
 	})
 }
 
-// answerAttempts has the first attempt of a request end in one way, and others in another. It returns how many there were, and the
-// status that the client got.
+// answerAttempts plays a request whose first attempt gets one response, and whose other attempts get another one. It returns the number of
+// attempts, and the status of the client's answer.
 func answerAttempts(t *testing.T, route string, first, others *inbound.ForwardResponse) (sent, got int) {
 	t.Helper()
-	n := newNetwork(1, false)
-	a := startSidecar(t, n, "a", 1)
-	peer, stopPeer := startPeer(n)
+	network := newNetwork(1, false)
+	caller := startSidecar(t, network, "a", 1)
+	peer, stopPeer := startPeer(network)
 	defer func() {
-		a.close()
+		caller.close()
 		stopPeer()
 		time.Sleep(time.Second)
 	}()
@@ -176,10 +177,10 @@
 		}
 		call.Reply(others)
 	})
-	a.outbound.UpdateEndpoints("s", []discovery.Endpoint{
+	caller.outbound.UpdateEndpoints("s", []discovery.Endpoint{
 		servingEndpoint("i-1", "b", 3), servingEndpoint("i-2", "b", 3), servingEndpoint("i-3", "b", 3),
 	})
-	conn := n.connectClient("a")
+	conn := network.connectClient("a")
 	defer closeQuietly(conn)
 	request := fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: x\r\nTime-Remaining: 1500\r\nContent-Length: 0\r\n\r\n", route)
 	got = askOn(t, conn, http.MethodPost, request)
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -51,7 +51,7 @@
 	return l
 }
 
-// startHub starts a hub that takes links on loopback, after what is to be declared on it.
+// startHub starts a hub that accepts links on loopback, after the function declare has registered methods.
 func startHub(b *testing.B, log *logrus.Logger, incarnation uint64, declare func(hub *transport.Hub)) (hub *transport.Hub, address string) {
 	b.Helper()
 	l := listen(b)
@@ -63,7 +63,7 @@
 	return hub, hello.Address
 }
 
-// usage is what the process has used so far.
+// usage is the processor time and the allocations of the process so far.
 type usage struct {
 	cpu    time.Duration
 	allocs uint64
@@ -77,7 +77,7 @@
 	return usage{time.Duration(u.Utime.Nano() + u.Stime.Nano()), m.Mallocs}
 }
 
-// callUsage is what one call has used, in the mean.
+// callUsage is the mean usage of a call.
 type callUsage struct {
 	cpuMicroseconds float64
 	allocs          float64
@@ -92,7 +92,7 @@
 	times  []time.Duration
 }
 
-// measure returns what the calls of a function have used.
+// measure returns the mean usage of the calls that a function makes.
 func (c *caller) measure(f func()) callUsage {
 	before := used()
 	f()
@@ -112,15 +112,15 @@
 func (c *caller) call() {
 	c.calls++
 	ctx := context.Background() // the client allocates more for any other one
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/p/item?x=1", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/p/item?x=1", nil)
 	if err != nil {
 		c.b.Fatal(err)
 	}
-	r.Host = "shop.example"
-	r.Header.Set("Key", "k")
-	r.Header.Set("Attempt-Id", "a-"+strconv.Itoa(c.calls))
+	request.Host = "shop.example"
+	request.Header.Set("Key", "k")
+	request.Header.Set("Attempt-Id", "a-"+strconv.Itoa(c.calls))
 	began := time.Now()
-	resp, err := c.client.Do(r)
+	resp, err := c.client.Do(request)
 	if err != nil {
 		c.b.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 	}
 	c.times = append(c.times, time.Since(began))
 	if err != nil || resp.StatusCode != http.StatusOK || len(body) != len(answerBody) ||
-		resp.Header.Get("Attempt-Id") != r.Header.Get("Attempt-Id") {
+		resp.Header.Get("Attempt-Id") != request.Header.Get("Attempt-Id") {
 		c.b.Fatalf("call %d: status %d, %d bytes, %v", c.calls, resp.StatusCode, len(body), err)
 	}
 }
@@ -142,7 +142,7 @@
 	return float64(sorted[rank].Nanoseconds()) / 1000
 }
 
-// warm makes calls that do not count.
+// warm makes calls that are not measured.
 func (c *caller) warm(n int) {
 	c.times = slices.Grow(c.times, 1<<16)
 	for range n {
--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -45,9 +45,9 @@
 	return answer{status: response.StatusCode, retryAfter: response.Header.Get(headerRetryAfter)}
 }
 
-// A client sends all of its body before it reads the answer to a request that was rejected long before, on a connection that ends with
-// the answer. It can send it, and has the answer: many clients give an exchange up once they can't write, and a reset may take an
-// answer away that they have not read yet.
+// A client sends all of its body before it reads the answer to a request that was rejected long before, on a connection that is closed
+// after the answer. It can send the body and read the answer: many clients fail if they can't write, and a reset may discard an answer
+// that was not read yet.
 func TestARejectionOutlivesTheCloseOfItsConnection(t *testing.T) {
 	for _, headers := range []string{"", "Connection: close\r\n"} {
 		for _, bytes := range []int{1, 5_000, 100_000, 900_000} {
@@ -74,10 +74,11 @@
 	qt.Check(t, time.Since(began) < discardTimeout/2, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
-// A process ends while a body is still coming: its request is answered in time, and the client hears when to come back.
+// A process shuts down while a body is being received: the request is answered in time, with a Retry-After.
 func TestARequestWhoseBodyIsStillComingIsAnsweredAtTheEnd(t *testing.T) {
-	config, err := configuration.Parse([]byte(`{"configVersion":"r1","routeTable":[{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent",
-		"timeout":"9000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":1,"publicAccess":true}],
+	config, err := configuration.Parse([]byte(`{"configVersion":"r1","routeTable":[
+		{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent","timeout":"9000ms",
+		"target":"500ms","priority":1,"serviceName":"s","maxAttempts":1,"publicAccess":true}],
 		"serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 		"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}`))
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/mesh/dataplane/outbound/faults_test.go
+++ b/internal/mesh/dataplane/outbound/faults_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// sendBatch sends requests on one connection and reads their answers; false if the connection is of no use any more.
+// sendBatch sends requests on one connection and reads their answers. It returns false if the connection can't be used any more.
 func (f *faultRun) sendBatch(conn net.Conn, reader *bufio.Reader, batch []sentRequest) bool {
 	if f.n.draw(12) == 0 {
 		_ = conn.SetDeadline(time.Now().Add(time.Duration(f.n.draw(300)) * time.Millisecond)) // it may be closed
@@ -112,8 +112,8 @@
 	return true
 }
 
-// readAnswer reads one answer, and checks whose it is.
-func (f *faultRun) readAnswer(reader *bufio.Reader, r sentRequest) error {
+// readAnswer reads one answer, and checks that it is the answer to a request.
+func (f *faultRun) readAnswer(reader *bufio.Reader, sent sentRequest) error {
 	response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
@@ -126,15 +126,15 @@
 		return err
 	}
 	id := response.Header.Get("Attempt-Id")
-	complete := id == r.id && string(body) == answerText(r.id, r.uri, r.id) && response.Header.Get("Endpoint-Seal") != ""
+	complete := id == sent.id && string(body) == answerText(sent.id, sent.uri, sent.id) && response.Header.Get("Endpoint-Seal") != ""
 	switch {
 	case response.StatusCode == http.StatusOK && !complete:
-		f.violated("request %s got the answer %s, %d bytes", r.id, id, len(body))
-	case id != "" && id != r.id:
-		f.violated("request %s got %d of %s", r.id, response.StatusCode, id)
+		f.violated("request %s got the answer %s, %d bytes", sent.id, id, len(body))
+	case id != "" && id != sent.id:
+		f.violated("request %s got %d of %s", sent.id, response.StatusCode, id)
 	}
 	f.mu.Lock()
-	f.status[r.id] = response.StatusCode
+	f.status[sent.id] = response.StatusCode
 	f.mu.Unlock()
 	return nil
 }
@@ -159,7 +159,7 @@
 	}
 }
 
-// freezeNodes has the processes beside endpoints stand still now and then.
+// freezeNodes suspends the processes beside endpoints now and then.
 func (f *faultRun) freezeNodes(stop <-chan struct{}) {
 	for {
 		select {
@@ -171,7 +171,7 @@
 	}
 }
 
-// play runs the clients, and checks what came of their requests.
+// play runs the clients, and checks how often each request was executed.
 func (f *faultRun) play(t *testing.T) {
 	t.Helper()
 	f.start(t)
@@ -184,7 +184,7 @@
 	clients.Wait()
 	close(stop)
 	freezer.Wait()
-	time.Sleep(10 * time.Second) // what was given up would begin now, if it ever did
+	time.Sleep(10 * time.Second) // requests that were given up would be executed now, if they ever were
 	for _, s := range f.sidecars {
 		s.close()
 	}
@@ -214,9 +214,9 @@
 	}
 }
 
-// Random invalid, doubled, late and reset answers, connections between sidecars that are lost at any byte or fall silent, processes
-// that stand still, clients that give up: each answer is that of its request, what is not idempotent is executed once at most, and what
-// is reported as not executed never is.
+// With random invalid, doubled, late and reset answers, with connections between sidecars that are reset at any byte or carry nothing any
+// more, with suspended processes and with clients that give up: each answer is that of its request, a request that is not idempotent is
+// executed once at most, and one that is reported as not executed never is.
 func TestAnswersUnderFaults(t *testing.T) {
 	seeds := 6
 	if os.Getenv("SOAK") != "" {
--- a/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
+++ b/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// flawedEndpoint answers as faulty endpoints do, and remembers what it has executed.
+// flawedEndpoint answers as faulty endpoints do, and counts the requests that it has executed.
 type flawedEndpoint struct {
 	n        *network
 	id       string
@@ -22,21 +22,21 @@
 	conns    []net.Conn
 }
 
-func startEndpoint(n *network, address, id string, flawed bool) *flawedEndpoint {
-	f := &flawedEndpoint{n: n, id: id, flawed: flawed, listener: n.listen(address), executed: map[string]int{}}
+func startEndpoint(network *network, address, id string, flawed bool) *flawedEndpoint {
+	endpoint := &flawedEndpoint{n: network, id: id, flawed: flawed, listener: network.listen(address), executed: map[string]int{}}
 	go func() {
 		for {
-			conn, err := f.listener.Accept()
+			conn, err := endpoint.listener.Accept()
 			if err != nil {
 				return
 			}
-			f.mu.Lock()
-			f.conns = append(f.conns, conn)
-			f.mu.Unlock()
-			go f.serve(conn)
+			endpoint.mu.Lock()
+			endpoint.conns = append(endpoint.conns, conn)
+			endpoint.mu.Unlock()
+			go endpoint.serve(conn)
 		}
 	}()
-	return f
+	return endpoint
 }
 
 func (f *flawedEndpoint) close() {
@@ -72,16 +72,16 @@
 	reader := bufio.NewReader(conn)
 	last := "0"
 	for {
-		r, err := http.ReadRequest(reader)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
-		f.answer(r, string(body), last, out)
-		last = r.Header.Get("Attempt-Id")
+		f.answer(request, string(body), last, out)
+		last = request.Header.Get("Attempt-Id")
 	}
 }
 
@@ -103,9 +103,9 @@
 }
 
 // answer writes the endpoint's answer to a request, which may have a flaw.
-func (f *flawedEndpoint) answer(r *http.Request, body, last string, out chan<- string) {
-	id := r.Header.Get("Attempt-Id")
-	if r.Header.Get("Target-Endpoint") != f.id {
+func (f *flawedEndpoint) answer(request *http.Request, body, last string, out chan<- string) {
+	id := request.Header.Get("Attempt-Id")
+	if request.Header.Get("Target-Endpoint") != f.id {
 		out <- fmt.Sprintf("HTTP/1.1 421 Misdirected\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
 		return
 	}
@@ -130,7 +130,7 @@
 	f.executed[id]++
 	f.mu.Unlock()
 	time.Sleep(time.Duration(1+f.n.draw(40)) * time.Millisecond)
-	text := answerText(id, r.RequestURI, body)
+	text := answerText(id, request.RequestURI, body)
 	complete := completeAnswer(id, text)
 	switch {
 	case flaw < 14:
@@ -142,7 +142,7 @@
 	case flaw < 22:
 		out <- "\x00\x01 no answer\r\n\r\n"
 	case flaw < 25: // the answer to another request, late
-		out <- completeAnswer(last, answerText(last, r.RequestURI, body))
+		out <- completeAnswer(last, answerText(last, request.RequestURI, body))
 		out <- complete
 	case flaw < 30: // twice
 		out <- complete
@@ -161,7 +161,8 @@
 		out <- completeAnswer(id, text, "Connection: close")
 		out <- ""
 	case flaw < 50:
-		out <- fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, len(text), text)
+		header := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n", id)
+		out <- header + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text)
 	default:
 		out <- complete
 	}
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -29,10 +29,14 @@
 
 // goldenConfig has a route of each kind, a public one, one to a service without endpoints, and tenants.
 const goldenConfig = `{"configVersion":"r1","routeTable":[
-{"name":"read","hostName":"h","pathPrefix":"/read/","routeKind":"idempotent","timeout":"5000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
-{"name":"book","hostName":"h","pathPrefix":"/book/","routeKind":"non_idempotent","timeout":"5000ms","target":"500ms","priority":2,"serviceName":"s","maxAttempts":3,"publicAccess":true},
-{"name":"none","hostName":"h","pathPrefix":"/none/","routeKind":"downlink","timeout":"300ms","target":"100ms","priority":1,"serviceName":"nobody","maxAttempts":1,"publicAccess":true},
-{"name":"slow","hostName":"h","pathPrefix":"/slow/","routeKind":"idempotent","timeout":"1000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":1,"publicAccess":true}],
+{"name":"read","hostName":"h","pathPrefix":"/read/","routeKind":"idempotent",
+"timeout":"5000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
+{"name":"book","hostName":"h","pathPrefix":"/book/","routeKind":"non_idempotent",
+"timeout":"5000ms","target":"500ms","priority":2,"serviceName":"s","maxAttempts":3,"publicAccess":true},
+{"name":"none","hostName":"h","pathPrefix":"/none/","routeKind":"downlink",
+"timeout":"300ms","target":"100ms","priority":1,"serviceName":"nobody","maxAttempts":1,"publicAccess":true},
+{"name":"slow","hostName":"h","pathPrefix":"/slow/","routeKind":"idempotent",
+"timeout":"1000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":1,"publicAccess":true}],
 "serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false},
 {"name":"nobody","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 "limitSet":{"headerMaxBytes":2000,"bodyMaxBytes":100,"headerTimeout":"3000ms","idleTimeout":"15000ms"},
@@ -40,13 +44,19 @@
 {"name":"quick","accessKeys":["q"],"priority":0,"ratePerS":5,"burstSize":5},
 {"name":"over","accessKeys":["o"],"priority":1,"ratePerS":5,"burstSize":5}]}`
 
+// A body that is too large for goldenConfig, and the same in one chunk.
+var (
+	tooLargeBody  = strings.Repeat("b", 101)
+	tooLargeChunk = "65\r\n" + tooLargeBody + "\r\n0\r\n\r\n"
+)
+
 const endpointDate = "Mon, 01 Jan 2024 00:00:00 GMT" // of the endpoint's answers
 
 // goldenSidecar is a sidecar with an endpoint of service s beside it; its server listens on loopback.
 type goldenSidecar struct {
 	proxy   *Proxy
 	address string
-	came    chan string // the requests that reach the endpoint, as they came
+	came    chan string // the bytes of each request that the endpoint has received
 }
 
 func startGolden(t *testing.T, configure bool) *goldenSidecar {
@@ -55,10 +65,10 @@
 	qt.Assert(t, err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &goldenSidecar{came: make(chan string, 64)}
+	sidecar := &goldenSidecar{came: make(chan string, 64)}
 	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
-	endpointProxy := inbound.New(s.startEndpoint(t), hub.Now, log, nil)
+	endpointProxy := inbound.New(sidecar.startEndpoint(t), hub.Now, log, nil)
 	endpointProxy.UpdateEndpoint(admission.Endpoint{ID: "s-1", Service: "s", Slots: 8}, admission.Serving)
 	acquireQuota := func(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) {
 		switch tenant.Name {
@@ -70,22 +80,22 @@
 			done(true, 0)
 		}
 	}
-	s.proxy = New(Options{
+	sidecar.proxy = New(Options{
 		Hub: hub, Inbound: endpointProxy, Log: log, Service: "front", Seed: 1, MaxBodyBytes: 250, AcquireQuota: acquireQuota,
 		Bounds: settings.Bounds{RetryBudgetRatio: 1, RetryBudgetSlack: 10, RetryBudgetWindow: 10 * time.Second},
 	})
 	if configure {
-		s.proxy.Configure(config)
-		s.proxy.UpdateEndpoints("s", []discovery.Endpoint{
+		sidecar.proxy.Configure(config)
+		sidecar.proxy.UpdateEndpoints("s", []discovery.Endpoint{
 			{ID: "s-1", Service: "s", SidecarAddress: "127.0.0.1:1", Zone: "z", State: discovery.Serving, Slots: 8},
 		})
-		s.proxy.UpdateEndpoints("nobody", nil)
+		sidecar.proxy.UpdateEndpoints("nobody", nil)
 	}
-	s.address = serve(t, s.proxy)
-	return s
+	sidecar.address = serve(t, sidecar.proxy)
+	return sidecar
 }
 
-// startEndpoint starts an endpoint that answers by the path of the request's URI, and remembers what came.
+// startEndpoint starts an endpoint that answers by the path of the request's URI, and records the requests.
 func (g *goldenSidecar) startEndpoint(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
@@ -119,7 +129,7 @@
 	}
 }
 
-// goldenEndpointAnswer returns the endpoint's answer to a request; empty for none.
+// goldenEndpointAnswer returns the endpoint's answer to a request; empty if it sends none.
 func goldenEndpointAnswer(r *http.Request) string {
 	id := r.Header.Get(inbound.HeaderAttemptID)
 	_, last, _ := strings.Cut(r.URL.Path[1:], "/")
@@ -170,71 +180,71 @@
 	return status + "\n" + strings.Join(lines, "") + fmt.Sprintf("  body: %q\n", body)
 }
 
-// The answers of the front to good and bad input, and to what it rejects, on connections of their own.
+// The answers to valid and invalid requests, and to rejected ones, each on a connection of its own.
 func TestGoldenAnswers(t *testing.T) {
 	const id, key = "Attempt-Id: a-1\r\n", "Key: k\r\n"
 	request := func(line, headers string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" }
 	var text strings.Builder
-	s := startGolden(t, true)
+	ready := startGolden(t, true)
 	unready := startGolden(t, false)
 	ending := startGolden(t, true)
 	ending.proxy.RejectNewRequests()
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		sidecar *goldenSidecar
 		raw     string
 	}{
-		{"served", s, request("GET /read/x?y=1", id+key)},
-		{"served by the second key, the same tenant", s, request("GET /read/x", id+"Key: l\r\n")},
-		{"served without a key on a public route", s, request("POST /book/x", id+"Content-Length: 2\r\n") + "ab"},
-		{"served in chunks", s, request("POST /book/x", id+"Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n"},
-		{"served, the client closes", s, request("GET /book/x", id+"Connection: close\r\n")},
-		{"HEAD", s, request("HEAD /book/x", id)},
-		{"no body", s, request("GET /book/empty", id)},
-		{"not modified", s, request("GET /book/unchanged", id)},
-		{"a failure of the endpoint", s, request("POST /book/failure", id)},
-		{"no answer of the endpoint", s, request("GET /slow/silent", id)},
-		{"no time left", s, request("GET /book/x", id+"Time-Remaining: 0\r\n")},
-		{"time that is no number", s, request("GET /book/x", id+"Time-Remaining: soon\r\n")},
-		{"no endpoint", s, request("GET /none/x", id)},
+		{"served", ready, request("GET /read/x?y=1", id+key)},
+		{"served by the second key, the same tenant", ready, request("GET /read/x", id+"Key: l\r\n")},
+		{"served without a key on a public route", ready, request("POST /book/x", id+"Content-Length: 2\r\n") + "ab"},
+		{"served in chunks", ready, request("POST /book/x", id+"Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n"},
+		{"served, the client closes", ready, request("GET /book/x", id+"Connection: close\r\n")},
+		{"HEAD", ready, request("HEAD /book/x", id)},
+		{"no body", ready, request("GET /book/empty", id)},
+		{"not modified", ready, request("GET /book/unchanged", id)},
+		{"a failure of the endpoint", ready, request("POST /book/failure", id)},
+		{"no answer of the endpoint", ready, request("GET /slow/silent", id)},
+		{"no time left", ready, request("GET /book/x", id+"Time-Remaining: 0\r\n")},
+		{"time that is no number", ready, request("GET /book/x", id+"Time-Remaining: soon\r\n")},
+		{"no endpoint", ready, request("GET /none/x", id)},
 		{"no configuration", unready, request("GET /read/x", id+key)},
 		{"process ends", ending, request("GET /book/x", id+key)},
-		{"no route: host", s, "GET /read/x HTTP/1.1\r\nHost: other\r\n" + id + key + "\r\n"},
-		{"no route: path", s, request("GET /elsewhere", id+key)},
-		{"no key for a call of a tenant", s, request("GET /read/x", id)},
-		{"key that nobody has", s, request("GET /read/x", id+"Key: x\r\n")},
-		{"two keys", s, request("GET /read/x", id+key+key)},
-		{"no id", s, request("GET /read/x", key)},
-		{"empty id", s, request("GET /read/x", key+"Attempt-Id: \r\n")},
-		{"two ids", s, request("GET /read/x", key+id+id)},
-		{"beyond the tenant's limit, a time to come back", s, request("GET /read/x", id+"Key: o\r\n")},
-		{"beyond the tenant's limit, no time to come back", s, request("GET /read/x", id+"Key: q\r\n")},
-		{"head too large for the configuration", s, request("GET /read/x", id+key+"X: "+strings.Repeat("x", 2000)+"\r\n")},
-		{"head too large to be read", s, request("GET /read/x", id+key+"X: "+strings.Repeat("x", 300<<10)+"\r\n")},
-		{"body too large by its length", s, request("POST /book/x", id+"Content-Length: 101\r\n") + strings.Repeat("b", 101)},
-		{"body too large as it comes", s, request("POST /book/x", id+"Transfer-Encoding: chunked\r\n") + "65\r\n" + strings.Repeat("b", 101) + "\r\n0\r\n\r\n"},
-		{"body that is no chunk", s, request("POST /book/x", id+"Transfer-Encoding: chunked\r\n") + "zz\r\n"},
-		{"body that does not come", s, request("POST /slow/x", id+"Content-Length: 2\r\n") + "a"},
-		{"CONNECT", s, "CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n" + id + key + "\r\n"},
-		{"OPTIONS *", s, "OPTIONS * HTTP/1.1\r\nHost: h\r\n" + id + key + "\r\n"},
-		{"absolute URI", s, request("GET http://h/read/x", id+key)},
-		{"no host", s, "GET /read/x HTTP/1.1\r\n" + id + key + "\r\n"},
-		{"a version that is none", s, "GET /read/x HTTP/9\r\nHost: h\r\n\r\n"},
-		{"no HTTP", s, "hello\r\n\r\n"},
-		{"bad header name", s, request("GET /read/x", id+key+"a b: c\r\n")},
-		{"two lengths", s, request("POST /book/x", id+"Content-Length: 1\r\nContent-Length: 2\r\n") + "ab"},
-		{"negative length", s, request("POST /book/x", id+"Content-Length: -1\r\n")},
-		{"length and chunks", s, request("POST /book/x", id+"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n"},
-		{"unknown coding", s, request("POST /book/x", id+"Transfer-Encoding: gzip\r\n")},
-		{"expects what nobody knows", s, request("POST /book/x", id+"Expect: more\r\nContent-Length: 2\r\n") + "ab"},
+		{"no route: host", ready, "GET /read/x HTTP/1.1\r\nHost: other\r\n" + id + key + "\r\n"},
+		{"no route: path", ready, request("GET /elsewhere", id+key)},
+		{"no key for a call of a tenant", ready, request("GET /read/x", id)},
+		{"key that nobody has", ready, request("GET /read/x", id+"Key: x\r\n")},
+		{"two keys", ready, request("GET /read/x", id+key+key)},
+		{"no id", ready, request("GET /read/x", key)},
+		{"empty id", ready, request("GET /read/x", key+"Attempt-Id: \r\n")},
+		{"two ids", ready, request("GET /read/x", key+id+id)},
+		{"beyond the tenant's limit, a time to come back", ready, request("GET /read/x", id+"Key: o\r\n")},
+		{"beyond the tenant's limit, no time to come back", ready, request("GET /read/x", id+"Key: q\r\n")},
+		{"head too large for the configuration", ready, request("GET /read/x", id+key+"X: "+strings.Repeat("x", 2000)+"\r\n")},
+		{"head too large to be read", ready, request("GET /read/x", id+key+"X: "+strings.Repeat("x", 300<<10)+"\r\n")},
+		{"body too large by its length", ready, request("POST /book/x", id+"Content-Length: 101\r\n") + tooLargeBody},
+		{"body too large as it comes", ready, request("POST /book/x", id+"Transfer-Encoding: chunked\r\n") + tooLargeChunk},
+		{"body that is no chunk", ready, request("POST /book/x", id+"Transfer-Encoding: chunked\r\n") + "zz\r\n"},
+		{"body that does not come", ready, request("POST /slow/x", id+"Content-Length: 2\r\n") + "a"},
+		{"CONNECT", ready, "CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n" + id + key + "\r\n"},
+		{"OPTIONS *", ready, "OPTIONS * HTTP/1.1\r\nHost: h\r\n" + id + key + "\r\n"},
+		{"absolute URI", ready, request("GET http://h/read/x", id+key)},
+		{"no host", ready, "GET /read/x HTTP/1.1\r\n" + id + key + "\r\n"},
+		{"a version that is none", ready, "GET /read/x HTTP/9\r\nHost: h\r\n\r\n"},
+		{"no HTTP", ready, "hello\r\n\r\n"},
+		{"bad header name", ready, request("GET /read/x", id+key+"a b: c\r\n")},
+		{"two lengths", ready, request("POST /book/x", id+"Content-Length: 1\r\nContent-Length: 2\r\n") + "ab"},
+		{"negative length", ready, request("POST /book/x", id+"Content-Length: -1\r\n")},
+		{"length and chunks", ready, request("POST /book/x", id+"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n"},
+		{"unknown coding", ready, request("POST /book/x", id+"Transfer-Encoding: gzip\r\n")},
+		{"expects what nobody knows", ready, request("POST /book/x", id+"Expect: more\r\nContent-Length: 2\r\n") + "ab"},
 	} {
-		method, _, _ := strings.Cut(x.raw, " ")
-		fmt.Fprintf(&text, "%s: %s", x.name, x.sidecar.ask(t, method, x.raw))
+		method, _, _ := strings.Cut(test.raw, " ")
+		fmt.Fprintf(&text, "%s: %s", test.name, test.sidecar.ask(t, method, test.raw))
 	}
 	golden.Text(t, "answers.txt", []byte(text.String()))
 }
 
-// Bodies of requests have a bound all together: what is beyond it is rejected.
+// The bodies of all requests together have a bound: a request beyond it is rejected.
 func TestGoldenNoRoomForABody(t *testing.T) {
 	s := startGolden(t, true)
 	s.proxy.bodyBytes.Add(249)
@@ -243,7 +253,7 @@
 	qt.Check(t, s.proxy.bodyBytes.Load(), qt.Equals, int64(249))
 }
 
-// The answer that each kind of outcome maps to, with no time to come back but the table's, and with another one.
+// The answer for each kind of outcome, with the table's Retry-After and with a longer one.
 func TestGoldenAnswersByKind(t *testing.T) {
 	answered := &inbound.ForwardResponse{
 		Kind: outcome.Answered, Status: 201, Header: []string{"A", "1", "A", "2", "Content-Type", "x/y", "Server", "s"},
@@ -264,8 +274,8 @@
 	golden.Text(t, "answers_by_kind.txt", []byte(text.String()))
 }
 
-// What a request is when it reaches its endpoint: the client's header fields without those of its connection and those that the
-// system alone sets.
+// The requests as their endpoint receives them: with the client's header fields, but for those of its connection and those that only the
+// mesh sets.
 func TestGoldenForwardedRequests(t *testing.T) {
 	s := startGolden(t, true)
 	var text strings.Builder
@@ -291,24 +301,25 @@
 	golden.Text(t, "forwarded.txt", []byte(text.String()))
 }
 
-// A request's class, priority and times by its route, its tenant and what the client has left.
+// A request's deadlines, by its route's target, whether it is a nested call, and the client's Time-Remaining.
 func TestGoldenTimes(t *testing.T) {
 	var text strings.Builder
 	for _, target := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second} {
-		for _, inner := range []bool{false, true} {
+		for _, nested := range []bool{false, true} {
 			for _, remaining := range []string{"", "0", "1", "1500", "1999.5", "3000", "-1", "1e9", "x", "NaN"} {
 				r := &request{route: &configuration.Route{Timeout: 2 * time.Second, Target: target}}
-				r.forward.Nested = inner
+				r.forward.Nested = nested
 				r.setTimes(10*time.Second, remaining)
-				fmt.Fprintf(&text, "target %v, inner %t, remaining %q: aim %v, deadline %v\n", target, inner, remaining, r.targetDeadline, r.deadline)
+				fmt.Fprintf(&text, "target %v, inner %t, remaining %q: aim %v, deadline %v\n",
+					target, nested, remaining, r.targetDeadline, r.deadline)
 			}
 		}
 	}
 	golden.Text(t, "times.txt", []byte(text.String()))
 }
 
-// What the decision module hears of each outcome, by the numbers of its statuses, and what the end of a call to another sidecar
-// says of an attempt.
+// The balancer's status for each outcome, as a number, and the response to an attempt for each reply or error of the call to the endpoint's
+// sidecar.
 func TestGoldenStatuses(t *testing.T) {
 	var text strings.Builder
 	for kind := outcome.Kind(0); kind <= outcome.EndpointReset+1; kind++ {
@@ -317,7 +328,7 @@
 			fmt.Fprintf(&text, "%s %d: %d, withdrawn: %d\n", kind, code, balancerStatus(o, false), balancerStatus(o, true))
 		}
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		body []byte
 		err  error
@@ -335,9 +346,9 @@
 		{"lost, wrapped", nil, fmt.Errorf("wrapped: %w", &transport.ConnectionError{})},
 		{"another error", nil, errors.New("x")},
 	} {
-		o := parseResponse(x.body, x.err)
-		fmt.Fprintf(&text, "%s: %s, status %d, arrived %t, work %v, slots %d, running %d, waiting %d\n", x.name, o.Kind, o.Status, o.ReachedEndpoint,
-			o.ServiceTime, o.Slots, o.Running, o.Waiting)
+		o := parseResponse(test.body, test.err)
+		fmt.Fprintf(&text, "%s: %s, status %d, arrived %t, work %v, slots %d, running %d, waiting %d\n",
+			test.name, o.Kind, o.Status, o.ReachedEndpoint, o.ServiceTime, o.Slots, o.Running, o.Waiting)
 	}
 	golden.Text(t, "statuses.txt", []byte(text.String()))
 }
--- a/internal/mesh/dataplane/outbound/network_test.go
+++ b/internal/mesh/dataplane/outbound/network_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// network carries connections in memory, for tests in virtual time: they can be reset at any byte, fall silent, and stand still
+// network carries connections in memory, for tests in virtual time: they can be reset at any byte, drop all bytes, and be suspended
 // with the node at one of their ends.
 type network struct {
 	mu        sync.Mutex
@@ -19,7 +19,7 @@
 	faulty    bool
 }
 
-// node is a machine whose processes may stand still.
+// node is a machine whose processes may be suspended.
 type node struct {
 	mu          sync.Mutex
 	frozenUntil time.Time
@@ -48,7 +48,7 @@
 	return &network{random: rand.New(rand.NewPCG(seed, 1)), listeners: map[string]*listener{}, nodes: map[string]*node{}, faulty: faulty}
 }
 
-// draw returns a number below another.
+// draw returns a random number below another.
 func (n *network) draw(below int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +72,7 @@
 	return l
 }
 
-// listenerAt returns who listens at an address; nil for nobody.
+// listenerAt returns the listener at an address; nil for none.
 func (n *network) listenerAt(address string) *listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,12 +81,12 @@
 
 // dialLocal connects to an endpoint on the same node, without faults.
 func (n *network) dialLocal(address string) (net.Conn, error) {
-	l := n.listenerAt(address)
-	if l == nil {
+	listener := n.listenerAt(address)
+	if listener == nil {
 		return nil, errNobodyThere
 	}
 	near, far := net.Pipe()
-	l.incoming <- far
+	listener.incoming <- far
 	return near, nil
 }
 
@@ -99,8 +99,8 @@
 
 // dial connects two nodes; an address is a node's name with a port.
 func (n *network) dial(from, address string) (net.Conn, error) {
-	l := n.listenerAt(address)
-	if l == nil {
+	listener := n.listenerAt(address)
+	if listener == nil {
 		return nil, syscall.ECONNREFUSED
 	}
 	near, far := net.Pipe()
@@ -113,14 +113,14 @@
 		return nil, err
 	}
 	select {
-	case l.incoming <- &wireEnd{Conn: far, wire: w, node: n.node(host)}:
+	case listener.incoming <- &wireEnd{Conn: far, wire: w, node: n.node(host)}:
 		return &wireEnd{Conn: near, wire: w, node: n.node(from)}, nil
-	case <-l.closed:
+	case <-listener.closed:
 		return nil, syscall.ECONNREFUSED
 	}
 }
 
-// drawFault draws what is to go wrong on a wire, if anything.
+// drawFault draws the fault of a wire, if it is to have one.
 func (n *network) drawFault(w *wire) {
 	switch x := n.draw(100); {
 	case x < 25:
@@ -128,23 +128,23 @@
 	case x < 45:
 		w.left = n.draw(300_000)
 	case x < 55:
-		w.silentFrom = time.Now().Add(time.Duration(n.draw(1500)) * time.Millisecond)
+		w.droppedFrom = time.Now().Add(time.Duration(n.draw(1500)) * time.Millisecond)
 	}
 }
 
 // wire is one connection with its faults.
 type wire struct {
-	ends       [2]net.Conn
-	mu         sync.Mutex
-	left       int       // bytes until it is reset; negative for never
-	silentFrom time.Time // from then on nothing passes; zero for never
+	ends        [2]net.Conn
+	mu          sync.Mutex
+	left        int       // bytes until it is reset; negative for never
+	droppedFrom time.Time // from then on all bytes are dropped; zero for never
 }
 
-// pass returns how many of some bytes may pass now, and whether they are lost on the way.
+// pass returns how many of n bytes may pass now, and whether they are dropped on the way.
 func (w *wire) pass(n int) (passed int, lost bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.silentFrom.IsZero() && time.Now().After(w.silentFrom) {
+	if !w.droppedFrom.IsZero() && time.Now().After(w.droppedFrom) {
 		return n, true
 	}
 	if w.left >= 0 {
--- a/internal/mesh/dataplane/outbound/response_test.go
+++ b/internal/mesh/dataplane/outbound/response_test.go
@@ -13,8 +13,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// What was surely not executed is that to the balancer too, whether or not the attempt was cancelled, and only a lost link or a refused
-// connection makes it suspect the endpoint: the endpoint's own sidecar vouches for it.
+// An outcome that was certainly not executed is so to the balancer too, whether or not the attempt was cancelled. Only a lost link or a
+// refused connection makes the balancer suspect the endpoint, as the endpoint's own sidecar vouches for it.
 func TestEveryOutcomeIsReportedToTheBalancer(t *testing.T) {
 	for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	encoded := func(kind outcome.Kind, status int) []byte {
 		return codec.MarshalAppend(nil, &inbound.ForwardResponse{Kind: kind, Status: status})
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		body []byte
 		err  error
@@ -61,8 +61,8 @@
 		{"lost before it was sent", nil, &transport.ConnectionError{}, outcome.Unreachable},
 		{"another error", nil, errors.New("anything else"), outcome.ConnectionLost},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			qt.Check(t, parseResponse(x.body, x.err).Kind, qt.Equals, x.kind)
+		t.Run(test.name, func(t *testing.T) {
+			qt.Check(t, parseResponse(test.body, test.err).Kind, qt.Equals, test.kind)
 		})
 	}
 }
--- a/internal/mesh/dataplane/outbound/sidecar_test.go
+++ b/internal/mesh/dataplane/outbound/sidecar_test.go
@@ -24,13 +24,16 @@
 )
 
 const answersConfig = `{"configVersion":"r1","routeTable":[
-{"name":"read","hostName":"h","pathPrefix":"/idempotent/","routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
-{"name":"book","hostName":"h","pathPrefix":"/non_idempotent/","routeKind":"non_idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
-{"name":"pull","hostName":"h","pathPrefix":"/downlink/","routeKind":"downlink","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false}],
+{"name":"read","hostName":"h","pathPrefix":"/idempotent/","routeKind":"idempotent",
+"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
+{"name":"book","hostName":"h","pathPrefix":"/non_idempotent/","routeKind":"non_idempotent",
+"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false},
+{"name":"pull","hostName":"h","pathPrefix":"/downlink/","routeKind":"downlink",
+"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"s","maxAttempts":3,"publicAccess":false}],
 "serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 "limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}`
 
-// The ports of a node of the network.
+// Ports of each node of the network.
 const (
 	linkPort     = ":7"
 	clientPort   = ":8"
@@ -50,29 +53,29 @@
 	serving   sync.WaitGroup
 }
 
-func startSidecar(t *testing.T, n *network, name string, incarnation uint64) *sidecar {
+func startSidecar(t *testing.T, network *network, name string, incarnation uint64) *sidecar {
 	t.Helper()
-	s := &sidecar{name: name}
+	started := &sidecar{name: name}
 	log := quietLog()
 	hello := transport.Hello{Incarnation: incarnation, Address: name + linkPort, Name: name}
-	s.hub = transport.NewHub(hello, time.Now(), 64<<20, log)
-	s.hub.SetDialer(func(address string) (net.Conn, error) { return n.dial(name, address) })
-	s.inbound = inbound.New(name+endpointPort, s.hub.Now, log, nil)
-	s.inbound.SetDialer(func(address string, _ time.Duration) (net.Conn, error) { return n.dialLocal(address) })
-	s.inbound.Register(s.hub)
-	s.outbound = outbound.New(outbound.Options{
-		Hub: s.hub, Inbound: s.inbound, Service: "client", Log: log, Seed: incarnation, MaxBodyBytes: 64 << 20,
+	started.hub = transport.NewHub(hello, time.Now(), 64<<20, log)
+	started.hub.SetDialer(func(address string) (net.Conn, error) { return network.dial(name, address) })
+	started.inbound = inbound.New(name+endpointPort, started.hub.Now, log, nil)
+	started.inbound.SetDialer(func(address string, _ time.Duration) (net.Conn, error) { return network.dialLocal(address) })
+	started.inbound.Register(started.hub)
+	started.outbound = outbound.New(outbound.Options{
+		Hub: started.hub, Inbound: started.inbound, Service: "client", Log: log, Seed: incarnation, MaxBodyBytes: 64 << 20,
 		Bounds: settings.Bounds{RetryBudgetRatio: 10, RetryBudgetSlack: 1e6, RetryBudgetWindow: 10 * time.Second},
 	})
 	config, err := configuration.Parse([]byte(answersConfig))
 	qt.Assert(t, err, qt.IsNil)
-	s.outbound.Configure(config)
-	links, clients := n.listen(name+linkPort), n.listen(name+clientPort)
-	s.listeners = []*listener{links, clients}
-	s.server = s.outbound.Server()
-	s.serving.Go(func() { _ = s.hub.Listen(links) })
-	s.serving.Go(func() { _ = s.server.Serve(clients) })
-	return s
+	started.outbound.Configure(config)
+	links, clients := network.listen(name+linkPort), network.listen(name+clientPort)
+	started.listeners = []*listener{links, clients}
+	started.server = started.outbound.Server()
+	started.serving.Go(func() { _ = started.hub.Listen(links) })
+	started.serving.Go(func() { _ = started.server.Serve(clients) })
+	return started
 }
 
 func quietLog() *logrus.Logger {
@@ -102,12 +105,12 @@
 
 func startPair(t *testing.T) *pair {
 	t.Helper()
-	n := newNetwork(1, false)
-	p := &pair{n: n, a: startSidecar(t, n, "a", 1), b: startSidecar(t, n, "b", 2)}
-	p.endpoint = startEndpoint(n, "b"+endpointPort, "i-b", false)
-	p.b.inbound.UpdateEndpoint(admission.Endpoint{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
-	p.a.outbound.UpdateEndpoints("s", []discovery.Endpoint{servingEndpoint("i-b", "b", 3)})
-	return p
+	network := newNetwork(1, false)
+	started := &pair{n: network, a: startSidecar(t, network, "a", 1), b: startSidecar(t, network, "b", 2)}
+	started.endpoint = startEndpoint(network, "b"+endpointPort, "i-b", false)
+	started.b.inbound.UpdateEndpoint(admission.Endpoint{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
+	started.a.outbound.UpdateEndpoints("s", []discovery.Endpoint{servingEndpoint("i-b", "b", 3)})
+	return started
 }
 
 // servingEndpoint is an endpoint of service s behind a node's sidecar.
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -120,8 +120,8 @@
 	return response.StatusCode
 }
 
-// A request whose endpoint takes long is hedged. Its first attempt goes on meanwhile: it is cancelled once the client has an answer, and
-// is the answer if the other one is rejected.
+// A request whose endpoint takes long is hedged. The first attempt goes on: it is cancelled when the client has an answer, and is the
+// answer if the hedged one is rejected.
 func TestARepeatDoesNotCostTheAttemptBefore(t *testing.T) {
 	t.Run("the hedged one is rejected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/mesh/dataplane/outcome/golden_test.go
+++ b/internal/mesh/dataplane/outcome/golden_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/golden"
 )
 
-// The closed list of outcomes: their numbers and names, which processes speak, and the answers that they map to.
+// All kinds: their numbers and names, which processes exchange and log, and their answers.
 func TestGoldenTable(t *testing.T) {
 	var text strings.Builder
 	fmt.Fprintln(&text, "number name status not-run blame attempt retry-after")
@@ -25,7 +25,7 @@
 		e.EndsAttempt, e.RetryAfter)
 }
 
-// The names of the kinds in the code, by number: a kind keeps its number whatever its name is.
+// The numbers of the kinds do not change with the names of their constants.
 func TestGoldenNumbers(t *testing.T) {
 	for number, kind := range []Kind{
 		0: None, 1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
@@ -38,7 +38,7 @@
 	}
 }
 
-// What may follow an attempt, by its outcome, the status of an answer, and whether the request may be repeated.
+// What may follow an attempt, by its outcome, the status of the answer, and whether the request is idempotent.
 func TestGoldenNext(t *testing.T) {
 	var text strings.Builder
 	for kind := Kind(0); kind < 24; kind++ {
--- a/internal/mesh/dataplane/outcome/outcome_test.go
+++ b/internal/mesh/dataplane/outcome/outcome_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A request that is not idempotent is retried only if the attempt was surely not executed, whatever the kind.
+// A request that is not idempotent is retried only if the attempt was certainly not executed, whatever its kind.
 func TestOnlyWhatWasNotExecutedIsRetried(t *testing.T) {
 	c := qt.New(t)
 	for kind := Kind(0); kind < 64; kind++ {
@@ -71,7 +71,8 @@
 	}
 }
 
-// The table has a line for every kind; only what was surely not executed is promised so, and a promise says when to come back.
+// The table has an entry for every kind. Only kinds that were certainly not executed have statuses that promise so, and 429 and 503 have a
+// Retry-After.
 func TestOutcomeTableIsComplete(t *testing.T) {
 	for kind := Answered; kind <= EndpointReset; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
--- a/internal/mesh/operations/eventfeed/example_test.go
+++ b/internal/mesh/operations/eventfeed/example_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// source is a feed to which nothing is added.
+// source has the events of a feed, to which none are added.
 type source struct{ feed *events.Feed }
 
 // After implements eventfeed.Source.
@@ -19,7 +19,7 @@
 	return found, next, nil, nil
 }
 
-// A tool reads what has happened after its cursor.
+// A tool reads the events after its cursor.
 func ExampleHandler() {
 	feed := events.NewFeed(36, 16)
 	feed.Add(events.Event{Kind: events.EndpointServing, Service: "orders"})
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// goldenSource gives the events of a feed; nothing comes later.
+// goldenSource has the events of a feed, to which none are added.
 type goldenSource struct{ feed *events.Feed }
 
 // After implements Source.
@@ -25,7 +25,7 @@
 	return out, next, nil, nil
 }
 
-// brokenSource can't be read.
+// brokenSource fails to return events.
 type brokenSource struct{}
 
 // After implements Source.
@@ -33,7 +33,7 @@
 	return nil, c, nil, trace.NotFound("record %q", "event/3")
 }
 
-// goldenFeed is a feed of five events that keeps four.
+// goldenFeed returns a feed of five events that keeps four.
 func goldenFeed() *events.Feed {
 	feed := events.NewFeed(36, 4)
 	for i, service := range []string{"orders", "orders", "carts", "orders", "carts"} {
@@ -45,7 +45,7 @@
 	return feed
 }
 
-// The answers of GET /events: JSON lines, server-sent events, gaps, and what is refused.
+// The answers to GET /events: JSON lines, server-sent events, gaps, and rejected requests.
 func TestGoldenAnswers(t *testing.T) {
 	var lines strings.Builder
 	for _, call := range []struct {
@@ -77,11 +77,11 @@
 	golden.Text(t, "answers.txt", []byte(lines.String()))
 }
 
-// A stream goes on until its reader leaves; one reader too many is sent away.
+// A stream continues until its reader disconnects. A reader beyond the bound is rejected.
 func TestGoldenStreams(t *testing.T) {
 	c := qt.New(t)
 	handler := Handler(goldenSource{goldenFeed()})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	done := make(chan *httptest.ResponseRecorder, maxReaders)
 	for range maxReaders {
 		go func() {
@@ -96,7 +96,7 @@
 		refused = httptest.NewRecorder()
 		handler.ServeHTTP(refused, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
 	}
-	leave()
+	disconnect()
 	var lines strings.Builder
 	fmt.Fprintf(&lines, "%d, retry after %s\n%s", refused.Code, refused.Header().Get("Retry-After"), refused.Body)
 	for range maxReaders {
--- a/internal/mesh/operations/eventlog/example_test.go
+++ b/internal/mesh/operations/eventlog/example_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// memory is a store of records that do not outlive the program.
+// memory is a store in memory.
 type memory map[string][]byte
 
 // Get implements eventlog.Store.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// A log that is opened again has its events, and knows how far it has come with the core process.
+// A log that is opened again has its events, and the cursor at the core process.
 func ExampleOpenLog() {
 	store := memory{}
 	log, err := eventlog.OpenLog(store, 100, 36)
--- a/internal/mesh/operations/eventlog/follow_test.go
+++ b/internal/mesh/operations/eventlog/follow_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// fakeCore is a core process that has one event, and ends each stream after it.
+// fakeCore starts a core process that has one event, and ends each stream after it.
 func fakeCore(name string) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") == "" {
@@ -25,24 +25,26 @@
 	}))
 }
 
-// A log that comes to follow another core process has a gap before that one's events.
+// A log that changes to another core process has a gap before that one's events.
 func TestChangeOfCoreIsReportedAsGap(t *testing.T) {
 	c := qt.New(t)
 	one, two := fakeCore("1"), fakeCore("2")
 	defer two.Close()
-	l, err := OpenLog(newMemoryStore(1000), 100, 1)
+	eventLog, err := OpenLog(newMemoryStore(1000), 100, 1)
 	c.Assert(err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithCancel(t.Context())
 	var following sync.WaitGroup
-	following.Go(func() { Follow(ctx, l, []string{one.Listener.Addr().String(), two.Listener.Addr().String()}, log) })
+	following.Go(func() {
+		Follow(ctx, eventLog, []string{one.Listener.Addr().String(), two.Listener.Addr().String()}, log)
+	})
 	defer following.Wait()
 	defer cancel()
 	var cursor events.Cursor
 	var got []string
 	for len(got) < 3 {
-		found, next, more, err := l.After(cursor, 9, events.Filter{})
+		found, next, more, err := eventLog.After(cursor, 9, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		for _, e := range found {
 			got = append(got, e.Kind+" "+strings.TrimPrefix(e.Node, "127"))
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -17,11 +17,11 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// goldenFolder holds the files of a log as a program that ended in order has left them. It is written anew with the other golden files,
-// if UPDATE_GOLDEN_FOLDER is set too.
+// goldenFolder has the files of a log of a program that has shut down regularly. They are written anew with the other golden files if
+// UPDATE_GOLDEN_FOLDER is set too.
 const goldenFolder = "testdata/golden/folder"
 
-// goldenEvents are five events with a value in each field but the cursor.
+// goldenEvents returns five events with a value in each field but the cursor.
 func goldenEvents() []events.Event {
 	var all []events.Event
 	for i := range 5 {
@@ -33,7 +33,7 @@
 	return all
 }
 
-// addGolden makes a log that keeps three events, and adds five.
+// addGolden opens a log that keeps three events, and adds five.
 func addGolden(t *testing.T, s Store) {
 	t.Helper()
 	l, err := OpenLog(s, 3, 36)
@@ -56,7 +56,7 @@
 	golden.Text(t, "records.txt", []byte(lines.String()))
 }
 
-// A folder that an earlier program has left is read, and gone on with.
+// The folder of an earlier program is read, and the log continued.
 func TestGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	if os.Getenv("UPDATE_GOLDEN_FOLDER") != "" {
@@ -77,7 +77,13 @@
 	c.Assert([]string{from, cursor}, qt.DeepEquals, []string{"10.1.0.44:8105", "7-5"})
 	c.Assert(l.Add(events.Event{Kind: events.Gap, Detail: "later"}, "10.2.0.35:8105", "8-1"), qt.IsNil)
 	var lines strings.Builder
-	for _, after := range []events.Cursor{{}, {Incarnation: 36, Number: 4}, {Incarnation: 36, Number: 1}, {Incarnation: 99, Number: 1}, {Incarnation: 36, Number: 7}} {
+	for _, after := range []events.Cursor{
+		{},
+		{Incarnation: 36, Number: 4},
+		{Incarnation: 36, Number: 1},
+		{Incarnation: 99, Number: 1},
+		{Incarnation: 36, Number: 7},
+	} {
 		out, next, _, err := l.After(after, 9, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		fmt.Fprintf(&lines, "after %s, next %s\n", after, next)
@@ -90,7 +96,7 @@
 	golden.Text(t, "folder.txt", []byte(lines.String()))
 }
 
-// Records that can't be read are named.
+// The error for an invalid record names the record.
 func TestGoldenSpoiltRecords(t *testing.T) {
 	var lines strings.Builder
 	_, err := OpenLog(&memoryStore{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
--- a/internal/mesh/operations/eventlog/log_test.go
+++ b/internal/mesh/operations/eventlog/log_test.go
@@ -10,13 +10,13 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// memoryStore is a store in memory that a test can have fail after so many writes.
+// memoryStore is a store in memory that fails after a number of writes.
 type memoryStore struct {
 	records    map[string][]byte
 	writesLeft int
 }
 
-// newMemoryStore is an empty store that fails after so many writes.
+// newMemoryStore returns an empty store that fails after a number of writes.
 func newMemoryStore(writes int) *memoryStore {
 	return &memoryStore{records: map[string][]byte{}, writesLeft: writes}
 }
@@ -54,7 +54,7 @@
 	return end
 }
 
-// The disk fails, or the event log dies, at any write: opened again it has every event that it said it had, once and in order.
+// The disk fails, or the event log crashes, at any write: the log that is opened then has every acknowledged event, once and in order.
 func TestEventsOutliveAnyWrite(t *testing.T) {
 	c := qt.New(t)
 	for writes := range 24 {
--- a/internal/mesh/operations/events/feed_test.go
+++ b/internal/mesh/operations/events/feed_test.go
@@ -7,15 +7,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// numberedReader reads a feed whose events have rising numbers as their details, three at a time.
+// numberedReader reads a feed, three events at a time. The events' details are ascending numbers.
 type numberedReader struct {
 	*qt.C
 	cursor    Cursor
-	last      int  // number read
-	gapBefore bool // a gap came after it
+	last      int  // number that was read
+	gapBefore bool // a gap was read after it
 }
 
-// read reads once. A number may be left out only after a gap, and none comes twice.
+// read reads once. It checks that numbers are skipped only after a gap, and that none is read twice.
 func (r *numberedReader) read(f *Feed) {
 	r.Helper()
 	found, next := f.After(r.cursor, 3, Filter{})
@@ -36,8 +36,8 @@
 	}
 }
 
-// Readers of every pace, with a keeper that starts again at any event: each event is read once and in order, or a gap is reported
-// before what comes after it.
+// Readers of different paces, and a process that restarts at any event: each event is read once and in order, or a gap is reported before
+// the event that follows.
 func TestMissedEventsAreReportedAsGaps(t *testing.T) {
 	for restart := range 12 {
 		for pace := 1; pace < 8; pace++ {
@@ -48,27 +48,27 @@
 	}
 }
 
-// readAtPace reads each pace events a feed of which a new incarnation takes the place after some events.
+// readAtPace reads a feed once after every pace events. After restart events and the first one, a new incarnation replaces the feed.
 func readAtPace(t *testing.T, restart, pace int) {
 	t.Helper()
-	f := NewFeed(1, 4)
-	r := &numberedReader{C: qt.New(t)}
-	r.read(f)
-	f.Add(Event{Kind: RoleAcquired, Detail: "1"})
-	r.read(f)
+	feed := NewFeed(1, 4)
+	reader := &numberedReader{C: qt.New(t)}
+	reader.read(feed)
+	feed.Add(Event{Kind: RoleAcquired, Detail: "1"})
+	reader.read(feed)
 	for i := 2; i <= 12; i++ {
 		if i-2 == restart {
-			f = NewFeed(2, 4)
+			feed = NewFeed(2, 4)
 		}
-		f.Add(Event{Kind: RoleAcquired, Detail: strconv.Itoa(i)})
+		feed.Add(Event{Kind: RoleAcquired, Detail: strconv.Itoa(i)})
 		if i%pace == 0 {
-			r.read(f)
+			reader.read(feed)
 		}
 	}
 	for range 4 {
-		r.read(f)
+		reader.read(feed)
 	}
-	r.Assert(r.last, qt.Equals, 12)
+	reader.Assert(reader.last, qt.Equals, 12)
 }
 
 func TestCursorsAndFilters(t *testing.T) {
--- a/internal/mesh/operations/events/golden_test.go
+++ b/internal/mesh/operations/events/golden_test.go
@@ -36,13 +36,13 @@
 
 func TestGoldenKinds(t *testing.T) {
 	kinds := []string{
-		EndpointServing, EndpointDraining, EndpointGone, EndpointCrashed, ConfigurationApplied, RoleAcquired, RoleLost, QuotaExhausted, MemberReachable,
-		MemberUnreachable, Gap,
+		EndpointServing, EndpointDraining, EndpointGone, EndpointCrashed, ConfigurationApplied, RoleAcquired, RoleLost, QuotaExhausted,
+		MemberReachable, MemberUnreachable, Gap,
 	}
 	golden.Text(t, "kinds.txt", []byte(strings.Join(kinds, "\n")+"\n"))
 }
 
-// Cursors and gaps as readers see them: their texts, and what can't be read.
+// The texts of cursors and gaps, and the errors for invalid cursors.
 func TestGoldenCursors(t *testing.T) {
 	var lines strings.Builder
 	for _, text := range []string{
--- a/internal/mesh/operations/logging/example_test.go
+++ b/internal/mesh/operations/logging/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/operations/logging"
 )
 
-// What was logged before a warning is written with it.
+// A warning is written with the entries that were logged before it.
 func ExampleNew() {
 	var out strings.Builder
 	log, ring := logging.New(&out)
--- a/internal/mesh/operations/logging/golden_test.go
+++ b/internal/mesh/operations/logging/golden_test.go
@@ -12,7 +12,7 @@
 
 var timeOfEntry = regexp.MustCompile(`time="[^"]*"`)
 
-// What is written when something goes wrong, when that goes on, and on request.
+// The dumps for the first fault, for further ones, for an error, and on request.
 func TestGoldenLog(t *testing.T) {
 	var out strings.Builder
 	log, ring := New(&out)
--- a/internal/mesh/operations/meshctl/example_test.go
+++ b/internal/mesh/operations/meshctl/example_test.go
@@ -7,10 +7,11 @@
 	"quincegap/internal/mesh/operations/meshctl"
 )
 
-// What a new configuration changes is shown before it is submitted; keys are never printed.
+// The differences of a new configuration are printed before it is submitted. Keys are never printed.
 func ExampleDiff() {
 	parse := func(version, key string, rate int) *configuration.Config {
-		text := fmt.Sprintf(`{"configVersion":%q,"routeTable":[],"tenantTable":[{"name":"north","accessKeys":[%q],"ratePerS":%d}]}`, version, key, rate)
+		text := fmt.Sprintf(`{"configVersion":%q,"routeTable":[],"tenantTable":[{"name":"north","accessKeys":[%q],"ratePerS":%d}]}`,
+			version, key, rate)
 		config, err := configuration.Parse([]byte(text))
 		if err != nil {
 			fmt.Println(err)
--- a/internal/mesh/operations/meshctl/golden_test.go
+++ b/internal/mesh/operations/meshctl/golden_test.go
@@ -20,7 +20,7 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// goldenState is a core process's answer with a value in each field.
+// goldenState returns a core process's state with a value in each field.
 func goldenState(confirmed bool) agent.State {
 	return agent.State{
 		Node: "core-1", Version: "r12", Confirmed: confirmed, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
@@ -30,40 +30,50 @@
 			{Address: "10.1.0.44:7640", Zone: "north-a", Role: "core"},
 		},
 		Endpoints: []agent.EndpointState{
-			{ID: "ep-1", Service: "orders", Zone: "north-a", State: "in_service", Address: "10.1.0.40:8103", Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000},
-			{ID: "ep-2", Service: "orders", Zone: "south-b", State: "draining", Address: "10.1.0.41:8103", Sidecar: "10.1.0.41:7640", Slots: 4, LeaseMs: 500},
-			{ID: "ep-3", Service: "carts", Zone: "south-b", State: "crashed", Address: "10.1.0.42:8103", Sidecar: "10.1.0.42:7640", Slots: 4},
+			{
+				ID: "ep-1", Service: "orders", Zone: "north-a", State: "in_service",
+				Address: "10.1.0.40:8103", Sidecar: "10.1.0.40:7640", Slots: 12, LeaseMs: 9000,
+			},
+			{
+				ID: "ep-2", Service: "orders", Zone: "south-b", State: "draining",
+				Address: "10.1.0.41:8103", Sidecar: "10.1.0.41:7640", Slots: 4, LeaseMs: 500,
+			},
+			{
+				ID: "ep-3", Service: "carts", Zone: "south-b", State: "crashed",
+				Address: "10.1.0.42:8103", Sidecar: "10.1.0.42:7640", Slots: 4,
+			},
 		},
 	}
 }
 
-// goldenCore answers with a fixed state, the configuration in a file under testdata, and the same answer to each order.
+// goldenCore starts a core process that answers with a fixed state, the configuration in a file under testdata, and a status for each
+// change. It returns the core process's address.
 func goldenCore(t *testing.T, confirmed bool, configuration, status int) string {
 	t.Helper()
-	conf, err := os.ReadFile("testdata/before.json")
+	config, err := os.ReadFile("testdata/before.json")
 	qt.Assert(t, err, qt.IsNil)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		switch q.Method + " " + q.URL.Path {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		switch r.Method + " " + r.URL.Path {
 		case "GET /configuration/retrieve":
 			w.WriteHeader(configuration)
-			_, _ = w.Write(conf)
+			_, _ = w.Write(config)
 		case "GET /mesh/state":
 			_ = json.NewEncoder(w).Encode(goldenState(confirmed))
 		case "POST /configuration/replace":
-			_, _ = io.Copy(io.Discard, q.Body)
+			_, _ = io.Copy(io.Discard, r.Body)
 			w.WriteHeader(status)
-			_, _ = fmt.Fprintf(w, "base %s\n", q.Header.Get("Base-Version"))
+			_, _ = fmt.Fprintf(w, "base %s\n", r.Header.Get("Base-Version"))
 		default:
 			w.WriteHeader(http.StatusNotFound)
 		}
 	}))
-	t.Cleanup(s.Close)
-	return s.Listener.Addr().String()
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
 }
 
 // What each command prints, for people and for programs, with its error and exit code.
 func TestGoldenOutput(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		confirmed             bool
 		configuration, status int
 		commands              []string
@@ -72,8 +82,8 @@
 			"members", "--json members", "endpoints", "endpoints --service carts", "--json endpoints --service carts",
 			"duties", "--json duties", "config get", "config check testdata/after.json", "config check testdata/bad.json",
 			"config diff testdata/after.json", "config apply testdata/after.json", "config apply --base r2 testdata/after.json",
-			"config apply --base 2 testdata/after.json", "why h.example /none/", "why h.example /a/x --key secret1", "why h.example /a/x --key wrong",
-			"why h.example /open/x", "why h.example /split/ --key secret2",
+			"config apply --base 2 testdata/after.json", "why h.example /none/", "why h.example /a/x --key secret1",
+			"why h.example /a/x --key wrong", "why h.example /open/x", "why h.example /split/ --key secret2",
 		}},
 		"conflict":    {true, 200, 412, []string{"config apply testdata/after.json"}},
 		"refused":     {true, 200, 400, []string{"config apply testdata/after.json"}},
@@ -83,18 +93,18 @@
 		"unreachable": {true, 503, 200, []string{"config get"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := goldenCore(t, x.confirmed, x.configuration, x.status)
+			address := goldenCore(t, test.confirmed, test.configuration, test.status)
 			folder, err := filepath.Abs(".")
 			qt.Assert(t, err, qt.IsNil)
 			var lines strings.Builder
-			for _, command := range x.commands {
-				var l CommandLine
-				k, err := kong.New(&l, kong.Name("meshctl"), kong.BindTo(t.Context(), (*context.Context)(nil)))
+			for _, command := range test.commands {
+				var line CommandLine
+				parser, err := kong.New(&line, kong.Name("meshctl"), kong.BindTo(t.Context(), (*context.Context)(nil)))
 				qt.Assert(t, err, qt.IsNil)
-				parsed, err := k.Parse(append([]string{"--core", address}, strings.Fields(command)...))
+				parsed, err := parser.Parse(append([]string{"--core", address}, strings.Fields(command)...))
 				qt.Assert(t, err, qt.IsNil)
 				var out strings.Builder
-				err = parsed.Run(l.Client(&out))
+				err = parsed.Run(line.Client(&out))
 				fmt.Fprintf(&lines, "$ meshctl %s\n%s", command, out.String())
 				if err != nil {
 					fmt.Fprintf(&lines, "error: %s\n", strings.ReplaceAll(trace.UserMessage(err), address, "ADDRESS"))
@@ -108,14 +118,16 @@
 
 // The commands, flags and variables that people and scripts use.
 func TestGoldenUsage(t *testing.T) {
-	t.Setenv("COLUMNS", "80") // the width that kong writes for
+	t.Setenv("COLUMNS", "80") // kong wraps lines at this width
 	var lines strings.Builder
-	for _, command := range []string{"", "config", "config get", "config check", "config diff", "config apply", "members", "endpoints", "duties", "why"} {
-		var l CommandLine
-		k, err := kong.New(&l, kong.Name("meshctl"), kong.Writers(&lines, &lines), kong.Exit(func(int) {}))
+	for _, command := range []string{
+		"", "config", "config get", "config check", "config diff", "config apply", "members", "endpoints", "duties", "why",
+	} {
+		var line CommandLine
+		parser, err := kong.New(&line, kong.Name("meshctl"), kong.Writers(&lines, &lines), kong.Exit(func(int) {}))
 		qt.Assert(t, err, qt.IsNil)
 		fmt.Fprintf(&lines, "$ meshctl %s --help\n", command)
-		_, _ = k.Parse(append(strings.Fields(command), "--help")) // what is missing is not asked for
+		_, _ = parser.Parse(append(strings.Fields(command), "--help")) // missing arguments are no error with --help
 	}
 	golden.Text(t, "usage.txt", []byte(lines.String()))
 	qt.Assert(t, []int{ExitInvalid, ExitConflict, ExitUnavailable}, qt.DeepEquals, []int{2, 3, 4})
--- a/internal/mesh/operations/meshctl/meshctl_test.go
+++ b/internal/mesh/operations/meshctl/meshctl_test.go
@@ -16,7 +16,7 @@
 	`"timeout":"1s","target":"300ms","priority":1,"serviceName":"s","maxAttempts":1}],
 "serviceTable":[{"name":"s","healthPath":"/health","connectionCap":9}],"tenantTable":[{"name":"t","accessKeys":["secret1"],"ratePerS":5}]}`
 
-// clientOf is a client of a core process, after another one that can't be reached, and what it prints.
+// clientOf returns a client of a core process, and its output. The client tries a core process that can't be reached before.
 func clientOf(t *testing.T, core http.HandlerFunc) (*Client, *strings.Builder) {
 	t.Helper()
 	s := httptest.NewServer(core)
@@ -26,7 +26,8 @@
 	return line.Client(&out), &out
 }
 
-// fakeCore is a core process with a configuration, that answers each submitted one as replace says.
+// fakeCore returns a client of a core process that has a configuration, and answers each submitted one with the status that replace
+// returns. It returns the client's output too.
 func fakeCore(t *testing.T, replace func(base, body string) (status int)) (*Client, *strings.Builder) {
 	t.Helper()
 	return clientOf(t, func(w http.ResponseWriter, r *http.Request) {
@@ -52,12 +53,12 @@
 		status     int
 		code       int
 	}{
-		"taken":          {after, "", 200, 0},
-		"lost its race":  {after, "r2", 412, ExitConflict},
-		"no clear word":  {after, "", 503, ExitUnavailable},
-		"can't be used":  {strings.Replace(after, `"2s"`, `"0s"`, 1), "", 200, ExitInvalid},
-		"refused":        {after, "", 400, ExitInvalid},
-		"no such number": {after, "12", 200, ExitInvalid},
+		"applied":         {after, "", 200, 0},
+		"conflict":        {after, "r2", 412, ExitConflict},
+		"no clear answer": {after, "", 503, ExitUnavailable},
+		"invalid":         {strings.Replace(after, `"2s"`, `"0s"`, 1), "", 200, ExitInvalid},
+		"refused":         {after, "", 400, ExitInvalid},
+		"invalid version": {after, "12", 200, ExitInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -96,7 +97,7 @@
 	}
 }
 
-// A core process that reaches no majority says so, and people are warned; programs find it in the JSON.
+// A core process that reaches no majority reports so, and the output for people has a warning.
 func TestUnconfirmedState(t *testing.T) {
 	for confirmed, warned := range map[string]bool{"true": false, "false": true} {
 		t.Run("confirmed "+confirmed, func(t *testing.T) {
--- a/internal/mesh/operations/settings/example_test.go
+++ b/internal/mesh/operations/settings/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// A file is parsed to the end, and all its faults are reported at once.
+// All invalid fields of a file are reported at once.
 func ExampleParse() {
 	s, err := settings.Parse([]byte(`
 [ownNode]
--- a/internal/mesh/operations/settings/golden_test.go
+++ b/internal/mesh/operations/settings/golden_test.go
@@ -14,50 +14,50 @@
 	"quincegap/internal/golden"
 )
 
-// dump writes each setting under the name that the file has for it, in the file's order.
-func dump(s *Settings) string {
+// dump returns each setting with its path in the file, in the file's order.
+func dump(settings *Settings) string {
 	var lines strings.Builder
-	for _, x := range []struct {
+	for _, field := range []struct {
 		path  string
 		value any
 	}{
-		{"ownNode.nodeName", s.Name},
-		{"ownNode.role", s.Role},
-		{"ownNode.machineClass", s.MachineClass},
-		{"ownNode.ipAddress", s.IP},
-		{"ownNode.zone", s.Zone},
-		{"ownNode.region", s.Region},
-		{"ownNode.initialStart", s.InitialStart},
-		{"ownNode.dataDirectory", s.DataDirectory},
-		{"ownNode.applicationAddr", s.ApplicationAddress},
-		{"ownNode.serviceName", s.Service},
-		{"ownNode.limitSet.memoryMb", s.MemoryMB},
-		{"ownNode.limitSet.fdLimit", s.FileDescriptors},
-		{"ownNode.limitSet.linkMbps", s.LinkMbps},
-		{"network.internalPorts", s.InternalPorts},
-		{"network.seedNodes", s.Seeds},
-		{"network.listenAddresses.inbound", s.InboundAddress},
-		{"network.listenAddresses.outbound", s.OutboundAddress},
-		{"network.listenAddresses.readiness", s.ReadinessAddress},
-		{"network.listenAddresses.control", s.ControlAddress},
-		{"network.zones", s.RegionOfZone},
-		{"platformProfile.keepalive", s.KeepaliveInterval},
-		{"termTable.faultTolerance.machines", s.ToleratedMachines},
-		{"boundSet.contact", s.Bounds.Contact},
-		{"boundSet.drain", s.Bounds.Drain},
-		{"boundSet.grace", s.Bounds.Grace},
-		{"boundSet.configApply", s.Bounds.ConfigApply},
-		{"boundSet.ack", s.Bounds.Ack},
-		{"boundSet.retryBudgetRatio", s.Bounds.RetryBudgetRatio},
-		{"boundSet.retryBudgetSlack", s.Bounds.RetryBudgetSlack},
-		{"boundSet.retryWindow", s.Bounds.RetryBudgetWindow},
-		{"boundSet.quotaWindow", s.Bounds.QuotaWindow},
-		{"boundSet.quotaOverage", s.Bounds.QuotaOverage},
-		{"boundSet.quotaSlack", s.Bounds.QuotaSlack},
-		{"internal address", s.InternalAddress()},
-		{"internal addresses of seeds", s.SeedAddresses()},
+		{"ownNode.nodeName", settings.Name},
+		{"ownNode.role", settings.Role},
+		{"ownNode.machineClass", settings.MachineClass},
+		{"ownNode.ipAddress", settings.IP},
+		{"ownNode.zone", settings.Zone},
+		{"ownNode.region", settings.Region},
+		{"ownNode.initialStart", settings.InitialStart},
+		{"ownNode.dataDirectory", settings.DataDirectory},
+		{"ownNode.applicationAddr", settings.ApplicationAddress},
+		{"ownNode.serviceName", settings.Service},
+		{"ownNode.limitSet.memoryMb", settings.MemoryMB},
+		{"ownNode.limitSet.fdLimit", settings.FileDescriptors},
+		{"ownNode.limitSet.linkMbps", settings.LinkMbps},
+		{"network.internalPorts", settings.InternalPorts},
+		{"network.seedNodes", settings.Seeds},
+		{"network.listenAddresses.inbound", settings.InboundAddress},
+		{"network.listenAddresses.outbound", settings.OutboundAddress},
+		{"network.listenAddresses.readiness", settings.ReadinessAddress},
+		{"network.listenAddresses.control", settings.ControlAddress},
+		{"network.zones", settings.RegionOfZone},
+		{"platformProfile.keepalive", settings.KeepaliveInterval},
+		{"termTable.faultTolerance.machines", settings.ToleratedMachines},
+		{"boundSet.contact", settings.Bounds.Contact},
+		{"boundSet.drain", settings.Bounds.Drain},
+		{"boundSet.grace", settings.Bounds.Grace},
+		{"boundSet.configApply", settings.Bounds.ConfigApply},
+		{"boundSet.ack", settings.Bounds.Ack},
+		{"boundSet.retryBudgetRatio", settings.Bounds.RetryBudgetRatio},
+		{"boundSet.retryBudgetSlack", settings.Bounds.RetryBudgetSlack},
+		{"boundSet.retryWindow", settings.Bounds.RetryBudgetWindow},
+		{"boundSet.quotaWindow", settings.Bounds.QuotaWindow},
+		{"boundSet.quotaOverage", settings.Bounds.QuotaOverage},
+		{"boundSet.quotaSlack", settings.Bounds.QuotaSlack},
+		{"internal address", settings.InternalAddress()},
+		{"internal addresses of seeds", settings.SeedAddresses()},
 	} {
-		fmt.Fprintf(&lines, "%s = %v\n", x.path, x.value)
+		fmt.Fprintf(&lines, "%s = %v\n", field.path, field.value)
 	}
 	return lines.String()
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// Each field that can't be used is named, with what was wanted and found.
+// The error for each invalid field names its path, the wanted value and the value that was found.
 func TestGoldenBadSettings(t *testing.T) {
 	least, err := os.ReadFile("testdata/least.toml")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/mesh/transport/codec/codec_test.go
+++ b/internal/mesh/transport/codec/codec_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// nestedMessage has fields of most forms, and messages of its own kind.
+// nestedMessage has fields of most types, and nested messages of its own type.
 type nestedMessage struct {
 	N    uint64
 	I    int64
@@ -39,7 +39,7 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		value nestedMessage
 	}{
@@ -50,10 +50,10 @@
 			Next: []nestedMessage{{}, {T: "x", Next: []nestedMessage{{N: 1}}}},
 		}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var got nestedMessage
-			qt.Assert(t, Unmarshal(MarshalAppend(nil, &x.value), &got), qt.IsNil)
-			qt.Assert(t, got, qt.DeepEquals, x.value)
+			qt.Assert(t, Unmarshal(MarshalAppend(nil, &test.value), &got), qt.IsNil)
+			qt.Assert(t, got, qt.DeepEquals, test.value)
 		})
 	}
 }
@@ -64,7 +64,7 @@
 	qt.Assert(t, got, qt.DeepEquals, append([]byte("before"), 0x08, 0x01))
 }
 
-// Every shorter message and every one with a changed byte is read or rejected, without a panic and without a read beyond its end.
+// Every truncated message and every one with a changed byte is decoded or rejected, without a panic.
 func TestCorruptMessagesAreRejected(t *testing.T) {
 	complete := MarshalAppend(nil, &nestedMessage{N: 300, D: time.Second, T: "text", Ts: []string{"a"}, Next: []nestedMessage{{F: 1}}})
 	for i := range complete {
--- a/internal/mesh/transport/codec/example_test.go
+++ b/internal/mesh/transport/codec/example_test.go
@@ -7,13 +7,13 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Lease is a message with two fields, and LaterLease is what a later version of the program makes of it.
+// Lease is a message with two fields, and LaterLease is the same message in a later version of the program.
 type Lease struct {
 	Holder string
 	Length time.Duration
 }
 
-// Fields names the fields of a Lease.
+// Fields implements codec.Message.
 func (l *Lease) Fields(v *codec.Visitor) {
 	v.String(1, &l.Holder)
 	v.Duration(2, &l.Length)
@@ -24,13 +24,13 @@
 	Epoch uint64
 }
 
-// Fields names the fields of a LaterLease: those of before, and a new one.
+// Fields implements codec.Message. The message has a new field.
 func (l *LaterLease) Fields(v *codec.Visitor) {
 	l.Lease.Fields(v)
 	v.Uint64(3, &l.Epoch)
 }
 
-// Two versions of a program exchange a message: the earlier one ignores the field that it does not know.
+// Two versions of a program exchange a message: the earlier one ignores the new field.
 func Example() {
 	data := codec.MarshalAppend(nil, &LaterLease{Lease: Lease{Holder: "10.0.0.4:7640", Length: time.Second}, Epoch: 7})
 	var earlier Lease
--- a/internal/mesh/transport/codec/golden_test.go
+++ b/internal/mesh/transport/codec/golden_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/golden"
 )
 
-// everyField has a field of each form that a Visitor knows.
+// everyField has a field of each type that a Visitor has a method for.
 type everyField struct {
 	Uint     uint64
 	Int      int64
@@ -50,7 +50,7 @@
 	List(v, 13, &e.Each, eachUint)
 }
 
-// eachUint is an element of a list that is written by Each: a varint as the bytes of its own.
+// eachUint is an element of a list that List visits: its bytes are a varint.
 func eachUint(v *Visitor, x *uint64) {
 	if v.Reading() {
 		*x, _ = protowire.ConsumeVarint(v.elementBytes())
@@ -91,7 +91,7 @@
 	}
 }
 
-// fieldsFile lists each form of a field alone: its name, and the bytes in hexadecimal.
+// fieldsFile has each type of field alone: its name, and its encoding in hexadecimal.
 const fieldsFile = "fields.txt"
 
 func TestGoldenFields(t *testing.T) {
@@ -145,8 +145,8 @@
 	}
 }
 
-// newerFields is the message of a later version: it has fields that everyField does not know, of each type on the wire, before,
-// between and after those that it does know.
+// newerFields is everyField in a later version: it has additional fields, of each type on the wire, before, between and after those of
+// everyField.
 func newerFields() []byte {
 	var b []byte
 	b = protowire.AppendVarint(protowire.AppendTag(b, 100, protowire.VarintType), 7)
@@ -168,7 +168,7 @@
 	qt.Assert(t, got, qt.DeepEquals, everyField{Uint: 5, Text: "known"})
 }
 
-// Of a field that is there twice the last one counts; lists keep both.
+// If a field occurs twice the last one counts; a list has both.
 func TestGoldenRepeatedFields(t *testing.T) {
 	first := everyField{Uint: 1, Text: "first", Texts: []string{"a"}, Messages: []oneField{{"a"}}}
 	second := everyField{Uint: 2, Text: "second", Texts: []string{"b"}, Messages: []oneField{{"b"}}}
@@ -178,7 +178,7 @@
 	qt.Assert(t, got, qt.DeepEquals, everyField{Uint: 2, Text: "second", Texts: []string{"a", "b"}, Messages: []oneField{{"a"}, {"b"}}})
 }
 
-// Every field with each type on the wire that is not its own, and messages that end too early: what Read answers.
+// The errors of Unmarshal for every field with each type on the wire that is not its own, and for truncated messages.
 func TestGoldenErrors(t *testing.T) {
 	value := func(typ protowire.Type) []byte {
 		switch typ {
@@ -221,7 +221,7 @@
 	golden.Text(t, "errors.txt", text.Bytes())
 }
 
-// A message says itself that a field can't be used: the first such error is the one that Read returns.
+// A message reports that fields are invalid: Unmarshal returns the first such error.
 type refusing struct{}
 
 func (refusing) Fields(v *Visitor) {
--- a/internal/mesh/transport/example_test.go
+++ b/internal/mesh/transport/example_test.go
@@ -15,10 +15,10 @@
 // greeting is a request and its reply.
 type greeting struct{ Text string }
 
-// Fields names the fields of a greeting.
+// Fields implements codec.Message.
 func (g *greeting) Fields(v *codec.Visitor) { v.String(1, &g.Text) }
 
-// methodGreet is a method's number; it never changes its meaning.
+// methodGreet is the number of a method, which never changes its meaning.
 const methodGreet = 100
 
 // Two processes: one handles a method, the other calls it.
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -20,7 +20,10 @@
 // goldenClock is the sender's clock in golden frames.
 const goldenClock = 1500 * time.Millisecond
 
-var goldenHello = Hello{Version: protocolVersion, Incarnation: 0x0102030405060708, Address: "127.0.0.1:7640", Name: "access-0", Zone: "a", Service: "desk"}
+var goldenHello = Hello{
+	Version: protocolVersion, Incarnation: 0x0102030405060708, Address: "127.0.0.1:7640", Name: "access-0", Zone: "a",
+	Service: "desk",
+}
 
 func TestNumbersOfFrames(t *testing.T) {
 	numbers := map[string]frameKind{
@@ -34,7 +37,7 @@
 }
 
 func TestGoldenFrames(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		frame envelope
 	}{
@@ -57,16 +60,16 @@
 		{"pong.hex", envelope{kind: uint64(pongFrame), sentAt: goldenClock}},
 		{"leaving.hex", envelope{kind: uint64(leavingFrame), sentAt: goldenClock}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			golden.Hex(t, x.name, appendFrame(nil, &x.frame))
+		t.Run(test.name, func(t *testing.T) {
+			golden.Hex(t, test.name, appendFrame(nil, &test.frame))
 			var got envelope
-			r := bufio.NewReader(bytes.NewReader(golden.Read(t, x.name)))
+			r := bufio.NewReader(bytes.NewReader(golden.Read(t, test.name)))
 			qt.Assert(t, readFrame(r, &got), qt.IsNil)
 			_, err := r.ReadByte()
 			qt.Assert(t, err, qt.Equals, io.EOF)
-			qt.Assert(t, got.body, qt.DeepEquals, x.frame.body)
-			got.body = x.frame.body
-			qt.Assert(t, sameFrame(got, x.frame), qt.IsTrue, qt.Commentf("%+v, wanted %+v", got, x.frame))
+			qt.Assert(t, got.body, qt.DeepEquals, test.frame.body)
+			got.body = test.frame.body
+			qt.Assert(t, sameFrame(got, test.frame), qt.IsTrue, qt.Commentf("%+v, wanted %+v", got, test.frame))
 		})
 	}
 }
@@ -80,7 +83,10 @@
 	for _, x := range []struct {
 		name  string
 		hello Hello
-	}{{"message-hello.hex", goldenHello}, {"message-hello-least.hex", Hello{Version: protocolVersion, Incarnation: 1, Address: "127.0.0.1:7640"}}} {
+	}{
+		{"message-hello.hex", goldenHello},
+		{"message-hello-least.hex", Hello{Version: protocolVersion, Incarnation: 1, Address: "127.0.0.1:7640"}},
+	} {
 		t.Run(x.name, func(t *testing.T) {
 			golden.Hex(t, x.name, codec.MarshalAppend(nil, &x.hello))
 			var got Hello
@@ -90,8 +96,8 @@
 	}
 }
 
-// rawPeer is the other end of a link, byte by byte. It notes what it reads, with each frame's clock at goldenClock; all else is as it
-// came over TCP.
+// rawPeer is the other end of a link, on which a test sends bytes. It records the frames that it reads, as they were received over TCP
+// but for their sentAt, which is set to goldenClock.
 type rawPeer struct {
 	*qt.C
 	conn net.Conn
@@ -112,7 +118,7 @@
 	r.Assert(err, qt.IsNil)
 }
 
-// next reads a frame, other than the pings of a slow machine, and notes it.
+// next reads and records the next frame other than a ping, which a hub sends on a slow machine.
 func (r *rawPeer) next() envelope {
 	r.Helper()
 	for {
@@ -134,7 +140,7 @@
 	}
 }
 
-// goldenHub is one that greets with goldenHello.
+// goldenHub returns a hub that sends goldenHello.
 func goldenHub(t *testing.T) *Hub {
 	t.Helper()
 	log := logrus.New()
@@ -144,53 +150,54 @@
 	return h
 }
 
-// What a hub that was dialled sends on its connection: its greeting, replies, a pong, and that it leaves.
+// The frames of a hub that was dialled: its hello, replies, a pong, and that it is draining.
 func TestGoldenAcceptedLink(t *testing.T) {
-	far := goldenHub(t)
+	server := goldenHub(t)
 	listener := listen(t)
-	serveUntilEnd(t, far, listener)
-	Handle(far, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
+	serveUntilEnd(t, server, listener)
+	Handle(server, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
 		return &textMessage{from.Name + " " + l.Text}
 	})
-	withdrawn := make(chan struct{})
-	far.HandleRaw(2, func(c *IncomingCall) {
+	cancelled := make(chan struct{})
+	server.HandleRaw(2, func(c *IncomingCall) {
 		c.OnCancel(func() {
 			c.ReplyBytes([]byte("withdrawn"))
-			close(withdrawn)
+			close(cancelled)
 		})
 	})
-	p := newRawPeer(t, dialRaw(t, listener.Addr().String()))
-	p.send(golden.Read(t, "hello.hex"))
-	p.next()
+	peer := newRawPeer(t, dialRaw(t, listener.Addr().String()))
+	peer.send(golden.Read(t, "hello.hex"))
+	peer.next()
 	question := codec.MarshalAppend(nil, &textMessage{"question"})
-	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, body: question[:3]}))
-	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: question[3:]}))
-	p.next()
-	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 2, method: 2, last: true}))
-	p.send(golden.Read(t, "withdraw.hex"))
-	p.next()
-	<-withdrawn
-	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 3, method: 99, last: true}))
-	p.next()
-	p.send(golden.Read(t, "ping.hex"))
-	p.next()
-	p.send(appendFrame(nil, &envelope{kind: 99, stream: 4})) // of a later version: passed over
-	p.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 5, method: 1, last: true, body: codec.MarshalAppend(nil, &textMessage{"again"})}))
-	p.next()
+	peer.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, body: question[:3]}))
+	peer.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: true, body: question[3:]}))
+	peer.next()
+	peer.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 2, method: 2, last: true}))
+	peer.send(golden.Read(t, "withdraw.hex"))
+	peer.next()
+	<-cancelled
+	peer.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 3, method: 99, last: true}))
+	peer.next()
+	peer.send(golden.Read(t, "ping.hex"))
+	peer.next()
+	peer.send(appendFrame(nil, &envelope{kind: 99, stream: 4})) // of a later version: ignored
+	again := codec.MarshalAppend(nil, &textMessage{"again"})
+	peer.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 5, method: 1, last: true, body: again}))
+	peer.next()
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		far.Drain(far.Now() + 20*time.Second)
+		server.Drain(server.Now() + 20*time.Second)
 	}()
-	p.next()
-	qt.Assert(t, p.conn.Close(), qt.IsNil)
+	peer.next()
+	qt.Assert(t, peer.conn.Close(), qt.IsNil)
 	<-drained
-	golden.Hex(t, "accepted-link.hex", p.read)
+	golden.Hex(t, "accepted-link.hex", peer.read)
 }
 
-// What a hub that dials sends: its greeting, calls in one frame and in several, and that it gives one up.
+// The frames of a hub that dials: its hello, calls in one frame and in several, and the cancellation of one.
 func TestGoldenDialledLink(t *testing.T) {
-	near := goldenHub(t)
+	client := goldenHub(t)
 	listener := listen(t)
 	defer func() { _ = listener.Close() }()
 	type result struct {
@@ -199,26 +206,26 @@
 	}
 	ends := make(chan result, 2)
 	done := func(body []byte, err error) { ends <- result{body, err} }
-	near.Send(listener.Addr().String(), 10, []byte("question"), 2*time.Second, done)
+	client.Send(listener.Addr().String(), 10, []byte("question"), 2*time.Second, done)
 	conn, err := listener.Accept()
 	qt.Assert(t, err, qt.IsNil)
-	p := newRawPeer(t, conn)
-	p.next() // no call goes out before the peer has greeted
-	p.send(golden.Read(t, "hello.hex"))
-	p.next()
-	p.send(golden.Read(t, "reply.hex"))
+	peer := newRawPeer(t, conn)
+	peer.next() // no call is sent before the peer's hello
+	peer.send(golden.Read(t, "hello.hex"))
+	peer.next()
+	peer.send(golden.Read(t, "reply.hex"))
 	first := <-ends
-	p.Assert(first.err, qt.IsNil)
-	p.Assert(string(first.body), qt.Equals, "answer")
-	call := near.Send(listener.Addr().String(), 1, bytes.Repeat([]byte{0xab}, maxChunkBytes+100), 0, done)
-	p.Assert(p.next().body, qt.HasLen, maxChunkBytes)
-	p.Assert(p.next().body, qt.HasLen, 100)
+	peer.Assert(first.err, qt.IsNil)
+	peer.Assert(string(first.body), qt.Equals, "answer")
+	call := client.Send(listener.Addr().String(), 1, bytes.Repeat([]byte{0xab}, maxChunkBytes+100), 0, done)
+	peer.Assert(peer.next().body, qt.HasLen, maxChunkBytes)
+	peer.Assert(peer.next().body, qt.HasLen, 100)
 	call.Cancel()
-	p.next()
-	p.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, body: []byte("half")}))
-	p.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, last: true, body: []byte(" and half")}))
+	peer.next()
+	peer.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, body: []byte("half")}))
+	peer.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, last: true, body: []byte(" and half")}))
 	second := <-ends
-	p.Assert(second.err, qt.IsNil)
-	p.Assert(string(second.body), qt.Equals, "half and half")
-	golden.Hex(t, "dialled-link.hex", p.read)
+	peer.Assert(second.err, qt.IsNil)
+	peer.Assert(string(second.body), qt.Equals, "half and half")
+	golden.Hex(t, "dialled-link.hex", peer.read)
 }
--- a/internal/mesh/transport/link_bench_test.go
+++ b/internal/mesh/transport/link_bench_test.go
@@ -20,14 +20,14 @@
 
 func (m *benchMessage) Fields(v *codec.Visitor) { v.String(1, &m.Text) }
 
-// cpuTime is what the process has used of all cores.
+// cpuTime returns the processor time of the process, on all cores.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heldBytes is what the process holds of heap and stacks after a collection.
+// heldBytes returns the bytes of heap and stacks that the process uses after a garbage collection.
 func heldBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -38,8 +38,8 @@
 // BenchmarkLinks has many hubs linked to one, as sidecars are to the holder of a singleton role: what a link holds, both ends, what an
 // idle one costs a second, and what a call of 100 bytes costs, both ends, when calls come in turn from all.
 func BenchmarkLinks(b *testing.B) {
-	for _, n := range []int{16, 128, 1024} {
-		b.Run(fmt.Sprintf("links-%d", n), func(b *testing.B) {
+	for _, count := range []int{16, 128, 1024} {
+		b.Run(fmt.Sprintf("links-%d", count), func(b *testing.B) {
 			log := logrus.New()
 			log.SetLevel(logrus.ErrorLevel)
 			var config net.ListenConfig
@@ -56,7 +56,7 @@
 				_ = listener.Close()
 			})
 			var hubs []*transport.Hub
-			for i := range n {
+			for i := range count {
 				h := transport.NewHub(transport.Hello{Incarnation: uint64(i + 2), Address: fmt.Sprint(i)}, time.Now(), 8<<20, log)
 				b.Cleanup(h.Close)
 				hubs = append(hubs, h)
@@ -73,13 +73,13 @@
 			for _, h := range hubs {
 				call(h)
 			}
-			kept := (heldBytes() - before) / float64(n)
+			kept := (heldBytes() - before) / float64(count)
 			used := cpuTime()
 			time.Sleep(3 * time.Second)
-			quiet := float64((cpuTime() - used).Microseconds()) / 3 / float64(n)
+			quiet := float64((cpuTime() - used).Microseconds()) / 3 / float64(count)
 			used, calls := cpuTime(), 0
 			for b.Loop() {
-				call(hubs[calls%n])
+				call(hubs[calls%count])
 				calls++
 			}
 			used = cpuTime() - used
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -20,16 +20,19 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
+// textMessage is a request and its reply.
 type textMessage struct{ Text string }
 
 func (t *textMessage) Fields(v *codec.Visitor) { v.String(1, &t.Text) }
 
+// logCapture is the output of a log, the lines of which a test can await.
 type logCapture struct {
 	mu    sync.Mutex
 	text  strings.Builder
-	lines chan string
+	lines chan string // the first ones that were not awaited
 }
 
+// Write implements io.Writer.
 func (l *logCapture) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +44,7 @@
 	return len(p), nil
 }
 
-// listen is a listener on loopback.
+// listen listens on loopback.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -52,7 +55,7 @@
 	return listener
 }
 
-// dialRaw is a connection to an address that sends and receives bytes, not frames.
+// dialRaw opens a connection to an address, on which a test sends bytes.
 func dialRaw(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -64,7 +67,7 @@
 	return conn
 }
 
-// awaitLine waits for a line of the log, which is to have a text and the peer.
+// awaitLine waits for a line of the log, and checks that it has a text and names the peer.
 func (l *logCapture) awaitLine(t *testing.T, text string) {
 	t.Helper()
 	select {
@@ -76,7 +79,7 @@
 	}
 }
 
-// newTestHub is a hub that listens on loopback, its address and its log.
+// newTestHub starts a hub that listens on loopback, and returns it with its address and its log.
 func newTestHub(t *testing.T, name string, maxCallBytes int) (*Hub, string, *logCapture) {
 	t.Helper()
 	listener := listen(t)
@@ -105,25 +108,25 @@
 
 func TestCallsShareALink(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := newTestHub(t, "far", 8<<20)
-	near, _, _ := newTestHub(t, "near", 8<<20)
+	server, address, _ := newTestHub(t, "server", 8<<20)
+	client, _, _ := newTestHub(t, "client", 8<<20)
 	incoming := make(chan *IncomingCall, 1)
-	Handle(far, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
+	Handle(server, 1, func(_ context.Context, from *Hello, l *textMessage) *textMessage {
 		return &textMessage{from.Name + " " + l.Text}
 	})
-	far.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
+	server.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	// A large call is in flight, and one without a reply yet: others overtake them.
 	large := strings.Repeat("x", 3<<20)
 	got := make(chan int, 1)
-	near.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, _ error) { got <- len(body) })
+	client.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, _ error) { got <- len(body) })
 	waits := make(chan error, 1)
-	a := near.Send(address, 2, nil, 0, func(_ []byte, err error) { waits <- err })
+	a := client.Send(address, 2, nil, 0, func(_ []byte, err error) { waits <- err })
 	for range 50 {
-		r, err := Request[textMessage](ctx, near, address, 1, &textMessage{"small"})
+		r, err := Request[textMessage](ctx, client, address, 1, &textMessage{"small"})
 		c.Assert(err, qt.IsNil)
-		c.Assert(r.Text, qt.Equals, "near small")
+		c.Assert(r.Text, qt.Equals, "client small")
 	}
 	c.Assert(<-got > len(large), qt.IsTrue)
 	// The caller cancels: the other side is notified, and its reply still comes.
@@ -135,45 +138,45 @@
 	call.ReplyBytes([]byte("withdrawn"))
 	c.Assert(<-waits, qt.IsNil)
 	// A method that the other side does not know gets the empty reply.
-	r, err := Request[textMessage](ctx, near, address, 99, &textMessage{"?"})
+	r, err := Request[textMessage](ctx, client, address, 99, &textMessage{"?"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(r.Text, qt.Equals, "")
 }
 
 func TestConnectionErrorSaysWhetherTheCallWasSent(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := newTestHub(t, "far", 8<<20)
-	near, _, _ := newTestHub(t, "near", 8<<20)
+	server, address, _ := newTestHub(t, "server", 8<<20)
+	client, _, _ := newTestHub(t, "client", 8<<20)
 	incoming := make(chan *IncomingCall, 1)
-	far.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
+	server.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
 	errs := make(chan error, 2)
-	near.Send(address, 2, nil, 0, func(_ []byte, err error) { errs <- err })
+	client.Send(address, 2, nil, 0, func(_ []byte, err error) { errs <- err })
 	<-incoming
-	far.Close()
+	server.Close()
 	var lost *ConnectionError
 	c.Assert(errors.As(<-errs, &lost), qt.IsTrue)
 	c.Assert(lost.Sent, qt.IsTrue)
-	// Nobody listens there: nothing went out.
-	near.Send("127.0.0.1:1", 2, nil, 0, func(_ []byte, err error) { errs <- err })
+	// Nobody listens there: nothing was sent.
+	client.Send("127.0.0.1:1", 2, nil, 0, func(_ []byte, err error) { errs <- err })
 	c.Assert(errors.As(<-errs, &lost), qt.IsTrue)
 	c.Assert(lost.Sent, qt.IsFalse)
 }
 
-// helloBytes is the first frame of a peer.
+// helloBytes returns the first frame of a peer.
 func helloBytes(hello Hello) []byte {
 	return appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &hello)})
 }
 
-// callBytes is a greeting and a call to method 1.
+// callBytes returns a hello and a frame of a call to method 1.
 func callBytes(last bool, body []byte) []byte {
 	hello := helloBytes(Hello{Version: protocolVersion, Name: "bad"})
 	return appendFrame(hello, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: last, body: body})
 }
 
-// What no process of the mesh sends ends its link, is logged with the peer that sent it, and harms no other link.
+// A violation of the protocol ends the link, is logged with the peer, and does not affect other links.
 func TestInvalidPeersAreDisconnected(t *testing.T) {
 	hello := helloBytes(Hello{Version: protocolVersion, Name: "bad"})
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		bytes  []byte
 		logged string // empty: nothing, as the connection just ended
@@ -186,24 +189,25 @@
 		{"half a frame", hello[:7], ""},
 		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, "unexpected EOF"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			far, address, out := newTestHub(t, "far", 1024)
-			near, _, _ := newTestHub(t, "near", 1024)
-			Handle(far, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
-			sendUntilDisconnected(t, address, x.bytes, x.logged == "")
-			if x.logged != "" {
-				out.awaitLine(t, x.logged)
+		t.Run(test.name, func(t *testing.T) {
+			server, address, out := newTestHub(t, "server", 1024)
+			client, _, _ := newTestHub(t, "client", 1024)
+			Handle(server, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
+			sendUntilDisconnected(t, address, test.bytes, test.logged == "")
+			if test.logged != "" {
+				out.awaitLine(t, test.logged)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
-			r, err := Request[textMessage](ctx, near, address, 1, &textMessage{"still there"})
+			r, err := Request[textMessage](ctx, client, address, 1, &textMessage{"still there"})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, r.Text, qt.Equals, "still there")
 		})
 	}
 }
 
-// sendUntilDisconnected sends bytes to a hub, and nothing more if closeWrite is set, and waits until the hub has ended the connection.
+// sendUntilDisconnected sends bytes to a hub, closes the sending half of the connection if closeWrite is set, and waits until the hub has
+// closed the connection.
 func sendUntilDisconnected(t *testing.T, address string, data []byte, closeWrite bool) {
 	t.Helper()
 	conn := dialRaw(t, address)
@@ -221,15 +225,15 @@
 // A slow uplink is kept free for small messages: large ones take no more than their fraction of it, and go in order.
 func TestLargeMessagesAreShaped(t *testing.T) {
 	c := qt.New(t)
-	s := shaper{rate: linkRateFraction * 8e6 / 8}
+	shaper := shaper{rate: linkRateFraction * 8e6 / 8}
 	var transfers []*transfer
 	for range 8 {
-		transfers = append(transfers, s.start(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
+		transfers = append(transfers, shaper.start(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
 	}
 	now, small, ends := time.Duration(0), 0, []int{}
 	for len(ends) < len(transfers) {
 		if n := int(now/(10*time.Millisecond)) - small; n > 0 { // 100 small ones a second
-			s.spend(now, n*1000)
+			shaper.spend(now, n*1000)
 			small += n
 		}
 		least := time.Hour
@@ -237,12 +241,12 @@
 			if l.remaining == 0 {
 				continue
 			}
-			_, wait := s.reserve(now, l)
+			_, wait := shaper.reserve(now, l)
 			for wait == 0 && l.remaining > 0 {
-				_, wait = s.reserve(now, l)
+				_, wait = shaper.reserve(now, l)
 			}
 			if l.remaining == 0 {
-				s.finish(l)
+				shaper.finish(l)
 				ends = append(ends, i)
 			}
 			least = min(least, max(wait, time.Millisecond))
@@ -251,31 +255,31 @@
 	}
 	bytes := 16_000_000 + small*1000
 	c.Assert(ends, qt.HasLen, 8)
-	for i, n := range ends { // those that came first have gone first
+	for i, n := range ends { // messages are sent in the order of their start, nearly
 		c.Assert(n-i < maxActiveTransfers && i-n < maxActiveTransfers, qt.IsTrue, qt.Commentf("%v", ends))
 	}
 	rate := float64(bytes) / now.Seconds()
-	c.Assert(rate < 1.01*s.rate && rate > 0.9*s.rate, qt.IsTrue, qt.Commentf("%v of %v", rate, s.rate))
+	c.Assert(rate < 1.01*shaper.rate && rate > 0.9*shaper.rate, qt.IsTrue, qt.Commentf("%v of %v", rate, shaper.rate))
 }
 
 // A draining process sends its large reply completely over its slow uplink before the link closes; the caller gets it, not a
 // ConnectionError.
 func TestDrainLosesNoAnswer(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := newTestHub(t, "far", 8<<20)
-	near, _, _ := newTestHub(t, "near", 8<<20)
-	far.LimitRate(18e6)
+	server, address, _ := newTestHub(t, "server", 8<<20)
+	client, _, _ := newTestHub(t, "client", 8<<20)
+	server.LimitRate(18e6)
 	incoming := make(chan *IncomingCall, 1)
-	far.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
+	server.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
 	type end struct {
 		body []byte
 		err  error
 	}
 	got := make(chan end, 1)
-	near.Send(address, 2, nil, 0, func(body []byte, err error) { got <- end{body, err} })
+	client.Send(address, 2, nil, 0, func(body []byte, err error) { got <- end{body, err} })
 	(<-incoming).ReplyBytes(make([]byte, 300_000))
-	far.Drain(far.Now() + 20*time.Second)
-	dialled, accepted := far.LinkCounts()
+	server.Drain(server.Now() + 20*time.Second)
+	dialled, accepted := server.LinkCounts()
 	c.Assert(dialled+accepted, qt.Equals, 0)
 	x := <-got
 	c.Assert(x.err, qt.IsNil)
@@ -286,8 +290,8 @@
 // peer that does not know leavingFrame ends all the same.
 func TestDrainLosesNoCall(t *testing.T) {
 	c := qt.New(t)
-	far, address, _ := newTestHub(t, "far", 8<<20)
-	near, _, _ := newTestHub(t, "near", 8<<20)
+	server, address, _ := newTestHub(t, "server", 8<<20)
+	client, _, _ := newTestHub(t, "client", 8<<20)
 	old := dialRaw(t, address)
 	_, err := old.Write(helloBytes(Hello{Version: protocolVersion, Name: "old"}))
 	c.Assert(err, qt.IsNil)
@@ -295,19 +299,19 @@
 		_, _ = io.Copy(io.Discard, old)
 		_ = old.Close()
 	}()
-	Handle(far, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
+	Handle(server, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	_, err = Request[textMessage](ctx, near, address, 1, &textMessage{"up"})
+	_, err = Request[textMessage](ctx, client, address, 1, &textMessage{"up"})
 	c.Assert(err, qt.IsNil)
 	drained := make(chan struct{})
 	go func() {
-		far.Drain(far.Now() + 20*time.Second)
+		server.Drain(server.Now() + 20*time.Second)
 		close(drained)
 	}()
 	answered := 0
 	for {
-		_, err := Request[textMessage](ctx, near, address, 1, &textMessage{"still"})
+		_, err := Request[textMessage](ctx, client, address, 1, &textMessage{"still"})
 		if err != nil {
 			var lost *ConnectionError
 			c.Assert(errors.As(err, &lost), qt.IsTrue)
@@ -319,7 +323,7 @@
 	<-drained
 }
 
-// brokenListener fails to accept for a while, as where a process has no file descriptors left.
+// brokenListener fails to accept for a number of times, as if the process had no file descriptors left.
 type brokenListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -356,17 +360,17 @@
 
 // Close ends what the hub has started: links in both directions and the check of links. A call after that ends as one that was not sent.
 func TestCloseWaitsForGoroutines(t *testing.T) {
-	far, address, _ := newTestHub(t, "far", 1<<20)
-	Handle(far, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
-	near, _, _ := newTestHub(t, "near", 1<<20)
+	server, address, _ := newTestHub(t, "server", 1<<20)
+	Handle(server, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
+	client, _, _ := newTestHub(t, "client", 1<<20)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	_, err := Request[textMessage](ctx, near, address, 1, &textMessage{"up"})
+	_, err := Request[textMessage](ctx, client, address, 1, &textMessage{"up"})
 	qt.Assert(t, err, qt.IsNil)
-	near.Close()
-	dialled, accepted := near.LinkCounts()
+	client.Close()
+	dialled, accepted := client.LinkCounts()
 	qt.Assert(t, dialled+accepted, qt.Equals, 0)
-	_, err = Request[textMessage](ctx, near, address, 1, &textMessage{"late"})
+	_, err = Request[textMessage](ctx, client, address, 1, &textMessage{"late"})
 	var lost *ConnectionError
 	qt.Assert(t, errors.As(err, &lost), qt.IsTrue)
 	qt.Assert(t, *lost, qt.Equals, ConnectionError{Peer: address, Reason: reasonClosed})
@@ -374,7 +378,7 @@
 
 // Close ends an attempt to dial, and its call.
 func TestCloseEndsADial(t *testing.T) {
-	h, _, _ := newTestHub(t, "near", 1<<20)
+	h, _, _ := newTestHub(t, "client", 1<<20)
 	dialling := make(chan struct{})
 	h.SetDialer(func(string) (net.Conn, error) {
 		close(dialling)
@@ -390,10 +394,10 @@
 	qt.Assert(t, *lost, qt.Equals, ConnectionError{Peer: "127.0.0.1:1", Reason: reasonClosed})
 }
 
-// A process that was suspended takes no peer for lost before it has read what came meanwhile.
+// A process that was suspended does not consider a peer lost before it has read the frames that the peer has sent meanwhile.
 func TestLiveness(t *testing.T) {
 	const start = time.Minute
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name             string
 		pingSentAt       time.Duration // less start; 0 for none
 		checkedBefore    time.Duration // the check before this one
@@ -410,25 +414,25 @@
 		},
 		{name: "suspended", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay, at: time.Minute, resumed: true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			v := liveness{lastReceivedAt: start, lastCheckAt: x.checkedBefore}
-			if x.pingSentAt != 0 {
-				v.pingSentAt = start + x.pingSentAt
+		t.Run(test.name, func(t *testing.T) {
+			v := liveness{lastReceivedAt: start, lastCheckAt: test.checkedBefore}
+			if test.pingSentAt != 0 {
+				v.pingSentAt = start + test.pingSentAt
 			}
-			now := start + x.at
-			qt.Assert(t, v.resumed(now), qt.Equals, x.resumed)
-			qt.Assert(t, v.pongOverdue(now), qt.Equals, x.overdue)
-			qt.Assert(t, v.pingDue(now, idlePingDelay), qt.Equals, x.due)
+			now := start + test.at
+			qt.Assert(t, v.resumed(now), qt.Equals, test.resumed)
+			qt.Assert(t, v.pongOverdue(now), qt.Equals, test.overdue)
+			qt.Assert(t, v.pingDue(now, idlePingDelay), qt.Equals, test.due)
 		})
 	}
 }
 
-// The offset of a peer's clock is the least that was seen: the frame that was under way for the shortest time.
+// The offset of a peer's clock is the smallest that was seen: that of the frame that was in transit for the shortest time.
 func TestPeerClock(t *testing.T) {
 	var c peerClock
 	c.observe(10*time.Second, 3*time.Second)
 	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 11*time.Second)
-	c.observe(11*time.Second, 3*time.Second) // a second on its way
+	c.observe(11*time.Second, 3*time.Second) // a second longer in transit
 	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 11*time.Second)
 	c.observe(12*time.Second, 6*time.Second)
 	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 10*time.Second)
