--- a/internal/mesh/operations/meshctl/example_test.go
+++ b/internal/mesh/operations/meshctl/example_test.go
@@ -7,15 +7,16 @@
 	"quincegap/internal/mesh/operations/meshctl"
 )
 
-// What a new configuration changes is shown before it is submitted; keys are never printed.
+// The differences of a new configuration are printed before it is submitted. Keys are never printed.
 func ExampleDiff() {
 	parse := func(version, key string, rate int) *configuration.Config {
-		text := fmt.Sprintf(`{"configVersion":%q,"routeTable":[],"tenantTable":[{"name":"north","accessKeys":[%q],"ratePerS":%d}]}`, version, key, rate)
-		conf, err := configuration.Parse([]byte(text))
+		text := fmt.Sprintf(`{"configVersion":%q,"routeTable":[],"tenantTable":[{"name":"north","accessKeys":[%q],"ratePerS":%d}]}`,
+			version, key, rate)
+		config, err := configuration.Parse([]byte(text))
 		if err != nil {
 			fmt.Println(err)
 		}
-		return conf
+		return config
 	}
 	for _, line := range meshctl.Diff(parse("r1", "secret1", 5), parse("r2", "secret2", 8)) {
 		fmt.Println(line)
