--- a/internal/files/store/bench_test.go
+++ b/internal/files/store/bench_test.go
@@ -14,8 +14,8 @@
 	"quincegap/internal/files/store"
 )
 
-// written is the bytes that this process has had written to disks.
-func written(b *testing.B) float64 {
+// writtenBytes returns how many bytes this process has had written to disks.
+func writtenBytes(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -30,11 +30,12 @@
 	return 0
 }
 
-func heap() float64 {
+// heapBytes returns the size of the heap after a garbage collection.
+func heapBytes() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
 
 const (
@@ -43,45 +44,45 @@
 	benchTime  = 2 * time.Second
 )
 
-// hammer has writers put records, each waiting until its own is durable, for benchTime.
-func hammer(b *testing.B, writers int, put func(key, value []byte) error) {
+// writeConcurrently writes records for benchTime, by a number of writers that each wait until their record is durable.
+func writeConcurrently(b *testing.B, writers int, put func(key, value []byte) error) {
 	b.Helper()
-	var all sync.WaitGroup
-	var n atomic.Int64
-	before, end := written(b), time.Now().Add(benchTime)
+	var running sync.WaitGroup
+	var writes atomic.Int64
+	before, end := writtenBytes(b), time.Now().Add(benchTime)
 	for w := range writers {
-		all.Go(func() {
+		running.Go(func() {
 			value := make([]byte, benchValue)
 			for i := 0; time.Now().Before(end); i++ {
 				if err := put(fmt.Appendf(nil, "%0*d", benchKey, i*writers+w), value); err != nil {
 					b.Error(err)
 					return
 				}
-				n.Add(1)
+				writes.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	b.ReportMetric(float64(n.Load())/benchTime.Seconds(), "writes/s")
-	b.ReportMetric((written(b)-before)/float64(n.Load()*(benchKey+benchValue)), "bytes/byte")
+	running.Wait()
+	b.ReportMetric(float64(writes.Load())/benchTime.Seconds(), "writes/s")
+	b.ReportMetric((writtenBytes(b)-before)/float64(writes.Load()*(benchKey+benchValue)), "bytes/byte")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkDurable is records made durable by writers who wait, with group commit and with one record a sync. STORE_DIR
-// names a directory on the disk that is meant.
+// BenchmarkDurable writes records by writers that wait until they are durable, with group commit and with one record a sync.
+// STORE_DIR is a directory on the disk to measure.
 func BenchmarkDurable(b *testing.B) {
 	for _, writers := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("store/%d", writers), func(b *testing.B) {
 			s := openBench(b)
 			defer closeStore(b, s)
-			hammer(b, writers, func(key, value []byte) error { return s.Put(key, value, 16*time.Second) })
+			writeConcurrently(b, writers, func(key, value []byte) error { return s.Put(key, value, 16*time.Second) })
 		})
-		// The baseline: one record a sync, each writer in turn, as a store without group commit does it.
+		// The baseline is a store without group commit: the writers take turns, with one record a sync.
 		b.Run(fmt.Sprintf("one a sync/%d", writers), func(b *testing.B) {
 			s := openBench(b)
 			defer closeStore(b, s)
 			var turn sync.Mutex
-			hammer(b, writers, func(key, value []byte) error {
+			writeConcurrently(b, writers, func(key, value []byte) error {
 				turn.Lock()
 				defer turn.Unlock()
 				return s.Put(key, value, 16*time.Second)
@@ -98,6 +99,7 @@
 	return dir
 }
 
+// openBench opens an empty store on the disk to measure.
 func openBench(b *testing.B) *store.Store {
 	b.Helper()
 	s, err := store.Open(store.Dir(benchDir(b)), store.Options{MaxBytes: 1 << 30, MaxRecords: 1 << 24})
@@ -105,7 +107,7 @@
 	return s
 }
 
-// BenchmarkOpen is the time that opening takes, by how many records there are, live or expired.
+// BenchmarkOpen opens stores with many records, live or expired. It runs only if STORE_OPEN is set.
 func BenchmarkOpen(b *testing.B) {
 	if os.Getenv("STORE_OPEN") == "" {
 		b.Skip("STORE_OPEN is not set")
@@ -127,17 +129,17 @@
 	b.Helper()
 	dir := store.Dir(benchDir(b))
 	c := newClock()
-	o := store.Options{MaxBytes: 4 << 30, MaxRecords: 1 << 24, MaxPendingBytes: 64 << 20, Clock: c.now}
-	s := open(b, dir, o)
+	options := store.Options{MaxBytes: 4 << 30, MaxRecords: 1 << 24, MaxPendingBytes: 64 << 20, Clock: c.now}
+	s := open(b, dir, options)
 	fillBench(b, s, records, retention)
 	closeStore(b, s)
-	c.pass(time.Minute)
-	before := heap()
+	c.advance(time.Minute)
+	before := heapBytes()
 	began := time.Now()
-	s = open(b, dir, o)
+	s = open(b, dir, options)
 	took := time.Since(began)
 	b.ReportMetric(float64(took.Milliseconds()), "ms")
-	b.ReportMetric((heap()-before)/float64(records), "bytes/record")
+	b.ReportMetric((heapBytes()-before)/float64(records), "bytes/record")
 	b.ReportMetric(0, "ns/op")
 	if n := s.Len(); (retention == 0) != (n == records) {
 		b.Errorf("%d records", n)
@@ -145,7 +147,7 @@
 	closeStore(b, s)
 }
 
-// fillBench writes records in batches of a thousand, and waits for them now and then.
+// fillBench writes records in batches of perBatch, and waits until they are durable after each perWait records.
 func fillBench(b *testing.B, s *store.Store, records int, retention time.Duration) {
 	b.Helper()
 	const perBatch, perWait = 1000, 20_000
--- a/internal/files/store/clock.go
+++ b/internal/files/store/clock.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Timestamp is what a machine says of the time.
+// Timestamp is a reading of the clocks of a machine.
 type Timestamp struct {
-	WallMillis   int64  // Unix time in ms, which anybody may set
-	BootID       uint64 // which start of the machine it is; 0 where that is unknown
-	UptimeMillis int64  // since that start in ms, which nobody can set
+	WallMillis   int64  // Unix time in ms, which may be set forward or back
+	BootID       uint64 // identifies the boot of the machine; 0 if unknown
+	UptimeMillis int64  // time since the boot in ms, which cannot be set
 }
 
-// Clock returns the present time.
+// Clock returns the current time.
 type Clock func() Timestamp
 
-// SystemClock returns the clock of this machine. It reads Linux's boot ID and uptime once; where there are none, it counts the
-// uptime from the call.
+// SystemClock returns the clock of this machine. It reads the boot ID and the uptime of Linux once. If they are not available, the
+// uptime counts from the call of SystemClock.
 func SystemClock() Clock {
 	bootID, uptime, ok := readUptime()
 	if !ok {
@@ -34,7 +34,7 @@
 	}
 }
 
-// readUptime reads which start of the machine this is, and the milliseconds since.
+// readUptime reads the boot ID and the uptime of the machine. ok is false if they are not available.
 func readUptime() (bootID uint64, uptimeMillis int64, ok bool) {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -56,8 +56,8 @@
 	return bootID, int64(seconds * 1000), true
 }
 
-// storeTimeAt is the time of the store at a timestamp, if it was storeTime at an earlier one. Within one run of the machine
-// its uptime counts; after a restart the wall clock does, unless it was set back.
+// storeTimeAt returns the store time at a timestamp, given that it was storeTime at the earlier timestamp last. It advances with the
+// uptime within one boot of the machine, and with the wall clock across boots, unless that was set back.
 func storeTimeAt(storeTime int64, last, at Timestamp) int64 {
 	if last.BootID != 0 && last.BootID == at.BootID && at.UptimeMillis >= last.UptimeMillis {
 		return storeTime + at.UptimeMillis - last.UptimeMillis
@@ -65,16 +65,17 @@
 	return max(storeTime, at.WallMillis)
 }
 
-// storeClock is the time of a store, which never goes back, whatever the machine's clock is set to.
+// storeClock is the clock of a store. It never goes back, whatever the clock of the machine is set to.
 type storeClock struct {
 	machine    Clock
-	baseTime   int64 // time of the store when it was opened, in ms,
-	baseUptime int64 // which was at this uptime of the machine
+	baseTime   int64 // store time in ms when the uptime was baseUptime
+	baseUptime int64 // in ms
 }
 
+// now returns the store time in ms.
 func (c *storeClock) now() int64 { return c.baseTime + c.machine().UptimeMillis - c.baseUptime }
 
-// advanceTo makes the present time of the store the given one, if it isn't later already.
+// advanceTo sets the store time to the given one, unless it is later already.
 func (c *storeClock) advanceTo(storeTime int64) {
 	if behind := storeTime - c.now(); behind > 0 {
 		c.baseTime += behind
--- a/internal/files/store/committer.go
+++ b/internal/files/store/committer.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// maxKeptBuffer bounds the buffer that is kept for the next group, in bytes.
+// maxKeptBuffer is the largest buffer in bytes that is kept for the next group.
 const maxKeptBuffer = 1 << 20
 
-// committer makes queued batches durable: in a goroutine that ends after the queue was closed. Its fields are that goroutine's
-// alone, but for those that recovery sets before it starts, and close reads after it has ended.
+// committer makes queued batches durable, in a goroutine that ends after the queue was closed. Only that goroutine uses the fields,
+// except that recovery sets some before it starts, and close uses them after it has ended.
 type committer struct {
 	store *Store
 	done  chan struct{} // closed when the goroutine has ended
 
 	segment    *segment // the last one
-	file       File     // of segment; nil where nothing more is written to it
-	nextSeq    uint64
+	file       File     // of segment; nil if segment is sealed or abandoned
+	nextSeq    uint64   // sequence number of the next record
 	durableSeq uint64   // all records up to this one are durable
-	failedSeqs seqRange // since the last segment was made
-	retryAt    int64    // uptime in ms before which no segment is made after a failure
+	failedSeqs seqRange // records whose write has failed since the last segment was created
+	retryAt    int64    // uptime in ms from which on a segment is created after a failure
 	backoff    time.Duration
 	buffer     []byte
-	offsets    []uint32 // in buffer, of each record and of the end
+	offsets    []uint32 // in buffer: the start of each record, and the end of the last
 }
 
 func newCommitter(s *Store) *committer {
 	return &committer{store: s, done: make(chan struct{}), backoff: s.options.MinBackoff}
 }
 
-// run writes the batches that are queued, with one sync for all that have come meanwhile.
+// run writes the queued batches, with one sync for all batches that are in the queue at a time.
 func (c *committer) run() {
 	defer close(c.done)
 	queue := c.store.queue
@@ -45,7 +45,7 @@
 	}
 }
 
-// commit writes a group of batches, and reports the result to each.
+// commit writes a group of batches, and calls done of each with its result.
 func (c *committer) commit(group []pendingBatch) {
 	c.store.dropExpired()
 	errs := make([]error, len(group))
@@ -62,20 +62,20 @@
 	c.store.compactor.maintain()
 }
 
-// write makes durable the batches of a group that have no error yet, and adds their records to the index.
+// write makes the batches of a group without an error durable, and adds their records to the index.
 func (c *committer) write(group []pendingBatch, errs []error) error {
 	if err := c.ensureSegment(); err != nil {
 		return err
 	}
 	firstSeq := c.nextSeq
-	b := c.encode(group, errs)
-	n, err := writeAndSync(c.file, b)
+	frames := c.encode(group, errs)
+	n, err := writeAndSync(c.file, frames)
 	if err != nil {
 		c.abandonSegment(firstSeq, n, err)
 		return err
 	}
 	c.durableSeq = c.nextSeq - 1
-	c.publish(group, errs, len(b))
+	c.publish(group, errs, len(frames))
 	c.backoff = c.store.options.MinBackoff
 	if c.segment.size >= c.store.options.SegmentBytes {
 		c.rotate()
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// ensureSegment makes a new segment where the last one was abandoned, unless the disk is to be left alone yet.
+// ensureSegment creates a segment if there is no active one. During the backoff after a failure it returns the last error instead.
 func (c *committer) ensureSegment() error {
 	if c.file != nil {
 		return nil
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// encode gives the records of a group their sequence numbers and expiry, and returns the frames to write. It sets c.offsets.
+// encode sets the sequence numbers and the expiry of the records in a group, and returns the frames to write. It sets c.offsets. The
+// result is valid until the next call.
 func (c *committer) encode(group []pendingBatch, errs []error) []byte {
 	now := c.store.clock.now()
 	b := appendFrame(c.buffer[:0], &frame{kind: kindGroup, seq: c.nextSeq, durableSeq: c.durableSeq, storeTime: now})
@@ -128,7 +129,7 @@
 	return b
 }
 
-// expiryTime is when a record expires that is kept for a number of ms; 0 stands for ever.
+// expiryTime returns the store time at which a record with the given retention expires, all in ms. A retention of 0 has no end.
 func expiryTime(now, retention int64) int64 {
 	if retention == 0 {
 		return never
@@ -136,7 +137,7 @@
 	return now + retention
 }
 
-// publish adds the records of a group, which are durable, to the index.
+// publish adds the records of a group to the index after they have become durable. written is the size of the group in bytes.
 func (c *committer) publish(group []pendingBatch, errs []error, written int) {
 	s := c.store
 	s.mu.Lock()
@@ -159,8 +160,9 @@
 	s.health.Err = nil
 }
 
-// abandonSegment ends the use of a segment after a write or sync has failed. What is durable in it goes on being read. Nothing
-// more is written to it: the kernel may have dropped the pages that a sync failed for, and report success for the next one.
+// abandonSegment stops writing to the active segment after a write or sync has failed. The kernel may have dropped the pages that
+// the sync failed for, and report success for the next sync. Durable records of the segment are read as before. firstSeq is the
+// first record of the failed group, written the number of bytes that were written.
 func (c *committer) abandonSegment(firstSeq uint64, written int, err error) {
 	c.failedSeqs.end = c.nextSeq
 	if c.failedSeqs.first == 0 {
@@ -173,7 +175,7 @@
 	c.recordFailure(err)
 }
 
-// recordFailure notes that the disk has failed, and when it is tried next.
+// recordFailure adds a failure of the disk to Health, and starts the backoff.
 func (c *committer) recordFailure(err error) {
 	options := &c.store.options
 	c.store.recordFailure(err)
@@ -181,8 +183,7 @@
 	c.backoff = min(2*c.backoff, options.MaxBackoff)
 }
 
-// rotate seals the active segment and makes the next one. Nothing is lost where that fails: it is tried again with the next
-// group.
+// rotate seals the active segment and creates the next one. An error loses nothing: the next group creates a segment again.
 func (c *committer) rotate() {
 	err := c.seal()
 	if err == nil {
@@ -201,12 +202,16 @@
 	return c.seal()
 }
 
-// seal ends the active segment.
+// seal ends the active segment with a seal frame.
 func (c *committer) seal() error {
 	seg, file := c.segment, c.file
 	c.file = nil
 	n, err := writeAndSync(file, appendFrame(nil, &frame{
-		kind: kindSeal, seq: c.nextSeq - 1, expiresAt: seg.expiresAt, shadowedUntil: seg.shadowedUntil, records: seg.records,
+		kind:          kindSeal,
+		seq:           c.nextSeq - 1,
+		expiresAt:     seg.expiresAt,
+		shadowedUntil: seg.shadowedUntil,
+		records:       seg.records,
 	}))
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
@@ -217,36 +222,41 @@
 	return err
 }
 
-// roll makes a new segment, and makes it the active one.
+// roll creates a segment, and makes it the active one.
 func (c *committer) roll() error {
 	s := c.store
 	s.mu.Lock()
 	id := s.allocateID()
 	s.mu.Unlock()
 	h := header{
-		storeID: s.id, id: id, firstSeq: c.nextSeq, durableSeq: c.durableSeq, failedSeqs: c.failedSeqs,
-		timestamp: s.options.Clock(), storeTime: s.clock.now(),
+		storeID:    s.id,
+		id:         id,
+		firstSeq:   c.nextSeq,
+		durableSeq: c.durableSeq,
+		failedSeqs: c.failedSeqs,
+		timestamp:  s.options.Clock(),
+		storeTime:  s.clock.now(),
 	}
 	if c.segment != nil {
 		h.previousID = c.segment.id
 	}
 	name := segmentName(h.id)
-	f, err := s.fs.Create(name)
+	file, err := s.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	n, err := writeAndSync(f, h.encode())
+	n, err := writeAndSync(file, h.encode())
 	if err == nil {
 		err = s.fs.SyncDir()
 	}
 	if err != nil {
-		_ = f.Close()
-		_ = s.fs.Remove(name) // if that fails, it is a segment without a record
+		_ = file.Close()
+		_ = s.fs.Remove(name) // if the file remains, it is a segment without a record
 		return err
 	}
-	c.file = f
+	c.file = file
 	c.failedSeqs = seqRange{}
-	c.segment = &segment{header: h, name: name, file: f, size: int64(n)}
+	c.segment = &segment{header: h, name: name, file: file, size: int64(n)}
 	s.mu.Lock()
 	s.segments = append(s.segments, c.segment)
 	s.mu.Unlock()
--- a/internal/files/store/compactor.go
+++ b/internal/files/store/compactor.go
@@ -8,26 +8,27 @@
 	"sync"
 )
 
-// compactionBuffer is how many bytes a compaction writes at a time.
+// compactionBuffer is the number of bytes after which a compaction writes its buffer.
 const compactionBuffer = 1 << 18
 
-// compactor removes segments: those without a live record, and, by writing the live records of several into one, others.
+// compactor removes segments without live records, and compacts others: it writes the live records of several into a new one.
 type compactor struct {
 	store     *Store
-	running   sync.WaitGroup // a compaction that maintain has started
-	threshold int64          // size of the store from which on maintain starts the next one; the committer's alone
+	running   sync.WaitGroup // counts the compaction that maintain has started
+	threshold int64          // size of the store from which on maintain starts a compaction; used by the committer only
 
-	mu       sync.Mutex // held by whoever removes segments; guards what follows
-	obsolete []*segment // no longer in the store's list; their files are to go
+	mu       sync.Mutex // held while segments are removed; guards the field below
+	obsolete []*segment // no longer in the store's list; their files are to be removed
 }
 
-// liveRecord is a record that a compaction copies.
+// liveRecord is a record for a compaction to copy.
 type liveRecord struct {
 	location
 	key string
 }
 
-// maintain drops segments that nothing needs, and starts a compaction where one is due. The committer calls it.
+// maintain removes dead segments, and starts a compaction if the store is large enough compared with its live records. The committer
+// calls it after each group.
 func (c *compactor) maintain() {
 	c.dropDeadSegments()
 	s := c.store
@@ -39,9 +40,9 @@
 		return
 	}
 	if !c.mu.TryLock() {
-		return // one is running
+		return // a compaction is running
 	}
-	c.threshold = total + s.options.SegmentBytes/4 // not at once again, if it fails or frees little
+	c.threshold = total + s.options.SegmentBytes/4 // so that one that fails or frees little is not repeated at once
 	c.running.Go(func() {
 		defer c.mu.Unlock()
 		if err := c.compact(false); err != nil {
@@ -50,8 +51,9 @@
 	})
 }
 
-// dropDeadSegments removes the oldest segments as long as they have no live record: what they deleted is in no segment before
-// them. Each is removed for good before the next, so that no later one is missing while an earlier one is there.
+// dropDeadSegments removes the oldest segments as long as they have no live record. As no segment is before them, their deletions
+// are not needed any more. The removal of each is durable before the next one is removed, so that a segment is never missing while
+// an older one is present.
 func (c *compactor) dropDeadSegments() {
 	if !c.mu.TryLock() {
 		return
@@ -66,8 +68,8 @@
 	}
 }
 
-// takeDeadSegment removes the oldest segment from the list if it has no live record, and is not the last one, which may be
-// written to. It returns nil otherwise.
+// takeDeadSegment removes the oldest segment from the list and returns it, if it has no live record. It returns nil otherwise, and
+// if there is only one segment, as the committer may write to the last one.
 func (s *Store) takeDeadSegment() *segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,14 +81,14 @@
 	return dead
 }
 
-// removeObsolete removes the files of obsolete segments. As long as one of them may still be there, no other segment goes:
-// what was deleted in that one could come back. After an error it is tried again at the next change. The caller holds c.mu.
+// removeObsolete removes the files of obsolete segments. After an error the next change tries again, and until it succeeds no other
+// segment may be removed: records that are deleted there could return. The caller holds c.mu.
 func (c *compactor) removeObsolete() error {
 	if len(c.obsolete) == 0 {
 		return nil
 	}
 	dir := c.store.fs
-	if err := dir.SyncDir(); err != nil { // so that what replaces them is there for good
+	if err := dir.SyncDir(); err != nil { // makes the segment that replaces them durable
 		return err
 	}
 	for _, seg := range c.obsolete {
@@ -96,7 +98,7 @@
 		}
 		var err error
 		if seg.damaged {
-			err = dir.Rename(seg.name, seg.name+damagedSuffix) // for whoever can make more of it
+			err = dir.Rename(seg.name, seg.name+damagedSuffix) // operators may be able to recover more of it
 		} else {
 			err = dir.Remove(seg.name)
 		}
@@ -111,15 +113,16 @@
 	return nil
 }
 
+// compactAll compacts all segments but the active one.
 func (c *compactor) compactAll() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.compact(true)
 }
 
-// compact writes the live records of the oldest segments into one that replaces them. They are always the oldest, so that
-// nothing is in a segment before them that a deletion in them could uncover: all, or as many as are half dead together. The
-// caller holds c.mu.
+// compact writes the live records of the oldest segments into a new segment that replaces them. Only the oldest can be replaced, as
+// the deletions that they contain are dropped, and must not apply to records in earlier segments. If all is false, it replaces the
+// most segments of which at least half of the bytes belong to dead records. The caller holds c.mu.
 func (c *compactor) compact(all bool) error {
 	if err := c.removeObsolete(); err != nil {
 		return err
@@ -136,20 +139,20 @@
 	if err != nil {
 		return err
 	}
-	// From here on it replaces the old ones, though it may go with the power until the directory is synced: they have the
-	// same records, and stay until then.
+	// A loss of power may still undo the rename. That loses nothing, as the replaced segments have the same records and are only
+	// removed after the directory has been synced.
 	c.store.replaceSegments(out, len(replaced), records, locations)
 	c.obsolete = replaced
 	return c.removeObsolete()
 }
 
-// selectSegments chooses the segments to compact, and returns them with their live records, in no order.
+// selectSegments returns the segments to compact, and their live records in no particular order.
 func (s *Store) selectSegments(all bool) (chosen []*segment, records []liveRecord) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	total, live := int64(0), int64(0)
 	count := 0
-	candidates := s.segments[:max(0, len(s.segments)-1)] // the last one may be written to
+	candidates := s.segments[:max(0, len(s.segments)-1)] // the committer may write to the last one
 	candidates = candidates[:min(len(candidates), maxReplaced-1)]
 	for i, seg := range candidates {
 		total += seg.size
@@ -175,12 +178,12 @@
 	return chosen, records
 }
 
-// replacementHeader is the header of a new segment that replaces others.
+// replacementHeader returns the header of a new segment that replaces others.
 func (s *Store) replacementHeader(replaced []*segment) header {
 	h := header{storeID: s.id, firstSeq: replaced[0].firstSeq, timestamp: s.options.Clock()}
 	for _, seg := range replaced {
 		h.replaces = append(h.replaces, seg.id)
-		h.durableSeq = max(h.durableSeq, seg.lastSeq, seg.firstSeq-1) // some may be empty
+		h.durableSeq = max(h.durableSeq, seg.lastSeq, seg.firstSeq-1) // lastSeq of an empty segment is 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,8 +192,8 @@
 	return h
 }
 
-// writeReplacement writes a segment with the given records under a temporary name, makes it durable, and gives it its name. It
-// completes out, and returns where the records are in it.
+// writeReplacement writes a segment with the given records to a temporary file, syncs it and renames it. It sets the remaining
+// fields of out, and returns the locations of the records in it.
 func (c *compactor) writeReplacement(out *segment, records []liveRecord) ([]location, error) {
 	dir := c.store.fs
 	temporary := temporaryName(out.id)
@@ -207,22 +210,22 @@
 	}
 	if err != nil {
 		_ = file.Close()
-		_ = dir.Remove(temporary) // the next start does it otherwise
+		_ = dir.Remove(temporary) // if this fails, the next Open removes the file
 		return nil, err
 	}
 	out.file = file
 	return locations, nil
 }
 
-// copyRecords writes the header, the records and the seal of a segment. A record that cannot be read is an error: it stays
-// where it is, and Get goes on reporting it.
+// copyRecords writes the header, the records and the seal of a segment. It fails if a record cannot be read: the record then stays
+// in its segment, and Get reports the error.
 func (c *compactor) copyRecords(file File, out *segment, records []liveRecord) ([]location, error) {
 	s := c.store
-	b := out.encode()
+	buffer := out.encode()
 	flush := func() error {
-		n, err := writeFull(file, b)
+		n, err := writeFull(file, buffer)
 		out.size += int64(n)
-		b = b[:0]
+		buffer = buffer[:0]
 		return err
 	}
 	locations := make([]location, len(records))
@@ -233,25 +236,28 @@
 		if err != nil {
 			return nil, err
 		}
-		start := len(b)
-		b = appendFrame(b, &record)
+		start := len(buffer)
+		buffer = appendFrame(buffer, &record)
 		locations[i] = location{
-			segment: out, seq: record.seq, expiresAt: record.expiresAt,
-			offset: uint32(out.size + int64(start)), size: uint32(len(b) - start),
+			segment:   out,
+			seq:       record.seq,
+			expiresAt: record.expiresAt,
+			offset:    uint32(out.size + int64(start)),
+			size:      uint32(len(buffer) - start),
 		}
 		out.records++
 		out.expiresAt = max(out.expiresAt, record.expiresAt)
-		if len(b) > compactionBuffer {
+		if len(buffer) > compactionBuffer {
 			if err := flush(); err != nil {
 				return nil, err
 			}
 		}
 	}
-	b = appendFrame(b, &frame{kind: kindSeal, seq: out.lastSeq, expiresAt: out.expiresAt, records: out.records})
+	buffer = appendFrame(buffer, &frame{kind: kindSeal, seq: out.lastSeq, expiresAt: out.expiresAt, records: out.records})
 	return locations, flush()
 }
 
-// replaceSegments puts a segment in the place of the oldest ones, and its records in the place of theirs.
+// replaceSegments replaces the count oldest segments by out in the store's list, and the locations of the records in the index.
 func (s *Store) replaceSegments(out *segment, count int, records []liveRecord, locations []location) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/files/store/course_test.go
+++ b/internal/files/store/course_test.go
@@ -12,58 +12,58 @@
 	"quincegap/internal/standin/disk"
 )
 
-// model is what a store may have.
+// model knows which records a store may have.
 type model struct {
-	mu    sync.Mutex
-	sure  map[string]string          // acknowledged; "" for a delete
-	maybe map[string]map[string]bool // values that may be there instead, of writes that failed; "" for none
+	mu           sync.Mutex
+	acknowledged map[string]string          // value by key; "" for a deletion
+	uncertain    map[string]map[string]bool // by key, the values of writes that failed: each may be there or not; "" for a deletion
 }
 
 func newModel(content map[string]string) *model {
-	return &model{sure: content, maybe: map[string]map[string]bool{}}
+	return &model{acknowledged: content, uncertain: map[string]map[string]bool{}}
 }
 
-// note takes in the result of a write.
-func (m *model) note(key, value string, err error) {
+// record records the result of a write.
+func (m *model) record(key, value string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil {
-		m.sure[key] = value
-		delete(m.maybe, key)
+		m.acknowledged[key] = value
+		delete(m.uncertain, key)
 		return
 	}
-	if m.maybe[key] == nil {
-		m.maybe[key] = map[string]bool{}
+	if m.uncertain[key] == nil {
+		m.uncertain[key] = map[string]bool{}
 	}
-	m.maybe[key][value] = true
+	m.uncertain[key][value] = true
 }
 
-// checkReopened compares what a store has after a restart.
+// checkReopened checks the records of a store that was opened again: failed writes may have taken effect.
 func (m *model) checkReopened(t *testing.T, got map[string]string, when string) {
 	t.Helper()
-	for key := range m.sure {
-		if got[key] != m.sure[key] && !m.maybe[key][got[key]] {
-			t.Fatalf("%s: %s is %q, and not %q", when, key, got[key], m.sure[key])
+	for key := range m.acknowledged {
+		if got[key] != m.acknowledged[key] && !m.uncertain[key][got[key]] {
+			t.Fatalf("%s: %s is %q, and not %q", when, key, got[key], m.acknowledged[key])
 		}
 	}
 	for key := range got {
-		if m.sure[key] == "" && !m.maybe[key][got[key]] {
+		if m.acknowledged[key] == "" && !m.uncertain[key][got[key]] {
 			t.Fatalf("%s: %s=%q was never acknowledged, or was deleted", when, key, got[key])
 		}
 	}
 }
 
-// checkRunning compares what a store has that was not restarted: nothing of the writes that failed.
+// checkRunning checks the records of a store that was not opened again: failed writes are not visible.
 func (m *model) checkRunning(t *testing.T, got map[string]string, when string) {
 	t.Helper()
-	for key, value := range m.sure {
+	for key, value := range m.acknowledged {
 		if got[key] != value {
 			t.Fatalf("%s: reads %s as %q, and not %q", when, key, got[key], value)
 		}
 	}
 }
 
-// course is a random one of writes, faults of the disk and restarts.
+// course is a random sequence of writes, disk faults and restarts.
 type course struct {
 	rng     *rand.Rand
 	clock   *testClock
@@ -72,13 +72,16 @@
 	model   *model
 }
 
-// Many writers, a disk that fails, fills up and loses power, and crashes of the process, in any order: what was
-// acknowledged is there, each time, and what failed is there whole or not.
+// With many writers, a disk that fails, fills up and loses power, and crashes of the process, in any order, acknowledged writes are
+// always there, and each failed write has taken effect as a whole or not at all.
 func TestAnyFate(t *testing.T) {
-	for seed := range uint64(courses()) {
+	for seed := range uint64(seeds()) {
 		clock := newClock()
 		c := &course{
-			rng: rand.New(rand.NewPCG(seed, 9)), clock: clock, disk: disk.New(), model: newModel(map[string]string{}),
+			rng:   rand.New(rand.NewPCG(seed, 9)),
+			clock: clock,
+			disk:  disk.New(),
+			model: newModel(map[string]string{}),
 			options: store.Options{
 				SegmentBytes: 2000, MaxBytes: 1 << 20, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, Clock: clock.now,
 			},
@@ -89,7 +92,7 @@
 	}
 }
 
-// play is one run of the process.
+// play plays one run of the process, from opening the store until the process ends in some way.
 func (c *course) play(t *testing.T, when string) {
 	t.Helper()
 	s, err := store.Open(c.disk, c.options)
@@ -99,15 +102,15 @@
 	got := content(t, s)
 	c.model.checkReopened(t, got, when)
 	if h := s.Health(); len(h.Damage) > 0 {
-		t.Fatalf("%s: taken for damaged: %v", when, h.Damage)
+		t.Fatalf("%s: reported as damaged: %v", when, h.Damage)
 	}
-	c.model = newModel(got) // what was found is what stays from here on
+	c.model = newModel(got) // records that were read once stay
 	for range 20 {
 		c.disturb()
 		c.write(s)
-		c.clock.pass(10 * time.Millisecond)
-		if now, err := readAll(s); err == nil { // else the power is off
-			c.model.checkRunning(t, now, when)
+		c.clock.advance(10 * time.Millisecond)
+		if records, err := readAll(s); err == nil { // it fails after a loss of power
+			c.model.checkRunning(t, records, when)
 		}
 	}
 	c.disk.SetCapacity(-1)
@@ -115,7 +118,7 @@
 	c.end(s)
 }
 
-// disturb has the disk fail in some way, or mends it.
+// disturb makes the disk fail in some way, or work again.
 func (c *course) disturb() {
 	switch c.rng.IntN(12) {
 	case 0:
@@ -132,7 +135,7 @@
 	}
 }
 
-// write has four writers change records, each of its own keys.
+// write changes records with four concurrent writers, each with its own keys.
 func (c *course) write(s *store.Store) {
 	var writers sync.WaitGroup
 	for w := range 4 {
@@ -148,7 +151,7 @@
 				} else {
 					err = s.Put([]byte(key), []byte(value), 0)
 				}
-				c.model.note(key, value, err)
+				c.model.record(key, value, err)
 			}
 		})
 	}
@@ -169,14 +172,14 @@
 		c.disk = c.disk.AfterCrash()
 	case 2:
 		next := c.disk.AfterPowerLoss(c.rng)
-		closeAnyhow(s)
+		closeIgnoringError(s)
 		c.disk = next
 	}
 }
 
-// crash ends a store as a crash of the process does: nothing that it does from then on reaches the disk.
+// crash ends a store as a crash of the process does: nothing that it does afterwards reaches the disk.
 func crash(s *store.Store, d *disk.Disk) {
 	d.Fail(disk.ErrPowerLost)
-	closeAnyhow(s)
+	closeIgnoringError(s)
 	d.Fail(nil)
 }
--- a/internal/files/store/crash_test.go
+++ b/internal/files/store/crash_test.go
@@ -15,23 +15,24 @@
 	"quincegap/internal/standin/disk"
 )
 
-// script is a run of changes that is the same every time: segments roll, a compaction comes about, records expire
-// and go. It notes what was acknowledged after how much.
-type script struct {
-	acks []ack
+// workload is a sequence of changes that is the same at each play: it rotates segments, causes a compaction, and deletes records. It
+// remembers the changes that were acknowledged.
+type workload struct {
+	acknowledged []change
 }
 
-type ack struct {
-	units int // of the disk until then
+// change is an acknowledged change.
+type change struct {
+	units int // of the disk until the change was acknowledged: see disk.Disk.Units
 	key   string
-	value string // "" for a delete
+	value string // "" for a deletion
 }
 
 var smallSegments = store.Options{SegmentBytes: 700, MaxBytes: 1 << 20}
 
-// play runs n changes until one fails.
-func (x *script) play(d *disk.Disk, o store.Options, n int) error {
-	s, err := store.Open(d, o)
+// play makes n changes, or fewer if one fails.
+func (w *workload) play(d *disk.Disk, options store.Options, n int) error {
+	s, err := store.Open(d, options)
 	if err != nil {
 		return err
 	}
@@ -47,21 +48,21 @@
 		if err != nil {
 			break
 		}
-		x.acks = append(x.acks, ack{units: d.Units(), key: key, value: value})
+		w.acknowledged = append(w.acknowledged, change{units: d.Units(), key: key, value: value})
 	}
 	return errors.Join(err, s.Close())
 }
 
-// checkContent checks that a store has what was acknowledged, and beyond that at most what was being written.
-func (x *script) checkContent(tb testing.TB, s *store.Store, acked int, when string) {
+// checkContent checks that a store has the first n changes, and of the others at most the next one.
+func (w *workload) checkContent(tb testing.TB, s *store.Store, n int, when string) {
 	tb.Helper()
 	want := map[string]string{}
-	for _, a := range x.acks[:acked] {
-		want[a.key] = a.value
+	for _, c := range w.acknowledged[:n] {
+		want[c.key] = c.value
 	}
 	withNext := maps.Clone(want)
-	if acked < len(x.acks) {
-		withNext[x.acks[acked].key] = x.acks[acked].value
+	if n < len(w.acknowledged) {
+		withNext[w.acknowledged[n].key] = w.acknowledged[n].value
 	}
 	for _, m := range []map[string]string{want, withNext} {
 		maps.DeleteFunc(m, func(_, value string) bool { return value == "" })
@@ -70,43 +71,43 @@
 		tb.Fatalf("%s: it has %v, of %v", when, got, want)
 	}
 	if h := s.Health(); len(h.Damage) > 0 {
-		tb.Fatalf("%s: taken for damaged: %v", when, h.Damage)
+		tb.Fatalf("%s: reported as damaged: %v", when, h.Damage)
 	}
 }
 
-// A run cut at every single byte that it writes, and at every change of a name.
+// A crash after any byte that is written, and after any creation, rename or removal of a file, loses no acknowledged change.
 func TestCutAtEveryByte(t *testing.T) {
-	o := smallSegments
-	o.Clock = newClock().now
-	d, x := disk.New(), &script{}
-	check(t, x.play(d, o, 120))
+	options := smallSegments
+	options.Clock = newClock().now
+	d, played := disk.New(), &workload{}
+	check(t, played.play(d, options, 120))
 	if n := len(d.Files()); n > 12 {
-		t.Fatalf("%d files: nothing was compacted, and nothing of that is tested", n)
+		t.Fatalf("%d files: there was no compaction, so that none is tested", n)
 	}
-	acked := 0
-	for u := range d.Units() + 1 {
-		for acked < len(x.acks) && x.acks[acked].units <= u {
-			acked++
+	acknowledged := 0
+	for units := range d.Units() + 1 {
+		for acknowledged < len(played.acknowledged) && played.acknowledged[acknowledged].units <= units {
+			acknowledged++
 		}
-		at := d.CutAt(u)
-		s := open(t, at, o)
-		x.checkContent(t, s, acked, fmt.Sprintf("cut after %d", u))
-		put(t, s, "after", "it") // it goes on
+		truncated := d.CutAt(units)
+		s := open(t, truncated, options)
+		played.checkContent(t, s, acknowledged, fmt.Sprintf("crash after %d", units))
+		put(t, s, "after", "it") // the store is writable
 		closeStore(t, s)
-		s = open(t, at, o)
+		s = open(t, truncated, options)
 		if got := content(t, s); got["after"] != "it" {
-			t.Fatalf("cut after %d: what was written then is not there", u)
+			t.Fatalf("crash after %d: the next write is not there", units)
 		}
 		closeStore(t, s)
 	}
 }
 
-// A run of batches cut at every single byte: of each batch all records are there or none.
+// After a crash at any byte of a sequence of batches, each batch is there as a whole or not at all.
 func TestBatchCutAtEveryByte(t *testing.T) {
 	const batches, perBatch = 5, 3
-	o := store.Options{Clock: newClock().now}
+	options := store.Options{Clock: newClock().now}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	for i := range batches {
 		var b store.Batch
 		for j := range perBatch {
@@ -115,8 +116,8 @@
 		check(t, s.ApplyAndWait(b))
 	}
 	closeStore(t, s)
-	for u := range d.Units() + 1 {
-		s := open(t, d.CutAt(u), o)
+	for units := range d.Units() + 1 {
+		s := open(t, d.CutAt(units), options)
 		got := content(t, s)
 		closeStore(t, s)
 		for i := range batches {
@@ -127,89 +128,87 @@
 				}
 			}
 			if found != 0 && found != perBatch {
-				t.Fatalf("cut after %d: %d of the %d records of batch %d", u, found, perBatch, i)
+				t.Fatalf("crash after %d: %d of the %d records of batch %d", units, found, perBatch, i)
 			}
 		}
 	}
 }
 
-// A record whose write was reported as failed is not believed, though it is complete in the file when the process restarts.
+// A record whose write was reported as failed is ignored, although it is complete in the file when the process restarts.
 func TestFailedWriteIsNotBelieved(t *testing.T) {
-	c := newClock()
-	o := store.Options{Clock: c.now, MinBackoff: time.Millisecond}
+	clock := newClock()
+	options := store.Options{Clock: clock.now, MinBackoff: time.Millisecond}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	put(t, s, "a", "1")
 	d.FailSyncs(1)
 	if err := s.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("the sync failed, and the error is %v", err)
 	}
-	c.pass(time.Second)
+	clock.advance(time.Second)
 	put(t, s, "c", "3")
 	crash(s, d)
-	s = open(t, d.AfterCrash(), o)
+	s = open(t, d.AfterCrash(), options)
 	if got := content(t, s); !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
 		t.Errorf("%v", got)
 	}
 	closeStore(t, s)
 }
 
-// The power goes at each call that changes something, with anything left of what was not synced; then again while
-// the store recovers.
+// A loss of power at any call that changes the disk loses no acknowledged change, whichever unsynced data survives, even if the power
+// is lost again during recovery.
 func TestPowerLostAtEveryOperation(t *testing.T) {
-	o := smallSegments
-	o.Clock = newClock().now
-	complete := &script{}
+	options := smallSegments
+	options.Clock = newClock().now
+	complete := &workload{}
 	d := disk.New()
-	check(t, complete.play(d, o, 120))
+	check(t, complete.play(d, options, 120))
 	calls := d.Operations()
-	for n := 1; n <= calls; n++ {
-		for seed := range uint64(min(4, courses()/10)) {
-			rng := rand.New(rand.NewPCG(seed, uint64(n)))
-			d, x := disk.New(), &script{}
-			d.LosePowerAt(n, seed)
-			_ = x.play(d, o, 120) // fails with the power
-			acked := len(x.acks)
-			x.acks = complete.acks
-			left := d.AfterPowerLoss(rng)
-			left.LosePowerAt(1+rng.IntN(8), seed) // while it is opened, or a little after
-			tryOpen(left, o)
-			s := open(t, left.AfterPowerLoss(rng), o)
-			x.checkContent(t, s, acked, fmt.Sprintf("power lost at call %d, seed %d", n, seed))
+	for call := 1; call <= calls; call++ {
+		for seed := range uint64(min(4, seeds()/10)) {
+			rng := rand.New(rand.NewPCG(seed, uint64(call)))
+			d, interrupted := disk.New(), &workload{}
+			d.LosePowerAt(call, seed)
+			_ = interrupted.play(d, options, 120) // fails when the power is lost
+			survived := d.AfterPowerLoss(rng)
+			survived.LosePowerAt(1+rng.IntN(8), seed) // while the store is opened, or soon after
+			tryOpen(survived, options)
+			s := open(t, survived.AfterPowerLoss(rng), options)
+			when := fmt.Sprintf("power lost at call %d, seed %d", call, seed)
+			complete.checkContent(t, s, len(interrupted.acknowledged), when)
 			closeStore(t, s)
 		}
 	}
 }
 
-// After a failed sync nothing more is acknowledged on that file, though the next sync of it would say that all is
-// well.
+// After a failed sync, no write to the same file is acknowledged any more, although the next sync of it would succeed.
 func TestFailedSync(t *testing.T) {
-	c := newClock()
-	o := store.Options{Clock: c.now, MinBackoff: time.Millisecond}
+	clock := newClock()
+	options := store.Options{Clock: clock.now, MinBackoff: time.Millisecond}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	put(t, s, "a", "1")
 	before := slices.Sorted(maps.Keys(d.Files()))
 	d.FailSyncs(1)
 	if err := s.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("the sync failed, and was told as %v", err)
+		t.Fatalf("the sync failed, and the error of the write is %v", err)
 	}
 	if h := s.Health(); !errors.Is(h.Err, syscall.EIO) || h.Failures != 1 {
 		t.Errorf("%+v", h)
 	}
 	if _, _, ok, _ := s.Get([]byte("b")); ok {
-		t.Error("what was not acknowledged is seen")
+		t.Error("a record that was not acknowledged is visible")
 	}
-	c.pass(time.Second)
+	clock.advance(time.Second)
 	put(t, s, "c", "3")
 	if h := s.Health(); h.Err != nil {
-		t.Errorf("it works again: %v", h.Err)
+		t.Errorf("the disk works again, and Health has %v", h.Err)
 	}
 	if after := slices.Sorted(maps.Keys(d.Files())); len(after) != len(before)+1 {
-		t.Errorf("the file went on being used: %v, %v", before, after)
+		t.Errorf("the same file is still in use: %v, %v", before, after)
 	}
 	for seed := range uint64(20) {
-		s := open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(seed, 0))), o)
+		s := open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(seed, 0))), options)
 		got := content(t, s)
 		if !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
 			t.Errorf("%v", got)
@@ -221,33 +220,34 @@
 	}
 }
 
-// fullDisk writes five records again and again to a disk that fills up.
-type fullDisk struct {
+// overwriter writes five records again and again.
+type overwriter struct {
 	store *store.Store
 	clock *testClock
-	want  map[string]string // what was acknowledged
+	want  map[string]string // acknowledged records
 }
 
-func (f *fullDisk) write(i int) error {
+// write makes the ith write.
+func (o *overwriter) write(i int) error {
 	key, value := fmt.Sprintf("k%d", i%5), fmt.Sprintf("%d-%s", i, strings.Repeat("y", 50))
-	err := f.store.Put([]byte(key), []byte(value), 0)
+	err := o.store.Put([]byte(key), []byte(value), 0)
 	if err == nil {
-		f.want[key] = value
+		o.want[key] = value
 	}
 	return err
 }
 
-// writeSlowly is write for numbers up to n, with 10 ms after each. It returns the errors by number.
-func (f *fullDisk) writeSlowly(n int) []error {
+// writeSlowly makes n writes with 10 ms after each, and returns their errors.
+func (o *overwriter) writeSlowly(n int) []error {
 	errs := make([]error, n)
 	for i := range n {
-		errs[i] = f.write(i)
-		f.clock.pass(10 * time.Millisecond)
+		errs[i] = o.write(i)
+		o.clock.advance(10 * time.Millisecond)
 	}
 	return errs
 }
 
-// The disk fills up in the midst of a compaction, and is freed again.
+// A disk that fills up, during a compaction too, and has space again later, loses no acknowledged write.
 func TestFullDisk(t *testing.T) {
 	for capacity := 0; capacity < 1500; capacity += 50 {
 		t.Run(fmt.Sprint(capacity), func(t *testing.T) { testFullDisk(t, capacity) })
@@ -256,32 +256,32 @@
 
 func testFullDisk(t *testing.T, capacity int) {
 	t.Helper()
-	c := newClock()
-	o := store.Options{
-		SegmentBytes: 1000, MaxBytes: 1 << 20, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, Clock: c.now,
+	clock := newClock()
+	options := store.Options{
+		SegmentBytes: 1000, MaxBytes: 1 << 20, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, Clock: clock.now,
 	}
 	d := disk.New()
-	s := open(t, d, o)
-	f := &fullDisk{store: s, clock: c, want: map[string]string{}}
+	s := open(t, d, options)
+	writer := &overwriter{store: s, clock: clock, want: map[string]string{}}
 	for i := range 25 {
-		check(t, f.write(i))
+		check(t, writer.write(i))
 	}
 	d.SetCapacity(capacity)
-	if errs := f.writeSlowly(60); errors.Join(errs...) == nil {
-		t.Fatal("nothing failed, and nothing is tested")
+	if errs := writer.writeSlowly(60); errors.Join(errs...) == nil {
+		t.Fatal("no write failed, so that nothing is tested")
 	}
-	if got := content(t, s); !maps.Equal(got, f.want) {
-		t.Fatalf("full: %v and not %v", got, f.want)
+	if got := content(t, s); !maps.Equal(got, writer.want) {
+		t.Fatalf("full: %v, want %v", got, writer.want)
 	}
 	d.SetCapacity(-1)
-	errs := f.writeSlowly(60)
-	if err := errors.Join(errs[1:]...); err != nil { // the first may come before the backoff has passed
-		t.Fatalf("freed: %v", err)
+	errs := writer.writeSlowly(60)
+	if err := errors.Join(errs[1:]...); err != nil { // the first may come during the backoff
+		t.Fatalf("with space again: %v", err)
 	}
 	closeStore(t, s)
-	s = open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(uint64(capacity), 0))), o)
-	if got := content(t, s); !maps.Equal(got, f.want) {
-		t.Fatalf("after: %v and not %v", got, f.want)
+	s = open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(uint64(capacity), 0))), options)
+	if got := content(t, s); !maps.Equal(got, writer.want) {
+		t.Fatalf("after a loss of power: %v, want %v", got, writer.want)
 	}
 	if size := s.Size(); size > 5000 {
 		t.Errorf("%d bytes for five records", size)
@@ -289,12 +289,12 @@
 	closeStore(t, s)
 }
 
-// damagedDisk has a store of 20 records with a bit flipped in each of its first two segments, so that the second is hit after
-// the first has been repaired.
-func damagedDisk(t *testing.T, o store.Options) *disk.Disk {
+// damagedDisk returns a disk with a store of 20 records, and with a bit flipped in each of the first two segments, so that a repair
+// meets damage a second time.
+func damagedDisk(t *testing.T, options store.Options) *disk.Disk {
 	t.Helper()
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	for i := range 20 {
 		put(t, s, fmt.Sprintf("k%02d", i), strings.Repeat(string(rune('a'+i)), 30))
 	}
@@ -309,55 +309,56 @@
 	return d
 }
 
-func repair(d *disk.Disk, o store.Options) error {
-	s, err := store.Open(d, o)
+// repair compacts all of a store, as quincegapctl store repair does.
+func repair(d *disk.Disk, options store.Options) error {
+	s, err := store.Open(d, options)
 	if err != nil {
 		return err
 	}
 	return errors.Join(s.Compact(), s.Close())
 }
 
-// The power goes at each call of a repair, and again while the store is opened after that: all that could be read
-// before it can be read afterwards, what could not be is not believed, and the repair can be done again.
+// A loss of power at any call of a repair, and again during the recovery after it, loses no record that could be read before, and
+// returns no lost one. The repair can be repeated.
 func TestPowerLostInRepair(t *testing.T) {
-	o := store.Options{Clock: newClock().now, SegmentBytes: 500, MaxBytes: 1 << 20}
-	s := open(t, damagedDisk(t, o), o)
-	want, places := content(t, s), len(s.Health().Damage)
+	options := store.Options{Clock: newClock().now, SegmentBytes: 500, MaxBytes: 1 << 20}
+	s := open(t, damagedDisk(t, options), options)
+	want, damages := content(t, s), len(s.Health().Damage)
 	closeStore(t, s)
-	if places != 2 || len(want) >= 20 || len(want) < 16 {
-		t.Fatalf("%d places are damaged, %d records left", places, len(want))
+	if damages != 2 || len(want) >= 20 || len(want) < 16 {
+		t.Fatalf("damage in %d places, %d records left", damages, len(want))
 	}
-	for n, lost := 1, true; lost; n++ {
-		for seed := range uint64(min(8, courses())) {
-			lost = testRepair(t, o, want, n, seed)
+	for call, lost := 1, true; lost; call++ {
+		for seed := range uint64(min(8, seeds())) {
+			lost = testRepair(t, options, want, call, seed)
 		}
 	}
 }
 
-// testRepair loses the power at the nth call of a repair. It returns false where the repair was done before.
-func testRepair(t *testing.T, o store.Options, want map[string]string, n int, seed uint64) (lost bool) {
+// testRepair repairs a damaged store on a disk that loses power at a call. It returns false if the repair took fewer calls.
+func testRepair(t *testing.T, options store.Options, want map[string]string, call int, seed uint64) (powerLost bool) {
 	t.Helper()
-	when := fmt.Sprintf("power lost at call %d, seed %d", n, seed)
-	rng := rand.New(rand.NewPCG(seed, uint64(n)))
-	d := damagedDisk(t, o)
-	d.LosePowerAt(n, seed)
-	lost = repair(d, o) != nil
-	left := d.AfterPowerLoss(rng)
-	left.LosePowerAt(1+rng.IntN(8), seed)
-	tryOpen(left, o)
-	left = left.AfterPowerLoss(rng)
-	s := open(t, left, o)
+	when := fmt.Sprintf("power lost at call %d, seed %d", call, seed)
+	rng := rand.New(rand.NewPCG(seed, uint64(call)))
+	d := damagedDisk(t, options)
+	d.LosePowerAt(call, seed)
+	powerLost = repair(d, options) != nil
+	survived := d.AfterPowerLoss(rng)
+	survived.LosePowerAt(1+rng.IntN(8), seed)
+	tryOpen(survived, options)
+	survived = survived.AfterPowerLoss(rng)
+	s := open(t, survived, options)
 	if got := content(t, s); !maps.Equal(got, want) {
 		t.Fatalf("%s: %d records, %d before", when, len(got), len(want))
 	}
 	closeStore(t, s)
-	if err := repair(left, o); err != nil {
-		t.Fatalf("%s: again: %v", when, err)
+	if err := repair(survived, options); err != nil {
+		t.Fatalf("%s: repeated: %v", when, err)
 	}
-	s = open(t, left, o)
+	s = open(t, survived, options)
 	if got := content(t, s); !maps.Equal(got, want) || len(s.Health().Damage) > 0 {
 		t.Fatalf("%s: repaired: %d records, damage %v", when, len(got), s.Health().Damage)
 	}
 	closeStore(t, s)
-	return lost
+	return powerLost
 }
--- a/internal/files/store/damage_test.go
+++ b/internal/files/store/damage_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/standin/disk"
 )
 
-// bitStep is to the next bit that is flipped: each of a header's version, and every third of the others.
+// bitStep returns the distance to the next bit to flip: each bit of a header's version is flipped, and every third of the others.
 func bitStep(bit int) int {
 	if bit >= 8*8-3 && bit < 8*10 {
 		return 1
@@ -23,11 +23,11 @@
 	return 3
 }
 
-// Each bit of a log, flipped: every other record is found, or the loss of it is named. Nothing wrong is believed.
+// One flipped bit loses at most one record, which is reported, and no record that was never written is read.
 func TestAnyBitFlipped(t *testing.T) {
-	o := store.Options{Clock: newClock().now, SegmentBytes: 900, MaxBytes: 1 << 20}
+	options := store.Options{Clock: newClock().now, SegmentBytes: 900, MaxBytes: 1 << 20}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	want := map[string]string{}
 	for i := range 20 {
 		key, value := fmt.Sprintf("k%02d", i), strings.Repeat(string(rune('a'+i)), 30)
@@ -42,15 +42,15 @@
 		for bit := 0; bit < 8*size; bit += bitStep(bit) {
 			damaged := d.AfterCrash()
 			damaged.FlipBit(name, bit)
-			checkOneLost(t, damaged, o, want, fmt.Sprintf("%s, bit %d of %d", name, bit, 8*size))
+			checkOneLost(t, damaged, options, want, fmt.Sprintf("%s, bit %d of %d", name, bit, 8*size))
 		}
 	}
 }
 
-// checkOneLost opens a damaged store: one record may be missing, if that is reported, and none may be new.
-func checkOneLost(t *testing.T, d *disk.Disk, o store.Options, want map[string]string, when string) {
+// checkOneLost opens a damaged store. One record may be missing if damage is reported, and there may be no others than want.
+func checkOneLost(t *testing.T, d *disk.Disk, options store.Options, want map[string]string, when string) {
 	t.Helper()
-	s, err := store.Open(d, o)
+	s, err := store.Open(d, options)
 	if err != nil {
 		t.Fatalf("%s: %v", when, err)
 	}
@@ -63,7 +63,7 @@
 	}
 	for key := range got {
 		if want[key] == "" {
-			t.Fatalf("%s: believes %q", when, key)
+			t.Fatalf("%s: reads %q, which was never written", when, key)
 		}
 	}
 	h := s.Health()
@@ -74,32 +74,32 @@
 	closeStore(t, s)
 }
 
-// A value that holds a copy of the store's own frames is not taken for records where the frame around it is damaged.
+// A value that contains frames of the store itself is not read as records if the frame around it is damaged.
 func TestFramesInAValue(t *testing.T) {
 	const segment = "0000000000000001.seg"
-	o := store.Options{Clock: newClock().now}
+	options := store.Options{Clock: newClock().now}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	put(t, s, "deleted", "1")
 	copied := readRaw(t, d, segment, d.Files()[segment])
 	check(t, s.Delete([]byte("deleted")))
 	before := d.Files()[segment]
 	put(t, s, "copy", string(copied))
-	put(t, s, "after", "2") // so that the copy is known to have been durable
-	const groupFrame = 33   // bytes; the frame of the record follows
+	put(t, s, "after", "2") // shows that the record before it was durable
+	const groupFrame = 33   // bytes before the frame of the record
 	d = d.AfterCrash()
 	d.FlipBit(segment, 8*(before+groupFrame+4)) // in its checksum
-	s = open(t, d, o)
+	s = open(t, d, options)
 	if got := content(t, s); len(got) != 1 || got["after"] != "2" {
-		t.Errorf("believes %v", got)
+		t.Errorf("reads %v", got)
 	}
 	closeStore(t, s)
 }
 
-// fillDir writes records into a store in several segments, and returns their files.
-func fillDir(t *testing.T, dir string, o store.Options, records int) []string {
+// fillDir writes records to a new store with several segments, and returns the paths of these.
+func fillDir(t *testing.T, dir string, options store.Options, records int) []string {
 	t.Helper()
-	s := open(t, store.Dir(dir), o)
+	s := open(t, store.Dir(dir), options)
 	for i := range records {
 		put(t, s, fmt.Sprint("k", i), strings.Repeat("v", 140))
 	}
@@ -107,6 +107,7 @@
 	return segmentFiles(t, dir)
 }
 
+// segmentFiles returns the paths of the segments in a directory, in ascending order.
 func segmentFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.seg"))
@@ -115,27 +116,27 @@
 	return files
 }
 
-// A file that was taken away, cut short or put there from another store is named.
+// A segment that is missing or truncated, or that belongs to another store, is reported by name.
 func TestForeignAndMissingFiles(t *testing.T) {
-	o := store.Options{Clock: newClock().now, SegmentBytes: 500, MaxBytes: 1 << 20}
+	options := store.Options{Clock: newClock().now, SegmentBytes: 500, MaxBytes: 1 << 20}
 	t.Run("missing", func(t *testing.T) {
 		dir := t.TempDir()
-		files := fillDir(t, dir, o, 20)
+		files := fillDir(t, dir, options, 20)
 		check(t, os.Remove(files[1]))
-		s := open(t, store.Dir(dir), o)
+		s := open(t, store.Dir(dir), options)
 		if h := s.Health(); len(h.Damage) != 1 || !strings.Contains(h.Damage[0].String(), filepath.Base(files[1])) {
 			t.Errorf("a file is missing: %v", h.Damage)
 		}
 		closeStore(t, s)
 	})
 	dir := t.TempDir()
-	files := fillDir(t, dir, o, 20)
-	t.Run("cut", func(t *testing.T) {
+	files := fillDir(t, dir, options, 20)
+	t.Run("truncated", func(t *testing.T) {
 		check(t, os.Truncate(files[1], 200))
-		s := open(t, store.Dir(dir), o)
+		s := open(t, store.Dir(dir), options)
 		h := s.Health()
 		if len(h.Damage) != 1 || h.Damage[0].FirstSeq == 0 || h.Damage[0].File != filepath.Base(files[1]) {
-			t.Fatalf("a file is cut: %v", h.Damage)
+			t.Fatalf("a file is truncated: %v", h.Damage)
 		}
 		if n := s.Len(); n != 20-int(h.Damage[0].LastSeq-h.Damage[0].FirstSeq+1) {
 			t.Errorf("%d are left, beside %v", n, h.Damage)
@@ -144,29 +145,30 @@
 	})
 	t.Run("foreign", func(t *testing.T) {
 		other := t.TempDir()
-		fillDir(t, other, o, 50)
-		text, err := os.ReadFile(filepath.Join(other, filepath.Base(files[0])))
+		fillDir(t, other, options, 50)
+		data, err := os.ReadFile(filepath.Join(other, filepath.Base(files[0])))
 		check(t, err)
-		check(t, os.WriteFile(filepath.Join(dir, "00000000000000ff.seg"), text, 0o600))
-		if _, err := store.Open(store.Dir(dir), o); err == nil || !strings.Contains(err.Error(), "00000000000000ff.seg") {
+		check(t, os.WriteFile(filepath.Join(dir, "00000000000000ff.seg"), data, 0o600))
+		if _, err := store.Open(store.Dir(dir), options); err == nil || !strings.Contains(err.Error(), "00000000000000ff.seg") {
 			t.Errorf("a file of another store: %v", err)
 		}
 	})
 }
 
-// A store that a later program wrote is refused, and left as it is.
+// A store that a later version has written is rejected and not changed.
 func TestNewerVersion(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, store.Dir(dir), store.Options{})
 	put(t, s, "a", "1")
 	closeStore(t, s)
 	files := segmentFiles(t, dir)
-	text, err := os.ReadFile(files[0])
+	data, err := os.ReadFile(files[0])
 	check(t, err)
-	text[8]++
-	const header = 100
-	binary.LittleEndian.PutUint32(text[header-4:], crc32.Checksum(text[:header-4], crc32.MakeTable(crc32.Castagnoli)))
-	check(t, os.WriteFile(files[0], text, 0o600))
+	const versionOffset, headerBytes = 8, 100
+	data[versionOffset]++
+	checksum := crc32.Checksum(data[:headerBytes-4], crc32.MakeTable(crc32.Castagnoli))
+	binary.LittleEndian.PutUint32(data[headerBytes-4:], checksum)
+	check(t, os.WriteFile(files[0], data, 0o600))
 	var newer *store.NewerVersionError
 	if _, err := store.Open(store.Dir(dir), store.Options{}); !errors.As(err, &newer) || newer.Version != store.Version+1 {
 		t.Errorf("%v", err)
@@ -176,14 +178,14 @@
 	}
 }
 
-// Reads that bring less than was asked for lose nothing.
+// Reads that return less than requested lose nothing.
 func TestShortReads(t *testing.T) {
-	o := smallSegments
-	o.Clock = newClock().now
-	d, x := disk.New(), &script{}
-	check(t, x.play(d, o, 60))
+	options := smallSegments
+	options.Clock = newClock().now
+	d, played := disk.New(), &workload{}
+	check(t, played.play(d, options, 60))
 	d.SetShortReads(true)
-	s := open(t, d, o)
-	x.checkContent(t, s, len(x.acks), "short reads")
+	s := open(t, d, options)
+	played.checkContent(t, s, len(played.acknowledged), "short reads")
 	closeStore(t, s)
 }
--- a/internal/files/store/dir.go
+++ b/internal/files/store/dir.go
@@ -11,12 +11,13 @@
 	"quincegap/internal/files/atomicfile"
 )
 
-// Dir is a directory of the real file system. It has to exist.
+// Dir is the path of a directory of the real file system, which has to exist. It implements FS.
 type Dir string
 
+// diskFile is a file of the real file system.
 type diskFile struct{ *os.File }
 
-// Size is the size of the file at present.
+// Size returns the current size of the file in bytes.
 func (d diskFile) Size() (int64, error) {
 	info, err := d.Stat()
 	if err != nil {
@@ -65,8 +66,8 @@
 // SyncDir implements FS.
 func (d Dir) SyncDir() error { return atomicfile.Disk{}.SyncDir(string(d)) }
 
-// Commands of fcntl(2) for locks of an open file description. The kernel releases them when the process ends, however it
-// ends, and they can be queried without being taken.
+// Commands of fcntl(2) for locks of an open file description. The kernel releases such a lock when the process ends, in whichever
+// way, and a lock can be queried without acquiring it.
 const (
 	ofdGetLock = 36
 	ofdSetLock = 37
--- a/internal/files/store/disklog.go
+++ b/internal/files/store/disklog.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// diskLog is the log as a directory holds it: what the headers of its segments say.
+// diskLog is the log in a directory, as the headers of its segments describe it.
 type diskLog struct {
 	segments      []*segment // the oldest first
-	leftovers     []string   // files that nothing needs: not finished, or replaced by others
-	tornBytes     int64      // of headers that were cut
+	leftovers     []string   // files that are not needed: incomplete or replaced ones
+	tornBytes     int64      // bytes of segments whose header is incomplete
 	damage        []Damage
-	failedRanges  []seqRange
-	durableSeq    uint64 // all records up to this one were durable at some time
-	storeID       uint64 // 0 where no header was read
-	lastID        uint64 // of a segment
-	timestamp     Timestamp
-	storeTime     int64 // at timestamp, by the newest header
-	headerDamaged bool  // what a damaged header would say of other segments is unknown
+	failedRanges  []seqRange // records whose write was reported as failed
+	durableSeq    uint64     // all records up to this one were durable at some time
+	storeID       uint64     // 0 if no header could be read
+	lastID        uint64     // the highest ID of a segment
+	timestamp     Timestamp  // of the newest header
+	storeTime     int64      // in ms at timestamp
+	headerDamaged bool       // a header is damaged, so that it is not known which segments it replaces or follows
 }
 
-// readLog reads the headers in a directory. The caller closes the log; after an error no file is open.
+// readLog opens the segments in a directory and reads their headers. The caller has to call close. After an error no file is open.
 func readLog(dir FS) (*diskLog, error) {
 	ids, unfinished, err := listSegments(dir)
 	if err != nil {
@@ -49,14 +49,14 @@
 	return l, nil
 }
 
-// close closes the files. They were only read, so that an error loses nothing.
+// close closes the files of the segments.
 func (l *diskLog) close() {
 	for _, seg := range l.segments {
-		_ = seg.file.Close()
+		_ = seg.file.Close() // nothing was written to it
 	}
 }
 
-// dropReplaced moves the segments that others replace to the leftovers, and returns the IDs that others replace.
+// dropReplaced moves replaced segments to the leftovers, and returns the IDs of all segments that are replaced.
 func (l *diskLog) dropReplaced() map[uint64]bool {
 	replaced := map[uint64]bool{}
 	for _, seg := range l.segments {
@@ -69,13 +69,13 @@
 			return false
 		}
 		l.leftovers = append(l.leftovers, seg.name)
-		_ = seg.file.Close() // it was only read
+		_ = seg.file.Close() // nothing was written to it
 		return true
 	})
 	return replaced
 }
 
-// openSegment opens the file of a segment and reads its header. It returns nil where the file was cut before it had one.
+// openSegment opens the file of a segment and reads its header. It returns nil if the file has no complete header and no record.
 func (l *diskLog) openSegment(dir FS, id uint64) (*segment, error) {
 	name := segmentName(id)
 	file, err := dir.Open(name)
@@ -84,11 +84,12 @@
 	}
 	seg, err := l.readHeader(file, name, id)
 	if seg == nil {
-		_ = file.Close() // it was only read
+		_ = file.Close() // nothing was written to it
 	}
 	return seg, err
 }
 
+// readHeader reads the header of a segment, and returns nil as openSegment does.
 func (l *diskLog) readHeader(file Reader, name string, id uint64) (*segment, error) {
 	size, err := file.Size()
 	if err != nil {
@@ -114,7 +115,7 @@
 	return &segment{header: h, name: name, file: file, size: size}, nil
 }
 
-// addHeader notes what a header says of the whole log.
+// addHeader updates the log from the header of a segment. It fails if the segment belongs to another store.
 func (l *diskLog) addHeader(h *header, name string, id uint64) error {
 	if l.storeID == 0 {
 		l.storeID = h.storeID
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// readWithoutHeader reads a segment whose header is damaged, or was never written as a whole. If a record follows, it was. It
-// returns nil otherwise.
+// readWithoutHeader reads a segment whose header cannot be read. If frames follow, the header is damaged, and the segment is used
+// without it. Otherwise the header was never complete; readWithoutHeader then adds the file to the leftovers and returns nil.
 func (l *diskLog) readWithoutHeader(file Reader, name string, id uint64, size int64) (*segment, error) {
 	data, err := readUpTo(file, size)
 	if err != nil {
@@ -157,7 +158,7 @@
 	return &segment{header: h, name: name, file: file, size: size, damaged: true}, nil
 }
 
-// checkChain reports segments that are missing: each but the oldest names the one before it.
+// checkChain reports missing segments: the header of each segment but the oldest has the ID of the one before it.
 func (l *diskLog) checkChain(replaced map[uint64]bool) {
 	if l.headerDamaged {
 		return
@@ -173,7 +174,7 @@
 	}
 }
 
-// seqLimit is the number before which the records of a segment end; 0 for the last segment.
+// seqLimit returns the sequence number that is above those of all acknowledged records in segment i, or 0 for the last segment.
 func (l *diskLog) seqLimit(i int) uint64 {
 	if i+1 >= len(l.segments) {
 		return 0
@@ -181,12 +182,12 @@
 	next := l.segments[i+1]
 	failed := next.failedSeqs
 	if !failed.empty() && failed.end == next.firstSeq {
-		return failed.first // those that failed were never acknowledged
+		return failed.first // the failed records at the end of segment i were never acknowledged
 	}
 	return next.firstSeq
 }
 
-// scanSegment reads a segment into memory and hands out its records with their offsets.
+// scanSegment reads segment i into memory, and calls emit for its records with their offsets.
 func (l *diskLog) scanSegment(i int, emit func(f frame, offset int)) (scanResult, error) {
 	seg := l.segments[i]
 	data, err := readUpTo(seg.file, seg.size)
@@ -194,8 +195,13 @@
 		return scanResult{}, fmt.Errorf("%s: %w", seg.name, err)
 	}
 	scan := segmentScan{
-		file: seg.name, data: data, header: seg.header,
-		durableSeq: l.durableSeq, nextSeq: l.seqLimit(i), failed: l.failedRanges, emit: emit,
+		file:       seg.name,
+		data:       data,
+		header:     seg.header,
+		durableSeq: l.durableSeq,
+		nextSeq:    l.seqLimit(i),
+		failed:     l.failedRanges,
+		emit:       emit,
 	}
 	result := scan.run()
 	if result.sealed && result.seal.records != result.records && len(result.damage) == 0 {
--- a/internal/files/store/example_test.go
+++ b/internal/files/store/example_test.go
@@ -8,6 +8,7 @@
 	"quincegap/internal/files/store"
 )
 
+// A batch is written durably, and the closed store is inspected.
 func Example() {
 	dir, err := os.MkdirTemp("", "store")
 	if err != nil {
--- a/internal/files/store/expiry.go
+++ b/internal/files/store/expiry.go
@@ -1,15 +1,17 @@
 package store
 
-// expiryQueue is a binary heap of keys by when a record of theirs expires. A key that is written again is in it again.
+// expiryQueue is a binary heap of keys, the earliest expiry of a record first. A key has an entry for each record that was written
+// for it.
 type expiryQueue []expiry
 
+// expiry is the store time in ms at which a record expires, with its key.
 type expiry struct {
 	expiresAt int64
 	key       string
 }
 
-func (e *expiryQueue) push(at int64, key string) {
-	*e = append(*e, expiry{at, key})
+func (e *expiryQueue) push(expiresAt int64, key string) {
+	*e = append(*e, expiry{expiresAt, key})
 	heap := *e
 	for i := len(heap) - 1; i > 0; {
 		parent := (i - 1) / 2
@@ -21,7 +23,7 @@
 	}
 }
 
-// pop removes a key that has expired; false where there is none.
+// pop removes the first entry and returns its key, if the entry has expired. It returns false otherwise.
 func (e *expiryQueue) pop(now int64) (key string, ok bool) {
 	heap := *e
 	if len(heap) == 0 || heap[0].expiresAt > now {
@@ -30,14 +32,14 @@
 	key = heap[0].key
 	last := len(heap) - 1
 	heap[0] = heap[last]
-	heap[last] = expiry{} // lets go of the key
+	heap[last] = expiry{} // allows the key to be collected
 	heap = heap[:last]
 	heap.siftDown()
 	*e = heap
 	return key, true
 }
 
-// siftDown moves the first entry to its place.
+// siftDown moves the first entry towards the leaves until the heap is in order.
 func (e expiryQueue) siftDown() {
 	for i := 0; ; {
 		child := 2*i + 1
--- a/internal/files/store/expiry_test.go
+++ b/internal/files/store/expiry_test.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/standin/disk"
 )
 
-// The wall clock set back or forward makes no record expire early; a machine that was off lets them age.
+// Setting the wall clock back or forward makes no record expire early. Records age while the machine is off.
 func TestClockSet(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		wall, up time.Duration // that pass while the store is closed
+		wall, up time.Duration // by which the clocks advance while the store is closed
 		reboots  bool
-		left     time.Duration // of a minute; 0 for none
+		left     time.Duration // of a retention of a minute; 0 if the record has expired
 	}{
 		{"nothing", 0, 0, false, time.Minute},
 		{"set back", -24 * time.Hour, time.Second, false, 59 * time.Second},
@@ -30,17 +30,17 @@
 			s := open(t, d, store.Options{Clock: clock.now})
 			check(t, s.Put([]byte("k"), nil, time.Minute))
 			closeStore(t, s)
-			clock.wall.Add(c.wall.Milliseconds())
-			clock.up.Add(c.up.Milliseconds())
+			clock.wallMillis.Add(c.wall.Milliseconds())
+			clock.uptimeMillis.Add(c.up.Milliseconds())
 			if c.reboots {
-				clock.boot.Add(1)
-				clock.up.Store(5)
+				clock.bootID.Add(1)
+				clock.uptimeMillis.Store(5)
 			}
 			s = open(t, d, store.Options{Clock: clock.now})
 			if _, left, ok, err := s.Get([]byte("k")); ok != (c.left > 0) || left != c.left || err != nil {
 				t.Errorf("%v left, %v, %v", left, ok, err)
 			}
-			clock.wall.Add(-48 * time.Hour.Milliseconds()) // while it is open it counts for nothing
+			clock.wallMillis.Add(-48 * time.Hour.Milliseconds()) // has no effect while the store is open
 			if _, left, _, _ := s.Get([]byte("k")); left != c.left {
 				t.Errorf("set back: %v left", left)
 			}
@@ -49,24 +49,24 @@
 	}
 }
 
-// Records that have expired cost no file, no place in the index and, at open, no reading.
+// Expired records take no space on the disk or in the index, and are not read when the store is opened.
 func TestExpired(t *testing.T) {
-	c := newClock()
-	o := store.Options{Clock: c.now, SegmentBytes: 2000, MaxBytes: 20_000, MaxRecords: 400}
+	clock := newClock()
+	options := store.Options{Clock: clock.now, SegmentBytes: 2000, MaxBytes: 20_000, MaxRecords: 400}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	for i := range 5000 {
 		if err := s.Put(fmt.Append(nil, "k", i), make([]byte, 20), time.Second); err != nil {
 			t.Fatal(i, err)
 		}
-		c.pass(3 * time.Millisecond)
+		clock.advance(3 * time.Millisecond)
 	}
 	if n, size := s.Len(), s.Size(); n > 340 || size > 40_000+3*2000 {
 		t.Errorf("%d records, %d bytes", n, size)
 	}
 	closeStore(t, s)
-	c.pass(time.Minute)
-	s = open(t, d, o)
+	clock.advance(time.Minute)
+	s = open(t, d, options)
 	put(t, s, "a", "1")
 	if n, files := s.Len(), d.Files(); n != 1 || len(files) > 2 {
 		t.Errorf("%d records in %v", n, files)
@@ -74,37 +74,37 @@
 	closeStore(t, s)
 }
 
-// A record that has expired goes on hiding the one that it superseded in another segment, also where nothing else in its own
-// segment is live.
+// The record that an expired one has superseded in another segment does not return, even if nothing else in the segment of the
+// expired one is live.
 func TestExpiredRecordHidesOlder(t *testing.T) {
-	c := newClock()
-	o := store.Options{Clock: c.now}
+	clock := newClock()
+	options := store.Options{Clock: clock.now}
 	d := disk.New()
-	s := open(t, d, o)
+	s := open(t, d, options)
 	check(t, s.Put([]byte("k"), []byte("older"), time.Hour))
 	put(t, s, "other", "keeps the first segment")
-	closeStore(t, s) // which seals the segment
-	s = open(t, d, o)
+	closeStore(t, s) // seals the segment
+	s = open(t, d, options)
 	check(t, s.Put([]byte("k"), []byte("newer"), time.Second))
 	closeStore(t, s)
-	c.pass(10 * time.Second)
-	s = open(t, d, o)
+	clock.advance(10 * time.Second)
+	s = open(t, d, options)
 	if got := content(t, s); len(got) != 1 || got["k"] != "" {
 		t.Errorf("%v", got)
 	}
 	closeStore(t, s)
 }
 
-// A key that is written again and again takes no more room than once.
+// A key that is written again and again takes a bounded space.
 func TestOneKeyForEver(t *testing.T) {
-	c := newClock()
+	clock := newClock()
 	d := disk.New()
-	s := open(t, d, store.Options{Clock: c.now, SegmentBytes: 1000, MaxBytes: 10_000})
+	s := open(t, d, store.Options{Clock: clock.now, SegmentBytes: 1000, MaxBytes: 10_000})
 	for i := range 3000 {
 		check(t, s.Put([]byte("list"), fmt.Append(nil, i), time.Hour))
 	}
 	closeStore(t, s)
-	s = open(t, d, store.Options{Clock: c.now})
+	s = open(t, d, store.Options{Clock: clock.now})
 	if got := content(t, s); got["list"] != "2999" || s.Size() > 5000 {
 		t.Errorf("%v, %d bytes", got, s.Size())
 	}
--- a/internal/files/store/frame.go
+++ b/internal/files/store/frame.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// MaxKeyBytes bounds a key.
+	// MaxKeyBytes is the largest size of a key.
 	MaxKeyBytes = 1 << 10
-	// MaxValueBytes bounds a value.
+	// MaxValueBytes is the largest size of a value.
 	MaxValueBytes = 1 << 20
 )
 
-// Sizes of frames in bytes; those with min before a key and a value.
+// Offsets in frames, and sizes of frames, in bytes. A minimum size is without key and value.
 const (
 	framePrefixBytes = 8 // length and checksum
 	kindOffset       = framePrefixBytes
@@ -26,45 +26,46 @@
 	maxFrameBytes    = minPutBytes + MaxKeyBytes + MaxValueBytes
 )
 
-// kind is what a frame is.
+// kind is the kind of a frame.
 type kind uint8
 
 const (
 	kindPut    kind = 1
 	kindDelete kind = 2
-	kindGroup  kind = 3 // begins what one sync makes durable
-	kindSeal   kind = 4 // ends a segment to which nothing is added any more
+	kindGroup  kind = 3 // starts the frames of one write and sync
+	kindSeal   kind = 4 // ends a segment that is complete
 
 	// moreFlag is set on each record of a batch but the last.
 	moreFlag kind = 0x80
 )
 
-// never is the expiry of a record that stays until it is deleted.
+// never is the expiry of a record that does not expire.
 const never = math.MaxInt64
 
-// frame is one entry of a segment behind the header. A frame that was decoded shares key and value with the bytes that it was
-// decoded from.
+// frame is one entry of a segment after the header: a record (put or delete), the start of a group, or a seal. Key and value of a
+// decoded frame are parts of the slice that it was decoded from.
 type frame struct {
 	kind        kind
-	moreInBatch bool // the next record is of the same batch
-	// seq is a record's sequence number, a group's that of the next record, a seal's that of the last one.
+	moreInBatch bool // the next record belongs to the same batch
+	// seq is the sequence number of a record. That of a group is the one of the next record, that of a seal the one of the last.
 	seq           uint64
-	expiresAt     int64 // by the time of the store in ms: of a put; of a seal, when all records of the segment have expired
-	key           []byte
-	value         []byte
+	expiresAt     int64  // of a put, in ms of store time; of a seal: the latest expiry in the segment
+	key           []byte // of a put or delete
+	value         []byte // of a put
 	durableSeq    uint64 // of a group: all records up to this one were durable before it was written
 	storeTime     int64  // of a group, in ms
 	shadowedUntil int64  // of a seal: see segment
-	records       uint64 // of a seal: how many the segment has
+	records       uint64 // of a seal: the number of records in the segment
 	size          int    // in bytes; set by decodeFrame
 }
 
-// isRecord tells records from the marks of groups and seals.
+// isRecord reports whether a frame is a record, and not the start of a group or a seal.
 func (f *frame) isRecord() bool { return f.kind == kindPut || f.kind == kindDelete }
 
+// appendFrame appends the encoded frame to b.
 func appendFrame(b []byte, f *frame) []byte {
 	start := len(b)
-	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // length and checksum are known at the end
+	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // length and checksum are set below
 	kindByte := f.kind
 	if f.moreInBatch {
 		kindByte |= moreFlag
@@ -90,19 +91,20 @@
 	return b
 }
 
+// appendKeyAndValue appends the length of the key, the key and the value, which extends to the end of the frame.
 func appendKeyAndValue(b []byte, f *frame) []byte {
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(f.key)))
 	b = append(b, f.key...)
 	return append(b, f.value...)
 }
 
-// frameChecksum is the checksum of a frame: of its length and of what follows the checksum itself.
+// frameChecksum returns the checksum of a frame, which covers all of it but the checksum itself.
 func frameChecksum(b []byte) uint32 {
 	return crc32.Update(crc32.Checksum(b[:4], castagnoli), castagnoli, b[framePrefixBytes:])
 }
 
-// decodeFrame reads the frame at the start of b; false where there is none that is complete and undamaged. Cheap checks come
-// first: a search behind damage calls it for each byte.
+// decodeFrame decodes the frame at the start of b. ok is false if there is no complete and undamaged one. It makes the cheap checks
+// first, since the search for frames after damage calls it for each byte.
 func decodeFrame(b []byte) (f frame, ok bool) {
 	if len(b) < minDeleteBytes {
 		return f, false
@@ -125,6 +127,7 @@
 	return f, f.decodeBody(b[bodyOffset:f.size])
 }
 
+// plausibleSize reports whether the size and the flag of a frame are possible for its kind.
 func (f *frame) plausibleSize() bool {
 	switch f.kind {
 	case kindPut:
@@ -139,7 +142,7 @@
 	return false
 }
 
-// decodeBody reads what follows the sequence number.
+// decodeBody decodes the part of a frame after the sequence number, and reports whether it is valid.
 func (f *frame) decodeBody(body []byte) bool {
 	numbers := numberReader{body}
 	switch f.kind {
--- a/internal/files/store/fs.go
+++ b/internal/files/store/fs.go
@@ -5,21 +5,23 @@
 	"io"
 )
 
-// FS is a directory as a store uses it. Names have no folders. Tests put one in its place that fails.
+// FS is the directory of a store. Names are without a path. Dir implements it; tests use one that fails.
 type FS interface {
-	// Create makes a file that must not exist, for writing at its end.
+	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
+	// Open opens a file for reading.
 	Open(name string) (Reader, error)
-	// List returns the names of all files; nil or fs.ErrNotExist where the directory doesn't exist.
+	// List returns the names of all files. If the directory does not exist, it returns nil or fs.ErrNotExist.
 	List() ([]string, error)
-	// Rename gives a file another name, and replaces one that has it.
+	// Rename renames a file, and replaces an existing one.
 	Rename(from, to string) error
+	// Remove deletes a file.
 	Remove(name string) error
-	// SyncDir makes durable which names were created, renamed and removed.
+	// SyncDir makes the creations, renames and removals of files durable.
 	SyncDir() error
-	// Lock reserves the directory for this process until the lock is closed. It returns ErrLocked where another one has it.
+	// Lock locks the directory for this process until the result is closed. It returns ErrLocked if another process has the lock.
 	Lock() (io.Closer, error)
-	// Locked tells whether some process has the lock, without getting in the way of one that is about to take it.
+	// Locked reports whether a process has the lock. It does not acquire the lock, so that no other process fails to.
 	Locked() (bool, error)
 }
 
@@ -27,18 +29,19 @@
 type Reader interface {
 	io.ReaderAt
 	io.Closer
+	// Size returns the current size in bytes.
 	Size() (int64, error)
-	// Sync makes durable what any process wrote to the file.
+	// Sync makes the content durable, also what other processes have written.
 	Sync() error
 }
 
-// File is a file that is open for writing at its end, and can be read meanwhile.
+// File is a file that is open for appending and reading.
 type File interface {
 	Reader
 	io.Writer
 }
 
-// writeFull is Write with an error wherever less than b was written.
+// writeFull writes b, and returns an error if it has written less than all of it.
 func writeFull(w io.Writer, b []byte) (n int, err error) {
 	n, err = w.Write(b)
 	if err == nil && n < len(b) {
@@ -47,7 +50,7 @@
 	return n, err
 }
 
-// writeAndSync makes b durable at the end of a file. It returns how many bytes were written also where the sync failed.
+// writeAndSync appends b to a file and syncs it. It returns the number of bytes that were written, also if it fails.
 func writeAndSync(f File, b []byte) (n int, err error) {
 	n, err = writeFull(f, b)
 	if err != nil {
@@ -56,7 +59,7 @@
 	return n, f.Sync()
 }
 
-// readUpTo reads the first bytes of a file: size of them, or fewer where it is shorter.
+// readUpTo reads the first size bytes of a file, or all of a shorter file.
 func readUpTo(f Reader, size int64) ([]byte, error) {
 	b := make([]byte, size)
 	n, err := io.ReadFull(io.NewSectionReader(f, 0, size), b)
--- a/internal/files/store/fuzz_test.go
+++ b/internal/files/store/fuzz_test.go
@@ -8,34 +8,34 @@
 	"quincegap/internal/standin/disk"
 )
 
-// writeRaw puts a file on a disk.
-func writeRaw(tb testing.TB, d *disk.Disk, name string, text []byte) {
+// writeRaw creates a file on a disk, and makes it durable.
+func writeRaw(tb testing.TB, d *disk.Disk, name string, data []byte) {
 	tb.Helper()
-	f, err := d.Create(name)
+	file, err := d.Create(name)
 	check(tb, err)
-	_, err = f.Write(text)
+	_, err = file.Write(data)
 	check(tb, err)
-	check(tb, f.Sync())
+	check(tb, file.Sync())
 	check(tb, d.SyncDir())
 }
 
-// readRaw returns a file of a disk.
+// readRaw returns the first bytes of a file on a disk.
 func readRaw(tb testing.TB, d *disk.Disk, name string, size int) []byte {
 	tb.Helper()
 	file, err := d.Open(name)
 	check(tb, err)
-	text := make([]byte, size)
-	_, err = file.ReadAt(text, 0)
+	data := make([]byte, size)
+	_, err = file.ReadAt(data, 0)
 	check(tb, err)
-	return text
+	return data
 }
 
-// Whatever stands in a segment, opening it ends, and what is then read is what some record said, whole. What is
-// written after that is there at the next open.
+// Whatever the content of a segment is, Open returns, the records that it reads are the same when the store is opened again, and so
+// is a record that is written in between.
 func FuzzRecovery(f *testing.F) {
-	o := store.Options{Clock: newClock().now}
+	options := store.Options{Clock: newClock().now}
 	d := disk.New()
-	s := open(f, d, o)
+	s := open(f, d, options)
 	key := []byte("key")
 	for i := range 5 {
 		value := make([]byte, 10*i)
@@ -43,26 +43,26 @@
 	}
 	closeStore(f, s)
 	for name, size := range d.Files() {
-		text := readRaw(f, d, name, size)
-		f.Add(text)
-		f.Add(text[:len(text)-20])
-		f.Add(append(text[:150:150], text[170:]...))
+		data := readRaw(f, d, name, size)
+		f.Add(data)
+		f.Add(data[:len(data)-20])
+		f.Add(append(data[:150:150], data[170:]...))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, data []byte) {
 		d := disk.New()
-		writeRaw(t, d, "0000000000000001.seg", text)
-		s, err := store.Open(d, o)
+		writeRaw(t, d, "0000000000000001.seg", data)
+		s, err := store.Open(d, options)
 		if err != nil {
-			return // of a later version, or another store's
+			return // a later version, or another store
 		}
 		before := content(t, s)
-		sum := crc32.ChecksumIEEE(text)
+		sum := crc32.ChecksumIEEE(data)
 		check(t, s.Put([]byte("after"), []byte{byte(sum)}, 0))
 		closeStore(t, s)
-		s = open(t, d, o)
+		s = open(t, d, options)
 		got := content(t, s)
 		if got["after"] != string([]byte{byte(sum)}) {
-			t.Error("what was written after it is not there")
+			t.Error("the record that was written is not there")
 		}
 		delete(got, "after")
 		delete(before, "after")
--- a/internal/files/store/golden_format_test.go
+++ b/internal/files/store/golden_format_test.go
@@ -15,24 +15,48 @@
 	"quincegap/internal/golden"
 )
 
-// goldenStamp is what the machine tells of the time in golden files.
-var goldenStamp = Timestamp{WallMillis: 1_800_000_000_000, BootID: 0x1122334455667788, UptimeMillis: 1_000_000}
+// goldenTimestamp is the time of the machine in golden files.
+var goldenTimestamp = Timestamp{WallMillis: 1_800_000_000_000, BootID: 0x1122334455667788, UptimeMillis: 1_000_000}
 
-func goldenClock() Timestamp { return goldenStamp }
+func goldenClock() Timestamp { return goldenTimestamp }
 
-// The header of a segment, with each field set.
-func TestGoldenHeader(t *testing.T) {
-	want := header{
-		version: 1, storeID: 0x0102030405060709, id: 0x2a, firstSeq: 1001, durableSeq: 1000, failedSeqs: seqRange{900, 950}, previousID: 0x29,
-		timestamp: Timestamp{BootID: 0x1122334455667788, UptimeMillis: 123_456}, storeTime: 1_800_000_000_123, replaces: []uint64{7, 8, 9},
+// checkGoldenHeader compares the encoded header with a golden file, and the decoded file with the header.
+func checkGoldenHeader(t *testing.T, file string, want *header) {
+	t.Helper()
+	golden.Hex(t, file, want.encode())
+	got, err := decodeHeader(file, golden.Read(t, file))
+	if err != nil || !reflect.DeepEqual(got, *want) {
+		t.Errorf("decoded as %+v, %v; want %+v", got, err, *want)
 	}
-	golden.Hex(t, "header.hex", want.encode())
-	got, err := decodeHeader("header", golden.Read(t, "header.hex"))
-	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded as %+v, %v; want %+v", got, err, want)
+}
+
+// checkGoldenFrame compares the encoded frame with a golden file, and the decoded file with the frame.
+func checkGoldenFrame(t *testing.T, file string, want frame) {
+	t.Helper()
+	golden.Hex(t, file, appendFrame(nil, &want))
+	data := golden.Read(t, file)
+	want.size = len(data)
+	if got, ok := decodeFrame(data); !ok || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded as %+v, %v; want %+v", got, ok, want)
 	}
 }
 
+// A header with each field set.
+func TestGoldenHeader(t *testing.T) {
+	checkGoldenHeader(t, "header.hex", &header{
+		version:    1,
+		storeID:    0x0102030405060709,
+		id:         0x2a,
+		firstSeq:   1001,
+		durableSeq: 1000,
+		failedSeqs: seqRange{900, 950},
+		previousID: 0x29,
+		timestamp:  Timestamp{BootID: 0x1122334455667788, UptimeMillis: 123_456},
+		storeTime:  1_800_000_000_123,
+		replaces:   []uint64{7, 8, 9},
+	})
+}
+
 // A frame of each kind, with each field set.
 func TestGoldenFrames(t *testing.T) {
 	for _, c := range []struct {
@@ -47,20 +71,11 @@
 		{"group", frame{kind: kindGroup, seq: 1006, durableSeq: 1005, storeTime: 1_800_000_000_456}},
 		{"seal", frame{kind: kindSeal, seq: 1006, expiresAt: 1_800_000_060_000, shadowedUntil: 1_800_000_070_000, records: 6}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			file := "frame-" + c.name + ".hex"
-			golden.Hex(t, file, appendFrame(nil, &c.frame))
-			data := golden.Read(t, file)
-			want := c.frame
-			want.size = len(data)
-			if got, ok := decodeFrame(data); !ok || !reflect.DeepEqual(got, want) {
-				t.Errorf("decoded as %+v, %v; want %+v", got, ok, want)
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { checkGoldenFrame(t, "frame-"+c.name+".hex", c.frame) })
 	}
 }
 
-// Names and numbers that stand on the disk.
+// Names and numbers that are part of the format.
 func TestGoldenNames(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -89,7 +104,7 @@
 	}
 }
 
-// What a reader of damage and of a later format is told.
+// The texts of errors and of damage, which operators see.
 func TestGoldenTexts(t *testing.T) {
 	var text bytes.Buffer
 	for _, line := range []fmt.Stringer{
@@ -105,13 +120,19 @@
 	golden.Text(t, "texts.txt", text.Bytes())
 }
 
-// A report as `quincegapctl store verify --json` prints it: programs read it by the names of its fields.
+// A report as `quincegapctl store verify --json` prints it. Programs read it by the names of its fields.
 func TestGoldenReport(t *testing.T) {
 	want := Report{
-		Segments:    []Segment{{File: "000000000000001f.seg", Bytes: 4096, FirstSeq: 5, LastSeq: 9, Records: 4, Replaces: 2, Sealed: true}},
-		LiveRecords: 3, TornBytes: 17,
-		Damage:    []Damage{{File: "000000000000001f.seg", From: 100, To: 250, FirstSeq: 5, LastSeq: 7, Reason: "unreadable, and was durable"}},
-		Leftovers: []string{"0000000000000020.tmp"}, InUse: true,
+		Segments: []Segment{{
+			File: "000000000000001f.seg", Bytes: 4096, FirstSeq: 5, LastSeq: 9, Records: 4, Replaces: 2, Sealed: true,
+		}},
+		LiveRecords: 3,
+		TornBytes:   17,
+		Damage: []Damage{{
+			File: "000000000000001f.seg", From: 100, To: 250, FirstSeq: 5, LastSeq: 7, Reason: "unreadable, and was durable",
+		}},
+		Leftovers: []string{"0000000000000020.tmp"},
+		InUse:     true,
 	}
 	text, err := json.MarshalIndent(want, "", "  ")
 	if err != nil {
@@ -127,12 +148,12 @@
 	}
 }
 
-// goldenFolder runs changes on a store with a given identity, and returns its directory.
+// goldenFolder makes some changes to a store with a fixed ID, and returns its directory.
 func goldenFolder(t *testing.T, compact bool) string {
 	t.Helper()
 	dir := t.TempDir()
-	// The identity of a store is random; one that is there already is kept.
-	first := header{storeID: 0x0102030405060709, id: 1, firstSeq: 1, timestamp: goldenStamp, storeTime: 1_800_000_000_000}
+	// The ID of a new store is random. A store with a segment keeps the ID in its header.
+	first := header{storeID: 0x0102030405060709, id: 1, firstSeq: 1, timestamp: goldenTimestamp, storeTime: 1_800_000_000_000}
 	if err := os.WriteFile(filepath.Join(dir, segmentName(1)), first.encode(), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +192,7 @@
 	return dir
 }
 
-// The files of a store: as written, and after a compaction. The golden ones are read by a store and by a look at them.
+// The files of a store, as written and after a compaction. Open and Inspect read the golden files.
 func TestGoldenFolder(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -188,23 +209,24 @@
 			for _, path := range paths {
 				name := filepath.Base(path)
 				fmt.Fprintln(&names, name)
-				text, err := os.ReadFile(path)
+				data, err := os.ReadFile(path)
 				if err != nil {
 					t.Fatal(err)
 				}
-				golden.Hex(t, c.name+"/"+name+".hex", text)
+				golden.Hex(t, c.name+"/"+name+".hex", data)
 				if err := os.WriteFile(filepath.Join(copied, name), golden.Read(t, c.name+"/"+name+".hex"), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			golden.Text(t, c.name+"/files.txt", names.Bytes())
-			checkLook(t, c.name, Dir(copied))
+			checkInspection(t, c.name, Dir(copied))
 			checkContent(t, Dir(copied))
 		})
 	}
 }
 
-func checkLook(t *testing.T, name string, dir Dir) {
+// checkInspection compares the result of Inspect with a golden file.
+func checkInspection(t *testing.T, name string, dir Dir) {
 	t.Helper()
 	var text bytes.Buffer
 	report, err := Inspect(dir, goldenClock, func(r Record) error {
@@ -214,13 +236,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&text, "%d live, %d torn, damage %v, leftover %v, in use %v\n", report.LiveRecords, report.TornBytes, report.Damage, report.Leftovers, report.InUse)
+	fmt.Fprintf(
+		&text, "%d live, %d torn, damage %v, leftover %v, in use %v\n",
+		report.LiveRecords, report.TornBytes, report.Damage, report.Leftovers, report.InUse,
+	)
 	for _, seg := range report.Segments {
 		fmt.Fprintln(&text, seg.File, seg.Bytes, seg.FirstSeq, seg.LastSeq, seg.Records, seg.Replaces, seg.Sealed)
 	}
 	golden.Text(t, name+"/look.txt", text.Bytes())
 }
 
+// checkContent opens the store and checks its records.
 func checkContent(t *testing.T, dir Dir) {
 	t.Helper()
 	s, err := Open(dir, Options{Clock: goldenClock})
@@ -231,7 +257,7 @@
 	if err := s.Range(func(key, value []byte, left time.Duration) bool {
 		got[string(key)] = string(value)
 		if string(key) == "a" && left != time.Hour {
-			t.Errorf("a stays for %v", left)
+			t.Errorf("a expires after %v", left)
 		}
 		return true
 	}); err != nil {
--- a/internal/files/store/golden_recorded_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -6,7 +6,6 @@
 	"maps"
 	"os"
 	"path/filepath"
-	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -14,43 +13,48 @@
 	"quincegap/internal/golden"
 )
 
-// The header and each kind of frame, as they stand in a segment.
+// The files below testdata/golden/recorded were written by the version before the packages were renamed.
+
+// The header and each kind of frame have the encoding of the earlier version.
 func TestGoldenRecordedFormat(t *testing.T) {
 	t.Run("header", func(t *testing.T) {
-		want := header{
-			version: 1, storeID: 0x0102030405060708, id: 9, firstSeq: 40, durableSeq: 39, failedSeqs: seqRange{11, 12}, previousID: 8,
-			timestamp: Timestamp{BootID: 0x1112131415161718, UptimeMillis: 123_456}, storeTime: 1_800_000_123_456, replaces: []uint64{3, 5, 7},
-		}
-		golden.Hex(t, "recorded/header.hex", want.encode())
-		got, err := decodeHeader("recorded/header.hex", golden.Read(t, "recorded/header.hex"))
-		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("read back as %+v, %v", got, err)
-		}
+		checkGoldenHeader(t, "recorded/header.hex", &header{
+			version:    1,
+			storeID:    0x0102030405060708,
+			id:         9,
+			firstSeq:   40,
+			durableSeq: 39,
+			failedSeqs: seqRange{11, 12},
+			previousID: 8,
+			timestamp:  Timestamp{BootID: 0x1112131415161718, UptimeMillis: 123_456},
+			storeTime:  1_800_000_123_456,
+			replaces:   []uint64{3, 5, 7},
+		})
 	})
-	for name, want := range map[string]frame{
-		"recorded/frame-put.hex":         {kind: kindPut, seq: 41, expiresAt: 1_800_000_999_000, key: []byte("key"), value: []byte("value")},
-		"recorded/frame-put-forever.hex": {kind: kindPut, seq: 42, expiresAt: never, key: []byte("key"), value: []byte{}},
-		"recorded/frame-put-batch.hex":   {kind: kindPut, moreInBatch: true, seq: 43, expiresAt: never, key: []byte("key"), value: []byte("v")},
-		"recorded/frame-delete.hex":      {kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}},
-		"recorded/frame-group.hex":       {kind: kindGroup, seq: 45, durableSeq: 44, storeTime: 1_800_000_123_500},
-		"recorded/frame-seal.hex":        {kind: kindSeal, seq: 46, expiresAt: 1_800_000_999_001, shadowedUntil: 1_800_000_999_002, records: 5},
+	for _, c := range []struct {
+		name string
+		frame
+	}{
+		{"put", frame{kind: kindPut, seq: 41, expiresAt: 1_800_000_999_000, key: []byte("key"), value: []byte("value")}},
+		{"put-forever", frame{kind: kindPut, seq: 42, expiresAt: never, key: []byte("key"), value: []byte{}}},
+		{"put-batch", frame{kind: kindPut, moreInBatch: true, seq: 43, expiresAt: never, key: []byte("key"), value: []byte("v")}},
+		{"delete", frame{kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}}},
+		{"group", frame{kind: kindGroup, seq: 45, durableSeq: 44, storeTime: 1_800_000_123_500}},
+		{"seal", frame{kind: kindSeal, seq: 46, expiresAt: 1_800_000_999_001, shadowedUntil: 1_800_000_999_002, records: 5}},
 	} {
-		t.Run(name, func(t *testing.T) {
-			golden.Hex(t, name, appendFrame(nil, &want))
-			data := golden.Read(t, name)
-			got, ok := decodeFrame(data)
-			want.size = len(data)
-			if !ok || !reflect.DeepEqual(got, want) {
-				t.Errorf("read back as %+v, %v", got, ok)
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { checkGoldenFrame(t, "recorded/frame-"+c.name+".hex", c.frame) })
 	}
 }
 
-// The names of files, which the format has too.
+// The names of files and the limits are those of the earlier version.
 func TestGoldenRecordedNames(t *testing.T) {
 	for got, want := range map[string]string{
-		magic: "QGSTORE\n", segmentName(0x1f): "000000000000001f.seg", lockName: "lock", segmentSuffix: ".seg", temporarySuffix: ".tmp", damagedSuffix: ".damaged",
+		magic:             "QGSTORE\n",
+		segmentName(0x1f): "000000000000001f.seg",
+		lockName:          "lock",
+		segmentSuffix:     ".seg",
+		temporarySuffix:   ".tmp",
+		damagedSuffix:     ".damaged",
 	} {
 		if got != want {
 			t.Errorf("%q, and was %q", got, want)
@@ -61,18 +65,23 @@
 	}
 }
 
-// A folder of three segments as a process has left it: testdata/golden/folder has each file in hexadecimal.
+// recordedFolder has the segments of a store that was closed, each in hexadecimal.
 const recordedFolder = "recorded/folder"
 
 func recordedClock() Timestamp {
 	return Timestamp{WallMillis: 1_800_000_000_000, BootID: 7, UptimeMillis: 1_000_000}
 }
 
-// recordedValues are what the folder holds: value and time left of each key.
+// recordedValues are the records in the folder: by key, the value and the time left, which is negative for no expiry.
 var recordedValues = map[string]string{
-	"a": "third, -1ns", "c": "of a batch, 1m0s", "empty": ", -1ns", "long": strings.Repeat("x", 300) + ", -1ns", "short": "for an hour, 1h0m0s",
+	"a":     "third, -1ns",
+	"c":     "of a batch, 1m0s",
+	"empty": ", -1ns",
+	"long":  strings.Repeat("x", 300) + ", -1ns",
+	"short": "for an hour, 1h0m0s",
 }
 
+// writeRecordedFolder writes the golden files of the folder.
 func writeRecordedFolder(t *testing.T) {
 	t.Helper()
 	dir := Dir(t.TempDir())
@@ -115,9 +124,10 @@
 	}
 }
 
+// A store that the earlier version has written is read completely, and its frames are encoded to the same bytes.
 func TestGoldenRecordedFolder(t *testing.T) {
 	if flag.Lookup("update-golden").Value.String() == "true" {
-		writeRecordedFolder(t) // ids are drawn: each writing gives other bytes
+		writeRecordedFolder(t) // the store's ID is random, so that each time other bytes are written
 	}
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", recordedFolder, "*.hex"))
 	if err != nil || len(files) < 2 {
@@ -136,28 +146,28 @@
 	checkRecordedContent(t, dir)
 }
 
-// checkRecordedEncoding checks that what is read of a segment is written again as it was, header and frames.
+// checkRecordedEncoding decodes the header and the frames of a segment, and checks that they are encoded to the same bytes.
 func checkRecordedEncoding(t *testing.T, name string, data []byte) {
 	t.Helper()
 	h, err := decodeHeader(name, data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := h.encode()
+	encoded := h.encode()
 	for rest := data[h.size():]; len(rest) > 0; {
 		f, ok := decodeFrame(rest)
 		if !ok {
 			t.Fatalf("%s: no frame at byte %d", name, len(data)-len(rest))
 		}
-		again = appendFrame(again, &f)
+		encoded = appendFrame(encoded, &f)
 		rest = rest[f.size:]
 	}
-	if !bytes.Equal(again, data) {
-		t.Errorf("%s: written again as %x", name, again)
+	if !bytes.Equal(encoded, data) {
+		t.Errorf("%s: encoded as %x", name, encoded)
 	}
 }
 
-// checkRecordedReport checks what an inspection finds.
+// checkRecordedReport checks the records and the report of an inspection.
 func checkRecordedReport(t *testing.T, dir Dir, segments int) {
 	t.Helper()
 	inspected := map[string]string{}
@@ -173,7 +183,7 @@
 	}
 }
 
-// checkRecordedContent checks what a store has that is opened.
+// checkRecordedContent opens the store and checks its records.
 func checkRecordedContent(t *testing.T, dir Dir) {
 	t.Helper()
 	s, err := Open(dir, Options{Clock: recordedClock})
@@ -183,7 +193,7 @@
 	opened := map[string]string{}
 	if err := s.Range(func(key, value []byte, left time.Duration) bool {
 		if left < 0 {
-			left = -1 // it doesn't expire: Inspect says so by -1, Range by some time below 0
+			left = -1 // no expiry, for which Inspect has -1 and Range an undefined time
 		}
 		opened[string(key)] = string(value) + ", " + left.String()
 		return true
--- a/internal/files/store/header.go
+++ b/internal/files/store/header.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-// The format on disk; docs/design/store-format.md describes it. All numbers are little endian.
+// The format on the disk is described in docs/design/store-format.md. All numbers are little endian.
 
-// Version is the format that this package writes. It reads this one and those before it.
+// Version is the version of the format that this package writes. It reads this version and earlier ones.
 const Version = 1
 
 const (
 	magic          = "QGSTORE\n"
-	minHeaderBytes = 100 // of a header that replaces no segment
+	minHeaderBytes = 100 // size of the header of a segment that replaces no other
 	checksumBytes  = 4
-	maxReplaced    = 1 << 16 // segments; the number has two bytes
+	maxReplaced    = 1 << 16 // segments that one can replace; the header has two bytes for the number
 )
 
-// Offsets of the fields of a header that each version has to keep.
+// Offsets of the fields of a header that must be the same in each version.
 const (
 	versionOffset  = len(magic)
 	replacedOffset = versionOffset + 2
-	numbersOffset  = replacedOffset + 2 + 4 // behind four bytes that are reserved
+	numbersOffset  = replacedOffset + 2 + 4 // after four reserved bytes
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header is at the start of a segment.
+// header is the start of a segment.
 type header struct {
 	version    uint16
-	storeID    uint64 // random, drawn when the store was made: segments of another store are told apart by it
-	id         uint64
-	firstSeq   uint64 // of its first record, or of the first that it replaces
-	durableSeq uint64 // all records up to this one were durable when the segment was made
-	failedSeqs seqRange
-	previousID uint64 // the segment before it; 0 for none
-	timestamp  Timestamp
-	storeTime  int64    // in ms
-	replaces   []uint64 // segments whose live records it holds, and that are not read where it is there
+	storeID    uint64    // random ID of the store, which identifies segments of another store
+	id         uint64    // ID of the segment; also its file name
+	firstSeq   uint64    // sequence number of its first record, or of the first one in the segments that it replaces
+	durableSeq uint64    // all records up to this one were durable when the segment was created
+	failedSeqs seqRange  // records before this segment whose write was reported as failed
+	previousID uint64    // ID of the segment before it; 0 for none
+	timestamp  Timestamp // when the segment was created; WallMillis is not on the disk
+	storeTime  int64     // in ms at timestamp
+	replaces   []uint64  // IDs of segments that this one replaces: it has their live records, and they are not read
 }
 
-// seqRange is a range of sequence numbers: of records whose write failed, and which may be in a file all the same.
+// seqRange is a range of sequence numbers of records whose write was reported as failed. They may be in a file nevertheless.
 type seqRange struct {
 	first uint64
-	end   uint64 // the number behind the last one; a range with end 0 is empty
+	end   uint64 // one above the last; a range with end 0 is empty
 }
 
 func (r seqRange) empty() bool { return r.end <= r.first }
@@ -75,9 +75,9 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader reads the header of a segment. It returns errHeaderUnreadable, or a NewerVersionError. The checksum is checked
-// before the version: otherwise one flipped bit would have the whole store refused as a later program's. So each version of
-// the format keeps where the length of a header is, and that the checksum ends it.
+// decodeHeader decodes the header at the start of a segment. It returns errHeaderUnreadable or a NewerVersionError. It verifies the
+// checksum before the version, as otherwise one flipped bit could make the store look like that of a newer program. Therefore the
+// size of a header must be in the same place in each version, and the checksum at its end.
 func decodeHeader(file string, b []byte) (h header, err error) {
 	if len(b) < minHeaderBytes || string(b[:len(magic)]) != magic {
 		return h, errHeaderUnreadable
@@ -111,7 +111,7 @@
 	return h, nil
 }
 
-// numberReader reads numbers of eight bytes, one after another. The caller checks the length.
+// numberReader reads numbers of eight bytes one after another. The caller checks that there are enough bytes.
 type numberReader struct{ rest []byte }
 
 func (n *numberReader) uint64() uint64 {
--- a/internal/files/store/helpers_test.go
+++ b/internal/files/store/helpers_test.go
@@ -10,33 +10,38 @@
 	"quincegap/internal/standin/disk"
 )
 
-// testClock is a machine's clock that stands still unless a test moves it.
-type testClock struct{ wall, up, boot atomic.Int64 }
+// testClock is the clock of a machine. It advances only when a test says so.
+type testClock struct{ wallMillis, uptimeMillis, bootID atomic.Int64 }
 
 func newClock() *testClock {
 	c := &testClock{}
-	c.wall.Store(1_800_000_000_000)
-	c.up.Store(1_000_000)
-	c.boot.Store(7)
+	c.wallMillis.Store(1_800_000_000_000)
+	c.uptimeMillis.Store(1_000_000)
+	c.bootID.Store(7)
 	return c
 }
 
 func (c *testClock) now() store.Timestamp {
-	return store.Timestamp{WallMillis: c.wall.Load(), UptimeMillis: c.up.Load(), BootID: uint64(c.boot.Load())}
+	return store.Timestamp{
+		WallMillis:   c.wallMillis.Load(),
+		UptimeMillis: c.uptimeMillis.Load(),
+		BootID:       uint64(c.bootID.Load()),
+	}
 }
 
-func (c *testClock) pass(d time.Duration) {
-	c.wall.Add(d.Milliseconds())
-	c.up.Add(d.Milliseconds())
+// advance lets time pass within one boot of the machine.
+func (c *testClock) advance(d time.Duration) {
+	c.wallMillis.Add(d.Milliseconds())
+	c.uptimeMillis.Add(d.Milliseconds())
 }
 
-// open opens a store, with a clock that stands still unless the options have one.
-func open(tb testing.TB, d store.FS, o store.Options) *store.Store {
+// open opens a store, with a clock that does not advance unless the options have another one.
+func open(tb testing.TB, dir store.FS, options store.Options) *store.Store {
 	tb.Helper()
-	if o.Clock == nil {
-		o.Clock = newClock().now
+	if options.Clock == nil {
+		options.Clock = newClock().now
 	}
-	s, err := store.Open(d, o)
+	s, err := store.Open(dir, options)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -51,36 +56,37 @@
 	}
 }
 
-// closeAnyhow closes a store on a disk that may fail: what was acknowledged before is what counts.
-func closeAnyhow(s *store.Store) { _ = s.Close() }
+// closeIgnoringError closes a store on a disk that may fail. Only writes that were acknowledged before matter.
+func closeIgnoringError(s *store.Store) { _ = s.Close() }
 
-// tryOpen opens and closes a store on a disk that may lose power meanwhile.
-func tryOpen(d *disk.Disk, o store.Options) {
-	if s, err := store.Open(d, o); err == nil {
-		closeAnyhow(s)
+// tryOpen opens and closes a store on a disk that may lose power during that.
+func tryOpen(d *disk.Disk, options store.Options) {
+	if s, err := store.Open(d, options); err == nil {
+		closeIgnoringError(s)
 	}
 }
 
 // readAll returns all records of a store.
 func readAll(s *store.Store) (map[string]string, error) {
-	all := map[string]string{}
+	records := map[string]string{}
 	err := s.Range(func(key, value []byte, _ time.Duration) bool {
-		all[string(key)] = string(value)
+		records[string(key)] = string(value)
 		return true
 	})
-	return all, err
+	return records, err
 }
 
-// content is readAll for a store whose disk works.
+// content returns all records of a store whose disk works.
 func content(tb testing.TB, s *store.Store) map[string]string {
 	tb.Helper()
-	all, err := readAll(s)
+	records, err := readAll(s)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return all
+	return records
 }
 
+// put writes a record that does not expire.
 func put(tb testing.TB, s *store.Store, key, value string) {
 	tb.Helper()
 	if err := s.Put([]byte(key), []byte(value), 0); err != nil {
@@ -88,7 +94,7 @@
 	}
 }
 
-// check ends a test in which a step fails that has to work.
+// check ends a test if a step of it fails that has to succeed.
 func check(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
@@ -96,8 +102,8 @@
 	}
 }
 
-// courses is how many random courses are played: some in make test, many in make soak.
-func courses() int {
+// seeds returns how many random seeds a test plays: a few in make test, many in make soak.
+func seeds() int {
 	if os.Getenv("SOAK") != "" {
 		return 300
 	}
--- a/internal/files/store/index.go
+++ b/internal/files/store/index.go
@@ -1,26 +1,27 @@
 package store
 
-// index knows where the latest record of each key is. The store's mutex guards it.
+// index has the location of the latest record of each key. The store's mutex guards it.
 type index struct {
-	locations   map[string]location
-	liveBytes   int64 // bytes on the disk of all records in locations
+	locations   map[string]location // by key
+	liveBytes   int64               // bytes on the disk of all records in locations
 	expirations expiryQueue
 }
 
-// location is where the latest record of a key is.
+// location is the location of a record on the disk.
 type location struct {
 	segment   *segment
 	seq       uint64
-	expiresAt int64 // by the time of the store, in ms
-	offset    uint32
-	size      uint32
+	expiresAt int64  // in ms of store time
+	offset    uint32 // in the segment, in bytes
+	size      uint32 // of the frame, in bytes
 }
 
+// newIndex returns an empty index with memory for a number of records.
 func newIndex(capacity uint64) index {
 	return index{locations: make(map[string]location, capacity)}
 }
 
-// add takes in a record that is in a segment, unless a later one of its key is known.
+// add adds a record of a segment, unless a later one of its key is known. It updates what the segment counts.
 func (x *index) add(seg *segment, f *frame, offset, size uint32) {
 	seg.records++
 	key := string(f.key)
@@ -49,14 +50,14 @@
 	}
 }
 
-// forget subtracts the bytes of a record that is no longer live.
+// forget subtracts the bytes of a record that is not live any more.
 func (x *index) forget(old location) {
 	old.segment.liveBytes -= int64(old.size)
 	x.liveBytes -= int64(old.size)
 }
 
-// scheduleExpiry notes when a key's latest record expires. Entries of superseded records stay in the queue; once they are
-// most of it, it is built anew.
+// scheduleExpiry adds the expiry of a key's latest record. The entries of superseded records stay in the queue, which is rebuilt once
+// they are most of it.
 func (x *index) scheduleExpiry(key string, at int64) {
 	if len(x.expirations) <= 2*len(x.locations)+1000 {
 		x.expirations.push(at, key)
@@ -68,7 +69,7 @@
 	}
 }
 
-// dropExpired removes the records that have expired.
+// dropExpired removes the records that have expired at a store time in ms.
 func (x *index) dropExpired(now int64) {
 	for {
 		key, ok := x.expirations.pop(now)
@@ -82,7 +83,7 @@
 	}
 }
 
-// relocate says that a record was copied to another segment, unless a later one of its key is known by now.
+// relocate sets the location of a record that was copied to another segment, unless a later one of its key is known meanwhile.
 func (x *index) relocate(key string, to location) {
 	old, ok := x.locations[key]
 	if !ok || old.seq != to.seq {
--- a/internal/files/store/inspect.go
+++ b/internal/files/store/inspect.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// inspectAttempts is how often a store is read anew because a compaction removed a file meanwhile.
+// inspectAttempts is how often Inspect tries to read a store while compactions of another process remove files.
 const inspectAttempts = 11
 
 // Segment describes a file of a store.
 type Segment struct {
 	File     string `json:"File"`
 	Bytes    int64  `json:"Bytes"`
-	FirstSeq uint64 `json:"First"` // the sequence number that it begins with
+	FirstSeq uint64 `json:"First"` // the lowest sequence number that it can have
 	LastSeq  uint64 `json:"Last"`  // of its last record; 0 for none
 	Records  uint64 `json:"Records"`
-	Replaces int    `json:"Stands"` // how many segments it replaces
-	Sealed   bool   `json:"Ended"`  // nothing is added to it any more
+	Replaces int    `json:"Stands"` // number of segments that it replaces
+	Sealed   bool   `json:"Ended"`  // it is complete
 }
 
-// Report is what an inspection of a store finds.
+// Report is the result of an inspection.
 type Report struct {
 	Segments    []Segment `json:"Segments"`
-	LiveRecords int       `json:"Live"` // the latest of their key, and not expired
-	TornBytes   int64     `json:"Torn"` // of an append that was cut, or is being written
+	LiveRecords int       `json:"Live"` // records that are the latest of their key and have not expired
+	TornBytes   int64     `json:"Torn"` // bytes of appends that are incomplete, or being written at the moment
 	Damage      []Damage  `json:"Damage"`
 	Leftovers   []string  `json:"Leftover"` // files that the next Open removes
 	InUse       bool      `json:"InUse"`    // some process has the store open
 }
 
-// Record is a record as it is on the disk.
+// Record is a live record that an inspection has found.
 type Record struct {
 	Key, Value []byte
 	Seq        uint64
-	File       string
-	TimeLeft   time.Duration // negative for a record that doesn't expire
+	File       string        // the segment that it is in
+	TimeLeft   time.Duration // until it expires; negative for a record that never does
 }
 
-// Inspect reads a store without changing or locking it, also while a process has it open. Where visit is not nil, it is called
-// with the live records in the order in which they were written; its error ends the inspection. A nil clock is the machine's.
+// Inspect reads a store without changing or locking it, also while another process has it open. It calls visit, unless that is nil,
+// for the live records in the order of the log; an error of visit ends the inspection and is returned. A nil clock is SystemClock.
 func Inspect(dir FS, clock Clock, visit func(Record) error) (*Report, error) {
 	if clock == nil {
 		clock = SystemClock()
@@ -54,6 +54,7 @@
 	}
 }
 
+// inspectOnce is one attempt of Inspect.
 func inspectOnce(dir FS, clock Clock, visit func(Record) error) (*Report, error) {
 	log, err := readLog(dir)
 	if err != nil {
@@ -95,17 +96,18 @@
 	log    *diskLog
 	report *Report
 	latest map[string]latestRecord // by key
-	now    int64                   // time of the store in ms
+	now    int64                   // store time in ms
 }
 
+// latestRecord is the latest record of a key.
 type latestRecord struct {
 	seq       uint64
-	expiresAt int64
-	segment   int // index in the log
-	offset    int
+	expiresAt int64 // in ms of store time
+	segment   int   // index in the log
+	offset    int   // in the segment
 }
 
-// scan adds a segment to the report, and its records to the latest ones.
+// scan adds the nth segment to the report, and its records to the latest ones.
 func (i *inspection) scan(n int) error {
 	result, err := i.log.scanSegment(n, func(f frame, offset int) {
 		key := string(f.key)
@@ -126,12 +128,18 @@
 	i.report.TornBytes += result.tornBytes
 	seg := i.log.segments[n]
 	i.report.Segments = append(i.report.Segments, Segment{
-		File: seg.name, Bytes: seg.size, FirstSeq: seg.firstSeq, LastSeq: result.lastSeq,
-		Records: result.records, Replaces: len(seg.replaces), Sealed: result.sealed,
+		File:     seg.name,
+		Bytes:    seg.size,
+		FirstSeq: seg.firstSeq,
+		LastSeq:  result.lastSeq,
+		Records:  result.records,
+		Replaces: len(seg.replaces),
+		Sealed:   result.sealed,
 	})
 	return nil
 }
 
+// dropExpired removes expired records from the latest ones.
 func (i *inspection) dropExpired() {
 	for key, l := range i.latest {
 		if l.expiresAt <= i.now {
@@ -140,30 +148,31 @@
 	}
 }
 
-// visitSegment calls visit with the live records of a segment.
+// visitSegment calls visit for the live records of the nth segment.
 func (i *inspection) visitSegment(n int, visit func(Record) error) error {
 	seg := i.log.segments[n]
 	data, err := readUpTo(seg.file, seg.size)
 	if err != nil {
 		return fmt.Errorf("%s: %w", seg.name, err)
 	}
-	for at := seg.header.size(); at < len(data); {
-		f, ok := decodeFrame(data[at:])
+	for offset := seg.header.size(); offset < len(data); {
+		f, ok := decodeFrame(data[offset:])
 		if !ok {
-			at++
+			offset++
 			continue
 		}
-		if i.isLatest(&f, n, at) {
+		if i.isLatest(&f, n, offset) {
 			record := Record{Key: f.key, Value: f.value, Seq: f.seq, File: seg.name, TimeLeft: i.timeLeft(f.expiresAt)}
 			if err := visit(record); err != nil {
 				return err
 			}
 		}
-		at += f.size
+		offset += f.size
 	}
 	return nil
 }
 
+// isLatest reports whether a frame is the latest record of its key.
 func (i *inspection) isLatest(f *frame, segment, offset int) bool {
 	if f.kind != kindPut {
 		return false
@@ -172,6 +181,7 @@
 	return ok && l.segment == segment && l.offset == offset
 }
 
+// timeLeft returns the time until an expiry, and -1 for never.
 func (i *inspection) timeLeft(expiresAt int64) time.Duration {
 	if expiresAt == never {
 		return -1
--- a/internal/files/store/names.go
+++ b/internal/files/store/names.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// Names of files in the directory of a store.
+// Names of files in the directory of a store. They are data.
 const (
 	lockName        = "lock"
 	segmentSuffix   = ".seg"
-	temporarySuffix = ".tmp" // instead of segmentSuffix, while a compaction writes the file
-	damagedSuffix   = ".damaged"
+	temporarySuffix = ".tmp"     // in the place of segmentSuffix while a compaction writes the file
+	damagedSuffix   = ".damaged" // after segmentSuffix
 	segmentDigits   = 16
 )
 
-// segmentName is the file of a segment: its ID in hexadecimal, so that names sort as IDs do.
+// segmentName returns the file name of a segment: its ID in hexadecimal, with leading zeros so that names sort as IDs do.
 func segmentName(id uint64) string {
 	digits := strconv.FormatUint(id, 16)
 	return strings.Repeat("0", segmentDigits-len(digits)) + digits + segmentSuffix
 }
 
-// temporaryName is the file that becomes a segment's once it is complete.
+// temporaryName returns the file name of a segment until it is complete.
 func temporaryName(id uint64) string {
 	return strings.TrimSuffix(segmentName(id), segmentSuffix) + temporarySuffix
 }
 
-// parseSegmentName is the ID in the name of a segment's file; false for other files.
+// parseSegmentName returns the ID in the file name of a segment. It returns false for other files.
 func parseSegmentName(name string) (uint64, bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) != segmentDigits {
@@ -38,8 +38,7 @@
 	return id, err == nil && id > 0 && segmentName(id) == name
 }
 
-// listSegments returns the IDs of the segments in a directory, in ascending order, and the names of files that were not
-// finished.
+// listSegments returns the IDs of the segments in a directory and the names of temporary files, both in ascending order.
 func listSegments(d FS) (ids []uint64, unfinished []string, err error) {
 	names, err := d.List()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/files/store/queue.go
+++ b/internal/files/store/queue.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// pendingBatch is a batch on its way to the disk.
+// pendingBatch is a batch that is not durable yet.
 type pendingBatch struct {
 	Batch
 	done func(error)
 }
 
-// batchQueue holds the batches that wait for the committer. It is safe for concurrent use.
+// batchQueue holds the batches for the committer. It is safe for concurrent use.
 type batchQueue struct {
 	maxBytes int64
-	wake     chan struct{} // tells the committer to take the batches; has room for one signal
+	wake     chan struct{} // wakes the committer to take the batches; buffers one signal
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	batches      []pendingBatch
-	pendingBytes int64 // of the batches that wait and of those that are being written
+	pendingBytes int64 // of the queued batches and of those that are being written
 	closing      bool
 	timerSet     bool // a timer will signal wake, for batches that may be delayed
 }
@@ -27,7 +27,7 @@
 	return &batchQueue{maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// add queues a batch, or returns ErrClosed or ErrBusy. A batch that is larger than the queue is taken when nothing else waits.
+// add queues a batch, or returns ErrClosed or ErrBusy. A batch that is larger than the queue is accepted if nothing is pending.
 func (q *batchQueue) add(b Batch, done func(error)) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// take removes and returns all batches. Nothing is added after closing was returned as true.
+// take removes and returns all batches. If closing is true, no batch is added any more.
 func (q *batchQueue) take() (group []pendingBatch, closing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,7 +67,7 @@
 	return group, q.closing
 }
 
-// release subtracts batches that were taken and have been written, or have failed.
+// release subtracts the bytes of batches that were taken, once they are durable or have failed.
 func (q *batchQueue) release(group []pendingBatch) {
 	size := int64(0)
 	for i := range group {
@@ -78,7 +78,7 @@
 	q.pendingBytes -= size
 }
 
-// close has the committer end after the batches that are queued; ErrClosed if that was done before.
+// close makes the committer end after the batches that are queued. It returns ErrClosed if it was called before.
 func (q *batchQueue) close() error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/files/store/recover.go
+++ b/internal/files/store/recover.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// recoverLog reads the log of the directory into the index, and leaves the committer where it goes on. The caller closes the
+// recoverLog reads the log in the directory into the index, and prepares the committer to continue it. The caller closes the
 // segments, also after an error.
 func (s *Store) recoverLog() error {
 	log, err := readLog(s.fs)
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// countUnexpired is how many records sealed segments have that may be live: with room for them at once, the index isn't moved
-// again and again while it grows.
+// countUnexpired returns the number of records in sealed segments that may be live. An index with memory for them does not have to
+// be copied while it grows.
 func (l *diskLog) countUnexpired(now int64) (records uint64) {
 	for _, seg := range l.segments {
 		if seal, ok := readSeal(seg); ok && seal.expiresAt > now {
@@ -51,28 +51,29 @@
 	return records
 }
 
-// skipExpired spares the reading of a sealed segment of which all records have expired, and all that they superseded.
-func (seg *segment) skipExpired(now int64) bool {
-	seal, ok := readSeal(seg)
+// skipExpired reports whether a segment need not be read, because it is sealed and all its records and all that they superseded have
+// expired. It sets the fields of such a segment from the seal.
+func (s *segment) skipExpired(now int64) bool {
+	seal, ok := readSeal(s)
 	if !ok || max(seal.expiresAt, seal.shadowedUntil) > now {
 		return false
 	}
-	seg.sealed = true
-	seg.records = seal.records
-	seg.lastSeq = seal.seq
-	seg.expiresAt = seal.expiresAt
-	seg.shadowedUntil = seal.shadowedUntil
+	s.sealed = true
+	s.records = seal.records
+	s.lastSeq = seal.seq
+	s.expiresAt = seal.expiresAt
+	s.shadowedUntil = seal.shadowedUntil
 	return true
 }
 
-// recoverSegment reads the records of a segment into the index.
+// recoverSegment reads the records of segment i into the index.
 func (s *Store) recoverSegment(log *diskLog, i int) error {
 	seg := log.segments[i]
 	result, err := log.scanSegment(i, func(f frame, offset int) { s.index.add(seg, &f, uint32(offset), uint32(f.size)) })
 	if err != nil {
 		return err
 	}
-	// The time of a group is later than its header's, and counts where the clock was set back after a restart.
+	// The store time of a group is later than that of the header, and matters if the wall clock was set back across a reboot.
 	s.clock.advanceTo(result.storeTime)
 	seg.lastSeq = result.lastSeq
 	seg.sealed = result.sealed
@@ -83,14 +84,14 @@
 	if result.sealed {
 		return nil
 	}
-	// What is believed from here on must not go with the power: it may never have been synced.
+	// The records that were just read may never have been synced. As the store now serves them, they must survive a loss of power.
 	if err := seg.file.Sync(); err != nil {
 		return fmt.Errorf("%s: %w", seg.name, err)
 	}
 	return nil
 }
 
-// resume sets where the committer goes on after a log: behind all numbers that were used, also by writes that failed.
+// resume prepares the committer to continue a log. Its next sequence number is above all that were used, also by failed writes.
 func (c *committer) resume(log *diskLog) {
 	for _, failed := range log.failedRanges {
 		c.durableSeq = max(c.durableSeq, failed.end-1)
@@ -102,7 +103,7 @@
 	}
 }
 
-// removeLeftovers removes files that nothing needs.
+// removeLeftovers removes files that are not needed.
 func (s *Store) removeLeftovers(names []string) error {
 	if len(names) == 0 {
 		return nil
--- a/internal/files/store/scan.go
+++ b/internal/files/store/scan.go
@@ -1,43 +1,47 @@
 package store
 
-// scanResult is what was found in a segment.
+// scanResult is the result of scanning a segment.
 type scanResult struct {
 	lastSeq   uint64 // of its last record; 0 for none
-	records   uint64 // how many were handed out
+	records   uint64 // number of records that were emitted
 	sealed    bool
-	seal      frame
-	storeTime int64 // the latest of its groups; 0 for none
-	tornBytes int64 // at the end: of an append that was cut, or of damage to the last one
+	seal      frame // if sealed
+	storeTime int64 // in ms, the latest of its groups; 0 for none
+	tornBytes int64 // bytes at the end that belong to an incomplete append, or to damage of the last append
 	damage    []Damage
 }
 
-// segmentScan reads the records of one segment. It decides what is believed: what is missing up to the highest number that is
-// known to have been durable is lost, and reported as damage; what is missing beyond it was never acknowledged. Nothing is
-// believed behind such a gap, for writes that were not synced may have reached the disk in any order. Of a batch all records
-// are handed out or none, and none whose write was reported as failed.
+// segmentScan reads the records of one segment, and decides which of them are valid:
+//
+//   - A record that is missing and was durable is lost, and reported as damage. The log shows up to which sequence number records
+//     were durable.
+//   - A record that is missing and is not known to have been durable was never acknowledged. All records after it are dropped, as
+//     writes without a sync may reach the disk in any order.
+//   - The records of a batch are emitted as a whole or not at all.
+//   - Records whose write was reported as failed are not emitted.
 type segmentScan struct {
 	file   string
-	data   []byte
+	data   []byte // of the complete segment
 	header header
-	// durableSeq is the highest number that is known to have been durable, from this segment or others.
+	// durableSeq is the highest sequence number that is known to have been durable, from this segment or others.
 	durableSeq uint64
-	// nextSeq is the number that the next segment begins with; 0 where there is none.
+	// nextSeq is above the sequence numbers of this segment; 0 for the last segment. See diskLog.seqLimit.
 	nextSeq uint64
 	failed  []seqRange
-	emit    func(f frame, offset int)
+	emit    func(f frame, offset int) // called for each valid record
 
 	result scanResult
-	end    int // of the bytes that are accounted for: as header, frames or damage
-	batch  []scannedFrame
+	end    int            // offset up to which the bytes are accounted for as header, frames or damage
+	batch  []scannedFrame // records of a batch whose last record was not read yet
 }
 
-// scannedFrame is a record of a batch whose end was not seen yet.
+// scannedFrame is a record with its offset in the segment.
 type scannedFrame struct {
 	frame
 	offset int
 }
 
-// run scans the segment. data, header, durableSeq, nextSeq, failed and emit are set.
+// run scans the segment. The caller has set the fields above result.
 func (s *segmentScan) run() scanResult {
 	runs := findFrameRuns(s.data, s.header.size(), s.header.firstSeq)
 	for _, run := range runs {
@@ -65,17 +69,17 @@
 	return s.result
 }
 
-// isRewritten tells whether the segment was written by a compaction. Such a one lacks the numbers of records that were not
-// live, and is sealed before it gets its name.
+// isRewritten reports whether a compaction has written the segment. Such a segment lacks the sequence numbers of the records that
+// were not live, and it is always sealed, as it was complete before it got its name.
 func (s *segmentScan) isRewritten() bool { return len(s.header.replaces) > 0 }
 
-// lacksDurable tells whether something is missing behind the last record that was durable.
+// lacksDurable reports whether durable records may be missing after the last one that was read.
 func (s *segmentScan) lacksDurable() bool { return s.isRewritten() || s.durableSeq > s.result.lastSeq }
 
-// scanRun takes the frames of a run.
+// scanRun reads the frames of a run.
 func (s *segmentScan) scanRun(run frameRun) {
-	for at := run.from; at < run.to; {
-		f, _ := decodeFrame(s.data[at:])
+	for offset := run.from; offset < run.to; {
+		f, _ := decodeFrame(s.data[offset:])
 		switch f.kind {
 		case kindGroup:
 			s.result.storeTime = max(s.result.storeTime, f.storeTime)
@@ -84,17 +88,17 @@
 			s.result.seal = f
 		default:
 			s.result.lastSeq = f.seq
-			s.batch = append(s.batch, scannedFrame{f, at})
+			s.batch = append(s.batch, scannedFrame{f, offset})
 			if !f.moreInBatch {
 				s.emitBatch()
 			}
 		}
-		at += f.size
+		offset += f.size
 	}
 	s.end = run.to
 }
 
-// emitBatch hands out the records of a batch that is complete.
+// emitBatch emits the records of a complete batch.
 func (s *segmentScan) emitBatch() {
 	for _, record := range s.batch {
 		if inAnyRange(s.failed, record.seq) {
@@ -106,7 +110,7 @@
 	s.batch = s.batch[:0]
 }
 
-// finish accounts for the bytes behind the last run, and for what is missing at the end.
+// finish accounts for the bytes after the last run, and for durable records that are missing at the end.
 func (s *segmentScan) finish() {
 	switch {
 	case s.end < len(s.data):
@@ -118,8 +122,8 @@
 	}
 }
 
-// reportLoss reports the bytes from s.end to a place as damage; false where nothing that was durable is missing there. nextSeq
-// is the number of the record behind it, 0 where it is unknown.
+// reportLoss reports the bytes from s.end to an offset as damage, if durable records may be missing there. It returns false
+// otherwise. nextSeq is the number of the first record after the damage, 0 if it is unknown.
 func (s *segmentScan) reportLoss(to int, nextSeq uint64) bool {
 	if !s.lacksDurable() {
 		return false
@@ -131,7 +135,7 @@
 		if nextSeq > 0 {
 			d.LastSeq = min(s.durableSeq, nextSeq-1)
 		}
-		if d.LastSeq < d.FirstSeq { // only the frame of a group, or half a batch
+		if d.LastSeq < d.FirstSeq { // the damage hit only the start of a group, or a part of a batch
 			d.FirstSeq = 0
 			d.LastSeq = 0
 		}
--- a/internal/files/store/segment.go
+++ b/internal/files/store/segment.go
@@ -8,21 +8,21 @@
 // segment is a file of the log. Once its store is open, the store's mutex guards the fields that change.
 type segment struct {
 	header
-	name    string
+	name    string // of the file
 	file    Reader // nil once it is closed
 	size    int64  // in bytes
 	records uint64
 	lastSeq uint64 // of its last record; 0 for none
-	// expiresAt is when all records of the segment have expired, shadowedUntil when all have that they superseded in other
-	// segments. From the later one on, nothing needs the segment: see diskLog.skipExpired.
+	// expiresAt is the latest expiry of the records in the segment, and shadowedUntil that of the records in other segments that
+	// they superseded, both in ms of store time. After both, the segment is not needed: see skipExpired.
 	expiresAt     int64
 	shadowedUntil int64
-	liveBytes     int64 // of the records that are the latest of their key
+	liveBytes     int64 // bytes of the records that are the latest of their key
 	sealed        bool
-	damaged       bool // something in it could not be read when the store was opened
+	damaged       bool // a part of it could not be read when the store was opened
 }
 
-// readSeal reads the last frame of a segment; false where it is not sealed.
+// readSeal reads the last frame of a segment. ok is false if that is not a seal.
 func readSeal(seg *segment) (seal frame, ok bool) {
 	if seg.size < int64(seg.header.size()+sealBytes) {
 		return seal, false
@@ -35,7 +35,7 @@
 	return seal, ok && seal.kind == kindSeal
 }
 
-// readRecord reads a record from its segment. The caller holds the store's mutex, so that the file stays open.
+// readRecord reads the record at a location. The caller holds the store's mutex, which keeps the file open.
 func readRecord(l location) (record frame, err error) {
 	b := make([]byte, l.size)
 	if _, err := io.ReadFull(io.NewSectionReader(l.segment.file, int64(l.offset), int64(l.size)), b); err != nil {
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -24,24 +24,24 @@
 	committer *committer
 	compactor *compactor
 
-	mu       sync.RWMutex // guards what follows; it is never held while the committer writes or syncs
+	mu       sync.RWMutex // guards the fields below; never held during a write or sync of the committer
 	index    index
-	segments []*segment // the oldest first; the last one is the committer's, unless the disk has failed
+	segments []*segment // the oldest first; the committer may write to the last one
 	health   Health
-	nextID   uint64 // of a segment
+	nextID   uint64 // of the next segment
 }
 
 // Health is the state of a store's disk.
 type Health struct {
-	Err       error // of the last write; nil where it succeeded
-	Failures  int   // of the disk since the store was opened
-	TornBytes int64 // of appends that were cut, found when the store was opened
-	Damage    []Damage
+	Err       error    // of the last write; nil if it succeeded
+	Failures  int      // errors of the disk since the store was opened
+	TornBytes int64    // bytes of incomplete appends, found when the store was opened
+	Damage    []Damage // found when the store was opened
 }
 
-// Open opens the store in a directory, or makes a new one where there is no segment. What cannot be read is reported by Health
-// and doesn't keep the rest from being served. A store that a later version wrote is refused with a NewerVersionError, and
-// nothing of it is changed; one that another process has open with ErrLocked.
+// Open opens the store in a directory, or creates one if the directory has no segment. Data that cannot be read is reported by
+// Health, and the rest is served. Open returns a NewerVersionError for a store that a later version has written, without changing
+// it, and ErrLocked if another process has the store open. The caller has to call Close.
 func Open(dir FS, options Options) (*Store, error) {
 	options = options.withDefaults()
 	lock, err := dir.Lock()
@@ -70,6 +70,7 @@
 	return s, nil
 }
 
+// closeFiles closes the files of all segments.
 func (s *Store) closeFiles() error {
 	var errs []error
 	for _, seg := range s.segments {
@@ -80,9 +81,9 @@
 	return errors.Join(errs...)
 }
 
-// Apply makes a batch durable, and calls done, from another goroutine or before it returns, once it is or has failed. It does
-// not wait for the disk. After an error of the disk the batch may be there after a restart or not; until then it is not
-// seen.
+// Apply queues a batch, and calls done once the batch is durable or has failed: from another goroutine, or before Apply returns. It
+// does not wait for the disk. A batch that failed with an error of the disk is not visible, but may be visible as a whole after the
+// store is opened again.
 func (s *Store) Apply(b Batch, done func(error)) {
 	err := b.checkSizes()
 	if err == nil {
@@ -100,22 +101,22 @@
 	return <-done
 }
 
-// Put makes a record durable, which expires after retention, or never where that is 0.
+// Put writes a record and waits until it is durable. The record expires after retention, or never if that is 0.
 func (s *Store) Put(key, value []byte, retention time.Duration) error {
 	var b Batch
 	b.Put(key, value, retention)
 	return s.ApplyAndWait(b)
 }
 
-// Delete makes durable that there is no record of a key.
+// Delete deletes the record of a key and waits until that is durable. It is no error if there is none.
 func (s *Store) Delete(key []byte) error {
 	var b Batch
 	b.Delete(key)
 	return s.ApplyAndWait(b)
 }
 
-// Get returns the value that was last made durable for a key, and after what time it expires; false where there is none. An
-// error says that there is one which cannot be read. For a record that never expires, timeLeft means nothing.
+// Get returns the latest durable value of a key, and the time until it expires, which is undefined for a record that never does. ok
+// is false if there is no record. An error means that there is one that cannot be read.
 func (s *Store) Get(key []byte) (value []byte, timeLeft time.Duration, ok bool, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -131,8 +132,8 @@
 	return record.value, time.Duration(l.expiresAt-now) * time.Millisecond, true, nil
 }
 
-// Range calls a function with each record, in no order, until it returns false. Records that are written meanwhile are visited
-// or not. The error is that of the first record that could not be read; the others are visited all the same.
+// Range calls visit for each record, in no particular order, until it returns false. Records that are written during the call may
+// be visited or not. Range skips records that cannot be read, and returns the error of the first one. timeLeft is as in Get.
 func (s *Store) Range(visit func(key, value []byte, timeLeft time.Duration) bool) error {
 	s.mu.RLock()
 	keys := slices.Collect(maps.Keys(s.index.locations))
@@ -151,21 +152,21 @@
 	return firstErr
 }
 
-// Len returns how many records the index has. Some that have just expired may be among them.
+// Len returns the number of records in the index. It may count records that have just expired.
 func (s *Store) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return len(s.index.locations)
 }
 
-// Size returns the bytes of all segments.
+// Size returns the size of all segments in bytes.
 func (s *Store) Size() (total int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.totalBytes()
 }
 
-// totalBytes is Size for callers that hold s.mu.
+// totalBytes returns the size of all segments in bytes. The caller holds s.mu.
 func (s *Store) totalBytes() (sum int64) {
 	for _, seg := range s.segments {
 		sum += seg.size
@@ -182,7 +183,7 @@
 	return h
 }
 
-// recordFailure notes an error of the disk in Health.
+// recordFailure adds an error of the disk to Health.
 func (s *Store) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,11 +191,12 @@
 	s.health.Failures++
 }
 
-// Compact writes all live records into one segment, and removes the others. Damaged files are not removed but renamed to end
-// in .damaged, and no longer read.
+// Compact writes the live records of all segments but the active one into a new segment, and removes the old ones. Damaged segments
+// are not removed: they are renamed to end in .damaged, and not read again.
 func (s *Store) Compact() error { return s.compactor.compactAll() }
 
-// Close makes durable what is queued, and unlocks the directory. It returns ErrClosed if the store was closed before.
+// Close writes the queued batches, seals the active segment and unlocks the directory. It returns ErrClosed if the store was closed
+// before.
 func (s *Store) Close() error {
 	if err := s.queue.close(); err != nil {
 		return err
@@ -210,15 +212,15 @@
 	return err
 }
 
-// dropExpired removes the records that have expired from the index.
+// dropExpired removes expired records from the index.
 func (s *Store) dropExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index.dropExpired(s.clock.now())
 }
 
-// admit sets ErrFull for the batches of a group that would make more live records than Options allow, and returns how many
-// are left.
+// admit sets the error of each batch in a group that would exceed MaxRecords or MaxBytes to ErrFull, and returns the number of the
+// other batches.
 func (s *Store) admit(group []pendingBatch, errs []error) (admitted int) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -239,12 +241,12 @@
 	return admitted
 }
 
-// allocateID returns an ID for a new segment. It is never used again, whatever becomes of the segment: after a failure nobody
-// knows what is on the disk. The caller holds s.mu.
+// allocateID returns an ID for a new segment. An ID is never used twice, even if the segment could not be created: after a failure
+// the state of the disk is unknown. The caller holds s.mu.
 func (s *Store) allocateID() uint64 {
 	s.nextID++
 	return s.nextID - 1
 }
 
-// newStoreID draws a random ID other than 0.
+// newStoreID returns a random ID other than 0.
 func newStoreID() uint64 { return rand.Uint64() | 1 }
--- a/internal/files/store/store_test.go
+++ b/internal/files/store/store_test.go
@@ -15,8 +15,8 @@
 
 func TestStore(t *testing.T) {
 	dir := store.Dir(t.TempDir())
-	c := newClock()
-	s := open(t, dir, store.Options{Clock: c.now})
+	clock := newClock()
+	s := open(t, dir, store.Options{Clock: clock.now})
 	put(t, s, "a", "1")
 	put(t, s, "b", "2")
 	put(t, s, "a", "3")
@@ -38,11 +38,11 @@
 	}
 	check(t, s.Close())
 	if err := s.Put([]byte("a"), nil, 0); !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
-	c.pass(1000 * time.Millisecond)
+	clock.advance(1000 * time.Millisecond)
 	delete(want, "short")
-	s = open(t, dir, store.Options{Clock: c.now})
+	s = open(t, dir, store.Options{Clock: clock.now})
 	defer closeStore(t, s)
 	if got := content(t, s); !maps.Equal(got, want) || s.Len() != len(want) {
 		t.Errorf("opened again: %v", got)
@@ -64,12 +64,12 @@
 	}
 }
 
-// A batch that nobody waits for goes with the next that somebody does, in one sync, or by itself after its time, or when
-// the store is closed.
+// A batch with a delay is written in one sync with the next batch without one, or by itself after its delay, or when the store is
+// closed.
 func TestIdleBatches(t *testing.T) {
 	d := disk.New()
-	o := store.Options{Clock: newClock().now}
-	s := open(t, d, o)
+	options := store.Options{Clock: newClock().now}
+	s := open(t, d, options)
 	done := make(chan error, 1)
 	apply := func(key string, maxDelay time.Duration) {
 		var b store.Batch
@@ -80,15 +80,15 @@
 	put(t, s, "first", "v")
 	before := d.Operations()
 	put(t, s, "alone", "v")
-	each := d.Operations() - before // calls of the disk that a group takes
+	perGroup := d.Operations() - before // calls of the disk for one group
 	before = d.Operations()
 	apply("idle", time.Hour)
 	if _, _, ok, _ := s.Get([]byte("idle")); ok || d.Operations() != before {
-		t.Error("it did not wait")
+		t.Error("the batch was written without its delay")
 	}
 	put(t, s, "urgent", "v")
-	if err := <-done; err != nil || d.Operations() != before+each {
-		t.Errorf("%v; %d calls of the disk for both, %d for one", err, d.Operations()-before, each)
+	if err := <-done; err != nil || d.Operations() != before+perGroup {
+		t.Errorf("%v; %d calls of the disk for both, %d for one", err, d.Operations()-before, perGroup)
 	}
 	apply("timed", time.Millisecond)
 	if err := <-done; err != nil {
@@ -99,17 +99,17 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s = open(t, d.AfterCrash(), o)
+	s = open(t, d.AfterCrash(), options)
 	if got := content(t, s); len(got) != 6 {
 		t.Errorf("%v", got)
 	}
 	closeStore(t, s)
 }
 
-// What would not fit is refused, and nothing is lost by it.
+// A write that exceeds the limits is rejected, and changes nothing.
 func TestBounds(t *testing.T) {
-	o := store.Options{Clock: newClock().now, SegmentBytes: 1000, MaxBytes: 3000, MaxRecords: 20}
-	s := open(t, disk.New(), o)
+	options := store.Options{Clock: newClock().now, SegmentBytes: 1000, MaxBytes: 3000, MaxRecords: 20}
+	s := open(t, disk.New(), options)
 	full := 0
 	for i := range 100 {
 		if err := s.Put(fmt.Append(nil, "k", i), make([]byte, 10), 0); errors.Is(err, store.ErrFull) {
@@ -119,62 +119,63 @@
 		}
 	}
 	if full != 80 || s.Len() != 20 {
-		t.Errorf("%d were refused, %d are there", full, s.Len())
+		t.Errorf("%d were rejected, %d are there", full, s.Len())
 	}
 	if err := s.Put([]byte("k0"), make([]byte, 2900), 0); !errors.Is(err, store.ErrFull) {
 		t.Errorf("too many bytes: %v", err)
 	}
 	put(t, s, "k0", "shorter")
 	if err := s.Delete([]byte("k1")); err != nil {
-		t.Errorf("deleting always goes: %v", err)
+		t.Errorf("a deletion from a full store: %v", err)
 	}
 	put(t, s, "new", "in its place")
 	closeStore(t, s)
 }
 
-// A disk that hangs holds nobody up but those who wait for it, and bounds what waits.
+// While the disk hangs, Apply does not block, and rejects batches beyond the limit of pending ones.
 func TestBusy(t *testing.T) {
-	d := &hanging{FS: disk.New(), release: make(chan struct{})}
+	d := &hangingFS{FS: disk.New(), release: make(chan struct{})}
 	s := open(t, d, store.Options{MaxPendingBytes: 1000})
 	d.hang.Store(true)
-	var failed, done atomic.Int64
-	var all sync.WaitGroup
+	var rejected, done atomic.Int64
+	var pending sync.WaitGroup
 	for i := range 100 {
 		var b store.Batch
 		b.Put(fmt.Append(nil, "k", i), make([]byte, 20), 0)
-		all.Add(1)
+		pending.Add(1)
 		s.Apply(b, func(err error) {
-			defer all.Done()
+			defer pending.Done()
 			done.Add(1)
 			if errors.Is(err, store.ErrBusy) {
-				failed.Add(1)
+				rejected.Add(1)
 			}
 		})
 	}
-	if n := failed.Load(); n < 50 || done.Load() != n {
-		t.Errorf("%d of 100 were refused", n)
+	if n := rejected.Load(); n < 50 || done.Load() != n {
+		t.Errorf("%d of 100 were rejected, %d are done", n, done.Load())
 	}
 	close(d.release)
-	all.Wait()
-	if n := s.Len() + int(failed.Load()); n != 100 {
-		t.Errorf("%d were acknowledged or refused", n)
+	pending.Wait()
+	if n := s.Len() + int(rejected.Load()); n != 100 {
+		t.Errorf("%d were acknowledged or rejected", n)
 	}
 	closeStore(t, s)
 }
 
-// hanging is a directory in which a sync of a file does not return until release is closed, once hang is set.
-type hanging struct {
+// hangingFS is a directory in which syncs of files block while hang is set, until release is closed.
+type hangingFS struct {
 	store.FS
 	hang    atomic.Bool
 	release chan struct{}
 }
 
+// hangingFile is a file in a hangingFS.
 type hangingFile struct {
 	store.File
-	dir *hanging
+	dir *hangingFS
 }
 
-func (h *hanging) Create(name string) (store.File, error) {
+func (h *hangingFS) Create(name string) (store.File, error) {
 	f, err := h.FS.Create(name)
 	return hangingFile{f, h}, err
 }
