--- a/internal/mesh/discovery/membership/agreement.go
+++ b/internal/mesh/discovery/membership/agreement.go
@@ -12,26 +12,26 @@
 	unknownAgreementAge = 255
 )
 
-// agreement is what a view knows of whether others know the same members, and what follows from who the members are.
+// agreement records whether peers know the same members as a view, and caches what is computed from the set of members.
 type agreement struct {
-	lastAgreed   time.Duration            // when a peer's digests last were the own ones; 0 for never
-	lastDiffered time.Duration            // when they last weren't, or a connection broke
-	zoneAgreedAt map[string]time.Duration // when a zone's members last were known to agree
+	lastAgreed   time.Duration            // last time that a peer's digests were equal to the own ones; 0 for never
+	lastDiffered time.Duration            // last time that they differed, or that a connection broke
+	zoneAgreedAt map[string]time.Duration // by zone, the last time that its members are known to have agreed on the members of the zone
 	changeCount  uint64                   // arrivals, departures and changes of records
-	monitorTurn  int                      // counts the first peers while the view is quiet
+	monitorTurn  int                      // counts the regular shuffles while the view is quiet
 
-	current      bool // what follows is as the members are now; refreshAgreement sees to it
-	zoneDigest   uint64
-	sharedDigest uint64
-	zones        []string // that have members, in order
-	monitored    []*entry
+	current      bool     // the fields below belong to the present members (refreshAgreement)
+	zoneDigest   uint64   // see digests
+	sharedDigest uint64   // see digests
+	zones        []string // that have members, sorted
+	monitored    []*entry // see addMonitored
 }
 
 func newAgreement() agreement {
 	return agreement{zoneAgreedAt: map[string]time.Duration{}, lastDiffered: longAgo}
 }
 
-// nextMonitored returns each monitored member in turn, and nil in between, when another member has its turn.
+// nextMonitored returns a monitored member at every other call, each of them in turn; else nil, so that other members have their turn.
 func (a *agreement) nextMonitored() *entry {
 	a.monitorTurn++
 	if a.monitorTurn%2 != 0 || len(a.monitored) == 0 {
@@ -40,8 +40,8 @@
 	return a.monitored[a.monitorTurn/2%len(a.monitored)]
 }
 
-// refreshAgreement works out what follows from who the members are, if they changed. Digests are sums of the members' hashes, which are
-// the same in whatever order they are added up.
+// refreshAgreement computes what depends on the set of members, if that has changed. A digest is the sum of the members' hashes, and so
+// doesn't depend on their order.
 func (v *View) refreshAgreement() {
 	a := &v.agreement
 	if a.current {
@@ -59,6 +59,7 @@
 	v.addMonitored(eligible)
 }
 
+// sumHashes returns the sum of the hashes of the entries for which among is true.
 func sumHashes(all []*entry, among func(*entry) bool) (sum uint64) {
 	for _, e := range all {
 		if among(e) {
@@ -68,7 +69,7 @@
 	return sum
 }
 
-// zonesOf appends the zones of members to a list that is empty, in order and each of them once.
+// zonesOf returns the zones of members, sorted and without duplicates. It uses the memory of zones, which is empty.
 func zonesOf(all []*entry, zones []string) []string {
 	known := map[string]bool{}
 	for _, e := range all {
@@ -81,7 +82,7 @@
 	return zones
 }
 
-// addMonitored adds the members that follow this process in a ring.
+// addMonitored monitors the MonitoredPeers members that follow this process in a list, which is treated as a ring.
 func (v *View) addMonitored(ring []*entry) {
 	self := slices.IndexFunc(ring, func(e *entry) bool { return e.Incarnation == v.self.Incarnation })
 	if self < 0 {
@@ -94,13 +95,15 @@
 	}
 }
 
-// digests are of the members of the own zone, and of those that every view is to hold: the core members and the eligible owners.
+// digests returns the digest of the members of the own zone, and that of the members that every view is to hold: the core members and
+// the eligible owners of registries.
 func (v *View) digests() (zone, shared uint64) {
 	v.refreshAgreement()
 	return v.agreement.zoneDigest, v.agreement.sharedDigest
 }
 
-// agreementAges are how long ago the members of each zone last were known to agree, for Shuffle.AgreementAges, rounded up.
+// agreementAges returns, for Shuffle.AgreementAges, how long ago the members of each zone last agreed, as far as is known: in units of
+// agreementAgeUnit, rounded up.
 func (v *View) agreementAges(now time.Duration) []byte {
 	v.refreshAgreement()
 	ages := make([]byte, len(v.agreement.zones))
@@ -114,13 +117,14 @@
 	return ages
 }
 
-// compareDigests reports whether a peer knows the same members; these are then taken for alive.
+// compareDigests reports whether a peer knows the same members, by the digests of its shuffle. If so, the members of the peer's zone are
+// taken for alive now, and those of other zones as lately as the peer reports.
 func (v *View) compareDigests(now time.Duration, s *Shuffle) bool {
 	zone, shared := v.digests()
 	sameZone := s.From.Zone == v.self.Zone
 	if s.SharedDigest != shared || sameZone && s.ZoneDigest != zone {
 		if e := v.table.byIncarnation[s.From.Incarnation]; e != nil && s.Reply && v.isQuiet(now) {
-			e.lastContacted = longAgo // what was sent was brief: it is sent next what it lacks
+			e.lastContacted = longAgo // it was sent a brief shuffle: the next one is for this peer, and carries what it lacks
 		}
 		v.noteDifference(now)
 		return false
@@ -130,7 +134,8 @@
 	return true
 }
 
-// mergeAgreementAges takes over what a peer that agrees knows of each zone's agreement.
+// mergeAgreementAges merges the agreement ages of a peer that agrees. They can be read only if its list of zones is as long as the own
+// one.
 func (v *View) mergeAgreementAges(now time.Duration, s *Shuffle) {
 	a := &v.agreement
 	for i, zone := range a.zones {
--- a/internal/mesh/discovery/membership/bench_test.go
+++ b/internal/mesh/discovery/membership/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkQuiet gives the bytes and messages of each member and second a quarter of a minute after all have joined, in virtual time,
-// and the processor's time for each member and second.
+// BenchmarkQuiet reports the bytes and messages per member and second, in virtual time, from 15 s after all members have joined, and the
+// CPU time per member and second that the simulation takes.
 func BenchmarkQuiet(b *testing.B) {
 	sizes := []fleetSize{
 		{members: 18, cores: 1, seeds: 3, zones: zoneNames(4)},
--- a/internal/mesh/discovery/membership/convergence_test.go
+++ b/internal/mesh/discovery/membership/convergence_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Eighteen join at once through three seeds: everybody knows everybody within three gossip intervals.
+// Eighteen members join at once through three seeds: all views hold all members within three gossip intervals. A killed member has left
+// all views within 3.5 s.
 func TestEighteenJoin(t *testing.T) {
 	c := qt.New(t)
 	slowest := time.Duration(0)
@@ -27,7 +28,7 @@
 			qt.Commentf("%d bytes, %d changes while quiet", f.traffic.bytes, f.traffic.changes))
 		f.start("10.0.0.99:1", "a", RoleAccess)
 		slowest = max(slowest, joining())
-		f.start("10.0.0.8:1", "a", RoleAccess) // restarts
+		f.start("10.0.0.8:1", "a", RoleAccess) // a restart
 		slowest = max(slowest, joining())
 		f.run(8*time.Second, nil)
 		f.killProcess(f.order[5+seed%13])
@@ -39,112 +40,119 @@
 	c.Assert(slowest <= 1500*ms, qt.IsTrue, qt.Commentf("%v", slowest))
 }
 
-// Two hundred join, a tenth is killed, some freeze, some restart, and a partition between zones is healed.
+// Two hundred members join, a tenth is killed, some freeze, some restart, and a partition between zones is healed.
 func TestTwoHundred(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(800))
-	d := &fleetDay{
+	scenario := &fleetScenario{
 		c:        qt.New(t),
 		zones:    zoneNames(4),
 		services: []string{"service-0", "service-1", "service-2", "service-3"},
 	}
-	d.fleet = startFleet(t, 1, fleetSize{members: 200, cores: 4, seeds: 3, zones: d.zones})
-	d.join()
-	d.quiet(200)
-	d.killed()
-	d.frozen()
-	d.restarted()
-	d.partitioned()
+	scenario.fleet = startFleet(t, 1, fleetSize{members: 200, cores: 4, seeds: 3, zones: scenario.zones})
+	scenario.checkJoin()
+	scenario.checkQuiet(200)
+	scenario.checkKilled()
+	scenario.checkFrozen()
+	scenario.checkRestarted()
+	scenario.checkPartition()
 }
 
-// fleetDay takes a fleet through what may happen to it, in the order of its methods.
-type fleetDay struct {
+// fleetScenario takes one fleet through the events that its methods are named after, in their order.
+type fleetScenario struct {
 	*fleet
 	c        *qt.C
 	zones    []string
 	services []string
 }
 
-func (d *fleetDay) allConverged() bool { return d.converged(d.zones, d.services) }
+// allConverged reports whether all views have converged.
+func (s *fleetScenario) allConverged() bool { return s.converged(s.zones, s.services) }
 
-// checkConverges waits until all views converge, which may take so long.
-func (d *fleetDay) checkConverges(what string, limit time.Duration) {
-	d.c.Helper()
-	took := d.run(60*time.Second, d.allConverged)
-	d.logTraffic(what, took)
-	d.c.Check(took <= limit, qt.IsTrue, qt.Commentf("%s: %v", what, took))
+// checkConverges waits until all views have converged, and checks that this takes no longer than limit.
+func (s *fleetScenario) checkConverges(what string, limit time.Duration) {
+	s.c.Helper()
+	took := s.run(60*time.Second, s.allConverged)
+	s.logTraffic(what, took)
+	s.c.Check(took <= limit, qt.IsTrue, qt.Commentf("%s: %v", what, took))
 }
 
-func (d *fleetDay) join() {
-	d.checkConverges("join", 8*time.Second)
-	d.run(2*time.Second, nil)
-	d.logTraffic("after it", 2*time.Second)
-	known := d.kept(d.zones)
-	for range 12 { // nobody is forgotten
-		d.run(time.Second, nil)
-		d.c.Check(d.allConverged(), qt.IsTrue, qt.Commentf("at %v", d.now))
-		now := d.kept(d.zones)
+// checkJoin checks that the members join, and that nobody is forgotten in the 12 s after that.
+func (s *fleetScenario) checkJoin() {
+	s.checkConverges("join", 8*time.Second)
+	s.run(2*time.Second, nil)
+	s.logTraffic("after it", 2*time.Second)
+	known := s.kept(s.zones)
+	for range 12 {
+		s.run(time.Second, nil)
+		s.c.Check(s.allConverged(), qt.IsTrue, qt.Commentf("at %v", s.now))
+		now := s.kept(s.zones)
 		for pair := range known {
-			d.c.Check(now[pair], qt.IsTrue, qt.Commentf("at %v: %v", d.now, pair))
+			s.c.Check(now[pair], qt.IsTrue, qt.Commentf("at %v: %v", s.now, pair))
 		}
 		known = now
 	}
-	d.logTraffic("settling", 12*time.Second)
+	s.logTraffic("settling", 12*time.Second)
 }
 
-func (d *fleetDay) quiet(members int) {
-	d.run(12*time.Second, nil)
-	d.c.Check(d.allConverged(), qt.IsTrue, qt.Commentf("at %v", d.now))
-	d.c.Check(float64(d.traffic.bytes)/float64(members)/12 < 1000, qt.IsTrue, qt.Commentf("bytes while quiet"))
-	d.c.Check(d.traffic.changes, qt.Equals, 0)
-	d.logTraffic("quiet", 12*time.Second)
+// checkQuiet checks that the fleet becomes quiet: the views don't change, and each member sends less than 1 kB a second.
+func (s *fleetScenario) checkQuiet(members int) {
+	s.run(12*time.Second, nil)
+	s.c.Check(s.allConverged(), qt.IsTrue, qt.Commentf("at %v", s.now))
+	s.c.Check(float64(s.traffic.bytes)/float64(members)/12 < 1000, qt.IsTrue, qt.Commentf("bytes while quiet"))
+	s.c.Check(s.traffic.changes, qt.Equals, 0)
+	s.logTraffic("quiet", 12*time.Second)
 }
 
-func (d *fleetDay) killed() {
-	d.kill(d.order[len(d.order)/2])
-	d.checkConverges("one killed, its machine too", 7*time.Second)
-	d.run(10*time.Second, nil)
-	d.logTraffic("after it", 10*time.Second)
+// checkKilled kills one member and then a tenth of them, with their machines.
+func (s *fleetScenario) checkKilled() {
+	s.kill(s.order[len(s.order)/2])
+	s.checkConverges("one killed, its machine too", 7*time.Second)
+	s.run(10*time.Second, nil)
+	s.logTraffic("after it", 10*time.Second)
 
 	killed := 0
-	for _, n := range d.order {
-		if d.rng.IntN(10) == 0 {
-			d.kill(n)
+	for _, n := range s.order {
+		if s.rng.IntN(10) == 0 {
+			s.kill(n)
 			killed++
 		}
 	}
-	d.c.Logf("%d killed", killed)
-	d.checkConverges("a tenth killed", 12*time.Second)
+	s.c.Logf("%d killed", killed)
+	s.checkConverges("a tenth killed", 12*time.Second)
 }
 
-func (d *fleetDay) frozen() {
-	frozen := d.order[10:20]
+// checkFrozen freezes ten members for five seconds.
+func (s *fleetScenario) checkFrozen() {
+	frozen := s.order[10:20]
 	for _, n := range frozen {
-		d.freeze(n)
+		s.freeze(n)
 	}
-	d.run(5*time.Second, nil)
-	d.logTraffic("ten frozen", 5*time.Second)
+	s.run(5*time.Second, nil)
+	s.logTraffic("ten frozen", 5*time.Second)
 	for _, n := range frozen {
 		n.frozen = false
 	}
-	d.checkConverges("thawed", 3*time.Second)
+	s.checkConverges("thawed", 3*time.Second)
 }
 
-func (d *fleetDay) restarted() {
-	for _, n := range slices.Clone(d.order[30:40]) {
-		d.start(n.self.Address, n.self.Zone, n.self.Role)
+// checkRestarted restarts ten members.
+func (s *fleetScenario) checkRestarted() {
+	for _, n := range slices.Clone(s.order[30:40]) {
+		s.start(n.self.Address, n.self.Zone, n.self.Role)
 	}
-	d.checkConverges("ten restarted", 5*time.Second)
+	s.checkConverges("ten restarted", 5*time.Second)
 }
 
-func (d *fleetDay) partitioned() {
-	d.partitionBy(zonePartition(d.zones[0]))
-	d.run(8*time.Second, nil)
-	d.logTraffic("a zone partitioned", 8*time.Second)
-	d.heal()
-	d.checkConverges("healed", 5*time.Second)
+// checkPartition partitions a zone from all others for eight seconds.
+func (s *fleetScenario) checkPartition() {
+	s.partitionBy(zonePartition(s.zones[0]))
+	s.run(8*time.Second, nil)
+	s.logTraffic("a zone partitioned", 8*time.Second)
+	s.heal()
+	s.checkConverges("healed", 5*time.Second)
 }
 
-// zonePartition is a partition between a zone and all others.
+// zonePartition returns the function for partitionBy that partitions a zone from all others.
 func zonePartition(zone string) func(a, b *node) bool {
 	return func(a, b *node) bool { return (a.self.Zone == zone) != (b.self.Zone == zone) }
 }
--- a/internal/mesh/discovery/membership/example_test.go
+++ b/internal/mesh/discovery/membership/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/discovery/membership"
 )
 
-// Two processes find each other through a seed. The program that uses a View carries its shuffles and passes it the time.
+// Two processes find each other through a seed. The program that uses a View sends its shuffles and passes it the time.
 func ExampleView() {
 	newView := func(incarnation uint64, address string) *membership.View {
 		self := membership.Member{Incarnation: incarnation, Address: address, Zone: "zone-a"}
@@ -35,12 +35,17 @@
 	// known to the second: 10.0.0.2:7400
 }
 
-// The owners of a service's registry are the same ones in every view that holds the same members.
+// The registry owners of a service are the same in all views that hold the same members.
 func ExampleView_RegistryOwners() {
 	self := membership.Member{Incarnation: 1, Address: "10.0.0.1:7400", Zone: "zone-a"}
 	v := membership.New(self, membership.Config{}, rand.New(rand.NewPCG(1, 0)))
 	for i := uint64(2); i <= 5; i++ {
-		other := membership.Member{Incarnation: i, Address: fmt.Sprintf("10.0.0.%d:7400", i), Zone: "zone-a", Heartbeat: 1}
+		other := membership.Member{
+			Incarnation: i,
+			Address:     fmt.Sprintf("10.0.0.%d:7400", i),
+			Zone:        "zone-a",
+			Heartbeat:   1,
+		}
 		v.Receive(0, &membership.Shuffle{From: other, Reply: true})
 	}
 	for _, owner := range v.RegistryOwners("checkout", "zone-a", 2) {
@@ -52,7 +57,7 @@
 	// 10.0.0.2:7400
 }
 
-// A member departs when a connection to it broke and its heartbeat doesn't advance during the grace.
+// A member departs if a connection to it breaks and its heartbeat doesn't advance within DisconnectGrace.
 func ExampleView_ConnectionLost() {
 	self := membership.Member{Incarnation: 1, Address: "10.0.0.1:7400", Zone: "zone-a"}
 	v := membership.New(self, membership.Config{DisconnectGrace: time.Second}, rand.New(rand.NewPCG(1, 0)))
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -14,33 +14,35 @@
 )
 
 const (
-	linkIdleTimeout = 30 * time.Second       // a connection that nobody uses is closed after this
-	linkPingTimeout = 3 * time.Second        // and found broken after this, if its pings aren't answered
-	messageDelay    = time.Millisecond       // on the way
+	linkIdleTimeout = 30 * time.Second       // after which an unused connection is closed
+	linkPingTimeout = 3 * time.Second        // after which a connection breaks whose pings aren't answered
+	messageDelay    = time.Millisecond       // that a message takes
 	connectTimeout  = time.Second            // until a message to a process that can't be reached fails
-	checkInterval   = 100 * time.Millisecond // of conditions that a test waits for
+	checkInterval   = 100 * time.Millisecond // between two checks of a condition that a test waits for
 )
 
-// fleet plays members in virtual time. A process that sent a shuffle to another keeps the connection, which is found broken at once if
-// the other process ends while its machine still answers (a restart), and by pings if the machine doesn't. One seed, one run.
+// fleet simulates members in virtual time. A process that has sent a shuffle to another keeps the connection. The connection breaks at
+// once if the other process ends while its machine goes on, as in a restart, and after linkPingTimeout if the machine doesn't respond. A
+// seed always gives the same run.
 type fleet struct {
 	t           testing.TB
 	rng         *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	scheduled   int // events ever
-	nodes       map[string]*node
-	order       []*node
+	scheduled   int              // number of events so far
+	nodes       map[string]*node // the newest at each address
+	order       []*node          // by address, in the order in which the addresses were first used
 	seeds       []string
-	partition   func(a, b *node) bool // whether two nodes can't reach each other
-	partitionAt time.Duration
+	partition   func(a, b *node) bool // reports whether two nodes can't reach each other
+	partitionAt time.Duration         // when the partition began
 	traffic     traffic
 
+	// Hooks, which may be nil.
 	onSend    func(from *node, address string, data []byte)
 	onReceive func(from, to *node)
 }
 
-// traffic counts what happened since it was last reset.
+// traffic counts messages since it was last reset.
 type traffic struct {
 	messages    int
 	bytes       int
@@ -52,17 +54,18 @@
 type node struct {
 	*View
 	dead, frozen bool
-	since        time.Duration // of either
-	unread       []func()      // messages that came while it was frozen
+	since        time.Duration // when it died or was frozen
+	unread       []func()      // receive the messages that have arrived while it was frozen
 	links        []*link
 }
 
-// link is a connection that a node opened.
+// link is a connection that a node has opened.
 type link struct {
 	to   *node
-	used time.Duration
+	used time.Duration // last
 }
 
+// newFleet returns a fleet without members.
 func newFleet(tb testing.TB, seed uint64) *fleet {
 	tb.Helper()
 	return &fleet{t: tb, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*node{}, partition: noPartition}
@@ -70,12 +73,13 @@
 
 func noPartition(_, _ *node) bool { return false }
 
-// fleetSize says how many processes a fleet has. They are in the zones in turn; the first ones are core members, and the first ones seeds.
+// fleetSize holds the size of a fleet. The members are assigned to the zones in turn; the first ones are the core members and the seeds.
 type fleetSize struct {
 	members, cores, seeds int
 	zones                 []string
 }
 
+// startFleet returns a fleet whose members start within the first half second.
 func startFleet(tb testing.TB, seed uint64, size fleetSize) *fleet {
 	tb.Helper()
 	f := newFleet(tb, seed)
@@ -92,7 +96,7 @@
 	return f
 }
 
-// zoneNames are zone-0 and so on.
+// zoneNames returns the names zone-0, zone-1 and so on.
 func zoneNames(count int) []string {
 	names := make([]string, count)
 	for i := range names {
@@ -101,9 +105,10 @@
 	return names
 }
 
+// memberAddress returns the address of member i of startFleet.
 func memberAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/256, i%256) }
 
-// start starts a process, or a new one in place of the one at its address.
+// start starts a process. One that runs at its address ends.
 func (f *fleet) start(address, zone string, role Role) {
 	m := newMember(f.rng.Uint64(), address, zone, 1)
 	m.Role = role
@@ -121,7 +126,7 @@
 	f.after(time.Duration(f.rng.IntN(500))*ms, func() { f.tick(n) })
 }
 
-// kill ends a process and its machine: nothing there answers any more.
+// kill ends a process and its machine: connections to it break after linkPingTimeout.
 func (f *fleet) kill(n *node) {
 	n.dead = true
 	n.since = f.now
@@ -133,20 +138,22 @@
 	n.since = f.now - linkPingTimeout
 }
 
+// freeze suspends a process: it receives and sends nothing.
 func (f *fleet) freeze(n *node) {
 	n.frozen = true
 	n.since = f.now
 }
 
-// partitionBy has nodes that the function holds for not reach each other from now on.
+// partitionBy partitions the fleet from now on: two nodes can't reach each other if the function returns true for them.
 func (f *fleet) partitionBy(partition func(a, b *node) bool) {
 	f.partition = partition
 	f.partitionAt = f.now
 }
 
+// heal ends the partition.
 func (f *fleet) heal() { f.partition = noPartition }
 
-// connect notes that a node sends a shuffle to another.
+// connect opens a connection from a node to another, or marks the one that it has as used.
 func (f *fleet) connect(from, to *node) {
 	i := slices.IndexFunc(from.links, func(l *link) bool { return l.to == to })
 	if i < 0 {
@@ -156,7 +163,7 @@
 	from.links[i].used = f.now
 }
 
-// closeLinks ends the connections that nobody uses, and those whose pings aren't answered.
+// closeLinks closes the connections of a node that are unused, and breaks those whose pings aren't answered.
 func (f *fleet) closeLinks(n *node) {
 	n.links = slices.DeleteFunc(n.links, func(l *link) bool {
 		unresponsive := l.to.dead || l.to.frozen
@@ -173,13 +180,14 @@
 	})
 }
 
+// after schedules an event.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.scheduled++
 	heap.Push(&f.queue, event{f.now + d, f.scheduled, do})
 }
 
-// run plays up to limit, and returns when done holds, with the time it took; without done it plays up to limit. A done that doesn't
-// hold in that time is an error.
+// run advances the time until done returns true, and returns how long that took. It is an error if that takes longer than limit. If done
+// is nil, run advances the time by limit.
 func (f *fleet) run(limit time.Duration, done func() bool) time.Duration {
 	f.t.Helper()
 	start := f.now
@@ -195,6 +203,7 @@
 	return limit
 }
 
+// playUntil plays the events up to a time.
 func (f *fleet) playUntil(at time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= at {
 		e := heap.Pop(&f.queue).(event)
@@ -204,7 +213,7 @@
 	f.now = at
 }
 
-// tick is a process's own loop.
+// tick runs one turn of a process's main loop, and schedules the next.
 func (f *fleet) tick(n *node) {
 	if n.dead {
 		return
@@ -215,6 +224,7 @@
 	f.after(max(100*ms, min(n.NextTick()-f.now, 250*ms)), func() { f.tick(n) })
 }
 
+// wakeUp receives the messages that arrived while a process was frozen, and sends what is due.
 func (f *fleet) wakeUp(n *node) {
 	for _, receive := range n.unread {
 		receive()
@@ -227,6 +237,7 @@
 	}
 }
 
+// send sends a shuffle to an address. If the process there can't be reached, the sender's view is notified after connectTimeout.
 func (f *fleet) send(from *node, address string, s *Shuffle) {
 	data := codec.MarshalAppend(nil, s)
 	f.traffic.messages++
@@ -246,7 +257,7 @@
 	if !s.Reply {
 		f.connect(from, to)
 	}
-	if to.frozen { // its pings go unanswered
+	if to.frozen { // its pings aren't answered
 		f.after(connectTimeout, func() { from.ConnectionLost(f.now, address) })
 	}
 	if from.self.Zone != to.self.Zone {
@@ -255,7 +266,7 @@
 	f.after(messageDelay, func() { f.deliver(from, to, s) })
 }
 
-// deliver hands a message to a process, which reads it when it is thawed if it is frozen.
+// deliver delivers a shuffle to a process. A frozen process receives it once it is thawed.
 func (f *fleet) deliver(from, to *node, s *Shuffle) {
 	receive := func() { f.receive(from, to, s) }
 	switch {
@@ -266,6 +277,7 @@
 	}
 }
 
+// receive merges a shuffle into the receiver's view, and sends the reply.
 func (f *fleet) receive(from, to *node, s *Shuffle) {
 	reply, changed := to.Receive(f.now, s)
 	if changed {
@@ -279,7 +291,7 @@
 	}
 }
 
-// live are the processes of a zone, or of all, that run.
+// live returns the processes that run in a zone, or in all zones if zone is empty.
 func (f *fleet) live(zone string) (out []*node) {
 	for _, n := range f.order {
 		if !n.dead && (zone == "" || n.self.Zone == zone) {
@@ -289,7 +301,8 @@
 	return out
 }
 
-// converged reports whether everybody knows their zone exactly and nobody dead, and all name the same owners for services in zones.
+// converged reports whether each view holds exactly the running members of its zone and no member of another zone that has ended, and
+// whether all views have the same registry owners for services in zones.
 func (f *fleet) converged(zones, services []string) bool {
 	running := map[string][]uint64{}
 	for _, zone := range zones {
@@ -307,7 +320,8 @@
 	return true
 }
 
-// knowsExactly reports whether a view holds all members of the own zone, and nobody who doesn't run.
+// knowsExactly reports whether a view holds all running members of its own zone, and no member that doesn't run. running holds sorted
+// incarnations, by zone.
 func (n *node) knowsExactly(running map[string][]uint64) bool {
 	var ofZone []uint64
 	for _, m := range n.Members() {
@@ -321,7 +335,7 @@
 	return slices.Equal(ofZone, running[n.self.Zone])
 }
 
-// agreesOnOwners reports whether a view names the owners that are given, and adds those of services that aren't.
+// agreesOnOwners reports whether a view has the registry owners that another view has added to owners, and adds those that are missing.
 func (n *node) agreesOnOwners(owners map[string][]uint64, zones, services []string) bool {
 	for _, zone := range zones {
 		for _, service := range services {
@@ -341,7 +355,8 @@
 	return true
 }
 
-// kept is who knows whom, by incarnations, of those that are to be known: the own zone and the first of each other zone.
+// kept returns the pairs of incarnations of which the view of the first holds the second, among those that a view is to hold: the members
+// of its own zone, and the first ones of each other zone.
 func (f *fleet) kept(zones []string) map[[2]uint64]bool {
 	kept := map[[2]uint64]bool{}
 	for _, zone := range zones {
@@ -361,7 +376,7 @@
 	return kept
 }
 
-// logTraffic logs and resets the traffic of a span, for each member and second.
+// logTraffic logs the traffic of a span, for each member and second, and resets it.
 func (f *fleet) logTraffic(what string, span time.Duration) {
 	f.t.Helper()
 	n := float64(len(f.live(""))) * max(span.Seconds(), 0.1)
@@ -370,10 +385,10 @@
 	f.traffic = traffic{}
 }
 
-// event is what happens at a time; of two at one time the one that was scheduled first comes first.
+// event is a function that is called at a time. Of two at one time the one that was scheduled first is called first.
 type event struct {
 	at    time.Duration
-	order int
+	order int // fleet.scheduled when it was scheduled
 	do    func()
 }
 
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -14,8 +14,9 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// frame holds a message, all of whose fields are set, to the bytes that other versions send, in both directions.
-func frame[T any, P interface {
+// checkFrame checks that a message with a value in each field is marshaled to the bytes that other releases send, and that these are
+// unmarshaled to the message.
+func checkFrame[T any, P interface {
 	*T
 	codec.Message
 }](t *testing.T, name string, value T,
@@ -27,34 +28,61 @@
 	qt.Check(t, read, qt.DeepEquals, value)
 }
 
+// goldenMember returns a member with a value in each field.
 func goldenMember() Member {
 	return Member{
-		Incarnation: 0x0123456789abcdef, Address: "10.1.2.3:7400", Zone: "zone-a", Region: "north", Role: RoleCore, Service: "checkout",
-		AppAddress: "10.1.2.3:8080", Heartbeat: 4711, Seed: true, HeartbeatAge: 2345 * time.Millisecond,
+		Incarnation:  0x0123456789abcdef,
+		Address:      "10.1.2.3:7400",
+		Zone:         "zone-a",
+		Region:       "north",
+		Role:         RoleCore,
+		Service:      "checkout",
+		AppAddress:   "10.1.2.3:8080",
+		Heartbeat:    4711,
+		Seed:         true,
+		HeartbeatAge: 2345 * time.Millisecond,
 	}
 }
 
+// goldenShuffle returns a shuffle with a value in each field.
 func goldenShuffle() Shuffle {
 	other := Member{
-		Incarnation: 0xfedcba9876543210, Address: "10.1.2.4:7400", Zone: "zone-b", Region: "south", Role: RoleAccess, Service: "basket",
-		AppAddress: "10.1.2.4:8080", Heartbeat: 3, HeartbeatAge: time.Millisecond,
+		Incarnation:  0xfedcba9876543210,
+		Address:      "10.1.2.4:7400",
+		Zone:         "zone-b",
+		Region:       "south",
+		Role:         RoleAccess,
+		Service:      "basket",
+		AppAddress:   "10.1.2.4:8080",
+		Heartbeat:    3,
+		HeartbeatAge: time.Millisecond,
 	}
 	return Shuffle{
-		From: goldenMember(), Members: []Member{other, goldenMember()},
-		Tombstones: []Tombstone{{Incarnation: 5, Address: "10.1.2.5:7400", Heartbeat: 60}, {Incarnation: 6, Address: "10.1.2.6:7400", Heartbeat: 1 << 20}},
-		Reply:      true, ConfigVersion: 1234567, ZoneDigest: 0x1122334455667788, SharedDigest: 0x8877665544332211, AgreementAges: []byte{0, 1, 254, 255},
-		Unreachable: []Suspicion{{Incarnation: 7, Address: "10.1.2.7:7400", Heartbeat: 99}}, RaiseHeartbeat: true,
+		From:    goldenMember(),
+		Members: []Member{other, goldenMember()},
+		Tombstones: []Tombstone{{
+			Incarnation: 5,
+			Address:     "10.1.2.5:7400",
+			Heartbeat:   60,
+		}, {Incarnation: 6, Address: "10.1.2.6:7400", Heartbeat: 1 << 20}},
+		Reply:          true,
+		ConfigVersion:  1234567,
+		ZoneDigest:     0x1122334455667788,
+		SharedDigest:   0x8877665544332211,
+		AgreementAges:  []byte{0, 1, 254, 255},
+		Unreachable:    []Suspicion{{Incarnation: 7, Address: "10.1.2.7:7400", Heartbeat: 99}},
+		RaiseHeartbeat: true,
 	}
 }
 
 func TestGoldenFrames(t *testing.T) {
-	t.Run("member", func(t *testing.T) { frame(t, "member.hex", goldenMember()) })
-	t.Run("gone", func(t *testing.T) { frame(t, "gone.hex", goldenShuffle().Tombstones[1]) })
-	t.Run("shuffle", func(t *testing.T) { frame(t, "shuffle.hex", goldenShuffle()) })
-	t.Run("empty shuffle", func(t *testing.T) { frame(t, "shuffle-empty.hex", Shuffle{}) })
+	t.Run("member", func(t *testing.T) { checkFrame(t, "member.hex", goldenMember()) })
+	t.Run("tombstone", func(t *testing.T) { checkFrame(t, "gone.hex", goldenShuffle().Tombstones[1]) })
+	t.Run("shuffle", func(t *testing.T) { checkFrame(t, "shuffle.hex", goldenShuffle()) })
+	t.Run("empty shuffle", func(t *testing.T) { checkFrame(t, "shuffle-empty.hex", Shuffle{}) })
 }
 
-// An age is sent in whole milliseconds, rounded up, and one of more than an hour is read as an hour.
+// An age is sent in whole milliseconds, rounded up. One of more than an hour is read as an hour.
 func TestGoldenAges(t *testing.T) {
 	var text strings.Builder
 	for _, age := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, time.Minute, time.Hour, 2 * time.Hour} {
@@ -69,75 +97,77 @@
 	qt.Check(t, []Role{RoleAccess, RoleCore}, qt.DeepEquals, []Role{0, 1})
 }
 
-// fingerprint is a digest of all frames sent and of all that views say, in order.
+// fingerprint computes a digest of all messages that are sent, and of everything that views return, in order.
 type fingerprint struct {
-	f    *fleet
-	seed uint64
-	sum  hash.Hash
-	text strings.Builder
+	fleet *fleet
+	seed  uint64
+	sum   hash.Hash
+	text  strings.Builder
 }
 
-// step writes a line with the digest up to here: the first line that differs is where a run took another course.
-func (p *fingerprint) step(what string) {
-	for _, n := range p.f.order {
-		p.add(n)
+// step writes a line with the digest so far. The first line that differs from the golden file shows in which step two runs diverge.
+func (f *fingerprint) step(what string) {
+	for _, n := range f.fleet.order {
+		f.add(n)
 	}
-	fmt.Fprintf(&p.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n", p.seed, what, p.f.now, p.f.traffic.messages,
-		p.f.traffic.bytes, p.sum.Sum(nil)[:12])
+	fmt.Fprintf(&f.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n",
+		f.seed, what, f.fleet.now, f.fleet.traffic.messages, f.fleet.traffic.bytes, f.sum.Sum(nil)[:12])
 }
 
-// add takes all that a view says.
-func (p *fingerprint) add(n *node) {
+// add adds everything that a view returns.
+func (f *fingerprint) add(n *node) {
 	zones := n.Zones()
-	p.print(n.dead, n.ChangeCount(), n.NextTick(), zones)
+	f.print(n.dead, n.ChangeCount(), n.NextTick(), zones)
 	for _, m := range n.Members() {
-		p.sum.Write(codec.MarshalAppend(nil, &m))
+		f.sum.Write(codec.MarshalAppend(nil, &m))
 	}
 	for _, zone := range append(zones, "unknown") {
 		for _, service := range []string{"service-0", "service-1"} {
 			for _, m := range n.RegistryOwners(service, zone, 3) {
-				p.sum.Write(fmt.Append(nil, m.Incarnation, " "))
+				f.sum.Write(fmt.Append(nil, m.Incarnation, " "))
 			}
 		}
 	}
 }
 
-func (p *fingerprint) print(values ...any) { p.sum.Write(fmt.Appendln(nil, values...)) }
+// print adds values.
+func (f *fingerprint) print(values ...any) { f.sum.Write(fmt.Appendln(nil, values...)) }
 
 // The same seed gives the same run: the same random draws, members, order of messages and bytes in them.
 func TestGoldenFleet(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
-		text.WriteString(goldenFleet(t, seed, 20+35*int(seed)))
+		text.WriteString(fleetFingerprint(t, seed, 20+35*int(seed)))
 	}
 	golden.Text(t, "fleet.txt", []byte(text.String()))
 }
 
-func goldenFleet(t *testing.T, seed uint64, members int) string {
+// fleetFingerprint takes a fleet through a scenario, and returns the text of its fingerprint.
+func fleetFingerprint(t *testing.T, seed uint64, members int) string {
 	t.Helper()
-	f := startFleet(t, seed, fleetSize{members: members, cores: 3, seeds: 2, zones: zoneNames(3)})
-	p := &fingerprint{f: f, seed: seed, sum: sha256.New()}
-	f.onSend = func(from *node, address string, data []byte) {
-		p.print(f.now, from.self.Address, address, len(data))
-		p.sum.Write(data)
+	fleet := startFleet(t, seed, fleetSize{members: members, cores: 3, seeds: 2, zones: zoneNames(3)})
+	digest := &fingerprint{fleet: fleet, seed: seed, sum: sha256.New()}
+	fleet.onSend = func(from *node, address string, data []byte) {
+		digest.print(fleet.now, from.self.Address, address, len(data))
+		digest.sum.Write(data)
 	}
-	f.run(6*time.Second, nil)
-	p.step("joined")
-	f.run(8*time.Second, nil)
-	p.step("quiet")
-	f.kill(f.order[members/2])
-	f.freeze(f.order[members/3])
-	f.run(6*time.Second, nil)
-	p.step("one killed, one frozen")
-	f.order[members/3].frozen = false
-	f.start(f.order[members/4].self.Address, f.order[members/4].self.Zone, RoleAccess)
-	f.run(4*time.Second, nil)
-	p.step("one thawed, one restarted")
-	f.partitionBy(zonePartition("zone-0"))
-	f.run(12*time.Second, nil)
-	p.step("a zone cut off")
-	f.heal()
-	f.run(6*time.Second, nil)
-	p.step("healed")
-	return p.text.String()
+	fleet.run(6*time.Second, nil)
+	digest.step("joined")
+	fleet.run(8*time.Second, nil)
+	digest.step("quiet")
+	fleet.kill(fleet.order[members/2])
+	fleet.freeze(fleet.order[members/3])
+	fleet.run(6*time.Second, nil)
+	digest.step("one killed, one frozen")
+	fleet.order[members/3].frozen = false
+	fleet.start(fleet.order[members/4].self.Address, fleet.order[members/4].self.Zone, RoleAccess)
+	fleet.run(4*time.Second, nil)
+	digest.step("one thawed, one restarted")
+	fleet.partitionBy(zonePartition("zone-0"))
+	fleet.run(12*time.Second, nil)
+	digest.step("a zone cut off")
+	fleet.heal()
+	fleet.run(6*time.Second, nil)
+	digest.step("healed")
+	return digest.text.String()
 }
--- a/internal/mesh/discovery/membership/gossip.go
+++ b/internal/mesh/discovery/membership/gossip.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// startupHeartbeats is the heartbeat up to which a process has just started, and asks more peers.
+// startupHeartbeats is the heartbeat up to which a process counts as just started, and sends its shuffles to more peers.
 const startupHeartbeats = 4
 
-// Tick returns the addresses to send a shuffle to now, in order, and the shuffle; without any, both are nil. It may be called at any
-// time, and is to be called at NextTick, after other calls on the view, and at least every second.
-func (v *View) Tick(now time.Duration) (to []string, s *Shuffle) {
+// Tick advances the view to a time. It returns a shuffle that is to be sent now, and the addresses to send it to, sorted; both are nil if
+// none is due. It may be called at any time, and is to be called at NextTick, after other calls on the view, and at least every second.
+func (v *View) Tick(now time.Duration) (to []string, shuffle *Shuffle) {
 	if !v.schedule.started || now-v.schedule.lastTick > v.config.FreezeThreshold {
 		v.restartTimeouts(now)
 	}
@@ -31,14 +31,14 @@
 		return nil, nil
 	}
 	slices.Sort(to)
-	s = v.newShuffle(now, zone, false, v.isQuiet(now))
-	s.RaiseHeartbeat = raiseHeartbeat
-	s.Tombstones = append(s.Tombstones, v.reappeared...)
+	shuffle = v.newShuffle(now, zone, false, v.isQuiet(now))
+	shuffle.RaiseHeartbeat = raiseHeartbeat
+	shuffle.Tombstones = append(shuffle.Tombstones, v.reappeared...)
 	v.reappeared = nil
-	return slices.Compact(to), s
+	return slices.Compact(to), shuffle
 }
 
-// beginExchange returns the peers of a regular shuffle, and the zone of the first.
+// beginExchange returns the addresses that a regular shuffle goes to, and the zone of the first peer among them.
 func (v *View) beginExchange(now time.Duration) (to []string, zone string) {
 	v.schedule.nextGossip = now + v.jitter(v.gossipInterval(now))
 	v.schedule.lastGossip = now
@@ -53,21 +53,21 @@
 			to = v.contact(now, to, e)
 		}
 	}
-	if e := v.leastRecentPeer(suspected); e != nil { // after a partition these lead to its other side
+	if e := v.leastRecentPeer(suspected); e != nil { // it may be reachable again after a partition
 		to = v.contact(now, to, e)
 	}
 	to = append(to, v.contactSeeds(now)...)
 	return append(to, v.reconnectAny(now)...), zone
 }
 
-// contact adds a member's address to those that a shuffle goes to.
+// contact appends the address of a member that is sent a shuffle now.
 func (v *View) contact(now time.Duration, to []string, e *entry) []string {
 	e.lastContacted = now
 	return append(to, e.Address)
 }
 
-// contactUnreachable adds the unreachable members, again and again, and those that another member can't reach; these are to raise
-// their heartbeats.
+// contactUnreachable appends the unreachable members, every half GossipInterval, and those that another process reports as unreachable or
+// ended. If there are any, the shuffle asks its receivers to raise their heartbeats.
 func (v *View) contactUnreachable(now time.Duration, to []string) (all []string, raiseHeartbeat bool) {
 	for _, e := range v.table.entries {
 		retry := e.state == unreachable && now-e.lastContacted >= v.config.GossipInterval/2
@@ -80,7 +80,8 @@
 	return to, raiseHeartbeat
 }
 
-// firstPeer is the member to shuffle with first: while the view is quiet, monitored members in turn with all others.
+// firstPeer returns the first peer of a regular shuffle: while the view is quiet a monitored member every other time, else the alive
+// member that was contacted least recently.
 func (v *View) firstPeer(now time.Duration) *entry {
 	if v.isQuiet(now) {
 		v.refreshAgreement()
@@ -91,7 +92,7 @@
 	return v.leastRecentPeer(alive)
 }
 
-// extraPeers is how many more peers are asked while there are updates, or when this process has just started.
+// extraPeers returns the number of further peers of a regular shuffle: there are some after the start and while there are updates.
 func (v *View) extraPeers(now time.Duration) int {
 	switch {
 	case v.self.Heartbeat <= startupHeartbeats:
@@ -104,7 +105,8 @@
 	return 0
 }
 
-// leastRecentPeer is the member in a state that was contacted least recently. With many members it is mostly one of the own zone.
+// leastRecentPeer returns the member in a state that was contacted least recently, or nil. With many members it is mostly one of the own
+// zone.
 func (v *View) leastRecentPeer(in state) *entry {
 	if len(v.table.entries) > v.config.MaxMembersPerShuffle && v.rng.IntN(4) > 0 {
 		ofOwnZone := func(e *entry) bool { return e.state == in && e.Zone == v.self.Zone }
@@ -115,7 +117,7 @@
 	return v.leastRecent(func(e *entry) bool { return e.state == in })
 }
 
-// leastRecent is the member that was contacted least recently of those that among holds for, or nil.
+// leastRecent returns the member that was contacted least recently, of those for which among is true, or nil.
 func (v *View) leastRecent(among func(*entry) bool) (best *entry) {
 	for _, e := range v.table.entries {
 		if among(e) && (best == nil || e.lastContacted < best.lastContacted) {
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -6,17 +6,17 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Role is what a member does. Its values are data on the wire.
+// Role is the kind of a member's process. Its values are data on the wire.
 type Role uint8
 
 const (
 	// RoleAccess is a sidecar beside an endpoint.
 	RoleAccess Role = 0
-	// RoleCore is a control plane process, which holds the configuration.
+	// RoleCore is a process of the control plane.
 	RoleCore Role = 1
 )
 
-// maxHeartbeatAge is the highest age of a heartbeat that is read from a message; a higher one says no more.
+// maxHeartbeatAge is the highest age of a heartbeat that is read from a message; a higher one is reduced to it.
 const maxHeartbeatAge = time.Hour
 
 // Member is the record of one incarnation of one process.
@@ -28,12 +28,12 @@
 	Role         Role
 	Service      string        // of the endpoint beside it, if it is a sidecar
 	AppAddress   string        // that endpoint's address
-	Heartbeat    uint64        // its own counter, which it raises at each gossip interval
+	Heartbeat    uint64        // a counter that the member raises at each gossip interval
 	Seed         bool          // field 9 on the wire; nothing sets or reads it
-	HeartbeatAge time.Duration // how long ago its heartbeat was new, as far as the sender knows; 0 in what a View returns
+	HeartbeatAge time.Duration // in a message, how long ago the heartbeat was new as far as the sender knows; else 0
 }
 
-// Fields implements codec.Message. An age is sent in whole milliseconds, rounded up, so that it never seems newer for it.
+// Fields implements codec.Message. An age is sent in whole milliseconds, rounded up: a heartbeat must not seem newer than it is.
 func (m *Member) Fields(v *codec.Visitor) {
 	v.Fixed64(1, &m.Incarnation)
 	v.String(2, &m.Address)
@@ -53,7 +53,7 @@
 	}
 }
 
-// sameRecord reports whether two records of an incarnation say the same, apart from their heartbeats.
+// sameRecord reports whether two records of an incarnation are equal apart from their heartbeats.
 func sameRecord(a, b *Member) bool {
 	other := *b
 	other.Heartbeat = a.Heartbeat
--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// newcomerHeartbeats is the heartbeat below which a sender that isn't known has just started, rather than come back.
+// newcomerHeartbeats is the heartbeat below which an unknown sender counts as just started. One with a higher heartbeat has come back.
 const newcomerHeartbeats = 8
 
-// Receive merges a shuffle. There is a reply to one that isn't itself a reply; changed reports whether Members would differ in more
-// than heartbeats.
+// Receive merges a shuffle into the view. It returns the reply to it, which is nil if the shuffle is itself a reply, and reports whether
+// the members have changed by more than their heartbeats.
 func (v *View) Receive(now time.Duration, s *Shuffle) (reply *Shuffle, changed bool) {
 	senderKnown := v.table.byIncarnation[s.From.Incarnation] != nil
 	changed = v.mergeRecords(now, s)
@@ -26,8 +26,8 @@
 	return reply, changed
 }
 
-// mergeRecords merges the sender, the tombstones and the members of a shuffle, in this order: a member whose end is reported isn't
-// taken from the same shuffle.
+// mergeRecords merges the sender, the tombstones and the members of a shuffle, in this order: a member must not be added by the same
+// shuffle that reports its end.
 func (v *View) mergeRecords(now time.Duration, s *Shuffle) (changed bool) {
 	changed = v.mergeMember(now, s.From, true)
 	for _, t := range s.Tombstones {
@@ -39,70 +39,70 @@
 	return changed
 }
 
-// mergeMember merges a member's record, sent by itself (direct) or by another member.
-func (v *View) mergeMember(now time.Duration, m Member, direct bool) (changed bool) {
-	age := max(m.HeartbeatAge, 0)
+// mergeMember merges the record of a member, which was sent by the member itself (direct) or by another one.
+func (v *View) mergeMember(now time.Duration, record Member, direct bool) (changed bool) {
+	age := max(record.HeartbeatAge, 0)
 	if direct {
 		age = 0
 	}
-	if !v.isForeign(&m) || age >= v.failureTimeout(&m) {
+	if !v.isForeign(&record) || age >= v.failureTimeout(&record) {
 		return false
 	}
-	m.HeartbeatAge = 0
+	record.HeartbeatAge = 0
 	seen := now - age
-	if v.tombstones.contradicts(&m, seen, direct, v.config.FailureTimeout) {
+	if v.tombstones.contradicts(&record, seen, direct, v.config.FailureTimeout) {
 		return false
 	}
-	if e := v.table.byIncarnation[m.Incarnation]; e != nil {
-		return v.updateMember(now, seen, e, m, direct)
+	if e := v.table.byIncarnation[record.Incarnation]; e != nil {
+		return v.updateMember(now, seen, e, record, direct)
 	}
-	if old := v.table.byAddress[m.Address]; old != nil {
-		// Ages arrive too low by the time on the way, so that an incarnation that ended may seem a little newer.
+	if old := v.table.byAddress[record.Address]; old != nil {
+		// An age lacks the time that the message took, so that an incarnation that ended may seem a little newer than the present one.
 		if !direct && seen < old.lastSeen+v.config.GossipInterval {
 			return false
 		}
 		v.replaceMember(now, old, direct)
-	} else if !v.ensureCapacity(&m) {
+	} else if !v.ensureCapacity(&record) {
 		return false
 	}
-	v.addMember(now, seen, m)
+	v.addMember(now, seen, record)
 	return true
 }
 
-// isForeign reports whether a record is complete, and of another process than this one.
+// isForeign reports whether a record has the fields that identify a member, and is not of this process or its address.
 func (v *View) isForeign(m *Member) bool {
 	return m.Incarnation != 0 && m.Address != "" && m.Incarnation != v.self.Incarnation && m.Address != v.self.Address
 }
 
-// updateMember merges a record of a member that is known. It reports whether more than the heartbeat changed.
-func (v *View) updateMember(now, seen time.Duration, e *entry, m Member, direct bool) (changed bool) {
+// updateMember merges a record of a member that is known. It reports whether more than the heartbeat has changed.
+func (v *View) updateMember(now, seen time.Duration, e *entry, record Member, direct bool) (changed bool) {
 	switch {
-	case m.Heartbeat < e.Heartbeat:
+	case record.Heartbeat < e.Heartbeat:
 		return false
-	case m.Heartbeat == e.Heartbeat && direct:
+	case record.Heartbeat == e.Heartbeat && direct:
 		e.lastSeen = now
 		return false
-	case m.Heartbeat == e.Heartbeat:
+	case record.Heartbeat == e.Heartbeat:
 		e.lastSeen = min(e.lastSeen, seen)
 		return false
-	case e.Address != m.Address:
+	case e.Address != record.Address:
 		return false // an incarnation has one address
 	}
-	if changed = !sameRecord(&e.Member, &m); changed {
+	if changed = !sameRecord(&e.Member, &record); changed {
 		v.invalidate()
 	}
-	if e.dispute.answerAwaited && e.dispute.heartbeat < m.Heartbeat {
+	if e.dispute.answerAwaited && e.dispute.heartbeat < record.Heartbeat {
 		e.dispute.answerAwaited = false
 		e.transmits = 0
 		v.noteUpdate(now)
 	}
-	e.Member = m
+	e.Member = record
 	e.lastSeen = max(e.lastSeen, seen)
 	e.transition(now, alive)
 	return changed
 }
 
-// replaceMember removes a member because another incarnation is at its address, which has sent a message itself if direct.
+// replaceMember removes a member because a newer incarnation is at its address. direct means that the newer one has sent a message itself.
 func (v *View) replaceMember(now time.Duration, old *entry, direct bool) {
 	v.remove(old)
 	heartbeat := old.Heartbeat
@@ -112,7 +112,8 @@
 	v.tombstones.add(now, old.Incarnation, tombstoneEntry{heartbeat: heartbeat, address: old.Address, replaced: true})
 }
 
-// addMember adds a member that isn't known, as one that was contacted long ago: new members come first, in random order.
+// addMember adds a member that isn't known. Its lastContacted is a random time long ago, so that new members are contacted before others,
+// and in random order.
 func (v *View) addMember(now, seen time.Duration, m Member) {
 	v.tombstones.remove(m.Incarnation)
 	v.noteUpdate(now)
@@ -125,8 +126,8 @@
 	v.departed.remove(m.Address)
 }
 
-// ensureCapacity reports whether there is capacity for a new member. In another zone the last one by compareHash gives way to one that
-// precedes it, so that all views keep the same ones.
+// ensureCapacity reports whether there is capacity for a new member. In another zone a new member replaces the last one by compareHash if
+// it precedes that, so that all views hold the same ones.
 func (v *View) ensureCapacity(m *Member) bool {
 	count, last := v.membersAlike(m)
 	switch {
@@ -143,7 +144,7 @@
 	return true
 }
 
-// membersAlike counts the members that share a limit with one, and returns the last of them by compareHash.
+// membersAlike returns the number of members that count against the same limit as m, and the last of them by compareHash.
 func (v *View) membersAlike(m *Member) (count int, last *entry) {
 	for _, e := range v.table.entries {
 		if e.Role != m.Role || m.Role != RoleCore && e.Zone != m.Zone {
--- a/internal/mesh/discovery/membership/message.go
+++ b/internal/mesh/discovery/membership/message.go
@@ -2,7 +2,7 @@
 
 import "quincegap/internal/mesh/transport/codec"
 
-// Tombstone reports that an incarnation ended. It holds until a heartbeat above its own is known.
+// Tombstone reports that an incarnation ended. It is refuted by a heartbeat of the incarnation above the tombstone's.
 type Tombstone struct {
 	Incarnation uint64
 	Address     string
@@ -16,29 +16,29 @@
 	v.Uint64(3, &t.Heartbeat)
 }
 
-// Suspicion reports that the sender can't reach an incarnation, whose newest heartbeat that it knows it gives. Unlike a tombstone it
-// ends nothing: whoever can reach that member has it raise its heartbeat above this one.
+// Suspicion reports that the sender can't reach an incarnation, and the newest heartbeat of it that the sender knows. Unlike a tombstone
+// it removes no member: a receiver that can reach the member asks it to raise its heartbeat above this one.
 type Suspicion struct {
 	Incarnation uint64
 	Address     string
 	Heartbeat   uint64
 }
 
-// Fields implements codec.Message, in the form of a Tombstone.
+// Fields implements codec.Message. The fields are those of a Tombstone.
 func (s *Suspicion) Fields(v *codec.Visitor) { (*Tombstone)(s).Fields(v) }
 
-// Shuffle is an excerpt of one member's view, for a peer.
+// Shuffle is a part of one member's view, for a peer.
 type Shuffle struct {
-	From           Member
+	From           Member // the sender
 	Members        []Member
 	Tombstones     []Tombstone
-	Reply          bool   // it answers a shuffle, and isn't answered itself
-	ConfigVersion  uint64 // newest configuration that the sender holds; this package only carries it
-	ZoneDigest     uint64 // of the members of the sender's zone, see agreement
-	SharedDigest   uint64 // of the members that every view is to hold
-	AgreementAges  []byte // for each zone in order, how long ago a member there agreed on its members; see agreementAgeUnit
-	Unreachable    []Suspicion
-	RaiseHeartbeat bool // the receiver is to raise its heartbeat, since somebody can't reach it
+	Reply          bool        // the shuffle answers another one, and isn't answered itself
+	ConfigVersion  uint64      // of the configuration that is applied at the sender; this package only carries it
+	ZoneDigest     uint64      // of the members of the sender's zone (View.digests)
+	SharedDigest   uint64      // of the members that every view is to hold (View.digests)
+	AgreementAges  []byte      // for each zone, sorted: how long ago its members last agreed, in units of agreementAgeUnit
+	Unreachable    []Suspicion // members that the sender can't reach
+	RaiseHeartbeat bool        // the receiver is to raise its heartbeat, as some process can't reach it
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/discovery/membership/owners.go
+++ b/internal/mesh/discovery/membership/owners.go
@@ -8,8 +8,9 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// RegistryOwners returns the first n members of a zone for a service, by rendezvous hash of service and incarnation; if the zone has
-// none, those of its region, and if that has none either, of all. All views that hold the same members return the same ones.
+// RegistryOwners returns the n registry owners of a service in a zone: the first members of the zone by a rendezvous hash of service and
+// incarnation. If the zone has no members, they are chosen among those of its region, and if that has none either, among all. Views that
+// hold the same members return the same owners.
 func (v *View) RegistryOwners(service, zone string, n int) []Member {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(service)) // a hash never fails
@@ -27,7 +28,7 @@
 	return out
 }
 
-// ownerCandidates returns a list of its own of those that the owners of a zone's services are chosen from.
+// ownerCandidates returns the members that the owners of a zone's services are chosen from. The caller may change the list.
 func (v *View) ownerCandidates(zone string) []*entry {
 	eligible := v.eligibleOwners()
 	if ofZone := filterEntries(eligible, func(e *entry) bool { return e.Zone == zone }); len(ofZone) > 0 {
@@ -41,8 +42,8 @@
 	return slices.Clone(eligible)
 }
 
-// eligibleOwners are the members that can be registry owners, whatever their states: of each zone only as many as other zones keep,
-// the same ones in every view. They are ordered by compareHash.
+// eligibleOwners returns the members that can be registry owners, whatever their states, ordered by compareHash: the first
+// MaxMembersPerRemoteZone of each zone, which are the same ones in every view.
 func (v *View) eligibleOwners() []*entry {
 	if v.eligible == nil {
 		ofZone := map[string]int{}
--- a/internal/mesh/discovery/membership/partition_test.go
+++ b/internal/mesh/discovery/membership/partition_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Machines are partitioned for twenty seconds, during which a new configuration comes in force on the other side. Shuffles carry its
-// version: how long after the partition all know it, by shuffles alone.
+// Machines are partitioned for twenty seconds, during which members on the other side apply a new configuration. Shuffles carry its
+// version: by shuffles alone all members know it within two seconds after the partition.
 func TestVersionAfterPartition(t *testing.T) {
 	isCore := func(n *node) bool { return n.self.Role == RoleCore }
 	partitions := map[string]func(first, a, b *node) bool{
@@ -31,7 +31,8 @@
 	}
 }
 
-// versionAfterPartition is the time that a version takes to reach all, which two members learn of while the first is partitioned.
+// versionAfterPartition returns the time from the end of a partition until all members know a version. Two of them know it halfway through
+// the partition, in which the first member takes part.
 func versionAfterPartition(t *testing.T, seed uint64, partition func(first, a, b *node) bool) time.Duration {
 	t.Helper()
 	const members = 15
@@ -49,6 +50,7 @@
 	return f.run(30*time.Second, func() bool { return len(versions) == members && lowest(versions) == 1 })
 }
 
+// lowest returns the lowest version of all nodes.
 func lowest(versions map[*node]int) int {
 	least := 1 << 30
 	for _, version := range versions {
--- a/internal/mesh/discovery/membership/reconnect.go
+++ b/internal/mesh/discovery/membership/reconnect.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// departedMember is where a member was that departed. It may only have been partitioned from this process: its address is tried again,
-// so that two partitions meet soon after they can.
+// departedMember is the address of a member that has departed. The member may only have been partitioned from this process. Its address is
+// tried again, so that two partitions find each other soon after the network is healed.
 type departedMember struct {
 	address    string
 	departedAt time.Duration
 }
 
-// departedList holds the departed members, the newest last, up to a number of them.
+// departedList holds the departed members, the newest last. Above its capacity the oldest is forgotten.
 type departedList struct {
 	capacity int
 	members  []departedMember
 }
 
+// add adds an address, or moves it to the end of the list.
 func (d *departedList) add(now time.Duration, address string) {
 	d.remove(address)
 	d.members = append(d.members, departedMember{address, now})
@@ -30,7 +31,7 @@
 	d.members = slices.DeleteFunc(d.members, func(m departedMember) bool { return m.address == address })
 }
 
-// since returns those that departed after a time.
+// since returns the members that departed after a time.
 func (d *departedList) since(at time.Duration) []departedMember {
 	first := slices.IndexFunc(d.members, func(m departedMember) bool { return m.departedAt > at })
 	if first < 0 {
@@ -39,14 +40,14 @@
 	return d.members[first:]
 }
 
-// depart removes a member; its address is tried again now and then.
+// depart removes a member from the view, and remembers its address, to try it again.
 func (v *View) depart(now time.Duration, e *entry) {
 	v.remove(e)
 	v.departed.add(now, e.Address)
 }
 
-// reconnectRecent returns the address of one of the members that departed lately, once each RecentReconnectInterval. During a partition
-// that costs an attempt to connect, and after it the partitions meet within a second or two, however few members they have.
+// reconnectRecent returns the address of a random member that departed lately, once in a RecentReconnectInterval. During a partition each
+// attempt costs a connection that fails; after it the partitions find each other within a second or two, even if they have few members.
 func (v *View) reconnectRecent(now time.Duration) []string {
 	if now < v.schedule.nextRecentReconnect {
 		return nil
@@ -59,8 +60,8 @@
 	return v.withoutSelf([]string{recent[v.rng.IntN(len(recent))].address})
 }
 
-// reconnectAny returns one address of a seed or of a departed member, however long ago it departed, once each ReconnectInterval, and less
-// often while the view is quiet.
+// reconnectAny returns the address of a random seed or departed member, however long ago it departed, once in a ReconnectInterval, and
+// less often while the view is quiet.
 func (v *View) reconnectAny(now time.Duration) []string {
 	if now < v.schedule.nextReconnect {
 		return nil
@@ -77,7 +78,8 @@
 	return v.withoutSelf([]string{addresses[v.rng.IntN(len(addresses))]})
 }
 
-// contactSeeds returns all seeds at the start, and one while few members are known.
+// contactSeeds returns the addresses of all seeds at the first call after SetSeeds has changed them, and one of them at later calls while
+// few members are known.
 func (v *View) contactSeeds(now time.Duration) []string {
 	switch {
 	case !v.seedsContacted:
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// withoutSelf returns a list of its own of the addresses that aren't this process's.
+// withoutSelf returns a copy of a list of addresses without that of this process.
 func (v *View) withoutSelf(addresses []string) []string {
 	return slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == v.self.Address })
 }
--- a/internal/mesh/discovery/membership/schedule.go
+++ b/internal/mesh/discovery/membership/schedule.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// schedule is when a view did what it does by the clock, and when it does so next.
+// schedule holds the times of a view's last and next actions.
 type schedule struct {
 	started             bool          // Tick was called
-	lastTick            time.Duration // call of Tick
-	resumedAt           time.Duration // when this process last came out of a freeze; ages count from here at the earliest
-	lastGossip          time.Duration // shuffle that this process began by itself
-	nextGossip          time.Duration
-	nextReconnect       time.Duration // attempt to reach a seed or any departed member
-	nextRecentReconnect time.Duration // attempt to reach one that departed lately
-	lastUpdate          time.Duration // arrival, departure or refutation
-	lastRemoval         time.Duration // departure with a tombstone
+	lastTick            time.Duration // last call of Tick
+	resumedAt           time.Duration // end of the last freeze, or the first Tick; ages are counted from then at the earliest
+	lastGossip          time.Duration // last regular shuffle
+	nextGossip          time.Duration // next regular shuffle
+	nextReconnect       time.Duration // next attempt to reach a seed or any departed member
+	nextRecentReconnect time.Duration // next attempt to reach a member that departed lately
+	lastUpdate          time.Duration // last arrival, departure or refutation
+	lastRemoval         time.Duration // last departure with a tombstone
 }
 
-// NextTick is when Tick has something to do by the clock. It may have before that, after other calls.
+// NextTick returns the time of the next regular shuffle, at which Tick is to be called. Other calls on the view may make something due
+// before that.
 func (v *View) NextTick() time.Duration { return v.schedule.nextGossip }
 
-// noteUpdate notes that a member arrived or departed, or that a suspicion was refuted. The first update after a while is sent at once.
+// noteUpdate records that a member arrived or departed, or that a suspicion was refuted. The first update after a while, and any while the
+// view is quiet, is sent at once.
 func (v *View) noteUpdate(now time.Duration) {
 	isFirst := now-v.schedule.lastUpdate > v.config.GossipInterval
 	if v.isQuiet(now) || isFirst && now-v.schedule.lastGossip > v.config.GossipInterval/4 {
@@ -27,7 +29,8 @@
 	v.schedule.lastUpdate = now
 }
 
-// noteDifference notes that a peer knows other members than this process, or that a connection broke, which ends the quiet.
+// noteDifference records that a peer knows other members than this process, or that a connection broke. The view is no longer quiet after
+// that.
 func (v *View) noteDifference(now time.Duration) {
 	if v.isQuiet(now) {
 		v.gossipAtOnce(now)
@@ -35,22 +38,24 @@
 	v.agreement.lastDiffered = now
 }
 
+// gossipAtOnce makes the next regular shuffle due now.
 func (v *View) gossipAtOnce(now time.Duration) {
 	v.schedule.nextGossip = min(v.schedule.nextGossip, now)
 }
 
-// isQuiet reports whether there has been no update for a while, and peers agree.
+// isQuiet reports whether there has been neither an update nor a disagreement for QuietAfter, a peer's digests were equal to the own ones
+// lately, and no member is unreachable.
 func (v *View) isQuiet(now time.Duration) bool {
 	agreed := v.agreement.lastAgreed != 0 && now-v.agreement.lastAgreed < v.config.FailureTimeout
 	return agreed && v.sinceDifference(now) >= v.config.QuietAfter && !v.hasUnreachable()
 }
 
-// sinceDifference is the time since the last update or disagreement.
+// sinceDifference returns the time since the last update or disagreement.
 func (v *View) sinceDifference(now time.Duration) time.Duration {
 	return now - max(v.schedule.lastUpdate, v.agreement.lastDiffered)
 }
 
-// gossipInterval is the time between two shuffles; while the view is quiet it grows with the time since the last update.
+// gossipInterval returns the time between two regular shuffles. While the view is quiet it grows with the time since the last update.
 func (v *View) gossipInterval(now time.Duration) time.Duration {
 	if !v.isQuiet(now) {
 		return v.config.GossipInterval
--- a/internal/mesh/discovery/membership/shuffle.go
+++ b/internal/mesh/discovery/membership/shuffle.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// maxPriorityTransmits is how often a member or a tombstone is sent before all else: twice the gossip intervals that an update takes
-// through a few hundred members by shuffles and their replies.
+// maxPriorityTransmits is how often the record of a member, or a tombstone, is sent as an update, which is before all others. It is twice
+// the number of gossip intervals in which shuffles and their replies spread an update to a few hundred members.
 const maxPriorityTransmits = 8
 
-// newShuffle makes a message for a peer of a zone. newcomer says that the peer has just joined; a brief message carries only updates, for
-// peers that know the rest.
+// newShuffle returns a shuffle for a peer of a zone. newcomer means that the peer has just joined. A brief shuffle carries only updates,
+// for a peer that knows the other members.
 func (v *View) newShuffle(now time.Duration, zone string, newcomer, brief bool) *Shuffle {
-	s := &Shuffle{From: v.self, AgreementAges: v.agreementAges(now), Unreachable: v.unreachableMembers()}
-	s.ZoneDigest, s.SharedDigest = v.digests()
+	shuffle := &Shuffle{From: v.self, AgreementAges: v.agreementAges(now), Unreachable: v.unreachableMembers()}
+	shuffle.ZoneDigest, shuffle.SharedDigest = v.digests()
 	all := slices.Clone(v.table.entries)
 	if brief {
 		all = slices.DeleteFunc(all, func(e *entry) bool { return e.transmits >= maxPriorityTransmits })
@@ -27,21 +27,24 @@
 		m := e.Member
 		m.HeartbeatAge = max(now-v.lastKnownAlive(e), 0)
 		if m.HeartbeatAge < v.failureTimeout(&m) {
-			s.Members = append(s.Members, m)
+			shuffle.Members = append(shuffle.Members, m)
 			e.transmits++
 		}
 	}
-	s.Tombstones = v.selectTombstones(now, brief)
-	return s
+	shuffle.Tombstones = v.selectTombstones(now, brief)
+	return shuffle
 }
 
+// shuffleEntries puts entries into random order.
 func (v *View) shuffleEntries(all []*entry) {
 	v.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 }
 
-// selectMembers takes as many members as a shuffle carries. A peer in the own zone gets members of that zone for half of it or more.
-// One of another zone gets mostly those of the own zone that other zones keep, and some of its own zone, lest that zone fall into
-// partitions which other zones know of; a peer that has just joined gets mostly members of its zone.
+// selectMembers selects as many members as a shuffle carries, which depend on the zone of the peer:
+//   - A peer of the own zone is sent members of that zone for at least half of the shuffle.
+//   - A peer of another zone is sent mostly those members of the own zone that views of other zones hold, and some members of its own zone:
+//     parts of a zone that have lost each other find each other again that way.
+//   - A peer of another zone that has just joined is sent mostly members of its own zone.
 func (v *View) selectMembers(all []*entry, zone string, newcomer bool) []*entry {
 	own, theirs, rest := v.splitByZone(all, zone)
 	if zone != v.self.Zone {
@@ -50,13 +53,13 @@
 	limit := v.config.MaxMembersPerShuffle
 	firstShare := limit * 3 / 4
 	if zone == v.self.Zone && len(own) <= 2*limit {
-		firstShare = limit / 2 // a larger zone needs more, to be fresh
+		firstShare = limit / 2 // a larger zone needs the larger share, as its heartbeats would become too old
 	}
 	first, second := own, theirs
 	if newcomer {
 		first, second = theirs, own
 	}
-	// What one group can't fill goes to the others.
+	// The part of the shuffle that one group can't fill goes to the others.
 	count := min(max(firstShare, limit-len(second)-len(rest)), len(first))
 	out := prioritize(first, count)
 	left := limit - len(out)
@@ -81,7 +84,8 @@
 	return own, theirs, rest
 }
 
-// thoseKeptElsewhere takes the members of the own zone that other zones keep, and a few more in case these lack some, in random order.
+// thoseKeptElsewhere returns the members of the own zone that views of other zones hold, and a few more in case some of these are unknown
+// there, in random order.
 func (v *View) thoseKeptElsewhere(own []*entry) []*entry {
 	kept := v.config.MaxMembersPerRemoteZone + v.config.MaxMembersPerRemoteZone/8
 	if len(own) <= kept {
@@ -93,8 +97,8 @@
 	return own
 }
 
-// prioritize takes count of a list in random order: first those that were sent least while they are updates; of the rest one half as
-// they lie, and the other half by the newest heartbeats.
+// prioritize selects count members of a list that is in random order: first updates, those that were sent least often before others. Half
+// of the remaining ones are the next in the list, and half those with the newest heartbeats.
 func prioritize(from []*entry, count int) []*entry {
 	slices.SortStableFunc(from, func(a, b *entry) int {
 		return cmp.Compare(min(a.transmits, maxPriorityTransmits), min(b.transmits, maxPriorityTransmits))
--- a/internal/mesh/discovery/membership/suspicion.go
+++ b/internal/mesh/discovery/membership/suspicion.go
@@ -5,8 +5,11 @@
 	"time"
 )
 
-// ConnectionLost reports that a connection to an address broke, or that its pings went unanswered: the member there is unreachable, and
-// departs after DisconnectGrace unless its heartbeat advances.
+// heartbeatMarginFactor is the ratio of heartbeatMargin to the number of heartbeats that a member is expected to have raised.
+const heartbeatMarginFactor = 8
+
+// ConnectionLost makes the member at an address unreachable, as a connection to it broke or its pings weren't answered. It departs after
+// DisconnectGrace unless its heartbeat advances.
 func (v *View) ConnectionLost(now time.Duration, address string) {
 	e := v.table.byAddress[address]
 	if e == nil || e.state == unreachable {
@@ -17,7 +20,7 @@
 	v.noteDifference(now)
 }
 
-// unreachableMembers are the suspicions that a shuffle carries.
+// unreachableMembers returns the suspicions that a shuffle carries.
 func (v *View) unreachableMembers() []Suspicion {
 	var out []Suspicion
 	for _, e := range v.table.entries {
@@ -32,7 +35,8 @@
 	return slices.ContainsFunc(v.table.entries, func(e *entry) bool { return e.state == unreachable })
 }
 
-// mergeSuspicion takes note that a sender can't reach a member: that one is asked, and its answer is an update for the sender.
+// mergeSuspicion merges a report that the sender can't reach a member. If this process doesn't know of a newer heartbeat of the member, it
+// asks the member for one. The newer heartbeat is then an update, which the sender is sent next.
 func (v *View) mergeSuspicion(sender *Member, s *Suspicion) {
 	if s.Incarnation == v.self.Incarnation {
 		v.self.Heartbeat = max(v.self.Heartbeat, s.Heartbeat+1)
@@ -44,7 +48,7 @@
 	}
 	switch {
 	case e.Heartbeat > s.Heartbeat:
-		e.transmits = 0 // what the sender lacks is known here
+		e.transmits = 0 // the sender lacks the heartbeat that is known here, so it is sent as an update
 	case e.dispute.heartbeat < s.Heartbeat:
 		e.dispute = dispute{heartbeat: s.Heartbeat, probeDue: true, answerAwaited: true}
 	}
@@ -53,7 +57,8 @@
 	}
 }
 
-// expireMembers has members depart that were unreachable or whose heartbeats are too old, and suspects those that are on the way there.
+// expireMembers removes members that have been unreachable for DisconnectGrace or whose heartbeats have reached the failure time-out, and
+// makes those suspected whose heartbeats have reached the suspicion time-out.
 func (v *View) expireMembers(now time.Duration) {
 	for i := len(v.table.entries) - 1; i >= 0; i-- { // from the end, as members are removed on the way
 		e := v.table.entries[i]
@@ -71,12 +76,12 @@
 		case age >= timeout*v.config.SuspicionTimeout/v.config.FailureTimeout:
 			e.transition(now, suspected)
 		default:
-			e.transition(now, alive) // its zone's members agree on it
+			e.transition(now, alive) // also a suspected one, if the members of its zone agree (lastKnownAlive)
 		}
 	}
 }
 
-// departUnreachable has a member depart to which a connection broke, and spreads a tombstone of it.
+// departUnreachable removes a member to which a connection broke, and spreads a tombstone of it.
 func (v *View) departUnreachable(now time.Duration, e *entry) {
 	v.depart(now, e)
 	v.tombstones.add(now, e.Incarnation, tombstoneEntry{heartbeat: e.Heartbeat + v.heartbeatMargin(e), address: e.Address})
@@ -84,8 +89,8 @@
 	v.noteUpdate(now)
 }
 
-// departTimedOut has a member depart whose heartbeat is too old. Others are notified only in a large view, as each finds out by itself
-// otherwise.
+// departTimedOut removes a member whose heartbeat is too old. Peers are notified by a tombstone only if the view is large: in a small one
+// the heartbeat reaches the time-out at all of them.
 func (v *View) departTimedOut(now time.Duration, e *entry) {
 	v.depart(now, e)
 	if e.Zone == v.self.Zone && v.isLarge() {
@@ -93,13 +98,15 @@
 	}
 }
 
-// heartbeatMargin is more than an unreachable member can have raised its heartbeat by, unknown here, before its connection broke:
-// members that know of such a heartbeat take its tombstone too. If it is alive, it raises its heartbeat above that of the tombstone.
+// heartbeatMargin returns the number that is added to the heartbeat in the tombstone of an unreachable member. Between lastSeen and the
+// break of the connection the member may have raised its heartbeat without this process noticing, usually by one in a gossip interval,
+// and peers may know the higher heartbeat. The tombstone is to hold for them, too, so the margin is 8 times that. A member that still
+// runs is not harmed by a large margin: it refutes the tombstone by a heartbeat above it.
 func (v *View) heartbeatMargin(e *entry) uint64 {
-	return uint64(8 * max(e.stateSince-e.lastSeen, 0) / v.config.GossipInterval)
+	return uint64(heartbeatMarginFactor * max(e.stateSince-e.lastSeen, 0) / v.config.GossipInterval)
 }
 
-// lastKnownAlive is when a member was last known to be alive, by its heartbeat or by agreement in its zone.
+// lastKnownAlive returns the time at which a member was last known to be alive, by its heartbeat or by agreement in its zone.
 func (v *View) lastKnownAlive(e *entry) time.Duration {
 	if at, ok := v.agreement.zoneAgreedAt[e.Zone]; ok && e.state != unreachable {
 		return max(e.lastSeen, at)
@@ -107,7 +114,7 @@
 	return e.lastSeen
 }
 
-// failureTimeout is the age of its heartbeat at which a member departs.
+// failureTimeout returns the age of its heartbeat at which a member departs.
 func (v *View) failureTimeout(m *Member) time.Duration {
 	if m.Zone != v.self.Zone && (v.isLarge() || v.agreement.lastAgreed != 0) {
 		return v.config.RemoteFailureTimeout
@@ -118,8 +125,8 @@
 // isLarge reports whether there are more members than two shuffles carry.
 func (v *View) isLarge() bool { return len(v.table.entries) > 2*v.config.MaxMembersPerShuffle }
 
-// restartTimeouts has all timeouts count from now, as this process may have been frozen. The ages that it sends to others stay as they
-// are.
+// restartTimeouts makes all time-outs start anew, as this process may have been frozen. The ages of heartbeats in shuffles are not
+// affected.
 func (v *View) restartTimeouts(now time.Duration) {
 	v.schedule.resumedAt = now
 	for _, e := range v.table.entries {
--- a/internal/mesh/discovery/membership/table.go
+++ b/internal/mesh/discovery/membership/table.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// table holds the entries of a view under each key that they are looked up by.
+// table holds the entries of a view, with an index for each key that they are looked up by.
 type table struct {
 	entries       []*entry // ordered by incarnation
 	byIncarnation map[uint64]*entry
 	byAddress     map[string]*entry
-	hashOrder     []*entry // the entries and the own process, ordered by compareHash
+	hashOrder     []*entry // the entries, and the one of this process, ordered by compareHash
 	arrivals      uint64   // entries ever inserted
 }
 
+// newTable returns an empty table. self is the entry of this process, which is in hashOrder only.
 func newTable(self *entry) table {
 	return table{
 		byIncarnation: map[uint64]*entry{},
--- a/internal/mesh/discovery/membership/tombstone.go
+++ b/internal/mesh/discovery/membership/tombstone.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// replacedHeartbeatMargin is added to the heartbeat in the tombstone of an incarnation that another one replaced at its address, if the
-// latter has sent a message itself: no record of the replaced one that is still under way matters then.
+// replacedHeartbeatMargin is added to the heartbeat in the tombstone of an incarnation that was replaced by another one at its address, if
+// the new one has sent a message itself. The replaced one has certainly ended then, and the tombstone is to hold against all of its
+// records that are still spreading.
 const replacedHeartbeatMargin = 1 << 20
 
-// tombstoneEntry is what a view knows of an incarnation that ended. The member is taken back if a heartbeat above the remembered one is
-// known. One that was replaced comes back only by a message of its own, or with a heartbeat that is new long after.
+// tombstoneEntry is a view's tombstone of one incarnation. A record of the incarnation with a higher heartbeat refutes it. If the
+// incarnation was replaced, that record must come from the incarnation itself, or its heartbeat must be new after FailureTimeout.
 type tombstoneEntry struct {
 	heartbeat  uint64
 	address    string
-	replaced   bool          // by another incarnation at its address
+	replaced   bool          // by another incarnation at the address
 	recordedAt time.Duration // when the heartbeat was last raised
-	transmits  int
+	transmits  int           // how often the tombstone was sent
 }
 
-// tombstoneTable holds the tombstones by incarnation, up to a number of them: the oldest is forgotten first.
+// tombstoneTable holds tombstones by incarnation. Above its capacity the oldest is forgotten.
 type tombstoneTable struct {
 	capacity int
 	entries  map[uint64]tombstoneEntry
@@ -31,27 +32,27 @@
 	return tombstoneTable{capacity: capacity, entries: map[uint64]tombstoneEntry{}}
 }
 
-// add takes a tombstone, or raises the heartbeat of the one that there is.
-func (t *tombstoneTable) add(now time.Duration, incarnation uint64, d tombstoneEntry) {
+// add adds a tombstone, or merges it into the one that the incarnation has: the higher heartbeat counts.
+func (t *tombstoneTable) add(now time.Duration, incarnation uint64, tombstone tombstoneEntry) {
 	old, known := t.entries[incarnation]
 	if !known {
-		d.recordedAt = now
+		tombstone.recordedAt = now
 		t.order = append(t.order, incarnation)
 		if len(t.order) > t.capacity {
 			delete(t.entries, t.order[0])
 			t.order = slices.Delete(t.order, 0, 1)
 		}
-		t.entries[incarnation] = d
+		t.entries[incarnation] = tombstone
 		return
 	}
-	d.transmits = old.transmits
-	d.recordedAt = old.recordedAt
-	if d.heartbeat > old.heartbeat {
-		d.recordedAt = now
+	tombstone.transmits = old.transmits
+	tombstone.recordedAt = old.recordedAt
+	if tombstone.heartbeat > old.heartbeat {
+		tombstone.recordedAt = now
 	}
-	d.heartbeat = max(d.heartbeat, old.heartbeat)
-	d.replaced = d.replaced || old.replaced
-	t.entries[incarnation] = d
+	tombstone.heartbeat = max(tombstone.heartbeat, old.heartbeat)
+	tombstone.replaced = tombstone.replaced || old.replaced
+	t.entries[incarnation] = tombstone
 }
 
 func (t *tombstoneTable) remove(incarnation uint64) {
@@ -61,8 +62,8 @@
 	}
 }
 
-// contradicts reports whether a record of an incarnation is older than its tombstone. direct says that the member itself sent it, and
-// seen when its heartbeat was new.
+// contradicts reports whether a record is to be ignored because of the tombstone of its incarnation. direct means that the member itself
+// has sent the record; seen is when the heartbeat in it was new.
 func (t *tombstoneTable) contradicts(m *Member, seen time.Duration, direct bool, failureTimeout time.Duration) bool {
 	d, ok := t.entries[m.Incarnation]
 	if !ok {
@@ -71,7 +72,7 @@
 	return m.Heartbeat <= d.heartbeat || d.replaced && !direct && seen < d.recordedAt+failureTimeout
 }
 
-// selectTombstones takes those that were sent least for a shuffle. A brief shuffle carries only those that are updates.
+// selectTombstones selects the tombstones for a shuffle, those that were sent least often. A brief shuffle carries only updates.
 func (v *View) selectTombstones(now time.Duration, brief bool) []Tombstone {
 	entries := v.tombstones.entries
 	candidates := slices.DeleteFunc(slices.Clone(v.tombstones.order), func(incarnation uint64) bool {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// mergeTombstone merges a tombstone of a shuffle. It reports whether a member departed for it.
+// mergeTombstone merges a tombstone of a shuffle. It reports whether a member has departed because of it.
 func (v *View) mergeTombstone(now time.Duration, t Tombstone) bool {
 	if t.Incarnation == v.self.Incarnation {
 		v.refuteTombstone(now, t)
@@ -98,7 +99,7 @@
 	}
 	e := v.table.byIncarnation[t.Incarnation]
 	if e != nil && e.Heartbeat > t.Heartbeat {
-		if e.dispute.heartbeat < t.Heartbeat && e.state == alive { // either the tombstone is outdated or the heartbeat is
+		if e.dispute.heartbeat < t.Heartbeat && e.state == alive { // it may have ended all the same, so it is asked
 			e.dispute = dispute{heartbeat: t.Heartbeat, probeDue: true}
 		}
 		return false
@@ -113,7 +114,7 @@
 	return true
 }
 
-// refuteTombstone raises the own heartbeat above that of a tombstone of this process.
+// refuteTombstone raises the heartbeat of this process above that of a tombstone of it.
 func (v *View) refuteTombstone(now time.Duration, t Tombstone) {
 	if v.self.Heartbeat <= t.Heartbeat {
 		v.self.Heartbeat = t.Heartbeat + 1
@@ -121,8 +122,8 @@
 	}
 }
 
-// reportReappeared notifies the sender of a shuffle if a tombstone of it still holds: it raises its heartbeat above that. reply is nil if
-// there is none, and the next shuffle carries the tombstone then.
+// reportReappeared notifies the sender of a shuffle of its own tombstone if that keeps it out of the view, so that it raises its heartbeat.
+// The reply carries the tombstone, or the next shuffle if reply is nil.
 func (v *View) reportReappeared(sender *Member, reply *Shuffle) {
 	d, ok := v.tombstones.entries[sender.Incarnation]
 	if !ok || v.table.byIncarnation[sender.Incarnation] != nil {
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// maxRegions bounds the zones whose region is remembered, as their names come from messages.
+// maxRegions bounds the number of zones whose regions are remembered, as the names come from messages.
 const maxRegions = 1024
 
-// View is what one process knows of the other members. Make one with New.
+// View is one process's view of the members. New makes one.
 type View struct {
 	config     Config
 	rng        *rand.Rand
@@ -21,15 +21,15 @@
 	departed   departedList
 	schedule   schedule
 	agreement  agreement
-	eligible   []*entry          // see eligibleOwners; nil when it is to be worked out anew
-	reappeared []Tombstone       // of members that sent a message after their end was reported, for the next shuffle
+	eligible   []*entry          // cache of eligibleOwners; nil if it has to be computed anew
+	reappeared []Tombstone       // for the next shuffle, see reportReappeared
 	regions    map[string]string // by zone, also of zones without members
 
 	seeds          []string // addresses
-	seedsContacted bool     // all of them, once
+	seedsContacted bool     // all of them have been sent a shuffle since they last changed
 }
 
-// New makes the view of a process that knows nobody. The view draws from rng in the order of its calls.
+// New returns the view of a process that knows no other. The view draws random numbers from rng, in the order of the calls on it.
 func New(self Member, config Config, rng *rand.Rand) *View {
 	self.Heartbeat = max(self.Heartbeat, 1)
 	config = config.WithDefaults()
@@ -48,7 +48,7 @@
 	return v
 }
 
-// SetRegion says which region a zone is in.
+// SetRegion sets the region of a zone.
 func (v *View) SetRegion(zone, region string) {
 	if len(v.regions) < maxRegions && region != "" {
 		v.regions[zone] = region
@@ -58,7 +58,7 @@
 // Self returns the record of this process as it is sent to others.
 func (v *View) Self() Member { return v.self }
 
-// SetSeeds gives the addresses of the seeds as the settings have them now. All of them are asked once when they change.
+// SetSeeds replaces the addresses of the seeds. After a change the next regular shuffle goes to all of them.
 func (v *View) SetSeeds(_ time.Duration, addresses []string) {
 	if slices.Equal(v.seeds, addresses) {
 		return
@@ -67,7 +67,7 @@
 	v.seedsContacted = false
 }
 
-// Members returns the members that haven't departed, this process among them, ordered by address.
+// Members returns the members that haven't departed, including this process, ordered by address.
 func (v *View) Members() []Member {
 	all := make([]Member, 0, 1+len(v.table.entries))
 	all = append(all, v.self)
@@ -80,8 +80,8 @@
 	return all
 }
 
-// MemberAt returns the member at an IP address: a sidecar before others, of several the one that arrived last. It reports false if none
-// is known there.
+// MemberAt returns the member at an IP address: a sidecar before a core process, and of several the one that arrived last. It reports
+// false if none is known there.
 func (v *View) MemberAt(ip string) (Member, bool) {
 	isSelf := host(v.self.Address) == ip
 	if isSelf && v.self.Role == RoleAccess {
@@ -99,12 +99,12 @@
 	return best.Member, true
 }
 
-// preferAtAddress reports whether of two members at an address MemberAt returns the first.
+// preferAtAddress reports whether MemberAt prefers a member to another one at the same IP address.
 func preferAtAddress(e, other *entry) bool {
 	return cmp.Or(cmp.Compare(other.Role, e.Role), cmp.Compare(e.arrivalOrder, other.arrivalOrder)) > 0
 }
 
-// host is the part of an address before its port.
+// host returns the part of an address before the port.
 func host(address string) string {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -113,23 +113,23 @@
 	return h
 }
 
-// Zones returns the zones that have members, in order.
+// Zones returns the zones that have members, sorted.
 func (v *View) Zones() []string {
 	v.refreshAgreement()
 	return slices.Clone(v.agreement.zones)
 }
 
-// ChangeCount rises with each arrival, each departure and each change of a record, so that what rests on the members need not be worked
-// out again while it stays.
+// ChangeCount returns the number of arrivals, departures and changes of records so far. What a caller has computed from the members is
+// valid as long as it stays the same.
 func (v *View) ChangeCount() uint64 { return v.agreement.changeCount }
 
-// remove takes a member out of the view. Its address isn't tried again, unlike after depart.
+// remove removes a member from the view. Unlike after depart, its address isn't tried again.
 func (v *View) remove(e *entry) {
 	v.table.remove(e)
 	v.invalidate()
 }
 
-// invalidate has what depends on the members worked out anew.
+// invalidate discards everything that was computed from the set of members.
 func (v *View) invalidate() {
 	v.eligible = nil
 	v.agreement.current = false
--- a/internal/mesh/discovery/membership/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -18,12 +18,12 @@
 	return Member{Incarnation: incarnation, Address: address, Zone: zone, Region: "r", Heartbeat: heartbeat}
 }
 
-// newView is the view of incarnation 1000 in zone z, which knows nobody.
+// newView returns the view of incarnation 1000 in zone z, which knows no other member.
 func newView() *View {
 	return New(newMember(1000, "10.0.0.1:1", "z", 1), Config{}, rand.New(rand.NewPCG(1, 2)))
 }
 
-// knownIncarnations are those known besides the own one.
+// knownIncarnations returns the incarnations of the members of a view, sorted, without its own.
 func knownIncarnations(v *View) []uint64 {
 	var known []uint64
 	for _, m := range v.Members() {
@@ -35,23 +35,24 @@
 	return known
 }
 
-// shuffleFrom is a reply of a member, with tombstones.
+// shuffleFrom returns a reply of a member, with tombstones.
 func shuffleFrom(m Member, tombstones ...Tombstone) *Shuffle {
 	return &Shuffle{From: m, Tombstones: tombstones, Reply: true}
 }
 
-// shuffleOf is a reply of incarnation 1 with other members.
+// shuffleOf returns a reply of incarnation 1, with other members.
 func shuffleOf(members ...Member) *Shuffle {
 	return &Shuffle{From: newMember(1, "10.0.0.2:1", "z", 1), Members: members, Reply: true}
 }
 
+// aged returns a member with a heartbeat of an age.
 func aged(m Member, age time.Duration) Member {
 	m.HeartbeatAge = age
 	return m
 }
 
-// A process restarts at its address. In all orders of the messages about its two incarnations, with any one message twice, the new one is
-// known in the end and the old one isn't, and an incarnation that was replaced doesn't come back by what others learned.
+// A process restarts at its address. The messages about its two incarnations arrive in all orders, and in all orders with one of them
+// twice. In the end the view holds the new incarnation and not the old one, and the old one doesn't come back once it was replaced.
 func TestRestartInAllOrders(t *testing.T) {
 	const address = "10.0.0.9:1"
 	messages := []*Shuffle{
@@ -71,7 +72,7 @@
 	})
 }
 
-// checkRestart has a view receive messages in an order: incarnation 8 replaces 7, for good.
+// checkRestart passes messages to a view in one order, and checks that incarnation 8 replaces incarnation 7 for good.
 func checkRestart(t *testing.T, messages []*Shuffle, order []int) {
 	t.Helper()
 	v := newView()
@@ -87,7 +88,7 @@
 	qt.Assert(t, knownIncarnations(v), qt.DeepEquals, []uint64{1, 8}, qt.Commentf("order %v", order))
 }
 
-// forEachOrder calls f with each order of the numbers below n.
+// forEachOrder calls f with each permutation of the numbers below n.
 func forEachOrder(n int, f func(order []int)) {
 	var extend func(order []int)
 	extend = func(order []int) {
@@ -104,8 +105,8 @@
 	extend(nil)
 }
 
-// Ages say nothing of the time on the way: an incarnation that just ended may seem a little newer than the one after it. And should it
-// ever have been taken for the newer one, the other's heartbeats put that right.
+// Ages lack the time that messages take, so that an incarnation that has just ended may seem a little newer than the next one. Should a
+// view have taken it for the newer one, later heartbeats of the other correct that.
 func TestEndedIncarnationSeemsNewer(t *testing.T) {
 	c := qt.New(t)
 	const address = "10.0.0.9:1"
@@ -142,35 +143,35 @@
 
 func TestUnreachableUntilItsHeartbeatAdvances(t *testing.T) {
 	c := qt.New(t)
-	v := newView()
+	view := newView()
 	for i := range uint64(3) {
-		v.Receive(0, shuffleFrom(newMember(i+1, fmt.Sprintf("10.0.0.%d:1", i+2), "z", 1)))
+		view.Receive(0, shuffleFrom(newMember(i+1, fmt.Sprintf("10.0.0.%d:1", i+2), "z", 1)))
 	}
-	v.Tick(0)
-	v.ConnectionLost(0, "10.0.0.2:1")
-	v.ConnectionLost(0, "10.0.0.3:1")
-	to, s := v.Tick(100 * ms)
+	view.Tick(0)
+	view.ConnectionLost(0, "10.0.0.2:1")
+	view.ConnectionLost(0, "10.0.0.3:1")
+	to, s := view.Tick(100 * ms)
 	c.Assert(to, qt.DeepEquals, []string{"10.0.0.2:1", "10.0.0.3:1"}, qt.Commentf("asked before its turn"))
 	c.Assert(s.Members, qt.HasLen, 3)
-	v.Receive(time.Second, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
-	v.Tick(1900 * ms)
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 2, 3})
-	v.Tick(2 * time.Second)
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{2, 3})
-	_, s = v.Tick(2600 * ms) // a regular shuffle is due by then
+	view.Receive(time.Second, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
+	view.Tick(1900 * ms)
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 2, 3})
+	view.Tick(2 * time.Second)
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{2, 3})
+	_, s = view.Tick(2600 * ms) // a regular shuffle is due by then
 	c.Assert(s.Tombstones, qt.DeepEquals, []Tombstone{{1, "10.0.0.2:1", 1}})
 	for now := 2600 * ms; now < 10900*ms; now += 100 * ms {
-		v.Tick(now)
+		view.Tick(now)
 		if now == 4*time.Second {
-			v.Receive(now, shuffleOf(aged(newMember(3, "10.0.0.4:1", "z", 2), 3*time.Second))) // its heartbeat is as old as that
+			view.Receive(now, shuffleOf(aged(newMember(3, "10.0.0.4:1", "z", 2), 3*time.Second))) // its heartbeat is as old as that
 		}
 	}
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{2, 3})
-	v.Tick(11 * time.Second)
-	c.Assert(knownIncarnations(v), qt.HasLen, 0)
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{2, 3})
+	view.Tick(11 * time.Second)
+	c.Assert(knownIncarnations(view), qt.HasLen, 0)
 }
 
-// A process that was frozen has nobody depart because of that, and sends no old heartbeats as new ones.
+// After a freeze of its process no member departs because of the freeze, and the heartbeats that the process sends have their real ages.
 func TestFrozenProcessWakes(t *testing.T) {
 	c := qt.New(t)
 	v := newView()
@@ -190,26 +191,26 @@
 
 func TestRegistryOwnersMoveLittle(t *testing.T) {
 	c := qt.New(t)
-	v := newView()
+	view := newView()
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 30 {
 		zone := []string{"y", "w"}[i%2]
-		v.Receive(0, shuffleFrom(newMember(rng.Uint64(), fmt.Sprintf("10.0.1.%d:1", i), zone, 1)))
+		view.Receive(0, shuffleFrom(newMember(rng.Uint64(), fmt.Sprintf("10.0.1.%d:1", i), zone, 1)))
 	}
-	before := v.RegistryOwners("s", "y", 3)
+	before := view.RegistryOwners("s", "y", 3)
 	c.Assert(before, qt.HasLen, 3)
-	v.Receive(0, shuffleFrom(before[2], Tombstone{before[0].Incarnation, before[0].Address, 1}))
-	after := v.RegistryOwners("s", "y", 3)
+	view.Receive(0, shuffleFrom(before[2], Tombstone{before[0].Incarnation, before[0].Address, 1}))
+	after := view.RegistryOwners("s", "y", 3)
 	c.Assert(after[:2], qt.DeepEquals, before[1:])
 	for _, m := range after {
 		c.Assert(m.Zone, qt.Equals, "y")
 	}
-	v.SetRegion("empty", "r")
-	c.Assert(v.RegistryOwners("s", "empty", 2), qt.HasLen, 2)
-	c.Assert(v.RegistryOwners("s", "unknown", 2), qt.HasLen, 2)
-	c.Assert(v.Zones(), qt.DeepEquals, []string{"w", "y", "z"})
-	m, ok := v.MemberAt("10.0.1.3")
+	view.SetRegion("empty", "r")
+	c.Assert(view.RegistryOwners("s", "empty", 2), qt.HasLen, 2)
+	c.Assert(view.RegistryOwners("s", "unknown", 2), qt.HasLen, 2)
+	c.Assert(view.Zones(), qt.DeepEquals, []string{"w", "y", "z"})
+	m, ok := view.MemberAt("10.0.1.3")
 	c.Assert(ok && m.Address == "10.0.1.3:1", qt.IsTrue)
-	_, ok = v.MemberAt("10.0.7.3")
+	_, ok = view.MemberAt("10.0.7.3")
 	c.Assert(ok, qt.IsFalse)
 }
