--- a/internal/standalone/attempt.go
+++ b/internal/standalone/attempt.go
@@ -9,20 +9,20 @@
 	"quincegap/internal/network/exchange"
 )
 
-// attempt is one sending of a request to an endpoint.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	exchange.Attempt
 	request     *request
 	number      int // from 0, within its request
 	cancel      context.CancelFunc
 	transport   exchange.Transport
-	conn        exchange.Conn
-	holdsConn   bool            // conn was acquired, which may be nil all the same
-	gate        *durabilityGate // what it waits for before it goes out; nil for nothing
-	notRecorded bool            // it did not go out, for it could not be remembered
+	conn        exchange.Conn   // nil also where the transport has its own connections
+	holdsConn   bool            // conn was acquired and has to be released
+	gate        *durabilityGate // the record that has to be on the disk before the attempt is sent; nil for none
+	notRecorded bool            // it was not sent because it could not be recorded
 }
 
-// newAttempt prepares the next attempt of a request; a timeout of 0 leaves it the request's deadline.
+// newAttempt prepares the next attempt of a request. A timeout of 0 means the deadline of the request.
 func newAttempt(r *request, e *exchange.Endpoint, timeout time.Duration, bodies *exchange.Budget) *attempt {
 	a := &attempt{request: r, number: r.attempts}
 	a.Request = &r.Inbound
@@ -37,15 +37,15 @@
 	return a
 }
 
-// dispatch makes an attempt by a transport, or by the fallback where that has no connection to give.
-func (l *loop) dispatch(a *attempt, by exchange.Transport) {
-	conn, ok := by.Acquire(a.Endpoint, a.Sent)
-	if !ok && by != l.transports.fallback {
+// dispatch sends an attempt by a transport, or by the fallback if the transport has no connection available.
+func (l *loop) dispatch(a *attempt, transport exchange.Transport) {
+	conn, ok := transport.Acquire(a.Endpoint, a.Sent)
+	if !ok && transport != l.transports.fallback {
 		l.transports.tracker.RecordInconclusive(a.Endpoint.Address)
-		by = l.transports.fallback
-		conn, ok = by.Acquire(a.Endpoint, a.Sent)
+		transport = l.transports.fallback
+		conn, ok = transport.Acquire(a.Endpoint, a.Sent)
 	}
-	a.transport = by
+	a.transport = transport
 	a.conn = conn
 	a.holdsConn = ok
 	go func() {
@@ -54,7 +54,7 @@
 	}()
 }
 
-// run makes the attempt when it may go out, and returns when it has ended. It runs in a goroutine of its own.
+// run sends the attempt once its record is durable, and returns when it has ended. It runs in its own goroutine.
 func (a *attempt) run() exchange.Result {
 	if !a.holdsConn {
 		return exchange.Result{Status: balancer.StatusNotSent}
@@ -64,53 +64,54 @@
 		return exchange.Result{Status: balancer.StatusNotSent, Conn: a.conn}
 	}
 	if a.gate != nil {
-		a.Sent = time.Now() // the disk's time is not the endpoint's
+		a.Sent = time.Now() // the time that the disk took must not count as the endpoint's latency
 	}
 	return a.transport.Run(&a.Attempt, a.conn)
 }
 
-// handleAttemptEnd takes how an attempt ended; its connection is closed, or fit for another one.
-func (l *loop) handleAttemptEnd(a *attempt, result exchange.Result) {
-	r := a.request
-	if a.holdsConn {
-		a.transport.Release(a.Endpoint, a.conn, result.Conn)
+// handleAttemptEnd handles the result of an attempt: it releases the connection, delivers a response to the caller and reports the
+// outcome to the Balancer, or sends the attempt again by the fallback transport.
+func (l *loop) handleAttemptEnd(ended *attempt, result exchange.Result) {
+	req := ended.request
+	if ended.holdsConn {
+		ended.transport.Release(ended.Endpoint, ended.conn, result.Conn)
 	}
-	if next := l.transports.fallbackAfter(l.now(), a, result); next != nil {
-		l.dispatch(a, next)
+	if next := l.transports.fallbackAfter(l.now(), ended, result); next != nil {
+		l.dispatch(ended, next)
 		return
 	}
-	a.cancel()
-	r.inFlight = nil
-	l.recordLatency(a, result)
+	ended.cancel()
+	req.inFlight = nil
+	l.recordLatency(ended, result)
 	outcome := balancer.Outcome{
-		ID: r.ID, Endpoint: a.Endpoint.ID, Attempt: a.number, Final: r.answered,
+		ID: req.ID, Endpoint: ended.Endpoint.ID, Attempt: ended.number, Final: req.answered,
 		Elapsed: result.Elapsed, Status: result.Status, Load: result.Load,
 	}
-	if l.memory != nil && l.recordOutcome(a, result.Status) {
+	if l.memory != nil && l.recordOutcome(ended, result.Status) {
 		outcome.Final = true
 	}
-	if r.route != nil && !outcome.Final && result.Status != balancer.StatusOK {
-		outcome.NoRetry, outcome.Backoff = r.planRetry(result.Status)
+	if req.route != nil && !outcome.Final && result.Status != balancer.StatusOK {
+		outcome.NoRetry, outcome.Backoff = req.planRetry(result.Status)
 	}
-	if result.Status == balancer.StatusOK && !r.answered {
+	if result.Status == balancer.StatusOK && !req.answered {
 		outcome.Final = true
-		if r.route != nil {
-			r.route.Answered()
+		if req.route != nil {
+			req.route.Answered()
 		}
-		l.deliver(r, answer{response: result.Response})
-		l.cancelOther(r)
+		l.deliver(req, answer{response: result.Response})
+		l.cancelOther(req)
 	} else {
 		l.releaseResponse(result.Response)
 	}
 	l.balancer.HandleOutcome(l.now(), outcome)
-	l.forget(r)
+	l.forget(req)
 	if result.Status == balancer.StatusConnectFailed && l.merger.HasUnconfirmed() {
-		l.applyEndpoints(l.merger.HandleConnectFailure(l.now(), a.Endpoint.UID))
+		l.applyEndpoints(l.merger.HandleConnectFailure(l.now(), ended.Endpoint.UID))
 	}
 }
 
-// recordOutcome remembers how an attempt ended, and reports whether that ended its request: one that could not be remembered
-// beforehand did not go out, and its caller gets the rejection.
+// recordOutcome records the outcome of an attempt, and reports whether that is final for its request: an attempt whose record could
+// not be written was not sent, and the caller is answered at once.
 func (l *loop) recordOutcome(a *attempt, status balancer.Status) (final bool) {
 	r := a.request
 	mayRun := l.memory.endAttempt(l.now(), a, status, status == balancer.StatusOK && !r.answered)
@@ -121,7 +122,7 @@
 	return true
 }
 
-// planRetry asks the request's route whether it may be sent again after an attempt ended so, and after what pause.
+// planRetry decides by the request's route whether it may be retried after an attempt with a status, and after which backoff.
 func (r *request) planRetry(status balancer.Status) (noRetry bool, backoff time.Duration) {
 	if r.route.Settings.AllowsRetry(status) {
 		r.retryReserved = r.retryReserved || r.route.TakeRetry()
--- a/internal/standalone/backlog.go
+++ b/internal/standalone/backlog.go
@@ -3,26 +3,26 @@
 import "log"
 
 const (
-	// maxChunkEntries is how many entries of a list the loop takes in at once: about a millisecond's work. A complete list of
-	// 10,000 others held every request up for 40 ms.
+	// maxChunkEntries is how many entries of a list the loop applies at once, which takes about a millisecond. Without chunks a
+	// complete list of 10,000 new endpoints delayed every request by 40 ms.
 	maxChunkEntries = 500
-	// maxBacklogSteps bounds the chunks that wait. Discovery that sends long lists without a pause is waited for then.
+	// maxBacklogSteps bounds the chunks that wait. Beyond it all of them are applied before other events, which slows discovery down.
 	maxBacklogSteps = 200
 )
 
-// backlog holds what is to be done in turn with other events, in order. The loop owns it.
+// backlog is a queue of steps that the loop runs one by one, with other events in between. The loop owns it.
 type backlog struct {
-	steps []func()
+	steps []func() // the oldest first
 }
 
-// closedChannel is always ready.
+// closedChannel is always ready to receive from.
 var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// ready gives a channel that is ready while something waits.
+// ready returns a channel that can be received from while a step waits; nil, which blocks, while none does.
 func (b *backlog) ready() <-chan struct{} {
 	if len(b.steps) == 0 {
 		return nil
@@ -30,10 +30,10 @@
 	return closedChannel
 }
 
-// next does what has waited longest.
+// next runs the oldest step.
 func (b *backlog) next() {
 	first := b.steps[0]
-	b.steps[0] = nil // so that it can be collected
+	b.steps[0] = nil // so that it can be garbage collected
 	b.steps = b.steps[1:]
 	if len(b.steps) == 0 {
 		b.steps = nil
@@ -41,7 +41,7 @@
 	first()
 }
 
-// add has something done after all that waits: now if nothing does and it is all there is.
+// add appends steps. A single step runs at once if none waits.
 func (b *backlog) add(steps ...func()) {
 	if len(b.steps) == 0 && len(steps) == 1 {
 		steps[0]()
--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -42,31 +42,31 @@
 // later list after it.
 func TestLongListIsAppliedInChunks(t *testing.T) {
 	const n = 3 * maxChunkEntries
-	l := fleetLoop(t, n)
-	if len(l.endpoints.byID) != n || l.backlog.ready() != nil {
-		t.Fatalf("%d endpoints at first", len(l.endpoints.byID))
+	loop := fleetLoop(t, n)
+	if len(loop.endpoints.byID) != n || loop.backlog.ready() != nil {
+		t.Fatalf("%d endpoints at first", len(loop.endpoints.byID))
 	}
 	next := fleetList(2, n/2, n) // half of them gone, and as many new
 	next.Targets[0].State = "Terminating"
-	l.handleList(next, endpointsource.FromWatch)
-	l.handleList(endpointList{Rev: 3, Targets: []listedEndpoint{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
-	if l.backlog.ready() == nil {
+	loop.handleList(next, endpointsource.FromWatch)
+	loop.handleList(endpointList{Rev: 3, Targets: []listedEndpoint{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
+	if loop.backlog.ready() == nil {
 		t.Fatal("the list was applied at once")
 	}
 	urgent := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // chunks of what drains, and of what is missing
 	for range urgent {
-		l.backlog.next()
+		loop.backlog.next()
 	}
-	if got := len(l.endpoints.byID); got != n/2 {
+	if got := len(loop.endpoints.byID); got != n/2 {
 		t.Errorf("%d are left after the urgent chunks, should be %d", got, n/2)
 	}
-	if e := l.endpoints.byID[balancer.EndpointID(n/2+1)]; e == nil || e.Open.Load() {
+	if e := loop.endpoints.byID[balancer.EndpointID(n/2+1)]; e == nil || e.Open.Load() {
 		t.Error("one that drains is open")
 	}
-	for l.backlog.ready() != nil {
-		l.backlog.next()
+	for loop.backlog.ready() != nil {
+		loop.backlog.next()
 	}
-	if got := len(l.endpoints.byID); got != n-1 {
+	if got := len(loop.endpoints.byID); got != n-1 {
 		t.Errorf("%d in the end, should be %d", got, n-1)
 	}
 }
--- a/internal/standalone/client_test.go
+++ b/internal/standalone/client_test.go
@@ -33,21 +33,21 @@
 		method = http.MethodGet
 	}
 	_, base := s.client()
-	r, err := http.NewRequestWithContext(s.t.Context(), method, base+"/api?x=1&y=%2F", nil)
+	req, err := http.NewRequestWithContext(s.t.Context(), method, base+"/api?x=1&y=%2F", nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	if method == http.MethodPost {
-		r.Body = io.NopCloser(strings.NewReader("trip"))
-		r.ContentLength = 4
+		req.Body = io.NopCloser(strings.NewReader("trip"))
+		req.ContentLength = 4
 	}
-	r.Header.Set("X-Txn", fmt.Sprintf("txn%d", s.txn.Add(1)))
-	r.Header.Set("X-Lane", class)
-	r.Header.Set("X-Remaining", fmt.Sprintf("%dm", timeLeft.Milliseconds()))
+	req.Header.Set("X-Txn", fmt.Sprintf("txn%d", s.txn.Add(1)))
+	req.Header.Set("X-Lane", class)
+	req.Header.Set("X-Remaining", fmt.Sprintf("%dm", timeLeft.Milliseconds()))
 	if class == "book" {
-		r.Header.Set("Idempotency-Key", "k1")
+		req.Header.Set("Idempotency-Key", "k1")
 	}
-	return r
+	return req
 }
 
 // reply is an answer whose body was read to its end.
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -16,58 +16,66 @@
 
 // Config is the configuration of a sidecar, as LoadConfig and LoadWith read it.
 type Config struct {
-	Name      string       // of this sidecar, in logs and among others
-	Listen    string       // host:port of HTTP/1.1
-	Discovery string       // host:port; empty where Consul is all there is
+	Name      string       // of this sidecar, in logs and among its peers
+	Listen    string       // host:port of the front for HTTP/1.1
+	Discovery string       // host:port of the discovery server; empty if Consul is the only source
 	Seed      uint64       // of the Balancer's random draws
 	Limits    Limits       // of the machine
-	Known     endpointList // the endpoints as this sidecar last had them; may be old
+	Known     endpointList // the last known endpoints, by the platform; may be out of date
 	Settings  settings.Settings
 
-	tuning *tuning      // what the product's file may set, or its defaults
+	tuning *tuning      // the settings of the product's file, or their defaults
 	token  string       // for discovery; never logged
 	file   *schema.File // the product's file; nil without one
 
-	consulOnly  bool // there is no discovery: all endpoints are in Consul
-	hasPlatform bool // a platform says what appfile.PlatformTables has
+	consulOnly  bool // there is no discovery: Consul has all endpoints
+	hasPlatform bool // a platform's file has the settings of appfile.PlatformTables
 
-	follower  Follower    // a source of endpoints beside discovery; nil for none
-	admin     Admin       // nil for none
-	openPeers PeersOpener // nil where this sidecar looks for no others
+	follower  Follower    // follows a source of endpoints beside discovery; nil for none
+	admin     Admin       // serves the admin pages; nil for none
+	openPeers PeersOpener // nil if this sidecar joins no group
 
-	peerAddresses []string // that a platform names, one for each sidecar
+	peerAddresses []string // of the sidecars that a platform names
 
-	storeFS store.FS // where memory is kept, in place of memory.memory_dir; nil for that
+	storeFS store.FS // the disk of the memory in tests; nil for memory.memory_dir
 
-	getenv  func(string) string // where it was loaded from:
+	// The sources that a reload reads again.
+	getenv  func(string) string
 	product Product
 }
 
-// Product is what the wiring knows of the product's file. Without one, all are nil.
+// Product is how the product's file is read, and what is built from it. Without such a file all fields are nil.
 type Product struct {
 	// Load reads and checks the file.
 	Load func() (*schema.File, error)
-	// Resolve finds a path that the file names.
+	// Resolve returns the path of a file that the settings name, relative to the file.
 	Resolve func(path string) string
-	// Follow gives the source that the file asks for; nil for none.
+	// Follow returns the follower that the file configures; nil for none.
 	Follow func(*schema.File) (Follower, error)
-	// Admin serves the view that the file asks for; nil for none.
+	// Admin returns the admin server that the file configures; nil for none.
 	Admin func(f *schema.File, name string) Admin
-	// OpenPeers opens the view of the others that the file asks for; nil for none.
+	// OpenPeers returns the opener for the group that the file configures; nil for none.
 	OpenPeers func(f *schema.File) (PeersOpener, error)
 }
 
-// Admin serves a view for people until stop is called: of the endpoints, and of the other sidecars.
-type Admin func(view func() (source string, rows []endpointsource.Row, ok bool), others func(all bool) (peers.FleetReport, bool)) (stop func(), err error)
+// Admin serves the admin pages, which show the endpoints and the group of sidecars, until stop is called.
+type Admin func(endpoints EndpointView, fleet FleetView) (stop func(), err error)
 
-// Limits are those of the machine the sidecar runs on.
+// EndpointView returns the mode of the endpoint sources and all endpoints; false if they are not available in time.
+type EndpointView = func() (source string, rows []endpointsource.Row, ok bool)
+
+// FleetView returns what this sidecar knows of its group and, if all is set, what all sidecars of the group report; false if there
+// is no group.
+type FleetView = func(all bool) (peers.FleetReport, bool)
+
+// Limits are the resources of the machine that the sidecar may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"` // in MiB
 	Sockets  int     `json:"sockets"`
 }
 
-// check names the first value that a sidecar cannot run with.
+// check returns an error that names the first value that a sidecar cannot run with.
 func (c *Config) check() error {
 	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if name == "discovery" && c.consulOnly {
@@ -92,14 +100,14 @@
 	return nil
 }
 
-// Idle connections to endpoints are kept for idleTimeoutShare of what the platform configures, or for
-// defaultIdleTimeout: a request that is written while the endpoint closes its connection would be lost as a reset.
+// Idle connections to endpoints are closed after idleTimeoutShare of the endpoint's own timeout, which the platform configures, or
+// after defaultIdleTimeout. A request that is written while the endpoint closes the connection would end in a reset.
 const (
 	idleTimeoutShare   = 0.5
 	defaultIdleTimeout = 10 * time.Second
 )
 
-// idleTimeout is how long an idle connection to an endpoint is kept.
+// idleTimeout is how long an idle connection to an endpoint is kept open.
 func (c *Config) idleTimeout(t *tuning) time.Duration {
 	switch idle := c.Settings.ConnIdle; {
 	case t.endpoints.KeepIdle > 0:
--- a/internal/standalone/config_platform.go
+++ b/internal/standalone/config_platform.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/config/settings"
 )
 
-// loadPlatform reads the configuration that the platform gives.
+// loadPlatform reads the platform's configuration file. Its errors name the variable or the file.
 func loadPlatform(getenv func(string) string, useEnvDiscovery bool) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -28,7 +28,7 @@
 	return c, nil
 }
 
-// CheckPlatform returns why a sidecar would not run with a platform's configuration, nil if it would.
+// CheckPlatform returns the first fault of a platform's configuration, with which a sidecar would not start; nil for none.
 func CheckPlatform(text []byte) error {
 	c, err := parsePlatform(text, func(string) string { return "" }, false)
 	if err == nil {
@@ -37,7 +37,7 @@
 	return err
 }
 
-// platformFile is the platform's file, in JSON. Its keys are data.
+// platformFile is the platform's configuration file, in JSON. The platform defines its keys.
 type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -48,16 +48,16 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// parsePlatform reads the platform's file and what of the environment wins over it. Its errors name the field.
+// parsePlatform parses the platform's file and applies the environment variables that override it. Its errors name the field.
 func parsePlatform(text []byte, getenv func(string) string, useEnvDiscovery bool) (*Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
-	fromEnv := map[string]*string{envName: &c.Name, envListen: &c.Listen}
+	config := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
+	fromEnv := map[string]*string{envName: &config.Name, envListen: &config.Listen}
 	if useEnvDiscovery {
-		fromEnv[envDiscovery] = &c.Discovery
+		fromEnv[envDiscovery] = &config.Discovery
 	}
 	for variable, value := range fromEnv {
 		if v := getenv(variable); v != "" {
@@ -65,20 +65,20 @@
 		}
 	}
 	if file.Known != nil {
-		c.Known = *file.Known
+		config.Known = *file.Known
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", file.Seed)
 	}
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, _, err = settings.Parse(file.Settings); err != nil {
+	if config.Settings, _, err = settings.Parse(file.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := c.check(); err != nil {
+	if err := config.check(); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/standalone/config_product.go
+++ b/internal/standalone/config_product.go
@@ -12,44 +12,44 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The settings that only a platform has, where there is none.
+// The values, without a platform, of settings that only a platform's file has.
 const (
 	// standaloneGrace is how long after the client's deadline an answer still counts.
 	standaloneGrace = 20 * time.Millisecond
 	// standaloneQuantum is the smallest time between two runs of the Balancer's decisions.
 	standaloneQuantum = 5 * time.Millisecond
-	// standaloneTotalValueWeight weighs all that is served against the worst-served class.
+	// standaloneTotalValueWeight is the weight of the total value served, against that of the worst-served class.
 	standaloneTotalValueWeight = 0.9
 )
 
-// fromProductFile is the configuration that the product's file gives where there is no platform.
-func fromProductFile(f *schema.File) (*Config, error) {
-	sidecar := appfile.SidecarTable.In(f)
-	limits := appfile.LimitsTable.In(f)
-	discovery := appfile.DiscoveryTable.In(f)
-	c := &Config{
+// fromProductFile returns the configuration that the product's file has, without a platform.
+func fromProductFile(file *schema.File) (*Config, error) {
+	sidecar := appfile.SidecarTable.In(file)
+	limits := appfile.LimitsTable.In(file)
+	discovery := appfile.DiscoveryTable.In(file)
+	config := &Config{
 		Name:       cmp.Or(sidecar.Instance, sidecar.Application),
 		Listen:     sidecar.Listen,
 		Discovery:  discovery.Address,
 		Limits:     Limits{Cores: limits.Cores, MemoryMB: limits.Memory >> 20, Sockets: limits.Sockets},
 		Seed:       rand.Uint64(),
-		consulOnly: discovery.Address == "" && endpointsource.SettingsTable.In(f).Mode == endpointsource.ModeConsul,
+		consulOnly: discovery.Address == "" && endpointsource.SettingsTable.In(file).Mode == endpointsource.ModeConsul,
 	}
 	if sidecar.Seed != "" {
-		c.Seed, _ = strconv.ParseUint(sidecar.Seed, 16, 64) // its form was checked
+		config.Seed, _ = strconv.ParseUint(sidecar.Seed, 16, 64) // its form was checked
 	}
-	c.Settings.GraceToAnswer = standaloneGrace
-	c.Settings.Settings = balancerSettings(f)
-	return c, c.check()
+	config.Settings.GraceToAnswer = standaloneGrace
+	config.Settings.Settings = balancerSettings(file)
+	return config, config.check()
 }
 
-// balancerSettings are the Balancer's as the product's file has them.
-func balancerSettings(f *schema.File) balancer.Settings {
-	sidecar := appfile.SidecarTable.In(f)
-	discovery := appfile.DiscoveryTable.In(f)
-	attempts := appfile.AttemptsTable.In(f)
-	warmup := appfile.SlowStartTable.In(f)
-	s := balancer.Settings{
+// balancerSettings returns the Balancer's settings that the product's file has.
+func balancerSettings(file *schema.File) balancer.Settings {
+	sidecar := appfile.SidecarTable.In(file)
+	discovery := appfile.DiscoveryTable.In(file)
+	attempts := appfile.AttemptsTable.In(file)
+	warmup := appfile.SlowStartTable.In(file)
+	settings := balancer.Settings{
 		Instances:           sidecar.Instances,
 		Ordinal:             sidecar.Ordinal,
 		Tiers:               1,
@@ -69,11 +69,11 @@
 		OverloadMultiple:    warmup.OverloadMultiple,
 		OverloadDuration:    warmup.OverloadDuration,
 	}
-	if len(appfile.CallsTable.All(f)) > 0 {
-		s.Tiers = 2 // a call may wait at the applications behind this one too
+	if len(appfile.CallsTable.All(file)) > 0 {
+		settings.Tiers = 2 // a call may also wait in the queues of the applications behind this one
 	}
-	for _, v := range appfile.ClassTable.All(f) {
-		s.Classes = append(s.Classes, balancer.Class{
+	for _, v := range appfile.ClassTable.All(file) {
+		settings.Classes = append(settings.Classes, balancer.Class{
 			Name:           v.Name,
 			LatencyTarget:  v.Value.LatencyTarget,
 			Deadline:       v.Value.Deadline,
@@ -84,8 +84,8 @@
 			KeyWindow:      v.Value.KeyWindow,
 		})
 	}
-	for _, v := range appfile.TenantTable.All(f) {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.QuotaPerSecond})
+	for _, v := range appfile.TenantTable.All(file) {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.QuotaPerSecond})
 	}
-	return s
+	return settings
 }
--- a/internal/standalone/connections_test.go
+++ b/internal/standalone/connections_test.go
@@ -17,9 +17,9 @@
 // A connection that its endpoint has closed while it was idle carries no further request.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	var conns atomic.Int64
-	s := httptest.NewUnstartedServer(http.HandlerFunc(answerOK))
+	endpoint := httptest.NewUnstartedServer(http.HandlerFunc(answerOK))
 	closed := make(chan bool, 8)
-	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+	endpoint.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
 			conns.Add(1)
@@ -27,9 +27,9 @@
 			closed <- true
 		}
 	}
-	s.Start()
-	defer s.Close()
-	sidecar := startSidecar(t, 1024, listedEndpoint{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
+	endpoint.Start()
+	defer endpoint.Close()
+	sidecar := startSidecar(t, 1024, listedEndpoint{UID: "s-1", Address: endpoint.Listener.Addr().String(), State: "Ready", Weight: 1})
 	for range 3 {
 		if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
 			t.Fatal(status)
@@ -42,7 +42,7 @@
 	if conns.Load() != 1 {
 		t.Errorf("%d connections for three requests in turn", conns.Load())
 	}
-	s.CloseClientConnections()
+	endpoint.CloseClientConnections()
 	<-closed
 	if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
 		t.Errorf("got %d %q on %d connections", status, body, conns.Load())
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -24,19 +24,19 @@
 	maxListBytes = 4 << 20
 	// fetchTimeout bounds the fetch of a complete list.
 	fetchTimeout = 5 * time.Second
-	// watchTimeout ends a watch that says nothing: an empty line is due every 2 s, and what discovery has to
-	// announce counts as known 6 s later at the latest, by which time another watch must have brought it.
+	// watchTimeout ends a watch without a line. Discovery sends an empty line every 2 s, and assumes that a sidecar knows a change
+	// after 6 s: by then another watch must have received it.
 	watchTimeout = 4500 * time.Millisecond
-	// A watch that has ended is taken up after a backoff, which doubles while nothing comes and is jittered.
+	// A watch that has ended is resumed after a backoff with jitter, which doubles until a list arrives.
 	minWatchBackoff = 50 * time.Millisecond
 	maxWatchBackoff = 2 * time.Second
 )
 
-// Discovery's HTTP interface, which is data.
+// The HTTP interface of discovery.
 const (
 	listPath    = "/v1/endpoints"
-	followQuery = "?follow=1" // the answer does not end: a list a line, and empty lines in between
-	sinceQuery  = "&since="   // the version after which changes are wanted
+	followQuery = "?follow=1" // an answer without an end: one list on each line, and empty lines in between
+	sinceQuery  = "&since="   // only changes after this version
 )
 
 var (
@@ -44,20 +44,20 @@
 	errNotComplete = errors.New("fetch: not the whole list")
 )
 
-// watcher talks to the discovery at one address. Like the loop's other fields it belongs to the loop; what
-// its goroutines bring is heard only while they are wanted.
+// watcher is the client of the discovery server at one address. The loop owns it. Its goroutines post lists to the loop, which
+// ignores those of a watcher that was stopped or replaced.
 type watcher struct {
 	url         string
 	token       string // for discovery, or empty; never logged
 	loop        *loop
 	client      *http.Client
-	reconnects  bool // by itself: where lists are pushed, asking costs nothing
+	reconnects  bool // it resumes a watch that has ended; otherwise the Balancer starts the next one
 	cancel      context.CancelFunc
 	fetching    bool
-	lastHeardAt atomic.Int64 // on the event clock, when it last said anything
+	lastHeardAt atomic.Int64 // when discovery last sent anything, on the event clock
 }
 
-// newWatcher makes a watcher that is not started.
+// newWatcher returns a watcher that is not started.
 func newWatcher(address, token string, l *loop) *watcher {
 	dialer := &net.Dialer{Timeout: l.config.Settings.ConnectTimeout}
 	return &watcher{
@@ -69,29 +69,27 @@
 	}
 }
 
-// isCurrent reports whether discovery has said lately that nothing else has changed.
+// isCurrent reports whether discovery was heard within watchTimeout, so that the list is up to date.
 func (w *watcher) isCurrent(now time.Duration) bool {
 	at := time.Duration(w.lastHeardAt.Load())
 	return at > 0 && now-at < watchTimeout
 }
 
-// start begins to watch for what changes after a version; nil asks for the complete list first. Like stop it
-// never waits.
+// start begins to watch for changes after a version; nil requests the complete list first. Like stop it does not block.
 func (w *watcher) start(since *uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
 	go w.run(ctx, since)
 }
 
-// stop ends the watch: nothing that it brought and that the loop has not yet taken counts.
-// shutDown ends the watch: nothing that it brought and that the loop has not yet taken counts.
+// stop ends the watch. Lists of it that the loop has not handled yet are dropped.
 func (w *watcher) stop() {
 	if w.cancel != nil {
 		w.cancel()
 	}
 }
 
-// post hands what the watch brought to the loop, unless it has been stopped by then.
+// post has the loop handle an event of the watch, unless the watch has been stopped by then.
 func (w *watcher) post(ctx context.Context, event func()) {
 	w.loop.post(func() {
 		if ctx.Err() == nil {
@@ -100,7 +98,7 @@
 	})
 }
 
-// run watches until it is stopped, or, where discovery must be asked, until the watch ends.
+// run watches until it is stopped. Unless it reconnects, it ends with the first watch.
 func (w *watcher) run(ctx context.Context, since *uint64) {
 	backoff := minWatchBackoff
 	lastLogged := ""
@@ -131,8 +129,8 @@
 	}
 }
 
-// watch follows the list until the connection ends, and returns whether it brought anything and which version
-// it reached, so that the next watch misses nothing. Its error is never nil.
+// watch follows the list until the connection ends. It returns the version that it reached, from which the next watch continues, and
+// whether a list arrived. Its error is never nil.
 func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, heard bool, err error) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -158,13 +156,13 @@
 		}
 		var list endpointList
 		if err := json.Unmarshal(line, &list); err != nil {
-			// What the line held is missing: begin again with the complete list.
+			// The changes of this line are lost, so the next watch starts with the complete list.
 			return nil, heard, fmt.Errorf("watch: %w", err)
 		}
 		heard = true
 		since = &list.Rev
 		prepared := list.prepare(endpointsource.FromWatch)
-		//nolint:contextcheck // a watch that the loop starts anew outlives the one that asked for it
+		//nolint:contextcheck // a watch that the loop starts by this event outlives the present one
 		w.post(ctx, func() { w.loop.handlePreparedList(prepared, endpointsource.FromWatch) })
 	}
 	if err := lines.Err(); err != nil {
@@ -173,8 +171,8 @@
 	return since, heard, errWatchEnded
 }
 
-// fetch gets the complete list once, unless that is under way. It is heard only while its discovery is the one
-// that is followed.
+// fetch requests the complete list once, unless a fetch is in progress. The result is ignored if another discovery is followed by
+// then.
 func (w *watcher) fetch() {
 	if w.fetching {
 		return
@@ -197,7 +195,7 @@
 	}()
 }
 
-// fetchFull asks for the complete list.
+// fetchFull requests the complete list.
 func (w *watcher) fetchFull() (list endpointList, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -235,7 +233,5 @@
 	return res.Body, nil
 }
 
-// closeBody closes the body of an answer that nothing more is wanted of.
-func closeBody(body io.Closer) {
-	_ = body.Close() // the connection is not used again: there is nothing to do about an error
-}
+// closeBody closes the body of a response. The connection is not used again, so an error does not matter.
+func closeBody(body io.Closer) { _ = body.Close() }
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -22,20 +22,20 @@
 
 // The number of an endpoint is the same at every sidecar, in whatever order lists name it, and no two share one.
 func TestEndpointIDs(t *testing.T) {
-	a, b := newEndpoints(nil, nil, time.Now()), newEndpoints(nil, nil, time.Now())
+	table, other := newEndpoints(nil, nil, time.Now()), newEndpoints(nil, nil, time.Now())
 	put := func(t *endpointTable, uid string) balancer.EndpointID {
 		id := t.endpointID(uid)
 		t.insert(&exchange.Endpoint{ID: id, UID: uid})
 		return id
 	}
-	if a.endpointID("s-00000001") != 1 || a.endpointID("s-5be2a07c") != 0x5be2a07c {
+	if table.endpointID("s-00000001") != 1 || table.endpointID("s-5be2a07c") != 0x5be2a07c {
 		t.Error("the uid's own number is not used")
 	}
-	b.endpointID("s-5be2a07c")
-	if b.endpointID("s-00000001") != a.endpointID("s-00000001") || a.endpointID("host.west") != b.endpointID("host.west") {
+	other.endpointID("s-5be2a07c")
+	if other.endpointID("s-00000001") != table.endpointID("s-00000001") || table.endpointID("host.west") != other.endpointID("host.west") {
 		t.Error("the numbers depend on the order")
 	}
-	if x, y := put(a, "s-1"), put(a, "t-1"); x == y || x != a.endpointID("s-1") || y != a.endpointID("t-1") {
+	if x, y := put(table, "s-1"), put(table, "t-1"); x == y || x != table.endpointID("s-1") || y != table.endpointID("t-1") {
 		t.Errorf("two uids have %d and %d", x, y)
 	}
 }
@@ -55,32 +55,32 @@
 
 // An endpoint that is listed at another address or with another start replaces the one before.
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
-	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
-	x := ready("s-1")
-	entries, _ := e.apply(endpointList{All: true, Targets: []listedEndpoint{x, ready("s-2")}}.sourceList(endpointsource.FromWatch))
+	table := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
+	listed := ready("s-1")
+	entries, _ := table.apply(endpointList{All: true, Targets: []listedEndpoint{listed, ready("s-2")}}.sourceList(endpointsource.FromWatch))
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].MachineKind != 0 {
 		t.Fatalf("entries %+v", entries)
 	}
-	first := e.byID[1]
+	first := table.byID[1]
 	for _, change := range []func(){
-		func() { x.Address = "127.0.0.1:10" },
-		func() { x.BootMS = time.Now().UnixMilli() },
+		func() { listed.Address = "127.0.0.1:10" },
+		func() { listed.BootMS = time.Now().UnixMilli() },
 	} {
 		change()
-		old := e.byID[1]
-		entries, retired := e.apply(endpointList{Targets: []listedEndpoint{x}}.sourceList(endpointsource.FromWatch))
-		if len(retired) != 1 || retired[0] != old || old.Open.Load() || !e.byID[1].Open.Load() || e.byID[1].Address != x.Address {
-			t.Errorf("after a change: %+v", e.byID[1])
+		old := table.byID[1]
+		entries, retired := table.apply(endpointList{Targets: []listedEndpoint{listed}}.sourceList(endpointsource.FromWatch))
+		if len(retired) != 1 || retired[0] != old || old.Open.Load() || !table.byID[1].Open.Load() || table.byID[1].Address != listed.Address {
+			t.Errorf("after a change: %+v", table.byID[1])
 		}
-		if x.BootMS > 0 && entries[0].StartedAt == 0 {
+		if listed.BootMS > 0 && entries[0].StartedAt == 0 {
 			t.Error("the entry has no start")
 		}
 	}
-	if first.Open.Load() || !e.byID[2].Open.Load() {
+	if first.Open.Load() || !table.byID[2].Open.Load() {
 		t.Error("a delta closed what it does not name, or left the old address open")
 	}
-	e.apply(endpointList{All: true, Targets: []listedEndpoint{x}}.sourceList(endpointsource.FromWatch))
-	if e.byID[2] != nil || len(e.ids) != 1 {
+	table.apply(endpointList{All: true, Targets: []listedEndpoint{listed}}.sourceList(endpointsource.FromWatch))
+	if table.byID[2] != nil || len(table.ids) != 1 {
 		t.Error("an endpoint that a complete list lacks is open")
 	}
 }
@@ -209,19 +209,19 @@
 // returns the watcher of the one before.
 func (s *testSidecar) reloadDiscovery(address string) (old *watcher) {
 	s.t.Helper()
-	l := s.server.loop
+	loop := s.server.loop
 	good, err := os.ReadFile(s.file)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.onLoop(func() {
-		l.versionFilter.Version = 7
-		old = l.watcher
+		loop.versionFilter.Version = 7
+		old = loop.watcher
 	})
 	s.writeConfig(string(good[:len(good)/2]))
 	s.reloads <- syscall.SIGHUP
 	s.onLoop(func() {
-		if l.watcher != old || l.versionFilter.Switched() {
+		if loop.watcher != old || loop.versionFilter.Switched() {
 			s.t.Error("a broken file had an effect")
 		}
 	})
@@ -229,7 +229,9 @@
 	s.writeConfig(strings.Replace(string(good), was, address, 1))
 	s.reloads <- syscall.SIGHUP
 	s.waitUntil("the new list is applied", func() (done bool) {
-		s.onLoop(func() { done = l.versionFilter.Version == 0 && !l.versionFilter.Switched() && l.watcher != old })
+		s.onLoop(func() {
+			done = loop.versionFilter.Version == 0 && !loop.versionFilter.Switched() && loop.watcher != old
+		})
 		return done
 	})
 	return old
@@ -239,14 +241,14 @@
 // the old discovery are ignored, and requests in flight go on. A file with faults changes nothing.
 func TestReloadFollowsAnotherDiscovery(t *testing.T) {
 	arrived, release := make(chan bool, 1), make(chan bool)
-	a := startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
+	first := startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		arrived <- true
 		<-release
 		write(w, "a")
 	})
-	b := startEndpoint(t, "s-2", func(w http.ResponseWriter, _ *http.Request) { write(w, "b") })
-	sidecar := startSidecar(t, 1024, a)
-	l := sidecar.server.loop
+	second := startEndpoint(t, "s-2", func(w http.ResponseWriter, _ *http.Request) { write(w, "b") })
+	sidecar := startSidecar(t, 1024, first)
+	loop := sidecar.server.loop
 	answered := make(chan string)
 	go func() {
 		_, body := sidecar.call(sidecar.request("once", 9*time.Second))
@@ -254,7 +256,7 @@
 	}()
 	<-arrived
 
-	other, asked := startDiscovery(t, b)
+	other, asked := startDiscovery(t, second)
 	old := sidecar.reloadDiscovery(other)
 	for range 2 {
 		if query := <-asked; strings.Contains(query, "since=7") {
@@ -263,11 +265,11 @@
 	}
 	sidecar.onLoop(func() {
 		old.fetch() // a late answer of the old discovery
-		if l.endpoints.byID[1] != nil && l.endpoints.byID[1].Open.Load() {
+		if loop.endpoints.byID[1] != nil && loop.endpoints.byID[1].Open.Load() {
 			t.Error("an endpoint that the new list lacks is open")
 		}
 	})
-	sidecar.announce(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{a}})
+	sidecar.announce(endpointList{Rev: 9, All: true, Targets: []listedEndpoint{first}})
 	if _, body := sidecar.call(sidecar.request("once", 9*time.Second)); body != "b" {
 		t.Errorf("served %q", body)
 	}
@@ -276,7 +278,7 @@
 		t.Errorf("the request in flight got %q", got)
 	}
 	sidecar.onLoop(func() {
-		if l.versionFilter.Version != 0 {
+		if loop.versionFilter.Version != 0 {
 			t.Error("a list of the old discovery was applied")
 		}
 	})
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -112,7 +112,7 @@
 // A disk that hangs, that fails each write or that is full delays no request that need not be remembered. Each class behaves as its
 // file says, no rejected request has run, and all is as before once the disk works again.
 func TestFailingDiskOverSockets(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		fail func(d *disk.Disk) (repair func())
 	}{
@@ -126,12 +126,12 @@
 			return func() { d.SetCapacity(-1) }
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			fs := disk.New()
 			counter := &runCounter{counts: map[string]int{}}
 			sidecar := startOnDisk(t, fs, counter)
 			first := sidecar.sendUntilRun()
-			repair := c.fail(fs)
+			repair := test.fail(fs)
 			defer repair()
 			for range 3 {
 				sidecar.callExpecting("read", http.StatusOK)
--- a/internal/standalone/doc.go
+++ b/internal/standalone/doc.go
@@ -1,12 +1,11 @@
-// Package standalone runs the load balancer (package balancer) on real sockets, as the sidecar of one application that needs no
-// control plane: callers come in over HTTP/1.1 or HTTP/3, attempts go out to endpoints, and discovery or Consul says which those
-// are. It makes no decisions of its own: which endpoint gets a request, whether it is sent again and when it is rejected is the
-// Balancer's to say.
+// Package standalone runs the load balancer (package balancer) on real sockets, as the sidecar of one application without a control
+// plane. Callers connect over HTTP/1.1 or HTTP/3, attempts are sent to endpoints, and discovery or Consul lists the endpoints. The
+// Balancer makes all decisions: which endpoint gets a request, whether it is retried, and when it is rejected.
 //
 // # Goroutines and who owns what
 //
-// One goroutine, the loop, owns the Balancer and everything that goes with it: requests in flight, the table of endpoints, the
-// transports, the watch on discovery, what is remembered on the disk. All others post events to it and never touch that state:
+// One goroutine, the loop, owns the Balancer and all state that goes with it: the requests in flight, the table of endpoints, the
+// transports, the watch on discovery, and the memory on the disk. All others post events to it and never access that state:
 //
 //	caller ──▶ front ──▶ server.ServeHTTP ──post──▶ loop ──▶ Balancer
 //	                         ▲                       │  ▲        │
@@ -15,8 +14,8 @@
 //	discovery, Consul ──▶ watcher, Follower ──post──────┤                      │
 //	                                                    └──────── post ────────┘
 //
-// A handler waits for its answer; the loop waits for nothing. An attempt's goroutine ends with the attempt, the watcher's when it
-// is stopped or replaced. The loop itself ends with the process: Run returns when all fronts have stopped.
+// A handler waits for its answer; the loop never blocks. The goroutine of an attempt ends with the attempt, that of the watcher when
+// it is stopped or replaced. The loop itself ends with the process: Run returns when all fronts have stopped.
 //
 // # The states of a request
 //
@@ -25,15 +24,15 @@
 //	                   ▲                                  │
 //	                   └────────── retry ─────────────────┘
 //
-// A hedged request (hedging.go) is two requests to the Balancer, tied together here: the first answer of either is the caller's.
+// A hedged request (hedging.go) is two requests to the Balancer, which are tied together here: the caller gets the first answer.
 //
 // # Units
 //
-// Times that the Balancer and its modules take are on the event clock: durations since 24 hours before the start of the process
+// Times for the Balancer and its modules are on the event clock: durations since 24 hours before the start of the process
 // (clockStart). Sizes are in bytes, limits.memory_mb in MiB.
 //
 // # What it does not do
 //
-// It does not decide, does not parse the product's file (package product wires that in by Product) and does not speak with other
+// It makes no decisions, does not parse the product's file (package product does, by Product) and does not communicate with other
 // sidecars itself (Peers does).
 package standalone
--- a/internal/standalone/durability_gate.go
+++ b/internal/standalone/durability_gate.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// errDiskSlow says that a record was not durable within memory_wait.
+// errDiskSlow means that a record was not durable within memory_wait.
 var errDiskSlow = errors.New("the disk takes longer than memory_wait")
 
-// durabilityGate is what an attempt waits for before it goes out: its record on the disk. A nil one is open.
+// durabilityGate delays an attempt until its record is on the disk. A nil gate is open.
 type durabilityGate struct {
-	written       chan error // holds one: how the write ended
-	err           error      // known at once
-	timeout       time.Duration
-	reportTimeout func(error) // takes errDiskSlow
-	goesOnWithout bool        // the attempt may go out though it is not remembered
-	passed        bool        // it has been waited for
-	durable       bool        // and the attempt is remembered
+	written          chan error // buffered: gets the result of the write
+	err              error      // the record could not be made
+	timeout          time.Duration
+	reportTimeout    func(error) // is called with errDiskSlow
+	servesUnrecorded bool        // the attempt may be sent without a record
+	passed           bool        // pass has been called
+	durable          bool        // the record is on the disk
 }
 
-// pass waits until the attempt is remembered, and reports whether it may go out.
+// pass waits until the record is durable, and reports whether the attempt may be sent.
 func (g *durabilityGate) pass(ctx context.Context) bool {
 	if g == nil || g.passed {
 		return true
 	}
 	g.passed = true
 	if g.err != nil {
-		return g.goesOnWithout
+		return g.servesUnrecorded
 	}
 	late := time.NewTimer(g.timeout)
 	defer late.Stop()
 	select {
 	case err := <-g.written:
 		g.durable = err == nil
-		return g.durable || g.goesOnWithout
+		return g.durable || g.servesUnrecorded
 	case <-late.C:
 		g.reportTimeout(errDiskSlow)
-		return g.goesOnWithout
+		return g.servesUnrecorded
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/standalone/endpoint_list.go
+++ b/internal/standalone/endpoint_list.go
@@ -5,10 +5,10 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// endpointList is discovery's list of endpoints, complete or what changed. Its keys are data.
+// endpointList is a list of endpoints from discovery, complete or a delta. Discovery defines its keys.
 type endpointList struct {
 	Rev     uint64           `json:"rev"` // its version
-	All     bool             `json:"all"` // it is complete
+	All     bool             `json:"all"` // the list is complete; otherwise it is a delta
 	Targets []listedEndpoint `json:"targets"`
 }
 
@@ -21,17 +21,17 @@
 	Cell    int     `json:"pod_group"`
 	State   string  `json:"state"` // see endpointStates
 	Weight  float64 `json:"capacity_hint"`
-	BootMS  int64   `json:"boot_ms"` // Unix time in milliseconds; 0 where it is not known
+	BootMS  int64   `json:"boot_ms"` // its latest start, Unix time in milliseconds; 0 if that is not known
 }
 
-// endpointStates are discovery's words for states.
+// endpointStates are the states by their names in lists of discovery.
 var endpointStates = map[string]balancer.EndpointState{
 	"Ready":       balancer.EndpointReady,
 	"Terminating": balancer.EndpointDraining,
 	"Gone":        balancer.EndpointRemoved,
 }
 
-// sourceList puts a list into the terms of the merger.
+// sourceList converts a list for the merger.
 func (e endpointList) sourceList(from endpointsource.ListOrigin) endpointsource.List {
 	list := endpointsource.List{Kind: balancer.ListDelta, Version: e.Rev}
 	switch {
@@ -55,14 +55,14 @@
 	return list
 }
 
-// preparedList is a list that was sorted out by who read it, so that the loop does not have to.
+// preparedList is a list that was sorted by the goroutine that read it, so that the loop has less to do.
 type preparedList struct {
 	endpointsource.PreparedList
 	rev uint64
 	all bool
 }
 
-// prepare sorts a list out.
+// prepare sorts a list for the loop.
 func (e endpointList) prepare(from endpointsource.ListOrigin) preparedList {
 	return preparedList{
 		PreparedList: endpointsource.PrepareList(e.sourceList(from), maxChunkEntries),
--- a/internal/standalone/endpoint_table.go
+++ b/internal/standalone/endpoint_table.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/network/exchange"
 )
 
-// endpointTable is the table of the endpoints that are listed. One that was removed is forgotten at once: an attempt that is
-// still in flight to it holds on to its endpoint, which is open to nothing new. The loop owns the table.
+// endpointTable is the table of the listed endpoints. An endpoint that is removed is deleted at once: an attempt that is still in
+// flight keeps its pointer to it, and it is closed to new attempts. The loop owns the table.
 type endpointTable struct {
 	origin time.Time // zero of the event clock
 	byID   map[balancer.EndpointID]*exchange.Endpoint
@@ -22,10 +22,11 @@
 	models nameIndex
 }
 
-// nameIndex numbers names as the settings do, and those that they lack after them. The merger bounds them.
+// nameIndex maps names to numbers: first the names of the settings in their order, then others as they appear. The merger bounds how
+// many there are.
 type nameIndex map[string]int
 
-// index is the number of a name, a new one if it has none.
+// index returns the number of a name, which gets the next one if it is new.
 func (n nameIndex) index(name string) int {
 	i, ok := n[name]
 	if !ok {
@@ -35,7 +36,7 @@
 	return i
 }
 
-// newEndpoints makes an empty table that numbers zones and models as the settings list them.
+// newEndpoints returns an empty table that numbers zones and models as the settings list them.
 func newEndpoints(zones, models []string, origin time.Time) *endpointTable {
 	t := &endpointTable{
 		origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
@@ -50,9 +51,8 @@
 	return t
 }
 
-// endpointID numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
-// same at every sidecar, and no two share it. Others are hashed, and where two would share a number, the
-// later one moves on.
+// endpointID returns the number of a uid. A uid of discovery ends in a hexadecimal number of 32 bits, which is the same at every
+// sidecar and unique. Other uids are hashed; if the number is taken, the next free one is used.
 func (e *endpointTable) endpointID(uid string) balancer.EndpointID {
 	if id, ok := e.ids[uid]; ok {
 		return id
@@ -70,42 +70,47 @@
 	return id
 }
 
-// insert puts an endpoint into the table, in the place of one that it replaces.
+// insert adds an endpoint to the table, in place of the one with its number.
 func (e *endpointTable) insert(endpoint *exchange.Endpoint) {
 	e.byID[endpoint.ID] = endpoint
 	e.ids[endpoint.UID] = endpoint.ID
 }
 
-// remove takes an endpoint out of the table and closes it to new attempts.
+// remove deletes an endpoint from the table and closes it to new attempts.
 func (e *endpointTable) remove(endpoint *exchange.Endpoint) {
 	endpoint.Open.Store(false)
 	delete(e.byID, endpoint.ID)
 	delete(e.ids, endpoint.UID)
 }
 
-// apply takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
-// are of no more use.
+// apply updates the table by a list. It returns the list as the Balancer needs it, and the endpoints whose idle connections are to be
+// closed.
 func (e *endpointTable) apply(list endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
 	listed := map[balancer.EndpointID]bool{}
-	for _, x := range list.Endpoints {
-		id := e.endpointID(x.UID)
+	for _, reported := range list.Endpoints {
+		id := e.endpointID(reported.UID)
 		listed[id] = true
-		endpoint, replaced := e.current(id, &x)
+		endpoint, replaced := e.current(id, &reported)
 		if replaced != nil {
 			retired = append(retired, replaced)
 		}
-		endpoint.Zone = x.Zone
-		endpoint.Cell = x.Cell
-		endpoint.Open.Store(x.State == balancer.EndpointReady)
-		if x.State != balancer.EndpointReady {
+		endpoint.Zone = reported.Zone
+		endpoint.Cell = reported.Cell
+		endpoint.Open.Store(reported.State == balancer.EndpointReady)
+		if reported.State != balancer.EndpointReady {
 			retired = append(retired, endpoint)
 		}
-		if x.State == balancer.EndpointRemoved {
+		if reported.State == balancer.EndpointRemoved {
 			e.remove(endpoint)
 		}
 		entries = append(entries, balancer.ListEntry{
-			Endpoint: id, Zone: e.zones.index(x.Zone), MachineKind: e.models.index(x.Model), Cell: x.Cell, State: x.State,
-			Weight: x.Weight, StartedAt: e.startTime(x.StartedMS),
+			Endpoint:    id,
+			Zone:        e.zones.index(reported.Zone),
+			MachineKind: e.models.index(reported.Model),
+			Cell:        reported.Cell,
+			State:       reported.State,
+			Weight:      reported.Weight,
+			StartedAt:   e.startTime(reported.StartedMS),
 		})
 	}
 	if list.Kind == balancer.ListDelta {
@@ -120,8 +125,8 @@
 	return entries, retired
 }
 
-// current is the endpoint of a number as it is listed, a new one where it is new, or has restarted or moved; then replaced is
-// the one before, closed to new attempts.
+// current returns the endpoint of a number as it is listed. If it is new, has restarted or has another address, that is a new one, and
+// replaced is the one before, now closed to new attempts.
 func (e *endpointTable) current(id balancer.EndpointID, listed *endpointsource.Endpoint) (endpoint, replaced *exchange.Endpoint) {
 	known := e.byID[id]
 	if known != nil && !hasChanged(known, listed) {
@@ -140,8 +145,8 @@
 	return listed.State == balancer.EndpointReady && (known.Address != listed.Address || known.BootMS != listed.StartedMS)
 }
 
-// startTime puts a start in Unix time, in milliseconds, on the event clock. It always gives the same for the same start: the
-// Balancer takes a later one for a restart. 0 stands for long past.
+// startTime converts a start, in milliseconds of Unix time, to the event clock. The result is always the same for the same start,
+// because a later one means a restart to the Balancer. 0 means long ago, before and after.
 func (e *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
--- a/internal/standalone/golden_format_test.go
+++ b/internal/standalone/golden_format_test.go
@@ -66,13 +66,13 @@
 		{Name: "book", Idempotency: balancer.IdempotentWithKey},
 	}
 	l.config.Settings.Tenants = []balancer.Tenant{{Name: "org"}}
-	s := &server{loop: l, config: l.config, classes: map[string]int{"read": 0, "book": 1}, tenants: map[string]int{"org": 0}}
+	server := &server{loop: l, config: l.config, classes: map[string]int{"read": 0, "book": 1}, tenants: map[string]int{"org": 0}}
 	headers := map[string]string{"X-Txn": "a", "X-Lane": "book", "X-Org": "org", "X-Remaining": "900m", "Idempotency-Key": "k"}
 	tuning := *l.config.tuning
 	tuning.callers.TooEarly = true
-	s.tuning.Store(&tuning)
+	server.tuning.Store(&tuning)
 	var text strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(r *http.Request)
 	}{
@@ -94,9 +94,9 @@
 		for name, value := range headers {
 			r.Header.Set(name, value)
 		}
-		c.change(r)
-		_, status, fault := s.parse(r)
-		fmt.Fprintf(&text, "%s: %d %s\n", c.name, status, fault)
+		test.change(r)
+		_, status, fault := server.parse(r)
+		fmt.Fprintf(&text, "%s: %d %s\n", test.name, status, fault)
 	}
 	golden.Text(t, "faults.txt", []byte(text.String()))
 }
@@ -118,27 +118,27 @@
 
 // Later versions find the records on the disk under the same keys, and people match the log lines.
 func TestMemoryKeepsItsForm(t *testing.T) {
-	s, err := store.Open(store.Dir(t.TempDir()), store.Options{})
+	records, err := store.Open(store.Dir(t.TempDir()), store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &memory{
+	mem := &memory{
 		settings: Memory{ListRetention: time.Hour, WriteTimeout: time.Second},
-		table:    idempotency.NewTable(10), store: s, goesOnWithout: []bool{false},
+		table:    idempotency.NewTable(10), store: records, servesUnrecorded: []bool{false},
 		classes: []balancer.Class{{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}},
 		zones:   nameIndex{}, savedUIDs: map[string]bool{}, diskTriedAt: time.Hour,
 	}
-	defer m.close()
-	m.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
+	defer mem.close()
+	mem.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
 	all := map[balancer.EndpointID]*exchange.Endpoint{1: {ID: 1, UID: "s-1"}}
 	listed := []endpointsource.Endpoint{{UID: "s-1", Address: "10.0.0.1:80", Zone: "z"}}
-	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: listed}, all)
+	mem.saveList(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: listed}, all)
 	r := &request{Request: balancer.Request{ID: "txn1"}, Inbound: exchange.Inbound{Header: http.Header{}}}
-	if g := m.beginAttempt(0, r, all[1]); g == nil || !g.pass(t.Context()) {
+	if g := mem.beginAttempt(0, r, all[1]); g == nil || !g.pass(t.Context()) {
 		t.Fatal("the request is not remembered")
 	}
 	var lines []string
-	if err := s.Range(func(key, value []byte, _ time.Duration) bool {
+	if err := records.Range(func(key, value []byte, _ time.Duration) bool {
 		line := fmt.Sprintf("%q", key)
 		if key[0] == groupKey {
 			line += " " + string(value)
@@ -150,11 +150,11 @@
 	}
 	slices.Sort(lines)
 	lines = append(lines, logged(t, func() {
-		m.reportWrite(errors.New("no space left"))
-		m.reportWrite(errors.New("no space left"))
-		m.reportWrite(nil)
-		m.reportWrite(errDiskSlow)
-		m.reportWrite(store.ErrClosed)
+		mem.reportWrite(errors.New("no space left"))
+		mem.reportWrite(errors.New("no space left"))
+		mem.reportWrite(nil)
+		mem.reportWrite(errDiskSlow)
+		mem.reportWrite(store.ErrClosed)
 	}))
 	golden.Text(t, "memory.txt", []byte(strings.Join(lines, "\n")))
 }
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -50,18 +50,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &memory{settings: Memory{ListRetention: time.Hour}, store: s, zones: nameIndex{}, savedUIDs: map[string]bool{}}
-		t.Cleanup(m.close)
-		return m
+		mem := &memory{settings: Memory{ListRetention: time.Hour}, store: s, zones: nameIndex{}, savedUIDs: map[string]bool{}}
+		t.Cleanup(mem.close)
+		return mem
 	}
 
-	m := open()
-	m.saveList(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
-	if err := m.store.Put([]byte{'?'}, nil, time.Second); err != nil { // writes are durable in their order
+	mem := open()
+	mem.saveList(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
+	if err := mem.store.Put([]byte{'?'}, nil, time.Second); err != nil { // writes are durable in their order
 		t.Fatal(err)
 	}
 	var lines []string
-	if err := m.store.Range(func(key, value []byte, left time.Duration) bool {
+	if err := mem.store.Range(func(key, value []byte, left time.Duration) bool {
 		if key[0] != '?' {
 			lines = append(lines, fmt.Sprintf("%s %v %s\n", key, left > 0, value))
 		}
@@ -72,18 +72,18 @@
 	sort.Strings(lines)
 	golden.Text(t, "recorded/kept-list.txt", []byte(strings.Join(lines, "")))
 
-	m = open()
+	mem = open()
 	for line := range strings.Lines(string(goldenRead(t, "recorded/kept-list.txt"))) {
 		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
 		keep := time.Duration(0)
 		if parts[1] == "true" {
 			keep = time.Hour
 		}
-		if err := m.store.Put([]byte(parts[0]), []byte(parts[2]), keep); err != nil {
+		if err := mem.store.Put([]byte(parts[0]), []byte(parts[2]), keep); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got, _, ok := m.savedList(); !ok || !reflect.DeepEqual(got, endpointsource.List{Kind: balancer.ListCached, Endpoints: endpoints}) {
+	if got, _, ok := mem.savedList(); !ok || !reflect.DeepEqual(got, endpointsource.List{Kind: balancer.ListCached, Endpoints: endpoints}) {
 		t.Errorf("read back as %+v, %v", got, ok)
 	}
 	if requestKeyPrefix != 'r' || endpointKeyPrefix != 'e' || listKey != 'l' {
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ms, s := time.Millisecond, time.Second
+	ms, sec := time.Millisecond, time.Second
 	want := &Config{
 		Name: "n7", Listen: "127.0.0.1:81", Discovery: "127.0.0.1:82", Seed: 0x8c1f30d27a5be964,
 		Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 1024},
@@ -138,23 +138,23 @@
 			{UID: "s-1", Address: "10.0.0.1:8080", Zone: "z1", Model: "m1", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 123},
 		}},
 		Settings: settings.Settings{
-			Zones: []string{"z1", "z2"}, Models: []string{"m1"}, ConnIdle: 30 * s, GraceToAnswer: 20 * ms, OpenCap: 1000,
+			Zones: []string{"z1", "z2"}, Models: []string{"m1"}, ConnIdle: 30 * sec, GraceToAnswer: 20 * ms, OpenCap: 1000,
 			Settings: balancer.Settings{
 				Instances: 3, Ordinal: 1, Tier: 1, Tiers: 2, Quantum: 5 * ms, OverQuotaValueShare: 0.1, ValuePerWorkUnit: true,
 				TotalValueWeight: 0.9, WorstClassWeight: 0.1,
 				MayCancel: true, MayHealthCheck: true, MayMessagePeers: true, HedgedRequests: true, MaxAttempts: 5,
-				MaxRetryAfter: 2 * s, ConnectTimeout: 100 * ms, MustSubscribe: true, ResubscribeInterval: 10 * s, ClientsMarkRetries: true,
-				SlowStartMinShare: 0.3, SlowStartWindow: s, OverloadMultiple: 3, OverloadDuration: 250 * ms,
+				MaxRetryAfter: 2 * sec, ConnectTimeout: 100 * ms, MustSubscribe: true, ResubscribeInterval: 10 * sec, ClientsMarkRetries: true,
+				SlowStartMinShare: 0.3, SlowStartWindow: sec, OverloadMultiple: 3, OverloadDuration: 250 * ms,
 				Classes: []balancer.Class{
 					{
-						Name: "read", LatencyTarget: s, Deadline: 2 * s, Value: 1, LateValueShare: 0.5,
+						Name: "read", LatencyTarget: sec, Deadline: 2 * sec, Value: 1, LateValueShare: 0.5,
 						Idempotency: balancer.Idempotent, KeyScope: balancer.KeyScopeAll, Streaming: true,
 					},
 					{
-						Name: "book", LatencyTarget: s, Deadline: 2 * s, Value: 3,
-						Idempotency: balancer.IdempotentWithKey, KeyScope: balancer.KeyScopeCell, KeyWindow: 10 * s,
+						Name: "book", LatencyTarget: sec, Deadline: 2 * sec, Value: 3,
+						Idempotency: balancer.IdempotentWithKey, KeyScope: balancer.KeyScopeCell, KeyWindow: 10 * sec,
 					},
-					{Name: "pay", LatencyTarget: s, Deadline: 2 * s, Value: 2, Idempotency: balancer.NonIdempotent, KeyScope: balancer.KeyScopeZone},
+					{Name: "pay", LatencyTarget: sec, Deadline: 2 * sec, Value: 2, Idempotency: balancer.NonIdempotent, KeyScope: balancer.KeyScopeZone},
 				},
 				Tenants: []balancer.Tenant{{Name: "t0", QuotaPerSecond: 100}},
 			},
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -12,42 +12,43 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Peers is this sidecar among the others of its application.
+// Peers is this sidecar's membership in the group of sidecars of its application.
 type Peers interface {
-	// Leave announces to the others that this sidecar ends.
+	// Leave announces to the group that this sidecar shuts down.
 	Leave()
-	// Reload reads its key again.
+	// Reload reads the key of the group again.
 	Reload() error
+	// Close ends the membership without an announcement.
 	Close()
-	// Report is what this sidecar knows of the group.
+	// Report returns this sidecar's view of the group.
 	Report() peers.Report
-	// Fleet is what all of them report. It waits for the others.
+	// Fleet returns the views of all sidecars of the group. It waits for their answers.
 	Fleet() peers.FleetReport
 }
 
-// PeersOpener opens Peers, as the product's file asks for it.
+// PeersOpener joins the group that the product's file configures.
 type PeersOpener func(p PeersConfig) (Peers, error)
 
 // PeersConfig is what Peers need of this sidecar. Its functions may be called by any goroutine.
 type PeersConfig struct {
-	Name      string   // of this sidecar, one of its own
-	Instances int      // sidecars of the application that the configuration counts
-	Names     []string // of the group that an earlier incarnation saved; nil for none
-	Addresses []string // that a platform names, and that were saved
+	Name      string   // of this sidecar, unique in its group
+	Instances int      // how many sidecars of the application the configuration counts
+	Names     []string // of the group that an earlier process of this sidecar saved; nil for none
+	Addresses []string // of sidecars: those that a platform names, and the saved ones
 	// Ready reports whether this sidecar has a list of endpoints.
 	Ready func() bool
-	// Changed takes this sidecar's share of the group whenever it changes.
+	// Changed is called with this sidecar's share of the group whenever it changes.
 	Changed func(peers.Share)
-	// Save keeps the group for the next incarnation; nil where nothing is remembered.
+	// Save stores the group for the next process; nil without a memory.
 	Save func(names, addresses []string)
 }
 
-// group is what the server knows of the others.
+// group is the server's membership in the group of sidecars.
 type group struct {
-	peers Peers // nil where the file asks for none
+	peers Peers // nil if the file configures no group
 }
 
-// joinGroup joins the others, if the file asks for it. The loop must not have begun.
+// joinGroup joins the group, if the file configures one. The loop must not run yet.
 func (s *server) joinGroup() error {
 	s.instances.Store(int64(s.config.Settings.Instances))
 	if s.config.openPeers == nil {
@@ -73,8 +74,8 @@
 	return err
 }
 
-// updateGroup takes a share of the group. A sidecar that is shutting down keeps what it has: the others count it out, and its last
-// callers are not to move to endpoints that are new to it.
+// updateGroup applies a new share of the group. A sidecar that is shutting down keeps its share: the others no longer count it, and
+// requests of its last callers should not move to endpoints that are new to it.
 func (s *server) updateGroup(share peers.Share) {
 	if s.shutdownAt.Load() != nil {
 		return
@@ -88,33 +89,33 @@
 	})
 }
 
-// groupOf is a share as the Balancer takes it: members are numbers that all have alike.
+// groupOf converts a share for the Balancer. Members are numbers, the hashes of their names, so that all sidecars have the same ones.
 func groupOf(share *peers.Share) balancer.InstanceGroup {
 	g := balancer.InstanceGroup{Instances: share.Instances, Ordinal: share.Ordinal, MaxInstances: share.MaxInstances}
 	for _, name := range share.Names {
 		h := fnv.New64a()
-		_, _ = h.Write([]byte(name)) // a hash takes all
+		_, _ = h.Write([]byte(name)) // never returns an error
 		g.Members = append(g.Members, h.Sum64())
 	}
 	g.Self = g.Members[share.Ordinal]
 	return g
 }
 
-// announceLeave notifies the others that this one ends.
+// announceLeave announces to the group that this sidecar shuts down.
 func (g *group) announceLeave() {
 	if g.peers != nil {
 		g.peers.Leave()
 	}
 }
 
-// close leaves the group without a word.
+// close ends the membership.
 func (g *group) close() {
 	if g.peers != nil {
 		g.peers.Close()
 	}
 }
 
-// reload has the key read again; all else of the group's settings takes effect at a start only.
+// reload reads the key of the group again. The other settings of the group take effect at a start only.
 func (g *group) reload() {
 	if g.peers == nil {
 		return
@@ -124,7 +125,7 @@
 	}
 }
 
-// fleet is the group for people, as this sidecar sees it or as all report it; false where there is none.
+// fleet returns this sidecar's view of the group or, if all is set, the views of all sidecars; false if there is no group.
 func (g *group) fleet(all bool) (f peers.FleetReport, ok bool) {
 	switch {
 	case g.peers == nil:
@@ -135,16 +136,16 @@
 	return peers.FleetReport{Own: g.peers.Report()}, true
 }
 
-// groupRetention is how long a saved group is of use to the next incarnation.
+// groupRetention is how long a saved group is kept for the next process.
 const groupRetention = 24 * time.Hour
 
-// savedGroup is the record of the group that was settled last: an old report.
+// savedGroup is the record of the group that was settled last. Its keys are data on the disk.
 type savedGroup struct {
 	Names     []string `json:"names"`
 	Addresses []string `json:"addresses"`
 }
 
-// savedGroup is the group that an earlier incarnation saved; nil for none.
+// savedGroup returns the group that an earlier process saved; nil for none.
 func (m *memory) savedGroup() (names, addresses []string) {
 	text, _, ok, err := m.store.Get([]byte{groupKey})
 	if err != nil {
@@ -161,7 +162,7 @@
 func (m *memory) saveGroup(names, addresses []string) {
 	text, err := json.Marshal(savedGroup{names, addresses})
 	if err != nil {
-		return // lists of strings can always be written
+		return // lists of strings can always be encoded
 	}
 	var b store.Batch
 	b.Put([]byte{groupKey}, text, groupRetention)
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -40,7 +40,7 @@
 // All members compute the same member numbers from a share, whatever their ordinal, and the Balancer accepts each group.
 func TestShareIsAGroup(t *testing.T) {
 	names := []string{"front-0", "front-1", "front-2"}
-	b, err := balancer.New(balancer.Settings{Instances: 9, Classes: []balancer.Class{{Idempotency: balancer.Idempotent}}}, 1, &loop{})
+	lb, err := balancer.New(balancer.Settings{Instances: 9, Classes: []balancer.Class{{Idempotency: balancer.Idempotent}}}, 1, &loop{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		if !slices.Equal(g.Members, first.Members) || g.Self != g.Members[i] || g.MaxInstances != 5 || g.Instances != 3 {
 			t.Errorf("member %d has %+v, the first %+v", i, g, first)
 		}
-		if err := b.UpdateGroup(0, g); err != nil {
+		if err := lb.UpdateGroup(0, g); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/standalone/hedging.go
+++ b/internal/standalone/hedging.go
@@ -7,23 +7,23 @@
 	"quincegap/internal/network/exchange"
 )
 
-// A hedged request's second copy is a request of its own to the Balancer, which says where it goes and limits it like
-// any other. What makes them one is here: the first answer of either is the caller's, and the other is cancelled.
-// Without any answer the caller gets the first's end, once the copy has ended too.
+// A hedged request is two requests to the Balancer: the primary, which the caller sent, and the secondary, a copy of it that goes to
+// another endpoint and counts towards all limits like any other. This file ties them together: the caller gets the first response of
+// either, and the other one is cancelled. Without a response the caller gets the answer of the primary, once both have ended.
 
-// secondaryIDSuffix ends the id of a second copy. No caller's does: those are header values.
+// secondaryIDSuffix is the end of the id of a secondary. It has a byte that cannot be in an id of a caller, which is a header value.
 const secondaryIDSuffix = "\x00copy"
 
-// hedge ties a request, the primary, to its second copy, the secondary.
+// hedge ties a primary to its secondary. Each request has one; the fields that do not apply to it are zero.
 type hedge struct {
 	primary       *request  // of a secondary
-	secondary     *request  // of a primary, while its copy has not ended
-	pendingAnswer *answer   // of a primary that has ended without a response, while its copy may have one
-	secondarySent bool      // a copy of it went out
-	firstSentAt   time.Time // of a primary: when its first attempt went to the transport
+	secondary     *request  // of a primary, until the secondary has ended
+	pendingAnswer *answer   // of a primary that has ended without a response, while its secondary may have one
+	secondarySent bool      // of a primary: an attempt of its secondary was sent
+	firstSentAt   time.Time // of a primary: when its first attempt was sent
 }
 
-// mayHedge reports whether a request may be hedged. Unsafe ones never are: each attempt has an effect.
+// mayHedge reports whether a request may be hedged. A request of a class that is not idempotent may not: each attempt has an effect.
 func (c *Config) mayHedge(r *request) bool {
 	if !c.Settings.HedgedRequests || r.route == nil || r.route.Settings.HedgeQuantile <= 0 {
 		return false
@@ -32,7 +32,7 @@
 		tighterLimit(r.route.Settings.MaxAttempts, c.Settings.MaxAttempts) != 1
 }
 
-// tighterLimit is the least of the limits that are set; 0 is none.
+// tighterLimit returns the lower of two limits, of which 0 is none.
 func tighterLimit(a, b int) int {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -40,7 +40,7 @@
 	return a
 }
 
-// scheduleHedge has a request hedged when its first attempt has been in flight for as long as its route says.
+// scheduleHedge schedules the secondary of a request, for when its first attempt has been in flight for the delay of its route.
 func (l *loop) scheduleHedge(a *attempt) {
 	r := a.request
 	if a.number > 0 || r.hedge.primary != nil || !l.config.mayHedge(r) {
@@ -52,56 +52,64 @@
 	}
 }
 
-// sendHedge makes the second copy of the request of an attempt that is still in flight.
-func (l *loop) sendHedge(a *attempt) {
-	r := a.request
-	if r.answered || r.inFlight != a || r.hedge.secondary != nil || !r.route.TakeHedge() {
+// sendHedge hedges the request of an attempt, if that is still in flight and the budget of the route covers it.
+func (l *loop) sendHedge(inFlight *attempt) {
+	primary := inFlight.request
+	if primary.answered || primary.inFlight != inFlight || primary.hedge.secondary != nil || !primary.route.TakeHedge() {
 		return
 	}
-	c := &request{Request: r.Request, Inbound: r.Inbound, deadline: r.deadline, answer: make(chan answer, 1), hedge: hedge{primary: r}}
-	c.ID += secondaryIDSuffix
-	c.TimeLeft = time.Until(r.deadline)
-	c.MaxAttempts = 1
-	c.Exclude = &a.Endpoint.ID
-	if l.idempotency(r) == balancer.IdempotentWithKey {
-		// Its effect happens once only where its first attempt is known.
-		c.Prior = balancer.PriorAttempt{
-			MayHaveRun: true, Zone: l.endpoints.zones.index(a.Endpoint.Zone), Cell: a.Endpoint.Cell,
-			SentAt: l.now() - time.Since(r.hedge.firstSentAt),
+	secondary := &request{
+		Request:  primary.Request,
+		Inbound:  primary.Inbound,
+		deadline: primary.deadline,
+		answer:   make(chan answer, 1),
+		hedge:    hedge{primary: primary},
+	}
+	secondary.ID += secondaryIDSuffix
+	secondary.TimeLeft = time.Until(primary.deadline)
+	secondary.MaxAttempts = 1
+	secondary.Exclude = &inFlight.Endpoint.ID
+	if l.idempotency(primary) == balancer.IdempotentWithKey {
+		// Only the cell that got the first attempt recognises the key.
+		secondary.Prior = balancer.PriorAttempt{
+			MayHaveRun: true, Zone: l.endpoints.zones.index(inFlight.Endpoint.Zone), Cell: inFlight.Endpoint.Cell,
+			SentAt: l.now() - time.Since(primary.hedge.firstSentAt),
 		}
 	}
-	r.hedge.secondary = c
-	l.requests[c.ID] = c
-	l.balancer.HandleRequest(l.now(), c.Request)
+	primary.hedge.secondary = secondary
+	l.requests[secondary.ID] = secondary
+	l.balancer.HandleRequest(l.now(), secondary.Request)
 }
 
-// idempotency is what a repeat of a request does, by its class.
+// idempotency returns whether a request may run more than once, by its class.
 func (l *loop) idempotency(r *request) balancer.Idempotency {
 	return l.config.Settings.Classes[r.Class].Idempotency
 }
 
-// awaitHedge takes the answer of a request or its copy, and reports whether it kept it because the other may still have one.
-// It changes an answer that the copy's end makes worse. The Balancer may be calling.
-func (l *loop) awaitHedge(r *request, a *answer) bool {
-	if r.hedge.primary != nil {
-		l.endSecondary(r, a)
+// awaitHedge is called with the final answer of a request. It reports whether the answer must not be delivered, because it is that
+// of a secondary, which endSecondary handles, or because the secondary may still have a response. It changes a rejection into a
+// failure if the secondary may have run. The Balancer may be the caller, so it must not be called here.
+func (l *loop) awaitHedge(req *request, final *answer) bool {
+	if req.hedge.primary != nil {
+		l.endSecondary(req, final)
 		return true
 	}
-	if a.response != nil {
+	if final.response != nil {
 		return false
 	}
-	if r.hedge.secondary != nil {
-		r.hedge.pendingAnswer = a
+	if req.hedge.secondary != nil {
+		req.hedge.pendingAnswer = final
 		return true
 	}
-	if r.hedge.secondarySent {
-		r.hedge.pendingAnswer = a
-		*a = r.hedge.mergedAnswer(l.idempotency(r))
+	if req.hedge.secondarySent {
+		req.hedge.pendingAnswer = final
+		*final = req.hedge.mergedAnswer(l.idempotency(req))
 	}
 	return false
 }
 
-// endSecondary passes the answer of a second copy on to its primary, which may have waited for it.
+// endSecondary handles the final answer of a secondary: a response is delivered to the caller, as is the answer of a primary that
+// has ended before.
 func (l *loop) endSecondary(r *request, a *answer) {
 	primary := r.hedge.primary
 	r.answered = true
@@ -117,16 +125,17 @@
 	}
 }
 
-// mergedAnswer is the answer to a request whose copy went out and had no response either: nothing may be promised of it but
-// where any number of repeats is harmless.
-func (h *hedge) mergedAnswer(effect balancer.Idempotency) answer {
-	if h.secondarySent && effect != balancer.Idempotent {
+// mergedAnswer returns the answer to a hedged request without a response: that of the primary, unless the secondary may have run.
+// Then it is a failure, because a rejection would promise that the request has not run, except where that makes no difference.
+func (h *hedge) mergedAnswer(idempotency balancer.Idempotency) answer {
+	if h.secondarySent && idempotency != balancer.Idempotent {
 		return answer{}
 	}
 	return *h.pendingAnswer
 }
 
-// cancelOther cancels the other one when a request or its copy was answered. Only between events of the Balancer.
+// cancelOther cancels the secondary of a primary that has a response, or the other way round. It calls the Balancer, so the Balancer
+// must not be the caller.
 func (l *loop) cancelOther(r *request) {
 	if primary := r.hedge.primary; primary != nil {
 		if primary.inFlight != nil {
@@ -142,7 +151,7 @@
 	}
 }
 
-// recordLatency notes how long a first attempt took, for when the next requests are hedged.
+// recordLatency records the latency of a response, which determines the delay after which later requests are hedged.
 func (l *loop) recordLatency(a *attempt, result exchange.Result) {
 	r := a.request
 	if r.route == nil || r.hedge.primary != nil || r.answered || result.Status != balancer.StatusOK {
--- a/internal/standalone/host.go
+++ b/internal/standalone/host.go
@@ -8,9 +8,9 @@
 	"quincegap/internal/network/http1"
 )
 
-// The methods in this file are the balancer.Host. They never block and never call the Balancer.
+// The methods in this file implement balancer.Host. They never block and never call the Balancer.
 
-// Send makes the next attempt of a request.
+// Send sends the next attempt of a request. A timeout of 0 means the deadline of the request.
 func (l *loop) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	r := l.requests[id]
 	a := newAttempt(r, l.endpoints.byID[to], timeout, &l.bodyBudget)
@@ -24,12 +24,12 @@
 	l.dispatch(a, l.transports.choose(l.now(), a.Endpoint))
 }
 
-// Reject answers a request that has not run.
+// Reject answers a request that has not run with a rejection.
 func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	l.endRequest(id, answer{rejected: true, retryAfter: retryAfter})
 }
 
-// Fail answers a request that may have run.
+// Fail answers a request that may have run with a failure.
 func (l *loop) Fail(id balancer.RequestID) { l.endRequest(id, answer{}) }
 
 // Cancel cancels an attempt that is still in flight; its outcome follows.
@@ -39,14 +39,14 @@
 	}
 }
 
-// SetTimer has the Balancer called after a while.
+// SetTimer calls the Balancer's HandleTimer after a duration.
 func (l *loop) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		l.post(func() { l.balancer.HandleTimer(l.now(), token) })
 	})
 }
 
-// HealthCheck asks an endpoint how it is.
+// HealthCheck sends a health check to an endpoint; the result follows.
 func (l *loop) HealthCheck(to balancer.EndpointID) {
 	e := l.endpoints.byID[to]
 	if e == nil {
@@ -62,10 +62,10 @@
 	}()
 }
 
-// SendToPeer has nowhere to send: the Balancer sends its peers nothing, and no peer sockets are opened for it.
+// SendToPeer does nothing: the Balancer of a standalone sidecar sends no messages to peers.
 func (l *loop) SendToPeer(int, []byte) {}
 
-// WatchEndpoints begins or ends the watch on discovery, where discovery has to be asked.
+// WatchEndpoints starts or stops the watch on discovery, where the Balancer decides when to watch.
 func (l *loop) WatchEndpoints(on bool) {
 	l.watcher.stop()
 	if on {
@@ -73,17 +73,17 @@
 	}
 }
 
-// FetchEndpoints asks discovery for the complete list once.
+// FetchEndpoints requests the complete list from discovery once.
 func (l *loop) FetchEndpoints() {
-	if l.config.Discovery != "" { // Consul may be all there is
+	if l.config.Discovery != "" { // else Consul is the only source
 		l.watcher.fetch()
 	}
 }
 
-// CloseIdleConnections closes the connections to an endpoint that no attempt uses.
+// CloseIdleConnections closes the idle connections to an endpoint.
 func (l *loop) CloseIdleConnections(to balancer.EndpointID) {
 	l.transports.closeIdle(l.endpoints.byID[to])
 }
 
-// Log writes a line of the Balancer's.
+// Log logs a line of the Balancer.
 func (l *loop) Log(text string) { log.Print(text) }
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -15,13 +15,13 @@
 	"quincegap/internal/network/http3"
 )
 
-// openHTTP3Front opens the front for HTTP/3; nil where none is set. Its errors name the file or http3_listen.
-func openHTTP3Front(c *Config, handler http.Handler, bounds http1.Bounds) (*http3.Front, error) {
-	settings := c.tuning.http3Callers
+// openHTTP3Front opens the front for HTTP/3; nil if http3_listen is not set. Its errors name the file or http3_listen.
+func openHTTP3Front(config *Config, handler http.Handler, bounds http1.Bounds) (*http3.Front, error) {
+	settings := config.tuning.http3Callers
 	if settings.Listen == "" {
 		return nil, nil
 	}
-	security, err := loadSecurity(c, settings)
+	security, err := loadSecurity(config, settings)
 	if err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, errors.Join(err, socket.Close())
 	}
-	log.Printf("%s: HTTP/3 on %s", c.Name, socket.LocalAddr())
+	log.Printf("%s: HTTP/3 on %s", config.Name, socket.LocalAddr())
 	return front, nil
 }
 
@@ -58,7 +58,7 @@
 	return security, nil
 }
 
-// listenUDP opens a socket at host:port.
+// listenUDP opens a UDP socket at host:port.
 func listenUDP(address string) (*net.UDPConn, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -67,17 +67,17 @@
 	return net.ListenUDP("udp", at)
 }
 
-// altSvcHeader is the value of Alt-Svc that announces HTTP/3 at the same host to callers over HTTP/1.1 (RFC 7838, section 3);
-// empty for no announcement.
-func altSvcHeader(at net.Addr, lasts time.Duration) string {
-	udp, ok := at.(*net.UDPAddr)
-	if !ok || lasts <= 0 {
+// altSvcHeader returns the value of Alt-Svc that announces HTTP/3 at the same host to callers over HTTP/1.1 (RFC 7838, section 3);
+// empty for no announcement. Callers may remember it for maxAge.
+func altSvcHeader(address net.Addr, maxAge time.Duration) string {
+	udp, ok := address.(*net.UDPAddr)
+	if !ok || maxAge <= 0 {
 		return ""
 	}
-	return fmt.Sprintf(`h3=":%d"; ma=%d`, udp.Port, int64(lasts.Seconds()))
+	return fmt.Sprintf(`h3=":%d"; ma=%d`, udp.Port, int64(maxAge.Seconds()))
 }
 
-// openHTTP3Transport opens the transport for HTTP/3 to endpoints; nil where none is set.
+// openHTTP3Transport opens the transport for HTTP/3 to endpoints; nil if the settings do not use it.
 func openHTTP3Transport(c *Config, maxConnections int, idleTimeout time.Duration) (*http3.Transport, error) {
 	settings := c.tuning.http3Endpoints
 	if settings.Use == http3.Never {
--- a/internal/standalone/lifetime_test.go
+++ b/internal/standalone/lifetime_test.go
@@ -12,15 +12,15 @@
 // Endpoints, connections and requests come and go; nothing is kept of what has gone.
 func TestTablesEndEmpty(t *testing.T) {
 	sidecar := startSidecar(t, 1024, ready("s-ffffffff"))
-	l := sidecar.server.loop
+	loop := sidecar.server.loop
 	announce := func(rev uint64, all bool, targets ...listedEndpoint) {
 		sidecar.announce(endpointList{Rev: rev, All: all, Targets: targets})
 		sidecar.waitUntil("the list is applied", func() (done bool) {
-			sidecar.onLoop(func() { done = l.versionFilter.Version == rev })
+			sidecar.onLoop(func() { done = loop.versionFilter.Version == rev })
 			return done
 		})
 	}
-	full := l.bodyBudget.Available()
+	full := loop.bodyBudget.Available()
 	rev := uint64(1)
 	for i := range 20 {
 		x := startEndpoint(t, fmt.Sprintf("s-%08x", i), answerOK)
@@ -39,9 +39,9 @@
 	http.DefaultClient.CloseIdleConnections()
 	sidecar.waitUntil("all tables are empty", func() (done bool) {
 		sidecar.onLoop(func() {
-			e := l.endpoints
-			open, idle := l.http1.Counts()
-			done = len(e.byID)+len(e.ids)+idle+open+len(l.requests) == 0 && l.bodyBudget.Available() == full
+			e := loop.endpoints
+			open, idle := loop.http1.Counts()
+			done = len(e.byID)+len(e.ids)+idle+open+len(loop.requests) == 0 && loop.bodyBudget.Available() == full
 		})
 		open, _, staged, _ := sidecar.http1Front().Counts()
 		return done && staged == 0 && open == 0
--- a/internal/standalone/load.go
+++ b/internal/standalone/load.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The environment's variables. The last three win over the platform's file.
+// The environment variables. The last three override the platform's file.
 const (
 	envConfig    = "BALANCER_CONFIG" // the path of the platform's file
 	envName      = "BALANCER_NAME"
@@ -19,45 +19,44 @@
 	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// LoadConfig reads the configuration file that BALANCER_CONFIG names.
-// BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY win over the file.
-// Its errors name the file and the field.
+// LoadConfig reads the platform's configuration file, whose path is in BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN and
+// BALANCER_DISCOVERY override the file. Its errors name the file and the field.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	return LoadWith(getenv, Product{})
 }
 
-// LoadWith reads the product's file as well. Where BALANCER_CONFIG names a file, that wins: it is the platform's word. Without it the
-// product's file says all.
+// LoadWith reads the product's file as well. If BALANCER_CONFIG is set, the platform's file has precedence for the settings that both
+// have. Otherwise the product's file has all settings.
 func LoadWith(getenv func(string) string, product Product) (*Config, error) {
 	c := &Config{getenv: getenv, product: product}
 	return c.load(true)
 }
 
-// reload reads the files again. Whoever replaced them meant their discovery: the environment is as old as the
-// process, and wins no more.
+// reload reads the files again. BALANCER_DISCOVERY no longer overrides the file: the environment is as old as the process, and the
+// file may have been replaced to name another discovery. The error lists the changed settings that take effect at a start only.
 func (c *Config) reload() (*Config, error) {
 	fresh, err := c.load(false)
 	if err != nil || c.file == nil {
 		return fresh, err
 	}
-	var refused finding.List
+	var rejected finding.List
 	for _, s := range schema.Changed(c.file, fresh.file) {
 		if s.Key.Change != schema.AtStart || c.hasPlatform && slices.Contains(appfile.PlatformTables(), s.Path[0]) {
 			continue
 		}
-		refused.Add(s.Location.File, s.Location.Pos, "%s has changed, which takes effect at a start only", s.ID())
+		rejected.Add(s.Location.File, s.Location.Pos, "%s has changed, which takes effect at a start only", s.ID())
 	}
-	return fresh, refused.Err()
+	return fresh, rejected.Err()
 }
 
-// logUnused logs what of the product's file a platform takes the place of.
+// logUnused logs the settings of the product's file that the platform's file replaces.
 func (c *Config) logUnused() {
 	if c.file == nil || !c.hasPlatform {
 		return
 	}
 	for _, s := range c.file.Settings() {
 		if s.ID() == "sidecar.application" && c.openPeers != nil {
-			continue // the others go by it
+			continue // the group of sidecars uses it
 		}
 		if slices.Contains(appfile.PlatformTables(), s.Path[0]) {
 			log.Printf("%s: %s is not used: the platform's configuration says it", s.Location, s.ID())
@@ -65,7 +64,7 @@
 	}
 }
 
-// load reads all files anew, complete, before anything is taken up.
+// load reads all files into a new Config. Nothing changes if one of them has a fault.
 func (c *Config) load(useEnvDiscovery bool) (*Config, error) {
 	var file *schema.File
 	if c.product.Load != nil {
@@ -114,11 +113,11 @@
 	return err
 }
 
-// openSources opens what the product's file asks for beside discovery: another source of endpoints, the view for people, and
-// the other sidecars.
+// openSources prepares what the product's file configures beside discovery: another source of endpoints, the admin pages, and the
+// group of sidecars.
 func (c *Config) openSources() (err error) {
 	if c.tuning.endpointSource.Mode == endpointsource.ModeConsul {
-		c.Settings.MustSubscribe = false // discovery is not asked for what counts
+		c.Settings.MustSubscribe = false // the Balancer's list does not come from discovery
 	}
 	if c.follower, err = c.product.Follow(c.file); err != nil {
 		return err
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// clockStart is the event clock at the start of the process. It is well above 0, so that an endpoint
-	// that started shortly before this sidecar did has a start above 0 too: 0 stands for long past.
+	// clockStart is the event clock at the start of the process. It is well above 0, so that the start of an endpoint shortly before
+	// that of this sidecar is above 0 as well: 0 means long ago.
 	clockStart = 24 * time.Hour
-	// eventQueueSize is how many events may wait for the loop before those who post further ones wait too.
+	// eventQueueSize is how many events may wait for the loop. Beyond it, goroutines that post block.
 	eventQueueSize = 1024
-	// sweepInterval is how often idle connections are looked at.
+	// sweepInterval is how often idle connections are checked.
 	sweepInterval = time.Second
 )
 
-// loop owns the Balancer and all state that goes with it: one goroutine runs the functions in events, and
-// only it touches the fields from config on. It is the Balancer's Host.
+// loop owns the Balancer and all state that goes with it: one goroutine runs the functions in events, and only that goroutine
+// accesses the fields from config on. It is the Balancer's Host.
 type loop struct {
 	events     chan func()
-	origin     time.Time   // zero of the event clock
-	ready      atomic.Bool // the Balancer has a list
-	bodyBudget exchange.Budget
+	origin     time.Time       // zero of the event clock
+	ready      atomic.Bool     // the Balancer has a list
+	bodyBudget exchange.Budget // bytes for bodies of requests and responses
 
 	config        *Config
-	shutdownAt    time.Time // when all must be answered; zero unless this sidecar is shutting down
+	shutdownAt    time.Time // when all requests must be answered; zero unless this sidecar is shutting down
 	versionFilter endpointsource.VersionFilter
 	merger        *endpointsource.Merger
-	nextTick      time.Duration // when the merger is next due, on the event clock; 0 for never
+	nextTick      time.Duration // when the merger's next Tick is scheduled, on the event clock; 0 for not at all
 	stopFollower  context.CancelFunc
 	balancer      *balancer.Balancer
 	requests      map[balancer.RequestID]*request
@@ -47,41 +47,41 @@
 	backlog       backlog
 }
 
-// newLoop prepares a loop; run runs it. Its errors are those of the memory, the transports and the Balancer's settings.
-func newLoop(c *Config) (*loop, error) {
-	l := &loop{
+// newLoop returns a loop that does not run yet. Its errors are those of the transports, the memory and the Balancer's settings.
+func newLoop(config *Config) (*loop, error) {
+	loop := &loop{
 		events:        make(chan func(), eventQueueSize),
 		origin:        time.Now().Add(-clockStart),
-		config:        c,
+		config:        config,
 		requests:      map[balancer.RequestID]*request{},
-		versionFilter: endpointsource.VersionFilter{MustSubscribe: c.Settings.MustSubscribe},
-		merger:        endpointsource.New(c.tuning.endpointSource, c.Settings.Zones, c.Settings.Models),
+		versionFilter: endpointsource.VersionFilter{MustSubscribe: config.Settings.MustSubscribe},
+		merger:        endpointsource.New(config.tuning.endpointSource, config.Settings.Zones, config.Settings.Models),
 		stopFollower:  func() {},
 	}
-	l.endpoints = newEndpoints(c.Settings.Zones, c.Settings.Models, l.origin)
-	if err := l.openTransports(); err != nil {
+	loop.endpoints = newEndpoints(config.Settings.Zones, config.Settings.Models, loop.origin)
+	if err := loop.openTransports(); err != nil {
 		return nil, err
 	}
-	l.bodyBudget.Release(int(c.tuning.callers.BodyShare * float64(c.Limits.MemoryMB<<20)))
-	l.watcher = newWatcher(c.Discovery, c.token, l)
+	loop.bodyBudget.Release(int(config.tuning.callers.BodyShare * float64(config.Limits.MemoryMB<<20)))
+	loop.watcher = newWatcher(config.Discovery, config.token, loop)
 	var err error
-	if l.memory, err = openMemory(c, l.endpoints.zones, l.now()); err != nil {
+	if loop.memory, err = openMemory(config, loop.endpoints.zones, loop.now()); err != nil {
 		return nil, err
 	}
-	settings := c.Settings.Settings
-	settings.MaxSubsetSize = c.tuning.endpoints.MaxSubsetSize
-	l.balancer, err = balancer.New(settings, c.Seed, l)
-	return l, err
+	settings := config.Settings.Settings
+	settings.MaxSubsetSize = config.tuning.endpoints.MaxSubsetSize
+	loop.balancer, err = balancer.New(settings, config.Seed, loop)
+	return loop, err
 }
 
-// openTransports opens the ways to endpoints that the configuration asks for.
+// openTransports opens the transports to endpoints that the configuration uses.
 func (l *loop) openTransports() error {
-	c := l.config
-	sockets := int(c.tuning.endpoints.Share * float64(c.Limits.Sockets-reservedSockets))
-	idleTimeout := c.idleTimeout(c.tuning)
-	l.http1 = http1.NewTransport(sockets, idleTimeout, c.Settings.ConnectTimeout)
+	config := l.config
+	sockets := int(config.tuning.endpoints.Share * float64(config.Limits.Sockets-reservedSockets))
+	idleTimeout := config.idleTimeout(config.tuning)
+	l.http1 = http1.NewTransport(sockets, idleTimeout, config.Settings.ConnectTimeout)
 	l.transports.fallback = l.http1
-	preferred, err := openHTTP3Transport(c, sockets, idleTimeout)
+	preferred, err := openHTTP3Transport(config, sockets, idleTimeout)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 	}
 	l.transports.preferred = preferred
 	l.transports.tracker.Settings = protocolfallback.Settings{
-		InitialBackoff: c.tuning.http3Endpoints.MinPause,
-		MaxBackoff:     c.tuning.http3Endpoints.MaxPause,
+		InitialBackoff: config.tuning.http3Endpoints.MinPause,
+		MaxBackoff:     config.tuning.http3Endpoints.MaxPause,
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 // now is the time on the event clock.
 func (l *loop) now() time.Duration { return time.Since(l.origin) }
 
-// post hands an event to the loop. Only other goroutines may call it.
+// post has the loop run an event. The loop's own goroutine must not call it: it would block while the queue is full.
 func (l *loop) post(event func()) { l.events <- event }
 
 // run handles events until the process ends.
@@ -123,7 +123,7 @@
 	}
 }
 
-// sweep closes idle connections, and notes that the saved list still holds while discovery is heard.
+// sweep closes connections that have been idle for too long, and confirms the saved list while discovery is heard.
 func (l *loop) sweep() {
 	l.transports.sweep(time.Now())
 	if l.memory != nil && l.watcher.isCurrent(l.now()) {
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -16,68 +16,69 @@
 
 // The keys of the store's records. They are data on the disk.
 const (
-	requestKeyPrefix  = 'r' // and the id of an entry of the request table
-	endpointKeyPrefix = 'e' // and the uid of an endpoint of the saved list
-	listKey           = 'l' // its time to live gives when the saved list was last confirmed
+	requestKeyPrefix  = 'r' // followed by the id of an entry of the request table
+	endpointKeyPrefix = 'e' // followed by the uid of an endpoint of the saved list
+	listKey           = 'l' // the time to live of this record shows when the saved list was last confirmed
 	groupKey          = 'g' // the group of sidecars that was settled last
 )
 
-// diskTrialInterval is how often a failing disk is tried again while nothing is written to it.
+// diskTrialInterval is how often a write to a failing disk is tried while there is nothing else to write.
 const diskTrialInterval = time.Second
 
-// memory is what a sidecar remembers across a death: which requests may have run (memory_requests.go), the last list of
-// endpoints (memory_list.go) and the last group of sidecars (group.go). The loop owns it, but for the store, which does its work
-// in goroutines of its own, and diskFailing.
+// memory is what a sidecar keeps on the disk for the process that follows it: which requests may have run (memory_requests.go), the
+// last list of endpoints (memory_list.go) and the last group of sidecars (group.go). The loop owns it, except for the store, which
+// has its own goroutines, and for diskFailing.
 type memory struct {
-	settings      Memory
-	table         *idempotency.Table
-	store         *store.Store
-	goesOnWithout []bool // by class: whether it goes on where nothing can be remembered
-	classes       []balancer.Class
-	zones         nameIndex       // of the endpoints
-	savedUIDs     map[string]bool // of the endpoints of the saved list: the loop never reads the disk
-	listSavedAt   time.Duration   // on the event clock
-	diskTriedAt   time.Duration   // on the event clock, whether it works again
-	diskFailing   atomic.Bool     // logged once, until the disk works again
+	settings         Memory
+	table            *idempotency.Table
+	store            *store.Store
+	servesUnrecorded []bool // by class: whether requests are served while they cannot be recorded
+	classes          []balancer.Class
+	zones            nameIndex       // of the endpoints
+	savedUIDs        map[string]bool // of the endpoints of the saved list, so that the loop need not read the disk
+	listSavedAt      time.Duration   // on the event clock
+	diskTriedAt      time.Duration   // when a write to the failing disk was last tried, on the event clock
+	diskFailing      atomic.Bool     // the last write failed, which was logged
 }
 
-// openMemory opens what the file asks for; nil for nothing. Its errors name memory.memory_dir or memory.remembered_requests.
-func openMemory(c *Config, zones nameIndex, now time.Duration) (*memory, error) {
-	settings := c.tuning.memory
+// openMemory opens the memory that the file configures; nil for none. Its errors name memory.memory_dir or
+// memory.remembered_requests.
+func openMemory(config *Config, zones nameIndex, now time.Duration) (*memory, error) {
+	settings := config.tuning.memory
 	if settings.Dir == "" {
 		return nil, nil
 	}
-	disk := c.storeFS
+	disk := config.storeFS
 	if disk == nil {
-		if c.product.Resolve != nil {
-			settings.Dir = c.product.Resolve(settings.Dir)
+		if config.product.Resolve != nil {
+			settings.Dir = config.product.Resolve(settings.Dir)
 		}
 		if err := os.MkdirAll(settings.Dir, 0o700); err != nil {
 			return nil, fmt.Errorf("memory.memory_dir: %w", err)
 		}
 		disk = store.Dir(settings.Dir)
 	}
-	s, err := store.Open(disk, store.Options{MaxBytes: settings.MaxBytes, MaxRecords: settings.MaxRequests + 2*maxSavedEndpoints})
+	records, err := store.Open(disk, store.Options{MaxBytes: settings.MaxBytes, MaxRecords: settings.MaxRequests + 2*maxSavedEndpoints})
 	if err != nil {
 		return nil, fmt.Errorf("memory.memory_dir: %s: %w", settings.Dir, err)
 	}
-	m := &memory{
+	opened := &memory{
 		settings:  settings,
 		table:     idempotency.NewTable(settings.MaxRequests),
-		store:     s,
-		classes:   c.Settings.Classes,
+		store:     records,
+		classes:   config.Settings.Classes,
 		zones:     zones,
 		savedUIDs: map[string]bool{},
 	}
-	for _, class := range c.Settings.Classes {
-		of := appfile.ClassTable.Get(c.file, class.Name)
-		m.goesOnWithout = append(m.goesOnWithout, of == nil || of.OnMemoryFailure == appfile.ContinueWithoutMemory)
+	for _, class := range config.Settings.Classes {
+		of := appfile.ClassTable.Get(config.file, class.Name)
+		opened.servesUnrecorded = append(opened.servesUnrecorded, of == nil || of.OnMemoryFailure == appfile.ContinueWithoutMemory)
 	}
-	logDamage(s.Health())
-	return m, m.restore(now)
+	logDamage(records.Health())
+	return opened, opened.restore(now)
 }
 
-// logDamage logs what of the files could not be read.
+// logDamage logs the parts of the files that could not be read.
 func logDamage(h store.Health) {
 	for _, d := range h.Damage {
 		log.Printf("memory: %v", d)
@@ -87,11 +88,11 @@
 	}
 }
 
-// restore takes in what earlier incarnations of this sidecar remember. Its error is a table that is too small for it.
+// restore reads the records of earlier processes of this sidecar. It returns an error if the request table is too small for them.
 func (m *memory) restore(now time.Duration) error {
 	unknownForms := 0
 	var tableErr error
-	take := func(key, value []byte, left time.Duration) bool {
+	visit := func(key, value []byte, left time.Duration) bool {
 		if key[0] == endpointKeyPrefix {
 			m.savedUIDs[string(key[1:])] = true
 		}
@@ -106,7 +107,7 @@
 		tableErr = m.table.Restore(idempotency.ID(key[1:]), entry)
 		return tableErr == nil
 	}
-	if err := m.store.Range(take); err != nil {
+	if err := m.store.Range(visit); err != nil {
 		log.Printf("memory: %v", err)
 	}
 	if unknownForms > 0 {
@@ -121,10 +122,11 @@
 	return nil
 }
 
-// reportWrite takes how a write ended, and logs when the disk begins to fail and when it works again. Any goroutine may call it.
+// reportWrite is called with the result of each write. It logs when the disk begins to fail and when it works again. Any goroutine may
+// call it.
 func (m *memory) reportWrite(err error) {
 	switch {
-	case errors.Is(err, store.ErrClosed): // the sidecar ends
+	case errors.Is(err, store.ErrClosed): // the sidecar shuts down
 	case err != nil && !m.diskFailing.Swap(true):
 		log.Printf("memory: NOT REMEMBERED: %v; classes with without_memory = \"refuse\" are refused until the disk is well", err)
 	case err == nil && m.diskFailing.Swap(false):
@@ -132,7 +134,7 @@
 	}
 }
 
-// close closes the store; a nil memory has none.
+// close closes the store. It may be called on a nil memory.
 func (m *memory) close() {
 	if m == nil {
 		return
--- a/internal/standalone/memory_list.go
+++ b/internal/standalone/memory_list.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// listSaveInterval is how often the saved list is confirmed while its sources are heard.
+	// listSaveInterval is how often the saved list is confirmed while its source is heard.
 	listSaveInterval = 10 * time.Second
-	// maxSavedEndpoints bounds the endpoints of the saved list.
+	// maxSavedEndpoints bounds the saved list: endpoints of a longer one are not saved.
 	maxSavedEndpoints = 20_000
 )
 
-// savedList is the last list of endpoints, and its age; false where none is saved or it is too old.
+// savedList returns the saved list of endpoints and its age; false if none is saved or it is older than list_keep.
 func (m *memory) savedList() (list endpointsource.List, age time.Duration, ok bool) {
 	_, left, ok, err := m.store.Get([]byte{listKey})
 	if err != nil {
@@ -30,46 +30,46 @@
 		return list, 0, false
 	}
 	list.Kind = balancer.ListCached
-	take := func(key, value []byte, _ time.Duration) bool {
+	visit := func(key, value []byte, _ time.Duration) bool {
 		var e endpointsource.Endpoint
 		if key[0] == endpointKeyPrefix && json.Unmarshal(value, &e) == nil {
 			list.Endpoints = append(list.Endpoints, e)
 		}
 		return true
 	}
-	if err := m.store.Range(take); err != nil {
+	if err := m.store.Range(visit); err != nil {
 		log.Printf("memory: %v", err)
 	}
 	slices.SortFunc(list.Endpoints, func(a, b endpointsource.Endpoint) int { return strings.Compare(a.UID, b.UID) })
 	return list, m.settings.ListRetention - left, len(list.Endpoints) > 0
 }
 
-// saveList saves what a list says of endpoints; listed are those that are listed now.
+// saveList applies a list, complete or a delta, to the saved one. listed are all endpoints that are listed now.
 func (m *memory) saveList(now time.Duration, list endpointsource.List, listed map[balancer.EndpointID]*exchange.Endpoint) {
 	if m.settings.ListRetention == 0 || list.Kind == balancer.ListCached {
 		return
 	}
-	var b store.Batch
+	var batch store.Batch
 	if list.Kind == balancer.ListFull {
-		m.deleteUnlisted(&b, listed)
+		m.deleteUnlisted(&batch, listed)
 	}
 	for _, e := range list.Endpoints {
 		key := append([]byte{endpointKeyPrefix}, e.UID...)
 		if e.State == balancer.EndpointRemoved {
 			delete(m.savedUIDs, e.UID)
-			b.Delete(key)
+			batch.Delete(key)
 			continue
 		}
 		text, err := json.Marshal(e)
 		if err == nil && len(key) <= store.MaxKeyBytes && len(listed) <= maxSavedEndpoints {
 			m.savedUIDs[e.UID] = true
-			b.Put(key, text, 0)
+			batch.Put(key, text, 0)
 		}
 	}
-	m.confirmList(now, &b)
+	m.confirmList(now, &batch)
 }
 
-// deleteUnlisted deletes what is saved of endpoints that are listed no more.
+// deleteUnlisted deletes saved endpoints that are no longer listed.
 func (m *memory) deleteUnlisted(b *store.Batch, listed map[balancer.EndpointID]*exchange.Endpoint) {
 	uids := map[string]bool{}
 	for _, e := range listed {
@@ -83,14 +83,14 @@
 	}
 }
 
-// confirmList writes a batch, and with it that the saved list still holds.
+// confirmList writes a batch, and with it that the saved list is up to date.
 func (m *memory) confirmList(now time.Duration, b *store.Batch) {
 	m.listSavedAt = now
 	b.Put([]byte{listKey}, nil, m.settings.ListRetention)
 	m.store.Apply(*b, m.reportWrite)
 }
 
-// refreshList confirms the saved list when discovery or Consul has been heard, every listSaveInterval.
+// refreshList confirms the saved list if listSaveInterval has passed. It is called while the source of the list is heard.
 func (m *memory) refreshList(now time.Duration) {
 	if m.settings.ListRetention > 0 && now-m.listSavedAt >= listSaveInterval {
 		m.confirmList(now, &store.Batch{})
--- a/internal/standalone/memory_requests.go
+++ b/internal/standalone/memory_requests.go
@@ -9,23 +9,23 @@
 	"quincegap/internal/network/exchange"
 )
 
-// outcomeSyncDelay is how long the record of an attempt's outcome waits for another record to be synced with. If it is lost, more
-// is taken to have run than has.
+// outcomeSyncDelay is how long the record of an attempt's outcome may wait to be synced together with another record. If it is lost, a
+// request counts as one that may have run though it has not, which is safe.
 const outcomeSyncDelay = 20 * time.Millisecond
 
-// rejects looks up what is known of a request that arrives, and reports whether it has to be rejected because it could not be
-// remembered. What may have run never is: a rejection would promise that a repeat is harmless.
+// rejects looks up whether a request that arrives may have run before, and reports whether it has to be rejected because it could not
+// be recorded. One that may have run is never rejected: a rejection would promise that it has not.
 func (m *memory) rejects(now time.Duration, r *request) bool {
 	m.lookUpPrior(now, r)
 	return !r.Prior.MayHaveRun && m.cannotRecord(now, r.Class)
 }
 
-// cannotRecord reports whether a request of a class has to be rejected because it could not be remembered.
+// cannotRecord reports whether a request of a class has to be rejected because it could not be recorded.
 func (m *memory) cannotRecord(now time.Duration, class int) bool {
-	if !m.diskFailing.Load() || m.goesOnWithout[class] || m.classes[class].Idempotency == balancer.Idempotent {
+	if !m.diskFailing.Load() || m.servesUnrecorded[class] || m.classes[class].Idempotency == balancer.Idempotent {
 		return false
 	}
-	if now-m.diskTriedAt >= diskTrialInterval { // nothing else may be written that could tell that the disk works again
+	if now-m.diskTriedAt >= diskTrialInterval { // there may be no other write that shows that the disk works again
 		m.diskTriedAt = now
 		var b store.Batch
 		b.Delete([]byte{requestKeyPrefix})
@@ -34,7 +34,7 @@
 	return true
 }
 
-// entryID is what a request is remembered by; false for one that may run any number of times.
+// entryID returns the id of a request in the table; false for an idempotent one, which is not recorded.
 func (m *memory) entryID(r *request) (id idempotency.ID, ok bool) {
 	class := &m.classes[r.Class]
 	switch class.Idempotency {
@@ -46,7 +46,7 @@
 	return id, false
 }
 
-// lookUpPrior sets what is known of a request that arrives.
+// lookUpPrior sets r.Prior if the table has the request.
 func (m *memory) lookUpPrior(now time.Duration, r *request) {
 	id, ok := m.entryID(r)
 	if !ok {
@@ -61,7 +61,7 @@
 	}
 }
 
-// beginAttempt remembers that an attempt is about to go out, and gives what it has to wait for; nil for nothing.
+// beginAttempt records that an attempt is about to be sent, and returns the gate that the attempt has to pass; nil for none.
 func (m *memory) beginAttempt(now time.Duration, r *request, to *exchange.Endpoint) *durabilityGate {
 	id, ok := m.entryID(r)
 	if !ok {
@@ -70,33 +70,34 @@
 	class := &m.classes[r.Class]
 	origin := idempotency.Origin{Zone: to.Zone, Cell: to.Cell, Endpoint: to.UID}
 	entry, changed, err := m.table.BeginAttempt(now, id, class.Name, idempotency.RetentionOf(class), origin)
-	g := &durabilityGate{
-		err: err, timeout: m.settings.WriteTimeout, reportTimeout: m.reportWrite, goesOnWithout: m.goesOnWithout[r.Class],
+	gate := &durabilityGate{
+		err: err, timeout: m.settings.WriteTimeout, reportTimeout: m.reportWrite, servesUnrecorded: m.servesUnrecorded[r.Class],
 	}
 	if err != nil {
 		m.reportWrite(err)
-		return g
+		return gate
 	}
 	if !changed {
 		return nil
 	}
-	g.written = make(chan error, 1)
+	gate.written = make(chan error, 1)
 	m.putEntry(id, &entry, entry.Retention, 0, func(err error) {
 		m.reportWrite(err)
-		g.written <- err
+		gate.written <- err
 	})
-	return g
+	return gate
 }
 
-// putEntry writes an entry that is kept for a while; the write may wait for syncDelay for others.
-func (m *memory) putEntry(id idempotency.ID, entry *idempotency.Entry, left, syncDelay time.Duration, done func(error)) {
+// putEntry writes an entry with a time to live. The write may wait for syncDelay to be synced with others.
+func (m *memory) putEntry(id idempotency.ID, entry *idempotency.Entry, ttl, syncDelay time.Duration, done func(error)) {
 	var b store.Batch
 	b.SetMaxDelay(syncDelay)
-	b.Put(append([]byte{requestKeyPrefix}, id[:]...), entry.Encode(), max(left, time.Millisecond))
+	b.Put(append([]byte{requestKeyPrefix}, id[:]...), entry.Encode(), max(ttl, time.Millisecond))
 	m.store.Apply(b, done)
 }
 
-// endAttempt remembers how an attempt ended, and reports whether the request may have run.
+// endAttempt records the outcome of an attempt, and reports whether the request may have run. answered means that its response goes to
+// the caller.
 func (m *memory) endAttempt(now time.Duration, a *attempt, status balancer.Status, answered bool) (mayRun bool) {
 	id, ok := m.entryID(a.request)
 	if !ok {
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -21,25 +21,25 @@
 	}
 	defer closeQuietly(s)
 	pay := balancer.Class{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: time.Minute}
-	m := &memory{
-		table: idempotency.NewTable(10), store: s, goesOnWithout: []bool{false}, classes: []balancer.Class{pay}, zones: nameIndex{},
+	mem := &memory{
+		table: idempotency.NewTable(10), store: s, servesUnrecorded: []bool{false}, classes: []balancer.Class{pay}, zones: nameIndex{},
 		diskTriedAt: time.Hour,
 	}
 	requestOf := func(id string) *request {
 		return &request{Request: balancer.Request{ID: balancer.RequestID(id)}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	}
-	id, _ := m.entryID(requestOf("ran"))
-	if err := m.table.Restore(id, idempotency.Entry{SentAt: time.Hour, Retention: time.Hour}); err != nil {
+	id, _ := mem.entryID(requestOf("ran"))
+	if err := mem.table.Restore(id, idempotency.Entry{SentAt: time.Hour, Retention: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	if m.rejects(time.Hour, requestOf("new")) {
+	if mem.rejects(time.Hour, requestOf("new")) {
 		t.Error("rejected while the disk works")
 	}
-	m.reportWrite(errors.New("no space left"))
-	if !m.rejects(time.Hour, requestOf("new")) {
+	mem.reportWrite(errors.New("no space left"))
+	if !mem.rejects(time.Hour, requestOf("new")) {
 		t.Error("a request that cannot be remembered was admitted")
 	}
-	if r := requestOf("ran"); m.rejects(time.Hour, r) || !r.Prior.MayHaveRun {
+	if r := requestOf("ran"); mem.rejects(time.Hour, r) || !r.Prior.MayHaveRun {
 		t.Errorf("a request that may have run was rejected: %+v", r.Prior)
 	}
 }
--- a/internal/standalone/parse.go
+++ b/internal/standalone/parse.go
@@ -13,22 +13,22 @@
 const (
 	// maxIDBytes bounds the id of a request.
 	maxIDBytes = 128
-	// maxRemaining bounds the time that a caller may wait.
+	// maxRemaining bounds the time that a caller waits.
 	maxRemaining = time.Hour
 )
 
-// faultNoLength answers a request whose length cannot be known.
+// faultNoLength is the answer to a request whose length is not known.
 const faultNoLength = "a request must tell its Content-Length"
 
-// parse reads what the Balancer needs of a request, or names what is wrong with it and the status that says so.
+// parse returns what the Balancer needs of a request, or the fault of the request and the status to answer with.
 func (s *server) parse(r *http.Request) (req *request, status int, fault string) {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		// A chunked body may hide another request: net/http drops the Content-Length that contradicts it, so
-		// the pair cannot be seen here. Callers know the length of what they send.
+		// A chunked body may hide another request: net/http drops a Content-Length that contradicts the chunks, so the
+		// contradiction cannot be detected here. Callers know the length of their bodies.
 		return nil, http.StatusLengthRequired, faultNoLength
 	case r.ContentLength < 0 && r.Method != http.MethodGet:
-		return nil, http.StatusLengthRequired, faultNoLength // HTTP/3 can do without
+		return nil, http.StatusLengthRequired, faultNoLength // HTTP/3 allows a body without a length
 	case r.ContentLength > s.tuning.Load().callers.MaxBody:
 		return nil, http.StatusRequestEntityTooLarge, "request body too large"
 	}
@@ -41,14 +41,14 @@
 	return req, 0, ""
 }
 
-// isReplayable reports whether a proxy in front took an unsafe request before its caller had proved to be there: a replay of it
-// would run twice.
+// isReplayable reports whether a proxy in front received a request that is not idempotent in early data, before the handshake of its
+// caller was complete. An attacker who recorded it could replay it, and it would run twice.
 func (s *server) isReplayable(r *http.Request, req *request) bool {
 	return s.tuning.Load().callers.TooEarly && r.Header.Get(headerEarlyData) == headerSet &&
 		s.config.Settings.Classes[req.Class].Idempotency != balancer.Idempotent
 }
 
-// parseHeaders reads a request's headers, or names the first that is wrong.
+// parseHeaders reads the headers of a request, or returns the first fault.
 func (s *server) parseHeaders(r *http.Request) (req *request, fault string) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return nil, "not a path: this is no proxy for other hosts"
@@ -67,7 +67,7 @@
 	}
 	class := &s.config.Settings.Classes[req.Class]
 	if class.Idempotency == balancer.IdempotentWithKey && r.Header.Get(headerIdempotencyKey) == "" {
-		return nil, headerIdempotencyKey + ": missing" // endpoints could not drop a repeat
+		return nil, headerIdempotencyKey + ": missing" // endpoints could not recognise a repeat
 	}
 	if !methodFits(r.Method, class) {
 		return nil, r.Method + ": not the method of this class"
@@ -76,7 +76,7 @@
 	return req, ""
 }
 
-// parseIdentity reads what every request has to say of itself: its id, class, time and tenant.
+// parseIdentity reads the headers that each request must have: its id, class, time and tenant.
 func (s *server) parseIdentity(r *http.Request, req *request) (fault string) {
 	req.ID = balancer.RequestID(r.Header.Get(headerRequestID))
 	if req.ID == "" || len(req.ID) > maxIDBytes {
@@ -90,7 +90,7 @@
 		return headerTimeLeft + ": not a time in m or u that can be waited"
 	}
 	if deadline := s.config.Settings.Classes[req.Class].Deadline; deadline > 0 {
-		// No client waits longer; the Balancer would learn from it how long they do.
+		// No caller waits longer than the deadline of the class; the Balancer learns from these times.
 		req.TimeLeft = min(req.TimeLeft, deadline)
 	}
 	if len(s.tenants) > 0 {
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// methodFits reports whether a class takes a method: GET where any number of repeats is harmless, POST elsewhere.
+// methodFits reports whether requests of a class have a method: GET if the class is idempotent, else POST.
 func methodFits(method string, class *balancer.Class) bool {
 	if class.Idempotency == balancer.Idempotent {
 		return method == http.MethodGet
@@ -109,7 +109,7 @@
 	return method == http.MethodPost
 }
 
-// parseHints reads what a request may say of itself. What cannot be read counts as left out.
+// parseHints reads the optional headers. A malformed one is ignored.
 func parseHints(r *http.Request, req *request) {
 	if cookie, err := r.Cookie(affinityCookie); err == nil {
 		req.Key = cookie.Value
@@ -121,38 +121,38 @@
 	req.Write = r.Method != http.MethodGet && r.Method != http.MethodHead
 }
 
-// applyRoute finds the route of a request and what that sets for it, or says why it has to go nowhere.
+// applyRoute finds the route of a request and applies its settings. It returns a fault if the path is ambiguous.
 func (s *server) applyRoute(r *http.Request, req *request) (fault string) {
 	routes := s.tuning.Load().routes
 	if routes == nil {
 		return ""
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	asked := route.Request{
+	query := route.Request{
 		Host: r.Host, Path: path, Method: r.Method, Class: s.config.Settings.Classes[req.Class].Name,
 		Tenant: r.Header.Get(headerTenant), Header: r.Header,
 	}
 	var ok bool
-	if req.route, ok = routes.Find(&asked); !ok {
+	if req.route, ok = routes.Find(&query); !ok {
 		return "path: it cannot be told what is meant: " + route.AmbiguousPath(path)
 	}
 	if req.route == nil {
 		return ""
 	}
-	set := req.route.Settings
-	if set.Timeout > 0 {
-		req.TimeLeft = min(req.TimeLeft, set.Timeout)
+	settings := req.route.Settings
+	if settings.Timeout > 0 {
+		req.TimeLeft = min(req.TimeLeft, settings.Timeout)
 	}
-	req.MaxAttempts = set.MaxAttempts
-	req.AttemptTimeout = set.AttemptTimeout
-	req.ValueFactor = set.Value
-	if limit := tighterLimit(set.MaxAttempts, s.config.Settings.MaxAttempts); limit > 0 && s.config.mayHedge(req) {
-		req.MaxAttempts = limit - 1 // the hedged copy is one of them
+	req.MaxAttempts = settings.MaxAttempts
+	req.AttemptTimeout = settings.AttemptTimeout
+	req.ValueFactor = settings.Value
+	if limit := tighterLimit(settings.MaxAttempts, s.config.Settings.MaxAttempts); limit > 0 && s.config.mayHedge(req) {
+		req.MaxAttempts = limit - 1 // the secondary's attempt is one of them
 	}
 	return ""
 }
 
-// parseRemaining reads a number with its unit, m for milliseconds or u for microseconds; false where it is none, or above
+// parseRemaining parses a number with its unit, m for milliseconds or u for microseconds; false if it is malformed, negative or above
 // maxRemaining.
 func parseRemaining(text string) (left time.Duration, ok bool) {
 	unit := time.Millisecond
@@ -164,7 +164,7 @@
 		}
 	}
 	if strings.Trim(digits, "0123456789.") != "" {
-		return 0, false // ParseFloat takes signs, exponents and words as well
+		return 0, false // ParseFloat also accepts signs, exponents and words
 	}
 	n, err := strconv.ParseFloat(digits, 64)
 	if err != nil || !(n >= 0 && n <= float64(maxRemaining/unit)) {
--- a/internal/standalone/protocols_test.go
+++ b/internal/standalone/protocols_test.go
@@ -55,9 +55,9 @@
 }()
 
 // apply sets the protocols in a sidecar's configuration, after adjustConfig.
-func (p protocols) apply(t *testing.T, c *Config) {
+func (p protocols) apply(t *testing.T, config *Config) {
 	t.Helper()
-	adjustConfig(c)
+	adjustConfig(config)
 	dir := t.TempDir()
 	writeFile := func(name string, text []byte) (path string) {
 		path = filepath.Join(dir, name)
@@ -66,20 +66,20 @@
 		}
 		return path
 	}
-	c.product.Resolve = func(path string) string { return path }
+	config.product.Resolve = func(path string) string { return path }
 	if p.front == "http3" {
 		cert, key, err := signer.Issue(frontName, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		callers := &c.tuning.http3Callers
+		callers := &config.tuning.http3Callers
 		callers.Listen = "127.0.0.1:0"
 		callers.CertFile = writeFile("cert.pem", cert)
 		callers.KeyFile = writeFile("key.pem", key)
 		callers.EarlyData = http3.EarlySafe
 	}
 	if p.transport == "http3" {
-		endpoints := &c.tuning.http3Endpoints
+		endpoints := &config.tuning.http3Endpoints
 		endpoints.Use = http3.Prefer
 		endpoints.CAFile = writeFile("ca.pem", signer.PEM())
 		endpoints.ServerName = endpointName
@@ -116,8 +116,8 @@
 		}
 	}
 	for range 20 {
-		s := httptest.NewServer(behind)
-		address = s.Listener.Addr().String()
+		server := httptest.NewServer(behind)
+		address = server.Listener.Addr().String()
 		if currentProtocols.transport == "http3" {
 			cert, err := signer.Pair(endpointName)
 			if err != nil {
@@ -125,14 +125,14 @@
 			}
 			e, err := h3.Start(address, cert, h3.Options{EarlyData: true}, release)
 			if err != nil { // the port is taken for UDP
-				s.Close()
+				server.Close()
 				continue
 			}
 			t.Cleanup(e.Close)
 		}
 		t.Cleanup(func() {
-			s.CloseClientConnections()
-			s.Close()
+			server.CloseClientConnections()
+			server.Close()
 		})
 		return address
 	}
--- a/internal/standalone/recent_ids.go
+++ b/internal/standalone/recent_ids.go
@@ -13,14 +13,14 @@
 	maxRecentIDs = 4096
 )
 
-// recentIDs holds the ids of requests that have ended a short while ago. An id is new with every request: one that
-// comes again is another's, and endpoints may run it twice or reject it. The zero value is empty. The loop owns it.
+// recentIDs holds the ids of requests that have ended recently. Ids are unique: another request with the same one is a duplicate, which
+// endpoints may run twice or reject. The zero value is empty. The loop owns it.
 type recentIDs struct {
 	endedAt map[balancer.RequestID]time.Duration
 	ids     []balancer.RequestID // in the order in which they ended
 }
 
-// add keeps the id of a request that ends now, and drops those that ended too long ago.
+// add adds the id of a request that ends now, and drops the ids of those that ended too long ago.
 func (r *recentIDs) add(id balancer.RequestID, now time.Duration) {
 	if r.endedAt == nil {
 		r.endedAt = map[balancer.RequestID]time.Duration{}
@@ -33,7 +33,7 @@
 	r.ids = append(r.ids, id)
 }
 
-// has reports whether the request of an id ended a short while ago.
+// has reports whether a request with an id has ended recently.
 func (r *recentIDs) has(id balancer.RequestID, now time.Duration) bool {
 	endedAt, ok := r.endedAt[id]
 	return ok && now-endedAt <= recentIDRetention
--- a/internal/standalone/requests_test.go
+++ b/internal/standalone/requests_test.go
@@ -90,7 +90,7 @@
 	var arrived atomic.Int64
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { arrived.Add(1) }))
 	large := strings.Repeat("x", exchange.MaxBody+1)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(r *http.Request)
 		want   int
 	}{
@@ -122,9 +122,9 @@
 			continue // HTTP/3 has no such request line
 		}
 		r := sidecar.request("book", 5*time.Second)
-		c.change(r)
-		if status, body := sidecar.call(r); status != c.want {
-			t.Errorf("%s: got %d %q, want %d", name, status, body, c.want)
+		test.change(r)
+		if status, body := sidecar.call(r); status != test.want {
+			t.Errorf("%s: got %d %q, want %d", name, status, body, test.want)
 		}
 	}
 	if arrived.Load() != 0 {
@@ -295,13 +295,13 @@
 		}
 	}
 	var atDraining, atOther atomic.Int64
-	a, b := startEndpoint(t, "s-1", count(&atDraining)), startEndpoint(t, "s-2", count(&atOther))
-	sidecar := startSidecar(t, 1024, a, b)
+	draining, other := startEndpoint(t, "s-1", count(&atDraining)), startEndpoint(t, "s-2", count(&atOther))
+	sidecar := startSidecar(t, 1024, draining, other)
 	for atDraining.Load() == 0 {
 		sidecar.call(sidecar.request("once", 5*time.Second))
 	}
-	a.State = "Terminating"
-	sidecar.announce(endpointList{Rev: 2, Targets: []listedEndpoint{a}})
+	draining.State = "Terminating"
+	sidecar.announce(endpointList{Rev: 2, Targets: []listedEndpoint{draining}})
 	sidecar.waitUntil("the change is applied", func() (done bool) {
 		sidecar.onLoop(func() { done = sidecar.server.loop.versionFilter.Version == 2 })
 		return done
@@ -314,7 +314,7 @@
 		t.Errorf("%d requests went to the draining endpoint", atDraining.Load()-before)
 	}
 	idle := -1
-	sidecar.onLoop(func() { idle = sidecar.server.loop.http1.IdleAt(a.Address) })
+	sidecar.onLoop(func() { idle = sidecar.server.loop.http1.IdleAt(draining.Address) })
 	if idle != 0 {
 		t.Errorf("%d idle connections to it are kept", idle)
 	}
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -13,65 +13,65 @@
 )
 
 const (
-	// reservedSockets are for the listener, discovery, probes, standard streams and the runtime, and for
+	// reservedSockets are for the listener, discovery, health checks, standard streams and the runtime, and for
 	// exchange.ExcessSockets.
 	reservedSockets = 32
-	// writeTimeout is how long beyond the longest deadline an answer may take to be written.
+	// writeTimeout is how long after the longest deadline an answer may take to be written.
 	writeTimeout = 10 * time.Second
-	// bodyRetryAfter is when a caller may come back whose body found no room.
+	// bodyRetryAfter is the Retry-After of a request whose body exceeds the budget.
 	bodyRetryAfter = time.Second
 )
 
-// faultTooEarly answers early data that must not run before its caller has proved to be there (RFC 8470, section 5.2).
+// faultTooEarly is the answer to early data that must not run before the handshake is complete (RFC 8470, section 5.2).
 const faultTooEarly = "too early: send it again when the handshake is complete"
 
-// server takes callers' requests to the loop, and its answers back.
+// server passes requests of callers to the loop, and answers back.
 type server struct {
 	fronts          []exchange.Front
 	loop            *loop
 	config          *Config
-	classes         map[string]int            // to their place in the settings
-	tenants         map[string]int            // to their place in the settings
-	longestDeadline time.Duration             // of a class
+	classes         map[string]int            // by name, the index in the settings
+	tenants         map[string]int            // by name, the index in the settings
+	longestDeadline time.Duration             // of all classes
 	quietPeriod     time.Duration             // see defaultQuietPeriod
-	tuning          atomic.Pointer[tuning]    // as the configuration file has it now
-	shutdownAt      atomic.Pointer[time.Time] // when all is answered; nil unless it is shutting down
+	tuning          atomic.Pointer[tuning]    // replaced by a reload
+	shutdownAt      atomic.Pointer[time.Time] // when all requests are answered; nil unless it is shutting down
 	group           group
-	instances       atomic.Int64 // of this sidecar's application, as far as it knows
+	instances       atomic.Int64 // sidecars of this application, as far as is known
 }
 
-// newServer opens the fronts; listener is HTTP/1.1's.
-func newServer(c *Config, l *loop, listener net.Listener) (*server, error) {
-	s := &server{
+// newServer opens the fronts; listener is that of the front for HTTP/1.1.
+func newServer(config *Config, l *loop, listener net.Listener) (*server, error) {
+	server := &server{
 		loop:        l,
-		config:      c,
+		config:      config,
 		classes:     map[string]int{},
 		tenants:     map[string]int{},
 		quietPeriod: defaultQuietPeriod,
 	}
-	s.tuning.Store(c.tuning)
-	for i, class := range c.Settings.Classes {
-		s.classes[class.Name] = i
-		s.longestDeadline = max(s.longestDeadline, class.Deadline)
+	server.tuning.Store(config.tuning)
+	for i, class := range config.Settings.Classes {
+		server.classes[class.Name] = i
+		server.longestDeadline = max(server.longestDeadline, class.Deadline)
 	}
-	for i, tenant := range c.Settings.Tenants {
-		s.tenants[tenant.Name] = i
+	for i, tenant := range config.Settings.Tenants {
+		server.tenants[tenant.Name] = i
 	}
-	bounds := s.frontBounds()
-	front, err := openHTTP3Front(c, s, bounds)
+	bounds := server.frontBounds()
+	front, err := openHTTP3Front(config, server, bounds)
 	if err != nil {
 		return nil, err
 	}
 	if front == nil {
-		s.fronts = []exchange.Front{http1.NewFront(listener, s, bounds)}
-		return s, nil
+		server.fronts = []exchange.Front{http1.NewFront(listener, server, bounds)}
+		return server, nil
 	}
-	bounds.AltSvc = altSvcHeader(front.Address(), c.tuning.http3Callers.AltSvcMaxAge)
-	s.fronts = []exchange.Front{http1.NewFront(listener, s, bounds), front}
-	return s, nil
+	bounds.AltSvc = altSvcHeader(front.Address(), config.tuning.http3Callers.AltSvcMaxAge)
+	server.fronts = []exchange.Front{http1.NewFront(listener, server, bounds), front}
+	return server, nil
 }
 
-// frontBounds are those of a front for HTTP/1.1.
+// frontBounds returns the bounds of a front for HTTP/1.1.
 func (s *server) frontBounds() http1.Bounds {
 	c := s.config.tuning.callers
 	return http1.Bounds{
@@ -83,10 +83,10 @@
 	}
 }
 
-// ServeHTTP takes a request from any front: it reads and checks the request, has the loop answer it, and writes the answer.
+// ServeHTTP is the handler of all fronts: it reads and checks a request, has the loop answer it, and writes the answer.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readyPath && r.Header.Get(headerRequestID) == "" {
-		s.serveReady(w)
+		s.serveReadiness(w)
 		return
 	}
 	caller := exchange.CallerOf(r)
@@ -98,7 +98,7 @@
 	}
 	req, status, fault := s.parse(r)
 	if fault != "" {
-		// What follows on the connection may be no request.
+		// The bytes that follow on the connection may not be a request.
 		caller.CloseAfter(w.Header())
 		http.Error(w, fault, status)
 		return
@@ -136,19 +136,19 @@
 		s.loop.releaseResponse(a.response)
 	case <-r.Context().Done():
 		s.loop.post(func() { s.loop.handleClientGone(req) })
-		// To return would send an empty 200 to a client that has closed only its side.
+		// A return would send an empty 200 to a caller that has closed only its side of the connection.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serveReady answers whether this sidecar has a list of endpoints and is not shutting down.
-func (s *server) serveReady(w http.ResponseWriter) {
+// serveReadiness answers 200 if this sidecar has a list of endpoints and is not shutting down, else 503.
+func (s *server) serveReadiness(w http.ResponseWriter) {
 	if !s.loop.ready.Load() || s.shutdownAt.Load() != nil {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 	}
 }
 
-// bodyCopies is how many copies of a request's body there may be at once: its own, and that which each attempt writes.
+// bodyCopies is how many copies of a request's body there may be in memory: the one that was read, and one for each attempt in flight.
 func (s *server) bodyCopies(req *request) int {
 	if s.config.mayHedge(req) {
 		return 3
@@ -156,10 +156,10 @@
 	return 2
 }
 
-// readBody reads the body of a request that began then; false where it does not come complete in time.
+// readBody reads the body of a request that began at a time; false if it is not complete in time.
 func (s *server) readBody(w http.ResponseWriter, r *http.Request, began time.Time) (body []byte, ok bool) {
-	// The limit on reading holds for the body alone. Left in place, it would pass for the client going away.
-	// Where a front has no such limit, it bounds the time in its own way.
+	// The read deadline is removed after the body: when it expired, it would look like a caller that disconnects. Fronts without
+	// read deadlines limit the time in their own way.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(began.Add(s.config.tuning.callers.RequestTimeout))
 	body, err := exchange.ReadAll(r.Body)
@@ -173,9 +173,9 @@
 	return body, int64(len(body)) == r.ContentLength
 }
 
-// confirmEarly has a request in early data wait until its caller has proved to be there; false where that does not come in time.
-// Whoever recorded an unsafe one can send it again, to this sidecar or another: it reaches nobody before that. A safe one goes on
-// at once, marked as early.
+// confirmEarly delays a request in early data until the handshake of its caller is complete; false if that takes too long. An attacker
+// who recorded early data can replay it, to this sidecar or another, so a request that is not idempotent must not be forwarded
+// before. A safe one is forwarded at once, marked as early.
 func (s *server) confirmEarly(r *http.Request, caller exchange.Caller, req *request, safe bool) bool {
 	if !caller.Early() {
 		return true
--- a/internal/standalone/shutdown_test.go
+++ b/internal/standalone/shutdown_test.go
@@ -93,7 +93,7 @@
 			awaitCancel(r)
 		}
 	})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                    string
 		idle, instances, status int
 	}{
@@ -101,18 +101,18 @@
 		{"enough idle connections", 3, 1, http.StatusOK},
 		{"a replica", 0, 2, http.StatusOK},
 	} {
-		sidecar := startReplica(t, c.instances, 1024, endpoint)
+		sidecar := startReplica(t, test.instances, 1024, endpoint)
 		sidecar.setShutdown(time.Hour, 700*time.Millisecond)
 		if status, _ := sidecar.call(sidecar.request("once", 9*time.Second)); status != http.StatusOK {
-			t.Fatalf("%s: before the shutdown: %d", c.name, status)
+			t.Fatalf("%s: before the shutdown: %d", test.name, status)
 		}
-		connections := sidecar.connectIdle(2 + c.idle)
+		connections := sidecar.connectIdle(2 + test.idle)
 		go connections[0].send(sidecar.request("read", 9*time.Second))
 		<-arrived
 		sidecar.beginShutdown()
 		res := connections[1].send(sidecar.request("once", 9*time.Second))
-		if res == nil || res.status != c.status || (res.header.Get("Retry-After") == "") != (c.status == 200) {
-			t.Errorf("%s: %+v", c.name, res)
+		if res == nil || res.status != test.status || (res.header.Get("Retry-After") == "") != (test.status == 200) {
+			t.Errorf("%s: %+v", test.name, res)
 		}
 	}
 }
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -15,12 +15,12 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// memoryLimitShare is the part of the memory limit at which the collector works harder; the rest is for stacks
-// of system threads and what the kernel counts.
+// memoryLimitShare is the share of limits.memory_mb that the garbage collector keeps the heap below; the rest is for the stacks of
+// system threads and for what the kernel counts.
 const memoryLimitShare = 0.75
 
-// Run serves until a signal arrives on stop, and then ends what was taken. A signal on reload makes it read
-// its configuration file again. Its error is one of the start, or of a front that could not go on.
+// Run serves until a signal arrives on stop, and then shuts down. A signal on reload makes it read its configuration files again. It
+// returns the first error of the start, of a front, or of the shutdown.
 func Run(c *Config, stop, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.Limits.MemoryMB<<20)))
@@ -73,7 +73,7 @@
 	return <-stopped
 }
 
-// serve takes requests by all fronts until they are stopped, or returns the first error.
+// serve serves by all fronts until they are stopped, or returns the first error.
 func (s *server) serve() error {
 	served := make(chan error, len(s.fronts))
 	for _, f := range s.fronts {
@@ -87,11 +87,10 @@
 	return nil
 }
 
-// reload reads the configuration files again: it takes up the discovery that they name now, and of the
-// product's file the keys that may change. A file that cannot be used, or that changes a key that may not,
-// changes nothing.
+// reload reads the configuration files again. It follows the discovery that they name now, and applies the settings of the product's
+// file that may change. A file with a fault, or with a change of a setting that may not change, has no effect.
 func (s *server) reload() {
-	c, err := s.config.reload()
+	fresh, err := s.config.reload()
 	if err != nil {
 		for line := range strings.Lines(err.Error()) {
 			log.Printf("reload: %s", strings.TrimSuffix(line, "\n"))
@@ -99,25 +98,25 @@
 		log.Printf("reload: refused; the old configuration stays")
 		return
 	}
-	// One event for the loop and one pointer for the handlers: no half of it is ever in force.
-	c.tuning.routes.KeepStates(s.tuning.Load().routes)
-	s.tuning.Store(c.tuning)
-	followAnew := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, c.file), namesFollower)
+	// One event for the loop and one pointer for the handlers: the new settings are never in force in part.
+	fresh.tuning.routes.KeepStates(s.tuning.Load().routes)
+	s.tuning.Store(fresh.tuning)
+	followAnew := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, fresh.file), configuresFollower)
 	s.loop.post(func() {
-		s.loop.http1.SetMaxIdle(s.config.idleTimeout(c.tuning))
-		s.loop.applyEndpoints(s.loop.merger.UpdateSettings(s.loop.now(), c.tuning.endpointSource))
+		s.loop.http1.SetMaxIdle(s.config.idleTimeout(fresh.tuning))
+		s.loop.applyEndpoints(s.loop.merger.UpdateSettings(s.loop.now(), fresh.tuning.endpointSource))
 		if followAnew {
-			s.loop.startFollower(c.follower)
+			s.loop.startFollower(fresh.follower)
 		}
-		s.loop.switchDiscovery(c.Discovery, c.token)
+		s.loop.switchDiscovery(fresh.Discovery, fresh.token)
 	})
 	s.group.reload()
-	s.config.file = c.file
-	// Said when it is in force: who waits for this line finds it so.
-	log.Printf("reload: discovery is %s", c.Discovery)
+	s.config.file = fresh.file
+	// The line is logged once the settings are in force, because tools wait for it.
+	log.Printf("reload: discovery is %s", fresh.Discovery)
 }
 
-// namesFollower reports whether a setting configures the source that is followed beside discovery.
-func namesFollower(x *schema.Setting) bool {
-	return x.Path[0] == "consul" || x.Path[0] == endpointsource.SettingsTable.Name && x.Key.Name == "source"
+// configuresFollower reports whether a setting configures the source that is followed beside discovery.
+func configuresFollower(s *schema.Setting) bool {
+	return s.Path[0] == "consul" || s.Path[0] == endpointsource.SettingsTable.Name && s.Key.Name == "source"
 }
--- a/internal/standalone/sources.go
+++ b/internal/standalone/sources.go
@@ -9,14 +9,14 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// Follower follows a source of endpoints beside discovery until its context ends. It calls tell with each answer of that source,
-// and heard when the source said that nothing has changed.
-type Follower func(ctx context.Context, tell func(endpointsource.ConsulAnswer), heard func())
+// Follower follows a source of endpoints beside discovery until its context ends. It calls changed with each answer of that source, and
+// unchanged when an answer has nothing new.
+type Follower func(ctx context.Context, changed func(endpointsource.ConsulAnswer), unchanged func())
 
-// viewTimeout is how long a view for people waits for the loop.
+// viewTimeout is how long the admin pages wait for the loop.
 const viewTimeout = 2 * time.Second
 
-// loadLastKnown begins with the endpoints as they were last known: by the platform's word, else by this sidecar's memory.
+// loadLastKnown starts with the last known endpoints: those of the platform's file, else those of the memory.
 func (l *loop) loadLastKnown() {
 	if l.memory != nil && len(l.config.Known.Targets) == 0 {
 		if list, age, ok := l.memory.savedList(); ok {
@@ -28,8 +28,8 @@
 	l.handleList(l.config.Known, endpointsource.FromCache)
 }
 
-// switchDiscovery turns to the discovery at another address. Its versions may count otherwise, so its complete list is
-// asked for, and nothing that the old one still says is heard. Until that comes, the list stays as it is.
+// switchDiscovery follows the discovery at an address from now on. Its versions are not comparable with those of the one before, so
+// its complete list is requested, and late lists of the old one are ignored. Until that list arrives, the present one is kept.
 func (l *loop) switchDiscovery(address, token string) {
 	l.watcher.stop()
 	l.watcher = newWatcher(address, token, l)
@@ -39,18 +39,18 @@
 	}
 	l.watcher.fetch()
 	if l.config.Settings.MustSubscribe {
-		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed}) // it watches in its own time
+		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed}) // it decides when to watch again
 		return
 	}
 	l.watcher.start(nil)
 }
 
-// handleList takes a list of the platform's in.
-func (l *loop) handleList(got endpointList, from endpointsource.ListOrigin) {
-	l.handlePreparedList(got.prepare(from), from)
+// handleList applies a list of discovery or of the platform's file.
+func (l *loop) handleList(list endpointList, from endpointsource.ListOrigin) {
+	l.handlePreparedList(list.prepare(from), from)
 }
 
-// handlePreparedList takes in a list that was prepared ahead: in chunks, with other events in between.
+// handlePreparedList applies a prepared list in chunks, with other events in between.
 func (l *loop) handlePreparedList(list preparedList, from endpointsource.ListOrigin) {
 	accepted, rewatch := l.versionFilter.Accept(from, list.rev, list.all)
 	if rewatch {
@@ -67,13 +67,13 @@
 	l.backlog.add(steps...)
 }
 
-// handleListFailure takes the word that discovery gave no list, or that the watch on it has ended.
+// handleListFailure handles that a fetch has failed, or that a watch has ended that the Balancer has to start again.
 func (l *loop) handleListFailure(err error) {
 	log.Printf("discovery: %v", err)
 	l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed})
 }
 
-// applyEndpoints passes on what the merger made of its sources, if that has changed, and has it called when it is next due.
+// applyEndpoints logs and publishes what the merger returned, and schedules its next Tick.
 func (l *loop) applyEndpoints(list endpointsource.List, changed bool) {
 	for _, line := range l.merger.TakeLogs() {
 		log.Print(line)
@@ -84,7 +84,7 @@
 	l.scheduleTick()
 }
 
-// publish passes a list on, first into the table of endpoints, so that what the Balancer then sends finds its address.
+// publish applies a list to the table of endpoints and then passes it to the Balancer, whose attempts need the table.
 func (l *loop) publish(list endpointsource.List) {
 	entries, retired := l.endpoints.apply(list)
 	for _, e := range retired {
@@ -102,7 +102,7 @@
 	}
 }
 
-// scheduleTick has the merger called when it is next due, unless an earlier call is scheduled.
+// scheduleTick schedules the merger's next Tick, unless an earlier one is scheduled.
 func (l *loop) scheduleTick() {
 	at, ok := l.merger.NextTick()
 	if !ok || l.nextTick != 0 && at >= l.nextTick {
@@ -111,7 +111,7 @@
 	l.nextTick = at
 	time.AfterFunc(at-l.now(), func() {
 		l.post(func() {
-			if l.nextTick == at { // else an earlier one has taken its place, and asks for the next
+			if l.nextTick == at { // else an earlier one was scheduled since, which schedules the next
 				l.nextTick = 0
 			}
 			l.applyEndpoints(l.merger.Tick(l.now()))
@@ -119,8 +119,7 @@
 	})
 }
 
-// startFollower follows another source in place of the one before; nil for none. Nothing that the old one
-// still says is heard.
+// startFollower follows another source in place of the one before; nil for none. Late answers of the old one are ignored.
 func (l *loop) startFollower(follow Follower) {
 	l.stopFollower()
 	if follow == nil {
@@ -137,16 +136,16 @@
 			}
 		})
 	}
-	tell := func(a endpointsource.ConsulAnswer) {
-		postIfFollowed(func() { l.applyEndpoints(l.merger.HandleConsulAnswer(l.now(), a)) })
+	changed := func(answer endpointsource.ConsulAnswer) {
+		postIfFollowed(func() { l.applyEndpoints(l.merger.HandleConsulAnswer(l.now(), answer)) })
 	}
-	heard := func() {
+	unchanged := func() {
 		postIfFollowed(func() { l.applyEndpoints(l.merger.HandleConsulUnchanged(l.now())) })
 	}
-	go follow(ctx, tell, heard)
+	go follow(ctx, changed, unchanged)
 }
 
-// endpointView is what the endpoints are, for people; false where the loop does not answer in time.
+// endpointView is the EndpointView of the admin pages; false if the loop does not take the event within viewTimeout.
 func (l *loop) endpointView() (source string, rows []endpointsource.Row, ok bool) {
 	late := time.NewTimer(viewTimeout)
 	defer late.Stop()
@@ -161,6 +160,6 @@
 	case <-late.C:
 		return "", nil, false
 	}
-	<-done // the loop never waits, so this comes
+	<-done // the loop never blocks, so this follows soon
 	return source, rows, true
 }
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -10,15 +10,15 @@
 	"quincegap/internal/network/http3"
 )
 
-// Callers bounds what callers may do.
+// Callers are the bounds of callers' connections and requests. CallersTable has their defaults.
 type Callers struct {
-	IdleTimeout    time.Duration
-	RequestTimeout time.Duration // for a complete request to come
+	IdleTimeout    time.Duration // of a connection without a request
+	RequestTimeout time.Duration // for a complete request to arrive
 	MaxHeader      int64         // bytes of one request's headers
 	MaxBody        int64         // bytes of one request's body
 	Share          float64       // of limits.sockets, for callers' connections
 	BodyShare      float64       // of limits.memory, for all bodies together
-	TooEarly       bool          // unsafe requests in a proxy's early data are answered 425
+	TooEarly       bool          // requests in a proxy's early data that are not idempotent are answered 425
 }
 
 // CallersTable is [callers].
@@ -50,11 +50,11 @@
 	}
 })
 
-// Endpoints bounds connections to endpoints.
+// Endpoints are the bounds of connections to endpoints. EndpointsTable has their defaults.
 type Endpoints struct {
 	Share         float64       // of limits.sockets, for connections to endpoints
-	KeepIdle      time.Duration // of an idle connection; 0 for what the platform configures, or the default
-	MaxSubsetSize int           // endpoints that this sidecar keeps to; 0 for all
+	KeepIdle      time.Duration // until an idle connection is closed; 0 to derive it from the platform's settings
+	MaxSubsetSize int           // how many endpoints this sidecar uses; 0 for all
 }
 
 // EndpointsTable is [endpoints].
@@ -73,13 +73,13 @@
 			"every endpoint: subset_most times their number has to be above the number of endpoints, else the others get no calls."),
 )
 
-// Stop says how a sidecar shuts down. SIGKILL is expected after the longest deadline of a class, MaxDeadline at most, and
-// KillGrace.
+// Stop is how a sidecar shuts down. SIGKILL is expected after SIGTERM by the longest deadline of a class, at most MaxDeadline, and
+// KillGrace. StopTable has the defaults.
 type Stop struct {
 	MaxDeadline time.Duration
 	KillGrace   time.Duration
-	KillMargin  time.Duration // before SIGKILL, when all answers are out
-	HandOver    time.Duration // before the end, when idle connections are closed where there are other sidecars
+	KillMargin  time.Duration // how long before SIGKILL all answers are written
+	HandOver    time.Duration // how long before the end idle connections are closed if there are other sidecars
 }
 
 // StopTable is [stop].
@@ -103,13 +103,13 @@
 	}
 })
 
-// Memory says what is remembered across a death, and where.
+// Memory is what a sidecar keeps on the disk for the process that follows it. MemoryTable has the defaults.
 type Memory struct {
 	Dir           string        // empty for no memory
-	MaxRequests   int           // remembered at once
-	MaxBytes      int64         // of all that is remembered
-	WriteTimeout  time.Duration // of an attempt for its record
-	ListRetention time.Duration // of the saved list of endpoints; 0 for none
+	MaxRequests   int           // in the request table at once
+	MaxBytes      int64         // of all records
+	WriteTimeout  time.Duration // until an attempt no longer waits for its record
+	ListRetention time.Duration // of the saved list of endpoints; 0 for no list
 }
 
 // MemoryTable is [memory].
@@ -131,12 +131,14 @@
 		"How old the list of endpoints may be that a start goes on with until discovery answers."),
 )
 
-// Tables are this package's, in the order in which a file has them.
+// Tables returns the tables of settings of this package and of its transports, in the order in which a file has them.
 func Tables() []*schema.Table {
-	return []*schema.Table{CallersTable.Table, EndpointsTable.Table, StopTable.Table, MemoryTable.Table, http3.FrontTable.Table, http3.TransportTable.Table}
+	return []*schema.Table{
+		CallersTable.Table, EndpointsTable.Table, StopTable.Table, MemoryTable.Table, http3.FrontTable.Table, http3.TransportTable.Table,
+	}
 }
 
-// tuning is what these tables say.
+// tuning is the settings of these tables, of endpointsource and of the routes.
 type tuning struct {
 	endpointSource endpointsource.Settings
 	callers        Callers
@@ -148,9 +150,9 @@
 	routes         *route.Table // nil for none
 }
 
-// tuningOf reads a file; nil stands for one that sets nothing.
-func tuningOf(f *schema.File) *tuning {
-	if f == nil {
+// tuningOf returns the settings of a file; nil returns the defaults.
+func tuningOf(file *schema.File) *tuning {
+	if file == nil {
 		return &tuning{
 			endpointSource: *endpointsource.SettingsTable.Default(),
 			callers:        *CallersTable.Default(),
@@ -162,13 +164,13 @@
 		}
 	}
 	return &tuning{
-		endpointSource: *endpointsource.SettingsTable.In(f),
-		callers:        *CallersTable.In(f),
-		endpoints:      *EndpointsTable.In(f),
-		stop:           *StopTable.In(f),
-		http3Callers:   *http3.FrontTable.In(f),
-		http3Endpoints: *http3.TransportTable.In(f),
-		memory:         *MemoryTable.In(f),
-		routes:         route.Compile(f),
+		endpointSource: *endpointsource.SettingsTable.In(file),
+		callers:        *CallersTable.In(file),
+		endpoints:      *EndpointsTable.In(file),
+		stop:           *StopTable.In(file),
+		http3Callers:   *http3.FrontTable.In(file),
+		http3Endpoints: *http3.TransportTable.In(file),
+		memory:         *MemoryTable.In(file),
+		routes:         route.Compile(file),
 	}
 }
--- a/internal/standalone/transports.go
+++ b/internal/standalone/transports.go
@@ -9,14 +9,14 @@
 	"quincegap/internal/network/exchange"
 )
 
-// transports are the protocols to endpoints. The loop owns them.
+// transports are the transports to endpoints. The loop owns them.
 type transports struct {
-	fallback  exchange.Transport // it reaches every endpoint
-	preferred exchange.Transport // it is tried before, where tracker says so; nil for none
-	tracker   protocolfallback.Tracker
+	fallback  exchange.Transport       // for HTTP/1.1, which every endpoint supports
+	preferred exchange.Transport       // for HTTP/3; nil for none
+	tracker   protocolfallback.Tracker // decides where preferred is tried
 }
 
-// choose gives the transport for an attempt.
+// choose returns the transport for an attempt.
 func (t *transports) choose(now time.Duration, e *exchange.Endpoint) exchange.Transport {
 	if t.preferred != nil && t.tracker.ShouldAttempt(now, e.Address) {
 		return t.preferred
@@ -24,29 +24,29 @@
 	return t.fallback
 }
 
-// fallbackAfter takes how an attempt ended, and gives the transport by which it has to be made once more; nil for none.
-// Nothing of it was sent then, so it is the same attempt still.
-func (t *transports) fallbackAfter(now time.Duration, a *attempt, result exchange.Result) exchange.Transport {
-	if t.preferred == nil || a.transport != t.preferred {
+// fallbackAfter is called with the result of an attempt. It returns the transport by which the attempt has to be sent again; nil for
+// none. Nothing of the attempt was sent then, so it still counts as the same attempt.
+func (t *transports) fallbackAfter(now time.Duration, ended *attempt, result exchange.Result) exchange.Transport {
+	if t.preferred == nil || ended.transport != t.preferred {
 		return nil
 	}
 	switch {
 	case result.Unreachable || result.Blocked:
-		if pause, changed := t.tracker.RecordFailure(now, a.Endpoint.Address); changed {
-			log.Printf("http3: no connection to %s; HTTP/1.1 for %v", a.Endpoint.Address, pause)
+		if pause, changed := t.tracker.RecordFailure(now, ended.Endpoint.Address); changed {
+			log.Printf("http3: no connection to %s; HTTP/1.1 for %v", ended.Endpoint.Address, pause)
 		}
 		if result.Unreachable {
 			return t.fallback
 		}
 	case result.Status == balancer.StatusNotSent:
-		t.tracker.RecordInconclusive(a.Endpoint.Address)
+		t.tracker.RecordInconclusive(ended.Endpoint.Address)
 	default:
-		t.tracker.RecordSuccess(a.Endpoint.Address)
+		t.tracker.RecordSuccess(ended.Endpoint.Address)
 	}
 	return nil
 }
 
-// closeIdle closes the connections to an endpoint that no attempt uses.
+// closeIdle closes the idle connections to an endpoint.
 func (t *transports) closeIdle(e *exchange.Endpoint) {
 	t.fallback.CloseIdle(e)
 	if t.preferred != nil {
@@ -62,5 +62,5 @@
 	}
 }
 
-// forget drops what is known of an endpoint that is listed no more.
+// forget drops the state of an endpoint that is no longer listed.
 func (t *transports) forget(e *exchange.Endpoint) { t.tracker.Forget(e.Address) }
