--- a/internal/modules/idempotency/entry.go
+++ b/internal/modules/idempotency/entry.go
@@ -9,31 +9,30 @@
 	"quincegap/internal/balancer"
 )
 
-// Origin is where the repeats of a request are recognized. The names in JSON are those that `store dump` prints.
+// Origin is where repeats of a request are recognised. The names in JSON are those that `store dump` prints.
 type Origin struct {
 	Zone     string `json:"Zone"`
 	Cell     int    `json:"Cell"`
-	Endpoint string `json:"Endpoint"` // the name that discovery has for it, for people
+	Endpoint string `json:"Endpoint"` // its uid in discovery, for people
 }
 
-// Entry is what is known of one request. The names in JSON are those that `store dump` prints.
+// Entry is the state of one request. The names in JSON are those that `store dump` prints.
 type Entry struct {
 	Class      string        `json:"Class"`
-	Origin                   // of the first attempt that may have run
-	SentAt     time.Duration `json:"At"`     // when that was sent; on the clock of whoever asks
-	Retention  time.Duration `json:"Keep"`   // how long after that it is remembered
-	Served     bool          `json:"Served"` // an answer was served
-	mayHaveRun bool          // some attempt has ended and may have run
-	durable    bool          // it is known to be on disk
+	Origin                   // of the first attempt
+	SentAt     time.Duration `json:"At"`     // when the first attempt was sent, on the caller's clock
+	Retention  time.Duration `json:"Keep"`   // how long the entry is kept after that
+	Served     bool          `json:"Served"` // the caller got a response
+	mayHaveRun bool          // an attempt has ended and may have run
+	durable    bool          // the entry is on disk
 	inFlight   int           // attempts that have not ended
 }
 
-// MayHaveRun reports whether the entry says that the request may have run. One that says otherwise is of an attempt that is
-// proven not to have.
+// MayHaveRun reports whether the request may have run: an attempt is in flight, or one has ended that may have run.
 func (e *Entry) MayHaveRun() bool { return e.mayHaveRun || e.Served || e.inFlight > 0 }
 
-// RetentionOf is how long a request of a class is remembered: as long as clients come again with it, and, where it has an
-// idempotency key, from the end of the window on in which repeats of its last attempt are dropped.
+// RetentionOf returns how long the entry of a request of a class is kept: twice the deadline, in which callers may repeat it, or, with
+// an idempotency key, the window in which endpoints recognise repeats and the deadline.
 func RetentionOf(c *balancer.Class) time.Duration {
 	if c.Idempotency == balancer.IdempotentWithKey {
 		return c.KeyWindow + c.Deadline
@@ -41,25 +40,25 @@
 	return 2 * c.Deadline
 }
 
-// What Decode cannot read.
+// The errors of Decode.
 var (
 	ErrUnknownFormat = errors.New("an entry of a layout that is not known")
 	ErrTruncated     = errors.New("an entry that was cut")
 )
 
 const (
-	// formatVersion is the version of what Encode writes.
+	// formatVersion is the version of the encoding.
 	formatVersion = 1
 	// servedFlag is the bit for Served in the second byte.
 	servedFlag = 1
-	// headerBytes are the version and the flags.
+	// headerBytes is the length of the version and the flags.
 	headerBytes = 2
-	// maxRetentionMillis bounds what is taken for a retention.
+	// maxRetentionMillis bounds the retention that Decode accepts, in milliseconds.
 	maxRetentionMillis = 1 << 40
 )
 
-// Encode is an entry as it is on a disk: version, flags, retention in milliseconds, cell, class, zone and endpoint; numbers are
-// varints, texts follow their length. Its time is not in it, for the disk says its age.
+// Encode returns the entry as it is on a disk: version, flags, retention in milliseconds, cell, class, zone and endpoint; numbers are
+// varints, texts follow their length. SentAt is left out: Decode computes it from the remaining time to live of the record.
 func (e *Entry) Encode() []byte {
 	b := []byte{formatVersion, 0}
 	if e.Served {
@@ -74,8 +73,8 @@
 	return b
 }
 
-// Decode reads what Encode has written; left is how much longer it stays, and says when the attempt was made. It returns
-// ErrUnknownFormat or ErrTruncated for anything else.
+// Decode decodes an entry; left is the remaining time to live of its record, from which SentAt is computed. The error is
+// ErrUnknownFormat or ErrTruncated.
 func Decode(b []byte, now, left time.Duration) (Entry, error) {
 	if len(b) < headerBytes || b[0] != formatVersion {
 		return Entry{}, fmt.Errorf("%w: % x", ErrUnknownFormat, b[:min(len(b), headerBytes)])
@@ -94,13 +93,13 @@
 	return e, nil
 }
 
-// decoder reads the fields of an entry one by one. Once one cannot be read all others are empty.
+// decoder reads the fields of an entry one by one. After one that cannot be read all others are zero.
 type decoder struct {
 	rest      []byte
 	truncated bool
 }
 
-// skip goes on behind a field of n bytes; none if it could not be read.
+// skip moves on by a field of n bytes, and reports whether the field was read; n is not above 0 if it could not be.
 func (d *decoder) skip(n int) bool {
 	if d.truncated || n <= 0 {
 		d.truncated = true
--- a/internal/modules/idempotency/golden_test.go
+++ b/internal/modules/idempotency/golden_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/golden"
 )
 
-// Entries and their ids are kept on disk: what was written by any version has to be found and read by the next one.
+// Entries and their ids are on disk: each version has to find and read what others have written.
 func TestGoldenEntry(t *testing.T) {
 	e := Entry{Class: "book", Origin: Origin{Zone: "north", Cell: -3, Endpoint: "box-1"}, Served: true, Retention: 95 * time.Second}
 	golden.Hex(t, "entry.hex", e.Encode())
@@ -36,11 +36,11 @@
 
 // The tool prints entries as JSON: the names in it are data.
 func TestGoldenJSON(t *testing.T) {
-	e := Entry{
+	entry := Entry{
 		Class: "book", Origin: Origin{Zone: "north", Cell: 3, Endpoint: "box-1"}, SentAt: time.Hour, Retention: 95 * time.Second,
 		Served: true,
 	}
-	text, err := json.Marshal(&e)
+	text, err := json.Marshal(&entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +49,8 @@
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got, e) {
-		t.Errorf("got %+v, want %+v", got, e)
+	if !reflect.DeepEqual(got, entry) {
+		t.Errorf("got %+v, want %+v", got, entry)
 	}
 }
 
--- a/internal/modules/idempotency/id.go
+++ b/internal/modules/idempotency/id.go
@@ -7,32 +7,32 @@
 	"quincegap/internal/balancer"
 )
 
-// ID names a request over its repeats: what its Idempotency-Key, or for want of one its own id, comes to. Keys may
-// tell of people and are not to be read off a disk, so it is a digest. The first byte says what it is the digest of.
+// ID identifies a request and its repeats. It is a digest of the Idempotency-Key or, without one, of the request's own id, because
+// keys may contain personal data, which must not be readable on a disk. The first byte is the kind of the digest.
 type ID [17]byte
 
-// What an ID is the digest of. The values are on disks.
+// The kinds of digests. The values are on disks.
 const (
 	ofKey       = 'k'
 	ofRequestID = 'r'
 )
 
-// KeyedID is the ID of a request of a class with an Idempotency-Key.
+// KeyedID returns the ID of a request of a class with an Idempotency-Key.
 func KeyedID(class, key string) ID { return digest(ofKey, class, key) }
 
-// RequestID is the ID of a request that has no key: it comes again only where somebody sends the very same again.
+// RequestID returns the ID of a request without a key, which is repeated only if its caller sends it again with the same id.
 func RequestID(class string, id balancer.RequestID) ID {
 	return digest(ofRequestID, class, string(id))
 }
 
-func digest(of byte, class, text string) (id ID) {
+func digest(kind byte, class, text string) (id ID) {
 	h := sha256.New()
 	var size [4]byte
-	binary.BigEndian.PutUint32(size[:], uint32(len(class))) // so that no two pairs read the same
+	binary.BigEndian.PutUint32(size[:], uint32(len(class))) // so that no two pairs of texts hash the same bytes
 	h.Write(size[:])
 	h.Write([]byte(class))
 	h.Write([]byte(text))
-	id[0] = of
+	id[0] = kind
 	copy(id[1:], h.Sum(nil))
 	return id
 }
--- a/internal/modules/idempotency/table.go
+++ b/internal/modules/idempotency/table.go
@@ -8,28 +8,28 @@
 	"quincegap/internal/structures/deadlinequeue"
 )
 
-// ErrFull says that a table has as many entries as it may.
+// ErrFull means that a table has as many entries as it may have.
 var ErrFull = errors.New("as many requests are remembered as may be")
 
-// minRetry is the least time after which an entry that has an attempt in flight is looked at again.
-const minRetry = time.Second
+// minExpiryRetry is the least time after which the expiry of an entry with an attempt in flight is tried again.
+const minExpiryRetry = time.Second
 
-// Table is what is remembered. It is not safe for concurrent use. Times are on one clock, that never goes back.
+// Table is a table of requests that may have run. It is not safe for concurrent use. Times are on one clock that never goes back.
 type Table struct {
 	maxEntries  int
 	entries     map[ID]*Entry
 	expirations deadlinequeue.Queue[ID]
 }
 
-// NewTable makes an empty table with a bound on its entries.
+// NewTable returns an empty table for at most maxEntries entries.
 func NewTable(maxEntries int) *Table {
 	return &Table{maxEntries: maxEntries, entries: map[ID]*Entry{}}
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// expire forgets what has been remembered for long enough. One that has an attempt in flight stays until that ends.
+// expire removes the entries whose retention is over. An entry with an attempt in flight is kept until that has ended.
 func (t *Table) expire(now time.Duration) {
 	for {
 		id, at, ok := t.expirations.Peek()
@@ -37,7 +37,7 @@
 			return
 		}
 		if e := t.entries[id]; e.inFlight > 0 {
-			t.expirations.Put(id, now+max(e.Retention, minRetry))
+			t.expirations.Put(id, now+max(e.Retention, minExpiryRetry))
 			continue
 		}
 		t.remove(id)
@@ -49,7 +49,7 @@
 	t.expirations.Remove(id)
 }
 
-// Lookup is what is known of a request that comes; false for nothing.
+// Lookup returns the entry of a request that may have run; false if there is none.
 func (t *Table) Lookup(now time.Duration, id ID) (Entry, bool) {
 	t.expire(now)
 	e := t.entries[id]
@@ -59,9 +59,9 @@
 	return *e, true
 }
 
-// BeginAttempt takes in that an attempt is about to go out. Unless changed is false, what it returns has to be durable before it
-// does. An entry keeps the first attempt's origin and time: the window in which repeats are dropped counts from there. It returns
-// ErrFull where the table has no room for one more request.
+// BeginAttempt records that an attempt is about to be sent to an origin. It returns the entry, which has to be durable before the
+// attempt is sent if changed is true. An entry keeps the origin and the time of its first attempt, because the window in which
+// endpoints recognise repeats counts from there. The error is ErrFull if the table has no room for another request.
 func (t *Table) BeginAttempt(now time.Duration, id ID, class string, retention time.Duration, to Origin) (_ Entry, changed bool, _ error) {
 	t.expire(now)
 	e := t.entries[id]
@@ -77,7 +77,7 @@
 	return *e, !e.durable, nil
 }
 
-// MarkDurable takes in that what BeginAttempt returned has become durable.
+// MarkDurable records that the entry that BeginAttempt returned is durable.
 func (t *Table) MarkDurable(id ID) {
 	if e := t.entries[id]; e != nil {
 		e.durable = true
@@ -89,35 +89,35 @@
 
 // The changes.
 const (
-	NoChange    Change = iota // what is on disk still says it
-	PutEntry                  // the entry anew
-	DeleteEntry               // nothing any more: it never ran
+	NoChange    Change = iota // the record on disk is kept
+	PutEntry                  // the entry is written again
+	DeleteEntry               // the record is deleted: the request has not run
 )
 
-// EndAttempt takes in how an attempt ended; answered says that its answer goes to the client. The change need not be waited for:
-// until it is written, more is taken to have run than has.
-func (t *Table) EndAttempt(_ time.Duration, id ID, status balancer.Status, answered bool) (Entry, Change) {
-	e := t.entries[id]
-	if e == nil || e.inFlight == 0 {
+// EndAttempt records the outcome of an attempt; answered means that its response goes to the caller. The returned change need not be
+// waited for: until it is on disk, a request counts as one that may have run though it has not, which is safe.
+func (t *Table) EndAttempt(id ID, status balancer.Status, answered bool) (Entry, Change) {
+	entry := t.entries[id]
+	if entry == nil || entry.inFlight == 0 {
 		return Entry{}, NoChange
 	}
-	e.inFlight--
+	entry.inFlight--
 	switch {
-	case status == balancer.StatusOK && answered && !e.Served:
-		e.Served, e.mayHaveRun = true, true
-		return *e, PutEntry
+	case status == balancer.StatusOK && answered && !entry.Served:
+		entry.Served, entry.mayHaveRun = true, true
+		return *entry, PutEntry
 	case !status.NeverRan():
-		e.mayHaveRun = true
+		entry.mayHaveRun = true
 	}
-	if e.inFlight == 0 && !e.mayHaveRun {
+	if entry.inFlight == 0 && !entry.mayHaveRun {
 		t.remove(id)
 		return Entry{}, DeleteEntry
 	}
-	return *e, NoChange
+	return *entry, NoChange
 }
 
-// Restore takes in what was on disk, at a start. What was in flight when the process died may have run. It returns ErrFull where
-// the table has no room.
+// Restore adds an entry from the disk at a start. A request that was in flight when the process died may have run. The error is
+// ErrFull if the table has no room.
 func (t *Table) Restore(id ID, e Entry) error {
 	if len(t.entries) >= t.maxEntries {
 		return ErrFull
--- a/internal/modules/idempotency/table_test.go
+++ b/internal/modules/idempotency/table_test.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/balancer"
 )
 
-// here is where the attempts of the tests go.
+// here is where the attempts of the tests are sent.
 var here = Origin{Zone: "north", Cell: 3, Endpoint: "box-1"}
 
-// keep is for how long their requests are remembered.
+// keep is the retention of their entries.
 const keep = 10 * time.Second
 
-// begin begins an attempt that the table must have room for, and reports whether the entry has to be written.
+// begin begins an attempt, for which the table must have room, and reports whether the entry has to be written.
 func begin(t *testing.T, table *Table, now time.Duration, id ID, class string, to Origin) (changed bool) {
 	t.Helper()
 	e, changed, err := table.BeginAttempt(now, id, class, keep, to)
@@ -25,12 +25,18 @@
 	return changed
 }
 
-// What is known of a request after each course of its attempts.
-func TestWhatIsKnown(t *testing.T) {
-	const ok, rejected, reset, notSent, timeout = balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent, balancer.StatusTimeout
-	for _, x := range []struct {
+// The entry of a request after some outcomes of its attempts, one after the other.
+func TestEntryAfterOutcomes(t *testing.T) {
+	const (
+		ok       = balancer.StatusOK
+		rejected = balancer.StatusRejected
+		reset    = balancer.StatusReset
+		notSent  = balancer.StatusNotSent
+		timeout  = balancer.StatusTimeout
+	)
+	for _, test := range []struct {
 		name          string
-		ends          []balancer.Status
+		outcomes      []balancer.Status
 		unanswered    bool
 		known, served bool
 		last          Change
@@ -41,78 +47,78 @@
 		{"then never ran", []balancer.Status{timeout, rejected}, false, true, false, NoChange},
 		{"served", []balancer.Status{ok}, false, true, true, PutEntry},
 		{"served at last", []balancer.Status{rejected, reset, ok}, false, true, true, PutEntry},
-		{"ran, and nobody was there for the answer", []balancer.Status{ok}, true, true, false, NoChange},
+		{"ran, and the caller had gone", []balancer.Status{ok}, true, true, false, NoChange},
 	} {
-		m := NewTable(10)
+		table := NewTable(10)
 		id := KeyedID("book", "k")
 		var last Change
-		for _, s := range x.ends {
-			e, changed, err := m.BeginAttempt(time.Second, id, "book", keep, here)
+		for _, status := range test.outcomes {
+			e, changed, err := table.BeginAttempt(time.Second, id, "book", keep, here)
 			if err != nil || !changed || e.Origin != here {
-				t.Fatalf("%s: before: %+v %v %v", x.name, e, changed, err)
+				t.Fatalf("%s: before: %+v %v %v", test.name, e, changed, err)
 			}
-			if _, ok := m.Lookup(time.Second, id); !ok {
-				t.Errorf("%s: while it is in flight nothing is known", x.name)
+			if _, ok := table.Lookup(time.Second, id); !ok {
+				t.Errorf("%s: unknown while it is in flight", test.name)
 			}
-			_, last = m.EndAttempt(time.Second, id, s, !x.unanswered)
+			_, last = table.EndAttempt(id, status, !test.unanswered)
 		}
-		e, ok := m.Lookup(time.Second, id)
-		if ok != x.known || e.Served != x.served || last != x.last {
-			t.Errorf("%s: %v %+v, last %v", x.name, ok, e, last)
+		e, ok := table.Lookup(time.Second, id)
+		if ok != test.known || e.Served != test.served || last != test.last {
+			t.Errorf("%s: %v %+v, last %v", test.name, ok, e, last)
 		}
 	}
 }
 
-// Two attempts of one key at a time, from two requests: what one proves says nothing of the other.
-func TestTwoAtATime(t *testing.T) {
-	m := NewTable(10)
+// Two requests with the same key have attempts in flight at once: the outcome of one proves nothing about the other.
+func TestTwoAttemptsInFlight(t *testing.T) {
+	table := NewTable(10)
 	id := KeyedID("book", "k")
-	begin(t, m, 0, id, "book", here)
-	if !begin(t, m, 0, id, "book", Origin{Cell: 9}) {
-		t.Error("the first one is not yet known to be durable, and the second did not wait")
+	begin(t, table, 0, id, "book", here)
+	if !begin(t, table, 0, id, "book", Origin{Cell: 9}) {
+		t.Error("the entry is not yet durable, and the second attempt need not wait")
 	}
-	m.MarkDurable(id)
-	m.EndAttempt(0, id, balancer.StatusRejected, false)
-	e, ok := m.Lookup(0, id)
+	table.MarkDurable(id)
+	table.EndAttempt(id, balancer.StatusRejected, false)
+	e, ok := table.Lookup(0, id)
 	if !ok || e.Cell != here.Cell {
 		t.Errorf("%+v %v", e, ok)
 	}
-	if begin(t, m, 0, id, "book", here) {
-		t.Error("it is durable, and was to be written again")
+	if begin(t, table, 0, id, "book", here) {
+		t.Error("the entry is durable, and has to be written again")
 	}
-	if _, c := m.EndAttempt(0, id, balancer.StatusRejected, false); c != NoChange {
-		t.Error("one is still in flight")
+	if _, c := table.EndAttempt(id, balancer.StatusRejected, false); c != NoChange {
+		t.Error("an attempt is still in flight")
 	}
-	if _, c := m.EndAttempt(0, id, balancer.StatusRejected, false); c != DeleteEntry || m.Len() != 0 {
-		t.Errorf("none has run: %v, %d", c, m.Len())
+	if _, c := table.EndAttempt(id, balancer.StatusRejected, false); c != DeleteEntry || table.Len() != 0 {
+		t.Errorf("no attempt has run: %v, %d", c, table.Len())
 	}
 }
 
-// It is forgotten in time, never before, and not while an attempt is in flight.
-func TestForgetting(t *testing.T) {
-	m := NewTable(2)
-	a, b, c := KeyedID("book", "a"), RequestID("pay", "b"), KeyedID("book", "c")
-	begin(t, m, 0, a, "book", here)
-	m.EndAttempt(0, a, balancer.StatusOK, true)
-	begin(t, m, time.Second, b, "pay", here)
-	if _, _, err := m.BeginAttempt(2*time.Second, c, "book", keep, here); !errors.Is(err, ErrFull) {
+// An entry expires after its retention, not before, and not while an attempt is in flight.
+func TestExpiry(t *testing.T) {
+	table := NewTable(2)
+	first, second, third := KeyedID("book", "a"), RequestID("pay", "b"), KeyedID("book", "c")
+	begin(t, table, 0, first, "book", here)
+	table.EndAttempt(first, balancer.StatusOK, true)
+	begin(t, table, time.Second, second, "pay", here)
+	if _, _, err := table.BeginAttempt(2*time.Second, third, "book", keep, here); !errors.Is(err, ErrFull) {
 		t.Errorf("beyond the bound: %v", err)
 	}
-	if _, ok := m.Lookup(keep-1, a); !ok {
-		t.Error("forgotten early")
+	if _, ok := table.Lookup(keep-1, first); !ok {
+		t.Error("expired early")
 	}
-	if _, ok := m.Lookup(keep, a); ok {
-		t.Error("not forgotten")
+	if _, ok := table.Lookup(keep, first); ok {
+		t.Error("not expired")
 	}
-	if _, ok := m.Lookup(time.Hour, b); !ok {
-		t.Error("forgotten while it is in flight")
+	if _, ok := table.Lookup(time.Hour, second); !ok {
+		t.Error("expired while an attempt is in flight")
 	}
-	if _, _, err := m.BeginAttempt(time.Hour, c, "book", keep, here); err != nil {
+	if _, _, err := table.BeginAttempt(time.Hour, third, "book", keep, here); err != nil {
 		t.Error(err)
 	}
 }
 
-// What is kept is read back as it was, with its age; anything else is refused.
+// An encoded entry is decoded as it was, with its age. Anything else is an error.
 func TestEncoding(t *testing.T) {
 	e := Entry{Class: "book", Origin: here, Served: true, Retention: keep}
 	text := e.Encode()
@@ -127,21 +133,21 @@
 	}
 	text[0]++
 	if _, err := Decode(text, 0, 0); !errors.Is(err, ErrUnknownFormat) {
-		t.Errorf("another layout: %v", err)
+		t.Errorf("another version: %v", err)
 	}
-	m := NewTable(1)
+	table := NewTable(1)
 	id := KeyedID("book", "k")
-	if err := m.Restore(id, got); err != nil {
+	if err := table.Restore(id, got); err != nil {
 		t.Fatal(err)
 	}
-	if x, ok := m.Lookup(time.Hour, id); !ok || !x.Served {
+	if x, ok := table.Lookup(time.Hour, id); !ok || !x.Served {
 		t.Errorf("%+v %v", x, ok)
 	}
-	if err := m.Restore(KeyedID("book", "l"), got); !errors.Is(err, ErrFull) {
+	if err := table.Restore(KeyedID("book", "l"), got); !errors.Is(err, ErrFull) {
 		t.Error("no bound")
 	}
-	if _, ok := m.Lookup(time.Hour+4*time.Second, id); ok {
-		t.Error("it outlives its time after a restart")
+	if _, ok := table.Lookup(time.Hour+4*time.Second, id); ok {
+		t.Error("it does not expire after a restart")
 	}
 }
 
@@ -159,19 +165,19 @@
 	})
 }
 
-// IDs tell classes, keys and sorts apart.
+// IDs differ by class, by key and by kind.
 func TestIDs(t *testing.T) {
 	seen := map[ID]bool{KeyedID("ab", "c"): true, KeyedID("a", "bc"): true, RequestID("ab", "c"): true, KeyedID("ab", "d"): true}
 	if len(seen) != 4 {
-		t.Error("two are one")
+		t.Error("two IDs are equal")
 	}
 }
 
-// fate is what has become of a request.
+// fate is what has truly happened to a request.
 type fate struct{ ran, inFlight, served bool }
 
-// course is a sidecar's table with its disk over several incarnations, and what has become of the requests.
-type course struct {
+// model is a sidecar's table with its disk, over several processes, and the true fates of the requests.
+type model struct {
 	t     *testing.T
 	rng   *rand.Rand
 	now   time.Duration
@@ -180,94 +186,94 @@
 	fates map[ID]*fate
 }
 
-// restart has the sidecar die, and the next one begin with what is on disk.
-func (c *course) restart() {
-	c.t.Helper()
-	c.table = NewTable(1000)
-	for id, text := range c.disk {
-		e, err := Decode(text, c.now, keep)
+// restart replaces the table by one that is restored from the disk.
+func (m *model) restart() {
+	m.t.Helper()
+	m.table = NewTable(1000)
+	for id, text := range m.disk {
+		e, err := Decode(text, m.now, keep)
 		if err != nil {
-			c.t.Fatal(err)
+			m.t.Fatal(err)
 		}
-		if err := c.table.Restore(id, e); err != nil {
-			c.t.Fatal(err)
+		if err := m.table.Restore(id, e); err != nil {
+			m.t.Fatal(err)
 		}
 	}
-	for _, f := range c.fates {
+	for _, f := range m.fates {
 		f.ran, f.inFlight = f.ran || f.inFlight, false
 	}
 }
 
 // begin begins an attempt.
-func (c *course) begin(id ID, f *fate) {
-	c.t.Helper()
-	e, changed, err := c.table.BeginAttempt(c.now, id, "book", time.Hour, here)
+func (m *model) begin(id ID, f *fate) {
+	m.t.Helper()
+	e, changed, err := m.table.BeginAttempt(m.now, id, "book", time.Hour, here)
 	if err != nil {
-		c.t.Fatal(err)
+		m.t.Fatal(err)
 	}
 	if changed {
-		c.disk[id] = e.Encode()
-		c.table.MarkDurable(id)
+		m.disk[id] = e.Encode()
+		m.table.MarkDurable(id)
 	}
 	f.inFlight = true
 }
 
-// end ends an attempt. What changes on disk may get there or not.
-func (c *course) end(id ID, f *fate) {
+// end ends an attempt. The change may reach the disk or not.
+func (m *model) end(id ID, f *fate) {
 	status := []balancer.Status{
 		balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent,
-	}[c.rng.IntN(4)]
-	e, change := c.table.EndAttempt(c.now, id, status, true)
+	}[m.rng.IntN(4)]
+	e, change := m.table.EndAttempt(id, status, true)
 	f.inFlight = false
 	f.ran = f.ran || !status.NeverRan()
 	f.served = f.served || status == balancer.StatusOK
-	if c.rng.IntN(2) == 1 {
+	if m.rng.IntN(2) == 1 {
 		return
 	}
 	switch change {
 	case NoChange:
 	case PutEntry:
-		c.disk[id] = e.Encode()
+		m.disk[id] = e.Encode()
 	case DeleteEntry:
-		delete(c.disk, id)
+		delete(m.disk, id)
 	}
 }
 
-// check checks that whatever may have run is known, and nothing else to be served.
-func (c *course) check(seed uint64) {
-	c.t.Helper()
-	for id, f := range c.fates {
-		e, known := c.table.Lookup(c.now, id)
+// check checks that each request that has run is known, and that none counts as served that was not.
+func (m *model) check(seed uint64) {
+	m.t.Helper()
+	for id, f := range m.fates {
+		e, known := m.table.Lookup(m.now, id)
 		if f.ran && !known || e.Served && !f.served {
-			c.t.Fatalf("seed %d: %+v is known as %+v, %v", seed, f, e, known)
+			m.t.Fatalf("seed %d: %+v is known as %+v, %v", seed, f, e, known)
 		}
 	}
 }
 
-// Random courses of many requests, with deaths in between: whatever may have run is known, whichever of the writes
-// that nobody waited for reached the disk before a death.
-func TestAnyCourse(t *testing.T) {
+// Random outcomes of many requests, with crashes in between: each request that may have run is known, whichever of the writes that
+// need not be waited for reached the disk before a crash.
+func TestRandomOutcomes(t *testing.T) {
 	for seed := range uint64(200) {
-		c := &course{
+		model := &model{
 			t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(1000), disk: map[ID][]byte{}, fates: map[ID]*fate{},
 		}
 		for range 200 {
-			id := KeyedID("book", string(rune('a'+c.rng.IntN(8))))
-			f := c.fates[id]
+			id := KeyedID("book", string(rune('a'+model.rng.IntN(8))))
+			f := model.fates[id]
 			if f == nil {
 				f = &fate{}
-				c.fates[id] = f
+				model.fates[id] = f
 			}
 			switch {
-			case c.rng.IntN(20) == 0:
-				c.restart()
+			case model.rng.IntN(20) == 0:
+				model.restart()
 			case !f.inFlight:
-				c.begin(id, f)
+				model.begin(id, f)
 			default:
-				c.end(id, f)
+				model.end(id, f)
 			}
-			c.check(seed)
-			c.now += time.Millisecond
+			model.check(seed)
+			model.now += time.Millisecond
 		}
 	}
 }
--- a/internal/modules/protocolfallback/example_test.go
+++ b/internal/modules/protocolfallback/example_test.go
@@ -13,12 +13,12 @@
 	fmt.Println("at first:", t.ShouldAttempt(0, address))
 	backoff, _ := t.RecordFailure(0, address)
 	fmt.Println("after a failure, for", backoff, "not:", t.ShouldAttempt(backoff-1, address))
-	fmt.Println("then one attempt finds out:", t.ShouldAttempt(backoff, address), t.ShouldAttempt(backoff, address))
+	fmt.Println("then one attempt tries it:", t.ShouldAttempt(backoff, address), t.ShouldAttempt(backoff, address))
 	t.RecordSuccess(address)
 	fmt.Println("after a success:", t.ShouldAttempt(backoff, address))
 	// Output:
 	// at first: true
 	// after a failure, for 10s not: false
-	// then one attempt finds out: true false
+	// then one attempt tries it: true false
 	// after a success: true
 }
--- a/internal/modules/protocolfallback/golden_test.go
+++ b/internal/modules/protocolfallback/golden_test.go
@@ -12,33 +12,33 @@
 	"quincegap/internal/golden"
 )
 
-// What is tried, and for how long it is not, over random events.
+// The decisions and backoffs over random events.
 func TestGoldenCourse(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m := Tracker{Settings: Settings{InitialBackoff: 10 * time.Second, MaxBackoff: time.Minute}}
+		tracker := Tracker{Settings: Settings{InitialBackoff: 10 * time.Second, MaxBackoff: time.Minute}}
 		var now time.Duration
 		var output bytes.Buffer
 		tried := 0
 		for range 3000 {
 			now += time.Duration(rng.IntN(int(2 * time.Second)))
 			address := fmt.Sprint("host", rng.IntN(20))
-			if !m.ShouldAttempt(now, address) {
+			if !tracker.ShouldAttempt(now, address) {
 				fmt.Fprintln(&output, address, "not now")
 				continue
 			}
 			tried++
 			switch rng.IntN(8) {
 			case 0:
-				m.RecordSuccess(address)
+				tracker.RecordSuccess(address)
 			case 1:
-				m.RecordInconclusive(address)
+				tracker.RecordInconclusive(address)
 			case 2:
-				m.Forget(address)
+				tracker.Forget(address)
 			default:
-				pause, news := m.RecordFailure(now, address)
-				fmt.Fprintln(&output, address, pause, news)
+				backoff, first := tracker.RecordFailure(now, address)
+				fmt.Fprintln(&output, address, backoff, first)
 			}
 		}
 		fmt.Fprintf(&text, "seed %d: %d of 3000 tried\n%x\n", seed, tried, sha256.Sum256(output.Bytes()))
--- a/internal/modules/protocolfallback/protocolfallback.go
+++ b/internal/modules/protocolfallback/protocolfallback.go
@@ -1,44 +1,45 @@
-// Package protocolfallback remembers at which endpoints HTTP/3 has failed, so that requests to them fall back to TCP for a while.
-// HTTP/3 runs over UDP, which networks block more often than TCP, and without a word; a sidecar that tried it anew with each
-// attempt would lose a handshake's time each time. The package does no I/O and takes the time as an argument.
+// Package protocolfallback tracks at which endpoints HTTP/3 has failed, so that requests to them fall back to TCP for a while. HTTP/3
+// runs over UDP, which networks block more often than TCP, and without an error; a sidecar that tried it with each attempt would lose
+// the time of a handshake each time. The package does no I/O and takes the time as an argument.
 //
 // The states of an address:
 //
 //	            RecordFailure
-//	untried ───────────────────► backing off ──── the backoff is over ───► one attempt finds out
+//	untried ───────────────────► backing off ──── the backoff is over ───► one attempt tries it
 //	   ▲                              ▲                                        │        │
 //	   │                              └───── RecordFailure, with twice ────────┘        │
 //	   │                                     the backoff                                │
 //	   └──── RecordSuccess, Forget ─────────────────────────────────────────────────────┘
+//
+// It does not open connections, and does not decide what is sent again: the caller does.
 package protocolfallback
 
 import "time"
 
-// Settings are the backoffs after HTTP/3 has failed at an address.
+// Settings are the backoffs after HTTP/3 has failed at an address. Both are above 0.
 type Settings struct {
 	InitialBackoff time.Duration // after the first failure; each further one in a row doubles it
 	MaxBackoff     time.Duration
 }
 
-// maxAddresses bounds what is remembered. HTTP/3 is tried each time at addresses beyond it.
+// maxAddresses bounds the addresses that are tracked. At others HTTP/3 is tried with each attempt.
 const maxAddresses = 20000
 
-// failure is what is known of an address at which HTTP/3 has failed.
+// failure is the state of an address at which HTTP/3 has failed.
 type failure struct {
-	retryAt    time.Duration // not tried before
+	retryAt    time.Duration // when HTTP/3 may be tried again
 	backoff    time.Duration
-	attempting bool // one attempt is finding out
+	attempting bool // an attempt tries it
 }
 
-// Tracker is what is known of all addresses. The zero value with its Settings is ready for use. It is not safe for concurrent
-// use.
+// Tracker tracks all addresses. A zero Tracker with its Settings is ready for use. It is not safe for concurrent use.
 type Tracker struct {
 	Settings Settings
 	failures map[string]*failure // by address
 }
 
-// ShouldAttempt reports whether HTTP/3 is to be tried at an address now. After a backoff one attempt finds out, while all others
-// go on without; RecordSuccess, RecordFailure or RecordInconclusive has to follow it.
+// ShouldAttempt reports whether HTTP/3 is to be tried at an address now. After a backoff only one attempt tries it, while all others
+// use TCP. If the result is true, RecordSuccess, RecordFailure or RecordInconclusive has to follow.
 func (t *Tracker) ShouldAttempt(now time.Duration, address string) bool {
 	f := t.failures[address]
 	if f == nil {
@@ -51,11 +52,11 @@
 	return true
 }
 
-// RecordSuccess takes in that a connection came about.
+// RecordSuccess records that a connection was established.
 func (t *Tracker) RecordSuccess(address string) { delete(t.failures, address) }
 
-// RecordFailure takes in that no connection came about. It returns how long HTTP/3 is not tried, and whether this failure set
-// that: several attempts may have waited for the same connection.
+// RecordFailure records that no connection could be established. It returns how long HTTP/3 is not tried, and whether this failure is
+// the first to say so: several attempts may have waited for the same connection.
 func (t *Tracker) RecordFailure(now time.Duration, address string) (backoff time.Duration, first bool) {
 	f := t.failures[address]
 	if f != nil && now < f.retryAt {
@@ -81,12 +82,12 @@
 	return f
 }
 
-// RecordInconclusive takes in that an attempt ended before it was known whether a connection would come about.
+// RecordInconclusive records that an attempt ended before a connection was established or had failed.
 func (t *Tracker) RecordInconclusive(address string) {
 	if f := t.failures[address]; f != nil {
 		f.attempting = false
 	}
 }
 
-// Forget drops what is known of an address that is listed no more.
+// Forget drops the state of an address that is no longer listed.
 func (t *Tracker) Forget(address string) { delete(t.failures, address) }
--- a/internal/modules/timeslot/golden_test.go
+++ b/internal/modules/timeslot/golden_test.go
@@ -11,11 +11,11 @@
 	"quincegap/internal/golden"
 )
 
-// Whose turn it is when, is agreed on by processes of all versions that tell one another nothing.
+// Processes of all versions must compute the same turns, because they exchange no messages.
 func TestGoldenTurns(t *testing.T) {
 	members := []uint64{1, 1 << 20, 99, 12345, 1<<64 - 1}
 	var text strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		order *Schedule
 	}{
@@ -27,16 +27,16 @@
 		var first []time.Duration
 		for what := range uint64(40) {
 			for at := -3 * time.Second; at < 30*time.Second; at += 370 * time.Millisecond {
-				next, ok := c.order.NextTurn(what, at)
-				fmt.Fprintln(&output, c.order.IsMyTurn(what, at), next, ok)
+				next, ok := test.order.NextTurn(what, at)
+				fmt.Fprintln(&output, test.order.IsMyTurn(what, at), next, ok)
 			}
-			next, _ := c.order.NextTurn(what, 0)
+			next, _ := test.order.NextTurn(what, 0)
 			if len(first) < 6 {
 				first = append(first, next)
 			}
-			fmt.Fprintln(&output, c.order.Offset(what, time.Minute))
+			fmt.Fprintln(&output, test.order.Offset(what, time.Minute))
 		}
-		fmt.Fprintf(&text, "%s: first turns %v\n%x\n", c.name, first, sha256.Sum256(output.Bytes()))
+		fmt.Fprintf(&text, "%s: first turns %v\n%x\n", test.name, first, sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "turns.txt", []byte(text.String()))
 }
--- a/internal/modules/timeslot/timeslot_test.go
+++ b/internal/modules/timeslot/timeslot_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// numbers are those of n members.
+// numbers returns the numbers of n members.
 func numbers(n int) (all []uint64) {
 	for i := range n {
 		all = append(all, uint64(i)<<20)
@@ -17,25 +17,25 @@
 	return all
 }
 
-// Members that agree have just as many turns a slot between them as there are actors, and so few more with clocks apart.
+// Members that agree have exactly as many turns in a slot as there are actors, and with clocks apart no more than documented.
 func TestTurnsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, actors := rapid.IntRange(1, 80).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "actors")
+		members, actors := rapid.IntRange(1, 80).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "actors")
 		what, at := rapid.Uint64().Draw(t, "what"), time.Duration(rapid.Int64Range(-1e15, 1e15).Draw(t, "at"))
 		skew := time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "skew"))
-		all := numbers(n)
+		all := numbers(members)
 		mine, apart := 0, 0
 		for i, m := range all {
 			o := New(m, all, time.Second, actors)
 			if o.IsMyTurn(what, at) {
 				mine++
 			}
-			if own := skew * time.Duration(i) / time.Duration(n); o.IsMyTurn(what, at+own) {
+			if own := skew * time.Duration(i) / time.Duration(members); o.IsMyTurn(what, at+own) {
 				apart++
 			}
 		}
-		if want := min(n, actors); mine != want {
-			t.Fatalf("%d turns of %d members, should be %d", mine, n, want)
+		if want := min(members, actors); mine != want {
+			t.Fatalf("%d turns of %d members, should be %d", mine, members, want)
 		}
 		if most := actors * (1 + int(math.Ceil(float64(skew)/float64(time.Second)))); apart > most {
 			t.Fatalf("%d turns with clocks %v apart, %d at most", apart, skew, most)
@@ -43,7 +43,7 @@
 	})
 }
 
-// Next is the begin of a turn that Mine confirms, with none before it.
+// NextTurn returns the begin of a turn that IsMyTurn confirms, with none before it.
 func TestNextIsTheFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "members")
@@ -61,8 +61,8 @@
 	})
 }
 
-// countTurns is how many turns a slot the members have between them that are alive, and for how many slots at most nobody has one.
-// known is whom the i-th member knows of.
+// countTurns returns how many turns the members that are alive have in a slot, on average, and the longest series of slots without a
+// turn of theirs. known returns the members that the i-th member knows.
 func countTurns(all []uint64, known func(i int) []uint64, alive int) (mean float64, longest int) {
 	const slots = 4000
 	schedules := make([]*Schedule, alive)
@@ -87,9 +87,9 @@
 	return float64(total) / slots, longest
 }
 
-// Whoever knows half or twice as many members as there are takes turns about twice or half as often between them, however many
-// they are; and where half are dead somebody else's turn comes soon.
-func TestWrongNumbersAndDeath(t *testing.T) {
+// Members that each know half of the members, or twice as many as there are, have about twice or half as many turns, however many they
+// are; and if half of them have died, another member's turn comes soon.
+func TestWrongNumbersAndDeadMembers(t *testing.T) {
 	for _, n := range []int{4, 20, 100} {
 		all := numbers(2 * n)
 		halfOf := func(i int) []uint64 {
@@ -97,16 +97,16 @@
 			return all[first : first+n/2]
 		}
 		if mean, _ := countTurns(all, halfOf, n); mean < 1.8 || mean > 2.2 {
-			t.Errorf("%d members that know a half each: %.2f turns a slot", n, mean)
+			t.Errorf("%d members that know half of them: %.2f turns a slot", n, mean)
 		}
 		twice := func(int) []uint64 { return all }
 		if mean, longest := countTurns(all, twice, n); mean < 0.45 || mean > 0.55 || longest > 20 {
-			t.Errorf("%d of %d are alive: %.2f turns a slot, none for %d", n, 2*n, mean, longest)
+			t.Errorf("%d of %d are alive: %.2f turns a slot, none in %d", n, 2*n, mean, longest)
 		}
 	}
 }
 
-// What all do after one cause is spread evenly, in another order for another cause.
+// The offsets of all members for one cause are spread evenly, in another order for another cause.
 func TestOffsetsAreEven(t *testing.T) {
 	const n = 50
 	all := numbers(n)
--- a/internal/standalone/memory_requests.go
+++ b/internal/standalone/memory_requests.go
@@ -106,7 +106,7 @@
 	if a.gate != nil && a.gate.durable {
 		m.table.MarkDurable(id)
 	}
-	switch entry, change := m.table.EndAttempt(now, id, status, answered); change {
+	switch entry, change := m.table.EndAttempt(id, status, answered); change {
 	case idempotency.PutEntry:
 		m.putEntry(id, &entry, entry.SentAt+entry.Retention-now, outcomeSyncDelay, m.reportWrite)
 	case idempotency.DeleteEntry:
