--- a/internal/modules/endpointsource/bench_test.go
+++ b/internal/modules/endpointsource/bench_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/balancer"
 )
 
-// BenchmarkPlatform is what judging a whole list of 10,000 endpoints costs: the same again, and all others.
+// BenchmarkPlatform measures the handling of a full list of 10,000 endpoints: the same as before, and all others.
 func BenchmarkPlatform(b *testing.B) {
 	const n = 10000
 	list := func(from int) (l List) {
--- a/internal/modules/endpointsource/chunks.go
+++ b/internal/modules/endpointsource/chunks.go
@@ -6,15 +6,15 @@
 	"quincegap/internal/balancer"
 )
 
-// PreparedList is a list of the platform's, sorted out before it is judged: that takes longer than judging may, and needs nothing
-// of a Merger.
+// PreparedList is a list of the platform that was sorted by another goroutine than the one that owns the Merger, because sorting takes
+// longer than handling a chunk.
 type PreparedList struct {
 	list            List
-	last            map[string]int // by uid, the index of its last entry that may be usable; nil for a list that stays as it is
-	notReady, ready []Endpoint     // what gets no new work, and the others, each endpoint once
+	last            map[string]int // by uid, the index of its last well-formed entry; nil for a list that is not divided
+	notReady, ready []Endpoint     // endpoints that get no new requests, and the others, each of them once
 }
 
-// PrepareList sorts a list out. Lists of at most maxEntries entries are not worth that, and stay as they are.
+// PrepareList sorts a list for Chunks. Lists of at most maxEntries entries are not divided.
 func PrepareList(list List, maxEntries int) PreparedList {
 	prepared := PreparedList{list: list}
 	if len(list.Endpoints) <= maxEntries || list.Kind == balancer.ListCached {
@@ -23,7 +23,7 @@
 	prepared.last = make(map[string]int, len(list.Endpoints))
 	for i := range list.Endpoints {
 		if e := &list.Endpoints[i]; e.wellFormed() {
-			prepared.last[e.UID] = i // named twice, the later word counts
+			prepared.last[e.UID] = i // of several entries the last one counts
 		}
 	}
 	for i := range list.Endpoints {
@@ -34,17 +34,16 @@
 		case e.State == balancer.EndpointReady:
 			prepared.ready = append(prepared.ready, *e)
 		default:
-			prepared.notReady = append(prepared.notReady, *e) // what cannot be used, too: that is logged when it is judged
+			prepared.notReady = append(prepared.notReady, *e) // unusable entries as well: they are logged when they are handled
 		}
 	}
 	return prepared
 }
 
-// Chunks takes a long list apart into deltas of at most maxEntries entries, so that others can be served between them. What gets no
-// new work, drains or is gone, comes first: that may not wait for the rest. A list that is short, the first one, and one that
-// was only known from before stay as they are.
+// Chunks divides a long list into deltas of at most maxEntries entries, so that other events can be handled between them. Endpoints
+// that get no new requests come first, because they are urgent. A short list, the first list and a cached one are not divided.
 //
-// The chunks say together what the list says. They are to be made and handled in their order, and before any later list.
+// The chunks together have the same effect as the list. They have to be made and handled in their order, and before any later list.
 func (m *Merger) Chunks(prepared PreparedList, maxEntries int) (chunks []func() List) {
 	if prepared.last == nil || !m.published {
 		return []func() List{func() List { return prepared.list }}
@@ -56,7 +55,7 @@
 		chunks = append(chunks, func() List { return delta(chunk) })
 	}
 	if prepared.list.Kind == balancer.ListFull {
-		// What is missing is found at once, and made a list of chunk by chunk: that takes longer.
+		// The missing endpoints are found now, but the lists of them, which take longer, are made chunk by chunk.
 		for chunk := range slices.Chunk(m.notIn(prepared), maxEntries) {
 			chunks = append(chunks, func() List { return delta(removed(chunk)) })
 		}
@@ -67,7 +66,7 @@
 	return chunks
 }
 
-// notIn is what the platform has listed before and does not list now.
+// notIn returns the endpoints that the platform has listed before and that a list lacks.
 func (m *Merger) notIn(prepared PreparedList) (missing []*Endpoint) {
 	for uid, entry := range m.entries {
 		if entry.platform == nil {
@@ -84,7 +83,7 @@
 	return missing
 }
 
-// removed are endpoints as they are listed when they are gone.
+// removed returns copies of endpoints with the state of removed ones.
 func removed(endpoints []*Endpoint) []Endpoint {
 	all := make([]Endpoint, len(endpoints))
 	for i, e := range endpoints {
--- a/internal/modules/endpointsource/chunks_test.go
+++ b/internal/modules/endpointsource/chunks_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/balancer"
 )
 
-// drawEntry is a line of a random list.
+// drawEntry draws an entry of a list.
 func drawEntry(t *rapid.T) Endpoint {
 	n := rapid.IntRange(0, 30).Draw(t, "uid")
 	return Endpoint{
@@ -24,7 +24,7 @@
 	}
 }
 
-// drawList is a random list.
+// drawList draws a list.
 func drawList(t *rapid.T) List {
 	return List{
 		Kind:    rapid.SampledFrom([]balancer.ListKind{balancer.ListFull, balancer.ListDelta}).Draw(t, "kind"),
@@ -32,29 +32,30 @@
 	}
 }
 
-// receiver is a Merger with what it has published.
+// receiver is a Merger with the endpoints that it has published.
 type receiver struct {
-	m     *Merger
-	knows map[string]Endpoint
+	m         *Merger
+	published map[string]Endpoint // by uid
 }
 
-func (r *receiver) take(list List) {
+// apply handles a list and applies what the Merger publishes.
+func (r *receiver) apply(list List) {
 	out, changed := r.m.HandlePlatformList(time.Second, list)
 	if !changed {
 		return
 	}
 	if out.Kind != balancer.ListDelta {
-		clear(r.knows)
+		clear(r.published)
 	}
 	for _, e := range out.Endpoints {
-		if r.knows[e.UID] = e; e.State == balancer.EndpointRemoved {
-			delete(r.knows, e.UID)
+		if r.published[e.UID] = e; e.State == balancer.EndpointRemoved {
+			delete(r.published, e.UID)
 		}
 	}
 }
 
-// takeChunks takes a list in chunks, which must be short, and those with an endpoint that is ready last.
-func (r *receiver) takeChunks(t *rapid.T, list List, maxEntries int) {
+// applyChunks applies a list in chunks. It checks that the chunks are short, and that those with a ready endpoint are the last.
+func (r *receiver) applyChunks(t *rapid.T, list List, maxEntries int) {
 	chunks := r.m.Chunks(PrepareList(list, maxEntries), maxEntries)
 	anyReady := false
 	for _, chunk := range chunks {
@@ -64,53 +65,54 @@
 		}
 		ready := slices.ContainsFunc(part.Endpoints, func(e Endpoint) bool { return e.State == balancer.EndpointReady })
 		if len(chunks) > 1 && anyReady && !ready {
-			t.Fatal("what gets no new work came after what does")
+			t.Fatal("a chunk without ready endpoints follows one with them")
 		}
 		anyReady = anyReady || ready
-		r.take(part)
+		r.apply(part)
 	}
 }
 
-// The chunks of a list say together what the list says, in whatever mode, and what gets no new work first.
-func TestChunksSayWhatTheListSays(t *testing.T) {
+// The chunks of a list have the same effect as the list, in each mode, and those without ready endpoints come first.
+func TestChunksEqualTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := rapid.SampledFrom([]Mode{ModePlatform, ModeOverlay, ModeRehearsal}).Draw(t, "mode")
 		atOnce := receiver{New(Settings{Mode: mode}, nil, nil), map[string]Endpoint{}}
 		inChunks := receiver{New(Settings{Mode: mode}, nil, nil), map[string]Endpoint{}}
 		for _, list := range rapid.SliceOfN(rapid.Custom(drawList), 1, 4).Draw(t, "lists") {
-			atOnce.take(list)
-			inChunks.takeChunks(t, list, 5)
-			for uid, e := range atOnce.knows {
-				if other, ok := inChunks.knows[uid]; !ok || !sameVerdict(&e, &other) {
+			atOnce.apply(list)
+			inChunks.applyChunks(t, list, 5)
+			for uid, e := range atOnce.published {
+				if other, ok := inChunks.published[uid]; !ok || !sameVerdict(&e, &other) {
 					t.Fatalf("%s: %+v at once, %+v in chunks", uid, e, other)
 				}
 			}
-			if len(atOnce.knows) != len(inChunks.knows) {
-				t.Fatalf("%d at once, %d in chunks", len(atOnce.knows), len(inChunks.knows))
+			if len(atOnce.published) != len(inChunks.published) {
+				t.Fatalf("%d at once, %d in chunks", len(atOnce.published), len(inChunks.published))
 			}
 		}
 	})
 }
 
-func TestShortListsStayAsTheyAre(t *testing.T) {
-	m := New(Settings{Mode: ModePlatform}, nil, nil)
+// Short lists, the first list and cached lists are not divided.
+func TestUndividedLists(t *testing.T) {
+	merger := New(Settings{Mode: ModePlatform}, nil, nil)
 	long := List{Kind: balancer.ListFull}
 	for i := range 9 {
 		long.Endpoints = append(long.Endpoints, Endpoint{UID: fmt.Sprint(i), Address: "127.0.0.1:1"})
 	}
-	if parts := m.Chunks(PrepareList(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
-		t.Error("the first list is taken apart")
+	if parts := merger.Chunks(PrepareList(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
+		t.Error("the first list is divided")
 	}
-	m.HandlePlatformList(0, long)
+	merger.HandlePlatformList(0, long)
 	cached := long
 	cached.Kind = balancer.ListCached
-	if parts := m.Chunks(PrepareList(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListCached {
-		t.Error("a list from before is taken apart")
+	if parts := merger.Chunks(PrepareList(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListCached {
+		t.Error("a cached list is divided")
 	}
-	if parts := m.Chunks(PrepareList(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
-		t.Error("a short list is taken apart")
+	if parts := merger.Chunks(PrepareList(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
+		t.Error("a short list is divided")
 	}
-	if parts := m.Chunks(PrepareList(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.ListDelta {
+	if parts := merger.Chunks(PrepareList(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.ListDelta {
 		t.Errorf("%d parts", len(parts))
 	}
 }
--- a/internal/modules/endpointsource/consul.go
+++ b/internal/modules/endpointsource/consul.go
@@ -9,22 +9,24 @@
 	"quincegap/internal/balancer"
 )
 
-// This file takes in what Consul says, and judges what its answers lack.
+// This file handles answers of Consul, and decides whether to believe that endpoints are gone which an answer lacks.
 
-// maxLost is how many endpoints an answer may lack without being doubted for that share of them.
+// maxLost is how many endpoints an answer may lack without being doubted, whatever share of all they are.
 const maxLost = 2
 
-// HandleConsulAnswer takes an answer of Consul's. It returns what the balancer is to be given, false for nothing.
+// HandleConsulAnswer handles an answer of Consul. It returns the list for the balancer, false for none.
 func (m *Merger) HandleConsulAnswer(now time.Duration, answer ConsulAnswer) (List, bool) {
 	if len(answer.ConfirmedMissing) > 0 {
 		return m.handleConfirmedMissing(now, answer.ConfirmedMissing)
 	}
 	first := !m.consulAnswered
 	if first && len(answer.Changed) == 0 && m.settings.Mode == ModeConsul {
-		return List{}, false // a first answer without anybody says nothing: what is known goes on
+		return List{}, false // an empty first answer is ignored: the last known list stays
 	}
 	m.allDirty = m.allDirty || first || m.consulExpired
-	m.consulAnswered, m.consulAnsweredAt, m.consulExpired = true, now, false
+	m.consulAnswered = true
+	m.consulAnsweredAt = now
+	m.consulExpired = false
 	m.applyConsulAnswer(now, &answer, first)
 	missing, known := answer.Missing, answer.KnownBefore
 	if first {
@@ -41,7 +43,7 @@
 	return m.publish(now, balancer.ListDelta)
 }
 
-// applyConsulAnswer takes in what an answer says of each endpoint.
+// applyConsulAnswer applies the entries of an answer.
 func (m *Merger) applyConsulAnswer(now time.Duration, answer *ConsulAnswer, first bool) {
 	usable := m.filterUsable("consul", answer.Changed)
 	if len(usable) < len(answer.Changed) {
@@ -52,8 +54,8 @@
 	}
 }
 
-// missingFromFirst is what Consul's first answer lacks of what is known, by the last known list or by what Consul was asked
-// before, and how many that are.
+// missingFromFirst returns which of the known endpoints Consul's first answer lacks, and how many are known: by the last known list, or
+// by the service that was followed before.
 func (m *Merger) missingFromFirst(answer *ConsulAnswer) (missing []string, known int) {
 	listed := make(map[string]bool, len(answer.Changed))
 	for _, e := range answer.Changed {
@@ -69,7 +71,7 @@
 		switch {
 		case listed[uid]:
 		case entry.published != nil && slices.ContainsFunc(m.byAddress[entry.published.Address], isListed):
-			m.drop(uid, entry) // Consul has it by another name
+			m.drop(uid, entry) // Consul has it under another uid
 		default:
 			missing = append(missing, uid)
 		}
@@ -77,12 +79,13 @@
 	return missing, known
 }
 
-// applyMissing takes in what an answer lacks of so many that were known: it is believed, or doubted.
+// applyMissing handles the endpoints that an answer lacks, of so many that were known: they are dropped, or marked as missing if the
+// answer is doubted.
 func (m *Merger) applyMissing(now time.Duration, missing []string, known int, untrusted bool) {
 	if len(missing) == 0 {
 		return
 	}
-	// What it lacked before and lacks still counts with what it lacks now: a list that melts away in steps.
+	// Those that earlier answers lacked count as well, so that a list that shrinks in steps is doubted too.
 	missing = slices.AppendSeq(slices.Clone(missing), maps.Keys(m.missing))
 	slices.Sort(missing)
 	missing = slices.Compact(missing)
@@ -101,22 +104,24 @@
 		case !doubted:
 			m.drop(uid, entry)
 		case !entry.missing:
-			entry.missing, entry.missingSince = true, now
-			m.missing[uid], m.dirty[uid] = entry, entry
+			entry.missing = true
+			entry.missingSince = now
+			m.missing[uid] = entry
+			m.dirty[uid] = entry
 		}
 	}
 }
 
-// tooMany reports whether an answer lacks more endpoints, of those known before, than are believed to be gone at once.
+// tooMany reports whether an answer lacks so many of the known endpoints that it is doubted.
 func (m *Merger) tooMany(lost, known int) bool {
 	largeShare := float64(lost) >= m.settings.ShrinkThreshold*float64(max(1, known))
 	all := known > 0 && lost >= known
 	return lost > maxLost && largeShare || all
 }
 
-// handleConfirmedMissing takes in that the catalogue, too, lacks endpoints that health lacks. Where nothing would be left, neither
-// it nor time is believed: a Consul that has lost its data would end all service. What the attempts find out settles it then, one
-// endpoint after another.
+// handleConfirmedMissing drops missing endpoints that the catalogue lacks as well. If no other endpoint would be left, neither the
+// catalogue nor time confirms anything, because a Consul that has lost its data would end all service. Only attempts that cannot
+// connect do then, for one endpoint after another.
 func (m *Merger) handleConfirmedMissing(now time.Duration, gone []string) (List, bool) {
 	if !m.consulHasOthers() {
 		return List{}, false
@@ -133,9 +138,9 @@
 	return m.publish(now, balancer.ListDelta)
 }
 
-// confirmByTime believes that an endpoint is gone which Consul has lacked for long, if it still says so.
+// confirmByTime drops an endpoint that has been missing for Settings.ConfirmAfter, if Consul has answered since.
 func (m *Merger) confirmByTime(now time.Duration, uid string, entry *sourceEntry) {
-	// Answers may have stopped coming: only one that came since counts as saying so still.
+	// Without an answer since, Consul may not respond any more, which confirms nothing.
 	if m.consulAnsweredAt > entry.missingSince && m.consulHasOthers() {
 		m.drop(uid, entry)
 	} else {
@@ -143,10 +148,10 @@
 	}
 }
 
-// consulHasOthers reports whether Consul has any endpoint but those that it lacks.
+// consulHasOthers reports whether endpoints would be left without the missing ones.
 func (m *Merger) consulHasOthers() bool {
 	if m.settings.Mode != ModeConsul {
-		return true // the platform's list is the set
+		return true // the endpoints are those of the platform's list
 	}
 	for _, entry := range m.entries {
 		if entry.consul != nil && !entry.missing {
@@ -156,7 +161,7 @@
 	return false
 }
 
-// dropUnusable drops those that Consul has changed into what cannot be used: their old word is not true any more.
+// dropUnusable drops the endpoints whose new entry in Consul cannot be used: the entry before is out of date.
 func (m *Merger) dropUnusable(changed []Endpoint) {
 	for _, e := range changed {
 		if entry := m.entries[e.UID]; entry != nil && !m.usable(&e) {
@@ -165,27 +170,30 @@
 	}
 }
 
-// drop believes that Consul has an endpoint no more.
+// drop removes the entry of an endpoint in Consul.
 func (m *Merger) drop(uid string, entry *sourceEntry) {
 	if entry.consul != nil {
 		m.leaveAddress(entry)
 	}
-	entry.consul, entry.missing, entry.unhealthy, entry.holdDownUntil = nil, false, false, 0
+	entry.consul = nil
+	entry.missing = false
+	entry.unhealthy = false
+	entry.holdDownUntil = 0
 	delete(m.missing, uid)
 	delete(m.heldDown, uid)
 	m.dirty[uid] = entry
 }
 
-// joinAddress puts an entry to those at an address, and has all of them looked at again.
+// joinAddress adds an entry to those at an address, all of which are evaluated again.
 func (m *Merger) joinAddress(entry *sourceEntry, address string) {
 	m.byAddress[address] = append(m.byAddress[address], entry)
 	m.touchAddress(address)
 }
 
-// leaveAddress takes an entry out of those at its address.
+// leaveAddress removes an entry from those at its address, all of which are evaluated again.
 func (m *Merger) leaveAddress(entry *sourceEntry) {
 	address := entry.consul.Address
-	m.touchAddress(address) // another one may be the newest there now
+	m.touchAddress(address) // another one may be the latest there now
 	left := slices.DeleteFunc(m.byAddress[address], func(other *sourceEntry) bool { return other == entry })
 	m.byAddress[address] = left
 	if len(left) == 0 {
@@ -193,41 +201,44 @@
 	}
 }
 
+// touchAddress has all entries at an address evaluated again.
 func (m *Merger) touchAddress(address string) {
 	for _, entry := range m.byAddress[address] {
 		m.dirty[entry.uid] = entry
 	}
 }
 
-// applyConsulEntry takes in what Consul says of one endpoint. A first answer says nothing of starts. unixMS is the time of day.
-func (m *Merger) applyConsulEntry(now time.Duration, said Endpoint, first bool, unixMS int64) {
-	entry := m.touch(said.UID)
+// applyConsulEntry applies Consul's entry of one endpoint; first tells a first answer, by which no endpoint counts as started lately.
+// unixMS is the time of day.
+func (m *Merger) applyConsulEntry(now time.Duration, reported Endpoint, first bool, unixMS int64) {
+	entry := m.touch(reported.UID)
 	entry.missing = false
-	delete(m.missing, said.UID)
+	delete(m.missing, reported.UID)
 	if entry.consul != nil {
 		m.leaveAddress(entry)
 	}
-	m.joinAddress(entry, said.Address)
-	unhealthy := said.State != balancer.EndpointReady
+	m.joinAddress(entry, reported.Address)
+	unhealthy := reported.State != balancer.EndpointReady
 	switch {
 	case unhealthy && !entry.unhealthy:
-		entry.unhealthySince, entry.holdDownUntil = now, 0
-		delete(m.heldDown, said.UID)
+		entry.unhealthySince = now
+		entry.holdDownUntil = 0
+		delete(m.heldDown, reported.UID)
 	case !unhealthy && entry.unhealthy:
 		m.holdDownFlapping(now, entry)
 	}
-	if said.StartUnknown {
-		if m.looksRestarted(now, entry, &said, first) {
+	if reported.StartUnknown {
+		if m.looksRestarted(now, entry, &reported, first) {
 			entry.startedMS = unixMS
 		}
-		said.StartedMS = entry.startedMS
+		reported.StartedMS = entry.startedMS
 	}
 	entry.unhealthy = unhealthy
-	entry.consul = &said
+	entry.consul = &reported
 }
 
-// looksRestarted reports whether an endpoint whose start is not known looks from outside as if it had started: it is new, at
-// another address, registered anew, or was critical for long.
+// looksRestarted reports whether an endpoint whose start is not known seems to have started: it is new, has another address or another
+// registration, or was critical for Settings.RestartThreshold.
 func (m *Merger) looksRestarted(now time.Duration, entry *sourceEntry, e *Endpoint, first bool) bool {
 	before := entry.consul
 	switch {
@@ -240,8 +251,8 @@
 	return recovered && now-entry.unhealthySince >= m.settings.RestartThreshold
 }
 
-// holdDownFlapping weighs the recovery of a check that has failed: beyond some in a while, each waits twice as long as the one
-// before.
+// holdDownFlapping handles the recovery of a failed check. Beyond Settings.FreeRecoveries within Settings.FlapWindow each recovery is
+// held down, twice as long as the one before.
 func (m *Merger) holdDownFlapping(now time.Duration, entry *sourceEntry) {
 	outside := func(at time.Duration) bool { return now-at > m.settings.FlapWindow }
 	entry.recoveries = slices.DeleteFunc(append(entry.recoveries, now), outside)
@@ -251,14 +262,14 @@
 		return
 	}
 	last := len(entry.recoveries) - free - 1
-	entry.recoveries = entry.recoveries[last:] // more are of no use, and flapping must not make it grow
+	entry.recoveries = entry.recoveries[last:] // older ones do not matter, and the list must not grow
 	entry.holdDown = min(cmp.Or(2*entry.holdDown, m.settings.InitialHoldDown), m.settings.MaxHoldDown)
 	entry.holdDownUntil = now + entry.holdDown
 	m.heldDown[entry.uid] = entry
 }
 
-// HandleConnectFailure takes in that an attempt at an endpoint could not connect: of one that Consul lacks it settles the doubt.
-// It returns what the balancer is to be given, false for nothing.
+// HandleConnectFailure handles that an attempt could not connect to an endpoint, which confirms that a missing one is gone. It returns
+// the list for the balancer, false for none.
 func (m *Merger) HandleConnectFailure(now time.Duration, uid string) (List, bool) {
 	entry := m.entries[uid]
 	if entry == nil || !entry.missing || m.PassesThrough() {
@@ -268,11 +279,11 @@
 	return m.publish(now, balancer.ListDelta)
 }
 
-// HasUnconfirmed reports whether something that Consul lacks is not believed, so that HandleConnectFailure may settle it.
+// HasUnconfirmed reports whether endpoints are missing, so that HandleConnectFailure may confirm it.
 func (m *Merger) HasUnconfirmed() bool { return len(m.missing) > 0 }
 
-// HandleConsulUnchanged takes in that Consul has answered with nothing new: its word is fresh. It returns what the balancer is to
-// be given, false for nothing.
+// HandleConsulUnchanged handles an answer of Consul without a change, which renews Settings.ConsulTTL. It returns the list for the
+// balancer, false for none.
 func (m *Merger) HandleConsulUnchanged(now time.Duration) (List, bool) {
 	if !m.consulAnswered {
 		return m.HandleConsulAnswer(now, ConsulAnswer{})
--- a/internal/modules/endpointsource/endpoint_test.go
+++ b/internal/modules/endpointsource/endpoint_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// Each field of an endpoint makes a verdict another one, or is among those that the balancer does not learn.
+// A change of any field makes another verdict, except of the fields that the balancer does not get.
 func TestSameVerdict(t *testing.T) {
 	unpublished := []string{"Maintenance", "WeightShare", "RegistrationIndex", "StartUnknown", "Reason"}
 	fields := reflect.TypeFor[Endpoint]()
 	for i := range fields.NumField() {
 		name := fields.Field(i).Name
 		t.Run(name, func(t *testing.T) {
-			a := Endpoint{UID: "box-1"}
-			b := a
-			switch field := reflect.ValueOf(&b).Elem().Field(i); field.Kind() {
+			verdict := Endpoint{UID: "box-1"}
+			other := verdict
+			switch field := reflect.ValueOf(&other).Elem().Field(i); field.Kind() {
 			case reflect.String:
 				field.SetString("other")
 			case reflect.Bool:
@@ -29,7 +29,7 @@
 			default:
 				t.Fatalf("a field of kind %v", field.Kind())
 			}
-			if got, want := sameVerdict(&a, &b), slices.Contains(unpublished, name); got != want {
+			if got, want := sameVerdict(&verdict, &other), slices.Contains(unpublished, name); got != want {
 				t.Errorf("another %s: the same %v, want %v", name, got, want)
 			}
 		})
--- a/internal/modules/endpointsource/evaluate.go
+++ b/internal/modules/endpointsource/evaluate.go
@@ -6,9 +6,9 @@
 	"quincegap/internal/balancer"
 )
 
-// This file decides what an endpoint is to be for the balancer.
+// This file decides how each endpoint is listed for the balancer.
 
-// evaluate says what an endpoint is to be for the balancer, nil for gone, and why.
+// evaluate returns how an endpoint is to be listed for the balancer, nil for not at all, and the reason.
 func (m *Merger) evaluate(entry *sourceEntry) (*Endpoint, string) {
 	base, reason := m.base(entry)
 	if base == nil {
@@ -40,7 +40,7 @@
 	return &verdict, reason
 }
 
-// base is what the source that has the list says of an endpoint, nil for nothing, and why that counts.
+// base returns the entry of an endpoint in the source that determines the list, nil for none, and the reason.
 func (m *Merger) base(entry *sourceEntry) (*Endpoint, string) {
 	if m.settings.Mode != ModeConsul {
 		if entry.platform == nil {
@@ -59,10 +59,10 @@
 	return nil, "only the platform lists it, and the source is consul"
 }
 
-// warns reports whether a check that warns has lowered an endpoint's weight.
+// warns reports whether a check with a warning has lowered the weight of an endpoint.
 func (e *Endpoint) warns() bool { return e.WeightShare > 0 && e.WeightShare < 1 }
 
-// supersededBy is another instance at an entry's address that stands for the process that is there; nil for none.
+// supersededBy returns another entry with the same address that is of a later process there; nil for none.
 func (m *Merger) supersededBy(entry *sourceEntry) (later *sourceEntry) {
 	for _, other := range m.byAddress[entry.consul.Address] {
 		if other != entry && supersedes(other.consul, entry.consul) {
@@ -72,7 +72,7 @@
 	return later
 }
 
-// onlyCritical reports whether nothing but a check stands against an endpoint.
+// onlyCritical reports whether an endpoint would be ready if its checks were ignored.
 func (m *Merger) onlyCritical(entry *sourceEntry) bool {
 	consul := entry.consul
 	if consul == nil || consul.Maintenance || consul.State != balancer.EndpointDraining && entry.holdDownUntil == 0 {
@@ -84,7 +84,7 @@
 	return m.supersededBy(entry) == nil
 }
 
-// supersedes reports whether the first of two instances at one address stands for the process that is there.
+// supersedes reports whether the first of two entries with the same address is of the later process.
 func supersedes(a, b *Endpoint) bool {
 	if a.RegistrationIndex != b.RegistrationIndex {
 		return a.RegistrationIndex > b.RegistrationIndex
--- a/internal/modules/endpointsource/golden_test.go
+++ b/internal/modules/endpointsource/golden_test.go
@@ -15,13 +15,13 @@
 	"quincegap/internal/golden"
 )
 
-// Endpoints are kept on disk as JSON, as the last known list: the next version has to read them.
+// Endpoints are on disk as JSON, as the last known list: other versions have to read them.
 func TestGoldenEndpoint(t *testing.T) {
-	e := Endpoint{
+	endpoint := Endpoint{
 		UID: "box-1", Address: "10.0.0.7:443", Zone: "north", Model: "large", Cell: 3, State: balancer.EndpointDraining, Weight: 2.5,
 		StartedMS: 1750000000123, Maintenance: true, WeightShare: 0.25, RegistrationIndex: 77, StartUnknown: true, Reason: "check is critical",
 	}
-	text, err := json.Marshal(e)
+	text, err := json.Marshal(endpoint)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,12 +30,12 @@
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got, e) {
-		t.Errorf("got %+v, want %+v", got, e)
+	if !reflect.DeepEqual(got, endpoint) {
+		t.Errorf("got %+v, want %+v", got, endpoint)
 	}
 }
 
-// Rows are what the admin endpoint answers with.
+// The admin pages have rows as JSON.
 func TestGoldenRow(t *testing.T) {
 	row := Row{
 		UID: "box-1", Address: "10.0.0.7:443", State: "ready", Weight: 2.5, Platform: "ready", Consul: "draining", Why: "it says so",
@@ -48,24 +48,25 @@
 	golden.Text(t, "row.json", append(text, '\n'))
 }
 
-// goldenEndpoints is how many endpoints there are in a seeded run.
+// goldenEndpoints is the number of endpoints in a seeded run.
 const goldenEndpoints = 7
 
-// seededRun brings random reports of all sources to a Members, and writes down what it says.
+// seededRun sends random events of all sources to a Merger, and records what it returns.
 type seededRun struct {
 	rng    *rand.Rand
 	m      *Merger
 	now    time.Duration
-	known  map[string]bool // that Consul has answered with
+	known  map[string]bool // the uids that Consul has
 	output bytes.Buffer
 	lists  int
 }
 
-func (r *seededRun) said(l List, news bool) {
+// record records the log lines, and a list that the Merger has returned.
+func (r *seededRun) record(l List, changed bool) {
 	for _, line := range r.m.TakeLogs() {
 		fmt.Fprintln(&r.output, "log", line)
 	}
-	if !news {
+	if !changed {
 		return
 	}
 	r.lists++
@@ -75,79 +76,91 @@
 	}
 }
 
+// endpoint draws an entry of a source.
 func (r *seededRun) endpoint() Endpoint {
 	uid := fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))
-	e := Endpoint{
-		UID: uid, Address: uid + ":1", Zone: fmt.Sprint("zone", r.rng.IntN(3)), Model: "m", Cell: r.rng.IntN(4), Weight: float64(r.rng.IntN(3)),
-		WeightShare: []float64{1, 1, 0.5}[r.rng.IntN(3)], StartUnknown: r.rng.IntN(2) == 0, StartedMS: int64(r.rng.IntN(3)), RegistrationIndex: uint64(r.rng.IntN(4)),
+	endpoint := Endpoint{
+		UID:               uid,
+		Address:           uid + ":1",
+		Zone:              fmt.Sprint("zone", r.rng.IntN(3)),
+		Model:             "m",
+		Cell:              r.rng.IntN(4),
+		Weight:            float64(r.rng.IntN(3)),
+		WeightShare:       []float64{1, 1, 0.5}[r.rng.IntN(3)],
+		StartUnknown:      r.rng.IntN(2) == 0,
+		StartedMS:         int64(r.rng.IntN(3)),
+		RegistrationIndex: uint64(r.rng.IntN(4)),
 	}
 	switch r.rng.IntN(7) {
 	case 0, 1:
-		e.State, e.Reason = balancer.EndpointDraining, "critical"
+		endpoint.State, endpoint.Reason = balancer.EndpointDraining, "critical"
 	case 2:
-		e.State, e.Reason, e.Maintenance = balancer.EndpointDraining, "maintenance", true
+		endpoint.State, endpoint.Reason, endpoint.Maintenance = balancer.EndpointDraining, "maintenance", true
 	case 3:
 		if r.rng.IntN(4) == 0 {
-			e.Address, e.Reason = "nowhere", "no port"
+			endpoint.Address, endpoint.Reason = "nowhere", "no port"
 		}
 	case 4:
 		if r.rng.IntN(4) == 0 {
-			e.State = StateUnknown
+			endpoint.State = StateUnknown
 		}
 	}
 	if r.rng.IntN(6) == 0 {
-		e.Address = fmt.Sprint("box-", r.rng.IntN(goldenEndpoints), ":1")
+		endpoint.Address = fmt.Sprint("box-", r.rng.IntN(goldenEndpoints), ":1")
 	}
-	return e
+	return endpoint
 }
 
+// platform sends a list of the platform.
 func (r *seededRun) platform() {
-	l := List{Kind: []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached}[r.rng.IntN(3)], Version: uint64(r.rng.IntN(50))}
+	kinds := []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached}
+	list := List{Kind: kinds[r.rng.IntN(3)], Version: uint64(r.rng.IntN(50))}
 	for range r.rng.IntN(8) {
 		e := r.endpoint()
-		if r.rng.IntN(4) == 0 && l.Kind == balancer.ListDelta {
+		if r.rng.IntN(4) == 0 && list.Kind == balancer.ListDelta {
 			e.State = balancer.EndpointRemoved
 		}
-		l.Endpoints = append(l.Endpoints, e)
+		list.Endpoints = append(list.Endpoints, e)
 	}
-	// What a full list lacks comes in parts in the order of a map.
-	if l.Kind == balancer.ListDelta && r.rng.IntN(2) == 0 {
-		for _, part := range r.m.Chunks(PrepareList(l, 2), 2) {
-			r.said(r.m.HandlePlatformList(r.now, part()))
+	// The chunks of what a full list lacks are in the order of a map, so only deltas are divided.
+	if list.Kind == balancer.ListDelta && r.rng.IntN(2) == 0 {
+		for _, part := range r.m.Chunks(PrepareList(list, 2), 2) {
+			r.record(r.m.HandlePlatformList(r.now, part()))
 		}
 		return
 	}
-	r.said(r.m.HandlePlatformList(r.now, l))
+	r.record(r.m.HandlePlatformList(r.now, list))
 }
 
+// consul sends an answer of Consul.
 func (r *seededRun) consul() {
-	a := ConsulAnswer{KnownBefore: len(r.known), Untrusted: r.rng.IntN(6) == 0, UnixMS: 1000 + r.now.Milliseconds()}
+	answer := ConsulAnswer{KnownBefore: len(r.known), Untrusted: r.rng.IntN(6) == 0, UnixMS: 1000 + r.now.Milliseconds()}
 	changed := map[string]bool{}
 	for range r.rng.IntN(5) {
 		e := r.endpoint()
 		if !changed[e.UID] {
 			changed[e.UID] = true
-			a.Changed = append(a.Changed, e)
+			answer.Changed = append(answer.Changed, e)
 		}
 	}
 	for i := range goldenEndpoints {
 		uid := fmt.Sprint("box-", i)
 		if r.known[uid] && !changed[uid] && r.rng.IntN(5) == 0 {
-			a.Missing = append(a.Missing, uid)
+			answer.Missing = append(answer.Missing, uid)
 			delete(r.known, uid)
 		}
 	}
 	for uid := range changed {
 		r.known[uid] = true
 	}
-	r.said(r.m.HandleConsulAnswer(r.now, a))
+	r.record(r.m.HandleConsulAnswer(r.now, answer))
 }
 
-// step is one event.
+// step sends one event.
 func (r *seededRun) step() {
 	r.now += time.Duration(r.rng.IntN(800)) * time.Millisecond
 	if r.rng.IntN(100) == 0 {
-		r.now += 70 * time.Second // nobody says anything
+		r.now += 70 * time.Second // without any event
 	}
 	switch r.rng.IntN(14) {
 	case 0, 1:
@@ -155,16 +168,17 @@
 	case 2, 3, 4, 5, 6, 12, 13:
 		r.consul()
 	case 7:
-		r.said(r.m.HandleConsulUnchanged(r.now))
+		r.record(r.m.HandleConsulUnchanged(r.now))
 	case 8:
-		r.said(r.m.HandleConnectFailure(r.now, fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))))
+		r.record(r.m.HandleConnectFailure(r.now, fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))))
 	case 9:
-		r.said(r.m.HandleConsulAnswer(r.now, ConsulAnswer{ConfirmedMissing: []string{fmt.Sprint("box-", r.rng.IntN(goldenEndpoints)), fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))}}))
+		gone := []string{fmt.Sprint("box-", r.rng.IntN(goldenEndpoints)), fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))}
+		r.record(r.m.HandleConsulAnswer(r.now, ConsulAnswer{ConfirmedMissing: gone}))
 	case 10:
 		if r.rng.IntN(40) == 0 {
-			set := *SettingsTable.Default()
-			set.Mode = []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}[r.rng.IntN(4)]
-			r.said(r.m.UpdateSettings(r.now, set))
+			settings := *SettingsTable.Default()
+			settings.Mode = []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}[r.rng.IntN(4)]
+			r.record(r.m.UpdateSettings(r.now, settings))
 		}
 	case 11:
 		if r.rng.IntN(20) == 0 {
@@ -172,35 +186,36 @@
 		}
 	}
 	if at, due := r.m.NextTick(); due && at <= r.now {
-		r.said(r.m.Tick(r.now))
+		r.record(r.m.Tick(r.now))
 	}
 	at, due := r.m.NextTick()
 	fmt.Fprintln(&r.output, int64(at), due, r.m.HasUnconfirmed(), r.m.PassesThrough())
 }
 
-// The same reports have to give the same lists, logs and views, in the same order.
+// The same events must give the same lists, log lines and rows, in the same order.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
 	for _, mode := range []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal} {
 		for seed := range uint64(3) {
-			set := *SettingsTable.Default()
-			set.Mode = mode
-			r := &seededRun{rng: rand.New(rand.NewPCG(seed, 3)), m: New(set, []string{"zone0"}, nil), known: map[string]bool{}}
+			settings := *SettingsTable.Default()
+			settings.Mode = mode
+			run := &seededRun{rng: rand.New(rand.NewPCG(seed, 3)), m: New(settings, []string{"zone0"}, nil), known: map[string]bool{}}
 			for range 2000 {
-				r.step()
+				run.step()
 			}
-			rows, err := json.Marshal(r.m.Rows(r.now))
+			rows, err := json.Marshal(run.m.Rows(run.now))
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.output.Write(rows)
-			fmt.Fprintf(&text, "%s, seed %d: %d lists, %d bytes\n%x\n", mode, seed, r.lists, r.output.Len(), sha256.Sum256(r.output.Bytes()))
+			run.output.Write(rows)
+			fmt.Fprintf(&text, "%s, seed %d: %d lists, %d bytes\n%x\n", mode, seed, run.lists, run.output.Len(),
+				sha256.Sum256(run.output.Bytes()))
 		}
 	}
 	golden.Text(t, "runs.txt", []byte(text.String()))
 }
 
-// Values that settings files, records on disk and answers to people hold.
+// The values in settings files, in records on disk and on the admin pages.
 func TestValuesAreData(t *testing.T) {
 	for got, want := range map[any]any{
 		ModePlatform: Mode("platform"), ModeConsul: Mode("consul"), ModeOverlay: Mode("overlay"), ModeRehearsal: Mode("rehearsal"),
--- a/internal/modules/endpointsource/merger.go
+++ b/internal/modules/endpointsource/merger.go
@@ -9,53 +9,53 @@
 	"quincegap/internal/balancer"
 )
 
-// sourceEntry is all that is known of an endpoint.
+// sourceEntry is the state of one endpoint.
 type sourceEntry struct {
 	uid      string
-	platform *Endpoint // what the platform says, nil if nothing
-	consul   *Endpoint // what Consul says, nil if nothing
+	platform *Endpoint // its entry in the platform's list, nil for none
+	consul   *Endpoint // its entry in Consul, nil for none
 
-	missing      bool // Consul's last answer lacks it, and that is not believed
+	missing      bool // Consul's last answer lacks it, which is not believed yet
 	missingSince time.Duration
 
 	unhealthy      bool // by Consul
 	unhealthySince time.Duration
-	recoveries     []time.Duration // when it became healthy lately, the latest last
-	holdDown       time.Duration   // how long its latest recovery waits
-	holdDownUntil  time.Duration   // 0 if it does not wait
-	startedMS      int64           // its start as it is counted here, where none is known; Unix time
-
-	ready     bool          // as judged by itself, without regard to whether any other is
-	published *Endpoint     // what the balancer was given, nil if nothing or gone
-	since     time.Duration // when it was last changed, or taken away
-	reason    string        // why it is judged so now
+	recoveries     []time.Duration // when it became healthy within Settings.FlapWindow, the latest last
+	holdDown       time.Duration   // the length of the latest hold-down
+	holdDownUntil  time.Duration   // 0 if it is not held down
+	startedMS      int64           // its assumed start, Unix time in milliseconds, if Consul has none
+
+	ready     bool          // by its own verdict, which does not depend on other endpoints
+	published *Endpoint     // how the balancer has it, nil for not at all
+	since     time.Duration // when published was last changed
+	reason    string        // of the present verdict
 }
 
-// Merger merges the sources. The zero value is not to be used. It is not safe for concurrent use.
+// Merger merges the sources. Use New. It is not safe for concurrent use.
 type Merger struct {
 	settings  Settings
 	zones     nameSet
 	models    nameSet
 	entries   map[string]*sourceEntry   // by uid
-	byAddress map[string][]*sourceEntry // that Consul has, by its address
+	byAddress map[string][]*sourceEntry // the entries that Consul has, by address
 	heldDown  map[string]*sourceEntry   // by uid
 	missing   map[string]*sourceEntry   // by uid
-	dirty     map[string]*sourceEntry   // of which something has changed since the balancer was given a list
-	allDirty  bool                      // something has changed that concerns all
+	dirty     map[string]*sourceEntry   // the entries that have to be evaluated again, by uid
+	allDirty  bool                      // all of them have to be
 
 	consulAnswered   bool
-	consulAnsweredAt time.Duration // when last
-	consulExpired    bool          // its word counts no more (ModeOverlay)
-	fromCache        bool          // what the balancer has is the last known list
+	consulAnsweredAt time.Duration // the time of the last answer
+	consulExpired    bool          // Consul has not answered for Settings.ConsulTTL (ModeOverlay)
+	fromCache        bool          // the balancer has the last known list
 	published        bool          // the balancer has a list
-	readyCount       int           // entries that are ready as judged each by itself
-	noneReady        bool          // none is, and those that are only critical go on
+	readyCount       int           // entries that are ready by their own verdict
+	noneReady        bool          // readyCount is 0, so checks are ignored; see checksIgnored
 	version          uint64
-	differences      map[string]string // by uid, that were logged (ModeRehearsal)
+	differences      map[string]string // by uid, those that were logged (ModeRehearsal)
 	logs             []string
 }
 
-// New begins with no endpoint known; zones and models are the names that the settings have.
+// New returns a Merger without endpoints; zones and models are the names that the settings have.
 func New(settings Settings, zones, models []string) *Merger {
 	return &Merger{
 		settings: settings, zones: newNames(zones), models: newNames(models),
@@ -64,24 +64,25 @@
 	}
 }
 
-// PassesThrough reports whether the platform's lists go on to the balancer as they are.
+// PassesThrough reports whether the platform's lists are passed to the balancer as they are.
 func (m *Merger) PassesThrough() bool {
 	return m.settings.Mode == ModePlatform || m.settings.Mode == ModeRehearsal
 }
 
-// Mode is the mode in force.
+// Mode returns the mode in force.
 func (m *Merger) Mode() Mode { return m.settings.Mode }
 
-// maxLogLines bounds the lines of one event: a flood of changes must not become a flood of lines.
+// maxLogLines bounds the log lines between two calls of TakeLogs, however many endpoints change.
 const maxLogLines = 100
 
-// TakeLogs returns the lines for the operator since the last call.
+// TakeLogs returns the log lines since the last call.
 func (m *Merger) TakeLogs() []string {
 	lines := m.logs
 	m.logs = nil
 	return lines
 }
 
+// logf adds a log line.
 func (m *Merger) logf(format string, args ...any) {
 	switch {
 	case len(m.logs) < maxLogLines:
@@ -91,7 +92,7 @@
 	}
 }
 
-// touch returns an endpoint's entry, and has it looked at again.
+// touch returns the entry of an endpoint, a new one if there is none, and has it evaluated again.
 func (m *Merger) touch(uid string) *sourceEntry {
 	entry := m.entries[uid]
 	if entry == nil {
@@ -102,7 +103,7 @@
 	return entry
 }
 
-// forget drops an endpoint that no source has. What it was is kept by nobody: an id that comes back is new.
+// forget deletes the entry of an endpoint that no source has and that is not published.
 func (m *Merger) forget(uid string, entry *sourceEntry) {
 	if entry.platform != nil || entry.consul != nil || entry.published != nil {
 		return
@@ -116,7 +117,7 @@
 	delete(m.differences, uid)
 }
 
-// NextTick is when Tick is to be called next, false if it is not.
+// NextTick returns when Tick is to be called next, false for not at all.
 func (m *Merger) NextTick() (at time.Duration, ok bool) {
 	if m.PassesThrough() {
 		return 0, false
@@ -138,12 +139,13 @@
 	return at, ok
 }
 
-// consulExpires reports whether Consul's word counts, and only for a time.
+// consulExpires reports whether Consul's entries are used now and expire without further answers.
 func (m *Merger) consulExpires() bool {
 	return m.settings.Mode == ModeOverlay && m.consulAnswered && !m.consulExpired
 }
 
-// Tick does what is due. It returns what the balancer is to be given, false for nothing.
+// Tick ends hold-downs, confirms missing endpoints and lets Consul's entries expire. It returns the list for the balancer, false for
+// none.
 func (m *Merger) Tick(now time.Duration) (List, bool) {
 	for uid, entry := range m.heldDown {
 		if now >= entry.holdDownUntil {
@@ -158,7 +160,8 @@
 		}
 	}
 	if m.consulExpires() && now >= m.consulAnsweredAt+m.settings.ConsulTTL {
-		m.consulExpired, m.allDirty = true, true
+		m.consulExpired = true
+		m.allDirty = true
 		m.logf("consul: no answer for %s; its word counts no more, the platform's alone does", m.settings.ConsulTTL)
 	}
 	if m.PassesThrough() {
@@ -167,19 +170,18 @@
 	return m.publish(now, balancer.ListDelta)
 }
 
-// UpdateSettings changes the settings while running. It returns what the balancer is to be given under a new mode, false for
-// nothing.
+// UpdateSettings changes the settings while the sidecar runs. It returns the list for the balancer in a new mode, false for none.
 func (m *Merger) UpdateSettings(now time.Duration, settings Settings) (List, bool) {
-	former := m.settings.Mode
+	previous := m.settings.Mode
 	m.settings = settings
-	if former == settings.Mode {
+	if previous == settings.Mode {
 		return List{}, false
 	}
-	m.logf("membership: the source is %s now, %s before", settings.Mode, former)
+	m.logf("membership: the source is %s now, %s before", settings.Mode, previous)
 	m.forgetConsul()
 	switch settings.Mode {
 	case ModeConsul:
-		m.fromCache = true // until Consul's first answer what is known goes on
+		m.fromCache = true // the present list stays until Consul's first answer
 		return List{}, false
 	case ModePlatform, ModeRehearsal:
 		return m.publishKnownPlatform(now)
@@ -187,22 +189,28 @@
 	return m.publish(now, balancer.ListFull)
 }
 
-// forgetConsul forgets what Consul said, but not what is published: it is asked anew, or no more, and by other names.
+// forgetConsul deletes the state of all endpoints in Consul, but not what is published.
 func (m *Merger) forgetConsul() {
-	m.consulAnswered, m.consulExpired, m.byAddress = false, false, map[string][]*sourceEntry{}
+	m.consulAnswered = false
+	m.consulExpired = false
+	m.byAddress = map[string][]*sourceEntry{}
 	clear(m.heldDown)
 	clear(m.missing)
 	clear(m.differences)
 	for uid, entry := range m.entries {
-		entry.consul, entry.missing, entry.unhealthy = nil, false, false
-		entry.holdDownUntil, entry.holdDown, entry.recoveries = 0, 0, nil
+		entry.consul = nil
+		entry.missing = false
+		entry.unhealthy = false
+		entry.holdDownUntil = 0
+		entry.holdDown = 0
+		entry.recoveries = nil
 		m.dirty[uid] = entry
 	}
 	m.allDirty = true
 }
 
-// RestartConsul takes in that Consul is asked anew, perhaps for another service: its next answer is its first.
+// RestartConsul makes the next answer of Consul its first one, because it may be for another service.
 func (m *Merger) RestartConsul() { m.consulAnswered = false }
 
-// sortedUIDs are the uids of entries, in order.
+// sortedUIDs returns the uids of entries, in order.
 func sortedUIDs(entries map[string]*sourceEntry) []string { return slices.Sorted(maps.Keys(entries)) }
--- a/internal/modules/endpointsource/merger_test.go
+++ b/internal/modules/endpointsource/merger_test.go
@@ -12,130 +12,135 @@
 
 const s = time.Second
 
+// In the modes platform and rehearsal the platform's lists are passed through, without unusable entries.
 func TestPlatformPassesThrough(t *testing.T) {
 	for _, mode := range []Mode{ModePlatform, ModeRehearsal} {
-		d := drive(t, mode)
-		bad := ep("x")
-		bad.State = StateUnknown
+		driver := newDriver(t, mode)
+		unhealthy := endpointOf("x")
+		unhealthy.State = StateUnknown
 		for _, l := range []List{
-			{Kind: balancer.ListCached, Version: 3, Endpoints: eps("a", "b")},
-			{Kind: balancer.ListFull, Version: 9, Endpoints: append(eps("a", "c"), bad)},
+			{Kind: balancer.ListCached, Version: 3, Endpoints: endpointsOf("a", "b")},
+			{Kind: balancer.ListFull, Version: 9, Endpoints: append(endpointsOf("a", "c"), unhealthy)},
 			{Kind: balancer.ListDelta, Version: 10},
-			{Kind: balancer.ListDelta, Version: 11, Endpoints: eps("a")},
+			{Kind: balancer.ListDelta, Version: 11, Endpoints: endpointsOf("a")},
 		} {
 			want := l
 			want.Endpoints = slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return e.State == StateUnknown })
-			if got, news := d.m.HandlePlatformList(d.now, l); !news || fmt.Sprint(got) != fmt.Sprint(want) {
+			if got, changed := driver.m.HandlePlatformList(driver.now, l); !changed || fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Errorf("%s: %v became %v", mode, l, got)
 			}
 		}
-		if _, due := d.m.NextTick(); due {
-			t.Error("something is due")
+		if _, due := driver.m.NextTick(); due {
+			t.Error("a tick is due")
 		}
 		var seen []string
-		for _, r := range d.m.Rows(d.now) {
+		for _, r := range driver.m.Rows(driver.now) {
 			seen = append(seen, r.UID+" "+r.State)
 		}
 		if got := strings.Join(seen, ","); got != "a ready,c ready" {
-			t.Errorf("view: %s", got)
+			t.Errorf("rows: %s", got)
 		}
 	}
 }
 
+// In mode consul the cached list is used until Consul's first answer, and the platform's lists are ignored.
 func TestConsulAlone(t *testing.T) {
-	d := drive(t, ModeConsul)
-	d.platform(balancer.ListCached, eps("k1", "k2")...)
-	d.want("k1 k2")
-	d.platform(balancer.ListFull, eps("p")...) // does not count
-	d.want("k1 k2")
-	// The first answer: by other names at the same addresses, and none of it as started lately.
-	a, b, c := ep("a"), ep("b"), ep("c")
+	driver := newDriver(t, ModeConsul)
+	driver.platform(balancer.ListCached, endpointsOf("k1", "k2")...)
+	driver.want("k1 k2")
+	driver.platform(balancer.ListFull, endpointsOf("p")...) // is ignored
+	driver.want("k1 k2")
+	// The first answer has other uids at the same addresses, and no endpoint counts as started lately.
+	a, b, c := endpointOf("a"), endpointOf("b"), endpointOf("c")
 	a.Address, b.Address = "k1:1", "k2:1"
-	d.consul(ConsulAnswer{Changed: []Endpoint{a, b, c}})
-	d.want("a b c")
-	d.at(1 * s)
-	d.consul(ConsulAnswer{Changed: []Endpoint{{UID: "b", Address: "k2:1", State: balancer.EndpointDraining, Reason: "check", StartUnknown: true, RegistrationIndex: 5}}, KnownBefore: 3})
-	d.want("a b- c")
-	d.consul(ConsulAnswer{Changed: []Endpoint{ep("new")}, Missing: []string{"c"}, KnownBefore: 3})
-	d.want("a b- new?")
-	if rows := d.m.Rows(d.now); len(rows) != 4 || rows[1].Why != "check" || rows[1].Consul != "draining" || rows[1].Platform != "" {
+	driver.consul(ConsulAnswer{Changed: []Endpoint{a, b, c}})
+	driver.want("a b c")
+	driver.advanceTo(1 * s)
+	draining := Endpoint{
+		UID: "b", Address: "k2:1", State: balancer.EndpointDraining, Reason: "check", StartUnknown: true, RegistrationIndex: 5,
+	}
+	driver.consul(ConsulAnswer{Changed: []Endpoint{draining}, KnownBefore: 3})
+	driver.want("a b- c")
+	driver.consul(ConsulAnswer{Changed: []Endpoint{endpointOf("new")}, Missing: []string{"c"}, KnownBefore: 3})
+	driver.want("a b- new?")
+	if rows := driver.m.Rows(driver.now); len(rows) != 4 || rows[1].Why != "check" || rows[1].Consul != "draining" || rows[1].Platform != "" {
 		t.Errorf("%+v", rows)
 	}
 }
 
-// eight is a driver whose Consul has eight endpoints, a to h.
-func eight(t *testing.T) *driver {
+// newDriverOfEight returns a driver whose Consul has eight endpoints, a to h.
+func newDriverOfEight(t *testing.T) *driver {
 	t.Helper()
-	d := drive(t, ModeConsul)
-	d.consul(ConsulAnswer{Changed: eps(letters(8)...)})
-	d.at(5 * s)
+	d := newDriver(t, ModeConsul)
+	d.consul(ConsulAnswer{Changed: endpointsOf(firstUIDs(8)...)})
+	d.advanceTo(5 * s)
 	return d
 }
 
-// allEight are the uids that eight begins with.
-var allEight = strings.Join(letters(8), " ")
+// allEight is the state that newDriverOfEight begins with.
+var allEight = strings.Join(firstUIDs(8), " ")
 
-// lackingAnswers are courses of answers that lack some of eight endpoints.
+// lackingAnswers are sequences of events with answers that lack some of eight endpoints.
 var lackingAnswers = map[string]func(t *testing.T, d *driver){
 	"empty, and back": func(t *testing.T, d *driver) {
 		t.Helper()
-		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
+		d.consul(ConsulAnswer{Missing: firstUIDs(8), KnownBefore: 8})
 		d.want(allEight)
 		if logs := d.m.TakeLogs(); len(logs) != 1 || !strings.Contains(logs[0], "lacks 8 of 8") {
 			t.Errorf("%q", logs)
 		}
-		d.consul(ConsulAnswer{Changed: eps(letters(8)...), KnownBefore: 0})
-		d.at(60 * s)
+		d.consul(ConsulAnswer{Changed: endpointsOf(firstUIDs(8)...), KnownBefore: 0})
+		d.advanceTo(60 * s)
 		d.want(allEight)
 	},
-	"half, and it goes on saying so": func(t *testing.T, d *driver) {
+	"half, and later answers confirm it": func(t *testing.T, d *driver) {
 		t.Helper()
-		d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
+		d.consul(ConsulAnswer{Missing: firstUIDs(5), KnownBefore: 8})
 		d.want(allEight)
-		d.at(8 * s)
-		d.given(d.m.HandleConsulUnchanged(d.now))
-		d.at(14 * s)
+		d.advanceTo(8 * s)
+		d.apply(d.m.HandleConsulUnchanged(d.now))
+		d.advanceTo(14 * s)
 		d.want(allEight)
-		d.at(15 * s)
+		d.advanceTo(15 * s)
 		d.want("f g h")
 	},
-	"empty, and nothing more comes": func(t *testing.T, d *driver) {
+	"empty, without further answers": func(t *testing.T, d *driver) {
 		t.Helper()
-		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
-		d.at(500 * s)
-		d.want(allEight) // the last good list serves
+		d.consul(ConsulAnswer{Missing: firstUIDs(8), KnownBefore: 8})
+		d.advanceTo(500 * s)
+		d.want(allEight) // the list before is kept
 	},
 	"confirmed by the catalogue": func(t *testing.T, d *driver) {
 		t.Helper()
-		d.consul(ConsulAnswer{ConfirmedMissing: letters(5)}) // of whom nothing was missing: that changes nothing
+		d.consul(ConsulAnswer{ConfirmedMissing: firstUIDs(5)}) // none of them was missing: nothing changes
 		d.want(allEight)
-		d.consul(ConsulAnswer{Missing: letters(5), KnownBefore: 8})
-		d.consul(ConsulAnswer{ConfirmedMissing: []string{"a", "b", "none"}}) // the catalogue has the others still
+		d.consul(ConsulAnswer{Missing: firstUIDs(5), KnownBefore: 8})
+		d.consul(ConsulAnswer{ConfirmedMissing: []string{"a", "b", "none"}}) // the catalogue still has the others
 		d.want("c d e f g h")
-		d.consul(ConsulAnswer{Changed: eps("c"), KnownBefore: 3})
-		d.consul(ConsulAnswer{ConfirmedMissing: letters(5)})
+		d.consul(ConsulAnswer{Changed: endpointsOf("c"), KnownBefore: 3})
+		d.consul(ConsulAnswer{ConfirmedMissing: firstUIDs(5)})
 		d.want("c f g h")
 	},
-	// Neither the catalogue nor time settles that, only the attempts do.
-	"nothing would be left": func(t *testing.T, d *driver) {
+	// Neither the catalogue nor time confirms that, only attempts do.
+	"no endpoint would be left": func(t *testing.T, d *driver) {
 		t.Helper()
-		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
-		d.consul(ConsulAnswer{ConfirmedMissing: letters(8)})
+		d.consul(ConsulAnswer{Missing: firstUIDs(8), KnownBefore: 8})
+		d.consul(ConsulAnswer{ConfirmedMissing: firstUIDs(8)})
 		for range 30 {
-			d.at(d.now + 5*s)
-			d.given(d.m.HandleConsulUnchanged(d.now))
+			d.advanceTo(d.now + 5*s)
+			d.apply(d.m.HandleConsulUnchanged(d.now))
 		}
 		d.want(allEight)
-		for _, uid := range letters(8) {
-			d.given(d.m.HandleConnectFailure(d.now, uid))
+		for _, uid := range firstUIDs(8) {
+			d.apply(d.m.HandleConnectFailure(d.now, uid))
 		}
 		d.want("")
 	},
-	"attempts agree, one by one": func(t *testing.T, d *driver) {
+	"attempts confirm, one by one": func(t *testing.T, d *driver) {
 		t.Helper()
-		d.consul(ConsulAnswer{Missing: letters(8), KnownBefore: 8})
-		d.given(d.m.HandleConnectFailure(d.now, "c"))
-		d.given(d.m.HandleConnectFailure(d.now, "none"))
+		d.consul(ConsulAnswer{Missing: firstUIDs(8), KnownBefore: 8})
+		d.apply(d.m.HandleConnectFailure(d.now, "c"))
+		d.apply(d.m.HandleConnectFailure(d.now, "none"))
 		d.want("a b d e f g h")
 	},
 	"a server without a leader": func(t *testing.T, d *driver) {
@@ -145,244 +150,253 @@
 		d.consul(ConsulAnswer{Missing: []string{"b"}, KnownBefore: 7})
 		d.want("c d e f g h")
 	},
-	"a list that melts away in steps": func(t *testing.T, d *driver) {
+	"a list that shrinks in steps": func(t *testing.T, d *driver) {
 		t.Helper()
 		d.consul(ConsulAnswer{Missing: []string{"a", "b", "c"}, KnownBefore: 8})
 		d.want("d e f g h")
-		d.consul(ConsulAnswer{Missing: []string{"d", "e", "f"}, KnownBefore: 5}) // too much together
+		d.consul(ConsulAnswer{Missing: []string{"d", "e", "f"}, KnownBefore: 5}) // too many together
 		d.want("d e f g h")
 	},
 }
 
-// What an answer lacks is believed or doubted, and settled in time.
+// Endpoints that an answer lacks are dropped, or missing until that is confirmed.
 func TestEmptyAndHalfLists(t *testing.T) {
 	for name, play := range lackingAnswers {
-		t.Run(name, func(t *testing.T) { play(t, eight(t)) })
+		t.Run(name, func(t *testing.T) { play(t, newDriverOfEight(t)) })
 	}
 }
 
 // An answer that lacks all there are is doubted, however few these are.
 func TestLackingAllOfFewIsDoubted(t *testing.T) {
 	for n := 1; n <= maxLost; n++ {
-		d := drive(t, ModeConsul)
-		d.consul(ConsulAnswer{Changed: eps(letters(n)...)})
-		d.consul(ConsulAnswer{Missing: letters(n), KnownBefore: n})
-		d.want(strings.Join(letters(n), " "))
+		d := newDriver(t, ModeConsul)
+		d.consul(ConsulAnswer{Changed: endpointsOf(firstUIDs(n)...)})
+		d.consul(ConsulAnswer{Missing: firstUIDs(n), KnownBefore: n})
+		d.want(strings.Join(firstUIDs(n), " "))
 	}
 }
 
-func TestAllCriticalGoesOn(t *testing.T) {
-	d := drive(t, ModeConsul)
-	d.consul(ConsulAnswer{Changed: eps("a", "b", "c")})
-	d.at(s)
-	d.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), critical("b")}, KnownBefore: 3})
-	d.want("a- b- c")
+// While all endpoints are critical they are listed as ready, except those in maintenance.
+func TestAllCriticalStayReady(t *testing.T) {
+	driver := newDriver(t, ModeConsul)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "b", "c")})
+	driver.advanceTo(s)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), critical("b")}, KnownBefore: 3})
+	driver.want("a- b- c")
 	m := critical("b")
 	m.Maintenance = true
-	d.consul(ConsulAnswer{Changed: []Endpoint{critical("c"), m}, KnownBefore: 3})
-	d.want("a b- c") // but not what an operator has taken out
-	d.at(2 * s)
-	d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 3})
-	d.want("a b- c-")
+	driver.consul(ConsulAnswer{Changed: []Endpoint{critical("c"), m}, KnownBefore: 3})
+	driver.want("a b- c") // b is in maintenance
+	driver.advanceTo(2 * s)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a"), KnownBefore: 3})
+	driver.want("a b- c-")
 }
 
-// A first answer without anybody neither ends the last known list nor makes an empty one.
+// An empty first answer neither replaces the last known list nor publishes an empty one.
 func TestFirstAnswerIsEmpty(t *testing.T) {
-	d := drive(t, ModeConsul)
-	d.platform(balancer.ListCached, eps("k")...)
-	lists := d.lists
-	d.consul(ConsulAnswer{})
-	d.given(d.m.HandleConsulUnchanged(d.now))
-	d.at(100 * s)
-	d.want("k")
-	if d.lists != lists {
+	driver := newDriver(t, ModeConsul)
+	driver.platform(balancer.ListCached, endpointsOf("k")...)
+	lists := driver.lists
+	driver.consul(ConsulAnswer{})
+	driver.apply(driver.m.HandleConsulUnchanged(driver.now))
+	driver.advanceTo(100 * s)
+	driver.want("k")
+	if driver.lists != lists {
 		t.Error("an empty list was published")
 	}
-	d.consul(ConsulAnswer{Changed: eps("a", "b")})
-	d.want("a b")
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "b")})
+	driver.want("a b")
 }
 
+// A flapping check is held down: it has the free recoveries, and then ever longer hold-downs.
 func TestFlappingCheck(t *testing.T) {
-	d := drive(t, ModeConsul)
-	d.consul(ConsulAnswer{Changed: eps("a", "b")})
+	driver := newDriver(t, ModeConsul)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "b")})
 	readyFor, was := time.Duration(0), time.Duration(0)
-	returns := 0
+	recoveries := 0
 	for i := range 300 { // a minute, a change every 200 ms
-		d.at(time.Duration(i+1) * 200 * time.Millisecond)
-		if d.knows["a"].State == balancer.EndpointReady {
-			readyFor += d.now - was
+		driver.advanceTo(time.Duration(i+1) * 200 * time.Millisecond)
+		if driver.published["a"].State == balancer.EndpointReady {
+			readyFor += driver.now - was
 		}
-		was = d.now
-		bad := d.knows["a"].State != balancer.EndpointReady
+		was = driver.now
+		unhealthy := driver.published["a"].State != balancer.EndpointReady
 		if i%2 == 0 {
-			d.consul(ConsulAnswer{Changed: []Endpoint{critical("a")}, KnownBefore: 2})
-			if d.knows["a"].State == balancer.EndpointReady {
+			driver.consul(ConsulAnswer{Changed: []Endpoint{critical("a")}, KnownBefore: 2})
+			if driver.published["a"].State == balancer.EndpointReady {
 				t.Fatal("a failing check waited")
 			}
 		} else {
-			d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 2})
+			driver.consul(ConsulAnswer{Changed: endpointsOf("a"), KnownBefore: 2})
 		}
-		if bad && d.knows["a"].State == balancer.EndpointReady {
-			returns++
+		if unhealthy && driver.published["a"].State == balancer.EndpointReady {
+			recoveries++
 		}
 	}
-	if returns != 2 {
-		t.Errorf("%d returns at once, want the 2 free ones", returns)
+	if recoveries != 2 {
+		t.Errorf("%d recoveries at once, want the 2 free ones", recoveries)
 	}
-	d.consul(ConsulAnswer{Changed: eps("a"), KnownBefore: 2})
-	d.at(d.now + 31*s) // calm: it is back after the longest hold
-	if d.knows["a"].State != balancer.EndpointReady {
-		t.Error("it never comes back")
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a"), KnownBefore: 2})
+	driver.advanceTo(driver.now + 31*s) // without flapping: it is ready after the longest hold-down
+	if driver.published["a"].State != balancer.EndpointReady {
+		t.Error("it is not ready again")
 	}
-	if len(d.m.entries["a"].recoveries) > 3 {
-		t.Errorf("%d returns are kept", len(d.m.entries["a"].recoveries))
+	if len(driver.m.entries["a"].recoveries) > 3 {
+		t.Errorf("%d recoveries are kept", len(driver.m.entries["a"].recoveries))
 	}
 }
 
+// An endpoint counts as started lately if its start is known, or if it moved, was registered again or was critical for long.
 func TestRecentStarts(t *testing.T) {
-	d := drive(t, ModeConsul)
-	d.consul(ConsulAnswer{Changed: eps("a", "b", "c", "d")})
-	d.want("a b c d")
-	d.at(s)
-	moved, anew, known := ep("a"), ep("b"), ep("e")
+	driver := newDriver(t, ModeConsul)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "b", "c", "d")})
+	driver.want("a b c d")
+	driver.advanceTo(s)
+	moved, anew, known := endpointOf("a"), endpointOf("b"), endpointOf("e")
 	moved.Address = "elsewhere:1"
 	anew.RegistrationIndex = 9
 	known.StartUnknown, known.StartedMS = false, 7
-	d.consul(ConsulAnswer{Changed: []Endpoint{moved, anew, critical("c"), critical("d"), known}, KnownBefore: 4})
-	d.want("a? b? c- d- e?")
-	if d.knows["e"].StartedMS != 7 || d.knows["a"].StartedMS != 2000 {
-		t.Errorf("starts %v %v", d.knows["e"].StartedMS, d.knows["a"].StartedMS)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{moved, anew, critical("c"), critical("d"), known}, KnownBefore: 4})
+	driver.want("a? b? c- d- e?")
+	if driver.published["e"].StartedMS != 7 || driver.published["a"].StartedMS != 2000 {
+		t.Errorf("starts %v %v", driver.published["e"].StartedMS, driver.published["a"].StartedMS)
 	}
-	d.at(2 * s)
-	d.consul(ConsulAnswer{Changed: eps("c"), KnownBefore: 5}) // 1 s of critical is no restart
-	d.at(4 * s)
-	d.consul(ConsulAnswer{Changed: eps("d"), KnownBefore: 5}) // 3 s may be
-	d.want("a? b? c d? e?")
+	driver.advanceTo(2 * s)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("c"), KnownBefore: 5}) // 1 s of critical is no restart
+	driver.advanceTo(4 * s)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("d"), KnownBefore: 5}) // 3 s may be
+	driver.want("a? b? c d? e?")
 }
 
+// Of two endpoints with one address the one that was registered later is ready.
 func TestOneAddressTwice(t *testing.T) {
-	d := drive(t, ModeConsul)
-	old, fresh := ep("old"), ep("fresh")
+	driver := newDriver(t, ModeConsul)
+	old, fresh := endpointOf("old"), endpointOf("fresh")
 	old.Address, fresh.Address, fresh.RegistrationIndex = "x:1", "x:1", 9
-	d.consul(ConsulAnswer{Changed: []Endpoint{old, ep("other")}})
-	d.at(s)
-	d.consul(ConsulAnswer{Changed: []Endpoint{fresh}, KnownBefore: 2})
-	d.want("fresh? old- other")
-	d.consul(ConsulAnswer{Missing: []string{"fresh"}, KnownBefore: 3})
-	d.want("old other")
+	driver.consul(ConsulAnswer{Changed: []Endpoint{old, endpointOf("other")}})
+	driver.advanceTo(s)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{fresh}, KnownBefore: 2})
+	driver.want("fresh? old- other")
+	driver.consul(ConsulAnswer{Missing: []string{"fresh"}, KnownBefore: 3})
+	driver.want("old other")
 }
 
-// Ids and addresses are swapped between two instances in one answer.
+// Two endpoints swap their addresses in one answer.
 func TestSwappedAddresses(t *testing.T) {
-	d := drive(t, ModeConsul)
-	d.consul(ConsulAnswer{Changed: eps("a", "b", "c")})
-	d.at(s)
-	a, b := ep("a"), ep("b")
+	driver := newDriver(t, ModeConsul)
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "b", "c")})
+	driver.advanceTo(s)
+	a, b := endpointOf("a"), endpointOf("b")
 	a.Address, b.Address = b.Address, a.Address
-	d.consul(ConsulAnswer{Changed: []Endpoint{a, b}, KnownBefore: 3})
-	d.want("a? b? c")
-	if d.knows["a"].Address != "b:1" || d.knows["b"].Address != "a:1" {
-		t.Errorf("%+v", d.knows)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{a, b}, KnownBefore: 3})
+	driver.want("a? b? c")
+	if driver.published["a"].Address != "b:1" || driver.published["b"].Address != "a:1" {
+		t.Errorf("%+v", driver.published)
 	}
 }
 
+// In mode overlay the platform's list determines the endpoints, and Consul their health, as long as it answers.
 func TestOverlay(t *testing.T) {
-	d := drive(t, ModeOverlay)
-	draining := ep("d")
+	driver := newDriver(t, ModeOverlay)
+	draining := endpointOf("d")
 	draining.State = balancer.EndpointDraining
-	d.platform(balancer.ListFull, append(eps("a", "b", "c"), draining)...)
-	d.want("a b c d-")
-	warn := ep("c")
+	driver.platform(balancer.ListFull, append(endpointsOf("a", "b", "c"), draining)...)
+	driver.want("a b c d-")
+	warn := endpointOf("c")
 	warn.WeightShare, warn.Reason = 0.25, "warns"
-	d.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), ep("b"), warn, ep("d"), ep("only consul")}})
-	d.want("a- b c d-")
-	if d.knows["c"].Weight != 0.25 {
-		t.Errorf("weight %v", d.knows["c"].Weight)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), endpointOf("b"), warn, endpointOf("d"), endpointOf("only consul")}})
+	driver.want("a- b c d-")
+	if driver.published["c"].Weight != 0.25 {
+		t.Errorf("weight %v", driver.published["c"].Weight)
 	}
-	gone := ep("b")
+	gone := endpointOf("b")
 	gone.State = balancer.EndpointRemoved
-	d.platform(balancer.ListDelta, gone) // Consul has it passing still
-	d.want("a- c d-")
-	d.at(30 * s)
-	d.want("a- c d-")
-	d.at(60 * s) // Consul says nothing: its word counts no more
-	d.want("a c d-")
-	d.given(d.m.HandleConsulUnchanged(d.now))
-	d.want("a- c d-")
-	// The platform's list is the set, whatever Consul lacks.
-	d.consul(ConsulAnswer{Missing: []string{"c"}, KnownBefore: 5})
-	d.want("a- c d-")
+	driver.platform(balancer.ListDelta, gone) // Consul still has it as passing
+	driver.want("a- c d-")
+	driver.advanceTo(30 * s)
+	driver.want("a- c d-")
+	driver.advanceTo(60 * s) // without an answer Consul's health expires
+	driver.want("a c d-")
+	driver.apply(driver.m.HandleConsulUnchanged(driver.now))
+	driver.want("a- c d-")
+	// The platform's list determines the endpoints, whatever Consul lacks.
+	driver.consul(ConsulAnswer{Missing: []string{"c"}, KnownBefore: 5})
+	driver.want("a- c d-")
 }
 
+// In mode rehearsal the differences between Consul and the platform are logged, once each.
 func TestRehearsal(t *testing.T) {
-	d := drive(t, ModeRehearsal)
-	d.platform(balancer.ListFull, eps("a", "b")...)
-	d.consul(ConsulAnswer{Changed: []Endpoint{ep("a"), critical("b"), ep("z")}})
-	d.want("a b")
-	logs := strings.Join(d.m.TakeLogs(), "\n")
-	if !strings.Contains(logs, "b: the platform has it ready, consul draining check is critical") || !strings.Contains(logs, "z: only consul lists it") || strings.Contains(logs, "a:") {
+	driver := newDriver(t, ModeRehearsal)
+	driver.platform(balancer.ListFull, endpointsOf("a", "b")...)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{endpointOf("a"), critical("b"), endpointOf("z")}})
+	driver.want("a b")
+	logs := strings.Join(driver.m.TakeLogs(), "\n")
+	if !strings.Contains(logs, "b: the platform has it ready, consul draining check is critical") ||
+		!strings.Contains(logs, "z: only consul lists it") || strings.Contains(logs, "a:") {
 		t.Error(logs)
 	}
-	d.consul(ConsulAnswer{Changed: eps("b"), Missing: []string{"z"}, KnownBefore: 3})
-	if logs = strings.Join(d.m.TakeLogs(), "\n"); !strings.Contains(logs, "b: both agree again") {
+	driver.consul(ConsulAnswer{Changed: endpointsOf("b"), Missing: []string{"z"}, KnownBefore: 3})
+	if logs = strings.Join(driver.m.TakeLogs(), "\n"); !strings.Contains(logs, "b: both agree again") {
 		t.Error(logs)
 	}
-	if d.consul(ConsulAnswer{Changed: eps("b"), KnownBefore: 2}); len(d.m.TakeLogs()) > 0 {
-		t.Error("the same again")
+	if driver.consul(ConsulAnswer{Changed: endpointsOf("b"), KnownBefore: 2}); len(driver.m.TakeLogs()) > 0 {
+		t.Error("a difference is logged again")
 	}
 }
 
+// The mode may change while the sidecar runs.
 func TestModeChanges(t *testing.T) {
-	d := drive(t, ModePlatform)
-	d.platform(balancer.ListFull, eps("a", "b")...)
+	driver := newDriver(t, ModePlatform)
+	driver.platform(balancer.ListFull, endpointsOf("a", "b")...)
 	settings := *SettingsTable.Default()
 	change := func(mode Mode) {
 		settings.Mode = mode
-		d.given(d.m.UpdateSettings(d.now, settings))
+		driver.apply(driver.m.UpdateSettings(driver.now, settings))
 	}
 	change(ModeConsul)
-	d.want("a b") // until Consul answers
-	x, y := ep("x"), ep("y")
+	driver.want("a b") // until Consul answers
+	x, y := endpointOf("x"), endpointOf("y")
 	x.Address, y.Address = "a:1", "b:1"
-	d.consul(ConsulAnswer{Changed: []Endpoint{x, y}})
-	d.want("x y")
+	driver.consul(ConsulAnswer{Changed: []Endpoint{x, y}})
+	driver.want("x y")
 	change(ModeOverlay)
-	d.want("a b")
-	d.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), ep("b")}})
-	d.want("a- b")
+	driver.want("a b")
+	driver.consul(ConsulAnswer{Changed: []Endpoint{critical("a"), endpointOf("b")}})
+	driver.want("a- b")
 	change(ModePlatform)
-	d.want("a b")
-	if len(d.m.TakeLogs()) != 3 {
+	driver.want("a b")
+	if len(driver.m.TakeLogs()) != 3 {
 		t.Error("changes are not logged")
 	}
-	// Another service under the same mode: what it lacks is measured by the one before.
+	// Another service in the same mode: its first answer is compared with the list of the one before.
 	change(ModeConsul)
-	d.consul(ConsulAnswer{Changed: eps("a", "b")})
-	d.m.RestartConsul()
-	d.consul(ConsulAnswer{Changed: eps("a", "c")})
-	d.want("a c") // one of two is not doubted, and nothing of a first answer counts as started lately
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "b")})
+	driver.m.RestartConsul()
+	driver.consul(ConsulAnswer{Changed: endpointsOf("a", "c")})
+	driver.want("a c") // one missing of two is believed, and no endpoint of a first answer counts as started lately
 }
 
-// What went is forgotten: ids without end leave nothing.
-func TestForgets(t *testing.T) {
+// Endpoints that are gone are forgotten: however many there were, the state is bounded.
+func TestForgetsRemovedEndpoints(t *testing.T) {
 	for _, mode := range []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal} {
-		d := drive(t, mode)
+		driver := newDriver(t, mode)
 		var before string
 		for i := range 10000 {
 			uid := fmt.Sprint(i)
-			d.at(time.Duration(i) * 100 * time.Millisecond)
-			gone := ep(before)
+			driver.advanceTo(time.Duration(i) * 100 * time.Millisecond)
+			gone := endpointOf(before)
 			gone.State = balancer.EndpointRemoved
 			if i == 0 {
-				d.platform(balancer.ListDelta, ep(uid))
-				d.consul(ConsulAnswer{Changed: eps(uid, "stays", "stays2")})
+				driver.platform(balancer.ListDelta, endpointOf(uid))
+				driver.consul(ConsulAnswer{Changed: endpointsOf(uid, "stays", "stays2")})
 			} else {
-				d.platform(balancer.ListDelta, ep(uid), gone)
-				d.consul(ConsulAnswer{Changed: eps(uid, "stays", "stays2"), Missing: []string{before}, KnownBefore: 3})
+				driver.platform(balancer.ListDelta, endpointOf(uid), gone)
+				driver.consul(ConsulAnswer{Changed: endpointsOf(uid, "stays", "stays2"), Missing: []string{before}, KnownBefore: 3})
 			}
 			before = uid
 		}
-		if n := len(d.m.entries) + len(d.m.byAddress) + len(d.m.heldDown) + len(d.m.missing) + len(d.m.differences); n > 20 {
+		m := driver.m
+		if n := len(m.entries) + len(m.byAddress) + len(m.heldDown) + len(m.missing) + len(m.differences); n > 20 {
 			t.Errorf("%s: %d are kept", mode, n)
 		}
 	}
--- a/internal/modules/endpointsource/model_test.go
+++ b/internal/modules/endpointsource/model_test.go
@@ -12,17 +12,17 @@
 	"quincegap/internal/balancer"
 )
 
-// modelUIDs are the endpoints of the model.
+// modelUIDs are the uids of the endpoints of the model.
 var modelUIDs = []string{"a", "b", "c", "d", "e", "f"}
 
-// world is what the sources truly said, kept as simply as can be, to judge what the balancer knows.
+// world is the model: the entries of the sources, against which the published endpoints are checked.
 type world struct {
 	mode       Mode
-	platform   map[string]Endpoint
-	consul     map[string]Endpoint // Consul's last answers, put together
-	lacked     map[string]bool     // that an answer lacked since the balancer was given it
-	registered uint64
-	// fast is given each event; slow is, too, and looks at everything each time.
+	platform   map[string]Endpoint // the platform's present list
+	consul     map[string]Endpoint // Consul's present entries
+	lacked     map[string]bool     // uids that an answer lacked since the last one that had them
+	registered uint64              // the latest registration index
+	// Both get each event. fast evaluates only dirty entries; slow evaluates all entries each time.
 	fast, slow *driver
 }
 
@@ -30,50 +30,50 @@
 	t.Helper()
 	return &world{
 		mode: mode, platform: map[string]Endpoint{}, consul: map[string]Endpoint{}, lacked: map[string]bool{}, registered: 5,
-		fast: drive(t, mode), slow: drive(t, mode),
+		fast: newDriver(t, mode), slow: newDriver(t, mode),
 	}
 }
 
-// draw is what a source says of some endpoint.
+// draw draws an entry of a source.
 func (w *world) draw(t *rapid.T) Endpoint {
 	uids := rapid.SampledFrom(modelUIDs)
-	e := ep(uids.Draw(t, "uid"))
+	endpoint := endpointOf(uids.Draw(t, "uid"))
 	switch rapid.IntRange(0, 5).Draw(t, "state") {
 	case 0, 1:
-		e.State, e.Reason = balancer.EndpointDraining, "critical"
+		endpoint.State, endpoint.Reason = balancer.EndpointDraining, "critical"
 	case 2:
-		e.State, e.Reason, e.Maintenance = balancer.EndpointDraining, "maintenance", true
+		endpoint.State, endpoint.Reason, endpoint.Maintenance = balancer.EndpointDraining, "maintenance", true
 	}
 	if rapid.IntRange(0, 4).Draw(t, "moves") == 0 {
-		e.Address = uids.Draw(t, "address") + ":1"
+		endpoint.Address = uids.Draw(t, "address") + ":1"
 	}
 	if rapid.IntRange(0, 4).Draw(t, "anew") == 0 {
 		w.registered++
-		e.RegistrationIndex = w.registered
+		endpoint.RegistrationIndex = w.registered
 	}
-	return e
+	return endpoint
 }
 
-// both plays an event on both.
+// both sends an event to both drivers.
 func (w *world) both(event func(d *driver)) {
 	event(w.fast)
 	w.slow.m.allDirty = true
 	event(w.slow)
 }
 
-// pass lets time go by. The slow one ticks as often, each time with a look at everything.
-func (w *world) pass(t *rapid.T) {
+// advance draws a duration and advances both drivers by it. The slow one evaluates all entries at each tick.
+func (w *world) advance(t *rapid.T) {
 	now := w.fast.now + time.Duration(rapid.SampledFrom([]int{0, 1, 100, 1000, 3000, 12000, 70000}).Draw(t, "ms"))*time.Millisecond
-	w.fast.at(now)
+	w.fast.advanceTo(now)
 	for due, ok := w.slow.m.NextTick(); ok && due <= now; due, ok = w.slow.m.NextTick() {
 		w.slow.now = max(w.slow.now, due)
 		w.slow.m.allDirty = true
-		w.slow.given(w.slow.m.Tick(w.slow.now))
+		w.slow.apply(w.slow.m.Tick(w.slow.now))
 	}
 	w.slow.now = now
 }
 
-// event brings one event.
+// event draws an event and sends it to both drivers.
 func (w *world) event(t *rapid.T) {
 	switch rapid.IntRange(0, 7).Draw(t, "event") {
 	case 0:
@@ -84,11 +84,11 @@
 		w.consulAnswer(t)
 	case 4:
 		if w.fast.m.consulAnswered {
-			w.both(func(d *driver) { d.given(d.m.HandleConsulUnchanged(d.now)) })
+			w.both(func(d *driver) { d.apply(d.m.HandleConsulUnchanged(d.now)) })
 		}
 	case 5:
 		uid := rapid.SampledFrom(modelUIDs).Draw(t, "failed")
-		w.both(func(d *driver) { d.given(d.m.HandleConnectFailure(d.now, uid)) })
+		w.both(func(d *driver) { d.apply(d.m.HandleConnectFailure(d.now, uid)) })
 	case 7:
 		if gone := slices.Sorted(maps.Keys(w.lacked)); len(gone) > 0 {
 			gone = gone[:rapid.IntRange(1, len(gone)).Draw(t, "confirmed")]
@@ -148,29 +148,29 @@
 	w.both(func(d *driver) { d.consul(answer) })
 }
 
-// Random reports from all sources: what is published step by step is what a fresh look at everything gives, and
-// the rules hold as they are stated, whatever came.
+// Random events of all sources: evaluating only the dirty entries publishes the same as evaluating all of them, and the rules hold
+// after each event.
 func TestAgainstSlowReference(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(t, rapid.SampledFrom([]Mode{ModeConsul, ModeOverlay, ModePlatform, ModeRehearsal}).Draw(rt, "mode"))
 		for range rapid.IntRange(1, 40).Draw(rt, "events") {
-			w.pass(rt)
+			w.advance(rt)
 			w.event(rt)
-			if got, want := fmt.Sprint(w.fast.knows), fmt.Sprint(w.slow.knows); got != want {
-				rt.Fatalf("step by step the balancer knows\n%s\na look at everything gives\n%s", got, want)
+			if got, want := fmt.Sprint(w.fast.published), fmt.Sprint(w.slow.published); got != want {
+				rt.Fatalf("with dirty entries the balancer has\n%s\nwith all entries\n%s", got, want)
 			}
-			w.judge(rt)
+			w.check(rt)
 		}
 	})
 }
 
-// judge holds what the balancer knows against what was said.
-func (w *world) judge(t *rapid.T) {
+// check checks the balancer's list against the entries of the sources.
+func (w *world) check(t *rapid.T) {
 	anyReady := false
-	for uid, e := range w.fast.knows {
+	for uid, e := range w.fast.published {
 		if e.State == balancer.EndpointReady {
 			anyReady = true
-			w.judgeReady(t, uid)
+			w.checkReady(t, uid)
 		}
 	}
 	if anyReady {
@@ -178,49 +178,51 @@
 	}
 	for uid := range w.consul {
 		if w.couldBeReady(uid) {
-			t.Fatalf("no endpoint gets work, but %s could", uid)
+			t.Fatalf("no endpoint is ready, but %s could be", uid)
 		}
 	}
 }
 
-// judgeReady checks that an endpoint may get work.
-func (w *world) judgeReady(t *rapid.T, uid string) {
+// checkReady checks that an endpoint may be ready.
+func (w *world) checkReady(t *rapid.T, uid string) {
 	if w.mode == ModeConsul {
-		w.judgeReadyByConsul(t, uid)
+		w.checkReadyByConsul(t, uid)
 		return
 	}
 	if platform, ok := w.platform[uid]; !ok || platform.State != balancer.EndpointReady {
-		t.Fatalf("%s gets work, but the platform says no", uid)
+		t.Fatalf("%s is ready, but not by the platform", uid)
 	}
 	if w.mode == ModeOverlay && w.consul[uid].Maintenance && !w.fast.m.consulExpired {
-		t.Fatalf("%s gets work in maintenance", uid)
+		t.Fatalf("%s is ready in maintenance", uid)
 	}
 }
 
-func (w *world) judgeReadyByConsul(t *rapid.T, uid string) {
+// checkReadyByConsul checks that an endpoint may be ready in mode consul.
+
+func (w *world) checkReadyByConsul(t *rapid.T, uid string) {
 	consul, inConsul := w.consul[uid]
 	if !inConsul {
 		if _, inPlatform := w.platform[uid]; !w.lacked[uid] && !inPlatform {
-			t.Fatalf("%s gets work, and nobody ever named it", uid)
+			t.Fatalf("%s is ready, and no source has listed it", uid)
 		}
 		return
 	}
 	if consul.Maintenance {
-		t.Fatalf("%s gets work in maintenance", uid)
+		t.Fatalf("%s is ready in maintenance", uid)
 	}
 	if consul.State == balancer.EndpointReady {
 		return
 	}
-	// Of those that are critical some get work only where all that get any are.
-	for other, known := range w.fast.knows {
+	// A critical endpoint is ready only if all ready ones are critical.
+	for other, known := range w.fast.published {
 		said, ok := w.consul[other]
 		if known.State == balancer.EndpointReady && ok && said.State == balancer.EndpointReady {
-			t.Fatalf("%s is critical and gets work beside %s", uid, other)
+			t.Fatalf("%s is critical and ready beside %s", uid, other)
 		}
 	}
 }
 
-// couldBeReady reports whether an endpoint that Consul has could get work where none does.
+// couldBeReady reports whether an endpoint that Consul has could be ready while none is.
 func (w *world) couldBeReady(uid string) bool {
 	consul := w.consul[uid]
 	if consul.Maintenance {
@@ -237,7 +239,7 @@
 	return false
 }
 
-// sharesAddress reports whether another one may be at an endpoint's address: it may be in maintenance and newer.
+// sharesAddress reports whether another endpoint may have the same address: it may be the later one, and in maintenance.
 func (w *world) sharesAddress(uid, address string) bool {
 	for other, said := range w.consul {
 		if other != uid && said.Address == address {
--- a/internal/modules/endpointsource/names.go
+++ b/internal/modules/endpointsource/names.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// maxNames bounds the zones, and the models, that sources may bring: the balancer keeps something for each, for the life of the
-// process.
+// maxNames bounds the zones, and the models, that sources may use: the balancer has state for each, until the process ends.
 const maxNames = 256
 
-// nameSet is the names of one sort that are in use.
+// nameSet is the set of all zones, or of all models, that were ever used.
 type nameSet map[string]bool
 
+// newNames returns the set of the names that the settings have.
 func newNames(known []string) nameSet {
 	set := nameSet{}
 	for _, name := range known {
@@ -20,7 +20,7 @@
 	return set
 }
 
-// admit takes a name in; false if there are too many.
+// admit adds a name, and reports whether the set has it; false if there are too many names.
 func (n nameSet) admit(name string) bool {
 	if n[name] {
 		return true
@@ -32,13 +32,12 @@
 	return true
 }
 
-// usable reports whether the balancer can be given an endpoint.
+// usable reports whether an endpoint can be passed to the balancer.
 func (m *Merger) usable(e *Endpoint) bool {
 	return e.wellFormed() && m.zones.admit(e.Zone) && m.models.admit(e.Model)
 }
 
-// filterUsable passes over entries that cannot be used; what was known of them by the list before stays if this one is a delta.
-// The list itself is not changed: it may be kept by who brought it.
+// filterUsable returns the entries that can be used, and logs the others. It does not change the list, which the caller may keep.
 func (m *Merger) filterUsable(source string, all []Endpoint) []Endpoint {
 	first := 0
 	for first < len(all) && m.usable(&all[first]) {
--- a/internal/modules/endpointsource/names_test.go
+++ b/internal/modules/endpointsource/names_test.go
@@ -8,49 +8,48 @@
 	"quincegap/internal/balancer"
 )
 
-// What cannot be used is passed over and named; what is known of it otherwise stays, or goes where Consul has
-// changed it.
+// Entries that cannot be used are ignored and logged. The entry before is kept, or dropped if it was Consul's.
 func TestUnusableEntries(t *testing.T) {
-	none, noUID, unknown := ep("none"), ep(""), ep("unknown")
+	none, noUID, unknown := endpointOf("none"), endpointOf(""), endpointOf("unknown")
 	none.Address, unknown.State, unknown.Reason = "nowhere", StateUnknown, "Melting"
-	d := drive(t, ModePlatform)
-	d.platform(balancer.ListFull, ep("a"), none, noUID, unknown)
-	d.want("a")
-	logs := strings.Join(d.m.TakeLogs(), "\n")
+	driver := newDriver(t, ModePlatform)
+	driver.platform(balancer.ListFull, endpointOf("a"), none, noUID, unknown)
+	driver.want("a")
+	logs := strings.Join(driver.m.TakeLogs(), "\n")
 	for _, want := range []string{`"none" passed over: state "ready", endpoint "nowhere"`, `"" passed over`, `state "Melting"`} {
 		if !strings.Contains(logs, want) {
 			t.Errorf("%s lacks %s", logs, want)
 		}
 	}
-	bad := ep("a")
+	bad := endpointOf("a")
 	bad.Address = "nowhere"
-	d.platform(balancer.ListDelta, bad)
-	d.want("a")
-	bad.State = balancer.EndpointDraining // for which no address is needed
-	d.platform(balancer.ListDelta, bad)
-	d.want("a-")
+	driver.platform(balancer.ListDelta, bad)
+	driver.want("a")
+	bad.State = balancer.EndpointDraining // needs no address
+	driver.platform(balancer.ListDelta, bad)
+	driver.want("a-")
 
-	// The names of zones and of models are bounded, over all sources and for good.
-	d = drive(t, ModeConsul)
+	// The number of zones and of models is bounded, over all sources.
+	driver = newDriver(t, ModeConsul)
 	var all []Endpoint
 	for n := range maxNames + 10 {
-		e := ep(fmt.Sprintf("e%03d", n))
+		e := endpointOf(fmt.Sprintf("e%03d", n))
 		e.Zone = fmt.Sprint("zone ", n)
 		all = append(all, e)
 	}
-	d.consul(ConsulAnswer{Changed: all})
-	if len(d.knows) != maxNames-1 { // one is the settings'
-		t.Errorf("%d are known", len(d.knows))
+	driver.consul(ConsulAnswer{Changed: all})
+	if len(driver.published) != maxNames-1 { // one name is in the settings
+		t.Errorf("%d are published", len(driver.published))
 	}
 	moved := all[0]
 	moved.Zone = "one more"
-	d.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
-	if e, ok := d.knows[moved.UID]; ok {
-		t.Errorf("it goes on as %+v though it is elsewhere", e)
+	driver.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
+	if e, ok := driver.published[moved.UID]; ok {
+		t.Errorf("it stays published as %+v after it has moved", e)
 	}
 	moved.Zone = "z"
-	d.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
-	if _, ok := d.knows[moved.UID]; !ok {
-		t.Error("it came back and is not known")
+	driver.consul(ConsulAnswer{Changed: []Endpoint{moved}, KnownBefore: len(all)})
+	if _, ok := driver.published[moved.UID]; !ok {
+		t.Error("it is usable again and not published")
 	}
 }
--- a/internal/modules/endpointsource/platform.go
+++ b/internal/modules/endpointsource/platform.go
@@ -7,13 +7,13 @@
 	"quincegap/internal/balancer"
 )
 
-// This file takes in what the platform says.
+// This file handles lists of the platform.
 
-// HandlePlatformList takes a list of the platform's that is to count. It returns what the balancer is to be given, false for
-// nothing. In the modes that pass lists on it is the same list.
+// HandlePlatformList handles a list of the platform that VersionFilter has accepted. It returns the list for the balancer, false for
+// none. In the modes that pass lists through, it is the same list.
 func (m *Merger) HandlePlatformList(now time.Duration, list List) (List, bool) {
 	if list.Kind == balancer.ListCached && m.consulAnswered {
-		return List{}, false // there is a better one
+		return List{}, false // Consul's list is more recent
 	}
 	list.Endpoints = m.filterUsable("discovery", list.Endpoints)
 	m.applyPlatformList(list)
@@ -28,7 +28,7 @@
 	return m.publish(now, list.Kind)
 }
 
-// applyPlatformList takes in what a list says of each endpoint.
+// applyPlatformList applies the entries of a list.
 func (m *Merger) applyPlatformList(list List) {
 	listed := map[string]bool{}
 	for _, e := range list.Endpoints {
@@ -51,16 +51,20 @@
 	}
 }
 
-// publishPlatform notes what the balancer is given by a list that is passed on.
+// publishPlatform updates what is published after a list of the platform is passed through.
 func (m *Merger) publishPlatform(now time.Duration) {
 	m.logDifferences()
 	for uid, entry := range m.dirty {
 		switch {
 		case entry.platform == nil && entry.published != nil:
-			entry.published, entry.since, entry.reason = nil, now, "the platform lists it no more"
+			entry.published = nil
+			entry.since = now
+			entry.reason = "the platform lists it no more"
 		case entry.platform != nil && (entry.published == nil || !sameVerdict(entry.published, entry.platform)):
 			published := *entry.platform
-			entry.published, entry.since, entry.reason = &published, now, "the platform says so"
+			entry.published = &published
+			entry.since = now
+			entry.reason = "the platform says so"
 		}
 		m.forget(uid, entry)
 	}
@@ -68,7 +72,7 @@
 	m.published = true
 }
 
-// publishKnownPlatform publishes what is known of the platform's lists, as the mode turns to passing them on.
+// publishKnownPlatform returns the platform's entries as one list, for a change to a mode that passes lists through.
 func (m *Merger) publishKnownPlatform(now time.Duration) (List, bool) {
 	list := List{Kind: balancer.ListFull, Version: m.version + 1}
 	for _, uid := range sortedUIDs(m.entries) {
@@ -79,14 +83,14 @@
 		m.dirty[uid] = entry
 	}
 	if len(list.Endpoints) == 0 {
-		return List{}, false // nothing of the platform's is known: what serves goes on until its next list
+		return List{}, false // no list of the platform is known: the present list stays until the next one
 	}
 	m.publishPlatform(now)
 	m.version = list.Version
 	return list, true
 }
 
-// logDifferences logs, for a rehearsal, where Consul would say otherwise than the platform does.
+// logDifferences logs, in ModeRehearsal, the differences between the entries of Consul and of the platform.
 func (m *Merger) logDifferences() {
 	if m.settings.Mode != ModeRehearsal || !m.consulAnswered {
 		return
@@ -110,7 +114,7 @@
 	}
 }
 
-// difference is where Consul says otherwise than the platform does; empty for nowhere.
+// difference describes the difference between the entries of Consul and of the platform; empty for none.
 func (s *sourceEntry) difference() string {
 	switch {
 	case s.platform != nil && s.consul == nil:
--- a/internal/modules/endpointsource/publish.go
+++ b/internal/modules/endpointsource/publish.go
@@ -7,10 +7,9 @@
 	"quincegap/internal/balancer"
 )
 
-// This file brings what the balancer was given up to what holds now.
+// This file computes the lists for the balancer.
 
-// publish returns what the balancer is to be given, false for nothing. It looks at what has changed alone, unless something has
-// changed that concerns all.
+// publish evaluates the dirty entries, or all if necessary, and returns the list for the balancer, false for none.
 func (m *Merger) publish(now time.Duration, kind balancer.ListKind) (List, bool) {
 	m.fromCache = kind == balancer.ListCached || m.fromCache && !m.consulAnswered && m.settings.Mode == ModeConsul
 	if !m.published && kind == balancer.ListDelta {
@@ -28,7 +27,7 @@
 		entries = m.entries
 	}
 	m.noneReady = m.readyCount == 0
-	spared := m.sparedWhileNoneReady()
+	ignoresChecks := m.checksIgnored()
 	list := List{Kind: kind, Version: m.version + 1}
 	for _, uid := range sortedUIDs(entries) {
 		entry := m.entries[uid]
@@ -36,7 +35,7 @@
 			continue
 		}
 		before := entry.published
-		changed := m.updateVerdict(now, entry, spared)
+		changed := m.updateVerdict(now, entry, ignoresChecks)
 		switch {
 		case entry.published != nil && (full || changed):
 			list.Endpoints = append(list.Endpoints, *entry.published)
@@ -57,9 +56,10 @@
 	return list, true
 }
 
-// sparedWhileNoneReady decides which endpoints go on though a check stands against them. Checks alone would end all service where
-// nobody is ready: go on then, and let the attempts find out. Those that are merely held down go before those that are critical.
-func (m *Merger) sparedWhileNoneReady() func(*sourceEntry) bool {
+// checksIgnored returns whether an entry is to be listed as ready in spite of its checks. That is so for entries against which there
+// is only a check, while no endpoint is ready: otherwise checks alone could end all service. Endpoints that are merely held down are
+// preferred to those whose check is critical.
+func (m *Merger) checksIgnored() func(*sourceEntry) bool {
 	if !m.noneReady {
 		return func(*sourceEntry) bool { return false }
 	}
@@ -71,10 +71,11 @@
 	return m.onlyCritical
 }
 
-// updateVerdict evaluates an entry anew, and reports whether the balancer has to learn of that.
-func (m *Merger) updateVerdict(now time.Duration, entry *sourceEntry, spared func(*sourceEntry) bool) (changed bool) {
+// updateVerdict evaluates an entry, and reports whether the verdict is another one for the balancer. ignoresChecks reports whether an
+// entry is listed as ready in spite of its checks.
+func (m *Merger) updateVerdict(now time.Duration, entry *sourceEntry, ignoresChecks func(*sourceEntry) bool) (changed bool) {
 	verdict, reason := m.evaluate(entry)
-	if verdict != nil && spared(entry) {
+	if verdict != nil && ignoresChecks(entry) {
 		verdict.State, verdict.Weight = balancer.EndpointReady, cmp.Or(max(0, verdict.Weight), 1)
 		reason = "no endpoint is ready, so checks alone are not believed (" + reason + ")"
 	}
@@ -87,7 +88,7 @@
 	return changed
 }
 
-// countReady keeps the number of those that are ready up to date.
+// countReady evaluates an entry by itself and updates readyCount.
 func (m *Merger) countReady(entry *sourceEntry) {
 	verdict, _ := m.evaluate(entry)
 	ready := verdict != nil && verdict.State == balancer.EndpointReady
--- a/internal/modules/endpointsource/rows.go
+++ b/internal/modules/endpointsource/rows.go
@@ -8,19 +8,19 @@
 	"quincegap/internal/balancer"
 )
 
-// Row is an endpoint as it is shown to people.
+// Row is an endpoint on the admin pages.
 type Row struct {
 	UID      string  `json:"uid"`
 	Address  string  `json:"address"`
-	State    string  `json:"state"`
+	State    string  `json:"state"` // as the balancer has it; see StateName
 	Weight   float64 `json:"weight"`
-	Platform string  `json:"platform,omitempty"` // the platform's word, empty if it has none
-	Consul   string  `json:"consul,omitempty"`   // Consul's
-	Why      string  `json:"why"`
-	AgoMS    int64   `json:"ago_ms"` // since when it is so
+	Platform string  `json:"platform,omitempty"` // its state in the platform's list, empty if it is not listed
+	Consul   string  `json:"consul,omitempty"`   // its state in Consul, empty if it is not listed
+	Why      string  `json:"why"`                // the reason for State
+	AgoMS    int64   `json:"ago_ms"`             // how long ago the balancer's entry last changed, in milliseconds
 }
 
-// Rows is all endpoints, by uid.
+// Rows returns all endpoints, by uid.
 func (m *Merger) Rows(now time.Duration) []Row {
 	var rows []Row
 	for _, entry := range m.entries {
@@ -30,6 +30,7 @@
 	return rows
 }
 
+// row returns the endpoint as a Row.
 func (s *sourceEntry) row(now time.Duration) Row {
 	row := Row{UID: s.uid, State: StateName(balancer.EndpointRemoved), Why: s.reason, AgoMS: (now - s.since).Milliseconds()}
 	if s.published != nil {
--- a/internal/modules/endpointsource/settings.go
+++ b/internal/modules/endpointsource/settings.go
@@ -6,34 +6,36 @@
 	"quincegap/internal/config/schema"
 )
 
-// Mode says which sources count. The values are those of settings files.
+// Mode is which sources of endpoints are used. The values are those of settings files.
 type Mode string
 
 // The modes.
 const (
-	ModePlatform  Mode = "platform"  // the platform's lists alone
-	ModeConsul    Mode = "consul"    // Consul alone
-	ModeOverlay   Mode = "overlay"   // Consul's health over the platform's lists
-	ModeRehearsal Mode = "rehearsal" // the platform's lists alone; differences to Consul are logged
+	ModePlatform  Mode = "platform"  // only the platform's lists
+	ModeConsul    Mode = "consul"    // only Consul
+	ModeOverlay   Mode = "overlay"   // the platform's lists with the health that Consul has
+	ModeRehearsal Mode = "rehearsal" // only the platform's lists; differences to Consul are logged
 )
 
-// Settings is how sources are judged. SettingsTable has the names that settings files have for them.
+// Settings are the settings of a Merger. SettingsTable has their defaults, and their names in settings files.
 type Settings struct {
 	Mode             Mode
-	FreeRecoveries   int           // within FlapWindow, that are believed at once
+	FreeRecoveries   int           // recoveries within FlapWindow that take effect at once
 	FlapWindow       time.Duration // see FreeRecoveries
-	InitialHoldDown  time.Duration // of a further recovery; each one doubles it
+	InitialHoldDown  time.Duration // of the next recovery; each further one doubles it
 	MaxHoldDown      time.Duration
-	ShrinkThreshold  float64       // an answer that lacks this share of the endpoints is doubted
-	ConfirmAfter     time.Duration // what is doubted is believed after Consul has said it for so long
-	ConsulTTL        time.Duration // how long Consul's word counts after its last answer (ModeOverlay)
-	RestartThreshold time.Duration // critical for so long, an endpoint without a start time counts as restarted
+	ShrinkThreshold  float64       // an answer that lacks this share of the endpoints, or more, is doubted
+	ConfirmAfter     time.Duration // how long an endpoint is missing until it is dropped
+	ConsulTTL        time.Duration // how long Consul's entries are used after its last answer (ModeOverlay)
+	RestartThreshold time.Duration // an endpoint without a start time that was critical for so long counts as restarted
 }
 
 // SettingsTable is the table [membership] of settings files.
 var SettingsTable = schema.NewTable("membership", "Which sources of endpoints count, and how they are judged.",
-	schema.Choice("source", func(s *Settings) *Mode { return &s.Mode }, []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}, ModePlatform, false, schema.OnReload,
-		"platform: discovery alone; consul: Consul alone; overlay: Consul's health over discovery's list; rehearsal: discovery alone, and differences to Consul are logged."),
+	schema.Choice("source", func(s *Settings) *Mode { return &s.Mode },
+		[]Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}, ModePlatform, false, schema.OnReload,
+		"platform: discovery alone; consul: Consul alone; overlay: Consul's health over discovery's list; "+
+			"rehearsal: discovery alone, and differences to Consul are logged."),
 	schema.Int("free_returns", func(s *Settings) *int { return &s.FreeRecoveries },
 		schema.Bounds[int]{Default: 2, Min: 0, Max: 100}, schema.OnReload,
 		"How often within flap_window an endpoint may come back from critical at once."),
@@ -60,6 +62,7 @@
 		"An instance without a start time that was critical for so long counts as cold when it comes back."),
 ).Check(func(_ *schema.File, _ string, s *Settings, report schema.Reporter) {
 	if s.MaxHoldDown < s.InitialHoldDown {
-		report("longest_hold", "%s is shorter than first_hold, %s", schema.FormatDuration(s.MaxHoldDown), schema.FormatDuration(s.InitialHoldDown))
+		report("longest_hold", "%s is shorter than first_hold, %s",
+			schema.FormatDuration(s.MaxHoldDown), schema.FormatDuration(s.InitialHoldDown))
 	}
 })
--- a/internal/modules/endpointsource/versionfilter.go
+++ b/internal/modules/endpointsource/versionfilter.go
@@ -1,29 +1,29 @@
 package endpointsource
 
-// ListOrigin is where a list of the platform's came from.
+// ListOrigin is where a list of the platform came from.
 type ListOrigin int
 
 // The origins of a list.
 const (
-	FromCache ListOrigin = iota // what this sidecar knew before its start
-	FromWatch
-	FromFetch
+	FromCache ListOrigin = iota // from before the start of the process
+	FromWatch                   // from a watch
+	FromFetch                   // from a fetch of the complete list
 )
 
-// VersionFilter judges which of the platform's lists are newer than the one that counts. Versions count within one discovery only.
+// VersionFilter rejects lists of the platform that are older than the present one. Versions are comparable within one discovery only.
 type VersionFilter struct {
-	Version       uint64 // of the list that counts
-	MustSubscribe bool   // changes come only after a subscription, so that a watch is not begun again beside the balancer
-	switched      bool   // the list is another discovery's than the one that is followed now
+	Version       uint64 // of the present list
+	MustSubscribe bool   // the balancer decides when to watch, so a watch is not restarted here
+	switched      bool   // the present list is of another discovery than the one that is followed
 }
 
-// SwitchDiscovery turns to another discovery: until its full list comes, the old one's stays.
+// SwitchDiscovery follows another discovery: the present list is kept until the full list of the new one is accepted.
 func (f *VersionFilter) SwitchDiscovery() { f.switched = true }
 
-// Switched reports whether a full list of another discovery is still to come.
+// Switched reports whether the full list of another discovery is still awaited.
 func (f *VersionFilter) Switched() bool { return f.switched }
 
-// WatchFrom is where a watch goes on from: the version of the list, nil for the full list.
+// WatchFrom returns the version after which a watch is to continue, nil to begin with the full list.
 func (f *VersionFilter) WatchFrom() *uint64 {
 	if f.switched {
 		return nil
@@ -32,14 +32,14 @@
 	return &version
 }
 
-// Accept reports whether a list counts, and whether the watch is to begin again behind it.
+// Accept reports whether a list is to be handled, and whether the watch has to be restarted at its version.
 func (f *VersionFilter) Accept(from ListOrigin, version uint64, full bool) (accepted, rewatch bool) {
 	switch {
 	case f.switched && !full:
-		return false, false // changes to a list that nobody has
+		return false, false // a delta to a list that is not known here
 	case f.switched:
 		f.switched = false
-		// The watch may have brought changes before this list, that were passed over.
+		// The watch may have received deltas before this list, which were rejected.
 		rewatch = from == FromFetch && !f.MustSubscribe
 	case f.outdated(from, version, full):
 		return false, false
@@ -48,8 +48,8 @@
 	return true, rewatch
 }
 
-// outdated reports whether a list is older than the one that counts: by it an endpoint that left would come back. A full list of the
-// watch is never.
+// outdated reports whether a list is older than the present one, so that an endpoint might reappear that was removed since. A full list
+// of the watch never is.
 func (f *VersionFilter) outdated(from ListOrigin, version uint64, full bool) bool {
 	switch from {
 	case FromFetch:
--- a/internal/modules/endpointsource/versionfilter_test.go
+++ b/internal/modules/endpointsource/versionfilter_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
+// Lists are accepted in the order of their versions, and from another discovery only after its full list.
 func TestVersionFilter(t *testing.T) {
-	f := VersionFilter{}
-	for i, c := range []struct {
+	filter := VersionFilter{}
+	for number, test := range []struct {
 		from              ListOrigin
 		version           uint64
 		full              bool
@@ -15,20 +16,20 @@
 		{FromWatch, 6, false, false, false},
 		{FromFetch, 5, true, false, false},
 		{FromFetch, 6, true, true, false},
-		{FromWatch, 1, true, true, false}, // a full list of the watch counts anyhow
+		{FromWatch, 1, true, true, false}, // a full list of the watch is always accepted
 	} {
-		if accepted, rewatch := f.Accept(c.from, c.version, c.full); accepted != c.accepted || rewatch != c.rewatch {
-			t.Errorf("%d: %v %v", i, accepted, rewatch)
+		if accepted, rewatch := filter.Accept(test.from, test.version, test.full); accepted != test.accepted || rewatch != test.rewatch {
+			t.Errorf("%d: %v %v", number, accepted, rewatch)
 		}
 	}
-	f.SwitchDiscovery()
-	if f.WatchFrom() != nil {
-		t.Error("it goes on from another discovery's version")
+	filter.SwitchDiscovery()
+	if filter.WatchFrom() != nil {
+		t.Error("the watch continues at the version of another discovery")
 	}
-	if accepted, _ := f.Accept(FromWatch, 9, false); accepted || !f.Switched() {
-		t.Error("changes to a list that nobody has")
+	if accepted, _ := filter.Accept(FromWatch, 9, false); accepted || !filter.Switched() {
+		t.Error("a delta to an unknown list is accepted")
 	}
-	if accepted, rewatch := f.Accept(FromFetch, 0, true); !accepted || !rewatch || f.Switched() || *f.WatchFrom() != 0 {
-		t.Error("the full list does not count")
+	if accepted, rewatch := filter.Accept(FromFetch, 0, true); !accepted || !rewatch || filter.Switched() || *filter.WatchFrom() != 0 {
+		t.Error("the full list is not accepted")
 	}
 }
