--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/standin/consul"
 )
 
-// consulAgent is a stand-in Consul agent on the machine of one sidecar. What an answer told is noted when it has been
-// written.
+// consulAgent is a stand-in Consul agent on the machine of one sidecar. The updates that an answer has are recorded as notified when it
+// has been written.
 type consulAgent struct {
 	discovery *tierDiscovery
 	sidecar   int
@@ -22,31 +22,32 @@
 	served    chan struct{} // closed when nothing is accepted any more
 
 	mu      sync.Mutex
-	pending []pendingUpdate // changes that no answer has told of yet, in the order of their indexes
+	pending []pendingUpdate // updates that no answer has had yet, in the order of their indexes
 }
 
-// pendingUpdate is a change, and the index from which on answers have it.
+// pendingUpdate is an update, and the index from which on answers have it.
 type pendingUpdate struct {
 	index  uint64
 	server int
 	state  string
 }
 
-// startConsulAgent serves at the address that the sidecar's discovery has otherwise.
-func startConsulAgent(n *tierDiscovery, sidecar int) (*consulAgent, error) {
-	a := &consulAgent{served: make(chan struct{}), discovery: n, sidecar: sidecar}
+// startConsulAgent starts the Consul agent of a sidecar, with the servers that its tier has now.
+func startConsulAgent(tier *tierDiscovery, sidecar int) (*consulAgent, error) {
+	a := &consulAgent{served: make(chan struct{}), discovery: tier, sidecar: sidecar}
 	var all []consul.Instance
-	n.mu.Lock()
-	for _, i := range n.order {
-		all = append(all, a.instance(i, n.entries[i]))
-		a.pending = append(a.pending, pendingUpdate{0, i, n.entries[i].state})
+	tier.mu.Lock()
+	for _, server := range tier.order {
+		entry := tier.entries[server]
+		all = append(all, a.instance(server, entry))
+		a.pending = append(a.pending, pendingUpdate{0, server, entry.state})
 	}
-	n.mu.Unlock()
+	tier.mu.Unlock()
 	var err error
 	if a.server, err = consul.Start("", all...); err != nil {
 		return nil, err
 	}
-	l, err := n.rehearsal.listen(n.rehearsal.consulAddress(sidecar))
+	listener, err := tier.rehearsal.listen(tier.rehearsal.consulAddress(sidecar))
 	if err != nil {
 		a.server.Close()
 		return nil, err
@@ -54,55 +55,57 @@
 	a.http.Handler = a
 	go func() {
 		defer close(a.served)
-		_ = a.http.Serve(l) // ends with http.ErrServerClosed, for nothing else closes the listener
+		_ = a.http.Serve(listener) // ends with http.ErrServerClosed, for nothing else closes the listener
 	}()
 	return a, nil
 }
 
+// close ends the agent.
 func (c *consulAgent) close() {
 	_ = c.http.Close() // of the listener and its connections, which have no data that could be lost
 	<-c.served
 	c.server.Close()
 }
 
-// instance is a server as Consul has it: passing, critical while it drains, and not there at all once it has gone.
-func (c *consulAgent) instance(box int, e listEntry) consul.Instance {
-	w := c.discovery.rehearsal
-	b := &w.plan.Servers[box]
+// instance returns a server as Consul has it: passing, critical while it drains, and not there at all once it has gone.
+func (c *consulAgent) instance(server int, entry listEntry) consul.Instance {
+	r := c.discovery.rehearsal
+	spec := &r.plan.Servers[server]
+	tier := r.plan.Tiers[spec.Tier].Name
 	status := "passing"
-	if e.state != "Ready" {
+	if entry.state != "Ready" {
 		status = "critical"
 	}
-	i := consul.Instance{
-		Service: w.plan.Tiers[b.Tier].Name, Node: fmt.Sprint("m", b.Slot), ID: b.UID, PassingWeight: 1, WarningWeight: 1,
+	instance := consul.Instance{
+		Service: tier, Node: fmt.Sprint("m", spec.Slot), ID: spec.UID, PassingWeight: 1, WarningWeight: 1,
 		Checks: []consul.Check{{CheckID: "up", Name: "up", Status: status}},
-		Meta:   map[string]string{"zone": scenario.Zone, "model": w.plan.Tiers[b.Tier].Name, "cell": strconv.Itoa(b.Cell), "uid": b.UID},
+		Meta:   map[string]string{"zone": scenario.Zone, "model": tier, "cell": strconv.Itoa(spec.Cell), "uid": spec.UID},
 	}
-	if e.boot > 0 {
-		i.Meta["started_ms"] = strconv.FormatInt(w.wall(e.boot).UnixMilli(), 10)
+	if entry.boot > 0 {
+		instance.Meta["started_ms"] = strconv.FormatInt(r.wall(entry.boot).UnixMilli(), 10)
 	}
-	return i.WithAddress(w.serverAddress(b.Slot))
+	return instance.WithAddress(r.serverAddress(spec.Slot))
 }
 
-// update changes what Consul knows of a server.
-func (c *consulAgent) update(box int, e listEntry) {
-	uid := c.discovery.rehearsal.plan.Servers[box].UID
+// update changes what Consul has of a server.
+func (c *consulAgent) update(server int, entry listEntry) {
+	uid := c.discovery.rehearsal.plan.Servers[server].UID
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index := c.server.Update(func(all []consul.Instance) []consul.Instance {
 		all = slices.DeleteFunc(slices.Clone(all), func(i consul.Instance) bool { return i.ID == uid })
-		if e.state != "Gone" {
-			all = append(all, c.instance(box, e))
+		if entry.state != "Gone" {
+			all = append(all, c.instance(server, entry))
 		}
 		return all
 	})
-	c.pending = append(c.pending, pendingUpdate{index, box, e.state})
+	c.pending = append(c.pending, pendingUpdate{index, server, entry.state})
 }
 
 // setSilent makes Consul answer nothing, or answer again.
 func (c *consulAgent) setSilent(on bool) { c.server.SetFault(consul.Fault{Hang: on}) }
 
-// ServeHTTP answers as the stand-in does. A whole list of health tells all changes up to its index.
+// ServeHTTP answers as the stand-in does. A complete answer has all updates up to its index.
 func (c *consulAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.server.ServeHTTP(w, r)
 	if http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
@@ -115,27 +118,11 @@
 	now := c.discovery.rehearsal.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := 0
-	for n < len(c.pending) && c.pending[n].index <= index {
-		o := c.pending[n]
-		c.discovery.rehearsal.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: c.sidecar, Server: o.server, Text: o.state, Origin: -1})
-		n++
+	for len(c.pending) > 0 && c.pending[0].index <= index {
+		update := c.pending[0]
+		c.pending = c.pending[1:]
+		c.discovery.rehearsal.record(audit.Event{
+			At: now, Kind: audit.SidecarNotified, Sidecar: c.sidecar, Server: update.server, Text: update.state, Origin: -1,
+		})
 	}
-	c.pending = c.pending[n:]
 }
-
-// consulFile is the product's file of a sidecar that follows Consul alone.
-const consulFile = `[membership]
-source = "consul"
-
-[consul]
-agents = %q
-service = %q
-cell_meta = "cell"
-model_meta = "model"
-zone_meta = "zone"
-start_meta = "started_ms"
-uid_meta = "uid"
-pace = "50ms"
-wait = "5s"
-`
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -1,272 +1,150 @@
 package rehearse
 
 import (
-	"encoding/json"
-	"io"
-	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
-	"quincegap/internal/rehearsal/audit"
 	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/booking"
 )
 
-// tierDiscovery is what discovery knows of the servers of one tier.
+// tierDiscovery is the list of the servers of one tier, as discovery has it. Agents send it to sidecars.
 type tierDiscovery struct {
 	rehearsal *rehearsal
 	tier      int
 
 	mu           sync.Mutex
-	revision     uint64
+	revision     uint64            // of the last update
 	entries      map[int]listEntry // by server
-	order        []int
-	silent       bool
-	repeats      bool           // everything is said twice, and what was said before it once more in between
-	consulAgents []*consulAgent // that tell of it, where Consul does
-	changed      chan struct{}  // closed at the next change
+	order        []int             // the servers as they were added
+	silent       bool              // agents send nothing
+	repeats      bool              // agents send each update twice, with the one before in between
+	consulAgents []*consulAgent    // that have the list too, where Consul does
+	changed      chan struct{}     // closed at the next update
 }
 
+// listEntry is what discovery has of one server.
 type listEntry struct {
 	state         string
 	boot          time.Duration // 0 for long ago
-	revision      uint64
-	weightDeficit float64 // how much less than 1 it weighs, so that 0 is the usual
+	revision      uint64        // of its last update
+	weightDeficit float64       // 1 less its weight, so that 0 is the usual weight
 }
 
-// newTierDiscovery returns what discovery knows at the start.
-func newTierDiscovery(w *rehearsal, tier int) *tierDiscovery {
-	n := &tierDiscovery{rehearsal: w, tier: tier, revision: 1, entries: map[int]listEntry{}, changed: make(chan struct{})}
-	for i, b := range w.plan.Servers {
-		if b.Tier == tier && b.StartsAt == 0 {
-			n.entries[i] = listEntry{state: "Ready", revision: 1}
-			n.order = append(n.order, i)
+// listMessage is the whole list, or what has changed of it, on the platform's wire.
+type listMessage struct {
+	Rev     uint64           `json:"rev"`
+	All     bool             `json:"all"`
+	Targets []booking.Target `json:"targets"`
+}
+
+// newTierDiscovery returns the list at the start.
+func newTierDiscovery(r *rehearsal, tier int) *tierDiscovery {
+	t := &tierDiscovery{rehearsal: r, tier: tier, revision: 1, entries: map[int]listEntry{}, changed: make(chan struct{})}
+	for server := range r.plan.Servers {
+		if spec := &r.plan.Servers[server]; spec.Tier == tier && spec.StartsAt == 0 {
+			t.entries[server] = listEntry{state: "Ready", revision: 1}
+			t.order = append(t.order, server)
 		}
 	}
-	return n
+	return t
 }
 
-// update has discovery know of a server's state.
-func (t *tierDiscovery) update(box int, state string, boot time.Duration) {
+// update sets the state of a server.
+func (t *tierDiscovery) update(server int, state string, boot time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.revision++
-	if _, ok := t.entries[box]; !ok {
-		t.order = append(t.order, box)
+	entry, known := t.entries[server]
+	if !known {
+		t.order = append(t.order, server)
 	}
-	t.entries[box] = listEntry{state, boot, t.revision, t.entries[box].weightDeficit}
-	for _, a := range t.consulAgents {
-		a.update(box, t.entries[box])
+	entry.state, entry.boot, entry.revision = state, boot, t.revision
+	t.entries[server] = entry
+	for _, agent := range t.consulAgents {
+		agent.update(server, entry)
 	}
-	t.wakeWatchers()
+	t.wakeWatches()
 }
 
-// setWeight has discovery know of a server's weight.
-func (t *tierDiscovery) setWeight(box int, weight float64) {
+// setWeight sets the weight of a server that is on the list.
+func (t *tierDiscovery) setWeight(server int, weight float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, ok := t.entries[box]
+	entry, ok := t.entries[server]
 	if !ok {
 		return
 	}
 	t.revision++
-	e.revision, e.weightDeficit = t.revision, 1-weight
-	t.entries[box] = e
-	t.wakeWatchers()
+	entry.revision, entry.weightDeficit = t.revision, 1-weight
+	t.entries[server] = entry
+	t.wakeWatches()
 }
 
-// setRepeats makes discovery say everything twice, or once again.
+// setRepeats sets whether agents send each update twice.
 func (t *tierDiscovery) setRepeats(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.repeats = on
 }
 
-func (t *tierDiscovery) wakeWatchers() {
-	close(t.changed)
-	t.changed = make(chan struct{})
-}
-
-// setSilent makes discovery say nothing, or speak again.
+// setSilent sets whether agents send nothing.
 func (t *tierDiscovery) setSilent(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silent = on
-	for _, a := range t.consulAgents {
-		a.setSilent(on)
+	for _, agent := range t.consulAgents {
+		agent.setSilent(on)
 	}
-	t.wakeWatchers()
-}
-
-type listMessage struct {
-	Rev     uint64           `json:"rev"`
-	All     bool             `json:"all"`
-	Targets []booking.Target `json:"targets"`
-}
-
-// changesSince is what changed after a revision, or all for 0, with the servers and states that it tells of. n.mu is held.
-func (t *tierDiscovery) changesSince(rev uint64) (m listMessage, told map[int]string) {
-	m, told = listMessage{Rev: t.revision, All: rev == 0, Targets: []booking.Target{}}, map[int]string{}
-	for _, i := range t.order {
-		e := t.entries[i]
-		if e.revision <= rev {
-			continue
-		}
-		told[i] = e.state
-		if m.All && e.state == "Gone" {
-			continue
-		}
-		b := &t.rehearsal.plan.Servers[i]
-		target := booking.Target{UID: b.UID, Address: t.rehearsal.serverAddress(b.Slot), Zone: scenario.Zone, Model: t.rehearsal.plan.Tiers[b.Tier].Name, Cell: b.Cell, State: e.state, Weight: 1 - e.weightDeficit}
-		switch boot := t.rehearsal.plan.Discovery.BootTime; {
-		case e.boot == 0, boot == scenario.BootTimeNone:
-		case boot == scenario.BootTimeAhead:
-			target.BootMS = t.rehearsal.wall(e.boot + scenario.BootTimeSkew).UnixMilli()
-		default:
-			target.BootMS = t.rehearsal.wall(e.boot).UnixMilli()
-		}
-		m.Targets = append(m.Targets, target)
-	}
-	return m, told
-}
-
-// watchInterval is how often a watch says that nothing has changed.
-const watchInterval = 2 * time.Second
-
-// discovery is discovery as one sidecar has it.
-type discoveryAgent struct {
-	discovery *tierDiscovery
-	sidecar   int
-	late      time.Duration
-	server    http.Server
-	served    chan struct{} // closed when nothing is accepted any more
+	t.wakeWatches()
 }
 
-// close ends the agent and all watches.
-func (d *discoveryAgent) close() {
-	_ = d.server.Close() // of the listener and its connections, which have no data that could be lost
-	<-d.served
+// addConsulAgent adds an agent that is to have all updates from now on.
+func (t *tierDiscovery) addConsulAgent(agent *consulAgent) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.consulAgents = append(t.consulAgents, agent)
 }
 
-// startDiscoveryAgent serves at the address that a sidecar is given.
-func startDiscoveryAgent(n *tierDiscovery, sidecar int, late time.Duration) (*discoveryAgent, error) {
-	l, err := n.rehearsal.listen(n.rehearsal.discoveryAddress(sidecar))
-	if err != nil {
-		return nil, err
-	}
-	a := &discoveryAgent{served: make(chan struct{}), discovery: n, sidecar: sidecar, late: late}
-	a.server.Handler = a
-	go func() {
-		defer close(a.served)
-		_ = a.server.Serve(l) // ends with http.ErrServerClosed, for nothing else closes the listener
-	}()
-	return a, nil
+// wakeWatches wakes all watches. t.mu is held.
+func (t *tierDiscovery) wakeWatches() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch. While discovery is silent it says nothing.
-func (d *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/v1/endpoints" {
-		http.NotFound(w, r)
-		return
-	}
-	s := &discoveryWatch{agent: d, control: http.NewResponseController(w), encoder: json.NewEncoder(w), writer: w}
-	if since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64); err == nil {
-		s.since = since
-	}
-	watch := r.URL.Query().Get("follow") != ""
-	unchanged := time.NewTicker(watchInterval)
-	defer unchanged.Stop()
-	for {
-		silent, changed, err := s.sendChanges()
-		if err != nil || s.sent && !watch {
-			return
-		}
-		select {
-		case <-changed:
-			select { // what changes meanwhile is sent with it, less late
-			case <-time.After(d.late):
-			case <-r.Context().Done():
-				return
-			}
-		case <-unchanged.C:
-			if !silent && s.sendUnchanged() != nil {
-				return
-			}
-		case <-r.Context().Done():
-			return
+// changesSince returns what has changed since a revision, or the whole list for 0, and the states by server that the message notifies
+// of: servers that have gone are among these, and not on the whole list. t.mu is held.
+func (t *tierDiscovery) changesSince(revision uint64) (list listMessage, states map[int]string) {
+	list = listMessage{Rev: t.revision, All: revision == 0, Targets: []booking.Target{}}
+	states = map[int]string{}
+	for _, server := range t.order {
+		entry := t.entries[server]
+		if entry.revision <= revision {
+			continue
 		}
-	}
-}
-
-// discoveryWatch is one answer of an agent, which goes on as long as its caller follows.
-type discoveryWatch struct {
-	agent   *discoveryAgent
-	writer  io.Writer
-	encoder *json.Encoder
-	control *http.ResponseController
-	since   uint64 // the newest revision that was sent
-	looped  bool   // it has looked at the list before
-	sent    bool   // a list was
-	before  listMessage
-}
-
-// sendChanges sends what has changed, the whole list at first, unless discovery is silent. changed is closed at the next change.
-func (s *discoveryWatch) sendChanges() (silent bool, changed <-chan struct{}, err error) {
-	tier := s.agent.discovery
-	tier.mu.Lock()
-	silent, changed = tier.silent, tier.changed
-	repeats := tier.repeats
-	if s.since > tier.revision {
-		s.since = 0 // of another discovery
-	}
-	list, states := tier.changesSince(s.since)
-	tier.mu.Unlock()
-	if silent || s.looped && len(states) == 0 {
-		s.looped = true
-		return silent, changed, nil
-	}
-	if err := s.send(list, repeats && s.looped); err != nil {
-		return silent, changed, err
-	}
-	s.looped = true
-	s.sent = true
-	s.before = list
-	s.since = list.Rev
-	s.agent.recordNotifications(states)
-	return silent, changed, nil
-}
-
-// send writes a list; with repeat the one before and the same one once more after it.
-func (s *discoveryWatch) send(list listMessage, repeat bool) error {
-	lists := []listMessage{list}
-	if repeat {
-		lists = append(lists, s.before, list)
-	}
-	for _, l := range lists {
-		if err := s.encoder.Encode(l); err != nil {
-			return err
+		states[server] = entry.state
+		if list.All && entry.state == "Gone" {
+			continue
 		}
+		list.Targets = append(list.Targets, t.target(server, entry))
 	}
-	return s.control.Flush()
-}
-
-// sendUnchanged writes an empty line.
-func (s *discoveryWatch) sendUnchanged() error {
-	if _, err := io.WriteString(s.writer, "\n"); err != nil {
-		return err
-	}
-	return s.control.Flush()
+	return list, states
 }
 
-// recordNotifications notes what the sidecar was notified of; where Consul has the list, what the platform says does not count.
-func (d *discoveryAgent) recordNotifications(states map[int]string) {
-	r := d.discovery.rehearsal
-	if r.plan.Discovery.Consul {
-		return
+// target returns a server as the platform sends it, with the boot time as far as the scenario has one.
+func (t *tierDiscovery) target(server int, entry listEntry) booking.Target {
+	r := t.rehearsal
+	spec := &r.plan.Servers[server]
+	target := booking.Target{
+		UID: spec.UID, Address: r.serverAddress(spec.Slot), Zone: scenario.Zone, Model: r.plan.Tiers[spec.Tier].Name, Cell: spec.Cell,
+		State: entry.state, Weight: 1 - entry.weightDeficit,
 	}
-	now := r.now()
-	for server, state := range states {
-		r.record(audit.Event{At: now, Kind: audit.SidecarNotified, Sidecar: d.sidecar, Server: server, Text: state, Origin: -1})
+	switch known := r.plan.Discovery.BootTime; {
+	case entry.boot == 0, known == scenario.BootTimeNone:
+	case known == scenario.BootTimeAhead:
+		target.BootMS = r.wall(entry.boot + scenario.BootTimeSkew).UnixMilli()
+	default:
+		target.BootMS = r.wall(entry.boot).UnixMilli()
 	}
+	return target
 }
--- a/internal/rehearsal/rehearse/faultyproxy_test.go
+++ b/internal/rehearsal/rehearse/faultyproxy_test.go
@@ -99,9 +99,11 @@
 	return http.Serve(listener, f)
 }
 
-// follow keeps the list of servers up to date; first is closed once there is one. With the fault "drains" states other than Ready are ignored.
+// follow keeps the list of servers up to date; first is closed once there is one. With the fault "drains" it ignores states other
+// than Ready.
 func (f *faultyProxy) follow(address string, first chan bool) {
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/v1/endpoints?follow=1&since=0", nil)
+	url := "http://" + address + "/v1/endpoints?follow=1&since=0"
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/internal/rehearsal/rehearse/golden_test.go
+++ b/internal/rehearsal/rehearse/golden_test.go
@@ -27,36 +27,36 @@
 at 1s: 1 new boxes of keeper
 `
 
-// What sidecars are given to read, and what callers and discovery send them, has the form that it always had.
+// The files of sidecars, and what callers and discovery send them, keep their form.
 func TestGoldenMessages(t *testing.T) {
 	var found finding.List
-	scenario := scenario.Read("golden", []byte(goldenScript), &found)
-	if scenario == nil {
+	script := scenario.Read("golden", []byte(goldenScript), &found)
+	if script == nil {
 		t.Fatal(found.Err())
 	}
-	w := newRehearsal(t.Context(), scenario.Plan(3))
-	w.createdAt = time.UnixMilli(1_700_000_000_000)
-	w.clockOffset.Store(0)
-	w.network = 64
-	w.authority = "ca.pem"
-	w.links = relay.New(1)
-	defer w.links.Close()
-	w.createSidecars(w.plan)
+	r := newRehearsal(t.Context(), script.Plan(3))
+	r.createdAt = time.UnixMilli(1_700_000_000_000)
+	r.clockOffset.Store(0)
+	r.network = 64
+	r.authority = "ca.pem"
+	r.links = relay.New(1)
+	defer r.links.Close()
+	r.createSidecars()
 	var dump bytes.Buffer
-	writeFiles(t, &dump, w)
-	for i, class := range w.plan.Classes {
+	writeFiles(t, &dump, r)
+	for i, class := range r.plan.Classes {
 		request := callerRequest{request: "r4t2", class: i, key: "k4"}
 		fmt.Fprintf(&dump, "%q\n", encodeRequest(class, &request, 1234567*time.Microsecond))
 	}
-	writeDiscovery(t, &dump, w)
+	writeDiscovery(t, &dump, r)
 	golden.Text(t, "messages.txt", dump.Bytes())
 }
 
-// writeFiles writes the files of the product that name what sidecars find where.
-func writeFiles(t *testing.T, dump *bytes.Buffer, w *rehearsal) {
+// writeFiles writes the configuration files of the first sidecars.
+func writeFiles(t *testing.T, dump *bytes.Buffer, r *rehearsal) {
 	t.Helper()
 	dir := t.TempDir()
-	for _, s := range w.sidecars[:4] {
+	for _, s := range r.sidecars[:4] {
 		args, err := s.writeConfigFile(dir)
 		if err != nil {
 			t.Fatal(err)
@@ -66,25 +66,26 @@
 			t.Fatal(err)
 		}
 		content = bytes.ReplaceAll(content, []byte(dir), []byte("DIR"))
-		fmt.Fprintf(dump, "%s %s %d of %d at %s, %d arguments\n%s", s.name, args[0], s.number, s.count, s.address, len(args), content)
+		fmt.Fprintf(dump, "%s %s %d of %d at %s, %d arguments\n%s",
+			s.name, args[0], s.number, s.count, s.address, len(args), content)
 	}
 }
 
-// writeDiscovery writes what discovery says, and Consul's form of it, after some updates.
-func writeDiscovery(t *testing.T, dump *bytes.Buffer, w *rehearsal) {
+// writeDiscovery writes the lists of discovery, and Consul's form of them, after some updates.
+func writeDiscovery(t *testing.T, dump *bytes.Buffer, r *rehearsal) {
 	t.Helper()
-	d := newTierDiscovery(w, 1)
+	d := newTierDiscovery(r, 1)
 	d.update(3, "Terminating", 0)
 	d.update(4, "Gone", 0)
 	d.update(7, "Ready", 1500*time.Millisecond)
 	d.setWeight(5, 2.5)
 	for _, since := range []uint64{0, 2, 4} {
-		list, told := d.changesSince(since)
+		list, states := d.changesSince(since)
 		content, err := json.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(dump, "since %d: %s %v\n", since, content, told)
+		fmt.Fprintf(dump, "since %d: %s %v\n", since, content, states)
 	}
 	a := &consulAgent{discovery: d}
 	for _, server := range d.order {
@@ -97,6 +98,7 @@
 	fmt.Fprintln(dump, parseRemainingText("1500m"), parseRemainingText("250u"), arrivalOf("r12t3.4-0"), arrivalOf("x"))
 }
 
+// parseRemainingText returns the result and the error of parseRemaining as text.
 func parseRemainingText(text string) string {
 	d, err := parseRemaining(text)
 	return fmt.Sprint(d, err)
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -6,12 +6,14 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"time"
 
 	qh3 "github.com/quic-go/quic-go/http3"
 
 	"quincegap/internal/rehearsal/audit"
+	"quincegap/internal/rehearsal/scenario"
 	"quincegap/internal/standin/authority"
 	"quincegap/internal/standin/h3"
 )
@@ -19,26 +21,30 @@
 // serverCertificateName is in the certificates of servers that speak HTTP/3.
 const serverCertificateName = "boxes.rehearsal.example.org"
 
-// stream is an attempt that came over HTTP/3. Its handler waits for what is to be said.
+// previousEndTimeout is how long a start waits for the UDP socket of an earlier incarnation.
+const previousEndTimeout = 2 * time.Second
+
+// stream is the stream of an attempt that came over HTTP/3. Its handler waits for the response.
 type stream struct {
 	response chan func(http.ResponseWriter) // holds one
 }
 
+// respond has the handler respond, unless it has a response already.
 func (s *stream) respond(f func(http.ResponseWriter)) {
 	select {
 	case s.response <- f:
-	default: // something has been said
+	default:
 	}
 }
 
 func (s *stream) release(*attempt) {}
 
-func (s *stream) answer(status int, turnedAway bool, load, body string) {
+func (s *stream) answer(status int, rejected bool, load, body string) {
 	s.respond(func(w http.ResponseWriter) {
 		if load != "" {
 			w.Header().Set("X-Pressure", load)
 		}
-		if turnedAway {
+		if rejected {
 			w.Header().Set("X-Turned-Away", "1")
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -47,7 +53,7 @@
 	})
 }
 
-// garble says that more comes than does.
+// garble promises a longer body than it writes.
 func (s *stream) garble() {
 	s.respond(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Length", "500")
@@ -61,115 +67,106 @@
 	s.respond(func(w http.ResponseWriter) { h3.ResetStream(w, qh3.ErrCodeInternalError) })
 }
 
-// startHTTP3 has the server speak HTTP/3 beside HTTP/1.1, where its tier does.
-func (b *server) startHTTP3(life int) error {
-	if !b.rehearsal.plan.Tiers[b.spec.Tier].HTTP3 {
+// startHTTP3 serves HTTP/3 beside HTTP/1.1, where the server's tier does.
+func (s *server) startHTTP3(incarnation int) error {
+	if !s.tier().HTTP3 {
 		return nil
 	}
-	b.muted.Store(false)
-	e, err := h3.Start(b.rehearsal.serverAddress(b.spec.Slot), b.rehearsal.certificate, h3.Options{Muted: &b.muted}, func(w http.ResponseWriter, r *http.Request) { b.stream(w, r, life) })
+	s.muted.Store(false)
+	endpoint, err := h3.Start(
+		s.rehearsal.serverAddress(s.spec.Slot), s.rehearsal.certificate, h3.Options{Muted: &s.muted},
+		func(w http.ResponseWriter, r *http.Request) { s.serveStream(w, r, incarnation) })
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	b.http3Endpoint = e
-	b.mu.Unlock()
+	s.mu.Lock()
+	s.http3Endpoint = endpoint
+	s.mu.Unlock()
 	return nil
 }
 
-// stopHTTP3 ends it without a word. b.mu is held.
-func (b *server) stopHTTP3() {
-	for s, k := range b.streams {
-		b.finish(k, audit.Dropped)
-		s.respond(func(http.ResponseWriter) { panic(http.ErrAbortHandler) })
-		delete(b.streams, s)
+// stopHTTP3 ends the endpoint of HTTP/3 without notifying its peers. s.mu is held.
+func (s *server) stopHTTP3() {
+	for stream, a := range s.streams {
+		s.finish(a, audit.Dropped)
+		stream.respond(func(http.ResponseWriter) { panic(http.ErrAbortHandler) })
+		delete(s.streams, stream)
+	}
+	endpoint := s.http3Endpoint
+	if endpoint == nil {
+		return
+	}
+	s.http3Endpoint = nil
+	s.muted.Store(true) // no packet of its end gets out
+	ended := make(chan struct{})
+	go func() {
+		endpoint.Kill()
+		close(ended)
+	}()
+	s.previousEnded = ended
+}
+
+// awaitPreviousEnd waits until an earlier incarnation of the server has released its UDP socket.
+func (s *server) awaitPreviousEnd(ctx context.Context) {
+	s.mu.Lock()
+	ended := s.previousEnded
+	s.mu.Unlock()
+	if ended == nil {
+		return
 	}
-	if e := b.http3Endpoint; e != nil {
-		b.http3Endpoint = nil
-		b.muted.Store(true) // no word of its end gets out
-		done := make(chan struct{})
-		go func() {
-			e.Kill()
-			close(done)
-		}()
-		b.previousEnded = done
+	select {
+	case <-ended:
+	case <-ctx.Done():
+	case <-time.After(previousEndTimeout):
 	}
 }
 
-// stream serves one request over HTTP/3.
-func (b *server) stream(w http.ResponseWriter, r *http.Request, life int) {
-	first := b.rehearsal.now()
+// serveStream serves one request over HTTP/3.
+func (s *server) serveStream(w http.ResponseWriter, r *http.Request, incarnation int) {
+	firstByteAt := s.rehearsal.now()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || len(body) > maxBodyBytes {
 		return
 	}
-	s := &stream{response: make(chan func(http.ResponseWriter), 1)}
-	b.rehearsal.counters.http3.Add(1)
-	b.mu.Lock()
-	k := b.newAttempt(s, life, r.Header)
-	if b.incarnation == life {
-		b.streams[s] = k
+	on := &stream{response: make(chan func(http.ResponseWriter), 1)}
+	s.rehearsal.counters.http3.Add(1)
+	s.mu.Lock()
+	a := s.newAttempt(on, incarnation, r.Header)
+	if s.incarnation == incarnation {
+		s.streams[on] = a
 	}
-	b.beginAttempt(k, first)
-	b.mu.Unlock()
+	s.beginAttempt(a, firstByteAt)
+	s.mu.Unlock()
 	defer func() {
-		b.mu.Lock()
-		delete(b.streams, s)
-		b.mu.Unlock()
+		s.mu.Lock()
+		delete(s.streams, on)
+		s.mu.Unlock()
 	}()
 	select {
-	case f := <-s.response:
-		f(w)
+	case respond := <-on.response:
+		respond(w)
 	case <-r.Context().Done():
-		b.mu.Lock()
-		b.cancel(k)
-		b.mu.Unlock()
+		s.mu.Lock()
+		s.cancel(a)
+		s.mu.Unlock()
 	}
 }
 
-// createCertificate makes the certificate of all servers, and a file with its authority for sidecars; the file's name is returned.
-func (w *rehearsal) createCertificate(dir string) (string, error) {
+// createCertificate creates the certificate of all servers, writes that of its authority to a file for sidecars, and returns the file's
+// path.
+func (r *rehearsal) createCertificate(dir string) (string, error) {
 	a, err := authority.New()
 	if err != nil {
 		return "", err
 	}
-	if w.certificate, err = a.Pair(serverCertificateName); err != nil {
+	if r.certificate, err = a.Pair(serverCertificateName); err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "boxes-ca.pem")
 	return path, os.WriteFile(path, a.PEM(), 0o600)
 }
 
-// usesHTTP3 tells whether a tier does.
-func (w *rehearsal) usesHTTP3() bool {
-	for _, t := range w.plan.Tiers {
-		if t.HTTP3 {
-			return true
-		}
-	}
-	return false
-}
-
-// http3File is what the product's file of a sidecar says whose servers speak HTTP/3.
-const http3File = `[http3-endpoints]
-http3_to_endpoints = "prefer"
-http3_ca_file = %q
-http3_server_name = %q
-http3_silence = "2s"
-
-`
-
-// awaitPreviousEnd waits until an earlier incarnation of the server has let go of its UDP socket.
-func (b *server) awaitPreviousEnd(ctx context.Context) {
-	b.mu.Lock()
-	dying := b.previousEnded
-	b.mu.Unlock()
-	if dying == nil {
-		return
-	}
-	select {
-	case <-dying:
-	case <-ctx.Done():
-	case <-time.After(2 * time.Second):
-	}
+// usesHTTP3 reports whether a tier speaks HTTP/3.
+func (r *rehearsal) usesHTTP3() bool {
+	return slices.ContainsFunc(r.plan.Tiers, func(t *scenario.Tier) bool { return t.HTTP3 })
 }
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"path/filepath"
 	"strings"
 	"time"
 
@@ -13,118 +12,98 @@
 	"quincegap/internal/standin/relay"
 )
 
-const peersFile = `[sidecar]
-application = "rehearsal.example.org"
-
-[admin]
-admin_listen = "unix:%s"
-
-[peers]
-peers_listen = %q
-peers_advertise = %q
-peers_join = %q
-peers_most = 200
-
-`
-
-func (w *rehearsal) linkAddress(at, i int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.network, at, i+firstHost, port)
-}
-
 // startLinks puts a relay before each sidecar of the first tier.
-func (w *rehearsal) startLinks() error {
-	w.links = relay.New(w.plan.Seed)
-	for i, s := range w.sidecars[:w.plan.Sidecars.Count] {
-		if _, err := w.links.AddMember(s.name, w.linkAddress(relayRow, i), w.linkAddress(peersRow, i)); err != nil {
-			w.links.Close()
+func (r *rehearsal) startLinks() error {
+	r.links = relay.New(r.plan.Seed)
+	for i, s := range r.firstTierSidecars() {
+		if _, err := r.links.AddMember(s.name, r.relayAddress(i), r.peersAddress(i)); err != nil {
+			r.links.Close()
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *sidecar) peersFile(dir string) string {
-	var join []string
-	for i := range min(3, s.rehearsal.plan.Sidecars.Count) {
-		if i != s.index {
-			join = append(join, s.rehearsal.linkAddress(relayRow, i))
-		}
-	}
-	text := fmt.Sprintf(peersFile, s.admin(dir), s.rehearsal.linkAddress(peersRow, s.index), s.rehearsal.linkAddress(relayRow, s.index), strings.Join(join, ","))
-	if len(join) == 0 {
-		text = strings.Replace(text, "peers_join = \"\"\n", "", 1)
-	}
-	return text
-}
-
-func (s *sidecar) admin(dir string) string { return filepath.Join(dir, s.name+".sock") }
+// firstTierSidecars returns the sidecars that callers from outside use.
+func (r *rehearsal) firstTierSidecars() []*sidecar { return r.sidecars[:r.plan.Sidecars.Count] }
 
-// applyLinkFault plays a step of the links.
-func (w *rehearsal) applyLinkFault(s scenario.Step) {
-	by, on := max(s.Amount, -s.Amount), s.Amount > 0
+// applyLinkFault plays a step of the links: an amount above 0 begins a fault, one below 0 ends it.
+func (r *rehearsal) applyLinkFault(step *scenario.Step) {
+	amount, on := max(step.Amount, -step.Amount), step.Amount > 0
 	var some, others []string
-	for i, o := range w.sidecars[:w.plan.Sidecars.Count] {
-		if i >= s.Sidecar && i < s.Sidecar+int(by) {
-			some = append(some, o.name)
+	for i, s := range r.firstTierSidecars() {
+		if i >= step.Sidecar && i < step.Sidecar+int(amount) {
+			some = append(some, s.name)
 		} else {
-			others = append(others, o.name)
+			others = append(others, s.name)
 		}
 	}
-	switch s.Name {
+	switch step.Name {
 	case "cut":
-		w.links.Partition(some, others, on)
-		w.links.Partition(others, some, on)
+		r.links.Partition(some, others, on)
+		r.links.Partition(others, some, on)
 	case "mute":
-		w.links.Partition(some, others, on)
+		r.links.Partition(some, others, on)
 	default:
-		w.links.ChangeFault(func(f *relay.Fault) {
-			if !on {
-				by = 0
-			}
-			switch s.Name {
+		if !on {
+			amount = 0
+		}
+		r.links.ChangeFault(func(f *relay.Fault) {
+			switch step.Name {
 			case "lost":
-				f.LossShare = by
+				f.LossShare = amount
 			case "doubled":
-				f.DuplicateShare = by
+				f.DuplicateShare = amount
 			case "late":
-				f.MaxDelay = time.Duration(by * float64(time.Second))
+				f.MaxDelay = time.Duration(amount * float64(time.Second))
 			}
 		})
 	}
 }
 
-// convergenceTimeout is how long sidecars that all live have, once nothing befalls them any more, until they have one view.
+// convergenceTimeout is how long the sidecars that serve have to agree on one view once no fault is left.
 const convergenceTimeout = 90 * time.Second
 
+// convergenceInterval is how often their views are compared.
+const convergenceInterval = 100 * time.Millisecond
+
 // waitForOneView waits until all sidecars that serve have one view, settled, and returns "", or the views that they have.
-func (w *rehearsal) waitForOneView(ctx context.Context, p *program) string {
-	w.links.Heal()
+func (r *rehearsal) waitForOneView(ctx context.Context, p *program) string {
+	r.links.Heal()
 	for end := time.Now().Add(convergenceTimeout); ; {
-		var views strings.Builder
-		one, alive := true, 0
-		for _, s := range w.sidecars[:w.plan.Sidecars.Count] {
-			if s.serving() {
-				alive++
-			}
-		}
-		for _, s := range w.sidecars[:w.plan.Sidecars.Count] {
-			if !s.serving() {
-				continue
-			}
-			f, err := admin.AskPeers(ctx, "unix:"+s.admin(p.dir), false)
-			r := f.Own
-			one = one && err == nil && r.Confidence == peers.Settled.String() && r.Instances == alive && r.OwnsName
-			fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n", s.name, r.Confidence, r.Ordinal, r.Instances, r.Reachable, r.GroupSize, err)
-		}
+		one, views := r.compareViews(ctx, p)
 		if one {
 			return ""
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return views.String()
+			return views
 		}
 		select {
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(convergenceInterval):
 		case <-ctx.Done():
 		}
 	}
 }
+
+// compareViews reports whether all sidecars that serve have one view, settled, and returns their views as text.
+func (r *rehearsal) compareViews(ctx context.Context, p *program) (one bool, text string) {
+	serving := 0
+	for _, s := range r.firstTierSidecars() {
+		if s.serving() {
+			serving++
+		}
+	}
+	var views strings.Builder
+	one = true
+	for _, s := range r.firstTierSidecars() {
+		if !s.serving() {
+			continue
+		}
+		answer, err := admin.AskPeers(ctx, "unix:"+s.adminSocket(p.dir), false)
+		own := answer.Own
+		one = one && err == nil && own.Confidence == peers.Settled.String() && own.Instances == serving && own.OwnsName
+		fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n",
+			s.name, own.Confidence, own.Ordinal, own.Instances, own.Reachable, own.GroupSize, err)
+	}
+	return one, views.String()
+}
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -17,8 +17,8 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// small is a morning for tests: two cells of two boxes, which are never busy. The slack is large, so that a slow
-// machine does not pass for a slow sidecar; who breaks a rule here does so by more.
+// small is a scenario for tests: two cells of two servers, which are never busy. The slack is large, so that a slow machine is not
+// taken for a slow sidecar; the faulty proxies here break a rule by more.
 const small = `length 2s
 seed 3
 tier slot-keeper boxes 4 cells 2 cores 8 slots 40 queue 40 work 10ms shape fixed handshake 0ms conns 0
@@ -34,11 +34,12 @@
 	unsafe = "class ask effect unsafe aim 1s deadline 2s\n"
 )
 
-func rehearse(t *testing.T, program, script string) (*Result, []audit.Event) {
+// rehearse plays a script with this test binary as the sidecar that is named, and returns the events too. No process may be left.
+func rehearse(t *testing.T, sidecar, script string) (*Result, []audit.Event) {
 	t.Helper()
 	var found finding.List
-	m := scenario.Read(t.Name(), []byte(script), &found)
-	if m == nil {
+	parsed := scenario.Read(t.Name(), []byte(script), &found)
+	if parsed == nil {
 		t.Fatal(found.Err())
 	}
 	self, err := os.Executable()
@@ -46,16 +47,21 @@
 		t.Fatal(err)
 	}
 	var events []audit.Event
-	r, err := Run(context.Background(), m.Plan(0), Options{Program: self, Env: []string{sidecarVariable + "=" + program}, Dir: t.TempDir(), Events: func(e []audit.Event) { events = e }})
+	result, err := Run(context.Background(), parsed.Plan(0), Options{
+		Program: self,
+		Env:     []string{sidecarVariable + "=" + sidecar},
+		Dir:     t.TempDir(),
+		Events:  func(e []audit.Event) { events = e },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, pid := range r.Processes {
+	for _, pid := range result.Processes {
 		if syscall.Kill(pid, 0) == nil {
 			t.Errorf("process %d is left", pid)
 		}
 	}
-	return r, events
+	return result, events
 }
 
 // proxyCase is a proxy that breaks a rule in some way.
@@ -98,7 +104,9 @@
 		}
 		return
 	}
-	ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return b.Rule == c.rule && strings.Contains(b.Message, c.want) })
+	ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool {
+		return b.Rule == c.rule && strings.Contains(b.Message, c.want)
+	})
 	if !ok || v.BreachesByRule[c.rule] == 0 {
 		t.Errorf("not caught: %v", v.Breaches[:min(5, len(v.Breaches))])
 	}
@@ -135,7 +143,8 @@
 			t.Parallel()
 			script := small
 			if c.fault == "cold" {
-				script = strings.Replace(small, "cores 8 slots 40 queue 40 work 10ms", "cores 1 slots 40 queue 40 work 40ms cold 0.1 warm 30s", 1)
+				script = strings.Replace(small, "cores 8 slots 40 queue 40 work 10ms",
+					"cores 1 slots 40 queue 40 work 40ms cold 0.1 warm 30s", 1)
 			}
 			if c.fault == "twice" || c.fault == "withdraws" {
 				script = strings.Replace(small, "work 10ms", "work 150ms", 1)
@@ -149,7 +158,7 @@
 	}
 }
 
-// A sidecar that crashes, hangs, or does not end when it is told to is found and cleaned up.
+// A sidecar that crashes, hangs, or does not end when it is asked to is found and cleaned up.
 func TestCrashesAreFound(t *testing.T) {
 	for fault, want := range map[string]string{
 		"crash": "n1 ended by itself (exit status 7); its last line: cannot go on",
@@ -159,46 +168,68 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			r, _ := rehearse(t, fault, small+safe+"rules kill 500ms\n")
-			if c := r.Verdict.Crashes; len(c) == 0 || !slices.ContainsFunc(c, func(s string) bool { return strings.Contains(s, want) }) {
-				t.Errorf("%q, want %q", c, want)
+			crashes := r.Verdict.Crashes
+			if !slices.ContainsFunc(crashes, func(crash string) bool { return strings.Contains(crash, want) }) {
+				t.Errorf("%q, want %q", crashes, want)
 			}
 		})
 	}
 	t.Run("cannot start", func(t *testing.T) {
 		var found finding.List
-		m := scenario.Read("m", []byte(small+safe), &found)
-		_, err := Run(context.Background(), m.Plan(0), Options{Program: "/bin/false", Dir: t.TempDir()})
+		parsed := scenario.Read("m", []byte(small+safe), &found)
+		_, err := Run(context.Background(), parsed.Plan(0), Options{Program: "/bin/false", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "ended before it served") {
 			t.Error(err)
 		}
-		if _, err = Run(context.Background(), m.Plan(0), Options{Program: "no-such-program", Dir: t.TempDir()}); err == nil {
+		if _, err = Run(context.Background(), parsed.Plan(0), Options{Program: "no-such-program", Dir: t.TempDir()}); err == nil {
 			t.Error("a program that is not there")
 		}
 	})
 }
 
-// The true sidecar keeps the rules through short mornings, and serves.
+// productCases are scripts by name, with the least service that the product gives.
+var productCases = map[string]struct {
+	script     string
+	minService float64
+}{
+	"calm":    {safe, 0.98},
+	"silence": {keyed + "at 500ms: 1 boxes go silent for 1500ms\n", 0.6},
+	"restarts": {keyed + `at 500ms: 1 boxes restart taking 300ms
+at 1200ms: 1 boxes restart taking 300ms
+`, 0.8},
+	"drains": {unsafe + `at 300ms: 1 boxes drain for 900ms
+at 500ms: 1 boxes drain for 900ms
+`, 0.95},
+	"takes over": {keyed + "at 300ms: 2 boxes are replaced at their addresses\n", 0.6},
+	"killed":     {keyed + "at 700ms: all sidecars get SIGKILL and are back after 300ms\n", 0.3},
+	"reloads":    {keyed + "at 500ms: all sidecars get SIGHUP\nat 1s: all sidecars get SIGHUP\n", 0.98},
+	"lost, reset, failed": {unsafe + `at 300ms: 1 boxes lose 30% of calls for 1s
+at 300ms: 1 boxes reset 30% of calls for 1s
+at 300ms: 1 boxes fail 30% of calls for 1s
+`, 0.6},
+	"garbled": {keyed + "at 300ms: all boxes garble 20% of answers for 1s\n", 0.5},
+	"by Consul": {keyed + `discovery by consul
+at 300ms: 1 boxes drain for 900ms
+at 700ms: 1 new boxes
+at 900ms: 1 boxes die
+at 1s: discovery is silent for 500ms
+`, 0.9},
+	"over HTTP/3": {keyed + `tier slot-keeper protocol http3
+at 300ms: 1 boxes drain for 900ms
+at 700ms: 1 boxes restart taking 300ms
+at 900ms: 1 boxes reset 30% of calls for 1s
+`, 0.7},
+	"silent over HTTP/3": {unsafe + `tier slot-keeper protocol http3
+at 500ms: 1 boxes go silent for 1500ms
+`, 0.5},
+	"rude":   {keyed + "at 300ms: 20 rude callers for 1s\n", 0.9},
+	"pauses": {keyed + "at 300ms: all boxes pause for 1500ms\n", 0.2},
+}
+
+// The product keeps the rules through short scenarios, and serves. The rules' limits are longer here than in service by what a noisy
+// machine needs, and the least service is low.
 func TestTrueSidecar(t *testing.T) {
-	// The rules' limits are longer here than in service by what a noisy machine needs; the verdicts on service are lax.
-	for name, c := range map[string]struct {
-		script string
-		least  float64
-	}{
-		"calm":                {safe, 0.98},
-		"silence":             {keyed + "at 500ms: 1 boxes go silent for 1500ms\n", 0.6},
-		"restarts":            {keyed + "at 500ms: 1 boxes restart taking 300ms\nat 1200ms: 1 boxes restart taking 300ms\n", 0.8},
-		"drains":              {unsafe + "at 300ms: 1 boxes drain for 900ms\nat 500ms: 1 boxes drain for 900ms\n", 0.95},
-		"takes over":          {keyed + "at 300ms: 2 boxes are replaced at their addresses\n", 0.6},
-		"killed":              {keyed + "at 700ms: all sidecars get SIGKILL and are back after 300ms\n", 0.3},
-		"reloads":             {keyed + "at 500ms: all sidecars get SIGHUP\nat 1s: all sidecars get SIGHUP\n", 0.98},
-		"lost, reset, failed": {unsafe + "at 300ms: 1 boxes lose 30% of calls for 1s\nat 300ms: 1 boxes reset 30% of calls for 1s\nat 300ms: 1 boxes fail 30% of calls for 1s\n", 0.6},
-		"garbled":             {keyed + "at 300ms: all boxes garble 20% of answers for 1s\n", 0.5},
-		"by Consul":           {keyed + "discovery by consul\nat 300ms: 1 boxes drain for 900ms\nat 700ms: 1 new boxes\nat 900ms: 1 boxes die\nat 1s: discovery is silent for 500ms\n", 0.9},
-		"over HTTP/3":         {keyed + "tier slot-keeper protocol http3\nat 300ms: 1 boxes drain for 900ms\nat 700ms: 1 boxes restart taking 300ms\nat 900ms: 1 boxes reset 30% of calls for 1s\n", 0.7},
-		"silent over HTTP/3":  {unsafe + "tier slot-keeper protocol http3\nat 500ms: 1 boxes go silent for 1500ms\n", 0.5},
-		"rude":                {keyed + "at 300ms: 20 rude callers for 1s\n", 0.9},
-		"pauses":              {keyed + "at 300ms: all boxes pause for 1500ms\n", 0.2},
-	} {
+	for name, c := range productCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r, _ := rehearse(t, "true", strings.Replace(small, "slack 60ms", "slack 250ms", 1)+c.script)
@@ -206,7 +237,7 @@
 			if v.VoidReason != "" {
 				t.Skip(v.VoidReason)
 			}
-			if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < c.least {
+			if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < c.minService {
 				t.Errorf("service %v, breaches %v, crashes %v", v.Service, v.Breaches, v.Crashes)
 			}
 			if over := strings.Contains(name, "HTTP/3"); over != (r.HTTP3 > int64(v.ServerAttempts)/2) {
@@ -219,15 +250,19 @@
 	}
 }
 
-// Nothing that a rehearsal has started goes on after it, rude callers and all.
+// Nothing that a rehearsal has started goes on after it, faulty callers included.
 func TestNothingGoesOn(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	rehearse(t, "true", small+keyed+"tier slot-keeper protocol http3\ndiscovery by consul\nat 300ms: 20 rude callers for 5s\nat 500ms: 1 boxes go silent for 9s\n")
+	rehearse(t, "true", small+keyed+`tier slot-keeper protocol http3
+discovery by consul
+at 300ms: 20 rude callers for 5s
+at 500ms: 1 boxes go silent for 9s
+`)
 	readinessClient.CloseIdleConnections()
 	goleak.VerifyNone(t, before)
 }
 
-// Two tiers: each box of the first calls the second through a sidecar of its own, and the story of a request has both.
+// Two tiers: each server of the first calls the second through a sidecar of its own, and the trace of a request has both.
 func TestTwoTiers(t *testing.T) {
 	r, events := rehearse(t, "true", `length 2s
 tier booking-front boxes 2 cells 2 cores 4 slots 40 queue 9 work 10ms calls slot-keeper times 2 conns 0
@@ -242,7 +277,8 @@
 	if v.VoidReason != "" {
 		t.Skip(v.VoidReason)
 	}
-	if len(v.Breaches) > 0 || v.Service < 0.9 || v.AttemptsPerCall < 0.9 || v.AttemptsPerCall > 1.3 || v.ServerAttempts < 2*v.Requests {
+	if len(v.Breaches) > 0 || v.Service < 0.9 || v.AttemptsPerCall < 0.9 || v.AttemptsPerCall > 1.3 ||
+		v.ServerAttempts < 2*v.Requests {
 		t.Errorf("%+v", v)
 	}
 	tiers := map[int]int{}
@@ -261,44 +297,44 @@
 	}
 }
 
-// startOneServer is the first box of a script on its socket, with the clock at 0 and nobody else there.
+// startOneServer starts the first server of a script, with the clock at 0, and nothing else of the rehearsal.
 func startOneServer(t *testing.T, script string) (*rehearsal, *server) {
 	t.Helper()
 	var found finding.List
-	m := scenario.Read("m", []byte(script), &found)
-	if m == nil {
+	parsed := scenario.Read("m", []byte(script), &found)
+	if parsed == nil {
 		t.Fatal(found.Err())
 	}
-	w := newRehearsal(context.Background(), m.Plan(0))
-	if err := w.claimNetwork(); err != nil {
+	r := newRehearsal(context.Background(), parsed.Plan(0))
+	if err := r.claimNetwork(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := w.guard.Close(); err != nil {
+		if err := r.guard.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	w.clockOffset.Store(0)
-	w.clockOffset.Store(int64(w.now()))
-	b := newServer(w, 0)
-	if err := b.start(false); err != nil {
+	r.clockOffset.Store(0)
+	r.clockOffset.Store(int64(r.now()))
+	s := newServer(r, 0)
+	if err := s.start(false); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.stop)
-	return w, b
+	t.Cleanup(s.stop)
+	return r, s
 }
 
-// A silent machine is no reset: open connections stay open, and new ones do not come up, until it is back. Its address
-// then is another life's.
+// A machine that is silent resets nothing: open connections stay open, and new ones do not come up, until it is back. Its address then
+// belongs to another incarnation of the server.
 func TestSilence(t *testing.T) {
-	w, b := startOneServer(t, small+safe)
-	address := w.serverAddress(0)
+	r, s := startOneServer(t, small+safe)
+	address := r.serverAddress(0)
 	open := dialServer(t, address)
 	open.ask(t, "r1t1")
 	if got := open.read(t, time.Second); !strings.Contains(got, "served r1t1 ") {
 		t.Fatalf("%q", got)
 	}
-	b.silence()
+	s.silence()
 	open.ask(t, "r2t1")
 	if got := open.read(t, 200*time.Millisecond); got != "nothing" {
 		t.Errorf("a silent machine says %q", got)
@@ -309,8 +345,8 @@
 	} else if !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a connection to a silent machine is refused: %v", err)
 	}
-	b.stop()
-	if err := b.start(true); err != nil {
+	s.stop()
+	if err := s.start(true); err != nil {
 		t.Fatal(err)
 	}
 	if got := open.read(t, time.Second); !strings.Contains(got, "reset") {
@@ -321,25 +357,27 @@
 	if got := again.read(t, time.Second); !strings.Contains(got, "served r3t1 ") {
 		t.Errorf("%q", got)
 	}
-	events, _ := w.log.Events()
-	swallowed := slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.AttemptReceived && e.Request == "r2t1" })
+	events, _ := r.log.Events()
+	received := slices.ContainsFunc(events, func(e audit.Event) bool {
+		return e.Kind == audit.AttemptReceived && e.Request == "r2t1"
+	})
 	answered := slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.AttemptEnded && e.Request == "r2t1" && e.Result != audit.Dropped
 	})
-	if !swallowed || answered {
-		t.Errorf("what a silent machine was sent: seen %v, answered %v", swallowed, answered)
+	if !received || answered {
+		t.Errorf("what a silent machine was sent: seen %v, answered %v", received, answered)
 	}
 }
 
-// A box closes what is half sent, turns away beyond its connections, and tells of its load.
+// A server closes what is half sent, rejects connections beyond its limit, and reports its load.
 func TestServerOnItsSocket(t *testing.T) {
-	w, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
-	one, two := dialServer(t, w.serverAddress(0)), dialServer(t, w.serverAddress(0))
+	r, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
+	one, two := dialServer(t, r.serverAddress(0)), dialServer(t, r.serverAddress(0))
 	two.ask(t, "r7t1")
 	two.read(t, time.Second)
 	one.ask(t, "r8t1")
 	one.read(t, time.Second)
-	three := dialServer(t, w.serverAddress(0))
+	three := dialServer(t, r.serverAddress(0))
 	if got := three.read(t, time.Second); !strings.Contains(got, "reset") && !strings.Contains(got, "EOF") {
 		t.Errorf("a connection too many: %q", got)
 	}
@@ -357,44 +395,46 @@
 		t.Fatal(err)
 	}
 	one.read(t, time.Second)
-	events, _ := w.log.Events()
+	events, _ := r.log.Events()
 	if !slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.AttemptEnded && e.Request == "r5t1" && e.Result == audit.Truncated
 	}) {
 		t.Error("half a request is not noted as cut off")
 	}
 	// A keyed repeat in its cell has no second effect.
-	if w.repeatedEffects != 0 || len(w.effects) != 1 {
-		t.Errorf("%d effects, %d beyond the first", len(w.effects), w.repeatedEffects)
+	if r.repeatedEffects != 0 || len(r.effects) != 1 {
+		t.Errorf("%d effects, %d beyond the first", len(r.effects), r.repeatedEffects)
 	}
 }
 
-// The watch on the emulator itself sees that it was late.
+// An emulator that is late records it.
 func TestLateEmulatorIsSeen(t *testing.T) {
-	w, b := startOneServer(t, small+safe)
-	c := dialServer(t, w.serverAddress(0))
+	r, s := startOneServer(t, small+safe)
+	c := dialServer(t, r.serverAddress(0))
 	c.ask(t, "r1t1")
 	c.read(t, time.Second)
 	c.ask(t, "r2t1")
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		b.mu.Lock()
-		if len(b.calls) > 0 {
-			time.Sleep(150 * time.Millisecond) // the box cannot do its work meanwhile, as if it had no processor
-			b.mu.Unlock()
+		s.mu.Lock()
+		if len(s.calls) > 0 {
+			time.Sleep(150 * time.Millisecond) // the server cannot work meanwhile, as if the emulator had no processor
+			s.mu.Unlock()
 			break
 		}
-		b.mu.Unlock()
+		s.mu.Unlock()
 	}
 	c.read(t, time.Second)
-	events, _ := w.log.Events()
-	if !slices.ContainsFunc(events, func(e audit.Event) bool { return e.Kind == audit.EmulatorLate && e.Duration > 100*time.Millisecond }) {
+	events, _ := r.log.Events()
+	if !slices.ContainsFunc(events, func(e audit.Event) bool {
+		return e.Kind == audit.EmulatorLate && e.Duration > 100*time.Millisecond
+	}) {
 		t.Error("not seen")
 	}
 }
 
-// Twelve processes and the 24 boxes that they call end at once and come back together, the boxes cold. No box is pushed
-// over by the sum of what they send, and no other rule breaks. Played on sockets with attempts that never run unbounded, all
-// 24 fall. All goes at half the pace that a fleet would have, so that two busy cores keep up.
+// Twelve processes and the 24 servers that they call end at once and come back together, the servers cold. No server collapses under
+// the sum of what they send, and no other rule is broken. Without a bound on attempts that never run, all 24 collapse on sockets. All
+// goes at half the pace of a real fleet, so that two busy cores keep up.
 func TestFleetRestartsTogether(t *testing.T) {
 	r, events := rehearse(t, "true", `length 16s
 seed 2
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -13,40 +13,40 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// maxSidecars are played on sockets, each a process.
+// maxSidecars bounds how many sidecars are played on sockets, each of which is a process.
 const maxSidecars = 64
 
 // Options are how a rehearsal is run.
 type Options struct {
-	Program  string              // the sidecar
-	Env      []string            // for it, beside this process's own
-	Dir      string              // where its configurations and logs go; it must exist
-	Progress func(Progress)      // called once a second; nil for none
-	Events   func([]audit.Event) // gets all events in the end; nil for none
+	Program  string              // path of the sidecar's program
+	Env      []string            // its environment beside this process's own
+	Dir      string              // folder of its configurations and logs; it must exist
+	Progress func(Progress)      // is called once a second; nil for none
+	Events   func([]audit.Event) // gets all events at the end; nil for none
 }
 
-// Progress is how far a rehearsal has come.
+// Progress is how far a rehearsal has come. Its counts are of all that has happened so far.
 type Progress struct {
-	At                                           time.Duration
-	Requests, Served, Rejected, Failed, Attempts int64 // so far
+	At                                 time.Duration // on the rehearsal's clock, in whole seconds
+	Requests, Served, Rejected, Failed int64         // requests of callers from outside
+	Attempts                           int64         // at servers of all tiers
 }
 
-// Result is what came of one.
+// Result is the result of a rehearsal.
 type Result struct {
 	Plan                    *scenario.Plan
 	Verdict                 *audit.Verdict
 	CPU                     time.Duration // of all sidecars together
-	Memory                  int64         // of the largest, in bytes
-	UnansweredFaultyCallers int64         // faulty callers that got neither an answer nor a close in time
-	UnansweredInputs        []string
-	HTTP3                   int64 // attempts that came over HTTP/3
-	// Processes are the sidecars' that were started; all have ended.
-	Processes       []int
-	DivergentViews  string // the views of sidecars that find one another, where they were not one and settled in the end
-	RepeatedEffects int    // effects of a key beyond its first, callers' own repeats included
+	Memory                  int64         // of the largest sidecar, in bytes
+	UnansweredFaultyCallers int64         // faulty requests that were neither answered nor closed in time
+	UnansweredInputs        []string      // which these were
+	HTTP3                   int64         // attempts that came over HTTP/3
+	Processes               []int         // ids of all sidecar processes; all have ended
+	DivergentViews          string        // of sidecars that find one another; empty if they had one settled view at the end
+	RepeatedEffects         int           // effects of a key beyond its first, the callers' own retries included
 }
 
-// CheckSockets tells why a plan can be played in virtual time alone, nil if it can be on sockets too.
+// CheckSockets returns why a plan can be played in virtual time only; nil if it can be played on sockets too.
 func CheckSockets(plan *scenario.Plan) error {
 	if n := len(plan.SidecarSpecs()); n > maxSidecars {
 		return fmt.Errorf("%d sidecars are more than the %d that are played on sockets", n, maxSidecars)
@@ -57,47 +57,47 @@
 	return nil
 }
 
-// Run plays a plan. It returns an error where it could not be played; a sidecar that does wrong is in the verdict.
+// Run plays a plan. It returns an error if the plan could not be played; what a sidecar did wrong is in the verdict.
 func Run(ctx context.Context, plan *scenario.Plan, options Options) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := newRehearsal(ctx, plan)
+	r := newRehearsal(ctx, plan)
 	if err := CheckSockets(plan); err != nil {
 		return nil, err
 	}
-	if err := w.claimNetwork(); err != nil {
+	if err := r.claimNetwork(); err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, w.guard.Close()) }()
+	defer func() { err = errors.Join(err, r.guard.Close()) }()
 	program, err := findProgram(&options)
 	if err != nil {
 		return nil, err
 	}
 	defer close(program.starter)
-	defer w.stopServers()
-	if err := w.create(ctx, options.Dir); err != nil {
+	defer r.stopServers()
+	if err := r.create(ctx, options.Dir); err != nil {
 		return nil, err
 	}
-	if w.links != nil {
-		defer w.links.Close()
+	if r.links != nil {
+		defer r.links.Close()
 	}
-	defer w.endAll() // also where it could not all be started: no process is left
-	if err := w.startAll(ctx, program); err != nil {
+	defer r.endAll() // also if not all could be started: no process is left
+	if err := r.startAll(ctx, program); err != nil {
 		return nil, err
 	}
-	w.play(ctx, program, options.Progress)
+	r.play(ctx, program, options.Progress)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	w.findHanging(ctx)
+	r.findHanging(ctx)
 	result = &Result{Plan: plan}
-	if w.links != nil {
-		result.DivergentViews = w.waitForOneView(ctx, program)
+	if r.links != nil {
+		result.DivergentViews = r.waitForOneView(ctx, program)
 	}
 	cancel()
-	w.endAll()
-	w.calls.Wait()
-	w.judge(result, options.Events)
+	r.endAll()
+	r.calls.Wait()
+	r.judge(result, options.Events)
 	return result, nil
 }
 
@@ -115,150 +115,167 @@
 	return p, nil
 }
 
-// create makes all that there ever is, without starting it.
-func (w *rehearsal) create(ctx context.Context, dir string) (err error) {
-	w.createSidecars(w.plan)
-	for tier := range w.plan.Tiers {
-		w.discovery = append(w.discovery, newTierDiscovery(w, tier))
+// create creates the servers, their discovery and the sidecars, and starts none of them.
+func (r *rehearsal) create(ctx context.Context, dir string) (err error) {
+	r.createSidecars()
+	for tier := range r.plan.Tiers {
+		r.discovery = append(r.discovery, newTierDiscovery(r, tier))
 	}
-	for index := range w.plan.Servers {
-		w.servers = append(w.servers, newServer(w, index))
+	for index := range r.plan.Servers {
+		r.servers = append(r.servers, newServer(r, index))
 	}
-	if w.usesHTTP3() {
-		if w.authority, err = w.createCertificate(dir); err != nil {
+	if r.usesHTTP3() {
+		if r.authority, err = r.createCertificate(dir); err != nil {
 			return err
 		}
 	}
-	if w.plan.Sidecars.Peers {
-		return w.startLinks() //nolint:contextcheck // the relays end with Close, which waits for them
+	if r.plan.Sidecars.Peers {
+		return r.startLinks() //nolint:contextcheck // the relays end with Close, which waits for them
 	}
 	return ctx.Err()
 }
 
 // stopServers ends all servers.
-func (w *rehearsal) stopServers() {
-	for _, server := range w.servers {
+func (r *rehearsal) stopServers() {
+	for _, server := range r.servers {
 		server.stop()
 	}
 }
 
-// judge judges what has been seen, and adds up what the sidecars used. All have ended.
-func (w *rehearsal) judge(result *Result, eventsTo func([]audit.Event)) {
-	events, lost := w.log.Events()
+// judge judges the events, and adds up what the sidecars used. All have ended.
+func (r *rehearsal) judge(result *Result, eventsTo func([]audit.Event)) {
+	events, lost := r.log.Events()
 	if eventsTo != nil {
 		eventsTo(events)
 	}
-	rules := w.plan.AuditRules()
-	for _, s := range w.sidecars {
+	rules := r.plan.AuditRules()
+	for _, s := range r.sidecars {
 		rules.Sidecars = append(rules.Sidecars, s.name)
 	}
 	result.Verdict = audit.Judge(rules, events, lost)
-	result.RepeatedEffects = w.repeatedEffects
-	result.HTTP3 = w.counters.http3.Load()
-	for i := range w.unanswered {
-		if n := w.unanswered[i].Load(); n > 0 {
+	result.RepeatedEffects = r.repeatedEffects
+	result.HTTP3 = r.counters.http3.Load()
+	for i := range r.unanswered {
+		if n := r.unanswered[i].Load(); n > 0 {
 			result.UnansweredFaultyCallers += n
 			result.UnansweredInputs = append(result.UnansweredInputs, fmt.Sprintf("%d that sent %.40q", n, faultyRequests[i]))
 		}
 	}
-	for _, s := range w.sidecars {
+	for _, s := range r.sidecars {
 		result.Processes = append(result.Processes, s.pids...)
 		result.CPU += s.cpu
 		result.Memory = max(result.Memory, s.memory)
 	}
 }
 
-// startAll starts all that is there from the beginning: servers, discovery, then the sidecars, those behind first.
-func (w *rehearsal) startAll(ctx context.Context, p *program) error {
-	for i, b := range w.servers {
-		if w.plan.Servers[i].StartsAt == 0 {
-			if err := b.start(false); err != nil {
-				return fmt.Errorf("%s: %w", w.plan.Name(i), err)
-			}
-		}
-	}
-	for i, s := range w.sidecars {
-		var err error
-		if s.discovery, err = startDiscoveryAgent(w.discovery[s.tier], i, s.notificationDelay); err != nil {
-			return err
-		}
-		if !w.plan.Discovery.Consul {
+// startAll starts what is there from the beginning: servers, discovery, then the sidecars.
+func (r *rehearsal) startAll(ctx context.Context, p *program) error {
+	for i, server := range r.servers {
+		if r.plan.Servers[i].StartsAt > 0 {
 			continue
 		}
-		n := w.discovery[s.tier]
-		if s.consulAgent, err = startConsulAgent(n, i); err != nil { //nolint:contextcheck // the agent ends with close, which waits for it
-			return err
+		if err := server.start(false); err != nil {
+			return fmt.Errorf("%s: %w", r.plan.Name(i), err)
 		}
-		n.mu.Lock()
-		n.consulAgents = append(n.consulAgents, s.consulAgent)
-		n.mu.Unlock()
-	}
-	var wg sync.WaitGroup
-	errs := make([]error, len(w.sidecars))
-	for i, s := range w.sidecars {
-		if box := w.serverOf(s); box >= 0 && w.plan.Servers[box].StartsAt > 0 {
-			continue // it starts with its server
+	}
+	for _, s := range r.sidecars {
+		if err := r.startDiscovery(s); err != nil { //nolint:contextcheck // its agents end with close, which waits for them
+			return err
 		}
-		wg.Go(func() { errs[i] = s.start(ctx, p) })
 	}
-	wg.Wait()
-	if err := errors.Join(errs...); err != nil {
+	if err := r.startSidecars(ctx, p); err != nil {
 		return err
 	}
-	for _, s := range w.sidecars[:w.plan.Sidecars.Count] {
-		w.rotation.add(s)
+	for _, s := range r.firstTierSidecars() {
+		r.rotation.add(s)
 	}
 	return nil
 }
 
-// serverOf is the server whose calls go through a sidecar, or -1.
-func (w *rehearsal) serverOf(s *sidecar) int {
-	for box, o := range w.sidecarOf {
-		if o == s {
-			return box
+// startDiscovery starts the discovery of one sidecar: the platform's, and Consul's where the scenario has it.
+func (r *rehearsal) startDiscovery(s *sidecar) (err error) {
+	tier := r.discovery[s.tier]
+	if s.discovery, err = startDiscoveryAgent(tier, s.index, s.notificationDelay); err != nil {
+		return err
+	}
+	if !r.plan.Discovery.Consul {
+		return nil
+	}
+	if s.consulAgent, err = startConsulAgent(tier, s.index); err != nil {
+		return err
+	}
+	tier.addConsulAgent(s.consulAgent)
+	return nil
+}
+
+// startSidecars starts all sidecars at once, but for those whose server starts later, and waits until they serve.
+func (r *rehearsal) startSidecars(ctx context.Context, p *program) error {
+	var starting sync.WaitGroup
+	errs := make([]error, len(r.sidecars))
+	for i, s := range r.sidecars {
+		if server := r.serverOf(s); server >= 0 && r.plan.Servers[server].StartsAt > 0 {
+			continue // it starts with its server
+		}
+		starting.Go(func() { errs[i] = s.start(ctx, p) })
+	}
+	starting.Wait()
+	return errors.Join(errs...)
+}
+
+// serverOf returns the server whose calls go through a sidecar, or -1.
+func (r *rehearsal) serverOf(s *sidecar) int {
+	for server, other := range r.sidecarOf {
+		if other == s {
+			return server
 		}
 	}
 	return -1
 }
 
-// play runs the steps and the arrivals in real time, and waits until every caller has ended.
-func (w *rehearsal) play(ctx context.Context, p *program, progress func(Progress)) {
-	// Some time to settle, then the clock begins. What was noted before lies below 0.
-	const settle = 300 * time.Millisecond
-	w.clockOffset.Store(int64(time.Since(w.createdAt) + settle))
+// settleTime is from when all sidecars serve to when callers come. What is recorded before lies below 0 on the clock.
+const settleTime = 300 * time.Millisecond
+
+// play plays the steps and the arrivals in real time, and waits until every caller has ended.
+func (r *rehearsal) play(ctx context.Context, p *program, progress func(Progress)) {
+	r.clockOffset.Store(int64(time.Since(r.createdAt) + settleTime))
 	watching, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
 	defer func() {
 		stop()
-		watchers.Wait() // progress is told to nobody who has gone
+		watchers.Wait() // progress is not called once Run has returned
 	}()
-	watchers.Go(func() { w.watchLateness(watching) })
+	watchers.Go(func() { r.watchLateness(watching) })
 	if progress != nil {
-		watchers.Go(func() { w.reportProgress(watching, progress) })
+		watchers.Go(func() { r.reportProgress(watching, progress) })
 	}
 	var callers, steps sync.WaitGroup
-	steps.Go(func() {
-		for _, s := range w.plan.Steps {
-			if s.At > w.plan.Length || !w.waitUntil(ctx, s.At) {
-				return
-			}
-			w.noteLate(w.now() - s.At) // a server that ought to be down by now takes calls
-			w.playStep(ctx, p, s, &steps)
-		}
-	})
-	for n := range w.plan.Arrivals {
-		if !w.waitUntil(ctx, w.plan.Arrivals[n].At) {
+	steps.Go(func() { r.playSteps(ctx, p, &steps) })
+	for n := range r.plan.Arrivals {
+		if !r.waitUntil(ctx, r.plan.Arrivals[n].At) {
 			break
 		}
-		callers.Go(func() { w.playArrival(n) })
+		callers.Go(func() { r.playArrival(n) })
 	}
 	callers.Wait()
-	w.faultyCallers.Store(0)
+	r.faultyCallers.Store(0)
 	steps.Wait()
 }
 
-func (w *rehearsal) waitUntil(ctx context.Context, at time.Duration) bool {
-	if wait := at - w.now(); wait > 0 {
+// playSteps plays the steps when they are due. What takes longer goes on among steps.
+func (r *rehearsal) playSteps(ctx context.Context, p *program, steps *sync.WaitGroup) {
+	for i := range r.plan.Steps {
+		step := &r.plan.Steps[i]
+		if step.At > r.plan.Length || !r.waitUntil(ctx, step.At) {
+			return
+		}
+		r.recordLateness(r.now() - step.At) // late, a server that should be down by now takes calls
+		r.playStep(ctx, p, step, steps)
+	}
+}
+
+// waitUntil waits until a time on the rehearsal's clock; false if the context ends before.
+func (r *rehearsal) waitUntil(ctx context.Context, at time.Duration) bool {
+	if wait := at - r.now(); wait > 0 {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -268,17 +285,22 @@
 	return ctx.Err() == nil
 }
 
-func (w *rehearsal) reportProgress(ctx context.Context, progress func(Progress)) {
-	for s := 1; w.waitUntil(ctx, time.Duration(s)*time.Second); s++ {
-		c := &w.counters
-		progress(Progress{w.now().Truncate(time.Second), c.requests.Load(), c.served.Load(), c.rejected.Load(), c.failed.Load(), c.attempts.Load()})
+// reportProgress reports progress once a second, until the context ends.
+func (r *rehearsal) reportProgress(ctx context.Context, progress func(Progress)) {
+	c := &r.counters
+	for second := 1; r.waitUntil(ctx, time.Duration(second)*time.Second); second++ {
+		progress(Progress{
+			At:       r.now().Truncate(time.Second),
+			Requests: c.requests.Load(), Served: c.served.Load(), Rejected: c.rejected.Load(), Failed: c.failed.Load(),
+			Attempts: c.attempts.Load(),
+		})
 	}
 }
 
-// findHanging finds sidecars that are there and do not answer.
-func (w *rehearsal) findHanging(ctx context.Context) {
-	for _, s := range w.sidecars {
-		if s.serving() && !s.answers(ctx) {
+// findHanging records sidecars that run and do not answer.
+func (r *rehearsal) findHanging(ctx context.Context) {
+	for _, s := range r.sidecars {
+		if s.serving() && !s.isReady(ctx) {
 			select {
 			case <-s.ended:
 			default:
@@ -289,18 +311,18 @@
 }
 
 // endAll ends all sidecars and their discovery.
-func (w *rehearsal) endAll() {
-	// A sidecar that was told to end waits for callers that are connected.
-	w.rotation.idle.close()
-	for _, s := range w.sidecars {
+func (r *rehearsal) endAll() {
+	// A sidecar that was asked to end waits for callers that are connected.
+	r.rotation.idle.close()
+	for _, s := range r.sidecars {
 		s.idle.close()
 	}
-	var wg sync.WaitGroup
-	for _, s := range w.sidecars {
-		wg.Go(func() { s.terminate() })
+	var ending sync.WaitGroup
+	for _, s := range r.sidecars {
+		ending.Go(s.terminate)
 	}
-	wg.Wait()
-	for _, s := range w.sidecars {
+	ending.Wait()
+	for _, s := range r.sidecars {
 		if s.discovery != nil {
 			s.discovery.close()
 		}
--- /dev/null
+++ b/internal/rehearsal/rehearse/signals.go
@@ -0,0 +1,118 @@
+package rehearse
+
+import (
+	"context"
+	"os"
+	"syscall"
+	"time"
+
+	"quincegap/internal/rehearsal/audit"
+)
+
+// terminationMargin is how much longer than the platform lets it a sidecar has to end.
+const terminationMargin = 2 * time.Second
+
+// signal sends a signal to the process, if there is one. SIGTERM is followed by SIGKILL after the platform's delay.
+func (s *sidecar) signal(name string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process == nil || s.process.Process == nil {
+		return
+	}
+	process, ended := s.process.Process, s.ended
+	switch name {
+	case "SIGHUP":
+		sendSignal(process, syscall.SIGHUP)
+	case "SIGSTOP":
+		s.record(audit.SidecarKilled)
+		s.stopped, s.stopping = true, true
+		sendSignal(process, syscall.SIGSTOP)
+		time.AfterFunc(failureNotice, func() { s.rehearsal.rotation.remove(s) })
+	case "SIGKILL":
+		s.record(audit.SidecarKilled)
+		s.stopping = true
+		sendSignal(process, syscall.SIGKILL)
+		time.AfterFunc(failureNotice, func() { s.rehearsal.rotation.removeEnded(s, process) })
+	case "SIGTERM":
+		s.record(audit.SidecarStopping)
+		s.stopping = true
+		sendSignal(process, syscall.SIGTERM)
+		time.AfterFunc(drainNotice, func() { s.rehearsal.rotation.removeEnded(s, process) })
+		time.AfterFunc(s.rehearsal.plan.Rules.KillDelay, func() {
+			select {
+			case <-ended:
+			default:
+				sendSignal(process, syscall.SIGKILL)
+			}
+		})
+	}
+}
+
+// sendSignal sends a signal to a process, which may have ended already: its end is waited for elsewhere.
+func sendSignal(process *os.Process, signal syscall.Signal) { _ = process.Signal(signal) }
+
+// killWithServer kills the sidecar of a server that is started again; it may have stood still since the server became silent.
+func (s *sidecar) killWithServer() {
+	s.signal("SIGKILL")
+	s.mu.Lock()
+	s.stopped = false
+	s.mu.Unlock()
+}
+
+// restart starts a sidecar that has ended again, or continues one that stands still. One that has not ended yet is waited for.
+func (s *sidecar) restart(ctx context.Context, p *program) error {
+	s.mu.Lock()
+	process, ended, stopped, stopping := s.process, s.ended, s.stopped, s.stopping
+	s.mu.Unlock()
+	if process != nil && !stopping {
+		select {
+		case <-ended: // it has died by itself, which is recorded
+		default:
+			return nil // it serves already
+		}
+	}
+	if stopped {
+		sendSignal(process.Process, syscall.SIGCONT)
+		s.mu.Lock()
+		s.stopped, s.stopping = false, false
+		s.mu.Unlock()
+		return s.waitReady(ctx, ended)
+	}
+	if ended != nil {
+		select {
+		case <-ended:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	return s.start(ctx, p)
+}
+
+// terminate ends the process for good. One that goes on after SIGTERM for longer than the platform lets it is killed, and recorded as
+// one that hangs.
+func (s *sidecar) terminate() {
+	s.mu.Lock()
+	process, ended, stopping, stopped := s.process, s.ended, s.stopping, s.stopped
+	s.stopping = true
+	s.mu.Unlock()
+	if process == nil {
+		return
+	}
+	select {
+	case <-ended:
+		return
+	default:
+	}
+	if stopped {
+		sendSignal(process.Process, syscall.SIGKILL)
+	} else if !stopping {
+		sendSignal(process.Process, syscall.SIGTERM)
+	}
+	select {
+	case <-ended:
+	case <-time.After(s.rehearsal.plan.Rules.KillDelay + terminationMargin):
+		s.recordDeath("did not end after SIGTERM, and was killed")
+		_ = syscall.Kill(-process.Process.Pid, syscall.SIGKILL) // with all that it has started; it may end just now
+		<-ended
+	}
+}
