--- a/internal/rehearsal/audit/auditor.go
+++ b/internal/rehearsal/audit/auditor.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	maxBreaches   = 1000 // that a verdict lists
-	maxLateShare  = 0.05 // of the seconds that may be late before the run is void
+	maxBreaches   = 1000 // how many a verdict lists
+	maxLateShare  = 0.05 // the share of late seconds above which the run is void
 	lateThreshold = 100 * time.Millisecond
-	killTolerance = 250 * time.Millisecond // a kill is noticed so much earlier or later
+	killTolerance = 250 * time.Millisecond // how much earlier or later than recorded a kill may have its effect
 )
 
-// request is all that is known of one request at one sidecar, by its X-Txn.
+// request is one request to one sidecar, with its attempts and answers.
 type request struct {
 	sent     Event
-	name     string
+	name     string // X-Txn
 	attempts []*attempt
 	answers  []Event
 	ended    *Event // ConnectionClosed or CallerTimedOut
-	unknown  bool   // no caller has sent it
+	unknown  bool   // an attempt came of a request that no caller has sent
 }
 
 // attempt is one attempt at a server.
@@ -30,7 +30,7 @@
 	ended    *Event // nil while it is in flight
 }
 
-// neverRan reports whether the server knows that the attempt had no effect.
+// neverRan reports whether the attempt is known to have had no effect.
 func (a *attempt) neverRan() bool {
 	return a.ended != nil && (a.ended.Result == Rejected || a.ended.Result == Truncated)
 }
@@ -40,16 +40,16 @@
 	Rules
 	verdict      *Verdict
 	requests     map[string]*request
-	order        []*request // as they came
+	order        []*request // in the order in which they came
 	attempts     map[uint64]*attempt
 	origins      [][]*request             // by arrival
 	notified     map[[2]int][]StateUpdate // by sidecar and server
-	lifecycle    map[int][]Event          // SidecarKilled, SidecarStopping, SidecarDied and SidecarUp, by sidecar
-	knownUpdates map[int][]StateUpdate    // by server; At is when they count as notified
-	late         []bool                   // by second: the emulator was
+	lifecycle    map[int][]Event          // by sidecar: SidecarKilled, SidecarStopping, SidecarDied and SidecarUp
+	knownUpdates map[int][]StateUpdate    // by server, with the time from which on they count as notified
+	late         []bool                   // by second: the emulator was late
 }
 
-// Judge reads the events of a rehearsal, in any order. lost is how many there was no room for.
+// Judge judges the events of a rehearsal, in any order. lost is how many events its log did not keep; if there are any, the run is void.
 func Judge(rules Rules, events []Event, lost int) *Verdict {
 	a := newAuditor(rules)
 	events = slices.Clone(events)
@@ -99,7 +99,7 @@
 	return a
 }
 
-// record sorts one event in.
+// record assigns one event to its request, attempt or sidecar.
 func (a *auditor) record(e *Event) {
 	switch e.Kind {
 	case RequestSent:
@@ -142,8 +142,8 @@
 	}
 }
 
-// recordRequest notes a request. One that was sent before, on a connection that was closed, is a request of its own, perhaps to
-// another sidecar, which knows nothing of the attempts of the one before.
+// recordRequest records a request. One that was sent before, on a connection that was closed, is a new request: it may go to another
+// sidecar, which has not seen the attempts of the one before.
 func (a *auditor) recordRequest(e *Event) {
 	repeated := a.requests[e.Request] != nil
 	r := &request{name: e.Request, sent: *e}
@@ -157,7 +157,7 @@
 	}
 }
 
-// recordAttempt notes an attempt at a server, and a breach if no caller has sent its request.
+// recordAttempt records an attempt at a server, and a breach if no caller has sent its request.
 func (a *auditor) recordAttempt(e *Event) {
 	r := a.requests[e.Request]
 	if r == nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// recordLateness notes how late the emulator was. Before callers come it does no harm.
+// recordLateness records how late the emulator was. Before callers come that does not matter.
 func (a *auditor) recordLateness(e *Event) {
 	if e.At < 0 {
 		return
@@ -210,7 +210,7 @@
 	}
 }
 
-// excuseBreaches takes out what broke while the emulator was late, and counts the others by rule. The first ones are kept.
+// excuseBreaches drops the breaches of times in which the emulator was late, and counts the others by rule. The first ones are listed.
 func (a *auditor) excuseBreaches() {
 	v := a.verdict
 	kept := v.Breaches[:0]
@@ -237,14 +237,14 @@
 	return second >= 0 && second < len(a.late) && a.late[second]
 }
 
-// interrupted reports whether a sidecar was killed, or made to stand still, between two times. What ends by itself is not excused.
+// interrupted reports whether a sidecar was killed or stopped between two times. One that ends by itself is not excused.
 func (a *auditor) interrupted(sidecar int, from, to time.Duration) bool {
 	return slices.ContainsFunc(a.lifecycle[sidecar], func(e Event) bool {
 		return e.Kind == SidecarKilled && e.At >= from-killTolerance && e.At <= to+killTolerance
 	})
 }
 
-// wasServing reports whether a sidecar was serving at a time: one that came later has not been notified of what was known before.
+// wasServing reports whether a sidecar was serving at a time: one that started later was not notified of earlier updates.
 func (a *auditor) wasServing(sidecar int, at time.Duration) bool {
 	serving := false
 	for _, e := range a.lifecycle[sidecar] {
--- a/internal/rehearsal/audit/event.go
+++ b/internal/rehearsal/audit/event.go
@@ -15,7 +15,7 @@
 	RequestSent        Kind = iota + 1 // the last byte of a request is written to a sidecar
 	AnswerReceived                     // the whole answer has been read
 	ConnectionClosed                   // the connection ended before a whole answer
-	CallerTimedOut                     // the caller's time is up, and it has closed the connection
+	CallerTimedOut                     // the caller's timeout is over, and it has closed the connection
 	UnsolicitedBytes                   // bytes came that nobody had asked for
 	AttemptReceived                    // the last byte of an attempt has been read by a server
 	AttemptEnded                       // an attempt is over, with its Result
@@ -33,7 +33,7 @@
 	EjectedAttempted                   // a sidecar sent an attempt to a server that it has ejected
 )
 
-// AttemptResult is how an attempt ended, as its server saw it.
+// AttemptResult is how an attempt ended, as its server observed it.
 type AttemptResult uint8
 
 // The ends of an attempt.
@@ -55,14 +55,14 @@
 	}[a]
 }
 
-// Event is one thing that was seen. Which fields it has depends on its kind; indexes that it has not are -1.
+// Event is one thing that was observed. Which fields are set depends on its kind; indexes that do not apply are -1.
 type Event struct {
-	At            time.Duration
+	At            time.Duration // on the rehearsal's clock, which stands at 0 when callers begin to come
 	FirstByteAt   time.Duration // of AttemptReceived: when its first byte came
 	Duration      time.Duration // of RequestSent: how long the caller waits; of AnswerReceived: Retry-After; of EmulatorLate: by how much
-	Work          time.Duration // of AttemptEnded: what it had the server do
+	Work          time.Duration // of AttemptEnded: what the server did for it
 	Request       string        // X-Txn
-	Text          string        // of SidecarNotified: the state; of SidecarDied and UnsolicitedBytes: what was seen
+	Text          string        // of SidecarNotified: the state; of SidecarDied and UnsolicitedBytes: what was observed
 	AttemptID     uint64        // of AttemptReceived and its AttemptEnded: a number of its own
 	Origin        int           // of RequestSent: the arrival that it is for; -1 for none
 	Server        int
@@ -75,16 +75,16 @@
 	Authentic     bool // of AnswerReceived: it is what a server made for this request
 }
 
-// maxEvents bounds a Log that says nothing else; an event takes about 150 bytes.
+// maxEvents is the bound of a Log that has no other; an event takes about 150 bytes.
 const maxEvents = 8 << 20
 
 // Log collects events. Its zero value is empty; its methods may be called by several goroutines.
 type Log struct {
-	MaxEvents int // that it keeps; 0 for 8 Mi
+	MaxEvents int // how many it keeps; 0 for 8 Mi (about 1.2 GB)
 
 	mu     sync.Mutex
 	events []Event
-	lost   int // events that there was no room for
+	lost   int // events beyond MaxEvents
 }
 
 // Add adds an event, or counts it as lost if the log is full.
@@ -114,5 +114,6 @@
 // String returns an event on one line, for traces that are compared.
 func (e Event) String() string {
 	return fmt.Sprintf("%d %s %s sidecar=%d box=%d origin=%d try=%d class=%d attempt=%d status=%d how=%d left=%d work=%d first=%d good=%t %q",
-		e.At, kindNames[e.Kind], e.Request, e.Sidecar, e.Server, e.Origin, e.CallerAttempt, e.Class, e.AttemptID, e.Status, e.Result, e.Duration, e.Work, e.FirstByteAt, e.Authentic, e.Text)
+		e.At, kindNames[e.Kind], e.Request, e.Sidecar, e.Server, e.Origin, e.CallerAttempt, e.Class, e.AttemptID,
+		e.Status, e.Result, e.Duration, e.Work, e.FirstByteAt, e.Authentic, e.Text)
 }
--- a/internal/rehearsal/audit/golden_test.go
+++ b/internal/rehearsal/audit/golden_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/golden"
 )
 
-// A run with a breach of each kind gets the verdict that it always got: texts, figures and stories.
+// A run with a breach of each kind keeps its verdict: texts, figures and traces.
 func TestGoldenVerdict(t *testing.T) {
 	s := begin().of(0, SidecarUp).notified(100, "Ready").notified(500, "Terminating").
 		add(Event{At: 510 * ms, Kind: SidecarNotified, Sidecar: 1, Server: 2, Text: "Gone"}).
@@ -18,21 +18,21 @@
 		ask(2000, "c", 2, 1000).sent(2001, "c", 1).end(3300, Garbled).answer(3400, "c", 200).sent(3500, "c", 1).
 		add(Event{At: 4000 * ms, Kind: RequestSent, Request: "c.1", Class: 9, Origin: 2, Sidecar: 1, Duration: time.Second}).
 		sent(4001, "c.1", 2).end(4100, Truncated).sent(4102, "c.1", 2).end(4200, Rejected).
-		add(Event{At: 5100 * ms, Kind: CallerTimedOut, Request: "c.1"}).
+		timedOut(5100, "c.1").
 		ask(5000, "d", 0, 6000).sent(5001, "d", 1).sent(10500, "d", 1).end(10600, Canceled).
-		add(Event{At: 10700 * ms, Kind: ConnectionClosed, Request: "d"}).
+		closed(10700, "d").
 		sent(10800, "ghost", 7).end(10900, Served).
 		add(Event{At: 11 * time.Second, Kind: UnsolicitedBytes, Text: "HTTP/1.1 200 OK", Origin: -1, Sidecar: 1}).
 		add(Event{At: 12 * time.Second, Kind: ServerCollapsed, Server: 1, Origin: -1}).
 		add(Event{At: 13 * time.Second, Kind: SidecarDied, Server: -1, Origin: -1, Text: "ended by itself"}).
 		of(14000, SidecarKilled).
-		add(Event{At: 15 * time.Second, Kind: EmulatorLate, Duration: 120 * ms, Origin: -1}).
+		late(15000, 120).
 		add(Event{At: 15500 * ms, Kind: ServerCollapsed, Server: 2, Origin: -1}).
 		add(Event{At: 16 * time.Second, Kind: ServerStarted, Server: 2, Origin: -1}).
 		ask(16100, "e", 0, 1000).sent(16101, "e", 2).end(16200, Rejected).
 		add(Event{At: 16300 * ms, Kind: AttemptUnreachable, Server: 1}).add(Event{At: 16310 * ms, Kind: ConnectionOpened, Server: 1}).
 		add(Event{At: 16320 * ms, Kind: ListRequested}).add(Event{At: 16330 * ms, Kind: EjectedAttempted, Server: 1})
-	rules := rulesOf()
+	rules := testRules()
 	rules.OverloadFactor = 3
 	rules.OverloadWindow = time.Second
 	rules.Servers[2].Capacity = 10
--- a/internal/rehearsal/audit/rules.go
+++ b/internal/rehearsal/audit/rules.go
@@ -15,7 +15,7 @@
 	stateGone         = "Gone"
 )
 
-// Class is what the rules know of a class of request.
+// Class is a class of request, as the rules need it.
 type Class struct {
 	Name          string
 	Idempotency   string        // safe, keyed or unsafe
@@ -26,37 +26,37 @@
 	Value         float64 // of an answer within the latency target
 }
 
-// Server is what the rules know of an emulated server.
+// Server is an emulated server, as the rules need it.
 type Server struct {
 	Name string
 	Tier int
 	Cell int
 
-	// For Totals: what one does a second once it is warm, in the time that a core needs for it, and how it starts.
-	Capacity  float64
-	ColdShare float64 // of its capacity that it starts with
+	// For Totals only.
+	Capacity  float64 // work per second once it is warm, in seconds of a core at speed 1
+	ColdShare float64 // share of its capacity that it starts with
 	WarmUp    time.Duration
-	Work      time.Duration // of an attempt, on average; of a server that calls others, its part before that
+	Work      time.Duration // mean work of an attempt; of a server that calls others, the part before the calls
 }
 
-// StateUpdate is what discovery knew of a server from a time on.
+// StateUpdate is the state that discovery has of a server from a time on.
 type StateUpdate struct {
 	At     time.Duration
 	Server int
 	State  string // Ready, Terminating or Gone
 }
 
-// Arrival is a request that callers were to make.
+// Arrival is a request that a caller wants to make.
 type Arrival struct {
 	At    time.Duration
 	Class int
 }
 
-// Rules are the figures that a rehearsal is judged by. Servers, classes and sidecars are named by their index.
+// Rules are the bounds that a rehearsal is judged by. Servers, classes and sidecars are referred to by index.
 type Rules struct {
 	Length       time.Duration
-	Slack        time.Duration // what each limit is longer on sockets
-	Drain        time.Duration // how long after its end is announced a server may get new attempts
+	Slack        time.Duration // by how much each limit is longer on sockets
+	Drain        time.Duration // how long a server may get new attempts after the sidecar was notified that it is leaving
 	NotifyWithin time.Duration // after which an update counts as notified, whether or not it was written
 	MaxAttempts  int           // of one request
 	Hedging      bool          // two attempts of a request may be in flight at once
@@ -65,12 +65,12 @@
 	OverloadWindow time.Duration
 	Classes        []Class
 	Servers        []Server
-	Sidecars       []string // names; calls of servers go through those behind the first tier's
+	Sidecars       []string // names, those of the first tier first
 	StateUpdates   []StateUpdate
 	Arrivals       []Arrival
 }
 
-// sidecarName returns what people call a sidecar.
+// sidecarName returns the name of a sidecar for people.
 func (r *Rules) sidecarName(index int) string {
 	if index >= 0 && index < len(r.Sidecars) {
 		return r.Sidecars[index]
@@ -78,7 +78,7 @@
 	return "an unknown sidecar"
 }
 
-// serverName returns what people call a server.
+// serverName returns the name of a server for people.
 func (r *Rules) serverName(index int) string {
 	if index >= 0 && index < len(r.Servers) {
 		return r.Servers[index].Name
@@ -86,7 +86,7 @@
 	return "an unknown box"
 }
 
-// sameKeyGroup reports whether two servers drop each other's repeats of a key.
+// sameKeyGroup reports whether a key that one server has executed has no second effect at another.
 func (r *Rules) sameKeyGroup(scope string, a, b int) bool {
 	if a < 0 || b < 0 || a >= len(r.Servers) || b >= len(r.Servers) {
 		return false
@@ -95,7 +95,7 @@
 	return first.Tier == second.Tier && (scope != scopeCell || first.Cell == second.Cell)
 }
 
-// Rule is one of the four.
+// Rule is one of the four rules.
 type Rule int
 
 // The four rules.
@@ -116,14 +116,14 @@
 type Breach struct {
 	Rule    Rule
 	At      time.Duration
-	Request string // empty where it is about none
-	Origin  int    // the arrival that it was for, or -1
+	Request string // empty if it is about none
+	Origin  int    // the arrival that the request was for, or -1
 	Server  int    // or -1
 	Sidecar int    // or -1
 	Message string
 }
 
-// breachOf returns a breach by the sidecar that a request was sent to.
+// breachOf returns a breach of the sidecar that a request was sent to.
 func breachOf(rule Rule, at time.Duration, r *request, server int, format string, args ...any) Breach {
 	return Breach{
 		Rule: rule, At: at, Request: r.name, Origin: r.sent.Origin, Server: server, Sidecar: r.sent.Sidecar,
--- a/internal/rehearsal/audit/service.go
+++ b/internal/rehearsal/audit/service.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// worstWindow is how many seconds the window has in which the service is worst.
+// worstWindow is the length of the window in which the service is worst, in seconds.
 const worstWindow = 10
 
-// judgeService adds up what callers got.
+// judgeService adds up the value of what callers got, by second and in all.
 func (a *auditor) judgeService() {
 	v := a.verdict
 	wanted, gained := make([]float64, len(v.Seconds)), make([]float64, len(v.Seconds))
@@ -52,6 +52,7 @@
 	}
 }
 
+// quantile returns a quantile of latencies that are sorted.
 func quantile(p float64, sortedSeconds []float64) time.Duration {
 	return time.Duration(stat.Quantile(p, stat.Empirical, sortedSeconds, nil) * 1e9)
 }
@@ -99,7 +100,7 @@
 	return at, status
 }
 
-// judgeWork adds up what servers did, and what of it came to nothing.
+// judgeWork adds up the work of servers, and the part of it that no caller got an answer for.
 func (a *auditor) judgeWork() {
 	requests := 0
 	var all, wasted time.Duration
