--- a/internal/rehearsal/scenario/arrivals.go
+++ b/internal/rehearsal/scenario/arrivals.go
@@ -30,7 +30,7 @@
 		if at >= p.Length {
 			return
 		}
-		// All are drawn for each candidate, so that the others stay the same where a rate changes.
+		// Four numbers are drawn for each candidate, so that the draws of others stay the same where a rate changes.
 		accept, pick, patience, honour := random.Float64(), random.Float64()*shares, random.Float64(), random.Float64()
 		if accept*rate.highest >= rate.factor(at) {
 			continue
@@ -46,7 +46,7 @@
 	}
 }
 
-// pickClass returns the class in whose share of all a number lies.
+// pickClass returns the class for a number from 0 to the sum of all shares.
 func (p *planner) pickClass(pick float64) int {
 	class := 0
 	for class < len(p.Classes)-1 && pick >= p.Classes[class].Share {
@@ -56,18 +56,18 @@
 	return class
 }
 
-// maxRateFactor is more than any events that can be played make of the rate.
+// maxRateFactor bounds how much all events together may multiply the rate.
 const maxRateFactor = 1e6
 
-// arrivalRate is the rate of callers over that of the script.
+// arrivalRate is the rate of callers as a multiple of the script's.
 type arrivalRate struct {
 	callers *Callers
 	bursts  []float64 // of a bursty shape, by burst
 	loads   []*event
-	highest float64
+	highest float64 // bound of factor
 }
 
-// newRate draws the bursts, whatever the shape.
+// newRate returns the rate of a script. It draws the bursts whatever the shape is, so that the draws after them stay the same.
 func (p *planner) newRate(random *rand.Rand, events []*event) *arrivalRate {
 	r := &arrivalRate{callers: &p.Callers, highest: 1 + p.Callers.Swing}
 	for at := time.Duration(0); at < p.Length; at += burstLength {
@@ -82,7 +82,7 @@
 	return r
 }
 
-// factor returns the rate at a time.
+// factor returns the multiple at a time.
 func (r *arrivalRate) factor(at time.Duration) float64 {
 	factor := 1.0
 	switch r.callers.Shape {
--- a/internal/rehearsal/scenario/caller.go
+++ b/internal/rehearsal/scenario/caller.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// Caller is one that comes from outside: it decides when it sends its request, and when it gives up.
+// Caller is a client from outside. It decides when it sends its attempts, and when it gives up.
 type Caller struct {
 	arrival  *Arrival
 	class    *Class
@@ -19,14 +19,20 @@
 	attempts int
 }
 
-// Caller returns the n-th arrival, who came at a time.
+// Caller returns the caller of the n-th arrival, who came at a time.
 func (p *Plan) Caller(n int, began time.Duration) *Caller {
-	a := &p.Arrivals[n]
-	c := p.Classes[a.Class]
-	return &Caller{arrival: a, class: c, callers: &p.Callers, random: rand.New(emulator.RandomSource(p.Seed, fmt.Sprint("caller ", n))), end: began + c.Deadline}
+	arrival := &p.Arrivals[n]
+	class := p.Classes[arrival.Class]
+	return &Caller{
+		arrival: arrival,
+		class:   class,
+		callers: &p.Callers,
+		random:  rand.New(emulator.RandomSource(p.Seed, fmt.Sprint("caller ", n))),
+		end:     began + class.Deadline,
+	}
 }
 
-// PrefersFirstSidecar reports whether an arrival goes to the first sidecar, while that is there.
+// PrefersFirstSidecar reports whether the n-th arrival goes to the first sidecar, if that serves.
 func (p *Plan) PrefersFirstSidecar(n int) bool {
 	share := p.Callers.FirstSidecarShare
 	return share > 0 && rand.New(emulator.RandomSource(p.Seed, fmt.Sprint("at first ", n))).Float64() < share
@@ -39,12 +45,12 @@
 	return c.attempts, left, left > 0
 }
 
-// IsRejected reports whether a status promises that trying again is harmless.
+// IsRejected reports whether a status promises that the request had no effect, so that a retry is harmless.
 func IsRejected(status int) bool {
 	return status == 503 || status == 429
 }
 
-// RetryAfter returns how long the caller waits before its next attempt, after a status (0 for none) and what Retry-After said; false
+// RetryAfter returns the backoff before the caller's next attempt, after an answer with a status (0 for no answer) and Retry-After; false
 // if it makes none.
 func (c *Caller) RetryAfter(now time.Duration, status int, after time.Duration) (wait time.Duration, ok bool) {
 	if status == 200 || c.attempts > c.callers.Retries {
@@ -64,4 +70,4 @@
 func IdempotencyKey(n int) string { return fmt.Sprint("k", n) }
 
 // RequestID returns the id of an attempt of the n-th arrival.
-func RequestID(n, try int) string { return fmt.Sprintf("r%dt%d", n, try) }
+func RequestID(n, attempt int) string { return fmt.Sprintf("r%dt%d", n, attempt) }
--- a/internal/rehearsal/scenario/describe.go
+++ b/internal/rehearsal/scenario/describe.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// WriteText writes the plan for people: what happens when, to whom.
+// WriteText writes the plan for people: what happens to whom, and when.
 func (p *Plan) WriteText(w io.Writer) error {
 	text := fmt.Sprintf("%s: seed %d, %v, %d requests\n", p.DisplayName(), p.Seed, p.Length, len(p.Arrivals))
 	for _, t := range p.Tiers {
@@ -19,7 +19,7 @@
 	return err
 }
 
-// Describe puts a step into words.
+// Describe returns a step in words.
 func (p *Plan) Describe(s Step) string {
 	switch s.Kind {
 	case ServerCrash:
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("%v rude callers", s.Amount)
 }
 
-// describeLink puts a LinkFault into words; its Amount is below 0 when it ends.
+// describeLink returns a LinkFault in words; its Amount is below 0 when it ends.
 func (s *Step) describeLink() string {
 	by, over := s.Amount, ""
 	if by < 0 {
--- a/internal/rehearsal/scenario/example_test.go
+++ b/internal/rehearsal/scenario/example_test.go
@@ -10,7 +10,14 @@
 
 // A script, and the plan that it gives with its seed.
 func Example() {
-	const script = "title \"Two boxes\"\nlength 10s\nseed 3\ntier one boxes 2\nclass ask\ncallers rate 10/s\nat 2s: box 1 restarts taking 500ms\n"
+	const script = `title "Two boxes"
+length 10s
+seed 3
+tier one boxes 2
+class ask
+callers rate 10/s
+at 2s: box 1 restarts taking 500ms
+`
 	var found finding.List
 	scenario := scenario.Read("two.morning", []byte(script), &found)
 	if scenario == nil {
--- a/internal/rehearsal/scenario/expectation.go
+++ b/internal/rehearsal/scenario/expectation.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// Expectation is what a scenario has to reach.
+// Expectation is a bound that a figure of a run has to meet.
 type Expectation struct {
 	Position finding.Pos
 	Figure   string // service, worst, refused, failed or attempts
@@ -15,10 +15,10 @@
 	Bound    float64
 }
 
-// figureNames are what can be expected of a scenario.
+// figureNames are the figures that can be expected.
 var figureNames = []string{"service", "worst", "refused", "failed", "attempts"}
 
-// addExpectation takes a line like "expect service above 0.95".
+// addExpectation adds the expectation of a line like "expect service above 0.95".
 func (s *Scenario) addExpectation(line *setting, add finding.Reporter) {
 	var what, side string
 	if len(line.Values) != 3 || !line.Values[0].readName(&what) || !line.Values[1].readName(&side) || line.Values[2].High != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Evaluate reports whether a run reached what was expected, and the figure that it came to.
+// Evaluate returns the figure of a run, and reports whether it meets the bound.
 func (e Expectation) Evaluate(v *audit.Verdict) (got float64, met bool) {
 	share := func(n int) float64 { return float64(n) / float64(max(1, v.Requests)) }
 	switch e.Figure {
--- a/internal/rehearsal/scenario/golden_test.go
+++ b/internal/rehearsal/scenario/golden_test.go
@@ -13,7 +13,7 @@
 	"quincegap/internal/golden"
 )
 
-// Each script of the library holds the settings and events that it always held, and gives the plan that it always gave.
+// Each script of the library keeps its settings, and its plan for each seed.
 func TestGoldenScripts(t *testing.T) {
 	files, err := filepath.Glob("../../../rehearsals/*.morning")
 	if err != nil || len(files) == 0 {
@@ -26,20 +26,20 @@
 			t.Fatal(err)
 		}
 		var found finding.List
-		m := Read(filepath.Base(file), text, &found)
-		if m == nil {
+		scenario := Read(filepath.Base(file), text, &found)
+		if scenario == nil {
 			t.Fatal(found.Err())
 		}
-		exported := *m
-		exported.events, exported.positions = nil, nil // the plans hold what comes of them
+		exported := *scenario
+		exported.events, exported.positions = nil, nil // the plans show them
 		fmt.Fprintf(&dump, "== %s\n%s", filepath.Base(file), golden.Values(exported))
-		settings, err := json.Marshal(m.Plan(0).Settings(0, 0, 2))
+		settings, err := json.Marshal(scenario.Plan(0).Settings(0, 0, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&dump, "settings %s\n", settings)
 		for _, seed := range []uint64{0, 7, 99} {
-			plan := m.Plan(seed)
+			plan := scenario.Plan(seed)
 			var words bytes.Buffer
 			if err := plan.WriteText(&words); err != nil {
 				t.Fatal(err)
@@ -62,17 +62,19 @@
 	golden.Text(t, "faults.txt", dump.Bytes())
 }
 
-// What a script can't hold is reported in the same words, at the same places.
+// Findings keep their words and positions.
 func TestGoldenFindings(t *testing.T) {
 	var dump bytes.Buffer
 	for _, script := range []string{
 		"", "tier a\n", "tier a boxes 0\nclass c\n", "tier a boxes 2..3\nclass c aim 9s deadline 1s\n", "teir a\n",
 		"tier a calls b\nclass c\n", "tier a boxes 2\ntier b boxes 2\nclass c\n", "tier a\nclass c\nlength 5s\nat 6s: box 1 dies\n",
 		"tier a\nclass c\nat 1s: box 9 dies\n", "tier a\nclass c\nat 1s: 3 rude callerz for 1s\n", "tier a\nclass c\nat 1s: box 1 sings\n",
-		"tier a\nclass c\nat 1s: sidecars 1..2 are cut off for 8s\n", "tier a\nclass c\nsidecars count 3 peers yes\nat 1s: sidecars 1..3 are cut off for 8s\n",
+		"tier a\nclass c\nat 1s: sidecars 1..2 are cut off for 8s\n",
+		"tier a\nclass c\nsidecars count 3 peers yes\nat 1s: sidecars 1..3 are cut off for 8s\n",
 		"tier a\nclass c\nat 1s: box 1 dies\nat 2s: box 1 pauses for 1s\n", "tier a boxes 5 boxes 6\nclass c\n", "tier a cells\nclass c\n",
 		"tier a\nclass c\nexpect service over 2\n", "tier a\nclass c\nexpect joy above 2\n", "tier a\nclass c\nat 1s: 2000 rude callers for 1s\n",
-		"tier a\nclass c\nat 1s: load is 101 times for 1s\n", "tier a\nclass c\nat 1s: sidecar 7 gets SIGTERM\n", "tier a\nclass c effect keyed window 1s\n",
+		"tier a\nclass c\nat 1s: load is 101 times for 1s\n", "tier a\nclass c\nat 1s: sidecar 7 gets SIGTERM\n",
+		"tier a\nclass c effect keyed window 1s\n",
 		"tier a\nclass c\nsidecars count 3 peers yes\nat 1s: messages are 120% lost for 2s\n", "tier a\nclass c\nat 1s: 3 new boxes of b\n",
 		"tier a\nclass c\nat 1s: box 1 weighs 20000\n", "tier a\nclass c\nat 1s: 50% of boxes lose 120% of calls for 2s\n",
 	} {
--- a/internal/rehearsal/scenario/grammar.go
+++ b/internal/rehearsal/scenario/grammar.go
@@ -8,8 +8,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// scriptLexer splits a line into words. A script is read line by line, so that one line that can't be read hides no other.
-
+// scriptLexer splits a line into words. A script is parsed line by line, so that a line that can't be parsed hides no finding in others.
 var scriptLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#.*`},
 	{Name: "Space", Pattern: `[ \t\r\n]+`},
@@ -24,13 +23,13 @@
 	{Name: "Punct", Pattern: `[:,]`},
 })
 
-// statement is a line: an event, or a setting. Which of them, its first word says.
+// statement is a line: an event if its first word is "at", else a setting.
 type statement struct {
 	event   *event   // nil for a setting
 	setting *setting // nil for an event
 }
 
-// setting is a section with what stands behind it: a name or names of keys, and values.
+// setting is a section with a name, or with keys and their values.
 type setting struct {
 	Pos     lexer.Position
 	Section string   `parser:"@Word"`
@@ -76,14 +75,14 @@
 	Tier  string `parser:"('of' @Word)?"`
 }
 
-// faultyCallers has callers send what can't be read.
+// faultyCallers are callers that send malformed requests.
 type faultyCallers struct {
 	Pos   lexer.Position
 	Count int  `parser:"@Number 'rude' ('callers' | 'caller')"`
 	For   span `parser:"'for' @Duration"`
 }
 
-// serverSelector says which servers of a tier an event is about.
+// serverSelector selects the servers of a tier that an event is about.
 type serverSelector struct {
 	Pos   lexer.Position
 	All   bool     `parser:"( @'all' 'boxes'"`
@@ -108,7 +107,7 @@
 	Fault   *fault   `parser:"| @@ )"`
 }
 
-// replace has servers replaced by new ones, at their addresses or at others.
+// replace replaces servers by new ones, at their addresses or at others.
 type replace struct {
 	In   bool  `parser:"@('at' | 'on')"`
 	Same bool  `parser:"( @('their' | 'its') | 'new' ) ('addresses' | 'address')"`
@@ -121,7 +120,7 @@
 	For span    `parser:"'for' @Duration"`
 }
 
-// fault has servers fail a share of their calls.
+// fault is a fault that happens to a share of the calls of servers.
 type fault struct {
 	Pos  lexer.Position
 	What string   `parser:"@('lose' | 'loses' | 'reset' | 'resets' | 'fail' | 'fails' | 'garble' | 'garbles' | 'refuse' | 'refuses')"`
@@ -139,7 +138,7 @@
 	Back   *span    `parser:"('and' ('is' | 'are') 'back' 'after' @Duration)?"`
 }
 
-// linkEvent is what happens to what sidecars send one another.
+// linkEvent is a fault of the links between sidecars.
 type linkEvent struct {
 	Pos        lexer.Position
 	Partition  *partition `parser:"( @@"`
@@ -150,7 +149,7 @@
 	For        span       `parser:"'for' @Duration"`
 }
 
-// partition is the sidecars of one side.
+// partition is the sidecars of one side of a partition.
 type partition struct {
 	From int `parser:"'sidecars' @Number '..'"`
 	To   int `parser:"@Number 'are' 'cut' 'off'"`
@@ -163,7 +162,7 @@
 	For   span    `parser:"'for' @Duration"`
 }
 
-// discoveryEvent is what discovery does wrong.
+// discoveryEvent is a fault of discovery.
 type discoveryEvent struct {
 	Pos     lexer.Position
 	Repeats bool  `parser:"'discovery' ( @'repeats' 'itself'"`
--- a/internal/rehearsal/scenario/links.go
+++ b/internal/rehearsal/scenario/links.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// planLink draws what happens to what sidecars send one another.
+// planLink plans a fault of the links between sidecars.
 func (p *planner) planLink(e *event, l *linkEvent) {
 	if !p.Sidecars.Peers {
 		p.add(positionOf(l.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
@@ -26,7 +26,7 @@
 	p.addStep(step)
 }
 
-// linkStep returns the beginning of a link's fault, without its time; false if it is impossible.
+// linkStep returns the step that begins a fault of the links, without its time; false if there is a finding.
 func (p *planner) linkStep(l *linkEvent) (Step, bool) {
 	switch {
 	case l.Partition != nil:
@@ -54,7 +54,7 @@
 	linkLate    = "late"
 )
 
-// partitionStep cuts some sidecars off from the others, of whom there must be one at least.
+// partitionStep returns the step that partitions some sidecars from the others, of which there must be one at least.
 func (p *planner) partitionStep(l *linkEvent) (Step, bool) {
 	from, to, count := l.Partition.From, l.Partition.To, p.Sidecars.Count
 	size := to - from + 1
@@ -65,7 +65,7 @@
 	return Step{Kind: LinkFault, Name: linkCut, Sidecar: from - 1, Amount: float64(size)}, true
 }
 
-// shareStep has something happen to a share of the messages.
+// shareStep returns the step of a fault that happens to a share of the messages.
 func (p *planner) shareStep(l *linkEvent, name string, share float64) (Step, bool) {
 	if share > 1 {
 		p.add(positionOf(l.Pos), "%v%% of the messages is more than there are", share*100)
@@ -74,11 +74,11 @@
 	return Step{Kind: LinkFault, Name: name, Amount: share}, true
 }
 
-// RandomFaults draws lines of a script by a seed: what happens to sidecars that find one another, one thing after another, between two
-// times; the same seed draws the same lines. Signals of sidecars are among them.
+// RandomFaults draws lines of a script: faults of links and signals to sidecars that find one another, one after another, between two
+// times. The same seed draws the same lines.
 func RandomFaults(seed uint64, sidecars int, from, to time.Duration) (lines []string) {
 	rng := rand.New(rand.NewPCG(seed, 0x6661))
-	say := func(at time.Duration, format string, args ...any) {
+	add := func(at time.Duration, format string, args ...any) {
 		lines = append(lines, fmt.Sprintf("at %dms: ", at.Milliseconds())+fmt.Sprintf(format, args...))
 	}
 	for at := from; at < to; {
@@ -87,18 +87,18 @@
 		switch ms := last.Milliseconds(); rng.IntN(7) {
 		case 0, 1:
 			first := 1 + rng.IntN(sidecars-1)
-			say(at, "sidecars %d..%d are cut off for %dms", first, first+rng.IntN(sidecars-first), ms)
+			add(at, "sidecars %d..%d are cut off for %dms", first, first+rng.IntN(sidecars-first), ms)
 		case 2:
-			say(at, "sidecar %d is heard by none for %dms", 1+rng.IntN(sidecars), ms)
+			add(at, "sidecar %d is heard by none for %dms", 1+rng.IntN(sidecars), ms)
 		case 3:
-			say(at, "messages are %d%% lost for %dms", 5+rng.IntN(30), ms)
-			say(at, "messages are late by %dms for %dms", 5+rng.IntN(100), ms)
+			add(at, "messages are %d%% lost for %dms", 5+rng.IntN(30), ms)
+			add(at, "messages are late by %dms for %dms", 5+rng.IntN(100), ms)
 		case 4:
-			say(at, "messages are %d%% doubled for %dms", 5+rng.IntN(40), ms)
+			add(at, "messages are %d%% doubled for %dms", 5+rng.IntN(40), ms)
 		case 5:
-			say(at, "%d%% of sidecars get SIGKILL and are back after %dms", 10+rng.IntN(60), ms)
+			add(at, "%d%% of sidecars get SIGKILL and are back after %dms", 10+rng.IntN(60), ms)
 		case 6:
-			say(at, "sidecar %d gets SIGSTOP and is back after %dms", 1+rng.IntN(sidecars), ms)
+			add(at, "sidecar %d gets SIGSTOP and is back after %dms", 1+rng.IntN(sidecars), ms)
 		}
 		at += last + time.Duration(rng.IntN(1500))*time.Millisecond
 	}
--- a/internal/rehearsal/scenario/parse.go
+++ b/internal/rehearsal/scenario/parse.go
@@ -11,17 +11,19 @@
 	"quincegap/internal/config/finding"
 )
 
-// lookahead is how many words it takes to tell one event from another ("11% of the boxes", "11% of the sidecars").
+// lookahead is how many words it takes to distinguish the events ("11% of the boxes", "11% of the sidecars").
 const lookahead = 6
 
 // The parsers of the two kinds of lines.
 var (
-	parserOptions = []participle.Option{participle.Lexer(scriptLexer), participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(lookahead)}
+	parserOptions = []participle.Option{
+		participle.Lexer(scriptLexer), participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(lookahead),
+	}
 	eventParser   = participle.MustBuild[event](parserOptions...)
 	settingParser = participle.MustBuild[setting](parserOptions...)
 )
 
-// eventExamples are shown where an event can't be read, by the word that its kind goes by.
+// eventExamples are shown for an event that can't be parsed: the first one whose word is in the line.
 var eventExamples = []struct{ word, example string }{
 	{"silent", "at 12s: 11% of boxes go silent for 9s"},
 	{"pause", "at 12s: box 3 pauses for 800ms"},
@@ -47,7 +49,7 @@
 	{"rude", "at 12s: 40 rude callers for 10s"},
 }
 
-// describeParseError words a message on a line that is no statement.
+// describeParseError returns where a line stops being a statement, and a message with an example if it is an event.
 func describeParseError(line string, err error) (column int, message string) {
 	column, message = 1, err.Error()
 	var positioned participle.Error
@@ -77,7 +79,7 @@
 // isEvent reports whether a line that is not empty is an event.
 func isEvent(line string) bool { return strings.Fields(line)[0] == "at" }
 
-// parseScript reads the lines of a script. Positions count characters as the file has them.
+// parseScript parses the lines of a script. Positions count characters, as in the file.
 func parseScript(text string, add finding.Reporter) (all []*statement) {
 	number := 0
 	for line := range strings.Lines(text) {
@@ -90,7 +92,7 @@
 		if trimmed := strings.TrimSpace(line); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
-		// The lines before it stand empty, so that every position is that in the file.
+		// The lines before it are replaced by empty ones, so that positions are those of the file.
 		parsed, err := parseLine(strings.Repeat("\n", number-1) + line)
 		if err != nil {
 			column, message := describeParseError(line, err)
@@ -102,7 +104,7 @@
 	return all
 }
 
-// parseLine reads one line, after as many empty ones as the file has before it.
+// parseLine parses one line, which has as many empty ones before it as the file has lines.
 func parseLine(placed string) (*statement, error) {
 	if isEvent(placed) {
 		e, err := eventParser.ParseString("", placed)
--- a/internal/rehearsal/scenario/planner.go
+++ b/internal/rehearsal/scenario/planner.go
@@ -12,14 +12,14 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// replaceGap is how long the address of a server stands empty before the one that replaces it has it, and drainFor how
-// long one that is replaced by a server elsewhere drains.
 const (
+	// replaceGap is how long an address is free before the server that replaces another one has it.
 	replaceGap = time.Second
-	drainFor   = 5 * time.Second
+	// drainFor is how long a server drains that is replaced by one at another address.
+	drainFor = 5 * time.Second
 )
 
-// The bounds of what an event may ask for.
+// The bounds of events.
 const (
 	maxWeight        = 10_000 // of a server
 	maxLoad          = 100    // times
@@ -37,14 +37,14 @@
 	stateGone        = "Gone"
 )
 
-// serverState is how a server is doing while the plan is drawn.
+// serverState is the state of a server while the plan is drawn.
 type serverState struct {
-	goneAt     time.Duration // from when on it is no more; -1 if it is not known to end
-	goneLine   int           // the line that says so
-	busyUntil  time.Duration // until when it is not to be hit again
-	busyLine   int
-	startedAt  time.Duration // its latest start
-	notifiedAt time.Duration // the latest update of discovery
+	goneAt     time.Duration // when it ends for good or begins to drain; -1 for never
+	goneLine   int           // the line of the script that ends it
+	busyUntil  time.Duration // no other event hits it before
+	busyLine   int           // the line of the event that hits it until then
+	startedAt  time.Duration // of its latest start
+	notifiedAt time.Duration // of the latest update of discovery
 }
 
 // planner draws a plan.
@@ -52,22 +52,22 @@
 	*Plan
 	add               finding.Reporter
 	servers           []*serverState
-	counts            []int // servers of each tier, ever
-	slots             int
-	random            *rand.Rand            // of which servers and sidecars are hit
-	serverRandom      *rand.Rand            // of what servers are like
-	silences          []Window              // while which discovery is silent
-	sidecarsDownUntil map[int]time.Duration // by sidecar: it is not to be signalled again before
-	delays            []discoveryDelay
+	counts            []int                 // servers by tier, those that have gone included
+	slots             int                   // addresses that were given to servers
+	random            *rand.Rand            // draws which servers and sidecars are hit
+	serverRandom      *rand.Rand            // draws the speed and the cold share of servers
+	silences          []Window              // in which discovery is silent
+	sidecarsDownUntil map[int]time.Duration // by sidecar: no other event signals it before
+	delays            []discoveryDelay      // in which discovery is behind
 }
 
-// discoveryDelay is a time in which discovery is behind, and by how much.
+// discoveryDelay is an interval in which discovery is behind by an amount.
 type discoveryDelay struct {
 	from, to time.Duration
 	amount   time.Duration
 }
 
-// drawPlan draws a plan, and reports what of the script is impossible.
+// drawPlan draws a plan, and adds a finding for each event that is impossible.
 func drawPlan(s *Scenario, seed uint64, add finding.Reporter) *Plan {
 	p := &planner{
 		Plan: &Plan{Scenario: s, Seed: seed}, add: add, counts: make([]int, len(s.Tiers)), sidecarsDownUntil: map[int]time.Duration{},
@@ -80,7 +80,7 @@
 	}
 	events := slices.Clone(s.events)
 	slices.SortStableFunc(events, func(a, b *event) int { return cmp.Compare(a.At, b.At) })
-	// What discovery does comes first: when the rest is known depends on it.
+	// Events of discovery come first: when it has the others depends on them.
 	for _, e := range events {
 		if e.Discovery != nil {
 			p.planDiscovery(e, e.Discovery)
@@ -132,37 +132,37 @@
 	return len(p.Servers) - 1
 }
 
-// addStep adds a step. Of those at one time the one that was added first comes first.
-func (p *planner) addStep(s Step) { p.Steps = append(p.Steps, s) }
+// addStep adds a step. Steps of one time keep the order in which they were added.
+func (p *planner) addStep(step Step) { p.Steps = append(p.Steps, step) }
 
-// addWindow notes that something of an event goes on.
+// addWindow adds the window of an event.
 func (p *planner) addWindow(e *event, length time.Duration, format string, args ...any) {
 	at := time.Duration(e.At)
 	p.Windows = append(p.Windows, Window{at, at + length, fmt.Sprintf(format, args...)})
 }
 
-// planDiscovery notes when discovery is silent, late or repeats itself.
-func (p *planner) planDiscovery(e *event, l *discoveryEvent) {
+// planDiscovery plans an event of discovery.
+func (p *planner) planDiscovery(e *event, d *discoveryEvent) {
 	from := time.Duration(e.At)
-	to := from + time.Duration(l.For)
-	if l.Repeats {
+	to := from + time.Duration(d.For)
+	if d.Repeats {
 		p.addStep(Step{At: from, Kind: DiscoveryRepeat, Amount: 1, Line: e.Pos.Line})
 		p.addStep(Step{At: to, Kind: DiscoveryRepeat, Line: e.Pos.Line})
-		p.addWindow(e, time.Duration(l.For), "discovery repeats itself")
+		p.addWindow(e, time.Duration(d.For), "discovery repeats itself")
 		return
 	}
-	if l.Silent {
+	if d.Silent {
 		p.silences = append(p.silences, Window{From: from, To: to})
 		p.addStep(Step{At: from, Kind: DiscoverySilence, Amount: 1, Line: e.Pos.Line})
 		p.addStep(Step{At: to, Kind: DiscoverySilence, Line: e.Pos.Line})
-		p.addWindow(e, time.Duration(l.For), "discovery is silent")
+		p.addWindow(e, time.Duration(d.For), "discovery is silent")
 		return
 	}
-	p.delays = append(p.delays, discoveryDelay{from, to, time.Duration(*l.Behind)})
-	p.addWindow(e, time.Duration(l.For), "discovery is %v behind", time.Duration(*l.Behind))
+	p.delays = append(p.delays, discoveryDelay{from, to, time.Duration(*d.Behind)})
+	p.addWindow(e, time.Duration(d.For), "discovery is %v behind", time.Duration(*d.Behind))
 }
 
-// notify has discovery know of the state of a server: later where it is behind, and after its silence. Updates of one server keep their order.
+// notify adds an update of discovery: later if discovery is behind, and after its silence. Updates of one server keep their order.
 func (p *planner) notify(at time.Duration, server int, state string, boot time.Duration, line int) {
 	for _, delay := range p.delays {
 		if at >= delay.from && at < delay.to {
@@ -180,7 +180,7 @@
 	p.addStep(Step{At: at, Kind: DiscoveryUpdate, Server: server, State: state, Boot: boot, Line: line})
 }
 
-// planEvent draws one event of the script.
+// planEvent plans one event of the script, and draws whom it hits.
 func (p *planner) planEvent(e *event) {
 	at := time.Duration(e.At)
 	if at >= p.Length {
@@ -211,7 +211,7 @@
 	}
 }
 
-// planFaultyCallers has faulty callers come, and go again.
+// planFaultyCallers plans the coming and going of faulty callers.
 func (p *planner) planFaultyCallers(e *event, f *faultyCallers) {
 	if f.Count < 1 || f.Count > maxFaultyCallers {
 		p.add(positionOf(f.Pos), "%d rude callers: 1 to %d can be played", f.Count, maxFaultyCallers)
--- a/internal/rehearsal/scenario/platform.go
+++ b/internal/rehearsal/scenario/platform.go
@@ -9,43 +9,59 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// notifyWithin is after which time an update counts as notified, whether or not it was written (the platform's protocol).
+// notifyWithin is the time after which an update counts as notified, whether or not it was written (the platform's protocol).
 const notifyWithin = 6 * time.Second
 
-// AuditRules returns what a run of the plan is judged by; the names of the sidecars are to be added.
+// AuditRules returns the rules that a run of the plan is judged by; the caller adds the names of the sidecars.
 func (p *Plan) AuditRules() audit.Rules {
-	r := audit.Rules{
-		Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, NotifyWithin: notifyWithin, MaxAttempts: p.Rules.MaxAttempts, Hedging: p.Rules.Hedging,
+	rules := audit.Rules{
+		Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, NotifyWithin: notifyWithin,
+		MaxAttempts: p.Rules.MaxAttempts, Hedging: p.Rules.Hedging,
 		OverloadFactor: p.Rules.OverloadFactor, OverloadWindow: p.Rules.OverloadWindow,
 	}
 	for _, c := range p.Classes {
-		r.Classes = append(r.Classes, audit.Class{Name: c.Name, Idempotency: string(c.Idempotency), Scope: string(c.Scope), Window: c.Window, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline, Value: c.Value})
+		rules.Classes = append(rules.Classes, audit.Class{
+			Name: c.Name, Idempotency: string(c.Idempotency), Scope: string(c.Scope), Window: c.Window,
+			LatencyTarget: c.LatencyTarget, Deadline: c.Deadline, Value: c.Value,
+		})
 	}
-	for i, b := range p.Servers {
-		x := audit.Server{
-			Name: p.Name(i), Tier: b.Tier, Cell: b.Cell,
-			Capacity: float64(b.Spec.Cores) * b.Spec.Speed, ColdShare: b.Spec.ColdShare, WarmUp: b.Spec.WarmUp, Work: p.Tiers[b.Tier].Work.Mean,
-		}
-		if t := p.Tiers[b.Tier]; t.Calls != "" {
-			x.Work = time.Duration(t.WorkBeforeCalls * float64(x.Work))
-		}
-		r.Servers = append(r.Servers, x)
+	for i := range p.Servers {
+		rules.Servers = append(rules.Servers, p.auditServer(i))
 	}
-	for _, s := range p.Steps {
-		if s.Kind == DiscoveryUpdate {
-			r.StateUpdates = append(r.StateUpdates, audit.StateUpdate{At: s.At, Server: s.Server, State: s.State})
+	for i := range p.Steps {
+		if step := &p.Steps[i]; step.Kind == DiscoveryUpdate {
+			rules.StateUpdates = append(rules.StateUpdates, audit.StateUpdate{At: step.At, Server: step.Server, State: step.State})
 		}
 	}
 	for _, a := range p.Arrivals {
-		r.Arrivals = append(r.Arrivals, audit.Arrival{At: a.At, Class: a.Class})
+		rules.Arrivals = append(rules.Arrivals, audit.Arrival{At: a.At, Class: a.Class})
 	}
-	return r
+	return rules
 }
 
-// Zone is that of all servers.
+// auditServer returns a server as the rules have it.
+func (p *Plan) auditServer(index int) audit.Server {
+	s := &p.Servers[index]
+	tier := p.Tiers[s.Tier]
+	server := audit.Server{
+		Name: p.Name(index), Tier: s.Tier, Cell: s.Cell,
+		Capacity: float64(s.Spec.Cores) * s.Spec.Speed, ColdShare: s.Spec.ColdShare, WarmUp: s.Spec.WarmUp, Work: tier.Work.Mean,
+	}
+	if tier.Calls != "" {
+		server.Work = time.Duration(tier.WorkBeforeCalls * float64(server.Work))
+	}
+	return server
+}
+
+// Zone is the zone of all servers.
 const Zone = "loopback"
 
-// Settings returns the platform's settings object for a sidecar that sends to a tier: the number-th of so many.
+// effects are the values of a class's effect in the platform's settings.
+var effects = map[balancer.Idempotency]string{
+	balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent",
+}
+
+// Settings returns the platform's settings object for the number-th of so many sidecars that send to a tier.
 func (p *Plan) Settings(tier, number, of int) map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	t := p.Tiers[tier]
@@ -53,8 +69,7 @@
 	for _, c := range p.Classes {
 		services = append(services, map[string]any{
 			"name": c.Name, "aim": us(c.LatencyTarget), "deadline": us(c.Deadline), "gain": c.Value, "lateValue": 0,
-			"effect":   map[balancer.Idempotency]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}[c.Idempotency],
-			"keyScope": string(c.Scope), "window": us(c.Window), "streamed": false,
+			"effect": effects[c.Idempotency], "keyScope": string(c.Scope), "window": us(c.Window), "streamed": false,
 		})
 	}
 	var names []string
@@ -78,13 +93,13 @@
 	}
 }
 
-// SidecarSpec is what a sidecar is there for.
+// SidecarSpec is one sidecar of a plan.
 type SidecarSpec struct {
 	Name   string
 	Tier   int // that it sends to
-	Number int // among its like
-	Count  int
-	Server int // whose calls it takes; -1 for callers from outside
+	Number int // among the sidecars of its tier, from 0
+	Count  int // how many the sidecars of its tier are announced to be
+	Server int // whose calls go through it; -1 for callers from outside
 }
 
 // SidecarSpecs returns all sidecars: those for callers first, then one for each server that calls.
@@ -93,9 +108,10 @@
 		of := cmp.Or(p.Sidecars.AnnouncedCount, p.Sidecars.Count)
 		all = append(all, SidecarSpec{fmt.Sprintf("n%d", i+1), 0, i % of, of, -1})
 	}
-	for i, b := range p.Servers {
-		if t := p.Tiers[b.Tier]; t.Calls != "" {
-			all = append(all, SidecarSpec{fmt.Sprintf("%s-%d", t.Name, b.Number), b.Tier + 1, (b.Number - 1) % t.Servers, t.Servers, i})
+	for i := range p.Servers {
+		s := &p.Servers[i]
+		if t := p.Tiers[s.Tier]; t.Calls != "" {
+			all = append(all, SidecarSpec{fmt.Sprintf("%s-%d", t.Name, s.Number), s.Tier + 1, (s.Number - 1) % t.Servers, t.Servers, i})
 		}
 	}
 	return all
--- a/internal/rehearsal/scenario/serverevents.go
+++ b/internal/rehearsal/scenario/serverevents.go
@@ -13,7 +13,7 @@
 // maxNamedServers is how many servers are named in a window; of more, their number is given.
 const maxNamedServers = 4
 
-// mergeWindows makes one window of those that an event's servers have had each.
+// mergeWindows replaces the windows of an event's servers by one.
 func (p *planner) mergeWindows(from int, hit []int) {
 	if len(p.Windows) == from {
 		return
@@ -58,18 +58,18 @@
 	p.addWindow(e, 0, "%d new of %s", n.Count, t.Name)
 }
 
-// sidecarCount returns how many sidecars there are at most.
+// sidecarCount returns how many sidecars there ever are, so far.
 func (p *planner) sidecarCount() int {
-	n := p.Sidecars.Count
-	for _, b := range p.Servers {
-		if p.Tiers[b.Tier].Calls != "" {
-			n++
+	count := p.Sidecars.Count
+	for i := range p.Servers {
+		if p.Tiers[p.Servers[i].Tier].Calls != "" {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// startServer starts a server, cold.
+// startServer plans the start of a server, cold, and when discovery has it.
 func (p *planner) startServer(at time.Duration, server, line int) {
 	at = max(at, time.Millisecond) // 0 is long ago
 	state := p.servers[server]
@@ -80,7 +80,7 @@
 	p.notify(at+p.Discovery.AddDelay, server, stateReady, at, line)
 }
 
-// selectServers draws the servers that an event hits: such as are there, up, and not hit by another one already.
+// selectServers draws the servers that an event hits, of those that are up and not busy with another event.
 func (p *planner) selectServers(e *event, selector *serverSelector) []int {
 	at := time.Duration(e.At)
 	tier := p.Tier(selector.Tier)
@@ -101,7 +101,7 @@
 			p.add(positionOf(selector.Pos), "%v%% of the boxes is more than there are", float64(*selector.Share)*100)
 			return nil
 		}
-		// The nearest whole number: a share that is named hits somebody.
+		// The nearest whole number, but at least one.
 		count = max(1, int(math.Round(float64(*selector.Share)*float64(total))))
 	}
 	if count < 1 || count > len(up) {
@@ -115,7 +115,7 @@
 	return hit
 }
 
-// serversUp returns the servers of a tier that are up and not hit by another event, and how many there are with those that are.
+// serversUp returns the servers of a tier that are up and not busy with another event, and how many there are with the busy ones.
 func (p *planner) serversUp(at time.Duration, tier int) (up []int, total int) {
 	for i := range p.Servers {
 		state := p.servers[i]
@@ -155,7 +155,7 @@
 // goneBy reports whether a server is gone at a time.
 func (s *serverState) goneBy(at time.Duration) bool { return s.goneAt >= 0 && at >= s.goneAt }
 
-// planServerEvent draws what one server suffers; nth counts those of the event.
+// planServerEvent plans what happens to one server; nth counts the servers of the event, from 0.
 func (p *planner) planServerEvent(e *event, nth, server int) {
 	at := time.Duration(e.At)
 	switch s := e.Servers; {
@@ -195,19 +195,19 @@
 	p.addStep(step)
 }
 
-// setBusy has no other event hit the server before a time.
+// setBusy keeps other events off the server until a time.
 func (s *serverState) setBusy(until time.Duration, line int) {
 	s.busyUntil = until
 	s.busyLine = line
 }
 
-// setGone has the server be no more from a time on.
+// setGone records when the server ends for good, or begins to drain.
 func (s *serverState) setGone(at time.Duration, line int) {
 	s.goneAt = at
 	s.goneLine = line
 }
 
-// planOutage takes a server away for some time; discovery knows of it after a delay, if it is away for so long.
+// planOutage plans the outage of a server; discovery has it after a delay, if the outage takes longer.
 func (p *planner) planOutage(e *event, server int, kind StepKind, length, notice time.Duration, name string) {
 	at := time.Duration(e.At)
 	back := at + length
@@ -220,7 +220,7 @@
 	p.addWindow(e, length, "%s", name)
 }
 
-// planReplacement has a new server take over from one, at its address or at another.
+// planReplacement replaces a server by a new one, at its address or at another.
 func (p *planner) planReplacement(e *event, nth, server int) {
 	at, line := time.Duration(e.At), e.Pos.Line
 	replace, tier := e.Servers.Replace, p.Servers[server].Tier
@@ -259,7 +259,7 @@
 	p.addWindow(e, time.Duration(s.For), "%v times slower", s.By)
 }
 
-// planWeight has discovery know another weight of a server, after what it knows of it already.
+// planWeight changes the weight of a server in discovery, after the updates that it has already.
 func (p *planner) planWeight(e *event, server int) {
 	weight := *e.Servers.Weigh
 	if weight > maxWeight {
@@ -270,7 +270,7 @@
 	p.addWindow(e, 0, "weigh %v", weight)
 }
 
-// planFault has a server fail a share of its calls for some time.
+// planFault plans a fault of a share of a server's calls.
 func (p *planner) planFault(e *event, server int) {
 	f := e.Servers.Fault
 	if *f.Of > 1 {
@@ -285,7 +285,7 @@
 	p.addWindow(e, time.Duration(f.For), "%s %v%% of calls", name, share*100)
 }
 
-// name returns what a server does, without the ending that some verbs have.
+// name returns the name of the fault, from a verb that may end in s.
 func (f *fault) name() string {
 	for _, name := range []string{"lose", "reset", "fail", "garble", "refuse"} {
 		if f.What == name || f.What == name+"s" {
@@ -295,7 +295,7 @@
 	return f.What
 }
 
-// drainServer has a server finish what it has, and end.
+// drainServer plans that a server drains and ends.
 func (p *planner) drainServer(at, end time.Duration, server, line int) {
 	state := p.servers[server]
 	state.setGone(at, line)
--- a/internal/rehearsal/scenario/settingkeys.go
+++ b/internal/rehearsal/scenario/settingkeys.go
@@ -11,13 +11,13 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// settingKey is one setting: what may stand behind its name, and where it goes.
+// settingKey is the key of a setting of a T.
 type settingKey[T any] struct {
-	expected string // what is expected, for messages
-	set      func(at *T, v *value) bool
+	expected string                     // which values it takes, for findings
+	set      func(at *T, v *value) bool // sets the value; false if it is not one of these
 }
 
-// integerKey is a whole number within bounds.
+// integerKey returns a key whose value is a whole number within bounds.
 func integerKey[T any](field func(*T) *int, least, most int) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a whole number from %d to %d", least, most), func(at *T, v *value) bool {
 		n := v.Low.Number
@@ -29,7 +29,7 @@
 	}}
 }
 
-// durationKey is a time within bounds.
+// durationKey returns a key whose value is a time within bounds.
 func durationKey[T any](field func(*T) *time.Duration, least, most time.Duration) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a time from %v to %v, like 250ms or 9s", least, most), func(at *T, v *value) bool {
 		d := v.Low.Duration
@@ -52,7 +52,7 @@
 	return 0, false
 }
 
-// numberKey is a number or a percentage within bounds.
+// numberKey returns a key whose value is a number or a percentage within bounds.
 func numberKey[T any](field func(*T) *float64, least, most float64) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a number from %v to %v", least, most), func(at *T, v *value) bool {
 		f, ok := v.Low.number()
@@ -64,7 +64,7 @@
 	}}
 }
 
-// rangeKey is a number, or a range of numbers, within bounds.
+// rangeKey returns a key whose value is a number, or a range of numbers, within bounds.
 func rangeKey[T any](field func(*T) *Range, least, most float64) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a number or a range like 0.6..1.5, from %v to %v", least, most), func(at *T, v *value) bool {
 		low, ok := v.Low.number()
@@ -80,7 +80,7 @@
 	}}
 }
 
-// wordKey is one of some words.
+// wordKey returns a key whose value is one of some words.
 func wordKey[T any](set func(*T, string), known ...string) settingKey[T] {
 	return settingKey[T]{"one of " + strings.Join(known, ", "), func(at *T, v *value) bool {
 		if v.High != nil || v.Low.Word == nil || len(known) > 0 && !slices.Contains(known, *v.Low.Word) {
@@ -91,7 +91,7 @@
 	}}
 }
 
-// boolKey is yes or no.
+// boolKey returns a key whose value is yes or no.
 func boolKey[T any](field func(*T) *bool) settingKey[T] {
 	return wordKey(func(at *T, w string) { *field(at) = w == "yes" }, "yes", "no")
 }
@@ -140,77 +140,77 @@
 
 // sidecarKeys are the keys of the section sidecars.
 var sidecarKeys = map[string]settingKey[Scenario]{
-	"count":   integerKey(func(m *Scenario) *int { return &m.Sidecars.Count }, 1, MaxSidecars),
-	"told":    integerKey(func(m *Scenario) *int { return &m.Sidecars.AnnouncedCount }, 0, 10*MaxSidecars),
-	"peers":   boolKey(func(m *Scenario) *bool { return &m.Sidecars.Peers }),
-	"sockets": integerKey(func(m *Scenario) *int { return &m.Sidecars.Sockets }, 64, 65536),
-	"memory": {"a size like 192MiB", func(m *Scenario, v *value) bool {
+	"count":   integerKey(func(s *Scenario) *int { return &s.Sidecars.Count }, 1, MaxSidecars),
+	"told":    integerKey(func(s *Scenario) *int { return &s.Sidecars.AnnouncedCount }, 0, 10*MaxSidecars),
+	"peers":   boolKey(func(s *Scenario) *bool { return &s.Sidecars.Peers }),
+	"sockets": integerKey(func(s *Scenario) *int { return &s.Sidecars.Sockets }, 64, 65536),
+	"memory": {"a size like 192MiB", func(s *Scenario, v *value) bool {
 		if v.High != nil || v.Low.Size == nil {
 			return false
 		}
 		n, err := strconv.Atoi(strings.TrimSuffix(*v.Low.Size, "MiB"))
-		m.Sidecars.MemoryMB = n
+		s.Sidecars.MemoryMB = n
 		return err == nil && n >= 16 && n <= 4096
 	}},
 }
 
 // callerKeys are the keys of the section callers.
 var callerKeys = map[string]settingKey[Scenario]{
-	"rate": {"a rate like 150/s, above 0", func(m *Scenario, v *value) bool {
+	"rate": {"a rate like 150/s, above 0", func(s *Scenario, v *value) bool {
 		if v.High != nil || v.Low.Rate == nil {
 			return false
 		}
 		f, err := strconv.ParseFloat(strings.TrimSuffix(*v.Low.Rate, "/s"), 64)
-		m.Callers.Rate = f
+		s.Callers.Rate = f
 		return err == nil && f > 0 && f <= 20_000
 	}},
-	"shape":    wordKey(func(m *Scenario, w string) { m.Callers.Shape = w }, "steady", "bursty", "wave"),
-	"swing":    numberKey(func(m *Scenario) *float64 { return &m.Callers.Swing }, 0, 1),
-	"retries":  integerKey(func(m *Scenario) *int { return &m.Callers.Retries }, 0, 10),
-	"patience": rangeKey(func(m *Scenario) *Range { return &m.Callers.Patience }, 0.01, 1),
-	"backoff":  durationKey(func(m *Scenario) *time.Duration { return &m.Callers.Backoff }, 0, time.Minute),
-	"at_first": numberKey(func(m *Scenario) *float64 { return &m.Callers.FirstSidecarShare }, 0, 1),
-	"honour":   numberKey(func(m *Scenario) *float64 { return &m.Callers.HonoursRetryAfter }, 0, 1),
+	"shape":    wordKey(func(s *Scenario, w string) { s.Callers.Shape = w }, "steady", "bursty", "wave"),
+	"swing":    numberKey(func(s *Scenario) *float64 { return &s.Callers.Swing }, 0, 1),
+	"retries":  integerKey(func(s *Scenario) *int { return &s.Callers.Retries }, 0, 10),
+	"patience": rangeKey(func(s *Scenario) *Range { return &s.Callers.Patience }, 0.01, 1),
+	"backoff":  durationKey(func(s *Scenario) *time.Duration { return &s.Callers.Backoff }, 0, time.Minute),
+	"at_first": numberKey(func(s *Scenario) *float64 { return &s.Callers.FirstSidecarShare }, 0, 1),
+	"honour":   numberKey(func(s *Scenario) *float64 { return &s.Callers.HonoursRetryAfter }, 0, 1),
 }
 
 // discoveryKeys are the keys of the section discovery.
 var discoveryKeys = map[string]settingKey[Scenario]{
-	"by":            wordKey(func(m *Scenario, w string) { m.Discovery.Consul = w == "consul" }, "platform", "consul"),
-	"notice":        durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.NoticeDelay }, 0, time.Minute),
-	"silent_notice": durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.SilentNoticeDelay }, 0, time.Minute),
-	"late":          durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.LateDelay }, 0, 5*time.Second),
-	"late_share":    numberKey(func(m *Scenario) *float64 { return &m.Discovery.LateShare }, 0, 1),
-	"boot":          wordKey(func(m *Scenario, w string) { m.Discovery.BootTime = BootTime(w) }, string(BootTimeTrue), string(BootTimeNone), string(BootTimeAhead)),
-	"add":           durationKey(func(m *Scenario) *time.Duration { return &m.Discovery.AddDelay }, 0, time.Minute),
+	"by":            wordKey(func(s *Scenario, w string) { s.Discovery.Consul = w == "consul" }, "platform", "consul"),
+	"notice":        durationKey(func(s *Scenario) *time.Duration { return &s.Discovery.NoticeDelay }, 0, time.Minute),
+	"silent_notice": durationKey(func(s *Scenario) *time.Duration { return &s.Discovery.SilentNoticeDelay }, 0, time.Minute),
+	"late":          durationKey(func(s *Scenario) *time.Duration { return &s.Discovery.LateDelay }, 0, 5*time.Second),
+	"late_share":    numberKey(func(s *Scenario) *float64 { return &s.Discovery.LateShare }, 0, 1),
+	"boot":          wordKey(func(s *Scenario, w string) { s.Discovery.BootTime = BootTime(w) }, bootTimes...),
+	"add":           durationKey(func(s *Scenario) *time.Duration { return &s.Discovery.AddDelay }, 0, time.Minute),
 }
 
 // ruleKeys are the keys of the section rules.
 var ruleKeys = map[string]settingKey[Scenario]{
-	"drain":      durationKey(func(m *Scenario) *time.Duration { return &m.Rules.Drain }, 0, time.Minute),
-	"tip_by":     numberKey(func(m *Scenario) *float64 { return &m.Rules.OverloadFactor }, 0, 1000),
-	"tip_window": durationKey(func(m *Scenario) *time.Duration { return &m.Rules.OverloadWindow }, time.Millisecond, time.Minute),
-	"attempts":   integerKey(func(m *Scenario) *int { return &m.Rules.MaxAttempts }, 1, 100),
-	"copies":     boolKey(func(m *Scenario) *bool { return &m.Rules.Hedging }),
-	"connect":    durationKey(func(m *Scenario) *time.Duration { return &m.Rules.ConnectTimeout }, time.Millisecond, time.Minute),
-	"slack":      durationKey(func(m *Scenario) *time.Duration { return &m.Rules.Slack }, 0, time.Second),
-	"kill":       durationKey(func(m *Scenario) *time.Duration { return &m.Rules.KillDelay }, 0, time.Minute),
+	"drain":      durationKey(func(s *Scenario) *time.Duration { return &s.Rules.Drain }, 0, time.Minute),
+	"tip_by":     numberKey(func(s *Scenario) *float64 { return &s.Rules.OverloadFactor }, 0, 1000),
+	"tip_window": durationKey(func(s *Scenario) *time.Duration { return &s.Rules.OverloadWindow }, time.Millisecond, time.Minute),
+	"attempts":   integerKey(func(s *Scenario) *int { return &s.Rules.MaxAttempts }, 1, 100),
+	"copies":     boolKey(func(s *Scenario) *bool { return &s.Rules.Hedging }),
+	"connect":    durationKey(func(s *Scenario) *time.Duration { return &s.Rules.ConnectTimeout }, time.Millisecond, time.Minute),
+	"slack":      durationKey(func(s *Scenario) *time.Duration { return &s.Rules.Slack }, 0, time.Second),
+	"kill":       durationKey(func(s *Scenario) *time.Duration { return &s.Rules.KillDelay }, 0, time.Minute),
 }
 
 // topKeys are the settings without a section.
 var topKeys = map[string]settingKey[Scenario]{
-	"title":  {"a text in quotation marks", func(m *Scenario, v *value) bool { return v.High == nil && v.Low.readText(&m.Title) }},
-	"length": durationKey(func(m *Scenario) *time.Duration { return &m.Length }, time.Second, MaxLength),
-	"seed": {"a whole number", func(m *Scenario, v *value) bool {
+	"title":  {"a text in quotation marks", func(s *Scenario, v *value) bool { return v.High == nil && v.Low.readText(&s.Title) }},
+	"length": durationKey(func(s *Scenario) *time.Duration { return &s.Length }, time.Second, MaxLength),
+	"seed": {"a whole number", func(s *Scenario, v *value) bool {
 		n := v.Low.Number
 		if v.High != nil || n == nil || !isInteger(*n) {
 			return false
 		}
-		m.Seed = uint64(*n)
+		s.Seed = uint64(*n)
 		return true
 	}},
 }
 
-// readText takes a text in quotation marks; false if it is none.
+// readText reads a text in quotation marks; false if it is none.
 func (s *scalar) readText(to *string) bool {
 	if s.Text == nil {
 		return false
@@ -219,7 +219,7 @@
 	return true
 }
 
-// readName takes a word; false if it is none.
+// readName reads a word; false if it is none.
 func (v *value) readName(to *string) bool {
 	if v.High != nil || v.Low.Word == nil {
 		return false
--- a/internal/rehearsal/scenario/settings.go
+++ b/internal/rehearsal/scenario/settings.go
@@ -12,7 +12,7 @@
 // sectionNames are the words that a setting may begin with.
 var sectionNames = []string{"title", "length", "seed", "tier", "class", "sidecars", "callers", "discovery", "rules", "expect", "at"}
 
-// applySetting takes one line of settings.
+// applySetting applies one line of settings.
 func (s *Scenario) applySetting(line *setting, add finding.Reporter) {
 	at := positionOf(line.Pos)
 	switch line.Section {
@@ -46,7 +46,7 @@
 	}
 }
 
-// tierFor returns the tier of a name, a new one if it is named for the first time.
+// tierFor returns the tier of a name, and adds it if it is named for the first time.
 func (s *Scenario) tierFor(name string, at finding.Pos) *Tier {
 	t := s.Tier(name)
 	if t == nil {
@@ -57,7 +57,7 @@
 	return t
 }
 
-// classFor returns the class of a name, a new one if it is named for the first time.
+// classFor returns the class of a name, and adds it if it is named for the first time.
 func (s *Scenario) classFor(name string, at finding.Pos) *Class {
 	if i := slices.IndexFunc(s.Classes, func(c *Class) bool { return c.Name == name }); i >= 0 {
 		return s.Classes[i]
@@ -84,8 +84,8 @@
 	return name, s.Values[1:], true
 }
 
-// applyPairs takes keys with their values.
-func applyPairs[T any](m *Scenario, to *T, path string, keys map[string]settingKey[T], values []*value, add finding.Reporter) {
+// applyPairs applies keys with their values.
+func applyPairs[T any](s *Scenario, to *T, path string, keys map[string]settingKey[T], values []*value, add finding.Reporter) {
 	for i := 0; i < len(values); i += 2 {
 		var name string
 		if !values[i].readName(&name) {
@@ -99,19 +99,19 @@
 		case i+1 == len(values):
 			add(positionOf(values[i].Pos), "%s takes %s", name, k.expected)
 		default:
-			applyOne(m, to, path, name, k, values[i+1], add)
+			applyOne(s, to, path, name, k, values[i+1], add)
 		}
 	}
 }
 
-// applyOne takes one key with its value, unless it has been set before.
-func applyOne[T any](m *Scenario, to *T, path, name string, k settingKey[T], v *value, add finding.Reporter) {
+// applyOne applies one key with its value, unless it has been set before.
+func applyOne[T any](s *Scenario, to *T, path, name string, k settingKey[T], v *value, add finding.Reporter) {
 	at := positionOf(v.Pos)
-	if old, ok := m.positions[path+name]; ok {
+	if old, ok := s.positions[path+name]; ok {
 		add(at, "%s%s is set twice, first in line %d", path, name, old.Line)
 		return
 	}
-	m.positions[path+name] = at
+	s.positions[path+name] = at
 	if !k.set(to, v) {
 		add(at, "%s takes %s", name, k.expected)
 	}
--- a/internal/rehearsal/scenario/sidecarevents.go
+++ b/internal/rehearsal/scenario/sidecarevents.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// planSignals draws the sidecars that get a signal.
+// planSignals plans the signals of an event, and draws which sidecars get them.
 func (p *planner) planSignals(e *event, s *sidecarEvent) {
 	sidecars, ok := p.selectSidecars(e, s)
 	if !ok {
@@ -27,13 +27,13 @@
 	}
 }
 
-// The signals that are not ends of a sidecar.
+// The signals that do not end a sidecar.
 const (
 	signalReload = "SIGHUP"
 	signalStop   = "SIGSTOP"
 )
 
-// selectSidecars draws the sidecars that an event is about; false if there are no such.
+// selectSidecars draws the sidecars that an event is about; false if there is a finding.
 func (p *planner) selectSidecars(e *event, s *sidecarEvent) ([]int, bool) {
 	count := p.Sidecars.Count
 	if s.One != nil {
@@ -65,7 +65,7 @@
 	return all, true
 }
 
-// planSignal has one sidecar get a signal, and come back if the event says so.
+// planSignal plans the signal to one sidecar, and its restart if the event says so.
 func (p *planner) planSignal(e *event, s *sidecarEvent, sidecar int) {
 	at := time.Duration(e.At)
 	if s.Signal != signalReload {
