--- a/internal/network/gossip/config.go
+++ b/internal/network/gossip/config.go
@@ -12,30 +12,31 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Config is what a Group is made of.
+// Config configures a Group.
 type Config struct {
 	Settings
-	Name            string // of this sidecar, the same after a restart
-	Application     string // others of the same one are its peers
-	Version         string // of the program, for people
-	ExpectedMembers int    // that a file names
-	Keys            [][]byte
+	Name            string   // of this sidecar; it stays the same after a restart
+	Application     string   // sidecars of the same application are peers
+	Version         string   // of the program, shown to operators
+	ExpectedMembers int      // number of sidecars in the settings file; the view starts from it
+	Keys            [][]byte // see ParseKeys; empty turns encryption off
 
-	// SettledNames and KnownAddresses are the group that an earlier run handed to OnSettled; nil for none.
+	// SettledNames and KnownAddresses are the group that an earlier run passed to OnSettled; nil if there was none.
 	SettledNames   []string
 	KnownAddresses []string
 
-	// Ready tells whether this sidecar serves by now. It is asked in each tick until it does; nil for one that does at once.
+	// Ready reports whether this sidecar serves requests. It is called in each tick until it returns true. Nil means that the
+	// sidecar serves from the start.
 	Ready func() bool
-	// OnShare takes a share that differs from the one before. It is called by one goroutine at a time.
+	// OnShare is called with each share that differs from the previous one, by one goroutine at a time.
 	OnShare func(peers.Share)
-	// OnSettled takes a group that has settled, and where its members are, for a later run; nil for nobody.
+	// OnSettled is called with the names and addresses of a group that has settled, for a later run to start with. It may be nil.
 	OnSettled func(names, addresses []string)
-	// FindAddresses looks for addresses beside those of the file while members are missing; nil for nowhere.
+	// FindAddresses returns addresses beside those in the settings file. It is called while members are missing, and may be nil.
 	FindAddresses func() ([]string, error)
-	// NewTransport makes the network in place of sockets, for tests; nil for sockets.
+	// NewTransport returns the network that tests use in place of sockets; nil for sockets.
 	NewTransport func() (memberlist.Transport, error)
-	Log          *slog.Logger // nil for the default
+	Log          *slog.Logger // nil for slog.Default
 }
 
 const (
@@ -47,22 +48,22 @@
 	maxJoinBackoff      = 20 * time.Second
 	maxLearnedAddresses = 32
 
-	// suspicionMult is how many probe intervals, times the logarithm of the members, a suspect has to refute a suspicion;
-	// suspicionMaxMult times that if nobody else suspects it too.
+	// suspicionMult is the time in which a suspect may refute a suspicion, in probe intervals times the logarithm of the number of
+	// members. It is suspicionMaxMult times as long if no second member suspects it.
 	suspicionMult    = 4
 	suspicionMaxMult = 2
-	// maxAwareness is how many times slower, at most, a member judges others that takes itself for unhealthy: when most members
-	// die at once, the others take themselves for that.
+	// maxAwareness bounds the factor by which a member that considers itself unhealthy slows down its verdicts on others. When
+	// most members die at once, the survivors consider themselves unhealthy.
 	maxAwareness = 3
-	// exchangeIntervals is how many probe intervals are between two full exchanges with one member. They cost more the more
-	// members there are, and a difference is found by digests.
+	// exchangeIntervals is the number of probe intervals between two full exchanges. The cost of an exchange grows with the number
+	// of members, and digests find differences sooner.
 	exchangeIntervals = 240
-	// gossipsPerProbe is how many rounds of broadcasts there are in a probe interval.
+	// gossipsPerProbe is the number of rounds of broadcasts in a probe interval.
 	gossipsPerProbe   = 5
 	minGossipInterval = 20 * time.Millisecond
 )
 
-// memberlistConfig is the library's configuration for a group. It opens the transport.
+// memberlistConfig returns the library's configuration for the group. It opens the transport.
 func (g *Group) memberlistConfig() (*memberlist.Config, error) {
 	m := memberlist.DefaultLANConfig()
 	m.Name = g.nodeName()
@@ -97,7 +98,7 @@
 	return m, g.openSockets(m)
 }
 
-// openSockets has a configuration use the addresses of the settings.
+// openSockets opens the sockets that the settings name, and sets the addresses and the transport of m.
 func (g *Group) openSockets(m *memberlist.Config) error {
 	listen, err := net.ResolveUDPAddr("udp", g.config.Listen)
 	if err != nil {
--- a/internal/network/gossip/delegate.go
+++ b/internal/network/gossip/delegate.go
@@ -11,7 +11,7 @@
 // digestBytes is the length of a digest in the answer to a probe, little-endian.
 const digestBytes = 8
 
-// delegate is what memberlist calls. It calls with its locks held: no method waits, or calls memberlist.
+// delegate implements the callbacks of memberlist. memberlist calls them with its locks held, so no method blocks or calls back into it.
 type delegate struct{ group *Group }
 
 var (
@@ -22,7 +22,7 @@
 	_ memberlist.PingDelegate  = (*delegate)(nil)
 )
 
-// NodeMeta is the node's metadata; nil if it is larger than the limit, in bytes.
+// NodeMeta returns the node's metadata, or nil if it is larger than limit bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// NotifyMsg takes a message of a member: a broadcast, a query or an answer.
+// NotifyMsg handles a message from a member: a broadcast, a query or an answer.
 func (d *delegate) NotifyMsg(b []byte) {
 	g := d.group
 	e := g.receive(b)
@@ -45,30 +45,30 @@
 	g.pendingAnswers.deliver(e)
 }
 
-// GetBroadcasts is what is to be sent, within a limit in bytes.
+// GetBroadcasts returns the queued broadcasts that fit into limit bytes.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.group.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is all that this member knows, for a full exchange.
+// LocalState returns all records of the view, for a full exchange.
 func (d *delegate) LocalState(_ bool) []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
 	return d.group.encodeRecords(d.group.view.Records()...)
 }
 
-// MergeRemoteState takes all that another one knows.
+// MergeRemoteState merges the records of another member after a full exchange.
 func (d *delegate) MergeRemoteState(b []byte, _ bool) { d.group.receive(b) }
 
-// AckPayload goes with each answer to a probe: the digest of this member's view.
+// AckPayload returns the digest of this member's view, which is sent with each answer to a probe.
 func (d *delegate) AckPayload() []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
 	return binary.LittleEndian.AppendUint64(nil, d.group.view.Digest(d.group.now()))
 }
 
-// NotifyPingComplete takes the digest of a member that was probed. After a partition one may reach all others and be gone for
-// them, which none of them finds out by probing it.
+// NotifyPingComplete compares the digest of a member that was probed. After a partition a member may reach all others and still be
+// gone in their views; they don't probe it, so only the digest shows the difference.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
 	if len(payload) != digestBytes {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// NotifyAlive rejects whoever is not of this application, or beyond the members that may be known.
+// NotifyAlive rejects nodes of other applications, and new nodes once MaxMembers nodes are known.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	_, rejection := d.group.decodeOwn(n.Meta)
 	if rejection == "" && int(d.group.nodes.Load()) >= d.group.config.MaxMembers {
@@ -89,7 +89,7 @@
 	return d.reject(n, rejection)
 }
 
-// NotifyMerge rejects a whole list in which a node is of another application: its members would learn of ours.
+// NotifyMerge rejects a node list that has a node of another application: that application's members would learn of ours.
 func (d *delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	for _, n := range nodes {
 		_, rejection := d.group.decodeOwn(n.Meta)
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// reject counts a rejection, and makes it an error; nil for none.
+// reject counts a rejection and returns it as an error; nil if rejection is empty.
 func (d *delegate) reject(n *memberlist.Node, rejection string) error {
 	if rejection == "" {
 		return nil
@@ -109,13 +109,13 @@
 	return fmt.Errorf("%s: %s", n.Address(), rejection)
 }
 
-// NotifyJoin takes a node that memberlist reaches by now.
+// NotifyJoin marks a node as reachable once memberlist has reached it.
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	d.group.nodes.Add(1)
 	d.markReachable(n)
 }
 
-// NotifyUpdate takes a node's new metadata.
+// NotifyUpdate merges a node's new metadata.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.markReachable(n) }
 
 func (d *delegate) markReachable(n *memberlist.Node) {
@@ -133,7 +133,7 @@
 	g.view.MarkReachable(g.now(), process)
 }
 
-// NotifyLeave takes a node that memberlist gave up, or that left.
+// NotifyLeave marks a node as unreachable that left or that memberlist has declared dead.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	d.group.nodes.Add(-1)
 	e := d.decodeMetadata(n)
@@ -150,7 +150,8 @@
 	}
 }
 
-// decodeMetadata reads the one record in a node's metadata; nil for this member itself, and for one that says nothing of itself.
+// decodeMetadata returns the envelope in a node's metadata, which has one record. It returns nil for this member itself and for
+// metadata without exactly one record.
 func (d *delegate) decodeMetadata(n *memberlist.Node) *envelope {
 	e, rejection := d.group.decodeOwn(n.Meta)
 	if rejection != "" || len(e.records) != 1 || n.Name == d.group.nodeName() {
--- a/internal/network/gossip/doc.go
+++ b/internal/network/gossip/doc.go
@@ -12,23 +12,22 @@
 //
 // # Messages
 //
-// All that members send one another is an envelope (see wire.go): in a node's metadata its own record, in broadcasts single
-// records, in a full exchange all of them. The answer to each probe carries the digest of the sender's view; after a difference
-// all is exchanged with that member.
+// Members send one another envelopes (see wire.go). A node's metadata holds its own record, a broadcast one record, a full exchange
+// all records. The answer to a probe carries the digest of the sender's view; if the digests differ, the two members make a full
+// exchange.
 //
 // # What is rejected
 //
-// Whoever is of another application, or speaks another format, is rejected and counted by reason; whoever has another key can't
-// be decrypted. Members are bounded by peers_most, connections from others by maxInboundStreams.
+// Messages of another application or in another format are rejected and counted by reason; messages under another key can't be
+// decrypted. peers_most bounds the members, maxInboundStreams the connections from others.
 //
 // # Goroutines
 //
 // Each Group has a loop that ticks and answers queries, which Close waits for, and one that announces new metadata. An attempt to
-// join, an answer and the queries of Fleet have goroutines for themselves, because each may wait for a member that does not
-// respond; they end within a few seconds of timeouts. Close does not wait for these: a sidecar that ends would be late.
+// join, an answer and the queries of Fleet have goroutines of their own, because each may wait for a member that does not
+// respond. They end with their timeouts, within a few seconds. Close does not wait for them: the sidecar's shutdown would be late.
 //
 // # What it does not do
 //
-// It decides nothing about what records mean: that is the view's. It keeps nothing on disk: OnSettled hands over what a later run
-// should know.
+// It does not interpret records: the view does. It keeps nothing on disk: OnSettled passes on what a later run starts with.
 package gossip
--- a/internal/network/gossip/figures_test.go
+++ b/internal/network/gossip/figures_test.go
@@ -79,7 +79,7 @@
 	})
 }
 
-// times measures one size: a start, a quiet minute, a death, a join, a partition that heals.
+// times measures a fleet of n members: its start, a quiet minute, a death, a join, a partition that heals. It returns a line of the table.
 func times(t *testing.T, n int) string {
 	t.Helper()
 	before := heap()
@@ -90,7 +90,7 @@
 	}
 	const long = 5 * time.Minute
 	start := fleet.within(long, "start", fleet.agree)
-	held := float64(heap()-before) / float64(n)
+	memory := float64(heap()-before) / float64(n)
 	sent := func() (b int) {
 		fleet.net.set(func() {
 			for _, x := range fleet.net.bytes {
@@ -111,7 +111,7 @@
 	joined := fleet.within(long, "a join", fleet.agree)
 	time.Sleep(time.Minute)
 	fleet.halve()
-	cut := fleet.within(long, "a cut", func() bool {
+	parted := fleet.within(long, "a partition", func() bool {
 		for i, g := range fleet.members {
 			want := n - n/2
 			if i < n/2 {
@@ -126,28 +126,30 @@
 	time.Sleep(time.Minute)
 	fleet.heal()
 	healed := fleet.within(long, "healed", fleet.agree)
-	return fmt.Sprintf("| %d | %.1f s | %.1f s | %.1f s | %.1f s | %.1f s | %.0f | %.2f | %.0f |", n, start.Seconds(), died.Seconds(), joined.Seconds(),
-		cut.Seconds(), healed.Seconds(), rate, work*1000, held/1024)
+	return fmt.Sprintf("| %d | %.1f s | %.1f s | %.1f s | %.1f s | %.1f s | %.0f | %.2f | %.0f |",
+		n, start.Seconds(), died.Seconds(), joined.Seconds(),
+		parted.Seconds(), healed.Seconds(), rate, work*1000, memory/1024)
 }
 
-// lossy counts for ten minutes how often a member that lives is taken for gone by another, and how often the group changes.
+// lossy counts for ten minutes how often a member that runs is declared gone by another, and how often the group changes. It returns a
+// line of the table.
 func lossy(t *testing.T, n int, loss float64) string {
 	t.Helper()
 	fleet := newFleet(t, n, 1)
 	defer fleet.end()
-	said := &lines{}
+	logged := &lines{}
 	for i := range n {
-		fleet.start(i, n, func(c *Config) { c.Log = said.logger() })
+		fleet.start(i, n, func(c *Config) { c.Log = logged.logger() })
 	}
 	fleet.within(5*time.Minute, "start", fleet.agree)
 	time.Sleep(time.Second) // a view is as agreed a tick before its member says so
 	fleet.net.set(func() { fleet.net.loss = loss })
-	said.take()
+	logged.take()
 	const length = 10 * time.Minute
 	time.Sleep(length)
 	gone, moves := 0, 0
 	verdicts := map[string]bool{} // one for each member that was taken for gone, whoever heard of it
-	for _, l := range said.take() {
+	for _, l := range logged.take() {
 		if strings.Contains(l, "msg=peer ") && strings.Contains(l, "to=gone") {
 			gone++
 			if i := strings.Index(l, "process="); i >= 0 && strings.Contains(l, `cause="not reached"`) {
--- a/internal/network/gossip/fleet_test.go
+++ b/internal/network/gossip/fleet_test.go
@@ -33,11 +33,11 @@
 	t.Cleanup(func() { runtime.GOMAXPROCS(processors) })
 }
 
-// virtualFleet is members in virtual time, on a virtual network.
+// virtualFleet is a fleet of members in virtual time, on a virtual network.
 type virtualFleet struct {
 	t          *testing.T
 	net        *network
-	members    []*Group // nil for one that is dead
+	members    []*Group // nil for a member that is dead
 	history    []string // what was done to them, for a failure
 	began      time.Time
 	join       string
@@ -56,7 +56,7 @@
 	}
 }
 
-// record notes a step for a failure.
+// record adds a step to the history, which a failure prints.
 func (v *virtualFleet) record(format string, args ...any) {
 	v.history = append(v.history, fmt.Sprintf("%6.2fs ", time.Since(v.began).Seconds())+fmt.Sprintf(format, args...))
 }
@@ -103,12 +103,7 @@
 		return
 	}
 	v.members[i] = nil
-	v.net.set(func() { // nothing more of it gets out
-		if e := v.net.ends[address(i)]; e != nil {
-			e.closed = true
-			delete(v.net.ends, address(i))
-		}
-	})
+	v.net.remove(address(i))
 	g.stop()
 	<-g.loopDone
 	if err := g.list.Shutdown(); err != nil {
@@ -116,7 +111,7 @@
 	}
 }
 
-// addresses are those of all members, the dead ones among them.
+// addresses returns those of all members, including the dead ones.
 func (v *virtualFleet) addresses() (all []string) {
 	for i := range v.members {
 		all = append(all, address(i))
@@ -124,21 +119,21 @@
 	return all
 }
 
-// partition cuts some off from others, both ways.
+// partition drops everything between some members and others, in both directions.
 func (v *virtualFleet) partition(some, others []string) {
-	v.net.cutOff(some, others)
-	v.net.cutOff(others, some)
+	v.net.partition(some, others)
+	v.net.partition(others, some)
 }
 
-// halve cuts the first half off from the second.
+// halve separates the first half of the members from the second.
 func (v *virtualFleet) halve() {
 	all := v.addresses()
 	half := len(all) / 2
 	v.partition(all[:half], all[half:])
 }
 
-// heal ends all cuts.
-func (v *virtualFleet) heal() { v.net.set(func() { clear(v.net.cut) }) }
+// heal ends all partitions.
+func (v *virtualFleet) heal() { v.net.set(func() { clear(v.net.partitioned) }) }
 
 // end kills all members. memberlist's goroutines end with their timeouts, and time stands still once the test returns.
 func (v *virtualFleet) end() {
@@ -149,7 +144,7 @@
 	time.Sleep(time.Minute)
 }
 
-// state is a member's share of now.
+// state returns the member's present share, and false if it has none.
 func (g *Group) state() (peers.Share, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,7 +152,7 @@
 	return s, ok
 }
 
-// agree tells whether all that live are settled in the group of just these.
+// agree reports whether all members that run are settled in one group, which has them and nobody else.
 func (v *virtualFleet) agree() bool {
 	var alive []*Group
 	for _, g := range v.members {
@@ -174,7 +169,8 @@
 	return true
 }
 
-// haveShares tells whether members have shares of a confidence, a number of instances and a greatest number, 0 for any.
+// haveShares reports whether the members' shares have a confidence, a number of instances and a greatest number of instances; a
+// maxInstances of 0 matches any.
 func haveShares(members []*Group, confidence peers.Confidence, instances, maxInstances int) bool {
 	for _, g := range members {
 		s, _ := g.state()
@@ -220,7 +216,7 @@
 	return time.Since(began)
 }
 
-// views are all members' views, for a failure.
+// views returns all members' views as text, which a failure prints.
 func (v *virtualFleet) views() string {
 	var text strings.Builder
 	for i, g := range v.members {
@@ -232,7 +228,8 @@
 		fmt.Fprintf(&text, "%d: %v %v", i, ok, s)
 		for _, m := range g.Report().Members {
 			if !m.InGroup || m.State != "serving" {
-				fmt.Fprintf(&text, "; %s %s %s reached %v for %dms inc %d", m.Name, m.Process[:4], m.State, m.Reachable, m.StateAgeMS, m.Incarnation)
+				fmt.Fprintf(&text, "; %s %s %s reached %v for %dms inc %d",
+					m.Name, m.Process[:4], m.State, m.Reachable, m.StateAgeMS, m.Incarnation)
 			}
 		}
 		text.WriteString("\n")
--- a/internal/network/gossip/group.go
+++ b/internal/network/gossip/group.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Group is this sidecar among the others. Its methods may be called by several goroutines.
+// Group is this sidecar's membership in the group of its peers. Its methods are safe for concurrent use.
 type Group struct {
 	config    Config
 	process   uint64
@@ -28,8 +28,8 @@
 	rejections      *rejections
 	libraryLog      *libraryLog
 	pendingAnswers  *pendingAnswers
-	queries         chan func()   // answers that the loop is to give
-	metadataChanged chan struct{} // memberlist is to announce new metadata
+	queries         chan func()   // answers for the loop to send
+	metadataChanged chan struct{} // signals that memberlist has new metadata to announce
 	joining         atomic.Bool   // an attempt to join is running
 	stop            context.CancelFunc
 	loopDone        chan struct{}
@@ -38,17 +38,17 @@
 	view         *peers.View
 	joinSchedule *peers.JoinSchedule
 	addresses    map[uint64]string // of the processes that are reached
-	announced    peers.Record      // this member's record, as it was broadcast last
-	reannounce   bool              // it is to be broadcast once more
+	announced    peers.Record      // this member's record as of the last broadcast
+	reannounce   bool              // announced is to be broadcast once more
 	exchangeWith string            // the address of a member whose view differs; empty for none
-	lastDispute  time.Duration     // when members that are said to be gone, and are reached, were last told so
-	share        peers.Share       // as OnShare has it
-	haveShare    bool
-	lastSettled  []string // as OnSettled has it
+	lastDispute  time.Duration     // when disputed records were last sent, on the view's clock
+	share        peers.Share       // as of the last call of OnShare
+	haveShare    bool              // OnShare has been called
+	lastSettled  []string          // as of the last call of OnSettled
 }
 
-// Open joins the others, or waits to be found by them. It returns an error if it can't have its address, and goes on trying if
-// nobody answers.
+// Open joins the others, or waits to be found by them. It returns an error if it can't listen on its address; if no peer answers, the
+// group keeps trying to join. Close ends the group.
 func Open(c Config) (*Group, error) {
 	g := newGroup(c)
 	if n := len(g.metadata()); n > memberlist.MetaMaxSize {
@@ -68,7 +68,7 @@
 	return g, nil
 }
 
-// newGroup makes a group that has no network yet.
+// newGroup returns a group without a network.
 func newGroup(c Config) *Group {
 	if c.Log == nil {
 		c.Log = slog.Default()
@@ -98,30 +98,30 @@
 	return g
 }
 
-// now is the time on the clock of the view.
+// now returns the time on the view's clock, which starts with the group.
 func (g *Group) now() time.Duration { return time.Since(g.startedAt) }
 
-// nodeName is this member's name in memberlist.
+// nodeName returns this member's name in memberlist.
 func (g *Group) nodeName() string { return formatNodeName(g.config.Name, g.process) }
 
-// formatNodeName is the name of a process in memberlist, where each restart is another node.
+// formatNodeName returns the name of a process in memberlist, where each restart is another node.
 func formatNodeName(name string, process uint64) string {
 	return name + "/" + peers.FormatProcess(process)
 }
 
-// Leave announces that this member ends, though it goes on serving the callers that it has.
+// Leave announces that this member is draining: it still serves the callers that it has.
 func (g *Group) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view.SetState(g.now(), peers.Leaving)
 }
 
-// Close announces that this member ends, and ends it. It takes a little more than leaveTimeout at most.
+// Close announces that this member leaves, and ends the group. It takes a little more than leaveTimeout at most.
 func (g *Group) Close() {
 	g.Leave()
 	g.stop()
 	<-g.loopDone
 	g.tick()                       // has the announcement broadcast
-	_ = g.list.Leave(leaveTimeout) // a timeout: nobody is left to hear it
+	_ = g.list.Leave(leaveTimeout) // fails by a timeout only, if no peer receives it
 	_ = g.list.Shutdown()          // never fails with either of our transports
 }
--- a/internal/network/gossip/join.go
+++ b/internal/network/gossip/join.go
@@ -1,7 +1,7 @@
 package gossip
 
-// startJoin makes a full exchange with an address, empty for none, and an attempt to join if one is due; unless one is running:
-// members that do not respond keep it for as long as timeouts take.
+// startJoin starts a full exchange with an address, empty for none, and an attempt to join if one is due. It does nothing while an
+// earlier one runs, which members that do not respond delay until their timeouts.
 func (g *Group) startJoin(exchangeWith string, due, missing bool) {
 	if !due && exchangeWith == "" || g.joining.Swap(true) {
 		return
@@ -17,7 +17,7 @@
 	}()
 }
 
-// join tries the addresses that are next. It looks for others first if members are missing.
+// join tries the next addresses of the schedule. If members are missing it first asks FindAddresses for more.
 func (g *Group) join(missing bool) {
 	var discovered []string
 	if g.config.FindAddresses != nil && missing {
@@ -31,7 +31,7 @@
 	if len(addresses) == 0 {
 		return
 	}
-	reached, _ := g.list.Join(addresses) // which of them did not respond is of no interest: others are next
+	reached, _ := g.list.Join(addresses) // the error names those that did not respond; the schedule tries others next
 	if reached == 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	g.joinSchedule.ResetBackoff()
 }
 
-// nextAddresses takes what a search discovered, nil for none, and gives the addresses to be tried.
+// nextAddresses adds the addresses that a search discovered, nil for none, to the schedule and returns those to try next.
 func (g *Group) nextAddresses(discovered []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,7 +50,7 @@
 	return g.joinSchedule.NextAddresses(g.reachable)
 }
 
-// reachable tells whether an address is that of a member that is reached, or the own one. g.mu is held.
+// reachable reports whether an address is this member's own or that of a member that is reachable. The caller holds g.mu.
 func (g *Group) reachable(address string) bool {
 	if address == g.config.Listen || address == g.config.Advertise {
 		return true
--- a/internal/network/gossip/loop.go
+++ b/internal/network/gossip/loop.go
@@ -27,34 +27,34 @@
 	}
 }
 
-// announceMetadata has memberlist announce new metadata, which waits until others have it. It is apart from the loop, whose view
-// would take such a wait for a standstill.
+// announceMetadata announces new metadata through memberlist until ctx ends. An announcement blocks until others have it, so it runs
+// apart from the loop: the view would take a tick that is late for a standstill of the process.
 func (g *Group) announceMetadata(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.metadataChanged:
-			_ = g.list.UpdateNode(updateTimeout) // a timeout where nobody hears it; the next full exchange carries it too
+			_ = g.list.UpdateNode(updateTimeout) // fails by a timeout; the next full exchange carries the metadata too
 		}
 	}
 }
 
-// work is what a tick finds to be done once g.mu is free.
+// work is what a tick has to do after it has released g.mu.
 type work struct {
 	changes         []peers.Change
 	share           peers.Share
 	shareChanged    bool
-	settledNames    []string // nil if they are the same as before
-	knownAddresses  []string // goes with settledNames
-	disputed        []peers.Record
+	settledNames    []string       // nil if the settled group is unchanged
+	knownAddresses  []string       // set with settledNames
+	disputed        []peers.Record // of members that are reachable, though others say that they are gone
 	metadataChanged bool
 	exchangeWith    string // an address; empty for none
-	join            bool   // addresses are due
-	missing         bool   // members are
+	join            bool   // an attempt to join is due
+	missing         bool   // members are missing
 }
 
-// tick moves the view on, and does what that asks for.
+// tick advances the view to the present time, and does the work that results from it.
 func (g *Group) tick() {
 	ready := g.config.Ready == nil || g.config.Ready()
 	w := g.updateView(ready)
@@ -69,13 +69,13 @@
 	if w.metadataChanged {
 		select {
 		case g.metadataChanged <- struct{}{}:
-		default: // the announcement that is pending takes this one along
+		default: // the pending announcement reads the latest metadata
 		}
 	}
 	g.startJoin(w.exchangeWith, w.join, w.missing)
 }
 
-// updateView moves the view on, and broadcasts what is new in it.
+// updateView advances the view, and broadcasts the records that are new in it.
 func (g *Group) updateView(ready bool) (w work) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,8 +105,8 @@
 	return w
 }
 
-// announceSelf broadcasts this member's record if it is another than before, or was refuted, and tells whether it is another.
-// g.mu is held.
+// announceSelf broadcasts this member's record if it has changed or others have to be reminded of it. It reports whether the record has
+// changed. The caller holds g.mu.
 func (g *Group) announceSelf() bool {
 	self := g.view.Self()
 	changed := self != g.announced
@@ -118,8 +118,8 @@
 	return changed
 }
 
-// newSettledGroup is the group that was settled last, with the addresses that are known, if OnSettled does not have it yet; else
-// nil. g.mu is held.
+// newSettledGroup returns the group that settled last and the known addresses, or nil if OnSettled has been called with that group. The
+// caller holds g.mu.
 func (g *Group) newSettledGroup() (names, addresses []string) {
 	if g.config.OnSettled == nil {
 		return nil, nil
@@ -148,7 +148,7 @@
 	}
 }
 
-// sendDisputed tells members that they are said to be gone, for them to refute it.
+// sendDisputed sends members the records that call them gone, for them to refute.
 func (g *Group) sendDisputed(disputed []peers.Record) {
 	if len(disputed) == 0 {
 		return
@@ -159,7 +159,7 @@
 	}
 	for _, r := range disputed {
 		if n := nodes[formatNodeName(r.Name, r.Process)]; n != nil {
-			_ = g.list.SendBestEffort(n, g.encodeRecords(r)) // one that is lost is sent again
+			_ = g.list.SendBestEffort(n, g.encodeRecords(r)) // a record that is lost is sent again while the dispute lasts
 		}
 	}
 }
--- a/internal/network/gossip/model_test.go
+++ b/internal/network/gossip/model_test.go
@@ -146,8 +146,8 @@
 	})
 }
 
-// One that says of all others, again and again, that they are gone changes nobody's group.
-func TestLiar(t *testing.T) {
+// A member that broadcasts again and again that all others are gone changes nobody's group.
+func TestFalseDeathReports(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		const n = 8
@@ -155,16 +155,16 @@
 		defer fleet.end()
 		fleet.startAll(nil)
 		fleet.within(convergenceTimeout, "the start", fleet.agree)
-		liar := fleet.members[n-1]
+		reporter := fleet.members[n-1]
 		for range 120 {
-			liar.mu.Lock()
-			for _, r := range liar.view.Records() {
-				if r.Process != liar.announced.Process {
+			reporter.mu.Lock()
+			for _, r := range reporter.view.Records() {
+				if r.Process != reporter.announced.Process {
 					r.State = peers.Gone
-					liar.broadcast(r)
+					reporter.broadcast(r)
 				}
 			}
-			liar.mu.Unlock()
+			reporter.mu.Unlock()
 			time.Sleep(500 * time.Millisecond)
 			for i, g := range fleet.members[:n-1] {
 				if s, _ := g.state(); s.Instances != n || s.Confidence != peers.Settled {
--- a/internal/network/gossip/network_test.go
+++ b/internal/network/gossip/network_test.go
@@ -11,20 +11,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// defaultMaxDelay is how long a packet takes at most where nothing else is said.
+// defaultMaxDelay is the longest delay of a packet, unless a test sets another.
 const defaultMaxDelay = 2 * time.Millisecond
 
-// network is a virtual one: what members send one another passes through it, with faults by pair.
+// network is a virtual network between members, with faults by pair. All draws come from one seeded source, under mu.
 type network struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
-	ends        map[string]*end
-	loss        float64
-	maxDelay    time.Duration          // of a packet
-	cut         map[[2]string]bool     // from, to
-	pausedUntil map[string]time.Time   // members that stand still: what comes to them and from them waits
-	bytes       map[string]int         // sent, by address
-	recorded    map[string][]recording // packets, to be replayed
+	transports  map[string]*virtualTransport // of the members that run, by address
+	loss        float64                      // share of the packets that are lost
+	maxDelay    time.Duration                // of a packet
+	partitioned map[[2]string]bool           // from and to; nothing passes between them
+	pausedUntil map[string]time.Time         // members that stand still: what comes to them and from them waits
+	bytes       map[string]int               // sent, by address
+	recorded    map[string][]recording       // packets to replay, by destination
 	recording   bool
 }
 
@@ -35,38 +35,54 @@
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		rng: rand.New(rand.NewPCG(seed, 9)), ends: map[string]*end{}, maxDelay: defaultMaxDelay, cut: map[[2]string]bool{}, pausedUntil: map[string]time.Time{},
-		bytes: map[string]int{}, recorded: map[string][]recording{},
+		rng:         rand.New(rand.NewPCG(seed, 9)),
+		transports:  map[string]*virtualTransport{},
+		maxDelay:    defaultMaxDelay,
+		partitioned: map[[2]string]bool{},
+		pausedUntil: map[string]time.Time{},
+		bytes:       map[string]int{},
+		recorded:    map[string][]recording{},
 	}
 }
 
-// cutOff cuts what goes from some to others, one way.
-func (n *network) cutOff(from, to []string) {
+// partition drops everything that goes from some members to others, in this direction only.
+func (n *network) partition(from, to []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
-			n.cut[[2]string{a, b}] = true
+			n.partitioned[[2]string{a, b}] = true
 		}
 	}
 }
 
+// set calls f with n.mu held, for it to change the network's fields.
 func (n *network) set(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
 }
 
-// end is one member's transport.
-type end struct {
-	n       *network
+// remove cuts a member's transport off the network: nothing more of it gets out.
+func (n *network) remove(address string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if v := n.transports[address]; v != nil {
+		v.closed = true
+		delete(n.transports, address)
+	}
+}
+
+// virtualTransport is one member's transport on the virtual network.
+type virtualTransport struct {
+	network *network
 	address string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	closed  bool
+	closed  bool // network.mu guards it
 }
 
-// virtualAddress is one on it.
+// virtualAddress is an address on the virtual network.
 type virtualAddress string
 
 func (v virtualAddress) Network() string { return "udp" }
@@ -77,60 +93,66 @@
 func (n *network) open(address string) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	e := &end{n: n, address: address, packets: make(chan *memberlist.Packet, 4096), streams: make(chan net.Conn, 256)}
-	n.ends[address] = e
-	return e, nil
+	v := &virtualTransport{
+		network: n,
+		address: address,
+		packets: make(chan *memberlist.Packet, 4096),
+		streams: make(chan net.Conn, 256),
+	}
+	n.transports[address] = v
+	return v, nil
 }
 
-func (e *end) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, _, _ := net.SplitHostPort(e.address)
+func (v *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, _, _ := net.SplitHostPort(v.address)
 	return net.ParseIP(host).To4(), 7946, nil
 }
 
-func (e *end) PacketCh() <-chan *memberlist.Packet { return e.packets }
-func (e *end) StreamCh() <-chan net.Conn           { return e.streams }
+func (v *virtualTransport) PacketCh() <-chan *memberlist.Packet { return v.packets }
+func (v *virtualTransport) StreamCh() <-chan net.Conn           { return v.streams }
 
-func (e *end) Shutdown() error {
-	e.n.mu.Lock()
-	defer e.n.mu.Unlock()
-	e.closed = true
-	if e.n.ends[e.address] == e {
-		delete(e.n.ends, e.address)
+func (v *virtualTransport) Shutdown() error {
+	n := v.network
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	v.closed = true
+	if n.transports[v.address] == v {
+		delete(n.transports, v.address)
 	}
 	return nil
 }
 
-// pause is how long what goes from one to another waits for those that stand still. n.mu is held.
+// pause returns how long what goes from one member to another waits for those that stand still. The caller holds n.mu.
 func (n *network) pause(from, to string) time.Duration {
 	return max(0, time.Until(n.pausedUntil[from]), time.Until(n.pausedUntil[to]))
 }
 
-// passes tells whether something gets from one to another now. n.mu is held.
-func (n *network) passes(from, to string) bool { return !n.cut[[2]string{from, to}] }
+// passes reports whether anything gets from one member to another now. The caller holds n.mu.
+func (n *network) passes(from, to string) bool { return !n.partitioned[[2]string{from, to}] }
 
-func (e *end) WriteTo(b []byte, to string) (time.Time, error) {
-	n := e.n
+func (v *virtualTransport) WriteTo(b []byte, to string) (time.Time, error) {
+	n := v.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	n.bytes[e.address] += len(b)
-	if e.closed || !n.passes(e.address, to) || n.rng.Float64() < n.loss {
+	n.bytes[v.address] += len(b)
+	if v.closed || !n.passes(v.address, to) || n.rng.Float64() < n.loss {
 		return now, nil
 	}
 	text := append([]byte(nil), b...)
 	if n.recording {
 		n.recorded[to] = append(n.recorded[to], recording{to, text})
 	}
-	n.deliver(e.address, to, text)
+	n.deliver(v.address, to, text)
 	return now, nil
 }
 
-// deliver brings a packet after a while. n.mu is held.
+// deliver delivers a packet after a random delay. The caller holds n.mu.
 func (n *network) deliver(from, to string, text []byte) {
 	time.AfterFunc(n.pause(from, to)+time.Duration(n.rng.Float64()*float64(n.maxDelay)), func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if other := n.ends[to]; other != nil {
+		if other := n.transports[to]; other != nil {
 			select {
 			case other.packets <- &memberlist.Packet{Buf: text, From: virtualAddress(from), Timestamp: time.Now()}:
 			default:
@@ -139,18 +161,18 @@
 	})
 }
 
-func (e *end) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return e.WriteTo(b, a.Addr)
+func (v *virtualTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	return v.WriteTo(b, a.Addr)
 }
 
 var errUnreached = errors.New("unreached")
 
-func (e *end) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
-	n := e.n
+func (v *virtualTransport) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
+	n := v.network
 	n.mu.Lock()
-	other := n.ends[to]
-	wait := n.pause(e.address, to)
-	passes := n.passes(e.address, to) && n.passes(to, e.address) && wait < timeout
+	other := n.transports[to]
+	wait := n.pause(v.address, to)
+	passes := n.passes(v.address, to) && n.passes(to, v.address) && wait < timeout
 	n.mu.Unlock()
 	if !passes {
 		time.Sleep(timeout)
@@ -161,36 +183,36 @@
 		return nil, errUnreached // refused at once
 	}
 	time.Sleep(time.Millisecond)
-	a, b := net.Pipe()
+	near, far := net.Pipe()
 	select {
-	case other.streams <- &piped{b, other, e.address}:
-		return &piped{a, e, to}, nil
+	case other.streams <- &virtualConn{far, other, v.address}:
+		return &virtualConn{near, v, to}, nil
 	default:
 		return nil, errUnreached
 	}
 }
 
-func (e *end) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return e.DialTimeout(a.Addr, timeout)
+func (v *virtualTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return v.DialTimeout(a.Addr, timeout)
 }
 
-// piped is a connection of which a cut drops what is written.
-type piped struct {
+// virtualConn is a connection that drops what is written to it across a partition.
+type virtualConn struct {
 	net.Conn
-	own *end
+	own *virtualTransport
 	to  string
 }
 
-func (p *piped) RemoteAddr() net.Addr { return virtualAddress(p.to) }
+func (v *virtualConn) RemoteAddr() net.Addr { return virtualAddress(v.to) }
 
-func (p *piped) Write(b []byte) (int, error) {
-	n := p.own.n
+func (v *virtualConn) Write(b []byte) (int, error) {
+	n := v.own.network
 	n.mu.Lock()
-	n.bytes[p.own.address] += len(b)
-	passes := n.passes(p.own.address, p.to) && !p.own.closed
+	n.bytes[v.own.address] += len(b)
+	passes := n.passes(v.own.address, v.to) && !v.own.closed
 	n.mu.Unlock()
 	if !passes {
 		return len(b), nil
 	}
-	return p.Conn.Write(b)
+	return v.Conn.Write(b)
 }
--- a/internal/network/gossip/query.go
+++ b/internal/network/gossip/query.go
@@ -16,10 +16,10 @@
 const (
 	queryTimeout      = 2 * time.Second
 	queryConcurrency  = 4 // connections for one Fleet
-	maxPendingQueries = 8 // of others, that wait for this member's answer
+	maxPendingQueries = 8 // of other members, which wait for this member's answer
 )
 
-// pendingAnswers are the queries of this member that wait for answers, by the token that they carry.
+// pendingAnswers holds the queries of this member that wait for answers, by token.
 type pendingAnswers struct {
 	mu      sync.Mutex
 	reports map[uint64]chan peers.Report
@@ -29,7 +29,7 @@
 	return &pendingAnswers{reports: map[uint64]chan peers.Report{}}
 }
 
-// open begins to wait under a token for at most a number of answers.
+// open registers a token and returns the channel on which its answers come, answers of them at most.
 func (p *pendingAnswers) open(token uint64, answers int) <-chan peers.Report {
 	reports := make(chan peers.Report, answers)
 	p.mu.Lock()
@@ -38,14 +38,14 @@
 	return reports
 }
 
-// close ends the wait. Answers that come later are dropped.
+// close removes a token. Answers that come later are dropped.
 func (p *pendingAnswers) close(token uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.reports, token)
 }
 
-// deliver passes the report of an answer to whoever waits for it. It does not block.
+// deliver passes the report of an answer on to the query that waits for it. It does not block.
 func (p *pendingAnswers) deliver(e *envelope) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 	var r peers.Report
 	if json.Unmarshal(e.report, &r) != nil {
-		return // as from a member that does not respond
+		return // the member counts as unresponsive
 	}
 	select {
 	case reports <- r:
@@ -63,7 +63,7 @@
 	}
 }
 
-// Report is this member's view.
+// Report returns this member's view.
 func (g *Group) Report() peers.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,7 +72,7 @@
 	return r
 }
 
-// Fleet is this member's view beside those of the others that it reaches. It waits for their answers, at most queryTimeout.
+// Fleet returns this member's view and those of the members that it reaches. It waits for their answers, queryTimeout at most.
 func (g *Group) Fleet() peers.FleetReport {
 	fleet := peers.FleetReport{Own: g.Report()}
 	token := rand.Uint64() | 1 // 0 is no token
@@ -100,8 +100,8 @@
 	return fleet
 }
 
-// sendQueries asks all nodes but this one for their reports, and returns their names. Its goroutines end with the timeouts of
-// their connections.
+// sendQueries asks all nodes but this one for their reports, and returns the names of those nodes. It does not wait: its goroutines end
+// with the timeouts of their connections.
 func (g *Group) sendQueries(nodes []*memberlist.Node, token uint64) map[string]bool {
 	e := envelope{application: g.config.Application, witness: g.nodeName(), query: token}
 	query := e.encode()
@@ -124,7 +124,7 @@
 	return asked
 }
 
-// enqueueAnswer has the loop answer a query: memberlist, which is calling, must not be called.
+// enqueueAnswer queues the answer to a query for the loop: memberlist is the caller, and must not be called back.
 func (g *Group) enqueueAnswer(e *envelope) {
 	select {
 	case g.queries <- func() { g.answer(e.witness, e.query) }:
@@ -142,7 +142,7 @@
 	e := envelope{application: g.config.Application, witness: g.config.Name, answer: token, report: report}
 	for _, n := range g.list.Members() {
 		if n.Name == node {
-			go func() { _ = g.list.SendReliable(n, e.encode()) }() // likewise
+			go func() { _ = g.list.SendReliable(n, e.encode()) }() // likewise; it may block until the connection's timeout
 			return
 		}
 	}
--- a/internal/network/gossip/records.go
+++ b/internal/network/gossip/records.go
@@ -6,28 +6,28 @@
 	"quincegap/internal/modules/peers"
 )
 
-// recordBroadcast is a record in memberlist's queue. A later one of the same process takes its place.
+// recordBroadcast is a record in memberlist's queue. A later record of the same process replaces it.
 type recordBroadcast struct {
 	process uint64
 	message []byte
 }
 
-// Invalidates tells whether a broadcast need not be sent any more.
+// Invalidates reports whether this record supersedes another broadcast in the queue.
 func (r recordBroadcast) Invalidates(b memberlist.Broadcast) bool {
 	other, ok := b.(recordBroadcast)
 	return ok && other.process == r.process
 }
 
-// Name is the same for all broadcasts of a process.
+// Name returns a name that all broadcasts of a process have in common.
 func (r recordBroadcast) Name() string { return peers.FormatProcess(r.process) }
 
-// Message is what is sent.
+// Message returns the bytes to send.
 func (r recordBroadcast) Message() []byte { return r.message }
 
-// Finished is called once the broadcast has been sent often enough.
+// Finished does nothing: nobody waits for a broadcast.
 func (r recordBroadcast) Finished() {}
 
-// broadcast queues records for the others. g.mu is held, or nobody else knows of g.
+// broadcast queues records for the others. The caller holds g.mu, or nobody else has g yet.
 func (g *Group) broadcast(records ...peers.Record) {
 	for _, r := range records {
 		g.queue.QueueBroadcast(recordBroadcast{process: r.Process, message: g.encodeRecords(r)})
@@ -39,10 +39,10 @@
 	return e.encode()
 }
 
-// metadata is what memberlist tells of this node: its own record. g.mu is held, or nobody else knows of g.
+// metadata returns this node's metadata in memberlist: its own record. The caller holds g.mu, or nobody else has g yet.
 func (g *Group) metadata() []byte { return g.encodeRecords(g.announced) }
 
-// decodeOwn reads an envelope of this application; rejection is the reason why it is none.
+// decodeOwn decodes an envelope of this application. If b is none, rejection is the reason, one of the rejected constants.
 func (g *Group) decodeOwn(b []byte) (e *envelope, rejection string) {
 	e, err := decode(b)
 	switch {
@@ -56,7 +56,7 @@
 	return e, ""
 }
 
-// receive takes the records of a message; nil for one that is rejected.
+// receive decodes a message and merges its records. It returns nil for a message that is rejected.
 func (g *Group) receive(b []byte) *envelope {
 	e, rejection := g.decodeOwn(b)
 	if rejection != "" {
@@ -69,14 +69,14 @@
 	return e
 }
 
-// merge hands records to the view, and broadcasts those that say something new. g.mu is held.
+// merge merges records into the view, and broadcasts those that changed it. The caller holds g.mu.
 func (g *Group) merge(e *envelope) {
 	for _, r := range e.records {
 		if !g.view.Merge(g.now(), r, e.witness) {
 			continue
 		}
 		if r.Process == g.process {
-			g.reannounce = true // in the next tick, however many such records come until then
+			g.reannounce = true // once in the next tick, however many such records come until then
 		} else {
 			g.broadcast(r)
 		}
--- a/internal/network/gossip/rejections.go
+++ b/internal/network/gossip/rejections.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The reasons under which a report counts what was not let in. None holds a word of the peer's.
+// The reasons under which a report counts rejected messages and members. They are data; none contains text from a peer.
 const (
 	rejectedMalformed   = "spoilt"
 	rejectedFormat      = "other format"
@@ -19,7 +19,7 @@
 	rejectedNetwork     = "network"
 )
 
-// rejections counts what was not let in, by reason.
+// rejections counts rejected messages and members by reason. It is safe for concurrent use.
 type rejections struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -33,7 +33,7 @@
 	r.counts[reason]++
 }
 
-// copyTo adds the counts to those of a report.
+// copyTo copies the counts into those of a report.
 func (r *rejections) copyTo(counts map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,11 +43,11 @@
 const (
 	// warningInterval is the least time between two of memberlist's own warnings in the log.
 	warningInterval = 10 * time.Second
-	// maxWarningBytes bounds such a line: a peer may have put text into it.
+	// maxWarningBytes bounds such a line, which may contain text from a peer.
 	maxWarningBytes = 300
 )
 
-// libraryLog takes memberlist's own log. Its errors and warnings are counted, and at most one in a while is passed on.
+// libraryLog is the writer of memberlist's own log. It counts errors and warnings, and logs at most one per warningInterval.
 type libraryLog struct {
 	rejections *rejections
 	log        *slog.Logger
@@ -56,7 +56,7 @@
 	lastWarning time.Time
 }
 
-// Write takes one line. Warnings about a member's first message are left out: they come from NotifyAlive, which counts them.
+// Write handles one line. Warnings about alive messages are skipped: their cause is NotifyAlive, which has counted the rejection.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := string(line)
 	warning := strings.HasPrefix(text, "[ERR]") || strings.HasPrefix(text, "[WARN]")
@@ -64,7 +64,7 @@
 		return len(line), nil
 	}
 	if strings.Contains(text, "crypt") {
-		l.rejections.add(rejectedKey) // memberlist has no delegate for that
+		l.rejections.add(rejectedKey) // memberlist has no callback for failed decryption
 	} else {
 		l.rejections.add(rejectedNetwork)
 	}
@@ -74,7 +74,7 @@
 	return len(line), nil
 }
 
-// due tells whether a warning is passed on now.
+// due reports whether a warning may be logged now; then the next one waits for warningInterval.
 func (l *libraryLog) due() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/network/gossip/schedule_test.go
+++ b/internal/network/gossip/schedule_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// soaking tells whether the long simulations run.
+// soaking reports whether the long simulations run.
 func soaking() bool { return os.Getenv("SOAK") != "" }
 
-// Whatever was cut, delayed, lost, paused, killed and restarted: once it is over, all have one view, settled, in a stated time; and
-// at no time are two settled in groups that have nobody in common, as two sides of a partition into halves would be.
+// After any schedule of partitions, delays, losses, pauses, kills and restarts all members have one settled view within a stated time;
+// and at no time are two members settled in groups without a common member, as both sides of a partition into halves would be.
 func TestRandomSchedules(t *testing.T) {
 	useOneProcessor(t)
 	seeds := uint64(8)
@@ -27,7 +27,7 @@
 	}
 }
 
-// schedule does random things to a fleet.
+// schedule injects random faults into a fleet.
 type schedule struct {
 	*virtualFleet
 	rng       *rand.Rand
@@ -63,16 +63,16 @@
 	t.Logf("%d members: %v", n, took)
 }
 
-// fault draws one fault, or an end of all cuts.
+// fault draws one fault, or the end of all partitions.
 func (s *schedule) fault() {
 	s.t.Helper()
 	switch s.rng.IntN(7) {
 	case 0:
-		s.cutSome()
+		s.partitionSome()
 	case 1:
 		i := s.rng.IntN(s.instances)
 		s.record("%s is heard by none", s.shuffled[i])
-		s.net.cutOff(s.shuffled[i:i+1], s.shuffled)
+		s.net.partition(s.shuffled[i:i+1], s.shuffled)
 	case 2:
 		s.loseAndDelay()
 	case 3:
@@ -97,11 +97,11 @@
 	}
 }
 
-// cutSome cuts some members off from the others.
-func (s *schedule) cutSome() {
+// partitionSome separates some members from the others.
+func (s *schedule) partitionSome() {
 	k := 1 + s.rng.IntN(s.instances-1)
 	s.rng.Shuffle(s.instances, func(i, j int) { s.shuffled[i], s.shuffled[j] = s.shuffled[j], s.shuffled[i] })
-	s.record("cut into %d and %d: %v", k, s.instances-k, s.shuffled[:k])
+	s.record("partitioned into %d and %d: %v", k, s.instances-k, s.shuffled[:k])
 	s.partition(s.shuffled[:k], s.shuffled[k:])
 }
 
@@ -114,7 +114,7 @@
 	s.record("loss %.2f, delay up to %v", s.net.loss, s.net.maxDelay)
 }
 
-// endFaults makes the network good again, and starts the dead.
+// endFaults ends all faults of the network, and starts the members that are dead.
 func (s *schedule) endFaults() {
 	s.t.Helper()
 	s.heal()
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -27,15 +27,15 @@
 const (
 	maxJoinAddresses = 64
 	maxZoneBytes     = 64
-	// bytesPerMember is the memory that a member takes, with what memberlist keeps of it (docs/figures/peers.md).
+	// bytesPerMember is the memory of one member, including memberlist's (docs/figures/peers.md).
 	bytesPerMember = 6 << 10
-	// maxMemoryShare is the part of limits.memory that all members may take.
+	// maxMemoryShare is the share of limits.memory that all members together may use.
 	maxMemoryShare = 0.1
-	// minForgetSettles is how many times settle_after forget_after has to be longer than.
+	// minForgetSettles is the least ratio of forget_after to settle_after.
 	minForgetSettles = 10
 )
 
-// badAddress says what is wrong with a text that is to be IP:port.
+// badAddress returns what is wrong with an address of the form IP:port; empty if nothing is.
 func badAddress(text string) string {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil || strings.Trim(port, "0123456789") != "" || port == "" || port == "0" {
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// badZone says what is wrong with the name of a zone.
+// badZone returns what is wrong with the name of a zone; empty if nothing is.
 func badZone(text string) string {
 	if len(text) > maxZoneBytes {
 		return "is longer than 64 bytes"
@@ -109,7 +109,7 @@
 
 func unspecified(address string) bool { return addressIP(address).IsUnspecified() }
 
-// addressIP is the IP of an address that badAddress accepts; nil for others.
+// addressIP returns the IP of an address that badAddress accepts; nil for others.
 func addressIP(address string) net.IP {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -118,19 +118,19 @@
 	return net.ParseIP(host)
 }
 
-// What the view's options are, in probe intervals and in settle_after.
+// The view's time options, as multiples of the probe interval (…Probes) and of settle_after (…Settles).
 const (
 	suspicionProbes = 20
 	exchangeProbes  = 10
-	// lossProbes is above what memberlist takes to find all of one half of its most members lost, one after another: a suspicion
-	// of suspicionMult*suspicionMaxMult*log10(members) probe intervals, and the probes before it.
+	// lossProbes exceeds the time that memberlist needs to declare half of the largest group dead, one member after another: a
+	// suspicion of suspicionMult*suspicionMaxMult*log10(members) probe intervals, and the probes before it.
 	lossProbes     = 120
 	dampingSettles = 20
 	resumeSettles  = 60
 )
 
-// options are those of the view. memberlist ends suspicions by itself; SuspicionTimeout is how long a member has to learn that it is
-// said to be gone, and to refute it.
+// options returns the view's options. memberlist ends suspicions by itself; SuspicionTimeout is the time that a member has to learn that
+// others call it gone, and to refute it.
 func (s *Settings) options(expectedMembers int) peers.Options {
 	return peers.Options{
 		SuspicionTimeout:    suspicionProbes * s.ProbeInterval,
--- a/internal/network/gossip/transport.go
+++ b/internal/network/gossip/transport.go
@@ -9,27 +9,27 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxInboundStreams bounds the connections from others. They take from the few sockets that a sidecar keeps for itself, and
-// whoever reaches the port can open some. Those beyond it are closed; a member comes again.
+// maxInboundStreams bounds the connections from others. They use the few sockets that a sidecar reserves for itself, and anybody who
+// reaches the port can open some. Connections beyond the bound are closed; a member connects again later.
 const maxInboundStreams = 8
 
-// boundedTransport is memberlist's network with a bound on connections from others. Its own connections come from the address that
-// it listens on: the others may let in no other, and a machine may have several.
+// boundedTransport is memberlist's network transport with a bound on inbound connections. Outbound connections use the address that it
+// listens on: a machine may have several addresses, and the others' firewalls may accept only that one.
 type boundedTransport struct {
 	*memberlist.NetTransport
 	localIP net.IP
 	streams chan net.Conn
 
 	shutdownOnce    sync.Once
-	done            chan struct{} // no connection is passed on any more
-	listenersClosed chan struct{} // none comes any more
+	done            chan struct{} // closed when no more connections are passed on
+	listenersClosed chan struct{} // closed when no more connections can come
 	accepting       sync.WaitGroup
 
 	mu   sync.Mutex
 	open int
 }
 
-// newBoundedTransport takes over a transport. Shutdown ends it.
+// newBoundedTransport wraps a transport, which it then owns. Shutdown ends both.
 func newBoundedTransport(t *memberlist.NetTransport, localIP net.IP) *boundedTransport {
 	b := &boundedTransport{
 		NetTransport:    t,
@@ -42,14 +42,14 @@
 	return b
 }
 
-// acceptStreams passes connections on as long as there is room, and closes the others. It goes on until no more come: a listener
-// that waits to hand one over would keep Shutdown waiting.
+// acceptStreams passes connections on while there is room, and closes the others. It runs until all listeners are closed: a listener
+// blocked on handing a connection over would block Shutdown.
 func (b *boundedTransport) acceptStreams() {
 	for {
 		select {
 		case c := <-b.NetTransport.StreamCh():
 			if !b.pass(c) {
-				_ = c.Close() // nobody has used it: there is nothing that an error could lose
+				_ = c.Close() // nothing was sent on it
 			}
 		case <-b.listenersClosed:
 			return
@@ -57,7 +57,7 @@
 	}
 }
 
-// pass hands a connection over to memberlist; false if there is no room for it, or after Shutdown.
+// pass hands a connection over to memberlist. It returns false if there is no room for it, or after Shutdown.
 func (b *boundedTransport) pass(c net.Conn) bool {
 	if !b.reserve() {
 		return false
@@ -71,7 +71,7 @@
 	}
 }
 
-// reserve takes room for one connection; false if there is none.
+// reserve reserves room for one connection. It returns false if there is none.
 func (b *boundedTransport) reserve() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,30 +82,30 @@
 	return true
 }
 
-// release gives the room of one connection back.
+// release releases the room of one connection.
 func (b *boundedTransport) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open--
 }
 
-// stream is one connection from another member. memberlist may close it twice; its room is given back once.
+// stream is one connection from another member. memberlist may close it twice; its room is released once.
 type stream struct {
 	net.Conn
 	closeOnce sync.Once
 	release   func()
 }
 
-// Close closes the connection and gives its room back.
+// Close closes the connection and releases its room.
 func (s *stream) Close() error {
 	defer s.closeOnce.Do(s.release)
 	return s.Conn.Close()
 }
 
-// StreamCh passes on the connections from others that there is room for.
+// StreamCh returns the channel of the accepted connections from others.
 func (b *boundedTransport) StreamCh() <-chan net.Conn { return b.streams }
 
-// Shutdown ends the transport, and waits until it has. A second call does nothing.
+// Shutdown ends the transport and waits for its goroutine. A second call does nothing.
 func (b *boundedTransport) Shutdown() (err error) {
 	b.shutdownOnce.Do(func() {
 		close(b.done)
--- a/internal/network/gossip/wire.go
+++ b/internal/network/gossip/wire.go
@@ -70,7 +70,7 @@
 
 var errMalformed = errors.New("is no message of a member, or a spoilt one")
 
-// encode always writes the present format, whatever e.format is.
+// encode encodes the envelope in the present format, whatever e.format is.
 func (e *envelope) encode() []byte {
 	b := protowire.AppendTag(nil, fieldFormat, protowire.VarintType)
 	b = protowire.AppendVarint(b, format)
@@ -99,7 +99,7 @@
 	return protowire.AppendVarint(b, uint64(r.State))
 }
 
-// appendToken leaves out a token of 0, which is none.
+// appendToken appends a token, unless it is 0, which stands for none.
 func appendToken(b []byte, n protowire.Number, token uint64) []byte {
 	if token == 0 {
 		return b
@@ -108,7 +108,7 @@
 	return protowire.AppendFixed64(b, token)
 }
 
-// appendText leaves out an empty text.
+// appendText appends a text, unless it is empty.
 func appendText(b []byte, n protowire.Number, s string) []byte {
 	if s == "" {
 		return b
@@ -116,8 +116,8 @@
 	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
 }
 
-// fields reads a message field by field, until field returns false: number is set for varints and fixed64, text for bytes. It tells
-// whether the whole message was read.
+// fields calls field for each field of a message until it returns false: number is set for varints and fixed64, text for bytes. It
+// reports whether the whole message was read.
 func fields(b []byte, field func(n protowire.Number, number uint64, text []byte) bool) bool {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
@@ -145,7 +145,7 @@
 	return true
 }
 
-// decode reads an envelope, and copies what it holds. It returns errMalformed for anything else.
+// decode decodes an envelope, whose values are copies. It returns errMalformed for anything else.
 func decode(b []byte) (*envelope, error) {
 	e := &envelope{}
 	ok := fields(b, func(n protowire.Number, number uint64, text []byte) bool {
@@ -178,7 +178,7 @@
 	return e, nil
 }
 
-// decodeRecord reads one record; false for a malformed one, or one without a process or a name.
+// decodeRecord decodes one record. It returns false for a malformed one and for one without a process or a name.
 func decodeRecord(b []byte) (r peers.Record, ok bool) {
 	ok = fields(b, func(n protowire.Number, number uint64, text []byte) bool {
 		switch n {
--- a/internal/network/gossip/wire_test.go
+++ b/internal/network/gossip/wire_test.go
@@ -38,7 +38,7 @@
 }
 
 // What is beyond the bounds, truncated or of another kind is rejected; unknown fields are skipped.
-func TestSpoiltEnvelopes(t *testing.T) {
+func TestMalformedEnvelopes(t *testing.T) {
 	good := envelope{application: "a", records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
 	for what, b := range map[string][]byte{
 		"nothing":         nil,
