--- a/internal/network/admin/client.go
+++ b/internal/network/admin/client.go
@@ -18,16 +18,16 @@
 	dialTimeout    = 2 * time.Second
 	askTimeout     = 10 * time.Second
 	maxAnswerBytes = 64 << 20
-	maxFaultBytes  = 300 // of what a sidecar says of why it gives no page
+	maxFaultBytes  = 300 // of the body of an error answer
 )
 
-// AskMembers asks a sidecar for its endpoints.
+// AskMembers asks the sidecar at an address for its endpoints.
 func AskMembers(ctx context.Context, address string) (m Members, err error) {
 	err = get(ctx, address, "members", &m)
 	return m, err
 }
 
-// AskPeers asks a sidecar for its view of the others; with all, for theirs too.
+// AskPeers asks the sidecar at an address for its view of its peers; with all also for the peers' own views.
 func AskPeers(ctx context.Context, address string, all bool) (f peers.FleetReport, err error) {
 	page := "peers"
 	if all {
@@ -37,7 +37,7 @@
 	return f, err
 }
 
-// get reads a page. Its errors are those of the connection, or name the address and the sidecar's answer.
+// get reads a page into a value. It returns errors of the connection, or one that names the address and the sidecar's answer.
 func get(ctx context.Context, address, page string, into any) error {
 	client := &http.Client{Timeout: askTimeout, Transport: newTransport(address)}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://sidecar/"+page, nil)
@@ -56,7 +56,7 @@
 	return json.NewDecoder(io.LimitReader(res.Body, maxAnswerBytes)).Decode(into)
 }
 
-// newTransport connects to one address, whatever host is asked for.
+// newTransport returns a transport that connects to one address, whatever host a request names.
 func newTransport(address string) *http.Transport {
 	network, target := splitAddress(address)
 	dialer := &net.Dialer{Timeout: dialTimeout}
--- a/internal/network/admin/server.go
+++ b/internal/network/admin/server.go
@@ -22,21 +22,21 @@
 	socketMode     = 0o660
 )
 
-// Members is the page of endpoints.
+// Members is the page /members.
 type Members struct {
 	Name      string               `json:"name"`
 	Source    string               `json:"source"`
 	Endpoints []endpointsource.Row `json:"endpoints"`
 }
 
-// Views are what is served. The pages of those that are nil are not found.
+// Views returns the data of the pages. A page whose function is nil is not found.
 type Views struct {
 	Members func() (Members, bool)                   // false if the sidecar does not answer
-	Peers   func(all bool) (peers.FleetReport, bool) // false if it looks for no others
+	Peers   func(all bool) (peers.FleetReport, bool) // false if it looks for no peers
 }
 
-// Serve serves the views until stop is called, which waits until that has ended. There are few connections, each for a short time:
-// nobody can use the sidecar up by them.
+// Serve serves the views until stop is called; stop waits until the server has ended. The number of connections and their time are
+// bounded, so that they can't exhaust the sidecar.
 func Serve(address string, views Views) (stop func(), err error) {
 	listener, err := listen(address)
 	if err != nil {
@@ -47,15 +47,15 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = server.Serve(newBoundedListener(listener)) // ends with stop; another end leaves the sidecar as it is, without pages
+		_ = server.Serve(newBoundedListener(listener)) // ends with stop; after any other error the sidecar runs on without pages
 	}()
 	return func() {
-		_ = server.Close() // connections that were cut are what is wanted
+		_ = server.Close() // its error is that of a connection that is closed anyway
 		<-served
 	}, nil
 }
 
-// listen opens an address. A socket that a killed process left is replaced.
+// listen opens an address. It replaces a socket that a killed process left.
 func listen(address string) (net.Listener, error) {
 	ctx := context.Background()
 	network, target := splitAddress(address)
@@ -76,23 +76,23 @@
 	return listener, nil
 }
 
-// removeStale removes a socket that nobody listens on. Anything else at its path is not ours to remove, and is left for Listen to
+// removeStale removes a socket that nobody listens on. Anything else at the path belongs to somebody else, and is left for Listen to
 // report.
 func removeStale(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil || info.Mode()&fs.ModeSocket == 0 {
-		return nil // most often there is nothing; Listen says what else is wrong with the path
+		return nil // usually nothing is there; Listen reports what else is wrong with the path
 	}
 	c, err := (&net.Dialer{}).DialContext(ctx, "unix", path)
 	if err == nil {
 		_ = c.Close() // nothing was sent on it
 		return fmt.Errorf("admin: %s: another process listens there", path)
 	}
-	_ = os.Remove(path) // Listen says so if it is still there
+	_ = os.Remove(path) // Listen reports it if the socket is still there
 	return nil
 }
 
-// handler serves the views that there are.
+// handler returns the handler of the pages that have a function.
 func (v Views) handler() http.Handler {
 	mux := http.NewServeMux()
 	if v.Members != nil {
@@ -120,5 +120,5 @@
 
 func writeJSON(w http.ResponseWriter, page any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(page) // who asked is gone
+	_ = json.NewEncoder(w).Encode(page) // fails only if the client is gone
 }
--- a/internal/network/admin/settings.go
+++ b/internal/network/admin/settings.go
@@ -23,7 +23,7 @@
 		"Where quincegapctl members asks. A Unix socket is open to this user and group only; on loopback everybody on the machine can read it."),
 )
 
-// badAddress says what is wrong with an address, such as that others than this machine could reach it.
+// badAddress returns what is wrong with an address, for example that other machines could reach it; empty if nothing is.
 func badAddress(text string) string {
 	if path, ok := strings.CutPrefix(text, unixPrefix); ok {
 		if path == "" || len(path) > maxSocketPath {
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// splitAddress is an address as package net takes it.
+// splitAddress splits an address into the network and the address that package net expects.
 func splitAddress(address string) (network, target string) {
 	if path, ok := strings.CutPrefix(address, unixPrefix); ok {
 		return "unix", path
--- a/internal/network/exchange/attempt.go
+++ b/internal/network/exchange/attempt.go
@@ -11,20 +11,20 @@
 	"quincegap/internal/config/settings"
 )
 
-// The headers of endpoints' answers, which are data.
+// The headers of endpoints' answers. They are data.
 const (
 	headerLoad     = "X-Pressure"    // a load report, see settings.ParseLoad
 	headerRejected = "X-Turned-Away" // "1" in a 503 or 504 for a request that has not run
 )
 
-// Inbound is what of a request goes on to an endpoint unchanged.
+// Inbound is the part of a caller's request that is forwarded to an endpoint unchanged.
 type Inbound struct {
 	Method string
-	Target string // as the client wrote it
+	Target string // request target as the client wrote it
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Safe says that it may run any number of times: a transport may send it where it could be replayed.
+	// Safe marks a request that may run any number of times: a transport may send it in early data, which can be replayed.
 	Safe bool
 }
 
@@ -34,40 +34,40 @@
 	Body   []byte
 }
 
-// Endpoint is one start of an endpoint at one address. When either changes, another takes its place.
+// Endpoint is one incarnation of an endpoint at one address. After a restart or at another address the endpoint is a new Endpoint.
 type Endpoint struct {
 	ID      balancer.EndpointID
 	UID     string
 	Address string       // host:port
-	BootMS  int64        // its start in Unix time, in milliseconds; 0 where it is not known
-	Zone    string       // the loop alone reads and sets these,
-	Cell    int          // as they are listed now
-	Open    atomic.Bool  // it may get new attempts
-	Waiting atomic.Int32 // attempts that wait for its answer, on connections that stand
+	BootMS  int64        // its start, Unix time in milliseconds; 0 if it is unknown
+	Zone    string       // as listed now; read and set by the loop alone
+	Cell    int          // likewise
+	Open    atomic.Bool  // new attempts are allowed
+	Waiting atomic.Int32 // attempts that wait for an answer on connections that are open
 }
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt is one attempt to have a request served by an endpoint.
 type Attempt struct {
 	Request  *Inbound
 	Endpoint *Endpoint
 	Sent     time.Time
-	Context  context.Context // ends with the timeout, or when the attempt is cancelled
-	Bodies   *Budget         // for the answer's body
+	Context  context.Context // ends at the attempt's deadline, or when the attempt is cancelled
+	Bodies   *Budget         // from which the answer's body is reserved
 }
 
-// UnsentStatus is the status of an attempt whose last byte was certainly not written: StatusNotSent when its time is over or it
-// was cancelled, StatusConnectFailed otherwise.
+// UnsentStatus returns the status of an attempt whose last byte was certainly not written: StatusNotSent after its deadline or when
+// it was cancelled, StatusConnectFailed otherwise.
 func (a *Attempt) UnsentStatus() balancer.Status {
-	// A dialer keeps the context's deadline by a timer of its own, which may fire before the context's does.
-	// Taken for a failed connection, a request's own deadline would isolate a sound endpoint.
+	// A dialer keeps the context's deadline by a timer of its own, which may fire before the context's does. If a request's own
+	// deadline counted as a failed connection, a healthy endpoint would be ejected.
 	if deadline, _ := a.Context.Deadline(); a.Context.Err() != nil || !time.Now().Before(deadline) {
 		return balancer.StatusNotSent
 	}
 	return balancer.StatusConnectFailed
 }
 
-// IncompleteStatus is the status of an attempt whose answer did not come complete; broken says that its connection is why,
-// and not what the answer says.
+// IncompleteStatus returns the status of an attempt without a complete, valid answer. broken means that the connection failed, and not
+// the answer's content.
 func (a *Attempt) IncompleteStatus(broken bool) balancer.Status {
 	switch {
 	case errors.Is(a.Context.Err(), context.DeadlineExceeded):
@@ -77,25 +77,25 @@
 	case broken:
 		return balancer.StatusReset
 	}
-	// The endpoint has run it and is healthy, but what it says cannot be used.
+	// The endpoint is healthy and has run the request, but its answer is invalid.
 	return balancer.StatusInvalidResponse
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Status   balancer.Status
 	Elapsed  time.Duration
-	Response *Response      // nil unless served
-	Load     *balancer.Load // nil where the endpoint reported none
-	Conn     Conn           // nil unless it can carry another attempt
-	// Unreachable says that nothing was sent for want of a way to speak this protocol with the endpoint: the
-	// same attempt may be made by another one.
+	Response *Response      // nil unless Status is StatusOK
+	Load     *balancer.Load // nil if the endpoint reported none
+	Conn     Conn           // nil unless the connection can carry another attempt
+	// Unreachable means that nothing was sent because the endpoint can't be reached by this protocol: the attempt may be made by
+	// another protocol.
 	Unreachable bool
-	// Blocked says that this protocol does not reach the endpoint any more, though the endpoint is there.
+	// Blocked means that this protocol no longer reaches the endpoint, though the endpoint runs.
 	Blocked bool
 }
 
-// ResultOf is the result of an attempt by the answer to it. It takes header for its own.
+// ResultOf returns the result of an attempt that was answered. It keeps header and changes it.
 func ResultOf(code int, header http.Header, body []byte) Result {
 	res := Result{Status: balancer.StatusError}
 	if report := header.Get(headerLoad); report != "" {
--- a/internal/network/exchange/front.go
+++ b/internal/network/exchange/front.go
@@ -6,50 +6,51 @@
 	"time"
 )
 
-// ExcessSockets are for callers that come when all connections are busy, and are rejected: to cut them off
-// would lose what they have sent.
+// ExcessSockets is the number of sockets for callers that connect while all connections are busy. They get an answer that rejects their
+// request: closing the connection would lose what they have sent.
 const ExcessSockets = 12
 
-// Front takes requests by one protocol.
+// Front serves callers over one protocol.
 type Front interface {
-	// Serve takes requests until Stop or Close.
+	// Serve accepts requests until Stop or Close.
 	Serve() error
-	// Quiet reports whether nobody is connected and nobody has come for a while.
+	// Quiet reports whether no connection is open and none has been accepted for d.
 	Quiet(d time.Duration) bool
-	// Stop takes no further connections and returns when what was taken is answered, or with the context's end, whose error it
-	// then gives.
+	// Stop shuts down gracefully: it accepts no new connection and returns when all accepted requests are answered, or with the
+	// context's error when that ends first.
 	Stop(ctx context.Context) error
-	// Close cuts off what is left.
+	// Close closes all connections at once.
 	Close() error
 }
 
-// Caller is the way by which a request comes: a connection of HTTP/1.1, a stream of HTTP/3.
+// Caller is the connection that a request came on: a connection of HTTP/1.1, a stream of HTTP/3.
 type Caller interface {
-	// BeginRequest notes that a request's headers have come, and tells when it began and whether there is no room for it.
-	BeginRequest() (began time.Time, over bool)
-	// BodyReceived notes that it has come complete, and tells how many connections stand idle beside its own.
-	BodyReceived() (idles int)
-	// CloseAfter has the connection end after this answer where the protocol needs that: what follows on it may be
-	// no request, or nobody will be here to answer it.
+	// BeginRequest is called when a request's headers have been received. It returns when the request began, and whether it came in
+	// excess of the bound on connections and is to be rejected.
+	BeginRequest() (began time.Time, excess bool)
+	// BodyReceived is called when the request has been received completely. It returns the number of idle connections.
+	BodyReceived() (idle int)
+	// CloseAfter closes the connection after this answer if the protocol needs that: the bytes that follow may be no request, or
+	// the sidecar may be gone by then.
 	CloseAfter(answer http.Header)
-	// AddHeaders adds what answers carry by this protocol.
+	// AddHeaders adds the headers that answers over this protocol have.
 	AddHeaders(answer http.Header)
-	// Confirm waits until the request cannot be a replay of another's early data. It is false where that
-	// will not be known in time.
+	// Confirm waits until the request can't be a replay of another's early data. It returns false if the context or the connection
+	// ends before that is known.
 	Confirm(ctx context.Context) bool
 	// Early reports whether the request came in early data that is not confirmed yet.
 	Early() bool
 }
 
-// callerKey is the key of a Caller in a context.
+// callerKey is the context key of a Caller.
 type callerKey struct{}
 
-// WithCaller puts a Caller into the context of its requests.
+// WithCaller returns a context that has a Caller, for the Caller's requests.
 func WithCaller(ctx context.Context, c Caller) context.Context {
 	return context.WithValue(ctx, callerKey{}, c)
 }
 
-// CallerOf is the Caller of a request; nil for none.
+// CallerOf returns the Caller in a request's context; nil if there is none.
 func CallerOf(r *http.Request) Caller {
 	c, _ := r.Context().Value(callerKey{}).(Caller)
 	return c
--- a/internal/network/exchange/headers.go
+++ b/internal/network/exchange/headers.go
@@ -12,7 +12,7 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveHopByHop takes those out that belong to one connection, also by the word of Connection itself.
+// RemoveHopByHop removes the headers that belong to one connection, including those that the Connection header names.
 func RemoveHopByHop(h http.Header) {
 	for _, line := range slices.Clone(h["Connection"]) {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/network/http1/answer.go
+++ b/internal/network/http1/answer.go
@@ -28,11 +28,11 @@
 type head struct {
 	code       int
 	header     textproto.MIMEHeader
-	persistent bool // its connection is to last
+	persistent bool // the connection stays open after the response
 }
 
-// read takes the response to the request that was written. An error that is not the connection's means that the response can't be
-// used; its connection is of no more use then.
+// read reads the response to the request that was written. An error that is not the connection's means that the response is invalid;
+// after any error the connection can't be used again.
 func (a *attempt) read(c *conn) (res exchange.Result, err error) {
 	c.readable = maxHeadBytes
 	h, err := readFinalHead(c.reader)
@@ -44,7 +44,7 @@
 	}
 	kept := 0
 	defer func() { a.Bodies.Release(maxBodyBytes - kept) }()
-	c.readable = maxBodyBytes + maxHeadBytes // beside the body, what its chunks take
+	c.readable = maxBodyBytes + maxHeadBytes // the body, and the framing of its chunks
 	body, err := readBody(c.reader, h)
 	if err != nil {
 		return res, err
@@ -59,7 +59,7 @@
 	return res, nil
 }
 
-// readFinalHead reads a response's head, past informational ones.
+// readFinalHead reads the head of the final response, and skips informational ones.
 func readFinalHead(r *bufio.Reader) (h head, err error) {
 	for range maxInformational + 1 {
 		if h, err = readHead(r); err != nil {
@@ -69,10 +69,10 @@
 			return h, nil
 		}
 	}
-	return h, errMalformed // the final one is still to come
+	return h, errMalformed // more than maxInformational came, and no final one
 }
 
-// readHead reads one head.
+// readHead reads one head, up to the empty line.
 func readHead(r *bufio.Reader) (h head, err error) {
 	text := textproto.NewReader(r)
 	line, err := text.ReadLine()
@@ -96,8 +96,8 @@
 	return h, nil
 }
 
-// readBody reads a response's body of at most maxBodyBytes. If its end is in doubt the response is malformed: lengths that disagree,
-// or none, so that the connection's end would be the body's.
+// readBody reads a response's body of at most maxBodyBytes. It returns errMalformed if the body's end is ambiguous: if lengths disagree,
+// or there is none, so that only the connection's end would end the body.
 func readBody(r *bufio.Reader, h head) ([]byte, error) {
 	lengths := h.header["Content-Length"]
 	codings := h.header["Transfer-Encoding"]
@@ -112,7 +112,7 @@
 	return nil, errMalformed
 }
 
-// readChunks reads a chunked body, and what follows its last chunk.
+// readChunks reads a chunked body and its trailer.
 func readChunks(r *bufio.Reader) ([]byte, error) {
 	body, err := exchange.ReadAll(httputil.NewChunkedReader(r))
 	if err != nil {
@@ -122,7 +122,7 @@
 	return body, err
 }
 
-// readLength reads a body of a Content-Length.
+// readLength reads a body whose Content-Length is given as text.
 func readLength(r *bufio.Reader, length string) ([]byte, error) {
 	n, err := strconv.ParseUint(length, 10, 63)
 	if err != nil {
--- a/internal/network/http1/attempt.go
+++ b/internal/network/http1/attempt.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// settleTime is how long a connection rests after an answer. Nothing ties an answer to its request, so what an endpoint sends
-	// beyond an answer must be seen before the next request is written.
+	// settleTime is the least time between an answer and the next request on a connection. Nothing ties an answer to its request, so
+	// bytes that an endpoint sends after an answer must arrive before the next request is written.
 	settleTime = time.Millisecond
-	// resetSpread is how long a process that dies may take to reset all its connections.
+	// resetSpread is the time in which a dying process resets all its connections.
 	resetSpread = 3 * time.Millisecond
 )
 
-// attempt is one over this protocol.
+// attempt is an attempt over HTTP/1.1.
 type attempt struct{ *exchange.Attempt }
 
-// run makes the attempt, on a connection that was idle or, with nil, on a new one. When it returns the connection is either closed or
-// free, so the Balancer may send the request again.
+// run makes the attempt on an idle connection or, if c is nil, on a new one. When it returns the connection is closed or idle, so that
+// the balancer may send the request again.
 func (a *attempt) run(c *conn, connectTimeout time.Duration) (res exchange.Result) {
 	defer func() { res.Elapsed = time.Since(a.Sent) }()
 	if c != nil {
@@ -47,8 +47,8 @@
 	return res
 }
 
-// dial makes a connection. A failure that comes at once is tried once more: endpoints reset new connections now and then, and a dead
-// one does it twice.
+// dial connects to the endpoint. It tries once more after a connection that is refused or reset at once: endpoints reset new connections
+// now and then, and only a dead one does so twice.
 func (a *attempt) dial(timeout time.Duration) (*conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	raw, err := dialer.DialContext(a.Context, "tcp", a.Endpoint.Address)
@@ -61,9 +61,9 @@
 	return newConn(raw), nil
 }
 
-// checkEndpoint tells a connection that alone broke from an endpoint that ended: the latter takes all its connections along and
-// accepts no new ones. If one broken connection were taken for that, a healthy endpoint would be ejected, and then start slowly. A
-// new connection takes the broken one's place.
+// checkEndpoint distinguishes a connection that broke alone from an endpoint that ended, which breaks all its connections and accepts no
+// new one. If a single broken connection counted as the endpoint's end, a healthy endpoint would be ejected and then go through its slow
+// start. On success the result has a new connection in the place of the broken one.
 func (a *attempt) checkEndpoint(res *exchange.Result, connectTimeout time.Duration) {
 	time.Sleep(resetSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// runOn makes the attempt on a connection, which is closed if it can't carry another one.
+// runOn makes the attempt on a connection, and closes the connection if it can't carry another attempt.
 func (a *attempt) runOn(c *conn) exchange.Result {
 	release := context.AfterFunc(a.Context, c.discard)
 	res := a.exchange(c)
@@ -107,7 +107,10 @@
 	return res
 }
 
-// isConnError tells whether a connection is why an answer could not be read, and not what the answer says.
+// isConnError reports whether an answer could not be read because of the connection, and not because of its content.
 func isConnError(err error) bool {
-	return errors.As(err, new(*net.OpError)) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.ErrClosedPipe)
+	return errors.As(err, new(*net.OpError)) ||
+		errors.Is(err, io.EOF) ||
+		errors.Is(err, io.ErrUnexpectedEOF) ||
+		errors.Is(err, io.ErrClosedPipe)
 }
--- a/internal/network/http1/attempt_test.go
+++ b/internal/network/http1/attempt_test.go
@@ -15,14 +15,14 @@
 	"quincegap/internal/network/exchange"
 )
 
-// outcome is how an endpoint plays its side of an attempt, and what comes of it.
+// outcome is an endpoint's behaviour in an attempt, and the result that it is to have.
 type outcome struct {
-	play func(net.Conn)
+	play func(net.Conn) // the endpoint's side of the connection
 	want balancer.Status
-	keep bool // the connection
+	keep bool // the connection can carry another attempt
 }
 
-// reply reads the request, sends a text and closes.
+// reply returns a behaviour that reads the request, sends a text and closes the connection.
 func reply(text string) func(net.Conn) {
 	return func(c net.Conn) {
 		readRequest(c)
@@ -31,7 +31,7 @@
 	}
 }
 
-// outcomes are those of answers, whole ones and others.
+// outcomes are the cases of TestOutcomes, by name.
 var outcomes = map[string]outcome{
 	"served":              {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), balancer.StatusOK, true},
 	"served, then closes": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"), balancer.StatusOK, false},
@@ -78,7 +78,7 @@
 func TestOutcomes(t *testing.T) {
 	for name, c := range outcomes {
 		t.Run(name, func(t *testing.T) {
-			res := tryOut(t, "", true, pipe(t, c.play), testTimeout, nil)
+			res := runAttempt(t, "", true, pipe(t, c.play), testTimeout, nil)
 			if res.Status != c.want || (res.Conn != nil) != c.keep {
 				t.Errorf("status %v, kept %v", res.Status, res.Conn != nil)
 			}
@@ -116,7 +116,7 @@
 					}
 				}
 			})
-			if res := tryOut(t, "", true, near, testTimeout, nil); res.Status != balancer.StatusInvalidResponse || res.Conn != nil {
+			if res := runAttempt(t, "", true, near, testTimeout, nil); res.Status != balancer.StatusInvalidResponse || res.Conn != nil {
 				t.Errorf("status %v", res.Status)
 			}
 			closeAll(t, near)
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	defer closeAll(t, l)
-	if res := tryOut(t, l.Addr().String(), false, nil, testTimeout, nil); res.Status != balancer.StatusNotSent || res.Conn != nil {
+	if res := runAttempt(t, l.Addr().String(), false, nil, testTimeout, nil); res.Status != balancer.StatusNotSent || res.Conn != nil {
 		t.Errorf("status %v, conn %v", res.Status, res.Conn)
 	}
 	c, err := l.Accept()
@@ -244,7 +244,7 @@
 	}
 	address := l.Addr().String()
 	closeAll(t, l)
-	if res := tryOut(t, address, true, nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed {
+	if res := runAttempt(t, address, true, nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed {
 		t.Errorf("status %v", res.Status)
 	}
 }
@@ -270,7 +270,7 @@
 					t.Errorf("endpoint got %d bytes, %v", n, err)
 				}
 			})
-			res := tryOut(t, "", true, near, c.timeout, func(cancel func()) {
+			res := runAttempt(t, "", true, near, c.timeout, func(cancel func()) {
 				<-written
 				if c.cancel {
 					cancel()
--- a/internal/network/http1/callers.go
+++ b/internal/network/http1/callers.go
@@ -12,21 +12,21 @@
 	"quincegap/internal/network/exchange"
 )
 
-// maxExcess is how many connections there may be beyond the bound, for their requests to be rejected.
+// maxExcess is the number of connections beyond the bound that are accepted so that their requests can be rejected with an answer.
 const maxExcess = exchange.ExcessSockets
 
-// slowRequestAfter is how long a request may take to come before its connection is in the way of others.
+// slowRequestAfter is the time after which a request that is not complete may be evicted in favour of a new connection.
 const slowRequestAfter = time.Second
 
-// stage is how far the request has come that a caller's connection is to bring.
+// stage is the progress of the present request on a caller's connection.
 type stage int
 
 // The stages, in the order in which a connection goes through them; stageIdle follows stageServing.
 const (
-	stageNew     stage = iota // nothing has come yet
-	stageIdle                 // the last request is answered
-	stageReading              // some of a request has come
-	stageServing              // a request has been read
+	stageNew     stage = iota // nothing has been received yet
+	stageIdle                 // the last request has been answered
+	stageReading              // a part of a request has been received
+	stageServing              // a request has been received completely
 	stageCount
 )
 
@@ -37,24 +37,24 @@
 
 	// listener.mu guards these.
 	stage        stage
-	element      *list.Element // in the list of its stage; nil once it is closed
-	requestBegan time.Time     // the request that it brings, or the connection itself
-	excess       bool          // it came when there was no room
+	element      *list.Element // in the list of its stage; nil after it is closed
+	requestBegan time.Time     // when the present request began; before the first one, when the connection was accepted
+	excess       bool          // accepted beyond the bound; its request is rejected
 }
 
-// callerListener bounds the connections from callers.
+// callerListener is a listener that bounds the connections from callers.
 type callerListener struct {
 	net.Listener
-	altSvc string
+	altSvc string // value of the header Alt-Svc; empty for none
 
 	mu           sync.Mutex
 	maxOpen      int
 	open         int
-	stages       [stageCount]list.List // of *callerConn, the longest in its stage first
+	stages       [stageCount]list.List // of *callerConn, the one that has been in its stage for the longest first
 	lastAccepted time.Time
 }
 
-// Accept takes the next connection for which there is room.
+// Accept returns the next connection for which there is room.
 func (l *callerListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -69,7 +69,8 @@
 	}
 }
 
-// admit makes room for a connection; false if there is not even room to reject its request, which to cut it off would lose.
+// admit makes room for a connection. Without room the connection is in excess: its request gets an answer that rejects it, since closing
+// the connection would lose the request. admit returns false if the room for those is used up too.
 func (l *callerListener) admit(c *callerConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +86,8 @@
 	return true
 }
 
-// evictOne closes the connection that loses least by it, and tells whether there was one. l.mu is held.
+// evictOne closes the connection whose caller loses least (see the package's comment). It reports whether there was one. The caller
+// holds l.mu.
 func (l *callerListener) evictOne(now time.Time) bool {
 	for at := l.stages[stageNew].Front(); at != nil; at = at.Next() {
 		if c := at.Value.(*callerConn); !c.hasUnread() {
@@ -109,13 +111,13 @@
 	return true
 }
 
-// closeConn closes a connection; its handler sees that when it next reads. l.mu is held.
+// closeConn closes a connection; its handler finds out with its next read. The caller holds l.mu.
 func (l *callerListener) closeConn(c *callerConn) {
-	_ = c.Close() // its caller is not waited for any more
+	_ = c.Close() // nothing more is expected of the caller
 	l.remove(c)
 }
 
-// remove takes a closed connection out. l.mu is held.
+// remove removes a closed connection from the lists. The caller holds l.mu.
 func (l *callerListener) remove(c *callerConn) {
 	if c.element != nil {
 		l.stages[c.stage].Remove(c.element)
@@ -124,7 +126,7 @@
 	}
 }
 
-// setStage notes how far a connection has come. l.mu is held.
+// setStage moves a connection that is open to a stage. The caller holds l.mu.
 func (l *callerListener) setStage(c *callerConn, to stage) {
 	if c.element != nil {
 		l.stages[c.stage].Remove(c.element)
@@ -133,32 +135,32 @@
 	}
 }
 
-// connState follows what net/http says of a connection.
+// connState follows the states of a connection in net/http.
 func (l *callerListener) connState(c net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch from := c.(*callerConn); state {
 	case http.StateIdle:
-		from.requestBegan = time.Now() // the next request may have come already
+		from.requestBegan = time.Now() // the next request may have been received already
 		l.setStage(from, stageIdle)
 	case http.StateClosed, http.StateHijacked:
 		l.remove(from)
 	}
 }
 
-// quietFor tells whether no connection is open and none has come for a while.
+// quietFor reports whether no connection is open and none has been accepted for d.
 func (l *callerListener) quietFor(d time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open == 0 && time.Since(l.lastAccepted) >= d
 }
 
-// connContext puts a connection into the context of its requests.
+// connContext returns the context of a connection's requests, which has the connection as their Caller.
 func connContext(ctx context.Context, c net.Conn) context.Context {
 	return exchange.WithCaller(ctx, c.(*callerConn))
 }
 
-// hasUnread tells whether something has come that the handler has not been able to read yet.
+// hasUnread reports whether bytes have been received that the handler has not read yet.
 func (c *callerConn) hasUnread() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -168,7 +170,7 @@
 	return err == nil && n > 0
 }
 
-// Read notes when a request begins.
+// Read reads from the connection, and notes when a request begins.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -177,7 +179,7 @@
 	return n, err
 }
 
-// noteReading notes that some of a request has come.
+// noteReading notes that a part of a request has been received.
 func (c *callerConn) noteReading() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -190,17 +192,17 @@
 	}
 }
 
-// CloseWrite lets net/http end its side first, so that a client that is still sending reads its answer.
+// CloseWrite closes the sending side alone: net/http does so first, so that a client that still sends can read its answer.
 func (c *callerConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// BeginRequest is of exchange.Caller.
+// BeginRequest implements exchange.Caller.
 func (c *callerConn) BeginRequest() (began time.Time, excess bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.requestBegan, c.excess
 }
 
-// BodyReceived is of exchange.Caller.
+// BodyReceived implements exchange.Caller.
 func (c *callerConn) BodyReceived() (idle int) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -208,18 +210,18 @@
 	return c.listener.stages[stageIdle].Len()
 }
 
-// CloseAfter is of exchange.Caller.
+// CloseAfter implements exchange.Caller.
 func (c *callerConn) CloseAfter(answer http.Header) { answer.Set("Connection", "close") }
 
-// AddHeaders is of exchange.Caller.
+// AddHeaders implements exchange.Caller.
 func (c *callerConn) AddHeaders(answer http.Header) {
 	if alt := c.listener.altSvc; alt != "" {
 		answer.Set("Alt-Svc", alt)
 	}
 }
 
-// Early is of exchange.Caller: TCP has no early data.
+// Early implements exchange.Caller: TCP has no early data.
 func (c *callerConn) Early() bool { return false }
 
-// Confirm is of exchange.Caller.
+// Confirm implements exchange.Caller.
 func (c *callerConn) Confirm(context.Context) bool { return true }
--- a/internal/network/http1/conn.go
+++ b/internal/network/http1/conn.go
@@ -14,13 +14,13 @@
 // conn is a connection to an endpoint; it carries one attempt at a time.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader // of what Read gives
-	readable int           // bytes that may still be read
+	reader   *bufio.Reader // reads by way of Read, within its bound
+	readable int           // bytes that may still be read of the present answer
 
-	// Of an idle connection.
+	// Set while the connection is idle.
 	idleSince time.Time
 	endpoint  *exchange.Endpoint
-	element   *list.Element // in the pool's order
+	element   *list.Element // in pool.idleOrder
 }
 
 func newConn(raw net.Conn) *conn {
@@ -29,7 +29,7 @@
 	return c
 }
 
-// Read never brings more than was allowed: an endpoint may send without end.
+// Read reads at most readable bytes in all, then returns exchange.ErrBodyTooLarge: an endpoint may send without end.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.readable <= 0 {
 		return 0, exchange.ErrBodyTooLarge
@@ -39,10 +39,10 @@
 	return n, err
 }
 
-// discard closes a connection that carries no attempt any more: an error could lose nothing.
+// discard closes a connection without an attempt. Nothing can be lost by an error.
 func (c *conn) discard() { _ = c.Close() }
 
-// alive tells whether an idle connection can carry a request: its peer has neither closed it nor sent what nobody asked for.
+// alive reports whether an idle connection can carry a request: the endpoint has neither closed it nor sent anything unasked.
 func (c *conn) alive() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -56,10 +56,11 @@
 	return n < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR))
 }
 
-// peekByte looks for a byte to read, without taking it or waiting. It returns 0 at the end of a stream, and -1 with an error.
+// peekByte looks for a byte to read, without consuming it and without blocking. It returns 1 if there is one, 0 at the end of the stream
+// and -1 with an error; EAGAIN means that there is nothing to read.
 func peekByte(raw syscall.RawConn) (n int, err error) {
 	n = -1
-	// Not raw.Read: that would wait for another goroutine's Read to end.
+	// Not raw.Read, which would wait until another goroutine's Read ends.
 	controlErr := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/network/http1/front.go
+++ b/internal/network/http1/front.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Bounds are those of a Front.
+// Bounds are the limits of a Front.
 type Bounds struct {
-	MaxConnections int           // at once
+	MaxConnections int           // open at once
 	MaxHeaderBytes int           // of a request
-	RequestTimeout time.Duration // for a request's headers
+	RequestTimeout time.Duration // to receive a request's headers
 	IdleTimeout    time.Duration // between two requests
 	WriteTimeout   time.Duration // from a request's headers to the end of its answer
-	AltSvc         string        // the header of that name in answers (RFC 7838); empty for none
+	AltSvc         string        // value of the header Alt-Svc in answers (RFC 7838); empty for none
 }
 
-// Front takes callers' requests over HTTP/1.1. It is an exchange.Front.
+// Front serves callers over HTTP/1.1. It implements exchange.Front.
 type Front struct {
 	callers callerListener
 	server  http.Server
 }
 
-// NewFront makes a front that hands what comes at a listener to a handler. Close or Stop closes the listener.
+// NewFront returns a front that serves the requests on a listener by a handler. Close and Stop close the listener.
 func NewFront(listener net.Listener, handler http.Handler, b Bounds) *Front {
 	f := &Front{}
 	f.callers.Listener = listener
@@ -42,7 +42,7 @@
 	return f
 }
 
-// Serve is of exchange.Front.
+// Serve implements exchange.Front.
 func (f *Front) Serve() error {
 	if err := f.server.Serve(&f.callers); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -50,16 +50,16 @@
 	return nil
 }
 
-// Quiet is of exchange.Front.
+// Quiet implements exchange.Front.
 func (f *Front) Quiet(d time.Duration) bool { return f.callers.quietFor(d) }
 
-// Stop is of exchange.Front.
+// Stop implements exchange.Front.
 func (f *Front) Stop(ctx context.Context) error { return f.server.Shutdown(ctx) }
 
-// Close is of exchange.Front.
+// Close implements exchange.Front.
 func (f *Front) Close() error { return f.server.Close() }
 
-// Counts are the connections: all that are open, the idle ones, those that are in some stage; and how many there may be.
+// Counts returns the numbers of open connections, of idle ones and of those in all stages together, and the bound.
 func (f *Front) Counts() (open, idle, staged, maxOpen int) {
 	l := &f.callers
 	l.mu.Lock()
@@ -70,7 +70,7 @@
 	return l.open, l.stages[stageIdle].Len(), staged, l.maxOpen
 }
 
-// SetMaxConnections changes how many connections there may be at once.
+// SetMaxConnections changes the bound on open connections.
 func (f *Front) SetMaxConnections(n int) {
 	f.callers.mu.Lock()
 	defer f.callers.mu.Unlock()
--- a/internal/network/http1/helpers_test.go
+++ b/internal/network/http1/helpers_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 10 * time.Second
 
-// newAttempt is one to an endpoint that is open.
+// newAttempt returns an attempt at an endpoint that is open, and the function that cancels it.
 func newAttempt(t *testing.T, address string, timeout time.Duration, bodies *exchange.Budget) (*attempt, func()) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -30,8 +30,8 @@
 	return a, cancel
 }
 
-// tryOut makes an attempt at an endpoint, on a connection of the test's if there is one.
-func tryOut(t *testing.T, address string, open bool, c net.Conn, timeout time.Duration, during func(cancel func())) exchange.Result {
+// runAttempt makes an attempt at an endpoint, on the test's connection unless that is nil. during runs beside the attempt; nil for nothing.
+func runAttempt(t *testing.T, address string, open bool, c net.Conn, timeout time.Duration, during func(cancel func())) exchange.Result {
 	t.Helper()
 	a, cancel := newAttempt(t, address, timeout, largeBudget())
 	defer cancel()
@@ -45,14 +45,14 @@
 	return a.runOn(newConn(c))
 }
 
-// largeBudget is a budget for bodies that is not used up.
+// largeBudget returns a budget that no test uses up.
 func largeBudget() *exchange.Budget {
 	b := &exchange.Budget{}
 	b.Release(1 << 30)
 	return b
 }
 
-// pipe plays the endpoint's side of a connection, byte by byte.
+// pipe returns one end of an unbuffered connection; play has the other end, the endpoint's.
 func pipe(t *testing.T, play func(net.Conn)) net.Conn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -68,7 +68,7 @@
 	return near
 }
 
-// tcpPair is two ends of a loopback connection.
+// tcpPair returns both ends of a loopback connection.
 func tcpPair(t *testing.T) (*conn, net.Conn) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -88,7 +88,7 @@
 	return newConn(near), far
 }
 
-// readRequest reads a whole request, or what comes of it.
+// readRequest reads a request, or as much of it as comes.
 func readRequest(c net.Conn) {
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -98,7 +98,7 @@
 // send writes a text; the attempt may have closed the connection.
 func send(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-// closeAll closes what may be closed already.
+// closeAll closes things that may be closed already.
 func closeAll(t *testing.T, all ...io.Closer) {
 	t.Helper()
 	for _, c := range all {
--- a/internal/network/http1/pool.go
+++ b/internal/network/http1/pool.go
@@ -8,17 +8,17 @@
 	"quincegap/internal/network/exchange"
 )
 
-// pool holds the idle connections to all endpoints, and bounds all connections to them. One goroutine uses it.
+// pool has the idle connections to all endpoints, and bounds the number of all connections. It is not safe for concurrent use.
 type pool struct {
-	idle      map[*exchange.Endpoint][]*conn // the most recently used last
-	idleOrder list.List                      // of all idle *conn, the longest idle first
-	open      int                            // connections in use, idle or being made
+	idle      map[*exchange.Endpoint][]*conn // the most recently used one last
+	idleOrder list.List                      // of all idle *conn, the one that has been idle for the longest first
+	open      int                            // connections in use, idle or being made; at most maxOpen
 	maxOpen   int
-	maxIdle   time.Duration
+	maxIdle   time.Duration // after which an idle connection is closed
 }
 
-// acquire takes the most recently used connection to an endpoint; nil asks for a new one. It is false if there may be no further
-// connection. Whether the connection is alive shows when it is used.
+// acquire removes the most recently used idle connection to an endpoint from the pool. It returns nil and true if the caller may make a
+// new one, and false if the bound on connections is reached. The connection may have broken meanwhile.
 func (p *pool) acquire(e *exchange.Endpoint, now time.Time) (c *conn, ok bool) {
 	if conns := p.idle[e]; len(conns) > 0 {
 		last := conns[len(conns)-1]
@@ -39,7 +39,7 @@
 	return nil, true
 }
 
-// release takes a connection back after an attempt; nil if it is closed.
+// release returns a connection to the pool after an attempt; nil if it has been closed.
 func (p *pool) release(e *exchange.Endpoint, c *conn) {
 	switch {
 	case c == nil:
@@ -55,7 +55,7 @@
 	}
 }
 
-// removeIdle takes a connection out of the idle ones.
+// removeIdle removes a connection from the idle ones.
 func (p *pool) removeIdle(c *conn) {
 	p.idleOrder.Remove(c.element)
 	conns := p.idle[c.endpoint]
@@ -82,7 +82,7 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long or whose peer has closed them.
+// sweep closes the idle connections that are too old or that their endpoint has closed.
 func (p *pool) sweep(now time.Time) {
 	for at := p.idleOrder.Front(); at != nil; {
 		c := at.Value.(*conn)
--- a/internal/network/http1/probe.go
+++ b/internal/network/http1/probe.go
@@ -9,10 +9,11 @@
 	"quincegap/internal/network/exchange"
 )
 
-// healthPath is where an endpoint tells whether it is healthy.
+// healthPath is the path of endpoints' health checks.
 const healthPath = "/health"
 
-// Probe makes a health check of an endpoint, on a connection of its own.
+// Probe makes a health check of an endpoint on a connection of its own. The statuses are StatusOK if the endpoint is healthy, StatusError
+// if it answers otherwise, StatusTimeout, StatusConnectFailed, and StatusNotSent for an address that can't be used.
 func Probe(e *exchange.Endpoint, timeout time.Duration) balancer.Status {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -25,13 +26,13 @@
 	switch {
 	case ctx.Err() != nil:
 		if res != nil {
-			_ = res.Body.Close() // it came too late
+			_ = res.Body.Close() // the answer came too late
 		}
 		return balancer.StatusTimeout
 	case err != nil:
 		return balancer.StatusConnectFailed
 	}
-	_ = res.Body.Close() // the status says it all
+	_ = res.Body.Close() // only the status matters
 	if res.StatusCode != http.StatusOK {
 		return balancer.StatusError
 	}
--- a/internal/network/http1/request.go
+++ b/internal/network/http1/request.go
@@ -12,7 +12,7 @@
 // ownHeaders are the headers that encode writes itself.
 var ownHeaders = map[string]bool{"Content-Length": true, "X-Remaining": true}
 
-// encode is a request as it goes on to an endpoint. X-Remaining tells the endpoint how long its answer is waited for, in
+// encode returns a request as it is forwarded to an endpoint. The header X-Remaining is the time until the attempt's deadline, in
 // microseconds.
 func encode(in *exchange.Inbound, remaining time.Duration) []byte {
 	var b bytes.Buffer
@@ -21,7 +21,7 @@
 	if len(in.Body) > 0 || in.Method != http.MethodGet {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(in.Body))
 	}
-	_ = in.Header.WriteSubset(&b, ownHeaders) // a buffer returns no error
+	_ = in.Header.WriteSubset(&b, ownHeaders) // writes to a buffer never fail
 	b.WriteString("\r\n")
 	b.Write(in.Body)
 	return b.Bytes()
--- a/internal/network/http1/transport.go
+++ b/internal/network/http1/transport.go
@@ -6,14 +6,14 @@
 	"quincegap/internal/network/exchange"
 )
 
-// Transport makes attempts over HTTP/1.1: one on a connection at a time. It is an exchange.Transport.
+// Transport makes attempts over HTTP/1.1, one at a time on each connection. It implements exchange.Transport.
 type Transport struct {
 	pool
 	connectTimeout time.Duration
 }
 
-// NewTransport makes a transport with its bounds: connections, in use and idle, to all endpoints together; how long one may be idle;
-// how long making one may take.
+// NewTransport returns a transport with at most maxOpen connections to all endpoints together, in use and idle. It closes connections that
+// have been idle for maxIdle, and gives up connecting after connectTimeout.
 func NewTransport(maxOpen int, maxIdle, connectTimeout time.Duration) *Transport {
 	return &Transport{
 		pool:           pool{idle: map[*exchange.Endpoint][]*conn{}, maxOpen: maxOpen, maxIdle: maxIdle},
@@ -21,13 +21,13 @@
 	}
 }
 
-// SetMaxIdle changes how long a connection may be idle.
+// SetMaxIdle changes the time after which an idle connection is closed.
 func (t *Transport) SetMaxIdle(d time.Duration) { t.maxIdle = d }
 
-// Counts are the connections: all that are open, and the idle ones.
+// Counts returns the numbers of open connections and of idle ones among them.
 func (t *Transport) Counts() (open, idle int) { return t.open, t.idleOrder.Len() }
 
-// IdleAt is how many connections to an address are idle.
+// IdleAt returns the number of idle connections to an address.
 func (t *Transport) IdleAt(address string) (n int) {
 	for e, conns := range t.idle {
 		if e.Address == address {
@@ -37,25 +37,25 @@
 	return n
 }
 
-// Acquire is of exchange.Transport.
+// Acquire implements exchange.Transport.
 func (t *Transport) Acquire(e *exchange.Endpoint, now time.Time) (exchange.Conn, bool) {
 	c, ok := t.acquire(e, now)
 	if c == nil {
-		return nil, ok // not a nil in an interface
+		return nil, ok // a nil *conn in an interface would not be nil
 	}
 	return c, ok
 }
 
-// Release is of exchange.Transport.
+// Release implements exchange.Transport.
 func (t *Transport) Release(e *exchange.Endpoint, _, left exchange.Conn) {
 	c, _ := left.(*conn)
 	t.release(e, c)
 }
 
-// CloseIdle is of exchange.Transport.
+// CloseIdle implements exchange.Transport.
 func (t *Transport) CloseIdle(e *exchange.Endpoint) { t.closeIdle(e) }
 
-// Sweep is of exchange.Transport.
+// Sweep implements exchange.Transport.
 func (t *Transport) Sweep(now time.Time) { t.sweep(now) }
 
 // Close closes the idle connections.
@@ -65,7 +65,7 @@
 	}
 }
 
-// Run is of exchange.Transport.
+// Run implements exchange.Transport.
 func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) exchange.Result {
 	acquired, _ := c.(*conn)
 	return (&attempt{a}).run(acquired, t.connectTimeout)
