--- a/internal/network/http3/attempt.go
+++ b/internal/network/http3/attempt.go
@@ -19,7 +19,7 @@
 	errNoMemory  = errors.New("no memory for the body")
 )
 
-// Run is of exchange.Transport.
+// Run implements exchange.Transport.
 func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) (res exchange.Result) {
 	defer func() { res.Elapsed = time.Since(a.Sent) }()
 	acquired := c.(*endpointConn)
@@ -39,8 +39,8 @@
 	if !unsent {
 		return res
 	}
-	// The connection was of no more use, and nothing was sent on it: one more is made, as with an idle connection of HTTP/1.1 that its
-	// endpoint has closed.
+	// The connection could not be used, and nothing was sent on it. The attempt goes to a new one, as with an idle connection of
+	// HTTP/1.1 that its endpoint has closed.
 	next := t.dialNow(a.Endpoint.Address)
 	if next.err != nil {
 		return exchange.Result{Status: a.UnsentStatus(), Unreachable: a.Context.Err() == nil && !isAuthError(next.err)}
@@ -53,7 +53,7 @@
 	return res
 }
 
-// dialNow makes a connection without early data, and waits for it. It goes by the transport's context: the connection outlives the
+// dialNow makes a connection without early data, and waits for it. It uses the transport's context, since the connection outlives the
 // attempt.
 func (t *Transport) dialNow(address string) *endpointConn {
 	c := &endpointConn{ready: make(chan struct{})}
@@ -61,7 +61,7 @@
 	return c
 }
 
-// runOn makes the attempt on a connection. unsent tells that nothing was sent, because the connection is of no more use.
+// runOn makes the attempt on a connection. unsent means that nothing was sent because the connection can't be used any more.
 func (t *Transport) runOn(a *exchange.Attempt, c *endpointConn, early bool) (res exchange.Result, unsent bool) {
 	if !early {
 		if err := c.waitConfirmed(a.Context); err != nil {
@@ -78,8 +78,8 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, quic.Err0RTTRejected):
-		// All early data is as if it had never been sent (RFC 9001, section 4.6.2). The connection could go on, with streams
-		// numbered anew; what the library then still sends for the old ones gets in their way.
+		// The endpoint has discarded all early data (RFC 9001, section 4.6.2). The connection could go on with new streams, but
+		// the library still sends frames for the old ones, which have the same numbers.
 		c.abandon()
 		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
 	case isNeverSent(err):
@@ -96,8 +96,8 @@
 	return res, false
 }
 
-// checkEndpoint tells a connection that alone broke from an endpoint that ended, as over HTTP/1.1. If no new one comes about over
-// UDP, it may be the path that broke: an endpoint that takes TCP is there.
+// checkEndpoint distinguishes a connection that broke alone from an endpoint that ended, as over HTTP/1.1. If no new connection can be
+// made over UDP, the path may have broken: an endpoint that accepts a connection over TCP still runs.
 func (t *Transport) checkEndpoint(a *exchange.Attempt, res *exchange.Result) {
 	if a.Endpoint.Waiting.Load() > 0 {
 		res.Status = balancer.StatusInvalidResponse
@@ -116,11 +116,11 @@
 	}
 }
 
-// isNeverSent tells that no stream could be opened for a request. The library's type for that has no name outside it. If its words
-// should change, this says no: then the attempt counts as one that may have run.
+// isNeverSent reports whether an error means that no stream could be opened for a request. The library does not export that error's type,
+// so its text is compared. Should the text change, the attempt counts as one that may have run.
 func isNeverSent(err error) bool { return strings.HasPrefix(err.Error(), "http3: conn unusable: ") }
 
-// isRejected tells that an endpoint has not looked at a request.
+// isRejected reports whether an error means that the endpoint has not processed the request.
 func isRejected(err error) bool {
 	e, ok := errors.AsType[*http3.Error](err)
 	if !ok || !e.Remote || e.ErrorCode != http3.ErrCodeRequestRejected {
--- a/internal/network/http3/callers.go
+++ b/internal/network/http3/callers.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-// The reasons with which connections are closed, as callers read them.
+// The reasons in CONNECTION_CLOSE frames to callers. They are data.
 const (
 	reasonNoRoom    = "no room"
 	reasonEvicted   = "idle, and others come"
@@ -20,7 +20,7 @@
 	reasonIdle      = "idle"
 )
 
-// sweepInterval is how often connections are looked at that bring no request.
+// sweepInterval is the time between two searches for connections without a request.
 const sweepInterval = 500 * time.Millisecond
 
 // callerConn is a connection from a caller.
@@ -29,14 +29,14 @@
 	conn  *quic.Conn
 
 	// front.mu guards these.
-	streams    int        // with a request under way
-	list       *list.List // front.fresh or front.idle while there is none
-	element    *list.Element
-	quietSince time.Time // when it came, or its last request ended
+	streams    int           // requests in progress
+	list       *list.List    // front.fresh or front.idle while streams is 0, else nil
+	element    *list.Element // in list
+	quietSince time.Time     // when it was accepted, or its last request ended
 }
 
-// admit makes room for a connection, in the place of one that is fresh or idle, the longest first. If there is none, the new one is
-// rejected; nothing that it sent has been looked at then.
+// admit makes room for a connection, if necessary by closing the one that has been fresh for the longest, else the one that has been idle
+// for the longest. If there is none it returns false; nothing that the new connection sent has been processed then.
 func (f *Front) admit(conn *quic.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,15 +62,15 @@
 	return true
 }
 
-// closeConn ends a connection that has no request under way. f.mu is held.
+// closeConn ends a connection that has no request under way. The caller holds f.mu.
 func (f *Front) closeConn(c *callerConn, reason string) {
 	f.remove(c)
-	go func() { // it waits for the connection's own goroutine
+	go func() { // CloseWithError waits for the connection's goroutine, which may wait for f.mu
 		_ = c.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), reason) // never fails
 	}()
 }
 
-// remove takes a connection out. f.mu is held.
+// remove forgets a connection. The caller holds f.mu.
 func (f *Front) remove(c *callerConn) {
 	if f.open[c.conn] == c {
 		delete(f.open, c.conn)
@@ -78,7 +78,8 @@
 	c.moveTo(nil)
 }
 
-// moveTo moves a connection into another list of those without a request; nil for none. front.mu is held.
+// moveTo moves a connection to the end of a list of connections without a request; nil removes it from its list. The caller holds
+// front.mu.
 func (c *callerConn) moveTo(to *list.List) {
 	if c.element != nil {
 		c.list.Remove(c.element)
@@ -91,8 +92,8 @@
 	}
 }
 
-// sweep ends connections that bring no request, until Close. QUIC's own timeouts go by packets: a connection that sends a PING now
-// and then, or half a request's headers, would stay for good.
+// sweep closes connections without a request, until Close. QUIC's own timeouts count packets: a connection that sends a PING now and
+// then, or a part of a request's headers, would stay for ever.
 func (f *Front) sweep(b Bounds) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -106,7 +107,7 @@
 	}
 }
 
-// closeQuiet ends the connections that have brought no request for too long.
+// closeQuiet closes the connections that have had no request for too long.
 func (f *Front) closeQuiet(b Bounds) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,7 +115,7 @@
 	f.closeOlder(&f.idle, b.IdleTimeout, reasonIdle)
 }
 
-// closeOlder ends those of a list that have been in it for a time or longer. f.mu is held.
+// closeOlder closes the connections of a list that have been in it for limit or longer. The caller holds f.mu.
 func (f *Front) closeOlder(conns *list.List, limit time.Duration, reason string) {
 	for at := conns.Front(); at != nil; at = conns.Front() {
 		c := at.Value.(*callerConn)
@@ -125,26 +126,26 @@
 	}
 }
 
-// connKey is the key of a *quic.Conn in the context of its requests.
+// connKey is the context key of the *quic.Conn of a request.
 type connKey struct{}
 
-// countRequests has a handler's requests counted, and gives them an exchange.Caller.
+// countRequests returns a handler that counts the requests in progress, and puts an exchange.Caller into their contexts.
 func (f *Front) countRequests(handler http.Handler, b Bounds) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, _ := r.Context().Value(connKey{}).(*quic.Conn)
 		c := f.startRequest(conn)
-		if c == nil { // it is being closed
+		if c == nil { // the connection is being closed
 			panic(http.ErrAbortHandler)
 		}
 		defer f.endRequest(c)
 		s := &requestStream{caller: c, began: time.Now()}
-		// Never fails for a stream that is open; the writes to another one do.
+		// Fails only for a stream that is closed, where writes fail too.
 		_ = http.NewResponseController(w).SetWriteDeadline(s.began.Add(b.WriteTimeout))
 		handler.ServeHTTP(w, r.WithContext(exchange.WithCaller(r.Context(), s)))
 	})
 }
 
-// startRequest counts a request of a connection; nil if that is not open any more.
+// startRequest counts a request in progress. It returns nil if the connection is not open any more.
 func (f *Front) startRequest(conn *quic.Conn) *callerConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +158,7 @@
 	return c
 }
 
-// endRequest notes that a request has ended.
+// endRequest counts a request that has ended; after the last one the connection is idle.
 func (f *Front) endRequest(c *callerConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/network/http3/conn.go
+++ b/internal/network/http3/conn.go
@@ -15,25 +15,25 @@
 	"quincegap/internal/network/exchange"
 )
 
-// keepAlivesPerTimeout is how often an endpoint is asked for a sign of life before it counts as unresponsive.
+// keepAlivesPerTimeout is the number of keep-alive packets in the time after which an endpoint counts as unresponsive.
 const keepAlivesPerTimeout = 3
 
-// endpointConn is a connection to an endpoint, or one that is being made.
+// endpointConn is a connection to an endpoint, possibly one that is still being made.
 type endpointConn struct {
-	ready chan struct{} // closed once the connection is made, or has failed
+	ready chan struct{} // closed after the connection was made or has failed
 
-	// Valid once it is ready.
+	// Valid after ready is closed.
 	conn   *quic.Conn
 	client *http3.ClientConn
 	err    error
 
-	// The loop's.
-	attempts  int // on it now
-	idleSince time.Time
-	retired   bool // it gets no further attempts
+	// Owned by the loop.
+	attempts  int       // in progress
+	idleSince time.Time // when the last attempt ended
+	retired   bool      // no further attempts are allowed
 }
 
-// usable tells whether it may carry another attempt.
+// usable reports whether the connection may carry another attempt. One that is still being made may.
 func (e *endpointConn) usable() bool {
 	if e.retired {
 		return false
@@ -46,7 +46,7 @@
 	}
 }
 
-// close closes the connection, once it is made.
+// close waits until the connection has been made, and closes it.
 func (e *endpointConn) close() {
 	<-e.ready
 	if e.err == nil {
@@ -54,12 +54,13 @@
 	}
 }
 
-// abandon closes a connection that is of no more use.
+// abandon closes a connection that has been made.
 func (e *endpointConn) abandon() {
 	_ = e.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "") // never fails
 }
 
-// waitConfirmed waits until what is sent can't be early data any more.
+// waitConfirmed waits until the handshake is complete, so that requests are no early data. It returns the reason why the connection has
+// ended, or the context's error.
 func (e *endpointConn) waitConfirmed(ctx context.Context) error {
 	select {
 	case <-e.conn.HandshakeComplete():
@@ -71,7 +72,7 @@
 	}
 }
 
-// dial makes a connection; with early it is ready before its handshake is complete.
+// dial makes a connection and closes c.ready. With early, c is ready before the handshake is complete.
 func (t *Transport) dial(c *endpointConn, address string, early bool) {
 	defer close(c.ready)
 	ctx, cancel := context.WithTimeout(t.ctx, t.settings.HandshakeTimeout)
@@ -90,16 +91,16 @@
 	}
 }
 
-// tlsConfigFor is that of connections to an address.
+// tlsConfigFor returns the TLS configuration for an address.
 func (t *Transport) tlsConfigFor(address string) *tls.Config {
-	host, _, _ := net.SplitHostPort(address) // it has been resolved
+	host, _, _ := net.SplitHostPort(address) // never fails: the address has been resolved
 	config := t.tlsConfig.Clone()
 	config.ServerName = cmp.Or(t.settings.ServerName, host)
 	config.ClientSessionCache = addressCache{t.sessionCache, address}
 	return config
 }
 
-// quicConfig is that of connections to endpoints. As at the front, larger packets are not tried.
+// quicConfig returns the QUIC configuration of connections to endpoints. As at the front, path MTU discovery is off.
 func (t *Transport) quicConfig() *quic.Config {
 	const streamWindow = exchange.MaxBody + maxHeadBytes
 	return &quic.Config{
@@ -116,24 +117,24 @@
 	}
 }
 
-// addressCache has the session tickets of one address in the cache of all: a ticket is of use only with the endpoint that gave it.
+// addressCache is the view of one address on the cache of all session tickets: only the endpoint that issued a ticket accepts it.
 type addressCache struct {
 	tls.ClientSessionCache
 	address string
 }
 
-// Get is of tls.ClientSessionCache.
+// Get implements tls.ClientSessionCache.
 func (a addressCache) Get(key string) (*tls.ClientSessionState, bool) {
 	return a.ClientSessionCache.Get(a.address + " " + key)
 }
 
-// Put is of tls.ClientSessionCache.
+// Put implements tls.ClientSessionCache.
 func (a addressCache) Put(key string, s *tls.ClientSessionState) {
 	a.ClientSessionCache.Put(a.address+" "+key, s)
 }
 
-// isAuthError tells whether a connection failed for who answered, and not for want of a way: to fall back from that to a protocol
-// that proves nothing would be what an impostor is after.
+// isAuthError reports whether a connection failed because the endpoint could not prove who it is. Then there is no fallback to a protocol
+// without that proof: an impostor would provoke it.
 func isAuthError(err error) bool {
 	if _, bad := errors.AsType[*tls.CertificateVerificationError](err); bad {
 		return true
--- a/internal/network/http3/doc.go
+++ b/internal/network/http3/doc.go
@@ -1,5 +1,5 @@
-// Package http3 speaks HTTP/3 (RFC 9114) over QUIC (RFC 9000) for the standalone sidecar, on quic-go: a Front takes callers'
-// requests, a Transport makes attempts at endpoints.
+// Package http3 implements HTTP/3 (RFC 9114) over QUIC (RFC 9000) for the standalone sidecar, with quic-go: a Front serves callers, a
+// Transport makes attempts at endpoints.
 //
 // # Callers' connections
 //
@@ -7,22 +7,23 @@
 //	                                                  │                          └── last one ends ──▶ │
 //	                                                  └── RequestTimeout ──▶ closed ◀── IdleTimeout ────┘
 //
-// From half of MaxHandshakes on an address has to prove itself by a Retry. When all connections are in use, a new one takes the
-// place of the one that has been fresh for the longest, else of the one that has been idle for the longest; if there is none, it is
-// closed with H3_EXCESSIVE_LOAD.
+// From half of MaxHandshakes on, an address has to be validated by a Retry. When all connections are in use, a new one replaces the one
+// that has been fresh for the longest, else the one that has been idle for the longest; if there is none, the new one is closed with
+// H3_EXCESSIVE_LOAD.
 //
 // # Early data
 //
-// Requests may come before the handshake is complete (RFC 8470). Whoever sends them may be replaying what another has sent, until
-// the handshake ends; requestStream.Confirm waits for that.
+// Requests may come before the handshake is complete (RFC 8470). Until then they may be a replay of another caller's;
+// requestStream.Confirm waits for the end of the handshake.
 //
 // # Attempts
 //
 // Several attempts share a connection, each on a stream of its own. A request is written once: an attempt goes to a second
-// connection only if nothing was sent on the first. isNeverSent and isRejected say when that is certain; all else may have run.
+// connection only if nothing was sent on the first. isNeverSent and isRejected report when that is certain; after any other error the
+// request may have run.
 //
 // # What it does not do
 //
-// It decides neither which endpoints are spoken to over HTTP/3 nor how long one is left alone after a failure: that is
-// internal/modules/protocolfallback's.
+// It decides neither which endpoints are used over HTTP/3 nor how long HTTP/3 pauses after a failure: internal/modules/protocolfallback
+// does.
 package http3
--- a/internal/network/http3/early_test.go
+++ b/internal/network/http3/early_test.go
@@ -14,13 +14,14 @@
 	"quincegap/internal/standin/udp"
 )
 
-// earlyCounter counts a handler's requests by when they came. Those that are not safe wait for the handshake, as the desk has them do.
+// earlyCounter is a handler that counts requests in early data and others. Those that are not safe wait for the handshake, as in the
+// sidecar's own handler.
 type earlyCounter struct {
 	mu       sync.Mutex
-	early    int // requests that the handler went on with before the handshake's end
-	other    int // and after it
-	waiting  int // that came before it, and waited for it
-	rejected int // of those, for which it never came
+	early    int // requests processed before the end of the handshake
+	other    int // requests processed after it
+	waiting  int // requests that wait for it, or waited in vain
+	rejected int // requests that waited in vain
 }
 
 // ServeHTTP echoes a request once it may run.
@@ -41,7 +42,7 @@
 	echo(w, r)
 }
 
-// confirm waits for the handshake's end.
+// confirm waits for the end of the handshake. It returns false if the handshake fails.
 func (e *earlyCounter) confirm(r *http.Request, caller exchange.Caller) bool {
 	e.mu.Lock()
 	e.waiting++
@@ -57,18 +58,18 @@
 	return ok
 }
 
-// counts are the requests that wait, or waited in vain, and the latter alone.
+// counts returns waiting and rejected.
 func (e *earlyCounter) counts() (waiting, rejected int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.waiting, e.rejected
 }
 
-// recordFlight sends a booking in early data by way of a relay, and returns the packets of that.
+// recordFlight sends a booking in early data through a relay, and returns the recorded packets.
 func recordFlight(t *testing.T, test *testFront, e *earlyCounter, relay *udp.Relay, cache tls.ClientSessionCache) [][]byte {
 	t.Helper()
-	// The caller hears nothing until the server has its booking: on a busy machine the handshake was over before the caller came to
-	// send that, the flight held no early data, and no replay of it was ever taken up.
+	// The caller gets no reply until the server has the booking. Otherwise, on a busy machine, the handshake is complete before the
+	// caller sends it, and the flight has no early data to replay.
 	relay.SetFault(udp.Fault{DropReplies: true})
 	relay.StartRecording()
 	conn, err := quic.DialAddrEarly(t.Context(), relay.Address(), test.tlsConfig(cache), nil)
@@ -81,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// By a client that does what browsers do not.
+	// Browsers send no POST in early data; this client does.
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "https://"+frontName+"/book", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -107,13 +108,13 @@
 	return flight
 }
 
-// A first flight with a booking in early data, recorded and sent a hundred times more, runs once: no replay ever ends its handshake.
-// The server restarts with the same secret in between, so that the old ticket still holds.
+// A first flight with a booking in early data, recorded and replayed a hundred times, runs once: no replay completes its handshake. The
+// server restarts with the same secret in between, so that the old ticket is still valid.
 func TestReplayedFirstFlight(t *testing.T) {
 	e := &earlyCounter{}
 	test := openFront(t, e.ServeHTTP, func(s *FrontSettings, _ *Bounds, security *Security) {
-		// All replays of a flight are one connection, for they have one connection ID. Where its handshake timed out before a busy
-		// machine had read the request, there was no other: it stands until the server ends.
+		// All replays of a flight have one connection ID, and are one connection. Its handshake must not time out before a busy machine
+		// has read the request.
 		s.EarlyData = EarlySafe
 		s.HandshakeTimeout = time.Minute
 		s.MaxHandshakes = 1000
@@ -164,7 +165,7 @@
 	}
 }
 
-// A safe request is taken early where that is set, and not where it is not.
+// A safe request is processed in early data if the setting allows it, and else after the handshake.
 func TestEarlySafe(t *testing.T) {
 	for _, choice := range []EarlyData{EarlySafe, EarlyNever} {
 		e := &earlyCounter{}
--- a/internal/network/http3/earlyrequests_test.go
+++ b/internal/network/http3/earlyrequests_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Safe requests alone go out in early data, and if an endpoint rejects it they are sent anew.
+// Only safe requests are sent in early data, and they are sent again if the endpoint rejects it.
 func TestEarlyRequests(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// maxUniStreams is enough for a peer's control stream and those of QPACK, with some to spare (RFC 9114, section 6.2).
+	// maxUniStreams suffices for a peer's control stream and the two of QPACK (RFC 9114, section 6.2), with a reserve.
 	maxUniStreams = 8
-	// initialStreamWindow and initialConnectionWindow are what a peer may send before it is read, in bytes; they grow as it is.
+	// initialStreamWindow and initialConnectionWindow are the bytes that a peer may send before any are read; the windows grow with
+	// what is read.
 	initialStreamWindow     = 16 << 10
 	initialConnectionWindow = 64 << 10
 )
 
-// Bounds are those that callers of all protocols have.
+// Bounds are the limits that the fronts of all protocols have.
 type Bounds struct {
 	MaxHeaderBytes int           // of a request
 	RequestTimeout time.Duration // until a connection's first request
@@ -33,7 +34,7 @@
 	WriteTimeout   time.Duration // from a request's headers to the end of its answer
 }
 
-// Front takes callers' requests over HTTP/3. It is an exchange.Front.
+// Front serves callers over HTTP/3. It implements exchange.Front.
 type Front struct {
 	settings  FrontSettings
 	socket    net.PacketConn
@@ -46,14 +47,15 @@
 
 	mu           sync.Mutex
 	open         map[*quic.Conn]*callerConn
-	fresh        list.List // of *callerConn that have brought no request yet, the oldest first
-	idle         list.List // of *callerConn that have none under way, the longest idle first
-	handshakes   int       // under way
+	fresh        list.List // of *callerConn without a request so far, the oldest first
+	idle         list.List // of *callerConn between two requests, the one that has been idle for the longest first
+	handshakes   int       // in progress
 	lastAccepted time.Time
 	stopping     bool
 }
 
-// NewFront makes a front on a UDP socket, which hands requests to a handler. Close closes the socket; an error leaves it open.
+// NewFront returns a front that serves the requests on a UDP socket by a handler. Close closes the socket; if NewFront returns an error the
+// socket stays open.
 func NewFront(socket net.PacketConn, handler http.Handler, settings FrontSettings, b Bounds, security Security) (*Front, error) {
 	f := &Front{settings: settings, socket: socket, open: map[*quic.Conn]*callerConn{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
@@ -81,7 +83,7 @@
 	return f, nil
 }
 
-// useSecret has the front's keys made of a secret.
+// useSecret derives the front's keys from the secret.
 func (f *Front) useSecret(security Security, tlsConfig *tls.Config) {
 	reset := quic.StatelessResetKey(deriveKey(security.Secret, purposeReset))
 	token := quic.TokenGeneratorKey(deriveKey(security.Secret, purposeToken))
@@ -91,8 +93,8 @@
 	f.running.Go(func() { security.renewTicketKeys(f.ctx, tlsConfig) })
 }
 
-// quicConfig is that of callers' connections. Larger packets are not tried: the library does not notice a path whose MTU shrinks
-// later (RFC 8899, section 4.3), where all that is larger then is lost for good. Requests fit into few packets either way.
+// quicConfig returns the QUIC configuration of callers' connections. Path MTU discovery is off: the library does not notice a path whose
+// MTU shrinks later (RFC 8899, section 4.3), and all larger packets would be lost. Requests fit into few packets either way.
 func (f *Front) quicConfig(b Bounds) *quic.Config {
 	return &quic.Config{
 		Allow0RTT:                      f.settings.EarlyData != EarlyNever,
@@ -108,7 +110,7 @@
 	}
 }
 
-// Serve is of exchange.Front.
+// Serve implements exchange.Front.
 func (f *Front) Serve() error {
 	if err := f.server.ServeListener(admittingListener{f.listener, f}); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("HTTP/3: %w", err)
@@ -116,25 +118,25 @@
 	return nil
 }
 
-// Address is where the front takes connections.
+// Address returns the UDP address of the front.
 func (f *Front) Address() net.Addr { return f.socket.LocalAddr() }
 
-// Quiet is of exchange.Front.
+// Quiet implements exchange.Front.
 func (f *Front) Quiet(d time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.open) == 0 && time.Since(f.lastAccepted) >= d
 }
 
-// Counts are the connections: all that are open, those without a request, and handshakes under way.
+// Counts returns the numbers of open connections, of those without a request in progress, and of handshakes in progress.
 func (f *Front) Counts() (open, idle, handshakes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.open), f.idle.Len() + f.fresh.Len(), f.handshakes
 }
 
-// Stop is of exchange.Front: no new connection, GOAWAY to the others, whose new requests are rejected with H3_REQUEST_REJECTED, and
-// answers to all that was taken (RFC 9114, section 5.2).
+// Stop implements exchange.Front: it refuses new connections, sends GOAWAY on the others, rejects their new requests with
+// H3_REQUEST_REJECTED, and answers all requests that it has accepted (RFC 9114, section 5.2).
 func (f *Front) Stop(ctx context.Context) error {
 	f.mu.Lock()
 	f.stopping = true
@@ -145,10 +147,10 @@
 	return f.Close()
 }
 
-// Close is of exchange.Front. It returns the first error of the server, the connections and the socket.
+// Close implements exchange.Front. It returns the first error of the server, the connections and the socket.
 func (f *Front) Close() error {
 	f.cancel()
-	_ = f.listener.Close() // never fails; what it would say the transport's Close does
+	_ = f.listener.Close() // never fails
 	err := f.server.Close()
 	if e := f.transport.Close(); err == nil {
 		err = e
--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -38,8 +38,7 @@
 	test.until("it is forgotten", func() bool { open, idle, _ := test.front.Counts(); return open+idle == 0 })
 }
 
-// A thousand requests at once on one connection: the bound on streams makes them queue at the caller, and each is
-// answered.
+// Of a thousand requests at once on one connection, those beyond the bound on streams wait at the caller, and each is answered.
 func TestThousandStreams(t *testing.T) {
 	var now, most atomic.Int64
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
@@ -91,14 +90,15 @@
 	}
 }
 
-// Half a request, and none at all: the connection goes after its time, though the caller keeps it alive.
-func TestSilenceEnds(t *testing.T) {
+// A connection that brings no request, or only a part of one, is closed after its timeout though the caller keeps it alive.
+func TestConnectionsWithoutRequestAreClosed(t *testing.T) {
 	test := openFront(t, echo, func(_ *FrontSettings, b *Bounds, _ *Security) {
-		b.RequestTimeout, b.IdleTimeout = 300*time.Millisecond, 700*time.Millisecond
+		b.RequestTimeout = 300 * time.Millisecond
+		b.IdleTimeout = 700 * time.Millisecond
 	})
 	for name, bytes := range map[string]string{"nothing": "", "half a header": "\x01\x40", "part of a header": "\x01\x20\x00\x00\xd1"} {
-		config := test.tlsConfig(nil)
-		conn, err := quic.DialAddr(t.Context(), test.address(), config, &quic.Config{KeepAlivePeriod: 50 * time.Millisecond})
+		keepAlive := &quic.Config{KeepAlivePeriod: 50 * time.Millisecond}
+		conn, err := quic.DialAddr(t.Context(), test.address(), test.tlsConfig(nil), keepAlive)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,11 +119,11 @@
 	test.until("all are forgotten", func() bool { open, _, _ := test.front.Counts(); return open == 0 })
 }
 
-// Initials from ever new ports, none of which goes on: handshakes are bounded, and a caller who can answer a
-// Retry gets through all the same.
+// In a flood of Initials whose senders complete no handshake, the handshakes stay bounded, and a caller that answers a Retry is served.
 func TestFloodOfInitials(t *testing.T) {
 	test := openFront(t, echo, func(c *FrontSettings, _ *Bounds, _ *Security) {
-		c.MaxHandshakes, c.HandshakeTimeout = 8, 500*time.Millisecond
+		c.MaxHandshakes = 8
+		c.HandshakeTimeout = 500 * time.Millisecond
 	})
 	relay, err := udp.Start(test.address(), 1)
 	if err != nil {
@@ -135,11 +135,11 @@
 	var flood sync.WaitGroup
 	for range 8 {
 		flood.Go(func() {
-			for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) { // so that there are cores left on a small machine
+			for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) { // leaves processor time for the callers on a small machine
 				once, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 				config := test.tlsConfig(nil)
 				if conn, err := quic.DialAddr(once, relay.Address(), config, nil); err == nil {
-					t.Error("a deaf caller ended its handshake")
+					t.Error("a caller that gets no replies completed its handshake")
 					closeConn(conn, 0)
 				}
 				cancel()
@@ -160,7 +160,7 @@
 	test.until("the flood is forgotten", func() bool { _, _, n := test.front.Counts(); return n == 0 })
 }
 
-// On Stop what was taken is answered, what comes then is rejected as never looked at, and it ends.
+// After Stop the accepted requests are answered, new ones are rejected as not processed, and the front ends.
 func TestStop(t *testing.T) {
 	serve := make(chan bool)
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// A caller whose address changes while its request is out gets its one answer, and its connection counts once.
+// A caller whose address changes during a request gets one answer, and its connection counts once.
 func TestRebinding(t *testing.T) {
 	var runs atomic.Int64
 	serve := make(chan bool)
@@ -249,7 +249,7 @@
 	}
 }
 
-// quicTransport is one on a socket of its own.
+// quicTransport returns a transport on a socket of its own. The test's end closes both.
 func quicTransport(t *testing.T) *quic.Transport {
 	t.Helper()
 	socket := listenUDP(t)
@@ -258,7 +258,7 @@
 	return transport
 }
 
-// readAnswer reads the answer to a stream's request.
+// readAnswer reads the answer to a stream's request in the background.
 func readAnswer(str *http3.RequestStream) <-chan string {
 	answered := make(chan string, 1)
 	go func() {
@@ -274,7 +274,7 @@
 	return answered
 }
 
-// True migration: the caller itself goes over to another socket, with a request out.
+// Migration: the caller itself moves to another socket during a request.
 func TestMigration(t *testing.T) {
 	serve := make(chan bool)
 	var runs atomic.Int64
@@ -288,7 +288,7 @@
 		t.Fatal(err)
 	}
 	defer closeConn(conn, 0)
-	// Not by RoundTrip, which looks at the connection's address while it changes.
+	// Not by RoundTrip, which reads the connection's address while it changes.
 	str, err := (&http3.Transport{DisableCompression: true}).NewClientConn(conn).OpenRequestStream(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -324,7 +324,7 @@
 	}
 }
 
-// Loss, reordering, doubled datagrams and a path whose MTU shrinks cost time, and no answer.
+// Loss, reordering, duplicated datagrams and a path whose MTU shrinks delay answers and lose none.
 func TestBadPaths(t *testing.T) {
 	for name, f := range map[string]udp.Fault{
 		"loss":  {LossShare: 0.05, Delay: time.Millisecond},
@@ -343,7 +343,7 @@
 			}
 			defer relay.Close()
 			c := test.caller(nil)
-			c.QUICConfig.DisablePathMTUDiscovery = true // what the caller sends is the caller's to fit
+			c.QUICConfig.DisablePathMTUDiscovery = true // the caller's own packets have to fit too
 			body := strings.Repeat("trip ", 2000)
 			for i := range 30 {
 				if i == 10 {
@@ -360,7 +360,7 @@
 	}
 }
 
-// One whose answer is not read ends after its time, and others go on meanwhile.
+// A request whose answer the caller does not read ends after WriteTimeout, and others are served meanwhile.
 func TestSlowReader(t *testing.T) {
 	ended := make(chan bool, 1)
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-// startFuzzed starts a front whose handler fails the test for a request that is not whole. The caller closes it.
+// startFuzzed starts a front whose handler fails the test for a request that is not complete. The caller closes it.
 func startFuzzed(f *testing.F, cert *tls.Certificate) *Front {
 	f.Helper()
 	front, err := NewFront(listenUDP(f), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,8 +39,7 @@
 	return front
 }
 
-// Whatever a caller writes on its streams, the front goes on serving others, and its handler gets whole requests
-// alone.
+// Whatever a caller writes on its streams, the front keeps serving others, and its handler gets complete requests only.
 func FuzzRequestStream(f *testing.F) {
 	for _, seed := range []string{
 		"", "\x01", "\x01\x00", "\x00\x04trip", "\x01\x03\x00\x00\xd1", "\x01\x40\x40", "\x04\x00", "\x07\x01\x00", "\x21\x02xx",
@@ -81,19 +80,19 @@
 	})
 }
 
-// send writes all that a stream is to have; the other end may have stopped it.
+// send writes b to a stream and closes it; the other end may have stopped it.
 func send(s io.WriteCloser, b []byte) {
 	_, _ = s.Write(b)
 	_ = s.Close()
 }
 
-// rawEndpoint is a QUIC server that writes what it is told to.
+// rawEndpoint is a QUIC server that answers with given bytes.
 type rawEndpoint struct {
 	listener *quic.Listener
-	answer   atomic.Value // of [2][]byte: an answer, and what goes on the control stream
+	answer   atomic.Value // [2][]byte: the answer, and the bytes of the control stream
 }
 
-// startRaw starts one, closed with the test.
+// startRaw starts a rawEndpoint. The test's end closes it.
 func startRaw(f *testing.F, cert *tls.Certificate) *rawEndpoint {
 	f.Helper()
 	socket := listenUDP(f)
@@ -108,7 +107,7 @@
 	return e
 }
 
-// serve goes on until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (r *rawEndpoint) serve() {
 	for {
 		conn, err := r.listener.Accept(context.Background())
@@ -119,7 +118,7 @@
 	}
 }
 
-// play writes the answer to one request.
+// play answers one request of a connection.
 func (r *rawEndpoint) play(conn *quic.Conn) {
 	answer := r.answer.Load().([2][]byte)
 	if s, err := conn.OpenUniStream(); err == nil {
--- a/internal/network/http3/helpers_test.go
+++ b/internal/network/http3/helpers_test.go
@@ -51,7 +51,7 @@
 	return certificate
 }
 
-// listenUDP is a socket on loopback.
+// listenUDP returns a socket on loopback.
 func listenUDP(tb testing.TB) *net.UDPConn {
 	tb.Helper()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -61,12 +61,12 @@
 	return socket
 }
 
-// clientConfig is that of a caller of a front.
+// clientConfig returns the TLS configuration of a front's caller.
 func clientConfig(pool *x509.CertPool, cache tls.ClientSessionCache) *tls.Config {
 	return &tls.Config{RootCAs: pool, ServerName: frontName, NextProtos: []string{"h3"}, ClientSessionCache: cache}
 }
 
-// newClient is a client over HTTP/3.
+// newClient returns a client over HTTP/3.
 func newClient(pool *x509.CertPool) *http3.Transport {
 	return &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: frontName},
@@ -137,7 +137,7 @@
 	})
 }
 
-// caller is a client of the front's, closed with the test.
+// caller returns a client of the front. The test's end closes it.
 func (f *testFront) caller(cache tls.ClientSessionCache) *http3.Transport {
 	f.t.Helper()
 	client := newClient(f.pool)
@@ -146,7 +146,7 @@
 	return client
 }
 
-// tlsConfig is that of a caller of the front's.
+// tlsConfig returns the TLS configuration of a caller of this front.
 func (f *testFront) tlsConfig(cache tls.ClientSessionCache) *tls.Config {
 	return clientConfig(f.pool, cache)
 }
@@ -184,7 +184,7 @@
 	return res.StatusCode, string(all), err
 }
 
-// askSlow makes a request for /slow, and tells what went wrong with it.
+// askSlow makes a request for /slow in the background, and sends its error, nil for an answer 200.
 func askSlow(client http.RoundTripper, address string) <-chan error {
 	answered := make(chan error, 1)
 	go func() {
@@ -207,13 +207,13 @@
 	reply(w, fmt.Sprintf("%s %s", r.RequestURI, body))
 }
 
-// reply writes an answer; who asked may be gone.
+// reply writes an answer; the caller may be gone.
 func reply(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// closeConn ends a connection, which never fails.
+// closeConn closes a connection; CloseWithError never fails.
 func closeConn(conn *quic.Conn, code quic.ApplicationErrorCode) { _ = conn.CloseWithError(code, "") }
 
-// closeAll closes what may be closed already.
+// closeAll closes things that may be closed already.
 func closeAll(tb testing.TB, all ...io.Closer) {
 	tb.Helper()
 	for _, c := range all {
@@ -223,7 +223,7 @@
 	}
 }
 
-// largeBudget is a budget for bodies that is not used up.
+// largeBudget returns a budget that no test uses up.
 func largeBudget() *exchange.Budget {
 	b := &exchange.Budget{}
 	b.Release(1 << 30)
--- a/internal/network/http3/leaving_test.go
+++ b/internal/network/http3/leaving_test.go
@@ -12,10 +12,10 @@
 	"quincegap/internal/standin/h3"
 )
 
-// gate holds requests for /slow until it is opened.
+// gate is a handler that answers requests for /slow after it is opened.
 type gate struct {
-	taken  chan struct{} // one for each request that it holds
-	opened chan struct{}
+	taken  chan struct{} // gets one element for each request that waits
+	opened chan struct{} // closed to answer them
 }
 
 func newGate() *gate { return &gate{taken: make(chan struct{}, 10), opened: make(chan struct{})} }
@@ -31,7 +31,7 @@
 	ok(w, r)
 }
 
-// attemptSlow makes an attempt that a gate holds.
+// attemptSlow makes an attempt at a gate in the background.
 func (t *testTransport) attemptSlow() <-chan exchange.Result {
 	done := make(chan exchange.Result, 1)
 	go func() {
@@ -40,8 +40,8 @@
 	return done
 }
 
-// An endpoint that leaves in order answers what it has; what crosses its GOAWAY has not run, and goes to a new connection if there is
-// one. One that dies is a reset, and its next start is found.
+// An endpoint that shuts down gracefully answers its requests; a request that crosses its GOAWAY has not run, and goes to a new connection
+// if one can be made. An endpoint that dies resets its requests, and attempts reach its next incarnation.
 func TestEndpointLeavesAndDies(t *testing.T) {
 	test := newTestTransport(t, nil)
 	secret := h3.Options{ResetSecret: [32]byte{1}}
@@ -57,7 +57,7 @@
 		defer cancel()
 		left <- e.Shutdown(ctx)
 	}()
-	test.untilNobodyThere()
+	test.untilUnreachable()
 	open()
 	if res := <-done; res.Status != balancer.StatusOK {
 		t.Errorf("what it had: %v", res.Status)
@@ -88,9 +88,9 @@
 	}
 }
 
-// untilNobodyThere makes attempts at an endpoint that leaves. Until the GOAWAY is here they are rejected or served; after that they find
-// nobody.
-func (t *testTransport) untilNobodyThere() {
+// untilUnreachable makes attempts at an endpoint that shuts down. Until its GOAWAY has come they are served or rejected; then they can't
+// connect.
+func (t *testTransport) untilUnreachable() {
 	t.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
 		res := t.attempt(nil, 300*time.Millisecond, nil)
--- a/internal/network/http3/outcomes_test.go
+++ b/internal/network/http3/outcomes_test.go
@@ -13,14 +13,14 @@
 	"quincegap/internal/standin/h3"
 )
 
-// outcome is how an endpoint plays its side of an attempt, and what comes of it.
+// outcome is an endpoint's behaviour in an attempt, and the status that it is to have.
 type outcome struct {
 	name string
 	play http.HandlerFunc
 	want balancer.Status
 }
 
-// resetWith resets the request's stream, after some of an answer if there is one.
+// resetWith returns a handler that resets the request's stream, after a part of an answer unless after is empty.
 func resetWith(code http3.ErrCode, after string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if after != "" {
@@ -33,12 +33,12 @@
 	}
 }
 
-// dropWith closes the request's connection.
+// dropWith returns a handler that closes the request's connection.
 func dropWith(code http3.ErrCode) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) { h3.CloseConnection(r, code) }
 }
 
-// answerWith answers without a body, and with a header if it is named.
+// answerWith returns a handler that answers without a body, and with a header unless its name is empty.
 func answerWith(code int, header, value string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if header != "" {
@@ -61,7 +61,9 @@
 		w.Header().Set("Content-Length", "100")
 		reply(w, "half")
 	}, balancer.StatusInvalidResponse},
-	{"large answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, exchange.MaxBody+1)) }, balancer.StatusInvalidResponse},
+	{"large answer", func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = w.Write(make([]byte, exchange.MaxBody+1))
+	}, balancer.StatusInvalidResponse},
 	{"large headers", answerWith(200, "X-Large", strings.Repeat("x", 2*maxHeadBytes)), balancer.StatusInvalidResponse},
 	{"rejected by status", answerWith(503, "X-Turned-Away", "1"), balancer.StatusRejected},
 	{"not said to be rejected", answerWith(503, "", ""), balancer.StatusError},
@@ -70,7 +72,7 @@
 	{"too early, though it was not", answerWith(425, "", ""), balancer.StatusInvalidResponse},
 }
 
-// What a reset, a close or a bad answer say of whether the request may have run.
+// A reset, a close or a bad answer counts as a request that may have run, unless the endpoint has rejected it.
 func TestOutcomes(t *testing.T) {
 	test := newTestTransport(t, nil)
 	var play atomic.Value
--- a/internal/network/http3/request.go
+++ b/internal/network/http3/request.go
@@ -15,8 +15,8 @@
 	"quincegap/internal/network/exchange"
 )
 
-// newRequest is what goes out. What the library would add of its own is kept out of it. X-Remaining tells the endpoint how long its
-// answer is waited for, in microseconds.
+// newRequest returns the request to send, without the headers that the library would add. The header X-Remaining is the time until the
+// attempt's deadline, in microseconds.
 func newRequest(a *exchange.Attempt, early bool) (*http.Request, error) {
 	in := a.Request
 	deadline, _ := a.Context.Deadline()
@@ -31,7 +31,7 @@
 	delete(r.Header, "Content-Length")
 	r.Header["X-Remaining"] = []string{strconv.FormatInt(max(time.Until(deadline), 0).Microseconds(), 10) + "u"}
 	if _, ok := r.Header["User-Agent"]; !ok {
-		r.Header["User-Agent"] = []string{""} // none
+		r.Header["User-Agent"] = []string{""} // keeps the library from adding its own
 	}
 	if early && r.Method == http.MethodGet {
 		r.Method = http3.MethodGet0RTT
@@ -43,12 +43,12 @@
 	return r.WithContext(a.Context), nil
 }
 
-// requestURL has a request's target as the client wrote it.
+// requestURL returns a URL whose request target is the one that the client wrote.
 func requestURL(in *exchange.Inbound) (*url.URL, error) {
 	if !strings.HasPrefix(in.Target, "//") {
 		return &url.URL{Scheme: "https", Host: in.Host, Opaque: in.Target}, nil
 	}
-	// An opaque one would be taken for another host's.
+	// As an opaque URL it would name another host.
 	target, err := url.ParseRequestURI(in.Target)
 	if err != nil {
 		return nil, err
--- a/internal/network/http3/security.go
+++ b/internal/network/http3/security.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// Security is what a front proves itself with.
+// Security has the certificate and the secret of a front.
 type Security struct {
 	Certificate func(*tls.ClientHelloInfo) (*tls.Certificate, error)
-	// Secret is what stateless resets, Retry tokens and session tickets are made with. The same one after a restart lets callers
-	// of before learn at once that their connections are gone, and resume their sessions. Nil stands for a new one.
+	// Secret is the secret from which the keys of stateless resets, Retry tokens and session tickets are derived. With the same
+	// secret after a restart, callers learn at once that their old connections are gone, and resume their sessions. Nil makes the
+	// library use random keys.
 	Secret []byte
-	// Now is the time of day that keys of session tickets go by; nil for the clock.
+	// Now returns the time that selects the keys of session tickets; nil for time.Now.
 	Now func() time.Time
 }
 
-// The purposes for which keys are derived. Other versions of the program derive the same ones.
+// The purposes for which keys are derived. They are data: other versions of the program derive the same keys.
 const (
 	purposePrefix = "quincegap "
 	purposeReset  = "stateless reset"
@@ -29,22 +30,22 @@
 
 const (
 	day = 24 * time.Hour
-	// ticketKeyInterval is how often the keys of session tickets are set, for a new day.
+	// ticketKeyInterval is the time after which the keys of session tickets are set anew; they change with the day.
 	ticketKeyInterval = time.Hour
 )
 
-// deriveKey makes one key of a secret for each purpose.
+// deriveKey derives the key for a purpose from a secret.
 func deriveKey(secret []byte, purpose string) (key [32]byte) {
 	text, err := hkdf.Key(sha256.New, secret, nil, purposePrefix+purpose, len(key))
 	if err != nil {
-		panic(err) // only if the length is beyond the hash's
+		panic(err) // only for a key longer than the hash allows
 	}
 	copy(key[:], text)
 	return key
 }
 
-// ticketKeys are the keys of a day and of the one before and after: a ticket holds for a day at least, at every sidecar with the same
-// secret, even if clocks differ by hours. The first one encrypts.
+// ticketKeys returns the keys of session tickets of the present day, which encrypts, and of the days before and after: a ticket is valid
+// for a day at least at every sidecar with the same secret, also if clocks differ by hours.
 func ticketKeys(secret []byte, now time.Time) (keys [][32]byte) {
 	today := now.Unix() / int64(day.Seconds())
 	for _, d := range []int64{today, today - 1, today + 1} {
@@ -53,7 +54,7 @@
 	return keys
 }
 
-// renewTicketKeys sets the keys of a configuration again and again, until ctx ends.
+// renewTicketKeys sets the ticket keys of a configuration every ticketKeyInterval, until ctx ends.
 func (s *Security) renewTicketKeys(ctx context.Context, config *tls.Config) {
 	ticker := time.NewTicker(ticketKeyInterval)
 	defer ticker.Stop()
--- a/internal/network/http3/security_test.go
+++ b/internal/network/http3/security_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/standin/udp"
 )
 
-// Keys of session tickets change each day, and those of the neighbouring days go on: clocks may differ.
+// The keys of session tickets change each day, and those of the neighbouring days stay valid: clocks may differ.
 func TestTicketKeys(t *testing.T) {
 	secret := []byte("0123456789abcdef0123456789abcdef")
 	now := time.Unix(1_800_000_000, 0)
@@ -30,8 +30,7 @@
 	}
 }
 
-// A server that restarts tells its old callers at once that their connections are gone, where it has the same
-// secret.
+// A server that restarts with the same secret resets the old callers' connections at once.
 func TestRestartResetsOldConnections(t *testing.T) {
 	test := openFront(t, echo, func(_ *FrontSettings, _ *Bounds, s *Security) { s.Secret = []byte("0123456789abcdef0123456789abcdef") })
 	address := test.address()
@@ -49,8 +48,8 @@
 	if code, _, err := ask((&http3.Transport{}).NewClientConn(conn), "GET", relay.Address()+"/", ""); code != 200 || err != nil {
 		t.Fatal(code, err)
 	}
-	relay.SetFault(udp.Fault{Blackhole: true}) // as with SIGKILL: nobody says goodbye
-	relay.Rebind()                             // nor does what waits at the old port come through later
+	relay.SetFault(udp.Fault{Blackhole: true}) // as after SIGKILL: no CONNECTION_CLOSE arrives
+	relay.Rebind()                             // nor later, from the old port
 	test.close()
 	test.start(address)
 	relay.SetFault(udp.Fault{})
@@ -64,8 +63,8 @@
 	}
 }
 
-// Clocks differ between a sidecar and the one that takes its place, by less than a day: tickets hold all the
-// same. By more, the handshake is a full one, and the caller is served just as well.
+// Tickets stay valid if the clocks of a sidecar and its successor differ by less than a day. If they differ by more, the handshake is a
+// full one, and the caller is served too.
 func TestTicketsAndClocks(t *testing.T) {
 	for _, skew := range []time.Duration{0, 23 * time.Hour, -23 * time.Hour, 72 * time.Hour} {
 		var ahead atomic.Int64
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/config/schema"
 )
 
-// EarlyData is what becomes of requests that come in early data (RFC 8470).
+// EarlyData is the policy for requests in early data (RFC 8470).
 type EarlyData string
 
-// What may become of them.
+// The policies for early data.
 const (
-	EarlyNever EarlyData = "never" // none is accepted: each handshake takes its round trip
-	EarlySafe  EarlyData = "safe"  // safe requests are taken at once; others wait for the handshake's end
+	EarlyNever EarlyData = "never" // no early data is accepted: each handshake costs its round trip
+	EarlySafe  EarlyData = "safe"  // safe requests are processed at once, others after the handshake
 )
 
 // FrontSettings is the table [http3] of a settings file, for callers. See FrontTable for each one's meaning.
@@ -74,13 +74,15 @@
 	}
 })
 
-// MinSecretChars is the least length of the secret, in characters.
+// MinSecretChars is the minimum length of the secret, in characters.
 const MinSecretChars = 32
 
-// noSafeClass tells whether a file has classes, and none that may run any number of times.
+// noSafeClass reports whether a file has classes, and none whose requests are idempotent without a key.
 func noSafeClass(f *schema.File) bool {
 	classes := appfile.ClassTable.All(f)
-	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool { return c.Value.Idempotency == balancer.Idempotent })
+	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool {
+		return c.Value.Idempotency == balancer.Idempotent
+	})
 }
 
 // TransportSettings is the table [http3-endpoints] of a settings file. See TransportTable for each one's meaning.
@@ -96,13 +98,13 @@
 	MaxPause            time.Duration
 }
 
-// Use tells which endpoints are spoken to over HTTP/3.
+// Use is the policy for HTTP/3 to endpoints.
 type Use string
 
-// Which endpoints they may be.
+// The policies for HTTP/3 to endpoints.
 const (
 	Never  Use = "never"
-	Prefer Use = "prefer" // HTTP/3, and HTTP/1.1 where no connection comes about
+	Prefer Use = "prefer" // HTTP/3, and HTTP/1.1 if no connection can be made over UDP
 )
 
 // TransportTable is the table [http3-endpoints] of a settings file.
--- a/internal/network/http3/stream.go
+++ b/internal/network/http3/stream.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// requestStream is the way by which a request comes: an exchange.Caller.
+// requestStream is the stream of a request. It implements exchange.Caller.
 type requestStream struct {
 	caller *callerConn
 	began  time.Time
 }
 
-// BeginRequest is of exchange.Caller. A request for which there is no room does not get so far.
+// BeginRequest implements exchange.Caller. No request is in excess: QUIC's bounds reject it before.
 func (r *requestStream) BeginRequest() (began time.Time, excess bool) { return r.began, false }
 
-// BodyReceived is of exchange.Caller.
+// BodyReceived implements exchange.Caller.
 func (r *requestStream) BodyReceived() (idle int) {
 	r.caller.front.mu.Lock()
 	defer r.caller.front.mu.Unlock()
 	return r.caller.front.idle.Len()
 }
 
-// CloseAfter is of exchange.Caller: each request ends its own stream, and GOAWAY announces the connection's end.
+// CloseAfter implements exchange.Caller: each request ends its own stream, and GOAWAY announces the connection's end.
 func (r *requestStream) CloseAfter(http.Header) {}
 
-// AddHeaders is of exchange.Caller.
+// AddHeaders implements exchange.Caller.
 func (r *requestStream) AddHeaders(http.Header) {}
 
-// Early is of exchange.Caller. Until the handshake is complete, whoever sent this may be replaying what another has sent once:
-// nothing but the handshake's own end proves otherwise (RFC 9001, section 9.2).
+// Early implements exchange.Caller. Until the handshake is complete the request may be a replay; only the end of the handshake proves that
+// it is none (RFC 9001, section 9.2).
 func (r *requestStream) Early() bool {
 	select {
 	case <-r.caller.conn.HandshakeComplete():
@@ -39,7 +39,7 @@
 	}
 }
 
-// Confirm is of exchange.Caller.
+// Confirm implements exchange.Caller.
 func (r *requestStream) Confirm(ctx context.Context) bool {
 	select {
 	case <-r.caller.conn.HandshakeComplete():
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -18,14 +18,15 @@
 
 const (
 	maxHeadBytes = 16 << 10 // of an answer
-	maxTickets   = 1024     // sessions that may be resumed
+	maxTickets   = 1024     // in the session cache
 )
 
-// Transport makes attempts over HTTP/3: several at once on one connection, each on a stream of its own. It is an exchange.Transport.
+// Transport makes attempts over HTTP/3: several at once on one connection, each on a stream of its own. It implements
+// exchange.Transport.
 type Transport struct {
 	settings     TransportSettings
-	maxOpen      int // connections
-	maxIdle      time.Duration
+	maxOpen      int           // bounds the connections
+	maxIdle      time.Duration // after which a connection without attempts is closed
 	socket       net.PacketConn
 	quic         *quic.Transport
 	h3           *http3.Transport // makes clients of connections; it makes no connections itself
@@ -36,13 +37,13 @@
 	cancel  context.CancelFunc
 	dialing sync.WaitGroup
 
-	// The loop's, without a lock.
+	// Owned by the loop, without a lock.
 	conns map[*exchange.Endpoint][]*endpointConn
-	open  int
+	open  int // connections in conns
 }
 
-// NewTransport makes a transport on a UDP socket, which Close closes: for so many connections at once, each kept so long without
-// attempts. pool has the authorities for endpoints' certificates, nil for the system's.
+// NewTransport returns a transport on a UDP socket, which Close closes. It has at most maxOpen connections, and closes those that have had
+// no attempt for maxIdle. pool has the authorities for endpoints' certificates; nil for the system's.
 func NewTransport(socket net.PacketConn, settings TransportSettings, pool *x509.CertPool, maxOpen int, maxIdle time.Duration) *Transport {
 	t := &Transport{
 		settings: settings,
@@ -64,7 +65,7 @@
 	return t
 }
 
-// Counts are the connections: all that are open, and those without attempts.
+// Counts returns the numbers of open connections and of those without attempts among them.
 func (t *Transport) Counts() (open, idle int) {
 	for _, conns := range t.conns {
 		for _, c := range conns {
@@ -76,7 +77,7 @@
 	return t.open, idle
 }
 
-// Acquire is of exchange.Transport.
+// Acquire implements exchange.Transport.
 func (t *Transport) Acquire(e *exchange.Endpoint, _ time.Time) (exchange.Conn, bool) {
 	for _, c := range t.conns[e] {
 		if c.attempts < t.settings.MaxStreams && c.usable() {
@@ -93,12 +94,13 @@
 	return c, true
 }
 
+// add adds a connection to an endpoint.
 func (t *Transport) add(e *exchange.Endpoint, c *endpointConn) {
 	t.conns[e] = append(t.conns[e], c)
 	t.open++
 }
 
-// evictOne closes the connection that has been idle for the longest, and tells whether there was one.
+// evictOne closes the connection that has been idle for the longest. It reports whether there was one.
 func (t *Transport) evictOne() bool {
 	var oldest *endpointConn
 	var endpoint *exchange.Endpoint
@@ -126,10 +128,10 @@
 	} else {
 		delete(t.conns, e)
 	}
-	go c.close() // it waits for the connection's own goroutine
+	go c.close() // it waits for a handshake in progress, and for the connection's goroutine
 }
 
-// Release is of exchange.Transport.
+// Release implements exchange.Transport.
 func (t *Transport) Release(e *exchange.Endpoint, acquired, left exchange.Conn) {
 	c, _ := acquired.(*endpointConn)
 	if c == nil {
@@ -140,7 +142,7 @@
 		c.idleSince = time.Now()
 	}
 	if other, _ := left.(*endpointConn); other != nil && other != c {
-		// Run made another one, for the first was of no more use.
+		// Run has made another connection because this one could not be used.
 		c.retired = true
 		other.idleSince = time.Now()
 		t.add(e, other)
@@ -153,7 +155,7 @@
 	}
 }
 
-// CloseIdle is of exchange.Transport.
+// CloseIdle implements exchange.Transport.
 func (t *Transport) CloseIdle(e *exchange.Endpoint) {
 	for _, c := range slices.Clone(t.conns[e]) {
 		if c.attempts == 0 {
@@ -162,7 +164,7 @@
 	}
 }
 
-// Sweep is of exchange.Transport.
+// Sweep implements exchange.Transport.
 func (t *Transport) Sweep(now time.Time) {
 	for e, conns := range maps.Clone(t.conns) {
 		for _, c := range slices.Clone(conns) {
@@ -173,10 +175,10 @@
 	}
 }
 
-// Close is of exchange.Transport. Nothing may be acquired any more.
+// Close implements exchange.Transport. Acquire may not be called any more.
 func (t *Transport) Close() {
 	t.cancel()
 	t.dialing.Wait()
-	_ = t.quic.Close() // what an endpoint has not read by now is lost either way
+	_ = t.quic.Close() // its error would change nothing: what endpoints have not read by now is lost
 	_ = t.socket.Close()
 }
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -73,13 +73,13 @@
 	return e
 }
 
-// target has attempts go to an address.
+// target sets the address of further attempts.
 func (t *testTransport) target(address string) {
 	t.endpoint = &exchange.Endpoint{Address: address}
 	t.endpoint.Open.Store(true)
 }
 
-// attempt makes an attempt as the loop does; nil is a booking.
+// attempt makes an attempt as the loop does; without a request it makes a booking. during runs beside it; nil for nothing.
 func (t *testTransport) attempt(in *exchange.Inbound, timeout time.Duration, during func(cancel func())) exchange.Result {
 	if in == nil {
 		in = &exchange.Inbound{Method: "POST", Target: "/book?a=1", Host: "h", Header: http.Header{"X-Txn": {"1"}}, Body: []byte("trip")}
@@ -136,7 +136,8 @@
 			t.Fatalf("%+v", res)
 		}
 		h := <-seen
-		if h.Get("X-Txn") != "1" || !strings.HasSuffix(h.Get("X-Remaining"), "u") || h.Get("User-Agent") != "" || h.Get("Accept-Encoding") != "" || h.Get("Content-Length") != "4" {
+		if h.Get("X-Txn") != "1" || !strings.HasSuffix(h.Get("X-Remaining"), "u") || h.Get("User-Agent") != "" ||
+			h.Get("Accept-Encoding") != "" || h.Get("Content-Length") != "4" {
 			t.Errorf("headers %v", h)
 		}
 	}
@@ -184,7 +185,7 @@
 	}
 }
 
-// An attempt that is given up is called off at the endpoint, and others on the connection go on.
+// An attempt that is given up is cancelled at the endpoint, and others on the connection go on.
 func TestGivenUp(t *testing.T) {
 	test := newTestTransport(t, nil)
 	came, off := make(chan bool, 2), make(chan bool, 2)
@@ -221,7 +222,7 @@
 	}
 }
 
-// An endpoint that drains gets no new stream, on a connection that stands either.
+// An endpoint that drains gets no new stream, not even on an open connection.
 func TestDrained(t *testing.T) {
 	test := newTestTransport(t, nil)
 	var came atomic.Int64
@@ -242,8 +243,7 @@
 	}
 }
 
-// Where UDP does not get through, nothing is sent, and another protocol may take over; where the wrong one
-// answers, none may.
+// If UDP does not get through, nothing is sent, and another protocol may be used; if the wrong endpoint answers, none may.
 func TestNoConnection(t *testing.T) {
 	test := newTestTransport(t, func(e *TransportSettings) { e.HandshakeTimeout = 100 * time.Millisecond })
 	var came atomic.Int64
@@ -270,7 +270,10 @@
 	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
 		t.Errorf("nobody there: %+v", res)
 	}
-	for name, cert := range map[string]*tls.Certificate{"another's name": newCertificate(t, test.ca, "other.example.org"), "another authority": newCertificate(t, newAuthority(t), endpointName)} {
+	for name, cert := range map[string]*tls.Certificate{
+		"another's name":    newCertificate(t, test.ca, "other.example.org"),
+		"another authority": newCertificate(t, newAuthority(t), endpointName),
+	} {
 		wrong, err := h3.Start("", cert, h3.Options{}, func(http.ResponseWriter, *http.Request) { came.Add(1) })
 		if err != nil {
 			t.Fatal(err)
@@ -286,7 +289,7 @@
 	}
 }
 
-// What tells that nothing was sent rests on the library's words: these are they.
+// isNeverSent compares the text of the library's error: this is that text.
 func TestNeverSent(t *testing.T) {
 	test := newTestTransport(t, nil)
 	e := test.serve("", h3.Options{}, ok)
@@ -299,7 +302,13 @@
 	closeConn(closed.conn, noError)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	a := &exchange.Attempt{Request: &exchange.Inbound{Method: "GET", Target: "/", Host: "h"}, Endpoint: test.endpoint, Sent: time.Now(), Context: ctx, Bodies: largeBudget()}
+	a := &exchange.Attempt{
+		Request:  &exchange.Inbound{Method: "GET", Target: "/", Host: "h"},
+		Endpoint: test.endpoint,
+		Sent:     time.Now(),
+		Context:  ctx,
+		Bodies:   largeBudget(),
+	}
 	if _, err := test.transport.exchange(a, closed.client, false); err == nil || !isNeverSent(err) {
 		t.Errorf("on a closed connection: %v", err)
 	}
