--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -86,7 +86,7 @@
 }
 
 // The outcome and the connection's state after each kind of answer of an endpoint.
-func TestGoldenJudgements(t *testing.T) {
+func TestGoldenClassification(t *testing.T) {
 	const seal = "Attempt-Id: a-1\r\nEndpoint-Seal: s\r\n"
 	var text strings.Builder
 	for _, method := range []string{"GET", "HEAD"} {
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -245,7 +245,7 @@
 }
 
 // The bodies of all requests together have a bound: a request beyond it is rejected.
-func TestGoldenNoRoomForABody(t *testing.T) {
+func TestGoldenBodyCapacity(t *testing.T) {
 	s := startGolden(t, true)
 	s.proxy.bodyBytes.Add(249)
 	answer := s.ask(t, "POST", "POST /book/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nContent-Length: 2\r\n\r\nab")
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -97,7 +97,7 @@
 }
 
 // The error for an invalid record names the record.
-func TestGoldenSpoiltRecords(t *testing.T) {
+func TestGoldenInvalidRecords(t *testing.T) {
 	var lines strings.Builder
 	_, err := OpenLog(&memoryStore{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
 	fmt.Fprintf(&lines, "%v\n", err)
--- a/internal/mesh/operations/logging/logging_test.go
+++ b/internal/mesh/operations/logging/logging_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestMomentsBeforeTheFaultAreThere(t *testing.T) {
+func TestEntriesBeforeAFaultAreWritten(t *testing.T) {
 	c := qt.New(t)
 	var out strings.Builder
 	log, ring := New(&out)
