--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -65,7 +65,7 @@
 	return proxy
 }
 
-// dialPatiently dials with more time than the proxy takes, for a machine under load.
+// dialPatiently dials with a longer time-out than the proxy's, for a machine under load.
 func dialPatiently(address string, _ time.Duration) (net.Conn, error) {
 	return dialTCP(address, 20*time.Second)
 }
@@ -316,12 +316,12 @@
 func TestCancelled(t *testing.T) {
 	c := qt.New(t)
 	came := make(chan string, 8)
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	proxy := newProxy(startEndpoint(t, func(_ net.Conn, r *http.Request, _ int) {
 		came <- r.Header.Get(HeaderAttemptID)
-		<-hold
+		<-release
 	}))
-	defer close(hold)
+	defer close(release)
 	got := make(chan *ForwardResponse, 8)
 	var cancel []func()
 	for i := range 5 {
--- a/internal/mesh/dataplane/outbound/connections_test.go
+++ b/internal/mesh/dataplane/outbound/connections_test.go
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// A request is read just as its connection is ended as idle: the deadline that was to end the connection is taken back before the
-// request is served, as the server would take it for the end of the client, and have the request given up.
+// A request is read just when its connection is closed as idle. The read deadline that was to close the connection is reset before the
+// request is served, since to the server it would mean that the client has gone, and would cancel the request.
 func TestARequestThatCrossesTheCloseIsServed(t *testing.T) {
 	c := qt.New(t)
 	proxy := New(Options{})
@@ -35,7 +35,7 @@
 	proxy.connections.track(conn, http.StateActive)
 	c.Assert(conn.deadline.IsZero(), qt.IsTrue)
 	proxy.connections.sweep()
-	c.Assert(conn.deadline.IsZero(), qt.IsTrue, qt.Commentf("a request is under way"))
+	c.Assert(conn.deadline.IsZero(), qt.IsTrue, qt.Commentf("a request is in flight"))
 	proxy.connections.track(conn, http.StateClosed)
 	c.Assert(proxy.OpenConnections(), qt.Equals, 0)
 }
--- a/internal/mesh/dataplane/outbound/faults_test.go
+++ b/internal/mesh/dataplane/outbound/faults_test.go
@@ -60,7 +60,7 @@
 	return sentRequest{id, uri, text}
 }
 
-// runClient sends requests to a sidecar on connections that it keeps, one by one or two at once; it may give up.
+// runClient sends requests to a sidecar on persistent connections, one or two at once. It may stop waiting for answers.
 func (f *faultRun) runClient(to string, requests int) {
 	var conn net.Conn
 	var reader *bufio.Reader
--- a/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
+++ b/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
@@ -55,8 +55,7 @@
 	return f.executed[id]
 }
 
-// serve takes the requests of one connection, one after the other; what it writes waits for its reader in order, as in a socket's
-// buffer.
+// serve answers the requests of a connection, one after the other. What it writes is buffered until it is read, as by a socket.
 func (f *flawedEndpoint) serve(conn net.Conn) {
 	defer closeQuietly(conn)
 	out := make(chan string, 64)
--- a/internal/mesh/dataplane/outbound/network_test.go
+++ b/internal/mesh/dataplane/outbound/network_test.go
@@ -187,7 +187,7 @@
 	return n, err
 }
 
-// listener takes the connections to one address of the network.
+// listener accepts the connections to an address of the network.
 type listener struct {
 	address  string
 	incoming chan net.Conn
--- a/internal/mesh/dataplane/outbound/request.go
+++ b/internal/mesh/dataplane/outbound/request.go
@@ -49,10 +49,10 @@
 }
 
 // outstanding reports whether any attempt has not ended.
-func (a *attempts) outstanding() bool { return a.underWay() > 0 }
+func (a *attempts) outstanding() bool { return a.inFlight() > 0 }
 
-// underWay returns the number of attempts that have not ended.
-func (a *attempts) underWay() int {
+// inFlight returns the number of attempts that have not ended.
+func (a *attempts) inFlight() int {
 	if a.active == nil {
 		return len(a.superseded)
 	}
--- a/internal/mesh/dataplane/outbound/retry.go
+++ b/internal/mesh/dataplane/outbound/retry.go
@@ -30,7 +30,7 @@
 // acquireRetry takes one attempt for a request out of the fleet's retry budget. It returns false if the budget is exhausted, or if the
 // request has as many attempts that reach an endpoint as its route allows; an attempt in flight counts as one that does.
 func (b *serviceBalancer) acquireRetry(now time.Duration, pending *request) bool {
-	if pending.attempts.reached+pending.attempts.underWay() >= max(pending.route.MaxAttempts, 1) {
+	if pending.attempts.reached+pending.attempts.inFlight() >= max(pending.route.MaxAttempts, 1) {
 		return false
 	}
 	bounds := &b.dispatcher.options.Bounds
--- a/internal/mesh/dataplane/outbound/server.go
+++ b/internal/mesh/dataplane/outbound/server.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// answerRequest answers a request, and reports whether its body was read completely. One that is rejected is answered at once, with its
-// body still on its way.
+// answerRequest answers a request, and reports whether its body was read completely. A rejected request is answered at once, while its
+// body may still be in transit.
 func (p *Proxy) answerRequest(w http.ResponseWriter, req *http.Request) (bodyRead bool) {
 	p.openRequests.Add(1)
 	defer p.openRequests.Add(-1)
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -22,20 +22,20 @@
 // usualServiceTime is how long the endpoints of a slowRun take for all other attempts.
 const usualServiceTime = 20 * time.Millisecond
 
-// slowRun has endpoints answer within 20 ms, but for the first attempt of one request, which takes much longer.
+// slowRun is a run in which endpoints answer within usualServiceTime, except for the first attempt of one request, the slow one.
 type slowRun struct {
-	length time.Duration           // that the first attempt takes
-	second inbound.ForwardResponse // what the second ends as
+	length time.Duration           // service time of the first attempt
+	second inbound.ForwardResponse // to the second attempt, after usualServiceTime
 
 	n      *network
 	caller *sidecar
 
 	mu          sync.Mutex
 	sent        int           // attempts of the slow request
-	cancelledAt time.Duration // of its first attempt; 0 for never
+	cancelledAt time.Duration // when its first attempt was cancelled; 0 for never
 
-	status int           // that the slow request's client is answered
-	after  time.Duration // and when
+	status int           // of the client's answer to the slow request; 0 for none
+	after  time.Duration // from the request to the answer
 }
 
 // serve answers the attempts that reach the endpoints' sidecar.
@@ -93,7 +93,7 @@
 	others.Wait()
 }
 
-// sendOthers sends requests one after another; what they are answered does not count.
+// sendOthers sends requests one after another, and ignores the answers.
 func (s *slowRun) sendOthers(client int, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
