--- a/internal/mesh/dataplane/inbound/answer.go
+++ b/internal/mesh/dataplane/inbound/answer.go
@@ -13,8 +13,8 @@
 
 // Bounds on the endpoint's answers to one request.
 const (
-	maxResponseBytes = 64 << 20 // of an answer's body
-	maxResponses     = 4        // answers that are read for a request, including interim ones and those to other requests
+	maxResponseBytes       = 64 << 20 // of an answer's body
+	maxMismatchedResponses = 4        // answers that are read for a request, including interim ones and those to other requests
 )
 
 var errResponseTooLarge = errors.New("the body of the answer is too large")
@@ -32,7 +32,7 @@
 // the second answer comes before that to the next request. A rejection without an ID is accepted if no other request can be meant.
 func readResponse(conn *connection, request *ForwardRequest) (endpointAnswer, outcome.Kind) {
 	onlyRequest := !conn.used // no answer to an earlier request can come on the connection
-	for range maxResponses {
+	for range maxMismatchedResponses {
 		answer, kind := readOne(conn.reader, request.Method)
 		if kind != outcome.None {
 			return endpointAnswer{}, kind
