--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -9,10 +9,10 @@
 
 func TestEveryRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	f := start(t, settings(), 0)
-	id := f.ask(read)
-	f.pass(1500 * ms)
+	id := f.request(read)
+	f.advance(1500 * ms)
 	if !slices.Equal(f.rejections, []RequestID{id}) {
-		t.Errorf("rejected %v, want %s: there is no endpoint", f.rejections, id)
+		t.Errorf("rejected %v, want %s, as there is no endpoint", f.rejections, id)
 	}
 	f = start(t, settings(), 2)
 	f.b.HandleRequest(f.now, Request{ID: "late", TimeLeft: 0})
@@ -21,81 +21,77 @@
 	}
 }
 
-// Crowded endpoints saturate: the excess waits here, and what cannot be served in time is rejected early.
+// Endpoints would be saturated by a burst. Its requests are pending instead, and those that cannot be served in time are rejected.
 func TestBurstIsPendingAndRejectedEarly(t *testing.T) {
 	f := start(t, settings(), 2)
-	f.serve(200, nil)
-	at := len(f.sent)
-	for range 200 {
-		f.ask(read)
+	f.serveRequests(200, nil)
+	before := len(f.sent)
+	f.requestMany(200)
+	if sent := len(f.sent) - before; sent > 20 {
+		t.Errorf("%d of a burst of 200 were sent at once to 2 endpoints", sent)
 	}
-	if out := len(f.sent) - at; out > 20 {
-		t.Errorf("%d of a burst of 200 were sent at once to 2 endpoints", out)
-	}
-	f.pass(1100 * ms)
+	f.advance(1100 * ms)
 	if len(f.rejections) < 100 {
-		t.Errorf("%d rejected by their target, want nearly all", len(f.rejections))
+		t.Errorf("%d rejected by their latency target, want nearly all", len(f.rejections))
 	}
 }
 
-// A rejected client is advised when to come back: once what is pending now has been answered, and never later than
-// it would heed.
+// The Retry-After of a rejection is the time until the requests that are pending now have been answered, and at most MaxRetryAfter.
 func TestRejectionsSayWhenToRetry(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 2 * time.Second
 	for _, burst := range []int{200, 4000} {
 		f := start(t, s, 2)
-		f.serve(200, nil)
-		for range burst {
-			f.ask(read)
-		}
-		f.pass(250 * ms) // until it is known how many are worked off: none
+		f.serveRequests(200, nil)
+		f.requestMany(burst)
+		f.advance(250 * ms) // until the rate shows that none is answered
 		rate := f.b.servedRate.value(f.now, f.b.rateWindow)
 		if len(f.rejections) == 0 {
 			t.Fatalf("nothing of a burst of %d was rejected", burst)
 		}
 		queue := seconds(float64(len(f.b.pending)) / rate)
-		for _, after := range f.advice {
+		for _, after := range f.retryAfter {
 			if after > s.MaxRetryAfter || after < min(queue, s.MaxRetryAfter) {
-				t.Fatalf("of a burst of %d: come back after %v, want %v to work off what is pending", burst, after, queue)
+				t.Fatalf("of a burst of %d: retry after %v, want %v for the pending requests", burst, after, queue)
 			}
 		}
 	}
 	f := start(t, s, 2)
 	f.b.HandleRequest(f.now, Request{ID: "late", Class: read})
-	if !slices.Equal(f.advice, []time.Duration{0}) {
-		t.Errorf("advice %v where no rate is known yet", f.advice)
+	if !slices.Equal(f.retryAfter, []time.Duration{0}) {
+		t.Errorf("retry after %v, while no rate is known", f.retryAfter)
 	}
 }
 
-// Pending requests go by what they add to the site's goal: by value, and for a class that is served worst by that.
+// Pending requests are sent in the order of what they add to the goal of the site: their value, and more for the class that is
+// served worst.
 func TestValuableClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
-	released := func(worstClass float64) (first [3]int) {
+	released := func(worstClassWeight float64) (byClass [3]int) {
 		s := settings()
-		s.Classes[pay].Value, s.TotalValueWeight, s.WorstClassWeight = 5, 1, worstClass
+		s.Classes[pay].Value, s.TotalValueWeight, s.WorstClassWeight = 5, 1, worstClassWeight
 		f := start(t, s, 1)
 		class := map[RequestID]int{}
-		for i := range 60 { // both are known, and read is served a little worse
-			f.end(sent{id: f.ask(pay), to: 1}, StatusOK, 100*ms)
-			f.ask(read)
-			f.end(f.last(), StatusOK, 100*ms)
+		for i := range 60 { // so that both classes have statistics, and read is served a little worse
+			f.finish(attempt{id: f.request(pay), to: 1}, StatusOK, 100*ms)
+			f.request(read)
+			f.finish(f.last(), StatusOK, 100*ms)
 			if i%10 == 0 {
 				f.b.countRequest(f.b.classes[read])
 			}
-			f.pass(100 * ms)
+			f.advance(100 * ms)
 		}
 		for range 40 {
-			class[f.ask(read)] = read
-			class[f.ask(pay)] = pay
+			class[f.request(read)] = read
+			class[f.request(pay)] = pay
 		}
-		at := len(f.sent)
-		for _, x := range slices.Clone(f.b.listed[0].calls) {
-			f.end(sent{id: x.id, to: 1}, StatusOK, 100*ms)
+		before := len(f.sent)
+		for _, r := range slices.Clone(f.b.listed[0].calls) {
+			f.finish(attempt{id: r.id, to: 1}, StatusOK, 100*ms)
 		}
-		for _, x := range f.sent[at:] {
-			first[class[x.id]]++
+		for _, a := range f.sent[before:] {
+			byClass[class[a.id]]++
 		}
-		return first
+		return byClass
 	}
 	if n := released(0); n[pay] == 0 || n[read] > 0 {
 		t.Errorf("released %d valuable calls and %d others by value alone, want valuable ones only", n[pay], n[read])
@@ -105,116 +101,126 @@
 	}
 }
 
-// Clients that try again at once are not new: what had elapsed for retries, where their time left shows it, is
-// taken for those that do not show it. Served as if new, they filled a tier with calls past their target.
+// The time that has elapsed for a client that retries counts towards its latency target. If its time left does not show that time,
+// what other retries show is assumed. Served as if they were new, retries filled a tier with calls that missed their target.
 func TestRetriesThatCannotMeetTheirTargetGiveWay(t *testing.T) {
 	f := start(t, settings(), 2)
-	f.serve(200, nil)
+	f.serveRequests(200, nil)
 	f.b.HandleRequest(f.now, Request{ID: "first", Class: book, TimeLeft: 3 * time.Second})
-	f.end(f.last(), StatusOK, 20*ms)
+	f.finish(f.last(), StatusOK, 20*ms)
 	for i := range 50 {
 		f.b.HandleRequest(f.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, TimeLeft: 1300 * ms, Retry: true})
-		f.end(f.last(), StatusOK, 20*ms)
+		f.finish(f.last(), StatusOK, 20*ms)
 	}
-	for range 60 {
-		f.ask(read)
-	}
-	refused := len(f.rejections)
+	f.requestMany(60)
+	before := len(f.rejections)
 	f.b.HandleRequest(f.now, Request{ID: "repeat", TimeLeft: 1500 * ms, Retry: true})
-	if got := f.rejections[refused:]; !slices.Equal(got, []RequestID{"repeat"}) {
+	if got := f.rejections[before:]; !slices.Equal(got, []RequestID{"repeat"}) {
 		t.Errorf("rejected %v on a full tier, want the retry at once", got)
 	}
 }
 
-// Callers who come all at once wait for the endpoints that work them off in no time, after a start and after a
-// quiet hour; and while no answer at all comes, only for as long as one could say that none was to be expected.
+// A burst of requests is not rejected if the endpoints serve it fast, after a start and after a time without requests. If nothing is
+// answered, the requests are only pending until the rate shows it.
 func TestCrowd(t *testing.T) {
 	for _, quiet := range []time.Duration{0, time.Minute} {
 		f := start(t, settings(), 8)
 		if quiet > 0 {
 			for range 200 {
-				f.ask(read)
-				f.workOff()
+				f.request(read)
+				f.serveAll()
 			}
-			f.pass(quiet)
+			f.advance(quiet)
 		}
 		for range 3 {
-			f.askMany(1000)
-			f.workOff()
-			f.pass(200 * ms)
+			f.requestMany(1000)
+			f.serveAll()
+			f.advance(200 * ms)
 		}
 		if len(f.rejections) > 0 || len(f.b.requests) > 0 {
 			t.Errorf("after %v: %d of 3,000 were rejected, %d are left", quiet, len(f.rejections), len(f.b.requests))
 		}
 	}
 	f := start(t, settings(), 8)
-	f.askMany(1000)
-	f.pass(1100 * ms) // no response, for longer than the rate's window
-	f.ask(read)
+	f.requestMany(1000)
+	f.advance(1100 * ms) // no response, for longer than the rate's window
+	f.request(read)
 	if n := len(f.b.pending); n > 8 {
 		t.Errorf("%d are pending at endpoints that answer nothing", n)
 	}
 }
 
-// askMany brings so many requests at once.
-func (f *fixture) askMany(n int) {
+// requestMany delivers n requests at once.
+func (f *fixture) requestMany(n int) {
 	for range n {
-		f.ask(read)
+		f.request(read)
 	}
 }
 
-// workOff serves all that is sent until nothing more is, eight in a millisecond.
-func (f *fixture) workOff() {
-	for n := 0; n < len(f.sent); n++ {
-		if n%8 == 0 {
+// serveAll serves all attempts, and those that are sent meanwhile, at eight a millisecond.
+func (f *fixture) serveAll() {
+	for i := 0; i < len(f.sent); i++ {
+		if i%8 == 0 {
 			f.now += ms
 		}
-		f.end(f.sent[n], StatusOK, ms)
+		f.finish(f.sent[i], StatusOK, ms)
 	}
 	f.sent = nil
 }
 
-// Where more is asked for than the endpoints can do, a queue of two seconds' work waits and the rest is rejected at
-// once.
+// serialEndpoints are endpoints that serve one call at a time.
+type serialEndpoints struct {
+	*fixture
+	serviceTime time.Duration
+	inFlight    []serialCall
+}
+
+// serialCall is a call and when it will have been served.
+type serialCall struct {
+	attempt
+	endsAt time.Duration
+}
+
+// step accepts the attempts that were sent, and finishes those that have been served by now.
+func (s *serialEndpoints) step() {
+	for _, a := range s.sent {
+		endsAt := s.now + s.serviceTime
+		for _, other := range s.inFlight {
+			if other.to == a.to {
+				endsAt = max(endsAt, other.endsAt+s.serviceTime)
+			}
+		}
+		s.inFlight = append(s.inFlight, serialCall{a, endsAt})
+	}
+	s.sent = nil
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(call serialCall) bool {
+		if call.endsAt <= s.now {
+			s.finish(call.attempt, StatusOK, call.endsAt-s.now+s.serviceTime)
+			return true
+		}
+		return false
+	})
+}
+
+// If there are more requests than the endpoints can serve, the requests of about two seconds are pending, and the others are rejected
+// at once.
 func TestOverloadIsRejectedEarly(t *testing.T) {
 	s := settings()
 	s.Classes[read].LatencyTarget, s.Classes[read].Deadline = time.Minute, 2*time.Minute
-	f := start(t, s, 4)
-	const took = 100 * ms
-	type due struct {
-		sent
-		at time.Duration
-	}
-	var out []due
-	most := 0
-	for step := range 4000 { // 8 s of 1,000 requests a second at 4 endpoints, one call each at a time: 40 a second
-		f.n++
-		f.b.HandleRequest(f.now, Request{ID: RequestID(fmt.Sprint("r", f.n)), Class: read, TimeLeft: time.Minute})
-		f.n++
-		f.b.HandleRequest(f.now, Request{ID: RequestID(fmt.Sprint("r", f.n)), Class: read, TimeLeft: time.Minute})
-		for _, x := range f.sent {
-			at := f.now + took
-			for _, o := range out {
-				if o.to == x.to {
-					at = max(at, o.at+took)
-				}
-			}
-			out = append(out, due{x, at})
+	endpoints := &serialEndpoints{fixture: start(t, s, 4), serviceTime: 100 * ms}
+	maxPending := 0
+	for step := range 4000 { // 8 s of 1,000 requests a second; 4 endpoints serve 40 a second
+		for range 2 {
+			request := Request{ID: endpoints.nextID(), Class: read, TimeLeft: time.Minute}
+			endpoints.b.HandleRequest(endpoints.now, request)
 		}
-		f.sent = nil
-		out = slices.DeleteFunc(out, func(x due) bool {
-			if x.at <= f.now {
-				f.end(x.sent, StatusOK, x.at-f.now+took)
-				return true
-			}
-			return false
-		})
-		f.pass(2 * ms)
+		endpoints.step()
+		endpoints.advance(2 * ms)
 		if step > 1000 {
-			most = max(most, len(f.b.pending))
+			maxPending = max(maxPending, len(endpoints.b.pending))
 		}
 	}
-	if most > 150 {
-		t.Errorf("%d were pending at a tier that does 40 a second", most)
+	if maxPending > 150 {
+		t.Errorf("%d were pending at a tier that serves 40 a second", maxPending)
 	}
 }
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// discardHost is a host that notes the last send alone.
+// discardHost is a Host that keeps only the endpoint of the last attempt.
 type discardHost struct{ to EndpointID }
 
 func (d *discardHost) Send(_ RequestID, to EndpointID, _ time.Duration) { d.to = to }
@@ -32,8 +32,7 @@
 
 func (d *discardHost) Log(string) {}
 
-// BenchmarkDecision is a request with its outcome, a thousand a second, and the tick every 5 ms, by the number of
-// endpoints in the list.
+// BenchmarkDecision measures a request with its outcome, at a thousand a second with a tick every 5 ms, by the number of endpoints.
 func BenchmarkDecision(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) { benchmarkDecision(b, endpoints) })
@@ -43,28 +42,28 @@
 func benchmarkDecision(b *testing.B, endpoints int) {
 	b.Helper()
 	host := &discardHost{}
-	x, err := New(settings(), 7, host)
+	balancer, err := New(settings(), 7, host)
 	if err != nil {
 		b.Fatal(err)
 	}
-	l := EndpointList{Kind: ListFull, Version: 1}
+	list := EndpointList{Kind: ListFull, Version: 1}
 	for i := 1; i <= endpoints; i++ {
-		l.Entries = append(l.Entries, ListEntry{Endpoint: EndpointID(i), Cell: i / 2, Weight: 1})
+		list.Entries = append(list.Entries, ListEntry{Endpoint: EndpointID(i), Cell: i / 2, Weight: 1})
 	}
 	now := time.Second
-	x.HandleEndpoints(now, l)
+	balancer.HandleEndpoints(now, list)
 	b.ReportAllocs()
 	sent := 0
 	for i := 0; b.Loop(); i++ {
 		id := RequestID(strconv.Itoa(i))
 		host.to = 0
-		x.HandleRequest(now, Request{ID: id, Class: read, TimeLeft: time.Second})
+		balancer.HandleRequest(now, Request{ID: id, Class: read, TimeLeft: time.Second})
 		if host.to != 0 {
 			sent++
-			x.HandleOutcome(now+20*ms, Outcome{ID: id, Endpoint: host.to, Final: true, Elapsed: 20 * ms})
+			balancer.HandleOutcome(now+20*ms, Outcome{ID: id, Endpoint: host.to, Final: true, Elapsed: 20 * ms})
 		}
 		if now += ms; i%5 == 0 {
-			x.HandleTimer(now, timerTick)
+			balancer.HandleTimer(now, timerTick)
 		}
 	}
 	if sent*10 < b.N*9 {
@@ -72,39 +71,39 @@
 	}
 }
 
-// benchEndpoints is how many endpoints BenchmarkList lists.
+// benchEndpoints is the number of endpoints in BenchmarkList.
 const benchEndpoints = 10000
 
 func benchEntry(id, startedAt int) ListEntry {
 	return ListEntry{Endpoint: EndpointID(id), Cell: id / 2, Weight: 1, StartedAt: time.Duration(startedAt)}
 }
 
-// benchFullList is a full list of the ids from one on.
+// benchFullList returns a full list of the IDs from one on.
 func benchFullList(from int) EndpointList {
-	l := EndpointList{Kind: ListFull}
+	list := EndpointList{Kind: ListFull}
 	for i := range benchEndpoints {
-		l.Entries = append(l.Entries, benchEntry(from+i, 0))
+		list.Entries = append(list.Entries, benchEntry(from+i, 0))
 	}
-	return l
+	return list
 }
 
-// benchState is an update that turns an endpoint to a state, and by the next call back to ready.
+// benchState returns the ith update: every even one sets the state of an endpoint, and the next one sets it to ready again.
 func benchState(i int, state EndpointState) EndpointList {
-	e := benchEntry(1+i/2*7919%benchEndpoints, 0)
-	e.State = []EndpointState{state, EndpointReady}[i%2]
-	return EndpointList{Entries: []ListEntry{e}}
+	entry := benchEntry(1+i/2*7919%benchEndpoints, 0)
+	entry.State = []EndpointState{state, EndpointReady}[i%2]
+	return EndpointList{Entries: []ListEntry{entry}}
 }
 
-// benchRestarts is an update in which a thousand endpoints have restarted.
-func benchRestarts(i int) (l EndpointList) {
+// benchRestarts returns the ith update, in which a thousand endpoints have restarted.
+func benchRestarts(i int) (list EndpointList) {
 	for k := range 1000 {
-		l.Entries = append(l.Entries, benchEntry(1+(i*1000+k)%benchEndpoints, i+1))
+		list.Entries = append(list.Entries, benchEntry(1+(i*1000+k)%benchEndpoints, i+1))
 	}
-	return l
+	return list
 }
 
-// BenchmarkList is what an update of the list costs: a change of one entry of 10,000, of 1,000, the same full list again,
-// and one that replaces all; as the only instance, and as one of 200.
+// BenchmarkList measures updates of a list with 10,000 endpoints: a change of one entry, of 1,000, the same full list again, and one
+// that replaces all; for the only instance, and for one of 200.
 func BenchmarkList(b *testing.B) {
 	for _, instances := range []int{1, 200} {
 		for _, c := range []struct {
@@ -124,20 +123,20 @@
 
 func benchmarkList(b *testing.B, instances int, update func(i int) EndpointList) {
 	b.Helper()
-	set := settings()
-	set.Instances = instances
-	x, err := New(set, 7, &discardHost{})
+	s := settings()
+	s.Instances = instances
+	balancer, err := New(s, 7, &discardHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	x.HandleEndpoints(0, benchFullList(1))
-	full := [2]EndpointList{update(0), update(1)} // they take long to make
+	balancer.HandleEndpoints(0, benchFullList(1))
+	full := [2]EndpointList{update(0), update(1)} // made once, as that takes long
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		l := full[i%2]
-		if l.Kind != ListFull {
-			l = update(i)
+		list := full[i%2]
+		if list.Kind != ListFull {
+			list = update(i)
 		}
-		x.HandleEndpoints(time.Minute, l)
+		balancer.HandleEndpoints(time.Minute, list)
 	}
 }
--- a/internal/balancer/class_test.go
+++ b/internal/balancer/class_test.go
@@ -8,32 +8,32 @@
 
 func TestClassAddedWhileRequestsAreInFlight(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.ask(read)
-	out := f.last()
-	was := f.b.classes[read]
-	for i := range 100 { // the list of classes moves in memory
+	f.request(read)
+	call := f.last()
+	readClass := f.b.classes[read]
+	for i := range 100 { // so that the slice of the classes is copied
 		c := Class{Name: "late", LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1, Idempotency: NonIdempotent}
 		if n, err := f.b.AddClass(c); err != nil || n != book+1+i {
 			t.Fatalf("class %d, %v; want %d", n, err, book+1+i)
 		}
 	}
-	f.end(out, StatusOK, 20*ms)
-	if f.b.classes[read] != was || was.latency.windowSamples != 1 || was.onTime != 1 {
-		t.Errorf("the answer went elsewhere: %+v", *was)
+	f.finish(call, StatusOK, 20*ms)
+	if f.b.classes[read] != readClass || readClass.latency.windowSamples != 1 || readClass.onTime != 1 {
+		t.Errorf("the answer was not counted for its class: %+v", *readClass)
 	}
-	id := f.ask(book + 100)
-	call := f.last()
+	id := f.request(book + 100)
+	call = f.last()
 	if call.id != id {
 		t.Fatalf("a request of the class added last was not sent: %+v", call)
 	}
-	f.end(call, StatusError, 20*ms)
+	f.finish(call, StatusError, 20*ms)
 	if len(f.sent) != 2 || len(f.fails) != 1 {
-		t.Errorf("%d sends, %d failed: it is taken for idempotent", len(f.sent), len(f.fails))
+		t.Errorf("%d sends, %d failed: it is treated as idempotent", len(f.sent), len(f.fails))
 	}
 }
 
 func TestAddClassRejectsWhatNewWould(t *testing.T) {
-	for want, spoil := range map[string]func(*Class){
+	for want, makeInvalid := range map[string]func(*Class){
 		"classes[3].effect":   func(c *Class) { c.Idempotency = "maybe" },
 		"classes[3].scope":    func(c *Class) { c.KeyScope = "planet" },
 		"classes[3].aim":      func(c *Class) { c.LatencyTarget = -1 },
@@ -42,7 +42,7 @@
 	} {
 		f := start(t, settings(), 4)
 		c := settings().Classes[book]
-		spoil(&c)
+		makeInvalid(&c)
 		_, err := f.b.AddClass(c)
 		if err == nil || !strings.Contains(err.Error(), want+":") {
 			t.Errorf("%s: %v", want, err)
@@ -52,8 +52,8 @@
 		}
 		s := settings()
 		s.Classes = append(s.Classes, c)
-		if _, old := New(s, 7, f); old == nil || err != nil && old.Error() != err.Error() {
-			t.Errorf("%s: New says %v, AddClass %v", want, old, err)
+		if _, newErr := New(s, 7, f); newErr == nil || err != nil && newErr.Error() != err.Error() {
+			t.Errorf("%s: New returns %v, AddClass %v", want, newErr, err)
 		}
 	}
 }
--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -8,64 +8,58 @@
 	"time"
 )
 
-// What endpoints bear before they saturate is nowhere to be learnt: one that turns slow shrinks the queue they may hold.
+// The capacity of endpoints is not known beforehand. An endpoint that becomes slow shows that it is saturated, and lowers the limit
+// of calls in flight.
 func TestSaturatedEndpointShrinksTheQueue(t *testing.T) {
-	burst := func(slow time.Duration) int {
+	sentOfBurst := func(latencyOfFirst time.Duration) int {
 		f := start(t, settings(), 16)
 		for i := range 2400 {
-			f.ask(read)
-			s := f.last()
-			took := 100 * ms
-			if s.to == 1 && i < 1800 {
-				took = slow
+			f.request(read)
+			call := f.last()
+			latency := 100 * ms
+			if call.to == 1 && i < 1800 {
+				latency = latencyOfFirst
 			}
-			f.end(s, StatusOK, took)
-			f.pass(4 * ms)
+			f.finish(call, StatusOK, latency)
+			f.advance(4 * ms)
 		}
-		at := len(f.sent)
-		for range 100 {
-			f.ask(read)
-		}
-		return len(f.sent) - at
+		before := len(f.sent)
+		f.requestMany(100)
+		return len(f.sent) - before
 	}
-	if level, saturated := burst(100*ms), burst(500*ms); saturated >= level {
-		t.Errorf("%d of a burst are sent after one endpoint saturated, %d without", saturated, level)
+	if equal, saturated := sentOfBurst(100*ms), sentOfBurst(500*ms); saturated >= equal {
+		t.Errorf("%d of a burst are sent after one endpoint was saturated, %d without", saturated, equal)
 	}
 }
 
-// A base latency learnt from the first answers, which are those of short calls, held nearly all back.
+// The first answers are those of short calls. A base latency from these alone would reject nearly all requests.
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
 	f := start(t, settings(), 10)
 	for i := range 40 {
-		f.ask(read)
-		f.end(f.last(), StatusOK, time.Duration(1+i%3)*ms)
+		f.request(read)
+		f.finish(f.last(), StatusOK, time.Duration(1+i%3)*ms)
 	}
-	if at := len(f.sent); true {
-		for range 40 {
-			f.ask(read)
-		}
-		if n := len(f.sent) - at; n < 40 {
-			t.Errorf("%d of 40 sent at once to 10 endpoints, want all", n)
-		}
+	before := len(f.sent)
+	f.requestMany(40)
+	if n := len(f.sent) - before; n < 40 {
+		t.Errorf("%d of 40 sent at once to 10 endpoints, want all", n)
 	}
 }
 
-// Stuck calls lower the answered rate; a limit without a floor would follow it down for good.
+// Stuck calls lower the rate of answers. A limit without a minimum would follow it and never recover.
 func TestLimitRecoversFromStuckCalls(t *testing.T) {
 	f := start(t, settings(), 6)
-	f.serve(100, nil)
-	f.pass(30 * time.Second)
-	at := len(f.sent)
-	for range 6 {
-		f.ask(read)
-	}
-	if n := len(f.sent) - at; n < 6 {
+	f.serveRequests(100, nil)
+	f.advance(30 * time.Second)
+	before := len(f.sent)
+	f.requestMany(6)
+	if n := len(f.sent) - before; n < 6 {
 		t.Errorf("%d of 6 sent after a long pause, want all", n)
 	}
 }
 
-// Endpoints that reject all, or are not there, get no more from many instances than from few: each learns that
-// for itself, and each goes on with the next at once.
+// Endpoints that reject all calls or are not reachable get no more attempts from many instances than from few, although each
+// instance has to find that out by itself and goes on with the next endpoint at once.
 func TestRejectedAttemptsDoNotGrowWithTheInstances(t *testing.T) {
 	const endpoints, perSecond, length = 16, 400, 4 * time.Second
 	for _, status := range []Status{StatusRejected, StatusConnectFailed} {
@@ -73,28 +67,31 @@
 			all := startInstances(t, instances, endpoints)
 			attempts := map[EndpointID]int{}
 			for n := range int(length.Seconds() * perSecond) {
-				all[n%instances].ask(read)
+				all[n%instances].request(read)
 				for _, f := range all {
-					f.endAll(status, attempts)
-					f.pass(time.Second / perSecond)
+					f.finishAll(status, attempts)
+					f.advance(time.Second / perSecond)
 				}
 			}
 			if len(attempts) == 0 {
 				t.Errorf("%v, %d instances: no attempts", status, instances)
 				continue
 			}
-			most := slices.Max(slices.Collect(maps.Values(attempts)))
-			// A call for each second, what is allowed in flight at first (initialCallsPerEndpoint, and the slack of each instance),
-			// and chance: they are drawn.
+			maxAttempts := slices.Max(slices.Collect(maps.Values(attempts)))
+			// On average an endpoint gets an attempt a second, and what may be in flight initially: initialCallsPerEndpoint, and
+			// the slack of each instance. As endpoints are drawn at random, one may get more.
 			mean := length.Seconds() + initialCallsPerEndpoint + float64(instances)*(concurrencySlack+rejectionReserve)/endpoints
-			if float64(most) > 2*mean+6 {
-				t.Errorf("%v, %d instances: %d attempts at one endpoint in %v, %.0f on average allowed", status, instances, most, length, mean)
+			if float64(maxAttempts) > 2*mean+6 {
+				t.Errorf(
+					"%v, %d instances: %d attempts at one endpoint in %v, %.0f on average allowed",
+					status, instances, maxAttempts, length, mean,
+				)
 			}
 		}
 	}
 }
 
-// startInstances starts all instances of a tier, each with random choices of its own.
+// startInstances starts all instances of a tier, each with its own random numbers.
 func startInstances(t *testing.T, instances, endpoints int) (all []*fixture) {
 	t.Helper()
 	for i := range instances {
@@ -107,12 +104,12 @@
 	return all
 }
 
-// endAll ends what is sent, until nothing more is, and counts the attempts at each endpoint.
-func (f *fixture) endAll(status Status, attempts map[EndpointID]int) {
+// finishAll finishes all attempts, and those that are sent meanwhile, with a status. It adds them to the attempts by endpoint.
+func (f *fixture) finishAll(status Status, attempts map[EndpointID]int) {
 	for len(f.sent) > 0 {
-		s := f.sent[0]
+		a := f.sent[0]
 		f.sent = f.sent[1:]
-		attempts[s.to]++
-		f.end(s, status, ms)
+		attempts[a.to]++
+		f.finish(a, status, ms)
 	}
 }
--- a/internal/balancer/fixture_test.go
+++ b/internal/balancer/fixture_test.go
@@ -9,41 +9,41 @@
 
 const ms = time.Millisecond
 
-// sent is an attempt that the Balancer made.
-type sent struct {
+// attempt is an attempt of a request that the Balancer has sent.
+type attempt struct {
 	id      RequestID
 	to      EndpointID
-	attempt int
+	number  int // of the attempts of its request, from 0
 	timeout time.Duration
 }
 
-// recorder is a Host that writes down what it is asked to do, and a clock.
+// recorder is a Host that records the calls of its methods. It also has the time of the test.
 type recorder struct {
 	now               time.Duration
-	sent              []sent
-	attempts          map[RequestID]int
+	sent              []attempt
+	attempts          map[RequestID]int // sent so far
 	fails, rejections []RequestID
-	advice            []time.Duration // when rejected clients should come back
-	cancels           []sent
-	timers            map[uint64]time.Duration // token to due time
+	retryAfter        []time.Duration          // of each rejection
+	cancels           []attempt                // id and number only
+	timers            map[uint64]time.Duration // time at which each fires, by token
 	watches, fetches  int
 	logs              []string
 }
 
 func (r *recorder) Send(id RequestID, to EndpointID, timeout time.Duration) {
-	r.sent = append(r.sent, sent{id, to, r.attempts[id], timeout})
+	r.sent = append(r.sent, attempt{id, to, r.attempts[id], timeout})
 	r.attempts[id]++
 }
 
-func (r *recorder) Reject(id RequestID, after time.Duration) {
+func (r *recorder) Reject(id RequestID, retryAfter time.Duration) {
 	r.rejections = append(r.rejections, id)
-	r.advice = append(r.advice, after)
+	r.retryAfter = append(r.retryAfter, retryAfter)
 }
 
 func (r *recorder) Fail(id RequestID) { r.fails = append(r.fails, id) }
 
 func (r *recorder) Cancel(id RequestID, n int) {
-	r.cancels = append(r.cancels, sent{id: id, attempt: n})
+	r.cancels = append(r.cancels, attempt{id: id, number: n})
 }
 
 func (r *recorder) SetTimer(token uint64, after time.Duration) {
@@ -62,76 +62,88 @@
 
 func (r *recorder) Log(text string) { r.logs = append(r.logs, text) }
 
-// last is the latest send.
-func (r *recorder) last() sent { return r.sent[len(r.sent)-1] }
+// last returns the attempt that was sent last.
+func (r *recorder) last() attempt { return r.sent[len(r.sent)-1] }
 
-// settings are those of one instance with three classes of request: read, pay and book.
+// settings returns settings of a single instance with three classes: read, pay and book.
 func settings() Settings {
-	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
-	read, pay, book := c, c, c
+	class := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
+	read, pay, book := class, class, class
 	read.Name, read.Idempotency = "read", Idempotent
 	pay.Name, pay.Idempotency = "pay", NonIdempotent
 	book.Name, book.Idempotency, book.KeyScope, book.KeyWindow = "book", IdempotentWithKey, KeyScopeCell, 5*time.Second
 	return Settings{
-		Instances: 1, Quantum: 2 * ms, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * ms,
-		SlowStartMinShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second, ResubscribeInterval: 10 * time.Second,
-		Classes: []Class{read, pay, book},
+		Instances:           1,
+		Quantum:             2 * ms,
+		MayCancel:           true,
+		MaxAttempts:         4,
+		ConnectTimeout:      100 * ms,
+		SlowStartMinShare:   0.2,
+		SlowStartWindow:     10 * time.Second,
+		OverloadMultiple:    3,
+		OverloadDuration:    time.Second,
+		ResubscribeInterval: 10 * time.Second,
+		Classes:             []Class{read, pay, book},
 	}
 }
 
-// The classes of settings.
+// The indexes of the classes in settings.
 const read, pay, book = 0, 1, 2
 
 // fixture is a Balancer under test with its recorder.
 type fixture struct {
 	*recorder
-	t *testing.T
-	b *Balancer
-	n int // requests so far
+	t            *testing.T
+	b            *Balancer
+	requestCount int // so far, for their IDs
 }
 
-// start makes a Balancer that knows n available endpoints, numbered from 1, two to a cell.
-func start(t *testing.T, s Settings, n int) *fixture {
+// start returns a Balancer with a number of available endpoints. Their IDs count from 1, and each cell has two of them.
+func start(t *testing.T, s Settings, endpoints int) *fixture {
 	t.Helper()
-	h := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
-	b, err := New(s, 7, h)
+	host := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
+	b, err := New(s, 7, host)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := EndpointList{Kind: ListCached, Version: 1}
-	for i := 1; i <= n; i++ {
-		l.Entries = append(l.Entries, ListEntry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
+	list := EndpointList{Kind: ListCached, Version: 1}
+	for i := 1; i <= endpoints; i++ {
+		list.Entries = append(list.Entries, ListEntry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
 	}
-	b.HandleEndpoints(h.now, l)
-	return &fixture{recorder: h, t: t, b: b}
+	b.HandleEndpoints(host.now, list)
+	return &fixture{recorder: host, t: t, b: b}
 }
 
-// list hands over a delta with one entry.
-func (f *fixture) list(e ListEntry) {
+// updateEndpoint delivers an update of the endpoint list with one entry.
+func (f *fixture) updateEndpoint(e ListEntry) {
 	f.b.HandleEndpoints(f.now, EndpointList{Kind: ListDelta, Version: 2, Entries: []ListEntry{e}})
 }
 
-// ask brings a request with a second and a half left.
-func (f *fixture) ask(class int) RequestID {
-	f.n++
-	id := RequestID(fmt.Sprint("r", f.n))
+// request delivers a request of a class with 1.5 s left, and returns its ID.
+func (f *fixture) request(class int) RequestID {
+	id := f.nextID()
 	f.b.HandleRequest(f.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms})
 	return id
 }
 
-// end reports the outcome of a send.
-func (f *fixture) end(s sent, status Status, took time.Duration) {
+// nextID returns the ID of a new request.
+func (f *fixture) nextID() RequestID {
+	f.requestCount++
+	return RequestID(fmt.Sprint("r", f.requestCount))
+}
+
+// finish delivers the outcome of an attempt.
+func (f *fixture) finish(a attempt, status Status, elapsed time.Duration) {
 	f.b.HandleOutcome(f.now, Outcome{
-		ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == StatusOK, Status: status,
-		Elapsed: took,
+		ID: a.id, Endpoint: a.to, Attempt: a.number, Final: status == StatusOK, Status: status, Elapsed: elapsed,
 	})
 }
 
-// pass lets time go by, with the timers that fall due.
-func (f *fixture) pass(by time.Duration) {
+// advance lets time pass in steps of 2 ms, and fires timers.
+func (f *fixture) advance(by time.Duration) {
 	for until := f.now + by; f.now < until; f.now += 2 * ms {
 		for _, token := range []uint64{timerTick, timerWatch} {
-			if due, ok := f.timers[token]; ok && due <= f.now {
+			if fireAt, ok := f.timers[token]; ok && fireAt <= f.now {
 				delete(f.timers, token)
 				f.b.HandleTimer(f.now, token)
 			}
@@ -139,29 +151,29 @@
 	}
 }
 
-// serve runs requests one after another for a while, each answered after 20 ms but where answer says
-// otherwise, and counts the sends to each endpoint.
-func (f *fixture) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
-	got := map[EndpointID]int{}
+// serveRequests delivers n requests one after another. Each attempt takes 20 ms and ends with what status returns for its endpoint,
+// or with StatusOK if status is nil. It returns the number of attempts by endpoint.
+func (f *fixture) serveRequests(n int, status func(to EndpointID) Status) map[EndpointID]int {
+	attempts := map[EndpointID]int{}
 	for range n {
-		at := len(f.sent)
-		f.ask(read)
-		f.pass(20 * ms)
-		for at < len(f.sent) {
-			s := f.sent[at]
-			at++
-			got[s.to]++
-			status := StatusOK
-			if answer != nil {
-				status = answer(s.to)
+		next := len(f.sent)
+		f.request(read)
+		f.advance(20 * ms)
+		for next < len(f.sent) {
+			a := f.sent[next]
+			next++
+			attempts[a.to]++
+			result := StatusOK
+			if status != nil {
+				result = status(a.to)
 			}
-			f.end(s, status, 20*ms)
+			f.finish(a, result, 20*ms)
 		}
 	}
-	return got
+	return attempts
 }
 
-// soaked is how many times as much of something is played in `make soak`.
+// soaked returns the factor by which `make soak` plays more than `make test`: times in the former, 1 in the latter.
 func soaked(times int) int {
 	if os.Getenv("SOAK") == "" {
 		return 1
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -14,9 +14,9 @@
 	"quincegap/internal/golden"
 )
 
-// The golden files of this package hold what a balancer commanded over random but reproducible events. The same seed has to give
-// the same commands in the same order: replayed simulations depend on it. A changed order of random draws, of a walk over a map
-// or of a sum of floating-point numbers shows as another digest.
+// The golden files of this package have the actions of a Balancer over random events. The same seed has to give the same actions in
+// the same order, as replayed simulations depend on it. Another order of random draws, of the elements of a map or of the additions
+// of floating-point numbers shows as another digest.
 
 // call is an attempt that is in flight.
 type call struct {
@@ -29,109 +29,117 @@
 	status  balancer.Status
 }
 
-// trace is a Host that writes each command into a digest, and keeps the calls that are in flight.
-type trace struct {
+// recordingHost is a Host that adds each action to a digest, and keeps the calls in flight. The names of the actions in the digest are
+// data.
+type recordingHost struct {
 	now      time.Duration
 	digest   hash.Hash
-	counts   map[string]int
-	first    []string // the first commands, for people
-	open     []call
-	rng      *rand.Rand // of the fleet, not of the balancer
+	counts   map[string]int // by action
+	first    []string       // the first actions, for the reader of a golden file
+	inFlight []call
+	rng      *rand.Rand // of the endpoints, not of the Balancer
 	attempts map[balancer.RequestID]int
 	timers   map[uint64]time.Duration
-	final    map[balancer.RequestID]bool
+	final    map[balancer.RequestID]bool // requests with a final answer
 }
 
-// firstCommands is how many commands of a scenario the golden file shows in full.
-const firstCommands = 12
-
-func newTrace(seed uint64) *trace {
-	return &trace{
-		rng: rand.New(rand.NewPCG(seed, 11)), now: 100 * time.Second, digest: sha256.New(), counts: map[string]int{}, attempts: map[balancer.RequestID]int{},
-		timers: map[uint64]time.Duration{}, final: map[balancer.RequestID]bool{},
+// firstActions is the number of actions that a golden file shows in full.
+const firstActions = 12
+
+func newRecordingHost(seed uint64) *recordingHost {
+	return &recordingHost{
+		now:      100 * time.Second,
+		digest:   sha256.New(),
+		counts:   map[string]int{},
+		rng:      rand.New(rand.NewPCG(seed, 11)),
+		attempts: map[balancer.RequestID]int{},
+		timers:   map[uint64]time.Duration{},
+		final:    map[balancer.RequestID]bool{},
 	}
 }
 
-func (t *trace) note(name string, values ...any) {
-	line := fmt.Sprintln(append([]any{int64(t.now), name}, values...)...)
-	t.counts[name]++
-	if len(t.first) < firstCommands {
-		t.first = append(t.first, line)
+// record adds an action to the digest.
+func (r *recordingHost) record(name string, values ...any) {
+	line := fmt.Sprintln(append([]any{int64(r.now), name}, values...)...)
+	r.counts[name]++
+	if len(r.first) < firstActions {
+		r.first = append(r.first, line)
 	}
-	t.digest.Write([]byte(line))
+	r.digest.Write([]byte(line))
 }
 
-func (t *trace) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	t.note("send", id, to, int64(timeout))
-	t.open = append(t.open, t.outcome(call{id: id, to: to, attempt: t.attempts[id], sentAt: t.now, timeout: timeout}))
-	t.attempts[id]++
+func (r *recordingHost) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	r.record("send", id, to, int64(timeout))
+	sent := call{id: id, to: to, attempt: r.attempts[id], sentAt: r.now, timeout: timeout}
+	r.inFlight = append(r.inFlight, r.drawOutcome(sent))
+	r.attempts[id]++
 }
 
-// outcome draws when and how a call ends. Some endpoints are slower than others, some fail more often, all are slow at times.
-func (t *trace) outcome(c call) call {
-	took := time.Duration((0.2 + t.rng.ExpFloat64()) * float64(1+c.to%3) * float64(5*time.Millisecond))
-	if t.now/time.Second%4 == 2 {
-		took *= 8
+// drawOutcome draws the end of a call. Some endpoints are slower than others, some fail more often, and all are slow at times.
+func (r *recordingHost) drawOutcome(c call) call {
+	latency := time.Duration((0.2 + r.rng.ExpFloat64()) * float64(1+c.to%3) * float64(5*time.Millisecond))
+	if r.now/time.Second%4 == 2 {
+		latency *= 8
 	}
 	switch {
-	case t.rng.IntN(40) == 0:
-		c.status = balancer.Status(t.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
-	case c.to%17 == 3 && t.rng.IntN(3) == 0:
+	case r.rng.IntN(40) == 0:
+		c.status = balancer.Status(r.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
+	case c.to%17 == 3 && r.rng.IntN(3) == 0:
 		c.status = balancer.StatusError
-	case t.rng.IntN(200) == 0:
-		took = time.Minute // the call is lost
+	case r.rng.IntN(200) == 0:
+		latency = time.Minute // the call is lost
 	}
-	if c.timeout > 0 && took > c.timeout {
-		took, c.status = c.timeout, balancer.StatusTimeout
+	if c.timeout > 0 && latency > c.timeout {
+		latency, c.status = c.timeout, balancer.StatusTimeout
 	}
-	if most := 2 * time.Second; took > most {
-		took, c.status = most, balancer.StatusTimeout
+	if maxLatency := 2 * time.Second; latency > maxLatency {
+		latency, c.status = maxLatency, balancer.StatusTimeout
 	}
-	c.endsAt = t.now + max(took, time.Millisecond)
+	c.endsAt = r.now + max(latency, time.Millisecond)
 	return c
 }
 
-func (t *trace) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	t.note("refuse", id, int64(retryAfter))
-	t.final[id] = true
+func (r *recordingHost) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	r.record("refuse", id, int64(retryAfter))
+	r.final[id] = true
 }
 
-func (t *trace) Fail(id balancer.RequestID) {
-	t.note("fail", id)
-	t.final[id] = true
+func (r *recordingHost) Fail(id balancer.RequestID) {
+	r.record("fail", id)
+	r.final[id] = true
 }
 
-func (t *trace) Cancel(id balancer.RequestID, attempt int) {
-	t.note("cancel", id, attempt)
-	for i := range t.open {
-		if c := &t.open[i]; c.id == id && c.attempt == attempt {
-			c.endsAt, c.status = t.now+2*time.Millisecond, balancer.StatusCancelled
+func (r *recordingHost) Cancel(id balancer.RequestID, attempt int) {
+	r.record("cancel", id, attempt)
+	for i := range r.inFlight {
+		if c := &r.inFlight[i]; c.id == id && c.attempt == attempt {
+			c.endsAt, c.status = r.now+2*time.Millisecond, balancer.StatusCancelled
 		}
 	}
 }
 
-func (t *trace) SetTimer(token uint64, after time.Duration) {
-	t.note("timer", token, int64(after))
-	t.timers[token] = t.now + after
+func (r *recordingHost) SetTimer(token uint64, after time.Duration) {
+	r.record("timer", token, int64(after))
+	r.timers[token] = r.now + after
 }
 
-func (t *trace) HealthCheck(to balancer.EndpointID)          { t.note("probe", to) }
-func (t *trace) SendToPeer(peer int, data []byte)            { t.note("tell", peer, data) }
-func (t *trace) WatchEndpoints(on bool)                      { t.note("watch", on) }
-func (t *trace) FetchEndpoints()                             { t.note("fetch") }
-func (t *trace) CloseIdleConnections(to balancer.EndpointID) { t.note("closeIdle", to) }
-func (t *trace) Log(text string)                             { t.note("log", text) }
+func (r *recordingHost) HealthCheck(to balancer.EndpointID)          { r.record("probe", to) }
+func (r *recordingHost) SendToPeer(peer int, data []byte)            { r.record("tell", peer, data) }
+func (r *recordingHost) WatchEndpoints(on bool)                      { r.record("watch", on) }
+func (r *recordingHost) FetchEndpoints()                             { r.record("fetch") }
+func (r *recordingHost) CloseIdleConnections(to balancer.EndpointID) { r.record("closeIdle", to) }
+func (r *recordingHost) Log(text string)                             { r.record("log", text) }
 
-// scenario is a fleet and what happens in it.
+// scenario is a fleet and the events in it.
 type scenario struct {
-	name      string
+	name      string // of the golden file too: data
 	endpoints int
 	perSecond int // requests
 	change    func(*balancer.Settings)
 	weighted  bool // the listed weights differ
 	reports   bool // endpoints report their load
-	regroups  bool
-	leaves    bool // the instance ends near the end of the events
+	regroups  bool // the group of instances changes
+	leaves    bool // the instance shuts down near the end
 }
 
 var scenarios = []scenario{
@@ -163,130 +171,172 @@
 	}},
 }
 
+// goldenSettings returns settings with classes of every kind, and the changes of a scenario.
 func goldenSettings(change func(*balancer.Settings)) balancer.Settings {
-	class := func(name string, effect balancer.Idempotency, scope balancer.KeyScope, worth float64) balancer.Class {
+	class := func(name string, idempotency balancer.Idempotency, scope balancer.KeyScope, value float64) balancer.Class {
 		return balancer.Class{
-			Name: name, LatencyTarget: 400 * time.Millisecond, Deadline: 2 * time.Second, Value: worth, LateValueShare: 0.2 * worth,
-			Idempotency: effect, KeyScope: scope, KeyWindow: 3 * time.Second,
+			Name:           name,
+			LatencyTarget:  400 * time.Millisecond,
+			Deadline:       2 * time.Second,
+			Value:          value,
+			LateValueShare: 0.2 * value,
+			Idempotency:    idempotency,
+			KeyScope:       scope,
+			KeyWindow:      3 * time.Second,
 		}
 	}
-	read, zoned := class("read", balancer.Idempotent, "", 1), class("zoned", balancer.IdempotentWithKey, balancer.KeyScopeZone, 2)
+	read := class("read", balancer.Idempotent, "", 1)
 	read.LateValueShare, read.Streaming = 0, true
 	s := balancer.Settings{
-		Instances: 1, Quantum: 2 * time.Millisecond, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond,
-		MaxRetryAfter: 3 * time.Second, SlowStartMinShare: 0.2, SlowStartWindow: 4 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second, ResubscribeInterval: 5 * time.Second,
-		TotalValueWeight: 1,
+		Instances:           1,
+		Quantum:             2 * time.Millisecond,
+		MayCancel:           true,
+		MaxAttempts:         4,
+		ConnectTimeout:      100 * time.Millisecond,
+		MaxRetryAfter:       3 * time.Second,
+		SlowStartMinShare:   0.2,
+		SlowStartWindow:     4 * time.Second,
+		OverloadMultiple:    3,
+		OverloadDuration:    time.Second,
+		ResubscribeInterval: 5 * time.Second,
+		TotalValueWeight:    1,
 		Classes: []balancer.Class{
-			read, class("pay", balancer.NonIdempotent, "", 5), class("book", balancer.IdempotentWithKey, balancer.KeyScopeCell, 2),
-			zoned, class("anywhere", balancer.IdempotentWithKey, balancer.KeyScopeAll, 1),
+			read,
+			class("pay", balancer.NonIdempotent, "", 5),
+			class("book", balancer.IdempotentWithKey, balancer.KeyScopeCell, 2),
+			class("zoned", balancer.IdempotentWithKey, balancer.KeyScopeZone, 2),
+			class("anywhere", balancer.IdempotentWithKey, balancer.KeyScopeAll, 1),
 		},
 	}
 	change(&s)
 	return s
 }
 
-// player brings random events to a balancer.
+// player delivers random events to a Balancer.
 type player struct {
-	*trace
+	*recordingHost
 	scenario
-	t   *testing.T
-	b   *balancer.Balancer
-	set balancer.Settings
-	n   int // requests so far
+	t            *testing.T
+	b            *balancer.Balancer
+	settings     balancer.Settings
+	requestCount int // so far
 }
 
+// entry returns the entry of an endpoint that is ready.
 func (p *player) entry(id int) balancer.ListEntry {
-	e := balancer.ListEntry{Endpoint: balancer.EndpointID(id), Zone: id % 3, MachineKind: id % 4, Cell: id / 2, Weight: 1}
+	entry := balancer.ListEntry{Endpoint: balancer.EndpointID(id), Zone: id % 3, MachineKind: id % 4, Cell: id / 2, Weight: 1}
 	if p.weighted {
-		e.Weight = float64(1 + id%5)
+		entry.Weight = float64(1 + id%5)
 	}
-	return e
+	return entry
 }
 
-func (p *player) list(kind balancer.ListKind) {
-	l := balancer.EndpointList{Kind: kind, Version: uint64(p.n)}
+// listAll delivers a list of all endpoints.
+func (p *player) listAll(kind balancer.ListKind) {
+	list := balancer.EndpointList{Kind: kind, Version: uint64(p.requestCount)}
 	for id := 1; id <= p.endpoints; id++ {
-		l.Entries = append(l.Entries, p.entry(id))
+		list.Entries = append(list.Entries, p.entry(id))
 	}
-	p.b.HandleEndpoints(p.now, l)
+	p.b.HandleEndpoints(p.now, list)
 }
 
-func (p *player) delta() {
-	l := balancer.EndpointList{Kind: balancer.ListDelta, Version: uint64(p.n)}
+// updateSome delivers an update of a few endpoints.
+func (p *player) updateSome() {
+	states := []balancer.EndpointState{
+		balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointReady,
+		balancer.EndpointDraining, balancer.EndpointRemoved,
+	}
+	list := balancer.EndpointList{Kind: balancer.ListDelta, Version: uint64(p.requestCount)}
 	for range 1 + p.rng.IntN(4) {
-		e := p.entry(1 + p.rng.IntN(p.endpoints))
-		e.State = []balancer.EndpointState{balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointReady, balancer.EndpointDraining, balancer.EndpointRemoved}[p.rng.IntN(5)]
+		entry := p.entry(1 + p.rng.IntN(p.endpoints))
+		entry.State = states[p.rng.IntN(len(states))]
 		if p.rng.IntN(2) == 0 {
-			e.StartedAt = p.now - time.Duration(p.rng.IntN(5000))*time.Millisecond
+			entry.StartedAt = p.now - time.Duration(p.rng.IntN(5000))*time.Millisecond
 		}
-		l.Entries = append(l.Entries, e)
+		list.Entries = append(list.Entries, entry)
 	}
-	p.b.HandleEndpoints(p.now, l)
+	p.b.HandleEndpoints(p.now, list)
 }
 
+// request delivers a request.
 func (p *player) request() {
-	p.n++
-	q := balancer.Request{
-		ID: balancer.RequestID(fmt.Sprint("r", p.n)), Class: p.rng.IntN(len(p.set.Classes)), TimeLeft: 2 * time.Second,
-		IdleConnections: p.rng.IntN(6), ValueFactor: float64(p.rng.IntN(3)),
+	p.requestCount++
+	request := balancer.Request{
+		ID:              balancer.RequestID(fmt.Sprint("r", p.requestCount)),
+		Class:           p.rng.IntN(len(p.settings.Classes)),
+		TimeLeft:        2 * time.Second,
+		IdleConnections: p.rng.IntN(6),
+		ValueFactor:     float64(p.rng.IntN(3)),
 	}
-	if len(p.set.Tenants) > 0 {
-		q.Tenant = p.rng.IntN(len(p.set.Tenants))
+	if len(p.settings.Tenants) > 0 {
+		request.Tenant = p.rng.IntN(len(p.settings.Tenants))
 	}
 	switch p.rng.IntN(12) {
 	case 0:
-		q.Retry, q.TimeLeft = true, time.Duration(1+p.rng.IntN(2000))*time.Millisecond
+		request.Retry, request.TimeLeft = true, time.Duration(1+p.rng.IntN(2000))*time.Millisecond
 	case 1:
-		other := balancer.EndpointID(1 + p.rng.IntN(p.endpoints))
-		q.Exclude, q.MaxAttempts, q.AttemptTimeout = &other, 2, 300*time.Millisecond
+		excluded := balancer.EndpointID(1 + p.rng.IntN(p.endpoints))
+		request.Exclude, request.MaxAttempts, request.AttemptTimeout = &excluded, 2, 300*time.Millisecond
 	case 2:
 		id := 1 + p.rng.IntN(p.endpoints)
-		q.Prior = balancer.PriorAttempt{MayHaveRun: true, Zone: id % 3, Cell: id / 2, SentAt: p.now - time.Second}
+		request.Prior = balancer.PriorAttempt{MayHaveRun: true, Zone: id % 3, Cell: id / 2, SentAt: p.now - time.Second}
 	}
-	p.b.HandleRequest(p.now, q)
+	p.b.HandleRequest(p.now, request)
 }
 
-// end brings the outcomes of the calls that have ended by now, in the order in which they were sent.
-func (p *player) end() {
-	for i := 0; i < len(p.open); {
-		if p.open[i].endsAt > p.now {
+// finishCalls delivers the outcomes of the calls that have ended by now, in the order in which they were sent.
+func (p *player) finishCalls() {
+	for i := 0; i < len(p.inFlight); {
+		if p.inFlight[i].endsAt > p.now {
 			i++
 			continue
 		}
-		c := p.open[i]
-		p.open = slices.Delete(p.open, i, i+1)
-		o := balancer.Outcome{
-			ID: c.id, Endpoint: c.to, Attempt: c.attempt, Elapsed: p.now - c.sentAt, Status: c.status,
-			Final: c.status == balancer.StatusOK || p.final[c.id], NoRetry: p.rng.IntN(40) == 0,
-		}
-		if p.rng.IntN(20) == 0 {
-			o.Backoff = time.Duration(p.rng.IntN(100)) * time.Millisecond
-		}
-		if p.reports && p.rng.IntN(2) == 0 {
-			o.Load = &balancer.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: time.Duration(1+p.rng.IntN(8)*int(1+c.to%4)) * time.Millisecond}
-		}
-		p.b.HandleOutcome(p.now, o)
+		ended := p.inFlight[i]
+		p.inFlight = slices.Delete(p.inFlight, i, i+1)
+		p.b.HandleOutcome(p.now, p.outcome(ended))
 	}
 }
 
-func (p *player) rare() {
+// outcome returns the outcome of a call that ends now.
+func (p *player) outcome(c call) balancer.Outcome {
+	outcome := balancer.Outcome{
+		ID:       c.id,
+		Endpoint: c.to,
+		Attempt:  c.attempt,
+		Elapsed:  p.now - c.sentAt,
+		Status:   c.status,
+		Final:    c.status == balancer.StatusOK || p.final[c.id],
+		NoRetry:  p.rng.IntN(40) == 0,
+	}
+	if p.rng.IntN(20) == 0 {
+		outcome.Backoff = time.Duration(p.rng.IntN(100)) * time.Millisecond
+	}
+	if p.reports && p.rng.IntN(2) == 0 {
+		serviceTime := time.Duration(1+p.rng.IntN(8)*int(1+c.to%4)) * time.Millisecond
+		outcome.Load = &balancer.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: serviceTime}
+	}
+	return outcome
+}
+
+// rareEvent delivers an event other than a request, an outcome or a timer.
+func (p *player) rareEvent() {
 	switch p.rng.IntN(8) {
 	case 0, 1, 2:
-		p.delta()
+		p.updateSome()
 	case 3:
-		p.list([]balancer.ListKind{balancer.ListFull, balancer.ListCached}[p.rng.IntN(2)])
+		p.listAll([]balancer.ListKind{balancer.ListFull, balancer.ListCached}[p.rng.IntN(2)])
 	case 4:
 		p.b.HandleEndpoints(p.now, balancer.EndpointList{Kind: balancer.ListFailed})
 		p.b.HandleHealthCheck(p.now, balancer.HealthCheckResult{Endpoint: 1})
 		p.b.HandlePeerMessage(p.now, 0, []byte("x"))
 	case 5:
-		if len(p.open) > 0 {
-			c := p.open[p.rng.IntN(len(p.open))]
-			p.b.HandleResponseStart(p.now, c.id, c.attempt, c.to)
+		if len(p.inFlight) > 0 {
+			begun := p.inFlight[p.rng.IntN(len(p.inFlight))]
+			p.b.HandleResponseStart(p.now, begun.id, begun.attempt, begun.to)
 		}
 	case 6:
-		if len(p.open) > 0 {
-			p.b.HandleClientGone(p.now, p.open[p.rng.IntN(len(p.open))].id)
+		if len(p.inFlight) > 0 {
+			p.b.HandleClientGone(p.now, p.inFlight[p.rng.IntN(len(p.inFlight))].id)
 		}
 	case 7:
 		if p.regroups {
@@ -295,56 +345,62 @@
 	}
 }
 
+// regroup delivers another group of instances.
 func (p *player) regroup() {
-	g := balancer.InstanceGroup{Instances: max(2, p.set.Instances-2+p.rng.IntN(5))}
-	g.Ordinal, g.MaxInstances = p.rng.IntN(g.Instances), p.rng.IntN(2*g.Instances)
+	group := balancer.InstanceGroup{Instances: max(2, p.settings.Instances-2+p.rng.IntN(5))}
+	group.Ordinal, group.MaxInstances = p.rng.IntN(group.Instances), p.rng.IntN(2*group.Instances)
 	if p.rng.IntN(2) == 0 {
-		for i := range g.Instances {
-			g.Members = append(g.Members, uint64(1000*i))
+		for i := range group.Instances {
+			group.Members = append(group.Members, uint64(1000*i))
 		}
-		g.Self = g.Members[g.Ordinal]
+		group.Self = group.Members[group.Ordinal]
 	}
-	if err := p.b.UpdateGroup(p.now, g); err != nil {
+	if err := p.b.UpdateGroup(p.now, group); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// fire brings the timers that are due, lowest token first.
-func (p *player) fire() {
+// fireTimers delivers the timers that are due, the lowest token first.
+func (p *player) fireTimers() {
 	for token := range uint64(2) {
-		if at, ok := p.timers[token]; ok && at <= p.now {
+		if fireAt, ok := p.timers[token]; ok && fireAt <= p.now {
 			delete(p.timers, token)
 			p.b.HandleTimer(p.now, token)
 		}
 	}
 }
 
-// play runs the scenario over some milliseconds.
+// play runs the scenario in steps of a millisecond.
 func (p *player) play(steps int) {
-	owed := 0.0 // requests
+	dueRequests := 0.0
 	for step := range steps {
-		for owed += p.rng.ExpFloat64() * float64(p.perSecond) / 1000; owed >= 1; owed-- {
+		for dueRequests += p.rng.ExpFloat64() * float64(p.perSecond) / 1000; dueRequests >= 1; dueRequests-- {
 			p.request()
 		}
-		p.end()
+		p.finishCalls()
 		if p.rng.IntN(60) == 0 {
-			p.rare()
+			p.rareEvent()
 		}
 		if step == steps/3 {
-			if _, err := p.b.AddClass(p.set.Classes[0]); err != nil {
-				p.t.Fatal(err)
-			}
-			p.set.Classes = append(slices.Clone(p.set.Classes), p.set.Classes[0])
+			p.addClass()
 		}
 		if p.leaves && step == steps*4/5 {
 			p.b.ShutDownAt(p.now, p.now+time.Duration(steps/6)*time.Millisecond)
 		}
 		p.now += time.Millisecond
-		p.fire()
+		p.fireTimers()
+	}
+	for id, weight := range p.b.Subset() {
+		p.record("subset", id, weight, p.b.Ejected(id))
 	}
-	for id, part := range p.b.Subset() {
-		p.note("subset", id, part, p.b.Ejected(id))
+}
+
+// addClass adds a class that is the same as the first one.
+func (p *player) addClass() {
+	if _, err := p.b.AddClass(p.settings.Classes[0]); err != nil {
+		p.t.Fatal(err)
 	}
+	p.settings.Classes = append(slices.Clone(p.settings.Classes), p.settings.Classes[0])
 }
 
 func TestGoldenDecisions(t *testing.T) {
@@ -353,15 +409,15 @@
 			t.Parallel()
 			var text strings.Builder
 			for seed := range uint64(3) {
-				p := &player{trace: newTrace(seed), scenario: s, t: t, set: goldenSettings(s.change)}
-				b, err := balancer.New(p.set, seed, p.trace)
+				p := &player{recordingHost: newRecordingHost(seed), scenario: s, t: t, settings: goldenSettings(s.change)}
+				b, err := balancer.New(p.settings, seed, p.recordingHost)
 				if err != nil {
 					t.Fatal(err)
 				}
 				p.b = b
-				p.list(balancer.ListCached)
+				p.listAll(balancer.ListCached)
 				p.play(8000)
-				fmt.Fprintf(&text, "seed %d: %d requests, %v\n%x\n", seed, p.n, p.counts, p.digest.Sum(nil))
+				fmt.Fprintf(&text, "seed %d: %d requests, %v\n%x\n", seed, p.requestCount, p.counts, p.digest.Sum(nil))
 				text.WriteString(strings.Join(p.first, ""))
 			}
 			golden.Text(t, "decisions-"+s.name+".txt", []byte(text.String()))
@@ -369,7 +425,7 @@
 	}
 }
 
-// lastSend is a Host that keeps the endpoint of the last send alone, without an allocation.
+// lastSend is a Host that keeps only the endpoint of the last attempt, without an allocation.
 type lastSend struct{ to balancer.EndpointID }
 
 func (l *lastSend) Send(_ balancer.RequestID, to balancer.EndpointID, _ time.Duration) { l.to = to }
@@ -384,11 +440,11 @@
 func (l *lastSend) CloseIdleConnections(balancer.EndpointID)                           {}
 func (l *lastSend) Log(string)                                                         {}
 
-// A decision, from a request to its outcome, allocates no more than it did when these bounds were measured.
+// A decision, from a request to its outcome, allocates no more than when these limits were measured.
 func TestDecisionAllocations(t *testing.T) {
 	for _, c := range []struct {
-		endpoints int
-		most      float64 // allocations a decision
+		endpoints      int
+		maxAllocations float64 // for each decision
 	}{{10, 1}, {100, 1}, {1000, 1}} {
 		t.Run(fmt.Sprint(c.endpoints), func(t *testing.T) {
 			host := &lastSend{}
@@ -396,23 +452,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
+			list := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
 			for id := range c.endpoints {
-				l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id + 1), Cell: id / 2, Weight: 1})
+				list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id + 1), Cell: id / 2, Weight: 1})
 			}
 			now := time.Second
-			b.HandleEndpoints(now, l)
+			b.HandleEndpoints(now, list)
 			decide := func() {
 				b.HandleRequest(now, balancer.Request{ID: "r", TimeLeft: 2 * time.Second})
-				b.HandleOutcome(now+time.Millisecond, balancer.Outcome{ID: "r", Endpoint: host.to, Final: true, Elapsed: 20 * time.Millisecond})
+				outcome := balancer.Outcome{ID: "r", Endpoint: host.to, Final: true, Elapsed: 20 * time.Millisecond}
+				b.HandleOutcome(now+time.Millisecond, outcome)
 				now += time.Millisecond
 				b.HandleTimer(now, 0)
 			}
 			for range 1000 {
-				decide() // buffers grow
+				decide() // until buffers have grown
 			}
-			if got := testing.AllocsPerRun(2000, decide); got > c.most {
-				t.Errorf("%v allocations a decision, at most %v", got, c.most)
+			if got := testing.AllocsPerRun(2000, decide); got > c.maxAllocations {
+				t.Errorf("%v allocations a decision, at most %v", got, c.maxAllocations)
 			} else {
 				t.Logf("%v allocations a decision", got)
 			}
@@ -420,17 +477,31 @@
 	}
 }
 
-// Values that settings files, the simulator's wire and people's tools go by.
+// Settings files, the simulator's protocol and operators' tools depend on these values.
 func TestValuesAreData(t *testing.T) {
 	for got, want := range map[any]any{
-		balancer.Idempotent: balancer.Idempotency("safe"), balancer.IdempotentWithKey: balancer.Idempotency("keyed"), balancer.NonIdempotent: balancer.Idempotency("unsafe"),
-		balancer.KeyScopeAll: balancer.KeyScope("all"), balancer.KeyScopeZone: balancer.KeyScope("zone"), balancer.KeyScopeCell: balancer.KeyScope("cell"),
-		balancer.StatusOK: balancer.Status(0), balancer.StatusError: balancer.Status(1), balancer.StatusRejected: balancer.Status(2),
-		balancer.StatusTimeout: balancer.Status(3), balancer.StatusConnectFailed: balancer.Status(4), balancer.StatusReset: balancer.Status(5),
-		balancer.StatusCancelled: balancer.Status(6), balancer.StatusNotSent: balancer.Status(7), balancer.StatusInvalidResponse: balancer.Status(8),
-		balancer.EndpointReady: balancer.EndpointState(0), balancer.EndpointDraining: balancer.EndpointState(1), balancer.EndpointRemoved: balancer.EndpointState(2),
-		balancer.ListDelta: balancer.ListKind(0), balancer.ListFull: balancer.ListKind(1),
-		balancer.ListCached: balancer.ListKind(2), balancer.ListFailed: balancer.ListKind(3),
+		balancer.Idempotent:            balancer.Idempotency("safe"),
+		balancer.IdempotentWithKey:     balancer.Idempotency("keyed"),
+		balancer.NonIdempotent:         balancer.Idempotency("unsafe"),
+		balancer.KeyScopeAll:           balancer.KeyScope("all"),
+		balancer.KeyScopeZone:          balancer.KeyScope("zone"),
+		balancer.KeyScopeCell:          balancer.KeyScope("cell"),
+		balancer.StatusOK:              balancer.Status(0),
+		balancer.StatusError:           balancer.Status(1),
+		balancer.StatusRejected:        balancer.Status(2),
+		balancer.StatusTimeout:         balancer.Status(3),
+		balancer.StatusConnectFailed:   balancer.Status(4),
+		balancer.StatusReset:           balancer.Status(5),
+		balancer.StatusCancelled:       balancer.Status(6),
+		balancer.StatusNotSent:         balancer.Status(7),
+		balancer.StatusInvalidResponse: balancer.Status(8),
+		balancer.EndpointReady:         balancer.EndpointState(0),
+		balancer.EndpointDraining:      balancer.EndpointState(1),
+		balancer.EndpointRemoved:       balancer.EndpointState(2),
+		balancer.ListDelta:             balancer.ListKind(0),
+		balancer.ListFull:              balancer.ListKind(1),
+		balancer.ListCached:            balancer.ListKind(2),
+		balancer.ListFailed:            balancer.ListKind(3),
 	} {
 		if got != want {
 			t.Errorf("%v, want %v", got, want)
--- a/internal/balancer/index_test.go
+++ b/internal/balancer/index_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// verify compares what the index, the subset, the pools and the queues hold with a scan of all endpoints.
+// verify compares the content of the index, the subset, the pools and the queues with a scan of all endpoints.
 func verify(tb testing.TB, b *Balancer, now time.Duration) {
 	tb.Helper()
 	b.enqueueDue(now)
@@ -31,7 +31,7 @@
 	verifyWeights(tb, b)
 }
 
-// verifyIndexed checks that the index has an endpoint, if requests may go to it.
+// verifyIndexed checks that the index contains an endpoint if, and only if, requests may be sent to it.
 func verifyIndexed(tb testing.TB, b *Balancer, e *endpoint) {
 	tb.Helper()
 	indexed := e.availability != draining
@@ -40,7 +40,7 @@
 	}
 }
 
-// expectedPool is the pool that an endpoint belongs to; noPool for none.
+// expectedPool returns the pool that an endpoint belongs to, or noPool.
 func expectedPool(e *endpoint) int {
 	switch {
 	case e.availability == available && e.subsetWeight > 0:
@@ -53,23 +53,29 @@
 	return noPool
 }
 
-// verifyPooled checks that an endpoint is in its pool, with a bound that its weight stays below.
+// verifyPooled checks that an endpoint is in its pool, and that its weight does not exceed its bound there.
 func verifyPooled(tb testing.TB, b *Balancer, now time.Duration, e *endpoint) {
 	tb.Helper()
 	want := expectedPool(e)
 	if e.index.pooled != (want != noPool) || e.index.pooled && e.index.pool != want {
-		tb.Fatalf("endpoint %d: availability %d, part %v; pooled %v in %d", e.id, e.availability, e.subsetWeight, e.index.pooled, e.index.pool)
+		tb.Fatalf(
+			"endpoint %d: availability %d, subset weight %v; pooled %v in %d",
+			e.id, e.availability, e.subsetWeight, e.index.pooled, e.index.pool,
+		)
 	}
 	if want == noPool {
 		return
 	}
 	weight := b.weights.drawWeight(e) * b.capacityShare(now, e)
 	if weight > e.index.bound*b.pools.boundSlack*(1+1e-9) {
-		tb.Fatalf("endpoint %d: weight %v over its bound %v, slack %v, pool %d", e.id, weight, e.index.bound, b.pools.boundSlack, want)
+		tb.Fatalf(
+			"endpoint %d: weight %v over its bound %v, slack %v, pool %d",
+			e.id, weight, e.index.bound, b.pools.boundSlack, want,
+		)
 	}
 }
 
-// verifyHashShare checks that a subset by hash has an endpoint, if it is in the hash share.
+// verifyHashShare checks that a subset by hash contains an endpoint if, and only if, the hash share owns it.
 func verifyHashShare(tb testing.TB, b *Balancer, e *endpoint) {
 	tb.Helper()
 	if !b.subset.byHash {
@@ -77,22 +83,28 @@
 	}
 	owned := e.availability != draining && b.subset.share.Owns(uint32(e.id))
 	if (e.subsetWeight > 0) != (owned && b.weights.endpointWeight(e) > 0) {
-		tb.Fatalf("endpoint %d: availability %d, part %v, in this instance's hash share %v", e.id, e.availability, e.subsetWeight, owned)
+		tb.Fatalf(
+			"endpoint %d: availability %d, subset weight %v, in this instance's hash share %v",
+			e.id, e.availability, e.subsetWeight, owned,
+		)
 	}
 }
 
-// verifyQueued checks that an endpoint is in the queues of slow starts and of trials, if it has to be.
+// verifyQueued checks that an endpoint is in the queues of slow starts and of trials if, and only if, it is in that state.
 func verifyQueued(tb testing.TB, b *Balancer, e *endpoint) {
 	tb.Helper()
 	_, slowStart := b.slowStarts.Deadline(e)
-	at, trial := b.trials.Deadline(e)
+	trialAt, trial := b.trials.Deadline(e)
 	awaitsTrial := e.availability == ejected && e.subsetWeight > 0 && len(e.calls) == 0
-	if slowStart != (e.availability == warmingUp) || trial != awaitsTrial || trial && at != e.trialAt {
-		tb.Fatalf("endpoint %d: availability %d, part %v, slow start %v, trial %v", e.id, e.availability, e.subsetWeight, slowStart, trial)
+	if slowStart != (e.availability == warmingUp) || trial != awaitsTrial || trial && trialAt != e.trialAt {
+		tb.Fatalf(
+			"endpoint %d: availability %d, subset weight %v, slow start %v, trial %v",
+			e.id, e.availability, e.subsetWeight, slowStart, trial,
+		)
 	}
 }
 
-// verifyCounts checks how many endpoints the index, the busy set and each pool hold.
+// verifyCounts checks the numbers of endpoints in the index, in the busy set and in each pool.
 func verifyCounts(tb testing.TB, b *Balancer) {
 	tb.Helper()
 	indexed, busy := 0, 0
@@ -111,14 +123,14 @@
 		}
 	}
 	if b.index.ordered.Len() != indexed || len(b.busy) < busy {
-		tb.Fatalf("%d indexed, should be %d; %d busy, should be %d", b.index.ordered.Len(), indexed, len(b.busy), busy)
+		tb.Fatalf("%d indexed, want %d; %d busy, want %d", b.index.ordered.Len(), indexed, len(b.busy), busy)
 	}
 	if !maps.Equal(b.index.perZone, perZone) {
-		tb.Fatalf("by zone %v, should be %v", b.index.perZone, perZone)
+		tb.Fatalf("by zone %v, want %v", b.index.perZone, perZone)
 	}
 	for pool, want := range pooled {
 		if got := b.pools.pools[pool].Len(); got != want {
-			tb.Fatalf("pool %d holds %d, should be %d", pool, got, want)
+			tb.Fatalf("pool %d has %d, want %d", pool, got, want)
 		}
 	}
 }
@@ -136,17 +148,17 @@
 		}
 	}
 	if b.subset.byHash && (b.subset.all || !slices.IsSortedFunc(b.subset.members, compareIDs)) {
-		tb.Fatal("the subset is out of order, or all as well")
+		tb.Fatal("a subset by hash is out of order, or has all endpoints")
 	}
 	if !b.subset.all && members != len(b.subset.members) {
-		tb.Fatalf("%d have a part, %d are listed so", members, len(b.subset.members))
+		tb.Fatalf("%d have a subset weight, %d are members", members, len(b.subset.members))
 	}
 	if weight > 0 && math.Abs(math.Log(b.pools.availableWeight/weight)) > math.Log(maxDrift*maxDrift) {
-		tb.Fatalf("the available weights' sum is %v, should be %v", b.pools.availableWeight, weight)
+		tb.Fatalf("the sum of the available weights is %v, want %v", b.pools.availableWeight, weight)
 	}
 }
 
-// verifyWeights checks what is known of the listed weights.
+// verifyWeights checks the counts of the listed weights, and whether these are used.
 func verifyWeights(tb testing.TB, b *Balancer) {
 	tb.Helper()
 	counted := 0
@@ -157,22 +169,22 @@
 		}
 	}
 	differs := func(e *endpoint) bool { return e.listedWeight != b.listed[0].listedWeight }
-	none := func(e *endpoint) bool { return e.listedWeight <= 0 }
-	weighted := slices.ContainsFunc(b.listed, differs) && !slices.ContainsFunc(b.listed, none)
+	isZero := func(e *endpoint) bool { return e.listedWeight <= 0 }
+	weighted := slices.ContainsFunc(b.listed, differs) && !slices.ContainsFunc(b.listed, isZero)
 	if counted != len(b.listed) || weighted != b.weights.useListed {
 		tb.Fatalf("%d weights of %d; weighted %v", counted, len(b.listed), b.weights.useListed)
 	}
 }
 
-// fleetEvents brings random events of a fleet to a balancer.
+// fleetEvents delivers random events of a fleet to a Balancer.
 type fleetEvents struct {
 	*fixture
 	rng       *rand.Rand
-	instances int // at first
+	instances int // initially
 	endpoints int
 	weighted  bool // the listed weights differ
 	reports   bool // endpoints report their load
-	open      []sent
+	inFlight  []attempt
 }
 
 func newFleetEvents(t *testing.T, seed uint64) *fleetEvents {
@@ -190,92 +202,106 @@
 	}
 	f := start(t, s, endpoints)
 	f.b.scanLimit = []int{0, maxScanned}[seed/4%2]
-	return &fleetEvents{fixture: f, rng: rng, instances: s.Instances, endpoints: endpoints, reports: seed%3 == 0, weighted: seed%3 == 1}
+	return &fleetEvents{
+		fixture:   f,
+		rng:       rng,
+		instances: s.Instances,
+		endpoints: endpoints,
+		reports:   seed%3 == 0,
+		weighted:  seed%3 == 1,
+	}
 }
 
-// step brings one event, and lets time go by.
+// step delivers one event, and lets time pass.
 func (f *fleetEvents) step() {
 	switch f.rng.IntN(9) {
 	case 0, 1, 2:
-		f.ask(f.rng.IntN(3))
+		f.request(f.rng.IntN(3))
 	case 3, 4, 5:
-		for range min(3, len(f.open)) {
-			f.outcome()
+		for range min(3, len(f.inFlight)) {
+			f.randomOutcome()
 		}
 	case 6:
-		f.list(f.entry())
+		f.updateEndpoint(f.randomEntry())
 	case 7:
-		f.update()
+		f.randomUpdate()
 	case 8:
-		f.regroup()
+		f.randomRegroup()
 	}
 	if f.rng.IntN(3) == 0 {
-		f.pass(time.Duration(f.rng.IntN(400)) * ms)
+		f.advance(time.Duration(f.rng.IntN(400)) * ms)
 	}
-	f.open = append(f.open, f.sent...)
+	f.inFlight = append(f.inFlight, f.sent...)
 	f.sent = f.sent[:0]
 }
 
-// outcome ends one of the attempts in flight.
-func (f *fleetEvents) outcome() {
-	i := f.rng.IntN(len(f.open))
-	x := f.open[i]
-	f.open = slices.Delete(f.open, i, i+1)
-	o := Outcome{
-		ID: x.id, Endpoint: x.to, Attempt: x.attempt, Elapsed: time.Duration(1+f.rng.IntN(60)*int(1+x.to%4)) * ms,
+// randomOutcome ends one of the attempts in flight.
+func (f *fleetEvents) randomOutcome() {
+	i := f.rng.IntN(len(f.inFlight))
+	ended := f.inFlight[i]
+	f.inFlight = slices.Delete(f.inFlight, i, i+1)
+	outcome := Outcome{
+		ID:       ended.id,
+		Endpoint: ended.to,
+		Attempt:  ended.number,
+		Elapsed:  time.Duration(1+f.rng.IntN(60)*int(1+ended.to%4)) * ms,
 		Status: []Status{
 			StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusOK,
 			StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset, StatusInvalidResponse,
 		}[f.rng.IntN(12)],
 	}
-	o.Final = o.Status == StatusOK
+	outcome.Final = outcome.Status == StatusOK
 	if f.reports {
-		o.Load = &Load{ServiceTime: time.Duration(1+f.rng.IntN(20)*int(1+x.to%3)) * ms}
+		outcome.Load = &Load{ServiceTime: time.Duration(1+f.rng.IntN(20)*int(1+ended.to%3)) * ms}
 	}
-	f.b.HandleOutcome(f.now, o)
+	f.b.HandleOutcome(f.now, outcome)
 }
 
-// entry is a line of the endpoint list.
-func (f *fleetEvents) entry() ListEntry {
+// randomEntry returns an entry of the endpoint list.
+func (f *fleetEvents) randomEntry() ListEntry {
 	id := EndpointID(1 + f.rng.IntN(f.endpoints))
-	e := ListEntry{
-		Endpoint: id, Cell: f.rng.IntN(f.endpoints / 2), Zone: f.rng.IntN(3), MachineKind: f.rng.IntN(4), Weight: 1,
-		State: []EndpointState{EndpointReady, EndpointReady, EndpointReady, EndpointDraining, EndpointRemoved}[f.rng.IntN(5)],
+	entry := ListEntry{
+		Endpoint:    id,
+		Cell:        f.rng.IntN(f.endpoints / 2),
+		Zone:        f.rng.IntN(3),
+		MachineKind: f.rng.IntN(4),
+		Weight:      1,
+		State:       []EndpointState{EndpointReady, EndpointReady, EndpointReady, EndpointDraining, EndpointRemoved}[f.rng.IntN(5)],
 	}
 	if f.weighted {
-		e.Weight = float64(f.rng.IntN(300)) / 100
+		entry.Weight = float64(f.rng.IntN(300)) / 100
 	}
 	if f.rng.IntN(2) == 0 {
-		e.StartedAt = f.now - time.Duration(f.rng.IntN(12000))*ms
+		entry.StartedAt = f.now - time.Duration(f.rng.IntN(12000))*ms
 	}
-	return e
+	return entry
 }
 
-// update brings a list of many lines, some twice.
-func (f *fleetEvents) update() {
-	l := EndpointList{Kind: []ListKind{ListDelta, ListDelta, ListFull}[f.rng.IntN(3)], Version: 3}
+// randomUpdate delivers a list with many entries, some for the same endpoint.
+func (f *fleetEvents) randomUpdate() {
+	list := EndpointList{Kind: []ListKind{ListDelta, ListDelta, ListFull}[f.rng.IntN(3)], Version: 3}
 	for range 1 + f.rng.IntN(80) {
-		l.Entries = append(l.Entries, f.entry())
+		list.Entries = append(list.Entries, f.randomEntry())
 	}
-	f.b.HandleEndpoints(f.now, l)
+	f.b.HandleEndpoints(f.now, list)
 }
 
-// regroup brings another group of instances.
-func (f *fleetEvents) regroup() {
-	g := InstanceGroup{Instances: 1 + f.rng.IntN(2*f.instances)}
-	g.Ordinal, g.MaxInstances = f.rng.IntN(g.Instances), f.rng.IntN(2*g.Instances)
+// randomRegroup delivers another group of instances.
+func (f *fleetEvents) randomRegroup() {
+	group := InstanceGroup{Instances: 1 + f.rng.IntN(2*f.instances)}
+	group.Ordinal, group.MaxInstances = f.rng.IntN(group.Instances), f.rng.IntN(2*group.Instances)
 	if f.rng.IntN(2) == 0 {
-		for i := range g.Instances {
-			g.Members = append(g.Members, uint64(1000*i))
+		for i := range group.Instances {
+			group.Members = append(group.Members, uint64(1000*i))
 		}
-		g.Self = g.Members[g.Ordinal]
+		group.Self = group.Members[group.Ordinal]
 	}
-	if err := f.b.UpdateGroup(f.now, g); err != nil {
+	if err := f.b.UpdateGroup(f.now, group); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// Whatever happens, what the index holds is what a scan of all endpoints would find.
+// After any events, the index agrees with a scan of all endpoints.
 func TestIndexMatchesAFullScan(t *testing.T) {
 	for seed := range uint64(40 * soaked(20)) {
 		f := newFleetEvents(t, seed)
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -9,90 +9,89 @@
 
 func TestResetEjectsUntilATrialIsServedThenSlowStart(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.serve(40, nil)
-	id := f.ask(read)
+	f.serveRequests(40, nil)
+	id := f.request(read)
 	lost := f.last()
-	f.end(lost, StatusReset, 5*ms)
+	f.finish(lost, StatusReset, 5*ms)
 	if f.fetches != 1 {
 		t.Errorf("%d lists fetched after a broken connection, want 1", f.fetches)
 	}
-	if again := f.last(); again.id != id || again.to == lost.to {
-		t.Errorf("retry %v, want %s on another endpoint than %d", again, id, lost.to)
+	if retry := f.last(); retry.id != id || retry.to == lost.to {
+		t.Errorf("retry %v, want %s on another endpoint than %d", retry, id, lost.to)
 	}
-	f.end(f.last(), StatusOK, 20*ms)
-	fail := func(to EndpointID) Status {
+	f.finish(f.last(), StatusOK, 20*ms)
+	failAtLost := func(to EndpointID) Status {
 		if to == lost.to {
 			return StatusConnectFailed
 		}
 		return StatusOK
 	}
-	if got := f.serve(100, fail); got[lost.to] == 0 || got[lost.to] > 5 {
+	if got := f.serveRequests(100, failAtLost); got[lost.to] == 0 || got[lost.to] > 5 {
 		t.Errorf("%d trials in 2 s, want a few", got[lost.to])
 	}
 	if f.fetches != 1 {
-		t.Errorf("%d lists fetched, want the next one only after a pause", f.fetches)
+		t.Errorf("%d lists fetched, want the next one only after a backoff", f.fetches)
 	}
-	got := f.serve(500, nil)
+	got := f.serveRequests(500, nil)
 	if got[lost.to] == 0 || got[lost.to] > 80 {
-		t.Errorf("%d of 500 sends to the one that is back, want few in its slow start", got[lost.to])
+		t.Errorf("%d of 500 sends to the unejected endpoint, want few in its slow start", got[lost.to])
 	}
 }
 
-// Every endpoint sends some answers that are of no use. The call may have run, and its endpoint is as well as
-// before: no ejection, no slow start, no blame.
+// Every endpoint sends some invalid responses. The call may have run, and the response does not count against the endpoint: it is
+// neither ejected nor put into slow start.
 func TestInvalidResponseCostsTheEndpointNothing(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.serve(40, nil)
-	id := f.ask(read)
-	spoilt := f.last()
-	f.end(spoilt, StatusInvalidResponse, 5*ms)
-	if again := f.last(); again.id != id || again.attempt != 1 {
-		t.Errorf("retry %v, want %s once more", again, id)
-	}
-	f.end(f.last(), StatusOK, 20*ms)
-	f.ask(pay)
-	f.end(f.last(), StatusInvalidResponse, 5*ms)
+	f.serveRequests(40, nil)
+	id := f.request(read)
+	f.finish(f.last(), StatusInvalidResponse, 5*ms)
+	if retry := f.last(); retry.id != id || retry.number != 1 {
+		t.Errorf("retry %v, want %s once more", retry, id)
+	}
+	f.finish(f.last(), StatusOK, 20*ms)
+	f.request(pay)
+	f.finish(f.last(), StatusInvalidResponse, 5*ms)
 	if len(f.fails) != 1 || len(f.rejections) != 0 {
 		t.Errorf("a call that is not idempotent and may have run: %d failed, %d rejected", len(f.fails), len(f.rejections))
 	}
-	bad := f.last().to
+	invalid := f.last().to // the endpoint that sends invalid responses
 	for range 3 {
-		f.ask(read)
-		for f.last().to == bad {
-			f.end(f.last(), StatusInvalidResponse, 5*ms)
-			f.ask(read)
+		f.request(read)
+		for f.last().to == invalid {
+			f.finish(f.last(), StatusInvalidResponse, 5*ms)
+			f.request(read)
 		}
-		f.end(f.last(), StatusOK, 20*ms)
+		f.finish(f.last(), StatusOK, 20*ms)
 	}
-	if got := f.serve(100, nil); got[bad] < 10 || f.fetches != 0 || len(f.logs) > 0 {
-		t.Errorf("%d of 100 sends to it, %d lists fetched, logs %q", got[bad], f.fetches, f.logs)
+	if got := f.serveRequests(100, nil); got[invalid] < 10 || f.fetches != 0 || len(f.logs) > 0 {
+		t.Errorf("%d of 100 sends to it, %d lists fetched, logs %q", got[invalid], f.fetches, f.logs)
 	}
 }
 
 func TestNewStartInTheListEndsEjection(t *testing.T) {
 	f := start(t, settings(), 2)
-	f.ask(read)
+	f.request(read)
 	lost := f.last()
-	f.end(lost, StatusReset, ms)
-	f.list(ListEntry{Endpoint: lost.to, StartedAt: f.now})
+	f.finish(lost, StatusReset, ms)
+	f.updateEndpoint(ListEntry{Endpoint: lost.to, StartedAt: f.now})
 	for range 300 {
-		f.pass(10 * ms)
-		f.ask(read)
-		s := f.last()
-		f.end(s, StatusOK, 10*ms)
-		if s.to == lost.to {
+		f.advance(10 * ms)
+		f.request(read)
+		call := f.last()
+		f.finish(call, StatusOK, 10*ms)
+		if call.to == lost.to {
 			return
 		}
 	}
 	t.Error("a restarted endpoint got no call in 3 s")
 }
 
-// A full connection table answers like a dead process; calls that are open there tell them apart.
+// A full connection table rejects connections as a process that has ended does. Calls in flight to the endpoint show that it runs.
 func TestConnectFailureBesideOpenCallsEjectsNone(t *testing.T) {
 	f := start(t, settings(), 1)
-	f.ask(read)
-	f.ask(read)
-	f.end(f.sent[1], StatusConnectFailed, ms)
+	f.request(read)
+	f.request(read)
+	f.finish(f.sent[1], StatusConnectFailed, ms)
 	if slices.ContainsFunc(f.logs, func(s string) bool { return strings.Contains(s, "isolated") }) {
 		t.Errorf("ejected: %v", f.logs)
 	}
@@ -101,23 +100,23 @@
 func TestEjectionNeverEmptiesTheSet(t *testing.T) {
 	f := start(t, settings(), 3)
 	for range 12 {
-		f.ask(read)
-		f.end(f.last(), StatusConnectFailed, ms)
-		f.pass(10 * ms)
-	}
-	at := len(f.sent)
-	f.pass(time.Second)
-	f.ask(read)
-	f.pass(100 * ms)
-	if len(f.sent) == at {
+		f.request(read)
+		f.finish(f.last(), StatusConnectFailed, ms)
+		f.advance(10 * ms)
+	}
+	before := len(f.sent)
+	f.advance(time.Second)
+	f.request(read)
+	f.advance(100 * ms)
+	if len(f.sent) == before {
 		t.Error("nothing is sent once all are ejected")
 	}
 }
 
-// Few in flight would draw calls to an endpoint that fails fast.
+// An endpoint that fails fast has few calls in flight, and would attract more if it was not ejected.
 func TestFastErrorsEject(t *testing.T) {
 	f := start(t, settings(), 4)
-	got := f.serve(300, func(to EndpointID) Status {
+	got := f.serveRequests(300, func(to EndpointID) Status {
 		if to == 1 {
 			return StatusError
 		}
@@ -128,14 +127,14 @@
 	}
 }
 
-// All failing alike is the tier below, not the endpoints.
+// If all endpoints fail at the same rate, the cause is in the tier below, and none is ejected for it.
 func TestAllFailingAlikeEjectsNone(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.serve(60, nil)
+	f.serveRequests(60, nil)
 	f.logs = nil
-	n := 0
-	f.serve(400, func(EndpointID) Status {
-		if n++; n%2 == 0 {
+	calls := 0
+	f.serveRequests(400, func(EndpointID) Status {
+		if calls++; calls%2 == 0 {
 			return StatusError
 		}
 		return StatusOK
@@ -153,15 +152,15 @@
 
 func TestUnresponsiveEndpointIsPassedOver(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.serve(60, nil)
-	stuck := 0
+	f.serveRequests(60, nil)
+	stuck := 0 // calls without a response
 	for range 200 {
-		f.ask(read)
-		f.pass(20 * ms)
-		if s := f.last(); s.to == 1 {
+		f.request(read)
+		f.advance(20 * ms)
+		if call := f.last(); call.to == 1 {
 			stuck++
 		} else {
-			f.end(s, StatusOK, 20*ms)
+			f.finish(call, StatusOK, 20*ms)
 		}
 	}
 	if stuck == 0 || stuck > 8 {
@@ -169,30 +168,30 @@
 	}
 }
 
-// A call with an idempotency key at the last endpoint of its cell, that drains, is not cancelled, unresponsive as it is: it could go nowhere
-// else, and failed.
+// A call with an idempotency key can only be retried in its cell. If its endpoint is the last one there and drains, the call is not
+// cancelled although the endpoint is unresponsive: without an endpoint for a retry it would fail.
 func TestUnresponsiveCallOfALastOneInItsCellIsWaitedFor(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		f := start(t, settings(), 4)
-		f.serve(60, nil)
-		id := f.ask(book)
-		s := f.last()
-		other := s.to + 1 // of the same cell
-		if s.to%2 == 0 {
-			other = s.to - 1
+		f.serveRequests(60, nil)
+		id := f.request(book)
+		call := f.last()
+		other := call.to + 1 // of the same cell
+		if call.to%2 == 0 {
+			other = call.to - 1
 		}
-		f.list(ListEntry{Endpoint: other, State: EndpointRemoved})
+		f.updateEndpoint(ListEntry{Endpoint: other, State: EndpointRemoved})
 		if drains {
-			f.list(ListEntry{Endpoint: s.to, Cell: int(s.to-1) / 2, Weight: 1, State: EndpointDraining})
+			f.updateEndpoint(ListEntry{Endpoint: call.to, Cell: int(call.to-1) / 2, Weight: 1, State: EndpointDraining})
 		}
 		for range 20 {
-			f.ask(read)
-			if l := f.last(); l.to != s.to {
-				f.end(l, StatusOK, 20*ms)
+			f.request(read)
+			if last := f.last(); last.to != call.to {
+				f.finish(last, StatusOK, 20*ms)
 			}
-			f.pass(20 * ms)
+			f.advance(20 * ms)
 		}
-		if called := slices.ContainsFunc(f.cancels, func(c sent) bool { return c.id == id }); called == drains {
+		if cancelled := slices.ContainsFunc(f.cancels, func(a attempt) bool { return a.id == id }); cancelled == drains {
 			t.Errorf("drains %v: cancelled %v", drains, f.cancels)
 		}
 		if slices.Contains(f.fails, id) {
@@ -201,26 +200,27 @@
 	}
 }
 
-// A call that goes to an ejected endpoint for want of any other, before its trial is due, does not put the trial off.
+// A call that goes to an ejected endpoint because there is no other, before the trial of the endpoint is due, does not delay the
+// trial.
 func TestCallsForWantOfOthersDelayNoTrial(t *testing.T) {
 	f := start(t, settings(), 1)
-	f.ask(read)
-	f.end(f.last(), StatusReset, ms)
-	e := f.b.endpointsByID[1]
-	due := e.trialAt
-	for range 3 { // those of the retries
-		if f.last().to != 1 || f.now >= due {
-			t.Fatalf("sent to %d at %v, trial due %v", f.last().to, f.now, due)
+	f.request(read)
+	f.finish(f.last(), StatusReset, ms)
+	endpoint := f.b.endpointsByID[1]
+	trialAt := endpoint.trialAt
+	for range 3 { // the retries
+		if f.last().to != 1 || f.now >= trialAt {
+			t.Fatalf("sent to %d at %v, trial due %v", f.last().to, f.now, trialAt)
 		}
-		f.end(f.last(), StatusConnectFailed, ms)
+		f.finish(f.last(), StatusConnectFailed, ms)
 	}
-	if e.trialAt != due {
-		t.Errorf("the trial is due %v later", e.trialAt-due)
+	if endpoint.trialAt != trialAt {
+		t.Errorf("the trial is due %v later", endpoint.trialAt-trialAt)
 	}
-	f.now = due + ms
-	f.ask(read)
-	f.end(f.last(), StatusConnectFailed, ms)
-	if e.trialAt <= due {
-		t.Error("a trial that failed does not put the next one off")
+	f.now = trialAt + ms
+	f.request(read)
+	f.finish(f.last(), StatusConnectFailed, ms)
+	if endpoint.trialAt <= trialAt {
+		t.Error("a trial that failed does not delay the next one")
 	}
 }
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// At full size an instance has a call or two in flight: a tier filled up, every endpoint was saturated, and no limit
-// on calls in flight held anything back. Latency far over what it should be must slow the calls.
+// With many instances, each has only a call or two in flight, and a limit of these cannot prevent that all endpoints of a tier are
+// saturated. Latencies far above the normal ones have to slow down the calls.
 func TestPressurePacesCallsWhereInstancesOutnumberEndpoints(t *testing.T) {
-	sends := func(instances int, took time.Duration) int {
+	sends := func(instances int, latency time.Duration) int {
 		s := settings()
 		s.Instances = instances
 		f := start(t, s, 10)
-		at := 0
+		sentBefore := 0
 		for i := range 240 {
 			if i == 40 {
-				at = len(f.sent)
+				sentBefore = len(f.sent)
 			}
-			n := len(f.sent)
-			f.ask(read)
-			if len(f.sent) > n {
+			sent := len(f.sent)
+			f.request(read)
+			if len(f.sent) > sent {
 				if i > 40 {
-					f.end(f.last(), StatusOK, took)
+					f.finish(f.last(), StatusOK, latency)
 				} else {
-					f.end(f.last(), StatusOK, 100*ms)
+					f.finish(f.last(), StatusOK, 100*ms)
 				}
 			}
-			f.pass(100 * ms)
+			f.advance(100 * ms)
 		}
-		return len(f.sent) - at
+		return len(f.sent) - sentBefore
 	}
 	if n := sends(100, 100*ms); n != 200 {
-		t.Errorf("%d of 200 requests sent on an easy tier, want all", n)
+		t.Errorf("%d of 200 requests sent to a tier at its normal latency, want all", n)
 	}
 	if n := sends(100, 700*ms); n > 150 {
 		t.Errorf("%d of 200 requests sent while calls take seven times as long, want far fewer", n)
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestNewNamesTheSettingItCannotActOn(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+	for key, makeInvalid := range map[string]func(*Settings){
 		"classes":           func(s *Settings) { s.Classes = nil },
 		"classes[0].effect": func(s *Settings) { s.Classes[0].Idempotency = "maybe" },
 		"classes[2].scope":  func(s *Settings) { s.Classes[2].KeyScope = "planet" },
@@ -23,7 +23,7 @@
 		"tipMultiple":       func(s *Settings) { s.OverloadMultiple = -1 },
 	} {
 		s := settings()
-		spoil(&s)
+		makeInvalid(&s)
 		if _, err := New(s, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v does not name it", key, err)
 		}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,96 +5,101 @@
 	"time"
 )
 
-// All in slow start at once: what one instance sends each is capped by what available ones were seen to bear.
+// If all endpoints are in slow start, an instance sends each of them no more than a share of the rate that available ones served.
 func TestSlowStartIsCapped(t *testing.T) {
 	f := start(t, settings(), 10)
-	f.serve(300, nil) // 50 a second, 5 to each
+	f.serveRequests(300, nil) // 50 a second, 5 to each
 	for id := EndpointID(1); id <= 10; id++ {
-		f.list(ListEntry{Endpoint: id, StartedAt: f.now})
+		f.updateEndpoint(ListEntry{Endpoint: id, StartedAt: f.now})
 	}
-	got := map[EndpointID]int{}
-	at := len(f.sent)
+	attempts := map[EndpointID]int{}
+	next := len(f.sent)
 	for range 500 {
-		f.ask(read)
-		f.pass(2 * ms)
-		for ; at < len(f.sent); at++ {
-			got[f.sent[at].to]++
-			f.end(f.sent[at], StatusOK, 2*ms)
+		f.request(read)
+		f.advance(2 * ms)
+		for ; next < len(f.sent); next++ {
+			attempts[f.sent[next].to]++
+			f.finish(f.sent[next], StatusOK, 2*ms)
 		}
 	}
-	for id, n := range got {
-		if n > 8 { // 3 times a fifth of ten a second, and a little for chance
+	for id, n := range attempts {
+		if n > 8 { // 3 times a fifth of ten a second, and a little for randomness
 			t.Errorf("%d sends in its first second to endpoint %d in slow start", n, id)
 		}
 	}
-	if len(got) == 0 {
-		t.Error("endpoints in slow start got nothing at all")
+	if len(attempts) == 0 {
+		t.Error("endpoints in slow start got no attempts")
 	}
 }
 
-// A machine in slow start was pushed over by retries of instances whose subsets do not hold it, and by its
-// getting a whole endpoint's rate from each instance whose subset holds a sliver of it.
+// An endpoint in slow start is overloaded by retries of instances whose subset does not contain it, and if each instance whose subset
+// has a small weight of it sends as much as to a complete endpoint.
 func TestSlowStartGoesByTheSubsetAndTakesNoRetriesFromOutside(t *testing.T) {
 	s := settings()
 	s.Instances = 60
 	f := start(t, s, 20)
-	f.serve(200, nil)
+	f.serveRequests(200, nil)
 	var outside *endpoint
 	for _, e := range f.b.listed {
 		if e.subsetWeight == 0 {
 			outside = e
 		}
 	}
-	f.list(ListEntry{Endpoint: outside.id, StartedAt: f.now, Weight: 1})
+	f.updateEndpoint(ListEntry{Endpoint: outside.id, StartedAt: f.now, Weight: 1})
 	for range 50 {
-		f.ask(read)
-		f.end(f.last(), StatusRejected, ms)
+		f.request(read)
+		f.finish(f.last(), StatusRejected, ms)
 		if to := f.last().to; to == outside.id {
 			t.Fatal("a retry went to an endpoint in slow start outside the subset")
 		}
-		f.end(f.last(), StatusOK, 20*ms)
-		f.pass(100 * ms)
+		f.finish(f.last(), StatusOK, 20*ms)
+		f.advance(100 * ms)
 	}
-	cold := f.b.listed[0]
+	inside := f.b.listed[0]
 	for _, e := range f.b.listed {
 		if e.subsetWeight > 0 {
-			cold = e
+			inside = e
 		}
 	}
-	rate := func(part float64) float64 {
-		cold.subsetWeight, cold.availability, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, warmingUp, f.now, 0, f.now-10*ms
-		f.b.slowStartAllows(f.now, cold)
-		return cold.slowStartTokens
+	tokens := func(subsetWeight float64) float64 {
+		inside.subsetWeight = subsetWeight
+		inside.availability = warmingUp
+		inside.slowStartFrom = f.now
+		inside.slowStartTokens = 0
+		inside.slowStartTokensAt = f.now - 10*ms
+		f.b.slowStartAllows(f.now, inside)
+		return inside.slowStartTokens
 	}
-	if whole, sliver := rate(1), rate(0.1); whole == 0 || sliver > 0.11*whole {
-		t.Errorf("%.3f sends allowed for a tenth of an endpoint in slow start, %.3f for all of it", sliver, whole)
+	if all, tenth := tokens(1), tokens(0.1); all == 0 || tenth > 0.11*all {
+		t.Errorf("%.3f sends allowed for a tenth of an endpoint in slow start, %.3f for all of it", tenth, all)
 	}
 }
 
-// While no endpoint is available, what slow starts go by does not fade: nothing could renew it. It fades as soon as one is.
+// While no endpoint is available, the rate that limits slow starts does not decay, since nothing could renew it. It decays as soon as
+// one is available.
 func TestSlowStartsKeepTheirRateWhileNoneIsAvailable(t *testing.T) {
 	f := start(t, settings(), 2)
 	for range 200 {
-		f.ask(read)
-		f.end(f.last(), StatusOK, 10*ms)
-		f.pass(10 * ms)
+		f.request(read)
+		f.finish(f.last(), StatusOK, 10*ms)
+		f.advance(10 * ms)
 	}
 	before := f.b.warmSendRate.peak(f.now, f.b.rateWindow)
 	for id := EndpointID(1); id <= 2; id++ {
-		f.list(ListEntry{Endpoint: id, Weight: 1, StartedAt: f.now})
+		f.updateEndpoint(ListEntry{Endpoint: id, Weight: 1, StartedAt: f.now})
 	}
-	f.ask(read) // it keeps the ticks going
-	f.pass(3 * time.Second)
+	f.request(read) // keeps the ticks running
+	f.advance(3 * time.Second)
 	if !f.b.noneAvailable {
 		t.Error("slow starts are limited as if others could take their calls")
 	}
 	if after := f.b.warmSendRate.peak(f.now, f.b.rateWindow); after < 0.95*before {
 		t.Errorf("%.1f a second, %.1f before the endpoints started anew", after, before)
 	}
-	f.end(f.last(), StatusOK, 10*ms)
-	f.list(ListEntry{Endpoint: 3, Weight: 1})
+	f.finish(f.last(), StatusOK, 10*ms)
+	f.updateEndpoint(ListEntry{Endpoint: 3, Weight: 1})
 	kept := f.b.warmSendRate.peak(f.now, f.b.rateWindow)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	if f.b.noneAvailable {
 		t.Error("slow starts go on as if there were no available endpoint")
 	}
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -8,56 +8,56 @@
 	"testing"
 )
 
-// Many instances that call every endpoint fill its connection table.
+// With many instances, each calls only a subset of the endpoints. If all called each endpoint, its connection table would be full.
 func TestSubsetWhereManyInstancesCall(t *testing.T) {
 	s := settings()
 	s.Instances = 30
-	covered := map[EndpointID]int{}
+	callers := map[EndpointID]int{}
 	for i := range 30 {
 		s.Ordinal = i
 		f := start(t, s, 20)
-		got := f.serve(100, nil)
+		got := f.serveRequests(100, nil)
 		if len(got) != 2 {
 			t.Fatalf("instance %d calls %d endpoints, want 2", i, len(got))
 		}
 		for id := range got {
-			covered[id]++
+			callers[id]++
 		}
 	}
 	for id := EndpointID(1); id <= 20; id++ {
-		if covered[id] != 3 {
-			t.Errorf("endpoint %d is called by %d instances, want 3", id, covered[id])
+		if callers[id] != 3 {
+			t.Errorf("endpoint %d is called by %d instances, want 3", id, callers[id])
 		}
 	}
 }
 
-// Where front balancers outnumber endpoints, each had one endpoint whatever its size: small machines got what
-// large ones got. Together the subsets must reach each by its weight.
+// With more instances than endpoints, the subsets of all instances together have each endpoint in proportion to its weight. With one
+// endpoint for each instance, small machines would get as many calls as large ones.
 func TestSmallSubsetsReachEndpointsByWeight(t *testing.T) {
 	s := settings()
 	s.Instances = 120
-	parts, total := map[EndpointID]float64{}, 0.0
+	subsetWeights, total := map[EndpointID]float64{}, 0.0
 	for i := range s.Instances {
 		s.Ordinal = i
 		f := start(t, s, 0)
-		l := EndpointList{Kind: ListFull, Version: 2}
+		list := EndpointList{Kind: ListFull, Version: 2}
 		for id := EndpointID(1); id <= 20; id++ {
-			l.Entries = append(l.Entries, ListEntry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
+			list.Entries = append(list.Entries, ListEntry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
 		}
-		f.b.HandleEndpoints(f.now, l)
-		n := 0
+		f.b.HandleEndpoints(f.now, list)
+		called := 0
 		for _, e := range f.b.listed {
-			parts[e.id] += e.subsetWeight
+			subsetWeights[e.id] += e.subsetWeight
 			total += e.subsetWeight
 			if e.subsetWeight > 0 {
-				n++
+				called++
 			}
 		}
-		if n < 2 || n > 8 {
-			t.Fatalf("instance %d calls %d endpoints, want a few", i, n)
+		if called < 2 || called > 8 {
+			t.Fatalf("instance %d calls %d endpoints, want a few", i, called)
 		}
 	}
-	for id, got := range parts {
+	for id, got := range subsetWeights {
 		want := total * []float64{3, 0.5}[id%2] / 35
 		if got < 0.95*want || got > 1.05*want {
 			t.Errorf("endpoint %d is reached by %.2f, want %.2f", id, got, want)
@@ -65,34 +65,35 @@
 	}
 }
 
-// When many endpoints left at once, their shares fell to the few after them on the ring: four times the mean.
+// If many endpoints drain at once, all others share their load. If only the next few on the ring did, these would get four times the
+// mean.
 func TestSharesOfDrainingEndpointsFallToAll(t *testing.T) {
 	s := settings()
 	s.Instances = 80
-	parts := map[EndpointID]float64{}
+	subsetWeights := map[EndpointID]float64{}
 	for i := range s.Instances {
 		s.Ordinal = i
 		f := start(t, s, 20)
 		for id := EndpointID(5); id <= 14; id++ {
-			f.list(ListEntry{Endpoint: id, State: EndpointDraining, Weight: 1})
+			f.updateEndpoint(ListEntry{Endpoint: id, State: EndpointDraining, Weight: 1})
 		}
 		for _, e := range f.b.listed {
-			parts[e.id] += e.subsetWeight
+			subsetWeights[e.id] += e.subsetWeight
 		}
 	}
-	for id, got := range parts {
+	for id, got := range subsetWeights {
 		want := 16.0
 		if id >= 5 && id <= 14 {
 			want = 0
 		}
 		if got < want-0.01 || got > want+0.01 {
-			t.Errorf("endpoint %d is reached by %.2f instances' parts, want %.0f", id, got, want)
+			t.Errorf("endpoint %d is in the subsets with a weight of %.2f, want %.0f", id, got, want)
 		}
 	}
 }
 
-// A subset by ids holds its endpoints through releases and losses: it moves no other's place, grows while most of
-// it are ejected, is given up for tiles when the list gets short, and comes back.
+// A subset by hash keeps its endpoints while others are added or removed. It grows while most of its endpoints are ejected. While the
+// list is short, the subset is by tiles instead.
 func TestSubsetsByIDs(t *testing.T) {
 	const n, instances = 2000, 40 // 150 each
 	s := settings()
@@ -100,49 +101,49 @@
 	f := start(t, s, n)
 	verify(t, f.b, f.now)
 	if size := len(f.b.subset.members); !f.b.subset.byHash || size < 100 || size > 200 {
-		t.Fatalf("by ids %v, %d endpoints", f.b.subset.byHash, size)
+		t.Fatalf("by hash %v, %d endpoints", f.b.subset.byHash, size)
 	}
 	subsetMovesNoOthers(t, f, n)
 	subsetGrowsWhileEjected(t, f)
 	subsetIsTiledWhileFew(t, f)
 }
 
-// subsetIDs are the endpoints of the subset, of which it must have all of the weight.
+// subsetIDs returns the endpoints of the subset, and checks that the subset has all of their weight.
 func (f *fixture) subsetIDs() map[EndpointID]bool {
 	f.t.Helper()
 	ids := map[EndpointID]bool{}
-	for id, part := range f.b.Subset() {
-		if part != 1 {
-			f.t.Fatalf("endpoint %d: a part of %v", id, part)
+	for id, weight := range f.b.Subset() {
+		if weight != 1 {
+			f.t.Fatalf("endpoint %d: a weight of %v", id, weight)
 		}
 		ids[id] = true
 	}
 	return ids
 }
 
-// subsetMovesNoOthers replaces some endpoints of the subset, of n that there are.
+// subsetMovesNoOthers replaces some endpoints of the subset, out of n endpoints, and checks that the others stay.
 func subsetMovesNoOthers(t *testing.T, f *fixture, n int) {
 	t.Helper()
 	before := f.subsetIDs()
 	for i := range 50 {
-		out := f.b.subset.members[i].id
-		f.list(ListEntry{Endpoint: out, State: EndpointRemoved})
-		f.list(ListEntry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
-		delete(before, out)
+		removed := f.b.subset.members[i].id
+		f.updateEndpoint(ListEntry{Endpoint: removed, State: EndpointRemoved})
+		f.updateEndpoint(ListEntry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
+		delete(before, removed)
 		verify(t, f.b, f.now)
 	}
 	for id := range f.subsetIDs() {
 		if int(id) <= n && !before[id] {
-			t.Fatalf("endpoint %d came by others' leaving", id)
+			t.Fatalf("endpoint %d joined when others were removed", id)
 		}
 		delete(before, id)
 	}
 	if len(before) > 0 {
-		t.Fatalf("%v went by others' leaving", before)
+		t.Fatalf("%v left when others were removed", before)
 	}
 }
 
-// subsetGrowsWhileEjected ejects two thirds of the subset, and brings them back.
+// subsetGrowsWhileEjected ejects two thirds of the subset, and unejects them.
 func subsetGrowsWhileEjected(t *testing.T, f *fixture) {
 	t.Helper()
 	b := f.b
@@ -164,7 +165,7 @@
 	}
 	b.subset.stale = true
 	if verify(t, b, f.now); len(b.subset.members) != size || b.subset.share.Widening != 1 {
-		t.Fatalf("%d endpoints after the end of it, %d before", len(b.subset.members), size)
+		t.Fatalf("%d endpoints after the ejections, %d before", len(b.subset.members), size)
 	}
 }
 
@@ -172,69 +173,73 @@
 func subsetIsTiledWhileFew(t *testing.T, f *fixture) {
 	t.Helper()
 	b := f.b
-	l := EndpointList{Kind: ListDelta, Version: 3}
+	list := EndpointList{Kind: ListDelta, Version: 3}
 	for _, e := range b.listed[:1500] {
-		l.Entries = append(l.Entries, ListEntry{Endpoint: e.id, State: EndpointRemoved})
+		list.Entries = append(list.Entries, ListEntry{Endpoint: e.id, State: EndpointRemoved})
 	}
-	b.HandleEndpoints(f.now, l)
+	b.HandleEndpoints(f.now, list)
 	if verify(t, b, f.now); b.subset.byHash || len(b.subset.members) > 45 {
-		t.Fatalf("by ids %v with %d endpoints of %d", b.subset.byHash, len(b.subset.members), len(b.listed))
+		t.Fatalf("by hash %v with %d endpoints of %d", b.subset.byHash, len(b.subset.members), len(b.listed))
 	}
-	for i := range l.Entries {
-		l.Entries[i].State, l.Entries[i].Weight = EndpointReady, 1
+	for i := range list.Entries {
+		list.Entries[i].State, list.Entries[i].Weight = EndpointReady, 1
 	}
-	l.Version = 4
-	b.HandleEndpoints(f.now, l)
+	list.Version = 4
+	b.HandleEndpoints(f.now, list)
 	if verify(t, b, f.now); !b.subset.byHash {
-		t.Fatal("not by ids again")
+		t.Fatal("not by hash again")
 	}
 }
 
-// A bound on the subset holds; where all instances together do not reach every endpoint it says so, and again when
-// they do.
+// checkLogged checks that a text was logged.
+func (f *fixture) checkLogged(text string) {
+	f.t.Helper()
+	if !strings.Contains(strings.Join(f.logs, "; "), text) {
+		f.t.Errorf("%q was not logged: %q", text, f.logs)
+	}
+}
+
+// The size of a subset is limited. It is logged when all instances together cannot reach every endpoint, and when they can again.
 func TestMaxSubsetSize(t *testing.T) {
-	for _, most := range []int{2, 20, 100} {
+	for _, maxSize := range []int{2, 20, 100} {
 		s := settings()
-		s.Instances, s.Ordinal, s.MaxSubsetSize = 12, 5, most
+		s.Instances, s.Ordinal, s.MaxSubsetSize = 12, 5, maxSize
 		f := start(t, s, 3000)
 		b := f.b
 		verify(t, b, f.now)
-		low, high := float64(most), float64(most)
-		if most > hashSubsetFrom { // by ids, a size is by chance
+		low, high := float64(maxSize), float64(maxSize)
+		if maxSize > hashSubsetFrom { // the size of a subset by hash is random
 			low, high = 0.84*low-3*math.Sqrt(low), high+3*math.Sqrt(high)
 		}
 		if n := float64(len(b.subset.members)); n < low || n > high+1 {
-			t.Errorf("%v endpoints, %d at most", n, most)
+			t.Errorf("%v endpoints, %d at most", n, maxSize)
 		}
-		if !strings.Contains(strings.Join(f.logs, "; "), fmt.Sprintf("reach at most %d of 3000", 12*most)) {
-			t.Errorf("%d at most: nothing logged: %q", most, f.logs)
-		}
-		l := EndpointList{Kind: ListDelta, Version: 2}
-		for id := EndpointID(12*most + 1); id <= 3000; id++ {
-			l.Entries = append(l.Entries, ListEntry{Endpoint: id, State: EndpointRemoved})
-		}
-		b.HandleEndpoints(f.now, l)
-		if verify(t, b, f.now); !strings.Contains(strings.Join(f.logs, "; "), fmt.Sprintf("reach all %d endpoints", 12*most)) {
-			t.Errorf("%d at most: nothing logged of its end: %q", most, f.logs)
+		f.checkLogged(fmt.Sprintf("reach at most %d of 3000", 12*maxSize))
+		list := EndpointList{Kind: ListDelta, Version: 2}
+		for id := EndpointID(12*maxSize + 1); id <= 3000; id++ {
+			list.Entries = append(list.Entries, ListEntry{Endpoint: id, State: EndpointRemoved})
 		}
+		b.HandleEndpoints(f.now, list)
+		verify(t, b, f.now)
+		f.checkLogged(fmt.Sprintf("reach all %d endpoints", 12*maxSize))
 	}
 	s := settings()
 	s.MaxSubsetSize = -1
 	if _, err := New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "subsetMost") {
-		t.Errorf("a bound below 0: %v", err)
+		t.Errorf("a negative maximum: %v", err)
 	}
 }
 
-// tier is all instances of a tier, known by numbers.
-type tier struct {
+// instanceSet is the instances of a tier, with their numbers in an InstanceGroup.
+type instanceSet struct {
 	t         *testing.T
 	instances []*fixture
 	members   []uint64
 }
 
-func newTier(t *testing.T, instances, endpoints int) *tier {
+func newInstanceSet(t *testing.T, instances, endpoints int) *instanceSet {
 	t.Helper()
-	all := &tier{t: t}
+	all := &instanceSet{t: t}
 	s := settings()
 	s.Instances = instances
 	for i := range instances {
@@ -245,45 +250,45 @@
 	return all
 }
 
-// regroup has some instances know that they are all there are.
-func (x *tier) regroup(alive []int) {
-	x.t.Helper()
-	g := InstanceGroup{Instances: len(alive)}
-	for _, i := range alive {
-		g.Members = append(g.Members, x.members[i])
+// regroup updates the group of the instances that are alive.
+func (i *instanceSet) regroup(alive []int) {
+	i.t.Helper()
+	group := InstanceGroup{Instances: len(alive)}
+	for _, index := range alive {
+		group.Members = append(group.Members, i.members[index])
 	}
-	for ordinal, i := range alive {
-		f := x.instances[i]
-		g.Ordinal, g.Self = ordinal, x.members[i]
-		if err := f.b.UpdateGroup(f.now, g); err != nil {
-			x.t.Fatal(err)
+	for ordinal, index := range alive {
+		f := i.instances[index]
+		group.Ordinal, group.Self = ordinal, i.members[index]
+		if err := f.b.UpdateGroup(f.now, group); err != nil {
+			i.t.Fatal(err)
 		}
-		verify(x.t, f.b, f.now)
+		verify(i.t, f.b, f.now)
 	}
 }
 
-// called are the endpoints that some instances call.
-func (x *tier) called(alive ...int) map[EndpointID]bool {
+// called returns the endpoints in the subsets of some instances.
+func (i *instanceSet) called(indexes ...int) map[EndpointID]bool {
 	ids := map[EndpointID]bool{}
-	for _, i := range alive {
-		for id := range x.instances[i].b.Subset() {
+	for _, index := range indexes {
+		for id := range i.instances[index].b.Subset() {
 			ids[id] = true
 		}
 	}
 	return ids
 }
 
-// Endpoints that the dead alone called are called again once the rest are in a new group, and hardly any others move.
+// When instances fail, the others call the endpoints that only the failed ones have called, and keep nearly all of their own.
 func TestGroupUpdateLeavesNoEndpointUncalled(t *testing.T) {
 	const instances, endpoints = 20, 600
-	all := newTier(t, instances, endpoints)
-	var everybody []int
+	all := newInstanceSet(t, instances, endpoints)
+	var indexes []int
 	for i := range instances {
-		everybody = append(everybody, i)
+		indexes = append(indexes, i)
 	}
-	all.regroup(everybody)
+	all.regroup(indexes)
 	before := all.called(3)
-	all.regroup(slices.Delete(slices.Clone(everybody), 11, 12))
+	all.regroup(slices.Delete(slices.Clone(indexes), 11, 12))
 	after := all.called(3)
 	lost := 0
 	for id := range before {
@@ -292,14 +297,14 @@
 		}
 	}
 	if n := len(after); lost > 0 || n > len(before)+endpoints/instances/2 {
-		t.Errorf("one of %d went: another lost %d of its %d endpoints, and has %d", instances, lost, len(before), n)
+		t.Errorf("one of %d failed: another lost %d of its %d endpoints, and has %d", instances, lost, len(before), n)
 	}
 	alive := []int{0, 3, 7, 8, 13, 19}
 	if len(all.called(alive...)) == endpoints {
-		t.Error("seven in ten died, and no endpoint was without calls: the test shows nothing")
+		t.Error("seven of ten failed, and every endpoint is still called: nothing is tested")
 	}
 	all.regroup(alive)
 	if n := endpoints - len(all.called(alive...)); n > 0 {
-		t.Errorf("%d endpoints are called by nobody", n)
+		t.Errorf("%d endpoints are not called by any instance", n)
 	}
 }
