--- a/internal/mesh/agent/configuration_test.go
+++ b/internal/mesh/agent/configuration_test.go
@@ -24,7 +24,7 @@
 	const newest = 50
 	for seed := range uint64(20) {
 		var applied []configuration.Version // without a lock: configurations are applied one at a time
-		a := New(Config{
+		agent := New(Config{
 			Settings:        &settings.Settings{Service: "s"},
 			Hub:             newTestHub(t, 1, "127.9.1.1:7401"),
 			Role:            membership.RoleAccess,
@@ -38,10 +38,10 @@
 			senders.Go(func() {
 				for range 30 {
 					version := 1 + rng.Uint64N(newest)
-					a.ApplyCommitted(version, configurationOf(version))
-					a.ApplyCommitted(100+version, configurationOf(version)) // sent as another version
+					agent.ApplyCommitted(version, configurationOf(version))
+					agent.ApplyCommitted(100+version, configurationOf(version)) // sent as another version
 				}
-				a.ApplyCommitted(newest, configurationOf(newest))
+				agent.ApplyCommitted(newest, configurationOf(newest))
 			})
 		}
 		senders.Wait()
@@ -49,7 +49,7 @@
 			qt.Assert(t, i == 0 || applied[i] > applied[i-1], qt.IsTrue, qt.Commentf("%v", applied))
 		}
 		qt.Assert(t, applied[len(applied)-1], qt.Equals, configuration.Version(newest))
-		version, _ := a.Configuration()
+		version, _ := agent.Configuration()
 		qt.Assert(t, version, qt.Equals, uint64(newest))
 	}
 }
@@ -57,7 +57,7 @@
 // A process that shuts down waits for the fetched configuration that it is applying, and applies no further one.
 func TestStopWaitsForFetchedConfigurations(t *testing.T) {
 	applying, finish := make(chan struct{}), make(chan struct{})
-	a := New(Config{
+	agent := New(Config{
 		Settings: &settings.Settings{Service: "s"},
 		Hub:      newTestHub(t, 1, "127.9.1.3:7401"),
 		Role:     membership.RoleAccess,
@@ -67,26 +67,26 @@
 			<-finish
 		},
 	})
-	a.configuration.applyFetched(&configurationText{Version: 1, Text: configurationOf(1)})
+	agent.configuration.applyFetched(&configurationText{Version: 1, Text: configurationOf(1)})
 	<-applying
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		a.configuration.stop()
+		agent.configuration.stop()
 	}()
 	eventually(t, "no further configuration is applied", func() bool {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		return a.configuration.stopped
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		return agent.configuration.stopped
 	})
 	select {
 	case <-stopped:
 		t.Fatal("a configuration is still being applied")
 	default:
 	}
-	a.configuration.applyFetched(&configurationText{Version: 2, Text: configurationOf(2)})
+	agent.configuration.applyFetched(&configurationText{Version: 2, Text: configurationOf(2)})
 	close(finish)
 	<-stopped
-	version, _ := a.Configuration()
+	version, _ := agent.Configuration()
 	qt.Assert(t, version, qt.Equals, uint64(1))
 }
--- a/internal/mesh/agent/example_test.go
+++ b/internal/mesh/agent/example_test.go
@@ -35,7 +35,7 @@
 		Zone:        own.Zone,
 	}, time.Now(), 1<<20, log)
 	defer hub.Close()
-	a := agent.New(agent.Config{
+	sidecar := agent.New(agent.Config{
 		Settings:        own,
 		Hub:             hub,
 		Role:            membership.RoleAccess,
@@ -45,19 +45,19 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { a.Run(ctx) })
+	running.Go(func() { sidecar.Run(ctx) })
 
-	a.ApplyCommitted(7, []byte(`{"configVersion":"r7","routeTable":[]}`))
-	a.ApplyCommitted(6, []byte(`{"configVersion":"r6","routeTable":[]}`)) // older: nothing changes
-	a.Publish(discovery.Endpoint{
+	sidecar.ApplyCommitted(7, []byte(`{"configVersion":"r7","routeTable":[]}`))
+	sidecar.ApplyCommitted(6, []byte(`{"configVersion":"r6","routeTable":[]}`)) // older: nothing changes
+	sidecar.Publish(discovery.Endpoint{
 		ID:         "endpoint-1",
 		Service:    "orders",
 		AppAddress: "127.9.40.1:8080",
 		Zone:       "north",
 		Slots:      8,
 	})
-	version, _ := a.Configuration()
-	fmt.Println("held:", version, "by", a.Members()[0].Address)
+	version, _ := sidecar.Configuration()
+	fmt.Println("held:", version, "by", sidecar.Members()[0].Address)
 
 	stop()
 	running.Wait()
--- a/internal/mesh/agent/keepalive_test.go
+++ b/internal/mesh/agent/keepalive_test.go
@@ -61,23 +61,23 @@
 // the process that received it.
 func TestALeavingEndpointsOwnSidecarWaitsForAnOwner(t *testing.T) {
 	c := qt.New(t)
-	p := discovery.NewPublisher(discovery.Config{})
+	publisher := discovery.NewPublisher(discovery.Config{})
 	endpoint := discovery.Endpoint{ID: "x", Service: "s", AppAddress: "a:1", SidecarIncarnation: 1}
-	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
-	p.SetOwners(0, []string{"self"})
-	p.Set(0, endpoint)
-	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other owner"))
-	p.SetOwners(0, []string{"self", "one", "two"})
+	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
+	publisher.SetOwners(0, []string{"self"})
+	publisher.Set(0, endpoint)
+	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other owner"))
+	publisher.SetOwners(0, []string{"self", "one", "two"})
 	endpoint.State = discovery.Draining
-	p.Set(time.Second, endpoint)
+	publisher.Set(time.Second, endpoint)
 	revision := uint64(0)
-	for _, announcement := range p.Tick(time.Second) {
+	for _, announcement := range publisher.Tick(time.Second) {
 		revision = announcement.Endpoint.Revision
 	}
-	p.Acknowledged(time.Second, "self", "x", revision)
-	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse)
-	p.Acknowledged(time.Second, "two", "x", revision)
-	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsTrue)
-	p.End(2*time.Second, "x", discovery.Deregistered)
-	c.Check(p.AcknowledgedElsewhere("x", "self"), qt.IsFalse, qt.Commentf("its end is newer"))
+	publisher.Acknowledged(time.Second, "self", "x", revision)
+	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsFalse)
+	publisher.Acknowledged(time.Second, "two", "x", revision)
+	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsTrue)
+	publisher.End(2*time.Second, "x", discovery.Deregistered)
+	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsFalse, qt.Commentf("its end is newer"))
 }
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -164,11 +164,11 @@
 
 // deliver sends the announcements and requests that are due. It loses some of them, and some of the answers.
 func (s *schedule) deliver() {
-	for i, p := range s.publishers {
+	for i, publisher := range s.publishers {
 		if s.now < s.pausedUntil[i] {
 			continue
 		}
-		for _, due := range p.Tick(s.now) {
+		for _, due := range publisher.Tick(s.now) {
 			s.sends++
 			s.noteEndpoints("send "+due.To, []Endpoint{due.Endpoint})
 			if s.rng.IntN(4) == 0 {
@@ -176,9 +176,9 @@
 			}
 			s.note("apply", s.registries[due.To].Apply(s.now, due.Endpoint), s.registries[due.To].Version())
 			if s.rng.IntN(4) > 0 {
-				p.Acknowledged(s.now, due.To, due.Endpoint.ID, due.Endpoint.Revision)
+				publisher.Acknowledged(s.now, due.To, due.Endpoint.ID, due.Endpoint.Revision)
 			}
-			s.note("confirmed", p.AcknowledgedElsewhere(due.Endpoint.ID, s.owners[0]))
+			s.note("confirmed", publisher.AcknowledgedElsewhere(due.Endpoint.ID, s.owners[0]))
 		}
 	}
 	for _, request := range s.subscription.Tick(s.now) {
--- a/internal/mesh/discovery/membership/bench_test.go
+++ b/internal/mesh/discovery/membership/bench_test.go
@@ -29,20 +29,20 @@
 func benchmarkQuiet(b *testing.B, size fleetSize) {
 	b.Helper()
 	const measured = 10 * time.Second
-	f := startFleet(b, 1, size)
+	fleet := startFleet(b, 1, size)
 	joined := 1 * time.Second
-	f.run(joined, nil)
-	for ; joined < 30*time.Second && !f.converged(size.zones, nil); joined += time.Second {
-		f.run(time.Second, nil)
+	fleet.run(joined, nil)
+	for ; joined < 30*time.Second && !fleet.converged(size.zones, nil); joined += time.Second {
+		fleet.run(time.Second, nil)
 	}
-	f.run(15*time.Second, nil)
-	f.traffic = traffic{}
+	fleet.run(15*time.Second, nil)
+	fleet.traffic = traffic{}
 	began := time.Now()
-	f.run(measured, nil)
+	fleet.run(measured, nil)
 	n := float64(size.members) * measured.Seconds()
 	b.ReportMetric(joined.Seconds(), "s/join")
-	b.ReportMetric(float64(f.traffic.bytes)/n, "B/member/s")
-	b.ReportMetric(float64(f.traffic.messages)/n, "messages/member/s")
+	b.ReportMetric(float64(fleet.traffic.bytes)/n, "B/member/s")
+	b.ReportMetric(float64(fleet.traffic.messages)/n, "messages/member/s")
 	b.ReportMetric(float64(time.Since(began).Microseconds())/n, "µs/member/s")
-	b.ReportMetric(float64(f.traffic.changes), "changes")
+	b.ReportMetric(float64(fleet.traffic.changes), "changes")
 }
--- a/internal/mesh/discovery/membership/config.go
+++ b/internal/mesh/discovery/membership/config.go
@@ -37,8 +37,8 @@
 	// applies it is longer in the same ratio. Each regular shuffle also goes to one suspected member.
 	SuspicionTimeout time.Duration
 
-	// FailureTimeout is the age of a heartbeat at which its member departs. Default 10 s. It detects failures that break no connection. With
-	// a shorter one slow members depart; with a longer one members that ended stay in the view.
+	// FailureTimeout is the age of a heartbeat at which its member departs. Default 10 s. It detects failures that break no connection.
+	// With a shorter one slow members depart; with a longer one members that ended stay in the view.
 	FailureTimeout time.Duration
 
 	// RemoteFailureTimeout replaces FailureTimeout for members of other zones if the view is large, or once any peer's digests have been
--- a/internal/mesh/discovery/membership/convergence_test.go
+++ b/internal/mesh/discovery/membership/convergence_test.go
@@ -17,22 +17,22 @@
 	slowestEnd := time.Duration(0)
 	zones := []string{"a", "b", "c", "d"}
 	for seed := range uint64(20) {
-		f := startFleet(t, seed, fleetSize{members: 18, cores: 4, seeds: 3, zones: zones})
-		converged := func() bool { return f.converged(zones, []string{"s"}) }
-		joining := func() time.Duration { return f.run(5*time.Second, converged) - 500*ms } // they start over half a second
+		fleet := startFleet(t, seed, fleetSize{members: 18, cores: 4, seeds: 3, zones: zones})
+		converged := func() bool { return fleet.converged(zones, []string{"s"}) }
+		joining := func() time.Duration { return fleet.run(5*time.Second, converged) - 500*ms } // they start over half a second
 		slowest = max(slowest, joining())
-		f.run(8*time.Second, nil)
-		f.traffic = traffic{}
-		f.run(8*time.Second, nil)
-		c.Assert(f.traffic.bytes < 18*8*1000 && f.traffic.changes == 0, qt.IsTrue,
-			qt.Commentf("%d bytes, %d changes while quiet", f.traffic.bytes, f.traffic.changes))
-		f.start("10.0.0.99:1", "a", RoleAccess)
+		fleet.run(8*time.Second, nil)
+		fleet.traffic = traffic{}
+		fleet.run(8*time.Second, nil)
+		c.Assert(fleet.traffic.bytes < 18*8*1000 && fleet.traffic.changes == 0, qt.IsTrue,
+			qt.Commentf("%d bytes, %d changes while quiet", fleet.traffic.bytes, fleet.traffic.changes))
+		fleet.start("10.0.0.99:1", "a", RoleAccess)
 		slowest = max(slowest, joining())
-		f.start("10.0.0.8:1", "a", RoleAccess) // a restart
+		fleet.start("10.0.0.8:1", "a", RoleAccess) // a restart
 		slowest = max(slowest, joining())
-		f.run(8*time.Second, nil)
-		f.killProcess(f.order[5+seed%13])
-		slowestEnd = max(slowestEnd, f.run(5*time.Second, converged))
+		fleet.run(8*time.Second, nil)
+		fleet.killProcess(fleet.order[5+seed%13])
+		slowestEnd = max(slowestEnd, fleet.run(5*time.Second, converged))
 	}
 	c.Check(slowestEnd <= 3500*ms, qt.IsTrue, qt.Commentf("a killed one is known after %v", slowestEnd))
 	t.Logf("a killed one is known after %v", slowestEnd)
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -238,8 +238,8 @@
 }
 
 // send sends a shuffle to an address. If the process there can't be reached, the sender's view is notified after connectTimeout.
-func (f *fleet) send(from *node, address string, s *Shuffle) {
-	data := codec.MarshalAppend(nil, s)
+func (f *fleet) send(from *node, address string, shuffle *Shuffle) {
+	data := codec.MarshalAppend(nil, shuffle)
 	f.traffic.messages++
 	f.traffic.bytes += len(data)
 	if f.onSend != nil {
@@ -254,7 +254,7 @@
 		})
 		return
 	}
-	if !s.Reply {
+	if !shuffle.Reply {
 		f.connect(from, to)
 	}
 	if to.frozen { // its pings aren't answered
@@ -263,12 +263,12 @@
 	if from.self.Zone != to.self.Zone {
 		f.traffic.bytesAcross += len(data)
 	}
-	f.after(messageDelay, func() { f.deliver(from, to, s) })
+	f.after(messageDelay, func() { f.deliver(from, to, shuffle) })
 }
 
 // deliver delivers a shuffle to a process. A frozen process receives it once it is thawed.
-func (f *fleet) deliver(from, to *node, s *Shuffle) {
-	receive := func() { f.receive(from, to, s) }
+func (f *fleet) deliver(from, to *node, shuffle *Shuffle) {
+	receive := func() { f.receive(from, to, shuffle) }
 	switch {
 	case to.frozen:
 		to.unread = append(to.unread, receive)
@@ -278,8 +278,8 @@
 }
 
 // receive merges a shuffle into the receiver's view, and sends the reply.
-func (f *fleet) receive(from, to *node, s *Shuffle) {
-	reply, changed := to.Receive(f.now, s)
+func (f *fleet) receive(from, to *node, shuffle *Shuffle) {
+	reply, changed := to.Receive(f.now, shuffle)
 	if changed {
 		f.traffic.changes++
 	}
--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -7,34 +7,34 @@
 
 // Receive merges a shuffle into the view. It returns the reply to it, which is nil if the shuffle is itself a reply, and reports whether
 // the members have changed by more than their heartbeats.
-func (v *View) Receive(now time.Duration, s *Shuffle) (reply *Shuffle, changed bool) {
-	senderKnown := v.table.byIncarnation[s.From.Incarnation] != nil
-	changed = v.mergeRecords(now, s)
-	for i := range s.Unreachable {
-		v.mergeSuspicion(&s.From, &s.Unreachable[i])
+func (v *View) Receive(now time.Duration, shuffle *Shuffle) (reply *Shuffle, changed bool) {
+	senderKnown := v.table.byIncarnation[shuffle.From.Incarnation] != nil
+	changed = v.mergeRecords(now, shuffle)
+	for i := range shuffle.Unreachable {
+		v.mergeSuspicion(&shuffle.From, &shuffle.Unreachable[i])
 	}
-	if s.RaiseHeartbeat && !s.Reply {
+	if shuffle.RaiseHeartbeat && !shuffle.Reply {
 		v.self.Heartbeat++
 	}
-	agrees := v.compareDigests(now, s)
-	if !s.Reply && s.From.Incarnation != v.self.Incarnation {
-		newcomer := !senderKnown && s.From.Heartbeat < newcomerHeartbeats
-		reply = v.newShuffle(now, s.From.Zone, newcomer, agrees)
+	agrees := v.compareDigests(now, shuffle)
+	if !shuffle.Reply && shuffle.From.Incarnation != v.self.Incarnation {
+		newcomer := !senderKnown && shuffle.From.Heartbeat < newcomerHeartbeats
+		reply = v.newShuffle(now, shuffle.From.Zone, newcomer, agrees)
 		reply.Reply = true
 	}
-	v.reportReappeared(&s.From, reply)
+	v.reportReappeared(&shuffle.From, reply)
 	return reply, changed
 }
 
 // mergeRecords merges the sender, the tombstones and the members of a shuffle, in this order: a member must not be added by the same
 // shuffle that reports its end.
-func (v *View) mergeRecords(now time.Duration, s *Shuffle) (changed bool) {
-	changed = v.mergeMember(now, s.From, true)
-	for _, t := range s.Tombstones {
+func (v *View) mergeRecords(now time.Duration, shuffle *Shuffle) (changed bool) {
+	changed = v.mergeMember(now, shuffle.From, true)
+	for _, t := range shuffle.Tombstones {
 		changed = v.mergeTombstone(now, t) || changed
 	}
-	for i := range s.Members {
-		changed = v.mergeMember(now, s.Members[i], false) || changed
+	for i := range shuffle.Members {
+		changed = v.mergeMember(now, shuffle.Members[i], false) || changed
 	}
 	return changed
 }
@@ -75,30 +75,30 @@
 }
 
 // updateMember merges a record of a member that is known. It reports whether more than the heartbeat has changed.
-func (v *View) updateMember(now, seen time.Duration, e *entry, record Member, direct bool) (changed bool) {
+func (v *View) updateMember(now, seen time.Duration, known *entry, record Member, direct bool) (changed bool) {
 	switch {
-	case record.Heartbeat < e.Heartbeat:
+	case record.Heartbeat < known.Heartbeat:
 		return false
-	case record.Heartbeat == e.Heartbeat && direct:
-		e.lastSeen = now
+	case record.Heartbeat == known.Heartbeat && direct:
+		known.lastSeen = now
 		return false
-	case record.Heartbeat == e.Heartbeat:
-		e.lastSeen = min(e.lastSeen, seen)
+	case record.Heartbeat == known.Heartbeat:
+		known.lastSeen = min(known.lastSeen, seen)
 		return false
-	case e.Address != record.Address:
+	case known.Address != record.Address:
 		return false // an incarnation has one address
 	}
-	if changed = !sameRecord(&e.Member, &record); changed {
+	if changed = !sameRecord(&known.Member, &record); changed {
 		v.invalidate()
 	}
-	if e.dispute.answerAwaited && e.dispute.heartbeat < record.Heartbeat {
-		e.dispute.answerAwaited = false
-		e.transmits = 0
+	if known.dispute.answerAwaited && known.dispute.heartbeat < record.Heartbeat {
+		known.dispute.answerAwaited = false
+		known.transmits = 0
 		v.noteUpdate(now)
 	}
-	e.Member = record
-	e.lastSeen = max(e.lastSeen, seen)
-	e.transition(now, alive)
+	known.Member = record
+	known.lastSeen = max(known.lastSeen, seen)
+	known.transition(now, alive)
 	return changed
 }
 
--- a/internal/mesh/discovery/membership/suspicion.go
+++ b/internal/mesh/discovery/membership/suspicion.go
@@ -37,20 +37,20 @@
 
 // mergeSuspicion merges a report that the sender can't reach a member. If this process doesn't know of a newer heartbeat of the member, it
 // asks the member for one. The newer heartbeat is then an update, which the sender is sent next.
-func (v *View) mergeSuspicion(sender *Member, s *Suspicion) {
-	if s.Incarnation == v.self.Incarnation {
-		v.self.Heartbeat = max(v.self.Heartbeat, s.Heartbeat+1)
+func (v *View) mergeSuspicion(sender *Member, suspicion *Suspicion) {
+	if suspicion.Incarnation == v.self.Incarnation {
+		v.self.Heartbeat = max(v.self.Heartbeat, suspicion.Heartbeat+1)
 		return
 	}
-	e := v.table.byIncarnation[s.Incarnation]
+	e := v.table.byIncarnation[suspicion.Incarnation]
 	if e == nil || e.state == unreachable {
 		return
 	}
 	switch {
-	case e.Heartbeat > s.Heartbeat:
+	case e.Heartbeat > suspicion.Heartbeat:
 		e.transmits = 0 // the sender lacks the heartbeat that is known here, so it is sent as an update
-	case e.dispute.heartbeat < s.Heartbeat:
-		e.dispute = dispute{heartbeat: s.Heartbeat, probeDue: true, answerAwaited: true}
+	case e.dispute.heartbeat < suspicion.Heartbeat:
+		e.dispute = dispute{heartbeat: suspicion.Heartbeat, probeDue: true, answerAwaited: true}
 	}
 	if from := v.table.byIncarnation[sender.Incarnation]; from != nil {
 		from.lastContacted = longAgo
@@ -61,22 +61,22 @@
 // makes those suspected whose heartbeats have reached the suspicion time-out.
 func (v *View) expireMembers(now time.Duration) {
 	for i := len(v.table.entries) - 1; i >= 0; i-- { // from the end, as members are removed on the way
-		e := v.table.entries[i]
-		if e.state == unreachable {
-			if now-e.stateSince >= v.config.DisconnectGrace {
-				v.departUnreachable(now, e)
+		member := v.table.entries[i]
+		if member.state == unreachable {
+			if now-member.stateSince >= v.config.DisconnectGrace {
+				v.departUnreachable(now, member)
 			}
 			continue
 		}
-		age := now - max(v.lastKnownAlive(e), v.schedule.resumedAt)
-		timeout := v.failureTimeout(&e.Member)
+		age := now - max(v.lastKnownAlive(member), v.schedule.resumedAt)
+		timeout := v.failureTimeout(&member.Member)
 		switch {
 		case age >= timeout:
-			v.departTimedOut(now, e)
+			v.departTimedOut(now, member)
 		case age >= timeout*v.config.SuspicionTimeout/v.config.FailureTimeout:
-			e.transition(now, suspected)
+			member.transition(now, suspected)
 		default:
-			e.transition(now, alive) // also a suspected one, if the members of its zone agree (lastKnownAlive)
+			member.transition(now, alive) // also a suspected one, if the members of its zone agree (lastKnownAlive)
 		}
 	}
 }
