--- a/internal/mesh/assembly/controlplane.go
+++ b/internal/mesh/assembly/controlplane.go
@@ -27,9 +27,9 @@
 	agent  *agent.Agent
 	server *controlplane.Server
 	roles  *agent.SingletonRoles
-	opened chan struct{} // closed once server and roles are there
+	opened chan struct{} // closed once server and roles are set
 
-	streams    context.Context // done when streams of events have to end
+	streams    context.Context // of the requests for streams of events; endStreams ends them
 	endStreams context.CancelFunc
 }
 
@@ -58,23 +58,34 @@
 	return err
 }
 
-// newControlPlane makes a control-plane process that answers other processes' requests once it is open.
+// newControlPlane returns a control-plane process. It answers other processes' requests once it is open.
 func newControlPlane(p *process) *controlPlane {
 	c := &controlPlane{process: p, opened: make(chan struct{})}
 	c.streams, c.endStreams = context.WithCancel(p.ctx)
-	c.agent = agent.New(agent.Config{Settings: p.settings, Hub: p.hub, Role: membership.RoleCore, Log: p.log, Seed: p.seed})
+	c.agent = agent.New(agent.Config{
+		Settings: p.settings,
+		Hub:      p.hub,
+		Role:     membership.RoleCore,
+		Log:      p.log,
+		Seed:     p.seed,
+	})
 	c.agent.ServeConsensus(c.serveConsensus)
 	return c
 }
 
-// open begins to take part in the agreement about the configuration, and in the singleton roles.
+// open reads the disk of the process, and joins it to the consensus on the configuration and to the singleton roles.
 func (c *controlPlane) open() error {
 	server, err := controlplane.Open(controlplane.Options{
-		Self: c.settings.ControlAddress, Seeds: c.settings.Seeds, InitialStart: c.settings.InitialStart,
-		Folder: c.settings.DataDirectory, Tolerated: c.settings.ToleratedMachines,
-		Transport: c.agent.ConsensusTransport(), Cores: c.agent.CoreAddresses,
-		Log: c.log, Seed: c.seed,
-		OnCommit: func(v consensus.Value) { c.agent.ApplyCommitted(uint64(v.Version), v.Body) },
+		Self:         c.settings.ControlAddress,
+		Seeds:        c.settings.Seeds,
+		InitialStart: c.settings.InitialStart,
+		Folder:       c.settings.DataDirectory,
+		Tolerated:    c.settings.ToleratedMachines,
+		Transport:    c.agent.ConsensusTransport(),
+		Cores:        c.agent.CoreAddresses,
+		Log:          c.log,
+		Seed:         c.seed,
+		OnCommit:     func(v consensus.Value) { c.agent.ApplyCommitted(uint64(v.Version), v.Body) },
 	})
 	if err != nil {
 		return err
@@ -85,7 +96,7 @@
 	return nil
 }
 
-// serve serves the control address, and runs what goes on in the background.
+// serve serves the control address, and starts the background tasks.
 func (c *controlPlane) serve(control net.Listener) {
 	c.run(func(ctx context.Context) { c.handleReloads(ctx, c.applySettings) })
 	c.serveHTTP(c.handler(), control)
@@ -93,13 +104,13 @@
 	c.run(c.roles.Run)
 }
 
-// applySettings takes what may change while a control-plane process runs: the seeds.
+// applySettings applies the settings that may change while a control-plane process runs: the seeds.
 func (c *controlPlane) applySettings(changed *settings.Settings) {
 	c.agent.SetSeeds(changed.SeedAddresses())
 	c.server.SetSeeds(changed.Seeds)
 }
 
-// serveConsensus answers other processes' requests of the agreement, which wait until the process is open.
+// serveConsensus answers consensus requests of other processes. It waits until the process is open.
 func (c *controlPlane) serveConsensus(ctx context.Context, request []byte) ([]byte, error) {
 	select {
 	case <-c.opened:
@@ -109,7 +120,7 @@
 	}
 }
 
-// handler serves operators, endpoints and tools.
+// handler returns the handler of the control address, for operators, endpoints and tools.
 func (c *controlPlane) handler() http.Handler {
 	keepalives := c.agent.KeepaliveHandler(nil)
 	operators := c.server.Handler()
--- a/internal/mesh/assembly/controlplane_shutdown.go
+++ b/internal/mesh/assembly/controlplane_shutdown.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// How long the steps of a control-plane process's shutdown may take, one after the other; each at most a fraction of a short grace time.
+// Limits of the steps of a control-plane process's shutdown, which follow each other. Each step takes at most its time-out, and at most
+// the grace time divided by its divisor.
 const (
-	releaseTimeout  = 300 * time.Millisecond  // to hand its singleton roles over
-	handOverTimeout = 2500 * time.Millisecond // to hand its vote over
+	releaseTimeout  = 300 * time.Millisecond  // to hand over its singleton roles
+	handOverTimeout = 2500 * time.Millisecond // to hand over its vote
 	answerTimeout   = time.Second             // to answer the HTTP calls that it has read
-	closeTimeout    = 500 * time.Millisecond  // for its disk, which may hang; what counts was written through
-	drainTimeout    = 400 * time.Millisecond  // until its replies to other processes have gone out
+	closeTimeout    = 500 * time.Millisecond  // to close its files on a disk that may hang; what was acknowledged is synced already
+	drainTimeout    = 400 * time.Millisecond  // to send its replies to other processes
 
-	releaseDivisor  = 12 // of the grace time
+	releaseDivisor  = 12
 	handOverDivisor = 2
 	httpDivisor     = 6
 	closeDivisor    = 12
 	drainDivisor    = 12
 )
 
-// handOver hands this process's singleton roles and then its vote over to others. In this order the next holder has a role at once:
-// after a change of the voters nobody requests one for the length of a lease. The process answers as before meanwhile.
+// handOver hands over this process's singleton roles and then its vote to other processes. In this order the next holder acquires a role at
+// once; after a change of the voters nobody requests one for the duration of a lease. The process answers requests as before meanwhile.
 func (c *controlPlane) handOver() {
 	c.releaseRoles()
 	ctx, cancel := context.WithTimeout(c.ctx, min(handOverTimeout, c.settings.Bounds.Grace/handOverDivisor))
@@ -31,13 +32,15 @@
 	}
 }
 
+// releaseRoles releases the leases of this process's singleton roles.
 func (c *controlPlane) releaseRoles() {
 	ctx, cancel := context.WithTimeout(c.ctx, min(releaseTimeout, c.settings.Bounds.Grace/releaseDivisor))
 	defer cancel()
 	c.roles.Release(ctx)
 }
 
-// shutDown answers what was read: HTTP calls while the agreement still works, then other processes' requests.
+// shutDown answers the calls that were read: first the HTTP calls, while the consensus still works for them, then the requests of other
+// processes.
 func (c *controlPlane) shutDown() {
 	grace := c.settings.Bounds.Grace
 	c.endStreams()
@@ -48,7 +51,8 @@
 	c.hub.Drain(c.hub.Now() + min(drainTimeout, grace/drainDivisor))
 }
 
-// closeServerWithin closes the replicated configuration, and goes on without it if its disk hangs: the end of the process closes it.
+// closeServerWithin closes the replicated configuration. If that takes longer than limit, as the disk hangs, it returns nevertheless: the
+// files are closed when the process exits.
 func (c *controlPlane) closeServerWithin(limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -31,26 +31,26 @@
 	body         string
 }
 
-// answersTo notes each call and its answer: the status, the headers that callers read, and the body.
-func answersTo(t *testing.T, h http.Handler, calls ...httpCall) []byte {
+// answersTo returns the text of calls and their answers: the status, the headers that callers read, and the body.
+func answersTo(t *testing.T, handler http.Handler, calls ...httpCall) []byte {
 	t.Helper()
 	var text bytes.Buffer
-	for _, x := range calls {
-		fmt.Fprintf(&text, "> %s %s\n", x.method, x.path)
-		q := httptest.NewRequestWithContext(t.Context(), x.method, x.path, strings.NewReader(x.body))
-		for _, header := range x.headers {
+	for _, call := range calls {
+		fmt.Fprintf(&text, "> %s %s\n", call.method, call.path)
+		request := httptest.NewRequestWithContext(t.Context(), call.method, call.path, strings.NewReader(call.body))
+		for _, header := range call.headers {
 			fmt.Fprintf(&text, "> %s\n", header)
 			name, value, _ := strings.Cut(header, ": ")
-			q.Header.Set(name, value)
+			request.Header.Set(name, value)
 		}
 		switch {
-		case len(x.body) > 4<<10:
-			fmt.Fprintf(&text, "> (%d bytes)\n", len(x.body))
-		case x.body != "":
-			fmt.Fprintf(&text, "> %s\n", x.body)
+		case len(call.body) > 4<<10:
+			fmt.Fprintf(&text, "> (%d bytes)\n", len(call.body))
+		case call.body != "":
+			fmt.Fprintf(&text, "> %s\n", call.body)
 		}
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, q)
+		handler.ServeHTTP(w, request)
 		fmt.Fprintf(&text, "< %d\n", w.Code)
 		for _, name := range []string{"Allow", "Content-Type", "Retry-After"} {
 			if value := w.Header().Get(name); value != "" {
@@ -67,8 +67,9 @@
 
 const (
 	// goldenConfig is a configuration with one service, one route and one tenant.
-	goldenConfig = `{"configVersion":"r1","routeTable":[{"name":"read","hostName":"shop.example","pathPrefix":"/read/","routeKind":"idempotent",` +
-		`"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}],` +
+	goldenConfig = `{"configVersion":"r1","routeTable":[{"name":"read","hostName":"shop.example","pathPrefix":"/read/",` +
+		`"routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"desk","maxAttempts":2,` +
+		`"publicAccess":false}],` +
 		`"serviceTable":[{"name":"desk","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],` +
 		`"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":100000,"headerTimeout":"3000ms","idleTimeout":"15000ms"},` +
 		`"tenantTable":[{"name":"north","accessKeys":["k1"],"priority":1,"ratePerS":500,"burstSize":500}]}`
@@ -83,20 +84,22 @@
 	conf, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
 	a.outbound.Configure(conf)
-	text = append(append(text, "with a configuration\n"...), answersTo(t, h, call, httpCall{method: "HEAD", path: "/"}, httpCall{method: "POST", path: "/other"})...)
+	calls := []httpCall{call, {method: "HEAD", path: "/"}, {method: "POST", path: "/other"}}
+	text = append(append(text, "with a configuration\n"...), answersTo(t, h, calls...)...)
 	a.local.shutDown()
 	text = append(append(text, "about to end\n"...), answersTo(t, h, call)...)
 	golden.Text(t, "readiness.txt", text)
 }
 
-// What the control address of a sidecar answers to the endpoint beside it, and to bad input.
+// The control address of a sidecar gives these answers to the endpoint beside it, and to bad input.
 func TestGoldenAccessControl(t *testing.T) {
 	a := startSidecar(t)
 	post := func(path, body string) httpCall { return httpCall{method: "POST", path: path, body: body} }
 	golden.Text(t, "access-control.txt", answersTo(t, a.agent.KeepaliveHandler(a.local),
 		post("/endpoints/i-1/keepalive", goldenKeepalive),
 		post("/endpoints/i-1/keepalive", strings.Replace(goldenKeepalive, "8103", "9999", 1)),
-		post("/endpoints/i-1/keepalive", `{"serviceName":"","address":"nowhere","slotCount":-1,"state":"elsewhere","coldRemaining":"long"}`),
+		post("/endpoints/i-1/keepalive",
+			`{"serviceName":"","address":"nowhere","slotCount":-1,"state":"elsewhere","coldRemaining":"long"}`),
 		post("/endpoints/i-1/keepalive", `{`),
 		post("/endpoints/i-1/keepalive", strings.Repeat(" ", 16<<10+1)),
 		post("/endpoints/i-1/other", ""),
@@ -105,30 +108,41 @@
 	))
 }
 
-// startControlPlane is a control-plane process that is the only voter, and not on any address. Unlike open it gives the server no list of
-// the processes that run: with one, the server waits for the voters that the first start wants.
+// startControlPlane returns a control-plane process that is the only voter, and listens on no address. Unlike open it gives the server no
+// function for the addresses of core processes: with that, the server would wait for the number of voters that a first start wants.
 func startControlPlane(t *testing.T) *controlPlane {
 	t.Helper()
-	c := newControlPlane(newTestProcess(t, &settings.Settings{
-		Name: "core-a", IP: "127.9.2.1", Zone: "z", InternalPorts: [2]int{7401, 7401}, ControlAddress: "127.9.2.1:8105",
-		Seeds: []string{"127.9.2.1:8105"}, InitialStart: true, DataDirectory: t.TempDir(),
+	core := newControlPlane(newTestProcess(t, &settings.Settings{
+		Name:           "core-a",
+		IP:             "127.9.2.1",
+		Zone:           "z",
+		InternalPorts:  [2]int{7401, 7401},
+		ControlAddress: "127.9.2.1:8105",
+		Seeds:          []string{"127.9.2.1:8105"},
+		InitialStart:   true,
+		DataDirectory:  t.TempDir(),
 	}))
 	var err error
-	c.server, err = controlplane.Open(controlplane.Options{
-		Self: c.settings.ControlAddress, Seeds: c.settings.Seeds, InitialStart: true, Folder: c.settings.DataDirectory,
-		Transport: c.agent.ConsensusTransport(), Log: c.log,
-		OnCommit: func(v consensus.Value) { c.agent.ApplyCommitted(uint64(v.Version), v.Body) },
+	core.server, err = controlplane.Open(controlplane.Options{
+		Self:         core.settings.ControlAddress,
+		Seeds:        core.settings.Seeds,
+		InitialStart: true,
+		Folder:       core.settings.DataDirectory,
+		Transport:    core.agent.ConsensusTransport(),
+		Log:          core.log,
+		OnCommit:     func(v consensus.Value) { core.agent.ApplyCommitted(uint64(v.Version), v.Body) },
 	})
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(c.server.Close)
-	c.roles = c.agent.NewSingletonRoles(c.server, true)
-	close(c.opened)
-	c.run(c.agent.Run)
-	c.run(c.roles.Run)
-	return c
+	t.Cleanup(core.server.Close)
+	core.roles = core.agent.NewSingletonRoles(core.server, true)
+	close(core.opened)
+	core.run(core.agent.Run)
+	core.run(core.roles.Run)
+	return core
 }
 
-// awaitState waits until a core process has confirmed its state, holds the singleton lease and has a version of the configuration.
+// awaitState waits until a core process has confirmed its state, holds the lease of the singleton role and knows a version of the
+// configuration.
 func awaitState(t *testing.T, h http.Handler, version string) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -160,16 +174,17 @@
 	}
 }
 
-// varying are the parts of answers that no two runs share: ages, what is left of a lease, epochs and times of day.
+// varying matches the parts of answers that are different in each run: ages, remaining leases, epochs and times of day.
 var varying = regexp.MustCompile(`("(?:ageMs|leftMs|epoch)":)\d+|("time":)"[^"]*"`)
 
+// withoutVarying replaces the parts of answers that varying matches.
 func withoutVarying(text []byte) []byte { return varying.ReplaceAll(text, []byte(`${1}${2}"varies"`)) }
 
-// eventCursor is the cursor of an event of startControlPlane's process.
+// eventCursor matches the cursor of an event of startControlPlane's process.
 var eventCursor = regexp.MustCompile(`"cursor":"2-\d+"`)
 
-// withoutMemberEvent removes the event that this process itself has become reachable, which on a slow machine is in the feed by then, and
-// gives the other events the cursors that they have without it.
+// withoutMemberEvent removes the event that the process itself has become reachable, which is in the feed by then if the machine is slow,
+// and gives the other events the cursors that they have without it.
 func withoutMemberEvent(text []byte) []byte {
 	var kept [][]byte
 	for _, line := range bytes.SplitAfter(text, []byte("\n")) {
@@ -184,16 +199,21 @@
 	})
 }
 
-// What the control address of a core process answers to operators, endpoints and tools, and to bad input.
+// The control address of a core process gives these answers to operators, endpoints and tools, and to bad input.
 func TestGoldenCoreControl(t *testing.T) {
-	c := startControlPlane(t)
-	h := c.handler()
-	awaitState(t, h, "0")
+	core := startControlPlane(t)
+	handler := core.handler()
+	awaitState(t, handler, "0")
 	replace := func(base, body string) httpCall {
-		return httpCall{method: "POST", path: "/configuration/replace", headers: []string{"Base-Version: " + base}, body: body}
+		return httpCall{
+			method:  "POST",
+			path:    "/configuration/replace",
+			headers: []string{"Base-Version: " + base},
+			body:    body,
+		}
 	}
 	get := func(path string) httpCall { return httpCall{method: "GET", path: path} }
-	text := answersTo(t, h,
+	text := answersTo(t, handler,
 		get("/configuration/retrieve"),
 		replace("", goldenConfig),
 		replace("1", goldenConfig),
@@ -204,9 +224,9 @@
 		replace("r0", goldenConfig),
 		replace("r0", strings.Replace(goldenConfig, `"r1"`, `"r2"`, 1)),
 	)
-	awaitState(t, h, "r1")
-	awaitEvent(t, h, "configuration_in_force")
-	text = append(text, answersTo(t, h,
+	awaitState(t, handler, "r1")
+	awaitEvent(t, handler, "configuration_in_force")
+	text = append(text, answersTo(t, handler,
 		get("/configuration/retrieve"),
 		get("/configuration/replace"),
 		httpCall{method: "POST", path: "/configuration/retrieve"},
@@ -224,16 +244,37 @@
 	golden.Text(t, "core-control.txt", withoutMemberEvent(withoutVarying(text)))
 }
 
-// The page of state of a core process; tools read it by these names.
+// The state of a core process has these keys, which tools read.
 func TestGoldenState(t *testing.T) {
 	const file = "mesh-state.json"
 	state := agent.State{
-		Node: "core-a", Version: "r7", Confirmed: true, Voters: []string{"127.0.0.1:8105"}, Ready: true,
-		Roles:   []agent.RoleState{{Name: "allocator", Holder: "127.0.0.1:7640", FencingToken: 3, RemainingMs: 1500}, {Name: "idle"}},
-		Members: []agent.MemberState{{Address: "127.0.0.1:7640", Zone: "a", Role: "access", Service: "desk", AgeMs: 20}, {Role: "core"}},
+		Node:      "core-a",
+		Version:   "r7",
+		Confirmed: true,
+		Voters:    []string{"127.0.0.1:8105"},
+		Ready:     true,
+		Roles: []agent.RoleState{{
+			Name:         "allocator",
+			Holder:       "127.0.0.1:7640",
+			FencingToken: 3,
+			RemainingMs:  1500,
+		}, {Name: "idle"}},
+		Members: []agent.MemberState{{
+			Address: "127.0.0.1:7640",
+			Zone:    "a",
+			Role:    "access",
+			Service: "desk",
+			AgeMs:   20,
+		}, {Role: "core"}},
 		Endpoints: []agent.EndpointState{{
-			ID: "i-1", Service: "desk", Zone: "a", State: "in_service", Address: "127.0.0.1:8103",
-			Sidecar: "127.0.0.1:7640", Slots: 4, LeaseMs: 9000,
+			ID:      "i-1",
+			Service: "desk",
+			Zone:    "a",
+			State:   "in_service",
+			Address: "127.0.0.1:8103",
+			Sidecar: "127.0.0.1:7640",
+			Slots:   4,
+			LeaseMs: 9000,
 		}},
 	}
 	text, err := json.MarshalIndent(state, "", "\t")
@@ -246,13 +287,13 @@
 	qt.Assert(t, got, qt.DeepEquals, state)
 }
 
-// The sizes and times by which a process bounds itself; other processes and the platform see their effect.
+// A process has these limits of size and time, whose effects other processes and the platform see.
 func TestBoundsOfAProcess(t *testing.T) {
 	qt.Assert(t, []int{maxCallBytes, minBodyMemoryBytes, gcPercent, maxEndedIDs}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
 	qt.Assert(t, []float64{bodyMemoryFraction, heapFraction}, qt.DeepEquals, []float64{0.3, 0.6})
 	times := []time.Duration{
-		listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, answerTimeout, closeTimeout, drainTimeout, readinessNotice, answerMargin,
-		exitMargin, shutdownPollInterval,
+		listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, answerTimeout, closeTimeout, drainTimeout,
+		readinessNotice, answerMargin, exitMargin, shutdownPollInterval,
 	}
 	qt.Assert(t, times, qt.DeepEquals, slices.Concat([]time.Duration{2 * time.Second, 5 * time.Second},
 		[]time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, time.Second, 500 * time.Millisecond, 400 * time.Millisecond},
--- a/internal/mesh/assembly/listen.go
+++ b/internal/mesh/assembly/listen.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	listenTimeout       = 2 * time.Second       // until an address that is in use counts as taken
-	listenRetryInterval = 50 * time.Millisecond // between two attempts
+	listenTimeout       = 2 * time.Second       // for an address that is in use to become free
+	listenRetryInterval = 50 * time.Millisecond // between two attempts to listen
 	httpHeaderTimeout   = 5 * time.Second       // to read a call's header
-	httpIdleTimeout     = 30 * time.Second      // of a connection between two calls
-	httpMaxHeaderBytes  = 32 << 10
+	httpIdleTimeout     = 30 * time.Second      // after which a connection without calls is closed
+	httpMaxHeaderBytes  = 32 << 10              // bytes of a call's header
 )
 
-// listen listens on addresses of the process, all or none: where one can't be had, no call has been read on another. close closes the
-// listeners.
+// listen listens on addresses of the process: on all, or on none if one of them can't be used. close closes the listeners.
 func (p *process) listen(addresses ...string) ([]net.Listener, error) {
 	listeners, err := listenAll(p.ctx, addresses...)
 	p.listeners = append(p.listeners, listeners...)
@@ -42,7 +41,8 @@
 	return listeners, nil
 }
 
-// listenRetrying listens on an address. It tries again for listenTimeout: an earlier incarnation of the process may still hold it.
+// listenRetrying listens on an address. It retries for listenTimeout, as an earlier incarnation of the process may still use the address.
+// The error names the address.
 func listenRetrying(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	for began := time.Now(); ; {
@@ -61,7 +61,7 @@
 	}
 }
 
-// serveHTTP serves short calls until shutDownServers. A server that fails ends the process.
+// serveHTTP serves short calls until shutDownServers. If the server fails, awaitTermination returns its error.
 func (p *process) serveHTTP(handler http.Handler, listener net.Listener) {
 	server := &http.Server{
 		Handler:           handler,
@@ -77,7 +77,7 @@
 	})
 }
 
-// shutDownServers ends the servers of short calls: each call that was read is answered, for as long as ctx allows.
+// shutDownServers shuts down the servers of short calls. Each call that was read is answered; those that aren't when ctx ends are aborted.
 func (p *process) shutDownServers(ctx context.Context) {
 	for _, server := range p.httpServers {
 		if err := server.Shutdown(ctx); err != nil {
@@ -87,6 +87,7 @@
 	}
 }
 
+// closeServer closes a server with its connections.
 func (p *process) closeServer(server *http.Server) {
 	if err := server.Close(); err != nil && !isClosed(err) {
 		p.log.WithError(err).Debug("assembly: a server did not close")
--- a/internal/mesh/assembly/local_endpoint.go
+++ b/internal/mesh/assembly/local_endpoint.go
@@ -10,11 +10,11 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// maxEndedIDs is how many endpoint IDs that have ended are remembered.
+// maxEndedIDs is the number of ended endpoint IDs that are remembered.
 const maxEndedIDs = 16
 
-// localEndpoint decides which endpoint is the current one beside a sidecar. An endpoint gets a new ID at each start; its keepalives and
-// deregistrations may come late, by way of another process, and from what others remember of an earlier one.
+// localEndpoint decides which endpoint beside a sidecar is the current one. An endpoint gets a new ID at each start. Its keepalives and
+// deregistrations may arrive late, may be forwarded by other processes, and may be reported by others that remember an earlier endpoint.
 //
 //	(none) --keepalive--> serving --keepalive "draining"--> draining --deregistration--> ended
 //	                         \------------------deregistration, or a keepalive of a new ID----/
@@ -26,90 +26,91 @@
 	inbound *inbound.Proxy
 	agent   *agent.Agent
 
-	mu           sync.Mutex // guards what follows. Nothing that may call back is called with it
+	mu           sync.Mutex // guards the fields below; no function that may call localEndpoint is called with mu held
 	lastSequence uint64     // callSequence of the newest keepalive of the current ID
-	endedIDs     []string   // the oldest first
-	shuttingDown bool       // the sidecar is: nothing is published any more
+	endedIDs     []string   // the oldest first, up to maxEndedIDs
+	shuttingDown bool       // the sidecar is shutting down, and publishes no keepalive any more
 }
 
-// Keepalive takes a keepalive or a deregistration of the endpoint here (agent.LocalEndpoint), whether it came to this process or was
-// forwarded by another. It reports whether it is of the endpoint here; one that comes late is, and changes nothing.
-func (l *localEndpoint) Keepalive(e discovery.Endpoint) bool {
+// Keepalive implements agent.LocalEndpoint: it handles a keepalive or a deregistration that this process received, or that another
+// process forwarded. It reports whether that came from the endpoint here. One that arrives late changes nothing.
+func (l *localEndpoint) Keepalive(endpoint discovery.Endpoint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e.State == discovery.Deregistered {
-		return l.applyDeregistration(e)
+	if endpoint.State == discovery.Deregistered {
+		return l.applyDeregistration(endpoint)
 	}
-	if e.AppAddress != l.address {
+	if endpoint.AppAddress != l.address {
 		return false
 	}
 	current, _ := l.inbound.Endpoint()
-	late := e.ID == current.ID && e.Sequence < l.lastSequence && e.State == discovery.Serving
-	if !late && !slices.Contains(l.endedIDs, e.ID) {
-		l.applyKeepalive(e)
+	late := endpoint.ID == current.ID && endpoint.Sequence < l.lastSequence && endpoint.State == discovery.Serving
+	if !late && !slices.Contains(l.endedIDs, endpoint.ID) {
+		l.applyKeepalive(endpoint)
 	}
 	return true
 }
 
-// handleLeaving takes what others remember of an endpoint at this address: that it is draining, or has deregistered. It may be of an
-// earlier ID, which never replaces the current one: a draining one is taken only where the endpoint has sent no keepalive yet.
-func (l *localEndpoint) handleLeaving(e discovery.Endpoint) {
+// handleLeaving handles the record, from other processes, of an endpoint at this address that is draining or has deregistered
+// (agent.Config.OnEndpointLeaving). An earlier ID in such a record never replaces the current one: if it is draining, it becomes the
+// current one only if the endpoint here has not sent a keepalive yet.
+func (l *localEndpoint) handleLeaving(endpoint discovery.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	current, state := l.inbound.Endpoint()
-	if e.State == discovery.Deregistered {
-		if e.ID != current.ID || state != admission.Terminated {
-			l.applyDeregistration(e)
+	if endpoint.State == discovery.Deregistered {
+		if endpoint.ID != current.ID || state != admission.Terminated {
+			l.applyDeregistration(endpoint)
 		}
 		return
 	}
-	if e.State != discovery.Draining || slices.Contains(l.endedIDs, e.ID) {
+	if endpoint.State != discovery.Draining || slices.Contains(l.endedIDs, endpoint.ID) {
 		return
 	}
 	unknown := current.ID == ""
-	drainsNow := e.ID == current.ID && state < admission.Draining
+	drainsNow := endpoint.ID == current.ID && state < admission.Draining
 	if unknown || drainsNow {
-		l.applyKeepalive(e)
+		l.applyKeepalive(endpoint)
 	}
 }
 
-// applyDeregistration ends an endpoint ID. It reports whether the ID is of the endpoint here. The lock is held.
-func (l *localEndpoint) applyDeregistration(e discovery.Endpoint) bool {
+// applyDeregistration ends an endpoint ID, and reports whether that is one of the endpoint here. The caller holds the lock.
+func (l *localEndpoint) applyDeregistration(endpoint discovery.Endpoint) bool {
 	current, _ := l.inbound.Endpoint()
-	if e.ID == current.ID {
-		l.rememberEnded(e.ID)
+	if endpoint.ID == current.ID {
+		l.rememberEnded(endpoint.ID)
 		l.inbound.UpdateEndpoint(current, admission.Terminated)
-		l.agent.PublishEnd(e.ID, discovery.Deregistered)
+		l.agent.PublishEnd(endpoint.ID, discovery.Deregistered)
 		return true
 	}
-	// It is of an earlier ID, or of one that an earlier incarnation of this process knew. Without an address it is of the endpoint here,
-	// which alone calls so.
-	if e.AppAddress != "" && e.AppAddress != l.address {
+	// The ID is an earlier one, or one that an earlier incarnation of this process knew. A deregistration without an address was received
+	// over HTTP, from the endpoint here.
+	if endpoint.AppAddress != "" && endpoint.AppAddress != l.address {
 		return false
 	}
-	l.rememberEnded(e.ID)
+	l.rememberEnded(endpoint.ID)
 	return true
 }
 
-// applyKeepalive makes an endpoint the current one, or updates it. The lock is held.
-func (l *localEndpoint) applyKeepalive(e discovery.Endpoint) {
-	if current, _ := l.inbound.Endpoint(); e.ID != current.ID {
+// applyKeepalive makes an endpoint the current one, or updates it. The caller holds the lock.
+func (l *localEndpoint) applyKeepalive(endpoint discovery.Endpoint) {
+	if current, _ := l.inbound.Endpoint(); endpoint.ID != current.ID {
 		l.rememberEnded(current.ID)
 		l.lastSequence = 0
 	}
-	l.lastSequence = max(l.lastSequence, e.Sequence)
+	l.lastSequence = max(l.lastSequence, endpoint.Sequence)
 	state := admission.Serving
-	if e.State == discovery.Draining {
+	if endpoint.State == discovery.Draining {
 		state = admission.Draining
 	}
-	l.inbound.UpdateEndpoint(admission.Endpoint{ID: e.ID, Service: e.Service, Slots: e.Slots}, state)
+	l.inbound.UpdateEndpoint(admission.Endpoint{ID: endpoint.ID, Service: endpoint.Service, Slots: endpoint.Slots}, state)
 	if !l.shuttingDown {
-		e.Zone = l.zone
-		l.agent.Publish(e)
+		endpoint.Zone = l.zone
+		l.agent.Publish(endpoint)
 	}
 }
 
-// rememberEnded notes that an ID has ended: a keepalive of it may still come. The lock is held.
+// rememberEnded records that an ID has ended, as late keepalives of it may still arrive. The caller holds the lock.
 func (l *localEndpoint) rememberEnded(id string) {
 	if id == "" || slices.Contains(l.endedIDs, id) {
 		return
@@ -120,13 +121,14 @@
 	}
 }
 
-// shutDown has nothing published from now on.
+// shutDown makes localEndpoint publish no keepalive from now on.
 func (l *localEndpoint) shutDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shuttingDown = true
 }
 
+// isShuttingDown reports whether shutDown was called.
 func (l *localEndpoint) isShuttingDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/mesh/assembly/process.go
+++ b/internal/mesh/assembly/process.go
@@ -20,35 +20,36 @@
 )
 
 const (
-	maxCallBytes   = 68 << 20 // of the peers' calls at once: the largest body, and its header
-	gcPercent      = 150
-	heapFraction   = 0.6                   // of the machine's memory that the runtime keeps to
+	maxCallBytes   = 68 << 20              // bytes of all peers' calls that are in memory at once: the largest body, and its header
+	gcPercent      = 150                   // see debug.SetGCPercent
+	heapFraction   = 0.6                   // part of the machine's memory that is the runtime's soft limit
 	reloadInterval = 5 * time.Second       // between two reads of the settings file, which may change without a SIGHUP
-	taskTimeout    = 50 * time.Millisecond // to end the background tasks; one that hangs does not keep the process from its end
-	maxServerFails = 8                     // failures of servers that are kept until the process ends by the first one
+	taskTimeout    = 50 * time.Millisecond // for the background tasks to end; the process exits even if one hangs
+	maxServerFails = 8                     // capacity of serverErrors: more than there are servers, so that none of them blocks
 	bitsPerMegabit = 1e6
 )
 
-// process is what both programs have.
+// process holds what both programs have in common.
 type process struct {
-	settings     *settings.Settings // as the process was started with
+	settings     *settings.Settings // as they were at the start of the process
 	settingsPath string
 	signals      lifecycle.Signals
 	hub          *transport.Hub
 	log          *logrus.Logger
 	logRing      *logging.Ring
-	seed         uint64 // of all random numbers but the incarnation
+	seed         uint64 // of all random numbers except the incarnation
 
-	ctx    context.Context // done once the process is closed; the root of all contexts of its own
+	ctx    context.Context // ended by close; the parent of all contexts of the process
 	cancel context.CancelFunc
-	tasks  sync.WaitGroup // background goroutines; close waits for them
+	tasks  sync.WaitGroup // background goroutines; close waits for them, up to taskTimeout
 
 	listeners    []net.Listener
 	httpServers  []*http.Server
 	serverErrors chan error // of servers that have failed
 }
 
-// newProcess reads the settings file and makes what both programs have. The error names the file, and each field that can't be used.
+// newProcess reads the settings file and returns a process without servers and tasks. The error names the file, and each field that can't
+// be used.
 func newProcess(settingsPath string, signals lifecycle.Signals) (*process, error) {
 	loaded, err := settings.Load(settingsPath)
 	if err != nil {
@@ -58,7 +59,11 @@
 	debug.SetMemoryLimit(int64(heapFraction * float64(loaded.MemoryMB<<20)))
 	log, ring := logging.New(os.Stderr)
 	p := &process{
-		settings: loaded, settingsPath: settingsPath, signals: signals, log: log, logRing: ring,
+		settings:     loaded,
+		settingsPath: settingsPath,
+		signals:      signals,
+		log:          log,
+		logRing:      ring,
 		seed:         rand.Uint64(),
 		serverErrors: make(chan error, maxServerFails),
 	}
@@ -75,15 +80,14 @@
 	return p, nil
 }
 
-// run runs a background task until the process is closed. Its context ends then.
+// run starts a background task. Its context ends when the process is closed.
 func (p *process) run(task func(ctx context.Context)) {
 	p.tasks.Go(func() { task(p.ctx) })
 }
 
-// close ends what is left of the process: its links, listeners and background tasks. It is called after the shutdown, and where the
-// process could not start.
+// close ends the links, listeners and background tasks of the process. It is called after the shutdown, and if the process can't start.
 func (p *process) close() {
-	p.hub.Drain(p.hub.Now()) // without waiting for peers, which a shutdown has done
+	p.hub.Drain(p.hub.Now()) // without waiting for peers: an orderly shutdown has done that before
 	for _, listener := range p.listeners {
 		p.closeListener(listener)
 	}
@@ -99,7 +103,7 @@
 	}
 }
 
-// acceptLinks accepts links of other processes.
+// acceptLinks accepts links of other processes until close. If the listener fails, awaitTermination returns its error.
 func (p *process) acceptLinks(listener net.Listener) {
 	p.tasks.Go(func() {
 		if err := p.hub.Listen(listener); err != nil {
@@ -108,8 +112,8 @@
 	})
 }
 
-// handleReloads applies changes of the settings file, and dumps the log on SIGUSR1, until the process is closed: also while it starts
-// and while it shuts down.
+// handleReloads applies changes of the settings file, and dumps the log on SIGUSR1, until ctx ends. It runs as a task of the process, and
+// thus also while the process starts and shuts down.
 func (p *process) handleReloads(ctx context.Context, apply func(*settings.Settings)) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
@@ -127,7 +131,7 @@
 	}
 }
 
-// reload reads the settings file and applies it; one that can't be used changes nothing.
+// reload reads the settings file and applies it. A file that can't be used changes nothing.
 func (p *process) reload(apply func(*settings.Settings)) {
 	loaded, err := settings.Load(p.settingsPath)
 	if err != nil {
@@ -137,8 +141,8 @@
 	apply(loaded)
 }
 
-// awaitTermination returns when the process has to end: nil after SIGTERM, the error of a server that failed. Either way it shuts down
-// in order after that.
+// awaitTermination waits until the process has to end. It returns nil after SIGTERM, else the error of the server that failed. The process
+// is then to shut down in order in both cases.
 func (p *process) awaitTermination() error {
 	select {
 	case <-p.signals.Terminate:
@@ -149,7 +153,7 @@
 	}
 }
 
-// isClosed reports whether err only says that something was closed before.
+// isClosed reports whether err means that a listener or server was closed already.
 func isClosed(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)
 }
--- a/internal/mesh/assembly/replacement_test.go
+++ b/internal/mesh/assembly/replacement_test.go
@@ -15,85 +15,88 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// controlState reads the page of state of a control-plane process.
-func (t *testMesh) controlState(x *testMachine) (s agent.State, ok bool) {
-	status, page, err := t.get(x, "8105", "/mesh/state")
+// controlState reads the state of a control-plane process.
+func (t *testMesh) controlState(machine *testMachine) (s agent.State, ok bool) {
+	status, page, err := t.get(machine, "8105", "/mesh/state")
 	ok = err == nil && status == http.StatusOK && json.Unmarshal(page, &s) == nil
 	return s, ok
 }
 
-// retrieveConfiguration reads the newest configuration from a control-plane process; nil if it can't say.
-func (t *testMesh) retrieveConfiguration(x *testMachine) []byte {
-	status, body, err := t.get(x, "8105", "/configuration/retrieve")
+// retrieveConfiguration reads the newest configuration from a control-plane process; nil if that fails.
+func (t *testMesh) retrieveConfiguration(machine *testMachine) []byte {
+	status, body, err := t.get(machine, "8105", "/configuration/retrieve")
 	if err != nil || status != http.StatusOK {
 		return nil
 	}
 	return body
 }
 
-// waitForVoter waits until a control-plane process is, or isn't, one of three voters, as another one reports.
-func (t *testMesh) waitForVoter(asked, x *testMachine, want bool) {
+// waitForVoter waits until the process asked reports three voters, and that another process is, or isn't, one of them.
+func (t *testMesh) waitForVoter(asked, machine *testMachine, want bool) {
 	t.Helper()
-	t.waitFor("voters with "+x.name, func() bool {
+	t.waitFor("voters with "+machine.name, func() bool {
 		s, ok := t.controlState(asked)
-		return ok && s.Confirmed && len(s.Voters) == 3 && slices.Contains(s.Voters, x.ip+":8105") == want
+		return ok && s.Confirmed && len(s.Voters) == 3 && slices.Contains(s.Voters, machine.ip+":8105") == want
 	})
 }
 
 // restartWithEmptyDisk kills a control-plane process, starts it with an empty disk, and waits until it may vote again.
-func (t *testMesh) restartWithEmptyDisk(x *testMachine) {
+func (t *testMesh) restartWithEmptyDisk(machine *testMachine) {
 	t.Helper()
-	t.kill(x)
-	t.Assert(os.RemoveAll(t.dataDirectory(x)), qt.IsNil)
-	t.start(x)
-	t.waitFor(x.name+" is ready", func() bool {
-		s, ok := t.controlState(x)
+	t.kill(machine)
+	t.Assert(os.RemoveAll(t.dataDirectory(machine)), qt.IsNil)
+	t.start(machine)
+	t.waitFor(machine.name+" is ready", func() bool {
+		s, ok := t.controlState(machine)
 		return ok && s.Ready
 	})
 }
 
-// startStandby starts a control-plane process with an empty disk at an address of its own, which ends with the given number.
+// startStandby starts a control-plane process with an empty disk. ip is the last number of its address, with the dot before it.
 func (t *testMesh) startStandby(name, ip, zone string) *testMachine {
 	t.Helper()
-	x := &testMachine{name: name, role: "core", ip: t.subnet + ip, zone: zone}
-	t.machines[name] = x
-	t.start(x)
-	return x
+	machine := &testMachine{name: name, role: "core", ip: t.subnet + ip, zone: zone}
+	t.machines[name] = machine
+	t.start(machine)
+	return machine
 }
 
-// A control-plane process shuts down while a standby runs, another is lost for good and replaced; after each, one of those that are left
-// loses its disk. What was acknowledged is read back each time, complete, and the next change is accepted.
+// A control-plane process shuts down while a standby runs, and later another one is lost for good and replaced. After each of these events
+// one of the remaining processes loses its disk. Each time the acknowledged configuration is read back, and the next change is accepted.
 func TestControlMachinesAreReplaced(t *testing.T) {
-	m := newMesh(t, 4)
-	m.waitFirstConfiguration("", "k1")
-	a, b, c := m.machines["core-a"], m.machines["core-b"], m.machines["core-c"]
-	d := m.startStandby("core-d", ".4", "a")
-	m.waitFor("it is there, for a moment", func() bool {
-		s, ok := m.controlState(a)
-		return ok && s.Confirmed && slices.ContainsFunc(s.Members, func(x agent.MemberState) bool { return x.Address == d.ip+":7640" })
+	mesh := newMesh(t, 4)
+	mesh.waitFirstConfiguration("", "k1")
+	coreA, coreB, coreC := mesh.machines["core-a"], mesh.machines["core-b"], mesh.machines["core-c"]
+	coreD := mesh.startStandby("core-d", ".4", "a")
+	mesh.waitFor("it is there, for a moment", func() bool {
+		s, ok := mesh.controlState(coreA)
+		isCoreD := func(member agent.MemberState) bool { return member.Address == coreD.ip+":7640" }
+		return ok && s.Confirmed && slices.ContainsFunc(s.Members, isCoreD)
 	})
-	m.waitForVoter(b, a, true)
+	mesh.waitForVoter(coreB, coreA, true)
 	began := time.Now()
-	m.Assert(a.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
-	m.Assert(a.cmd.Wait(), qt.IsNil)
-	m.Check(time.Since(began) < 5*time.Second, qt.IsTrue)
-	a.cmd = nil
-	s, ok := m.controlState(b) // it has handed its vote over before it ended
-	m.Assert(ok && s.Confirmed, qt.IsTrue)
-	m.Check(slices.Contains(s.Voters, a.ip+":8105"), qt.IsFalse)
-	m.Check(slices.Contains(s.Voters, d.ip+":8105"), qt.IsTrue)
-	m.restartWithEmptyDisk(c)
-	m.waitFor("a change", func() bool { return m.replaceConfiguration(1, m.configuration(2, "", "k2")) == http.StatusOK })
-	m.waitFor("it is read back", func() bool { return bytes.Equal(m.retrieveConfiguration(c), m.configuration(2, "", "k2")) })
+	mesh.Assert(coreA.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
+	mesh.Assert(coreA.cmd.Wait(), qt.IsNil)
+	mesh.Check(time.Since(began) < 5*time.Second, qt.IsTrue)
+	coreA.cmd = nil
+	s, ok := mesh.controlState(coreB) // it has handed its vote over before it ended
+	mesh.Assert(ok && s.Confirmed, qt.IsTrue)
+	mesh.Check(slices.Contains(s.Voters, coreA.ip+":8105"), qt.IsFalse)
+	mesh.Check(slices.Contains(s.Voters, coreD.ip+":8105"), qt.IsTrue)
+	mesh.restartWithEmptyDisk(coreC)
+	mesh.waitFor("a change", func() bool { return mesh.replaceConfiguration(1, mesh.configuration(2, "", "k2")) == http.StatusOK })
+	mesh.waitFor("it is read back", func() bool { return bytes.Equal(mesh.retrieveConfiguration(coreC), mesh.configuration(2, "", "k2")) })
 
-	m.kill(b)
-	m.Assert(os.RemoveAll(m.dataDirectory(b)), qt.IsNil)
-	e := m.startStandby("core-e", ".5", "b")
-	m.waitForVoter(d, e, true)
-	m.waitForVoter(d, b, false)
-	m.waitFor("another change", func() bool { return m.replaceConfiguration(2, m.configuration(3, "", "k3")) == http.StatusOK })
-	m.restartWithEmptyDisk(d)
-	m.waitFor("it is read back by the one without a disk", func() bool { return bytes.Equal(m.retrieveConfiguration(d), m.configuration(3, "", "k3")) })
-	m.waitFor("and the next change is taken", func() bool { return m.replaceConfiguration(3, m.configuration(4, "", "k4")) == http.StatusOK })
+	mesh.kill(coreB)
+	mesh.Assert(os.RemoveAll(mesh.dataDirectory(coreB)), qt.IsNil)
+	coreE := mesh.startStandby("core-e", ".5", "b")
+	mesh.waitForVoter(coreD, coreE, true)
+	mesh.waitForVoter(coreD, coreB, false)
+	mesh.waitFor("another change", func() bool { return mesh.replaceConfiguration(2, mesh.configuration(3, "", "k3")) == http.StatusOK })
+	mesh.restartWithEmptyDisk(coreD)
+	mesh.waitFor("the process without a disk reads it back", func() bool {
+		return bytes.Equal(mesh.retrieveConfiguration(coreD), mesh.configuration(3, "", "k3"))
+	})
+	mesh.waitFor("the next change", func() bool { return mesh.replaceConfiguration(3, mesh.configuration(4, "", "k4")) == http.StatusOK })
 	t.Logf("took %v", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/mesh/assembly/sidecar.go
+++ b/internal/mesh/assembly/sidecar.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	bodyMemoryFraction = 0.3      // of the machine's memory, for bodies of clients' requests
-	minBodyMemoryBytes = 68 << 20 // the largest body that there may be
+	bodyMemoryFraction = 0.3      // part of the machine's memory for the bodies of clients' requests
+	minBodyMemoryBytes = 68 << 20 // bytes of the largest body that a configuration may allow
 )
 
 // sidecar is the process beside an endpoint.
@@ -60,7 +60,7 @@
 	return err
 }
 
-// newSidecar connects a sidecar's parts to each other.
+// newSidecar returns a sidecar, whose parts are connected with each other and not running yet.
 func newSidecar(p *process) *sidecar {
 	s := &sidecar{process: p}
 	s.inbound = inbound.New(p.settings.ApplicationAddress, p.hub.Now, p.log, func(endpointID string) {
@@ -69,7 +69,11 @@
 	s.outbound = outbound.New(s.outboundOptions())
 	s.local = &localEndpoint{address: p.settings.ApplicationAddress, zone: p.settings.Zone, inbound: s.inbound}
 	s.agent = agent.New(agent.Config{
-		Settings: p.settings, Hub: p.hub, Role: membership.RoleAccess, Log: p.log, Seed: p.seed,
+		Settings:           p.settings,
+		Hub:                p.hub,
+		Role:               membership.RoleAccess,
+		Log:                p.log,
+		Seed:               p.seed,
 		OnConfiguration:    func(c *configuration.Config) { s.outbound.Configure(c) },
 		OnEndpointsChanged: s.outbound.UpdateEndpoints,
 		OnSidecarCount:     s.outbound.SetSidecarCount,
@@ -81,21 +85,27 @@
 	return s
 }
 
+// outboundOptions returns the options of the outbound proxy. Their functions are called once the agent and the quota client are set.
 func (s *sidecar) outboundOptions() outbound.Options {
 	return outbound.Options{
-		Hub: s.hub, Inbound: s.inbound, Bounds: s.settings.Bounds, Service: s.settings.Service, Log: s.log, Seed: s.seed,
+		Hub:              s.hub,
+		Inbound:          s.inbound,
+		Bounds:           s.settings.Bounds,
+		Service:          s.settings.Service,
+		Log:              s.log,
+		Seed:             s.seed,
 		MaxBodyBytes:     max(int64(bodyMemoryFraction*float64(s.settings.MemoryMB<<20)), minBodyMemoryBytes),
 		RefreshEndpoints: func(service string) { s.agent.Refresh(service) },
 		AcquireQuota:     func(t *configuration.Tenant, done func(bool, time.Duration)) { s.quota.Acquire(t, done) },
 	}
 }
 
-// applySettings takes what may change while a sidecar runs: the seeds.
+// applySettings applies the settings that may change while a sidecar runs: the seeds.
 func (s *sidecar) applySettings(changed *settings.Settings) {
 	s.agent.SetSeeds(changed.SeedAddresses())
 }
 
-// serveClients serves the requests of clients and of the endpoint here.
+// serveClients serves the requests of clients and of the endpoint here. If the server fails, awaitTermination returns its error.
 func (s *sidecar) serveClients(listener net.Listener) {
 	s.tasks.Go(func() {
 		if err := s.outbound.Server().Serve(listener); err != nil {
@@ -104,7 +114,8 @@
 	})
 }
 
-// serveReadiness answers the platform: 200 while the sidecar has a configuration and is not shutting down, 503 else.
+// serveReadiness answers the platform's readiness probes: 200 while the sidecar has applied a configuration and is not shutting down, else
+// 503.
 func (s *sidecar) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if s.local.isShuttingDown() || s.outbound.Config() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/mesh/assembly/sidecar_shutdown.go
+++ b/internal/mesh/assembly/sidecar_shutdown.go
@@ -9,20 +9,20 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// How a sidecar divides the grace time between SIGTERM and SIGKILL. Each length is at most a fraction of a short grace time.
+// The steps by which a sidecar divides the grace time, from SIGTERM to SIGKILL. With a short grace time they are fractions of it.
 const (
-	readinessNotice      = 2400 * time.Millisecond // the platform probes each second, and sends no clients after two failures
-	answerMargin         = 900 * time.Millisecond  // for answers that are being written to go out, also over a slow link
-	answerDivisor        = 7                       // a seventh of a short grace time: requests are to have five sixths of it at least
-	exitMargin           = 250 * time.Millisecond
-	exitDivisor          = 12
-	shutdownPollInterval = 20 * time.Millisecond
+	readinessNotice      = 2400 * time.Millisecond // the platform probes every second, and sends no clients after two failed probes
+	answerMargin         = 900 * time.Millisecond  // before SIGKILL, to send the answers that are being written, also over a slow link
+	answerDivisor        = 7                       // answerMargin is this part of a short grace time: requests get five sixths at least
+	exitMargin           = 250 * time.Millisecond  // before SIGKILL
+	exitDivisor          = 12                      // exitMargin is this part of a short grace time
+	shutdownPollInterval = 20 * time.Millisecond   // between two checks whether a step is complete
 )
 
-// shutdownPlan is when a sidecar takes the steps of its shutdown, on the process's clock.
+// shutdownPlan holds the times of a sidecar's shutdown, on the process's clock. Invariant: rejectFrom < answersDue < exitBy.
 type shutdownPlan struct {
-	rejectFrom time.Duration // requests that come from then on are rejected
-	answersDue time.Duration // each request that was read has its outcome
+	rejectFrom time.Duration // later requests are rejected
+	answersDue time.Duration // each request that was read has its outcome by then
 	exitBy     time.Duration // the process ends, whether or not clients have read their answers
 }
 
@@ -35,16 +35,17 @@
 	}
 }
 
-// shutDown ends the sidecar in order. It reports not ready and serves on until clients go elsewhere, rejects later requests, and ends
-// once each request that was read has its answer; answers of the endpoint here go out to its callers as well.
+// shutDown shuts down the sidecar in order. The sidecar reports that it is not ready, and serves requests until clients go to other
+// sidecars; it rejects later requests, and waits until each request that was read has its answer, including those that other sidecars
+// have sent to the endpoint here.
 func (s *sidecar) shutDown(clients net.Listener) {
 	plan := planShutdown(s.hub.Now(), s.settings.Bounds.Grace)
 	s.local.shutDown()
 	s.outbound.ShutDownBy(plan.answersDue)
 	if endpoint, _ := s.inbound.Endpoint(); endpoint.ID != "" {
-		s.agent.PublishEnd(endpoint.ID, discovery.Crashed) // not Deregistered: it may go on under the sidecar's next start
+		s.agent.PublishEnd(endpoint.ID, discovery.Crashed) // not Deregistered: the endpoint may go on beside the next incarnation
 	}
-	s.waitUntil(plan.rejectFrom, func() bool { return false }) // the whole time: readiness probes are to fail first
+	s.waitUntil(plan.rejectFrom, func() bool { return false }) // without polling: the readiness probes are to fail first
 	s.rejectNewRequests()
 	s.waitUntil(plan.answersDue, func() bool { return s.outbound.OpenRequests() == 0 && s.inbound.Pending() == 0 })
 	s.closeListener(clients)
@@ -56,7 +57,7 @@
 	s.hub.Drain(plan.exitBy)
 }
 
-// rejectNewRequests has clients' requests, and others' for the endpoint here, rejected from now on.
+// rejectNewRequests makes the sidecar reject new requests of clients, and those of other sidecars for the endpoint here.
 func (s *sidecar) rejectNewRequests() {
 	s.outbound.RejectNewRequests()
 	if endpoint, state := s.inbound.Endpoint(); endpoint.ID != "" && state != admission.Terminated {
@@ -64,7 +65,7 @@
 	}
 }
 
-// waitUntil returns when done says so, at the given time at the latest.
+// waitUntil waits until done returns true, at most until the given time.
 func (s *sidecar) waitUntil(at time.Duration, done func() bool) {
 	for s.hub.Now() < at && !done() {
 		time.Sleep(shutdownPollInterval)
--- a/internal/mesh/assembly/testmesh_test.go
+++ b/internal/mesh/assembly/testmesh_test.go
@@ -23,7 +23,7 @@
 	"quincegap/internal/standin/application"
 )
 
-// The test program is also the two programs that it tests, by the role in its environment.
+// TestMain makes the test program also the two programs that it tests: with a role in its environment it runs that one.
 func TestMain(m *testing.M) {
 	run := map[string]func(string, lifecycle.Signals) error{"access": RunSidecar, "core": RunControlPlane}[os.Getenv("MESH_TEST_ROLE")]
 	if run == nil {
@@ -40,10 +40,10 @@
 	}
 }
 
-// coreZones are the zones of the control-plane machines, which are named after them.
+// coreZones are the zones of the control-plane machines core-a, core-b and core-c.
 var coreZones = []string{"a", "b", "c"}
 
-// testMesh is a small system of real processes on loopback, each machine with an address of its own.
+// testMesh is a small mesh of real processes on loopback, with an address for each machine.
 type testMesh struct {
 	*qt.C
 	folder       string
@@ -59,114 +59,133 @@
 // testMachine is a machine of the mesh, with one process.
 type testMachine struct {
 	name, role, ip, zone string
-	service              string    // of the endpoint on it; empty for none
-	initial              bool      // the process has not been started yet
+	service              string    // of the endpoint on it; empty without one
+	initial              bool      // the next start is the first one of the whole system
 	cmd                  *exec.Cmd // nil while no process runs
 }
 
-// newMesh starts the n-th mesh of this test process. Its addresses are of this test process alone, so that several may run on a machine.
+// newMesh starts the n-th mesh of this test process. Its addresses depend on the process ID, so that several may run on a machine.
 func newMesh(t *testing.T, n int) *testMesh {
 	t.Helper()
 	return newMeshWith(t, n, "", "")
 }
 
-// newMeshWith is newMesh with further lines of the settings' limitSet and boundSet.
+// newMeshWith is newMesh with further lines for the settings' limitSet and boundSet.
 func newMeshWith(t *testing.T, n int, limits, bounds string) *testMesh {
 	t.Helper()
 	subnet := fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, os.Getpid()/200%80*3+n)
-	m := &testMesh{
-		C: qt.New(t), folder: t.TempDir(), subnet: subnet, machines: map[string]*testMachine{}, applications: map[string]*application.Endpoint{},
-		limits: limits, bounds: bounds,
+	mesh := &testMesh{
+		C:            qt.New(t),
+		folder:       t.TempDir(),
+		subnet:       subnet,
+		machines:     map[string]*testMachine{},
+		applications: map[string]*application.Endpoint{},
+		limits:       limits,
+		bounds:       bounds,
 	}
 	t.Cleanup(func() {
-		for _, x := range m.machines {
-			m.kill(x)
+		for _, x := range mesh.machines {
+			mesh.kill(x)
 		}
-		for _, a := range m.applications {
+		for _, a := range mesh.applications {
 			a.Crash()
 		}
 	})
 	for i, zone := range coreZones {
-		m.addMachine("core-"+zone, "core", fmt.Sprintf("%s.%d", subnet, i+1), zone, "")
+		mesh.addMachine("core-"+zone, "core", fmt.Sprintf("%s.%d", subnet, i+1), zone, "")
 	}
 	for i, service := range []string{"desk", "desk", "board", "board"} {
-		m.addMachine(fmt.Sprintf("access-%d", i), "access", fmt.Sprintf("%s.%d", subnet, i+11), string(rune('a'+i%3)), service)
+		mesh.addMachine(fmt.Sprintf("access-%d", i), "access", fmt.Sprintf("%s.%d", subnet, i+11), string(rune('a'+i%3)), service)
 	}
-	return m
+	return mesh
 }
 
-// addMachine starts a machine, and the endpoint on it where it has a service.
+// addMachine starts the process on a machine, and the endpoint if it has a service.
 func (t *testMesh) addMachine(name, role, ip, zone, service string) {
-	x := &testMachine{name: name, role: role, ip: ip, zone: zone, service: service, initial: true}
-	t.machines[name] = x
-	t.start(x)
+	machine := &testMachine{name: name, role: role, ip: ip, zone: zone, service: service, initial: true}
+	t.machines[name] = machine
+	t.start(machine)
 	if service != "" {
-		t.startApplication(x, "i-"+name)
+		t.startApplication(machine, "i-"+name)
 	}
 }
 
 // startApplication starts the endpoint on a machine.
-func (t *testMesh) startApplication(x *testMachine, id string) {
-	a, err := application.Start(application.Options{
-		ID: id, Service: x.service, Zone: x.zone, Address: x.ip + ":8103", Slots: 4,
-		Outbound: x.ip + ":8106", Control: []string{x.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"}, HeartbeatInterval: 150 * time.Millisecond,
+func (t *testMesh) startApplication(machine *testMachine, id string) {
+	endpoint, err := application.Start(application.Options{
+		ID:                id,
+		Service:           machine.service,
+		Zone:              machine.zone,
+		Address:           machine.ip + ":8103",
+		Slots:             4,
+		Outbound:          machine.ip + ":8106",
+		Control:           []string{machine.ip + ":8105", t.subnet + ".1:8105", t.subnet + ".2:8105"},
+		HeartbeatInterval: 150 * time.Millisecond,
 	})
 	t.Assert(err, qt.IsNil)
-	t.applications[x.name] = a
+	t.applications[machine.name] = endpoint
 }
 
-// settingsText is the settings file of a machine.
-func (t *testMesh) settingsText(x *testMachine) string {
+// settingsText returns the settings file of a machine.
+func (t *testMesh) settingsText(machine *testMachine) string {
 	data := ""
-	if x.role == "core" {
-		data = fmt.Sprintf("dataDirectory = %q\n", t.dataDirectory(x))
+	if machine.role == "core" {
+		data = fmt.Sprintf("dataDirectory = %q\n", t.dataDirectory(machine))
 	}
 	text := fmt.Sprintf("[ownNode]\nnodeName = %q\nrole = %q\nipAddress = %q\nzone = %q\nregion = \"r\"\ninitialStart = %v\n%s",
-		x.name, x.role, x.ip, x.zone, x.initial, data)
-	if x.role == "access" {
-		text += fmt.Sprintf("applicationAddr = \"%s:8103\"\nserviceName = %q\n", x.ip, x.service)
+		machine.name, machine.role, machine.ip, machine.zone, machine.initial, data)
+	if machine.role == "access" {
+		text += fmt.Sprintf("applicationAddr = \"%s:8103\"\nserviceName = %q\n", machine.ip, machine.service)
 	}
-	return text + fmt.Sprintf("[ownNode.limitSet]\nmemoryMb = 280\n%s[network]\ninternalPorts = [7640, 7655]\nseedNodes = [\"%s.1:8105\", \"%s.2:8105\", \"%s.3:8105\"]\n"+
-		"[network.listenAddresses]\ncontrol = \"%s:8105\"\noutbound = \"%s:8106\"\nreadiness = \"%s:8100\"\n[network.zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[termTable.boundSet]\n%s",
-		t.limits, t.subnet, t.subnet, t.subnet, x.ip, x.ip, x.ip, t.bounds)
+	text += "[ownNode.limitSet]\nmemoryMb = 280\n" + t.limits
+	text += fmt.Sprintf("[network]\ninternalPorts = [7640, 7655]\nseedNodes = [\"%s.1:8105\", \"%s.2:8105\", \"%s.3:8105\"]\n",
+		t.subnet, t.subnet, t.subnet)
+	text += fmt.Sprintf("[network.listenAddresses]\ncontrol = \"%s:8105\"\noutbound = \"%s:8106\"\nreadiness = \"%s:8100\"\n",
+		machine.ip, machine.ip, machine.ip)
+	return text + "[network.zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[termTable.boundSet]\n" + t.bounds
 }
 
-// dataDirectory is the directory on the disk of a control-plane machine.
-func (t *testMesh) dataDirectory(x *testMachine) string { return filepath.Join(t.folder, x.name) }
+// dataDirectory returns the data directory of a control-plane machine.
+func (t *testMesh) dataDirectory(machine *testMachine) string {
+	return filepath.Join(t.folder, machine.name)
+}
 
 // start starts a machine's process.
-func (t *testMesh) start(x *testMachine) {
+func (t *testMesh) start(machine *testMachine) {
 	t.Helper()
-	if x.role == "core" {
-		t.Assert(os.MkdirAll(t.dataDirectory(x), 0o755), qt.IsNil)
+	if machine.role == "core" {
+		t.Assert(os.MkdirAll(t.dataDirectory(machine), 0o755), qt.IsNil)
 	}
-	path := filepath.Join(t.folder, x.name+".toml")
-	t.Assert(os.WriteFile(path, []byte(t.settingsText(x)), 0o644), qt.IsNil)
-	if err := os.Remove(t.signalsFile(x)); !errors.Is(err, fs.ErrNotExist) {
+	path := filepath.Join(t.folder, machine.name+".toml")
+	t.Assert(os.WriteFile(path, []byte(t.settingsText(machine)), 0o644), qt.IsNil)
+	if err := os.Remove(t.signalsFile(machine)); !errors.Is(err, fs.ErrNotExist) {
 		t.Assert(err, qt.IsNil)
 	}
-	x.cmd = exec.CommandContext(t.Context(), os.Args[0])
-	x.cmd.Env = append(os.Environ(), "MESH_TEST_ROLE="+x.role, settings.EnvironmentVariable+"="+path, "MESH_TEST_CAUGHT="+t.signalsFile(x))
-	x.cmd.Stderr = os.Stderr
-	t.Assert(x.cmd.Start(), qt.IsNil)
-	x.initial = false
+	machine.cmd = exec.CommandContext(t.Context(), os.Args[0])
+	machine.cmd.Env = append(os.Environ(),
+		"MESH_TEST_ROLE="+machine.role,
+		settings.EnvironmentVariable+"="+path,
+		"MESH_TEST_CAUGHT="+t.signalsFile(machine))
+	machine.cmd.Stderr = os.Stderr
+	t.Assert(machine.cmd.Start(), qt.IsNil)
+	machine.initial = false
 }
 
-// signalsFile is made by a machine's process once it catches signals.
-func (t *testMesh) signalsFile(x *testMachine) string {
-	return filepath.Join(t.folder, x.name+".caught")
+// signalsFile returns the path of the file that a machine's process writes once it catches signals.
+func (t *testMesh) signalsFile(machine *testMachine) string {
+	return filepath.Join(t.folder, machine.name+".caught")
 }
 
-// kill ends a machine's process as a loss of power does; its disk stays.
-func (t *testMesh) kill(x *testMachine) {
-	if x.cmd != nil {
-		_ = x.cmd.Process.Kill() // it may have ended
-		_ = x.cmd.Wait()         // by the signal
-		x.cmd = nil
+// kill ends a machine's process without a shutdown. Its disk stays.
+func (t *testMesh) kill(machine *testMachine) {
+	if machine.cmd != nil {
+		_ = machine.cmd.Process.Kill() // fails if the process has ended
+		_ = machine.cmd.Wait()         // reports the signal
+		machine.cmd = nil
 	}
 }
 
-// waitFor waits until ok, at most twenty seconds.
+// waitFor waits until ok returns true, and fails the test after twenty seconds. what names the condition.
 func (t *testMesh) waitFor(what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); {
@@ -181,7 +200,7 @@
 	}
 }
 
-// logState logs what the control plane holds.
+// logState logs the states of the control-plane processes.
 func (t *testMesh) logState() {
 	t.Helper()
 	for _, zone := range coreZones {
@@ -191,22 +210,22 @@
 	}
 }
 
-// get reads a page of a machine's process.
-func (t *testMesh) get(x *testMachine, port, path string) (status int, body []byte, err error) {
-	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+x.ip+":"+port+path, nil)
+// get sends a GET request to a port of a machine's process.
+func (t *testMesh) get(machine *testMachine, port, path string) (status int, body []byte, err error) {
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+machine.ip+":"+port+path, nil)
 	t.Check(err, qt.IsNil)
-	return exchangeHTTP(http.DefaultClient, q)
+	return exchangeHTTP(http.DefaultClient, request)
 }
 
-// dial connects to a sidecar as a client.
-func (t *testMesh) dial(x *testMachine) (net.Conn, error) {
+// dial connects to a sidecar as a client does.
+func (t *testMesh) dial(machine *testMachine) (net.Conn, error) {
 	var dialer net.Dialer
-	return dialer.DialContext(t.Context(), "tcp4", x.ip+":8106")
+	return dialer.DialContext(t.Context(), "tcp4", machine.ip+":8106")
 }
 
-// exchangeHTTP sends a request and reads its answer to the end.
-func exchangeHTTP(client *http.Client, q *http.Request) (status int, body []byte, err error) {
-	r, err := client.Do(q)
+// exchangeHTTP sends a request and reads its complete answer.
+func exchangeHTTP(client *http.Client, request *http.Request) (status int, body []byte, err error) {
+	r, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -214,30 +233,30 @@
 	return r.StatusCode, body, errors.Join(err, r.Body.Close())
 }
 
-// response is what a client got.
+// response is the answer to a client's request.
 type response struct {
-	status int // -1 for no answer
+	status int // -1 without an answer
 	body   string
 	header http.Header
 }
 
-// send sends a request by a machine's sidecar, on a connection of its own.
+// send sends a request to a machine's sidecar, on a new connection. It returns the answer and the request's ID.
 func (t *testMesh) send(name, method, path, key string, body []byte) (a response, id string) {
 	t.mu.Lock()
 	t.requestCount++
 	id = fmt.Sprintf("%016x", t.requestCount)
 	t.mu.Unlock()
-	q, err := http.NewRequestWithContext(t.Context(), method, "http://"+t.machines[name].ip+":8106"+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+t.machines[name].ip+":8106"+path, bytes.NewReader(body))
 	t.Check(err, qt.IsNil)
-	q.Host = "shop.example"
-	q.Close = true
-	q.Header.Set("Attempt-Id", id)
-	q.Header.Set("Time-Remaining", "2000")
+	request.Host = "shop.example"
+	request.Close = true
+	request.Header.Set("Attempt-Id", id)
+	request.Header.Set("Time-Remaining", "2000")
 	if key != "" {
-		q.Header.Set("Key", key)
+		request.Header.Set("Key", key)
 	}
 	client := http.Client{Timeout: 5 * time.Second}
-	r, err := client.Do(q)
+	r, err := client.Do(request)
 	if err != nil {
 		return response{status: -1, body: err.Error()}, id
 	}
@@ -248,23 +267,29 @@
 	return response{r.StatusCode, string(text), r.Header}, id
 }
 
-// configuration is a configuration with routes for reading and booking, and what a change adds.
+// configuration returns a configuration with an idempotent route /read/ to the service board and a non-idempotent one /book/ to the
+// service desk. extra is the JSON of further routes, which begins with a comma; keys are the access keys of the tenant.
 func (t *testMesh) configuration(version int, extra string, keys ...string) []byte {
-	k, _ := json.Marshal(keys)
+	accessKeys, err := json.Marshal(keys)
+	t.Assert(err, qt.IsNil)
 	return fmt.Appendf(nil, `{"configVersion":"r%d","routeTable":[
-		{"name":"read","hostName":"shop.example","pathPrefix":"/read/","routeKind":"idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"board","maxAttempts":2,"publicAccess":false},
-		{"name":"book","hostName":"shop.example","pathPrefix":"/book/","routeKind":"non_idempotent","timeout":"2000ms","target":"500ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}%s],
-		"serviceTable":[{"name":"desk","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false},{"name":"board","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
+		{"name":"read","hostName":"shop.example","pathPrefix":"/read/","routeKind":"idempotent",
+			"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"board","maxAttempts":2,"publicAccess":false},
+		{"name":"book","hostName":"shop.example","pathPrefix":"/book/","routeKind":"non_idempotent",
+			"timeout":"2000ms","target":"500ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}%s],
+		"serviceTable":[
+			{"name":"desk","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false},
+			{"name":"board","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 		"limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":100000,"headerTimeout":"3000ms","idleTimeout":"15000ms"},
-		"tenantTable":[{"name":"north","accessKeys":%s,"priority":1,"ratePerS":500,"burstSize":500}]}`, version, extra, k)
+		"tenantTable":[{"name":"north","accessKeys":%s,"priority":1,"ratePerS":500,"burstSize":500}]}`, version, extra, accessKeys)
 }
 
-// longRoute is a further route, whose requests may take long.
+// longRoute is the JSON of a further route, whose requests may take long.
 const longRoute = `,{"name":"long","hostName":"shop.example","pathPrefix":"/book/long/","routeKind":"non_idempotent",` +
 	`"timeout":"15000ms","target":"300ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}`
 
-// replaceConfiguration has an operator replace the configuration at any control-plane process that answers; without a clear answer the
-// call is repeated unchanged, as operators do.
+// replaceConfiguration replaces the configuration as an operator does, at any control-plane process that answers. Without a clear answer it
+// repeats the call, unchanged. It returns the status of the answer.
 func (t *testMesh) replaceConfiguration(base int, config []byte) (status int) {
 	for range 10 {
 		for _, zone := range coreZones {
@@ -286,16 +311,17 @@
 	return status
 }
 
-// replaceAt is the call at one process; ok is false if it got no answer.
-func (t *testMesh) replaceAt(x *testMachine, base int, config []byte) (status int, ok bool) {
-	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+x.ip+":8105/configuration/replace", bytes.NewReader(config))
+// replaceAt replaces the configuration at one process. ok is false without an answer.
+func (t *testMesh) replaceAt(machine *testMachine, base int, config []byte) (status int, ok bool) {
+	url := "http://" + machine.ip + ":8105/configuration/replace"
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, bytes.NewReader(config))
 	t.Check(err, qt.IsNil)
-	q.Header.Set("Base-Version", fmt.Sprintf("r%d", base))
-	status, _, err = exchangeHTTP(&http.Client{Timeout: 3 * time.Second}, q)
+	request.Header.Set("Base-Version", fmt.Sprintf("r%d", base))
+	status, _, err = exchangeHTTP(&http.Client{Timeout: 3 * time.Second}, request)
 	return status, err == nil
 }
 
-// waitFirstConfiguration has operators send the first configuration until it is accepted.
+// waitFirstConfiguration sends the first configuration until it is accepted.
 func (t *testMesh) waitFirstConfiguration(extra string, keys ...string) {
 	t.Helper()
 	t.waitFor("the first configuration", func() bool {
