--- a/internal/mesh/assembly/inflight_test.go
+++ b/internal/mesh/assembly/inflight_test.go
@@ -29,9 +29,10 @@
 		}
 		return runs, abandoned
 	}
-	// A single endpoint doesn't run all of the requests at once, so the client's sidecar has to know both.
+	// A single endpoint doesn't run all of the requests at once, so the client's sidecar has to know both. Requests that are sent one after
+	// the other may all go to the endpoint that answers faster; of those that are sent at once some go to the other.
 	mesh.waitFor("both endpoints have run a request", func() bool {
-		mesh.send("access-0", "GET", "/read/x", "k1", nil)
+		mesh.sendAtOnce(2*clients, "access-0", "/read/x")
 		return len(mesh.applications["access-2"].Executions()) > 0 && len(mesh.applications["access-3"].Executions()) > 0
 	})
 	for _, name := range endpoints {
--- a/internal/mesh/assembly/testmesh_test.go
+++ b/internal/mesh/assembly/testmesh_test.go
@@ -267,6 +267,15 @@
 	return response{r.StatusCode, string(text), r.Header}, id
 }
 
+// sendAtOnce sends GET requests to a machine's sidecar, all at once, and waits for the answers.
+func (t *testMesh) sendAtOnce(count int, name, path string) {
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	for range count {
+		requests.Go(func() { t.send(name, "GET", path, "k1", nil) })
+	}
+}
+
 // configuration returns a configuration with an idempotent route /read/ to the service board and a non-idempotent one /book/ to the
 // service desk. extra is the JSON of further routes, which begins with a comma; keys are the access keys of the tenant.
 func (t *testMesh) configuration(version int, extra string, keys ...string) []byte {
