--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// tickInterval is the time between two looks at what is to be sent.
+// tickInterval is the time after which Agent.Run sends what is due, unless it is woken before.
 const tickInterval = 100 * time.Millisecond
 
 // Agent is one process's part in the control plane. Its methods may be called from any goroutine.
@@ -61,7 +61,7 @@
 	}
 }
 
-// sendDue sends the shuffles, endpoint records and subscriptions that are due, and notifies of changes.
+// sendDue sends the shuffles, endpoint records and subscribe requests that are due, and notifies subscribers of changes.
 func (a *Agent) sendDue() {
 	a.configuration.finishPoll()
 	due := a.takeDue()
