--- a/internal/mesh/control/controlplane/acceptor.go
+++ b/internal/mesh/control/controlplane/acceptor.go
@@ -11,59 +11,59 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// maxQueuedJobs is how many requests wait for the disk at most; further ones are rejected.
+// maxQueuedJobs is how many jobs wait for the disk, at most; further ones are rejected.
 const maxQueuedJobs = 64
 
-// errRecordExists is the error of a recovery whose record is not needed any more.
+// errRecordExists is the error of install if the acceptor has a record already.
 var errRecordExists = &trace.AlreadyExistsError{Message: "the record is here"}
 
-// acceptor is this process's vote. Its goroutine (run) alone has the record and uses the disk; others hand jobs to it and read a
-// copy of its status.
+// acceptor owns this process's record: what it promised and accepted. Only its goroutine (run) uses the record and the disk. Other
+// goroutines submit jobs to it, and read a copy of its status.
 //
-// State and vote are written on their own, as a promise would otherwise write the whole configuration. After a write that failed
-// the disk may hold the old part or the new one. To go on with the old one in memory would be wrong: if the acceptor promised a
-// higher ballot without reporting a vote that is on disk, and found that vote at its next start, a reader could take it for
-// committed. So both parts are read again, and written again, before anything else is answered.
+// State and vote are written separately, as a promise would otherwise write the whole configuration. After a failed write the disk
+// may hold the old part or the new one. The acceptor must not continue with the old part in memory: it could promise a higher
+// ballot without reporting a vote that is on disk; if it found that vote at its next start, a reader could consider it committed.
+// So both parts are read and written again before any other request is answered.
 type acceptor struct {
 	log           *logrus.Logger
 	lifetime      *lifetime
 	backoff       *backoff
 	learner       *learner
 	observeBallot func(consensus.Ballot)
-	makeRecord    func(diskIncarnation uint64, blankDisk bool) // a recovery: it returns at once and installs a record later
+	makeRecord    func(diskIncarnation uint64, blankDisk bool) // starts a recovery, which installs a record later
 	self          string
-	initialStart  bool     // of the whole system
-	initialVoters []string // of the whole system
+	initialStart  bool     // the whole system starts for the first time
+	initialVoters []string // of that start
 	jobs          chan *acceptorJob
 
 	// Only run uses these.
 	disk            recordDisk
 	record          consensus.Record
-	loaded          bool   // record is what is on disk
-	hadRecord       bool   // since the start of the process: an empty disk is a lost one from then on
-	lost            bool   // it must not vote: its record is gone, or was never made
-	blankDisk       bool   // there was nothing on the disk when it was lost
-	diskIncarnation uint64 // of the recovery that is under way
+	loaded          bool   // record equals what is on disk
+	hadRecord       bool   // since the start of the process; if the disk is empty after that, it was lost
+	needsRecord     bool   // the record is lost, or was never made: it must not vote
+	blankDisk       bool   // with needsRecord: the disk was completely empty
+	diskIncarnation uint64 // with needsRecord: of the recovery in progress
 
 	mu        sync.Mutex
 	published acceptorStatus
 }
 
-// acceptorStatus is what others may know of an acceptor without waiting for its disk.
+// acceptorStatus is the part of an acceptor's state that others may read without waiting for its disk.
 type acceptorStatus struct {
 	decidedEpoch  uint64    // of the voter set that the record on disk shows to be decided
 	acceptedEpoch uint64    // of the voter set in the vote on disk
-	ready         bool      // it knows what it promised, and may vote
+	ready         bool      // the record is complete, and the acceptor may vote
 	readySince    time.Time // zero while it was never ready
 }
 
-// acceptorJob is work for the acceptor: one of request, recovered and decided.
+// acceptorJob is work for the acceptor. Exactly one of request, recovered and decided is set.
 type acceptorJob struct {
 	ctx       context.Context
 	request   *consensus.Request
-	recovered *consensus.Record   // was made by a recovery
-	decided   *consensus.VoterSet // is known to be decided
-	result    chan acceptorResult // has room for the result
+	recovered *consensus.Record   // made by a recovery, to be installed
+	decided   *consensus.VoterSet // decided, to be written to disk
+	result    chan acceptorResult // has room for one result
 }
 
 type acceptorResult struct {
@@ -71,24 +71,25 @@
 	err   error
 }
 
-// handle has the acceptor answer a request, which may have to be written to disk first.
+// handle submits a request and returns the acceptor's reply, which may have to wait for the disk.
 func (a *acceptor) handle(ctx context.Context, request *consensus.Request) (*consensus.Reply, error) {
 	return a.submit(ctx, &acceptorJob{request: request})
 }
 
-// learnDecided has the acceptor write down a voter set that is decided.
+// learnDecided submits a decided voter set and waits until it is on disk.
 func (a *acceptor) learnDecided(ctx context.Context, voters consensus.VoterSet) error {
 	_, err := a.submit(ctx, &acceptorJob{decided: &voters})
 	return trace.Wrap(err)
 }
 
-// install has the acceptor go on with a record that a recovery made. errRecordExists says that it has one already.
+// install submits the record that a recovery made and waits until it is on disk. The error is errRecordExists if the acceptor has
+// one already.
 func (a *acceptor) install(ctx context.Context, record consensus.Record) error {
 	_, err := a.submit(ctx, &acceptorJob{recovered: &record})
 	return trace.Wrap(err)
 }
 
-// submit hands a job to the acceptor and waits for its result. The error is a trace.LimitExceeded while too many jobs wait.
+// submit hands a job to the acceptor's goroutine and waits for its result. The error is a trace.LimitExceeded if too many jobs wait.
 func (a *acceptor) submit(ctx context.Context, job *acceptorJob) (*consensus.Reply, error) {
 	job.ctx = ctx
 	job.result = make(chan acceptorResult, 1)
@@ -107,14 +108,14 @@
 	}
 }
 
-// status is the acceptor's state as of its last write.
+// status returns the acceptor's status as of its last write.
 func (a *acceptor) status() acceptorStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.published
 }
 
-// run loads the record and does jobs until ctx ends.
+// run loads the record and processes jobs until ctx ends.
 func (a *acceptor) run(ctx context.Context) {
 	defer a.disk.close()
 	if !a.loadUntilDone(ctx) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// do does a job. After an error the record is read again before the next one.
+// do processes a job. After an error the record is read again before the next one.
 func (a *acceptor) do(job *acceptorJob) (*consensus.Reply, error) {
 	if !a.loaded {
 		if err := a.load(); err != nil {
@@ -147,9 +148,9 @@
 	switch {
 	case job.recovered != nil:
 		return nil, trace.Wrap(a.installRecovered(job.recovered))
-	case a.lost && job.decided != nil:
-		return nil, nil
-	case a.lost:
+	case a.needsRecord && job.decided != nil:
+		return nil, nil // the recovery learns the newest voter set itself
+	case a.needsRecord:
 		return a.notReady(job.request), nil
 	case job.decided != nil:
 		return nil, trace.Wrap(a.learnVoterSet(*job.decided))
@@ -163,25 +164,25 @@
 	return &reply, nil
 }
 
-// notReady is the answer of an acceptor without a record.
+// notReady returns the reply of an acceptor without a record.
 func (a *acceptor) notReady(request *consensus.Request) *consensus.Reply {
 	return &consensus.Reply{Kind: consensus.NotReady, Ballot: request.Ballot, BlankDisk: a.blankDisk, DiskIncarnation: a.diskIncarnation}
 }
 
-// installRecovered goes on with a record that was made anew, once it is on disk.
+// installRecovered writes a recovered record to disk and adopts it.
 func (a *acceptor) installRecovered(record *consensus.Record) error {
-	if !a.lost {
+	if !a.needsRecord {
 		return trace.Wrap(errRecordExists)
 	}
 	if err := a.disk.replace(record); err != nil {
 		return a.failedWrite(err)
 	}
-	a.lost = false
+	a.needsRecord = false
 	a.adopt(*record)
 	return nil
 }
 
-// handleCommit learns that a value is committed and which voter set is decided.
+// handleCommit learns the committed value, if it is that of the acceptor's vote, and the decided voter set.
 func (a *acceptor) handleCommit(request *consensus.Request) (*consensus.Reply, error) {
 	if vote := a.record.Vote; vote.Ballot == request.Ballot {
 		a.learner.learnVote(vote)
@@ -195,13 +196,13 @@
 	return &consensus.Reply{Kind: consensus.Reported}, nil
 }
 
-// learnVoterSet notes in the record that a voter set is decided.
+// learnVoterSet writes a decided voter set to the record, if it is newer.
 func (a *acceptor) learnVoterSet(voters consensus.VoterSet) error {
 	next, changed := a.record.LearnVoters(voters)
 	return trace.Wrap(a.persist(next, changed))
 }
 
-// persist writes what changed of the record, and goes on with it.
+// persist writes the changed parts of the next record, and then makes it the current one.
 func (a *acceptor) persist(next consensus.Record, changed consensus.Unsynced) error {
 	if !changed.Any() {
 		return nil
@@ -213,13 +214,13 @@
 	return nil
 }
 
-// failedWrite notes that the disk may hold the record before the write, the one after, or parts of both.
+// failedWrite has the record read again before the next job: the disk may hold the old record, the new one, or parts of both.
 func (a *acceptor) failedWrite(err error) error {
 	a.loaded = false
 	return trace.Wrap(err)
 }
 
-// setRecord goes on with a record that is on disk.
+// setRecord makes a record that is on disk the current one, and publishes its status.
 func (a *acceptor) setRecord(record consensus.Record) {
 	a.record = record
 	a.loaded = true
@@ -234,7 +235,7 @@
 	a.published.acceptedEpoch = record.Vote.Value.VoterSet.Epoch
 }
 
-// adopt goes on with a record that was read or made anew, and makes known what it says.
+// adopt makes a record that was read or recovered the current one, and passes its contents to the learner and the proposer.
 func (a *acceptor) adopt(record consensus.Record) {
 	a.setRecord(record)
 	a.learner.learnSystem(record.State.System)
--- a/internal/mesh/control/controlplane/acceptor_load.go
+++ b/internal/mesh/control/controlplane/acceptor_load.go
@@ -9,8 +9,8 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// loadUntilDone loads the record for the first time, however long it takes. It logs why it can't, once for each reason. It returns
-// false if ctx ends before.
+// loadUntilDone loads the record for the first time, and retries until that succeeds. It logs each reason for a failure once. It
+// returns false if ctx ends first.
 func (a *acceptor) loadUntilDone(ctx context.Context) bool {
 	delay := minBackoff
 	logged := ""
@@ -29,9 +29,9 @@
 	}
 }
 
-// load reads the record, and writes it again: after a failed write what is read need not be on the disk itself. A record that is
-// missing or corrupt is a lost one, except at the first start of the system. A record of a later format, and a folder of another
-// process, are errors: nothing is written there.
+// load reads the record and writes it again: after a failed write, what is read may come from a cache and not be on the disk itself. A
+// missing or corrupt record was lost, except at the first start of the system, and has to be recovered. A record of a later
+// format and a folder of another process are errors; nothing is written there.
 func (a *acceptor) load() error {
 	if err := a.disk.open(); err != nil {
 		return trace.Wrap(err)
@@ -41,10 +41,10 @@
 		return trace.Wrap(err)
 	}
 	switch {
-	case damage.blank() && a.initialStart && !a.hadRecord && !a.lost:
+	case damage.blank() && a.initialStart && !a.hadRecord && !a.needsRecord:
 		return trace.Wrap(a.makeInitialRecord())
 	case damage.state != nil || trace.IsCompareFailed(damage.vote) || !record.State.Ready:
-		if !a.lost {
+		if !a.needsRecord {
 			a.log.WithField(stateKey, damage.state).WithField(voteKey, damage.vote).Warn("there is no voter's record")
 		}
 		a.learner.learnVoterSet(record.DecidedVoters())
@@ -54,7 +54,7 @@
 	return trace.Wrap(a.keep(record))
 }
 
-// makeInitialRecord makes the record of a voter of the system's first start. Any other process makes its record by a recovery.
+// makeInitialRecord writes and adopts the record of a voter of the system's first start. Any other process starts a recovery.
 func (a *acceptor) makeInitialRecord() error {
 	initial := consensus.InitialRecord(a.self, a.initialVoters)
 	if !initial.State.Ready {
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// keep goes on with a record that was read, once it is written again.
+// keep writes a record that was read to disk again, and adopts it.
 func (a *acceptor) keep(record consensus.Record) error {
-	if record.State.System == 0 && record.DecidedVoters().Epoch == 0 { // written by a version that had no system
+	if record.State.System == 0 && record.DecidedVoters().Epoch == 0 { // written by a version without system IDs
 		record.State.System = consensus.NewSystemID(record.State.Voters)
 	}
 	if err := a.disk.save(&record, consensus.Unsynced{Vote: true, State: true}); err != nil {
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// startRecovery has the record made anew, or, for a process that never voted, made for the first time. Until then the acceptor
-// answers that it is not ready.
+// startRecovery starts to recover the record, or to make the first one of a process that never voted. Until that is done the acceptor
+// answers NotReady.
 func (a *acceptor) startRecovery(blankDisk bool) {
-	a.loaded = true // as far as there is anything
-	if a.lost {
-		return // a recovery is under way
+	a.loaded = true // there is nothing to load
+	if a.needsRecord {
+		return // a recovery is in progress
 	}
-	a.lost = true
+	a.needsRecord = true
 	a.blankDisk = blankDisk
 	a.diskIncarnation = uint64(time.Now().UnixNano())
 	a.makeRecord(a.diskIncarnation, blankDisk)
--- a/internal/mesh/control/controlplane/backoff.go
+++ b/internal/mesh/control/controlplane/backoff.go
@@ -16,14 +16,14 @@
 
 // backoff draws the random waits between attempts, so that proposers that compete do not meet again and again.
 type backoff struct {
-	ctx context.Context // of the server: it ends every wait
+	ctx context.Context // of the Server; its end ends every wait
 
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
 // wait waits for a random time between a quarter and five quarters of delay, at most maxBackoff, and doubles delay for the next
-// attempt. The error is that of the context that ended before.
+// attempt, up to maxBackoff. If a context ends first, it returns the error of that context.
 func (b *backoff) wait(ctx context.Context, delay *time.Duration) error {
 	b.mu.Lock()
 	jittered := *delay/4 + time.Duration(b.random.Int64N(int64(*delay)))
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -20,42 +20,42 @@
 
 const bodyBytes = 2 << 10
 
-// change puts the next version in force, at one server.
+// change has a server apply the next version.
 func (t *testNetwork) change(ctx context.Context, i int, version configuration.Version, body string) {
 	outcome := t.server(i).Replace(ctx, version-1, config(version, body)).Outcome
 	t.c.Assert(outcome, qt.Equals, Applied, qt.Commentf("%v", version))
 }
 
-// traffic is what was sent and synced since.
+// traffic returns the messages and syncs of all servers, and the bytes that one of them sent and received, since the start.
 func (t *testNetwork) traffic(i int) (messages, bytes, syncs int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.messages, t.bytes[node(i)], t.syncs
 }
 
-// voteOnDisk is the version that a server's disk holds, and the length of its records.
+// voteOnDisk returns the version in the vote on a server's disk, and the length of all its records.
 func (t *testNetwork) voteOnDisk(i int) (version configuration.Version, bytes int) {
 	t.testCore.mu.Lock()
-	m := t.disks[node(i)]
+	disk := t.disks[node(i)]
 	t.testCore.mu.Unlock()
 	var vote consensus.Vote
-	m.configure(func() {
-		for _, record := range m.records {
+	disk.configure(func() {
+		for _, record := range disk.records {
 			bytes += len(record)
 		}
-		t.c.Assert(codec.Unmarshal(m.records[voteKey], &vote), qt.IsNil)
+		t.c.Assert(codec.Unmarshal(disk.records[voteKey], &vote), qt.IsNil)
 	})
 	return vote.Value.Version, bytes
 }
 
-// forget drops what came in force at a server so far.
+// forget drops the versions that a server was notified of.
 func (t *testNetwork) forget(i int) {
 	t.testCore.mu.Lock()
 	defer t.testCore.mu.Unlock()
 	t.notified[node(i)] = nil
 }
 
-// inForceSince checks that nothing older came in force at a server since.
+// inForceSince checks that a server was not notified of an older version since forget.
 func (t *testNetwork) inForceSince(i int, oldest configuration.Version) {
 	t.testCore.mu.Lock()
 	defer t.testCore.mu.Unlock()
@@ -64,10 +64,10 @@
 	}
 }
 
-// catchUp starts voter 2 again after a number of changes and has it take part in two more, the second with one other voter only.
-// It gives the bytes that the voter sent and received.
+// catchUp starts voter 2 again after a number of changes, and makes two more changes at it, the second with only one other voter.
+// It returns the bytes that voter 2 sent and received.
 func (t *testNetwork) catchUp(ctx context.Context, newest configuration.Version, body, label string) (bytes int) {
-	time.Sleep(time.Second) // of the bubble's time: nothing is under way
+	time.Sleep(time.Second) // of the bubble's time: nothing is in flight
 	t.forget(2)
 	_, before, _ := t.traffic(2)
 	began := time.Now()
@@ -94,9 +94,9 @@
 	return after - before
 }
 
-// A voter that was away while 1,000, 100 or 10 changes were made, with the folder that it had then or with an empty one: it
-// answers reads with the newest version and takes part in changes at once, nothing older comes in force at it, and what it sends,
-// receives and writes until then does not grow with the number of changes.
+// A voter starts again after it was down for 10, 300 or 1,000 changes, with its old folder or with an empty one. It reads the newest
+// version and takes part in changes at once, and is not notified of an older version. What it sends, receives and writes until then
+// does not grow with the number of changes.
 func TestCatchUpIsFlat(t *testing.T) {
 	body := strings.Repeat("x", bodyBytes)
 	runNetwork(t, 3, 1, func(ctx context.Context, network *testNetwork) {
@@ -119,13 +119,13 @@
 			sums = append(sums, network.catchUp(ctx, newest, body, fmt.Sprintf("%d changes, empty folder", changes)))
 			newest += 2
 		}
-		for i := range 2 { // how many messages pass is a matter of chance
+		for i := range 2 { // the number of messages is random
 			network.c.Assert(sums[4+i] < 2*sums[2+i], qt.IsTrue, qt.Commentf("bytes: %v", sums))
 		}
 	})
 }
 
-// A member that held an old version answers nothing from it, while the others are away: its folder is of no use alone.
+// A voter with an old folder does not answer from it while the other voters are down.
 func TestOldFolderAloneSaysNothing(t *testing.T) {
 	runNetwork(t, 3, 1, func(ctx context.Context, network *testNetwork) {
 		network.change(ctx, 0, 1, "")
@@ -143,7 +143,7 @@
 		_, err := network.server(2).ReadLatest(short)
 		network.c.Assert(err, qt.IsNotNil)
 		network.c.Assert(network.server(2).Replace(short, 1, config(2, "another")).Outcome, qt.Equals, Unknown)
-		network.open(0, false) // a majority, of which one member is old
+		network.open(0, false) // now there is a majority, of which one voter has an old folder
 		network.c.Assert(network.newest(ctx, 2), qt.Equals, configuration.Version(100))
 		network.c.Assert(network.server(2).Replace(ctx, 1, config(2, "another")).Outcome, qt.Equals, Conflict)
 		network.change(ctx, 2, 101, "")
@@ -152,10 +152,11 @@
 	})
 }
 
-// What one acknowledged change costs on calm links, whatever the number of changes before: messages and their round trips, bytes,
-// and synced writes. Two phases, each a round trip and a sync on each of three voters, one of which is the server itself.
+// The cost of one acknowledged change on links without losses, in messages, bytes, synced writes and time, does not grow with the number of
+// changes before it. A change takes two phases: each is a round trip and a sync at each of three voters, one of which is the server
+// itself.
 func TestCostOfAChange(t *testing.T) {
-	const trip, sync = 10 * time.Millisecond, 3 * time.Millisecond // to and fro, on average; of a disk
+	const trip, sync = 10 * time.Millisecond, 3 * time.Millisecond // of a round trip, on average, and of a synced write
 	body := strings.Repeat("x", bodyBytes)
 	for _, changes := range []configuration.Version{10, 300} {
 		runNetwork(t, 3, 1, func(ctx context.Context, network *testNetwork) {
@@ -163,8 +164,8 @@
 				network.change(ctx, 0, v, "")
 			}
 			time.Sleep(time.Second)
-			for _, m := range network.disks {
-				m.configure(func() { m.slow = sync })
+			for _, disk := range network.disks {
+				disk.configure(func() { disk.slow = sync })
 			}
 			network.testCore.mu.Lock()
 			network.maxDelay = float64(trip)
@@ -187,7 +188,7 @@
 	}
 }
 
-// A voter's folder doesn't grow with the number of changes: what is obsolete is removed as it is written.
+// A voter's folder does not grow with the number of changes: obsolete records are removed during the writes.
 func TestFolderStaysSmall(t *testing.T) {
 	c := qt.New(t)
 	changes := 100
--- a/internal/mesh/control/controlplane/core_test.go
+++ b/internal/mesh/control/controlplane/core_test.go
@@ -20,7 +20,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// testCore is a few servers in one process, on disks in memory, in a bubble whose time doesn't pass while anything runs.
+// testCore is several servers in one process, with disks in memory, in a synctest bubble: its time passes only while all goroutines
+// are blocked.
 type testCore struct {
 	c         *qt.C
 	seeds     []string
@@ -28,26 +29,26 @@
 	servers   map[string]*Server
 	disks     map[string]*memoryStore
 	isolated  map[string]bool
-	notified  map[string][]configuration.Version // by OnCommit
-	tolerated int                                // losses; 0: the voters stay as they are
+	notified  map[string][]configuration.Version // by OnCommit, by server
+	tolerated int                                // Options.Tolerated; 0: no changes of the voters are planned
 
 	rng      *rand.Rand
-	maxDelay float64 // of requests and replies, at most
-	lossRate float64 // how many of them are lost
+	maxDelay float64 // of a request or a reply, as a time.Duration
+	lossRate float64 // part of the requests and replies that are lost
 
-	blocked map[[2]string]bool // ways between two nodes, by their names, on which nothing passes
-	drops   consensus.RequestKind
+	blocked map[[2]string]bool    // pairs of servers between which nothing passes, by their names
+	drops   consensus.RequestKind // requests of this kind are lost; 0 for none
 }
 
-// memoryStore is a disk whose writes may be slow, blocked, or fail, before or after they are done.
+// memoryStore is a disk in memory whose writes may be slow, blocked, or fail.
 type memoryStore struct {
 	mu      sync.Mutex
 	records map[string][]byte
-	gate    chan struct{} // writes wait until it is closed
-	slow    time.Duration // of a write
-	fault   error         // of writes
-	only    string        // the key whose writes fail, if not all
-	torn    bool          // what fails is written all the same
+	gate    chan struct{} // writes wait until it is closed; nil: they do not wait
+	slow    time.Duration // duration of a write
+	fault   error         // result of a write; nil: it succeeds
+	only    string        // fault is only for keys with this prefix
+	torn    bool          // a failed write changes the record all the same
 }
 
 // configure changes the store under its lock.
@@ -107,7 +108,7 @@
 			return reply, err
 		}
 	}
-	<-ctx.Done() // as a cut says nothing
+	<-ctx.Done() // the sender does not learn that the message was lost
 	return nil, trace.ConnectionProblem(ctx.Err(), "no way from %s to %s", l.from, node)
 }
 
@@ -121,35 +122,40 @@
 	return !lost
 }
 
-// node is the name of a server.
+// node returns the name of a server.
 func node(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
 // runCore runs a test in a bubble, with n servers of which the first three are voters.
-func runCore(t *testing.T, n int, test func(ctx context.Context, co *testCore)) {
+func runCore(t *testing.T, n int, test func(ctx context.Context, core *testCore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		co := &testCore{
-			c: qt.New(t), servers: map[string]*Server{}, disks: map[string]*memoryStore{}, isolated: map[string]bool{},
-			notified: map[string][]configuration.Version{}, rng: rand.New(rand.NewPCG(1, 2)), seeds: []string{node(0), node(1), node(2)},
+		core := &testCore{
+			c:        qt.New(t),
+			seeds:    []string{node(0), node(1), node(2)},
+			servers:  map[string]*Server{},
+			disks:    map[string]*memoryStore{},
+			isolated: map[string]bool{},
+			notified: map[string][]configuration.Version{},
+			rng:      rand.New(rand.NewPCG(1, 2)),
 		}
 		for i := range n {
-			co.start(i, true)
+			core.start(i, true)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 24*time.Hour)
 		defer cancel()
 		defer func() {
 			for i := range 9 {
-				if co.server(i) != nil {
-					co.stop(i)
+				if core.server(i) != nil {
+					core.stop(i)
 				}
 			}
-			time.Sleep(requestTimeout) // of the bubble's time: what was on its way has come
+			time.Sleep(requestTimeout) // of the bubble's time: all requests have ended
 		}()
-		test(ctx, co)
+		test(ctx, core)
 	})
 }
 
-// start starts a server on its disk; first says that it is the first start of the system.
+// start starts a server on its disk. first is Options.InitialStart.
 func (t *testCore) start(i int, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,7 +163,7 @@
 	if t.disks[self] == nil {
 		t.disks[self] = &memoryStore{records: map[string][]byte{}}
 	}
-	kept := t.disks[self]
+	disk := t.disks[self]
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var cores func() []string
@@ -165,19 +171,26 @@
 		cores = func() []string { return t.cores(self) }
 	}
 	server, err := Open(Options{
-		Self: self, Seeds: t.seeds, Tolerated: t.tolerated, Cores: cores, InitialStart: first, Transport: link{t, self}, Log: log, Seed: 1,
+		Self:         self,
+		Seeds:        t.seeds,
+		Tolerated:    t.tolerated,
+		Cores:        cores,
+		InitialStart: first,
+		Transport:    link{t, self},
+		Log:          log,
+		Seed:         1,
 		OnCommit: func(value consensus.Value) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.notified[self] = append(t.notified[self], value.Version)
 		},
-		openStore: func(string) (recordStore, error) { return kept, nil },
+		openStore: func(string) (recordStore, error) { return disk, nil },
 	})
 	t.c.Assert(err, qt.IsNil)
 	t.servers[self] = server
 }
 
-// stop ends a server as a kill would: what is on disk stays.
+// stop kills a server. Its disk stays.
 func (t *testCore) stop(i int) {
 	t.mu.Lock()
 	server := t.servers[node(i)]
@@ -188,31 +201,31 @@
 
 func (t *testCore) server(i int) *Server { return t.servers[node(i)] }
 
-// isolate cuts a server off from all others, or ends that.
+// isolate cuts a server off from all others, or connects it again.
 func (t *testCore) isolate(i int, cut bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.isolated[node(i)] = cut
 }
 
-// config is a configuration of a version; more sets it apart from others of the same one.
+// config returns a configuration; more distinguishes configurations of one version.
 func config(v configuration.Version, more string) []byte {
 	return fmt.Appendf(nil, `{"configVersion":"%v","routeTable":[],"x":%q}`, v, more)
 }
 
-// replace sends a change to a server.
+// replace sends a change to a server and returns the outcome.
 func (t *testCore) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
 	return t.server(i).Replace(ctx, base, config(v, "")).Outcome
 }
 
-// newest reads at a server.
+// newest returns the version that a server reads.
 func (t *testCore) newest(ctx context.Context, i int) configuration.Version {
 	value, err := t.server(i).ReadLatest(ctx)
 	t.c.Assert(err, qt.IsNil)
 	return value.Version
 }
 
-// cores are the servers that one of them can reach.
+// cores returns the servers that a server can reach, itself included.
 func (t *testCore) cores(self string) (list []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,21 +237,21 @@
 	return list
 }
 
-// grown runs a test with n servers that tolerate f losses, once there are so many voters.
-func grown(t *testing.T, n, f, voters int, test func(ctx context.Context, co *testCore)) {
+// runGrown runs a test with n servers, once the voters have grown to the number that tolerates the losses.
+func runGrown(t *testing.T, n, tolerated, voters int, test func(ctx context.Context, core *testCore)) {
 	t.Helper()
-	runCore(t, 0, func(ctx context.Context, co *testCore) {
-		co.tolerated = f
+	runCore(t, 0, func(ctx context.Context, core *testCore) {
+		core.tolerated = tolerated
 		for i := range n {
-			co.start(i, true)
+			core.start(i, true)
 		}
-		co.await(7*time.Second, func() bool { return co.everyone(voters) })
-		test(ctx, co)
+		core.await(7*time.Second, func() bool { return core.allKnowVoters(voters) })
+		test(ctx, core)
 	})
 }
 
-// everyone reports whether all servers know of so many voters.
-func (t *testCore) everyone(voters int) bool {
+// allKnowVoters reports whether every server knows the given number of voters.
+func (t *testCore) allKnowVoters(voters int) bool {
 	for _, server := range t.servers {
 		if len(server.Voters()) != voters {
 			return false
@@ -247,25 +260,25 @@
 	return true
 }
 
-// await waits for something, of the bubble's time.
-func (t *testCore) await(most time.Duration, done func() bool) {
+// await waits until done returns true, at most for timeout of the bubble's time.
+func (t *testCore) await(timeout time.Duration, done func() bool) {
 	for began := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
-		t.c.Assert(time.Since(began) < most, qt.IsTrue, qt.Commentf("not after %v", most))
+		t.c.Assert(time.Since(began) < timeout, qt.IsTrue, qt.Commentf("not after %v", timeout))
 	}
 }
 
-// lose stops a server whose disk is gone.
-func (t *testCore) lose(i int) {
+// loseMachine kills a server and loses its disk.
+func (t *testCore) loseMachine(i int) {
 	t.stop(i)
 	t.disks[node(i)] = nil
 }
 
-// grownAfter is grown with four servers, after a first change.
-func grownAfter(t *testing.T, test func(ctx context.Context, co *testCore)) {
+// runGrownWithChange runs a test with four servers, of which three vote, after a first change to version 1.
+func runGrownWithChange(t *testing.T, test func(ctx context.Context, core *testCore)) {
 	t.Helper()
-	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
+	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
 		time.Sleep(2 * time.Second)
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
-		test(ctx, co)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		test(ctx, core)
 	})
 }
--- a/internal/mesh/control/controlplane/cutoff_test.go
+++ b/internal/mesh/control/controlplane/cutoff_test.go
@@ -14,10 +14,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// While one core machine after the other is cut off for up to twenty seconds, in both directions or one, and orders and reads
-// go to all of them: a machine that is cut off answers neither; no read is older than what was acknowledged or read before;
-// nothing that was refused comes in force; of two orders on one version one is acknowledged at most. Afterwards the machine
-// that was cut off reads the newest version within two seconds.
+// One core process after the other is cut off for up to twenty seconds, in one direction or both, while orders and reads go to all of
+// them. A process that is cut off answers neither. No read returns a version older than one that was acknowledged or read before.
+// No refused change comes into force. Of two orders on one version at most one is acknowledged. A process reads the newest version
+// within two seconds after the end of its cut.
 func TestCutOff(t *testing.T) {
 	seeds := 8
 	if os.Getenv("SOAK") != "" {
@@ -50,13 +50,13 @@
 	seed    uint64
 	network *testNetwork
 	history *history
-	away    atomic.Int64 // the server that has been cut off long enough for all earlier answers to have come; -1 for none
+	away    atomic.Int64 // the server that is cut off, once all its earlier requests have ended; -1 for none
 }
 
 func (r *cutOffRun) cutOff() int { return int(r.away.Load()) }
 
-// play cuts off three servers one after the other, amid orders and reads. It returns the longest time that a server took to read once
-// it was not cut off any more.
+// play cuts off three servers one after the other, during orders and reads. It returns the longest time from the end of a cut to the
+// server's first successful read.
 func (r *cutOffRun) play(ctx context.Context) (slowest time.Duration) {
 	r.network.testCore.mu.Lock()
 	r.network.maxDelay, r.network.lossRate = float64(20*time.Millisecond), 0.05*float64(r.seed%2)
@@ -87,12 +87,12 @@
 	return slowest
 }
 
-// cutOne cuts off a server for a while, and returns how long its first read takes after that.
+// cutOne cuts off a server for a while, and returns the time from the end of the cut to its first successful read.
 func (r *cutOffRun) cutOne(ctx context.Context, rng *rand.Rand) time.Duration {
 	server := rng.IntN(cutOffServers)
 	way := rng.IntN(3)
 	r.network.sever(server, cutOffServers, way != 1, way != 2, true)
-	time.Sleep(callTimeout) // what was under way has come or has been given up
+	time.Sleep(callTimeout) // all earlier requests have ended
 	r.away.Store(int64(server))
 	time.Sleep(time.Duration(rng.Int64N(int64(20 * time.Second))))
 	r.away.Store(-1)
@@ -105,7 +105,7 @@
 	return time.Since(began)
 }
 
-// readAnywhere reads at one server, which must not answer if it is cut off.
+// readAnywhere reads at a random server, which must not answer while it is cut off.
 func (r *cutOffRun) readAnywhere(ctx context.Context, rng *rand.Rand) {
 	server := rng.IntN(cutOffServers)
 	before := r.cutOff()
@@ -117,7 +117,7 @@
 	}
 }
 
-// check reports the faults, and that versions never go back where they come in force.
+// check reports the faults, and checks that each server was notified of rising versions only.
 func (r *cutOffRun) check(t *testing.T) {
 	t.Helper()
 	for _, fault := range r.history.faults {
--- a/internal/mesh/control/controlplane/directory.go
+++ b/internal/mesh/control/controlplane/directory.go
@@ -9,27 +9,27 @@
 // processes that membership reports as running.
 type coreDirectory struct {
 	self    string
-	running func() []string // nil where the voter set never changes
+	running func() []string // nil: no changes of the voters are planned
 
 	mu    sync.Mutex
-	seeds []string // of the settings as they are now
+	seeds []string // of the current settings
 }
 
-// setSeeds notes that the operator's settings were changed.
+// setSeeds replaces the seeds, after a change of the operator's settings.
 func (c *coreDirectory) setSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = slices.Clone(seeds)
 }
 
-// currentSeeds must not be modified by the caller.
+// currentSeeds returns the seeds. The caller must not modify the slice.
 func (c *coreDirectory) currentSeeds() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.seeds
 }
 
-// runningCores are the core processes that run, as far as membership knows; this one may be among them.
+// runningCores returns the core processes that run, as membership reports them; this one may be among them.
 func (c *coreDirectory) runningCores() []string {
 	if c.running == nil {
 		return nil
@@ -37,12 +37,12 @@
 	return slices.Clone(c.running())
 }
 
-// peers are the seeds and the running core processes, sorted and without this one.
+// peers returns the seeds and the running core processes, sorted and without this one.
 func (c *coreDirectory) peers() []string {
 	return c.withoutSelf(append(slices.Clone(c.currentSeeds()), c.runningCores()...))
 }
 
-// withoutSelf sorts names, and leaves out doubles and this process.
+// withoutSelf sorts names, and returns them without duplicates and without this process.
 func (c *coreDirectory) withoutSelf(names []string) []string {
 	slices.Sort(names)
 	return slices.DeleteFunc(slices.Compact(names), func(name string) bool { return name == c.self })
--- a/internal/mesh/control/controlplane/doc.go
+++ b/internal/mesh/control/controlplane/doc.go
@@ -1,5 +1,5 @@
-// Package controlplane is a core process's part in the agreement on the operators' configuration. It connects the rules of package
-// consensus, which do no I/O, with the disk, the other core processes, the clock and the operators.
+// Package controlplane is a core process's part in the agreement on the operators' configuration. It connects the state machines of
+// package consensus, which do no I/O, with the disk, the other core processes, the clock and the operators.
 //
 // # Who owns which state
 //
@@ -8,18 +8,18 @@
 //	learner          newest committed vote and value, voter set, system  in memory; rebuilt from the record, peers and rounds
 //	proposer         highest ballot seen, the slot of the one round      in memory; the name in its ballots is new at each start
 //	coreDirectory    seeds of the settings                               in memory
-//	voterManager     what the monitor last found of the core processes   in memory
-//	voterMonitor     failure detector, limit of replacements, plan       in memory, of its goroutine alone
+//	voterManager     statuses of the core processes at the last tick     in memory
+//	voterMonitor     failure detector, limiter of replacements, plan     in memory; only its goroutine uses it
 //	lifetime         the context and the goroutines of a Server          in memory
 //	responder, register, growth, operatorAPI, recoverer: none beyond a call
 //
-// Server puts them together. No part calls another one with its lock held, so that there is no order of locks.
+// Server connects them. No part calls another one while it holds its lock, so there is no lock order to keep.
 //
 // # Goroutines
 //
-// Open starts four: acceptor.run, which alone uses the disk, learner.runNotifications, which calls Options.OnCommit, a first read for
-// the log, and voterMonitor.run. Rounds run in the goroutines of their callers. Each request to a peer, each recovery and each change
-// of the voters has a goroutine of its own. Close cancels their context and waits for all.
+// Open starts four: acceptor.run, the only one that uses the disk; learner.runNotifications, which calls Options.OnCommit; a first read
+// for the log; and voterMonitor.run. Rounds run in the goroutines of their callers. Each request to a peer, each recovery and each
+// change of the voters has a goroutine of its own. Close cancels their context and waits for all of them.
 //
 // # States of an acceptor
 //
@@ -31,8 +31,8 @@
 //	recovering ─────────────────────────────────────────────────┘
 //	            enough voters have reported what they promised and accepted
 //
-// Only a ready acceptor votes. One that is recovering answers NotReady, and makes attempts until it has a record; an error of the
-// disk leaves it loading.
+// Only a ready acceptor votes. A recovering one answers NotReady until an attempt to recover has made its record. While the disk returns
+// errors, the acceptor stays in the state loading.
 //
 // # A round of a proposer
 //
@@ -44,15 +44,18 @@
 //
 // # A change of the configuration
 //
-// operatorAPI.serveReplace reads the call, register.replace parses the configuration, proposer.propose plays rounds until the change
-// has a verdict, and growth.await delays the acknowledgement while the voter set is smaller than it is to be. learner.learnVote and
-// the Commit request make the value known, and learner.runNotifications hands it to the agent.
+//  1. operatorAPI.serveReplace reads the operator's call.
+//  2. register.replace parses the configuration.
+//  3. proposer.propose runs rounds until the change has a verdict.
+//  4. growth.await delays the acknowledgement while there are fewer voters than wanted.
+//  5. learner.learnVote and the Commit request make the value known in this and other processes.
+//  6. learner.runNotifications hands it to the agent.
 //
 // # Units
 //
-// Times are time.Duration; epochs, versions and disk incarnations are counters that only grow. A disk incarnation is 1 at the first
-// start, then the time of a loss in nanoseconds since 1970, or one above the highest that voters have seen. Names of processes are control addresses,
-// "host:port".
+// Times are time.Duration. Epochs, versions and disk incarnations are counters that only grow. A disk incarnation is 1 at the first
+// start; later it is the time of a loss in nanoseconds since 1970, or one above the highest that voters have seen. Names of
+// processes are control addresses, "host:port".
 //
 // # What it does not do
 //
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -16,152 +16,153 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// catchUp is the shortest time that the pages give a successor until the next loss.
+// catchUp is the shortest time between the start of a successor and the next loss that docs/control-safety.md allows.
 const catchUp = 4 * time.Second
 
-// second is a loss right after another, or amid what follows on it.
-type second struct {
+// secondLoss is a loss during, or soon after, the replacement of a voter that was lost before.
+type secondLoss struct {
 	name string
-	wipe bool // it may only come once the successor has had its time
-	do   func(co *testCore, victim int, running []int)
+	wipe bool // it loses a disk, so it may only come catchUp after the successor's start
+	do   func(core *testCore, victim int, running []int)
 }
 
-var seconds = []second{
-	{"wiped", true, func(co *testCore, victim int, _ []int) {
-		co.lose(victim)
-		co.start(victim, false)
+var secondLosses = []secondLoss{
+	{"wiped", true, func(core *testCore, victim int, _ []int) {
+		core.loseMachine(victim)
+		core.start(victim, false)
 	}},
-	{"wiped, power off for all", true, func(co *testCore, victim int, running []int) {
+	{"wiped, power off for all", true, func(core *testCore, victim int, running []int) {
 		for _, i := range running {
-			co.stop(i)
+			core.stop(i)
 		}
-		co.disks[node(victim)] = nil
+		core.disks[node(victim)] = nil
 		for _, i := range running {
-			co.start(i, false)
+			core.start(i, false)
 		}
 	}},
-	{"gone", true, func(co *testCore, victim int, _ []int) { co.lose(victim) }},
-	{"killed", false, func(co *testCore, victim int, _ []int) {
-		co.stop(victim)
-		co.start(victim, false)
+	{"gone", true, func(core *testCore, victim int, _ []int) { core.loseMachine(victim) }},
+	{"killed", false, func(core *testCore, victim int, _ []int) {
+		core.stop(victim)
+		core.start(victim, false)
 	}},
-	{"power off for all", false, func(co *testCore, _ int, running []int) {
+	{"power off for all", false, func(core *testCore, _ int, running []int) {
 		for _, i := range running {
-			co.stop(i)
+			core.stop(i)
 		}
 		for _, i := range running {
-			co.start(i, false)
+			core.start(i, false)
 		}
 	}},
-	{"cut off", false, func(co *testCore, victim int, _ []int) {
-		co.isolate(victim, true)
+	{"cut off", false, func(core *testCore, victim int, _ []int) {
+		core.isolate(victim, true)
 		time.Sleep(3 * time.Second)
-		co.isolate(victim, false)
+		core.isolate(victim, false)
 	}},
 }
 
-// A voter is gone for good and an empty machine comes at another address. Then another one is lost, at every step of what
-// follows as far as the pages allow it: what was acknowledged is there, and the next change is taken.
+// A voter is lost for good, and an empty machine starts at another address. Then another voter is lost, at any moment at which the pages
+// allow it. What was acknowledged is still read, and the next change is applied.
 func TestSecondLossAfterReplacement(t *testing.T) {
-	for _, s := range seconds {
-		t.Run(s.name, func(t *testing.T) {
-			for at := time.Duration(0); at <= catchUp; at += 500 * time.Millisecond {
-				if s.wipe {
-					at = catchUp
+	for _, loss := range secondLosses {
+		t.Run(loss.name, func(t *testing.T) {
+			for after := time.Duration(0); after <= catchUp; after += 500 * time.Millisecond {
+				if loss.wipe {
+					after = catchUp
 				}
 				for victim := 1; victim <= 3; victim++ {
-					secondLoss(t, s, victim, at)
+					runSecondLoss(t, loss, victim, after)
 				}
 			}
 		})
 	}
 }
 
-// secondLoss exchanges node 0 for the empty node 3, and loses another one so long after that.
-func secondLoss(t *testing.T, loss second, victim int, at time.Duration) {
+// runSecondLoss replaces the lost server 0 by the empty server 3, and loses another server some time after the start of 3.
+func runSecondLoss(t *testing.T, loss secondLoss, victim int, after time.Duration) {
 	t.Helper()
-	runCore(t, 0, func(ctx context.Context, co *testCore) {
-		co.tolerated = 1
+	runCore(t, 0, func(ctx context.Context, core *testCore) {
+		core.tolerated = 1
 		for i := range 3 {
-			co.start(i, true)
+			core.start(i, true)
 		}
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
-		co.lose(0)
-		co.start(3, false)
-		time.Sleep(at)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.loseMachine(0)
+		core.start(3, false)
+		time.Sleep(after)
 		version := configuration.Version(1)
 		if loss.wipe {
-			co.c.Assert(co.server(2).Voters(), qt.DeepEquals, []string{node(1), node(2), node(3)})
-			co.c.Assert(co.replace(ctx, 1, 1, 2), qt.Equals, Applied)
+			core.c.Assert(core.server(2).Voters(), qt.DeepEquals, []string{node(1), node(2), node(3)})
+			core.c.Assert(core.replace(ctx, 1, 1, 2), qt.Equals, Applied)
 			version = 2
 		}
-		loss.do(co, victim, []int{1, 2, 3})
+		loss.do(core, victim, []int{1, 2, 3})
 		at := victim%3 + 1
-		co.c.Assert(co.newest(ctx, at), qt.Equals, version, qt.Commentf("%v, node %d", at, victim))
-		co.c.Assert(co.replace(ctx, at, version, version+1), qt.Equals, Applied)
-		co.await(2*catchUp, func() bool { return slices.Contains(co.server(at).Voters(), node(3)) })
+		core.c.Assert(core.newest(ctx, at), qt.Equals, version, qt.Commentf("%v, node %d", at, victim))
+		core.c.Assert(core.replace(ctx, at, version, version+1), qt.Equals, Applied)
+		core.await(2*catchUp, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
 	})
 }
 
-// A voter that is about to end gives its place to a process that is ready, and may be switched off at once: the next loss,
-// of a disk, loses nothing.
+// A voter that shuts down gives its place to a standby, and may be switched off at once: if another disk is lost after that, nothing
+// that was acknowledged is lost.
 func TestHandOver(t *testing.T) {
 	for leaving := range 3 {
 		for victim := range 4 {
 			if victim == leaving {
 				continue
 			}
-			grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
-				time.Sleep(2 * time.Second) // they know of each other
+			runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
+				time.Sleep(2 * time.Second) // they know each other
 				other := (leaving + 1) % 3
-				co.isolate(other, true) // so that the one that leaves holds what one other holds
-				co.c.Assert(co.replace(ctx, leaving, 0, 1), qt.Equals, Applied)
-				co.isolate(other, false)
+				core.isolate(other, true) // so that only the leaving voter and one more accept the change
+				core.c.Assert(core.replace(ctx, leaving, 0, 1), qt.Equals, Applied)
+				core.isolate(other, false)
 				began := time.Now()
-				co.c.Assert(co.server(leaving).HandOver(ctx), qt.IsNil)
-				co.c.Assert(time.Since(began) < time.Second, qt.IsTrue)
-				co.c.Assert(slices.Contains(co.server(leaving).Voters(), node(3)), qt.IsTrue)
-				co.lose(leaving)
-				co.lose(victim)
-				co.start(victim, false)
+				core.c.Assert(core.server(leaving).HandOver(ctx), qt.IsNil)
+				core.c.Assert(time.Since(began) < time.Second, qt.IsTrue)
+				core.c.Assert(slices.Contains(core.server(leaving).Voters(), node(3)), qt.IsTrue)
+				core.loseMachine(leaving)
+				core.loseMachine(victim)
+				core.start(victim, false)
 				ctx, cancel := context.WithTimeout(ctx, time.Minute)
 				defer cancel()
-				co.c.Assert(co.newest(ctx, victim), qt.Equals, configuration.Version(1), qt.Commentf("%d leaves, %d is lost", leaving, victim))
-				co.c.Assert(co.replace(ctx, victim, 1, 2), qt.Equals, Applied)
-				co.c.Assert(len(co.server(victim).Voters()), qt.Equals, 3)
-				co.c.Assert(slices.Contains(co.server(victim).Voters(), node(leaving)), qt.IsFalse)
+				core.c.Assert(core.newest(ctx, victim), qt.Equals, configuration.Version(1), qt.Commentf("%d leaves, %d is lost", leaving, victim))
+				core.c.Assert(core.replace(ctx, victim, 1, 2), qt.Equals, Applied)
+				core.c.Assert(len(core.server(victim).Voters()), qt.Equals, 3)
+				core.c.Assert(slices.Contains(core.server(victim).Voters(), node(leaving)), qt.IsFalse)
 			})
 		}
 	}
 }
 
-// Two of five are gone for good at the same time, or end at the same time, and two empty machines come. Once these have had their
-// time two of the disks that are left are lost, of any two machines.
+// Two of five voters are lost for good, or shut down, at the same time, and two empty machines start. After catchUp any two of the
+// remaining disks are lost.
 func TestTwoReplacedThenTwoLost(t *testing.T) {
-	for _, ends := range []bool{false, true} {
+	for _, handOver := range []bool{false, true} {
 		for _, victims := range [][2]int{{2, 3}, {3, 4}, {2, 5}, {5, 6}, {4, 6}} {
-			t.Run(fmt.Sprintf("victims %v, handed over: %v", victims, ends), func(t *testing.T) {
-				grown(t, 5, 2, 5, func(ctx context.Context, co *testCore) {
-					co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
-					co.replaceFirstTwo(ctx, ends)
+			t.Run(fmt.Sprintf("victims %v, handed over: %v", victims, handOver), func(t *testing.T) {
+				runGrown(t, 5, 2, 5, func(ctx context.Context, core *testCore) {
+					core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+					core.replaceFirstTwo(ctx, handOver)
 					time.Sleep(catchUp)
-					co.c.Assert(co.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
-					co.c.Assert(co.replace(ctx, 4, 1, 2), qt.Equals, Applied)
-					for _, v := range victims {
-						co.lose(v)
+					core.c.Assert(core.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
+					core.c.Assert(core.replace(ctx, 4, 1, 2), qt.Equals, Applied)
+					for _, victim := range victims {
+						core.loseMachine(victim)
 					}
-					for _, v := range victims {
-						co.start(v, false)
+					for _, victim := range victims {
+						core.start(victim, false)
 					}
-					co.c.Assert(co.newest(ctx, victims[0]), qt.Equals, configuration.Version(2))
-					co.c.Assert(co.replace(ctx, victims[1], 2, 3), qt.Equals, Applied)
+					core.c.Assert(core.newest(ctx, victims[0]), qt.Equals, configuration.Version(2))
+					core.c.Assert(core.replace(ctx, victims[1], 2, 3), qt.Equals, Applied)
 				})
 			})
 		}
 	}
 }
 
-// replaceFirstTwo has the empty servers 5 and 6 come for 0 and 1, which hand over or are gone before.
+// replaceFirstTwo replaces servers 0 and 1 by the empty servers 5 and 6. If handOver is true, 0 and 1 hand over to them; otherwise they
+// are lost before 5 and 6 start.
 func (t *testCore) replaceFirstTwo(ctx context.Context, handOver bool) {
 	if handOver {
 		t.start(5, false)
@@ -178,8 +179,8 @@
 		}
 		both.Wait()
 	}
-	t.lose(0)
-	t.lose(1)
+	t.loseMachine(0)
+	t.loseMachine(1)
 	if !handOver {
 		time.Sleep(time.Second)
 		t.start(5, false)
@@ -187,69 +188,69 @@
 	}
 }
 
-// Without another that could take its place a voter that ends stays one, and doesn't wait. One that is alone ends, too.
+// Without a standby, a voter that shuts down stays a voter and does not wait. One that reaches no other process gets an error in time.
 func TestHandOverToNobody(t *testing.T) {
-	grown(t, 3, 1, 3, func(ctx context.Context, co *testCore) {
+	runGrown(t, 3, 1, 3, func(ctx context.Context, core *testCore) {
 		began := time.Now()
-		co.c.Assert(co.server(0).HandOver(ctx), qt.IsNil)
-		co.c.Assert(time.Since(began) < 100*time.Millisecond, qt.IsTrue)
-		co.c.Assert(len(co.server(1).Voters()), qt.Equals, 3)
-		co.c.Assert(co.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
+		core.c.Assert(core.server(0).HandOver(ctx), qt.IsNil)
+		core.c.Assert(time.Since(began) < 100*time.Millisecond, qt.IsTrue)
+		core.c.Assert(len(core.server(1).Voters()), qt.Equals, 3)
+		core.c.Assert(core.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
 
-		co.isolate(0, true)
+		core.isolate(0, true)
 		short, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		co.c.Assert(co.server(0).HandOver(short), qt.IsNotNil)
+		core.c.Assert(core.server(0).HandOver(short), qt.IsNotNil)
 	})
 }
 
-// A voter that one process can't reach, but the others can, stays; and one process alone replaces nobody.
+// A voter that only one process cannot reach is not replaced, and a process that reaches no other one replaces nobody.
 func TestOneProcessCantReplace(t *testing.T) {
-	grown(t, 4, 1, 3, func(ctx context.Context, co *testCore) {
-		co.mu.Lock()
-		co.blocked = map[[2]string]bool{{node(1), node(0)}: true}
-		co.mu.Unlock()
+	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
+		core.mu.Lock()
+		core.blocked = map[[2]string]bool{{node(1), node(0)}: true}
+		core.mu.Unlock()
 		time.Sleep(time.Minute)
-		co.c.Assert(co.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
-		co.c.Assert(co.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
+		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Applied)
 
-		co.isolate(0, true)
-		co.isolate(1, true)
-		co.isolate(2, true)
+		core.isolate(0, true)
+		core.isolate(1, true)
+		core.isolate(2, true)
 		time.Sleep(time.Minute)
 		for i := range 4 {
-			co.c.Assert(co.server(i).VoterSet().Epoch, qt.Equals, uint64(0))
+			core.c.Assert(core.server(i).VoterSet().Epoch, qt.Equals, uint64(0))
 		}
 	})
 }
 
-// However voters become unresponsive, no more are replaced in a while than may be lost at once.
+// However often voters become unresponsive, the number of replacements in a minute is limited.
 func TestReplacementsAreBounded(t *testing.T) {
-	grown(t, 9, 2, 5, func(ctx context.Context, co *testCore) {
-		first := co.server(0).VoterSet().Epoch
-		co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+	runGrown(t, 9, 2, 5, func(ctx context.Context, core *testCore) {
+		initialEpoch := core.server(0).VoterSet().Epoch
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 		rng := rand.New(rand.NewPCG(7, 7))
 		began := time.Now()
 		for time.Since(began) < time.Minute {
-			a, b := rng.IntN(9), rng.IntN(9)
-			co.isolate(a, true)
-			co.isolate(b, true)
+			first, second := rng.IntN(9), rng.IntN(9)
+			core.isolate(first, true)
+			core.isolate(second, true)
 			time.Sleep(2500 * time.Millisecond)
-			co.isolate(a, false)
-			co.isolate(b, false)
+			core.isolate(first, false)
+			core.isolate(second, false)
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(catchUp)
-		epochs := co.server(0).VoterSet().Epoch - first
+		epochs := core.server(0).VoterSet().Epoch - initialEpoch
 		t.Logf("%d changes of the voters in a minute", epochs)
-		co.c.Assert(epochs <= uint64(2*time.Minute/replaceWindow)+1, qt.IsTrue, qt.Commentf("%d", epochs))
-		co.c.Assert(len(co.server(0).Voters()), qt.Equals, 5)
-		co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(1))
+		core.c.Assert(epochs <= uint64(2*time.Minute/replaceWindow)+1, qt.IsTrue, qt.Commentf("%d", epochs))
+		core.c.Assert(len(core.server(0).Voters()), qt.Equals, 5)
+		core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(1))
 	})
 }
 
-// From a voter's loss to a full list again, with messages that are late and lost: against the time after which the pages allow
-// the next loss.
+// The time from a successor's start until it is a voter, with messages that are late and lost, is below the time after which the pages
+// allow the next loss.
 func TestTimeToReplace(t *testing.T) {
 	runs := 10
 	if os.Getenv("SOAK") != "" {
@@ -257,31 +258,32 @@
 	}
 	var took []time.Duration
 	for run := range runs {
-		runCore(t, 0, func(ctx context.Context, co *testCore) {
-			co.tolerated, co.maxDelay, co.lossRate = 1, float64(10*time.Millisecond), 0.02
+		runCore(t, 0, func(ctx context.Context, core *testCore) {
+			core.tolerated, core.maxDelay, core.lossRate = 1, float64(10*time.Millisecond), 0.02
 			rng := rand.New(rand.NewPCG(uint64(run), 4))
-			co.rng = rand.New(rand.NewPCG(uint64(run), 3))
+			core.rng = rand.New(rand.NewPCG(uint64(run), 3))
 			for i := range 3 {
-				co.start(i, true)
+				core.start(i, true)
 			}
-			co.c.Assert(co.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+			core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
 			time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 			victim := run % 3
-			co.lose(victim)
+			core.loseMachine(victim)
 			time.Sleep(time.Second)
-			co.start(3, false)
+			core.start(3, false)
 			began := time.Now()
 			at := (victim + 1) % 3
-			co.await(2*catchUp, func() bool { return slices.Contains(co.server(at).Voters(), node(3)) })
-			co.c.Assert(co.newest(ctx, 3), qt.Equals, configuration.Version(1))
+			core.await(2*catchUp, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
+			core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(1))
 			took = append(took, time.Since(began))
 		})
 	}
 	slices.Sort(took)
-	t.Logf("from the successor's start to a list with it, %d runs: p50 %v, max %v", runs, took[runs/2], took[runs-1])
+	t.Logf("from the successor's start until it votes, %d runs: p50 %v, max %v", runs, took[runs/2], took[runs-1])
 	qt.Assert(t, took[runs-1] < catchUp, qt.IsTrue)
 }
 
+// Probes, replies and timeouts of the failure detector, at given times.
 func TestFailureDetector(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
@@ -297,77 +299,78 @@
 	detector.observeReply(at(1900), "a", &consensus.Reply{Ready: true, Unresponsive: []string{"b"}})
 	c.Assert(detector.unresponsive(at(2000), []string{"a", "b"}), qt.DeepEquals, []string{"b"})
 	never := func(string) bool { return false }
-	list := detector.peerStatuses(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
-	c.Assert(list, qt.DeepEquals, []consensus.PeerStatus{
+	statuses := detector.peerStatuses(at(2000), []string{"a", "b", "self"}, []string{"b"}, never)
+	c.Assert(statuses, qt.DeepEquals, []consensus.PeerStatus{
 		{Node: "a", Responsive: true, StateDuration: 1990 * time.Millisecond, Ready: true},
 		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2},
 	})
-	detector.resetTimeouts(at(60000)) // it stood still: nobody is unresponsive yet
+	detector.resetTimeouts(at(60000)) // this process was suspended: nobody is unresponsive yet
 	c.Assert(detector.unresponsive(at(61000), []string{"a", "b"}), qt.HasLen, 0)
 	detector.observeReply(at(61000), "b", &consensus.Reply{})
 	c.Assert(detector.unresponsive(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
 	detector.track(at(62000), []string{"b"})
-	detector.observeReply(at(62000), "a", &consensus.Reply{}) // of no interest any more
+	detector.observeReply(at(62000), "a", &consensus.Reply{}) // not tracked any more
 	c.Assert(len(detector.peerStatuses(at(62000), nil, nil, never)), qt.Equals, 1)
 }
 
-// When a change of the voters returns, a majority of the new list has the list on disk, also if nobody was notified that it is decided.
+// When a change of the voters returns, a majority of the new voters has the new set on disk, even if no Commit arrived.
 func TestChangeReturnsWithTheListOnDisk(t *testing.T) {
-	grownAfter(t, func(ctx context.Context, co *testCore) {
-		co.mu.Lock()
-		co.drops = consensus.Commit
-		co.mu.Unlock()
-		e := co.server(0).VoterSet()
-		co.c.Assert(co.server(0).voters.change(ctx, e, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
-		have := 0
+	runGrownWithChange(t, func(ctx context.Context, core *testCore) {
+		core.mu.Lock()
+		core.drops = consensus.Commit
+		core.mu.Unlock()
+		old := core.server(0).VoterSet()
+		core.c.Assert(core.server(0).voters.change(ctx, old, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
+		onDisk := 0
 		for i := 1; i <= 3; i++ {
-			if co.server(i).acceptor.status().decidedEpoch == e.Epoch+1 {
-				have++
+			if core.server(i).acceptor.status().decidedEpoch == old.Epoch+1 {
+				onDisk++
 			}
 		}
-		co.c.Assert(have >= 2, qt.IsTrue, qt.Commentf("%d have it", have))
+		core.c.Assert(onDisk >= 2, qt.IsTrue, qt.Commentf("%d have it", onDisk))
 	})
 }
 
-// A process that stood still itself takes nobody for unresponsive, and plans nothing.
+// After its own suspension a process considers no other one unresponsive, and plans no change.
 func TestSuspensionIsNoTimeout(t *testing.T) {
-	grownAfter(t, func(_ context.Context, co *testCore) {
-		d := co.server(1)
-		r := newVoterMonitor(d.voters, d.log)
+	runGrownWithChange(t, func(_ context.Context, core *testCore) {
+		server := core.server(1)
+		monitor := newVoterMonitor(server.voters, server.log)
 		now := time.Now()
 		for range 4 {
-			r.tick(now)
+			monitor.tick(now)
 			now = now.Add(reconfigureInterval)
 		}
 		for _, node := range []string{node(0), node(2), node(3)} {
-			r.detector.observeReply(now, node, &consensus.Reply{Ready: true, Unresponsive: []string{"nobody"}})
+			monitor.detector.observeReply(now, node, &consensus.Reply{Ready: true, Unresponsive: []string{"nobody"}})
 		}
-		r.tick(now.Add(time.Minute))
-		co.c.Assert(r.detector.unresponsive(now.Add(time.Minute), d.Voters()), qt.HasLen, 0)
-		co.c.Assert(r.planned, qt.Equals, consensus.VoterChange{})
+		monitor.tick(now.Add(time.Minute))
+		core.c.Assert(monitor.detector.unresponsive(now.Add(time.Minute), server.Voters()), qt.HasLen, 0)
+		core.c.Assert(monitor.planned, qt.Equals, consensus.VoterChange{})
 	})
 }
 
+// One voter may be replaced in a window, or as many as may be lost at once, with a pause in between.
 func TestReplacementsAllowed(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	at := start.Add
-	list := func(epoch uint64, voters ...string) consensus.VoterSet {
+	voterSet := func(epoch uint64, voters ...string) consensus.VoterSet {
 		return consensus.VoterSet{Epoch: epoch, Voters: voters}
 	}
 	for _, tolerated := range []int{0, 1, 2} {
-		var r replacementLimiter
-		r.observe(start, list(4, "a", "b", "c"))
-		c.Assert(r.allows(start, tolerated), qt.IsTrue)
-		r.observe(start, list(5, "a", "b", "c", "d")) // nobody was replaced
-		c.Assert(r.allows(start, tolerated), qt.IsTrue)
-		r.observe(start, list(6, "a", "b", "d"))
-		c.Assert(r.allows(at(minReplaceInterval-1), tolerated), qt.IsFalse)
-		c.Assert(r.allows(at(minReplaceInterval), tolerated), qt.Equals, tolerated == 2)
-		r.observe(at(minReplaceInterval), list(7, "a", "d", "e"))
-		r.observe(at(replaceWindow-1), list(7, "a", "d", "e"))
-		c.Assert(r.allows(at(replaceWindow-1), tolerated), qt.IsFalse)
-		r.observe(at(replaceWindow+minReplaceInterval), list(7, "a", "d", "e"))
-		c.Assert(r.allows(at(replaceWindow+minReplaceInterval), tolerated), qt.IsTrue)
+		var limiter replacementLimiter
+		limiter.observe(start, voterSet(4, "a", "b", "c"))
+		c.Assert(limiter.allows(start, tolerated), qt.IsTrue)
+		limiter.observe(start, voterSet(5, "a", "b", "c", "d")) // nobody was replaced
+		c.Assert(limiter.allows(start, tolerated), qt.IsTrue)
+		limiter.observe(start, voterSet(6, "a", "b", "d"))
+		c.Assert(limiter.allows(at(minReplaceInterval-1), tolerated), qt.IsFalse)
+		c.Assert(limiter.allows(at(minReplaceInterval), tolerated), qt.Equals, tolerated == 2)
+		limiter.observe(at(minReplaceInterval), voterSet(7, "a", "d", "e"))
+		limiter.observe(at(replaceWindow-1), voterSet(7, "a", "d", "e"))
+		c.Assert(limiter.allows(at(replaceWindow-1), tolerated), qt.IsFalse)
+		limiter.observe(at(replaceWindow+minReplaceInterval), voterSet(7, "a", "d", "e"))
+		c.Assert(limiter.allows(at(replaceWindow+minReplaceInterval), tolerated), qt.IsTrue)
 	}
 }
--- a/internal/mesh/control/controlplane/failure_detector.go
+++ b/internal/mesh/control/controlplane/failure_detector.go
@@ -8,22 +8,23 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// failureDetector knows which core processes answer Describe, and which voters they report as unresponsive. The time is an argument of its methods.
+// failureDetector tracks which core processes answer Describe, and which voters they report as unresponsive. Its methods take the time
+// as an argument. It is not safe for concurrent use.
 type failureDetector struct {
 	peers map[string]*peerState // by name
 }
 
-// peerState is what this process knows of another core process by its answers to Describe.
+// peerState is the state of another core process, by its replies to Describe.
 type peerState struct {
-	awaitedSince    time.Time // since when its answers are awaited
-	lastReply       time.Time // zero while there was none
-	responsiveSince time.Time // since when it has answered without a gap
-	probing         bool      // a reply is awaited
-	ready           bool      // to vote
+	awaitedSince    time.Time // when it was first tracked, or this process was resumed
+	lastReply       time.Time // zero before the first reply
+	responsiveSince time.Time // when it began to answer without a gap of consensus.ReplaceDelay
+	probing         bool      // a probe is in flight
+	ready           bool      // it may vote
 	unresponsive    []string  // voters that do not answer it
 }
 
-// track sets the processes of interest.
+// track sets the processes to probe, and forgets all others.
 func (f *failureDetector) track(now time.Time, nodes []string) {
 	if f.peers == nil {
 		f.peers = map[string]*peerState{}
@@ -40,7 +41,7 @@
 	}
 }
 
-// resetTimeouts counts the time without a reply from now on: this process stood still itself.
+// resetTimeouts restarts all timeouts, after this process itself was suspended and could not receive replies.
 func (f *failureDetector) resetTimeouts(now time.Time) {
 	for _, peer := range f.peers {
 		peer.awaitedSince = now
@@ -51,8 +52,8 @@
 	}
 }
 
-// startProbes are the processes that are to be asked now, sorted: those of which no reply is awaited. Each probe ends with
-// observeReply.
+// startProbes marks a probe as in flight to each process that has none, and returns these processes, sorted. The caller ends each probe
+// with observeReply.
 func (f *failureDetector) startProbes() (nodes []string) {
 	for node, peer := range f.peers {
 		if !peer.probing {
@@ -64,7 +65,7 @@
 	return nodes
 }
 
-// observeReply notes the reply to a probe, or with nil that none came.
+// observeReply ends a probe. reply is nil if there was none.
 func (f *failureDetector) observeReply(now time.Time, node string, reply *consensus.Reply) {
 	peer := f.peers[node]
 	if peer == nil {
@@ -82,7 +83,7 @@
 	peer.unresponsive = reply.Unresponsive
 }
 
-// unresponsiveFor is the time since the last reply, or since replies are awaited.
+// unresponsiveFor returns the time since the last reply, or since awaitedSince if that is later.
 func (p *peerState) unresponsiveFor(now time.Time) time.Duration {
 	if p.lastReply.After(p.awaitedSince) {
 		return now.Sub(p.lastReply)
@@ -90,7 +91,7 @@
 	return now.Sub(p.awaitedSince)
 }
 
-// unresponsive are those of a list that have not answered for consensus.ReplaceDelay.
+// unresponsive returns the nodes that have not answered for consensus.ReplaceDelay, of those in a list.
 func (f *failureDetector) unresponsive(now time.Time, list []string) (nodes []string) {
 	for _, node := range list {
 		if peer := f.peers[node]; peer != nil && peer.unresponsiveFor(now) >= consensus.ReplaceDelay {
@@ -100,12 +101,18 @@
 	return nodes
 }
 
-// peerStatuses is what the planner of voter changes needs to know, sorted by name. reported are the voters that this process
-// reports as unresponsive; only a voter does. removed reports whether the operator's seeds named a process once, and don't now.
-func (f *failureDetector) peerStatuses(now time.Time, voters, reported []string, removed func(node string) bool) (list []consensus.PeerStatus) {
+// peerStatuses returns the statuses of all tracked processes, sorted by name, as the planner of voter changes needs them. reported are
+// the voters that this process itself reports as unresponsive; it is empty unless this process is a voter. removed reports whether a
+// process was removed from the operator's seeds.
+func (f *failureDetector) peerStatuses(
+	now time.Time, voters, reported []string, removed func(node string) bool,
+) (list []consensus.PeerStatus) {
 	for node, peer := range f.peers {
 		status := consensus.PeerStatus{
-			Node: node, Ready: peer.ready, RemovedFromSeeds: removed(node), StateDuration: peer.unresponsiveFor(now),
+			Node:                node,
+			Ready:               peer.ready,
+			RemovedFromSeeds:    removed(node),
+			StateDuration:       peer.unresponsiveFor(now),
 			UnresponsiveReports: f.reports(now, voters, node),
 		}
 		if slices.Contains(reported, node) {
@@ -121,7 +128,7 @@
 	return list
 }
 
-// reports is how many voters that answer this process report another one as unresponsive.
+// reports returns how many of the responsive voters report a node as unresponsive.
 func (f *failureDetector) reports(now time.Time, voters []string, node string) (n int) {
 	for _, voter := range voters {
 		peer := f.peers[voter]
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -28,61 +28,77 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// What earlier versions of the program have written and answered.
+// The golden files: what earlier versions of the program have written and answered.
 const (
 	goldenStanding = "standing.hex"       // a voter's state with every field
 	goldenVote     = "vote.hex"           // a vote with every field
-	goldenFolder   = "core-folder"        // of a process that ran, and was restarted
-	goldenRecords  = "core-folder.txt"    // the same, by its keys
+	goldenFolder   = "core-folder"        // the folder of a process that was started twice
+	goldenRecords  = "core-folder.txt"    // its records, by key
 	goldenCalls    = "operator-calls.txt" // the operators' calls and their answers
 )
 
 const goldenSelf = "10.0.0.1:7001"
 
-// goldenRecord is a record with every field, in a system whose only voter is goldenSelf.
+// goldenRecord returns a record in which every field is set, of a system whose only voter is goldenSelf.
 func goldenRecord() consensus.Record {
 	const former = "10.0.0.2:7001"
-	list := consensus.VoterSet{Epoch: 3, Voters: []string{goldenSelf}, Previous: []string{goldenSelf, former}, Retired: []string{former}}
-	return consensus.Record{
-		State: consensus.ReplicaState{
-			VoterSet: list, Ready: true, DiskIncarnation: 7, DiskIncarnations: consensus.DiskIncarnations{former: 5, "10.0.0.3:7001": 6},
-			Promised: consensus.Ballot{Number: 12, Proposer: goldenSelf + "#ab"}, System: consensus.NewSystemID([]string{goldenSelf, former}),
+	voters := consensus.VoterSet{
+		Epoch:    3,
+		Voters:   []string{goldenSelf},
+		Previous: []string{goldenSelf, former},
+		Retired:  []string{former},
+	}
+	state := consensus.ReplicaState{
+		VoterSet:         voters,
+		Ready:            true,
+		DiskIncarnation:  7,
+		DiskIncarnations: consensus.DiskIncarnations{former: 5, "10.0.0.3:7001": 6},
+		Promised:         consensus.Ballot{Number: 12, Proposer: goldenSelf + "#ab"},
+		System:           consensus.NewSystemID([]string{goldenSelf, former}),
+	}
+	value := consensus.Value{
+		Version: 5,
+		Body:    config(5, "golden"),
+		History: []consensus.VersionDigest{
+			{Version: 3, Digest: consensus.Digest{1, 2, 3}},
+			{Version: 5, Digest: consensus.Digest{4, 5, 6, 7, 8, 9, 10, 11}},
 		},
-		Vote: consensus.Vote{Ballot: consensus.Ballot{Number: 11, Proposer: goldenSelf + "#ab"}, Learned: true, Value: consensus.Value{
-			Version: 5, Body: config(5, "golden"), VoterSet: list, TruncatedVersion: 2,
-			History: []consensus.VersionDigest{{Version: 3, Digest: consensus.Digest{1, 2, 3}}, {Version: 5, Digest: consensus.Digest{4, 5, 6, 7, 8, 9, 10, 11}}},
-			Refused: []consensus.VersionDigest{{Version: 900, Digest: consensus.Digest{12}}},
-		}},
+		TruncatedVersion: 2,
+		Refused:          []consensus.VersionDigest{{Version: 900, Digest: consensus.Digest{12}}},
+		VoterSet:         voters,
 	}
+	ballot := consensus.Ballot{Number: 11, Proposer: goldenSelf + "#ab"}
+	return consensus.Record{State: state, Vote: consensus.Vote{Ballot: ballot, Value: value, Learned: true}}
 }
 
+// Both parts of a record are written as earlier versions wrote them, and theirs are read.
 func TestGoldenRecords(t *testing.T) {
 	c := qt.New(t)
 	want := goldenRecord()
-	m := &memoryStore{records: map[string][]byte{}}
-	k := &recordDisk{self: goldenSelf, store: m}
-	c.Assert(k.save(&want, consensus.Unsynced{State: true, Vote: true}), qt.IsNil)
-	golden.Hex(t, goldenStanding, m.records[stateKey])
-	golden.Hex(t, goldenVote, m.records[voteKey])
-	c.Assert(m.records, qt.HasLen, 2)
+	store := &memoryStore{records: map[string][]byte{}}
+	disk := &recordDisk{self: goldenSelf, store: store}
+	c.Assert(disk.save(&want, consensus.Unsynced{State: true, Vote: true}), qt.IsNil)
+	golden.Hex(t, goldenStanding, store.records[stateKey])
+	golden.Hex(t, goldenVote, store.records[voteKey])
+	c.Assert(store.records, qt.HasLen, 2)
 
-	m.records = map[string][]byte{stateKey: golden.Read(t, goldenStanding), voteKey: golden.Read(t, goldenVote)}
+	store.records = map[string][]byte{stateKey: golden.Read(t, goldenStanding), voteKey: golden.Read(t, goldenVote)}
 	var got consensus.Record
-	c.Assert(k.get(stateKey, &got.State), qt.IsNil)
-	c.Assert(k.get(voteKey, &got.Vote), qt.IsNil)
+	c.Assert(disk.get(stateKey, &got.State), qt.IsNil)
+	c.Assert(disk.get(voteKey, &got.Vote), qt.IsNil)
 	c.Assert(got, qt.DeepEquals, want)
 }
 
-// openAlone runs a process on a folder that needs no other one.
+// openAlone opens the server of goldenSelf, which needs no other process, on a folder.
 func openAlone(c *qt.C, folder string) *Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d, err := Open(Options{Self: goldenSelf, Seeds: []string{goldenSelf}, Folder: folder, Transport: link{}, Log: log, Seed: 1})
+	server, err := Open(Options{Self: goldenSelf, Seeds: []string{goldenSelf}, Folder: folder, Transport: link{}, Log: log, Seed: 1})
 	c.Assert(err, qt.IsNil)
-	return d
+	return server
 }
 
-// writeGoldenFolder has a process start twice on a folder with the golden record.
+// writeGoldenFolder writes a folder with the golden record, and starts a process on it twice.
 func writeGoldenFolder(c *qt.C, folder string) {
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -91,13 +107,13 @@
 	c.Assert(store.Put(voteKey, codec.MarshalAppend(nil, &record.Vote)), qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
 	for v := configuration.Version(5); v < 7; v++ {
-		d := openAlone(c, folder)
-		c.Assert(d.Replace(c.Context(), v, config(v+1, "golden")).Outcome, qt.Equals, Applied)
-		d.Close()
+		server := openAlone(c, folder)
+		c.Assert(server.Replace(c.Context(), v, config(v+1, "golden")).Outcome, qt.Equals, Applied)
+		server.Close()
 	}
 }
 
-// dump is the records of a folder by their keys, in hexadecimal.
+// dump returns the records of a folder, as text in hexadecimal and by their keys.
 func dump(c *qt.C, folder string) (text []byte, records map[string][]byte) {
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -112,7 +128,7 @@
 	return text, records
 }
 
-// The folder of a core process that an earlier version has written is read as what it was, and a process goes on with it.
+// A core process's folder that an earlier version wrote is read completely, and a process continues with it.
 func TestGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	source := filepath.Join("testdata", "golden", goldenFolder)
@@ -147,18 +163,18 @@
 	c.Assert(value.TruncatedVersion, qt.Equals, uint64(2))
 	c.Assert(value.Refused, qt.DeepEquals, want.Vote.Value.Refused)
 
-	d := openAlone(c, folder)
-	newest, err := d.ReadLatest(c.Context())
+	server := openAlone(c, folder)
+	newest, err := server.ReadLatest(c.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(newest, qt.DeepEquals, value)
-	c.Assert(d.VoterSet(), qt.DeepEquals, want.State.VoterSet)
-	epoch, ready := d.Accepted()
+	c.Assert(server.VoterSet(), qt.DeepEquals, want.State.VoterSet)
+	epoch, ready := server.Accepted()
 	c.Assert(epoch == 3 && ready, qt.IsTrue)
-	c.Assert(d.learner.system(), qt.Equals, want.State.System)
-	c.Assert(d.Replace(c.Context(), 5, config(6, "golden")).Outcome, qt.Equals, Applied) // a repeat, which the history tells
-	c.Assert(d.Replace(c.Context(), 1, config(2, "golden")).Outcome, qt.Equals, Unknown)
-	c.Assert(d.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Applied)
-	d.Close()
+	c.Assert(server.learner.system(), qt.Equals, want.State.System)
+	c.Assert(server.Replace(c.Context(), 5, config(6, "golden")).Outcome, qt.Equals, Applied) // a repeat of a change in the history
+	c.Assert(server.Replace(c.Context(), 1, config(2, "golden")).Outcome, qt.Equals, Unknown)
+	c.Assert(server.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Applied)
+	server.Close()
 	_, again := dump(c, folder)
 	c.Assert(codec.Unmarshal(again[voteKey], &got.Vote), qt.IsNil)
 	c.Assert(got.Vote.Value.Version, qt.Equals, configuration.Version(8))
@@ -168,9 +184,9 @@
 type goldenCall struct {
 	name         string
 	method, path string
-	base         []string // values of the header; nil: none
+	base         []string // values of the header Base-Version; nil for no header
 	body         string
-	broken       bool // the body can't be read
+	broken       bool // reading the body fails
 }
 
 func replaceGolden(name, base, body string) goldenCall {
@@ -181,25 +197,27 @@
 	return goldenCall{name: name, method: "GET", path: "/configuration/retrieve"}
 }
 
-// answer calls a server and writes down what it says.
+// answer makes the call at a server, and appends the answer to text.
 func (g goldenCall) answer(ctx context.Context, text *bytes.Buffer, server *Server) {
 	var body io.Reader = strings.NewReader(g.body)
 	if g.broken {
 		body = iotest.ErrReader(errors.New("the link broke"))
 	}
-	r := httptest.NewRequestWithContext(ctx, g.method, g.path, body)
+	request := httptest.NewRequestWithContext(ctx, g.method, g.path, body)
 	if g.base != nil {
-		r.Header["Base-Version"] = g.base
+		request.Header["Base-Version"] = g.base
 	}
-	w := httptest.NewRecorder()
-	server.Handler().ServeHTTP(w, r)
-	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", g.name, g.method, g.path, g.base, w.Code)
-	for _, name := range slices.Sorted(maps.Keys(w.Result().Header)) {
-		fmt.Fprintf(text, "%s: %s\n", name, strings.Join(w.Result().Header[name], ", "))
+	response := httptest.NewRecorder()
+	server.Handler().ServeHTTP(response, request)
+	fmt.Fprintf(text, "# %s\n%s %s %q\n%d\n", g.name, g.method, g.path, g.base, response.Code)
+	header := response.Result().Header
+	for _, name := range slices.Sorted(maps.Keys(header)) {
+		fmt.Fprintf(text, "%s: %s\n", name, strings.Join(header[name], ", "))
 	}
-	fmt.Fprintf(text, "%q\n\n", w.Body.Bytes())
+	fmt.Fprintf(text, "%q\n\n", response.Body.Bytes())
 }
 
+// goldenDecided are calls while a majority of the voters answers.
 var goldenDecided = []goldenCall{
 	retrieveGolden("nothing was accepted yet"),
 	{name: "no base", method: "POST", path: "/configuration/replace", body: string(config(1, ""))},
@@ -228,6 +246,7 @@
 	{name: "a longer path", method: "GET", path: "/configuration/retrieve/"},
 }
 
+// goldenUndecided are calls while no majority answers.
 var goldenUndecided = []goldenCall{
 	replaceGolden("no majority", "r5", string(config(6, ""))),
 	retrieveGolden("no majority"),
@@ -235,49 +254,56 @@
 	replaceGolden("no majority, and no base", "x", string(config(6, ""))),
 }
 
-// The operators' calls, good and bad, are answered as they always were.
+// The operators' calls, valid and invalid, have the answers of earlier versions.
 func TestGoldenOperatorsCalls(t *testing.T) {
 	var text bytes.Buffer
-	runCore(t, 3, func(ctx context.Context, co *testCore) {
-		for _, x := range goldenDecided {
-			x.answer(ctx, &text, co.server(0))
+	runCore(t, 3, func(ctx context.Context, core *testCore) {
+		for _, call := range goldenDecided {
+			call.answer(ctx, &text, core.server(0))
 		}
-		co.isolate(0, true)
-		for _, x := range goldenUndecided {
-			x.answer(ctx, &text, co.server(0))
+		core.isolate(0, true)
+		for _, call := range goldenUndecided {
+			call.answer(ctx, &text, core.server(0))
 		}
 	})
-	runCore(t, 0, func(ctx context.Context, co *testCore) { // versions that are forgotten
+	runCore(t, 0, func(ctx context.Context, core *testCore) { // a change that is older than the history
 		record := goldenRecord()
-		record.State.Voters, record.State.Epoch, record.Vote.Value.VoterSet = []string{node(0)}, 0, consensus.VoterSet{}
-		co.disks[node(0)] = &memoryStore{records: map[string][]byte{stateKey: codec.MarshalAppend(nil, &record.State), voteKey: codec.MarshalAppend(nil, &record.Vote)}}
-		co.start(0, false)
-		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(ctx, &text, co.server(0))
+		record.State.Voters = []string{node(0)}
+		record.State.Epoch = 0
+		record.Vote.Value.VoterSet = consensus.VoterSet{}
+		core.disks[node(0)] = &memoryStore{records: map[string][]byte{
+			stateKey: codec.MarshalAppend(nil, &record.State),
+			voteKey:  codec.MarshalAppend(nil, &record.Vote),
+		}}
+		core.start(0, false)
+		replaceGolden("older than what is remembered", "r1", string(config(2, ""))).answer(ctx, &text, core.server(0))
 	})
-	runCore(t, 0, func(ctx context.Context, co *testCore) { // more voters are expected
-		co.tolerated = 2
+	runCore(t, 0, func(ctx context.Context, core *testCore) { // more voters are expected
+		core.tolerated = 2
 		for i := range 3 {
-			co.start(i, true)
+			core.start(i, true)
 		}
-		replaceGolden("too few voters yet", "0", string(config(1, ""))).answer(ctx, &text, co.server(0))
+		replaceGolden("too few voters yet", "0", string(config(1, ""))).answer(ctx, &text, core.server(0))
 		time.Sleep(discoveryTime)
-		replaceGolden("too few voters, and no more come", "0", string(config(1, ""))).answer(ctx, &text, co.server(0))
+		replaceGolden("too few voters, and no more come", "0", string(config(1, ""))).answer(ctx, &text, core.server(0))
 	})
 	golden.Text(t, goldenCalls, text.Bytes())
 }
 
-// A request or a record that can't be read is an error that names it.
+// The error for a request or a record that cannot be decoded names it.
 func TestGoldenBadRequest(t *testing.T) {
 	c := qt.New(t)
 	_, err := (&Server{responder: &responder{}}).Serve(t.Context(), []byte{0xff})
 	c.Assert(err, qt.ErrorMatches, `request: .*`)
-	k := &recordDisk{folder: "f", store: &memoryStore{records: map[string][]byte{voteKey: must(hex.DecodeString("0a"))}}}
-	c.Assert(k.get(voteKey, &consensus.Vote{}), qt.ErrorMatches, `(?s).*folder f, record "vote": .*`)
+	store := &memoryStore{records: map[string][]byte{voteKey: must(hex.DecodeString("0a"))}}
+	disk := &recordDisk{folder: "f", store: store}
+	c.Assert(disk.get(voteKey, &consensus.Vote{}), qt.ErrorMatches, `(?s).*folder f, record "vote": .*`)
 }
 
-func must[T any](x T, err error) T {
+// must returns a value that a test needs, and panics if there was an error.
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
-	return x
+	return value
 }
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -12,14 +12,14 @@
 
 // How long after its start a process expects more voters.
 const (
-	discoveryTime = time.Second     // until then there may be processes that it does not know of yet
-	maxGrowthWait = 5 * time.Second // a process that has not become a voter by then is not waited for
+	discoveryTime = time.Second     // within which it may not know all processes yet
+	maxGrowthWait = 5 * time.Second // after which it does not wait any more for processes to become voters
 )
 
-// growth delays the acknowledgement of changes while the voter set is smaller than it is to be. At the system's first start it
-// has to be: all know of the same three processes, whose majority is two, and a change that these two alone hold must not be
-// acknowledged where two disks may be lost. It does not wait for processes that are not there, nor long after this process's
-// start.
+// growth delays the acknowledgement of changes while there are fewer voters than wanted. That is so at the system's first start: all
+// processes know the same three voters, of which two are a majority. Where two disks may be lost at once, a change that only two
+// voters hold must not be acknowledged. growth does not wait for processes that do not run, and not beyond maxGrowthWait after this
+// process's start.
 type growth struct {
 	startedAt    time.Time
 	initialStart bool // of the whole system
@@ -30,8 +30,8 @@
 	proposer     *proposer
 }
 
-// await waits until the voter set tolerates as many losses as it is to. Once it returns without an error, a majority of the
-// set has the newest value and the set itself on disk.
+// await waits until there are as many voters as wanted, or no more are expected. If it had to wait and returns no error, a majority of
+// the voters has the newest value and the voter set on disk.
 func (g *growth) await(ctx context.Context) error {
 	first := g.initialStart && time.Since(g.startedAt) < maxGrowthWait
 	if g.directory.running == nil || !first && !g.expected() {
@@ -43,11 +43,11 @@
 			return trace.Wrap(err)
 		}
 	}
-	_, err := g.proposer.read(ctx) // a round under the voter set that there is now
+	_, err := g.proposer.read(ctx) // a round under the current voter set
 	return trace.Wrap(err)
 }
 
-// expected reports whether there are fewer voters than wanted, and there may soon be more.
+// expected reports whether there are fewer voters than wanted and more may join soon.
 func (g *growth) expected() bool {
 	voters := g.learner.voterSet()
 	age := time.Since(g.startedAt)
--- a/internal/mesh/control/controlplane/history_test.go
+++ b/internal/mesh/control/controlplane/history_test.go
@@ -9,37 +9,39 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// history is what operators and readers saw, and the plain specification of it.
+// history records what operators and readers observed, and the violations of its specification.
 type history struct {
 	mu           sync.Mutex
 	acknowledged configuration.Version            // the newest
-	sent         map[string]configuration.Version // bodies
-	refused      map[string]bool
-	bases        map[configuration.Version]string // acknowledged bodies, by what they build on
-	faults       []string
-	answers      map[string]int
-	next         configuration.Version
+	sent         map[string]configuration.Version // by body
+	refused      map[string]bool                  // by body
+	bases        map[configuration.Version]string // acknowledged bodies, by the versions that they are based on
+	faults       []string                         // violations
+	answers      map[string]int                   // numbers of answers, by kind
+	next         configuration.Version            // the newest that was sent
 }
 
 func newHistory() *history {
 	return &history{
-		sent: map[string]configuration.Version{}, refused: map[string]bool{},
-		bases: map[configuration.Version]string{}, answers: map[string]int{},
+		sent:    map[string]configuration.Version{},
+		refused: map[string]bool{},
+		bases:   map[configuration.Version]string{},
+		answers: map[string]int{},
 	}
 }
 
-// fault notes that the specification was broken. h.mu is locked.
+// fault records a violation of the specification. The caller holds h.mu.
 func (h *history) fault(format string, args ...any) {
 	h.faults = append(h.faults, fmt.Sprintf(format, args...))
 }
 
-// change is an operator's change as it is sent.
+// change is a change that an operator sends.
 type change struct {
 	base, version configuration.Version
 	body          []byte
 }
 
-// newChange draws a change on the newest version that the operator knows.
+// newChange returns a random change to the newest acknowledged version.
 func (h *history) newChange(rng *rand.Rand) change {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,7 +53,8 @@
 	return change{base, version, body}
 }
 
-// operate sends one change as often as it takes to get an answer, at most thrice. cutOff is the server that is cut off, -1 for none.
+// operate sends one change to random servers until there is a definite answer, at most three times. cutOff returns the server that is
+// cut off, -1 for none.
 func (h *history) operate(ctx context.Context, network *testNetwork, rng *rand.Rand, servers int, cutOff func() int) {
 	sent := h.newChange(rng)
 	for range 3 {
@@ -61,7 +64,7 @@
 		outcome := network.server(i).Replace(short, sent.base, sent.body).Outcome
 		cancel()
 		h.observe(sent, outcome, i, before == i && cutOff() == i)
-		if outcome == Conflict { // a server that refuses knows of another version in place
+		if outcome == Conflict { // so the server knows a newer version than the base
 			h.checkConflict(ctx, network, sent, i)
 		}
 		if outcome == Applied || outcome == Conflict {
@@ -70,7 +73,7 @@
 	}
 }
 
-// observe notes a server's answer to a change. isolated says that the server was cut off all the time.
+// observe records a server's answer to a change. isolated is true if the server was cut off all the time.
 func (h *history) observe(sent change, outcome Outcome, server int, isolated bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +95,7 @@
 	}
 }
 
-// checkConflict reads at the server that refused a change.
+// checkConflict reads at the server that refused a change, which must know a newer version than the base.
 func (h *history) checkConflict(ctx context.Context, network *testNetwork, sent change, server int) {
 	newest, ok := h.read(ctx, network, server)
 	if ok && newest <= sent.base {
@@ -102,7 +105,7 @@
 	}
 }
 
-// read reads at one server, and checks that the answer is no older than what was acknowledged when it began.
+// read reads at one server, and checks that the answer is no older than what was acknowledged when the read began.
 func (h *history) read(ctx context.Context, network *testNetwork, server int) (configuration.Version, bool) {
 	h.mu.Lock()
 	least := h.acknowledged
--- a/internal/mesh/control/controlplane/learner.go
+++ b/internal/mesh/control/controlplane/learner.go
@@ -10,40 +10,40 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// learner owns what this process knows to be decided: the voter set, the committed value and the identity of the system. All of
-// it only moves forward, and may be older than what others know. It is kept in memory alone; after a restart it is learned again
-// from the acceptor's record, from peers and from rounds.
+// learner owns what this process knows to be decided: the voter set, the committed value and the system's ID. Each of them only
+// moves forward, and may be older than what other processes know. They are in memory only; after a restart they are learned
+// again from the acceptor's record, from peers and from rounds.
 type learner struct {
 	log      *logrus.Logger
 	onCommit func(consensus.Value) // may be nil
-	updated  chan struct{}         // signals a newer committed value; one signal stands for all that were not taken yet
+	updated  chan struct{}         // signals newer committed values; one signal may stand for several
 
 	mu        sync.Mutex
-	voters    consensus.VoterSet // without voters while not known
-	systemID  consensus.SystemID // 0 while not known
-	vote      consensus.Vote     // the newest whose ballot and value are known to be committed
-	committed consensus.Value    // the newest; it may have come without a ballot
+	voters    consensus.VoterSet // without voters while unknown
+	systemID  consensus.SystemID // 0 while unknown
+	vote      consensus.Vote     // the newest committed one whose ballot is known
+	committed consensus.Value    // the newest; may be newer than that of vote, if it was learned without a ballot
 }
 
 func newLearner(log *logrus.Logger, onCommit func(consensus.Value)) *learner {
 	return &learner{log: log, onCommit: onCommit, updated: make(chan struct{}, 1)}
 }
 
-// voterSet is the newest voter set that is known to be decided.
+// voterSet returns the newest voter set that is known to be decided.
 func (l *learner) voterSet() consensus.VoterSet {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.voters
 }
 
-// learnVoterSet notes that a voter set is decided.
+// learnVoterSet adopts a decided voter set if it is newer than the one known.
 func (l *learner) learnVoterSet(voters consensus.VoterSet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setVoterSet(voters)
 }
 
-// setVoterSet takes a voter set that is newer than the one known. l.mu is locked.
+// setVoterSet is learnVoterSet for callers that hold l.mu.
 func (l *learner) setVoterSet(voters consensus.VoterSet) {
 	if len(voters.Voters) == 0 || len(l.voters.Voters) > 0 && voters.Epoch <= l.voters.Epoch {
 		return
@@ -54,14 +54,14 @@
 	}
 }
 
-// system is the identity of the system that this process belongs to, 0 while it is not known.
+// system returns the ID of the system that this process belongs to, 0 while it is unknown.
 func (l *learner) system() consensus.SystemID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.systemID
 }
 
-// learnSystem notes the identity of the system. It never changes once it is known.
+// learnSystem sets the ID of the system, unless it is known: it never changes.
 func (l *learner) learnSystem(id consensus.SystemID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,21 +70,21 @@
 	}
 }
 
-// newestVote is the newest vote whose ballot and value are known to be committed.
+// newestVote returns the newest committed vote whose ballot is known.
 func (l *learner) newestVote() consensus.Vote {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.vote
 }
 
-// newestValue is the newest value that is known to be committed; ok is false while there is none.
+// newestValue returns the newest value that is known to be committed; ok is false while there is none.
 func (l *learner) newestValue() (value consensus.Value, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.committed, l.committed.Version > 0
 }
 
-// learnVote notes that a vote's value is committed. The zero ballot stands for a value whose ballot is not known.
+// learnVote adopts a committed vote as far as it is newer than what is known. A vote whose ballot is unknown has the zero ballot.
 func (l *learner) learnVote(vote consensus.Vote) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,13 +97,13 @@
 		l.committed = vote.Value
 		select {
 		case l.updated <- struct{}{}:
-		default: // a signal is pending, and whoever takes it reads the newest value
+		default: // a signal is pending; its receiver reads the newest value
 		}
 	}
 }
 
-// runNotifications calls onCommit with committed values of rising versions until ctx ends. Versions that come in quick succession
-// are skipped but for the last one.
+// runNotifications calls onCommit with committed values, in the order of their versions, until ctx ends. Of several values that are
+// learned in quick succession it may skip all but the newest.
 func (l *learner) runNotifications(ctx context.Context) {
 	var notified configuration.Version
 	for {
--- a/internal/mesh/control/controlplane/lifetime.go
+++ b/internal/mesh/control/controlplane/lifetime.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// lifetime is the time for which a Server is open. It owns the goroutines that the server's parts start, and waits for them.
+// lifetime owns the goroutines that a Server's parts start, and waits for them when the Server is closed.
 type lifetime struct {
-	ctx    context.Context // is cancelled by close
+	ctx    context.Context // cancelled by close
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
@@ -21,8 +21,8 @@
 	return l
 }
 
-// start runs f in a goroutine. f has to return soon after its context is cancelled, which close does. Once close was called start
-// returns false and f does not run.
+// start runs f in a goroutine. f has to return soon after close has cancelled its context. After a call of close, start returns false
+// and does not run f.
 func (l *lifetime) start(f func(ctx context.Context)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,7 +30,7 @@
 		return false
 	}
 	l.goroutines.Add(1)
-	go func() { // by hand, as WaitGroup.Go would allocate once more for each request to a peer
+	go func() { // not WaitGroup.Go, which would allocate once more for each request to a peer
 		defer l.goroutines.Done()
 		f(l.ctx)
 	}()
--- a/internal/mesh/control/controlplane/lifetime_test.go
+++ b/internal/mesh/control/controlplane/lifetime_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Close cancels the goroutines' context and waits for them; later ones are not started.
+// close cancels the goroutines' context and waits for them. After that no goroutine is started.
 func TestLifetimeWaitsForItsGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLifetime()
@@ -29,12 +29,12 @@
 	})
 }
 
-// A request that is sent after the end of a server has no reply, and nobody waits for one.
+// A read at a closed server fails at once.
 func TestNoRepliesAfterTheEnd(t *testing.T) {
-	runCore(t, 3, func(ctx context.Context, co *testCore) {
-		co.newest(ctx, 0)
-		server := co.server(0)
-		co.stop(0)
+	runCore(t, 3, func(ctx context.Context, core *testCore) {
+		core.newest(ctx, 0)
+		server := core.server(0)
+		core.stop(0)
 		began := time.Now()
 		_, err := server.ReadLatest(ctx)
 		qt.Assert(t, err, qt.ErrorIs, context.Canceled)
--- a/internal/mesh/control/controlplane/network_test.go
+++ b/internal/mesh/control/controlplane/network_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// testNetwork is a core whose messages may be cut one way, and are counted.
+// testNetwork is a core whose links can be cut in one direction, and whose messages and syncs are counted.
 type testNetwork struct {
 	*testCore
 	mu       sync.Mutex
@@ -39,7 +39,7 @@
 			return reply, err
 		}
 	}
-	<-ctx.Done() // as a cut says nothing
+	<-ctx.Done() // the sender does not learn that the message was lost
 	return nil, trace.ConnectionProblem(ctx.Err(), "no way between %s and %s", o.from, node)
 }
 
@@ -59,7 +59,7 @@
 	return true
 }
 
-// countingStore counts writes that are synced.
+// countingStore counts the synced writes to a disk.
 type countingStore struct {
 	*memoryStore
 	network *testNetwork
@@ -75,9 +75,9 @@
 // runNetwork runs a test in a bubble, with n servers of which the first three are voters.
 func runNetwork(t *testing.T, n int, seed uint64, test func(ctx context.Context, network *testNetwork)) {
 	t.Helper()
-	runCore(t, 0, func(ctx context.Context, co *testCore) {
-		co.rng = rand.New(rand.NewPCG(seed, 3))
-		network := &testNetwork{testCore: co, severed: map[[2]string]bool{}, bytes: map[string]int{}}
+	runCore(t, 0, func(ctx context.Context, core *testCore) {
+		core.rng = rand.New(rand.NewPCG(seed, 3))
+		network := &testNetwork{testCore: core, severed: map[[2]string]bool{}, bytes: map[string]int{}}
 		for i := range n {
 			network.open(i, true)
 		}
@@ -85,7 +85,7 @@
 	})
 }
 
-// open starts a server on its disk.
+// open starts a server on its disk, as testCore.start does.
 func (t *testNetwork) open(i int, first bool) {
 	t.testCore.mu.Lock()
 	defer t.testCore.mu.Unlock()
@@ -93,23 +93,28 @@
 	if t.disks[self] == nil {
 		t.disks[self] = &memoryStore{records: map[string][]byte{}}
 	}
-	kept := countingStore{t.disks[self], t}
+	disk := countingStore{t.disks[self], t}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	server, err := Open(Options{
-		Self: self, Seeds: t.seeds, InitialStart: first, Transport: oneWayLink{t, self}, Log: log, Seed: uint64(i),
+		Self:         self,
+		Seeds:        t.seeds,
+		InitialStart: first,
+		Transport:    oneWayLink{t, self},
+		Log:          log,
+		Seed:         uint64(i),
 		OnCommit: func(value consensus.Value) {
 			t.testCore.mu.Lock()
 			defer t.testCore.mu.Unlock()
 			t.notified[self] = append(t.notified[self], value.Version)
 		},
-		openStore: func(string) (recordStore, error) { return kept, nil },
+		openStore: func(string) (recordStore, error) { return disk, nil },
 	})
 	t.c.Assert(err, qt.IsNil)
 	t.servers[self] = server
 }
 
-// sever cuts what one server sends or receives.
+// sever cuts what one server sends, or receives, or both, or ends such a cut.
 func (t *testNetwork) sever(i, n int, sends, receives, cut bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/mesh/control/controlplane/operator_api.go
+++ b/internal/mesh/control/controlplane/operator_api.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// The operators' calls, and the header that names the version which a change is based on. They are the format of the users' pages.
+// The operators' calls, and the header with the version that a change is based on. The users' pages define them.
 const (
 	replacePattern    = "POST /configuration/replace"
 	retrievePattern   = "GET /configuration/retrieve"
@@ -22,13 +22,13 @@
 )
 
 const (
-	maxBodyBytes      = 32 << 20
-	callTimeout       = 900 * time.Millisecond // callers wait for a second
-	retryAfterSeconds = "0.2"                  // for the header Retry-After
+	maxBodyBytes      = 32 << 20               // of a configuration
+	callTimeout       = 900 * time.Millisecond // of a call; operators wait for a second
+	retryAfterSeconds = "0.2"                  // value of the header Retry-After
 )
 
-// operatorAPI serves the operators' calls over HTTP. It has no state. 200, 400, 404, 412 and 413 are final; 408 says that the body did
-// not come completely, and 503 that nothing is known, and when to call again.
+// operatorAPI serves the operators' calls over HTTP. It has no state. The statuses 200, 400, 404, 412 and 413 are final. 408 means that
+// the body was incomplete. 503 means that the outcome is unknown, and has a Retry-After header.
 type operatorAPI struct {
 	register *register
 	log      *logrus.Logger
@@ -50,10 +50,10 @@
 		writeResult(w, http.StatusRequestEntityTooLarge, trace.LimitExceeded("the body: expected %d bytes at most", tooLarge.Limit))
 		return
 	case err != nil:
-		writeResult(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a link's fault, not the configuration's
+		writeResult(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a fault of the connection, not of the configuration
 		return
 	}
-	// The header is checked after the body has been read: the answer may be lost with a connection that is closed before.
+	// The body is read before the header is checked: a client that still sends its body may not receive the answer.
 	base, err := configuration.ParseVersion(request.Header.Get(baseVersionHeader))
 	if err != nil {
 		writeResult(w, http.StatusBadRequest, trace.Wrap(err, baseVersionHeader))
@@ -66,7 +66,7 @@
 	writeResult(w, result.Outcome.status(), result.Reason)
 }
 
-// status is the HTTP status of an outcome.
+// status returns the HTTP status of an outcome.
 func (o Outcome) status() int {
 	switch o {
 	case Applied:
@@ -80,7 +80,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// serveRetrieve answers with the newest configuration that was committed when the call came, or a newer one.
+// serveRetrieve answers with the newest configuration that was committed when the call arrived, or a newer one.
 func (o *operatorAPI) serveRetrieve(w http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
@@ -92,11 +92,11 @@
 		writeResult(w, http.StatusNotFound, trace.NotFound("no configuration was accepted yet"))
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(value.Body) // the caller may have gone
+		_, _ = w.Write(value.Body) // an error means that the client has disconnected
 	}
 }
 
-// writeResult answers with a status and, if there is one, the reason.
+// writeResult answers with a status and a JSON object, which has the reason unless that is nil.
 func writeResult(w http.ResponseWriter, status int, reason error) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
@@ -109,5 +109,5 @@
 	if reason != nil {
 		body.Error = trace.UserMessage(reason)
 	}
-	_ = json.NewEncoder(w).Encode(body) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(body) // an error means that the client has disconnected
 }
--- a/internal/mesh/control/controlplane/peer_client.go
+++ b/internal/mesh/control/controlplane/peer_client.go
@@ -16,13 +16,13 @@
 	probeTimeout   = 600 * time.Millisecond // for a Describe
 )
 
-// Transport carries requests to other core processes; node is a process's name in the voter set. The process there answers with
-// Server.Serve. Ask returns soon after ctx ends.
+// Transport carries requests to other core processes. Ask sends a request to the process with a name of the voter set, and returns the
+// result of its Server.Serve. It has to return soon after ctx ends.
 type Transport interface {
 	Ask(ctx context.Context, node string, request []byte) ([]byte, error)
 }
 
-// peerClient sends requests to core processes, this one included.
+// peerClient sends requests to core processes, including this one.
 type peerClient struct {
 	self      string
 	transport Transport
@@ -32,21 +32,21 @@
 	local     func(context.Context, *consensus.Request) (*consensus.Reply, error) // answers requests to this process
 }
 
-// peerReply is what became of a request.
+// peerReply is the end of a request.
 type peerReply struct {
 	node  string
-	reply *consensus.Reply // nil if none came
+	reply *consensus.Reply // nil if the request failed
 }
 
-// signed is a request with the sender's name and system.
+// signed returns a request with the sender's name and system.
 func (p *peerClient) signed(request consensus.Request) consensus.Request {
 	request.System = p.learner.system()
 	request.Sender = p.self
 	return request
 }
 
-// ask sends a signed request, of which raw is the encoding, and waits for the reply. A reply of a process of another system is an
-// error.
+// ask sends a signed request and waits for the reply; raw is the request's encoding. The error is a trace.BadParameter if the reply
+// cannot be decoded or comes from a process of another system.
 func (p *peerClient) ask(ctx context.Context, node string, request consensus.Request, raw []byte) (*consensus.Reply, error) {
 	if node == p.self {
 		return p.local(ctx, &request)
@@ -66,7 +66,7 @@
 	return &reply, nil
 }
 
-// describe asks a process for the voter set that it knows and for its own state.
+// describe asks a process for its own state and for the voter set that it knows.
 func (p *peerClient) describe(ctx context.Context, node string) (*consensus.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -74,15 +74,15 @@
 	return p.ask(ctx, node, request, codec.MarshalAppend(nil, &request))
 }
 
-// broadcast sends a request to all nodes, and returns a channel with one reply for each, sooner or later. Requests go on when the
-// caller has enough replies, so that the other nodes learn of it too, until requestTimeout or the end of the server.
+// broadcast sends a request to all nodes and returns a channel that receives one peerReply for each. The requests continue when the caller
+// stops receiving, so that the remaining nodes get them too; they end at requestTimeout or when the Server is closed.
 func (p *peerClient) broadcast(nodes []string, request *consensus.Request) <-chan peerReply {
 	replies := make(chan peerReply, len(nodes))
 	p.send(nodes, request, replies)
 	return replies
 }
 
-// send is like broadcast for a channel of the caller, which has room for all replies.
+// send is broadcast to a channel of the caller, which must have room for all replies.
 func (p *peerClient) send(nodes []string, request *consensus.Request, replies chan<- peerReply) {
 	signed := p.signed(*request)
 	raw := codec.MarshalAppend(nil, &signed)
--- a/internal/mesh/control/controlplane/proposer.go
+++ b/internal/mesh/control/controlplane/proposer.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	minPhaseTimeout = 400 * time.Millisecond // how long one phase of a round waits for replies, at first
-	maxPhaseTimeout = time.Second
-	rejectionMargin = 20 * time.Millisecond // beside twice the time until the first rejection, for the replies still to come
+	minPhaseTimeout = 400 * time.Millisecond // how long a phase of the first round waits for replies
+	maxPhaseTimeout = time.Second            // the same of any later round, at most
+	rejectionMargin = 20 * time.Millisecond  // added to twice the time until the first rejection, for the remaining replies
 )
 
-// proposer plays this process's rounds: reads and changes of the register. Rounds run in their callers' goroutines. Reads run at
-// any number; of the rounds with a ballot one runs at a time, as they would only preempt each other.
+// proposer runs this process's rounds, which read and change the register, in the goroutines of its callers. Any number of reads runs at
+// a time, but only one round with a ballot, as two would preempt each other.
 type proposer struct {
-	id        string // of this process since its start, in its ballots
+	id        string // identifies this start of the process in its ballots
 	backoff   *backoff
 	learner   *learner
 	directory *coreDirectory
 	client    *peerClient
-	slot      chan struct{} // has room for the one round with a ballot
+	slot      chan struct{} // a semaphore with room for one round with a ballot
 
 	mu      sync.Mutex
-	highest uint64 // number of the highest ballot that was seen
+	highest uint64 // number of the highest ballot seen
 }
 
-// read plays rounds until one has read the newest committed value, in contact with a majority after the call began.
+// read runs rounds until one has read the newest committed value. A majority has answered after the call began.
 func (p *proposer) read(ctx context.Context) (*consensus.Round, error) {
 	return p.run(ctx, true, nil)
 }
 
-// propose plays rounds until one has a verdict on the change.
+// propose runs rounds until one has a verdict on the change.
 func (p *proposer) propose(ctx context.Context, change *consensus.Change) (*consensus.Round, error) {
 	return p.run(ctx, false, change)
 }
 
-// observeBallot notes a ballot, so that the next one of this process is above it.
+// observeBallot records a ballot, so that the next one of this process is higher.
 func (p *proposer) observeBallot(ballot consensus.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.highest = max(p.highest, ballot.Number)
 }
 
-// nextBallot is a ballot that was never used.
+// nextBallot returns a ballot that was never used.
 func (p *proposer) nextBallot() consensus.Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,12 +56,12 @@
 	return consensus.Ballot{Number: p.highest, Proposer: p.id}
 }
 
-// run plays rounds until one is done or the context ends. A read is played without a ballot first, which writes nothing. If its votes
-// differ, one round with a ballot follows at once; if that is preempted, the next one reads without a ballot again.
-func (p *proposer) run(ctx context.Context, reading bool, change *consensus.Change) (*consensus.Round, error) {
+// run runs rounds until one is Done or ctx ends. A read first runs a round without a ballot, which writes nothing. If the votes differ,
+// a round with a ballot follows at once; if that is preempted, the next round has no ballot again.
+func (p *proposer) run(ctx context.Context, isRead bool, change *consensus.Change) (*consensus.Round, error) {
 	delay := minBackoff
 	timeout := minPhaseTimeout
-	withoutBallot := reading
+	withoutBallot := isRead
 	for ; ; timeout = min(timeout*3/2, maxPhaseTimeout) {
 		if voters := p.learner.voterSet(); len(voters.Voters) > 0 {
 			round, err := p.attempt(ctx, voters, withoutBallot, change, timeout)
@@ -76,7 +76,7 @@
 			case round.State == consensus.Stale && p.learner.voterSet().Epoch > voters.Epoch:
 				continue
 			}
-			withoutBallot = reading
+			withoutBallot = isRead
 		}
 		if err := p.backoff.wait(ctx, &delay); err != nil {
 			return nil, trace.Wrap(err)
@@ -84,9 +84,9 @@
 	}
 }
 
-// attempt plays one round under a voter set.
-func (p *proposer) attempt(ctx context.Context, voters consensus.VoterSet, withoutBallot bool, change *consensus.Change,
-	timeout time.Duration,
+// attempt runs one round under a voter set.
+func (p *proposer) attempt(
+	ctx context.Context, voters consensus.VoterSet, withoutBallot bool, change *consensus.Change, timeout time.Duration,
 ) (*consensus.Round, error) {
 	known := p.learner.newestVote()
 	if withoutBallot {
@@ -108,7 +108,7 @@
 	return round, nil
 }
 
-// play plays a round until it is over, and learns what it found. Each phase waits for replies as long as timeout.
+// play runs a round to its end, and learns what it found. timeout is how long each phase waits for replies.
 func (p *proposer) play(ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration) {
 	for request != nil {
 		request = p.playPhase(ctx, round, request, timeout)
@@ -121,9 +121,12 @@
 	}
 }
 
-// playPhase sends a request to all voters and takes their replies until the round is over, or has the request of its next phase,
-// or no more replies are waited for. After a rejection it waits for a shorter time, as the round is likely to fail.
-func (p *proposer) playPhase(ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration) *consensus.Request {
+// playPhase sends a request to the round's recipients and hands their replies to the round. It returns the request of the next phase,
+// or nil if the round has ended, all replies are there, or the time is over. After a rejection it waits for a shorter time, as
+// the round is likely to fail.
+func (p *proposer) playPhase(
+	ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration,
+) *consensus.Request {
 	nodes := round.Recipients()
 	replies := p.client.broadcast(nodes, request)
 	began := time.Now()
@@ -153,8 +156,8 @@
 	return nil
 }
 
-// announceCommit notifies those who took part in a round that its value is committed. If it made a new voter set, all core processes
-// are notified.
+// announceCommit notifies a round's recipients that its value is committed. If the value has a new voter set, it notifies all core
+// processes.
 func (p *proposer) announceCommit(round *consensus.Round) {
 	nodes := round.Recipients()
 	voters := p.learner.voterSet()
--- a/internal/mesh/control/controlplane/record_disk.go
+++ b/internal/mesh/control/controlplane/record_disk.go
@@ -16,8 +16,7 @@
 	ownerKey = "owner"    // the name of the process whose records these are
 )
 
-// recordStore is a folder of records, each under its key. Put returns once the record is on disk. Errors are those of
-// storage.Store.
+// recordStore stores records by key. Put returns once the record is on disk. Errors are those of storage.Store.
 type recordStore interface {
 	Get(key string) ([]byte, error)
 	Put(key string, data []byte) error
@@ -29,7 +28,7 @@
 	return store, trace.Wrap(err)
 }
 
-// recordDisk is an acceptor's record on disk. One goroutine uses it.
+// recordDisk reads and writes an acceptor's record. It is not safe for concurrent use.
 type recordDisk struct {
 	self      string
 	folder    string
@@ -38,11 +37,11 @@
 	store     recordStore // nil until open
 }
 
-// recordDamage is why parts of a record could not be read; nil for one that was. An error is a trace.NotFound or a
-// trace.CompareFailed.
+// recordDamage holds, for each part of a record, why it could not be read: a trace.NotFound if it is missing, a trace.CompareFailed if
+// it is corrupt, nil if it was read.
 type recordDamage struct{ state, vote error }
 
-// blank reports whether there is no record at all.
+// blank reports whether both parts are missing.
 func (r recordDamage) blank() bool { return trace.IsNotFound(r.state) && trace.IsNotFound(r.vote) }
 
 // open opens the folder, unless it is open, and claims it for this process.
@@ -57,8 +56,8 @@
 	return trace.Wrap(r.claim())
 }
 
-// claim notes on the disk which process its records belong to. A folder of another process is a trace.BadParameter, and stays as
-// it is: to vote with its records would count that process's votes twice.
+// claim writes this process's name to the folder as its owner. If the folder belongs to another process, it does not change it and
+// returns a trace.BadParameter: to vote with that process's records would count its votes twice.
 func (r *recordDisk) claim() error {
 	owner, err := r.store.Get(ownerKey)
 	switch {
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// read reads both parts of the record as far as they are there and intact.
+// read returns those parts of the record that are on disk and intact, and the damage of the others.
 func (r *recordDisk) read() (consensus.Record, recordDamage, error) {
 	var record consensus.Record
 	damage := recordDamage{state: r.get(stateKey, &record.State), vote: r.get(voteKey, &record.Vote)}
@@ -84,7 +83,7 @@
 	return record, damage, nil
 }
 
-// get reads a part. One that can't be decoded is a trace.CompareFailed.
+// get reads one part. The error is a trace.CompareFailed if it cannot be decoded.
 func (r *recordDisk) get(key string, part codec.Message) error {
 	data, err := r.store.Get(key)
 	if err != nil {
@@ -96,8 +95,8 @@
 	return nil
 }
 
-// save writes the parts of a record that changed, the vote first: a vote without its promise counts as one, and a promise without
-// its vote would hide it.
+// save writes the changed parts of a record, the vote first. If only the vote is written, its ballot counts as promised; if only the
+// promise were written, the vote that was accepted with it would be forgotten.
 func (r *recordDisk) save(record *consensus.Record, changed consensus.Unsynced) error {
 	if changed.Vote {
 		if err := r.put(voteKey, &record.Vote); err != nil {
@@ -110,7 +109,7 @@
 	return nil
 }
 
-// replace writes both parts of a record over whatever is left of an old one. Until all of it is written the state on disk is not ready.
+// replace overwrites what is left of an old record with a complete new one. Until all of it is written, the state on disk is not ready.
 func (r *recordDisk) replace(record *consensus.Record) error {
 	unready := record.State
 	unready.Ready = false
@@ -124,7 +123,7 @@
 	return trace.Wrap(r.store.Put(key, codec.MarshalAppend(nil, part)))
 }
 
-// close closes the folder. All that counts was written through before.
+// close closes the folder. Every record was synced when it was written, so an error is only logged.
 func (r *recordDisk) close() {
 	if r.store == nil {
 		return
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -12,12 +12,12 @@
 
 const (
 	minRecoveryBackoff = 20 * time.Millisecond
-	recoveryTimeout    = 600 * time.Millisecond // of one attempt to read a record from others
-	maxRecoveryPeers   = 64                     // that one attempt asks
+	recoveryTimeout    = 600 * time.Millisecond // of one attempt
+	maxRecoveryPeers   = 64                     // that one attempt asks, at most
 )
 
-// recoverer makes the record of an acceptor that has none: the voter set comes from any peer, and what the voters promised and
-// accepted from enough of them. Its goroutine has all of its state.
+// recoverer makes the record of an acceptor that has none. It learns the voter set from any peer, and what was promised and accepted from
+// enough of the voters (consensus.Recovery). Its state is local to its goroutine (run).
 type recoverer struct {
 	self      string
 	log       *logrus.Logger
@@ -29,12 +29,12 @@
 	install   func(context.Context, consensus.Record) error // hands the record to the acceptor
 }
 
-// start makes the record in the background. blankDisk says that there was nothing at all on the disk.
+// start makes the record in the background. blankDisk is true if the disk was completely empty.
 func (r *recoverer) start(diskIncarnation uint64, blankDisk bool) {
 	r.lifetime.start(func(ctx context.Context) { r.run(ctx, diskIncarnation, blankDisk) })
 }
 
-// run makes attempts until the acceptor has a record or ctx ends. A process outside the voter set may become a voter from then on.
+// run makes attempts until the acceptor has a record or ctx ends. After that a process that is not a voter may become one.
 func (r *recoverer) run(ctx context.Context, diskIncarnation uint64, blankDisk bool) {
 	delay := minRecoveryBackoff
 	for ; ctx.Err() == nil; _ = r.backoff.wait(ctx, &delay) {
@@ -49,7 +49,7 @@
 			diskIncarnation = attempt.NextDiskIncarnation()
 			continue
 		}
-		diskIncarnation = 0 // below all: if the record can't be kept, voters reject the next attempt and tell what they have seen
+		diskIncarnation = 0 // if the record cannot be written, voters reject the next attempt, and report a usable incarnation
 		if err := r.install(ctx, record); err == nil || errors.Is(err, errRecordExists) {
 			r.log.WithField("incarnation", record.State.DiskIncarnation).Info("the voter's record is made")
 			return
@@ -57,7 +57,7 @@
 	}
 }
 
-// findVoterSet asks all processes for the voter set, and takes the first that is known.
+// findVoterSet asks all peers for the voter set, and learns the first one that is reported.
 func (r *recoverer) findVoterSet(ctx context.Context) {
 	peers := r.directory.peers()
 	replies := r.client.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
@@ -75,7 +75,7 @@
 	}
 }
 
-// attempt is one attempt to read a record. Whom it asks may grow with each reply.
+// attempt makes one attempt to recover the record. Each reply may add nodes to ask.
 func (r *recoverer) attempt(attempt *consensus.Recovery, request *consensus.Request) (record consensus.Record, ok bool) {
 	timer := time.NewTimer(recoveryTimeout)
 	defer timer.Stop()
--- a/internal/mesh/control/controlplane/register.go
+++ b/internal/mesh/control/controlplane/register.go
@@ -9,27 +9,27 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// Outcome is what became of an operator's change.
+// Outcome is the outcome of an operator's change. Applied, Conflict and Invalid are final.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes.
 const (
-	Unknown  Outcome = iota // it may be in force, or come in force later, or not
+	Unknown  Outcome = iota // it may be in force, or come into force later, or neither
 	Applied                 // it is in force, or was
-	Conflict                // it never was in force and never will be: another version was in its place
-	Invalid                 // it never was in force and never will be: it breaks a rule for configurations
+	Conflict                // it never was in force and never will be: another version has taken its place
+	Invalid                 // it never was in force and never will be: it is not a valid configuration
 )
 
-// String is the outcome's name in logs.
+// String returns the outcome's name, as it is logged.
 func (o Outcome) String() string { return [...]string{"unknown", "applied", "conflict", "invalid"}[o] }
 
-// ReplaceResult is an outcome, with the reason if it isn't Applied.
+// ReplaceResult is an outcome, and the reason for it; Reason is nil if the outcome is Applied.
 type ReplaceResult struct {
 	Outcome Outcome
 	Reason  error
 }
 
-// register is the configuration as the core processes agree on it. It has no state of its own.
+// register reads and replaces the configuration on which the core processes agree. It has no state of its own.
 type register struct {
 	proposer *proposer
 	growth   *growth
@@ -62,6 +62,7 @@
 	case round.Verdict == consensus.Conflict:
 		return ReplaceResult{Conflict, trace.CompareFailed("%v on %v: %v is in place", config.Version, base, round.Value.Version)}
 	}
-	return ReplaceResult{Unknown, trace.LimitExceeded("%v on %v: %v is in place, and what is remembered doesn't tell whether the change was ever in force",
+	return ReplaceResult{Unknown, trace.LimitExceeded(
+		"%v on %v: %v is in place, and what is remembered doesn't tell whether the change was ever in force",
 		config.Version, base, round.Value.Version)}
 }
--- a/internal/mesh/control/controlplane/replacement_limiter.go
+++ b/internal/mesh/control/controlplane/replacement_limiter.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	minReplaceInterval = time.Second     // between two changes that take a voter's place
-	replaceWindow      = 4 * time.Second // in which no more voters are replaced than may be lost at once
+	minReplaceInterval = time.Second     // between two replacements
+	replaceWindow      = 4 * time.Second // in which no more voters are replaced than may be lost at once, but always one
 )
 
-// replacementLimiter bounds how many voters are replaced at once, and how soon again. The time is an argument of its methods.
+// replacementLimiter limits how many voters are replaced within replaceWindow, and how soon after one another. Its methods take the
+// time as an argument.
 type replacementLimiter struct {
 	epoch      uint64 // of voters
 	voters     []string
 	replacedAt []time.Time // within the last replaceWindow, oldest first
 }
 
-// observe notes the newest voter set.
+// observe records the newest voter set, and whether it replaced a voter.
 func (r *replacementLimiter) observe(now time.Time, voters consensus.VoterSet) {
 	newer := voters.Epoch > r.epoch
 	if newer && slices.ContainsFunc(r.voters, func(voter string) bool { return !voters.Contains(voter) }) {
@@ -32,7 +33,7 @@
 	r.replacedAt = slices.DeleteFunc(r.replacedAt, func(at time.Time) bool { return now.Sub(at) >= replaceWindow })
 }
 
-// allows reports whether one more voter may be replaced now, where so many machines may be lost at once.
+// allows reports whether one more voter may be replaced now. tolerated is the number of machines that may be lost at once.
 func (r *replacementLimiter) allows(now time.Time, tolerated int) bool {
 	n := len(r.replacedAt)
 	return n == 0 || n < max(1, tolerated) && now.Sub(r.replacedAt[n-1]) >= minReplaceInterval
--- a/internal/mesh/control/controlplane/responder.go
+++ b/internal/mesh/control/controlplane/responder.go
@@ -19,7 +19,7 @@
 	voters   *voterManager
 }
 
-// serve answers an encoded request. A request that can't be decoded is a trace.BadParameter.
+// serve answers an encoded request. The error is a trace.BadParameter if the request cannot be decoded.
 func (r *responder) serve(ctx context.Context, raw []byte) ([]byte, error) {
 	var request consensus.Request
 	if err := codec.Unmarshal(raw, &request); err != nil {
@@ -32,10 +32,11 @@
 	return codec.MarshalAppend(nil, reply), nil
 }
 
-// answer answers a request. The newer ballots and voter sets that it names are learned first, except from another system.
+// answer answers a request. It first learns the request's ballot and voter set, unless the sender belongs to another system.
 func (r *responder) answer(ctx context.Context, request *consensus.Request) (*consensus.Reply, error) {
 	if own := r.learner.system(); !own.Matches(request.System) {
-		r.log.WithField("peer", request.Sender).Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
+		r.log.WithField("peer", request.Sender).
+			Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
 		return &consensus.Reply{Kind: consensus.ForeignSystem, Ballot: request.Ballot, System: own}, nil
 	}
 	r.proposer.observeBallot(request.Ballot)
@@ -51,7 +52,7 @@
 	return reply, trace.Wrap(err)
 }
 
-// describe is what this process knows, without its disk.
+// describe returns the reply to Describe, which does not wait for the disk.
 func (r *responder) describe() *consensus.Reply {
 	return &consensus.Reply{
 		Kind:         consensus.Reported,
--- a/internal/mesh/control/controlplane/voter_manager.go
+++ b/internal/mesh/control/controlplane/voter_manager.go
@@ -11,10 +11,10 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-const standbyWait = 2 * time.Second // a leaving voter waits so long for a process that is about to be ready
+// standbyWait is how long a leaving voter waits for a standby that is not ready yet, at most.
+const standbyWait = 2 * time.Second
 
-// voterManager makes changes of the voter set: those that are asked for, and those that its monitor plans. It owns what the last
-// turn of the monitor found.
+// voterManager changes the voter set, on request and as the voterMonitor plans. It owns the findings of the monitor's last tick.
 type voterManager struct {
 	self      string
 	tolerated int // losses of machines
@@ -27,12 +27,12 @@
 	proposer  *proposer
 
 	mu           sync.Mutex
-	unresponsive []string               // voters that don't answer this process
+	unresponsive []string               // voters that do not answer this process
 	peers        []consensus.PeerStatus // of the other core processes
-	persisting   bool                   // a newer voter set is being written down
+	persisting   bool                   // a newer voter set is being written to disk
 }
 
-// unresponsiveVoters are the voters that don't answer this process.
+// unresponsiveVoters returns the voters that do not answer this process.
 func (v *voterManager) unresponsiveVoters() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -45,7 +45,7 @@
 	v.unresponsive = voters
 }
 
-// knownPeers is the state of the other core processes.
+// knownPeers returns the statuses of the other core processes as of the monitor's last tick.
 func (v *voterManager) knownPeers() []consensus.PeerStatus {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -58,7 +58,7 @@
 	v.peers = peers
 }
 
-// add makes a core process a voter.
+// add is described at Server.AddVoter.
 func (v *voterManager) add(ctx context.Context, node string) error {
 	return trace.Wrap(v.apply(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
 		if voters.Contains(node) {
@@ -68,8 +68,7 @@
 	}))
 }
 
-// retire removes a voter for good, unless it is added by add again. Another takes its place in the same step if there is one, and
-// else as soon as there is.
+// retire is described at Server.RetireVoter.
 func (v *voterManager) retire(ctx context.Context, node string) error {
 	return trace.Wrap(v.apply(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
 		if !voters.Contains(node) {
@@ -80,8 +79,7 @@
 	}))
 }
 
-// handOver gives this process's place to another one. Without one that is ready, or will be soon, this process stays a voter, as
-// one that is only restarted does.
+// handOver is described at Server.HandOver.
 func (v *voterManager) handOver(ctx context.Context) error {
 	began := time.Now()
 	return trace.Wrap(v.apply(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
@@ -93,25 +91,25 @@
 				break
 			}
 			delay := minBackoff
-			_ = v.backoff.wait(ctx, &delay) // the state of a standby comes with the next probe
+			_ = v.backoff.wait(ctx, &delay) // the next probe may report a standby as ready; the loop ends with ctx
 		}
 		return consensus.VoterChange{}
 	}))
 }
 
-// standbyExists reports whether a running process may take this one's place, now or soon.
+// standbyExists reports whether a running process may take this one's place, even if it is not ready yet.
 func (v *voterManager) standbyExists(voters consensus.VoterSet) bool {
 	return slices.ContainsFunc(v.directory.runningCores(), func(node string) bool {
 		return node != v.self && mayJoin(voters, node)
 	})
 }
 
-// mayJoin reports whether a process is no voter, and may become one.
+// mayJoin reports whether a process is not a voter and may become one.
 func mayJoin(voters consensus.VoterSet, node string) bool {
 	return !voters.Contains(node) && !slices.Contains(voters.Retired, node)
 }
 
-// apply makes the change that is wanted on the newest voter set, again until none is.
+// apply repeatedly makes the change that wanted returns for the newest voter set, until it returns the zero change.
 func (v *voterManager) apply(ctx context.Context, wanted func(consensus.VoterSet) consensus.VoterChange) error {
 	delay := minBackoff
 	for {
@@ -136,8 +134,9 @@
 	}
 }
 
-// change makes one change of a voter set. When it returns without an error a majority of the new one has it, and the newest value,
-// on disk, so that a removed voter may be switched off. A trace.CompareFailed says that the change can't be made now.
+// change makes one change to a voter set. Once it returns without an error, a majority of the new voters has the new set and the newest
+// value on disk, so that a removed voter may be switched off. The error is a trace.CompareFailed if the change cannot be made now: the
+// process to add is not ready, or the voters are not those that the change is based on.
 func (v *voterManager) change(ctx context.Context, voters consensus.VoterSet, change consensus.VoterChange) error {
 	if change.Add != "" {
 		reply, err := v.client.describe(ctx, change.Add)
@@ -163,8 +162,7 @@
 	return trace.Wrap(err)
 }
 
-// persist writes a voter set down if the record on disk has an older one, in the background. A write that fails is
-// made again by a later call.
+// persist starts to write a decided voter set to disk if the record there has an older one. A later call repeats a failed write.
 func (v *voterManager) persist(voters consensus.VoterSet) {
 	status := v.acceptor.status()
 	if voters.Epoch <= status.decidedEpoch || !status.ready || !v.beginPersisting() {
@@ -178,7 +176,7 @@
 	})
 }
 
-// beginPersisting returns false if a write is under way.
+// beginPersisting marks a write as in progress, and returns false if one already is.
 func (v *voterManager) beginPersisting() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/mesh/control/controlplane/voter_monitor.go
+++ b/internal/mesh/control/controlplane/voter_monitor.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	reconfigureInterval = 250 * time.Millisecond // between two turns of a voterMonitor
-	reconfigureTimeout  = 2 * time.Second        // for one change of the voters
-	probeTicks          = 2                      // turns between two probes of a process
-	rankDelay           = 500 * time.Millisecond // by which each next process of the core waits longer before it acts
-	suspendThreshold    = time.Second            // a turn that comes so late means that this process stood still
+	reconfigureInterval = 250 * time.Millisecond // between two ticks of a voterMonitor
+	reconfigureTimeout  = 2 * time.Second        // of one change of the voters
+	probeTicks          = 2                      // ticks between two probes of a process
+	rankDelay           = 500 * time.Millisecond // a core process waits this much longer than the one before it in rank
+	suspendThreshold    = time.Second            // between two ticks; after more than this the process was suspended
 	maxQueuedReplies    = 64                     // to probes
 )
 
-// voterMonitor watches the core processes, and sees to it that there are enough voters and that lost ones are replaced. Each core
-// process has one: the first of those that run acts at once, the next ones only if the need stays. Two that act at once compete
-// as any proposers do. Its goroutine (run) has all of its state.
+// voterMonitor probes the core processes, adds voters while there are too few, and replaces lost ones. Each core process has a
+// voterMonitor. The first of the processes that run acts at once; each next one waits longer (rankDelay), and acts only if the change is
+// still needed. Two that act at once compete like any proposers. Only its goroutine (run) uses its state.
 type voterMonitor struct {
 	self      string
 	tolerated int // losses of machines
@@ -36,24 +36,33 @@
 	detector     failureDetector
 	limiter      replacementLimiter
 	replies      chan peerReply // to probes
-	changeDone   chan struct{}  // a change that was begun is over
-	changing     bool
-	seedsSeen    []string // all that any settings have named so far
+	changeDone   chan struct{}  // the change in progress has ended
+	changing     bool           // a change is in progress
+	seedsSeen    []string       // all that the settings have named since the start
 	lastTick     time.Time
-	ticks        int
-	planned      consensus.VoterChange
+	ticks        int                   // since the start
+	planned      consensus.VoterChange // at the newest tick; zero for none
 	plannedSince time.Time
 }
 
 func newVoterMonitor(manager *voterManager, log *logrus.Logger) *voterMonitor {
 	return &voterMonitor{
-		self: manager.self, tolerated: manager.tolerated, log: log, lifetime: manager.lifetime, learner: manager.learner,
-		directory: manager.directory, client: manager.client, acceptor: manager.acceptor, manager: manager,
-		replies: make(chan peerReply, maxQueuedReplies), changeDone: make(chan struct{}, 1), lastTick: time.Now(),
+		self:       manager.self,
+		tolerated:  manager.tolerated,
+		log:        log,
+		lifetime:   manager.lifetime,
+		learner:    manager.learner,
+		directory:  manager.directory,
+		client:     manager.client,
+		acceptor:   manager.acceptor,
+		manager:    manager,
+		replies:    make(chan peerReply, maxQueuedReplies),
+		changeDone: make(chan struct{}, 1),
+		lastTick:   time.Now(),
 	}
 }
 
-// run makes a turn at each interval until ctx ends.
+// run ticks at each interval until ctx ends.
 func (v *voterMonitor) run(ctx context.Context) {
 	ticker := time.NewTicker(reconfigureInterval)
 	defer ticker.Stop()
@@ -71,7 +80,7 @@
 	}
 }
 
-// tick is one turn: probe the others, publish what was found, plan a change of the voters, and make it.
+// tick probes the other processes, publishes their statuses, plans a change of the voters, and starts it.
 func (v *voterMonitor) tick(now time.Time) {
 	if now.Sub(v.lastTick) > suspendThreshold {
 		v.detector.resetTimeouts(now)
@@ -97,7 +106,7 @@
 	v.begin(voters, change)
 }
 
-// begin makes a change in the background.
+// begin starts a change in the background.
 func (v *voterMonitor) begin(voters consensus.VoterSet, change consensus.VoterChange) {
 	v.changing = true
 	v.lifetime.start(func(ctx context.Context) {
@@ -110,7 +119,7 @@
 	})
 }
 
-// probe asks the others what they know, which also brings newer voter sets.
+// probe asks the other processes for their state, and learns newer voter sets from their replies.
 func (v *voterMonitor) probe() {
 	for _, node := range v.detector.startProbes() {
 		v.lifetime.start(func(ctx context.Context) {
@@ -127,8 +136,8 @@
 	}
 }
 
-// peerStatuses is what is known of the core processes now, this one included if it may become a voter. What is known of the others
-// is published.
+// peerStatuses returns the statuses of the core processes, including this one if it may become a voter. It publishes those of the
+// others at the voterManager.
 func (v *voterMonitor) peerStatuses(now time.Time, voters consensus.VoterSet) []consensus.PeerStatus {
 	unresponsive := v.detector.unresponsive(now, voters.Voters)
 	v.manager.setUnresponsiveVoters(unresponsive)
@@ -141,7 +150,7 @@
 	removed := func(node string) bool { return slices.Contains(v.seedsSeen, node) && !slices.Contains(seeds, node) }
 	reported := unresponsive
 	if !voters.Contains(v.self) {
-		reported = nil // only voters' reports count
+		reported = nil // only the reports of voters count
 	}
 	peers := v.detector.peerStatuses(now, voters.Voters, reported, removed)
 	v.manager.setKnownPeers(peers)
@@ -149,11 +158,17 @@
 	if voters.Contains(v.self) || !status.ready {
 		return peers
 	}
-	self := consensus.PeerStatus{Node: v.self, Responsive: true, StateDuration: now.Sub(status.readySince), Ready: true, RemovedFromSeeds: removed(v.self)}
+	self := consensus.PeerStatus{
+		Node:             v.self,
+		Responsive:       true,
+		StateDuration:    now.Sub(status.readySince),
+		Ready:            true,
+		RemovedFromSeeds: removed(v.self),
+	}
 	return append(slices.Clone(peers), self)
 }
 
-// plan is the change that is needed, if it may be made yet.
+// plan returns the change that is needed, or the zero change if none is, or if voters were replaced too recently.
 func (v *voterMonitor) plan(now time.Time, voters consensus.VoterSet, peers []consensus.PeerStatus) consensus.VoterChange {
 	var change consensus.VoterChange
 	if len(voters.Voters) > 0 {
@@ -169,7 +184,7 @@
 	return change
 }
 
-// rank is how many of the processes that respond come before this one, by name.
+// rank returns how many responsive processes precede this one by name.
 func rank(self string, peers []consensus.PeerStatus) (before int) {
 	for _, peer := range peers {
 		if peer.Responsive && peer.Node < self {
--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -98,7 +98,7 @@
 fault "a read is answered from memory" controlplane/register.go '/^func \(r \*register\) readLatest/,/^}/s/round, err := r\.proposer\.read/if value, ok := r.proposer.learner.newestValue(); ok { return value, nil }; &/'
 fault "an answer leaves although its write failed" controlplane/acceptor.go 's/if err := a\.persist\(next, changed\); err != nil \{/if err := a.persist(next, changed); false \&\& err != nil {/'
 fault "after a failed write the old record is used on" controlplane/acceptor.go 's/a\.loaded = false/_ = 0/'
-fault "a process uses the ballots of its last start" controlplane/server.go 's/id: fmt\.Sprintf\(.*random\.Uint64\(\)\),/id: options.Self + fmt.Sprint(),/'
+fault "a process uses the ballots of its last start" controlplane/server.go 's/fmt\.Sprintf\(.*random\.Uint64\(\)\),/options.Self + fmt.Sprint(),/'
 fault "an older value is told after a newer one" controlplane/learner.go 's/if vote\.Value\.Version > l\.committed\.Version/if vote.Value.Version != l.committed.Version/'
 
 # The disk.
