--- a/internal/modules/peers/change.go
+++ b/internal/modules/peers/change.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxChanges bounds the changes that nobody has taken yet; the oldest are dropped.
+// maxChanges bounds the changes between two calls of TakeChanges; the oldest are dropped.
 const maxChanges = 256
 
 // The causes of changes, as log lines have them.
@@ -19,12 +19,12 @@
 	At       time.Duration // on the clock of the View
 	Name     string
 	Process  uint64
-	From, To State  // From is 0 for a member that was not known
-	Witness  string // the name of the member that said so
+	From, To State  // From is 0 for a new member
+	Witness  string // the name of the member that claimed it
 	Cause    string
 }
 
-// recordChange notes the transition of a member to the state that it has now.
+// recordChange records the transition of a member to its present state.
 func (v *View) recordChange(now time.Duration, m *member, from State, witness, cause string) {
 	if len(v.changes) >= maxChanges {
 		v.changes = v.changes[1:]
--- a/internal/modules/peers/golden_test.go
+++ b/internal/modules/peers/golden_test.go
@@ -10,8 +10,8 @@
 	"quincegap/internal/golden"
 )
 
-// What people and tools read of a view: the report as JSON, the names of states and confidences, the causes of changes, and the
-// lines that say how two views differ.
+// The texts of a view for people and tools: the report as JSON, the names of states and confidences, the causes of changes, and the
+// lines on the differences of two views.
 func TestGoldenReport(t *testing.T) {
 	view := settledView(4, options)
 	view.merge(Record{})
@@ -43,7 +43,7 @@
 	golden.Text(t, "report.txt", []byte(all.String()))
 }
 
-// The names and shares that an application's load balancers compute from a view, for a name that two processes have.
+// The share that the Balancer gets from a view, for a name that two processes have.
 func TestGoldenShare(t *testing.T) {
 	view := settledView(3, options)
 	first := record(1, Serving)
--- a/internal/modules/peers/helpers_test.go
+++ b/internal/modules/peers/helpers_test.go
@@ -17,21 +17,21 @@
 	MaxMembers:          64,
 }
 
-// record is one of the first incarnation of a process.
+// record returns a record of the first incarnation of a process.
 func record(process uint64, s State) Record {
 	return Record{Process: process, Name: fmt.Sprintf("n%02d", process), Zone: "a", Version: "1", Incarnation: 1, State: s}
 }
 
-// testView is the view of process 1 under test, with its clock.
+// testView is the view of process 1, with its clock.
 type testView struct {
 	*View
 	now time.Duration
 }
 
-// newTestView is the view of a process that knows nobody else.
+// newTestView returns the view of a process that knows no other.
 func newTestView(o Options) *testView { return &testView{View: New(record(1, Serving), o, 0)} }
 
-// settledView is a settled view of n members.
+// settledView returns a settled view of n members.
 func settledView(n int, o Options) *testView {
 	view := newTestView(o)
 	for process := uint64(2); process <= uint64(n); process++ {
@@ -41,16 +41,16 @@
 	return view
 }
 
-// merge takes a record by a witness.
+// merge merges a record from a witness.
 func (t *testView) merge(r Record) bool { return t.Merge(t.now, r, "w") }
 
-// join has a process serve that is reached.
+// join adds a process that serves and is reachable.
 func (t *testView) join(process uint64) {
 	t.merge(record(process, Serving))
 	t.MarkReachable(t.now, process)
 }
 
-// rejoin has a process refute what was said of it.
+// rejoin merges a refutation of a process, and makes it reachable.
 func (t *testView) rejoin(process, incarnation uint64) {
 	r := record(process, Serving)
 	r.Incarnation = incarnation
@@ -58,7 +58,7 @@
 	t.MarkReachable(t.now, process)
 }
 
-// advance lets time go by in ticks.
+// advance advances the clock in ticks of half a second.
 func (t *testView) advance(d time.Duration) {
 	for end := t.now + d; t.now < end; {
 		t.now += 500 * time.Millisecond
@@ -66,10 +66,10 @@
 	}
 }
 
-// confidence is that of now.
+// confidence returns the present confidence.
 func (t *testView) confidence() Confidence { return t.Confidence(t.now) }
 
-// staysFor fails unless the view has a confidence at the end of each settle time within d.
+// staysFor checks that the view has a confidence at the end of each Options.SettleAfter within d.
 func (t *testView) staysFor(tb testing.TB, d time.Duration, want Confidence) {
 	tb.Helper()
 	for end := t.now + d; t.now < end; {
@@ -80,7 +80,7 @@
 	}
 }
 
-// names are those of the group.
+// names returns the names of the group.
 func (t *testView) names() []string {
 	s, _ := t.Share(t.now)
 	return s.Names
--- a/internal/modules/peers/joinschedule_test.go
+++ b/internal/modules/peers/joinschedule_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// attempts are what a schedule gives over a while, asked ten times a second.
+// attempts records the attempts of a schedule that is polled ten times a second.
 type attempts struct {
 	schedule *JoinSchedule
 	now      time.Duration
 	count    int            // attempts with addresses
 	tried    map[string]int // by address
-	missing  bool           // members are
+	missing  bool           // members are missing
 }
 
-// run lets a while go by. Only l17 is reachable.
+// run polls the schedule for a duration. Only l17 is reachable.
 func (a *attempts) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := a.now + d; a.now < end; a.now += 100 * time.Millisecond {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Addresses are tried in turn, few at once, with growing pauses, and soon again when members start to be missing.
+// Addresses are tried in turn, few at once, with growing backoff, and soon again when members are missing.
 func TestRejoin(t *testing.T) {
 	schedule := NewJoinSchedule(time.Second, time.Minute, 4, []string{"f1", "f2"}, nil, 1)
 	for i := range 20 {
@@ -44,24 +44,24 @@
 	if got := schedule.Learned(); !slices.Equal(got, []string{"l16", "l17", "l19", "l18"}) {
 		t.Errorf("learned: %v", got)
 	}
-	a := &attempts{schedule: schedule, tried: map[string]int{}, missing: true}
-	a.run(t, 10*time.Minute)
-	if len(a.tried) != 5 || a.tried["l17"] > 0 || a.count < 12 || a.count > 40 {
-		t.Errorf("%d attempts in 10 minutes: %v", a.count, a.tried)
+	attempts := &attempts{schedule: schedule, tried: map[string]int{}, missing: true}
+	attempts.run(t, 10*time.Minute)
+	if len(attempts.tried) != 5 || attempts.tried["l17"] > 0 || attempts.count < 12 || attempts.count > 40 {
+		t.Errorf("%d attempts in 10 minutes: %v", attempts.count, attempts.tried)
 	}
 	schedule.SetDiscovered([]string{"s1", "s2"})
 	schedule.ResetBackoff()
-	a.run(t, 2*time.Minute)
-	if a.tried["s1"] == 0 || a.tried["s2"] == 0 {
-		t.Errorf("what was discovered is not tried: %v", a.tried)
+	attempts.run(t, 2*time.Minute)
+	if attempts.tried["s1"] == 0 || attempts.tried["s2"] == 0 {
+		t.Errorf("the discovered addresses are not tried: %v", attempts.tried)
 	}
-	a.missing = false
-	a.run(t, 8*time.Minute)
-	lost := a.now
-	for !schedule.Due(a.now, true) {
-		a.now += 100 * time.Millisecond
+	attempts.missing = false
+	attempts.run(t, 8*time.Minute)
+	lost := attempts.now
+	for !schedule.Due(attempts.now, true) {
+		attempts.now += 100 * time.Millisecond
 	}
-	if a.now-lost > 3*time.Second {
-		t.Errorf("members were missing, and the next attempt came %v later", a.now-lost)
+	if attempts.now-lost > 3*time.Second {
+		t.Errorf("members were missing, and the next attempt came %v later", attempts.now-lost)
 	}
 }
--- a/internal/modules/peers/report.go
+++ b/internal/modules/peers/report.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Report is one member's view, for people and programs. Its fields on the wire are those of the admin pages.
+// Report is the view of one member, for people and tools. The JSON keys are those of the admin pages.
 type Report struct {
 	Name           string         `json:"name"`
 	Process        string         `json:"process"` // see FormatProcess
@@ -22,7 +22,7 @@
 	Version        uint64         `json:"version"`
 	Digest         string         `json:"digest"`
 	DuplicateNames []string       `json:"twice,omitempty"`
-	Rejected       map[string]int `json:"refused,omitempty"` // what was not let in, by reason
+	Rejected       map[string]int `json:"refused,omitempty"` // how many messages and records were rejected, by reason
 	Members        []MemberReport `json:"members"`           // by name, then by process
 }
 
@@ -40,25 +40,25 @@
 	InGroup     bool   `json:"counts"`
 }
 
-// FleetReport is one member's view, and those of the others that it could ask.
+// FleetReport is the view of one member, and those of the members that have answered it.
 type FleetReport struct {
 	Own          Report   `json:"own"`
 	Others       []Report `json:"others,omitempty"`
-	Unresponsive []string `json:"silent,omitempty"` // members that gave none in time, as NAME/PROCESS
+	Unresponsive []string `json:"silent,omitempty"` // members that have not answered in time, as NAME/PROCESS
 }
 
-// rejectedRecords is the reason in a report for records that the view did not take.
+// rejectedRecords is the reason in a report for records that the view has rejected.
 const rejectedRecords = "records, spoilt or beyond the most"
 
-// FormatProcess is a process as reports, log lines and names of nodes have it.
+// FormatProcess returns a process as reports, log lines and names of nodes have it.
 func FormatProcess(process uint64) string { return fmt.Sprintf("%016x", process) }
 
-// Report gives the view. Only the source knows addresses; address returns that of a process, or nothing.
+// Report returns a report on the view. address returns the address of a process, which only the source knows, or an empty text.
 func (v *View) Report(now time.Duration, address func(process uint64) string) Report {
 	own := v.Self()
 	share, _ := v.Share(now)
 	reached, size := v.Reachable()
-	r := Report{
+	report := Report{
 		Name:           own.Name,
 		Process:        FormatProcess(own.Process),
 		Confidence:     v.Confidence(now).String(),
@@ -74,14 +74,14 @@
 		Rejected:       map[string]int{},
 	}
 	if v.rejected > 0 {
-		r.Rejected[rejectedRecords] = v.rejected
+		report.Rejected[rejectedRecords] = v.rejected
 	}
 	owners := map[uint64]bool{} // processes that own their name
 	for _, m := range v.Present(now) {
 		owners[m.Process] = true
 	}
 	for _, m := range v.members {
-		r.Members = append(r.Members, MemberReport{
+		report.Members = append(report.Members, MemberReport{
 			Name:        m.Name,
 			Process:     FormatProcess(m.Process),
 			State:       m.State.String(),
@@ -94,13 +94,13 @@
 			InGroup:     owners[m.Process] && slices.Contains(v.group.names, m.Name),
 		})
 	}
-	slices.SortFunc(r.Members, func(a, b MemberReport) int {
+	slices.SortFunc(report.Members, func(a, b MemberReport) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Process, b.Process))
 	})
-	return r
+	return report
 }
 
-// groupNames are the names that are in the group of a report, in order.
+// groupNames returns the names in the group of a report, in order.
 func (r *Report) groupNames() (names []string) {
 	for _, m := range r.Members {
 		if m.InGroup {
@@ -111,7 +111,7 @@
 	return names
 }
 
-// differences are the names that another member's group lacks or has in addition, and its confidence if that is another.
+// differences returns the names that another member's group lacks or has in addition, and its confidence if that differs.
 func (r *Report) differences(other *Report) (found []string) {
 	own := r.groupNames()
 	theirs := other.groupNames()
@@ -131,7 +131,7 @@
 	return found
 }
 
-// Differences says, one line for each member, where the others' views differ from the own one, and who gave none.
+// Differences returns a line for each member whose view differs from the own one, and for each that has not answered.
 func (f *FleetReport) Differences() (lines []string) {
 	for i := range f.Others {
 		other := &f.Others[i]
--- a/internal/modules/peers/share.go
+++ b/internal/modules/peers/share.go
@@ -5,55 +5,54 @@
 	"time"
 )
 
-// secondSuffix ends the name of a member that does not own its name. No name of a settings file holds its first byte.
+// secondSuffix is the end of the name of a member that does not own its name. No name of a settings file contains its first byte.
 const secondSuffix = "\x00second"
 
-// Share is a member's part of what all members do together.
+// Share is a member's share of the load and of the limits of its group.
 type Share struct {
 	Confidence Confidence
 	Instances  int // members that share the load
 	Ordinal    int // this one's number among them, from 0
-	// MaxInstances is how many members there may be: a limit that all together must keep is divided by it. Damped names count,
-	// and in a partition those that may go on at the other side.
+	// MaxInstances is how many members there may be at most: limits for the whole group are divided by it. It includes damped names,
+	// and in a partition the members that may go on at the other side.
 	MaxInstances int
 	Names        []string // of the instances, in the order of their ordinals
-	// OwnsName tells that this member is the one of its name. Otherwise it is counted in addition to those that are present, with
-	// an ordinal that nobody else has.
+	// OwnsName is set if this member owns its name. Otherwise it is counted in addition to the group, with an ordinal of its own.
 	OwnsName bool
 }
 
-// Equal tells whether two shares mean the same for what is built on them. Their confidence does not matter.
+// Equal reports whether two shares are equal in all but their confidence.
 func (s *Share) Equal(other *Share) bool {
 	return s.Instances == other.Instances && s.Ordinal == other.Ordinal && s.MaxInstances == other.MaxInstances &&
 		s.OwnsName == other.OwnsName && slices.Equal(s.Names, other.Names)
 }
 
-// Share is this member's share as of when the view was last stable. It returns false before the first time: what a file says
-// holds then. Its Confidence is that of now, and says what else may be built on it.
-func (v *View) Share(now time.Duration) (s Share, ok bool) {
+// Share returns this member's share of the group, as of when the view was last stable; its Confidence is that of now. It returns false
+// until the view is stable for the first time: the settings of the file are used until then.
+func (v *View) Share(now time.Duration) (share Share, ok bool) {
 	if v.group.names == nil {
-		return s, false
+		return share, false
 	}
 	own := v.members[v.self]
-	s.Confidence = v.Confidence(now)
-	s.Names = slices.Clone(v.group.names)
-	s.Ordinal, s.OwnsName = slices.BinarySearch(s.Names, own.Name)
-	s.OwnsName = s.OwnsName && !v.elderPresent(now, own)
-	if !s.OwnsName {
-		// The name is another process's, is not counted yet, or is damped.
-		s.Ordinal = len(s.Names)
-		s.Names = append(s.Names, own.Name+secondSuffix)
+	share.Confidence = v.Confidence(now)
+	share.Names = slices.Clone(v.group.names)
+	share.Ordinal, share.OwnsName = slices.BinarySearch(share.Names, own.Name)
+	share.OwnsName = share.OwnsName && !v.elderPresent(now, own)
+	if !share.OwnsName {
+		// Another process owns the name, or it is not in the group yet, or it is damped.
+		share.Ordinal = len(share.Names)
+		share.Names = append(share.Names, own.Name+secondSuffix)
 	}
-	s.Instances = len(s.Names)
-	s.MaxInstances = s.Instances + v.group.damped // these may count themselves all the while
+	share.Instances = len(share.Names)
+	share.MaxInstances = share.Instances + v.group.damped // damped members may count themselves
 	if v.group.partitioned {
 		_, size := v.Reachable()
-		s.MaxInstances = max(s.Instances, size, v.options.ExpectedMembers)
+		share.MaxInstances = max(share.Instances, size, v.options.ExpectedMembers)
 	}
-	return s, true
+	return share, true
 }
 
-// elderPresent tells whether another process of a member's name is present that owns the name.
+// elderPresent reports whether another process with a member's name is present and owns the name.
 func (v *View) elderPresent(now time.Duration, own *member) bool {
 	for _, m := range v.members {
 		if m != own && m.Name == own.Name && v.present(now, m) && m.bornBefore(&own.Record) {
--- a/internal/modules/peers/share_test.go
+++ b/internal/modules/peers/share_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Two processes of one name are seen, and the later one does not own it, whatever their clocks say.
+// Two processes with one name are detected, and the later one does not own it, whatever their clocks say.
 func TestNameTwice(t *testing.T) {
 	elder := record(1, Serving)
 	elder.BornMillis = 200
@@ -21,11 +21,16 @@
 	first.MarkReachable(0, 2)
 	first.Tick(options.SettleAfter)
 	second.Tick(options.SettleAfter)
-	if s, ok := first.Share(options.SettleAfter); !ok || !s.OwnsName || s.Instances != 1 || !slices.Equal(first.DuplicateNames(0), []string{"n01"}) {
-		t.Errorf("the first: %+v, %v", s, first.DuplicateNames(0))
+	for _, view := range []*View{first, second} {
+		if names := view.DuplicateNames(0); !slices.Equal(names, []string{"n01"}) {
+			t.Errorf("duplicate names: %v", names)
+		}
 	}
-	if s, ok := second.Share(options.SettleAfter); !ok || s.OwnsName || s.Ordinal != 1 || s.Instances != 2 || !slices.Equal(second.DuplicateNames(0), []string{"n01"}) {
-		t.Errorf("the second: %+v, %v", s, second.DuplicateNames(0))
+	if s, ok := first.Share(options.SettleAfter); !ok || !s.OwnsName || s.Instances != 1 {
+		t.Errorf("the first: %+v", s)
+	}
+	if s, ok := second.Share(options.SettleAfter); !ok || s.OwnsName || s.Ordinal != 1 || s.Instances != 2 {
+		t.Errorf("the second: %+v", s)
 	}
 	first.SetState(options.SettleAfter, Leaving)
 	second.Merge(options.SettleAfter, first.Self(), "")
--- a/internal/modules/peers/stability.go
+++ b/internal/modules/peers/stability.go
@@ -8,52 +8,53 @@
 // Confidence is how far a view can be relied on.
 type Confidence uint8
 
-// What a view can be.
+// The confidences.
 const (
-	// Changing is a view in which something has changed within Options.SettleAfter, or that has met nobody yet. What is built on
-	// the view stays as it is, and starts with what a file says.
+	// Changing is a view that has changed within Options.SettleAfter, or that has met no other member yet. Its users keep the last
+	// group, and at the start the settings of a file.
 	Changing Confidence = iota
-	// Settled is a view in which nothing has, and that holds more than half of the reference group: the group that was settled
-	// last, without those that announced their end; before the first one, the members that are expected.
+	// Settled is a view without a change that has more than half of the reference group: the group that was settled last, without
+	// members that have announced their shutdown; before the first one, the members that are expected.
 	Settled
-	// Partitioned is a view in which nothing has changed, but that holds half of the reference group or less. This may be one
-	// side of a network partition, whose other side goes on as well: what may exist only once must not be decided here.
+	// Partitioned is a view without a change that has half of the reference group or less. It may be one side of a network partition,
+	// whose other side goes on as well: what may exist only once must not be decided here.
 	Partitioned
 )
 
-// String is the confidence as reports and log lines have it.
+// String returns the confidence as reports and log lines have it.
 func (c Confidence) String() string {
 	return [...]string{"changing", "settled", "cut off"}[min(c, Partitioned)]
 }
 
-// maxSettleIntervals bounds, in Options.SettleAfter, how long a view in which changes never end stays unstable: while a release
-// goes on for minutes, endpoints of the dead would stay without calls.
+// maxSettleIntervals bounds how long a view with changes all the time stays unstable, as a multiple of Options.SettleAfter. During a
+// release that takes minutes, the endpoints of members that have ended would otherwise get no calls for that long.
 const maxSettleIntervals = 5
 
-// stability decides when a view is stable, and holds the group of that moment. The view tells it which names are present; it
-// knows nothing of processes.
+// stability decides when a view is stable, and has the group of that moment. It gets the status of names from the view, and knows no
+// processes.
 type stability struct {
 	options   *Options
 	histories map[string]*nameHistory
-	metOthers bool          // another process was present at some time
-	lastTick  time.Duration // a long pause between two ticks means that this process stood still
+	metOthers bool          // another process has been present
+	lastTick  time.Duration // a long pause between two ticks means that this process was suspended
 
-	unsettled      bool          // something has changed since the view was last stable
-	unsettledSince time.Duration // the first of these changes
-	lastChange     time.Duration // and the last
+	unsettled      bool          // the group has changed since the view was last stable
+	unsettledSince time.Duration // the time of the first of these changes
+	lastChange     time.Duration // the time of the last of them
 
-	// What the view was when it was last stable.
-	names       []string // that counted, in order; nil before the first time
+	// The view when it was last stable.
+	names       []string // the group, in order; nil before the first time
 	partitioned bool     // it was not settled
-	damped      int      // names that were present and damped, or damped and gone
+	damped      int      // how many names were damped
 
 	// The reference group, by which a partition is recognised.
-	reference map[string]bool          // names of the group that was settled last
-	lost      map[string]time.Duration // those of earlier ones that went since without announcing it, and when
-	resumed   bool                     // reference is of an earlier run of this sidecar
+	reference map[string]bool          // the names of the group that was settled last
+	lost      map[string]time.Duration // names of earlier groups that have disappeared without an announcement, and when
+	resumed   bool                     // reference was saved by an earlier process of this sidecar
 	resumedAt time.Duration
 }
 
+// newStability returns the state of a view that knows no names.
 func newStability(o *Options, now time.Duration) stability {
 	return stability{
 		options:        o,
@@ -67,31 +68,31 @@
 	}
 }
 
-// applyStatus takes whether a name is present by now.
+// applyStatus applies the present status of a name.
 func (s *stability) applyStatus(now time.Duration, name string, status nameStatus) {
 	if status.leaving && !status.present {
-		// It announced its end, which is no sign of a partition.
+		// An announced shutdown is no sign of a partition.
 		delete(s.reference, name)
 		delete(s.lost, name)
 	}
-	h := s.histories[name]
-	if h == nil {
+	history := s.histories[name]
+	if history == nil {
 		if !status.present {
 			return
 		}
-		h = &nameHistory{changedAt: now - s.options.DampingWindow}
-		s.histories[name] = h
+		history = &nameHistory{changedAt: now - s.options.DampingWindow}
+		s.histories[name] = history
 	}
-	steady := h.steady(now, s.options.DampingWindow)
-	if h.damped && steady {
-		h.damped = false
-		if h.present {
+	steady := history.steady(now, s.options.DampingWindow)
+	if history.damped && steady {
+		history.damped = false
+		if history.present {
 			s.unsettle(now)
 		}
 	}
-	if h.present != status.present {
-		h.present = status.present
-		if h.flap(now, s.options.DampingWindow) {
+	if history.present != status.present {
+		history.present = status.present
+		if history.flap(now, s.options.DampingWindow) {
 			s.unsettle(now)
 		}
 		return
@@ -101,7 +102,7 @@
 	}
 }
 
-// unsettle notes that something the group is made of has changed.
+// unsettle records a change after which the group may be another.
 func (s *stability) unsettle(now time.Duration) {
 	if !s.unsettled {
 		s.unsettled = true
@@ -110,7 +111,7 @@
 	s.lastChange = now
 }
 
-// tick notes that this process runs. After a pause longer than Options.SettleAfter what it knew is old.
+// tick records that this process runs. After a pause longer than Options.SettleAfter its view is out of date.
 func (s *stability) tick(now time.Duration) {
 	if now-s.lastTick > s.options.SettleAfter {
 		s.unsettle(now)
@@ -118,7 +119,7 @@
 	s.lastTick = now
 }
 
-// resume takes the group of an earlier run as the reference.
+// resume sets the group of an earlier process as the reference.
 func (s *stability) resume(now time.Duration, names []string) {
 	if s.names != nil || len(names) == 0 {
 		return
@@ -130,11 +131,11 @@
 	s.resumedAt = now
 }
 
-// confidence is that of the group at a time.
+// confidence returns the confidence at a time.
 func (s *stability) confidence(now time.Duration) Confidence {
-	stoodStill := now-s.lastTick > s.options.SettleAfter
+	wasSuspended := now-s.lastTick > s.options.SettleAfter
 	switch {
-	case s.unsettled || stoodStill:
+	case s.unsettled || wasSuspended:
 		return Changing
 	case s.partitioned:
 		return Partitioned
@@ -142,17 +143,17 @@
 	return Settled
 }
 
-// settling tells whether the view is not stable yet.
+// settling reports whether the view is not yet stable again after a change.
 func (s *stability) settling(now time.Duration) bool {
 	if !s.metOthers && s.options.ExpectedMembers > 1 {
-		return true // each one is alone until it has found the others
+		return true // each member is alone until it has found the others
 	}
 	quiet := now-s.lastChange >= s.options.SettleAfter
 	overdue := now-s.unsettledSince >= maxSettleIntervals*s.options.SettleAfter
 	return s.unsettled && !quiet && !overdue
 }
 
-// reachable is how many names of the reference group count, and how many it has.
+// reachable returns how many names of the reference group count, and how many it has.
 func (s *stability) reachable() (reached, size int) {
 	if len(s.reference) == 0 {
 		for _, h := range s.histories {
@@ -179,7 +180,7 @@
 	return reached, size
 }
 
-// trySettle makes the view stable once nothing changes any more, and tells whether its group is a new one.
+// trySettle makes the view stable if it has not changed for long enough, and reports whether the group or its confidence is new.
 func (s *stability) trySettle(now time.Duration) bool {
 	if s.resumed && now-s.resumedAt >= s.options.ResumeWindow {
 		clear(s.reference)
@@ -206,7 +207,7 @@
 	return true
 }
 
-// forgetLost drops those whose loss can't belong to a partition that is still being found.
+// forgetLost drops the lost names that disappeared before Options.LossWindow: they belong to no partition that is still being detected.
 func (s *stability) forgetLost(now time.Duration) {
 	for name, at := range s.lost {
 		if now-at >= s.options.LossWindow {
@@ -215,7 +216,7 @@
 	}
 }
 
-// updateNames takes the group as it is.
+// updateNames sets the group to the names that count now.
 func (s *stability) updateNames() {
 	s.names = []string{}
 	s.damped = 0
@@ -230,7 +231,7 @@
 	slices.Sort(s.names)
 }
 
-// updateReference takes the group as the one by which a later partition is recognised.
+// updateReference makes the group the reference, by which a later partition is recognised.
 func (s *stability) updateReference(now time.Duration) {
 	for name := range s.reference {
 		s.lost[name] = now
--- a/internal/modules/peers/stability_test.go
+++ b/internal/modules/peers/stability_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// After a partition into halves neither side is settled, however long it lasts; of unequal parts the larger alone is. Once
-// healed, all are. What all share is divided by no fewer than may be there.
+// After a partition into halves neither side is settled, however long it lasts; of unequal sides only the larger one is. Both are once
+// the partition has healed. MaxInstances is never lower than the number of members that may go on.
 func TestNoTwoSidesAreSettled(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name           string
 		here, there    int
 		want           Confidence
@@ -21,30 +21,30 @@
 		{name: "alone", here: 1, there: 6, want: Partitioned, wantMaxMembers: 7},
 		{name: "larger side", here: 6, there: 1, want: Settled, wantMaxMembers: 6},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			view := settledView(c.here+c.there, options)
-			for process := c.here + 1; process <= c.here+c.there; process++ {
+		t.Run(test.name, func(t *testing.T) {
+			view := settledView(test.here+test.there, options)
+			for process := test.here + 1; process <= test.here+test.there; process++ {
 				view.MarkUnreachable(view.now, uint64(process))
 			}
-			view.staysFor(t, 100*options.SettleAfter, c.want)
-			if s, ok := view.Share(view.now); !ok || s.Instances != c.here || s.MaxInstances != c.wantMaxMembers {
-				t.Errorf("%+v, want %d instances of at most %d", s, c.here, c.wantMaxMembers)
+			view.staysFor(t, 100*options.SettleAfter, test.want)
+			if s, ok := view.Share(view.now); !ok || s.Instances != test.here || s.MaxInstances != test.wantMaxMembers {
+				t.Errorf("%+v, want %d instances of at most %d", s, test.here, test.wantMaxMembers)
 			}
-			for process := c.here + 1; process <= c.here+c.there; process++ {
+			for process := test.here + 1; process <= test.here+test.there; process++ {
 				view.rejoin(uint64(process), 2)
 			}
 			view.advance(options.SettleAfter)
-			if s, _ := view.Share(view.now); s.Confidence != Settled || s.Instances != c.here+c.there || s.MaxInstances != s.Instances {
+			if s, _ := view.Share(view.now); s.Confidence != Settled || s.Instances != test.here+test.there || s.MaxInstances != s.Instances {
 				t.Errorf("healed: %+v", s)
 			}
 		})
 	}
 }
 
-// The other side of a partition is found to be lost one by one, with a stable view in between: that settles neither side. What is lost over a
-// longer time is.
+// If the members at the other side of a partition are detected as lost one by one, with a stable view in between, neither side is
+// settled. If they are lost over a longer time, the rest is.
 func TestLostOneByOne(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		pause time.Duration
 		want  Confidence
@@ -52,22 +52,22 @@
 		{name: "with a stable view in between", pause: options.SettleAfter + time.Second, want: Partitioned},
 		{name: "over longer than the loss window", pause: options.LossWindow, want: Settled},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			view := settledView(10, options)
 			for process := uint64(6); process <= 10; process++ {
 				view.MarkUnreachable(view.now, process)
-				view.advance(c.pause)
+				view.advance(test.pause)
 			}
 			view.advance(2 * options.LossWindow)
-			if view.confidence() != c.want || len(view.names()) != 5 {
-				t.Errorf("five of ten went: %v, %v, want %v", view.confidence(), view.names(), c.want)
+			if view.confidence() != test.want || len(view.names()) != 5 {
+				t.Errorf("five of ten went: %v, %v, want %v", view.confidence(), view.names(), test.want)
 			}
 		})
 	}
 }
 
-// Members that announce their end are no sign of a partition: a fleet that is scaled in stays settled.
-func TestLeavingIsNoCut(t *testing.T) {
+// Members that announce their shutdown are no sign of a partition: a fleet that is scaled in stays settled.
+func TestLeavingIsNoPartition(t *testing.T) {
 	view := settledView(10, options)
 	for p := uint64(3); p <= 10; p++ {
 		view.merge(record(p, Leaving))
@@ -80,12 +80,11 @@
 	}
 }
 
-// A fleet of which a file names the size starts settled only where more than half are there; one that knows nobody says
-// nothing at all.
+// With ExpectedMembers the first group is settled only if it has more than half of them. A member that knows no other has no share.
 func TestStart(t *testing.T) {
-	o := options
-	o.ExpectedMembers = 6
-	view := newTestView(o)
+	six := options
+	six.ExpectedMembers = 6
+	view := newTestView(six)
 	if view.advance(time.Minute); view.confidence() != Changing {
 		t.Errorf("alone: %v", view.confidence())
 	}
@@ -94,54 +93,54 @@
 	}
 	view.join(2)
 	view.join(3)
-	view.advance(o.SettleAfter)
+	view.advance(six.SettleAfter)
 	if s, ok := view.Share(view.now); !ok || s.Confidence != Partitioned || s.Instances != 3 || s.MaxInstances != 6 {
 		t.Errorf("3 of 6: %+v", s)
 	}
 	view.join(4)
-	view.advance(o.SettleAfter)
+	view.advance(six.SettleAfter)
 	if s, ok := view.Share(view.now); !ok || s.Confidence != Settled || s.Instances != 4 || s.MaxInstances != 4 {
 		t.Errorf("4 of 6: %+v", s)
 	}
-	// Restarted within a partition, a member knows by the group of its earlier run that it is in one; for a time.
-	again := newTestView(o)
+	// A member that restarts within a partition recognises it by the group of its earlier process, for ResumeWindow.
+	again := newTestView(six)
 	again.Resume(0, []string{"n01", "n02", "n03", "n04", "n05", "n06", "n07", "n08", "n09"})
 	for p := uint64(2); p <= 4; p++ {
 		again.join(p)
 	}
-	again.advance(o.SettleAfter)
+	again.advance(six.SettleAfter)
 	if s, ok := again.Share(again.now); !ok || s.Confidence != Partitioned || s.MaxInstances != 9 || again.SettledGroup() != nil {
 		t.Errorf("resumed, 4 of 9: %+v, %v", s, again.SettledGroup())
 	}
-	again.advance(o.ResumeWindow + o.SettleAfter)
+	again.advance(six.ResumeWindow + six.SettleAfter)
 	if s, _ := again.Share(again.now); s.Confidence != Settled || s.MaxInstances != 4 || len(again.SettledGroup()) != 4 {
 		t.Errorf("long after: %+v", s)
 	}
 }
 
 // A name that flaps changes the group at most twice in DampingWindow, and does not keep others from changing it.
-func TestFlappingMovesNothingTwice(t *testing.T) {
+func TestFlappingNameIsDamped(t *testing.T) {
 	view := settledView(6, options)
-	moves, last := 0, view.names()
+	groupChanges, last := 0, view.names()
 	incarnation := uint64(1)
 	for range 100 {
 		view.MarkUnreachable(view.now, 4)
 		view.advance(options.SettleAfter + time.Second)
 		if n := view.names(); !slices.Equal(n, last) {
-			moves, last = moves+1, n
+			groupChanges, last = groupChanges+1, n
 		}
 		incarnation++
 		view.rejoin(4, incarnation)
 		view.advance(options.SettleAfter + time.Second)
 		if n := view.names(); !slices.Equal(n, last) {
-			moves, last = moves+1, n
+			groupChanges, last = groupChanges+1, n
 		}
 	}
 	if s, _ := view.Share(view.now); s.MaxInstances != 6 || s.Instances != 5 {
 		t.Errorf("a damped name is not counted: %+v", s)
 	}
-	if moves > 3 || slices.Contains(last, "n04") {
-		t.Errorf("%d moves, %v", moves, last)
+	if groupChanges > 3 || slices.Contains(last, "n04") {
+		t.Errorf("%d changes of the group, %v", groupChanges, last)
 	}
 	view.MarkUnreachable(view.now, 6)
 	view.advance(options.SettleAfter)
@@ -153,8 +152,8 @@
 	}
 }
 
-// Changes that never end do not keep a view from becoming stable.
-func TestEndlessChangeComesToRest(t *testing.T) {
+// A view that changes all the time becomes stable nevertheless.
+func TestEndlessChangeBecomesStable(t *testing.T) {
 	view := settledView(4, options)
 	view.MarkUnreachable(view.now, 3)
 	for p := uint64(10); p < 40; p++ {
@@ -166,7 +165,7 @@
 	}
 }
 
-// A process that stood still does not hold what it knew for settled.
+// After a pause of the process its view is not settled.
 func TestPauseUnsettles(t *testing.T) {
 	view := settledView(5, options)
 	view.now += options.SettleAfter + time.Second
@@ -178,7 +177,7 @@
 	}
 }
 
-// A view is never more confident than the group that goes with it: between a change and the next stable moment it is changing.
+// The confidence is never higher than that of the group: between a change and the next stable moment it is Changing.
 func TestConfidenceGoesWithTheGroup(t *testing.T) {
 	view := settledView(4, options)
 	for p := uint64(2); p <= 4; p++ {
@@ -188,7 +187,7 @@
 	if s, _ := view.Share(view.now); s.Confidence != Partitioned || len(s.Names) != 1 {
 		t.Fatalf("alone: %+v", s)
 	}
-	// They come back over longer than a view stays unstable.
+	// They come back over a longer time than a view stays unstable.
 	for p := uint64(2); p <= 4; p++ {
 		view.rejoin(p, 2)
 		if s, _ := view.Share(view.now); s.Confidence != Changing {
--- a/internal/modules/peers/view.go
+++ b/internal/modules/peers/view.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Options are the figures of a View. All but ExpectedMembers are above 0.
+// Options are the settings of a View. All but ExpectedMembers are above 0.
 type Options struct {
-	SuspicionTimeout    time.Duration // until a suspect that refutes nothing is gone
-	ForgetAfter         time.Duration // until one that is gone is forgotten; longer than any record can be in flight
+	SuspicionTimeout    time.Duration // until a suspect that does not refute it is gone
+	ForgetAfter         time.Duration // until a gone member is forgotten; longer than any record can be in flight
 	SettleAfter         time.Duration // without a change until the view is stable
-	DampingWindow       time.Duration // in which a name that appears and goes is damped; longer than SettleAfter
-	LossWindow          time.Duration // in which all members at the other side of a partition are surely found to be lost
-	ResumeWindow        time.Duration // in which the group of an earlier run counts
-	MinExchangeInterval time.Duration // between two full exchanges for a difference
-	ExpectedMembers     int           // that a file names; the first group has more than half of them. 0 or 1: none are expected
-	MaxMembers          int           // processes that are kept, tombstones among them
+	DampingWindow       time.Duration // in which flaps of a name are counted; longer than SettleAfter
+	LossWindow          time.Duration // within which all members at the other side of a partition are detected as lost
+	ResumeWindow        time.Duration // for which the group of an earlier process is the reference
+	MinExchangeInterval time.Duration // between two full exchanges because of a difference
+	ExpectedMembers     int           // the settings' number of members, of which a first settled group has more than half; 0 or 1 for none
+	MaxMembers          int           // how many processes are kept, including tombstones
 }
 
-// member is a record with what this process knows of it by itself.
+// member is a record with what this process itself has observed of the member.
 type member struct {
 	Record
-	stateSince time.Duration // when it got its state here
-	knownSince time.Duration // when it was first known here
-	reachable  bool          // this process's source reaches it now
+	stateSince time.Duration // when the view got its present state
+	knownSince time.Duration // when the view got its first record
+	reachable  bool          // this process's source reaches it
 }
 
 // View is one process's view of all members.
@@ -38,12 +38,12 @@
 	members      map[uint64]*member // by process
 	group        stability
 	version      uint64
-	rejected     int
-	changes      []Change
-	lastExchange time.Duration // when a difference was last acted on
+	rejected     int           // records
+	changes      []Change      // since the last TakeChanges
+	lastExchange time.Duration // when ShouldExchange last returned true
 }
 
-// New makes the view of a process that knows itself alone. self.Incarnation may be 0.
+// New returns the view of a process that knows only itself. self.Incarnation may be 0.
 func New(self Record, o Options, now time.Duration) *View {
 	v := &View{self: self.Process, options: o, members: map[uint64]*member{}, lastExchange: now}
 	v.group = newStability(&v.options, now)
@@ -52,10 +52,10 @@
 	return v
 }
 
-// Self is this process's own record, as it is to be announced.
+// Self returns this process's own record, as it is to be announced.
 func (v *View) Self() Record { return v.members[v.self].Record }
 
-// SetState takes this process's own new state, Serving or Leaving. An earlier state than the present one changes nothing.
+// SetState sets this process's own state, Serving or Leaving. A state before the present one changes nothing.
 func (v *View) SetState(now time.Duration, s State) {
 	m := v.members[v.self]
 	if s > m.State && (s == Serving || s == Leaving) {
@@ -63,37 +63,37 @@
 	}
 }
 
-// Merge takes a record that came from another member, the witness, and returns true if it says something new, which is to be
-// broadcast. A false record of this process is refuted by a higher incarnation of Self, which is to be announced in its place; also
-// if it was refuted before, for whoever says it has not heard of that.
-func (v *View) Merge(now time.Duration, r Record, witness string) bool {
-	// The last incarnation could not be refuted any more: no honest member says it.
-	if r.Process == 0 || r.State < Joining || r.State > Gone || r.Incarnation == math.MaxUint64 {
+// Merge merges a record from another member, the witness, and reports whether it is new, so that it is to be broadcast. A false record
+// of this process is refuted by a higher incarnation of Self, which is to be announced instead. That is also so if it was refuted
+// before: the witness does not know that.
+func (v *View) Merge(now time.Duration, record Record, witness string) bool {
+	// The highest incarnation could not be refuted, so no correct member uses it.
+	if record.Process == 0 || record.State < Joining || record.State > Gone || record.Incarnation == math.MaxUint64 {
 		v.rejected++
 		return false
 	}
-	if r.Process == v.self {
-		return v.refute(r)
+	if record.Process == v.self {
+		return v.refute(record)
 	}
 	var merged bool
-	if m := v.members[r.Process]; m == nil {
-		merged = v.addMember(now, r, witness)
+	if m := v.members[record.Process]; m == nil {
+		merged = v.addMember(now, record, witness)
 	} else {
-		merged = v.updateMember(now, m, r, witness)
+		merged = v.updateMember(now, m, record, witness)
 	}
 	if !merged {
 		return false
 	}
 	v.version++
-	v.yieldName(r)
-	v.updateName(now, r.Name)
+	v.yieldName(record)
+	v.updateName(now, record.Name)
 	return true
 }
 
-// addMember takes the first record of a process, unless there is no room for it.
+// addMember adds the first record of a process, unless there are too many members.
 func (v *View) addMember(now time.Duration, r Record, witness string) bool {
 	if r.State == Gone {
-		return false // nobody here needs to learn that a member is gone that was never known
+		return false // a member that was never known need not be recorded as gone
 	}
 	if len(v.members) >= v.options.MaxMembers && !v.evictOne() {
 		v.rejected++
@@ -105,7 +105,7 @@
 	return true
 }
 
-// updateMember takes a record of a process that is known, if it supersedes the one before.
+// updateMember replaces the record of a known process, if the new one supersedes it.
 func (v *View) updateMember(now time.Duration, m *member, r Record, witness string) bool {
 	if !r.supersedes(&m.Record) {
 		return false
@@ -113,7 +113,7 @@
 	previous := m.Record
 	m.Record = r
 	if previous.State != r.State || previous.Incarnation != r.Incarnation {
-		m.stateSince = now // a higher incarnation is the member's own: it has refuted what was said before
+		m.stateSince = now // a higher incarnation is the member's own: it has refuted the state before
 	}
 	if previous.State != r.State {
 		v.recordChange(now, m, previous.State, witness, causeHeard)
@@ -124,7 +124,8 @@
 	return true
 }
 
-// yieldName has this process, while it starts, be born after one of its name that serves, whatever their clocks say.
+// yieldName sets BornMillis of this process, while it starts, to after that of a present process with its name, whatever their clocks
+// say: that process keeps the name.
 func (v *View) yieldName(r Record) {
 	own := v.members[v.self]
 	if r.Name != own.Name || !r.State.Present() || own.State != Joining || own.BornMillis > r.BornMillis {
@@ -135,7 +136,8 @@
 	v.version++
 }
 
-// refute answers a record of this process itself. However often a false one comes, one refutation stands at a time.
+// refute handles a record of this process itself, and reports whether Self is to be announced. However often a false record arrives,
+// its incarnation is refuted once.
 func (v *View) refute(r Record) bool {
 	m := v.members[v.self]
 	if r.Incarnation < m.Incarnation {
@@ -149,8 +151,8 @@
 	return true
 }
 
-// Disputed are the records by which members are gone that this process's source reaches. Each is to be sent to that member itself,
-// again and again until it refutes it: a broadcast reaches each member by chance only, and so does a refutation.
+// Disputed returns the records of members that are claimed to be gone and that this process's source reaches. Each is to be sent to
+// that member itself, repeatedly until it is refuted, because neither a broadcast nor a refutation surely reaches each member.
 func (v *View) Disputed() (all []Record) {
 	for _, m := range v.members {
 		if m.reachable && m.State == Gone {
@@ -160,7 +162,7 @@
 	return all
 }
 
-// MarkReachable takes that this process's source reaches a process by now.
+// MarkReachable records that this process's source reaches a process.
 func (v *View) MarkReachable(now time.Duration, process uint64) {
 	if m := v.members[process]; m != nil && !m.reachable {
 		m.reachable = true
@@ -168,8 +170,8 @@
 	}
 }
 
-// MarkUnreachable takes the source's verdict that it no longer reaches a process. It returns the record to be broadcast, and false
-// if that says nothing new.
+// MarkUnreachable records that the source no longer reaches a process. It returns the record to be broadcast, and false if that is not
+// new.
 func (v *View) MarkUnreachable(now time.Duration, process uint64) (Record, bool) {
 	m := v.members[process]
 	if m == nil || process == v.self {
@@ -184,8 +186,8 @@
 	return m.Record, true
 }
 
-// MarkSuspect suspects a member that gave no answer, for sources that have no verdict of their own. It returns the record to be
-// broadcast, and false if that says nothing new.
+// MarkSuspect records that a member did not answer, for sources that do not decide themselves whether it is reachable. It returns the
+// record to be broadcast, and false if that is not new.
 func (v *View) MarkSuspect(now time.Duration, process uint64) (Record, bool) {
 	m := v.members[process]
 	if m == nil || process == v.self || m.State >= Suspect {
@@ -195,6 +197,7 @@
 	return m.Record, true
 }
 
+// setState sets the state of a member by a decision of this process.
 func (v *View) setState(now time.Duration, m *member, s State, witness, cause string) {
 	previous := m.State
 	m.State = s
@@ -204,8 +207,8 @@
 	v.updateName(now, m.Name)
 }
 
-// evictOne forgets the member that has been gone for longest, else the one that was never reached for longest, and tells whether
-// there was one. A member that is reached is not forgotten for strangers.
+// evictOne forgets the member that has been gone for longest, or else the one that has been unreachable for longest, and reports
+// whether there was one. A reachable member is never forgotten in favour of a new one.
 func (v *View) evictOne() bool {
 	var victim *member
 	for _, m := range v.members {
@@ -223,8 +226,7 @@
 	return true
 }
 
-// evictedBefore orders members by which room is made: those that are gone first, then the ones that have had their state for
-// longer.
+// evictedBefore orders members for eviction: those that are gone first, then by how long they have had their state.
 func (m *member) evictedBefore(other *member) bool {
 	if gone := m.State == Gone; gone != (other.State == Gone) {
 		return gone
@@ -237,15 +239,15 @@
 	v.version++
 }
 
-// Tick moves the view on with time: suspects that refute nothing are gone, members that are long gone or were never reached are
-// forgotten, and a view in which nothing changes becomes stable. It returns the records that this makes new, in the order of their
-// processes. It is to be called several times in each Options.SettleAfter: a longer pause means that this process stood still
-// (SIGSTOP, a machine that was moved), and what it knew is old.
+// Tick advances the view in time: suspects that have not refuted it are gone, members that have long been gone or were never reached
+// are forgotten, and a view without changes becomes stable. It returns the records that are new by this, in the order of their
+// processes. It is to be called several times in each Options.SettleAfter: a longer pause means that this process was suspended
+// (SIGSTOP, a virtual machine that was moved), and that its view is out of date.
 func (v *View) Tick(now time.Duration) (updates []Record) {
 	v.group.tick(now)
 	for _, process := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[process]
-		neverReached := m.State != Gone && !m.reachable // a member that was reached is Gone by MarkUnreachable
+		neverReached := m.State != Gone && !m.reachable // MarkUnreachable sets a member that was reached to Gone
 		switch {
 		case process == v.self:
 		case m.State == Suspect && now-m.stateSince >= v.options.SuspicionTimeout:
@@ -264,7 +266,7 @@
 	return updates
 }
 
-// updateName hands over to the group whether a name is present by now.
+// updateName passes the status of a name to the group.
 func (v *View) updateName(now time.Duration, name string) {
 	var status nameStatus
 	for _, m := range v.members {
@@ -275,7 +277,7 @@
 	v.group.applyStatus(now, name, status)
 }
 
-// updateAllNames does so for all names, those that no member has any more among them.
+// updateAllNames passes the status of all names to the group, including names that no member has any more.
 func (v *View) updateAllNames(now time.Duration) {
 	statuses := map[string]nameStatus{}
 	for name := range v.group.histories {
@@ -289,7 +291,7 @@
 	}
 }
 
-// mergeStatus adds a member to what others of its name say.
+// mergeStatus adds a member to the status of its name.
 func (v *View) mergeStatus(now time.Duration, m *member, status nameStatus) nameStatus {
 	present := v.present(now, m)
 	if present && m.Process != v.self {
@@ -302,27 +304,27 @@
 	}
 }
 
-// present tells whether a process counts as present: this one reaches it, and it serves, or can yet refute that it is gone.
+// present reports whether a process counts as present: this one reaches it, and it serves or can still refute that it is gone.
 func (v *View) present(now time.Duration, m *member) bool {
 	refutable := m.State == Gone && now-m.stateSince < v.options.SuspicionTimeout
 	return m.reachable && (m.State.Present() || refutable)
 }
 
-// Resume takes the group of an earlier run of this sidecar as the one that was settled last, for Options.ResumeWindow. By it a
-// member that starts within a partition knows that it is in one. It changes nothing once the view has been stable.
+// Resume sets the group of an earlier process of this sidecar as the one that was settled last, for Options.ResumeWindow, so that a
+// member that starts within a partition recognises it. It changes nothing once the view has been stable.
 func (v *View) Resume(now time.Duration, names []string) { v.group.resume(now, names) }
 
-// Confidence is how far the view, and the group of when it was last stable, can be relied on at a time. It never says more than it
-// did then: what has changed since is no part of the group.
+// Confidence returns how far the view, and the group of when it was last stable, can be relied on at a time. It is never higher than it
+// was then, because later changes are not part of the group.
 func (v *View) Confidence(now time.Duration) Confidence { return v.group.confidence(now) }
 
-// Reachable is how many names of the reference group are present, and how many it has: the group that was settled last without
-// those that announced their end since; before the first one, how many are present and how many are expected. Names that were lost
-// within Options.LossWindow before belong to it still: the other side of a partition is not found dead in one moment, and a group
-// that shrank with each loss would be settled at both sides.
+// Reachable returns how many names of the reference group are present, and how many it has: the group that was settled last, without
+// members that have announced their shutdown since; before the first one, how many are present and how many are expected. Names that
+// were lost within Options.LossWindow still belong to it: the losses at the other side of a partition are not detected all at once, and
+// if the group shrank with each loss, both sides would be settled.
 func (v *View) Reachable() (reached, size int) { return v.group.reachable() }
 
-// SettledGroup are the names of the group that was settled last, in order, for Resume in a later run; nil before the first.
+// SettledGroup returns the names of the group that was settled last, in order, for Resume in a later process; nil before the first.
 func (v *View) SettledGroup() (names []string) {
 	if v.group.resumed {
 		return nil
@@ -334,9 +336,9 @@
 	return names
 }
 
-// Present are the members that count as present, one for each name, in the order of names: of several processes with one name the
-// one that was born first, so that a second one started from the same file gets nobody's share. This process is among them if it
-// serves and owns its name.
+// Present returns the members that count as present, in the order of names. Of several processes with one name it has the one that owns
+// the name, so that a second one that is started with the same file takes no share of another. This process is included if it serves
+// and owns its name.
 func (v *View) Present(now time.Duration) []Record {
 	owners := map[string]Record{}
 	for _, m := range v.members {
@@ -352,7 +354,7 @@
 	return all
 }
 
-// DuplicateNames are the names that several present processes have, in order.
+// DuplicateNames returns the names that several present processes have, in order.
 func (v *View) DuplicateNames(now time.Duration) (names []string) {
 	processes := map[string]int{}
 	for _, m := range v.members {
@@ -368,7 +370,7 @@
 	return names
 }
 
-// Records are all that are known, in the order of the processes, for a member that knows nothing yet.
+// Records returns all records, in the order of the processes, for a member that has none yet.
 func (v *View) Records() (all []Record) {
 	for _, process := range slices.Sorted(maps.Keys(v.members)) {
 		all = append(all, v.members[process].Record)
@@ -376,7 +378,7 @@
 	return all
 }
 
-// Digest is the same at two members for whom the same processes are present, and hardly ever otherwise.
+// Digest returns a hash of the processes that are present. It is the same at two members if these are, and hardly ever otherwise.
 func (v *View) Digest(now time.Duration) uint64 {
 	hash := fnv.New64a()
 	var b [8]byte
@@ -393,8 +395,8 @@
 	return hash.Sum64()
 }
 
-// ShouldExchange takes another member's digest, and tells whether all that both know is to be exchanged with it. Updates in flight
-// make digests differ for a moment; so only a difference from a stable view counts, and at most one in Options.MinExchangeInterval.
+// ShouldExchange reports whether all records are to be exchanged with another member, because of its digest. Updates in flight make
+// digests differ for a moment, so only a difference from a stable view counts, and at most one in Options.MinExchangeInterval.
 func (v *View) ShouldExchange(now time.Duration, digest uint64) bool {
 	if v.group.unsettled || now-v.lastExchange < v.options.MinExchangeInterval || digest == v.Digest(now) {
 		return false
@@ -403,8 +405,8 @@
 	return true
 }
 
-// Version grows with each change of the view.
+// Version returns a number that grows with each change of the view.
 func (v *View) Version() uint64 { return v.version }
 
-// Rejected is how many records were not taken: malformed ones, and new members beyond Options.MaxMembers.
+// Rejected returns how many records were rejected: malformed ones, and those of new members beyond Options.MaxMembers.
 func (v *View) Rejected() int { return v.rejected }
--- a/internal/modules/peers/view_test.go
+++ b/internal/modules/peers/view_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyRecord draws one of few processes, so that many are of the same.
+// anyRecord draws a record of one of few processes, so that many are of the same.
 func anyRecord(t *rapid.T) Record {
 	r := record(rapid.Uint64Range(2, 5).Draw(t, "process"), rapid.SampledFrom([]State{Joining, Serving, Suspect, Leaving}).Draw(t, "state"))
 	r.Incarnation = rapid.Uint64Range(0, 3).Draw(t, "incarnation")
@@ -44,7 +44,8 @@
 	})
 }
 
-func TestDenial(t *testing.T) {
+// A process refutes that it is suspected or gone, once for each incarnation, and others take its refutation.
+func TestRefutation(t *testing.T) {
 	view := newTestView(options)
 	if !view.merge(record(1, Suspect)) || view.Self().Incarnation != 2 || view.Self().State != Serving {
 		t.Errorf("a suspicion was not refuted: %+v", view.Self())
@@ -55,28 +56,28 @@
 	if view.merge(record(1, Serving)) {
 		t.Errorf("an old record that does no harm was answered: %+v", view.Self())
 	}
-	lie := record(1, Gone)
-	lie.Incarnation = math.MaxUint64
-	if view.merge(lie) || view.Self().Incarnation != 2 || view.Rejected() != 1 {
-		t.Errorf("the last incarnation was taken: %+v", view.Self())
+	highest := record(1, Gone)
+	highest.Incarnation = math.MaxUint64
+	if view.merge(highest) || view.Self().Incarnation != 2 || view.Rejected() != 1 {
+		t.Errorf("the highest incarnation was taken: %+v", view.Self())
 	}
 	other := settledView(2, options)
-	lie.Process = 2
-	if other.merge(lie) || other.Rejected() != 1 {
-		t.Error("the last incarnation of another was taken")
+	highest.Process = 2
+	if other.merge(highest) || other.Rejected() != 1 {
+		t.Error("the highest incarnation of another was taken")
 	}
 	other.merge(record(2, Gone))
 	if other.merge(record(2, Serving)) {
 		t.Error("an old record brought one back that is gone")
 	}
-	denial := record(2, Serving)
-	if denial.Incarnation = 2; !other.merge(denial) || len(other.Present(other.now)) != 2 {
+	refutation := record(2, Serving)
+	if refutation.Incarnation = 2; !other.merge(refutation) || len(other.Present(other.now)) != 2 {
 		t.Error("a refutation was not taken")
 	}
 }
 
-// False records that a member is gone change no group while it is reached and refutes them; they do once it never does.
-func TestLiarMovesNothing(t *testing.T) {
+// False records that a member is gone do not change the group while it is reachable and refutes them, but they do if it does not.
+func TestFalseRecordsChangeNothing(t *testing.T) {
 	view := settledView(10, options)
 	for i := range uint64(20) {
 		for p := uint64(2); p <= 10; p++ {
@@ -98,17 +99,17 @@
 	}
 }
 
-// A member that is said to be gone and is reached has, from its last refutation on, the time to refute it, and is disputed until
-// it does.
+// A member that is claimed to be gone and is reachable is disputed until it refutes the claim. Its time to do so counts from its last
+// refutation.
 func TestDisputed(t *testing.T) {
 	view := settledView(3, options)
-	said := func(s State, incarnation uint64) {
+	claim := func(s State, incarnation uint64) {
 		r := record(3, s)
 		r.Incarnation = incarnation
 		view.merge(r)
 	}
 	for i := range uint64(10) {
-		said(Gone, 1+i)
+		claim(Gone, 1+i)
 		if d := view.Disputed(); len(d) != 1 || d[0].Process != 3 || d[0].Incarnation != 1+i {
 			t.Fatalf("%v", d)
 		}
@@ -117,17 +118,18 @@
 			t.Fatalf("after %d refutations: %v", i, view.confidence())
 		}
 	}
-	said(Serving, 20)
+	claim(Serving, 20)
 	if d := view.Disputed(); len(d) != 0 || view.confidence() != Settled {
 		t.Errorf("refuted: %v, %v", d, view.confidence())
 	}
 	view.MarkUnreachable(view.now, 3)
 	if d := view.Disputed(); len(d) != 0 {
-		t.Errorf("one that is not reached: %v", d)
+		t.Errorf("disputed while it is not reached: %v", d)
 	}
 }
 
-func TestSuspectsAreGoneUnlessTheyDenyAndForgottenInTime(t *testing.T) {
+// A suspect that does not refute it is gone in time, and forgotten later.
+func TestSuspectsAreGoneAndForgottenInTime(t *testing.T) {
 	view := settledView(3, options)
 	if _, ok := view.MarkSuspect(view.now, 3); !ok || len(view.Present(view.now)) != 3 {
 		t.Fatal("a suspect counts as present until its time is up")
@@ -181,7 +183,7 @@
 	}
 }
 
-// However many appear and go, no more is kept than the bound, and a present member is not forgotten for strangers.
+// However many members appear and go, no more are kept than MaxMembers, and a present member is not forgotten in favour of new ones.
 func TestMembersAreBounded(t *testing.T) {
 	view := settledView(10, options)
 	for p := uint64(100); p < 10_100; p++ {
