--- a/internal/rehearsal/emulator/congestion.go
+++ b/internal/rehearsal/emulator/congestion.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// updateCongestion follows whether the server is crowded, and when congestion begins and ends.
+// updateCongestion updates since when the server is crowded or idle, and begins or ends congestion.
 func (s *Server) updateCongestion() {
 	c := s.spec.Congestion
 	if c == nil {
--- a/internal/rehearsal/emulator/distribution.go
+++ b/internal/rehearsal/emulator/distribution.go
@@ -14,7 +14,7 @@
 // DistributionFamily is a family of distributions.
 type DistributionFamily string
 
-// The shapes that work may have.
+// The families that work can be drawn from.
 const (
 	Fixed       DistributionFamily = "fixed"
 	Exponential DistributionFamily = "exponential"
@@ -22,7 +22,7 @@
 	Pareto      DistributionFamily = "pareto"
 )
 
-// Families are all of them.
+// Families returns the names of all families.
 func Families() []string {
 	return []string{string(Fixed), string(Exponential), string(Lognormal), string(Pareto)}
 }
@@ -34,7 +34,7 @@
 	CV    float64 // standard deviation over mean, of a Lognormal or a Pareto; above 0
 }
 
-// RandomSource returns a stream of random numbers that belongs to a seed and a name: the same, whatever was drawn for others.
+// RandomSource returns the stream of random numbers of a seed and a name. It does not depend on what is drawn from others.
 func RandomSource(seed uint64, name string) rand.Source {
 	hash := fnv.New64a()
 	_, _ = hash.Write(binary.LittleEndian.AppendUint64(nil, seed)) // a hash takes any bytes
@@ -64,7 +64,7 @@
 	return nil, fmt.Errorf("%q is not a shape", w.Shape)
 }
 
-// Draw returns the work of one job. What is of no known family, or has no spread, is Fixed.
+// Draw returns the work of one job. A distribution of an unknown family, or without a spread, is Fixed.
 func (w WorkDistribution) Draw(src rand.Source) time.Duration {
 	variable, err := w.distribution(src)
 	if err != nil || w.Mean <= 0 || w.CV <= 0 && w.Shape != Exponential {
--- a/internal/rehearsal/emulator/doc.go
+++ b/internal/rehearsal/emulator/doc.go
@@ -1,10 +1,9 @@
-// Package emulator has models of booking servers: what a server does with the work that it is sent. It does no I/O and reads no
-// clock: each call carries the time, counted from any start, and no call may carry an earlier one than the call before. The same
-// calls give the same answers.
+// Package emulator models booking servers. It does no I/O and reads no clock: each call has the time as an argument, counted from any
+// start, which must not be earlier than that of the call before. The same calls give the same results.
 //
-// A Server is offered a job (Offer), says when it wants to be looked at next (Next), and which jobs have ended their work when it
-// is (Advance). A job that waits for somebody else (a call to the next tier) keeps its slot until it goes on (Resume) or leaves
-// (Release).
+// The caller offers jobs to a Server (Offer), asks when its state changes next (Next), and advances it to that time, which returns the
+// jobs whose work has ended (Advance). A job that waits for a call to the next tier keeps its slot until it goes on (Resume) or is
+// removed (Release).
 //
 //	Offer ─► queued ─► working ─► blocked ─► Release
 //	  │        │          ▲  │       │
--- a/internal/rehearsal/emulator/job.go
+++ b/internal/rehearsal/emulator/job.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// jobState is how far a job has come.
+// jobState is the state of a job.
 type jobState int
 
 // The states of a job.
@@ -16,7 +16,7 @@
 	overhead                 // shares the cores, and needs no slot
 )
 
-// job is what a server has been given to do.
+// job is work that a server has accepted.
 type job struct {
 	id        uint64
 	work      float64 // seconds of one core of speed 1
--- a/internal/rehearsal/emulator/keymemory.go
+++ b/internal/rehearsal/emulator/keymemory.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// KeyMemory is what the servers of one cell remember of keyed requests: a key that comes again within the window has
-// no second effect. It holds 65,536 keys at most; beyond that the oldest are forgotten early.
+// KeyMemory is the memory for idempotency keys that the servers of one cell share: a key that comes again within the window has no
+// second effect. It holds 65,536 keys at most; beyond that the oldest are forgotten early.
 type KeyMemory struct {
 	Window time.Duration // how long a key is remembered
 
@@ -11,16 +11,16 @@
 	order      []keyExecution
 }
 
-// keyExecution is the first run of a key.
+// keyExecution is the first execution of a key.
 type keyExecution struct {
 	key string
 	at  time.Duration
 }
 
-// maxKeys bounds a Memory.
+// maxKeys bounds a KeyMemory.
 const maxKeys = 1 << 16
 
-// Execute notes that a request with a key runs, and reports whether that has an effect: not, if the key is remembered.
+// Execute records that a request with a key runs, and reports whether that has an effect, which it has unless the key is remembered.
 func (k *KeyMemory) Execute(now time.Duration, key string) (effect bool) {
 	if k.executedAt == nil {
 		k.executedAt = map[string]time.Duration{}
--- a/internal/rehearsal/emulator/loadreport.go
+++ b/internal/rehearsal/emulator/loadreport.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// LoadReport is the load of a server, as it reports it now and then.
+// LoadReport is the load of a server at the end of a period of Spec.ReportEvery.
 type LoadReport struct {
 	InFlight    int     // jobs held
 	Queued      int     // of these, waiting for a slot
 	Utilization float64 // share of the cores that was busy since the report before
 }
 
-// timedReport is a report, and when it was made.
+// timedReport is a report with the time at which it was made.
 type timedReport struct {
 	at time.Duration
 	LoadReport
 }
 
-// advanceReports brings the work up to a time before which nothing changes by itself, and makes the reports that are due.
+// advanceReports advances the work to a time before which nothing changes by itself, and makes the reports that are due.
 func (s *Server) advanceReports(to time.Duration) {
 	for s.spec.ReportEvery > 0 && s.nextReport <= to {
 		s.advanceWork(s.nextReport)
--- a/internal/rehearsal/emulator/overload.go
+++ b/internal/rehearsal/emulator/overload.go
@@ -4,17 +4,16 @@
 	"time"
 )
 
-// overloadTolerance is how much more than the allowed multiple a cold server bears, for arrivals are random.
+// overloadTolerance multiplies the allowed load of a cold server, since arrivals are random.
 const overloadTolerance = 1.1
 
-// offeredWork is what was sent to a cold server, in seconds of work.
+// offeredWork is work that was sent to a cold server, in seconds.
 type offeredWork struct {
 	at   time.Duration
 	work float64
 }
 
-// overloads reports whether so much more work (seconds), all at once, makes a cold server collapse. One job alone never does, however
-// large it is.
+// overloads reports whether more work (in seconds) makes a cold server collapse. A single job never does, however large it is.
 func (s *Server) overloads(work float64) bool {
 	if s.warmedUp || s.spec.OverloadFactor == 0 || s.now >= s.startedAt+s.spec.WarmUp {
 		s.offered = nil
--- a/internal/rehearsal/emulator/server.go
+++ b/internal/rehearsal/emulator/server.go
@@ -10,14 +10,14 @@
 	spec      Spec
 	now       time.Duration
 	startedAt time.Duration
-	warmedUp  bool // it has been up for long, whatever startedAt says
+	warmedUp  bool // it is not warming up, whatever startedAt is
 
 	jobs       map[uint64]*job
-	queue      []*job // jobs that want a slot, and some that were cancelled meanwhile
+	queue      []*job // jobs that wait for a slot, and some that were cancelled meanwhile
 	queuedJobs int    // jobs in queue that were not cancelled
 	running    finishHeap
-	attained   float64 // work that each job that shares the cores would have got since the start, in seconds at speed 1
-	order      uint64
+	attained   float64 // work that a job would have got that shares the cores since the start, in seconds at speed 1
+	order      uint64  // of the latest job
 
 	slowdown    float64 // divides its speed; 1 or more
 	pausedUntil time.Duration
@@ -47,18 +47,18 @@
 type Completion struct {
 	ID uint64
 	At time.Duration
-	// Expired means that its time was up before it got a slot: nothing of it was done, and it has left.
+	// Expired is set if its time was up before it got a slot: nothing of it was done, and the server has removed it.
 	Expired bool
 }
 
-// Next returns when Advance is to be called next; false if nothing will happen by itself.
+// Next returns when the caller must call Advance; false if nothing will happen by itself.
 func (s *Server) Next() (time.Duration, bool) {
 	next := s.nextChange()
 	return next, next < never
 }
 
-// Advance brings the server up to a time and returns, in order, the jobs whose work has ended. Each keeps its slot until Release or
-// Resume, unless it expired.
+// Advance advances the server to a time and returns, in order, the jobs whose work has ended. Each keeps its slot until Release or Resume
+// unless it has expired.
 func (s *Server) Advance(now time.Duration) []Completion {
 	if s.collapsed {
 		s.now = max(s.now, now)
@@ -78,10 +78,10 @@
 	return done
 }
 
-// roundingTolerance is how much of a job's work may be missing when it ends, absolute (seconds) and relative.
+// roundingTolerance is how much of a job's work may be missing when it ends, in seconds and as a share.
 const roundingTolerance = 1e-12
 
-// completeJobs ends the work of all jobs that have got it.
+// completeJobs ends the jobs that have got all of their work.
 func (s *Server) completeJobs(done *[]Completion) {
 	for len(s.running) > 0 && s.now >= s.pausedUntil && s.running[0].finish <= s.attained*(1+roundingTolerance)+roundingTolerance {
 		j := heap.Pop(&s.running).(*job)
@@ -107,22 +107,22 @@
 	return min(next, s.nextCongestionChange())
 }
 
-// Slow divides the speed of the server, from now on; 1 is its own.
+// Slow divides the speed of the server from now on, by 1 or more; 1 restores its speed.
 func (s *Server) Slow(now time.Duration, by float64) {
 	s.advanceReports(now)
 	s.slowdown = max(1, by)
 }
 
-// Pause stops all work until a time, as a garbage collector does.
+// Pause stops all work until a time, like a garbage collector.
 func (s *Server) Pause(now, until time.Duration) {
 	s.advanceReports(now)
 	s.pausedUntil = max(s.pausedUntil, until)
 }
 
-// BusyTime returns the time that its cores have been busy, together.
+// BusyTime returns how long its cores have been busy, summed over them.
 func (s *Server) BusyTime() time.Duration { return time.Duration(s.worked * 1e9) }
 
-// Capacity returns what the server can do now in a second, in seconds of work.
+// Capacity returns the work that the server can do per second now, in seconds.
 func (s *Server) Capacity() float64 {
 	if s.collapsed {
 		return 0
--- a/internal/rehearsal/emulator/server_test.go
+++ b/internal/rehearsal/emulator/server_test.go
@@ -15,43 +15,45 @@
 
 const second = time.Second
 
-// play sends jobs to a server with exponential gaps and returns how long each took.
-func play(tb testing.TB, spec Spec, perSecond float64, work WorkDistribution, jobs int, seed uint64) (took []float64, b *Server, end time.Duration) {
+// play sends jobs to a server with exponential gaps, and returns how many seconds each took.
+func play(
+	tb testing.TB, spec Spec, perSecond float64, work WorkDistribution, jobs int, seed uint64,
+) (took []float64, s *Server, end time.Duration) {
 	tb.Helper()
-	b = NewServer(spec, 0, false)
+	s = NewServer(spec, 0, false)
 	gaps, works := rand.New(RandomSource(seed, "gaps")), RandomSource(seed, "work")
 	arrived := map[uint64]time.Duration{}
-	settle := func(done []Completion) {
+	release := func(done []Completion) {
 		for _, d := range done {
 			took = append(took, (d.At - arrived[d.ID]).Seconds())
-			b.Release(d.At, d.ID)
+			s.Release(d.At, d.ID)
 		}
 	}
 	var now time.Duration
 	until := func(to time.Duration) {
 		for {
-			next, ok := b.Next()
+			next, ok := s.Next()
 			if !ok || next > to {
 				break
 			}
-			settle(b.Advance(next))
+			release(s.Advance(next))
 		}
-		settle(b.Advance(to))
+		release(s.Advance(to))
 		now = to
 	}
 	for i := range jobs {
 		until(now + time.Duration(gaps.ExpFloat64()/perSecond*1e9))
-		if b.Offer(now, uint64(i), work.Draw(works), 0) != Accepted {
+		if s.Offer(now, uint64(i), work.Draw(works), 0) != Accepted {
 			tb.Fatal("turned away")
 		}
 		arrived[uint64(i)] = now
 	}
 	end = now
 	until(now + time.Hour)
-	if len(took) != jobs || b.Jobs() != 0 {
-		tb.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, b.Jobs())
+	if len(took) != jobs || s.Jobs() != 0 {
+		tb.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, s.Jobs())
 	}
-	return took, b, end
+	return took, s, end
 }
 
 // erlangC is the chance that a job has to wait in M/M/c (Gross and Harris, section 2.3).
@@ -65,7 +67,7 @@
 	return last / (sum + last)
 }
 
-// With as many slots as cores a box is M/M/c: mean time in the system as the formula has it, within 4%, and busy
+// With as many slots as cores a server is M/M/c: mean time in the system as the formula has it, within 4%, and busy
 // cores as the utilization law has them, within 2%.
 func TestAgainstMMc(t *testing.T) {
 	for _, c := range []struct {
@@ -76,12 +78,12 @@
 		perSecond := c.load * float64(c.cores) / mean.Seconds()
 		a := perSecond * mean.Seconds()
 		want := mean.Seconds() + erlangC(c.cores, a)/(float64(c.cores)/mean.Seconds()-perSecond)
-		took, b, end := play(t, Spec{Cores: c.cores, Speed: 1, Slots: c.cores, Queue: 1 << 20, ColdShare: 1}, perSecond,
+		took, s, end := play(t, Spec{Cores: c.cores, Speed: 1, Slots: c.cores, Queue: 1 << 20, ColdShare: 1}, perSecond,
 			WorkDistribution{mean, Exponential, 0}, 200_000, 1)
 		if got := stat.Mean(took, nil); math.Abs(got/want-1) > 0.04 {
 			t.Errorf("M/M/%d at %v: %.4f s in the system, want %.4f", c.cores, c.load, got, want)
 		}
-		if util := b.BusyTime().Seconds() / end.Seconds() / float64(c.cores); math.Abs(util/c.load-1) > 0.02 {
+		if util := s.BusyTime().Seconds() / end.Seconds() / float64(c.cores); math.Abs(util/c.load-1) > 0.02 {
 			t.Errorf("M/M/%d: %.3f of the cores busy, want %v", c.cores, util, c.load)
 		}
 	}
@@ -102,7 +104,8 @@
 
 // Draws have the mean and the spread that they are asked for.
 func TestDraws(t *testing.T) {
-	for _, w := range []WorkDistribution{{100 * time.Millisecond, Exponential, 0}, {100 * time.Millisecond, Lognormal, 0.9}, {100 * time.Millisecond, Pareto, 0.6}} {
+	const mean = 100 * time.Millisecond
+	for _, w := range []WorkDistribution{{mean, Exponential, 0}, {mean, Lognormal, 0.9}, {mean, Pareto, 0.6}} {
 		src := RandomSource(3, "draws")
 		var xs []float64
 		for range 400_000 {
@@ -122,90 +125,90 @@
 	}
 }
 
-// A cold box does its share, rising evenly: the work done while it warms up is the area under that.
+// The capacity of a cold server rises evenly: the work done while it warms up is the area under that.
 func TestWarmingUp(t *testing.T) {
 	spec := Spec{Cores: 1, Speed: 2, Slots: 1, Queue: 10, ColdShare: 0.3, WarmUp: 10 * second}
-	b := NewServer(spec, 5*second, true)
-	b.Advance(5 * second)
+	s := NewServer(spec, 5*second, true)
+	s.Advance(5 * second)
 	// 2 * (0.3*4 + 0.07*16/2) = 3.52 s of work take 4 s.
-	b.Offer(5*second, 1, 3520*time.Millisecond, 0)
-	if next, ok := b.Next(); !ok || (next-9*second).Abs() > time.Microsecond {
+	s.Offer(5*second, 1, 3520*time.Millisecond, 0)
+	if next, ok := s.Next(); !ok || (next-9*second).Abs() > time.Microsecond {
 		t.Errorf("ends at %v", next)
 	}
-	if done := b.Advance(9*second + time.Microsecond); len(done) != 1 {
+	if done := s.Advance(9*second + time.Microsecond); len(done) != 1 {
 		t.Errorf("done: %v", done)
 	}
-	b.Release(9*second+time.Microsecond, 1)
-	if c := b.Capacity(); math.Abs(c-2*0.58) > 1e-3 {
+	s.Release(9*second+time.Microsecond, 1)
+	if c := s.Capacity(); math.Abs(c-2*0.58) > 1e-3 {
 		t.Errorf("capacity %v", c)
 	}
 	// From 14 s on into the warm time: 2*(0.93+1)/2*1 + 2*1.
-	b.Advance(14 * second)
-	b.Offer(14*second, 2, 3930*time.Millisecond, 0)
-	if next, _ := b.Next(); (next - 16*second).Abs() > time.Microsecond {
+	s.Advance(14 * second)
+	s.Offer(14*second, 2, 3930*time.Millisecond, 0)
+	if next, _ := s.Next(); (next - 16*second).Abs() > time.Microsecond {
 		t.Errorf("ends at %v", next)
 	}
 }
 
-// A cold box that is sent more than the multiple of its capacity falls over and stays down; a warm one does not,
-// nor does a cold one that is sent as much over a longer time.
-func TestFallingOver(t *testing.T) {
+// A cold server that is sent more than the multiple of its capacity collapses and stays down; a warm one does not, nor does a cold one
+// that is sent as much over a longer time.
+func TestOverload(t *testing.T) {
 	spec := Spec{Cores: 2, Speed: 1, Slots: 100, ColdShare: 0.5, WarmUp: 10 * second, OverloadFactor: 3, OverloadWindow: second}
 	send := func(cold bool, gap time.Duration) *Server {
-		b := NewServer(spec, 0, cold)
+		s := NewServer(spec, 0, cold)
 		for i := range 40 {
 			now := time.Duration(i) * gap
-			b.Advance(now)
-			b.Offer(now, uint64(i), 100*time.Millisecond, 0)
+			s.Advance(now)
+			s.Offer(now, uint64(i), 100*time.Millisecond, 0)
 		}
-		return b
+		return s
 	}
 	// Cold: 2 * 0.5 * 3 * 1.1 = 3.3 s of work within a second.
-	if b := send(true, 10*time.Millisecond); !b.Collapsed() || b.Jobs() != 0 || b.Offer(2*second, 99, second, 0) != Rejected {
+	if s := send(true, 10*time.Millisecond); !s.Collapsed() || s.Jobs() != 0 || s.Offer(2*second, 99, second, 0) != Rejected {
 		t.Error("stands")
 	}
 	if send(false, 10*time.Millisecond).Collapsed() || send(true, 60*time.Millisecond).Collapsed() {
 		t.Error("fell")
 	}
-	b := NewServer(spec, 0, true)
-	if b.Offer(0, 1, time.Hour, 0) != Accepted {
+	s := NewServer(spec, 0, true)
+	if s.Offer(0, 1, time.Hour, 0) != Accepted {
 		t.Error("one job alone tips it")
 	}
 }
 
-func TestQueueTurnsAwayAndExpires(t *testing.T) {
-	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2, ColdShare: 1, DropsExpired: true}, 0, false)
+func TestQueueRejectsAndExpires(t *testing.T) {
+	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2, ColdShare: 1, DropsExpired: true}, 0, false)
 	for i, want := range []Admission{Accepted, Accepted, Accepted, Rejected} {
-		if got := b.Offer(0, uint64(i), second, 1500*time.Millisecond); got != want {
+		if got := s.Offer(0, uint64(i), second, 1500*time.Millisecond); got != want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
-	done := b.Advance(second)
+	done := s.Advance(second)
 	if len(done) != 1 || done[0] != (Completion{ID: 0, At: second}) {
 		t.Fatal(done)
 	}
-	if b.Release(second, 0) != nil || b.QueueLength() != 1 {
+	if s.Release(second, 0) != nil || s.QueueLength() != 1 {
 		t.Error("the next one is not in work")
 	}
-	if done = b.Advance(2 * second); len(done) != 1 || done[0].ID != 1 {
+	if done = s.Advance(2 * second); len(done) != 1 || done[0].ID != 1 {
 		t.Fatal(done)
 	}
-	if done = b.Release(2*second, 1); len(done) != 1 || done[0] != (Completion{2, 2 * second, true}) || b.Jobs() != 0 {
-		t.Errorf("expired: %v, %d held", done, b.Jobs())
+	if done = s.Release(2*second, 1); len(done) != 1 || done[0] != (Completion{2, 2 * second, true}) || s.Jobs() != 0 {
+		t.Errorf("expired: %v, %d held", done, s.Jobs())
 	}
 }
 
-// A cancel drops what waits; work in progress stops or goes on, as the box is.
+// A cancel drops a job that waits; work in progress stops or goes on, as the spec says.
 func TestCancel(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5, ColdShare: 1, CancelStopsWork: stops}, 0, false)
+		s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5, ColdShare: 1, CancelStopsWork: stops}, 0, false)
 		for i := range 3 {
-			b.Offer(0, uint64(i), second, 0)
+			s.Offer(0, uint64(i), second, 0)
 		}
-		if stopped, _ := b.Cancel(0, 1); !stopped {
+		if stopped, _ := s.Cancel(0, 1); !stopped {
 			t.Error("waiting work goes on")
 		}
-		if stopped, _ := b.Cancel(500*time.Millisecond, 0); stopped != stops {
+		if stopped, _ := s.Cancel(500*time.Millisecond, 0); stopped != stops {
 			t.Errorf("stopped %v, want %v", stopped, stops)
 		}
 		// The last one begins at 0.5 s, or when the work for nobody has ended.
@@ -213,7 +216,7 @@
 		if !stops {
 			want = 2 * second
 		}
-		if done := b.Advance(10 * second); len(done) != 1 || done[0].ID != 2 || (done[0].At-want).Abs() > time.Microsecond {
+		if done := s.Advance(10 * second); len(done) != 1 || done[0].ID != 2 || (done[0].At-want).Abs() > time.Microsecond {
 			t.Errorf("stops %v: %v", stops, done)
 		}
 	}
@@ -221,105 +224,117 @@
 
 // A job that waits for the next tier keeps its slot and no core.
 func TestWaitingForTheNextTier(t *testing.T) {
-	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 2, Queue: 5, ColdShare: 1}, 0, false)
+	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 2, Queue: 5, ColdShare: 1}, 0, false)
 	for i := range 3 {
-		b.Offer(0, uint64(i), second, 0)
+		s.Offer(0, uint64(i), second, 0)
 	}
-	done := b.Advance(2 * second) // two share the core
-	if len(done) != 2 || b.QueueLength() != 1 {
-		t.Fatalf("%v, %d wait", done, b.QueueLength())
+	done := s.Advance(2 * second) // two share the core
+	if len(done) != 2 || s.QueueLength() != 1 {
+		t.Fatalf("%v, %d wait", done, s.QueueLength())
 	}
-	b.Advance(5 * second)
-	b.Resume(5*second, 0, second)
-	if done = b.Advance(6 * second); len(done) != 1 || done[0].ID != 0 {
+	s.Advance(5 * second)
+	s.Resume(5*second, 0, second)
+	if done = s.Advance(6 * second); len(done) != 1 || done[0].ID != 0 {
 		t.Fatal(done)
 	}
-	b.Release(6*second, 0)
-	if b.QueueLength() != 0 || b.Jobs() != 2 {
-		t.Errorf("%d wait, %d held", b.QueueLength(), b.Jobs())
+	s.Release(6*second, 0)
+	if s.QueueLength() != 0 || s.Jobs() != 2 {
+		t.Errorf("%d wait, %d held", s.QueueLength(), s.Jobs())
 	}
-	if stopped, _ := b.Cancel(6*second, 1); !stopped || b.Jobs() != 1 {
+	if stopped, _ := s.Cancel(6*second, 1); !stopped || s.Jobs() != 1 {
 		t.Error("one that waits for others cannot be cancelled")
 	}
 }
 
 func TestPauseAndSlow(t *testing.T) {
-	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, ColdShare: 1}, 0, false)
-	b.Offer(0, 1, second, 0)
-	b.Advance(500 * time.Millisecond)
-	b.Pause(500*time.Millisecond, 3*second)
-	b.Advance(3 * second)
-	b.Slow(3*second, 4)
-	if done := b.Advance(10 * second); len(done) != 1 || (done[0].At-5*second).Abs() > time.Microsecond {
+	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, ColdShare: 1}, 0, false)
+	s.Offer(0, 1, second, 0)
+	s.Advance(500 * time.Millisecond)
+	s.Pause(500*time.Millisecond, 3*second)
+	s.Advance(3 * second)
+	s.Slow(3*second, 4)
+	if done := s.Advance(10 * second); len(done) != 1 || (done[0].At-5*second).Abs() > time.Microsecond {
 		t.Error(done)
 	}
 }
 
-// A box that is crowded for too long turns slow until it has rested.
-func TestChoking(t *testing.T) {
+// A server that is crowded for too long is congested until it has recovered.
+func TestCongestion(t *testing.T) {
 	spec := Spec{
 		Cores: 1, Speed: 1, Slots: 100, ColdShare: 1,
-		Congestion: &Congestion{MinJobs: 5, After: second, SlowdownFactor: 2, RecoveryUtilization: 0.5, RecoveryTime: 2 * second, MaxDuration: 20 * second},
+		Congestion: &Congestion{
+			MinJobs: 5, After: second, SlowdownFactor: 2, RecoveryUtilization: 0.5, RecoveryTime: 2 * second, MaxDuration: 20 * second,
+		},
 	}
-	b := NewServer(spec, 0, false)
+	s := NewServer(spec, 0, false)
 	for i := range 5 {
-		b.Offer(0, uint64(i), second, 0)
+		s.Offer(0, uint64(i), second, 0)
 	}
 	// 1 s at full speed, the other 4 s of work at half.
-	done := b.Advance(60 * second)
-	if len(done) != 5 || (done[0].At-9*second).Abs() > time.Microsecond || b.Congestions() != 1 {
-		t.Fatalf("%v, %d chokes", done, b.Congestions())
+	done := s.Advance(60 * second)
+	if len(done) != 5 || (done[0].At-9*second).Abs() > time.Microsecond || s.Congestions() != 1 {
+		t.Fatalf("%v, %d chokes", done, s.Congestions())
 	}
-	if c := b.Capacity(); c != 1 {
+	if c := s.Capacity(); c != 1 {
 		t.Errorf("capacity %v after its rest", c)
 	}
-	b = NewServer(spec, 0, false)
+	s = NewServer(spec, 0, false)
 	for i := range 4 {
-		b.Offer(0, uint64(i), second, 0)
+		s.Offer(0, uint64(i), second, 0)
 	}
-	if b.Advance(60 * second); b.Congestions() != 0 {
+	if s.Advance(60 * second); s.Congestions() != 0 {
 		t.Error("choked below its bound")
 	}
 }
 
 func TestThrashing(t *testing.T) {
-	b := NewServer(Spec{Cores: 1, Speed: 1, Slots: 100, ColdShare: 1, Thrash: 0.5, ThrashAt: 2}, 0, false)
+	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 100, ColdShare: 1, Thrash: 0.5, ThrashAt: 2}, 0, false)
 	for i := range 4 {
-		b.Offer(0, uint64(i), second, 0)
+		s.Offer(0, uint64(i), second, 0)
 	}
 	// Four held: 1 - 0.5*(4-2)/2 of its speed.
-	if done := b.Advance(60 * second); len(done) != 4 || (done[0].At-8*second).Abs() > time.Microsecond {
+	if done := s.Advance(60 * second); len(done) != 4 || (done[0].At-8*second).Abs() > time.Microsecond {
 		t.Error(done)
 	}
 }
 
-// Reports are of a moment that has passed, and their utilization is that of the period before.
+// A report is seen after its delay, and its utilization is that of the period before it.
 func TestReports(t *testing.T) {
-	b := NewServer(Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 9, ColdShare: 1, ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond}, 0, false)
-	b.Advance(120 * time.Millisecond)
-	if _, ok := b.LoadReport(); ok {
+	s := NewServer(Spec{
+		Cores: 2, Speed: 1, Slots: 2, Queue: 9, ColdShare: 1,
+		ReportEvery: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond,
+	}, 0, false)
+	s.Advance(120 * time.Millisecond)
+	if _, ok := s.LoadReport(); ok {
 		t.Error("seen too early")
 	}
 	for i := range 3 {
-		b.Offer(120*time.Millisecond, uint64(i), second, 0)
+		s.Offer(120*time.Millisecond, uint64(i), second, 0)
 	}
-	b.Advance(240 * time.Millisecond)
-	if r, ok := b.LoadReport(); !ok || r != (LoadReport{}) {
+	s.Advance(240 * time.Millisecond)
+	if r, ok := s.LoadReport(); !ok || r != (LoadReport{}) {
 		t.Errorf("%v %v", r, ok)
 	}
-	b.Advance(260 * time.Millisecond)
-	if r, _ := b.LoadReport(); r.InFlight != 3 || r.Queued != 1 || math.Abs(r.Utilization-0.8) > 1e-6 {
+	s.Advance(260 * time.Millisecond)
+	if r, _ := s.LoadReport(); r.InFlight != 3 || r.Queued != 1 || math.Abs(r.Utilization-0.8) > 1e-6 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestMemoryOfKeys(t *testing.T) {
+func TestKeyMemory(t *testing.T) {
 	m := KeyMemory{Window: 10 * second}
 	for i, c := range []struct {
 		at   time.Duration
 		key  string
 		want bool
-	}{{0, "a", true}, {second, "a", false}, {second, "b", true}, {10 * second, "a", true}, {10*second + 1, "b", false}, {11 * second, "b", true}} {
+	}{
+		{0, "a", true},
+		{second, "a", false},
+		{second, "b", true},
+		{10 * second, "a", true},
+		{10*second + 1, "b", false},
+		{11 * second, "b", true},
+	} {
 		if got := m.Execute(c.at, c.key); got != c.want {
 			t.Errorf("%d: %v", i, got)
 		}
@@ -332,8 +347,8 @@
 	}
 }
 
-// Whatever is done to a server: no slot is lost, no job ends twice, nothing is held without end, and being looked at
-// more often changes nothing.
+// Whatever is done to a server: no slot is lost, no job ends twice, no job stays for ever, and advancing it more often changes
+// nothing.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -344,7 +359,7 @@
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			// Never at a whole millisecond, at which a job may end: rounding would tell on which side of it.
-			c.look(c.now + time.Duration(rapid.IntRange(0, 800).Draw(t, "ms"))*time.Millisecond + 1371)
+			c.advance(c.now + time.Duration(rapid.IntRange(0, 800).Draw(t, "ms"))*time.Millisecond + 1371)
 			c.step(uint64(i))
 			c.release(func() bool { return rapid.Bool().Draw(t, "release") })
 			s := c.server
@@ -353,7 +368,7 @@
 			}
 		}
 		for range 40 {
-			c.look(c.now + 3*second)
+			c.advance(c.now + 3*second)
 			c.release(func() bool { return true })
 			clear(c.held)
 		}
@@ -368,6 +383,7 @@
 	})
 }
 
+// drawSpec draws a server in which all can happen but a collapse.
 func drawSpec(t *rapid.T) Spec {
 	return Spec{
 		Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
@@ -380,7 +396,7 @@
 	}
 }
 
-// modelCheck does the same to two servers, of which one is looked at more often.
+// modelCheck does the same to two servers, of which one is advanced more often.
 type modelCheck struct {
 	t             *rapid.T
 	server, often *Server
@@ -390,7 +406,7 @@
 	accepted      []uint64
 }
 
-// settle notes jobs that have ended.
+// settle records jobs that have ended.
 func (c *modelCheck) settle(done []Completion) {
 	for _, d := range done {
 		if _, ok := c.ended[d.ID]; ok {
@@ -401,8 +417,8 @@
 	}
 }
 
-// look brings both servers up to a time, and compares what has ended.
-func (c *modelCheck) look(to time.Duration) {
+// advance brings both servers up to a time, and compares which jobs have ended.
+func (c *modelCheck) advance(to time.Duration) {
 	var more []Completion
 	for at := c.now; at < to; at += 31 * time.Millisecond {
 		more = append(more, c.often.Advance(at)...)
@@ -459,7 +475,7 @@
 	delete(c.held, id)
 }
 
-// release gives up the slots of jobs that have ended, of those that are chosen.
+// release releases the slots of those jobs that have ended, and are chosen.
 func (c *modelCheck) release(choose func() bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.held)) {
 		if c.held[id] && choose() {
--- a/internal/rehearsal/emulator/slots.go
+++ b/internal/rehearsal/emulator/slots.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Admission is what a server says to a job that it is offered.
+// Admission is the answer of a server to a job that it is offered.
 type Admission int
 
 // The answers of a server.
 const (
 	Accepted  Admission = iota
-	Rejected            // there is no room: nothing of the job will run
+	Rejected            // slots and queue are full: nothing of the job will run
 	Collapsed           // it was too much for a cold server, which has collapsed with all that it held
 )
 
-// Offer brings a job with its work. expires is when nobody waits for it any more; 0 for never. Ids are the caller's, and may not be used
-// again while a job has one. As with all calls, Advance to the same time comes first: what ended before is reported late otherwise.
+// Offer offers a job with its work. expires is when nobody waits for it any more; 0 for never. The caller chooses the id, which no other
+// job may have at the same time. As for all calls, the caller advances the server to the same time first, or completions are late.
 func (s *Server) Offer(now time.Duration, id uint64, work, expires time.Duration) Admission {
 	s.advanceReports(now)
 	if s.collapsed {
@@ -60,7 +60,7 @@
 	return Accepted
 }
 
-// Release ends a job whose work has ended: its slot is free. It returns what expired in the queue at that.
+// Release removes a job whose work has ended, and frees its slot. It returns the jobs that expired in the queue.
 func (s *Server) Release(now time.Duration, id uint64) []Completion {
 	s.advanceReports(now)
 	j := s.jobs[id]
@@ -73,7 +73,7 @@
 	return done
 }
 
-// Resume gives a job whose work had ended more work; it has kept its slot.
+// Resume gives more work to a job whose work has ended, and that has kept its slot.
 func (s *Server) Resume(now time.Duration, id uint64, work time.Duration) {
 	s.advanceReports(now)
 	j := s.jobs[id]
@@ -85,8 +85,8 @@
 	s.updateCongestion()
 }
 
-// Cancel takes a job back. One that waits leaves; one in work leaves where the server stops such work, and otherwise goes on for
-// nobody: stopped is false. It returns what expired in the queue as the slot became free.
+// Cancel cancels a job. One that waits is removed. One in work is removed if the spec says that a cancel stops work; otherwise it goes on
+// for nobody, and stopped is false. Cancel also returns the jobs that expired in the queue as the slot became free.
 func (s *Server) Cancel(now time.Duration, id uint64) (stopped bool, expired []Completion) {
 	s.advanceReports(now)
 	j := s.jobs[id]
@@ -117,14 +117,14 @@
 // usedSlots returns how many jobs have a slot.
 func (s *Server) usedSlots() int { return len(s.jobs) - s.queuedJobs }
 
-// begin gives a job the cores; it has a slot.
+// begin puts a job that has a slot on the cores.
 func (s *Server) begin(j *job) {
 	j.state = working
 	j.finish = s.attained + j.work
 	heap.Push(&s.running, j)
 }
 
-// remove takes a job out, and gives its slot to the one that has waited longest. What expired meanwhile is added to done.
+// remove removes a job, and gives its slot to the one that has waited longest. Jobs that expired meanwhile are added to done.
 func (s *Server) remove(j *job, done *[]Completion) {
 	delete(s.jobs, j.id)
 	for s.usedSlots() < s.spec.Slots && s.queuedJobs > 0 {
@@ -145,7 +145,7 @@
 	}
 }
 
-// compactQueue drops what was cancelled in the queue, once that is the larger part of it.
+// compactQueue drops cancelled jobs from the queue, once they are the larger part of it.
 func (s *Server) compactQueue() {
 	if len(s.queue) <= 2*s.queuedJobs+8 {
 		return
@@ -159,7 +159,7 @@
 	s.queue = kept
 }
 
-// WorkDone returns the work that a job has been given so far, of what it was offered or resumed with last.
+// WorkDone returns how much is done of the work that a job was offered or resumed with last.
 func (s *Server) WorkDone(id uint64) time.Duration {
 	j := s.jobs[id]
 	switch {
--- a/internal/rehearsal/emulator/spec.go
+++ b/internal/rehearsal/emulator/spec.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Spec is what a server is like. Work is measured in the time that one core of speed 1 needs for it.
+// Spec is the specification of a server. Work is measured in the time that one core of speed 1 needs for it.
 type Spec struct {
 	Cores int     // 1 or more
 	Speed float64 // of a core; above 0
@@ -32,23 +32,23 @@
 	Congestion *Congestion // nil for never
 
 	ReportEvery time.Duration // of load reports; 0 for none
-	ReportDelay time.Duration // how old a report is before it can be seen
+	ReportDelay time.Duration // age from which on a report can be seen
 
-	Connections   int           // that it holds at most; 0 for no bound
-	HandshakeWork time.Duration // that a new connection costs it
+	Connections   int           // how many it accepts at a time; 0 for no bound
+	HandshakeWork time.Duration // work of a new connection
 }
 
 // Congestion is how a server turns slow when it holds too many jobs for too long, and recovers.
 type Congestion struct {
-	MinJobs             int           // held at once that congest it,
-	After               time.Duration // once they have been held for so long without a break
-	SlowdownFactor      float64       // divides its speed meanwhile
-	RecoveryUtilization float64       // share of its cores: with fewer of them busy
-	RecoveryTime        time.Duration // for so long it recovers,
-	MaxDuration         time.Duration // and at the latest after this time
+	MinJobs             int           // that it holds at least
+	After               time.Duration // for which it must hold them without a break
+	SlowdownFactor      float64       // divides its speed while it is congested
+	RecoveryUtilization float64       // share of its cores; it recovers while fewer are busy
+	RecoveryTime        time.Duration // for which that must last
+	MaxDuration         time.Duration // of the congestion, recovered or not
 }
 
-// Validate returns why a Spec is impossible, by the key of scripts that it comes from; nil if it is not.
+// Validate returns why a Spec is impossible, with the key of scripts that it comes from; nil if it is possible.
 func (s *Spec) Validate() error {
 	for _, rule := range []struct {
 		violation string
--- a/internal/rehearsal/emulator/speed.go
+++ b/internal/rehearsal/emulator/speed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// minThrashShare is the share of its speed that thrashing leaves a server at least.
+// minThrashShare is the least share of its speed that thrashing leaves a server.
 const minThrashShare = 0.25
 
 // never is later than any rehearsal.
 const never = time.Duration(math.MaxInt64)
 
-// warmShare returns the part of its capacity that the server has at a time, for it may be cold.
+// warmShare returns the share of its capacity that the server has at a time; below 1 while it is warming up.
 func (s *Server) warmShare(at time.Duration) float64 {
 	if s.warmedUp || at >= s.startedAt+s.spec.WarmUp {
 		return 1
@@ -19,7 +19,7 @@
 	return s.spec.ColdShare + (1-s.spec.ColdShare)*float64(at-s.startedAt)/float64(s.spec.WarmUp)
 }
 
-// jobRate returns what work one job gets a second, apart from warmShare.
+// jobRate returns the work that one job gets per second, before warmShare.
 func (s *Server) jobRate() float64 {
 	jobs := len(s.running)
 	if jobs == 0 || s.now < s.pausedUntil {
@@ -35,7 +35,7 @@
 	return rate * min(1, float64(s.spec.Cores)/float64(jobs))
 }
 
-// progressUntil returns what work a job of rate 1 gets from now until a time, in seconds: the area under warmShare.
+// progressUntil returns the work that a job of rate 1 gets from now until a time, in seconds: the area under warmShare.
 func (s *Server) progressUntil(to time.Duration) float64 {
 	from := s.now
 	full := s.startedAt + s.spec.WarmUp
@@ -48,7 +48,7 @@
 	return (full-from).Seconds()*(s.warmShare(from)+1)/2 + (to - full).Seconds()
 }
 
-// finishTime returns when a job of rate 1 will have got an amount of work (seconds) from now on, rounded up: at that time it has.
+// finishTime returns when a job of rate 1 will have got an amount of work (in seconds) from now on, rounded up.
 func (s *Server) finishTime(amount float64) time.Duration {
 	if amount <= 0 {
 		return s.now
@@ -69,7 +69,7 @@
 	return addSeconds(s.now, 2*amount/(start+math.Sqrt(start*start+2*slope*amount)))
 }
 
-// addSeconds adds seconds to a time, rounded up to a nanosecond; never if they are too many.
+// addSeconds adds seconds to a time, rounded up to a nanosecond; never if they are more than a million.
 func addSeconds(t time.Duration, seconds float64) time.Duration {
 	if seconds > 1e6 {
 		return never
@@ -77,7 +77,7 @@
 	return t + time.Duration(math.Ceil(seconds*1e9))
 }
 
-// advanceWork brings the work up to a time before which nothing changes by itself.
+// advanceWork advances the work to a time before which nothing changes by itself.
 func (s *Server) advanceWork(to time.Duration) {
 	if to <= s.now {
 		return
