--- a/internal/rehearsal/dryrun/attempt.go
+++ b/internal/rehearsal/dryrun/attempt.go
@@ -11,22 +11,22 @@
 // attempt is one attempt of a request at a server.
 type attempt struct {
 	id             uint64
-	number         int // among those of its request, from 0
+	number         int // among the attempts of its request, from 0
 	request        *request
 	server         *server
-	incarnation    int // of the server, when it came there; 0 before
+	incarnation    int // of the server when the attempt arrived; 0 before
 	connections    *connections
 	sentAt         time.Duration
 	finished       bool // at the instance
 	endedAtServer  bool // at the server
-	inModel        bool // the model works on it
-	afterCalls     bool // it does the work after its calls
+	inModel        bool // the model has it
+	afterCalls     bool // it does the work that comes after its calls
 	muted          bool // it gets no answer
 	workAfterCalls time.Duration
-	work           time.Duration // that it has had done
+	work           time.Duration // that the server has done for it
 }
 
-// arrive brings an attempt to its server.
+// arrive is when an attempt reaches its server.
 func (a *attempt) arrive() {
 	if a.finished {
 		return // cancelled on its way: it was never written
@@ -53,13 +53,13 @@
 		Kind: audit.AttemptReceived, Request: a.request.request, FirstByteAt: sim.now, AttemptID: a.id, Server: server.index, Sidecar: -1,
 		Origin: a.request.origin,
 	})
-	if !a.suffersFault() {
+	if !a.applyFault() {
 		a.offer()
 	}
 }
 
-// suffersFault draws whether a fault of the server befalls the attempt, and has it do so.
-func (a *attempt) suffersFault() bool {
+// applyFault draws whether a fault of the server happens to the attempt, applies it, and reports whether one did.
+func (a *attempt) applyFault() bool {
 	server := a.server
 	switch {
 	case server.silent || server.drawFault("lose"):
@@ -96,7 +96,7 @@
 	}
 }
 
-// finishAtServer notes the end of an attempt at its server.
+// finishAtServer records the end of an attempt at its server, unless it has ended there, or never arrived.
 func (a *attempt) finishAtServer(result audit.AttemptResult) {
 	if a.endedAtServer || a.incarnation == 0 {
 		return
@@ -111,7 +111,7 @@
 	})
 }
 
-// answerStatus is what an instance sees of the end of an attempt that is answered.
+// answerStatus is the status with which an answer ends an attempt at its instance.
 var answerStatus = map[audit.AttemptResult]balancer.Status{
 	audit.Served: balancer.StatusOK, audit.Failed: balancer.StatusError,
 	audit.Rejected: balancer.StatusRejected, audit.Garbled: balancer.StatusInvalidResponse,
@@ -136,7 +136,7 @@
 	})
 }
 
-// cancel takes an attempt back that its instance does not want any more.
+// cancel cancels an attempt at its server.
 func (a *attempt) cancel() {
 	server := a.server
 	server.sim.scheduleAfter(toServer, func() {
@@ -151,7 +151,7 @@
 	})
 }
 
-// cancelInModel takes an attempt back from the model, unless it ends just now.
+// cancelInModel cancels an attempt in the model, unless it ends just now.
 func (a *attempt) cancelInModel() {
 	server := a.server
 	server.advance()
@@ -161,7 +161,7 @@
 	}
 	done := server.model.WorkDone(a.id)
 	stopped, expired := server.model.Cancel(server.sim.now, a.id)
-	if !stopped { // it goes on for nobody: all of it is done
+	if !stopped { // the server goes on for nobody: all of the work will be done
 		done = 0
 		a.work += a.workAfterCalls
 	}
@@ -171,7 +171,7 @@
 	server.scheduleAdvance()
 }
 
-// finishAtInstance notes the end of an attempt at its instance, and reports it to the decision module.
+// finishAtInstance ends an attempt at its instance, and reports it to the decision module.
 func (a *attempt) finishAtInstance(status balancer.Status) {
 	r := a.request
 	i := r.instance
--- a/internal/rehearsal/dryrun/callers.go
+++ b/internal/rehearsal/dryrun/callers.go
@@ -1,12 +1,10 @@
 package dryrun
 
-import (
-	"quincegap/internal/rehearsal/scenario"
-)
+import "quincegap/internal/rehearsal/scenario"
 
-// playArrival plays one arrival: its attempts, with waits between them.
+// playArrival plays one arrival: the caller's attempts, with backoffs between them.
 func (s *sim) playArrival(n int) {
-	caller, toFirst := s.plan.Caller(n, s.now), s.plan.PrefersFirstSidecar(n)
+	caller, prefersFirst := s.plan.Caller(n, s.now), s.plan.PrefersFirstSidecar(n)
 	var attempt func()
 	attempt = func() {
 		number, left, ok := caller.NextAttempt(s.now)
@@ -14,11 +12,11 @@
 			return
 		}
 		retry := func(r reply) {
-			if wait, ok := caller.RetryAfter(s.now, r.status, r.retryAfter); ok {
-				s.scheduleAfter(wait, attempt)
+			if backoff, ok := caller.RetryAfter(s.now, r.status, r.retryAfter); ok {
+				s.scheduleAfter(backoff, attempt)
 			}
 		}
-		sidecar := s.pickSidecar(toFirst)
+		sidecar := s.pickSidecar(prefersFirst)
 		if sidecar == nil {
 			retry(reply{})
 			return
@@ -30,11 +28,11 @@
 	attempt()
 }
 
-// pickSidecar returns where a caller from outside sends its request: on a connection that stands idle, drawn at random, whether or
-// not its sidecar gets new ones; or on a new one, to the next of the sidecars in rotation. It is nil if there is none.
-func (s *sim) pickSidecar(toFirst bool) *instance {
+// pickSidecar returns the sidecar to which a caller from outside sends its request: that of an idle connection, drawn at random, whether
+// or not the sidecar is in rotation; without one, the next sidecar in rotation. It returns nil if there is none.
+func (s *sim) pickSidecar(prefersFirst bool) *instance {
 	outside := s.instances[:s.plan.Sidecars.Count]
-	if toFirst && outside[0].inRotation {
+	if prefersFirst && outside[0].inRotation {
 		return outside[0]
 	}
 	if idle := s.drawIdle(outside); idle != nil {
@@ -53,7 +51,7 @@
 	return inRotation[s.nextSidecar%len(inRotation)]
 }
 
-// drawIdle draws one of all idle connections of callers, and returns its sidecar; nil, and nothing drawn, if there is none.
+// drawIdle draws one of all idle connections of callers, and returns its sidecar. Without one it draws nothing, and returns nil.
 func (s *sim) drawIdle(outside []*instance) *instance {
 	idle := 0
 	for _, i := range outside {
--- a/internal/rehearsal/dryrun/connections.go
+++ b/internal/rehearsal/dryrun/connections.go
@@ -1,16 +1,14 @@
 package dryrun
 
-import (
-	"quincegap/internal/rehearsal/audit"
-)
+import "quincegap/internal/rehearsal/audit"
 
 // connections are an instance's connections to one incarnation of a server.
 type connections struct {
 	incarnation, open, busy int
-	established             bool // one has been answered on, so that it stands
+	established             bool // an answer came on one of them
 }
 
-// connectionsTo returns those to the present incarnation of a server.
+// connectionsTo returns the connections to the present incarnation of a server.
 func (i *instance) connectionsTo(server *server) *connections {
 	c := i.connections[server.index]
 	if c == nil || c.incarnation != server.incarnation {
@@ -20,7 +18,7 @@
 	return c
 }
 
-// connect has an attempt that comes to its server use a connection that stands idle, or a new one.
+// connect gives an attempt that arrives an idle connection, or a new one.
 func (a *attempt) connect() {
 	i := a.request.instance
 	c := i.connectionsTo(a.server)
@@ -32,7 +30,7 @@
 	}
 }
 
-// releaseConnection ends an attempt's use of its connection, which stands on after an answer.
+// releaseConnection ends an attempt's use of its connection, which stays open after an answer.
 func (a *attempt) releaseConnection(answered bool) {
 	if a.connections == nil {
 		return
@@ -44,7 +42,7 @@
 	a.connections = nil
 }
 
-// idleConnections returns how many callers' connections to the instance have no request on them.
+// idleConnections returns how many connections of callers to the instance have no request in flight.
 func (i *instance) idleConnections() int {
 	if !i.up {
 		return 0
--- a/internal/rehearsal/dryrun/discovery.go
+++ b/internal/rehearsal/dryrun/discovery.go
@@ -15,15 +15,15 @@
 	stateGone        = "Gone"
 )
 
-// discoveryState is what discovery knows of a server from a time on.
+// discoveryState is the state that discovery has of a server from a time on.
 type discoveryState struct {
 	at     time.Duration
 	weight float64
-	state  string        // Ready, Terminating or Gone; empty if it does not know the server
+	state  string        // Ready, Terminating or Gone; empty if discovery does not have the server
 	boot   time.Duration // when it started; 0 for long ago
 }
 
-// stateAt returns what discovery knew at a time.
+// stateAt returns the state that discovery had at a time.
 func (s *server) stateAt(at time.Duration) discoveryState {
 	if s.known.at <= at || s.sim.plan.Discovery.LateDelay == 0 {
 		return s.known
@@ -36,7 +36,7 @@
 	return discoveryState{}
 }
 
-// updateState has discovery know something else of the server.
+// updateState changes the state that discovery has of the server.
 func (s *server) updateState(next discoveryState) {
 	if s.sim.plan.Discovery.LateDelay > 0 {
 		s.wasKnown = append(s.wasKnown, s.known)
@@ -45,7 +45,7 @@
 	s.known = next
 }
 
-// notificationDelay returns how much later than others the instance is notified.
+// notificationDelay returns by how much later than others the instance is notified.
 func (i *instance) notificationDelay() time.Duration {
 	return i.sim.plan.NotificationDelay(i.SidecarSpec)
 }
@@ -55,7 +55,7 @@
 	stateReady: balancer.EndpointReady, stateTerminating: balancer.EndpointDraining, stateGone: balancer.EndpointRemoved,
 }
 
-// listEntry returns a server in the module's list, as discovery knows it.
+// listEntry returns a server as an entry of the module's list.
 func (i *instance) listEntry(server *server, known discoveryState) balancer.ListEntry {
 	id := balancer.EndpointID(server.index + 1)
 	i.serverByID[id] = server.index
@@ -73,7 +73,7 @@
 	return entry
 }
 
-// notify takes an update of one server, late or at once.
+// notify notifies the instance of one server, at once or after its delay.
 func (i *instance) notify(server *server) {
 	known := server.known
 	delay := i.notificationDelay()
@@ -89,7 +89,7 @@
 	})
 }
 
-// applyUpdate gives the decision module what discovery knows of a server.
+// applyUpdate gives the decision module the state of a server.
 func (i *instance) applyUpdate(server *server, known discoveryState) {
 	if !i.up || server.tier() != i.Tier || known.state == "" {
 		return
--- a/internal/rehearsal/dryrun/doc.go
+++ b/internal/rehearsal/dryrun/doc.go
@@ -6,6 +6,6 @@
 //	                 ▲
 //	             discovery
 //
-// Everything is a function that is scheduled in a queue of events, and runs alone. What the run leaves out: the cost of connections
-// (a server that is up takes any call), the sidecar's own time, faulty callers, and SIGHUP.
+// Events are functions in a queue by time, which run one after another. A run leaves out the cost of connections (a server that is up
+// accepts any call), the sidecar's own time, faulty callers, and SIGHUP.
 package dryrun
--- a/internal/rehearsal/dryrun/dryrun_test.go
+++ b/internal/rehearsal/dryrun/dryrun_test.go
@@ -18,16 +18,18 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
+// read returns the scenario of a script without findings.
 func read(tb testing.TB, name, text string) *scenario.Scenario {
 	tb.Helper()
 	var found finding.List
-	m := scenario.Read(name, []byte(text), &found)
-	if m == nil {
+	parsed := scenario.Read(name, []byte(text), &found)
+	if parsed == nil {
 		tb.Fatal(found.Err())
 	}
-	return m
+	return parsed
 }
 
+// run plays a plan.
 func run(tb testing.TB, plan *scenario.Plan) *Result {
 	tb.Helper()
 	r, err := Run(plan)
@@ -37,6 +39,7 @@
 	return r
 }
 
+// library returns the scenarios of the rehearsals folder, by name.
 func library(tb testing.TB) map[string]*scenario.Scenario {
 	tb.Helper()
 	names, err := filepath.Glob("../../../rehearsals/*.morning")
@@ -56,10 +59,10 @@
 
 // The same seed gives the same events, byte for byte; another one does not.
 func TestSameSeedSameTrace(t *testing.T) {
-	m := library(t)["friday"]
+	played := library(t)["friday"]
 	trace := func(seed uint64) string {
 		var b strings.Builder
-		for _, e := range run(t, m.Plan(seed)).Events {
+		for _, e := range run(t, played.Plan(seed)).Events {
 			fmt.Fprintln(&b, e)
 		}
 		return b.String()
@@ -75,14 +78,14 @@
 
 // The decision module keeps the rules through every morning of the library, and what each expects of it.
 func TestLibrary(t *testing.T) {
-	for name, m := range library(t) {
+	for name, played := range library(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			v := run(t, m.Plan(0)).Verdict
+			v := run(t, played.Plan(0)).Verdict
 			if len(v.Breaches) > 0 || v.VoidReason != "" {
 				t.Errorf("%s %v", v.VoidReason, v.Breaches[:min(5, len(v.Breaches))])
 			}
-			for _, e := range m.Expectations {
+			for _, e := range played.Expectations {
 				got := map[string]float64{"service": v.Service, "worst": v.WorstService, "attempts": v.AttemptsPerCall}[e.Figure]
 				if e.Above == (got < e.Bound) {
 					t.Errorf("line %d: %s is %v, bound %v", e.Position.Line, e.Figure, got, e.Bound)
@@ -106,8 +109,8 @@
 	for _, effect := range []string{"unsafe", "keyed scope cell window 10s", "safe"} {
 		crossed := 0
 		for ms := 940; ms <= 1060; ms += 4 {
-			m := read(t, "pause", base+"class ask aim 500ms deadline 2s effect "+effect+fmt.Sprintf("\nat 2s: all boxes pause for %dms\n", ms))
-			r := run(t, m.Plan(0))
+			played := read(t, "pause", base+"class ask aim 500ms deadline 2s effect "+effect+fmt.Sprintf("\nat 2s: all boxes pause for %dms\n", ms))
+			r := run(t, played.Plan(0))
 			if len(r.Verdict.Breaches) > 0 {
 				t.Errorf("%s, %d ms: %v", effect, ms, r.Verdict.Breaches)
 			}
@@ -129,22 +132,23 @@
 	return count
 }
 
-// A freshly started box that is slow for its first minute is spared: it does not fall over, and while it is cold it
+// A freshly started server that is slow for its first minute is spared: it does not collapse, and while it is cold it
 // gets well below its share.
 func TestSlowFirstMinute(t *testing.T) {
-	m := read(t, "cold", strings.NewReplacer("length 6s", "length 90s", "cold 0.2 warm 3s", "cold 0.1 warm 60s", "rate 60/s", "rate 150/s").Replace(base)+
+	slow := strings.NewReplacer("length 6s", "length 90s", "cold 0.2 warm 3s", "cold 0.1 warm 60s", "rate 60/s", "rate 150/s")
+	played := read(t, "cold", slow.Replace(base)+
 		"class ask aim 500ms deadline 2s\nat 5s: 1 new boxes\n")
-	r := run(t, m.Plan(0))
+	r := run(t, played.Plan(0))
 	if len(r.Verdict.Breaches) > 0 || r.Verdict.Service < 0.99 {
 		t.Fatalf("service %v, %v", r.Verdict.Service, r.Verdict.Breaches)
 	}
 	share := func(from, to int) float64 {
 		var fresh, all float64
 		for s := from; s < to; s++ {
-			for box := range r.Plan().Servers {
-				n := float64(r.Verdict.AttemptsByServer[box][s])
+			for server := range r.Plan().Servers {
+				n := float64(r.Verdict.AttemptsByServer[server][s])
 				all += n
-				if box == 6 {
+				if server == 6 {
 					fresh += n
 				}
 			}
@@ -156,12 +160,13 @@
 	}
 }
 
-// Lost machines, dead sidecars and what else there is, drawn at random: no rule breaks, and every request comes to an end.
+// In scenarios drawn at random no rule is broken, and every request ends.
 func TestAnyScenario(t *testing.T) {
 	events := []string{
 		"%d boxes go silent for 1s", "%d boxes restart taking 700ms", "%d boxes drain for 1s", "%d boxes pause for 600ms", "%d boxes die",
-		"%d boxes are replaced at their addresses", "%d boxes are replaced at new addresses", "%d boxes lose 40%% of calls for 1s", "%d boxes reset 40%% of calls for 1s",
-		"%d boxes fail 60%% of calls for 1s", "%d boxes garble 40%% of answers for 1s", "%d boxes refuse 70%% of calls for 1s", "%d boxes are 5 times slower for 1s",
+		"%d boxes are replaced at their addresses", "%d boxes are replaced at new addresses",
+		"%d boxes lose 40%% of calls for 1s", "%d boxes reset 40%% of calls for 1s", "%d boxes fail 60%% of calls for 1s",
+		"%d boxes garble 40%% of answers for 1s", "%d boxes refuse 70%% of calls for 1s", "%d boxes are 5 times slower for 1s",
 	}
 	others := []string{
 		"load is 4 times for 1s", "discovery is silent for 2s", "discovery is 1s behind for 2s", "sidecar 1 gets SIGTERM and is back after 3s",
@@ -183,11 +188,11 @@
 			text += fmt.Sprintf("at %dms: %s\n", 500+900*i+rapid.IntRange(0, 800).Draw(t, "when"), e)
 		}
 		var found finding.List
-		m := scenario.Read("any", []byte(text), &found)
-		if m == nil {
+		played := scenario.Read("any", []byte(text), &found)
+		if played == nil {
 			return // it asks for the impossible
 		}
-		r, err := Run(m.Plan(rapid.Uint64Range(1, 1000).Draw(t, "seed")))
+		r, err := Run(played.Plan(rapid.Uint64Range(1, 1000).Draw(t, "seed")))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -201,17 +206,17 @@
 	})
 }
 
-// Against a formula: one box with a core that serves in order, behind one sidecar, has the mean time of M/M/1 plus the
-// network. The module holds calls back when a box is busy, so the load is light.
+// Against a formula: one server with a core that serves in order, behind one sidecar, has the mean time of M/M/1 plus the
+// network. The module holds calls back when a server is busy, so the load is light.
 func TestAgainstMM1(t *testing.T) {
-	m := read(t, "mm1", `length 500s
+	played := read(t, "mm1", `length 500s
 seed 9
 tier one boxes 1 cores 1 slots 1 queue 1000 work 20ms shape exponential
 class ask aim 5s deadline 10s
 sidecars count 1
 callers rate 10/s patience 1
 `)
-	r := run(t, m.Plan(0))
+	r := run(t, played.Plan(0))
 	var sum time.Duration
 	sent, n := map[uint64]time.Duration{}, 0
 	for _, e := range r.Events {
@@ -231,13 +236,14 @@
 
 // An auditor that is shown a wrong module would say so: the same run with a rule made stricter has breaches.
 func TestAuditorSeesTheModule(t *testing.T) {
-	m := library(t)["errors"]
-	p := m.Plan(0)
+	played := library(t)["errors"]
+	p := played.Plan(0)
 	r := run(t, p)
 	rules := p.AuditRules()
 	rules.MaxAttempts = 1
 	v := audit.Judge(rules, r.Events, 0)
-	if v.BreachesByRule[audit.AtMostOnce] == 0 || !slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return strings.Contains(b.Message, "attempt 2; 1 are allowed") }) {
+	found := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool { return strings.Contains(b.Message, "attempt 2; 1 are allowed") })
+	if v.BreachesByRule[audit.AtMostOnce] == 0 || !found {
 		t.Error("no second attempt was seen in a morning of errors")
 	}
 }
--- a/internal/rehearsal/dryrun/golden_test.go
+++ b/internal/rehearsal/dryrun/golden_test.go
@@ -34,7 +34,8 @@
 			}
 			verdict := result.Verdict
 			fmt.Fprintf(&dump, "%s %d: %d events %x, verdict %x, sums %x, %d decisions, service %v, %d breaches\n", name, seed, len(result.Events),
-				events.Sum(nil), sha256.Sum256(golden.Values(verdict)), sha256.Sum256(golden.Values(audit.Totals(result.Plan().AuditRules(), result.Events))),
+				events.Sum(nil), sha256.Sum256(golden.Values(verdict)),
+				sha256.Sum256(golden.Values(audit.Totals(result.Plan().AuditRules(), result.Events))),
 				result.Decisions, verdict.Service, len(verdict.Breaches))
 		}
 	}
--- a/internal/rehearsal/dryrun/host.go
+++ b/internal/rehearsal/dryrun/host.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// Send is the host's: it sends an attempt.
+// Send implements balancer.Host: it sends an attempt.
 func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	s, r := i.sim, i.requests[id]
 	s.attempts++
@@ -25,7 +25,7 @@
 	s.schedule(deadline, func() { a.finishAtInstance(balancer.StatusTimeout) })
 }
 
-// Reject is the host's: it answers that nothing was done.
+// Reject implements balancer.Host: it answers that nothing was done.
 func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := i.requests[id]; r != nil {
 		r.answer(statusServiceUnavailable, retryAfter, false)
@@ -33,7 +33,7 @@
 	}
 }
 
-// Fail is the host's: it answers that the request failed.
+// Fail implements balancer.Host: it answers that the request failed.
 func (i *instance) Fail(id balancer.RequestID) {
 	if r := i.requests[id]; r != nil {
 		r.answer(statusBadGateway, 0, false)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Cancel is the host's: it takes an attempt back.
+// Cancel implements balancer.Host: it cancels an attempt.
 func (i *instance) Cancel(id balancer.RequestID, number int) {
 	if r := i.requests[id]; r != nil && r.pending != nil && r.pending.number == number {
 		a := r.pending
@@ -49,7 +49,7 @@
 	}
 }
 
-// SetTimer is the host's.
+// SetTimer implements balancer.Host.
 func (i *instance) SetTimer(token uint64, after time.Duration) {
 	incarnation := i.incarnation
 	i.sim.scheduleAfter(after, func() {
@@ -60,25 +60,25 @@
 	})
 }
 
-// recordListRequest notes that the instance asks for a list. Updates are pushed to it anyway.
+// recordListRequest records that the instance asks for a list. Updates are pushed to it in any case.
 func (i *instance) recordListRequest() {
 	i.sim.record(audit.Event{Kind: audit.ListRequested, Sidecar: i.index, Server: -1, Origin: -1})
 }
 
-// HealthCheck is the host's; there are none in virtual time.
+// HealthCheck implements balancer.Host; there are none in virtual time.
 func (i *instance) HealthCheck(balancer.EndpointID) {}
 
-// SendToPeer is the host's; instances don't find one another in virtual time.
+// SendToPeer implements balancer.Host; instances don't find one another in virtual time.
 func (i *instance) SendToPeer(int, []byte) {}
 
-// WatchEndpoints is the host's.
+// WatchEndpoints implements balancer.Host: it asks for a list.
 func (i *instance) WatchEndpoints(bool) { i.recordListRequest() }
 
-// FetchEndpoints is the host's.
+// FetchEndpoints implements balancer.Host: it asks for a list.
 func (i *instance) FetchEndpoints() { i.recordListRequest() }
 
-// CloseIdleConnections is the host's; idle connections cost nothing here.
+// CloseIdleConnections implements balancer.Host; idle connections cost nothing here.
 func (i *instance) CloseIdleConnections(balancer.EndpointID) {}
 
-// Log is the host's; lines are not kept.
+// Log implements balancer.Host; lines are not kept.
 func (i *instance) Log(string) {}
--- a/internal/rehearsal/dryrun/instance.go
+++ b/internal/rehearsal/dryrun/instance.go
@@ -13,14 +13,14 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// instance is a sidecar: the decision module with what the program around it does.
+// instance is a sidecar: a decision module, and a model of the program around it.
 type instance struct {
 	scenario.SidecarSpec
 	sim         *sim
 	index       int
 	incarnation int // grows with each start and each end
 	up          bool
-	inRotation  bool          // new connections of callers go to it
+	inRotation  bool          // it gets new connections of callers
 	open        int           // callers' connections
 	busy        int           // of these, with a request on them
 	endsAt      time.Duration // when it ends; 0 if it was not asked to
@@ -33,7 +33,7 @@
 // clock returns the time as the decision module has it.
 func (i *instance) clock() time.Duration { return clockStart + i.sim.now }
 
-// start starts the instance with the list as discovery has it.
+// start starts the instance with the list of discovery.
 func (i *instance) start() error {
 	i.incarnation++
 	i.up = true
@@ -69,12 +69,12 @@
 	return nil
 }
 
-// recordNotification notes that the instance is notified of the state of a server.
+// recordNotification records that the instance is notified of the state of a server.
 func (i *instance) recordNotification(server *server, known discoveryState) {
 	i.sim.record(audit.Event{Kind: audit.SidecarNotified, Sidecar: i.index, Server: server.index, Text: known.state, Origin: -1})
 }
 
-// kill ends the instance at once: what it had is lost. New connections of callers go to it until that is noticed.
+// kill ends the instance at once, with its requests. It stays in rotation until that is noticed.
 func (i *instance) kill() {
 	if !i.up {
 		return
@@ -91,7 +91,7 @@
 	})
 }
 
-// abortRequests ends all that the instance has, in the order of the ids so that each run does the same.
+// abortRequests ends all requests without an answer, in the order of their ids so that each run does the same.
 func (i *instance) abortRequests() {
 	for _, id := range sortedIDs(i.requests) {
 		r := i.requests[id]
@@ -108,7 +108,7 @@
 	i.requests = map[balancer.RequestID]*request{}
 }
 
-// shutDown asks the instance to end, as SIGTERM does: it serves what it has for as long as the longest class may take.
+// shutDown asks the instance to end, as SIGTERM does: it goes on serving for as long as the longest deadline of a class, within maxDrain.
 func (i *instance) shutDown() {
 	if !i.up {
 		return
--- a/internal/rehearsal/dryrun/request.go
+++ b/internal/rehearsal/dryrun/request.go
@@ -16,13 +16,13 @@
 	callerAttempt int // 0 for the call of a server
 }
 
-// reply is what came of a call.
+// reply is the result of a call.
 type reply struct {
 	status     int // 0 for none
 	retryAfter time.Duration
 }
 
-// request is a call that an instance has taken.
+// request is a call that an instance has received.
 type request struct {
 	*call
 	instance  *instance
@@ -30,11 +30,11 @@
 	attempts  int      // so far
 	pending   *attempt // that is in flight; nil if none is
 	answered  bool
-	abandoned bool // nobody waits for it any more
+	abandoned bool // its caller has got an answer, or has gone
 	reply     func(reply)
 }
 
-// handle takes a call, and has done called when it has ended for its caller.
+// handle sends a call to the instance; done is called when the call has ended for its caller.
 func (i *instance) handle(c *call, done func(reply)) {
 	s := i.sim
 	if !i.up {
@@ -65,7 +65,7 @@
 	})
 }
 
-// take gives a request that has come to the instance to the decision module, unless the instance has ended since it was sent.
+// take passes a request that has arrived to the decision module, unless the instance has ended since it was sent.
 func (i *instance) take(r *request, incarnation int) {
 	if i.incarnation != incarnation {
 		r.abandoned = true
@@ -84,12 +84,12 @@
 	})
 }
 
-// recordEnd notes how a request ended without an answer.
+// recordEnd records how a request ended without an answer.
 func (r *request) recordEnd(kind audit.Kind) {
 	r.instance.sim.record(audit.Event{Kind: kind, Request: r.request, Sidecar: r.instance.index, Server: -1, Origin: r.origin})
 }
 
-// abandon notes that the caller has gone, and reports it to the decision module.
+// abandon ends a request whose caller has gone, and reports it to the decision module.
 func (r *request) abandon() {
 	i := r.instance
 	if r.abandoned || r.answered || i.requests[balancer.RequestID(r.request)] != r {
@@ -105,7 +105,7 @@
 	r.release()
 }
 
-// answer gives the final answer.
+// answer sends the final answer, unless the request has one.
 func (r *request) answer(status int, retryAfter time.Duration, authentic bool) {
 	if r.answered {
 		return
--- a/internal/rehearsal/dryrun/run.go
+++ b/internal/rehearsal/dryrun/run.go
@@ -5,7 +5,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Verdict   *audit.Verdict
 	Events    []audit.Event
@@ -13,10 +13,10 @@
 	plan      *scenario.Plan
 }
 
-// Plan returns what was played.
+// Plan returns the plan that was played.
 func (r *Result) Plan() *scenario.Plan { return r.plan }
 
-// Run plays a plan.
+// Run plays a plan. It returns an error if a sidecar cannot be started, or the run has too many events.
 func Run(plan *scenario.Plan) (*Result, error) {
 	s, err := newSim(plan)
 	if err != nil {
--- a/internal/rehearsal/dryrun/server.go
+++ b/internal/rehearsal/dryrun/server.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// server is one emulated server, with what discovery knows of it.
+// server is one emulated server, with the state that discovery has of it.
 type server struct {
 	sim         *sim
 	index       int
@@ -22,22 +22,22 @@
 	incarnation int              // grows with each start and each end; 0 before the first start
 	model       *emulator.Server // nil while it is down or silent
 	silent      bool
-	calls       map[uint64]*attempt // that have come to it and not ended, by their ids
-	faults      map[string]float64  // share of calls, by what befalls them
-	random      *rand.Rand          // of faults
-	scheduledAt time.Duration       // when it is looked at next
+	calls       map[uint64]*attempt // attempts that have arrived and not ended, by id
+	faults      map[string]float64  // by the name in the script: the share of attempts that it happens to
+	random      *rand.Rand          // draws which attempts the faults happen to
+	scheduledAt time.Duration       // when it is advanced next
 
 	known    discoveryState
-	wasKnown []discoveryState // what discovery knew, oldest first, where some sidecars are notified late
+	wasKnown []discoveryState // earlier values of known, oldest first; kept only if some sidecars are notified late
 }
 
-// spec returns what the plan says of the server.
+// spec returns the server as the plan has it.
 func (s *server) spec() *scenario.Server { return &s.sim.plan.Servers[s.index] }
 
 // tier returns the index of the server's tier.
 func (s *server) tier() int { return s.spec().Tier }
 
-// start brings the server up; one that is not cold has been there for long, and discovery knows it.
+// start starts the server; one that is not cold has been up for long, and is in discovery.
 func (s *server) start(cold bool) {
 	s.incarnation++
 	s.silent = false
@@ -51,21 +51,21 @@
 	}
 }
 
-// stop ends the server; its connections break.
+// stop ends the server, and resets its connections.
 func (s *server) stop() {
-	held := s.calls
+	inFlight := s.calls
 	s.incarnation++
 	s.model = nil
 	s.silent = false
 	s.calls = nil
-	for _, id := range slices.Sorted(maps.Keys(held)) {
-		a := held[id]
+	for _, id := range slices.Sorted(maps.Keys(inFlight)) {
+		a := inFlight[id]
 		a.finishAtServer(audit.Dropped)
 		s.sim.scheduleAfter(toServer, func() { a.finishAtInstance(balancer.StatusReset) })
 	}
 }
 
-// silence takes the machine of the server away, and its sidecar with it: what came to it gets no answer.
+// silence makes the machine of the server unresponsive, and ends its sidecar: attempts that have arrived get no answer.
 func (s *server) silence() {
 	if s.model == nil {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// collapse ends a cold server that was overloaded; it is started again where its tier says so.
+// collapse ends a cold server that was overloaded, and has it restarted if its tier does that.
 func (s *server) collapse() {
 	s.sim.record(audit.Event{Kind: audit.ServerCollapsed, Server: s.index, Sidecar: -1, Origin: -1})
 	s.stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-// restartAfterCollapse starts the server again after a collapse, if nothing has happened to it since.
+// restartAfterCollapse starts a collapsed server again, unless it was started or stopped since.
 func (s *server) restartAfterCollapse(incarnation int) {
 	if s.incarnation != incarnation {
 		return
@@ -106,12 +106,12 @@
 	})
 }
 
-// drawFault draws whether a fault befalls a call; nothing is drawn where the server has no such fault.
+// drawFault draws whether a fault happens to an attempt; it draws nothing if the server has no such fault.
 func (s *server) drawFault(name string) bool {
 	return s.faults[name] > 0 && s.random.Float64() < s.faults[name]
 }
 
-// scheduleAdvance has the server looked at when its model wants to be.
+// scheduleAdvance schedules the next advance of the model.
 func (s *server) scheduleAdvance() {
 	if s.model == nil {
 		return
@@ -134,7 +134,7 @@
 	})
 }
 
-// advance brings the model up to now, and goes on with the attempts whose work has ended.
+// advance brings the model up to now, and goes on with attempts whose work has ended.
 func (s *server) advance() { s.complete(s.model.Advance(s.sim.now)) }
 
 // complete goes on with attempts whose work has ended: with their calls, or with their answers.
@@ -160,8 +160,8 @@
 	}
 }
 
-// callNextTier makes the k-th call of an attempt to the next tier, and then the others; after them comes the rest of its work.
-func (s *server) callNextTier(a *attempt, k int) {
+// callNextTier makes the calls of an attempt to the next tier, from a number on, one after another; then its work is resumed.
+func (s *server) callNextTier(a *attempt, number int) {
 	sim, incarnation := s.sim, s.incarnation
 	inFlight := func() bool { return s.incarnation == incarnation && s.model != nil && s.calls[a.id] == a }
 	left := a.request.deadline - sim.now
@@ -170,7 +170,8 @@
 		return
 	}
 	next := &call{
-		request: fmt.Sprintf("%s.%d-%d", a.request.request, a.id, k), class: a.request.class, timeLeft: left, origin: a.request.origin,
+		request: fmt.Sprintf("%s.%d-%d", a.request.request, a.id, number),
+		class:   a.request.class, timeLeft: left, origin: a.request.origin,
 	}
 	s.sidecar.handle(next, func(r reply) {
 		switch {
@@ -179,8 +180,8 @@
 			s.advance()
 			s.fail(a)
 			s.scheduleAdvance()
-		case k+1 < sim.plan.Tiers[s.tier()].CallsPerRequest:
-			s.callNextTier(a, k+1)
+		case number+1 < sim.plan.Tiers[s.tier()].CallsPerRequest:
+			s.callNextTier(a, number+1)
 		default:
 			s.advance()
 			a.afterCalls = true
--- a/internal/rehearsal/dryrun/sim.go
+++ b/internal/rehearsal/dryrun/sim.go
@@ -17,26 +17,26 @@
 	toServer  = 150 * time.Microsecond
 )
 
-// How a sidecar ends, and what notices it.
+// How a sidecar ends, and when that is noticed.
 const (
-	failureNotice  = 2 * time.Second        // after which no new connections go to one that was killed
-	drainNotice    = 300 * time.Millisecond // after which no new connections go to one that was asked to end
-	maxDrain       = 3 * time.Second        // that requests have, at most
-	drainMargin    = 500 * time.Millisecond // beside the longest deadline
+	failureNotice  = 2 * time.Second        // from its end until it gets no new connections
+	drainNotice    = 300 * time.Millisecond // from SIGTERM until it gets no new connections
+	maxDrain       = 3 * time.Second        // bound of the time that requests have after SIGTERM
+	drainMargin    = 500 * time.Millisecond // beyond the longest deadline
 	exitDelay      = 100 * time.Millisecond // from the end of the last request to the end of the process
 	restartBackoff = 200 * time.Millisecond // from the end of requests to the next start
 )
 
-// repeatDelay is how late the second update is where discovery sends each twice.
+// repeatDelay is when the second update comes, if discovery sends each twice.
 const repeatDelay = 200 * time.Millisecond
 
-// clockStart is the module's clock when callers begin to come: well above 0, which stands for long past.
+// clockStart is the time on the module's clock when callers begin to come: well above 0, which means long ago.
 const clockStart = 24 * time.Hour
 
-// maxEvents bounds a run: what the largest scenario takes, several times over.
+// maxEvents bounds a run: several times what the largest scenario needs.
 const maxEvents = 200_000_000
 
-// sim is one run.
+// sim is one run in virtual time.
 type sim struct {
 	plan         *scenario.Plan
 	now          time.Duration
@@ -45,16 +45,16 @@
 	log          audit.Log
 	servers      []*server
 	instances    []*instance
-	nextSidecar  int        // in rotation
-	callers      *rand.Rand // of which connections they use
-	attempts     uint64
+	nextSidecar  int            // in rotation
+	callers      *rand.Rand     // draws which connections callers use
+	attempts     uint64         // the id of the latest attempt
 	attemptsSeen map[string]int // by request, at all servers
-	decisions    int
-	repeats      bool  // discovery sends each update twice
-	err          error // the first that ends the run
+	decisions    int            // calls of decision modules
+	repeats      bool           // discovery sends each update twice
+	err          error          // the first that ends the run
 }
 
-// newSim returns a run with the servers and sidecars that are there from the start.
+// newSim returns a run with the servers and sidecars of the plan; those that are there from the start are up.
 func newSim(plan *scenario.Plan) (*sim, error) {
 	s := &sim{plan: plan, attemptsSeen: map[string]int{}, callers: rand.New(emulator.RandomSource(plan.Seed, "connections"))}
 	for i := range plan.Servers {
@@ -95,7 +95,7 @@
 	return s.err
 }
 
-// schedule has something happen at a time; what is scheduled earlier comes first among equals.
+// schedule schedules an event; those of one time keep the order in which they were scheduled.
 func (s *sim) schedule(when time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(when, s.now), s.seq, do})
@@ -110,7 +110,7 @@
 	s.log.Add(e)
 }
 
-// event is something that is to happen.
+// event is a function that runs at a time.
 type event struct {
 	at  time.Duration
 	seq uint64
--- a/internal/rehearsal/dryrun/steps.go
+++ b/internal/rehearsal/dryrun/steps.go
@@ -1,13 +1,12 @@
 package dryrun
 
-import (
-	"quincegap/internal/rehearsal/scenario"
-)
+import "quincegap/internal/rehearsal/scenario"
 
 // playStep plays one step of the plan.
 func (s *sim) playStep(step scenario.Step) {
 	switch step.Kind {
-	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart, scenario.ServerPause, scenario.ServerSlowdown, scenario.ServerFault:
+	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart,
+		scenario.ServerPause, scenario.ServerSlowdown, scenario.ServerFault:
 		s.playServerStep(s.servers[step.Server], &step)
 	case scenario.DiscoveryUpdate:
 		server := s.servers[step.Server]
@@ -62,7 +61,7 @@
 	}
 }
 
-// playSignal has an instance get a signal. SIGHUP changes nothing here.
+// playSignal sends a signal to an instance. SIGHUP changes nothing here.
 func (s *sim) playSignal(i *instance, name string) {
 	switch name {
 	case "SIGTERM":
@@ -72,7 +71,7 @@
 	}
 }
 
-// notifyAll has all instances notified of a server; twice where discovery repeats itself.
+// notifyAll notifies all instances of a server; twice if discovery repeats its updates.
 func (s *sim) notifyAll(server *server) {
 	for _, i := range s.instances {
 		i.notify(server)
@@ -82,7 +81,7 @@
 	}
 }
 
-// restart starts an instance again, once it has ended.
+// restart starts an instance again once it has ended. One that serves goes on.
 func (s *sim) restart(i *instance) {
 	if i.up {
 		if i.endsAt > 0 { // else it serves already
