--- a/internal/rehearsal/report/chart.go
+++ b/internal/rehearsal/report/chart.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The colours of the charts: those of Okabe and Ito, which people who see few colours can tell apart.
+// The colours of the charts: those of Okabe and Ito, which colour-blind people can distinguish.
 var (
 	blue        = color.RGBA{0, 114, 178, 255}
 	green       = color.RGBA{0, 158, 115, 255}
@@ -29,13 +29,13 @@
 	chartHeight = 6.5 * vg.Centimeter
 )
 
-// chart is a drawing with its heading.
+// chart is a chart with its heading.
 type chart struct {
 	Name string
 	SVG  template.HTML
 }
 
-// svgPrefix is what an SVG file has before its picture, and a page must not have.
+// svgPrefix matches the XML declaration of an SVG file, which a page must not have.
 var svgPrefix = regexp.MustCompile(`(?s)^.*?(<svg)`)
 
 // renderSVG draws a chart as an element of a page.
--- a/internal/rehearsal/report/doc.go
+++ b/internal/rehearsal/report/doc.go
@@ -1,3 +1,3 @@
-// Package report shows verdicts to people: on one screen, and as one page of HTML that needs nothing beside it; experiments as a
-// table and as a page. It does no I/O but for the writers that it is given.
+// Package report shows verdicts to people: as text for one screen, and as one page of HTML without other files; experiments as a table and
+// as a page. It does no I/O except on the writers that it is given.
 package report
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -18,9 +18,9 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// scenarioName returns the name of a scenario's file.
-func scenarioName(m *scenario.Scenario) string {
-	return strings.TrimSuffix(path.Base(m.Name), ".morning")
+// scenarioName returns the name of a scenario's file without its ending.
+func scenarioName(s *scenario.Scenario) string {
+	return strings.TrimSuffix(path.Base(s.Name), ".morning")
 }
 
 // columns are the figures of a point, by name.
@@ -36,7 +36,7 @@
 	{"p99, s", func(p experiment.Point) experiment.Figure { return p.P99 }},
 }
 
-// WriteTable writes the points of an experiment, mean and half of the 95% interval.
+// WriteTable writes the points of an experiment as a table of text, each figure as its mean and half of the 95% interval.
 func WriteTable(w io.Writer, scenarios []*scenario.Scenario, points []experiment.Point) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %6s %5s", "morning", "load", "runs")
@@ -62,7 +62,7 @@
 	plotter.YErrors
 }
 
-// palette is the colours of scenarios. Beyond them lines are dashed.
+// palette has the colours of scenarios. If there are more scenarios, their lines are dashed.
 var palette = []color.RGBA{blue, green, orange, red, purple, grey}
 
 // serviceCurve draws the service over the load, a line for each scenario.
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// experimentRow is a point as the page shows it.
+// experimentRow is a point on the page.
 type experimentRow struct {
 	Name, Load string
 	Runs       int
--- a/internal/rehearsal/report/heatmap.go
+++ b/internal/rehearsal/report/heatmap.go
@@ -12,17 +12,18 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// maxHeatMapRows bounds a chart by server: beyond that a server has no row of its own.
+// maxHeatMapRows bounds the rows of a chart: servers beyond it are not on it.
 const maxHeatMapRows = 120
 
 // stepColors are the colours of the steps that are marked on the chart of their server.
 var stepColors = map[scenario.StepKind]color.RGBA{
-	scenario.ServerCrash: red, scenario.ServerSilence: red, scenario.ServerStart: green, scenario.ServerPause: orange, scenario.ServerSlowdown: orange, scenario.ServerFault: orange,
+	scenario.ServerCrash: red, scenario.ServerSilence: red, scenario.ServerStart: green,
+	scenario.ServerPause: orange, scenario.ServerSlowdown: orange, scenario.ServerFault: orange,
 }
 
 // heatMap is the attempts that each server of a tier got in each second. Its methods are those of plotter.GridXYZ.
 type heatMap struct {
-	servers []int   // a row each
+	servers []int   // by row
 	loads   [][]int // by server and second
 }
 
@@ -48,13 +49,13 @@
 	const n = 24
 	all := make([]color.Color, n)
 	for i := range all {
-		part := func(to uint8) uint8 { return uint8(255 - (255-int(to))*i/(n-1)) }
-		all[i] = color.RGBA{part(blue.R), part(blue.G), part(blue.B), 255}
+		mix := func(to uint8) uint8 { return uint8(255 - (255-int(to))*i/(n-1)) }
+		all[i] = color.RGBA{mix(blue.R), mix(blue.G), mix(blue.B), 255}
 	}
 	return all
 }
 
-// serverChart draws the attempts at each server of a tier, and what happened to it; empty where there is nothing to see.
+// serverChart draws the attempts at each server of a tier, and its steps; empty if there are too few servers or seconds, or no attempts.
 func (r *Run) serverChart(tier int) (template.HTML, error) {
 	h := heatMap{loads: r.Verdict.AttemptsByServer}
 	for i, server := range r.Plan.Servers {
@@ -74,16 +75,16 @@
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "seconds", "box"
 	c.X.Min, c.X.Max = 0, r.Plan.Length.Seconds()
-	m := plotter.NewHeatMap(h, bluePalette{})
-	m.Min, m.Max = 0, float64(highest)
-	c.Add(m)
+	attempts := plotter.NewHeatMap(h, bluePalette{})
+	attempts.Min, attempts.Max = 0, float64(highest)
+	c.Add(attempts)
 	if err := r.markSteps(c, h.servers); err != nil {
 		return "", err
 	}
 	return renderSVG(c)
 }
 
-// markSteps puts a dot for each step that happened to a server of a heat map, on its row.
+// markSteps adds a dot for each step of a server of a heat map, on the server's row.
 func (r *Run) markSteps(c *plot.Plot, servers []int) error {
 	rows := map[int]int{}
 	for row, server := range servers {
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// view is a run as the page shows it.
+// view is a run on the page.
 type view struct {
 	*Run
 	Outcome  Outcome
@@ -18,7 +18,7 @@
 	Breaches []string
 }
 
-// WritePage writes one page of HTML on one or several runs of a scenario.
+// WritePage writes one page of HTML on one or more runs of a scenario.
 func WritePage(w io.Writer, made time.Time, runs ...*Run) error {
 	var views []view
 	for _, run := range runs {
@@ -40,7 +40,7 @@
 	}{runs[0].Plan.DisplayName(), made.UTC().Format("2006-01-02 15:04 UTC"), views})
 }
 
-// charts draws those of the page.
+// charts returns the charts of the page.
 func (r *Run) charts() ([]chart, error) {
 	calls, err := r.secondsChart("requests a second", callerSeries)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return charts, nil
 }
 
-// seconds returns a time for the page.
+// seconds returns a time in seconds; "never" if it is beyond any rehearsal.
 func seconds(d time.Duration) string {
 	if d > 24*time.Hour {
 		return "never"
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -17,10 +17,11 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
+// play plays a short scenario with further lines in virtual time.
 func play(t *testing.T, more string) *Run {
 	t.Helper()
 	var found finding.List
-	m := scenario.Read("short.morning", []byte(`title "Boxes <b>go</b> & come"
+	short := scenario.Read("short.morning", []byte(`title "Boxes <b>go</b> & come"
 length 6s
 tier front boxes 4 cells 2 cores 2 slots 20 queue 5 work 20ms calls keeper
 tier keeper boxes 5 cells 2 cores 2 slots 4 queue 5 work 15ms
@@ -29,48 +30,52 @@
 at 2s: 1 boxes go silent for 2s
 at 3s: 60% of boxes of keeper pause for 300ms
 `+more), &found)
-	if m == nil {
+	if short == nil {
 		t.Fatal(found.Err())
 	}
-	r, err := dryrun.Run(m.Plan(0))
+	result, err := dryrun.Run(short.Plan(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Run{Program: "quincegap", Plan: m.Plan(0), Verdict: r.Verdict}
+	return &Run{Program: "quincegap", Plan: short.Plan(0), Verdict: result.Verdict}
 }
 
-// The word on a play is the worst that there is to say of it, and a void run says nothing else.
+// The outcome of a run is the worst that applies, and a void run has no other reasons.
 func TestOutcome(t *testing.T) {
-	p := play(t, "expect service above 0.2\n")
-	if o, why := p.Outcome(); o != OutcomeKept || len(why) > 0 {
-		t.Fatal(o, why)
+	run := play(t, "expect service above 0.2\n")
+	if outcome, reasons := run.Outcome(); outcome != OutcomeKept || len(reasons) > 0 {
+		t.Fatal(outcome, reasons)
 	}
-	p = play(t, "expect service above 0.2\nexpect attempts below 0.5\n")
-	if o, why := p.Outcome(); o != OutcomeMissed || len(why) != 1 || !strings.Contains(why[0], "line 10: attempts is 1.") || !strings.Contains(why[0], "expected below 0.5") {
-		t.Fatal(o, why)
+	run = play(t, "expect service above 0.2\nexpect attempts below 0.5\n")
+	outcome, reasons := run.Outcome()
+	if outcome != OutcomeMissed || len(reasons) != 1 || !strings.Contains(reasons[0], "line 10: attempts is 1.") ||
+		!strings.Contains(reasons[0], "expected below 0.5") {
+		t.Fatal(outcome, reasons)
 	}
-	p.Verdict.Crashes = []string{"1.000 s: n1 ended by itself"}
-	p.Verdict.BreachesByRule[audit.DrainRespected] = 2
-	if o, why := p.Outcome(); o != OutcomeBroken || len(why) != 3 {
-		t.Fatal(o, why)
+	run.Verdict.Crashes = []string{"1.000 s: n1 ended by itself"}
+	run.Verdict.BreachesByRule[audit.DrainRespected] = 2
+	if outcome, reasons := run.Outcome(); outcome != OutcomeBroken || len(reasons) != 3 {
+		t.Fatal(outcome, reasons)
 	}
-	p.Verdict.VoidReason = "too slow"
-	if o, why := p.Outcome(); o != OutcomeVoid || len(why) != 1 {
-		t.Fatal(o, why)
+	run.Verdict.VoidReason = "too slow"
+	if outcome, reasons := run.Outcome(); outcome != OutcomeVoid || len(reasons) != 1 {
+		t.Fatal(outcome, reasons)
 	}
 }
 
-// The screen names the second, the request and the box of a breach, and shows two builds side by side.
+// The screen names the second, the request and the server of a breach, and shows two programs side by side.
 func TestScreen(t *testing.T) {
-	p, q := play(t, ""), play(t, "")
-	q.Program, q.Notes = "other", []string{"a note"}
-	q.Verdict.BreachesByRule[audit.AtMostOnce] = 7
+	first, second := play(t, ""), play(t, "")
+	second.Program, second.Notes = "other", []string{"a note"}
+	second.Verdict.BreachesByRule[audit.AtMostOnce] = 7
 	for i := range 7 {
-		q.Verdict.Breaches = append(q.Verdict.Breaches, audit.Breach{Rule: audit.AtMostOnce, At: 1234 * time.Millisecond, Request: fmt.Sprintf("r%dt1", i), Server: 4, Message: "sent again"})
+		second.Verdict.Breaches = append(second.Verdict.Breaches, audit.Breach{
+			Rule: audit.AtMostOnce, At: 1234 * time.Millisecond, Request: fmt.Sprintf("r%dt1", i), Server: 4, Message: "sent again",
+		})
 	}
-	q.Verdict.Excused = 3
+	second.Verdict.Excused = 3
 	var b bytes.Buffer
-	if err := WriteScreen(&b, p, q); err != nil {
+	if err := WriteScreen(&b, first, second); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
@@ -86,8 +91,8 @@
 	}
 }
 
-// wellFormed reads a page as XML does, which is stricter than browsers are.
-func wellFormed(t *testing.T, page string) {
+// checkWellFormed parses a page as XML, which is stricter than browsers are.
+func checkWellFormed(t *testing.T, page string) {
 	t.Helper()
 	d := xml.NewDecoder(strings.NewReader(strings.Replace(page, "<!doctype html>", "", 1)))
 	d.Strict, d.AutoClose, d.Entity = true, xml.HTMLAutoClose, xml.HTMLEntity
@@ -100,18 +105,21 @@
 	}
 }
 
-// The page is one file that needs nothing beside it, with charts, events and stories; what a script says is text in it.
+// The page is one file that loads no other, with charts, events and traces; texts of the script are escaped.
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
 	if err := WritePage(&b, time.Unix(0, 0), play(t, ""), play(t, "")); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
-	wellFormed(t, page)
+	checkWellFormed(t, page)
 	if n := strings.Count(page, "<svg"); n != 8 {
 		t.Errorf("%d charts, want 8: callers, attempts and two tiers of two plays", n)
 	}
-	for _, want := range []string{"Boxes &lt;b&gt;go&lt;/b&gt; &amp; come", "front ", ": silent", "keeper ", "stand still", "attempt 1 comes to", "1970-01-01 00:00 UTC"} {
+	for _, want := range []string{
+		"Boxes &lt;b&gt;go&lt;/b&gt; &amp; come", "front ", ": silent", "keeper ", "stand still", "attempt 1 comes to",
+		"1970-01-01 00:00 UTC",
+	} {
 		if !strings.Contains(page, want) {
 			t.Errorf("no %q", want)
 		}
@@ -123,38 +131,43 @@
 	}
 }
 
-// A morning of one second, or of one box, has a page too.
-func TestPageOfLittle(t *testing.T) {
+// A scenario of one second and one server has a page too.
+func TestPageOfSmallScenario(t *testing.T) {
 	var found finding.List
-	m := scenario.Read("m", []byte("length 1s\ntier a boxes 1\nclass ask\ncallers rate 2/s\n"), &found)
-	r, err := dryrun.Run(m.Plan(0))
+	small := scenario.Read("m", []byte("length 1s\ntier a boxes 1\nclass ask\ncallers rate 2/s\n"), &found)
+	result, err := dryrun.Run(small.Plan(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	if err := WritePage(&b, time.Now(), &Run{Plan: m.Plan(0), Verdict: r.Verdict, Virtual: true}); err != nil {
+	if err := WritePage(&b, time.Now(), &Run{Plan: small.Plan(0), Verdict: result.Verdict, Virtual: true}); err != nil {
 		t.Fatal(err)
 	}
-	wellFormed(t, b.String())
+	checkWellFormed(t, b.String())
 }
 
+// The page of an experiment has a curve if there is more than one load, and marks breaches.
 func TestExperimentPage(t *testing.T) {
-	p := play(t, "")
-	mornings := []*scenario.Scenario{p.Plan.Scenario}
-	points := []experiment.Point{{Load: 0.5, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}}, {Load: 2, Runs: 3, Service: experiment.Figure{Mean: 0.5, HalfInterval: 0.1, Min: 0.4}, Breaches: 1}}
+	scenarios := []*scenario.Scenario{play(t, "").Plan.Scenario}
+	points := []experiment.Point{
+		{Load: 0.5, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}},
+		{Load: 2, Runs: 3, Service: experiment.Figure{Mean: 0.5, HalfInterval: 0.1, Min: 0.4}, Breaches: 1},
+	}
 	var page, table bytes.Buffer
-	if err := WriteExperimentPage(&page, time.Now(), mornings, points); err != nil {
+	if err := WriteExperimentPage(&page, time.Now(), scenarios, points); err != nil {
 		t.Fatal(err)
 	}
-	wellFormed(t, page.String())
-	if strings.Count(page.String(), "<svg") != 1 || !strings.Contains(page.String(), `class="bad">1`) || !strings.Contains(page.String(), "0.9900 ± 0.0100") {
+	checkWellFormed(t, page.String())
+	if strings.Count(page.String(), "<svg") != 1 || !strings.Contains(page.String(), `class="bad">1`) ||
+		!strings.Contains(page.String(), "0.9900 ± 0.0100") {
 		t.Error(page.String())
 	}
-	if err := WriteTable(&table, mornings, points); err != nil || strings.Count(table.String(), "\n") != 3 || !strings.Contains(table.String(), "short") {
+	if err := WriteTable(&table, scenarios, points); err != nil || strings.Count(table.String(), "\n") != 3 ||
+		!strings.Contains(table.String(), "short") {
 		t.Error(err, table.String())
 	}
 	page.Reset()
-	if err := WriteExperimentPage(&page, time.Now(), mornings, points[:1]); err != nil || strings.Contains(page.String(), "<svg") {
+	if err := WriteExperimentPage(&page, time.Now(), scenarios, points[:1]); err != nil || strings.Contains(page.String(), "<svg") {
 		t.Error("a curve of one point", err)
 	}
 }
--- a/internal/rehearsal/report/run.go
+++ b/internal/rehearsal/report/run.go
@@ -8,18 +8,18 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Run is one playing of a scenario.
+// Run is one run of a scenario, as reports show it.
 type Run struct {
-	Program string // that was played
+	Program string // name of the sidecar's program
 	Plan    *scenario.Plan
 	Verdict *audit.Verdict
-	Virtual bool          // in virtual time, the decision module alone
+	Virtual bool          // it was in virtual time, with the decision module only
 	CPU     time.Duration // of all sidecars
 	Memory  int64         // bytes of the largest sidecar
 	Notes   []string
 }
 
-// Outcome is the word on a run.
+// Outcome is the judgement of a run.
 type Outcome int
 
 // The outcomes, the best first.
@@ -35,7 +35,7 @@
 	return [...]string{"KEPT", "MISSED", "BROKEN", "VOID"}[o]
 }
 
-// Outcome returns the worst that there is to say of the run, with the reasons.
+// Outcome returns the worst outcome that applies to the run, with its reasons.
 func (r *Run) Outcome() (outcome Outcome, reasons []string) {
 	v := r.Verdict
 	if v.VoidReason != "" {
@@ -67,13 +67,13 @@
 	return outcome, reasons
 }
 
-// row is a figure with its name.
+// row is a figure as text, with its name.
 type row struct{ name, value string }
 
-// Name is for the page.
+// Name returns the name, for the template of the page.
 func (r row) Name() string { return r.name }
 
-// Value is for the page.
+// Value returns the value, for the template of the page.
 func (r row) Value() string { return r.value }
 
 // rows returns the figures of the run.
@@ -103,7 +103,7 @@
 	return rows
 }
 
-// describeBreach names the second, the request and the server of a breach.
+// describeBreach returns the time, the rule, the request and the server of a breach in words.
 func (r *Run) describeBreach(b audit.Breach) string {
 	text := fmt.Sprintf("%.3f s: %s: ", b.At.Seconds(), b.Rule)
 	if b.Request != "" {
--- a/internal/rehearsal/report/screen.go
+++ b/internal/rehearsal/report/screen.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// maxShownBreaches bounds those on the screen.
+// maxShownBreaches bounds the breaches on the screen.
 const maxShownBreaches = 5
 
 // WriteScreen writes the verdict on one screen. Several runs, of several programs, stand side by side; either all of them are in
--- a/internal/rehearsal/report/seconds.go
+++ b/internal/rehearsal/report/seconds.go
@@ -19,7 +19,7 @@
 	at    func(s audit.Second) float64
 }
 
-// callerSeries are the lines of what callers got.
+// callerSeries are the lines of the answers that callers got.
 var callerSeries = []series{
 	{"offered", grey, true, func(s audit.Second) float64 { return float64(s.Offered) }},
 	{"served in time", green, false, func(s audit.Second) float64 { return float64(s.Served) }},
@@ -28,12 +28,12 @@
 	{"failed", red, false, func(s audit.Second) float64 { return float64(s.Failed) }},
 }
 
-// attemptSeries is the line of what servers got.
+// attemptSeries is the line of the attempts at servers.
 var attemptSeries = []series{
 	{"attempts at boxes of all tiers", blue, false, func(s audit.Second) float64 { return float64(s.Attempts) }},
 }
 
-// secondsChart draws lines by second, over the windows in which something of the script goes on.
+// secondsChart draws lines by second, over the windows of the script's events.
 func (r *Run) secondsChart(unit string, lines []series) (template.HTML, error) {
 	c := plot.New()
 	c.X.Label.Text, c.Y.Label.Text = "seconds", unit
@@ -81,7 +81,7 @@
 	return line, highest, nil
 }
 
-// shadeWindows puts a shade where something of the script goes on; one where windows overlap.
+// shadeWindows shades the windows of the script's events; windows that overlap get one shade.
 func (r *Run) shadeWindows(c *plot.Plot) error {
 	var merged [][2]float64
 	for _, w := range r.Plan.Windows { // in the order of their beginnings
