--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios many times in virtual time, with several seeds and at several loads, and sums up how they end.
-// It does no I/O; the result does not depend on how many run at once.
+// Package experiment plays scenarios many times in virtual time, with several seeds and at several loads, and sums up their figures. It
+// does no I/O; the result does not depend on how many runs are played at once.
 package experiment
 
 import (
@@ -19,7 +19,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Design is what is to be played: each scenario at each load with each seed.
+// Design is the runs of an experiment: each scenario at each load with each seed.
 type Design struct {
 	Scenarios []*scenario.Scenario
 	Loads     []float64 // multiples of each scenario's rate
@@ -30,13 +30,13 @@
 // MaxRuns bounds the runs of one experiment.
 const MaxRuns = 100_000
 
-// Run is one playing of a scenario.
+// Run is one run of a scenario.
 type Run struct {
 	Scenario        int // index into Design.Scenarios
 	Load            float64
 	Seed            uint64
 	Requests        int
-	Service         float64 // as audit.Verdict has it, like the others
+	Service         float64 // see audit.Verdict, as for the figures without a comment
 	WorstService    float64
 	Rejected        float64 // share of the requests
 	Failed          float64 // share of the requests
@@ -63,10 +63,10 @@
 // Figure is a mean over seeds.
 type Figure struct {
 	Mean, SD, Min, Max float64
-	HalfInterval       float64 // half of the interval that holds the mean with 95% (Student's t); 0 for one run
+	HalfInterval       float64 // half of the 95% confidence interval of the mean (Student's t); 0 for one run
 }
 
-// Validate returns why a design can't be played, nil if it can.
+// Validate returns why a design can't be played; nil if it can.
 func (d *Design) Validate() error {
 	runs := len(d.Scenarios) * len(d.Loads) * d.Seeds
 	switch {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// validateLoad returns why a scenario can't be played at a load, nil if it can.
+// validateLoad returns why a scenario can't be played at a load; nil if it can.
 func validateLoad(played *scenario.Scenario, load float64) error {
 	if !(load > 0) || math.IsInf(load, 0) {
 		return fmt.Errorf("load %v: above 0 is wanted", load)
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// Play plays a design, and returns its runs in order of scenarios, loads and seeds. progress is called with how many runs have
-// ended, one call at a time; nil for none. It ends early with the context, or with the first run that can't be played.
+// Play plays a design, and returns its runs in order of scenarios, loads and seeds. progress, if not nil, is called after each run with
+// how many have ended, one call at a time. Play ends early with the context, or with the first run that can't be played.
 func (d *Design) Play(ctx context.Context, progress func(done, of int)) ([]Run, error) {
 	if err := d.Validate(); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 	return runs
 }
 
-// describe names the run in its error, if it has one.
+// describe adds the run to its error, if it has one.
 func (d *Design) describe(run *Run, err error) error {
 	if err == nil {
 		return nil
@@ -135,17 +135,17 @@
 	return fmt.Errorf("%s, load %v, seed %d: %w", d.Scenarios[run.Scenario].Name, run.Load, run.Seed, err)
 }
 
-// runQueue deals runs out to workers.
+// runQueue gives runs to workers.
 type runQueue struct {
 	mu       sync.Mutex
 	runs     []Run
-	next     int // the first that was not dealt out
+	next     int // the first run that no worker has
 	done     int
-	failed   error // the first
+	failed   error // the first error of a run
 	progress func(done, of int)
 }
 
-// take returns the next run to be played; nil if there is none, or the rest is not to be played.
+// take returns the next run to be played; nil if there is none, a run has failed or the context has ended.
 func (q *runQueue) take(ctx context.Context) *Run {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -157,7 +157,7 @@
 	return run
 }
 
-// finish notes the end of a run.
+// finish records the end of a run.
 func (q *runQueue) finish(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-// playRun plays one run, and fills in what came of it.
+// playRun plays one run, and sets its figures.
 func (d *Design) playRun(run *Run) error {
 	result, err := dryrun.Run(d.Scenarios[run.Scenario].AtLoad(run.Load).Plan(run.Seed))
 	if err != nil {
--- a/internal/rehearsal/experiment/experiment_test.go
+++ b/internal/rehearsal/experiment/experiment_test.go
@@ -12,24 +12,25 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
+// small returns a short scenario in which servers can be overloaded.
 func small(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	var found finding.List
-	m := scenario.Read("small", []byte(`length 4s
+	parsed := scenario.Read("small", []byte(`length 4s
 tier one boxes 3 cores 1 slots 1 queue 3 work 50ms
 class ask aim 500ms deadline 2s
 sidecars count 1
 callers rate 20/s retries 0 patience 1
 at 1s: 1 boxes restart taking 500ms
 `), &found)
-	if m == nil {
+	if parsed == nil {
 		t.Fatal(found.Err())
 	}
-	return m
+	return parsed
 }
 
 // The result is the same however many run at once, and in the order of the design.
-// Three boxes answer 60 calls a second: five times the load, 100 a second, must leave some unserved whatever the module does.
+// Three servers answer 60 calls a second: five times the load, 100 a second, must leave some unserved whatever the module does.
 func TestSameOnAnyNumberOfCores(t *testing.T) {
 	d := Design{Scenarios: []*scenario.Scenario{small(t), small(t)}, Loads: []float64{0.5, 5}, Seeds: 4}
 	var results [][]Run
--- a/internal/rehearsal/fleet/days.go
+++ b/internal/rehearsal/fleet/days.go
@@ -33,7 +33,7 @@
 	return names
 }
 
-// Day returns the scenario of a day; the error names those that there are.
+// Day returns the scenario of a day; the error lists the days that there are.
 func Day(name string) (*scenario.Scenario, error) {
 	file := path.Join(daysFolder, name+daySuffix)
 	text, err := scripts.ReadFile(file)
@@ -41,25 +41,25 @@
 		return nil, errors.New(finding.UnknownName("day", name, Days()))
 	}
 	var found finding.List
-	scenario := scenario.Read(file, text, &found)
-	if scenario == nil {
+	day := scenario.Read(file, text, &found)
+	if day == nil {
 		return nil, found.Err()
 	}
-	return scenario, nil
+	return day, nil
 }
 
-// Outcome is what came of a day.
+// Outcome is the result of a day.
 type Outcome struct {
 	Plan            *scenario.Plan
 	Verdict         *audit.Verdict
-	UnansweredShare float64 // attempts that no authentic answer came of, over all
+	UnansweredShare float64 // share of the attempts that led to no authentic answer
 	Spread          Spread
 	Decisions       int // calls of decision modules
 }
 
 // Play plays a day in virtual time, with a seed; 0 takes the script's. The same day and seed give the same outcome.
-func Play(scenario *scenario.Scenario, seed uint64) (*Outcome, error) {
-	plan := scenario.Plan(seed)
+func Play(day *scenario.Scenario, seed uint64) (*Outcome, error) {
+	plan := day.Plan(seed)
 	result, err := dryrun.Run(plan)
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/fleet/doc.go
+++ b/internal/rehearsal/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet measures how large fleets are shared out and served, in virtual time: subsets of endpoints under change, hard days,
-// and waves of restarts. It does no I/O; the same seed gives the same figures.
+// Package fleet measures large fleets in virtual time: how subsetting schemes distribute endpoints over instances while the list changes
+// (MeasureSubsets), hard days (Play), and waves of restarts (RestartWave). It does no I/O; the same seed gives the same figures.
 package fleet
--- a/internal/rehearsal/fleet/modules.go
+++ b/internal/rehearsal/fleet/modules.go
@@ -6,13 +6,13 @@
 	"quincegap/internal/balancer"
 )
 
-// balancerModules are instances of the decision module.
+// balancerModules is the subsetting of the decision module itself.
 type balancerModules struct {
 	all []*balancer.Balancer
-	now time.Duration // of their clock
+	now time.Duration // on the clock of all instances
 }
 
-// newModules returns so many instances, without endpoints.
+// newModules returns a number of instances, without endpoints.
 func newModules(instances int) (*balancerModules, error) {
 	m := &balancerModules{now: time.Hour}
 	for i := range instances {
@@ -30,30 +30,30 @@
 
 // update gives all instances a list with the changes.
 func (m *balancerModules) update(gone, come []uint32) {
-	var l balancer.EndpointList
+	var list balancer.EndpointList
 	for _, id := range gone {
-		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), State: balancer.EndpointRemoved})
+		list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), State: balancer.EndpointRemoved})
 	}
 	for _, id := range come {
-		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), Weight: 1})
+		list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), Weight: 1})
 	}
 	m.now += time.Second
 	for _, b := range m.all {
-		b.HandleEndpoints(m.now, l)
+		b.HandleEndpoints(m.now, list)
 	}
 }
 
 // subset returns an instance's endpoints with their shares of its calls.
 func (m *balancerModules) subset(i int) map[uint32]float64 {
-	s, sum := map[uint32]float64{}, 0.0
-	for id, part := range m.all[i].Subset() {
-		s[uint32(id)] = part
-		sum += part
+	shares, sum := map[uint32]float64{}, 0.0
+	for id, weight := range m.all[i].Subset() {
+		shares[uint32(id)] = weight
+		sum += weight
 	}
-	for id := range s {
-		s[id] /= sum
+	for id := range shares {
+		shares[id] /= sum
 	}
-	return s
+	return shares
 }
 
 // silentHost is a host that does nothing.
--- a/internal/rehearsal/fleet/schemes.go
+++ b/internal/rehearsal/fleet/schemes.go
@@ -10,15 +10,15 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// subsetting shares endpoints out among instances. Its endpoints are all alike.
+// subsetting distributes endpoints over instances. All endpoints have the same weight.
 type subsetting interface {
 	// update changes the list.
 	update(gone, come []uint32)
-	// subset gives an instance's endpoints, each with the share of the instance's calls that it gets.
+	// subset returns the endpoints of an instance, each with the share of the instance's calls that it gets.
 	subset(instance int) map[uint32]float64
 }
 
-// SubsettingSchemes are those that can be measured, by name.
+// SubsettingSchemes are the names of the schemes that can be measured.
 var SubsettingSchemes = []string{"module", "tiles", "shuffled", "arcs", "bounded"}
 
 // instancesPerEndpoint is how many instances call each endpoint, in every scheme.
@@ -36,7 +36,7 @@
 	case "arcs":
 		return &ringArcs{sortedEndpoints{}, instances}, nil
 	case "bounded":
-		return &boundedRing{sortedEndpoints: sortedEndpoints{}, instances: instances}, nil
+		return &boundedRing{instances: instances}, nil
 	}
 	return nil, fmt.Errorf("no scheme %q", name)
 }
@@ -44,31 +44,31 @@
 // sortedEndpoints are the ids of the list in their order.
 type sortedEndpoints struct{ ids []uint32 }
 
-// update takes some ids out and adds others.
+// update removes some ids and adds others.
 func (s *sortedEndpoints) update(gone, come []uint32) {
-	lost := map[uint32]bool{}
+	removed := map[uint32]bool{}
 	for _, id := range gone {
-		lost[id] = true
+		removed[id] = true
 	}
-	s.ids = slices.DeleteFunc(s.ids, func(id uint32) bool { return lost[id] })
+	s.ids = slices.DeleteFunc(s.ids, func(id uint32) bool { return removed[id] })
 	s.ids = append(s.ids, come...)
 	slices.Sort(s.ids)
 }
 
-// tiling gives each instance a stretch of a ring of all endpoints, by ordinal, kept to exactly.
+// tiling gives each instance an interval of a ring of all endpoints, by ordinal, with exact bounds.
 type tiling struct {
 	sortedEndpoints
 	instances int
 }
 
-// subset returns the stretch of an instance; the endpoints at its ends may get a part of a share.
+// subset returns the interval of an instance; the endpoints at its ends may get a part of a share.
 func (t *tiling) subset(instance int) map[uint32]float64 {
 	count := float64(len(t.ids))
 	need := min(instancesPerEndpoint*count/float64(t.instances), count)
 	_, begin := math.Modf(float64(instance) * instancesPerEndpoint / float64(t.instances))
 	begin *= count
 	shares := map[uint32]float64{}
-	free := 1 - (begin - math.Floor(begin)) // what is free of the next endpoint
+	free := 1 - (begin - math.Floor(begin)) // the part of the next endpoint that is in the interval
 	for next, left := int(begin), need; left > 1e-9; next++ {
 		share := min(free, left)
 		shares[t.ids[next%len(t.ids)]] += share / need
@@ -78,8 +78,8 @@
 	return shares
 }
 
-// shuffling is deterministic subsetting: Site Reliability Engineering (O'Reilly, 2016), chapter 20. In each round
-// the list is shuffled anew, and the instances of that round share it out.
+// shuffling is deterministic subsetting: Site Reliability Engineering (O'Reilly, 2016), chapter 20. In each round the list is shuffled
+// anew, and divided among the instances of that round.
 type shuffling struct {
 	sortedEndpoints
 	instances int
@@ -98,7 +98,7 @@
 	return shares
 }
 
-// ringArcs has each endpoint at a point of a circle, by its hash, and each instance an arc of it, by its ordinal.
+// ringArcs puts each endpoint at a point of a circle, by its hash, and gives each instance an arc, by its ordinal.
 type ringArcs struct {
 	sortedEndpoints
 	instances int
@@ -123,28 +123,28 @@
 	return shares
 }
 
-// boundedRing is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam: SODA 2018): each endpoint
-// goes to the first instances, on a ring of them, that have not got an eighth more than their share yet.
+// boundedRing is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam: SODA 2018): each endpoint goes to the first
+// instances on a ring that have less than an eighth more than their share.
 type boundedRing struct {
 	sortedEndpoints
 	instances int
-	subsets   []map[uint32]float64
+	subsets   []map[uint32]float64 // by instance; nil until they are assigned
 }
 
-// update forgets the assignment, too.
-func (s *boundedRing) update(gone, come []uint32) {
-	s.sortedEndpoints.update(gone, come)
-	s.subsets = nil
+// update changes the list, and drops the assignment.
+func (b *boundedRing) update(gone, come []uint32) {
+	b.sortedEndpoints.update(gone, come)
+	b.subsets = nil
 }
 
 // subset returns the endpoints of an instance, in equal shares.
-func (s *boundedRing) subset(i int) map[uint32]float64 {
-	if s.subsets == nil {
-		s.assign()
+func (b *boundedRing) subset(i int) map[uint32]float64 {
+	if b.subsets == nil {
+		b.assign()
 	}
 	shares := map[uint32]float64{}
-	for id := range s.subsets[i] {
-		shares[id] = 1 / float64(len(s.subsets[i]))
+	for id := range b.subsets[i] {
+		shares[id] = 1 / float64(len(b.subsets[i]))
 	}
 	return shares
 }
@@ -158,33 +158,33 @@
 	instance int
 }
 
-// assign gives each endpoint, in the order of their hashes, to the next instances on the ring that have room.
-func (s *boundedRing) assign() {
+// assign assigns each endpoint, in the order of their hashes, to the next instances on the ring that have capacity.
+func (b *boundedRing) assign() {
 	var ring []ringPoint
-	s.subsets = nil
-	for i := range s.instances {
-		s.subsets = append(s.subsets, map[uint32]float64{})
+	b.subsets = nil
+	for i := range b.instances {
+		b.subsets = append(b.subsets, map[uint32]float64{})
 		for k := range pointsPerInstance {
 			ring = append(ring, ringPoint{rendezvous.Mix(uint64(i)<<32 | uint64(k)), i})
 		}
 	}
 	slices.SortFunc(ring, func(a, b ringPoint) int { return cmp.Compare(a.at, b.at) })
-	room := int(math.Ceil(1.125 * instancesPerEndpoint * float64(len(s.ids)) / float64(s.instances)))
-	order := slices.Clone(s.ids)
+	capacity := int(math.Ceil(1.125 * instancesPerEndpoint * float64(len(b.ids)) / float64(b.instances)))
+	order := slices.Clone(b.ids)
 	slices.SortFunc(order, func(a, b uint32) int { return cmp.Compare(rendezvous.Mix(uint64(a)), rendezvous.Mix(uint64(b))) })
 	for _, id := range order {
 		for k := range instancesPerEndpoint {
-			s.assignOne(ring, room, id, rendezvous.Mix(uint64(id)|uint64(k+1)<<40))
+			b.assignOne(ring, capacity, id, rendezvous.Mix(uint64(id)|uint64(k+1)<<40))
 		}
 	}
 }
 
-// assignOne gives an endpoint to the first instance from a point of the ring on that has room and has not got it.
-func (s *boundedRing) assignOne(ring []ringPoint, room int, id uint32, at uint64) {
+// assignOne assigns an endpoint to the first instance, from a point of the ring on, that has capacity and does not have the endpoint.
+func (b *boundedRing) assignOne(ring []ringPoint, capacity int, id uint32, at uint64) {
 	from, _ := slices.BinarySearchFunc(ring, at, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
 	for step := range ring {
-		subset := s.subsets[ring[(from+step)%len(ring)].instance]
-		if _, has := subset[id]; !has && len(subset) < room {
+		subset := b.subsets[ring[(from+step)%len(ring)].instance]
+		if _, has := subset[id]; !has && len(subset) < capacity {
 			subset[id] = 1
 			return
 		}
--- a/internal/rehearsal/fleet/spread.go
+++ b/internal/rehearsal/fleet/spread.go
@@ -12,22 +12,22 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Spread is how evenly attempts fell on the servers of the first tier while they were alike: up, listed, warm and unharmed, of the
-// weight that they had at first. The servers have to be of one speed.
+// Spread is how evenly attempts were distributed over the servers of the first tier while these were comparable: up, listed, warm, without
+// a fault, and of the weight that they had at first. The servers must have the same speed.
 type Spread struct {
-	Servers  int           // that were so for at least half as long as the one that was so longest
-	Mean     float64       // attempts a second at a server
+	Servers  int           // that were comparable for at least half as long as the one that was longest
+	Mean     float64       // attempts per second at a server
 	Max, P99 float64       // over the mean
-	Exposure time.Duration // how long they were so on average
-	// ChanceMax and ChanceP99 are what Max and P99 come to when each attempt goes to any of the servers, evenly (Poisson):
-	// the median of the greatest, and the quantile.
+	Exposure time.Duration // how long they were comparable, on average
+	// ChanceMax and ChanceP99 are Max and P99 if each attempt went to any of the servers with the same chance (Poisson): the median of
+	// the maximum, and the quantile.
 	ChanceMax, ChanceP99 float64
 }
 
-// interval is a time in which a server is like any other.
+// interval is a time in which a server is comparable.
 type interval struct{ from, to time.Duration }
 
-// comparableIntervals finds when each server is like the others.
+// comparableIntervals returns when each server is comparable, by server.
 func comparableIntervals(plan *scenario.Plan) [][]interval {
 	c := &comparison{
 		plan: plan, intervals: make([][]interval, len(plan.Servers)), since: make([]time.Duration, len(plan.Servers)),
@@ -41,7 +41,7 @@
 	}
 	for i := range plan.Steps {
 		if step := &plan.Steps[i]; step.Kind <= scenario.DiscoveryUpdate || step.Kind == scenario.DiscoveryWeight {
-			c.take(step)
+			c.apply(step)
 		}
 	}
 	for i, from := range c.since {
@@ -55,19 +55,19 @@
 // never is later than any day.
 const never = time.Duration(math.MaxInt64)
 
-// minWarmUp is how long a server takes at least until it is like the others, after a start or the end of a harm.
+// minWarmUp is the least time until a server is comparable after a start, or the end of a fault.
 const minWarmUp = 2 * time.Second
 
 // comparison follows the steps of a plan.
 type comparison struct {
 	plan      *scenario.Plan
 	intervals [][]interval    // by server
-	since     []time.Duration // from when on it is like the others; never while it is not
-	listed    []bool
+	since     []time.Duration // from when on it is comparable; never while it is not
+	listed    []bool          // discovery has it as Ready
 }
 
-// take ends the interval of a server at a step, and says when the next one begins.
-func (c *comparison) take(step *scenario.Step) {
+// apply ends the interval of a server at a step, and sets when the next one begins.
+func (c *comparison) apply(step *scenario.Step) {
 	server := step.Server
 	if step.At > c.since[server] {
 		c.intervals[server] = append(c.intervals[server], interval{c.since[server], step.At})
@@ -78,19 +78,19 @@
 	case scenario.ServerPause:
 		c.since[server] = c.warm(server, step.Until)
 	case scenario.DiscoveryUpdate:
-		c.takeUpdate(step)
+		c.applyUpdate(step)
 	default:
-		harmed := step.Kind == scenario.ServerSlowdown && step.Amount > 1 || step.Kind == scenario.ServerFault && step.Amount > 0
-		if harmed {
+		faulty := step.Kind == scenario.ServerSlowdown && step.Amount > 1 || step.Kind == scenario.ServerFault && step.Amount > 0
+		if faulty {
 			c.since[server] = never
-		} else if c.listed[server] { // a start, or the end of a harm
+		} else if c.listed[server] { // a start, or the end of a fault
 			c.since[server] = c.warm(server, step.At)
 		}
 	}
 }
 
-// takeUpdate follows what discovery says of a server.
-func (c *comparison) takeUpdate(step *scenario.Step) {
+// applyUpdate applies an update of discovery.
+func (c *comparison) applyUpdate(step *scenario.Step) {
 	server := step.Server
 	c.listed[server] = step.State == "Ready"
 	if !c.listed[server] {
@@ -100,7 +100,7 @@
 	}
 }
 
-// warm returns when a server that was harmed, or starts, is as warm as it gets: ejected ones warm up as long.
+// warm returns when a server is warm again that starts, or whose fault ends: one that was ejected warms up for as long.
 func (c *comparison) warm(server int, at time.Duration) time.Duration {
 	return at + max(c.plan.Tiers[c.plan.Servers[server].Tier].WarmUp, minWarmUp)
 }
@@ -132,7 +132,7 @@
 	return s
 }
 
-// countAttempts counts the attempts at each server while it was like the others.
+// countAttempts counts the attempts at each server while it was comparable.
 func countAttempts(times [][]interval, events []audit.Event) []float64 {
 	counts := make([]float64, len(times))
 	for _, e := range events {
@@ -148,7 +148,7 @@
 	return counts
 }
 
-// exposures returns for how many seconds each server of the first tier was like the others, and the most of them.
+// exposures returns for how many seconds each server of the first tier was comparable, and the most of them.
 func exposures(plan *scenario.Plan, times [][]interval) (exposed []float64, longest float64) {
 	exposed = make([]float64, len(times))
 	for i, intervals := range times {
@@ -163,7 +163,7 @@
 	return exposed, longest
 }
 
-// chanceSpread returns the median of the greatest of so many Poisson variables of one mean, and their 99% quantile, over the mean.
+// chanceSpread returns the median of the maximum of a number of Poisson variables with one mean, and their 99% quantile, over the mean.
 func chanceSpread(mean float64, servers int) (greatest, p99 float64) {
 	chance := distuv.Poisson{Lambda: mean}
 	for n := 1.0; p99 == 0 || greatest == 0; n++ {
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -9,15 +9,15 @@
 // Churn is a change of the list that schemes are measured under.
 type Churn struct {
 	Name string
-	// steps returns what goes and what comes, step by step, by the ids that are there. It may change the list that it is given.
+	// steps returns which endpoints go and come, step by step, for a list of ids, which it may change.
 	steps func(ids []uint32, random *rand.Rand) []churnStep
 }
 
-// churnStep is the endpoints that go and that come at once.
+// churnStep is the endpoints that go and come at one time.
 type churnStep struct{ gone, come []uint32 }
 
-// Churns are: a release that replaces a share of the endpoints one at a time, the loss of a third at once, and as many
-// again coming one at a time.
+// Churns are a release that replaces a share of the endpoints one at a time, the loss of a third at once, and new endpoints that come one
+// at a time.
 var Churns = []Churn{
 	{"2% replaced, one at a time", func(ids []uint32, random *rand.Rand) (steps []churnStep) {
 		for range max(1, len(ids)/50) {
@@ -40,24 +40,22 @@
 	}},
 }
 
-// SubsetFigures are what a scheme comes to under a change.
+// SubsetFigures are the figures of a scheme under a change.
 type SubsetFigures struct {
 	Scheme, Change string
-	// Moved is how many endpoints came into the subset of some instance, over all steps, for each endpoint that
-	// came or went. No scheme can do with fewer than callers for each that came, and for each that went where
-	// subsets stay as large as they are.
+	// Moved is how many endpoints came into the subset of some instance, over all steps, for each endpoint that came or went. The least
+	// possible is the number of instances that call an endpoint: for each that came, and, if subsets keep their size, for each that went.
 	Moved float64
-	// MinInstances and Most are how many instances reach an endpoint at the end.
+	// MinInstances and MaxInstances are how many instances call an endpoint at the end.
 	MinInstances, MaxInstances int
-	// Load is what the endpoint with most gets, and the one that 99 in 100 stay under, over the mean, when all
-	// instances are sent the same.
+	// Load is the greatest load of an endpoint and LoadP99 the 99% quantile, both over the mean, if all instances send the same.
 	Load, LoadP99 float64
 	// Spread is the size of the largest subset over the mean.
 	Spread float64
 }
 
-// MeasureSubsets plays a change under a scheme with so many endpoints and instances; the same seed gives the same figures. The
-// error is that of an unknown scheme.
+// MeasureSubsets plays a change under a scheme with a number of endpoints and instances; the same seed gives the same figures. It returns
+// an error for an unknown scheme.
 func MeasureSubsets(name string, churn Churn, endpoints, instances int, seed uint64) (SubsetFigures, error) {
 	scheme, err := newScheme(name, instances)
 	if err != nil {
@@ -110,7 +108,7 @@
 	return count
 }
 
-// apply changes the set of endpoints that are there.
+// apply applies the step to the set of endpoints that are there.
 func (s *churnStep) apply(present map[uint32]bool) {
 	for _, id := range s.gone {
 		delete(present, id)
@@ -120,7 +118,7 @@
 	}
 }
 
-// measure returns how the endpoints are shared out among instances.
+// measure returns the figures of the subsets at the end.
 func measure(subsets []map[uint32]float64, present map[uint32]bool) SubsetFigures {
 	figures := SubsetFigures{MinInstances: math.MaxInt}
 	callers, load := map[uint32]int{}, map[uint32]float64{}
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
@@ -17,45 +18,37 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// RestartWave is a restart of much of a fleet at once: 64 servers whose cold capacity is a little over a third, and so many
-// sidecars before them. The zero value of what is not said to be needed is the plain case.
+// RestartWave is a restart of a large part of a fleet at once: 64 servers that start with a little over a third of their capacity, and
+// sidecars before them. Sidecars, Rate and Seed are required.
 type RestartWave struct {
 	Sidecars int     // 1 or more
-	Rate     float64 // requests a second, above 0
+	Rate     float64 // requests per second, above 0
 	Seed     uint64  // above 0
 
-	ServerShare, SidecarShare float64           // shares of the servers and of the sidecars that restart; 0 of both is all of both
+	ServerShare, SidecarShare float64           // shares of the servers and of the sidecars that restart; if both are 0, all restart
 	SecondWaveAfter           time.Duration     // after the first, all servers restart once more; 0 for never
-	AnnouncedCount            int               // how many instances there are said to be to each sidecar; 0 for the truth
+	AnnouncedCount            int               // how many instances each sidecar is told that there are; 0 for Sidecars
 	FirstSidecarShare         float64           // share of the requests that go to the first sidecar
-	NotificationDelay         time.Duration     // how much later than others a third of the sidecars is notified
-	BootTime                  scenario.BootTime // what the list says of starts; empty for the truth
-	RestartAfterCollapse      time.Duration     // after which a server that collapsed is started again; 0 for never
-	Cells                     int               // cells of four servers that restart, in place of ServerShare
-	OverloadFactor            float64           // times its capacity that a cold server bears; 0 for 3
-	Keyed                     bool              // all requests are keyed to a cell, else half of them
+	NotificationDelay         time.Duration     // by how much later than others a third of the sidecars is notified
+	BootTime                  scenario.BootTime // which start times the list has; empty for BootTimeTrue
+	RestartAfterCollapse      time.Duration     // delay until a server that collapsed is started again; 0 for never
+	Cells                     int               // how many cells of four servers restart, instead of ServerShare
+	OverloadFactor            float64           // multiple of its capacity above which a cold server collapses; 0 for 3
+	Keyed                     bool              // all requests have idempotency keys with scope cell, else a third of them
 	Length                    time.Duration     // 0 for 24 s
 }
 
-// The wave comes so long after the start, and what restarts is away for so long.
 const (
-	waveAt      = 8 * time.Second
-	waveRestart = time.Second
+	waveAt        = 8 * time.Second  // when the wave comes
+	waveRestart   = time.Second      // how long a restart takes
+	defaultLength = 24 * time.Second // of a wave
 )
 
-// Script returns the script of a wave, as a person would write it.
+// Script returns the script of the wave.
 func (r *RestartWave) Script() string {
-	boxes, senders := r.ServerShare, r.SidecarShare
-	if boxes == 0 && senders == 0 && r.Cells == 0 {
-		boxes, senders = 1, 1
-	}
-	length := r.Length
-	if length == 0 {
-		length = 24 * time.Second
-	}
 	var s strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
-	line("title \"A wave of restarts\"\nlength %v\nseed %d", length, r.Seed)
+	line("title \"A wave of restarts\"\nlength %v\nseed %d", cmp.Or(r.Length, defaultLength), r.Seed)
 	line("tier slot-keeper boxes 64 cells 4 cores 2 slots 2 queue 4 conns 400 cold 0.35..0.5 warm 5s")
 	line("tier slot-keeper work 60ms shape lognormal cv 0.8")
 	if r.OverloadFactor > 0 {
@@ -74,6 +67,16 @@
 	if r.BootTime != "" {
 		line("discovery boot %s", r.BootTime)
 	}
+	r.writeEvents(line)
+	return s.String()
+}
+
+// writeEvents writes the lines of the events.
+func (r *RestartWave) writeEvents(line func(format string, args ...any)) {
+	servers, sidecars := r.ServerShare, r.SidecarShare
+	if servers == 0 && sidecars == 0 && r.Cells == 0 {
+		servers, sidecars = 1, 1
+	}
 	who := func(share float64, all, what string) string {
 		if share >= 1 {
 			return "all " + all
@@ -83,19 +86,18 @@
 	for i := range 4 * r.Cells {
 		line("at %v: box %d of slot-keeper restart taking %v", waveAt, i+1, waveRestart)
 	}
-	if boxes > 0 && r.Cells == 0 {
-		line("at %v: %s restart taking %v", waveAt, who(boxes, "boxes", "boxes"), waveRestart)
+	if servers > 0 && r.Cells == 0 {
+		line("at %v: %s restart taking %v", waveAt, who(servers, "boxes", "boxes"), waveRestart)
 	}
-	if senders > 0 {
-		line("at %v: %s get SIGKILL and are back after %v", waveAt, who(senders, "sidecars", "the sidecars"), waveRestart)
+	if sidecars > 0 {
+		line("at %v: %s get SIGKILL and are back after %v", waveAt, who(sidecars, "sidecars", "the sidecars"), waveRestart)
 	}
 	if r.SecondWaveAfter > 0 {
 		line("at %v: all boxes restart taking %v", waveAt+waveRestart+r.SecondWaveAfter, waveRestart)
 	}
-	return s.String()
 }
 
-// WaveResult is what came of a wave.
+// WaveResult is the result of a wave.
 type WaveResult struct {
 	Wave    *RestartWave
 	Verdict *audit.Verdict
@@ -105,11 +107,11 @@
 // Play plays the wave in virtual time. The same wave gives the same result.
 func (r *RestartWave) Play() (*WaveResult, error) {
 	var found finding.List
-	m := scenario.Read("wave", []byte(r.Script()), &found)
-	if m == nil {
+	wave := scenario.Read("wave", []byte(r.Script()), &found)
+	if wave == nil {
 		return nil, found.Err()
 	}
-	plan := m.Plan(r.Seed)
+	plan := wave.Plan(r.Seed)
 	result, err := dryrun.Run(plan)
 	if err != nil {
 		return nil, err
@@ -117,7 +119,7 @@
 	return &WaveResult{r, result.Verdict, audit.Totals(plan.AuditRules(), result.Events)}, nil
 }
 
-// PlayWaves plays waves, as many at once as there are processors, and returns what came of them in their order.
+// PlayWaves plays waves, as many at once as there are processors, and returns their results in the same order.
 func PlayWaves(waves []*RestartWave) ([]*WaveResult, error) {
 	results, errs := make([]*WaveResult, len(waves)), make([]error, len(waves))
 	var next atomic.Int64
@@ -135,16 +137,17 @@
 
 // WaveSummary sums up plays of one wave with several seeds.
 type WaveSummary struct {
-	Collapses                                         float64 // the mean,
-	MaxCollapses                                      int     // and the most
-	Service, MinService                               float64 // likewise
-	ColdLoad                                          float64 // the most, as of the others below
+	Collapses                                         float64 // mean of the plays
+	MaxCollapses                                      int     // of any play
+	Service                                           float64 // mean of the plays
+	MinService                                        float64 // of any play
+	ColdLoad                                          float64 // the greatest of any play, as are the next five
 	MaxRejected, MaxUnreachable, MaxConnectionsOpened int
 	MaxListRequests, MaxEjectedAttempts               int
-	RecoveryTime                                      time.Duration // the mean; 0 if one never was
+	RecoveryTime                                      time.Duration // mean of the plays; 0 if one did not recover
 }
 
-// Summarize sums up the results of one play or more.
+// Summarize sums up the results of one or more plays.
 func Summarize(results []*WaveResult) WaveSummary {
 	s := WaveSummary{MinService: math.Inf(1)}
 	count := float64(len(results))
@@ -170,12 +173,15 @@
 	return s
 }
 
-// RandomWave draws a wave with all that makes one hard.
+// RandomWave draws a wave with any of the options that make one hard.
 func RandomWave(random *rand.Rand) *RestartWave {
 	pick := func(of ...float64) float64 { return of[random.IntN(len(of))] }
 	w := &RestartWave{
-		Sidecars: []int{2, 4, 12, 24, 40, 80, 120, 200}[random.IntN(8)], Rate: 650 + 950*random.Float64(), Seed: 1 + random.Uint64N(1<<40),
-		Keyed: random.IntN(4) == 0, Length: 16 * time.Second,
+		Sidecars: []int{2, 4, 12, 24, 40, 80, 120, 200}[random.IntN(8)],
+		Rate:     650 + 950*random.Float64(),
+		Seed:     1 + random.Uint64N(1<<40),
+		Keyed:    random.IntN(4) == 0,
+		Length:   16 * time.Second,
 	}
 	switch random.IntN(4) {
 	case 0:
--- a/internal/rehearsal/fleet/waves_test.go
+++ b/internal/rehearsal/fleet/waves_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Whatever restarts together, and whatever the sidecars are told, no cold box is pushed over and no other rule breaks.
+// Whatever restarts together, and whatever the sidecars are told of their number, no cold server collapses and no other rule is broken.
 // make soak plays 500.
 func TestAnyWave(t *testing.T) {
 	n := 40
@@ -33,17 +33,17 @@
 	}
 }
 
-// What all sidecars together send to a box does not grow with their number: each sum has one bound for 4 to 200, the
-// most of three seeds. Service is their mean.
+// What all sidecars together send to a server does not grow with their number: each total has one bound for 4 to 200 sidecars, on the
+// most of three seeds. Service is the mean of the seeds.
 func TestSumsDoNotGrowWithTheSidecars(t *testing.T) {
 	for _, kind := range []struct {
 		name    string
-		boxes   float64 // that restart, the sidecars staying as they are; 0 for all of both
+		servers float64 // share that restarts while the sidecars stay up; 0 for all servers and sidecars
 		service map[int]float64
 	}{
 		{"all", 0, map[int]float64{4: 0.95, 12: 0.95, 40: 0.95, 120: 0.95, 200: 0.95}},
-		// The sidecars know what there was, and knock. With 120 and 200 of them each keeps to two boxes, and more of what
-		// came while none was there goes unserved: 0.92 to 0.94 by seed.
+		// The sidecars have the old list, and send attempts to servers that are down. With 120 and 200 of them each has a subset of two
+		// servers, and more of the requests that came while both were down are not served: 0.92 to 0.94 by seed.
 		{"boxes", 1, map[int]float64{4: 0.94, 12: 0.95, 40: 0.97, 120: 0.92, 200: 0.92}},
 	} {
 		for sidecars, service := range kind.service {
@@ -51,17 +51,17 @@
 				t.Parallel()
 				var waves []*RestartWave
 				for seed := uint64(3); seed <= 5; seed++ {
-					waves = append(waves, &RestartWave{Sidecars: sidecars, Rate: 1300, Seed: seed, ServerShare: kind.boxes})
+					waves = append(waves, &RestartWave{Sidecars: sidecars, Rate: 1300, Seed: seed, ServerShare: kind.servers})
 				}
 				results, err := PlayWaves(waves)
 				if err != nil {
 					t.Fatal(err)
 				}
-				x := Summarize(results)
-				t.Logf("%+v", x)
-				checkSums(t, &x)
-				if x.Service < service {
-					t.Errorf("service %.4f, %v wanted", x.Service, service)
+				summary := Summarize(results)
+				t.Logf("%+v", summary)
+				checkTotals(t, &summary)
+				if summary.Service < service {
+					t.Errorf("service %.4f, %v wanted", summary.Service, service)
 				}
 				checkRecovery(t, results)
 			})
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkRecovery fails the test if a wave was not in full use again soon.
+// checkRecovery fails the test if the fleet did not recover soon after a wave.
 func checkRecovery(t *testing.T, results []*WaveResult) {
 	t.Helper()
 	for _, w := range results {
@@ -79,21 +79,21 @@
 	}
 }
 
-// checkSums fails the test if what all sidecars together did is over a bound.
-func checkSums(t *testing.T, x *WaveSummary) {
+// checkTotals fails the test if a total over all sidecars is above its bound.
+func checkTotals(t *testing.T, summary *WaveSummary) {
 	t.Helper()
 	for _, sum := range []struct {
 		what      string
 		got, most float64
 	}{
-		{"boxes fell", float64(x.MaxCollapses), 0},
-		{"of what a cold box bears were sent to one", x.ColdLoad, 0.95},
-		// 20 a second come for each box; one that serves 12 a second at first turns away no more than twice as many.
-		{"attempts within a second were turned away by one box", float64(x.MaxRejected), 30},
-		{"attempts within a second came to a box that was not there", float64(x.MaxUnreachable), 40},
-		{"attempts within a second came from those that had isolated the box", float64(x.MaxEjectedAttempts), 30},
-		{"lists were asked for within a second", float64(x.MaxListRequests), 40},
-		{"connections were opened to one box within a second", float64(x.MaxConnectionsOpened), 45},
+		{"boxes fell", float64(summary.MaxCollapses), 0},
+		{"of what a cold box bears were sent to one", summary.ColdLoad, 0.95},
+		// 20 requests a second come for each server; one that serves 12 a second at first rejects no more than twice as many.
+		{"attempts within a second were turned away by one box", float64(summary.MaxRejected), 30},
+		{"attempts within a second came to a box that was not there", float64(summary.MaxUnreachable), 40},
+		{"attempts within a second came from those that had isolated the box", float64(summary.MaxEjectedAttempts), 30},
+		{"lists were asked for within a second", float64(summary.MaxListRequests), 40},
+		{"connections were opened to one box within a second", float64(summary.MaxConnectionsOpened), 45},
 	} {
 		if sum.got > sum.most {
 			t.Errorf("%.2f %s, at most %v wanted", sum.got, sum.what, sum.most)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Calls that are bound to a cell, for they broke off there, do not push it over when it comes back cold beside warm ones.
+// Requests with keys that must go to their cell again do not overload it when it comes back cold beside warm ones.
 func TestKeyedCallsOfAColdCell(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
 		w := RestartWave{Sidecars: sidecars, Rate: 1600, Seed: 5, Cells: 2, Keyed: true, Length: 16 * time.Second}
@@ -114,21 +114,25 @@
 			t.Errorf("%d sidecars: %v, cold %.2f, service %.3f", sidecars, s.Verdict.Breaches, s.Totals.ColdLoad, s.Verdict.Service)
 		}
 		if s.Totals.MaxEjectedAttempts > 30 || s.Totals.MaxUnreachable > 40 {
-			t.Errorf("%d sidecars: %d trials, %d attempts at a box that was not there", sidecars, s.Totals.MaxEjectedAttempts, s.Totals.MaxUnreachable)
+			t.Errorf("%d sidecars: %d trials, %d attempts at a box that was not there",
+				sidecars, s.Totals.MaxEjectedAttempts, s.Totals.MaxUnreachable)
 		}
 	}
 }
 
-// Boxes that fell, and that a keeper starts again, are in full use soon after the last fall. Cold boxes that bear hardly
-// more than they can do fall by chance, whoever sends.
+// Servers that collapsed, and are started again, are in full use soon after the last collapse. Cold servers that collapse under little more
+// than their capacity do so by chance, whoever sends.
 func TestWayBackAfterFalls(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
-		w := RestartWave{Sidecars: sidecars, Rate: 650, Seed: 4, RestartAfterCollapse: 2 * time.Second, OverloadFactor: 0.8, Length: 40 * time.Second}
+		w := RestartWave{
+			Sidecars: sidecars, Rate: 650, Seed: 4, RestartAfterCollapse: 2 * time.Second, OverloadFactor: 0.8, Length: 40 * time.Second,
+		}
 		s, err := w.Play()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d sidecars: %d falls until %v, in full use %v after", sidecars, s.Totals.Collapses, s.Totals.LastCollapse, s.Totals.CollapseRecoveryTime)
+		t.Logf("%d sidecars: %d falls until %v, in full use %v after",
+			sidecars, s.Totals.Collapses, s.Totals.LastCollapse, s.Totals.CollapseRecoveryTime)
 		if s.Totals.Collapses < 20 {
 			t.Errorf("%d sidecars: only %d falls: this shows nothing", sidecars, s.Totals.Collapses)
 		}
