--- a/internal/network/consul/answer.go
+++ b/internal/network/consul/answer.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxFaults bounds what is said of the instances that were passed over in one answer.
+	// maxFaults bounds the reported instances of one answer that were skipped.
 	maxFaults = 10
-	// yieldEvery is after how many instances others run, as when they were read.
+	// yieldEvery is the number of instances after which other goroutines get to run, as between two instances that are decoded.
 	yieldEvery = 256
 )
 
-// addEndpoint maps an instance into an answer. Of two with one UID the one that was registered later stays. What was passed over is
-// added to the faults.
+// addEndpoint adds an instance to the endpoints of an answer. Of two instances with one UID the one that was registered later stays. It
+// returns the faults, to which it appends why an instance was skipped.
 func (s *Settings) addEndpoint(endpoints map[string]endpointsource.Endpoint, i *instance, qualified bool, faults []string) []string {
 	e, fault := s.endpoint(i, qualified)
 	if fault != "" {
@@ -30,7 +30,7 @@
 	return faults
 }
 
-// diff is what one answer changes of the one before.
+// diff returns what an answer changes compared with the one before.
 func diff(before, after map[string]endpointsource.Endpoint) (a endpointsource.ConsulAnswer) {
 	a.KnownBefore = len(before)
 	n := 0
@@ -50,8 +50,8 @@
 	return a
 }
 
-// nextIndex is the index of the next blocking query (Consul's API, Blocking Queries, "Implementation Details"): after one that goes
-// backwards, or none, there is nothing to block on, and the answer to 0 comes at once.
+// nextIndex returns the index of the next blocking query (Consul's API, Blocking Queries, "Implementation Details"). After an index that
+// goes backwards, or none, it is 0: such a query does not block.
 func nextIndex(last, got uint64) uint64 {
 	if got < last {
 		return 0
--- a/internal/network/consul/answer_test.go
+++ b/internal/network/consul/answer_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Whatever an answer holds, what is taken of it is bounded and sound.
+// Whatever an answer contains, the endpoints from it are bounded and valid.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(`[{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},"Service":{"ID":"x","Port":80,"Meta":{"cell":"1"},"Weights":{"Passing":3,"Warning":1},"CreateIndex":7},"Checks":[{"CheckID":"c","Status":"warning"}]}]`))
 	f.Add([]byte(`[{"Service":{"ID":"x","Address":"h","Port":65536}},{"Service":null},null]`))
@@ -45,14 +45,17 @@
 		if len(endpoints) > n || len(faults) > maxFaults || n > 20 {
 			t.Errorf("%d endpoints and %d faults of %d instances", len(endpoints), len(faults), n)
 		}
-		// What the library would decode at once is decoded one by one just the same.
+		// Decoding one by one gives the same as decoding all at once.
 		var all []instance
 		if want := json.NewDecoder(bytes.NewReader(text)).Decode(&all); want == nil && len(all) <= 20 && (err != nil || n != len(all)) {
 			t.Errorf("%d of %d instances, %v", n, len(all), err)
 		}
 		for uid, e := range endpoints {
 			host, port, err := net.SplitHostPort(e.Address)
-			if uid != e.UID || uid == "" || len(uid) > maxTextBytes || err != nil || host == "" || port == "0" || e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > maxWeight {
+			if uid != e.UID || uid == "" || len(uid) > maxTextBytes || err != nil || host == "" || port == "0" {
+				t.Errorf("%+v", e)
+			}
+			if e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > maxWeight {
 				t.Errorf("%+v", e)
 			}
 		}
--- a/internal/network/consul/client.go
+++ b/internal/network/consul/client.go
@@ -23,14 +23,14 @@
 
 const (
 	requestTimeout  = 10 * time.Second // of a query that Consul answers at once
-	blockingSlack   = 2 * time.Second  // for the answer to a blocking query to come, beyond wait and Consul's own jitter
+	blockingSlack   = 2 * time.Second  // time for the answer to a blocking query, beyond wait and Consul's own jitter
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = time.Minute
 	maxHeaderBytes  = 64 << 10
 	maxBodyBytes    = 64 << 20 // of one answer
-	maxAgentConns   = 2        // to one agent: a blocking query of health's and one of the catalogue's
-	consulJitter    = 16       // Consul adds up to a sixteenth to the time that it blocks
-	maxErrorBytes   = 100      // of the body of an agent's error, in a log line
+	maxAgentConns   = 2        // to one agent: a blocking query for health and one for the catalogue
+	consulJitter    = 16       // Consul blocks for up to a sixteenth longer than asked
+	maxErrorBytes   = 100      // of an agent's error in a log line
 	maxReportedLast = time.Hour
 )
 
@@ -51,29 +51,29 @@
 	errNoList   = errors.New("the answer is no list")
 )
 
-// AgentError says which agent did not answer as it should.
+// AgentError is the failure of a query to one agent.
 type AgentError struct {
 	Agent string // host:port
 	Err   error
 }
 
-// Error is for people; it holds neither the URL of the query nor a token.
+// Error returns a text for operators; it contains neither the URL of the query nor a token.
 func (a *AgentError) Error() string { return "consul agent " + a.Agent + ": " + errorText(a.Err) }
 
-// Unwrap gives the client library's error.
+// Unwrap returns the client library's error.
 func (a *AgentError) Unwrap() error { return a.Err }
 
-// agent is one Consul agent, with the connections to it.
+// agent is one Consul agent and the connections to it.
 type agent struct {
 	address   string
 	client    *api.Client
 	transport *http.Transport
 }
 
-// client asks agents as settings say.
+// client queries the agents that the settings name.
 type client struct {
 	settings Settings
-	resolve  func(string) string // a path of the settings as one to open
+	resolve  func(string) string // turns a path of the settings into one to open
 	agents   []agent
 }
 
@@ -114,7 +114,7 @@
 	return c, nil
 }
 
-// tlsConfig reads the files of TLS: a certificate authority once, the client's certificate at each handshake, since it may be
+// tlsConfig reads the files of TLS: the certificate authority once, the client's certificate at each handshake, since it may be
 // replaced while the program runs.
 func (c *client) tlsConfig() (*tls.Config, error) {
 	config := &tls.Config{ServerName: c.settings.ServerName, MinVersion: tls.VersionTLS12}
@@ -143,11 +143,10 @@
 	}
 }
 
-// question is one query. With neither an index nor a hash it is answered at once, otherwise when there is something newer or wait
-// is over.
+// question is one query. Without an index and a hash it is answered at once, otherwise after a change or after wait.
 type question struct {
 	path        string
-	tagsField   string // what a filter calls the instances' tags there
+	tagsField   string // the field of the instances' tags in a filter expression
 	index       uint64
 	hash        string
 	wait        time.Duration
@@ -156,7 +155,7 @@
 
 func (q *question) blocks() bool { return q.index > 0 || q.hash != "" }
 
-// timeout is how long an answer may take.
+// timeout returns the time after which an agent that has not answered has failed.
 func (q *question) timeout() time.Duration {
 	if q.blocks() {
 		return q.wait + q.wait/consulJitter + blockingSlack
@@ -164,25 +163,25 @@
 	return requestTimeout
 }
 
-// answerMeta is what the headers of an answer say.
+// answerMeta has the values of an answer's headers.
 type answerMeta struct {
-	index       uint64 // 0 for none
-	hash        string
-	knownLeader bool
-	lastContact time.Duration // since the server heard of its leader
-	receivedAt  time.Time     // when the headers came: what follows is work
+	index       uint64        // 0 for none
+	hash        string        // empty for none
+	knownLeader bool          // true unless the answer denies it
+	lastContact time.Duration // since the server last heard of its leader
+	receivedAt  time.Time     // when the headers were received; the time since then was spent on decoding
 }
 
-// query asks one agent. decode reads the body of a good answer.
+// query sends a query to one agent. decode reads the body of a good answer.
 func (c *client) query(ctx context.Context, a *agent, q question, decode func(io.Reader) error) (answerMeta, error) {
-	x := &exchange{decode: decode}
+	e := &exchange{decode: decode}
 	if c.settings.TokenFile != "" {
 		var err error
-		if x.token, err = secretfile.ReadToken(c.resolve(c.settings.TokenFile)); err != nil {
+		if e.token, err = secretfile.ReadToken(c.resolve(c.settings.TokenFile)); err != nil {
 			return answerMeta{}, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.WithValue(ctx, exchangeKey{}, x), q.timeout())
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, exchangeKey{}, e), q.timeout())
 	defer cancel()
 	options := &api.QueryOptions{
 		Datacenter:        c.settings.Datacenter,
@@ -203,64 +202,64 @@
 	if _, err := a.client.Raw().Query(q.path, &none, options.WithContext(ctx)); err != nil {
 		return answerMeta{}, err
 	}
-	return x.meta(), nil
+	return e.meta(), nil
 }
 
-// exchange goes with a query, in its context: the client library keeps neither the headers of an answer nor the token that it is
-// given apart from the environment's.
+// exchange passes a query's token to boundedTransport, and the answer's headers back, in the query's context: the client library exposes
+// no headers, and does not keep the token that it is given apart from the environment's.
 type exchange struct {
 	token      string
 	header     http.Header
 	receivedAt time.Time
-	// decode reads the body. The client library would read it in one go; on one core requests wait for as long as that takes,
-	// ten milliseconds at each of their steps.
+	// decode reads the body. The client library would decode it without a pause; on one core requests would wait for that at each
+	// of their steps, ten milliseconds each time.
 	decode func(io.Reader) error
 }
 
-// exchangeKey is the key of an exchange in a context.
+// exchangeKey is the context key of an exchange.
 type exchangeKey struct{}
 
-// meta reads the headers. What is missing or malformed counts as not said.
-func (x *exchange) meta() answerMeta {
+// meta parses the headers. A header that is malformed counts as missing.
+func (e *exchange) meta() answerMeta {
 	m := answerMeta{
-		hash:        x.header.Get(headerHash),
-		knownLeader: x.header.Get(headerKnownLeader) != "false",
-		receivedAt:  x.receivedAt,
+		hash:        e.header.Get(headerHash),
+		knownLeader: e.header.Get(headerKnownLeader) != "false",
+		receivedAt:  e.receivedAt,
 	}
-	m.index, _ = strconv.ParseUint(x.header.Get(headerIndex), 10, 64) // 0 if there is none
-	if ms, err := strconv.ParseInt(x.header.Get(headerLastContact), 10, 64); err == nil && ms > 0 {
+	m.index, _ = strconv.ParseUint(e.header.Get(headerIndex), 10, 64) // 0 on an error
+	if ms, err := strconv.ParseInt(e.header.Get(headerLastContact), 10, 64); err == nil && ms > 0 {
 		m.lastContact = time.Duration(min(ms, maxReportedLast.Milliseconds())) * time.Millisecond
 	}
 	return m
 }
 
-// boundedTransport is a RoundTripper that bounds answers, and sets the exchange's token alone.
+// boundedTransport is a RoundTripper that bounds answers, and sends no other token than the exchange's.
 type boundedTransport struct{ transport *http.Transport }
 
-// RoundTrip decodes the body of a good answer, and leaves nothing of it for the client library.
+// RoundTrip decodes the body of a good answer, and leaves a JSON null in its place for the client library.
 func (b *boundedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	x, _ := r.Context().Value(exchangeKey{}).(*exchange)
+	e, _ := r.Context().Value(exchangeKey{}).(*exchange)
 	r = r.Clone(r.Context())
 	r.Header.Del(headerToken)
 	r.Header.Del("Authorization")
-	if x != nil && x.token != "" {
-		r.Header.Set(headerToken, x.token)
+	if e != nil && e.token != "" {
+		r.Header.Set(headerToken, e.token)
 	}
 	res, err := b.transport.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
 	res.Body = &limitedBody{ReadCloser: res.Body, remaining: maxBodyBytes}
-	if x == nil {
+	if e == nil {
 		return res, nil
 	}
-	x.header = res.Header
-	x.receivedAt = time.Now()
+	e.header = res.Header
+	e.receivedAt = time.Now()
 	if res.StatusCode != http.StatusOK {
 		return res, nil
 	}
-	err = x.decode(res.Body)
-	_ = res.Body.Close() // all that matters of it has been read
+	err = e.decode(res.Body)
+	_ = res.Body.Close() // the body has been decoded, or decoding has failed
 	if err != nil {
 		return nil, err
 	}
@@ -268,13 +267,13 @@
 	return res, nil
 }
 
-// limitedBody fails with errTooLarge if a body goes on beyond its bound.
+// limitedBody is a body that returns errTooLarge when it exceeds its bound.
 type limitedBody struct {
 	io.ReadCloser
 	remaining int64 // bytes
 }
 
-// Read reads at most what remains.
+// Read reads at most the bytes that remain.
 func (l *limitedBody) Read(b []byte) (int, error) {
 	if l.remaining <= 0 {
 		return 0, errTooLarge
@@ -284,7 +283,8 @@
 	return n, err
 }
 
-// decodeEach reads the elements of a JSON list one by one, and lets others run in between. A null is an empty list.
+// decodeEach decodes the elements of a JSON list one by one, and lets other goroutines run in between. A null is an empty list. It returns
+// errNoList for any other value, and an error after maxElements.
 func decodeEach[T any](r io.Reader, maxElements int, take func(*T)) error {
 	d := json.NewDecoder(r)
 	switch open, err := d.Token(); {
@@ -310,7 +310,7 @@
 	return err
 }
 
-// errorText words an error without what an agent may have put into it at length, and without the URL of the query.
+// errorText returns the text of an error, without the URL of the query and with at most maxErrorBytes of an agent's answer.
 func errorText(err error) string {
 	var status api.StatusError
 	switch {
--- a/internal/network/consul/client_test.go
+++ b/internal/network/consul/client_test.go
@@ -17,8 +17,8 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The settings are asked for, by the names of Consul's API.
-func TestWhatIsAsked(t *testing.T) {
+// The settings become parameters of the queries, by the names of Consul's API.
+func TestQueryParameters(t *testing.T) {
 	asked := make(chan *http.Request, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Consul-Index", "7")
@@ -63,14 +63,16 @@
 			t.Errorf("asked %s?%s, want %s; token %q", first.URL.Path, query, c.want, first.Header.Get("X-Consul-Token"))
 		}
 		q := second.URL.Query()
-		if wait, err := time.ParseDuration(q.Get("wait")); q.Get("index") != "7" || err != nil || wait <= 800*time.Millisecond || wait > time.Second {
+		wait, err := time.ParseDuration(q.Get("wait"))
+		if q.Get("index") != "7" || err != nil || wait <= 800*time.Millisecond || wait > time.Second {
 			t.Errorf("then asked %s", second.URL.RawQuery)
 		}
 		watcher.stop()
 	}
 }
 
-func TestTokenIsReadAnew(t *testing.T) {
+// The token is read again before each query, from the file and not from the environment, and is never logged.
+func TestTokenIsReadAgain(t *testing.T) {
 	agent := serve(t, "a")
 	agent.SetToken("one")
 	file := filepath.Join(t.TempDir(), "token")
@@ -140,7 +142,7 @@
 	}
 }
 
-// An agent that nobody answers at, and one that is no HTTP server.
+// Agents that refuse connections or speak no HTTP are skipped.
 func TestNoAgent(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,6 +166,8 @@
 		junk.Wait()
 	}()
 	agent := serve(t, "a")
-	watcher := watch(t, func(s *Settings) { s.Agents = "127.0.0.1:1," + l.Addr().String() + "," + agent.Address() }, agent)
+	watcher := watch(t, func(s *Settings) {
+		s.Agents = "127.0.0.1:1," + l.Addr().String() + "," + agent.Address()
+	}, agent)
 	watcher.knows("a")
 }
--- a/internal/network/consul/confirmation.go
+++ b/internal/network/consul/confirmation.go
@@ -10,31 +10,31 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// confirmationTimeout bounds how long the catalogue is followed for the sake of one answer. By then endpointsource has made up its
-// mind by time or by attempts, as far as it ever will.
+// confirmationTimeout bounds the time for which the catalogue is followed after one answer. By then endpointsource has decided by other
+// means, by the time or by attempts.
 const confirmationTimeout = 5 * time.Minute
 
-// confirmation follows the catalogue while health's answers lack more than is believed at once. The catalogue is what instances
-// have registered with, whatever their checks say. It is asked by way of the leader and its peers (Consistent): a server that had
-// lost its memory or its cluster can't give an answer that lacks the same. It is asked by blocking queries, and so tells as soon as
-// it knows.
+// confirmation follows the catalogue while the answers of the health API lack more instances than endpointsource believes at once. The
+// catalogue lists the registered instances whatever their checks report. Its queries are Consistent, so that the leader confirms its role
+// with its peers: a server that has lost its data or its cluster can't answer. They are blocking queries, so a change is published at
+// once.
 //
-// While nothing is in doubt it does not run: health has all that the catalogue has, and following both all the time would double
-// Consul's load for nothing.
+// It does not run while nothing is in doubt: the health API lists all that the catalogue lists, and following both would double
+// Consul's load.
 type confirmation struct {
 	watcher *Watcher
 	runs    sync.WaitGroup
 
 	mu          sync.Mutex
-	unconfirmed map[string]bool    // UIDs that health lacks, and of which the catalogue has said nothing
-	cancel      context.CancelFunc // of the present run
+	unconfirmed map[string]bool    // UIDs that the health API lacks, and that the catalogue has not been seen to lack
+	cancel      context.CancelFunc // ends the present run
 }
 
 func newConfirmation(w *Watcher) *confirmation {
 	return &confirmation{watcher: w, unconfirmed: map[string]bool{}, cancel: func() {}}
 }
 
-// stop ends the present run, and waits until nothing is asked any more.
+// stop ends the present run and waits for it.
 func (c *confirmation) stop() {
 	c.mu.Lock()
 	c.cancel()
@@ -42,8 +42,8 @@
 	c.runs.Wait()
 }
 
-// observe takes an answer of health's, and has it published: what it has again needs no confirmation any more, and no word of the
-// catalogue's may come in between.
+// observe handles an answer of the health API: instances that it lists again need no confirmation any more. publish is called under the
+// lock, so that no result of the catalogue is published in between.
 func (c *confirmation) observe(a endpointsource.ConsulAnswer, publish func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,8 +56,8 @@
 	publish()
 }
 
-// confirm asks the catalogue about these too, from the agent on that health was read from. What was asked before is asked anew: its
-// answer may be older than what is missing now.
+// confirm starts a run that asks the catalogue about missing instances, beginning with the agent that answered the health query. It also
+// asks again about the earlier ones: the run that it replaces may have read an older catalogue.
 func (c *confirmation) confirm(ctx context.Context, agent int, missing []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	})
 }
 
-// followCatalog asks until the catalogue has told of all, or the context ends.
+// followCatalog queries the catalogue until no instance is unconfirmed, or the context ends.
 func (c *confirmation) followCatalog(ctx context.Context, agent int) {
 	w := c.watcher
 	var index uint64
@@ -105,7 +105,7 @@
 	}
 }
 
-// queryCatalog reads the UIDs that the catalogue lists.
+// queryCatalog adds the UIDs that the catalogue lists to listed.
 func (c *confirmation) queryCatalog(ctx context.Context, agent int, index uint64, listed map[string]bool) (answerMeta, error) {
 	w := c.watcher
 	q := question{
@@ -122,12 +122,12 @@
 	})
 }
 
-// handleCatalog publishes what the catalogue lacks too, and tells whether nothing is left to ask.
+// handleCatalog publishes the unconfirmed instances that the catalogue lacks too. It reports whether the run is done.
 func (c *confirmation) handleCatalog(ctx context.Context, listed map[string]bool) (done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ctx.Err() != nil {
-		return true // another run asks, or health has them again
+		return true // another run has replaced this one, or the health API lists the instances again
 	}
 	var gone []string
 	for uid := range c.unconfirmed {
--- a/internal/network/consul/confirmation_test.go
+++ b/internal/network/consul/confirmation_test.go
@@ -8,15 +8,15 @@
 	standin "quincegap/internal/standin/consul"
 )
 
-// An answer that is empty or half is published at once with what is missing, and the catalogue is followed until it says whether
-// that is so.
+// An answer that is empty or lists half of the instances is published at once with the missing ones, and the catalogue is followed until
+// it confirms or refutes that they are gone.
 func TestSuspiciousLists(t *testing.T) {
 	all := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for _, c := range []struct {
 		name      string
 		fault     standin.Fault
 		untrusted bool
-		confirmed int // that the catalogue lacks too
+		confirmed int // missing instances that the catalogue lacks too
 	}{
 		{"empty", standin.Fault{Empty: true, CatalogUnaffected: true}, false, 0},
 		{"half", standin.Fault{FirstHalf: true, CatalogUnaffected: true}, false, 0},
@@ -43,7 +43,7 @@
 				_, asked := agent.Queries()
 				return asked > 0 && len(watcher.confirmed()) == c.confirmed
 			})
-			// Another answer of health's comes after whatever the catalogue had to say.
+			// Another answer of the health API comes after the catalogue's.
 			agent.SetStatus("a", "passing")
 			time.Sleep(50 * time.Millisecond)
 			agent.SetFault(standin.Fault{})
@@ -51,13 +51,13 @@
 			if got := len(watcher.confirmed()); got != c.confirmed {
 				t.Errorf("the catalogue confirmed %d, want %d", got, c.confirmed)
 			}
-			catalogIsLeftAlone(t, agent, watcher)
+			checkCatalogNotQueried(t, agent, watcher)
 		})
 	}
 }
 
-// catalogIsLeftAlone fails if the catalogue is asked though nothing is missing any more.
-func catalogIsLeftAlone(t *testing.T, agent *standin.Server, watcher *testWatcher) {
+// checkCatalogNotQueried fails if the catalogue is queried though nothing is missing any more.
+func checkCatalogNotQueried(t *testing.T, agent *standin.Server, watcher *testWatcher) {
 	t.Helper()
 	_, before := agent.Queries()
 	for range 5 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// The catalogue is followed by blocking queries: what it comes to lack later is published then.
+// The catalogue is followed by blocking queries: an instance that disappears from it later is published then.
 func TestCatalogueIsFollowed(t *testing.T) {
 	agent := serve(t, "a", "b", "c", "d", "e", "f")
 	watcher := watch(t, nil, agent)
@@ -82,7 +82,7 @@
 		t.Errorf("%+v", last)
 	}
 	_, before := agent.Queries()
-	agent.Update(func(all []standin.Instance) []standin.Instance { // health's half shrinks no further by that
+	agent.Update(func(all []standin.Instance) []standin.Instance { // the health API's half stays the same
 		return append(all[:3:3], all[5])
 	})
 	watcher.until("two are gone", func() bool { return slices.Equal(watcher.confirmed(), []string{"d@n", "e@n"}) })
@@ -92,7 +92,7 @@
 }
 
 // A critical check in a doubtful answer is published though the catalogue hangs.
-func TestBadNewsBesideDoubt(t *testing.T) {
+func TestCriticalInstanceInDoubtfulAnswer(t *testing.T) {
 	agent := serve(t, "a", "b", "c", "d", "e", "f", "g", "h")
 	watcher := watch(t, nil, agent)
 	watcher.knows("a", "b", "c", "d", "e", "f", "g", "h")
--- a/internal/network/consul/endpoint.go
+++ b/internal/network/consul/endpoint.go
@@ -11,24 +11,24 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// Bounds on what an answer may make grow, and on the numbers in it.
+// Bounds on the memory that an answer may use, and on its numbers.
 const (
 	maxInstances    = 20000
-	maxTextBytes    = 255 // of an id, a name or an address
+	maxTextBytes    = 255 // of an ID, a name or an address
 	maxCheckIDBytes = 64  // in a reason
 	maxWeight       = 65535
 	maxPort         = 65535
 )
 
-// What Consul says of checks.
+// The statuses of checks, and the IDs of those for maintenance, in Consul's API.
 const (
 	statusPassing     = "passing"
 	statusWarning     = "warning"
 	statusCritical    = "critical"
 	statusMaintenance = "maintenance"
-	// The checks that stand for a maintenance mode (Consul's API, Agent, "Enable Maintenance Mode").
+	// The IDs of the checks of a maintenance mode (Consul's API, Agent, "Enable Maintenance Mode").
 	nodeMaintenance    = "_node_maintenance"
-	serviceMaintenance = "_service_maintenance" // and a colon and the service's ID
+	serviceMaintenance = "_service_maintenance" // followed by a colon and the service's ID
 )
 
 // check is one health check of an instance or its node.
@@ -37,8 +37,8 @@
 	Status  string
 }
 
-// instance is what is read of one element of /v1/health/service/:service (Consul's API, Health, "List Service Instances for
-// Service"). The names of its fields are those of the API; others are skipped.
+// instance has the fields that are used of one element of /v1/health/service/:service (Consul's API, Health, "List Service Instances for
+// Service"). Their names are those of the API.
 type instance struct {
 	Node struct {
 		Node       string
@@ -56,15 +56,15 @@
 	Checks []check
 }
 
-// catalogEntry is what is read of one element of /v1/catalog/service/:service.
+// catalogEntry has the fields that are used of one element of /v1/catalog/service/:service.
 type catalogEntry struct {
 	Node        string
 	ServiceID   string
 	ServiceMeta map[string]string
 }
 
-// uid names an instance. Service IDs are unique on a node only, so a qualified one has the node's name; where the platform's list
-// is overlaid, its names are used.
+// uid returns the UID of an instance: the one in its metadata if the settings name a field for it, else its service ID. Service IDs are
+// unique on a node only, so a qualified UID has the node's name too; an unqualified one matches the names in the platform's list.
 func (s *Settings) uid(node, id string, meta map[string]string, qualified bool) string {
 	if u := meta[s.UIDMeta]; s.UIDMeta != "" && u != "" {
 		return u
@@ -75,7 +75,7 @@
 	return id
 }
 
-// endpoint maps an instance, or says why it can't be used.
+// endpoint returns the endpoint of an instance, or why the instance can't be used.
 func (s *Settings) endpoint(i *instance, qualified bool) (e endpointsource.Endpoint, fault string) {
 	e.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
 	host := cmp.Or(i.Service.Address, i.Node.Address)
@@ -96,7 +96,7 @@
 	return e, ""
 }
 
-// readMeta sets what the service's metadata says, or says why the instance can't be used.
+// readMeta sets the fields that come from the service's metadata, or returns why the instance can't be used.
 func (s *Settings) readMeta(i *instance, e *endpointsource.Endpoint) (fault string) {
 	e.Zone = cmp.Or(i.Service.Meta[s.ZoneMeta], i.Node.Datacenter)
 	e.Model = i.Service.Meta[s.ModelMeta]
@@ -106,7 +106,7 @@
 	if text := i.Service.Meta[s.CellMeta]; text != "" {
 		cell, err := strconv.ParseInt(text, 10, 32)
 		if err != nil {
-			return fmt.Sprintf("its cell %.40q is no number", text) // in a wrong cell a repeat would run twice
+			return fmt.Sprintf("its cell %.40q is no number", text) // in a wrong cell a retried request would run twice
 		}
 		e.Cell = int(cell)
 	}
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// applyChecks sets the state, the weight and the reason: by the worst of all checks, the node's and the service's.
+// applyChecks sets the state, the weights and the reason by the worst of all checks of the node and the service.
 func applyChecks(i *instance, e *endpointsource.Endpoint) {
 	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), maxWeight)
 	warning := min(max(i.Service.Weights.Warning, 0), maxWeight)
@@ -134,7 +134,7 @@
 		case c.Status == statusPassing:
 		case c.Status == statusWarning:
 			warned = c.shortID()
-		default: // critical, and what a later Consul may say
+		default: // critical, or a status of a later version of Consul
 			e.State = balancer.EndpointDraining
 			if !e.Maintenance {
 				e.Reason = fmt.Sprintf("check %q is %.20s", c.shortID(), c.Status)
@@ -155,12 +155,12 @@
 	e.Reason = fmt.Sprintf("check %q warns", warned)
 }
 
-// maintenance tells whether a check stands for a maintenance mode.
+// maintenance reports whether a check represents a maintenance mode.
 func (c *check) maintenance() bool {
 	return c.CheckID == nodeMaintenance || strings.HasPrefix(c.CheckID, serviceMaintenance) || c.Status == statusMaintenance
 }
 
-// shortID is the ID as it goes into a reason.
+// shortID returns the ID, bounded for use in a reason.
 func (c *check) shortID() string {
 	if len(c.CheckID) > maxCheckIDBytes {
 		return strings.ToValidUTF8(c.CheckID[:maxCheckIDBytes], "")
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -11,8 +11,9 @@
 // maxFoundAddresses bounds the addresses of one search.
 const maxFoundAddresses = 256
 
-// Find gives the addresses of a service's instances that no check has as critical, in Consul's order, from the first agent that
-// answers. s.Service and s.Tag are not used. If no agent answers it returns the *AgentError of the last one, and ErrNoAgents if there is none to ask.
+// Find returns the addresses of a service's instances without a critical check, in Consul's order, from the first agent that answers.
+// s.Service and s.Tag are not used. If no agent answers it returns the *AgentError of the last one; if the settings name none,
+// ErrNoAgents.
 func Find(ctx context.Context, s Settings, service string, resolve func(string) string) (addresses []string, err error) {
 	s.Service = service
 	s.Tag = ""
@@ -45,7 +46,7 @@
 	return nil, err
 }
 
-// address is where an instance is; false if it has none, or a check is critical.
+// address returns the address of an instance. It returns false if there is none, or a check is critical.
 func (i *instance) address() (string, bool) {
 	host := i.Service.Address
 	if host == "" {
--- a/internal/network/consul/helpers_test.go
+++ b/internal/network/consul/helpers_test.go
@@ -23,20 +23,20 @@
 	goleak.VerifyTestMain(m)
 }
 
-// samePath resolves paths of settings as they are.
+// samePath resolves a path of the settings to itself.
 func samePath(path string) string { return path }
 
-// testWatcher is a watcher on stand-ins, and what it publishes put together as endpointsource would.
+// testWatcher is a watcher on stand-ins, with the endpoints that result from its answers.
 type testWatcher struct {
 	t         *testing.T
-	events    chan func()
+	events    chan func() // changes of the fields below, from the watcher's goroutine
 	known     map[string]endpointsource.Endpoint
 	answers   []endpointsource.ConsulAnswer
-	unchanged int
-	stop      func()
+	unchanged int    // calls of OnUnchanged
+	stop      func() // ends the watcher and waits for it
 }
 
-// watch starts a watcher that goes back to its first agent soon. The test's end stops it and the agents.
+// watch starts a watcher that fails back to its first agent after a short time. The test's end stops it and the agents.
 func watch(t *testing.T, change func(*Settings), agents ...*standin.Server) *testWatcher {
 	t.Helper()
 	s := *Table.Default()
@@ -78,7 +78,7 @@
 	return w
 }
 
-// apply takes what an answer changes.
+// apply applies the changes of an answer.
 func (w *testWatcher) apply(a endpointsource.ConsulAnswer) {
 	w.answers = append(w.answers, a)
 	for _, e := range a.Changed {
@@ -89,7 +89,7 @@
 	}
 }
 
-// confirmed are the UIDs that the catalogue lacks too, in order.
+// confirmed returns the UIDs that the catalogue lacks too, sorted.
 func (w *testWatcher) confirmed() (uids []string) {
 	for _, a := range w.answers {
 		uids = append(uids, a.ConfirmedMissing...)
@@ -98,25 +98,25 @@
 	return uids
 }
 
-// until takes events until something holds.
+// until handles events until a condition holds; it fails after testTimeout.
 func (w *testWatcher) until(what string, holds func() bool) {
 	w.t.Helper()
 	timeout := time.NewTimer(testTimeout)
 	defer timeout.Stop()
-	look := time.NewTicker(2 * time.Millisecond) // what is waited for may be no event of the watcher's
-	defer look.Stop()
+	poll := time.NewTicker(2 * time.Millisecond) // the condition may depend on other things than the watcher's events
+	defer poll.Stop()
 	for !holds() {
 		select {
 		case event := <-w.events:
 			event()
-		case <-look.C:
+		case <-poll.C:
 		case <-timeout.C:
 			w.t.Fatalf("never: %s; known are %v", what, slices.Sorted(maps.Keys(w.known)))
 		}
 	}
 }
 
-// knows waits until the ready instances are these.
+// knows waits until exactly these instances are ready.
 func (w *testWatcher) knows(ids ...string) {
 	w.t.Helper()
 	w.until(fmt.Sprint(ids), func() bool {
@@ -131,7 +131,7 @@
 	})
 }
 
-// instances are on one node, n.
+// instances returns instances with these IDs on one node, n.
 func instances(ids ...string) (all []standin.Instance) {
 	for i, id := range ids {
 		all = append(all, standin.Instance{Node: "n", ID: id, Address: "127.0.0.1", Port: 1000 + i, WarningWeight: 1})
@@ -139,7 +139,7 @@
 	return all
 }
 
-// serve starts an agent with instances.
+// serve starts an agent with instances of these IDs.
 func serve(t *testing.T, ids ...string) *standin.Server {
 	t.Helper()
 	agent, err := standin.Start("", instances(ids...)...)
--- a/internal/network/consul/repeatlog.go
+++ b/internal/network/consul/repeatlog.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// repeatInterval is how long the same line is not logged again.
+	// repeatInterval is the least time between two equal lines.
 	repeatInterval = time.Minute
-	// maxRemembered bounds the lines that are remembered for that.
+	// maxRemembered bounds the remembered lines.
 	maxRemembered = 1000
 )
 
-// repeatLog leaves out lines that were logged a short time ago. It is safe for concurrent use.
+// repeatLog is a log that drops repeated lines. It is safe for concurrent use.
 type repeatLog struct {
 	mu     sync.Mutex
-	logged map[string]time.Time // by the line
+	logged map[string]time.Time // when a line was last logged, by line
 }
 
 // logf logs a line unless the same was logged within repeatInterval.
@@ -35,7 +35,7 @@
 	log.Print(text)
 }
 
-// reset has everything logged again, though it was logged before.
+// reset forgets all lines, so that each is logged again.
 func (r *repeatLog) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// Consistency is how a read is answered (Consul's API, Consistency Modes).
+// Consistency is a consistency mode of reads (Consul's API, Consistency Modes).
 type Consistency string
 
 // The consistency modes.
@@ -18,7 +18,7 @@
 	Consistent Consistency = "consistent" // by the leader, after it has asked its peers
 )
 
-// Settings is the table [consul] of a settings file: where Consul is, and what is asked of it. See Table for each one's meaning.
+// Settings is the table [consul] of a settings file. Table has the meaning of each setting.
 type Settings struct {
 	Agents       string // host:port, divided by commas
 	Service      string
@@ -43,12 +43,12 @@
 	UIDMeta      string
 }
 
-// agents are the addresses to ask, in order.
+// agents returns the addresses of the agents, in order.
 func (s *Settings) agents() []string { return appfile.SplitList(s.Agents) }
 
 const maxAgents = 16
 
-// text is a setting that holds the name of something in Consul.
+// text returns the options of a setting whose value is a name in Consul.
 func text(example string) schema.StringOptions {
 	return schema.StringOptions{Example: example, Fault: appfile.ServiceNameFault}
 }
--- a/internal/network/consul/watcher.go
+++ b/internal/network/consul/watcher.go
@@ -12,35 +12,34 @@
 )
 
 const (
-	defaultFailbackDelay = time.Minute // until the first agent is asked again, after another one had to be
-	pollInterval         = time.Second // if an agent gives no index to block on
-	// restPerWork is how many times as long as reading an answer took the watcher rests after it: on one core that time is taken
-	// from requests.
+	defaultFailbackDelay = time.Minute // after a failover, until the first agent is queried again
+	pollInterval         = time.Second // between queries if an agent returns no index to block on
+	// restPerWork is the ratio of the rest after an answer to the time that decoding took: on one core that time is lost for requests.
 	restPerWork = 4
-	// believedMissing is how many missing instances endpointsource believes at once, whatever its settings.
+	// believedMissing is the number of missing instances that endpointsource believes at once with any settings.
 	believedMissing = 2
 )
 
-// Watcher follows the instances of one service. Run runs it; nothing else of it may be used meanwhile.
+// Watcher follows the instances of one service. While Run runs, nothing else of it may be used.
 type Watcher struct {
 	*client
-	qualified bool // UIDs have the name of the node
+	qualified bool // UIDs contain the node's name
 
-	// OnAnswer takes what an answer changes, OnUnchanged that one came that changes nothing. They must not block for long: the
-	// next query waits for them. Both are set before Run.
+	// OnAnswer is called with the changes of an answer, OnUnchanged for an answer without changes. They must not block for long,
+	// since the next query waits for them. Both are set before Run.
 	OnAnswer    func(endpointsource.ConsulAnswer)
 	OnUnchanged func()
 
 	known         map[string]endpointsource.Endpoint // as of the last answer, by UID
 	askLeader     bool                               // the next query goes to the leader
-	failbackDelay time.Duration
-	failbackAt    time.Time
+	failbackDelay time.Duration                      // defaultFailbackDelay, shorter in tests
+	failbackAt    time.Time                          // when the first agent is queried again
 	confirmation  *confirmation
 	log           repeatLog
 }
 
-// New makes a watcher; resolve turns a path of the settings into one to open. Files are read when they are needed, but for those of
-// TLS.
+// New returns a watcher. resolve turns a path of the settings into one to open. The files of TLS are read at once; the client's
+// certificate and the token are read again whenever they are used.
 func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
 	c, err := newClient(s, resolve)
 	if err != nil {
@@ -55,16 +54,16 @@
 	}, nil
 }
 
-// cursor is where a watcher is in its stream of answers.
+// cursor is a watcher's position in the stream of answers.
 type cursor struct {
-	agent    int
+	agent    int    // index into the agents
 	index    uint64 // of the last answer, to block on; 0 for none
-	hash     string // in place of an index
-	failures int    // in a row, of all agents
-	answered bool   // some agent did
+	hash     string // used in place of an index; empty for none
+	failures int    // of queries in a row, of all agents
+	answered bool   // an agent has answered since the start
 }
 
-// moveTo goes on at another agent, from the beginning: the agents' indexes are not comparable.
+// moveTo moves the cursor to another agent, where it starts without an index: agents' indexes are not comparable.
 func (c *cursor) moveTo(agent int) {
 	c.agent = agent
 	c.index = 0
@@ -94,13 +93,13 @@
 	}
 }
 
-// healthAnswer is what is read of an answer of health's.
+// healthAnswer has the contents of an answer of the health API.
 type healthAnswer struct {
 	endpoints map[string]endpointsource.Endpoint // by UID
-	faults    []string                           // why instances were passed over
+	faults    []string                           // why instances were skipped
 }
 
-// queryHealth asks the cursor's agent for the service's instances.
+// queryHealth queries the service's instances at the cursor's agent.
 func (w *Watcher) queryHealth(ctx context.Context, c *cursor, h *healthAnswer) (answerMeta, error) {
 	q := question{
 		path:        "/v1/health/service/" + url.PathEscape(w.settings.Service),
@@ -120,7 +119,7 @@
 	})
 }
 
-// failOver goes on to the next agent: at once, but for a pause after all of them have failed.
+// failOver moves the cursor to the next agent; after all agents have failed it waits first.
 func (w *Watcher) failOver(ctx context.Context, c *cursor, err error) {
 	c.failures++
 	address := w.agents[c.agent].address
@@ -132,7 +131,7 @@
 	}
 }
 
-// accept takes an answer, and rests until the next query.
+// accept handles an answer, and rests until the next query is due.
 func (w *Watcher) accept(ctx context.Context, c *cursor, h *healthAnswer, m answerMeta) {
 	if c.failures > 0 || !c.answered {
 		log.Printf("consul: agent %s answers: %d instances of %s", w.agents[c.agent].address, len(h.endpoints), w.settings.Service)
@@ -156,8 +155,8 @@
 	pause(ctx, max(w.settings.MinInterval, restPerWork*work))
 }
 
-// handleAnswer passes on what an answer changes. It waits for no confirmation: an answer that lacks too many may say that another
-// instance is critical.
+// handleAnswer publishes the changes of an answer, without waiting for a confirmation: an answer that lacks too many instances may also
+// have one that has become critical.
 func (w *Watcher) handleAnswer(ctx context.Context, agent int, h *healthAnswer, m answerMeta) {
 	for _, fault := range h.faults {
 		w.log.logf("consul: %s", fault)
--- a/internal/network/consul/watcher_test.go
+++ b/internal/network/consul/watcher_test.go
@@ -17,7 +17,8 @@
 	watcher.knows("a", "b", "c")
 	agent.Update(func(all []standin.Instance) []standin.Instance { return all[1:] })
 	watcher.knows("b", "c")
-	if last := watcher.answers[len(watcher.answers)-1]; len(last.Changed) != 0 || len(last.Missing) != 1 || last.KnownBefore != 3 || len(last.ConfirmedMissing) > 0 {
+	last := watcher.answers[len(watcher.answers)-1]
+	if len(last.Changed) != 0 || len(last.Missing) != 1 || last.KnownBefore != 3 || len(last.ConfirmedMissing) > 0 {
 		t.Errorf("%+v", last)
 	}
 	watcher.until("an answer with nothing new", func() bool { return watcher.unchanged > 0 })
@@ -27,11 +28,19 @@
 	}
 }
 
-// Whatever goes wrong with an answer, nothing is published, and what changed meanwhile is published once all is well.
+// While answers are faulty nothing is published; the changes of that time are published with the next good answer.
 func TestFaults(t *testing.T) {
 	for name, f := range map[string]standin.Fault{
-		"refuse": {Refuse: true}, "reset": {Reset: true}, "cut": {Truncate: true}, "429": {Status: 429}, "500": {Status: 500}, "403": {Status: 403},
-		"junk": {Body: "<html>"}, "object": {Body: "{}"}, "words": {Body: `["a","b"]`}, "types": {Body: `[{"Service":{"ID":5}}]`},
+		"refuse":   {Refuse: true},
+		"reset":    {Reset: true},
+		"truncate": {Truncate: true},
+		"429":      {Status: 429},
+		"500":      {Status: 500},
+		"403":      {Status: 403},
+		"junk":     {Body: "<html>"},
+		"object":   {Body: "{}"},
+		"words":    {Body: `["a","b"]`},
+		"types":    {Body: `[{"Service":{"ID":5}}]`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -55,7 +64,7 @@
 	}
 }
 
-// Where a server has been out of contact for too long, the leader is asked.
+// After an answer of a server that has been without contact to the leader for too long, the leader is queried.
 func TestStaleServer(t *testing.T) {
 	agent := serve(t, "a")
 	watcher := watch(t, nil, agent)
@@ -92,7 +101,7 @@
 	watcher.knows("a", "b")
 }
 
-// Where an agent gives a hash and no index, it is blocked on all the same.
+// Queries also block on the content hash of an agent that returns no index.
 func TestHashBlocking(t *testing.T) {
 	agent := serve(t, "a", "b")
 	agent.SetFault(standin.Fault{ContentHash: true})
@@ -111,7 +120,7 @@
 	}
 }
 
-// The next agent is asked when one goes, and one that hangs is noticed by its timeout.
+// If an agent fails the next one is queried; an agent that hangs fails by its timeout.
 func TestFailover(t *testing.T) {
 	first := serve(t, "a")
 	second := serve(t, "a", "b")
@@ -132,7 +141,7 @@
 	watcher.knows("a")
 }
 
-// However fast changes come, answers are taken at the pace.
+// However fast changes come, the time between two answers is at least the setting pace.
 func TestPace(t *testing.T) {
 	agent := serve(t, "a", "b")
 	watcher := watch(t, func(s *Settings) { s.MinInterval = 100 * time.Millisecond }, agent)
@@ -145,7 +154,7 @@
 	}
 	took := time.Since(began)
 	after, _ := agent.Queries()
-	if most := int(took/(100*time.Millisecond)) + 2; after-before > most {
-		t.Errorf("%d questions in %v, want %d at most", after-before, took, most)
+	if limit := int(took/(100*time.Millisecond)) + 2; after-before > limit {
+		t.Errorf("%d questions in %v, want %d at most", after-before, took, limit)
 	}
 }
