--- a/internal/tool/adopt.go
+++ b/internal/tool/adopt.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/product"
 )
 
-// adoptCommand declares adopt.
+// adoptCommand declares the command adopt.
 func (c *command) adoptCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "adopt apps.toml FILE...", Short: "Take edits by hand back into apps.toml", Args: cobra.MinimumNArgs(2),
@@ -21,7 +21,7 @@
 	}
 }
 
-// adoptEdits takes the edits of derived files back into apps.toml, and merges the files with what it says then.
+// adoptEdits moves the edits of derived files into apps.toml, and updates the files from the new apps.toml.
 func (c *command) adoptEdits(source string, paths []string) error {
 	unlock, err := atomicfile.Lock(filepath.Dir(source))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// readEdited compares derived files with what apps.toml says.
+// readEdited reads derived files and compares them with apps.toml.
 func readEdited(m *apps.Model, paths []string, found *finding.List) []*apps.FileState {
 	var states []*apps.FileState
 	for _, path := range paths {
@@ -89,7 +89,7 @@
 	return states
 }
 
-// adoptedFiles are apps.toml, if its text changed, and the derived files that change with it.
+// adoptedFiles returns the files to write: apps.toml if its text has changed, and the derived files that change with it.
 func adoptedFiles(before, after *apps.Model, text []byte, states []*apps.FileState, found *finding.List) []atomicfile.File {
 	var files []atomicfile.File
 	add := func(path string, content []byte) {
--- a/internal/tool/check.go
+++ b/internal/tool/check.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/product"
 )
 
-// checkCommand declares check.
+// checkCommand declares the command check.
 func (c *command) checkCommand() *cobra.Command {
 	var asJSON, overlay bool
 	cmd := &cobra.Command{
@@ -39,8 +39,8 @@
 	return cmd
 }
 
-// Check reports what is wrong with files of any sort: apps.toml, files of single applications, which are checked against one another, and
-// a platform's JSON configuration. With overlay the files of applications are used under such a configuration.
+// Check adds the findings in files of any kind to found: apps.toml, files of single applications, which are checked against one another, and
+// a platform's JSON configuration. With overlay the files of applications are to be used under such a configuration.
 func Check(paths []string, overlay bool, found *finding.List) {
 	var single []*schema.File
 	before := found.Len()
@@ -53,13 +53,13 @@
 			single = append(single, f)
 		}
 	}
-	// Among findings of single files those across files would mislead.
+	// After findings in single files, findings across files would be misleading.
 	if len(single) > 1 && found.Len() == before {
 		apps.Check(apps.FromFiles(single), apps.ChainTable.Default(), nil, nil, found)
 	}
 }
 
-// checkTOML checks one file, and returns it where it is that of a single application.
+// checkTOML checks one file. It returns the file if it is that of a single application, else nil.
 func checkTOML(path string, overlay bool, found *finding.List) *schema.File {
 	text, err := product.Read(path, apps.MaxBytes)
 	if err != nil {
--- a/internal/tool/demo.go
+++ b/internal/tool/demo.go
@@ -29,7 +29,7 @@
 	demoPollInterval = 20 * time.Millisecond // of its readiness
 )
 
-// demoCommand declares demo.
+// demoCommand declares the command demo.
 func (c *command) demoCommand() *cobra.Command {
 	var program string
 	cmd := &cobra.Command{
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-// servingLine is the sidecar's line that tells where it listens.
+// servingLine matches the sidecar's log line with the address that it listens on.
 var servingLine = regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`)
 
 // runDemo runs the demonstration until the context ends.
@@ -94,7 +94,7 @@
 	return c.showDemo(ctx, sidecar)
 }
 
-// showDemo waits until the sidecar serves, says how to try it, and waits for the end.
+// showDemo waits until the sidecar serves, prints how to try it, and waits until the context or the sidecar ends.
 func (c *command) showDemo(ctx context.Context, sidecar *demoSidecar) error {
 	ready, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
@@ -120,22 +120,22 @@
 	}
 }
 
-// demoSidecar is a sidecar's process. It belongs to who started it, who stops it.
+// demoSidecar is a sidecar's process. Whoever starts it has to call stop.
 type demoSidecar struct {
 	process *exec.Cmd
-	address chan string   // where it listens, once it says so
-	ended   chan struct{} // closed when it has ended
-	err     error         // of its end; to be read after ended
+	address chan string   // gets the address that it listens on, from its log
+	ended   chan struct{} // closed after the process has ended
+	err     error         // of the process; valid after ended is closed
 }
 
-// errEndedByItself is the result of a sidecar that ended without an error, though nobody asked it to.
+// errEndedByItself is the result of a sidecar that ended without an error and without a signal to do so.
 var errEndedByItself = errors.New("by itself, without an error")
 
-// startDemoSidecar starts a sidecar and passes its log on.
+// startDemoSidecar starts a sidecar whose log is copied to log.
 func startDemoSidecar(ctx context.Context, program, file string, log printer) (*demoSidecar, error) {
-	// It outlives the context: stop ends it in order.
+	// The process outlives the context: stop ends it gracefully.
 	process := exec.CommandContext(context.WithoutCancel(ctx), program, "-config", file)
-	// Without a platform's configuration, and not in this process's group: Ctrl-C is for this one to pass on.
+	// It has no platform's configuration. It is in a process group of its own, so that Ctrl-C reaches this process alone.
 	process.Env = append(os.Environ(), "BALANCER_CONFIG=", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
 	process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	logs, err := process.StderrPipe()
@@ -154,7 +154,7 @@
 	return s, nil
 }
 
-// passLog passes the sidecar's log on until its end, and finds where it listens.
+// passLog copies the sidecar's log until its end, and sends the address that the sidecar listens on.
 func (s *demoSidecar) passLog(logs io.Reader, log printer) {
 	lines := bufio.NewScanner(logs)
 	for lines.Scan() {
@@ -162,15 +162,15 @@
 		if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
 			select {
 			case s.address <- m[1]:
-			default: // it is known already
+			default: // the address has been sent already
 			}
 		}
 	}
-	// Behind a line that is too long to show the log goes on; it has to be read for the sidecar to go on. An error is its end.
+	// The scanner stops at a line that is too long. The rest has to be read, or the sidecar would block on its log.
 	_, _ = io.Copy(io.Discard, logs)
 }
 
-// result is the error of a sidecar that has ended.
+// result returns why the sidecar has ended; never nil.
 func (s *demoSidecar) result() error {
 	if s.err == nil {
 		return errEndedByItself
@@ -178,7 +178,7 @@
 	return s.err
 }
 
-// stop ends the sidecar and waits for it. It is killed, which is an error, where it takes longer than demoStopTimeout.
+// stop ends the sidecar and waits for it. After demoStopTimeout it kills the sidecar and returns an error.
 func (s *demoSidecar) stop() error {
 	select {
 	case <-s.ended:
@@ -200,7 +200,7 @@
 	return errors.Join(errors.New("the sidecar did not end by itself"), err)
 }
 
-// unlessCancelled is nil where the demonstration was ended before it had begun.
+// unlessCancelled returns err, or nil if the user ended the demonstration meanwhile.
 func unlessCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -208,7 +208,7 @@
 	return err
 }
 
-// waitUntilReady waits until a sidecar has a list of endpoints.
+// waitUntilReady polls the sidecar's readiness until it has a list of endpoints.
 func waitUntilReady(ctx context.Context, url string) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -229,7 +229,7 @@
 	}
 }
 
-// curlCommand is a command line that books a trip: each time with an id of its own, as the protocol asks for.
+// curlCommand returns a command line that books a trip, with a new transaction ID and key each time that a shell runs it.
 func curlCommand(address string) string {
 	return `curl -i -d 'trip=dialysis' -H "X-Txn: $RANDOM$RANDOM" -H 'X-Lane: book-trip' -H 'X-Remaining: 6000m' ` +
 		`-H "Idempotency-Key: $RANDOM" http://` + address + `/trips`
--- a/internal/tool/diff.go
+++ b/internal/tool/diff.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// diffCommand declares diff.
+// diffCommand declares the command diff.
 func (c *command) diffCommand() *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{
@@ -25,7 +25,8 @@
 	return cmd
 }
 
-// diffFiles shows how the derived files in a folder differ from what apps.toml says.
+// diffFiles prints how the derived files in a folder differ from those that write would make of apps.toml. It returns errFindings if
+// any differs.
 func (c *command) diffFiles(source, dir string) error {
 	var found finding.List
 	m := c.readModel(source, &found)
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// diffFile shows the edits of a file and what write would change in it, and tells whether there is any such.
+// diffFile prints the edits of a file and what write would change in it. It reports whether there is anything to print.
 func (c *command) diffFile(state *apps.FileState) (differs bool) {
 	for _, e := range state.Edits {
 		c.out.printf("edited by hand: %s\n", e)
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -21,10 +21,10 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// loadSteps is at how many loads a range is played.
+// loadSteps is the number of loads into which a range is divided.
 const loadSteps = 7
 
-// experimentCommand declares experiment.
+// experimentCommand declares the command experiment.
 func (c *command) experimentCommand() *cobra.Command {
 	var seeds, workers int
 	var load, dir string
@@ -40,11 +40,11 @@
 			}
 			d := experiment.Design{Loads: loads, Seeds: seeds, Workers: workers}
 			for _, path := range args {
-				m, err := c.readMorning(path)
+				s, err := c.readScenario(path)
 				if err != nil {
 					return err
 				}
-				d.Scenarios = append(d.Scenarios, m)
+				d.Scenarios = append(d.Scenarios, s)
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -59,7 +59,7 @@
 	return cmd
 }
 
-// parseLoads reads loads: a number, some with commas between, or a range, which is played in even ratios.
+// parseLoads parses loads: one number, several divided by commas, or a range FROM..TO, which becomes loadSteps loads in equal ratios.
 func parseLoads(text string) (loads []float64, err error) {
 	number := func(s string) (float64, error) {
 		f, err := strconv.ParseFloat(s, 64)
@@ -96,7 +96,8 @@
 	return loads, nil
 }
 
-// runExperiment plays a design and prints its points; with a folder it keeps them there. It returns errFindings where a rule was broken.
+// runExperiment plays a design and prints its points. Unless dir is empty it also writes the runs and a page there. It returns errFindings
+// if a rule was broken.
 func (c *command) runExperiment(ctx context.Context, d *experiment.Design, dir string) error {
 	if err := d.Validate(); err != nil {
 		return err
@@ -127,17 +128,17 @@
 	return nil
 }
 
-// keepExperiment writes every run as a line of a table, and a page with charts.
-func (c *command) keepExperiment(dir string, mornings []*scenario.Scenario, runs []experiment.Run, points []experiment.Point) error {
+// keepExperiment writes a table with a row for each run, and a page with charts.
+func (c *command) keepExperiment(dir string, scenarios []*scenario.Scenario, runs []experiment.Run, points []experiment.Point) error {
 	if err := os.MkdirAll(dir, reportDirMode); err != nil {
 		return err
 	}
 	tablePath := filepath.Join(dir, "experiment.csv")
-	if err := writeCSV(tablePath, experimentRows(mornings, runs)); err != nil {
+	if err := writeCSV(tablePath, experimentRows(scenarios, runs)); err != nil {
 		return err
 	}
 	pagePath := filepath.Join(dir, "experiment.html")
-	err := writeFile(pagePath, func(w io.Writer) error { return report.WriteExperimentPage(w, time.Now(), mornings, points) })
+	err := writeFile(pagePath, func(w io.Writer) error { return report.WriteExperimentPage(w, time.Now(), scenarios, points) })
 	if err != nil {
 		return err
 	}
@@ -145,15 +146,15 @@
 	return nil
 }
 
-// experimentRows are a header and a row for each run. Other tools read the columns by name.
-func experimentRows(mornings []*scenario.Scenario, runs []experiment.Run) [][]string {
+// experimentRows returns a header and a row for each run. The names of the columns are data: other tools read them.
+func experimentRows(scenarios []*scenario.Scenario, runs []experiment.Run) [][]string {
 	rows := [][]string{{
 		"morning", "load", "seed", "requests", "service", "worst_10s", "refused", "failed", "attempts_a_call", "waste", "p50_s", "p99_s", "breaches",
 	}}
 	figure := func(x float64) string { return strconv.FormatFloat(x, 'f', 5, 64) }
 	for _, r := range runs {
 		rows = append(rows, []string{
-			mornings[r.Scenario].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests),
+			scenarios[r.Scenario].Name, strconv.FormatFloat(r.Load, 'f', -1, 64), strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests),
 			figure(r.Service), figure(r.WorstService), figure(r.Rejected), figure(r.Failed), figure(r.AttemptsPerCall), figure(r.WastedShare),
 			figure(r.P50.Seconds()), figure(r.P99.Seconds()), strconv.Itoa(r.Breaches),
 		})
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/rehearsal/report"
 )
 
-// fleetOptions are the flags of fleet.
+// fleetOptions has the flags of fleet.
 type fleetOptions struct {
 	seed      uint64
 	subsets   bool
@@ -28,13 +28,13 @@
 	seeds     int
 }
 
-// The bounds of what --subsets measures.
+// The largest fleet that --subsets measures.
 const (
 	maxMeasuredEndpoints = 20_000
 	maxMeasuredInstances = 500
 )
 
-// fleetCommand declares fleet.
+// fleetCommand declares the command fleet.
 func (c *command) fleetCommand() *cobra.Command {
 	var options fleetOptions
 	cmd := &cobra.Command{
@@ -89,15 +89,16 @@
 	return cmd
 }
 
-// waveSidecars are the fleets of --waves, and maxWaveSeeds bounds its plays.
+// waveSidecars has the numbers of sidecars that --waves plays.
 var waveSidecars = []int{2, 4, 10, 12, 16, 24, 32, 40, 120, 200}
 
+// maxWaveSeeds bounds the seeds of --waves.
 const maxWaveSeeds = 100
 
-// restarts are what may restart in a wave.
+// restarts has the values of --restart: what restarts in a wave.
 var restarts = []string{"all", "boxes", "sidecars", "half"}
 
-// playWaves plays waves of restarts, as many at once as there are processors, and prints them in order.
+// playWaves plays waves of restarts, as many at once as there are processors, and prints a line for each rate and number of sidecars.
 func (c *command) playWaves(options fleetOptions) error {
 	if options.seeds < 1 || options.seeds > maxWaveSeeds {
 		return fmt.Errorf("--seeds are 1 to %d", maxWaveSeeds)
@@ -110,33 +111,36 @@
 	if !slices.Contains(restarts, options.restart) {
 		return fmt.Errorf("%s", finding.UnknownName("restart", options.restart, restarts))
 	}
-	swells, err := fleet.PlayWaves(waveTable(options))
+	results, err := fleet.PlayWaves(waveTable(options))
 	if err != nil {
 		return runError{err}
 	}
 	t := newFigureTable(c.out)
 	t.println("rate\tsidecars\tfell\tservice\tcold\tvain\tknocks\topened\ttrials\tlisted\tfull use\t")
-	fell := 0
-	for i := 0; i < len(swells); i += options.seeds {
-		x := fleet.Summarize(swells[i : i+options.seeds])
-		fell += x.MaxCollapses
-		full := "never"
-		if x.RecoveryTime > 0 {
-			full = x.RecoveryTime.Round(100 * time.Millisecond).String()
+	collapses := 0
+	for i := 0; i < len(results); i += options.seeds {
+		summary := fleet.Summarize(results[i : i+options.seeds])
+		collapses += summary.MaxCollapses
+		recovery := "never"
+		if summary.RecoveryTime > 0 {
+			recovery = summary.RecoveryTime.Round(100 * time.Millisecond).String()
 		}
-		t.printf("%v\t%d\t%.1f (%d)\t%.3f (%.3f)\t%.2f\t%d\t%d\t%d\t%d\t%d\t%s\t\n", swells[i].Wave.Rate, swells[i].Wave.Sidecars,
-			x.Collapses, x.MaxCollapses, x.Service, x.MinService, x.ColdLoad, x.MaxRejected, x.MaxUnreachable, x.MaxConnectionsOpened, x.MaxEjectedAttempts, x.MaxListRequests, full)
+		wave := results[i].Wave
+		t.printf("%v\t%d\t%.1f (%d)\t%.3f (%.3f)\t%.2f\t%d\t%d\t%d\t%d\t%d\t%s\t\n",
+			wave.Rate, wave.Sidecars, summary.Collapses, summary.MaxCollapses, summary.Service, summary.MinService, summary.ColdLoad,
+			summary.MaxRejected, summary.MaxUnreachable, summary.MaxConnectionsOpened, summary.MaxEjectedAttempts,
+			summary.MaxListRequests, recovery)
 	}
 	if err := t.Flush(); err != nil {
 		return runError{err}
 	}
-	if fell > 0 {
+	if collapses > 0 {
 		return runError{fmt.Errorf("cold boxes were pushed over")}
 	}
 	return nil
 }
 
-// waveTable is all waves: each rate with each number of sidecars, played with each seed.
+// waveTable returns all waves: each rate with each number of sidecars and each seed. The waves of one rate and number follow one another.
 func waveTable(options fleetOptions) (waves []*fleet.RestartWave) {
 	for _, rate := range options.rates {
 		for _, sidecars := range waveSidecars {
@@ -170,7 +174,7 @@
 	return nil
 }
 
-// playDays plays days one after another, and prints a line for each.
+// playDays plays days one after another, and prints a line for each, then the breaches.
 func (c *command) playDays(names []string, options fleetOptions) error {
 	if len(names) == 0 {
 		names = fleet.Days()
@@ -193,16 +197,12 @@
 			return runError{fmt.Errorf("%s: %w", name, err)}
 		}
 		took := time.Since(began)
-		v := r.Verdict
-		s := r.Spread
-		share := func(n int) float64 { return 100 * float64(n) / float64(max(1, v.Requests)) }
-		w.printf("%s\t%d\t%d\t%d\t%.3f\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f\t(%.2f)\t%.2f\t(%.2f)\t%d\t%d\t", name, len(r.Plan.Servers), len(r.Plan.SidecarSpecs()),
-			v.Requests, v.Service, share(v.Rejected), share(v.Failed), 100*r.UnansweredShare, s.Max, s.ChanceMax, s.P99, s.ChanceP99, len(v.Breaches), r.Decisions)
+		printDay(w, name, r)
 		if options.cpu {
 			w.printf("%.1f\t", float64(took.Microseconds())/float64(max(1, r.Decisions)))
 		}
 		w.println()
-		plays = append(plays, &report.Run{Plan: r.Plan, Verdict: v, Virtual: true})
+		plays = append(plays, &report.Run{Plan: r.Plan, Verdict: r.Verdict, Virtual: true})
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
@@ -211,7 +211,17 @@
 	return worstOutcome(plays)
 }
 
-// printBreaches prints why plays were not kept, with the first breaches of each.
+// printDay prints the figures of a day that was played, without the end of the line.
+func printDay(w *table, name string, r *fleet.Outcome) {
+	v := r.Verdict
+	s := r.Spread
+	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, v.Requests)) }
+	w.printf("%s\t%d\t%d\t%d\t%.3f\t%.2f%%\t%.2f%%\t%.2f%%\t%.2f\t(%.2f)\t%.2f\t(%.2f)\t%d\t%d\t",
+		name, len(r.Plan.Servers), len(r.Plan.SidecarSpecs()), v.Requests, v.Service, share(v.Rejected), share(v.Failed),
+		100*r.UnansweredShare, s.Max, s.ChanceMax, s.P99, s.ChanceP99, len(v.Breaches), r.Decisions)
+}
+
+// printBreaches prints the outcome of each play that was not kept, the reasons and the first breaches.
 func (c *command) printBreaches(plays []*report.Run) {
 	for _, p := range plays {
 		outcome, why := p.Outcome()
@@ -229,10 +239,10 @@
 	}
 }
 
-// maxBreachesShown is how many breaches of a day are printed.
+// maxBreachesShown bounds the printed breaches of a play.
 const maxBreachesShown = 5
 
-// measureSubsets prints how many endpoints move, and how even the load is, for each way to choose subsets.
+// measureSubsets prints, for each subsetting scheme and each change of the endpoints, how many endpoints move and how even the load is.
 func (c *command) measureSubsets(options fleetOptions) error {
 	w := newFigureTable(c.out)
 	w.println("change\tscheme\tmoved\treached\tload\tp99\tsubset\t")
--- a/internal/tool/init.go
+++ b/internal/tool/init.go
@@ -15,10 +15,10 @@
 //go:embed apps.toml
 var initialApps []byte
 
-// fileMode is the mode of new files: others may read them, since they hold no secrets, only the paths of some.
+// fileMode is the mode of new files. Others may read them, since they contain no secrets, only paths of files with secrets.
 const fileMode = fs.FileMode(0o644)
 
-// initCommand declares init.
+// initCommand declares the command init.
 func (c *command) initCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "init DIR", Short: "Write a commented apps.toml for two applications", Args: cobra.ExactArgs(1),
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -18,10 +18,10 @@
 // maxDumpBytes bounds a dump of members.
 const maxDumpBytes = 64 << 20
 
-// readyState is the state of an endpoint that gets work.
+// readyState is the state of an endpoint that gets requests.
 const readyState = "ready"
 
-// membersCommand declares members.
+// membersCommand declares the command members.
 func (c *command) membersCommand() *cobra.Command {
 	var asJSON, unused bool
 	cmd := &cobra.Command{
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-// printMembers prints a line for each endpoint; with unused only for those that get no work.
+// printMembers prints a line for each endpoint; with unused only for those that get no requests.
 func (c *command) printMembers(m *admin.Members, unused bool) error {
 	ready := 0
 	w := newTable(c.out)
@@ -67,27 +67,27 @@
 	return nil
 }
 
-// formatAge is a time in milliseconds, rounded to tenths of a second.
+// formatAge formats a time in milliseconds, rounded to tenths of a second.
 func formatAge(milliseconds int64) string {
 	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// readMembers asks the sidecar at an address, or reads a dump.
-func readMembers(ctx context.Context, at string) (m admin.Members, err error) {
-	if info, err := os.Stat(at); err == nil && info.Mode().IsRegular() {
-		text, err := product.Read(at, maxDumpBytes)
+// readMembers reads the endpoints from a dump if the source is a file, else from the sidecar at that address.
+func readMembers(ctx context.Context, source string) (m admin.Members, err error) {
+	if info, err := os.Stat(source); err == nil && info.Mode().IsRegular() {
+		text, err := product.Read(source, maxDumpBytes)
 		if err != nil {
 			return m, err
 		}
 		return m, json.Unmarshal(text, &m)
 	}
-	if !strings.HasPrefix(at, "unix:") && !strings.Contains(at, ":") {
+	if !strings.HasPrefix(source, "unix:") && !strings.Contains(source, ":") {
 		return m, errors.New("is neither unix:PATH, nor host:port, nor a file")
 	}
-	return admin.AskMembers(ctx, at)
+	return admin.AskMembers(ctx, source)
 }
 
-// orDash is a text, or a dash for none.
+// orDash returns a text, or a dash if it is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
--- a/internal/tool/output.go
+++ b/internal/tool/output.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// printer writes what a command says to people. That a terminal or a pipe has gone changes nothing in what the command has done, so
-// errors of writing are dropped; what a command must not lose goes through the writer itself.
+// printer prints a command's messages to people. It drops errors of writing: a closed terminal or pipe does not change what the command has
+// done. Output that must not be lost is written to the Writer itself.
 type printer struct{ io.Writer }
 
 func (p printer) printf(format string, args ...any) { _, _ = fmt.Fprintf(p.Writer, format, args...) }
@@ -16,7 +16,7 @@
 
 func (p printer) print(args ...any) { _, _ = fmt.Fprint(p.Writer, args...) }
 
-// table writes lines whose cells, separated by tabs, are aligned. Its errors come with Flush.
+// table prints lines with aligned cells, which tabs separate. Flush returns its errors.
 type table struct {
 	writer *tabwriter.Writer
 	err    error // the first
@@ -25,12 +25,12 @@
 // columnPadding is the white space between two columns, in characters.
 const columnPadding = 2
 
-// newTable is a table whose cells are aligned at their left.
+// newTable returns a table whose cells are aligned to the left.
 func newTable(w io.Writer) *table {
 	return &table{writer: tabwriter.NewWriter(w, 0, 8, columnPadding, ' ', 0)}
 }
 
-// newFigureTable is a table whose cells are aligned at their right.
+// newFigureTable returns a table whose cells are aligned to the right.
 func newFigureTable(w io.Writer) *table {
 	return &table{writer: tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', tabwriter.AlignRight)}
 }
@@ -43,7 +43,7 @@
 
 func (t *table) println(args ...any) { t.printf("%s", fmt.Sprintln(args...)) }
 
-// Flush writes what has been collected, and returns the first error.
+// Flush writes the collected lines, and returns the first error.
 func (t *table) Flush() error {
 	if err := t.writer.Flush(); t.err == nil {
 		t.err = err
--- a/internal/tool/pages.go
+++ b/internal/tool/pages.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/product"
 )
 
-// sampleCommand declares sample.
+// sampleCommand declares the command sample.
 func (c *command) sampleCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "sample", Short: "Print a file of one application with all keys", Args: cobra.NoArgs,
@@ -19,7 +19,7 @@
 	}
 }
 
-// referenceCommand declares reference.
+// referenceCommand declares the command reference.
 func (c *command) referenceCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "reference", Short: "Print the reference page of all keys, in Markdown", Args: cobra.NoArgs,
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/network/admin"
 )
 
-// peersCommand declares peers.
+// peersCommand declares the command peers.
 func (c *command) peersCommand() *cobra.Command {
 	var asJSON, all bool
 	cmd := &cobra.Command{
@@ -39,7 +39,7 @@
 	return cmd
 }
 
-// printPeers prints one sidecar's view of the others.
+// printPeers prints one sidecar's view of its peers.
 func (c *command) printPeers(r *peers.Report) error {
 	w := newTable(c.out)
 	w.println("NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// printPeerViews shows the views of all, a line each, and returns errFindings where they differ.
+// printPeerViews prints a line for the view of each sidecar. It returns errFindings if the views differ.
 func (c *command) printPeerViews(f *peers.FleetReport) error {
 	w := newTable(c.out)
 	w.println("NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
@@ -90,7 +90,7 @@
 	return errFindings
 }
 
-// yesNo is a truth value for people.
+// yesNo formats a boolean.
 func yesNo(b bool) string {
 	if b {
 		return "yes"
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -23,13 +23,13 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// ExitVoid is the exit code of a rehearsal that says nothing: the emulator itself was too slow.
+// ExitVoid is the exit code of a rehearsal without a verdict: the machine was too slow for the emulator.
 const ExitVoid = 3
 
-// errVoid ends a command whose rehearsal says nothing.
+// errVoid is returned by a command whose rehearsal is void.
 var errVoid = errors.New("void")
 
-// rehearsalOptions are the flags of rehearse.
+// rehearsalOptions has the flags of rehearse.
 type rehearsalOptions struct {
 	seed    uint64
 	report  string
@@ -41,7 +41,7 @@
 	quiet   bool
 }
 
-// rehearseCommand declares rehearse.
+// rehearseCommand declares the command rehearse.
 func (c *command) rehearseCommand() *cobra.Command {
 	var options rehearsalOptions
 	cmd := &cobra.Command{
@@ -68,41 +68,57 @@
 	return cmd
 }
 
-// readMorning reads a script; findings are printed.
-func (c *command) readMorning(path string) (*scenario.Scenario, error) {
+// readScenario reads a script. It prints findings and returns errFindings for them.
+func (c *command) readScenario(path string) (*scenario.Scenario, error) {
 	var found finding.List
 	text, err := product.Read(path, scenario.MaxBytes)
 	if err != nil {
 		return nil, runError{fmt.Errorf("%s: %w", path, err)}
 	}
-	m := scenario.Read(path, text, &found)
-	if m == nil {
+	s := scenario.Read(path, text, &found)
+	if s == nil {
 		return nil, c.report(&found)
 	}
-	return m, nil
+	return s, nil
 }
 
-// playScript plays a script, or what of it the flags ask for.
+// playScript plays a script, or only checks it or prints its plan, as the flags ask for.
 func (c *command) playScript(ctx context.Context, path string, options rehearsalOptions) error {
-	m, err := c.readMorning(path)
+	s, err := c.readScenario(path)
 	if err != nil {
 		return err
 	}
-	if options.check {
-		if err := rehearse.CheckSockets(m.Plan(options.seed)); err != nil {
-			c.out.printf("%s: can be played with --virtual alone: %v\n", path, err)
-			return nil
-		}
-		c.out.printf("%s: can be played\n", path)
+	plan := s.Plan(options.seed)
+	switch {
+	case options.check:
+		c.checkPlayable(path, plan)
 		return nil
-	}
-	plan := m.Plan(options.seed)
-	if options.plan {
+	case options.plan:
 		if err := plan.WriteText(c.out); err != nil {
 			return runError{err}
 		}
 		return nil
+	case options.virtual:
+		play, err := playVirtual(plan)
+		if err != nil {
+			return err
+		}
+		return c.showPlays([]*report.Run{play}, options)
+	}
+	return c.playOnSockets(ctx, plan, options)
+}
+
+// checkPlayable prints whether a plan can be played with processes.
+func (c *command) checkPlayable(path string, plan *scenario.Plan) {
+	if err := rehearse.CheckSockets(plan); err != nil {
+		c.out.printf("%s: can be played with --virtual alone: %v\n", path, err)
+		return
 	}
+	c.out.printf("%s: can be played\n", path)
+}
+
+// playOnSockets plays a plan with the processes of one or two builds, one after the other, and shows the results side by side.
+func (c *command) playOnSockets(ctx context.Context, plan *scenario.Plan, options rehearsalOptions) error {
 	if options.sidecar == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -111,13 +127,6 @@
 		options.sidecar = filepath.Join(filepath.Dir(self), "quincegap")
 	}
 	var plays []*report.Run
-	if options.virtual {
-		play, err := playVirtual(plan)
-		if err != nil {
-			return err
-		}
-		return c.showPlays([]*report.Run{play}, options)
-	}
 	for i, program := range []string{options.sidecar, options.compare} {
 		if program == "" {
 			continue
@@ -131,7 +140,7 @@
 	return c.showPlays(plays, options)
 }
 
-// playVirtual plays a plan without sockets.
+// playVirtual plays a plan in virtual time.
 func playVirtual(plan *scenario.Plan) (*report.Run, error) {
 	began := time.Now()
 	r, err := dryrun.Run(plan)
@@ -145,7 +154,7 @@
 	}, nil
 }
 
-// showPlays prints the verdict, and writes the page where one is asked for.
+// showPlays prints the verdicts, and writes the table and the page if --report is set. It returns the error of the worst outcome.
 func (c *command) showPlays(plays []*report.Run, options rehearsalOptions) error {
 	if err := report.WriteScreen(c.out, plays...); err != nil {
 		return runError{err}
@@ -164,7 +173,7 @@
 	return worstOutcome(plays)
 }
 
-// writeSeconds keeps what happened in each second as a table, a row for each second of each play. Other tools read the columns by name.
+// writeSeconds writes a table with a row for each second of each play. The names of the columns are data: other tools read them.
 func writeSeconds(path string, plays []*report.Run) error {
 	rows := [][]string{{"build", "second", "offered", "in_time", "late", "refused", "failed", "attempts", "emulator_late"}}
 	for _, p := range plays {
@@ -179,7 +188,7 @@
 	return writeCSV(path, rows)
 }
 
-// worstOutcome is the error that goes with the worst outcome.
+// worstOutcome returns the error for the worst outcome of plays: nil if all were kept, errVoid or errFindings.
 func worstOutcome(plays []*report.Run) error {
 	worst := report.OutcomeKept
 	for _, p := range plays {
@@ -195,7 +204,7 @@
 	return errFindings
 }
 
-// playOnce plays a plan with one build of the sidecar; number counts builds from 0.
+// playOnce plays a plan with one build of the sidecar. number is the index of the build, from 0.
 func (c *command) playOnce(ctx context.Context, plan *scenario.Plan, program string, options rehearsalOptions, number int) (play *report.Run, err error) {
 	dir := options.report
 	if dir == "" {
@@ -231,7 +240,7 @@
 	}, nil
 }
 
-// notesOf is what a result has to say beside its verdict.
+// notesOf returns the remarks on a result beside its verdict.
 func notesOf(result *rehearse.Result) (notes []string) {
 	if result.UnansweredFaultyCallers > 0 {
 		notes = append(notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s", result.UnansweredFaultyCallers, strings.Join(result.UnansweredInputs, "; ")))
@@ -245,7 +254,7 @@
 	return notes
 }
 
-// writePage writes the page of plays.
+// writePage writes the HTML page of plays, and prints its path.
 func (c *command) writePage(path string, plays []*report.Run) error {
 	err := writeFile(path, func(w io.Writer) error { return report.WritePage(w, time.Now(), plays...) })
 	if err != nil {
--- a/internal/tool/report_files.go
+++ b/internal/tool/report_files.go
@@ -8,10 +8,10 @@
 	"os"
 )
 
-// reportDirMode is the mode of new folders for reports: they hold logs of sidecars.
+// reportDirMode is the mode of new folders for reports, which contain logs of sidecars.
 const reportDirMode = fs.FileMode(0o700)
 
-// writeFile writes a file anew, and looks at the error of closing it too.
+// writeFile creates or replaces a file. It returns the error of closing the file too.
 func writeFile(path string, write func(io.Writer) error) (err error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return write(f)
 }
 
-// writeCSV writes a table anew.
+// writeCSV creates or replaces a file with a table.
 func writeCSV(path string, rows [][]string) error {
 	return writeFile(path, func(w io.Writer) error { return csv.NewWriter(w).WriteAll(rows) })
 }
--- a/internal/tool/route.go
+++ b/internal/tool/route.go
@@ -19,7 +19,7 @@
 	tenantHeader = "X-Org"
 )
 
-// routeCommand declares route.
+// routeCommand declares the command route.
 func (c *command) routeCommand() *cobra.Command {
 	var config string
 	var headers []string
@@ -53,7 +53,7 @@
 	return cmd
 }
 
-// parseRequest is the request of a command line. Errors are wrong usage.
+// parseRequest returns the request that a command line describes. Its errors mean wrong usage.
 func parseRequest(method, target string, headers []string) (*route.Request, error) {
 	header := http.Header{}
 	for _, h := range headers {
--- a/internal/tool/route_explain.go
+++ b/internal/tool/route_explain.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/route"
 )
 
-// explainRoute prints what is done with a request; it returns errFindings where it would be rejected.
+// explainRoute prints how a request would be treated. It returns errFindings if the request would be rejected.
 func (c *command) explainRoute(f *schema.File, request *route.Request) error {
 	class := appfile.ClassTable.Get(f, request.Class)
 	if classes := appfile.ClassTable.All(f); class == nil && len(classes) > 0 {
@@ -56,17 +56,17 @@
 	return nil
 }
 
-// routeValues prints the values that hold for a request, each with the line that sets it.
+// routeValues prints the values that apply to a request, each with the line that sets it.
 type routeValues struct {
 	table    *table
 	file     *schema.File
 	request  *route.Request
-	class    *appfile.Class // nil where the file has none
-	route    string         // empty where no route is taken
-	settings *route.Settings
+	class    *appfile.Class  // the request's class; nil if the file has no classes
+	route    string          // name of the route that the request takes; empty for none
+	settings *route.Settings // of that route, or the defaults
 }
 
-// print prints the values in the order in which they matter to a request.
+// print prints the values in the order in which a request meets them.
 func (v *routeValues) print() {
 	v.table.println("\nVALUE\tIS\tBY")
 	v.printTime()
@@ -78,12 +78,12 @@
 	v.printIdempotency()
 }
 
-// row prints a value with where it is set.
+// row prints a value and where it is set.
 func (v *routeValues) row(name, value, setBy string) {
 	v.table.printf("%s\t%s\t%s\n", name, value, setBy)
 }
 
-// by is where a key is set.
+// by returns the location of a key's setting, or "default".
 func (v *routeValues) by(path ...string) string {
 	if s := v.file.Setting(path...); s != nil {
 		return fmt.Sprintf("%v %s", s.Location, s.ID())
@@ -91,10 +91,10 @@
 	return "default"
 }
 
-// byRoute is where a key of the route is set.
+// byRoute returns the location of a key's setting in the route, or "default".
 func (v *routeValues) byRoute(key string) string { return v.by("route", v.route, key) }
 
-// printTime prints whether the request is served, and its time.
+// printTime prints the request's timeout, or that it is not served.
 func (v *routeValues) printTime() {
 	set := v.settings
 	switch {
@@ -107,7 +107,7 @@
 	}
 }
 
-// printAttempts prints what bounds attempts and requests at once.
+// printAttempts prints the bounds on attempts and on concurrent requests.
 func (v *routeValues) printAttempts() {
 	set := v.settings
 	if set.AttemptTimeout > 0 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// printRetries prints when a request is retried or hedged.
+// printRetries prints the settings of retries and hedged requests.
 func (v *routeValues) printRetries() {
 	set := v.settings
 	if set.RetryShare >= 0 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// printIdempotency prints where a request may be retried that may have run.
+// printIdempotency prints where a request that may have run may be retried.
 func (v *routeValues) printIdempotency() {
 	if v.class == nil {
 		return
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -13,7 +13,7 @@
 	"quincegap/internal/modules/idempotency"
 )
 
-// storeCommand declares store and its commands.
+// storeCommand declares the command store and its subcommands.
 func (c *command) storeCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "store", Short: "Look at and mend what a sidecar remembers on its disk (memory.memory_dir)",
@@ -35,7 +35,7 @@
 	return cmd
 }
 
-// storeVerifyCommand declares store verify.
+// storeVerifyCommand declares the command store verify.
 func (c *command) storeVerifyCommand() *cobra.Command {
 	var asJSON bool
 	verify := &cobra.Command{
@@ -62,14 +62,16 @@
 	return verify
 }
 
-// storeDumpCommand declares store dump.
+// storeDumpCommand declares the command store dump.
 func (c *command) storeDumpCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "dump DIR", Short: "Print each live record as a line of JSON", Args: cobra.ExactArgs(1),
-		Long: "dump prints each live record as a line of JSON. Keys of requests are digests: what a family's key was cannot\nbe read from them.",
+		Long: "dump prints each live record as a line of JSON. Keys of requests are digests: what a family's key was cannot\n" +
+			"be read from them.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			e := json.NewEncoder(c.out)
-			if _, err := store.Inspect(store.Dir(args[0]), nil, func(r store.Record) error { return e.Encode(readable(r)) }); err != nil {
+			printRecord := func(r store.Record) error { return e.Encode(readable(r)) }
+			if _, err := store.Inspect(store.Dir(args[0]), nil, printRecord); err != nil {
 				return runError{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			return nil
@@ -77,7 +79,7 @@
 	}
 }
 
-// printStoreReport prints the files of a store, and what is wrong with them.
+// printStoreReport prints the files of a store and the damage in them.
 func (c *command) printStoreReport(r *store.Report) error {
 	w := newTable(c.out)
 	w.println("FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
@@ -104,29 +106,30 @@
 	if r.InUse {
 		state = "a process has it open"
 	}
-	_, err := fmt.Fprintf(c.out, "%d live records in %d files; %d places damaged; %s\n", r.LiveRecords, len(r.Segments), len(r.Damage), state)
+	_, err := fmt.Fprintf(c.out, "%d live records in %d files; %d places damaged; %s\n",
+		r.LiveRecords, len(r.Segments), len(r.Damage), state)
 	return err
 }
 
-// storedRecord is a record as people and other programs read it.
+// storedRecord is the printed form of a record. The names of its fields are data: other programs read them.
 type storedRecord struct {
 	Seq     uint64             `json:"seq"`
 	File    string             `json:"file"`
-	Left    string             `json:"left,omitempty"` // how long it is still kept
+	Left    string             `json:"left,omitempty"` // time until the record expires
 	Kind    string             `json:"kind"`
 	Key     string             `json:"key"`
 	Request *idempotency.Entry `json:"request,omitempty"`
 	Value   json.RawMessage    `json:"value,omitempty"`
 }
 
-// The first byte of a key says what its record is of. These are data on disk.
+// The first byte of a key, which is the kind of the record. They are data on disk.
 const (
 	requestKey  = 'r'
 	endpointKey = 'e'
 	listKey     = 'l'
 )
 
-// readable is a record in its printed form.
+// readable returns the printed form of a record.
 func readable(r store.Record) storedRecord {
 	line := storedRecord{Seq: r.Seq, File: r.File, Kind: "other", Key: fmt.Sprintf("%x", r.Key)}
 	if r.TimeLeft >= 0 {
@@ -150,16 +153,16 @@
 	return line
 }
 
-// The bounds of a store that a command opens: far beyond any that a sidecar keeps.
+// The bounds of a store that a command opens. They exceed those of any sidecar.
 const (
 	maxStoreRecords = 1 << 30
 	maxStoreBytes   = 1 << 50
 )
 
-// rewrite compacts a store that nobody has open; with repair, also one that is damaged.
+// rewrite compacts a store that no process has open. With repair it also compacts a damaged store.
 func (c *command) rewrite(dir string, repair bool) error {
 	failed := func(err error) error { return runError{fmt.Errorf("%s: %w", dir, err)} }
-	if _, err := os.Stat(dir); err != nil { // opening it would make one
+	if _, err := os.Stat(dir); err != nil { // Open would create a store that is missing
 		return failed(err)
 	}
 	s, err := store.Open(store.Dir(dir), store.Options{MaxRecords: maxStoreRecords, MaxBytes: maxStoreBytes})
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -17,24 +17,24 @@
 
 // The exit codes. ExitVoid is that of rehearsals.
 const (
-	ExitOK       = 0 // also where help was asked for
-	ExitFindings = 1 // something is wrong with a file, or differs
-	ExitUsage    = 2 // something is wrong with the command line
+	ExitOK       = 0 // success, also after --help
+	ExitFindings = 1 // a file has findings or differs, or the command failed
+	ExitUsage    = 2 // the command line is wrong
 )
 
-// fileStart is where findings on a file as a whole point to.
+// fileStart is the position of findings on a file as a whole.
 var fileStart = finding.Pos{Line: 1, Col: 1}
 
-// errFindings ends a command whose findings have been printed.
+// errFindings is returned by a command that has printed its findings.
 var errFindings = errors.New("findings")
 
-// runError is an error of a command that was used as it should be; all others but errFindings and errVoid are wrong usage.
+// runError is the failure of a command that was used correctly. All other errors except errFindings and errVoid mean wrong usage.
 type runError struct{ error }
 
 func (r runError) Unwrap() error { return r.error }
 
-// Run runs a command line, without the program's name, and returns its exit code. What the command says goes to out, what is wrong with
-// its use or its run to errs.
+// Run runs a command line, given without the program's name, and returns its exit code. The command's output goes to out, messages on
+// wrong usage and failures to errs.
 func Run(args []string, out, errs io.Writer) int {
 	root := &cobra.Command{
 		Use:   "quincegapctl",
@@ -71,20 +71,20 @@
 	return ExitUsage
 }
 
-// command is what all commands share.
+// command has what all commands share: where they print, and the disk that they write to.
 type command struct {
 	out, errOut printer
-	disk        atomicfile.FS // a test's disk may be full
+	disk        atomicfile.FS // tests replace it, for example by a full disk
 }
 
-// printJSON prints one object for other programs.
+// printJSON prints a value as one JSON object, for other programs.
 func (c *command) printJSON(value any) error {
 	encoder := json.NewEncoder(c.out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// report prints findings and returns errFindings, or nil where there are none.
+// report prints findings and returns errFindings; it returns nil if there are none.
 func (c *command) report(found *finding.List) error {
 	if found.Len() == 0 {
 		return nil
@@ -95,7 +95,7 @@
 	return errFindings
 }
 
-// readModel reads apps.toml and checks all of it. It is nil where nothing could be read.
+// readModel reads apps.toml and checks it as a whole. It returns nil if the file can't be read.
 func (c *command) readModel(path string, found *finding.List) *apps.Model {
 	text, err := product.Read(path, apps.MaxBytes)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return m
 }
 
-// checkModel checks the applications of apps.toml with one another and with the files that they name.
+// checkModel checks the applications of apps.toml against one another, and the files that they name.
 func checkModel(m *apps.Model, found *finding.List) {
 	m.Check(found)
 	for _, a := range m.Apps {
@@ -117,8 +117,8 @@
 	}
 }
 
-// compareFiles compares the file of each application with what would be written. Files that cannot be opened go into unread, and what
-// is wrong with those that can into found.
+// compareFiles compares the file of each application with the one that would be written. It adds the files that can't be read to unread,
+// and findings in the others to found.
 func compareFiles(m *apps.Model, dir string, unread, found *finding.List) []*apps.FileState {
 	var all []*apps.FileState
 	for _, a := range m.Apps {
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -474,7 +474,7 @@
 	return strings.Join(changed, "\n")
 }
 
-// names tells whether a finding is on a line, counted from 1.
+// names reports whether a finding is on a line, counted from 1.
 func (s *spoiling) names(line int) bool {
 	return slices.ContainsFunc(s.findings.All(), func(f finding.Finding) bool { return f.Line == line })
 }
@@ -537,7 +537,7 @@
 	}
 }
 
-// free tells whether the last part of a header is a name that people choose.
+// free reports whether the last part of a header is a name that people choose.
 func free(d *doc.Document) bool {
 	t, path := d.Root, []string(nil)
 	for len(t.Entries) > 0 {
@@ -552,7 +552,7 @@
 	return false
 }
 
-// needed tells whether a line sets a key that has no default.
+// needed reports whether a line sets a key that has no default.
 func needed(line string) bool {
 	name := strings.TrimSpace(strings.SplitN(line, "=", 2)[0])
 	for _, t := range product.Schema.Tables {
--- a/internal/tool/unified.go
+++ b/internal/tool/unified.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// maxComparedCells bounds the product of the lines that differ: the table of common subsequences grows with it.
+// maxComparedCells bounds the size of the table of common subsequences, the product of the numbers of lines that differ.
 const maxComparedCells = 4 << 20
 
-// unified shows how a text would change: lines that go with -, lines that come with +, and the line that a change begins at. It follows
-// the longest common subsequence of the lines between the first and the last that differ; where there are too many of them, all go and
-// all come. It is empty for texts that are the same.
+// unified returns the changes between two texts: removed lines with -, added lines with +, and the number of the line where each change
+// begins. It follows the longest common subsequence of the lines between the first and the last difference; if there are too many lines,
+// all of them are removed and added. It returns an empty text for equal texts.
 func unified(path string, before, after []byte) string {
 	a := strings.Split(string(before), "\n")
 	b := strings.Split(string(after), "\n")
@@ -32,14 +32,14 @@
 	return fmt.Sprintf("--- %s\n+++ %s (as write would make it)\n", path, path) + d.text.String()
 }
 
-// lineDiff writes lines that go and come.
+// lineDiff writes removed and added lines.
 type lineDiff struct {
-	first    int // number of the first line, from 1
-	inChange bool
+	first    int  // number of the first line that differs, from 1
+	inChange bool // the last line that was handled was removed or added
 	text     strings.Builder
 }
 
-// write walks along both texts, by their common lines where these are known.
+// write walks along both texts and writes their differences; without a table of common subsequences all lines differ.
 func (d *lineDiff) write(removed, added []string) {
 	common := commonSubsequences(removed, added)
 	i := 0
@@ -60,7 +60,7 @@
 	}
 }
 
-// line writes one line, below the number of the line that its change begins at.
+// line writes one line; the first one of a change follows the number of the line where the change begins.
 func (d *lineDiff) line(at int, sign, line string) {
 	if !d.inChange {
 		fmt.Fprintf(&d.text, "@@ line %d @@\n", d.first+at)
@@ -69,8 +69,8 @@
 	d.text.WriteString(sign + strings.TrimSuffix(line, "\r") + "\n")
 }
 
-// commonSubsequences has at [i][j] the length of the longest common subsequence of a[i:] and b[j:]. It is nil where that would be too
-// large.
+// commonSubsequences returns a table whose element [i][j] is the length of the longest common subsequence of a[i:] and b[j:]. It returns nil
+// if the table would exceed maxComparedCells.
 func commonSubsequences(a, b []string) [][]int32 {
 	if len(a)*len(b) > maxComparedCells {
 		return nil
--- a/internal/tool/write.go
+++ b/internal/tool/write.go
@@ -13,14 +13,14 @@
 	"quincegap/internal/product"
 )
 
-// writeOptions are the flags of write.
+// writeOptions has the flags of write.
 type writeOptions struct {
-	dir     string // of the derived files; that of apps.toml if empty
+	dir     string // of the derived files; empty for that of apps.toml
 	keep    bool   // keep edits by hand
 	discard bool   // discard edits by hand
 }
 
-// writeCommand declares write.
+// writeCommand declares the command write.
 func (c *command) writeCommand() *cobra.Command {
 	var options writeOptions
 	cmd := &cobra.Command{
@@ -37,7 +37,7 @@
 	return cmd
 }
 
-// writeFiles derives the files of all applications of an apps.toml.
+// writeFiles writes the derived files of all applications of an apps.toml, or none if there are findings.
 func (c *command) writeFiles(source string, options writeOptions) error {
 	dir := options.dir
 	if dir == "" {
@@ -55,9 +55,9 @@
 	if found.Len() > 0 {
 		return c.report(&found)
 	}
-	var spoilt finding.List // what writing anew would mend
-	states := compareFiles(m, dir, &found, &spoilt)
-	for _, f := range spoilt.All() {
+	var repairable finding.List // findings in derived files, which writing them again would repair
+	states := compareFiles(m, dir, &found, &repairable)
+	for _, f := range repairable.All() {
 		if options.discard {
 			c.out.printf("discarded: %s\n", f)
 		} else {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// filesToWrite are the files that change. It reports what stands against writing, for all files.
+// filesToWrite returns the files that change. It adds to found why files may not be written.
 func (c *command) filesToWrite(states []*apps.FileState, options writeOptions, found *finding.List) []atomicfile.File {
 	var files []atomicfile.File
 	for _, state := range states {
@@ -95,7 +95,7 @@
 	return files
 }
 
-// textToWrite is the new text of one file. It is false for a file that is not this application's, which is never overwritten.
+// textToWrite returns the new text of one file. It returns false for a file that is not this application's, which is never overwritten.
 func (c *command) textToWrite(state *apps.FileState, options writeOptions, found *finding.List) (text []byte, ok bool) {
 	switch {
 	case state.Provenance != nil && state.Provenance.App != state.App.Name:
@@ -134,7 +134,7 @@
 	}
 }
 
-// checkMerged reports what is wrong with a merged file.
+// checkMerged adds the findings in a merged file to found.
 func checkMerged(path string, text []byte, found *finding.List) {
 	var own finding.List
 	d := doc.ReadTOML(text, apps.MaxFileBytes, own.ForFile(path))
