--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -8,58 +8,58 @@
 )
 
 func TestEveryRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
-	f := start(t, settings(), 0)
-	id := f.request(read)
-	f.advance(1500 * ms)
-	if !slices.Equal(f.rejections, []RequestID{id}) {
-		t.Errorf("rejected %v, want %s, as there is no endpoint", f.rejections, id)
+	fixture := start(t, settings(), 0)
+	id := fixture.request(read)
+	fixture.advance(1500 * ms)
+	if !slices.Equal(fixture.rejections, []RequestID{id}) {
+		t.Errorf("rejected %v, want %s, as there is no endpoint", fixture.rejections, id)
 	}
-	f = start(t, settings(), 2)
-	f.b.HandleRequest(f.now, Request{ID: "late", TimeLeft: 0})
-	if len(f.rejections) != 1 || len(f.sent) > 0 {
-		t.Errorf("rejected %v, sent %v for a request with no time left", f.rejections, f.sent)
+	fixture = start(t, settings(), 2)
+	fixture.balancer.HandleRequest(fixture.now, Request{ID: "late", TimeLeft: 0})
+	if len(fixture.rejections) != 1 || len(fixture.sent) > 0 {
+		t.Errorf("rejected %v, sent %v for a request with no time left", fixture.rejections, fixture.sent)
 	}
 }
 
 // Endpoints would be saturated by a burst. Its requests are pending instead, and those that cannot be served in time are rejected.
 func TestBurstIsPendingAndRejectedEarly(t *testing.T) {
-	f := start(t, settings(), 2)
-	f.serveRequests(200, nil)
-	before := len(f.sent)
-	f.requestMany(200)
-	if sent := len(f.sent) - before; sent > 20 {
+	fixture := start(t, settings(), 2)
+	fixture.serveRequests(200, nil)
+	before := len(fixture.sent)
+	fixture.requestMany(200)
+	if sent := len(fixture.sent) - before; sent > 20 {
 		t.Errorf("%d of a burst of 200 were sent at once to 2 endpoints", sent)
 	}
-	f.advance(1100 * ms)
-	if len(f.rejections) < 100 {
-		t.Errorf("%d rejected by their latency target, want nearly all", len(f.rejections))
+	fixture.advance(1100 * ms)
+	if len(fixture.rejections) < 100 {
+		t.Errorf("%d rejected by their latency target, want nearly all", len(fixture.rejections))
 	}
 }
 
 // The Retry-After of a rejection is the time until the requests that are pending now have been answered, and at most MaxRetryAfter.
 func TestRejectionsSayWhenToRetry(t *testing.T) {
-	s := settings()
-	s.MaxRetryAfter = 2 * time.Second
+	config := settings()
+	config.MaxRetryAfter = 2 * time.Second
 	for _, burst := range []int{200, 4000} {
-		f := start(t, s, 2)
-		f.serveRequests(200, nil)
-		f.requestMany(burst)
-		f.advance(250 * ms) // until the rate shows that none is answered
-		rate := f.b.servedRate.value(f.now, f.b.rateWindow)
-		if len(f.rejections) == 0 {
+		fixture := start(t, config, 2)
+		fixture.serveRequests(200, nil)
+		fixture.requestMany(burst)
+		fixture.advance(250 * ms) // until the rate shows that none is answered
+		rate := fixture.balancer.servedRate.value(fixture.now, fixture.balancer.rateWindow)
+		if len(fixture.rejections) == 0 {
 			t.Fatalf("nothing of a burst of %d was rejected", burst)
 		}
-		queue := seconds(float64(len(f.b.pending)) / rate)
-		for _, after := range f.retryAfter {
-			if after > s.MaxRetryAfter || after < min(queue, s.MaxRetryAfter) {
+		queue := seconds(float64(len(fixture.balancer.pending)) / rate)
+		for _, after := range fixture.retryAfter {
+			if after > config.MaxRetryAfter || after < min(queue, config.MaxRetryAfter) {
 				t.Fatalf("of a burst of %d: retry after %v, want %v for the pending requests", burst, after, queue)
 			}
 		}
 	}
-	f := start(t, s, 2)
-	f.b.HandleRequest(f.now, Request{ID: "late", Class: read})
-	if !slices.Equal(f.retryAfter, []time.Duration{0}) {
-		t.Errorf("retry after %v, while no rate is known", f.retryAfter)
+	fixture := start(t, config, 2)
+	fixture.balancer.HandleRequest(fixture.now, Request{ID: "late", Class: read})
+	if !slices.Equal(fixture.retryAfter, []time.Duration{0}) {
+		t.Errorf("retry after %v, while no rate is known", fixture.retryAfter)
 	}
 }
 
@@ -67,28 +67,28 @@
 // served worst.
 func TestValuableClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
 	released := func(worstClassWeight float64) (byClass [3]int) {
-		s := settings()
-		s.Classes[pay].Value, s.TotalValueWeight, s.WorstClassWeight = 5, 1, worstClassWeight
-		f := start(t, s, 1)
+		config := settings()
+		config.Classes[pay].Value, config.TotalValueWeight, config.WorstClassWeight = 5, 1, worstClassWeight
+		fixture := start(t, config, 1)
 		class := map[RequestID]int{}
 		for i := range 60 { // so that both classes have statistics, and read is served a little worse
-			f.finish(attempt{id: f.request(pay), to: 1}, StatusOK, 100*ms)
-			f.request(read)
-			f.finish(f.last(), StatusOK, 100*ms)
+			fixture.finish(attempt{id: fixture.request(pay), to: 1}, StatusOK, 100*ms)
+			fixture.request(read)
+			fixture.finish(fixture.last(), StatusOK, 100*ms)
 			if i%10 == 0 {
-				f.b.countRequest(f.b.classes[read])
+				fixture.balancer.countRequest(fixture.balancer.classes[read])
 			}
-			f.advance(100 * ms)
+			fixture.advance(100 * ms)
 		}
 		for range 40 {
-			class[f.request(read)] = read
-			class[f.request(pay)] = pay
+			class[fixture.request(read)] = read
+			class[fixture.request(pay)] = pay
 		}
-		before := len(f.sent)
-		for _, r := range slices.Clone(f.b.listed[0].calls) {
-			f.finish(attempt{id: r.id, to: 1}, StatusOK, 100*ms)
+		before := len(fixture.sent)
+		for _, r := range slices.Clone(fixture.balancer.listed[0].calls) {
+			fixture.finish(attempt{id: r.id, to: 1}, StatusOK, 100*ms)
 		}
-		for _, a := range f.sent[before:] {
+		for _, a := range fixture.sent[before:] {
 			byClass[class[a.id]]++
 		}
 		return byClass
@@ -104,18 +104,18 @@
 // The time that has elapsed for a client that retries counts towards its latency target. If its time left does not show that time,
 // what other retries show is assumed. Served as if they were new, retries filled a tier with calls that missed their target.
 func TestRetriesThatCannotMeetTheirTargetGiveWay(t *testing.T) {
-	f := start(t, settings(), 2)
-	f.serveRequests(200, nil)
-	f.b.HandleRequest(f.now, Request{ID: "first", Class: book, TimeLeft: 3 * time.Second})
-	f.finish(f.last(), StatusOK, 20*ms)
+	fixture := start(t, settings(), 2)
+	fixture.serveRequests(200, nil)
+	fixture.balancer.HandleRequest(fixture.now, Request{ID: "first", Class: book, TimeLeft: 3 * time.Second})
+	fixture.finish(fixture.last(), StatusOK, 20*ms)
 	for i := range 50 {
-		f.b.HandleRequest(f.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, TimeLeft: 1300 * ms, Retry: true})
-		f.finish(f.last(), StatusOK, 20*ms)
+		fixture.balancer.HandleRequest(fixture.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, TimeLeft: 1300 * ms, Retry: true})
+		fixture.finish(fixture.last(), StatusOK, 20*ms)
 	}
-	f.requestMany(60)
-	before := len(f.rejections)
-	f.b.HandleRequest(f.now, Request{ID: "repeat", TimeLeft: 1500 * ms, Retry: true})
-	if got := f.rejections[before:]; !slices.Equal(got, []RequestID{"repeat"}) {
+	fixture.requestMany(60)
+	before := len(fixture.rejections)
+	fixture.balancer.HandleRequest(fixture.now, Request{ID: "repeat", TimeLeft: 1500 * ms, Retry: true})
+	if got := fixture.rejections[before:]; !slices.Equal(got, []RequestID{"repeat"}) {
 		t.Errorf("rejected %v on a full tier, want the retry at once", got)
 	}
 }
@@ -124,28 +124,28 @@
 // answered, the requests are only pending until the rate shows it.
 func TestCrowd(t *testing.T) {
 	for _, quiet := range []time.Duration{0, time.Minute} {
-		f := start(t, settings(), 8)
+		fixture := start(t, settings(), 8)
 		if quiet > 0 {
 			for range 200 {
-				f.request(read)
-				f.serveAll()
+				fixture.request(read)
+				fixture.serveAll()
 			}
-			f.advance(quiet)
+			fixture.advance(quiet)
 		}
 		for range 3 {
-			f.requestMany(1000)
-			f.serveAll()
-			f.advance(200 * ms)
+			fixture.requestMany(1000)
+			fixture.serveAll()
+			fixture.advance(200 * ms)
 		}
-		if len(f.rejections) > 0 || len(f.b.requests) > 0 {
-			t.Errorf("after %v: %d of 3,000 were rejected, %d are left", quiet, len(f.rejections), len(f.b.requests))
+		if len(fixture.rejections) > 0 || len(fixture.balancer.requests) > 0 {
+			t.Errorf("after %v: %d of 3,000 were rejected, %d are left", quiet, len(fixture.rejections), len(fixture.balancer.requests))
 		}
 	}
-	f := start(t, settings(), 8)
-	f.requestMany(1000)
-	f.advance(1100 * ms) // no response, for longer than the rate's window
-	f.request(read)
-	if n := len(f.b.pending); n > 8 {
+	fixture := start(t, settings(), 8)
+	fixture.requestMany(1000)
+	fixture.advance(1100 * ms) // no response, for longer than the rate's window
+	fixture.request(read)
+	if n := len(fixture.balancer.pending); n > 8 {
 		t.Errorf("%d are pending at endpoints that answer nothing", n)
 	}
 }
@@ -205,19 +205,19 @@
 // If there are more requests than the endpoints can serve, the requests of about two seconds are pending, and the others are rejected
 // at once.
 func TestOverloadIsRejectedEarly(t *testing.T) {
-	s := settings()
-	s.Classes[read].LatencyTarget, s.Classes[read].Deadline = time.Minute, 2*time.Minute
-	endpoints := &serialEndpoints{fixture: start(t, s, 4), serviceTime: 100 * ms}
+	config := settings()
+	config.Classes[read].LatencyTarget, config.Classes[read].Deadline = time.Minute, 2*time.Minute
+	endpoints := &serialEndpoints{fixture: start(t, config, 4), serviceTime: 100 * ms}
 	maxPending := 0
 	for step := range 4000 { // 8 s of 1,000 requests a second; 4 endpoints serve 40 a second
 		for range 2 {
 			request := Request{ID: endpoints.nextID(), Class: read, TimeLeft: time.Minute}
-			endpoints.b.HandleRequest(endpoints.now, request)
+			endpoints.balancer.HandleRequest(endpoints.now, request)
 		}
 		endpoints.step()
 		endpoints.advance(2 * ms)
 		if step > 1000 {
-			maxPending = max(maxPending, len(endpoints.b.pending))
+			maxPending = max(maxPending, len(endpoints.balancer.pending))
 		}
 	}
 	if maxPending > 150 {
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -123,9 +123,9 @@
 
 func benchmarkList(b *testing.B, instances int, update func(i int) EndpointList) {
 	b.Helper()
-	s := settings()
-	s.Instances = instances
-	balancer, err := New(s, 7, &discardHost{})
+	config := settings()
+	config.Instances = instances
+	balancer, err := New(config, 7, &discardHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -12,20 +12,20 @@
 // of calls in flight.
 func TestSaturatedEndpointShrinksTheQueue(t *testing.T) {
 	sentOfBurst := func(latencyOfFirst time.Duration) int {
-		f := start(t, settings(), 16)
+		fixture := start(t, settings(), 16)
 		for i := range 2400 {
-			f.request(read)
-			call := f.last()
+			fixture.request(read)
+			call := fixture.last()
 			latency := 100 * ms
 			if call.to == 1 && i < 1800 {
 				latency = latencyOfFirst
 			}
-			f.finish(call, StatusOK, latency)
-			f.advance(4 * ms)
+			fixture.finish(call, StatusOK, latency)
+			fixture.advance(4 * ms)
 		}
-		before := len(f.sent)
-		f.requestMany(100)
-		return len(f.sent) - before
+		before := len(fixture.sent)
+		fixture.requestMany(100)
+		return len(fixture.sent) - before
 	}
 	if equal, saturated := sentOfBurst(100*ms), sentOfBurst(500*ms); saturated >= equal {
 		t.Errorf("%d of a burst are sent after one endpoint was saturated, %d without", saturated, equal)
@@ -34,26 +34,26 @@
 
 // The first answers are those of short calls. A base latency from these alone would reject nearly all requests.
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
-	f := start(t, settings(), 10)
+	fixture := start(t, settings(), 10)
 	for i := range 40 {
-		f.request(read)
-		f.finish(f.last(), StatusOK, time.Duration(1+i%3)*ms)
+		fixture.request(read)
+		fixture.finish(fixture.last(), StatusOK, time.Duration(1+i%3)*ms)
 	}
-	before := len(f.sent)
-	f.requestMany(40)
-	if n := len(f.sent) - before; n < 40 {
+	before := len(fixture.sent)
+	fixture.requestMany(40)
+	if n := len(fixture.sent) - before; n < 40 {
 		t.Errorf("%d of 40 sent at once to 10 endpoints, want all", n)
 	}
 }
 
 // Stuck calls lower the rate of answers. A limit without a minimum would follow it and never recover.
 func TestLimitRecoversFromStuckCalls(t *testing.T) {
-	f := start(t, settings(), 6)
-	f.serveRequests(100, nil)
-	f.advance(30 * time.Second)
-	before := len(f.sent)
-	f.requestMany(6)
-	if n := len(f.sent) - before; n < 6 {
+	fixture := start(t, settings(), 6)
+	fixture.serveRequests(100, nil)
+	fixture.advance(30 * time.Second)
+	before := len(fixture.sent)
+	fixture.requestMany(6)
+	if n := len(fixture.sent) - before; n < 6 {
 		t.Errorf("%d of 6 sent after a long pause, want all", n)
 	}
 }
@@ -68,9 +68,9 @@
 			attempts := map[EndpointID]int{}
 			for n := range int(length.Seconds() * perSecond) {
 				all[n%instances].request(read)
-				for _, f := range all {
-					f.finishAll(status, attempts)
-					f.advance(time.Second / perSecond)
+				for _, fixture := range all {
+					fixture.finishAll(status, attempts)
+					fixture.advance(time.Second / perSecond)
 				}
 			}
 			if len(attempts) == 0 {
@@ -95,11 +95,11 @@
 func startInstances(t *testing.T, instances, endpoints int) (all []*fixture) {
 	t.Helper()
 	for i := range instances {
-		s := settings()
-		s.Instances, s.Ordinal = instances, i
-		f := start(t, s, endpoints)
-		f.b.rng = rand.New(rand.NewPCG(uint64(i), 1))
-		all = append(all, f)
+		config := settings()
+		config.Instances, config.Ordinal = instances, i
+		fixture := start(t, config, endpoints)
+		fixture.balancer.rng = rand.New(rand.NewPCG(uint64(i), 1))
+		all = append(all, fixture)
 	}
 	return all
 }
--- a/internal/balancer/fixture_test.go
+++ b/internal/balancer/fixture_test.go
@@ -94,15 +94,15 @@
 type fixture struct {
 	*recorder
 	t            *testing.T
-	b            *Balancer
+	balancer     *Balancer
 	requestCount int // so far, for their IDs
 }
 
 // start returns a Balancer with a number of available endpoints. Their IDs count from 1, and each cell has two of them.
-func start(t *testing.T, s Settings, endpoints int) *fixture {
+func start(t *testing.T, config Settings, endpoints int) *fixture {
 	t.Helper()
 	host := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
-	b, err := New(s, 7, host)
+	b, err := New(config, 7, host)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,18 +111,18 @@
 		list.Entries = append(list.Entries, ListEntry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
 	}
 	b.HandleEndpoints(host.now, list)
-	return &fixture{recorder: host, t: t, b: b}
+	return &fixture{recorder: host, t: t, balancer: b}
 }
 
 // updateEndpoint delivers an update of the endpoint list with one entry.
 func (f *fixture) updateEndpoint(e ListEntry) {
-	f.b.HandleEndpoints(f.now, EndpointList{Kind: ListDelta, Version: 2, Entries: []ListEntry{e}})
+	f.balancer.HandleEndpoints(f.now, EndpointList{Kind: ListDelta, Version: 2, Entries: []ListEntry{e}})
 }
 
 // request delivers a request of a class with 1.5 s left, and returns its ID.
 func (f *fixture) request(class int) RequestID {
 	id := f.nextID()
-	f.b.HandleRequest(f.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms})
+	f.balancer.HandleRequest(f.now, Request{ID: id, Class: class, TimeLeft: 1500 * ms})
 	return id
 }
 
@@ -134,7 +134,7 @@
 
 // finish delivers the outcome of an attempt.
 func (f *fixture) finish(a attempt, status Status, elapsed time.Duration) {
-	f.b.HandleOutcome(f.now, Outcome{
+	f.balancer.HandleOutcome(f.now, Outcome{
 		ID: a.id, Endpoint: a.to, Attempt: a.number, Final: status == StatusOK, Status: status, Elapsed: elapsed,
 	})
 }
@@ -145,7 +145,7 @@
 		for _, token := range []uint64{timerTick, timerWatch} {
 			if fireAt, ok := f.timers[token]; ok && fireAt <= f.now {
 				delete(f.timers, token)
-				f.b.HandleTimer(f.now, token)
+				f.balancer.HandleTimer(f.now, token)
 			}
 		}
 	}
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -76,27 +76,27 @@
 }
 
 // drawOutcome draws the end of a call. Some endpoints are slower than others, some fail more often, and all are slow at times.
-func (r *recordingHost) drawOutcome(c call) call {
-	latency := time.Duration((0.2 + r.rng.ExpFloat64()) * float64(1+c.to%3) * float64(5*time.Millisecond))
+func (r *recordingHost) drawOutcome(sent call) call {
+	latency := time.Duration((0.2 + r.rng.ExpFloat64()) * float64(1+sent.to%3) * float64(5*time.Millisecond))
 	if r.now/time.Second%4 == 2 {
 		latency *= 8
 	}
 	switch {
 	case r.rng.IntN(40) == 0:
-		c.status = balancer.Status(r.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
-	case c.to%17 == 3 && r.rng.IntN(3) == 0:
-		c.status = balancer.StatusError
+		sent.status = balancer.Status(r.rng.IntN(int(balancer.StatusInvalidResponse) + 1))
+	case sent.to%17 == 3 && r.rng.IntN(3) == 0:
+		sent.status = balancer.StatusError
 	case r.rng.IntN(200) == 0:
 		latency = time.Minute // the call is lost
 	}
-	if c.timeout > 0 && latency > c.timeout {
-		latency, c.status = c.timeout, balancer.StatusTimeout
+	if sent.timeout > 0 && latency > sent.timeout {
+		latency, sent.status = sent.timeout, balancer.StatusTimeout
 	}
 	if maxLatency := 2 * time.Second; latency > maxLatency {
-		latency, c.status = maxLatency, balancer.StatusTimeout
+		latency, sent.status = maxLatency, balancer.StatusTimeout
 	}
-	c.endsAt = r.now + max(latency, time.Millisecond)
-	return c
+	sent.endsAt = r.now + max(latency, time.Millisecond)
+	return sent
 }
 
 func (r *recordingHost) Reject(id balancer.RequestID, retryAfter time.Duration) {
@@ -187,7 +187,7 @@
 	}
 	read := class("read", balancer.Idempotent, "", 1)
 	read.LateValueShare, read.Streaming = 0, true
-	s := balancer.Settings{
+	config := balancer.Settings{
 		Instances:           1,
 		Quantum:             2 * time.Millisecond,
 		MayCancel:           true,
@@ -208,8 +208,8 @@
 			class("anywhere", balancer.IdempotentWithKey, balancer.KeyScopeAll, 1),
 		},
 	}
-	change(&s)
-	return s
+	change(&config)
+	return config
 }
 
 // player delivers random events to a Balancer.
@@ -298,21 +298,21 @@
 }
 
 // outcome returns the outcome of a call that ends now.
-func (p *player) outcome(c call) balancer.Outcome {
+func (p *player) outcome(ended call) balancer.Outcome {
 	outcome := balancer.Outcome{
-		ID:       c.id,
-		Endpoint: c.to,
-		Attempt:  c.attempt,
-		Elapsed:  p.now - c.sentAt,
-		Status:   c.status,
-		Final:    c.status == balancer.StatusOK || p.final[c.id],
+		ID:       ended.id,
+		Endpoint: ended.to,
+		Attempt:  ended.attempt,
+		Elapsed:  p.now - ended.sentAt,
+		Status:   ended.status,
+		Final:    ended.status == balancer.StatusOK || p.final[ended.id],
 		NoRetry:  p.rng.IntN(40) == 0,
 	}
 	if p.rng.IntN(20) == 0 {
 		outcome.Backoff = time.Duration(p.rng.IntN(100)) * time.Millisecond
 	}
 	if p.reports && p.rng.IntN(2) == 0 {
-		serviceTime := time.Duration(1+p.rng.IntN(8)*int(1+c.to%4)) * time.Millisecond
+		serviceTime := time.Duration(1+p.rng.IntN(8)*int(1+ended.to%4)) * time.Millisecond
 		outcome.Load = &balancer.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceTime: serviceTime}
 	}
 	return outcome
@@ -404,12 +404,12 @@
 }
 
 func TestGoldenDecisions(t *testing.T) {
-	for _, s := range scenarios {
-		t.Run(s.name, func(t *testing.T) {
+	for _, played := range scenarios {
+		t.Run(played.name, func(t *testing.T) {
 			t.Parallel()
 			var text strings.Builder
 			for seed := range uint64(3) {
-				p := &player{recordingHost: newRecordingHost(seed), scenario: s, t: t, settings: goldenSettings(s.change)}
+				p := &player{recordingHost: newRecordingHost(seed), scenario: played, t: t, settings: goldenSettings(played.change)}
 				b, err := balancer.New(p.settings, seed, p.recordingHost)
 				if err != nil {
 					t.Fatal(err)
@@ -420,7 +420,7 @@
 				fmt.Fprintf(&text, "seed %d: %d requests, %v\n%x\n", seed, p.requestCount, p.counts, p.digest.Sum(nil))
 				text.WriteString(strings.Join(p.first, ""))
 			}
-			golden.Text(t, "decisions-"+s.name+".txt", []byte(text.String()))
+			golden.Text(t, "decisions-"+played.name+".txt", []byte(text.String()))
 		})
 	}
 }
--- a/internal/balancer/index_test.go
+++ b/internal/balancer/index_test.go
@@ -17,14 +17,14 @@
 	if b.subset.stale {
 		b.updateSubset(now)
 	}
-	for i, e := range b.listed {
-		if i > 0 && b.listed[i-1].id >= e.id || !e.listed || b.endpointsByID[e.id] != e {
-			tb.Fatalf("the list is out of order at %d", e.id)
+	for i, ep := range b.listed {
+		if i > 0 && b.listed[i-1].id >= ep.id || !ep.listed || b.endpointsByID[ep.id] != ep {
+			tb.Fatalf("the list is out of order at %d", ep.id)
 		}
-		verifyIndexed(tb, b, e)
-		verifyPooled(tb, b, now, e)
-		verifyHashShare(tb, b, e)
-		verifyQueued(tb, b, e)
+		verifyIndexed(tb, b, ep)
+		verifyPooled(tb, b, now, ep)
+		verifyHashShare(tb, b, ep)
+		verifyQueued(tb, b, ep)
 	}
 	verifyCounts(tb, b)
 	verifySubset(tb, b)
@@ -32,74 +32,74 @@
 }
 
 // verifyIndexed checks that the index contains an endpoint if, and only if, requests may be sent to it.
-func verifyIndexed(tb testing.TB, b *Balancer, e *endpoint) {
+func verifyIndexed(tb testing.TB, b *Balancer, ep *endpoint) {
 	tb.Helper()
-	indexed := e.availability != draining
-	if e.index.indexed != indexed || slices.Contains(b.index.byCell[e.cell], e) != indexed {
-		tb.Fatalf("endpoint %d: availability %d, indexed %v", e.id, e.availability, e.index.indexed)
+	indexed := ep.availability != draining
+	if ep.index.indexed != indexed || slices.Contains(b.index.byCell[ep.cell], ep) != indexed {
+		tb.Fatalf("endpoint %d: availability %d, indexed %v", ep.id, ep.availability, ep.index.indexed)
 	}
 }
 
 // expectedPool returns the pool that an endpoint belongs to, or noPool.
-func expectedPool(e *endpoint) int {
+func expectedPool(ep *endpoint) int {
 	switch {
-	case e.availability == available && e.subsetWeight > 0:
+	case ep.availability == available && ep.subsetWeight > 0:
 		return availablePool
-	case e.availability == available:
+	case ep.availability == available:
 		return outsidePool
-	case e.availability == warmingUp && e.subsetWeight > 0:
+	case ep.availability == warmingUp && ep.subsetWeight > 0:
 		return warmingUpPool
 	}
 	return noPool
 }
 
 // verifyPooled checks that an endpoint is in its pool, and that its weight does not exceed its bound there.
-func verifyPooled(tb testing.TB, b *Balancer, now time.Duration, e *endpoint) {
+func verifyPooled(tb testing.TB, b *Balancer, now time.Duration, ep *endpoint) {
 	tb.Helper()
-	want := expectedPool(e)
-	if e.index.pooled != (want != noPool) || e.index.pooled && e.index.pool != want {
+	want := expectedPool(ep)
+	if ep.index.pooled != (want != noPool) || ep.index.pooled && ep.index.pool != want {
 		tb.Fatalf(
 			"endpoint %d: availability %d, subset weight %v; pooled %v in %d",
-			e.id, e.availability, e.subsetWeight, e.index.pooled, e.index.pool,
+			ep.id, ep.availability, ep.subsetWeight, ep.index.pooled, ep.index.pool,
 		)
 	}
 	if want == noPool {
 		return
 	}
-	weight := b.weights.drawWeight(e) * b.capacityShare(now, e)
-	if weight > e.index.bound*b.pools.boundSlack*(1+1e-9) {
+	weight := b.weights.drawWeight(ep) * b.capacityShare(now, ep)
+	if weight > ep.index.bound*b.pools.boundSlack*(1+1e-9) {
 		tb.Fatalf(
 			"endpoint %d: weight %v over its bound %v, slack %v, pool %d",
-			e.id, weight, e.index.bound, b.pools.boundSlack, want,
+			ep.id, weight, ep.index.bound, b.pools.boundSlack, want,
 		)
 	}
 }
 
 // verifyHashShare checks that a subset by hash contains an endpoint if, and only if, the hash share owns it.
-func verifyHashShare(tb testing.TB, b *Balancer, e *endpoint) {
+func verifyHashShare(tb testing.TB, b *Balancer, ep *endpoint) {
 	tb.Helper()
 	if !b.subset.byHash {
 		return
 	}
-	owned := e.availability != draining && b.subset.share.Owns(uint32(e.id))
-	if (e.subsetWeight > 0) != (owned && b.weights.endpointWeight(e) > 0) {
+	owned := ep.availability != draining && b.subset.share.Owns(uint32(ep.id))
+	if (ep.subsetWeight > 0) != (owned && b.weights.endpointWeight(ep) > 0) {
 		tb.Fatalf(
 			"endpoint %d: availability %d, subset weight %v, in this instance's hash share %v",
-			e.id, e.availability, e.subsetWeight, owned,
+			ep.id, ep.availability, ep.subsetWeight, owned,
 		)
 	}
 }
 
 // verifyQueued checks that an endpoint is in the queues of slow starts and of trials if, and only if, it is in that state.
-func verifyQueued(tb testing.TB, b *Balancer, e *endpoint) {
+func verifyQueued(tb testing.TB, b *Balancer, ep *endpoint) {
 	tb.Helper()
-	_, slowStart := b.slowStarts.Deadline(e)
-	trialAt, trial := b.trials.Deadline(e)
-	awaitsTrial := e.availability == ejected && e.subsetWeight > 0 && len(e.calls) == 0
-	if slowStart != (e.availability == warmingUp) || trial != awaitsTrial || trial && trialAt != e.trialAt {
+	_, slowStart := b.slowStarts.Deadline(ep)
+	trialAt, trial := b.trials.Deadline(ep)
+	awaitsTrial := ep.availability == ejected && ep.subsetWeight > 0 && len(ep.calls) == 0
+	if slowStart != (ep.availability == warmingUp) || trial != awaitsTrial || trial && trialAt != ep.trialAt {
 		tb.Fatalf(
 			"endpoint %d: availability %d, subset weight %v, slow start %v, trial %v",
-			e.id, e.availability, e.subsetWeight, slowStart, trial,
+			ep.id, ep.availability, ep.subsetWeight, slowStart, trial,
 		)
 	}
 }
@@ -110,15 +110,15 @@
 	indexed, busy := 0, 0
 	perZone := map[int]int{}
 	var pooled [poolCount]int
-	for _, e := range b.listed {
-		if e.availability != draining {
+	for _, ep := range b.listed {
+		if ep.availability != draining {
 			indexed++
-			perZone[e.zone]++
+			perZone[ep.zone]++
 		}
-		if len(e.calls) > 0 {
+		if len(ep.calls) > 0 {
 			busy++
 		}
-		if pool := expectedPool(e); pool != noPool {
+		if pool := expectedPool(ep); pool != noPool {
 			pooled[pool]++
 		}
 	}
@@ -139,12 +139,12 @@
 func verifySubset(tb testing.TB, b *Balancer) {
 	tb.Helper()
 	members, weight := 0, 0.0
-	for _, e := range b.listed {
-		if e.subsetWeight > 0 {
+	for _, ep := range b.listed {
+		if ep.subsetWeight > 0 {
 			members++
 		}
-		if expectedPool(e) == availablePool {
-			weight += b.weights.drawWeight(e)
+		if expectedPool(ep) == availablePool {
+			weight += b.weights.drawWeight(ep)
 		}
 	}
 	if b.subset.byHash && (b.subset.all || !slices.IsSortedFunc(b.subset.members, compareIDs)) {
@@ -168,8 +168,8 @@
 			tb.Fatalf("weight %v: %d", weight, n)
 		}
 	}
-	differs := func(e *endpoint) bool { return e.listedWeight != b.listed[0].listedWeight }
-	isZero := func(e *endpoint) bool { return e.listedWeight <= 0 }
+	differs := func(ep *endpoint) bool { return ep.listedWeight != b.listed[0].listedWeight }
+	isZero := func(ep *endpoint) bool { return ep.listedWeight <= 0 }
 	weighted := slices.ContainsFunc(b.listed, differs) && !slices.ContainsFunc(b.listed, isZero)
 	if counted != len(b.listed) || weighted != b.weights.useListed {
 		tb.Fatalf("%d weights of %d; weighted %v", counted, len(b.listed), b.weights.useListed)
@@ -190,22 +190,22 @@
 func newFleetEvents(t *testing.T, seed uint64) *fleetEvents {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 2))
-	s := settings()
-	s.Instances = []int{1, 3, 12, 40, 4}[seed%5]
-	s.Ordinal = rng.IntN(s.Instances)
+	config := settings()
+	config.Instances = []int{1, 3, 12, 40, 4}[seed%5]
+	config.Ordinal = rng.IntN(config.Instances)
 	if seed%7 == 0 {
-		s.SlowStartMinShare = 0
+		config.SlowStartMinShare = 0
 	}
 	endpoints := 60
-	if s.Instances == 4 {
+	if config.Instances == 4 {
 		endpoints = 96 // a subset by hash, while most are listed
 	}
-	f := start(t, s, endpoints)
-	f.b.scanLimit = []int{0, maxScanned}[seed/4%2]
+	fixture := start(t, config, endpoints)
+	fixture.balancer.scanLimit = []int{0, maxScanned}[seed/4%2]
 	return &fleetEvents{
-		fixture:   f,
+		fixture:   fixture,
 		rng:       rng,
-		instances: s.Instances,
+		instances: config.Instances,
 		endpoints: endpoints,
 		reports:   seed%3 == 0,
 		weighted:  seed%3 == 1,
@@ -254,7 +254,7 @@
 	if f.reports {
 		outcome.Load = &Load{ServiceTime: time.Duration(1+f.rng.IntN(20)*int(1+ended.to%3)) * ms}
 	}
-	f.b.HandleOutcome(f.now, outcome)
+	f.balancer.HandleOutcome(f.now, outcome)
 }
 
 // randomEntry returns an entry of the endpoint list.
@@ -283,7 +283,7 @@
 	for range 1 + f.rng.IntN(80) {
 		list.Entries = append(list.Entries, f.randomEntry())
 	}
-	f.b.HandleEndpoints(f.now, list)
+	f.balancer.HandleEndpoints(f.now, list)
 }
 
 // randomRegroup delivers another group of instances.
@@ -296,7 +296,7 @@
 		}
 		group.Self = group.Members[group.Ordinal]
 	}
-	if err := f.b.UpdateGroup(f.now, group); err != nil {
+	if err := f.balancer.UpdateGroup(f.now, group); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -304,10 +304,10 @@
 // After any events, the index agrees with a scan of all endpoints.
 func TestIndexMatchesAFullScan(t *testing.T) {
 	for seed := range uint64(40 * soaked(20)) {
-		f := newFleetEvents(t, seed)
+		fixture := newFleetEvents(t, seed)
 		for range 150 * soaked(4) {
-			f.step()
-			verify(t, f.b, f.now)
+			fixture.step()
+			verify(t, fixture.balancer, fixture.now)
 		}
 	}
 }
--- a/internal/balancer/pools_test.go
+++ b/internal/balancer/pools_test.go
@@ -9,20 +9,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// mixedStates returns a Balancer with n endpoints in many states: some are in slow start, at various shares of their capacity, some
+// mixedStates returns a Balancer with endpoints in many states: some are in slow start, at various shares of their capacity, some
 // are ejected, draining, full or slow, or have calls in flight. Their kinds differ, and their weights if weighted is true.
-func mixedStates(tb testing.TB, n, instances int, weighted bool) (*Balancer, *recorder) {
+func mixedStates(tb testing.TB, endpoints, instances int, weighted bool) (*Balancer, *recorder) {
 	tb.Helper()
 	host := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: 100 * time.Second}
-	s := settings()
-	s.Instances, s.Ordinal = instances, instances/2
-	b, err := New(s, 7, host)
+	config := settings()
+	config.Instances, config.Ordinal = instances, instances/2
+	b, err := New(config, 7, host)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	listMixedStates(b, host, rng, n, weighted)
-	serveMixedLatencies(b, host, rng, 40*n)
+	listMixedStates(b, host, rng, endpoints, weighted)
+	serveMixedLatencies(b, host, rng, 40*endpoints)
 	for _, e := range b.listed {
 		switch rng.IntN(10) {
 		case 0:
@@ -39,17 +39,17 @@
 	b.enqueueDue(host.now)
 	b.advanceSlowStarts(host.now)
 	b.updateSubset(host.now)
-	b.warmSendRate.add(host.now, b.rateWindow, 1000/float64(n))
+	b.warmSendRate.add(host.now, b.rateWindow, 1000/float64(endpoints))
 	for _, e := range b.listed {
 		e.slowStartTokens, e.slowStartTokensAt = float64(rng.IntN(3)), host.now
 	}
 	return b, host
 }
 
-// listMixedStates lists n endpoints, of which some have started recently and some are draining.
-func listMixedStates(b *Balancer, host *recorder, rng *rand.Rand, n int, weighted bool) {
+// listMixedStates lists endpoints, of which some have started recently and some are draining.
+func listMixedStates(b *Balancer, host *recorder, rng *rand.Rand, endpoints int, weighted bool) {
 	list := EndpointList{Kind: ListFull, Version: 1}
-	for i := 1; i <= n; i++ {
+	for i := 1; i <= endpoints; i++ {
 		entry := ListEntry{Endpoint: EndpointID(i), Cell: i / 2, MachineKind: i % 3, Zone: i % 4, Weight: 1}
 		if weighted {
 			entry.Weight = float64(1 + rng.IntN(4))
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -9,26 +9,26 @@
 // saturated. Latencies far above the normal ones have to slow down the calls.
 func TestPressurePacesCallsWhereInstancesOutnumberEndpoints(t *testing.T) {
 	sends := func(instances int, latency time.Duration) int {
-		s := settings()
-		s.Instances = instances
-		f := start(t, s, 10)
+		config := settings()
+		config.Instances = instances
+		fixture := start(t, config, 10)
 		sentBefore := 0
 		for i := range 240 {
 			if i == 40 {
-				sentBefore = len(f.sent)
+				sentBefore = len(fixture.sent)
 			}
-			sent := len(f.sent)
-			f.request(read)
-			if len(f.sent) > sent {
+			sent := len(fixture.sent)
+			fixture.request(read)
+			if len(fixture.sent) > sent {
 				if i > 40 {
-					f.finish(f.last(), StatusOK, latency)
+					fixture.finish(fixture.last(), StatusOK, latency)
 				} else {
-					f.finish(f.last(), StatusOK, 100*ms)
+					fixture.finish(fixture.last(), StatusOK, 100*ms)
 				}
 			}
-			f.advance(100 * ms)
+			fixture.advance(100 * ms)
 		}
-		return len(f.sent) - sentBefore
+		return len(fixture.sent) - sentBefore
 	}
 	if n := sends(100, 100*ms); n != 200 {
 		t.Errorf("%d of 200 requests sent to a tier at its normal latency, want all", n)
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -9,21 +9,21 @@
 )
 
 func TestTenantBeyondItsQuotaGivesWay(t *testing.T) {
-	s := settings()
-	s.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 100}}
-	f := start(t, s, 1)
-	f.serveRequests(100, nil)
+	config := settings()
+	config.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 100}}
+	fixture := start(t, config, 1)
+	fixture.serveRequests(100, nil)
 	for i := range 150 {
-		f.b.HandleRequest(f.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, TimeLeft: 1500 * ms})
+		fixture.balancer.HandleRequest(fixture.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, TimeLeft: 1500 * ms})
 	}
 	for range 20 {
-		f.advance(20 * ms)
-		for _, r := range slices.Clone(f.b.listed[0].calls) {
-			f.finish(attempt{id: r.id, to: 1, number: r.attempts - 1}, StatusOK, 20*ms)
+		fixture.advance(20 * ms)
+		for _, r := range slices.Clone(fixture.balancer.listed[0].calls) {
+			fixture.finish(attempt{id: r.id, to: 1, number: r.attempts - 1}, StatusOK, 20*ms)
 		}
 	}
 	served := map[bool]int{} // by whether the tenant is the one beyond its quota
-	for _, s := range f.sent[100:] {
+	for _, s := range fixture.sent[100:] {
 		served[(s.id[len(s.id)-1]-'0')%2 == 0]++
 	}
 	if served[true] >= served[false] {
@@ -34,20 +34,20 @@
 // A tenant with a request every three seconds at an instance is within its quota. A bucket for the quota of one second would never
 // have a complete token, so that each request would be beyond the quota.
 func TestSmallTenantIsWithinItsQuota(t *testing.T) {
-	s := settings()
-	s.Instances = 100
-	s.Tenants = []Tenant{{Name: "small", QuotaPerSecond: 40}, {Name: "large", QuotaPerSecond: 1000}}
-	f := start(t, s, 50)
+	config := settings()
+	config.Instances = 100
+	config.Tenants = []Tenant{{Name: "small", QuotaPerSecond: 40}, {Name: "large", QuotaPerSecond: 1000}}
+	fixture := start(t, config, 50)
 	overQuota := 0
 	for i := range 60 {
 		id := RequestID(fmt.Sprint("t", i))
-		f.b.HandleRequest(f.now, Request{ID: id, TimeLeft: 1500 * ms})
-		if f.b.requests[id].overQuota {
+		fixture.balancer.HandleRequest(fixture.now, Request{ID: id, TimeLeft: 1500 * ms})
+		if fixture.balancer.requests[id].overQuota {
 			overQuota++
 		}
-		f.advance(20 * ms)
-		f.finish(f.last(), StatusOK, 20*ms)
-		f.advance(2980 * ms)
+		fixture.advance(20 * ms)
+		fixture.finish(fixture.last(), StatusOK, 20*ms)
+		fixture.advance(2980 * ms)
 	}
 	if overQuota > 6 {
 		t.Errorf("%d of 60 requests beyond a quota that is never exceeded", overQuota)
@@ -56,26 +56,26 @@
 
 // Requests beyond a quota are served from what the other tenants leave of all quotas together, and rejected beyond that.
 func TestBeyondQuotaTakesOnlyWhatOthersLeave(t *testing.T) {
-	s := settings()
-	s.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 45}}
-	f := start(t, s, 50)
-	f.serveRequests(50, nil)
+	config := settings()
+	config.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 45}}
+	fixture := start(t, config, 50)
+	fixture.serveRequests(50, nil)
 	rejected := func(tenthsOfOther int) int {
-		before := len(f.rejections)
+		before := len(fixture.rejections)
 		for i := range 2000 {
 			for tenant := range 2 {
 				if tenant == 1 && i%10 >= tenthsOfOther {
 					continue
 				}
-				sent := len(f.sent)
-				f.b.HandleRequest(f.now, Request{ID: f.nextID(), Tenant: tenant, TimeLeft: 1500 * ms})
-				if len(f.sent) > sent {
-					f.finish(f.last(), StatusOK, 20*ms)
+				sent := len(fixture.sent)
+				fixture.balancer.HandleRequest(fixture.now, Request{ID: fixture.nextID(), Tenant: tenant, TimeLeft: 1500 * ms})
+				if len(fixture.sent) > sent {
+					fixture.finish(fixture.last(), StatusOK, 20*ms)
 				}
 			}
-			f.advance(22 * ms) // 45 requests a second of tenant a, and up to as many of b
+			fixture.advance(22 * ms) // 45 requests a second of tenant a, and up to as many of b
 		}
-		return len(f.rejections) - before
+		return len(fixture.rejections) - before
 	}
 	if n := rejected(0); n > 40 {
 		t.Errorf("%d of 2000 rejected while the other tenant has no requests", n)
@@ -88,16 +88,16 @@
 // Quotas are divided by the number of instances that may exist, not by the number of reachable ones. A bucket that grows starts
 // without additional tokens.
 func TestGroupUpdateDividesQuotas(t *testing.T) {
-	s := settings()
-	s.Instances, s.Tenants = 10, []Tenant{{Name: "a", QuotaPerSecond: 100}}
-	f := start(t, s, 40)
+	config := settings()
+	config.Instances, config.Tenants = 10, []Tenant{{Name: "a", QuotaPerSecond: 100}}
+	fixture := start(t, config, 40)
 	checkRate := func(g InstanceGroup, want float64) {
 		t.Helper()
-		tokensBefore := f.b.quotas.tenants[0].tokens
-		if err := f.b.UpdateGroup(f.now, g); err != nil {
+		tokensBefore := fixture.balancer.quotas.tenants[0].tokens
+		if err := fixture.balancer.UpdateGroup(fixture.now, g); err != nil {
 			t.Fatal(err)
 		}
-		tenant, total := &f.b.quotas.tenants[0], &f.b.quotas.total
+		tenant, total := &fixture.balancer.quotas.tenants[0], &fixture.balancer.quotas.total
 		if tenant.rate != want || math.Abs(total.rate-want) > 1e-9 {
 			t.Errorf("%+v: %v and %v a second, want %v", g, tenant.rate, total.rate, want)
 		}
@@ -114,11 +114,11 @@
 		"this one":      {Instances: 2, Members: []uint64{1, 2}, Self: 3},
 		"1 members for": {Instances: 2, Members: []uint64{1}, Self: 1},
 	} {
-		if err := f.b.UpdateGroup(f.now, g); err == nil || !strings.Contains(err.Error(), want) {
+		if err := fixture.balancer.UpdateGroup(fixture.now, g); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %q", g, err, want)
 		}
 	}
-	if f.b.settings.Instances != 20 {
+	if fixture.balancer.settings.Instances != 20 {
 		t.Error("an invalid group changed the settings")
 	}
 }
--- a/internal/balancer/request_test.go
+++ b/internal/balancer/request_test.go
@@ -7,62 +7,62 @@
 )
 
 func TestCallsAreCancelledOnceTheClientHasGone(t *testing.T) {
-	f := start(t, settings(), 2)
-	id := f.request(read)
-	f.b.HandleClientGone(f.now, id)
-	if len(f.cancels) != 1 || f.cancels[0].id != id {
-		t.Errorf("cancelled %v, want %s", f.cancels, id)
+	fixture := start(t, settings(), 2)
+	id := fixture.request(read)
+	fixture.balancer.HandleClientGone(fixture.now, id)
+	if len(fixture.cancels) != 1 || fixture.cancels[0].id != id {
+		t.Errorf("cancelled %v, want %s", fixture.cancels, id)
 	}
-	f.finish(f.last(), StatusCancelled, ms)
-	if len(f.sent) != 1 || len(f.fails)+len(f.rejections) > 0 {
+	fixture.finish(fixture.last(), StatusCancelled, ms)
+	if len(fixture.sent) != 1 || len(fixture.fails)+len(fixture.rejections) > 0 {
 		t.Error("more was done for a client that had gone")
 	}
 }
 
 func TestStreamBelongsToTheClient(t *testing.T) {
-	s := settings()
-	s.Classes[read].Streaming = true
-	f := start(t, s, 2)
-	id := f.request(read)
-	f.b.HandleResponseStart(f.now, id, 0, f.last().to)
-	f.advance(10 * time.Second)
-	f.b.HandleOutcome(f.now, Outcome{ID: id, Endpoint: f.last().to, Final: true, Status: StatusReset})
-	if len(f.sent) != 1 || len(f.fails)+len(f.rejections)+len(f.cancels) > 0 {
+	config := settings()
+	config.Classes[read].Streaming = true
+	fixture := start(t, config, 2)
+	id := fixture.request(read)
+	fixture.balancer.HandleResponseStart(fixture.now, id, 0, fixture.last().to)
+	fixture.advance(10 * time.Second)
+	fixture.balancer.HandleOutcome(fixture.now, Outcome{ID: id, Endpoint: fixture.last().to, Final: true, Status: StatusReset})
+	if len(fixture.sent) != 1 || len(fixture.fails)+len(fixture.rejections)+len(fixture.cancels) > 0 {
 		t.Error("a stream that had begun was answered, retried or cancelled")
 	}
 }
 
 func TestUnknownEventsAreTakenInStride(t *testing.T) {
-	f := start(t, settings(), 2)
-	f.b.HandleOutcome(f.now, Outcome{ID: "unknown", Status: StatusOK})
-	f.b.HandleClientGone(f.now, "unknown")
-	f.b.HandleResponseStart(f.now, "unknown", 0, 1)
-	f.b.HandleTimer(f.now, 99)
-	f.b.HandleHealthCheck(f.now, HealthCheckResult{Endpoint: 9})
-	f.b.HandlePeerMessage(f.now, 3, nil)
-	f.request(read)
-	call := f.last()
-	f.updateEndpoint(ListEntry{Endpoint: call.to, State: EndpointRemoved})
-	f.b.HandleEndpoints(f.now, EndpointList{Kind: ListFull, Version: 3})
-	f.finish(call, StatusReset, ms)
-	f.finish(call, StatusOK, ms)
-	f.advance(2 * time.Second)
-	if len(f.rejections) != 1 {
-		t.Errorf("rejected %v, want the one request that lost its endpoint and has no other", f.rejections)
+	fixture := start(t, settings(), 2)
+	fixture.balancer.HandleOutcome(fixture.now, Outcome{ID: "unknown", Status: StatusOK})
+	fixture.balancer.HandleClientGone(fixture.now, "unknown")
+	fixture.balancer.HandleResponseStart(fixture.now, "unknown", 0, 1)
+	fixture.balancer.HandleTimer(fixture.now, 99)
+	fixture.balancer.HandleHealthCheck(fixture.now, HealthCheckResult{Endpoint: 9})
+	fixture.balancer.HandlePeerMessage(fixture.now, 3, nil)
+	fixture.request(read)
+	call := fixture.last()
+	fixture.updateEndpoint(ListEntry{Endpoint: call.to, State: EndpointRemoved})
+	fixture.balancer.HandleEndpoints(fixture.now, EndpointList{Kind: ListFull, Version: 3})
+	fixture.finish(call, StatusReset, ms)
+	fixture.finish(call, StatusOK, ms)
+	fixture.advance(2 * time.Second)
+	if len(fixture.rejections) != 1 {
+		t.Errorf("rejected %v, want the one request that lost its endpoint and has no other", fixture.rejections)
 	}
 }
 
 // Equal events with the same seed give the same attempts.
 func TestDeterminism(t *testing.T) {
 	run := func() []attempt {
-		f := start(t, settings(), 9)
-		f.serveRequests(300, func(to EndpointID) Status {
+		fixture := start(t, settings(), 9)
+		fixture.serveRequests(300, func(to EndpointID) Status {
 			if to == 4 {
 				return StatusReset
 			}
 			return StatusOK
 		})
-		return f.sent
+		return fixture.sent
 	}
 	if !slices.Equal(run(), run()) {
 		t.Error("two runs of the same events differ")
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -35,19 +35,19 @@
 
 func newRules(t *testing.T, seed uint64) *rules {
 	t.Helper()
-	s := settings()
-	s.MayCancel, s.HedgedRequests = seed%2 == 0, seed%3 == 0
-	s.Classes[book].KeyScope = []KeyScope{KeyScopeCell, KeyScopeZone, KeyScopeAll}[seed%3]
-	f := start(t, s, 8)
+	config := settings()
+	config.MayCancel, config.HedgedRequests = seed%2 == 0, seed%3 == 0
+	config.Classes[book].KeyScope = []KeyScope{KeyScopeCell, KeyScopeZone, KeyScopeAll}[seed%3]
+	fixture := start(t, config, 8)
 	if seed >= 30 {
-		f.b.scanLimit = 0 // only draws from the pools
+		fixture.balancer.scanLimit = 0 // only draws from the pools
 	}
 	return &rules{
-		fixture:  f,
+		fixture:  fixture,
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 1)),
-		scope:    s.Classes[book].KeyScope,
-		window:   s.Classes[book].KeyWindow,
+		scope:    config.Classes[book].KeyScope,
+		window:   config.Classes[book].KeyWindow,
 		requests: map[RequestID]*rulesRequest{},
 		notReady: map[EndpointID]bool{},
 		sentAt:   map[attempt]time.Duration{},
@@ -76,7 +76,7 @@
 	id, class := r.nextID(), r.rng.IntN(3)
 	timeLeft := time.Duration(1+r.rng.IntN(1500)) * ms
 	r.requests[id] = &rulesRequest{class: class, deadline: r.now + timeLeft}
-	r.b.HandleRequest(r.now, Request{ID: id, Class: class, TimeLeft: timeLeft})
+	r.balancer.HandleRequest(r.now, Request{ID: id, Class: class, TimeLeft: timeLeft})
 }
 
 // randomOutcome ends one of the attempts in flight.
@@ -97,7 +97,7 @@
 	if status == StatusOK {
 		request.answers++
 	}
-	r.b.HandleOutcome(r.now, Outcome{
+	r.balancer.HandleOutcome(r.now, Outcome{
 		ID: ended.id, Endpoint: ended.to, Attempt: ended.number, Final: final, Status: status, Elapsed: r.now - r.sentAt[ended],
 	})
 }
@@ -116,7 +116,7 @@
 		if request.ran == nil {
 			request.ran, request.ranAt = &expired, r.sentAt[expired]
 		}
-		r.b.HandleOutcome(r.now, Outcome{
+		r.balancer.HandleOutcome(r.now, Outcome{
 			ID: expired.id, Endpoint: expired.to, Attempt: expired.number, Final: request.answers > 0, Status: StatusTimeout,
 		})
 		r.check()
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -22,9 +22,9 @@
 		"ordinal":           func(s *Settings) { s.Ordinal = -1 },
 		"tipMultiple":       func(s *Settings) { s.OverloadMultiple = -1 },
 	} {
-		s := settings()
-		makeInvalid(&s)
-		if _, err := New(s, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), key) {
+		config := settings()
+		makeInvalid(&config)
+		if _, err := New(config, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v does not name it", key, err)
 		}
 	}
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -10,13 +10,13 @@
 
 // With many instances, each calls only a subset of the endpoints. If all called each endpoint, its connection table would be full.
 func TestSubsetWhereManyInstancesCall(t *testing.T) {
-	s := settings()
-	s.Instances = 30
+	config := settings()
+	config.Instances = 30
 	callers := map[EndpointID]int{}
 	for i := range 30 {
-		s.Ordinal = i
-		f := start(t, s, 20)
-		got := f.serveRequests(100, nil)
+		config.Ordinal = i
+		fixture := start(t, config, 20)
+		got := fixture.serveRequests(100, nil)
 		if len(got) != 2 {
 			t.Fatalf("instance %d calls %d endpoints, want 2", i, len(got))
 		}
@@ -34,19 +34,19 @@
 // With more instances than endpoints, the subsets of all instances together have each endpoint in proportion to its weight. With one
 // endpoint for each instance, small machines would get as many calls as large ones.
 func TestSmallSubsetsReachEndpointsByWeight(t *testing.T) {
-	s := settings()
-	s.Instances = 120
+	config := settings()
+	config.Instances = 120
 	subsetWeights, total := map[EndpointID]float64{}, 0.0
-	for i := range s.Instances {
-		s.Ordinal = i
-		f := start(t, s, 0)
+	for ordinal := range config.Instances {
+		config.Ordinal = ordinal
+		fixture := start(t, config, 0)
 		list := EndpointList{Kind: ListFull, Version: 2}
 		for id := EndpointID(1); id <= 20; id++ {
 			list.Entries = append(list.Entries, ListEntry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
 		}
-		f.b.HandleEndpoints(f.now, list)
+		fixture.balancer.HandleEndpoints(fixture.now, list)
 		called := 0
-		for _, e := range f.b.listed {
+		for _, e := range fixture.balancer.listed {
 			subsetWeights[e.id] += e.subsetWeight
 			total += e.subsetWeight
 			if e.subsetWeight > 0 {
@@ -54,7 +54,7 @@
 			}
 		}
 		if called < 2 || called > 8 {
-			t.Fatalf("instance %d calls %d endpoints, want a few", i, called)
+			t.Fatalf("instance %d calls %d endpoints, want a few", ordinal, called)
 		}
 	}
 	for id, got := range subsetWeights {
@@ -68,16 +68,16 @@
 // If many endpoints drain at once, all others share their load. If only the next few on the ring did, these would get four times the
 // mean.
 func TestSharesOfDrainingEndpointsFallToAll(t *testing.T) {
-	s := settings()
-	s.Instances = 80
+	config := settings()
+	config.Instances = 80
 	subsetWeights := map[EndpointID]float64{}
-	for i := range s.Instances {
-		s.Ordinal = i
-		f := start(t, s, 20)
+	for i := range config.Instances {
+		config.Ordinal = i
+		fixture := start(t, config, 20)
 		for id := EndpointID(5); id <= 14; id++ {
-			f.updateEndpoint(ListEntry{Endpoint: id, State: EndpointDraining, Weight: 1})
+			fixture.updateEndpoint(ListEntry{Endpoint: id, State: EndpointDraining, Weight: 1})
 		}
-		for _, e := range f.b.listed {
+		for _, e := range fixture.balancer.listed {
 			subsetWeights[e.id] += e.subsetWeight
 		}
 	}
@@ -96,23 +96,23 @@
 // list is short, the subset is by tiles instead.
 func TestSubsetsByIDs(t *testing.T) {
 	const n, instances = 2000, 40 // 150 each
-	s := settings()
-	s.Instances, s.Ordinal = instances, 7
-	f := start(t, s, n)
-	verify(t, f.b, f.now)
-	if size := len(f.b.subset.members); !f.b.subset.byHash || size < 100 || size > 200 {
-		t.Fatalf("by hash %v, %d endpoints", f.b.subset.byHash, size)
+	config := settings()
+	config.Instances, config.Ordinal = instances, 7
+	fixture := start(t, config, n)
+	verify(t, fixture.balancer, fixture.now)
+	if size := len(fixture.balancer.subset.members); !fixture.balancer.subset.byHash || size < 100 || size > 200 {
+		t.Fatalf("by hash %v, %d endpoints", fixture.balancer.subset.byHash, size)
 	}
-	subsetMovesNoOthers(t, f, n)
-	subsetGrowsWhileEjected(t, f)
-	subsetIsTiledWhileFew(t, f)
+	subsetMovesNoOthers(t, fixture, n)
+	subsetGrowsWhileEjected(t, fixture)
+	subsetIsTiledWhileFew(t, fixture)
 }
 
 // subsetIDs returns the endpoints of the subset, and checks that the subset has all of their weight.
 func (f *fixture) subsetIDs() map[EndpointID]bool {
 	f.t.Helper()
 	ids := map[EndpointID]bool{}
-	for id, weight := range f.b.Subset() {
+	for id, weight := range f.balancer.Subset() {
 		if weight != 1 {
 			f.t.Fatalf("endpoint %d: a weight of %v", id, weight)
 		}
@@ -122,17 +122,17 @@
 }
 
 // subsetMovesNoOthers replaces some endpoints of the subset, out of n endpoints, and checks that the others stay.
-func subsetMovesNoOthers(t *testing.T, f *fixture, n int) {
+func subsetMovesNoOthers(t *testing.T, fixture *fixture, n int) {
 	t.Helper()
-	before := f.subsetIDs()
+	before := fixture.subsetIDs()
 	for i := range 50 {
-		removed := f.b.subset.members[i].id
-		f.updateEndpoint(ListEntry{Endpoint: removed, State: EndpointRemoved})
-		f.updateEndpoint(ListEntry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
+		removed := fixture.balancer.subset.members[i].id
+		fixture.updateEndpoint(ListEntry{Endpoint: removed, State: EndpointRemoved})
+		fixture.updateEndpoint(ListEntry{Endpoint: EndpointID(n + 1 + i), Weight: 1})
 		delete(before, removed)
-		verify(t, f.b, f.now)
+		verify(t, fixture.balancer, fixture.now)
 	}
-	for id := range f.subsetIDs() {
+	for id := range fixture.subsetIDs() {
 		if int(id) <= n && !before[id] {
 			t.Fatalf("endpoint %d joined when others were removed", id)
 		}
@@ -144,49 +144,49 @@
 }
 
 // subsetGrowsWhileEjected ejects two thirds of the subset, and unejects them.
-func subsetGrowsWhileEjected(t *testing.T, f *fixture) {
+func subsetGrowsWhileEjected(t *testing.T, fixture *fixture) {
 	t.Helper()
-	b := f.b
+	b := fixture.balancer
 	size := len(b.subset.members)
 	for _, e := range slices.Clone(b.subset.members) {
 		if e.id%3 > 0 {
-			b.eject(f.now, e, "test")
-			b.refreshPools(f.now, e)
+			b.eject(fixture.now, e, "test")
+			b.refreshPools(fixture.now, e)
 		}
 	}
 	b.subset.stale = true
-	if verify(t, b, f.now); len(b.subset.members) < size*3/2 || b.subset.share.Widening != 2 {
+	if verify(t, b, fixture.now); len(b.subset.members) < size*3/2 || b.subset.share.Widening != 2 {
 		t.Fatalf("%d endpoints after two thirds of %d were ejected", len(b.subset.members), size)
 	}
 	for _, e := range b.listed {
 		if e.availability == ejected {
-			b.startSlowStart(f.now, e, f.now)
+			b.startSlowStart(fixture.now, e, fixture.now)
 		}
 	}
 	b.subset.stale = true
-	if verify(t, b, f.now); len(b.subset.members) != size || b.subset.share.Widening != 1 {
+	if verify(t, b, fixture.now); len(b.subset.members) != size || b.subset.share.Widening != 1 {
 		t.Fatalf("%d endpoints after the ejections, %d before", len(b.subset.members), size)
 	}
 }
 
 // subsetIsTiledWhileFew removes most endpoints, and lists them again.
-func subsetIsTiledWhileFew(t *testing.T, f *fixture) {
+func subsetIsTiledWhileFew(t *testing.T, fixture *fixture) {
 	t.Helper()
-	b := f.b
+	b := fixture.balancer
 	list := EndpointList{Kind: ListDelta, Version: 3}
 	for _, e := range b.listed[:1500] {
 		list.Entries = append(list.Entries, ListEntry{Endpoint: e.id, State: EndpointRemoved})
 	}
-	b.HandleEndpoints(f.now, list)
-	if verify(t, b, f.now); b.subset.byHash || len(b.subset.members) > 45 {
+	b.HandleEndpoints(fixture.now, list)
+	if verify(t, b, fixture.now); b.subset.byHash || len(b.subset.members) > 45 {
 		t.Fatalf("by hash %v with %d endpoints of %d", b.subset.byHash, len(b.subset.members), len(b.listed))
 	}
 	for i := range list.Entries {
 		list.Entries[i].State, list.Entries[i].Weight = EndpointReady, 1
 	}
 	list.Version = 4
-	b.HandleEndpoints(f.now, list)
-	if verify(t, b, f.now); !b.subset.byHash {
+	b.HandleEndpoints(fixture.now, list)
+	if verify(t, b, fixture.now); !b.subset.byHash {
 		t.Fatal("not by hash again")
 	}
 }
@@ -202,11 +202,11 @@
 // The size of a subset is limited. It is logged when all instances together cannot reach every endpoint, and when they can again.
 func TestMaxSubsetSize(t *testing.T) {
 	for _, maxSize := range []int{2, 20, 100} {
-		s := settings()
-		s.Instances, s.Ordinal, s.MaxSubsetSize = 12, 5, maxSize
-		f := start(t, s, 3000)
-		b := f.b
-		verify(t, b, f.now)
+		config := settings()
+		config.Instances, config.Ordinal, config.MaxSubsetSize = 12, 5, maxSize
+		fixture := start(t, config, 3000)
+		b := fixture.balancer
+		verify(t, b, fixture.now)
 		low, high := float64(maxSize), float64(maxSize)
 		if maxSize > hashSubsetFrom { // the size of a subset by hash is random
 			low, high = 0.84*low-3*math.Sqrt(low), high+3*math.Sqrt(high)
@@ -214,18 +214,18 @@
 		if n := float64(len(b.subset.members)); n < low || n > high+1 {
 			t.Errorf("%v endpoints, %d at most", n, maxSize)
 		}
-		f.checkLogged(fmt.Sprintf("reach at most %d of 3000", 12*maxSize))
+		fixture.checkLogged(fmt.Sprintf("reach at most %d of 3000", 12*maxSize))
 		list := EndpointList{Kind: ListDelta, Version: 2}
 		for id := EndpointID(12*maxSize + 1); id <= 3000; id++ {
 			list.Entries = append(list.Entries, ListEntry{Endpoint: id, State: EndpointRemoved})
 		}
-		b.HandleEndpoints(f.now, list)
-		verify(t, b, f.now)
-		f.checkLogged(fmt.Sprintf("reach all %d endpoints", 12*maxSize))
+		b.HandleEndpoints(fixture.now, list)
+		verify(t, b, fixture.now)
+		fixture.checkLogged(fmt.Sprintf("reach all %d endpoints", 12*maxSize))
 	}
-	s := settings()
-	s.MaxSubsetSize = -1
-	if _, err := New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "subsetMost") {
+	config := settings()
+	config.MaxSubsetSize = -1
+	if _, err := New(config, 1, nil); err == nil || !strings.Contains(err.Error(), "subsetMost") {
 		t.Errorf("a negative maximum: %v", err)
 	}
 }
@@ -240,11 +240,11 @@
 func newInstanceSet(t *testing.T, instances, endpoints int) *instanceSet {
 	t.Helper()
 	all := &instanceSet{t: t}
-	s := settings()
-	s.Instances = instances
+	config := settings()
+	config.Instances = instances
 	for i := range instances {
-		s.Ordinal = i
-		all.instances = append(all.instances, start(t, s, endpoints))
+		config.Ordinal = i
+		all.instances = append(all.instances, start(t, config, endpoints))
 		all.members = append(all.members, uint64(i)<<40+7)
 	}
 	return all
@@ -258,12 +258,12 @@
 		group.Members = append(group.Members, i.members[index])
 	}
 	for ordinal, index := range alive {
-		f := i.instances[index]
+		fixture := i.instances[index]
 		group.Ordinal, group.Self = ordinal, i.members[index]
-		if err := f.b.UpdateGroup(f.now, group); err != nil {
+		if err := fixture.balancer.UpdateGroup(fixture.now, group); err != nil {
 			i.t.Fatal(err)
 		}
-		verify(i.t, f.b, f.now)
+		verify(i.t, fixture.balancer, fixture.now)
 	}
 }
 
@@ -271,7 +271,7 @@
 func (i *instanceSet) called(indexes ...int) map[EndpointID]bool {
 	ids := map[EndpointID]bool{}
 	for _, index := range indexes {
-		for id := range i.instances[index].b.Subset() {
+		for id := range i.instances[index].balancer.Subset() {
 			ids[id] = true
 		}
 	}
--- a/internal/files/atomicfile/atomicfile.go
+++ b/internal/files/atomicfile/atomicfile.go
@@ -91,21 +91,21 @@
 }
 
 // resolveTarget returns the path of the file to replace, with symlinks resolved, and the permissions of the new one.
-func resolveTarget(f File) (target string, mode fs.FileMode, err error) {
-	info, err := os.Stat(f.Path)
+func resolveTarget(file File) (target string, mode fs.FileMode, err error) {
+	info, err := os.Stat(file.Path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		if _, err := os.Lstat(f.Path); err == nil {
-			return "", 0, fmt.Errorf("%s: is a symlink to a file that is not there", f.Path)
+		if _, err := os.Lstat(file.Path); err == nil {
+			return "", 0, fmt.Errorf("%s: is a symlink to a file that is not there", file.Path)
 		}
-		return f.Path, f.Mode, nil
+		return file.Path, file.Mode, nil
 	case err != nil:
-		return "", 0, fmt.Errorf("%s: %w", f.Path, withoutPath(err))
+		return "", 0, fmt.Errorf("%s: %w", file.Path, withoutPath(err))
 	case !info.Mode().IsRegular():
-		return "", 0, fmt.Errorf("%s: is no regular file", f.Path)
+		return "", 0, fmt.Errorf("%s: is no regular file", file.Path)
 	}
-	if target, err = filepath.EvalSymlinks(f.Path); err != nil {
-		return "", 0, fmt.Errorf("%s: %w", f.Path, withoutPath(err))
+	if target, err = filepath.EvalSymlinks(file.Path); err != nil {
+		return "", 0, fmt.Errorf("%s: %w", file.Path, withoutPath(err))
 	}
 	return target, info.Mode().Perm(), nil
 }
--- a/internal/files/store/bench_test.go
+++ b/internal/files/store/bench_test.go
@@ -73,19 +73,19 @@
 func BenchmarkDurable(b *testing.B) {
 	for _, writers := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("store/%d", writers), func(b *testing.B) {
-			s := openBench(b)
-			defer closeStore(b, s)
-			writeConcurrently(b, writers, func(key, value []byte) error { return s.Put(key, value, 16*time.Second) })
+			kv := openBench(b)
+			defer closeStore(b, kv)
+			writeConcurrently(b, writers, func(key, value []byte) error { return kv.Put(key, value, 16*time.Second) })
 		})
 		// The baseline is a store without group commit: the writers take turns, with one record a sync.
 		b.Run(fmt.Sprintf("one a sync/%d", writers), func(b *testing.B) {
-			s := openBench(b)
-			defer closeStore(b, s)
+			kv := openBench(b)
+			defer closeStore(b, kv)
 			var turn sync.Mutex
 			writeConcurrently(b, writers, func(key, value []byte) error {
 				turn.Lock()
 				defer turn.Unlock()
-				return s.Put(key, value, 16*time.Second)
+				return kv.Put(key, value, 16*time.Second)
 			})
 		})
 	}
@@ -102,9 +102,9 @@
 // openBench opens an empty store on the disk to measure.
 func openBench(b *testing.B) *store.Store {
 	b.Helper()
-	s, err := store.Open(store.Dir(benchDir(b)), store.Options{MaxBytes: 1 << 30, MaxRecords: 1 << 24})
+	kv, err := store.Open(store.Dir(benchDir(b)), store.Options{MaxBytes: 1 << 30, MaxRecords: 1 << 24})
 	check(b, err)
-	return s
+	return kv
 }
 
 // BenchmarkOpen opens stores with many records, live or expired. It runs only if STORE_OPEN is set.
@@ -130,25 +130,25 @@
 	dir := store.Dir(benchDir(b))
 	c := newClock()
 	options := store.Options{MaxBytes: 4 << 30, MaxRecords: 1 << 24, MaxPendingBytes: 64 << 20, Clock: c.now}
-	s := open(b, dir, options)
-	fillBench(b, s, records, retention)
-	closeStore(b, s)
+	kv := open(b, dir, options)
+	fillBench(b, kv, records, retention)
+	closeStore(b, kv)
 	c.advance(time.Minute)
 	before := heapBytes()
 	began := time.Now()
-	s = open(b, dir, options)
+	kv = open(b, dir, options)
 	took := time.Since(began)
 	b.ReportMetric(float64(took.Milliseconds()), "ms")
 	b.ReportMetric((heapBytes()-before)/float64(records), "bytes/record")
 	b.ReportMetric(0, "ns/op")
-	if n := s.Len(); (retention == 0) != (n == records) {
+	if n := kv.Len(); (retention == 0) != (n == records) {
 		b.Errorf("%d records", n)
 	}
-	closeStore(b, s)
+	closeStore(b, kv)
 }
 
 // fillBench writes records in batches of perBatch, and waits until they are durable after each perWait records.
-func fillBench(b *testing.B, s *store.Store, records int, retention time.Duration) {
+func fillBench(b *testing.B, kv *store.Store, records int, retention time.Duration) {
 	b.Helper()
 	const perBatch, perWait = 1000, 20_000
 	var pending sync.WaitGroup
@@ -158,7 +158,7 @@
 			batch.Put(fmt.Appendf(nil, "%0*d", benchKey, j), make([]byte, benchValue), retention)
 		}
 		pending.Add(1)
-		s.Apply(batch, func(err error) {
+		kv.Apply(batch, func(err error) {
 			defer pending.Done()
 			if err != nil {
 				b.Error(err)
--- a/internal/files/store/committer.go
+++ b/internal/files/store/committer.go
@@ -139,9 +139,9 @@
 
 // publish adds the records of a group to the index after they have become durable. written is the size of the group in bytes.
 func (c *committer) publish(group []pendingBatch, errs []error, written int) {
-	s := c.store
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	store := c.store
+	store.mu.Lock()
+	defer store.mu.Unlock()
 	start := uint32(c.segment.size)
 	next := 0
 	for i := range group {
@@ -151,13 +151,13 @@
 		records := group[i].records
 		for j := range records {
 			offset, end := c.offsets[next], c.offsets[next+1]
-			s.index.add(c.segment, &records[j], start+offset, end-offset)
+			store.index.add(c.segment, &records[j], start+offset, end-offset)
 			next++
 		}
 	}
 	c.segment.size += int64(written)
 	c.segment.lastSeq = c.durableSeq
-	s.health.Err = nil
+	store.health.Err = nil
 }
 
 // abandonSegment stops writing to the active segment after a write or sync has failed. The kernel may have dropped the pages that
@@ -224,41 +224,41 @@
 
 // roll creates a segment, and makes it the active one.
 func (c *committer) roll() error {
-	s := c.store
-	s.mu.Lock()
-	id := s.allocateID()
-	s.mu.Unlock()
-	h := header{
-		storeID:    s.id,
+	store := c.store
+	store.mu.Lock()
+	id := store.allocateID()
+	store.mu.Unlock()
+	newHeader := header{
+		storeID:    store.id,
 		id:         id,
 		firstSeq:   c.nextSeq,
 		durableSeq: c.durableSeq,
 		failedSeqs: c.failedSeqs,
-		timestamp:  s.options.Clock(),
-		storeTime:  s.clock.now(),
+		timestamp:  store.options.Clock(),
+		storeTime:  store.clock.now(),
 	}
 	if c.segment != nil {
-		h.previousID = c.segment.id
+		newHeader.previousID = c.segment.id
 	}
-	name := segmentName(h.id)
-	file, err := s.fs.Create(name)
+	name := segmentName(newHeader.id)
+	file, err := store.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	n, err := writeAndSync(file, h.encode())
+	n, err := writeAndSync(file, newHeader.encode())
 	if err == nil {
-		err = s.fs.SyncDir()
+		err = store.fs.SyncDir()
 	}
 	if err != nil {
 		_ = file.Close()
-		_ = s.fs.Remove(name) // if the file remains, it is a segment without a record
+		_ = store.fs.Remove(name) // if the file remains, it is a segment without a record
 		return err
 	}
 	c.file = file
 	c.failedSeqs = seqRange{}
-	c.segment = &segment{header: h, name: name, file: file, size: int64(n)}
-	s.mu.Lock()
-	s.segments = append(s.segments, c.segment)
-	s.mu.Unlock()
+	c.segment = &segment{header: newHeader, name: name, file: file, size: int64(n)}
+	store.mu.Lock()
+	store.segments = append(store.segments, c.segment)
+	store.mu.Unlock()
 	return nil
 }
--- a/internal/files/store/compactor.go
+++ b/internal/files/store/compactor.go
@@ -31,22 +31,22 @@
 // calls it after each group.
 func (c *compactor) maintain() {
 	c.dropDeadSegments()
-	s := c.store
-	s.mu.RLock()
-	total := s.totalBytes()
-	live := s.index.liveBytes
-	s.mu.RUnlock()
-	if total < c.threshold || total < 2*live+2*s.options.SegmentBytes {
+	store := c.store
+	store.mu.RLock()
+	total := store.totalBytes()
+	live := store.index.liveBytes
+	store.mu.RUnlock()
+	if total < c.threshold || total < 2*live+2*store.options.SegmentBytes {
 		return
 	}
 	if !c.mu.TryLock() {
 		return // a compaction is running
 	}
-	c.threshold = total + s.options.SegmentBytes/4 // so that one that fails or frees little is not repeated at once
+	c.threshold = total + store.options.SegmentBytes/4 // so that one that fails or frees little is not repeated at once
 	c.running.Go(func() {
 		defer c.mu.Unlock()
 		if err := c.compact(false); err != nil {
-			s.recordFailure(err)
+			store.recordFailure(err)
 		}
 	})
 }
@@ -220,7 +220,7 @@
 // copyRecords writes the header, the records and the seal of a segment. It fails if a record cannot be read: the record then stays
 // in its segment, and Get reports the error.
 func (c *compactor) copyRecords(file File, out *segment, records []liveRecord) ([]location, error) {
-	s := c.store
+	store := c.store
 	buffer := out.encode()
 	flush := func() error {
 		n, err := writeFull(file, buffer)
@@ -230,9 +230,9 @@
 	}
 	locations := make([]location, len(records))
 	for i := range records {
-		s.mu.RLock()
+		store.mu.RLock()
 		record, err := readRecord(records[i].location)
-		s.mu.RUnlock()
+		store.mu.RUnlock()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/files/store/course_test.go
+++ b/internal/files/store/course_test.go
@@ -95,27 +95,27 @@
 // play plays one run of the process, from opening the store until the process ends in some way.
 func (c *course) play(t *testing.T, when string) {
 	t.Helper()
-	s, err := store.Open(c.disk, c.options)
+	kv, err := store.Open(c.disk, c.options)
 	if err != nil {
 		t.Fatalf("%s: %v", when, err)
 	}
-	got := content(t, s)
+	got := content(t, kv)
 	c.model.checkReopened(t, got, when)
-	if h := s.Health(); len(h.Damage) > 0 {
+	if h := kv.Health(); len(h.Damage) > 0 {
 		t.Fatalf("%s: reported as damaged: %v", when, h.Damage)
 	}
 	c.model = newModel(got) // records that were read once stay
 	for range 20 {
 		c.disturb()
-		c.write(s)
+		c.write(kv)
 		c.clock.advance(10 * time.Millisecond)
-		if records, err := readAll(s); err == nil { // it fails after a loss of power
+		if records, err := readAll(kv); err == nil { // it fails after a loss of power
 			c.model.checkRunning(t, records, when)
 		}
 	}
 	c.disk.SetCapacity(-1)
 	c.disk.Fail(nil)
-	c.end(s)
+	c.end(kv)
 }
 
 // disturb makes the disk fail in some way, or work again.
@@ -136,7 +136,7 @@
 }
 
 // write changes records with four concurrent writers, each with its own keys.
-func (c *course) write(s *store.Store) {
+func (c *course) write(kv *store.Store) {
 	var writers sync.WaitGroup
 	for w := range 4 {
 		rng := rand.New(rand.NewPCG(c.rng.Uint64(), uint64(w)))
@@ -147,9 +147,9 @@
 				var err error
 				if rng.IntN(4) == 0 {
 					value = ""
-					err = s.Delete([]byte(key))
+					err = kv.Delete([]byte(key))
 				} else {
-					err = s.Put([]byte(key), []byte(value), 0)
+					err = kv.Put([]byte(key), []byte(value), 0)
 				}
 				c.model.record(key, value, err)
 			}
@@ -159,27 +159,27 @@
 }
 
 // end ends the process in some way, and leaves the disk as the next one finds it.
-func (c *course) end(s *store.Store) {
+func (c *course) end(kv *store.Store) {
 	switch c.rng.IntN(3) {
 	case 0:
-		if s.Close() == nil {
+		if kv.Close() == nil {
 			c.disk = c.disk.AfterCrash()
 		} else {
 			c.disk = c.disk.AfterPowerLoss(c.rng)
 		}
 	case 1:
-		crash(s, c.disk)
+		crash(kv, c.disk)
 		c.disk = c.disk.AfterCrash()
 	case 2:
 		next := c.disk.AfterPowerLoss(c.rng)
-		closeIgnoringError(s)
+		closeIgnoringError(kv)
 		c.disk = next
 	}
 }
 
 // crash ends a store as a crash of the process does: nothing that it does afterwards reaches the disk.
-func crash(s *store.Store, d *disk.Disk) {
-	d.Fail(disk.ErrPowerLost)
-	closeIgnoringError(s)
-	d.Fail(nil)
+func crash(kv *store.Store, testDisk *disk.Disk) {
+	testDisk.Fail(disk.ErrPowerLost)
+	closeIgnoringError(kv)
+	testDisk.Fail(nil)
 }
--- a/internal/files/store/crash_test.go
+++ b/internal/files/store/crash_test.go
@@ -31,8 +31,8 @@
 var smallSegments = store.Options{SegmentBytes: 700, MaxBytes: 1 << 20}
 
 // play makes n changes, or fewer if one fails.
-func (w *workload) play(d *disk.Disk, options store.Options, n int) error {
-	s, err := store.Open(d, options)
+func (w *workload) play(testDisk *disk.Disk, options store.Options, n int) error {
+	kv, err := store.Open(testDisk, options)
 	if err != nil {
 		return err
 	}
@@ -40,21 +40,21 @@
 		key := fmt.Sprintf("key-%d", i%7)
 		value := ""
 		if i%5 == 4 {
-			err = s.Delete([]byte(key))
+			err = kv.Delete([]byte(key))
 		} else {
 			value = fmt.Sprintf("value-%d-%s", i, strings.Repeat("x", i%40))
-			err = s.Put([]byte(key), []byte(value), 0)
+			err = kv.Put([]byte(key), []byte(value), 0)
 		}
 		if err != nil {
 			break
 		}
-		w.acknowledged = append(w.acknowledged, change{units: d.Units(), key: key, value: value})
+		w.acknowledged = append(w.acknowledged, change{units: testDisk.Units(), key: key, value: value})
 	}
-	return errors.Join(err, s.Close())
+	return errors.Join(err, kv.Close())
 }
 
 // checkContent checks that a store has the first n changes, and of the others at most the next one.
-func (w *workload) checkContent(tb testing.TB, s *store.Store, n int, when string) {
+func (w *workload) checkContent(tb testing.TB, kv *store.Store, n int, when string) {
 	tb.Helper()
 	want := map[string]string{}
 	for _, c := range w.acknowledged[:n] {
@@ -67,10 +67,10 @@
 	for _, m := range []map[string]string{want, withNext} {
 		maps.DeleteFunc(m, func(_, value string) bool { return value == "" })
 	}
-	if got := content(tb, s); !maps.Equal(got, want) && !maps.Equal(got, withNext) {
+	if got := content(tb, kv); !maps.Equal(got, want) && !maps.Equal(got, withNext) {
 		tb.Fatalf("%s: it has %v, of %v", when, got, want)
 	}
-	if h := s.Health(); len(h.Damage) > 0 {
+	if h := kv.Health(); len(h.Damage) > 0 {
 		tb.Fatalf("%s: reported as damaged: %v", when, h.Damage)
 	}
 }
@@ -79,26 +79,26 @@
 func TestCutAtEveryByte(t *testing.T) {
 	options := smallSegments
 	options.Clock = newClock().now
-	d, played := disk.New(), &workload{}
-	check(t, played.play(d, options, 120))
-	if n := len(d.Files()); n > 12 {
+	testDisk, played := disk.New(), &workload{}
+	check(t, played.play(testDisk, options, 120))
+	if n := len(testDisk.Files()); n > 12 {
 		t.Fatalf("%d files: there was no compaction, so that none is tested", n)
 	}
 	acknowledged := 0
-	for units := range d.Units() + 1 {
+	for units := range testDisk.Units() + 1 {
 		for acknowledged < len(played.acknowledged) && played.acknowledged[acknowledged].units <= units {
 			acknowledged++
 		}
-		truncated := d.CutAt(units)
-		s := open(t, truncated, options)
-		played.checkContent(t, s, acknowledged, fmt.Sprintf("crash after %d", units))
-		put(t, s, "after", "it") // the store is writable
-		closeStore(t, s)
-		s = open(t, truncated, options)
-		if got := content(t, s); got["after"] != "it" {
+		truncated := testDisk.CutAt(units)
+		kv := open(t, truncated, options)
+		played.checkContent(t, kv, acknowledged, fmt.Sprintf("crash after %d", units))
+		put(t, kv, "after", "it") // the store is writable
+		closeStore(t, kv)
+		kv = open(t, truncated, options)
+		if got := content(t, kv); got["after"] != "it" {
 			t.Fatalf("crash after %d: the next write is not there", units)
 		}
-		closeStore(t, s)
+		closeStore(t, kv)
 	}
 }
 
@@ -106,20 +106,20 @@
 func TestBatchCutAtEveryByte(t *testing.T) {
 	const batches, perBatch = 5, 3
 	options := store.Options{Clock: newClock().now}
-	d := disk.New()
-	s := open(t, d, options)
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
 	for i := range batches {
 		var b store.Batch
 		for j := range perBatch {
 			b.Put(fmt.Appendf(nil, "%d-%d", i, j), []byte("value"), 0)
 		}
-		check(t, s.ApplyAndWait(b))
+		check(t, kv.ApplyAndWait(b))
 	}
-	closeStore(t, s)
-	for units := range d.Units() + 1 {
-		s := open(t, d.CutAt(units), options)
-		got := content(t, s)
-		closeStore(t, s)
+	closeStore(t, kv)
+	for units := range testDisk.Units() + 1 {
+		kv := open(t, testDisk.CutAt(units), options)
+		got := content(t, kv)
+		closeStore(t, kv)
 		for i := range batches {
 			found := 0
 			for j := range perBatch {
@@ -138,21 +138,21 @@
 func TestFailedWriteIsNotBelieved(t *testing.T) {
 	clock := newClock()
 	options := store.Options{Clock: clock.now, MinBackoff: time.Millisecond}
-	d := disk.New()
-	s := open(t, d, options)
-	put(t, s, "a", "1")
-	d.FailSyncs(1)
-	if err := s.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
+	put(t, kv, "a", "1")
+	testDisk.FailSyncs(1)
+	if err := kv.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("the sync failed, and the error is %v", err)
 	}
 	clock.advance(time.Second)
-	put(t, s, "c", "3")
-	crash(s, d)
-	s = open(t, d.AfterCrash(), options)
-	if got := content(t, s); !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
+	put(t, kv, "c", "3")
+	crash(kv, testDisk)
+	kv = open(t, testDisk.AfterCrash(), options)
+	if got := content(t, kv); !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
 		t.Errorf("%v", got)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // A loss of power at any call that changes the disk loses no acknowledged change, whichever unsynced data survives, even if the power
@@ -161,22 +161,22 @@
 	options := smallSegments
 	options.Clock = newClock().now
 	complete := &workload{}
-	d := disk.New()
-	check(t, complete.play(d, options, 120))
-	calls := d.Operations()
+	testDisk := disk.New()
+	check(t, complete.play(testDisk, options, 120))
+	calls := testDisk.Operations()
 	for call := 1; call <= calls; call++ {
 		for seed := range uint64(min(4, seeds()/10)) {
 			rng := rand.New(rand.NewPCG(seed, uint64(call)))
-			d, interrupted := disk.New(), &workload{}
-			d.LosePowerAt(call, seed)
-			_ = interrupted.play(d, options, 120) // fails when the power is lost
-			survived := d.AfterPowerLoss(rng)
+			testDisk, interrupted := disk.New(), &workload{}
+			testDisk.LosePowerAt(call, seed)
+			_ = interrupted.play(testDisk, options, 120) // fails when the power is lost
+			survived := testDisk.AfterPowerLoss(rng)
 			survived.LosePowerAt(1+rng.IntN(8), seed) // while the store is opened, or soon after
 			tryOpen(survived, options)
-			s := open(t, survived.AfterPowerLoss(rng), options)
+			kv := open(t, survived.AfterPowerLoss(rng), options)
 			when := fmt.Sprintf("power lost at call %d, seed %d", call, seed)
-			complete.checkContent(t, s, len(interrupted.acknowledged), when)
-			closeStore(t, s)
+			complete.checkContent(t, kv, len(interrupted.acknowledged), when)
+			closeStore(t, kv)
 		}
 	}
 }
@@ -185,38 +185,38 @@
 func TestFailedSync(t *testing.T) {
 	clock := newClock()
 	options := store.Options{Clock: clock.now, MinBackoff: time.Millisecond}
-	d := disk.New()
-	s := open(t, d, options)
-	put(t, s, "a", "1")
-	before := slices.Sorted(maps.Keys(d.Files()))
-	d.FailSyncs(1)
-	if err := s.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
+	put(t, kv, "a", "1")
+	before := slices.Sorted(maps.Keys(testDisk.Files()))
+	testDisk.FailSyncs(1)
+	if err := kv.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("the sync failed, and the error of the write is %v", err)
 	}
-	if h := s.Health(); !errors.Is(h.Err, syscall.EIO) || h.Failures != 1 {
+	if h := kv.Health(); !errors.Is(h.Err, syscall.EIO) || h.Failures != 1 {
 		t.Errorf("%+v", h)
 	}
-	if _, _, ok, _ := s.Get([]byte("b")); ok {
+	if _, _, ok, _ := kv.Get([]byte("b")); ok {
 		t.Error("a record that was not acknowledged is visible")
 	}
 	clock.advance(time.Second)
-	put(t, s, "c", "3")
-	if h := s.Health(); h.Err != nil {
+	put(t, kv, "c", "3")
+	if h := kv.Health(); h.Err != nil {
 		t.Errorf("the disk works again, and Health has %v", h.Err)
 	}
-	if after := slices.Sorted(maps.Keys(d.Files())); len(after) != len(before)+1 {
+	if after := slices.Sorted(maps.Keys(testDisk.Files())); len(after) != len(before)+1 {
 		t.Errorf("the same file is still in use: %v, %v", before, after)
 	}
 	for seed := range uint64(20) {
-		s := open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(seed, 0))), options)
-		got := content(t, s)
+		kv := open(t, testDisk.AfterPowerLoss(rand.New(rand.NewPCG(seed, 0))), options)
+		got := content(t, kv)
 		if !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
 			t.Errorf("%v", got)
 		}
-		if h := s.Health(); len(h.Damage) > 0 {
+		if h := kv.Health(); len(h.Damage) > 0 {
 			t.Errorf("%v", h.Damage)
 		}
-		closeStore(t, s)
+		closeStore(t, kv)
 	}
 }
 
@@ -260,71 +260,71 @@
 	options := store.Options{
 		SegmentBytes: 1000, MaxBytes: 1 << 20, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, Clock: clock.now,
 	}
-	d := disk.New()
-	s := open(t, d, options)
-	writer := &overwriter{store: s, clock: clock, want: map[string]string{}}
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
+	writer := &overwriter{store: kv, clock: clock, want: map[string]string{}}
 	for i := range 25 {
 		check(t, writer.write(i))
 	}
-	d.SetCapacity(capacity)
+	testDisk.SetCapacity(capacity)
 	if errs := writer.writeSlowly(60); errors.Join(errs...) == nil {
 		t.Fatal("no write failed, so that nothing is tested")
 	}
-	if got := content(t, s); !maps.Equal(got, writer.want) {
+	if got := content(t, kv); !maps.Equal(got, writer.want) {
 		t.Fatalf("full: %v, want %v", got, writer.want)
 	}
-	d.SetCapacity(-1)
+	testDisk.SetCapacity(-1)
 	errs := writer.writeSlowly(60)
 	if err := errors.Join(errs[1:]...); err != nil { // the first may come during the backoff
 		t.Fatalf("with space again: %v", err)
 	}
-	closeStore(t, s)
-	s = open(t, d.AfterPowerLoss(rand.New(rand.NewPCG(uint64(capacity), 0))), options)
-	if got := content(t, s); !maps.Equal(got, writer.want) {
+	closeStore(t, kv)
+	kv = open(t, testDisk.AfterPowerLoss(rand.New(rand.NewPCG(uint64(capacity), 0))), options)
+	if got := content(t, kv); !maps.Equal(got, writer.want) {
 		t.Fatalf("after a loss of power: %v, want %v", got, writer.want)
 	}
-	if size := s.Size(); size > 5000 {
+	if size := kv.Size(); size > 5000 {
 		t.Errorf("%d bytes for five records", size)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // damagedDisk returns a disk with a store of 20 records, and with a bit flipped in each of the first two segments, so that a repair
 // meets damage a second time.
 func damagedDisk(t *testing.T, options store.Options) *disk.Disk {
 	t.Helper()
-	d := disk.New()
-	s := open(t, d, options)
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
 	for i := range 20 {
-		put(t, s, fmt.Sprintf("k%02d", i), strings.Repeat(string(rune('a'+i)), 30))
+		put(t, kv, fmt.Sprintf("k%02d", i), strings.Repeat(string(rune('a'+i)), 30))
 	}
-	d = d.AfterCrash()
+	testDisk = testDisk.AfterCrash()
 	flipped := 0
-	for _, name := range slices.Sorted(maps.Keys(d.Files())) {
+	for _, name := range slices.Sorted(maps.Keys(testDisk.Files())) {
 		if strings.HasSuffix(name, ".seg") && flipped < 2 {
-			d.FlipBit(name, 8*250)
+			testDisk.FlipBit(name, 8*250)
 			flipped++
 		}
 	}
-	return d
+	return testDisk
 }
 
 // repair compacts all of a store, as quincegapctl store repair does.
-func repair(d *disk.Disk, options store.Options) error {
-	s, err := store.Open(d, options)
+func repair(testDisk *disk.Disk, options store.Options) error {
+	kv, err := store.Open(testDisk, options)
 	if err != nil {
 		return err
 	}
-	return errors.Join(s.Compact(), s.Close())
+	return errors.Join(kv.Compact(), kv.Close())
 }
 
 // A loss of power at any call of a repair, and again during the recovery after it, loses no record that could be read before, and
 // returns no lost one. The repair can be repeated.
 func TestPowerLostInRepair(t *testing.T) {
 	options := store.Options{Clock: newClock().now, SegmentBytes: 500, MaxBytes: 1 << 20}
-	s := open(t, damagedDisk(t, options), options)
-	want, damages := content(t, s), len(s.Health().Damage)
-	closeStore(t, s)
+	kv := open(t, damagedDisk(t, options), options)
+	want, damages := content(t, kv), len(kv.Health().Damage)
+	closeStore(t, kv)
 	if damages != 2 || len(want) >= 20 || len(want) < 16 {
 		t.Fatalf("damage in %d places, %d records left", damages, len(want))
 	}
@@ -340,25 +340,25 @@
 	t.Helper()
 	when := fmt.Sprintf("power lost at call %d, seed %d", call, seed)
 	rng := rand.New(rand.NewPCG(seed, uint64(call)))
-	d := damagedDisk(t, options)
-	d.LosePowerAt(call, seed)
-	powerLost = repair(d, options) != nil
-	survived := d.AfterPowerLoss(rng)
+	testDisk := damagedDisk(t, options)
+	testDisk.LosePowerAt(call, seed)
+	powerLost = repair(testDisk, options) != nil
+	survived := testDisk.AfterPowerLoss(rng)
 	survived.LosePowerAt(1+rng.IntN(8), seed)
 	tryOpen(survived, options)
 	survived = survived.AfterPowerLoss(rng)
-	s := open(t, survived, options)
-	if got := content(t, s); !maps.Equal(got, want) {
+	kv := open(t, survived, options)
+	if got := content(t, kv); !maps.Equal(got, want) {
 		t.Fatalf("%s: %d records, %d before", when, len(got), len(want))
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 	if err := repair(survived, options); err != nil {
 		t.Fatalf("%s: repeated: %v", when, err)
 	}
-	s = open(t, survived, options)
-	if got := content(t, s); !maps.Equal(got, want) || len(s.Health().Damage) > 0 {
-		t.Fatalf("%s: repaired: %d records, damage %v", when, len(got), s.Health().Damage)
+	kv = open(t, survived, options)
+	if got := content(t, kv); !maps.Equal(got, want) || len(kv.Health().Damage) > 0 {
+		t.Fatalf("%s: repaired: %d records, damage %v", when, len(got), kv.Health().Damage)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 	return powerLost
 }
--- a/internal/files/store/damage_test.go
+++ b/internal/files/store/damage_test.go
@@ -26,21 +26,21 @@
 // One flipped bit loses at most one record, which is reported, and no record that was never written is read.
 func TestAnyBitFlipped(t *testing.T) {
 	options := store.Options{Clock: newClock().now, SegmentBytes: 900, MaxBytes: 1 << 20}
-	d := disk.New()
-	s := open(t, d, options)
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
 	want := map[string]string{}
 	for i := range 20 {
 		key, value := fmt.Sprintf("k%02d", i), strings.Repeat(string(rune('a'+i)), 30)
-		put(t, s, key, value)
+		put(t, kv, key, value)
 		want[key] = value
 	}
-	d = d.AfterCrash() // so that the last segment is not sealed
-	for name, size := range d.Files() {
+	testDisk = testDisk.AfterCrash() // so that the last segment is not sealed
+	for name, size := range testDisk.Files() {
 		if !strings.HasSuffix(name, ".seg") {
 			continue
 		}
 		for bit := 0; bit < 8*size; bit += bitStep(bit) {
-			damaged := d.AfterCrash()
+			damaged := testDisk.AfterCrash()
 			damaged.FlipBit(name, bit)
 			checkOneLost(t, damaged, options, want, fmt.Sprintf("%s, bit %d of %d", name, bit, 8*size))
 		}
@@ -48,13 +48,13 @@
 }
 
 // checkOneLost opens a damaged store. One record may be missing if damage is reported, and there may be no others than want.
-func checkOneLost(t *testing.T, d *disk.Disk, options store.Options, want map[string]string, when string) {
+func checkOneLost(t *testing.T, testDisk *disk.Disk, options store.Options, want map[string]string, when string) {
 	t.Helper()
-	s, err := store.Open(d, options)
+	kv, err := store.Open(testDisk, options)
 	if err != nil {
 		t.Fatalf("%s: %v", when, err)
 	}
-	got := content(t, s)
+	got := content(t, kv)
 	missing := 0
 	for key, value := range want {
 		if got[key] != value {
@@ -66,44 +66,44 @@
 			t.Fatalf("%s: reads %q, which was never written", when, key)
 		}
 	}
-	h := s.Health()
+	h := kv.Health()
 	reported := len(h.Damage) > 0 || h.TornBytes > 0
 	if missing > 1 || missing > 0 && !reported {
 		t.Fatalf("%s: %d records are missing, damage %v, torn %d", when, missing, h.Damage, h.TornBytes)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // A value that contains frames of the store itself is not read as records if the frame around it is damaged.
 func TestFramesInAValue(t *testing.T) {
 	const segment = "0000000000000001.seg"
 	options := store.Options{Clock: newClock().now}
-	d := disk.New()
-	s := open(t, d, options)
-	put(t, s, "deleted", "1")
-	copied := readRaw(t, d, segment, d.Files()[segment])
-	check(t, s.Delete([]byte("deleted")))
-	before := d.Files()[segment]
-	put(t, s, "copy", string(copied))
-	put(t, s, "after", "2") // shows that the record before it was durable
-	const groupFrame = 33   // bytes before the frame of the record
-	d = d.AfterCrash()
-	d.FlipBit(segment, 8*(before+groupFrame+4)) // in its checksum
-	s = open(t, d, options)
-	if got := content(t, s); len(got) != 1 || got["after"] != "2" {
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
+	put(t, kv, "deleted", "1")
+	copied := readRaw(t, testDisk, segment, testDisk.Files()[segment])
+	check(t, kv.Delete([]byte("deleted")))
+	before := testDisk.Files()[segment]
+	put(t, kv, "copy", string(copied))
+	put(t, kv, "after", "2") // shows that the record before it was durable
+	const groupFrame = 33    // bytes before the frame of the record
+	testDisk = testDisk.AfterCrash()
+	testDisk.FlipBit(segment, 8*(before+groupFrame+4)) // in its checksum
+	kv = open(t, testDisk, options)
+	if got := content(t, kv); len(got) != 1 || got["after"] != "2" {
 		t.Errorf("reads %v", got)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // fillDir writes records to a new store with several segments, and returns the paths of these.
 func fillDir(t *testing.T, dir string, options store.Options, records int) []string {
 	t.Helper()
-	s := open(t, store.Dir(dir), options)
+	kv := open(t, store.Dir(dir), options)
 	for i := range records {
-		put(t, s, fmt.Sprint("k", i), strings.Repeat("v", 140))
+		put(t, kv, fmt.Sprint("k", i), strings.Repeat("v", 140))
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 	return segmentFiles(t, dir)
 }
 
@@ -123,25 +123,25 @@
 		dir := t.TempDir()
 		files := fillDir(t, dir, options, 20)
 		check(t, os.Remove(files[1]))
-		s := open(t, store.Dir(dir), options)
-		if h := s.Health(); len(h.Damage) != 1 || !strings.Contains(h.Damage[0].String(), filepath.Base(files[1])) {
+		kv := open(t, store.Dir(dir), options)
+		if h := kv.Health(); len(h.Damage) != 1 || !strings.Contains(h.Damage[0].String(), filepath.Base(files[1])) {
 			t.Errorf("a file is missing: %v", h.Damage)
 		}
-		closeStore(t, s)
+		closeStore(t, kv)
 	})
 	dir := t.TempDir()
 	files := fillDir(t, dir, options, 20)
 	t.Run("truncated", func(t *testing.T) {
 		check(t, os.Truncate(files[1], 200))
-		s := open(t, store.Dir(dir), options)
-		h := s.Health()
+		kv := open(t, store.Dir(dir), options)
+		h := kv.Health()
 		if len(h.Damage) != 1 || h.Damage[0].FirstSeq == 0 || h.Damage[0].File != filepath.Base(files[1]) {
 			t.Fatalf("a file is truncated: %v", h.Damage)
 		}
-		if n := s.Len(); n != 20-int(h.Damage[0].LastSeq-h.Damage[0].FirstSeq+1) {
+		if n := kv.Len(); n != 20-int(h.Damage[0].LastSeq-h.Damage[0].FirstSeq+1) {
 			t.Errorf("%d are left, beside %v", n, h.Damage)
 		}
-		closeStore(t, s)
+		closeStore(t, kv)
 	})
 	t.Run("foreign", func(t *testing.T) {
 		other := t.TempDir()
@@ -158,9 +158,9 @@
 // A store that a later version has written is rejected and not changed.
 func TestNewerVersion(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, store.Dir(dir), store.Options{})
-	put(t, s, "a", "1")
-	closeStore(t, s)
+	kv := open(t, store.Dir(dir), store.Options{})
+	put(t, kv, "a", "1")
+	closeStore(t, kv)
 	files := segmentFiles(t, dir)
 	data, err := os.ReadFile(files[0])
 	check(t, err)
@@ -182,10 +182,10 @@
 func TestShortReads(t *testing.T) {
 	options := smallSegments
 	options.Clock = newClock().now
-	d, played := disk.New(), &workload{}
-	check(t, played.play(d, options, 60))
-	d.SetShortReads(true)
-	s := open(t, d, options)
-	played.checkContent(t, s, len(played.acknowledged), "short reads")
-	closeStore(t, s)
+	testDisk, played := disk.New(), &workload{}
+	check(t, played.play(testDisk, options, 60))
+	testDisk.SetShortReads(true)
+	kv := open(t, testDisk, options)
+	played.checkContent(t, kv, len(played.acknowledged), "short reads")
+	closeStore(t, kv)
 }
--- a/internal/files/store/disklog.go
+++ b/internal/files/store/disklog.go
@@ -29,24 +29,24 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &diskLog{leftovers: unfinished}
+	log := &diskLog{leftovers: unfinished}
 	for _, id := range ids {
-		seg, err := l.openSegment(dir, id)
+		seg, err := log.openSegment(dir, id)
 		if err != nil {
-			l.close()
+			log.close()
 			return nil, err
 		}
-		l.lastID = id
+		log.lastID = id
 		if seg != nil {
-			l.segments = append(l.segments, seg)
+			log.segments = append(log.segments, seg)
 		}
 	}
-	replaced := l.dropReplaced()
-	slices.SortFunc(l.segments, func(a, b *segment) int {
+	replaced := log.dropReplaced()
+	slices.SortFunc(log.segments, func(a, b *segment) int {
 		return cmp.Or(cmp.Compare(a.firstSeq, b.firstSeq), cmp.Compare(a.id, b.id))
 	})
-	l.checkChain(replaced)
-	return l, nil
+	log.checkChain(replaced)
+	return log, nil
 }
 
 // close closes the files of the segments.
@@ -102,34 +102,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	h, err := decodeHeader(name, start)
+	segmentHeader, err := decodeHeader(name, start)
 	if errors.Is(err, errHeaderUnreadable) {
 		return l.readWithoutHeader(file, name, id, size)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := l.addHeader(&h, name, id); err != nil {
+	if err := l.addHeader(&segmentHeader, name, id); err != nil {
 		return nil, err
 	}
-	return &segment{header: h, name: name, file: file, size: size}, nil
+	return &segment{header: segmentHeader, name: name, file: file, size: size}, nil
 }
 
 // addHeader updates the log from the header of a segment. It fails if the segment belongs to another store.
-func (l *diskLog) addHeader(h *header, name string, id uint64) error {
+func (l *diskLog) addHeader(segmentHeader *header, name string, id uint64) error {
 	if l.storeID == 0 {
-		l.storeID = h.storeID
+		l.storeID = segmentHeader.storeID
 	}
-	if h.storeID != l.storeID || h.id != id {
+	if segmentHeader.storeID != l.storeID || segmentHeader.id != id {
 		return fmt.Errorf("%s: is a segment of another store, or was renamed; move it away", name)
 	}
-	if h.storeTime >= l.storeTime {
-		l.storeTime = h.storeTime
-		l.timestamp = h.timestamp
+	if segmentHeader.storeTime >= l.storeTime {
+		l.storeTime = segmentHeader.storeTime
+		l.timestamp = segmentHeader.timestamp
 	}
-	l.durableSeq = max(l.durableSeq, h.durableSeq)
-	if !h.failedSeqs.empty() {
-		l.failedRanges = append(l.failedRanges, h.failedSeqs)
+	l.durableSeq = max(l.durableSeq, segmentHeader.durableSeq)
+	if !segmentHeader.failedSeqs.empty() {
+		l.failedRanges = append(l.failedRanges, segmentHeader.failedSeqs)
 	}
 	return nil
 }
--- a/internal/files/store/expiry_test.go
+++ b/internal/files/store/expiry_test.go
@@ -26,25 +26,25 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := newClock()
-			d := disk.New()
-			s := open(t, d, store.Options{Clock: clock.now})
-			check(t, s.Put([]byte("k"), nil, time.Minute))
-			closeStore(t, s)
+			testDisk := disk.New()
+			kv := open(t, testDisk, store.Options{Clock: clock.now})
+			check(t, kv.Put([]byte("k"), nil, time.Minute))
+			closeStore(t, kv)
 			clock.wallMillis.Add(c.wall.Milliseconds())
 			clock.uptimeMillis.Add(c.up.Milliseconds())
 			if c.reboots {
 				clock.bootID.Add(1)
 				clock.uptimeMillis.Store(5)
 			}
-			s = open(t, d, store.Options{Clock: clock.now})
-			if _, left, ok, err := s.Get([]byte("k")); ok != (c.left > 0) || left != c.left || err != nil {
+			kv = open(t, testDisk, store.Options{Clock: clock.now})
+			if _, left, ok, err := kv.Get([]byte("k")); ok != (c.left > 0) || left != c.left || err != nil {
 				t.Errorf("%v left, %v, %v", left, ok, err)
 			}
 			clock.wallMillis.Add(-48 * time.Hour.Milliseconds()) // has no effect while the store is open
-			if _, left, _, _ := s.Get([]byte("k")); left != c.left {
+			if _, left, _, _ := kv.Get([]byte("k")); left != c.left {
 				t.Errorf("set back: %v left", left)
 			}
-			closeStore(t, s)
+			closeStore(t, kv)
 		})
 	}
 }
@@ -53,25 +53,25 @@
 func TestExpired(t *testing.T) {
 	clock := newClock()
 	options := store.Options{Clock: clock.now, SegmentBytes: 2000, MaxBytes: 20_000, MaxRecords: 400}
-	d := disk.New()
-	s := open(t, d, options)
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
 	for i := range 5000 {
-		if err := s.Put(fmt.Append(nil, "k", i), make([]byte, 20), time.Second); err != nil {
+		if err := kv.Put(fmt.Append(nil, "k", i), make([]byte, 20), time.Second); err != nil {
 			t.Fatal(i, err)
 		}
 		clock.advance(3 * time.Millisecond)
 	}
-	if n, size := s.Len(), s.Size(); n > 340 || size > 40_000+3*2000 {
+	if n, size := kv.Len(), kv.Size(); n > 340 || size > 40_000+3*2000 {
 		t.Errorf("%d records, %d bytes", n, size)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 	clock.advance(time.Minute)
-	s = open(t, d, options)
-	put(t, s, "a", "1")
-	if n, files := s.Len(), d.Files(); n != 1 || len(files) > 2 {
+	kv = open(t, testDisk, options)
+	put(t, kv, "a", "1")
+	if n, files := kv.Len(), testDisk.Files(); n != 1 || len(files) > 2 {
 		t.Errorf("%d records in %v", n, files)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // The record that an expired one has superseded in another segment does not return, even if nothing else in the segment of the
@@ -79,34 +79,34 @@
 func TestExpiredRecordHidesOlder(t *testing.T) {
 	clock := newClock()
 	options := store.Options{Clock: clock.now}
-	d := disk.New()
-	s := open(t, d, options)
-	check(t, s.Put([]byte("k"), []byte("older"), time.Hour))
-	put(t, s, "other", "keeps the first segment")
-	closeStore(t, s) // seals the segment
-	s = open(t, d, options)
-	check(t, s.Put([]byte("k"), []byte("newer"), time.Second))
-	closeStore(t, s)
+	testDisk := disk.New()
+	kv := open(t, testDisk, options)
+	check(t, kv.Put([]byte("k"), []byte("older"), time.Hour))
+	put(t, kv, "other", "keeps the first segment")
+	closeStore(t, kv) // seals the segment
+	kv = open(t, testDisk, options)
+	check(t, kv.Put([]byte("k"), []byte("newer"), time.Second))
+	closeStore(t, kv)
 	clock.advance(10 * time.Second)
-	s = open(t, d, options)
-	if got := content(t, s); len(got) != 1 || got["k"] != "" {
+	kv = open(t, testDisk, options)
+	if got := content(t, kv); len(got) != 1 || got["k"] != "" {
 		t.Errorf("%v", got)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // A key that is written again and again takes a bounded space.
 func TestOneKeyForEver(t *testing.T) {
 	clock := newClock()
-	d := disk.New()
-	s := open(t, d, store.Options{Clock: clock.now, SegmentBytes: 1000, MaxBytes: 10_000})
+	testDisk := disk.New()
+	kv := open(t, testDisk, store.Options{Clock: clock.now, SegmentBytes: 1000, MaxBytes: 10_000})
 	for i := range 3000 {
-		check(t, s.Put([]byte("list"), fmt.Append(nil, i), time.Hour))
+		check(t, kv.Put([]byte("list"), fmt.Append(nil, i), time.Hour))
 	}
-	closeStore(t, s)
-	s = open(t, d, store.Options{Clock: clock.now})
-	if got := content(t, s); got["list"] != "2999" || s.Size() > 5000 {
-		t.Errorf("%v, %d bytes", got, s.Size())
+	closeStore(t, kv)
+	kv = open(t, testDisk, store.Options{Clock: clock.now})
+	if got := content(t, kv); got["list"] != "2999" || kv.Size() > 5000 {
+		t.Errorf("%v, %d bytes", got, kv.Size())
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
--- a/internal/files/store/frame.go
+++ b/internal/files/store/frame.go
@@ -63,28 +63,28 @@
 func (f *frame) isRecord() bool { return f.kind == kindPut || f.kind == kindDelete }
 
 // appendFrame appends the encoded frame to b.
-func appendFrame(b []byte, f *frame) []byte {
+func appendFrame(b []byte, added *frame) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // length and checksum are set below
-	kindByte := f.kind
-	if f.moreInBatch {
+	kindByte := added.kind
+	if added.moreInBatch {
 		kindByte |= moreFlag
 	}
 	b = append(b, byte(kindByte))
-	b = binary.LittleEndian.AppendUint64(b, f.seq)
-	switch f.kind {
+	b = binary.LittleEndian.AppendUint64(b, added.seq)
+	switch added.kind {
 	case kindPut:
-		b = binary.LittleEndian.AppendUint64(b, uint64(f.expiresAt))
-		b = appendKeyAndValue(b, f)
+		b = binary.LittleEndian.AppendUint64(b, uint64(added.expiresAt))
+		b = appendKeyAndValue(b, added)
 	case kindDelete:
-		b = appendKeyAndValue(b, f)
+		b = appendKeyAndValue(b, added)
 	case kindGroup:
-		b = binary.LittleEndian.AppendUint64(b, f.durableSeq)
-		b = binary.LittleEndian.AppendUint64(b, uint64(f.storeTime))
+		b = binary.LittleEndian.AppendUint64(b, added.durableSeq)
+		b = binary.LittleEndian.AppendUint64(b, uint64(added.storeTime))
 	case kindSeal:
-		b = binary.LittleEndian.AppendUint64(b, uint64(f.expiresAt))
-		b = binary.LittleEndian.AppendUint64(b, uint64(f.shadowedUntil))
-		b = binary.LittleEndian.AppendUint64(b, f.records)
+		b = binary.LittleEndian.AppendUint64(b, uint64(added.expiresAt))
+		b = binary.LittleEndian.AppendUint64(b, uint64(added.shadowedUntil))
+		b = binary.LittleEndian.AppendUint64(b, added.records)
 	}
 	binary.LittleEndian.PutUint32(b[start:], uint32(len(b)-start-framePrefixBytes))
 	binary.LittleEndian.PutUint32(b[start+4:], frameChecksum(b[start:]))
@@ -105,26 +105,26 @@
 
 // decodeFrame decodes the frame at the start of b. ok is false if there is no complete and undamaged one. It makes the cheap checks
 // first, since the search for frames after damage calls it for each byte.
-func decodeFrame(b []byte) (f frame, ok bool) {
+func decodeFrame(b []byte) (decoded frame, ok bool) {
 	if len(b) < minDeleteBytes {
-		return f, false
+		return decoded, false
 	}
 	length := int(binary.LittleEndian.Uint32(b))
 	if length < minDeleteBytes-framePrefixBytes || length > maxFrameBytes || length > len(b)-framePrefixBytes {
-		return f, false
+		return decoded, false
 	}
-	f.size = framePrefixBytes + length
+	decoded.size = framePrefixBytes + length
 	kindByte := kind(b[kindOffset])
-	f.kind = kindByte &^ moreFlag
-	f.moreInBatch = kindByte&moreFlag != 0
-	if !f.plausibleSize() {
-		return f, false
+	decoded.kind = kindByte &^ moreFlag
+	decoded.moreInBatch = kindByte&moreFlag != 0
+	if !decoded.plausibleSize() {
+		return decoded, false
 	}
-	if frameChecksum(b[:f.size]) != binary.LittleEndian.Uint32(b[4:]) {
-		return f, false
+	if frameChecksum(b[:decoded.size]) != binary.LittleEndian.Uint32(b[4:]) {
+		return decoded, false
 	}
-	f.seq = binary.LittleEndian.Uint64(b[seqOffset:])
-	return f, f.decodeBody(b[bodyOffset:f.size])
+	decoded.seq = binary.LittleEndian.Uint64(b[seqOffset:])
+	return decoded, decoded.decodeBody(b[bodyOffset:decoded.size])
 }
 
 // plausibleSize reports whether the size and the flag of a frame are possible for its kind.
--- a/internal/files/store/fuzz_test.go
+++ b/internal/files/store/fuzz_test.go
@@ -9,20 +9,20 @@
 )
 
 // writeRaw creates a file on a disk, and makes it durable.
-func writeRaw(tb testing.TB, d *disk.Disk, name string, data []byte) {
+func writeRaw(tb testing.TB, testDisk *disk.Disk, name string, data []byte) {
 	tb.Helper()
-	file, err := d.Create(name)
+	file, err := testDisk.Create(name)
 	check(tb, err)
 	_, err = file.Write(data)
 	check(tb, err)
 	check(tb, file.Sync())
-	check(tb, d.SyncDir())
+	check(tb, testDisk.SyncDir())
 }
 
 // readRaw returns the first bytes of a file on a disk.
-func readRaw(tb testing.TB, d *disk.Disk, name string, size int) []byte {
+func readRaw(tb testing.TB, testDisk *disk.Disk, name string, size int) []byte {
 	tb.Helper()
-	file, err := d.Open(name)
+	file, err := testDisk.Open(name)
 	check(tb, err)
 	data := make([]byte, size)
 	_, err = file.ReadAt(data, 0)
@@ -34,33 +34,33 @@
 // is a record that is written in between.
 func FuzzRecovery(f *testing.F) {
 	options := store.Options{Clock: newClock().now}
-	d := disk.New()
-	s := open(f, d, options)
+	testDisk := disk.New()
+	kv := open(f, testDisk, options)
 	key := []byte("key")
 	for i := range 5 {
 		value := make([]byte, 10*i)
-		check(f, s.Put(append(key, byte(i)), value, 0))
+		check(f, kv.Put(append(key, byte(i)), value, 0))
 	}
-	closeStore(f, s)
-	for name, size := range d.Files() {
-		data := readRaw(f, d, name, size)
+	closeStore(f, kv)
+	for name, size := range testDisk.Files() {
+		data := readRaw(f, testDisk, name, size)
 		f.Add(data)
 		f.Add(data[:len(data)-20])
 		f.Add(append(data[:150:150], data[170:]...))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		d := disk.New()
-		writeRaw(t, d, "0000000000000001.seg", data)
-		s, err := store.Open(d, options)
+		testDisk := disk.New()
+		writeRaw(t, testDisk, "0000000000000001.seg", data)
+		kv, err := store.Open(testDisk, options)
 		if err != nil {
 			return // a later version, or another store
 		}
-		before := content(t, s)
+		before := content(t, kv)
 		sum := crc32.ChecksumIEEE(data)
-		check(t, s.Put([]byte("after"), []byte{byte(sum)}, 0))
-		closeStore(t, s)
-		s = open(t, d, options)
-		got := content(t, s)
+		check(t, kv.Put([]byte("after"), []byte{byte(sum)}, 0))
+		closeStore(t, kv)
+		kv = open(t, testDisk, options)
+		got := content(t, kv)
 		if got["after"] != string([]byte{byte(sum)}) {
 			t.Error("the record that was written is not there")
 		}
@@ -71,6 +71,6 @@
 				t.Errorf("%q is %q at one open and %q at the next", key, value, got[key])
 			}
 		}
-		closeStore(t, s)
+		closeStore(t, kv)
 	})
 }
--- a/internal/files/store/golden_format_test.go
+++ b/internal/files/store/golden_format_test.go
@@ -157,36 +157,36 @@
 	if err := os.WriteFile(filepath.Join(dir, segmentName(1)), first.encode(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(Dir(dir), Options{Clock: goldenClock})
+	kv, err := Open(Dir(dir), Options{Clock: goldenClock})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Put([]byte("a"), []byte("1"), 0); err != nil {
+	if err := kv.Put([]byte("a"), []byte("1"), 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Put([]byte("b"), []byte("2"), time.Minute); err != nil {
+	if err := kv.Put([]byte("b"), []byte("2"), time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	var b Batch
 	b.Put([]byte("a"), []byte("3"), time.Hour)
 	b.Delete([]byte("b"))
 	b.Put([]byte("c"), []byte("4"), 0)
-	if err := s.ApplyAndWait(b); err != nil {
+	if err := kv.ApplyAndWait(b); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Close(); err != nil {
+	if err := kv.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !compact {
 		return dir
 	}
-	if s, err = Open(Dir(dir), Options{Clock: goldenClock}); err != nil {
+	if kv, err = Open(Dir(dir), Options{Clock: goldenClock}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Compact(); err != nil {
+	if err := kv.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Close(); err != nil {
+	if err := kv.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -249,12 +249,12 @@
 // checkContent opens the store and checks its records.
 func checkContent(t *testing.T, dir Dir) {
 	t.Helper()
-	s, err := Open(dir, Options{Clock: goldenClock})
+	kv, err := Open(dir, Options{Clock: goldenClock})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := map[string]string{}
-	if err := s.Range(func(key, value []byte, left time.Duration) bool {
+	if err := kv.Range(func(key, value []byte, left time.Duration) bool {
 		got[string(key)] = string(value)
 		if string(key) == "a" && left != time.Hour {
 			t.Errorf("a expires after %v", left)
@@ -266,7 +266,7 @@
 	if want := map[string]string{"a": "3", "c": "4"}; !maps.Equal(got, want) {
 		t.Errorf("%v has %v, want %v", slices.Sorted(maps.Keys(got)), got, want)
 	}
-	if err := s.Close(); err != nil {
+	if err := kv.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/files/store/golden_recorded_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -85,7 +85,7 @@
 func writeRecordedFolder(t *testing.T) {
 	t.Helper()
 	dir := Dir(t.TempDir())
-	s, err := Open(dir, Options{SegmentBytes: 400, Clock: recordedClock})
+	kv, err := Open(dir, Options{SegmentBytes: 400, Clock: recordedClock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,14 +93,14 @@
 	batch.Put([]byte("c"), []byte("of a batch"), time.Minute)
 	batch.Put([]byte("empty"), nil, 0)
 	for _, err := range []error{
-		s.Put([]byte("a"), []byte("first"), 0),
-		s.Put([]byte("b"), []byte("second"), 0),
-		s.Put([]byte("a"), []byte("third"), 0),
-		s.Put([]byte("long"), bytes.Repeat([]byte("x"), 300), 0),
-		s.Put([]byte("short"), []byte("for an hour"), time.Hour),
-		s.Delete([]byte("b")),
-		s.ApplyAndWait(batch),
-		s.Close(),
+		kv.Put([]byte("a"), []byte("first"), 0),
+		kv.Put([]byte("b"), []byte("second"), 0),
+		kv.Put([]byte("a"), []byte("third"), 0),
+		kv.Put([]byte("long"), bytes.Repeat([]byte("x"), 300), 0),
+		kv.Put([]byte("short"), []byte("for an hour"), time.Hour),
+		kv.Delete([]byte("b")),
+		kv.ApplyAndWait(batch),
+		kv.Close(),
 	} {
 		if err != nil {
 			t.Fatal(err)
@@ -186,12 +186,12 @@
 // checkRecordedContent opens the store and checks its records.
 func checkRecordedContent(t *testing.T, dir Dir) {
 	t.Helper()
-	s, err := Open(dir, Options{Clock: recordedClock})
+	kv, err := Open(dir, Options{Clock: recordedClock})
 	if err != nil {
 		t.Fatal(err)
 	}
 	opened := map[string]string{}
-	if err := s.Range(func(key, value []byte, left time.Duration) bool {
+	if err := kv.Range(func(key, value []byte, left time.Duration) bool {
 		if left < 0 {
 			left = -1 // no expiry, for which Inspect has -1 and Range an undefined time
 		}
@@ -200,10 +200,10 @@
 	}); err != nil || !maps.Equal(opened, recordedValues) {
 		t.Errorf("Open: %v, %v", opened, err)
 	}
-	if h := s.Health(); h.Err != nil || h.TornBytes != 0 || len(h.Damage) != 0 {
+	if h := kv.Health(); h.Err != nil || h.TornBytes != 0 || len(h.Damage) != 0 {
 		t.Errorf("Open: %+v", h)
 	}
-	if err := s.Close(); err != nil {
+	if err := kv.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/files/store/header.go
+++ b/internal/files/store/header.go
@@ -78,37 +78,37 @@
 // decodeHeader decodes the header at the start of a segment. It returns errHeaderUnreadable or a NewerVersionError. It verifies the
 // checksum before the version, as otherwise one flipped bit could make the store look like that of a newer program. Therefore the
 // size of a header must be in the same place in each version, and the checksum at its end.
-func decodeHeader(file string, b []byte) (h header, err error) {
+func decodeHeader(file string, b []byte) (decoded header, err error) {
 	if len(b) < minHeaderBytes || string(b[:len(magic)]) != magic {
-		return h, errHeaderUnreadable
+		return decoded, errHeaderUnreadable
 	}
 	replaced := int(binary.LittleEndian.Uint16(b[replacedOffset:]))
 	size := minHeaderBytes + 8*replaced
 	if len(b) < size {
-		return h, errHeaderUnreadable
+		return decoded, errHeaderUnreadable
 	}
 	checksumOffset := size - checksumBytes
 	if crc32.Checksum(b[:checksumOffset], castagnoli) != binary.LittleEndian.Uint32(b[checksumOffset:]) {
-		return h, errHeaderUnreadable
+		return decoded, errHeaderUnreadable
 	}
-	if h.version = binary.LittleEndian.Uint16(b[versionOffset:]); h.version > Version {
-		return h, &NewerVersionError{file, h.version}
+	if decoded.version = binary.LittleEndian.Uint16(b[versionOffset:]); decoded.version > Version {
+		return decoded, &NewerVersionError{file, decoded.version}
 	}
 	numbers := numberReader{b[numbersOffset:]}
-	h.storeID = numbers.uint64()
-	h.id = numbers.uint64()
-	h.firstSeq = numbers.uint64()
-	h.durableSeq = numbers.uint64()
-	h.failedSeqs.first = numbers.uint64()
-	h.failedSeqs.end = numbers.uint64()
-	h.previousID = numbers.uint64()
-	h.timestamp.BootID = numbers.uint64()
-	h.timestamp.UptimeMillis = numbers.int64()
-	h.storeTime = numbers.int64()
+	decoded.storeID = numbers.uint64()
+	decoded.id = numbers.uint64()
+	decoded.firstSeq = numbers.uint64()
+	decoded.durableSeq = numbers.uint64()
+	decoded.failedSeqs.first = numbers.uint64()
+	decoded.failedSeqs.end = numbers.uint64()
+	decoded.previousID = numbers.uint64()
+	decoded.timestamp.BootID = numbers.uint64()
+	decoded.timestamp.UptimeMillis = numbers.int64()
+	decoded.storeTime = numbers.int64()
 	for range replaced {
-		h.replaces = append(h.replaces, numbers.uint64())
+		decoded.replaces = append(decoded.replaces, numbers.uint64())
 	}
-	return h, nil
+	return decoded, nil
 }
 
 // numberReader reads numbers of eight bytes one after another. The caller checks that there are enough bytes.
--- a/internal/files/store/helpers_test.go
+++ b/internal/files/store/helpers_test.go
@@ -30,9 +30,9 @@
 }
 
 // advance lets time pass within one boot of the machine.
-func (c *testClock) advance(d time.Duration) {
-	c.wallMillis.Add(d.Milliseconds())
-	c.uptimeMillis.Add(d.Milliseconds())
+func (c *testClock) advance(elapsed time.Duration) {
+	c.wallMillis.Add(elapsed.Milliseconds())
+	c.uptimeMillis.Add(elapsed.Milliseconds())
 }
 
 // open opens a store, with a clock that does not advance unless the options have another one.
@@ -41,35 +41,35 @@
 	if options.Clock == nil {
 		options.Clock = newClock().now
 	}
-	s, err := store.Open(dir, options)
+	kv, err := store.Open(dir, options)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return s
+	return kv
 }
 
 // closeStore closes a store whose disk works.
-func closeStore(tb testing.TB, s *store.Store) {
+func closeStore(tb testing.TB, kv *store.Store) {
 	tb.Helper()
-	if err := s.Close(); err != nil {
+	if err := kv.Close(); err != nil {
 		tb.Fatal(err)
 	}
 }
 
 // closeIgnoringError closes a store on a disk that may fail. Only writes that were acknowledged before matter.
-func closeIgnoringError(s *store.Store) { _ = s.Close() }
+func closeIgnoringError(kv *store.Store) { _ = kv.Close() }
 
 // tryOpen opens and closes a store on a disk that may lose power during that.
-func tryOpen(d *disk.Disk, options store.Options) {
-	if s, err := store.Open(d, options); err == nil {
-		closeIgnoringError(s)
+func tryOpen(testDisk *disk.Disk, options store.Options) {
+	if kv, err := store.Open(testDisk, options); err == nil {
+		closeIgnoringError(kv)
 	}
 }
 
 // readAll returns all records of a store.
-func readAll(s *store.Store) (map[string]string, error) {
+func readAll(kv *store.Store) (map[string]string, error) {
 	records := map[string]string{}
-	err := s.Range(func(key, value []byte, _ time.Duration) bool {
+	err := kv.Range(func(key, value []byte, _ time.Duration) bool {
 		records[string(key)] = string(value)
 		return true
 	})
@@ -77,9 +77,9 @@
 }
 
 // content returns all records of a store whose disk works.
-func content(tb testing.TB, s *store.Store) map[string]string {
+func content(tb testing.TB, kv *store.Store) map[string]string {
 	tb.Helper()
-	records, err := readAll(s)
+	records, err := readAll(kv)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -87,9 +87,9 @@
 }
 
 // put writes a record that does not expire.
-func put(tb testing.TB, s *store.Store, key, value string) {
+func put(tb testing.TB, kv *store.Store, key, value string) {
 	tb.Helper()
-	if err := s.Put([]byte(key), []byte(value), 0); err != nil {
+	if err := kv.Put([]byte(key), []byte(value), 0); err != nil {
 		tb.Fatal(err)
 	}
 }
--- a/internal/files/store/index.go
+++ b/internal/files/store/index.go
@@ -22,11 +22,11 @@
 }
 
 // add adds a record of a segment, unless a later one of its key is known. It updates what the segment counts.
-func (x *index) add(seg *segment, f *frame, offset, size uint32) {
+func (x *index) add(seg *segment, record *frame, offset, size uint32) {
 	seg.records++
-	key := string(f.key)
+	key := string(record.key)
 	old, superseded := x.locations[key]
-	if superseded && old.seq > f.seq {
+	if superseded && old.seq > record.seq {
 		return
 	}
 	if superseded {
@@ -35,18 +35,18 @@
 			seg.shadowedUntil = max(seg.shadowedUntil, old.expiresAt)
 		}
 	}
-	if f.kind == kindDelete {
+	if record.kind == kindDelete {
 		if superseded {
 			delete(x.locations, key)
 		}
 		return
 	}
-	seg.expiresAt = max(seg.expiresAt, f.expiresAt)
+	seg.expiresAt = max(seg.expiresAt, record.expiresAt)
 	seg.liveBytes += int64(size)
 	x.liveBytes += int64(size)
-	x.locations[key] = location{seg, f.seq, f.expiresAt, offset, size}
-	if f.expiresAt != never {
-		x.scheduleExpiry(key, f.expiresAt)
+	x.locations[key] = location{seg, record.seq, record.expiresAt, offset, size}
+	if record.expiresAt != never {
+		x.scheduleExpiry(key, record.expiresAt)
 	}
 }
 
--- a/internal/files/store/inspect.go
+++ b/internal/files/store/inspect.go
@@ -64,31 +64,31 @@
 	if log.storeID == 0 && len(log.segments) == 0 {
 		return nil, errNoStore
 	}
-	i := &inspection{
+	pass := &inspection{
 		log:    log,
 		report: &Report{Damage: log.damage, TornBytes: log.tornBytes, Leftovers: log.leftovers},
 		latest: map[string]latestRecord{},
 	}
-	if i.report.InUse, err = dir.Locked(); err != nil {
+	if pass.report.InUse, err = dir.Locked(); err != nil {
 		return nil, err
 	}
-	i.now = storeTimeAt(log.storeTime, log.timestamp, clock())
+	pass.now = storeTimeAt(log.storeTime, log.timestamp, clock())
 	for n := range log.segments {
-		if err := i.scan(n); err != nil {
+		if err := pass.scan(n); err != nil {
 			return nil, err
 		}
 	}
-	i.dropExpired()
-	i.report.LiveRecords = len(i.latest)
+	pass.dropExpired()
+	pass.report.LiveRecords = len(pass.latest)
 	if visit == nil {
-		return i.report, nil
+		return pass.report, nil
 	}
 	for n := range log.segments {
-		if err := i.visitSegment(n, visit); err != nil {
+		if err := pass.visitSegment(n, visit); err != nil {
 			return nil, err
 		}
 	}
-	return i.report, nil
+	return pass.report, nil
 }
 
 // inspection is one pass over a log.
@@ -107,9 +107,9 @@
 	offset    int   // in the segment
 }
 
-// scan adds the nth segment to the report, and its records to the latest ones.
-func (i *inspection) scan(n int) error {
-	result, err := i.log.scanSegment(n, func(f frame, offset int) {
+// scan adds a segment of the log to the report, and its records to the latest ones.
+func (i *inspection) scan(segmentIndex int) error {
+	result, err := i.log.scanSegment(segmentIndex, func(f frame, offset int) {
 		key := string(f.key)
 		if old, ok := i.latest[key]; ok && old.seq > f.seq {
 			return
@@ -118,7 +118,7 @@
 			delete(i.latest, key)
 			return
 		}
-		i.latest[key] = latestRecord{seq: f.seq, expiresAt: f.expiresAt, segment: n, offset: offset}
+		i.latest[key] = latestRecord{seq: f.seq, expiresAt: f.expiresAt, segment: segmentIndex, offset: offset}
 	})
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	i.now = max(i.now, result.storeTime)
 	i.report.Damage = append(i.report.Damage, result.damage...)
 	i.report.TornBytes += result.tornBytes
-	seg := i.log.segments[n]
+	seg := i.log.segments[segmentIndex]
 	i.report.Segments = append(i.report.Segments, Segment{
 		File:     seg.name,
 		Bytes:    seg.size,
@@ -148,9 +148,9 @@
 	}
 }
 
-// visitSegment calls visit for the live records of the nth segment.
-func (i *inspection) visitSegment(n int, visit func(Record) error) error {
-	seg := i.log.segments[n]
+// visitSegment calls visit for the live records of a segment of the log.
+func (i *inspection) visitSegment(segmentIndex int, visit func(Record) error) error {
+	seg := i.log.segments[segmentIndex]
 	data, err := readUpTo(seg.file, seg.size)
 	if err != nil {
 		return fmt.Errorf("%s: %w", seg.name, err)
@@ -161,7 +161,7 @@
 			offset++
 			continue
 		}
-		if i.isLatest(&f, n, offset) {
+		if i.isLatest(&f, segmentIndex, offset) {
 			record := Record{Key: f.key, Value: f.value, Seq: f.seq, File: seg.name, TimeLeft: i.timeLeft(f.expiresAt)}
 			if err := visit(record); err != nil {
 				return err
--- a/internal/files/store/scan.go
+++ b/internal/files/store/scan.go
@@ -79,21 +79,21 @@
 // scanRun reads the frames of a run.
 func (s *segmentScan) scanRun(run frameRun) {
 	for offset := run.from; offset < run.to; {
-		f, _ := decodeFrame(s.data[offset:])
-		switch f.kind {
+		found, _ := decodeFrame(s.data[offset:])
+		switch found.kind {
 		case kindGroup:
-			s.result.storeTime = max(s.result.storeTime, f.storeTime)
+			s.result.storeTime = max(s.result.storeTime, found.storeTime)
 		case kindSeal:
 			s.result.sealed = true
-			s.result.seal = f
+			s.result.seal = found
 		default:
-			s.result.lastSeq = f.seq
-			s.batch = append(s.batch, scannedFrame{f, offset})
-			if !f.moreInBatch {
+			s.result.lastSeq = found.seq
+			s.batch = append(s.batch, scannedFrame{found, offset})
+			if !found.moreInBatch {
 				s.emitBatch()
 			}
 		}
-		offset += f.size
+		offset += found.size
 	}
 	s.end = run.to
 }
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -48,26 +48,26 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{
+	store := &Store{
 		fs:      dir,
 		options: options,
 		lock:    lock,
 		clock:   storeClock{machine: options.Clock},
 		queue:   newBatchQueue(options.MaxPendingBytes),
 	}
-	s.committer = newCommitter(s)
-	s.compactor = &compactor{store: s}
-	err = s.recoverLog()
+	store.committer = newCommitter(store)
+	store.compactor = &compactor{store: store}
+	err = store.recoverLog()
 	if err == nil {
-		if err = s.committer.roll(); err != nil {
+		if err = store.committer.roll(); err != nil {
 			err = fmt.Errorf("no segment can be made: %w", err)
 		}
 	}
 	if err != nil {
-		return nil, errors.Join(err, s.closeFiles(), lock.Close())
+		return nil, errors.Join(err, store.closeFiles(), lock.Close())
 	}
-	go s.committer.run()
-	return s, nil
+	go store.committer.run()
+	return store, nil
 }
 
 // closeFiles closes the files of all segments.
--- a/internal/files/store/store_test.go
+++ b/internal/files/store/store_test.go
@@ -16,47 +16,47 @@
 func TestStore(t *testing.T) {
 	dir := store.Dir(t.TempDir())
 	clock := newClock()
-	s := open(t, dir, store.Options{Clock: clock.now})
-	put(t, s, "a", "1")
-	put(t, s, "b", "2")
-	put(t, s, "a", "3")
-	check(t, s.Put([]byte("short"), []byte("x"), time.Second))
-	check(t, s.Delete([]byte("b")))
+	kv := open(t, dir, store.Options{Clock: clock.now})
+	put(t, kv, "a", "1")
+	put(t, kv, "b", "2")
+	put(t, kv, "a", "3")
+	check(t, kv.Put([]byte("short"), []byte("x"), time.Second))
+	check(t, kv.Delete([]byte("b")))
 	var b store.Batch
 	b.Put([]byte("c"), []byte("4"), time.Minute)
 	b.Put([]byte("empty"), nil, 0)
-	check(t, s.ApplyAndWait(b))
-	if _, left, ok, err := s.Get([]byte("c")); !ok || left != time.Minute || err != nil {
+	check(t, kv.ApplyAndWait(b))
+	if _, left, ok, err := kv.Get([]byte("c")); !ok || left != time.Minute || err != nil {
 		t.Errorf("c: %v %v %v", left, ok, err)
 	}
 	want := map[string]string{"a": "3", "short": "x", "c": "4", "empty": ""}
-	if got := content(t, s); !maps.Equal(got, want) {
+	if got := content(t, kv); !maps.Equal(got, want) {
 		t.Errorf("%v", got)
 	}
 	if _, err := store.Open(dir, store.Options{}); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a second process: %v", err)
 	}
-	check(t, s.Close())
-	if err := s.Put([]byte("a"), nil, 0); !errors.Is(err, store.ErrClosed) {
+	check(t, kv.Close())
+	if err := kv.Put([]byte("a"), nil, 0); !errors.Is(err, store.ErrClosed) {
 		t.Errorf("after Close: %v", err)
 	}
 	clock.advance(1000 * time.Millisecond)
 	delete(want, "short")
-	s = open(t, dir, store.Options{Clock: clock.now})
-	defer closeStore(t, s)
-	if got := content(t, s); !maps.Equal(got, want) || s.Len() != len(want) {
+	kv = open(t, dir, store.Options{Clock: clock.now})
+	defer closeStore(t, kv)
+	if got := content(t, kv); !maps.Equal(got, want) || kv.Len() != len(want) {
 		t.Errorf("opened again: %v", got)
 	}
-	if h := s.Health(); h.Err != nil || h.TornBytes > 0 || len(h.Damage) > 0 {
+	if h := kv.Health(); h.Err != nil || h.TornBytes > 0 || len(h.Damage) > 0 {
 		t.Errorf("%+v", h)
 	}
 	for _, c := range []struct {
 		name string
 		err  error
 	}{
-		{"no key", s.Put(nil, nil, 0)},
-		{"long key", s.Put(make([]byte, store.MaxKeyBytes+1), nil, 0)},
-		{"long value", s.Put([]byte("k"), make([]byte, store.MaxValueBytes+1), 0)},
+		{"no key", kv.Put(nil, nil, 0)},
+		{"long key", kv.Put(make([]byte, store.MaxKeyBytes+1), nil, 0)},
+		{"long value", kv.Put([]byte("k"), make([]byte, store.MaxValueBytes+1), 0)},
 	} {
 		if !errors.Is(c.err, store.ErrRecordSize) {
 			t.Errorf("%s: %v", c.name, c.err)
@@ -67,83 +67,83 @@
 // A batch with a delay is written in one sync with the next batch without one, or by itself after its delay, or when the store is
 // closed.
 func TestIdleBatches(t *testing.T) {
-	d := disk.New()
+	testDisk := disk.New()
 	options := store.Options{Clock: newClock().now}
-	s := open(t, d, options)
+	kv := open(t, testDisk, options)
 	done := make(chan error, 1)
 	apply := func(key string, maxDelay time.Duration) {
 		var b store.Batch
 		b.Put([]byte(key), []byte("v"), 0)
 		b.SetMaxDelay(maxDelay)
-		s.Apply(b, func(err error) { done <- err })
+		kv.Apply(b, func(err error) { done <- err })
 	}
-	put(t, s, "first", "v")
-	before := d.Operations()
-	put(t, s, "alone", "v")
-	perGroup := d.Operations() - before // calls of the disk for one group
-	before = d.Operations()
+	put(t, kv, "first", "v")
+	before := testDisk.Operations()
+	put(t, kv, "alone", "v")
+	perGroup := testDisk.Operations() - before // calls of the disk for one group
+	before = testDisk.Operations()
 	apply("idle", time.Hour)
-	if _, _, ok, _ := s.Get([]byte("idle")); ok || d.Operations() != before {
+	if _, _, ok, _ := kv.Get([]byte("idle")); ok || testDisk.Operations() != before {
 		t.Error("the batch was written without its delay")
 	}
-	put(t, s, "urgent", "v")
-	if err := <-done; err != nil || d.Operations() != before+perGroup {
-		t.Errorf("%v; %d calls of the disk for both, %d for one", err, d.Operations()-before, perGroup)
+	put(t, kv, "urgent", "v")
+	if err := <-done; err != nil || testDisk.Operations() != before+perGroup {
+		t.Errorf("%v; %d calls of the disk for both, %d for one", err, testDisk.Operations()-before, perGroup)
 	}
 	apply("timed", time.Millisecond)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	apply("last", time.Hour)
-	check(t, s.Close())
+	check(t, kv.Close())
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s = open(t, d.AfterCrash(), options)
-	if got := content(t, s); len(got) != 6 {
+	kv = open(t, testDisk.AfterCrash(), options)
+	if got := content(t, kv); len(got) != 6 {
 		t.Errorf("%v", got)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // A write that exceeds the limits is rejected, and changes nothing.
 func TestBounds(t *testing.T) {
 	options := store.Options{Clock: newClock().now, SegmentBytes: 1000, MaxBytes: 3000, MaxRecords: 20}
-	s := open(t, disk.New(), options)
+	kv := open(t, disk.New(), options)
 	full := 0
 	for i := range 100 {
-		if err := s.Put(fmt.Append(nil, "k", i), make([]byte, 10), 0); errors.Is(err, store.ErrFull) {
+		if err := kv.Put(fmt.Append(nil, "k", i), make([]byte, 10), 0); errors.Is(err, store.ErrFull) {
 			full++
 		} else if err != nil {
 			t.Fatal(err)
 		}
 	}
-	if full != 80 || s.Len() != 20 {
-		t.Errorf("%d were rejected, %d are there", full, s.Len())
+	if full != 80 || kv.Len() != 20 {
+		t.Errorf("%d were rejected, %d are there", full, kv.Len())
 	}
-	if err := s.Put([]byte("k0"), make([]byte, 2900), 0); !errors.Is(err, store.ErrFull) {
+	if err := kv.Put([]byte("k0"), make([]byte, 2900), 0); !errors.Is(err, store.ErrFull) {
 		t.Errorf("too many bytes: %v", err)
 	}
-	put(t, s, "k0", "shorter")
-	if err := s.Delete([]byte("k1")); err != nil {
+	put(t, kv, "k0", "shorter")
+	if err := kv.Delete([]byte("k1")); err != nil {
 		t.Errorf("a deletion from a full store: %v", err)
 	}
-	put(t, s, "new", "in its place")
-	closeStore(t, s)
+	put(t, kv, "new", "in its place")
+	closeStore(t, kv)
 }
 
 // While the disk hangs, Apply does not block, and rejects batches beyond the limit of pending ones.
 func TestBusy(t *testing.T) {
-	d := &hangingFS{FS: disk.New(), release: make(chan struct{})}
-	s := open(t, d, store.Options{MaxPendingBytes: 1000})
-	d.hang.Store(true)
+	testDisk := &hangingFS{FS: disk.New(), release: make(chan struct{})}
+	kv := open(t, testDisk, store.Options{MaxPendingBytes: 1000})
+	testDisk.hang.Store(true)
 	var rejected, done atomic.Int64
 	var pending sync.WaitGroup
 	for i := range 100 {
 		var b store.Batch
 		b.Put(fmt.Append(nil, "k", i), make([]byte, 20), 0)
 		pending.Add(1)
-		s.Apply(b, func(err error) {
+		kv.Apply(b, func(err error) {
 			defer pending.Done()
 			done.Add(1)
 			if errors.Is(err, store.ErrBusy) {
@@ -154,12 +154,12 @@
 	if n := rejected.Load(); n < 50 || done.Load() != n {
 		t.Errorf("%d of 100 were rejected, %d are done", n, done.Load())
 	}
-	close(d.release)
+	close(testDisk.release)
 	pending.Wait()
-	if n := s.Len() + int(rejected.Load()); n != 100 {
+	if n := kv.Len() + int(rejected.Load()); n != 100 {
 		t.Errorf("%d were acknowledged or rejected", n)
 	}
-	closeStore(t, s)
+	closeStore(t, kv)
 }
 
 // hangingFS is a directory in which syncs of files block while hang is set, until release is closed.
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -9,101 +9,101 @@
 	"quincegap/internal/config/settings"
 )
 
-// decode reads the fields of an event, and returns the function that delivers it to a Balancer. The result is valid only if f.err
+// decode reads the fields of an event, and returns the function that delivers it to a Balancer. The result is valid only if fields.err
 // is nil.
-func (s *server) decode(f *lineFields, in *instance) func(*balancer.Balancer) {
+func (s *server) decode(fields *lineFields, in *instance) func(*balancer.Balancer) {
 	now := s.now
-	switch f.name {
+	switch fields.name {
 	case lineEndpoints:
-		list := s.endpointList(f)
+		list := s.endpointList(fields)
 		return func(b *balancer.Balancer) { b.HandleEndpoints(now, list) }
 	case lineRequest:
-		request := decodeRequest(f, in.classes)
+		request := decodeRequest(fields, in.classes)
 		return func(b *balancer.Balancer) { b.HandleRequest(now, request) }
 	case lineResponse:
-		id := f.requestID()
-		attempt := int(f.number("n"))
-		endpoint := f.endpoint()
-		f.time("elapsed")
+		id := fields.requestID()
+		attempt := int(fields.number("n"))
+		endpoint := fields.endpoint()
+		fields.time("elapsed")
 		return func(b *balancer.Balancer) { b.HandleResponseStart(now, id, attempt, endpoint) }
 	case lineOutcome:
-		outcome := decodeOutcome(f)
+		outcome := decodeOutcome(fields)
 		return func(b *balancer.Balancer) { b.HandleOutcome(now, outcome) }
 	case lineClientGone:
-		id := f.requestID()
+		id := fields.requestID()
 		return func(b *balancer.Balancer) { b.HandleClientGone(now, id) }
 	case lineTimer:
-		token := uint64(f.number("label"))
+		token := uint64(fields.number("label"))
 		return func(b *balancer.Balancer) { b.HandleTimer(now, token) }
 	case lineHealthCheck:
 		result := balancer.HealthCheckResult{
-			Endpoint: f.endpoint(),
-			Status:   f.status(),
-			Elapsed:  f.time("elapsed"),
-			Load:     f.load(),
+			Endpoint: fields.endpoint(),
+			Status:   fields.status(),
+			Elapsed:  fields.time("elapsed"),
+			Load:     fields.load(),
 		}
 		return func(b *balancer.Balancer) { b.HandleHealthCheck(now, result) }
 	default: // linePeerMessage
-		from := int(f.number("by"))
-		data := f.bytes()
+		from := int(fields.number("by"))
+		data := fields.bytes()
 		return func(b *balancer.Balancer) { b.HandlePeerMessage(now, from, data) }
 	}
 }
 
 // decodeRequest reads the fields of a request, in the order of the line. The class must be below the number of classes.
-func decodeRequest(f *lineFields, classes int) balancer.Request {
-	r := balancer.Request{
-		ID:       f.requestID(),
-		Class:    int(f.number("type")),
-		Tenant:   int(f.optional("userGroup")),
-		Key:      f.optionalText("affinity"),
-		TimeLeft: f.time("left"),
-		WorkHint: settings.Microseconds(f.optional("workHint")),
+func decodeRequest(fields *lineFields, classes int) balancer.Request {
+	request := balancer.Request{
+		ID:       fields.requestID(),
+		Class:    int(fields.number("type")),
+		Tenant:   int(fields.optional("userGroup")),
+		Key:      fields.optionalText("affinity"),
+		TimeLeft: fields.time("left"),
+		WorkHint: settings.Microseconds(fields.optional("workHint")),
 	}
-	attrs := f.optional("attrs")
-	if r.Class < 0 || r.Class >= classes {
-		f.fail("type", "no such class")
+	attrs := fields.optional("attrs")
+	if request.Class < 0 || request.Class >= classes {
+		fields.fail("type", "no such class")
 	}
 	if attrs&attrHasWorkHint == 0 {
-		r.WorkHint = 0
+		request.WorkHint = 0
 	}
-	r.Retry = attrs&attrRetry != 0
-	r.Write = attrs&attrWrite != 0
-	return r
+	request.Retry = attrs&attrRetry != 0
+	request.Write = attrs&attrWrite != 0
+	return request
 }
 
 // decodeOutcome reads the fields of an outcome, in the order of the line.
-func decodeOutcome(f *lineFields) balancer.Outcome {
+func decodeOutcome(fields *lineFields) balancer.Outcome {
 	return balancer.Outcome{
-		ID:       f.requestID(),
-		Endpoint: f.endpoint(),
-		Final:    f.flag("final"),
-		Elapsed:  f.time("elapsed"),
-		Status:   f.status(),
-		Attempt:  int(f.number("n")),
-		Load:     f.load(),
+		ID:       fields.requestID(),
+		Endpoint: fields.endpoint(),
+		Final:    fields.flag("final"),
+		Elapsed:  fields.time("elapsed"),
+		Status:   fields.status(),
+		Attempt:  int(fields.number("n")),
+		Load:     fields.load(),
 	}
 }
 
 // endpointList reads the fields of an update of the endpoints, and resolves the number of the list that it refers to. It reports
-// faults in f.err.
-func (s *server) endpointList(f *lineFields) balancer.EndpointList {
+// faults in fields.err.
+func (s *server) endpointList(fields *lineFields) balancer.EndpointList {
 	var list balancer.EndpointList
-	kind := f.number("kind")
-	if f.err == nil && (kind < 0 || kind >= int64(len(listKinds))) {
-		f.fail("kind", "unknown list kind")
+	kind := fields.number("kind")
+	if fields.err == nil && (kind < 0 || kind >= int64(len(listKinds))) {
+		fields.fail("kind", "unknown list kind")
 	}
-	if f.err != nil {
+	if fields.err != nil {
 		return list
 	}
 	list.Kind = listKinds[kind]
-	number := f.optional("buffer")
-	list.Version = uint64(f.optional("version"))
-	if list.Kind == balancer.ListFailed || f.err != nil {
+	number := fields.optional("buffer")
+	list.Version = uint64(fields.optional("version"))
+	if list.Kind == balancer.ListFailed || fields.err != nil {
 		return list
 	}
 	if number < 0 || number >= listCount || !s.listDefined[number] {
-		f.fail("buffer", "no such list")
+		fields.fail("buffer", "no such list")
 		return list
 	}
 	list.Entries = s.lists[number]
@@ -111,17 +111,17 @@
 }
 
 // readList handles the definition of a list: its own line, and the item lines that follow.
-func (s *server) readList(f *lineFields) error {
-	number := f.number("buffer")
-	rows := f.number("rows")
-	if f.err == nil && (number < 0 || number >= listCount) {
-		f.fail("buffer", "out of range")
+func (s *server) readList(fields *lineFields) error {
+	number := fields.number("buffer")
+	rows := fields.number("rows")
+	if fields.err == nil && (number < 0 || number >= listCount) {
+		fields.fail("buffer", "out of range")
 	}
-	if f.err == nil && rows < 0 {
-		f.fail("rows", "negative")
+	if fields.err == nil && rows < 0 {
+		fields.fail("rows", "negative")
 	}
-	if f.err != nil {
-		return f.err
+	if fields.err != nil {
+		return fields.err
 	}
 	var entries []balancer.ListEntry // always a new slice, as a Balancer may keep the old one
 	for i := range rows {
@@ -143,14 +143,14 @@
 }
 
 // decodeItem reads the fields of a list item, in the order of the line.
-func decodeItem(f *lineFields) balancer.ListEntry {
+func decodeItem(fields *lineFields) balancer.ListEntry {
 	return balancer.ListEntry{
-		Endpoint:    f.endpoint(),
-		Zone:        int(f.number("area")),
-		MachineKind: int(f.number("kind")),
-		Cell:        int(f.number("stripe")),
-		State:       f.state(),
-		Weight:      f.float("units"),
-		StartedAt:   settings.Microseconds(f.optional("cameUp")),
+		Endpoint:    fields.endpoint(),
+		Zone:        int(fields.number("area")),
+		MachineKind: int(fields.number("kind")),
+		Cell:        int(fields.number("stripe")),
+		State:       fields.state(),
+		Weight:      fields.float("units"),
+		StartedAt:   settings.Microseconds(fields.optional("cameUp")),
 	}
 }
--- a/internal/simadapter/server.go
+++ b/internal/simadapter/server.go
@@ -65,33 +65,33 @@
 
 // serveBatch reads one batch and writes the reply to the output buffer. It returns false at the end of the input.
 func (s *server) serveBatch() (bool, error) {
-	f, err := s.readLine()
+	fields, err := s.readLine()
 	if errors.Is(err, io.EOF) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	if f.name != lineBeginBatch {
-		return false, s.malformed(f.name, lineBeginBatch, "expected at the start of a batch")
+	if fields.name != lineBeginBatch {
+		return false, s.malformed(fields.name, lineBeginBatch, "expected at the start of a batch")
 	}
-	s.now = f.time("ts")
-	if f.err != nil {
-		return false, f.err
+	s.now = fields.time("ts")
+	if fields.err != nil {
+		return false, fields.err
 	}
 	for {
-		f, err := s.readLine()
+		fields, err := s.readLine()
 		if errors.Is(err, io.EOF) {
 			return false, s.malformed("batch", lineEndBatch, "missing at the end of input")
 		}
 		if err != nil {
 			return false, err
 		}
-		if f.name == lineEndBatch {
+		if fields.name == lineEndBatch {
 			_, err := s.out.WriteString(lineEndOfReply + "\n")
 			return true, err
 		}
-		if err := s.handleEvent(f); err != nil {
+		if err := s.handleEvent(fields); err != nil {
 			return false, err
 		}
 	}
@@ -112,10 +112,10 @@
 		break
 	}
 	s.line++
-	f := &lineFields{server: s, rest: bytes.TrimRight(s.lineBuffer, lineEnds)}
-	f.hasMore = len(f.rest) > 0
-	f.name = string(f.next())
-	return f, nil
+	fields := &lineFields{server: s, rest: bytes.TrimRight(s.lineBuffer, lineEnds)}
+	fields.hasMore = len(fields.rest) > 0
+	fields.name = string(fields.next())
+	return fields, nil
 }
 
 // malformed returns the error for a fault in the line that was read last.
@@ -137,50 +137,50 @@
 }
 
 // handleEvent handles one event of a batch.
-func (s *server) handleEvent(f *lineFields) error {
-	switch f.name {
+func (s *server) handleEvent(fields *lineFields) error {
+	switch fields.name {
 	case lineList:
-		return s.readList(f)
+		return s.readList(fields)
 	case lineNewInstance:
-		return s.startInstance(f)
+		return s.startInstance(fields)
 	case lineHalt, lineEndpoints, lineRequest, lineResponse, lineOutcome, lineClientGone, lineTimer, lineHealthCheck, linePeerMessage:
 	default:
-		s.noteOnce("unknown event " + f.name + " passed over")
+		s.noteOnce("unknown event " + fields.name + " passed over")
 		return nil
 	}
-	number := f.number("sidecar")
-	if f.err != nil {
-		return f.err
+	number := fields.number("sidecar")
+	if fields.err != nil {
+		return fields.err
 	}
 	in := s.instances[number]
 	if in == nil {
-		return s.malformed(f.name, "sidecar", fmt.Sprintf("instance %d was never started", number))
+		return s.malformed(fields.name, "sidecar", fmt.Sprintf("instance %d was never started", number))
 	}
-	if f.name == lineHalt {
+	if fields.name == lineHalt {
 		delete(s.instances, number)
 		return nil
 	}
-	deliver := s.decode(f, in)
-	if f.err != nil {
-		return f.err
+	deliver := s.decode(fields, in)
+	if fields.err != nil {
+		return fields.err
 	}
 	in.guard(deliver)
 	return nil
 }
 
 // startInstance makes an instance, in the place of one with the same number.
-func (s *server) startInstance(f *lineFields) error {
-	number := f.number("sidecar")
-	seed := f.number("seed")
-	if f.err == nil && !f.hasMore {
-		f.fail("config", "missing")
+func (s *server) startInstance(fields *lineFields) error {
+	number := fields.number("sidecar")
+	seed := fields.number("seed")
+	if fields.err == nil && !fields.hasMore {
+		fields.fail("config", "missing")
 	}
-	if f.err != nil {
-		return f.err
+	if fields.err != nil {
+		return fields.err
 	}
-	config, unknown, err := settings.Parse(f.rest)
+	config, unknown, err := settings.Parse(fields.rest)
 	if err != nil {
-		return s.malformed(f.name, "config", err.Error())
+		return s.malformed(fields.name, "config", err.Error())
 	}
 	for _, key := range unknown {
 		s.noteOnce("unknown settings key " + key + " passed over")
@@ -188,7 +188,7 @@
 	in := &instance{server: s, number: number, classes: len(config.Classes)}
 	in.balancer, err = balancer.New(config.Settings, uint64(seed), in)
 	if err != nil {
-		return s.malformed(f.name, "config", err.Error())
+		return s.malformed(fields.name, "config", err.Error())
 	}
 	s.instances[number] = in
 	return nil
--- a/internal/structures/deadlinequeue/deadlinequeue_test.go
+++ b/internal/structures/deadlinequeue/deadlinequeue_test.go
@@ -10,20 +10,20 @@
 )
 
 // checkAgainst compares a queue with a map of the expected deadlines.
-func checkAgainst(t *rapid.T, q *Queue[int], deadlines map[int]time.Duration) {
+func checkAgainst(t *rapid.T, queue *Queue[int], deadlines map[int]time.Duration) {
 	t.Helper()
 	first, ok := 0, false
 	for value, deadline := range deadlines {
 		if !ok || deadline < deadlines[first] || deadline == deadlines[first] && value < first {
 			first, ok = value, true
 		}
-		if got, found := q.Deadline(value); !found || got != deadline {
+		if got, found := queue.Deadline(value); !found || got != deadline {
 			t.Fatalf("%d has the deadline %v, %v, want %v", value, got, found, deadline)
 		}
 	}
-	got, deadline, found := q.Peek()
-	if found != ok || q.Len() != len(deadlines) {
-		t.Fatalf("there is a first item: %v, of %d; want %v of %v", found, q.Len(), ok, deadlines)
+	got, deadline, found := queue.Peek()
+	if found != ok || queue.Len() != len(deadlines) {
+		t.Fatalf("there is a first item: %v, of %d; want %v of %v", found, queue.Len(), ok, deadlines)
 	}
 	if ok && (got != first || deadline != deadlines[first]) {
 		t.Fatalf("first is %d at %v, want %d of %v", got, deadline, first, deadlines)
@@ -33,19 +33,19 @@
 // After random changes the queue agrees with a map that is searched in full each time.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		q := Queue[int]{Less: func(a, b int) bool { return a < b }}
+		queue := Queue[int]{Less: func(a, b int) bool { return a < b }}
 		deadlines := map[int]time.Duration{}
 		for range rapid.IntRange(1, 300).Draw(rt, "events") {
 			value := rapid.IntRange(0, 30).Draw(rt, "value")
 			if rapid.IntRange(0, 2).Draw(rt, "event") == 0 {
-				q.Remove(value)
+				queue.Remove(value)
 				delete(deadlines, value)
 			} else {
 				deadline := time.Duration(rapid.IntRange(0, 20).Draw(rt, "deadline"))
-				q.Put(value, deadline)
+				queue.Put(value, deadline)
 				deadlines[value] = deadline
 			}
-			checkAgainst(rt, &q, deadlines)
+			checkAgainst(rt, &queue, deadlines)
 		}
 	})
 }
--- a/internal/structures/hashring/hashring_test.go
+++ b/internal/structures/hashring/hashring_test.go
@@ -127,11 +127,11 @@
 // Each item has as many owners as there are replicas, and keeps them when another owner joins or leaves.
 func TestGroupMovesOnlyWhatItHasTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(4, 60).Draw(t, "owners")
+		ownerCount := rapid.IntRange(4, 60).Draw(t, "owners")
 		replicas := rapid.IntRange(1, 3).Draw(t, "replicas")
 		id := rapid.Uint32().Draw(t, "id")
-		removed := rapid.IntRange(0, n-1).Draw(t, "removed")
-		members := groupMembers(n)
+		removed := rapid.IntRange(0, ownerCount-1).Draw(t, "removed")
+		members := groupMembers(ownerCount)
 		before := ownersInGroup(members, id, float64(replicas), 1)
 		if len(before) != replicas {
 			t.Fatalf("%d owners, want %d", len(before), replicas)
@@ -154,8 +154,8 @@
 		if len(after) != replicas || kept != want {
 			t.Fatalf("%v became %v without %d: %d kept, want %d", before, after, removed, kept, want)
 		}
-		if widened := ownersInGroup(members, id, float64(replicas), 2); len(widened) != min(2*replicas, n) {
-			t.Fatalf("with a widening of 2: %d owners of %d", len(widened), n)
+		if widened := ownersInGroup(members, id, float64(replicas), 2); len(widened) != min(2*replicas, ownerCount) {
+			t.Fatalf("with a widening of 2: %d owners of %d", len(widened), ownerCount)
 		}
 	})
 }
--- a/internal/structures/weightedring/weightedring_test.go
+++ b/internal/structures/weightedring/weightedring_test.go
@@ -47,25 +47,25 @@
 }
 
 // change applies random changes to a ring and to the reference.
-func change(t *rapid.T, r *Ring[uint32], n *naive) {
+func change(t *rapid.T, ring *Ring[uint32], want *naive) {
 	// The weights are integers, so that their sum does not depend on the order of the additions.
 	weight := rapid.Custom(func(t *rapid.T) float64 { return float64(rapid.IntRange(0, 9).Draw(t, "weight")) })
 	keys := rapid.Uint32Range(0, 700)
 	for range rapid.IntRange(0, 1200).Draw(t, "changes") {
 		key := keys.Draw(t, "key")
 		if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-			r.Remove(key)
-			n.remove(key)
+			ring.Remove(key)
+			want.remove(key)
 		} else {
 			w := weight.Draw(t, "w")
-			r.Put(key, w, key)
-			n.put(key, w)
+			ring.Put(key, w, key)
+			want.put(key, w)
 		}
 	}
 	if rapid.Bool().Draw(t, "reweigh") {
-		r.Reweigh(func(key uint32) float64 { return 2 * n.weights[key] })
-		for _, key := range n.keys {
-			n.weights[key] *= 2
+		ring.Reweigh(func(key uint32) float64 { return 2 * want.weights[key] })
+		for _, key := range want.keys {
+			want.weights[key] *= 2
 		}
 	}
 }
--- a/internal/structures/weightedsample/weightedsample_test.go
+++ b/internal/structures/weightedsample/weightedsample_test.go
@@ -30,39 +30,39 @@
 }
 
 // change applies a random change to a sampler and to the reference.
-func change(t *rapid.T, s *Sampler, all naive) {
+func change(t *rapid.T, sampler *Sampler, all naive) {
 	weights := rapid.SampledFrom([]float64{0, 0, 1, 0.3, 1e-12, 1e12, -1, math.NaN(), 7})
 	slots := slices.Sorted(maps.Keys(all))
 	switch event := rapid.IntRange(0, 3).Draw(t, "event"); {
 	case event == 0 || len(slots) == 0:
 		weight := weights.Draw(t, "weight")
-		slot := s.Add(weight)
+		slot := sampler.Add(weight)
 		if _, inUse := all[slot]; inUse {
 			t.Fatalf("slot %d is in use already", slot)
 		}
 		all.set(slot, weight)
 	case event == 1:
 		slot := rapid.SampledFrom(slots).Draw(t, "slot")
-		s.Remove(slot)
+		sampler.Remove(slot)
 		delete(all, slot)
 	default:
 		slot, weight := rapid.SampledFrom(slots).Draw(t, "slot"), weights.Draw(t, "weight")
-		s.Set(slot, weight)
+		sampler.Set(slot, weight)
 		all.set(slot, weight)
 	}
 }
 
 // checkDraws draws by some numbers, and checks that no slot without a weight is drawn.
-func checkDraws(t *rapid.T, s *Sampler, all naive) {
+func checkDraws(t *rapid.T, sampler *Sampler, all naive) {
 	t.Helper()
 	for _, x := range []float64{0, 0.5, math.Nextafter(1, 0), rapid.Float64Range(0, 0.999).Draw(t, "x")} {
-		slot, ok := s.Draw(x)
+		slot, ok := sampler.Draw(x)
 		if ok != (all.total() > 0) || ok && !(all[slot] > 0) {
 			t.Fatalf("drew %d, %v, with weights %v", slot, ok, all)
 		}
 	}
-	first, second, ok := s.DrawTwo(rapid.Float64Range(0, 0.999).Draw(t, "y"), 0.7)
-	if ok && (first == second || second >= 0 && !(all[second] > 0) || s.Weight(first) != all[first]) {
+	first, second, ok := sampler.DrawTwo(rapid.Float64Range(0, 0.999).Draw(t, "y"), 0.7)
+	if ok && (first == second || second >= 0 && !(all[second] > 0) || sampler.Weight(first) != all[first]) {
 		t.Fatalf("drew %d and %d of %v", first, second, all)
 	}
 }
@@ -71,20 +71,20 @@
 // drawn.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var s Sampler
+		var sampler Sampler
 		all := naive{}
 		for range rapid.IntRange(1, 200).Draw(rt, "events") {
-			change(rt, &s, all)
+			change(rt, &sampler, all)
 			want := all.total()
-			if got := s.Total(); math.Abs(got-want) > 1e-9*want {
+			if got := sampler.Total(); math.Abs(got-want) > 1e-9*want {
 				rt.Fatalf("a total of %g, want %g", got, want)
 			}
 			for slot, weight := range all {
-				if s.Weight(slot) != weight {
-					rt.Fatalf("slot %d has %g, want %g", slot, s.Weight(slot), weight)
+				if sampler.Weight(slot) != weight {
+					rt.Fatalf("slot %d has %g, want %g", slot, sampler.Weight(slot), weight)
 				}
 			}
-			checkDraws(rt, &s, all)
+			checkDraws(rt, &sampler, all)
 		}
 	})
 }
@@ -92,17 +92,17 @@
 // The first and the second draw follow the weights, by a chi-square test with a fixed seed.
 func TestDistribution(t *testing.T) {
 	weights := []float64{1, 2, 0, 5, 0.5, 100, 3, 3, 0, 7, 1, 12}
-	var s Sampler
+	var sampler Sampler
 	total := 0.0
 	for _, x := range weights {
-		s.Add(x)
+		sampler.Add(x)
 		total += x
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	const n = 400_000
 	first, second := make([]float64, len(weights)), make([]float64, len(weights))
 	for range n {
-		a, b, _ := s.DrawTwo(rng.Float64(), rng.Float64())
+		a, b, _ := sampler.DrawTwo(rng.Float64(), rng.Float64())
 		first[a]++
 		second[b]++
 	}
