--- a/internal/mesh/dataplane/admission/doc.go
+++ b/internal/mesh/dataplane/admission/doc.go
@@ -13,7 +13,7 @@
 //	                            period, then
 //	                            rejected
 //
-// An endpoint ID never goes back to an earlier state. An endpoint with another ID, which is a new incarnation of the process, starts in
+// An endpoint ID never goes back to an earlier state. An endpoint with another ID, which is a later start of the process, begins in
 // the state in which it is reported; the requests that are queued for its predecessor are rejected.
 //
 // The queue is ordered by nested calls first, then by priority, then by arrival. A request that is not expected to start in time, by the
--- a/internal/mesh/dataplane/admission/endpoint.go
+++ b/internal/mesh/dataplane/admission/endpoint.go
@@ -11,9 +11,9 @@
 	Terminated              // it was deregistered, or found to be down
 )
 
-// Endpoint is one incarnation of the application process beside a sidecar.
+// Endpoint is one start of the application process beside a sidecar.
 type Endpoint struct {
-	ID      string // unique to the incarnation
+	ID      string // unique to the start
 	Service string
 	Slots   int // number of requests that it executes concurrently
 }
--- a/internal/mesh/dataplane/inbound/proxy.go
+++ b/internal/mesh/dataplane/inbound/proxy.go
@@ -73,7 +73,7 @@
 	call.OnCancel(cancel)
 }
 
-// UpdateEndpoint updates the endpoint and its state, by the endpoint's registration, heartbeats or deregistration.
+// UpdateEndpoint updates the endpoint and its state, by the endpoint's keepalives or deregistration, or as this sidecar shuts down.
 func (p *Proxy) UpdateEndpoint(endpoint admission.Endpoint, state admission.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -87,7 +87,7 @@
 	b.dispatcher.deferLocked(func(time.Duration) { a.cancel() })
 }
 
-// supersede makes the active attempt a superseded one, and reports it to the balancer as cancelled, so that the balancer hedges the
+// supersede makes the active attempt a superseded one, and reports it to the balancer as cancelled, so that it starts another one for the
 // request. The attempt itself goes on until the client has an answer: its endpoint may be executing it, and the next attempt may never be
 // served. If the route or the retry budget allows no further attempt nothing changes, and the balancer gets the attempt's own outcome.
 func (b *serviceBalancer) supersede(r *request) {
--- a/internal/mesh/dataplane/outbound/doc.go
+++ b/internal/mesh/dataplane/outbound/doc.go
@@ -19,8 +19,8 @@
 //	in flight --> expired     the deadline is near, the client has gone or the process shuts down: the attempts are cancelled, and
 //	                          the answer depends on how far each one had come
 //
-// A request may have several attempts in flight. When the balancer hedges, the active attempt is superseded but not cancelled, since its
-// endpoint may be executing it. The first attempt to be served is the answer, and the others are cancelled then.
+// A request may have several attempts in flight. When the balancer cancels an attempt in order to retry, the attempt is superseded but not
+// cancelled, since its endpoint may be executing it. The first attempt to be served is the answer, and the others are cancelled then.
 //
 // A request that is not idempotent is never retried once an attempt may have been executed, and no answer promises that a request was
 // not executed unless that is certain.
--- a/internal/mesh/dataplane/outbound/endpoints.go
+++ b/internal/mesh/dataplane/outbound/endpoints.go
@@ -13,7 +13,8 @@
 	discovery.Endpoint
 }
 
-// endpointTable numbers the endpoints of one service. A new incarnation of an endpoint has another ID, and gets another number.
+// endpointTable numbers the endpoints of one service. An application that restarts is another endpoint: it has another ID, and gets another
+// number.
 type endpointTable struct {
 	byNumber    map[balancer.EndpointID]*knownEndpoint
 	byID        map[string]*knownEndpoint
--- a/internal/mesh/dataplane/outbound/service_balancer.go
+++ b/internal/mesh/dataplane/outbound/service_balancer.go
@@ -13,7 +13,7 @@
 	// decisionInterval is the shortest time between two rounds of the balancer's events.
 	decisionInterval = 5 * time.Millisecond
 	// slowStartWindow is how long after its start an endpoint is warming up, and slowStartMinShare its share of requests at first. The
-	// endpoint's heartbeats report how much of the window remains.
+	// endpoint's keepalives report how much of the window remains.
 	slowStartWindow   = 3 * time.Second
 	slowStartMinShare = 0.4
 	// overloadMultiple and overloadDuration are how many times its usual latency, and for how long, make an endpoint overloaded.
--- a/internal/mesh/dataplane/outcome/next.go
+++ b/internal/mesh/dataplane/outcome/next.go
@@ -3,7 +3,8 @@
 // firstServerError is the lowest HTTP status by which an endpoint reports a failure of its own.
 const firstServerError = 500
 
-// Next is what may follow an attempt.
+// Next is what may follow an attempt. Whether the next attempt is taken out of the retry budget depends on whether the last one has reached
+// an endpoint (outbound.serviceBalancer.allowNextAttempt), not on Next.
 type Next uint8
 
 // What may follow an attempt.
@@ -11,7 +12,7 @@
 	Stop            Next = iota // no retry: the request is answered by the table
 	Deliver                     // the endpoint's answer is passed on to the client
 	Retry                       // the request was not executed: it may be retried
-	RetryIdempotent             // the request may have been executed, and is idempotent: it may be retried, within the retry budget
+	RetryIdempotent             // the request may have been executed, and is idempotent: it may be retried
 )
 
 // String returns a name for tests and logs.
--- a/internal/mesh/dataplane/outcome/outcome.go
+++ b/internal/mesh/dataplane/outcome/outcome.go
@@ -57,7 +57,8 @@
 	// NotExecuted: no endpoint has executed the request, and none will.
 	NotExecuted bool
 
-	// SuspectsEndpoint: the endpoint, or its sidecar, may be down; the balancer ejects it.
+	// SuspectsEndpoint: the endpoint, or its sidecar, may be down. outbound.balancerStatus gives these kinds the statuses for which the
+	// balancer ejects an endpoint; a test holds the two together.
 	SuspectsEndpoint bool
 
 	// EndsAttempt: an attempt can have this outcome. The other kinds are outcomes of requests that were sent to no endpoint.
--- a/internal/mesh/operations/meshctl/client.go
+++ b/internal/mesh/operations/meshctl/client.go
@@ -72,13 +72,13 @@
 
 // state returns the state of a core process. Output for people gets a warning if it may be out of date; the JSON has a field for that.
 func (c *Client) state(ctx context.Context) (*agent.State, error) {
-	_, answer, err := c.request(ctx, http.MethodGet, agent.StatePath, nil, nil)
+	status, answer, err := c.request(ctx, http.MethodGet, agent.StatePath, nil, nil)
 	if err != nil {
 		return nil, err
 	}
 	var state agent.State
 	if err := json.Unmarshal(answer, &state); err != nil {
-		return nil, trace.Wrap(err, "answer")
+		return nil, trace.Wrap(err, "%s: status %d, answer", agent.StatePath, status)
 	}
 	if !state.Confirmed && !c.JSON {
 		c.printf("%s reaches no majority of the voters: what follows may be out of date\n", state.Node)
