--- a/internal/modules/route/check.go
+++ b/internal/modules/route/check.go
@@ -10,22 +10,22 @@
 	"quincegap/internal/config/schema"
 )
 
-// matchPrefix begins the keys of a route's pattern.
+// matchPrefix is the prefix of the keys of a route's pattern.
 const matchPrefix = "match_"
 
-// matchKeys are the keys of a route's pattern, the one first that says most of it.
+// matchKeys are the keys of a route's pattern. A fault of the whole pattern is reported at the first of them that is set.
 var matchKeys = []string{"match_path", "match_host", "match_classes", "match_methods", "match_tenants", "match_headers"}
 
-// servedKeys are the keys that mean nothing of a route that serves nothing.
+// servedKeys are the keys without effect if serve is false.
 var servedKeys = []string{
 	"whole_time", "attempt_time", "route_attempts", "most_open", "retry_share", "retry_reserve", "retry_on", "retry_pause", "route_worth",
 	"copy_after", "copy_share",
 }
 
-// retryKeys are the keys that mean nothing of a route that allows one attempt.
+// retryKeys are the keys without effect if route_attempts is 1.
 var retryKeys = []string{"retry_share", "retry_on", "retry_pause"}
 
-// unmatchedHeaders belong to a message, not to what is asked for.
+// unmatchedHeaders cannot be matched, because they belong to the message or to one request.
 var unmatchedHeaders = []string{"Connection", "Transfer-Encoding", "Content-Length", "X-Txn", "X-Remaining", "Host"}
 
 // checkedRoute is the pattern of a route that was checked.
@@ -45,38 +45,38 @@
 	report  schema.Reporter
 }
 
-// check finds what of a route could break a rule, reaches nothing, or clashes with a route before it.
-func check(f *schema.File, name string, r *Rule, report schema.Reporter) {
-	first, n := Rules.First(f)
+// check reports settings of a route that could break a rule or have no effect, and a clash with a route before it.
+func check(file *schema.File, name string, rule *Rule, report schema.Reporter) {
+	first, n := Rules.First(file)
 	if n > MaxRoutes {
-		if r == first {
-			report(findingKey(f, name), "%d routes are more than %d", n, MaxRoutes)
+		if rule == first {
+			report(findingKey(file, name), "%d routes are more than %d", n, MaxRoutes)
 		}
 		return
 	}
-	p, faults := r.compile()
-	for _, x := range faults {
-		key := matchPrefix + x.key
-		if f.Setting("route", name, x.key) != nil {
-			key = x.key
+	p, faults := rule.compile()
+	for _, fault := range faults {
+		key := matchPrefix + fault.key
+		if file.Setting("route", name, fault.key) != nil {
+			key = fault.key
 		}
-		report(key, "%s", x.text)
+		report(key, "%s", fault.text)
 	}
 	if len(faults) > 0 {
 		return
 	}
-	c := &ruleCheck{Rule: r, file: f, name: name, pattern: p, classes: appfile.ClassTable.All(f), report: report}
+	c := &ruleCheck{Rule: rule, file: file, name: name, pattern: p, classes: appfile.ClassTable.All(file), report: report}
 	c.checkReach()
 	c.checkTimes()
 	c.checkLimits()
 	c.checkHedging()
-	if r == first || first.checked == nil { // it is nil if the first one has faults
+	if rule == first || first.checked == nil { // nil if the first rule has faults
 		first.checked = &prefixIndex[checkedRoute]{}
 	}
 	c.checkClashes(first)
 }
 
-// findingKey is the key of a route at which a finding on its whole pattern stands.
+// findingKey returns the key of a route at which a fault of its whole pattern is reported.
 func findingKey(f *schema.File, name string) string {
 	for _, key := range matchKeys {
 		if f.Setting("route", name, key) != nil {
@@ -86,11 +86,11 @@
 	return matchKeys[0]
 }
 
-// isSet tells whether the file has a key of the route.
+// isSet reports whether the file sets a key of the route.
 func (c *ruleCheck) isSet(key string) bool { return c.file.Setting("route", c.name, key) != nil }
 
-// checkClashes compares the route with those before it, and adds it to them. Of several clashes the earliest in the file is named, so
-// that the same file always gives the same findings.
+// checkClashes compares the route with those before it, and adds it to them. Of several clashes the first in the file is reported, so
+// that the findings do not depend on the order of a map.
 func (c *ruleCheck) checkClashes(first *Rule) {
 	var clash checkedRoute
 	for other := range first.checked.candidates(c.pattern) {
@@ -113,12 +113,7 @@
 		exampleRequest(c.pattern, clash.pattern))
 }
 
-// allows tells whether a word is one of a set, of which an empty one is any.
-func (p *Pattern) allows(set []string, word string) bool {
-	return len(set) == 0 || slices.Contains(set, word)
-}
-
-// checkReach finds what no request can match.
+// checkReach reports criteria that no request can match.
 func (c *ruleCheck) checkReach() {
 	if len(c.classes) > 0 {
 		c.checkWords("classes", "class", c.pattern.classes, func(class string) bool { return appfile.ClassTable.Get(c.file, class) != nil })
@@ -136,7 +131,7 @@
 	}
 }
 
-// checkWords finds words that name nothing in the file.
+// checkWords reports names of things that the file does not have.
 func (c *ruleCheck) checkWords(key, what string, words []string, known func(string) bool) {
 	for _, word := range words {
 		if !known(word) {
@@ -145,13 +140,13 @@
 	}
 }
 
-// checkMethods finds methods with which none of the route's classes comes.
+// checkMethods reports methods that no request of the route's classes has.
 func (c *ruleCheck) checkMethods() {
 	if len(c.pattern.methods) == 0 {
 		return
 	}
 	for _, class := range c.classes {
-		if c.pattern.allows(c.pattern.classes, class.Name) && c.pattern.allows(c.pattern.methods, methodOf(class.Value)) {
+		if allows(c.pattern.classes, class.Name) && allows(c.pattern.methods, methodOf(class.Value)) {
 			return
 		}
 	}
@@ -160,7 +155,7 @@
 	}
 }
 
-// methodOf is the method with which requests of a class come.
+// methodOf returns the method of the requests of a class.
 func methodOf(class *appfile.Class) string {
 	if class.Idempotency == balancer.Idempotent {
 		return "GET"
@@ -168,16 +163,16 @@
 	return "POST"
 }
 
-// checkTimes finds times that do not go together, for the first class that has some.
+// checkTimes reports timeouts that contradict each other, for the first class with which they do.
 func (c *ruleCheck) checkTimes() {
 	for _, class := range c.classes {
-		if c.pattern.allows(c.pattern.classes, class.Name) && c.checkTimesOf(class) {
+		if allows(c.pattern.classes, class.Name) && c.checkTimesOf(class) {
 			return
 		}
 	}
 }
 
-// checkTimesOf tells whether it found something for a class.
+// checkTimesOf reports timeouts that contradict each other for a class, and returns whether it has found any.
 func (c *ruleCheck) checkTimesOf(class schema.Named[appfile.Class]) bool {
 	text := schema.FormatDuration
 	deadline := class.Value.Deadline
@@ -195,21 +190,21 @@
 	case c.AttemptTimeout > whole:
 		c.report("attempt_time", "%s is longer than the whole time of %s, %s (%s)", text(c.AttemptTimeout), class.Name, text(whole), origin)
 	case c.AttemptTimeout > 0 && c.MaxAttempts > 1 && c.AttemptTimeout*time.Duration(c.MaxAttempts) > whole:
-		c.report("route_attempts", "%d attempts of %s each take longer than the whole time of %s, %s (%s)", c.MaxAttempts, text(c.AttemptTimeout),
-			class.Name, text(whole), origin)
+		c.report("route_attempts", "%d attempts of %s each take longer than the whole time of %s, %s (%s)",
+			c.MaxAttempts, text(c.AttemptTimeout), class.Name, text(whole), origin)
 	case c.RetryBackoff >= whole:
-		c.report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out", text(c.RetryBackoff), class.Name,
-			text(whole), origin)
+		c.report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out",
+			text(c.RetryBackoff), class.Name, text(whole), origin)
 	case class.Value.Idempotency == balancer.NonIdempotent && c.AttemptTimeout > 0 && len(c.pattern.classes) > 0:
-		c.report("attempt_time", "%s is unsafe: an attempt that is given up may have run and cannot go out again, so a time of its own only fails what would have been answered",
-			class.Name)
+		c.report("attempt_time", "%s is unsafe: an attempt that is given up may have run and cannot go out again, "+
+			"so a time of its own only fails what would have been answered", class.Name)
 	default:
 		return false
 	}
 	return true
 }
 
-// checkLimits finds limits that mean nothing or can't hold.
+// checkLimits reports limits without effect, and those above what the machine has.
 func (c *ruleCheck) checkLimits() {
 	if !c.Serve {
 		for _, key := range servedKeys {
@@ -232,7 +227,7 @@
 	}
 }
 
-// checkHedging finds hedged requests that a rule forbids, or that would never be made.
+// checkHedging reports settings for hedged requests that a rule forbids, or that have no effect.
 func (c *ruleCheck) checkHedging() {
 	if c.HedgeQuantile <= 0 {
 		if c.isSet("copy_share") && c.Serve {
--- a/internal/modules/route/check_test.go
+++ b/internal/modules/route/check_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/modules/route"
 )
 
-// base is a file whose routes are checked: 20 lines, so that a route's first line is the 21st.
+// base is the beginning of a file whose routes are checked. It has 20 lines, so the first line of a route is the 21st.
 const base = `[sidecar]
 application = "front.example.org"
 listen = "127.0.0.1:8080"
@@ -35,34 +35,45 @@
 
 `
 
-var whole = schema.New(append(appfile.Tables(), route.Rules.Table)...)
+// fileSchema is the schema of the files in these tests.
+var fileSchema = schema.New(append(appfile.Tables(), route.Rules.Table)...)
 
-// read decodes a file.
+// read decodes and checks a file, and returns its faults as a text.
 func read(text string) (*schema.File, string) {
 	var found finding.List
 	d := doc.ReadTOML([]byte(text), 8<<20, found.ForFile("f"))
 	if d == nil {
 		return nil, found.Err().Error()
 	}
-	f := whole.Decode(&found, schema.Options{RequiredElsewhere: []string{"sidecar", "discovery", "limits"}}, schema.Layer{Doc: d, Table: d.Root, File: "f"})
+	options := schema.Options{RequiredElsewhere: []string{"sidecar", "discovery", "limits"}}
+	f := fileSchema.Decode(&found, options, schema.Layer{Doc: d, Table: d.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		return f, err.Error()
 	}
 	return f, ""
 }
 
-// rejectedRoutes are what [route.a] holds, and a part of what is found of it.
+// rejectedRoutes are settings of [route.a], and a part of the text of the faults that they have.
 var rejectedRoutes = []struct{ text, want string }{
 	// Times.
-	{"match_classes = \"find\"\nwhole_time = \"4s\"", "23:1: route.a.whole_time: 4s is longer than callers of find wait: its deadline is 3s (f:6)"},
+	{
+		"match_classes = \"find\"\nwhole_time = \"4s\"",
+		"23:1: route.a.whole_time: 4s is longer than callers of find wait: its deadline is 3s (f:6)",
+	},
 	{"match_classes = \"book, find\"\nwhole_time = \"5s\"", "callers of find wait"},
 	{"whole_time = \"6s\"", "callers of find wait"},
 	{"match_path = \"/a\"\nwhole_time = \"6100ms\"", "is longer than callers of"},
 	{"match_methods = \"POST\"\nmatch_classes = \"book\"\nwhole_time = \"7s\"", "callers of book wait: its deadline is 6s (f:10)"},
 	{"whole_time = \"1s\"\nattempt_time = \"2s\"", "attempt_time: 2s is longer than the whole time of find, 1s (whole_time)"},
 	{"match_classes = \"find\"\nattempt_time = \"4s\"", "longer than the whole time of find, 3s (its deadline)"},
-	{"match_classes = \"find\"\nattempt_time = \"2s\"\nroute_attempts = 2", "2 attempts of 2s each take longer than the whole time of find, 3s"},
-	{"match_classes = \"book\"\nwhole_time = \"2s\"\nattempt_time = \"900ms\"\nroute_attempts = 3", "3 attempts of 900ms each take longer than the whole time of book, 2s (whole_time)"},
+	{
+		"match_classes = \"find\"\nattempt_time = \"2s\"\nroute_attempts = 2",
+		"2 attempts of 2s each take longer than the whole time of find, 3s",
+	},
+	{
+		"match_classes = \"book\"\nwhole_time = \"2s\"\nattempt_time = \"900ms\"\nroute_attempts = 3",
+		"3 attempts of 900ms each take longer than the whole time of book, 2s (whole_time)",
+	},
 	{"match_classes = \"pay\"\nattempt_time = \"1s\"", "pay is unsafe: an attempt that is given up may have run and cannot go out again"},
 	{"match_classes = \"pay, book\"\nattempt_time = \"1s\"", "pay is unsafe"},
 	{"whole_time = \"1ms\"", "whole_time"},
@@ -101,7 +112,7 @@
 	{"route_worth = 0", "route_worth"},
 	{"route_worth = -1", "route_worth"},
 	{"serve = false\nroute_worth = 2", "route_worth: means nothing: serve is false"},
-	// Second copies.
+	// Hedged requests.
 	{"copy_after = 0.95", "copy_after: two attempts of a request may not be out at once unless attempts.second_copies is true"},
 	{"copy_after = 0.95\n[attempts]\nsecond_copies = false", "attempts.second_copies is false (f:24)"},
 	{"copy_after = 0.4\n[attempts]\nsecond_copies = true", "copy_after"},
@@ -111,7 +122,7 @@
 	{"copy_after = 0.9\nroute_attempts = 1\n[attempts]\nsecond_copies = true", "copy_after: means nothing: route_attempts is 1"},
 	{"match_classes = \"pay\"\ncopy_after = 0.9\n[attempts]\nsecond_copies = true", "pay is unsafe: its effect would happen twice"},
 	{"serve = false\ncopy_after = 0.9\n[attempts]\nsecond_copies = true", "copy_after: means nothing: serve is false"},
-	// What nothing can match.
+	// Criteria that no request matches.
 	{"match_classes = \"fnid\"", "there is no class \"fnid\""},
 	{"match_tenants = \"south\"", "there is no tenant \"south\""},
 	{"match_classes = \"find\"\nmatch_methods = \"POST\"", "nothing can match it: safe classes come with GET, others with POST"},
@@ -120,7 +131,7 @@
 	{"match_methods = \"get\"", "\"get\" is no method"},
 	{"match_headers = \"X-Txn: 1\"", "X-Txn is not matched"},
 	{"match_headers = \"content-length: 5\"", "Content-Length is not matched"},
-	// Patterns that cannot be read.
+	// Malformed patterns.
 	{"match_path = \"trips\"", "does not begin with /"},
 	{"match_path = \"/trips/\"", "ends in /"},
 	{"match_path = \"/trips//new\"", "has the segment \"\""},
@@ -147,20 +158,27 @@
 	{"match_headers = \"a b: c\"", "is no header"},
 	{"match_headers = \"X-A: 1, x-a: 2\"", "\"X-A\" twice"},
 	// Two routes.
-	{"match_path = \"/x/{id}\"\n[route.b]\nmatch_path = \"/{any}/new\"", "24:1: route.b.match_path: overlaps with [route.a] (f:21), and neither is more specific: both match GET http://any.example.org/x/new"},
+	{
+		"match_path = \"/x/{id}\"\n[route.b]\nmatch_path = \"/{any}/new\"",
+		"24:1: route.b.match_path: overlaps with [route.a] (f:21), and neither is more specific: " +
+			"both match GET http://any.example.org/x/new",
+	},
 	{"match_path = \"/x\"\n[route.b]\nmatch_classes = \"book\"", "both match GET http://any.example.org/x, X-Lane: book"},
 	{"match_path = \"/x\"\n[route.b]\nmatch_path = \"/x\"", "route.b.match_path: matches just what [route.a] does (f:21)"},
 	{"match_path = \"/x/{id}\"\n[route.b]\nmatch_path = \"/x/{number}\"", "matches just what [route.a] does"},
 	{"most_open = 1\n[route.b]\nmost_open = 2", "matches just what [route.a] does"},
 	{"match_host = \"*.org\"\nmatch_path = \"/x\"\n[route.b]\nmatch_host = \"a.org\"", "overlaps with [route.a]"},
-	{"match_tenants = \"north\"\n[route.b]\nmatch_headers = \"X-Canary\"", "both match GET http://any.example.org/, X-Org: north, X-Canary: x"},
+	{
+		"match_tenants = \"north\"\n[route.b]\nmatch_headers = \"X-Canary\"",
+		"both match GET http://any.example.org/, X-Org: north, X-Canary: x",
+	},
 	{"match_classes = \"find, book\"\n[route.b]\nmatch_classes = \"book, pay\"", "both match GET http://any.example.org/, X-Lane: book"},
 	{"match_headers = \"A: 1\"\n[route.b]\nmatch_headers = \"B: 2\"", "A: 1, B: 2"},
 	{"match_pth = \"/x\"", "did you mean \"match_path\"?"},
 	{"match_path = \"/x\"\nmatch_path = \"/y\"", "match_path"},
 }
 
-// acceptedRoutes are what [route.a] holds without a finding.
+// acceptedRoutes are settings of [route.a] without a fault.
 var acceptedRoutes = []string{
 	"match_path = \"/x\"\n[route.b]\nmatch_path = \"/x\"\nmatch_classes = \"book\"",
 	"match_path = \"/x/{id}\"\n[route.b]\nmatch_path = \"/x/new\"\n[route.c]\nmatch_path = \"/{rest...}\"",
@@ -169,9 +187,11 @@
 	"match_headers = \"A: 1\"\n[route.b]\nmatch_headers = \"A: 2\"",
 }
 
-// Whatever could break a rule, reaches nothing or is ambiguous is rejected with its line and its reason.
-func TestRefusedRoutes(t *testing.T) {
-	if _, fault := read(base + "[route.a]\nmatch_path = \"/a\"\nwhole_time = \"1s\"\nattempt_time = \"300ms\"\nroute_attempts = 3\nmost_open = 5\nretry_share = 0.1\n"); fault != "" {
+// Settings that could break a rule, have no effect or are ambiguous are rejected, with their line and a reason.
+func TestRejectedRoutes(t *testing.T) {
+	const good = "[route.a]\nmatch_path = \"/a\"\nwhole_time = \"1s\"\nattempt_time = \"300ms\"\nroute_attempts = 3\n" +
+		"most_open = 5\nretry_share = 0.1\n"
+	if _, fault := read(base + good); fault != "" {
 		t.Fatal(fault)
 	}
 	rejected := 0
@@ -194,13 +214,13 @@
 }
 
 // A file may have 5,000 routes, and no more.
-func TestMostRoutes(t *testing.T) {
-	var b strings.Builder
-	b.WriteString(base)
+func TestMaxRoutes(t *testing.T) {
+	var text strings.Builder
+	text.WriteString(base)
 	for i := range route.MaxRoutes {
-		fmt.Fprintf(&b, "[route.r%d]\nmatch_path = \"/svc%d/{id}\"\n", i, i)
+		fmt.Fprintf(&text, "[route.r%d]\nmatch_path = \"/svc%d/{id}\"\n", i, i)
 	}
-	f, fault := read(b.String())
+	f, fault := read(text.String())
 	if fault != "" {
 		t.Fatal(fault)
 	}
@@ -210,8 +230,8 @@
 			t.Errorf("%d: %v", i, r)
 		}
 	}
-	b.WriteString("[route.more]\nmatch_path = \"/more\"\n")
-	if _, fault := read(b.String()); !strings.Contains(fault, "5001 routes are more than 5000") {
+	text.WriteString("[route.more]\nmatch_path = \"/more\"\n")
+	if _, fault := read(text.String()); !strings.Contains(fault, "5001 routes are more than 5000") {
 		t.Errorf("%.200q", fault)
 	}
 }
--- a/internal/modules/route/doc.go
+++ b/internal/modules/route/doc.go
@@ -1,25 +1,24 @@
-// Package route says which route of a settings file a request takes, what that route sets for it, and whether it may come in or go
-// out again. It does no I/O; times are arguments.
+// Package route finds the route of a request among those of a settings file. A route has settings for its requests, and decides whether
+// they are admitted, retried and hedged. The package does no I/O, and takes times as arguments.
 //
 // # Matching
 //
-// A route matches on host, path, method, class, tenant and headers. One is more specific than another if it matches fewer requests:
-// each of its requests is matched by the other too, and not the other way round. Of the routes that match a request the most specific
-// is taken, so the order in the file means nothing. Two that match a request in common, neither of them more specific, are findings
-// when the file is read.
+// A route matches on host, path, method, class, tenant and headers. It is more specific than another route if that matches all of its
+// requests, and others. Of the routes that match a request the most specific one is taken, so the order in the file does not matter.
+// Two routes that match a request in common, neither of them more specific, are a fault of the file.
 //
 //	file ── Rules (parse, check) ── Compile ──▶ Table ── Find(request) ──▶ Route: Settings and State
 //
-// A path that two readers may take for different ones (AmbiguousPath) goes nowhere: it could be matched by one route here and served
-// as that of another behind.
+// A request whose path two programs may read differently (AmbiguousPath) is not routed: the sidecar could match one route, and the
+// endpoint could serve the path of another.
 //
 // # Limits
 //
-// A Route admits requests up to MaxOpen, gives retries out of a budget that answers fill, and says when a hedged request is worth
-// it. Its State outlives a reload of the file under the same name. A Table does not change; the State of its routes is not safe for
+// A Route admits requests up to MaxOpen, has a budget for retries that answers fill, and decides after which delay a request is hedged.
+// Its State is kept over a reload of the file, under the same name. A Table does not change; the State of its routes is not safe for
 // concurrent use.
 //
 // # What it does not do
 //
-// Whether a class allows a retry, and how many attempts the site allows, is the load balancer's to say: a route only forbids more.
+// The load balancer decides whether a class allows a retry, and how many attempts are allowed at all. A route can only restrict that.
 package route
--- a/internal/modules/route/example.go
+++ b/internal/modules/route/example.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// exampleRequest is a request, in words, that two patterns both match; they must not be disjoint.
+// exampleRequest describes a request that two patterns both match; they must not be disjoint.
 func exampleRequest(p, q *Pattern) string {
 	host := cmp.Or(exampleHost(p, q), "any.example.org")
 	path := cmp.Or(examplePath(p, q), "/")
@@ -28,7 +28,7 @@
 	return text
 }
 
-// commonWord is the first that both sets allow, of which an empty one allows all; preset if all are allowed.
+// commonWord returns the first word that both sets allow, of which an empty one allows all; preset if both allow all.
 func commonWord(a, b []string, preset string) string {
 	switch {
 	case len(a) > 0 && len(b) > 0:
@@ -45,7 +45,7 @@
 	return preset
 }
 
-// exampleHost is a host of both patterns; "" for any.
+// exampleHost returns a host that both patterns match; "" for any.
 func exampleHost(p, q *Pattern) string {
 	host := p.host
 	if host == "" || strings.HasPrefix(host, "*") && q.host != "" && compareHosts(q.host, host) == narrower {
@@ -57,7 +57,7 @@
 	return host
 }
 
-// examplePath is a path of both patterns; "" for the root.
+// examplePath returns a path that both patterns match; "" for the root.
 func examplePath(p, q *Pattern) string {
 	var path strings.Builder
 	for i := range max(len(p.segments), len(q.segments)) {
--- a/internal/modules/route/explain.go
+++ b/internal/modules/route/explain.go
@@ -2,18 +2,18 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 )
 
-// Reason is why a route is taken for a request, or not.
+// Reason is why a route is taken for a request or not.
 type Reason struct {
 	*Route
 	Taken bool
-	Text  string
+	Text  string // for people
 }
 
-// Explain says of each route, in the order of the file, why it is taken or not. It looks at all of them: it is for people.
+// Explain returns for each route, in the order of the file, why it is taken for a request or not. It compares the request with all
+// routes, so it is much slower than Find.
 func (t *Table) Explain(q *Request) (all []Reason) {
 	best, _ := t.Find(q)
 	for _, r := range t.Routes {
@@ -34,30 +34,31 @@
 	return all
 }
 
-// mismatch is what of a pattern a request does not match first, or "".
-func (p *Pattern) mismatch(q *Request) string {
-	if text := p.hostMismatch(q); text != "" {
+// mismatch describes the first criterion of the pattern that a request does not match; "" if it matches.
+func (p *Pattern) mismatch(request *Request) string {
+	if text := p.hostMismatch(request); text != "" {
 		return text
 	}
-	if text := p.pathMismatch(q); text != "" {
+	if text := p.pathMismatch(request); text != "" {
 		return text
 	}
 	for _, c := range []struct {
 		name, value string
 		allowed     []string
-	}{{"method", q.Method, p.methods}, {"class", q.Class, p.classes}, {"tenant", q.Tenant, p.tenants}} {
-		if len(c.allowed) > 0 && !slices.Contains(c.allowed, c.value) {
+	}{{"method", request.Method, p.methods}, {"class", request.Class, p.classes}, {"tenant", request.Tenant, p.tenants}} {
+		if !allows(c.allowed, c.value) {
 			return fmt.Sprintf("%s %q is not %s", c.name, c.value, strings.Join(c.allowed, " or "))
 		}
 	}
 	for _, c := range p.headers {
-		if text := c.mismatch(q.Header); text != "" {
+		if text := c.mismatch(request.Header); text != "" {
 			return text
 		}
 	}
 	return ""
 }
 
+// hostMismatch describes why the host of a request does not match, or "".
 func (p *Pattern) hostMismatch(q *Request) string {
 	var buffer [256]byte
 	host := string(hostName(q.Host, buffer[:0]))
@@ -68,6 +69,7 @@
 	return fmt.Sprintf("host %s is not %s", q.Host, p.host)
 }
 
+// pathMismatch describes why the path of a request does not match, or "".
 func (p *Pattern) pathMismatch(q *Request) string {
 	var path []string
 	if trimmed := trimPath(q.Path); trimmed != "" {
@@ -88,6 +90,7 @@
 	return ""
 }
 
+// mismatch describes why the headers of a request do not satisfy the condition, or "".
 func (c *condition) mismatch(header map[string][]string) string {
 	if c.holds(header) {
 		return ""
--- a/internal/modules/route/find.go
+++ b/internal/modules/route/find.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Request is what of a request is matched.
+// Request is what patterns match.
 type Request struct {
-	Host   string // as it came, with or without a port
-	Path   string // as it came, escaped, without the query
+	Host   string // as it was received, with or without a port
+	Path   string // as it was received, escaped, without the query
 	Method string
 	Class  string
 	Tenant string              // "" for none
 	Header map[string][]string // by canonical names
 }
 
-// Find is the most specific route that matches a request, nil for none. It is false if the path is ambiguous and some route asks for
-// a path: it must go nowhere.
+// Find returns the most specific route that matches a request, nil for none. It returns false if the path is ambiguous and a route has
+// a path: the request must not be forwarded.
 func (t *Table) Find(q *Request) (r *Route, ok bool) {
 	if t == nil || len(t.Routes) == 0 {
 		return nil, true
@@ -32,18 +32,18 @@
 	return s.best, true
 }
 
-// search looks for the deepest route that matches: of those that match one request each is wider or narrower than each other, so the
-// deepest is the narrowest.
+// search finds the deepest route that matches a request. Of two routes that match the same request one is always wider than the other,
+// so the deepest is the narrowest.
 type search struct {
 	request *Request
-	best    *Route
-	buffer  [maxSegmentBytes]byte
+	best    *Route                // so far
+	buffer  [maxSegmentBytes]byte // for an unescaped segment
 }
 
-// canImprove tells whether routes of a depth may be narrower than the best one so far.
+// canImprove reports whether a route of a depth would be narrower than the best one so far.
 func (s *search) canImprove(depth int) bool { return s.best == nil || depth > s.best.depth }
 
-// walkHosts looks at the routes of the request's host and of those that it is under.
+// walkHosts walks the trees of the request's host, and of the wildcards that match it.
 func (s *search) walkHosts(t *Table, path string) {
 	var buffer [256]byte
 	host := hostName(s.request.Host, buffer[:0])
@@ -60,43 +60,43 @@
 	}
 }
 
-// walk looks at a node with the segments that are left; end says that there are none.
-func (s *search) walk(n *node, path string, end bool) {
-	if !s.canImprove(n.maxDepth) {
+// walk visits a node and those below it with the segments that are left; end is set if there are none.
+func (s *search) walk(at *node, path string, end bool) {
+	if !s.canImprove(at.maxDepth) {
 		return
 	}
-	if n.rest != nil {
-		s.visit(n.rest)
+	if at.rest != nil {
+		s.visit(at.rest)
 	}
 	if end {
-		if n.exact != nil {
-			s.visit(n.exact)
+		if at.exact != nil {
+			s.visit(at.exact)
 		}
 		return
 	}
 	text, left, more := strings.Cut(path, "/")
-	if len(n.children) > 0 {
+	if len(at.children) > 0 {
 		var next *node
 		if strings.IndexByte(text, '%') < 0 {
-			next = n.children[text]
+			next = at.children[text]
 		} else if b, ok := unescape(text, s.buffer[:0]); ok {
-			next = n.children[string(b)]
+			next = at.children[string(b)]
 		}
 		if next != nil {
 			s.walk(next, left, !more)
 		}
 	}
-	if n.wildcard != nil {
-		s.walk(n.wildcard, left, !more)
+	if at.wildcard != nil {
+		s.walk(at.wildcard, left, !more)
 	}
 }
 
-// visit looks at the routes of a leaf.
-func (s *search) visit(l *leaf) {
-	if !s.canImprove(l.maxDepth) {
+// visit finds the best route of a leaf, by the criteria that its routes have.
+func (s *search) visit(leaf *leaf) {
+	if !s.canImprove(leaf.maxDepth) {
 		return
 	}
-	for mask, used := range l.used {
+	for mask, used := range leaf.used {
 		if !used {
 			continue
 		}
@@ -110,9 +110,9 @@
 		if mask&asksTenant > 0 {
 			k.tenant = s.request.Tenant
 		}
-		for _, r := range l.routes[k] {
+		for _, r := range leaf.routes[k] {
 			if !s.canImprove(r.depth) {
-				break // the deepest are first
+				break // the deepest routes are first
 			}
 			if r.pattern.hasHeaders(s.request.Header) {
 				s.best = r
@@ -122,7 +122,7 @@
 	}
 }
 
-// hasHeaders tells whether the headers that the pattern asks for are there.
+// hasHeaders reports whether a request has the headers of the pattern.
 func (p *Pattern) hasHeaders(header map[string][]string) bool {
 	for i := range p.headers {
 		if !p.headers[i].holds(header) {
@@ -132,8 +132,8 @@
 	return true
 }
 
-// holds tells whether a header is there as the condition asks. One with a value has to be there once: of two, an endpoint may read the
-// other one.
+// holds reports whether the headers of a request satisfy the condition. A header with a value must not be repeated: an endpoint might
+// read another value than the sidecar.
 func (c *condition) holds(header map[string][]string) bool {
 	got := header[c.name]
 	if len(got) == 0 {
--- a/internal/modules/route/golden_test.go
+++ b/internal/modules/route/golden_test.go
@@ -11,13 +11,14 @@
 	"quincegap/internal/golden"
 )
 
-// What people read of routes: patterns, why a route is taken or not, requests that two match; and the numbers that limits give.
+// The texts of routes for people, which are patterns, reasons why a route is taken or not, and requests that two routes match; and the
+// figures of limits.
 func TestGoldenTexts(t *testing.T) {
 	var all strings.Builder
 	d := draws{rand.New(rand.NewPCG(4, 2))}
 	var words []PatternText
 	for range 12 {
-		words = append(words, d.words())
+		words = append(words, d.pattern())
 	}
 	table := newTable(routesOf(t, words...))
 	requests := []Request{{Path: "//a"}, {Path: "/a/%2e%2e/b", Host: "a.org"}}
--- a/internal/modules/route/hedge.go
+++ b/internal/modules/route/hedge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// latencyHistogram keeps how long answers took, in steps of a twentieth, the older ones counting less and less.
+// latencyHistogram is a histogram of the latencies of answers, in steps of 5%, in which older ones count less and less.
 type latencyHistogram struct {
 	counts [histogramSteps]float64
 	total  float64
@@ -14,12 +14,13 @@
 const (
 	histogramSteps = 320
 	minLatency     = 100 * time.Microsecond // of the first step
-	stepGrowth     = 1.05                   // 100 us times this to the 320th is 10 minutes
-	maxSamples     = 2000                   // then all counts are halved
-	minSamples     = 50                     // before anything is said of them
+	stepGrowth     = 1.05                   // minLatency times this to the power of histogramSteps is 10 minutes
+	maxSamples     = 2000                   // at which all counts are halved
+	minSamples     = 50                     // below which there is no quantile
 	maxHedgeTokens = 10.0                   // hedged requests that may be saved up
 )
 
+// stepOf returns the step of a latency.
 func stepOf(d time.Duration) int {
 	if d <= minLatency {
 		return 0
@@ -39,7 +40,7 @@
 	l.total /= 2
 }
 
-// quantile is a time that the share q of answers stay under, off by a twentieth; false if too few are known.
+// quantile returns the q-quantile of the latencies, accurate to 5%; false if there are too few samples.
 func (l *latencyHistogram) quantile(q float64) (time.Duration, bool) {
 	if l.total < minSamples {
 		return 0, false
@@ -53,15 +54,15 @@
 	return 0, false
 }
 
-// RecordLatency notes how long an answer took, or, of an attempt that was given up for another's answer, how long it had taken by
-// then: without these, the slow ones would be missing.
+// RecordLatency records the latency of an answer. For an attempt that is cancelled because a hedged one was answered, that is the time
+// until then: without those the slow attempts would be missing.
 func (r *Route) RecordLatency(d time.Duration) {
 	if r.Settings.HedgeQuantile > 0 {
 		r.State.latencies.add(d)
 	}
 }
 
-// HedgeDelay is how long an attempt is out before a hedged request is made; false for none.
+// HedgeDelay returns after which time without an answer a request is to be hedged; false for not at all.
 func (r *Route) HedgeDelay() (time.Duration, bool) {
 	if r.Settings.HedgeQuantile <= 0 {
 		return 0, false
@@ -69,7 +70,7 @@
 	return r.State.latencies.quantile(r.Settings.HedgeQuantile)
 }
 
-// TakeHedge takes a hedged request out of what the share allows, and tells whether it did.
+// TakeHedge takes a hedged request out of the budget, and reports whether the budget covered it.
 func (r *Route) TakeHedge() bool {
 	if r.State.hedgeTokens < 1 {
 		return false
@@ -79,7 +80,7 @@
 	return true
 }
 
-// earnHedge adds the share of a hedged request that a request brings.
+// earnHedge adds HedgeShare to the budget, for a request that is admitted.
 func (r *Route) earnHedge() {
 	if r.Settings.HedgeQuantile > 0 {
 		r.State.hedgeTokens = min(r.State.hedgeTokens+r.Settings.HedgeShare, maxHedgeTokens)
--- a/internal/modules/route/limits.go
+++ b/internal/modules/route/limits.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Settings are what a route sets for its requests. Zero values set nothing, except of Serve.
+// Settings are the settings of a route for its requests. Zero values, except of Serve, leave what the class or the site has. Rules has
+// their defaults.
 type Settings struct {
-	Serve      bool          // false: nothing of it is served
-	MaxOpen    int           // requests at once
-	RetryAfter time.Duration // the header of that name, of requests that MaxOpen or Serve rejects
+	Serve      bool          // false: all requests are rejected
+	MaxOpen    int           // requests at once; further ones are rejected
+	RetryAfter time.Duration // the header of rejections by MaxOpen or Serve
 
-	Timeout        time.Duration // of a whole request
+	Timeout        time.Duration // of a request with all of its attempts
 	AttemptTimeout time.Duration
-	MaxAttempts    int     // the first one included
-	Value          float64 // beside others of its class; 0 for as much
+	MaxAttempts    int     // including the first one
+	Value          float64 // relative to other requests of the class; 0 for 1
 
 	RetryShare   float64       // retries earned by each answered request; negative for no budget
-	RetryReserve int           // how many of these may be saved up
-	RetryBackoff time.Duration // before a second attempt, doubled for each further one
-	retryable    uint          // outcomes that allow a retry, one bit for each balancer.Status; 0 for all
+	RetryReserve int           // how many retries may be saved up
+	RetryBackoff time.Duration // before the second attempt; doubled for each further one
+	retryable    uint          // the outcomes after which a retry is allowed, one bit for each balancer.Status; 0 for all
 
-	HedgeQuantile float64 // of the time of answers, after which a hedged request is made; 0 for none
-	HedgeShare    float64 // of requests, at most, that get one
+	HedgeQuantile float64 // of the latencies, after which a request is hedged; 0 for never
+	HedgeShare    float64 // of the requests that may be hedged
 }
 
-// State is what a route counts. It outlives a reload under the same name, and is not safe for concurrent use.
+// State is the state of a route. It is kept over a reload under the same name, and is not safe for concurrent use.
 type State struct {
-	Open     int    // requests that have come in and not ended
-	Rejected uint64 // by MaxOpen and Serve
+	Open     int    // requests that were admitted and have not ended
+	Rejected uint64 // requests, by MaxOpen and Serve
 	Denied   uint64 // retries that the budget did not cover
-	Hedges   uint64 // hedged requests that were made
+	Hedges   uint64 // requests that were hedged
 
-	retryTokens float64 // retries that may be made
-	filled      bool    // the budget has been filled for the start
-	hedgeTokens float64 // hedged requests that may be made
+	retryTokens float64 // the budget for retries
+	filled      bool    // the budget was filled at the start
+	hedgeTokens float64 // the budget for hedged requests
 	latencies   latencyHistogram
 }
 
-// Admit tells whether a request may come in. Done has to be called for each one that may.
+// Admit reports whether a request is admitted. Done has to be called when an admitted one has ended.
 func (r *Route) Admit() bool {
 	full := r.Settings.MaxOpen > 0 && r.State.Open >= r.Settings.MaxOpen
 	if !r.Settings.Serve || full {
@@ -47,5 +48,5 @@
 	return true
 }
 
-// Done notes that a request has ended.
+// Done records that an admitted request has ended.
 func (r *Route) Done() { r.State.Open-- }
--- a/internal/modules/route/parse.go
+++ b/internal/modules/route/parse.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// badHost says what is wrong with the host of a pattern.
+// badHost returns the fault of a pattern's host, or "".
 func badHost(host string) string {
 	if host == "" {
 		return ""
@@ -24,7 +24,7 @@
 	return ""
 }
 
-// readPath reads the path of a pattern; rest tells that any number of further segments may follow.
+// readPath parses the path of a pattern. rest is set if any number of further segments may follow.
 func readPath(path string) (segments []segment, rest bool, fault string) {
 	if path == "" {
 		return nil, true, ""
@@ -61,7 +61,7 @@
 	return segments, false, ""
 }
 
-// readWildcard reads a segment like {id}, or like {rest...}, which is many. names are those before it.
+// readWildcard parses a segment like {id}, or like {rest...}, for which many is set. names are the names of the wildcards before it.
 func readWildcard(part string, last bool, names map[string]bool) (many bool, fault string) {
 	name, closed := strings.CutSuffix(strings.TrimPrefix(part, "{"), "}")
 	if !closed {
@@ -80,7 +80,7 @@
 	return many, ""
 }
 
-// badSegment says what is wrong with a segment that is a text.
+// badSegment returns the fault of a segment that is no wildcard, or "".
 func badSegment(part string, last bool) string {
 	switch {
 	case part == "" && last:
@@ -95,7 +95,7 @@
 	return ""
 }
 
-// readWords reads words with commas between, and sorts them.
+// readWords parses words that are separated by commas, and sorts them.
 func readWords(text string) (words []string, fault string) {
 	if text == "" {
 		return nil, ""
@@ -117,7 +117,7 @@
 	return words, ""
 }
 
-// readHeaders reads "Name: value" or "Name", with commas between, and sorts them by name.
+// readHeaders parses conditions like "Name: value" or "Name" that are separated by commas, and sorts them by name.
 func readHeaders(text string) (all []condition, fault string) {
 	words, fault := readWords(text)
 	for _, word := range words {
@@ -135,7 +135,7 @@
 	return all, fault
 }
 
-// notInHeaderName tells that a character is in no header's name (RFC 9110, section 5.6.2).
+// notInHeaderName reports whether a character cannot be in the name of a header (RFC 9110, section 5.6.2).
 func notInHeaderName(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
@@ -144,7 +144,7 @@
 	return !strings.ContainsRune("!#$%&'*+-.^_`|~", r)
 }
 
-// canonical is a header's name as net/http keeps it: RFC 9110 names have no case.
+// canonical returns the name of a header in the form of net/http. Names that differ in case only are the same (RFC 9110).
 func canonical(name string) string {
 	b := []byte(name)
 	upper := true
--- a/internal/modules/route/path.go
+++ b/internal/modules/route/path.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// trimPath is a path without the slashes at its ends that make no difference.
+// trimPath returns a path without one slash at its begin and one at its end, which do not matter for matching.
 func trimPath(path string) string { return strings.TrimSuffix(strings.TrimPrefix(path, "/"), "/") }
 
-// AmbiguousPath says why two readers may take an escaped path for different ones, or "". Such a path would be matched by one route
-// here and served as that of another behind.
+// AmbiguousPath returns why two programs may read an escaped path differently, or "" if it is unambiguous. The sidecar could match one
+// route for an ambiguous path, and the endpoint could serve the path of another.
 func AmbiguousPath(path string) string {
 	if path == "" || path[0] != '/' {
 		return "it does not begin with /"
@@ -26,28 +26,28 @@
 	return ""
 }
 
-// ambiguousSegment says why a segment is, or "". Only the last one may be empty.
-func ambiguousSegment(s string, last bool) string {
-	const otherThanDots = 3 // in place of the number of dots
-	if s == "" && !last {
+// ambiguousSegment returns why a segment is ambiguous, or "". Only the last one may be empty.
+func ambiguousSegment(segment string, last bool) string {
+	const otherThanDots = 3 // the value of dots for a segment with other characters
+	if segment == "" && !last {
 		return "it has // in it"
 	}
 	dots := 0
-	for i := 0; i < len(s); i++ {
-		c := s[i]
-		if c == '%' {
-			if i+2 >= len(s) || unhex(s[i+1]) < 0 || unhex(s[i+2]) < 0 {
+	for i := 0; i < len(segment); i++ {
+		char := segment[i]
+		if char == '%' {
+			if i+2 >= len(segment) || unhex(segment[i+1]) < 0 || unhex(segment[i+2]) < 0 {
 				return "it has an escape that is none"
 			}
-			c = byte(unhex(s[i+1])<<4 | unhex(s[i+2]))
+			char = byte(unhex(segment[i+1])<<4 | unhex(segment[i+2]))
 			i += 2
-			if c == '/' || c == '\\' || c < ' ' || c == 0x7f || c == '%' {
-				return fmt.Sprintf("it has %%%02X in it", c)
+			if char == '/' || char == '\\' || char < ' ' || char == 0x7f || char == '%' {
+				return fmt.Sprintf("it has %%%02X in it", char)
 			}
-		} else if c == '\\' || c == '#' || c <= ' ' || c == 0x7f {
-			return fmt.Sprintf("it has %q in it", c)
+		} else if char == '\\' || char == '#' || char <= ' ' || char == 0x7f {
+			return fmt.Sprintf("it has %q in it", char)
 		}
-		if c == '.' {
+		if char == '.' {
 			dots++
 		} else {
 			dots = otherThanDots
@@ -59,7 +59,7 @@
 	return ""
 }
 
-// unhex is the value of a hexadecimal digit; negative for what is none.
+// unhex returns the value of a hexadecimal digit; negative for another character.
 func unhex(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -72,7 +72,8 @@
 	return -1
 }
 
-// unescape undoes the escapes of an unambiguous segment, in a buffer that is given; false if it is longer, and so no pattern's.
+// unescape decodes the escapes of an unambiguous segment into a buffer. It returns false if the buffer is too short: then the segment
+// is longer than any of a pattern.
 func unescape(s string, buffer []byte) ([]byte, bool) {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -88,10 +89,11 @@
 	return buffer, true
 }
 
-// hostName is a Host without port, final dot and case, in a buffer that is given; nothing if it is too long.
+// hostName writes the host of a request into a buffer, in lower case and without port and final dot. It returns nil if the host is an IPv6
+// address or too long, because no pattern has such a host.
 func hostName(host string, buffer []byte) []byte {
 	if strings.HasPrefix(host, "[") {
-		return nil // an address, which no pattern names
+		return nil
 	}
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		host = host[:i]
--- a/internal/modules/route/pattern.go
+++ b/internal/modules/route/pattern.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"slices"
 	"strings"
 )
 
@@ -15,72 +16,76 @@
 	maxHostBytes    = 253
 )
 
-// Pattern is what a route matches. The zero value matches the path / of any host.
+// Pattern is the criteria of a route. The zero value matches the path / of any host.
 type Pattern struct {
-	host     string // "": any; "*.x": those under x
+	host     string // "" for any; "*.x" for those under x
 	segments []segment
-	rest     bool     // any number of further segments, none too
-	methods  []string // sorted; none for any, like classes and tenants
+	rest     bool     // any number of further segments may follow
+	methods  []string // sorted; empty for any, like classes and tenants
 	classes  []string
 	tenants  []string
 	headers  []condition // sorted by name
 }
 
-// segment is one of a path: a text, or any.
+// segment is a segment of a path: a text, or any.
 type segment struct {
 	text string
 	any  bool
 }
 
-// condition is that a header is there: once and with a value, or with any.
+// condition is the condition that a request has a header: once and with a value, or with any value.
 type condition struct {
 	name  string // canonical
 	value string // "" for any
 }
 
-// PatternText is a pattern as a file has it; an empty field is any.
+// PatternText is a pattern as a file has it. An empty field matches any request.
 type PatternText struct {
 	Host    string // "x.example.org", or "*.example.org"
 	Path    string // "/a/b", "/a/{x}", "/a/{rest...}"
-	Methods string // with commas between
+	Methods string // separated by commas, like Classes, Tenants and Headers
 	Classes string
 	Tenants string
 	Headers string // "Name: value" or "Name"
 }
 
-// fault is what is wrong with one field of a text.
+// fault is the fault of one field of a PatternText.
 type fault struct{ key, text string }
 
-// newPattern reads a text. With faults the pattern is of no use.
-func newPattern(w PatternText) (p *Pattern, faults []fault) {
-	p = &Pattern{host: strings.ToLower(w.Host)}
+// newPattern parses a pattern. If there are faults the pattern must not be used.
+func newPattern(source PatternText) (pattern *Pattern, faults []fault) {
+	pattern = &Pattern{host: strings.ToLower(source.Host)}
 	report := func(key, text string) {
 		if text != "" {
 			faults = append(faults, fault{key, text})
 		}
 	}
-	report("host", badHost(w.Host))
+	report("host", badHost(source.Host))
 	var text string
-	p.segments, p.rest, text = readPath(w.Path)
+	pattern.segments, pattern.rest, text = readPath(source.Path)
 	report("path", text)
 	for _, field := range []struct {
 		key, text string
 		into      *[]string
-	}{{"methods", w.Methods, &p.methods}, {"classes", w.Classes, &p.classes}, {"tenants", w.Tenants, &p.tenants}} {
+	}{
+		{"methods", source.Methods, &pattern.methods},
+		{"classes", source.Classes, &pattern.classes},
+		{"tenants", source.Tenants, &pattern.tenants},
+	} {
 		*field.into, text = readWords(field.text)
 		report(field.key, text)
 	}
-	for _, method := range p.methods {
+	for _, method := range pattern.methods {
 		if method != "GET" && method != "POST" {
 			report("methods", fmt.Sprintf("%q is no method that is served: GET and POST are", method))
 		}
 	}
-	p.headers, text = readHeaders(w.Headers)
+	pattern.headers, text = readHeaders(source.Headers)
 	report("headers", text)
-	return p, faults
+	return pattern, faults
 }
 
-// String is the pattern as people write it.
+// String returns the pattern for people.
 func (p *Pattern) String() string {
 	var parts []string
 	add := func(key, value string) {
@@ -99,7 +104,7 @@
 	return cmp.Or(strings.Join(parts, ", "), "everything")
 }
 
-// pathText is the path as people write it; "" for any.
+// pathText returns the path for people; "" for any.
 func (p *Pattern) pathText() string {
 	var path strings.Builder
 	for _, s := range p.segments {
@@ -117,3 +122,8 @@
 	}
 	return path.String()
 }
+
+// allows reports whether a set of words, of which an empty one has all, has a word.
+func allows(set []string, word string) bool {
+	return len(set) == 0 || slices.Contains(set, word)
+}
--- a/internal/modules/route/prefixindex.go
+++ b/internal/modules/route/prefixindex.go
@@ -2,14 +2,14 @@
 
 import "iter"
 
-// prefixIndex holds things by what the paths of their patterns begin with, so that those that have nothing in common are not
+// prefixIndex holds values by the first segment of the paths of their patterns, so that patterns without common requests need not be
 // compared.
 type prefixIndex[T any] struct {
 	texts map[string][]T // by the first segment
-	wild  []T            // of patterns that begin with any
+	wild  []T            // of patterns whose first segment can be any
 }
 
-// firstSegment is the text that a path of the pattern begins with; false if it can begin with any.
+// firstSegment returns the first segment of the paths that the pattern matches; false if it can be any.
 func (p *Pattern) firstSegment() (text string, ok bool) {
 	switch {
 	case len(p.segments) > 0:
@@ -20,6 +20,7 @@
 	return "/", true
 }
 
+// add adds a value under a pattern.
 func (p *prefixIndex[T]) add(pattern *Pattern, x T) {
 	text, ok := pattern.firstSegment()
 	if !ok {
@@ -32,7 +33,7 @@
 	p.texts[text] = append(p.texts[text], x)
 }
 
-// candidates gives those that a pattern may have requests in common with, and all that may be wider.
+// candidates iterates over the values whose patterns may match requests that a pattern matches as well, wider ones among them.
 func (p *prefixIndex[T]) candidates(pattern *Pattern) iter.Seq[T] {
 	return func(yield func(T) bool) {
 		if !yieldAll(p.wild, yield) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// yieldAll is false if the iteration is to end.
+// yieldAll yields all values of a list, and returns false if the iteration is to end.
 func yieldAll[T any](list []T, yield func(T) bool) bool {
 	for _, x := range list {
 		if !yield(x) {
--- a/internal/modules/route/relation.go
+++ b/internal/modules/route/relation.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// relation is how the requests of one pattern lie to those of another.
+// relation is the relation of the set of requests that a pattern matches to that of another pattern.
 type relation int
 
+// The relations.
 const (
 	equal    relation = iota
-	narrower          // some of the other's
-	wider             // the other's, and more
-	disjoint          // none in common
-	overlaps          // some in common, and each has others
+	narrower          // a subset
+	wider             // a superset
+	disjoint          // no request in common
+	overlaps          // some requests in common, and each has others
 )
 
-// and is the relation of two conditions that both have to hold.
+// and returns the relation of the intersection of two criteria, of which r and s are the relations.
 func (r relation) and(s relation) relation {
 	switch {
 	case r == disjoint || s == disjoint:
@@ -29,7 +30,7 @@
 	return overlaps
 }
 
-// compare is how p's requests lie to q's.
+// compare returns the relation of p to q.
 func (p *Pattern) compare(q *Pattern) relation {
 	r := comparePaths(p, q)
 	if r == disjoint {
@@ -43,9 +44,9 @@
 		and(compareHosts(p.host, q.host)).and(compareHeaders(p.headers, q.headers))
 }
 
-// compareHosts is the relation of the hosts alone; "*.x" has those under x.
+// compareHosts returns the relation of two hosts of patterns.
 func compareHosts(a, b string) relation {
-	under := func(a, b string) bool { // what matches a matches b too
+	under := func(a, b string) bool { // each host that a matches is matched by b
 		return b == "" || strings.HasPrefix(b, "*") && strings.HasSuffix(strings.TrimPrefix(a, "*"), b[1:])
 	}
 	switch {
@@ -59,79 +60,79 @@
 	return disjoint
 }
 
-// comparePaths is the relation of the paths alone.
-func comparePaths(p, q *Pattern) (r relation) {
-	for i := range min(len(p.segments), len(q.segments)) {
-		switch a, b := p.segments[i], q.segments[i]; {
+// comparePaths returns the relation of the paths of two patterns.
+func comparePaths(first, second *Pattern) (rel relation) {
+	for i := range min(len(first.segments), len(second.segments)) {
+		switch a, b := first.segments[i], second.segments[i]; {
 		case a.any && b.any:
 		case a.any:
-			r = r.and(wider)
+			rel = rel.and(wider)
 		case b.any:
-			r = r.and(narrower)
+			rel = rel.and(narrower)
 		case a.text != b.text:
 			return disjoint
 		}
 	}
-	switch a, b := len(p.segments), len(q.segments); {
-	case a > b && !q.rest || a < b && !p.rest:
+	switch a, b := len(first.segments), len(second.segments); {
+	case a > b && !second.rest || a < b && !first.rest:
 		return disjoint
-	case a > b, a == b && q.rest && !p.rest:
-		return r.and(narrower)
-	case a < b, a == b && p.rest && !q.rest:
-		return r.and(wider)
+	case a > b, a == b && second.rest && !first.rest:
+		return rel.and(narrower)
+	case a < b, a == b && first.rest && !second.rest:
+		return rel.and(wider)
 	}
-	return r
+	return rel
 }
 
-// compareSets compares sorted sets; an empty one is everything.
-func compareSets(a, b []string) relation {
+// compareSets returns the relation of two sorted sets, of which an empty one has all words.
+func compareSets(first, second []string) relation {
 	common := 0
-	for _, x := range a {
-		if _, ok := slices.BinarySearch(b, x); ok {
+	for _, x := range first {
+		if _, ok := slices.BinarySearch(second, x); ok {
 			common++
 		}
 	}
 	switch {
-	case len(a) == 0 && len(b) == 0:
+	case len(first) == 0 && len(second) == 0:
 		return equal
-	case len(a) == 0:
+	case len(first) == 0:
 		return wider
-	case len(b) == 0:
+	case len(second) == 0:
 		return narrower
 	case common == 0:
 		return disjoint
-	case common == len(a) && common == len(b):
+	case common == len(first) && common == len(second):
 		return equal
-	case common == len(a):
+	case common == len(first):
 		return narrower
-	case common == len(b):
+	case common == len(second):
 		return wider
 	}
 	return overlaps
 }
 
-// compareHeaders compares conditions that are sorted by name.
-func compareHeaders(a, b []condition) (r relation) {
-	for len(a) > 0 || len(b) > 0 {
+// compareHeaders returns the relation of two lists of conditions, which are sorted by name.
+func compareHeaders(first, second []condition) (rel relation) {
+	for len(first) > 0 || len(second) > 0 {
 		switch {
-		case len(b) == 0 || len(a) > 0 && a[0].name < b[0].name:
-			r = r.and(narrower)
-			a = a[1:]
+		case len(second) == 0 || len(first) > 0 && first[0].name < second[0].name:
+			rel = rel.and(narrower)
+			first = first[1:]
 			continue
-		case len(a) == 0 || b[0].name < a[0].name:
-			r = r.and(wider)
-			b = b[1:]
+		case len(first) == 0 || second[0].name < first[0].name:
+			rel = rel.and(wider)
+			second = second[1:]
 			continue
-		case a[0].value == b[0].value:
-		case a[0].value == "":
-			r = r.and(wider)
-		case b[0].value == "":
-			r = r.and(narrower)
+		case first[0].value == second[0].value:
+		case first[0].value == "":
+			rel = rel.and(wider)
+		case second[0].value == "":
+			rel = rel.and(narrower)
 		default:
 			return disjoint
 		}
-		a = a[1:]
-		b = b[1:]
+		first = first[1:]
+		second = second[1:]
 	}
-	return r
+	return rel
 }
--- a/internal/modules/route/retry.go
+++ b/internal/modules/route/retry.go
@@ -12,7 +12,7 @@
 // maxBackoffDoublings bounds the growth of a backoff.
 const maxBackoffDoublings = 10
 
-// Answered notes that a request was answered, which earns a share of a retry.
+// Answered records that a request was answered, which earns RetryShare of a retry.
 func (r *Route) Answered() {
 	if r.Settings.RetryShare >= 0 {
 		r.fillRetries()
@@ -20,7 +20,7 @@
 	}
 }
 
-// fillRetries starts a budget full, and cuts it if a reload made it smaller.
+// fillRetries fills the budget at the start, and reduces it if a reload has lowered RetryReserve.
 func (r *Route) fillRetries() {
 	if !r.State.filled {
 		r.State.filled = true
@@ -29,8 +29,8 @@
 	r.State.retryTokens = min(r.State.retryTokens, float64(r.Settings.RetryReserve))
 }
 
-// TakeRetry takes a retry out of the budget, and tells whether it covered one. If none is made after all, ReturnRetry has to give it
-// back.
+// TakeRetry takes a retry out of the budget, and reports whether the budget covered it. If the retry is not sent, ReturnRetry has to be
+// called.
 func (r *Route) TakeRetry() bool {
 	if r.Settings.RetryShare < 0 {
 		return true
@@ -44,7 +44,7 @@
 	return true
 }
 
-// ReturnRetry gives back what TakeRetry took.
+// ReturnRetry returns a retry that was taken and not sent to the budget.
 func (r *Route) ReturnRetry() {
 	if r.Settings.RetryShare >= 0 {
 		r.fillRetries()
@@ -52,7 +52,7 @@
 	}
 }
 
-// outcomes are the words of a file for how an attempt ended without an answer.
+// outcomes are the names in settings files of outcomes without an answer.
 var outcomes = []struct {
 	word     string
 	statuses []balancer.Status
@@ -64,7 +64,7 @@
 	{"late", []balancer.Status{balancer.StatusTimeout, balancer.StatusCancelled}},
 }
 
-// readOutcomes reads words with commas between, as one bit for each status.
+// readOutcomes parses names of outcomes that are separated by commas, and returns one bit for each status.
 func readOutcomes(text string) (bits uint, fault string) {
 	words, fault := readWords(text)
 	if fault != "" {
@@ -82,7 +82,7 @@
 	return bits, ""
 }
 
-// statusesOf are the statuses that a word stands for; nil for none.
+// statusesOf returns the statuses of the outcome with a name; nil if there is none.
 func statusesOf(word string) []balancer.Status {
 	for _, o := range outcomes {
 		if o.word == word {
@@ -92,6 +92,7 @@
 	return nil
 }
 
+// outcomeWords returns the names of all outcomes.
 func outcomeWords() (words []string) {
 	for _, o := range outcomes {
 		words = append(words, o.word)
@@ -99,12 +100,12 @@
 	return words
 }
 
-// AllowsRetry tells whether the route allows another attempt after an outcome. Whether the class does is not its to say.
+// AllowsRetry reports whether the route allows a retry after an outcome. The class may still forbid it.
 func (s *Settings) AllowsRetry(status balancer.Status) bool {
 	return s.retryable == 0 || s.retryable&(1<<status) > 0
 }
 
-// RetryOutcomes are the words for the outcomes that allow another attempt.
+// RetryOutcomes returns the names of the outcomes after which a retry is allowed, separated by commas.
 func (s *Settings) RetryOutcomes() string {
 	var all []string
 	for _, o := range outcomes {
@@ -115,8 +116,8 @@
 	return strings.Join(all, ", ")
 }
 
-// Backoff is how long to wait after an attempt, numbered from 1, before the next: twice as long each time, and between half of that
-// and one and a half times as much, by a random number from 0 to 1, so that what failed together does not come again together.
+// Backoff returns how long to wait after an attempt, numbered from 1, before the next one. It doubles with each attempt, and has a
+// jitter of half of it up or down by a random number from 0 to 1, so that requests that failed together are not retried together.
 func (s *Settings) Backoff(attempt int, random float64) time.Duration {
 	if s.RetryBackoff <= 0 {
 		return 0
--- a/internal/modules/route/route_test.go
+++ b/internal/modules/route/route_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// routesOf makes routes, numbered in their order; those that clash with one before are left out.
+// routesOf returns routes whose names are their numbers. Patterns that clash with one before are left out.
 func routesOf(tb testing.TB, all ...PatternText) (routes []*Route) {
 	tb.Helper()
 	for i, text := range all {
@@ -28,7 +28,7 @@
 	return routes
 }
 
-// somePatterns are those that specificityCases take some of by their numbers.
+// somePatterns are the patterns of specificityCases, which use them by their numbers.
 var somePatterns = []PatternText{
 	{},
 	{Path: "/{rest...}", Classes: "book-trip"},
@@ -45,14 +45,22 @@
 	{Path: "/süd/{id}"},
 }
 
-// specificityCases are patterns that must hold together, a request, and the pattern that it takes; -1 for none.
+// specificityCases are patterns that do not clash, a request, and the pattern whose route is taken for it; -1 for none.
 var specificityCases = []struct {
 	use     []int
 	request Request
 	want    int
 }{
-	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1"}}}, 8},
-	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1", "1"}}}, 7},
+	{
+		[]int{0, 2, 3, 4, 5, 6, 7, 8},
+		Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1"}}},
+		8,
+	},
+	{
+		[]int{0, 2, 3, 4, 5, 6, 7, 8},
+		Request{Path: "/trips/new", Method: "POST", Tenant: "north", Header: map[string][]string{"X-Canary": {"1", "1"}}},
+		7,
+	},
 	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "POST", Tenant: "south"}, 6},
 	{[]int{0, 2, 3, 4, 5, 6, 7, 8}, Request{Path: "/trips/new", Method: "GET"}, 4},
 	{[]int{0, 2, 3, 4}, Request{Path: "/trips/n%65w/", Method: "GET"}, 4},
@@ -73,7 +81,7 @@
 	{[]int{0, 1}, Request{Path: "/x", Class: "book-trip"}, 1},
 }
 
-// The most specific route is taken, whatever its place in the file, and paths that are written otherwise take the same.
+// The most specific route is taken, whatever the order of the file, and other spellings of a path take the same route.
 func TestMostSpecific(t *testing.T) {
 	for seed := range uint64(20) {
 		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(somePatterns))
@@ -84,15 +92,15 @@
 					use = append(use, i)
 				}
 			}
-			if got := takenOf(t, use, &c.request); got != c.want {
+			if got := findPattern(t, use, &c.request); got != c.want {
 				t.Errorf("%+v: route %d, should be %d", c.request, got, c.want)
 			}
 		}
 	}
 }
 
-// takenOf is the number of the pattern that a request takes, of those in use; -1 for none.
-func takenOf(t *testing.T, use []int, q *Request) int {
+// findPattern returns the number of the pattern whose route is taken for a request, of those in use; -1 for none.
+func findPattern(t *testing.T, use []int, q *Request) int {
 	t.Helper()
 	var texts []PatternText
 	for _, i := range use {
@@ -104,7 +112,7 @@
 	}
 	r, ok := table.Find(q)
 	if !ok {
-		t.Fatalf("%+v goes nowhere", q)
+		t.Fatalf("%+v is not routed", q)
 	}
 	if r == nil {
 		return -1
@@ -116,32 +124,36 @@
 	return use[number]
 }
 
-// What two readers may take for different paths goes nowhere; what is merely written otherwise does.
-func TestOddPaths(t *testing.T) {
+// Requests with an ambiguous path are not routed; other spellings of a path are.
+func TestAmbiguousPaths(t *testing.T) {
 	table := newTable(routesOf(t, PatternText{Path: "/{rest...}"}, PatternText{Path: "/pay/{id}"}))
 	for _, path := range []string{
 		"", "pay/1", "//pay/1", "/pay//1", "/pay/1//", "/./pay/1", "/x/../pay/1", "/x/%2e%2e/pay/1", "/x/.%2E/pay/1", "/%2e/pay",
-		"/pay%2F1", "/pay%2f1", "/pay%5c1", "/pay\\1", "/pay/%", "/pay/%1", "/pay/%zz", "/pay/%00", "/pay/%0a", "/pay/1#x", "/pay/%252e", "/pay/..", "/..",
+		"/pay%2F1", "/pay%2f1", "/pay%5c1", "/pay\\1", "/pay/%", "/pay/%1", "/pay/%zz", "/pay/%00", "/pay/%0a", "/pay/1#x",
+		"/pay/%252e", "/pay/..", "/..",
 	} {
 		if _, ok := table.Find(&Request{Path: path}); ok {
 			t.Errorf("%q is routed", path)
 		}
 	}
-	for _, path := range []string{"/pay/1", "/pay/1/", "/p%61y/1", "/pay/...", "/pay/a..b", "/pay/%C3%BC", "/pay/.x", "/pay/" + strings.Repeat("a", 60_000)} {
+	for _, path := range []string{
+		"/pay/1", "/pay/1/", "/p%61y/1", "/pay/...", "/pay/a..b", "/pay/%C3%BC", "/pay/.x", "/pay/" + strings.Repeat("a", 60_000),
+	} {
 		if r, ok := table.Find(&Request{Path: path}); !ok || r == nil || r.Name != "1" {
 			t.Errorf("%.40q takes route %v, %v", path, r, ok)
 		}
 	}
-	// Where no route asks for a path, none is refused for its.
+	// If no route has a path, no request is rejected for its path.
 	table = newTable(routesOf(t, PatternText{Classes: "a"}))
 	if r, ok := table.Find(&Request{Path: "//x/..", Class: "a"}); !ok || r == nil {
-		t.Error("a path was looked at that no route asks for")
+		t.Error("a path was checked though no route has one")
 	}
 }
 
-// draws are words of few sorts, so that they meet.
+// draws draws patterns and requests with few different values, so that many match.
 type draws struct{ *rand.Rand }
 
+// path draws a path of at most so many segments, with wildcards if it is that of a pattern.
 func (d draws) path(of []string, most int, wild bool) string {
 	var b strings.Builder
 	for i := range d.IntN(most + 1) {
@@ -158,6 +170,7 @@
 	return b.String()
 }
 
+// some draws a subset.
 func (d draws) some(of ...string) string {
 	var set []string
 	for _, x := range of {
@@ -168,37 +181,47 @@
 	return strings.Join(set, ",")
 }
 
-func (d draws) words() PatternText {
+// pattern draws the text of a pattern.
+func (d draws) pattern() PatternText {
 	return PatternText{
-		Host: []string{"", "", "", "a.org", "*.org", "*.a.org", "b.a.org"}[d.IntN(7)], Path: d.path([]string{"a", "b", "c"}, 3, true),
-		Methods: d.some("GET", "POST"), Classes: d.some("x", "y", "z"), Tenants: d.some("n", "s"), Headers: d.some("A: 1", "B", "C: 2"),
+		Host:    []string{"", "", "", "a.org", "*.org", "*.a.org", "b.a.org"}[d.IntN(7)],
+		Path:    d.path([]string{"a", "b", "c"}, 3, true),
+		Methods: d.some("GET", "POST"),
+		Classes: d.some("x", "y", "z"),
+		Tenants: d.some("n", "s"),
+		Headers: d.some("A: 1", "B", "C: 2"),
 	}
 }
 
+// request draws a request.
 func (d draws) request() Request {
-	q := Request{
-		Host: []string{"a.org", "c.org", "b.a.org", "a.com", "x.b.a.org"}[d.IntN(5)], Path: d.path([]string{"a", "b", "c", "%61", "d"}, 4, false),
-		Method: []string{"GET", "POST"}[d.IntN(2)], Class: []string{"x", "y", "z"}[d.IntN(3)], Tenant: []string{"n", "s"}[d.IntN(2)], Header: map[string][]string{},
+	drawn := Request{
+		Host:   []string{"a.org", "c.org", "b.a.org", "a.com", "x.b.a.org"}[d.IntN(5)],
+		Path:   d.path([]string{"a", "b", "c", "%61", "d"}, 4, false),
+		Method: []string{"GET", "POST"}[d.IntN(2)],
+		Class:  []string{"x", "y", "z"}[d.IntN(3)],
+		Tenant: []string{"n", "s"}[d.IntN(2)],
+		Header: map[string][]string{},
 	}
-	if q.Path == "" || d.IntN(5) == 0 {
-		q.Path += "/"
+	if drawn.Path == "" || d.IntN(5) == 0 {
+		drawn.Path += "/"
 	}
 	for _, name := range []string{"A", "B", "C"} {
 		for range d.IntN(3) {
-			q.Header[name] = append(q.Header[name], fmt.Sprint(1+d.IntN(2)))
+			drawn.Header[name] = append(drawn.Header[name], fmt.Sprint(1+d.IntN(2)))
 		}
 	}
-	return q
+	return drawn
 }
 
-// matches is whether a pattern matches, by looking at it alone.
-func (p *Pattern) matches(q *Request) bool {
-	host := strings.ToLower(q.Host)
+// matches reports whether a pattern matches a request, without the table.
+func (p *Pattern) matches(request *Request) bool {
+	host := strings.ToLower(request.Host)
 	if p.host != "" && p.host != host && (!strings.HasPrefix(p.host, "*") || !strings.HasSuffix(host, p.host[1:])) {
 		return false
 	}
 	var path []string
-	if trimmed := strings.Trim(q.Path, "/"); trimmed != "" {
+	if trimmed := strings.Trim(request.Path, "/"); trimmed != "" {
 		path = strings.Split(strings.ReplaceAll(trimmed, "%61", "a"), "/")
 	}
 	if len(path) < len(p.segments) || len(path) > len(p.segments) && !p.rest {
@@ -209,22 +232,23 @@
 			return false
 		}
 	}
-	return p.allows(p.methods, q.Method) && p.allows(p.classes, q.Class) && p.allows(p.tenants, q.Tenant) && p.hasHeaders(q.Header)
+	return allows(p.methods, request.Method) && allows(p.classes, request.Class) && allows(p.tenants, request.Tenant) &&
+		p.hasHeaders(request.Header)
 }
 
-// With random routes and requests the table finds what a look at all of them does; two that are said to be disjoint match nothing in
-// common, one that is narrower nothing that the wider does not, and of those that match a request none overlap.
-func TestFindIsAsALookAtAll(t *testing.T) {
+// With random routes and requests the table finds the same route as a comparison with all of them. Disjoint patterns match no request
+// in common, a narrower one only requests that the wider one matches, and no two routes that match a request overlap.
+func TestFindAgainstAllRoutes(t *testing.T) {
 	found, deep := 0, 0
 	for seed := range uint64(300) {
-		d := draws{rand.New(rand.NewPCG(seed, 2))}
+		random := draws{rand.New(rand.NewPCG(seed, 2))}
 		var all []PatternText
 		for range 40 {
-			all = append(all, d.words())
+			all = append(all, random.pattern())
 		}
 		table := newTable(routesOf(t, all...))
 		for range 200 {
-			q := d.request()
+			q := random.request()
 			best, matching := narrowestOf(t, table.Routes, &q)
 			if got, ok := table.Find(&q); !ok || got != best {
 				t.Fatalf("seed %d: %+v: %v, should be %v", seed, q, got, best)
@@ -237,110 +261,110 @@
 			}
 		}
 		for range 100 {
-			checkRelation(t, d)
+			checkRelation(t, random)
 		}
 	}
 	if found < 10000 || deep < 200 {
-		t.Errorf("%d were matched, %d by more than two: too few to tell", found, deep)
+		t.Errorf("%d requests were matched, %d by more than two routes: too few", found, deep)
 	}
 }
 
-// narrowestOf looks at all routes, and also counts those that match.
-func narrowestOf(t *testing.T, routes []*Route, q *Request) (best *Route, matching int) {
+// narrowestOf returns the narrowest of the routes that match a request, and how many match.
+func narrowestOf(t *testing.T, routes []*Route, request *Request) (best *Route, matching int) {
 	t.Helper()
-	for _, r := range routes {
-		if !r.pattern.matches(q) {
+	for _, route := range routes {
+		if !route.pattern.matches(request) {
 			continue
 		}
 		matching++
 		if best == nil {
-			best = r
+			best = route
 			continue
 		}
-		switch rel := r.pattern.compare(best.pattern); rel {
+		switch rel := route.pattern.compare(best.pattern); rel {
 		case narrower:
-			best = r
+			best = route
 		case wider:
 		default:
-			t.Fatalf("%+v is matched by %v and %v, which are %d to each other", q, r.pattern, best.pattern, rel)
+			t.Fatalf("%+v is matched by %v and %v, which are %d to each other", request, route.pattern, best.pattern, rel)
 		}
 	}
 	return best, matching
 }
 
-// inverse is the relation the other way round.
+// inverse has for each relation of p to q that of q to p.
 var inverse = map[relation]relation{equal: equal, narrower: wider, wider: narrower, disjoint: disjoint, overlaps: overlaps}
 
-// checkRelation draws two patterns, and tries their relation by requests.
+// checkRelation draws two patterns, and checks their relation with random requests.
 func checkRelation(t *testing.T, d draws) {
 	t.Helper()
-	p, _ := newPattern(d.words())
-	o, _ := newPattern(d.words())
-	rel := p.compare(o)
-	if back := o.compare(p); back != inverse[rel] {
-		t.Fatalf("%v to %v: %d, and back %d", p, o, rel, back)
+	first, _ := newPattern(d.pattern())
+	second, _ := newPattern(d.pattern())
+	rel := first.compare(second)
+	if back := second.compare(first); back != inverse[rel] {
+		t.Fatalf("%v to %v: %d, and back %d", first, second, rel, back)
 	}
 	for range 30 {
 		q := d.request()
-		x := p.matches(&q)
-		y := o.matches(&q)
+		x := first.matches(&q)
+		y := second.matches(&q)
 		if rel == equal && x != y || rel == narrower && x && !y || rel == wider && y && !x || rel == disjoint && x && y {
-			t.Fatalf("%v to %v: %d, but %+v is matched %v and %v", p, o, rel, q, x, y)
+			t.Fatalf("%v to %v: %d, but %+v is matched %v and %v", first, second, rel, q, x, y)
 		}
 	}
 	if rel == disjoint {
 		return
 	}
-	if text := exampleRequest(p, o); !strings.Contains(text, " http://") {
+	if text := exampleRequest(first, second); !strings.Contains(text, " http://") {
 		t.Fatal(text)
 	}
 }
 
-// A route's limits: what is rejected, what may go out again, and that a reload leaves them as they stand.
+// The limits of a route: which requests are rejected, which may be retried, and that a reload keeps the state.
 func TestLimits(t *testing.T) {
-	r := &Route{Settings: &Settings{Serve: true, MaxOpen: 2, RetryShare: 0.5, RetryReserve: 2}, State: &State{}}
+	route := &Route{Settings: &Settings{Serve: true, MaxOpen: 2, RetryShare: 0.5, RetryReserve: 2}, State: &State{}}
 	for i := range 3 {
-		if got := r.Admit(); got != (i < 2) {
-			t.Errorf("two may come in, and no third: the %dth %v", i+1, got)
+		if got := route.Admit(); got != (i < 2) {
+			t.Errorf("two are admitted, and no third: the %dth %v", i+1, got)
 		}
 	}
-	if r.Done(); !r.Admit() {
-		t.Error("one has left")
+	if route.Done(); !route.Admit() {
+		t.Error("one has ended")
 	}
 	for range 2 {
-		if !r.TakeRetry() {
-			t.Error("it begins with what may be saved")
+		if !route.TakeRetry() {
+			t.Error("the budget is full at the start")
 		}
 	}
-	if r.TakeRetry() {
-		t.Error("none is left")
+	if route.TakeRetry() {
+		t.Error("the budget is empty")
 	}
-	if r.ReturnRetry(); !r.TakeRetry() {
-		t.Error("one was given back")
+	if route.ReturnRetry(); !route.TakeRetry() {
+		t.Error("one retry was returned")
 	}
-	r.Answered()
-	if r.TakeRetry() {
-		t.Error("one answer earns half of one")
+	route.Answered()
+	if route.TakeRetry() {
+		t.Error("one answer earns half a retry")
 	}
-	r.Answered()
-	if !r.TakeRetry() {
-		t.Error("two answers earn one")
+	route.Answered()
+	if !route.TakeRetry() {
+		t.Error("two answers earn a retry")
 	}
-	later := &Route{Settings: &Settings{Serve: false}, State: r.State}
+	later := &Route{Settings: &Settings{Serve: false}, State: route.State}
 	if later.Admit() {
-		t.Error("a route that is off lets something in")
+		t.Error("a route that is off admits a request")
 	}
-	if r.Done(); later.State.Open != 1 || later.State.Rejected != 2 || r.State.Denied != 2 {
+	if route.Done(); later.State.Open != 1 || later.State.Rejected != 2 || route.State.Denied != 2 {
 		t.Errorf("%+v", *later.State)
 	}
 }
 
-// No path, however it is written, makes the table fail, take long, or find a route that matches it not.
+// No path makes the table fail, or find a route that does not match it.
 func FuzzFind(f *testing.F) {
 	d := draws{rand.New(rand.NewPCG(1, 2))}
 	var all []PatternText
 	for range 60 {
-		all = append(all, d.words())
+		all = append(all, d.pattern())
 	}
 	table := newTable(routesOf(f, all...))
 	for _, path := range []string{"/a/b", "//", "/a/%2e%2e/b", "/%61/b/", "/a/../b", "/%", "/a%2Fb"} {
--- a/internal/modules/route/rules.go
+++ b/internal/modules/route/rules.go
@@ -11,12 +11,12 @@
 type Rule struct {
 	PatternText
 	Settings
-	RetryOn string // outcomes, with commas between
+	RetryOn string // names of outcomes, separated by commas
 
 	pattern    *Pattern // once it is compiled; nil if it has faults
 	isCompiled bool
 
-	// Of a file's first rule: the routes that were checked, and how many.
+	// Only in the first rule of a file: the routes that were checked so far, and how many.
 	checked      *prefixIndex[checkedRoute]
 	checkedCount int
 }
@@ -30,7 +30,7 @@
 	maxNameBytes = 64
 )
 
-// word is a setting that holds a text.
+// word returns the key of a setting with a text.
 func word(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
 	return schema.String(name, field, schema.StringOptions{Example: example}, schema.OnReload, help)
 }
@@ -40,11 +40,14 @@
 	"What is set for some requests beyond their class. Of the routes that match a request the most specific is taken: the one "+
 		"whose requests all the others match too. Two that have requests in common, neither more specific, are refused.",
 	word("match_host", func(r *Rule) *string { return &r.Host }, "booking.example.org", "The Host, or *.example.org for those under it."),
-	word("match_path", func(r *Rule) *string { return &r.Path }, "/trips/{id}", "The path: /trips exactly, /trips/{id} with one segment, /trips/{rest...} with any number, none too. Escapes and a final / make no difference."),
+	word("match_path", func(r *Rule) *string { return &r.Path }, "/trips/{id}",
+		"The path: /trips exactly, /trips/{id} with one segment, /trips/{rest...} with any number, none too. "+
+			"Escapes and a final / make no difference."),
 	word("match_methods", func(r *Rule) *string { return &r.Methods }, "GET", "Methods, with commas between."),
 	word("match_classes", func(r *Rule) *string { return &r.Classes }, "find-trip", "Classes, with commas between."),
 	word("match_tenants", func(r *Rule) *string { return &r.Tenants }, "north-clinics", "Tenants, with commas between."),
-	word("match_headers", func(r *Rule) *string { return &r.Headers }, "X-Canary: 1", "Headers that have to be there, \"Name: value\" once with that value, \"Name\" with any."),
+	word("match_headers", func(r *Rule) *string { return &r.Headers }, "X-Canary: 1",
+		"Headers that have to be there, \"Name: value\" once with that value, \"Name\" with any."),
 	schema.Bool("serve", func(r *Rule) *bool { return &r.Serve }, true, schema.OnReload,
 		"false turns all of it away, with Retry-After, and sends none of it on."),
 	schema.Float("route_worth", func(r *Rule) *float64 { return &r.Value },
@@ -61,9 +64,11 @@
 		schema.Bounds[int]{Min: 1, Max: 1_000_000, Optional: true, Example: "50"}, schema.OnReload,
 		"The most requests at once; more are refused, with Retry-After."),
 	word("retry_on", func(r *Rule) *string { return &r.RetryOn }, "turned-away, unconnected",
-		"After which outcomes another attempt may go out, with commas between: turned-away, unconnected, failed, broken, late; all where it is left out. What a class forbids stays forbidden."),
+		"After which outcomes another attempt may go out, with commas between: turned-away, unconnected, failed, broken, late; "+
+			"all where it is left out. What a class forbids stays forbidden."),
 	duration("retry_pause", func(r *Rule) *time.Duration { return &r.RetryBackoff }, `"20ms"`,
-		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and one and a half times."),
+		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and "+
+			"one and a half times."),
 	schema.Float("retry_share", func(r *Rule) *float64 { return &r.RetryShare },
 		schema.Bounds[float64]{Default: noBudget, Min: noBudget, Max: 1}, schema.OnReload,
 		"Further attempts for each answered request, saved up to retry_reserve; negative for no budget of the route's own."),
@@ -72,7 +77,8 @@
 		"How many further attempts may be saved up; a start begins with so many."),
 	schema.Float("copy_after", func(r *Rule) *float64 { return &r.HedgeQuantile },
 		schema.Bounds[float64]{Min: 0.5, Max: 0.999, Optional: true, Example: "0.95"}, schema.OnReload,
-		"A second copy of a request goes to another endpoint when its answer takes longer than this quantile of the route's answers, like 0.95. Not of unsafe classes; of keyed ones in the same cell. It needs attempts.second_copies, or the platform's leave."),
+		"A second copy of a request goes to another endpoint when its answer takes longer than this quantile of the route's answers, "+
+			"like 0.95. Not of unsafe classes; of keyed ones in the same cell. It needs attempts.second_copies, or the platform's leave."),
 	schema.Float("copy_share", func(r *Rule) *float64 { return &r.HedgeShare },
 		schema.Bounds[float64]{Default: 0.05, Min: 0.001, Max: 0.25}, schema.OnReload,
 		"The share of the route's requests, at most, that get a second copy."),
@@ -81,15 +87,16 @@
 		"Retry-After of what serve or most_open turns away."),
 ).CheckNames(badName)
 
-// The check looks at the routes beside the one that is checked, by way of Rules.
+// check refers to Rules, so it cannot be part of its initialisation.
 func init() { Rules.Check(check) }
 
-// duration is a setting that holds a time.
+// duration returns the key of a setting with a duration.
 func duration(name string, field func(*Rule) *time.Duration, example, help string) schema.KeyOf[Rule] {
-	return schema.Duration(name, field, schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: example}, schema.OnReload, help)
+	bounds := schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: example}
+	return schema.Duration(name, field, bounds, schema.OnReload, help)
 }
 
-// badName says what is wrong with the name of a route.
+// badName returns the fault of a route's name, or "".
 func badName(name string) string {
 	if len(name) > maxNameBytes || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
 		return "is no name of a route: up to 64 printable characters without spaces"
@@ -97,7 +104,7 @@
 	return ""
 }
 
-// compile gives the rule's pattern, read once; nil if it has faults.
+// compile returns the rule's pattern, which is parsed once, and its faults, at the first call; nil if it has faults.
 func (r *Rule) compile() (*Pattern, []fault) {
 	if r.isCompiled {
 		return r.pattern, nil
@@ -115,7 +122,7 @@
 	return r.pattern, faults
 }
 
-// Compile makes the table of a file that was checked; nil for one without routes, and for no file.
+// Compile returns the table of the routes of a file that was checked; nil for one without routes, and for no file.
 func Compile(f *schema.File) *Table {
 	if f == nil {
 		return nil
--- a/internal/modules/route/table.go
+++ b/internal/modules/route/table.go
@@ -6,48 +6,48 @@
 	"strings"
 )
 
-// Route is one of a Table.
+// Route is a route of a Table.
 type Route struct {
 	Name     string
 	Settings *Settings
 	State    *State
 
 	pattern *Pattern
-	depth   int // the longest chain of wider routes
+	depth   int // the length of the longest chain of ever wider routes that begins with this one
 }
 
-// Pattern is what the route matches.
+// Pattern returns the criteria of the route.
 func (r *Route) Pattern() *Pattern { return r.pattern }
 
-// Table finds the route of a request: a tree of path segments for each host. It does not change.
+// Table finds the route of a request. It has a tree of path segments for each host, and does not change.
 type Table struct {
 	Routes      []*Route // in the order of the file
 	hosts       map[string]*node
 	subdomains  map[string]*node // of "*.x", by x
 	anyHost     *node            // nil for none
-	checksPaths bool             // some route asks for a path
+	checksPaths bool             // a route has a path, so ambiguous paths are rejected
 }
 
-// node is a place in paths.
+// node is a node of a tree of path segments.
 type node struct {
-	children map[string]*node // by the next segment's text
-	wildcard *node            // of any next segment
+	children map[string]*node // by the next segment
+	wildcard *node            // for any next segment
 	exact    *leaf            // of patterns that end here
-	rest     *leaf            // of those that go on with any segments
-	maxDepth int              // of the routes at it or below
+	rest     *leaf            // of patterns that continue with any segments
+	maxDepth int              // of the routes at the node and below it
 }
 
-// leaf has the routes of one host and path, by what else they ask for.
+// leaf has the routes of one host and path, by their other criteria.
 type leaf struct {
 	routes   map[criteria][]*Route // the deepest first
-	used     [criteriaMasks]bool   // which criteria some route asks for
+	used     [criteriaMasks]bool   // the masks of the criteria that a route has
 	maxDepth int
 }
 
 // criteria are a method, a class and a tenant; "" for any.
 type criteria struct{ method, class, tenant string }
 
-// The bits of a mask of criteria that are asked for.
+// The bits of a mask of criteria.
 const (
 	asksMethod = 1 << iota
 	asksClass
@@ -55,7 +55,7 @@
 	criteriaMasks
 )
 
-// newTable compiles routes; they must not clash.
+// newTable returns a table of routes, which must not clash.
 func newTable(routes []*Route) *Table {
 	t := &Table{Routes: routes, hosts: map[string]*node{}, subdomains: map[string]*node{}}
 	setDepths(routes)
@@ -65,8 +65,8 @@
 	return t
 }
 
-// setDepths sets the depth of each route. With the widest first, it is one more than the greatest of those that are wider than the
-// route. A route that asks for more is never wider, so ordering by how much is asked is enough.
+// setDepths sets the depth of each route, which is one more than the greatest depth of all wider routes. A route is never wider than one
+// with a lower specificity, so all wider routes come before it in that order.
 func setDepths(routes []*Route) {
 	order := slices.Clone(routes)
 	slices.SortStableFunc(order, func(a, b *Route) int { return a.pattern.specificity() - b.pattern.specificity() })
@@ -82,48 +82,49 @@
 	}
 }
 
-// specificity is more for a pattern than for any that is wider than it.
-func (p *Pattern) specificity() (n int) {
-	const oneHost = 1000 // above that of any wildcard, which grows with its length
+// specificity returns a number that is higher for a pattern than for any that is wider.
+func (p *Pattern) specificity() (score int) {
+	const oneHost = 1000 // above the value for any wildcard, which grows with its length
 	switch {
 	case strings.HasPrefix(p.host, "*"):
-		n += 1 + len(p.host)
+		score += 1 + len(p.host)
 	case p.host != "":
-		n += oneHost
+		score += oneHost
 	}
 	for _, s := range p.segments {
-		n += 2
+		score += 2
 		if !s.any {
-			n++
+			score++
 		}
 	}
 	if !p.rest {
-		n++
+		score++
 	}
 	for _, allowed := range [][]string{p.methods, p.classes, p.tenants} {
 		if len(allowed) > 0 {
-			n += maxWords + 1 - len(allowed)
+			score += maxWords + 1 - len(allowed)
 		}
 	}
 	for _, c := range p.headers {
-		n++
+		score++
 		if c.value != "" {
-			n++
+			score++
 		}
 	}
-	return n
+	return score
 }
 
-func (t *Table) add(r *Route) {
-	p := r.pattern
+// add adds a route to the tree of its host.
+func (t *Table) add(route *Route) {
+	p := route.pattern
 	if !p.rest || len(p.segments) > 0 {
 		t.checksPaths = true
 	}
 	n := t.root(p.host)
-	n.maxDepth = max(n.maxDepth, r.depth)
+	n.maxDepth = max(n.maxDepth, route.depth)
 	for _, s := range p.segments {
 		n = n.next(s)
-		n.maxDepth = max(n.maxDepth, r.depth)
+		n.maxDepth = max(n.maxDepth, route.depth)
 	}
 	at := &n.exact
 	if p.rest {
@@ -132,10 +133,10 @@
 	if *at == nil {
 		*at = &leaf{routes: map[criteria][]*Route{}}
 	}
-	(*at).add(r)
+	(*at).add(route)
 }
 
-// root is the node of a pattern's host, made if there is none.
+// root returns the root of the tree of a pattern's host, a new one if there is none.
 func (t *Table) root(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
@@ -149,7 +150,7 @@
 	return child(t.hosts, host)
 }
 
-// next is the node of a next segment, made if there is none.
+// next returns the node of a next segment, a new one if there is none.
 func (n *node) next(s segment) *node {
 	if s.any {
 		if n.wildcard == nil {
@@ -163,6 +164,7 @@
 	return child(n.children, s.text)
 }
 
+// child returns the node with a name, a new one if there is none.
 func child(nodes map[string]*node, name string) *node {
 	if nodes[name] == nil {
 		nodes[name] = &node{}
@@ -170,8 +172,9 @@
 	return nodes[name]
 }
 
-func (l *leaf) add(r *Route) {
-	p := r.pattern
+// add adds a route under each combination of its methods, classes and tenants.
+func (l *leaf) add(route *Route) {
+	p := route.pattern
 	mask := 0
 	for i, allowed := range [][]string{p.methods, p.classes, p.tenants} {
 		if len(allowed) > 0 {
@@ -179,19 +182,19 @@
 		}
 	}
 	l.used[mask] = true
-	l.maxDepth = max(l.maxDepth, r.depth)
+	l.maxDepth = max(l.maxDepth, route.depth)
 	for _, method := range orAny(p.methods) {
 		for _, class := range orAny(p.classes) {
 			for _, tenant := range orAny(p.tenants) {
 				k := criteria{method, class, tenant}
-				l.routes[k] = append(l.routes[k], r)
+				l.routes[k] = append(l.routes[k], route)
 				slices.SortStableFunc(l.routes[k], func(a, b *Route) int { return b.depth - a.depth })
 			}
 		}
 	}
 }
 
-// orAny is a set of words, or "" for any.
+// orAny returns a set of words, or "", for any, if it is empty.
 func orAny(words []string) []string {
 	if len(words) == 0 {
 		return []string{""}
@@ -199,8 +202,8 @@
 	return words
 }
 
-// KeepStates has routes go on with the states of those of the same names before, when a file is read again. It has to be called
-// before the table is used.
+// KeepStates takes over the states of the routes of a table before, by name, when a file is read again. It has to be called before the
+// table is used.
 func (t *Table) KeepStates(before *Table) {
 	if t == nil || before == nil {
 		return
