--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,5 +1,5 @@
-// Package lifecycle has what a program's start and end need: its signals, caught for as long as the process lives, and HTTP requests
-// that end with it.
+// Package lifecycle has helpers for the start and the end of a program: it catches the signals for as long as the process runs, and
+// cancels HTTP requests when the program shuts down.
 //
 // A Go program gets the default action of a signal, which for SIGTERM, SIGINT, SIGQUIT and SIGHUP is the end of the process at once,
 // before it asks for the signal and after it has given it up with signal.Stop. A server that shuts down in order needs neither: a second
--- a/internal/lifecycle/requests_test.go
+++ b/internal/lifecycle/requests_test.go
@@ -24,6 +24,7 @@
 	_, _ = io.WriteString(w, "ended: "+r.Context().Err().Error()) // the client may have gone
 }
 
+// A request's context ends when ending does, whether before the request or while it is served.
 func TestCancelRequestsOnDone(t *testing.T) {
 	for _, x := range []struct {
 		name  string
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -29,9 +29,10 @@
 	}
 }
 
+// Each signal arrives on its channel alone, and SIGPIPE is ignored.
 func TestCatch(t *testing.T) {
 	signals := Catch()
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		signal  syscall.Signal
 		channel <-chan os.Signal
@@ -42,9 +43,9 @@
 		{"SIGHUP", syscall.SIGHUP, signals.Reload},
 		{"SIGUSR1", syscall.SIGUSR1, signals.Dump},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			raise(t, syscall.SIGPIPE, x.signal)
-			qt.Assert(t, await(t, x.channel), qt.Equals, os.Signal(x.signal))
+		t.Run(test.name, func(t *testing.T) {
+			raise(t, syscall.SIGPIPE, test.signal)
+			qt.Assert(t, await(t, test.channel), qt.Equals, os.Signal(test.signal))
 			for _, other := range []<-chan os.Signal{signals.Terminate, signals.Reload, signals.Dump} {
 				qt.Assert(t, other, qt.HasLen, 0)
 			}
--- a/internal/modules/endpointsource/bench_test.go
+++ b/internal/modules/endpointsource/bench_test.go
@@ -15,7 +15,7 @@
 		l.Kind = balancer.ListFull
 		for i := range n {
 			l.Endpoints = append(l.Endpoints, Endpoint{
-				UID: fmt.Sprintf("box-%08x", from+i), Address: fmt.Sprintf("127.1.%d.%d:80", i/250, i%250),
+				UID: fmt.Sprintf("s-%08x", from+i), Address: fmt.Sprintf("127.1.%d.%d:80", i/250, i%250),
 				Zone: "a", Model: "m", Cell: i / 2, Weight: 1,
 			})
 		}
--- a/internal/modules/endpointsource/chunks_test.go
+++ b/internal/modules/endpointsource/chunks_test.go
@@ -15,7 +15,7 @@
 func drawEntry(t *rapid.T) Endpoint {
 	n := rapid.IntRange(0, 30).Draw(t, "uid")
 	return Endpoint{
-		UID: fmt.Sprintf("box-%08x", n), Address: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.1:2", "nowhere"}).Draw(t, "address"),
+		UID: fmt.Sprintf("s-%08x", n), Address: rapid.SampledFrom([]string{"127.0.0.1:1", "127.0.0.1:2", "nowhere"}).Draw(t, "address"),
 		Zone: "a", Model: "m", Cell: n / 2, Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight")),
 		StartedMS: rapid.Int64Range(0, 2).Draw(t, "started"),
 		State: rapid.SampledFrom([]balancer.EndpointState{
--- a/internal/modules/endpointsource/endpoint_test.go
+++ b/internal/modules/endpointsource/endpoint_test.go
@@ -13,7 +13,7 @@
 	for i := range fields.NumField() {
 		name := fields.Field(i).Name
 		t.Run(name, func(t *testing.T) {
-			verdict := Endpoint{UID: "box-1"}
+			verdict := Endpoint{UID: "s-1"}
 			other := verdict
 			switch field := reflect.ValueOf(&other).Elem().Field(i); field.Kind() {
 			case reflect.String:
--- a/internal/modules/idempotency/example_test.go
+++ b/internal/modules/idempotency/example_test.go
@@ -14,7 +14,7 @@
 	id := idempotency.RequestID(payment.Name, "r-17")
 
 	table := idempotency.NewTable(1000)
-	to := idempotency.Origin{Zone: "north", Endpoint: "box-1"}
+	to := idempotency.Origin{Zone: "north", Endpoint: "s-1"}
 	entry, changed, err := table.BeginAttempt(0, id, payment.Name, idempotency.RetentionOf(&payment), to)
 	fmt.Println("write it first:", changed, err)
 	disk := entry.Encode()
@@ -32,5 +32,5 @@
 	// Output:
 	// write it first: true <nil>
 	// <nil>
-	// known: true north box-1 sent at 0s may have run: true
+	// known: true north s-1 sent at 0s may have run: true
 }
--- a/internal/modules/idempotency/table_test.go
+++ b/internal/modules/idempotency/table_test.go
@@ -10,7 +10,7 @@
 )
 
 // here is where the attempts of the tests are sent.
-var here = Origin{Zone: "north", Cell: 3, Endpoint: "box-1"}
+var here = Origin{Zone: "north", Cell: 3, Endpoint: "s-1"}
 
 // keep is the retention of their entries.
 const keep = 10 * time.Second
@@ -123,9 +123,12 @@
 	e := Entry{Class: "book", Origin: here, Served: true, Retention: keep}
 	text := e.Encode()
 	got, err := Decode(text, time.Hour, 4*time.Second)
-	if err != nil || got.Class != e.Class || got.Origin != here || !got.Served || got.Retention != keep || got.SentAt != time.Hour-6*time.Second {
+	if err != nil || got.Class != e.Class || got.Origin != here || !got.Served {
 		t.Errorf("%+v %v", got, err)
 	}
+	if got.Retention != keep || got.SentAt != time.Hour-6*time.Second {
+		t.Errorf("kept for %v, sent at %v", got.Retention, got.SentAt)
+	}
 	for n := range text {
 		if _, err := Decode(text[:n], 0, 0); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrUnknownFormat) {
 			t.Errorf("%d of %d bytes: %v", n, len(text), err)
--- a/internal/standalone/endpoint_table.go
+++ b/internal/standalone/endpoint_table.go
@@ -60,7 +60,7 @@
 	n, err := strconv.ParseUint(uid[strings.LastIndexByte(uid, '-')+1:], 16, 32)
 	if err != nil {
 		h := fnv.New32a()
-		_, _ = io.WriteString(h, uid) // a hash takes all
+		_, _ = io.WriteString(h, uid) // never returns an error
 		n = uint64(h.Sum32())
 	}
 	id := balancer.EndpointID(n)
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -56,7 +56,8 @@
 	}
 
 	mem := open()
-	mem.saveList(0, endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}, map[balancer.EndpointID]*exchange.Endpoint{})
+	list := endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}
+	mem.saveList(0, list, map[balancer.EndpointID]*exchange.Endpoint{})
 	if err := mem.store.Put([]byte{'?'}, nil, time.Second); err != nil { // writes are durable in their order
 		t.Fatal(err)
 	}
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -12,9 +12,9 @@
 	"quincegap/internal/network/exchange"
 )
 
-// While the disk is ill a class that has to be remembered is refused, but never what may have run: a refusal says
-// that a repeat is harmless.
-func TestIllDiskRefusesNothingThatMayHaveRun(t *testing.T) {
+// While the disk fails, requests of a class that must be recorded are rejected, but never one that may have run: a rejection would
+// promise that it has not.
+func TestFailingDiskRejectsNothingThatMayHaveRun(t *testing.T) {
 	s, err := store.Open(store.Dir(t.TempDir()), store.Options{})
 	if err != nil {
 		t.Fatal(err)
