--- a/internal/modules/endpointsource/merger.go
+++ b/internal/modules/endpointsource/merger.go
@@ -58,7 +58,7 @@
 // New returns a Merger without endpoints; zones and models are the names that the settings have.
 func New(settings Settings, zones, models []string) *Merger {
 	return &Merger{
-		settings: settings, zones: newNames(zones), models: newNames(models),
+		settings: settings, zones: newNameSet(zones), models: newNameSet(models),
 		entries: map[string]*sourceEntry{}, byAddress: map[string][]*sourceEntry{}, differences: map[string]string{},
 		heldDown: map[string]*sourceEntry{}, missing: map[string]*sourceEntry{}, dirty: map[string]*sourceEntry{},
 	}
--- a/internal/modules/endpointsource/names.go
+++ b/internal/modules/endpointsource/names.go
@@ -11,8 +11,8 @@
 // nameSet is the set of all zones, or of all models, that were ever used.
 type nameSet map[string]bool
 
-// newNames returns the set of the names that the settings have.
-func newNames(known []string) nameSet {
+// newNameSet returns the set of the names that the settings have.
+func newNameSet(known []string) nameSet {
 	set := nameSet{}
 	for _, name := range known {
 		set[name] = true
--- a/internal/modules/route/rules.go
+++ b/internal/modules/route/rules.go
@@ -30,8 +30,8 @@
 	maxNameBytes = 64
 )
 
-// word returns the key of a setting with a text.
-func word(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
+// textKey returns the key of a setting with a text.
+func textKey(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
 	return schema.String(name, field, schema.StringOptions{Example: example}, schema.OnReload, help)
 }
 
@@ -39,23 +39,23 @@
 var Rules = schema.NewNamed("route", "route", "book-north",
 	"What is set for some requests beyond their class. Of the routes that match a request the most specific is taken: the one "+
 		"whose requests all the others match too. Two that have requests in common, neither more specific, are refused.",
-	word("match_host", func(r *Rule) *string { return &r.Host }, "booking.example.org", "The Host, or *.example.org for those under it."),
-	word("match_path", func(r *Rule) *string { return &r.Path }, "/trips/{id}",
+	textKey("match_host", func(r *Rule) *string { return &r.Host }, "booking.example.org", "The Host, or *.example.org for those under it."),
+	textKey("match_path", func(r *Rule) *string { return &r.Path }, "/trips/{id}",
 		"The path: /trips exactly, /trips/{id} with one segment, /trips/{rest...} with any number, none too. "+
 			"Escapes and a final / make no difference."),
-	word("match_methods", func(r *Rule) *string { return &r.Methods }, "GET", "Methods, with commas between."),
-	word("match_classes", func(r *Rule) *string { return &r.Classes }, "find-trip", "Classes, with commas between."),
-	word("match_tenants", func(r *Rule) *string { return &r.Tenants }, "north-clinics", "Tenants, with commas between."),
-	word("match_headers", func(r *Rule) *string { return &r.Headers }, "X-Canary: 1",
+	textKey("match_methods", func(r *Rule) *string { return &r.Methods }, "GET", "Methods, with commas between."),
+	textKey("match_classes", func(r *Rule) *string { return &r.Classes }, "find-trip", "Classes, with commas between."),
+	textKey("match_tenants", func(r *Rule) *string { return &r.Tenants }, "north-clinics", "Tenants, with commas between."),
+	textKey("match_headers", func(r *Rule) *string { return &r.Headers }, "X-Canary: 1",
 		"Headers that have to be there, \"Name: value\" once with that value, \"Name\" with any."),
 	schema.Bool("serve", func(r *Rule) *bool { return &r.Serve }, true, schema.OnReload,
 		"false turns all of it away, with Retry-After, and sends none of it on."),
 	schema.Float("route_worth", func(r *Rule) *float64 { return &r.Value },
 		schema.Bounds[float64]{Min: 0.01, Max: 100, Optional: true, Example: "2"}, schema.OnReload,
 		"How much more it is worth than others of its class when not all can be served; below 1 for less."),
-	duration("whole_time", func(r *Rule) *time.Duration { return &r.Timeout }, `"2s"`,
+	durationKey("whole_time", func(r *Rule) *time.Duration { return &r.Timeout }, `"2s"`,
 		"The whole time of a request, where that is less than its caller waits."),
-	duration("attempt_time", func(r *Rule) *time.Duration { return &r.AttemptTimeout }, `"800ms"`,
+	durationKey("attempt_time", func(r *Rule) *time.Duration { return &r.AttemptTimeout }, `"800ms"`,
 		"The time of one attempt. What takes longer may have run, and goes out again only where its class allows it."),
 	schema.Int("route_attempts", func(r *Rule) *int { return &r.MaxAttempts },
 		schema.Bounds[int]{Min: 1, Max: 20, Optional: true, Example: "2"}, schema.OnReload,
@@ -63,10 +63,10 @@
 	schema.Int("most_open", func(r *Rule) *int { return &r.MaxOpen },
 		schema.Bounds[int]{Min: 1, Max: 1_000_000, Optional: true, Example: "50"}, schema.OnReload,
 		"The most requests at once; more are refused, with Retry-After."),
-	word("retry_on", func(r *Rule) *string { return &r.RetryOn }, "turned-away, unconnected",
+	textKey("retry_on", func(r *Rule) *string { return &r.RetryOn }, "turned-away, unconnected",
 		"After which outcomes another attempt may go out, with commas between: turned-away, unconnected, failed, broken, late; "+
 			"all where it is left out. What a class forbids stays forbidden."),
-	duration("retry_pause", func(r *Rule) *time.Duration { return &r.RetryBackoff }, `"20ms"`,
+	durationKey("retry_pause", func(r *Rule) *time.Duration { return &r.RetryBackoff }, `"20ms"`,
 		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and "+
 			"one and a half times."),
 	schema.Float("retry_share", func(r *Rule) *float64 { return &r.RetryShare },
@@ -90,8 +90,8 @@
 // check refers to Rules, so it cannot be part of its initialisation.
 func init() { Rules.Check(check) }
 
-// duration returns the key of a setting with a duration.
-func duration(name string, field func(*Rule) *time.Duration, example, help string) schema.KeyOf[Rule] {
+// durationKey returns the key of a setting with a duration.
+func durationKey(name string, field func(*Rule) *time.Duration, example, help string) schema.KeyOf[Rule] {
 	bounds := schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: example}
 	return schema.Duration(name, field, bounds, schema.OnReload, help)
 }
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -22,7 +22,7 @@
 
 // The number of an endpoint is the same at every sidecar, in whatever order lists name it, and no two share one.
 func TestEndpointIDs(t *testing.T) {
-	table, other := newEndpoints(nil, nil, time.Now()), newEndpoints(nil, nil, time.Now())
+	table, other := newEndpointTable(nil, nil, time.Now()), newEndpointTable(nil, nil, time.Now())
 	put := func(t *endpointTable, uid string) balancer.EndpointID {
 		id := t.endpointID(uid)
 		t.insert(&exchange.Endpoint{ID: id, UID: uid})
@@ -43,7 +43,7 @@
 // Start times are converted to the event clock, with the same result each time: a later one means a restart.
 func TestStarts(t *testing.T) {
 	now := time.Now()
-	e := newEndpoints(nil, nil, now.Add(-clockStart))
+	e := newEndpointTable(nil, nil, now.Add(-clockStart))
 	boot := now.Add(-3 * time.Second).UnixMilli()
 	if got := e.startTime(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.startTime(boot) {
 		t.Errorf("3 s ago is %v on a clock at %v", got, clockStart)
@@ -55,7 +55,7 @@
 
 // An endpoint that is listed at another address or with another start replaces the one before.
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
-	table := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
+	table := newEndpointTable([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart))
 	listed := ready("s-1")
 	entries, _ := table.apply(endpointList{All: true, Targets: []listedEndpoint{listed, ready("s-2")}}.sourceList(endpointsource.FromWatch))
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].MachineKind != 0 {
--- a/internal/standalone/endpoint_table.go
+++ b/internal/standalone/endpoint_table.go
@@ -36,8 +36,8 @@
 	return i
 }
 
-// newEndpoints returns an empty table that numbers zones and models as the settings list them.
-func newEndpoints(zones, models []string, origin time.Time) *endpointTable {
+// newEndpointTable returns an empty table that numbers zones and models as the settings list them.
+func newEndpointTable(zones, models []string, origin time.Time) *endpointTable {
 	t := &endpointTable{
 		origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
 		ids: map[string]balancer.EndpointID{}, zones: nameIndex{}, models: nameIndex{},
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -58,7 +58,7 @@
 		merger:        endpointsource.New(config.tuning.endpointSource, config.Settings.Zones, config.Settings.Models),
 		stopFollower:  func() {},
 	}
-	loop.endpoints = newEndpoints(config.Settings.Zones, config.Settings.Models, loop.origin)
+	loop.endpoints = newEndpointTable(config.Settings.Zones, config.Settings.Models, loop.origin)
 	if err := loop.openTransports(); err != nil {
 		return nil, err
 	}
