--- a/internal/standalone/endpoint_table.go
+++ b/internal/standalone/endpoint_table.go
@@ -36,8 +36,8 @@
 	return i
 }
 
-// newEndpoints returns an empty table that numbers zones and models as the settings list them.
-func newEndpoints(zones, models []string, origin time.Time) *endpointTable {
+// newEndpointTable returns an empty table that numbers zones and models as the settings list them.
+func newEndpointTable(zones, models []string, origin time.Time) *endpointTable {
 	t := &endpointTable{
 		origin: origin, byID: map[balancer.EndpointID]*exchange.Endpoint{},
 		ids: map[string]balancer.EndpointID{}, zones: nameIndex{}, models: nameIndex{},
@@ -60,7 +60,7 @@
 	n, err := strconv.ParseUint(uid[strings.LastIndexByte(uid, '-')+1:], 16, 32)
 	if err != nil {
 		h := fnv.New32a()
-		_, _ = io.WriteString(h, uid) // a hash takes all
+		_, _ = io.WriteString(h, uid) // never returns an error
 		n = uint64(h.Sum32())
 	}
 	id := balancer.EndpointID(n)
