--- a/internal/tool/bench_test.go
+++ b/internal/tool/bench_test.go
@@ -12,27 +12,29 @@
 	"quincegap/internal/config/finding"
 )
 
-// many is an apps.toml of applications that call each other: each calls the next two, in one ring through
-// all, and each tenth calls a hub.
-func many(n int) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "[chain]\nmost_tiers = 100000\nmost_attempts_in_chain = 100000\n[defaults.attempts]\nmost_attempts = 1\n[defaults.limits]\ncores = 1\nmemory = \"192MiB\"\nsockets = 1024\n[defaults.discovery]\naddress = \"127.0.0.1:8500\"\n")
+// appsInRing returns an apps.toml with n applications in a ring; each calls the next two.
+func appsInRing(n int) string {
+	var text strings.Builder
+	text.WriteString("[chain]\nmost_tiers = 100000\nmost_attempts_in_chain = 100000\n[defaults.attempts]\nmost_attempts = 1\n" +
+		"[defaults.limits]\ncores = 1\nmemory = \"192MiB\"\nsockets = 1024\n[defaults.discovery]\naddress = \"127.0.0.1:8500\"\n")
 	for i := range n {
-		name := fmt.Sprintf("app-%d.example.org", i)
-		fmt.Fprintf(&b, "\n# Application %d.\n[apps.\"%s\".sidecar]\nlisten = \"127.%d.%d.%d:8080\"\n", i, name, 1+i>>16, i>>8&255, i&255)
-		fmt.Fprintf(&b, "[apps.\"%s\".class.book]\naim = \"1s\"\ndeadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"10s\"\n", name)
-		fmt.Fprintf(&b, "[apps.\"%s\".class.find]\naim = \"1s\"\ndeadline = \"5s\"\neffect = \"safe\"\n", name)
+		app := fmt.Sprintf("apps.\"app-%d.example.org\"", i)
+		fmt.Fprintf(&text, "\n# Application %d.\n[%s.sidecar]\nlisten = \"127.%d.%d.%d:8080\"\n", i, app, 1+i>>16, i>>8&255, i&255)
+		fmt.Fprintf(&text, "[%s.class.book]\naim = \"1s\"\ndeadline = \"5s\"\neffect = \"keyed\"\n", app)
+		text.WriteString("key_scope = \"cell\"\nkey_window = \"10s\"\n")
+		fmt.Fprintf(&text, "[%s.class.find]\naim = \"1s\"\ndeadline = \"5s\"\neffect = \"safe\"\n", app)
 		for k := 1; k <= 2 && n > 2; k++ {
-			fmt.Fprintf(&b, "[apps.\"%s\".calls.next%d]\nto = \"app-%d.example.org\"\nfor_class = \"book\"\ntimeout = \"5s\"\nmutual_depth = 2\n", name, k, (i+k)%n)
+			fmt.Fprintf(&text, "[%s.calls.next%d]\nto = \"app-%d.example.org\"\n", app, k, (i+k)%n)
+			text.WriteString("for_class = \"book\"\ntimeout = \"5s\"\nmutual_depth = 2\n")
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-// BenchmarkCheck is the time and memory of check; docs/figures/configuration.md has its figures.
+// BenchmarkCheck measures the time and the memory of check; its results are in docs/figures/configuration.md.
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{1, 100, 5000} {
-		text := many(n)
+		text := appsInRing(n)
 		path := filepath.Join(b.TempDir(), "apps.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			b.Fatal(err)
@@ -47,17 +49,18 @@
 				}
 			}
 			b.ReportMetric(float64(len(text))/1e3, "kB-file")
-			b.ReportMetric(peak(path), "MiB-peak-heap")
+			b.ReportMetric(peakHeap(path), "MiB-peak-heap")
 		})
 	}
 }
 
-// peak is the largest heap during one check, as it is sampled every few hundred microseconds.
-func peak(path string) float64 {
+// peakHeap returns the growth of the heap during one check, in MiB, from samples every few hundred microseconds.
+func peakHeap(path string) float64 {
 	runtime.GC()
 	var before runtime.MemStats
 	runtime.ReadMemStats(&before)
-	stop, most := make(chan struct{}), make(chan uint64)
+	stop := make(chan struct{})
+	peak := make(chan uint64)
 	go func() {
 		largest := uint64(0)
 		for {
@@ -66,7 +69,7 @@
 			largest = max(largest, m.HeapAlloc)
 			select {
 			case <-stop:
-				most <- largest
+				peak <- largest
 				return
 			case <-time.After(300 * time.Microsecond):
 			}
@@ -75,5 +78,5 @@
 	var found finding.List
 	Check([]string{path}, false, &found)
 	close(stop)
-	return float64(<-most-before.HeapAlloc) / (1 << 20)
+	return float64(<-peak-before.HeapAlloc) / (1 << 20)
 }
--- a/internal/tool/demo_test.go
+++ b/internal/tool/demo_test.go
@@ -21,14 +21,14 @@
 	"quincegap/internal/files/atomicfile"
 )
 
-// shared is a writer that others read while it grows.
-type shared struct {
+// syncBuffer is a buffer that is read while others write to it.
+type syncBuffer struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
-	wrote chan struct{}
+	wrote chan struct{} // signals a write
 }
 
-func (s *shared) Write(b []byte) (int, error) {
+func (s *syncBuffer) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -38,23 +38,23 @@
 	return s.text.Write(b)
 }
 
-func (s *shared) String() string {
+func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.String()
 }
 
-// The demonstration's line works as it is printed, and nothing is left when it ends: no goroutine, no process,
-// no file.
+// The command line that demo prints works, and nothing is left after its end: no goroutine, no process, no file.
 func TestDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	program := filepath.Join(t.TempDir(), "quincegap")
-	if out, err := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap").CombinedOutput(); err != nil {
+	build := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap")
+	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	temp := t.TempDir()
 	t.Setenv("TMPDIR", temp)
-	out, errs := &shared{wrote: make(chan struct{}, 1)}, &shared{wrote: make(chan struct{}, 1)}
+	out, errs := &syncBuffer{wrote: make(chan struct{}, 1)}, &syncBuffer{wrote: make(chan struct{}, 1)}
 	c := &command{out: printer{out}, errOut: printer{errs}, disk: atomicfile.Disk{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -72,7 +72,7 @@
 			t.Fatalf("no line:\n%s%s", out, errs)
 		}
 	}
-	// What curl would send, for not every machine has it.
+	// The request that curl would send; not every machine has curl.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 20 {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+match[2], strings.NewReader("trip=dialysis"))
--- a/internal/tool/fleet_test.go
+++ b/internal/tool/fleet_test.go
@@ -8,8 +8,7 @@
 	"quincegap/internal/rehearsal/fleet"
 )
 
-// The same seed prints the same, and a day that is not known, or figures that cannot be measured, are refused with what
-// there is.
+// The same seed prints the same. An unknown day or restart, and numbers out of range, are wrong usage, with a hint.
 func TestFleetCommand(t *testing.T) {
 	run := func(args ...string) (int, string, string) {
 		var out, errs bytes.Buffer
@@ -26,7 +25,8 @@
 	if _, list, _ := run("--list"); strings.Count(list, "\n") != len(fleet.Days()) {
 		t.Errorf("the list is\n%s", list)
 	}
-	if code, out, _ := run("--subsets", "--endpoints", "60", "--instances", "5"); code != ExitOK || strings.Count(out, "\n") != 1+len(fleet.Churns)*len(fleet.SubsettingSchemes) {
+	code, out, _ := run("--subsets", "--endpoints", "60", "--instances", "5")
+	if code != ExitOK || strings.Count(out, "\n") != 1+len(fleet.Churns)*len(fleet.SubsettingSchemes) {
 		t.Errorf("code %d:\n%s", code, out)
 	}
 	code, table, errs := run("--waves", "--rate", "20", "--seeds", "1")
--- a/internal/tool/golden_test.go
+++ b/internal/tool/golden_test.go
@@ -19,12 +19,13 @@
 	"quincegap/internal/network/admin"
 )
 
-// transcript keeps command lines with their exit codes and all that they print.
+// transcript collects command lines, their exit codes and all that they print.
 type transcript struct {
 	strings.Builder
-	dir string // is printed as DIR
+	dir string // replaced by DIR in the golden file
 }
 
+// run runs a command line and adds it with its results.
 func (s *transcript) run(args ...string) {
 	code, out, errs := run(args...)
 	s.WriteString("$ " + strings.Join(args, " ") + "\nexit " + strconv.Itoa(code) + "\n" + out)
@@ -33,17 +34,19 @@
 	}
 }
 
+// file adds the content of a file.
 func (s *transcript) file(t *testing.T, path string) {
 	t.Helper()
 	s.WriteString("-- " + path + " --\n" + content(t, path))
 }
 
-func (s *transcript) hold(t *testing.T, name string) {
+// compare compares the transcript with a golden file.
+func (s *transcript) compare(t *testing.T, name string) {
 	t.Helper()
 	golden.Text(t, name, []byte(strings.ReplaceAll(s.String(), s.dir, "DIR")))
 }
 
-// The commands, their flags, defaults and help.
+// The help of all commands, with their flags and defaults.
 func TestGoldenHelp(t *testing.T) {
 	var s transcript
 	s.dir = t.TempDir()
@@ -53,14 +56,15 @@
 	} {
 		s.run(append(strings.Fields(command), "--help")...)
 	}
-	s.hold(t, "help.txt")
+	s.compare(t, "help.txt")
 }
 
-// A configuration's life: made, written, edited by hand, refused, kept, adopted, discarded.
+// The commands for a configuration: its files are created, written, edited by hand, rejected, kept, adopted, discarded.
 func TestGoldenConfiguration(t *testing.T) {
 	s := transcript{dir: t.TempDir()}
 	source := filepath.Join(s.dir, "apps.toml")
-	front, keeper := filepath.Join(s.dir, "booking-front.example.org.toml"), filepath.Join(s.dir, "slot-keeper.example.org.toml")
+	front := filepath.Join(s.dir, "booking-front.example.org.toml")
+	keeper := filepath.Join(s.dir, "slot-keeper.example.org.toml")
 	s.run("init", s.dir)
 	s.run("init", s.dir)
 	s.run("check", source)
@@ -90,24 +94,25 @@
 	s.run("adopt", source, front, keeper, filepath.Join(s.dir, "none.toml"))
 	s.file(t, source)
 	s.file(t, front)
-	s.hold(t, "configuration.txt")
+	s.compare(t, "configuration.txt")
 }
 
-// Files that stand in the way of write, diff and adopt.
-func TestGoldenFilesInTheWay(t *testing.T) {
+// Files that write, diff and adopt can't use, in the place of a derived file.
+func TestGoldenObstructedFiles(t *testing.T) {
 	s := transcript{dir: t.TempDir()}
 	source := filepath.Join(s.dir, "apps.toml")
-	front, keeper := filepath.Join(s.dir, "booking-front.example.org.toml"), filepath.Join(s.dir, "slot-keeper.example.org.toml")
+	front := filepath.Join(s.dir, "booking-front.example.org.toml")
+	keeper := filepath.Join(s.dir, "slot-keeper.example.org.toml")
 	must(t, "init", s.dir)
 	must(t, "write", source)
 	written := content(t, front)
-	for _, spoilt := range []string{
+	for _, obstructing := range []string{
 		"[sidecar]\n", written[:len(written)/2], content(t, keeper),
 		strings.Replace(written, "cores = 1.0", "cores = 1.0.0", 1),
 		strings.Replace(written, "deadline = \"6s\"", "deadline = \"7s\"", 1),
 		strings.Replace(written, "for booking-front.example.org", "for nobody.example.org", 1),
 	} {
-		if err := os.WriteFile(front, []byte(spoilt), 0o600); err != nil {
+		if err := os.WriteFile(front, []byte(obstructing), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s.run("check", front)
@@ -121,10 +126,10 @@
 	s.run("check", "--json", source)
 	s.run("check", filepath.Join(s.dir, "none.toml"), s.dir)
 	s.run("write", filepath.Join(s.dir, "none.toml"))
-	s.hold(t, "in-the-way.txt")
+	s.compare(t, "in-the-way.txt")
 }
 
-// folderOfFixedLength is a temporary folder whose path is as long in every run: columns are as wide as the paths in them.
+// folderOfFixedLength returns a temporary folder whose path has the same length in every run: the width of columns depends on it.
 func folderOfFixedLength(t *testing.T) string {
 	t.Helper()
 	const length = 160
@@ -180,10 +185,10 @@
 	}
 	s.run("route", "GET", "/x")
 	s.run("route", "--config", filepath.Join(s.dir, "none"), "GET", "/x")
-	s.hold(t, "route.txt")
+	s.compare(t, "route.txt")
 }
 
-// The views of a running sidecar, as people and as programs read them.
+// The views of a running sidecar, for people and for programs.
 func TestGoldenViews(t *testing.T) {
 	s := transcript{dir: t.TempDir()}
 	address := "unix:" + filepath.Join(s.dir, "s")
@@ -191,12 +196,17 @@
 		Name: "front-0", Confidence: "settled", Reachable: 2, GroupSize: 2, Instances: 2, Ordinal: 0, MaxInstances: 2, OwnsName: true, Digest: "d1",
 		DuplicateNames: []string{"front-1", "front-2"}, Rejected: map[string]int{"other key": 3, "another application": 1},
 		Members: []peers.MemberReport{
-			{Name: "front-0", Process: "aa", State: "serving", StateAgeMS: 61500, Address: "10.0.4.7:7946", Zone: "provo", Version: "v1", Reachable: true, InGroup: true},
+			{
+				Name: "front-0", Process: "aa", State: "serving", StateAgeMS: 61500,
+				Address: "10.0.4.7:7946", Zone: "provo", Version: "v1", Reachable: true, InGroup: true,
+			},
 			{Name: "front-1", Process: "bb", State: "gone", StateAgeMS: 149},
 		},
 	}
 	other := own
-	other.Name, other.Confidence, other.Members = "front-1", "cut off", own.Members[1:]
+	other.Name = "front-1"
+	other.Confidence = "cut off"
+	other.Members = own.Members[1:]
 	views := admin.Views{
 		Members: func() (admin.Members, bool) {
 			return admin.Members{Name: "front", Source: "overlay", Endpoints: []endpointsource.Row{
@@ -207,7 +217,8 @@
 		Peers: func(all bool) (peers.FleetReport, bool) {
 			f := peers.FleetReport{Own: own}
 			if all {
-				f.Others, f.Unresponsive = []peers.Report{other}, []string{"front-3/00"}
+				f.Others = []peers.Report{other}
+				f.Unresponsive = []string{"front-3/00"}
 			}
 			return f, true
 		},
@@ -223,10 +234,11 @@
 	}
 	own.Instances = 0
 	s.run("peers", address)
-	own.Instances, own.OwnsName = 2, false
+	own.Instances = 2
+	own.OwnsName = false
 	s.run("peers", address)
 	s.run("members", "nothing")
-	s.hold(t, "views.txt")
+	s.compare(t, "views.txt")
 }
 
 // What the store's commands print of requests, endpoints and lists that a sidecar remembers.
@@ -259,15 +271,15 @@
 	}
 	s.run("store", "verify", filepath.Join(s.dir, "nowhere"))
 	s.run("store", "compact", filepath.Join(s.dir, "nowhere"))
-	// What is left of the hour depends on how long the test took.
+	// The time left of the hour depends on the duration of the test.
 	timeLeft := regexp.MustCompile(`("left":"|"At":)[0-9hms.]+`)
 	text := timeLeft.ReplaceAllString(s.String(), "${1}TIME-LEFT")
 	s.Reset()
 	s.WriteString(text)
-	s.hold(t, "store.txt")
+	s.compare(t, "store.txt")
 }
 
-// How a change of a text is shown.
+// The printed form of changes of a text.
 func TestGoldenUnified(t *testing.T) {
 	var all strings.Builder
 	for _, c := range [][2]string{
@@ -281,7 +293,9 @@
 	} {
 		text := unified("f", []byte(c[0]), []byte(c[1]))
 		if lines := strings.SplitAfter(text, "\n"); len(lines) > 20 {
-			text = strings.Join(lines[:5], "") + fmt.Sprintf("(%d lines)\n", len(lines)) + strings.Join(lines[len(lines)-3:], "")
+			text = strings.Join(lines[:5], "") +
+				fmt.Sprintf("(%d lines)\n", len(lines)) +
+				strings.Join(lines[len(lines)-3:], "")
 		}
 		all.WriteString(text)
 	}
--- a/internal/tool/members_test.go
+++ b/internal/tool/members_test.go
@@ -24,7 +24,11 @@
 	}
 	defer stop()
 	out := must(t, "members", address)
-	for _, want := range []string{"a         h:1      ready     2       1m1.5s  ready     ready", `check "http" is critical`, "front: 1 of 2 endpoints ready; the source is overlay"} {
+	for _, want := range []string{
+		"a         h:1      ready     2       1m1.5s  ready     ready",
+		`check "http" is critical`,
+		"front: 1 of 2 endpoints ready; the source is overlay",
+	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("%q is missing in\n%s", want, out)
 		}
--- a/internal/tool/peers_test.go
+++ b/internal/tool/peers_test.go
@@ -10,23 +10,41 @@
 	"quincegap/internal/network/admin"
 )
 
-func TestPeers(t *testing.T) {
-	address := "unix:" + filepath.Join(t.TempDir(), "s")
-	seen := func(name, state string, counts bool) peers.MemberReport {
-		return peers.MemberReport{Name: name, Process: "00000000000000aa", State: state, StateAgeMS: 61500, Address: "10.0.4.7:7946", Zone: "provo", Reachable: counts, InGroup: counts}
+// reportOfThree returns a settled view of three members, one of which is gone.
+func reportOfThree() peers.Report {
+	member := func(name, state string, inGroup bool) peers.MemberReport {
+		return peers.MemberReport{
+			Name: name, Process: "00000000000000aa", State: state, StateAgeMS: 61500,
+			Address: "10.0.4.7:7946", Zone: "provo", Reachable: inGroup, InGroup: inGroup,
+		}
 	}
-	own := peers.Report{
-		Name: "front-0", Confidence: "settled", Reachable: 2, GroupSize: 2, Instances: 2, Ordinal: 0, MaxInstances: 2, OwnsName: true, Digest: "d1", DuplicateNames: []string{"front-1"},
-		Rejected: map[string]int{"other key": 3}, Members: []peers.MemberReport{seen("front-0", "serving", true), seen("front-1", "serving", true), seen("front-2", "gone", false)},
+	return peers.Report{
+		Name: "front-0", Confidence: "settled", Reachable: 2, GroupSize: 2, Instances: 2, Ordinal: 0, MaxInstances: 2, OwnsName: true,
+		Digest: "d1", DuplicateNames: []string{"front-1"}, Rejected: map[string]int{"other key": 3},
+		Members: []peers.MemberReport{
+			member("front-0", "serving", true),
+			member("front-1", "serving", true),
+			member("front-2", "gone", false),
+		},
 	}
+}
+
+// peers prints one view, or all views side by side, and ends with findings if they differ.
+func TestPeers(t *testing.T) {
+	address := "unix:" + filepath.Join(t.TempDir(), "s")
+	own := reportOfThree()
 	other := own
-	other.Name, other.Confidence, other.Members = "front-1", "cut off", own.Members[1:2]
+	other.Name = "front-1"
+	other.Confidence = "cut off"
+	other.Members = own.Members[1:2]
 	differ := true
 	stop, err := admin.Serve(address, admin.Views{Peers: func(all bool) (peers.FleetReport, bool) {
 		f := peers.FleetReport{Own: own}
 		if all {
-			if f.Others = []peers.Report{own}; differ {
-				f.Others, f.Unresponsive = []peers.Report{other}, []string{"front-3/00"}
+			f.Others = []peers.Report{own}
+			if differ {
+				f.Others = []peers.Report{other}
+				f.Unresponsive = []string{"front-3/00"}
 			}
 		}
 		return f, true
@@ -37,8 +55,11 @@
 	defer stop()
 	out := must(t, "peers", address)
 	for _, want := range []string{
-		"front-2  gone     1m1.5s  no      no", "front-0: settled; 2 of the 2 settled last are in reach", "it is number 0 of 2, and divides limits by 2",
-		"several processes under one name: front-1", "refused, other key: 3",
+		"front-2  gone     1m1.5s  no      no",
+		"front-0: settled; 2 of the 2 settled last are in reach",
+		"it is number 0 of 2, and divides limits by 2",
+		"several processes under one name: front-1",
+		"refused, other key: 3",
 	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("%q is missing in\n%s", want, out)
--- a/internal/tool/rehearse_test.go
+++ b/internal/tool/rehearse_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const shortMorning = `title "A short morning"
+const shortScript = `title "A short morning"
 length 2s
 tier keeper boxes 3 cells 2 cores 2 slots 20 queue 5 work 10ms
 class ask effect keyed scope cell window 10s aim 500ms deadline 2s
@@ -19,7 +19,8 @@
 at 500ms: 1 boxes pause for 200ms
 `
 
-func script(t *testing.T, text string) string {
+// writeScript writes a script to a temporary file, and returns its path.
+func writeScript(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "short.morning")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,14 +29,15 @@
 	return path
 }
 
-// A script is checked, its plan shown, and played in virtual time; what it expects and does not get is exit code 1.
+// A script is checked, its plan printed, and played in virtual time; a missed expectation ends with ExitFindings.
 func TestRehearseVirtual(t *testing.T) {
-	path := script(t, shortMorning)
+	path := writeScript(t, shortScript)
 	if out := must(t, "rehearse", path, "--check"); out != path+": can be played\n" {
 		t.Errorf("%q", out)
 	}
-	if out := must(t, "rehearse", path, "--plan"); !strings.Contains(out, "0.500 s  box ") || !strings.Contains(out, "stands still until 0.700 s") {
-		t.Error(out)
+	plan := must(t, "rehearse", path, "--plan")
+	if !strings.Contains(plan, "0.500 s  box ") || !strings.Contains(plan, "stands still until 0.700 s") {
+		t.Error(plan)
 	}
 	first := must(t, "rehearse", path, "--virtual")
 	if !strings.Contains(first, "KEPT") || !strings.Contains(first, "A short morning (seed 1, 2s)") {
@@ -44,11 +46,11 @@
 	if second := must(t, "rehearse", path, "--virtual", "--seed", "2"); second == first {
 		t.Error("two seeds, one result")
 	}
-	code, out, _ := run("rehearse", script(t, shortMorning+"expect service above 1\nexpect attempts above 3\n"), "--virtual")
+	code, out, _ := run("rehearse", writeScript(t, shortScript+"expect service above 1\nexpect attempts above 3\n"), "--virtual")
 	if code != ExitFindings || !strings.Contains(out, "MISSED") || !strings.Contains(out, "line 10: attempts is") {
 		t.Error(code, out)
 	}
-	code, out, _ = run("rehearse", script(t, shortMorning+"at 1s: 4 boxes die\n"), "--virtual")
+	code, out, _ = run("rehearse", writeScript(t, shortScript+"at 1s: 4 boxes die\n"), "--virtual")
 	if code != ExitFindings || !strings.Contains(out, "short.morning:9:8: 4 boxes of keeper are to be hit, and 3 are up") {
 		t.Error(code, out)
 	}
@@ -58,19 +60,21 @@
 	if code, _, _ := run("rehearse"); code != ExitUsage {
 		t.Error(code)
 	}
-	if code, _, errs := run("rehearse", path, "--quiet", "--sidecar", filepath.Join(t.TempDir(), "none")); code != ExitFindings || !strings.Contains(errs, "none") {
+	code, _, errs := run("rehearse", path, "--quiet", "--sidecar", filepath.Join(t.TempDir(), "none"))
+	if code != ExitFindings || !strings.Contains(errs, "none") {
 		t.Error(code, errs)
 	}
 }
 
-// The real program, twice, side by side: one screen, and a directory with page, table, configuration and logs.
+// The real program is played twice and compared: one summary, and a folder with the page, the table, the configurations and the logs.
 func TestRehearseOnSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "quincegap")
-	if out, err := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap").CombinedOutput(); err != nil {
+	build := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", program, "quincegap/cmd/quincegap")
+	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	dir := filepath.Join(t.TempDir(), "out")
-	code, out, errs := run("rehearse", script(t, shortMorning), "--sidecar", program, "--compare", program, "--report", dir)
+	code, out, errs := run("rehearse", writeScript(t, shortScript), "--sidecar", program, "--compare", program, "--report", dir)
 	if code == ExitVoid {
 		t.Skip(out)
 	}
@@ -96,9 +100,10 @@
 	}
 }
 
-// An experiment prints a table, and keeps every run; the same design gives the same table.
+// An experiment prints a table, and writes every run; the same design gives the same table.
 func TestExperiment(t *testing.T) {
-	path, dir := script(t, shortMorning), t.TempDir()
+	path := writeScript(t, shortScript)
+	dir := t.TempDir()
 	first := must(t, "experiment", path, "--seeds", "3", "--load", "0.5,1", "--report", dir)
 	if strings.Count(first, "short ") != 2 {
 		t.Error(first)
@@ -112,7 +117,8 @@
 			t.Error(err)
 		}
 	}()
-	if rows, err := csv.NewReader(f).ReadAll(); err != nil || len(rows) != 1+6 || len(rows[3]) != 13 || rows[6][1] != "1" || rows[6][2] != "3" {
+	rows, err := csv.NewReader(f).ReadAll()
+	if err != nil || len(rows) != 1+6 || len(rows[3]) != 13 || rows[6][1] != "1" || rows[6][2] != "3" {
 		t.Errorf("%v, %v", rows, err)
 	}
 	if second := must(t, "experiment", path, "--seeds", "3", "--load", "0.5,1", "--report", dir, "--workers", "1"); second != first {
--- a/internal/tool/route_test.go
+++ b/internal/tool/route_test.go
@@ -40,7 +40,7 @@
 serve = false
 `
 
-// It says which route is taken, why the others are not, and each value with the line that sets it.
+// route prints the route of a request, why the others do not match, and each value with the line that sets it.
 func TestRouteCommand(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "sidecar.toml")
 	if err := os.WriteFile(file, []byte(routedFile), 0o600); err != nil {
@@ -53,11 +53,22 @@
 	}{
 		{[]string{"POST", "http://a.org/trips/new", "-H", "X-Lane: book"}, ExitOK, []string{
 			"route new (" + file + ":25): path /trips/new",
-			"trips        " + file + ":21  matches too; new is more specific", "segment 1 of the path is \"trips\", not \"closed\"",
+			"trips        " + file + ":21  matches too; new is more specific",
+			"segment 1 of the path is \"trips\", not \"closed\"",
 			"whole time                  6s                                " + file + ":15 class.book.deadline",
-			"one attempt                 500ms", "attempts                    4", file + ":20 attempts.most_attempts", "0.1 for each answer, 10 saved up", "in its cell",
+			"one attempt                 500ms",
+			"attempts                    4",
+			file + ":20 attempts.most_attempts",
+			"0.1 for each answer, 10 saved up",
+			"in its cell",
+		}},
+		{[]string{"get", "/trips/7/seats", "-H", "X-Lane: find"}, ExitOK, []string{
+			"route trips",
+			"whole time                  2s",
+			":23 route.trips.whole_time",
+			":24 route.trips.route_attempts",
+			"anywhere",
 		}},
-		{[]string{"get", "/trips/7/seats", "-H", "X-Lane: find"}, ExitOK, []string{"route trips", "whole time                  2s", ":23 route.trips.whole_time", ":24 route.trips.route_attempts", "anywhere"}},
 		{[]string{"GET", "/other", "-H", "X-Lane: find"}, ExitOK, []string{"no route; its class's values hold", "3s"}},
 		{[]string{"GET", "/closed/", "-H", "X-Lane: find"}, ExitFindings, []string{"served  no: refused with Retry-After 1s", ":31 route.closed.serve"}},
 		{[]string{"GET", "/a/../closed", "-H", "X-Lane: find"}, ExitFindings, []string{"answered 400, and sent nowhere: it has a segment of dots"}},
--- a/internal/tool/store_test.go
+++ b/internal/tool/store_test.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/modules/idempotency"
 )
 
-// A store is verified, dumped, compacted and repaired; what is open is read and not changed, and what is damaged is
-// named, kept aside and never taken for sound.
+// A store is verified, dumped, compacted and repaired. A store that a process has open is read and never changed; a damaged file is named,
+// kept under another name, and never taken for a valid one.
 func TestStoreCommands(t *testing.T) {
 	dir := t.TempDir()
 	s, err := store.Open(store.Dir(dir), store.Options{SegmentBytes: 400})
@@ -21,7 +21,11 @@
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		e := idempotency.Entry{Class: "book-trip", Origin: idempotency.Origin{Zone: "north", Cell: 2, Endpoint: "box-1"}, Retention: time.Hour}
+		e := idempotency.Entry{
+			Class:     "book-trip",
+			Origin:    idempotency.Origin{Zone: "north", Cell: 2, Endpoint: "box-1"},
+			Retention: time.Hour,
+		}
 		id := idempotency.KeyedID("book-trip", fmt.Sprint(i%10))
 		if err := s.Put(append([]byte{'r'}, id[:]...), e.Encode(), time.Hour); err != nil {
 			t.Fatal(err)
@@ -50,29 +54,36 @@
 	expect(ExitOK, []string{"10 live records"}, "store", "compact", dir)
 	expect(ExitOK, []string{"10 live records in 2 files"}, "store", "verify", dir)
 
+	damaged, text := damageLargestSegment(t, dir)
+	expect(ExitFindings, []string{"damaged: " + filepath.Base(damaged), "9 live records"}, "store", "verify", dir)
+	expect(ExitFindings, []string{"1 places are damaged"}, "store", "compact", dir)
+	expect(ExitOK, []string{"damaged: " + filepath.Base(damaged), "9 live records"}, "store", "repair", dir)
+	expect(ExitOK, []string{"0 places damaged", "9 live records"}, "store", "verify", dir)
+	if kept, err := os.ReadFile(damaged + ".damaged"); err != nil || string(kept) != string(text) {
+		t.Errorf("the damaged file was not kept: %v", err)
+	}
+	expect(ExitFindings, []string{"there is no store here"}, "store", "verify", filepath.Join(dir, "nowhere"))
+	expect(ExitFindings, []string{"no such file"}, "store", "compact", filepath.Join(dir, "nowhere"))
+	expect(ExitFindings, []string{"there is no store here"}, "store", "verify", t.TempDir())
+	expect(ExitUsage, nil, "store", "verify")
+}
+
+// damageLargestSegment changes a bit in the middle of a store's largest file. It returns the file's path and its new content.
+func damageLargestSegment(t *testing.T, dir string) (path string, text []byte) {
+	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
-	hit := files[0]
+	path = files[0]
 	for _, f := range files {
 		a, _ := os.Stat(f)
-		b, _ := os.Stat(hit)
+		b, _ := os.Stat(path)
 		if a.Size() > b.Size() {
-			hit = f
+			path = f
 		}
 	}
-	text, _ := os.ReadFile(hit)
+	text, _ = os.ReadFile(path)
 	text[len(text)/2] ^= 4
-	if err := os.WriteFile(hit, text, 0o600); err != nil {
+	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	expect(ExitFindings, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "verify", dir)
-	expect(ExitFindings, []string{"1 places are damaged"}, "store", "compact", dir)
-	expect(ExitOK, []string{"damaged: " + filepath.Base(hit), "9 live records"}, "store", "repair", dir)
-	expect(ExitOK, []string{"0 places damaged", "9 live records"}, "store", "verify", dir)
-	if kept, err := os.ReadFile(hit + ".damaged"); err != nil || string(kept) != string(text) {
-		t.Errorf("the damaged file was not kept: %v", err)
-	}
-	expect(ExitFindings, []string{"there is no store here"}, "store", "verify", filepath.Join(dir, "nowhere"))
-	expect(ExitFindings, []string{"no such file"}, "store", "compact", filepath.Join(dir, "nowhere"))
-	expect(ExitFindings, []string{"there is no store here"}, "store", "verify", t.TempDir())
-	expect(ExitUsage, nil, "store", "verify")
+	return path, text
 }
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -26,14 +26,14 @@
 
 var update = flag.Bool("update", false, "write the wanted findings anew, to be read before they are committed")
 
-// run runs a command line in a folder's terms and gives its exit code and what it printed.
+// run runs a command line and returns its exit code and what it printed.
 func run(args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	code = Run(args, &o, &e)
-	return code, o.String(), e.String()
+	var outBuffer, errBuffer bytes.Buffer
+	code = Run(args, &outBuffer, &errBuffer)
+	return code, outBuffer.String(), errBuffer.String()
 }
 
-// must is run for a command line that is to be fine.
+// must runs a command line that has to succeed, and returns its output.
 func must(t *testing.T, args ...string) string {
 	t.Helper()
 	code, out, errs := run(args...)
@@ -43,13 +43,23 @@
 	return out
 }
 
+// mustFind runs a command line that has to end with findings, and returns its output, which has to contain a text.
+func mustFind(t *testing.T, want string, args ...string) string {
+	t.Helper()
+	code, out, errs := run(args...)
+	if code != ExitFindings || !strings.Contains(out, want) {
+		t.Errorf("%v: exit %d, want %d with %q:\n%s%s", args, code, ExitFindings, want, out, errs)
+	}
+	return out
+}
+
 const (
 	mistakesFolder = "testdata/mistakes"
 	mistakesWanted = "testdata/mistakes.want"
 )
 
-// Every file of the collection is refused, with just the findings that want.txt lists for it. A sidecar's own
-// file is refused by the sidecar too, and a platform's by its loader.
+// Every file of the collection has exactly the findings that mistakes.want lists for it. The file of a single application is also rejected
+// by the sidecar.
 func TestMistakes(t *testing.T) {
 	entries, err := os.ReadDir(mistakesFolder)
 	if err != nil {
@@ -72,7 +82,7 @@
 		}
 		var own finding.List
 		if product.Load(filepath.Join(mistakesFolder, name), false, &own); own.Len() == 0 {
-			t.Errorf("%s: the sidecar would take it", name)
+			t.Errorf("%s: the sidecar would accept it", name)
 		}
 	}
 	if *update {
@@ -80,7 +90,7 @@
 	}
 }
 
-// readWantedFindings reads the findings that each file is to have, by its name.
+// readWantedFindings returns the findings that each file is to have, by the file's name.
 func readWantedFindings(t *testing.T) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(mistakesWanted)
@@ -95,7 +105,7 @@
 	return wanted
 }
 
-// findingsOfMistake are the findings of a file of the collection, with its name alone; there has to be one.
+// findingsOfMistake returns the findings of a file of the collection, without the folder. It fails the test if there are none.
 func findingsOfMistake(t *testing.T, name string) string {
 	t.Helper()
 	var found finding.List
@@ -108,8 +118,8 @@
 	return strings.ReplaceAll(text.String(), mistakesFolder+string(filepath.Separator), "")
 }
 
-// first makes a folder with apps.toml as init writes it, and the files of its applications.
-func first(t *testing.T) (dir, source, front, keeper string) {
+// initFolder returns a folder with the apps.toml that init writes, and the paths of that file and of the two files derived from it.
+func initFolder(t *testing.T) (dir, source, front, keeper string) {
 	t.Helper()
 	dir = t.TempDir()
 	must(t, "init", dir)
@@ -118,19 +128,19 @@
 	return dir, source, filepath.Join(dir, "booking-front.example.org.toml"), filepath.Join(dir, "slot-keeper.example.org.toml")
 }
 
-// replace edits a file by hand.
+// replace edits a file by hand: it replaces the first occurrence of a text, which has to be there.
 func replace(t *testing.T, path, from, to string) {
 	t.Helper()
 	text := content(t, path)
 	if !strings.Contains(text, from) {
-		t.Fatalf("%s does not hold %q", path, from)
+		t.Fatalf("%s does not contain %q", path, from)
 	}
 	if err := os.WriteFile(path, []byte(strings.Replace(text, from, to, 1)), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// check fails a test whose own steps fail.
+// check fails the test if one of its own steps has failed.
 func check(t *testing.T, errs ...error) {
 	t.Helper()
 	if err := errors.Join(errs...); err != nil {
@@ -138,6 +148,7 @@
 	}
 }
 
+// content returns the text of a file.
 func content(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -147,9 +158,9 @@
 	return string(text)
 }
 
-// A newcomer's way: init, check, write, check, break a file by hand, be told the line.
+// The first steps of a new user: init, check, write, check; then a mistake by hand, whose line check names.
 func TestNewcomer(t *testing.T) {
-	_, source, front, keeper := first(t)
+	_, source, front, keeper := initFolder(t)
 	must(t, "check", source)
 	must(t, "check", front, keeper)
 	must(t, "diff", source)
@@ -174,81 +185,83 @@
 }
 
 func TestEditsByHand(t *testing.T) {
-	_, source, front, keeper := first(t)
+	_, source, front, keeper := initFolder(t)
 	replace(t, keeper, "sockets = 1024", "sockets = 512 # at night")
 
-	code, out, _ := run("write", source)
-	if code != ExitFindings || !strings.Contains(out, "limits.sockets = 512 was set by hand (it was 1024)") || !strings.Contains(content(t, keeper), "sockets = 512 # at night") {
-		t.Errorf("write: exit %d: %s", code, out)
-	}
-	code, out, _ = run("diff", source)
-	if code != ExitFindings || !strings.Contains(out, "edited by hand: ") {
-		t.Errorf("diff: exit %d: %s", code, out)
+	mustFind(t, "limits.sockets = 512 was set by hand (it was 1024)", "write", source)
+	if got := content(t, keeper); !strings.Contains(got, "sockets = 512 # at night") {
+		t.Errorf("the edit is gone:\n%s", got)
 	}
+	mustFind(t, "edited by hand: ", "diff", source)
 
-	// apps.toml changes another key: kept edits and the change both stand. No file is written where one is refused.
+	// apps.toml changes another key: the file gets both the edit and the change. No file is written if one is rejected.
 	replace(t, source, "connect_timeout = \"250ms\"", "connect_timeout = \"300ms\"")
-	if code, _, _ = run("write", source); code != ExitFindings || strings.Contains(content(t, front), "300ms") {
-		t.Error("a file was written beside one that was refused")
+	mustFind(t, "", "write", source)
+	if strings.Contains(content(t, front), "300ms") {
+		t.Error("a file was written beside one that was rejected")
 	}
 	must(t, "write", "--keep-edits", source)
-	if got := content(t, keeper); !strings.Contains(got, "sockets = 512 # at night") || !strings.Contains(got, "connect_timeout = \"300ms\"") {
+	got := content(t, keeper)
+	if !strings.Contains(got, "sockets = 512 # at night") || !strings.Contains(got, "connect_timeout = \"300ms\"") {
 		t.Error(got)
 	}
 	// The same key: a conflict, and nothing is written.
 	replace(t, source, "sockets = 1024", "sockets = 2048")
-	code, out, _ = run("write", "--keep-edits", source)
-	if code != ExitFindings || !strings.Contains(out, "limits.sockets = 512 was set by hand, and apps.toml now says 2048") || strings.Contains(content(t, front), "2048") {
-		t.Errorf("exit %d: %s", code, out)
-	}
-	if code, out, _ = run("adopt", source, keeper); code != ExitFindings || !strings.Contains(out, "settle it") {
-		t.Errorf("adopt: exit %d: %s", code, out)
+	mustFind(t, "limits.sockets = 512 was set by hand, and apps.toml now says 2048", "write", "--keep-edits", source)
+	if strings.Contains(content(t, front), "2048") {
+		t.Error("a file was written beside one with a conflict")
 	}
+	mustFind(t, "settle it", "adopt", source, keeper)
 	replace(t, source, "sockets = 2048", "sockets = 1024")
-	if out = must(t, "adopt", source, keeper); !strings.Contains(out, "1 edits are now in") {
+	if out := must(t, "adopt", source, keeper); !strings.Contains(out, "1 edits are now in") {
 		t.Error(out)
 	}
-	if got := content(t, source); !strings.Contains(got, "[apps.\"slot-keeper.example.org\".limits]\nsockets = 512\n") ||
+	got = content(t, source)
+	if !strings.Contains(got, "[apps.\"slot-keeper.example.org\".limits]\nsockets = 512\n") ||
 		!strings.Contains(got, "# slot-keeper keeps the ambulances' slots.") {
 		t.Error(got)
 	}
 	must(t, "check", source, keeper)
-	if out = must(t, "adopt", source, keeper); !strings.Contains(out, "nothing to adopt") {
+	if out := must(t, "adopt", source, keeper); !strings.Contains(out, "nothing to adopt") {
 		t.Error(out)
 	}
-	// Thrown away only when told to, and not in silence.
+	// Edits are discarded only with --discard-edits, and printed.
 	replace(t, keeper, "cores = 1.0", "cores = 2.0")
-	if out = must(t, "write", "--discard-edits", source); !strings.Contains(out, "discarded: ") || !strings.Contains(out, "limits.cores = 2.0") {
+	out := must(t, "write", "--discard-edits", source)
+	if !strings.Contains(out, "discarded: ") || !strings.Contains(out, "limits.cores = 2.0") {
 		t.Error(out)
 	}
-	if got := content(t, keeper); strings.Contains(got, "cores = 2.0") || strings.Contains(got, "at night") {
+	if got = content(t, keeper); strings.Contains(got, "cores = 2.0") || strings.Contains(got, "at night") {
 		t.Error(got)
 	}
 }
 
-// An edit that would make apps.toml unsound is not adopted, and one that would make a merged file so is not kept.
-func TestUnsoundEditsAreNotTakenUp(t *testing.T) {
-	_, source, _, keeper := first(t)
+// An edit that would make apps.toml invalid is not adopted, and one that would make a merged file invalid is not kept.
+func TestInvalidEditsAreRejected(t *testing.T) {
+	_, source, _, keeper := initFolder(t)
 	replace(t, keeper, "deadline = \"5s\"", "deadline = \"5900ms\"")
 	before := content(t, source)
-	code, out, _ := run("adopt", source, keeper)
-	if code != ExitFindings || !strings.Contains(out, "does not cover the deadline") || content(t, source) != before {
-		t.Errorf("exit %d: %s", code, out)
+	mustFind(t, "does not cover the deadline", "adopt", source, keeper)
+	if content(t, source) != before {
+		t.Error("apps.toml has changed")
 	}
 	replace(t, keeper, "deadline = \"5900ms\"", "deadline = \"9s\"")
-	replace(t, source, "deadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"10s\"", "deadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"6s\"")
+	replace(t, source,
+		"deadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"10s\"",
+		"deadline = \"5s\"\neffect = \"keyed\"\nkey_scope = \"cell\"\nkey_window = \"6s\"")
 	before = content(t, keeper)
-	code, out, _ = run("write", "--keep-edits", source)
-	if code != ExitFindings || !strings.Contains(out, "with the edits kept: class.take-slot.key_window") || content(t, keeper) != before {
-		t.Errorf("exit %d: %s", code, out)
+	mustFind(t, "with the edits kept: class.take-slot.key_window", "write", "--keep-edits", source)
+	if content(t, keeper) != before {
+		t.Error("the derived file has changed")
 	}
 }
 
-func TestFilesThatStandInTheWay(t *testing.T) {
-	dir, source, front, keeper := first(t)
-	for name, spoil := range map[string]func(){
+// If something else is in the place of a derived file, no file is written.
+func TestObstructedFiles(t *testing.T) {
+	_, source, front, keeper := initFolder(t)
+	for name, obstruct := range map[string]func(){
 		"not ours":   func() { check(t, os.WriteFile(front, []byte("[sidecar]\n"), 0o644)) },
-		"cut":        func() { check(t, os.Truncate(front, int64(len(content(t, front))/2))) },
+		"truncated":  func() { check(t, os.Truncate(front, int64(len(content(t, front))/2))) },
 		"unreadable": func() { replace(t, front, "cores = 1.0", "cores = 1.0.0") },
 		"a folder":   func() { check(t, os.Remove(front), os.Mkdir(front, 0o755)) },
 		"a link to nothing": func() {
@@ -259,35 +272,40 @@
 		must(t, "write", source)
 		replace(t, source, "cores = 1.0", "cores = 1.00")
 		kept := content(t, keeper)
-		spoil()
+		obstruct()
 		if code, out, errs := run("write", source); code != ExitFindings || content(t, keeper) != kept {
 			t.Errorf("%s: exit %d: %s%s", name, code, out, errs)
 		}
 		replace(t, source, "cores = 1.00", "cores = 1.0")
 	}
-	// What cannot be read is thrown away only when told to, and printed; what is not this application's never.
-	check(t, os.RemoveAll(front))
-	must(t, "write", source)
+}
+
+// A file that can't be read is discarded only with --discard-edits, and printed; one that is not this application's never.
+func TestDiscardOfObstructedFiles(t *testing.T) {
+	_, source, front, keeper := initFolder(t)
 	replace(t, front, "cores = 1.0", "cores = 1.0.0")
-	if out := must(t, "write", "--discard-edits", source); !strings.Contains(out, "discarded: "+front+":") || !strings.Contains(out, "1.0.0") {
-		t.Errorf("discarded without a word: %s", out)
+	out := must(t, "write", "--discard-edits", source)
+	if !strings.Contains(out, "discarded: "+front+":") || !strings.Contains(out, "1.0.0") {
+		t.Errorf("discarded without a message: %s", out)
 	}
-	for name, spoil := range map[string]func(){
+	for name, obstruct := range map[string]func(){
 		"a folder":      func() { check(t, os.Remove(front), os.Mkdir(front, 0o755)) },
 		"another app's": func() { check(t, os.WriteFile(front, []byte(content(t, keeper)), 0o644)) },
 		"not ours":      func() { check(t, os.WriteFile(front, []byte("[sidecar]\n"), 0o644)) },
 	} {
 		check(t, os.RemoveAll(front))
 		must(t, "write", source)
-		spoil()
+		obstruct()
 		if code, out, _ := run("write", "--discard-edits", source); code != ExitFindings || !strings.Contains(out, front) {
 			t.Errorf("%s: exit %d: %s", name, code, out)
 		}
 	}
-	check(t, os.RemoveAll(front))
-	// A symlink to a file that is there stays, and its file is written.
+}
+
+// A symlink to an existing file stays, and its target is written; init replaces no file.
+func TestExistingFilesStay(t *testing.T) {
+	dir, source, front, _ := initFolder(t)
 	target := filepath.Join(dir, "elsewhere.toml")
-	must(t, "write", source)
 	check(t, os.Rename(front, target), os.Symlink("elsewhere.toml", front))
 	replace(t, source, "cores = 1.0", "cores = 2.0")
 	must(t, "write", source)
@@ -299,39 +317,40 @@
 	}
 }
 
-// full is a disk without room.
-type full struct{ atomicfile.Disk }
+// fullDisk is a disk without space.
+type fullDisk struct{ atomicfile.Disk }
 
-func (full) CreateTemp(string, string) (atomicfile.TempFile, error) {
+func (fullDisk) CreateTemp(string, string) (atomicfile.TempFile, error) {
 	return nil, &fs.PathError{Op: "open", Path: "x", Err: syscall.ENOSPC}
 }
 
 func TestFullDisk(t *testing.T) {
-	_, source, front, _ := first(t)
+	_, source, front, _ := initFolder(t)
 	replace(t, source, "cores = 1.0", "cores = 2.0")
 	before := content(t, front)
 	var out, errs bytes.Buffer
-	c := &command{out: printer{&out}, errOut: printer{&errs}, disk: full{}}
-	w := c.writeCommand()
-	w.SetArgs([]string{source})
-	w.SilenceUsage, w.SilenceErrors = true, true
-	if err := w.Execute(); !errors.Is(err, syscall.ENOSPC) || content(t, front) != before {
+	c := &command{out: printer{&out}, errOut: printer{&errs}, disk: fullDisk{}}
+	cmd := c.writeCommand()
+	cmd.SetArgs([]string{source})
+	cmd.SilenceUsage = true
+	cmd.SilenceErrors = true
+	if err := cmd.Execute(); !errors.Is(err, syscall.ENOSPC) || content(t, front) != before {
 		t.Errorf("%v, %s", err, out.String())
 	}
 }
 
-// In a folder where nothing can be made, not even by root, nothing is, and the message names the file.
-func TestFolderThatTakesNoFiles(t *testing.T) {
-	_, source, _, _ := first(t)
+// If no file can be created in a folder, not even by root, the message names the file.
+func TestUnwritableFolder(t *testing.T) {
+	_, source, _, _ := initFolder(t)
 	code, out, errs := run("write", "-o", "/proc/self", source)
 	if code != ExitFindings || !strings.Contains(errs, "/proc/self/booking-front.example.org.toml: cannot be written") {
 		t.Errorf("exit %d: %s%s", code, out, errs)
 	}
 }
 
-// Two writes at once end with files that check, and neither sees the other's half.
-func TestTwoWritesAtOnce(t *testing.T) {
-	dir, source, front, keeper := first(t)
+// Concurrent writes leave valid files, all of them from one write.
+func TestConcurrentWrites(t *testing.T) {
+	dir, source, front, keeper := initFolder(t)
 	other := filepath.Join(dir, "other", "apps.toml")
 	if err := os.Mkdir(filepath.Dir(other), 0o755); err != nil {
 		t.Fatal(err)
@@ -347,7 +366,9 @@
 	}
 	both.Wait()
 	must(t, "check", front, keeper)
-	if a, b := strings.Contains(content(t, front), "cores = 3.0"), strings.Contains(content(t, keeper), "cores = 3.0"); a != b {
+	frontChanged := strings.Contains(content(t, front), "cores = 3.0")
+	keeperChanged := strings.Contains(content(t, keeper), "cores = 3.0")
+	if frontChanged != keeperChanged {
 		t.Error("the files come from two writes")
 	}
 	left, _ := filepath.Glob(filepath.Join(dir, ".*"))
@@ -357,11 +378,11 @@
 }
 
 func TestExitCodesAndOutput(t *testing.T) {
-	dir, source, front, _ := first(t)
+	dir, source, front, _ := initFolder(t)
 	for _, c := range []struct {
 		args []string
 		code int
-		want string // in what is printed
+		want string // part of the output or the messages
 	}{
 		{[]string{"--help"}, ExitOK, "quincegapctl writes a configuration file"},
 		{[]string{"help", "write"}, ExitOK, "--keep-edits"},
@@ -388,7 +409,8 @@
 	replace(t, front, "cores = 1.0", "cores = -1.0")
 	code, out, _ := run("check", "--json", front, source)
 	var got struct{ Findings []finding.Finding }
-	if err := json.Unmarshal([]byte(out), &got); err != nil || code != ExitFindings || len(got.Findings) != 1 || got.Findings[0].Line == 0 || got.Findings[0].File != front {
+	err := json.Unmarshal([]byte(out), &got)
+	if err != nil || code != ExitFindings || len(got.Findings) != 1 || got.Findings[0].Line == 0 || got.Findings[0].File != front {
 		t.Errorf("exit %d, %v: %s", code, err, out)
 	}
 	if code, out, _ = run("check", "--json", source); code != ExitOK || !strings.Contains(out, `"findings": []`) {
@@ -396,9 +418,9 @@
 	}
 }
 
-// Files of single applications are checked against one another, and with a platform's as their own.
+// Files of single applications are checked against one another. With --overlay a file need not name its application.
 func TestFilesTogether(t *testing.T) {
-	_, source, front, keeper := first(t)
+	_, source, front, keeper := initFolder(t)
 	replace(t, keeper, `listen = "127.0.0.1:8081"`, `listen = "127.0.0.1:8080"`)
 	must(t, "check", front)
 	must(t, "check", keeper)
@@ -408,55 +430,57 @@
 	overlay := filepath.Join(filepath.Dir(source), "overlay.toml")
 	check(t, os.WriteFile(overlay, []byte("[callers]\nmax_body = \"32KiB\"\n"), 0o644))
 	if code, _, _ := run("check", overlay); code != ExitFindings {
-		t.Error("a file that says not who it is passes by itself")
+		t.Error("a file that names no application passes by itself")
 	}
 	must(t, "check", "--overlay", overlay)
 }
 
-// spoiling is a file with one line misspelt, doubled or dropped.
-type spoiling struct {
-	lines    []string // of the good file
-	line     int      // index of the line that was spoilt
-	how      string
-	derived  bool // the file is a derived one, whose keys are known by its trailer
+// mutation is a valid file with one line misspelt, doubled or dropped, and the findings in it.
+type mutation struct {
+	lines    []string // of the valid file
+	line     int      // index of the line that is changed
+	how      string   // misspell, double or drop
+	derived  bool     // the file is a derived one, whose trailer lists its keys
 	findings *finding.List
 }
 
-// Spoil any one line of a good file, and check names it: misspelt or doubled, its own line, or the first of
-// the two; taken away, the line of the table it stood in, or what the loss led to below.
-func TestAnySpoiltLineIsNamed(t *testing.T) {
-	dir, source, front, _ := first(t)
-	// Comments cannot be spoilt, and a key with a default may be left out of apps.toml: those of the written
-	// file are known by its trailer.
-	good := map[string][]string{source: strings.Split(content(t, source), "\n"), front: strings.Split(content(t, front), "\n")}
-	spoilt := filepath.Join(dir, "spoilt.toml")
+// If any line of a valid file is changed, check names it: a line that is misspelt or doubled by its own number; a line that is dropped by
+// the number of its table's header, or by a finding that follows from the loss.
+func TestAnyChangedLineIsNamed(t *testing.T) {
+	dir, source, front, _ := initFolder(t)
+	// Comments are left alone. A key with a default may be missing in apps.toml; in the derived file its trailer lists all keys.
+	valid := map[string][]string{
+		source: strings.Split(content(t, source), "\n"),
+		front:  strings.Split(content(t, front), "\n"),
+	}
+	changed := filepath.Join(dir, "changed.toml")
 	rapid.Check(t, func(rt *rapid.T) {
 		path := rapid.SampledFrom([]string{source, front}).Draw(rt, "file")
-		s := spoiling{lines: good[path], derived: path == front, findings: &finding.List{}}
-		text := s.draw(rt)
-		if err := os.WriteFile(spoilt, []byte(text), 0o644); err != nil {
+		m := mutation{lines: valid[path], derived: path == front, findings: &finding.List{}}
+		text := m.draw(rt)
+		if err := os.WriteFile(changed, []byte(text), 0o644); err != nil {
 			rt.Fatal(err)
 		}
-		Check([]string{spoilt}, false, s.findings)
-		s.checkNamed(rt)
+		Check([]string{changed}, false, m.findings)
+		m.checkNamed(rt)
 	})
 }
 
-func (s *spoiling) text() string { return s.lines[s.line] }
+func (m *mutation) text() string { return m.lines[m.line] }
 
-// draw chooses a line and how it is spoilt, and gives the text with it.
-func (s *spoiling) draw(rt *rapid.T) string {
+// draw draws a line and how it is changed, and returns the changed text.
+func (m *mutation) draw(rt *rapid.T) string {
 	var candidates []int
-	for i, l := range s.lines {
+	for i, l := range m.lines {
 		if l != "" && !strings.HasPrefix(l, "#") {
 			candidates = append(candidates, i)
 		}
 	}
-	s.line = rapid.SampledFrom(candidates).Draw(rt, "line")
-	s.how = rapid.SampledFrom([]string{"misspell", "double", "drop"}).Draw(rt, "how")
-	line := s.text()
-	changed := append([]string(nil), s.lines[:s.line]...)
-	switch s.how {
+	m.line = rapid.SampledFrom(candidates).Draw(rt, "line")
+	m.how = rapid.SampledFrom([]string{"misspell", "double", "drop"}).Draw(rt, "how")
+	line := m.text()
+	changed := append([]string(nil), m.lines[:m.line]...)
+	switch m.how {
 	case "misspell":
 		// In the key, or in the last part of a header.
 		end := strings.IndexAny(line, "=]")
@@ -470,75 +494,76 @@
 	case "double":
 		changed = append(changed, line, line)
 	}
-	changed = append(changed, s.lines[s.line+1:]...)
+	changed = append(changed, m.lines[m.line+1:]...)
 	return strings.Join(changed, "\n")
 }
 
 // names reports whether a finding is on a line, counted from 1.
-func (s *spoiling) names(line int) bool {
-	return slices.ContainsFunc(s.findings.All(), func(f finding.Finding) bool { return f.Line == line })
+func (m *mutation) names(line int) bool {
+	return slices.ContainsFunc(m.findings.All(), func(f finding.Finding) bool { return f.Line == line })
 }
 
-// headerLine is the number of the header, from 1, of the table that the line stands in.
-func (s *spoiling) headerLine() int {
-	header := s.line
-	for header > 0 && !strings.HasPrefix(s.lines[header], "[") {
+// headerLine returns the number of the header, from 1, of the table that the line belongs to.
+func (m *mutation) headerLine() int {
+	header := m.line
+	for header > 0 && !strings.HasPrefix(m.lines[header], "[") {
 		header--
 	}
 	return header + 1
 }
 
-func (s *spoiling) checkNamed(rt *rapid.T) {
-	isHeader := strings.HasPrefix(s.text(), "[")
+func (m *mutation) checkNamed(rt *rapid.T) {
+	isHeader := strings.HasPrefix(m.text(), "[")
 	switch {
-	case s.how == "double":
-		if !s.names(s.line + 2) {
-			rt.Fatalf("%q doubled in line %d: %v", s.text(), s.line+2, s.findings.Err())
+	case m.how == "double":
+		if !m.names(m.line + 2) {
+			rt.Fatalf("%q doubled in line %d: %v", m.text(), m.line+2, m.findings.Err())
 		}
-	case s.how == "misspell" && isHeader:
-		s.checkMisspeltHeader(rt)
-	case s.how == "misspell":
-		if !s.names(s.line + 1) {
-			rt.Fatalf("%q misspelt in line %d: %v", s.text(), s.line+1, s.findings.Err())
+	case m.how == "misspell" && isHeader:
+		m.checkMisspeltHeader(rt)
+	case m.how == "misspell":
+		if !m.names(m.line + 1) {
+			rt.Fatalf("%q misspelt in line %d: %v", m.text(), m.line+1, m.findings.Err())
 		}
 	case isHeader:
-		if s.findings.Len() == 0 {
-			rt.Fatalf("header %q dropped: passes", s.text())
+		if m.findings.Len() == 0 {
+			rt.Fatalf("header %q dropped: passes", m.text())
 		}
 	default:
-		s.checkDroppedKey(rt)
+		m.checkDroppedKey(rt)
 	}
 }
 
-// A name that is free to choose, of a class, a call or an application, is not misspelt by itself: where it is used tells. The name of a
-// table is.
-func (s *spoiling) checkMisspeltHeader(rt *rapid.T) {
-	line := s.text()
-	isFree := free(doc.ReadTOML([]byte(line+"\n"), 1<<10, func(finding.Pos, string, ...any) {}))
+// checkMisspeltHeader fails if a misspelt header is not named. The name of a class, a call or an application is free to choose; its use
+// elsewhere then has the finding.
+func (m *mutation) checkMisspeltHeader(rt *rapid.T) {
+	line := m.text()
+	isFree := isFreeName(doc.ReadTOML([]byte(line+"\n"), 1<<10, func(finding.Pos, string, ...any) {}))
 	if isFree && strings.Contains(line, "calls.") {
 		return // the call's own name, which nothing refers to
 	}
-	if s.findings.Len() == 0 && !strings.Contains(line, "find-trip") {
+	if m.findings.Len() == 0 && !strings.Contains(line, "find-trip") {
 		rt.Fatalf("header %q misspelt: passes", line)
 	}
-	if !isFree && !s.names(s.line+1) {
-		rt.Fatalf("header %q misspelt in line %d: %v", line, s.line+1, s.findings.Err())
+	if !isFree && !m.names(m.line+1) {
+		rt.Fatalf("header %q misspelt in line %d: %v", line, m.line+1, m.findings.Err())
 	}
 }
 
-// A key that is dropped is missed in its table of a derived file; in apps.toml only where it is needed, there or in the file as a whole.
-func (s *spoiling) checkDroppedKey(rt *rapid.T) {
-	isNamed := s.names(s.headerLine())
-	if !s.derived {
-		isNamed = isNamed || s.names(1) || !needed(s.text())
+// checkDroppedKey fails if a dropped key is not named: in a derived file by its table, in apps.toml only if the key is required, by its
+// table or by the file as a whole.
+func (m *mutation) checkDroppedKey(rt *rapid.T) {
+	isNamed := m.names(m.headerLine())
+	if !m.derived {
+		isNamed = isNamed || m.names(1) || !needed(m.text())
 	}
 	if !isNamed {
-		rt.Fatalf("%q dropped under line %d: %v", s.text(), s.headerLine(), s.findings.Err())
+		rt.Fatalf("%q dropped under line %d: %v", m.text(), m.headerLine(), m.findings.Err())
 	}
 }
 
-// free reports whether the last part of a header is a name that people choose.
-func free(d *doc.Document) bool {
+// isFreeName reports whether the last part of a header is a name that users choose.
+func isFreeName(d *doc.Document) bool {
 	t, path := d.Root, []string(nil)
 	for len(t.Entries) > 0 {
 		path = append(path, t.Entries[0].Name)
@@ -552,7 +577,7 @@
 	return false
 }
 
-// needed reports whether a line sets a key that has no default.
+// needed reports whether a line sets a required key.
 func needed(line string) bool {
 	name := strings.TrimSpace(strings.SplitN(line, "=", 2)[0])
 	for _, t := range product.Schema.Tables {
@@ -565,7 +590,7 @@
 	return false
 }
 
-// Whatever a file holds, checking it ends, with places inside it.
+// Whatever a file contains, checking it ends, with findings whose lines are in the file.
 func FuzzCheck(f *testing.F) {
 	f.Add(initialApps)
 	f.Add([]byte(product.Sample()))
@@ -591,7 +616,7 @@
 	})
 }
 
-// checkDerivedFiles holds that what is sound is written, and what is written is sound.
+// checkDerivedFiles fails if a file derived from a valid apps.toml has findings.
 func checkDerivedFiles(t *testing.T, m *apps.Model) {
 	t.Helper()
 	for _, a := range m.Apps {
