--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -17,12 +17,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testMembers is a page of one endpoint.
+// testMembers returns a page with one endpoint.
 func testMembers() (Members, bool) {
 	return Members{Name: "front", Source: "consul", Endpoints: []endpointsource.Row{{UID: "a", State: "ready", Weight: 1}}}, true
 }
 
-// freeAddress is one on loopback that nothing listens on.
+// freeAddress returns an address on loopback that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -71,7 +71,7 @@
 	}
 }
 
-// The view cannot be written to, and says when the sidecar does not answer.
+// The pages can't be written to. The answer is 503 if the sidecar does not answer.
 func TestReadOnly(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{Members: func() (Members, bool) { return Members{}, false }})
@@ -95,7 +95,7 @@
 	}
 }
 
-// A socket that a killed process left is replaced; that of one that runs, and a file, are not.
+// A socket that a killed process left is replaced; the socket of a running process and a file are not.
 func TestSocketInTheWay(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -129,8 +129,8 @@
 	}
 }
 
-// Clients that hold connections and send nothing keep others out for a while only.
-func TestMuteClients(t *testing.T) {
+// Clients that keep connections open without a request delay others for a limited time only.
+func TestClientsWithoutRequest(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{Members: testMembers})
 	if err != nil {
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -13,7 +13,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The views' answers as they come over the socket, and as quincegapctl reads them back.
+// The pages as they are sent over the socket, and as quincegapctl decodes them.
 func TestGoldenViews(t *testing.T) {
 	members := Members{Name: "front-0", Source: "both", Endpoints: []endpointsource.Row{
 		{UID: "slot-keeper-1", Address: "10.0.0.1:8080", State: "ready", Weight: 1.5, Platform: "ready", Consul: "draining", Why: "consul: maintenance", AgoMS: 1234},
@@ -29,15 +29,15 @@
 	}
 	other := peers.Report{Name: "front-1", Process: peers.FormatProcess(3), Members: []peers.MemberReport{}}
 	fleet := peers.FleetReport{Own: report, Others: []peers.Report{other}, Unresponsive: []string{"front-2"}}
-	there := true
+	available := true
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{
-		Members: func() (Members, bool) { return members, there },
+		Members: func() (Members, bool) { return members, available },
 		Peers: func(all bool) (peers.FleetReport, bool) {
 			if !all {
-				return peers.FleetReport{Own: report}, there
+				return peers.FleetReport{Own: report}, available
 			}
-			return fleet, there
+			return fleet, available
 		},
 	})
 	if err != nil {
@@ -59,13 +59,13 @@
 	if got, err := AskPeers(t.Context(), address, true); err != nil || !reflect.DeepEqual(got, fleet) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
-	there = false
+	available = false
 	ask("members")
 	ask("peers")
 	golden.Text(t, "views.txt", []byte(all.String()))
 }
 
-// readPage is an answer with its status, its type and its body.
+// readPage returns an answer as text: its status, its type and its body.
 func readPage(t *testing.T, address, page string) string {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://sidecar/"+page, nil)
--- a/internal/network/admin/server.go
+++ b/internal/network/admin/server.go
@@ -76,8 +76,7 @@
 	return listener, nil
 }
 
-// removeStale removes a socket that nobody listens on. Anything else at the path belongs to somebody else, and is left for Listen to
-// report.
+// removeStale removes a socket that no process listens on. Anything else at the path is left for Listen to report.
 func removeStale(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil || info.Mode()&fs.ModeSocket == 0 {
--- a/internal/network/admin/settings.go
+++ b/internal/network/admin/settings.go
@@ -19,7 +19,12 @@
 // Table is the table [admin] of a settings file.
 var Table = schema.NewTable("admin", "A read-only view for people; it is off unless it is set.",
 	schema.String("admin_listen", func(s *Settings) *string { return &s.Listen },
-		schema.StringOptions{Example: "unix:/run/quincegap/front.sock", Type: "address", Bounds: "unix:PATH, or host:port on loopback", Fault: badAddress}, schema.AtStart,
+		schema.StringOptions{
+			Example: "unix:/run/quincegap/front.sock",
+			Type:    "address",
+			Bounds:  "unix:PATH, or host:port on loopback",
+			Fault:   badAddress,
+		}, schema.AtStart,
 		"Where quincegapctl members asks. A Unix socket is open to this user and group only; on loopback everybody on the machine can read it."),
 )
 
--- a/internal/network/consul/answer_test.go
+++ b/internal/network/consul/answer_test.go
@@ -31,7 +31,9 @@
 
 // Whatever an answer contains, the endpoints from it are bounded and valid.
 func FuzzAnswer(f *testing.F) {
-	f.Add([]byte(`[{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},"Service":{"ID":"x","Port":80,"Meta":{"cell":"1"},"Weights":{"Passing":3,"Warning":1},"CreateIndex":7},"Checks":[{"CheckID":"c","Status":"warning"}]}]`))
+	f.Add([]byte(`[{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},` +
+		`"Service":{"ID":"x","Port":80,"Meta":{"cell":"1"},"Weights":{"Passing":3,"Warning":1},"CreateIndex":7},` +
+		`"Checks":[{"CheckID":"c","Status":"warning"}]}]`))
 	f.Add([]byte(`[{"Service":{"ID":"x","Address":"h","Port":65536}},{"Service":null},null]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := Table.Default()
--- a/internal/network/consul/endpoint_test.go
+++ b/internal/network/consul/endpoint_test.go
@@ -50,10 +50,15 @@
 func TestEndpoints(t *testing.T) {
 	s := Table.Default()
 	for _, c := range []struct{ name, instance, want string }{
-		{"node's address", `{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},"Service":{"ID":"x","Port":80}}`, "x@n 10.0.0.1:80 d  0 0 true"},
+		{
+			"node's address",
+			`{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},"Service":{"ID":"x","Port":80}}`,
+			"x@n 10.0.0.1:80 d  0 0 true",
+		},
 		{
 			"service's address and metadata",
-			`{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"x","Address":"::1","Port":80,"Meta":{"zone":"z","model":"m","cell":"7","started_ms":"5"}}}`,
+			`{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"x","Address":"::1","Port":80,` +
+				`"Meta":{"zone":"z","model":"m","cell":"7","started_ms":"5"}}}`,
 			"x@n [::1]:80 z m 7 5 false",
 		},
 		{"negative start", `{"Node":{"Node":"n"},"Service":{"ID":"x","Address":"h","Port":80,"Meta":{"started_ms":"-5"}}}`, "x@n h:80   0 0 true"},
--- a/internal/network/gossip/golden_log_test.go
+++ b/internal/network/gossip/golden_log_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The log lines that people and tools match, and the reasons under which a report counts what was rejected.
+// The log lines that people and tools match on, and the reasons under which a report counts rejections.
 func TestGoldenLogLines(t *testing.T) {
 	var log strings.Builder
 	noTime := func(_ []string, a slog.Attr) slog.Attr {
@@ -30,8 +30,10 @@
 		{At: time.Second, Name: "front-1", Process: 2, From: peers.Serving, To: peers.Gone, Witness: "front-0", Cause: "not reached"},
 	})
 	for _, line := range []string{
-		"[DEBUG] memberlist: nothing\n", "[WARN] memberlist: Got alive message from another\n",
-		"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message\n", "[WARN] memberlist: refuting a suspect message\n",
+		"[DEBUG] memberlist: nothing\n",
+		"[WARN] memberlist: Got alive message from another\n",
+		"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message\n",
+		"[WARN] memberlist: refuting a suspect message\n",
 	} {
 		if n, err := g.libraryLog.Write([]byte(line)); n != len(line) || err != nil {
 			t.Errorf("%q: %d, %v", line, n, err)
--- a/internal/network/gossip/golden_test.go
+++ b/internal/network/gossip/golden_test.go
@@ -8,10 +8,13 @@
 	"quincegap/internal/modules/peers"
 )
 
-// What members send one another. A message asks for a report or answers one, never both.
+// The messages of members. A message asks for a report or answers a query, never both.
 func TestGoldenEnvelopes(t *testing.T) {
 	records := []peers.Record{
-		{Process: 0x0102030405060708, Name: "front-0", BornMillis: 1_800_000_000_123, Zone: "zone-a", Version: "1.4.2", Incarnation: 9, State: peers.Serving},
+		{
+			Process: 0x0102030405060708, Name: "front-0", BornMillis: 1_800_000_000_123,
+			Zone: "zone-a", Version: "1.4.2", Incarnation: 9, State: peers.Serving,
+		},
 		{Process: 2, Name: "front-1", BornMillis: -5, State: peers.Joining},
 		{Process: 3, Name: "front-2", BornMillis: 6, Zone: "zone-b", Version: "1.4.1", Incarnation: 1, State: peers.Suspect},
 		{Process: 4, Name: "front-3", BornMillis: 7, Incarnation: 2, State: peers.Leaving},
@@ -20,7 +23,9 @@
 	for name, want := range map[string]envelope{
 		"envelope-records.hex": {format: format, application: "booking-front.example.org", records: records, witness: "front-0"},
 		"envelope-ask.hex":     {format: format, application: "booking-front.example.org", witness: "front-0", query: 0x1112131415161718},
-		"envelope-answer.hex":  {format: format, application: "booking-front.example.org", answer: 0x1112131415161718, report: []byte(`{"name":"front-0"}`)},
+		"envelope-answer.hex": {
+			format: format, application: "booking-front.example.org", answer: 0x1112131415161718, report: []byte(`{"name":"front-0"}`),
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.Hex(t, name, want.encode())
--- a/internal/network/gossip/group.go
+++ b/internal/network/gossip/group.go
@@ -87,13 +87,20 @@
 		addresses:       map[uint64]string{},
 	}
 	g.announced = peers.Record{
-		Process: g.process, Name: c.Name, BornMillis: time.Now().UnixMilli(), Zone: c.Zone, Version: c.Version, State: peers.Joining,
+		Process:    g.process,
+		Name:       c.Name,
+		BornMillis: time.Now().UnixMilli(),
+		Zone:       c.Zone,
+		Version:    c.Version,
+		State:      peers.Joining,
 	}
 	g.view = peers.New(g.announced, c.options(c.ExpectedMembers), 0)
 	g.view.Resume(0, c.SettledNames)
-	g.joinSchedule = peers.NewJoinSchedule(2*c.ProbeInterval, maxJoinBackoff, maxLearnedAddresses, appfile.SplitList(c.Join), c.KnownAddresses, g.process)
+	g.joinSchedule = peers.NewJoinSchedule(2*c.ProbeInterval, maxJoinBackoff, maxLearnedAddresses,
+		appfile.SplitList(c.Join), c.KnownAddresses, g.process)
 	g.queue = memberlist.TransmitLimitedQueue{
-		RetransmitMult: suspicionMult, NumNodes: func() int { return max(1, int(g.nodes.Load())) },
+		RetransmitMult: suspicionMult,
+		NumNodes:       func() int { return max(1, int(g.nodes.Load())) },
 	}
 	return g
 }
--- a/internal/network/gossip/loop.go
+++ b/internal/network/gossip/loop.go
@@ -132,11 +132,14 @@
 	return names, g.joinSchedule.Learned()
 }
 
+// publishShare logs a share and passes it to OnShare.
 func (g *Group) publishShare(s *peers.Share) {
-	g.config.Log.Info("peers", "confidence", s.Confidence, "instances", s.Instances, "ordinal", s.Ordinal, "sharing", s.MaxInstances, "placed", s.OwnsName)
+	g.config.Log.Info("peers", "confidence", s.Confidence, "instances", s.Instances, "ordinal", s.Ordinal,
+		"sharing", s.MaxInstances, "placed", s.OwnsName)
 	g.config.OnShare(*s)
 }
 
+// logChanges logs the changes of members' states.
 func (g *Group) logChanges(changes []peers.Change) {
 	for _, c := range changes {
 		from := c.From.String()
--- a/internal/network/gossip/model_test.go
+++ b/internal/network/gossip/model_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// After a partition into halves no side is settled, each has a view of itself, and they merge once it heals.
+// After a partition into halves no side is settled, each has a view of its own members, and they merge after the partition heals.
 func TestHalves(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// Members of another application, with another key or another format are rejected and counted, and are in nobody's view.
+// Members of another application, with another key or another format are rejected and counted, and are in no view.
 func TestStrangers(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -68,7 +68,7 @@
 	})
 }
 
-// A key is replaced member by member, with both known meanwhile, and nobody is lost.
+// A key is replaced member by member, with both keys known meanwhile, and no member is lost.
 func TestKeyIsReplaced(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 	})
 }
 
-// Packets that are replayed when all that they say is long forgotten change nothing, and revive nobody.
+// Packets that are replayed after their records have been forgotten change no group, and revive no member.
 func TestReplayOfWhatIsForgotten(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -146,7 +146,7 @@
 	})
 }
 
-// A member that broadcasts again and again that all others are gone changes nobody's group.
+// A member that broadcasts again and again that all others are gone changes no group.
 func TestFalseDeathReports(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -175,8 +175,8 @@
 	})
 }
 
-// Two fleets that were joined by mistake and parted again are partitioned, for none can tell this from a network partition, and go
-// by who is present; those that are restarted settle.
+// Two fleets that were joined by mistake and separated again are partitioned, since this looks like a network partition, and count the
+// present members; members that restart settle.
 func TestJoinedByMistake(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -203,8 +203,7 @@
 	})
 }
 
-// All members restart with other addresses, and have learned only old ones; a file names one that is still right: they are one
-// group again.
+// All members restart with other addresses and know only old ones, but for one valid address in their files: they form one group again.
 func TestAllAddressesChange(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -220,7 +219,7 @@
 		for i := range 6 {
 			fleet.kill(i)
 		}
-		for i := range 6 { // at addresses 6 to 11; two find the old seed's machine anew
+		for i := range 6 { // at addresses 6 to 11; the old seed's address is unused
 			fleet.start(6+i, 6, func(c *Config) {
 				names(i)(c)
 				c.Join = address(6) + "," + address(0)
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -53,7 +53,8 @@
 }
 
 // Table is the table [peers] of a settings file.
-var Table = schema.NewTable("peers", "The view of the other sidecars of this application (docs/operate/peers.md); it is off unless peers_listen is set.",
+var Table = schema.NewTable("peers",
+	"The view of the other sidecars of this application (docs/operate/peers.md); it is off unless peers_listen is set.",
 	schema.String("peers_listen", func(s *Settings) *string { return &s.Listen },
 		schema.StringOptions{Example: "10.0.4.7:7946", Type: "address", Bounds: "IP:port", Fault: badAddress}, schema.AtStart,
 		"Where the others reach this one, over UDP and TCP."),
@@ -61,14 +62,22 @@
 		schema.StringOptions{Example: "192.0.2.7:7946", Type: "address", Bounds: "IP:port", Fault: badAddress}, schema.AtStart,
 		"The address that the others are told, where it is not peers_listen."),
 	schema.String("peers_join", func(s *Settings) *string { return &s.Join },
-		schema.StringOptions{Example: "10.0.4.8:7946, 10.0.4.9:7946", Type: "addresses", Bounds: "host:port, divided by commas, 64 at most", Fault: appfile.AddressListFault(maxJoinAddresses)}, schema.AtStart,
+		schema.StringOptions{
+			Example: "10.0.4.8:7946, 10.0.4.9:7946",
+			Type:    "addresses",
+			Bounds:  "host:port, divided by commas, 64 at most",
+			Fault:   appfile.AddressListFault(maxJoinAddresses),
+		}, schema.AtStart,
 		"Some of the others; the rest is learnt from them. Without it this one waits to be found."),
-	schema.String("peers_service", func(s *Settings) *string { return &s.Service }, schema.StringOptions{Example: "booking-front-peers", Fault: appfile.ServiceNameFault}, schema.AtStart,
+	schema.String("peers_service", func(s *Settings) *string { return &s.Service },
+		schema.StringOptions{Example: "booking-front-peers", Fault: appfile.ServiceNameFault}, schema.AtStart,
 		"A service in Consul (consul.agents) whose instances are the others' peers_listen; asked while somebody is missing."),
-	schema.SecretFile("peers_key_file", func(s *Settings) *string { return &s.KeyFile }, schema.Token, "/etc/quincegap/peers.key", schema.OnReload,
+	schema.SecretFile("peers_key_file", func(s *Settings) *string { return &s.KeyFile },
+		schema.Token, "/etc/quincegap/peers.key", schema.OnReload,
 		"A file with the key that all share: 16, 24 or 32 random bytes in base64, or several divided by commas, of which the first "+
 			"encrypts and all decrypt. It is read again at SIGHUP."),
-	schema.String("peers_zone", func(s *Settings) *string { return &s.Zone }, schema.StringOptions{Example: "provo", Fault: badZone}, schema.AtStart,
+	schema.String("peers_zone", func(s *Settings) *string { return &s.Zone },
+		schema.StringOptions{Example: "provo", Fault: badZone}, schema.AtStart,
 		"The zone that this one tells the others."),
 	schema.Duration("peers_pace", func(s *Settings) *time.Duration { return &s.ProbeInterval },
 		schema.Bounds[time.Duration]{Default: 500 * time.Millisecond, Min: 100 * time.Millisecond, Max: 10 * time.Second}, schema.AtStart,
@@ -93,7 +102,8 @@
 	case s.Advertise == "" && unspecified(s.Listen):
 		report("peers_advertise", "missing: %s is no address that the others could reach", s.Listen)
 	case memory > 0 && float64(need) > maxMemoryShare*float64(memory):
-		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)", s.MaxMembers, need>>10, f.Location("limits", "memory"))
+		report("peers_most", "%d members may take %d KiB, more than a tenth of limits.memory (%s)",
+			s.MaxMembers, need>>10, f.Location("limits", "memory"))
 	case s.ForgetAfter <= minForgetSettles*s.SettleAfter:
 		report("forget_after", "%s is not above ten times settle_after, %s (%s)", schema.FormatDuration(s.ForgetAfter),
 			schema.FormatDuration(s.SettleAfter), f.Location("peers", "settle_after"))
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// However many connections strangers open and keep, few are accepted, and members go on exchanging.
+// Of the connections that strangers open and keep only a few are accepted, and members still exchange their records.
 func TestConnectionsAreBounded(t *testing.T) {
 	open := func(join string) *Group {
 		t.Helper()
@@ -44,7 +44,7 @@
 		}
 		defer closeConn(t, last)
 	}
-	// Those that were rejected are closed: the last one at least, for those before it have taken the room.
+	// Connections beyond the bound are closed: at least the last one, since the earlier ones use the room.
 	if err := last.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// freeAddress is one on loopback that nothing listens on.
+// freeAddress returns an address on loopback that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 	return l.Addr().String()
 }
 
-// closeConn closes a connection, which may be closed already.
+// closeConn closes a connection that may be closed already.
 func closeConn(t *testing.T, c net.Conn) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -83,19 +83,22 @@
 	}
 }
 
-// Of connections that come at once so many are passed on, the others closed; each that ends makes room for another.
+// Of concurrent connections maxInboundStreams are passed on and the others closed; each that ends makes room for another.
 func TestStreamsAreBounded(t *testing.T) {
-	n, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}, Logger: log.New(io.Discard, "", 0)})
+	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{"127.0.0.1"},
+		Logger:    log.New(io.Discard, "", 0),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBoundedTransport(n, net.IPv4(127, 0, 0, 1))
+	b := newBoundedTransport(sockets, net.IPv4(127, 0, 0, 1))
 	defer func() {
 		if err := b.Shutdown(); err != nil {
 			t.Error(err)
 		}
 	}()
-	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(n.GetAutoBindPort()))
+	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(sockets.GetAutoBindPort()))
 	closed := make(chan struct{}, 100)
 	dial := func() {
 		c, err := b.DialTimeout(address, 30*time.Second)
@@ -109,10 +112,10 @@
 			closed <- struct{}{}
 		}()
 	}
-	var taken []net.Conn
+	var accepted []net.Conn
 	for range maxInboundStreams {
 		dial()
-		taken = append(taken, <-b.StreamCh())
+		accepted = append(accepted, <-b.StreamCh())
 	}
 	for range 10 * maxInboundStreams {
 		dial()
@@ -127,8 +130,8 @@
 		t.Error("one within it was closed")
 	default:
 	}
-	closeConn(t, taken[0])
-	closeConn(t, taken[0]) // memberlist may close twice, which makes room for one
+	closeConn(t, accepted[0])
+	closeConn(t, accepted[0]) // memberlist may close twice, which makes room for one connection
 	<-closed
 	dial()
 	<-b.StreamCh()
--- a/internal/network/gossip/wire_test.go
+++ b/internal/network/gossip/wire_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// What is written is read back, whatever it holds within the bounds.
+// An envelope within the bounds is decoded as it was encoded.
 func TestEnvelopeComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 30, maxTextBytes)
@@ -37,7 +37,7 @@
 	})
 }
 
-// What is beyond the bounds, truncated or of another kind is rejected; unknown fields are skipped.
+// A message that is beyond the bounds, truncated or of another kind is rejected; unknown fields are skipped.
 func TestMalformedEnvelopes(t *testing.T) {
 	good := envelope{application: "a", records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
 	for what, b := range map[string][]byte{
@@ -63,7 +63,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	e := envelope{application: "a", witness: "w", query: 3, report: []byte("{}"), records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
+	e := envelope{
+		application: "a", witness: "w", query: 3, report: []byte("{}"),
+		records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}},
+	}
 	f.Add(e.encode())
 	f.Add([]byte{0x08, 0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/network/http1/golden_test.go
+++ b/internal/network/http1/golden_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-// What endpoints read: requests as they are written on a connection, byte by byte.
+// The requests that endpoints read, byte by byte.
 func TestGoldenRequests(t *testing.T) {
 	header := http.Header{
 		"Accept": {"text/html"}, "X-Trip": {"a", "b"}, "Content-Length": {"999"}, "X-Remaining": {"7u"}, "Idempotency-Key": {"k-1"},
@@ -30,7 +30,7 @@
 	golden.Text(t, "requests.txt", []byte(all.String()))
 }
 
-// What callers read that this protocol adds to answers.
+// The headers that HTTP/1.1 adds to answers to callers.
 func TestGoldenAnswerHeaders(t *testing.T) {
 	header := http.Header{}
 	c := &callerConn{listener: &callerListener{altSvc: `h3=":443"; ma=60`}}
--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -53,7 +53,8 @@
 	var all sync.WaitGroup
 	for i := range 1000 {
 		all.Go(func() {
-			if code, text, err := ask(c, "POST", test.address()+fmt.Sprintf("/%d", i), "x"); code != 200 || text != fmt.Sprintf("/%d x", i) || err != nil {
+			target := fmt.Sprintf("/%d", i)
+			if code, text, err := ask(c, "POST", test.address()+target, "x"); code != 200 || text != target+" x" || err != nil {
 				t.Errorf("%d: %d %q %v", i, code, text, err)
 			}
 		})
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -134,7 +134,10 @@
 
 // Whatever an endpoint writes, the attempt ends, and what may have run does not pass for what never ran.
 func FuzzAnswerStream(f *testing.F) {
-	for _, seed := range []string{"", "\x01", "\x01\x03\x00\x00\xd9", "\x01\x03\x00\x00\xd9\x00\x02ok", "\x00\x02ok", "\x01\x03\x00\x00\xd9\x00\x40\x40ok", "\x01\x03\x00\x00\xd8", "\x04\x00"} {
+	for _, seed := range []string{
+		"", "\x01", "\x01\x03\x00\x00\xd9", "\x01\x03\x00\x00\xd9\x00\x02ok", "\x00\x02ok", "\x01\x03\x00\x00\xd9\x00\x40\x40ok",
+		"\x01\x03\x00\x00\xd8", "\x04\x00",
+	} {
 		f.Add([]byte(seed), []byte("\x00\x04\x00"))
 	}
 	ca := newAuthority(f)
--- a/internal/network/http3/security.go
+++ b/internal/network/http3/security.go
@@ -30,7 +30,7 @@
 
 const (
 	day = 24 * time.Hour
-	// ticketKeyInterval is the time after which the keys of session tickets are set anew; they change with the day.
+	// ticketKeyInterval is the time after which the keys of session tickets are set again; they change with the day.
 	ticketKeyInterval = time.Hour
 )
 
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -35,15 +35,20 @@
 
 // FrontTable is the table [http3] of a settings file.
 var FrontTable = schema.NewTable("http3", "HTTP/3 from callers, beside HTTP/1.1. Off unless http3_listen is set.",
-	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen }, schema.StringOptions{Example: "127.0.0.1:8443"}, true, schema.AtStart,
+	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen },
+		schema.StringOptions{Example: "127.0.0.1:8443"}, true, schema.AtStart,
 		"The UDP address. Clients look for it beside a TCP address with the same certificate."),
-	schema.String("http3_cert_file", func(c *FrontSettings) *string { return &c.CertFile }, schema.StringOptions{Example: "/etc/quincegap/front.pem"}, schema.AtStart,
+	schema.String("http3_cert_file", func(c *FrontSettings) *string { return &c.CertFile },
+		schema.StringOptions{Example: "/etc/quincegap/front.pem"}, schema.AtStart,
 		"The certificate and those that signed it, PEM. It may be replaced while running."),
-	schema.SecretFile("http3_key_file", func(c *FrontSettings) *string { return &c.KeyFile }, schema.PrivateKey, "/etc/quincegap/front.key", schema.AtStart,
+	schema.SecretFile("http3_key_file", func(c *FrontSettings) *string { return &c.KeyFile },
+		schema.PrivateKey, "/etc/quincegap/front.key", schema.AtStart,
 		"Its key, likewise."),
-	schema.SecretFile("http3_secret_file", func(c *FrontSettings) *string { return &c.SecretFile }, schema.Token, "/etc/quincegap/http3.secret", schema.AtStart,
+	schema.SecretFile("http3_secret_file", func(c *FrontSettings) *string { return &c.SecretFile },
+		schema.Token, "/etc/quincegap/http3.secret", schema.AtStart,
 		"What stateless resets, Retry tokens and session tickets are made with, 32 characters or more; without it they end with the process."),
-	schema.Choice("early_data", func(c *FrontSettings) *EarlyData { return &c.EarlyData }, []EarlyData{EarlyNever, EarlySafe}, EarlyNever, false, schema.AtStart,
+	schema.Choice("early_data", func(c *FrontSettings) *EarlyData { return &c.EarlyData },
+		[]EarlyData{EarlyNever, EarlySafe}, EarlyNever, false, schema.AtStart,
 		"never: no early data is accepted. safe: requests of safe classes are taken from it at once; all others wait until it cannot be a replay."),
 	schema.Duration("alt_svc", func(c *FrontSettings) *time.Duration { return &c.AltSvcMaxAge },
 		schema.Bounds[time.Duration]{Min: 0, Max: 30 * 24 * time.Hour}, schema.AtStart,
@@ -109,11 +114,14 @@
 
 // TransportTable is the table [http3-endpoints] of a settings file.
 var TransportTable = schema.NewTable("http3-endpoints", "HTTP/3 to endpoints, at the UDP port with their address's number.",
-	schema.Choice("http3_to_endpoints", func(e *TransportSettings) *Use { return &e.Use }, []Use{Never, Prefer}, Never, false, schema.AtStart,
+	schema.Choice("http3_to_endpoints", func(e *TransportSettings) *Use { return &e.Use },
+		[]Use{Never, Prefer}, Never, false, schema.AtStart,
 		"never: HTTP/1.1. prefer: HTTP/3, and HTTP/1.1 where no connection over UDP comes about."),
-	schema.String("http3_ca_file", func(e *TransportSettings) *string { return &e.CAFile }, schema.StringOptions{Example: "/etc/quincegap/endpoints-ca.pem"}, schema.AtStart,
+	schema.String("http3_ca_file", func(e *TransportSettings) *string { return &e.CAFile },
+		schema.StringOptions{Example: "/etc/quincegap/endpoints-ca.pem"}, schema.AtStart,
 		"Certificates that sign the endpoints'; the system's where it is left out."),
-	schema.String("http3_server_name", func(e *TransportSettings) *string { return &e.ServerName }, schema.StringOptions{Example: "slot-keeper.example.org"}, schema.AtStart,
+	schema.String("http3_server_name", func(e *TransportSettings) *string { return &e.ServerName },
+		schema.StringOptions{Example: "slot-keeper.example.org"}, schema.AtStart,
 		"The name in the endpoints' certificates, where it is not their address."),
 	schema.Bool("http3_early_requests", func(e *TransportSettings) *bool { return &e.EarlyRequests }, false, schema.AtStart,
 		"Whether requests of safe classes may go out in early data, where a session is resumed."),
@@ -134,6 +142,7 @@
 		"The longest such pause."),
 ).Check(func(_ *schema.File, _ string, e *TransportSettings, report schema.Reporter) {
 	if e.MaxPause < e.MinPause {
-		report("http3_longest_pause", "%s is shorter than http3_pause, %s", schema.FormatDuration(e.MaxPause), schema.FormatDuration(e.MinPause))
+		report("http3_longest_pause", "%s is shorter than http3_pause, %s",
+			schema.FormatDuration(e.MaxPause), schema.FormatDuration(e.MinPause))
 	}
 })
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -69,7 +69,8 @@
 				return c.playDays(args, options)
 			case len(args) > 0:
 				return fmt.Errorf("--subsets plays no day: %s", strings.Join(args, " "))
-			case options.endpoints < 1 || options.endpoints > maxMeasuredEndpoints || options.instances < 1 || options.instances > maxMeasuredInstances:
+			case options.endpoints < 1 || options.endpoints > maxMeasuredEndpoints ||
+				options.instances < 1 || options.instances > maxMeasuredInstances:
 				return fmt.Errorf("--endpoints are 1 to %d, --instances 1 to %d", maxMeasuredEndpoints, maxMeasuredInstances)
 			}
 			return c.measureSubsets(options)
@@ -252,7 +253,8 @@
 			if err != nil {
 				return runError{err}
 			}
-			w.printf("%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n", f.Change, f.Scheme, f.Moved, f.MinInstances, f.MaxInstances, f.Load, f.LoadP99, f.Spread)
+			w.printf("%s\t%s\t%.1f\t%d to %d\t%.2f\t%.2f\t%.2f\t\n",
+				f.Change, f.Scheme, f.Moved, f.MinInstances, f.MaxInstances, f.Load, f.LoadP99, f.Spread)
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -73,7 +73,8 @@
 	w := newTable(c.out)
 	w.println("NAME\tCONFIDENCE\tINSTANCES\tORDINAL\tSHARING\tREACHED\tDIGEST")
 	for _, r := range append([]peers.Report{f.Own}, f.Others...) {
-		w.printf("%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n", r.Name, r.Confidence, r.Instances, r.Ordinal, r.MaxInstances, r.Reachable, r.GroupSize, r.Digest)
+		w.printf("%s\t%s\t%d\t%d\t%d\t%d of %d\t%s\n",
+			r.Name, r.Confidence, r.Instances, r.Ordinal, r.MaxInstances, r.Reachable, r.GroupSize, r.Digest)
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
--- a/internal/tool/rehearse.go
+++ b/internal/tool/rehearse.go
@@ -225,7 +225,8 @@
 	if !options.quiet {
 		c.errOut.printf("playing %s on %s: %v\n", plan.DisplayName(), program, plan.Length)
 		run.Progress = func(p rehearse.Progress) {
-			c.errOut.printf("\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ", p.At.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.Attempts)
+			c.errOut.printf("\r%4.0f s  asked %d  served %d  refused %d  failed %d  attempts %d ",
+				p.At.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.Attempts)
 		}
 	}
 	result, err := rehearse.Run(ctx, plan, run)
@@ -243,7 +244,8 @@
 // notesOf returns the remarks on a result beside its verdict.
 func notesOf(result *rehearse.Result) (notes []string) {
 	if result.UnansweredFaultyCallers > 0 {
-		notes = append(notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s", result.UnansweredFaultyCallers, strings.Join(result.UnansweredInputs, "; ")))
+		notes = append(notes, fmt.Sprintf("%d rude callers got neither an answer nor a close: %s",
+			result.UnansweredFaultyCallers, strings.Join(result.UnansweredInputs, "; ")))
 	}
 	if result.HTTP3 > 0 {
 		notes = append(notes, fmt.Sprintf("%d attempts came over HTTP/3", result.HTTP3))
