--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -27,7 +27,7 @@
 
 	ServerShare, SidecarShare float64           // shares of the servers and of the sidecars that restart; if both are 0, all restart
 	SecondWaveAfter           time.Duration     // after the first, all servers restart once more; 0 for never
-	AnnouncedCount            int               // how many instances each sidecar is told that there are; 0 for Sidecars
+	AnnouncedCount            int               // the number of instances that each sidecar is given; 0 for Sidecars
 	FirstSidecarShare         float64           // share of the requests that go to the first sidecar
 	NotificationDelay         time.Duration     // by how much later than others a third of the sidecars is notified
 	BootTime                  scenario.BootTime // which start times the list has; empty for BootTimeTrue
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -87,7 +87,7 @@
 	Count          int
 	MemoryMB       int  // limit that each is given
 	Sockets        int  // limit that each is given
-	AnnouncedCount int  // how many each is told that there are; 0 for Count
+	AnnouncedCount int  // the number of sidecars that each is given; 0 for Count
 	Peers          bool // they find one another; on sockets only
 }
 
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -23,12 +23,12 @@
 // ownCallTimeout bounds a call that an endpoint makes itself.
 const ownCallTimeout = 2 * time.Second
 
-// Options are what an endpoint is made of.
+// Options are the options of an endpoint. HeartbeatInterval must be above 0.
 type Options struct {
-	ID, Service, Zone string
+	ID, Service, Zone string        // as its heartbeats have them
 	Address           string        // host:port to listen on
 	Control           []string      // addresses that take heartbeats, in the order in which they are tried: its own sidecar first
-	Outbound          string        // address for its own calls: its sidecar's
+	Outbound          string        // address of its sidecar for its own calls; empty if it makes none
 	Slots             int           // requests that it works on at once; further ones are rejected
 	ServiceTime       time.Duration // of a request
 	HeartbeatInterval time.Duration
@@ -70,6 +70,7 @@
 	return e, nil
 }
 
+// newEndpoint returns an endpoint that neither listens nor sends heartbeats.
 func newEndpoint(ctx context.Context, cancel context.CancelFunc, options Options) *Endpoint {
 	e := &Endpoint{
 		options: options, slots: make(chan struct{}, options.Slots), acknowledged: make(chan struct{}, 1),
@@ -137,7 +138,7 @@
 
 // ownCall makes a call of the endpoint's own, without a tenant's key, amid a request; it reports whether the call was served.
 func (e *Endpoint) ownCall(ctx context.Context, host, path, attempt string) bool {
-	// A call goes on when the request that it belongs to has been given up, as in a server that does not look.
+	// The call goes on if the request that it belongs to is canceled, as in a server that ignores cancellation.
 	ctx = context.WithoutCancel(ctx)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.options.Outbound+path, nil)
 	if err != nil {
@@ -154,7 +155,7 @@
 	return answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
 }
 
-// writePadding makes an answer longer by as many bytes as a request's query asks for.
+// writePadding appends the number of bytes to an answer that a request's query asks for.
 func writePadding(w io.Writer, bytes string) {
 	if n, err := strconv.Atoi(bytes); err == nil && n > 0 {
 		_, _ = w.Write(make([]byte, n)) // the client may be gone
--- a/internal/standin/authority/authority.go
+++ b/internal/standin/authority/authority.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// validity of the authority's own certificate, and of those that Pair makes.
+// validity is how long the authority's own certificate is valid, and those that Pair returns.
 const validity = time.Hour
 
 // Authority is a certificate authority with a key of its own, kept in memory. Its methods may be called by several goroutines.
@@ -42,7 +42,7 @@
 	return a, err
 }
 
-// sign makes a key, and signs a certificate for it; with the key itself as long as the authority has none.
+// sign creates a key, and signs a certificate for it; the first one with the new key itself.
 func (a *Authority) sign(template *x509.Certificate, lifetime time.Duration) (der []byte, key *ecdsa.PrivateKey, err error) {
 	key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return der, key, err
 }
 
-// Issue makes a certificate for a name and 127.0.0.1 that is valid for so long from now, for servers and clients. Both results
-// are PEM.
+// Issue creates a certificate for a name and 127.0.0.1, for servers and clients, that is valid for a lifetime from now. Both results are
+// PEM.
 func (a *Authority) Issue(name string, lifetime time.Duration) (certificate, key []byte, err error) {
 	der, privateKey, err := a.sign(&x509.Certificate{
 		Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
@@ -89,7 +89,7 @@
 	return &pair, err
 }
 
-// Pool returns a pool that trusts the authority alone.
+// Pool returns a pool that has the authority only.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
--- a/internal/standin/booking/discovery.go
+++ b/internal/standin/booking/discovery.go
@@ -25,17 +25,17 @@
 // stateGone is the state of a target that has left the list.
 const stateGone = "Gone"
 
-// list is an answer of discovery: always complete here, never a change alone.
+// list is an answer of discovery: always complete here, never only a change.
 type list struct {
 	Revision uint64   `json:"rev"`
 	Complete bool     `json:"all"`
 	Targets  []Target `json:"targets"`
 }
 
-// watchInterval is how often a watch says that nothing has changed.
+// watchInterval is how often a watch sends an empty line if nothing has changed.
 const watchInterval = 2 * time.Second
 
-// Discovery serves the list of endpoints. Its zero value is not to be used.
+// Discovery serves the list of endpoints. Use StartDiscovery to get one.
 type Discovery struct {
 	// Token is the bearer token that callers must show; none if empty.
 	Token string
@@ -68,7 +68,7 @@
 // Address returns the host:port where it serves.
 func (d *Discovery) Address() string { return d.server.Address() }
 
-// Close ends it and all watches.
+// Close ends the discovery and all watches.
 func (d *Discovery) Close() { d.server.Close() }
 
 // put adds or replaces an entry. The caller holds d.mu, or is alone.
@@ -104,7 +104,7 @@
 	return current, d.changed
 }
 
-// ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch that sends whole lists.
+// ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch that sends complete lists.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if d.Token != "" && r.Header.Get("Authorization") != "Bearer "+d.Token {
 		http.Error(w, "who are you?", http.StatusUnauthorized)
--- a/internal/standin/consul/instance.go
+++ b/internal/standin/consul/instance.go
@@ -15,7 +15,7 @@
 
 // Instance is one instance of a service, on a node.
 type Instance struct {
-	Service       string // of one service alone; of all if empty
+	Service       string // that it is an instance of; of all if empty
 	Node          string
 	ID            string
 	Address       string
@@ -45,23 +45,22 @@
 	return i
 }
 
-// Fault is what the server does wrong. The zero value is a server without fault.
+// Fault is what the server does wrong. The zero value is a server without faults.
 type Fault struct {
-	Hang        bool          // answer nothing, until the fault is gone
-	Refuse      bool          // close the connection at once
-	Status      int           // answer with this status
-	Reset       bool          // reset in the middle of the body
-	Truncate    bool          // end the body in the middle, as if it were whole
-	Empty       bool          // an empty list with 200, from health and, unless CatalogUnaffected, from the catalogue
-	FirstHalf   bool          // the first half of the list, likewise
-	NoLeader    bool          // X-Consul-KnownLeader: false
-	NoIndex     bool          // no X-Consul-Index
-	ContentHash bool          // X-Consul-ContentHash in place of it, to block on
-	LastContact time.Duration // X-Consul-LastContact of stale reads
-	Lag         time.Duration // changes are seen so late
-	IndexBack   uint64        // the index is so much lower than it was
-	Body        string        // this instead of the list
-	// CatalogUnaffected says that the catalogue is right all the same, CatalogHangs that it answers nothing.
-	CatalogUnaffected bool
-	CatalogHangs      bool
+	Hang              bool          // answer nothing, until the fault is gone
+	Refuse            bool          // close the connection at once
+	Status            int           // answer with this status
+	Reset             bool          // reset in the middle of the body
+	Truncate          bool          // end the body in the middle, as if it were complete
+	Empty             bool          // an empty list with 200, from health and, unless CatalogUnaffected, from the catalogue
+	FirstHalf         bool          // the first half of the list, likewise
+	NoLeader          bool          // X-Consul-KnownLeader: false
+	NoIndex           bool          // no X-Consul-Index
+	ContentHash       bool          // X-Consul-ContentHash in place of it, to block on
+	LastContact       time.Duration // X-Consul-LastContact of stale reads
+	Lag               time.Duration // delay until queries see a change
+	IndexBack         uint64        // by how much the index is lower than it was
+	Body              string        // answer with this instead of the list
+	CatalogUnaffected bool          // the catalogue's list is right, in spite of Empty, FirstHalf and Body
+	CatalogHangs      bool          // the catalogue answers nothing
 }
--- a/internal/standin/consul/query.go
+++ b/internal/standin/consul/query.go
@@ -16,7 +16,7 @@
 	resourceCatalog = "catalog"
 )
 
-// How long a query blocks, when it doesn't say and at most. Consul adds up to a sixteenth.
+// How long a query blocks by default, and at most. Consul adds up to a sixteenth.
 const (
 	defaultWait  = 5 * time.Minute
 	maxWait      = 10 * time.Minute
@@ -27,7 +27,7 @@
 type query struct {
 	resource string
 	service  string
-	index    uint64 // block while it is the newest; 0 for not at all
+	index    uint64 // block while it is the newest; 0 to not block
 	hash     string // the same, by content hash
 	wait     time.Duration
 	stale    bool
@@ -57,7 +57,7 @@
 	return q, true
 }
 
-// unchanged reports whether a query has seen what there is.
+// unchanged reports whether the client has the view already, so that the query blocks.
 func (q *query) unchanged(v *view) bool {
 	if q.hash != "" && q.hash == contentHash(v.index) {
 		return true
@@ -65,7 +65,7 @@
 	return q.index > 0 && v.index <= q.index && v.fault.IndexBack == 0
 }
 
-// hangs reports whether a query gets no answer while a fault lasts.
+// hangs reports whether a fault keeps a query from being answered.
 func (q *query) hangs(f *Fault) bool {
 	return f.Hang || f.CatalogHangs && q.resource == resourceCatalog
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// answer writes what a query sees, with its faults.
+// answer writes the answer of a view, with its faults.
 func (s *Server) answer(w http.ResponseWriter, q *query, v *view) {
 	fault := &v.fault
 	if fault.Refuse {
@@ -139,7 +139,7 @@
 	}
 }
 
-// instances returns those of the service, as far as the fault lets a query see them.
+// instances returns the instances of the service that the fault leaves.
 func (q *query) instances(v *view) []Instance {
 	all := slices.DeleteFunc(slices.Clone(v.instances), func(i Instance) bool { return i.Service != "" && i.Service != q.service })
 	if q.resource == resourceCatalog && v.fault.CatalogUnaffected {
--- a/internal/standin/consul/server.go
+++ b/internal/standin/consul/server.go
@@ -18,13 +18,13 @@
 
 	mu           sync.Mutex
 	index        uint64
-	instances    []Instance
+	instances    []Instance // as of the latest change
 	visible      []Instance // what queries see: instances, as of Fault.Lag ago
 	visibleIndex uint64     // and the index then
 	fault        Fault
-	changed      chan struct{}   // closed when queries that block are to look again
-	queries      map[string]int  // how many came, by resource
-	answered     []answeredIndex // answers of health, with ever higher indexes
+	changed      chan struct{}   // closed to wake blocked queries
+	queries      map[string]int  // how many have come, by resource
+	answered     []answeredIndex // first answers of health with an index, which rises
 	closing      chan struct{}   // closed by Close
 	closed       bool
 
@@ -61,7 +61,7 @@
 // Address returns the host:port where it serves.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends it, and all queries that it holds.
+// Close ends the server and all blocked queries.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -73,7 +73,7 @@
 	<-s.served
 }
 
-// wakeWatchers lets all blocked queries look again. The caller holds s.mu.
+// wakeWatchers wakes all blocked queries. The caller holds s.mu.
 func (s *Server) wakeWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -129,7 +129,7 @@
 	})
 }
 
-// SetFault changes what it does wrong; the zero Fault ends all faults.
+// SetFault sets the faults of the server; the zero Fault ends all.
 func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 	s.wakeWatchers()
 }
 
-// SetToken changes the token that queries must carry, and wakes those that are blocked.
+// SetToken changes the token that queries must carry, and wakes blocked queries.
 func (s *Server) SetToken(token string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	s.wakeWatchers()
 }
 
-// Queries returns how many came, for health and for the catalogue.
+// Queries returns how many queries have come, for health and for the catalogue.
 func (s *Server) Queries() (health, catalog int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +164,7 @@
 	at    time.Time
 }
 
-// maxAnswered bounds what is kept of answers.
+// maxAnswered bounds Server.answered.
 const maxAnswered = 100000
 
 // AnsweredAt returns when the first answer with an index, or a later one, went out; false if none has.
@@ -179,7 +179,7 @@
 	return at, false
 }
 
-// recordAnswer notes that an answer of health with an index goes out now.
+// recordAnswer records that an answer of health with an index goes out now.
 func (s *Server) recordAnswer(index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// view is what a query sees at one moment.
+// view is the state of the server for one query, with its lag and index faults applied.
 type view struct {
 	index     uint64
 	instances []Instance
@@ -197,6 +197,7 @@
 	token     string
 }
 
+// view returns the present view.
 func (s *Server) view() view {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// ErrPowerLost is what all calls fail with after the power has gone.
+// ErrPowerLost is the error of all calls after a loss of power.
 var ErrPowerLost = errors.New("the power is gone")
 
-// Disk is a directory. It is safe for concurrent use.
+// Disk is a directory on a disk. Its methods may be called by several goroutines.
 type Disk struct {
 	mu         sync.Mutex        // guards what follows
 	names      map[string]*inode // as a process sees them
@@ -17,18 +17,18 @@
 	changes    []nameChange // since the last sync of the directory
 	locked     bool
 	powerLost  bool
-	operations int // calls that change something
+	operations int // calls that change something, so far
 	history    []historyEntry
-	units      int // bytes written and changes of names
+	units      int // bytes written and changes of names, so far
 	faults     faults
 }
 
-// inode is a file's content, under whatever names.
+// inode is the content of a file, whatever its names are.
 type inode struct {
 	data    []byte // as a process sees it
 	durable []byte
 	pending []write // since the last sync
-	lost    []write // that a sync failed for: never written, though the process goes on seeing them
+	lost    []write // of a sync that failed: never written, though the process still reads them
 }
 
 // write is bytes that were added to a file.
@@ -37,13 +37,13 @@
 	data   []byte
 }
 
-// nameChange is a change of names: from goes away, to names a file.
+// nameChange is a change of names: from is removed, to is added.
 type nameChange struct {
 	from, to string // "" for none
 	file     *inode
 }
 
-// applyTo makes the change in a directory.
+// applyTo applies the change to a directory.
 func (n *nameChange) applyTo(names map[string]*inode) {
 	if n.from != "" {
 		delete(names, n.from)
@@ -65,7 +65,7 @@
 	return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}, faults: faults{capacity: -1}}
 }
 
-// Operations returns how many calls there were that change something.
+// Operations returns how many calls have changed something.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +90,7 @@
 	return sizes
 }
 
-// beginOperation counts a call that changes something. losesPower says that the power goes in the middle of it.
+// beginOperation counts a call that changes something; losesPower reports whether the power is lost in the middle of it. d.mu is held.
 func (d *Disk) beginOperation() (losesPower bool, err error) {
 	if d.powerLost {
 		return false, ErrPowerLost
@@ -106,6 +106,7 @@
 	return false, nil
 }
 
+// applyNameChange makes a change of names, which is pending until the next sync of the directory. d.mu is held.
 func (d *Disk) applyNameChange(c nameChange) {
 	c.applyTo(d.names)
 	d.changes = append(d.changes, c)
@@ -113,7 +114,7 @@
 	d.units++
 }
 
-// putDurable adds a file all of which is durable.
+// putDurable adds a file that is durable with its name.
 func (d *Disk) putDurable(name string, data []byte) {
 	n := &inode{data: data, durable: slices.Clone(data)}
 	d.names[name] = n
--- a/internal/standin/disk/faults.go
+++ b/internal/standin/disk/faults.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// faults are what goes wrong on a disk.
+// faults are the faults of a disk.
 type faults struct {
-	powerLossAt  int    // number of the operation in which the power goes; 0 for never
-	tearSeed     uint64 // decides how much of a write is left that the power is lost in
+	powerLossAt  int    // number of the operation in which the power is lost; 0 for never
+	tearSeed     uint64 // draws how much is left of the write in which the power is lost
 	capacity     int    // bytes that may still be written; negative for any number
 	failingSyncs int    // how many of the next syncs fail
 	err          error  // of all operations; nil for none
@@ -13,7 +13,7 @@
 	blockedSyncs chan struct{} // syncs wait until it is closed; nil for none
 }
 
-// LosePowerAt has the power go in the middle of the nth operation from here on. seed decides how much is left of a write.
+// LosePowerAt makes the disk lose its power in the middle of the nth operation from now on. seed draws how much is left of a write.
 func (d *Disk) LosePowerAt(n int, seed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,21 +28,21 @@
 	d.faults.capacity = bytes
 }
 
-// FailSyncs has the next n syncs of files fail once each, and lose what they were to make durable, as Linux does.
+// FailSyncs makes the next n syncs of files fail, and lose what they should have made durable, as Linux does.
 func (d *Disk) FailSyncs(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.failingSyncs = n
 }
 
-// Fail has all operations fail with an error, until it is called with nil.
+// Fail makes all operations fail with an error, until it is called with nil.
 func (d *Disk) Fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.err = err
 }
 
-// BlockSyncs has syncs of files wait until release is called: the disk is slow, and does nothing wrong.
+// BlockSyncs makes syncs of files wait until release is called, like a disk that is slow.
 func (d *Disk) BlockSyncs() (release func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +58,7 @@
 	})
 }
 
-// SetShortReads has each read return at most half of what it is asked for.
+// SetShortReads makes each read return at most half of what it is asked for.
 func (d *Disk) SetShortReads(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/disk/file.go
+++ b/internal/standin/disk/file.go
@@ -13,6 +13,7 @@
 	inode *inode
 }
 
+// Write implements store.File.
 func (h *handle) Write(b []byte) (int, error) {
 	d := h.disk
 	d.mu.Lock()
@@ -46,6 +47,7 @@
 	h.disk.units += len(data)
 }
 
+// Sync implements store.File.
 func (h *handle) Sync() error {
 	h.waitForSyncs()
 	d := h.disk
@@ -60,7 +62,7 @@
 	}
 	if d.faults.failingSyncs > 0 {
 		d.faults.failingSyncs--
-		// What was to be made durable is taken for clean from now on, and is never written.
+		// The pending writes count as written from now on, and never are.
 		h.inode.lost = append(h.inode.lost, h.inode.pending...)
 		h.inode.pending = nil
 		return syscall.EIO
@@ -83,6 +85,7 @@
 	}
 }
 
+// ReadAt implements store.Reader.
 func (h *handle) ReadAt(b []byte, at int64) (int, error) {
 	d := h.disk
 	d.mu.Lock()
@@ -104,6 +107,7 @@
 	return n, nil
 }
 
+// Size implements store.Reader.
 func (h *handle) Size() (int64, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -113,4 +117,5 @@
 	return int64(len(h.inode.data)), nil
 }
 
+// Close implements io.Closer; there is nothing to release.
 func (h *handle) Close() error { return nil }
--- a/internal/standin/disk/later.go
+++ b/internal/standin/disk/later.go
@@ -6,9 +6,8 @@
 	"slices"
 )
 
-// AfterPowerLoss returns the disk as it is found when the power is back. Of what was not synced it has what the random numbers
-// leave: each write complete, in part or not at all, each change of a name or not. The power of the old disk is lost:
-// whoever has a file of it open can do nothing with it.
+// AfterPowerLoss returns the disk as it is found when the power is back. Of what was not synced it has what is drawn: each write complete,
+// in part or not at all, each change of a name or not. The old disk loses its power: its open files fail with ErrPowerLost.
 func (d *Disk) AfterPowerLoss(rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,7 +25,7 @@
 	return left
 }
 
-// afterPowerLoss returns what is durable with some of what is pending.
+// afterPowerLoss returns the durable content with a random part of the pending writes.
 func (i *inode) afterPowerLoss(rng *rand.Rand) []byte {
 	data := slices.Clone(i.durable)
 	for _, w := range i.pending {
@@ -45,8 +44,8 @@
 	return data
 }
 
-// AfterCrash returns the disk as the next process finds it when only this one has ended: nothing is lost. The process that has
-// the old disk can do nothing with it any more.
+// AfterCrash returns the disk as the next process finds it after a crash of this one: nothing is lost. All calls of the old disk fail with
+// ErrPowerLost from now on.
 func (d *Disk) AfterCrash() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,8 +57,8 @@
 	return left
 }
 
-// CutAt returns the disk as it was after a number of units: every byte and change of a name up to there was made, and none
-// after. The old disk goes on.
+// CutAt returns the disk as it was after a number of units (see Units): with all bytes and changes of names up to there, and none after.
+// The old disk goes on.
 func (d *Disk) CutAt(units int) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/h3/h3.go
+++ b/internal/standin/h3/h3.go
@@ -31,11 +31,11 @@
 // connectionKey is the key of a request's connection in its context.
 type connectionKey struct{}
 
-// Options are what an endpoint may have beside a handler.
+// Options are the options of an endpoint.
 type Options struct {
 	ResetSecret [32]byte     // for stateless resets and session tickets, the same after a restart; zero for none
-	EarlyData   bool         // early data is accepted
-	MaxStreams  int64        // requests at once on one connection; 0 for 100
+	EarlyData   bool         // accept early data (0-RTT)
+	MaxStreams  int64        // concurrent requests on one connection; 0 for 100
 	Muted       *atomic.Bool // while it is true nothing is received and nothing is sent; nil for never
 }
 
@@ -96,7 +96,7 @@
 	return e, nil
 }
 
-// listen sets the transport and the listener up, on the socket.
+// listen sets up the transport and the listener on the socket.
 func (e *Endpoint) listen(certificate *tls.Certificate, options *Options) error {
 	e.transport = &quic.Transport{Conn: e.socket}
 	if options.Muted != nil {
@@ -114,7 +114,7 @@
 	return err
 }
 
-// withConnection counts a connection, and has its requests' contexts carry it.
+// withConnection counts a connection, and adds it to the contexts of its requests.
 func (e *Endpoint) withConnection(ctx context.Context, connection *quic.Conn) context.Context {
 	e.mu.Lock()
 	e.connections++
@@ -125,7 +125,7 @@
 // Address returns the host:port where it serves.
 func (e *Endpoint) Address() string { return e.socket.LocalAddr().String() }
 
-// Connections returns how many have been opened so far.
+// Connections returns how many connections have been opened so far.
 func (e *Endpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,8 +141,8 @@
 
 // Kill ends the endpoint without a packet to anybody, as SIGKILL does.
 func (e *Endpoint) Kill() {
-	_ = e.socket.Close() // what is closed can't be told of its end,
-	_ = e.end()          // and fails at that
+	_ = e.socket.Close() // peers get no packet of a closed socket,
+	_ = e.end()          // and so this fails
 }
 
 // Close ends the endpoint and its connections.
@@ -150,6 +150,7 @@
 	_ = e.end() // nobody is left who could do something about it
 }
 
+// end closes all that is open, and waits for the server. The error is that of the server's close.
 func (e *Endpoint) end() error {
 	err := e.server.Close()
 	// Each of the others is closed already where the one before has closed it.
@@ -186,4 +187,5 @@
 	}
 }
 
+// connectionOf returns the connection of a request.
 func connectionOf(r *http.Request) *quic.Conn { return r.Context().Value(connectionKey{}).(*quic.Conn) }
--- a/internal/standin/relay/forward.go
+++ b/internal/standin/relay/forward.go
@@ -14,7 +14,7 @@
 	dialTimeout = time.Second
 )
 
-// forwardDatagrams passes on what comes to a member's relay, until the network is closed.
+// forwardDatagrams forwards the datagrams that come to a member's relay, until the network is closed.
 func (n *Network) forwardDatagrams(name string, conn *net.UDPConn, member *net.UDPAddr) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -29,7 +29,7 @@
 	}
 }
 
-// forwardDatagram sends one datagram on, with what the fault between its members does to it.
+// forwardDatagram forwards one datagram with the fault between its members.
 func (n *Network) forwardDatagram(datagram []byte, from *net.UDPAddr, name string, conn *net.UDPConn, member *net.UDPAddr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/standin/relay/network.go
+++ b/internal/standin/relay/network.go
@@ -15,7 +15,7 @@
 // maxPortAttempts bounds how many ports are tried for a relay that takes any.
 const maxPortAttempts = 100
 
-// Fault is what happens to what one member sends another.
+// Fault is what happens to datagrams and streams from one member to another.
 type Fault struct {
 	Partitioned    bool          // nothing gets through
 	LossShare      float64       // of datagrams, from 0 to 1
@@ -33,7 +33,7 @@
 	random  *rand.Rand
 	members map[string]string // names by IP address
 	faults  map[direction]Fault
-	common  Fault // between all, beside faults
+	common  Fault // between all members, beside faults
 	closers []io.Closer
 	closed  bool
 	running sync.WaitGroup
@@ -62,7 +62,7 @@
 	n.changed.Broadcast()
 }
 
-// Partition stops what some members send to others, or lets it through again.
+// Partition begins or ends a partition in one direction: nothing gets from some members to others.
 func (n *Network) Partition(from, to []string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// Close ends all relays and their streams, and waits for what forwards them; datagrams that are delayed are lost.
+// Close ends all relays and their streams, and waits for their goroutines; datagrams that are delayed are lost.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -138,13 +138,14 @@
 	n.running.Wait()
 }
 
+// isClosed reports whether Close was called.
 func (n *Network) isClosed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.closed
 }
 
-// faultBetween returns what happens now from one member to another. The caller holds n.mu.
+// faultBetween returns the fault from one member to another. The caller holds n.mu.
 func (n *Network) faultBetween(members direction) Fault {
 	fault := n.common
 	fault.Partitioned = fault.Partitioned || n.faults[members].Partitioned
--- a/internal/standin/udp/udp.go
+++ b/internal/standin/udp/udp.go
@@ -16,18 +16,18 @@
 // maxDatagram is how long a datagram can be, in bytes.
 const maxDatagram = 64 << 10
 
-// Fault is what happens to datagrams, in both directions unless it says otherwise. Shares are from 0 to 1.
+// Fault is what happens to datagrams, in both directions unless a field says otherwise. Shares are from 0 to 1.
 type Fault struct {
 	LossShare      float64
 	DuplicateShare float64
-	ReorderShare   float64       // that comes after Delay more than the others
+	ReorderShare   float64       // share that is delayed by Delay more than the others, and a millisecond
 	Delay          time.Duration // of each
-	MTU            int           // longer ones are lost, in bytes; 0 for no bound
+	MTU            int           // in bytes; longer datagrams are lost; 0 for no bound
 	Blackhole      bool          // all are lost
 	DropReplies    bool          // all from the server are lost
 }
 
-// Relay is between clients and one server. Its methods may be called by several goroutines.
+// Relay relays datagrams between clients and one server. Its methods may be called by several goroutines.
 type Relay struct {
 	server *net.UDPAddr
 	front  *net.UDPConn // clients send here
@@ -119,8 +119,7 @@
 	return nil
 }
 
-// Rebind gives each client another port towards the server, as a NAT does that has forgotten it. What comes to
-// the old one is lost.
+// Rebind gives each client another port towards the server, like a NAT that has lost its table. Datagrams to the old port are lost.
 func (r *Relay) Rebind() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,7 +181,7 @@
 	}
 }
 
-// noteRequest counts a datagram of a client, and records it if that is asked for.
+// noteRequest counts a datagram of a client, and keeps a copy while a recording is on.
 func (r *Relay) noteRequest(datagram []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -258,7 +257,7 @@
 	})
 }
 
-// dropsAll reports whether a datagram like this is lost whatever chance says.
+// dropsAll reports whether a datagram is lost whatever the shares are.
 func (f *Fault) dropsAll(datagram []byte, reply bool) bool {
 	return f.Blackhole || f.DropReplies && reply || f.MTU > 0 && len(datagram) > f.MTU
 }
