--- a/internal/rehearsal/audit/atmostonce.go
+++ b/internal/rehearsal/audit/atmostonce.go
@@ -2,39 +2,39 @@
 
 // judgeAtMostOnce judges the second rule for one request: not too many attempts, none beside another unless hedging is allowed,
 // and none after one that may have run unless the repeat has no second effect.
-func (a *auditor) judgeAtMostOnce(r *request) {
-	if r.sent.Class < 0 || r.sent.Class >= len(a.Classes) {
+func (a *auditor) judgeAtMostOnce(request *request) {
+	if request.sent.Class < 0 || request.sent.Class >= len(a.Classes) {
 		return
 	}
-	class := &a.Classes[r.sent.Class]
+	class := &a.Classes[request.sent.Class]
 	var mayHaveRun []*attempt
-	for i, next := range r.attempts {
+	for i, next := range request.attempts {
 		if a.MaxAttempts > 0 && i == a.MaxAttempts {
-			a.addBreach(breachOf(AtMostOnce, next.received.At, r, next.received.Server, "attempt %d; %d are allowed", i+1, a.MaxAttempts))
+			a.addBreach(breachOf(AtMostOnce, next.received.At, request, next.received.Server, "attempt %d; %d are allowed", i+1, a.MaxAttempts))
 		}
-		a.judgeInFlight(r, next, r.attempts[:i])
-		a.judgeRepeat(class, r, next, mayHaveRun)
+		a.judgeInFlight(request, next, request.attempts[:i])
+		a.judgeRepeat(class, request, next, mayHaveRun)
 		if !next.neverRan() {
 			mayHaveRun = append(mayHaveRun, next)
 		}
 	}
-	if class.Idempotency != idempotencyUnsafe || len(mayHaveRun) == 0 || len(r.answers) == 0 {
+	if class.Idempotency != idempotencyUnsafe || len(mayHaveRun) == 0 || len(request.answers) == 0 {
 		return
 	}
-	if answer := &r.answers[0]; rejected(answer.Status) {
-		a.addBreach(breachOf(AtMostOnce, answer.At, r, mayHaveRun[0].received.Server,
+	if answer := &request.answers[0]; rejected(answer.Status) {
+		a.addBreach(breachOf(AtMostOnce, answer.At, request, mayHaveRun[0].received.Server,
 			"refused, which promises that trying again is harmless, after an attempt that may have run"))
 	}
 }
 
 // judgeInFlight judges whether an attempt was sent while an earlier one was in flight.
-func (a *auditor) judgeInFlight(r *request, next *attempt, before []*attempt) {
+func (a *auditor) judgeInFlight(request *request, next *attempt, before []*attempt) {
 	if a.Hedging {
 		return
 	}
 	for _, earlier := range before {
 		if earlier.ended == nil || earlier.ended.At > next.received.At+a.Slack {
-			a.addBreach(breachOf(AtMostOnce, next.received.At, r, next.received.Server,
+			a.addBreach(breachOf(AtMostOnce, next.received.At, request, next.received.Server,
 				"sent while another attempt was out, at %s", a.serverName(earlier.received.Server)))
 			return
 		}
@@ -42,9 +42,9 @@
 }
 
 // judgeRepeat judges an attempt after others that may have run; one breach is enough.
-func (a *auditor) judgeRepeat(class *Class, r *request, next *attempt, mayHaveRun []*attempt) {
+func (a *auditor) judgeRepeat(class *Class, request *request, next *attempt, mayHaveRun []*attempt) {
 	breach := func(format string, args ...any) {
-		a.addBreach(breachOf(AtMostOnce, next.received.At, r, next.received.Server, format, args...))
+		a.addBreach(breachOf(AtMostOnce, next.received.At, request, next.received.Server, format, args...))
 	}
 	for _, earlier := range mayHaveRun {
 		server := a.serverName(earlier.received.Server)
--- a/internal/rehearsal/audit/audit_test.go
+++ b/internal/rehearsal/audit/audit_test.go
@@ -341,22 +341,22 @@
 		sent(1501, "a2", 0).end(1600, Served).answer(1601, "a2", 200).
 		ask(1000, "b", 1, 6000).sent(1001, "b", 1).end(3900, Served).answer(3901, "b", 200).
 		ask(1000, "c", 2, 3000).answer(1001, "c", 503)
-	v := Judge(testRules(), s.events, 0)
-	if v.Service != 0.5 || v.InTime != 1 || v.Late != 1 || v.Rejected != 1 || v.Failed != 0 ||
-		v.CallerAttempts != 4 || v.ServerAttempts != 3 {
-		t.Errorf("%+v", v)
+	verdict := Judge(testRules(), s.events, 0)
+	if verdict.Service != 0.5 || verdict.InTime != 1 || verdict.Late != 1 || verdict.Rejected != 1 || verdict.Failed != 0 ||
+		verdict.CallerAttempts != 4 || verdict.ServerAttempts != 3 {
+		t.Errorf("%+v", verdict)
 	}
-	if v.P50 != 601*ms || v.P99 != 2901*ms {
-		t.Errorf("P50 %v, P99 %v", v.P50, v.P99)
+	if verdict.P50 != 601*ms || verdict.P99 != 2901*ms {
+		t.Errorf("P50 %v, P99 %v", verdict.P50, verdict.P99)
 	}
-	if want := 1.0 / 3; v.WastedShare < want-1e-9 || v.WastedShare > want+1e-9 {
-		t.Errorf("waste %v", v.WastedShare)
+	if want := 1.0 / 3; verdict.WastedShare < want-1e-9 || verdict.WastedShare > want+1e-9 {
+		t.Errorf("waste %v", verdict.WastedShare)
 	}
-	if v.WorstService != 0.5 || v.WorstFrom != 0 || v.Seconds[1].Offered != 3 || v.Seconds[1].Attempts != 3 {
-		t.Errorf("worst %v from %v, second %+v", v.WorstService, v.WorstFrom, v.Seconds[1])
+	if verdict.WorstService != 0.5 || verdict.WorstFrom != 0 || verdict.Seconds[1].Offered != 3 || verdict.Seconds[1].Attempts != 3 {
+		t.Errorf("worst %v from %v, second %+v", verdict.WorstService, verdict.WorstFrom, verdict.Seconds[1])
 	}
-	if v = Judge(testRules(), nil, 0); v.Service != 0 || v.Failed != 3 {
-		t.Errorf("nobody was answered: %v, %d failed", v.Service, v.Failed)
+	if verdict = Judge(testRules(), nil, 0); verdict.Service != 0 || verdict.Failed != 3 {
+		t.Errorf("nobody was answered: %v, %d failed", verdict.Service, verdict.Failed)
 	}
 }
 
@@ -382,12 +382,12 @@
 	s := begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).
 		askSidecar(1010, "a.1", 0, 0).sent(1011, "a.1", 2).end(1050, Served).answer(1051, "a.1", 200).
 		endOf(1100, 1, Failed).sent(1110, "a", 2).end(1200, Served).answer(1201, "a", 200)
-	v := Judge(testRules(), s.events, 0)
-	if len(v.Traces) != 3 || v.Traces[0].Origin != 0 || !strings.Contains(v.Traces[0].Reason, "outside the group") {
-		t.Fatalf("%+v", v.Traces)
+	verdict := Judge(testRules(), s.events, 0)
+	if len(verdict.Traces) != 3 || verdict.Traces[0].Origin != 0 || !strings.Contains(verdict.Traces[0].Reason, "outside the group") {
+		t.Fatalf("%+v", verdict.Traces)
 	}
 	var got []string
-	for _, l := range v.Traces[0].Lines {
+	for _, l := range verdict.Traces[0].Lines {
 		got = append(got, l.Text)
 	}
 	want := []string{
@@ -398,8 +398,8 @@
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("got\n%s", strings.Join(got, "\n"))
 	}
-	if v.Traces[1].Reason != "no answer" {
-		t.Errorf("%+v", v.Traces[1])
+	if verdict.Traces[1].Reason != "no answer" {
+		t.Errorf("%+v", verdict.Traces[1])
 	}
 }
 
--- a/internal/rehearsal/audit/auditor.go
+++ b/internal/rehearsal/audit/auditor.go
@@ -100,94 +100,94 @@
 }
 
 // record assigns one event to its request, attempt or sidecar.
-func (a *auditor) record(e *Event) {
-	switch e.Kind {
+func (a *auditor) record(event *Event) {
+	switch event.Kind {
 	case RequestSent:
-		a.recordRequest(e)
+		a.recordRequest(event)
 	case AnswerReceived:
-		if r := a.requests[e.Request]; r != nil {
-			r.answers = append(r.answers, *e)
+		if r := a.requests[event.Request]; r != nil {
+			r.answers = append(r.answers, *event)
 		}
 	case ConnectionClosed, CallerTimedOut:
-		if r := a.requests[e.Request]; r != nil {
-			r.ended = e
+		if r := a.requests[event.Request]; r != nil {
+			r.ended = event
 		}
 	case AttemptReceived:
-		a.recordAttempt(e)
+		a.recordAttempt(event)
 	case AttemptEnded:
-		if attempt := a.attempts[e.AttemptID]; attempt != nil && attempt.ended == nil {
-			attempt.ended = e
+		if attempt := a.attempts[event.AttemptID]; attempt != nil && attempt.ended == nil {
+			attempt.ended = event
 		}
 	case SidecarNotified:
-		key := [2]int{e.Sidecar, e.Server}
-		a.notified[key] = append(a.notified[key], StateUpdate{At: e.At, Server: e.Server, State: e.Text})
+		key := [2]int{event.Sidecar, event.Server}
+		a.notified[key] = append(a.notified[key], StateUpdate{At: event.At, Server: event.Server, State: event.Text})
 	case SidecarUp, SidecarStopping, SidecarKilled:
-		a.lifecycle[e.Sidecar] = append(a.lifecycle[e.Sidecar], *e)
+		a.lifecycle[event.Sidecar] = append(a.lifecycle[event.Sidecar], *event)
 	case SidecarDied:
-		a.lifecycle[e.Sidecar] = append(a.lifecycle[e.Sidecar], *e)
-		crash := fmt.Sprintf("%.3f s: %s %s", e.At.Seconds(), a.sidecarName(e.Sidecar), e.Text)
+		a.lifecycle[event.Sidecar] = append(a.lifecycle[event.Sidecar], *event)
+		crash := fmt.Sprintf("%.3f s: %s %s", event.At.Seconds(), a.sidecarName(event.Sidecar), event.Text)
 		a.verdict.Crashes = append(a.verdict.Crashes, crash)
 	case UnsolicitedBytes:
 		a.addBreach(Breach{
-			Rule: FinalAnswer, At: e.At, Request: e.Request, Origin: e.Origin, Server: -1, Sidecar: e.Sidecar,
-			Message: "sent what nobody had asked for: " + e.Text,
+			Rule: FinalAnswer, At: event.At, Request: event.Request, Origin: event.Origin, Server: -1, Sidecar: event.Sidecar,
+			Message: "sent what nobody had asked for: " + event.Text,
 		})
 	case ServerCollapsed:
 		a.addBreach(Breach{
-			Rule: SlowStartRespected, At: e.At, Origin: -1, Server: e.Server, Sidecar: -1,
+			Rule: SlowStartRespected, At: event.At, Origin: -1, Server: event.Server, Sidecar: -1,
 			Message: "was sent more than it could do while it was cold, and fell over",
 		})
 	case EmulatorLate:
-		a.recordLateness(e)
+		a.recordLateness(event)
 	}
 }
 
 // recordRequest records a request. One that was sent before, on a connection that was closed, is a new request: it may go to another
 // sidecar, which has not seen the attempts of the one before.
-func (a *auditor) recordRequest(e *Event) {
-	repeated := a.requests[e.Request] != nil
-	r := &request{name: e.Request, sent: *e}
-	a.requests[e.Request] = r
+func (a *auditor) recordRequest(event *Event) {
+	repeated := a.requests[event.Request] != nil
+	r := &request{name: event.Request, sent: *event}
+	a.requests[event.Request] = r
 	a.order = append(a.order, r)
-	if e.Origin >= 0 && e.Origin < len(a.origins) {
-		a.origins[e.Origin] = append(a.origins[e.Origin], r)
+	if event.Origin >= 0 && event.Origin < len(a.origins) {
+		a.origins[event.Origin] = append(a.origins[event.Origin], r)
 	}
-	if e.CallerAttempt > 0 && !repeated {
+	if event.CallerAttempt > 0 && !repeated {
 		a.verdict.CallerAttempts++
 	}
 }
 
 // recordAttempt records an attempt at a server, and a breach if no caller has sent its request.
-func (a *auditor) recordAttempt(e *Event) {
-	r := a.requests[e.Request]
+func (a *auditor) recordAttempt(event *Event) {
+	r := a.requests[event.Request]
 	if r == nil {
-		r = &request{name: e.Request, unknown: true}
-		r.sent = Event{At: e.FirstByteAt, Sidecar: -1, Origin: -1, Class: -1}
-		a.requests[e.Request] = r
+		r = &request{name: event.Request, unknown: true}
+		r.sent = Event{At: event.FirstByteAt, Sidecar: -1, Origin: -1, Class: -1}
+		a.requests[event.Request] = r
 		a.order = append(a.order, r)
-		a.addBreach(breachOf(AtMostOnce, e.At, r, e.Server, "an attempt of a request that nobody asked for"))
+		a.addBreach(breachOf(AtMostOnce, event.At, r, event.Server, "an attempt of a request that nobody asked for"))
 	}
-	received := &attempt{received: *e}
-	a.attempts[e.AttemptID] = received
+	received := &attempt{received: *event}
+	a.attempts[event.AttemptID] = received
 	r.attempts = append(r.attempts, received)
 	a.verdict.ServerAttempts++
-	second := int(e.At / time.Second)
-	if e.At < 0 || second >= len(a.verdict.Seconds) {
+	second := int(event.At / time.Second)
+	if event.At < 0 || second >= len(a.verdict.Seconds) {
 		return
 	}
 	a.verdict.Seconds[second].Attempts++
-	if e.Server >= 0 && e.Server < len(a.verdict.AttemptsByServer) {
-		a.verdict.AttemptsByServer[e.Server][second]++
+	if event.Server >= 0 && event.Server < len(a.verdict.AttemptsByServer) {
+		a.verdict.AttemptsByServer[event.Server][second]++
 	}
 }
 
 // recordLateness records how late the emulator was. Before callers come that does not matter.
-func (a *auditor) recordLateness(e *Event) {
-	if e.At < 0 {
+func (a *auditor) recordLateness(event *Event) {
+	if event.At < 0 {
 		return
 	}
-	a.verdict.MaxLateness = max(a.verdict.MaxLateness, e.Duration)
-	if second := int(e.At / time.Second); second < len(a.late) && e.Duration >= lateThreshold {
+	a.verdict.MaxLateness = max(a.verdict.MaxLateness, event.Duration)
+	if second := int(event.At / time.Second); second < len(a.late) && event.Duration >= lateThreshold {
 		a.late[second] = true
 	}
 }
--- a/internal/rehearsal/audit/drain.go
+++ b/internal/rehearsal/audit/drain.go
@@ -4,10 +4,10 @@
 
 // judgeDrain judges the third rule for one attempt: its sidecar must not have known for long that the server is going. It knows
 // what discovery has written to it, and what discovery could have written NotifyWithin ago; of the two the later one counts.
-func (a *auditor) judgeDrain(r *request, attempt *attempt) {
+func (a *auditor) judgeDrain(request *request, attempt *attempt) {
 	first, server := attempt.received.FirstByteAt, attempt.received.Server
 	deadline := first - a.Drain - a.Slack
-	notified := a.notified[[2]int{r.sent.Sidecar, server}]
+	notified := a.notified[[2]int{request.sent.Sidecar, server}]
 	known := a.knownUpdates[server]
 	written, isWritten := lastUpdate(notified, deadline)
 	due, isDue := lastUpdate(known, deadline)
@@ -21,12 +21,12 @@
 	switch {
 	case isWritten && written.leaving():
 		since = written
-	case isDue && due.leaving() && (!isWritten || written.At < due.At-a.NotifyWithin) && a.wasServing(r.sent.Sidecar, due.At):
+	case isDue && due.leaving() && (!isWritten || written.At < due.At-a.NotifyWithin) && a.wasServing(request.sent.Sidecar, due.At):
 		since = due
 	default:
 		return
 	}
-	a.addBreach(breachOf(DrainRespected, first, r, server, "sent to it %v after the sidecar was told that it is %s",
+	a.addBreach(breachOf(DrainRespected, first, request, server, "sent to it %v after the sidecar was told that it is %s",
 		(first - since.At).Round(time.Millisecond), since.State))
 }
 
--- a/internal/rehearsal/audit/finalanswer.go
+++ b/internal/rehearsal/audit/finalanswer.go
@@ -5,44 +5,44 @@
 )
 
 // judgeFinalAnswer judges the first rule for one request: one answer, in time, of a server, and no attempts after it.
-func (a *auditor) judgeFinalAnswer(r *request) {
-	due := r.sent.At + r.sent.Duration + a.Slack
-	if len(r.answers) > 1 {
-		a.addBreach(breachOf(FinalAnswer, r.answers[1].At, r, -1, "two answers to one request"))
+func (a *auditor) judgeFinalAnswer(request *request) {
+	due := request.sent.At + request.sent.Duration + a.Slack
+	if len(request.answers) > 1 {
+		a.addBreach(breachOf(FinalAnswer, request.answers[1].At, request, -1, "two answers to one request"))
 	}
-	if len(r.answers) == 0 {
-		a.judgeNoAnswer(r, due)
+	if len(request.answers) == 0 {
+		a.judgeNoAnswer(request, due)
 		return
 	}
-	answer := &r.answers[0]
-	if answer.At > due && !a.interrupted(r.sent.Sidecar, r.sent.At, answer.At) {
-		late := (answer.At - r.sent.At - r.sent.Duration).Round(time.Millisecond)
-		a.addBreach(breachOf(FinalAnswer, answer.At, r, -1, "the answer came %v after the request's time", late))
+	answer := &request.answers[0]
+	if answer.At > due && !a.interrupted(request.sent.Sidecar, request.sent.At, answer.At) {
+		late := (answer.At - request.sent.At - request.sent.Duration).Round(time.Millisecond)
+		a.addBreach(breachOf(FinalAnswer, answer.At, request, -1, "the answer came %v after the request's time", late))
 	}
 	if answer.Status == statusOK && !answer.Authentic {
-		a.addBreach(breachOf(FinalAnswer, answer.At, r, -1, "served with what no box made for this request"))
+		a.addBreach(breachOf(FinalAnswer, answer.At, request, -1, "served with what no box made for this request"))
 	}
-	for _, attempt := range r.attempts {
+	for _, attempt := range request.attempts {
 		if first := attempt.received.FirstByteAt; first > answer.At+a.Slack {
-			a.addBreach(breachOf(FinalAnswer, first, r, attempt.received.Server, "sent again after its final answer"))
+			a.addBreach(breachOf(FinalAnswer, first, request, attempt.received.Server, "sent again after its final answer"))
 		}
 	}
 }
 
 // judgeNoAnswer judges a request that got no answer: it is excused if its sidecar was killed, if the caller went away early by
 // itself, or if the connection was closed before an attempt.
-func (a *auditor) judgeNoAnswer(r *request, due time.Duration) {
+func (a *auditor) judgeNoAnswer(request *request, due time.Duration) {
 	switch {
-	case a.interrupted(r.sent.Sidecar, r.sent.At, due):
-	case r.ended == nil:
-		a.addBreach(breachOf(FinalAnswer, due, r, -1, "no answer in %v", r.sent.Duration))
-	case r.ended.Kind == CallerTimedOut:
-		if r.ended.At >= due {
-			a.addBreach(breachOf(FinalAnswer, r.ended.At, r, -1, "no answer in %v", r.sent.Duration))
+	case a.interrupted(request.sent.Sidecar, request.sent.At, due):
+	case request.ended == nil:
+		a.addBreach(breachOf(FinalAnswer, due, request, -1, "no answer in %v", request.sent.Duration))
+	case request.ended.Kind == CallerTimedOut:
+		if request.ended.At >= due {
+			a.addBreach(breachOf(FinalAnswer, request.ended.At, request, -1, "no answer in %v", request.sent.Duration))
 		}
-	case len(r.attempts) > 0:
-		a.addBreach(breachOf(FinalAnswer, r.ended.At, r, -1,
-			"the connection was closed without an answer, after %d attempts", len(r.attempts)))
+	case len(request.attempts) > 0:
+		a.addBreach(breachOf(FinalAnswer, request.ended.At, request, -1,
+			"the connection was closed without an answer, after %d attempts", len(request.attempts)))
 	}
 }
 
--- a/internal/rehearsal/audit/golden_test.go
+++ b/internal/rehearsal/audit/golden_test.go
@@ -9,7 +9,7 @@
 
 // A run with a breach of each kind keeps its verdict: texts, figures and traces.
 func TestGoldenVerdict(t *testing.T) {
-	s := begin().of(0, SidecarUp).notified(100, "Ready").notified(500, "Terminating").
+	script := begin().of(0, SidecarUp).notified(100, "Ready").notified(500, "Terminating").
 		add(Event{At: 510 * ms, Kind: SidecarNotified, Sidecar: 1, Server: 2, Text: "Gone"}).
 		ask(1000, "a", 0, 3000).sent(1001, "a", 0).end(1100, Failed).sent(1110, "a", 2).end(1200, Served).answer(1201, "a", 200).
 		answer(1300, "a", 200).
@@ -40,10 +40,10 @@
 	rules.Servers[2].WarmUp = 5 * time.Second
 	rules.Servers[2].Work = 50 * ms
 	rules.StateUpdates = []StateUpdate{{At: time.Second, Server: 1, State: "Gone"}}
-	text := golden.Values(Judge(rules, s.events, 0))
-	text = append(text, golden.Values(Judge(rules, s.events, 3).VoidReason)...)
-	text = append(text, golden.Values(Totals(rules, s.events))...)
-	for _, e := range s.events {
+	text := golden.Values(Judge(rules, script.events, 0))
+	text = append(text, golden.Values(Judge(rules, script.events, 3).VoidReason)...)
+	text = append(text, golden.Values(Totals(rules, script.events))...)
+	for _, e := range script.events {
 		text = append(text, e.String()...)
 		text = append(text, '\n')
 	}
--- a/internal/rehearsal/audit/service.go
+++ b/internal/rehearsal/audit/service.go
@@ -13,14 +13,14 @@
 
 // judgeService adds up the value of what callers got, by second and in all.
 func (a *auditor) judgeService() {
-	v := a.verdict
-	wanted, gained := make([]float64, len(v.Seconds)), make([]float64, len(v.Seconds))
+	verdict := a.verdict
+	wanted, gained := make([]float64, len(verdict.Seconds)), make([]float64, len(verdict.Seconds))
 	var latencies []float64 // seconds
 	for origin, arrival := range a.Arrivals {
 		class := a.Classes[arrival.Class]
-		index := min(int(arrival.At/time.Second), len(v.Seconds)-1)
-		second := &v.Seconds[index]
-		v.Requests++
+		index := min(int(arrival.At/time.Second), len(verdict.Seconds)-1)
+		second := &verdict.Seconds[index]
+		verdict.Requests++
 		second.Offered++
 		wanted[index] += class.Value
 		at, status := a.bestAnswer(origin)
@@ -29,26 +29,26 @@
 		}
 		switch {
 		case status == statusOK && at <= arrival.At+class.LatencyTarget:
-			v.InTime++
+			verdict.InTime++
 			second.Served++
 			gained[index] += class.Value
 		case status == statusOK:
-			v.Late++
+			verdict.Late++
 			second.Late++
 		case rejected(status):
-			v.Rejected++
+			verdict.Rejected++
 			second.Rejected++
 		default:
-			v.Failed++
+			verdict.Failed++
 			second.Failed++
 		}
 	}
-	v.Service = serviceShare(wanted, gained)
-	v.WorstService, v.WorstFrom = worstService(wanted, gained)
+	verdict.Service = serviceShare(wanted, gained)
+	verdict.WorstService, verdict.WorstFrom = worstService(wanted, gained)
 	slices.Sort(latencies)
 	if len(latencies) > 0 {
-		v.P50 = quantile(0.5, latencies)
-		v.P99 = quantile(0.99, latencies)
+		verdict.P50 = quantile(0.5, latencies)
+		verdict.P99 = quantile(0.99, latencies)
 	}
 }
 
--- a/internal/rehearsal/audit/totals.go
+++ b/internal/rehearsal/audit/totals.go
@@ -75,41 +75,41 @@
 }
 
 // record takes one event.
-func (t *totaller) record(e *Event) {
-	switch e.Kind {
+func (t *totaller) record(event *Event) {
+	switch event.Kind {
 	case RequestSent:
-		t.sender[e.Request] = e.Sidecar
+		t.sender[event.Request] = event.Sidecar
 	case AnswerReceived:
-		if e.Status == statusOK && e.CallerAttempt > 0 {
-			t.served[int64(e.At/recoveryStep)]++
+		if event.Status == statusOK && event.CallerAttempt > 0 {
+			t.served[int64(event.At/recoveryStep)]++
 		}
 	case ServerStarted:
-		t.started[e.Server] = e.At
-		t.cold[e.Server] = nil
-		t.firstReturn = min(t.firstReturn, e.At)
+		t.started[event.Server] = event.At
+		t.cold[event.Server] = nil
+		t.firstReturn = min(t.firstReturn, event.At)
 	case SidecarKilled:
 		t.killed = true
 	case SidecarUp:
 		if t.killed {
-			t.firstReturn = min(t.firstReturn, e.At)
+			t.firstReturn = min(t.firstReturn, event.At)
 		}
 	case AttemptReceived:
-		t.recordColdAttempt(e)
+		t.recordColdAttempt(event)
 	case AttemptEnded:
-		if e.Result == Rejected {
-			t.rejected.add(&t.totals.MaxRejected, e.Server, e.At)
+		if event.Result == Rejected {
+			t.rejected.add(&t.totals.MaxRejected, event.Server, event.At)
 		}
 	case AttemptUnreachable:
-		t.unreachable.add(&t.totals.MaxUnreachable, e.Server, e.At)
+		t.unreachable.add(&t.totals.MaxUnreachable, event.Server, event.At)
 	case ConnectionOpened:
-		t.opened.add(&t.totals.MaxConnectionsOpened, e.Server, e.At)
+		t.opened.add(&t.totals.MaxConnectionsOpened, event.Server, event.At)
 	case ListRequested:
-		t.listed.add(&t.totals.MaxListRequests, 0, e.At)
+		t.listed.add(&t.totals.MaxListRequests, 0, event.At)
 	case EjectedAttempted:
-		t.ejected.add(&t.totals.MaxEjectedAttempts, e.Server, e.At)
+		t.ejected.add(&t.totals.MaxEjectedAttempts, event.Server, event.At)
 	case ServerCollapsed:
 		t.totals.Collapses++
-		t.totals.LastCollapse = e.At
+		t.totals.LastCollapse = event.At
 	}
 }
 
@@ -120,31 +120,31 @@
 }
 
 // recordColdAttempt takes an attempt into the load of its server, if that is cold.
-func (t *totaller) recordColdAttempt(e *Event) {
-	started, ok := t.started[e.Server]
-	if !ok || e.Server < 0 || e.Server >= len(t.rules.Servers) {
+func (t *totaller) recordColdAttempt(event *Event) {
+	started, ok := t.started[event.Server]
+	if !ok || event.Server < 0 || event.Server >= len(t.rules.Servers) {
 		return
 	}
-	server := &t.rules.Servers[e.Server]
-	if t.rules.OverloadFactor == 0 || server.Capacity == 0 || e.At >= started+server.WarmUp {
-		t.cold[e.Server] = nil
+	server := &t.rules.Servers[event.Server]
+	if t.rules.OverloadFactor == 0 || server.Capacity == 0 || event.At >= started+server.WarmUp {
+		t.cold[event.Server] = nil
 		return
 	}
-	t.cold[e.Server] = append(t.cold[e.Server], coldAttempt{e.At, t.sender[e.Request]})
-	window := t.cold[e.Server]
-	for window[0].at <= e.At-t.rules.OverloadWindow {
+	t.cold[event.Server] = append(t.cold[event.Server], coldAttempt{event.At, t.sender[event.Request]})
+	window := t.cold[event.Server]
+	for window[0].at <= event.At-t.rules.OverloadWindow {
 		window = window[1:]
 	}
-	t.cold[e.Server] = window
-	share := server.ColdShare + (1-server.ColdShare)*float64(e.At-started)/float64(server.WarmUp)
+	t.cold[event.Server] = window
+	share := server.ColdShare + (1-server.ColdShare)*float64(event.At-started)/float64(server.WarmUp)
 	allowed := t.rules.OverloadFactor * server.Capacity * share * t.rules.OverloadWindow.Seconds()
 	load := float64(len(window)) * server.Work.Seconds() / allowed
 	if load <= t.totals.ColdLoad {
 		return
 	}
 	t.totals.ColdLoad = load
-	t.totals.ColdServer = e.Server
-	t.totals.ColdAt = e.At
+	t.totals.ColdServer = event.Server
+	t.totals.ColdAt = event.At
 	t.totals.ColdAttempts = len(window)
 	t.totals.ColdAttemptsOfOne = mostOfOneSidecar(window)
 }
--- a/internal/rehearsal/audit/trace.go
+++ b/internal/rehearsal/audit/trace.go
@@ -77,34 +77,34 @@
 }
 
 // requestLines returns what happened to one request, by attempt.
-func (a *auditor) requestLines(r *request) (lines []TraceLine) {
+func (a *auditor) requestLines(request *request) (lines []TraceLine) {
 	add := func(at time.Duration, format string, args ...any) {
 		lines = append(lines, TraceLine{At: at, Text: fmt.Sprintf(format, args...)})
 	}
-	add(r.sent.At, "%s asked of %s, %.3f s left", r.name, a.sidecarName(r.sent.Sidecar), r.sent.Duration.Seconds())
-	for i, attempt := range r.attempts {
+	add(request.sent.At, "%s asked of %s, %.3f s left", request.name, a.sidecarName(request.sent.Sidecar), request.sent.Duration.Seconds())
+	for i, attempt := range request.attempts {
 		server := a.serverName(attempt.received.Server)
-		add(attempt.received.At, "%s: attempt %d comes to %s", r.name, i+1, server)
+		add(attempt.received.At, "%s: attempt %d comes to %s", request.name, i+1, server)
 		if attempt.ended != nil {
-			add(attempt.ended.At, "%s: attempt %d at %s %s", r.name, i+1, server, attempt.ended.Result)
+			add(attempt.ended.At, "%s: attempt %d at %s %s", request.name, i+1, server, attempt.ended.Result)
 		} else {
-			add(math.MaxInt64, "%s: attempt %d at %s never ended", r.name, i+1, server)
+			add(math.MaxInt64, "%s: attempt %d at %s never ended", request.name, i+1, server)
 		}
 	}
-	for _, answer := range r.answers {
+	for _, answer := range request.answers {
 		retry := ""
 		if answer.Duration > 0 {
 			retry = fmt.Sprintf(", to come back after %.3f s", answer.Duration.Seconds())
 		}
-		add(answer.At, "%s: answered %d%s", r.name, answer.Status, retry)
+		add(answer.At, "%s: answered %d%s", request.name, answer.Status, retry)
 	}
-	if r.ended == nil || len(r.answers) > 0 {
+	if request.ended == nil || len(request.answers) > 0 {
 		return lines
 	}
 	how := "the sidecar closed the connection"
-	if r.ended.Kind == CallerTimedOut {
+	if request.ended.Kind == CallerTimedOut {
 		how = "the caller gave up"
 	}
-	add(r.ended.At, "%s: %s", r.name, how)
+	add(request.ended.At, "%s: %s", request.name, how)
 	return lines
 }
--- a/internal/rehearsal/dryrun/attempt.go
+++ b/internal/rehearsal/dryrun/attempt.go
@@ -173,26 +173,26 @@
 
 // finishAtInstance ends an attempt at its instance, and reports it to the decision module.
 func (a *attempt) finishAtInstance(status balancer.Status) {
-	r := a.request
-	i := r.instance
-	if a.finished || r.pending != a || i.requests[balancer.RequestID(r.request)] != r {
+	request := a.request
+	instance := request.instance
+	if a.finished || request.pending != a || instance.requests[balancer.RequestID(request.request)] != request {
 		return
 	}
 	a.finished = true
 	a.releaseConnection(status == balancer.StatusOK || status == balancer.StatusError || status == balancer.StatusRejected)
-	r.pending = nil
+	request.pending = nil
 	if status == balancer.StatusTimeout || status == balancer.StatusCancelled {
 		a.cancel()
 	}
-	final := r.answered
-	if status == balancer.StatusOK && !r.answered {
+	final := request.answered
+	if status == balancer.StatusOK && !request.answered {
 		final = true
-		r.answer(statusOK, 0, true)
+		request.answer(statusOK, 0, true)
 	}
-	i.sim.decisions++
-	i.balancer.HandleOutcome(i.clock(), balancer.Outcome{
-		ID: balancer.RequestID(r.request), Endpoint: balancer.EndpointID(a.server.index + 1),
-		Attempt: a.number, Final: final, Elapsed: i.sim.now - a.sentAt, Status: status,
+	instance.sim.decisions++
+	instance.balancer.HandleOutcome(instance.clock(), balancer.Outcome{
+		ID: balancer.RequestID(request.request), Endpoint: balancer.EndpointID(a.server.index + 1),
+		Attempt: a.number, Final: final, Elapsed: instance.sim.now - a.sentAt, Status: status,
 	})
-	r.release()
+	request.release()
 }
--- a/internal/rehearsal/dryrun/callers.go
+++ b/internal/rehearsal/dryrun/callers.go
@@ -3,8 +3,8 @@
 import "quincegap/internal/rehearsal/scenario"
 
 // playArrival plays one arrival: the caller's attempts, with backoffs between them.
-func (s *sim) playArrival(n int) {
-	caller, prefersFirst := s.plan.Caller(n, s.now), s.plan.PrefersFirstSidecar(n)
+func (s *sim) playArrival(arrival int) {
+	caller, prefersFirst := s.plan.Caller(arrival, s.now), s.plan.PrefersFirstSidecar(arrival)
 	var attempt func()
 	attempt = func() {
 		number, left, ok := caller.NextAttempt(s.now)
@@ -22,7 +22,8 @@
 			return
 		}
 		sidecar.handle(&call{
-			request: scenario.RequestID(n, number), class: s.plan.Arrivals[n].Class, timeLeft: left, origin: n, callerAttempt: number,
+			request: scenario.RequestID(arrival, number), class: s.plan.Arrivals[arrival].Class,
+			timeLeft: left, origin: arrival, callerAttempt: number,
 		}, retry)
 	}
 	attempt()
--- a/internal/rehearsal/dryrun/host.go
+++ b/internal/rehearsal/dryrun/host.go
@@ -9,20 +9,22 @@
 
 // Send implements balancer.Host: it sends an attempt.
 func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	s, r := i.sim, i.requests[id]
-	s.attempts++
+	sim, request := i.sim, i.requests[id]
+	sim.attempts++
 	if i.balancer.Ejected(to) {
-		s.record(audit.Event{Kind: audit.EjectedAttempted, Request: r.request, Sidecar: i.index, Server: i.serverByID[to], Origin: r.origin})
+		sim.record(audit.Event{
+			Kind: audit.EjectedAttempted, Request: request.request, Sidecar: i.index, Server: i.serverByID[to], Origin: request.origin,
+		})
 	}
-	a := &attempt{id: s.attempts, number: r.attempts, request: r, server: s.servers[i.serverByID[to]], sentAt: s.now}
-	r.attempts++
-	r.pending = a
-	deadline := r.deadline
+	a := &attempt{id: sim.attempts, number: request.attempts, request: request, server: sim.servers[i.serverByID[to]], sentAt: sim.now}
+	request.attempts++
+	request.pending = a
+	deadline := request.deadline
 	if timeout > 0 {
-		deadline = min(deadline, s.now+timeout)
+		deadline = min(deadline, sim.now+timeout)
 	}
-	s.scheduleAfter(toServer, a.arrive)
-	s.schedule(deadline, func() { a.finishAtInstance(balancer.StatusTimeout) })
+	sim.scheduleAfter(toServer, a.arrive)
+	sim.schedule(deadline, func() { a.finishAtInstance(balancer.StatusTimeout) })
 }
 
 // Reject implements balancer.Host: it answers that nothing was done.
--- a/internal/rehearsal/dryrun/request.go
+++ b/internal/rehearsal/dryrun/request.go
@@ -35,28 +35,28 @@
 }
 
 // handle sends a call to the instance; done is called when the call has ended for its caller.
-func (i *instance) handle(c *call, done func(reply)) {
-	s := i.sim
+func (i *instance) handle(call *call, done func(reply)) {
+	sim := i.sim
 	if !i.up {
-		s.scheduleAfter(toSidecar, func() { done(reply{}) })
+		sim.scheduleAfter(toSidecar, func() { done(reply{}) })
 		return
 	}
-	s.record(audit.Event{
-		Kind: audit.RequestSent, Request: c.request, Sidecar: i.index, Server: -1, Origin: c.origin, CallerAttempt: c.callerAttempt,
-		Class: c.class, Duration: c.timeLeft,
+	sim.record(audit.Event{
+		Kind: audit.RequestSent, Request: call.request, Sidecar: i.index, Server: -1, Origin: call.origin, CallerAttempt: call.callerAttempt,
+		Class: call.class, Duration: call.timeLeft,
 	})
 	incarnation := i.incarnation
 	i.busy++
 	i.open = max(i.open, i.busy)
-	r := &request{call: c, instance: i, deadline: s.now + c.timeLeft - time.Millisecond}
+	r := &request{call: call, instance: i, deadline: sim.now + call.timeLeft - time.Millisecond}
 	r.reply = func(answer reply) {
 		if i.incarnation == incarnation {
 			i.busy--
 		}
 		done(answer)
 	}
-	s.scheduleAfter(toSidecar, func() { i.take(r, incarnation) })
-	s.scheduleAfter(c.timeLeft+2*s.plan.Rules.Slack, func() {
+	sim.scheduleAfter(toSidecar, func() { i.take(r, incarnation) })
+	sim.scheduleAfter(call.timeLeft+2*sim.plan.Rules.Slack, func() {
 		if !r.answered && !r.abandoned && i.incarnation == incarnation {
 			r.recordEnd(audit.CallerTimedOut)
 			r.abandon()
@@ -66,21 +66,21 @@
 }
 
 // take passes a request that has arrived to the decision module, unless the instance has ended since it was sent.
-func (i *instance) take(r *request, incarnation int) {
+func (i *instance) take(request *request, incarnation int) {
 	if i.incarnation != incarnation {
-		r.abandoned = true
-		r.recordEnd(audit.ConnectionClosed)
-		r.reply(reply{})
+		request.abandoned = true
+		request.recordEnd(audit.ConnectionClosed)
+		request.reply(reply{})
 		return
 	}
 	if i.endsAt > 0 {
-		r.deadline = min(r.deadline, i.endsAt)
+		request.deadline = min(request.deadline, i.endsAt)
 	}
-	id := balancer.RequestID(r.request)
-	i.requests[id] = r
+	id := balancer.RequestID(request.request)
+	i.requests[id] = request
 	i.sim.decisions++
 	i.balancer.HandleRequest(i.clock(), balancer.Request{
-		ID: id, Class: r.class, TimeLeft: r.deadline - i.sim.now, IdleConnections: i.idleConnections(),
+		ID: id, Class: request.class, TimeLeft: request.deadline - i.sim.now, IdleConnections: i.idleConnections(),
 	})
 }
 
--- a/internal/rehearsal/dryrun/run.go
+++ b/internal/rehearsal/dryrun/run.go
@@ -18,25 +18,25 @@
 
 // Run plays a plan. It returns an error if a sidecar cannot be started, or the run has too many events.
 func Run(plan *scenario.Plan) (*Result, error) {
-	s, err := newSim(plan)
+	sim, err := newSim(plan)
 	if err != nil {
 		return nil, err
 	}
 	for _, step := range plan.Steps {
 		if step.At <= plan.Length {
-			s.schedule(step.At, func() { s.playStep(step) })
+			sim.schedule(step.At, func() { sim.playStep(step) })
 		}
 	}
 	for n, arrival := range plan.Arrivals {
-		s.schedule(arrival.At, func() { s.playArrival(n) })
+		sim.schedule(arrival.At, func() { sim.playArrival(n) })
 	}
-	if err := s.run(); err != nil {
+	if err := sim.run(); err != nil {
 		return nil, err
 	}
-	events, lost := s.log.Events()
+	events, lost := sim.log.Events()
 	rules := plan.AuditRules()
-	for _, i := range s.instances {
+	for _, i := range sim.instances {
 		rules.Sidecars = append(rules.Sidecars, i.Name)
 	}
-	return &Result{Verdict: audit.Judge(rules, events, lost), Events: events, Decisions: s.decisions, plan: plan}, nil
+	return &Result{Verdict: audit.Judge(rules, events, lost), Events: events, Decisions: sim.decisions, plan: plan}, nil
 }
--- a/internal/rehearsal/dryrun/server.go
+++ b/internal/rehearsal/dryrun/server.go
@@ -139,61 +139,61 @@
 
 // complete goes on with attempts whose work has ended: with their calls, or with their answers.
 func (s *server) complete(done []emulator.Completion) {
-	for _, d := range done {
-		a := s.calls[d.ID]
-		if a == nil || !a.inModel {
-			s.complete(s.model.Release(s.sim.now, d.ID))
+	for _, completion := range done {
+		attempt := s.calls[completion.ID]
+		if attempt == nil || !attempt.inModel {
+			s.complete(s.model.Release(s.sim.now, completion.ID))
 			continue
 		}
-		if d.Expired {
-			a.answer(audit.Rejected)
+		if completion.Expired {
+			attempt.answer(audit.Rejected)
 			continue
 		}
-		a.work += s.model.WorkDone(d.ID)
-		if s.sim.plan.Tiers[s.tier()].Calls != "" && !a.afterCalls {
-			s.callNextTier(a, 0)
+		attempt.work += s.model.WorkDone(completion.ID)
+		if s.sim.plan.Tiers[s.tier()].Calls != "" && !attempt.afterCalls {
+			s.callNextTier(attempt, 0)
 			continue
 		}
-		more := s.model.Release(s.sim.now, d.ID)
-		a.answer(audit.Served)
+		more := s.model.Release(s.sim.now, completion.ID)
+		attempt.answer(audit.Served)
 		s.complete(more)
 	}
 }
 
 // callNextTier makes the calls of an attempt to the next tier, from a number on, one after another; then its work is resumed.
-func (s *server) callNextTier(a *attempt, number int) {
+func (s *server) callNextTier(attempt *attempt, number int) {
 	sim, incarnation := s.sim, s.incarnation
-	inFlight := func() bool { return s.incarnation == incarnation && s.model != nil && s.calls[a.id] == a }
-	left := a.request.deadline - sim.now
+	inFlight := func() bool { return s.incarnation == incarnation && s.model != nil && s.calls[attempt.id] == attempt }
+	left := attempt.request.deadline - sim.now
 	if left <= 0 || s.sidecar == nil {
-		s.fail(a)
+		s.fail(attempt)
 		return
 	}
 	next := &call{
-		request: fmt.Sprintf("%s.%d-%d", a.request.request, a.id, number),
-		class:   a.request.class, timeLeft: left, origin: a.request.origin,
+		request: fmt.Sprintf("%s.%d-%d", attempt.request.request, attempt.id, number),
+		class:   attempt.request.class, timeLeft: left, origin: attempt.request.origin,
 	}
 	s.sidecar.handle(next, func(r reply) {
 		switch {
 		case !inFlight():
 		case r.status != statusOK:
 			s.advance()
-			s.fail(a)
+			s.fail(attempt)
 			s.scheduleAdvance()
 		case number+1 < sim.plan.Tiers[s.tier()].CallsPerRequest:
-			s.callNextTier(a, number+1)
+			s.callNextTier(attempt, number+1)
 		default:
 			s.advance()
-			a.afterCalls = true
-			s.model.Resume(sim.now, a.id, a.workAfterCalls)
+			attempt.afterCalls = true
+			s.model.Resume(sim.now, attempt.id, attempt.workAfterCalls)
 			s.scheduleAdvance()
 		}
 	})
 }
 
 // fail ends an attempt with an error.
-func (s *server) fail(a *attempt) {
-	more := s.model.Release(s.sim.now, a.id)
-	a.answer(audit.Failed)
+func (s *server) fail(attempt *attempt) {
+	more := s.model.Release(s.sim.now, attempt.id)
+	attempt.answer(audit.Failed)
 	s.complete(more)
 }
--- a/internal/rehearsal/dryrun/sim.go
+++ b/internal/rehearsal/dryrun/sim.go
@@ -56,22 +56,22 @@
 
 // newSim returns a run with the servers and sidecars of the plan; those that are there from the start are up.
 func newSim(plan *scenario.Plan) (*sim, error) {
-	s := &sim{plan: plan, attemptsSeen: map[string]int{}, callers: rand.New(emulator.RandomSource(plan.Seed, "connections"))}
+	sim := &sim{plan: plan, attemptsSeen: map[string]int{}, callers: rand.New(emulator.RandomSource(plan.Seed, "connections"))}
 	for i := range plan.Servers {
 		server := &server{
-			sim: s, index: i, known: discoveryState{weight: 1}, faults: map[string]float64{},
+			sim: sim, index: i, known: discoveryState{weight: 1}, faults: map[string]float64{},
 			random: rand.New(emulator.RandomSource(plan.Seed, fmt.Sprint("faults ", i))),
 		}
-		s.servers = append(s.servers, server)
+		sim.servers = append(sim.servers, server)
 		if plan.Servers[i].StartsAt == 0 {
 			server.start(false)
 		}
 	}
 	for _, spec := range plan.SidecarSpecs() {
-		i := &instance{sim: s, SidecarSpec: spec, index: len(s.instances)}
-		s.instances = append(s.instances, i)
+		i := &instance{sim: sim, SidecarSpec: spec, index: len(sim.instances)}
+		sim.instances = append(sim.instances, i)
 		if spec.Server >= 0 {
-			s.servers[spec.Server].sidecar = i
+			sim.servers[spec.Server].sidecar = i
 		}
 		if spec.Server < 0 || plan.Servers[spec.Server].StartsAt == 0 {
 			if err := i.start(); err != nil {
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	return s, nil
+	return sim, nil
 }
 
 // run plays events until there are no more.
--- a/internal/rehearsal/emulator/congestion.go
+++ b/internal/rehearsal/emulator/congestion.go
@@ -6,41 +6,41 @@
 
 // updateCongestion updates since when the server is crowded or idle, and begins or ends congestion.
 func (s *Server) updateCongestion() {
-	c := s.spec.Congestion
-	if c == nil {
+	congestion := s.spec.Congestion
+	if congestion == nil {
 		return
 	}
-	if s.Jobs() < c.MinJobs {
+	if s.Jobs() < congestion.MinJobs {
 		s.crowdedSince = -1
 	} else if s.crowdedSince < 0 {
 		s.crowdedSince = s.now
 	}
-	if float64(len(s.running)) >= c.RecoveryUtilization*float64(s.spec.Cores) {
+	if float64(len(s.running)) >= congestion.RecoveryUtilization*float64(s.spec.Cores) {
 		s.idleSince = -1
 	} else if s.idleSince < 0 {
 		s.idleSince = s.now
 	}
 	switch {
-	case s.congestedUntil > 0 && (s.now >= s.congestedUntil || s.idleSince >= 0 && s.now >= s.idleSince+c.RecoveryTime):
+	case s.congestedUntil > 0 && (s.now >= s.congestedUntil || s.idleSince >= 0 && s.now >= s.idleSince+congestion.RecoveryTime):
 		s.congestedUntil, s.crowdedSince = 0, -1
-	case s.congestedUntil == 0 && s.crowdedSince >= 0 && s.now >= s.crowdedSince+c.After:
-		s.congestedUntil = s.now + c.MaxDuration
+	case s.congestedUntil == 0 && s.crowdedSince >= 0 && s.now >= s.crowdedSince+congestion.After:
+		s.congestedUntil = s.now + congestion.MaxDuration
 		s.congestions++
 	}
 }
 
 // nextCongestionChange returns when congestion begins or ends next, if nothing else changes.
 func (s *Server) nextCongestionChange() time.Duration {
-	c := s.spec.Congestion
+	congestion := s.spec.Congestion
 	switch {
-	case c == nil:
+	case congestion == nil:
 		return never
 	case s.congestedUntil > 0 && s.idleSince >= 0:
-		return min(s.congestedUntil, s.idleSince+c.RecoveryTime)
+		return min(s.congestedUntil, s.idleSince+congestion.RecoveryTime)
 	case s.congestedUntil > 0:
 		return s.congestedUntil
 	case s.crowdedSince >= 0:
-		return s.crowdedSince + c.After
+		return s.crowdedSince + congestion.After
 	}
 	return never
 }
--- a/internal/rehearsal/emulator/slots.go
+++ b/internal/rehearsal/emulator/slots.go
@@ -63,12 +63,12 @@
 // Release removes a job whose work has ended, and frees its slot. It returns the jobs that expired in the queue.
 func (s *Server) Release(now time.Duration, id uint64) []Completion {
 	s.advanceReports(now)
-	j := s.jobs[id]
-	if j == nil || j.state != blocked {
+	job := s.jobs[id]
+	if job == nil || job.state != blocked {
 		return nil
 	}
 	var done []Completion
-	s.remove(j, &done)
+	s.remove(job, &done)
 	s.updateCongestion()
 	return done
 }
@@ -76,12 +76,12 @@
 // Resume gives more work to a job whose work has ended, and that has kept its slot.
 func (s *Server) Resume(now time.Duration, id uint64, work time.Duration) {
 	s.advanceReports(now)
-	j := s.jobs[id]
-	if j == nil || j.state != blocked {
+	job := s.jobs[id]
+	if job == nil || job.state != blocked {
 		return
 	}
-	j.work = work.Seconds()
-	s.begin(j)
+	job.work = work.Seconds()
+	s.begin(job)
 	s.updateCongestion()
 }
 
@@ -89,24 +89,24 @@
 // for nobody, and stopped is false. Cancel also returns the jobs that expired in the queue as the slot became free.
 func (s *Server) Cancel(now time.Duration, id uint64) (stopped bool, expired []Completion) {
 	s.advanceReports(now)
-	j := s.jobs[id]
-	if j == nil {
+	job := s.jobs[id]
+	if job == nil {
 		return true, nil
 	}
-	switch j.state {
+	switch job.state {
 	case queued:
 		s.queuedJobs--
 		delete(s.jobs, id)
 		s.compactQueue()
 	case blocked:
-		s.remove(j, &expired)
+		s.remove(job, &expired)
 	case working:
 		if !s.spec.CancelStopsWork {
-			j.state = orphaned
+			job.state = orphaned
 			return false, nil
 		}
-		heap.Remove(&s.running, j.heapIndex)
-		s.remove(j, &expired)
+		heap.Remove(&s.running, job.heapIndex)
+		s.remove(job, &expired)
 	case orphaned:
 		return false, nil
 	}
@@ -118,10 +118,10 @@
 func (s *Server) usedSlots() int { return len(s.jobs) - s.queuedJobs }
 
 // begin puts a job that has a slot on the cores.
-func (s *Server) begin(j *job) {
-	j.state = working
-	j.finish = s.attained + j.work
-	heap.Push(&s.running, j)
+func (s *Server) begin(job *job) {
+	job.state = working
+	job.finish = s.attained + job.work
+	heap.Push(&s.running, job)
 }
 
 // remove removes a job, and gives its slot to the one that has waited longest. Jobs that expired meanwhile are added to done.
@@ -161,14 +161,14 @@
 
 // WorkDone returns how much is done of the work that a job was offered or resumed with last.
 func (s *Server) WorkDone(id uint64) time.Duration {
-	j := s.jobs[id]
+	job := s.jobs[id]
 	switch {
-	case j == nil || j.state == queued:
+	case job == nil || job.state == queued:
 		return 0
-	case j.state == blocked:
-		return time.Duration(j.work * 1e9)
+	case job.state == blocked:
+		return time.Duration(job.work * 1e9)
 	}
-	return time.Duration(max(0, min(j.work, j.work-(j.finish-s.attained))) * 1e9)
+	return time.Duration(max(0, min(job.work, job.work-(job.finish-s.attained))) * 1e9)
 }
 
 // Jobs returns how many jobs the server holds, in slots and in the queue.
--- a/internal/rehearsal/fleet/spread.go
+++ b/internal/rehearsal/fleet/spread.go
@@ -29,27 +29,27 @@
 
 // comparableIntervals returns when each server is comparable, by server.
 func comparableIntervals(plan *scenario.Plan) [][]interval {
-	c := &comparison{
+	comparison := &comparison{
 		plan: plan, intervals: make([][]interval, len(plan.Servers)), since: make([]time.Duration, len(plan.Servers)),
 		listed: make([]bool, len(plan.Servers)),
 	}
 	for i, server := range plan.Servers {
-		c.listed[i] = server.StartsAt == 0
-		if !c.listed[i] {
-			c.since[i] = never
+		comparison.listed[i] = server.StartsAt == 0
+		if !comparison.listed[i] {
+			comparison.since[i] = never
 		}
 	}
 	for i := range plan.Steps {
 		if step := &plan.Steps[i]; step.Kind <= scenario.DiscoveryUpdate || step.Kind == scenario.DiscoveryWeight {
-			c.apply(step)
+			comparison.apply(step)
 		}
 	}
-	for i, from := range c.since {
+	for i, from := range comparison.since {
 		if from < plan.Length {
-			c.intervals[i] = append(c.intervals[i], interval{from, plan.Length})
+			comparison.intervals[i] = append(comparison.intervals[i], interval{from, plan.Length})
 		}
 	}
-	return c.intervals
+	return comparison.intervals
 }
 
 // never is later than any day.
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -46,8 +46,8 @@
 
 // Script returns the script of the wave.
 func (r *RestartWave) Script() string {
-	var s strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
+	var script strings.Builder
+	line := func(format string, args ...any) { fmt.Fprintf(&script, format+"\n", args...) }
 	line("title \"A wave of restarts\"\nlength %v\nseed %d", cmp.Or(r.Length, defaultLength), r.Seed)
 	line("tier slot-keeper boxes 64 cells 4 cores 2 slots 2 queue 4 conns 400 cold 0.35..0.5 warm 5s")
 	line("tier slot-keeper work 60ms shape lognormal cv 0.8")
@@ -68,7 +68,7 @@
 		line("discovery boot %s", r.BootTime)
 	}
 	r.writeEvents(line)
-	return s.String()
+	return script.String()
 }
 
 // writeEvents writes the lines of the events.
@@ -149,34 +149,34 @@
 
 // Summarize sums up the results of one or more plays.
 func Summarize(results []*WaveResult) WaveSummary {
-	s := WaveSummary{MinService: math.Inf(1)}
+	summary := WaveSummary{MinService: math.Inf(1)}
 	count := float64(len(results))
 	recovered := true
 	for _, r := range results {
 		totals := r.Totals
-		s.Collapses += float64(totals.Collapses) / count
-		s.MaxCollapses = max(s.MaxCollapses, totals.Collapses)
-		s.Service += r.Verdict.Service / count
-		s.MinService = min(s.MinService, r.Verdict.Service)
-		s.ColdLoad = max(s.ColdLoad, totals.ColdLoad)
-		s.MaxRejected = max(s.MaxRejected, totals.MaxRejected)
-		s.MaxUnreachable = max(s.MaxUnreachable, totals.MaxUnreachable)
-		s.MaxConnectionsOpened = max(s.MaxConnectionsOpened, totals.MaxConnectionsOpened)
-		s.MaxListRequests = max(s.MaxListRequests, totals.MaxListRequests)
-		s.MaxEjectedAttempts = max(s.MaxEjectedAttempts, totals.MaxEjectedAttempts)
-		s.RecoveryTime += totals.RecoveryTime / time.Duration(len(results))
+		summary.Collapses += float64(totals.Collapses) / count
+		summary.MaxCollapses = max(summary.MaxCollapses, totals.Collapses)
+		summary.Service += r.Verdict.Service / count
+		summary.MinService = min(summary.MinService, r.Verdict.Service)
+		summary.ColdLoad = max(summary.ColdLoad, totals.ColdLoad)
+		summary.MaxRejected = max(summary.MaxRejected, totals.MaxRejected)
+		summary.MaxUnreachable = max(summary.MaxUnreachable, totals.MaxUnreachable)
+		summary.MaxConnectionsOpened = max(summary.MaxConnectionsOpened, totals.MaxConnectionsOpened)
+		summary.MaxListRequests = max(summary.MaxListRequests, totals.MaxListRequests)
+		summary.MaxEjectedAttempts = max(summary.MaxEjectedAttempts, totals.MaxEjectedAttempts)
+		summary.RecoveryTime += totals.RecoveryTime / time.Duration(len(results))
 		recovered = recovered && totals.RecoveryTime > 0
 	}
 	if !recovered {
-		s.RecoveryTime = 0
+		summary.RecoveryTime = 0
 	}
-	return s
+	return summary
 }
 
 // RandomWave draws a wave with any of the options that make one hard.
 func RandomWave(random *rand.Rand) *RestartWave {
 	pick := func(of ...float64) float64 { return of[random.IntN(len(of))] }
-	w := &RestartWave{
+	wave := &RestartWave{
 		Sidecars: []int{2, 4, 12, 24, 40, 80, 120, 200}[random.IntN(8)],
 		Rate:     650 + 950*random.Float64(),
 		Seed:     1 + random.Uint64N(1<<40),
@@ -185,28 +185,28 @@
 	}
 	switch random.IntN(4) {
 	case 0:
-		w.ServerShare = pick(0.5, 1)
+		wave.ServerShare = pick(0.5, 1)
 	case 1:
-		w.SidecarShare = pick(0.5, 1)
+		wave.SidecarShare = pick(0.5, 1)
 	case 2:
-		w.ServerShare, w.SidecarShare = 0.5, 0.5
+		wave.ServerShare, wave.SidecarShare = 0.5, 0.5
 	}
 	switch random.IntN(7) {
 	case 0:
-		w.AnnouncedCount = max(1, w.Sidecars/2)
+		wave.AnnouncedCount = max(1, wave.Sidecars/2)
 	case 1:
-		w.AnnouncedCount = 2 * w.Sidecars
+		wave.AnnouncedCount = 2 * wave.Sidecars
 	case 2:
-		w.FirstSidecarShare = 0.8
+		wave.FirstSidecarShare = 0.8
 	case 3:
-		w.NotificationDelay = 2 * time.Second
+		wave.NotificationDelay = 2 * time.Second
 	case 4:
-		w.Cells, w.SidecarShare = 1+random.IntN(8), pick(0, 0.5)
+		wave.Cells, wave.SidecarShare = 1+random.IntN(8), pick(0, 0.5)
 	case 5:
-		w.BootTime = []scenario.BootTime{scenario.BootTimeNone, scenario.BootTimeAhead}[random.IntN(2)]
+		wave.BootTime = []scenario.BootTime{scenario.BootTimeNone, scenario.BootTimeAhead}[random.IntN(2)]
 	}
-	if alone := w.SidecarShare > 0 && w.ServerShare == 0 && w.Cells == 0; !alone && random.IntN(4) == 0 {
-		w.SecondWaveAfter = 1200 * time.Millisecond
+	if alone := wave.SidecarShare > 0 && wave.ServerShare == 0 && wave.Cells == 0; !alone && random.IntN(4) == 0 {
+		wave.SecondWaveAfter = 1200 * time.Millisecond
 	}
-	return w
+	return wave
 }
--- a/internal/rehearsal/rehearse/attempt.go
+++ b/internal/rehearsal/rehearse/attempt.go
@@ -40,7 +40,7 @@
 // newAttempt returns an attempt whose request has been read to its end.
 func (s *server) newAttempt(on responder, incarnation int, header http.Header) *attempt {
 	request := header.Get("X-Txn")
-	a := &attempt{
+	attempt := &attempt{
 		id:          s.rehearsal.attempts.Add(1),
 		responder:   on,
 		incarnation: incarnation,
@@ -49,44 +49,44 @@
 		origin:      arrivalOf(request),
 		ended:       make(chan struct{}),
 	}
-	a.class, _ = s.rehearsal.class(header.Get("X-Lane"))
+	attempt.class, _ = s.rehearsal.class(header.Get("X-Lane"))
 	if left, err := parseRemaining(header.Get("X-Remaining")); err == nil {
-		a.expires = s.rehearsal.now() + left
+		attempt.expires = s.rehearsal.now() + left
 	}
-	return a
+	return attempt
 }
 
 // beginAttempt records an attempt, and offers it to the model unless a fault happens to it. It returns false if the connection is to
 // end. s.mu is held.
-func (s *server) beginAttempt(a *attempt, firstByteAt time.Duration) bool {
+func (s *server) beginAttempt(attempt *attempt, firstByteAt time.Duration) bool {
 	now := s.rehearsal.now()
 	s.rehearsal.counters.attempts.Add(1)
 	s.rehearsal.record(audit.Event{
-		At: now, FirstByteAt: firstByteAt, Kind: audit.AttemptReceived, Request: a.request, AttemptID: a.id,
-		Server: s.index, Sidecar: -1, Origin: a.origin,
+		At: now, FirstByteAt: firstByteAt, Kind: audit.AttemptReceived, Request: attempt.request, AttemptID: attempt.id,
+		Server: s.index, Sidecar: -1, Origin: attempt.origin,
 	})
 	switch {
-	case s.silent || a.incarnation != s.incarnation || s.model == nil:
-		a.muted = true
+	case s.silent || attempt.incarnation != s.incarnation || s.model == nil:
+		attempt.muted = true
 		return true
-	case a.class < 0:
-		s.answer(a, audit.Failed)
+	case attempt.class < 0:
+		s.answer(attempt, audit.Failed)
 		return true
 	case s.drawFault("lose"):
-		a.muted = true
+		attempt.muted = true
 		return true
 	case s.drawFault("reset"):
-		s.finish(a, audit.Dropped)
-		a.responder.reset()
+		s.finish(attempt, audit.Dropped)
+		attempt.responder.reset()
 		return false
 	case s.drawFault("refuse"):
-		s.answer(a, audit.Rejected)
+		s.answer(attempt, audit.Rejected)
 		return true
 	case s.drawFault("fail"):
-		s.answer(a, audit.Failed)
+		s.answer(attempt, audit.Failed)
 		return true
 	}
-	s.offer(a, now)
+	s.offer(attempt, now)
 	return true
 }
 
@@ -96,125 +96,125 @@
 }
 
 // offer offers an attempt to the model. s.mu is held.
-func (s *server) offer(a *attempt, now time.Duration) {
-	before, after := s.rehearsal.plan.WorkOf(a.request, s.spec.Tier, s.rehearsal.countAttempt(a.request))
-	a.workAfterCalls = after
+func (s *server) offer(attempt *attempt, now time.Duration) {
+	before, after := s.rehearsal.plan.WorkOf(attempt.request, s.spec.Tier, s.rehearsal.countAttempt(attempt.request))
+	attempt.workAfterCalls = after
 	s.advance()
-	switch s.model.Offer(now, a.id, before, a.expires) {
+	switch s.model.Offer(now, attempt.id, before, attempt.expires) {
 	case emulator.Accepted:
-		s.calls[a.id] = a
-		s.rehearsal.recordExecution(s, a.key, s.rehearsal.plan.Classes[a.class])
+		s.calls[attempt.id] = attempt
+		s.rehearsal.recordExecution(s, attempt.key, s.rehearsal.plan.Classes[attempt.class])
 		s.resetTimer()
 	case emulator.Rejected:
-		s.answer(a, audit.Rejected)
+		s.answer(attempt, audit.Rejected)
 	case emulator.Collapsed:
 		s.collapse()
 	}
 }
 
 // callNextTier makes an attempt's calls to the next tier, one after another, and then resumes its work.
-func (s *server) callNextTier(a *attempt) {
+func (s *server) callNextTier(attempt *attempt) {
 	for i := range s.tier().CallsPerRequest {
-		if !s.callOnce(a, i) {
-			s.failAttempt(a)
+		if !s.callOnce(attempt, i) {
+			s.failAttempt(attempt)
 			return
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calls[a.id] != a {
+	if s.calls[attempt.id] != attempt {
 		return // canceled meanwhile, or the server has ended
 	}
 	s.advance()
-	a.afterCalls = true
-	s.model.Resume(s.rehearsal.now(), a.id, a.workAfterCalls)
+	attempt.afterCalls = true
+	s.model.Resume(s.rehearsal.now(), attempt.id, attempt.workAfterCalls)
 	s.resetTimer()
 }
 
 // callOnce makes one of an attempt's calls through the server's own sidecar, and reports whether it was served.
-func (s *server) callOnce(a *attempt, number int) bool {
+func (s *server) callOnce(attempt *attempt, number int) bool {
 	call := callerRequest{
-		request:  fmt.Sprintf("%s.%d-%d", a.request, a.id, number),
-		class:    a.class,
-		timeLeft: a.expires - s.rehearsal.now(),
-		origin:   a.origin,
+		request:  fmt.Sprintf("%s.%d-%d", attempt.request, attempt.id, number),
+		class:    attempt.class,
+		timeLeft: attempt.expires - s.rehearsal.now(),
+		origin:   attempt.origin,
 	}
-	if a.key != "" {
-		call.key = fmt.Sprintf("%s.%d", a.key, number)
+	if attempt.key != "" {
+		call.key = fmt.Sprintf("%s.%d", attempt.key, number)
 	}
-	return call.timeLeft > 0 && s.rehearsal.callThrough(s.index, call, a.ended)
+	return call.timeLeft > 0 && s.rehearsal.callThrough(s.index, call, attempt.ended)
 }
 
 // failAttempt answers an attempt one of whose calls was not served.
-func (s *server) failAttempt(a *attempt) {
+func (s *server) failAttempt(attempt *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calls[a.id] != a {
+	if s.calls[attempt.id] != attempt {
 		return
 	}
-	more := s.model.Release(s.rehearsal.now(), a.id)
-	s.answer(a, audit.Failed)
+	more := s.model.Release(s.rehearsal.now(), attempt.id)
+	s.answer(attempt, audit.Failed)
 	s.complete(more)
 	s.resetTimer()
 }
 
 // answer ends an attempt with an answer. s.mu is held.
-func (s *server) answer(a *attempt, result audit.AttemptResult) {
-	if a.muted {
-		delete(s.calls, a.id)
+func (s *server) answer(attempt *attempt, result audit.AttemptResult) {
+	if attempt.muted {
+		delete(s.calls, attempt.id)
 		return
 	}
 	if result == audit.Served && s.random.Float64() < s.faults["garble"] {
 		result = audit.Garbled
 	}
-	s.finish(a, result)
+	s.finish(attempt, result)
 	switch result {
 	case audit.Failed:
-		a.responder.answer(http.StatusInternalServerError, false, s.loadReport(), "failed\n")
+		attempt.responder.answer(http.StatusInternalServerError, false, s.loadReport(), "failed\n")
 	case audit.Rejected:
-		a.responder.answer(http.StatusServiceUnavailable, true, s.loadReport(), "no room\n")
+		attempt.responder.answer(http.StatusServiceUnavailable, true, s.loadReport(), "no room\n")
 	case audit.Garbled:
-		a.responder.garble()
+		attempt.responder.garble()
 	default:
-		a.responder.answer(http.StatusOK, false, s.loadReport(), fmt.Sprintf("served %s by %s\n", a.request, s.spec.UID))
+		attempt.responder.answer(http.StatusOK, false, s.loadReport(), fmt.Sprintf("served %s by %s\n", attempt.request, s.spec.UID))
 	}
 }
 
 // finish records the end of an attempt, unless it has ended already. s.mu is held.
-func (s *server) finish(a *attempt, result audit.AttemptResult) {
+func (s *server) finish(attempt *attempt, result audit.AttemptResult) {
 	select {
-	case <-a.ended:
+	case <-attempt.ended:
 		return
 	default:
 	}
-	close(a.ended)
+	close(attempt.ended)
 	s.rehearsal.record(audit.Event{
-		At: s.rehearsal.now(), Kind: audit.AttemptEnded, Request: a.request, AttemptID: a.id, Result: result, Work: a.work,
-		Server: s.index, Sidecar: -1, Origin: a.origin,
+		At: s.rehearsal.now(), Kind: audit.AttemptEnded, Request: attempt.request, AttemptID: attempt.id, Result: result, Work: attempt.work,
+		Server: s.index, Sidecar: -1, Origin: attempt.origin,
 	})
-	delete(s.calls, a.id)
-	a.responder.release(a)
+	delete(s.calls, attempt.id)
+	attempt.responder.release(attempt)
 }
 
 // cancel ends an attempt that its sidecar has given up. s.mu is held.
-func (s *server) cancel(a *attempt) {
-	if s.model == nil || s.calls[a.id] != a {
-		s.finish(a, audit.Canceled)
+func (s *server) cancel(attempt *attempt) {
+	if s.model == nil || s.calls[attempt.id] != attempt {
+		s.finish(attempt, audit.Canceled)
 		return
 	}
 	s.advance()
-	if s.calls[a.id] != a { // it has ended just now
+	if s.calls[attempt.id] != attempt { // it has ended just now
 		s.resetTimer()
 		return
 	}
-	done := s.model.WorkDone(a.id)
-	stopped, expired := s.model.Cancel(s.rehearsal.now(), a.id)
+	done := s.model.WorkDone(attempt.id)
+	stopped, expired := s.model.Cancel(s.rehearsal.now(), attempt.id)
 	if !stopped {
 		done = 0 // the server goes on for nobody: all of the work will be done
-		a.work += a.workAfterCalls
+		attempt.work += attempt.workAfterCalls
 	}
-	a.work += done
-	s.finish(a, audit.Canceled)
+	attempt.work += done
+	s.finish(attempt, audit.Canceled)
 	s.complete(expired)
 	s.resetTimer()
 }
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -50,41 +50,41 @@
 	deadline := time.NewTimer(request.timeLeft + 2*r.plan.Rules.Slack)
 	defer deadline.Stop()
 	began := r.now()
-	c := to.idle.take()
-	for used := c != nil; ; used = false {
-		if c == nil {
-			if c = to.connect(); c == nil {
+	conn := to.idle.take()
+	for used := conn != nil; ; used = false {
+		if conn == nil {
+			if conn = to.connect(); conn == nil {
 				return callerAnswer{}
 			}
 		}
 		left := request.timeLeft - (r.now() - began)
 		if left <= 0 {
-			to.idle.put(c)
+			to.idle.put(conn)
 			return callerAnswer{}
 		}
-		c.send(&request, left)
+		conn.send(&request, left)
 		select {
-		case answer := <-c.answers:
-			to.idle.put(c)
+		case answer := <-conn.answers:
+			to.idle.put(conn)
 			return answer
 		case <-deadline.C:
-			c.giveUp(&request)
+			conn.giveUp(&request)
 			return callerAnswer{}
 		case <-gone:
-			c.giveUp(&request)
+			conn.giveUp(&request)
 			return callerAnswer{}
-		case <-c.closed:
+		case <-conn.closed:
 		}
 		select {
-		case answer := <-c.answers: // the last on its connection
+		case answer := <-conn.answers: // the last on its connection
 			return answer
 		default:
 		}
-		r.record(c.event(audit.ConnectionClosed, &request))
+		r.record(conn.event(audit.ConnectionClosed, &request))
 		if !used {
 			return callerAnswer{}
 		}
-		c = nil
+		conn = nil
 	}
 }
 
--- a/internal/rehearsal/rehearse/connection.go
+++ b/internal/rehearsal/rehearse/connection.go
@@ -58,14 +58,14 @@
 
 // serve reads requests until the connection ends. An attempt in flight is canceled then.
 func (c *connection) serve() {
-	s := c.server
+	server := c.server
 	defer closeConn(c)
 	defer func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		delete(s.connections, c)
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		delete(server.connections, c)
 		if c.current != nil {
-			s.cancel(c.current)
+			server.cancel(c.current)
 		}
 	}()
 	reader := bufio.NewReader(c.Conn)
@@ -73,7 +73,7 @@
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		firstByteAt := s.rehearsal.now()
+		firstByteAt := server.rehearsal.now()
 		request, err := http.ReadRequest(reader)
 		var body []byte
 		if err == nil {
@@ -85,9 +85,9 @@
 			}
 			return
 		}
-		s.mu.Lock()
+		server.mu.Lock()
 		keep := c.handle(firstByteAt, request)
-		s.mu.Unlock()
+		server.mu.Unlock()
 		if !keep {
 			return
 		}
@@ -96,10 +96,10 @@
 
 // handle answers a health check, or begins an attempt. It returns false if the connection is to end. server.mu is held.
 func (c *connection) handle(firstByteAt time.Duration, request *http.Request) bool {
-	s := c.server
+	server := c.server
 	if request.URL.Path == "/health" && request.Header.Get("X-Txn") == "" {
-		if !s.silent {
-			s.addOverhead(healthCheckWork)
+		if !server.silent {
+			server.addOverhead(healthCheckWork)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // the sidecar may have gone
 		}
 		return true
@@ -107,25 +107,25 @@
 	if c.current != nil {
 		return false // two at once on one connection: no sidecar does that
 	}
-	a := s.newAttempt(c, c.incarnation, request.Header)
-	c.current = a
-	return s.beginAttempt(a, firstByteAt)
+	attempt := server.newAttempt(c, c.incarnation, request.Header)
+	c.current = attempt
+	return server.beginAttempt(attempt, firstByteAt)
 }
 
 // recordTruncated records an attempt whose request was not sent to its end: it never ran.
 func (c *connection) recordTruncated(firstByteAt time.Duration, request *http.Request) {
-	s := c.server
-	id := s.rehearsal.attempts.Add(1)
+	server := c.server
+	id := server.rehearsal.attempts.Add(1)
 	e := audit.Event{
-		At: s.rehearsal.now(), FirstByteAt: firstByteAt, Kind: audit.AttemptReceived, Request: request.Header.Get("X-Txn"), AttemptID: id,
-		Server: s.index, Sidecar: -1, Origin: -1,
+		At: server.rehearsal.now(), FirstByteAt: firstByteAt, Kind: audit.AttemptReceived, Request: request.Header.Get("X-Txn"), AttemptID: id,
+		Server: server.index, Sidecar: -1, Origin: -1,
 	}
 	if e.Request == "" {
 		return
 	}
-	s.rehearsal.record(e)
+	server.rehearsal.record(e)
 	e.Kind, e.Result = audit.AttemptEnded, audit.Truncated
-	s.rehearsal.record(e)
+	server.rehearsal.record(e)
 }
 
 // answer writes an answer; load is the value of X-Pressure, empty for none. A sidecar that has gone misses it.
@@ -148,8 +148,8 @@
 
 func (c *connection) reset() { reset(c.Conn) }
 
-func (c *connection) release(a *attempt) {
-	if c.current == a {
+func (c *connection) release(attempt *attempt) {
+	if c.current == attempt {
 		c.current = nil
 	}
 }
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -34,30 +34,30 @@
 
 // startConsulAgent starts the Consul agent of a sidecar, with the servers that its tier has now.
 func startConsulAgent(tier *tierDiscovery, sidecar int) (*consulAgent, error) {
-	a := &consulAgent{served: make(chan struct{}), discovery: tier, sidecar: sidecar}
+	agent := &consulAgent{served: make(chan struct{}), discovery: tier, sidecar: sidecar}
 	var all []consul.Instance
 	tier.mu.Lock()
 	for _, server := range tier.order {
 		entry := tier.entries[server]
-		all = append(all, a.instance(server, entry))
-		a.pending = append(a.pending, pendingUpdate{0, server, entry.state})
+		all = append(all, agent.instance(server, entry))
+		agent.pending = append(agent.pending, pendingUpdate{0, server, entry.state})
 	}
 	tier.mu.Unlock()
 	var err error
-	if a.server, err = consul.Start("", all...); err != nil {
+	if agent.server, err = consul.Start("", all...); err != nil {
 		return nil, err
 	}
 	listener, err := tier.rehearsal.listen(tier.rehearsal.consulAddress(sidecar))
 	if err != nil {
-		a.server.Close()
+		agent.server.Close()
 		return nil, err
 	}
-	a.http.Handler = a
+	agent.http.Handler = agent
 	go func() {
-		defer close(a.served)
-		_ = a.http.Serve(listener) // ends with http.ErrServerClosed, for nothing else closes the listener
+		defer close(agent.served)
+		_ = agent.http.Serve(listener) // ends with http.ErrServerClosed, for nothing else closes the listener
 	}()
-	return a, nil
+	return agent, nil
 }
 
 // close ends the agent.
@@ -69,9 +69,9 @@
 
 // instance returns a server as Consul has it: passing, critical while it drains, and not there at all once it has gone.
 func (c *consulAgent) instance(server int, entry listEntry) consul.Instance {
-	r := c.discovery.rehearsal
-	spec := &r.plan.Servers[server]
-	tier := r.plan.Tiers[spec.Tier].Name
+	rehearsal := c.discovery.rehearsal
+	spec := &rehearsal.plan.Servers[server]
+	tier := rehearsal.plan.Tiers[spec.Tier].Name
 	status := "passing"
 	if entry.state != "Ready" {
 		status = "critical"
@@ -82,9 +82,9 @@
 		Meta:   map[string]string{"zone": scenario.Zone, "model": tier, "cell": strconv.Itoa(spec.Cell), "uid": spec.UID},
 	}
 	if entry.boot > 0 {
-		instance.Meta["started_ms"] = strconv.FormatInt(r.wall(entry.boot).UnixMilli(), 10)
+		instance.Meta["started_ms"] = strconv.FormatInt(rehearsal.wall(entry.boot).UnixMilli(), 10)
 	}
-	return instance.WithAddress(r.serverAddress(spec.Slot))
+	return instance.WithAddress(rehearsal.serverAddress(spec.Slot))
 }
 
 // update changes what Consul has of a server.
--- a/internal/rehearsal/rehearse/golden_test.go
+++ b/internal/rehearsal/rehearse/golden_test.go
@@ -34,29 +34,29 @@
 	if script == nil {
 		t.Fatal(found.Err())
 	}
-	r := newRehearsal(t.Context(), script.Plan(3))
-	r.createdAt = time.UnixMilli(1_700_000_000_000)
-	r.clockOffset.Store(0)
-	r.network = 64
-	r.authority = "ca.pem"
-	r.links = relay.New(1)
-	defer r.links.Close()
-	r.createSidecars()
+	rehearsal := newRehearsal(t.Context(), script.Plan(3))
+	rehearsal.createdAt = time.UnixMilli(1_700_000_000_000)
+	rehearsal.clockOffset.Store(0)
+	rehearsal.network = 64
+	rehearsal.authority = "ca.pem"
+	rehearsal.links = relay.New(1)
+	defer rehearsal.links.Close()
+	rehearsal.createSidecars()
 	var dump bytes.Buffer
-	writeFiles(t, &dump, r)
-	for i, class := range r.plan.Classes {
+	writeFiles(t, &dump, rehearsal)
+	for i, class := range rehearsal.plan.Classes {
 		request := callerRequest{request: "r4t2", class: i, key: "k4"}
 		fmt.Fprintf(&dump, "%q\n", encodeRequest(class, &request, 1234567*time.Microsecond))
 	}
-	writeDiscovery(t, &dump, r)
+	writeDiscovery(t, &dump, rehearsal)
 	golden.Text(t, "messages.txt", dump.Bytes())
 }
 
 // writeFiles writes the configuration files of the first sidecars.
-func writeFiles(t *testing.T, dump *bytes.Buffer, r *rehearsal) {
+func writeFiles(t *testing.T, dump *bytes.Buffer, rehearsal *rehearsal) {
 	t.Helper()
 	dir := t.TempDir()
-	for _, s := range r.sidecars[:4] {
+	for _, s := range rehearsal.sidecars[:4] {
 		args, err := s.writeConfigFile(dir)
 		if err != nil {
 			t.Fatal(err)
@@ -72,24 +72,24 @@
 }
 
 // writeDiscovery writes the lists of discovery, and Consul's form of them, after some updates.
-func writeDiscovery(t *testing.T, dump *bytes.Buffer, r *rehearsal) {
+func writeDiscovery(t *testing.T, dump *bytes.Buffer, rehearsal *rehearsal) {
 	t.Helper()
-	d := newTierDiscovery(r, 1)
-	d.update(3, "Terminating", 0)
-	d.update(4, "Gone", 0)
-	d.update(7, "Ready", 1500*time.Millisecond)
-	d.setWeight(5, 2.5)
+	discovery := newTierDiscovery(rehearsal, 1)
+	discovery.update(3, "Terminating", 0)
+	discovery.update(4, "Gone", 0)
+	discovery.update(7, "Ready", 1500*time.Millisecond)
+	discovery.setWeight(5, 2.5)
 	for _, since := range []uint64{0, 2, 4} {
-		list, states := d.changesSince(since)
+		list, states := discovery.changesSince(since)
 		content, err := json.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(dump, "since %d: %s %v\n", since, content, states)
 	}
-	a := &consulAgent{discovery: d}
-	for _, server := range d.order {
-		content, err := json.Marshal(a.instance(server, d.entries[server]))
+	a := &consulAgent{discovery: discovery}
+	for _, server := range discovery.order {
+		content, err := json.Marshal(a.instance(server, discovery.entries[server]))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -87,8 +87,8 @@
 
 // stopHTTP3 ends the endpoint of HTTP/3 without notifying its peers. s.mu is held.
 func (s *server) stopHTTP3() {
-	for stream, a := range s.streams {
-		s.finish(a, audit.Dropped)
+	for stream, attempt := range s.streams {
+		s.finish(attempt, audit.Dropped)
 		stream.respond(func(http.ResponseWriter) { panic(http.ErrAbortHandler) })
 		delete(s.streams, stream)
 	}
@@ -131,11 +131,11 @@
 	on := &stream{response: make(chan func(http.ResponseWriter), 1)}
 	s.rehearsal.counters.http3.Add(1)
 	s.mu.Lock()
-	a := s.newAttempt(on, incarnation, r.Header)
+	attempt := s.newAttempt(on, incarnation, r.Header)
 	if s.incarnation == incarnation {
-		s.streams[on] = a
+		s.streams[on] = attempt
 	}
-	s.beginAttempt(a, firstByteAt)
+	s.beginAttempt(attempt, firstByteAt)
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -147,7 +147,7 @@
 		respond(w)
 	case <-r.Context().Done():
 		s.mu.Lock()
-		s.cancel(a)
+		s.cancel(attempt)
 		s.mu.Unlock()
 	}
 }
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -68,10 +68,10 @@
 const convergenceInterval = 100 * time.Millisecond
 
 // waitForOneView waits until all sidecars that serve have one view, settled, and returns "", or the views that they have.
-func (r *rehearsal) waitForOneView(ctx context.Context, p *program) string {
+func (r *rehearsal) waitForOneView(ctx context.Context, program *program) string {
 	r.links.Heal()
 	for end := time.Now().Add(convergenceTimeout); ; {
-		one, views := r.compareViews(ctx, p)
+		one, views := r.compareViews(ctx, program)
 		if one {
 			return ""
 		}
@@ -86,7 +86,7 @@
 }
 
 // compareViews reports whether all sidecars that serve have one view, settled, and returns their views as text.
-func (r *rehearsal) compareViews(ctx context.Context, p *program) (one bool, text string) {
+func (r *rehearsal) compareViews(ctx context.Context, program *program) (one bool, text string) {
 	serving := 0
 	for _, s := range r.firstTierSidecars() {
 		if s.serving() {
@@ -99,7 +99,7 @@
 		if !s.serving() {
 			continue
 		}
-		answer, err := admin.AskPeers(ctx, "unix:"+s.adminSocket(p.dir), false)
+		answer, err := admin.AskPeers(ctx, "unix:"+s.adminSocket(program.dir), false)
 		own := answer.Own
 		one = one && err == nil && own.Confidence == peers.Settled.String() && own.Instances == serving && own.OwnsName
 		fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n",
--- a/internal/rehearsal/rehearse/model.go
+++ b/internal/rehearsal/rehearse/model.go
@@ -45,29 +45,29 @@
 // complete goes on with the attempts whose work has ended. s.mu is held.
 func (s *server) complete(done []emulator.Completion) {
 	for _, completion := range done {
-		a := s.calls[completion.ID]
+		attempt := s.calls[completion.ID]
 		switch {
-		case a == nil:
+		case attempt == nil:
 			if s.model != nil {
 				s.complete(s.model.Release(s.rehearsal.now(), completion.ID))
 			}
 		case completion.Expired:
-			s.answer(a, audit.Rejected)
+			s.answer(attempt, audit.Rejected)
 		default:
-			s.completeWork(a)
+			s.completeWork(attempt)
 		}
 	}
 }
 
 // completeWork makes the calls of an attempt to the next tier, or answers it if it has none to make.
-func (s *server) completeWork(a *attempt) {
-	a.work += s.model.WorkDone(a.id)
-	if s.tier().Calls != "" && !a.afterCalls {
-		s.rehearsal.calls.Go(func() { s.callNextTier(a) })
+func (s *server) completeWork(attempt *attempt) {
+	attempt.work += s.model.WorkDone(attempt.id)
+	if s.tier().Calls != "" && !attempt.afterCalls {
+		s.rehearsal.calls.Go(func() { s.callNextTier(attempt) })
 		return
 	}
-	more := s.model.Release(s.rehearsal.now(), a.id)
-	s.answer(a, audit.Served)
+	more := s.model.Release(s.rehearsal.now(), attempt.id)
+	s.answer(attempt, audit.Served)
 	if s.model != nil {
 		s.complete(more)
 	}
--- a/internal/rehearsal/rehearse/rehearsal.go
+++ b/internal/rehearsal/rehearse/rehearsal.go
@@ -89,20 +89,20 @@
 }
 
 // recordExecution records that a request with an idempotency key runs at a server.
-func (r *rehearsal) recordExecution(s *server, key string, class *scenario.Class) {
+func (r *rehearsal) recordExecution(server *server, key string, class *scenario.Class) {
 	if key == "" || class == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	group := [2]int{s.spec.Tier, s.spec.Cell}
+	group := [2]int{server.spec.Tier, server.spec.Cell}
 	memory := r.memories[group]
 	if memory == nil {
 		memory = &emulator.KeyMemory{Window: class.Window}
 		r.memories[group] = memory
 	}
 	if memory.Execute(r.now(), key) {
-		name := fmt.Sprint(s.spec.Tier, " ", key)
+		name := fmt.Sprint(server.spec.Tier, " ", key)
 		r.effects[name]++
 		if r.effects[name] > 1 {
 			r.repeatedEffects++
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -88,32 +88,32 @@
 
 // undecided reports whether nothing can be said, because the emulator was late. One late second does not void a scenario of two
 // seconds, but excuses what is broken in that second and the next: all of it, as a rule.
-func (c *proxyCase) undecided(v *audit.Verdict) bool {
-	if v.VoidReason != "" {
+func (c *proxyCase) undecided(verdict *audit.Verdict) bool {
+	if verdict.VoidReason != "" {
 		return true
 	}
-	return c.want != "" && v.Excused > 0 && len(v.Breaches) == 0
+	return c.want != "" && verdict.Excused > 0 && len(verdict.Breaches) == 0
 }
 
 // check fails the test unless the rule is found to be broken, and no other.
-func (c *proxyCase) check(t *testing.T, v *audit.Verdict) {
+func (c *proxyCase) check(t *testing.T, verdict *audit.Verdict) {
 	t.Helper()
 	if c.want == "" {
-		if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < 0.99 {
-			t.Errorf("service %v, %v, %v", v.Service, v.Breaches, v.Crashes)
+		if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 || verdict.Service < 0.99 {
+			t.Errorf("service %v, %v, %v", verdict.Service, verdict.Breaches, verdict.Crashes)
 		}
 		return
 	}
-	ok := slices.ContainsFunc(v.Breaches, func(b audit.Breach) bool {
+	ok := slices.ContainsFunc(verdict.Breaches, func(b audit.Breach) bool {
 		return b.Rule == c.rule && strings.Contains(b.Message, c.want)
 	})
-	if !ok || v.BreachesByRule[c.rule] == 0 {
-		t.Errorf("not caught: %v", v.Breaches[:min(5, len(v.Breaches))])
+	if !ok || verdict.BreachesByRule[c.rule] == 0 {
+		t.Errorf("not caught: %v", verdict.Breaches[:min(5, len(verdict.Breaches))])
 	}
-	for rule, n := range v.BreachesByRule {
+	for rule, n := range verdict.BreachesByRule {
 		// The second answer and what comes after an answer are seen by the next rule too, or not.
 		if audit.Rule(rule) != c.rule && n > 0 && c.fault != "after" {
-			t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, v.Breaches[:min(5, len(v.Breaches))])
+			t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, verdict.Breaches[:min(5, len(verdict.Breaches))])
 		}
 	}
 }
@@ -232,19 +232,19 @@
 	for name, c := range productCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, _ := rehearse(t, "true", strings.Replace(small, "slack 60ms", "slack 250ms", 1)+c.script)
-			v := r.Verdict
-			if v.VoidReason != "" {
-				t.Skip(v.VoidReason)
+			result, _ := rehearse(t, "true", strings.Replace(small, "slack 60ms", "slack 250ms", 1)+c.script)
+			verdict := result.Verdict
+			if verdict.VoidReason != "" {
+				t.Skip(verdict.VoidReason)
 			}
-			if len(v.Breaches) > 0 || len(v.Crashes) > 0 || v.Service < c.minService {
-				t.Errorf("service %v, breaches %v, crashes %v", v.Service, v.Breaches, v.Crashes)
+			if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 || verdict.Service < c.minService {
+				t.Errorf("service %v, breaches %v, crashes %v", verdict.Service, verdict.Breaches, verdict.Crashes)
 			}
-			if over := strings.Contains(name, "HTTP/3"); over != (r.HTTP3 > int64(v.ServerAttempts)/2) {
-				t.Errorf("%d of %d attempts came over HTTP/3", r.HTTP3, v.ServerAttempts)
+			if over := strings.Contains(name, "HTTP/3"); over != (result.HTTP3 > int64(verdict.ServerAttempts)/2) {
+				t.Errorf("%d of %d attempts came over HTTP/3", result.HTTP3, verdict.ServerAttempts)
 			}
-			if r.UnansweredFaultyCallers > 0 {
-				t.Errorf("rude callers hang: %v", r.UnansweredInputs)
+			if result.UnansweredFaultyCallers > 0 {
+				t.Errorf("rude callers hang: %v", result.UnansweredInputs)
 			}
 		})
 	}
@@ -264,7 +264,7 @@
 
 // Two tiers: each server of the first calls the second through a sidecar of its own, and the trace of a request has both.
 func TestTwoTiers(t *testing.T) {
-	r, events := rehearse(t, "true", `length 2s
+	result, events := rehearse(t, "true", `length 2s
 tier booking-front boxes 2 cells 2 cores 4 slots 40 queue 9 work 10ms calls slot-keeper times 2 conns 0
 tier slot-keeper boxes 3 cells 2 cores 4 slots 40 queue 9 work 5ms conns 0
 class book-trip effect keyed scope cell window 10s aim 1s deadline 2s
@@ -273,27 +273,27 @@
 rules slack 250ms
 at 800ms: box 1 of slot-keeper dies
 `)
-	v := r.Verdict
-	if v.VoidReason != "" {
-		t.Skip(v.VoidReason)
+	verdict := result.Verdict
+	if verdict.VoidReason != "" {
+		t.Skip(verdict.VoidReason)
 	}
-	if len(v.Breaches) > 0 || v.Service < 0.9 || v.AttemptsPerCall < 0.9 || v.AttemptsPerCall > 1.3 ||
-		v.ServerAttempts < 2*v.Requests {
-		t.Errorf("%+v", v)
+	if len(verdict.Breaches) > 0 || verdict.Service < 0.9 || verdict.AttemptsPerCall < 0.9 || verdict.AttemptsPerCall > 1.3 ||
+		verdict.ServerAttempts < 2*verdict.Requests {
+		t.Errorf("%+v", verdict)
 	}
 	tiers := map[int]int{}
 	for _, e := range events {
 		if e.Kind == audit.AttemptReceived {
-			tiers[r.Plan.Servers[e.Server].Tier]++
+			tiers[result.Plan.Servers[e.Server].Tier]++
 		}
 	}
-	if tiers[0] < v.InTime || tiers[1] < 2*v.InTime {
-		t.Errorf("attempts by tier: %v, %d requests", tiers, v.InTime)
+	if tiers[0] < verdict.InTime || tiers[1] < 2*verdict.InTime {
+		t.Errorf("attempts by tier: %v, %d requests", tiers, verdict.InTime)
 	}
-	if len(v.Traces) == 0 || !slices.ContainsFunc(v.Traces[0].Lines, func(l audit.TraceLine) bool {
+	if len(verdict.Traces) == 0 || !slices.ContainsFunc(verdict.Traces[0].Lines, func(l audit.TraceLine) bool {
 		return strings.Contains(l.Text, "box") && strings.Contains(l.Text, "slot-keeper")
 	}) {
-		t.Errorf("%+v", v.Traces)
+		t.Errorf("%+v", verdict.Traces)
 	}
 }
 
@@ -305,36 +305,36 @@
 	if parsed == nil {
 		t.Fatal(found.Err())
 	}
-	r := newRehearsal(context.Background(), parsed.Plan(0))
-	if err := r.claimNetwork(); err != nil {
+	rehearsal := newRehearsal(context.Background(), parsed.Plan(0))
+	if err := rehearsal.claimNetwork(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := r.guard.Close(); err != nil {
+		if err := rehearsal.guard.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	r.clockOffset.Store(0)
-	r.clockOffset.Store(int64(r.now()))
-	s := newServer(r, 0)
+	rehearsal.clockOffset.Store(0)
+	rehearsal.clockOffset.Store(int64(rehearsal.now()))
+	s := newServer(rehearsal, 0)
 	if err := s.start(false); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.stop)
-	return r, s
+	return rehearsal, s
 }
 
 // A machine that is silent resets nothing: open connections stay open, and new ones do not come up, until it is back. Its address then
 // belongs to another incarnation of the server.
 func TestSilence(t *testing.T) {
-	r, s := startOneServer(t, small+safe)
-	address := r.serverAddress(0)
+	rehearsal, server := startOneServer(t, small+safe)
+	address := rehearsal.serverAddress(0)
 	open := dialServer(t, address)
 	open.ask(t, "r1t1")
 	if got := open.read(t, time.Second); !strings.Contains(got, "served r1t1 ") {
 		t.Fatalf("%q", got)
 	}
-	s.silence()
+	server.silence()
 	open.ask(t, "r2t1")
 	if got := open.read(t, 200*time.Millisecond); got != "nothing" {
 		t.Errorf("a silent machine says %q", got)
@@ -345,8 +345,8 @@
 	} else if !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a connection to a silent machine is refused: %v", err)
 	}
-	s.stop()
-	if err := s.start(true); err != nil {
+	server.stop()
+	if err := server.start(true); err != nil {
 		t.Fatal(err)
 	}
 	if got := open.read(t, time.Second); !strings.Contains(got, "reset") {
@@ -357,7 +357,7 @@
 	if got := again.read(t, time.Second); !strings.Contains(got, "served r3t1 ") {
 		t.Errorf("%q", got)
 	}
-	events, _ := r.log.Events()
+	events, _ := rehearsal.log.Events()
 	received := slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.AttemptReceived && e.Request == "r2t1"
 	})
@@ -371,13 +371,13 @@
 
 // A server closes what is half sent, rejects connections beyond its limit, and reports its load.
 func TestServerOnItsSocket(t *testing.T) {
-	r, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
-	one, two := dialServer(t, r.serverAddress(0)), dialServer(t, r.serverAddress(0))
+	rehearsal, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
+	one, two := dialServer(t, rehearsal.serverAddress(0)), dialServer(t, rehearsal.serverAddress(0))
 	two.ask(t, "r7t1")
 	two.read(t, time.Second)
 	one.ask(t, "r8t1")
 	one.read(t, time.Second)
-	three := dialServer(t, r.serverAddress(0))
+	three := dialServer(t, rehearsal.serverAddress(0))
 	if got := three.read(t, time.Second); !strings.Contains(got, "reset") && !strings.Contains(got, "EOF") {
 		t.Errorf("a connection too many: %q", got)
 	}
@@ -395,36 +395,36 @@
 		t.Fatal(err)
 	}
 	one.read(t, time.Second)
-	events, _ := r.log.Events()
+	events, _ := rehearsal.log.Events()
 	if !slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.AttemptEnded && e.Request == "r5t1" && e.Result == audit.Truncated
 	}) {
 		t.Error("half a request is not noted as cut off")
 	}
 	// A keyed repeat in its cell has no second effect.
-	if r.repeatedEffects != 0 || len(r.effects) != 1 {
-		t.Errorf("%d effects, %d beyond the first", len(r.effects), r.repeatedEffects)
+	if rehearsal.repeatedEffects != 0 || len(rehearsal.effects) != 1 {
+		t.Errorf("%d effects, %d beyond the first", len(rehearsal.effects), rehearsal.repeatedEffects)
 	}
 }
 
 // An emulator that is late records it.
 func TestLateEmulatorIsSeen(t *testing.T) {
-	r, s := startOneServer(t, small+safe)
-	c := dialServer(t, r.serverAddress(0))
-	c.ask(t, "r1t1")
-	c.read(t, time.Second)
-	c.ask(t, "r2t1")
+	rehearsal, server := startOneServer(t, small+safe)
+	conn := dialServer(t, rehearsal.serverAddress(0))
+	conn.ask(t, "r1t1")
+	conn.read(t, time.Second)
+	conn.ask(t, "r2t1")
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		s.mu.Lock()
-		if len(s.calls) > 0 {
+		server.mu.Lock()
+		if len(server.calls) > 0 {
 			time.Sleep(150 * time.Millisecond) // the server cannot work meanwhile, as if the emulator had no processor
-			s.mu.Unlock()
+			server.mu.Unlock()
 			break
 		}
-		s.mu.Unlock()
+		server.mu.Unlock()
 	}
-	c.read(t, time.Second)
-	events, _ := r.log.Events()
+	conn.read(t, time.Second)
+	events, _ := rehearsal.log.Events()
 	if !slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.EmulatorLate && e.Duration > 100*time.Millisecond
 	}) {
@@ -436,7 +436,7 @@
 // the sum of what they send, and no other rule is broken. Without a bound on attempts that never run, all 24 collapse on sockets. All
 // goes at half the pace of a real fleet, so that two busy cores keep up.
 func TestFleetRestartsTogether(t *testing.T) {
-	r, events := rehearse(t, "true", `length 16s
+	result, events := rehearse(t, "true", `length 16s
 seed 2
 tier slot-keeper boxes 24 cells 4 cores 2 slots 2 queue 4 conns 400 handshake 0ms
 tier slot-keeper work 240ms shape lognormal cv 0.5 cold 0.35..0.5 warm 8s
@@ -449,19 +449,19 @@
 at 3s: all boxes restart taking 2s
 at 3s: all sidecars get SIGKILL and are back after 2s
 `)
-	v := r.Verdict
-	sums := audit.Totals(r.Plan.AuditRules(), events)
-	t.Logf("service %.3f, %+v, %d sidecars", v.Service, *sums, len(r.Processes))
-	if v.VoidReason != "" {
-		t.Skip(v.VoidReason)
+	verdict := result.Verdict
+	sums := audit.Totals(result.Plan.AuditRules(), events)
+	t.Logf("service %.3f, %+v, %d sidecars", verdict.Service, *sums, len(result.Processes))
+	if verdict.VoidReason != "" {
+		t.Skip(verdict.VoidReason)
 	}
-	if len(v.Breaches) > 0 || len(v.Crashes) > 0 {
-		t.Errorf("%v, %v", v.Breaches[:min(5, len(v.Breaches))], v.Crashes)
+	if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 {
+		t.Errorf("%v, %v", verdict.Breaches[:min(5, len(verdict.Breaches))], verdict.Crashes)
 	}
 	if sums.Collapses > 0 || sums.ColdLoad == 0 {
 		t.Errorf("%d boxes fell; %.2f of what a cold box bears", sums.Collapses, sums.ColdLoad)
 	}
-	if v.Service < 0.3 {
-		t.Errorf("service %v", v.Service)
+	if verdict.Service < 0.3 {
+		t.Errorf("service %v", verdict.Service)
 	}
 }
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -61,43 +61,43 @@
 func Run(ctx context.Context, plan *scenario.Plan, options Options) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := newRehearsal(ctx, plan)
+	rehearsal := newRehearsal(ctx, plan)
 	if err := CheckSockets(plan); err != nil {
 		return nil, err
 	}
-	if err := r.claimNetwork(); err != nil {
+	if err := rehearsal.claimNetwork(); err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, r.guard.Close()) }()
+	defer func() { err = errors.Join(err, rehearsal.guard.Close()) }()
 	program, err := findProgram(&options)
 	if err != nil {
 		return nil, err
 	}
 	defer close(program.starter)
-	defer r.stopServers()
-	if err := r.create(ctx, options.Dir); err != nil {
+	defer rehearsal.stopServers()
+	if err := rehearsal.create(ctx, options.Dir); err != nil {
 		return nil, err
 	}
-	if r.links != nil {
-		defer r.links.Close()
+	if rehearsal.links != nil {
+		defer rehearsal.links.Close()
 	}
-	defer r.endAll() // also if not all could be started: no process is left
-	if err := r.startAll(ctx, program); err != nil {
+	defer rehearsal.endAll() // also if not all could be started: no process is left
+	if err := rehearsal.startAll(ctx, program); err != nil {
 		return nil, err
 	}
-	r.play(ctx, program, options.Progress)
+	rehearsal.play(ctx, program, options.Progress)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	r.findHanging(ctx)
+	rehearsal.findHanging(ctx)
 	result = &Result{Plan: plan}
-	if r.links != nil {
-		result.DivergentViews = r.waitForOneView(ctx, program)
+	if rehearsal.links != nil {
+		result.DivergentViews = rehearsal.waitForOneView(ctx, program)
 	}
 	cancel()
-	r.endAll()
-	r.calls.Wait()
-	r.judge(result, options.Events)
+	rehearsal.endAll()
+	rehearsal.calls.Wait()
+	rehearsal.judge(result, options.Events)
 	return result, nil
 }
 
@@ -169,7 +169,7 @@
 }
 
 // startAll starts what is there from the beginning: servers, discovery, then the sidecars.
-func (r *rehearsal) startAll(ctx context.Context, p *program) error {
+func (r *rehearsal) startAll(ctx context.Context, program *program) error {
 	for i, server := range r.servers {
 		if r.plan.Servers[i].StartsAt > 0 {
 			continue
@@ -183,7 +183,7 @@
 			return err
 		}
 	}
-	if err := r.startSidecars(ctx, p); err != nil {
+	if err := r.startSidecars(ctx, program); err != nil {
 		return err
 	}
 	for _, s := range r.firstTierSidecars() {
@@ -209,14 +209,14 @@
 }
 
 // startSidecars starts all sidecars at once, but for those whose server starts later, and waits until they serve.
-func (r *rehearsal) startSidecars(ctx context.Context, p *program) error {
+func (r *rehearsal) startSidecars(ctx context.Context, program *program) error {
 	var starting sync.WaitGroup
 	errs := make([]error, len(r.sidecars))
 	for i, s := range r.sidecars {
 		if server := r.serverOf(s); server >= 0 && r.plan.Servers[server].StartsAt > 0 {
 			continue // it starts with its server
 		}
-		starting.Go(func() { errs[i] = s.start(ctx, p) })
+		starting.Go(func() { errs[i] = s.start(ctx, program) })
 	}
 	starting.Wait()
 	return errors.Join(errs...)
@@ -236,7 +236,7 @@
 const settleTime = 300 * time.Millisecond
 
 // play plays the steps and the arrivals in real time, and waits until every caller has ended.
-func (r *rehearsal) play(ctx context.Context, p *program, progress func(Progress)) {
+func (r *rehearsal) play(ctx context.Context, program *program, progress func(Progress)) {
 	r.clockOffset.Store(int64(time.Since(r.createdAt) + settleTime))
 	watching, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
@@ -249,7 +249,7 @@
 		watchers.Go(func() { r.reportProgress(watching, progress) })
 	}
 	var callers, steps sync.WaitGroup
-	steps.Go(func() { r.playSteps(ctx, p, &steps) })
+	steps.Go(func() { r.playSteps(ctx, program, &steps) })
 	for n := range r.plan.Arrivals {
 		if !r.waitUntil(ctx, r.plan.Arrivals[n].At) {
 			break
@@ -262,14 +262,14 @@
 }
 
 // playSteps plays the steps when they are due. What takes longer goes on among steps.
-func (r *rehearsal) playSteps(ctx context.Context, p *program, steps *sync.WaitGroup) {
+func (r *rehearsal) playSteps(ctx context.Context, program *program, steps *sync.WaitGroup) {
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
 		if step.At > r.plan.Length || !r.waitUntil(ctx, step.At) {
 			return
 		}
 		r.recordLateness(r.now() - step.At) // late, a server that should be down by now takes calls
-		r.playStep(ctx, p, step, steps)
+		r.playStep(ctx, program, step, steps)
 	}
 }
 
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -65,26 +65,26 @@
 }
 
 // start starts the process, and returns when it serves.
-func (s *sidecar) start(ctx context.Context, p *program) error {
+func (s *sidecar) start(ctx context.Context, program *program) error {
 	s.mu.Lock()
 	s.starts++
 	starts := s.starts
 	s.mu.Unlock()
-	if err := s.writeSettings(p.dir, starts); err != nil {
+	if err := s.writeSettings(program.dir, starts); err != nil {
 		return err
 	}
-	args, err := s.writeConfigFile(p.dir)
+	args, err := s.writeConfigFile(program.dir)
 	if err != nil {
 		return err
 	}
-	logs, err := os.OpenFile(filepath.Join(p.dir, s.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logs, err := os.OpenFile(filepath.Join(program.dir, s.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	output, input := io.Pipe()
-	cmd := p.command(s.settingsPath, args, input) //nolint:contextcheck // it ends by signals, not with a context
-	if err := p.start(cmd); err != nil {
-		return errors.Join(fmt.Errorf("%s cannot be started: %w", p.path, err), input.Close(), logs.Close())
+	cmd := program.command(s.settingsPath, args, input) //nolint:contextcheck // it ends by signals, not with a context
+	if err := program.start(cmd); err != nil {
+		return errors.Join(fmt.Errorf("%s cannot be started: %w", program.path, err), input.Close(), logs.Close())
 	}
 	ended := make(chan struct{})
 	s.mu.Lock()
--- a/internal/rehearsal/rehearse/signals.go
+++ b/internal/rehearsal/rehearse/signals.go
@@ -60,7 +60,7 @@
 }
 
 // restart starts a sidecar that has ended again, or continues one that stands still. One that has not ended yet is waited for.
-func (s *sidecar) restart(ctx context.Context, p *program) error {
+func (s *sidecar) restart(ctx context.Context, program *program) error {
 	s.mu.Lock()
 	process, ended, stopped, stopping := s.process, s.ended, s.stopped, s.stopping
 	s.mu.Unlock()
@@ -85,7 +85,7 @@
 			return ctx.Err()
 		}
 	}
-	return s.start(ctx, p)
+	return s.start(ctx, program)
 }
 
 // terminate ends the process for good. One that goes on after SIGTERM for longer than the platform lets it is killed, and recorded as
--- a/internal/rehearsal/rehearse/silence.go
+++ b/internal/rehearsal/rehearse/silence.go
@@ -31,8 +31,8 @@
 			c.current.muted = true
 		}
 	}
-	for _, a := range s.streams {
-		a.muted = true
+	for _, attempt := range s.streams {
+		attempt.muted = true
 	}
 	s.muted.Store(true)
 	listener, incarnation, accepting := s.listener, s.incarnation, s.accepting
--- a/internal/rehearsal/rehearse/steps.go
+++ b/internal/rehearsal/rehearse/steps.go
@@ -10,11 +10,11 @@
 )
 
 // playStep plays one step of the plan. What takes longer goes on in a goroutine of steps.
-func (r *rehearsal) playStep(ctx context.Context, p *program, step *scenario.Step, steps *sync.WaitGroup) {
+func (r *rehearsal) playStep(ctx context.Context, program *program, step *scenario.Step, steps *sync.WaitGroup) {
 	switch step.Kind {
 	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart,
 		scenario.ServerPause, scenario.ServerSlowdown, scenario.ServerFault:
-		r.playServerStep(ctx, p, step, steps)
+		r.playServerStep(ctx, program, step, steps)
 	case scenario.DiscoveryUpdate:
 		r.discovery[r.plan.Servers[step.Server].Tier].update(step.Server, step.State, step.Boot)
 	case scenario.DiscoveryWeight:
@@ -32,7 +32,7 @@
 	case scenario.SidecarRestart:
 		sidecar := r.sidecars[step.Sidecar]
 		steps.Go(func() {
-			if err := sidecar.restart(ctx, p); err != nil {
+			if err := sidecar.restart(ctx, program); err != nil {
 				r.recordFailure(ctx, step, err)
 				return
 			}
@@ -59,7 +59,7 @@
 }
 
 // playServerStep plays a step that happens to a server, and to its sidecar with it.
-func (r *rehearsal) playServerStep(ctx context.Context, p *program, step *scenario.Step, steps *sync.WaitGroup) {
+func (r *rehearsal) playServerStep(ctx context.Context, program *program, step *scenario.Step, steps *sync.WaitGroup) {
 	server, sidecar := r.servers[step.Server], r.sidecarOf[step.Server]
 	switch step.Kind {
 	case scenario.ServerCrash:
@@ -80,7 +80,7 @@
 		}
 		if sidecar != nil {
 			sidecar.killWithServer()
-			steps.Go(func() { r.recordFailure(ctx, step, sidecar.restart(ctx, p)) })
+			steps.Go(func() { r.recordFailure(ctx, step, sidecar.restart(ctx, program)) })
 		}
 	case scenario.ServerPause, scenario.ServerSlowdown:
 		server.slow(step)
--- a/internal/rehearsal/report/chart.go
+++ b/internal/rehearsal/report/chart.go
@@ -39,9 +39,9 @@
 var svgPrefix = regexp.MustCompile(`(?s)^.*?(<svg)`)
 
 // renderSVG draws a chart as an element of a page.
-func renderSVG(c *plot.Plot) (template.HTML, error) {
+func renderSVG(graph *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(chartWidth, chartHeight)
-	c.Draw(draw.New(canvas))
+	graph.Draw(draw.New(canvas))
 	var b bytes.Buffer
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", err
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -67,20 +67,20 @@
 
 // serviceCurve draws the service over the load, a line for each scenario.
 func serviceCurve(scenarios []*scenario.Scenario, points []experiment.Point) (template.HTML, error) {
-	c := plot.New()
-	c.X.Label.Text, c.Y.Label.Text = "load, multiples of the script's rate", "service, mean and 95% interval"
-	c.Y.Min, c.Y.Max = 0, 1.02
-	c.X.Scale = plot.LogScale{}
-	c.X.Tick.Marker = plot.TickerFunc(func(_, _ float64) []plot.Tick { return loadTicks(points) })
-	c.Legend.Left = true
-	c.Legend.Padding = vg.Points(2)
-	c.Add(plotter.NewGrid())
+	graph := plot.New()
+	graph.X.Label.Text, graph.Y.Label.Text = "load, multiples of the script's rate", "service, mean and 95% interval"
+	graph.Y.Min, graph.Y.Max = 0, 1.02
+	graph.X.Scale = plot.LogScale{}
+	graph.X.Tick.Marker = plot.TickerFunc(func(_, _ float64) []plot.Tick { return loadTicks(points) })
+	graph.Legend.Left = true
+	graph.Legend.Padding = vg.Points(2)
+	graph.Add(plotter.NewGrid())
 	for i, scenario := range scenarios {
-		if err := addServiceLine(c, i, scenario, points); err != nil {
+		if err := addServiceLine(graph, i, scenario, points); err != nil {
 			return "", err
 		}
 	}
-	return renderSVG(c)
+	return renderSVG(graph)
 }
 
 // loadTicks returns the loads of an experiment, which are the same for all scenarios.
@@ -94,7 +94,7 @@
 }
 
 // addServiceLine adds the line of one scenario, with its intervals.
-func addServiceLine(c *plot.Plot, index int, scenario *scenario.Scenario, points []experiment.Point) error {
+func addServiceLine(graph *plot.Plot, index int, scenario *scenario.Scenario, points []experiment.Point) error {
 	var bars errorBars
 	for _, p := range points {
 		if p.Scenario == index {
@@ -118,8 +118,8 @@
 	if index >= len(palette) {
 		line.Dashes = []vg.Length{vg.Points(4), vg.Points(float64(index / len(palette) * 2))}
 	}
-	c.Add(line, dots, intervals)
-	c.Legend.Add(scenarioName(scenario), line, dots)
+	graph.Add(line, dots, intervals)
+	graph.Legend.Add(scenarioName(scenario), line, dots)
 	return nil
 }
 
--- a/internal/rehearsal/report/heatmap.go
+++ b/internal/rehearsal/report/heatmap.go
@@ -57,35 +57,35 @@
 
 // serverChart draws the attempts at each server of a tier, and its steps; empty if there are too few servers or seconds, or no attempts.
 func (r *Run) serverChart(tier int) (template.HTML, error) {
-	h := heatMap{loads: r.Verdict.AttemptsByServer}
+	heat := heatMap{loads: r.Verdict.AttemptsByServer}
 	for i, server := range r.Plan.Servers {
-		if server.Tier == tier && len(h.servers) < maxHeatMapRows {
-			h.servers = append(h.servers, i)
+		if server.Tier == tier && len(heat.servers) < maxHeatMapRows {
+			heat.servers = append(heat.servers, i)
 		}
 	}
 	highest := 0
-	for _, server := range h.servers {
-		for _, attempts := range h.loads[server] {
+	for _, server := range heat.servers {
+		for _, attempts := range heat.loads[server] {
 			highest = max(highest, attempts)
 		}
 	}
-	if columns, _ := h.Dims(); columns < 2 || len(h.servers) < 2 || highest == 0 {
+	if columns, _ := heat.Dims(); columns < 2 || len(heat.servers) < 2 || highest == 0 {
 		return "", nil // a map needs two rows and columns, and something on it
 	}
-	c := plot.New()
-	c.X.Label.Text, c.Y.Label.Text = "seconds", "box"
-	c.X.Min, c.X.Max = 0, r.Plan.Length.Seconds()
-	attempts := plotter.NewHeatMap(h, bluePalette{})
+	graph := plot.New()
+	graph.X.Label.Text, graph.Y.Label.Text = "seconds", "box"
+	graph.X.Min, graph.X.Max = 0, r.Plan.Length.Seconds()
+	attempts := plotter.NewHeatMap(heat, bluePalette{})
 	attempts.Min, attempts.Max = 0, float64(highest)
-	c.Add(attempts)
-	if err := r.markSteps(c, h.servers); err != nil {
+	graph.Add(attempts)
+	if err := r.markSteps(graph, heat.servers); err != nil {
 		return "", err
 	}
-	return renderSVG(c)
+	return renderSVG(graph)
 }
 
 // markSteps adds a dot for each step of a server of a heat map, on the server's row.
-func (r *Run) markSteps(c *plot.Plot, servers []int) error {
+func (r *Run) markSteps(graph *plot.Plot, servers []int) error {
 	rows := map[int]int{}
 	for row, server := range servers {
 		rows[server] = row
@@ -101,7 +101,7 @@
 			return err
 		}
 		dot.GlyphStyle = draw.GlyphStyle{Color: color, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
-		c.Add(dot)
+		graph.Add(dot)
 	}
 	return nil
 }
--- a/internal/rehearsal/report/run.go
+++ b/internal/rehearsal/report/run.go
@@ -37,12 +37,12 @@
 
 // Outcome returns the worst outcome that applies to the run, with its reasons.
 func (r *Run) Outcome() (outcome Outcome, reasons []string) {
-	v := r.Verdict
-	if v.VoidReason != "" {
-		return OutcomeVoid, []string{v.VoidReason}
+	verdict := r.Verdict
+	if verdict.VoidReason != "" {
+		return OutcomeVoid, []string{verdict.VoidReason}
 	}
 	for _, expectation := range r.Plan.Expectations {
-		got, met := expectation.Evaluate(v)
+		got, met := expectation.Evaluate(verdict)
 		if met {
 			continue
 		}
@@ -54,11 +54,11 @@
 		reasons = append(reasons, fmt.Sprintf("line %d: %s is %.4f, expected %s %v",
 			expectation.Position.Line, expectation.Figure, got, side, expectation.Bound))
 	}
-	if len(v.Crashes) > 0 {
+	if len(verdict.Crashes) > 0 {
 		outcome = OutcomeBroken
-		reasons = append(reasons, v.Crashes...)
+		reasons = append(reasons, verdict.Crashes...)
 	}
-	for rule, breaches := range v.BreachesByRule {
+	for rule, breaches := range verdict.BreachesByRule {
 		if breaches > 0 {
 			outcome = OutcomeBroken
 			reasons = append(reasons, fmt.Sprintf("%s: broken %d times", audit.Rule(rule), breaches))
@@ -78,27 +78,27 @@
 
 // rows returns the figures of the run.
 func (r *Run) rows() []row {
-	v := r.Verdict
+	verdict := r.Verdict
 	share := func(n int) string {
-		return fmt.Sprintf("%d (%.2f%%)", n, 100*float64(n)/float64(max(1, v.Requests)))
+		return fmt.Sprintf("%d (%.2f%%)", n, 100*float64(n)/float64(max(1, verdict.Requests)))
 	}
 	rows := []row{
-		{"service (worth in time / worth asked)", fmt.Sprintf("%.4f", v.Service)},
-		{"worst 10 s", fmt.Sprintf("%.4f, from %v", v.WorstService, v.WorstFrom)},
-		{"requests", fmt.Sprint(v.Requests)},
-		{"served in time", share(v.InTime)},
-		{"served late", share(v.Late)},
-		{"refused", share(v.Rejected)},
-		{"failed", share(v.Failed)},
-		{"tries of callers", fmt.Sprint(v.CallerAttempts)},
-		{"attempts at boxes, a call", fmt.Sprintf("%d, %.4f", v.ServerAttempts, v.AttemptsPerCall)},
-		{"work wasted", fmt.Sprintf("%.2f%%", 100*v.WastedShare)},
-		{"median, 99th percentile", fmt.Sprintf("%v, %v", v.P50.Round(time.Millisecond), v.P99.Round(time.Millisecond))},
+		{"service (worth in time / worth asked)", fmt.Sprintf("%.4f", verdict.Service)},
+		{"worst 10 s", fmt.Sprintf("%.4f, from %v", verdict.WorstService, verdict.WorstFrom)},
+		{"requests", fmt.Sprint(verdict.Requests)},
+		{"served in time", share(verdict.InTime)},
+		{"served late", share(verdict.Late)},
+		{"refused", share(verdict.Rejected)},
+		{"failed", share(verdict.Failed)},
+		{"tries of callers", fmt.Sprint(verdict.CallerAttempts)},
+		{"attempts at boxes, a call", fmt.Sprintf("%d, %.4f", verdict.ServerAttempts, verdict.AttemptsPerCall)},
+		{"work wasted", fmt.Sprintf("%.2f%%", 100*verdict.WastedShare)},
+		{"median, 99th percentile", fmt.Sprintf("%v, %v", verdict.P50.Round(time.Millisecond), verdict.P99.Round(time.Millisecond))},
 	}
 	if !r.Virtual {
 		rows = append(rows,
 			row{"sidecars' CPU, largest memory", fmt.Sprintf("%v, %d MiB", r.CPU.Round(10*time.Millisecond), r.Memory>>20)},
-			row{"emulator late by at most", v.MaxLateness.Round(time.Millisecond).String()})
+			row{"emulator late by at most", verdict.MaxLateness.Round(time.Millisecond).String()})
 	}
 	return rows
 }
--- a/internal/rehearsal/report/seconds.go
+++ b/internal/rehearsal/report/seconds.go
@@ -35,14 +35,14 @@
 
 // secondsChart draws lines by second, over the windows of the script's events.
 func (r *Run) secondsChart(unit string, lines []series) (template.HTML, error) {
-	c := plot.New()
-	c.X.Label.Text, c.Y.Label.Text = "seconds", unit
-	c.X.Min, c.X.Max = 0, r.Plan.Length.Seconds()
-	c.Y.Min = 0
-	c.Legend.Top, c.Legend.Left = true, true
-	c.Add(plotter.NewGrid())
-	c.Legend.Padding = vg.Points(1.5)
-	c.Legend.TextStyle.Font.Size = vg.Points(9)
+	graph := plot.New()
+	graph.X.Label.Text, graph.Y.Label.Text = "seconds", unit
+	graph.X.Min, graph.X.Max = 0, r.Plan.Length.Seconds()
+	graph.Y.Min = 0
+	graph.Legend.Top, graph.Legend.Left = true, true
+	graph.Add(plotter.NewGrid())
+	graph.Legend.Padding = vg.Points(1.5)
+	graph.Legend.TextStyle.Font.Size = vg.Points(9)
 	top := 0.0
 	var drawn []plot.Plotter
 	for _, s := range lines {
@@ -52,14 +52,14 @@
 		}
 		top = max(top, highest)
 		drawn = append(drawn, line)
-		c.Legend.Add(s.name, line)
+		graph.Legend.Add(s.name, line)
 	}
-	c.Y.Max = max(1, top*1.45) // the legend stands above the lines
-	if err := r.shadeWindows(c); err != nil {
+	graph.Y.Max = max(1, top*1.45) // the legend stands above the lines
+	if err := r.shadeWindows(graph); err != nil {
 		return "", err
 	}
-	c.Add(drawn...)
-	return renderSVG(c)
+	graph.Add(drawn...)
+	return renderSVG(graph)
 }
 
 // line returns the line of a series, and its highest value.
@@ -82,11 +82,11 @@
 }
 
 // shadeWindows shades the windows of the script's events; windows that overlap get one shade.
-func (r *Run) shadeWindows(c *plot.Plot) error {
+func (r *Run) shadeWindows(graph *plot.Plot) error {
 	var merged [][2]float64
 	for _, w := range r.Plan.Windows { // in the order of their beginnings
 		from := w.From.Seconds()
-		to := min(max(w.To.Seconds(), from+0.1), c.X.Max)
+		to := min(max(w.To.Seconds(), from+0.1), graph.X.Max)
 		if n := len(merged); n > 0 && from <= merged[n-1][1] {
 			merged[n-1][1] = max(merged[n-1][1], to)
 		} else if from < to {
@@ -95,13 +95,13 @@
 	}
 	for _, m := range merged {
 		from, to := m[0], m[1]
-		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: c.Y.Max}, {X: from, Y: c.Y.Max}})
+		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: graph.Y.Max}, {X: from, Y: graph.Y.Max}})
 		if err != nil {
 			return err
 		}
 		area.Color = windowShade
 		area.Width = 0
-		c.Add(area)
+		graph.Add(area)
 	}
 	return nil
 }
--- a/internal/rehearsal/scenario/arrivals.go
+++ b/internal/rehearsal/scenario/arrivals.go
@@ -73,10 +73,10 @@
 	for at := time.Duration(0); at < p.Length; at += burstLength {
 		r.bursts = append(r.bursts, 1+p.Callers.Swing*(2*random.Float64()-1))
 	}
-	for _, e := range events {
-		if e.Load != nil {
-			r.loads = append(r.loads, e)
-			r.highest *= max(1, e.Load.Times)
+	for _, event := range events {
+		if event.Load != nil {
+			r.loads = append(r.loads, event)
+			r.highest *= max(1, event.Load.Times)
 		}
 	}
 	return r
@@ -91,9 +91,9 @@
 	case "wave":
 		factor = 1 + r.callers.Swing*math.Sin(2*math.Pi*float64(at)/float64(wavePeriod))
 	}
-	for _, e := range r.loads {
-		if at >= time.Duration(e.At) && at < time.Duration(e.At+e.Load.For) {
-			factor *= e.Load.Times
+	for _, event := range r.loads {
+		if at >= time.Duration(event.At) && at < time.Duration(event.At+event.Load.For) {
+			factor *= event.Load.Times
 		}
 	}
 	return factor
--- a/internal/rehearsal/scenario/describe.go
+++ b/internal/rehearsal/scenario/describe.go
@@ -20,36 +20,36 @@
 }
 
 // Describe returns a step in words.
-func (p *Plan) Describe(s Step) string {
-	switch s.Kind {
+func (p *Plan) Describe(step Step) string {
+	switch step.Kind {
 	case ServerCrash:
-		return p.Name(s.Server) + " ends"
+		return p.Name(step.Server) + " ends"
 	case ServerSilence:
-		return p.Name(s.Server) + " goes silent"
+		return p.Name(step.Server) + " goes silent"
 	case ServerStart:
-		return p.Name(s.Server) + " starts"
+		return p.Name(step.Server) + " starts"
 	case ServerPause:
-		return fmt.Sprintf("%s stands still until %.3f s", p.Name(s.Server), s.Until.Seconds())
+		return fmt.Sprintf("%s stands still until %.3f s", p.Name(step.Server), step.Until.Seconds())
 	case ServerSlowdown:
-		return fmt.Sprintf("%s: speed divided by %v", p.Name(s.Server), s.Amount)
+		return fmt.Sprintf("%s: speed divided by %v", p.Name(step.Server), step.Amount)
 	case ServerFault:
-		return fmt.Sprintf("%s: %s %v%%", p.Name(s.Server), s.Name, s.Amount*100)
+		return fmt.Sprintf("%s: %s %v%%", p.Name(step.Server), step.Name, step.Amount*100)
 	case DiscoveryUpdate:
-		return fmt.Sprintf("discovery hears that %s is %s", p.Name(s.Server), s.State)
+		return fmt.Sprintf("discovery hears that %s is %s", p.Name(step.Server), step.State)
 	case DiscoverySilence:
-		return "discovery: " + map[bool]string{true: "silent", false: "back"}[s.Amount > 0]
+		return "discovery: " + map[bool]string{true: "silent", false: "back"}[step.Amount > 0]
 	case SidecarSignal:
-		return fmt.Sprintf("sidecar %d gets %s", s.Sidecar+1, s.Name)
+		return fmt.Sprintf("sidecar %d gets %s", step.Sidecar+1, step.Name)
 	case DiscoveryWeight:
-		return fmt.Sprintf("discovery hears that %s weighs %v", p.Name(s.Server), s.Amount)
+		return fmt.Sprintf("discovery hears that %s weighs %v", p.Name(step.Server), step.Amount)
 	case DiscoveryRepeat:
-		return "discovery: " + map[bool]string{true: "says everything twice", false: "says things once again"}[s.Amount > 0]
+		return "discovery: " + map[bool]string{true: "says everything twice", false: "says things once again"}[step.Amount > 0]
 	case SidecarRestart:
-		return fmt.Sprintf("sidecar %d comes back", s.Sidecar+1)
+		return fmt.Sprintf("sidecar %d comes back", step.Sidecar+1)
 	case LinkFault:
-		return s.describeLink()
+		return step.describeLink()
 	}
-	return fmt.Sprintf("%v rude callers", s.Amount)
+	return fmt.Sprintf("%v rude callers", step.Amount)
 }
 
 // describeLink returns a LinkFault in words; its Amount is below 0 when it ends.
--- a/internal/rehearsal/scenario/links.go
+++ b/internal/rehearsal/scenario/links.go
@@ -7,42 +7,42 @@
 )
 
 // planLink plans a fault of the links between sidecars.
-func (p *planner) planLink(e *event, l *linkEvent) {
+func (p *planner) planLink(event *event, link *linkEvent) {
 	if !p.Sidecars.Peers {
-		p.add(positionOf(l.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
+		p.add(positionOf(link.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
 		return
 	}
-	step, ok := p.linkStep(l)
+	step, ok := p.linkStep(link)
 	if !ok {
 		return
 	}
-	length := time.Duration(l.For)
-	step.At = time.Duration(e.At)
-	step.Line = e.Pos.Line
+	length := time.Duration(link.For)
+	step.At = time.Duration(event.At)
+	step.Line = event.Pos.Line
 	p.addStep(step)
-	p.addWindow(e, length, "%s", step.describeLink())
+	p.addWindow(event, length, "%s", step.describeLink())
 	step.At += length
 	step.Amount = -step.Amount
 	p.addStep(step)
 }
 
 // linkStep returns the step that begins a fault of the links, without its time; false if there is a finding.
-func (p *planner) linkStep(l *linkEvent) (Step, bool) {
+func (p *planner) linkStep(link *linkEvent) (Step, bool) {
 	switch {
-	case l.Partition != nil:
-		return p.partitionStep(l)
-	case l.Mute != nil:
-		if *l.Mute < 1 || *l.Mute > p.Sidecars.Count {
-			p.add(positionOf(l.Pos), "there is no sidecar %d: there are %d", *l.Mute, p.Sidecars.Count)
+	case link.Partition != nil:
+		return p.partitionStep(link)
+	case link.Mute != nil:
+		if *link.Mute < 1 || *link.Mute > p.Sidecars.Count {
+			p.add(positionOf(link.Pos), "there is no sidecar %d: there are %d", *link.Mute, p.Sidecars.Count)
 			return Step{}, false
 		}
-		return Step{Kind: LinkFault, Name: linkMute, Sidecar: *l.Mute - 1, Amount: 1}, true
-	case l.Lost != nil:
-		return p.shareStep(l, linkLost, float64(*l.Lost))
-	case l.Duplicated != nil:
-		return p.shareStep(l, linkDoubled, float64(*l.Duplicated))
+		return Step{Kind: LinkFault, Name: linkMute, Sidecar: *link.Mute - 1, Amount: 1}, true
+	case link.Lost != nil:
+		return p.shareStep(link, linkLost, float64(*link.Lost))
+	case link.Duplicated != nil:
+		return p.shareStep(link, linkDoubled, float64(*link.Duplicated))
 	}
-	return Step{Kind: LinkFault, Name: linkLate, Amount: time.Duration(*l.Delayed).Seconds()}, true
+	return Step{Kind: LinkFault, Name: linkLate, Amount: time.Duration(*link.Delayed).Seconds()}, true
 }
 
 // The names of a LinkFault.
@@ -55,20 +55,20 @@
 )
 
 // partitionStep returns the step that partitions some sidecars from the others, of which there must be one at least.
-func (p *planner) partitionStep(l *linkEvent) (Step, bool) {
-	from, to, count := l.Partition.From, l.Partition.To, p.Sidecars.Count
+func (p *planner) partitionStep(link *linkEvent) (Step, bool) {
+	from, to, count := link.Partition.From, link.Partition.To, p.Sidecars.Count
 	size := to - from + 1
 	if from < 1 || to < from || to > count || size == count {
-		p.add(positionOf(l.Pos), "sidecars %d..%d of %d cannot be cut off from the others", from, to, count)
+		p.add(positionOf(link.Pos), "sidecars %d..%d of %d cannot be cut off from the others", from, to, count)
 		return Step{}, false
 	}
 	return Step{Kind: LinkFault, Name: linkCut, Sidecar: from - 1, Amount: float64(size)}, true
 }
 
 // shareStep returns the step of a fault that happens to a share of the messages.
-func (p *planner) shareStep(l *linkEvent, name string, share float64) (Step, bool) {
+func (p *planner) shareStep(link *linkEvent, name string, share float64) (Step, bool) {
 	if share > 1 {
-		p.add(positionOf(l.Pos), "%v%% of the messages is more than there are", share*100)
+		p.add(positionOf(link.Pos), "%v%% of the messages is more than there are", share*100)
 		return Step{}, false
 	}
 	return Step{Kind: LinkFault, Name: name, Amount: share}, true
--- a/internal/rehearsal/scenario/planner.go
+++ b/internal/rehearsal/scenario/planner.go
@@ -69,13 +69,13 @@
 
 // drawPlan draws a plan, and adds a finding for each event that is impossible.
 func drawPlan(s *Scenario, seed uint64, add finding.Reporter) *Plan {
-	p := &planner{
+	planner := &planner{
 		Plan: &Plan{Scenario: s, Seed: seed}, add: add, counts: make([]int, len(s.Tiers)), sidecarsDownUntil: map[int]time.Duration{},
 		random: rand.New(emulator.RandomSource(seed, "who")), serverRandom: rand.New(emulator.RandomSource(seed, "boxes")),
 	}
 	for tier, t := range s.Tiers {
 		for range t.Servers {
-			p.newServer(tier, newAddress, 0)
+			planner.newServer(tier, newAddress, 0)
 		}
 	}
 	events := slices.Clone(s.events)
@@ -83,19 +83,19 @@
 	// Events of discovery come first: when it has the others depends on them.
 	for _, e := range events {
 		if e.Discovery != nil {
-			p.planDiscovery(e, e.Discovery)
+			planner.planDiscovery(e, e.Discovery)
 		}
 	}
 	for _, e := range events {
-		p.planEvent(e)
+		planner.planEvent(e)
 	}
-	for i := range p.Steps {
-		p.Steps[i].order = i
+	for i := range planner.Steps {
+		planner.Steps[i].order = i
 	}
-	slices.SortFunc(p.Steps, func(a, b Step) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.order, b.order)) })
-	slices.SortStableFunc(p.Windows, func(a, b Window) int { return cmp.Compare(a.From, b.From) })
-	p.drawArrivals(events)
-	return p.Plan
+	slices.SortFunc(planner.Steps, func(a, b Step) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.order, b.order)) })
+	slices.SortStableFunc(planner.Windows, func(a, b Window) int { return cmp.Compare(a.From, b.From) })
+	planner.drawArrivals(events)
+	return planner.Plan
 }
 
 // newAddress is the slot of a server at an address that no other has had.
@@ -136,30 +136,30 @@
 func (p *planner) addStep(step Step) { p.Steps = append(p.Steps, step) }
 
 // addWindow adds the window of an event.
-func (p *planner) addWindow(e *event, length time.Duration, format string, args ...any) {
-	at := time.Duration(e.At)
+func (p *planner) addWindow(event *event, length time.Duration, format string, args ...any) {
+	at := time.Duration(event.At)
 	p.Windows = append(p.Windows, Window{at, at + length, fmt.Sprintf(format, args...)})
 }
 
 // planDiscovery plans an event of discovery.
-func (p *planner) planDiscovery(e *event, d *discoveryEvent) {
-	from := time.Duration(e.At)
-	to := from + time.Duration(d.For)
-	if d.Repeats {
-		p.addStep(Step{At: from, Kind: DiscoveryRepeat, Amount: 1, Line: e.Pos.Line})
-		p.addStep(Step{At: to, Kind: DiscoveryRepeat, Line: e.Pos.Line})
-		p.addWindow(e, time.Duration(d.For), "discovery repeats itself")
+func (p *planner) planDiscovery(event *event, fault *discoveryEvent) {
+	from := time.Duration(event.At)
+	to := from + time.Duration(fault.For)
+	if fault.Repeats {
+		p.addStep(Step{At: from, Kind: DiscoveryRepeat, Amount: 1, Line: event.Pos.Line})
+		p.addStep(Step{At: to, Kind: DiscoveryRepeat, Line: event.Pos.Line})
+		p.addWindow(event, time.Duration(fault.For), "discovery repeats itself")
 		return
 	}
-	if d.Silent {
+	if fault.Silent {
 		p.silences = append(p.silences, Window{From: from, To: to})
-		p.addStep(Step{At: from, Kind: DiscoverySilence, Amount: 1, Line: e.Pos.Line})
-		p.addStep(Step{At: to, Kind: DiscoverySilence, Line: e.Pos.Line})
-		p.addWindow(e, time.Duration(d.For), "discovery is silent")
+		p.addStep(Step{At: from, Kind: DiscoverySilence, Amount: 1, Line: event.Pos.Line})
+		p.addStep(Step{At: to, Kind: DiscoverySilence, Line: event.Pos.Line})
+		p.addWindow(event, time.Duration(fault.For), "discovery is silent")
 		return
 	}
-	p.delays = append(p.delays, discoveryDelay{from, to, time.Duration(*d.Behind)})
-	p.addWindow(e, time.Duration(d.For), "discovery is %v behind", time.Duration(*d.Behind))
+	p.delays = append(p.delays, discoveryDelay{from, to, time.Duration(*fault.Behind)})
+	p.addWindow(event, time.Duration(fault.For), "discovery is %v behind", time.Duration(*fault.Behind))
 }
 
 // notify adds an update of discovery: later if discovery is behind, and after its silence. Updates of one server keep their order.
@@ -181,43 +181,43 @@
 }
 
 // planEvent plans one event of the script, and draws whom it hits.
-func (p *planner) planEvent(e *event) {
-	at := time.Duration(e.At)
+func (p *planner) planEvent(event *event) {
+	at := time.Duration(event.At)
 	if at >= p.Length {
-		p.add(positionOf(e.Pos), "at %v the morning is over: it is %v long", at, p.Length)
+		p.add(positionOf(event.Pos), "at %v the morning is over: it is %v long", at, p.Length)
 		return
 	}
 	switch {
-	case e.NewServers != nil:
-		p.planNewServers(e, e.NewServers)
-	case e.Servers != nil:
+	case event.NewServers != nil:
+		p.planNewServers(event, event.NewServers)
+	case event.Servers != nil:
 		from := len(p.Windows)
-		hit := p.selectServers(e, e.Servers.Targets)
+		hit := p.selectServers(event, event.Servers.Targets)
 		for i, server := range hit {
-			p.planServerEvent(e, i, server)
+			p.planServerEvent(event, i, server)
 		}
 		p.mergeWindows(from, hit)
-	case e.Link != nil:
-		p.planLink(e, e.Link)
-	case e.Sidecars != nil:
-		p.planSignals(e, e.Sidecars)
-	case e.Load != nil:
-		if e.Load.Times > maxLoad {
-			p.add(positionOf(e.Load.Pos), "load is %d times at most", maxLoad)
+	case event.Link != nil:
+		p.planLink(event, event.Link)
+	case event.Sidecars != nil:
+		p.planSignals(event, event.Sidecars)
+	case event.Load != nil:
+		if event.Load.Times > maxLoad {
+			p.add(positionOf(event.Load.Pos), "load is %d times at most", maxLoad)
 		}
-		p.addWindow(e, time.Duration(e.Load.For), "load is %v times", e.Load.Times)
-	case e.FaultyCallers != nil:
-		p.planFaultyCallers(e, e.FaultyCallers)
+		p.addWindow(event, time.Duration(event.Load.For), "load is %v times", event.Load.Times)
+	case event.FaultyCallers != nil:
+		p.planFaultyCallers(event, event.FaultyCallers)
 	}
 }
 
 // planFaultyCallers plans the coming and going of faulty callers.
-func (p *planner) planFaultyCallers(e *event, f *faultyCallers) {
-	if f.Count < 1 || f.Count > maxFaultyCallers {
-		p.add(positionOf(f.Pos), "%d rude callers: 1 to %d can be played", f.Count, maxFaultyCallers)
+func (p *planner) planFaultyCallers(event *event, callers *faultyCallers) {
+	if callers.Count < 1 || callers.Count > maxFaultyCallers {
+		p.add(positionOf(callers.Pos), "%d rude callers: 1 to %d can be played", callers.Count, maxFaultyCallers)
 	}
-	at, length := time.Duration(e.At), time.Duration(f.For)
-	p.addStep(Step{At: at, Kind: FaultyCallerCount, Amount: float64(f.Count), Line: e.Pos.Line})
-	p.addStep(Step{At: at + length, Kind: FaultyCallerCount, Line: e.Pos.Line})
-	p.addWindow(e, length, "%d rude callers", f.Count)
+	at, length := time.Duration(event.At), time.Duration(callers.For)
+	p.addStep(Step{At: at, Kind: FaultyCallerCount, Amount: float64(callers.Count), Line: event.Pos.Line})
+	p.addStep(Step{At: at + length, Kind: FaultyCallerCount, Line: event.Pos.Line})
+	p.addWindow(event, length, "%d rude callers", callers.Count)
 }
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -176,32 +176,32 @@
 func Read(name string, text []byte, found *finding.List) *Scenario {
 	before := found.Len()
 	add := found.ForFile(name)
-	s := defaults()
-	s.Name = name
+	scenario := defaults()
+	scenario.Name = name
 	if len(text) > MaxBytes {
 		add(finding.Pos{}, "larger than %d KiB", MaxBytes>>10)
 		return nil
 	}
 	for _, statement := range parseScript(string(text), add) {
 		if statement.event != nil {
-			s.events = append(s.events, statement.event)
+			scenario.events = append(scenario.events, statement.event)
 		} else {
-			s.applySetting(statement.setting, add)
+			scenario.applySetting(statement.setting, add)
 		}
 	}
 	if found.Len() > before {
 		return nil
 	}
-	s.validate(add)
+	scenario.validate(add)
 	if found.Len() > before {
 		return nil
 	}
 	// Drawing the plan finds impossible events. Which servers there are is the same for every seed, but not which are hit.
-	drawPlan(s, s.Seed, add)
+	drawPlan(scenario, scenario.Seed, add)
 	if found.Len() > before {
 		return nil
 	}
-	return s
+	return scenario
 }
 
 // Tier returns the tier of a name, or nil; the first for an empty one.
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -200,10 +200,10 @@
 at 11s: box 5 of slot-keeper drains for 3s
 at 16s: box 6 of slot-keeper is replaced at its address
 `)
-	p := scenario.Plan(0)
+	plan := scenario.Plan(0)
 	var got []string
-	for _, s := range p.Steps {
-		got = append(got, fmt.Sprintf("%v %s", s.At, p.Describe(s)))
+	for _, s := range plan.Steps {
+		got = append(got, fmt.Sprintf("%v %s", s.At, plan.Describe(s)))
 	}
 	want := []string{
 		"2s box 4 of slot-keeper goes silent",
@@ -227,8 +227,8 @@
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
-	replaced := slices.IndexFunc(p.Servers, func(s Server) bool { return s.Tier == 1 && s.Number == 6 })
-	old, fresh := p.Servers[replaced], p.Servers[len(p.Servers)-1]
+	replaced := slices.IndexFunc(plan.Servers, func(s Server) bool { return s.Tier == 1 && s.Number == 6 })
+	old, fresh := plan.Servers[replaced], plan.Servers[len(plan.Servers)-1]
 	if fresh.Slot != old.Slot || fresh.Cell != old.Cell || fresh.UID == old.UID || fresh.StartsAt != 17*time.Second {
 		t.Errorf("%+v replaces %+v", fresh, old)
 	}
@@ -259,9 +259,9 @@
 	scenario, _ := read(t, playableScript+`at 3s: all boxes of slot-keeper are replaced at their addresses over 5s
 at 12s: all boxes of slot-keeper are replaced at new addresses
 `)
-	p := scenario.Plan(0)
+	plan := scenario.Plan(0)
 	ids, startedAt := map[string]bool{}, map[int]time.Duration{}
-	for _, s := range p.Servers {
+	for _, s := range plan.Servers {
 		if ids[s.UID] {
 			t.Errorf("%s twice", s.UID)
 		}
@@ -271,8 +271,8 @@
 		}
 		startedAt[s.Slot] = s.StartsAt
 	}
-	if len(p.Servers) != 9+20*3 {
-		t.Errorf("%d boxes", len(p.Servers))
+	if len(plan.Servers) != 9+20*3 {
+		t.Errorf("%d boxes", len(plan.Servers))
 	}
 }
 
--- a/internal/rehearsal/scenario/serverevents.go
+++ b/internal/rehearsal/scenario/serverevents.go
@@ -38,24 +38,24 @@
 }
 
 // planNewServers adds servers to a tier.
-func (p *planner) planNewServers(e *event, n *newServers) {
-	t := p.Tier(n.Tier)
+func (p *planner) planNewServers(event *event, added *newServers) {
+	t := p.Tier(added.Tier)
 	if t == nil {
-		p.add(positionOf(n.Pos), "%s", finding.UnknownName("tier", n.Tier, p.tierNames()))
+		p.add(positionOf(added.Pos), "%s", finding.UnknownName("tier", added.Tier, p.tierNames()))
 		return
 	}
-	if n.Count < 1 || len(p.Servers)+n.Count > MaxServers {
-		p.add(positionOf(n.Pos), "%d new boxes: 1 or more, and %d in all at most", n.Count, MaxServers)
+	if added.Count < 1 || len(p.Servers)+added.Count > MaxServers {
+		p.add(positionOf(added.Pos), "%d new boxes: 1 or more, and %d in all at most", added.Count, MaxServers)
 		return
 	}
-	if t.Calls != "" && p.sidecarCount()+n.Count > MaxSidecars {
-		p.add(positionOf(n.Pos), "%d more sidecars, one for each of these boxes: %d at most", n.Count, MaxSidecars)
+	if t.Calls != "" && p.sidecarCount()+added.Count > MaxSidecars {
+		p.add(positionOf(added.Pos), "%d more sidecars, one for each of these boxes: %d at most", added.Count, MaxSidecars)
 		return
 	}
-	for range n.Count {
-		p.startServer(time.Duration(e.At), p.newServer(p.tierIndex(t), newAddress, time.Duration(e.At)), e.Pos.Line)
+	for range added.Count {
+		p.startServer(time.Duration(event.At), p.newServer(p.tierIndex(t), newAddress, time.Duration(event.At)), event.Pos.Line)
 	}
-	p.addWindow(e, 0, "%d new of %s", n.Count, t.Name)
+	p.addWindow(event, 0, "%d new of %s", added.Count, t.Name)
 }
 
 // sidecarCount returns how many sidecars there ever are, so far.
@@ -81,8 +81,8 @@
 }
 
 // selectServers draws the servers that an event hits, of those that are up and not busy with another event.
-func (p *planner) selectServers(e *event, selector *serverSelector) []int {
-	at := time.Duration(e.At)
+func (p *planner) selectServers(event *event, selector *serverSelector) []int {
+	at := time.Duration(event.At)
 	tier := p.Tier(selector.Tier)
 	if tier == nil {
 		p.add(positionOf(selector.Pos), "%s", finding.UnknownName("tier", selector.Tier, p.tierNames()))
@@ -156,42 +156,42 @@
 func (s *serverState) goneBy(at time.Duration) bool { return s.goneAt >= 0 && at >= s.goneAt }
 
 // planServerEvent plans what happens to one server; nth counts the servers of the event, from 0.
-func (p *planner) planServerEvent(e *event, nth, server int) {
-	at := time.Duration(e.At)
-	switch s := e.Servers; {
-	case s.Silent != nil:
-		p.planOutage(e, server, ServerSilence, time.Duration(*s.Silent), p.Discovery.SilentNoticeDelay, "silent")
-	case s.Restart != nil:
-		p.planOutage(e, server, ServerCrash, time.Duration(*s.Restart), p.Discovery.NoticeDelay, "restart")
-	case s.Die:
-		p.servers[server].setGone(at, e.Pos.Line)
-		p.addServerStep(e, server, Step{At: at, Kind: ServerCrash})
-		p.notify(at+p.Discovery.NoticeDelay, server, stateGone, p.servers[server].startedAt, e.Pos.Line)
-		p.addWindow(e, 0, "gone for good")
-	case s.Drain != nil:
-		length := time.Duration(*s.Drain)
-		p.drainServer(at, at+length, server, e.Pos.Line)
-		p.addWindow(e, length, "drain")
-	case s.Replace != nil:
-		p.planReplacement(e, nth, server)
-	case s.Pause != nil:
-		until := at + time.Duration(*s.Pause)
-		p.servers[server].setBusy(until, e.Pos.Line)
-		p.addServerStep(e, server, Step{At: at, Kind: ServerPause, Until: until})
-		p.addWindow(e, time.Duration(*s.Pause), "stand still")
-	case s.Slow != nil:
-		p.planSlowdown(e, server)
-	case s.Weigh != nil:
-		p.planWeight(e, server)
-	case s.Fault != nil:
-		p.planFault(e, server)
+func (p *planner) planServerEvent(event *event, nth, server int) {
+	at := time.Duration(event.At)
+	switch action := event.Servers; {
+	case action.Silent != nil:
+		p.planOutage(event, server, ServerSilence, time.Duration(*action.Silent), p.Discovery.SilentNoticeDelay, "silent")
+	case action.Restart != nil:
+		p.planOutage(event, server, ServerCrash, time.Duration(*action.Restart), p.Discovery.NoticeDelay, "restart")
+	case action.Die:
+		p.servers[server].setGone(at, event.Pos.Line)
+		p.addServerStep(event, server, Step{At: at, Kind: ServerCrash})
+		p.notify(at+p.Discovery.NoticeDelay, server, stateGone, p.servers[server].startedAt, event.Pos.Line)
+		p.addWindow(event, 0, "gone for good")
+	case action.Drain != nil:
+		length := time.Duration(*action.Drain)
+		p.drainServer(at, at+length, server, event.Pos.Line)
+		p.addWindow(event, length, "drain")
+	case action.Replace != nil:
+		p.planReplacement(event, nth, server)
+	case action.Pause != nil:
+		until := at + time.Duration(*action.Pause)
+		p.servers[server].setBusy(until, event.Pos.Line)
+		p.addServerStep(event, server, Step{At: at, Kind: ServerPause, Until: until})
+		p.addWindow(event, time.Duration(*action.Pause), "stand still")
+	case action.Slow != nil:
+		p.planSlowdown(event, server)
+	case action.Weigh != nil:
+		p.planWeight(event, server)
+	case action.Fault != nil:
+		p.planFault(event, server)
 	}
 }
 
 // addServerStep adds a step of an event about a server.
-func (p *planner) addServerStep(e *event, server int, step Step) {
+func (p *planner) addServerStep(event *event, server int, step Step) {
 	step.Server = server
-	step.Line = e.Pos.Line
+	step.Line = event.Pos.Line
 	p.addStep(step)
 }
 
@@ -208,24 +208,24 @@
 }
 
 // planOutage plans the outage of a server; discovery has it after a delay, if the outage takes longer.
-func (p *planner) planOutage(e *event, server int, kind StepKind, length, notice time.Duration, name string) {
-	at := time.Duration(e.At)
+func (p *planner) planOutage(event *event, server int, kind StepKind, length, notice time.Duration, name string) {
+	at := time.Duration(event.At)
 	back := at + length
-	p.servers[server].setBusy(back, e.Pos.Line)
-	p.addServerStep(e, server, Step{At: at, Kind: kind})
+	p.servers[server].setBusy(back, event.Pos.Line)
+	p.addServerStep(event, server, Step{At: at, Kind: kind})
 	if noticed := at + notice; noticed < back {
-		p.notify(noticed, server, stateGone, p.servers[server].startedAt, e.Pos.Line)
+		p.notify(noticed, server, stateGone, p.servers[server].startedAt, event.Pos.Line)
 	}
-	p.startServer(back, server, e.Pos.Line)
-	p.addWindow(e, length, "%s", name)
+	p.startServer(back, server, event.Pos.Line)
+	p.addWindow(event, length, "%s", name)
 }
 
 // planReplacement replaces a server by a new one, at its address or at another.
-func (p *planner) planReplacement(e *event, nth, server int) {
-	at, line := time.Duration(e.At), e.Pos.Line
-	replace, tier := e.Servers.Replace, p.Servers[server].Tier
+func (p *planner) planReplacement(event *event, nth, server int) {
+	at, line := time.Duration(event.At), event.Pos.Line
+	replace, tier := event.Servers.Replace, p.Servers[server].Tier
 	if len(p.Servers) >= MaxServers || p.Tiers[tier].Calls != "" && p.sidecarCount() >= MaxSidecars {
-		p.add(positionOf(e.Pos), "there would be more boxes or sidecars in all than %d or %d", MaxServers, MaxSidecars)
+		p.add(positionOf(event.Pos), "there would be more boxes or sidecars in all than %d or %d", MaxServers, MaxSidecars)
 		return
 	}
 	when := at
@@ -235,54 +235,54 @@
 	if replace.Same {
 		state := p.servers[server]
 		state.setGone(when, line)
-		p.addServerStep(e, server, Step{At: when, Kind: ServerCrash})
+		p.addServerStep(event, server, Step{At: when, Kind: ServerCrash})
 		p.notify(when+p.Discovery.NoticeDelay, server, stateGone, state.startedAt, line)
 		p.startServer(when+replaceGap, p.newServer(tier, p.Servers[server].Slot, when+replaceGap), line)
 	} else {
 		p.startServer(when, p.newServer(tier, newAddress, when), line)
 		p.drainServer(when, when+drainFor, server, line)
 	}
-	p.addWindow(e, when-at+replaceGap, "replaced")
+	p.addWindow(event, when-at+replaceGap, "replaced")
 }
 
 // planSlowdown divides the speed of a server for some time.
-func (p *planner) planSlowdown(e *event, server int) {
-	s := e.Servers.Slow
-	if s.By < 1 || s.By > maxSlowdown {
-		p.add(positionOf(e.Pos), "%v times slower: 1 to %d can be played", s.By, maxSlowdown)
+func (p *planner) planSlowdown(event *event, server int) {
+	slowdown := event.Servers.Slow
+	if slowdown.By < 1 || slowdown.By > maxSlowdown {
+		p.add(positionOf(event.Pos), "%v times slower: 1 to %d can be played", slowdown.By, maxSlowdown)
 	}
-	at := time.Duration(e.At)
-	until := at + time.Duration(s.For)
-	p.servers[server].setBusy(until, e.Pos.Line)
-	p.addServerStep(e, server, Step{At: at, Kind: ServerSlowdown, Amount: s.By})
-	p.addServerStep(e, server, Step{At: until, Kind: ServerSlowdown, Amount: 1})
-	p.addWindow(e, time.Duration(s.For), "%v times slower", s.By)
+	at := time.Duration(event.At)
+	until := at + time.Duration(slowdown.For)
+	p.servers[server].setBusy(until, event.Pos.Line)
+	p.addServerStep(event, server, Step{At: at, Kind: ServerSlowdown, Amount: slowdown.By})
+	p.addServerStep(event, server, Step{At: until, Kind: ServerSlowdown, Amount: 1})
+	p.addWindow(event, time.Duration(slowdown.For), "%v times slower", slowdown.By)
 }
 
 // planWeight changes the weight of a server in discovery, after the updates that it has already.
-func (p *planner) planWeight(e *event, server int) {
-	weight := *e.Servers.Weigh
+func (p *planner) planWeight(event *event, server int) {
+	weight := *event.Servers.Weigh
 	if weight > maxWeight {
-		p.add(positionOf(e.Pos), "a weight is %d at most", maxWeight)
+		p.add(positionOf(event.Pos), "a weight is %d at most", maxWeight)
 	}
-	at := max(time.Duration(e.At)+p.Discovery.AddDelay, p.servers[server].notifiedAt)
-	p.addServerStep(e, server, Step{At: at, Kind: DiscoveryWeight, Amount: weight})
-	p.addWindow(e, 0, "weigh %v", weight)
+	at := max(time.Duration(event.At)+p.Discovery.AddDelay, p.servers[server].notifiedAt)
+	p.addServerStep(event, server, Step{At: at, Kind: DiscoveryWeight, Amount: weight})
+	p.addWindow(event, 0, "weigh %v", weight)
 }
 
 // planFault plans a fault of a share of a server's calls.
-func (p *planner) planFault(e *event, server int) {
-	f := e.Servers.Fault
-	if *f.Of > 1 {
-		p.add(positionOf(f.Pos), "%v%% is more than all", float64(*f.Of)*100)
+func (p *planner) planFault(event *event, server int) {
+	injected := event.Servers.Fault
+	if *injected.Of > 1 {
+		p.add(positionOf(injected.Pos), "%v%% is more than all", float64(*injected.Of)*100)
 	}
-	name, share := f.name(), float64(*f.Of)
-	at := time.Duration(e.At)
-	until := at + time.Duration(f.For)
-	p.servers[server].setBusy(until, e.Pos.Line)
-	p.addServerStep(e, server, Step{At: at, Kind: ServerFault, Name: name, Amount: share})
-	p.addServerStep(e, server, Step{At: until, Kind: ServerFault, Name: name})
-	p.addWindow(e, time.Duration(f.For), "%s %v%% of calls", name, share*100)
+	name, share := injected.name(), float64(*injected.Of)
+	at := time.Duration(event.At)
+	until := at + time.Duration(injected.For)
+	p.servers[server].setBusy(until, event.Pos.Line)
+	p.addServerStep(event, server, Step{At: at, Kind: ServerFault, Name: name, Amount: share})
+	p.addServerStep(event, server, Step{At: until, Kind: ServerFault, Name: name})
+	p.addWindow(event, time.Duration(injected.For), "%s %v%% of calls", name, share*100)
 }
 
 // name returns the name of the fault, from a verb that may end in s.
--- a/internal/standin/consul/encode.go
+++ b/internal/standin/consul/encode.go
@@ -14,11 +14,11 @@
 // encode writes instances as a resource lists them.
 func encode(resource string, instances []Instance) []byte {
 	list := []object{}
-	for i := range instances {
+	for instance := range instances {
 		if resource == resourceCatalog {
-			list = append(list, catalogEntry(&instances[i]))
+			list = append(list, catalogEntry(&instances[instance]))
 		} else {
-			list = append(list, healthEntry(&instances[i]))
+			list = append(list, healthEntry(&instances[instance]))
 		}
 	}
 	text, err := json.Marshal(list)
@@ -28,29 +28,29 @@
 	return text
 }
 
-func catalogEntry(i *Instance) object {
+func catalogEntry(instance *Instance) object {
 	return object{
-		"Node": i.Node, "Address": i.Address, "Datacenter": "dc1", "ServiceID": i.ID, "ServiceAddress": i.Address,
-		"ServicePort": i.Port, "ServiceMeta": i.Meta, "ServiceTags": i.Tags, "CreateIndex": i.createIndex,
+		"Node": instance.Node, "Address": instance.Address, "Datacenter": "dc1", "ServiceID": instance.ID, "ServiceAddress": instance.Address,
+		"ServicePort": instance.Port, "ServiceMeta": instance.Meta, "ServiceTags": instance.Tags, "CreateIndex": instance.createIndex,
 	}
 }
 
-func healthEntry(i *Instance) object {
+func healthEntry(instance *Instance) object {
 	checks := []object{{
-		"Node": i.Node, "CheckID": "serfHealth", "Name": "Serf Health Status", "Status": "passing",
+		"Node": instance.Node, "CheckID": "serfHealth", "Name": "Serf Health Status", "Status": "passing",
 		"Output": "Agent alive and reachable",
 	}}
-	for _, check := range i.Checks {
+	for _, check := range instance.Checks {
 		checks = append(checks, object{
-			"Node": i.Node, "CheckID": check.CheckID, "Name": check.Name, "Status": check.Status, "ServiceID": i.ID,
+			"Node": instance.Node, "CheckID": check.CheckID, "Name": check.Name, "Status": check.Status, "ServiceID": instance.ID,
 		})
 	}
 	return object{
-		"Node": object{"ID": "", "Node": i.Node, "Address": i.Address, "Datacenter": "dc1"},
+		"Node": object{"ID": "", "Node": instance.Node, "Address": instance.Address, "Datacenter": "dc1"},
 		"Service": object{
-			"ID": i.ID, "Service": "service", "Address": i.Address, "Port": i.Port, "Meta": i.Meta, "Tags": i.Tags,
-			"Weights":     object{"Passing": max(i.PassingWeight, 1), "Warning": i.WarningWeight},
-			"CreateIndex": i.createIndex, "ModifyIndex": i.createIndex,
+			"ID": instance.ID, "Service": "service", "Address": instance.Address, "Port": instance.Port, "Meta": instance.Meta, "Tags": instance.Tags,
+			"Weights":     object{"Passing": max(instance.PassingWeight, 1), "Warning": instance.WarningWeight},
+			"CreateIndex": instance.createIndex, "ModifyIndex": instance.createIndex,
 		},
 		"Checks": checks,
 	}
--- a/internal/standin/consul/query.go
+++ b/internal/standin/consul/query.go
@@ -58,11 +58,11 @@
 }
 
 // unchanged reports whether the client has the view already, so that the query blocks.
-func (q *query) unchanged(v *view) bool {
-	if q.hash != "" && q.hash == contentHash(v.index) {
+func (q *query) unchanged(view *view) bool {
+	if q.hash != "" && q.hash == contentHash(view.index) {
 		return true
 	}
-	return q.index > 0 && v.index <= q.index && v.fault.IndexBack == 0
+	return q.index > 0 && view.index <= q.index && view.fault.IndexBack == 0
 }
 
 // hangs reports whether a fault keeps a query from being answered.
@@ -72,33 +72,33 @@
 
 // ServeHTTP answers GET /v1/health/service/:service and /v1/catalog/service/:service.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q, ok := parseQuery(r.URL)
+	query, ok := parseQuery(r.URL)
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
 	s.mu.Lock()
-	s.queries[q.resource]++
+	s.queries[query.resource]++
 	s.mu.Unlock()
-	deadline := time.NewTimer(q.wait + rand.N(q.wait/jitterDivide+1))
+	deadline := time.NewTimer(query.wait + rand.N(query.wait/jitterDivide+1))
 	defer deadline.Stop()
 	for {
-		v := s.view()
-		if v.token != "" && r.Header.Get("X-Consul-Token") != v.token {
+		view := s.view()
+		if view.token != "" && r.Header.Get("X-Consul-Token") != view.token {
 			http.Error(w, "Permission denied: token lacks permission 'service:read'", http.StatusForbidden)
 			return
 		}
 		limit := deadline.C
-		if q.hangs(&v.fault) {
+		if query.hangs(&view.fault) {
 			limit = nil
-		} else if !q.unchanged(&v) {
-			s.answer(w, &q, &v)
+		} else if !query.unchanged(&view) {
+			s.answer(w, &query, &view)
 			return
 		}
 		select {
-		case <-v.changed:
+		case <-view.changed:
 		case <-limit:
-			s.answer(w, &q, &v)
+			s.answer(w, &query, &view)
 			return
 		case <-r.Context().Done():
 			return
@@ -109,8 +109,8 @@
 }
 
 // answer writes the answer of a view, with its faults.
-func (s *Server) answer(w http.ResponseWriter, q *query, v *view) {
-	fault := &v.fault
+func (s *Server) answer(w http.ResponseWriter, query *query, view *view) {
+	fault := &view.fault
 	if fault.Refuse {
 		panic(http.ErrAbortHandler)
 	}
@@ -118,10 +118,10 @@
 		http.Error(w, "as the script says", fault.Status)
 		return
 	}
-	writeHeader(w.Header(), q, v)
+	writeHeader(w.Header(), query, view)
 	body := []byte(fault.Body)
-	if fault.Body == "" || q.resource == resourceCatalog && fault.CatalogUnaffected {
-		body = encode(q.resource, q.instances(v))
+	if fault.Body == "" || query.resource == resourceCatalog && fault.CatalogUnaffected {
+		body = encode(query.resource, query.instances(view))
 	}
 	switch {
 	case fault.Reset:
@@ -133,40 +133,40 @@
 		_, _ = w.Write(body[:len(body)/2]) // a caller that has gone misses it either way
 	default:
 		_, _ = w.Write(body) // the same
-		if q.resource == resourceHealth {
-			s.recordAnswer(v.index)
+		if query.resource == resourceHealth {
+			s.recordAnswer(view.index)
 		}
 	}
 }
 
 // instances returns the instances of the service that the fault leaves.
-func (q *query) instances(v *view) []Instance {
-	all := slices.DeleteFunc(slices.Clone(v.instances), func(i Instance) bool { return i.Service != "" && i.Service != q.service })
-	if q.resource == resourceCatalog && v.fault.CatalogUnaffected {
+func (q *query) instances(view *view) []Instance {
+	all := slices.DeleteFunc(slices.Clone(view.instances), func(i Instance) bool { return i.Service != "" && i.Service != q.service })
+	if q.resource == resourceCatalog && view.fault.CatalogUnaffected {
 		return all
 	}
-	if v.fault.Empty {
+	if view.fault.Empty {
 		return nil
 	}
-	if v.fault.FirstHalf {
+	if view.fault.FirstHalf {
 		return all[:len(all)/2]
 	}
 	return all
 }
 
 // writeHeader sets the fields that Consul sends with a list.
-func writeHeader(header http.Header, q *query, v *view) {
-	fault := &v.fault
+func writeHeader(header http.Header, query *query, view *view) {
+	fault := &view.fault
 	header.Set("Content-Type", "application/json")
 	switch {
 	case fault.ContentHash:
-		header.Set("X-Consul-ContentHash", contentHash(v.index))
+		header.Set("X-Consul-ContentHash", contentHash(view.index))
 	case !fault.NoIndex:
-		header.Set("X-Consul-Index", strconv.FormatUint(v.index, 10))
+		header.Set("X-Consul-Index", strconv.FormatUint(view.index, 10))
 	}
 	header.Set("X-Consul-KnownLeader", strconv.FormatBool(!fault.NoLeader))
 	contact := fault.LastContact
-	if !q.stale {
+	if !query.stale {
 		contact = 0
 	}
 	header.Set("X-Consul-LastContact", strconv.FormatInt(contact.Milliseconds(), 10))
--- a/internal/standin/disk/file.go
+++ b/internal/standin/disk/file.go
@@ -15,27 +15,27 @@
 
 // Write implements store.File.
 func (h *handle) Write(b []byte) (int, error) {
-	d := h.disk
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	losesPower, err := d.beginOperation()
+	disk := h.disk
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	losesPower, err := disk.beginOperation()
 	if err != nil {
 		return 0, err
 	}
-	n := len(b)
+	written := len(b)
 	if losesPower {
-		n = rand.New(rand.NewPCG(d.faults.tearSeed, 1)).IntN(n + 1)
+		written = rand.New(rand.NewPCG(disk.faults.tearSeed, 1)).IntN(written + 1)
 		err = ErrPowerLost
 	}
-	if d.faults.capacity >= 0 && n > d.faults.capacity {
-		n = d.faults.capacity
+	if disk.faults.capacity >= 0 && written > disk.faults.capacity {
+		written = disk.faults.capacity
 		err = syscall.ENOSPC
 	}
-	if d.faults.capacity >= 0 {
-		d.faults.capacity -= n
+	if disk.faults.capacity >= 0 {
+		disk.faults.capacity -= written
 	}
-	h.append(b[:n])
-	return n, err
+	h.append(b[:written])
+	return written, err
 }
 
 // append adds bytes to the file, which are pending until the next sync.
@@ -50,18 +50,18 @@
 // Sync implements store.File.
 func (h *handle) Sync() error {
 	h.waitForSyncs()
-	d := h.disk
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	losesPower, err := d.beginOperation()
+	disk := h.disk
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	losesPower, err := disk.beginOperation()
 	if err != nil {
 		return err
 	}
 	if losesPower {
 		return ErrPowerLost
 	}
-	if d.faults.failingSyncs > 0 {
-		d.faults.failingSyncs--
+	if disk.faults.failingSyncs > 0 {
+		disk.faults.failingSyncs--
 		// The pending writes count as written from now on, and never are.
 		h.inode.lost = append(h.inode.lost, h.inode.pending...)
 		h.inode.pending = nil
@@ -87,16 +87,16 @@
 
 // ReadAt implements store.Reader.
 func (h *handle) ReadAt(b []byte, at int64) (int, error) {
-	d := h.disk
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.powerLost {
+	disk := h.disk
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	if disk.powerLost {
 		return 0, ErrPowerLost
 	}
 	if at >= int64(len(h.inode.data)) {
 		return 0, io.EOF
 	}
-	if d.faults.shortReads && len(b) > 1 {
+	if disk.faults.shortReads && len(b) > 1 {
 		half := (len(b) + 1) / 2
 		return copy(b[:half], h.inode.data[at:]), nil
 	}
