--- a/internal/rehearsal/audit/auditor.go
+++ b/internal/rehearsal/audit/auditor.go
@@ -51,52 +51,52 @@
 
 // Judge judges the events of a rehearsal, in any order. lost is how many events its log did not keep; if there are any, the run is void.
 func Judge(rules Rules, events []Event, lost int) *Verdict {
-	a := newAuditor(rules)
+	auditor := newAuditor(rules)
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	for i := range events {
-		a.record(&events[i])
+		auditor.record(&events[i])
 	}
 	if lost > 0 {
-		a.verdict.VoidReason = fmt.Sprintf("%d events were not kept", lost)
+		auditor.verdict.VoidReason = fmt.Sprintf("%d events were not kept", lost)
 	}
-	a.judgeLateness()
-	for _, r := range a.order {
+	auditor.judgeLateness()
+	for _, r := range auditor.order {
 		if r.unknown {
 			continue
 		}
-		a.judgeFinalAnswer(r)
-		a.judgeAtMostOnce(r)
+		auditor.judgeFinalAnswer(r)
+		auditor.judgeAtMostOnce(r)
 		for _, attempt := range r.attempts {
-			a.judgeDrain(r, attempt)
+			auditor.judgeDrain(r, attempt)
 		}
 	}
-	slices.SortStableFunc(a.verdict.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	a.excuseBreaches()
-	a.judgeService()
-	a.judgeWork()
-	a.pickTraces()
-	return a.verdict
+	slices.SortStableFunc(auditor.verdict.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	auditor.excuseBreaches()
+	auditor.judgeService()
+	auditor.judgeWork()
+	auditor.pickTraces()
+	return auditor.verdict
 }
 
 func newAuditor(rules Rules) *auditor {
-	a := &auditor{
+	auditor := &auditor{
 		Rules: rules, verdict: &Verdict{}, requests: map[string]*request{}, attempts: map[uint64]*attempt{},
 		notified: map[[2]int][]StateUpdate{}, lifecycle: map[int][]Event{}, knownUpdates: map[int][]StateUpdate{},
 		origins: make([][]*request, len(rules.Arrivals)),
 	}
 	seconds := int((rules.Length + time.Second - 1) / time.Second)
-	a.late = make([]bool, seconds+1)
-	a.verdict.Seconds = make([]Second, seconds)
-	a.verdict.AttemptsByServer = make([][]int, len(rules.Servers))
-	for i := range a.verdict.AttemptsByServer {
-		a.verdict.AttemptsByServer[i] = make([]int, seconds)
+	auditor.late = make([]bool, seconds+1)
+	auditor.verdict.Seconds = make([]Second, seconds)
+	auditor.verdict.AttemptsByServer = make([][]int, len(rules.Servers))
+	for i := range auditor.verdict.AttemptsByServer {
+		auditor.verdict.AttemptsByServer[i] = make([]int, seconds)
 	}
 	for _, update := range rules.StateUpdates {
 		update.At += rules.NotifyWithin
-		a.knownUpdates[update.Server] = append(a.knownUpdates[update.Server], update)
+		auditor.knownUpdates[update.Server] = append(auditor.knownUpdates[update.Server], update)
 	}
-	return a
+	return auditor
 }
 
 // record assigns one event to its request, attempt or sidecar.
--- a/internal/rehearsal/dryrun/golden_test.go
+++ b/internal/rehearsal/dryrun/golden_test.go
@@ -15,7 +15,7 @@
 // maxArrivals bounds the days that are played with a second seed.
 const maxArrivals = 2000
 
-// A script and a seed give the day that they always gave: the same events, the same verdict.
+// A script and a seed keep their events and their verdict.
 func TestGoldenDays(t *testing.T) {
 	var dump bytes.Buffer
 	scripts := library(t)
--- a/internal/rehearsal/emulator/server_test.go
+++ b/internal/rehearsal/emulator/server_test.go
@@ -322,7 +322,7 @@
 }
 
 func TestKeyMemory(t *testing.T) {
-	m := KeyMemory{Window: 10 * second}
+	memory := KeyMemory{Window: 10 * second}
 	for i, c := range []struct {
 		at   time.Duration
 		key  string
@@ -335,15 +335,15 @@
 		{10*second + 1, "b", false},
 		{11 * second, "b", true},
 	} {
-		if got := m.Execute(c.at, c.key); got != c.want {
+		if got := memory.Execute(c.at, c.key); got != c.want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
 	for i := range 2 * maxKeys {
-		m.Execute(12*second, fmt.Sprint(i))
+		memory.Execute(12*second, fmt.Sprint(i))
 	}
-	if len(m.executedAt) > maxKeys || len(m.order) > maxKeys {
-		t.Errorf("%d keys", len(m.executedAt))
+	if len(memory.executedAt) > maxKeys || len(memory.order) > maxKeys {
+		t.Errorf("%d keys", len(memory.executedAt))
 	}
 }
 
--- a/internal/rehearsal/experiment/experiment_test.go
+++ b/internal/rehearsal/experiment/experiment_test.go
@@ -75,12 +75,12 @@
 }
 
 func TestImpossibleDesigns(t *testing.T) {
-	m := small(t)
+	played := small(t)
 	for want, d := range map[string]Design{
 		"nothing to play":        {Loads: []float64{1}, Seeds: 1},
-		"100000 at most":         {Scenarios: []*scenario.Scenario{m}, Loads: []float64{1}, Seeds: MaxRuns + 1},
-		"load 0":                 {Scenarios: []*scenario.Scenario{m}, Loads: []float64{0}, Seeds: 1},
-		"requests, 300000 at mo": {Scenarios: []*scenario.Scenario{m}, Loads: []float64{1e6}, Seeds: 1},
+		"100000 at most":         {Scenarios: []*scenario.Scenario{played}, Loads: []float64{1}, Seeds: MaxRuns + 1},
+		"load 0":                 {Scenarios: []*scenario.Scenario{played}, Loads: []float64{0}, Seeds: 1},
+		"requests, 300000 at mo": {Scenarios: []*scenario.Scenario{played}, Loads: []float64{1e6}, Seeds: 1},
 	} {
 		if _, err := d.Play(t.Context(), nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	d := Design{Scenarios: []*scenario.Scenario{m}, Loads: []float64{1}, Seeds: 3, Workers: 2}
+	d := Design{Scenarios: []*scenario.Scenario{played}, Loads: []float64{1}, Seeds: 3, Workers: 2}
 	if _, err := d.Play(ctx, nil); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
--- a/internal/rehearsal/fleet/days_test.go
+++ b/internal/rehearsal/fleet/days_test.go
@@ -57,16 +57,18 @@
 
 // What is measured of a day is the same each time, and another with another seed.
 func TestDaysAreReproducible(t *testing.T) {
-	m, err := Day("weights")
+	day, err := Day("weights")
 	if err != nil {
 		t.Fatal(err)
 	}
 	digest := func(seed uint64) string {
-		o, err := Play(m, seed)
+		outcome, err := Play(day, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return fmt.Sprint(o.Verdict.Service, o.Verdict.ServerAttempts, o.UnansweredShare, o.Spread, o.Decisions, o.Verdict.AttemptsByServer)
+		verdict := outcome.Verdict
+		return fmt.Sprint(verdict.Service, verdict.ServerAttempts, outcome.UnansweredShare, outcome.Spread, outcome.Decisions,
+			verdict.AttemptsByServer)
 	}
 	if a, b := digest(0), digest(0); a != b {
 		t.Error("the same seed came to something else")
@@ -76,29 +78,29 @@
 	}
 }
 
-// Boxes count for the spread while they are like the others alone.
-func TestAlike(t *testing.T) {
-	m, err := Day("trials")
+// A server that has a fault is comparable before it, and again once it is warm.
+func TestComparableIntervals(t *testing.T) {
+	day, err := Day("trials")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := m.Plan(0)
+	plan := day.Plan(0)
 	hit := map[int]bool{}
-	for _, s := range p.Steps {
-		if s.Kind == scenario.ServerFault {
-			hit[s.Server] = true
+	for _, step := range plan.Steps {
+		if step.Kind == scenario.ServerFault {
+			hit[step.Server] = true
 		}
 	}
 	if len(hit) != 500 {
 		t.Fatalf("%d boxes are hit", len(hit))
 	}
-	for i, ts := range comparableIntervals(p) {
-		want := []interval{{0, p.Length}}
-		if hit[i] { // from 5 s to 13 s, and then as long as it takes to be warm
-			want = []interval{{0, 5e9}, {18e9, p.Length}}
+	for server, intervals := range comparableIntervals(plan) {
+		want := []interval{{0, plan.Length}}
+		if hit[server] { // from 5 s to 13 s, and then as long as it takes to be warm
+			want = []interval{{0, 5e9}, {18e9, plan.Length}}
 		}
-		if fmt.Sprint(ts) != fmt.Sprint(want) {
-			t.Fatalf("box %d, hit %v: %v", i, hit[i], ts)
+		if fmt.Sprint(intervals) != fmt.Sprint(want) {
+			t.Fatalf("box %d, hit %v: %v", server, hit[server], intervals)
 		}
 	}
 }
--- a/internal/rehearsal/fleet/waves_test.go
+++ b/internal/rehearsal/fleet/waves_test.go
@@ -11,23 +11,23 @@
 // Whatever restarts together, and whatever the sidecars are told of their number, no cold server collapses and no other rule is broken.
 // make soak plays 500.
 func TestAnyWave(t *testing.T) {
-	n := 40
+	waves := 40
 	if os.Getenv("SOAK") != "" {
-		n = 500
+		waves = 500
 	}
-	for i := range n {
+	for i := range waves {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			w := RandomWave(rand.New(rand.NewPCG(uint64(i), 5)))
-			s, err := w.Play()
+			wave := RandomWave(rand.New(rand.NewPCG(uint64(i), 5)))
+			result, err := wave.Play()
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range s.Verdict.Breaches[:min(3, len(s.Verdict.Breaches))] {
-				t.Errorf("%v: %v: %s (%+v)", b.At, b.Rule, b.Message, *w)
+			for _, b := range result.Verdict.Breaches[:min(3, len(result.Verdict.Breaches))] {
+				t.Errorf("%v: %v: %s (%+v)", b.At, b.Rule, b.Message, *wave)
 			}
-			if v := s.Verdict; v.InTime+v.Late+v.Rejected+v.Failed != v.Requests || v.Requests == 0 {
-				t.Errorf("%d requests, not all of which are counted: %+v", v.Requests, *w)
+			if v := result.Verdict; v.InTime+v.Late+v.Rejected+v.Failed != v.Requests || v.Requests == 0 {
+				t.Errorf("%d requests, not all of which are counted: %+v", v.Requests, *wave)
 			}
 		})
 	}
@@ -72,9 +72,9 @@
 // checkRecovery fails the test if the fleet did not recover soon after a wave.
 func checkRecovery(t *testing.T, results []*WaveResult) {
 	t.Helper()
-	for _, w := range results {
-		if use := w.Totals.RecoveryTime; use == 0 || use > 5*time.Second {
-			t.Errorf("seed %d: in full use %v after the boxes were back", w.Wave.Seed, use)
+	for _, result := range results {
+		if recovery := result.Totals.RecoveryTime; recovery == 0 || recovery > 5*time.Second {
+			t.Errorf("seed %d: in full use %v after the boxes were back", result.Wave.Seed, recovery)
 		}
 	}
 }
@@ -104,18 +104,18 @@
 // Requests with keys that must go to their cell again do not overload it when it comes back cold beside warm ones.
 func TestKeyedCallsOfAColdCell(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
-		w := RestartWave{Sidecars: sidecars, Rate: 1600, Seed: 5, Cells: 2, Keyed: true, Length: 16 * time.Second}
-		s, err := w.Play()
+		wave := RestartWave{Sidecars: sidecars, Rate: 1600, Seed: 5, Cells: 2, Keyed: true, Length: 16 * time.Second}
+		result, err := wave.Play()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d sidecars: service %.3f, %+v", sidecars, s.Verdict.Service, *s.Totals)
-		if len(s.Verdict.Breaches) > 0 || s.Totals.ColdLoad == 0 || s.Totals.ColdLoad > 0.95 || s.Verdict.Service < 0.97 {
-			t.Errorf("%d sidecars: %v, cold %.2f, service %.3f", sidecars, s.Verdict.Breaches, s.Totals.ColdLoad, s.Verdict.Service)
+		t.Logf("%d sidecars: service %.3f, %+v", sidecars, result.Verdict.Service, *result.Totals)
+		if len(result.Verdict.Breaches) > 0 || result.Totals.ColdLoad == 0 || result.Totals.ColdLoad > 0.95 || result.Verdict.Service < 0.97 {
+			t.Errorf("%d sidecars: %v, cold %.2f, service %.3f", sidecars, result.Verdict.Breaches, result.Totals.ColdLoad, result.Verdict.Service)
 		}
-		if s.Totals.MaxEjectedAttempts > 30 || s.Totals.MaxUnreachable > 40 {
+		if result.Totals.MaxEjectedAttempts > 30 || result.Totals.MaxUnreachable > 40 {
 			t.Errorf("%d sidecars: %d trials, %d attempts at a box that was not there",
-				sidecars, s.Totals.MaxEjectedAttempts, s.Totals.MaxUnreachable)
+				sidecars, result.Totals.MaxEjectedAttempts, result.Totals.MaxUnreachable)
 		}
 	}
 }
@@ -124,20 +124,20 @@
 // than their capacity do so by chance, whoever sends.
 func TestWayBackAfterFalls(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
-		w := RestartWave{
+		wave := RestartWave{
 			Sidecars: sidecars, Rate: 650, Seed: 4, RestartAfterCollapse: 2 * time.Second, OverloadFactor: 0.8, Length: 40 * time.Second,
 		}
-		s, err := w.Play()
+		result, err := wave.Play()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%d sidecars: %d falls until %v, in full use %v after",
-			sidecars, s.Totals.Collapses, s.Totals.LastCollapse, s.Totals.CollapseRecoveryTime)
-		if s.Totals.Collapses < 20 {
-			t.Errorf("%d sidecars: only %d falls: this shows nothing", sidecars, s.Totals.Collapses)
+			sidecars, result.Totals.Collapses, result.Totals.LastCollapse, result.Totals.CollapseRecoveryTime)
+		if result.Totals.Collapses < 20 {
+			t.Errorf("%d sidecars: only %d falls: this shows nothing", sidecars, result.Totals.Collapses)
 		}
-		if s.Totals.CollapseRecoveryTime == 0 || s.Totals.CollapseRecoveryTime > 8*time.Second {
-			t.Errorf("%d sidecars: in full use %v after the last fall at %v", sidecars, s.Totals.CollapseRecoveryTime, s.Totals.LastCollapse)
+		if result.Totals.CollapseRecoveryTime == 0 || result.Totals.CollapseRecoveryTime > 8*time.Second {
+			t.Errorf("%d sidecars: in full use %v after the last fall at %v", sidecars, result.Totals.CollapseRecoveryTime, result.Totals.LastCollapse)
 		}
 	}
 }
--- a/internal/rehearsal/scenario/settings.go
+++ b/internal/rehearsal/scenario/settings.go
@@ -85,7 +85,7 @@
 }
 
 // applyPairs applies keys with their values.
-func applyPairs[T any](s *Scenario, to *T, path string, keys map[string]settingKey[T], values []*value, add finding.Reporter) {
+func applyPairs[T any](scenario *Scenario, to *T, path string, keys map[string]settingKey[T], values []*value, add finding.Reporter) {
 	for i := 0; i < len(values); i += 2 {
 		var name string
 		if !values[i].readName(&name) {
@@ -99,19 +99,19 @@
 		case i+1 == len(values):
 			add(positionOf(values[i].Pos), "%s takes %s", name, k.expected)
 		default:
-			applyOne(s, to, path, name, k, values[i+1], add)
+			applyOne(scenario, to, path, name, k, values[i+1], add)
 		}
 	}
 }
 
 // applyOne applies one key with its value, unless it has been set before.
-func applyOne[T any](s *Scenario, to *T, path, name string, k settingKey[T], v *value, add finding.Reporter) {
+func applyOne[T any](scenario *Scenario, to *T, path, name string, k settingKey[T], v *value, add finding.Reporter) {
 	at := positionOf(v.Pos)
-	if old, ok := s.positions[path+name]; ok {
+	if old, ok := scenario.positions[path+name]; ok {
 		add(at, "%s%s is set twice, first in line %d", path, name, old.Line)
 		return
 	}
-	s.positions[path+name] = at
+	scenario.positions[path+name] = at
 	if !k.set(to, v) {
 		add(at, "%s takes %s", name, k.expected)
 	}
--- a/internal/standin/consul/encode.go
+++ b/internal/standin/consul/encode.go
@@ -14,11 +14,11 @@
 // encode writes instances as a resource lists them.
 func encode(resource string, instances []Instance) []byte {
 	list := []object{}
-	for instance := range instances {
+	for i := range instances {
 		if resource == resourceCatalog {
-			list = append(list, catalogEntry(&instances[instance]))
+			list = append(list, catalogEntry(&instances[i]))
 		} else {
-			list = append(list, healthEntry(&instances[instance]))
+			list = append(list, healthEntry(&instances[i]))
 		}
 	}
 	text, err := json.Marshal(list)
--- a/internal/standin/disk/file.go
+++ b/internal/standin/disk/file.go
@@ -14,7 +14,7 @@
 }
 
 // Write implements store.File.
-func (h *handle) Write(b []byte) (int, error) {
+func (h *handle) Write(data []byte) (int, error) {
 	disk := h.disk
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
@@ -22,7 +22,7 @@
 	if err != nil {
 		return 0, err
 	}
-	written := len(b)
+	written := len(data)
 	if losesPower {
 		written = rand.New(rand.NewPCG(disk.faults.tearSeed, 1)).IntN(written + 1)
 		err = ErrPowerLost
@@ -34,7 +34,7 @@
 	if disk.faults.capacity >= 0 {
 		disk.faults.capacity -= written
 	}
-	h.append(b[:written])
+	h.append(data[:written])
 	return written, err
 }
 
@@ -86,7 +86,7 @@
 }
 
 // ReadAt implements store.Reader.
-func (h *handle) ReadAt(b []byte, at int64) (int, error) {
+func (h *handle) ReadAt(buffer []byte, at int64) (int, error) {
 	disk := h.disk
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
@@ -96,12 +96,12 @@
 	if at >= int64(len(h.inode.data)) {
 		return 0, io.EOF
 	}
-	if disk.faults.shortReads && len(b) > 1 {
-		half := (len(b) + 1) / 2
-		return copy(b[:half], h.inode.data[at:]), nil
+	if disk.faults.shortReads && len(buffer) > 1 {
+		half := (len(buffer) + 1) / 2
+		return copy(buffer[:half], h.inode.data[at:]), nil
 	}
-	n := copy(b, h.inode.data[at:])
-	if n < len(b) {
+	n := copy(buffer, h.inode.data[at:])
+	if n < len(buffer) {
 		return n, io.EOF
 	}
 	return n, nil
