--- a/internal/standin/disk/file.go
+++ b/internal/standin/disk/file.go
@@ -13,28 +13,29 @@
 	inode *inode
 }
 
-func (h *handle) Write(b []byte) (int, error) {
-	d := h.disk
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	losesPower, err := d.beginOperation()
+// Write implements store.File.
+func (h *handle) Write(data []byte) (int, error) {
+	disk := h.disk
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	losesPower, err := disk.beginOperation()
 	if err != nil {
 		return 0, err
 	}
-	n := len(b)
+	written := len(data)
 	if losesPower {
-		n = rand.New(rand.NewPCG(d.faults.tearSeed, 1)).IntN(n + 1)
+		written = rand.New(rand.NewPCG(disk.faults.tearSeed, 1)).IntN(written + 1)
 		err = ErrPowerLost
 	}
-	if d.faults.capacity >= 0 && n > d.faults.capacity {
-		n = d.faults.capacity
+	if disk.faults.capacity >= 0 && written > disk.faults.capacity {
+		written = disk.faults.capacity
 		err = syscall.ENOSPC
 	}
-	if d.faults.capacity >= 0 {
-		d.faults.capacity -= n
+	if disk.faults.capacity >= 0 {
+		disk.faults.capacity -= written
 	}
-	h.append(b[:n])
-	return n, err
+	h.append(data[:written])
+	return written, err
 }
 
 // append adds bytes to the file, which are pending until the next sync.
@@ -46,21 +47,22 @@
 	h.disk.units += len(data)
 }
 
+// Sync implements store.File.
 func (h *handle) Sync() error {
 	h.waitForSyncs()
-	d := h.disk
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	losesPower, err := d.beginOperation()
+	disk := h.disk
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	losesPower, err := disk.beginOperation()
 	if err != nil {
 		return err
 	}
 	if losesPower {
 		return ErrPowerLost
 	}
-	if d.faults.failingSyncs > 0 {
-		d.faults.failingSyncs--
-		// What was to be made durable is taken for clean from now on, and is never written.
+	if disk.faults.failingSyncs > 0 {
+		disk.faults.failingSyncs--
+		// The pending writes count as written from now on, and never are.
 		h.inode.lost = append(h.inode.lost, h.inode.pending...)
 		h.inode.pending = nil
 		return syscall.EIO
@@ -83,27 +85,29 @@
 	}
 }
 
-func (h *handle) ReadAt(b []byte, at int64) (int, error) {
-	d := h.disk
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.powerLost {
+// ReadAt implements store.Reader.
+func (h *handle) ReadAt(buffer []byte, at int64) (int, error) {
+	disk := h.disk
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	if disk.powerLost {
 		return 0, ErrPowerLost
 	}
 	if at >= int64(len(h.inode.data)) {
 		return 0, io.EOF
 	}
-	if d.faults.shortReads && len(b) > 1 {
-		half := (len(b) + 1) / 2
-		return copy(b[:half], h.inode.data[at:]), nil
+	if disk.faults.shortReads && len(buffer) > 1 {
+		half := (len(buffer) + 1) / 2
+		return copy(buffer[:half], h.inode.data[at:]), nil
 	}
-	n := copy(b, h.inode.data[at:])
-	if n < len(b) {
+	n := copy(buffer, h.inode.data[at:])
+	if n < len(buffer) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
+// Size implements store.Reader.
 func (h *handle) Size() (int64, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -113,4 +117,5 @@
 	return int64(len(h.inode.data)), nil
 }
 
+// Close implements io.Closer; there is nothing to release.
 func (h *handle) Close() error { return nil }
