--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/structures/throttle"
 )
 
-// tickQuanta is how many quanta there are between two ticks, at which pending and overdue requests are looked at.
+// tickQuanta is the number of quanta between two ticks. Each tick checks the pending and the overdue requests.
 const tickQuanta = 4
 
 // Tokens of the timers that a Balancer sets.
@@ -18,69 +18,70 @@
 	timerWatch
 )
 
-// randomStream is the stream of the random generator; the seed is that of New.
+// randomStream selects the stream of the random generator. Its seed is the one that New is given.
 const randomStream = 0x6a617370
 
-// Balancer decides for one instance. It is not safe for concurrent use.
+// Balancer makes the decisions of one instance. It is not safe for concurrent use.
 type Balancer struct {
 	settings     Settings
 	host         Host
 	rng          *rand.Rand
-	rateWindow   time.Duration // over which rates are smoothed
+	rateWindow   time.Duration // the time over which rates are smoothed
 	tickInterval time.Duration
 	tickArmed    bool
-	shutdownAt   time.Duration // when this instance ends; never where that is not known
-	quotaDivisor float64       // number of instances by which limits that hold for all of them together are divided
+	shutdownAt   time.Duration // when this instance ends; never if that is not known
+	quotaDivisor float64       // the number of instances that share the limits which hold for all of them together
 
-	// Requests, from their arrival to their final answer and last outcome.
+	// Requests, from their arrival until they have both their final answer and the outcome of their last attempt.
 	requests    map[RequestID]*request
 	classes     []*class
 	quotas      quotas
-	pending     []*request                    // those that wait to be sent
-	pendingTime timeShare                     // share of recent time in which some were pending
-	backoffs    deadlinequeue.Queue[*request] // those that are pending again when their backoff is over
-	// retryElapsed is the mean time, in seconds, that had elapsed for a client when its retry came, of the retries that show it.
+	pending     []*request                    // requests that wait to be sent
+	pendingTime timeShare                     // share of recent time in which at least one request was pending
+	backoffs    deadlinequeue.Queue[*request] // requests by the end of their backoff, when they become pending again
+	// retryElapsed is the mean time, in seconds, that had elapsed for a client when its retry arrived. Only retries whose
+	// remaining time shows it are counted.
 	retryElapsed float64
 
 	// Limits.
 	inFlight    int               // attempts in flight, except those at ejected endpoints
-	concurrency concurrency       // on attempts in flight
-	sends       sendLimiter       // on the rate of sends
-	rejections  throttle.Throttle // on attempts that end without having run
+	concurrency concurrency       // limit on the attempts in flight
+	sends       sendLimiter       // limit on the rate of sends
+	rejections  throttle.Throttle // limit on the attempts that end without having run
 	retries     retryBudget
 
 	// Endpoints.
 	endpointsByID   map[EndpointID]*endpoint
-	listed          []*endpoint // in the order of their ids
-	added           []*endpoint // those that were not known before the list that is being handled
-	busy            busySet     // those that have attempts in flight
+	listed          []*endpoint // in order of their ids
+	added           []*endpoint // endpoints that the list which is being handled names for the first time
+	busy            busySet     // endpoints with attempts in flight
 	index           endpointIndex
 	subset          subset
 	pools           drawPools
-	scanLimit       int // up to so many endpoints are scanned one by one; where there are more, candidates are drawn from pools
+	scanLimit       int // the most endpoints that are scanned one by one; of more, candidates are drawn from pools
 	exhausted       exhaustion
 	candidateBuffer []*endpoint
 
-	// What endpoints are judged by.
+	// Estimates of the endpoints' speed and health.
 	weights     weightModel
 	reweighedAt time.Duration
 	outliers    outliers
 	losses      losses
-	trials      deadlinequeue.Queue[*endpoint] // ejected ones without an attempt in flight, by when a trial is due
-	slowStarts  deadlinequeue.Queue[*endpoint] // those in slow start, by when their capacity share is to be looked at again
-	// warmSendRate is the requests a second that are sent to available endpoints, for each unit of their draw weight.
+	trials      deadlinequeue.Queue[*endpoint] // ejected endpoints without attempts in flight, by the time their next trial is due
+	slowStarts  deadlinequeue.Queue[*endpoint] // endpoints in slow start, by the time their capacity share is checked next
+	// warmSendRate is the rate of requests per second to available endpoints, for each unit of their draw weight.
 	warmSendRate  decayingRate
 	noneAvailable bool // no endpoint of the subset was available at the latest tick
 
-	requestRate decayingRate // requests a second
-	servedRate  decayingRate // answers a second
+	requestRate decayingRate // requests per second
+	servedRate  decayingRate // answers per second
 
-	nextFetchAt  time.Duration // the list is not fetched again before then
-	watchBackoff time.Duration // bound of the random wait for the next subscription; it doubles with each failure
+	nextFetchAt  time.Duration // the earliest time of the next fetch of the list
+	watchBackoff time.Duration // upper bound of the random delay before the next subscription; it doubles with each failure
 }
 
-// New makes a Balancer, or returns an error that names the setting that it cannot act on. The seed is that of all its random
-// choices.
+// New returns a Balancer for the settings, or an error that names the first invalid setting. All random choices derive from the
+// seed.
 func New(settings Settings, seed uint64, host Host) (*Balancer, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -96,7 +97,7 @@
 		losses:      losses{overdueShare: 0.5},
 		index:       newEndpointIndex(), pools: drawPools{boundSlack: 1}, scanLimit: maxScanned,
 	}
-	// What is due at the same time comes in the order of ids, so that the same events give the same actions.
+	// Entries with the same deadline are handled in order of their ids, so that the same events give the same actions.
 	byID := func(a, b *endpoint) bool { return a.id < b.id }
 	balancer.slowStarts.Less, balancer.trials.Less = byID, byID
 	balancer.backoffs.Less = func(a, b *request) bool { return a.id < b.id }
@@ -106,7 +107,7 @@
 	return balancer, nil
 }
 
-// HandleTimer takes a timer that fell due.
+// HandleTimer handles a timer that has expired.
 func (b *Balancer) HandleTimer(now time.Duration, token uint64) {
 	switch token {
 	case timerTick:
@@ -118,7 +119,7 @@
 	}
 }
 
-// armTick keeps the tick going while any request is pending or in flight.
+// armTick sets the timer of the next tick while any request is pending or in flight.
 func (b *Balancer) armTick() {
 	if !b.tickArmed && len(b.requests) > 0 {
 		b.tickArmed = true
@@ -126,7 +127,7 @@
 	}
 }
 
-// handleTick looks at what time alone decides.
+// handleTick handles what the passing of time alone changes: backoffs, slow starts, and attempts without a response.
 func (b *Balancer) handleTick(now time.Duration) {
 	b.enqueueDue(now)
 	b.advanceSlowStarts(now)
@@ -140,8 +141,8 @@
 	b.dispatch(now)
 }
 
-// HandleHealthCheck takes the result of a health check; this Balancer asks for none, and passes it over.
+// HandleHealthCheck ignores the result of a health check: this Balancer requests none.
 func (b *Balancer) HandleHealthCheck(time.Duration, HealthCheckResult) {}
 
-// HandlePeerMessage takes a message of a peer; this Balancer sends none, and passes it over.
+// HandlePeerMessage ignores a message from another instance: this Balancer sends none.
 func (b *Balancer) HandlePeerMessage(_ time.Duration, _ int, _ []byte) {}
--- a/internal/balancer/class.go
+++ b/internal/balancer/class.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// This file holds what is known of a class of request: its latency, how it is served, and what an answer of it is worth.
+// This file estimates, for each class of request, its latency, the share that is answered in time, and the value of an answer.
 
 const (
 	meanLatencyWeight = 0.05 // of one answer in the mean latency
-	minWindowSamples  = 16   // answers, and one rate window, that are averaged for one step of the base latency
-	skippedWindows    = 1    // first windows that do not count
-	baseLatencyFall   = 0.3  // part of the way that base and usual latency go towards a lower mean
-	baseLatencyRise   = 0.02 // part that the base latency goes towards a higher one: little, so that an overload is not taken for normal
-	usualLatencyRise  = 0.08 // part that the usual latency goes towards a higher one
-
-	initialTailRatio = 6.0 // first guess of the latency that tailQuantile of all answers exceed, in mean latencies
-	tailQuantile     = 0.01
-	tailStep         = 0.3 // how far one answer moves that guess, in mean latencies
-
-	classHistoryRequests = 100 // requests of a class over which the share that is answered in time is remembered
-	minClassRequests     = 5   // requests of a class from which that share counts
+	minWindowSamples  = 16   // least number of answers whose mean moves the base latency; a rate window must have passed as well
+	skippedWindows    = 1    // number of first windows that no limit is based on
+	baseLatencyFall   = 0.3  // part of the difference by which base and usual latency move towards a lower mean
+	baseLatencyRise   = 0.02 // the same towards a higher mean, for the base latency: small, so that overload does not become the norm
+	usualLatencyRise  = 0.08 // the same towards a higher mean, for the usual latency
+
+	initialTailRatio = 6.0  // initial estimate of the tail latency, in mean latencies
+	tailQuantile     = 0.01 // share of the answers that take longer than the tail latency
+	tailStep         = 0.3  // how far one slow answer raises the estimate, in mean latencies
+
+	classHistoryRequests = 100 // requests of a class after which the counts of all classes are halved
+	minClassRequests     = 5   // least number of requests with which a class may be the worst-served one
 )
 
-// latencyEstimate is what was seen of a class's latency, in seconds.
+// latencyEstimate is the estimated latency of a class, in seconds.
 type latencyEstimate struct {
 	mean      float64 // smoothed; 0 before the first answer
-	base      float64 // under little load
-	usual     float64 // under the usual load: pressure is measured against it
-	tailRatio float64 // mean latencies that tailQuantile of all answers exceed
+	base      float64 // at low load
+	usual     float64 // at the usual load: the pressure is measured against it
+	tailRatio float64 // the tail latency, in mean latencies
 
-	windowSum     float64 // of the latencies in the window
-	windowSamples int     // how many latencies that is the sum of
+	windowSum     float64 // sum of the latencies in the current window
+	windowSamples int     // number of the latencies in windowSum
 	windowStart   time.Duration
-	windows       int // that have been closed
+	windows       int // number of windows that have been closed
 }
 
-// add takes an answer's latency in.
+// add records the latency of one answer, in seconds.
 func (l *latencyEstimate) add(now, window time.Duration, latency float64) {
 	if l.mean == 0 {
 		l.mean, l.base = latency, latency
 	}
-	// A stochastic quantile estimate: rare long answers lift it as much as all others together lower it.
+	// A stochastic estimate of a quantile: in equilibrium the rare slow answers raise it as much as all answers together lower
+	// it.
 	l.tailRatio -= tailStep * tailQuantile
 	if latency > (l.tailRatio+tailStep)*l.mean {
 		l.tailRatio += tailStep
@@ -56,39 +57,39 @@
 	}
 }
 
-// closeWindow moves the base and the usual latency by the mean of a window. The first window holds only the short answers of the
-// first requests, and is passed over: a base learnt from it would hold back nearly everything.
+// closeWindow moves the base and the usual latency towards the mean of a window. The first window is skipped, as it holds only
+// the short answers of the first requests: limits derived from it would hold back nearly all requests.
 func (l *latencyEstimate) closeWindow(mean float64) {
 	l.windows++
 	if l.windows <= skippedWindows+1 {
 		l.usual, l.base = mean, mean
 		return
 	}
-	// The base latency comes to lie well under the mean of a tier with little load, as it follows the lowest windows.
-	// Pressure measured against it held requests back on quiet days; so there is the usual latency, too.
+	// The base latency follows the lowest windows, and so settles well below the mean of a lightly loaded tier. Pressure measured
+	// against it held requests back at low load, hence the usual latency beside it.
 	l.usual = moveToward(l.usual, mean, usualLatencyRise)
 	l.base = moveToward(l.base, mean, baseLatencyRise)
 }
 
-// known reports whether the estimate rests on enough answers to set limits by.
+// known reports whether the estimate is based on enough answers to derive limits from it.
 func (l *latencyEstimate) known() bool { return l.windows > skippedWindows }
 
-// tail is the latency that tailQuantile of all answers exceed; 0 before the first one.
+// tail returns the latency, in seconds, that a share of tailQuantile of the answers exceeds. It is 0 before the first answer.
 func (l *latencyEstimate) tail() float64 { return l.tailRatio * l.mean }
 
-// class is a class of request with what was seen of it.
+// class is a class of request with the statistics of its requests.
 type class struct {
 	Class
 	latency     latencyEstimate
-	maxTimeLeft time.Duration // the longest that a request arrived with
-	requests    float64       // how many came lately; halved now and then
-	onTime      float64       // how many of these were answered within the latency target
-	// marginalValue is what answering one more unit of its work adds to what is optimized.
+	maxTimeLeft time.Duration // the longest remaining time that a request arrived with
+	requests    float64       // number of recent requests; it is halved from time to time
+	onTime      float64       // how many of the recent requests were answered within the latency target
+	// marginalValue is how much the optimized value rises with one more unit of this class's work that is answered.
 	marginalValue float64
 }
 
-// AddClass adds a class of request to those of Settings, and returns its index for Request.Class; requests of the others
-// go on as they are. It returns an error, and changes nothing, where New would reject the class.
+// AddClass adds a class to those of Settings and returns its index for Request.Class. Requests of other classes are not affected.
+// It returns an error, and changes nothing, for a class that New would reject.
 func (b *Balancer) AddClass(c Class) (int, error) {
 	key := classKey(len(b.classes))
 	if err := c.checkEnums(key); err != nil {
@@ -105,7 +106,8 @@
 	return len(b.classes) - 1
 }
 
-// countRequest counts a request of a class, and lets the past of all fade.
+// countRequest counts a request of a class. When the class reaches classHistoryRequests, the counts of all classes are halved, so
+// that recent requests dominate.
 func (b *Balancer) countRequest(c *class) {
 	if c.requests++; c.requests < classHistoryRequests {
 		return
@@ -116,9 +118,9 @@
 	}
 }
 
-// updateClassValues sets what answering one more unit of each class's work adds to what is optimized: its part of the total
-// value, and for the worst-served class the weight of being that. Pending requests that went by their time alone cost the class
-// of the highest value as many answers as that of the lowest.
+// updateClassValues sets the marginal value of each class: its part of the total value and, for the worst-served class, the
+// weight of being that. Pending requests that were sent in order of their time alone cost the class of the highest value as many
+// answers as that of the lowest.
 func (b *Balancer) updateClassValues() {
 	totalValue, totalWork := 0.0, 0.0
 	worst := b.classes[0]
@@ -140,13 +142,13 @@
 	}
 }
 
-// worseServedThan reports whether a smaller share of the class's requests is answered in time than of another's. Both must have
-// some.
+// worseServedThan reports whether a smaller share of this class's requests than of another's is answered in time. Both classes
+// must have requests.
 func (c *class) worseServedThan(other *class) bool {
 	return c.onTime*other.requests < other.onTime*c.requests
 }
 
-// valueDensity is the value of a unit of a class's work, which is taken to be as its latency.
+// valueDensity returns the value of a class for each unit of its work, for which its mean latency stands.
 func (b *Balancer) valueDensity(c *class) float64 {
 	if b.settings.ValuePerWorkUnit || c.latency.mean == 0 {
 		return c.Value
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// This file limits what may be in flight: here and at one endpoint, and the queue that endpoints may hold.
+// This file limits the attempts in flight, in total and at each endpoint, and adapts the queue that endpoints may hold.
 //
-// In flight there may be what is answered at base latency, and a queue: so many requests for each endpoint and tier from here on,
-// no more than a share of the first, and none that would use up the time to the latency target. More only waits there instead of
-// here, is answered late, and may saturate endpoints.
+// The limit is the number of attempts in flight at base latency, and a queue: a number of requests for each endpoint and each
+// tier from here on, at most a share of the attempts at base latency, and none that would use up the time to the latency target.
+// Requests beyond that would only wait at the endpoints instead of here, be answered late, and might saturate endpoints.
 
 const (
 	// The queue that endpoints may hold, in requests for each endpoint and tier.
 	initialQueue      = 0.75
-	minQueue          = 0.6   // so little never saturated an endpoint
-	maxQueue          = 1.6   // more only delays
-	queueGrowth       = 0.012 // part that the queue grows by in a rate window in which requests were pending
-	queueShrinkFactor = 0.6   // part that is left when an endpoint saturates
-	saturatedRatio    = 1.7   // an endpoint is saturated from so many times its kind's latency on
-	recoveredRatio    = 1.3   // a saturated endpoint has recovered below so many times its kind's latency
-
-	maxQueueShare           = 0.8 // of what is answered at base latency
-	targetShare             = 0.5 // of the time from base latency to latency target; the rest is for slow answers
+	minQueue          = 0.6   // a queue this short has never saturated an endpoint
+	maxQueue          = 1.6   // a longer queue only adds delay
+	queueGrowth       = 0.012 // relative growth of the queue in a rate window in which requests were pending
+	queueShrinkFactor = 0.6   // factor of the queue when an endpoint saturates
+	saturatedRatio    = 1.7   // an endpoint is saturated above this multiple of its kind's latency
+	recoveredRatio    = 1.3   // a saturated endpoint has recovered below this multiple of its kind's latency
+
+	maxQueueShare           = 0.8 // of the attempts in flight at base latency
+	targetShare             = 0.5 // of the time from base latency to latency target; the rest is a reserve for slow answers
 	initialCallsPerEndpoint = 5.0 // the limit while no latency is known, for each listed endpoint, divided by the instances
-	minCallsPerEndpoint     = 1.2 // the least limit later, counted in the same way
-	concurrencySlack        = 2.0 // requests that any endpoint, and the fleet, may hold beyond its share
-	maxEndpointShare        = 1.5 // of an even share of the limit, that one endpoint may hold
-
-	// How many attempts may end without having run (updateRejectionThrottle): what answers earn, a reserve, and what is earned by time,
-	// which is the more of rejectionsPerEndpoint and rejectionShare.
-	maxRejectionsPerResponse = 0.6 // earned by one answer, at most
-	rejectionReserve         = 1.0 // beyond the limit on what is in flight, while nothing is answered
+	minCallsPerEndpoint     = 1.2 // the least limit once a latency is known, in the same unit
+	concurrencySlack        = 2.0 // requests beyond its share that each endpoint, and the fleet, may hold
+	maxEndpointShare        = 1.5 // most of the limit that one endpoint may hold, in even shares
+
+	// The budget of attempts that may end without having run (updateRejectionThrottle): what each answer earns, a reserve, and
+	// what time earns, which is the larger of rejectionsPerEndpoint and rejectionShare.
+	maxRejectionsPerResponse = 0.6 // most that one answer earns
+	rejectionReserve         = 1.0 // beyond the limit on attempts in flight, while nothing is answered
 	rejectionsPerEndpoint    = 1.0 // by all instances together, for each endpoint and rate window
-	rejectionShare           = 0.2 // of what was answered at the best rate of late
+	rejectionShare           = 0.2 // of the recent peak rate of answers
 )
 
 // concurrency limits the attempts in flight.
 type concurrency struct {
 	limit          float64
-	base           decayingRate // base latencies answered a second: the attempts in flight at little load
-	target         decayingRate // the same for the time from base latency to the latency target
-	queue          float64      // requests that may queue for each endpoint and tier
+	base           decayingRate // base latencies answered per second, which is the number of attempts in flight at low load
+	target         decayingRate // the same for targetShare of the time from base latency to latency target
+	queue          float64      // requests that may queue, for each endpoint and tier
 	queueChangedAt time.Duration
 }
 
-// record takes in an answer to a request of a class.
+// record records the answer to a request of a class.
 func (c *concurrency) record(now, window time.Duration, of *class) {
 	base := of.latency.base
 	c.base.add(now, window, base)
 	c.target.add(now, window, targetShare*max(of.LatencyTarget.Seconds()-base, 0))
 }
 
-// adaptQueue moves the queue that endpoints may hold. What one bears before it saturates is nowhere to be learnt: the queue
-// grows while requests are pending here, and shrinks when an endpoint turns far slower than its kind.
+// adaptQueue adapts the queue that endpoints may hold. The queue at which an endpoint saturates is not known in advance, so the
+// queue grows while requests are pending here, and shrinks when an endpoint becomes far slower than its kind.
 func (c *concurrency) adaptQueue(now, window time.Duration, ep *endpoint, kindLatency float64, pending bool) {
-	rested := ep.latency.samples*endpointLatencyWeight > 0.99 // its latency rests on as many answers as it may
+	rested := ep.latency.samples*endpointLatencyWeight > 0.99 // its latency is based on the full number of answers
 	saturated := rested && ep.latency.mean > saturatedRatio*kindLatency
 	if saturated && !ep.saturated {
 		c.queue = max(c.queue*queueShrinkFactor, minQueue)
@@ -66,15 +66,15 @@
 	}
 }
 
-// updateLimits brings all limits up to a time.
+// updateLimits updates all limits to the given time.
 func (b *Balancer) updateLimits(now time.Duration) {
 	b.sends.refill(now)
 	b.updateConcurrency(now)
 	b.updateRejectionThrottle(now)
 }
 
-// updateConcurrency sets the limit on what is in flight: what is answered at base latency at the best rate of late, and a queue.
-// It has a floor, for requests that got stuck would else lower rate and limit in turn, without end.
+// updateConcurrency sets the limit on attempts in flight: the recent peak of attempts at base latency, and a queue. It has a
+// floor, because attempts that are stuck would otherwise lower the rate and the limit in turn, without end.
 func (b *Balancer) updateConcurrency(now time.Duration) {
 	c := &b.concurrency
 	floor := b.perInstance(minCallsPerEndpoint, float64(b.settings.Instances))
@@ -88,13 +88,15 @@
 	c.limit = max(base+queue+concurrencySlack, floor)
 }
 
-// updateRejectionThrottle bounds the attempts that never run. Those that are rejected or find no connection go on to the next
-// endpoint at once, so the sum of all instances' was the requests times MaxAttempts where all endpoints were full, and each
-// instance learns by an attempt of its own which are: endpoints in slow start failed under requests that they had rejected.
+// updateRejectionThrottle limits the attempts that never run. An attempt that is rejected or gets no connection is repeated at
+// the next endpoint at once. With all endpoints full, the attempts of all instances added up to MaxAttempts times the requests,
+// and each instance finds out by its own attempts which endpoints are full: endpoints in slow start failed under requests that
+// they had rejected.
 //
-// What answers earn adds up to the answers, and what is allowed without them is a part of the list's length for each instance, or
-// of what it had answered, so that endpoints that recover are soon found. It goes by the bound of endpoints in slow start whether
-// or not the list says that they are: lists come late, and know little at first.
+// The budget is earned in proportion to answers. What is allowed without answers is proportional to the endpoints for each
+// instance, or to the recent peak rate of answers, so that endpoints that recover are soon found. The overload limit of endpoints
+// in slow start (OverloadMultiple) applies whether or not the list shows any in slow start, since lists arrive late and are
+// incomplete at first.
 func (b *Balancer) updateRejectionThrottle(now time.Duration) {
 	endpoints := float64(len(b.listed)) / b.quotaDivisor
 	if endpoints <= 0 {
@@ -105,7 +107,7 @@
 	b.rejections.Update(now, rate, first, b.concurrency.limit+rejectionReserve)
 }
 
-// latenciesKnown reports whether the base latencies rest on enough to set limits by.
+// latenciesKnown reports whether the base latency of any class is known well enough to derive limits from it.
 func (b *Balancer) latenciesKnown() bool {
 	for _, c := range b.classes {
 		if c.latency.known() {
@@ -115,12 +117,13 @@
 	return false
 }
 
-// perInstance is a number of requests for each listed endpoint, divided among instances.
+// perInstance returns the part of one instance when each listed endpoint may hold a number of calls, and concurrencySlack beyond
+// it.
 func (b *Balancer) perInstance(calls, instances float64) float64 {
 	return concurrencySlack + calls*float64(len(b.listed))/instances
 }
 
-// limitReached reports whether nothing more may be sent for now.
+// limitReached reports whether a limit keeps all requests from being sent at present.
 func (b *Balancer) limitReached() bool {
 	return float64(b.inFlight-b.losses.inFlight) >= b.concurrency.limit || !b.sends.allows() || !b.rejections.Allowed()
 }
@@ -133,9 +136,10 @@
 	return float64(ep.outstanding(now)-ep.lostCalls) < b.maxOutstanding(now, ep)
 }
 
-// maxOutstanding is how many of this instance's requests one endpoint may hold: maxEndpointShare times its even share of the limit on
-// what is in flight, less if it is slower than the fleet, and concurrencySlack more. In slow start it is a part of that: an endpoint
-// that held as many requests as an available one would answer none of them in time. It is concurrencySlack at least.
+// maxOutstanding returns how many of this instance's requests one endpoint may hold: maxEndpointShare times its even share of the
+// limit on attempts in flight, less if it is slower than the fleet, and concurrencySlack more. In slow start it is the capacity
+// share of that, as an endpoint that held as many requests as an available one would answer none of them in time. It is never
+// below concurrencySlack.
 func (b *Balancer) maxOutstanding(now time.Duration, ep *endpoint) float64 {
 	share := maxEndpointShare * b.concurrency.limit / max(b.subset.size, 1)
 	limit := share/b.weights.latencyRatio(ep) + concurrencySlack
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// This file follows the endpoint list, and decides when lists are asked for.
+// This file applies updates of the endpoint list, and decides when lists are fetched.
 
 const (
-	fetchIntervalShare   = 0.5  // of ResubscribeInterval (or SlowStartWindow): the pace of fetches after broken connections
-	maxConcurrentFetches = 16.0 // of these, by all instances in that time
-	watchSpreadShare     = 0.05 // of ResubscribeInterval: spread of the first subscription; it doubles with each failure
+	fetchIntervalShare   = 0.5  // of ResubscribeInterval (or SlowStartWindow): mean time between fetches after broken connections
+	maxConcurrentFetches = 16.0 // fetches by all instances in that time, on average
+	watchSpreadShare     = 0.05 // of ResubscribeInterval: bound of the random delay of the first subscription; it doubles with each failure
 )
 
-// HandleEndpoints takes an update of the endpoint list.
+// HandleEndpoints handles an update of the endpoint list.
 func (b *Balancer) HandleEndpoints(now time.Duration, list EndpointList) {
 	if list.Kind == ListFailed {
 		b.scheduleWatch()
@@ -43,7 +43,7 @@
 	b.armTick()
 }
 
-// applyEntry takes one line of a list.
+// applyEntry applies one entry of a list.
 func (b *Balancer) applyEntry(now time.Duration, version uint64, entry ListEntry) {
 	ep := b.endpointsByID[entry.Endpoint]
 	if ep == nil {
@@ -73,15 +73,15 @@
 	}
 }
 
-// syncList brings the list in line with the endpoints that an update named, and forgets those that are gone; those with attempts
-// in flight are held on to by these.
+// syncList updates the list of endpoints after the entries of an update have been applied, and forgets endpoints that were
+// removed. Requests with attempts in flight keep a reference to their endpoint.
 func (b *Balancer) syncList(now time.Duration, list EndpointList) {
 	if list.Kind == ListDelta && len(list.Entries) <= maxScanned {
 		b.syncNamed(now, list.Entries)
 	} else {
 		b.syncAll(now)
 	}
-	clear(b.added) // let go of them
+	clear(b.added) // so that the buffer keeps no endpoint reachable
 	b.added = b.added[:0]
 	if differ := b.index.weightsDiffer(); differ != b.weights.useListed {
 		b.weights.useListed = differ
@@ -89,12 +89,12 @@
 	}
 }
 
-// syncNamed syncs the list with a few endpoints, in the order of their ids.
+// syncNamed updates the list by the few endpoints that an update names. The list stays in order of the ids.
 func (b *Balancer) syncNamed(now time.Duration, entries []ListEntry) {
 	for _, entry := range entries {
 		ep := b.endpointsByID[entry.Endpoint]
 		switch {
-		case ep == nil: // named twice, and gone
+		case ep == nil: // named twice, and already forgotten
 		case ep.listed:
 			b.listed = insertSorted(b.listed, ep)
 		default:
@@ -104,7 +104,7 @@
 	}
 }
 
-// syncAll syncs the list with all endpoints.
+// syncAll updates the list by all known endpoints.
 func (b *Balancer) syncAll(now time.Duration) {
 	b.listed = append(b.listed, b.added...)
 	b.listed = slices.DeleteFunc(b.listed, func(ep *endpoint) bool {
@@ -118,14 +118,15 @@
 	}
 }
 
-// forget drops an endpoint that is listed no more.
+// forget removes an endpoint that is no longer listed.
 func (b *Balancer) forget(now time.Duration, ep *endpoint) {
 	b.index.countWeight(ep)
 	b.startDraining(now, ep)
 	delete(b.endpointsByID, ep.id)
 }
 
-// scheduleWatch subscribes after a backoff that doubles with each failure, spread so that not all ask at once.
+// scheduleWatch subscribes to the list after a random delay, so that instances do not subscribe at the same time. The bound of
+// the delay doubles with each failure.
 func (b *Balancer) scheduleWatch() {
 	if !b.settings.MustSubscribe {
 		return
@@ -135,9 +136,9 @@
 	b.host.SetTimer(timerWatch, seconds(b.watchBackoff.Seconds()*b.rng.Float64()))
 }
 
-// fetchPaced asks for a fresh list after a broken connection, at a pace. What breaks breaks for many instances at once, and
-// discovery is one service for all: of more than maxConcurrentFetches so many ask on average, by lot. The others hear of it as of
-// any change.
+// fetchPaced fetches the list after a broken connection, at a limited rate. A failure may concern many instances at once, and
+// they share one discovery service: of more than maxConcurrentFetches instances, that many fetch on average, chosen at random.
+// The others get the change with the next update of the list.
 func (b *Balancer) fetchPaced(now time.Duration) {
 	if now < b.nextFetchAt {
 		return
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -7,8 +7,8 @@
 
 // This file sends pending requests to endpoints.
 
-// dispatch sends pending requests, in the order of their priority, while the limits allow it, and sheds those that cannot be sent
-// in time.
+// dispatch sends pending requests, in order of their priority, while the limits allow it, and sheds those that cannot be sent in
+// time.
 func (b *Balancer) dispatch(now time.Duration) {
 	b.enqueueDue(now)
 	b.advanceSlowStarts(now)
@@ -27,14 +27,14 @@
 	b.shedLoad(now)
 }
 
-// dispatchNext sends one pending request; false if none can go anywhere.
+// dispatchNext sends one pending request. It reports false if no endpoint can take any.
 func (b *Balancer) dispatchNext(now time.Duration) bool {
 	first := b.nextPending(now)
 	if b.dispatchTo(now, first) {
 		return true
 	}
-	// A retry is bound to a group of endpoints, or barred from one, and may have nowhere to go where another request has. A
-	// first attempt that has nowhere to go says the same of all others.
+	// A retry is bound to a group of endpoints, or excluded from one, and may find no endpoint where another request does. If a
+	// first attempt finds none, no other request does.
 	if req := b.pending[first]; req.attempts == 0 && !req.mayHaveRun {
 		return false
 	}
@@ -46,7 +46,7 @@
 	return false
 }
 
-// dispatchTo sends the i-th pending request, if an endpoint has capacity for it.
+// dispatchTo sends the i-th pending request and reports whether an endpoint had capacity for it.
 func (b *Balancer) dispatchTo(now time.Duration, i int) bool {
 	req := b.pending[i]
 	ep, trial := b.pick(now, req)
@@ -58,7 +58,7 @@
 	return true
 }
 
-// send makes an attempt.
+// send sends an attempt of a request to an endpoint.
 func (b *Balancer) send(now time.Duration, req *request, ep *endpoint, trial bool) {
 	req.endpoint, req.sentAt, req.trial = ep, now, trial
 	req.responsesAtSend = b.outliers.responses
@@ -81,8 +81,8 @@
 	b.host.Send(req.id, ep.id, b.timeout(now, req))
 }
 
-// timeout is how long an attempt may take; 0 for until the client's deadline. Where attempts cannot be cancelled, one that may be
-// retried ends once it is unresponsive.
+// timeout returns how long an attempt may take, or 0 for no limit but the client's deadline. Where attempts cannot be cancelled,
+// an attempt that may be retried times out when its endpoint would count as unresponsive.
 func (b *Balancer) timeout(now time.Duration, req *request) time.Duration {
 	timeout := req.attemptTimeout
 	if !b.settings.MayCancel && req.class.Idempotency != NonIdempotent {
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -5,74 +5,74 @@
 	"time"
 )
 
-// availability is what an endpoint is open to. The order counts: up to warmingUp it gets requests like any other.
+// availability says which requests an endpoint may get. The order of the values matters: up to warmingUp it may get any request.
 type availability uint8
 
 const (
 	available availability = iota
 	warmingUp              // in slow start: drawn less often
-	ejected                // gets trial requests alone
-	draining               // draining or removed: gets nothing new
+	ejected                // gets only trial requests
+	draining               // draining or removed: gets no new requests
 )
 
-// endpoint is what this instance knows of one endpoint.
+// endpoint is the state that this instance keeps of one endpoint.
 type endpoint struct {
 	id           EndpointID
 	zone, cell   int
-	kind         int     // of its machine
-	listedWeight float64 // its size, compared with others'
+	kind         int     // its machine kind
+	listedWeight float64 // its size relative to other endpoints
 	listed       bool
-	startedAt    time.Duration // its process, as listed
-	listVersion  uint64        // of the list that named it last
+	startedAt    time.Duration // start of its process, as listed
+	listVersion  uint64        // of the latest list that names it
 
 	availability availability
-	index        indexEntry    // where the index has it
-	subsetWeight float64       // the part of its weight that is in this instance's subset; 0 outside of it
-	scanWeight   float64       // its draw weight times its share of capacity, in the draw that is made
-	latency      movingAverage // of its answers, over the mean of their class
-	serviceTime  movingAverage // that it reports, in seconds
+	index        indexEntry    // its position in the index
+	subsetWeight float64       // the part of its weight that is in this instance's subset; 0 if it is outside of it
+	scanWeight   float64       // draw weight times capacity share; valid during one draw
+	latency      movingAverage // latency of its answers, in mean latencies
+	serviceTime  movingAverage // service time that it reports, in seconds
 
-	calls          []*request      // own attempts in flight, oldest first
-	busyIndex      int             // its place among those that have some, from 1; 0 if it has none
-	lostCalls      int             // own attempts in flight that it will hardly answer
-	penalties      []time.Duration // until when each of its failed attempts counts as in flight
+	calls          []*request      // this instance's attempts in flight, oldest first
+	busyIndex      int             // its position in the busySet, from 1; 0 if it is not in it
+	lostCalls      int             // how many of calls will probably not be answered
+	penalties      []time.Duration // for each recent failed attempt, until when it counts as in flight
 	lastResponseAt time.Duration
-	rejectsUntil   time.Duration // it rejected a request: passed over until then
-	saturated      bool          // far slower than its kind, and not yet recovered
+	rejectsUntil   time.Duration // it gets no requests until then, as it rejected one
+	saturated      bool          // it became far slower than its kind, and has not recovered since
 	errorRate      float64       // smoothed share of answers that are errors
 	lossRate       float64       // smoothed share of attempts that it lost
 
-	connectionBroke bool // it may have restarted, and begin with a slow start
+	connectionBroke bool // its process may have restarted; after a trial it begins a complete slow start
 	trialAt         time.Duration
 	trialBackoff    time.Duration
 
 	slowStartFrom     time.Duration
-	slowStartTokens   float64 // requests it may get now, in slow start
+	slowStartTokens   float64 // requests that it may get at slowStartTokensAt, in slow start
 	slowStartTokensAt time.Duration
 }
 
-// matches reports whether a list has the same of an endpoint as before, but for its state.
+// matches reports whether an entry of a list has the zone, cell, machine kind and weight that are known of an endpoint.
 func (e *endpoint) matches(entry ListEntry) bool {
 	return e.zone == entry.Zone && e.cell == entry.Cell && e.kind == max(entry.MachineKind, 0) &&
 		e.listedWeight == max(entry.Weight, 0)
 }
 
-// outstanding is the number of own attempts in flight, with those that failed a short while ago: few in flight must not draw
-// requests to an endpoint that fails fast, and work that timed out may still run there.
+// outstanding returns the number of own attempts in flight, including those that failed recently: an endpoint that fails fast
+// must not attract requests by its few attempts in flight, and work that timed out may still run there.
 func (e *endpoint) outstanding(now time.Duration) int {
 	e.penalties = slices.DeleteFunc(e.penalties, func(until time.Duration) bool { return until <= now })
 	return len(e.calls) + len(e.penalties)
 }
 
-// penalize counts a failed attempt as in flight for a number of base latencies more.
+// penalize counts a failed attempt as in flight for the given number of base latencies.
 func (e *endpoint) penalize(now time.Duration, c *class, baseLatencies float64) {
 	e.penalties = append(e.penalties, now+seconds(baseLatencies*c.latency.base))
 }
 
-// busySet is the endpoints with attempts in flight, in no order.
+// busySet is the set of endpoints with attempts in flight, in no particular order.
 type busySet []*endpoint
 
-// update puts an endpoint in or takes it out, as its attempts in flight are.
+// update adds an endpoint to the set if it has attempts in flight, and removes it otherwise.
 func (s *busySet) update(ep *endpoint) {
 	switch busy := len(ep.calls) > 0; {
 	case busy && ep.busyIndex == 0:
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// RequestID names a request; the Balancer returns it unchanged.
+// RequestID identifies a request. The Balancer does not interpret it.
 type RequestID string
 
-// EndpointID names an endpoint. Where it stays the same when the endpoint's process restarts, ListEntry.StartedAt tells of that; the mesh
-// gives each start a number of its own.
+// EndpointID identifies an endpoint. If an endpoint keeps its id when its process restarts, ListEntry.StartedAt shows the
+// restart. In the mesh each start has an id of its own.
 type EndpointID uint32
 
-// Request is one client request as it arrives.
+// Request is a client's request when it arrives.
 type Request struct {
 	ID              RequestID
-	Class           int           // index in Settings.Classes, or what AddClass returned
+	Class           int           // index in Settings.Classes, or as returned by AddClass
 	Tenant          int           // index in Settings.Tenants
-	Key             string        // what the request concerns; may be empty
-	TimeLeft        time.Duration // until the client gives this attempt up
-	WorkHint        time.Duration // expected work, where given
-	Retry           bool          // the client marks it as a retry of its own
-	Write           bool          // it changes something
-	IdleConnections int           // from callers to this instance, beside the one of this request
-
-	Exclude        *EndpointID   // the endpoint that its first attempt avoids, nil for none
-	ValueFactor    float64       // its value over that of others of its class, 0 for 1
-	MaxAttempts    int           // 0 for as many as Settings allow
-	AttemptTimeout time.Duration // of one attempt, 0 for none of its own
+	Key             string        // the key of the data that the request concerns; may be empty
+	TimeLeft        time.Duration // until the client abandons this attempt
+	WorkHint        time.Duration // expected work; 0 if unknown
+	Retry           bool          // the client marked it as a retry
+	Write           bool          // it modifies data
+	IdleConnections int           // from callers to this instance, without the connection of this request
+
+	Exclude        *EndpointID   // the endpoint that the first attempt avoids; nil for none
+	ValueFactor    float64       // its value relative to other requests of its class; 0 for 1
+	MaxAttempts    int           // 0 for the limit of Settings
+	AttemptTimeout time.Duration // of each attempt; 0 for none beside the deadline
 
 	Prior PriorAttempt
 }
 
-// PriorAttempt is what is remembered of an attempt at the same request from before: of an earlier retry of the client, or of an
-// earlier incarnation of this instance. The zero value says nothing.
+// PriorAttempt is what is known of an earlier attempt at the same request, by an earlier retry of the client or an earlier
+// incarnation of this instance. The zero value means that nothing is known.
 type PriorAttempt struct {
 	MayHaveRun bool
-	Served     bool // an answer to it was served
+	Served     bool // the client was given an answer to it
 	Zone, Cell int  // of the endpoint, when it was sent
 	SentAt     time.Duration
 }
 
-// Status is how an attempt or a health check ended.
+// Status is the result of an attempt or of a health check.
 type Status int
 
-// The outcomes of an attempt.
+// The statuses of an attempt.
 const (
 	StatusOK              Status = iota
 	StatusError                  // answered with an error; may have run
@@ -51,7 +51,7 @@
 	StatusReset                  // the connection broke; may have run
 	StatusCancelled              // cancelled by this instance; may have run
 	StatusNotSent                // never sent
-	StatusInvalidResponse        // the response is of no use, or its connection alone broke; may have run
+	StatusInvalidResponse        // the response was unusable, or only the connection of this attempt broke; may have run
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
@@ -59,28 +59,28 @@
 	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent
 }
 
-// Load is an endpoint's load report; a field that was not reported is negative.
+// Load is an endpoint's load report. A negative field was not reported.
 type Load struct {
 	InFlight    float64
 	Queue       float64
-	Utilization float64       // 1 for all of its capacity
-	ServiceTime time.Duration // of late, without waiting
+	Utilization float64       // 1 if all of its capacity is used
+	ServiceTime time.Duration // recent, without time in queues
 }
 
-// Outcome is the end of one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	ID       RequestID
 	Endpoint EndpointID
 	Attempt  int  // from 0
-	Final    bool // the request is finished, by this outcome or before it
+	Final    bool // the host has finished the request, with this outcome or before
 	Elapsed  time.Duration
 	Status   Status
 	Load     *Load         // nil without a report
-	NoRetry  bool          // no further attempt may be made, whatever the class allows
-	Backoff  time.Duration // before a further attempt
+	NoRetry  bool          // the request must not be sent again, even if its class permits it
+	Backoff  time.Duration // delay before a further attempt
 }
 
-// HealthCheckResult is the outcome of a health check.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	Endpoint EndpointID
 	Status   Status
@@ -94,33 +94,33 @@
 // The states of a listed endpoint.
 const (
 	EndpointReady    EndpointState = iota
-	EndpointDraining               // finishes its work; gets nothing new
+	EndpointDraining               // finishes its requests; gets no new ones
 	EndpointRemoved                // only in deltas
 )
 
-// ListEntry is one line of the endpoint list.
+// ListEntry is one entry of the endpoint list.
 type ListEntry struct {
 	Endpoint    EndpointID
 	Zone        int
 	MachineKind int
 	Cell        int
 	State       EndpointState
-	Weight      float64       // its size beside others'; 0 where it is not known
-	StartedAt   time.Duration // latest start of its process, on the event clock; 0 for long past
+	Weight      float64       // its size relative to other endpoints; 0 if unknown
+	StartedAt   time.Duration // latest start of its process, on the clock of the events; 0 if long ago
 }
 
-// ListKind says how a list is to be read.
+// ListKind says what the entries of a list stand for.
 type ListKind int
 
 // The kinds of list.
 const (
 	ListDelta  ListKind = iota // only entries that changed
-	ListFull                   // every endpoint there is
-	ListCached                 // every endpoint, as this instance last knew them
-	ListFailed                 // no list could be fetched; the old one stands
+	ListFull                   // all endpoints
+	ListCached                 // all endpoints, as this instance last knew them
+	ListFailed                 // the fetch failed; the previous list stays in use
 )
 
-// EndpointList is what discovery says of the endpoints.
+// EndpointList is an update of the endpoint list.
 type EndpointList struct {
 	Kind    ListKind
 	Version uint64
