--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -2,10 +2,10 @@
 // when a request waits, is rejected or fails, and which of the listed endpoints an instance calls.
 //
 // Like the raft package of etcd it does no input or output, reads no clock and starts no goroutine. The program that embeds it
-// hands over each event with its time, counted from an arbitrary start that never goes back, and carries out the actions that the
-// Balancer asks for through its Host, in that order. The same seed and the same events give the same actions.
+// passes each event with its time, which is measured from an arbitrary start and never decreases, and carries out the actions that
+// the Balancer requests through its Host, in the same order. The same seed and the same events give the same actions.
 //
-// # The way of a request
+// # The path of a request
 //
 //	HandleRequest ── quota.go ── shutdown.go ──┬─► Host.Reject, Host.Fail
 //	      │                                    │
@@ -34,11 +34,12 @@
 // # Units
 //
 // Durations are time.Duration; the package's own averages of latencies are float64 in seconds, rates are per second, and ratios
-// and shares have no unit. "Mean latencies" as a unit are multiples of the mean latency of a request's class.
+// and shares have no unit. A time "in mean latencies" is a multiple of the mean latency of a request's class; base and tail
+// latencies serve as units in the same way.
 //
 // # What it does not do
 //
-// A Balancer is not safe for concurrent use. It learns of other instances only what Settings and UpdateGroup say, and exchanges
-// no messages with them: limits that all instances share are divided by their number. It sends no health checks of its own
-// (outliers are found by the outcomes of requests) and no hedged requests; a program that sends these does so itself.
+// A Balancer is not safe for concurrent use. It knows of other instances only what Settings and UpdateGroup state, and exchanges
+// no messages with them: limits that all instances share are divided by their number. It sends no health checks (outliers are
+// detected by the outcomes of requests) and no hedged requests; a program that needs these sends them itself.
 package balancer
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -8,33 +8,34 @@
 	"quincegap/internal/structures/weightedring"
 )
 
-// This file keeps the listed endpoints where decisions find them without a walk over the list; it decides nothing. An endpoint is
-// refreshed after each change of what its place depends on: its availability, its part in the subset, its latency.
+// This file keeps the listed endpoints in the forms that decisions need, so that none has to walk the list. It makes no
+// decisions. An endpoint is refreshed after each change of what its position depends on: its availability, its part in the
+// subset, its latency.
 
-// endpointIndex has the endpoints that requests may go to: all that are listed and do not drain.
+// endpointIndex holds the endpoints that may get requests: those that are listed and not draining.
 type endpointIndex struct {
-	ordered weightedring.Ring[*endpoint] // by id, with the weights that subsets go by
-	byCell  map[int][]*endpoint          // in the order of their ids
-	perZone map[int]int                  // how many are in each
+	ordered weightedring.Ring[*endpoint] // by id, with the weights that subsets are divided by
+	byCell  map[int][]*endpoint          // each in order of the ids
+	perZone map[int]int                  // number of endpoints in each zone
 
-	weightCounts map[float64]int // listed weights, and how many listed endpoints have each
-	all          []*endpoint     // buffer for a list of all
+	weightCounts map[float64]int // number of listed endpoints with each listed weight
+	all          []*endpoint     // buffer of everyone
 }
 
-// indexEntry is where the index has an endpoint.
+// indexEntry is the position of an endpoint in the index and in the pools.
 type indexEntry struct {
-	indexed bool // in ordered, byCell and perZone
-	cell    int
-	zone    int
+	indexed bool // it is in ordered, byCell and perZone
+	cell    int  // under which byCell has it
+	zone    int  // under which perZone counts it
 
 	weight float64 // the listed weight under which weightCounts counts it
 	listed bool    // weightCounts counts it
 
-	pool, slot      int
-	pooled          bool
-	bound           float64 // of its draw weight, in the pool
-	availableWeight float64 // its draw weight, as it was added to drawPools.availableWeight
-	previousWeight  float64 // its subsetWeight, before the subset was worked out again
+	pool, slot      int     // its pool and its slot there, if it is pooled
+	pooled          bool    // it is in a pool
+	bound           float64 // upper bound of its draw weight, in the pool
+	availableWeight float64 // the draw weight that drawPools.availableWeight includes for it
+	previousWeight  float64 // its subsetWeight before the subset was computed again
 }
 
 func newEndpointIndex() endpointIndex {
@@ -43,7 +44,7 @@
 
 func compareIDs(a, b *endpoint) int { return cmp.Compare(a.id, b.id) }
 
-// insertSorted puts an endpoint into a list in the order of ids, if it is not there.
+// insertSorted inserts an endpoint into a list that is in order of the ids, unless it is there already.
 func insertSorted(list []*endpoint, ep *endpoint) []*endpoint {
 	i, found := slices.BinarySearchFunc(list, ep, compareIDs)
 	if found {
@@ -52,7 +53,7 @@
 	return slices.Insert(list, i, ep)
 }
 
-// removeSorted takes an endpoint out of a list in the order of ids, if it is there.
+// removeSorted removes an endpoint from a list that is in order of the ids, if it is there.
 func removeSorted(list []*endpoint, ep *endpoint) []*endpoint {
 	if i, found := slices.BinarySearchFunc(list, ep, compareIDs); found {
 		return slices.Delete(list, i, i+1)
@@ -60,16 +61,16 @@
 	return list
 }
 
-// len is how many endpoints there are.
+// len returns the number of endpoints in the index.
 func (i *endpointIndex) len() int { return i.ordered.Len() }
 
-// everyone is all of them, in the order of their ids. The list is good until the next call.
+// everyone returns all endpoints in order of their ids. The list is valid until the next call.
 func (i *endpointIndex) everyone() []*endpoint {
 	i.all = i.ordered.Append(i.all[:0])
 	return i.all
 }
 
-// countWeight notes an endpoint's listed weight.
+// countWeight updates weightCounts by an endpoint's listed weight.
 func (i *endpointIndex) countWeight(ep *endpoint) {
 	if ep.index.listed && (!ep.listed || ep.index.weight != ep.listedWeight) {
 		if i.weightCounts[ep.index.weight]--; i.weightCounts[ep.index.weight] == 0 {
@@ -83,12 +84,12 @@
 	}
 }
 
-// weightsDiffer reports whether the listed weights are all above 0 and tell endpoints apart.
+// weightsDiffer reports whether the listed weights are all above 0 and not all equal.
 func (i *endpointIndex) weightsDiffer() bool {
 	return len(i.weightCounts) > 1 && i.weightCounts[0] == 0
 }
 
-// put takes an endpoint in with a weight, or notes its move to another cell, zone or weight.
+// put inserts an endpoint with a weight, or records its move to another cell, zone or weight.
 func (i *endpointIndex) put(ep *endpoint, weight float64) {
 	if ep.index.indexed && ep.index.cell != ep.cell {
 		i.leaveCell(ep)
@@ -104,7 +105,7 @@
 	ep.index.cell, ep.index.zone, ep.index.indexed = ep.cell, ep.zone, true
 }
 
-// remove takes an endpoint out, if it is there.
+// remove removes an endpoint, if it is in the index.
 func (i *endpointIndex) remove(ep *endpoint) {
 	if !ep.index.indexed {
 		return
@@ -115,6 +116,7 @@
 	ep.index.indexed = false
 }
 
+// leaveCell removes an endpoint from the cell that the index has it in.
 func (i *endpointIndex) leaveCell(ep *endpoint) {
 	left := removeSorted(i.byCell[ep.index.cell], ep)
 	i.byCell[ep.index.cell] = left
@@ -123,13 +125,14 @@
 	}
 }
 
+// leaveZone removes an endpoint from the count of the zone that the index has it in.
 func (i *endpointIndex) leaveZone(ep *endpoint) {
 	if i.perZone[ep.index.zone]--; i.perZone[ep.index.zone] == 0 {
 		delete(i.perZone, ep.index.zone)
 	}
 }
 
-// reindex puts an endpoint into the index and the subset or takes it out, as it is listed and available.
+// reindex inserts an endpoint into the index and the subset or removes it, depending on whether it is listed and not draining.
 func (b *Balancer) reindex(now time.Duration, ep *endpoint) {
 	if ep.listed && ep.availability != draining {
 		weight := b.weights.endpointWeight(ep)
@@ -146,7 +149,7 @@
 	b.refreshPools(now, ep)
 }
 
-// refreshPools brings an endpoint's place in the pools and queues up to date.
+// refreshPools updates an endpoint's position in the pools, and in the queues of slow starts and trials.
 func (b *Balancer) refreshPools(now time.Duration, ep *endpoint) {
 	pool := poolOf(ep)
 	pooled := ep.index.indexed && pool != noPool
@@ -168,7 +171,7 @@
 	}
 }
 
-// refreshKind refreshes a kind's endpoints.
+// refreshKind refreshes the pools for all endpoints of a machine kind.
 func (b *Balancer) refreshKind(now time.Duration, kind int) {
 	b.weights.settleKind(kind)
 	for ep := range b.index.ordered.All() {
@@ -178,7 +181,7 @@
 	}
 }
 
-// refreshAll refreshes every endpoint, with sums that begin anew.
+// refreshAll refreshes the pools for all endpoints. The sums are computed anew, which removes rounding errors.
 func (b *Balancer) refreshAll(now time.Duration) {
 	b.weights.settleAll()
 	b.pools.availableWeight, b.pools.boundSlack = 0, 1
@@ -188,7 +191,7 @@
 	}
 }
 
-// updateWeights takes new weights of all endpoints into the index and the subset.
+// updateWeights applies new weights of all endpoints to the index and the subset.
 func (b *Balancer) updateWeights(now time.Duration) {
 	b.index.ordered.Reweigh(b.weights.endpointWeight)
 	if b.subset.all || b.subset.byHash {
--- a/internal/balancer/losses.go
+++ b/internal/balancer/losses.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// This file finds attempts whose answer is lost though their endpoint answers others: out for longer than hardly any, and
-// overtaken. That serves for lost answers, mute connections and stuck tiers below alike.
+// This file detects attempts whose answer is lost although their endpoint answers others: attempts that are older than nearly all
+// answers take, and that later attempts have overtaken. The causes may be lost answers, connections that stopped working, or
+// stuck requests in the tiers below.
 
 const (
-	lossRateWeight = 0.05 // of one attempt in an endpoint's share of lost ones: two in a row pass lossyRate
-	lossyRate      = 0.12 // share of attempts that an endpoint loses, not one that is slow now and then
+	lossRateWeight = 0.05 // weight of one attempt in an endpoint's share of lost ones: two lost in a row pass lossyRate
+	lossyRate      = 0.12 // share of lost attempts above which an endpoint is taken to lose them, rather than to be slow at times
 
-	// The age, in tail latencies, of an attempt that minOtherResponses later ones overtook.
-	stuckTails   = 0.6 // from then on it does not use up the limits
-	lostTails    = 1.1 // from then on it counts as lost
-	overdueTails = 1.5 // from then on it is overdue
+	// Ages, in tail latencies, of an attempt that at least minOtherResponses later ones have overtaken.
+	stuckTails   = 0.6 // from this age on it does not count towards the limits
+	lostTails    = 1.1 // from this age on it counts as lost
+	overdueTails = 1.5 // from this age on it is overdue
 
-	// Where most lost attempts come to be overdue, those that are get retried, also at endpoints that lose few.
-	overdueWeight    = 0.3 // of one lost attempt in the share of these that come to be overdue; the share begins at a half
-	overdueThreshold = 0.6 // share from which on they are retried
+	// If most lost attempts become overdue, overdue ones are retried also at endpoints that lose few.
+	overdueWeight    = 0.3 // weight of one lost attempt in the share of them that become overdue; the share begins at one half
+	overdueThreshold = 0.6 // share above which overdue attempts are retried
 )
 
-// losses is what the detection of lost attempts goes by beside the endpoints' own state.
+// losses is the state of the detection of lost attempts that does not belong to one endpoint.
 type losses struct {
-	inFlight     int     // attempts in flight that no answer is expected for
-	overdueShare float64 // smoothed share of the lost ones that come to be overdue
+	inFlight     int     // attempts in flight that will probably not be answered
+	overdueShare float64 // smoothed share of the lost attempts that become overdue
 }
 
-// recordAnswer takes in that an attempt was answered.
+// recordAnswer records that an attempt was answered.
 func (l *losses) recordAnswer(req *request, ep *endpoint) {
 	ep.lossRate -= lossRateWeight * ep.lossRate
 	if req.lost {
-		l.overdueShare -= overdueWeight * l.overdueShare // it was slow
+		l.overdueShare -= overdueWeight * l.overdueShare // it was slow, not lost
 	}
 }
 
-// countOvertaken notes that an attempt was answered before others that were sent earlier.
+// countOvertaken counts the answer to an attempt for all attempts in flight that were sent before it.
 func (b *Balancer) countOvertaken(by *request) {
 	for _, ep := range b.busy {
 		for _, req := range ep.calls {
@@ -45,8 +46,9 @@
 	}
 }
 
-// detectLost looks for attempts that an endpoint has lost. They are retried while there is time, and do not use up the limit: the
-// limit falls as answers fail to come. Where all turn slow at once, some slow attempts run twice.
+// detectLost detects attempts that an endpoint has lost. They are retried if the time allows it, and do not count towards the
+// limit on attempts in flight, which falls anyway as answers do not arrive. If all endpoints become slow at once, some slow
+// attempts run twice.
 func (b *Balancer) detectLost(now time.Duration, ep *endpoint) {
 	ep.lostCalls = 0
 	for _, req := range ep.calls {
@@ -72,7 +74,7 @@
 	}
 }
 
-// givenUp reports whether no answer to an attempt is waited for any longer.
+// givenUp reports whether an attempt counts as unanswered for good, so that it may be cancelled and retried.
 func (b *Balancer) givenUp(req *request, ep *endpoint) bool {
 	return req.lost && ep.lossRate > lossyRate || req.overdue && b.losses.overdueShare > overdueThreshold
 }
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// This file decides by the outcomes of attempts which endpoints are ejected (outlier detection), and when trial requests bring
-// them back.
+// This file decides by the outcomes of attempts which endpoints are ejected (outlier detection), and by trial requests when an
+// ejection ends.
 
 const (
-	// Unresponsive: no response of any kind since an attempt was sent, while others respond.
-	suspectMeans      = 3.0 // mean latencies until an endpoint is passed over
-	unresponsiveTails = 4.0 // tail latencies until one attempt ejects
-	unresponsiveCalls = 2   // attempts that eject at suspectMeans already, if none of them gets a response
-	minOtherResponses = 4   // responses of others in that time that make it a fault of the endpoint's own
-
-	// Errors: an endpoint is judged against the fleet, for the tier below may be at fault.
-	endpointErrorWeight = 0.3  // of one answer in an endpoint's error rate: two in a row pass ejectionErrorRate
-	fleetErrorWeight    = 0.02 // of one answer in the fleet's
-	ejectionErrorRate   = 0.45 // an error rate ejects that is at least so high
-	ejectionFleetRatio  = 3.0  // and at least so many times the fleet's
-	maxEjectedShare     = 0.5  // of the list that errors and unresponsiveness may eject
-	errorPenalty        = 5.0  // base latencies that a failed attempt still counts as in flight
-
-	firstTrialTimeouts = 4.0 // connect time-outs from ejection to the first trial request
+	// An endpoint is unresponsive if it has sent no response of any kind since an attempt was sent to it, while others respond.
+	suspectMeans      = 3.0 // age of that attempt, in mean latencies, from which the endpoint is not picked
+	unresponsiveTails = 4.0 // age of one attempt, in tail latencies, that ejects
+	unresponsiveCalls = 2   // number of attempts that eject at suspectMeans already, if none of them gets a response
+	minOtherResponses = 4   // responses of other endpoints in that time that show that the cause is the endpoint
+
+	// An endpoint's error rate is compared with the fleet's, as the cause of errors may be the tier below.
+	endpointErrorWeight = 0.3  // weight of one answer in an endpoint's error rate: two errors in a row pass ejectionErrorRate
+	fleetErrorWeight    = 0.02 // weight of one answer in the fleet's error rate
+	ejectionErrorRate   = 0.45 // least error rate that ejects
+	ejectionFleetRatio  = 3.0  // least ratio to the fleet's error rate that ejects
+	maxEjectedShare     = 0.5  // most of the list that may be ejected for errors and unresponsiveness
+	errorPenalty        = 5.0  // base latencies for which a failed attempt still counts as in flight
+
+	firstTrialTimeouts = 4.0 // connect timeouts from the ejection to the first trial request
 )
 
-// outliers is what ejections go by beside the endpoints' own state.
+// outliers is the state of the outlier detection that does not belong to one endpoint.
 type outliers struct {
-	responses int     // of any kind
+	responses int     // number of responses of any kind
 	errorRate float64 // smoothed share of the fleet's answers that are errors
-	ejected   int     // endpoints
+	ejected   int     // number of ejected endpoints
 }
 
-// addSample takes an answer into the error rates, 1 for an error and 0 for none.
+// addSample adds an answer to the error rates: 1 for an error, 0 otherwise.
 func (o *outliers) addSample(ep *endpoint, x float64) {
 	ep.errorRate += endpointErrorWeight * (x - ep.errorRate)
 	o.errorRate += fleetErrorWeight * (x - o.errorRate)
 }
 
-// isOutlier reports whether an endpoint's errors set it apart from the fleet.
+// isOutlier reports whether an endpoint's error rate is high, and far above the fleet's.
 func (o *outliers) isOutlier(ep *endpoint) bool {
 	return ep.errorRate >= ejectionErrorRate && ep.errorRate >= ejectionFleetRatio*o.errorRate
 }
 
-// recordOutcome learns from an outcome about its endpoint and the fleet.
+// recordOutcome records what an outcome shows of its endpoint and of the fleet.
 func (b *Balancer) recordOutcome(now time.Duration, req *request, ep *endpoint, outcome Outcome) {
 	switch outcome.Status {
 	case StatusOK, StatusError, StatusRejected, StatusReset, StatusInvalidResponse:
@@ -56,7 +56,7 @@
 		b.recordSuccess(now, req, ep, outcome.Elapsed)
 		return
 	case StatusInvalidResponse:
-		return // it says no more of the endpoint than that it responds: every one sends some
+		return // it shows only that the endpoint responds: every endpoint sends some of these
 	case StatusError:
 		b.recordError(now, req, ep)
 	case StatusRejected:
@@ -68,7 +68,7 @@
 		b.eject(now, ep, "connection reset")
 		b.fetchPaced(now)
 	case StatusTimeout:
-		// Its answers alone would make a saturated endpoint, that answers few in time, look well.
+		// A saturated endpoint answers few calls in time. Without the timeouts its latency would appear normal.
 		if mean := req.class.latency.mean; mean > 0 {
 			b.recordEndpointLatency(now, ep, outcome.Elapsed.Seconds()/mean)
 		}
@@ -76,13 +76,13 @@
 	case StatusCancelled:
 		b.recordAbandoned(now, req, ep, outcome.Elapsed)
 	}
-	// An attempt that went there for want of any other says no more than that a trial is still to come.
+	// Only an attempt sent after the trial was due counts as the trial.
 	if req.trial && ep.availability == ejected && req.sentAt >= ep.trialAt {
 		b.delayTrial(now, ep)
 	}
 }
 
-// recordSuccess takes in an answer that is served.
+// recordSuccess records an answer without an error.
 func (b *Balancer) recordSuccess(now time.Duration, req *request, ep *endpoint, took time.Duration) {
 	b.countOvertaken(req)
 	b.losses.recordAnswer(req, ep)
@@ -98,7 +98,7 @@
 	}
 }
 
-// recordError takes in an answer that is an error.
+// recordError records an answer that is an error.
 func (b *Balancer) recordError(now time.Duration, req *request, ep *endpoint) {
 	b.outliers.addSample(ep, 1)
 	ep.penalize(now, req.class, errorPenalty)
@@ -107,8 +107,8 @@
 	}
 }
 
-// recordConnectFailure takes in that no connection came about. A full connection table rejects as a dead process does, but
-// its open calls go on.
+// recordConnectFailure records that no connection could be opened. An endpoint whose connection table is full rejects connections
+// as a dead process does, but its open calls go on.
 func (b *Balancer) recordConnectFailure(now time.Duration, req *request, ep *endpoint) {
 	if len(ep.calls) > 0 || ep.lastResponseAt > req.sentAt {
 		ep.rejectsUntil = now + b.settings.ConnectTimeout
@@ -118,25 +118,26 @@
 	b.fetchPaced(now)
 }
 
-// recordAbandoned takes in an attempt that ended without a response, and may go on at its endpoint.
+// recordAbandoned records an attempt that ended without a response, and may still run at its endpoint.
 func (b *Balancer) recordAbandoned(now time.Duration, req *request, ep *endpoint, took time.Duration) {
 	b.recordPressure(now, req.class, took)
 	ep.penalize(now, req.class, 1)
 }
 
-// ejectionAllowed keeps errors and unresponsiveness from ejecting too much of the list: so many have a cause they share.
+// ejectionAllowed reports whether errors or unresponsiveness may eject one more endpoint. If they concern a large part of the
+// list, the endpoints have a common cause.
 func (b *Balancer) ejectionAllowed() bool {
 	return float64(b.outliers.ejected+1) <= maxEjectedShare*float64(len(b.listed))
 }
 
-// eject takes an endpoint out of the draw until a trial request is served or a newer list names a new start.
+// eject ejects an endpoint until a trial request is served, or until a newer list shows a restart.
 func (b *Balancer) eject(now time.Duration, ep *endpoint, why string) {
 	if ep.availability > warmingUp {
 		return
 	}
 	ep.availability = ejected
 	b.outliers.ejected++
-	b.inFlight -= len(ep.calls) // stuck attempts must not use up the limit
+	b.inFlight -= len(ep.calls) // attempts that are stuck must not count towards the limit
 	b.subset.stale = true
 	ep.trialBackoff = max(seconds(firstTrialTimeouts*b.settings.ConnectTimeout.Seconds()), b.tickInterval)
 	ep.trialAt = now + b.jitter(ep.trialBackoff)
@@ -144,14 +145,14 @@
 	b.host.Log(fmt.Sprintf("endpoint %d isolated: %s (list version %d)", ep.id, why, ep.listVersion))
 }
 
-// delayTrial doubles the wait for the next trial request after one that failed.
+// delayTrial doubles the wait before the next trial request, after one has failed.
 func (b *Balancer) delayTrial(now time.Duration, ep *endpoint) {
 	ep.trialBackoff = min(2*ep.trialBackoff, max(b.settings.SlowStartWindow, b.rateWindow))
 	ep.trialAt = now + b.jitter(ep.trialBackoff)
 	b.refreshPools(now, ep)
 }
 
-// uneject ends an ejection; the endpoint begins with a slow start, as it may have restarted.
+// uneject ends an ejection. The endpoint begins a slow start, as it may have restarted.
 func (b *Balancer) uneject(now time.Duration, ep *endpoint) {
 	from := now
 	if !ep.connectionBroke {
@@ -162,14 +163,14 @@
 	b.host.Log(fmt.Sprintf("endpoint %d back: trial call served", ep.id))
 }
 
-// startDraining marks an endpoint that drains or is gone: nothing new goes there, what runs may end.
+// startDraining marks an endpoint as draining or removed: it gets no new requests, and its attempts in flight may end.
 func (b *Balancer) startDraining(now time.Duration, ep *endpoint) {
 	b.clearEjection(ep)
 	ep.availability = draining
 	b.reindex(now, ep)
 }
 
-// clearEjection counts an ejected endpoint's attempts in flight again, as it is ejected no longer.
+// clearEjection counts the attempts in flight of an endpoint again whose ejection ends. It does nothing for other endpoints.
 func (b *Balancer) clearEjection(ep *endpoint) {
 	if ep.availability == ejected {
 		b.outliers.ejected--
@@ -177,7 +178,8 @@
 	}
 }
 
-// trialEndpoint is an ejected endpoint whose trial is due; nil for none. Only a first attempt that may be retried is risked.
+// trialEndpoint returns an ejected endpoint whose trial is due, or nil. Only the first attempt of a request that may be retried
+// is used as a trial.
 func (b *Balancer) trialEndpoint(now time.Duration, req *request) *endpoint {
 	ep, at, ok := b.trials.Peek()
 	if ok && at <= now && req.attempts == 0 && !req.mayHaveRun && req.class.Idempotency != NonIdempotent {
@@ -186,8 +188,8 @@
 	return nil
 }
 
-// isSuspect reports whether an endpoint has left its oldest attempt without a response for so many mean latencies and said
-// nothing since, while others responded.
+// isSuspect reports whether an endpoint's oldest attempt is older than the given number of mean latencies, and the endpoint has
+// sent no response since, while others have.
 func (b *Balancer) isSuspect(now time.Duration, ep *endpoint, means float64) bool {
 	if len(ep.calls) == 0 {
 		return false
@@ -198,7 +200,7 @@
 		b.outliers.responses-req.responsesAtSend >= minOtherResponses
 }
 
-// isUnresponsive reports whether an endpoint with attempts in flight has responded to none of them for long.
+// isUnresponsive reports whether an endpoint with attempts in flight has sent no response for so long that it should be ejected.
 func (b *Balancer) isUnresponsive(now time.Duration, ep *endpoint) bool {
 	if b.isSuspect(now, ep, unresponsiveTails*ep.calls[0].class.latency.tailRatio) {
 		return true
@@ -210,8 +212,8 @@
 	return now-later.sentAt > seconds(suspectMeans*later.class.latency.mean)
 }
 
-// ejectUnresponsive ejects an endpoint with attempts in flight that has not responded for long, and cancels those that can still
-// be retried.
+// ejectUnresponsive ejects an endpoint with attempts in flight if it is unresponsive, and cancels its attempts that can still be
+// retried.
 func (b *Balancer) ejectUnresponsive(now time.Duration, ep *endpoint) {
 	if !b.isUnresponsive(now, ep) {
 		return
@@ -231,13 +233,13 @@
 	}
 }
 
-// Ejected reports whether this instance sends an endpoint trial requests alone. It is for people and measurements.
+// Ejected reports whether this instance has ejected an endpoint. It is meant for operators and measurements.
 func (b *Balancer) Ejected(id EndpointID) bool {
 	ep := b.endpointsByID[id]
 	return ep != nil && ep.availability == ejected
 }
 
-// jitter is a duration between three quarters and five quarters of another, drawn at random.
+// jitter returns a random duration between 0.75 and 1.25 times the given one.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return seconds(d.Seconds() * (0.75 + 0.5*b.rng.Float64()))
 }
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -9,20 +9,20 @@
 
 const (
 	targetSlackMeans     = 1.8  // mean latencies that must be left until the latency target when a request is sent
-	maxPendingSeconds    = 2.0  // seconds of requests, at the present rate of answers, that may be pending
-	minPendingTime       = 0.2  // of a rate window in which requests were pending, until it is known how many are worked off
-	retryElapsedWeight   = 0.05 // of one retry in the mean time that had elapsed for clients' retries
-	firstAttemptShare    = 0.97 // of the longest time left that was seen: a shorter one is that of a retry
+	maxPendingSeconds    = 2.0  // most requests that may be pending, in seconds at the current rate of answers
+	minPendingTime       = 0.2  // least share of recent time with pending requests for which that rate is meaningful
+	retryElapsedWeight   = 0.05 // weight of one retry in the mean time that had elapsed for clients' retries
+	firstAttemptShare    = 0.97 // of the longest remaining time seen: a request with less is a retry
 	deadlineReserveTicks = 2    // ticks before its deadline at which a pending request gets its final answer
 )
 
-// latestSend is until when a request must be sent to be answered within its latency target, slow as it may be.
+// latestSend returns the latest time at which an attempt may be sent so that a slow response still meets the latency target.
 func (r *request) latestSend() time.Duration {
 	return r.targetAt - seconds(targetSlackMeans*r.class.latency.mean)
 }
 
-// elapsedForClient is a lower bound of the time that had passed for the client when the request arrived. Clients' attempts begin
-// with the same time left; a shorter one is that of a retry, or of work in the tiers above.
+// elapsedForClient returns a lower bound of the time that had elapsed for the client when the request arrived. All first attempts
+// of clients have the same remaining time. Less is left for retries, or after work in the tiers above.
 func (b *Balancer) elapsedForClient(c *class, incoming *Request) time.Duration {
 	c.maxTimeLeft = max(c.maxTimeLeft, incoming.TimeLeft)
 	switch {
@@ -35,14 +35,15 @@
 		}
 		return elapsed
 	case incoming.Retry:
-		// It came before, by about as much as those that show it. Taken for new, retries would fill an overloaded tier with
-		// requests whose latency target has passed.
+		// A marked retry that arrived with its class's whole time left. It is taken to be as old as the retries whose remaining
+		// time shows their age. Treated as new, retries would fill an overloaded tier with requests whose latency target has
+		// passed.
 		return seconds(b.retryElapsed)
 	}
 	return 0
 }
 
-// nextPending is the pending request to send first.
+// nextPending returns the index of the pending request that is sent first.
 func (b *Balancer) nextPending(now time.Duration) int {
 	best := 0
 	for i := 1; i < len(b.pending); i++ {
@@ -53,9 +54,9 @@
 	return best
 }
 
-// dispatchedBefore reports whether one pending request is sent before another: one that can still be answered within its latency
-// target before one that cannot, one within its tenant's quota before one beyond, one of a class that adds more to what is
-// optimized, then the one that must be sent first to be in time.
+// dispatchedBefore reports whether pending request a is sent before b. In this order: requests that can still meet their latency
+// target, requests within their tenant's quota, requests of a class that adds more to the optimized value, and requests that must
+// be sent earlier to be in time.
 func dispatchedBefore(now time.Duration, a, b *request) bool {
 	if pa, pb := a.priority(now), b.priority(now); pa != pb {
 		return pa > pb
@@ -66,7 +67,7 @@
 	return a.latestSend() < b.latestSend()
 }
 
-// priority ranks a request by its time and its tenant's quota.
+// priority returns the rank of a request by its remaining time and its tenant's quota; the highest rank is sent first.
 func (r *request) priority(now time.Duration) int {
 	priority := 0
 	if r.latestSend() > now || r.class.LateValueShare > 0 {
@@ -78,8 +79,8 @@
 	return priority
 }
 
-// shedLoad rejects what is pending beyond what can be sent in time: what will miss its latency target, and the least valuable when
-// more is pending than the present rate of answers works off.
+// shedLoad rejects pending requests that cannot be sent in time: those that will miss their latency target, and the least
+// valuable ones if more are pending than the current rate of answers allows.
 func (b *Balancer) shedLoad(now time.Duration) {
 	b.pendingTime.set(now, b.rateWindow, len(b.pending) > 0)
 	for i := len(b.pending) - 1; i >= 0; i-- {
@@ -92,15 +93,15 @@
 	}
 }
 
-// isLate reports whether there is no use in a pending request's waiting on.
+// isLate reports whether a pending request can no longer get a useful answer.
 func (b *Balancer) isLate(now time.Duration, req *request) bool {
 	worthless := now >= req.latestSend() && req.class.LateValueShare == 0
 	return worthless || now+deadlineReserveTicks*b.tickInterval >= req.deadline
 }
 
-// maxPending is how many requests may be pending. The rate at which they are worked off is known only where some have waited for
-// a while: by what was answered before, callers who came all at once, after a quiet time or to an instance that has just started,
-// were rejected beside idle endpoints.
+// maxPending returns how many requests may be pending. The rate at which they are answered is known only after some have been
+// pending for a while. With the earlier rate as the limit, requests that arrived in a burst, after a quiet time or at a new
+// instance, were rejected although endpoints were idle.
 func (b *Balancer) maxPending(now time.Duration) float64 {
 	if b.pendingTime.share < minPendingTime {
 		return math.Inf(1)
@@ -108,7 +109,7 @@
 	return max(maxPendingSeconds*b.servedRate.value(now, b.rateWindow), float64(len(b.listed)))
 }
 
-// lastPending is the pending request that would be sent last.
+// lastPending returns the index of the pending request that would be sent last.
 func (b *Balancer) lastPending(now time.Duration) int {
 	last := len(b.pending) - 1
 	for i := len(b.pending) - 2; i >= 0; i-- {
@@ -119,16 +120,16 @@
 	return last
 }
 
-// rejectPending gives the i-th pending request its final answer.
+// rejectPending removes the i-th pending request and gives it its final answer.
 func (b *Balancer) rejectPending(now time.Duration, i int) {
 	req := b.pending[i]
 	b.removePending(i)
 	b.finish(now, req)
 }
 
-// retryAfter is when a rejected client should ask again: when what is pending and in flight now will have been answered at the
-// present rate, or, where that outlasts the only instance, when its successor serves. Clients that come sooner find the same
-// queue, or nobody; 0 gives no advice.
+// retryAfter returns after what time a rejected client should retry: when the requests that are pending and in flight have been
+// answered at the current rate or, if the only instance ends before that, when its successor serves. It is at most MaxRetryAfter;
+// 0 gives no advice. Clients that return sooner find the same queue, or no instance.
 func (b *Balancer) retryAfter(now time.Duration, c *class) (wait time.Duration) {
 	if rate := b.servedRate.value(now, b.rateWindow); rate > 0 {
 		ahead := float64(len(b.pending) + b.inFlight)
--- a/internal/balancer/picking.go
+++ b/internal/balancer/picking.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// This file decides which endpoint a request goes to: the one with the fewest own requests in flight, for its weight, of two that
-// are drawn at random by their weights (power of two choices).
+// This file decides which endpoint a request is sent to: of two that are drawn at random by their weights, the one with fewer own
+// requests in flight relative to its weight (power of two choices).
 
-// pickChoices is how many distinct endpoints are drawn and compared.
+// pickChoices is the number of distinct endpoints that are drawn and compared.
 const pickChoices = 2
 
-// pick chooses an endpoint for a request: an ejected one whose trial is due, else the less loaded of two drawn among those with
-// capacity; those in slow start are drawn less often. Where none is healthy, suspect and then ejected ones serve: ejections
-// never empty the set. It returns nil where the request has to wait, and reports whether the attempt is a trial, which
-// may end an ejection.
+// pick chooses an endpoint for a request: an ejected one whose trial is due, otherwise the less loaded of two drawn among those
+// with capacity. Endpoints in slow start are drawn less often. If no endpoint is healthy, suspect and ejected ones are used, so
+// that ejections never leave a request without an endpoint. It returns nil if the request has to wait, and reports whether the
+// attempt is a trial, which may end an ejection.
 func (b *Balancer) pick(now time.Duration, req *request) (to *endpoint, trial bool) {
 	if ep := b.trialEndpoint(now, req); ep != nil {
 		return ep, true
@@ -33,7 +33,7 @@
 	return to, !healthy && to != nil && to.availability == ejected
 }
 
-// scope is where a request's next attempt may go: a first one to the subset, a retry anywhere.
+// scope returns the endpoints that the next attempt may use: the subset for a first attempt, all for a retry.
 func (r *request) scope() scope {
 	if r.attempts > 0 || r.mayHaveRun {
 		return everywhere
@@ -41,20 +41,20 @@
 	return inSubset
 }
 
-// isHealthy reports whether an endpoint is in good health for a request. Retries may leave the subset, but not for an endpoint in
-// slow start: all instances' together would overload it.
+// isHealthy reports whether an endpoint may be picked as a healthy one for a request. A retry may use endpoints outside of the
+// subset, but not those in slow start: the retries of all instances together would overload them.
 func (b *Balancer) isHealthy(now time.Duration, req *request, ep *endpoint, within scope) bool {
 	reached := ep.subsetWeight > 0 || within == everywhere && ep.availability == available
 	return ep.availability <= warmingUp && reached && b.retryPermitted(now, req, ep) && !b.isSuspect(now, ep, suspectMeans)
 }
 
-// canTake reports whether an endpoint may have this request, too.
+// canTake reports whether an endpoint has capacity for a request, and is not the one where its last attempt failed.
 func (b *Balancer) canTake(now time.Duration, req *request, ep *endpoint) bool {
 	return b.hasCapacity(now, ep) && (ep != req.failedEndpoint || len(b.listed) == 1)
 }
 
-// drawCandidates draws candidates from the pools, by their weights and among those that are available, without a scan of all:
-// both, or one or none where too many draws were in vain. The others are to be scanned for then.
+// drawCandidates draws two candidates from the pools, by their weights, without a scan of all endpoints. If too many draws fail
+// it returns only one or none, and the caller scans for the others.
 func (b *Balancer) drawCandidates(now time.Duration, req *request, within scope) (first, second *endpoint) {
 	if !b.usesPools(within) || req.boundToCell() {
 		return nil, nil
@@ -72,7 +72,8 @@
 	return first, nil
 }
 
-// scanCandidates finds the candidates beside one that has been drawn, nil for none, and reports whether any endpoint is healthy.
+// scanCandidates returns the candidates other than the one that has been drawn, which may be nil. It reports whether any endpoint
+// is healthy.
 func (b *Balancer) scanCandidates(now time.Duration, req *request, within scope, drawn *endpoint) (others []*endpoint, healthy bool) {
 	var endpoints []*endpoint
 	if req.boundToCell() {
@@ -94,7 +95,7 @@
 	return others, healthy
 }
 
-// scanUnhealthy finds the candidates where no endpoint is healthy: all that the rules permit and that are not overloaded.
+// scanUnhealthy returns the candidates if no endpoint is healthy: all that the rules permit and that are not overloaded.
 func (b *Balancer) scanUnhealthy(now time.Duration, req *request) []*endpoint {
 	candidates := b.candidateBuffer[:0]
 	for _, ep := range b.endpointsIn(everywhere) {
@@ -107,10 +108,10 @@
 	return candidates
 }
 
-// drawLeastLoaded draws distinct candidates at random, each by its weight, after one that may have been drawn, and returns the
-// less loaded; nil where there are none. It reorders the candidates.
+// drawLeastLoaded draws distinct candidates at random by their weights, in addition to the first one if that is not nil, and
+// returns the least loaded, or nil if there are none. It reorders the candidates.
 func (b *Balancer) drawLeastLoaded(now time.Duration, first *endpoint, candidates []*endpoint) *endpoint {
-	for _, ep := range candidates { // each is looked at several times
+	for _, ep := range candidates { // computed once, as drawIndex reads each several times
 		ep.scanWeight = b.capacityShare(now, ep) * b.weights.drawWeight(ep)
 	}
 	best, drawn := first, 0
@@ -127,7 +128,7 @@
 	return best
 }
 
-// drawIndex draws one of some candidates by their weights.
+// drawIndex draws one of the candidates by their scanWeight, and returns its index.
 func (b *Balancer) drawIndex(candidates []*endpoint) int {
 	total := 0.0
 	for _, ep := range candidates {
@@ -142,9 +143,10 @@
 	return last
 }
 
-// lessLoaded is the one with the fewest own requests in flight for its weight; of equals, the one drawn first, so that ties fall
-// at random and by the weights: the same requests are a longer queue at a smaller endpoint, and a coin, in a subset of two, gave
-// both the same whatever their weights. The first may be nil.
+// lessLoaded returns the endpoint with fewer own requests in flight relative to its weight, or the first if they are equal. As
+// the first was drawn first, ties are decided at random by the weights. The comparison is relative because the same number of
+// requests is a longer queue at a smaller endpoint; with unweighted ties, both endpoints of a subset of two got the same whatever
+// their weights. The first may be nil.
 func (b *Balancer) lessLoaded(now time.Duration, first, second *endpoint) *endpoint {
 	if first == nil || b.relativeLoad(now, second) < b.relativeLoad(now, first) {
 		return second
@@ -152,28 +154,28 @@
 	return first
 }
 
-// relativeLoad is an endpoint's own requests in flight for its weight.
+// relativeLoad returns an endpoint's own requests in flight divided by its draw weight.
 func (b *Balancer) relativeLoad(now time.Duration, ep *endpoint) float64 {
 	return float64(ep.outstanding(now)) / b.weights.drawWeight(ep)
 }
 
-// exhaustion remembers, until the next tick, that a scan of all endpoints of a scope found none for a request that may go to any.
-// The like of it goes only where an answer has come from since: in a fleet that is full, or in slow start, each pending request
-// would scan all of them again with every event.
+// exhaustion records, until the next tick, that a scan of all endpoints of a scope found none for a request that may use any of
+// them. Until then, similar requests are sent only to an endpoint that has answered since. Otherwise each pending request at a
+// saturated fleet, or at one in slow start, would scan all endpoints at each event.
 type exhaustion struct {
 	scopes [scopeCount]bool
-	freed  *endpoint // that the latest answer since came from
+	freed  *endpoint // the endpoint of the latest outcome since then
 }
 
-// covers reports whether a request needs no scan.
+// covers reports whether a scan for a request would find nothing.
 func (e *exhaustion) covers(req *request, within scope) bool {
 	return e.scopes[within] && req.unrestricted()
 }
 
-// reset forgets it.
+// reset allows scans again.
 func (e *exhaustion) reset() { *e = exhaustion{} }
 
-// noteExhausted notes that a scan found nothing for a request, where that holds for all like it.
+// noteExhausted records that a scan found no endpoint for a request, if that holds for all similar requests.
 func (b *Balancer) noteExhausted(now time.Duration, req *request, within scope, found *endpoint) {
 	if found != nil || !b.usesPools(within) || !req.unrestricted() {
 		return
@@ -183,7 +185,7 @@
 	}
 }
 
-// pickFreed picks the endpoint that has answered since all were exhausted, if the request may go there; nil else.
+// pickFreed returns the endpoint that has answered since all were exhausted, if the request may be sent there, otherwise nil.
 func (b *Balancer) pickFreed(now time.Duration, req *request, within scope) *endpoint {
 	ep := b.exhausted.freed
 	if ep != nil && b.isHealthy(now, req, ep, within) && b.canTake(now, req, ep) {
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// excluded is the endpoint that a request names; nil for none. Ids begin where the host likes, so no number stands for none.
+// excluded returns the endpoint with the id, or nil if the id is nil or unknown. The id is a pointer because 0 is a valid id.
 func (b *Balancer) excluded(id *EndpointID) *endpoint {
 	if id == nil {
 		return nil
--- a/internal/balancer/pools.go
+++ b/internal/balancer/pools.go
@@ -8,37 +8,37 @@
 	"quincegap/internal/structures/weightedsample"
 )
 
-// The pools that endpoints are drawn from.
+// The pools that endpoints are drawn from, by availability and part in the subset.
 const (
 	noPool        = -1
-	availablePool = iota - 1 // available, with a part in the subset
-	warmingUpPool            // in slow start, with a part in the subset
-	outsidePool              // available, outside of the subset: for retries alone
+	availablePool = iota - 1 // available, in the subset
+	warmingUpPool            // in slow start, in the subset
+	outsidePool              // available, outside of the subset: only for retries
 	poolCount
 )
 
-// An endpoint's draw weight moves with its kind's latency, all of a kind's at once and with every answer. So a pool holds a
-// bound that they stay below; what is drawn is taken with probability weight / bound, which gives just the draw by the
-// weights. An endpoint's bound is moved with its own changes. Its kind's only raise the slack, by which all bounds are multiplied
-// when something is drawn, until they have gone so far that all of the kind are refreshed.
+// The draw weights of all endpoints of a machine kind change with each answer from the kind. So a pool holds an upper bound of
+// each weight instead, and an endpoint that is drawn by the bounds is accepted with probability weight / bound, which gives
+// exactly a draw by the weights. A bound is changed when its own endpoint changes. A change of the kind only raises the slack, a
+// factor of all bounds in a draw, until it is so large that the bounds of the whole kind are refreshed.
 const (
-	boundHeadroom      = 1.2 // a new bound, in draw weights of its endpoint
-	maxBoundRatio      = 2.0 // a bound of more draw weights is set anew: draws by it are mostly in vain
-	maxDrift           = 2.0 // a kind whose latency moves by this ratio has its endpoints refreshed
-	slackCheckInterval = 64  // answers between two looks at the slack over all kinds
-	maxScanned         = 32  // most endpoints that are scanned one by one: of more, draws from the pools are cheaper
-	maxPoolDraws       = 24  // draws from the pools that may be in vain before all are scanned
+	boundHeadroom      = 1.2 // factor of a draw weight that gives a new bound
+	maxBoundRatio      = 2.0 // a bound above this multiple of the draw weight is replaced: most draws by it would be rejected
+	maxDrift           = 2.0 // the endpoints of a kind are refreshed when its latency has changed by this ratio
+	slackCheckInterval = 64  // answers after which the slack is computed from all kinds again
+	maxScanned         = 32  // most endpoints that are scanned one by one: with more, draws from the pools are cheaper
+	maxPoolDraws       = 24  // most draws from the pools for a request before all endpoints are scanned
 )
 
-// drawPools are the endpoints that may be drawn, with bounds of their draw weights.
+// drawPools holds the endpoints that may be drawn, with upper bounds of their draw weights.
 type drawPools struct {
 	pools           [poolCount]weightedsample.Pool[*endpoint]
-	availableWeight float64 // sum of the draw weights in availablePool, as they were when they were refreshed
+	availableWeight float64 // sum of the draw weights in availablePool, each as of its latest refresh
 	boundSlack      float64 // factor of all bounds, at least 1
-	slackChecks     int     // answers since the slack was looked at over all kinds
+	slackChecks     int     // answers since the slack was computed from all kinds
 }
 
-// poolOf is the pool that an endpoint belongs to while it is indexed; noPool for none.
+// poolOf returns the pool that an endpoint belongs to while it is in the index, or noPool.
 func poolOf(ep *endpoint) int {
 	switch {
 	case ep.availability == available && ep.subsetWeight > 0:
@@ -51,14 +51,14 @@
 	return noPool
 }
 
-// remove takes an endpoint out of its pool.
+// remove removes an endpoint from its pool.
 func (d *drawPools) remove(ep *endpoint) {
 	d.pools[ep.index.pool].Remove(ep.index.slot)
 	d.availableWeight -= ep.index.availableWeight
 	ep.index.pooled, ep.index.availableWeight = false, 0
 }
 
-// put puts an endpoint into a pool, or moves its bound there, if it is outgrown or wastes draws.
+// put adds an endpoint to a pool, or replaces its bound there if the weight exceeds it or is far below it.
 func (d *drawPools) put(ep *endpoint, pool int, weight float64) {
 	switch {
 	case !ep.index.pooled:
@@ -71,10 +71,10 @@
 	}
 }
 
-// usable is how many endpoints of the subset get requests like any other.
+// usable returns the number of endpoints of the subset that are available or in slow start.
 func (d *drawPools) usable() int { return d.pools[availablePool].Len() + d.pools[warmingUpPool].Len() }
 
-// in are the pools of the endpoints in a scope.
+// in returns the pools of the endpoints in a scope.
 func (d *drawPools) in(within scope) []weightedsample.Pool[*endpoint] {
 	if within == everywhere {
 		return d.pools[:]
@@ -82,7 +82,7 @@
 	return d.pools[:outsidePool]
 }
 
-// draw draws one endpoint from some of the pools, by the bounds; false where they hold none.
+// draw draws one endpoint from some of the pools, by the bounds. It reports false if they are empty.
 func (d *drawPools) draw(rng *rand.Rand, pools []weightedsample.Pool[*endpoint]) (*endpoint, bool) {
 	total := 0.0
 	for i := range pools {
@@ -99,8 +99,8 @@
 	return nil, false
 }
 
-// drawOne draws one endpoint by the bounds of the draw weights, and takes it with the probability that makes that a draw by the
-// weights; false where none is taken.
+// drawOne draws one endpoint by the bounds, and reports whether it is accepted. The accepted ones are distributed by the draw
+// weights.
 func (b *Balancer) drawOne(now time.Duration, within scope) (*endpoint, bool) {
 	ep, ok := b.pools.draw(b.rng, b.pools.in(within))
 	if !ok {
@@ -109,7 +109,7 @@
 	return ep, b.rng.Float64()*ep.index.bound*b.pools.boundSlack < b.capacityShare(now, ep)*b.weights.drawWeight(ep)
 }
 
-// refreshBound puts an endpoint into a pool, or moves its bound there, if that is due.
+// refreshBound adds an endpoint to a pool, or replaces its bound there if necessary.
 func (b *Balancer) refreshBound(now time.Duration, ep *endpoint, pool int) {
 	weight := b.weights.drawWeight(ep)
 	if pool == availablePool {
@@ -117,20 +117,20 @@
 		ep.index.availableWeight = weight
 	}
 	if pool == warmingUpPool {
-		weight *= b.capacityShare(b.nextBoundCheck(now, ep), ep) // the bound is not looked at before
+		weight *= b.capacityShare(b.nextBoundCheck(now, ep), ep) // the largest share until the bound is checked again
 	}
-	weight *= b.weights.kindDrift(ep.kind) // it may go back by as much
+	weight *= b.weights.kindDrift(ep.kind) // the drift may be undone
 	b.pools.put(ep, pool, weight)
 }
 
-// noteDrift takes a kind's move into the slack, and refreshes its endpoints when it has gone too far. A load report moves what
-// the weights of all kinds share, so that the slack is looked at for all.
+// noteDrift raises the slack by the drift of a kind, or refreshes the kind's endpoints if the drift is too large. A load report
+// changes a factor of the weights of all kinds, so all kinds are then included in the slack.
 func (b *Balancer) noteDrift(now time.Duration, kind int, reported bool) {
 	weights := &b.weights
 	drift := weights.kindDrift(kind)
 	// A kind that reports its first service time moves the weights of all kinds.
 	newcomer := weights.services.reporting != weights.services.settledReporting
-	// Before kindTrustSamples answers a kind's latency counts for nothing, and all its endpoints' weights leap when it does.
+	// Until it has kindTrustSamples answers the latency of a kind is ignored; then all weights of its endpoints change at once.
 	newlyTrusted := weights.trusted(kind) && weights.latencies[kind].settledMean == 0
 	switch {
 	case newcomer || weights.services.inverseSum.drift() > math.Sqrt(maxDrift):
@@ -150,7 +150,7 @@
 	}
 }
 
-// availableSubsetWeight is the sum of the draw weights of the subset's available endpoints.
+// availableSubsetWeight returns the sum of the draw weights of the subset's available endpoints.
 func (b *Balancer) availableSubsetWeight() float64 {
 	if b.usesPools(inSubset) {
 		return b.pools.availableWeight
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// This file paces requests by latency pressure: what answers take over what they should at most take on average. It serves where
-// instances outnumber endpoints: there each instance has a request or two in flight, and no limit on their number holds anything
-// back.
+// This file limits the rate of sends by the latency pressure, which is the ratio of the answers' latency to an acceptable mean.
+// It is for services with more instances than endpoints: each instance has only one or two requests in flight then, so that a
+// limit on their number has no effect.
 
 const (
-	// What answers should take on average at most: the smaller of so many usual latencies and such a part of the latency target.
+	// The acceptable mean latency is the smaller of this multiple of the usual latency and this share of the latency target.
 	pressureUsualMultiple = 1.5
 	pressureTargetShare   = 0.55
 
 	pressureWindowTargets = 2.0  // latency targets over which the pressure is smoothed
-	maxPressureWeight     = 0.12 // most weight that one answer has in it, where few come
-	maxPressureSample     = 4.0  // most that one answer counts, in what it should take
-	pressureGain          = 1.5  // part of the rate that one second of a pressure of 2 takes off
-	maxSendRateMultiple   = 1.5  // most sends a second, in peak rates of requests: the rate when nothing is held back
-	minSendRateShare      = 0.15 // least sends a second, as a part of the most
-	sendBurst             = 2.0  // requests that may be sent at once; where half a second's are more, so many
+	maxPressureWeight     = 0.12 // most weight of one answer in the pressure, if answers are rare
+	maxPressureSample     = 4.0  // most that one answer counts, in acceptable latencies
+	pressureGain          = 1.5  // relative decrease of the rate per second at a pressure of 2 or more
+	maxSendRateMultiple   = 1.5  // highest limit on the rate of sends, in recent peak rates of requests; the limit begins there
+	minSendRateShare      = 0.15 // lowest limit, as a share of the highest
+	sendBurst             = 2.0  // requests that may be sent at once, unless half a second at the limit is more
 )
 
-// sendLimiter limits the rate at which requests are sent while the pressure is above 1. The zero value has no limit.
+// sendLimiter limits the rate of sends while the pressure is above 1. The zero value has no limit.
 type sendLimiter struct {
 	pressure  float64 // smoothed
 	updatedAt time.Duration
-	limited   bool    // the pressure rose above 1, and has not fallen since
-	rate      float64 // a second, while it is limited
-	tokens    float64 // requests that may be sent now
+	limited   bool    // the pressure exceeded 1, and has not fallen to 1 since
+	rate      float64 // requests per second, while limited
+	tokens    float64 // requests that may be sent at tokensAt
 	tokensAt  time.Duration
 }
 
-// refill earns tokens up to a time.
+// refill adds the tokens earned until the given time.
 func (s *sendLimiter) refill(now time.Duration) {
 	earned := s.rate * (now - s.tokensAt).Seconds()
 	s.tokens = min(s.tokens+earned, max(sendBurst, s.rate/2))
@@ -40,10 +40,11 @@
 // allows reports whether a request may be sent.
 func (s *sendLimiter) allows() bool { return !s.limited || s.tokens >= 1 }
 
-// take counts a request that is sent.
+// take records that a request is sent.
 func (s *sendLimiter) take() { s.tokens-- }
 
-// record takes in what an answer took, and moves the rate of sends by it. maxRate is the rate while nothing is held back.
+// record updates the pressure by the time that an answer took, and the rate of sends by the pressure. maxRate is the highest
+// limit on the rate, in requests per second.
 func (s *sendLimiter) record(now time.Duration, c *class, took time.Duration, maxRate float64) {
 	target := c.LatencyTarget.Seconds()
 	acceptable := min(pressureUsualMultiple*c.latency.usual, pressureTargetShare*target)
@@ -65,8 +66,8 @@
 	s.limited = s.pressure > 1
 }
 
-// recordPressure takes in what an answer took, where that is to be paced: on clients' requests only, for what the tiers above
-// have worked on is not rejected below.
+// recordPressure records the time that an answer took, if the pressure limits sends here. Only the first tier limits them, so
+// that work which the tiers above have done is not rejected below.
 func (b *Balancer) recordPressure(now time.Duration, c *class, took time.Duration) {
 	if b.settings.Tier > 0 || b.settings.Instances <= len(b.listed) {
 		return
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// This file takes requests from their arrival to their final answer.
+// This file handles the events of a request, from its arrival to its final answer.
 
-// request is one request from its arrival to its final answer and last outcome.
+// request is the state of one request, from its arrival until it has both its final answer and its last outcome.
 type request struct {
 	id             RequestID
 	class          *class
 	overQuota      bool // beyond its tenant's quota
 	deadline       time.Duration
-	targetAt       time.Duration // an answer after this has little value
-	valueFactor    float64       // its value, beside others of its class
+	targetAt       time.Duration // when the latency target ends: a later answer has little value
+	valueFactor    float64       // its value relative to other requests of its class
 	attempts       int
 	maxAttempts    int
-	attemptTimeout time.Duration // 0 for none of its own
-	failedEndpoint *endpoint     // of the last attempt that failed; nil for none
+	attemptTimeout time.Duration // of each attempt; 0 for none
+	failedEndpoint *endpoint     // where the last attempt failed, or where the first must not go; nil for none
 	pending        bool
 	streaming      bool
 	done           bool // it has its final answer
 
 	mayHaveRun bool // an attempt may have run
-	// Of the first attempt that may have run: its endpoint's zone and cell as they were then, and when it was sent.
+	// The zone and cell of the endpoint of the first attempt that may have run, and when it was sent.
 	ranInZone int
 	ranInCell int
 	ranAt     time.Duration
 
-	// Of the attempt that is in flight.
-	endpoint        *endpoint // nil while there is none
+	// The attempt in flight.
+	endpoint        *endpoint // nil if none is in flight
 	sentAt          time.Duration
-	responsesAtSend int  // the fleet's
-	trial           bool // it ends an ejection if it is served
-	cancelled       bool // by us: the outcome is still to come
-	overtaken       int  // answers to attempts that were sent later
-	lost            bool // it will hardly be answered: it is out for lostTails
-	overdue         bool // it is out for overdueTails
+	responsesAtSend int  // outliers.responses when it was sent
+	trial           bool // it is a trial, which ends an ejection if it is served
+	cancelled       bool // by this instance; its outcome is still to come
+	overtaken       int  // number of attempts that were sent later and answered earlier
+	lost            bool // it will probably not be answered: overtaken, and older than lostTails
+	overdue         bool // overtaken, and older than overdueTails
 }
 
-// unrestricted reports whether a request may go to any endpoint, as far as the rules go.
+// unrestricted reports whether the rules of its class allow a request to be sent to any endpoint.
 func (r *request) unrestricted() bool { return !r.mayHaveRun || r.class.Idempotency == Idempotent }
 
-// boundToCell reports whether a request may only go to the endpoints of one cell.
+// boundToCell reports whether a request may only be sent to the endpoints of one cell.
 func (r *request) boundToCell() bool {
 	return r.mayHaveRun && r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeCell
 }
 
-// noteRun notes that an attempt at an endpoint may have run. The first one counts.
+// noteRun records that an attempt at an endpoint may have run. Only the first such attempt is kept.
 func (r *request) noteRun(ep *endpoint) {
 	if !r.mayHaveRun {
 		r.mayHaveRun, r.ranInZone, r.ranInCell, r.ranAt = true, ep.zone, ep.cell, r.sentAt
 	}
 }
 
-// newRequest is the state of a request that has arrived.
+// newRequest returns the state of a request that has arrived.
 func (b *Balancer) newRequest(now time.Duration, incoming *Request) *request {
 	class := b.classes[incoming.Class]
 	elapsed := b.elapsedForClient(class, incoming)
@@ -74,7 +74,7 @@
 	}
 }
 
-// HandleRequest takes a new request.
+// HandleRequest handles the arrival of a request.
 func (b *Balancer) HandleRequest(now time.Duration, incoming Request) {
 	overQuota, spare := b.takeQuota(now, &incoming)
 	req := b.newRequest(now, &incoming)
@@ -92,7 +92,7 @@
 	b.armTick()
 }
 
-// HandleResponseStart takes in that a streamed response has started: the request is the client's from here on.
+// HandleResponseStart records that a streamed response has started. From then on the request cannot be retried.
 func (b *Balancer) HandleResponseStart(now time.Duration, id RequestID, _ int, _ EndpointID) {
 	req := b.requests[id]
 	if req == nil || req.endpoint == nil {
@@ -103,7 +103,7 @@
 	b.outliers.responses++
 }
 
-// HandleOutcome takes the end of an attempt. One that is not in flight, as far as the Balancer knows, is passed over.
+// HandleOutcome handles the end of an attempt. It ignores an outcome for which no attempt is in flight.
 func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
 	req := b.requests[outcome.ID]
 	if req == nil || req.endpoint == nil {
@@ -126,7 +126,7 @@
 	b.armTick()
 }
 
-// endCall takes a request's attempt out of those in flight.
+// endCall removes a request's attempt from those in flight.
 func (b *Balancer) endCall(now time.Duration, req *request, ep *endpoint) {
 	req.endpoint = nil
 	if req.cancelled {
@@ -143,7 +143,7 @@
 	}
 }
 
-// recordForThrottle takes an outcome into the throttle on attempts that never run.
+// recordForThrottle records an outcome for the limit on attempts that never run.
 func (b *Balancer) recordForThrottle(s Status) {
 	switch {
 	case s == StatusOK:
@@ -154,7 +154,7 @@
 	}
 }
 
-// HandleClientGone takes in that the client has gone: nothing is owed, and work for it is cancelled.
+// HandleClientGone handles the departure of the client: its request needs no answer, and its attempt is cancelled.
 func (b *Balancer) HandleClientGone(_ time.Duration, id RequestID) {
 	req := b.requests[id]
 	if req == nil {
@@ -171,20 +171,20 @@
 	b.cancelAttempt(req)
 }
 
-// enqueue puts a request among those pending.
+// enqueue adds a request to the pending ones.
 func (b *Balancer) enqueue(req *request) {
 	req.pending = true
 	b.pending = append(b.pending, req)
 }
 
-// removePending takes the i-th pending request out.
+// removePending removes the i-th pending request.
 func (b *Balancer) removePending(i int) {
 	b.pending[i].pending = false
 	b.pending = slices.Delete(b.pending, i, i+1)
 }
 
-// enqueueAfter puts a request among those pending after a backoff, at the first tick from then on. An instance that shuts
-// down has no time for backoffs.
+// enqueueAfter makes a request pending again at the first tick after a backoff. An instance that shuts down skips the backoff, as
+// it has no time for it.
 func (b *Balancer) enqueueAfter(now time.Duration, req *request, backoff time.Duration) {
 	if backoff <= 0 || b.shuttingDown() {
 		b.enqueue(req)
@@ -193,7 +193,7 @@
 	b.backoffs.Put(req, now+backoff)
 }
 
-// enqueueDue puts those among the pending whose backoff is over. One whose client has gone meanwhile is known no more.
+// enqueueDue makes the requests pending whose backoff is over. It drops those whose client has gone.
 func (b *Balancer) enqueueDue(now time.Duration) {
 	for {
 		req, at, ok := b.backoffs.Peek()
@@ -211,7 +211,7 @@
 	}
 }
 
-// takeQuota meters a request against its tenant's quota. Only the first tier does: what it has let in is not rejected below.
+// takeQuota meters a request against its tenant's quota. Only the first tier does so: what it has accepted is not rejected below.
 func (b *Balancer) takeQuota(now time.Duration, incoming *Request) (overQuota, spare bool) {
 	if b.settings.Tier > 0 {
 		return false, true
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Idempotency says how far the requests of a class may be repeated.
+// Idempotency says whether requests of a class may be repeated.
 type Idempotency string
 
 // The idempotency of a class. The values are those of settings files.
 const (
 	Idempotent        Idempotency = "safe"   // may run any number of times
-	IdempotentWithKey Idempotency = "keyed"  // repeats are dropped within KeyScope for KeyWindow
+	IdempotentWithKey Idempotency = "keyed"  // repeats are recognized within KeyScope for KeyWindow
 	NonIdempotent     Idempotency = "unsafe" // must not run twice
 )
 
-// KeyScope is the group of endpoints that drops the repeats of a request with an idempotency key.
+// KeyScope is the group of endpoints that recognizes the repeat of a request by its idempotency key.
 type KeyScope string
 
 // The scopes of an idempotency key. The values are those of settings files.
@@ -31,74 +31,73 @@
 type Class struct {
 	Name           string
 	LatencyTarget  time.Duration // an answer within it has the full value (SLO)
-	Deadline       time.Duration // the client's total wait, over all its attempts
+	Deadline       time.Duration // the longest that the client waits, over all its attempts
 	Value          float64       // of one answer
-	LateValueShare float64       // part of Value that an answer after LatencyTarget has
+	LateValueShare float64       // share of Value that an answer after LatencyTarget has
 	Idempotency    Idempotency
 	KeyScope       KeyScope      // for IdempotentWithKey
-	KeyWindow      time.Duration // for IdempotentWithKey: how long repeats are dropped
+	KeyWindow      time.Duration // for IdempotentWithKey: how long repeats are recognized
 	Streaming      bool          // responses stream: HandleResponseStart is called
 }
 
-// Tenant is one of several customers that share the service.
+// Tenant is one of the customers that share the service.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests, over all instances, that are within its share
+	QuotaPerSecond float64 // requests per second over all instances
 }
 
-// Settings is what an instance is started with.
+// Settings holds the settings of an instance.
 type Settings struct {
 	Instances int           // instances in this tier
-	Ordinal   int           // this instance's number among them, from 0
+	Ordinal   int           // index of this instance among them, from 0
 	Tier      int           // index of the tier that this instance calls, from 0
-	Tiers     int           // how many tiers there are; a request may wait in each from Tier on
+	Tiers     int           // number of tiers; a request may wait in each from Tier on
 	Quantum   time.Duration // shortest time between two rounds of events
-	// MaxSubsetSize is the most endpoints that this instance calls, 0 for no bound but that of its tier.
-	// Where all instances together call fewer than are listed, the others get no requests.
+	// MaxSubsetSize is the most endpoints that this instance calls, 0 for no limit. If all instances together call fewer
+	// endpoints than are listed, the others get no requests.
 	MaxSubsetSize int
 
 	Classes             []Class
 	Tenants             []Tenant
-	ValuePerWorkUnit    bool    // a class's Value is that of a unit of work, not of a request
-	TotalValueWeight    float64 // weight of the value of all answers in what is optimized
-	WorstClassWeight    float64 // weight of the answered share of the worst-served class in what is optimized
-	OverQuotaValueShare float64 // part of its class's Value that a request beyond its tenant's quota has
+	ValuePerWorkUnit    bool    // a class's Value is for each unit of work, not for each request
+	TotalValueWeight    float64 // weight of the total value of all answers in the optimized value
+	WorstClassWeight    float64 // weight of the worst-served class's answered share in the optimized value
+	OverQuotaValueShare float64 // share of its class's Value that a request over its tenant's quota has
 
-	// What the environment permits.
+	// What the environment permits and limits.
 	MayCancel       bool
 	MayHealthCheck  bool
 	MayMessagePeers bool
-	HedgedRequests  bool // two attempts of a request may be in flight at once
-	MaxAttempts     int  // of a request; 0 for no limit
+	HedgedRequests  bool // two attempts of a request may be in flight at the same time
+	MaxAttempts     int  // of each request; 0 for no limit
 	MaxRetryAfter   time.Duration
 	ConnectTimeout  time.Duration
 
-	// Where the list of endpoints comes from.
-	MustSubscribe       bool          // changes come only after WatchEndpoints or FetchEndpoints
+	// The source of the endpoint list.
+	MustSubscribe       bool          // changes arrive only after WatchEndpoints or FetchEndpoints
 	ResubscribeInterval time.Duration // an instance that has not asked for this long counts as notified
 
-	// PropagatesDeadline says that a request to the next tier carries the time that its caller has left; false that it
-	// carries its class's whole deadline.
+	// PropagatesDeadline says that a request to the next tier carries the time that its caller has left, rather than its class's
+	// whole Deadline.
 	PropagatesDeadline bool
 	ClientsMarkRetries bool // clients flag their retries
 
 	// Slow start: the share of their capacity that endpoints begin with, and the time until they have all of it.
 	SlowStartMinShare float64
 	SlowStartWindow   time.Duration
-	// An endpoint that is still in slow start fails under OverloadMultiple times its capacity of that time, held for
-	// OverloadDuration.
+	// An endpoint in slow start fails at OverloadMultiple times its current capacity, if that lasts for OverloadDuration.
 	OverloadMultiple float64
 	OverloadDuration time.Duration
 }
 
-// minimum is a number that is set, and the least it may be.
+// minimum is a setting with its value and the least valid value.
 type minimum struct {
 	key   string
 	value float64
 	min   float64
 }
 
-// checkMinimums names the first that is too low.
+// checkMinimums returns an error that names the first setting below its minimum.
 func checkMinimums(minimums []minimum) error {
 	for _, m := range minimums {
 		if m.value < m.min {
@@ -108,7 +107,7 @@
 	return nil
 }
 
-// checkEnums names, after a prefix, the first field of the class whose value is unknown.
+// checkEnums returns an error that names the first field of the class with an unknown value, after a prefix.
 func (c *Class) checkEnums(prefix string) error {
 	switch c.Idempotency {
 	case Idempotent, NonIdempotent:
@@ -124,7 +123,7 @@
 	return fmt.Errorf("settings: %sscope: unknown scope %q", prefix, c.KeyScope)
 }
 
-// minimums are the numbers of the class that have a least value, named after a prefix.
+// minimums returns the numeric fields of the class with their least values, named after a prefix.
 func (c *Class) minimums(prefix string) []minimum {
 	return []minimum{
 		{prefix + "aim", float64(c.LatencyTarget), 0},
@@ -133,10 +132,10 @@
 	}
 }
 
-// classKey is the prefix by which error texts name the fields of a class.
+// classKey returns the prefix of the names of a class's fields in error texts.
 func classKey(index int) string { return fmt.Sprintf("classes[%d].", index) }
 
-// check names the first setting that cannot be acted on, by the name that settings files have for it.
+// check returns an error that names the first invalid setting by its key in settings files.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
@@ -174,7 +173,7 @@
 	return nil
 }
 
-// maxAttempts is how often a request may be sent.
+// maxAttempts returns how often a request may be sent.
 func (s *Settings) maxAttempts(r *Request) int {
 	limit := math.MaxInt
 	if s.MaxAttempts > 0 {
@@ -186,19 +185,20 @@
 	return limit
 }
 
-// InstanceGroup is the instances of a tier as a membership view has them, in place of the numbers in Settings.
+// InstanceGroup is the instances of a tier according to a membership view. It replaces the numbers in Settings.
 type InstanceGroup struct {
-	Instances int // that take this tier's requests; at least 1
-	Ordinal   int // this one's number among them, from 0
-	// MaxInstances is how many there may be at most, as far as this one can tell: what all together must not exceed, such
-	// as tenants' quotas and attempts at endpoints in slow start, is divided by it. At least Instances; 0 for that.
+	Instances int // number that serve requests of this tier; at least 1
+	Ordinal   int // index of this instance among them, from 0
+	// MaxInstances is the most instances there may be, as far as this one knows. Limits that all instances share, such as
+	// tenants' quotas and attempts at endpoints in slow start, are divided by it. If it is below Instances, Instances is used.
 	MaxInstances int
-	// Members are numbers of theirs that all agree on, in any order, and Self this one's. Subsets of many
-	// endpoints then move by no more than a change of the group takes. Nil: they go by Ordinal.
+	// Members are ids of the instances that all instances agree on, in any order, and Self is the id of this one. With them,
+	// large subsets change by no more than a change of the group requires. If nil, subsets depend on Ordinal.
 	Members []uint64
 	Self    uint64
 }
 
+// check returns an error that says what is inconsistent in the group.
 func (i *InstanceGroup) check() error {
 	switch {
 	case i.Instances < 1:
--- a/internal/balancer/shutdown.go
+++ b/internal/balancer/shutdown.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// This file decides what an instance that shuts down still takes.
+// This file decides which requests an instance still accepts while it shuts down.
 
 const (
-	successorDelay     = 1.5 // seconds from an instance's end until the next one serves in its place
-	minIdleConnections = 3   // callers' connections that the only instance keeps idle once it is to end
+	successorDelay     = 1.5 // seconds from an instance's end until its successor serves
+	minIdleConnections = 3   // idle connections of callers below which the only instance, once it shuts down, rejects requests
 )
 
-// never is the time of what is not going to happen.
+// never stands for the time of an event that is not expected.
 const never time.Duration = math.MaxInt64
 
-// ShutDownAt says when this instance ends. All that it has or takes is answered by then: what can hardly be served in time is
-// rejected at once. Attempts that are in flight then are the host's to end.
+// ShutDownAt sets when this instance ends. All requests get their final answer by then: those that can hardly be served in time
+// are rejected at once. The host ends attempts that are still in flight then.
 func (b *Balancer) ShutDownAt(now, at time.Duration) {
 	b.shutdownAt = at
 	for _, req := range b.requests {
@@ -29,9 +29,10 @@
 // shuttingDown reports whether the instance's end is known.
 func (b *Balancer) shuttingDown() bool { return b.shutdownAt < never }
 
-// rejectsForShutdown reports whether an instance that ends rejects a request: for want of time, or, as the only one, of
-// connections. Callers open no more; who finds all in use, by a burst or by slow endpoints, finds nobody and stops looking. Where
-// callers do open more, some are rejected in vain.
+// rejectsForShutdown reports whether an instance that shuts down rejects a request, for lack of time or, if it is the only
+// instance, of idle connections. Callers open no new connections to an instance that shuts down. One that finds all connections
+// in use, in a burst or because endpoints are slow, gives up. If callers do open new ones, some requests are rejected without
+// need.
 func (b *Balancer) rejectsForShutdown(now time.Duration, c *class, idleConnections int) bool {
 	if b.endsBeforeResponse(now, c) {
 		return true
@@ -39,7 +40,7 @@
 	return b.shuttingDown() && b.settings.Instances == 1 && idleConnections < minIdleConnections
 }
 
-// endsBeforeResponse reports whether this instance ends before a request that is sent at a time is answered, slow as it may be.
+// endsBeforeResponse reports whether this instance ends before a slow response to a request that is sent at the given time.
 func (b *Balancer) endsBeforeResponse(at time.Duration, c *class) bool {
 	return at+seconds(targetSlackMeans*c.latency.mean) >= b.shutdownAt
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// This file decides what endpoints that have just started get (slow start): they begin with a share of their capacity, which
-// grows with time.
+// This file limits the requests to endpoints that have just started (slow start). Their capacity begins with a share of the full
+// one, which grows with time.
 
 const (
-	restoredWarmShare      = 0.75 // of the slow start that an unejected endpoint skips if nothing shows that it restarted
-	slowStartHeadroom      = 0.7  // of OverloadMultiple: an endpoint's rate over its share of what available ones are sent
-	slowStartAloneHeadroom = 0.9  // the same while none is available: there is nobody else to take the requests
-	slowStartStep          = 1.25 // how far a share grows between two looks at its endpoint's bound
+	restoredWarmShare      = 0.75 // share of the slow start that an endpoint skips after an ejection, if its connections never broke
+	slowStartHeadroom      = 0.7  // part of OverloadMultiple by which an endpoint's rate may exceed its share of an available one's
+	slowStartAloneHeadroom = 0.9  // the same while no endpoint is available, as no other can take the requests
+	slowStartStep          = 1.25 // factor by which the capacity share grows between two checks of the bound
 )
 
-// startSlowStart begins an endpoint's slow start, counted from the given time.
+// startSlowStart starts an endpoint's slow start, counted from the given time.
 func (b *Balancer) startSlowStart(now time.Duration, ep *endpoint, from time.Duration) {
 	b.clearEjection(ep)
 	ep.availability, ep.slowStartFrom = warmingUp, from
-	// A random part of a request: instances that hear of a start at once must not all send one at once.
+	// The fraction of a token is random, so that the instances which learn of the start at the same time do not all send a
+	// request at once.
 	ep.slowStartTokens, ep.slowStartTokensAt = b.rng.Float64(), now
 	b.slowStarts.Remove(ep)
 	b.reindex(now, ep)
 }
 
-// advanceSlowStarts brings the bounds of endpoints in slow start up to date, and ends those that are over.
+// advanceSlowStarts updates the bounds of endpoints in slow start, and ends the slow starts that are over.
 func (b *Balancer) advanceSlowStarts(now time.Duration) {
 	for {
 		ep, at, ok := b.slowStarts.Peek()
@@ -37,7 +38,7 @@
 	}
 }
 
-// capacityShare is the part of its capacity that an endpoint is taken to have: 1 unless it is in slow start.
+// capacityShare returns the share of its full capacity that an endpoint is assumed to have: 1 unless it is in slow start.
 func (b *Balancer) capacityShare(now time.Duration, ep *endpoint) float64 {
 	if ep.availability != warmingUp || b.settings.SlowStartWindow == 0 {
 		return 1
@@ -47,7 +48,8 @@
 	return min(max(share, from), 1)
 }
 
-// nextBoundCheck is when the share of an endpoint in slow start will have grown by slowStartStep, or when its slow start is over.
+// nextBoundCheck returns when the share of an endpoint in slow start will have grown by slowStartStep, or when its slow start
+// will be over.
 func (b *Balancer) nextBoundCheck(now time.Duration, ep *endpoint) time.Duration {
 	over := ep.slowStartFrom + b.settings.SlowStartWindow
 	if b.settings.SlowStartMinShare >= 1 {
@@ -55,13 +57,14 @@
 	}
 	grown := (b.capacityShare(now, ep)*slowStartStep - b.settings.SlowStartMinShare) / (1 - b.settings.SlowStartMinShare)
 	at := ep.slowStartFrom + seconds(grown*b.settings.SlowStartWindow.Seconds())
-	// One that starts with no share at all would be looked at again and again.
+	// The next tick is the earliest, as a share that begins at 0 would be checked without end.
 	return min(over, max(at, now+b.tickInterval))
 }
 
-// slowStartAllows caps what an endpoint in slow start is sent to its share of what an available one gets, whatever the others
-// do: when nearly all are in slow start a draw by share alone would overload them. It goes by the draw weight, too: a slow
-// machine, or one of which a sliver lies in each of many subsets, got a whole fast one's.
+// slowStartAllows reports whether an endpoint in slow start may get a request. Its rate is limited to its capacity share of an
+// available endpoint's rate, whatever the others do: if nearly all are in slow start, a draw by capacity share alone would
+// overload them. It scales with the draw weight: otherwise a slow machine, or one with a small weight in many subsets, would get
+// the rate of a fast one.
 func (b *Balancer) slowStartAllows(now time.Duration, ep *endpoint) bool {
 	perWeight := b.warmSendRate.peak(now, b.rateWindow)
 	if perWeight == 0 {
@@ -78,7 +81,8 @@
 	return ep.slowStartTokens >= 1
 }
 
-// countAvailableSend notes that an available endpoint of the subset is sent a request: what those in slow start get goes by that.
+// countAvailableSend records that an available endpoint of the subset is sent a request. The limits in slow start follow that
+// rate.
 func (b *Balancer) countAvailableSend(now time.Duration, ep *endpoint) {
 	if ep.availability != available || ep.subsetWeight <= 0 {
 		return
@@ -88,8 +92,8 @@
 	}
 }
 
-// holdSlowStartRate keeps up what endpoints in slow start get while none of the subset is available. No send can renew it then:
-// it faded, and with it what they got.
+// holdSlowStartRate keeps the limits in slow start as they are while no endpoint of the subset is available. No send renews the
+// rate then; without this it decayed, and the limits with it.
 func (b *Balancer) holdSlowStartRate(now time.Duration) {
 	b.noneAvailable = b.availableSubsetWeight() == 0
 	if b.noneAvailable {
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -11,23 +11,24 @@
 	"quincegap/internal/structures/hashring"
 )
 
-// This file decides which endpoints this instance calls. Many instances that each call every endpoint fill its connection table
-// with idle connections, and know nothing of any.
+// This file decides which endpoints this instance calls. If many instances each call all endpoints, they fill the endpoints'
+// connection tables with idle connections, and each learns little of any endpoint.
 
 const (
-	callersPerEndpoint = 3   // instances that call one endpoint; of more each keeps to a subset, of which it learns something
-	minSubsetSize      = 2.0 // endpoints' worth of weight in a subset: with one there is nothing to compare
+	callersPerEndpoint = 3   // instances that call each endpoint; with more instances each calls only a subset, and learns more of it
+	minSubsetSize      = 2.0 // in mean weights of an endpoint: with one endpoint there is nothing to compare
 
-	// hashSubsetFrom is the size from which a subset is by the endpoints' ids alone, so that one that comes or goes moves no
-	// other's place; it stays so down to hashSubsetDownTo. Smaller ones would differ too much by chance.
+	// A subset of more than hashSubsetFrom endpoints depends only on the endpoints' ids, so that a change of one endpoint does
+	// not affect the others. It stays so down to hashSubsetDownTo endpoints. Smaller subsets of this form would differ too much
+	// in size by chance.
 	hashSubsetFrom      = 64.0
 	hashSubsetDownTo    = 48.0
-	hashSubsetMinUsable = 0.5 // part of such a subset that has to be usable: else it grows to twice the size
+	hashSubsetMinUsable = 0.5 // share of such a subset that has to be usable, otherwise its size is doubled
 
-	weightTolerance = 1e-9 // of the total weight, that rounding may leave over
+	weightTolerance = 1e-9 // share of the total weight that rounding may leave over
 )
 
-// scope is the endpoints that may be picked.
+// scope says which endpoints may be picked.
 type scope uint8
 
 const (
@@ -38,20 +39,20 @@
 
 // subset is the endpoints that this instance calls.
 type subset struct {
-	all     bool        // it holds all endpoints there are; members is not used then
-	members []*endpoint // those in it
-	stale   bool        // it is to be worked out again
-	size    float64     // in endpoints' worth of weight
+	all     bool        // it is all endpoints in the index; members is not used then
+	members []*endpoint // the endpoints in it
+	stale   bool        // it has to be computed again
+	size    float64     // in mean weights of an endpoint
 
-	byHash bool            // it goes by the endpoints' ids alone
-	share  hashring.Share  // by hash: the share of all ids whose endpoints are in it
-	group  *hashring.Group // by hash: the instances that divide the ids; nil to go by their ordinals
+	byHash bool            // it depends only on the endpoints' ids
+	share  hashring.Share  // if byHash: the share of all ids whose endpoints are in it
+	group  *hashring.Group // if byHash: the instances that divide the ids; nil to divide them by ordinal
 
-	previous          []*endpoint // buffer: the members before it was worked out again
-	unreachedReported bool        // it was reported that instances together do not reach all endpoints
+	previous          []*endpoint // buffer: the members before it was computed again
+	unreachedReported bool        // the log says that the instances together do not reach all endpoints
 }
 
-// admit takes in an endpoint that has come, where that is clear without working out the subset again.
+// admit adds an endpoint that has become listed, if that does not need the subset to be computed again.
 func (s *subset) admit(ep *endpoint, weight float64) {
 	switch {
 	case s.all:
@@ -62,7 +63,7 @@
 	}
 }
 
-// drop takes out an endpoint that has gone.
+// drop removes an endpoint.
 func (s *subset) drop(ep *endpoint) {
 	ep.subsetWeight = 0
 	if s.byHash {
@@ -70,7 +71,7 @@
 	}
 }
 
-// add gives the subset a part of the weight of an endpoint.
+// add adds a part of an endpoint's weight to the subset.
 func (s *subset) add(ep *endpoint, weight float64) {
 	if ep.subsetWeight == 0 {
 		s.members = append(s.members, ep)
@@ -78,7 +79,7 @@
 	ep.subsetWeight += weight
 }
 
-// endpointsIn gives the endpoints of a scope. The list is good until it is asked for again.
+// endpointsIn returns the endpoints of a scope. The list is valid until the next call.
 func (b *Balancer) endpointsIn(within scope) []*endpoint {
 	if within == inSubset && !b.subset.all {
 		return b.subset.members
@@ -86,7 +87,7 @@
 	return b.index.everyone()
 }
 
-// usesPools reports whether the endpoints of a scope are too many to be scanned one by one.
+// usesPools reports whether a scope has too many endpoints to scan them one by one.
 func (b *Balancer) usesPools(within scope) bool {
 	if within == everywhere || b.subset.all {
 		return b.index.len() > b.scanLimit
@@ -94,7 +95,7 @@
 	return len(b.subset.members) > b.scanLimit
 }
 
-// updateSubset works out which endpoints are in this instance's subset, and with what part of their weight.
+// updateSubset computes which endpoints are in this instance's subset, and with which part of their weight.
 func (b *Balancer) updateSubset(now time.Duration) {
 	s := &b.subset
 	listed := float64(b.index.len())
@@ -110,7 +111,7 @@
 	}
 }
 
-// useAllEndpoints gives this instance all there are, each with its whole weight.
+// useAllEndpoints makes the subset all endpoints, each with its whole weight.
 func (b *Balancer) useAllEndpoints(now time.Duration) {
 	b.reportUnreached()
 	b.subset.stale = false
@@ -124,9 +125,9 @@
 	}
 }
 
-// useTiledSubset gives this instance a tile of a ring of the listed weights, by its ordinal, so that all instances together reach
-// each endpoint in proportion to its weight; an instance that has ejected some goes on along the ring. Endpoints that drain are
-// no part of it: when many left at once, their shares fell to the few that came after them.
+// useTiledSubset makes the subset a tile of a ring of the listed weights. The ordinal says which, so that all instances together
+// reach each endpoint in proportion to its weight. An instance that has ejected endpoints extends its tile along the ring.
+// Draining endpoints are not on the ring: when many left at once, their shares fell to the few endpoints after them.
 func (b *Balancer) useTiledSubset(now time.Duration) {
 	total, listed := b.index.ordered.Total(), float64(b.index.len())
 	tolerance := total * weightTolerance
@@ -134,7 +135,7 @@
 	_, begin := math.Modf(float64(b.settings.Ordinal) * b.subset.size / listed)
 	b.clearSubset()
 	cursor, offset := b.index.ordered.Seek(begin*total, tolerance)
-	for range 2 * b.index.len() { // twice round the ring, for endpoints of which one end was left out
+	for range 2 * b.index.len() { // two rounds, as the first may begin inside an endpoint's weight
 		if missing <= tolerance {
 			break
 		}
@@ -152,7 +153,7 @@
 	b.finishSubset(now)
 }
 
-// useHashSubset gives this instance those of its hash share, each with its whole weight.
+// useHashSubset makes the subset the endpoints of this instance's hash share, each with its whole weight.
 func (b *Balancer) useHashSubset(now time.Duration, widening float64) {
 	s, share := &b.subset, b.hashShareFor(widening)
 	b.reportUnreached()
@@ -170,7 +171,7 @@
 	b.finishSubset(now)
 }
 
-// hashSubsetWidening is how many times wider a hash share has to be for want of usable endpoints.
+// hashSubsetWidening returns the factor by which a hash share has to be widened because too few of its endpoints are usable.
 func (b *Balancer) hashSubsetWidening() float64 {
 	s, widening := &b.subset, 1.0
 	for widening*s.size < float64(b.index.len()) && b.usableInShare(widening) < hashSubsetMinUsable*s.size {
@@ -179,9 +180,9 @@
 	return widening
 }
 
-// hashShareFor is this instance's hash share at a width. Where a bound makes it smaller than its tier's, the owners that an
-// endpoint has go by the length of the list, which moves all shares; so they are rounded down to powers of the fourth root of 2,
-// and stay as they are through most changes.
+// hashShareFor returns this instance's hash share at a widening. If MaxSubsetSize makes it smaller than usual, the number of
+// owners of each endpoint depends on the length of the list, and a change of that number moves all shares. So it is rounded down
+// to a power of the fourth root of 2, and stays the same through most changes of the list.
 func (b *Balancer) hashShareFor(widening float64) hashring.Share {
 	const rounding = 1e-9
 	replicas := float64(callersPerEndpoint)
@@ -194,7 +195,7 @@
 	}
 }
 
-// usableInShare is how many endpoints of a hash share get requests like any other.
+// usableInShare returns how many endpoints of a hash share are available or in slow start.
 func (b *Balancer) usableInShare(widening float64) float64 {
 	share := b.hashShareFor(widening)
 	if b.subset.byHash && b.subset.share == share {
@@ -209,7 +210,7 @@
 	return usable
 }
 
-// clearSubset takes this instance's endpoints from it; subset.add gives it parts of others, and finishSubset ends that.
+// clearSubset makes the subset empty. subset.add then adds parts of endpoints, and finishSubset ends the change.
 func (b *Balancer) clearSubset() {
 	s := &b.subset
 	s.previous = append(s.previous[:0], b.endpointsIn(inSubset)...)
@@ -241,7 +242,7 @@
 	}
 }
 
-// reportUnreached reports when a bound on subsets leaves endpoints without any instance, and when it no longer does.
+// reportUnreached logs when the limit on subsets begins to leave endpoints without any instance, and when it no longer does.
 func (b *Balancer) reportUnreached() {
 	listed, reached := b.index.len(), int(b.subset.size*float64(b.settings.Instances)+0.5)
 	unreached := b.settings.MaxSubsetSize > 0 && reached < listed
@@ -257,8 +258,8 @@
 		b.settings.Instances, b.settings.MaxSubsetSize, reached, listed))
 }
 
-// Subset gives the endpoints that this instance calls, each with the part of its weight that is this instance's, from 0 to 1.
-// It is for people and measurements; ejected ones are among them.
+// Subset returns the endpoints that this instance calls, including ejected ones, each with the share of its weight that belongs
+// to this instance, from 0 to 1. It is meant for operators and measurements.
 func (b *Balancer) Subset() iter.Seq2[EndpointID, float64] {
 	return func(yield func(EndpointID, float64) bool) {
 		for _, ep := range b.endpointsIn(inSubset) {
@@ -269,9 +270,9 @@
 	}
 }
 
-// UpdateGroup takes which instances there are by now, in place of Settings.Instances and Ordinal. Endpoints that the subset
-// loses are used no more but by attempts in flight; what was learnt of them stays. It returns an error, and changes nothing,
-// where the group is none. Give it a group that holds for some time: each moves subsets.
+// UpdateGroup replaces Settings.Instances and Ordinal by those of a group. Endpoints that leave the subset get no new first
+// attempts; what is known of them stays. It returns an error, and changes nothing, if the group is invalid. The group should be
+// stable, as each change moves subsets.
 func (b *Balancer) UpdateGroup(now time.Duration, g InstanceGroup) error {
 	if err := g.check(); err != nil {
 		return err
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// This file estimates what endpoints can do beside one another, by their listed weights, the service times that they report and
-// the latency of their answers.
+// This file estimates the relative capacity of endpoints, by their listed weights, the service times that they report and the
+// latency of their answers.
 
 const (
-	kindLatencyWeight     = 0.02 // of one answer in the latency of its endpoint's kind
-	endpointLatencyWeight = 0.1  // of one answer in the latency of its endpoint
-	serviceTimeWeight     = 0.3  // of one report in an endpoint's service time
-	kindTrustSamples      = 4.0  // answers that the latency of its kind counts for
+	kindLatencyWeight     = 0.02 // weight of one answer in the mean latency of its endpoint's kind
+	endpointLatencyWeight = 0.1  // weight of one answer in the mean latency of its endpoint
+	serviceTimeWeight     = 0.3  // weight of one report in an endpoint's mean service time
+	kindTrustSamples      = 4.0  // answers from which the latency of a kind is used, and as how many it counts beside an endpoint's own
 )
 
-// serviceTimes are the service times that the endpoints of each machine kind report, in seconds.
+// serviceTimes holds the mean service times that the endpoints of each machine kind report, in seconds.
 type serviceTimes struct {
 	kinds            []movingAverage // by kind
-	inverseSum       movingAverage   // of 1 / mean over the kinds that report
-	reporting        int             // how many kinds report
-	settledReporting int             // how many reported when all endpoints were last refreshed
+	inverseSum       movingAverage   // sum of 1 / mean over the kinds that report
+	reporting        int             // number of kinds that report
+	settledReporting int             // number of kinds that reported when all endpoints were last refreshed
 }
 
-// add takes a service time in: short ones count more.
+// add adds a service time in seconds. Values below the mean count more.
 func (s *serviceTimes) add(kind int, seconds float64) {
 	for len(s.kinds) <= kind {
 		s.kinds = append(s.kinds, movingAverage{})
@@ -39,19 +39,19 @@
 	s.inverseSum.mean += 1 / k.mean
 }
 
-// reports tells whether endpoints of a kind have reported service times.
+// reports reports whether endpoints of a kind have reported service times.
 func (s *serviceTimes) reports(kind int) bool {
 	return kind < len(s.kinds) && s.kinds[kind].samples > 0
 }
 
-// weightModel estimates what endpoints can do. The zero value takes all for alike.
+// weightModel estimates the relative capacity of endpoints. The zero value treats all as equal.
 type weightModel struct {
-	useListed bool            // the listed weights tell endpoints apart
-	latencies []movingAverage // of answers over their class's mean, by machine kind
+	useListed bool            // the listed weights differ, and are used
+	latencies []movingAverage // in mean latencies, by machine kind
 	services  serviceTimes
 }
 
-// kindSpeed is what the service times that endpoints of its kind report say of an endpoint, beside other kinds.
+// kindSpeed returns the speed of an endpoint's kind relative to other kinds, by the service times that they report; 1 if unknown.
 func (w *weightModel) kindSpeed(ep *endpoint) float64 {
 	if !w.services.reports(ep.kind) {
 		return 1
@@ -59,12 +59,12 @@
 	return float64(w.services.reporting) / w.services.inverseSum.mean / w.services.kinds[ep.kind].mean
 }
 
-// trusted reports whether the latency of a kind rests on enough answers.
+// trusted reports whether the latency of a kind is based on enough answers.
 func (w *weightModel) trusted(kind int) bool {
 	return kind < len(w.latencies) && w.latencies[kind].samples >= kindTrustSamples
 }
 
-// kindLatencyRatio is the latency of an endpoint's kind over the fleet's; 1 while its answers are few.
+// kindLatencyRatio returns the latency of an endpoint's kind in mean latencies, or 1 while it has few answers.
 func (w *weightModel) kindLatencyRatio(ep *endpoint) float64 {
 	if w.trusted(ep.kind) {
 		return w.latencies[ep.kind].mean
@@ -72,13 +72,12 @@
 	return 1
 }
 
-// latencyRatio is an endpoint's latency over the fleet's, drawn towards its kind's while its own answers are few.
+// latencyRatio returns an endpoint's latency in mean latencies. It is close to its kind's while the endpoint has few answers.
 func (w *weightModel) latencyRatio(ep *endpoint) float64 {
 	return (kindTrustSamples*w.kindLatencyRatio(ep) + ep.latency.samples*ep.latency.mean) / (kindTrustSamples + ep.latency.samples)
 }
 
-// endpointWeight is an endpoint's listed weight, where the list's weights tell endpoints apart, else the speed that its kind
-// reports.
+// endpointWeight returns an endpoint's listed weight if the listed weights differ, otherwise the speed that its kind reports.
 func (w *weightModel) endpointWeight(ep *endpoint) float64 {
 	if w.useListed {
 		return ep.listedWeight
@@ -86,23 +85,23 @@
 	return w.kindSpeed(ep)
 }
 
-// effectiveWeight is what an endpoint can do beside others: its listed weight, less what it is slower than its kind by; where the
-// list weighs all alike, what its latency says.
+// effectiveWeight returns the estimated relative capacity of an endpoint: its listed weight, corrected by its latency relative to
+// its kind's, or if the listed weights are equal, what its latency and service time show.
 func (w *weightModel) effectiveWeight(ep *endpoint) float64 {
 	switch {
 	case w.useListed:
 		return ep.listedWeight * w.kindLatencyRatio(ep) / w.latencyRatio(ep)
 	case len(w.services.kinds) == 0:
 		return 1 / w.latencyRatio(ep)
-	case ep.kind >= len(w.services.kinds): // moved to a kind that has reported nothing
+	case ep.kind >= len(w.services.kinds): // a kind that has reported nothing
 		return w.kindSpeed(ep)
 	}
 	return w.kindSpeed(ep) * w.services.kinds[ep.kind].ratioTo(&ep.serviceTime)
 }
 
-// drawWeight is an endpoint's weight in a draw: by the part of it that is in the subset, or by its whole size for a retry that
-// has left the subset. In a large fleet an instance has so few requests in flight that the draw, not the comparison, keeps small
-// machines from getting what large ones get.
+// drawWeight returns the weight of an endpoint in a draw: the part of its capacity that is in the subset, or all of it for a
+// retry outside of the subset. In a large fleet an instance has so few requests in flight that the draw, rather than the
+// comparison of loads, keeps small machines from getting as much as large ones.
 func (w *weightModel) drawWeight(ep *endpoint) float64 {
 	if ep.subsetWeight > 0 {
 		return w.effectiveWeight(ep) * ep.subsetWeight / w.endpointWeight(ep)
@@ -110,8 +109,8 @@
 	return w.effectiveWeight(ep)
 }
 
-// kindDrift is how far what the draw weights of a kind's endpoints share may have moved them since they were refreshed, as a
-// ratio of at least 1.
+// kindDrift returns the ratio, at least 1, by which the factors that the draw weights of a kind's endpoints share may have
+// changed since these were refreshed.
 func (w *weightModel) kindDrift(kind int) float64 {
 	drift := w.services.inverseSum.drift()
 	if w.trusted(kind) {
@@ -123,10 +122,10 @@
 	return drift
 }
 
-// kinds is how many machine kinds anything is known of.
+// kinds returns the number of machine kinds that anything is known of.
 func (w *weightModel) kinds() int { return max(len(w.latencies), len(w.services.kinds)) }
 
-// settleKind notes that the endpoints of a kind are refreshed.
+// settleKind records that the endpoints of a kind have been refreshed.
 func (w *weightModel) settleKind(kind int) {
 	if w.trusted(kind) {
 		w.latencies[kind].settle()
@@ -136,7 +135,7 @@
 	}
 }
 
-// settleAll notes that all endpoints are refreshed.
+// settleAll records that all endpoints have been refreshed.
 func (w *weightModel) settleAll() {
 	for kind := range w.kinds() {
 		w.settleKind(kind)
@@ -145,8 +144,8 @@
 	w.services.settledReporting = w.services.reporting
 }
 
-// addLatency takes an answer's latency, over the mean of its class, into that of its endpoint and of all of its kind: an endpoint
-// that is seldom called is judged by its kind.
+// addLatency adds the latency of an answer, in mean latencies, to the means of its endpoint and of the endpoint's kind. An
+// endpoint with few answers is estimated by its kind.
 func (w *weightModel) addLatency(ep *endpoint, ratio float64) {
 	if missing := ep.kind + 1 - len(w.latencies); missing > 0 {
 		w.latencies = append(w.latencies, make([]movingAverage, missing)...)
@@ -155,7 +154,7 @@
 	ep.latency.add(ratio, endpointLatencyWeight)
 }
 
-// recordLatency takes an answer's latency into its class's figures, the limits and the weights.
+// recordLatency records an answer's latency for its class, the limits and the weights.
 func (b *Balancer) recordLatency(now time.Duration, c *class, ep *endpoint, took time.Duration) {
 	latency := took.Seconds()
 	c.latency.add(now, b.rateWindow, latency)
@@ -165,15 +164,15 @@
 	b.servedRate.add(now, b.rateWindow, 1)
 }
 
-// recordEndpointLatency takes an answer's latency, over the mean of its class, into the weights.
+// recordEndpointLatency records an answer's latency, in mean latencies, for the weights.
 func (b *Balancer) recordEndpointLatency(now time.Duration, ep *endpoint, ratio float64) {
 	b.weights.addLatency(ep, ratio)
 	b.noteDrift(now, ep.kind, false)
 	b.refreshPools(now, ep)
 }
 
-// recordLoadReport takes the service time that an endpoint reports into the weights. It shows how fast a machine is within an
-// answer or two; the latency of answers does not, as it holds the time of the tiers below.
+// recordLoadReport records the service time that an endpoint reports. It shows the speed of a machine within one or two answers.
+// The latency of answers does not, as it includes the time of the tiers below.
 func (b *Balancer) recordLoadReport(now time.Duration, ep *endpoint, l *Load) {
 	if l == nil || l.ServiceTime <= 0 {
 		return
