--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -87,19 +87,26 @@
 		return nil, err
 	}
 	balancer := &Balancer{
-		settings: settings, host: host, rng: rand.New(rand.NewPCG(seed, randomStream)),
-		rateWindow:   cmp.Or(settings.OverloadDuration, time.Second),
-		tickInterval: max(tickQuanta*settings.Quantum, time.Millisecond),
-		shutdownAt:   never, quotaDivisor: float64(settings.Instances),
-		requests: map[RequestID]*request{}, endpointsByID: map[EndpointID]*endpoint{},
-		concurrency: concurrency{queue: initialQueue},
-		retries:     retryBudget{tokens: maxRetryBudget},
-		losses:      losses{overdueShare: 0.5},
-		index:       newEndpointIndex(), pools: drawPools{boundSlack: 1}, scanLimit: maxScanned,
+		settings:      settings,
+		host:          host,
+		rng:           rand.New(rand.NewPCG(seed, randomStream)),
+		rateWindow:    cmp.Or(settings.OverloadDuration, time.Second),
+		tickInterval:  max(tickQuanta*settings.Quantum, time.Millisecond),
+		shutdownAt:    never,
+		quotaDivisor:  float64(settings.Instances),
+		requests:      map[RequestID]*request{},
+		endpointsByID: map[EndpointID]*endpoint{},
+		concurrency:   concurrency{queue: initialQueue},
+		retries:       retryBudget{tokens: maxRetryBudget},
+		losses:        losses{overdueShare: 0.5},
+		index:         newEndpointIndex(),
+		pools:         drawPools{boundSlack: 1},
+		scanLimit:     maxScanned,
 	}
 	// Entries with the same deadline are handled in order of their ids, so that the same events give the same actions.
 	byID := func(a, b *endpoint) bool { return a.id < b.id }
-	balancer.slowStarts.Less, balancer.trials.Less = byID, byID
+	balancer.slowStarts.Less = byID
+	balancer.trials.Less = byID
 	balancer.backoffs.Less = func(a, b *request) bool { return a.id < b.id }
 	for _, class := range settings.Classes {
 		balancer.addClass(class)
--- a/internal/balancer/class.go
+++ b/internal/balancer/class.go
@@ -36,7 +36,8 @@
 // add records the latency of one answer, in seconds.
 func (l *latencyEstimate) add(now, window time.Duration, latency float64) {
 	if l.mean == 0 {
-		l.mean, l.base = latency, latency
+		l.mean = latency
+		l.base = latency
 	}
 	// A stochastic estimate of a quantile: in equilibrium the rare slow answers raise it as much as all answers together lower
 	// it.
@@ -49,11 +50,14 @@
 	l.windowSamples++
 	windowMean := l.windowSum / float64(l.windowSamples)
 	if l.windows == 0 {
-		l.base, l.usual = windowMean, windowMean
+		l.base = windowMean
+		l.usual = windowMean
 	}
 	if l.windowSamples >= minWindowSamples && now-l.windowStart >= window {
 		l.closeWindow(windowMean)
-		l.windowSum, l.windowSamples, l.windowStart = 0, 0, now
+		l.windowSum = 0
+		l.windowSamples = 0
+		l.windowStart = now
 	}
 }
 
@@ -62,7 +66,8 @@
 func (l *latencyEstimate) closeWindow(mean float64) {
 	l.windows++
 	if l.windows <= skippedWindows+1 {
-		l.usual, l.base = mean, mean
+		l.usual = mean
+		l.base = mean
 		return
 	}
 	// The base latency follows the lowest windows, and so settles well below the mean of a lightly loaded tier. Pressure measured
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -52,8 +52,8 @@
 // adaptQueue adapts the queue that endpoints may hold. The queue at which an endpoint saturates is not known in advance, so the
 // queue grows while requests are pending here, and shrinks when an endpoint becomes far slower than its kind.
 func (c *concurrency) adaptQueue(now, window time.Duration, ep *endpoint, kindLatency float64, pending bool) {
-	rested := ep.latency.samples*endpointLatencyWeight > 0.99 // its latency is based on the full number of answers
-	saturated := rested && ep.latency.mean > saturatedRatio*kindLatency
+	enoughSamples := ep.latency.samples*endpointLatencyWeight > 0.99 // its latency is based on the full number of answers
+	saturated := enoughSamples && ep.latency.mean > saturatedRatio*kindLatency
 	if saturated && !ep.saturated {
 		c.queue = max(c.queue*queueShrinkFactor, minQueue)
 	}
@@ -76,16 +76,16 @@
 // updateConcurrency sets the limit on attempts in flight: the recent peak of attempts at base latency, and a queue. It has a
 // floor, because attempts that are stuck would otherwise lower the rate and the limit in turn, without end.
 func (b *Balancer) updateConcurrency(now time.Duration) {
-	c := &b.concurrency
+	limiter := &b.concurrency
 	floor := b.perInstance(minCallsPerEndpoint, float64(b.settings.Instances))
 	if !b.latenciesKnown() {
 		floor = b.perInstance(initialCallsPerEndpoint, b.quotaDivisor)
 	}
-	base := c.base.peak(now, b.rateWindow)
+	base := limiter.base.peak(now, b.rateWindow)
 	tiers := max(b.settings.Tiers-b.settings.Tier, 1)
-	queue := c.queue * float64(len(b.listed)*tiers) / float64(b.settings.Instances)
-	queue = min(queue, maxQueueShare*base, c.target.peak(now, b.rateWindow))
-	c.limit = max(base+queue+concurrencySlack, floor)
+	queue := limiter.queue * float64(len(b.listed)*tiers) / float64(b.settings.Instances)
+	queue = min(queue, maxQueueShare*base, limiter.target.peak(now, b.rateWindow))
+	limiter.limit = max(base+queue+concurrencySlack, floor)
 }
 
 // updateRejectionThrottle limits the attempts that never run. An attempt that is rejected or gets no connection is repeated at
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -53,8 +53,11 @@
 	}
 	moved := !ep.matches(entry)
 	restarted := entry.StartedAt > ep.startedAt
-	ep.zone, ep.cell, ep.kind = entry.Zone, entry.Cell, max(entry.MachineKind, 0)
-	ep.listedWeight, ep.listed = max(entry.Weight, 0), entry.State != EndpointRemoved
+	ep.zone = entry.Zone
+	ep.cell = entry.Cell
+	ep.kind = max(entry.MachineKind, 0)
+	ep.listedWeight = max(entry.Weight, 0)
+	ep.listed = entry.State != EndpointRemoved
 	ep.listVersion = version
 	ep.startedAt = max(ep.startedAt, entry.StartedAt)
 	b.index.countWeight(ep)
@@ -62,7 +65,8 @@
 	case entry.State != EndpointReady:
 		b.startDraining(now, ep)
 	case restarted && now-entry.StartedAt < b.settings.SlowStartWindow:
-		ep.errorRate, ep.penalties = 0, nil
+		ep.errorRate = 0
+		ep.penalties = nil
 		b.startSlowStart(now, ep, entry.StartedAt)
 	case restarted, ep.availability == draining:
 		b.clearEjection(ep)
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -60,9 +60,14 @@
 
 // send sends an attempt of a request to an endpoint.
 func (b *Balancer) send(now time.Duration, req *request, ep *endpoint, trial bool) {
-	req.endpoint, req.sentAt, req.trial = ep, now, trial
+	req.endpoint = ep
+	req.sentAt = now
+	req.trial = trial
 	req.responsesAtSend = b.outliers.responses
-	req.cancelled, req.lost, req.overdue, req.overtaken = false, false, false, 0
+	req.cancelled = false
+	req.lost = false
+	req.overdue = false
+	req.overtaken = 0
 	req.attempts++
 	b.sends.take()
 	b.rejections.RecordAttempt()
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -82,6 +82,7 @@
 		last := (*s)[len(*s)-1]
 		(*s)[ep.busyIndex-1], last.busyIndex = last, ep.busyIndex
 		*s = (*s)[:len(*s)-1]
-		ep.busyIndex, ep.lostCalls = 0, 0
+		ep.busyIndex = 0
+		ep.lostCalls = 0
 	}
 }
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -19,7 +19,7 @@
 	perZone map[int]int                  // number of endpoints in each zone
 
 	weightCounts map[float64]int // number of listed endpoints with each listed weight
-	all          []*endpoint     // buffer of everyone
+	all          []*endpoint     // buffer of endpoints
 }
 
 // indexEntry is the position of an endpoint in the index and in the pools.
@@ -64,8 +64,8 @@
 // len returns the number of endpoints in the index.
 func (i *endpointIndex) len() int { return i.ordered.Len() }
 
-// everyone returns all endpoints in order of their ids. The list is valid until the next call.
-func (i *endpointIndex) everyone() []*endpoint {
+// endpoints returns all endpoints in order of their ids. The list is valid until the next call.
+func (i *endpointIndex) endpoints() []*endpoint {
 	i.all = i.ordered.Append(i.all[:0])
 	return i.all
 }
@@ -80,7 +80,8 @@
 	}
 	if ep.listed && !ep.index.listed {
 		i.weightCounts[ep.listedWeight]++
-		ep.index.weight, ep.index.listed = ep.listedWeight, true
+		ep.index.weight = ep.listedWeight
+		ep.index.listed = true
 	}
 }
 
@@ -102,7 +103,9 @@
 	}
 	i.perZone[ep.zone]++
 	i.ordered.Put(uint32(ep.id), weight, ep)
-	ep.index.cell, ep.index.zone, ep.index.indexed = ep.cell, ep.zone, true
+	ep.index.cell = ep.cell
+	ep.index.zone = ep.zone
+	ep.index.indexed = true
 }
 
 // remove removes an endpoint, if it is in the index.
@@ -184,7 +187,8 @@
 // refreshAll refreshes the pools for all endpoints. The sums are computed anew, which removes rounding errors.
 func (b *Balancer) refreshAll(now time.Duration) {
 	b.weights.settleAll()
-	b.pools.availableWeight, b.pools.boundSlack = 0, 1
+	b.pools.availableWeight = 0
+	b.pools.boundSlack = 1
 	for ep := range b.index.ordered.All() {
 		ep.index.availableWeight = 0
 		b.refreshPools(now, ep)
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -83,11 +83,11 @@
 }
 
 // recordSuccess records an answer without an error.
-func (b *Balancer) recordSuccess(now time.Duration, req *request, ep *endpoint, took time.Duration) {
+func (b *Balancer) recordSuccess(now time.Duration, req *request, ep *endpoint, elapsed time.Duration) {
 	b.countOvertaken(req)
 	b.losses.recordAnswer(req, ep)
-	b.recordLatency(now, req.class, ep, took)
-	b.recordPressure(now, req.class, took)
+	b.recordLatency(now, req.class, ep, elapsed)
+	b.recordPressure(now, req.class, elapsed)
 	if now <= req.targetAt {
 		req.class.onTime++
 	}
@@ -119,8 +119,8 @@
 }
 
 // recordAbandoned records an attempt that ended without a response, and may still run at its endpoint.
-func (b *Balancer) recordAbandoned(now time.Duration, req *request, ep *endpoint, took time.Duration) {
-	b.recordPressure(now, req.class, took)
+func (b *Balancer) recordAbandoned(now time.Duration, req *request, ep *endpoint, elapsed time.Duration) {
+	b.recordPressure(now, req.class, elapsed)
 	ep.penalize(now, req.class, 1)
 }
 
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -95,8 +95,8 @@
 
 // isLate reports whether a pending request can no longer get a useful answer.
 func (b *Balancer) isLate(now time.Duration, req *request) bool {
-	worthless := now >= req.latestSend() && req.class.LateValueShare == 0
-	return worthless || now+deadlineReserveTicks*b.tickInterval >= req.deadline
+	noValueLeft := now >= req.latestSend() && req.class.LateValueShare == 0
+	return noValueLeft || now+deadlineReserveTicks*b.tickInterval >= req.deadline
 }
 
 // maxPending returns how many requests may be pending. The rate at which they are answered is known only after some have been
--- a/internal/balancer/picking.go
+++ b/internal/balancer/picking.go
@@ -81,7 +81,8 @@
 	} else {
 		endpoints = b.endpointsIn(within)
 	}
-	others, healthy = b.candidateBuffer[:0], drawn != nil
+	others = b.candidateBuffer[:0]
+	healthy = drawn != nil
 	for _, ep := range endpoints {
 		if !b.isHealthy(now, req, ep, within) {
 			continue
@@ -114,7 +115,8 @@
 	for _, ep := range candidates { // computed once, as drawIndex reads each several times
 		ep.scanWeight = b.capacityShare(now, ep) * b.weights.drawWeight(ep)
 	}
-	best, drawn := first, 0
+	best := first
+	drawn := 0
 	if first != nil {
 		drawn = 1
 	}
@@ -122,7 +124,8 @@
 		i := b.drawIndex(candidates)
 		ep := candidates[i]
 		last := len(candidates) - 1
-		candidates[i], candidates = candidates[last], candidates[:last]
+		candidates[i] = candidates[last]
+		candidates = candidates[:last]
 		best = b.lessLoaded(now, best, ep)
 	}
 	return best
@@ -134,7 +137,8 @@
 	for _, ep := range candidates {
 		total += ep.scanWeight
 	}
-	x, last := b.rng.Float64()*total, len(candidates)-1
+	x := b.rng.Float64() * total
+	last := len(candidates) - 1
 	for i, ep := range candidates[:last] {
 		if x -= ep.scanWeight; x < 0 {
 			return i
@@ -181,7 +185,8 @@
 		return
 	}
 	if req.failedEndpoint == nil || !b.hasCapacity(now, req.failedEndpoint) {
-		b.exhausted.scopes[within], b.exhausted.freed = true, nil
+		b.exhausted.scopes[within] = true
+		b.exhausted.freed = nil
 	}
 }
 
--- a/internal/balancer/pools.go
+++ b/internal/balancer/pools.go
@@ -55,7 +55,8 @@
 func (d *drawPools) remove(ep *endpoint) {
 	d.pools[ep.index.pool].Remove(ep.index.slot)
 	d.availableWeight -= ep.index.availableWeight
-	ep.index.pooled, ep.index.availableWeight = false, 0
+	ep.index.pooled = false
+	ep.index.availableWeight = 0
 }
 
 // put adds an endpoint to a pool, or replaces its bound there if the weight exceeds it or is far below it.
@@ -63,7 +64,8 @@
 	switch {
 	case !ep.index.pooled:
 		ep.index.bound = weight * boundHeadroom
-		ep.index.pool, ep.index.pooled = pool, true
+		ep.index.pool = pool
+		ep.index.pooled = true
 		ep.index.slot = d.pools[pool].Add(ep, ep.index.bound)
 	case weight > ep.index.bound || weight*maxBoundRatio < ep.index.bound:
 		ep.index.bound = weight * boundHeadroom
@@ -123,17 +125,17 @@
 	b.pools.put(ep, pool, weight)
 }
 
-// noteDrift raises the slack by the drift of a kind, or refreshes the kind's endpoints if the drift is too large. A load report
+// recordDrift raises the slack by the drift of a kind, or refreshes the kind's endpoints if the drift is too large. A load report
 // changes a factor of the weights of all kinds, so all kinds are then included in the slack.
-func (b *Balancer) noteDrift(now time.Duration, kind int, reported bool) {
+func (b *Balancer) recordDrift(now time.Duration, kind int, reported bool) {
 	weights := &b.weights
 	drift := weights.kindDrift(kind)
 	// A kind that reports its first service time moves the weights of all kinds.
-	newcomer := weights.services.reporting != weights.services.settledReporting
+	newlyReporting := weights.services.reporting != weights.services.settledReporting
 	// Until it has kindTrustSamples answers the latency of a kind is ignored; then all weights of its endpoints change at once.
 	newlyTrusted := weights.trusted(kind) && weights.latencies[kind].settledMean == 0
 	switch {
-	case newcomer || weights.services.inverseSum.drift() > math.Sqrt(maxDrift):
+	case newlyReporting || weights.services.inverseSum.drift() > math.Sqrt(maxDrift):
 		b.refreshAll(now)
 	case newlyTrusted || drift > maxDrift:
 		b.refreshKind(now, kind)
@@ -141,7 +143,9 @@
 		b.pools.boundSlack = max(b.pools.boundSlack, drift)
 	}
 	if b.pools.slackChecks++; b.pools.slackChecks >= slackCheckInterval {
-		b.pools.slackChecks, b.pools.boundSlack, reported = 0, 1, true
+		b.pools.slackChecks = 0
+		b.pools.boundSlack = 1
+		reported = true
 	}
 	if reported {
 		for kind := range weights.kinds() {
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -45,7 +45,7 @@
 
 // record updates the pressure by the time that an answer took, and the rate of sends by the pressure. maxRate is the highest
 // limit on the rate, in requests per second.
-func (s *sendLimiter) record(now time.Duration, c *class, took time.Duration, maxRate float64) {
+func (s *sendLimiter) record(now time.Duration, c *class, latency time.Duration, maxRate float64) {
 	target := c.LatencyTarget.Seconds()
 	acceptable := min(pressureUsualMultiple*c.latency.usual, pressureTargetShare*target)
 	if acceptable <= 0 {
@@ -53,24 +53,25 @@
 	}
 	elapsed := (now - s.updatedAt).Seconds()
 	weight := min(maxPressureWeight, elapsed/(pressureWindowTargets*target))
-	s.pressure += weight * (min(took.Seconds()/acceptable, maxPressureSample) - s.pressure)
+	s.pressure += weight * (min(latency.Seconds()/acceptable, maxPressureSample) - s.pressure)
 	s.updatedAt = now
 	if !s.limited {
 		s.limited = s.pressure > 1
 		s.rate = maxRate
-		s.tokens, s.tokensAt = sendBurst, now
+		s.tokens = sendBurst
+		s.tokensAt = now
 		return
 	}
-	cut := pressureGain * min(s.pressure-1, 1) * min(elapsed, 1)
-	s.rate = max(s.rate*(1-cut), minSendRateShare*maxRate)
+	reduction := pressureGain * min(s.pressure-1, 1) * min(elapsed, 1)
+	s.rate = max(s.rate*(1-reduction), minSendRateShare*maxRate)
 	s.limited = s.pressure > 1
 }
 
 // recordPressure records the time that an answer took, if the pressure limits sends here. Only the first tier limits them, so
 // that work which the tiers above have done is not rejected below.
-func (b *Balancer) recordPressure(now time.Duration, c *class, took time.Duration) {
+func (b *Balancer) recordPressure(now time.Duration, c *class, latency time.Duration) {
 	if b.settings.Tier > 0 || b.settings.Instances <= len(b.listed) {
 		return
 	}
-	b.sends.record(now, c, took, maxSendRateMultiple*b.requestRate.peak(now, b.rateWindow))
+	b.sends.record(now, c, latency, maxSendRateMultiple*b.requestRate.peak(now, b.rateWindow))
 }
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -13,8 +13,10 @@
 
 // tokenBucket meters requests: tokens are earned at a rate (per second) up to a capacity, and each request takes one.
 type tokenBucket struct {
-	rate, tokens, capacity float64
-	updatedAt              time.Duration
+	rate      float64 // tokens per second
+	tokens    float64 // at updatedAt; negative in debt
+	capacity  float64
+	updatedAt time.Duration
 }
 
 // newTokenBucket returns a bucket that holds some seconds of its rate, and minBurst more. It starts almost empty: an instance
@@ -26,7 +28,8 @@
 // setRate changes the rate from now on. Tokens beyond the new capacity are lost; a larger capacity is not filled at once.
 func (t *tokenBucket) setRate(now time.Duration, rate, burstSeconds float64) {
 	t.forceTake(now, 0)
-	t.rate, t.capacity = rate, minBurst+rate*burstSeconds
+	t.rate = rate
+	t.capacity = minBurst + rate*burstSeconds
 	t.tokens = min(t.tokens, t.capacity)
 }
 
@@ -81,7 +84,7 @@
 // request exceeds its tenant's quota, and whether all quotas together still have tokens for it: a request that exceeds both is
 // more than the fleet can serve, and has little value. A client's retry always counts as over its quota: most retries are of
 // requests that were rejected for it, and would use up the quota of new requests.
-func (q *quotas) take(now time.Duration, incoming *Request) (overQuota, spare bool) {
+func (q *quotas) take(now time.Duration, incoming *Request) (overQuota, withinTotal bool) {
 	if incoming.Tenant >= len(q.tenants) {
 		return false, true
 	}
--- a/internal/balancer/rates.go
+++ b/internal/balancer/rates.go
@@ -37,7 +37,8 @@
 
 // decay updates the rate to the given time. The peak does not decay in that time.
 func (d *decayingRate) decay(now, window time.Duration) {
-	d.rate, d.updatedAt = d.value(now, window), now
+	d.rate = d.value(now, window)
+	d.updatedAt = now
 }
 
 // timeShare is the smoothed share of time in which a condition held. The zero value stands for a condition that has never held.
@@ -54,7 +55,8 @@
 		was = 1
 	}
 	s.share = was + (s.share-was)*math.Exp(-float64(now-s.updatedAt)/float64(window))
-	s.active, s.updatedAt = active, now
+	s.active = active
+	s.updatedAt = now
 }
 
 // movingAverage is an exponentially weighted mean. Until there are enough samples for the weight it is the plain mean of all
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -49,11 +49,15 @@
 	return r.mayHaveRun && r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeCell
 }
 
-// noteRun records that an attempt at an endpoint may have run. Only the first such attempt is kept.
-func (r *request) noteRun(ep *endpoint) {
-	if !r.mayHaveRun {
-		r.mayHaveRun, r.ranInZone, r.ranInCell, r.ranAt = true, ep.zone, ep.cell, r.sentAt
+// recordRun records that an attempt at an endpoint may have run. Only the first such attempt is kept.
+func (r *request) recordRun(ep *endpoint) {
+	if r.mayHaveRun {
+		return
 	}
+	r.mayHaveRun = true
+	r.ranInZone = ep.zone
+	r.ranInCell = ep.cell
+	r.ranAt = r.sentAt
 }
 
 // newRequest returns the state of a request that has arrived.
@@ -61,7 +65,9 @@
 	class := b.classes[incoming.Class]
 	elapsed := b.elapsedForClient(class, incoming)
 	return &request{
-		id: incoming.ID, class: class, valueFactor: cmp.Or(incoming.ValueFactor, 1),
+		id:             incoming.ID,
+		class:          class,
+		valueFactor:    cmp.Or(incoming.ValueFactor, 1),
 		deadline:       min(now+incoming.TimeLeft, b.shutdownAt),
 		targetAt:       min(now+class.LatencyTarget-elapsed, b.shutdownAt),
 		maxAttempts:    b.settings.maxAttempts(incoming),
@@ -76,12 +82,12 @@
 
 // HandleRequest handles the arrival of a request.
 func (b *Balancer) HandleRequest(now time.Duration, incoming Request) {
-	overQuota, spare := b.takeQuota(now, &incoming)
+	overQuota, withinTotal := b.takeQuota(now, &incoming)
 	req := b.newRequest(now, &incoming)
 	req.overQuota = overQuota
 	b.requests[req.id] = req
-	hopeless := incoming.TimeLeft <= 0 || overQuota && !spare
-	if hopeless || b.rejectsForShutdown(now, req.class, incoming.IdleConnections) || !b.retrySafe(now, req) {
+	unservable := incoming.TimeLeft <= 0 || overQuota && !withinTotal
+	if unservable || b.rejectsForShutdown(now, req.class, incoming.IdleConnections) || !b.retrySafe(now, req) {
 		b.finish(now, req)
 		return
 	}
@@ -212,7 +218,7 @@
 }
 
 // takeQuota meters a request against its tenant's quota. Only the first tier does so: what it has accepted is not rejected below.
-func (b *Balancer) takeQuota(now time.Duration, incoming *Request) (overQuota, spare bool) {
+func (b *Balancer) takeQuota(now time.Duration, incoming *Request) (overQuota, withinTotal bool) {
 	if b.settings.Tier > 0 {
 		return false, true
 	}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -57,7 +57,7 @@
 func (b *Balancer) retryOrFinish(now time.Duration, req *request, ep *endpoint, outcome Outcome) {
 	req.failedEndpoint = ep
 	if !outcome.Status.NeverRan() {
-		req.noteRun(ep)
+		req.recordRun(ep)
 		if !b.retries.allows() || req.class.Idempotency == NonIdempotent {
 			b.finish(now, req)
 			return
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -15,10 +15,12 @@
 // startSlowStart starts an endpoint's slow start, counted from the given time.
 func (b *Balancer) startSlowStart(now time.Duration, ep *endpoint, from time.Duration) {
 	b.clearEjection(ep)
-	ep.availability, ep.slowStartFrom = warmingUp, from
+	ep.availability = warmingUp
+	ep.slowStartFrom = from
 	// The fraction of a token is random, so that the instances which learn of the start at the same time do not all send a
 	// request at once.
-	ep.slowStartTokens, ep.slowStartTokensAt = b.rng.Float64(), now
+	ep.slowStartTokens = b.rng.Float64()
+	ep.slowStartTokensAt = now
 	b.slowStarts.Remove(ep)
 	b.reindex(now, ep)
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -84,7 +84,7 @@
 	if within == inSubset && !b.subset.all {
 		return b.subset.members
 	}
-	return b.index.everyone()
+	return b.index.endpoints()
 }
 
 // usesPools reports whether a scope has too many endpoints to scan them one by one.
@@ -97,14 +97,14 @@
 
 // updateSubset computes which endpoints are in this instance's subset, and with which part of their weight.
 func (b *Balancer) updateSubset(now time.Duration) {
-	s := &b.subset
+	subset := &b.subset
 	listed := float64(b.index.len())
 	fair := max(callersPerEndpoint*listed/float64(b.settings.Instances), minSubsetSize)
-	s.size = min(fair, cmp.Or(float64(b.settings.MaxSubsetSize), listed), listed)
+	subset.size = min(fair, cmp.Or(float64(b.settings.MaxSubsetSize), listed), listed)
 	switch {
-	case s.size >= listed:
+	case subset.size >= listed:
 		b.useAllEndpoints(now)
-	case s.size > hashSubsetFrom || s.byHash && s.size > hashSubsetDownTo:
+	case subset.size > hashSubsetFrom || subset.byHash && subset.size > hashSubsetDownTo:
 		b.useHashSubset(now, b.hashSubsetWidening())
 	default:
 		b.useTiledSubset(now)
@@ -118,7 +118,9 @@
 	if b.subset.all {
 		return
 	}
-	b.subset.all, b.subset.byHash, b.subset.members = true, false, nil
+	b.subset.all = true
+	b.subset.byHash = false
+	b.subset.members = nil
 	for ep := range b.index.ordered.All() {
 		ep.subsetWeight = b.weights.endpointWeight(ep)
 		b.refreshPools(now, ep)
@@ -129,7 +131,8 @@
 // reach each endpoint in proportion to its weight. An instance that has ejected endpoints extends its tile along the ring.
 // Draining endpoints are not on the ring: when many left at once, their shares fell to the few endpoints after them.
 func (b *Balancer) useTiledSubset(now time.Duration) {
-	total, listed := b.index.ordered.Total(), float64(b.index.len())
+	total := b.index.ordered.Total()
+	listed := float64(b.index.len())
 	tolerance := total * weightTolerance
 	missing := total * b.subset.size / listed
 	_, begin := math.Modf(float64(b.settings.Ordinal) * b.subset.size / listed)
@@ -155,17 +158,19 @@
 
 // useHashSubset makes the subset the endpoints of this instance's hash share, each with its whole weight.
 func (b *Balancer) useHashSubset(now time.Duration, widening float64) {
-	s, share := &b.subset, b.hashShareFor(widening)
+	subset := &b.subset
+	share := b.hashShareFor(widening)
 	b.reportUnreached()
-	s.stale = false
-	if s.byHash && s.share == share {
+	subset.stale = false
+	if subset.byHash && subset.share == share {
 		return
 	}
 	b.clearSubset()
-	s.byHash, s.share = true, share
+	subset.byHash = true
+	subset.share = share
 	for ep := range b.index.ordered.All() {
 		if share.Owns(uint32(ep.id)) {
-			s.add(ep, b.weights.endpointWeight(ep))
+			subset.add(ep, b.weights.endpointWeight(ep))
 		}
 	}
 	b.finishSubset(now)
@@ -173,8 +178,9 @@
 
 // hashSubsetWidening returns the factor by which a hash share has to be widened because too few of its endpoints are usable.
 func (b *Balancer) hashSubsetWidening() float64 {
-	s, widening := &b.subset, 1.0
-	for widening*s.size < float64(b.index.len()) && b.usableInShare(widening) < hashSubsetMinUsable*s.size {
+	subset := &b.subset
+	widening := 1.0
+	for widening*subset.size < float64(b.index.len()) && b.usableInShare(widening) < hashSubsetMinUsable*subset.size {
 		widening *= 2
 	}
 	return widening
@@ -191,7 +197,11 @@
 		replicas = min(replicas, math.Exp2(math.Floor(4*math.Log2(bounded)+rounding)/4))
 	}
 	return hashring.Share{
-		Owner: b.settings.Ordinal, Owners: b.settings.Instances, Replicas: replicas, Widening: widening, Group: b.subset.group,
+		Owner:    b.settings.Ordinal,
+		Owners:   b.settings.Instances,
+		Replicas: replicas,
+		Widening: widening,
+		Group:    b.subset.group,
 	}
 }
 
@@ -212,12 +222,15 @@
 
 // clearSubset makes the subset empty. subset.add then adds parts of endpoints, and finishSubset ends the change.
 func (b *Balancer) clearSubset() {
-	s := &b.subset
-	s.previous = append(s.previous[:0], b.endpointsIn(inSubset)...)
-	for _, ep := range s.previous {
-		ep.index.previousWeight, ep.subsetWeight = ep.subsetWeight, 0
+	subset := &b.subset
+	subset.previous = append(subset.previous[:0], b.endpointsIn(inSubset)...)
+	for _, ep := range subset.previous {
+		ep.index.previousWeight = ep.subsetWeight
+		ep.subsetWeight = 0
 	}
-	s.all, s.byHash, s.members = false, false, s.members[:0]
+	subset.all = false
+	subset.byHash = false
+	subset.members = subset.members[:0]
 }
 
 // finishSubset refreshes the endpoints whose part in the subset has changed since clearSubset.
@@ -244,7 +257,8 @@
 
 // reportUnreached logs when the limit on subsets begins to leave endpoints without any instance, and when it no longer does.
 func (b *Balancer) reportUnreached() {
-	listed, reached := b.index.len(), int(b.subset.size*float64(b.settings.Instances)+0.5)
+	listed := b.index.len()
+	reached := int(b.subset.size*float64(b.settings.Instances) + 0.5)
 	unreached := b.settings.MaxSubsetSize > 0 && reached < listed
 	if unreached == b.subset.unreachedReported {
 		return
@@ -277,7 +291,8 @@
 	if err := g.check(); err != nil {
 		return err
 	}
-	b.settings.Instances, b.settings.Ordinal = g.Instances, g.Ordinal
+	b.settings.Instances = g.Instances
+	b.settings.Ordinal = g.Ordinal
 	former := b.quotaDivisor
 	b.quotaDivisor = float64(max(g.MaxInstances, g.Instances))
 	b.subset.group = nil
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -25,18 +25,18 @@
 	for len(s.kinds) <= kind {
 		s.kinds = append(s.kinds, movingAverage{})
 	}
-	k := &s.kinds[kind]
-	if k.samples == 0 {
+	own := &s.kinds[kind]
+	if own.samples == 0 {
 		s.reporting++
 	} else {
-		s.inverseSum.mean -= 1 / k.mean
+		s.inverseSum.mean -= 1 / own.mean
 	}
-	if k.samples*kindLatencyWeight < 0.5 || seconds < k.mean {
-		k.add(seconds, kindLatencyWeight)
+	if own.samples*kindLatencyWeight < 0.5 || seconds < own.mean {
+		own.add(seconds, kindLatencyWeight)
 	} else {
-		k.add(seconds, kindLatencyWeight/8)
+		own.add(seconds, kindLatencyWeight/8)
 	}
-	s.inverseSum.mean += 1 / k.mean
+	s.inverseSum.mean += 1 / own.mean
 }
 
 // reports reports whether endpoints of a kind have reported service times.
@@ -155,8 +155,8 @@
 }
 
 // recordLatency records an answer's latency for its class, the limits and the weights.
-func (b *Balancer) recordLatency(now time.Duration, c *class, ep *endpoint, took time.Duration) {
-	latency := took.Seconds()
+func (b *Balancer) recordLatency(now time.Duration, c *class, ep *endpoint, elapsed time.Duration) {
+	latency := elapsed.Seconds()
 	c.latency.add(now, b.rateWindow, latency)
 	b.concurrency.record(now, b.rateWindow, c)
 	b.recordEndpointLatency(now, ep, latency/c.latency.mean)
@@ -167,19 +167,19 @@
 // recordEndpointLatency records an answer's latency, in mean latencies, for the weights.
 func (b *Balancer) recordEndpointLatency(now time.Duration, ep *endpoint, ratio float64) {
 	b.weights.addLatency(ep, ratio)
-	b.noteDrift(now, ep.kind, false)
+	b.recordDrift(now, ep.kind, false)
 	b.refreshPools(now, ep)
 }
 
 // recordLoadReport records the service time that an endpoint reports. It shows the speed of a machine within one or two answers.
 // The latency of answers does not, as it includes the time of the tiers below.
-func (b *Balancer) recordLoadReport(now time.Duration, ep *endpoint, l *Load) {
-	if l == nil || l.ServiceTime <= 0 {
+func (b *Balancer) recordLoadReport(now time.Duration, ep *endpoint, load *Load) {
+	if load == nil || load.ServiceTime <= 0 {
 		return
 	}
-	b.weights.services.add(ep.kind, l.ServiceTime.Seconds())
-	ep.serviceTime.add(l.ServiceTime.Seconds(), serviceTimeWeight)
-	b.noteDrift(now, ep.kind, true)
+	b.weights.services.add(ep.kind, load.ServiceTime.Seconds())
+	ep.serviceTime.add(load.ServiceTime.Seconds(), serviceTimeWeight)
+	b.recordDrift(now, ep.kind, true)
 	b.refreshPools(now, ep)
 	if now-b.reweighedAt > b.rateWindow {
 		b.updateWeights(now)
