--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -117,8 +117,8 @@
 	return false
 }
 
-// perInstance returns the part of one instance when each listed endpoint may hold a number of calls, and concurrencySlack beyond
-// it.
+// perInstance returns a limit for one instance: the given calls for each listed endpoint, divided by the number of instances, and
+// concurrencySlack.
 func (b *Balancer) perInstance(calls, instances float64) float64 {
 	return concurrencySlack + calls*float64(len(b.listed))/instances
 }
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// refreshAll refreshes the pools for all endpoints. The sums are computed anew, which removes rounding errors.
+// refreshAll refreshes the pools for all endpoints, and computes the sum of their weights and the slack anew.
 func (b *Balancer) refreshAll(now time.Duration) {
 	b.weights.settleAll()
 	b.pools.availableWeight = 0
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -170,7 +170,8 @@
 	b.reindex(now, ep)
 }
 
-// clearEjection counts the attempts in flight of an endpoint again whose ejection ends. It does nothing for other endpoints.
+// clearEjection counts the attempts in flight at an ejected endpoint again, as its ejection ends. It does nothing for other
+// endpoints.
 func (b *Balancer) clearEjection(ep *endpoint) {
 	if ep.availability == ejected {
 		b.outliers.ejected--
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -54,9 +54,9 @@
 	return best
 }
 
-// dispatchedBefore reports whether pending request a is sent before b. In this order: requests that can still meet their latency
-// target, requests within their tenant's quota, requests of a class that adds more to the optimized value, and requests that must
-// be sent earlier to be in time.
+// dispatchedBefore reports whether pending request a is sent before b. In this order: requests that can still get an answer of
+// value (within the latency target, or after it if their class has a late value), requests within their tenant's quota, requests
+// of a class that adds more to the optimized value, and requests that must be sent earlier to be in time.
 func dispatchedBefore(now time.Duration, a, b *request) bool {
 	if pa, pb := a.priority(now), b.priority(now); pa != pb {
 		return pa > pb
--- a/internal/balancer/picking.go
+++ b/internal/balancer/picking.go
@@ -10,7 +10,7 @@
 
 // pick chooses an endpoint for a request: an ejected one whose trial is due, otherwise the less loaded of two drawn among those
 // with capacity. Endpoints in slow start are drawn less often. If no endpoint is healthy, suspect and ejected ones are used, so
-// that ejections never leave a request without an endpoint. It returns nil if the request has to wait, and reports whether the
+// that ejections alone never leave a request without an endpoint. It returns nil if the request has to wait, and reports whether the
 // attempt is a trial, which may end an ejection.
 func (b *Balancer) pick(now time.Duration, req *request) (to *endpoint, trial bool) {
 	if ep := b.trialEndpoint(now, req); ep != nil {
@@ -48,7 +48,8 @@
 	return ep.availability <= warmingUp && reached && b.retryPermitted(now, req, ep) && !b.isSuspect(now, ep, suspectMeans)
 }
 
-// canTake reports whether an endpoint has capacity for a request, and is not the one where its last attempt failed.
+// canTake reports whether an endpoint has capacity for a request, and is not the one where its last attempt failed. If only one
+// endpoint is listed, the request may return to it.
 func (b *Balancer) canTake(now time.Duration, req *request, ep *endpoint) bool {
 	return b.hasCapacity(now, ep) && (ep != req.failedEndpoint || len(b.listed) == 1)
 }
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -5,7 +5,7 @@
 // This file meters the tenants' requests against their quotas.
 
 const (
-	minBurst           = 8.0 // capacity of a bucket beyond the seconds of its rate: at a low rate so many requests arrive at once by chance
+	minBurst           = 8.0 // capacity beyond the seconds of the rate: at a low rate this many requests arrive at once by chance
 	initialTokens      = 2.0 // tokens of a new bucket
 	tenantBurstSeconds = 4.0 // seconds of its rate that a tenant's bucket may hold
 	totalBurstSeconds  = 1.0 // seconds of its rate that the bucket of all tenants may hold
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -75,7 +75,7 @@
 
 	// The source of the endpoint list.
 	MustSubscribe       bool          // changes arrive only after WatchEndpoints or FetchEndpoints
-	ResubscribeInterval time.Duration // an instance that has not asked for this long counts as notified
+	ResubscribeInterval time.Duration // an instance that has not subscribed or fetched for this long counts as notified
 
 	// PropagatesDeadline says that a request to the next tier carries the time that its caller has left, rather than its class's
 	// whole Deadline.
