--- a/internal/mesh/control/lease/attempt.go
+++ b/internal/mesh/control/lease/attempt.go
@@ -10,11 +10,11 @@
 	rejections  int
 }
 
-// majority is counted here as package consensus counts it; the two packages share no code, as neither needs the other.
+// majority returns the smallest majority of the voters. Package consensus has the same function; neither package imports the other for it.
 func (a *attempt) majority() int { return a.voterCount/2 + 1 }
 
 // isGranted reports whether a majority of the voters has granted the request.
 func (a *attempt) isGranted() bool { return len(a.grantedBy) >= a.majority() }
 
-// isLost reports whether so many voters have rejected the request that the others are no majority.
+// isLost reports whether the voters that have not rejected the request are too few for a majority.
 func (a *attempt) isLost() bool { return a.rejections > a.voterCount-a.majority() }
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -7,13 +7,13 @@
 
 // The states of a candidate.
 const (
-	Idle       State = iota // waits until it may ask
-	Requesting              // has asked, and holds nothing
-	Holding                 // has the lease
-	Resigned                // has given up for good
+	Idle       State = iota // waits until it may request the lease
+	Requesting              // has requested the lease and does not hold it
+	Holding                 // holds the lease
+	Resigned                // never requests the lease again
 )
 
-// Candidate is a process that would play one role.
+// Candidate is one process's part in obtaining, holding and renewing the lease of one role. It is not safe for concurrent use.
 type Candidate struct {
 	self        string
 	incarnation uint64
@@ -22,20 +22,20 @@
 	rank        int
 
 	state          State
-	nextRequest    time.Duration // when it may ask or renew
-	fencingToken   uint64        // of the lease it holds
+	nextRequest    time.Duration // when it may request or renew the lease
+	fencingToken   uint64        // of the lease that it holds
 	requestedToken uint64        // of the newest request
-	highestToken   uint64        // the highest it knows of
-	heldUntil      time.Duration // it holds the lease before, and not a moment longer
-	otherHolder    string        // another process that has the lease
-	releasePending bool          // what was granted is to be released: there was no majority
+	highestToken   uint64        // the highest that it has seen
+	heldUntil      time.Duration // it holds the lease before this time only
+	otherHolder    string        // another process that holds the lease; empty if none is known
+	releasePending bool          // an attempt was lost, and its grants are to be released
 	voterSetEpoch  uint64        // of the newest voter set
-	quietUntil     time.Duration // it asks nobody before, as the voter set is new
-	attempt        attempt
+	quietUntil     time.Duration // it sends no request before this time unless it holds the lease: the voter set is new
+	attempt        attempt       // the newest
 }
 
-// NewCandidate makes a candidate for a role that holds nothing. self and incarnation name the process; jitter returns
-// numbers from 0 to 1, by which requests of several candidates are spread.
+// NewCandidate returns a candidate for a role. self and incarnation identify the process. jitter returns random numbers from
+// 0 to 1, which spread the requests of several candidates over time.
 func NewCandidate(self string, incarnation uint64, role string, jitter func() float64) *Candidate {
 	return &Candidate{self: self, incarnation: incarnation, role: role, jitter: jitter}
 }
@@ -46,7 +46,7 @@
 	c.nextRequest = nextRequest
 }
 
-// Holds reports whether this process has the lease now, and under which fencing token.
+// Holds reports whether this process holds the lease now, and returns its fencing token.
 func (c *Candidate) Holds(now time.Duration) (fencingToken uint64, ok bool) {
 	if c.state == Holding && now < c.heldUntil {
 		return c.fencingToken, true
@@ -54,7 +54,7 @@
 	return 0, false
 }
 
-// Remaining is how long this process still has the lease if it can't be renewed.
+// Remaining returns how long this process still holds the lease if it is not renewed; 0 if it does not hold it.
 func (c *Candidate) Remaining(now time.Duration) time.Duration {
 	if _, ok := c.Holds(now); !ok {
 		return 0
@@ -62,8 +62,7 @@
 	return c.heldUntil - now
 }
 
-// Holder is the process that has the lease, as far as is known; empty for none. It may be out of date, and serves as a
-// hint.
+// Holder returns the process that holds the lease, empty if none is known. It is a hint, and may be out of date.
 func (c *Candidate) Holder(now time.Duration) string {
 	if _, ok := c.Holds(now); ok {
 		return c.self
@@ -71,10 +70,12 @@
 	return c.otherHolder
 }
 
-// SetRank sets this process's rank among the candidates, from 0, so that they don't all ask at once and split the votes.
+// SetRank sets this process's rank among the candidates, from 0. Candidates of higher ranks wait longer, so that they do not all
+// request the lease at once and split the votes.
 func (c *Candidate) SetRank(rank int) { c.rank = rank }
 
-// ObserveToken reports a fencing token that was used. A holder whose own is lower renews under a higher one at once.
+// ObserveToken reports to the candidate that a fencing token was used. A holder with a lower token renews at once, under a
+// higher one.
 func (c *Candidate) ObserveToken(now time.Duration, fencingToken uint64) {
 	c.highestToken = max(c.highestToken, fencingToken)
 	if c.state == Holding && c.highestToken > c.fencingToken {
@@ -82,8 +83,8 @@
 	}
 }
 
-// HolderReleased reports that another process has released the lease: candidates ask at once, in the order of their
-// ranks.
+// HolderReleased reports to the candidate that another process has released the lease. Candidates then request it soon, in the
+// order of their ranks.
 func (c *Candidate) HolderReleased(now time.Duration, holder string) {
 	waits := c.state == Idle || c.state == Requesting
 	if !waits || c.otherHolder != "" && c.otherHolder != holder {
@@ -94,7 +95,8 @@
 	c.nextRequest = max(min(c.nextRequest, turn), c.quietUntil)
 }
 
-// Resign gives the role up for good. The request, if there is one, is to be sent to all voters.
+// Resign ends the candidacy for good, and returns the request that releases the lease, to be sent to all voters; nil if there
+// is nothing to release.
 func (c *Candidate) Resign() *Request {
 	mayHaveGrants := c.state == Holding || c.state == Requesting
 	c.setState(Resigned, 0)
@@ -104,8 +106,8 @@
 	return c.releaseRequest()
 }
 
-// Tick returns the request that is to be sent to all voters now; nil for none. voterCount and voterSetEpoch are those of
-// the newest voter set that the caller knows.
+// Tick returns the request to send to all voters now, nil for none. The caller calls it often, many times within
+// renewInterval. voterCount and voterSetEpoch are those of the newest voter set that the caller knows.
 func (c *Candidate) Tick(now time.Duration, voterCount int, voterSetEpoch uint64) *Request {
 	if c.state == Resigned {
 		return nil
@@ -126,18 +128,18 @@
 	return c.newRequest(now, voterCount)
 }
 
-// adoptVoterSet takes note of a new voter set.
+// adoptVoterSet starts the quiet time of a new voter set. A holder renews under the new set at once.
 func (c *Candidate) adoptVoterSet(now time.Duration, epoch uint64) {
 	c.voterSetEpoch = epoch
 	c.quietUntil = now + voterChangeDelay
 	if c.state == Holding {
-		c.nextRequest = now // renewed by the new voters before the old ones' grants end
+		c.nextRequest = now // the new voters have to grant it before the old voters' grants end
 		return
 	}
 	c.setState(Idle, c.quietUntil)
 }
 
-// newRequest asks for the lease, or renews it, and forgets the replies to earlier requests.
+// newRequest returns a request for the lease, or for its renewal, and starts a new attempt.
 func (c *Candidate) newRequest(now time.Duration, voterCount int) *Request {
 	switch {
 	case c.state != Holding:
@@ -162,13 +164,13 @@
 	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch, Roles: []RoleRequest{role}}
 }
 
-// jitteredDelay is the time until the next attempt: longer for each rank, and spread by chance.
+// jitteredDelay returns the time until the next attempt. It grows with the rank and has a random part.
 func (c *Candidate) jitteredDelay() time.Duration {
 	return retryDelay*time.Duration(1+c.rank) + time.Duration(c.jitter()*float64(retryDelay))
 }
 
-// HandleReply takes a voter's reply to the request that Tick returned at requestedAt; replies to earlier requests only
-// report fencing tokens. It reports whether this process obtained the lease just now.
+// HandleReply takes a voter's reply to the request that Tick returned at requestedAt, and reports whether this process has
+// obtained the lease by it. Of replies to earlier requests it only uses the fencing tokens.
 func (c *Candidate) HandleReply(now, requestedAt time.Duration, voter string, reply *Reply) (obtained bool) {
 	for i := range reply.Grants {
 		grant := &reply.Grants[i]
@@ -187,7 +189,7 @@
 	return obtained
 }
 
-// countGrant counts a voter's grant, and reports whether it is the one by which the candidate came to hold the lease.
+// countGrant counts a voter's grant, and reports whether the candidate has obtained the lease by it.
 func (c *Candidate) countGrant(now time.Duration, voter string, fencingToken uint64) (obtained bool) {
 	if c.state == Idle || fencingToken != c.requestedToken {
 		return false
@@ -201,12 +203,12 @@
 	c.fencingToken = c.requestedToken
 	c.heldUntil = until
 	c.otherHolder = ""
-	// Whatever a voter that rejected the request had this candidate wait for, the lease has to be renewed in time.
+	// An earlier rejection may have put the next request off, but the lease has to be renewed in time.
 	c.setState(Holding, c.attempt.requestedAt+renewInterval)
 	return obtained
 }
 
-// countRejection counts a voter's rejection. Once a majority can't be had any more, what was granted is released.
+// countRejection counts a voter's rejection. Once the attempt is lost, its grants are to be released.
 func (c *Candidate) countRejection(now time.Duration, rejection *Grant) {
 	if c.state == Holding {
 		return
--- a/internal/mesh/control/lease/doc.go
+++ b/internal/mesh/control/lease/doc.go
@@ -1,13 +1,13 @@
-// Package lease has each singleton role played by one process at a time. The process that plays a role holds a lease,
-// granted by a majority of the voters, and stops before the lease ends. A [Voter] grants; a [Candidate] asks, holds and
-// renews. The caller sends the messages between them.
+// Package lease ensures that at most one process at a time plays a singleton role. The process that plays a role holds a lease,
+// granted by a majority of the voters, and stops before the lease ends. A [Voter] grants leases; a [Candidate] requests,
+// holds and renews one. The caller sends the messages between them.
 //
 // The package does no I/O, starts no goroutine and takes no lock: neither type is safe for concurrent use. Time is an
 // argument, on each process's own steady clock (time since some fixed moment). Nothing is kept on disk.
 //
 // # Usage
 //
-// A candidate's process calls Tick often, sends what it returns to all voters, and hands the replies back:
+// A candidate's process calls Tick often, sends its result to all voters, and hands their replies to HandleReply:
 //
 //	request := candidate.Tick(now, len(voters), voterSetEpoch) // nil: nothing to send
 //	requestedAt := now
@@ -31,33 +31,33 @@
 //
 // # Why two processes never hold one lease
 //
-// A voter counts a grant from the moment it makes it, the holder from the moment it asked, which is earlier, and the
-// holder stops a twentieth of it (Duration - holderDuration) before the end. So while two clocks run alike to within that
-// twentieth, the holder has stopped before any voter that granted the lease grants it to another process. Two majorities
-// of one voter set share a voter. A voter that has restarted grants nothing until the longest grant it may have made has
+// The time of a grant starts at the voter when it grants, and at the holder when it sends its request, which is earlier. The
+// holder also stops a twentieth of it (Duration - holderDuration) before the end. So if the rates of two clocks differ by less
+// than that twentieth, the holder has stopped before any voter that granted the lease grants it to another process. Two
+// majorities of one voter set share a voter. A restarted voter grants nothing until every grant that it may have made has
 // ended, and nothing while it does not know which voter set it accepted last.
 //
 // # While the voters change
 //
-// Majorities of two voter sets need not share a voter: after one voter of three was exchanged, one majority of the old
-// set and one of the new set can be disjoint. Two rules stand in for the shared voter. A voter rejects a request under an
-// epoch below the one that it has accepted. A candidate that learns of a new voter set asks nobody for voterChangeDelay,
-// unless it holds the lease, in which case it renews under the new set; if it loses the lease within voterChangeDelay it
-// waits for the rest of it as well.
+// Majorities of two voter sets need not share a voter: after one voter of three was exchanged, a majority of the old set and
+// one of the new set can be disjoint. Two rules replace the shared voter. First, a voter rejects a request under an epoch below
+// the one that it has accepted. Second, a candidate that learns of a new voter set sends no request for voterChangeDelay,
+// unless it holds the lease; then it renews under the new set. If it loses the lease within voterChangeDelay, it waits for the
+// rest of that time as well.
 //
 // Let T be when the set of epoch k+1 was chosen: a majority of set k has accepted it by then. A holder under epoch k had
 // its last renewal granted by a majority of set k, in which at least one voter accepted k+1. That voter granted the
-// renewal before it accepted, so the renewal was asked for before T, and the holder stops before T + holderDuration. A
-// candidate under k+1 asks after T + voterChangeDelay at the earliest, by which time that holder has stopped. A holder
-// that renews under k+1 still holds the lease under k, so it asks before T + holderDuration, when no candidate has asked
-// under k+1 yet; from then on the grants of a majority of set k+1 protect it. By the same argument a candidate under k+1
-// that is late cannot be granted anything once k+2 is chosen, and a holder that learns of k+2 directly renews before any
-// candidate asks under k+1.
+// renewal before it accepted, so the request was sent before T, and the holder stops before T + holderDuration. A candidate
+// under k+1 sends its first request after T + voterChangeDelay at the earliest, when that holder has stopped. A holder that
+// renews under k+1 still holds the lease under k, so it sends that request before T + holderDuration, when no candidate has
+// sent one under k+1 yet; from then on the grants of a majority of set k+1 protect it. By the same argument a late candidate
+// under k+1 is granted nothing once k+2 is chosen, and a holder that learns of k+2 directly renews before any candidate
+// sends a request under k+1.
 //
 // # Fencing tokens
 //
-// Each grant has a fencing token, a number. A candidate asks under a token above all that it has seen and above those of
-// older voter sets, and uses no token twice. Where voters have forgotten tokens by a restart, whoever knows a higher one
-// reports it (Candidate.ObserveToken), and the holder raises its own with the next renewal. A process that receives
-// something from a holder rejects what has a lower token than the highest it has seen.
+// Each grant has a fencing token, a number. A candidate requests a token above all that it has seen and above those of older
+// voter sets, and uses no token twice. Voters forget tokens when they restart. A process that knows a higher token than the
+// holder's reports it (Candidate.ObserveToken), and the holder raises its own with the next renewal. A process rejects
+// messages of a holder whose token is lower than the highest that it has seen.
 package lease
--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -11,9 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// exchangeRun is one random schedule: three candidates, sets of three voters that are exchanged one by one, messages that are
-// late, lost or doubled, candidates that are cut off, steady clocks that differ by up to 5%, voters that restart, and voter sets
-// that are learnt late.
+// exchangeRun is a random run of three candidates and five processes, of which three vote, and of which one after the other is exchanged.
+// Messages are late, lost or duplicated; candidates are cut off; the rates of clocks differ by up to 5%; voters restart; and voter
+// sets are learned late.
 type exchangeRun struct {
 	rng          *rand.Rand
 	now          time.Duration // real time
@@ -21,24 +21,24 @@
 	voters       []*exchangeVoter
 	candidates   []*exchangeCandidate
 	messages     []exchangeMessage
-	obtained     int // how often the lease came to a process
-	carriedOver  int // how often it was renewed under a newer voter set
-	highestToken uint64
+	obtained     int    // how often a process obtained the lease
+	carriedOver  int    // how often a holder renewed it under a newer voter set
+	highestToken uint64 // of any holder
 }
 
 type exchangeVoter struct {
 	*Voter
 	clockRate float64
-	accepted  uint64        // epoch, on disk
-	readyAt   time.Duration // its disk is read
+	accepted  uint64        // epoch of the newest voter set that it accepted, on disk
+	readyAt   time.Duration // when its disk is read, after a restart
 }
 
 type exchangeCandidate struct {
 	*Candidate
 	clockRate    float64
 	cutOffUntil  time.Duration
-	knownEpoch   uint64
-	requestEpoch uint64 // epoch of its newest request
+	knownEpoch   uint64 // of the newest voter set that it knows
+	requestEpoch uint64 // of its newest request
 }
 
 type exchangeMessage struct {
@@ -47,9 +47,10 @@
 	voter       int
 	requestedAt time.Duration // by the candidate's clock
 	request     *Request
-	reply       *Reply
+	reply       *Reply // nil in a request
 }
 
+// localTime returns the time on a clock that runs at a rate.
 func localTime(now time.Duration, rate float64) time.Duration {
 	return time.Duration(float64(now) * rate)
 }
@@ -68,7 +69,7 @@
 	return run
 }
 
-// exchange puts one process in the place of one voter: majorities of both voter sets accept it, then it is chosen.
+// exchange replaces one voter by another process: majorities of both voter sets accept the new set, and then it is chosen.
 func (e *exchangeRun) exchange() {
 	old := e.voterSets[len(e.voterSets)-1]
 	next := slices.Clone(old)
@@ -88,7 +89,7 @@
 }
 
 func (e *exchangeRun) send(message exchangeMessage) {
-	for range 1 + e.rng.IntN(10)/9 { // some arrive twice
+	for range 1 + e.rng.IntN(10)/9 { // some messages arrive twice
 		if e.rng.IntN(12) == 0 || e.now < e.candidates[message.candidate].cutOffUntil {
 			continue
 		}
@@ -108,7 +109,7 @@
 		case message.arrivesAt > e.now:
 			e.messages = append(e.messages, message)
 		case message.reply == nil:
-			var status VoterStatus // nothing, while the disk is not read
+			var status VoterStatus // not ready while the disk is not read
 			if e.now >= voter.readyAt {
 				status = VoterStatus{Ready: true, VoterSetEpoch: voter.accepted}
 			}
@@ -120,7 +121,7 @@
 	}
 }
 
-// step lets 20 ms pass.
+// step simulates 20 ms.
 func (e *exchangeRun) step() {
 	e.now += 20 * time.Millisecond
 	e.breakSomething()
@@ -130,12 +131,12 @@
 	}
 }
 
-// breakSomething exchanges a voter, restarts one, or cuts a candidate off, each by chance.
+// breakSomething randomly exchanges a voter, restarts one, or cuts a candidate off.
 func (e *exchangeRun) breakSomething() {
 	if e.rng.IntN(120) == 0 {
 		e.exchange()
 	}
-	if e.rng.IntN(250) == 0 { // a voter restarts: its grants are forgotten, its disk stays, and is read late
+	if e.rng.IntN(250) == 0 { // a voter restarts: it forgets its grants, and reads its disk late
 		voter := e.voters[e.rng.IntN(5)]
 		voter.Voter = NewVoter(localTime(e.now, voter.clockRate), false)
 		voter.readyAt = e.now + time.Duration(e.rng.Int64N(int64(2*Duration)))
@@ -145,9 +146,9 @@
 	}
 }
 
-// tick has a candidate learn of a newer voter set, or of a newer fencing token, by chance, and send its request.
-func (e *exchangeRun) tick(i int) {
-	candidate := e.candidates[i]
+// tick calls a candidate's Tick and sends its request. Before that, the candidate may learn of a newer voter set or fencing token.
+func (e *exchangeRun) tick(number int) {
+	candidate := e.candidates[number]
 	if e.rng.IntN(10) == 0 {
 		candidate.knownEpoch = max(candidate.knownEpoch, uint64(e.rng.IntN(len(e.voterSets))))
 	}
@@ -164,11 +165,11 @@
 	}
 	candidate.requestEpoch = candidate.knownEpoch
 	for _, voter := range e.voterSets[candidate.knownEpoch] {
-		e.send(exchangeMessage{candidate: i, voter: voter, requestedAt: now, request: request})
+		e.send(exchangeMessage{candidate: number, voter: voter, requestedAt: now, request: request})
 	}
 }
 
-// holders are the candidates that hold the lease now, with their fencing tokens.
+// holders returns the candidates that hold the lease now, with their fencing tokens.
 func (e *exchangeRun) holders() (holders []string) {
 	for _, candidate := range e.candidates {
 		if token, ok := candidate.Holds(localTime(e.now, candidate.clockRate)); ok {
@@ -179,7 +180,7 @@
 	return holders
 }
 
-// Never do two hold the lease while voters are exchanged, and it keeps being held.
+// While voters are exchanged, two candidates never hold the lease at the same time, and candidates continue to obtain and renew it.
 func TestOneHoldsWhileVotersAreExchanged(t *testing.T) {
 	runs := 500
 	if os.Getenv("SOAK") != "" {
--- a/internal/mesh/control/lease/golden_test.go
+++ b/internal/mesh/control/lease/golden_test.go
@@ -23,6 +23,7 @@
 		{Role: "quota", Granted: true, FencingToken: 4_000_001},
 		{Role: "config", FencingToken: 4_000_300, Holder: "10.0.0.2:7401", Remaining: 750 * time.Millisecond},
 	}}
+	grant := Grant{Role: "quota", Granted: true, FencingToken: 4_000_001, Holder: "10.0.0.2:7401", Remaining: time.Second}
 	for _, message := range []struct {
 		name         string
 		value, empty codec.Message
@@ -30,7 +31,7 @@
 		{"request", &request, &Request{}},
 		{"duty", &request.Roles[0], &RoleRequest{}},
 		{"reply", &reply, &Reply{}},
-		{"grant", &Grant{Role: "quota", Granted: true, FencingToken: 4_000_001, Holder: "10.0.0.2:7401", Remaining: time.Second}, &Grant{}},
+		{"grant", &grant, &Grant{}},
 	} {
 		t.Run(message.name, func(t *testing.T) {
 			file := "message-" + message.name + ".hex"
@@ -41,7 +42,7 @@
 	}
 }
 
-// What voters and candidates of two versions must agree on.
+// Values that voters and candidates of two versions must agree on.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]time.Duration{Duration, holderDuration, voterChangeDelay, renewInterval, retryDelay, releaseStagger}, qt.DeepEquals, []time.Duration{
@@ -51,7 +52,7 @@
 	c.Check([]State{Idle, Requesting, Holding, Resigned}, qt.DeepEquals, []State{0, 1, 2, 3})
 }
 
-// The same seed gives the same run: who holds the lease when, and under which fencing number.
+// The same seed gives the same run: which candidates hold the lease at which time, and under which fencing tokens.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(12) {
@@ -60,9 +61,9 @@
 		for run.now < 20*time.Second {
 			run.step()
 			digest.Write(fmt.Appendln(nil, run.now, run.holders(), len(run.messages)))
-			for i, c := range run.candidates {
-				now := localTime(run.now, c.clockRate)
-				digest.Write(fmt.Appendln(nil, i, c.Holder(now), c.Remaining(now)))
+			for i, candidate := range run.candidates {
+				now := localTime(run.now, candidate.clockRate)
+				digest.Write(fmt.Appendln(nil, i, candidate.Holder(now), candidate.Remaining(now)))
 			}
 		}
 		fmt.Fprintf(&text, "seed %d: holders %x, came %d times, held on %d times, %d lists, highest number %d, next draw %d\n", seed,
--- a/internal/mesh/control/lease/lease_test.go
+++ b/internal/mesh/control/lease/lease_test.go
@@ -11,8 +11,8 @@
 // initialStatus is the status of a voter that knows the first voter set.
 var initialStatus = VoterStatus{Ready: true}
 
-// twoCandidates is a schedule of two candidates and three voters, of which one restarts. Its steps are numbers: deliver
-// the first, the second or the third message; lose the first; let time pass; restart a voter.
+// twoCandidates is a state of two candidates and three voters. A step is a number: 0 to 2 deliver the first, second or third
+// message in flight, stepLose loses the first one, stepWait lets time pass, and stepRestart restarts a voter.
 type twoCandidates struct {
 	now        time.Duration
 	voters     []*Voter
@@ -82,15 +82,15 @@
 
 func voterName(voter int) string { return string(rune('0' + voter)) }
 
-// bothHold reports whether two candidates hold the lease at one time.
+// bothHold reports whether two candidates hold the lease now.
 func bothHold(now time.Duration, candidates []*Candidate) bool {
 	_, first := candidates[0].Holds(now)
 	_, second := candidates[1].Holds(now)
 	return first && second
 }
 
-// Two candidates and three voters, of which one restarts: in every order of delivering or losing each message, at paces that let
-// leases end in between, never do two hold the lease at one time.
+// Two candidates never hold the lease at the same time, in any sequence of steps up to a depth, and in long random ones in which leases
+// end many times.
 func TestOneHolds(t *testing.T) {
 	const depth = 7
 	plays := 0
@@ -118,7 +118,6 @@
 		}
 	}
 	play(nil)
-	// And longer ones by chance, where leases come and go many times.
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20000 {
 		path := []int{stepWait}
@@ -130,8 +129,8 @@
 	t.Logf("%d orders", plays)
 }
 
-// growingVoterSet is a run in which the voters go from three to five, one by one, and each candidate and voter learns of it
-// at any time.
+// growingVoterSet is a run in which the voters grow from three to five, one by one. Each candidate and voter learns of that at a
+// random time.
 type growingVoterSet struct {
 	rng        *rand.Rand
 	now        time.Duration
@@ -152,7 +151,7 @@
 	return g
 }
 
-// grow has a majority of the voters so far accept the next voter set.
+// grow decides the next voter set: a majority of the current voters, and the new one, accept it.
 func (g *growingVoterSet) grow() {
 	count := votersOf(g.decided)
 	g.decided++
@@ -187,8 +186,8 @@
 	}
 }
 
-// While the voters go from three to five, never do two hold the lease, though majorities of the first voter set and the last
-// share nobody.
+// While the voters grow from three to five, two candidates never hold the lease at the same time, although a majority of the first
+// voter set and one of the last can be disjoint.
 func TestOneHoldsWhileVotersChange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	obtained, both := 0, 0
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -38,7 +38,7 @@
 
 // Reply is a voter's answer to a Request.
 type Reply struct {
-	Grants        []Grant // in the order of the requests; roles that a voter has no room for are left out
+	Grants        []Grant // in the order of Request.Roles, without roles for which the voter has no room
 	VoterSetEpoch uint64  // of the newest voter set that the voter accepted or knows to be decided
 }
 
--- a/internal/mesh/control/lease/rules_test.go
+++ b/internal/mesh/control/lease/rules_test.go
@@ -7,6 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// The holder stops before the voter grants the lease to another process. A restarted voter waits before its first grant.
 func TestHolderStopsBeforeAnotherIsGranted(t *testing.T) {
 	c := qt.New(t)
 	voter := NewVoter(0, true)
@@ -20,16 +21,17 @@
 	other := &Request{Holder: "b", Incarnation: 2, Roles: []RoleRequest{{Role: "d", FencingToken: first + 1}}}
 	c.Assert(voter.Handle(Duration, initialStatus, other).Grants[0].Granted, qt.IsFalse)
 	c.Assert(voter.Handle(Duration+time.Millisecond, initialStatus, other).Grants[0].Granted, qt.IsTrue)
-	// The first one's number is of the past now.
-	c.Assert(voter.Handle(3*Duration, initialStatus, &Request{Holder: "a", Incarnation: 1, Roles: []RoleRequest{{Role: "d", FencingToken: first}}}).Grants[0].Granted, qt.IsFalse)
-	// A voter that has started again waits.
+	// The first holder's token is out of date now.
+	outdated := &Request{Holder: "a", Incarnation: 1, Roles: []RoleRequest{{Role: "d", FencingToken: first}}}
+	c.Assert(voter.Handle(3*Duration, initialStatus, outdated).Grants[0].Granted, qt.IsFalse)
+	// A voter that has restarted grants nothing yet.
 	voter = NewVoter(4*Duration, false)
 	c.Assert(voter.Handle(5*Duration-1, initialStatus, other).Grants[0].Granted, qt.IsFalse)
 }
 
-// A holder whose lease is asked for under disjoint majorities: {a, b} of the old voter set renewed it just before the new one was
-// chosen by b, c and d; c and d never heard of the holder. A candidate that knows the new voter set gets the lease only after the
-// holder has stopped, and so does the holder itself, if it loses the lease before that.
+// A lease is requested from disjoint majorities. a and b of the old voter set granted it just before the new set was chosen by b, c and d;
+// c and d know nothing of the holder. A candidate that knows the new voter set obtains the lease only after the holder has stopped.
+// The holder itself, if it loses the lease, has to wait as well.
 func TestDisjointMajorities(t *testing.T) {
 	c := qt.New(t)
 	zero := func() float64 { return 0 }
@@ -68,7 +70,7 @@
 	_, ok = holder.Holds(chosen + voterChangeDelay)
 	c.Assert(ok, qt.IsFalse)
 
-	// The holder learns of the new voter set while it holds the lease, can't renew it, and waits like any other candidate.
+	// The holder learns of the new voter set while it holds the lease, cannot renew it, and waits like any other candidate.
 	holder = NewCandidate("h", 3, "e", zero)
 	c.Assert(ask(holder, 0, 0, oldVoters), qt.IsFalse)
 	holder.HandleReply(0, 0, "a", &Reply{Grants: []Grant{{Role: "e", Granted: true, FencingToken: 1}}})
@@ -80,7 +82,7 @@
 	c.Assert(holder.Tick(holderDuration-1+voterChangeDelay, 3, 1), qt.IsNotNil)
 }
 
-// A late release of an earlier token leaves a newer grant alone; a release in time lets the next candidate in at once.
+// A late release of an earlier token does not end a newer grant. After a release the next candidate obtains the lease at once.
 func TestRelease(t *testing.T) {
 	c := qt.New(t)
 	zero := func() float64 { return 0 }
@@ -110,7 +112,7 @@
 	c.Assert(first.Tick(Duration*5, 1, 0), qt.IsNil)
 }
 
-// A voter grants nothing under a voter set older than the one it accepted, or while it can't say which that is, and reports the
+// A voter grants nothing under a voter set older than the one it accepted, or while it does not know which that is. It reports its
 // epoch.
 func TestVoterRejectsOldVoterSets(t *testing.T) {
 	voter := NewVoter(0, true)
@@ -133,7 +135,7 @@
 	}
 }
 
-// A candidate that one voter rejected, and a majority granted the lease, renews it in time.
+// A candidate that one voter rejected, while a majority granted it the lease, renews the lease in time.
 func TestHolderRenewsAfterARefusal(t *testing.T) {
 	c := qt.New(t)
 	candidate := NewCandidate("x", 1, "d", func() float64 { return 1 })
--- a/internal/mesh/control/lease/takeover_test.go
+++ b/internal/mesh/control/lease/takeover_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// takeoverRun is five candidates and three voters with messages of up to 20 ms one way.
+// takeoverRun is a run of five candidates and three voters, whose messages take up to 20 ms one way.
 type takeoverRun struct {
 	rng        *rand.Rand
 	now        time.Duration
@@ -55,7 +55,7 @@
 	}
 }
 
-// depart has the holder release the lease, or do nothing any more.
+// depart lets the holder release the lease, or cuts it off.
 func (r *takeoverRun) depart(holder *Candidate, release bool) {
 	r.departed = holder
 	if !release {
@@ -70,7 +70,7 @@
 	}
 }
 
-// tick sends a candidate's request.
+// tick calls a candidate's Tick and sends its request.
 func (r *takeoverRun) tick(candidate *Candidate) {
 	request := candidate.Tick(r.now, len(r.voters), 0)
 	if request == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// takeover plays a run until the holder is cut off, or releases the lease, and returns how long nobody holds it.
+// takeover simulates a run in which the holder releases the lease or is cut off, and returns the time until another candidate holds it.
 func takeover(seed uint64, release bool) time.Duration {
 	run := newTakeoverRun(seed)
 	var since time.Duration
@@ -107,7 +107,7 @@
 	}
 }
 
-// How long nobody holds a lease, from when its holder was cut off or gave it up.
+// The time from the moment at which the holder is cut off, or releases the lease, until another candidate holds it.
 func TestTakeover(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/mesh/control/lease/voter.go
+++ b/internal/mesh/control/lease/voter.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Voter grants leases. It remembers the newest grant of each role.
+// Voter grants leases, and remembers the newest grant of each role, in memory. It is not safe for concurrent use.
 type Voter struct {
-	grantsFrom time.Duration // it grants nothing before
-	grants     map[string]*heldLease
+	grantsFrom time.Duration         // it grants nothing before this time
+	grants     map[string]*heldLease // by role
 }
 
-// NewVoter makes a voter that starts now. initialStart says that the whole system starts for the first time: nothing was
-// granted before, and the voter need not wait until earlier grants have ended.
+// NewVoter returns a voter that starts now. It grants nothing for Duration, by which time all grants of its last start have
+// ended. initialStart is true if the whole system starts for the first time: nothing was granted before, so it grants at once.
 func NewVoter(now time.Duration, initialStart bool) *Voter {
 	v := &Voter{grantsFrom: now + Duration, grants: map[string]*heldLease{}}
 	if initialStart {
@@ -18,9 +18,9 @@
 	return v
 }
 
-// VoterStatus is what the voter's process knows of the voter set when it answers.
+// VoterStatus is what the voter's process knows about the voter set when it answers a request.
 type VoterStatus struct {
-	Ready         bool   // its record is complete; if not, it may have forgotten a voter set that it accepted
+	Ready         bool   // the process has its record; without it, it may have forgotten a voter set that it accepted
 	VoterSetEpoch uint64 // of the newest voter set that it accepted or knows to be decided
 }
 
@@ -39,7 +39,7 @@
 	return reply
 }
 
-// leaseOf is the lease of a role; nil if there is no room for another role.
+// leaseOf returns the lease of a role, which it makes if necessary; nil if the voter already has maxRoles.
 func (v *Voter) leaseOf(role string) *heldLease {
 	held := v.grants[role]
 	if held == nil && len(v.grants) < maxRoles {
@@ -49,7 +49,7 @@
 	return held
 }
 
-// heldLease is the newest grant of one role; the zero value was never granted.
+// heldLease is the newest grant of one role. The zero value is a lease that was never granted.
 type heldLease struct {
 	holder       string
 	incarnation  uint64 // of the holder
@@ -57,11 +57,12 @@
 	expiresAt    time.Duration
 }
 
+// isHeldBy reports whether the newest grant was to the process that sends a request, in the same incarnation.
 func (h *heldLease) isHeldBy(request *Request) bool {
 	return h.incarnation == request.Incarnation && h.holder == request.Holder
 }
 
-// answer grants, renews, releases or rejects.
+// answer grants, renews, releases or rejects the lease. mayGrant is false while the voter must not grant anything.
 func (h *heldLease) answer(now time.Duration, mayGrant bool, request *Request, role *RoleRequest) Grant {
 	isHolder := h.isHeldBy(request)
 	isCurrent := isHolder && role.FencingToken >= h.fencingToken
