--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	tokenValidity     = 450 * time.Millisecond // from when the tokens were requested, by the sidecar's clock
-	unresponsiveAfter = 300 * time.Millisecond // without a request the allocator expects a sidecar to use its share
-	shareLease        = 10 * time.Second       // of a fallback share
-	forgetAfter       = 2 * shareLease         // without a request the allocator forgets a sidecar
-	sweepInterval     = time.Second            // between two sweeps of what can be forgotten
-	maxSidecars       = 8192                   // that an allocator keeps
-
-	// newAllocatorDelay is how long a new allocator reserves what is not accounted for, even if all sidecars that it knows
-	// of have reported: it may not know all of them yet.
+	tokenValidity     = 450 * time.Millisecond // from the time of the request for the tokens, by the sidecar's clock
+	unresponsiveAfter = 300 * time.Millisecond // without a request; the allocator then assumes that a sidecar uses its fallback share
+	shareLease        = 10 * time.Second       // lease of a fallback share
+	forgetAfter       = 2 * shareLease         // without a request; the allocator then forgets a sidecar
+	sweepInterval     = time.Second            // between two sweeps of sidecars and tenants to forget
+	maxSidecars       = 8192                   // that an allocator knows, at most
+
+	// newAllocatorDelay is how long a new allocator reserves the shares that no sidecar has reported, even if all known sidecars
+	// have reported theirs: it may not know all sidecars yet.
 	newAllocatorDelay = time.Second
 )
 
@@ -22,26 +22,26 @@
 	Overage float64 // requests that may pass beyond rate and burst in a window of the quota
 }
 
-// Allocator keeps the buckets of all tenants while this process plays the role.
+// Allocator owns the token buckets of all tenants while this process plays the role. It is not safe for concurrent use.
 type Allocator struct {
 	startedAt    time.Duration
-	initialStart bool // nothing was granted before startedAt: the whole system starts for the first time
+	initialStart bool // the whole system starts for the first time: nothing was granted before startedAt
 	limits       func(tenant string) (Limit, bool)
 	buckets      map[string]*bucket    // by tenant
 	sidecars     map[string]*requester // by address
-	unreported   int                   // sidecars whose shares are not known yet
+	unreported   int                   // sidecars that have not reported their shares yet
 	lastSweep    time.Duration
 }
 
 // requester is a sidecar that requests tokens.
 type requester struct {
-	incarnation uint64
-	lastSeen    time.Duration
+	incarnation uint64        // of the sidecar's process
+	lastSeen    time.Duration // time of its newest request
 }
 
-// NewAllocator starts an allocator. limits returns a tenant's limit, and whether the tenant exists. At the system's
-// initial start buckets are full; else they start nearly empty, as the allocator before may have granted all there was
-// just now.
+// NewAllocator returns an allocator that starts now. limits returns a tenant's limit, and whether the tenant exists. At the
+// system's initial start the buckets are full. Otherwise they start nearly empty, as the previous allocator may just have
+// granted all tokens.
 func NewAllocator(now time.Duration, initialStart bool, limits func(string) (Limit, bool)) *Allocator {
 	return &Allocator{
 		startedAt:    now,
@@ -52,8 +52,8 @@
 	}
 }
 
-// SetSidecars sets the sidecars that are members, or were of late. Those that have not reported yet which shares they
-// hold may hold any.
+// SetSidecars sets the addresses of the sidecars that are members or were recently (LastSeen). Those that have not reported
+// their shares yet may hold shares of any size.
 func (a *Allocator) SetSidecars(addresses []string) {
 	a.unreported = 0
 	for _, address := range addresses {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Allocate answers the requests of a sidecar; requests for tenants without a limit are left out. It is the only method
-// that changes what has been granted.
+// Allocate returns the grants for a sidecar's requests, without those for tenants that have no limit. It is the only method that
+// grants tokens and shares.
 func (a *Allocator) Allocate(now time.Duration, request *AllocationRequest) []TokenGrant {
 	sidecar := a.requester(request.Sidecar)
 	if sidecar == nil {
@@ -84,7 +84,7 @@
 	return grants
 }
 
-// requester is the sidecar of an address; nil if there is no room for another one.
+// requester returns the sidecar of an address, which it adds if necessary; nil if there are maxSidecars already.
 func (a *Allocator) requester(address string) *requester {
 	sidecar := a.sidecars[address]
 	if sidecar == nil && len(a.sidecars) < maxSidecars {
@@ -95,7 +95,7 @@
 	return sidecar
 }
 
-// sweep forgets sidecars that have been unresponsive for long, and tenants that no longer exist.
+// sweep forgets sidecars without a request for forgetAfter, and tenants that no longer exist.
 func (a *Allocator) sweep(now time.Duration) {
 	if now-a.lastSweep < sweepInterval {
 		return
@@ -113,12 +113,12 @@
 	}
 }
 
-// grant answers one of a sidecar's requests: tokens out of the tenant's bucket, and a fallback share.
+// grant answers one of a sidecar's requests with tokens from the tenant's bucket and a fallback share.
 func (a *Allocator) grant(now time.Duration, from *AllocationRequest, request TokenRequest, limit Limit) TokenGrant {
 	bucket := a.bucket(request.Tenant, limit)
 	bucket.recomputeSums(now, a.sidecars)
 	share := bucket.shareOf(from.Sidecar)
-	reported := 0.0 // what the sidecar holds by its own report, which is the truth
+	reported := 0.0 // the share that the sidecar holds by its own report, which is authoritative
 	if request.ShareRemaining > 0 {
 		reported = max(request.FallbackShare, 0)
 	}
@@ -127,12 +127,12 @@
 	grant := a.grantTokens(now, bucket, request, limit)
 	grant.FallbackShare = a.allotShare(now, bucket, share, limit)
 	grant.ShareRemaining = shareLease
-	bucket.setShare(share, max(reported, grant.FallbackShare), share.demand) // until it reports that it has the new one
+	bucket.setShare(share, max(reported, grant.FallbackShare), share.demand) // the sidecar may hold either until it reports the new one
 	share.expiresAt = now + shareLease
 	return grant
 }
 
-// bucket is the bucket of a tenant.
+// bucket returns the bucket of a tenant, which it makes if necessary.
 func (a *Allocator) bucket(tenant string, limit Limit) *bucket {
 	b := a.buckets[tenant]
 	if b == nil {
@@ -142,16 +142,16 @@
 	return b
 }
 
-// isNew reports whether shares may be in force that the allocator before granted.
+// isNew reports whether sidecars may still hold shares that the previous allocator granted.
 func (a *Allocator) isNew(now time.Duration) bool {
 	return !a.initialStart && now-a.startedAt < shareLease
 }
 
-// grantTokens grants tokens out of a tenant's bucket.
+// grantTokens grants tokens from a tenant's bucket, which fills at the rate that is not reserved for shares of other sidecars.
 func (a *Allocator) grantTokens(now time.Duration, bucket *bucket, request TokenRequest, limit Limit) TokenGrant {
 	reserved := bucket.unresponsiveShares
 	if a.isNew(now) && (a.unreported > 0 || now-a.startedAt < newAllocatorDelay) {
-		reserved += max(limit.Rate-bucket.totalShares, 0) // shares that were granted before its time
+		reserved += max(limit.Rate-bucket.totalShares, 0) // unreported shares, granted by the previous allocator
 	}
 	rate := max(limit.Rate-reserved, 0)
 	bucket.refill(now, rate, request.UnusedTokens, limit)
@@ -163,10 +163,10 @@
 	return grant
 }
 
-// allotShare is the fallback share that a sidecar may have: by demand, and no more than the others leave.
+// allotShare returns the fallback share that a sidecar may have: by its demand, and no more than the other sidecars leave.
 func (a *Allocator) allotShare(now time.Duration, bucket *bucket, own *fallbackShare, limit Limit) float64 {
 	if a.isNew(now) && a.unreported > 0 {
-		return min(own.rate, limit.Rate) // what the unreported sidecars hold is not known yet
+		return min(own.rate, limit.Rate) // the shares of the unreported sidecars are unknown
 	}
 	even := limit.Rate / float64(max(len(a.sidecars)+a.unreported, 1))
 	wanted := even
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -8,8 +8,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// BenchmarkAllocator is the allocator's own work for one request of a sidecar, without the link: each sidecar sends one each
-// 200 ms, with token requests for some tenants. A second of the role is as many requests as sidecars times five.
+// BenchmarkAllocator measures the allocator's work for one request of a sidecar, without the network. Each sidecar sends a request
+// every 200 ms, with token requests for some tenants, so a second has five requests for each sidecar.
 func BenchmarkAllocator(b *testing.B) {
 	for _, sidecars := range []int{20, 200, 2000} {
 		for _, tenants := range []int{1, 8} {
--- a/internal/mesh/control/ratelimit/bucket.go
+++ b/internal/mesh/control/ratelimit/bucket.go
@@ -13,20 +13,20 @@
 	// evenFraction is the part of the rate that is divided evenly among sidecars; the rest is divided by demand.
 	evenFraction = 0.2
 
-	// initialOverageFraction is the part of Limit.Overage that the buckets of an allocator start with that is not the
-	// system's first: two allocators may follow one another within a window.
+	// initialOverageFraction is the part of Limit.Overage with which a bucket starts, except at the system's first start. It is
+	// small because several allocators may follow one another within a window.
 	initialOverageFraction = 0.25
 )
 
-// bucket is the token bucket of one tenant, with the fallback shares of all sidecars. Its sums are recomputed every
-// sumInterval and kept up in between, so that a request costs the same whatever the number of sidecars.
+// bucket is the token bucket of one tenant, with the fallback shares of all sidecars. Its sums are recomputed every sumInterval
+// and updated in between, so that the cost of a request does not grow with the number of sidecars.
 type bucket struct {
 	level              float64 // tokens
 	refilledAt         time.Duration
 	shares             map[string]*fallbackShare // by the sidecar's address
-	totalDemand        float64                   // of all sidecars
-	totalShares        float64                   // of all sidecars
-	unresponsiveShares float64                   // of those that were not heard from
+	totalDemand        float64                   // of all sidecars, in requests a second
+	totalShares        float64                   // the same of shares
+	unresponsiveShares float64                   // of sidecars without a request for unresponsiveAfter
 	summedAt           time.Duration
 	initialised        bool // the sums were computed once
 }
@@ -46,7 +46,7 @@
 	return &bucket{level: level, refilledAt: startedAt, shares: map[string]*fallbackShare{}}
 }
 
-// shareOf is the share of a sidecar, which may have none so far.
+// shareOf returns the share of a sidecar, which it adds if necessary.
 func (b *bucket) shareOf(sidecar string) *fallbackShare {
 	share := b.shares[sidecar]
 	if share == nil {
@@ -56,8 +56,8 @@
 	return share
 }
 
-// recomputeSums computes the sums of a bucket anew, if they are due, in the order of addresses so that sums of floating
-// point numbers are the same in every run. Shares that have ended are dropped.
+// recomputeSums recomputes the sums if sumInterval has passed, and drops shares that have ended. It adds up in the order of
+// addresses, so that floating point sums are the same in every run.
 func (b *bucket) recomputeSums(now time.Duration, sidecars map[string]*requester) {
 	if b.initialised && now-b.summedAt < sumInterval {
 		return
@@ -70,7 +70,7 @@
 	for _, address := range slices.Sorted(maps.Keys(b.shares)) {
 		share := b.shares[address]
 		sidecar := sidecars[address]
-		restarted := sidecar != nil && sidecar.incarnation != share.incarnation // and holds nothing of before
+		restarted := sidecar != nil && sidecar.incarnation != share.incarnation // it holds no earlier share any more
 		if now >= share.expiresAt || restarted {
 			delete(b.shares, address)
 			continue
@@ -83,7 +83,7 @@
 	}
 }
 
-// setShare changes a share and keeps up the sums.
+// setShare changes a share and updates the sums.
 func (b *bucket) setShare(share *fallbackShare, rate, demand float64) {
 	b.totalShares += rate - share.rate
 	b.totalDemand += demand - share.demand
@@ -98,7 +98,7 @@
 	b.refilledAt = now
 }
 
-// take takes tokens out of the bucket: as many as are wanted, or the whole ones that are there.
+// take takes the wanted number of tokens from the bucket, or all complete tokens if there are fewer, and returns how many.
 func (b *bucket) take(wanted float64) float64 {
 	taken := 0.0
 	switch {
@@ -112,7 +112,7 @@
 	return taken
 }
 
-// timeUntil is the time until so many tokens more are there, at a rate of refill.
+// timeUntil returns the time until the lacking tokens are there, at a rate of refill in tokens a second, at most shareLease.
 func (b *bucket) timeUntil(lacking, rate float64) time.Duration {
 	if rate <= 0 {
 		return shareLease
--- a/internal/mesh/control/ratelimit/demand.go
+++ b/internal/mesh/control/ratelimit/demand.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// prefetchSpan is the time whose demand tokens are requested for beforehand.
+	// prefetchSpan is the time for whose expected demand a sidecar requests tokens in advance.
 	prefetchSpan = 300 * time.Millisecond
 
-	// demandSpan is the time over which demand is smoothed for tokens, longTermSpan that for the fallback share: many
-	// tenants have less than one request a second.
+	// demandSpan is the time over which demand is smoothed to request tokens; longTermSpan is that for fallback shares. It is
+	// longer because many tenants have less than one request a second.
 	demandSpan   = time.Second
 	longTermSpan = 8 * time.Second
 )
@@ -19,7 +19,7 @@
 	updatedAt time.Duration // time of the newest request
 }
 
-// record adds requests.
+// record adds n requests.
 func (d *demand) record(now time.Duration, n float64) {
 	elapsed := float64(now - d.updatedAt)
 	d.rate = d.rate/(1+elapsed/float64(demandSpan)) + n/demandSpan.Seconds()
@@ -27,12 +27,12 @@
 	d.updatedAt = now
 }
 
-// expected is how many requests are expected within prefetchSpan.
+// expected returns the number of requests that are expected within prefetchSpan.
 func (d *demand) expected(now time.Duration) float64 {
 	return d.rate / (1 + float64(now-d.updatedAt)/float64(demandSpan)) * prefetchSpan.Seconds()
 }
 
-// longTermRate is the demand over longTermSpan, in requests a second.
+// longTermRate returns the demand, smoothed over longTermSpan, in requests a second.
 func (d *demand) longTermRate(now time.Duration) float64 {
 	return d.longTerm / (1 + float64(now-d.updatedAt)/float64(longTermSpan))
 }
--- a/internal/mesh/control/ratelimit/doc.go
+++ b/internal/mesh/control/ratelimit/doc.go
@@ -1,6 +1,6 @@
 // Package ratelimit keeps the limits that hold over all sidecars together: tenants' rate limits, and each service's
 // budget of retries. A sidecar decides on a request by itself, from what it holds, so that a request needs no message;
-// sidecars that are cut off never exceed the whole.
+// all sidecars together never exceed the limit, even if some are partitioned from the others.
 //
 // The package does no I/O, starts no goroutine and takes no lock: its types are not safe for concurrent use. Time is an
 // argument, on each process's own steady clock. Rates are in requests a second, tokens in requests.
@@ -16,12 +16,12 @@
 //	     | <-- admitted --- or rejected <-- AllocationReply --- tokens, fallback share
 //
 // Each sidecar also holds a fallback share of each tenant's rate, under a lease of its own (shareLease), from which it
-// admits requests while it reaches no allocator. The allocator reserves the shares of sidecars that it has not heard from:
-// it grants only what they leave, so the sum of what is admitted stays within the limit, whoever is cut off. An allocator
-// that is new does not know the shares, and reserves what is not accounted for; [LastSeen] names the sidecars that may
-// hold some.
+// admits requests while it reaches no allocator. The allocator reserves the shares of sidecars that have not sent a request
+// recently: it grants only the rest, so the sum of all admitted requests stays within the limit, whichever sidecars are
+// partitioned. A new allocator does not know the shares, and reserves all that is not reported; [LastSeen] lists the
+// sidecars that may hold some.
 //
-// A [TokenCache] accepts grants by fencing token: once it has heard of a newer allocator, it rejects those of older ones.
+// A [TokenCache] accepts grants by fencing token: after a reply of a newer allocator, it rejects those of older ones.
 //
 // # Retries
 //
--- a/internal/mesh/control/ratelimit/fallback.go
+++ b/internal/mesh/control/ratelimit/fallback.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// maxFallbackTokens is how many requests a sidecar without an allocator may save up, where its share is small.
+	// maxFallbackTokens is how many requests a sidecar with a small share may save up while it reaches no allocator.
 	maxFallbackTokens = 2.0
 
-	// initialShareFraction is how much of a tenant's rate, at most, a sidecar without a share takes.
+	// initialShareFraction is the part of a tenant's rate that a sidecar without a share uses, at most.
 	initialShareFraction = 0.08
 
-	// maxFallbackRetryAfter bounds the retry-after of a client that was rejected without an allocator.
+	// maxFallbackRetryAfter is the longest retry-after of a client that is rejected while no allocator is reached.
 	maxFallbackRetryAfter = 250 * time.Millisecond
 )
 
@@ -17,15 +17,15 @@
 // one request at least.
 type fallback struct {
 	share      float64       // in requests a second
-	shareUntil time.Duration // the share's lease ends
+	shareUntil time.Duration // end of the share's lease
 	level      float64       // requests that may be admitted now
 	refilledAt time.Duration
 }
 
-// admit admits a request by the share. A sidecar that has none, as it never reached an allocator or not within the lease
-// of its share, takes a small even share. With no allocator at all, as after a restart of all processes or with the core
-// away for long, these add up to no more than the limit; where a few sidecars alone reach none, even through others, the
-// sum stays within what the rules leave.
+// admit admits or rejects a request by the share. A sidecar without a share, because it never reached an allocator or not within
+// the lease of its share, uses a small even share. If no sidecar reaches an allocator, as after a restart of all processes or
+// during a long outage of the core, these shares add up to no more than the limit. If only a few sidecars reach none, not even
+// through others, the sum may exceed it by these small shares.
 func (f *fallback) admit(now time.Duration, limit Limit, sidecars int) (ok bool, retryAfter time.Duration) {
 	sidecars = max(sidecars, 1)
 	if now >= f.shareUntil {
@@ -43,7 +43,8 @@
 	return false, min(time.Duration(seconds*float64(time.Second)), maxFallbackRetryAfter) // an allocator may be back by then
 }
 
-// refill saves up requests by the share. What all sidecars may save up together is what the limit allows beyond its rate.
+// refill adds the requests of the time since the last refill. A sidecar saves up its part of what the limit allows beyond its
+// rate, at most maxFallbackTokens, or what it needs for prefetchSpan, and in any case one request.
 func (f *fallback) refill(now time.Duration, limit Limit, sidecars int) {
 	allowance := (limit.Overage + limit.Burst) / float64(sidecars)
 	capacity := max(f.share*prefetchSpan.Seconds(), min(allowance, maxFallbackTokens), 1)
@@ -51,5 +52,5 @@
 	f.refilledAt = now
 }
 
-// remaining is how long the share's lease still lasts.
+// remaining returns how long the share's lease still lasts.
 func (f *fallback) remaining(now time.Duration) time.Duration { return max(f.shareUntil-now, 0) }
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -8,14 +8,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Grants of an allocator whose lease has ended are refused once the sidecar has heard from a newer one.
+// A sidecar rejects grants of an allocator whose lease has ended, once it has accepted those of a newer one.
 func TestGrantsOfADepartedAllocatorAreRejected(t *testing.T) {
 	c := qt.New(t)
 	limit := Limit{Rate: 10, Burst: 10}
 	cache := NewTokenCache()
 	cache.Admit(0, "t", limit, func(bool, time.Duration) {})
-	grants := func(number uint64, share float64) *AllocationReply {
-		return &AllocationReply{Granted: true, FencingToken: number, Grants: []TokenGrant{{Tenant: "t", Tokens: 5, FallbackShare: share, ShareRemaining: shareLease}}}
+	grants := func(fencingToken uint64, share float64) *AllocationReply {
+		grant := TokenGrant{Tenant: "t", Tokens: 5, FallbackShare: share, ShareRemaining: shareLease}
+		return &AllocationReply{Granted: true, FencingToken: fencingToken, Grants: []TokenGrant{grant}}
 	}
 	c.Assert(cache.HandleReply(0, 0, grants(7, 1)), qt.IsTrue)
 	c.Assert(cache.HandleReply(0, 0, grants(8, 2)), qt.IsTrue)
@@ -24,14 +25,14 @@
 	c.Assert(cache.tenants["t"].fallback.share, qt.Equals, 2.0)
 	c.Assert(cache.tenants["t"].tokens, qt.Equals, tokens)
 	c.Assert(cache.HighestFencingToken(), qt.Equals, uint64(8))
-	c.Assert(cache.HandleReply(0, 0, grants(8, 3)), qt.IsTrue) // its own go on
+	c.Assert(cache.HandleReply(0, 0, grants(8, 3)), qt.IsTrue) // the newer allocator continues
 }
 
-// zoneRun is a run of sidecars in two zones. One zone is cut off together with the allocator, and drops out of the new
-// allocator's view two seconds later; the new allocator starts after a second and a half.
+// zoneRun is a run of sidecars in two zones. One zone is partitioned together with the allocator, and leaves the new allocator's
+// view two seconds later. The new allocator starts after a second and a half.
 type zoneRun struct {
 	now       time.Duration
-	cut       time.Duration
+	cut       time.Duration // time of the partition
 	limit     Limit
 	allocator *Allocator
 	lastSeen  LastSeen
@@ -42,7 +43,7 @@
 
 const (
 	zoneSidecars  = 9
-	cutOffSidecar = zoneSidecars / 2 // those below are cut off
+	cutOffSidecar = zoneSidecars / 2 // sidecars with lower numbers are in the partitioned zone
 )
 
 func newZoneRun(cut time.Duration, limit Limit) *zoneRun {
@@ -59,6 +60,7 @@
 
 func (z *zoneRun) limits(string) (Limit, bool) { return z.limit, true }
 
+// step simulates the events of one moment.
 func (z *zoneRun) step() {
 	const takeover = 1500 * time.Millisecond
 	hasAllocator := z.now < z.cut || z.now >= z.cut+takeover
@@ -91,8 +93,7 @@
 	}
 }
 
-// Sidecars of a zone that is cut off hold most of the shares. What both zones admit together stays within the limit until the
-// shares have ended.
+// The sidecars of a partitioned zone hold most of the shares. Both zones together stay within the limit until the shares have ended.
 func TestSharesOfACutOffZoneAreReserved(t *testing.T) {
 	limit := Limit{Rate: 60, Burst: 20, Overage: 30}
 	for cut := 2 * time.Second; cut <= 10*time.Second; cut += 2 * time.Second {
--- a/internal/mesh/control/ratelimit/golden_test.go
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -17,13 +17,34 @@
 
 // Messages are encoded as other versions encode them, and theirs are read.
 func TestGoldenMessages(t *testing.T) {
-	request := TokenRequest{Tenant: "tenant-1", Tokens: 12.5, Demand: 40.25, FallbackShare: 3.75, ShareRemaining: 9 * time.Second, UnusedTokens: 1.5}
+	request := TokenRequest{
+		Tenant:         "tenant-1",
+		Tokens:         12.5,
+		Demand:         40.25,
+		FallbackShare:  3.75,
+		ShareRemaining: 9 * time.Second,
+		UnusedTokens:   1.5,
+	}
 	requests := AllocationRequest{
-		Sidecar: "10.0.0.3:7301", Incarnation: 0xfedcba9876543210, Requests: []TokenRequest{request, {Tenant: "tenant-2"}},
-		Forwarded: true, HighestFencingToken: 4_000_001,
+		Sidecar:             "10.0.0.3:7301",
+		Incarnation:         0xfedcba9876543210,
+		Requests:            []TokenRequest{request, {Tenant: "tenant-2"}},
+		Forwarded:           true,
+		HighestFencingToken: 4_000_001,
+	}
+	grant := TokenGrant{
+		Tenant:         "tenant-1",
+		Tokens:         12,
+		FallbackShare:  4.5,
+		ShareRemaining: 10 * time.Second,
+		RetryAfter:     120 * time.Millisecond,
+	}
+	grants := AllocationReply{
+		Granted:      true,
+		FencingToken: 4_000_002,
+		Allocator:    "10.0.0.1:7401",
+		Grants:       []TokenGrant{grant, {Tenant: "tenant-2"}},
 	}
-	grant := TokenGrant{Tenant: "tenant-1", Tokens: 12, FallbackShare: 4.5, ShareRemaining: 10 * time.Second, RetryAfter: 120 * time.Millisecond}
-	grants := AllocationReply{Granted: true, FencingToken: 4_000_002, Allocator: "10.0.0.1:7401", Grants: []TokenGrant{grant, {Tenant: "tenant-2"}}}
 	for _, message := range []struct {
 		name         string
 		value, empty codec.Message
@@ -42,7 +63,7 @@
 	}
 }
 
-// What allocators and sidecars of two versions must agree on.
+// Values that allocators and sidecars of two versions must agree on.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]time.Duration{tokenValidity, unresponsiveAfter, shareLease, forgetAfter, sumInterval, sweepInterval}, qt.DeepEquals, []time.Duration{
@@ -59,20 +80,24 @@
 		300 * time.Millisecond, time.Second,
 		8 * time.Second, 250 * time.Millisecond,
 	})
-	c.Check([]float64{evenFraction, initialOverageFraction, maxFallbackTokens, initialShareFraction, ratioFraction, slackFraction}, qt.DeepEquals, []float64{0.2, 0.25, 2, 0.08, 0.4, 0.6})
+	c.Check([]float64{
+		evenFraction, initialOverageFraction, maxFallbackTokens, initialShareFraction, ratioFraction, slackFraction,
+	}, qt.DeepEquals, []float64{
+		0.2, 0.25, 2, 0.08, 0.4, 0.6,
+	})
 	c.Check([]int{maxSidecars, maxWaiters, windowSlots}, qt.DeepEquals, []int{8192, 1024, 20})
 }
 
-// goldenRun is a run of three sidecars that draw tokens of two tenants, whose messages are late or lost, while the allocator is away
-// for a time and another follows it. It digests each decision and each message, with numbers to six places.
+// goldenRun is a run of three sidecars that draw tokens of two tenants. Messages are late or lost; the allocator is down for some time,
+// and then a new one starts. It records each decision and each message, with numbers to six decimal places.
 type goldenRun struct {
 	rng       *rand.Rand
 	now       time.Duration
 	allocator *Allocator
-	recent    LastSeen
+	lastSeen  LastSeen
 	caches    []*TokenCache
 	messages  []goldenRunMessage
-	decisions []string
+	decisions []string // of the current step
 	admitted  int
 	refused   int
 }
@@ -80,8 +105,8 @@
 type goldenRunMessage struct {
 	arrivesAt, sent time.Duration
 	sidecar         int
-	requests        *AllocationRequest
-	grants          *AllocationReply
+	request         *AllocationRequest
+	reply           *AllocationReply // nil in a request
 }
 
 var goldenLimits = map[string]Limit{"even": {Rate: 60, Burst: 20, Overage: 30}, "slow": {Rate: 2, Burst: 4, Overage: 1}}
@@ -92,70 +117,81 @@
 }
 
 func newGoldenRun(seed uint64) *goldenRun {
-	x := &goldenRun{rng: rand.New(rand.NewPCG(seed, 7)), allocator: NewAllocator(0, seed%2 == 0, goldenLimit)}
+	run := &goldenRun{rng: rand.New(rand.NewPCG(seed, 7)), allocator: NewAllocator(0, seed%2 == 0, goldenLimit)}
 	for range 3 {
 		cache := NewTokenCache()
 		cache.SetSidecars(3)
-		x.caches = append(x.caches, cache)
+		run.caches = append(run.caches, cache)
 	}
-	return x
+	return run
 }
 
+// note records a decision or a message.
 func (g *goldenRun) note(format string, args ...any) {
 	g.decisions = append(g.decisions, fmt.Sprintf(format, args...))
 }
 
-func (g *goldenRun) request(i int, tenant string) {
-	g.caches[i].Admit(g.now, tenant, goldenLimits[tenant], func(ok bool, back time.Duration) {
+// request makes a client's request at a sidecar.
+func (g *goldenRun) request(sidecar int, tenant string) {
+	g.caches[sidecar].Admit(g.now, tenant, goldenLimits[tenant], func(ok bool, retryAfter time.Duration) {
 		if ok {
 			g.admitted++
 		} else {
 			g.refused++
 		}
-		g.note("%d %s %v %v", i, tenant, ok, back.Round(time.Microsecond))
+		g.note("%d %s %v %v", sidecar, tenant, ok, retryAfter.Round(time.Microsecond))
 	})
 }
 
-func (g *goldenRun) post(m goldenRunMessage) {
+// send puts a message in flight, or loses it.
+func (g *goldenRun) send(message goldenRunMessage) {
 	if g.rng.IntN(20) == 0 {
 		return
 	}
-	m.arrivesAt = g.now + time.Duration(g.rng.IntN(20))*time.Millisecond
-	g.messages = append(g.messages, m)
+	message.arrivesAt = g.now + time.Duration(g.rng.IntN(20))*time.Millisecond
+	g.messages = append(g.messages, message)
 }
 
 func (g *goldenRun) deliver() {
 	due := g.messages
 	g.messages = nil
 	for _, message := range due {
+		cache := g.caches[message.sidecar]
 		switch {
 		case message.arrivesAt > g.now:
 			g.messages = append(g.messages, message)
-		case message.grants != nil:
-			g.note("%d took %v", message.sidecar, g.caches[message.sidecar].HandleReply(g.now, message.sent, message.grants))
+		case message.reply != nil:
+			g.note("%d took %v", message.sidecar, cache.HandleReply(g.now, message.sent, message.reply))
 		case g.now >= 4*time.Second && g.now < 6*time.Second: // no allocator
-			g.caches[message.sidecar].HandleFailure(g.now)
+			cache.HandleFailure(g.now)
 		default:
-			message.grants = &AllocationReply{Granted: true, FencingToken: 1 + uint64(g.now/(6*time.Second)), Grants: g.allocator.Allocate(g.now, message.requests)}
-			for _, tokenGrant := range message.grants.Grants {
-				g.note("%d %s granted %.6f %.6f %v %v", message.sidecar, tokenGrant.Tenant, tokenGrant.Tokens, tokenGrant.FallbackShare, tokenGrant.ShareRemaining, tokenGrant.RetryAfter.Round(time.Microsecond))
-			}
-			g.post(message)
+			message.reply = g.reply(message.sidecar, message.request)
+			g.send(message)
 		}
 	}
 }
 
-// step lets 5 ms pass. Where the order among tenants is by chance, the notes of a step are sorted.
+// reply returns the allocator's reply to a sidecar's request.
+func (g *goldenRun) reply(sidecar int, request *AllocationRequest) *AllocationReply {
+	grants := g.allocator.Allocate(g.now, request)
+	for _, grant := range grants {
+		g.note("%d %s granted %.6f %.6f %v %v", sidecar, grant.Tenant, grant.Tokens, grant.FallbackShare, grant.ShareRemaining,
+			grant.RetryAfter.Round(time.Microsecond))
+	}
+	return &AllocationReply{Granted: true, FencingToken: 1 + uint64(g.now/(6*time.Second)), Grants: grants}
+}
+
+// step simulates 5 ms. The caller sorts the decisions of a step, as the order of tenants within it is random.
 func (g *goldenRun) step() {
 	g.now += 5 * time.Millisecond
 	if g.now == 6*time.Second {
 		g.allocator = NewAllocator(g.now, false, goldenLimit)
 	}
-	there := []string{"0", "1", "2"}
+	members := []string{"0", "1", "2"}
 	if g.now >= 5*time.Second && g.now < 8*time.Second {
-		there = there[1:]
+		members = members[1:]
 	}
-	recent := g.recent.Update(g.now, there)
+	recent := g.lastSeen.Update(g.now, members)
 	g.allocator.SetSidecars(recent)
 	g.deliver()
 	for i, cache := range g.caches {
@@ -166,32 +202,43 @@
 			g.request(i, "slow")
 		}
 		if requests, due := cache.Tick(g.now); due {
-			slices.SortFunc(requests, func(a, b TokenRequest) int { return strings.Compare(a.Tenant, b.Tenant) })
-			for _, q := range requests {
-				g.note("%d %s wants %.6f %.6f %.6f %.6f %v", i, q.Tenant, q.Tokens, q.Demand, q.FallbackShare, q.UnusedTokens, q.ShareRemaining)
-			}
-			g.post(goldenRunMessage{sent: g.now, sidecar: i, requests: &AllocationRequest{Sidecar: fmt.Sprint(i), Incarnation: 1, Requests: requests}})
+			g.sendRequests(i, requests)
 		}
 		g.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(g.now), cache.HasWaiters(), cache.HighestFencingToken(), recent)
 	}
 }
 
-// The same seed gives the same run of caches and allocators, and the same budget of repeats.
+// sendRequests sends a sidecar's token requests, in the order of their tenants.
+func (g *goldenRun) sendRequests(sidecar int, requests []TokenRequest) {
+	slices.SortFunc(requests, func(a, b TokenRequest) int { return strings.Compare(a.Tenant, b.Tenant) })
+	for _, request := range requests {
+		g.note("%d %s wants %.6f %.6f %.6f %.6f %v", sidecar, request.Tenant, request.Tokens, request.Demand, request.FallbackShare,
+			request.UnusedTokens, request.ShareRemaining)
+	}
+	request := &AllocationRequest{Sidecar: fmt.Sprint(sidecar), Incarnation: 1, Requests: requests}
+	g.send(goldenRunMessage{sent: g.now, sidecar: sidecar, request: request})
+}
+
+// The same seed gives the same run of caches and allocators, and the same use of a retry budget.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(8) {
-		x, digest := newGoldenRun(seed), sha256.New()
-		for x.now < 20*time.Second {
-			x.step()
-			slices.Sort(x.decisions)
-			digest.Write(fmt.Appendln(nil, x.now, strings.Join(x.decisions, "\n")))
-			x.decisions = nil
+		run := newGoldenRun(seed)
+		digest := sha256.New()
+		for run.now < 20*time.Second {
+			run.step()
+			slices.Sort(run.decisions)
+			digest.Write(fmt.Appendln(nil, run.now, strings.Join(run.decisions, "\n")))
+			run.decisions = nil
 		}
-		fmt.Fprintf(&text, "seed %d: decisions %x, %d admitted, %d refused, next draw %d\n", seed, digest.Sum(nil)[:8], x.admitted, x.refused,
-			x.rng.Uint64())
+		fmt.Fprintf(&text, "seed %d: decisions %x, %d admitted, %d refused, next draw %d\n", seed, digest.Sum(nil)[:8], run.admitted,
+			run.refused, run.rng.Uint64())
 	}
 	for seed := range uint64(4) {
-		rng, budget, taken, digest := rand.New(rand.NewPCG(seed, 8)), NewRetryBudget(10*time.Second), 0, sha256.New()
+		rng := rand.New(rand.NewPCG(seed, 8))
+		budget := NewRetryBudget(10 * time.Second)
+		taken := 0
+		digest := sha256.New()
 		for now := time.Duration(0); now < 40*time.Second; now += 10 * time.Millisecond {
 			if rng.IntN(3) > 0 {
 				budget.CountRequest(now)
--- a/internal/mesh/control/ratelimit/last_seen.go
+++ b/internal/mesh/control/ratelimit/last_seen.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// LastSeen remembers which sidecars were members of late. A sidecar that was cut off leaves the membership within
-// seconds, but may admit requests from its fallback share until the share's lease ends; an allocator that is new reserves
-// what such sidecars may hold. The zero LastSeen is empty and ready to use.
+// LastSeen remembers which sidecars were members recently. A partitioned sidecar leaves the membership within seconds, but may
+// admit requests by its fallback share until the share's lease ends. A new allocator reserves what such sidecars may hold.
+// The zero LastSeen is empty and ready to use. It is not safe for concurrent use.
 type LastSeen struct {
-	byAddress map[string]time.Duration
+	byAddress map[string]time.Duration // time of the last Update that had the address
 }
 
-// Update takes the addresses of the sidecars that are members now, and returns those of all that were members within the
-// lease of a fallback share, sorted.
+// Update takes the addresses of the current members, and returns the addresses of all sidecars that were members within
+// shareLease, sorted.
 func (l *LastSeen) Update(now time.Duration, addresses []string) (recent []string) {
 	if l.byAddress == nil {
 		l.byAddress = map[string]time.Duration{}
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -9,11 +9,11 @@
 // TokenRequest is a sidecar's request for the tokens of one tenant.
 type TokenRequest struct {
 	Tenant         string
-	Tokens         float64       // for requests that wait, and for those of the next moments
+	Tokens         float64       // wanted: for waiting requests, and for those expected within prefetchSpan
 	Demand         float64       // requests a second, smoothed over longTermSpan
 	FallbackShare  float64       // that the sidecar holds, in requests a second
 	ShareRemaining time.Duration // of the share's lease
-	UnusedTokens   float64       // that expired since the last request; they go back to the bucket
+	UnusedTokens   float64       // that expired since the last request; the allocator returns them to the bucket
 }
 
 // Fields implements codec.Message.
@@ -26,14 +26,14 @@
 	visitor.Float64(6, &t.UnusedTokens)
 }
 
-// AllocationRequest has all token requests of a sidecar, or none: it is sent at least each heartbeatInterval, so that the
-// allocator can tell which sidecars reach it.
+// AllocationRequest has all token requests of a sidecar, or none: it is sent at least every heartbeatInterval, so that the allocator
+// knows which sidecars reach it.
 type AllocationRequest struct {
 	Sidecar             string // its address
 	Incarnation         uint64 // of the sidecar's process
 	Requests            []TokenRequest
 	Forwarded           bool   // by another sidecar
-	HighestFencingToken uint64 // of an allocator that the sidecar has accepted grants of
+	HighestFencingToken uint64 // of all allocators whose grants the sidecar has accepted
 }
 
 // Fields implements codec.Message.
@@ -48,10 +48,10 @@
 // TokenGrant answers a TokenRequest.
 type TokenGrant struct {
 	Tenant         string
-	Tokens         float64       // good for tokenValidity from when they were requested
+	Tokens         float64       // valid for tokenValidity from the time of the request
 	FallbackShare  float64       // in requests a second
-	ShareRemaining time.Duration // lease of the share, from when it was requested
-	RetryAfter     time.Duration // if fewer tokens were granted than requested: when there will be more
+	ShareRemaining time.Duration // lease of the share, from the time of the request
+	RetryAfter     time.Duration // time until more tokens are there, if fewer were granted than requested; else 0
 }
 
 // Fields implements codec.Message.
@@ -67,7 +67,7 @@
 type AllocationReply struct {
 	Granted      bool   // false: this process is not the allocator
 	FencingToken uint64 // of the allocator's lease
-	Allocator    string // its address, as far as the replying process knows
+	Allocator    string // its address, if the replying process knows it; else empty
 	Grants       []TokenGrant
 }
 
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -10,20 +10,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// cutOffRun is a run of ten sidecars and an allocator. A tenant asks for many times its limit while any sidecars are cut off and
-// come back, requests and replies are late or lost, and the role goes to another allocator that knows nothing.
+// cutOffRun is a run of ten sidecars and an allocator. A tenant sends many times its limit while random sidecars are cut off for some
+// time, requests and replies are late or lost, and the role moves to new allocators, which know nothing.
 type cutOffRun struct {
 	rng         *rand.Rand
 	now         time.Duration
 	limit       Limit
 	withFaults  bool
 	allocator   *Allocator
-	awayUntil   time.Duration // there is no allocator before
+	awayUntil   time.Duration // there is no allocator before this time
 	names       []string
 	caches      []*TokenCache
 	cutOffUntil []time.Duration // by sidecar
 	messages    []cutOffMessage
-	admitted    []time.Duration // when they were requested
+	admitted    []time.Duration // times of the requests that were admitted
 }
 
 type cutOffMessage struct {
@@ -52,14 +52,14 @@
 
 func (r *cutOffRun) limits(string) (Limit, bool) { return r.limit, true }
 
-// step is what happens at a time.
+// step simulates the events of one moment.
 func (r *cutOffRun) step() {
 	if r.withFaults {
 		r.breakSomething()
 	}
 	r.deliver()
 	for i, cache := range r.caches {
-		if r.rng.Float64() < 0.4 { // 80 a second at each
+		if r.rng.Float64() < 0.4 { // 80 requests a second at each sidecar
 			r.request(cache)
 		}
 		if requests, due := cache.Tick(r.now); due {
@@ -74,8 +74,7 @@
 	}
 }
 
-// breakSomething cuts a sidecar off, or has the role go to another allocator: its holder has stopped before, and a lease lasts a
-// second and a half.
+// breakSomething randomly cuts a sidecar off, or moves the role to a new allocator, which starts after the old one has stopped.
 func (r *cutOffRun) breakSomething() {
 	if r.rng.IntN(200) == 0 {
 		r.cutOffUntil[r.rng.IntN(len(r.caches))] = r.now + time.Duration(r.rng.IntN(12000))*time.Millisecond
@@ -87,7 +86,7 @@
 	}
 }
 
-// request has a client's request admitted or not. It counts at the time when it was made.
+// request makes a client's request. If it is admitted later, it counts at the time when it was made.
 func (r *cutOffRun) request(cache *TokenCache) {
 	requestedAt := r.now
 	cache.Admit(r.now, "t", r.limit, func(ok bool, _ time.Duration) {
@@ -118,7 +117,7 @@
 	}
 }
 
-// mostWithin is how many of some times, in their order, lie within a window, at most.
+// mostWithin returns the greatest number of times that lie within a window. The times are in order.
 func mostWithin(window time.Duration, times []time.Duration) int {
 	most, first := 0, 0
 	for i := range times {
@@ -130,8 +129,8 @@
 	return most
 }
 
-// In no window of five seconds is more admitted than the rules allow, and while all are in touch and the role stays, no less than
-// the rate.
+// No window of five seconds has more admitted requests than the limit allows, with a margin. Without faults nearly all of the rate is
+// admitted.
 func TestLimitHoldsWhoeverIsCutOff(t *testing.T) {
 	const over = 40 * time.Second
 	limit := Limit{Rate: 100, Burst: 100, Overage: 80}
@@ -150,6 +149,7 @@
 	}
 }
 
+// Retries stay within the ratio, and use the slack.
 func TestRetriesKeepToTheirBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := NewRetryBudget(10 * time.Second)
--- a/internal/mesh/control/ratelimit/tenant_tokens.go
+++ b/internal/mesh/control/ratelimit/tenant_tokens.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// tenantTokens is what a sidecar holds of one tenant's limit: tokens, a fallback share, and the requests that wait.
+// tenantTokens is a sidecar's state of one tenant's limit: tokens, the fallback share, and waiting requests.
 type tenantTokens struct {
 	limit    Limit
 	demand   demand
 	fallback fallback
 
 	tokens        float64
-	tokensUntil   time.Duration // they expire
-	expiredTokens float64       // to be given back
-	deniedUntil   time.Duration // the allocator has no tokens before
-	renewAt       time.Duration // the share is to be reported and renewed, even if no tokens are wanted
+	tokensUntil   time.Duration // when tokens expire
+	expiredTokens float64       // to be returned to the allocator
+	deniedUntil   time.Duration // the allocator has no tokens before this time
+	renewAt       time.Duration // when the share is to be reported and renewed, even if no tokens are wanted
 
-	waiters          []func(ok bool, retryAfter time.Duration) // oldest first
-	waitingSince     time.Duration                             // the first of them
-	requestedWaiters int                                       // the first so many of them are in the newest token request
+	waiters          []func(ok bool, retryAfter time.Duration) // waiting requests, oldest first
+	waitingSince     time.Duration                             // of the first waiter
+	requestedWaiters int                                       // number of waiters that the newest token request counted
 }
 
 func newTenantTokens(now time.Duration) *tenantTokens {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// expireTokens puts tokens aside whose time is over.
+// expireTokens sets expired tokens aside, to be returned to the allocator.
 func (t *tenantTokens) expireTokens(now time.Duration) {
 	if now >= t.tokensUntil && t.tokens > 0 {
 		t.expiredTokens += t.tokens
@@ -40,7 +40,7 @@
 	}
 }
 
-// runningLow reports whether tokens are about to run out, and more may be had.
+// runningLow reports whether tokens are about to run out, and the allocator may have more.
 func (t *tenantTokens) runningLow(now time.Duration) bool {
 	expected := t.demand.expected(now)
 	if expected < 1 || now < t.deniedUntil {
@@ -49,7 +49,7 @@
 	return now+prefetchSpan/4 >= t.tokensUntil || t.tokens < expected/3
 }
 
-// isIdle reports whether the tenant has had no requests for long, and holds no share that has to be reported.
+// isIdle reports whether the tenant has had no requests for idleTimeout, and holds no share that has to be reported.
 func (t *tenantTokens) isIdle(now time.Duration) bool {
 	return now-t.demand.updatedAt > idleTimeout && now >= t.fallback.shareUntil
 }
@@ -59,7 +59,7 @@
 	return len(t.waiters) > 0 || t.runningLow(now) || t.expiredTokens >= 1 || now >= t.renewAt
 }
 
-// newRequest makes the tenant's request for tokens, and gives the expired ones back with it.
+// newRequest returns the tenant's request for tokens, which also returns the expired ones.
 func (t *tenantTokens) newRequest(now time.Duration, tenant string) TokenRequest {
 	request := TokenRequest{
 		Tenant:         tenant,
@@ -82,7 +82,7 @@
 	return request
 }
 
-// applyGrant takes the grant to a request that was sent at a time.
+// applyGrant adds the tokens and the share of a grant. sent is the time of the request.
 func (t *tenantTokens) applyGrant(now, sent time.Duration, grant *TokenGrant) {
 	t.expireTokens(now)
 	if sent+tokenValidity > now {
@@ -97,7 +97,7 @@
 	t.serveWaiters(now, clampRetryAfter(grant.RetryAfter))
 }
 
-// wait has a client's request wait for tokens.
+// wait adds a client's request to the waiters.
 func (t *tenantTokens) wait(now time.Duration, done func(ok bool, retryAfter time.Duration)) {
 	if len(t.waiters) == 0 {
 		t.waitingSince = now
@@ -105,8 +105,8 @@
 	t.waiters = append(t.waiters, done)
 }
 
-// serveWaiters admits waiting requests by the tokens that are there. Those that were in the token request and got none
-// are rejected; those that came later wait for the next reply.
+// serveWaiters admits waiting requests while there are tokens. The remaining ones that the token request counted are rejected; later
+// ones wait for the next reply.
 func (t *tenantTokens) serveWaiters(now, retryAfter time.Duration) {
 	i := 0
 	for ; i < len(t.waiters) && t.takeToken(now); i++ {
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// When a sidecar requests tokens, and how long requests of its clients wait for them.
+// When a sidecar requests tokens, and how long its clients' requests wait for them.
 const (
 	heartbeatInterval = 200 * time.Millisecond // between two requests to the allocator
-	urgentInterval    = 15 * time.Millisecond  // the same while requests of clients wait, or tokens run low
-	renewInterval     = 2 * time.Second        // between two requests for one tenant of which no tokens are wanted
+	urgentInterval    = 15 * time.Millisecond  // the same while clients' requests wait, or tokens run low
+	renewInterval     = 2 * time.Second        // between two requests for a tenant for which no tokens are wanted
 	idleTimeout       = 10 * time.Second       // after which a tenant without requests is dropped
 	replyTimeout      = 60 * time.Millisecond  // after which a request without a reply counts as lost
-	waitTimeout       = 60 * time.Millisecond  // of a client's request that waits for a token
-	firstWaitTimeout  = 250 * time.Millisecond // the same where no allocator has been reached yet
+	waitTimeout       = 60 * time.Millisecond  // of a waiting request, which then uses the fallback share
+	firstWaitTimeout  = 250 * time.Millisecond // the same before any allocator has been reached
 	maxWaiters        = 1024                   // of one tenant
 	minRetryAfter     = 30 * time.Millisecond  // least retry-after of a rejected client
 	maxRetryAfter     = 2 * time.Second        // greatest retry-after of a rejected client
-	maxDenial         = 100 * time.Millisecond // for which the allocator isn't asked again after it had no tokens, at most
+	maxDenial         = 100 * time.Millisecond // longest time without requests after the allocator had no tokens
 )
 
-// TokenCache is what one sidecar holds of the tenants' limits.
+// TokenCache is one sidecar's state of all tenants' limits. It admits requests by the tokens that it has drawn from the allocator.
+// It is not safe for concurrent use.
 type TokenCache struct {
-	tenants             map[string]*tenantTokens
-	reached             bool          // an allocator has replied at least once
-	lastContact         time.Duration // when the newest request was sent that was replied to
-	lastSent            time.Duration // when the newest request was sent
-	inFlight            bool          // the newest request has no reply yet
-	highestFencingToken uint64        // of an allocator that grants were accepted of
-	sidecarCount        int           // members, as far as is known
+	tenants             map[string]*tenantTokens // by name
+	reached             bool                     // an allocator has replied at least once
+	lastContact         time.Duration            // when the newest answered request was sent
+	lastSent            time.Duration            // when the newest request was sent
+	inFlight            bool                     // the newest request has no reply yet
+	highestFencingToken uint64                   // of all allocators whose grants were accepted
+	sidecarCount        int                      // known members
 }
 
-// NewTokenCache makes an empty cache.
+// NewTokenCache returns an empty cache.
 func NewTokenCache() *TokenCache { return &TokenCache{tenants: map[string]*tenantTokens{}} }
 
-// SetSidecars sets how many sidecars there are.
+// SetSidecars sets the number of sidecars, by which the fallback divides the limit.
 func (c *TokenCache) SetSidecars(n int) { c.sidecarCount = n }
 
-// HighestFencingToken is the highest of an allocator that grants were accepted of.
+// HighestFencingToken returns the highest fencing token of an allocator whose grants were accepted; 0 for none.
 func (c *TokenCache) HighestFencingToken() uint64 { return c.highestFencingToken }
 
 // Reached reports whether an allocator has been reached within the validity of its tokens.
@@ -52,8 +53,8 @@
 	return false
 }
 
-// Admit admits a request of a tenant, rejects it, or has it wait. done is called once, before Admit returns or later from
-// another method, with whether the request is admitted, and if not, when the client may try again.
+// Admit admits a tenant's request, rejects it, or adds it to the waiters. done is called once, before Admit returns or later by
+// another method, with the decision. A rejected client may try again after retryAfter.
 func (c *TokenCache) Admit(now time.Duration, tenant string, limit Limit, done func(ok bool, retryAfter time.Duration)) {
 	if limit.Rate <= 0 {
 		done(true, 0)
@@ -88,9 +89,9 @@
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// Tick returns the token requests that are to be sent to the allocator now, and whether anything is to be sent: a request
-// without token requests is a heartbeat. It also has requests that waited too long use the fallback share. It is to be
-// called often, each few milliseconds.
+// Tick returns the token requests to send to the allocator now, and reports whether anything is due: an AllocationRequest without
+// token requests is a heartbeat. It also admits or rejects requests that have waited too long, by the fallback share. It is to
+// be called every few milliseconds.
 func (c *TokenCache) Tick(now time.Duration) (requests []TokenRequest, due bool) {
 	interval := heartbeatInterval
 	if c.expireWaiters(now) {
@@ -111,7 +112,7 @@
 	return requests, true
 }
 
-// expireWaiters ends waits that are too long, drops idle tenants, and reports whether tokens are wanted soon.
+// expireWaiters ends waits that are too long, drops idle tenants, and reports whether tokens are urgently needed.
 func (c *TokenCache) expireWaiters(now time.Duration) (urgent bool) {
 	timeout := waitTimeout
 	if !c.reached {
@@ -130,9 +131,9 @@
 	return urgent
 }
 
-// HandleReply takes the reply to the requests that were sent at a time, and reports whether it was accepted. Grants of an
-// allocator whose fencing token is below that of another one that was heard from are rejected: the lease of the former
-// has ended, and the newer one does not count what it granted.
+// HandleReply applies the reply to the request that was sent at the given time, and reports whether it was accepted. It rejects grants
+// of an allocator whose fencing token is lower than that of another one whose grants were accepted: the lease of the older allocator
+// has ended, and the newer one does not count its grants.
 func (c *TokenCache) HandleReply(now, sent time.Duration, reply *AllocationReply) (accepted bool) {
 	c.inFlight = false
 	if !reply.Granted || reply.FencingToken < c.highestFencingToken {
--- a/internal/mesh/control/ratelimit/window.go
+++ b/internal/mesh/control/ratelimit/window.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// windowSlots is how many slots a sliding window is counted in; one more is being filled.
+// windowSlots is the number of complete slots in a sliding window; one more slot is being filled.
 const windowSlots = 20
 
-// window counts what happened within a sliding window of time.
+// window counts events within a sliding window of time. The zero window needs a slotWidth.
 type window struct {
 	slotWidth time.Duration
-	counts    [windowSlots + 1]float64 // by slot number, modulo their number
+	counts    [windowSlots + 1]float64 // a ring: by slot number modulo its length
 	slot      int64                    // number of the slot that is being filled
 	total     float64                  // of counts
 }
@@ -29,6 +29,7 @@
 	}
 }
 
+// add counts n events.
 func (w *window) add(now time.Duration, n float64) {
 	w.advance(now)
 	w.counts[w.slot%(windowSlots+1)] += n
