--- a/internal/mesh/control/storage/database.go
+++ b/internal/mesh/control/storage/database.go
@@ -6,7 +6,7 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 )
 
-// databaseOptions keep the memory of the database small: it holds few records.
+// databaseOptions returns options that keep the database's memory small, as it holds few records.
 func databaseOptions() *opt.Options {
 	return &opt.Options{
 		WriteBuffer:                  256 * opt.KiB,
@@ -19,8 +19,8 @@
 	}
 }
 
-// openDatabase opens the database in a folder's files. If its list of files is corrupt, or gone while there are files, the list is made
-// anew from them.
+// openDatabase opens the database in a folder's files. If its list of files (manifest) is corrupt, or missing while there are files, it
+// makes a new list from the files.
 func openDatabase(files *durableFiles) (*leveldb.DB, error) {
 	db, err := leveldb.Open(files, databaseOptions())
 	if !lerrors.IsCorrupted(err) {
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	if err := files.applyDeferred(); err != nil {
-		_ = db.Close() // has nothing to add to the error
+		_ = db.Close() // err says what went wrong
 		return nil, err
 	}
 	return db, nil
--- a/internal/mesh/control/storage/durable_files.go
+++ b/internal/mesh/control/storage/durable_files.go
@@ -7,23 +7,23 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// durableFiles are goleveldb's files in an order that any loss of power may interrupt. A folder keeps a name that was made, removed
-// or set since its last sync, or loses it, each by itself; goleveldb 1.0.0 alone does not cover that:
+// durableFiles writes goleveldb's files in an order that stays valid if power is lost at any moment. Each name that was made, removed or
+// set in a folder since its last sync may be kept or lost independently. goleveldb 1.0.0 alone does not handle that:
 //
-//   - A journal's content is synced with each write, its name in the folder only once the journal before it is compacted.
+//   - A journal's content is synced with each write, but its name in the folder only after the journal before it is compacted.
 //   - A table's name may be lost while the list of files, which is synced at once, names the table.
-//   - A new list of files (manifest) is put in use before its content is synced, and the files that the old one needs are removed then.
-//   - leveldb.Recover puts an empty list in use first and fills it later: after a loss of power in between, the next start takes the
-//     database for an empty one and removes all tables.
+//   - A new list of files (manifest) is put in use before its content is synced, and the files that the old one needs are then removed.
+//   - leveldb.Recover first puts an empty list in use and fills it later. If power is lost in between, the next start finds an empty
+//     database and removes all tables.
 //
-// goleveldb calls it from several goroutines.
+// It is safe for concurrent use, as goleveldb needs it.
 type durableFiles struct {
 	lstorage.Storage
 	syncFolder func() error
 
 	mu               sync.Mutex
 	manifests        map[lstorage.FileDesc]lstorage.Writer // those that are open
-	deferring        bool                                  // until applyDeferred: nothing that is on disk is given up
+	deferring        bool                                  // SetMeta and Remove take effect at applyDeferred
 	deferredMeta     lstorage.FileDesc                     // the manifest to put in use; zero for none
 	deferredRemovals []lstorage.FileDesc
 }
@@ -32,7 +32,7 @@
 	return &durableFiles{Storage: files, syncFolder: syncFolder, manifests: map[lstorage.FileDesc]lstorage.Writer{}}
 }
 
-// Create makes a file. A journal's name is on disk when Create returns, and a table's name when the table is synced.
+// Create creates a file. A journal's name is on disk when Create returns, and a table's name when the table is synced.
 func (d *durableFiles) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
 	writer, err := d.Storage.Create(fd)
 	if err != nil {
@@ -41,7 +41,7 @@
 	switch fd.Type {
 	case lstorage.TypeJournal:
 		if err := d.syncFolder(); err != nil {
-			_ = writer.Close() // has nothing to add to the error
+			_ = writer.Close() // err says what went wrong
 			return nil, err
 		}
 	case lstorage.TypeTable:
@@ -55,7 +55,7 @@
 	return writer, nil
 }
 
-// SetMeta puts a manifest in use, once it is on disk.
+// SetMeta syncs a manifest and then puts it in use, or defers the latter.
 func (d *durableFiles) SetMeta(fd lstorage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +71,7 @@
 	return d.Storage.SetMeta(fd)
 }
 
-// Remove removes a file, or notes to do so.
+// Remove removes a file, or defers that.
 func (d *durableFiles) Remove(fd lstorage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,14 +82,14 @@
 	return d.Storage.Remove(fd)
 }
 
-// deferChanges has the manifest that is in use, and all files, stay until applyDeferred is called.
+// deferChanges keeps the manifest in use, and all files, until applyDeferred is called.
 func (d *durableFiles) deferChanges() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deferring = true
 }
 
-// applyDeferred puts the manifest that was made anew in use, and then removes what it does not need.
+// applyDeferred puts the newest manifest in use, and then removes the files that are not needed any more.
 func (d *durableFiles) applyDeferred() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,13 +100,13 @@
 		}
 	}
 	for _, fd := range d.deferredRemovals {
-		_ = d.Storage.Remove(fd) // a file that stays is found, and removed, at the next start
+		_ = d.Storage.Remove(fd) // a file that remains is removed at the next start
 	}
 	d.deferredRemovals = nil
 	return nil
 }
 
-// tableWriter writes a table. Its Sync syncs the folder with the content: from then on a manifest may name the table.
+// tableWriter writes a table. Its Sync also syncs the folder, so that a manifest may name the table from then on.
 type tableWriter struct {
 	lstorage.Writer
 	syncFolder func() error
@@ -120,7 +120,7 @@
 	return t.syncFolder()
 }
 
-// manifestWriter writes a manifest, which SetMeta syncs as long as it is open.
+// manifestWriter writes a manifest. While it is open, SetMeta syncs it.
 type manifestWriter struct {
 	lstorage.Writer
 	files *durableFiles
--- a/internal/mesh/control/storage/folder.go
+++ b/internal/mesh/control/storage/folder.go
@@ -8,7 +8,8 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// createFolder makes a folder, and syncs the one that it is in: else a loss of power could take it away with all that it holds.
+// createFolder creates a folder if it is missing, and syncs its parent. Without that a loss of power could remove the new folder with
+// all its files.
 func createFolder(folder string) error {
 	if _, err := os.Stat(folder); err == nil {
 		return nil
@@ -19,20 +20,20 @@
 	return syncFolder(filepath.Dir(folder))
 }
 
-// syncFolder has the names of a folder's files written to the disk.
+// syncFolder syncs the names of a folder's files to the disk.
 func syncFolder(folder string) error {
 	file, err := os.Open(folder)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	if err := file.Sync(); err != nil {
-		_ = file.Close() // has nothing to add to the error
+		_ = file.Close() // err says what went wrong
 		return trace.ConvertSystemError(err)
 	}
 	return trace.ConvertSystemError(file.Close())
 }
 
-// openFiles opens and locks a folder's files. A folder that another process has open is syscall.EWOULDBLOCK.
+// openFiles opens and locks a folder's files. The error is syscall.EWOULDBLOCK if another process has the folder open.
 func openFiles(folder string) (*durableFiles, error) {
 	files, err := lstorage.OpenFile(folder, false)
 	if err != nil {
--- a/internal/mesh/control/storage/golden_test.go
+++ b/internal/mesh/control/storage/golden_test.go
@@ -13,19 +13,24 @@
 	"quincegap/internal/golden"
 )
 
-// The folder and its records as earlier versions of the program have written them. In the folder older records are in a table and
-// newer ones in the journal.
+// The golden files: a folder and its records as earlier versions of the program have written them. In the folder older records are in a
+// table and newer ones in the journal.
 const (
 	goldenFolder  = "testdata/golden/folder"
 	goldenRecords = "records.txt"
 )
 
-// goldenContent is what the golden folder holds.
+// goldenContent are the records of the golden folder, in the order in which they were written.
 var goldenContent = []struct{ key, data string }{
-	{"owner", "10.0.0.1:7001"}, {"standing", "first"}, {"vote", "a vote"}, {"empty", ""}, {"standing", "second"}, {"long", strings.Repeat("0123456789", 20)},
+	{"owner", "10.0.0.1:7001"},
+	{"standing", "first"},
+	{"vote", "a vote"},
+	{"empty", ""},
+	{"standing", "second"},
+	{"long", strings.Repeat("0123456789", 20)},
 }
 
-// writeGoldenFolder writes the content, and closes the folder once amid it.
+// writeGoldenFolder writes the content, and closes and opens the folder once in between.
 func writeGoldenFolder(c *qt.C, folder string) {
 	store, err := Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -40,19 +45,19 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// dump is the keys of an open folder with their records as they are on disk, in hexadecimal.
+// dump returns the keys of an open folder with their records, as they are on disk, in hexadecimal.
 func dump(c *qt.C, store *Store) []byte {
 	var text strings.Builder
-	it := store.db.NewIterator(nil, nil)
-	defer it.Release()
-	for it.Next() {
-		fmt.Fprintf(&text, "%s %x\n", it.Key(), it.Value())
+	records := store.db.NewIterator(nil, nil)
+	defer records.Release()
+	for records.Next() {
+		fmt.Fprintf(&text, "%s %x\n", records.Key(), records.Value())
 	}
-	c.Assert(it.Error(), qt.IsNil)
+	c.Assert(records.Error(), qt.IsNil)
 	return []byte(text.String())
 }
 
-// The records that are written are those that earlier versions have written.
+// Records are written as earlier versions wrote them.
 func TestGoldenRecordsAreWritten(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -60,7 +65,7 @@
 	golden.Text(t, goldenRecords, dump(c, open(t, folder)))
 }
 
-// A folder that an earlier version has written is read, checked and written on.
+// A folder that an earlier version wrote is read and checked, and more records are written to it.
 func TestGoldenFolderIsRead(t *testing.T) {
 	c := qt.New(t)
 	if flag.Lookup("update-golden").Value.String() == "true" {
--- a/internal/mesh/control/storage/power_test.go
+++ b/internal/mesh/control/storage/power_test.go
@@ -14,24 +14,24 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// powerDisk is a folder of goleveldb's files on a disk that loses power. Of what was written since a file's last sync any part may be
-// there; each name that was made, removed or set since the folder's last sync is kept or lost by itself.
+// powerDisk is a folder of goleveldb's files on a disk that loses power. Any part of what was written since a file's last sync may remain.
+// Each name that was made, removed or set since the folder's last sync is kept or lost independently.
 type powerDisk struct {
 	mu     sync.Mutex
 	names  map[lstorage.FileDesc]*powerFile // as the process sees them
 	synced map[lstorage.FileDesc]*powerFile // as they are on the disk
 	meta   [2]lstorage.FileDesc             // the list of files in use: as the process sees it, and on the disk
-	calls  int                              // that change something, until the power goes
-	after  *powerDisk                       // what is left; nil while the power is on
-	full   int                              // so many calls that change something are refused, after
-	fullIn int                              // so many that are not
+	calls  int                              // number of changing calls until the power is lost
+	after  *powerDisk                       // the disk after the loss of power; nil before it
+	full   int                              // number of changing calls that fail because the disk is full
+	fullIn int                              // number of changing calls before those
 	random *rand.Rand
 }
 
-// powerFile is a file; goleveldb only appends to files.
+// powerFile is a file. goleveldb only appends to files.
 type powerFile struct {
 	data   []byte
-	synced int // bytes
+	synced int // length of the synced part of data
 }
 
 var errNoPower = errors.New("the power is gone")
@@ -40,7 +40,7 @@
 	return &powerDisk{names: map[lstorage.FileDesc]*powerFile{}, synced: map[lstorage.FileDesc]*powerFile{}, random: random}
 }
 
-// change counts a call that changes something; the power goes in place of the last one. The lock is held.
+// change counts a changing call, and returns its error. Power is lost at the last one. The caller holds p.mu.
 func (p *powerDisk) change() error {
 	if p.after != nil {
 		return errNoPower
@@ -56,17 +56,17 @@
 	return nil
 }
 
-// left is what a loss of power leaves. The lock is held.
+// left returns a disk as a loss of power leaves this one. The caller holds p.mu.
 func (p *powerDisk) left() *powerDisk {
 	left := newPowerDisk(p.random)
 	left.meta = [2]lstorage.FileDesc{p.meta[1], p.meta[1]}
 	if p.random.IntN(2) == 0 {
 		left.meta = [2]lstorage.FileDesc{p.meta[0], p.meta[0]}
 	}
-	keep := func(fd lstorage.FileDesc, f *powerFile) {
-		data := f.data[:f.synced+p.random.IntN(len(f.data)-f.synced+1)]
+	keep := func(fd lstorage.FileDesc, file *powerFile) {
+		data := file.data[:file.synced+p.random.IntN(len(file.data)-file.synced+1)]
 		if p.random.IntN(4) == 0 {
-			data = f.data[:f.synced]
+			data = file.data[:file.synced]
 		}
 		left.names[fd] = &powerFile{data: bytes.Clone(data), synced: len(data)}
 	}
@@ -220,27 +220,27 @@
 
 func (p *powerWriter) Close() error { return nil }
 
-// powerRun is what a process that is started again and again does with its folder. Each record has a number that rises; acknowledged is
-// the last one that Put has written, by key, and attempted the last that it was given.
+// powerRun is a process that is started again and again on its folder, and writes records with rising numbers.
 type powerRun struct {
-	folder                  string // exists
-	number                  int
-	acknowledged, attempted map[string]int
+	folder       string         // exists
+	number       int            // of the last record
+	acknowledged map[string]int // number of the last record that Put has written, by key
+	attempted    map[string]int // number of the last record that Put was called with, by key
 }
 
-// errOlder is that a record is not what was written last.
+// errOlder means that a record is not the last one that was written.
 var errOlder = errors.New("not the newest record")
 
 func newPowerRun(folder string) *powerRun {
 	return &powerRun{folder: folder, acknowledged: map[string]int{}, attempted: map[string]int{}}
 }
 
-// start is one start of the process: it checks all records and writes so many more, or until the power goes.
+// start starts the process: it checks all records, and writes more until it has written the given number or power is lost.
 func (p *powerRun) start(disk *powerDisk, records int) error {
 	store := &Store{folder: p.folder, openFiles: func(string) (*durableFiles, error) {
 		return newDurableFiles(disk, disk.syncFolder), nil
 	}}
-	defer func() { _ = store.Close() }() // it fails where the power is gone
+	defer func() { _ = store.Close() }() // it fails after a loss of power
 	for key := range p.acknowledged {
 		if err := p.check(store, key); err != nil {
 			return err
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// check reads a record, which must not be older than what was acknowledged.
+// check reads a record, which must not be older than the last acknowledged one.
 func (p *powerRun) check(store *Store, key string) error {
 	data, err := store.Get(key)
 	for errors.Is(err, syscall.ENOSPC) {
@@ -270,11 +270,11 @@
 	if found < p.acknowledged[key] || found > p.attempted[key] {
 		return fmt.Errorf("%w: %s is %d, %d was acknowledged, %d tried", errOlder, key, found, p.acknowledged[key], p.attempted[key])
 	}
-	p.acknowledged[key] = found // it may have been written, though Put did not say so
+	p.acknowledged[key] = found // the record may have been written although Put returned an error
 	return nil
 }
 
-// write writes the next record. On a full disk the one after may go through.
+// write writes the next record. A full disk is no error, as a later write may succeed.
 func (p *powerRun) write(store *Store) error {
 	key := []string{"vote", "standing", "vote"}[p.number%3]
 	p.number++
@@ -294,9 +294,9 @@
 	return nil
 }
 
-// A process writes records again and again, as a voter does, meets a full disk now and then, and loses power at any call to it: while journals are begun, tables
-// written, lists of files exchanged and old files removed, and amid the recovery after a loss of power. What Put has written is there
-// afterwards, and nothing older.
+// A process writes records as a voter does, sometimes finds the disk full, and loses power at any call to the disk: while journals are
+// created, tables written, lists of files replaced and old files removed, and during the recovery after a loss of power. Every record
+// that Put has written is read after that, and no older one.
 func TestAcknowledgedRecordsOutliveAnyLossOfPower(t *testing.T) {
 	seeds := uint64(40)
 	if os.Getenv("SOAK") != "" {
@@ -333,12 +333,12 @@
 	t.Logf("%d starts", seeds*starts)
 }
 
-// clone is a disk as it is now, with chance of its own.
+// clone returns a copy of the disk with its own random numbers.
 func (p *powerDisk) clone(seed uint64) *powerDisk {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := newPowerDisk(rand.New(rand.NewPCG(seed, 2)))
-	c.meta = p.meta
+	clone := newPowerDisk(rand.New(rand.NewPCG(seed, 2)))
+	clone.meta = p.meta
 	copies := map[*powerFile]*powerFile{}
 	for _, names := range []map[lstorage.FileDesc]*powerFile{p.names, p.synced} {
 		for _, f := range names {
@@ -348,15 +348,15 @@
 		}
 	}
 	for fd, f := range p.names {
-		c.names[fd] = copies[f]
+		clone.names[fd] = copies[f]
 	}
 	for fd, f := range p.synced {
-		c.synced[fd] = copies[f]
+		clone.synced[fd] = copies[f]
 	}
-	return c
+	return clone
 }
 
-// interrupted opens a folder and loses power at a call; it returns what is left, nil if there was no such call.
+// interrupted starts a process and loses power at a call. It returns the disk after that, nil if there was no such call.
 func interrupted(t *testing.T, run powerRun, disk *powerDisk, call int) *powerDisk {
 	t.Helper()
 	disk.calls = call
@@ -369,8 +369,8 @@
 	return disk.after
 }
 
-// Power is lost amid writes, again at any call of the start that follows, and once more at any call of the one after that; also where the
-// list of files is corrupt, so that it has to be made anew.
+// Power is lost during writes, again at any call of the next start, and once more at any call of the start after that. The same holds if
+// the list of files is corrupt, so that a new one has to be made.
 func TestPowerLostAtEachCallOfTwoStarts(t *testing.T) {
 	for name, corrupt := range map[string]bool{"list of files intact": false, "list of files corrupt": true} {
 		t.Run(name, func(t *testing.T) {
@@ -383,7 +383,7 @@
 	}
 }
 
-// interruptTwoStarts returns the number of starts.
+// interruptTwoStarts interrupts two starts at all their calls, and returns the number of starts.
 func interruptTwoStarts(t *testing.T, seed uint64, corrupt bool) (starts int) {
 	t.Helper()
 	run := *newPowerRun(t.TempDir())
--- a/internal/mesh/control/storage/record.go
+++ b/internal/mesh/control/storage/record.go
@@ -16,7 +16,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeRecord puts the header before the data.
+// encodeRecord returns the data with its header.
 func encodeRecord(data []byte) []byte {
 	record := make([]byte, headerBytes, headerBytes+len(data))
 	record[0] = recordFormat
@@ -24,8 +24,8 @@
 	return append(record, data...)
 }
 
-// decodeRecord checks the header and returns the data, which is a part of record. The error is a trace.NotImplemented for a record of
-// a later format that is intact, and a trace.CompareFailed for any other fault.
+// decodeRecord checks the header and returns the data, which shares record's memory. The error is a trace.NotImplemented for an intact
+// record of a later format, and a trace.CompareFailed for any other fault.
 func decodeRecord(record []byte) ([]byte, error) {
 	if len(record) < headerBytes {
 		return nil, trace.CompareFailed("%d bytes, expected %d at least", len(record), headerBytes)
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -18,8 +18,8 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// killed is a folder as it is left when the process that has it open is killed: all files as they were at one moment, while
-// the database may be writing and removing tables.
+// killed returns a copy of a folder as a killed process would leave it: all files as they were at one moment, while the database may be
+// writing and removing tables.
 func killed(t *testing.T, folder string) string {
 	t.Helper()
 	for range 100 {
@@ -32,41 +32,44 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the folder doesn't come to rest")
+	t.Fatal("the folder changes all the time")
 	return ""
 }
 
-// files are the files of a folder with their sizes.
+// files returns the sizes of a folder's files by name; -1 for a file that is being removed.
 func files(t *testing.T, folder string) map[string]int64 {
 	t.Helper()
 	sizes := map[string]int64{}
-	for _, f := range must(os.ReadDir(folder)) {
-		info, err := f.Info()
+	for _, entry := range must(os.ReadDir(folder)) {
+		info, err := entry.Info()
 		if errors.Is(err, fs.ErrNotExist) {
-			sizes[f.Name()] = -1
+			sizes[entry.Name()] = -1
 			continue
 		}
 		qt.Assert(t, err, qt.IsNil)
-		sizes[f.Name()] = info.Size()
+		sizes[entry.Name()] = info.Size()
 	}
 	return sizes
 }
 
-func must[T any](x T, err error) T {
+// must returns a value that a test needs, and panics if there was an error.
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
-	return x
+	return value
 }
 
+// open opens a folder, and closes it at the end of the test.
 func open(t *testing.T, folder string) *Store {
 	t.Helper()
 	store, err := Open(folder)
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = store.Close() }) // tests that are about Close look at its error themselves
+	t.Cleanup(func() { _ = store.Close() }) // tests of Close check its error themselves
 	return store
 }
 
+// All records are read after a kill, and the folder does not grow with the number of writes.
 func TestRecordsSurviveAKill(t *testing.T) {
 	c := qt.New(t)
 	folder := filepath.Join(t.TempDir(), "a", "b")
@@ -78,7 +81,7 @@
 		c.Assert(store.Put("vote", append(large, byte(i))), qt.IsNil)
 		c.Assert(store.Put("standing", []byte{byte(i)}), qt.IsNil)
 	}
-	c.Assert(store.Close(), qt.IsNil) // a copy needs files that stay as they are
+	c.Assert(store.Close(), qt.IsNil) // so that killed copies files that do not change
 	store = open(t, folder)
 	c.Assert(store.Put("empty", nil), qt.IsNil)
 	store = open(t, killed(t, folder))
@@ -92,10 +95,10 @@
 	for _, n := range files(t, folder) {
 		size += max(n, 0)
 	}
-	c.Assert(size < 8<<20, qt.IsTrue, qt.Commentf("%d bytes", size)) // what was written over is given back
+	c.Assert(size < 8<<20, qt.IsTrue, qt.Commentf("%d bytes", size)) // the space of overwritten records is freed
 }
 
-// Wherever the last write is torn, the folder opens, with the record before it or the last one.
+// If the last write is torn at any byte, the folder opens and has the last record or the one before it.
 func TestTornWrites(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -106,7 +109,7 @@
 	c.Assert(store.Put("vote", bytes.Repeat([]byte("second"), 20)), qt.IsNil)
 	complete := must(os.ReadFile(log))
 	for n := len(synced); n <= len(complete); n = min(n+5, max(n+1, len(complete))) {
-		for _, zeros := range []int{0, len(complete) - n} { // the file may have its length, and not its bytes
+		for _, zeros := range []int{0, len(complete) - n} { // the file may have its new length without the bytes
 			torn := killed(t, folder)
 			left := append(slices.Clone(complete[:n]), make([]byte, zeros)...)
 			c.Assert(os.WriteFile(filepath.Join(torn, filepath.Base(log)), left, 0o600), qt.IsNil)
@@ -120,13 +123,15 @@
 	}
 }
 
+// The errors of Get and Check name a corrupt record; other records are read.
 func TestCorruptRecordsAreNamed(t *testing.T) {
 	c := qt.New(t)
 	store := open(t, t.TempDir())
 	c.Assert(store.Put("good", []byte("x")), qt.IsNil)
 	corrupt := encodeRecord([]byte("data"))
 	corrupt[len(corrupt)-1] ^= 1
-	for key, record := range map[string][]byte{"corrupt": corrupt, "short": {recordFormat}, "other": append([]byte{1}, encodeRecord(nil)[1:]...)} {
+	otherFormat := append([]byte{1}, encodeRecord(nil)[1:]...)
+	for key, record := range map[string][]byte{"corrupt": corrupt, "short": {recordFormat}, "other": otherFormat} {
 		c.Assert(store.db.Put([]byte(key), record, nil), qt.IsNil)
 		_, err := store.Get(key)
 		c.Assert(trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("%v", err))
@@ -136,7 +141,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// After an error of the database, and when its list of files is gone, the next write goes on.
+// After an error of the database, the next calls work. So they do after its list of files was corrupted.
 func TestWritesGoOn(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -150,29 +155,30 @@
 	c.Assert(store.Put("vote", []byte("3")), qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
 
-	for _, l := range must(filepath.Glob(filepath.Join(folder, "MANIFEST-*"))) {
-		c.Assert(os.WriteFile(l, []byte("corrupt"), 0o600), qt.IsNil)
+	for _, manifest := range must(filepath.Glob(filepath.Join(folder, "MANIFEST-*"))) {
+		c.Assert(os.WriteFile(manifest, []byte("corrupt"), 0o600), qt.IsNil)
 	}
 	data, err = open(t, folder).Get("vote")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(data), qt.Equals, "3")
 }
 
-// volatileFiles are a folder's files at a machine that may lose power: what is written stands in memory until it is synced, and a
-// file's name until the folder is. While gate is open no table is written, so that no compaction syncs the folder meanwhile.
+// volatileFiles are a folder's files on a machine that may lose power: written data stay in memory until the file is synced, and a
+// file's name until the folder is synced. While there is a gate, the creation of tables waits, so that no compaction syncs the folder.
 type volatileFiles struct {
 	lstorage.Storage
 	mu      sync.Mutex
-	unnamed map[lstorage.FileDesc]bool // names that aren't synced
-	gated   bool                       // from now on a new journal opens the gate
-	gate    chan struct{}
+	unnamed map[lstorage.FileDesc]bool // files whose names are not synced
+	gated   bool                       // the creation of a journal makes a gate
+	gate    chan struct{}              // closed to let tables be created; nil for no gate
 }
 
+// volatileFile is a file of volatileFiles.
 type volatileFile struct {
 	lstorage.Writer
-	files *volatileFiles
-	fd    lstorage.FileDesc
-	held  []byte
+	files    *volatileFiles
+	fd       lstorage.FileDesc
+	unsynced []byte
 }
 
 func (v *volatileFiles) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
@@ -182,14 +188,14 @@
 	if gate != nil && fd.Type == lstorage.TypeTable {
 		<-gate
 	}
-	w, err := v.Storage.Create(fd)
+	writer, err := v.Storage.Create(fd)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.unnamed[fd] = true
 	if v.gated && fd.Type == lstorage.TypeJournal {
 		v.gate = make(chan struct{})
 	}
-	return &volatileFile{Writer: w, files: v, fd: fd}, err
+	return &volatileFile{Writer: writer, files: v, fd: fd}, err
 }
 
 func (v *volatileFiles) SetMeta(fd lstorage.FileDesc) error {
@@ -203,6 +209,7 @@
 	clear(v.unnamed)
 }
 
+// closeGate removes the gate, so that waiting tables are created.
 func (v *volatileFiles) closeGate() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -213,20 +220,20 @@
 }
 
 func (v *volatileFile) Write(data []byte) (int, error) {
-	v.held = append(v.held, data...)
+	v.unsynced = append(v.unsynced, data...)
 	return len(data), nil
 }
 
 func (v *volatileFile) Sync() error {
-	_, err := v.Writer.Write(v.held)
-	v.held = nil
+	_, err := v.Writer.Write(v.unsynced)
+	v.unsynced = nil
 	if v.fd.Type == lstorage.TypeManifest {
 		v.files.syncFolder()
 	}
 	return err
 }
 
-// powerLost is the folder as it is after a loss of power that takes all that may be lost.
+// powerLost returns a copy of the folder after a loss of power by which everything is lost that may be lost.
 func (v *volatileFiles) powerLost(t *testing.T, folder string) string {
 	t.Helper()
 	v.mu.Lock()
@@ -241,7 +248,7 @@
 	return left
 }
 
-// After a loss of power every record that Put has written is there, also those in a journal that was only just begun.
+// After a loss of power every record for which Put returned is read, also from a journal that was just created.
 func TestSyncedRecordsSurviveLossOfPower(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -256,7 +263,8 @@
 	files.mu.Lock()
 	files.gated = true
 	files.mu.Unlock()
-	journals, body := map[string]bool{}, bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
+	journals := map[string]bool{}
+	body := bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
 	for i := range 20 {
 		c.Assert(store.Put("vote", append(body, byte(i))), qt.IsNil)
 		left := files.powerLost(t, folder)
@@ -273,7 +281,7 @@
 	c.Assert(len(journals) > 2, qt.IsTrue)
 }
 
-// A record of a later format is distinguished from a corrupt one, and stays as it is.
+// A record of a later format has another error than a corrupt one, and is not changed.
 func TestRecordOfALaterFormat(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -291,7 +299,7 @@
 	c.Assert(trace.IsCompareFailed(err), qt.IsTrue)
 }
 
-// Of two processes with one folder the second gets an error that names it, and the first goes on.
+// The second of two processes that open a folder gets an error that names it, and the first one continues.
 func TestFolderInUse(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -306,7 +314,7 @@
 	c.Assert(string(data), qt.Equals, "1")
 }
 
-// A folder of which files are cut short or gone gives the newest record, or an error that names the folder. Nothing older comes back.
+// A folder with truncated or missing files returns the newest record, or an error that names the folder, but no older record.
 func TestTruncatedFolder(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -316,25 +324,25 @@
 	}
 	c.Assert(store.Close(), qt.IsNil)
 	for name, size := range files(t, folder) {
-		for _, keep := range []int64{-1, 0, size / 2} { // gone, empty, cut in two
+		for _, keep := range []int64{-1, 0, size / 2} { // bytes; -1: the file is missing
 			t.Run(fmt.Sprintf("%s of %d bytes, cut to %d", name, size, keep), func(t *testing.T) {
-				torn := t.TempDir()
-				qt.Assert(t, os.CopyFS(torn, os.DirFS(folder)), qt.IsNil)
+				damaged := t.TempDir()
+				qt.Assert(t, os.CopyFS(damaged, os.DirFS(folder)), qt.IsNil)
 				if keep < 0 {
-					qt.Assert(t, os.Remove(filepath.Join(torn, name)), qt.IsNil)
+					qt.Assert(t, os.Remove(filepath.Join(damaged, name)), qt.IsNil)
 				} else {
-					qt.Assert(t, os.Truncate(filepath.Join(torn, name), keep), qt.IsNil)
+					qt.Assert(t, os.Truncate(filepath.Join(damaged, name), keep), qt.IsNil)
 				}
-				checkTruncated(t, torn, name)
+				checkTruncated(t, damaged, name)
 			})
 		}
 	}
 }
 
-// largeRecord is a record without its last byte, as large as the write buffer of the database.
+// largeRecord is as large as the write buffer of the database. Tests append a byte that identifies the record.
 var largeRecord = bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
 
-// checkTruncated checks a folder with eight records in which one file is cut short.
+// checkTruncated checks a folder to which TestTruncatedFolder wrote eight records, and of which one file is truncated or missing.
 func checkTruncated(t *testing.T, folder, file string) {
 	t.Helper()
 	c := qt.New(t)
@@ -353,18 +361,18 @@
 	if file == "CURRENT" {
 		c.Assert(err, qt.IsNil) // it only names the list of files
 	}
-	if err == nil && filepath.Ext(file) != ".log" { // a journal's end is where a torn write would be
+	if err == nil && filepath.Ext(file) != ".log" { // a truncated journal equals a torn write
 		c.Assert(data[len(largeRecord)], qt.Equals, byte(7))
 	}
 	if err := store.Put("vote", []byte("next")); err != nil {
 		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*file=`+file+`.*`)
 	}
-	if err := store.Close(); err != nil { // it may have met the table while it compacted
+	if err := store.Close(); err != nil { // a compaction may have read the damaged table
 		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`.*file=`+file+`.*`)
 	}
 }
 
-// Without the files that name the list of files, the list is made anew from the tables.
+// If the files that name the list of files are missing, a new list is made from the tables.
 func TestListOfFilesIsGone(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
--- a/internal/mesh/control/storage/store.go
+++ b/internal/mesh/control/storage/store.go
@@ -10,17 +10,17 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 )
 
-// Store is a folder of records. One goroutine uses it at a time.
+// Store is a folder of records. It is not safe for concurrent use.
 type Store struct {
 	folder    string
 	openFiles func(folder string) (*durableFiles, error)
 	files     *durableFiles
-	db        *leveldb.DB // nil after an error, until the next call
+	db        *leveldb.DB // nil while closed: the next call opens it
 }
 
-// Open opens a folder, which it creates. A lock that a killed process left, and a last write that was torn, don't matter. The error
-// names the folder; a folder that another process has open is a trace.AlreadyExists. Also after an error the Store may be used: each
-// call tries to open the folder again.
+// Open opens a folder, and creates it if it is missing. The lock of a killed process and a torn last write do no harm. The error names the
+// folder; it is a trace.AlreadyExists if another process has the folder open. The Store is usable even after an error: each call tries to
+// open the folder again.
 func Open(folder string) (*Store, error) {
 	s := &Store{folder: folder, openFiles: openFiles}
 	return s, trace.Wrap(s.open())
@@ -42,7 +42,7 @@
 	}
 	db, err := openDatabase(files)
 	if err != nil {
-		_ = files.Close() // has nothing to add to the error
+		_ = files.Close() // err says what went wrong
 		return trace.Wrap(err, "folder %s", s.folder)
 	}
 	s.db = db
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// discard closes the database after an error: its journal may be broken, and is read anew before the next write.
+// discard closes the database after an error: its journal may be broken, and is read again by the next call.
 func (s *Store) discard() {
-	_ = s.Close() // has nothing to add to the error
+	_ = s.Close() // the caller returns the first error
 }
 
-// Get reads a record: trace.NotFound if there is none, trace.CompareFailed if it isn't what was written, trace.NotImplemented if a
-// later version of this program wrote it. The error names the folder and the record.
+// Get reads a record. The error is a trace.NotFound if there is none, a trace.CompareFailed if it is corrupt, and a trace.NotImplemented if
+// a later version of this program wrote it. It names the folder and the record.
 func (s *Store) Get(key string) ([]byte, error) {
 	if err := s.open(); err != nil {
 		return nil, trace.Wrap(err)
@@ -75,8 +75,8 @@
 	return data, trace.Wrap(err, "folder %s, record %q", s.folder, key)
 }
 
-// Put writes a record through to the disk. A corrupt table is an error that names it, for good: to go on without it could bring an
-// older record back. Without the folder, the caller starts as one that lost its disk.
+// Put writes a record and syncs it to the disk. A corrupt table is a permanent error that names the table: without it, an older record
+// could reappear. An operator may remove the folder; the process then starts as one that lost its disk.
 func (s *Store) Put(key string, data []byte) error {
 	if err := s.open(); err != nil {
 		return trace.Wrap(err)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Check reads all records. The error is the aggregate of one error for each that isn't what was written.
+// Check reads all records. The error aggregates one error for each corrupt record.
 func (s *Store) Check() error {
 	if err := s.open(); err != nil {
 		return trace.Wrap(err)
@@ -104,8 +104,8 @@
 	return trace.NewAggregate(append(faults, records.Error())...)
 }
 
-// Close ends the use of the folder. An error names a file that could not be read or written since, also in the background; what
-// Put returned without an error is on disk all the same.
+// Close closes the folder. An error names a file that could not be read or written, also in the background. All records for which Put
+// returned no error are on disk all the same.
 func (s *Store) Close() error {
 	if s.db == nil {
 		return nil
