--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -87,8 +87,8 @@
 	var due dueMessages
 	due.peers, due.shuffle = a.members.tickLocked(now)
 	if a.members.viewChangedLocked() {
-		a.publisher.updateOwnersLocked(now)
-		a.directory.updateOwnersLocked(now)
+		a.publisher.updateOwnersLocked()
+		a.directory.updateOwnersLocked()
 		a.members.reportSidecarCountLocked()
 	}
 	due.records = a.publisher.tickLocked(now)
--- a/internal/mesh/agent/configuration.go
+++ b/internal/mesh/agent/configuration.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -13,16 +12,10 @@
 	"quincegap/internal/mesh/control/ratelimit"
 	"quincegap/internal/mesh/discovery/membership"
 	"quincegap/internal/mesh/transport"
-	"quincegap/internal/mesh/transport/codec"
 )
 
-const (
-	noticePeers  = 4                      // members, drawn at random, that are notified of a new version at once; gossip reaches the rest
-	fetchTimeout = 300 * time.Millisecond // until a version whose text has not come may be fetched again
-
-	// versionOnly stands for the requester's version in a request for a peer's version without its text: no text is newer than that.
-	versionOnly = math.MaxUint64
-)
+// noticePeers is the number of members, drawn at random, that are notified of a new version at once. Gossip notifies the others.
+const noticePeers = 4
 
 // configurationUpdater holds the committed configuration that is applied in this process. It discovers newer versions at peers, fetches
 // them, applies them one after the other, and announces them. Invariant: the applied version only rises.
@@ -69,7 +62,7 @@
 func (c *configurationUpdater) apply(version uint64, text []byte) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
-	if present, _ := c.applied(); version <= present {
+	if held, _ := c.applied(); version <= held {
 		return
 	}
 	conf, err := parseVersion(version, text)
@@ -141,100 +134,6 @@
 // versionLocked implements versionExchange.
 func (c *configurationUpdater) versionLocked() uint64 { return c.current.Version }
 
-// learnVersion implements versionExchange: a version above the applied one is fetched from the peer that has it. A process without a
-// configuration polls other members first.
-func (c *configurationUpdater) learnVersion(peer string, version uint64) {
-	var peersToPoll []string
-	c.mu.Lock()
-	present := c.current.Version
-	if present == 0 && version > 0 {
-		peersToPoll = c.poll.observe(c.now(), peer, version, c.pollCandidatesLocked)
-	}
-	c.mu.Unlock()
-	switch {
-	case present >= version:
-	case present > 0:
-		c.fetch(peer, version)
-	default:
-		c.pollVersions(peersToPoll)
-		c.finishPoll()
-	}
-}
-
-// pollCandidatesLocked returns the addresses of the other members in random order.
-func (c *configurationUpdater) pollCandidatesLocked() []string {
-	others := c.members.othersLocked()
-	return c.sampleLocked(others, len(others))
-}
-
-// pollVersions requests the applied versions of peers.
-func (c *configurationUpdater) pollVersions(peers []string) {
-	for _, peer := range peers {
-		c.send(peer, methodConfiguration, &configurationText{Version: versionOnly}, func(body []byte) {
-			var answer configurationText
-			if len(body) == 0 || codec.Unmarshal(body, &answer) == nil {
-				c.recordPollAnswer(peer, answer.Version)
-			}
-		})
-	}
-}
-
-// recordPollAnswer records the applied version of a peer that was polled.
-func (c *configurationUpdater) recordPollAnswer(peer string, version uint64) {
-	c.mu.Lock()
-	c.poll.record(peer, version)
-	c.mu.Unlock()
-	c.finishPoll()
-}
-
-// finishPoll fetches the newest version that the version poll has found, if the poll is complete.
-func (c *configurationUpdater) finishPoll() {
-	c.mu.Lock()
-	peer, version, ok := c.poll.finish(c.now())
-	c.mu.Unlock()
-	if ok {
-		c.fetch(peer, version)
-	}
-}
-
-// fetch requests a version from a peer that has it, unless it is applied or being fetched already. The answer is applied on a goroutine
-// of its own, as OnConfiguration may take long and the link's reader must not wait.
-func (c *configurationUpdater) fetch(peer string, version uint64) {
-	present, ok := c.beginFetch(version)
-	if !ok {
-		return
-	}
-	c.send(peer, methodConfiguration, &configurationText{Version: present}, func(body []byte) {
-		var fetched configurationText
-		if len(body) > 0 && codec.Unmarshal(body, &fetched) == nil && fetched.Version > 0 && len(fetched.Text) > 0 {
-			c.applyFetched(&fetched)
-		}
-	})
-}
-
-// beginFetch marks a version as being fetched, and returns the applied one. It reports false if there is nothing to fetch.
-func (c *configurationUpdater) beginFetch(version uint64) (present uint64, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.now()
-	beingFetched := version <= c.fetching && now < c.fetchDeadline
-	if version <= c.current.Version || beingFetched {
-		return 0, false
-	}
-	c.fetching = version
-	c.fetchDeadline = now + fetchTimeout
-	return c.current.Version, true
-}
-
-// applyFetched applies a fetched configuration on a goroutine that stop waits for.
-func (c *configurationUpdater) applyFetched(fetched *configurationText) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.stopped {
-		c.applying.Go(func() { c.apply(fetched.Version, fetched.Text) })
-	}
-}
-
 // handleVersionNotice handles the version that a peer announces.
 func (c *configurationUpdater) handleVersionNotice(_ context.Context, from *transport.Hello, n *versionNotice) *acknowledgement {
 	c.learnVersion(from.Address, n.Version)
--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -83,13 +83,13 @@
 func (d *endpointDirectory) wantLocked(services []string) { d.services = services }
 
 // updateOwnersLocked determines the registry owners of the wanted services anew, from the present members.
-func (d *endpointDirectory) updateOwnersLocked(now time.Duration) {
+func (d *endpointDirectory) updateOwnersLocked() {
 	for _, service := range d.services {
 		var owners []discovery.RegistryOwner
 		for _, m := range d.members.ownZoneOwnersLocked(service, ownersFollowed) {
 			owners = append(owners, discovery.RegistryOwner{Address: m.Address, Incarnation: m.Incarnation})
 		}
-		d.subscriptions.SetOwners(now, service, owners)
+		d.subscriptions.SetOwners(service, owners)
 	}
 }
 
--- a/internal/mesh/agent/keepalive_test.go
+++ b/internal/mesh/agent/keepalive_test.go
@@ -64,19 +64,19 @@
 	publisher := discovery.NewPublisher(discovery.Config{})
 	endpoint := discovery.Endpoint{ID: "x", Service: "s", AppAddress: "a:1", SidecarIncarnation: 1}
 	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("it is not published"))
-	publisher.SetOwners(0, []string{"self"})
+	publisher.SetOwners([]string{"self"})
 	publisher.Set(0, endpoint)
 	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsTrue, qt.Commentf("there is no other owner"))
-	publisher.SetOwners(0, []string{"self", "one", "two"})
+	publisher.SetOwners([]string{"self", "one", "two"})
 	endpoint.State = discovery.Draining
 	publisher.Set(time.Second, endpoint)
 	revision := uint64(0)
 	for _, announcement := range publisher.Tick(time.Second) {
 		revision = announcement.Endpoint.Revision
 	}
-	publisher.Acknowledged(time.Second, "self", "x", revision)
+	publisher.Acknowledged("self", "x", revision)
 	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsFalse)
-	publisher.Acknowledged(time.Second, "two", "x", revision)
+	publisher.Acknowledged("two", "x", revision)
 	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsTrue)
 	publisher.End(2*time.Second, "x", discovery.Deregistered)
 	c.Check(publisher.AcknowledgedElsewhere("x", "self"), qt.IsFalse, qt.Commentf("its end is newer"))
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -56,7 +56,7 @@
 	for zone, region := range env.settings.RegionOfZone {
 		tracker.view.SetRegion(zone, region)
 	}
-	tracker.view.SetSeeds(0, env.settings.SeedAddresses())
+	tracker.view.SetSeeds(env.settings.SeedAddresses())
 	return tracker
 }
 
@@ -151,7 +151,7 @@
 func (m *memberTracker) setSeeds(addresses []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.SetSeeds(m.now(), addresses)
+	m.view.SetSeeds(addresses)
 }
 
 // linkLostLocked marks the member at an address unreachable, as the link to it has ended.
--- a/internal/mesh/agent/publisher.go
+++ b/internal/mesh/agent/publisher.go
@@ -66,7 +66,7 @@
 }
 
 // updateOwnersLocked determines the registry owners anew, from the present members. An owner that has restarted gets all records again.
-func (p *recordPublisher) updateOwnersLocked(now time.Duration) {
+func (p *recordPublisher) updateOwnersLocked() {
 	if p.config.Role != membership.RoleAccess || p.settings.Service == "" {
 		return
 	}
@@ -78,7 +78,7 @@
 			p.records.ForgetOwner(owner.Address)
 		}
 	}
-	p.records.SetOwners(now, addresses)
+	p.records.SetOwners(addresses)
 }
 
 // sendRecords sends records to the registry owners, of which this process may be one.
@@ -102,7 +102,7 @@
 func (p *recordPublisher) recordAcknowledgement(r discovery.Announcement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.records.Acknowledged(p.now(), r.To, r.Endpoint.ID, r.Endpoint.Revision)
+	p.records.Acknowledged(r.To, r.Endpoint.ID, r.Endpoint.Revision)
 	close(p.acknowledged)
 	p.acknowledged = make(chan struct{})
 }
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -141,37 +141,38 @@
 	return core
 }
 
-// awaitState waits until a core process has confirmed its state, holds the lease of the singleton role and knows a version of the
-// configuration.
-func awaitState(t *testing.T, h http.Handler, version string) {
+// awaitPage waits until a handler answers GET requests for a path with a body for which ok returns true.
+func awaitPage(t *testing.T, handler http.Handler, path string, ok func(body []byte) bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", "/mesh/state", nil))
-		var s agent.State
-		qt.Assert(t, json.Unmarshal(w.Body.Bytes(), &s), qt.IsNil)
-		if s.Confirmed && s.Ready && s.Version == version && len(s.Roles) == 1 && s.Roles[0].FencingToken > 0 {
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, path, nil))
+		if ok(w.Body.Bytes()) {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within twenty seconds: %s", w.Body)
+			t.Fatalf("%s: not within twenty seconds: %s", path, w.Body)
 		}
 	}
 }
 
+// awaitState waits until a core process has confirmed its state, holds the lease of the singleton role and knows a version of the
+// configuration.
+func awaitState(t *testing.T, handler http.Handler, version string) {
+	t.Helper()
+	awaitPage(t, handler, agent.StatePath, func(body []byte) bool {
+		var s agent.State
+		qt.Assert(t, json.Unmarshal(body, &s), qt.IsNil)
+		return s.Confirmed && s.Ready && s.Version == version && len(s.Roles) == 1 && s.Roles[0].FencingToken > 0
+	})
+}
+
 // awaitEvent waits until a core process has an event of a kind in its feed.
-func awaitEvent(t *testing.T, h http.Handler, kind string) {
+func awaitEvent(t *testing.T, handler http.Handler, kind string) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", "/events", nil))
-		if strings.Contains(w.Body.String(), `"kind":"`+kind+`"`) {
-			return
-		}
-		if time.Now().After(end) {
-			t.Fatalf("no %s within twenty seconds: %s", kind, w.Body)
-		}
-	}
+	awaitPage(t, handler, eventsPath, func(body []byte) bool {
+		return bytes.Contains(body, []byte(`"kind":"`+kind+`"`))
+	})
 }
 
 // varying matches the parts of answers that are different in each run: ages, remaining leases, epochs and times of day.
--- a/internal/mesh/discovery/example_test.go
+++ b/internal/mesh/discovery/example_test.go
@@ -10,14 +10,14 @@
 // A publisher announces its endpoint to the registry owner until that is acknowledged, and renews its lease.
 func ExamplePublisher() {
 	p := discovery.NewPublisher(discovery.Config{})
-	p.SetOwners(0, []string{"10.0.0.9:7400"})
+	p.SetOwners([]string{"10.0.0.9:7400"})
 	p.Set(0, discovery.Endpoint{ID: "i-1", Service: "checkout", AppAddress: "10.0.0.1:8080", Sequence: 1})
 
 	r := discovery.NewRegistry(discovery.Config{})
 	for _, a := range p.Tick(0) {
 		fmt.Println("announce to", a.To, "under a lease of", a.Endpoint.LeaseRemaining)
 		r.Apply(0, a.Endpoint)
-		p.Acknowledged(0, a.To, a.Endpoint.ID, a.Endpoint.Revision)
+		p.Acknowledged(a.To, a.Endpoint.ID, a.Endpoint.Revision)
 	}
 	fmt.Println("due at once:", len(p.Tick(time.Second)))
 	fmt.Println("due after a third of the lease:", len(p.Tick(3*time.Second)))
@@ -49,7 +49,7 @@
 func ExampleSubscription() {
 	owner := discovery.RegistryOwner{Address: "10.0.0.9:7400", Incarnation: 1}
 	s := discovery.NewSubscription(discovery.Config{})
-	s.SetOwners(0, "checkout", []discovery.RegistryOwner{owner})
+	s.SetOwners("checkout", []discovery.RegistryOwner{owner})
 	for _, request := range s.Tick(0) {
 		fmt.Println("ask", request.To, "for", request.Service, "since", request.SinceVersion)
 	}
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -90,12 +90,12 @@
 		s.registries[h], s.subscribers[h] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
 		owners = append(owners, RegistryOwner{Address: h, Incarnation: uint64(i + 1)})
 	}
-	s.subscription.SetOwners(0, scheduleService, owners)
+	s.subscription.SetOwners(scheduleService, owners)
 	for i := range 3 {
 		s.publishers = append(s.publishers, NewPublisher(Config{}))
 		s.newest = append(s.newest, Endpoint{})
 		s.pausedUntil = append(s.pausedUntil, 0)
-		s.publishers[i].SetOwners(0, s.owners[:2])
+		s.publishers[i].SetOwners(s.owners[:2])
 		s.restart(i)
 	}
 	return s
@@ -150,7 +150,7 @@
 		s.subscription.ConnectionLost(s.now, owner)
 		s.subscribers[owner].ConnectionLost("caller")
 	case 5:
-		publisher.SetOwners(s.now, s.owners[:1+s.rng.IntN(3)])
+		publisher.SetOwners(s.owners[:1+s.rng.IntN(3)])
 	case 6:
 		s.now += time.Duration(s.rng.IntN(12)) * time.Second
 	case 7:
@@ -176,7 +176,7 @@
 			}
 			s.note("apply", s.registries[due.To].Apply(s.now, due.Endpoint), s.registries[due.To].Version())
 			if s.rng.IntN(4) > 0 {
-				publisher.Acknowledged(s.now, due.To, due.Endpoint.ID, due.Endpoint.Revision)
+				publisher.Acknowledged(due.To, due.Endpoint.ID, due.Endpoint.Revision)
 			}
 			s.note("confirmed", publisher.AcknowledgedElsewhere(due.Endpoint.ID, s.owners[0]))
 		}
--- a/internal/mesh/discovery/membership/example_test.go
+++ b/internal/mesh/discovery/membership/example_test.go
@@ -16,7 +16,7 @@
 	}
 	first := newView(1, "10.0.0.1:7400")
 	second := newView(2, "10.0.0.2:7400")
-	second.SetSeeds(0, []string{"10.0.0.1:7400"})
+	second.SetSeeds([]string{"10.0.0.1:7400"})
 
 	now := 10 * time.Millisecond
 	to, shuffle := second.Tick(now)
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -122,7 +122,7 @@
 		f.order = append(f.order, n)
 	}
 	f.nodes[address] = n
-	n.SetSeeds(f.now, f.seeds)
+	n.SetSeeds(f.seeds)
 	f.after(time.Duration(f.rng.IntN(500))*ms, func() { f.tick(n) })
 }
 
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"net"
 	"slices"
-	"time"
 )
 
 // maxRegions bounds the number of zones whose regions are remembered, as the names come from messages.
@@ -59,7 +58,7 @@
 func (v *View) Self() Member { return v.self }
 
 // SetSeeds replaces the addresses of the seeds. After a change the next regular shuffle goes to all of them.
-func (v *View) SetSeeds(_ time.Duration, addresses []string) {
+func (v *View) SetSeeds(addresses []string) {
 	if slices.Equal(v.seeds, addresses) {
 		return
 	}
--- a/internal/mesh/discovery/publisher.go
+++ b/internal/mesh/discovery/publisher.go
@@ -121,7 +121,7 @@
 }
 
 // SetOwners replaces the addresses of the registry owners. They may be in any order, and may contain duplicates.
-func (p *Publisher) SetOwners(_ time.Duration, owners []string) {
+func (p *Publisher) SetOwners(owners []string) {
 	p.owners = slices.Clone(owners)
 	slices.Sort(p.owners)
 	p.owners = slices.Compact(p.owners)
@@ -201,7 +201,7 @@
 }
 
 // Acknowledged records that an owner has acknowledged a revision of an endpoint. It is ignored unless that revision was the last one sent.
-func (p *Publisher) Acknowledged(_ time.Duration, owner, id string, revision uint64) {
+func (p *Publisher) Acknowledged(owner, id string, revision uint64) {
 	pub := p.find(id)
 	if pub == nil {
 		return
--- a/internal/mesh/discovery/publisher_test.go
+++ b/internal/mesh/discovery/publisher_test.go
@@ -11,19 +11,19 @@
 	c := qt.New(t)
 	publisher := NewPublisher(Config{})
 	c.Assert(publisher.Tick(0), qt.HasLen, 0)
-	publisher.SetOwners(0, []string{"b", "a", "b"})
+	publisher.SetOwners([]string{"b", "a", "b"})
 	publisher.Set(0, Endpoint{ID: "x", Sequence: 1, WarmupRemaining: 2 * time.Second})
 	due := publisher.Tick(time.Second)
 	c.Assert(due, qt.HasLen, 2)
 	c.Assert(due[0].Endpoint, qt.DeepEquals,
 		Endpoint{ID: "x", Sequence: 1, Revision: 1, WarmupRemaining: time.Second, LeaseRemaining: lease})
 	c.Assert(publisher.Tick(1200*time.Millisecond), qt.HasLen, 0)
-	publisher.Acknowledged(1200*time.Millisecond, "a", "x", 1)
+	publisher.Acknowledged("a", "x", 1)
 	c.Assert(publisher.Tick(1300*time.Millisecond), qt.HasLen, 1, qt.Commentf("not acknowledged"))
-	publisher.Acknowledged(1300*time.Millisecond, "b", "x", 1)
+	publisher.Acknowledged("b", "x", 1)
 	publisher.Set(2*time.Second, Endpoint{ID: "x", Sequence: 2})
 	c.Assert(publisher.Tick(2*time.Second), qt.HasLen, 0, qt.Commentf("a keepalive alone waits for the renewal"))
-	publisher.SetOwners(2*time.Second, []string{"a", "b", "c"})
+	publisher.SetOwners([]string{"a", "b", "c"})
 	c.Assert(publisher.Tick(2*time.Second), qt.HasLen, 1, qt.Commentf("a new owner at once"))
 	c.Assert(publisher.Tick(4*time.Second), qt.HasLen, 2, qt.Commentf("renewal at a, retry at c"))
 	publisher.ForgetOwner("b")
@@ -31,14 +31,14 @@
 
 	publisher.Set(5*time.Second, Endpoint{ID: "x", Sequence: 3, State: Draining})
 	publisher.Set(5*time.Second, Endpoint{ID: "x", Sequence: 4, State: Serving})
-	publisher.Acknowledged(5*time.Second, "a", "x", 1) // late, of the revision before
+	publisher.Acknowledged("a", "x", 1) // late, of the revision before
 	due = publisher.Tick(5 * time.Second)
 	c.Assert(due, qt.HasLen, 3)
 	c.Assert(due[0].Endpoint.State, qt.Equals, Draining)
 	publisher.Set(6*time.Second, Endpoint{ID: "y", Sequence: 1})
 	c.Assert(publisher.Tick(6*time.Second), qt.HasLen, 6, qt.Commentf("the end of x, and y"))
 	for _, owner := range []string{"a", "b", "c"} {
-		publisher.Acknowledged(6*time.Second, owner, "x", 3)
+		publisher.Acknowledged(owner, "x", 3)
 	}
 	c.Assert(publisher.Tick(6300*time.Millisecond), qt.HasLen, 3, qt.Commentf("x is done with"))
 	publisher.End(7*time.Second, "y", Crashed)
--- a/internal/mesh/discovery/subscription.go
+++ b/internal/mesh/discovery/subscription.go
@@ -65,7 +65,7 @@
 
 // SetOwners replaces the registry owners of a service, the preferred ones first; without any, the subscription to the service ends. The
 // first OwnersQueried of them that aren't unresponsive are polled.
-func (s *Subscription) SetOwners(_ time.Duration, service string, owners []RegistryOwner) {
+func (s *Subscription) SetOwners(service string, owners []RegistryOwner) {
 	var sources []*source
 	for _, owner := range owners {
 		i := slices.IndexFunc(s.services[service], func(known *source) bool { return known.RegistryOwner == owner })
--- a/internal/mesh/discovery/subscription_test.go
+++ b/internal/mesh/discovery/subscription_test.go
@@ -13,7 +13,7 @@
 	a := RegistryOwner{"a", 1}
 	b := RegistryOwner{"b", 1}
 	d := RegistryOwner{"d", 1}
-	subscription.SetOwners(0, "s", []RegistryOwner{a, b, d})
+	subscription.SetOwners("s", []RegistryOwner{a, b, d})
 	c.Assert(subscription.Tick(0), qt.DeepEquals, []SubscribeRequest{{"a", 1, "s", 0}, {"b", 1, "s", 0}})
 	subscription.Received(0, a, "s", 5)
 	c.Assert(subscription.Tick(300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 0}}, qt.Commentf("no answer yet"))
@@ -23,12 +23,12 @@
 	c.Assert(subscription.Tick(time.Second), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 3}, {"d", 1, "s", 0}})
 	c.Assert(subscription.Tick(1300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"a", 1, "s", 5}, {"d", 1, "s", 0}})
 	subscription.Received(1300*time.Millisecond, a, "s", 6)
-	subscription.SetOwners(2*time.Second, "s", []RegistryOwner{{"a", 2}, b})
+	subscription.SetOwners("s", []RegistryOwner{{"a", 2}, b})
 	c.Assert(subscription.Tick(2*time.Second), qt.DeepEquals, []SubscribeRequest{{"a", 2, "s", 0}},
 		qt.Commentf("another incarnation: from the start"))
 	subscription.Received(2*time.Second, RegistryOwner{"a", 2}, "s", 1)
 	c.Assert(subscription.Tick(3*time.Second), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 3}})
-	subscription.SetOwners(4*time.Second, "s", nil)
+	subscription.SetOwners("s", nil)
 	c.Assert(subscription.Tick(9*time.Second), qt.HasLen, 0)
 }
 
@@ -38,7 +38,7 @@
 	subscription := NewSubscription(Config{OwnersQueried: 1})
 	a := RegistryOwner{"a", 1}
 	b := RegistryOwner{"b", 1}
-	subscription.SetOwners(0, "s", []RegistryOwner{a, b})
+	subscription.SetOwners("s", []RegistryOwner{a, b})
 	first := time.Duration(-1) // when the first request to b was due
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 		for _, request := range subscription.Tick(now) {
