--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -148,17 +148,6 @@
 // the record.
 func (a *Agent) PublishEnd(id string, s discovery.State) { a.publisher.end(id, s) }
 
-// AwaitConfirmed waits until a registry owner on another machine has acknowledged an endpoint as it was last published, for 250 ms at
-// most. What the endpoint reported is not lost if this process ends after that.
-func (a *Agent) AwaitConfirmed(ctx context.Context, id string) { a.publisher.awaitConfirmed(ctx, id) }
-
-// PublishOnBehalf publishes a record that this process received because the endpoint's own sidecar could not be reached. It reports
-// whether another process has acknowledged it, and a registry owner in every zone, so that all callers are notified. Zones that had
-// members within the last two minutes count: they may only be partitioned from this process. It returns when ctx ends at the latest.
-func (a *Agent) PublishOnBehalf(ctx context.Context, e discovery.Endpoint) bool {
-	return a.publisher.publishOnBehalf(ctx, e)
-}
-
 // ApplyRecord applies a record of an endpoint to this process's registry, as if a sidecar had published it to this process. It is for
 // tests of the programs.
 func (a *Agent) ApplyRecord(e discovery.Endpoint) { a.directory.applyAsOwner(e) }
--- a/internal/mesh/agent/publisher.go
+++ b/internal/mesh/agent/publisher.go
@@ -107,7 +107,8 @@
 	p.acknowledged = make(chan struct{})
 }
 
-// awaitConfirmed waits until an owner on another machine has the newest record of an endpoint (Agent.AwaitConfirmed).
+// awaitConfirmed waits until a registry owner on another machine has acknowledged an endpoint as it was last published, for
+// confirmationTimeout at most. What the endpoint reported is not lost if this process ends after that.
 func (p *recordPublisher) awaitConfirmed(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 	defer cancel()
@@ -133,7 +134,9 @@
 	accepted bool
 }
 
-// publishOnBehalf publishes a record in place of the endpoint's own sidecar (Agent.PublishOnBehalf).
+// publishOnBehalf publishes a record that this process received because the endpoint's own sidecar could not be reached. It reports
+// whether another process has acknowledged it, and a registry owner in every zone, so that all callers are notified. Zones that had members
+// within zoneRetention count: they may only be partitioned from this process. It returns when ctx ends at the latest.
 func (p *recordPublisher) publishOnBehalf(ctx context.Context, record discovery.Endpoint) bool {
 	p.mu.Lock()
 	owners := p.members.ownersLocked(record.Service)
--- a/internal/mesh/agent/quota_client_test.go
+++ b/internal/mesh/agent/quota_client_test.go
@@ -10,7 +10,7 @@
 )
 
 // Each request is answered exactly once while replies with tokens arrive concurrently. The race detector makes this test stricter.
-func TestTakeWhileTokensCome(t *testing.T) {
+func TestAcquireWhileTokensArrive(t *testing.T) {
 	client := newTestSidecar(t, "127.9.2.1:7401", 0).NewQuotaClient()
 	tenant := &configuration.Tenant{Name: "t", Rate: 1000, Burst: 1000}
 	stop := make(chan struct{})
--- a/internal/mesh/assembly/shutdown_test.go
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -15,13 +15,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// Requests may run for five sixths of the grace time at least, and the steps of the shutdown follow each other within it.
 func TestShutdownPlanKeepsItsOrder(t *testing.T) {
-	c := qt.New(t)
+	const now = time.Hour
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second, time.Minute} {
-		p := planShutdown(time.Hour, grace)
-		c.Check(p.answersDue-time.Hour > grace*5/6, qt.IsTrue, qt.Commentf("%v: requests may run for five sixths: %+v", grace, p))
-		c.Check(time.Hour < p.rejectFrom && p.rejectFrom < p.answersDue && p.answersDue < p.exitBy && p.exitBy < time.Hour+grace, qt.IsTrue,
-			qt.Commentf("%v: %+v", grace, p))
+		t.Run(grace.String(), func(t *testing.T) {
+			plan := planShutdown(now, grace)
+			qt.Check(t, plan.answersDue-now > grace*5/6, qt.IsTrue, qt.Commentf("%+v", plan))
+			inOrder := now < plan.rejectFrom && plan.rejectFrom < plan.answersDue && plan.answersDue < plan.exitBy
+			qt.Check(t, inOrder && plan.exitBy < now+grace, qt.IsTrue, qt.Commentf("%+v", plan))
+		})
 	}
 }
 
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -54,9 +54,6 @@
 	}
 }
 
-// Self returns the record of this process as it is sent to others.
-func (v *View) Self() Member { return v.self }
-
 // SetSeeds replaces the addresses of the seeds. After a change the next regular shuffle goes to all of them.
 func (v *View) SetSeeds(addresses []string) {
 	if slices.Equal(v.seeds, addresses) {
