--- a/internal/mesh/discovery/membership/agreement.go
+++ b/internal/mesh/discovery/membership/agreement.go
@@ -27,6 +27,7 @@
 	monitored    []*entry // see addMonitored
 }
 
+// newAgreement returns the agreement of a view that has not heard from any peer.
 func newAgreement() agreement {
 	return agreement{zoneAgreedAt: map[string]time.Duration{}, lastDiffered: longAgo}
 }
--- a/internal/mesh/discovery/membership/bench_test.go
+++ b/internal/mesh/discovery/membership/bench_test.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// benchmarkQuiet simulates one fleet and reports its traffic.
 func benchmarkQuiet(b *testing.B, size fleetSize) {
 	b.Helper()
 	const measured = 10 * time.Second
--- a/internal/mesh/discovery/membership/entry.go
+++ b/internal/mesh/discovery/membership/entry.go
@@ -23,7 +23,7 @@
 	dispute       dispute
 }
 
-// dispute records that another process reports a member as unreachable or ended, while this view has it alive.
+// dispute records that another process reports a member of this view as unreachable or ended.
 type dispute struct {
 	heartbeat     uint64 // the highest heartbeat of the member in such reports
 	probeDue      bool   // the member is to be asked to raise its heartbeat
@@ -53,6 +53,7 @@
 	e.stateSince = now
 }
 
+// compareIncarnation compares an entry with an incarnation, for searches in table.entries.
 func compareIncarnation(e *entry, incarnation uint64) int {
 	return cmp.Compare(e.Incarnation, incarnation)
 }
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -71,6 +71,7 @@
 	return &fleet{t: tb, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*node{}, partition: noPartition}
 }
 
+// noPartition is the partition of a fleet in which all nodes reach each other.
 func noPartition(_, _ *node) bool { return false }
 
 // fleetSize holds the size of a fleet. The members are assigned to the zones in turn; the first ones are the core members and the seeds.
--- a/internal/mesh/discovery/membership/reconnect.go
+++ b/internal/mesh/discovery/membership/reconnect.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// remove removes an address, if it is in the list.
 func (d *departedList) remove(address string) {
 	d.members = slices.DeleteFunc(d.members, func(m departedMember) bool { return m.address == address })
 }
--- a/internal/mesh/discovery/membership/suspicion.go
+++ b/internal/mesh/discovery/membership/suspicion.go
@@ -31,6 +31,7 @@
 	return out
 }
 
+// hasUnreachable reports whether any member is unreachable.
 func (v *View) hasUnreachable() bool {
 	return slices.ContainsFunc(v.table.entries, func(e *entry) bool { return e.state == unreachable })
 }
@@ -89,8 +90,8 @@
 	v.noteUpdate(now)
 }
 
-// departTimedOut removes a member whose heartbeat is too old. Peers are notified by a tombstone only if the view is large: in a small one
-// the heartbeat reaches the time-out at all of them.
+// departTimedOut removes a member whose heartbeat is too old. Peers are notified by a tombstone if the member is of the own zone and the
+// view is large; in a small one the heartbeat reaches the time-out at all peers.
 func (v *View) departTimedOut(now time.Duration, e *entry) {
 	v.depart(now, e)
 	if e.Zone == v.self.Zone && v.isLarge() {
--- a/internal/mesh/discovery/membership/table.go
+++ b/internal/mesh/discovery/membership/table.go
@@ -20,6 +20,7 @@
 	}
 }
 
+// insert adds an entry whose incarnation isn't in the table.
 func (t *table) insert(e *entry) {
 	t.arrivals++
 	e.arrivalOrder = t.arrivals
@@ -31,6 +32,7 @@
 	t.hashOrder = slices.Insert(t.hashOrder, i, e)
 }
 
+// remove removes an entry. Another entry that has its address by now stays.
 func (t *table) remove(e *entry) {
 	delete(t.byIncarnation, e.Incarnation)
 	if i, ok := slices.BinarySearchFunc(t.entries, e.Incarnation, compareIncarnation); ok {
--- a/internal/mesh/discovery/membership/tombstone.go
+++ b/internal/mesh/discovery/membership/tombstone.go
@@ -28,6 +28,7 @@
 	order    []uint64 // incarnations, the oldest first
 }
 
+// newTombstoneTable returns an empty table.
 func newTombstoneTable(capacity int) tombstoneTable {
 	return tombstoneTable{capacity: capacity, entries: map[uint64]tombstoneEntry{}}
 }
@@ -55,6 +56,7 @@
 	t.entries[incarnation] = tombstone
 }
 
+// remove removes the tombstone of an incarnation, if it has one.
 func (t *tombstoneTable) remove(incarnation uint64) {
 	delete(t.entries, incarnation)
 	if i := slices.Index(t.order, incarnation); i >= 0 {
--- a/internal/mesh/discovery/membership/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -14,6 +14,7 @@
 
 const ms = time.Millisecond
 
+// newMember returns a member of region r.
 func newMember(incarnation uint64, address, zone string, heartbeat uint64) Member {
 	return Member{Incarnation: incarnation, Address: address, Zone: zone, Region: "r", Heartbeat: heartbeat}
 }
--- a/internal/mesh/discovery/record.go
+++ b/internal/mesh/discovery/record.go
@@ -20,6 +20,7 @@
 	version      uint64        // of the registry at the record's last change or renewal
 }
 
+// newRecord returns the record of an endpoint that the registry doesn't know yet.
 func newRecord(now time.Duration, e Endpoint) *record {
 	return &record{
 		Endpoint:     e,
@@ -44,6 +45,7 @@
 	return r.State
 }
 
+// hasEnded reports whether the endpoint has ended.
 func (r *record) hasEnded() bool { return r.effectiveState().hasEnded() }
 
 // snapshot returns the record as it is sent now.
@@ -91,6 +93,7 @@
 	sidecarIncarnation uint64
 }
 
+// visible returns the parts of the record whose changes are updates.
 func (r *record) visible() visible {
 	return visible{r.effectiveState(), r.Revision, r.Slots, r.SidecarAddress, r.SidecarIncarnation}
 }
@@ -100,4 +103,5 @@
 	return r.SidecarIncarnation != 0 && r.SidecarIncarnation == other.SidecarIncarnation && r.Revision < other.Revision
 }
 
+// compareID compares a record with an endpoint ID, for searches in lists that are ordered by ID.
 func compareID(r *record, id string) int { return cmp.Compare(r.ID, id) }
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -55,6 +55,7 @@
 	return r.supersede(now, rec.AppAddress) || changed
 }
 
+// add adds the record of an endpoint that isn't known, and indexes it.
 func (r *Registry) add(now time.Duration, e Endpoint) *record {
 	rec := newRecord(now, e)
 	r.records[rec.ID] = rec
@@ -101,6 +102,7 @@
 	removeFromIndex(r.byService, rec.Service, rec)
 }
 
+// removeFromIndex removes a record from the list of a key, and the key if the list is empty then.
 func removeFromIndex(index map[string][]*record, key string, rec *record) {
 	rest := slices.DeleteFunc(index[key], func(other *record) bool { return other == rec })
 	if len(rest) == 0 {
@@ -177,6 +179,7 @@
 	})
 }
 
+// sortedIDs returns the IDs of all records, sorted.
 func (r *Registry) sortedIDs() []string {
 	ids := make([]string, 0, len(r.records))
 	ids = slices.AppendSeq(ids, maps.Keys(r.records))
--- a/internal/mesh/discovery/subscribers.go
+++ b/internal/mesh/discovery/subscribers.go
@@ -31,6 +31,7 @@
 	}
 }
 
+// remove ends a subscription, and removes the service if it was the last one.
 func (s *Subscribers) remove(service, subscriber string) {
 	delete(s.leaseEnds[service], subscriber)
 	if len(s.leaseEnds[service]) == 0 {
--- a/internal/mesh/discovery/subscription.go
+++ b/internal/mesh/discovery/subscription.go
@@ -122,6 +122,7 @@
 	}
 }
 
+// request returns the request for a service to this source.
 func (s *source) request(service string) SubscribeRequest {
 	return SubscribeRequest{To: s.Address, Incarnation: s.Incarnation, Service: service, SinceVersion: s.version}
 }
