--- a/internal/mesh/discovery/subscription.go
+++ b/internal/mesh/discovery/subscription.go
@@ -65,7 +65,7 @@
 
 // SetOwners replaces the registry owners of a service, the preferred ones first; without any, the subscription to the service ends. The
 // first OwnersQueried of them that aren't unresponsive are polled.
-func (s *Subscription) SetOwners(_ time.Duration, service string, owners []RegistryOwner) {
+func (s *Subscription) SetOwners(service string, owners []RegistryOwner) {
 	var sources []*source
 	for _, owner := range owners {
 		i := slices.IndexFunc(s.services[service], func(known *source) bool { return known.RegistryOwner == owner })
@@ -122,6 +122,7 @@
 	}
 }
 
+// request returns the request for a service to this source.
 func (s *source) request(service string) SubscribeRequest {
 	return SubscribeRequest{To: s.Address, Incarnation: s.Incarnation, Service: service, SinceVersion: s.version}
 }
