--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	"io"
 	"os"
 	"slices"
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
 	"go.uber.org/goleak"
 
@@ -64,100 +62,6 @@
 	return result, events
 }
 
-// proxyCase is a proxy that breaks a rule in some way.
-type proxyCase struct {
-	fault, script string
-	rule          audit.Rule
-	want          string // in a breach; empty if there is to be none
-}
-
-// maxPlays bounds how often a scenario is played until the emulator was on time.
-const maxPlays = 5
-
-// play plays the scenario, and plays it again while the emulator was too late to tell. The verdict of the last play stands.
-func (c *proxyCase) play(t *testing.T, script string) *audit.Verdict {
-	t.Helper()
-	for play := 1; ; play++ {
-		r, _ := rehearse(t, c.fault, script)
-		if play == maxPlays || !c.undecided(r.Verdict) {
-			return r.Verdict
-		}
-		t.Logf("played again: %d breaches do not count, %s", r.Verdict.Excused, r.Verdict.VoidReason)
-	}
-}
-
-// undecided reports whether nothing can be said, because the emulator was late. One late second does not void a scenario of two
-// seconds, but excuses what is broken in that second and the next: all of it, as a rule.
-func (c *proxyCase) undecided(verdict *audit.Verdict) bool {
-	if verdict.VoidReason != "" {
-		return true
-	}
-	return c.want != "" && verdict.Excused > 0 && len(verdict.Breaches) == 0
-}
-
-// check fails the test unless the rule is found to be broken, and no other.
-func (c *proxyCase) check(t *testing.T, verdict *audit.Verdict) {
-	t.Helper()
-	if c.want == "" {
-		if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 || verdict.Service < 0.99 {
-			t.Errorf("service %v, %v, %v", verdict.Service, verdict.Breaches, verdict.Crashes)
-		}
-		return
-	}
-	ok := slices.ContainsFunc(verdict.Breaches, func(b audit.Breach) bool {
-		return b.Rule == c.rule && strings.Contains(b.Message, c.want)
-	})
-	if !ok || verdict.BreachesByRule[c.rule] == 0 {
-		t.Errorf("not caught: %v", verdict.Breaches[:min(5, len(verdict.Breaches))])
-	}
-	for rule, n := range verdict.BreachesByRule {
-		// The second answer and what comes after an answer are seen by the next rule too, or not.
-		if audit.Rule(rule) != c.rule && n > 0 && c.fault != "after" {
-			t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, verdict.Breaches[:min(5, len(verdict.Breaches))])
-		}
-	}
-}
-
-// Each way to break a rule is caught on sockets, by its rule and in its words; an honest proxy is not blamed.
-func TestFaultyProxies(t *testing.T) {
-	const fewSlots = "at 10ms: all boxes refuse 100% of calls for 5s\n"
-	for _, c := range []proxyCase{
-		{"honest", keyed, 0, ""},
-		{"silent", safe, audit.FinalAnswer, "no answer in"},
-		{"late", safe, audit.FinalAnswer, "after the request's time"},
-		{"closes", safe, audit.FinalAnswer, "closed without an answer"},
-		{"invents", safe, audit.FinalAnswer, "no box made"},
-		{"stale", safe, audit.FinalAnswer, "no box made"},
-		{"doubles", safe, audit.FinalAnswer, "nobody had asked for"},
-		{"after", safe, audit.FinalAnswer, "after its final answer"},
-		{"twice", keyed, audit.AtMostOnce, "while another attempt was out"},
-		{"again", unsafe, audit.AtMostOnce, "after an attempt that may have run"},
-		{"withdraws", unsafe, audit.AtMostOnce, "after an attempt that may have run"},
-		{"far", keyed, audit.AtMostOnce, "outside the group"},
-		{"refuses", unsafe, audit.AtMostOnce, "trying again is harmless"},
-		{"many", safe + fewSlots, audit.AtMostOnce, "3 are allowed"},
-		{"drains", safe + "at 400ms: 2 boxes drain for 1500ms\n", audit.DrainRespected, "that it is Terminating"},
-		{"cold", safe + "at 300ms: 1 new boxes\n", audit.SlowStartRespected, "fell over"},
-	} {
-		t.Run(c.fault, func(t *testing.T) {
-			t.Parallel()
-			script := small
-			if c.fault == "cold" {
-				script = strings.Replace(small, "cores 8 slots 40 queue 40 work 10ms",
-					"cores 1 slots 40 queue 40 work 40ms cold 0.1 warm 30s", 1)
-			}
-			if c.fault == "twice" || c.fault == "withdraws" {
-				script = strings.Replace(small, "work 10ms", "work 150ms", 1)
-			}
-			v := c.play(t, script+c.script)
-			if v.VoidReason != "" {
-				t.Skip(v.VoidReason) // this machine is too busy to tell
-			}
-			c.check(t, v)
-		})
-	}
-}
-
 // A sidecar that crashes, hangs, or does not end when it is asked to is found and cleaned up.
 func TestCrashesAreFound(t *testing.T) {
 	for fault, want := range map[string]string{
@@ -297,141 +201,6 @@
 	}
 }
 
-// startOneServer starts the first server of a script, with the clock at 0, and nothing else of the rehearsal.
-func startOneServer(t *testing.T, script string) (*rehearsal, *server) {
-	t.Helper()
-	var found finding.List
-	parsed := scenario.Read("m", []byte(script), &found)
-	if parsed == nil {
-		t.Fatal(found.Err())
-	}
-	rehearsal := newRehearsal(context.Background(), parsed.Plan(0))
-	if err := rehearsal.claimNetwork(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := rehearsal.guard.Close(); err != nil {
-			t.Error(err)
-		}
-	})
-	rehearsal.clockOffset.Store(0)
-	rehearsal.clockOffset.Store(int64(rehearsal.now()))
-	s := newServer(rehearsal, 0)
-	if err := s.start(false); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(s.stop)
-	return rehearsal, s
-}
-
-// A machine that is silent resets nothing: open connections stay open, and new ones do not come up, until it is back. Its address then
-// belongs to another incarnation of the server.
-func TestSilence(t *testing.T) {
-	rehearsal, server := startOneServer(t, small+safe)
-	address := rehearsal.serverAddress(0)
-	open := dialServer(t, address)
-	open.ask(t, "r1t1")
-	if got := open.read(t, time.Second); !strings.Contains(got, "served r1t1 ") {
-		t.Fatalf("%q", got)
-	}
-	server.silence()
-	open.ask(t, "r2t1")
-	if got := open.read(t, 200*time.Millisecond); got != "nothing" {
-		t.Errorf("a silent machine says %q", got)
-	}
-	if c, err := dialFor(address, 200*time.Millisecond); err == nil {
-		closeConn(c)
-		t.Error("a connection to a silent machine comes up")
-	} else if !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a connection to a silent machine is refused: %v", err)
-	}
-	server.stop()
-	if err := server.start(true); err != nil {
-		t.Fatal(err)
-	}
-	if got := open.read(t, time.Second); !strings.Contains(got, "reset") {
-		t.Errorf("an old connection: %q", got)
-	}
-	again := dialServer(t, address)
-	again.ask(t, "r3t1")
-	if got := again.read(t, time.Second); !strings.Contains(got, "served r3t1 ") {
-		t.Errorf("%q", got)
-	}
-	events, _ := rehearsal.log.Events()
-	received := slices.ContainsFunc(events, func(e audit.Event) bool {
-		return e.Kind == audit.AttemptReceived && e.Request == "r2t1"
-	})
-	answered := slices.ContainsFunc(events, func(e audit.Event) bool {
-		return e.Kind == audit.AttemptEnded && e.Request == "r2t1" && e.Result != audit.Dropped
-	})
-	if !received || answered {
-		t.Errorf("what a silent machine was sent: seen %v, answered %v", received, answered)
-	}
-}
-
-// A server closes what is half sent, rejects connections beyond its limit, and reports its load.
-func TestServerOnItsSocket(t *testing.T) {
-	rehearsal, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
-	one, two := dialServer(t, rehearsal.serverAddress(0)), dialServer(t, rehearsal.serverAddress(0))
-	two.ask(t, "r7t1")
-	two.read(t, time.Second)
-	one.ask(t, "r8t1")
-	one.read(t, time.Second)
-	three := dialServer(t, rehearsal.serverAddress(0))
-	if got := three.read(t, time.Second); !strings.Contains(got, "reset") && !strings.Contains(got, "EOF") {
-		t.Errorf("a connection too many: %q", got)
-	}
-	time.Sleep(50 * time.Millisecond)
-	two.ask(t, "r9t1")
-	if got := two.read(t, time.Second); !strings.Contains(got, "X-Pressure: inflight=") {
-		t.Errorf("no load report: %q", got)
-	}
-	// Half a request, and the end: it never ran.
-	half := "POST /trips HTTP/1.1\r\nHost: a\r\nX-Txn: r5t1\r\nX-Lane: ask\r\nContent-Length: 99\r\n\r\nhalf"
-	if _, err := io.WriteString(one, half); err != nil {
-		t.Fatal(err)
-	}
-	if err := one.CloseWrite(); err != nil {
-		t.Fatal(err)
-	}
-	one.read(t, time.Second)
-	events, _ := rehearsal.log.Events()
-	if !slices.ContainsFunc(events, func(e audit.Event) bool {
-		return e.Kind == audit.AttemptEnded && e.Request == "r5t1" && e.Result == audit.Truncated
-	}) {
-		t.Error("half a request is not noted as cut off")
-	}
-	// A keyed repeat in its cell has no second effect.
-	if rehearsal.repeatedEffects != 0 || len(rehearsal.effects) != 1 {
-		t.Errorf("%d effects, %d beyond the first", len(rehearsal.effects), rehearsal.repeatedEffects)
-	}
-}
-
-// An emulator that is late records it.
-func TestLateEmulatorIsSeen(t *testing.T) {
-	rehearsal, server := startOneServer(t, small+safe)
-	conn := dialServer(t, rehearsal.serverAddress(0))
-	conn.ask(t, "r1t1")
-	conn.read(t, time.Second)
-	conn.ask(t, "r2t1")
-	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		server.mu.Lock()
-		if len(server.calls) > 0 {
-			time.Sleep(150 * time.Millisecond) // the server cannot work meanwhile, as if the emulator had no processor
-			server.mu.Unlock()
-			break
-		}
-		server.mu.Unlock()
-	}
-	conn.read(t, time.Second)
-	events, _ := rehearsal.log.Events()
-	if !slices.ContainsFunc(events, func(e audit.Event) bool {
-		return e.Kind == audit.EmulatorLate && e.Duration > 100*time.Millisecond
-	}) {
-		t.Error("not seen")
-	}
-}
-
 // Twelve processes and the 24 servers that they call end at once and come back together, the servers cold. No server collapses under
 // the sum of what they send, and no other rule is broken. Without a bound on attempts that never run, all 24 collapse on sockets. All
 // goes at half the pace of a real fleet, so that two busy cores keep up.
