--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -15,9 +14,9 @@
 	"quincegap/internal/standin/consul"
 )
 
-// BenchmarkConsul follows Consul with 100, 1,000 and 10,000 instances, quiet for 5 s and then in a flood of
-// 10,000 changes in 5 s, while bookings go on. It reports latencies, the sidecar's CPU and memory, and the
-// questions to Consul. Run it with a built program:
+// BenchmarkConsul runs a sidecar that follows Consul with 100, 1,000 and 10,000 instances, for 5 s without changes and for 5 s with
+// 10,000 changes, under load. It reports latencies, the sidecar's CPU and memory, and the number of queries to Consul. Run it with a
+// built program:
 //
 //	go build -o bin/ ./cmd/quincegap && QUINCEGAP=$PWD/bin/quincegap go test ./cmd/quincegap -run '^$' -bench Consul -benchtime 1x
 func BenchmarkConsul(b *testing.B) {
@@ -28,12 +27,13 @@
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				flood(b, program, n)
+				measureFlood(b, program, n)
 			}
 		})
 	}
 }
 
+// The flood of changes: floodChanges in floodTime, in floodSteps equal steps.
 const (
 	floodTime    = 5 * time.Second
 	floodChanges = 10000
@@ -42,16 +42,15 @@
 
 // floodRun is a sidecar that follows a Consul with many instances.
 type floodRun struct {
-	b      *testing.B
-	consul *consul.Server
-	cmd    *exec.Cmd
-	p      *process
+	b       *testing.B
+	consul  *consul.Server
+	sidecar *process
 }
 
-// flood measures the sidecar with n instances, quiet and in a flood of changes.
-func flood(b *testing.B, program string, n int) {
+// measureFlood measures a sidecar with n instances, without changes and in a flood of them.
+func measureFlood(b *testing.B, program string, n int) {
 	b.Helper()
-	// Each instance has an address of its own on loopback; the same little server is behind all.
+	// Each instance has a loopback address of its own; one server listens on all of them.
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { write(w, "ok") })}
 	defer closeNow(server)
 	c, err := consul.Start("", floodInstances(b, server, n)...)
@@ -61,29 +60,30 @@
 	defer c.Close()
 	address := freePort(b)
 	file := filepath.Join(b.TempDir(), "sidecar.toml")
-	putFile(b, file, strings.Replace(fmt.Sprintf(goodFile, "127.0.0.1:1"), "127.0.0.1:0", address, 1)+fmt.Sprintf(`
+	writeFile(b, file, strings.Replace(fmt.Sprintf(sidecarFile, "127.0.0.1:1"), "127.0.0.1:0", address, 1)+fmt.Sprintf(`
 [membership]
 source = "consul"
 [consul]
 agents = %q
 service = "slot-keeper"
 `, c.Address()))
-	f := &floodRun{b, c, command(program, "-config", file), &process{t: b, url: "http://" + address}}
-	f.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=")
-	if err := f.cmd.Start(); err != nil {
+	sidecar := &process{tb: b, cmd: command(program, "-config", file), url: "http://" + address}
+	sidecar.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=")
+	if err := sidecar.cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	defer killNow(f.cmd)
-	awaitReady(b, http.DefaultClient, f.p.url, 5*time.Millisecond)
+	defer killNow(sidecar.cmd)
+	awaitReady(b, http.DefaultClient, sidecar.url, 5*time.Millisecond)
+	f := &floodRun{b, c, sidecar}
 	f.measure("quiet", func() { time.Sleep(floodTime) })
 	f.measure("flood", func() { f.change(n) })
-	status := processStatus(b, f.cmd.Process.Pid)
+	status := processStatus(b, sidecar.cmd.Process.Pid)
 	b.ReportMetric(kilobytes(status, "VmHWM:")/1024, "MiB-peak")
 	b.ReportMetric(kilobytes(status, "VmRSS:")/1024, "MiB-rss")
 	b.ReportMetric(0, "ns/op")
 }
 
-// floodInstances are n instances of a server, each at an address of its own.
+// floodInstances returns n instances of a server, each at an address of its own.
 func floodInstances(b *testing.B, server *http.Server, n int) (all []consul.Instance) {
 	b.Helper()
 	for i := range n {
@@ -101,18 +101,18 @@
 	return all
 }
 
-// measure has 8 callers book while something happens, and reports under a name.
+// measure has 8 callers book while a function runs, and reports metrics whose names begin with the given one.
 func (f *floodRun) measure(name string, during func()) {
 	b := f.b
 	b.Helper()
-	questions, _ := f.consul.Queries()
-	cpu := ticks(b, f.cmd.Process.Pid)
+	queries, _ := f.consul.Queries()
+	cpu := cpuSeconds(b, f.sidecar.cmd.Process.Pid)
 	began := time.Now()
 	done := make(chan struct{})
 	figures := &floodFigures{}
 	var callers sync.WaitGroup
 	for range 8 {
-		callers.Go(func() { figures.book(f.p, done) })
+		callers.Go(func() { figures.book(f.sidecar, done) })
 	}
 	during()
 	close(done)
@@ -126,15 +126,15 @@
 	}
 	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, name+"-p50-ms")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, name+"-p99-ms")
-	b.ReportMetric(100*(ticks(b, f.cmd.Process.Pid)-cpu)/span.Seconds(), name+"-cpu-%")
-	b.ReportMetric(float64(after-questions)*60/span.Seconds(), name+"-questions/min")
+	b.ReportMetric(100*(cpuSeconds(b, f.sidecar.cmd.Process.Pid)-cpu)/span.Seconds(), name+"-cpu-%")
+	b.ReportMetric(float64(after-queries)*60/span.Seconds(), name+"-questions/min")
 }
 
-// floodFigures are how long bookings took, and how many were not served.
+// floodFigures are what the callers measured.
 type floodFigures struct {
 	mu     sync.Mutex
-	took   []time.Duration
-	failed int
+	took   []time.Duration // the latency of each booking
+	failed int             // bookings that were not served
 }
 
 // book books every 10 ms until done is closed.
@@ -160,7 +160,7 @@
 	}
 }
 
-// change turns the checks of all n instances over and over.
+// change makes the checks of the n instances fail and pass in turn, one after the other.
 func (f *floodRun) change(n int) {
 	step := time.NewTicker(floodTime / floodSteps)
 	defer step.Stop()
@@ -180,41 +180,25 @@
 	}
 }
 
-// ticks is the processor time that a process has used, in seconds.
-func ticks(tb testing.TB, pid int) float64 {
-	tb.Helper()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		tb.Fatal(err)
-	}
-	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	var user, system float64
-	if _, err := fmt.Sscan(fields[11]+" "+fields[12], &user, &system); err != nil {
-		tb.Fatal(err)
-	}
-	return (user + system) / 100
-}
-
-// BenchmarkDrain measures, ten times each run, how long after the answer that tells of a failing check the last
-// booking still comes to its box, while bookings come without pause.
+// BenchmarkDrain measures, ten times a run, how long after Consul's answer with a failing check the last booking arrives at its
+// endpoint, while callers book without pause.
 func BenchmarkDrain(b *testing.B) {
-	tn := startConsulRig(b, 4)
-	tn.open(tn.text("127.0.0.1:1", "consul"))
-	tn.awaitReady("box-0", "box-1", "box-2", "box-3")
+	rig := startConsulRig(b, 4)
+	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.awaitReady("box-0", "box-1", "box-2", "box-3")
 	var all []time.Duration
 	for range 10 * b.N {
-		index := tn.consul.SetStatus("box-1", "critical")
-		var told time.Time
-		tn.until("told", func() (ok bool) { told, ok = tn.consul.AnsweredAt(index); return ok })
+		index := rig.consul.SetStatus("box-1", "critical")
+		answered := rig.awaitAnswer(index)
 		time.Sleep(300 * time.Millisecond)
-		all = append(all, max(0, tn.endpoints[1].lastCame().Sub(told)))
-		// So long that its coming back is no flap.
+		all = append(all, max(0, rig.endpoints[1].lastArrival().Sub(answered)))
+		// Long enough that its return is not taken for flapping.
 		time.Sleep(200 * time.Millisecond)
-		before := tn.endpoints[1].count()
-		tn.consul.SetStatus("box-1", "passing")
-		tn.until("back", func() bool { return tn.endpoints[1].count() > before })
+		before := rig.endpoints[1].count()
+		rig.consul.SetStatus("box-1", "passing")
+		rig.await("back", func() bool { return rig.endpoints[1].count() > before })
 	}
-	tn.stopCallers()
+	rig.stopCallers()
 	slices.Sort(all)
 	b.ReportMetric(float64(all[len(all)/2].Microseconds())/1000, "median-ms")
 	b.ReportMetric(float64(all[len(all)-1].Microseconds())/1000, "most-ms")
--- a/cmd/quincegap/consul_tls_test.go
+++ b/cmd/quincegap/consul_tls_test.go
@@ -5,58 +5,38 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"quincegap/internal/standin/authority"
 )
 
-func newAuthority(tb testing.TB) *authority.Authority {
-	tb.Helper()
-	a, err := authority.New()
-	if err != nil {
-		tb.Fatal(err)
-	}
-	return a
-}
-
-func issue(tb testing.TB, a *authority.Authority, name string) (cert, key []byte) {
-	tb.Helper()
-	cert, key, err := a.Issue(name, time.Hour)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	return cert, key
-}
-
-// tlsFront is a Consul over TLS that asks for a client certificate, and the files that a sidecar has for it.
+// tlsFront serves Consul over TLS and requires a client certificate. It has the files that a sidecar needs for that.
 type tlsFront struct {
 	*httptest.Server
 	t   *testing.T
 	ca  *authority.Authority
 	dir string
 
-	mu   sync.Mutex
-	seen map[string]int // questions, by the name of the certificate that was shown
+	mu      sync.Mutex
+	queries map[string]int // by the name in the client certificate
 }
 
-// startTLSFront serves a town's Consul over TLS.
-func startTLSFront(t *testing.T, tn *consulRig) *tlsFront {
+// startTLSFront serves the Consul of a rig over TLS.
+func startTLSFront(t *testing.T, rig *consulRig) *tlsFront {
 	t.Helper()
-	f := &tlsFront{t: t, ca: newAuthority(t), dir: t.TempDir(), seen: map[string]int{}}
+	f := &tlsFront{t: t, ca: newAuthority(t), dir: t.TempDir(), queries: map[string]int{}}
 	own, err := f.ca.Pair("consul.example.org")
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mu.Lock()
-		f.seen[r.TLS.PeerCertificates[0].Subject.CommonName]++
+		f.queries[r.TLS.PeerCertificates[0].Subject.CommonName]++
 		f.mu.Unlock()
-		tn.consul.ServeHTTP(w, r)
+		rig.consul.ServeHTTP(w, r)
 	}))
 	f.TLS = &tls.Config{Certificates: []tls.Certificate{*own}, ClientCAs: f.ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
 	f.StartTLS()
@@ -64,25 +44,22 @@
 	return f
 }
 
-// asked is how many questions came with a certificate of a name.
-func (f *tlsFront) asked(name string) int {
+// queryCount returns the number of queries with a client certificate of a name.
+func (f *tlsFront) queryCount(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen[name]
+	return f.queries[name]
 }
 
-// put replaces a file at one stroke.
+// put replaces a file and returns its path.
 func (f *tlsFront) put(name string, text []byte) string {
 	f.t.Helper()
-	at := filepath.Join(f.dir, name)
-	putFile(f.t, at+".new", string(text))
-	if err := os.Rename(at+".new", at); err != nil {
-		f.t.Fatal(err)
-	}
-	return at
+	path := filepath.Join(f.dir, name)
+	replaceFile(f.t, path, string(text))
+	return path
 }
 
-// renew replaces the sidecar's certificate by one that an authority has signed.
+// renew replaces the sidecar's certificate and key by ones that an authority issues, and returns their paths.
 func (f *tlsFront) renew(ca *authority.Authority, name string) (cert, key string) {
 	f.t.Helper()
 	certText, keyText := issue(f.t, ca, name)
@@ -90,40 +67,49 @@
 	return f.put("cert.pem", certText), key
 }
 
-// Consul over TLS asks for a client certificate. It is replaced while the sidecar runs, as is done before one
-// runs out; the new one goes with the next connection.
+// consulTLSFile is the head of [consul] with the settings for TLS, without the paths of the files.
+const consulTLSFile = `[consul]
+consul_tls = true
+tls_ca_file = %q
+tls_cert_file = %q
+tls_key_file = %q
+tls_server_name = "consul.example.org"
+`
+
+// Consul is served over TLS and requires a client certificate. It is replaced while the sidecar runs, as operators do before it expires;
+// the next connection uses the new one.
 func TestConsulOverTLS(t *testing.T) {
 	t.Parallel()
-	tn := startConsulRig(t, 3)
-	front := startTLSFront(t, tn)
+	rig := startConsulRig(t, 3)
+	front := startTLSFront(t, rig)
 	cert, key := front.renew(front.ca, "first")
-	file := strings.Replace(tn.text("127.0.0.1:1", "consul"), tn.consul.Address(), front.Listener.Addr().String(), 1)
-	file = strings.Replace(file, "[consul]\n", fmt.Sprintf("[consul]\nconsul_tls = true\ntls_ca_file = %q\ntls_cert_file = %q\ntls_key_file = %q\ntls_server_name = \"consul.example.org\"\n",
-		front.put("ca.pem", front.ca.PEM()), cert, key), 1)
-	tn.open(file)
-	tn.awaitReady("box-0", "box-1", "box-2")
-	tn.awaitServed(50)
-	tn.checkDrained(tn.endpoints[0], tn.consul.SetStatus("box-0", "critical"))
-	if front.asked("first") == 0 {
-		t.Error("the certificate was not asked for")
+	file := strings.Replace(rig.config("127.0.0.1:1", "consul"), rig.consul.Address(), front.Listener.Addr().String(), 1)
+	settings := fmt.Sprintf(consulTLSFile, front.put("ca.pem", front.ca.PEM()), cert, key)
+	file = strings.Replace(file, "[consul]\n", settings, 1)
+	rig.startSidecar(file)
+	rig.awaitReady("box-0", "box-1", "box-2")
+	rig.awaitServed(50)
+	rig.checkDrained(rig.endpoints[0], rig.consul.SetStatus("box-0", "critical"))
+	if front.queryCount("first") == 0 {
+		t.Error("no query came with the certificate")
 	}
 	front.renew(front.ca, "second")
 	front.CloseClientConnections()
-	tn.until("the new certificate is used", func() bool { return front.asked("second") > 0 })
-	tn.checkDrained(tn.endpoints[1], tn.consul.SetStatus("box-1", "critical"))
-	tn.awaitReady("box-2")
+	rig.await("the new certificate is used", func() bool { return front.queryCount("second") > 0 })
+	rig.checkDrained(rig.endpoints[1], rig.consul.SetStatus("box-1", "critical"))
+	rig.awaitReady("box-2")
 
-	// One that another authority signed is refused, and what is known goes on.
+	// A certificate that another authority has signed is rejected, and the sidecar continues with the endpoints that it has.
 	front.renew(newAuthority(t), "stranger")
 	front.CloseClientConnections()
-	tn.p.awaitLog("consul: agent " + front.Listener.Addr().String() + ":")
-	tn.awaitServed(100)
-	if n := front.asked("stranger"); n > 0 {
-		t.Errorf("%d questions of a stranger were heard", n)
+	rig.sidecar.awaitLog("consul: agent " + front.Listener.Addr().String() + ":")
+	rig.awaitServed(100)
+	if n := front.queryCount("stranger"); n > 0 {
+		t.Errorf("%d queries with the certificate of another authority were answered", n)
 	}
 	front.renew(front.ca, "third")
-	tn.until("it is heard again", func() bool { return front.asked("third") > 0 })
-	tn.consul.SetStatus("box-0", "passing")
-	tn.awaitReady("box-0", "box-2")
-	tn.stopCallers()
+	rig.await("the third certificate is used", func() bool { return front.queryCount("third") > 0 })
+	rig.consul.SetStatus("box-0", "passing")
+	rig.awaitReady("box-0", "box-2")
+	rig.stopCallers()
 }
--- a/cmd/quincegap/crowd_bench_test.go
+++ b/cmd/quincegap/crowd_bench_test.go
@@ -15,19 +15,20 @@
 	"quincegap/internal/standin/booking"
 )
 
+// crowdTime is the length of a run.
 const crowdTime = 3 * time.Second
 
-// beProxy serves as what quincegap is held against: net/http's reverse proxy over the endpoints that
-// BE_PROXY names, in turn. It says its address in one line.
+// beProxy runs what BenchmarkCrowd compares quincegap with: net/http's reverse proxy over the endpoints that BE_PROXY names, round robin.
+// It prints its address in one line.
 func beProxy() {
 	var next atomic.Uint64
 	hosts := strings.Split(os.Getenv("BE_PROXY"), ",")
 	transport := &http.Transport{MaxIdleConnsPerHost: 256}
 	var targets []*httputil.ReverseProxy
 	for _, host := range hosts {
-		p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: host})
-		p.Transport = transport
-		targets = append(targets, p)
+		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: host})
+		proxy.Transport = transport
+		targets = append(targets, proxy)
 	}
 	listener, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -45,45 +46,31 @@
 	os.Exit(1)
 }
 
-// BenchmarkCrowd has callers book in step, the next booking of each when all have their answers, at endpoints that
-// answer at once, and counts who is refused; beside it the same at net/http's reverse proxy. Each has one core. A
-// run takes crowdTime whatever b.N is. It plays the program that QUINCEGAP names, or this build.
+// BenchmarkCrowd has callers book in step: each sends its next booking when all have their responses. The endpoints respond at once. It
+// counts the bookings that are rejected, with the program that QUINCEGAP names and with net/http's reverse proxy, each on one core. A run
+// takes crowdTime whatever b.N is.
 func BenchmarkCrowd(b *testing.B) {
 	if os.Getenv("CROWD") == "" {
 		b.Skip("CROWD is not set")
 	}
 	for _, endpoints := range []int{8, 64, 1000} {
-		targets := crowdEndpoints(b, endpoints)
+		targets := startTargets(b, endpoints, defaultHandler)
 		for _, callers := range []int{32, 256, 512, 1024} {
 			b.Run(fmt.Sprintf("quincegap/%d-endpoints/%d", endpoints, callers), func(b *testing.B) {
 				program := os.Getenv("QUINCEGAP")
 				if program == "" {
 					b.Skip("QUINCEGAP names no program")
 				}
-				text := fmt.Sprintf(goodFile, startDiscovery(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 4096\n"
-				crowd(b, run(b, program, text), callers)
+				text := fmt.Sprintf(sidecarFile, startDiscovery(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 4096\n"
+				measureCrowd(b, runProgram(b, program, text), callers)
 			})
 			b.Run(fmt.Sprintf("proxy/%d-endpoints/%d", endpoints, callers), func(b *testing.B) {
-				crowd(b, startProxy(b, targets), callers)
+				measureCrowd(b, startProxy(b, targets), callers)
 			})
 		}
 	}
 }
 
-// crowdEndpoints starts n endpoints that answer at once.
-func crowdEndpoints(b *testing.B, n int) (targets []booking.Target) {
-	b.Helper()
-	for i := range n {
-		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i), nil)
-		if err != nil {
-			b.Fatal(err)
-		}
-		b.Cleanup(e.Close)
-		targets = append(targets, e.Target())
-	}
-	return targets
-}
-
 // startProxy runs net/http's reverse proxy over endpoints, on one core; see beProxy.
 func startProxy(b *testing.B, targets []booking.Target) *process {
 	b.Helper()
@@ -91,7 +78,7 @@
 	for _, target := range targets {
 		hosts = append(hosts, target.Address)
 	}
-	p := &process{t: b, cmd: command(os.Args[0])}
+	p := &process{tb: b, cmd: command(os.Args[0])}
 	p.cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "BE_PROXY="+strings.Join(hosts, ","))
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -101,20 +88,20 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { killNow(p.cmd) })
-	var at string
-	if _, err := fmt.Fscanln(out, &at); err != nil {
+	var address string
+	if _, err := fmt.Fscanln(out, &address); err != nil {
 		b.Fatal(err)
 	}
-	p.url = "http://" + at
+	p.url = "http://" + address
 	return p
 }
 
-// crowdFigures count how bookings ended.
+// crowdFigures counts bookings by their outcome.
 type crowdFigures struct {
-	refused, served, failed atomic.Int64
+	rejected, served, failed atomic.Int64
 }
 
-// book books once for each step, on a connection of its own, and says so each time.
+// book books once for each step, on a connection of its own, and reports each booking on done.
 func (f *crowdFigures) book(b *testing.B, p *process, step <-chan struct{}, done chan<- struct{}) {
 	b.Helper()
 	transport := &http.Transport{}
@@ -126,7 +113,7 @@
 		case err == nil && status == http.StatusOK:
 			f.served.Add(1)
 		case err == nil && status == http.StatusServiceUnavailable:
-			f.refused.Add(1)
+			f.rejected.Add(1)
 		default:
 			if f.failed.Add(1) == 1 {
 				b.Logf("failed: status %d, %v", status, err)
@@ -136,18 +123,18 @@
 	}
 }
 
-// crowd has callers book in step for a while, each on a connection of its own, and reports.
-func crowd(b *testing.B, p *process, callers int) {
+// measureCrowd has callers book in step for crowdTime, each on a connection of its own, and reports the metrics.
+func measureCrowd(b *testing.B, p *process, callers int) {
 	b.Helper()
 	var figures crowdFigures
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	step := make([]chan struct{}, callers)
 	done := make(chan struct{}, callers)
 	for i := range step {
 		step[i] = make(chan struct{}, 1)
-		all.Go(func() { figures.book(b, p, step[i], done) })
+		running.Go(func() { figures.book(b, p, step[i], done) })
 	}
-	before := ticks(b, p.cmd.Process.Pid)
+	before := cpuSeconds(b, p.cmd.Process.Pid)
 	for end := time.Now().Add(crowdTime); time.Now().Before(end); {
 		for _, s := range step {
 			s <- struct{}{}
@@ -156,15 +143,15 @@
 			<-done
 		}
 	}
-	cpu := ticks(b, p.cmd.Process.Pid) - before
+	cpu := cpuSeconds(b, p.cmd.Process.Pid) - before
 	for _, s := range step {
 		close(s)
 	}
-	all.Wait()
+	running.Wait()
 	if figures.served.Load() == 0 {
 		b.Fatal("nothing was served")
 	}
-	b.ReportMetric(float64(figures.refused.Load()), "refused")
+	b.ReportMetric(float64(figures.rejected.Load()), "refused")
 	b.ReportMetric(float64(figures.failed.Load()), "failed")
 	b.ReportMetric(float64(figures.served.Load())/crowdTime.Seconds(), "requests/s")
 	b.ReportMetric(1e6*cpu/float64(figures.served.Load()), "cpu-us/request")
--- a/cmd/quincegap/helpers_test.go
+++ b/cmd/quincegap/helpers_test.go
@@ -7,31 +7,14 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"testing"
 	"time"
 )
 
-// command is a program that ends by itself or is killed by its test, and not when the test's context ends: callers book until
-// their cleanup.
-func command(program string, args ...string) *exec.Cmd {
-	return exec.CommandContext(context.Background(), program, args...)
-}
-
-// ownProgram is this build as the program, with a configuration of the platform or, where that is empty, none.
-func ownProgram(platform string, args ...string) *exec.Cmd {
-	cmd := command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG="+platform)
-	return cmd
-}
-
-// killNow kills a program at once and waits until it has ended, which it does with an error.
-func killNow(cmd *exec.Cmd) {
-	_ = cmd.Process.Kill() // it may have ended already
-	_ = cmd.Wait()
-}
+// testTimeout bounds each wait for something that has to happen: far above what it takes, also on a busy machine.
+const testTimeout = 30 * time.Second
 
-// get asks for a path and returns the answer's status and headers; its body is passed over.
+// get requests a URL and returns the status and the headers of the response. Its body is ignored.
 func get(client *http.Client, url string) (status int, header http.Header, err error) {
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
@@ -45,14 +28,14 @@
 	return res.StatusCode, res.Header, nil
 }
 
-// awaitReady waits until a sidecar says that it is ready, looking so often.
-func awaitReady(tb testing.TB, client *http.Client, url string, every time.Duration) {
+// awaitReady waits until a sidecar reports that it is ready. It polls the sidecar at the given interval.
+func awaitReady(tb testing.TB, client *http.Client, url string, interval time.Duration) {
 	tb.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(every) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(interval) {
 		if status, _, err := get(client, url+"/ready"); err == nil && status == http.StatusOK {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			tb.Fatal("never ready")
 		}
 	}
@@ -64,25 +47,39 @@
 	return open.Listen(context.Background(), "tcp", address)
 }
 
-// putFile writes a file.
-func putFile(tb testing.TB, path, text string) {
+// freePort returns a loopback address that nobody listens on.
+func freePort(tb testing.TB) string {
+	tb.Helper()
+	l, err := listen("127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	defer closeNow(l)
+	return l.Addr().String()
+}
+
+// writeFile writes a file.
+func writeFile(tb testing.TB, path, text string) {
 	tb.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// write writes a part of an answer; one whom it does not reach has gone.
+// replaceFile replaces a file atomically, as an operator does while the program may read it.
+func replaceFile(tb testing.TB, path, text string) {
+	tb.Helper()
+	writeFile(tb, path+".new", text)
+	if err := os.Rename(path+".new", path); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// write writes a part of a response. An error means that the client has gone, and is ignored.
 func write(w io.Writer, values ...any) { _, _ = fmt.Fprint(w, values...) }
 
-// drain reads what is left of a body, as far as it comes.
+// drain reads the rest of a body. An error means that the sender has gone, and is ignored.
 func drain(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
-// closeNow closes what a test needs no more.
+// closeNow closes what a test no longer needs, and ignores the error.
 func closeNow(c io.Closer) { _ = c.Close() }
-
-// answerOK is an endpoint that answers each request.
-func answerOK(w http.ResponseWriter, r *http.Request) {
-	drain(r.Body)
-	write(w, "ok")
-}
--- /dev/null
+++ b/cmd/quincegap/load_helpers_test.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// lastTxn numbers the requests of all tests.
+var lastTxn atomic.Int64
+
+// book sends a booking under an id and a key of its own, and returns the status.
+func (p *process) book(client *http.Client, body string) (int, error) {
+	if p.transport != nil {
+		client = &http.Client{Transport: p.transport}
+	}
+	n := lastTxn.Add(1)
+	return post(client, p.url, "book-trip", fmt.Sprintf("t%d", n), fmt.Sprintf("k%d", n), body)
+}
+
+// post sends a request and returns the status of the response. If the body of the response breaks off there is both a status and an
+// error; without a response the status is 0.
+func post(client *http.Client, url, class, txn, key, body string) (status int, err error) {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url+"/trips", strings.NewReader(body))
+	if err != nil {
+		return 0, err
+	}
+	request.Header.Set("X-Txn", txn)
+	request.Header.Set("X-Lane", class)
+	request.Header.Set("X-Remaining", "6000m")
+	if key != "" {
+		request.Header.Set("Idempotency-Key", key)
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	defer closeNow(response.Body)
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
+}
+
+// send sends a request on a connection of its own. Whether the body of the response is complete does not matter.
+func send(url, class, txn, key string) (status int, err error) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	if status, err = post(client, url, class, txn, key, "trip"); status != 0 {
+		err = nil
+	}
+	return status, err
+}
+
+// startCallers has n callers book without pause until stop is called, and counts the bookings that are served: each has to be.
+func (p *process) startCallers(n int, served *atomic.Int64) (stop func()) {
+	done := make(chan struct{})
+	var callers sync.WaitGroup
+	for range n {
+		callers.Go(func() {
+			client := &http.Client{Transport: &http.Transport{}}
+			defer client.CloseIdleConnections()
+			for {
+				select {
+				case <-done:
+					return
+				default:
+				}
+				if status, err := p.book(client, "trip"); err != nil || status != http.StatusOK {
+					p.tb.Errorf("a booking: status %d, %v", status, err)
+					return
+				}
+				served.Add(1)
+			}
+		})
+	}
+	stop = sync.OnceFunc(func() {
+		close(done)
+		callers.Wait()
+	})
+	p.tb.Cleanup(stop)
+	return stop
+}
+
+// maxOutstanding bounds the bookings of a stream that are in flight at once; 3 to 5 are usual. While the machine lets the sidecar
+// wait, further bookings would pile up in its sockets and then arrive at once: no even pace, and not the sidecar's fault.
+const maxOutstanding = 16
+
+// startStream sends bookings at an even pace, with at most maxOutstanding in flight, until stop is called. That returns how many were
+// sent and how many of them were rejected. Each of the others has to be served.
+func (p *process) startStream(interval time.Duration) (stop func() (sent, rejected int64)) {
+	var sent, rejected atomic.Int64
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+	outstanding := make(chan struct{}, maxOutstanding)
+	done, ended := make(chan struct{}), make(chan struct{})
+	book := func() {
+		defer func() { <-outstanding }()
+		switch status, err := p.book(client, "trip"); {
+		case err != nil:
+			p.tb.Errorf("a booking: %v", err)
+		case status == http.StatusServiceUnavailable:
+			rejected.Add(1)
+		case status != http.StatusOK:
+			p.tb.Errorf("a booking: status %d", status)
+		}
+	}
+	go func() {
+		defer close(ended)
+		var bookings sync.WaitGroup
+		defer bookings.Wait()
+		tick := time.NewTicker(interval)
+		defer tick.Stop()
+		for {
+			select {
+			case <-done:
+				return
+			case <-tick.C:
+			}
+			select {
+			case outstanding <- struct{}{}:
+				sent.Add(1)
+				bookings.Go(book)
+			default: // skipped, as a ticker skips ticks that nobody receives
+			}
+		}
+	}()
+	return func() (int64, int64) {
+		close(done)
+		<-ended
+		client.CloseIdleConnections()
+		return sent.Load(), rejected.Load()
+	}
+}
--- a/cmd/quincegap/main_test.go
+++ b/cmd/quincegap/main_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the test binary as the program, or as the proxy that benchmarks compare it with, if the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("BE_QUINCEGAP") == "1" {
 		main()
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// A configuration that cannot be used is named in one line, and the exit status says that nothing runs.
+// A configuration that cannot be used is named in one line, and the program ends with an error.
 func TestBadConfigurationEndsTheProgram(t *testing.T) {
 	for _, config := range []string{"", "/nowhere/config.json"} {
 		cmd := ownProgram(config)
@@ -48,7 +48,7 @@
 	}
 }
 
-// signalledProgram is the program, started for a test of signals, with what it logs.
+// signalledProgram is the program with a configuration of the platform, which names a discovery without endpoints.
 type signalledProgram struct {
 	*testing.T
 	cmd    *exec.Cmd
@@ -56,6 +56,7 @@
 	lines  *bufio.Scanner
 }
 
+// startSignalled starts the program.
 func startSignalled(t *testing.T) *signalledProgram {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,9 +73,7 @@
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":{"allowed":{"connectTimeout":2000000},
 		"discovery":"push","instances":1,"services":[{"name":"read","aim":1000000,"deadline":1000000,
 		"effect":"read_like","gain":1}],"tiers":["front"],"zones":["z"],"models":["m"]}}`, discovery.Listener.Addr())
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, file, text)
 	cmd := ownProgram(file)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -87,17 +86,18 @@
 	return &signalledProgram{T: t, cmd: cmd, stderr: stderr, lines: bufio.NewScanner(stderr)}
 }
 
-// awaitLog waits until the program has logged a word.
-func (s *signalledProgram) awaitLog(word string) {
+// awaitLog waits until the program has logged a line that contains a text.
+func (s *signalledProgram) awaitLog(text string) {
 	s.Helper()
 	for s.lines.Scan() {
-		if strings.Contains(s.lines.Text(), word) {
+		if strings.Contains(s.lines.Text(), text) {
 			return
 		}
 	}
-	s.Fatalf("it ended before it said %q", word)
+	s.Fatalf("it ended before it logged %q", text)
 }
 
+// signal sends signals, one after the other.
 func (s *signalledProgram) signal(signals ...os.Signal) {
 	s.Helper()
 	for _, x := range signals {
@@ -107,7 +107,7 @@
 	}
 }
 
-// SIGHUP makes the program read its file again; uncaught it would end it. After SIGTERM it ends by itself.
+// After SIGHUP, which ends a program that does not handle it, the program reads its file again. After SIGTERM it ends by itself.
 func TestSignals(t *testing.T) {
 	s := startSignalled(t)
 	s.awaitLog("serving on")
@@ -123,14 +123,14 @@
 	}
 }
 
-// Whoever reads the program's log goes away, and settings are read again, which is logged; then SIGTERM comes, and other signals while the
-// program ends: it ends by itself all the same.
+// The reader of the program's log has gone when the program logs that it reads its settings again. Then SIGTERM comes, and other signals
+// while the program ends: it ends by itself all the same.
 func TestSignalsWithoutAReaderOfTheLog(t *testing.T) {
 	s := startSignalled(t)
 	s.awaitLog("serving on")
 	closeNow(s.stderr)
 	s.signal(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
-	time.Sleep(300 * time.Millisecond) // it is logged
+	time.Sleep(300 * time.Millisecond) // until it has logged
 	s.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGQUIT, syscall.SIGINT)
 	if err := s.cmd.Wait(); err != nil {
 		t.Errorf("after SIGTERM: %v", err)
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -16,9 +16,9 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// BenchmarkSevenInTenDie plays rehearsals/seven-in-ten-die.morning with sidecar processes that find one another, and with such
-// that do not, at some rates. It reports the service, and of the boxes how many nobody called for 3 s or longer while the seven
-// were dead. Run it with a built program:
+// BenchmarkSevenInTenDie runs the rehearsal seven-in-ten-die with sidecar processes that find one another and with ones that do not, at
+// some rates. It reports the share of calls that were served, and the number of servers that got no call for 3 s or longer while the
+// seven were dead. Run it with a built program:
 //
 //	go build -o bin/ ./cmd/quincegap && QUINCEGAP=$PWD/bin/quincegap go test ./cmd/quincegap -run '^$' -bench SevenInTen -benchtime 1x
 func BenchmarkSevenInTenDie(b *testing.B) {
@@ -35,49 +35,51 @@
 			b.Run(fmt.Sprintf("%s/peers=%s", strings.TrimSuffix(rate, "/s"), found), func(b *testing.B) {
 				for range b.N {
 					script := strings.NewReplacer("peers yes", "peers "+found, "700/s", rate).Replace(string(text))
-					playSeven(b, program, script, found == "yes")
+					rehearseDeaths(b, program, script, found == "yes")
 				}
 			})
 		}
 	}
 }
 
-// playSeven plays a script, in which sidecars find one another or not, and reports.
-func playSeven(b *testing.B, program, script string, found bool) {
+// rehearseDeaths runs a script, in which the sidecars find one another or not, and reports the metrics.
+func rehearseDeaths(b *testing.B, program, script string, found bool) {
 	b.Helper()
-	var list finding.List
-	m := scenario.Read("seven", []byte(script), &list)
-	if m == nil {
-		b.Fatal(list.Err())
+	var findings finding.List
+	plan := scenario.Read("seven", []byte(script), &findings)
+	if plan == nil {
+		b.Fatal(findings.Err())
 	}
 	dir := b.TempDir()
 	var begins time.Time
 	var events []audit.Event
-	r, err := rehearse.Run(b.Context(), m.Plan(0), rehearse.Options{
-		Program: program, Dir: dir,
-		Progress: func(p rehearse.Progress) { begins = time.Now().Add(-p.At) }, Events: func(e []audit.Event) { events = e },
+	result, err := rehearse.Run(b.Context(), plan.Plan(0), rehearse.Options{
+		Program:  program,
+		Dir:      dir,
+		Progress: func(p rehearse.Progress) { begins = time.Now().Add(-p.At) },
+		Events:   func(e []audit.Event) { events = e },
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
-	v := r.Verdict
-	uncalled, longest := uncalledBoxes(v.AttemptsByServer)
+	verdict := result.Verdict
+	uncalled, longest := countUncalledServers(verdict.AttemptsByServer)
 	if found {
 		known := lastKnown(b, dir, begins)
 		b.ReportMetric(known.Seconds()-10, "known-s")
-		b.ReportMetric(uncalledAfter(events, len(v.AttemptsByServer), known, 30*time.Second).Seconds(), "uncalled-after-known-s")
+		b.ReportMetric(uncalledAfter(events, len(verdict.AttemptsByServer), known, 30*time.Second).Seconds(), "uncalled-after-known-s")
 	}
-	b.ReportMetric(100*v.Service, "service-%")
-	b.ReportMetric(100*v.WorstService, "worst10s-%")
+	b.ReportMetric(100*verdict.Service, "service-%")
+	b.ReportMetric(100*verdict.WorstService, "worst10s-%")
 	b.ReportMetric(float64(uncalled), "uncalled")
 	b.ReportMetric(float64(longest), "longest-s")
-	b.ReportMetric(float64(len(v.Breaches)), "breaches")
-	b.ReportMetric(v.MaxLateness.Seconds()*1000, "emulator-late-ms")
+	b.ReportMetric(float64(len(verdict.Breaches)), "breaches")
+	b.ReportMetric(verdict.MaxLateness.Seconds()*1000, "emulator-late-ms")
 }
 
-// uncalledBoxes counts the boxes that nobody called for 3 s or longer while the seven were dead, by their calls a second; longest
-// is how many seconds that was at most.
-func uncalledBoxes(loads [][]int) (uncalled, longest int) {
+// countUncalledServers counts the servers that got no call for 3 s or longer while the seven were dead, from the calls of each server by
+// second. It also returns the longest time without a call, in seconds.
+func countUncalledServers(loads [][]int) (uncalled, longest int) {
 	for _, seconds := range loads {
 		run, most := 0, 0
 		for s := 10; s < min(30, len(seconds)); s++ {
@@ -95,7 +97,7 @@
 	return uncalled, longest
 }
 
-// lastKnown is when the last death of the seven was known to the last sidecar that lived on, by their logs.
+// lastKnown returns when each of the surviving sidecars had noticed all seven deaths, by their logs.
 func lastKnown(b *testing.B, dir string, begins time.Time) (known time.Duration) {
 	b.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -109,7 +111,7 @@
 			b.Fatal(err)
 		}
 		if strings.Count(string(text), ": serving on") > 1 {
-			continue // it died
+			continue // it was killed and started again
 		}
 		for line := range strings.Lines(string(text)) {
 			at, err := time.Parse("15:04:05.000000", line[:min(len(line), 15)])
@@ -125,67 +127,67 @@
 	return known
 }
 
-// uncalledAfter is the longest time from a moment on until a box was called, or until the end.
-func uncalledAfter(events []audit.Event, boxes int, from, end time.Duration) (longest time.Duration) {
-	first := make([]time.Duration, boxes)
+// uncalledAfter returns the longest time that a server waited for a call after the given moment, until the end at most.
+func uncalledAfter(events []audit.Event, servers int, from, end time.Duration) (longest time.Duration) {
+	first := make([]time.Duration, servers)
 	for i := range first {
 		first[i] = end
 	}
 	for _, e := range events {
-		if e.Kind == audit.AttemptReceived && e.Server >= 0 && e.Server < boxes && e.At >= from {
+		if e.Kind == audit.AttemptReceived && e.Server >= 0 && e.Server < servers && e.At >= from {
 			first[e.Server] = min(first[e.Server], e.At)
 		}
 	}
 	return slices.Max(first) - from
 }
 
-// BenchmarkPeers measures, with processes and the settings' defaults, how long it takes until all have settled after a start, a
-// death, a join and a healed cut into halves, and what the view costs a process in a quiet time.
+// BenchmarkPeers measures, with processes and default settings, how long it takes until all have settled after a start, a death, a join and
+// a partition into halves that ends, and the CPU and memory of a process while nothing changes.
 //
 //	go test ./cmd/quincegap -run '^$' -bench Peers -benchtime 1x
 func BenchmarkPeers(b *testing.B) {
 	for _, n := range []int{3, 10, 20} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				g := newPeersRig(b, n, 1, "")
+				rig := newPeersRig(b, n, 1, "")
 				all, names := firstMembers(n)
-				still := func() { time.Sleep(25 * time.Second) } // above DampFor: nobody comes and goes too often
-				timed := func(what string, confidence peers.Confidence, of, ask []int) {
+				pause := func() { time.Sleep(25 * time.Second) } // longer than DampFor, so that nobody counts as flapping
+				measure := func(what string, confidence peers.Confidence, of, ask []int) {
 					began := time.Now()
-					g.until(what, confidence, of, ask...)
+					rig.awaitViews(what, confidence, of, ask...)
 					b.ReportMetric(time.Since(began).Seconds(), what+"-s")
 				}
-				g.start(all...)
-				timed("start", peers.Settled, all, all)
+				rig.start(all...)
+				measure("start", peers.Settled, all, all)
 				used := 0.0
-				for _, m := range g.members {
-					used -= ticks(b, m.cmd.Process.Pid)
+				for _, m := range rig.members {
+					used -= cpuSeconds(b, m.cmd.Process.Pid)
 				}
 				const quiet = 10 * time.Second
 				time.Sleep(quiet)
 				resident := 0.0
-				for _, m := range g.members {
-					used += ticks(b, m.cmd.Process.Pid)
+				for _, m := range rig.members {
+					used += cpuSeconds(b, m.cmd.Process.Pid)
 					resident = max(resident, kilobytes(processStatus(b, m.cmd.Process.Pid), "VmRSS:"))
 				}
 				b.ReportMetric(1000*used/float64(n)/quiet.Seconds(), "cpu-ms/s")
 				b.ReportMetric(resident/1024, "rss-MiB")
-				g.kill(n - 1)
-				timed("death", peers.Settled, all[:n-1], all[:n-1])
-				g.start(n - 1)
-				timed("join", peers.Settled, all, all)
-				still()
-				g.net.Partition(names[:n/2], names[n/2:], true)
-				g.net.Partition(names[n/2:], names[:n/2], true)
+				rig.kill(n - 1)
+				measure("death", peers.Settled, all[:n-1], all[:n-1])
+				rig.start(n - 1)
+				measure("join", peers.Settled, all, all)
+				pause()
+				rig.net.Partition(names[:n/2], names[n/2:], true)
+				rig.net.Partition(names[n/2:], names[:n/2], true)
 				larger := peers.Settled
 				if n%2 == 0 {
 					larger = peers.Partitioned
 				}
-				timed("cut", larger, all[n/2:], all[n/2:])
-				g.until("the other side", peers.Partitioned, all[:n/2], all[:n/2]...)
-				still()
-				g.net.Heal()
-				timed("healed", peers.Settled, all, all)
+				measure("cut", larger, all[n/2:], all[n/2:])
+				rig.awaitViews("the other side", peers.Partitioned, all[:n/2], all[:n/2]...)
+				pause()
+				rig.net.Heal()
+				measure("healed", peers.Settled, all, all)
 			}
 		})
 	}
--- /dev/null
+++ b/cmd/quincegap/peers_helpers_test.go
@@ -0,0 +1,258 @@
+package main
+
+import (
+	"context"
+	"encoding/base64"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"quincegap/internal/modules/peers"
+	"quincegap/internal/network/admin"
+	"quincegap/internal/standin/relay"
+)
+
+// peersRig is a group of sidecar processes that find one another through relays, with the endpoints of one application behind them.
+type peersRig struct {
+	tb      testing.TB
+	dir     string
+	net     *relay.Network
+	texts   []string                 // the settings files of the members
+	members []*process               // nil for one that does not run
+	urls    []atomic.Pointer[string] // of the members; nil for one that does not run
+	ledger  *ledger
+	began   time.Time
+	events  []string // what happened so far, for the report of a failure
+}
+
+// peersFile has the settings of a member that others do not need.
+const peersFile = `
+[admin]
+admin_listen = "unix:%s"
+
+[memory]
+memory_dir = %q
+
+[peers]
+peers_listen = %q
+peers_advertise = %q
+peers_join = %q
+peers_key_file = %q
+%s
+`
+
+// quickSettings are times that shorten a test. Benchmarks use the defaults.
+const quickSettings = "peers_pace = \"200ms\"\nsettle_after = \"400ms\""
+
+// freePortAt returns a port of an address that nobody listens on.
+func freePortAt(tb testing.TB, ip string) string {
+	tb.Helper()
+	for range 100 {
+		listener, err := listen(ip + ":0")
+		if err != nil {
+			tb.Fatal(err)
+		}
+		address := listener.Addr().String()
+		closeNow(listener)
+		// A port that is free for TCP may be in use for UDP by another test.
+		socket, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp", address)
+		if err == nil {
+			closeNow(socket)
+			return address
+		}
+	}
+	tb.Fatalf("no port of %s is free", ip)
+	return ""
+}
+
+// newPeersRig prepares a group of n members; start starts them. The seed is for the faults of the relays, settings for [peers].
+func newPeersRig(tb testing.TB, n int, seed uint64, settings string) *peersRig {
+	tb.Helper()
+	rig := &peersRig{
+		tb:      tb,
+		dir:     tb.TempDir(),
+		net:     relay.New(seed),
+		members: make([]*process, n),
+		urls:    make([]atomic.Pointer[string], n),
+		ledger:  newLedger(),
+		began:   time.Now(),
+	}
+	tb.Cleanup(rig.net.Close)
+	discovery := startDiscovery(tb, startCells(tb, rig.ledger, 3, 4)...)
+	key := filepath.Join(rig.dir, "key")
+	writeFile(tb, key, base64.StdEncoding.EncodeToString([]byte("0123456789abcdef")))
+	var own, fronts []string
+	for i := range n {
+		own = append(own, freePortAt(tb, fmt.Sprintf("127.0.7.%d", i+1)))
+		front, err := rig.net.AddMember(memberName(i), fmt.Sprintf("127.0.8.%d:0", i+1), own[i])
+		if err != nil {
+			tb.Fatal(err)
+		}
+		fronts = append(fronts, front)
+	}
+	for i := range n {
+		join := slices.DeleteFunc([]string{fronts[0], fronts[1]}, func(a string) bool { return a == fronts[i] })
+		identity := fmt.Sprintf("instance = %q\ninstances = %d\nordinal = %d\n\n[discovery]", memberName(i), n, i)
+		text := strings.Replace(fmt.Sprintf(sidecarFile, discovery.Address()), "[discovery]", identity, 1) + unsafeClass
+		memory := filepath.Join(rig.dir, fmt.Sprint("m", i))
+		text += fmt.Sprintf(peersFile, rig.admin(i), memory, own[i], fronts[i], strings.Join(join, ","), key, settings)
+		rig.texts = append(rig.texts, text)
+	}
+	return rig
+}
+
+func memberName(i int) string { return fmt.Sprintf("front-%02d", i) }
+
+// admin returns the path of the admin socket of a member.
+func (p *peersRig) admin(i int) string { return filepath.Join(p.dir, fmt.Sprint("s", i)) }
+
+// logEvent records an event, with the time since the start.
+func (p *peersRig) logEvent(format string, args ...any) {
+	p.events = append(p.events, fmt.Sprintf("%6.2fs ", time.Since(p.began).Seconds())+fmt.Sprintf(format, args...))
+}
+
+// start starts members, and waits until they are ready.
+func (p *peersRig) start(indexes ...int) {
+	p.tb.Helper()
+	for _, i := range indexes {
+		p.logEvent("%s starts", memberName(i))
+		p.members[i] = launch(p.tb, p.texts[i])
+		p.urls[i].Store(&p.members[i].url)
+		go func(member *process) { // a program whose log nobody reads would block
+			for range member.log {
+			}
+		}(p.members[i])
+	}
+}
+
+// kill kills members.
+func (p *peersRig) kill(indexes ...int) {
+	for _, i := range indexes {
+		p.logEvent("%s is killed", memberName(i))
+		p.urls[i].Store(nil)
+		p.members[i].kill()
+		p.members[i] = nil
+	}
+}
+
+// view returns a member's view of the group; false if the member does not answer.
+func (p *peersRig) view(i int) (peers.Report, bool) {
+	members, err := admin.AskPeers(p.tb.Context(), "unix:"+p.admin(i), false)
+	return members.Own, err == nil
+}
+
+// awaitViews waits until each of the asked members has a view with just the given group and confidence.
+func (p *peersRig) awaitViews(what string, confidence peers.Confidence, group []int, asked ...int) {
+	p.tb.Helper()
+	agreed := func() bool {
+		for _, i := range asked {
+			r, ok := p.view(i)
+			if !ok || r.Confidence != confidence.String() || r.Instances != len(group) || !r.OwnsName || group[r.Ordinal] != i {
+				return false
+			}
+		}
+		return true
+	}
+	for deadline := time.Now().Add(4 * testTimeout); !agreed(); time.Sleep(50 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			var views strings.Builder
+			for _, i := range asked {
+				r, ok := p.view(i)
+				fmt.Fprintf(&views, "%s: %v %+v\n", memberName(i), ok, r)
+			}
+			p.tb.Fatalf("%s: never\n%s\n%s", what, strings.Join(p.events, "\n"), views.String())
+		}
+	}
+	p.logEvent("%s", what)
+}
+
+// callCounts counts calls by their outcome.
+type callCounts struct {
+	served   atomic.Int64
+	rejected atomic.Int64
+	failed   atomic.Int64 // with another status
+	broken   atomic.Int64 // without a complete response
+}
+
+// startCallers has n callers book through the members that run until stop is called; every second one sends unsafe calls. A rejection
+// promises that the call was not executed, so that an unsafe one is sent again as well, and must not have happened twice.
+func (p *peersRig) startCallers(n int) (counts *callCounts, stop func()) {
+	counts = &callCounts{}
+	done := make(chan struct{})
+	var callers sync.WaitGroup
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
+	for c := range n {
+		callers.Go(func() {
+			rng := rand.New(rand.NewPCG(uint64(c), 1))
+			for k := 0; ; k++ {
+				select {
+				case <-done:
+					return
+				default:
+				}
+				class, key := "book-trip", fmt.Sprintf("g-%d-%d", c, k)
+				if c%2 == 1 {
+					class, key = "pay-trip", ""
+				}
+				p.bookUntilAnswered(client, rng, counts, class, fmt.Sprintf("t-%d-%d", c, k), key)
+			}
+		})
+	}
+	return counts, func() {
+		close(done)
+		callers.Wait()
+	}
+}
+
+// bookUntilAnswered sends a booking to a random member that runs, and again while it is rejected. Attempts of a booking with a key have
+// an id each; those of an unsafe one share the id, by which the ledger recognizes them.
+func (p *peersRig) bookUntilAnswered(client *http.Client, rng *rand.Rand, counts *callCounts, class, id, key string) {
+	for attempt := range 50 {
+		url := p.urls[rng.IntN(len(p.urls))].Load()
+		if url == nil {
+			time.Sleep(time.Millisecond)
+			continue
+		}
+		txn := id
+		if key != "" {
+			txn += fmt.Sprint("-", attempt)
+		}
+		status, err := post(client, *url, class, txn, key, "trip")
+		counts.count(status, err)
+		if err != nil || status != http.StatusServiceUnavailable {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// count counts a call.
+func (c *callCounts) count(status int, err error) {
+	switch {
+	case err != nil:
+		c.broken.Add(1) // its sidecar was killed: the call may have been executed or not
+	case status == http.StatusOK:
+		c.served.Add(1)
+	case status == http.StatusServiceUnavailable:
+		c.rejected.Add(1)
+	default:
+		c.failed.Add(1)
+	}
+}
+
+// firstMembers returns the numbers and the names of the first n members.
+func firstMembers(n int) (indexes []int, names []string) {
+	for i := range n {
+		indexes = append(indexes, i)
+		names = append(names, memberName(i))
+	}
+	return indexes, names
+}
--- a/cmd/quincegap/route_bench_test.go
+++ b/cmd/quincegap/route_bench_test.go
@@ -9,32 +9,22 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"quincegap/internal/standin/booking"
 )
 
-// routed starts the program that QUINCEGAP names with four endpoints in one cell that serve as is said.
-func routed(b *testing.B, more string, serve http.HandlerFunc) *bench {
+// openRoutedBench starts the program that QUINCEGAP names with four endpoints in one cell that share a handler; more are further settings.
+func openRoutedBench(b *testing.B, more string, serve http.HandlerFunc) *bench {
 	b.Helper()
 	program := os.Getenv("QUINCEGAP")
 	if program == "" {
 		b.Skip("QUINCEGAP names no program")
 	}
-	var targets []booking.Target
-	for i := range 4 {
-		e, err := booking.StartEndpoint(fmt.Sprintf("box-%d", i), serve)
-		if err != nil {
-			b.Fatal(err)
-		}
-		b.Cleanup(e.Close)
-		targets = append(targets, e.Target())
-	}
-	text := fmt.Sprintf(goodFile, startDiscovery(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 2048\n" + more
-	return &bench{b: b, process: run(b, program, text)}
+	targets := startTargets(b, 4, func(int) http.HandlerFunc { return serve })
+	text := fmt.Sprintf(sidecarFile, startDiscovery(b, targets...).Address()) + "[limits]\ncores = 1\nsockets = 2048\n" + more
+	return &bench{tb: b, process: runProgram(b, program, text)}
 }
 
-// BenchmarkRoutes measures what routes cost, and what second copies and a retry budget do: with calls of which one in
-// twenty takes 200 ms and the others 5, and with endpoints that fail half of all calls.
+// BenchmarkRoutes measures the cost of routes, and the effect of hedged requests and of a retry budget: with calls of which one in twenty
+// takes 200 ms and the others 5 ms, and with endpoints that fail half of all calls.
 func BenchmarkRoutes(b *testing.B) {
 	var many strings.Builder
 	for i := range 99 {
@@ -42,22 +32,22 @@
 	}
 	many.WriteString("[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"2s\"\nmost_open = 500\n")
 	const copies = "[attempts]\nsecond_copies = true\n[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\ncopy_share = 0.1\n"
-	at := func(what string, more string, rate int, serve func(w http.ResponseWriter)) {
-		b.Run(what, func(b *testing.B) {
-			var came atomic.Int64
-			x := routed(b, more, func(w http.ResponseWriter, r *http.Request) {
+	measure := func(name, more string, rate int, serve func(w http.ResponseWriter)) {
+		b.Run(name, func(b *testing.B) {
+			var attempts atomic.Int64
+			rig := openRoutedBench(b, more, func(w http.ResponseWriter, r *http.Request) {
 				drain(r.Body)
-				came.Add(1)
+				attempts.Add(1)
 				serve(w)
 			})
-			x.may = true
-			asked := x.load("http1", "", 32, rate)
-			b.ReportMetric(float64(came.Load())/float64(asked), "attempts/request")
+			rig.allowFailures = true
+			requests := rig.load("http1", "", 32, rate)
+			b.ReportMetric(float64(attempts.Load())/float64(requests), "attempts/request")
 		})
 	}
 	ok := func(w http.ResponseWriter) { write(w, "ok") }
-	at("cost/without", "", exchangeRate, ok)
-	at("cost/100-routes", many.String(), exchangeRate, ok)
+	measure("cost/without", "", exchangeRate, ok)
+	measure("cost/100-routes", many.String(), exchangeRate, ok)
 	slow := func(w http.ResponseWriter) {
 		d := 5 * time.Millisecond
 		if rand.IntN(20) == 0 {
@@ -66,8 +56,8 @@
 		time.Sleep(d)
 		write(w, "ok")
 	}
-	at("tail/without", "", 400, slow)
-	at("tail/copies", copies, 400, slow)
+	measure("tail/without", "", 400, slow)
+	measure("tail/copies", copies, 400, slow)
 	fails := func(w http.ResponseWriter) {
 		if rand.IntN(2) == 0 {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -75,6 +65,6 @@
 		}
 		write(w, "ok")
 	}
-	at("storm/without", "", 400, fails)
-	at("storm/budget", "[route.all]\nmatch_path = \"/{rest...}\"\nretry_share = 0.05\nretry_reserve = 5\n", 400, fails)
+	measure("storm/without", "", 400, fails)
+	measure("storm/budget", "[route.all]\nmatch_path = \"/{rest...}\"\nretry_share = 0.05\nretry_reserve = 5\n", 400, fails)
 }
